--- a/router.go
+++ b/router.go
@@ -1031,10 +1031,12 @@
 
 // --- ends ---
 
-// finish gives the final answer: a refusal where a repeat is surely harmless.
+// finish gives the final answer: a refusal where a repeat is surely harmless. It is not where an
+// attempt may have run: caches drop the repeats of a guarded request for a window only, and what
+// was refused may come back at any time.
 func (r *Router) finish(q *request) {
 	r.close(q)
-	if e := q.class.Effect; q.ran != nil && (e == SingleShot || e == Guarded && q.class.Group != Everywhere) {
+	if q.ran != nil && q.class.Effect != Free {
 		r.do(Fail{ID: q.ID})
 		return
 	}
