--- a/api.go
+++ b/api.go
@@ -148,11 +148,12 @@
 	Cancelled
 	Moot
 	Miss
+	LocalFailure // it could not be begun here: no descriptor, port, buffer or route for now
 )
 
 // RanNot reports whether the result proves that the request did not run.
 func (r Result) RanNot() bool {
-	return r == Full || r == ConnectFailed || r == Moot || r == Miss
+	return r == Full || r == ConnectFailed || r == Moot || r == Miss || r == LocalFailure
 }
 
 // Note tells of an outcome's hit or fill.
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -303,7 +303,8 @@
 }
 
 var results = map[spool.Result]string{spool.OK: "ok", spool.Errored: "error", spool.Full: "full", spool.TimedOut: "timeout",
-	spool.ConnectFailed: "connect failed", spool.Reset: "reset", spool.Cancelled: "cancelled", spool.Moot: "never sent", spool.Miss: "miss"}
+	spool.ConnectFailed: "connect failed", spool.Reset: "reset", spool.Cancelled: "cancelled", spool.Moot: "never sent", spool.Miss: "miss",
+	spool.LocalFailure: "not begun here"}
 
 func eventText(ev spool.Event, mine bool) string {
 	switch ev := ev.(type) {
--- a/router.go
+++ b/router.go
@@ -58,6 +58,9 @@
 	boundFactor  = 1.25 // a cache that holds more than this times its peers' mean, and a little,
 	boundSlack   = 1.0  // of mean sending times, passes requests to the next in order
 	refuseAdvice = Millis(300)
+	localFirst   = Millis(10)  // backoff after an attempt that could not be begun here: shortages of a
+	localLast    = Millis(160) // moment pass in some ms, others are asked about some times a second
+	localMost    = 256         // such attempts that one request may make
 )
 
 // New returns a router. The seed sets it apart from others where all would do the same at once.
@@ -421,7 +424,7 @@
 func (r *Router) spent(q *request) bool {
 	late := q.ran != nil && (q.class.Effect == SingleShot ||
 		q.class.Effect == Guarded && r.now >= q.ranAt+q.class.Window-2*r.s.Tick)
-	return q.unfit || q.Deadline-r.now <= 2*r.s.Tick || len(q.tries) >= r.s.MaxAttempts || late ||
+	return q.unfit || q.Deadline-r.now <= 2*r.s.Tick || q.made() >= r.s.MaxAttempts || q.locals >= localMost || late ||
 		!q.freely() && r.retries < 1
 }
 
@@ -455,20 +458,20 @@
 	if q.seat == nil || q.seat.gone || q.seat.suspect || r.warmth(q.seat) < 1 { // cold: no place is held
 		q.seat = nil
 		m := r.pickEdge(q)
-		if m != nil && r.warmth(m) >= 1 && r.s.MaxAttempts-len(q.tries) >= looksNeed {
+		if m != nil && r.warmth(m) >= 1 && r.s.MaxAttempts-q.made() >= looksNeed {
 			return m, m
 		}
 		q.seat = m
 	}
 	if old := r.prior.owner(q); q.seat != nil && !q.sibling && old != nil && old != q.seat &&
 		r.s.Siblings != Nowhere && r.now-r.moved < movedSpan && !old.gone && !old.suspect &&
-		r.warmth(old) >= 1 && r.s.MaxAttempts-len(q.tries) >= looksNeed {
+		r.warmth(old) >= 1 && r.s.MaxAttempts-q.made() >= looksNeed {
 		q.sibling = true // a range moved: fill past the thin link, from the cache before
 		return q.seat, old
 	}
 	if !r.link.free(r.now) {
 		r.saw(q, nil, true, 0, LinkFull)
-		if q.seat != nil && !q.stale && q.class.Grace > 0 && r.s.MaxAttempts-len(q.tries) >= looksNeed {
+		if q.seat != nil && !q.stale && q.class.Grace > 0 && r.s.MaxAttempts-q.made() >= looksNeed {
 			q.stale = true // better an old copy now than a full link
 			return q.seat, q.seat
 		}
@@ -476,7 +479,7 @@
 	}
 	src = r.source(q)
 	switch {
-	case src == nil && q.seat != nil && len(q.tries) == 0:
+	case src == nil && q.seat != nil && q.made() == 0:
 		return q.seat, q.seat
 	case src == nil:
 		return nil, nil
@@ -604,7 +607,7 @@
 	switch {
 	case m.gone:
 		return Out
-	case m.suspect && (m.trial || r.now < m.trialAt || len(q.tries) > 0):
+	case m.suspect && (m.trial || r.now < m.trialAt || q.made() > 0):
 		return Suspect
 	case m.role == edge && m.held >= max(m.room, leastRoom):
 		return GateFull
@@ -684,13 +687,17 @@
 		r.hold(a, 1) // and lets it go below
 	}
 	a.at.out = max(a.at.out-a.expect, 0)
+	if ev.Result == LocalFailure {
+		r.settleLocal(q, a, ev.Last)
+		return
+	}
 	r.judge(q, a, ev)
 	behind := ev.Result == Full && (ev.Note == NoteOriginFailed || a.at.role == origin ||
 		ev.Note == NoteSourceRefused && (a.src.role == origin || q.full))
 	if behind {
 		// What is short is behind all that could be asked instead, and is no longer so when asked
 		// again at once, by all: what is left of attempts is spread over what is left of time.
-		spread := (q.Deadline - r.now) / float64(2*max(r.s.MaxAttempts-len(q.tries)+1, 1))
+		spread := (q.Deadline - r.now) / float64(2*max(r.s.MaxAttempts-q.made()+1, 1))
 		q.hold = r.now + spread*(0.5+chance(q.draw+uint64(len(q.tries))))
 	}
 	q.full = ev.Result == Full
@@ -725,6 +732,37 @@
 	}
 }
 
+// settleLocal books an attempt that could not be begun here, for want of a descriptor, a port, a
+// buffer or a route. It says nothing of members, spends no attempt and no budget, and would fail
+// again at once: the next follows after a backoff, and after two at one member elsewhere, since
+// want of a route may concern that one alone.
+func (r *Router) settleLocal(q *request, a *attempt, last bool) {
+	a.local = true
+	a.at.held = max(a.at.held-1, 0)
+	if a.fill {
+		r.link.held--
+	}
+	a.at.trial, a.src.trial = false, false
+	a.at.tokens += r.cost(a.at, q)
+	if a.src != a.at && a.src.role != edge {
+		a.src.tokens += r.cost(a.src, q)
+	}
+	if q.ran == a.at && q.ranAt == a.sent {
+		q.ran = nil
+	}
+	if n := len(q.tries); n > 1 && q.tries[n-2].local && q.tries[n-2].at == a.at {
+		a.blamed = a.at
+	}
+	wait := min(localFirst*float64(uint64(1)<<min(q.locals, 16)), localLast)
+	q.hold = r.now + wait*(0.5+chance(q.draw+uint64(len(q.tries))))
+	q.locals++
+	if q.over = q.over || last; q.over {
+		r.drop(q)
+	} else if !q.busy() && !q.stream {
+		r.advance(q)
+	}
+}
+
 // stall takes an answer that waits for its client out of what members and the link
 // bear, and back when it goes on: one slow client keeps no place from others.
 func (r *Router) stall(ev Stalled) {
@@ -987,7 +1025,7 @@
 
 // rescue calls back attempts that wait on a silent or vanished member.
 func (r *Router) rescue(q *request) {
-	if !r.s.Cancels || q.class.Effect != Free || r.retries < 1 || len(q.tries) >= r.s.MaxAttempts {
+	if !r.s.Cancels || q.class.Effect != Free || r.retries < 1 || q.made() >= r.s.MaxAttempts {
 		return
 	}
 	for i := range q.tries {
--- a/state.go
+++ b/state.go
@@ -58,6 +58,7 @@
 	fill         bool // it takes room on the location's link
 	called       bool // cancelled by us
 	lacked       bool // only a cache was asked, which had no copy
+	local        bool // it could not be begun here
 	blamed       *member
 	stalled      bool // it waits for its client now
 	waited       bool // or did: how long it took tells nothing of members
@@ -72,6 +73,7 @@
 	token                int64  // of its deadline's timer
 	work                 Millis // own sending time, as told or as its class takes
 	tries                []attempt
+	locals               int // of these, the ones that could not be begun here
 	over, parked, stream bool
 	waited               bool    // it was parked
 	seat                 *member // the cache that missed it and is to be filled
@@ -267,7 +269,17 @@
 }
 
 // freely reports whether the next attempt costs nothing of the retries' budget.
-func (q *request) freely() bool { return len(q.tries) == 0 || q.tries[len(q.tries)-1].lacked }
+func (q *request) freely() bool {
+	if len(q.tries) == 0 {
+		return true
+	}
+	last := &q.tries[len(q.tries)-1]
+	return last.lacked || last.local
+}
+
+// made is how many attempts were made of those that a request may make: one that could not be
+// begun here reached nobody.
+func (q *request) made() int { return len(q.tries) - q.locals }
 
 // failed reports whether the request was let down by the member before.
 func (q *request) failed(m *member) bool {
