--- a/internal/day/clients.go
+++ b/internal/day/clients.go
@@ -141,33 +141,42 @@
 // was served.
 func (c *clients) want(ctx context.Context, k *Class, path string, rng *rand.Rand) bool {
 	key := ""
+	tries := newWriteTries(k, c.d.s.Limits.AnswerSlack+4*c.d.s.Day.Spread)
 	if k.Write {
 		key = fmt.Sprintf("k%d", c.seq.Add(1))
 	}
 	for try := 0; ; try++ {
 		r := c.d.routerFor(c.zone, rng)
-		ans := c.ask(r, k, path, key, try, rng)
+		asked := tap.Now()
+		ans := c.ask(r, k, path, key, try, tries.limit(), rng)
 		if ans.whole && ans.status < 400 {
 			return true
 		}
 		if try >= c.d.s.Day.Retries || ctx.Err() != nil {
 			return false
 		}
-		// a write is repeated where that is surely harmless: as the router says by
-		// 503, within its window where a group drops repeats, or where nobody took it
-		if k.Write && ans.status != 503 && ans.err != "unreached" && !(k.Effect == "guarded" && k.Group == "all") {
-			return false
+		if k.Write {
+			tries.add(asked, ans)
 		}
 		wait := c.d.s.Day.RetryWait * (0.5 + rng.Float64())
 		wait = max(wait, ans.after)
+		if !tries.repeatable(tap.Now() + wait) {
+			return false
+		}
 		select {
 		case <-time.After(time.Duration(wait * float64(time.Millisecond))):
 		case <-ctx.Done():
 			return false
 		}
+		if !tries.repeatable(tap.Now()) { // the wait took longer than it should
+			return false
+		}
 	}
 }
 
+// errUnreached is the outcome of a try that no router took.
+const errUnreached = "unreached"
+
 type answer struct {
 	status int
 	whole  bool
@@ -257,12 +266,14 @@
 	c.Close()
 }
 
-// ask makes one try of a request, and records what its client sees.
-func (c *clients) ask(r *routerAt, k *Class, path, key string, try int, rng *rand.Rand) (ans answer) {
+// ask makes one try of a request, which may run until a time, and records what its
+// client sees.
+func (c *clients) ask(r *routerAt, k *Class, path, key string, try int, until float64, rng *rand.Rand) (ans answer) {
 	id := "c" + strconv.FormatInt(c.seq.Add(1), 10)
 	w := c.d.tap
 	patience := k.Deadline * (c.d.s.Day.Patience + (1-c.d.s.Day.Patience)*rng.Float64())
 	start := tap.Now()
+	patience = min(patience, until-start)
 	rec := tap.Record{ID: id, Who: r.name, Class: k.Name, Key: key, Write: k.Write, Retry: try, Limit: start + patience}
 	end := func(err string, bytes int64) {
 		e := rec
@@ -275,7 +286,7 @@
 	cn, err := r.get()
 	if err != nil {
 		w.Add(ask)
-		end("unreached", 0)
+		end(errUnreached, 0)
 		return ans
 	}
 	keep := false
@@ -297,7 +308,8 @@
 	if k.Write {
 		method, body = "POST", strings.Repeat("x", 200)
 	}
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: day\r\nX-Request-Id: %s\r\nSpool-Deadline: %.3f\r\n", method, path, id, patience)
+	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: day\r\nX-Request-Id: %s\r\nSpool-Deadline: %.3f\r\n", method, path, id,
+		max(min(patience, until-tap.Now()), 1))
 	if !k.Write {
 		fmt.Fprintf(&b, "Spool-KB: %.3f\r\n", float64(standin.SizeOf(path, k.KB))/1024)
 	}
@@ -313,7 +325,7 @@
 	b.WriteString("\r\n" + body)
 	w.Add(ask)
 	if _, err := io.WriteString(cn, b.String()); err != nil {
-		end("unreached", 0) // the connection was gone: the router never had it whole
+		end(errUnreached, 0) // the connection was gone: the router never had it whole
 		return ans
 	}
 	fail := func(err error, n int64) {
--- /dev/null
+++ b/internal/day/repeat_test.go
@@ -0,0 +1,108 @@
+package day
+
+import (
+	"context"
+	"math"
+	"math/rand/v2"
+	"net/http"
+	"net/http/httptest"
+	"strconv"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"indigospool/internal/tap"
+)
+
+// reply is how a router answers one try in these tests.
+type reply struct {
+	status     int // 0: it closes the connection without an answer
+	after      time.Duration
+	retryAfter string
+}
+
+// A client repeats a write only where the repeat is surely harmless, and then asks for no
+// more time than is left of the window since the first try that may have run.
+func TestWritesAreRepeatedOnlyWhereHarmless(t *testing.T) {
+	const window = 600
+	failed, refused := reply{status: 502}, reply{status: 503}
+	refusedFor := reply{status: 503, retryAfter: "1"}
+	for _, c := range []struct {
+		name          string
+		effect, group string
+		replies       []reply // of each try; the last one also of those after it
+		tries         int
+	}{
+		{"failed early in the window", "guarded", "all", []reply{failed}, 3},
+		{"closed without an answer", "guarded", "all", []reply{{}}, 3},
+		{"failed past the window", "guarded", "all", []reply{{status: 502, after: 700 * time.Millisecond}}, 1},
+		{"told to wait past the window", "guarded", "all", []reply{{status: 502, retryAfter: "1"}}, 1},
+		{"refused after one that may have run", "guarded", "all", []reply{failed, refusedFor}, 2},
+		{"refused each time", "guarded", "all", []reply{refusedFor}, 3},
+		{"failed, with no promise of all servers", "guarded", "zone", []reply{failed}, 1},
+		{"refused, with no promise of all servers", "guarded", "zone", []reply{refused}, 3},
+		{"failed, of effects that happen at each call", "single-shot", "all", []reply{failed}, 1},
+		{"failed after a refusal", "single-shot", "all", []reply{refused, failed}, 2},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
+			var asked atomic.Int64
+			var mu sync.Mutex
+			var deadlines []float64 // on the tap's clock
+			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+				span, _ := strconv.ParseFloat(r.Header.Get("Spool-Deadline"), 64)
+				mu.Lock()
+				deadlines = append(deadlines, tap.Now()+span)
+				mu.Unlock()
+				answer := c.replies[min(int(asked.Add(1)), len(c.replies))-1]
+				time.Sleep(answer.after)
+				if answer.status == 0 {
+					panic(http.ErrAbortHandler)
+				}
+				if answer.retryAfter != "" {
+					w.Header().Set("Retry-After", answer.retryAfter)
+				}
+				w.WriteHeader(answer.status)
+			}))
+			defer server.Close()
+			records := askOneWrite(strings.TrimPrefix(server.URL, "http://"),
+				Class{Name: "order", Deadline: 2000, Write: true, Effect: c.effect, Group: c.group, Window: window})
+			if len(records) != c.tries || int(asked.Load()) != c.tries {
+				t.Fatalf("%d tries, %d of them at the router; want %d", len(records), asked.Load(), c.tries)
+			}
+			mayHaveRun := math.Inf(1)
+			for i, ask := range records {
+				if latest := mayHaveRun + window; ask.Limit > latest || deadlines[i] > latest {
+					t.Errorf("try %d may run until %.0f ms after the first that may have run; repeats are dropped for %d", i, ask.Limit-mayHaveRun, window)
+				}
+				if c.replies[min(i, len(c.replies)-1)].status != 503 {
+					mayHaveRun = min(mayHaveRun, ask.T)
+				}
+			}
+		})
+	}
+	t.Run("nobody took it", func(t *testing.T) {
+		if n := len(askOneWrite("", Class{Name: "order", Deadline: 2000, Write: true, Effect: "single-shot"})); n != 3 {
+			t.Errorf("%d tries, want 3", n)
+		}
+	})
+}
+
+// askOneWrite has a client make one write, at a router at an address, and returns the
+// records of its tries.
+func askOneWrite(address string, class Class) (asks []tap.Record) {
+	script := &Script{Day: Form{Retries: 2, RetryWait: 20, Patience: 1, Groups: 1}, Classes: []Class{class}}
+	script.Limits.AnswerSlack = 50
+	day := &Day{s: script, tap: tap.NewKeeper(nil), routers: []*router{{at: &routerAt{name: "r1", zone: "z", addr: address}}}}
+	var seq atomic.Int64
+	c := &clients{d: day, zone: "z", seq: &seq}
+	c.want(context.Background(), &class, "/order/0/w1", rand.New(rand.NewPCG(1, 2)))
+	for _, r := range day.tap.Records() {
+		if r.Ev == tap.Ask {
+			asks = append(asks, r)
+		}
+	}
+	return asks
+}
