--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -84,6 +84,11 @@
 	Checks int     `json:"checks"`
 	Tried  bool    `json:"tried"` // the day does something that tries it
 	Breaks []Break `json:"breaks,omitempty"`
+
+	// Of the rule on effects: the repeats of writes that the day's clients made, and
+	// those that were a fault of their own. They break no rule, and fail the day.
+	Repeats      int           `json:"client_repeats,omitempty"`
+	ClientFaults []ClientFault `json:"client_faults,omitempty"`
 }
 
 // OK reports a rule that was not broken, and was looked at where the day tries it.
@@ -97,6 +102,7 @@
 	f     Figures
 	recs  []tap.Record
 	ids   map[string][]int // by client's request
+	tries map[string]*clientTry
 	kills map[string][]float64
 	lives map[string][]float64 // starts, by router
 	out   [6]Verdict
@@ -121,8 +127,10 @@
 			c.lives[r.Who] = append(c.lives[r.Who], r.T)
 		}
 	}
+	c.tries = c.clientTries()
 	c.answers()
 	c.effects()
+	c.repeats()
 	c.drains()
 	c.cold()
 	c.purges()
@@ -157,6 +165,17 @@
 	return out
 }
 
+// ofKey is what is known of all tries of a write, up to a number of records.
+func (c *checker) ofKey(key string) (out []tap.Record) {
+	const most = 48
+	for i := range c.recs {
+		if c.recs[i].Key == key && len(out) < most {
+			out = append(out, c.recs[i])
+		}
+	}
+	return out
+}
+
 // killed reports whether a router was killed between two times.
 func (c *checker) killed(router string, from, to float64) bool {
 	for _, t := range c.kills[router] {
@@ -241,9 +260,11 @@
 
 // effects checks rule 2: no effect twice; a repeat only inside its group and
 // its window, or where the attempt before surely never ran; two attempts at
-// once only where they are allowed.
+// once only where they are allowed. A second effect for which the client alone is to
+// blame is its fault, see repeats.
 func (c *checker) effects() {
-	ran := map[string]int{}
+	ran := map[string][]*tap.Record{}
+	twice := map[string]bool{} // keys whose break is told
 	type attempt struct {
 		i        int
 		from, to float64
@@ -271,9 +292,14 @@
 		case tap.Ran:
 			c.out[2].Checks++
 			if r.Note != "dropped" && r.Key != "" && c.f.Classes[r.Class].Effect != "free" {
-				if ran[r.Key]++; ran[r.Key] == 2 {
-					c.fail(2, i, "the effect of key %q happened twice", r.Key)
+				if why, is := c.routersFault(ran[r.Key], r); is && !twice[r.Key] {
+					twice[r.Key] = true
+					c.fail(2, i, "the effect of key %q happened twice%s", r.Key, why)
+					if breaks := c.out[2].Breaks; len(breaks) == 1 {
+						breaks[0].Around = c.ofKey(r.Key)
+					}
 				}
+				ran[r.Key] = append(ran[r.Key], r)
 			}
 		case tap.Recv:
 			if r.Via == "" && r.Req != "" {
@@ -616,6 +642,9 @@
 			word = fmt.Sprintf("BROKEN %d times", len(v.Breaks))
 		}
 		s += fmt.Sprintf("rule %d  %-30s %8d checks  %s\n", v.Rule, v.Name, v.Checks, word)
+		if v.Repeats > 0 {
+			s += fmt.Sprintf("        %-30s %8d looked at  %d FAULTS OF THE TEST'S CLIENTS\n", "repeats by the clients", v.Repeats, len(v.ClientFaults))
+		}
 	}
 	return s
 }
@@ -630,19 +659,18 @@
 				break
 			}
 			s += fmt.Sprintf("rule %d broken at %.1f ms: %s\n", v.Rule, b.T, b.What)
-			for _, r := range b.Around {
-				line, _ := json.Marshal(r)
-				s += "    " + string(line) + "\n"
-			}
+			s += lines(b.Around)
 		}
+		s += clientDetails(v.ClientFaults)
 	}
 	return s
 }
 
-// AllOK reports whether every rule was kept, and looked at where it was tried.
+// AllOK reports whether every rule was kept, and looked at where it was tried, with no
+// fault of the test's own clients.
 func AllOK(vs []Verdict) bool {
 	for _, v := range vs {
-		if !v.OK() {
+		if !v.OK() || len(v.ClientFaults) > 0 {
 			return false
 		}
 	}
