--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -62,6 +62,7 @@
 type Reader struct {
 	Zones, Kinds []string // as the settings list them
 	Last         uint64   // number of the last event
+	Idle         uint64   // frames so far that told that there is nothing after it
 	buf          []byte
 }
 
@@ -105,7 +106,10 @@
 	switch {
 	case kind > groupPurge:
 		return nil, fmt.Errorf("%w: event %d is of the unknown kind %d", ErrBroken, ev.N, kind)
-	case kind == nothing && ev.N <= r.Last, kind != nothing && ev.N <= r.Last:
+	case kind == nothing && ev.N == r.Last:
+		r.Idle++
+		return nil, nil
+	case ev.N <= r.Last:
 		return nil, nil
 	case kind == nothing, ev.N != r.Last+1 && kind != wholeList:
 		return nil, fmt.Errorf("%w: event %d follows %d", ErrBroken, ev.N, r.Last)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -11,7 +11,6 @@
 
 import (
 	"math"
-	"time"
 
 	"go.uber.org/zap"
 
@@ -21,6 +20,7 @@
 	"indigospool/internal/front"
 	"indigospool/internal/limits"
 	"indigospool/internal/loop"
+	"indigospool/internal/unixclock"
 )
 
 // Node is one router. All of it belongs to its loop's goroutine, but for the methods
@@ -50,6 +50,7 @@
 	beat   loop.Timer
 
 	watch    watch
+	clock    unixclock.Clock // of the platform, by the times that the feed has told
 	listener *listener
 	drained  float64 // since when it drains; 0: it does not
 	stats    Stats
@@ -92,9 +93,11 @@
 	n.watch.n = n
 	n.watch.dial = loop.Dial
 	n.watch.tries = limits.NewAgain(feedFirst, feedBase, feedMost, cfg.seed)
-	if err := n.watch.reader.Known(cfg.Known, n.event); err != nil {
+	var known []feed.Event
+	if err := n.watch.reader.Known(cfg.Known, func(ev feed.Event) { known = append(known, ev) }); err != nil {
 		return nil, err
 	}
+	n.eventsOf(known)
 	if n.listener, err = listen(n, address); err != nil {
 		return nil, err
 	}
@@ -165,9 +168,7 @@
 	for _, a := range acts {
 		n.carry(a)
 	}
-	for _, ev := range list {
-		n.event(ev)
-	}
+	n.eventsOf(list)
 	if moved {
 		n.watch.connect()
 	}
@@ -175,12 +176,39 @@
 	return nil
 }
 
-// event hands an event of the feed on to the module.
+// eventsOf hands the events of a configuration on. The times of all of them are looked at
+// first: the last tell how old the others are.
+func (n *Node) eventsOf(list []feed.Event) {
+	for i := range list {
+		n.saw(&list[i])
+	}
+	for _, ev := range list {
+		n.event(ev)
+	}
+}
+
+// saw shows the clock an event's times. They may lie behind the beginning of the turn in
+// which it is read.
+func (n *Node) saw(ev *feed.Event) {
+	now := loop.Clock()
+	if !ev.Listed {
+		n.clock.Saw(float64(ev.At), now)
+	}
+	for i := range ev.Rows {
+		if started := ev.Rows[i].Started; started > 0 {
+			n.clock.Saw(float64(started), now)
+		}
+	}
+}
+
+// event hands an event of the feed on to the module. How old what it tells is goes by the
+// platform's own times alone: the wall clock of this machine may be anywhere.
 func (n *Node) event(ev feed.Event) {
 	n.stats.Events++
-	unix := float64(time.Now().UnixMicro()) / 1000
+	n.saw(&ev)
+	now := n.l.Now()
 	if !ev.Listed {
-		n.tell(spool.Purge{Object: ev.Object, Group: ev.Group, Age: max(unix-float64(ev.At), 0)})
+		n.tell(spool.Purge{Object: ev.Object, Group: ev.Group, Age: n.clock.Age(float64(ev.At), now)})
 		n.purged(ev.Object, ev.Group)
 		return
 	}
@@ -192,11 +220,11 @@
 		row := core.Row{ID: r.ID, Zone: r.Zone, Kind: r.Kind, Cell: r.Cell, State: memberStates[r.State],
 			Size: r.Weight, Address: r.Address, Start: r.Started}
 		if r.Started > 0 {
-			row.UpMs = max(unix-float64(r.Started), 0.001)
+			row.UpMs = max(n.clock.Age(float64(r.Started), now), justStarted)
 		}
 		news.Members = append(news.Members, row)
 	}
-	for _, e := range n.core.Apply(n.l.Now(), &news).Events {
+	for _, e := range n.core.Apply(now, &news).Events {
 		n.tell(e)
 	}
 	for id, p := range n.pools {
@@ -207,6 +235,8 @@
 	n.core.Members(func(m spool.Member, _ string) { n.core.Forget(m.ID) })
 }
 
+const justStarted = 0.001 // ms: 0 would mean long ago
+
 var memberStates = map[string]string{"ready": "serving", "draining": "draining", "gone": "removed"}
 
 // tell gives the module an event and carries out its actions; what these bring about is
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -63,21 +63,27 @@
 	w := outside(t, on)
 	w.settings = strings.NewReplacer(oldnew...).Replace(testSettings)
 	w.write(w.feed.Addr)
-	n, err := Open(w.file, "127.0.0.1:0", zap.NewNop())
+	w.start(zap.NewNop())
+	return w
+}
+
+// start opens the router and serves until the test's end.
+func (w *world) start(log *zap.Logger) {
+	w.t.Helper()
+	n, err := Open(w.file, "127.0.0.1:0", log)
 	if err != nil {
-		t.Fatal(err)
+		w.t.Fatal(err)
 	}
 	w.n, w.addr = n, n.Addr()
 	go func() { w.done <- n.Run() }()
-	t.Cleanup(func() {
+	w.t.Cleanup(func() {
 		n.l.Stop()
 		select {
 		case <-w.done:
 		case <-time.After(soon):
-			t.Error("the router does not stop")
+			w.t.Error("the router does not stop")
 		}
 	})
-	return w
 }
 
 // outside is the stand-ins, and a configuration that names them.
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -101,8 +101,13 @@
 	w.up = true
 	w.tries.Well()
 	w.n.l.Arm(&w.timer, feedSilent)
+	idle := w.reader.Idle
 	if err := w.reader.Take(w.n.scratch[:k], w.n.event); err != nil {
 		w.n.log.Warn("feed", zap.Error(err))
 		w.again()
+		return
+	}
+	if w.reader.Idle > idle {
+		w.n.clock.Current(loop.Clock())
 	}
 }
