--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -122,7 +122,7 @@
 // none.
 type Restored struct {
 	Version Version
-	Age     Millis
+	Age     Millis // by the wall clock, as that of those before: negative after a step back
 	Before  []Aged
 	Err     error
 }
@@ -356,10 +356,12 @@
 }
 
 // up tells of members that came with one of the last versions for how long they
-// have been listed: a router that starts again must not take them for warm.
+// have been listed at least: a router that starts again must not take them for warm.
+// Stored times are hints, since the wall clock may have been stepped after the last
+// one: that counts as now, and the others go by their distance from it.
 func (m *Machine) up(ev Restored, s *config.Settings) map[string]Millis {
 	out := map[string]Millis{}
-	since := ev.Age // age of the oldest version in a row that has the member as it is now
+	since := Millis(0) // age of the oldest version in a row that has the member as it is now
 	type start struct {
 		id string
 		n  int
@@ -384,7 +386,7 @@
 				delete(now, k)
 			}
 		}
-		since = ev.Before[i].Age
+		since = max(ev.Before[i].Age-ev.Age, 0)
 	}
 	for k := range now {
 		if k.n > 1 { // it has started anew some time: at the latest when the oldest was stored
