--- a/internal/lastgood/lastgood.go
+++ b/internal/lastgood/lastgood.go
@@ -15,7 +15,6 @@
 	"errors"
 	"fmt"
 	"os"
-	"path/filepath"
 	"runtime/debug"
 	"slices"
 	"sync"
@@ -29,7 +28,8 @@
 // ErrNone says that nothing was ever stored.
 var ErrNone = errors.New("lastgood: no version is stored")
 
-// A DamagedError says that the store could not be read, and where it is now.
+// A DamagedError says that the store was read whole and is not what was written,
+// and where it is now.
 type DamagedError struct {
 	Path, Aside string
 	Err         error
@@ -43,13 +43,25 @@
 func (d *DamagedError) Unwrap() error { return d.Err }
 
 // Store is an open store. Its methods are safe for concurrent use.
+//
+// Where its file can't be written for now, it is read from memory, and each
+// operation that writes first tries to write the whole file anew. Where it can't be
+// read either, all operations fail with a FaultError until it can.
 type Store struct {
-	path string
-	keep int
-
-	mu   sync.RWMutex // held for writing while the file changes hands
-	db   *bbolt.DB    // nil while it is lent
-	late []late       // put meanwhile
+	path  string
+	keep  int
+	files FileSystem
+
+	mu       sync.RWMutex // held for writing while the file changes hands
+	db       *bbolt.DB    // the file, or an image of it in memory; nil: neither
+	file     *os.File     // with its lock; nil: there is none
+	memory   *image       // what db is of, while the file can't be written
+	lent     bool         // the file is another process's
+	wanted   bool         // and is to be regained
+	late     []late       // put meanwhile
+	fault    error        // why the file can't be read or written for now
+	faultAt  time.Time    // since when
+	released bool         // closed for good
 }
 
 type late struct {
@@ -60,6 +72,9 @@
 // ErrLent says that the store's file is another process's for now.
 var ErrLent = errors.New("lastgood: the store is lent to another process")
 
+// ErrClosed says that the store was closed.
+var ErrClosed = errors.New("lastgood: the store is closed")
+
 var (
 	versions = []byte("versions")
 	meta     = []byte("meta")
@@ -70,6 +85,12 @@
 
 const formNumber = 1 // of what stands in the buckets
 
+const (
+	defaultKeep = 8
+	lockWait    = 2 * time.Second // for a process that is about to end
+	maxLate     = 64              // versions that are put while the file is lent
+)
+
 // header stands before a body.
 type header struct {
 	Sum    string    `json:"sum"`
@@ -77,86 +98,186 @@
 }
 
 // Open opens the store at path, and makes it where there is none. With a
-// DamagedError the store that is returned is a new one. It fails where another
-// process has the store open.
-func Open(path string) (*Store, error) { return OpenKeeping(path, 8) }
+// DamagedError the store that is returned is a new one; with a FaultError it is the
+// one that is there, as far as it can be read for now. No store is returned where
+// another process has it open, or the path is not one for a store.
+func Open(path string) (*Store, error) { return OpenKeeping(path, defaultKeep) }
 
 // OpenKeeping is Open for a store that keeps so many versions.
-func OpenKeeping(path string, keep int) (*Store, error) {
-	s, err := openOrSetAside(path)
-	if s != nil {
-		s.keep = max(keep, 1)
+func OpenKeeping(path string, keep int) (*Store, error) { return OpenOn(Disk{}, path, keep) }
+
+// OpenOn is OpenKeeping by the operations of a file system.
+func OpenOn(files FileSystem, path string, keep int) (*Store, error) {
+	s := &Store{path: path, keep: max(keep, 1), files: files}
+	err := s.load(lockWait)
+	var fault *FaultError
+	if errors.As(err, &fault) && (s.db != nil && s.file != nil || !misplaced(err)) {
+		return s, err
+	}
+	var damaged *DamagedError
+	if err == nil || errors.As(err, &damaged) {
+		return s, err
+	}
+	s.release()
+	return nil, err
+}
+
+// load opens the store's file, checks every entry of it, and writes them anew into a
+// file of its own that takes its place: so a page that is damaged where nobody
+// looked, as in the list of free ones, can't harm what is stored later. Content that
+// was read whole and fails its checks is set aside. Where the new file can't be
+// written, the old one stays, and is served from memory.
+func (s *Store) load(wait time.Duration) error {
+	err := s.read(wait)
+	var damaged *DamagedError
+	if err != nil && !errors.As(err, &damaged) {
+		return s.failed(err)
+	}
+	if rerr := s.renew(); rerr != nil && damaged != nil {
+		return fmt.Errorf("%w; %w", err, rerr)
+	} else if rerr != nil {
+		return rerr
 	}
-	return s, err
+	return err
 }
 
-func openOrSetAside(path string) (*Store, error) {
-	s, err := open(path)
-	if err == nil {
-		return s, nil
+// read reads the store's file into memory and serves it from there.
+func (s *Store) read(wait time.Duration) error {
+	file, err := s.openAndLock(wait)
+	if err != nil {
+		return err
+	}
+	if file == nil {
+		return s.serveImage(nil, contents{})
 	}
-	if errors.Is(err, bbolt.ErrTimeout) {
-		return nil, fmt.Errorf("lastgood: %s is in use by another process: %w", path, err)
+	content, err := s.files.Read(file)
+	if err != nil {
+		file.Close()
+		return &FaultError{"read", s.path, err}
+	}
+	memory, err := readImage(content)
+	if err == nil {
+		s.file, s.memory, s.db = file, memory, memory.db
+		return nil
 	}
-	if errors.Is(err, os.ErrPermission) || errors.Is(err, os.ErrNotExist) {
-		return nil, fmt.Errorf("lastgood: %w", err)
+	defer file.Close()
+	if passing(err) {
+		return &FaultError{"check", s.path, err}
 	}
-	aside := fmt.Sprintf("%s.damaged-%d", path, time.Now().UnixNano())
-	if rerr := os.Rename(path, aside); rerr != nil {
-		return nil, fmt.Errorf("lastgood: %s is damaged (%v) and can't be set aside: %w", path, err, rerr)
+	aside := fmt.Sprintf("%s.damaged-%d", s.path, time.Now().UnixNano())
+	if err := s.files.Rename(s.path, aside); err != nil {
+		return &FaultError{"set aside the damaged", s.path, err}
 	}
-	s, again := open(path)
-	if again != nil {
-		return nil, fmt.Errorf("lastgood: %w", again)
+	if err := s.serveImage(nil, contents{}); err != nil {
+		return err
 	}
-	return s, &DamagedError{path, aside, err}
+	return &DamagedError{s.path, aside, err}
 }
 
-// open opens the store, reads every entry of it, and writes them anew into a
-// file of its own that takes its place: so a page that is damaged where nobody
-// looked, as in the list of free ones, can't harm what is stored later.
-func open(path string) (s *Store, err error) {
-	// a page that points past the file's end is a fault of memory in bbolt
-	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
-	defer func() {
-		if p := recover(); p != nil {
-			s, err = nil, fmt.Errorf("%v", p)
-		}
-	}()
-	st, err := os.Stat(path)
-	if errors.Is(err, os.ErrNotExist) {
-		return create(path, path, contents{})
-	}
+// serveImage serves contents from memory.
+func (s *Store) serveImage(file *os.File, all contents) error {
+	content, err := imageOf(all)
 	if err != nil {
-		return nil, err
-	}
-	if st.Size() == 0 {
-		return nil, errors.New("the file is empty")
+		return &FaultError{"check", s.path, err}
 	}
-	old, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: 2 * time.Second})
+	memory, err := readImage(content)
 	if err != nil {
-		return nil, err
+		return &FaultError{"check", s.path, err}
 	}
-	defer closeQuietly(old)
-	all, err := readAll(old)
+	s.file, s.memory, s.db = file, memory, memory.db
+	return nil
+}
+
+// renew writes what is served from memory into a new file, which takes the place of
+// the store's and serves from then on.
+func (s *Store) renew() error {
+	content, err := imageOf(s.memory.all)
 	if err != nil {
-		return nil, err
+		return s.failed(&FaultError{"copy", s.path, err})
+	}
+	file, db, err := s.writeFresh(content)
+	if file != nil {
+		if s.file != nil {
+			s.file.Close()
+		}
+		s.file = file
 	}
-	tmp := path + ".new"
-	os.Remove(tmp) // of an opening that was interrupted
-	s, err = create(tmp, path, all)
 	if err != nil {
-		return nil, err
+		return s.failed(err)
 	}
-	if err := os.Rename(tmp, path); err != nil {
-		closeQuietly(s.db)
-		return nil, err
+	s.memory.close()
+	s.memory, s.db = nil, db
+	s.fault = nil
+	return nil
+}
+
+// failed books why the file can't be read or written for now.
+func (s *Store) failed(err error) error {
+	if s.fault == nil {
+		s.faultAt = time.Now()
 	}
-	if dir, err := os.Open(filepath.Dir(path)); err == nil {
-		dir.Sync()
-		dir.Close()
+	s.fault = err
+	return err
+}
+
+// writable makes the file such that it can be written: after a fault it is read
+// again, and its pages are not trusted but written anew.
+func (s *Store) writable() error {
+	switch {
+	case s.released:
+		return ErrClosed
+	case s.lent && !s.wanted:
+		return ErrLent
+	case s.db == nil:
+		err := s.load(0)
+		if s.db == nil {
+			return err
+		}
+		s.lent, s.wanted = false, false
+		if err != nil {
+			if s.memory == nil { // damage was set aside, and the new store takes what comes
+				err = errors.Join(err, s.putLate())
+			}
+			return err
+		}
+	case s.memory != nil:
+		if err := s.renew(); err != nil {
+			return err
+		}
 	}
-	return s, nil
+	return s.putLate()
+}
+
+// putLate stores what was put while the file was lent.
+func (s *Store) putLate() error {
+	for len(s.late) > 0 {
+		first := s.late[0]
+		if err := s.put(first.v, first.now); err != nil {
+			return err
+		}
+		s.late = s.late[1:]
+	}
+	s.late = nil
+	return nil
+}
+
+// Fault is why the store's file can't be read or written for now, and since when;
+// nil: it can.
+func (s *Store) Fault() (since time.Time, err error) {
+	s.mu.RLock()
+	defer s.mu.RUnlock()
+	return s.faultAt, s.fault
+}
+
+// Renew tries again, after a fault, to have the file read and written anew. It does
+// nothing where there is none.
+func (s *Store) Renew() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.fault == nil {
+		return nil
+	}
+	return s.writable()
 }
 
 type entry struct{ key, value []byte }
@@ -197,42 +318,31 @@
 	return all, err
 }
 
-// create makes a store in a file, with the contents.
-func create(file, path string, all contents) (*Store, error) {
-	db, err := bbolt.Open(file, 0o600, &bbolt.Options{Timeout: 2 * time.Second})
+// writeAll writes the contents of a new store.
+func writeAll(tx *bbolt.Tx, all contents) error {
+	b, err := tx.CreateBucketIfNotExists(versions)
 	if err != nil {
-		return nil, err
+		return err
 	}
-	err = db.Update(func(tx *bbolt.Tx) error {
-		b, err := tx.CreateBucketIfNotExists(versions)
-		if err != nil {
-			return err
-		}
-		for _, e := range all.versions {
-			if err := b.Put(e.key, e.value); err != nil {
-				return err
-			}
-		}
-		st, err := tx.CreateBucketIfNotExists(states)
-		if err != nil {
+	for _, e := range all.versions {
+		if err := b.Put(e.key, e.value); err != nil {
 			return err
 		}
-		if all.state != nil {
-			if err := st.Put(state, all.state); err != nil {
-				return err
-			}
-		}
-		m, err := tx.CreateBucketIfNotExists(meta)
-		if err != nil {
+	}
+	st, err := tx.CreateBucketIfNotExists(states)
+	if err != nil {
+		return err
+	}
+	if all.state != nil {
+		if err := st.Put(state, all.state); err != nil {
 			return err
 		}
-		return m.Put(form, []byte{formNumber})
-	})
+	}
+	m, err := tx.CreateBucketIfNotExists(meta)
 	if err != nil {
-		closeQuietly(db)
-		return nil, err
+		return err
 	}
-	return &Store{db: db, path: path, keep: 8}, nil
+	return m.Put(form, []byte{formNumber})
 }
 
 // closeQuietly closes what may be beyond closing.
@@ -245,10 +355,23 @@
 func (s *Store) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.db == nil {
-		return nil
+	s.released = true
+	return s.release()
+}
+
+// release closes the file, and what is of it in memory.
+func (s *Store) release() (err error) {
+	switch {
+	case s.memory != nil:
+		s.memory.close()
+	case s.db != nil:
+		err = s.db.Close()
 	}
-	return s.db.Close()
+	if s.file != nil {
+		s.file.Close() // bbolt has closed it already where it used it
+	}
+	s.db, s.memory, s.file = nil, nil, nil
+	return err
 }
 
 // Lend closes the file, so that a process that takes over can open it. What is put
@@ -257,53 +380,98 @@
 func (s *Store) Lend() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.db == nil {
+	if s.lent {
 		return nil
 	}
-	err := s.db.Close()
-	s.db = nil
-	return err
+	s.lent, s.wanted = true, false
+	return s.release()
 }
 
 // Regain opens the file again, and stores what was put meanwhile. It fails as long as
-// the other process has it, and may be tried again.
+// the other process has it, and may be tried again; so does each operation that
+// writes, from then on.
 func (s *Store) Regain() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.db != nil {
+	if !s.lent {
 		return nil
 	}
-	again, err := openOrSetAside(s.path)
-	if again == nil {
-		return err
-	}
-	s.db = again.db
-	for _, l := range s.late {
-		if perr := s.put(l.v, l.now); err == nil {
-			err = perr
-		}
-	}
-	s.late = nil
-	return err
+	s.wanted = true
+	return s.writable()
 }
 
 // view and update run a transaction, where the file is not lent.
-func (s *Store) view(f func(*bbolt.Tx) error) error {
+func (s *Store) view(f func(*bbolt.Tx) error) (err error) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	if s.db == nil {
-		return ErrLent
+		return s.absent()
 	}
+	// a page of the file that can't be read is a fault of memory in bbolt
+	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
+	defer func() {
+		if p := recover(); p != nil {
+			err = &FaultError{"read", s.path, fmt.Errorf("%v", p)}
+		}
+	}()
 	return s.db.View(f)
 }
 
-func (s *Store) update(f func(*bbolt.Tx) error) error {
-	s.mu.RLock()
-	defer s.mu.RUnlock()
-	if s.db == nil {
+// absent is why there is nothing to read from.
+func (s *Store) absent() error {
+	switch {
+	case s.released:
+		return ErrClosed
+	case s.lent || s.fault == nil:
 		return ErrLent
 	}
-	return s.db.Update(f)
+	return s.fault
+}
+
+func (s *Store) update(f func(*bbolt.Tx) error) error {
+	if err := s.writable(); err != nil {
+		return err
+	}
+	return s.commit(f)
+}
+
+// commit runs a transaction that writes. After one that fails, the file is read
+// again, and written anew before the next.
+func (s *Store) commit(f func(*bbolt.Tx) error) (err error) {
+	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
+	defer func() {
+		if p := recover(); p != nil {
+			err = &FaultError{"read", s.path, fmt.Errorf("%v", p)}
+			s.file.Close() // bbolt's lock is held by the transaction: its Close would wait
+			s.db, s.file = nil, nil
+			s.reread(err)
+		}
+	}()
+	tx, err := s.db.Begin(true)
+	if err != nil {
+		return &FaultError{"begin to write", s.path, err}
+	}
+	if err := f(tx); err != nil {
+		tx.Rollback()
+		return err
+	}
+	if err := s.files.Commit(tx); err != nil {
+		tx.Rollback() // nothing where it is over already
+		fault := &FaultError{"write", s.path, err}
+		closeQuietly(s.db)
+		s.db, s.file = nil, nil
+		s.reread(fault)
+		return fault
+	}
+	return nil
+}
+
+// reread books a fault, and serves what the file holds from memory.
+func (s *Store) reread(fault error) {
+	s.failed(fault)
+	if err := s.read(0); err != nil {
+		s.failed(err)
+	}
 }
 
 // Path is where the store is.
@@ -313,21 +481,22 @@
 
 // Put stores a version; when it returns without an error, the version survives
 // any crash. Some before it are kept, the oldest go.
-func (s *Store) Put(v fleet.Version, now time.Time) (err error) {
-	defer func() {
-		if p := recover(); p != nil {
-			err = fmt.Errorf("lastgood: %s: %v", s.path, p)
-		}
-	}()
+func (s *Store) Put(v fleet.Version, now time.Time) error {
 	if v.Number <= 0 || fleet.SumOf(v.Body) != v.Sum {
 		return fmt.Errorf("lastgood: version %d does not match its sum, and is not stored", v.Number)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.db == nil {
+	if s.lent && !s.wanted {
 		s.late = append(s.late, late{v, now})
+		if len(s.late) > maxLate {
+			s.late = s.late[1:] // the oldest, as trim has it
+		}
 		return nil
 	}
+	if err := s.writable(); err != nil {
+		return err
+	}
 	return s.put(v, now)
 }
 
@@ -336,17 +505,13 @@
 	if err != nil {
 		return err
 	}
-	err = s.db.Update(func(tx *bbolt.Tx) error {
+	return s.commit(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(versions)
 		if err := b.Put(key(v.Number), value); err != nil {
 			return err
 		}
 		return s.trim(b, nil)
 	})
-	if err != nil {
-		return fmt.Errorf("lastgood: %s: %w", s.path, err)
-	}
-	return nil
 }
 
 // trim removes the oldest versions past those that are kept, but none of needed.
@@ -372,16 +537,13 @@
 // Save stores a service's state, and in the same step the versions that it
 // speaks of, unless they are stored already; these are kept as long as a state
 // names them.
-func (s *Store) Save(text []byte, of []fleet.Version, now time.Time) (err error) {
-	defer func() {
-		if p := recover(); p != nil {
-			err = fmt.Errorf("lastgood: %s: %v", s.path, p)
-		}
-	}()
-	err = s.update(func(tx *bbolt.Tx) error {
+func (s *Store) Save(text []byte, of []fleet.Version, now time.Time) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.update(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(versions)
 		for _, v := range of {
-			if v.Number <= 0 || b.Get(key(v.Number)) != nil {
+			if v.Number <= 0 || holds(b, v) {
 				continue
 			}
 			value, err := encode(v, now)
@@ -398,10 +560,16 @@
 		}
 		return s.trim(b, of)
 	})
-	if err != nil {
-		return fmt.Errorf("lastgood: %s: %w", s.path, err)
+}
+
+// holds reports whether a version is stored as it is.
+func holds(b *bbolt.Bucket, v fleet.Version) bool {
+	value := b.Get(key(v.Number))
+	if value == nil {
+		return false
 	}
-	return nil
+	stored, _, err := decode(key(v.Number), value)
+	return err == nil && stored.Sum == v.Sum
 }
 
 // State is what Save stored last, nil where it never did.
@@ -456,11 +624,6 @@
 
 // Last is the stored version with the highest number, and when it was stored.
 func (s *Store) Last() (v fleet.Version, stored time.Time, err error) {
-	defer func() {
-		if p := recover(); p != nil {
-			v, err = fleet.Version{}, fmt.Errorf("lastgood: %s: %v", s.path, p)
-		}
-	}()
 	err = s.view(func(tx *bbolt.Tx) error {
 		k, value := tx.Bucket(versions).Cursor().Last()
 		if k == nil {
@@ -503,11 +666,6 @@
 // History are the stored versions in the order of their numbers, with their ages
 // by the wall clock, never below 0.
 func (s *Store) History(now time.Time) (list []fleet.Aged, err error) {
-	defer func() {
-		if p := recover(); p != nil {
-			list, err = nil, fmt.Errorf("lastgood: %s: %v", s.path, p)
-		}
-	}()
 	err = s.view(func(tx *bbolt.Tx) error {
 		return tx.Bucket(versions).ForEach(func(k, value []byte) error {
 			v, stored, err := decode(k, value)
