--- a/internal/loop/io.go
+++ b/internal/loop/io.go
@@ -1,74 +1,250 @@
 package loop
 
 import (
+	"net/netip"
+	"time"
 	"unsafe"
 
 	"golang.org/x/sys/unix"
 )
 
-// ReadFD reads from a non-blocking descriptor. Such calls return at once, so
-// the runtime is not told of them as of calls that may block: that costs more
-// than a small read.
-func ReadFD(fd int, b []byte) (int, error) {
-	if len(b) == 0 {
-		return 0, nil
+// Intercept has the loop's system calls on sockets made by calls; nil has them made by the
+// kernel directly. It is called before Run, or on the loop.
+func (l *Loop) Intercept(calls Syscalls) { l.calls = calls }
+
+const (
+	interruptedTries = 4   // of a call that is interrupted, before it counts as one for later
+	shortageWait     = 2.0 // ms, until a call is made again for which the kernel lacked memory
+)
+
+// Read reads from a non-blocking descriptor.
+//
+// After an error for which Later holds, a watched descriptor's handler is told when to read
+// again: for EAGAIN when it is ready, and where it is ready but the call could not be made,
+// after a short wait, so that a shortage that lasts does not keep the loop turning. The same
+// holds for Write and WriteTwo, whose callers want Write of the descriptor then.
+func (l *Loop) Read(fd int, b []byte) (int, error) {
+	for try := 1; ; try++ {
+		n, err := l.read(fd, b)
+		if err == nil || !l.retry(fd, try, err) {
+			return n, err
+		}
 	}
-	n, _, errno := unix.RawSyscall(unix.SYS_READ, uintptr(fd), uintptr(unsafe.Pointer(&b[0])), uintptr(len(b)))
-	if errno != 0 {
-		return -1, later(errno)
+}
+
+func (l *Loop) read(fd int, b []byte) (int, error) {
+	if l.calls == nil {
+		return Kernel.Read(fd, b)
 	}
-	return int(n), nil
+	return l.calls.Read(fd, b)
 }
 
-// later is EAGAIN where the kernel lacks memory now, which says nothing of the peer: the
-// call is made again when the descriptor is ready in another turn.
-func later(errno unix.Errno) error {
-	if errno == unix.ENOBUFS || errno == unix.ENOMEM {
-		return unix.EAGAIN
+// Write writes to a non-blocking descriptor; see Read for what follows an error.
+func (l *Loop) Write(fd int, b []byte) (int, error) {
+	for try := 1; ; try++ {
+		n, err := l.write(fd, b)
+		if err == nil || !l.retry(fd, try, err) {
+			return n, err
+		}
+	}
+}
+
+func (l *Loop) write(fd int, b []byte) (int, error) {
+	if l.calls == nil {
+		return Kernel.Write(fd, b)
+	}
+	return l.calls.Write(fd, b)
+}
+
+// WriteTwo writes two pieces in one call; see Read for what follows an error.
+func (l *Loop) WriteTwo(fd int, first, second []byte) (int, error) {
+	for try := 1; ; try++ {
+		n, err := l.writeTwo(fd, first, second)
+		if err == nil || !l.retry(fd, try, err) {
+			return n, err
+		}
+	}
+}
+
+func (l *Loop) writeTwo(fd int, first, second []byte) (int, error) {
+	if l.calls == nil {
+		return Kernel.WriteTwo(fd, first, second)
+	}
+	return l.calls.WriteTwo(fd, first, second)
+}
+
+// retry reports that a call that failed is made again at once. One that is to be made later
+// though its descriptor is ready has its descriptor suspended.
+func (l *Loop) retry(fd, try int, err error) bool {
+	switch {
+	case err == unix.EAGAIN || !Later(err):
+		return false
+	case err == unix.EINTR && try < interruptedTries:
+		return true
+	}
+	l.suspend(fd)
+	return false
+}
+
+// suspension is a watched descriptor that epoll is not to tell of for a while.
+type suspension struct {
+	fd  int
+	gen uint32
+}
+
+// suspend takes a watched descriptor out of epoll for a short while, errors and hang-ups
+// included. Its handler notices nothing but the delay.
+func (l *Loop) suspend(fd int) {
+	if fd < 0 || fd >= len(l.slots) || l.slots[fd].h == nil || l.slots[fd].suspended {
+		return
+	}
+	s := &l.slots[fd]
+	unix.EpollCtl(l.epfd, unix.EPOLL_CTL_DEL, fd, nil)
+	s.suspended = true
+	l.suspended = append(l.suspended, suspension{fd, s.gen})
+	if !l.resumeT.Armed() {
+		l.Arm(&l.resumeT, shortageWait)
+	}
+}
+
+// resume watches again what was suspended. What cannot be watched yet stays suspended.
+func (l *Loop) resume() {
+	left := l.suspended[:0]
+	for _, r := range l.suspended {
+		s := &l.slots[r.fd]
+		if s.gen != r.gen || !s.suspended {
+			continue
+		}
+		event := s.event(r.fd)
+		if err := unix.EpollCtl(l.epfd, unix.EPOLL_CTL_ADD, r.fd, &event); err != nil {
+			left = append(left, r)
+			continue
+		}
+		s.suspended = false
+	}
+	if l.suspended = left; len(left) > 0 {
+		l.Arm(&l.resumeT, shortageWait)
 	}
-	return errno
+}
+
+// Dial begins to connect without waiting; inProgress: it is not connected yet. An error for
+// which Lacking holds is this machine's, and no word about the peer.
+func (l *Loop) Dial(address string) (fd int, inProgress bool, err error) {
+	var calls Syscalls = Kernel
+	if l.calls != nil {
+		calls = l.calls
+	}
+	return dial(calls, address)
+}
+
+func dial(calls Syscalls, address string) (fd int, inProgress bool, err error) {
+	parsed, err := netip.ParseAddrPort(address)
+	if err != nil {
+		return -1, false, err
+	}
+	var to unix.Sockaddr
+	family := unix.AF_INET
+	if ip := parsed.Addr().Unmap(); ip.Is4() {
+		to = &unix.SockaddrInet4{Port: int(parsed.Port()), Addr: ip.As4()}
+	} else {
+		family = unix.AF_INET6
+		to = &unix.SockaddrInet6{Port: int(parsed.Port()), Addr: ip.As16()}
+	}
+	for try := 1; ; try++ {
+		if fd, err = calls.Socket(family); err != unix.EINTR || try == interruptedTries {
+			break
+		}
+	}
+	if err != nil {
+		return -1, false, err
+	}
+	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
+	if inProgress, err = connect(calls, fd, to); err != nil {
+		unix.Close(fd)
+		return -1, false, err
+	}
+	return fd, inProgress, nil
+}
+
+// connect begins to connect a socket. Called again after an interruption, it finds whether
+// the connection has been begun or made.
+func connect(calls Syscalls, fd int, to unix.Sockaddr) (inProgress bool, err error) {
+	for range interruptedTries {
+		switch err = calls.Connect(fd, to); err {
+		case nil, unix.EISCONN:
+			return false, nil
+		case unix.EINPROGRESS, unix.EALREADY:
+			return true, nil
+		case unix.EINTR:
+			continue
+		}
+		return false, err
+	}
+	return false, err
+}
+
+// poll waits for events. Waits that are interrupted time after time, with nothing to be
+// done, are made further apart.
+func (l *Loop) poll(timeout int) (n int, err error) {
+	if l.calls == nil {
+		n, err = Kernel.Wait(l.epfd, l.events, timeout)
+	} else {
+		n, err = l.calls.Wait(l.epfd, l.events, timeout)
+	}
+	if err != unix.EINTR {
+		l.interrupted = 0
+		return n, err
+	}
+	if l.interrupted++; l.interrupted > interruptedTries {
+		time.Sleep(time.Millisecond)
+	}
+	return 0, nil
 }
 
 // Quiet reports that a stream has neither bytes to be read, nor an end, nor an error.
 func Quiet(fd int) bool {
 	var b [1]byte
-	_, _, errno := unix.RawSyscall6(unix.SYS_RECVFROM, uintptr(fd), uintptr(unsafe.Pointer(&b[0])), 1,
-		unix.MSG_PEEK|unix.MSG_DONTWAIT, 0, 0)
-	return errno == unix.EAGAIN
+	for {
+		_, _, errno := unix.RawSyscall6(unix.SYS_RECVFROM, uintptr(fd), uintptr(unsafe.Pointer(&b[0])), 1,
+			unix.MSG_PEEK|unix.MSG_DONTWAIT, 0, 0)
+		if errno != unix.EINTR {
+			return errno == unix.EAGAIN
+		}
+	}
+}
+
+// ReadFD is Kernel.Read with one error, EAGAIN, for all that Later names.
+//
+// Deprecated: use Loop.Read.
+func ReadFD(fd int, b []byte) (int, error) {
+	n, err := Kernel.Read(fd, b)
+	return n, asAgain(err)
 }
 
-// WriteFD writes to a non-blocking descriptor, as ReadFD reads. A socket whose
-// peer is gone gives EPIPE; the Go runtime ignores the signal.
+// WriteFD is Kernel.Write as ReadFD is Kernel.Read.
+//
+// Deprecated: use Loop.Write.
 func WriteFD(fd int, b []byte) (int, error) {
-	if len(b) == 0 {
-		return 0, nil
-	}
-	n, _, errno := unix.RawSyscall6(unix.SYS_SENDTO, uintptr(fd), uintptr(unsafe.Pointer(&b[0])), uintptr(len(b)),
-		unix.MSG_NOSIGNAL, 0, 0)
-	if errno != 0 {
-		return -1, later(errno)
-	}
-	return int(n), nil
+	n, err := Kernel.Write(fd, b)
+	return n, asAgain(err)
 }
 
-// WriteFD2 writes two pieces in one call. It allocates nothing.
+// WriteFD2 is Kernel.WriteTwo as ReadFD is Kernel.Read.
+//
+// Deprecated: use Loop.WriteTwo.
 func WriteFD2(fd int, a, b []byte) (int, error) {
-	if len(a) == 0 {
-		return WriteFD(fd, b)
-	}
-	if len(b) == 0 {
-		return WriteFD(fd, a)
-	}
-	var iov [2]unix.Iovec
-	iov[0].Base, iov[1].Base = &a[0], &b[0]
-	iov[0].SetLen(len(a))
-	iov[1].SetLen(len(b))
-	var msg unix.Msghdr
-	msg.Iov = &iov[0]
-	msg.SetIovlen(2)
-	n, _, errno := unix.RawSyscall(unix.SYS_SENDMSG, uintptr(fd), uintptr(unsafe.Pointer(&msg)), unix.MSG_NOSIGNAL)
-	if errno != 0 {
-		return -1, later(errno)
-	}
-	return int(n), nil
+	n, err := Kernel.WriteTwo(fd, a, b)
+	return n, asAgain(err)
+}
+
+// Dial is Loop.Dial by the kernel's own calls.
+//
+// Deprecated: use Loop.Dial.
+func Dial(address string) (fd int, inProgress bool, err error) { return dial(Kernel, address) }
+
+func asAgain(err error) error {
+	if Later(err) {
+		return unix.EAGAIN
+	}
+	return err
 }
--- /dev/null
+++ b/internal/loop/listener.go
@@ -0,0 +1,106 @@
+package loop
+
+import "golang.org/x/sys/unix"
+
+const (
+	acceptFailures = 16     // in a row that concern one connection each, before accepting pauses
+	acceptPause    = 20.0   // ms without accepting where something lacks
+	roomAgain      = 1000.0 // ms until room is asked for again that was of no use
+)
+
+// A Listener takes the connections of a listening socket, a bounded number in each turn of
+// its loop. Where something lacks, and where calls fail time after time, it pauses: who
+// connects waits in the kernel's queue, and the loop does not turn for it.
+type Listener struct {
+	// PerTurn is how many calls of accept one turn makes at most.
+	PerTurn int
+	// Take is given each connection's descriptor, to be closed by it.
+	Take func(fd int)
+	// MakeRoom, unless it is nil, closes a descriptor that can be done without, where none
+	// is to be had; false: there is none.
+	MakeRoom func() bool
+	// Pauses counts how often accepting has paused.
+	Pauses uint64
+
+	l        *Loop
+	fd       int
+	failures int
+	noRoom   Millis // no room is asked for before
+	resume   Timer
+}
+
+// Start begins to take the connections of a listening socket, which stays the caller's to
+// close after Stop.
+func (ln *Listener) Start(l *Loop, fd int) error {
+	ln.l, ln.fd = l, fd
+	ln.resume.F = func() { ln.l.Want(ln.fd, Read) }
+	return l.Add(fd, Read, ln)
+}
+
+// Stop ends it.
+func (ln *Listener) Stop() {
+	if ln.l == nil || ln.fd < 0 {
+		return
+	}
+	ln.l.Forget(&ln.resume)
+	ln.l.Remove(ln.fd)
+	ln.fd = -1
+}
+
+// OnReady is the loop's.
+func (ln *Listener) OnReady(Ready) { ln.Accept() }
+
+// Accept takes connections that wait, as many as one turn may.
+func (ln *Listener) Accept() {
+	asked := false
+	for range ln.PerTurn {
+		if ln.fd < 0 { // stopped by Take
+			return
+		}
+		fd, err := ln.l.accept(ln.fd)
+		if err == nil {
+			ln.failures = 0
+			if asked { // room was of use
+				ln.noRoom = 0
+			}
+			ln.Take(fd)
+			continue
+		}
+		if err == unix.EAGAIN {
+			return
+		}
+		if ln.failures++; ofOneConnection(err) && ln.failures < acceptFailures {
+			continue
+		}
+		if !asked && ln.makeRoom(err) {
+			asked = true
+			continue
+		}
+		ln.pause()
+		return
+	}
+}
+
+// makeRoom has a descriptor closed where none is to be had. Where that was of no use, as in
+// a shortage of the whole machine, it is not done again for a while.
+func (ln *Listener) makeRoom(err error) bool {
+	if err != unix.EMFILE && err != unix.ENFILE || ln.MakeRoom == nil || ln.l.Now() < ln.noRoom || !ln.MakeRoom() {
+		return false
+	}
+	ln.noRoom = ln.l.Now() + roomAgain
+	return true
+}
+
+func (ln *Listener) pause() {
+	ln.failures = 0
+	ln.Pauses++
+	ln.l.Want(ln.fd, 0)
+	ln.l.Arm(&ln.resume, acceptPause)
+}
+
+func (l *Loop) accept(listener int) (int, error) {
+	if l.calls == nil {
+		return Kernel.Accept(listener)
+	}
+	return l.calls.Accept(listener)
+}
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -2,11 +2,12 @@
 // timers, and calls posted from other threads. One goroutine, locked to its
 // thread, runs it; everything but Post and Stop belongs to that goroutine.
 //
-// It never reads or writes a descriptor on its handlers' behalf, never decides
-// anything and never allocates on the path of an event. The clock is the
-// system's monotonic one, in milliseconds, so that records of processes on one
-// machine can be set side by side. Connections on top of it are in
-// internal/edge.
+// Handlers make their system calls on sockets through it, so that one place decides which
+// errors are for later (Later), end a connection (Broken) or are this machine's own
+// (Lacking), and tests can have any call fail (Intercept). It never reads or writes a
+// descriptor of its own accord and never allocates on the path of an event. The clock is
+// the system's monotonic one, in milliseconds, so that records of processes on one machine
+// can be set side by side. Connections on top of it are in internal/edge.
 package loop
 
 import (
@@ -15,7 +16,6 @@
 	"runtime"
 	"sync"
 	"time"
-	"unsafe"
 
 	"golang.org/x/sys/unix"
 )
@@ -61,10 +61,16 @@
 var ErrStopped = errors.New("loop: stopped")
 
 type slot struct {
-	h     Handler
-	gen   uint32
-	want  Interest
-	first bool
+	h         Handler
+	gen       uint32
+	want      Interest
+	first     bool
+	suspended bool // epoll does not know of it for a while, see suspend
+}
+
+// event is what epoll is to be told of the slot's descriptor.
+func (s *slot) event(fd int) unix.EpollEvent {
+	return unix.EpollEvent{Events: uint32(s.want), Fd: int32(fd), Pad: int32(s.gen & 0x7fffffff)}
 }
 
 // Loop is one event loop. The zero value is not usable; see New.
@@ -78,7 +84,11 @@
 	lag          Millis // the longest turn of late, see Lag
 	slow         Millis // see Slow
 	after        func() (more bool)
-	again        bool // after has more to do: the next turn does not wait
+	more         bool     // after has more to do: the next turn does not wait
+	calls        Syscalls // nil: the kernel's, directly
+	interrupted  int      // waits in a row
+	suspended    []suspension
+	resumeT      Timer
 
 	mu      sync.Mutex
 	posted  []func()
@@ -104,6 +114,7 @@
 	}
 	l := &Loop{epfd: epfd, wakefd: wakefd, events: make([]unix.EpollEvent, 512), maxPost: maxPost}
 	l.now = Clock()
+	l.resumeT.F = l.resume
 	ev := unix.EpollEvent{Events: unix.EPOLLIN, Fd: int32(wakefd), Pad: -1}
 	if err := unix.EpollCtl(epfd, unix.EPOLL_CTL_ADD, wakefd, &ev); err != nil {
 		unix.Close(epfd)
@@ -159,11 +170,12 @@
 		return fmt.Errorf("loop: descriptor %d is watched already", fd)
 	}
 	s.gen++
-	ev := unix.EpollEvent{Events: uint32(want), Fd: int32(fd), Pad: int32(s.gen & 0x7fffffff)}
-	if err := unix.EpollCtl(l.epfd, unix.EPOLL_CTL_ADD, fd, &ev); err != nil {
+	s.want, s.first, s.suspended = want, false, false
+	event := s.event(fd)
+	if err := unix.EpollCtl(l.epfd, unix.EPOLL_CTL_ADD, fd, &event); err != nil {
 		return fmt.Errorf("loop: epoll_ctl add %d: %w", fd, err)
 	}
-	s.h, s.want, s.first = h, want, false
+	s.h = h
 	return nil
 }
 
@@ -181,11 +193,16 @@
 	if s.want == want {
 		return nil
 	}
-	ev := unix.EpollEvent{Events: uint32(want), Fd: int32(fd), Pad: int32(s.gen & 0x7fffffff)}
-	if err := unix.EpollCtl(l.epfd, unix.EPOLL_CTL_MOD, fd, &ev); err != nil {
+	before := s.want
+	s.want = want
+	if s.suspended { // the new interest holds once it is watched again
+		return nil
+	}
+	event := s.event(fd)
+	if err := unix.EpollCtl(l.epfd, unix.EPOLL_CTL_MOD, fd, &event); err != nil {
+		s.want = before
 		return fmt.Errorf("loop: epoll_ctl mod %d: %w", fd, err)
 	}
-	s.want = want
 	return nil
 }
 
@@ -268,13 +285,13 @@
 // readiness first, then posted calls, then timers.
 func (l *Loop) turn() error {
 	wait := -1
-	if l.again {
+	if l.more {
 		wait = 0
 	} else if len(l.timers.list) > 0 {
 		wait = max(int(l.timers.list[0].due-Clock()+0.999), 0)
 	}
 	n, err := l.poll(wait)
-	if err != nil && err != unix.EINTR {
+	if err != nil {
 		return fmt.Errorf("loop: epoll_wait: %w", err)
 	}
 	l.now = Clock()
@@ -298,7 +315,7 @@
 	}
 	l.runTimers()
 	if l.after != nil {
-		l.again = l.after()
+		l.more = l.after()
 	}
 	took := Clock() - l.now
 	l.slow += max(took-slowTurn, 0)
@@ -309,20 +326,6 @@
 	return nil
 }
 
-// poll takes what is ready without telling the runtime of a call that may
-// block; only when nothing is ready does it wait.
-func (l *Loop) poll(wait int) (int, error) {
-	n, _, errno := unix.RawSyscall6(unix.SYS_EPOLL_PWAIT, uintptr(l.epfd), uintptr(unsafe.Pointer(&l.events[0])),
-		uintptr(len(l.events)), 0, 0, 0)
-	if errno == 0 && n > 0 || wait == 0 {
-		if errno != 0 {
-			return 0, errno
-		}
-		return int(n), nil
-	}
-	return unix.EpollWait(l.epfd, l.events, wait)
-}
-
 func (l *Loop) runPosted() {
 	var count [8]byte
 	unix.Read(l.wakefd, count[:])
--- a/internal/loop/socket.go
+++ b/internal/loop/socket.go
@@ -2,7 +2,6 @@
 
 import (
 	"net"
-	"net/netip"
 
 	"golang.org/x/sys/unix"
 )
@@ -30,32 +29,3 @@
 	}
 	return fd, ln.Addr().String(), nil
 }
-
-// Dial begins to connect without waiting; inProgress: it is not connected yet.
-func Dial(address string) (fd int, inProgress bool, err error) {
-	ap, err := netip.ParseAddrPort(address)
-	if err != nil {
-		return -1, false, err
-	}
-	var sa unix.Sockaddr
-	family := unix.AF_INET
-	if a := ap.Addr().Unmap(); a.Is4() {
-		sa = &unix.SockaddrInet4{Port: int(ap.Port()), Addr: a.As4()}
-	} else {
-		family = unix.AF_INET6
-		sa = &unix.SockaddrInet6{Port: int(ap.Port()), Addr: a.As16()}
-	}
-	fd, err = unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
-	if err != nil {
-		return -1, false, err
-	}
-	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	switch err = unix.Connect(fd, sa); err {
-	case nil:
-		return fd, false, nil
-	case unix.EINPROGRESS, unix.EINTR:
-		return fd, true, nil
-	}
-	unix.Close(fd)
-	return -1, false, err
-}
--- /dev/null
+++ b/internal/loop/syscalls.go
@@ -0,0 +1,111 @@
+package loop
+
+import (
+	"unsafe"
+
+	"golang.org/x/sys/unix"
+)
+
+// Syscalls are the system calls that a loop makes on sockets; tests and fault injection
+// replace them.
+type Syscalls interface {
+	// Accept takes a connection, non-blocking and close-on-exec.
+	Accept(listener int) (fd int, err error)
+	// Socket makes a stream socket, non-blocking and close-on-exec.
+	Socket(family int) (fd int, err error)
+	Connect(fd int, to unix.Sockaddr) error
+	Read(fd int, b []byte) (int, error)
+	Write(fd int, b []byte) (int, error)
+	// WriteTwo writes two pieces in one call.
+	WriteTwo(fd int, first, second []byte) (int, error)
+	// Wait waits for events, at most for a time in milliseconds; -1: without limit.
+	Wait(epoll int, events []unix.EpollEvent, timeout int) (int, error)
+}
+
+// Kernel makes the real calls.
+var Kernel KernelCalls
+
+// KernelCalls are the kernel's own system calls, for wrappers to embed. Calls on
+// non-blocking descriptors return at once, so the runtime is not told of them as of calls
+// that may block: that costs more than a small read.
+type KernelCalls struct{}
+
+var _ Syscalls = Kernel
+
+// Accept is accept4(2).
+func (KernelCalls) Accept(listener int) (int, error) {
+	fd, _, errno := unix.RawSyscall6(unix.SYS_ACCEPT4, uintptr(listener), 0, 0, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0, 0)
+	if errno != 0 {
+		return -1, errno
+	}
+	return int(fd), nil
+}
+
+// Socket is socket(2).
+func (KernelCalls) Socket(family int) (int, error) {
+	return unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
+}
+
+// Connect is connect(2).
+func (KernelCalls) Connect(fd int, to unix.Sockaddr) error { return unix.Connect(fd, to) }
+
+// Read is read(2).
+func (KernelCalls) Read(fd int, b []byte) (int, error) {
+	if len(b) == 0 {
+		return 0, nil
+	}
+	n, _, errno := unix.RawSyscall(unix.SYS_READ, uintptr(fd), uintptr(unsafe.Pointer(&b[0])), uintptr(len(b)))
+	if errno != 0 {
+		return 0, errno
+	}
+	return int(n), nil
+}
+
+// Write is send(2). A socket whose peer is gone gives EPIPE, and no signal.
+func (KernelCalls) Write(fd int, b []byte) (int, error) {
+	if len(b) == 0 {
+		return 0, nil
+	}
+	n, _, errno := unix.RawSyscall6(unix.SYS_SENDTO, uintptr(fd), uintptr(unsafe.Pointer(&b[0])), uintptr(len(b)),
+		unix.MSG_NOSIGNAL, 0, 0)
+	if errno != 0 {
+		return 0, errno
+	}
+	return int(n), nil
+}
+
+// WriteTwo is sendmsg(2). It allocates nothing.
+func (k KernelCalls) WriteTwo(fd int, first, second []byte) (int, error) {
+	if len(first) == 0 {
+		return k.Write(fd, second)
+	}
+	if len(second) == 0 {
+		return k.Write(fd, first)
+	}
+	var iov [2]unix.Iovec
+	iov[0].Base, iov[1].Base = &first[0], &second[0]
+	iov[0].SetLen(len(first))
+	iov[1].SetLen(len(second))
+	var msg unix.Msghdr
+	msg.Iov = &iov[0]
+	msg.SetIovlen(2)
+	n, _, errno := unix.RawSyscall(unix.SYS_SENDMSG, uintptr(fd), uintptr(unsafe.Pointer(&msg)), unix.MSG_NOSIGNAL)
+	if errno != 0 {
+		return 0, errno
+	}
+	return int(n), nil
+}
+
+// Wait is epoll_pwait(2). It takes what is ready without telling the runtime of a call that
+// may block; only when nothing is ready does it wait.
+func (KernelCalls) Wait(epoll int, events []unix.EpollEvent, timeout int) (int, error) {
+	n, _, errno := unix.RawSyscall6(unix.SYS_EPOLL_PWAIT, uintptr(epoll), uintptr(unsafe.Pointer(&events[0])),
+		uintptr(len(events)), 0, 0, 0)
+	if errno == 0 && n > 0 || timeout == 0 {
+		if errno != 0 {
+			return 0, errno
+		}
+		return int(n), nil
+	}
+	return unix.EpollWait(epoll, events, timeout)
+}
--- /dev/null
+++ b/internal/loop/syscalls_test.go
@@ -0,0 +1,320 @@
+package loop
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"testing"
+
+	"golang.org/x/sys/unix"
+)
+
+// failing fails chosen calls; what has no error is the kernel's.
+type failing struct {
+	KernelCalls
+	accept, socket, connect, read, write, wait func() error
+	calls                                      int
+}
+
+func (f *failing) fails(call func() error) error {
+	if call == nil {
+		return nil
+	}
+	f.calls++
+	return call()
+}
+
+func (f *failing) Accept(listener int) (int, error) {
+	if err := f.fails(f.accept); err != nil {
+		return -1, err
+	}
+	return f.KernelCalls.Accept(listener)
+}
+
+func (f *failing) Socket(family int) (int, error) {
+	if err := f.fails(f.socket); err != nil {
+		return -1, err
+	}
+	return f.KernelCalls.Socket(family)
+}
+
+func (f *failing) Connect(fd int, to unix.Sockaddr) error {
+	if err := f.fails(f.connect); err != nil {
+		return err
+	}
+	return f.KernelCalls.Connect(fd, to)
+}
+
+func (f *failing) Read(fd int, b []byte) (int, error) {
+	if err := f.fails(f.read); err != nil {
+		return 0, err
+	}
+	return f.KernelCalls.Read(fd, b)
+}
+
+func (f *failing) Write(fd int, b []byte) (int, error) {
+	if err := f.fails(f.write); err != nil {
+		return 0, err
+	}
+	return f.KernelCalls.Write(fd, b)
+}
+
+func (f *failing) Wait(epoll int, events []unix.EpollEvent, timeout int) (int, error) {
+	if err := f.fails(f.wait); err != nil {
+		return 0, err
+	}
+	return f.KernelCalls.Wait(epoll, events, timeout)
+}
+
+func always(err error) func() error { return func() error { return err } }
+
+// times fails a number of calls.
+func times(n int, err error) func() error {
+	return func() error {
+		if n--; n >= 0 {
+			return err
+		}
+		return nil
+	}
+}
+
+// turnFor has the loop turn for a span of ms, and returns how many turns that made.
+func turnFor(t *testing.T, l *Loop, span Millis) uint64 {
+	t.Helper()
+	before, over := l.Turns(), false
+	l.Once(Clock()-l.Now()+span, func() { over = true })
+	for !over {
+		if err := l.turn(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return l.Turns() - before
+}
+
+func newLoop(t testing.TB, calls Syscalls) *Loop {
+	l, err := New(0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(l.close)
+	l.Intercept(calls)
+	return l
+}
+
+func pair(t testing.TB) (ours, theirs int) {
+	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { unix.Close(fds[0]); unix.Close(fds[1]) })
+	return fds[0], fds[1]
+}
+
+func TestErrorsMean(t *testing.T) {
+	const later, broken, lacking = 1, 2, 4
+	for err, want := range map[error]int{
+		nil: 0, os.ErrInvalid: 0, unix.EBADF: 0,
+		unix.EAGAIN: later | lacking, unix.EINTR: later | lacking, unix.ENOBUFS: later | lacking, unix.ENOMEM: later | lacking,
+		unix.ECONNRESET: broken, unix.EPIPE: broken, unix.ETIMEDOUT: broken, unix.EHOSTUNREACH: broken, unix.ECONNREFUSED: broken,
+		unix.ENETUNREACH: broken | lacking, unix.ECONNABORTED: broken | lacking,
+		unix.EMFILE: lacking, unix.ENFILE: lacking, unix.EADDRNOTAVAIL: lacking, unix.EPERM: lacking, unix.ENOSPC: lacking,
+	} {
+		for _, err := range []error{err, fmt.Errorf("wrapped: %w", err)} {
+			got := 0
+			for bit, holds := range map[int]bool{later: Later(err), broken: Broken(err), lacking: Lacking(err)} {
+				if holds {
+					got |= bit
+				}
+			}
+			if got != want {
+				t.Errorf("%v: conditions %03b, want %03b", err, got, want)
+			}
+		}
+	}
+}
+
+// A read or write that is interrupted, or for which the kernel lacks memory, is made again:
+// the bytes arrive, and the loop does not spin while the shortage lasts.
+func TestCallsMadeAgain(t *testing.T) {
+	for _, errno := range []unix.Errno{unix.EINTR, unix.ENOBUFS, unix.ENOMEM, unix.EAGAIN} {
+		for _, for_ := range []string{"one call", "50 ms"} {
+			t.Run(fmt.Sprintf("%v/%s", errno, for_), func(t *testing.T) {
+				f := &failing{}
+				l := newLoop(t, f)
+				ours, theirs := pair(t)
+				got, sent := "", false
+				var b [16]byte
+				l.Add(ours, Read|Write, onReady(func(r Ready) {
+					if !sent {
+						n, err := l.Write(ours, []byte("ping"))
+						if err != nil && !Later(err) {
+							t.Fatalf("write: %v", err)
+						}
+						if sent = n == 4; sent {
+							l.Want(ours, Read)
+						}
+					}
+					if n, err := l.Read(ours, b[:]); err == nil {
+						got += string(b[:n])
+					} else if !Later(err) {
+						t.Fatalf("read: %v", err)
+					}
+				}))
+				unix.Write(theirs, []byte("pong"))
+				if f.read, f.write = times(1, errno), times(1, errno); for_ == "50 ms" {
+					f.read, f.write = always(errno), always(errno)
+				}
+				if turns := turnFor(t, l, 50); turns > 200 && errno != unix.EAGAIN {
+					t.Errorf("%d turns in 50 ms, %d calls", turns, f.calls)
+				}
+				f.read, f.write = nil, nil
+				turnFor(t, l, 10)
+				n, _ := unix.Read(theirs, b[:])
+				if got != "pong" || n != 4 {
+					t.Errorf("read %q, peer %d bytes", got, n)
+				}
+			})
+		}
+	}
+}
+
+// A descriptor that is suspended may be removed, and its number used anew, meanwhile.
+func TestRemovedWhileSuspended(t *testing.T) {
+	f := &failing{read: always(unix.ENOBUFS)}
+	l := newLoop(t, f)
+	ours, theirs := pair(t)
+	heard := 0
+	var b [1]byte
+	l.Add(ours, Read, onReady(func(Ready) { l.Read(ours, b[:]); l.Remove(ours) }))
+	unix.Write(theirs, []byte("x"))
+	l.turn()
+	if err := l.Add(ours, 0, onReady(func(Ready) { heard++ })); err != nil {
+		t.Fatal(err)
+	}
+	turnFor(t, l, 10)
+	if heard != 0 {
+		t.Errorf("the next owner heard %d events that it did not want", heard)
+	}
+	l.Want(ours, Read)
+	if turnFor(t, l, 1); heard == 0 {
+		t.Error("the next owner hears nothing")
+	}
+}
+
+func TestWaitInterrupted(t *testing.T) {
+	l := newLoop(t, &failing{wait: always(unix.EINTR)})
+	if turns := turnFor(t, l, 50); turns > 100 {
+		t.Errorf("%d turns in 50 ms", turns)
+	}
+	l.Intercept(nil)
+	ours, theirs := pair(t)
+	heard := 0
+	l.Add(ours, Read, onReady(func(Ready) { heard++; l.Remove(ours) }))
+	unix.Write(theirs, []byte("x"))
+	if turnFor(t, l, 5); heard != 1 {
+		t.Errorf("heard %d times after the interruptions", heard)
+	}
+}
+
+func TestDialFails(t *testing.T) {
+	listener, address, err := Listen("127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer unix.Close(listener)
+	for _, c := range []struct {
+		name            string
+		socket, connect func() error
+		want            error
+	}{
+		{"interrupted once", times(1, unix.EINTR), times(1, unix.EINTR), nil},
+		{"interrupted always", nil, always(unix.EINTR), unix.EINTR},
+		{"no descriptor", always(unix.ENFILE), nil, unix.ENFILE},
+		{"no port", nil, always(unix.EADDRNOTAVAIL), unix.EADDRNOTAVAIL},
+		{"no route", nil, always(unix.ENETUNREACH), unix.ENETUNREACH},
+		{"refused", nil, always(unix.ECONNREFUSED), unix.ECONNREFUSED},
+	} {
+		l := newLoop(t, &failing{socket: c.socket, connect: c.connect})
+		fd, _, err := l.Dial(address)
+		if !errors.Is(err, c.want) || (err == nil) != (fd >= 0) {
+			t.Errorf("%s: descriptor %d, %v, want %v", c.name, fd, err, c.want)
+		}
+		if fd >= 0 {
+			unix.Close(fd)
+		}
+	}
+}
+
+// Whatever accept fails with, and for how long, the loop does not spin, and who has
+// connected is taken once it succeeds.
+func TestListener(t *testing.T) {
+	for _, errno := range []unix.Errno{unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.EPERM, unix.ENETUNREACH,
+		unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EINVAL, unix.ETIMEDOUT} {
+		for _, fails := range []struct {
+			span  string
+			calls func() error
+		}{{"one call", times(1, errno)}, {"100 ms", always(errno)}} {
+			t.Run(fmt.Sprintf("%v/%s", errno, fails.span), func(t *testing.T) {
+				f := &failing{accept: fails.calls}
+				l := newLoop(t, f)
+				fd, address, err := Listen("127.0.0.1:0")
+				if err != nil {
+					t.Fatal(err)
+				}
+				defer unix.Close(fd)
+				taken, room := 0, 0
+				ln := &Listener{PerTurn: 64, Take: func(fd int) { taken++; unix.Close(fd) },
+					MakeRoom: func() bool { room++; return true }}
+				if err := ln.Start(l, fd); err != nil {
+					t.Fatal(err)
+				}
+				defer ln.Stop()
+				for range 10 {
+					c, _, err := l.Dial(address)
+					if err != nil {
+						t.Fatal(err)
+					}
+					defer unix.Close(c)
+				}
+				if turns := turnFor(t, l, 100); turns > 50 || f.calls > 200 {
+					t.Errorf("%d turns and %d calls in 100 ms", turns, f.calls)
+				}
+				if room > 1 || room == 1 && errno != unix.EMFILE && errno != unix.ENFILE {
+					t.Errorf("room was asked for %d times", room)
+				}
+				f.accept = nil
+				if turnFor(t, l, 30); taken != 10 {
+					t.Errorf("%d connections taken of 10", taken)
+				}
+			})
+		}
+	}
+}
+
+func BenchmarkReadWrite(b *testing.B) {
+	ours, theirs := pair(b)
+	message, buf := make([]byte, 64), make([]byte, 4096)
+	l := newLoop(b, nil)
+	intercepted := newLoop(b, Kernel)
+	for _, c := range []struct {
+		name  string
+		read  func(int, []byte) (int, error)
+		write func(int, []byte) (int, error)
+	}{
+		{"kernel", Kernel.Read, Kernel.Write},
+		{"loop", l.Read, l.Write},
+		{"intercepted", intercepted.Read, intercepted.Write},
+	} {
+		b.Run(c.name, func(b *testing.B) {
+			b.ReportAllocs()
+			for b.Loop() {
+				if n, err := c.write(ours, message); n != len(message) || err != nil {
+					b.Fatal(n, err)
+				}
+				if n, err := c.read(theirs, buf); n != len(message) || err != nil {
+					b.Fatal(n, err)
+				}
+			}
+		})
+	}
+}
