--- /dev/null
+++ b/internal/node/discovery_test.go
@@ -0,0 +1,278 @@
+package node
+
+import (
+	"encoding/binary"
+	"fmt"
+	"net"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"indigospool/internal/standin"
+)
+
+// discovery is a feed of a test's own: serve gets each connection and closes it by returning.
+type discovery struct {
+	*standin.PlatformFeed
+	asked atomic.Int64 // connections so far
+	open  atomic.Int64
+	last  atomic.Uint64 // number that the last connection began with
+}
+
+func newDiscovery(t *testing.T, serve func(c net.Conn, nth int64)) *discovery {
+	t.Helper()
+	d := &discovery{}
+	feed, err := standin.NewPlatformFeed(func(c net.Conn, last uint64) {
+		d.last.Store(last)
+		d.open.Add(1)
+		defer d.open.Add(-1)
+		serve(c, d.asked.Add(1))
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(feed.Close)
+	d.PlatformFeed = feed
+	return d
+}
+
+// openAt starts a router that asks a discovery of the test's own.
+func openAt(t *testing.T, d *discovery) *world {
+	t.Helper()
+	w := outside(t, nil)
+	w.write(d.Addr)
+	w.start(zap.NewNop())
+	return w
+}
+
+// beats writes an empty frame each quarter of a second until the connection ends.
+func beats(c net.Conn, n uint64) {
+	for {
+		if _, err := c.Write(standin.PlatformFrame(n, 0, nil)); err != nil {
+			return
+		}
+		time.Sleep(250 * time.Millisecond)
+	}
+}
+
+// manyRows is a list's payload: rows of members that nobody asks, and one that is there.
+func manyRows(count int, id uint32, address string) (rows []byte) {
+	for i := range uint32(count) {
+		rows = append(rows, record(0x10000+i, "127.0.0.1:9", 1, 0, 0)...)
+	}
+	return append(rows, record(id, address, 0, 0, 0)...)
+}
+
+func (w *world) lists(id string) (found bool) {
+	w.n.l.Call(soon, func() { _, found = w.n.core.Member(id) })
+	return found
+}
+
+// servesAll asks in a row until the returned function is called, which tells of all that
+// was not served.
+func (w *world) servesAll() (end func()) {
+	stop, done := make(chan struct{}), make(chan []string, 1)
+	go func() {
+		var bad []string
+		for i := 0; ; i++ {
+			select {
+			case <-stop:
+				done <- bad
+				return
+			case <-time.After(20 * time.Millisecond):
+			}
+			c, err := standin.DialPlatform(w.addr)
+			if err != nil {
+				bad = append(bad, err.Error())
+				continue
+			}
+			c.Ask(clip(fmt.Sprintf("%016x", i)), nil)
+			if r, err := c.Result(soon); err != nil || r.Word != "served" {
+				bad = append(bad, fmt.Sprintf("request %d: %+v %v", i, r, err))
+			}
+			c.Close()
+		}
+	}()
+	return func() {
+		w.t.Helper()
+		close(stop)
+		if bad := <-done; len(bad) > 0 {
+			w.t.Errorf("%d were not served, the first: %s", len(bad), bad[0])
+		}
+	}
+}
+
+// TestDiscoveryAnswersLate: discovery that says its first word long after it was asked is
+// waited for, though it is asked again meanwhile.
+func TestDiscoveryAnswersLate(t *testing.T) {
+	t.Parallel()
+	for _, late := range []time.Duration{2500 * time.Millisecond, 5 * time.Second} {
+		t.Run(fmt.Sprint(late), func(t *testing.T) {
+			t.Parallel()
+			d := newDiscovery(t, func(c net.Conn, _ int64) {
+				time.Sleep(late)
+				if _, err := c.Write(standin.PlatformFrame(2, 2, record(0xc9, "127.0.0.1:9", 1, 0, 0))); err == nil {
+					beats(c, 2)
+				}
+			})
+			w := openAt(t, d)
+			end := w.servesAll()
+			time.Sleep(late)
+			w.until("its list is there", func() bool { return w.lists("s-000000c9") })
+			end()
+			if n := d.asked.Load(); n > int64(late/(feedSilent*time.Millisecond))+2 {
+				t.Errorf("it was asked %d times", n)
+			}
+			w.until("one connection is left", func() bool { return d.open.Load() == 1 })
+		})
+	}
+}
+
+// TestDiscoveryInSmallPieces: a list that comes slowly and in small pieces is taken once it
+// is whole, from one connection.
+func TestDiscoveryInSmallPieces(t *testing.T) {
+	t.Parallel()
+	for _, c := range []struct {
+		name        string
+		rows, piece int
+		pause       time.Duration
+	}{
+		{"3,200 rows within 4 s", 3200, 1024, 45 * time.Millisecond},
+		{"byte by byte", 2, 1, 15 * time.Millisecond},
+		{"a piece each 1.5 s", 2, 30, 1500 * time.Millisecond},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
+			d := newDiscovery(t, func(conn net.Conn, _ int64) {
+				frame := standin.PlatformFrame(2, 2, manyRows(c.rows, 0xc9, "127.0.0.1:9"))
+				for len(frame) > 0 {
+					piece := frame[:min(c.piece, len(frame))]
+					if _, err := conn.Write(piece); err != nil {
+						return
+					}
+					frame = frame[len(piece):]
+					time.Sleep(c.pause)
+				}
+				beats(conn, 2)
+			})
+			w := openAt(t, d)
+			end := w.servesAll()
+			w.until("the list is there", func() bool { return w.lists("s-000000c9") })
+			end()
+			if n := d.asked.Load(); n != 1 {
+				t.Errorf("it was asked %d times", n)
+			}
+		})
+	}
+}
+
+// TestDiscoveryCrowded: discovery that takes connections and ends them, with or without a
+// word, is asked again and again, but not without a pause; once it has room the rest comes.
+func TestDiscoveryCrowded(t *testing.T) {
+	t.Parallel()
+	const span = 3 * time.Second
+	for name, word := range map[string][]byte{"without a word": nil, "after a word": standin.PlatformFrame(1, 0, nil)} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			var room atomic.Bool
+			d := newDiscovery(t, func(c net.Conn, _ int64) {
+				if !room.Load() {
+					c.Write(word)
+					return
+				}
+				c.Write(standin.PlatformFrame(2, 2, record(0xc9, "127.0.0.1:9", 1, 0, 0)))
+				beats(c, 2)
+			})
+			w := openAt(t, d)
+			end := w.servesAll()
+			time.Sleep(span)
+			if n := d.asked.Load(); n < 4 || n > 16 {
+				t.Errorf("asked %d times in %v", n, span)
+			}
+			room.Store(true)
+			at := time.Now()
+			w.until("the list is there", func() bool { return w.lists("s-000000c9") })
+			if took := time.Since(at); took > 700*time.Millisecond {
+				t.Errorf("the list came %v after there was room", took)
+			}
+			end()
+		})
+	}
+}
+
+// TestConfigurationsInQuickSuccession: two or more SIGHUPs within 100 ms, with and without a
+// moved discovery: the last one holds, one connection is left, and no event is lost or told
+// twice.
+func TestConfigurationsInQuickSuccession(t *testing.T) {
+	t.Parallel()
+	for name, moves := range map[string][]int{"not moved": {0, 0}, "moved once": {0, 1}, "moved twice": {1, 2}, "there and back": {1, 0},
+		"many times": {1, 2, 0, 1, 2, 0, 1}} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			var newest atomic.Uint64
+			newest.Store(1)
+			var feeds []*discovery
+			for range 3 {
+				var d *discovery
+				d = newDiscovery(t, func(c net.Conn, _ int64) {
+					for n := d.last.Load(); ; time.Sleep(20 * time.Millisecond) {
+						for ; n < newest.Load(); n++ {
+							c.Write(groupPurge(n+1, uint16(n+1), time.Now().UnixMilli()))
+						}
+						if _, err := c.Write(standin.PlatformFrame(n, 0, nil)); err != nil {
+							return
+						}
+					}
+				})
+				feeds = append(feeds, d)
+			}
+			w := openAt(t, feeds[0])
+			end := w.servesAll()
+			w.until("the first feed is asked", func() bool { return feeds[0].asked.Load() == 1 })
+			newest.Store(3)
+			for _, move := range moves {
+				w.write(feeds[move].Addr)
+				w.n.Reload()
+				time.Sleep(40 * time.Millisecond)
+				newest.Add(1)
+			}
+			holds := feeds[moves[len(moves)-1]]
+			w.until("the last one holds", func() bool {
+				open := int64(0)
+				for _, d := range feeds {
+					open += d.open.Load()
+				}
+				return open == 1 && holds.open.Load() == 1
+			})
+			want := newest.Add(1)
+			w.until("the last event is told", func() (told bool) {
+				w.n.l.Call(soon, func() { told = w.n.watch.reader.Last == want })
+				return told
+			})
+			w.n.l.Call(soon, func() {
+				if events := w.n.stats.Events; events != want {
+					t.Errorf("%d events were told, want %d", events, want)
+				}
+				if groups := w.n.core.Memory().Module.Groups; len(groups) != int(want)-1 {
+					t.Errorf("purges of %d groups are known, want %d", len(groups), want-1)
+				}
+			})
+			end()
+		})
+	}
+}
+
+// TestTakesLongLists: what a reader holds of half a frame is given back once it is whole.
+func TestTakesLongLists(t *testing.T) {
+	t.Parallel()
+	rows := manyRows(3200, 0xc9, "127.0.0.1:9")
+	binary.BigEndian.PutUint32(rows, 0x20000)
+	d := newDiscovery(t, func(c net.Conn, _ int64) {
+		c.Write(standin.PlatformFrame(2, 1, rows))
+		beats(c, 2)
+	})
+	w := openAt(t, d)
+	w.until("the list is there", func() bool { return w.lists("s-000000c9") && w.lists("s-00020000") })
+}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -90,7 +90,7 @@
 	}
 	n.beat.F = func() { n.tell(spool.Timer{}) }
 	n.watch.reader = feed.Reader{Zones: cfg.settings.Module.Zones, Kinds: cfg.settings.Kinds}
-	n.watch.n = n
+	n.watch.node = n
 	n.watch.dial = loop.Dial
 	n.watch.tries = limits.NewAgain(feedFirst, feedBase, feedMost, cfg.seed)
 	var known []feed.Event
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -2,112 +2,168 @@
 
 import (
 	"go.uber.org/zap"
+	"golang.org/x/sys/unix"
 
 	"indigospool/internal/feed"
 	"indigospool/internal/limits"
 	"indigospool/internal/loop"
 )
 
-// watch is the connection to the control feed.
+// watch follows the control feed of the configuration, over one connection after another.
+// Where discovery is slow to say its first word, an earlier connection is kept beside the
+// one that was begun after it, and the first to say something is followed.
 type watch struct {
-	n      *Node
-	reader feed.Reader
-	fd     int
-	open   bool
-	up     bool
-	hello  []byte
-	timer  loop.Timer
-	tries  *limits.Again
-	dial   func(address string) (fd int, inProgress bool, err error)
+	node    *Node
+	reader  feed.Reader
+	follows *feedConn // the one that was begun last, or has said something
+	awaits  *feedConn // an earlier one that has not said anything yet
+	timer   loop.Timer
+	tries   *limits.Again
+	dial    func(address string) (fd int, inProgress bool, err error)
+}
+
+// feedConn is a connection to the feed.
+type feedConn struct {
+	watch *watch
+	fd    int
+	hello []byte // what is still to be written first
+	began loop.Millis
+	up    bool // it has said something
 }
 
 // The feed tells something each second; one that is silent for longer is left. It is
 // asked again within 2 s of a break and 4 s of a silence, and no later than half a second
 // after it has come back; all routers lose it in the same moment, and don't ask in step.
 const (
-	feedSilent = 1800 // ms without a byte
-	feedFirst  = 250  // ms within which it is asked after a break
-	feedBase   = 150  // ms before the second try
-	feedMost   = 500  // ms between two tries at the most
+	feedSilent = 1800  // ms without a byte
+	feedFirst  = 250   // ms within which it is asked after a break
+	feedBase   = 150   // ms before the second try
+	feedMost   = 500   // ms between two tries at the most
+	feedWhole  = 1000  // ms for which a connection lasts that counts as a success
+	feedWord   = 10000 // ms for which a first word is awaited, while others are begun
 )
 
-// connect begins a connection to the feed of the configuration, in place of the one there is.
+// connect begins to follow the feed of the configuration, in place of any other.
 func (w *watch) connect() {
-	w.drop()
+	w.end(&w.awaits)
+	w.end(&w.follows)
+	w.begin()
+}
+
+// begin begins another connection.
+func (w *watch) begin() {
 	w.timer.F = w.late
-	w.n.l.Arm(&w.timer, feedSilent)
-	fd, _, err := w.dial(w.n.cfg.Feed)
-	if err == nil {
-		if err = w.n.l.Add(fd, loop.Read|loop.Write, w); err != nil {
-			closeFD(fd)
-		}
-	}
+	w.node.l.Arm(&w.timer, feedSilent)
+	fd, _, err := w.dial(w.node.cfg.Feed)
 	if err != nil {
-		w.n.l.Arm(&w.timer, w.tries.In())
+		w.node.l.Arm(&w.timer, w.tries.In())
+		return
+	}
+	c := &feedConn{watch: w, fd: fd, hello: w.reader.Hello(), began: w.node.l.Now()}
+	if err := w.node.l.Add(fd, loop.Read|loop.Write, c); err != nil {
+		closeFD(fd)
+		w.node.l.Arm(&w.timer, w.tries.In())
 		return
 	}
-	w.fd, w.open, w.up = fd, true, false
-	w.hello = w.reader.Hello()
+	w.follows = c
 }
 
+// late goes on after a silence, or after the pause that follows a break.
 func (w *watch) late() {
-	if w.open {
-		w.n.log.Warn("feed is silent", zap.String("feed", w.n.cfg.Feed), zap.Uint64("last", w.reader.Last))
+	if c := w.follows; c != nil {
+		w.node.log.Warn("feed is silent", zap.String("feed", w.node.cfg.Feed), zap.Uint64("last", w.reader.Last))
+		if w.awaits != nil && w.node.l.Now()-w.awaits.began > feedWord {
+			w.end(&w.awaits)
+		}
+		if w.awaits == nil && !c.up {
+			w.awaits, w.follows = c, nil
+		}
 	}
-	w.connect()
+	w.end(&w.follows)
+	w.begin()
 }
 
-func (w *watch) drop() {
-	if w.open {
-		w.n.l.Remove(w.fd)
-		closeFD(w.fd)
-		w.open = false
+// end closes a connection, if there is one.
+func (w *watch) end(which **feedConn) {
+	if c := *which; c != nil {
+		w.node.l.Remove(c.fd)
+		closeFD(c.fd)
+		*which = nil
 	}
-	w.n.l.Disarm(&w.timer)
 }
 
-// again leaves this connection for another one.
-func (w *watch) again() {
-	w.drop()
-	w.timer.F = w.late
-	w.n.l.Arm(&w.timer, w.tries.In())
+// broke leaves a connection, and has another one begun where it was the one followed.
+func (w *watch) broke(c *feedConn) {
+	if c == w.awaits {
+		w.end(&w.awaits)
+		return
+	}
+	w.end(&w.follows)
+	w.node.l.Arm(&w.timer, w.tries.In())
 }
 
-// OnReady is the loop's.
-func (w *watch) OnReady(r loop.Ready) {
-	if r.Writable() && len(w.hello) > 0 {
-		k, err := loop.WriteFD(w.fd, w.hello)
-		if err == errAgain {
-			k = 0
-		} else if err != nil {
-			w.again()
-			return
-		}
-		if w.hello = w.hello[k:]; len(w.hello) == 0 {
-			w.n.l.Want(w.fd, loop.Read)
-		}
+// heard has a connection that said something be the only one.
+func (w *watch) heard(c *feedConn) {
+	if c == w.awaits {
+		w.end(&w.follows)
+		w.follows, w.awaits = c, nil
+	}
+	w.end(&w.awaits)
+	c.up = true
+	if w.node.l.Now()-c.began >= feedWhole {
+		w.tries.Well()
 	}
-	if !r.Readable() {
+	w.node.l.Arm(&w.timer, feedSilent)
+}
+
+// again reports that a call that failed can be made again.
+func again(err error) bool { return err == errAgain || err == unix.EINTR }
+
+// OnReady is the loop's.
+func (c *feedConn) OnReady(ready loop.Ready) {
+	if ready.Writable() && len(c.hello) > 0 && !c.greet() {
 		return
 	}
-	k, err := loop.ReadFD(w.fd, w.n.scratch)
-	if err == errAgain {
+	if ready.Readable() {
+		c.read()
+	}
+}
+
+// greet writes what is left of the first message. False: the connection has ended.
+func (c *feedConn) greet() bool {
+	written, err := loop.WriteFD(c.fd, c.hello)
+	if again(err) {
+		return true
+	}
+	if err != nil {
+		c.watch.broke(c)
+		return false
+	}
+	if c.hello = c.hello[written:]; len(c.hello) == 0 {
+		c.watch.node.l.Want(c.fd, loop.Read)
+	}
+	return true
+}
+
+// read takes what has come.
+func (c *feedConn) read() {
+	w, n := c.watch, c.watch.node
+	size, err := loop.ReadFD(c.fd, n.scratch)
+	if again(err) {
 		return
 	}
-	if err != nil || k == 0 {
-		w.again()
+	if err != nil || size == 0 {
+		w.broke(c)
 		return
 	}
-	w.up = true
-	w.tries.Well()
-	w.n.l.Arm(&w.timer, feedSilent)
+	w.heard(c)
 	idle := w.reader.Idle
-	if err := w.reader.Take(w.n.scratch[:k], w.n.event); err != nil {
-		w.n.log.Warn("feed", zap.Error(err))
-		w.again()
+	if err := w.reader.Take(n.scratch[:size], n.event); err != nil {
+		n.log.Warn("feed", zap.Error(err))
+		w.broke(c)
 		return
 	}
 	if w.reader.Idle > idle {
-		w.n.clock.Current(loop.Clock())
+		n.clock.Current(loop.Clock())
 	}
 }
