--- a/cmd/spool-control/main.go
+++ b/cmd/spool-control/main.go
@@ -21,6 +21,7 @@
 	"indigospool/internal/cli"
 	"indigospool/internal/config"
 	"indigospool/internal/control"
+	"indigospool/internal/lastgood"
 )
 
 func main() {
@@ -107,7 +108,7 @@
 		return err
 	}
 	defer log.Sync()
-	svc, err := control.StartService(s, log, nil)
+	svc, err := start(ctx, s, log)
 	if err != nil {
 		return err
 	}
@@ -118,6 +119,30 @@
 	return nil
 }
 
+const (
+	firstRetry = 100 * time.Millisecond // of starting
+	lastRetry  = 5 * time.Second
+)
+
+// start starts the service. Where its store can't be read or written for now, it
+// tries again until the context ends: without its state it must offer nothing.
+func start(ctx context.Context, s *control.ServiceSettings, log *zap.Logger) (*control.Service, error) {
+	began := time.Now()
+	for wait := firstRetry; ; wait = min(2*wait, lastRetry) {
+		svc, err := control.StartService(s, log, nil)
+		var fault *lastgood.FaultError
+		if !errors.As(err, &fault) {
+			return svc, err
+		}
+		log.Error("not serving yet: the store can't be read or written for now", zap.Duration("for", time.Since(began)), zap.Error(err))
+		select {
+		case <-time.After(wait):
+		case <-ctx.Done():
+			return nil, err
+		}
+	}
+}
+
 func logger(where string) (*zap.Logger, error) {
 	if where == "none" {
 		return zap.NewNop(), nil
@@ -238,6 +263,10 @@
 		fmt.Fprintf(w, ", version %d is in stage %d", v.Next, v.Stage+1)
 	}
 	fmt.Fprintln(w)
+	if v.Unkept != "" {
+		fmt.Fprintf(w, "the state can't be kept since %s, for %v, and nothing is offered meanwhile: %s\n", v.Since,
+			(time.Duration(v.ForMs) * time.Millisecond).Round(time.Second), v.Unkept)
+	}
 	if v.Halted != "" {
 		fmt.Fprintf(w, "the last rollout was halted: %s\n", v.Halted)
 	}
--- /dev/null
+++ b/internal/control/fault_test.go
@@ -0,0 +1,262 @@
+package control
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+	"os"
+	"path/filepath"
+	"slices"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"go.etcd.io/bbolt"
+	"go.uber.org/zap"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+
+	"indigospool/internal/config"
+	"indigospool/internal/fleet"
+	"indigospool/internal/lastgood"
+)
+
+// set has saving fail from now on, or succeed again.
+func (m *memory) set(err error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.err = err
+}
+
+// sick is a file system that takes no writes while it has an errno.
+type sick struct {
+	lastgood.Disk
+	mu    sync.Mutex
+	errno error
+	late  bool // only syncs fail: what was written may last, or not
+	reads bool // reads fail too
+}
+
+func (s *sick) set(errno error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.errno = errno
+}
+
+func (s *sick) get() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.errno
+}
+
+func (s *sick) Read(file *os.File) ([]byte, error) {
+	if err := s.get(); err != nil && s.reads {
+		return nil, err
+	}
+	return s.Disk.Read(file)
+}
+
+func (s *sick) Write(file *os.File, content []byte) error {
+	if err := s.get(); err != nil {
+		s.Disk.Write(file, content[:len(content)/2])
+		return err
+	}
+	return s.Disk.Write(file, content)
+}
+
+func (s *sick) Commit(tx *bbolt.Tx) error {
+	err := s.get()
+	switch {
+	case err == nil || s.late:
+		return errors.Join(err, s.Disk.Commit(tx))
+	default:
+		tx.Rollback()
+		return err
+	}
+}
+
+func startOn(t *testing.T, files lastgood.FileSystem, store string, hold int, sent func(string, fleet.Version)) *Service {
+	t.Helper()
+	var set ServiceSettings
+	if err := config.Read("svc", fmt.Sprintf(`(service (listen "127.0.0.1:0") (admin "127.0.0.1:0") (store %q) (keep 20))
+		(rollout (hold %d) (patience 400))`, store, hold), &set); err != nil {
+		t.Fatal(err)
+	}
+	s, err := startServiceOn(files, &set, zap.NewNop(), sent)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(s.Close)
+	return s
+}
+
+// A folder that takes no writes for a while, longer than the patience of a rollout,
+// during a push, a rollback or a halt: nothing is offered or acknowledged that is not
+// kept, streams and requests are refused with a typed error, status says since when
+// and why, the service comes back by itself, and a kill loses nothing acknowledged.
+func TestServiceStoreFails(t *testing.T) {
+	steps := map[string]string{"push": "/push", "push now": "/push?now", "rollback": "/rollback?to=1&now", "halt": "/halt"}
+	for name, path := range steps {
+		for _, errno := range []syscall.Errno{syscall.EIO, syscall.ENOSPC} {
+			for _, late := range []bool{false, true} {
+				t.Run(fmt.Sprintf("%s/%v/synced %v", name, errno, !late), func(t *testing.T) {
+					t.Parallel()
+					testServiceStoreFails(t, path, &sick{late: late}, errno)
+				})
+			}
+		}
+	}
+}
+
+func testServiceStoreFails(t *testing.T, step string, files *sick, errno error) {
+	var mu sync.Mutex
+	var offered []int64
+	store := filepath.Join(t.TempDir(), "svc.db")
+	hold := 20
+	if step == "/halt" { // there has to be a rollout to stop
+		hold = 60000
+	}
+	s := startOn(t, files, store, hold, func(_ string, v fleet.Version) {
+		mu.Lock()
+		defer mu.Unlock()
+		offered = append(offered, v.Number)
+	})
+	highest := func() int64 {
+		mu.Lock()
+		defer mu.Unlock()
+		return slices.Max(offered)
+	}
+	text := func(n int) string { return string(body(3, fmt.Sprintf("(limits (held %d))", n))) }
+	ok := func(path, text string) {
+		t.Helper()
+		if code, b := ask(t, s, "POST", path, text); code != http.StatusOK {
+			t.Fatalf("%s: %d %s", path, code, b)
+		}
+	}
+	r := follow(t, false, "r", 1, nil, s.Addr())
+	eventually(t, "the stream", func() bool { return len(s.View().Routers) == 1 })
+	ok("/push?now", text(1))
+	ok("/push?now", text(2))
+	eventually(t, "version 2", all([]*router{r}, 2))
+	if step == "/halt" {
+		ok("/push", text(3))
+		eventually(t, "version 3", all([]*router{r}, 3))
+	}
+	before, last := s.View(), highest()
+
+	files.set(errno)
+	code, answer := ask(t, s, "POST", step, text(4))
+	var refused PushResult
+	if err := json.Unmarshal(answer, &refused); err != nil || code != http.StatusServiceUnavailable || refused.Error == "" {
+		t.Fatalf("%s: %d %s", step, code, answer)
+	}
+	if code, answer := ask(t, s, "POST", "/push?now", text(4)); code != http.StatusServiceUnavailable {
+		t.Errorf("pushed while nothing can be kept: %d %s", code, answer)
+	}
+	var unkept *UnkeptError
+	if err := s.Halt("x"); !errors.As(err, &unkept) || unkept.Taken || status.Code(err) != codes.Unavailable || !errors.Is(err, errno) {
+		t.Errorf("halted while nothing can be kept: %v", err)
+	}
+	other := follow(t, false, "other", 2, nil, s.Addr())
+	time.Sleep(700 * time.Millisecond)
+	if n, _ := other.Running(); n != 0 || highest() != last {
+		t.Errorf("offered while nothing can be kept: %d, then %d; the new router runs %d", last, highest(), n)
+	}
+	view := s.View()
+	if view.Unkept == "" || view.Since == "" || view.ForMs < 600 || view.Base != before.Base || view.Next != before.Next || view.Last != before.Last {
+		t.Errorf("status says %+v, it was %+v", view, before)
+	}
+	copied, err := os.ReadFile(store) // as a kill would leave it
+	if err != nil {
+		t.Fatal(err)
+	}
+
+	files.set(nil)
+	eventually(t, "the service", func() bool { return s.View().Unkept == "" })
+	s.mu.Lock()
+	says := s.rollout.State()
+	s.mu.Unlock()
+	if kept, err := s.keep.load(); err != nil || kept.Last != says.Last || kept.Base.Sum != says.Base.Sum || kept.Next.Sum != says.Next.Sum {
+		t.Errorf("%+v is kept, %+v is said: %v", kept, says, err)
+	}
+	eventually(t, "what was asked for, everywhere", func() bool {
+		v := s.View()
+		return v.Next == 0 && v.Base > before.Base && all([]*router{r, other}, v.Base)()
+	})
+	if v := s.View(); v.Halted != "" && step != "/halt" {
+		t.Errorf("halted for want of answers to what was not sent: %s", v.Halted)
+	}
+	ok("/push?now", text(5))
+	eventually(t, "the newest everywhere", func() bool { return all([]*router{r, other}, s.View().Base)() })
+
+	killed := filepath.Join(t.TempDir(), "svc.db")
+	if err := os.WriteFile(killed, copied, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	anew := startOn(t, lastgood.Disk{}, killed, 20, nil)
+	if v := anew.View(); v.Last < before.Last || v.Base < before.Base || v.Service != before.Service {
+		t.Errorf("after a kill: %+v, %+v was acknowledged", v, before)
+	}
+	for number := int64(1); number <= before.Last; number++ {
+		if v, _, err := anew.store.Version(number); err != nil || v.Number != number {
+			t.Errorf("after a kill: version %d: %v", number, err)
+		}
+	}
+}
+
+// A folder's content that could not be kept is offered once it can.
+func TestFolderWhileStoreFails(t *testing.T) {
+	dir := t.TempDir()
+	set := filepath.Join(dir, "set")
+	os.Mkdir(set, 0o755)
+	files := &sick{}
+	s := startOn(t, files, filepath.Join(dir, "svc.db"), 20, nil)
+	s.set.Service.Folder = set
+	if err := os.WriteFile(filepath.Join(set, "a.edn"), body(3, ""), 0o644); err != nil {
+		t.Fatal(err)
+	}
+	files.set(syscall.ENOSPC)
+	if _, err := s.Push(body(4, ""), true); err == nil {
+		t.Fatal("acknowledged")
+	}
+	if again := s.lookAtFolder(); again >= lookEvery {
+		t.Errorf("looked at again after %v", again)
+	}
+	files.set(nil)
+	eventually(t, "the service", func() bool { return s.View().Unkept == "" })
+	s.lookAtFolder()
+	if v := s.View(); v.Last != 2 {
+		t.Errorf("the folder's content was not offered: %+v", v)
+	}
+}
+
+// A service whose state could not be kept for a while comes back by itself.
+func TestServiceComesBack(t *testing.T) {
+	m := &memory{}
+	s, addr := serve(t, "127.0.0.1:0", m, 50)
+	r := follow(t, false, "r", 1, nil, addr)
+	if _, err := s.Push(body(3, ""), true); err != nil {
+		t.Fatal(err)
+	}
+	eventually(t, "version 1", all([]*router{r}, 1))
+	m.set(syscall.ENOSPC)
+	if _, err := s.Push(body(4, ""), true); err == nil {
+		t.Error("acknowledged")
+	}
+	clock := func() fleet.Millis {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		return s.clock()
+	}
+	began := clock()
+	time.Sleep(500 * time.Millisecond)
+	m.set(nil)
+	eventually(t, "the state", func() bool { return s.Status().Unkept == nil })
+	if stood := clock() - began; stood >= 500 {
+		t.Errorf("%v ms of a rollout's patience have passed while nothing could be offered", stood)
+	}
+	eventually(t, "a push", func() bool { _, err := s.Push(body(5, ""), true); return err == nil })
+	eventually(t, "the newest", func() bool { n, _ := r.Running(); return n == m.get().Base.Number })
+}
--- a/internal/control/folder.go
+++ b/internal/control/folder.go
@@ -48,9 +48,9 @@
 	lookEvery = 30 * time.Second       // some file systems tell of no change
 )
 
-// watchFolder calls changed once at the start and after each change, until done
-// is closed.
-func watchFolder(dir string, done <-chan struct{}, changed func()) error {
+// watchFolder calls changed once at the start, after each change, and after as long
+// as it says, until done is closed.
+func watchFolder(dir string, done <-chan struct{}, changed func() time.Duration) error {
 	w, err := fsnotify.NewWatcher()
 	if err != nil {
 		return fmt.Errorf("control: %w", err)
@@ -66,8 +66,7 @@
 		for {
 			select {
 			case <-t.C:
-				changed()
-				t.Reset(lookEvery)
+				t.Reset(changed())
 			case <-w.Events:
 				t.Reset(settleFor)
 			case <-w.Errors: // events were lost
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -56,7 +56,9 @@
 	streams map[string]*stream
 	events  []string // the last of what happened, for status
 	next    time.Time
-	broken  error // the state could not be kept: nothing more is offered
+	kept    fleet.RolloutState // what was kept last
+	unkept  *unkept            // the state can't be kept for now; nil: it can
+	stood   fleet.Millis       // for how long the rollout's clock has stood
 }
 
 // stream is one router's.
@@ -83,7 +85,7 @@
 	opts = append([]grpc.ServerOption{grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second}),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 20 * time.Second, Timeout: 10 * time.Second})}, opts...)
 	s := &Server{cfg: cfg, grpc: grpc.NewServer(opts...), done: make(chan struct{}), streams: map[string]*stream{},
-		rollout: fleet.NewRollout(cfg.Rollout, cfg.State)}
+		rollout: fleet.NewRollout(cfg.Rollout, cfg.State), kept: cfg.State}
 	discovery.RegisterAggregatedDiscoveryServiceServer(s.grpc, s)
 	load.RegisterLoadReportingServiceServer(s.grpc, s)
 	go func() {
@@ -92,7 +94,7 @@
 		for {
 			select {
 			case <-t.C:
-				s.tell(fleet.Pass{})
+				s.pass()
 			case <-s.done:
 				return
 			}
@@ -113,6 +115,17 @@
 
 func now() fleet.Millis { return float64(time.Since(began).Microseconds()) / 1000 }
 
+// pass has time pass, or tries again to keep the state.
+func (s *Server) pass() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.unkept != nil {
+		s.retryKeep()
+		return
+	}
+	s.tellLocked(fleet.Pass{})
+}
+
 // tell gives the rollout an event and carries out what it wants.
 func (s *Server) tell(ev any) {
 	s.mu.Lock()
@@ -121,20 +134,27 @@
 }
 
 func (s *Server) tellLocked(ev any) {
-	if s.broken != nil {
+	if s.unkept != nil {
+		s.putOff(ev)
 		return
 	}
-	for _, a := range s.rollout.Handle(now(), ev, nil) {
+	s.carryOut(s.rollout.Handle(s.clock(), ev, nil))
+}
+
+// carryOut does what the rollout wants, in its order: what follows the keeping of a
+// state is done only once it is kept.
+func (s *Server) carryOut(actions []any) {
+	for i, a := range actions {
 		switch a := a.(type) {
 		case fleet.Keep:
 			if s.cfg.Keep == nil {
 				continue
 			}
 			if err := s.cfg.Keep.Save(a.State); err != nil {
-				s.broken = fmt.Errorf("control: the state can't be kept, and nothing more is offered: %w", err)
-				s.note("%v", s.broken)
+				s.bar(err, actions[i+1:])
 				return
 			}
+			s.kept = a.State
 		case fleet.Offer:
 			if st := s.streams[a.Router]; st != nil {
 				select {
@@ -178,7 +198,8 @@
 }
 
 // Push begins the rollout of a body as it is, and returns its number. It makes
-// no checks but the routers'; see Offer.
+// no checks but the routers'; see Offer. Where the state can't be kept, the error is
+// an *UnkeptError.
 func (s *Server) Push(body []byte, force bool) (int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -186,9 +207,12 @@
 }
 
 func (s *Server) pushLocked(body []byte, force bool) (int64, error) {
+	if err := s.refusal(false); err != nil {
+		return 0, err
+	}
 	s.tellLocked(fleet.Push{Body: body, Force: force})
-	if s.broken != nil {
-		return 0, s.broken
+	if err := s.refusal(true); err != nil {
+		return 0, err
 	}
 	st := s.rollout.State()
 	return max(st.Next.Number, st.Base.Number), nil
@@ -200,6 +224,9 @@
 func (s *Server) Offer(sources []config.Source, force bool) (number int64, fresh bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
+	if err := s.refusal(false); err != nil {
+		return 0, false, err
+	}
 	st := s.rollout.State()
 	newest := st.Base
 	if st.Next.Number > 0 {
@@ -217,21 +244,35 @@
 }
 
 // Halt stops the rollout under way; the old content goes to all under a new number.
-func (s *Server) Halt(why string) { s.tell(fleet.Halt{Why: why}) }
+// Where the state can't be kept, the error is an *UnkeptError.
+func (s *Server) Halt(why string) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err := s.refusal(false); err != nil {
+		return err
+	}
+	s.tellLocked(fleet.Halt{Why: why})
+	return s.refusal(true)
+}
 
 // Status is what a service knows.
 type Status struct {
 	Service string
-	State   fleet.RolloutState
+	State   fleet.RolloutState // as it was kept
 	Routers []fleet.RouterStatus
 	Events  []string
+	Unkept  *UnkeptError // the state can't be kept for now; nil: it can
 }
 
 // Status tells which version each router runs, what it refused and why.
 func (s *Server) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Status{s.cfg.Name, s.rollout.State(), s.rollout.Status(), append([]string(nil), s.events...)}
+	st := Status{s.cfg.Name, s.rollout.State(), s.rollout.Status(), append([]string(nil), s.events...), nil}
+	if u := s.unkept; u != nil {
+		st.State, st.Unkept = s.kept, &UnkeptError{Since: u.since, Err: u.err}
+	}
+	return st
 }
 
 // pace has streams begin no faster than the service can take: the wait that is
@@ -286,6 +327,10 @@
 	}
 	st := &stream{router: first.router, send: make(chan fleet.Version, 1), stop: cancel}
 	s.mu.Lock()
+	if err := s.refusal(false); err != nil {
+		s.mu.Unlock()
+		return err
+	}
 	if old := s.streams[first.router]; old != nil {
 		old.stop(errors.New("control: the router has begun another stream"))
 	}
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -60,11 +60,11 @@
 
 // fromFolder reports whether a content of the folder was offered before: it is
 // offered once, also where its rollout was halted, or rolled back since.
-func (k *diskKeeper) fromFolder(sum string) (before bool) {
+func (k *diskKeeper) fromFolder(sum string) (before string, known bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	before, k.folder = k.folder == sum, sum
-	return before
+	before, k.folder = k.folder, sum
+	return before, before == sum
 }
 
 // Save implements Keeper.
@@ -115,15 +115,23 @@
 // StartService begins a service from its store and listens. sent is as in
 // ServerConfig.
 func StartService(set *ServiceSettings, log *zap.Logger, sent func(router string, v fleet.Version)) (*Service, error) {
+	return startServiceOn(lastgood.Disk{}, set, log, sent)
+}
+
+// startServiceOn is StartService with its store on a file system.
+func startServiceOn(files lastgood.FileSystem, set *ServiceSettings, log *zap.Logger, sent func(string, fleet.Version)) (*Service, error) {
 	s := &Service{set: set, log: log, done: make(chan struct{})}
 	f := &set.Service
 	var err error
-	s.store, err = lastgood.OpenKeeping(f.Store, f.Keep)
+	s.store, err = lastgood.OpenOn(files, f.Store, f.Keep)
 	var damaged *lastgood.DamagedError
+	var fault *lastgood.FaultError
 	if errors.As(err, &damaged) {
 		// numbers go on above what routers say that they have accepted
 		log.Error("the store was damaged; push the settings anew", zap.String("store", damaged.Path),
 			zap.String("set_aside", damaged.Aside), zap.Error(damaged.Err))
+	} else if errors.As(err, &fault) {
+		log.Error("the store can't be written, or not be read, for now", zap.Error(err))
 	} else if err != nil {
 		return nil, err
 	}
@@ -152,6 +160,7 @@
 		s.Close()
 		return nil, err
 	}
+	go renewStore(s.store, s.done)
 	go s.Server.Serve(s.ln)
 	go s.http.Serve(s.admin)
 	if f.Folder != "" {
@@ -210,8 +219,9 @@
 	})
 }
 
-// lookAtFolder offers what the folder holds. It is called from one goroutine.
-func (s *Service) lookAtFolder() {
+// lookAtFolder offers what the folder holds, and says after how long to look again.
+// It is called from one goroutine.
+func (s *Service) lookAtFolder() time.Duration {
 	say := func(text string, level func(string, ...zap.Field)) {
 		if text != s.last {
 			level(text)
@@ -221,22 +231,28 @@
 	sources, err := ReadFolder(s.set.Service.Folder)
 	if err != nil {
 		say(err.Error(), s.log.Error)
-		return
+		return lookEvery
 	}
 	var sum []byte
 	for _, one := range sources {
 		sum = append(append(sum, one.Text...), 0)
 	}
-	if s.keep.fromFolder(fleet.SumOf(sum)) {
-		return
+	before, known := s.keep.fromFolder(fleet.SumOf(sum))
+	if known {
+		return lookEvery
 	}
 	number, fresh, err := s.Offer(sources, false)
+	var unkept *UnkeptError
 	switch {
+	case errors.As(err, &unkept) && !unkept.Taken:
+		s.keep.fromFolder(before)
+		return lastRetry
 	case err != nil:
 		say(err.Error(), s.log.Error)
 	case fresh:
 		say(fmt.Sprintf("%s is version %d", s.set.Service.Folder, number), s.log.Info)
 	}
+	return lookEvery
 }
 
 // PushResult is what became of a push.
@@ -293,6 +309,15 @@
 	pushed(w, number, fresh, err)
 }
 
+// unread is the status of an answer that wanted a version which is not kept, or can't
+// be read for now.
+func unread(err error) int {
+	if errors.Is(err, lastgood.ErrNone) {
+		return http.StatusNotFound
+	}
+	return http.StatusServiceUnavailable
+}
+
 // httpRollback gives the content of an earlier version (?to) a new number.
 func (s *Service) httpRollback(w http.ResponseWriter, r *http.Request) {
 	to, err := strconv.ParseInt(r.URL.Query().Get("to"), 10, 64)
@@ -302,7 +327,7 @@
 	}
 	v, _, err := s.store.Version(to)
 	if err != nil {
-		answerJSON(w, http.StatusNotFound, PushResult{Error: fmt.Sprintf("version %d is not kept; see spool-control versions", to)})
+		answerJSON(w, unread(err), PushResult{Error: fmt.Sprintf("version %d is not kept, or can't be read: %v; see spool-control versions", to, err)})
 		return
 	}
 	number, err := s.Push(v.Body, r.URL.Query().Has("now"))
@@ -310,9 +335,9 @@
 }
 
 func (s *Service) httpHalt(w http.ResponseWriter, _ *http.Request) {
-	s.Halt("by hand")
+	err := s.Halt("by hand")
 	st := s.Status()
-	answerJSON(w, http.StatusOK, PushResult{Number: st.State.Base.Number, Fresh: true})
+	pushed(w, st.State.Base.Number, true, err)
 }
 
 // StatusView is Status without the versions' bodies.
@@ -325,13 +350,24 @@
 	Halted  string               `json:"halted,omitempty"` // why the last rollout was
 	Routers []fleet.RouterStatus `json:"routers"`
 	Events  []string             `json:"events"`
+	Unkept  string               `json:"unkept,omitempty"`       // why the state can't be kept for now
+	Since   string               `json:"unkept_since,omitempty"` // since when, and
+	ForMs   float64              `json:"unkept_ms,omitempty"`    // for how long
 }
 
 // View is what operators are shown.
 func (s *Service) View() StatusView {
 	st := s.Status()
-	return StatusView{st.Service, st.State.Last, st.State.Base.Number, st.State.Next.Number, st.State.Stage, st.State.Halted,
-		st.Routers, st.Events}
+	v := StatusView{Service: st.Service, Last: st.State.Last, Base: st.State.Base.Number, Next: st.State.Next.Number,
+		Stage: st.State.Stage, Halted: st.State.Halted, Routers: st.Routers, Events: st.Events}
+	since, fault := s.store.Fault()
+	if st.Unkept != nil {
+		since, fault = st.Unkept.Since, st.Unkept.Err
+	}
+	if fault != nil {
+		v.Unkept, v.Since, v.ForMs = fault.Error(), since.UTC().Format(time.RFC3339Nano), float64(time.Since(since).Microseconds())/1000
+	}
+	return v
 }
 
 func (s *Service) httpStatus(w http.ResponseWriter, _ *http.Request) {
@@ -367,7 +403,7 @@
 	}
 	v, _, err := s.store.Version(number)
 	if err != nil {
-		http.Error(w, fmt.Sprintf("version %d is not kept: %v", number, err), http.StatusNotFound)
+		http.Error(w, fmt.Sprintf("version %d is not kept: %v", number, err), unread(err))
 		return
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
--- a/internal/lastgood/lastgood.go
+++ b/internal/lastgood/lastgood.go
@@ -119,6 +119,9 @@
 		return s, err
 	}
 	s.release()
+	if fault != nil {
+		return nil, fmt.Errorf("lastgood: %s can't be a store: %w", path, fault.Err)
+	}
 	return nil, err
 }
 
