--- a/internal/control/agent.go
+++ b/internal/control/agent.go
@@ -31,6 +31,7 @@
 	Dial     []grpc.DialOption
 	Full     bool                  // state of the world, instead of what differs
 	MaxBytes int                   // of a message; default 32 MB
+	Trying   time.Duration         // a version that can't be stored for so long is refused; default 30 s
 	Report   time.Duration         // how often service is reported, at most
 	Tally    func() (Tally, error) // what is reported; nil: nothing
 
@@ -56,6 +57,11 @@
 	wake      *time.Timer
 	began     time.Time
 	begin     sync.Once
+
+	poke      chan struct{} // a version could not be stored
+	pending   *pending      // nil: there is none
+	unkept    fleet.Version // used without being stored, since there was none to run; Number 0: none
+	restoring bool          // the last good version could not be read yet
 }
 
 // reply is an answer to a version, to be written to the stream.
@@ -79,23 +85,22 @@
 	if cfg.Alive <= 0 {
 		cfg.Alive = 5 * time.Second
 	}
+	if cfg.Trying <= 0 {
+		cfg.Trying = 30 * time.Second
+	}
 	if cfg.MaxBytes <= 0 {
 		cfg.MaxBytes = 32 << 20
 	}
 	if cfg.Warn == nil {
 		cfg.Warn = func(string) {}
 	}
-	a := &Agent{cfg: cfg, machine: fleet.NewMachine(cfg.Fleet, cfg.Seed), began: time.Now(), state: "not connected"}
+	a := &Agent{cfg: cfg, machine: fleet.NewMachine(cfg.Fleet, cfg.Seed), began: time.Now(), state: "not connected",
+		poke: make(chan struct{}, 1)}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
-	found := fleet.Restored{Err: lastgood.ErrNone}
+	a.restore()
 	if cfg.Store != nil {
-		found = cfg.Store.Restored(time.Now())
-	}
-	if errors.Is(found.Err, lastgood.ErrNone) && cfg.Known.Number > 0 {
-		found = fleet.Restored{Version: cfg.Known}
-	}
-	if !errors.Is(found.Err, lastgood.ErrNone) {
-		a.tell(found)
+		a.done.Add(1)
+		go a.keepStoring()
 	}
 	if !cfg.Held {
 		a.Begin()
@@ -143,6 +148,9 @@
 	Stream            string // state of the stream
 	Age               fleet.Millis
 	Versions          []fleet.Record
+	Unkept            int64     // number of a version that could not be stored yet; 0: none
+	StoreFault        error     // why the store can't be read or written for now; nil: it can
+	StoreSince        time.Time // since when
 }
 
 // Status tells what runs, who is in charge, how old the word on it is, and what
@@ -151,7 +159,15 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	m := a.machine
-	return AgentStatus{m.Running(), m.Floor(), m.Holder(), a.state, m.Age(a.now()), m.Records()}
+	st := AgentStatus{Running: m.Running(), Accepted: a.accepted(), Service: m.Holder(), Stream: a.state, Age: m.Age(a.now()),
+		Versions: m.Records(), Unkept: a.unkept.Number}
+	if a.pending != nil {
+		st.Unkept = a.pending.version.Number
+	}
+	if a.cfg.Store != nil {
+		st.StoreSince, st.StoreFault = a.cfg.Store.Fault()
+	}
+	return st
 }
 
 func (a *Agent) now() fleet.Millis { return float64(time.Since(a.began).Microseconds()) / 1000 }
@@ -161,19 +177,19 @@
 func (a *Agent) tell(ev fleet.Event) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	queue := []fleet.Event{ev}
+	a.tellLocked(ev)
+}
+
+func (a *Agent) tellLocked(queue ...fleet.Event) {
 	for len(queue) > 0 {
-		ev, queue = queue[0], queue[1:]
+		ev := queue[0]
+		queue = queue[1:]
 		for _, act := range a.machine.Handle(a.now(), ev, nil) {
 			switch act := act.(type) {
 			case fleet.Store:
-				var err error
-				if a.cfg.Store != nil {
-					err = a.cfg.Store.Put(act.Version, time.Now())
-				}
-				queue = append(queue, fleet.Stored{Number: act.Version.Number, Err: err})
+				queue = append(queue, a.store(act.Version)...)
 			case fleet.Ack:
-				a.reply(act.Number, nil)
+				a.acknowledge(act.Number)
 			case fleet.Nack:
 				a.reply(act.Number, act.Reasons)
 			case fleet.Use:
@@ -201,7 +217,7 @@
 		return
 	}
 	select {
-	case a.replies <- reply{a.nonces[number], number, a.machine.Floor(), reasons}:
+	case a.replies <- reply{a.nonces[number], number, a.accepted(), reasons}:
 	default:
 		close(a.replies)
 		a.replies = nil
@@ -278,7 +294,7 @@
 	}
 	replies := make(chan reply, 16)
 	a.mu.Lock()
-	accepted := a.machine.Floor()
+	accepted := a.accepted()
 	a.nonces, a.replies, a.again, a.following = map[int64]string{}, replies, cancel, ""
 	a.mu.Unlock()
 	defer func() {
--- a/internal/control/fault_test.go
+++ b/internal/control/fault_test.go
@@ -8,6 +8,7 @@
 	"os"
 	"path/filepath"
 	"slices"
+	"strings"
 	"sync"
 	"syscall"
 	"testing"
@@ -260,3 +261,117 @@
 	eventually(t, "a push", func() bool { _, err := s.Push(body(5, ""), true); return err == nil })
 	eventually(t, "the newest", func() bool { n, _ := r.Running(); return n == m.get().Base.Number })
 }
+
+// A router whose disk takes no writes for a while: it says nothing of a version until
+// that is stored, refuses none, and comes back by itself; status says why and since
+// when.
+func TestAgentStoreFails(t *testing.T) {
+	for _, errno := range []syscall.Errno{syscall.EIO, syscall.ENOSPC} {
+		for _, late := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%v/synced %v", errno, !late), func(t *testing.T) {
+				t.Parallel()
+				m, files := &memory{}, &sick{late: late}
+				s, addr := serve(t, "127.0.0.1:0", m, 20)
+				path := filepath.Join(t.TempDir(), "good.db")
+				store, err := lastgood.OpenOn(files, path, 8)
+				if err != nil {
+					t.Fatal(err)
+				}
+				defer store.Close()
+				r := follow(t, false, "r", 1, store, addr)
+				s.Push(body(3, ""), true)
+				eventually(t, "version 1", all([]*router{r}, 1))
+				files.set(errno)
+				s.Push(body(4, ""), false)
+				time.Sleep(500 * time.Millisecond)
+				st := s.Status()
+				if n, _ := r.Running(); n != 1 || st.Routers[0].Running != 1 || st.Routers[0].Refused != 0 || st.State.Halted != "" {
+					t.Errorf("while it can't be stored: runs %d, %+v, halted %q", n, st.Routers[0], st.State.Halted)
+				}
+				if status := r.Status(); status.Unkept != 2 || !errors.Is(status.StoreFault, errno) || time.Since(status.StoreSince) < 400*time.Millisecond {
+					t.Errorf("%+v", status)
+				}
+				files.set(nil)
+				eventually(t, "version 2", all([]*router{r}, 2))
+				eventually(t, "its acknowledgement", func() bool { return s.Status().Routers[0].Running == 2 })
+				if status := r.Status(); status.Unkept != 0 || status.StoreFault != nil {
+					t.Errorf("%+v", status)
+				}
+				if v, _, err := store.Last(); err != nil || v.Number != 2 {
+					t.Errorf("stored: %d, %v", v.Number, err)
+				}
+			})
+		}
+	}
+}
+
+// A version that can't be stored for long is refused, and every reason told; it is
+// taken when it is offered again.
+func TestAgentStoreFailsForLong(t *testing.T) {
+	files := &sick{}
+	s, addr := serve(t, "127.0.0.1:0", &memory{}, 20)
+	store, err := lastgood.OpenOn(files, filepath.Join(t.TempDir(), "good.db"), 8)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer store.Close()
+	r := followFor(t, AgentConfig{Router: "r", Services: []string{addr}, Store: store, Trying: 200 * time.Millisecond, Fleet: fleet.Settings{Spread: 50}})
+	s.Push(body(3, ""), true)
+	eventually(t, "version 1", all([]*router{r}, 1))
+	files.set(syscall.ENOSPC)
+	s.Push(body(4, ""), true)
+	eventually(t, "the refusal", func() bool {
+		st := s.Status().Routers[0]
+		return st.Refused == 2 && len(st.Reasons) == 1 && strings.Contains(st.Reasons[0], "no space left")
+	})
+	files.set(nil)
+	s.Push(body(4, ""), true)
+	eventually(t, "version 3", all([]*router{r}, 3))
+}
+
+// A router that has nothing to run does not wait for its disk: it runs what comes, and
+// acknowledges it once it is stored. What the disk holds is found when it can be read.
+func TestAgentStartsWithoutStore(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "good.db")
+	m, files := &memory{}, &sick{reads: true}
+	s, addr := serve(t, "127.0.0.1:0", m, 20)
+	s.Push(body(3, ""), true)
+	store, err := lastgood.Open(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := store.Put(m.get().Base, time.Now()); err != nil {
+		t.Fatal(err)
+	}
+	store.Close()
+	files.set(syscall.EIO)
+	if store, err = lastgood.OpenOn(files, path, 8); store == nil {
+		t.Fatal(err)
+	}
+	defer store.Close()
+	alone := followFor(t, AgentConfig{Router: "alone", Store: store, Held: true})
+	if status := alone.Status(); status.Running != 0 || !errors.Is(status.StoreFault, syscall.EIO) {
+		t.Errorf("%+v", status)
+	}
+	files.set(nil)
+	eventually(t, "the stored version", all([]*router{alone}, 1))
+	alone.Close()
+
+	files.set(syscall.ENOSPC)
+	empty, err := lastgood.OpenOn(files, filepath.Join(t.TempDir(), "other.db"), 8)
+	if empty == nil {
+		t.Fatal(err)
+	}
+	defer empty.Close()
+	r := follow(t, false, "r", 1, empty, addr)
+	eventually(t, "the version", all([]*router{r}, 1))
+	time.Sleep(100 * time.Millisecond)
+	if st := s.Status().Routers[0]; st.Running != 0 {
+		t.Errorf("acknowledged before it is stored: %+v", st)
+	}
+	files.set(nil)
+	eventually(t, "its acknowledgement", func() bool { return s.Status().Routers[0].Running == 1 })
+	if v, _, err := empty.Last(); err != nil || v.Number != 1 {
+		t.Errorf("stored: %d, %v", v.Number, err)
+	}
+}
--- /dev/null
+++ b/internal/control/storing.go
@@ -0,0 +1,158 @@
+package control
+
+import (
+	"errors"
+	"fmt"
+	"time"
+
+	"indigospool/internal/fleet"
+	"indigospool/internal/lastgood"
+)
+
+// pending is a version that could not be stored yet, and of which nothing is said
+// until it is.
+type pending struct {
+	version fleet.Version
+	since   time.Time
+}
+
+// restore begins with the last good version, as far as it can be read for now.
+func (a *Agent) restore() {
+	found := fleet.Restored{Err: lastgood.ErrNone}
+	if a.cfg.Store != nil {
+		found = a.cfg.Store.Restored(time.Now())
+	}
+	var fault *lastgood.FaultError
+	if a.restoring = errors.As(found.Err, &fault); a.restoring {
+		a.cfg.Warn(fmt.Sprintf("the last good configuration can't be read for now, and is tried again: %v", fault))
+	}
+	switch {
+	case (a.restoring || errors.Is(found.Err, lastgood.ErrNone)) && a.cfg.Known.Number > 0:
+		a.tell(fleet.Restored{Version: a.cfg.Known})
+	case !a.restoring && !errors.Is(found.Err, lastgood.ErrNone):
+		a.tell(found)
+	}
+}
+
+// store stores a version, and is what the machine hears of it. Where that fails it is
+// tried again, and nothing is heard until then; but a router that has nothing to run
+// does not wait for its disk: it runs the version, and acknowledges it once it is
+// stored.
+func (a *Agent) store(v fleet.Version) []fleet.Event {
+	if a.cfg.Store == nil {
+		return []fleet.Event{fleet.Stored{Number: v.Number}}
+	}
+	a.pending = nil // an older one is superseded
+	err := a.cfg.Store.Put(v, time.Now())
+	if err == nil {
+		return a.stored(v)
+	}
+	a.cfg.Warn(fmt.Sprintf("configuration %d can't be stored for now, and is tried again: %v", v.Number, err))
+	select {
+	case a.poke <- struct{}{}:
+	default:
+	}
+	if a.machine.Accepted().Number == 0 {
+		a.unkept = v
+		return []fleet.Event{fleet.Stored{Number: v.Number}}
+	}
+	a.pending = &pending{v, time.Now()}
+	return nil
+}
+
+// stored is what the machine hears of a version that was stored. Where the store
+// could not be read until now, it may hold a newer one, which was acknowledged.
+func (a *Agent) stored(v fleet.Version) []fleet.Event {
+	a.pending, a.unkept = nil, fleet.Version{}
+	if !a.restoring {
+		return []fleet.Event{fleet.Stored{Number: v.Number}}
+	}
+	a.restoring = false
+	last, _, err := a.cfg.Store.Last()
+	if err != nil || last.Number <= v.Number {
+		return []fleet.Event{fleet.Stored{Number: v.Number}}
+	}
+	err = fmt.Errorf("control: number %d is older than %d, which was accepted", v.Number, last.Number)
+	return []fleet.Event{fleet.Stored{Number: v.Number, Err: err}, a.cfg.Store.Restored(time.Now())}
+}
+
+// acknowledge acknowledges a version, unless it is used without being stored.
+func (a *Agent) acknowledge(number int64) {
+	if number != a.unkept.Number {
+		a.reply(number, nil)
+	}
+}
+
+// accepted is the highest number that was acknowledged.
+func (a *Agent) accepted() int64 {
+	if a.unkept.Number > 0 {
+		return 0
+	}
+	return a.machine.Floor()
+}
+
+// keepStoring tries again what the store could not take or give, with backoff.
+func (a *Agent) keepStoring() {
+	defer a.done.Done()
+	wait := firstRetry
+	for {
+		select {
+		case <-a.poke:
+			wait = firstRetry
+			continue
+		case <-time.After(wait):
+		case <-a.ctx.Done():
+			return
+		}
+		wait = min(2*wait, lastRetry)
+		if a.retryStore() {
+			wait = lastRetry
+		}
+	}
+}
+
+// retryStore reports whether nothing is left to be tried again.
+func (a *Agent) retryStore() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	switch {
+	case a.pending != nil:
+		v, since := a.pending.version, a.pending.since
+		err := a.cfg.Store.Put(v, time.Now())
+		if err == nil {
+			a.tellLocked(a.stored(v)...)
+			return true
+		}
+		if time.Since(since) >= a.cfg.Trying {
+			a.pending = nil
+			a.tellLocked(fleet.Stored{Number: v.Number, Err: err})
+		}
+		return false
+	case a.unkept.Number > 0:
+		v := a.unkept
+		if a.cfg.Store.Put(v, time.Now()) != nil {
+			return false
+		}
+		a.unkept, a.restoring = fleet.Version{}, false
+		if _, offered := a.nonces[v.Number]; offered {
+			a.reply(v.Number, nil)
+		}
+		return true
+	case a.restoring:
+		if a.cfg.Store.Renew() != nil {
+			return false
+		}
+		found := a.cfg.Store.Restored(time.Now())
+		var fault *lastgood.FaultError
+		if errors.As(found.Err, &fault) {
+			return false
+		}
+		a.restoring = false
+		if !errors.Is(found.Err, lastgood.ErrNone) {
+			a.tellLocked(found)
+		}
+		return true
+	}
+	_, fault := a.cfg.Store.Fault()
+	return fault == nil || a.cfg.Store.Renew() == nil
+}
