--- a/internal/edge/admin.go
+++ b/internal/edge/admin.go
@@ -115,8 +115,15 @@
 		}
 		list = append(list, one)
 	}
-	return map[string]any{"running": st.Running, "accepted": st.Accepted, "service": st.Service, "stream": st.Stream,
+	out := map[string]any{"running": st.Running, "accepted": st.Accepted, "service": st.Service, "stream": st.Stream,
 		"unconfirmed_ms": st.Age, "list": list}
+	if st.Unkept > 0 {
+		out["not_stored"] = st.Unkept
+	}
+	if st.StoreFault != nil {
+		out["store_fault"], out["store_fault_since"] = st.StoreFault.Error(), st.StoreSince.UTC()
+	}
+	return out
 }
 
 func (e *Edge) adminMembers(w http.ResponseWriter, _ *http.Request) {
--- a/internal/edge/versions.go
+++ b/internal/edge/versions.go
@@ -55,7 +55,7 @@
 		if v.store, err = lastgood.Open(c.Store); v.store == nil {
 			return nil, err
 		} else if err != nil {
-			log.Log.Error("the store of versions was damaged", zap.Error(err))
+			log.Log.Error("the store of versions was damaged, or can't be read or written for now", zap.Error(err))
 		}
 	}
 	cfg := control.AgentConfig{Router: own.Router.Name, Services: c.Services, Seed: uint64(own.Router.Seed), Store: v.store,
@@ -200,7 +200,7 @@
 			return
 		}
 	}
-	v.log.Log.Error("the store of versions is not taken back: versions that come are not kept", zap.Error(err))
+	v.log.Log.Error("the store of versions is not taken back yet: it is tried again", zap.Error(err))
 }
 
 // tally counts requests that have ended, for reports.
