--- a/internal/cache/cache.go
+++ b/internal/cache/cache.go
@@ -102,20 +102,21 @@
 
 // Start opens the store and begins to listen; Run serves.
 func Start(f Form, warn func(string)) (*Server, error) {
+	return start(f, warn, store.Dir(f.Folder), time.Now)
+}
+
+// start is Start on a folder and a wall clock that tests replace. The clock is read once.
+func start(f Form, warn func(string), folder store.FS, wallClock func() time.Time) (*Server, error) {
 	if warn == nil {
 		warn = func(string) {}
 	}
 	sync := map[string]store.Sync{"segments": store.SyncSegments, "copies": store.SyncCopies}[f.Sync]
-	st, found, err := store.Open(store.Dir(f.Folder), store.Settings{Bytes: int64(f.MB * (1 << 20)), Segment: int64(f.Segment * (1 << 20)), Sync: sync, Warn: warn})
+	st, found, err := store.Open(folder, store.Settings{Bytes: int64(f.MB * (1 << 20)), Segment: int64(f.Segment * (1 << 20)), Sync: sync, Warn: warn})
 	if err != nil {
 		return nil, err
 	}
 	s := &Server{f: f, st: st, Found: found, warn: warn, conns: map[*conn]struct{}{}, flights: map[string]*flight{}, spare: map[string][]*source{},
-		buf: make([]byte, 256<<10), stopped: make(chan struct{}), began: time.Now()}
-	s.wall = s.began
-	if newest := time.UnixMilli(st.Newest()); newest.After(s.wall) { // the clock was stepped back: nothing gets younger by that
-		s.wall = newest
-	}
+		buf: make([]byte, 256<<10), stopped: make(chan struct{}), began: time.Now(), wall: wallClock()}
 	if s.l, err = loop.New(8192); err != nil {
 		st.Close()
 		return nil, err
@@ -502,12 +503,21 @@
 	return max(int64(box.Lifetime(a)), 1)
 }
 
+// ageUnknown reports whether the age of a copy can't be told. Within this process ages are
+// spans of monotonic time. The stored time of a copy of before is only a hint: where it, or
+// that of another, lies behind the start by the present clock, the clock was stepped back,
+// by nobody knows how much.
+func (s *Server) ageUnknown(c *store.Copy) bool {
+	start := s.wall.UnixMilli()
+	return c.Before && (c.Born > start || s.st.Newest() > start)
+}
+
 // use is what a copy may be used for: by the age that a router states, or else by what
 // its head and the request say.
 func (v *visit) use(c *store.Copy) box.Use {
 	age := float64(v.s.now() - c.Born)
 	switch {
-	case c.Doubt:
+	case c.Doubt || v.s.ageUnknown(c):
 		return box.Revalidate
 	case v.plain:
 		if c.Fresh <= 0 && v.fields.Get("Cache-Control") == "" && v.fields.Get("Pragma") == "" {
--- a/internal/cache/cache_test.go
+++ b/internal/cache/cache_test.go
@@ -29,6 +29,8 @@
 	form   Form
 	done   chan error
 	client *http.Client
+	folder store.FS         // nil: the form's
+	wall   func() time.Time // nil: time.Now
 }
 
 var classes = []standin.Class{{Name: "still", KB: 40}, {Name: "film", KB: 900}, {Name: "order", Write: true, Window: 2000}}
@@ -54,7 +56,14 @@
 
 func (r *rig) start() {
 	r.t.Helper()
-	s, err := Start(r.form, func(w string) { r.t.Log(w) })
+	folder, wall := r.folder, r.wall
+	if folder == nil {
+		folder = store.Dir(r.form.Folder)
+	}
+	if wall == nil {
+		wall = time.Now
+	}
+	s, err := start(r.form, func(w string) { r.t.Log(w) }, folder, wall)
 	if err != nil {
 		r.t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/cache/clock_test.go
@@ -0,0 +1,92 @@
+package cache
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"indigospool/internal/fillwire"
+)
+
+// The wall clock is stepped, while the cache is down or up: no copy is given out for
+// longer than it is fresh without its source being asked, nor one that was purged.
+func TestWallClockSteps(t *testing.T) {
+	for _, step := range []time.Duration{-time.Hour, -3 * time.Second, 0, 3 * time.Second, time.Hour} {
+		for _, down := range []time.Duration{0, 20 * time.Minute} { // how long it was down, in truth
+			t.Run(fmt.Sprint(step, " ", down), func(t *testing.T) { wallClockSteps(t, step, down) })
+		}
+	}
+}
+
+func wallClockSteps(t *testing.T, step, down time.Duration) {
+	var asked atomic.Int32
+	src := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+		asked.Add(1)
+		w.Header().Set("ETag", `"1"`)
+		w.Header().Set("Cache-Control", "max-age=600, stale-if-error=600")
+		if q.Header.Get("If-None-Match") != "" {
+			w.WriteHeader(304)
+			return
+		}
+		io.WriteString(w, "text")
+	}))
+	defer src.Close()
+	r := newRig(t, fmt.Sprintf("(upstream %q)", src.Listener.Addr()))
+	get := func(path string, age float64) int {
+		req, _ := http.NewRequest("GET", "http://"+r.s.Addr()+path, nil)
+		if age >= 0 {
+			a := fillwire.Attempt{ID: "q", From: "r", Class: "still", Object: path, Group: -1, Keep: 2, Age: age, Source: "o", At: src.Listener.Addr().String()}
+			req.Header.Set(fillwire.FillField, string(a.Append(nil)))
+		}
+		before := asked.Load()
+		res, err := r.client.Do(req)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer res.Body.Close()
+		if b, _ := io.ReadAll(res.Body); res.StatusCode != 200 || !strings.HasPrefix(string(b), "text") {
+			t.Fatalf("%s: %s %q", path, res.Status, b)
+		}
+		return int(asked.Load() - before)
+	}
+	for _, path := range []string{"/a", "/b", "/purged"} {
+		get(path, -1)
+	}
+	r.waitKept(3)
+	if code := r.purge(`{"object":"/purged"}`); code != 200 {
+		t.Fatal(code)
+	}
+	r.stop()
+	readings := 0
+	r.wall = func() time.Time {
+		readings++
+		at := time.Now().Add(down + step)
+		step = -step // the next reading has it the other way
+		return at
+	}
+	was := step
+	r.start()
+	r.s.st.CaughtUp()           // every purge was told: only the age is left to say what is stale
+	mayServe := down == 0       // in truth it is some ms old
+	must := down > 0 || was < 0 // too old, or its stored time lies in the future
+	for path, age := range map[string]float64{"/a": -1, "/b": 600_000} {
+		n := get(path, age)
+		if n == 0 && (!mayServe || must) {
+			t.Errorf("%s is given out after %v without its source being asked", path, down)
+		}
+		if again := get(path, age); again != 0 {
+			t.Errorf("%s: its source has just said that it is good, and is asked again", path)
+		}
+	}
+	if n := get("/purged", -1); n == 0 {
+		t.Error("a copy is back after its purge")
+	}
+	if readings != 1 {
+		t.Errorf("the wall clock is read %d times", readings)
+	}
+}
--- a/internal/cache/fill.go
+++ b/internal/cache/fill.go
@@ -465,7 +465,7 @@
 		switch old := v.old; {
 		case v.begun:
 			v.c.close() // it is seen by the length
-		case old != nil && !old.Doubt && v.a.Age <= 0 && box.OnError(float64(fl.s.now()), fl.s.answerOf(old), 0):
+		case old != nil && !old.Doubt && !fl.s.ageUnknown(old) && v.a.Age <= 0 && box.OnError(float64(fl.s.now()), fl.s.answerOf(old), 0):
 			v.old = nil
 			fl.s.stats.Stale++
 			v.serve(old, fillwire.Handled{Hit: true, Detail: detail})
--- a/internal/store/copy.go
+++ b/internal/store/copy.go
@@ -267,13 +267,14 @@
 // purged or given up for room meanwhile: who reads on has to ask Void.
 type Copy struct {
 	Meta
-	Size  int64
-	Doubt bool // it is of before the start, and a purge may have been missed since: only its source knows
-	s     *Store
-	g     *segment
-	off   int64
-	since uint64
-	over  bool
+	Size   int64
+	Before bool // it is of before the start, and its source has not found it good since
+	Doubt  bool // besides, a purge may have been missed meanwhile: only its source knows
+	s      *Store
+	g      *segment
+	off    int64
+	since  uint64
+	over   bool
 }
 
 // Find finds a copy whose bytes are known to be right: the first time since the start
@@ -339,12 +340,18 @@
 			s.slots[k].lens |= flagChecked
 		}
 		s.Stats.Found++
-		return &Copy{Meta: *m, Size: p.body(), s: s, g: g, off: int64(p.off)*8 + int64(p.meta()), since: p.since, Doubt: p.lens&flagKnown == 0 && !s.caught}
+		return s.copyOf(&p, g, m)
 	}
 	s.unref(g, 1)
 	return nil
 }
 
+// copyOf is a copy that was found. Its segment has one more reader.
+func (s *Store) copyOf(p *place, g *segment, m *Meta) *Copy {
+	before := p.lens&flagKnown == 0
+	return &Copy{Meta: *m, Size: p.body(), s: s, g: g, off: int64(p.off)*8 + int64(p.meta()), since: p.since, Before: before, Doubt: before && !s.caught}
+}
+
 // recordDrop notes in the index log that a copy is none.
 func (s *Store) recordDrop(hash uint64) {
 	if s.closed || s.logBroken { // a log that is written anew has it no more
@@ -388,7 +395,7 @@
 	p.lens |= flagUsed
 	g.refs++
 	s.Stats.Found++
-	return &Copy{Meta: *m, Size: p.body(), s: s, g: g, off: int64(p.off)*8 + int64(p.meta()), since: p.since, Doubt: p.lens&flagKnown == 0 && !s.caught}, true
+	return s.copyOf(p, g, m), true
 }
 
 // ReadNow reads of the copy's bytes what is there without a wait for the disk; fewer than
@@ -439,7 +446,7 @@
 	}
 	s.Stats.Written += int64(len(head))
 	p.lens |= flagKnown
-	c.Born, c.Doubt = born, false
+	c.Born, c.Before, c.Doubt = born, false, false
 	return true, nil
 }
 
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -146,6 +146,7 @@
 	used   int64
 	number uint64        // of the last purge
 	latest atomic.Uint64 // the same
+	newest atomic.Int64  // see Newest
 
 	objects map[uint64]floor
 	groups  map[int32]floor
@@ -452,6 +453,7 @@
 			r.Bytes += s.slots[i].body()
 		}
 	}
+	s.newest.Store(s.newestBorn())
 }
 
 // put takes a place into the index, if its segment holds it.
@@ -826,20 +828,20 @@
 	return s.Stats
 }
 
-// Newest is the time of birth, Unix ms, of the newest copy among those written last; 0:
-// there is none. It is a bound for a clock that was stepped back.
-func (s *Store) Newest() (newest int64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// Newest is the time of birth, Unix ms, of the newest copy among those of before the start
+// that were written last; 0: there is none, or it could not be read. One that lies in the
+// future tells that the clock was stepped back. It never waits.
+func (s *Store) Newest() int64 { return s.newest.Load() }
+
+// newestBorn looks for the newest among what was read.
+func (s *Store) newestBorn() (newest int64) {
 	if len(s.order) == 0 {
 		return 0
 	}
 	g := s.segs[s.order[len(s.order)-1]]
-	for k, i := range g.slots {
-		if k >= len(g.slots)-64 {
-			if m, err := s.readMeta(g, &s.slots[i]); err == nil {
-				newest = max(newest, m.Born)
-			}
+	for _, i := range g.slots[max(len(g.slots)-64, 0):] {
+		if m, err := s.readMeta(g, &s.slots[i]); err == nil {
+			newest = max(newest, m.Born)
 		}
 	}
 	return newest
