--- a/internal/cache/cache.go
+++ b/internal/cache/cache.go
@@ -65,7 +65,8 @@
 	disk    *store.Threads
 	Found   store.Recovered
 	warn    func(string)
-	wall    time.Time // at the start, never before what is kept was born
+	wall    time.Time // at the start
+	mending bool      // a thread tries again what failed on the disk
 	began   time.Time
 	conns   map[*conn]struct{}
 	flights map[string]*flight
@@ -140,6 +141,7 @@
 	if err := s.l.Add(s.lfd, loop.Read, acceptor{s}); err != nil {
 		return err
 	}
+	s.l.Once(mendEvery, s.mend)
 	err := s.l.Run()
 	close(s.stopped)
 	for c := range s.conns {
@@ -150,6 +152,20 @@
 	return errors.Join(err, s.st.Close())
 }
 
+// mendEvery is how often, in ms, the store is given the occasion to try again what failed;
+// whether it is time to is its own to say.
+const mendEvery = 100
+
+func (s *Server) mend() {
+	if s.st.Ailing() && !s.mending {
+		s.mending = s.disk.Do(func() {
+			s.st.Mend()
+			s.post(func() { s.mending = false })
+		})
+	}
+	s.l.Once(mendEvery, s.mend)
+}
+
 // now is the time by which copies' ages are told, Unix ms: as the clock was at the start,
 // and from there on only forward.
 func (s *Server) now() int64 { return s.wall.UnixMilli() + time.Since(s.began).Milliseconds() }
@@ -855,6 +871,8 @@
 		if !s.disk.Do(func() {
 			out["copies"], out["bytes"] = s.st.Held()
 			out["store"] = s.st.Counts()
+			disk := s.st.Status()
+			out["disk"], out["found"] = describe(disk), disk.Found
 			s.post(tell)
 		}) {
 			tell()
@@ -864,6 +882,27 @@
 	}
 }
 
+// diskState is how the disk is doing, as GET /-/state tells it.
+type diskState struct {
+	Fault      string `json:"fault,omitempty"` // the call that failed
+	File       string `json:"file,omitempty"`
+	Cause      string `json:"cause,omitempty"`
+	Since      string `json:"since,omitempty"` // RFC 3339
+	ForMS      int64  `json:"for_ms,omitempty"`
+	Unread     bool   `json:"unread"`     // nothing of before is given out: the logs could not be read yet
+	Purges     bool   `json:"purges"`     // they can be acknowledged
+	Unreadable int    `json:"unreadable"` // segments whose copies are not given out for now
+}
+
+func describe(status store.Status) diskState {
+	out := diskState{Unread: status.Unread, Purges: status.Purges, Unreadable: status.Unreadable}
+	if fault := status.Fault; fault != nil {
+		out.Fault, out.File, out.Since, out.ForMS = fault.Op, fault.File, fault.Since.UTC().Format(time.RFC3339), status.For.Milliseconds()
+		out.Cause = fault.Err.Error()
+	}
+	return out
+}
+
 // storable reports whether an answer may be kept, by RFC 9111 and the attempt.
 func (v *visit) storable(h *http1.Head) bool {
 	if v.a.Keep < 1 {
--- /dev/null
+++ b/internal/cache/fault_test.go
@@ -0,0 +1,160 @@
+package cache
+
+import (
+	"encoding/json"
+	"fmt"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"indigospool/internal/store"
+)
+
+// faultyDir is a folder whose calls fail while errno is not 0.
+type faultyDir struct {
+	store.Dir
+	errno atomic.Int32
+}
+
+func (d *faultyDir) fails() error {
+	if errno := d.errno.Load(); errno != 0 {
+		return syscall.Errno(errno)
+	}
+	return nil
+}
+
+func (d *faultyDir) Open(name string, create bool) (store.File, error) {
+	if err := d.fails(); err != nil && (create || err != syscall.ENOSPC) {
+		return nil, err
+	}
+	f, err := d.Dir.Open(name, create)
+	if err != nil {
+		return nil, err
+	}
+	return &faultyFile{f, d}, nil
+}
+
+func (d *faultyDir) SyncDir() error {
+	if err := d.fails(); err != nil {
+		return err
+	}
+	return d.Dir.SyncDir()
+}
+
+type faultyFile struct {
+	store.File
+	d *faultyDir
+}
+
+// WriteAt writes half while the folder fails.
+func (f *faultyFile) WriteAt(b []byte, off int64) (int, error) {
+	if err := f.d.fails(); err != nil {
+		n, _ := f.File.WriteAt(b[:len(b)/2], off)
+		return n, err
+	}
+	return f.File.WriteAt(b, off)
+}
+
+func (f *faultyFile) ReadAt(b []byte, off int64) (int, error) {
+	if err := f.d.fails(); err != nil && err != syscall.ENOSPC {
+		return 0, err
+	}
+	return f.File.ReadAt(b, off)
+}
+
+func (f *faultyFile) Sync() error {
+	if err := f.d.fails(); err != nil {
+		return err
+	}
+	return f.File.Sync()
+}
+
+// state is what GET /-/state tells of the disk.
+func (r *rig) state() (out struct {
+	Copies int `json:"copies"`
+	Disk   struct {
+		Fault, File, Cause, Since string
+		ForMS                     int64 `json:"for_ms"`
+		Unread, Purges            bool
+	} `json:"disk"`
+}) {
+	r.t.Helper()
+	res, err := r.client.Get("http://" + r.s.Addr() + "/-/state")
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	defer res.Body.Close()
+	if err := json.NewDecoder(res.Body).Decode(&out); err != nil {
+		r.t.Fatal(err)
+	}
+	return out
+}
+
+// A folder that fails for a while, with a restart in the middle or without: requests are
+// answered from the source meanwhile, purges hold and are not acknowledged, the state says
+// since when and why; afterwards it keeps copies and acknowledges purges by itself, and
+// the purges of meanwhile have come to last without being sent again.
+func TestFolderFailsForAWhile(t *testing.T) {
+	for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EIO} {
+		for _, restart := range []bool{false, true} {
+			t.Run(fmt.Sprint(errno, " ", restart), func(t *testing.T) { folderFails(t, errno, restart) })
+		}
+	}
+}
+
+func folderFails(t *testing.T, errno syscall.Errno, restart bool) {
+	r := newRig(t, "")
+	r.stop()
+	folder := &faultyDir{Dir: store.Dir(r.form.Folder)}
+	r.folder = folder
+	r.start()
+	for _, name := range []string{"a", "b", "c"} {
+		r.good("/still/1/"+name, true)
+	}
+	r.waitKept(3)
+	folder.errno.Store(int32(errno))
+	if restart {
+		r.s.Stop()
+		<-r.done // it says that what was kept may not last
+		r.start()
+	}
+	r.good("/still/1/x", true)
+	if code := r.purge(`{"object":"/still/1/b"}`); code != 500 {
+		t.Errorf("a purge that does not last is answered %d", code)
+	}
+	if res, _, _ := r.ask("/still/1/b", false, nil); res.StatusCode != 504 {
+		t.Errorf("a purge that was not acknowledged does not hold: %d", res.StatusCode)
+	}
+	if st := r.state().Disk; st.Cause != errno.Error() || st.Since == "" || st.File == "" || st.Purges || st.Unread != (restart && errno == syscall.EIO) {
+		t.Errorf("the state says %+v", st)
+	}
+	folder.errno.Store(0)
+	for i := 0; !r.state().Disk.Purges; i++ { // nothing but time passes
+		if time.Sleep(20 * time.Millisecond); i > 300 {
+			t.Fatalf("it does not come back: %+v", r.state().Disk)
+		}
+	}
+	if code := r.purge(`{"object":"/still/1/c"}`); code != 200 {
+		t.Errorf("a purge afterwards is answered %d", code)
+	}
+	r.good("/still/1/d", true)
+	for i := 0; ; i++ {
+		if res, _, _ := r.ask("/still/1/d", false, nil); res.StatusCode == 200 {
+			break
+		}
+		if time.Sleep(20 * time.Millisecond); i > 300 {
+			t.Fatal("nothing is kept afterwards")
+		}
+		r.good("/still/1/d", true)
+	}
+	r.s.Stop()
+	<-r.done
+	r.start()
+	r.s.st.CaughtUp()
+	for name, want := range map[string]int{"a": 200, "b": 504, "c": 504, "d": 200} {
+		if res, _, _ := r.ask("/still/1/"+name, false, nil); res.StatusCode != want {
+			t.Errorf("after a start %s is answered %d, want %d", name, res.StatusCode, want)
+		}
+	}
+}
--- a/internal/cache/kill_test.go
+++ b/internal/cache/kill_test.go
@@ -10,21 +10,43 @@
 	"path/filepath"
 	"strings"
 	"sync"
+	"sync/atomic"
+	"syscall"
 	"testing"
 	"time"
 
 	"indigospool/internal/fillwire"
 	"indigospool/internal/standin"
+	"indigospool/internal/store"
 	"indigospool/internal/tap"
 )
 
 // The whole program, killed again and again under load, with purges while it is up and
 // while it is down: every answer is whole, of one version, and of none that a purge before
 // the question has voided; most of what it had is not fetched again.
-func TestProgramKilled(t *testing.T) {
+func TestProgramKilled(t *testing.T) { killProgram(t, false) }
+
+// The same with a folder that fails, again and again, for some 50 ms (ENOSPC, EIO).
+func TestProgramKilledWithFaults(t *testing.T) { killProgram(t, true) }
+
+// failNowAndThen has a folder fail half of the time.
+func failNowAndThen(folder *faultyDir) {
+	for {
+		for _, errno := range []syscall.Errno{0, syscall.ENOSPC, 0, syscall.EIO} {
+			folder.errno.Store(int32(errno))
+			time.Sleep(time.Duration(10+rand.IntN(50)) * time.Millisecond)
+		}
+	}
+}
+
+func killProgram(t *testing.T, faults bool) {
 	if dir := os.Getenv("CACHE_SERVE"); dir != "" {
-		s, err := Start(Form{Name: "b1", Listen: "127.0.0.1:0", Folder: dir, MB: 64, Segment: 1, Threads: 4, Queue: 256, Patience: 2000, Fills: 64,
-			FillWait: 2000, Connect: 500, Idle: 60000, Conns: 1000, Held: 1 << 20, Body: 1 << 20, RunOn: true}, nil)
+		folder := &faultyDir{Dir: store.Dir(dir)}
+		if faults {
+			go failNowAndThen(folder)
+		}
+		s, err := start(Form{Name: "b1", Listen: "127.0.0.1:0", Folder: dir, MB: 64, Segment: 1, Threads: 4, Queue: 256, Patience: 2000, Fills: 64,
+			FillWait: 2000, Connect: 500, Idle: 60000, Conns: 1000, Held: 1 << 20, Body: 1 << 20, RunOn: true}, nil, folder, time.Now)
 		if err != nil {
 			fmt.Println("error", err)
 			os.Exit(1)
@@ -62,7 +84,7 @@
 			origin.Purge(p, 0, 0)
 			version[p]++
 		}
-		cmd := exec.Command(os.Args[0], "-test.run", "^TestProgramKilled$")
+		cmd := exec.Command(os.Args[0], "-test.run", "^"+t.Name()+"$")
 		cmd.Env = append(os.Environ(), "CACHE_SERVE="+dir)
 		in, err := cmd.StdinPipe()
 		if err != nil {
@@ -82,7 +104,11 @@
 			t.Fatalf("round %d: %q %v", round, line, err)
 		}
 		found = max(found, copies)
-		timer := time.AfterFunc(time.Duration(60+rng.IntN(200))*time.Millisecond, func() { cmd.Process.Kill() })
+		var dead atomic.Bool
+		timer := time.AfterFunc(time.Duration(60+rng.IntN(200))*time.Millisecond, func() {
+			dead.Store(true)
+			cmd.Process.Kill()
+		})
 		var wg sync.WaitGroup
 		for w := range 6 {
 			seed := rng.Uint64()
@@ -98,14 +124,18 @@
 						mu.Lock()
 						version[p]++ // answered or not, the origin has it; the box answers for it from here on only if it was
 						mu.Unlock()
-						if err != nil {
+						if err == nil {
+							res.Body.Close()
+						} else if dead.Load() || !faults {
 							return
 						}
-						res.Body.Close()
 						continue
 					}
 					want := least(p)
 					res, b, err := r.at(addr, p)
+					if err != nil && faults && !dead.Load() {
+						continue // a copy could not be read to its end
+					}
 					if err != nil {
 						return // it was killed
 					}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -703,11 +703,19 @@
 // record writes a purge into both logs, and has it last.
 func (s *Store) record(w Purge) error {
 	b := entry(nil, kindWord, w.append(nil))
-	if err := errors.Join(s.append(s.words, &s.wordsL, b), s.words.Sync()); err != nil {
-		return s.failLog("write", wordsName, err)
+	if err := s.appendSynced(s.words, wordsName, &s.wordsL, b); err != nil {
+		return err
+	}
+	return s.appendSynced(s.index, indexName(s.indexN), &s.indexL, b)
+}
+
+// appendSynced appends to a log and has it last.
+func (s *Store) appendSynced(f File, name string, at *int64, b []byte) error {
+	if err := s.append(f, at, b); err != nil {
+		return s.failLog("write", name, err)
 	}
-	if err := errors.Join(s.append(s.index, &s.indexL, b), s.index.Sync()); err != nil {
-		return s.failLog("write", indexName(s.indexN), err)
+	if err := f.Sync(); err != nil {
+		return s.failLog("sync", name, err)
 	}
 	return nil
 }
