--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -58,7 +58,6 @@
 	Serve
 	Forget
 	IsWell
-	Nothing // a call that was given up in the same breath; never parsed
 )
 
 // Call is one message of a client.
--- a/internal/limits/places.go
+++ b/internal/limits/places.go
@@ -53,7 +53,7 @@
 	switch {
 	case v.Shut > 0:
 		return now-v.Shut > lingerFor
-	case v.Half > 0 && (now-v.Half > halfFor || now-v.Begun > wholeFor), v.Stuck > 0 && now-v.Stuck > unreadFor:
+	case v.Half > 0 && (now-v.Half > halfFor || now-v.Begun > wholeFor), v.Ignores(now):
 		return true
 	case v.Open > 0:
 		return false
@@ -63,6 +63,9 @@
 	return v.Half == 0 && now-v.Last > unusedFor
 }
 
+// Ignores reports whether a connection takes nothing of what waits for it.
+func (v *Visitor) Ignores(now float64) bool { return v.Stuck > 0 && now-v.Stuck > unreadFor }
+
 // Yields reports whether v goes before w where room is needed for another connection:
 // never one with an open request; of the others one that was shut already, then one that
 // never spoke, then the one that was longest without use.
--- /dev/null
+++ b/internal/loop/arrival.go
@@ -0,0 +1,33 @@
+package loop
+
+// Since is the earliest moment at which what the present turn tells of may have come: bytes,
+// an end, a connection. A descriptor that the poll before did not tell of became ready after
+// that poll, which may be long ago where the turn between took long; where the loop was
+// waiting, it became ready now.
+//
+// It holds for a descriptor only if the turn before left nothing to be read on it.
+func (l *Loop) Since() Millis { return l.since }
+
+// waitFor is how long the next poll may wait. After a long turn it does not, so that what
+// has come in that turn is told from what comes while the loop waits.
+func (l *Loop) waitFor(wait int, began Millis) int {
+	if began-l.polled > slowTurn {
+		return 0
+	}
+	return wait
+}
+
+// arrived sets the moments that Since goes by, after a poll that began at began. One that
+// was interrupted has looked at nothing: the process may have been stopped meanwhile.
+func (l *Loop) arrived(began Millis, interrupted bool) {
+	unwatched := began - l.polled // between two looks
+	l.since = l.polled
+	switch {
+	case interrupted:
+	case unwatched > slowTurn:
+		l.polled = began
+	default:
+		l.since = l.now - unwatched
+		l.polled = l.now
+	}
+}
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -80,6 +80,8 @@
 	events       []unix.EpollEvent
 	now          Millis
 	timers       heap
+	polled       Millis // what the last poll did not tell of came later
+	since        Millis // see Since
 	turns        uint64
 	lag          Millis // the longest turn of late, see Lag
 	slow         Millis // see Slow
@@ -114,6 +116,7 @@
 	}
 	l := &Loop{epfd: epfd, wakefd: wakefd, events: make([]unix.EpollEvent, 512), maxPost: maxPost}
 	l.now = Clock()
+	l.polled, l.since = l.now, l.now
 	l.resumeT.F = l.resume
 	ev := unix.EpollEvent{Events: unix.EPOLLIN, Fd: int32(wakefd), Pad: -1}
 	if err := unix.EpollCtl(epfd, unix.EPOLL_CTL_ADD, wakefd, &ev); err != nil {
@@ -290,11 +293,13 @@
 	} else if len(l.timers.list) > 0 {
 		wait = max(int(l.timers.list[0].due-Clock()+0.999), 0)
 	}
-	n, err := l.poll(wait)
+	began := Clock()
+	n, err := l.poll(l.waitFor(wait, began))
 	if err != nil {
 		return fmt.Errorf("loop: epoll_wait: %w", err)
 	}
 	l.now = Clock()
+	l.arrived(began, l.interrupted > 0)
 	l.turns++
 	posts := false
 	for _, first := range [...]bool{true, false} {
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -1,6 +1,8 @@
 package node
 
 import (
+	"slices"
+
 	"golang.org/x/sys/unix"
 
 	"go.uber.org/zap"
@@ -81,6 +83,10 @@
 		}
 		unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 		c := &client{n: n, fd: fd, open: map[int32]*request{}, v: limits.Visitor{Since: n.l.Now()}}
+		c.settle.F = c.begin
+		if c.emptied = loop.Clock(); !loop.Quiet(fd) {
+			c.behind = n.l.Since()
+		}
 		if err := n.l.Add(fd, loop.Read, c); err != nil {
 			closeFD(fd)
 			continue
@@ -94,7 +100,10 @@
 func (n *Node) yield() bool {
 	var first *client
 	for c := range n.clients {
-		c.v.Open = len(c.open)
+		if c.out.Len() > 0 {
+			continue // an answer is under way
+		}
+		c.v.Open = len(c.open) + len(c.unsent)
 		var best *limits.Visitor
 		if first != nil {
 			best = &first.v
@@ -116,11 +125,29 @@
 	in     loop.Queue
 	out    loop.Queue
 	open   map[int32]*request
-	last   int32 // number of the last call of serve
+	unsent []unsent // calls that were read whole, and of which nothing has begun
+	last   int32    // number of the last call of serve
 	v      limits.Visitor
 	closed bool
+
+	// What Node.take counts a request's time from.
+	emptied float64 // when a read last found nothing more
+	behind  float64 // 0, or when bytes may have come that no read has reached yet
+
+	settled float64    // when what may stand behind a large read has come
+	settle  loop.Timer // has what waited for that begin
 }
 
+// unsent is a call of serve that waits until all that came behind it has been read.
+type unsent struct {
+	front.Call
+	came float64 // the earliest moment at which its last byte may have come
+	read float64 // when it was read
+}
+
+// owes reports whether the client has a request, or a part of an answer, to come.
+func (c *client) owes() bool { return len(c.open) > 0 || len(c.unsent) > 0 || c.out.Len() > 0 }
+
 // close ends a connection; what is open on it is given up.
 func (c *client) close() {
 	if c.closed {
@@ -129,6 +156,9 @@
 	n := c.n
 	c.closed = true
 	n.stats.Closed++
+	n.stats.Gone += uint64(len(c.unsent))
+	c.unsent = nil
+	n.l.Forget(&c.settle)
 	n.l.Remove(c.fd)
 	closeFD(c.fd)
 	delete(n.clients, c)
@@ -175,7 +205,8 @@
 		c.flush()
 	}
 	if !c.closed && r.Readable() {
-		c.read()
+		c.receive()
+		c.begin()
 	}
 }
 
@@ -186,142 +217,204 @@
 	}
 }
 
-// readMost is how many bytes are read of one client before the first call is begun.
-const readMost = 256 << 10
+const (
+	readMost   = 256 << 10 // bytes that one turn reads of one client
+	readLarge  = 64 << 10  // bytes in one turn, past which the kernel may have held back more at the client's side
+	settleTime = 3.0       // ms in which that comes
+	unsentMost = 50.0      // ms that a call waits for what comes behind it
+	lateTurn   = 30.0      // ms into a turn, from which on clients are read again before anything begins
+)
+
+// late reports that the present turn began so long ago that clients may have left since.
+func (n *Node) late() bool { return loop.Clock()-n.l.Now() > lateTurn }
 
-// read takes what has come, all of it: a call that is given up behind others is not
-// begun. Whole calls are looked at together before the first is handed on: one that
-// spoils its connection spoils what came along with it.
-func (c *client) read() {
+// receive reads what has come. What gives up a request, or ends the connection, takes
+// effect at once; calls are kept until begin, so that one that is given up behind others,
+// however many, is not begun, and one that spoils its connection spoils what came along
+// with it.
+func (c *client) receive() {
 	n := c.n
-	var data []byte
-	for {
-		k, err := loop.ReadFD(c.fd, n.scratch)
-		if err == errAgain && data != nil {
-			break
-		}
-		if err == errAgain {
+	came := c.behind
+	if came == 0 {
+		came = max(n.l.Since(), c.emptied)
+	}
+	for left := readMost; left > 0; {
+		asked := loop.Clock()
+		size, err := loop.ReadFD(c.fd, n.scratch)
+		switch {
+		case err == errAgain:
+			c.empty(asked, readMost-left)
 			return
-		}
-		if err != nil || k == 0 {
+		case err != nil || size == 0:
 			c.close()
 			return
 		}
-		if data = n.scratch[:k]; c.in.Len() > 0 || k == len(n.scratch) {
-			c.in.Add(&n.bufs, data)
-			data = c.in.Bytes()
+		if c.parse(n.scratch[:size], came); c.closed {
+			return
 		}
-		if k < len(n.scratch) || len(data) > readMost {
+		left -= size
+		if size < len(n.scratch) && !n.late() { // an end that has come in a long turn is read behind it
+			c.empty(asked, readMost-left)
+			return
+		}
+	}
+	c.behind = came
+}
+
+// empty notes that a read that began at asked has left nothing, after so many bytes.
+func (c *client) empty(asked float64, size int) {
+	c.emptied, c.behind = asked, 0
+	if size > readLarge {
+		c.settled = asked + settleTime
+	}
+}
+
+// begin hands on the calls that were read, once nothing is left behind them that could
+// give them up.
+func (c *client) begin() {
+	for !c.closed && len(c.unsent) > 0 {
+		call := c.unsent[0]
+		if now := loop.Clock(); (c.behind > 0 || c.settled > now) && now-call.read < unsentMost {
+			c.n.l.Arm(&c.settle, settleTime)
 			break
 		}
+		c.unsent = c.unsent[1:]
+		c.serve(&call)
+	}
+	if len(c.unsent) == 0 {
+		c.unsent = nil
+	}
+	c.flush()
+}
+
+// heed hears what the client has sent since the turn began, where that is long ago.
+func (c *client) heed() {
+	if c.closed || c.v.Shut > 0 || !c.n.late() || loop.Clock()-c.emptied < lateTurn {
+		return
+	}
+	c.receive()
+	if !c.closed && (len(c.unsent) > 0 || c.out.Len() > 0) {
+		c.n.l.Arm(&c.settle, 0)
+	}
+}
+
+// parse takes bytes that have come, and hears each message that is whole.
+func (c *client) parse(data []byte, came float64) {
+	n := c.n
+	kept := c.in.Len() > 0
+	if kept {
+		c.in.Add(&n.bufs, data)
+		data = c.in.Bytes()
 	}
-	calls, used, err := c.calls(data)
+	used, err := c.messages(data, came)
 	if err != nil {
 		n.stats.Bad++
 		n.log.Debug("client closed", zap.Error(err))
 		c.close()
+	}
+	if c.closed {
 		return
 	}
 	rest := len(data) - used
-	if c.in.Len() > 0 {
+	if kept {
 		c.in.Take(&n.bufs, used)
 	} else if rest > 0 {
 		c.in.Add(&n.bufs, data[used:])
 	}
+	c.note(used, rest)
+}
+
+// note keeps what the limits go by, after a read that ended so many bytes of whole messages
+// and left so many of one that is not.
+func (c *client) note(used, rest int) {
+	n := c.n
+	if used > 0 {
+		c.v.Last = n.l.Now()
+	}
 	if rest == 0 {
 		c.v.Half = 0
-	} else {
-		if c.v.Half == 0 || used > 0 {
-			c.v.Begun = n.l.Now()
-		}
-		c.v.Half = n.l.Now()
-	}
-	if rest > 0 && n.bufs.Used > n.waitingBytes() { // too much is held of what has not come whole
-		c.close()
 		return
 	}
-	if len(calls) > 0 {
-		c.v.Messages += len(calls)
-		c.v.Last = n.l.Now()
+	if c.v.Half == 0 || used > 0 {
+		c.v.Begun = n.l.Now()
 	}
-	for i := range calls {
-		if c.closed {
-			return
-		}
-		c.call(&calls[i])
+	c.v.Half = n.l.Now()
+	if n.bufs.Used > n.waitingBytes() {
+		n.relieve()
 	}
-	c.flush()
 }
 
-// calls reads all whole frames, and holds them to what a connection may do: numbers
-// rise, and so many requests are open at once.
-func (c *client) calls(data []byte) (calls []front.Call, used int, err error) {
-	open, last := len(c.open), c.last
-	for {
+// messages hears all whole frames, and tells how many bytes they take.
+func (c *client) messages(data []byte, came float64) (used int, err error) {
+	for !c.closed {
 		payload, size, err := front.Split(data[used:])
 		if err != nil || size == 0 {
-			return calls, used, err
+			return used, err
 		}
 		call, err := c.n.codec.Parse(payload)
 		if err != nil {
-			return nil, 0, err
+			return used, err
 		}
-		switch call.Verb {
-		case front.Serve:
-			if call.Seq <= last {
-				return nil, 0, front.ErrNumber
-			}
-			if last = call.Seq; open >= front.MaxOpen {
-				return nil, 0, front.ErrOpen
-			}
-			open++
-		case front.Forget:
-			if c.open[call.Of] != nil {
-				open--
-				break
-			}
-			for i := range calls { // given up before it was begun: nobody need hear of it
-				if calls[i].Verb == front.Serve && calls[i].Seq == call.Of {
-					calls[i].Verb = front.Nothing
-					c.n.stats.Gone++
-					open--
-				}
-			}
+		if err := c.hear(&call, came); err != nil {
+			return used, err
 		}
-		calls = append(calls, call)
+		c.v.Messages++
 		used += size
 	}
+	return used, nil
 }
 
-// call does what one message asks for.
-func (c *client) call(call *front.Call) {
+// hear takes one message, and holds it to what a connection may do: numbers rise, and so
+// many requests are open at once.
+func (c *client) hear(call *front.Call, came float64) error {
 	n := c.n
 	switch call.Verb {
-	case front.Forget:
-		if r := c.open[call.Of]; r != nil {
-			c.giveUp(r)
-		}
-	case front.IsWell:
-		c.queue(n.codec.Well(call.Seq, n.drained == 0))
-	case front.Nothing:
-		c.last = call.Seq
 	case front.Serve:
-		c.last = call.Seq
-		q, err := front.Check(call, n.class)
-		if err == nil && n.reqs[q.ID] != nil {
-			err = front.ErrTwice
+		if call.Seq <= c.last {
+			return front.ErrNumber
 		}
-		if err != nil {
-			n.stats.Bad++
-			n.log.Debug("request turned down", zap.Error(err))
-			c.queue(n.codec.Failed(call.Seq))
-			return
+		if c.last = call.Seq; len(c.open)+len(c.unsent) >= front.MaxOpen {
+			return front.ErrOpen
 		}
-		n.take(c, call.Seq, q)
+		c.unsent = append(c.unsent, unsent{*call, came, loop.Clock()})
+	case front.Forget:
+		c.forget(call.Of)
+	case front.IsWell:
+		c.queue(n.codec.Well(call.Seq, n.drained == 0))
 	default:
 		n.stats.Bad++
 		c.queue(n.codec.NoSuch(call.Name, call.Seq))
 	}
+	return nil
+}
+
+// forget gives up a call; one that was not begun is not heard of by anybody.
+func (c *client) forget(seq int32) {
+	if r := c.open[seq]; r != nil {
+		c.giveUp(r)
+		return
+	}
+	at := slices.IndexFunc(c.unsent, func(u unsent) bool { return u.Seq == seq })
+	if at >= 0 {
+		c.unsent = slices.Delete(c.unsent, at, at+1)
+		c.n.stats.Gone++
+	}
+}
+
+// serve begins a request, or turns it down.
+func (c *client) serve(call *unsent) {
+	n := c.n
+	q, err := front.Check(&call.Call, n.class)
+	if err == nil && n.reqs[q.ID] != nil {
+		err = front.ErrTwice
+	}
+	if err != nil {
+		n.stats.Bad++
+		n.log.Debug("request turned down", zap.Error(err))
+		c.queue(n.codec.Failed(call.Seq))
+		return
+	}
+	n.take(c, call.Seq, q, call.came)
 }
 
 // answer gives a request its final answer.
@@ -331,6 +424,20 @@
 	c.flush()
 }
 
+// relieve closes the client for which most bytes are kept, where all together take too much
+// memory: those that wait for it to read, and those of a message that does not come whole.
+func (n *Node) relieve() {
+	var most *client
+	for c := range n.clients {
+		if most == nil || c.in.Len()+c.out.Len() > most.in.Len()+most.out.Len() {
+			most = c
+		}
+	}
+	if most != nil {
+		most.close()
+	}
+}
+
 // queue adds bytes for the client. One that asks and takes nothing is closed before
 // what waits for all takes too much memory.
 func (c *client) queue(b []byte) {
@@ -368,7 +475,9 @@
 	if c.out.Len() > 0 {
 		want |= loop.Write
 		if n.waiting > n.waitingBytes() {
-			c.close()
+			n.relieve()
+		}
+		if c.closed {
 			return
 		}
 	} else {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -302,10 +302,10 @@
 	}
 }
 
-// take hands a client's request to the module.
-func (n *Node) take(c *client, seq int32, q front.Request) {
-	now := n.l.Now()
-	r := &request{Request: q, c: c, seq: seq, until: now + q.Wait, write: n.classes[q.Class].Write}
+// take hands a client's request to the module. Its time counts from the earliest moment at
+// which its last byte may have come: it may have lain unread for a long turn of the loop.
+func (n *Node) take(c *client, seq int32, q front.Request, came float64) {
+	r := &request{Request: q, c: c, seq: seq, until: came + q.Wait, write: n.classes[q.Class].Write}
 	n.reqs[q.ID], c.open[seq] = r, r
 	n.stats.Requests++
 	n.trace("taken", r, zap.String("class", q.Class), zap.Float64("wait", q.Wait), zap.String("once", q.Once), zap.Int("fd", c.fd))
@@ -334,15 +334,16 @@
 	}
 }
 
-// sweep closes connections that overstay, and ends a drained router.
+// sweep closes connections that overstay, and ends a drained router. One that is owed an answer is not shut before it
+// has that, whatever else it does.
 func (n *Node) sweep() {
 	now := n.l.Now()
 	for c := range n.clients {
-		switch c.v.Open = len(c.open); {
+		switch c.v.Open = len(c.open) + len(c.unsent); {
 		case !c.v.Overstays(now):
-		case c.v.Shut > 0 || c.v.Stuck > 0:
+		case c.v.Shut > 0 || c.v.Ignores(now):
 			c.close()
-		case loop.Quiet(c.fd):
+		case !c.owes() && loop.Quiet(c.fd):
 			c.shut()
 		}
 	}
@@ -359,7 +360,7 @@
 func (n *Node) leave() {
 	n.listener.close()
 	for c := range n.clients {
-		if c.v.Shut == 0 && len(c.open) == 0 && c.out.Len() == 0 && c.in.Len() == 0 && loop.Quiet(c.fd) {
+		if c.v.Shut == 0 && !c.owes() && c.in.Len() == 0 && loop.Quiet(c.fd) {
 			c.shut()
 		}
 	}
--- /dev/null
+++ b/internal/node/terms_test.go
@@ -0,0 +1,283 @@
+package node
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"strconv"
+	"sync"
+	"testing"
+	"time"
+
+	spool "indigospool"
+	"indigospool/internal/standin"
+)
+
+// The stricter terms: what a client is owed however late the loop, the kernel or a cache is.
+
+const deadlineSlack = 150 * time.Millisecond // by which a deadline that is passed on may be late
+
+// arrival is a request as a cache read it.
+type arrival struct {
+	standin.PlatformRequest
+	at time.Time
+}
+
+// recorder collects what caches read, and answers as answer says; nil: never.
+type recorder struct {
+	mu       sync.Mutex
+	arrivals []arrival
+	answer   handler
+}
+
+func (rec *recorder) on(c *standin.PlatformConn, q standin.PlatformRequest) {
+	if q.Stop {
+		return
+	}
+	rec.mu.Lock()
+	rec.arrivals = append(rec.arrivals, arrival{q, time.Now()})
+	rec.mu.Unlock()
+	if rec.answer != nil {
+		rec.answer(c, q)
+	}
+}
+
+func (rec *recorder) all() []arrival {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	return append([]arrival(nil), rec.arrivals...)
+}
+
+func (rec *recorder) everywhere() map[string]handler {
+	return map[string]handler{"s-000000c1": rec.on, "s-000000c2": rec.on, "s-000000a1": rec.on}
+}
+
+// save is a keyed write, which any router may send to the origin only.
+func save(changes ...string) map[string]string {
+	return clip(key, append([]string{"class", "note", "once", fmt.Sprintf("%032x", ids.Add(1))}, changes...)...)
+}
+
+// warm has connections to members on which an attempt goes out at once.
+func (w *world) warm() {
+	w.t.Helper()
+	for i := range 16 {
+		w.ask(clip(fmt.Sprintf("%016x", i)), nil)
+		w.ask(save(), nil)
+	}
+}
+
+// holdThen is hold, with a call on the loop behind it in the same turn.
+func (w *world) holdThen(then func()) (release func()) {
+	w.t.Helper()
+	in, out := make(chan struct{}), make(chan struct{})
+	if err := w.n.l.Post(func() { close(in); <-out; then() }); err != nil {
+		w.t.Fatal(err)
+	}
+	<-in
+	return func() { close(out) }
+}
+
+// TestTimeInALongTurnCounts: a request that lay unread while the loop was busy has so much
+// less time; one that comes to an idle loop, or in its first bytes long before its last,
+// has all of it.
+func TestTimeInALongTurnCounts(t *testing.T) {
+	for name, play := range map[string]func(w *world) (sent time.Time){
+		"busy loop": func(w *world) time.Time {
+			c := w.client()
+			w.turn()
+			release := w.hold()
+			sent := time.Now()
+			c.Ask(clip(key, "wait", "2000"), nil)
+			time.Sleep(600 * time.Millisecond)
+			release()
+			return sent
+		},
+		"connected while the loop was busy": func(w *world) time.Time {
+			release := w.hold()
+			c := w.client()
+			sent := time.Now()
+			c.Ask(clip(key, "wait", "2000"), nil)
+			time.Sleep(600 * time.Millisecond)
+			release()
+			return sent
+		},
+		"idle loop": func(w *world) time.Time {
+			c := w.client()
+			time.Sleep(700 * time.Millisecond)
+			sent := time.Now()
+			c.Ask(clip(key, "wait", "2000"), nil)
+			return sent
+		},
+		"its first half came long ago": func(w *world) time.Time {
+			c := w.client()
+			frame := standin.PlatformCall("serve", 1, clip(key, "wait", "2000"), nil)
+			c.Write(frame[:len(frame)/2])
+			time.Sleep(700 * time.Millisecond)
+			sent := time.Now()
+			c.Write(frame[len(frame)/2:])
+			return sent
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			rec := &recorder{answer: hits}
+			w := open(t, rec.everywhere())
+			sent := play(w)
+			w.until("a cache is asked", func() bool { return len(rec.all()) > 0 })
+			first := rec.all()[0]
+			wait, _ := strconv.Atoi(first.Fields["wait"])
+			left := 2*time.Second - first.at.Sub(sent)
+			passed := time.Duration(wait) * time.Millisecond
+			if passed > left+deadlineSlack {
+				t.Errorf("a wait of %v was passed on where the client had %v left", passed, left)
+			}
+			if passed < left-deadlineSlack {
+				t.Errorf("a wait of %v was passed on where the client had %v left: time was taken from it", passed, left)
+			}
+		})
+	}
+}
+
+// TestNothingBeginsForOneWhoIsGone: a client closes or gives up while the loop is busy, and
+// a repeat for it is due in that same turn.
+func TestNothingBeginsForOneWhoIsGone(t *testing.T) {
+	for name, leave := range map[string]func(c *standin.PlatformClient, seq int32){
+		"closes": func(c *standin.PlatformClient, _ int32) { c.Close() },
+		"resets": func(c *standin.PlatformClient, _ int32) {
+			(&standin.PlatformConn{Conn: c.Conn}).Reset()
+		},
+		"gives up":          func(c *standin.PlatformClient, seq int32) { c.Write(standin.PlatformForget(seq+1, seq)) },
+		"gives up and asks": func(c *standin.PlatformClient, seq int32) { c.Write(standin.PlatformForget(100, seq)); c.Well() },
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			rec := &recorder{answer: hits}
+			w := open(t, rec.everywhere())
+			w.warm()
+			rec.mu.Lock()
+			rec.answer = nil
+			rec.mu.Unlock()
+			before := w.sent()
+			c := w.client()
+			seq, _ := c.Ask(clip(key), nil)
+			w.until("an attempt is out", func() bool { return w.sent() == before+1 })
+			release := w.holdThen(func() {
+				for _, r := range w.n.reqs {
+					r.out.giveUp(spool.TimedOut) // the module sends it again at once
+				}
+			})
+			go leave(c, seq)
+			time.Sleep(300 * time.Millisecond)
+			release()
+			w.turn()
+			time.Sleep(50 * time.Millisecond) // for loopback
+			if n := w.sent() - before; n != 1 {
+				t.Errorf("%d attempts, the last of them 0.3 s after the client had left", n)
+			}
+		})
+	}
+}
+
+// TestGoneBehindManyCalls: what ends calls stands behind more of them than one read takes.
+func TestGoneBehindManyCalls(t *testing.T) {
+	for name, leave := range map[string]func(c *standin.PlatformClient){
+		"closed":  func(c *standin.PlatformClient) { c.Close() },
+		"refused": func(c *standin.PlatformClient) { c.Write([]byte{0xff, 0xff, 0xff, 0xff}) },
+		"given up": func(c *standin.PlatformClient) {
+			for i := range int32(32) {
+				c.Write(standin.PlatformForget(i+100, i+1))
+			}
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			w := open(t, nil)
+			w.warm()
+			before := w.sent()
+			c := w.client()
+			w.turn()
+			release := w.hold()
+			go func() {
+				for i := range int32(32) {
+					c.Write(standin.PlatformCall("serve", i+1, save(), make([]byte, 40000)))
+				}
+				leave(c)
+			}()
+			time.Sleep(200 * time.Millisecond)
+			release()
+			time.Sleep(200 * time.Millisecond)
+			w.turn()
+			if n := w.sent() - before; n != 0 {
+				t.Errorf("%d attempts for calls that were over before the first was read", n)
+			}
+		})
+	}
+}
+
+// TestHalfACallBehindAWholeOne: what comes of the second by halves takes no answer from the
+// first.
+func TestHalfACallBehindAWholeOne(t *testing.T) {
+	t.Parallel()
+	slow := func(c *standin.PlatformConn, q standin.PlatformRequest) {
+		if !q.Stop && q.Fields["key"] == key {
+			time.AfterFunc(2700*time.Millisecond, func() { hits(c, q) })
+		}
+	}
+	w := open(t, map[string]handler{"s-000000c1": slow, "s-000000c2": slow, "s-000000a1": slow})
+	c := w.client()
+	c.Ask(clip(key, "wait", "3000"), nil)
+	half := standin.PlatformCall("serve", 2, clip(key), nil)
+	c.Write(half[:len(half)/2])
+	if r, err := c.Result(soon); err != nil || r.Seq != 1 {
+		t.Errorf("the whole call: %+v %v", r, err)
+	}
+	if _, err := c.Result(soon); err != io.EOF {
+		t.Errorf("then %v; an end is wanted", err)
+	}
+}
+
+// TestMemoryOfOthers: what waits for a client that takes no answers closes that one, and not
+// another that is slow for a moment.
+func TestMemoryOfOthers(t *testing.T) {
+	t.Parallel()
+	w := open(t, map[string]handler{"s-000000c1": large(240000), "s-000000c2": large(240000)})
+	slow := func() *standin.PlatformClient {
+		c := w.client()
+		c.Conn.(*net.TCPConn).SetReadBuffer(16 << 10)
+		return c
+	}
+	room := func() (left int) {
+		w.n.l.Call(soon, func() { left = w.n.waitingBytes() - w.n.waiting })
+		return left
+	}
+	w.n.l.Call(soon, func() { w.n.cfg.Limits.MemoryMB = leastMemoryMB })
+	never, other := slow(), slow()
+	for i := 0; room() > 300000 && i < 60; i++ { // one by one, until the next answer would be too much
+		if i == 30 {
+			never = slow()
+		}
+		served := uint64(0)
+		w.n.l.Call(soon, func() { served = w.n.stats.Served })
+		never.Ask(clip(key), nil)
+		w.until("it is served", func() (yes bool) {
+			w.n.l.Call(soon, func() { yes = w.n.stats.Served > served })
+			return yes
+		})
+	}
+	if left := room(); left > 300000 {
+		t.Fatalf("%d bytes may still wait", left)
+	}
+	const asked = 24
+	for range asked {
+		other.Ask(clip(key), nil)
+	}
+	time.Sleep(200 * time.Millisecond)
+	for i := range asked {
+		if r, err := other.Result(soon); err != nil || r.Word != "served" {
+			t.Fatalf("answer %d: %s %v", i, r.Word, err)
+		}
+	}
+	if left := room(); left < 0 {
+		t.Errorf("%d bytes too much wait", -left)
+	}
+}
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -73,14 +73,16 @@
 }
 
 // moot reports whether an attempt must not begin, or not any more: its client has gone,
-// its member or its source takes nothing new, or the time within which it might is over.
+// its member or its source takes nothing new, or its time or that within which it might
+// begin is over.
 // A connection may come up long after the module's decision.
 func (a *attempt) moot() bool {
 	serves := func(id string) bool {
 		m, ok := a.in.core.Member(id)
 		return ok && m.State == spool.Serving
 	}
-	return a.r.c == nil || a.begin > 0 && loop.Clock() > a.begin || !serves(a.send.Cache) ||
+	now := loop.Clock()
+	return a.r.c == nil || now >= a.until || a.begin > 0 && now > a.begin || !serves(a.send.Cache) ||
 		a.send.Source != "" && !serves(a.send.Source)
 }
 
@@ -343,6 +345,12 @@
 			return
 		}
 		a := c.pend[0]
+		if r := a.r; r.c != nil && n.late() {
+			r.c.heed()
+			if c.closed || c.writing != nil || c.out.Len() > 0 || len(c.pend) == 0 || c.pend[0] != a {
+				continue // what the client said has changed what there is to do here
+			}
+		}
 		c.pend = slices.Delete(c.pend, 0, 1)
 		if a.moot() {
 			a.end(spool.Moot, spool.NoteNone, 0)
@@ -351,7 +359,7 @@
 		c.writing, c.used = a, n.l.Now()
 		c.recent[c.at%len(c.recent)] = a.r.ID
 		c.at++
-		c.out.Add(&n.bufs, a.frame(n.l.Now()))
+		c.out.Add(&n.bufs, a.frame(loop.Clock()))
 	}
 }
 
