--- /dev/null
+++ b/internal/node/drain.go
@@ -0,0 +1,57 @@
+package node
+
+import (
+	"go.uber.org/zap"
+
+	"indigospool/internal/loop"
+)
+
+// A router that is told to end may be killed the longest deadline of a class after that,
+// and a bit more, so soon where deadlines are short. Clients go on sending on the
+// connections they have, until these end. Times are in ms.
+const (
+	killGrace    = 700.0  // from the longest deadline to the kill
+	longestWait  = 3000.0 // what counts of a deadline at most
+	drainLeast   = 900.0  // how long clients may still come at least, where deadlines allow it
+	drainLeaving = 280.0  // before the kill, connections at rest are being shut
+	drainMargin  = 120.0  // before the kill, the last answer has been written
+	drainLinger  = 40.0   // after that, clients may read it and close
+	drainStep    = 10.0   // between looks
+)
+
+// drain begins to end: what there is and what still comes is finished.
+func (n *Node) drain() {
+	longest := 0.0
+	for _, class := range n.classes {
+		longest = max(longest, class.Deadline)
+	}
+	n.drained = n.l.Now()
+	kill := n.drained + min(longest, longestWait) + killGrace
+	n.leaveAt = min(n.drained+drainLeast, kill-drainLeaving)
+	n.goneBy = kill - drainMargin
+	n.log.Info("draining", zap.Int("open", len(n.reqs)), zap.Float64("within", n.goneBy-n.drained))
+	n.l.Ticker(drainStep, n.leave)
+}
+
+// leave ends a router that has drained: who has connected meanwhile is still taken, those
+// at rest are shut and read until they close, and it stops once nobody is left, or there is
+// no more time. Requests that come shortly before are taken with what time there is.
+func (n *Node) leave() {
+	now := n.l.Now()
+	if now < n.leaveAt {
+		return
+	}
+	n.listener.close()
+	for c := range n.clients {
+		if now >= n.goneBy && c.v.Shut == 0 {
+			c.receive()
+			c.begin()
+		}
+		if c.v.Shut == 0 && !c.closed && !c.owes() && (c.in.Len() == 0 || now >= n.goneBy) && loop.Quiet(c.fd) {
+			c.shut()
+		}
+	}
+	if len(n.clients) == 0 && len(n.reqs) == 0 || now > n.goneBy+drainLinger {
+		n.l.Stop()
+	}
+}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -53,6 +53,8 @@
 	clock    unixclock.Clock // of the platform, by the times that the feed has told
 	listener *listener
 	drained  float64 // since when it drains; 0: it does not
+	leaveAt  float64 // from when on connections at rest are shut
+	goneBy   float64 // when the last answer is to have been written
 	stats    Stats
 }
 
@@ -132,8 +134,7 @@
 func (n *Node) Drain() {
 	n.l.Post(func() {
 		if n.drained == 0 {
-			n.drained = n.l.Now()
-			n.log.Info("draining", zap.Int("open", len(n.reqs)))
+			n.drain()
 		}
 	})
 }
@@ -306,6 +307,9 @@
 // which its last byte may have come: it may have lain unread for a long turn of the loop.
 func (n *Node) take(c *client, seq int32, q front.Request, came float64) {
 	r := &request{Request: q, c: c, seq: seq, until: came + q.Wait, write: n.classes[q.Class].Write}
+	if n.drained > 0 {
+		r.until = min(r.until, n.goneBy-drainStep)
+	}
 	n.reqs[q.ID], c.open[seq] = r, r
 	n.stats.Requests++
 	n.trace("taken", r, zap.String("class", q.Class), zap.Float64("wait", q.Wait), zap.String("once", q.Once), zap.Int("fd", c.fd))
@@ -334,7 +338,7 @@
 	}
 }
 
-// sweep closes connections that overstay, and ends a drained router. One that is owed an answer is not shut before it
+// sweep closes connections that overstay. One that is owed an answer is not shut before it
 // has that, whatever else it does.
 func (n *Node) sweep() {
 	now := n.l.Now()
@@ -350,25 +354,4 @@
 	for _, p := range n.pools {
 		p.sweep(now)
 	}
-	if n.drained > 0 && now-n.drained > drainLeast {
-		n.leave()
-	}
-}
-
-// leave ends a router that has drained: who has connected meanwhile is still taken, those
-// at rest are shut and read until they close, and it stops once nobody is left.
-func (n *Node) leave() {
-	n.listener.close()
-	for c := range n.clients {
-		if c.v.Shut == 0 && !c.owes() && c.in.Len() == 0 && loop.Quiet(c.fd) {
-			c.shut()
-		}
-	}
-	if len(n.clients) == 0 && len(n.reqs) == 0 {
-		n.l.Stop()
-	}
 }
-
-// drainLeast is how long after SIGTERM clients may still come, in ms: connections for
-// 400, and requests on them for 200 more.
-const drainLeast = 900
--- a/internal/node/terms_test.go
+++ b/internal/node/terms_test.go
@@ -281,3 +281,68 @@
 		t.Errorf("%d bytes too much wait", -left)
 	}
 }
+
+// TestDrainInTime: caches hang through the whole of a shutdown, deadlines are short, and
+// clients go on sending on their connections: each request that was sent before the
+// connection's end has its answer, and the router is gone in time.
+func TestDrainInTime(t *testing.T) {
+	const deadline = 200 * time.Millisecond
+	w := openWith(t, (&recorder{}).everywhere(), `"give_up":3000`, `"give_up":200`, `"aim":400`, `"aim":100`)
+	var mu sync.Mutex
+	owed := map[string]time.Time{}
+	var busy sync.WaitGroup
+	begun := make(chan struct{})
+	for i := range 8 {
+		c := w.client()
+		busy.Go(func() {
+			sent := sync.WaitGroup{}
+			defer sent.Wait()
+			over := make(chan struct{})
+			sent.Go(func() {
+				defer close(over)
+				for {
+					r, err := c.Result(soon)
+					if err != nil {
+						return
+					}
+					mu.Lock()
+					delete(owed, fmt.Sprint(i, " ", r.Seq))
+					mu.Unlock()
+				}
+			})
+			for seq := int32(1); seq < 200; seq++ {
+				select {
+				case <-over:
+					c.Close()
+					return
+				case <-time.After(time.Duration(15+5*i) * time.Millisecond):
+				}
+				name := fmt.Sprint(i, " ", seq)
+				mu.Lock()
+				owed[name] = time.Now()
+				mu.Unlock()
+				if _, err := c.Ask(clip(key, "wait", "200"), nil); err != nil {
+					c.Close()
+					return
+				}
+				if seq == 5 && i == 0 {
+					close(begun)
+				}
+			}
+		})
+	}
+	<-begun
+	at := time.Now()
+	w.n.Drain()
+	w.ends()
+	gone := time.Now()
+	busy.Wait()
+	if d := gone.Sub(at); d > deadline+700*time.Millisecond {
+		t.Errorf("it ended %v after the signal; deadlines are %v", d, deadline)
+	}
+	for name, sent := range owed {
+		if before := gone.Sub(sent); before > 50*time.Millisecond {
+			t.Errorf("request %s, sent %v before the end, has no answer", name, before)
+		}
+	}
+}
