--- a/internal/loop/arrival.go
+++ b/internal/loop/arrival.go
@@ -31,3 +31,7 @@
 		l.polled = l.now
 	}
 }
+
+// Since is the earliest moment at which the connection that is being taken may have come:
+// it may have waited while accepting was paused, or behind others.
+func (ln *Listener) Since() Millis { return ln.queued }
--- a/internal/loop/listener.go
+++ b/internal/loop/listener.go
@@ -25,6 +25,7 @@
 	l        *Loop
 	fd       int
 	failures int
+	queued   Millis // see Since; 0: the queue was found empty
 	noRoom   Millis // no room is asked for before
 	resume   Timer
 }
@@ -53,6 +54,9 @@
 // Accept takes connections that wait, as many as one turn may.
 func (ln *Listener) Accept() {
 	asked := false
+	if ln.queued == 0 && ln.l != nil {
+		ln.queued = ln.l.Since()
+	}
 	for range ln.PerTurn {
 		if ln.fd < 0 { // stopped by Take
 			return
@@ -67,6 +71,7 @@
 			continue
 		}
 		if err == unix.EAGAIN {
+			ln.queued = 0
 			return
 		}
 		if ln.failures++; ofOneConnection(err) && ln.failures < acceptFailures {
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -13,12 +13,13 @@
 	"indigospool/internal/loop"
 )
 
-const errAgain = unix.EAGAIN
-
 func closeFD(fd int) { unix.Close(fd) }
 
+const acceptTurn = 64 // connections that one turn takes
+
 // listener takes clients' connections.
 type listener struct {
+	loop.Listener
 	n       *Node
 	fd      int
 	address string
@@ -30,7 +31,8 @@
 		return nil, err
 	}
 	ln := &listener{n: n, fd: fd, address: bound}
-	return ln, n.l.Add(fd, loop.Read, ln)
+	ln.Listener = loop.Listener{PerTurn: acceptTurn, Take: ln.take, MakeRoom: n.yield}
+	return ln, ln.Start(n.l, fd)
 }
 
 // close takes who has connected already, and ends listening.
@@ -38,62 +40,32 @@
 	if ln.fd < 0 {
 		return
 	}
-	ln.OnReady(0)
-	ln.n.l.Remove(ln.fd)
+	ln.Accept()
+	ln.Stop()
 	closeFD(ln.fd)
 	ln.fd = -1
 }
 
-const (
-	acceptTurn  = 64 // connections that one turn takes
-	acceptPause = 20 // ms without taking any, where no descriptor is to be had
-)
-
-// pause leaves who connects in the kernel's queue for a while: told of it in each turn, the
-// loop would do nothing else.
-func (ln *listener) pause() {
-	l := ln.n.l
-	l.Want(ln.fd, 0)
-	l.Once(acceptPause, func() {
-		if ln.fd >= 0 {
-			l.Want(ln.fd, loop.Read)
-		}
-	})
-}
-
-// OnReady is the loop's.
-func (ln *listener) OnReady(loop.Ready) {
+// take begins to hear a client.
+func (ln *listener) take(fd int) {
 	n := ln.n
-	for range acceptTurn {
-		fd, _, err := unix.Accept4(ln.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
-		if err == unix.EMFILE || err == unix.ENFILE {
-			if !n.yield() {
-				ln.pause()
-				return
-			}
-			continue
-		}
-		if err != nil {
-			return
-		}
-		n.stats.Accepted++
-		if len(n.clients) >= n.places.Clients && !n.yield() {
-			closeFD(fd)
-			continue
-		}
-		unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-		c := &client{n: n, fd: fd, open: map[int32]*request{}, v: limits.Visitor{Since: n.l.Now()}}
-		c.settle.F = c.begin
-		if c.emptied = loop.Clock(); !loop.Quiet(fd) {
-			c.behind = n.l.Since()
-		}
-		if err := n.l.Add(fd, loop.Read, c); err != nil {
-			closeFD(fd)
-			continue
-		}
-		n.l.First(fd)
-		n.clients[c] = struct{}{}
+	n.stats.Accepted++
+	if len(n.clients) >= n.places.Clients && !n.yield() {
+		closeFD(fd)
+		return
+	}
+	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
+	c := &client{n: n, fd: fd, open: map[int32]*request{}, v: limits.Visitor{Since: n.l.Now()}}
+	c.settle.F = c.begin
+	if c.emptied = loop.Clock(); !loop.Quiet(fd) { // it may have waited in the queue
+		c.behind = ln.Since()
 	}
+	if err := n.l.Add(fd, loop.Read, c); err != nil {
+		closeFD(fd)
+		return
+	}
+	n.l.First(fd)
+	n.clients[c] = struct{}{}
 }
 
 // yield closes the connection that goes first where room is needed, if any may.
@@ -212,7 +184,7 @@
 
 // drop reads what comes after the connection was shut.
 func (c *client) drop() {
-	if k, err := loop.ReadFD(c.fd, c.n.scratch); err != errAgain && (err != nil || k == 0) {
+	if size, err := c.n.l.Read(c.fd, c.n.scratch); !loop.Later(err) && (err != nil || size == 0) {
 		c.close()
 	}
 }
@@ -240,11 +212,14 @@
 	}
 	for left := readMost; left > 0; {
 		asked := loop.Clock()
-		size, err := loop.ReadFD(c.fd, n.scratch)
+		size, err := n.l.Read(c.fd, n.scratch)
 		switch {
-		case err == errAgain:
+		case err == unix.EAGAIN:
 			c.empty(asked, readMost-left)
 			return
+		case loop.Later(err):
+			c.behind = came
+			return
 		case err != nil || size == 0:
 			c.close()
 			return
@@ -456,8 +431,8 @@
 func (c *client) flush() {
 	n := c.n
 	for !c.closed && c.out.Len() > 0 {
-		k, err := loop.WriteFD(c.fd, c.out.Bytes())
-		if err == errAgain {
+		k, err := n.l.Write(c.fd, c.out.Bytes())
+		if loop.Later(err) {
 			break
 		}
 		if err != nil {
--- a/internal/node/line.go
+++ b/internal/node/line.go
@@ -9,7 +9,7 @@
 // Stats counts what passed, since the start.
 type Stats struct {
 	Requests, Bad, Served, Same, Refused, Failed, Gone, Attempts uint64
-	Outcomes                                                     [int(spool.Miss) + 1]uint64
+	Outcomes                                                     [int(spool.LocalFailure) + 1]uint64
 	Spoilt, Extra, Dials, Accepted, Closed, Events               uint64
 	NoConn, NoDial                                               uint64                          // no connection for an attempt; none could be begun
 	Passed                                                       [int(spool.NoMember) + 1]uint64 // by spool.Reason
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -93,7 +93,7 @@
 	n.beat.F = func() { n.tell(spool.Timer{}) }
 	n.watch.reader = feed.Reader{Zones: cfg.settings.Module.Zones, Kinds: cfg.settings.Kinds}
 	n.watch.node = n
-	n.watch.dial = loop.Dial
+	n.watch.dial = n.l.Dial
 	n.watch.tries = limits.NewAgain(feedFirst, feedBase, feedMost, cfg.seed)
 	var known []feed.Event
 	if err := n.watch.reader.Known(cfg.Known, func(ev feed.Event) { known = append(known, ev) }); err != nil {
--- a/internal/node/terms_test.go
+++ b/internal/node/terms_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	spool "indigospool"
+	"indigospool/internal/faultinject"
 	"indigospool/internal/standin"
 )
 
@@ -346,3 +347,169 @@
 		}
 	}
 }
+
+// faults has the router's system calls fail by a plan, from now on.
+func (w *world) faults(plan string) *faultinject.Syscalls {
+	w.t.Helper()
+	p, err := faultinject.Parse(plan)
+	if err != nil {
+		w.t.Fatal(err)
+	}
+	s := faultinject.New(p, 1, faultinject.Since())
+	w.n.l.Call(soon, func() { w.n.l.Intercept(s) })
+	return s
+}
+
+// TestInterruptedCallsLoseNothing: reads and writes that fail for a moment cost no request
+// its answer, and no cache a second attempt.
+func TestInterruptedCallsLoseNothing(t *testing.T) {
+	for _, plan := range []string{
+		"read:EINTR:0.3; write:EINTR:0.3; wait:EINTR:0.3",
+		"read:EINTR:6x; write:EINTR:6x",
+		"read:ENOMEM:0.2; write:ENOBUFS:0.2",
+		"read:ENOBUFS:1:0ms-100ms; write:ENOMEM:1:0ms-200ms",
+		"read:short:0.5; write:short:0.5",
+	} {
+		t.Run(plan, func(t *testing.T) {
+			t.Parallel()
+			w := open(t, map[string]handler{"s-000000c1": large(100000), "s-000000c2": large(100000)})
+			w.warm()
+			before := w.sent()
+			s := w.faults(plan)
+			const asked = 30
+			for range 4 {
+				c := w.client()
+				for range asked / 2 {
+					c.Ask(clip(key), nil)
+					c.Ask(save(), make([]byte, 30000))
+				}
+				for i := range asked {
+					if r, err := c.Result(soon); err != nil || r.Word != "served" {
+						t.Fatalf("answer %d: %s %v", i, r.Word, err)
+					}
+				}
+			}
+			if n := w.sent() - before; n != 4*asked {
+				t.Errorf("%d attempts for %d requests", n, 4*asked)
+			}
+			for _, call := range []faultinject.Call{faultinject.Read, faultinject.Write} {
+				if _, failed := s.Counts(call); failed == 0 {
+					t.Errorf("no %s failed", call)
+				}
+			}
+		})
+	}
+}
+
+// TestBrokenConnections: what the kernel says of a connection that was lost between is told
+// as its end, and the request is served over another.
+func TestBrokenConnections(t *testing.T) {
+	for _, errno := range []string{"ETIMEDOUT", "EHOSTUNREACH", "ENETUNREACH", "ECONNRESET", "EPIPE"} {
+		t.Run(errno, func(t *testing.T) {
+			t.Parallel()
+			w := open(t, nil)
+			w.warm()
+			release := w.hold()
+			done := make(chan standin.PlatformResult, 1)
+			c := w.client()
+			c.Ask(clip(key), nil)
+			go func() {
+				r, _ := c.Result(soon)
+				done <- r
+			}()
+			release()
+			if r := <-done; r.Word != "served" {
+				t.Fatalf("%+v", r)
+			}
+			for _, call := range []string{"write", "connect"} { // of a router's connection to a cache
+				c := w.client()
+				c.Ask(clip(key), nil)
+				if call == "write" {
+					c.Result(soon)
+				}
+				s := w.faults(call + ":" + errno + ":1x")
+				if call == "write" {
+					c.Ask(clip(key), nil)
+				}
+				if r, err := c.Result(soon); err != nil || r.Word != "served" {
+					t.Errorf("%s: %+v %v", call, r, err)
+				}
+				if _, failed := s.Counts(faultinject.Call(call)); call == "write" && failed != 1 {
+					t.Errorf("%d calls of %s failed", failed, call)
+				}
+			}
+		})
+	}
+}
+
+// TestAcceptFailing: whatever accept says for a while, the loop does not turn for it, and
+// who waits in the queue is served afterwards.
+func TestAcceptFailing(t *testing.T) {
+	for _, errno := range []string{"ENFILE", "EMFILE", "ENOBUFS", "ENOMEM", "EPERM", "ECONNABORTED", "EINTR", "EPROTO", "EINVAL"} {
+		t.Run(errno, func(t *testing.T) {
+			t.Parallel()
+			w := open(t, nil)
+			idle := w.client()
+			s := w.faults("accept:" + errno + ":1:0ms-400ms; connect:" + errno + ":0.0001")
+			began := time.Now()
+			c := w.client()
+			c.Ask(clip(key), nil)
+			if r, err := c.Result(soon); err != nil || r.Word != "served" {
+				t.Fatalf("%+v %v", r, err)
+			}
+			if d := time.Since(began); d > time.Second {
+				t.Errorf("served after %v", d)
+			}
+			if _, failed := s.Counts(faultinject.Accept); failed == 0 || failed > 500 {
+				t.Errorf("accept failed %d times in 0.4 s", failed)
+			}
+			idle.Close()
+		})
+	}
+}
+
+// TestLocalFailures: a connection that cannot be begun on this machine for a moment refuses
+// nobody who has time left.
+func TestLocalFailures(t *testing.T) {
+	calls := map[string][]string{
+		"socket":  {"ENFILE", "EMFILE", "ENOBUFS", "ENOMEM"},
+		"connect": {"EADDRNOTAVAIL", "EAGAIN", "ENETUNREACH", "ENOBUFS"},
+	}
+	for call, errnos := range calls {
+		for _, errno := range errnos {
+			for _, often := range []string{"1x", "1:0ms-50ms", "1:0ms-2000ms"} {
+				plan := call + ":" + errno + ":" + often
+				t.Run(plan, func(t *testing.T) {
+					t.Parallel()
+					w := open(t, nil)
+					w.turn()
+					s := w.faults(plan)
+					const clients, each = 4, 25
+					var busy sync.WaitGroup
+					for range clients {
+						c := w.client()
+						busy.Go(func() {
+							for i := range each {
+								c.Ask(clip(fmt.Sprintf("%016x", i), "wait", "3000"), nil)
+							}
+							for range each {
+								if r, err := c.Result(soon); err != nil || r.Word != "served" {
+									t.Errorf("%+v %v", r, err)
+									return
+								}
+							}
+						})
+					}
+					busy.Wait()
+					made, failed := s.Counts(faultinject.Call(call))
+					if failed == 0 {
+						t.Errorf("no %s failed", call)
+					}
+					if most := 100 * 40; failed > most {
+						t.Errorf("%d of %d calls of %s failed: it does not back off", failed, made, call)
+					}
+				})
+			}
+		}
+	}
+}
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -59,10 +59,10 @@
 	}
 	a.p = p
 	p.held++
-	c := p.pick(r.ID)
+	c, failure := p.pick(r.ID)
 	if c == nil {
 		n.stats.NoConn++
-		a.end(spool.Moot, spool.NoteNone, 0)
+		a.end(failure, spool.NoteNone, 0)
 		return
 	}
 	a.c = c
@@ -177,9 +177,10 @@
 	held    int // attempts
 }
 
-// pick is the connection for another attempt of a request, nil if there can be none. One
-// request to a connection is the aim, since one spoilt answer ends all that share it.
-func (p *pool) pick(id string) *conn {
+// pick is the connection for another attempt of a request, or how the attempt ends where
+// there can be none. One request to a connection is the aim, since one spoilt answer ends
+// all that share it.
+func (p *pool) pick(id string) (c *conn, failure spool.Result) {
 	n := p.n
 	var idle, least *conn
 	for _, c := range p.conns {
@@ -197,14 +198,15 @@
 		}
 	}
 	if idle != nil {
-		return idle
+		return idle, 0
 	}
+	failure = spool.LocalFailure // no place for a connection
 	if len(p.conns) < n.places.PerMember(len(n.pools)) && (n.conns < n.places.Members || n.room()) {
-		if c := p.dial(); c != nil {
-			return c
+		if c, failure = p.dial(); c != nil {
+			return c, 0
 		}
 	}
-	return least
+	return least, failure
 }
 
 func (p *pool) streams() int {
@@ -230,21 +232,18 @@
 	return first != nil
 }
 
-func (p *pool) dial() *conn {
+// dial begins another connection, or tells how the attempt ends that wanted it.
+func (p *pool) dial() (c *conn, failure spool.Result) {
 	n := p.n
 	n.stats.Dials++
-	fd, _, err := loop.Dial(p.address)
+	fd, _, err := n.l.Dial(p.address)
 	if err != nil {
-		if n.stats.NoDial++; n.stats.NoDial&(n.stats.NoDial-1) == 0 { // the 1st, 2nd, 4th, 8th...
-			n.log.Warn("no connection", zap.String("member", p.id), zap.String("address", p.address),
-				zap.Uint64("times", n.stats.NoDial), zap.Error(err))
-		}
-		return nil
+		return nil, p.failed(err)
 	}
-	c := &conn{p: p, fd: fd, used: n.l.Now()}
+	c = &conn{p: p, fd: fd, used: n.l.Now()}
 	if err := n.l.Add(fd, loop.Read|loop.Write, c); err != nil {
 		closeFD(fd)
-		return nil
+		return nil, p.failed(err)
 	}
 	c.timer.F = func() { c.fail(spool.ConnectFailed) }
 	if t := n.cfg.settings.ConnectTimeout; t > 0 {
@@ -252,7 +251,20 @@
 	}
 	n.conns++
 	p.conns = append(p.conns, c)
-	return c
+	return c, 0
+}
+
+// failed notes that a connection could not be begun, and tells whose fault that was.
+func (p *pool) failed(err error) spool.Result {
+	n := p.n
+	if n.stats.NoDial++; n.stats.NoDial&(n.stats.NoDial-1) == 0 { // the 1st, 2nd, 4th, 8th...
+		n.log.Warn("no connection", zap.String("member", p.id), zap.String("address", p.address),
+			zap.Uint64("times", n.stats.NoDial), zap.Error(err))
+	}
+	if loop.Lacking(err) {
+		return spool.LocalFailure
+	}
+	return spool.ConnectFailed
 }
 
 // close ends the pool of a member that drains, is gone or is reached elsewhere: its
@@ -320,8 +332,8 @@
 	n := c.p.n
 	for !c.closed {
 		for c.out.Len() > 0 {
-			k, err := loop.WriteFD(c.fd, c.out.Bytes())
-			if err == errAgain {
+			k, err := n.l.Write(c.fd, c.out.Bytes())
+			if loop.Later(err) {
 				n.l.Want(c.fd, loop.Read|loop.Write)
 				return
 			}
@@ -431,8 +443,8 @@
 	if c.in.Len() > 0 {
 		room = c.in.Room()
 	}
-	k, err := loop.ReadFD(c.fd, room)
-	if err == errAgain {
+	k, err := n.l.Read(c.fd, room)
+	if loop.Later(err) {
 		return
 	}
 	if err != nil || k == 0 {
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -2,7 +2,6 @@
 
 import (
 	"go.uber.org/zap"
-	"golang.org/x/sys/unix"
 
 	"indigospool/internal/feed"
 	"indigospool/internal/limits"
@@ -116,9 +115,6 @@
 	w.node.l.Arm(&w.timer, feedSilent)
 }
 
-// again reports that a call that failed can be made again.
-func again(err error) bool { return err == errAgain || err == unix.EINTR }
-
 // OnReady is the loop's.
 func (c *feedConn) OnReady(ready loop.Ready) {
 	if ready.Writable() && len(c.hello) > 0 && !c.greet() {
@@ -131,8 +127,8 @@
 
 // greet writes what is left of the first message. False: the connection has ended.
 func (c *feedConn) greet() bool {
-	written, err := loop.WriteFD(c.fd, c.hello)
-	if again(err) {
+	written, err := c.watch.node.l.Write(c.fd, c.hello)
+	if loop.Later(err) {
 		return true
 	}
 	if err != nil {
@@ -148,8 +144,8 @@
 // read takes what has come.
 func (c *feedConn) read() {
 	w, n := c.watch, c.watch.node
-	size, err := loop.ReadFD(c.fd, n.scratch)
-	if again(err) {
+	size, err := n.l.Read(c.fd, n.scratch)
+	if loop.Later(err) {
 		return
 	}
 	if err != nil || size == 0 {
