--- a/internal/edge/client.go
+++ b/internal/edge/client.go
@@ -88,10 +88,10 @@
 
 func (c *client) readOnce(r loop.Ready) {
 	buf := c.e.scratch[:readSize]
-	n, err := loop.ReadFD(c.fd, buf)
+	n, err := c.e.l.Read(c.fd, buf)
 	switch {
-	case err == unix.EAGAIN || err == unix.EINTR:
-		if r.Hangup() {
+	case loop.Later(err):
+		if r.Hangup() && loop.NotReady(err) {
 			c.lost()
 		}
 		return
@@ -338,8 +338,8 @@
 	if c.gone {
 		return
 	}
-	n, err := loop.WriteFD2(c.fd, c.out.bytes(), b)
-	if err == unix.EAGAIN || err == unix.EINTR {
+	n, err := c.e.l.WriteTwo(c.fd, c.out.bytes(), b)
+	if loop.Later(err) {
 		n, err = 0, nil
 	}
 	if err != nil {
@@ -367,8 +367,8 @@
 		return true
 	}
 	for c.out.len() > 0 && !c.gone {
-		n, err := loop.WriteFD(c.fd, c.out.bytes())
-		if err == unix.EAGAIN || err == unix.EINTR {
+		n, err := c.e.l.Write(c.fd, c.out.bytes())
+		if loop.Later(err) {
 			c.wants()
 			return false
 		}
@@ -414,8 +414,8 @@
 	c.queued = false
 	for c.out.len() > 0 && !c.gone && moved < room {
 		b := c.out.bytes()
-		n, err := loop.WriteFD(c.fd, b[:min(len(b), room-moved)])
-		if err == unix.EAGAIN || err == unix.EINTR {
+		n, err := c.e.l.Write(c.fd, b[:min(len(b), room-moved)])
+		if loop.Later(err) {
 			c.wants()
 			return moved, false
 		}
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -38,7 +38,7 @@
 type Stats struct {
 	Accepted, Connections, Requests, Served, Refused, Failed, Malformed uint64
 	Gone, Broken, Attempts, Connects, Reused, Dropped                   uint64
-	InBytes, OutBytes, AcceptPauses, ConnectWaits                       uint64
+	InBytes, OutBytes, AcceptPauses, ConnectWaits                       uint64 // the last: attempts that could not be begun here
 	HandedIn, HandedOut                                                 uint64 // connections, from a predecessor and to a successor
 	Purges                                                              uint64 // heard of
 	Fragments                                                           uint64 // asked for, of pages
@@ -54,7 +54,7 @@
 	name string
 
 	lfd       int
-	listener  acceptor
+	listener  loop.Listener
 	addr      string
 	clients   map[*client]struct{}
 	pages     map[*page]struct{}
@@ -62,14 +62,12 @@
 	reqs      map[string]*request
 	pools     map[string]*pool
 	seq       uint64
-	sys       calls
 	scratch   []byte
 	acts      []spool.Action
 	queue     []spool.Event
 	telling   bool
 	draining  bool
 	drainT    loop.Timer
-	acceptT   loop.Timer
 	freeWakes []*wake
 	free      []*request
 	lent      [len(lentSizes)][][]byte
@@ -111,18 +109,18 @@
 		return nil, err
 	}
 	e := &Edge{s: s, core: c, l: l, log: log, name: s.Router.Name, clients: map[*client]struct{}{}, pages: map[*page]struct{}{},
-		reqs: map[string]*request{}, pools: map[string]*pool{}, scratch: make([]byte, 256<<10), sys: calls{unix.Accept4, loop.Dial}}
+		reqs: map[string]*request{}, pools: map[string]*pool{}, scratch: make([]byte, 256<<10)}
 	e.listState.Store("none")
 	e.drainT.F = e.drained
 	e.guard = newGuard(e)
-	e.acceptT.F = func() { e.l.Want(e.lfd, loop.Read) }
 	e.inherited = in
 	var ok bool
 	if e.lfd, e.addr, ok = inherit(in, s.Router.Listen); ok {
 	} else if e.lfd, e.addr, err = loop.Listen(s.Router.Listen); err != nil {
 		return nil, fmt.Errorf("edge: listen %s: %w; is the address free, and one of this machine?", s.Router.Listen, err)
 	}
-	e.listener.e = e
+	e.listener.Take = func(fd int) { e.accepted(fd) }
+	e.listener.MakeRoom = func() bool { return e.guard.closeIdle(limits.Descriptors) }
 	if err := e.keepJournal(); err != nil {
 		unix.Close(e.lfd)
 		return nil, err
@@ -179,7 +177,7 @@
 
 // Run serves until Drain has ended or Stop is called.
 func (e *Edge) Run() error {
-	if err := e.l.Add(e.lfd, loop.Read, &e.listener); err != nil {
+	if err := e.listener.Start(e.l, e.lfd); err != nil {
 		return err
 	}
 	e.l.After(e.guard.after)
@@ -269,7 +267,7 @@
 		return
 	}
 	e.draining = true
-	e.l.Remove(e.lfd)
+	e.listener.Stop()
 	unix.Close(e.lfd)
 	e.lfd = -1
 	e.l.Arm(&e.drainT, e.s.Limits.Drain)
@@ -293,7 +291,7 @@
 func (e *Edge) Query(f func(*Stats, *core.Core)) error {
 	return e.l.Call(5*time.Second, func() {
 		e.stats.Connections, e.stats.Held = uint64(len(e.clients)), len(e.reqs)
-		e.stats.Upstreams = 0
+		e.stats.AcceptPauses, e.stats.Upstreams = e.listener.Pauses, 0
 		for _, p := range e.pools {
 			e.stats.Upstreams += len(p.all)
 		}
@@ -301,41 +299,29 @@
 	})
 }
 
-// calls are those into the kernel that fail for want of descriptors or memory, so that
-// tests can have them do so.
-type calls struct {
-	accept func(fd, flags int) (int, unix.Sockaddr, error)
-	dial   func(address string) (fd int, inProgress bool, err error)
-}
-
-// shortPause is how long, in ms, nothing more is tried that failed for want of
-// descriptors or memory.
+// shortPause is how long, in ms, a probe waits that could not be begun here.
 const shortPause = 50
 
-// acceptor takes connections.
-type acceptor struct{ e *Edge }
+// accepted takes a connection from the listener.
+func (e *Edge) accepted(fd int) {
+	e.stats.Accepted++
+	peer, err := unix.Getpeername(fd)
+	if loop.Broken(err) { // it was reset before it was taken
+		unix.Close(fd)
+		return
+	}
+	e.adopt(fd, addressOf(peer), true)
+}
 
-func (a *acceptor) OnReady(loop.Ready) {
-	e := a.e
-	for range e.s.Limits.AcceptPerTurn {
-		fd, from, err := e.sys.accept(e.lfd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
-		switch err {
-		case nil:
-		case unix.EAGAIN:
-			return
-		case unix.EINTR, unix.ECONNABORTED, unix.EPROTO:
-			continue
-		default: // no descriptors or memory: wait until some are free, without spinning
-			if e.guard.closeIdle(limits.Descriptors) {
-				continue
-			}
-			e.stats.AcceptPauses++
-			e.l.Want(e.lfd, 0)
-			e.l.Arm(&e.acceptT, shortPause)
+// writeWhole writes a short answer to a connection that is about to be closed, as far as it
+// can be written at once.
+func (e *Edge) writeWhole(fd int, b []byte) {
+	for len(b) > 0 {
+		n, err := e.l.Write(fd, b)
+		if err != nil {
 			return
 		}
-		e.stats.Accepted++
-		e.adopt(fd, addressOf(from), true)
+		b = b[n:]
 	}
 }
 
@@ -367,8 +353,8 @@
 		g.counts[cause]++
 		e.stats.Refused++
 		if answer {
-			unix.Write(fd, busyAnswer)
-			loop.ReadFD(fd, e.scratch) // what is unread when it is closed would take the answer from it
+			e.writeWhole(fd, busyAnswer)
+			e.l.Read(fd, e.scratch) // what is unread when it is closed would take the answer from it
 		}
 		unix.Close(fd)
 		return nil
@@ -473,29 +459,45 @@
 type prober struct {
 	e     *Edge
 	id    string
-	fd    int
+	fd    int // -1: it could not be begun yet
 	timer loop.Timer
+	until loop.Millis
 }
 
 // probe looks whether a member takes connections, within the time for connects.
 func (e *Edge) probe(id string) {
-	fd, _, err := e.sys.dial(e.core.Address(id))
-	if err != nil && isShort(err) { // its own lack is no word about the member: look again later
-		e.l.Once(shortPause, func() { e.probe(id) })
-		return
+	p := &prober{e: e, id: id, fd: -1, until: e.l.Now() + e.s.Limits.Connect}
+	p.timer.F = p.due
+	p.begin()
+}
+
+// begin begins to connect. What this machine lacks for it is no word about the member: it is
+// tried again, as long as the time for connects lasts.
+func (p *prober) begin() {
+	e := p.e
+	fd, _, err := e.l.Dial(e.core.Address(p.id))
+	if err == nil {
+		if err = e.l.Add(fd, loop.Write, p); err != nil {
+			unix.Close(fd)
+		}
 	}
-	if err != nil {
-		e.heard(spool.Probed{Cache: id})
-		return
+	switch {
+	case err == nil:
+		p.fd = fd
+		e.l.Arm(&p.timer, p.until-e.l.Now())
+	case loop.Lacking(err):
+		e.l.Arm(&p.timer, shortPause)
+	default:
+		p.end(false)
 	}
-	p := &prober{e: e, id: id, fd: fd}
-	p.timer.F = func() { p.end(false) }
-	if err := e.l.Add(fd, loop.Write, p); err != nil {
-		unix.Close(fd)
-		e.heard(spool.Probed{Cache: id})
+}
+
+func (p *prober) due() {
+	if p.fd < 0 && p.e.l.Now() < p.until {
+		p.begin()
 		return
 	}
-	e.l.Arm(&p.timer, e.s.Limits.Connect)
+	p.end(false)
 }
 
 func (e *Edge) heard(p spool.Probed) {
@@ -512,8 +514,10 @@
 
 func (p *prober) end(ok bool) {
 	p.e.l.Forget(&p.timer)
-	p.e.l.Remove(p.fd)
-	unix.Close(p.fd)
+	if p.fd >= 0 {
+		p.e.l.Remove(p.fd)
+		unix.Close(p.fd)
+	}
 	p.e.heard(spool.Probed{Cache: p.id, OK: ok})
 }
 
--- a/internal/edge/guard.go
+++ b/internal/edge/guard.go
@@ -1,7 +1,6 @@
 package edge
 
 import (
-	"errors"
 	"maps"
 	"math"
 	"net/netip"
@@ -46,7 +45,6 @@
 	stuck     []*upstream // in a sweep: their clients hold them up
 	sweepT    loop.Timer
 	holdT     loop.Timer // connections that are held back
-	retryT    loop.Timer // attempts that wait for a descriptor
 	most      int        // connections that there are descriptors for
 }
 
@@ -72,7 +70,6 @@
 	g.idle.init()
 	g.sweepT.F = g.sweep
 	g.holdT.F = g.release
-	g.retryT.F = func() { e.retryWaiting() }
 	g.adopt(e.s)
 	return g
 }
@@ -80,6 +77,7 @@
 // adopt goes by settings from now on. What was learned stays.
 func (g *guard) adopt(s *config.Settings) {
 	l := &s.Limits
+	g.e.listener.PerTurn = l.AcceptPerTurn
 	least := func(kbs, grace float64) limits.Least {
 		return limits.Least{Rate: kbs * 1024 / 1000, Grace: grace, Step: 2 * sweepEvery}
 	}
@@ -501,29 +499,6 @@
 	return len(g.e.clients) >= g.most && !g.closeIdle(limits.Descriptors)
 }
 
-// isShort reports an error that says that the process or the machine lacks
-// descriptors or memory now, and nothing of a peer.
-func isShort(err error) bool {
-	var errno unix.Errno
-	if !errors.As(err, &errno) {
-		return false
-	}
-	switch errno {
-	case unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EAGAIN, unix.EADDRNOTAVAIL, unix.ENOSPC: // the last: of watched descriptors
-		return true
-	}
-	return false
-}
-
-// retryWaiting has attempts go on that wait for a descriptor.
-func (e *Edge) retryWaiting() {
-	for _, p := range e.pools {
-		for n := len(p.wait); n > 0 && len(p.wait) > 0; n-- {
-			p.next()
-		}
-	}
-}
-
 // idleList is the clients between requests, the longest unused first.
 type idleList struct{ root client }
 
--- a/internal/edge/guard_test.go
+++ b/internal/edge/guard_test.go
@@ -23,6 +23,7 @@
 	"indigospool/internal/config"
 	"indigospool/internal/core"
 	"indigospool/internal/limits"
+	"indigospool/internal/loop"
 	"indigospool/internal/standin"
 )
 
@@ -505,28 +506,35 @@
 	}
 }
 
+// twoOfThree fails two of three calls for a descriptor.
+type twoOfThree struct {
+	loop.KernelCalls
+	errno            unix.Errno
+	accepts, sockets int
+}
+
+func (s *twoOfThree) Accept(listener int) (int, error) {
+	if s.accepts++; s.accepts%3 != 0 {
+		return -1, s.errno
+	}
+	return s.KernelCalls.Accept(listener)
+}
+
+func (s *twoOfThree) Socket(family int) (int, error) {
+	if s.sockets++; s.sockets%3 != 0 {
+		return -1, s.errno
+	}
+	return s.KernelCalls.Socket(family)
+}
+
 // Calls that fail for want of descriptors or memory are made again, and nobody is
 // blamed: no connection is lost, no member is taken for gone.
 func TestShortOfAnything(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM} {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
 			r := newRig(t, 2, "")
-			failing := map[string]int{}
-			r.e.Query(func(*Stats, *core.Core) {
-				accept, dial := r.e.sys.accept, r.e.sys.dial
-				r.e.sys.accept = func(fd, flags int) (int, unix.Sockaddr, error) {
-					if failing["accept"]++; failing["accept"]%3 != 0 {
-						return -1, nil, errno
-					}
-					return accept(fd, flags)
-				}
-				r.e.sys.dial = func(address string) (int, bool, error) {
-					if failing["dial"]++; failing["dial"]%3 != 0 {
-						return -1, false, fmt.Errorf("loop: epoll_ctl add 9: %w", errno)
-					}
-					return dial(address)
-				}
-			})
+			failing := &twoOfThree{errno: errno}
+			r.e.Query(func(*Stats, *core.Core) { r.e.l.Intercept(failing) })
 			var wg sync.WaitGroup
 			for i := range 20 {
 				wg.Add(1)
@@ -540,7 +548,7 @@
 			wg.Wait()
 			r.e.Query(func(s *Stats, _ *core.Core) {
 				if s.AcceptPauses == 0 || s.ConnectWaits == 0 || s.AcceptPauses > 100 {
-					t.Errorf("%d pauses of accepting, %d of connecting: %v", s.AcceptPauses, s.ConnectWaits, failing)
+					t.Errorf("%d pauses of accepting, %d of connecting: %d and %d calls", s.AcceptPauses, s.ConnectWaits, failing.accepts, failing.sockets)
 				}
 			})
 			r.logMu.Lock()
--- a/internal/edge/log.go
+++ b/internal/edge/log.go
@@ -60,7 +60,7 @@
 
 var resultWords = [...]string{spool.OK: "ok", spool.Errored: "error", spool.Full: "full", spool.TimedOut: "timeout",
 	spool.ConnectFailed: "connect-failed", spool.Reset: "reset", spool.Cancelled: "cancelled", spool.Moot: "moot",
-	spool.Miss: "miss"}
+	spool.Miss: "miss", spool.LocalFailure: "not-begun"}
 
 // AccessLog writes one line a request, and the router's own messages, from a
 // goroutine of its own: the loop only queues. When the queue is full, lines are
--- /dev/null
+++ b/internal/edge/syscalls_test.go
@@ -0,0 +1,174 @@
+package edge
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"indigospool/internal/core"
+	"indigospool/internal/faultinject"
+	"indigospool/internal/loop"
+)
+
+// inFlight is how many requests are in hand while calls fail.
+const inFlight = 100
+
+// twoEach makes two requests on each of inFlight connections, and reports what is lost.
+func (r *rig) twoEach() {
+	var wg sync.WaitGroup
+	for i := range inFlight {
+		wg.Go(func() {
+			c := r.dial()
+			reader := bufio.NewReader(c)
+			for k := range 2 {
+				fmt.Fprintf(c, "GET /s/1/%d-%d HTTP/1.1\r\nHost: h\r\n\r\n", i, k)
+				answer, err := http.ReadResponse(reader, nil)
+				if err != nil {
+					r.t.Errorf("request %d of connection %d is lost: %v", k, i, err)
+					return
+				}
+				if _, err := io.Copy(io.Discard, answer.Body); err != nil || answer.StatusCode != 200 {
+					r.t.Errorf("request %d of connection %d: status %d, %v", k, i, answer.StatusCode, err)
+				}
+			}
+		})
+	}
+	wg.Wait()
+}
+
+// fail has the router's calls of a kind fail: what is a reading of time counts from the first
+// such call.
+func (r *rig) fail(call faultinject.Call, how string) (calls *faultinject.Syscalls) {
+	faults, err := faultinject.Parse(fmt.Sprintf("%s:%s", call, how))
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	var began time.Time
+	calls = faultinject.New(faults, 1, func() time.Duration {
+		if made, _ := calls.Counts(call); made == 0 {
+			began = time.Now()
+		}
+		return time.Since(began)
+	})
+	r.e.Query(func(*Stats, *core.Core) { r.e.l.Intercept(calls) })
+	return calls
+}
+
+// Whatever a system call fails with for a moment, and for however long, no request is lost, no
+// connection closed and no member blamed, and the loop does not spin.
+func TestCallsFailForAMoment(t *testing.T) {
+	const perSecond = 1500 // turns, and calls for a new connection
+	errors := map[faultinject.Call]string{
+		faultinject.Accept:  "ECONNABORTED EMFILE ENFILE ENOBUFS ENOMEM EPERM ENETUNREACH EPROTO EINTR",
+		faultinject.Socket:  "EMFILE ENFILE ENOBUFS ENOMEM EINTR",
+		faultinject.Connect: "EADDRNOTAVAIL ENETUNREACH EPERM ENOBUFS EAGAIN EINTR",
+		faultinject.Read:    "EINTR ENOBUFS ENOMEM short",
+		faultinject.Write:   "EINTR ENOBUFS ENOMEM short",
+		faultinject.Wait:    "EINTR",
+	}
+	for call, names := range errors {
+		for _, name := range strings.Fields(names) {
+			for _, span := range []string{"1x", "1:0s-50ms", "1:0s-2s"} {
+				t.Run(fmt.Sprintf("%s/%s/%s", call, name, span), func(t *testing.T) {
+					t.Parallel()
+					r := newRig(t, 2, "(connections-per-address 5000)")
+					calls := r.fail(call, name+":"+span)
+					before := r.turns()
+					began := time.Now()
+					r.twoEach()
+					seconds := time.Since(began).Seconds()
+					most := int(perSecond*seconds) + 40*inFlight
+					made, failed := calls.Counts(call)
+					moves := call == faultinject.Read || call == faultinject.Write // one for each connection and turn
+					if turns := int(r.turns() - before); turns > most || made > most && !moves || failed == 0 {
+						t.Errorf("%d turns in %.1f s, %d calls of which %d failed", turns, seconds, made, failed)
+					}
+					r.logMu.Lock()
+					defer r.logMu.Unlock()
+					if strings.Contains(r.log.String(), "connect-failed") {
+						t.Error("a member is blamed")
+					}
+				})
+			}
+		}
+	}
+}
+
+func (r *rig) turns() (turns uint64) {
+	r.e.Query(func(*Stats, *core.Core) { turns = r.e.l.Turns() })
+	return turns
+}
+
+// brokenUpstream has every third call on a connection to a member fail with errno, at most ten in all.
+type brokenUpstream struct {
+	loop.KernelCalls
+	errno   unix.Errno
+	members map[int]bool // their ports
+	calls   int
+	failed  atomic.Int64
+	write   bool // otherwise reads
+}
+
+func (b *brokenUpstream) fails(fd int) bool {
+	peer, err := unix.Getpeername(fd)
+	if to, ok := peer.(*unix.SockaddrInet4); err != nil || !ok || !b.members[to.Port] {
+		return false
+	}
+	if b.calls++; b.calls%3 != 0 || b.failed.Load() == 10 {
+		return false
+	}
+	b.failed.Add(1)
+	return true
+}
+
+func (b *brokenUpstream) Read(fd int, buf []byte) (int, error) {
+	if !b.write && b.fails(fd) {
+		return 0, b.errno
+	}
+	return b.KernelCalls.Read(fd, buf)
+}
+
+func (b *brokenUpstream) Write(fd int, buf []byte) (int, error) {
+	if b.write && b.fails(fd) {
+		return 0, b.errno
+	}
+	return b.KernelCalls.Write(fd, buf)
+}
+
+func (b *brokenUpstream) WriteTwo(fd int, first, second []byte) (int, error) {
+	if b.write && b.fails(fd) {
+		return 0, b.errno
+	}
+	return b.KernelCalls.WriteTwo(fd, first, second)
+}
+
+// A connection to a member that is broken costs its attempt, and no request.
+func TestBrokenUpstreams(t *testing.T) {
+	for _, errno := range []unix.Errno{unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNRESET, unix.EPIPE, unix.ENETUNREACH} {
+		for _, write := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s/write=%v", unix.ErrnoName(errno), write), func(t *testing.T) {
+				t.Parallel()
+				r := newRig(t, 2, "(connections-per-address 5000)")
+				calls := &brokenUpstream{errno: errno, members: map[int]bool{}, write: write}
+				for _, box := range r.boxes {
+					port := 0
+					fmt.Sscanf(box.Addr(), "127.0.0.1:%d", &port)
+					calls.members[port] = true
+				}
+				r.e.Query(func(*Stats, *core.Core) { r.e.l.Intercept(calls) })
+				r.twoEach()
+				if failed := calls.failed.Load(); failed < 5 {
+					t.Errorf("%d calls failed", failed)
+				}
+			})
+		}
+	}
+}
--- a/internal/edge/upstream.go
+++ b/internal/edge/upstream.go
@@ -1,6 +1,8 @@
 package edge
 
 import (
+	"errors"
+
 	"golang.org/x/sys/unix"
 
 	spool "indigospool"
@@ -70,8 +72,10 @@
 		t.abandon()
 		t.end(spool.Full, spool.NoteNoPlace, false)
 		return
-	case !t.written:
+	case !t.written && t.u.state == upConnecting:
 		result = spool.ConnectFailed
+	case !t.written: // connected, and not a byte of it could be written
+		result = spool.LocalFailure
 	}
 	t.cut(result)
 }
@@ -174,22 +178,23 @@
 		return
 	}
 	u, err := p.connect()
-	if err != nil && isShort(err) { // the router's own lack, and no word about the member
-		p.e.stats.ConnectWaits++
-		p.wait = append(p.wait, t)
-		if !p.e.guard.closeIdle(limits.Descriptors) {
-			p.e.closeUnused(p)
-		}
-		if !p.e.guard.retryT.Armed() {
-			p.e.l.Arm(&p.e.guard.retryT, 20)
-		}
-		return
+	if (errors.Is(err, unix.EMFILE) || errors.Is(err, unix.ENFILE)) && p.makeRoom() {
+		u, err = p.connect()
 	}
-	if err != nil {
+	switch {
+	case err == nil:
+		u.begin(t)
+	case loop.Lacking(err): // no word about the member
+		p.e.stats.ConnectWaits++
+		t.end(spool.LocalFailure, spool.NoteNone, false)
+	default:
 		t.end(spool.ConnectFailed, spool.NoteNone, false)
-		return
 	}
-	u.begin(t)
+}
+
+// makeRoom closes a connection that is not in use, for its descriptor.
+func (p *pool) makeRoom() bool {
+	return p.e.guard.closeIdle(limits.Descriptors) || p.e.closeUnused(p)
 }
 
 // shortest is the connection on which a GET can follow others soonest (RFC
@@ -217,14 +222,17 @@
 	}
 }
 
-// next has an attempt that waits take a place that is free again.
+// next has an attempt that waits take a place that is free again. Where no connection can be
+// had, and none is left that would become free, it is the turn of all that wait.
 func (p *pool) next() {
-	if len(p.wait) > 0 {
+	for len(p.wait) > 0 {
 		t := p.wait[0]
 		if p.wait = p.wait[1:]; len(p.wait) == 0 {
 			p.wait = nil
 		}
-		p.start(t)
+		if p.start(t); len(p.all) > 0 {
+			return
+		}
 	}
 }
 
@@ -247,31 +255,32 @@
 
 // upstream is a connection to a member.
 type upstream struct {
-	e      *Edge
-	p      *pool
-	fd     int
-	state  upState
-	t      *try
-	line   []*try // GETs that follow it; nil for one whose answer nobody wants any more
-	left   []byte // read, and not yet taken
-	out    outq
-	head   http1.Head
-	body   http1.Body
-	chunk  bool // the client gets chunks
-	excess bool // bytes came with the head, behind it
-	held   bool // not read, since the client is slow
-	timer  loop.Timer
-	drain  int
-	note   spool.Note
-	flow   limits.Flow // of an answer's body
-	heldAt float64     // since when the client holds it up
-	told   bool        // the module knows that
-	queued bool        // bytes have come, and wait for their turn
-	since  float64     // when it was queued
+	e       *Edge
+	p       *pool
+	fd      int
+	state   upState
+	t       *try
+	line    []*try // GETs that follow it; nil for one whose answer nobody wants any more
+	left    []byte // read, and not yet taken
+	out     outq
+	pending *try // whose bytes wait in out
+	head    http1.Head
+	body    http1.Body
+	chunk   bool // the client gets chunks
+	excess  bool // bytes came with the head, behind it
+	held    bool // not read, since the client is slow
+	timer   loop.Timer
+	drain   int
+	note    spool.Note
+	flow    limits.Flow // of an answer's body
+	heldAt  float64     // since when the client holds it up
+	told    bool        // the module knows that
+	queued  bool        // bytes have come, and wait for their turn
+	since   float64     // when it was queued
 }
 
 func (p *pool) connect() (*upstream, error) {
-	fd, inProgress, err := p.e.sys.dial(p.address)
+	fd, inProgress, err := p.e.l.Dial(p.address)
 	if err != nil {
 		return nil, err
 	}
@@ -295,13 +304,14 @@
 }
 
 // closeUnused closes an unused connection to another address, for its descriptor.
-func (e *Edge) closeUnused(but *pool) {
+func (e *Edge) closeUnused(but *pool) bool {
 	for _, p := range e.pools {
 		if p != but && len(p.idle) > 0 {
 			p.idle[0].close() // the longest unused
-			return
+			return true
 		}
 	}
+	return false
 }
 
 // begin gives the connection an attempt; it is written once connected.
@@ -343,31 +353,48 @@
 	}
 	b = append(b, "\r\n"...)
 	u.e.hbuf = b
-	t.written = true
-	n, err := loop.WriteFD2(u.fd, b, r.content)
-	if err == unix.EAGAIN || err == unix.EINTR {
-		n, err = 0, nil
-	}
-	if err != nil {
+	n, err := u.e.l.WriteTwo(u.fd, b, r.content)
+	switch {
+	case loop.NotReady(err):
+		n = 0
+	case loop.Later(err):
+		u.takeBack(t)
+		return
+	case err != nil:
 		u.broke(spool.Reset)
 		return
 	}
 	u.e.stats.OutBytes += uint64(n)
+	t.written = n > 0
 	if n == len(b)+len(r.content) {
 		if !u.held {
 			u.e.l.Want(u.fd, loop.Read)
 		}
 		return
 	}
+	u.pending = t
 	u.out.add(u.e, b[min(n, len(b)):])
 	u.out.add(u.e, r.content[max(n-len(b), 0):])
 	u.flush()
 }
 
+// takeBack ends an attempt, the last on its connection, that could not be written for want of
+// something on this machine. The connection is as it was before.
+func (u *upstream) takeBack(t *try) {
+	u.e.stats.ConnectWaits++
+	t.u = nil
+	if u.t == t {
+		u.toIdle()
+	} else {
+		u.line = u.line[:len(u.line)-1]
+	}
+	t.end(spool.LocalFailure, spool.NoteNone, false)
+}
+
 func (u *upstream) flush() {
 	for u.out.len() > 0 {
-		n, err := loop.WriteFD(u.fd, u.out.bytes())
-		if err == unix.EAGAIN || err == unix.EINTR {
+		n, err := u.e.l.Write(u.fd, u.out.bytes())
+		if loop.Later(err) {
 			u.e.l.Want(u.fd, loop.Read|loop.Write)
 			return
 		}
@@ -377,7 +404,9 @@
 		}
 		u.e.stats.OutBytes += uint64(n)
 		u.out.take(u.e, n)
+		u.pending.written = true
 	}
+	u.pending = nil
 	u.e.l.Want(u.fd, loop.Read)
 }
 
@@ -566,9 +595,9 @@
 func (u *upstream) read(hangup bool, most int) int {
 	buf := u.e.scratch
 	k := copy(buf, u.left)
-	n, err := loop.ReadFD(u.fd, buf[k:min(k+most, len(buf))])
-	if err == unix.EAGAIN || err == unix.EINTR {
-		if hangup {
+	n, err := u.e.l.Read(u.fd, buf[k:min(k+most, len(buf))])
+	if loop.Later(err) {
+		if hangup && loop.NotReady(err) {
 			u.broke(spool.Reset)
 		}
 		return 0
--- a/internal/loop/errors.go
+++ b/internal/loop/errors.go
@@ -21,6 +21,10 @@
 	return false
 }
 
+// NotReady reports that a call found its descriptor not ready: all that was told of it is
+// dealt with. Of the errors that Later names, it is the ordinary one.
+func NotReady(err error) bool { return err == unix.EAGAIN }
+
 // Broken reports that a connection has ended, by its peer or by the network between.
 func Broken(err error) bool {
 	errno, ok := errnoOf(err)
--- a/internal/loop/io.go
+++ b/internal/loop/io.go
@@ -13,8 +13,9 @@
 func (l *Loop) Intercept(calls Syscalls) { l.calls = calls }
 
 const (
-	interruptedTries = 4   // of a call that is interrupted, before it counts as one for later
-	shortageWait     = 2.0 // ms, until a call is made again for which the kernel lacked memory
+	interruptedTries = 4    // of a call that is interrupted, before it counts as one for later
+	shortageFirst    = 2.0  // ms, until a call is made again for which the kernel lacked memory;
+	shortageLast     = 16.0 // doubled up to this while the shortage lasts
 )
 
 // Read reads from a non-blocking descriptor.
@@ -102,14 +103,19 @@
 	unix.EpollCtl(l.epfd, unix.EPOLL_CTL_DEL, fd, nil)
 	s.suspended = true
 	l.suspended = append(l.suspended, suspension{fd, s.gen})
-	if !l.resumeT.Armed() {
-		l.Arm(&l.resumeT, shortageWait)
+	if l.resumeT.Armed() {
+		return
+	}
+	if l.shortage = min(2*l.shortage, shortageLast); l.now-l.resumedAt > shortageLast {
+		l.shortage = shortageFirst
 	}
+	l.Arm(&l.resumeT, l.shortage)
 }
 
 // resume watches again what was suspended. What cannot be watched yet stays suspended.
 func (l *Loop) resume() {
 	left := l.suspended[:0]
+	l.resumedAt = l.now
 	for _, r := range l.suspended {
 		s := &l.slots[r.fd]
 		if s.gen != r.gen || !s.suspended {
@@ -123,7 +129,7 @@
 		s.suspended = false
 	}
 	if l.suspended = left; len(left) > 0 {
-		l.Arm(&l.resumeT, shortageWait)
+		l.Arm(&l.resumeT, l.shortage)
 	}
 }
 
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -91,6 +91,8 @@
 	interrupted  int      // waits in a row
 	suspended    []suspension
 	resumeT      Timer
+	shortage     Millis // how long descriptors are suspended
+	resumedAt    Millis // when they were last watched again
 
 	mu      sync.Mutex
 	posted  []func()
--- a/internal/loop/syscalls_test.go
+++ b/internal/loop/syscalls_test.go
@@ -164,11 +164,11 @@
 				if f.read, f.write = times(1, errno), times(1, errno); for_ == "50 ms" {
 					f.read, f.write = always(errno), always(errno)
 				}
-				if turns := turnFor(t, l, 50); turns > 200 && errno != unix.EAGAIN {
+				if turns := turnFor(t, l, 50); turns > 30 && errno != unix.EAGAIN {
 					t.Errorf("%d turns in 50 ms, %d calls", turns, f.calls)
 				}
 				f.read, f.write = nil, nil
-				turnFor(t, l, 10)
+				turnFor(t, l, 2*shortageLast)
 				n, _ := unix.Read(theirs, b[:])
 				if got != "pong" || n != 4 {
 					t.Errorf("read %q, peer %d bytes", got, n)
--- a/internal/whatif/recorded.go
+++ b/internal/whatif/recorded.go
@@ -140,7 +140,7 @@
 	if len(ev.Load) > 0 {
 		one.load = append([]float64(nil), ev.Load...)
 	}
-	if ev.Result == spool.Moot { // it never went anywhere
+	if ev.Result == spool.Moot || ev.Result == spool.LocalFailure { // it never went anywhere
 		return
 	}
 	add(m.all, r.send.Cache, one)
