--- a/internal/node/terms_test.go
+++ b/internal/node/terms_test.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"bytes"
 	"fmt"
 	"io"
 	"net"
@@ -9,8 +10,11 @@
 	"testing"
 	"time"
 
+	"golang.org/x/sys/unix"
+
 	spool "indigospool"
 	"indigospool/internal/faultinject"
+	"indigospool/internal/loop"
 	"indigospool/internal/standin"
 )
 
@@ -513,3 +517,56 @@
 		}
 	}
 }
+
+// halting takes only the first bytes of the first attempt that is written, and nothing more
+// on its connection for a while.
+type halting struct {
+	loop.KernelCalls
+	fd    int
+	until time.Time
+	span  time.Duration
+}
+
+func (h *halting) Write(fd int, b []byte) (int, error) {
+	switch {
+	case h.fd == 0 && bytes.Contains(b, []byte("REQ")):
+		h.fd, h.until = fd, time.Now().Add(h.span)
+		return h.KernelCalls.Write(fd, b[:20])
+	case h.fd == fd && time.Now().Before(h.until):
+		return 0, unix.EAGAIN
+	}
+	return h.KernelCalls.Write(fd, b)
+}
+
+// TestFrameTakenInPart: the rest of an attempt leaves while the deadline that it names still
+// holds, or not at all; and a request that shared the connection is served too.
+func TestFrameTakenInPart(t *testing.T) {
+	for _, span := range []time.Duration{40 * time.Millisecond, 600 * time.Millisecond} {
+		t.Run(span.String(), func(t *testing.T) {
+			t.Parallel()
+			rec := &recorder{answer: hits}
+			w := open(t, rec.everywhere())
+			w.warm()
+			before := len(rec.all())
+			w.n.l.Call(soon, func() { w.n.l.Intercept(&halting{span: span}) })
+			c := w.client()
+			sent := time.Now()
+			for range 2 {
+				c.Ask(clip(key, "wait", "2000"), nil)
+			}
+			for range 2 {
+				if r, err := c.Result(soon); err != nil || r.Word != "served" {
+					t.Fatalf("%+v %v", r, err)
+				}
+			}
+			time.Sleep(time.Until(sent.Add(span + 100*time.Millisecond)))
+			for _, a := range rec.all()[before:] {
+				wait, _ := strconv.Atoi(a.Fields["wait"])
+				passed, left := time.Duration(wait)*time.Millisecond, 2*time.Second-a.at.Sub(sent)
+				if passed > left+deadlineSlack {
+					t.Errorf("a wait of %v was passed on where the client had %v left", passed, left)
+				}
+			}
+		})
+	}
+}
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -246,6 +246,7 @@
 		return nil, p.failed(err)
 	}
 	c.timer.F = func() { c.fail(spool.ConnectFailed) }
+	c.rest.F = func() { c.stale() }
 	if t := n.cfg.settings.ConnectTimeout; t > 0 {
 		n.l.Arm(&c.timer, t)
 	}
@@ -296,6 +297,9 @@
 	in, out loop.Queue
 	pend    []*attempt // not begun to be written
 	writing *attempt   // in out, and not whole at the member yet
+	framed  float64    // when its frame was made
+	size    int        // of its frame, in bytes
+	rest    loop.Timer // when the rest of it would come too late
 	open    []*attempt // written whole
 	used    float64    // when it last was written to or read from
 	heard   float64    // when it was last read from
@@ -330,11 +334,16 @@
 // whether any of it, or all of it, went out.
 func (c *conn) flush() {
 	n := c.p.n
+	if c.stale() {
+		return
+	}
 	for !c.closed {
 		for c.out.Len() > 0 {
 			k, err := n.l.Write(c.fd, c.out.Bytes())
 			if loop.Later(err) {
 				n.l.Want(c.fd, loop.Read|loop.Write)
+				c.takeBack()
+				c.restBy()
 				return
 			}
 			if err != nil {
@@ -345,6 +354,9 @@
 		}
 		if a := c.writing; a != nil {
 			a.written, a.left, c.writing = true, loop.Clock(), nil
+			n.l.Disarm(&c.rest)
+			c.recent[c.at%len(c.recent)] = a.r.ID
+			c.at++
 			n.trace("written", a.r, zap.Int("try", a.n), zap.Int("fd", c.fd))
 			c.open = append(c.open, a)
 		}
@@ -369,10 +381,44 @@
 			continue
 		}
 		c.writing, c.used = a, n.l.Now()
-		c.recent[c.at%len(c.recent)] = a.r.ID
-		c.at++
-		c.out.Add(&n.bufs, a.frame(loop.Clock()))
+		c.framed = loop.Clock()
+		frame := a.frame(c.framed)
+		c.size = len(frame)
+		c.out.Add(&n.bufs, frame)
+	}
+}
+
+// takeBack has an attempt of which the machine has taken nothing wait again: its frame is
+// made anew, if it is to begin at all by then.
+func (c *conn) takeBack() {
+	if c.writing == nil || c.out.Len() < c.size {
+		return
 	}
+	c.out.Drop(&c.p.n.bufs)
+	c.pend = slices.Insert(c.pend, 0, c.writing)
+	c.writing = nil
+}
+
+// frameSlack is how long after a frame was made its last byte may leave, in ms: the time
+// that it names as left is too long by so much at most.
+const frameSlack = 80
+
+// restBy has the rest of a frame that was taken in part leave in time or not at all.
+func (c *conn) restBy() {
+	if l := c.p.n.l; c.writing != nil && !c.rest.Armed() {
+		l.Arm(&c.rest, c.framed+frameSlack-l.Now())
+	}
+}
+
+// stale gives up an attempt whose frame was taken in part, where the time that it names is
+// too long by now. A part of it is there: the connection goes with it.
+func (c *conn) stale() bool {
+	a := c.writing
+	if c.closed || a == nil || loop.Clock()-c.framed < frameSlack {
+		return false
+	}
+	a.giveUp(spool.TimedOut)
+	return true
 }
 
 // frame is the attempt as the member reads it.
@@ -591,6 +637,7 @@
 	n.l.Remove(c.fd)
 	closeFD(c.fd)
 	n.l.Forget(&c.timer)
+	n.l.Forget(&c.rest)
 	c.in.Drop(&n.bufs)
 	c.out.Drop(&n.bufs)
 	n.conns--
