--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -288,7 +288,7 @@
 // does not wait: the disk's goroutine stands still all the while.
 func TestNeverBlocks(t *testing.T) {
 	dir := t.TempDir()
-	w := &Writer{dir: dir, o: Options{Segment: 1 << 20, Total: 1 << 30, Queue: 100, Warn: func(string) {}}, full: make(chan struct{}, 1),
+	w := &Writer{dir: dir, o: Options{Segment: 1 << 20, Total: 1 << 30, Queue: 100, Warn: func(string) {}, Files: disk{}}, full: make(chan struct{}, 1),
 		stop: make(chan struct{}), done: make(chan struct{})}
 	if err := w.begin(); err != nil {
 		t.Fatal(err)
--- a/internal/journal/writer.go
+++ b/internal/journal/writer.go
@@ -3,14 +3,17 @@
 import (
 	"bytes"
 	"encoding/binary"
+	"errors"
 	"fmt"
 	"hash/crc32"
+	"io"
 	"os"
 	"path/filepath"
 	"sort"
 	"strings"
 	"sync"
 	"sync/atomic"
+	"syscall"
 	"time"
 
 	spool "indigospool"
@@ -23,8 +26,30 @@
 	Queue   int               // records that wait to be written; more are lost, and counted; default 65536
 	Warn    func(text string) // for the operator
 	Skip    bool              // leave numbers free: another process still writes behind what is there
+	Files   FileSystem        // where segments are made; nil: the operating system's
 }
 
+// FileSystem makes the file operations of a writer. Tests put one in its place that
+// fails.
+type FileSystem interface {
+	Create(path string) (File, error) // fails where there is one
+	Remove(path string) error
+}
+
+// File is a segment that is written.
+type File interface {
+	io.WriteCloser
+	Sync() error
+}
+
+type disk struct{}
+
+func (disk) Create(path string) (File, error) {
+	return os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o644)
+}
+
+func (disk) Remove(path string) error { return os.Remove(path) }
+
 // Writer writes a journal into a folder. Handled and Settings are called from
 // one goroutine, a router's loop, and never wait for the disk.
 type Writer struct {
@@ -40,7 +65,7 @@
 	lost atomic.Uint64
 
 	// of the writing goroutine
-	f       *os.File
+	f       File
 	path    string // of f, or of the segment that f was; empty: it is booked
 	size    int64
 	old     []segmentFile // ended, the oldest first
@@ -49,9 +74,11 @@
 	records int64
 	names   names
 	buf     []byte
-	one     bytes.Buffer // a record
-	retry   time.Time
-	missed  uint64
+	one     bytes.Buffer  // a record
+	retry   time.Time     // after a fault: not before
+	wait    time.Duration // the last one's
+	missed  uint64        // records that are lost since the last gap that was written
+	telling uint64        // of these, told by the gap that waits to be written
 }
 
 // segmentFile is a segment that has ended.
@@ -77,7 +104,8 @@
 	to    int
 }
 
-// Open begins a journal in a folder, behind what is there.
+// Open begins a journal in a folder, behind what is there. A disk that takes no writes
+// for now is no error: records are lost until it does.
 func Open(dir string, o Options) (*Writer, error) {
 	if o.Segment <= 0 {
 		o.Segment = 64 << 20
@@ -91,6 +119,9 @@
 	if o.Warn == nil {
 		o.Warn = func(string) {}
 	}
+	if o.Files == nil {
+		o.Files = disk{}
+	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
@@ -113,7 +144,10 @@
 		}
 	}
 	if err := w.begin(); err != nil {
-		return nil, err
+		if !passing(err) {
+			return nil, err
+		}
+		w.fail(err, 0, 0)
 	}
 	go w.run()
 	return w, nil
@@ -227,41 +261,75 @@
 	}
 }
 
+const (
+	firstRetry = 250 * time.Millisecond // of a new segment after a fault
+	lastRetry  = 5 * time.Second
+)
+
 // write writes a batch; on a fault of the disk it is lost, and a new segment is
 // tried after a while.
 func (w *Writer) write(b *batch) {
 	if len(b.items) == 0 && b.lost == 0 {
 		return
 	}
-	fail := func(err error, n int) {
-		if err != nil && w.missed == 0 {
-			w.o.Warn(fmt.Sprintf("journal: %v; records are lost until it can be written again", err))
-		}
-		w.missed += uint64(n) + b.lost
-		w.lost.Add(uint64(n))
-		if w.f != nil {
-			w.f.Close()
-			w.f = nil
+	if w.f == nil && time.Now().Before(w.retry) {
+		w.miss(len(b.items), b.lost)
+		return
+	}
+	written, err := w.writeBatch(b)
+	if err == nil {
+		w.wait = 0
+		return
+	}
+	w.fail(err, len(b.items)-written, b.lost)
+}
+
+// fail counts what a fault of the disk costs, and has a new segment tried after a
+// while.
+func (w *Writer) fail(err error, records int, counted uint64) {
+	w.telling = 0
+	if w.missed == 0 {
+		w.o.Warn(fmt.Sprintf("journal: %v; records are lost until it can be written again", err))
+	}
+	w.miss(records, counted)
+	if w.f != nil {
+		w.f.Close()
+		w.f = nil
+	}
+	w.wait = min(max(2*w.wait, firstRetry), lastRetry)
+	w.retry = time.Now().Add(w.wait)
+}
+
+// passing reports whether an error is one of the disk or the process, that may pass,
+// and not one of the folder's path.
+func passing(err error) bool {
+	for _, one := range []error{syscall.ENOSPC, syscall.EDQUOT, syscall.EIO, syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM} {
+		if errors.Is(err, one) {
+			return true
 		}
-		w.retry = time.Now().Add(5 * time.Second)
 	}
+	return false
+}
+
+// miss counts records that are lost, and others that had been counted already.
+func (w *Writer) miss(records int, counted uint64) {
+	w.missed += uint64(records) + counted
+	w.lost.Add(uint64(records))
+}
+
+// writeBatch says how many of the batch's records are surely written.
+func (w *Writer) writeBatch(b *batch) (written int, err error) {
 	if w.f == nil {
-		if time.Now().Before(w.retry) {
-			fail(nil, len(b.items))
-			return
-		}
 		if err := w.begin(); err != nil {
-			fail(err, len(b.items))
-			return
+			return 0, err
 		}
 	}
 	w.buf = w.buf[:0]
 	if w.missed > 0 {
 		w.names.begin()
 		w.add(KindGap, w.missed)
-		w.missed = 0
+		w.telling = w.missed
 	}
-	written := 0 // items whose records are on disk
 	for i := range b.items {
 		if err := w.encode(&b.items[i], b.acts); err != nil { // nothing that it is told of is unknown to it
 			w.o.Warn(err.Error())
@@ -269,14 +337,12 @@
 		}
 		if len(w.buf) >= 1<<20 || w.size+int64(len(w.buf)) >= w.o.Segment {
 			if err := w.flush(); err != nil {
-				fail(err, len(b.items)-written)
-				return
+				return written, err
 			}
 			written = i + 1
 			if w.size >= w.o.Segment {
 				if err := w.next(); err != nil {
-					fail(err, len(b.items)-written)
-					return
+					return written, err
 				}
 			}
 		}
@@ -285,9 +351,7 @@
 		w.names.begin()
 		w.add(KindGap, b.lost)
 	}
-	if err := w.flush(); err != nil {
-		fail(err, len(b.items)-written)
-	}
+	return written, w.flush()
 }
 
 func (w *Writer) flush() error {
@@ -297,6 +361,10 @@
 	n, err := w.f.Write(w.buf)
 	w.size += int64(n)
 	w.buf = w.buf[:0]
+	if err == nil {
+		w.missed -= w.telling
+		w.telling = 0
+	}
 	return err
 }
 
@@ -356,7 +424,7 @@
 func (w *Writer) begin() error {
 	w.ended()
 	path := filepath.Join(w.dir, fmt.Sprintf(partOfName, w.index)+Extension)
-	f, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o644)
+	f, err := w.o.Files.Create(path)
 	if err != nil {
 		return fmt.Errorf("journal: %w", err)
 	}
@@ -369,12 +437,15 @@
 	w.buf = keep
 	if err != nil {
 		f.Close()
+		if w.o.Files.Remove(path) != nil {
+			w.index++ // it stands in the way, and is shorter than a segment's start
+		}
 		return fmt.Errorf("journal: %w", err)
 	}
 	w.f, w.size = f, int64(n)
 	w.index++
 	for len(w.old) > 0 && w.total > w.o.Total {
-		os.Remove(w.old[0].path) // one that is gone already is no loss
+		w.o.Files.Remove(w.old[0].path) // one that is gone already is no loss
 		w.total -= w.old[0].size
 		w.old = w.old[1:]
 	}
