--- a/internal/journal/reader.go
+++ b/internal/journal/reader.go
@@ -43,7 +43,6 @@
 	gap   string // to be told before the next record
 	jump  string // the same, unless a life begins with it: numbers were left free there
 	held  *Entry // a record behind a jump
-	first bool
 	cut   string
 }
 
--- a/internal/lastgood/files.go
+++ b/internal/lastgood/files.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"go.etcd.io/bbolt"
+	boltErrors "go.etcd.io/bbolt/errors"
 	"golang.org/x/sys/unix"
 )
 
@@ -109,7 +110,7 @@
 		case !errors.Is(err, unix.EWOULDBLOCK):
 			return &FaultError{"lock", file.Name(), err}
 		case time.Now().After(deadline):
-			return fmt.Errorf("lastgood: %s is in use by another process: %w", file.Name(), bbolt.ErrTimeout)
+			return fmt.Errorf("lastgood: %s is in use by another process: %w", file.Name(), boltErrors.ErrTimeout)
 		default:
 			time.Sleep(lockRetry)
 		}
--- a/internal/lastgood/lastgood.go
+++ b/internal/lastgood/lastgood.go
@@ -51,6 +51,7 @@
 	path  string
 	keep  int
 	files FileSystem
+	clock func() reading
 
 	mu       sync.RWMutex // held for writing while the file changes hands
 	db       *bbolt.DB    // the file, or an image of it in memory; nil: neither
@@ -95,6 +96,7 @@
 type header struct {
 	Sum    string    `json:"sum"`
 	Stored time.Time `json:"stored"` // the wall clock: the store outlives the machine's other clocks
+	reading
 }
 
 // Open opens the store at path, and makes it where there is none. With a
@@ -108,7 +110,7 @@
 
 // OpenOn is OpenKeeping by the operations of a file system.
 func OpenOn(files FileSystem, path string, keep int) (*Store, error) {
-	s := &Store{path: path, keep: max(keep, 1), files: files}
+	s := &Store{path: path, keep: max(keep, 1), files: files, clock: clockNow}
 	err := s.load(lockWait)
 	var fault *FaultError
 	if errors.As(err, &fault) && (s.db != nil && s.file != nil || !misplaced(err)) {
@@ -504,7 +506,7 @@
 }
 
 func (s *Store) put(v fleet.Version, now time.Time) error {
-	value, err := encode(v, now)
+	value, err := s.encode(v, now)
 	if err != nil {
 		return err
 	}
@@ -549,7 +551,7 @@
 			if v.Number <= 0 || holds(b, v) {
 				continue
 			}
-			value, err := encode(v, now)
+			value, err := s.encode(v, now)
 			if err != nil {
 				return err
 			}
@@ -596,14 +598,16 @@
 		if value == nil {
 			return ErrNone
 		}
-		v, stored, err = decode(key(number), value)
+		var h header
+		v, h, err = decode(key(number), value)
+		stored = h.Stored
 		return err
 	})
 	return v, stored, err
 }
 
-func encode(v fleet.Version, now time.Time) ([]byte, error) {
-	h, err := json.Marshal(header{v.Sum, now})
+func (s *Store) encode(v fleet.Version, now time.Time) ([]byte, error) {
+	h, err := json.Marshal(header{v.Sum, now, s.readAt(now)})
 	if err != nil {
 		return nil, err
 	}
@@ -632,7 +636,9 @@
 		if k == nil {
 			return ErrNone
 		}
-		v, stored, err = decode(k, value)
+		var h header
+		v, h, err = decode(k, value)
+		stored = h.Stored
 		return err
 	})
 	return v, stored, err
@@ -644,50 +650,62 @@
 	return sha256.Sum256(append(append([]byte(nil), k...), rest...))
 }
 
-func decode(k, value []byte) (v fleet.Version, stored time.Time, err error) {
+func decode(k, value []byte) (v fleet.Version, h header, err error) {
 	if value, err = unseal(k, value); err != nil {
-		return v, stored, err
+		return v, h, err
 	}
 	if len(k) != 8 || len(value) < 4 {
-		return v, stored, errors.New("lastgood: an entry is too short")
+		return v, h, errors.New("lastgood: an entry is too short")
 	}
 	n := int(binary.BigEndian.Uint32(value))
 	if n > len(value)-4 {
-		return v, stored, errors.New("lastgood: an entry's header is longer than the entry")
+		return v, h, errors.New("lastgood: an entry's header is longer than the entry")
 	}
-	var h header
 	if err := json.Unmarshal(value[4:4+n], &h); err != nil {
-		return v, stored, fmt.Errorf("lastgood: an entry's header: %w", err)
+		return v, h, fmt.Errorf("lastgood: an entry's header: %w", err)
 	}
 	v = fleet.Version{Number: int64(binary.BigEndian.Uint64(k)), Sum: h.Sum, Body: append([]byte(nil), value[4+n:]...)}
 	if fleet.SumOf(v.Body) != v.Sum {
-		return fleet.Version{}, stored, fmt.Errorf("lastgood: version %d does not match its sum", v.Number)
+		return fleet.Version{}, h, fmt.Errorf("lastgood: version %d does not match its sum", v.Number)
 	}
-	return v, h.Stored, nil
+	return v, h, nil
 }
 
 // History are the stored versions in the order of their numbers, with their ages
 // by the wall clock, never below 0.
 func (s *Store) History(now time.Time) (list []fleet.Aged, err error) {
+	list, headers, err := s.all()
+	for i := range list {
+		list[i].Age = max(float64(now.Sub(headers[i].Stored).Microseconds())/1000, 0)
+	}
+	return list, err
+}
+
+// all are the stored versions in the order of their numbers, without their ages.
+func (s *Store) all() (list []fleet.Aged, headers []header, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
 		return tx.Bucket(versions).ForEach(func(k, value []byte) error {
-			v, stored, err := decode(k, value)
-			list = append(list, fleet.Aged{Version: v, Age: max(float64(now.Sub(stored).Microseconds())/1000, 0)})
+			v, h, err := decode(k, value)
+			list, headers = append(list, fleet.Aged{Version: v}), append(headers, h)
 			return err
 		})
 	})
-	return list, err
+	return list, headers, err
 }
 
-// Restored is the event with which a router's machine begins.
+// Restored is the event with which a router's machine begins. The wall clock counts
+// for the ages in it only where nothing else tells them.
 func (s *Store) Restored(now time.Time) fleet.Restored {
-	list, err := s.History(now)
+	list, headers, err := s.all()
 	if err == nil && len(list) == 0 {
 		err = ErrNone
 	}
 	if err != nil {
 		return fleet.Restored{Err: err}
 	}
+	for i, age := range s.ages(headers, now) {
+		list[i].Age = age
+	}
 	last := list[len(list)-1]
 	return fleet.Restored{Version: last.Version, Age: last.Age, Before: list[:len(list)-1]}
 }
