--- a/internal/cache/cache.go
+++ b/internal/cache/cache.go
@@ -102,11 +102,14 @@
 }
 
 // Start opens the store and begins to listen; Run serves.
-func Start(f Form, warn func(string)) (*Server, error) {
-	return start(f, warn, store.Dir(f.Folder), time.Now)
+func Start(f Form, warn func(string)) (*Server, error) { return StartOn(store.Dir(f.Folder), f, warn) }
+
+// StartOn is Start with the store in a folder that fault injection gives.
+func StartOn(folder store.FS, f Form, warn func(string)) (*Server, error) {
+	return start(f, warn, folder, time.Now)
 }
 
-// start is Start on a folder and a wall clock that tests replace. The clock is read once.
+// start is StartOn by a wall clock that tests replace. The clock is read once.
 func start(f Form, warn func(string), folder store.FS, wallClock func() time.Time) (*Server, error) {
 	if warn == nil {
 		warn = func(string) {}
--- a/internal/control/fault_test.go
+++ b/internal/control/fault_test.go
@@ -85,7 +85,7 @@
 		(rollout (hold %d) (patience 400))`, store, hold), &set); err != nil {
 		t.Fatal(err)
 	}
-	s, err := startServiceOn(files, &set, zap.NewNop(), sent)
+	s, err := StartServiceOn(files, &set, zap.NewNop(), sent)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -115,11 +115,11 @@
 // StartService begins a service from its store and listens. sent is as in
 // ServerConfig.
 func StartService(set *ServiceSettings, log *zap.Logger, sent func(router string, v fleet.Version)) (*Service, error) {
-	return startServiceOn(lastgood.Disk{}, set, log, sent)
+	return StartServiceOn(lastgood.Disk{}, set, log, sent)
 }
 
-// startServiceOn is StartService with its store on a file system.
-func startServiceOn(files lastgood.FileSystem, set *ServiceSettings, log *zap.Logger, sent func(string, fleet.Version)) (*Service, error) {
+// StartServiceOn is StartService by the operations of a file system, for fault injection.
+func StartServiceOn(files lastgood.FileSystem, set *ServiceSettings, log *zap.Logger, sent func(router string, v fleet.Version)) (*Service, error) {
 	s := &Service{set: set, log: log, done: make(chan struct{})}
 	f := &set.Service
 	var err error
--- a/internal/day/box.go
+++ b/internal/day/box.go
@@ -8,6 +8,7 @@
 
 	"indigospool/internal/cache"
 	"indigospool/internal/standin"
+	"indigospool/internal/store"
 	"indigospool/internal/tap"
 )
 
@@ -31,11 +32,15 @@
 	if err := json.Unmarshal(line, &c); err != nil {
 		return err
 	}
+	faults, err := newInjector(in)
+	if err != nil {
+		return err
+	}
 	fills := c.MaxFills
 	if fills <= 0 {
 		fills = 1024
 	}
-	s, err := cache.Start(cache.Form{Name: c.ID, Listen: "127.0.0.1:0", Folder: c.Folder, MB: float64(c.Bytes) / (1 << 20), Segment: max(float64(c.Bytes)/(16<<20), 0.5), Sync: "purges",
+	s, err := cache.StartOn(faultyFolder{store.Dir(c.Folder), faults}, cache.Form{Name: c.ID, Listen: "127.0.0.1:0", Folder: c.Folder, MB: float64(c.Bytes) / (1 << 20), Segment: max(float64(c.Bytes)/(16<<20), 0.5), Sync: "purges",
 		Threads: 2, Queue: 512, Patience: 2000, Fills: fills, FillWait: c.FillWait, Connect: 500, Idle: 300_000, Conns: 20000, Held: 1 << 20, Body: 1 << 20, RunOn: c.RunOn},
 		func(w string) { fmt.Fprintln(os.Stderr, c.ID, w) })
 	if err != nil {
@@ -68,7 +73,7 @@
 	w.Add(tap.Record{Ev: tap.Up, Who: c.ID, Role: c.Role, Addr: s.Addr(), Start: c.Start, Cold: c.Cold, Work: c.Capacity, Note: c.Zone,
 		Bytes: s.Found.Bytes})
 	go func() {
-		untilOrphaned(in)
+		faults.untilOrphaned(in)
 		s.Stop()
 	}()
 	return s.Run()
--- /dev/null
+++ b/internal/day/inject_test.go
@@ -0,0 +1,195 @@
+package day
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"errors"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"go.etcd.io/bbolt"
+	"golang.org/x/sys/unix"
+
+	"indigospool/internal/config"
+	"indigospool/internal/lastgood"
+	"indigospool/internal/store"
+	"indigospool/internal/tap"
+)
+
+// told is the standard input of a process that begins with faults and is told of more.
+func told(t *testing.T, begin []processFault, more ...processFault) *bufio.Reader {
+	t.Helper()
+	line, err := json.Marshal(begin)
+	if err != nil {
+		t.Fatal(err)
+	}
+	text := string(line) + "\n"
+	for _, fault := range more {
+		if line, err = json.Marshal(fault); err != nil {
+			t.Fatal(err)
+		}
+		text += string(line) + "\n"
+	}
+	return bufio.NewReader(strings.NewReader(text))
+}
+
+// A process suffers the faults that it begins with and those that it is told of, each
+// until its end; what it can't suffer is an error.
+func TestProcessFaults(t *testing.T) {
+	now := tap.Now()
+	full := processFault{Kind: FolderFault, Errno: "ENOSPC", Until: now + 60_000}
+	broken := processFault{Kind: FolderFault, Errno: "EIO", Until: now + 60_000}
+	over := processFault{Kind: FolderFault, Errno: "EIO", Until: now}
+	for _, c := range []struct {
+		name  string
+		begin []processFault
+		more  []processFault
+		want  error
+	}{
+		{"none", nil, nil, nil},
+		{"from the start", []processFault{full}, nil, unix.ENOSPC},
+		{"later", nil, []processFault{broken}, unix.EIO},
+		{"one after the other", []processFault{full}, []processFault{broken}, unix.EIO},
+		{"ended", []processFault{over}, nil, nil},
+		{"ended before the last", []processFault{full}, []processFault{over}, nil},
+	} {
+		in := told(t, c.begin, c.more...)
+		faults, err := newInjector(in)
+		if err != nil {
+			t.Fatal(c.name, err)
+		}
+		faults.untilOrphaned(in)
+		if err := faults.folderErr(); !errors.Is(err, c.want) {
+			t.Errorf("%s: the folder gives %v, want %v", c.name, err, c.want)
+		}
+	}
+	if _, err := newInjector(told(t, []processFault{{Kind: "earthquake"}})); err == nil {
+		t.Error("an unknown fault was begun")
+	}
+	if _, err := newInjector(bufio.NewReader(strings.NewReader(""))); err == nil {
+		t.Error("a process began without being told of its faults")
+	}
+}
+
+// While a folder fails nothing is written whole, created, renamed or synced, and what is
+// there can be read; afterwards all of it works.
+func TestFolderFault(t *testing.T) {
+	faults := &injector{}
+	dir := t.TempDir()
+	folder := faultyFolder{store.Dir(dir), faults}
+	file, err := folder.Open("a", true)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer file.Close()
+	versions := faultyFiles{faults: faults}
+	plain, err := versions.OpenFile(filepath.Join(dir, "b"), os.O_RDWR|os.O_CREATE, 0o600)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer plain.Close()
+	db, err := bbolt.Open(filepath.Join(dir, "db"), 0o600, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer db.Close()
+	var _ lastgood.FileSystem = versions
+	calls := map[string]func() error{
+		"write":       func() error { _, err := file.WriteAt([]byte("0123456789"), 0); return err },
+		"sync":        file.Sync,
+		"truncate":    func() error { return file.Truncate(10) },
+		"create":      func() error { return create(folder, "c") },
+		"rename":      func() error { return errors.Join(folder.Rename("a", "d"), folder.Rename("d", "a")) },
+		"sync folder": folder.SyncDir,
+		"write a version": func() error {
+			return versions.Write(plain, []byte("0123456789"))
+		},
+		"sync a version":        func() error { return versions.Sync(plain) },
+		"rename versions":       func() error { return versions.Rename(plain.Name(), plain.Name()) },
+		"sync versions' folder": func() error { return versions.SyncFolder(dir) },
+		"commit a version":      func() error { tx, err := db.Begin(true); return errors.Join(err, versions.Commit(tx)) },
+		"create a store's file": func() error { return createPlain(versions, filepath.Join(dir, "e")) },
+	}
+	for name, call := range calls {
+		faults.folder.Store(&processFault{Errno: "ENOSPC", Until: tap.Now() + 60_000})
+		if err := call(); !errors.Is(err, unix.ENOSPC) {
+			t.Errorf("%s in a full folder: %v", name, err)
+		}
+		if _, err := folder.Open("a", false); err != nil {
+			t.Errorf("what is there can't be opened in a full folder: %v", err)
+		}
+		faults.folder.Store(&processFault{Errno: "ENOSPC", Until: tap.Now()})
+		if err := call(); err != nil {
+			t.Errorf("%s after the fault: %v", name, err)
+		}
+	}
+}
+
+func create(folder store.FS, name string) error {
+	file, err := folder.Open(name, true)
+	if err != nil {
+		return err
+	}
+	return file.Close()
+}
+
+func createPlain(files lastgood.FileSystem, path string) error {
+	file, err := files.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
+	if err != nil {
+		return err
+	}
+	return file.Close()
+}
+
+// What is refused for a folder's fault is asked again until the folder works and a moment
+// after, and no longer; any other error is the caller's at once.
+func TestUntilKept(t *testing.T) {
+	refused := &statusError{status: 503}
+	down := errors.New("connection refused")
+	for _, c := range []struct {
+		name   string
+		until  float64 // the folder's fault, from now; 0: there was none
+		err    error
+		calls  int // that fail; -1: all
+		called int // at most
+		want   error
+	}{
+		{"kept after three refusals", 60_000, refused, 3, 4, nil},
+		{"refused for another reason", 0, refused, 3, 1, refused},
+		{"a machine that is down", 60_000, down, 3, 1, down},
+		{"refused long after", -recovery - 1, refused, -1, 1, errNotRecovered},
+	} {
+		day, called := &Day{}, 0
+		if c.until != 0 {
+			day.faults.add("m", processFault{Kind: FolderFault, Until: tap.Now() + c.until})
+		}
+		err := day.untilKept(context.Background(), "m", func() error {
+			if called++; c.calls < 0 || called <= c.calls {
+				return c.err
+			}
+			return nil
+		})
+		if called != c.called || !errors.Is(err, c.want) {
+			t.Errorf("%s: asked %d times, %v; want %d, %v", c.name, called, err, c.called, c.want)
+		}
+	}
+}
+
+func TestProcessFaultScripts(t *testing.T) {
+	for add, want := range map[string]string{
+		"(trouble folder-fault (at 1))":                                          "folder-fault meets nobody",
+		"(trouble folder-fault (at 1) (boxes 1))":                                "at boxes that are stand-ins",
+		"(trouble folder-fault (at 1) (control))":                                "that the day lacks",
+		"(trouble folder-fault (at 1) (routers 1))":                              "routers that keep nothing",
+		"(control (on)) (trouble folder-fault (at 1) (routers 1) (errno EPERM))": `unknown errno "EPERM"`,
+		"(control (on)) (trouble folder-fault (at 1) (routers 3))":               "more machines than there are",
+	} {
+		err := config.Read("short.edn", strings.ReplaceAll(short, "%s", add), &Script{})
+		if err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%s: %v, want %q in it", add, err, want)
+		}
+	}
+}
--- a/internal/day/proc.go
+++ b/internal/day/proc.go
@@ -72,24 +72,28 @@
 	return nil
 }
 
-// readSettings reads the settings on a machine's standard input; the rest of it
-// ends with the day.
-func readSettings(into any) (rest io.Reader, err error) {
-	in := bufio.NewReader(os.Stdin)
-	line, err := in.ReadBytes('\n')
+// readSettings reads the settings on a machine's standard input, and the faults that it
+// begins with; the rest of it tells of more, and ends with the day.
+func readSettings(into any) (rest *bufio.Reader, faults *injector, err error) {
+	rest = bufio.NewReader(os.Stdin)
+	line, err := rest.ReadBytes('\n')
 	if err != nil {
-		return nil, err
+		return nil, nil, err
 	}
 	var text string
 	if err := json.Unmarshal(line, &text); err != nil {
-		return nil, err
+		return nil, nil, err
+	}
+	if err := config.Read("day", text, into); err != nil {
+		return nil, nil, err
 	}
-	return in, config.Read("day", text, into)
+	faults, err = newInjector(rest)
+	return rest, faults, err
 }
 
 func childRouter() error {
 	var s config.Settings
-	in, err := readSettings(&s)
+	in, faults, err := readSettings(&s)
 	if err != nil {
 		return err
 	}
@@ -101,8 +105,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	gone := make(chan struct{})
-	go func() { untilOrphaned(in); cancel(); close(gone) }()
-	e, end, err := edge.Open(ctx, &s, log)
+	go func() { faults.untilOrphaned(in); cancel(); close(gone) }()
+	e, end, err := edge.OpenOn(ctx, &s, log, edge.System{Files: faultyFiles{faults: faults}})
 	if err != nil {
 		return err
 	}
@@ -123,6 +127,8 @@
 	done  chan struct{}
 	first chan string // its first line of output
 	once  sync.Once
+
+	telling sync.Mutex // one line at a time
 }
 
 // start runs a machine; each line that it prints after the first goes to each.
--- a/internal/day/run.go
+++ b/internal/day/run.go
@@ -115,6 +115,7 @@
 	routers  []*router
 	list     *standin.List
 	control  *controlled // nil: the day has none
+	faults   faultsInForce
 	origin   *machine
 	http     *http.Client
 	hot      atomic.Pointer[lure]
@@ -308,7 +309,9 @@
 		if kind == "cold" {
 			os.RemoveAll(folder)
 		}
-		in, err = json.Marshal(boxConfig{m.cfg, folder})
+		if in, err = json.Marshal(boxConfig{m.cfg, folder}); err == nil {
+			in, err = d.withFaults(m.cfg.ID, in)
+		}
 	}
 	if err != nil {
 		return err
@@ -368,6 +371,9 @@
 
 func (d *Day) startRouter(ctx context.Context, r *router) error {
 	in, err := json.Marshal(r.settings)
+	if err == nil {
+		in, err = d.withFaults(r.at.name, in)
+	}
 	if err != nil {
 		return err
 	}
@@ -547,6 +553,8 @@
 		for _, i := range rng.Perm(len(d.routers))[:t.Routers] {
 			met = append(met, d.routers[i].at.name)
 		}
+	case contains(processKinds, t.Kind): // kills and drains meet these as others
+		met = d.pickProcesses(t, rng)
 	default:
 		choose("box", t.Boxes)
 		n := len(met)
@@ -561,6 +569,9 @@
 	if contains(controlKinds, t.Kind) {
 		return d.control.trouble(ctx, t)
 	}
+	if contains(processKinds, t.Kind) {
+		return d.inject(ctx, t, met)
+	}
 	switch t.Kind {
 	case Crash, ZoneLoss:
 		return d.each(met, func(m *machine) error {
@@ -735,8 +746,12 @@
 		d.wg.Add(1)
 		go func() {
 			defer d.wg.Done()
-			if sleep(ctx, lag) {
-				d.post(context.Background(), m, "/-/purge", w, nil) // one that is down has nothing to drop
+			if !sleep(ctx, lag) {
+				return
+			}
+			err := d.untilKept(ctx, id, func() error { return d.post(context.Background(), m, "/-/purge", w, nil) })
+			if errors.Is(err, errNotRecovered) { // one that is down has nothing to drop
+				d.problem(fmt.Errorf("%s and a purge: %w", id, err))
 			}
 		}()
 	}
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -124,6 +124,9 @@
 	Clients int     `edn:"clients" min:"0"`           // of slow-readers and slow-askers
 	Rate    float64 `edn:"rate" def:"1" min:"0"`      // KB a second that slow-readers take
 	Notice  float64 `edn:"notice" def:"1500" min:"0"` // of preempt: from the drain to the end
+	Control bool    `edn:"control"`                   // of troubles inside processes: the control service too
+	Plan    string  `edn:"plan"`                      // of syscalls: which calls fail, how and how often
+	Errno   string  `edn:"errno" def:"EIO"`           // of folder-fault
 }
 
 // Troubles that the day itself carries out; the others are faults of stand-ins.
@@ -175,11 +178,15 @@
 		}
 	}
 	for _, t := range s.Troubles {
-		if !contains(ownKinds, t.Kind) && !contains(standin.Kinds, t.Kind) && !contains(controlKinds, t.Kind) {
-			add(t.Place.Pos, "trouble", fmt.Sprintf("unknown trouble %q", t.Kind),
-				"known are "+strings.Join(slices.Concat(ownKinds, standin.Kinds, controlKinds), ", "))
+		if known := slices.Concat(ownKinds, processKinds, standin.Kinds, controlKinds); !contains(known, t.Kind) {
+			add(t.Place.Pos, "trouble", fmt.Sprintf("unknown trouble %q", t.Kind), "known are "+strings.Join(known, ", "))
 			continue
 		}
+		if contains(processKinds, t.Kind) {
+			if what, remedy := s.checkProcessFault(&t); what != "" {
+				add(t.Place.Pos, "trouble", what, remedy)
+			}
+		}
 		byVersion := s.Control.On && !s.Control.FromList
 		switch {
 		case contains(controlKinds, t.Kind) && !s.Control.On:
--- a/internal/day/versions.go
+++ b/internal/day/versions.go
@@ -94,14 +94,14 @@
 // no router may go by it.
 func childControl() error {
 	var set control.ServiceSettings
-	in, err := readSettings(&set)
+	in, faults, err := readSettings(&set)
 	if err != nil {
 		return err
 	}
 	out := tap.NewWriter(os.Stdout)
 	var mu sync.Mutex
 	parsed := map[string]*config.Settings{} // by sum; nil: tells of nothing
-	svc, err := control.StartService(&set, zap.NewNop(), func(router string, v fleet.Version) {
+	svc, err := control.StartServiceOn(faultyFiles{faults: faults}, &set, zap.NewNop(), func(router string, v fleet.Version) {
 		mu.Lock()
 		s, known := parsed[v.Sum]
 		if !known {
@@ -125,7 +125,7 @@
 		return err
 	}
 	fmt.Printf("%s %s\n", svc.Addr(), svc.AdminAddr())
-	untilOrphaned(in)
+	faults.untilOrphaned(in)
 	svc.Close()
 	return nil
 }
@@ -138,6 +138,9 @@
 	}
 	text, err := json.Marshal(fmt.Sprintf(`(service (name day) (listen %q) (admin %q) (store %q) (per-second %v) (reports 1000))
 		(rollout (hold %v) (patience 5000)) (checks (box-churn 1) (parent-churn 1))`, listen, admin, c.store, c.form.PerSecond, c.form.Hold))
+	if err == nil {
+		text, err = c.d.withFaults(controlMachine, text)
+	}
 	if err != nil {
 		return err
 	}
@@ -221,6 +224,16 @@
 	return fetchJSON(c.http, req, out)
 }
 
+// statusError is an answer that is none of success.
+type statusError struct {
+	path   string
+	status int
+	text   string
+	body   string
+}
+
+func (e *statusError) Error() string { return fmt.Sprintf("day: %s: %s: %s", e.path, e.text, e.body) }
+
 func fetchJSON(h *http.Client, req *http.Request, out any) error {
 	res, err := h.Do(req)
 	if err != nil {
@@ -232,7 +245,7 @@
 		return err
 	}
 	if res.StatusCode/100 != 2 {
-		return fmt.Errorf("day: %s: %s: %s", req.URL.Path, res.Status, b)
+		return &statusError{req.URL.Path, res.StatusCode, res.Status, string(b)}
 	}
 	if out == nil {
 		return nil
@@ -242,10 +255,10 @@
 
 func (c *controlled) push(ctx context.Context, text []byte, q url.Values) (int64, error) {
 	var r control.PushResult
-	if err := c.call(ctx, "POST", "/push?"+q.Encode(), text, &r); err != nil {
-		return 0, err
-	}
-	return r.Number, nil
+	err := c.d.untilKept(ctx, controlMachine, func() error {
+		return c.call(ctx, "POST", "/push?"+q.Encode(), text, &r)
+	})
+	return r.Number, err
 }
 
 func (c *controlled) view(ctx context.Context) (v control.StatusView, err error) {
--- a/internal/edge/versions.go
+++ b/internal/edge/versions.go
@@ -32,14 +32,18 @@
 	edge  chan *Edge
 }
 
+const versionsKept = 8 // in the store of versions
+
 // Follow begins: with the stored version where there is one, then with the
 // services that the router's own settings name.
-func Follow(own *config.Settings, log *AccessLog) (*Versions, error) { return follow(own, log, nil) }
+func Follow(own *config.Settings, log *AccessLog) (*Versions, error) {
+	return follow(own, log, nil, lastgood.Disk{})
+}
 
 // follow is Follow for a router that takes over: it begins with the version that its
 // predecessor goes by where none is stored, and calls no service until it serves, since
 // a service knows one stream of a router.
-func follow(own *config.Settings, log *AccessLog, in *handover.Inherited) (*Versions, error) {
+func follow(own *config.Settings, log *AccessLog, in *handover.Inherited, files lastgood.FileSystem) (*Versions, error) {
 	c := &own.Control
 	v := &Versions{own: own, log: log, uses: make(chan fleet.Use, 64), done: make(chan struct{}), edge: make(chan *Edge, 1)}
 	dial := grpc.WithTransportCredentials(insecure.NewCredentials())
@@ -52,7 +56,7 @@
 	}
 	if c.Store != "" {
 		var err error
-		if v.store, err = lastgood.Open(c.Store); v.store == nil {
+		if v.store, err = lastgood.OpenOn(files, c.Store, versionsKept); v.store == nil {
 			return nil, err
 		} else if err != nil {
 			log.Log.Error("the store of versions was damaged, or can't be read or written for now", zap.Error(err))
@@ -78,6 +82,10 @@
 // Open makes a router as its settings say: by the file alone, or by versions from
 // control services. end is called when the router has ended.
 func Open(ctx context.Context, s *config.Settings, log *AccessLog) (e *Edge, end func(), err error) {
+	return open(ctx, s, log, lastgood.Disk{})
+}
+
+func open(ctx context.Context, s *config.Settings, log *AccessLog, files lastgood.FileSystem) (e *Edge, end func(), err error) {
 	if !s.Follows() {
 		e, err = TakeOver(s, log)
 		return e, func() {}, err
@@ -91,7 +99,7 @@
 			in.Abort()
 		}
 	}()
-	v, err := follow(s, log, in)
+	v, err := follow(s, log, in, files)
 	if err != nil {
 		return nil, nil, err
 	}
