--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -203,24 +203,15 @@
 	r := &relay{l: l, buf: make([]byte, 256<<10)}
 	copy(r.to.Addr[:], to.IP.To4())
 	r.to.Port = to.Port
-	l.Add(fd, loop.Read, handler(func(loop.Ready) {
-		for {
-			c, _, err := unix.Accept4(fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
-			if err != nil {
-				return
-			}
-			r.pair(c)
-		}
-	}))
+	listener := loop.Listener{PerTurn: 64, Take: r.pair}
+	if err := listener.Start(l, fd); err != nil {
+		return err
+	}
 	go func() { untilOrphaned(); l.Stop() }()
 	fmt.Println(ln.Addr())
 	return l.Run()
 }
 
-type handler func(loop.Ready)
-
-func (h handler) OnReady(r loop.Ready) { h(r) }
-
 type relay struct {
 	l   *loop.Loop
 	to  unix.SockaddrInet4
@@ -267,12 +258,12 @@
 
 func (s *side) OnReady(r loop.Ready) {
 	if r.Writable() && len(s.wait) > 0 {
-		n, err := loop.WriteFD(s.fd, s.wait)
-		if err != nil && err != unix.EAGAIN {
+		n, err := s.r.l.Write(s.fd, s.wait)
+		if err != nil && !loop.Later(err) {
 			s.close()
 			return
 		}
-		if s.wait = s.wait[max(n, 0):]; len(s.wait) == 0 {
+		if s.wait = s.wait[n:]; len(s.wait) == 0 {
 			s.r.l.Want(s.fd, loop.Read)
 			s.r.l.Want(s.other.fd, loop.Read)
 		}
@@ -280,20 +271,20 @@
 	if !r.Readable() || len(s.other.wait) > 0 {
 		return
 	}
-	n, err := loop.ReadFD(s.fd, s.r.buf)
-	if err == unix.EAGAIN {
+	n, err := s.r.l.Read(s.fd, s.r.buf)
+	if loop.Later(err) {
 		return
 	}
 	if err != nil || n == 0 {
 		s.close()
 		return
 	}
-	m, err := loop.WriteFD(s.other.fd, s.r.buf[:n])
-	if err != nil && err != unix.EAGAIN {
+	m, err := s.r.l.Write(s.other.fd, s.r.buf[:n])
+	if err != nil && !loop.Later(err) {
 		s.close()
 		return
 	}
-	if m = max(m, 0); m < n {
+	if m < n {
 		s.other.wait = append([]byte(nil), s.r.buf[m:n]...)
 		s.r.l.Want(s.other.fd, loop.Read|loop.Write)
 		s.r.l.Want(s.fd, 0)
--- a/internal/cache/cache.go
+++ b/internal/cache/cache.go
@@ -57,25 +57,26 @@
 
 // Server is a running cache.
 type Server struct {
-	f       Form
-	l       *loop.Loop
-	lfd     int
-	addr    string
-	st      *store.Store
-	disk    *store.Threads
-	Found   store.Recovered
-	warn    func(string)
-	wall    time.Time // at the start
-	mending bool      // a thread tries again what failed on the disk
-	began   time.Time
-	conns   map[*conn]struct{}
-	flights map[string]*flight
-	filling int
-	spare   map[string][]*source
-	buf     []byte
-	hits    float64
-	stats   Stats
-	stopped chan struct{}
+	f        Form
+	l        *loop.Loop
+	listener loop.Listener
+	lfd      int
+	addr     string
+	st       *store.Store
+	disk     *store.Threads
+	Found    store.Recovered
+	warn     func(string)
+	wall     time.Time // at the start
+	mending  bool      // a thread tries again what failed on the disk
+	began    time.Time
+	conns    map[*conn]struct{}
+	flights  map[string]*flight
+	filling  int
+	spare    map[string][]*source
+	buf      []byte
+	hits     float64
+	stats    Stats
+	stopped  chan struct{}
 
 	Watch func(Seen) // called on the loop; set before Run
 }
@@ -141,7 +142,8 @@
 
 // Run serves until Stop, and then makes what is kept last.
 func (s *Server) Run() error {
-	if err := s.l.Add(s.lfd, loop.Read, acceptor{s}); err != nil {
+	s.listener = loop.Listener{PerTurn: 64, Take: s.accepted}
+	if err := s.listener.Start(s.l, s.lfd); err != nil {
 		return err
 	}
 	s.l.Once(mendEvery, s.mend)
@@ -190,34 +192,21 @@
 	return out, err
 }
 
-type acceptor struct{ s *Server }
-
-func (a acceptor) OnReady(loop.Ready) {
-	s := a.s
-	for range 64 {
-		fd, _, err := unix.Accept4(s.lfd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
-		if err == unix.EAGAIN {
-			return
-		}
-		if err != nil { // no descriptors: look again a little later
-			s.l.Want(s.lfd, 0)
-			s.l.Once(50, func() { s.l.Want(s.lfd, loop.Read) })
-			return
-		}
-		if len(s.conns) >= s.f.Conns {
-			unix.Close(fd)
-			continue
-		}
-		unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-		c := &conn{s: s, fd: fd}
-		c.idle.F = c.close
-		if s.l.Add(fd, loop.Read, c) != nil {
-			unix.Close(fd)
-			continue
-		}
-		s.conns[c] = struct{}{}
-		s.l.Arm(&c.idle, s.f.Idle)
+// accepted takes a connection, unless as many are there as may be.
+func (s *Server) accepted(fd int) {
+	if len(s.conns) >= s.f.Conns {
+		unix.Close(fd)
+		return
+	}
+	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
+	c := &conn{s: s, fd: fd}
+	c.idle.F = c.close
+	if s.l.Add(fd, loop.Read, c) != nil {
+		unix.Close(fd)
+		return
 	}
+	s.conns[c] = struct{}{}
+	s.l.Arm(&c.idle, s.f.Idle)
 }
 
 // conn is a connection of a router's or another cache's.
@@ -242,10 +231,10 @@
 	if c.gone || !r.Readable() {
 		return
 	}
-	n, err := loop.ReadFD(c.fd, c.s.buf)
+	n, err := c.s.l.Read(c.fd, c.s.buf)
 	switch {
-	case err == unix.EAGAIN || err == unix.EINTR:
-		if r.Hangup() {
+	case loop.Later(err):
+		if r.Hangup() && loop.NotReady(err) {
 			c.close()
 		}
 		return
@@ -356,11 +345,11 @@
 // write writes what can be at once, and keeps the rest.
 func (c *conn) write(b []byte) {
 	if len(c.out) == 0 {
-		n, err := loop.WriteFD(c.fd, b)
+		n, err := c.s.l.Write(c.fd, b)
 		if err == nil {
 			c.s.stats.Out += int64(n)
 			b = b[n:]
-		} else if err != unix.EAGAIN && err != unix.EINTR {
+		} else if !loop.Later(err) {
 			c.close()
 			return
 		}
@@ -371,8 +360,8 @@
 
 func (c *conn) flush() {
 	for len(c.out) > 0 && !c.gone {
-		n, err := loop.WriteFD(c.fd, c.out)
-		if err == unix.EAGAIN || err == unix.EINTR {
+		n, err := c.s.l.Write(c.fd, c.out)
+		if loop.Later(err) {
 			c.s.l.Want(c.fd, loop.Read|loop.Write)
 			return
 		}
--- a/internal/cache/fill.go
+++ b/internal/cache/fill.go
@@ -495,6 +495,9 @@
 	headed  bool
 	used    bool // an answer came on it before
 	connect bool
+	sent    bool        // some of the request has left
+	lacked  bool        // something lacks here for what is to be done
+	until   loop.Millis // time to connect
 	paused  bool
 	h       http1.Head
 	b       http1.Body
@@ -511,43 +514,61 @@
 			continue
 		}
 		src.to, src.out, src.headed, src.left = to, request, false, nil
+		src.sent, src.lacked = false, false
 		s.l.Arm(&src.timer, s.f.FillWait)
 		src.flush()
 		return src
 	}
 	src := &source{s: s, address: address, fd: -1, to: to, out: request}
-	src.timer.F = src.late
-	fd, _, err := loop.Dial(address)
+	src.timer.F, src.until = src.late, s.l.Now()+s.f.Connect
+	src.begin()
+	return src
+}
+
+// dialPause is how long, in ms, a connection waits that cannot be begun for want of something
+// on this machine.
+const dialPause = 20
+
+// begin begins to connect. That it cannot be done is told later, as for any connection; what
+// lacks here is no word about the source, and it is tried again.
+func (src *source) begin() {
+	l := src.s.l
+	fd, _, err := l.Dial(src.address)
 	if err == nil {
-		src.fd = fd
-		if err = s.l.Add(fd, loop.Write, src); err != nil {
+		if err = l.Add(fd, loop.Write, src); err != nil {
 			unix.Close(fd)
-			src.fd = -1
 		}
 	}
-	if err != nil {
-		s.l.Once(0, func() {
-			if src.to != nil {
-				src.broke()
-			}
-		})
-		return src
+	switch {
+	case err == nil:
+		src.fd, src.connect, src.lacked = fd, true, false
+		l.Arm(&src.timer, src.until-l.Now())
+	case loop.Lacking(err):
+		src.lacked = true
+		l.Arm(&src.timer, dialPause)
+	default:
+		src.until = l.Now()
+		l.Arm(&src.timer, 0)
 	}
-	src.connect = true
-	s.l.Arm(&src.timer, s.f.Connect)
-	return src
 }
 
 func (src *source) late() {
-	if src.to == nil {
+	switch {
+	case src.to == nil:
 		src.close()
-		return
+	case src.fd < 0 && src.s.l.Now() < src.until:
+		src.begin()
+	default:
+		src.broke()
 	}
-	src.broke()
 }
 
 // broke ends the connection, and what waits for its answer.
 func (src *source) broke() {
+	detail := fillwire.SourceUnreached
+	if src.lacked && !src.sent { // nothing was asked of the source
+		detail = fillwire.NoPlace
+	}
 	to := src.to
 	src.to = nil
 	src.close()
@@ -555,7 +576,7 @@
 		if fl, ok := to.(*flight); ok {
 			fl.src = nil
 		}
-		to.fail(503, fillwire.SourceUnreached)
+		to.fail(503, detail)
 	}
 }
 
@@ -594,8 +615,9 @@
 
 func (src *source) flush() {
 	for len(src.out) > 0 {
-		n, err := loop.WriteFD(src.fd, src.out)
-		if err == unix.EAGAIN || err == unix.EINTR {
+		n, err := src.s.l.Write(src.fd, src.out)
+		if loop.Later(err) {
+			src.lacked = src.lacked || !loop.NotReady(err)
 			src.s.l.Want(src.fd, loop.Read|loop.Write)
 			return
 		}
@@ -603,7 +625,8 @@
 			src.broke()
 			return
 		}
-		src.out = src.out[n:]
+		src.out, src.sent = src.out[n:], true
+		src.s.l.Arm(&src.timer, src.s.f.FillWait) // the source has had nothing to answer before
 	}
 	src.s.l.Want(src.fd, loop.Read)
 }
@@ -631,9 +654,9 @@
 		return
 	}
 	k := copy(src.s.buf, src.left)
-	n, err := loop.ReadFD(src.fd, src.s.buf[k:])
-	if err == unix.EAGAIN || err == unix.EINTR {
-		if r.Hangup() {
+	n, err := src.s.l.Read(src.fd, src.s.buf[k:])
+	if loop.Later(err) {
+		if r.Hangup() && loop.NotReady(err) {
 			src.broke()
 		}
 		return
@@ -760,8 +783,12 @@
 	p.v.c.done()
 }
 
-func (p *passing) fail(int, string) {
+func (p *passing) fail(_ int, detail string) {
+	status := 502
+	if detail == fillwire.NoPlace { // nothing was run
+		status = 503
+	}
 	if !p.v.over {
-		p.v.refuse(502, fillwire.Handled{Fwd: "bypass", Detail: fillwire.SourceUnreached})
+		p.v.refuse(status, fillwire.Handled{Fwd: "bypass", Detail: detail})
 	}
 }
--- /dev/null
+++ b/internal/cache/syscalls_test.go
@@ -0,0 +1,81 @@
+package cache
+
+import (
+	"fmt"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"indigospool/internal/faultinject"
+	"indigospool/internal/fillwire"
+)
+
+// Whatever a system call fails with, and for however long: each request is answered, on its
+// connection, no source is blamed, and the loop does not spin.
+func TestCallsFail(t *testing.T) {
+	const requests, perSecond = 100, 1500
+	errors := map[faultinject.Call]string{
+		faultinject.Accept:  "ECONNABORTED EMFILE ENFILE ENOBUFS ENOMEM EPERM ENETUNREACH EINTR",
+		faultinject.Socket:  "EMFILE ENFILE ENOBUFS ENOMEM EINTR",
+		faultinject.Connect: "EADDRNOTAVAIL ENETUNREACH EPERM ENOBUFS EAGAIN EINTR",
+		faultinject.Read:    "EINTR ENOBUFS ENOMEM short",
+		faultinject.Write:   "EINTR ENOBUFS ENOMEM short",
+		faultinject.Wait:    "EINTR",
+	}
+	for call, names := range errors {
+		for _, name := range strings.Fields(names) {
+			for _, span := range []string{"1x", "1:0s-50ms", "1:0s-2s"} {
+				t.Run(fmt.Sprintf("%s/%s/%s", call, name, span), func(t *testing.T) {
+					t.Parallel()
+					r := newRig(t, "")
+					calls, began := r.fail(call, name+":"+span), time.Now()
+					var wg sync.WaitGroup
+					for i := range requests {
+						wg.Go(func() {
+							res, _, err := r.ask(fmt.Sprintf("/still/%d", i), true, nil)
+							switch {
+							case err != nil:
+								t.Errorf("request %d is lost: %v", i, err)
+							case res.StatusCode == 200:
+							case span != "1:0s-2s" || !strings.Contains(res.Header.Get(fillwire.StatusField), fillwire.NoPlace):
+								t.Errorf("request %d: status %d, %s", i, res.StatusCode, res.Header.Get(fillwire.StatusField))
+							}
+						})
+					}
+					wg.Wait()
+					var turns uint64
+					r.s.l.Call(5*time.Second, func() { turns = r.s.l.Turns() })
+					seconds := time.Since(began).Seconds()
+					made, failed := calls.Counts(call)
+					if failed == 0 || turns > uint64(perSecond*seconds)+40*requests {
+						t.Errorf("%d turns in %.1f s, %d calls of which %d failed", turns, seconds, made, failed)
+					}
+					if call == faultinject.Accept && made > int(perSecond*seconds)+4*requests {
+						t.Errorf("%d calls of accept in %.1f s", made, seconds)
+					}
+				})
+			}
+		}
+	}
+}
+
+// fail has the cache's calls of a kind fail: what is a reading of time counts from the first
+// such call.
+func (r *rig) fail(call faultinject.Call, how string) (calls *faultinject.Syscalls) {
+	faults, err := faultinject.Parse(fmt.Sprintf("%s:%s", call, how))
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	var began time.Time
+	calls = faultinject.New(faults, 1, func() time.Duration {
+		if made, _ := calls.Counts(call); made == 0 {
+			began = time.Now()
+		}
+		return time.Since(began)
+	})
+	if err := r.s.l.Call(5*time.Second, func() { r.s.l.Intercept(calls) }); err != nil {
+		r.t.Fatal(err)
+	}
+	return calls
+}
