--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -67,7 +67,9 @@
 	write bool    // as its class was when it came: settings may change meanwhile
 	tries int
 	out   *attempt
-	timer loop.Timer // the module's
+
+	rested float64    // a member has ended a connection that had rested so long, in ms; 0: none has
+	timer  loop.Timer // the module's
 }
 
 // Open makes a router that listens; Run serves.
--- a/internal/node/terms_test.go
+++ b/internal/node/terms_test.go
@@ -6,6 +6,7 @@
 	"io"
 	"net"
 	"strconv"
+	"strings"
 	"sync"
 	"testing"
 	"time"
@@ -570,3 +571,165 @@
 		})
 	}
 }
+
+// TestAlmostNoTimeLeft: requests with 1 to 30 ms left, which caches drop without a word, are
+// answered, and cost the caches no trust: the others are served meanwhile and afterwards.
+func TestAlmostNoTimeLeft(t *testing.T) {
+	t.Parallel()
+	curt := func(c *standin.PlatformConn, q standin.PlatformRequest) {
+		if wait, _ := strconv.Atoi(q.Fields["wait"]); wait > 30 {
+			hits(c, q)
+		}
+	}
+	w := open(t, map[string]handler{"s-000000c1": curt, "s-000000c2": curt, "s-000000a1": curt})
+	w.warm()
+	hasty, usual := w.client(), w.client()
+	const asked = 150
+	sent := map[int32]time.Time{}
+	var answered sync.WaitGroup
+	var mu sync.Mutex
+	answered.Go(func() {
+		for range asked {
+			r, err := hasty.Result(soon)
+			if err != nil {
+				t.Errorf("one with little time: %v", err)
+				return
+			}
+			mu.Lock()
+			if d := time.Since(sent[r.Seq]); d > 30*time.Millisecond+deadlineSlack {
+				t.Errorf("answered after %v", d)
+			}
+			mu.Unlock()
+		}
+	})
+	for i := range asked {
+		fields := clip(fmt.Sprintf("%016x", i), "wait", fmt.Sprint(1+i%30))
+		if i%3 == 0 {
+			fields = save("wait", fmt.Sprint(1+i%30))
+		}
+		mu.Lock()
+		seq, _ := hasty.Ask(fields, nil)
+		sent[seq] = time.Now()
+		mu.Unlock()
+		usual.Ask(clip(fmt.Sprintf("%016x", i)), nil)
+		usual.Ask(save(), nil)
+		for range 2 {
+			if r, err := usual.Result(soon); err != nil || r.Word != "served" {
+				t.Errorf("a usual one: %+v %v", r, err)
+			}
+		}
+		time.Sleep(2 * time.Millisecond) // 32 may be open at once
+	}
+	answered.Wait()
+	w.n.l.Call(soon, func() {
+		members, _ := w.n.core.Beliefs()
+		for id, b := range members {
+			if b.Suspect || b.Held != 0 {
+				t.Errorf("%s is held for suspect, or for busy: %+v", id, b)
+			}
+		}
+	})
+}
+
+// TestForgottenConnections: caches reset what comes on a connection that was idle for a
+// while; a request finds a fresh one before its attempts are spent.
+func TestForgottenConnections(t *testing.T) {
+	t.Parallel()
+	const forgets = 200 * time.Millisecond
+	var mu sync.Mutex
+	last, held := map[*standin.PlatformConn]time.Time{}, true
+	on := func(c *standin.PlatformConn, q standin.PlatformRequest) {
+		mu.Lock()
+		defer mu.Unlock()
+		before, known := last[c]
+		last[c] = time.Now()
+		switch {
+		case q.Stop:
+		case known && time.Since(before) > forgets:
+			c.Reset()
+		case held: // so that each gets a connection of its own
+			time.AfterFunc(150*time.Millisecond, func() { hits(c, q) })
+		default:
+			hits(c, q)
+		}
+	}
+	w := open(t, map[string]handler{"s-000000c1": on, "s-000000c2": on, "s-000000a1": on})
+	ask := func(count int, what func(i int) map[string]string) {
+		c := w.client()
+		for i := range count {
+			c.Ask(what(i), nil)
+		}
+		for range count {
+			if r, err := c.Result(soon); err != nil || r.Word != "served" {
+				t.Errorf("%+v %v", r, err)
+			}
+		}
+	}
+	mixed := func(i int) map[string]string {
+		if i%2 == 0 {
+			return save("wait", "2500")
+		}
+		return clip(fmt.Sprintf("%016x", i), "wait", "2500")
+	}
+	ask(32, mixed)
+	mu.Lock()
+	held = false
+	mu.Unlock()
+	conns := 0
+	w.n.l.Call(soon, func() { conns = w.n.conns })
+	time.Sleep(forgets + 100*time.Millisecond)
+	before := w.sent()
+	ask(1, func(int) map[string]string { return save("wait", "2500") })
+	ask(1, func(int) map[string]string { return clip(key, "wait", "2500") })
+	if n := w.sent() - before; n > 4 {
+		t.Errorf("%d attempts for two requests, over %d connections that were forgotten", n, conns)
+	}
+	ask(16, mixed)
+}
+
+// TestReloadTwice: of two reloads in quick succession the second file holds, requests in
+// hand are answered, and its feed is asked from the last number.
+func TestReloadTwice(t *testing.T) {
+	t.Parallel()
+	slow := func(c *standin.PlatformConn, q standin.PlatformRequest) {
+		if !q.Stop {
+			time.AfterFunc(150*time.Millisecond, func() { hits(c, q) })
+		}
+	}
+	w := open(t, map[string]handler{"s-000000c1": slow, "s-000000c2": slow, "s-000000a1": slow})
+	w.until("the first feed is asked", func() bool { return w.asked.Load() == 1 })
+	for round := range 5 {
+		c := w.client()
+		for range 10 {
+			c.Ask(clip(key), nil)
+			c.Ask(save(), nil)
+		}
+		w.until("they are taken", func() (all bool) {
+			w.n.l.Call(soon, func() { all = len(w.n.reqs) == 20 })
+			return all
+		})
+		first, second := w.newFeed(), w.newFeed()
+		w.settings = strings.Replace(testSettings, `"name":"clip"`, `"name":"film"`, 1)
+		w.write(first.Addr)
+		w.n.Reload()
+		time.Sleep(time.Duration(round*20) * time.Millisecond)
+		w.settings = testSettings
+		w.write(second.Addr)
+		w.n.Reload()
+		w.turn()
+		for range 20 {
+			if r, err := c.Result(soon); err != nil || r.Word != "served" {
+				t.Errorf("round %d: %+v %v", round, r, err)
+			}
+		}
+		if r := w.ask(clip(key), nil); r.Word != "served" {
+			t.Errorf("round %d, afterwards: %+v", round, r)
+		}
+		feed := ""
+		w.n.l.Call(soon, func() { feed = w.n.cfg.Feed })
+		if feed != second.Addr {
+			t.Errorf("round %d: the feed is %s, not %s", round, feed, second.Addr)
+		}
+	}
+	w.until("the last feed is asked", func() bool { return w.asked.Load() >= 2 && w.last.Load() == 1 })
+}
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -59,6 +59,9 @@
 	}
 	a.p = p
 	p.held++
+	if r.rested > 0 {
+		p.closeRested(r.rested)
+	}
 	c, failure := p.pick(r.ID)
 	if c == nil {
 		n.stats.NoConn++
@@ -216,6 +219,21 @@
 	return 1
 }
 
+const (
+	forgetsAfter = 100 // ms; the least rest after which a member may have forgotten a connection
+	likeRest     = 0.8 // of the rest after which one was forgotten: so may be others
+)
+
+// closeRested closes connections that were not used for so long.
+func (p *pool) closeRested(span float64) {
+	now := p.n.l.Now()
+	for _, c := range slices.Clone(p.conns) {
+		if len(c.open)+len(c.pend) == 0 && c.up && now-c.used >= span {
+			c.close()
+		}
+	}
+}
+
 // room closes the connection to members that was idle longest, if there is one.
 func (n *Node) room() bool {
 	var first *conn
@@ -297,6 +315,7 @@
 	in, out loop.Queue
 	pend    []*attempt // not begun to be written
 	writing *attempt   // in out, and not whole at the member yet
+	rested  float64    // how long it was not used before what is open on it, in ms
 	framed  float64    // when its frame was made
 	size    int        // of its frame, in bytes
 	rest    loop.Timer // when the rest of it would come too late
@@ -380,6 +399,12 @@
 			a.end(spool.Moot, spool.NoteNone, 0)
 			continue
 		}
+		if len(c.open) == 0 {
+			c.rested = 0
+			if c.at > 0 {
+				c.rested = n.l.Now() - c.used
+			}
+		}
 		c.writing, c.used = a, n.l.Now()
 		c.framed = loop.Clock()
 		frame := a.frame(c.framed)
@@ -612,6 +637,9 @@
 	if c.closed {
 		return
 	}
+	if result == spool.Reset {
+		c.forgotten()
+	}
 	open, rest := slices.Clone(c.open), slices.Clone(c.pend)
 	if c.writing != nil {
 		rest = append(rest, c.writing)
@@ -628,6 +656,23 @@
 	}
 }
 
+// forgotten looks at a connection that the member has ended. Where nothing came on it since
+// it rested, the member may have forgotten it, and others that rested as long: these are
+// closed, here and wherever what was out on it is sent next, so that no request spends its
+// attempts on them.
+func (c *conn) forgotten() {
+	if c.rested < forgetsAfter || len(c.open) == 0 || c.heard > c.open[0].left {
+		return
+	}
+	span := c.rested * likeRest
+	for _, a := range c.open {
+		if a.r.rested == 0 || span < a.r.rested {
+			a.r.rested = span
+		}
+	}
+	c.p.closeRested(span)
+}
+
 func (c *conn) close() {
 	if c.closed {
 		return
