--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -10,6 +10,7 @@
 
 	"go.uber.org/zap"
 
+	"indigospool/internal/faultinject"
 	"indigospool/internal/standin"
 )
 
@@ -202,6 +203,78 @@
 	}
 }
 
+// newPurges is a discovery whose events are purges of groups of their own number, up to
+// the newest.
+func newPurges(t *testing.T, newest *atomic.Uint64) (d *discovery) {
+	d = newDiscovery(t, func(c net.Conn, _ int64) {
+		for n := d.last.Load(); ; time.Sleep(20 * time.Millisecond) {
+			for ; n < newest.Load(); n++ {
+				c.Write(groupPurge(n+1, uint16(n+1), time.Now().UnixMilli()))
+			}
+			if _, err := c.Write(standin.PlatformFrame(n, 0, nil)); err != nil {
+				return
+			}
+		}
+	})
+	return d
+}
+
+// toldOnce waits for the last event of newPurges, and wants each of them once.
+func (w *world) toldOnce(last uint64) {
+	w.t.Helper()
+	w.until("the last event is told", func() (told bool) {
+		w.n.l.Call(soon, func() { told = w.n.watch.reader.Last == last })
+		return told
+	})
+	w.n.l.Call(soon, func() {
+		if events := w.n.stats.Events; events != last {
+			w.t.Errorf("%d events were told, want %d", events, last)
+		}
+		if groups := w.n.core.Memory().Module.Groups; len(groups) != int(last)-1 {
+			w.t.Errorf("purges of %d groups are known, want %d", len(groups), last-1)
+		}
+	})
+}
+
+// TestDiscoveryWhileCallsFail: whatever system calls say, each event is told once, and the
+// feed is asked with pauses.
+func TestDiscoveryWhileCallsFail(t *testing.T) {
+	t.Parallel()
+	for _, plan := range []string{
+		"read:EINTR:0.3; write:EINTR:0.3; wait:EINTR:0.3; read:short:0.5; write:short:0.5",
+		"read:ETIMEDOUT:0.2:0ms-600ms", "read:EHOSTUNREACH:0.2:0ms-600ms", "read:ECONNRESET:0.2:0ms-600ms",
+		"read:ETIMEDOUT:3x; socket:ENFILE:1:0ms-600ms",
+		"read:ETIMEDOUT:3x; connect:EADDRNOTAVAIL:1:0ms-600ms", "read:ETIMEDOUT:3x; connect:ENETUNREACH:1:0ms-600ms",
+		"read:ETIMEDOUT:3x; write:EPIPE:0.5:0ms-600ms",
+	} {
+		t.Run(plan, func(t *testing.T) {
+			t.Parallel()
+			var newest atomic.Uint64
+			newest.Store(2)
+			d := newPurges(t, &newest)
+			w := openAt(t, d)
+			w.toldOnce(2)
+			faults := w.faults(plan)
+			for range 40 {
+				newest.Add(1)
+				time.Sleep(20 * time.Millisecond)
+			}
+			w.toldOnce(newest.Add(1))
+			failed := 0
+			for _, call := range []faultinject.Call{faultinject.Read, faultinject.Write, faultinject.Socket, faultinject.Connect} {
+				_, n := faults.Counts(call)
+				failed += int(n)
+			}
+			if failed == 0 {
+				t.Error("no call failed")
+			}
+			if n := d.asked.Load(); n > 15 {
+				t.Errorf("it was asked %d times", n)
+			}
+		})
+	}
+}
+
 // TestConfigurationsInQuickSuccession: two or more SIGHUPs within 100 ms, with and without a
 // moved discovery: the last one holds, one connection is left, and no event is lost or told
 // twice.
@@ -215,18 +288,7 @@
 			newest.Store(1)
 			var feeds []*discovery
 			for range 3 {
-				var d *discovery
-				d = newDiscovery(t, func(c net.Conn, _ int64) {
-					for n := d.last.Load(); ; time.Sleep(20 * time.Millisecond) {
-						for ; n < newest.Load(); n++ {
-							c.Write(groupPurge(n+1, uint16(n+1), time.Now().UnixMilli()))
-						}
-						if _, err := c.Write(standin.PlatformFrame(n, 0, nil)); err != nil {
-							return
-						}
-					}
-				})
-				feeds = append(feeds, d)
+				feeds = append(feeds, newPurges(t, &newest))
 			}
 			w := openAt(t, feeds[0])
 			end := w.servesAll()
@@ -246,19 +308,7 @@
 				}
 				return open == 1 && holds.open.Load() == 1
 			})
-			want := newest.Add(1)
-			w.until("the last event is told", func() (told bool) {
-				w.n.l.Call(soon, func() { told = w.n.watch.reader.Last == want })
-				return told
-			})
-			w.n.l.Call(soon, func() {
-				if events := w.n.stats.Events; events != want {
-					t.Errorf("%d events were told, want %d", events, want)
-				}
-				if groups := w.n.core.Memory().Module.Groups; len(groups) != int(want)-1 {
-					t.Errorf("purges of %d groups are known, want %d", len(groups), want-1)
-				}
-			})
+			w.toldOnce(newest.Add(1))
 			end()
 		})
 	}
