--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -45,6 +45,7 @@
 	rowBytes  = 27
 	maxRows   = 20000
 	maxFrame  = headBytes + rowBytes*maxRows
+	keepBytes = 64 << 10 // of room that a reader keeps
 )
 
 // The kinds of a frame.
@@ -78,19 +79,22 @@
 // closed; what was told before it counts.
 func (r *Reader) Take(b []byte, f func(Event)) error {
 	r.buf = append(r.buf, b...)
-	for len(r.buf) >= 4 {
-		n := int64(binary.BigEndian.Uint32(r.buf)) + 4
+	used := 0
+	defer func() { r.use(used) }()
+	for len(r.buf)-used >= 4 {
+		rest := r.buf[used:]
+		n := int64(binary.BigEndian.Uint32(rest)) + 4
 		if n < headBytes || n > maxFrame {
 			return fmt.Errorf("%w: a frame of %d bytes", ErrBroken, n)
 		}
-		if int64(len(r.buf)) < n {
+		if int64(len(rest)) < n {
 			return nil
 		}
-		ev, err := r.frame(r.buf[4:n])
+		ev, err := r.frame(rest[4:n])
 		if err != nil {
 			return err
 		}
-		r.buf = r.buf[:copy(r.buf, r.buf[n:])]
+		used += int(n)
 		if ev != nil {
 			r.Last = ev.N
 			f(*ev)
@@ -99,6 +103,14 @@
 	return nil
 }
 
+// use drops what has been read, and the room of a long list once it is whole.
+func (r *Reader) use(n int) {
+	r.buf = r.buf[:copy(r.buf, r.buf[n:])]
+	if len(r.buf) == 0 && cap(r.buf) > keepBytes {
+		r.buf = nil
+	}
+}
+
 // frame reads what follows a frame's length; nil: it tells nothing new.
 func (r *Reader) frame(b []byte) (*Event, error) {
 	ev := &Event{N: binary.BigEndian.Uint64(b)}
@@ -130,6 +142,7 @@
 		return ev, nil
 	}
 	ev.Listed, ev.Full = true, kind == wholeList
+	ev.Rows = make([]Row, 0, len(b)/rowBytes)
 	for ; len(b) > 0; b = b[rowBytes:] {
 		state, zone, kind := int(b[10]), int(b[11]), int(b[12])
 		if state >= len(states) || zone >= len(r.Zones) || kind >= len(r.Kinds) {
--- /dev/null
+++ b/internal/feed/scale_test.go
@@ -0,0 +1,102 @@
+package feed
+
+import (
+	"encoding/binary"
+	"runtime"
+	"testing"
+
+	"golang.org/x/sys/unix"
+)
+
+// What a router needs may grow only so far between lists of 200 and of 3,200 endpoints, with
+// one of 200 replaced each second.
+const (
+	smallList, largeList = 200, 3200
+
+	bytesTimes, bytesPlus, bytesPerThousand    = 2.0, 64.0, 500.0 // KB
+	cpuTimes, cpuPlus, cpuPerThousand          = 1.4, 0.02, 0.03  // s
+	memoryTimes, memoryPlus, memoryPerThousand = 1.5, 8.0, 4.0    // MB
+)
+
+// needs is what a reader took for a day.
+type needs struct{ bytes, cpu, memory float64 }
+
+// day is the frames of one: a whole list and ten minutes of changes, one replacement each.
+func day(rows int) (all []byte) {
+	next := uint32(0)
+	add := func(state byte, id uint32) []byte {
+		one := append([]byte{}, row...)
+		binary.BigEndian.PutUint32(one, id)
+		one[10], one[12] = state, 0
+		return one
+	}
+	var list []byte
+	for range rows {
+		next++
+		list = append(list, add(0, next)...)
+	}
+	all = frame(1, wholeList, list...)
+	for n := range uint64(600 * rows / smallList) {
+		next++
+		all = append(all, frame(n+2, changes, append(add(2, next-uint32(rows)), add(0, next)...)...)...)
+	}
+	return all
+}
+
+func read(t *testing.T, rows int) (n needs) {
+	t.Helper()
+	const chunk = 64 << 10 // as the router reads
+	stream := day(rows)
+	n.bytes = float64(len(stream)) / 1024
+	var before, after runtime.MemStats
+	runtime.GC()
+	runtime.ReadMemStats(&before)
+	from := userTime(t)
+	r, told := reader(), 0
+	for rest := stream; len(rest) > 0; rest = rest[min(chunk, len(rest)):] {
+		if err := r.Take(rest[:min(chunk, len(rest))], func(e Event) { told += len(e.Rows) }); err != nil {
+			t.Fatal(err)
+		}
+	}
+	n.cpu = userTime(t) - from
+	runtime.GC()
+	runtime.ReadMemStats(&after)
+	runtime.KeepAlive(r)
+	runtime.KeepAlive(stream)
+	n.memory = (float64(after.HeapAlloc) - float64(before.HeapAlloc)) / (1 << 20)
+	if want := rows + 2*600*rows/smallList; told != want {
+		t.Fatalf("%d rows were told, want %d", told, want)
+	}
+	return n
+}
+
+// userTime is the process's, in seconds.
+func userTime(t *testing.T) float64 {
+	t.Helper()
+	var usage unix.Rusage
+	if err := unix.Getrusage(unix.RUSAGE_SELF, &usage); err != nil {
+		t.Fatal(err)
+	}
+	return float64(usage.Utime.Sec) + float64(usage.Utime.Usec)/1e6
+}
+
+func TestScale(t *testing.T) {
+	small, large := read(t, smallList), read(t, largeList)
+	for range 2 {
+		small.cpu, large.cpu = min(small.cpu, read(t, smallList).cpu), min(large.cpu, read(t, largeList).cpu)
+	}
+	t.Logf("%d endpoints: %+v; %d endpoints: %+v", smallList, small, largeList, large)
+	thousands := float64(largeList) / 1000
+	for _, c := range []struct {
+		what                                string
+		small, large, times, plus, thousand float64
+	}{
+		{"KB", small.bytes, large.bytes, bytesTimes, bytesPlus, bytesPerThousand},
+		{"s of CPU", small.cpu, large.cpu, cpuTimes, cpuPlus, cpuPerThousand},
+		{"MB of memory", small.memory, large.memory, memoryTimes, memoryPlus, memoryPerThousand},
+	} {
+		if most := c.times*c.small + c.plus + c.thousand*thousands; c.large > most {
+			t.Errorf("%.3f %s, at most %.3f", c.large, c.what, most)
+		}
+	}
+}
