--- a/internal/lastgood/fault_test.go
+++ b/internal/lastgood/fault_test.go
@@ -93,6 +93,9 @@
 		tx.Rollback()
 		return err
 	}
+	if err := f.fails("page", tx.DB().Path()); err != nil {
+		panic(err) // as a page that can't be read is
+	}
 	if err := f.fails("commit sync", tx.DB().Path()); err != nil {
 		f.Disk.Commit(tx)
 		return err
@@ -100,7 +103,7 @@
 	return f.Disk.Commit(tx)
 }
 
-var operations = []string{"open", "create", "stat", "read", "write", "sync", "rename", "sync folder", "commit", "commit sync"}
+var operations = []string{"open", "create", "stat", "read", "write", "sync", "rename", "sync folder", "commit", "commit sync", "page"}
 
 // eachFault runs a test with each operation failing by each errno, once and for a
 // while.
--- a/internal/lastgood/lastgood.go
+++ b/internal/lastgood/lastgood.go
@@ -21,6 +21,8 @@
 	"time"
 
 	"go.etcd.io/bbolt"
+	boltErrors "go.etcd.io/bbolt/errors"
+	"golang.org/x/sys/unix"
 
 	"indigospool/internal/fleet"
 )
@@ -443,17 +445,17 @@
 // commit runs a transaction that writes. After one that fails, the file is read
 // again, and written anew before the next.
 func (s *Store) commit(f func(*bbolt.Tx) error) (err error) {
+	var tx *bbolt.Tx
+	// a page of the file that can't be read is a fault of memory in bbolt
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
 			err = &FaultError{"read", s.path, fmt.Errorf("%v", p)}
-			s.file.Close() // bbolt's lock is held by the transaction: its Close would wait
-			s.db, s.file = nil, nil
+			s.abandon(tx)
 			s.reread(err)
 		}
 	}()
-	tx, err := s.db.Begin(true)
-	if err != nil {
+	if tx, err = s.db.Begin(true); err != nil {
 		return &FaultError{"begin to write", s.path, err}
 	}
 	if err := f(tx); err != nil {
@@ -461,16 +463,31 @@
 		return err
 	}
 	if err := s.files.Commit(tx); err != nil {
-		tx.Rollback() // nothing where it is over already
 		fault := &FaultError{"write", s.path, err}
-		closeQuietly(s.db)
-		s.db, s.file = nil, nil
+		s.abandon(tx)
 		s.reread(fault)
 		return fault
 	}
 	return nil
 }
 
+// abandon closes the file with a transaction that failed. Where bbolt can't end that,
+// it could not be closed either: then its memory stays, and only the lock goes.
+func (s *Store) abandon(tx *bbolt.Tx) {
+	db, file := s.db, s.file
+	s.db, s.file = nil, nil
+	defer func() {
+		if recover() != nil {
+			unix.Flock(int(file.Fd()), unix.LOCK_UN)
+			file.Close()
+		}
+	}()
+	if err := tx.Rollback(); err != nil && !errors.Is(err, boltErrors.ErrTxClosed) {
+		panic(err)
+	}
+	db.Close()
+}
+
 // reread books a fault, and serves what the file holds from memory.
 func (s *Store) reread(fault error) {
 	s.failed(fault)
