--- a/internal/store/copy.go
+++ b/internal/store/copy.go
@@ -290,12 +290,7 @@
 	}
 	p := s.slots[i]
 	g := s.segs[p.seg]
-	if !s.readable(g) {
-		s.Stats.Missed++
-		s.mu.Unlock()
-		return nil
-	}
-	if _, still := s.byHash[hash]; !still { // it lies behind the end of a segment that was opened just now
+	if !s.readable(g) || !s.slots[i].live() { // the latter where it lies behind the end of a segment that was opened just now
 		s.Stats.Missed++
 		s.mu.Unlock()
 		return nil
--- a/internal/store/crashfs_test.go
+++ b/internal/store/crashfs_test.go
@@ -165,6 +165,9 @@
 }
 
 func (c *crashFS) Lock() (io.Closer, error) {
+	if err := c.fails("lock", ""); err != nil {
+		return nil, err
+	}
 	if c.locked {
 		return nil, errors.New("crashfs: locked")
 	}
--- a/internal/store/fault.go
+++ b/internal/store/fault.go
@@ -5,7 +5,10 @@
 	"fmt"
 	"io"
 	"os"
+	"syscall"
 	"time"
+
+	"golang.org/x/sys/unix"
 )
 
 // The backoff of what failed: the first retry comes after the least, each later one after
@@ -41,6 +44,17 @@
 
 func (e *FaultError) Unwrap() error { return e.Err }
 
+// passes reports whether a lock failed for a reason that may pass by itself, and is not
+// held by another process or forbidden.
+func passes(err error) bool {
+	for _, errno := range []syscall.Errno{unix.EIO, unix.ENOSPC, unix.EDQUOT, unix.EMFILE, unix.ENFILE, unix.ENOMEM, unix.EINTR} {
+		if errors.Is(err, errno) {
+			return true
+		}
+	}
+	return false
+}
+
 // backoff is when something that failed is tried again.
 type backoff struct {
 	wait time.Duration
@@ -162,6 +176,13 @@
 // attempt does once what has to succeed before the store works. Nothing of what failed is
 // trusted: the logs and the segment are new files, made of what is in memory.
 func (s *Store) attempt() error {
+	if s.lock == nil {
+		lock, err := s.fs.Lock()
+		if err != nil {
+			return s.fail("lock", "", err)
+		}
+		s.lock = lock
+	}
 	if s.unread {
 		if err := s.read(); err != nil {
 			return err
--- a/internal/store/fault_test.go
+++ b/internal/store/fault_test.go
@@ -118,7 +118,7 @@
 // then all that was not purged, before or meanwhile.
 func TestLogUnreadableForAMoment(t *testing.T) {
 	for _, name := range []string{wordsName, "index-", formatName, ""} {
-		for _, ops := range []string{"read", "open", "size", "list", "open read write sync syncdir rename"} {
+		for _, ops := range []string{"read", "open", "size", "list", "lock", "open read write sync syncdir rename"} {
 			t.Run(name+" "+ops, func(t *testing.T) {
 				f := newFaulty(t, Settings{})
 				for _, key := range []string{"/a", "/b", "/c", "/d"} {
@@ -266,6 +266,28 @@
 	}
 }
 
+// A start that was killed while it made the folder one of this form is taken up again; in
+// a folder that has copies, a cut form is one that is not known.
+func TestFormatCutByKill(t *testing.T) {
+	f := newFaulty(t, Settings{})
+	keep(t, f.Store, "/a", 1, 100)
+	full := f.fs.killed()
+	for n := range len(formatText) {
+		text := []byte(formatText[:n])
+		f.fs = newCrashFS()
+		f.fs.now[formatName] = &crashFile{data: text, synced: text}
+		f.fs.disk[formatName] = f.fs.now[formatName]
+		f.open()
+		keep(t, f.Store, "/a", 1, 100)
+		f.killed()
+		f.expect(fmt.Sprintf("the form cut at %d", n), map[string]bool{"/a": true})
+		full.now[formatName].data = text
+		if _, _, err := Open(full.killed(), f.set); n > 0 && !errors.Is(err, ErrFormat) {
+			t.Errorf("the form of a folder in use, cut at %d: %v", n, err)
+		}
+	}
+}
+
 // What waits while the disk fails is bounded.
 func TestWaitingIsBounded(t *testing.T) {
 	f := newFaulty(t, Settings{})
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -194,11 +194,7 @@
 func Open(fs FS, set Settings) (*Store, Recovered, error) {
 	s := &Store{fs: fs, s: set.filled(), unread: true, logBroken: true}
 	s.reset()
-	var err error
-	if s.lock, err = fs.Lock(); err != nil {
-		return nil, Recovered{}, err
-	}
-	if err := s.attempt(); errors.Is(err, ErrFormat) {
+	if err := s.attempt(); errors.Is(err, ErrFormat) || s.lock == nil && !passes(err) {
 		s.release()
 		return nil, Recovered{}, s.failure.Err
 	}
@@ -232,7 +228,9 @@
 	if s.words != nil {
 		s.words.Close()
 	}
-	s.lock.Close()
+	if s.lock != nil {
+		s.lock.Close()
+	}
 }
 
 func readAll(f File) ([]byte, error) {
@@ -700,22 +698,22 @@
 	s.waiting = append(s.waiting, w)
 }
 
-// record writes a purge into both logs, and has it last.
+// record writes a purge into both logs, and has it last. Both are written before the first
+// sync: it takes the file system's records of both along.
 func (s *Store) record(w Purge) error {
 	b := entry(nil, kindWord, w.append(nil))
-	if err := s.appendSynced(s.words, wordsName, &s.wordsL, b); err != nil {
-		return err
+	index := indexName(s.indexN)
+	if err := s.append(s.words, &s.wordsL, b); err != nil {
+		return s.failLog("write", wordsName, err)
 	}
-	return s.appendSynced(s.index, indexName(s.indexN), &s.indexL, b)
-}
-
-// appendSynced appends to a log and has it last.
-func (s *Store) appendSynced(f File, name string, at *int64, b []byte) error {
-	if err := s.append(f, at, b); err != nil {
-		return s.failLog("write", name, err)
+	if err := s.append(s.index, &s.indexL, b); err != nil {
+		return s.failLog("write", index, err)
+	}
+	if err := s.words.Sync(); err != nil {
+		return s.failLog("sync", wordsName, err)
 	}
-	if err := f.Sync(); err != nil {
-		return s.failLog("sync", name, err)
+	if err := s.index.Sync(); err != nil {
+		return s.failLog("sync", index, err)
 	}
 	return nil
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -120,7 +120,8 @@
 			k kept
 		}
 		var writers []open
-		born := int64(0)
+		born := int64(1000)
+		renewed := map[string]bool{}  // since the last start: a crash may tear their heads
 		lossy, gaveUp := false, false // copies may be lost that are not synced; and any of them
 		settled := func() {           // the disk works: see what is there
 			verify(big && !gaveUp && (!lossy || set.Sync == SyncCopies))
@@ -130,7 +131,7 @@
 					m.last[key] = nil
 					continue
 				}
-				if k == nil || c.Born != k.m.Born {
+				if !renewed[key] && (k == nil || c.Born != k.m.Born) {
 					for i := range m.all[key] {
 						if m.all[key][i].m.Born == c.Born {
 							m.last[key] = &m.all[key][i]
@@ -177,7 +178,7 @@
 					}
 					fs = fs.crashed(rng)
 				}
-				writers = nil
+				writers, renewed = nil, map[string]bool{}
 				lossy = lossy || how > 0
 				fs.rng = rng
 				if rng.IntN(2) == 0 {
@@ -255,6 +256,23 @@
 				}
 				_, err := s.Purge(w)
 				m.purges, m.acked = append(m.purges, w), append(m.acked, err == nil)
+			case rng.IntN(3) == 0: // a copy's source has found it good
+				key := fmt.Sprintf("/k/%d", rng.IntN(40))
+				c := s.Find(key)
+				if c == nil {
+					continue
+				}
+				born++
+				for _, k := range m.all[key] {
+					if k.m.Born == c.Born { // the new head may last or not, or be torn by a kill
+						k.m.Born = born
+						m.all[key] = append(m.all[key], k)
+						m.last[key], renewed[key] = nil, true
+						break
+					}
+				}
+				c.Renew(born)
+				c.Close()
 			case rng.IntN(2) == 0:
 				s.Tidy(int64(rng.IntN(8 << 10)))
 			default:
