--- a/internal/store/copy.go
+++ b/internal/store/copy.go
@@ -275,6 +275,8 @@
 	off    int64
 	since  uint64
 	over   bool
+
+	filling bool // it is being written, or was when its reader began
 }
 
 // Find finds a copy whose bytes are known to be right: the first time since the start
@@ -401,6 +403,9 @@
 		return 0
 	}
 	n, _ := f.ReadNow(b[:min(int64(len(b)), c.Size-off)], c.off+off)
+	if c.unsure() {
+		return 0
+	}
 	return n
 }
 
@@ -476,12 +481,20 @@
 		b = b[:c.Size-off]
 	}
 	n, err := c.g.f.ReadAt(b, c.off+off)
+	if c.unsure() {
+		return 0, errSyncFailed
+	}
 	if err == nil && short {
 		err = io.EOF
 	}
 	return n, err
 }
 
+// unsure reports whether a sync has lost what may be the copy's bytes.
+func (c *Copy) unsure() bool {
+	return c.g.syncFailed.Load() && (c.filling || c.s.distrusted(c.g))
+}
+
 // Void reports whether a purge voids the copy by now.
 func (c *Copy) Void() bool {
 	c.s.mu.Lock()
@@ -527,5 +540,5 @@
 	w.s.mu.Lock()
 	defer w.s.mu.Unlock()
 	w.g.refs++
-	return &Copy{Meta: w.m, Size: w.size, s: w.s, g: w.g, off: int64(w.p.off)*8 + int64(w.p.meta()), since: w.p.since}
+	return &Copy{Meta: w.m, Size: w.size, s: w.s, g: w.g, off: int64(w.p.off)*8 + int64(w.p.meta()), since: w.p.since, filling: true}
 }
--- a/internal/store/fault_test.go
+++ b/internal/store/fault_test.go
@@ -246,11 +246,16 @@
 		f.fs.rng = rand.New(rand.NewPCG(seed, 1))
 		keep(t, f.Store, "/a", 1, 1500)
 		keep(t, f.Store, "/b", 1, 1500)
+		reader, buf := f.Find("/a"), make([]byte, 1500)
 		f.fail("sync read", "seg-", syscall.EIO)
 		if _, err := f.Begin(Meta{Key: "/c"}, 3000); !errors.Is(err, syscall.EIO) {
 			t.Fatal(err)
 		}
 		f.expect("during the fault", map[string]bool{"/a": false, "/b": false})
+		f.mended()
+		if n, err := reader.ReadAt(buf, 0); err == nil || n > 0 {
+			t.Errorf("seed %d: who reads a copy goes on, from what a sync may have lost", seed)
+		}
 		f.fail("read", "seg-", syscall.EIO)
 		f.clock.wait(f.Store)
 		f.mended()
