--- a/internal/day/clients.go
+++ b/internal/day/clients.go
@@ -16,6 +16,8 @@
 	"sync/atomic"
 	"time"
 
+	"golang.org/x/sys/unix"
+
 	"indigospool/internal/fillwire"
 	"indigospool/internal/standin"
 	"indigospool/internal/tap"
@@ -191,6 +193,21 @@
 	used float64
 }
 
+// ended reports whether the router has closed the connection while it was not in use, as it
+// may: what is asked on it then, no router reads.
+func (c *conn) ended() bool {
+	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
+	if err != nil {
+		return true
+	}
+	ended := false
+	err = raw.Control(func(fd uintptr) {
+		n, _, err := unix.Recvfrom(int(fd), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		ended = n == 0 && err == nil || err != nil && err != unix.EAGAIN && err != unix.EINTR
+	})
+	return ended || err != nil
+}
+
 // routerAt is a router as clients know it.
 type routerAt struct {
 	name, zone string
@@ -240,7 +257,7 @@
 	for len(r.idle) > 0 {
 		c := r.idle[len(r.idle)-1]
 		r.idle = r.idle[:len(r.idle)-1]
-		if tap.Now()-c.used < 5000 { // well before the router's own limit
+		if tap.Now()-c.used < 5000 && !c.ended() { // well before the router's own limit
 			r.mu.Unlock()
 			return c, nil
 		}
--- /dev/null
+++ b/internal/day/clients_test.go
@@ -0,0 +1,54 @@
+package day
+
+import (
+	"context"
+	"io"
+	"net"
+	"testing"
+	"time"
+)
+
+// A client asks on an idle connection unless the router has closed it by then.
+func TestIdleConnections(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	accepted := make(chan net.Conn, 2)
+	go func() {
+		for {
+			c, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			accepted <- c
+		}
+	}()
+	at := &routerAt{name: "r1", addr: listener.Addr().String()}
+	first, err := at.get()
+	if err != nil {
+		t.Fatal(err)
+	}
+	server := <-accepted
+	at.put(first)
+	if again, err := at.get(); err != nil || again != first {
+		t.Fatalf("an idle connection was not used again: %v", err)
+	}
+	at.put(first)
+	server.Close()
+	ctx, stop := context.WithTimeout(t.Context(), 10*time.Second)
+	defer stop()
+	for !first.ended() && sleep(ctx, 1) {
+	}
+	second, err := at.get()
+	if err != nil || second == first {
+		t.Fatalf("a connection that the router had closed was used again: %v", err)
+	}
+	defer second.Close()
+	server = <-accepted
+	defer server.Close()
+	if _, err := io.WriteString(second, "x"); err != nil {
+		t.Error(err)
+	}
+}
