--- a/internal/edge/page.go
+++ b/internal/edge/page.go
@@ -170,13 +170,36 @@
 	return c
 }
 
-// metaOf is what a head says of how long its answer may be kept.
+// ageOf is the age that a head states, in ms.
+func ageOf(h *http1.Head) float64 {
+	seconds, err := strconv.ParseFloat(string(h.Get("age")), 64)
+	if err != nil || !(seconds >= 0) {
+		return 0
+	}
+	return seconds * 1000
+}
+
+// expiresIn is for how long an answer is fresh by its field Expires, in ms; -1: it has none.
+// Both times are the origin's where it gives them.
+func expiresIn(h *http1.Head, clock time.Time) float64 {
+	expires, err := http.ParseTime(string(h.Get("expires")))
+	if err != nil {
+		return -1
+	}
+	span := float64(expires.Sub(clock).Milliseconds())
+	if made, err := http.ParseTime(string(h.Get("date"))); err == nil {
+		span = float64(expires.Sub(made).Milliseconds()) - ageOf(h)
+	}
+	return max(span, 0)
+}
+
+// metaOf is what a head says of how long its answer may be kept. The clock is needed only for
+// a head that says until when, and not when it was made (RFC 9111, section 4.2.1).
 func metaOf(h *http1.Head, clock time.Time) (m esi.Meta, c coding) {
 	m.Fresh = -1
 	if cc, err := cacheobject.ParseResponseCacheControl(joined(h, "cache-control")); err == nil {
 		if cc.MaxAge >= 0 {
-			age, _ := strconv.ParseFloat(string(h.Get("age")), 64)
-			m.Fresh = max(float64(cc.MaxAge)-age, 0) * 1000
+			m.Fresh = max(float64(cc.MaxAge)*1000-ageOf(h), 0)
 		}
 		if cc.NoCachePresent {
 			m.Fresh = 0
@@ -186,9 +209,7 @@
 		m.Fresh = 0
 	}
 	if m.Fresh < 0 {
-		if t, err := http.ParseTime(string(h.Get("expires"))); err == nil {
-			m.Fresh = max(float64(t.Sub(clock).Milliseconds()), 0)
-		}
+		m.Fresh = expiresIn(h, clock)
 	}
 	m.ETag = string(h.Get("etag"))
 	if t, err := http.ParseTime(string(h.Get("last-modified"))); err == nil {
@@ -261,7 +282,7 @@
 func (pg *page) head(u *upstream) {
 	e, r, h := pg.e, pg.r, &u.head
 	var m esi.Meta
-	m, pg.coding = metaOf(h, time.Now())
+	m, pg.coding = metaOf(h, e.date())
 	pg.status = h.Status
 	pg.plain = !m.ESI || h.Status != 200
 	except := madeAnew
@@ -431,7 +452,7 @@
 
 // head is the head of a fragment's answer; false: it won't do.
 func (v *part) head(u *upstream) bool {
-	m, c := metaOf(&u.head, time.Now())
+	m, c := metaOf(&u.head, v.pg.e.date())
 	v.coding = c
 	if u.head.Status != 200 || c == unknownCoding {
 		return false
--- a/internal/loop/io.go
+++ b/internal/loop/io.go
@@ -218,39 +218,3 @@
 		}
 	}
 }
-
-// ReadFD is Kernel.Read with one error, EAGAIN, for all that Later names.
-//
-// Deprecated: use Loop.Read.
-func ReadFD(fd int, b []byte) (int, error) {
-	n, err := Kernel.Read(fd, b)
-	return n, asAgain(err)
-}
-
-// WriteFD is Kernel.Write as ReadFD is Kernel.Read.
-//
-// Deprecated: use Loop.Write.
-func WriteFD(fd int, b []byte) (int, error) {
-	n, err := Kernel.Write(fd, b)
-	return n, asAgain(err)
-}
-
-// WriteFD2 is Kernel.WriteTwo as ReadFD is Kernel.Read.
-//
-// Deprecated: use Loop.WriteTwo.
-func WriteFD2(fd int, a, b []byte) (int, error) {
-	n, err := Kernel.WriteTwo(fd, a, b)
-	return n, asAgain(err)
-}
-
-// Dial is Loop.Dial by the kernel's own calls.
-//
-// Deprecated: use Loop.Dial.
-func Dial(address string) (fd int, inProgress bool, err error) { return dial(Kernel, address) }
-
-func asAgain(err error) error {
-	if Later(err) {
-		return unix.EAGAIN
-	}
-	return err
-}
--- a/internal/node/moments_test.go
+++ b/internal/node/moments_test.go
@@ -18,7 +18,6 @@
 	"go.uber.org/zap"
 
 	spool "indigospool"
-	"indigospool/internal/loop"
 	"indigospool/internal/standin"
 )
 
@@ -394,7 +393,7 @@
 	w.feed.Close()
 	var dials atomic.Int64
 	w.n.l.Call(soon, func() {
-		w.n.watch.dial = func(address string) (int, bool, error) { dials.Add(1); return loop.Dial(address) }
+		w.n.watch.dial = func(address string) (int, bool, error) { dials.Add(1); return w.n.l.Dial(address) }
 	})
 	w.say(nil)
 	time.Sleep(3 * time.Second)
