--- /dev/null
+++ b/internal/loop/arrival_test.go
@@ -0,0 +1,67 @@
+package loop
+
+import (
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// TestSince: what comes during a long turn may have come since that turn's own poll; what
+// comes while the loop waits came when the wait ended.
+func TestSince(t *testing.T) {
+	l, err := New(0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.close()
+	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer unix.Close(pair[0])
+	defer unix.Close(pair[1])
+	var since Millis
+	l.Add(pair[0], Read, onReady(func(Ready) {
+		since = l.Since()
+		var b [8]byte
+		unix.Read(pair[0], b[:])
+	}))
+	turn := func() {
+		t.Helper()
+		if err := l.turn(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	const span = 60 * time.Millisecond
+
+	l.Post(func() { // a long turn, at whose end something comes
+		time.Sleep(span)
+		unix.Write(pair[1], []byte("x"))
+	})
+	turn()
+	polled := l.Now()
+	turn()
+	if since > polled || since < polled-slowTurn {
+		t.Errorf("after a long turn: %v ms after its poll", since-polled)
+	}
+
+	waits := func(wait time.Duration) {
+		t.Helper()
+		sent := make(chan Millis, 1)
+		time.AfterFunc(wait, func() {
+			sent <- Clock()
+			unix.Write(pair[1], []byte("x"))
+		})
+		for since = 0; since == 0; {
+			if err := l.turn(); err != nil {
+				t.Fatal(err)
+			}
+		}
+		if early := <-sent - since; early > slowTurn {
+			t.Errorf("in a wait: %v ms before it came", early)
+		}
+	}
+	waits(span)
+	waits(5 * span)
+}
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -106,7 +106,8 @@
 	emptied float64 // when a read last found nothing more
 	behind  float64 // 0, or when bytes may have come that no read has reached yet
 
-	settled float64    // when what may stand behind a large read has come
+	large   bool       // so much came at once that the kernel may have held back more
+	settled float64    // when that has come, if nothing comes before
 	settle  loop.Timer // has what waited for that begin
 }
 
@@ -192,8 +193,8 @@
 const (
 	readMost   = 256 << 10 // bytes that one turn reads of one client
 	readLarge  = 64 << 10  // bytes in one turn, past which the kernel may have held back more at the client's side
-	settleTime = 3.0       // ms in which that comes
-	unsentMost = 50.0      // ms that a call waits for what comes behind it
+	settleTime = 5.0       // ms in which that comes
+	unsentMost = 100.0     // ms that a call waits for what comes behind it
 	lateTurn   = 30.0      // ms into a turn, from which on clients are read again before anything begins
 )
 
@@ -239,7 +240,7 @@
 // empty notes that a read that began at asked has left nothing, after so many bytes.
 func (c *client) empty(asked float64, size int) {
 	c.emptied, c.behind = asked, 0
-	if size > readLarge {
+	if c.large = c.large || size > readLarge; c.large {
 		c.settled = asked + settleTime
 	}
 }
@@ -249,7 +250,7 @@
 func (c *client) begin() {
 	for !c.closed && len(c.unsent) > 0 {
 		call := c.unsent[0]
-		if now := loop.Clock(); (c.behind > 0 || c.settled > now) && now-call.read < unsentMost {
+		if now := loop.Clock(); c.expects(now) && now-call.read < unsentMost {
 			c.n.l.Arm(&c.settle, settleTime)
 			break
 		}
@@ -257,11 +258,17 @@
 		c.serve(&call)
 	}
 	if len(c.unsent) == 0 {
-		c.unsent = nil
+		c.unsent, c.large = nil, false
 	}
 	c.flush()
 }
 
+// expects reports whether more is to come behind the calls that were read: it was not read
+// yet, or the kernel may have held it back.
+func (c *client) expects(now float64) bool {
+	return c.behind > 0 || c.large && (c.settled > now || c.in.Len() > 0)
+}
+
 // heed hears what the client has sent since the turn began, where that is long ago.
 func (c *client) heed() {
 	if c.closed || c.v.Shut > 0 || !c.n.late() || loop.Clock()-c.emptied < lateTurn {
@@ -399,20 +406,25 @@
 	c.flush()
 }
 
-// relieve closes the client for which most bytes are kept, where all together take too much
-// memory: those that wait for it to read, and those of a message that does not come whole.
+// relieve closes the client for which most bytes are kept, where those that are kept for
+// clients take too much memory: answers that they don't read, and messages that don't come
+// whole.
 func (n *Node) relieve() {
 	var most *client
+	all := 0
 	for c := range n.clients {
-		if most == nil || c.in.Len()+c.out.Len() > most.in.Len()+most.out.Len() {
+		if all += c.kept(); most == nil || c.kept() > most.kept() {
 			most = c
 		}
 	}
-	if most != nil {
+	if all > n.waitingBytes() {
 		most.close()
 	}
 }
 
+// kept is how many bytes wait for the client, or for the rest of its message.
+func (c *client) kept() int { return c.in.Len() + c.out.Len() }
+
 // queue adds bytes for the client. One that asks and takes nothing is closed before
 // what waits for all takes too much memory.
 func (c *client) queue(b []byte) {
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -16,6 +16,7 @@
 	drainLeaving = 280.0  // before the kill, connections at rest are being shut
 	drainMargin  = 120.0  // before the kill, the last answer has been written
 	drainLinger  = 40.0   // after that, clients may read it and close
+	drainRest    = 20.0   // without a message or an answer, after which a connection is at rest
 	drainStep    = 10.0   // between looks
 )
 
@@ -42,12 +43,17 @@
 		return
 	}
 	n.listener.close()
+	last := now >= n.goneBy
 	for c := range n.clients {
-		if now >= n.goneBy && c.v.Shut == 0 {
+		if c.v.Shut > 0 {
+			continue
+		}
+		if last { // what has come by now is answered
 			c.receive()
 			c.begin()
 		}
-		if c.v.Shut == 0 && !c.closed && !c.owes() && (c.in.Len() == 0 || now >= n.goneBy) && loop.Quiet(c.fd) {
+		atRest := c.in.Len() == 0 && now-c.v.Last > drainRest // one that has just been answered may ask again
+		if !c.closed && !c.owes() && (last || atRest) && loop.Quiet(c.fd) {
 			c.shut()
 		}
 	}
--- a/internal/node/terms_test.go
+++ b/internal/node/terms_test.go
@@ -203,13 +203,19 @@
 			c := w.client()
 			w.turn()
 			release := w.hold()
-			go func() {
+			left := make(chan struct{})
+			go func() { // into the kernel, which holds more of it back than it passes on
 				for i := range int32(32) {
 					c.Write(standin.PlatformCall("serve", i+1, save(), make([]byte, 40000)))
 				}
 				leave(c)
+				close(left)
 			}()
-			time.Sleep(200 * time.Millisecond)
+			select {
+			case <-left:
+			case <-time.After(soon):
+				t.Error("the kernel does not take so much")
+			}
 			release()
 			time.Sleep(200 * time.Millisecond)
 			w.turn()
@@ -220,6 +226,35 @@
 	}
 }
 
+// TestGoneWhileItsConnectionComesUp: attempts that wait for a connection to a member are not
+// made for a client that has left, whether or not attempts are called off.
+func TestGoneWhileItsConnectionComesUp(t *testing.T) {
+	for _, cancels := range []string{"true", "false"} {
+		t.Run(cancels, func(t *testing.T) {
+			t.Parallel()
+			late := newLateMember(t)
+			w := openWith(t, nil, `"connect_timeout":300`, `"connect_timeout":1500`, `"cancel":true`, `"cancel":`+cancels)
+			w.adopt(2, 0xd1, late.addr, 0, 0, 0)
+			w.adopt(3, 0xc1, w.members["s-000000c1"].Addr, 1, 0, 0)
+			w.adopt(4, 0xc2, w.members["s-000000c2"].Addr, 1, 0, 0)
+			late.fill(t)
+			closes, forgets := w.client(), w.client()
+			closes.Ask(clip(key), nil)
+			seq, _ := forgets.Ask(clip(key), nil)
+			w.until("both are taken", func() (all bool) {
+				w.n.l.Call(soon, func() { all = len(w.n.reqs) == 2 })
+				return all
+			})
+			closes.Close()
+			forgets.Write(standin.PlatformForget(seq+1, seq))
+			w.turn()
+			if n := late.rest(t, 1500*time.Millisecond); n != 0 {
+				t.Errorf("%d attempts came", n)
+			}
+		})
+	}
+}
+
 // TestHalfACallBehindAWholeOne: what comes of the second by halves takes no answer from the
 // first.
 func TestHalfACallBehindAWholeOne(t *testing.T) {
@@ -354,15 +389,21 @@
 }
 
 // faults has the router's system calls fail by a plan, from now on.
-func (w *world) faults(plan string) *faultinject.Syscalls {
+func (w *world) faults(plan string) (calls *faultinject.Syscalls) {
 	w.t.Helper()
-	p, err := faultinject.Parse(plan)
+	w.n.l.Call(soon, func() { calls = w.fail(plan) })
+	return calls
+}
+
+// fail is faults, called on the loop.
+func (w *world) fail(plan string) *faultinject.Syscalls {
+	parsed, err := faultinject.Parse(plan)
 	if err != nil {
-		w.t.Fatal(err)
+		w.t.Error(err)
 	}
-	s := faultinject.New(p, 1, faultinject.Since())
-	w.n.l.Call(soon, func() { w.n.l.Intercept(s) })
-	return s
+	calls := faultinject.New(parsed, 1, faultinject.Since())
+	w.n.l.Intercept(calls)
+	return calls
 }
 
 // TestInterruptedCallsLoseNothing: reads and writes that fail for a moment cost no request
@@ -487,16 +528,16 @@
 				t.Run(plan, func(t *testing.T) {
 					t.Parallel()
 					w := open(t, nil)
-					w.turn()
-					s := w.faults(plan)
+					var s *faultinject.Syscalls
+					release := w.holdThen(func() { s = w.fail(plan) }) // all is asked in that moment
 					const clients, each = 4, 25
 					var busy sync.WaitGroup
 					for range clients {
 						c := w.client()
+						for i := range each {
+							c.Ask(clip(fmt.Sprintf("%016x", i), "wait", "3000"), nil)
+						}
 						busy.Go(func() {
-							for i := range each {
-								c.Ask(clip(fmt.Sprintf("%016x", i), "wait", "3000"), nil)
-							}
 							for range each {
 								if r, err := c.Result(soon); err != nil || r.Word != "served" {
 									t.Errorf("%+v %v", r, err)
@@ -505,6 +546,7 @@
 							}
 						})
 					}
+					release()
 					busy.Wait()
 					made, failed := s.Counts(faultinject.Call(call))
 					if failed == 0 {
