--- a/internal/journal/fault_test.go
+++ b/internal/journal/fault_test.go
@@ -1,6 +1,7 @@
 package journal
 
 import (
+	"bytes"
 	"errors"
 	"fmt"
 	"os"
@@ -59,7 +60,11 @@
 
 // Write writes half of what it is given where it fails.
 func (f *sickFile) Write(b []byte) (int, error) {
-	if err := errors.Join(f.s.fails("write"), f.s.fails("write and remove")); err != nil {
+	err := errors.Join(f.s.fails("write"), f.s.fails("write and remove"))
+	if failed := f.s.fails("write records"); failed != nil && !bytes.HasPrefix(b, []byte(magic)) {
+		return 0, failed
+	}
+	if err != nil {
 		n, _ := f.File.Write(b[:len(b)/2])
 		return n, err
 	}
@@ -76,7 +81,7 @@
 // A disk that fails for a while costs the records of that while, which are counted; the
 // writer comes back, and the reader finds all that was written before and after.
 func TestFailsForAWhile(t *testing.T) {
-	for _, operation := range []string{"create", "write", "write and remove", "sync"} {
+	for _, operation := range []string{"create", "write", "write records", "write and remove", "sync"} {
 		for _, errno := range []syscall.Errno{syscall.EIO, syscall.ENOSPC} {
 			t.Run(fmt.Sprintf("%s/%v", operation, errno), func(t *testing.T) {
 				t.Parallel()
