--- a/internal/cache/cache.go
+++ b/internal/cache/cache.go
@@ -25,6 +25,7 @@
 	"indigospool/internal/http1"
 	"indigospool/internal/loop"
 	"indigospool/internal/store"
+	"indigospool/internal/wallclock"
 )
 
 // Settings is what a cache is: one settings file. Spans in ms.
@@ -107,7 +108,7 @@
 
 // StartOn is Start with the store in a folder that fault injection gives.
 func StartOn(folder store.FS, f Form, warn func(string)) (*Server, error) {
-	return start(f, warn, folder, time.Now)
+	return start(f, warn, folder, wallclock.Now)
 }
 
 // start is StartOn by a wall clock that tests replace. The clock is read once.
@@ -134,6 +135,10 @@
 	return s, nil
 }
 
+// Intercept has the system calls on its sockets made by calls, for fault injection; nil has
+// them made by the kernel. It is called before Run.
+func (s *Server) Intercept(calls loop.Syscalls) { s.l.Intercept(calls) }
+
 // Addr is where it listens.
 func (s *Server) Addr() string { return s.addr }
 
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -18,6 +18,7 @@
 
 	"indigospool/internal/config"
 	"indigospool/internal/fleet"
+	"indigospool/internal/wallclock"
 )
 
 // Keeper keeps what a service must not forget. Save returns once it would
@@ -180,7 +181,7 @@
 	if s.cfg.Note != nil {
 		s.cfg.Note(text)
 	}
-	s.events = append(s.events, time.Now().UTC().Format("15:04:05.000 ")+text)
+	s.events = append(s.events, wallclock.Now().UTC().Format("15:04:05.000 ")+text)
 	if len(s.events) > 100 {
 		s.events = s.events[len(s.events)-100:]
 	}
--- a/internal/lastgood/clock.go
+++ b/internal/lastgood/clock.go
@@ -8,6 +8,7 @@
 	"golang.org/x/sys/unix"
 
 	"indigospool/internal/fleet"
+	"indigospool/internal/wallclock"
 )
 
 // A reading is one of the machine's clock since it was booted, which nobody steps. It
@@ -56,12 +57,12 @@
 // wall clock where the machine was booted since, as a hint; those before it by their
 // distances, which no step of the wall clock changes.
 func (s *Store) ages(headers []header, now time.Time) []fleet.Millis {
-	out := make([]fleet.Millis, len(headers))
-	next := header{Stored: now, reading: s.readAt(now)}
+	out, wall := make([]fleet.Millis, len(headers)), wallclock.At(now)
+	next := header{Stored: wall, reading: s.readAt(now)}
 	age := time.Duration(0)
 	for i := len(headers) - 1; i >= 0; i-- {
 		if next.Boot != headers[i].Boot && i == len(headers)-1 {
-			age = max(now.Sub(headers[i].Stored), 0)
+			age = max(wall.Sub(headers[i].Stored), 0)
 		} else {
 			age += headers[i].apart(next)
 		}
--- a/internal/lastgood/lastgood.go
+++ b/internal/lastgood/lastgood.go
@@ -25,6 +25,7 @@
 	"golang.org/x/sys/unix"
 
 	"indigospool/internal/fleet"
+	"indigospool/internal/wallclock"
 )
 
 // ErrNone says that nothing was ever stored.
@@ -624,7 +625,7 @@
 }
 
 func (s *Store) encode(v fleet.Version, now time.Time) ([]byte, error) {
-	h, err := json.Marshal(header{v.Sum, now, s.readAt(now)})
+	h, err := json.Marshal(header{v.Sum, wallclock.At(now), s.readAt(now)})
 	if err != nil {
 		return nil, err
 	}
@@ -693,7 +694,7 @@
 func (s *Store) History(now time.Time) (list []fleet.Aged, err error) {
 	list, headers, err := s.all()
 	for i := range list {
-		list[i].Age = max(float64(now.Sub(headers[i].Stored).Microseconds())/1000, 0)
+		list[i].Age = max(float64(wallclock.At(now).Sub(headers[i].Stored).Microseconds())/1000, 0)
 	}
 	return list, err
 }
--- /dev/null
+++ b/internal/wallclock/wallclock_test.go
@@ -0,0 +1,25 @@
+package wallclock
+
+import (
+	"strings"
+	"testing"
+	"time"
+)
+
+func TestStep(t *testing.T) {
+	for _, by := range []time.Duration{3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
+		before := Now()
+		Step(by)
+		after := Now()
+		Step(-by)
+		if got := after.Sub(before) - by; got < 0 || got > time.Second {
+			t.Errorf("a step of %v moved the clock by %v", by, after.Sub(before))
+		}
+		if strings.Contains(after.String(), "m=") {
+			t.Errorf("%v has a monotonic reading, which a step doesn't move", after)
+		}
+	}
+	if off := time.Since(Now()); off < -time.Second || off > time.Second {
+		t.Errorf("after all steps were taken back the clock is %v off", off)
+	}
+}
