--- a/cmd/spool-day/main.go
+++ b/cmd/spool-day/main.go
@@ -132,6 +132,13 @@
 				fmt.Fprintf(w, "%-24s %6.0f ms  %s\n", s.Name, s.Took, s.Until)
 			}
 		}
+		for _, one := range res.Injected {
+			word := ""
+			if one.Failed == 0 {
+				word = "  UNPROVEN: no call failed"
+			}
+			fmt.Fprintf(w, "%-24s %6d of %d calls failed%s\n", one.Trouble, one.Failed, one.Calls, word)
+		}
 		for _, p := range res.Replays {
 			fmt.Fprintf(w, "%-10s journal replayed: %d lives, %d events, %d actions; %d compared, %d equal, %d behind %d gaps\n", p.Router,
 				p.Report.Lives, p.Report.Events, p.Report.Actions, p.Report.Compared, p.Report.Equal, p.Report.Skipped, len(p.Report.Gaps))
--- a/internal/day/box.go
+++ b/internal/day/box.go
@@ -32,7 +32,7 @@
 	if err := json.Unmarshal(line, &c); err != nil {
 		return err
 	}
-	faults, err := newInjector(in)
+	faults, err := newInjector(in, os.Stdout)
 	if err != nil {
 		return err
 	}
@@ -46,6 +46,7 @@
 	if err != nil {
 		return err
 	}
+	s.Intercept(faults.syscalls())
 	w := tap.NewWriter(os.Stdout)
 	kb := map[string]float64{}
 	for _, k := range c.Classes {
--- a/internal/day/day_test.go
+++ b/internal/day/day_test.go
@@ -199,3 +199,29 @@
 		}
 	}
 }
+
+// System calls and folders that fail and a clock that is set, inside the processes of one
+// short day: each trouble has an effect, and no rule breaks.
+func TestFaultsInsideProcesses(t *testing.T) {
+	res := play(t, `(control (on) (from-list) (hold 100) (spread 100) (level 10000))
+		(trouble syscalls (at 300) (for 1200) (routers 2) (plan "accept:ENFILE:0.5; read:EINTR:0.2; write:short:0.3; connect:EADDRNOTAVAIL:0.5"))
+		(trouble clock-step (at 600) (for 1500) (routers 2) (control) (step -3600000))
+		(trouble folder-fault (at 700) (for 1500) (routers 2) (control) (errno ENOSPC)) (trouble version-good (at 900))
+		(trouble router-kill (at 1100) (for 300) (routers 1)) (trouble drain (at 1500) (for 1800) (boxes 1))
+		(trouble crash (at 1000) (for 600) (boxes 1))`)
+	if len(res.Injected) != 2 {
+		t.Fatalf("troubles that were counted: %+v, want two", res.Injected)
+	}
+	for _, one := range res.Injected {
+		if one.Failed == 0 {
+			t.Errorf("%s had no call fail", one.Trouble)
+		}
+	}
+	if !res.OK() {
+		t.Errorf("the day is not as it should be: %+v", res.Steps)
+	}
+	res.Injected[0].Failed = 0
+	if res.OK() {
+		t.Error("a day passed in which a trouble had no effect")
+	}
+}
--- a/internal/day/inject.go
+++ b/internal/day/inject.go
@@ -1,6 +1,7 @@
 package day
 
 import (
+	"bytes"
 	"context"
 	"encoding/json"
 	"errors"
@@ -11,6 +12,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"indigospool/internal/faultinject"
 	"indigospool/internal/tap"
 )
 
@@ -18,27 +20,79 @@
 // service: what the kernel or the disk gives them, and not what their peers do.
 const (
 	SyscallFaults = "syscalls"     // system calls on sockets fail by (plan "..."), see faultinject.Parse
+	ClockStep     = "clock-step"   // the process's wall clock is set by (step ms), and back at the end
 	FolderFault   = "folder-fault" // writes to the process's folder, and syncs of it, fail with (errno ENOSPC)
 )
 
-var processKinds = []string{SyscallFaults, FolderFault}
+var processKinds = []string{SyscallFaults, ClockStep, FolderFault}
 
 // processFault is a trouble inside one process.
 type processFault struct {
+	Name  string  `json:"name"` // of the trouble
 	Kind  string  `json:"kind"`
 	Plan  string  `json:"plan,omitempty"`  // of syscalls
+	Peer  string  `json:"peer,omitempty"`  // of syscalls: whose connections it meets
+	Step  float64 `json:"step,omitempty"`  // of clock-step, ms
 	Errno string  `json:"errno,omitempty"` // of folder-fault
 	Until float64 `json:"until"`           // on the tap's clock
 }
 
+// Injected is what a trouble inside processes did to them, those apart that were killed
+// before its end.
+type Injected struct {
+	Trouble string `json:"trouble"`
+	Calls   int    `json:"calls"`  // of the kinds that it has fail
+	Failed  int    `json:"failed"` // none: it has proven nothing
+}
+
+// injectedLine is how a process tells the day of it.
+type injectedLine struct {
+	Injected Injected `json:"injected"`
+}
+
+const injectedPrefix = `{"injected"`
+
+// heard takes a line that a process has printed: a record for the tap, or what a trouble
+// did to it.
+func (d *Day) heard(line []byte) {
+	if !bytes.HasPrefix(line, []byte(injectedPrefix)) {
+		d.tap.AddLine(line)
+		return
+	}
+	var told injectedLine
+	if json.Unmarshal(line, &told) == nil {
+		d.faults.count(told.Injected)
+	}
+}
+
 // folderErrnos are what a disk that is full or broken gives.
 var folderErrnos = map[string]unix.Errno{"ENOSPC": unix.ENOSPC, "EIO": unix.EIO, "EDQUOT": unix.EDQUOT, "EROFS": unix.EROFS}
 
 // faultsInForce are the process faults of a day, by machine: a process that starts while
 // one lasts begins with it.
 type faultsInForce struct {
-	mu     sync.Mutex
-	byName map[string][]processFault
+	mu       sync.Mutex
+	byName   map[string][]processFault
+	injected []Injected // by trouble
+}
+
+// begun notes that a trouble begins.
+func (f *faultsInForce) begun(trouble string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.injected = append(f.injected, Injected{Trouble: trouble})
+}
+
+// count adds what a trouble did to one process.
+func (f *faultsInForce) count(one Injected) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for i := range f.injected {
+		if sum := &f.injected[i]; sum.Trouble == one.Trouble {
+			sum.Calls += one.Calls
+			sum.Failed += one.Failed
+		}
+	}
 }
 
 func (f *faultsInForce) add(machine string, fault processFault) {
@@ -108,10 +162,20 @@
 	}
 }
 
+// processStart is what a process reads after its settings.
+type processStart struct {
+	Intercept bool           `json:"intercept"` // its system calls on sockets, since the day has troubles of them
+	Faults    []processFault `json:"faults"`    // that it begins with
+}
+
 // withFaults is what a process reads first: its settings, and in a second line the faults
 // that it begins with.
 func (d *Day) withFaults(machine string, settings []byte) ([]byte, error) {
-	faults, err := json.Marshal(d.faults.of(machine))
+	begin := processStart{Faults: d.faults.of(machine)}
+	for _, t := range d.s.Troubles {
+		begin.Intercept = begin.Intercept || t.Kind == SyscallFaults
+	}
+	faults, err := json.Marshal(begin)
 	if err != nil {
 		return nil, err
 	}
@@ -120,11 +184,14 @@
 
 // inject has the processes of a trouble suffer it for its time.
 func (d *Day) inject(ctx context.Context, t Trouble, met []string) error {
-	fault := processFault{Kind: t.Kind, Plan: t.Plan, Errno: t.Errno, Until: tap.Now() + t.For}
+	fault := processFault{Name: t.name(), Kind: t.Kind, Plan: t.Plan, Peer: t.Peer, Step: t.Step, Errno: t.Errno, Until: tap.Now() + t.For}
 	line, err := json.Marshal(fault)
 	if err != nil {
 		return err
 	}
+	if t.Kind != ClockStep { // whose effect is not counted in calls
+		d.faults.begun(fault.Name)
+	}
 	for _, machine := range met {
 		d.faults.add(machine, fault)
 		if p := d.processOf(machine); p != nil {
@@ -194,6 +261,18 @@
 		return t.Kind + " at a control service that the day lacks", "add (control (on))"
 	case t.Kind == SyscallFaults && t.Control:
 		return "syscalls at the control service, which has no event loop", "leave out (control)"
+	case !contains([]string{peerAll, peerMembers, peerClients}, t.Peer):
+		return fmt.Sprintf("unknown peer %q", t.Peer), "write members or clients, or leave it out for both"
+	case t.Kind == SyscallFaults:
+		plan, err := faultinject.Parse(t.Plan)
+		if err != nil {
+			return err.Error(), "write call:error[:how often][:from-until], as read:EINTR:0.02"
+		}
+		if len(plan) == 0 {
+			return "syscalls without a plan", `add (plan "accept:ENFILE:0.5")`
+		}
+	case t.Kind == ClockStep && t.Step == 0:
+		return "clock-step without a step", "add (step 3000), or another number of ms"
 	case t.Kind == FolderFault && t.Routers > 0 && !s.Control.On:
 		return "folder-fault at routers that keep nothing", "add (control (on))"
 	case t.Kind == FolderFault && folderErrnos[t.Errno] == 0:
--- a/internal/day/inject_test.go
+++ b/internal/day/inject_test.go
@@ -5,24 +5,30 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"io"
+	"net/netip"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
+	"time"
 
 	"go.etcd.io/bbolt"
 	"golang.org/x/sys/unix"
 
 	"indigospool/internal/config"
+	"indigospool/internal/faultinject"
 	"indigospool/internal/lastgood"
+	"indigospool/internal/loop"
 	"indigospool/internal/store"
 	"indigospool/internal/tap"
+	"indigospool/internal/wallclock"
 )
 
 // told is the standard input of a process that begins with faults and is told of more.
 func told(t *testing.T, begin []processFault, more ...processFault) *bufio.Reader {
 	t.Helper()
-	line, err := json.Marshal(begin)
+	line, err := json.Marshal(processStart{Faults: begin})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +63,7 @@
 		{"ended before the last", []processFault{full}, []processFault{over}, nil},
 	} {
 		in := told(t, c.begin, c.more...)
-		faults, err := newInjector(in)
+		faults, err := newInjector(in, io.Discard)
 		if err != nil {
 			t.Fatal(c.name, err)
 		}
@@ -66,10 +72,10 @@
 			t.Errorf("%s: the folder gives %v, want %v", c.name, err, c.want)
 		}
 	}
-	if _, err := newInjector(told(t, []processFault{{Kind: "earthquake"}})); err == nil {
+	if _, err := newInjector(told(t, []processFault{{Kind: "earthquake"}}), io.Discard); err == nil {
 		t.Error("an unknown fault was begun")
 	}
-	if _, err := newInjector(bufio.NewReader(strings.NewReader(""))); err == nil {
+	if _, err := newInjector(bufio.NewReader(strings.NewReader("")), io.Discard); err == nil {
 		t.Error("a process began without being told of its faults")
 	}
 }
@@ -77,7 +83,7 @@
 // While a folder fails nothing is written whole, created, renamed or synced, and what is
 // there can be read; afterwards all of it works.
 func TestFolderFault(t *testing.T) {
-	faults := &injector{}
+	faults := &injector{tell: io.Discard}
 	dir := t.TempDir()
 	folder := faultyFolder{store.Dir(dir), faults}
 	file, err := folder.Open("a", true)
@@ -114,14 +120,14 @@
 		"create a store's file": func() error { return createPlain(versions, filepath.Join(dir, "e")) },
 	}
 	for name, call := range calls {
-		faults.folder.Store(&processFault{Errno: "ENOSPC", Until: tap.Now() + 60_000})
+		faults.folder.Store(&folderFault{processFault: processFault{Errno: "ENOSPC", Until: tap.Now() + 60_000}})
 		if err := call(); !errors.Is(err, unix.ENOSPC) {
 			t.Errorf("%s in a full folder: %v", name, err)
 		}
 		if _, err := folder.Open("a", false); err != nil {
 			t.Errorf("what is there can't be opened in a full folder: %v", err)
 		}
-		faults.folder.Store(&processFault{Errno: "ENOSPC", Until: tap.Now()})
+		faults.folder.Store(&folderFault{processFault: processFault{Errno: "ENOSPC", Until: tap.Now()}})
 		if err := call(); err != nil {
 			t.Errorf("%s after the fault: %v", name, err)
 		}
@@ -180,6 +186,12 @@
 
 func TestProcessFaultScripts(t *testing.T) {
 	for add, want := range map[string]string{
+		"(trouble syscalls (at 1) (routers 1))":                                  "syscalls without a plan",
+		`(trouble syscalls (at 1) (routers 1) (plan "read:EFOO"))`:               `unknown error "EFOO"`,
+		`(trouble syscalls (at 1) (routers 1) (peer moon) (plan "read:EINTR"))`:  `unknown peer "moon"`,
+		`(trouble syscalls (at 1) (boxes 1) (plan "read:EINTR"))`:                "at boxes that are stand-ins",
+		`(control (on)) (trouble syscalls (at 1) (control) (plan "read:EINTR"))`: "has no event loop",
+		"(trouble clock-step (at 1) (routers 1))":                                "clock-step without a step",
 		"(trouble folder-fault (at 1))":                                          "folder-fault meets nobody",
 		"(trouble folder-fault (at 1) (boxes 1))":                                "at boxes that are stand-ins",
 		"(trouble folder-fault (at 1) (control))":                                "that the day lacks",
@@ -193,3 +205,97 @@
 		}
 	}
 }
+
+// Reads and writes fail by a plan on the connections that a trouble meets, and on no
+// others, while it lasts; a process of a day without such troubles has the kernel's calls.
+func TestSyscallFaults(t *testing.T) {
+	faults, err := newInjector(told(t, nil), io.Discard)
+	if err != nil || faults.syscalls() != nil {
+		t.Fatalf("calls are intercepted in a day without troubles of them: %v", err)
+	}
+	listener, address, err := loop.Listen("127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer unix.Close(listener)
+	for _, c := range []struct {
+		peer           string
+		span           float64
+		member, client error // what a read gives
+	}{
+		{peerAll, 60_000, unix.ETIMEDOUT, unix.ETIMEDOUT},
+		{peerMembers, 60_000, unix.ETIMEDOUT, unix.EAGAIN},
+		{peerClients, 60_000, unix.EAGAIN, unix.ETIMEDOUT},
+		{peerAll, 0, unix.EAGAIN, unix.EAGAIN},
+	} {
+		calls := newFaultyCalls(faults)
+		member, client := connected(t, calls, listener, address)
+		fault := processFault{Kind: SyscallFaults, Plan: "read:ETIMEDOUT", Peer: c.peer, Until: tap.Now() + c.span}
+		if err := faults.begin(fault); err != nil {
+			t.Fatal(err)
+		}
+		for who, one := range map[string]struct {
+			fd   int
+			want error
+		}{"member": {member, c.member}, "client": {client, c.client}} {
+			if _, err := calls.Read(one.fd, make([]byte, 1)); err != one.want {
+				t.Errorf("%s for %.0f ms: a read from a %s gives %v, want %v", c.peer, c.span, who, err, one.want)
+			}
+		}
+		unix.Close(member)
+		unix.Close(client)
+	}
+	if err := faults.begin(processFault{Kind: SyscallFaults, Plan: "read"}); !errors.Is(err, faultinject.ErrPlan) {
+		t.Errorf("a plan that is none: %v", err)
+	}
+}
+
+// connected are the two ends of a connection: that which was made, as to a member, and that
+// which was accepted, as from a client.
+func connected(t *testing.T, calls loop.Syscalls, listener int, address string) (made, accepted int) {
+	t.Helper()
+	to, err := netip.ParseAddrPort(address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if made, err = calls.Socket(unix.AF_INET); err != nil {
+		t.Fatal(err)
+	}
+	if err := calls.Connect(made, &unix.SockaddrInet4{Port: int(to.Port()), Addr: to.Addr().As4()}); err != nil && err != unix.EINPROGRESS {
+		t.Fatal(err)
+	}
+	for range 1000 {
+		if accepted, err = calls.Accept(listener); err != unix.EAGAIN {
+			break
+		}
+		time.Sleep(time.Millisecond)
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	return made, accepted
+}
+
+// A step of a process's wall clock is there until its end; two add up.
+func TestClockStep(t *testing.T) {
+	faults := &injector{tell: io.Discard}
+	off := func() time.Duration { return wallclock.Now().Sub(time.Now().Round(0)).Round(time.Second) }
+	now := tap.Now()
+	for _, fault := range []processFault{{Step: 3.6e6, Until: now + 300}, {Step: -3000, Until: now + 900}} {
+		fault.Kind = ClockStep
+		if err := faults.begin(fault); err != nil {
+			t.Fatal(err)
+		}
+	}
+	for _, want := range []time.Duration{time.Hour - 3*time.Second, -3 * time.Second, 0} {
+		for tap.Now() < now+10_000 && off() != want {
+			time.Sleep(time.Millisecond)
+		}
+		if off() != want {
+			t.Fatalf("the clock is off by %v, want %v", off(), want)
+		}
+	}
+	if took := tap.Now() - now; took < 900 {
+		t.Errorf("the last step was taken back after %.0f ms, want 900", took)
+	}
+}
--- a/internal/day/injector.go
+++ b/internal/day/injector.go
@@ -4,30 +4,43 @@
 	"bufio"
 	"encoding/json"
 	"fmt"
+	"io"
 	"os"
 	"sync/atomic"
+	"time"
 
+	"indigospool/internal/loop"
 	"indigospool/internal/tap"
+	"indigospool/internal/wallclock"
 )
 
 // injector has the process that it is in suffer its faults, each until its end. Its
 // methods are safe for concurrent use.
 type injector struct {
-	folder atomic.Pointer[processFault]
+	folder    atomic.Pointer[folderFault]
+	calls     atomic.Pointer[plannedCalls]
+	intercept bool
+	tell      io.Writer // what it did goes there
+}
+
+// folderFault is a folder-fault, and how often it was met.
+type folderFault struct {
+	processFault
+	failed atomic.Int64 // writes and syncs
 }
 
 // newInjector reads the line of the faults that a process begins with.
-func newInjector(in *bufio.Reader) (*injector, error) {
-	i := &injector{}
-	var faults []processFault
+func newInjector(in *bufio.Reader, tell io.Writer) (*injector, error) {
+	var begin processStart
 	line, err := in.ReadBytes('\n')
 	if err == nil {
-		err = json.Unmarshal(line, &faults)
+		err = json.Unmarshal(line, &begin)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("day: read the faults to begin with: %w", err)
 	}
-	for _, fault := range faults {
+	i := &injector{intercept: begin.Intercept, tell: tell}
+	for _, fault := range begin.Faults {
 		if err := i.begin(fault); err != nil {
 			return nil, err
 		}
@@ -53,22 +66,59 @@
 	}
 }
 
-// begin begins a fault, instead of the last one of its kind.
+// begin begins a fault, instead of the last one of its kind; steps of the clock add up.
 func (i *injector) begin(fault processFault) error {
+	left := time.Duration((fault.Until - tap.Now()) * float64(time.Millisecond))
 	switch fault.Kind {
 	case FolderFault:
-		i.folder.Store(&fault)
+		folder := &folderFault{processFault: fault}
+		i.folder.Store(folder)
+		time.AfterFunc(left, func() {
+			failed := int(folder.failed.Load())
+			i.tellInjected(fault.Name, failed, failed)
+		})
+	case SyscallFaults:
+		calls, err := newPlannedCalls(fault)
+		if err != nil {
+			return err
+		}
+		i.calls.Store(calls)
+		time.AfterFunc(left, func() {
+			made, failed := calls.counts()
+			i.tellInjected(fault.Name, made, failed)
+		})
+	case ClockStep:
+		step := time.Duration(fault.Step * float64(time.Millisecond))
+		wallclock.Step(step)
+		time.AfterFunc(left, func() { wallclock.Step(-step) })
 	default:
 		return fmt.Errorf("day: %q is no fault of a process", fault.Kind)
 	}
 	return nil
 }
 
+// syscalls are the system calls of the process's event loop; nil: the kernel's.
+func (i *injector) syscalls() loop.Syscalls {
+	if !i.intercept {
+		return nil
+	}
+	return newFaultyCalls(i)
+}
+
 // folderErr is what a write to the process's folder, or a sync of it, gives for now.
 func (i *injector) folderErr() error {
 	fault := i.folder.Load()
 	if fault == nil || tap.Now() >= fault.Until {
 		return nil
 	}
+	fault.failed.Add(1)
 	return folderErrnos[fault.Errno]
 }
+
+// tellInjected tells the day, in one write, what a trouble did to this process.
+func (i *injector) tellInjected(trouble string, calls, failed int) {
+	line, err := json.Marshal(injectedLine{Injected{Trouble: trouble, Calls: calls, Failed: failed}})
+	if err == nil {
+		i.tell.Write(append(line, '\n'))
+	}
+}
--- a/internal/day/proc.go
+++ b/internal/day/proc.go
@@ -87,7 +87,7 @@
 	if err := config.Read("day", text, into); err != nil {
 		return nil, nil, err
 	}
-	faults, err = newInjector(rest)
+	faults, err = newInjector(rest, os.Stdout)
 	return rest, faults, err
 }
 
@@ -106,7 +106,7 @@
 	defer cancel()
 	gone := make(chan struct{})
 	go func() { faults.untilOrphaned(in); cancel(); close(gone) }()
-	e, end, err := edge.OpenOn(ctx, &s, log, edge.System{Files: faultyFiles{faults: faults}})
+	e, end, err := edge.OpenOn(ctx, &s, log, edge.System{Files: faultyFiles{faults: faults}, Syscalls: faults.syscalls()})
 	if err != nil {
 		return err
 	}
--- a/internal/day/run.go
+++ b/internal/day/run.go
@@ -45,19 +45,25 @@
 	Verdicts []rules.Verdict `json:"rules"`
 	Summary  Summary         `json:"summary"`
 	Steps    []Step          `json:"versions,omitempty"`
+	Injected []Injected      `json:"injected,omitempty"`
 	Replays  []Replayed      `json:"replays,omitempty"`
 	Dir      string          `json:"dir"`
 	Records  []tap.Record    `json:"-"`
 }
 
-// OK reports a day whose rules were all looked at and kept, and whose steps with
-// versions all came out as they should.
+// OK reports a day whose rules were all looked at and kept, whose steps with versions
+// all came out as they should, and whose troubles inside processes all had an effect.
 func (r *Result) OK() bool {
 	for _, p := range r.Replays {
 		if !p.Report.OK() || !p.Drift.OK() {
 			return false
 		}
 	}
+	for _, one := range r.Injected {
+		if one.Failed == 0 {
+			return false
+		}
+	}
 	return rules.AllOK(r.Verdicts) && !slices.ContainsFunc(r.Steps, func(s Step) bool { return s.Wrong != "" })
 }
 
@@ -198,6 +204,7 @@
 	if d.control != nil {
 		res.Steps = d.control.steps
 	}
+	res.Injected = d.faults.injected
 	if o.Journal {
 		if res.Replays, err = replayAll(d.dir, s.Day.Routers, recs); err != nil {
 			return nil, err
@@ -316,7 +323,7 @@
 	if err != nil {
 		return err
 	}
-	p, err := start(d.o.Self, word, in, os.Stderr, d.tap.AddLine)
+	p, err := start(d.o.Self, word, in, os.Stderr, d.heard)
 	if err != nil {
 		return err
 	}
@@ -379,7 +386,7 @@
 	}
 	// known before its first attempt can be: a new life begins here
 	d.tap.Add(tap.Record{Ev: tap.Up, Who: r.at.name, Role: "router", Note: r.at.zone})
-	p, err := start(d.o.Self, ChildRouter, in, r.log, nil)
+	p, err := start(d.o.Self, ChildRouter, in, r.log, d.heard)
 	if err != nil {
 		return err
 	}
@@ -466,7 +473,7 @@
 		if !sleep(ctx, begin+t.At-tap.Now()) {
 			break
 		}
-		name := fmt.Sprintf("%s@%.1fs", t.Kind, t.At/1000)
+		name := t.name()
 		rng := rand.New(rand.NewPCG(uint64(s.Day.Seed), uint64(n)+1000))
 		met := d.pick(t, rng)
 		d.say("%6.1f s  %s for %.1f s: %s", (tap.Now()-begin)/1000, t.Kind, t.For/1000, strings.Join(met, " "))
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -126,9 +126,14 @@
 	Notice  float64 `edn:"notice" def:"1500" min:"0"` // of preempt: from the drain to the end
 	Control bool    `edn:"control"`                   // of troubles inside processes: the control service too
 	Plan    string  `edn:"plan"`                      // of syscalls: which calls fail, how and how often
-	Errno   string  `edn:"errno" def:"EIO"`           // of folder-fault
+	Peer    string  `edn:"peer"`                      // of syscalls: whose connections it meets
+	Step    float64 `edn:"step"`                      // of clock-step
+	Errno   string  `edn:"errno"`                     // of folder-fault
 }
 
+// name is what the trouble is called where it is told of.
+func (t *Trouble) name() string { return fmt.Sprintf("%s@%.1fs", t.Kind, t.At/1000) }
+
 // Troubles that the day itself carries out; the others are faults of stand-ins.
 const (
 	Crash      = "crash"       // processes are killed, and come back cold
--- a/internal/day/versions.go
+++ b/internal/day/versions.go
@@ -146,7 +146,7 @@
 	}
 	var last error
 	for range 20 { // the address may take a moment to be free
-		if c.proc, err = start(c.d.o.Self, ChildControl, text, io.Discard, c.d.tap.AddLine); err != nil {
+		if c.proc, err = start(c.d.o.Self, ChildControl, text, io.Discard, c.d.heard); err != nil {
 			return err
 		}
 		line, err := c.proc.awaitFirst(ctx)
@@ -356,7 +356,7 @@
 func (c *controlled) trouble(ctx context.Context, t Trouble) error {
 	c.busy.Lock()
 	defer c.busy.Unlock()
-	name := fmt.Sprintf("%s@%.1fs", t.Kind, t.At/1000)
+	name := t.name()
 	began := tap.Now()
 	wrong := func(err error) error {
 		if err != nil && ctx.Err() == nil { // the day goes on, so that the rules can be judged
--- a/internal/edge/system.go
+++ b/internal/edge/system.go
@@ -5,14 +5,19 @@
 
 	"indigospool/internal/config"
 	"indigospool/internal/lastgood"
+	"indigospool/internal/loop"
 )
 
 // System is what a router has of the operating system; fault injection replaces it.
 type System struct {
-	Files lastgood.FileSystem // of the store of versions
+	Files    lastgood.FileSystem // of the store of versions
+	Syscalls loop.Syscalls       // on clients' and members' sockets; nil: the kernel's
 }
 
 // OpenOn is Open on another system.
 func OpenOn(ctx context.Context, s *config.Settings, log *AccessLog, system System) (e *Edge, end func(), err error) {
-	return open(ctx, s, log, system.Files)
+	if e, end, err = open(ctx, s, log, system.Files); err == nil {
+		e.l.Intercept(system.Syscalls)
+	}
+	return e, end, err
 }
