--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -10,7 +10,9 @@
 package node
 
 import (
+	"errors"
 	"math"
+	"os"
 
 	"go.uber.org/zap"
 
@@ -49,13 +51,15 @@
 	born   *request // the request that the module hears of now: the timer asked for is its
 	beat   loop.Timer
 
-	watch    watch
-	clock    unixclock.Clock // of the platform, by the times that the feed has told
-	listener *listener
-	drained  float64 // since when it drains; 0: it does not
-	leaveAt  float64 // from when on connections at rest are shut
-	goneBy   float64 // when the last answer is to have been written
-	stats    Stats
+	watch      watch
+	clock      unixclock.Clock // of the platform, by the times that the feed has told
+	listener   *listener
+	readConfig func(file string) (*Config, error) // ReadConfig, but for tests
+
+	drained float64 // since when it drains; 0: it does not
+	leaveAt float64 // from when on connections at rest are shut
+	goneBy  float64 // when the last answer is to have been written
+	stats   Stats
 }
 
 // request is a client's request in hand.
@@ -82,7 +86,7 @@
 		address = cfg.Listen
 	}
 	n := &Node{cfg: cfg, file: file, log: log, reqs: map[string]*request{}, pools: map[string]*pool{},
-		clients: map[*client]struct{}{}, codec: front.NewCodec(), scratch: make([]byte, 64<<10),
+		clients: map[*client]struct{}{}, codec: front.NewCodec(), readConfig: ReadConfig, scratch: make([]byte, 64<<10),
 		places: limits.NewPlaces(cfg.Limits.Sockets)}
 	n.bufs.Keep = n.waitingBytes() / 2
 	if n.core, err = core.NewBare(cfg.settings.Module, cfg.seed); err != nil {
@@ -143,15 +147,29 @@
 
 // Reload reads the configuration file again. It may be called from any goroutine.
 func (n *Node) Reload() {
-	n.l.Post(func() {
-		if err := n.reload(); err != nil {
-			n.log.Error("configuration kept as it was", zap.Error(err))
-		}
-	})
+	n.l.Post(func() { n.reloadWithin(reloadTries) })
 }
 
+// reloadWithin reloads. Where the file cannot be read, which may pass, it is tried again.
+func (n *Node) reloadWithin(tries int) {
+	err := n.reload()
+	if err == nil {
+		return
+	}
+	n.log.Error("configuration kept as it was", zap.Error(err))
+	var unread *os.PathError
+	if errors.As(err, &unread) && tries > 1 {
+		n.l.Once(reloadAgain, func() { n.reloadWithin(tries - 1) })
+	}
+}
+
+const (
+	reloadTries = 30  // of a file that cannot be read
+	reloadAgain = 100 // ms between two
+)
+
 func (n *Node) reload() error {
-	cfg, err := ReadConfig(n.file)
+	cfg, err := n.readConfig(n.file)
 	if err != nil {
 		return err
 	}
--- a/internal/node/terms_test.go
+++ b/internal/node/terms_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"io"
 	"net"
+	"os"
 	"strconv"
 	"strings"
 	"sync"
@@ -327,8 +328,17 @@
 // clients go on sending on their connections: each request that was sent before the
 // connection's end has its answer, and the router is gone in time.
 func TestDrainInTime(t *testing.T) {
-	const deadline = 200 * time.Millisecond
-	w := openWith(t, (&recorder{}).everywhere(), `"give_up":3000`, `"give_up":200`, `"aim":400`, `"aim":100`)
+	for _, deadline := range []time.Duration{200 * time.Millisecond, time.Second} {
+		t.Run(deadline.String(), func(t *testing.T) {
+			t.Parallel()
+			drainInTime(t, deadline)
+		})
+	}
+}
+
+func drainInTime(t *testing.T, deadline time.Duration) {
+	wait := fmt.Sprint(deadline.Milliseconds())
+	w := openWith(t, (&recorder{}).everywhere(), `"give_up":3000`, `"give_up":`+wait, `"aim":400`, `"aim":100`)
 	var mu sync.Mutex
 	owed := map[string]time.Time{}
 	var busy sync.WaitGroup
@@ -356,13 +366,13 @@
 				case <-over:
 					c.Close()
 					return
-				case <-time.After(time.Duration(15+5*i) * time.Millisecond):
+				case <-time.After(deadline/12 + time.Duration(5*i)*time.Millisecond):
 				}
 				name := fmt.Sprint(i, " ", seq)
 				mu.Lock()
 				owed[name] = time.Now()
 				mu.Unlock()
-				if _, err := c.Ask(clip(key, "wait", "200"), nil); err != nil {
+				if _, err := c.Ask(clip(key, "wait", wait), nil); err != nil {
 					c.Close()
 					return
 				}
@@ -775,3 +785,29 @@
 	}
 	w.until("the last feed is asked", func() bool { return w.asked.Load() >= 2 && w.last.Load() == 1 })
 }
+
+// TestReloadWhileFilesFail: a file that cannot be read for a moment is read a moment later.
+func TestReloadWhileFilesFail(t *testing.T) {
+	for _, errno := range []unix.Errno{unix.ENFILE, unix.EMFILE, unix.EIO, unix.ENOMEM} {
+		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
+			t.Parallel()
+			w := open(t, nil)
+			left := 3
+			w.n.l.Call(soon, func() {
+				w.n.readConfig = func(file string) (*Config, error) {
+					if left--; left >= 0 {
+						return nil, &os.PathError{Op: "open", Path: file, Err: errno}
+					}
+					return ReadConfig(file)
+				}
+			})
+			second := w.newFeed()
+			w.write(second.Addr)
+			w.n.Reload()
+			w.until("the new file holds", func() (yes bool) {
+				w.n.l.Call(soon, func() { yes = w.n.cfg.Feed == second.Addr })
+				return yes
+			})
+		})
+	}
+}
