--- a/internal/edge/clock_test.go
+++ b/internal/edge/clock_test.go
@@ -9,6 +9,9 @@
 	"time"
 
 	"indigospool/internal/http1"
+	"indigospool/internal/loop"
+	"indigospool/internal/standin"
+	"indigospool/internal/wallclock"
 )
 
 // A wall clock that is stepped by an hour changes nothing of how long an answer is fresh whose
@@ -36,10 +39,54 @@
 	}
 }
 
+func TestDatesRunFromStart(t *testing.T) {
+	e := &Edge{started: wallclock.Now(), startedAt: loop.Clock() - 5000}
+	before := wallclock.Now()
+	for _, step := range []time.Duration{time.Hour, -2 * time.Hour} {
+		wallclock.Step(step)
+		if late := e.date().Sub(before).Seconds(); late < 4.9 || late > 6 {
+			t.Errorf("stepped by %v: %v s after a start 5 s ago", step, late)
+		}
+	}
+	wallclock.Step(time.Hour)
+}
+
+// Requests in hand while the wall clock is stepped to and fro are served within their time,
+// also those that wait for a member whose connections hang for a moment.
+func TestClockStepsChangeNoWait(t *testing.T) {
+	r := newRig(t, 2, "(connections-per-address 5000)")
+	for _, box := range r.boxes { // shorter than the module waits before it looks elsewhere
+		box.Fault(standin.Fault{Kind: standin.Hang, For: 100})
+	}
+	stop, stepped := make(chan struct{}), make(chan int)
+	go func() {
+		steps := []time.Duration{time.Hour, -2 * time.Hour, time.Hour, 3 * time.Second, -6 * time.Second, 3 * time.Second}
+		for i := 0; ; i++ {
+			select {
+			case <-stop:
+				for k := i; k%len(steps) != 0; k++ { // as it was
+					wallclock.Step(steps[k%len(steps)])
+				}
+				stepped <- i
+				return
+			case <-time.After(5 * time.Millisecond):
+				wallclock.Step(steps[i%len(steps)])
+			}
+		}
+	}()
+	began := time.Now()
+	r.twoEach()
+	took := time.Since(began)
+	close(stop)
+	if n := <-stepped; n < 10 || took > 3*time.Second {
+		t.Errorf("%d steps, %v for all", n, took)
+	}
+}
+
 // All spans of the router are on the loop's monotonic clock: the wall clock is read for the
 // journal's stamp and, once, for dates.
 func TestWallClockReadings(t *testing.T) {
-	reads := regexp.MustCompile(`time\.(Now|Since|Until)\(`)
+	reads := regexp.MustCompile(`(time|wallclock)\.(Now|At|Since|Until)\(`)
 	files, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
@@ -54,7 +101,7 @@
 			got[file] = n
 		}
 	}
-	if len(got) != 1 || got["edge.go"] != 3 {
-		t.Errorf("%v, want the stamp, the start and the span since then in edge.go", got)
+	if len(got) != 1 || got["edge.go"] != 2 {
+		t.Errorf("%v, want the stamp and the start in edge.go", got)
 	}
 }
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -53,7 +53,8 @@
 	log  *AccessLog
 	name string
 
-	started   time.Time
+	started   time.Time // by the wall clock
+	startedAt loop.Millis
 	lfd       int
 	listener  loop.Listener
 	addr      string
@@ -110,7 +111,7 @@
 		return nil, err
 	}
 	e := &Edge{s: s, core: c, l: l, log: log, name: s.Router.Name, clients: map[*client]struct{}{}, pages: map[*page]struct{}{},
-		reqs: map[string]*request{}, pools: map[string]*pool{}, scratch: make([]byte, 256<<10), started: time.Now()}
+		reqs: map[string]*request{}, pools: map[string]*pool{}, scratch: make([]byte, 256<<10), started: wallclock.Now(), startedAt: loop.Clock()}
 	e.listState.Store("none")
 	e.drainT.F = e.drained
 	e.guard = newGuard(e)
@@ -174,7 +175,9 @@
 }
 
 // date is the time of day as it was when the router began, run on by the monotonic clock.
-func (e *Edge) date() time.Time { return e.started.Add(time.Since(e.started)) }
+func (e *Edge) date() time.Time {
+	return e.started.Add(time.Duration((loop.Clock() - e.startedAt) * float64(time.Millisecond)))
+}
 
 // Addr is where clients reach the router.
 func (e *Edge) Addr() string { return e.addr }
--- a/internal/edge/syscalls_test.go
+++ b/internal/edge/syscalls_test.go
@@ -102,6 +102,25 @@
 	}
 }
 
+// All at once, now and then, with writes among the requests: each is answered.
+func TestCallsFailNowAndThen(t *testing.T) {
+	r := newRig(t, 2, "(connections-per-address 5000)")
+	r.fail(faultinject.Accept, "ECONNABORTED:0.3; accept:ENFILE:0.2; socket:EMFILE:0.2; connect:EADDRNOTAVAIL:0.2;"+
+		"connect:ENETUNREACH:0.2; connect:EINTR:0.3; read:EINTR:0.2; read:ENOBUFS:0.1; read:short:0.3;"+
+		"write:EINTR:0.2; write:ENOMEM:0.1; write:short:0.5; wait:EINTR:0.5")
+	var wg sync.WaitGroup
+	wg.Go(r.twoEach)
+	for i := range inFlight {
+		wg.Go(func() {
+			got := r.talk(fmt.Sprintf("POST /o/%d HTTP/1.1\r\nHost: h\r\nIdempotency-Key: k%d\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello", i, i))
+			if !strings.HasPrefix(got, "HTTP/1.1 200") {
+				t.Errorf("write %d: %.200q", i, got)
+			}
+		})
+	}
+	wg.Wait()
+}
+
 func (r *rig) turns() (turns uint64) {
 	r.e.Query(func(*Stats, *core.Core) { turns = r.e.l.Turns() })
 	return turns
