--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -32,6 +32,7 @@
 	"indigospool/internal/journal"
 	"indigospool/internal/limits"
 	"indigospool/internal/loop"
+	"indigospool/internal/wallclock"
 )
 
 // Stats counts what a router has done. They are read from the loop only.
@@ -141,7 +142,7 @@
 	if err != nil {
 		return err
 	}
-	w.Life(journal.Life{Name: e.name, Program: cli.Version(), Wall: time.Now().UnixMilli(), Seed: uint64(r.Seed), Settings: config.Print(e.s)})
+	w.Life(journal.Life{Name: e.name, Program: cli.Version(), Wall: wallclock.Now().UnixMilli(), Seed: uint64(r.Seed), Settings: config.Print(e.s)})
 	e.journal, e.core.Recorder = w, recorder{e}
 	return nil
 }
