--- a/internal/edge/syscalls_test.go
+++ b/internal/proxy/httpfront/syscalls_test.go
@@ -1,4 +1,4 @@
-package edge
+package httpfront
 
 import (
 	"bufio"
@@ -13,9 +13,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"indigospool/internal/core"
-	"indigospool/internal/faultinject"
-	"indigospool/internal/loop"
+	"indigospool/internal/eventloop"
+	"indigospool/internal/proxy/engine"
+	"indigospool/internal/testbed/faultinject"
 )
 
 // inFlight is how many requests are in hand while calls fail.
@@ -58,7 +58,7 @@
 		}
 		return time.Since(began)
 	})
-	r.e.Query(func(*Stats, *core.Core) { r.e.l.Intercept(calls) })
+	r.e.Query(func(*Stats, *engine.Core) { r.e.l.Intercept(calls) })
 	return calls
 }
 
@@ -122,13 +122,13 @@
 }
 
 func (r *rig) turns() (turns uint64) {
-	r.e.Query(func(*Stats, *core.Core) { turns = r.e.l.Turns() })
+	r.e.Query(func(*Stats, *engine.Core) { turns = r.e.l.Turns() })
 	return turns
 }
 
 // brokenUpstream has every third call on a connection to a member fail with errno, at most ten in all.
 type brokenUpstream struct {
-	loop.KernelCalls
+	eventloop.KernelCalls
 	errno   unix.Errno
 	members map[int]bool // their ports
 	calls   int
@@ -182,7 +182,7 @@
 					fmt.Sscanf(box.Addr(), "127.0.0.1:%d", &port)
 					calls.members[port] = true
 				}
-				r.e.Query(func(*Stats, *core.Core) { r.e.l.Intercept(calls) })
+				r.e.Query(func(*Stats, *engine.Core) { r.e.l.Intercept(calls) })
 				r.twoEach()
 				if failed := calls.failed.Load(); failed < 5 {
 					t.Errorf("%d calls failed", failed)
--- a/internal/edge/system.go
+++ b/internal/proxy/httpfront/system.go
@@ -1,17 +1,17 @@
-package edge
+package httpfront
 
 import (
 	"context"
 
 	"indigospool/internal/config"
-	"indigospool/internal/lastgood"
-	"indigospool/internal/loop"
+	"indigospool/internal/controlplane/configstore"
+	"indigospool/internal/eventloop"
 )
 
 // System is what a router has of the operating system; fault injection replaces it.
 type System struct {
-	Files    lastgood.FileSystem // of the store of versions
-	Syscalls loop.Syscalls       // on clients' and members' sockets; nil: the kernel's
+	Files    configstore.FileSystem // of the store of versions
+	Syscalls eventloop.Syscalls     // on clients' and members' sockets; nil: the kernel's
 }
 
 // OpenOn is Open on another system.
--- a/internal/edge/upstream.go
+++ b/internal/proxy/httpfront/upstream.go
@@ -1,4 +1,4 @@
-package edge
+package httpfront
 
 import (
 	"errors"
@@ -6,10 +6,10 @@
 	"golang.org/x/sys/unix"
 
 	spool "indigospool"
-	"indigospool/internal/fillwire"
-	"indigospool/internal/http1"
-	"indigospool/internal/limits"
-	"indigospool/internal/loop"
+	"indigospool/internal/eventloop"
+	"indigospool/internal/protocol/fetchheader"
+	"indigospool/internal/protocol/http1"
+	"indigospool/internal/proxy/limits"
 )
 
 // try is one attempt of a request.
@@ -19,8 +19,8 @@
 	cache, source string
 	send          spool.Send
 	sentAt        float64
-	timer         loop.Timer // the attempt's time-out, until its answer has begun
-	u             *upstream  // nil while it waits for a connection, and once it is over
+	timer         eventloop.Timer // the attempt's time-out, until its answer has begun
+	u             *upstream       // nil while it waits for a connection, and once it is over
 	p             *pool
 	written       bool // something of it may have reached the member
 	done          bool // its outcome was told
@@ -159,7 +159,7 @@
 		p.idle = p.idle[:n-1]
 		// what has come to it unasked would pass for the answer, and a request on one
 		// that its member has closed would be lost; both may be known to the kernel only
-		if !loop.Quiet(u.fd) {
+		if !eventloop.Quiet(u.fd) {
 			u.close()
 			continue
 		}
@@ -184,7 +184,7 @@
 	switch {
 	case err == nil:
 		u.begin(t)
-	case loop.Lacking(err): // no word about the member
+	case eventloop.Lacking(err): // no word about the member
 		p.e.stats.ConnectWaits++
 		t.end(spool.LocalFailure, spool.NoteNone, false)
 	default:
@@ -269,7 +269,7 @@
 	chunk   bool // the client gets chunks
 	excess  bool // bytes came with the head, behind it
 	held    bool // not read, since the client is slow
-	timer   loop.Timer
+	timer   eventloop.Timer
 	drain   int
 	note    spool.Note
 	flow    limits.Flow // of an answer's body
@@ -289,9 +289,9 @@
 	}
 	u := &upstream{e: p.e, p: p, fd: fd, state: upConnecting}
 	u.timer.F = u.onTimer
-	want := loop.Write
+	want := eventloop.Write
 	if !inProgress {
-		u.state, want = upIdle, loop.Read
+		u.state, want = upIdle, eventloop.Read
 	}
 	if err := p.e.l.Add(fd, want, u); err != nil {
 		unix.Close(fd)
@@ -341,8 +341,8 @@
 func (u *upstream) put(t *try) {
 	r := t.r
 	b := append(u.e.hbuf[:0], r.fwd...)
-	a := fillwire.FromSend(&t.send, &r.q, t.n, u.e.name, u.e.core.Address(t.source), max(r.q.Deadline-u.e.l.Now(), 1))
-	b = append(b, fillwire.FillField+": "...)
+	a := fetchheader.FromSend(&t.send, &r.q, t.n, u.e.name, u.e.core.Address(t.source), max(r.q.Deadline-u.e.l.Now(), 1))
+	b = append(b, fetchheader.FillField+": "...)
 	b = a.Append(b)
 	b = append(b, "\r\n"...)
 	if a.Source == "" && !r.q.Write {
@@ -355,9 +355,9 @@
 	u.e.hbuf = b
 	n, err := u.e.l.WriteTwo(u.fd, b, r.content)
 	switch {
-	case loop.NotReady(err):
+	case eventloop.NotReady(err):
 		n = 0
-	case loop.Later(err):
+	case eventloop.Later(err):
 		u.takeBack(t)
 		return
 	case err != nil:
@@ -368,7 +368,7 @@
 	t.written = n > 0
 	if n == len(b)+len(r.content) {
 		if !u.held {
-			u.e.l.Want(u.fd, loop.Read)
+			u.e.l.Want(u.fd, eventloop.Read)
 		}
 		return
 	}
@@ -394,8 +394,8 @@
 func (u *upstream) flush() {
 	for u.out.len() > 0 {
 		n, err := u.e.l.Write(u.fd, u.out.bytes())
-		if loop.Later(err) {
-			u.e.l.Want(u.fd, loop.Read|loop.Write)
+		if eventloop.Later(err) {
+			u.e.l.Want(u.fd, eventloop.Read|eventloop.Write)
 			return
 		}
 		if err != nil {
@@ -407,7 +407,7 @@
 		u.pending.written = true
 	}
 	u.pending = nil
-	u.e.l.Want(u.fd, loop.Read)
+	u.e.l.Want(u.fd, eventloop.Read)
 }
 
 func (u *upstream) onTimer() {
@@ -425,7 +425,7 @@
 	}
 }
 
-func (u *upstream) OnReady(r loop.Ready) {
+func (u *upstream) OnReady(r eventloop.Ready) {
 	if u.state == upConnecting {
 		if !r.Writable() {
 			return
@@ -583,7 +583,7 @@
 		return
 	}
 	u.left = nil
-	u.e.l.Want(u.fd, loop.Read)
+	u.e.l.Want(u.fd, eventloop.Read)
 	u.p.idle = append(u.p.idle, u)
 	u.e.l.Arm(&u.timer, u.e.s.Limits.UpstreamIdle)
 	if len(u.p.wait) > 0 {
@@ -596,8 +596,8 @@
 	buf := u.e.scratch
 	k := copy(buf, u.left)
 	n, err := u.e.l.Read(u.fd, buf[k:min(k+most, len(buf))])
-	if loop.Later(err) {
-		if hangup && loop.NotReady(err) {
+	if eventloop.Later(err) {
+		if hangup && eventloop.NotReady(err) {
 			u.broke(spool.Reset)
 		}
 		return 0
@@ -704,9 +704,9 @@
 	t := u.t
 	r := t.r
 	if v := u.head.Get("spool-load"); v != nil {
-		t.load = fillwire.ParseLoad(t.load, v)
+		t.load = fetchheader.ParseLoad(t.load, v)
 	}
-	result, note := fillwire.Judge(&u.head, t.send.Source == t.cache && !r.q.Write, r.q.Write)
+	result, note := fetchheader.Judge(&u.head, t.send.Source == t.cache && !r.q.Write, r.q.Write)
 	u.body.Start(&u.head, 0)
 	if result == spool.OK && r.phase == asked {
 		u.relayHead(note)
@@ -865,7 +865,7 @@
 	u.stalled(false)
 	u.flow.Wait(u.e.guard.now())
 	u.e.l.Arm(&u.timer, u.e.s.Limits.BodyIdle)
-	u.e.l.Want(u.fd, loop.Read)
+	u.e.l.Want(u.fd, eventloop.Read)
 }
 
 // stalled tells the module whether the answer waits for its client.
--- a/internal/edge/versions.go
+++ b/internal/proxy/httpfront/versions.go
@@ -1,4 +1,4 @@
-package edge
+package httpfront
 
 import (
 	"context"
@@ -11,23 +11,23 @@
 	"google.golang.org/grpc/credentials/insecure"
 
 	"indigospool/internal/config"
-	"indigospool/internal/control"
-	"indigospool/internal/core"
-	"indigospool/internal/fleet"
-	"indigospool/internal/handover"
-	"indigospool/internal/lastgood"
-	"indigospool/internal/loop"
+	"indigospool/internal/controlplane/configstore"
+	"indigospool/internal/controlplane/rollout"
+	"indigospool/internal/controlplane/service"
+	"indigospool/internal/eventloop"
+	"indigospool/internal/proxy/engine"
+	"indigospool/internal/proxy/hotrestart"
 )
 
 // Versions follows control services for a router, on goroutines of its own, and
 // posts each version that is to be run to the router's loop. Which one that is,
-// internal/fleet decides.
+// internal/controlplane/rollout decides.
 type Versions struct {
 	own   *config.Settings
 	log   *AccessLog
-	store *lastgood.Store
-	agent *control.Agent
-	uses  chan fleet.Use // in order; the newest is never dropped
+	store *configstore.Store
+	agent *service.Agent
+	uses  chan rollout.Use // in order; the newest is never dropped
 	done  chan struct{}
 	edge  chan *Edge
 }
@@ -37,18 +37,18 @@
 // Follow begins: with the stored version where there is one, then with the
 // services that the router's own settings name.
 func Follow(own *config.Settings, log *AccessLog) (*Versions, error) {
-	return follow(own, log, nil, lastgood.Disk{})
+	return follow(own, log, nil, configstore.Disk{})
 }
 
 // follow is Follow for a router that takes over: it begins with the version that its
 // predecessor goes by where none is stored, and calls no service until it serves, since
 // a service knows one stream of a router.
-func follow(own *config.Settings, log *AccessLog, in *handover.Inherited, files lastgood.FileSystem) (*Versions, error) {
+func follow(own *config.Settings, log *AccessLog, in *hotrestart.Inherited, files configstore.FileSystem) (*Versions, error) {
 	c := &own.Control
-	v := &Versions{own: own, log: log, uses: make(chan fleet.Use, 64), done: make(chan struct{}), edge: make(chan *Edge, 1)}
+	v := &Versions{own: own, log: log, uses: make(chan rollout.Use, 64), done: make(chan struct{}), edge: make(chan *Edge, 1)}
 	dial := grpc.WithTransportCredentials(insecure.NewCredentials())
 	if c.Cert != "" {
-		keys := &control.Keys{Cert: c.Cert, Key: c.Key, Authorities: c.Roots, Warn: func(text string) { log.Log.Warn(text) }}
+		keys := &service.Keys{Cert: c.Cert, Key: c.Key, Authorities: c.Roots, Warn: func(text string) { log.Log.Warn(text) }}
 		if err := keys.Load(); err != nil {
 			return nil, err
 		}
@@ -56,16 +56,16 @@
 	}
 	if c.Store != "" {
 		var err error
-		if v.store, err = lastgood.OpenOn(files, c.Store, versionsKept); v.store == nil {
+		if v.store, err = configstore.OpenOn(files, c.Store, versionsKept); v.store == nil {
 			return nil, err
 		} else if err != nil {
 			log.Log.Error("the store of versions was damaged, or can't be read or written for now", zap.Error(err))
 		}
 	}
-	cfg := control.AgentConfig{Router: own.Router.Name, Services: c.Services, Seed: uint64(own.Router.Seed), Store: v.store,
+	cfg := service.AgentConfig{Router: own.Router.Name, Services: c.Services, Seed: uint64(own.Router.Seed), Store: v.store,
 		Backoff: span(c.Backoff), Full: c.Protocol == "full", MaxBytes: 2 * c.MaxBytes, Report: span(c.Report),
 		Dial:  []grpc.DialOption{dial},
-		Fleet: fleet.Settings{Own: own, MaxBytes: c.MaxBytes, Spread: c.Spread, Lease: c.Lease, Old: c.Old, Stale: c.Stale},
+		Fleet: rollout.Settings{Own: own, MaxBytes: c.MaxBytes, Spread: c.Spread, Lease: c.Lease, Old: c.Old, Stale: c.Stale},
 		Use:   v.use, Warn: func(text string) { log.Log.Warn(text) }}
 	if c.Report > 0 {
 		cfg.Tally = v.tally
@@ -75,17 +75,17 @@
 			log.Log.Warn("the predecessor's version can't be read", zap.Error(err))
 		}
 	}
-	v.agent = control.StartAgent(cfg)
+	v.agent = service.StartAgent(cfg)
 	return v, nil
 }
 
 // Open makes a router as its settings say: by the file alone, or by versions from
 // control services. end is called when the router has ended.
 func Open(ctx context.Context, s *config.Settings, log *AccessLog) (e *Edge, end func(), err error) {
-	return open(ctx, s, log, lastgood.Disk{})
+	return open(ctx, s, log, configstore.Disk{})
 }
 
-func open(ctx context.Context, s *config.Settings, log *AccessLog, files lastgood.FileSystem) (e *Edge, end func(), err error) {
+func open(ctx context.Context, s *config.Settings, log *AccessLog, files configstore.FileSystem) (e *Edge, end func(), err error) {
 	if !s.Follows() {
 		e, err = TakeOver(s, log)
 		return e, func() {}, err
@@ -119,7 +119,7 @@
 
 // use queues a version that is to be run. It never waits: of versions that the
 // loop has not come to yet, the oldest gives way.
-func (v *Versions) use(u fleet.Use) {
+func (v *Versions) use(u rollout.Use) {
 	for {
 		select {
 		case v.uses <- u:
@@ -135,7 +135,7 @@
 
 // First is the version to begin with: the stored one or, where the settings say
 // wait, the first that a service sends. nil: begin by the file.
-func (v *Versions) First(ctx context.Context) (*fleet.Use, error) {
+func (v *Versions) First(ctx context.Context) (*rollout.Use, error) {
 	select {
 	case u := <-v.uses:
 		return &u, nil
@@ -162,7 +162,7 @@
 		for {
 			select {
 			case u := <-v.uses:
-				for e.l.Post(func() { e.use(u) }) == loop.ErrFull {
+				for e.l.Post(func() { e.use(u) }) == eventloop.ErrFull {
 					time.Sleep(time.Millisecond)
 				}
 				e.tellVersion(u.Version)
@@ -212,10 +212,10 @@
 }
 
 // tally counts requests that have ended, for reports.
-func (v *Versions) tally() (t control.Tally, err error) {
+func (v *Versions) tally() (t service.Tally, err error) {
 	e := <-v.edge // once a router is attached, it is there for all
 	v.edge <- e
-	err = e.Query(func(s *Stats, _ *core.Core) {
+	err = e.Query(func(s *Stats, _ *engine.Core) {
 		t.Served, t.Asked = s.Served, s.Served+s.Refused+s.Failed+s.Broken
 	})
 	return t, err
@@ -223,12 +223,12 @@
 
 // use goes by a version from now on, on the loop: drains first, so that nothing
 // new goes to who leaves; then the settings; then the members that come.
-func (e *Edge) use(u fleet.Use) {
-	var steps []fleet.Step
+func (e *Edge) use(u rollout.Use) {
+	var steps []rollout.Step
 	if e.s.Router.List == "" { // else the list service's word counts
-		steps = fleet.Diff(e.s.Members, u.Settings.Members)
+		steps = rollout.Diff(e.s.Members, u.Settings.Members)
 	}
-	tell := func(s fleet.Step) { e.news(core.FromStep(u.Version.Number, s.Members, s.What == "starts")) }
+	tell := func(s rollout.Step) { e.news(engine.FromStep(u.Version.Number, s.Members, s.What == "starts")) }
 	if len(steps) > 0 && steps[0].What == "drains" {
 		tell(steps[0])
 		steps = steps[1:]
@@ -258,7 +258,7 @@
 	if len(e.s.Members) == 0 || e.s.Router.List != "" {
 		return
 	}
-	n := core.FromSettings(e.s)
+	n := engine.FromSettings(e.s)
 	n.Rev = e.version
 	for i := range n.Members {
 		if up, young := e.young[n.Members[i].ID]; young {
--- a/internal/edge/versions_test.go
+++ b/internal/proxy/httpfront/versions_test.go
@@ -1,4 +1,4 @@
-package edge
+package httpfront
 
 import (
 	"bytes"
@@ -15,11 +15,11 @@
 	"go.uber.org/zap"
 
 	"indigospool/internal/config"
-	"indigospool/internal/control"
-	"indigospool/internal/core"
-	"indigospool/internal/handover"
-	"indigospool/internal/standin"
-	"indigospool/internal/tap"
+	"indigospool/internal/controlplane/service"
+	"indigospool/internal/proxy/engine"
+	"indigospool/internal/proxy/hotrestart"
+	"indigospool/internal/testbed/testserver"
+	"indigospool/internal/testbed/trafficlog"
 )
 
 // versioned is a router that follows a control service of its own, with boxes,
@@ -27,7 +27,7 @@
 type versioned struct {
 	*rig
 	dir, protocol string
-	svc           *control.Service
+	svc           *service.Service
 	members       map[string]string // forms, by id
 	end           func()
 }
@@ -40,12 +40,12 @@
 
 func newVersioned(t testing.TB, protocol string) *versioned {
 	v := &versioned{dir: t.TempDir(), protocol: protocol, members: map[string]string{}}
-	v.rig = &rig{t: t, tap: tap.NewWriter(nil), boxes: map[string]*standin.Server{}, log: &bytes.Buffer{}}
-	v.origin = v.start(standin.Config{ID: "o", Role: "origin"})
-	p := v.start(standin.Config{ID: "p", Role: "parent", Upstream: v.origin.Addr()})
+	v.rig = &rig{t: t, tap: trafficlog.NewWriter(nil), boxes: map[string]*testserver.Server{}, log: &bytes.Buffer{}}
+	v.origin = v.start(testserver.Config{ID: "o", Role: "origin"})
+	p := v.start(testserver.Config{ID: "p", Role: "parent", Upstream: v.origin.Addr()})
 	for i := range 3 {
 		id := fmt.Sprintf("b%d", i)
-		v.boxes[id] = v.start(standin.Config{ID: id, Role: "box"})
+		v.boxes[id] = v.start(testserver.Config{ID: id, Role: "box"})
 		v.list3(id, "box", "z", "serving", v.boxes[id].Addr(), 0)
 	}
 	v.list3("p", "parent", "h", "serving", p.Addr(), 0)
@@ -77,14 +77,14 @@
 }
 
 func (v *versioned) serve(listen string) {
-	var s control.ServiceSettings
+	var s service.ServiceSettings
 	if err := config.Read("svc", fmt.Sprintf(`(service (listen %q) (admin "127.0.0.1:0") (store %q) (reports 100))
 		(rollout (hold 50))`, listen, filepath.Join(v.dir, "svc.db")), &s); err != nil {
 		v.t.Fatal(err)
 	}
 	var err error
 	for range 200 { // the address may take a moment to be free
-		if v.svc, err = control.StartService(&s, zap.NewNop(), nil); err == nil {
+		if v.svc, err = service.StartService(&s, zap.NewNop(), nil); err == nil {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -139,7 +139,7 @@
 
 func (v *versioned) runs(number int64) {
 	v.t.Helper()
-	v.waitFor(fmt.Sprintf("version %d", number), func(*Stats, *core.Core) bool { return v.e.version == number })
+	v.waitFor(fmt.Sprintf("version %d", number), func(*Stats, *engine.Core) bool { return v.e.version == number })
 }
 
 func (v *versioned) mustGet(path string) {
@@ -196,11 +196,13 @@
 			v.list3("b0", "box", "z", "draining", v.boxes["b0"].Addr(), 0)
 			v.push(more, true)
 			v.runs(3)
-			told := tap.Now()
+			told := trafficlog.Now()
 			for i := range 30 {
 				v.mustGet(fmt.Sprintf("/s/1/d%d", i))
 			}
-			if n := v.count(func(x tap.Record) bool { return x.Ev == tap.Recv && (x.Who == "b0" || x.Src == "b0") && x.T > told }); n > 0 {
+			if n := v.count(func(x trafficlog.Record) bool {
+				return x.Ev == trafficlog.Recv && (x.Who == "b0" || x.Src == "b0") && x.T > told
+			}); n > 0 {
 				t.Errorf("%d attempts to a box that drains", n)
 			}
 
@@ -232,7 +234,7 @@
 			v.list3("b0", "box", "z", "serving", v.boxes["b0"].Addr(), 2)
 			v.push(more, true)
 			v.runs(5)
-			v.e.Query(func(_ *Stats, c *core.Core) {
+			v.e.Query(func(_ *Stats, c *engine.Core) {
 				if m, _ := c.Member("b0"); m.ReadyAt <= 0 {
 					t.Error("a box that came back empty counts as warm")
 				}
@@ -260,7 +262,7 @@
 			v.run("wait", "")
 			v.runs(5)
 			v.mustGet("/t/1/h")
-			v.e.Query(func(_ *Stats, c *core.Core) {
+			v.e.Query(func(_ *Stats, c *engine.Core) {
 				if m, _ := c.Member("b0"); m.ReadyAt <= 0 {
 					t.Error("after a restart, a box that came back lately counts as warm")
 				}
@@ -300,11 +302,11 @@
 	delete(v.members, "b2")
 	v.push(versionText, false)
 	v.runs(1)
-	told := tap.Now()
+	told := trafficlog.Now()
 	for i := range 20 {
 		v.mustGet(fmt.Sprintf("/s/1/x%d", i))
 	}
-	if n := v.count(func(x tap.Record) bool { return x.Ev == tap.Recv && x.Who == "b2" && x.T > told }); n > 0 {
+	if n := v.count(func(x trafficlog.Record) bool { return x.Ev == trafficlog.Recv && x.Who == "b2" && x.T > told }); n > 0 {
 		t.Errorf("%d attempts to a box that the version does not list", n)
 	}
 }
@@ -366,7 +368,7 @@
 			wait := users.users(8, &stop)
 			number := int64(1)
 			for i := range 5 {
-				v.boxes["b1"].Fault(standin.Fault{Kind: standin.Hang, For: 700}) // something is in hand for long
+				v.boxes["b1"].Fault(testserver.Fault{Kind: testserver.Hang, For: 700}) // something is in hand for long
 				time.Sleep(50 * time.Millisecond)
 				old, oldDone := e, done
 				e, done = start()
@@ -377,7 +379,7 @@
 				v.runs(number)
 				heard := false
 				for range 50 {
-					err := old.Query(func(*Stats, *core.Core) { heard = old.version == number })
+					err := old.Query(func(*Stats, *engine.Core) { heard = old.version == number })
 					if heard || err != nil {
 						break
 					}
@@ -397,7 +399,7 @@
 			}
 
 			// one that asks and fails: all goes on, and versions are kept again
-			in, err := handover.Ask(path)
+			in, err := hotrestart.Ask(path)
 			if err != nil || len(in.Version) == 0 {
 				t.Fatal(err)
 			}
--- a/internal/edge/watch.go
+++ b/internal/proxy/httpfront/watch.go
@@ -1,4 +1,4 @@
-package edge
+package httpfront
 
 import (
 	"bufio"
@@ -14,8 +14,8 @@
 	"go.uber.org/zap"
 
 	"indigospool/internal/config"
-	"indigospool/internal/core"
-	"indigospool/internal/loop"
+	"indigospool/internal/eventloop"
+	"indigospool/internal/proxy/engine"
 )
 
 // watch follows the list service on a goroutine of its own and posts each line
@@ -84,7 +84,7 @@
 		if len(line) == 0 {
 			continue // sent to keep the stream alive
 		}
-		n, err := core.ParseNews(line)
+		n, err := engine.ParseNews(line)
 		if err != nil {
 			return lines, err
 		}
@@ -121,14 +121,14 @@
 }
 
 // postNews hands news to the loop and hears what became of it.
-func (e *Edge) postNews(ctx context.Context, n *core.News) error {
-	got := make(chan core.Applied, 1)
+func (e *Edge) postNews(ctx context.Context, n *engine.News) error {
+	got := make(chan engine.Applied, 1)
 	for {
 		err := e.l.Post(func() { got <- e.news(n) })
 		if err == nil {
 			break
 		}
-		if err != loop.ErrFull {
+		if err != eventloop.ErrFull {
 			return err
 		}
 		select { // news is never dropped: the stream waits
--- a/internal/memory/memory.go
+++ b/internal/proxy/learnedstate/memory.go
@@ -1,7 +1,7 @@
 // Package memory writes what a router's decision module has learned as bytes, and
 // reads it again: with a version, and sealed by a checksum, so that what is damaged
 // or of another program is refused whole. It holds no state and decides nothing.
-package memory
+package learnedstate
 
 import (
 	"encoding/binary"
@@ -12,7 +12,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	spool "indigospool"
-	"indigospool/internal/core"
+	"indigospool/internal/proxy/engine"
 )
 
 // Version is that of the form. Another one is refused: a successor that can't read
@@ -33,11 +33,11 @@
 var ErrVersion = errors.New("memory: it is of another version")
 
 // Encode writes a core's memory.
-func Encode(m *core.Memory) ([]byte, error) { return encode(m) }
+func Encode(m *engine.Memory) ([]byte, error) { return encode(m) }
 
 // Decode reads a core's memory. Nothing of one that is refused is used.
-func Decode(b []byte) (*core.Memory, error) {
-	m := &core.Memory{}
+func Decode(b []byte) (*engine.Memory, error) {
+	m := &engine.Memory{}
 	return m, decode(b, m)
 }
 
--- a/internal/memory/memory_test.go
+++ b/internal/proxy/learnedstate/memory_test.go
@@ -1,4 +1,4 @@
-package memory
+package learnedstate
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 
 	spool "indigospool"
-	"indigospool/internal/core"
+	"indigospool/internal/proxy/engine"
 )
 
 func gates(t *rapid.T) spool.GateMemory {
@@ -17,15 +17,15 @@
 	return spool.GateMemory{Room: f.Draw(t, "room"), Tardy: f.Draw(t, "tardy"), Cut: f.Draw(t, "cut"), Next: f.Draw(t, "next")}
 }
 
-var memories = rapid.Custom(func(t *rapid.T) *core.Memory {
+var memories = rapid.Custom(func(t *rapid.T) *engine.Memory {
 	f := rapid.OneOf(rapid.Float64Range(-1e12, 1e12), rapid.Just(math.Pi), rapid.Just(0.1))
 	name := rapid.StringN(1, 9, 40)
-	m := &core.Memory{Rev: rapid.Int64Min(0).Draw(t, "rev"), Module: &spool.Memory{At: f.Draw(t, "at"), Link: gates(t), Mean: f.Draw(t, "mean")}}
+	m := &engine.Memory{Rev: rapid.Int64Min(0).Draw(t, "rev"), Module: &spool.Memory{At: f.Draw(t, "at"), Link: gates(t), Mean: f.Draw(t, "mean")}}
 	o := m.Module
 	for range rapid.IntRange(1, 4).Draw(t, "members") {
 		id := name.Draw(t, "id")
 		row := spool.Member{ID: id, Zone: name.Draw(t, "zone"), Kind: "box", State: spool.Draining, Size: f.Draw(t, "size"), ReadyAt: f.Draw(t, "ready")}
-		m.Members = append(m.Members, core.Known{Member: row, Address: name.Draw(t, "address"), Start: rapid.Int64().Draw(t, "start")})
+		m.Members = append(m.Members, engine.Known{Member: row, Address: name.Draw(t, "address"), Start: rapid.Int64().Draw(t, "start")})
 		o.Members = append(o.Members, spool.MemberMemory{Member: row, Gate: gates(t), Gone: rapid.Bool().Draw(t, "gone"), Faults: f.Draw(t, "faults"), Tokens: f.Draw(t, "tokens")})
 		o.Objects[0] = append(o.Objects[0], spool.ObjectMemory{Name: id, First: f.Draw(t, "first")})
 		o.Typical = append(o.Typical, f.Draw(t, "typical"))
--- a/internal/limits/limits.go
+++ b/internal/proxy/limits/limits.go
@@ -7,7 +7,7 @@
 //
 // It does no I/O and has no clock: times come from the caller, in milliseconds, and
 // chance from a seed. It never chooses a cache, a source or a retry of an attempt:
-// those are the module's. internal/edge carries out what it decides;
+// those are the module's. internal/proxy/httpfront carries out what it decides;
 // docs/limits.md weighs the options.
 package limits
 
--- a/internal/node/client.go
+++ b/internal/proxy/platform/client.go
@@ -1,4 +1,4 @@
-package node
+package platform
 
 import (
 	"slices"
@@ -8,9 +8,9 @@
 	"go.uber.org/zap"
 
 	spool "indigospool"
-	"indigospool/internal/front"
-	"indigospool/internal/limits"
-	"indigospool/internal/loop"
+	"indigospool/internal/eventloop"
+	"indigospool/internal/protocol/thriftrpc"
+	"indigospool/internal/proxy/limits"
 )
 
 func closeFD(fd int) { unix.Close(fd) }
@@ -19,19 +19,19 @@
 
 // listener takes clients' connections.
 type listener struct {
-	loop.Listener
+	eventloop.Listener
 	n       *Node
 	fd      int
 	address string
 }
 
 func listen(n *Node, address string) (*listener, error) {
-	fd, bound, err := loop.Listen(address)
+	fd, bound, err := eventloop.Listen(address)
 	if err != nil {
 		return nil, err
 	}
 	ln := &listener{n: n, fd: fd, address: bound}
-	ln.Listener = loop.Listener{PerTurn: acceptTurn, Take: ln.take, MakeRoom: n.yield}
+	ln.Listener = eventloop.Listener{PerTurn: acceptTurn, Take: ln.take, MakeRoom: n.yield}
 	return ln, ln.Start(n.l, fd)
 }
 
@@ -57,10 +57,10 @@
 	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	c := &client{n: n, fd: fd, open: map[int32]*request{}, v: limits.Visitor{Since: n.l.Now()}}
 	c.settle.F = c.begin
-	if c.emptied = loop.Clock(); !loop.Quiet(fd) { // it may have waited in the queue
+	if c.emptied = eventloop.Clock(); !eventloop.Quiet(fd) { // it may have waited in the queue
 		c.behind = ln.Since()
 	}
-	if err := n.l.Add(fd, loop.Read, c); err != nil {
+	if err := n.l.Add(fd, eventloop.Read, c); err != nil {
 		closeFD(fd)
 		return
 	}
@@ -80,7 +80,7 @@
 		if first != nil {
 			best = &first.v
 		}
-		if c.v.Yields(best) && loop.Quiet(c.fd) { // what it has sent meanwhile was taken, and is owed an answer
+		if c.v.Yields(best) && eventloop.Quiet(c.fd) { // what it has sent meanwhile was taken, and is owed an answer
 			first = c
 		}
 	}
@@ -94,8 +94,8 @@
 type client struct {
 	n      *Node
 	fd     int
-	in     loop.Queue
-	out    loop.Queue
+	in     eventloop.Queue
+	out    eventloop.Queue
 	open   map[int32]*request
 	unsent []unsent // calls that were read whole, and of which nothing has begun
 	last   int32    // number of the last call of serve
@@ -106,14 +106,14 @@
 	emptied float64 // when a read last found nothing more
 	behind  float64 // 0, or when bytes may have come that no read has reached yet
 
-	large   bool       // so much came at once that the kernel may have held back more
-	settled float64    // when that has come, if nothing comes before
-	settle  loop.Timer // has what waited for that begin
+	large   bool            // so much came at once that the kernel may have held back more
+	settled float64         // when that has come, if nothing comes before
+	settle  eventloop.Timer // has what waited for that begin
 }
 
 // unsent is a call of serve that waits until all that came behind it has been read.
 type unsent struct {
-	front.Call
+	thriftrpc.Call
 	came float64 // the earliest moment at which its last byte may have come
 	read float64 // when it was read
 }
@@ -166,7 +166,7 @@
 }
 
 // OnReady is the loop's.
-func (c *client) OnReady(r loop.Ready) {
+func (c *client) OnReady(r eventloop.Ready) {
 	switch {
 	case r.Ended(): // whatever it has sent before: nobody waits for an answer to it
 		c.close()
@@ -185,7 +185,7 @@
 
 // drop reads what comes after the connection was shut.
 func (c *client) drop() {
-	if size, err := c.n.l.Read(c.fd, c.n.scratch); !loop.Later(err) && (err != nil || size == 0) {
+	if size, err := c.n.l.Read(c.fd, c.n.scratch); !eventloop.Later(err) && (err != nil || size == 0) {
 		c.close()
 	}
 }
@@ -199,7 +199,7 @@
 )
 
 // late reports that the present turn began so long ago that clients may have left since.
-func (n *Node) late() bool { return loop.Clock()-n.l.Now() > lateTurn }
+func (n *Node) late() bool { return eventloop.Clock()-n.l.Now() > lateTurn }
 
 // receive reads what has come. What gives up a request, or ends the connection, takes
 // effect at once; calls are kept until begin, so that one that is given up behind others,
@@ -212,13 +212,13 @@
 		came = max(n.l.Since(), c.emptied)
 	}
 	for left := readMost; left > 0; {
-		asked := loop.Clock()
+		asked := eventloop.Clock()
 		size, err := n.l.Read(c.fd, n.scratch)
 		switch {
 		case err == unix.EAGAIN:
 			c.empty(asked, readMost-left)
 			return
-		case loop.Later(err):
+		case eventloop.Later(err):
 			c.behind = came
 			return
 		case err != nil || size == 0:
@@ -250,7 +250,7 @@
 func (c *client) begin() {
 	for !c.closed && len(c.unsent) > 0 {
 		call := c.unsent[0]
-		if now := loop.Clock(); c.expects(now) && now-call.read < unsentMost {
+		if now := eventloop.Clock(); c.expects(now) && now-call.read < unsentMost {
 			c.n.l.Arm(&c.settle, settleTime)
 			break
 		}
@@ -274,7 +274,7 @@
 
 // heed hears what the client has sent since the turn began, where that is long ago.
 func (c *client) heed() {
-	if c.closed || c.v.Shut > 0 || !c.n.late() || loop.Clock()-c.emptied < lateTurn {
+	if c.closed || c.v.Shut > 0 || !c.n.late() || eventloop.Clock()-c.emptied < lateTurn {
 		return
 	}
 	c.receive()
@@ -332,7 +332,7 @@
 // messages hears all whole frames, and tells how many bytes they take.
 func (c *client) messages(data []byte, came float64) (used int, err error) {
 	for !c.closed {
-		payload, size, err := front.Split(data[used:])
+		payload, size, err := thriftrpc.Split(data[used:])
 		if err != nil || size == 0 {
 			return used, err
 		}
@@ -351,20 +351,20 @@
 
 // hear takes one message, and holds it to what a connection may do: numbers rise, and so
 // many requests are open at once.
-func (c *client) hear(call *front.Call, came float64) error {
+func (c *client) hear(call *thriftrpc.Call, came float64) error {
 	n := c.n
 	switch call.Verb {
-	case front.Serve:
+	case thriftrpc.Serve:
 		if call.Seq <= c.last {
-			return front.ErrNumber
+			return thriftrpc.ErrNumber
 		}
-		if c.last = call.Seq; len(c.open)+len(c.unsent) >= front.MaxOpen {
-			return front.ErrOpen
+		if c.last = call.Seq; len(c.open)+len(c.unsent) >= thriftrpc.MaxOpen {
+			return thriftrpc.ErrOpen
 		}
-		c.unsent = append(c.unsent, unsent{*call, came, loop.Clock()})
-	case front.Forget:
+		c.unsent = append(c.unsent, unsent{*call, came, eventloop.Clock()})
+	case thriftrpc.Forget:
 		c.forget(call.Of)
-	case front.IsWell:
+	case thriftrpc.IsWell:
 		c.queue(n.codec.Well(call.Seq, n.drained == 0))
 	default:
 		n.stats.Bad++
@@ -389,9 +389,9 @@
 // serve begins a request, or turns it down.
 func (c *client) serve(call *unsent) {
 	n := c.n
-	q, err := front.Check(&call.Call, n.class)
+	q, err := thriftrpc.Check(&call.Call, n.class)
 	if err == nil && n.reqs[q.ID] != nil {
-		err = front.ErrTwice
+		err = thriftrpc.ErrTwice
 	}
 	if err != nil {
 		n.stats.Bad++
@@ -447,7 +447,7 @@
 	n := c.n
 	for !c.closed && c.out.Len() > 0 {
 		k, err := n.l.Write(c.fd, c.out.Bytes())
-		if loop.Later(err) {
+		if eventloop.Later(err) {
 			break
 		}
 		if err != nil {
@@ -461,9 +461,9 @@
 	if c.closed {
 		return
 	}
-	want := loop.Read
+	want := eventloop.Read
 	if c.out.Len() > 0 {
-		want |= loop.Write
+		want |= eventloop.Write
 		if n.waiting > n.waitingBytes() {
 			n.relieve()
 		}
--- a/internal/node/clock_test.go
+++ b/internal/proxy/platform/clock_test.go
@@ -1,4 +1,4 @@
-package node
+package platform
 
 import (
 	"bytes"
@@ -13,8 +13,8 @@
 
 	"go.uber.org/zap"
 
-	"indigospool/internal/feed"
-	"indigospool/internal/standin"
+	"indigospool/internal/protocol/discovery"
+	"indigospool/internal/testbed/testserver"
 )
 
 // platformClock is the time that the platform stamps its events with. It runs evenly; the
@@ -33,7 +33,7 @@
 // groupPurge is the frame of a purge of a group, made at a Unix time.
 func groupPurge(n uint64, group uint16, at int64) []byte {
 	payload := binary.BigEndian.AppendUint16(nil, group)
-	return standin.PlatformFrame(n, 4, binary.BigEndian.AppendUint64(payload, uint64(at)))
+	return testserver.PlatformFrame(n, 4, binary.BigEndian.AppendUint64(payload, uint64(at)))
 }
 
 // startedAt is a member's row with the Unix time of its late start.
@@ -117,9 +117,9 @@
 			}
 			check("known at the start", 21, "s-000000c9", oldAge)
 			w.until("the feed is asked", func() bool { return w.asked.Load() == 1 })
-			w.say(standin.PlatformFrame(4, 0, nil))
+			w.say(testserver.PlatformFrame(4, 0, nil))
 			w.say(groupPurge(5, 23, platform.ago(0)))
-			w.say(standin.PlatformFrame(6, 2, startedAt(0xca, c2, platform.ago(0))))
+			w.say(testserver.PlatformFrame(6, 2, startedAt(0xca, c2, platform.ago(0))))
 			w.until("the list has it", func() (found bool) {
 				w.n.l.Call(soon, func() { _, found = w.n.core.Member("s-000000ca") })
 				return found
@@ -138,7 +138,7 @@
 	w := open(t, nil)
 	w.until("the feed is asked", func() bool { return w.asked.Load() == 1 })
 	w.say(groupPurge(2, 21, platform.ago(-time.Hour)))
-	w.say(standin.PlatformFrame(2, 0, nil))
+	w.say(testserver.PlatformFrame(2, 0, nil))
 	w.turn()
 	time.Sleep(200 * time.Millisecond)
 	w.say(groupPurge(3, 22, platform.ago(0)))
@@ -158,11 +158,11 @@
 	made := platform.ago(0)
 	w.n.l.Call(soon, func() {
 		time.Sleep(turn)
-		w.n.event(feed.Event{N: 2, Group: 21, At: platform.ago(0)})
+		w.n.event(discovery.Event{N: 2, Group: 21, At: platform.ago(0)})
 	})
 	var age float64
 	w.n.l.Call(soon, func() {
-		w.n.event(feed.Event{N: 3, Group: 22, At: made})
+		w.n.event(discovery.Event{N: 3, Group: 22, At: made})
 		age = w.n.l.Now() - w.n.core.Memory().Module.Groups[22]
 	})
 	if most := float64(platform.ago(0)-made) + 1; age > most || age < float64(turn.Milliseconds())-1 {
@@ -173,7 +173,8 @@
 // TestNoWallClock: nothing between the feed and the decisions reads the wall clock, so that
 // its steps between events change nothing either.
 func TestNoWallClock(t *testing.T) {
-	for _, directory := range []string{".", "../feed", "../unixclock", "../front", "../resp", "../wire", "../core", "../limits", "../.."} {
+	for _, directory := range []string{".", "../../protocol/discovery", "../unixclock", "../../protocol/thriftrpc",
+		"../../protocol/resp", "../../protocol/simwire", "../engine", "../limits", "../../.."} {
 		files, err := filepath.Glob(filepath.Join(directory, "*.go"))
 		if err != nil || len(files) == 0 {
 			t.Fatalf("%s: %d files, %v", directory, len(files), err)
--- a/internal/node/config.go
+++ b/internal/proxy/platform/config.go
@@ -1,4 +1,4 @@
-package node
+package platform
 
 import (
 	"encoding/json"
@@ -9,7 +9,7 @@
 	"strconv"
 
 	spool "indigospool"
-	"indigospool/internal/wire"
+	"indigospool/internal/protocol/simwire"
 )
 
 // Config is the platform's configuration of one router.
@@ -25,7 +25,7 @@
 	Known    json.RawMessage `json:"known"`
 	Settings json.RawMessage `json:"settings"`
 
-	settings wire.Settings
+	settings simwire.Settings
 	seed     uint64
 }
 
@@ -45,7 +45,7 @@
 	if err := json.Unmarshal(raw, c); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	if c.settings, err = wire.ParseSettings(c.Settings); err != nil {
+	if c.settings, err = simwire.ParseSettings(c.Settings); err != nil {
 		return nil, fmt.Errorf("%s: settings: %w", file, err)
 	}
 	if err := c.settings.Module.Valid(); err != nil {
--- a/internal/node/discovery_test.go
+++ b/internal/proxy/platform/discovery_test.go
@@ -1,4 +1,4 @@
-package node
+package platform
 
 import (
 	"encoding/binary"
@@ -14,23 +14,23 @@
 
 	spool "indigospool"
 
-	"indigospool/internal/faultinject"
-	"indigospool/internal/feed"
-	"indigospool/internal/standin"
+	"indigospool/internal/protocol/discovery"
+	"indigospool/internal/testbed/faultinject"
+	"indigospool/internal/testbed/testserver"
 )
 
-// discovery is a feed of a test's own: serve gets each connection and closes it by returning.
-type discovery struct {
-	*standin.PlatformFeed
+// discoveryServer is a feed of a test's own: serve gets each connection and closes it by returning.
+type discoveryServer struct {
+	*testserver.PlatformFeed
 	asked atomic.Int64 // connections so far
 	open  atomic.Int64
 	last  atomic.Uint64 // number that the last connection began with
 }
 
-func newDiscovery(t *testing.T, serve func(c net.Conn, nth int64)) *discovery {
+func newDiscovery(t *testing.T, serve func(c net.Conn, nth int64)) *discoveryServer {
 	t.Helper()
-	d := &discovery{}
-	feed, err := standin.NewPlatformFeed(func(c net.Conn, last uint64) {
+	d := &discoveryServer{}
+	feed, err := testserver.NewPlatformFeed(func(c net.Conn, last uint64) {
 		d.last.Store(last)
 		d.open.Add(1)
 		defer d.open.Add(-1)
@@ -45,7 +45,7 @@
 }
 
 // openAt starts a router that asks a discovery of the test's own.
-func openAt(t *testing.T, d *discovery) *world {
+func openAt(t *testing.T, d *discoveryServer) *world {
 	t.Helper()
 	w := outside(t, nil)
 	w.write(d.Addr)
@@ -56,7 +56,7 @@
 // beats writes an empty frame each quarter of a second until the connection ends.
 func beats(c net.Conn, n uint64) {
 	for {
-		if _, err := c.Write(standin.PlatformFrame(n, 0, nil)); err != nil {
+		if _, err := c.Write(testserver.PlatformFrame(n, 0, nil)); err != nil {
 			return
 		}
 		time.Sleep(250 * time.Millisecond)
@@ -89,7 +89,7 @@
 				return
 			case <-time.After(20 * time.Millisecond):
 			}
-			c, err := standin.DialPlatform(w.addr)
+			c, err := testserver.DialPlatform(w.addr)
 			if err != nil {
 				bad = append(bad, err.Error())
 				continue
@@ -119,7 +119,7 @@
 			t.Parallel()
 			d := newDiscovery(t, func(c net.Conn, _ int64) {
 				time.Sleep(late)
-				if _, err := c.Write(standin.PlatformFrame(2, 2, record(0xc9, "127.0.0.1:9", 1, 0, 0))); err == nil {
+				if _, err := c.Write(testserver.PlatformFrame(2, 2, record(0xc9, "127.0.0.1:9", 1, 0, 0))); err == nil {
 					beats(c, 2)
 				}
 			})
@@ -152,7 +152,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			d := newDiscovery(t, func(conn net.Conn, _ int64) {
-				frame := standin.PlatformFrame(2, 2, manyRows(c.rows, 0xc9, "127.0.0.1:9"))
+				frame := testserver.PlatformFrame(2, 2, manyRows(c.rows, 0xc9, "127.0.0.1:9"))
 				for len(frame) > 0 {
 					piece := frame[:min(c.piece, len(frame))]
 					if _, err := conn.Write(piece); err != nil {
@@ -179,7 +179,7 @@
 func TestDiscoveryCrowded(t *testing.T) {
 	t.Parallel()
 	const span = 3 * time.Second
-	for name, word := range map[string][]byte{"without a word": nil, "after a word": standin.PlatformFrame(1, 0, nil)} {
+	for name, word := range map[string][]byte{"without a word": nil, "after a word": testserver.PlatformFrame(1, 0, nil)} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var room atomic.Bool
@@ -188,7 +188,7 @@
 					c.Write(word)
 					return
 				}
-				c.Write(standin.PlatformFrame(2, 2, record(0xc9, "127.0.0.1:9", 1, 0, 0)))
+				c.Write(testserver.PlatformFrame(2, 2, record(0xc9, "127.0.0.1:9", 1, 0, 0)))
 				beats(c, 2)
 			})
 			w := openAt(t, d)
@@ -210,13 +210,13 @@
 
 // newPurges is a discovery whose events are purges of groups of their own number, up to
 // the newest.
-func newPurges(t *testing.T, newest *atomic.Uint64) (d *discovery) {
+func newPurges(t *testing.T, newest *atomic.Uint64) (d *discoveryServer) {
 	d = newDiscovery(t, func(c net.Conn, _ int64) {
 		for n := d.last.Load(); ; time.Sleep(20 * time.Millisecond) {
 			for ; n < newest.Load(); n++ {
 				c.Write(groupPurge(n+1, uint16(n+1), time.Now().UnixMilli()))
 			}
-			if _, err := c.Write(standin.PlatformFrame(n, 0, nil)); err != nil {
+			if _, err := c.Write(testserver.PlatformFrame(n, 0, nil)); err != nil {
 				return
 			}
 		}
@@ -291,7 +291,7 @@
 			t.Parallel()
 			var newest atomic.Uint64
 			newest.Store(1)
-			var feeds []*discovery
+			var feeds []*discoveryServer
 			for range 3 {
 				feeds = append(feeds, newPurges(t, &newest))
 			}
@@ -325,7 +325,7 @@
 	rows := manyRows(3200, 0xc9, "127.0.0.1:9")
 	binary.BigEndian.PutUint32(rows, 0x20000)
 	d := newDiscovery(t, func(c net.Conn, _ int64) {
-		c.Write(standin.PlatformFrame(2, 1, rows))
+		c.Write(testserver.PlatformFrame(2, 1, rows))
 		beats(c, 2)
 	})
 	w := openAt(t, d)
@@ -350,17 +350,17 @@
 		w.n.l.Call(soon, func() {
 			n := w.n.watch.reader.Last
 			next := 0
-			row := func(i int, state string) feed.Row {
-				return feed.Row{ID: fmt.Sprintf("s-%08x", i), Address: "127.0.0.1:9", Zone: "near", Kind: "box", State: state, Weight: 4, Started: int64(i)}
+			row := func(i int, state string) discovery.Row {
+				return discovery.Row{ID: fmt.Sprintf("s-%08x", i), Address: "127.0.0.1:9", Zone: "near", Kind: "box", State: state, Weight: 4, Started: int64(i)}
 			}
-			full := feed.Event{N: n + 1, Listed: true, Full: true}
+			full := discovery.Event{N: n + 1, Listed: true, Full: true}
 			for ; next < caches; next++ {
 				full.Rows = append(full.Rows, row(next, "ready"))
 			}
 			w.n.event(full)
 			from := userTime(t)
 			for i := range 24 * caches / 200 {
-				w.n.event(feed.Event{N: n + 2 + uint64(i), Listed: true, Rows: []feed.Row{row(next-caches, "gone"), row(next, "ready")}})
+				w.n.event(discovery.Event{N: n + 2 + uint64(i), Listed: true, Rows: []discovery.Row{row(next-caches, "gone"), row(next, "ready")}})
 				next++
 			}
 			cpu = userTime(t) - from
--- a/internal/node/drain.go
+++ b/internal/proxy/platform/drain.go
@@ -1,9 +1,9 @@
-package node
+package platform
 
 import (
 	"go.uber.org/zap"
 
-	"indigospool/internal/loop"
+	"indigospool/internal/eventloop"
 )
 
 // A router that is told to end may be killed the longest deadline of a class after that,
@@ -54,7 +54,7 @@
 			c.begin()
 		}
 		atRest := c.in.Len() == 0 && now-c.v.Last > drainRest // one that has just been answered may ask again
-		if !c.closed && !c.owes() && (last || atRest) && loop.Quiet(c.fd) {
+		if !c.closed && !c.owes() && (last || atRest) && eventloop.Quiet(c.fd) {
 			c.shut()
 		}
 	}
--- a/internal/node/line.go
+++ b/internal/proxy/platform/line.go
@@ -1,4 +1,4 @@
-package node
+package platform
 
 import (
 	"go.uber.org/zap"
--- a/internal/node/moments_test.go
+++ b/internal/proxy/platform/moments_test.go
@@ -1,4 +1,4 @@
-package node
+package platform
 
 import (
 	"encoding/binary"
@@ -18,7 +18,7 @@
 	"go.uber.org/zap"
 
 	spool "indigospool"
-	"indigospool/internal/standin"
+	"indigospool/internal/testbed/testserver"
 )
 
 // The narrow moments: what arrives in the very instant in which something ends. Each is
@@ -163,7 +163,7 @@
 // adopt has the router know a member at an address of its own, by one change of the feed.
 func (w *world) adopt(n uint64, id uint32, address string, state, zone, kind byte) {
 	w.until("the feed is asked", func() bool { return w.tell.Load() != nil })
-	w.say(standin.PlatformFrame(n, 2, record(id, address, state, zone, kind)))
+	w.say(testserver.PlatformFrame(n, 2, record(id, address, state, zone, kind)))
 	w.turn()
 	w.until("the list has it", func() bool {
 		found := false
@@ -260,19 +260,19 @@
 		w.ask(clip(key), nil)
 		w.ask(save(), nil)
 	}
-	for name, write := range map[string]func(c *standin.PlatformClient){
-		"closed": func(c *standin.PlatformClient) {
+	for name, write := range map[string]func(c *testserver.PlatformClient){
+		"closed": func(c *testserver.PlatformClient) {
 			for i := range int32(5) {
-				c.Write(standin.PlatformCall("serve", i+1, clip(key), nil))
+				c.Write(testserver.PlatformCall("serve", i+1, clip(key), nil))
 			}
 			c.Close()
 		},
-		"given up": func(c *standin.PlatformClient) {
+		"given up": func(c *testserver.PlatformClient) {
 			for i := range int32(3) {
-				c.Write(standin.PlatformCall("serve", i+1, save(), make([]byte, 40000)))
+				c.Write(testserver.PlatformCall("serve", i+1, save(), make([]byte, 40000)))
 			}
 			for i := range int32(3) {
-				c.Write(standin.PlatformForget(i+4, i+1))
+				c.Write(testserver.PlatformForget(i+4, i+1))
 			}
 		},
 	} {
@@ -297,7 +297,7 @@
 	t.Parallel()
 	w := open(t, nil)
 	c, half := w.client(), w.client()
-	b := standin.PlatformCall("serve", 1, clip(key), nil)
+	b := testserver.PlatformCall("serve", 1, clip(key), nil)
 	half.Write(b[:len(b)/2])
 	for i := range b {
 		if _, err := c.Write(b[i : i+1]); err != nil {
@@ -317,7 +317,7 @@
 // out; the answer comes to its client. The router ended with a nil pointer.
 func TestReloadWithoutItsClass(t *testing.T) {
 	answers := make(chan func(), 4)
-	wait := func(c *standin.PlatformConn, q standin.PlatformRequest) { answers <- func() { hits(c, q) } }
+	wait := func(c *testserver.PlatformConn, q testserver.PlatformRequest) { answers <- func() { hits(c, q) } }
 	w := open(t, map[string]handler{"s-000000c1": wait, "s-000000c2": wait})
 	c := w.client()
 	c.Ask(clip(key), nil)
@@ -337,7 +337,7 @@
 
 // large answers with so many bytes.
 func large(n int) handler {
-	return func(c *standin.PlatformConn, q standin.PlatformRequest) {
+	return func(c *testserver.PlatformConn, q testserver.PlatformRequest) {
 		if !q.Stop {
 			c.Hit(q.ID, make([]byte, n))
 		}
@@ -418,41 +418,41 @@
 // TestDrainMoments: what has come in the very moment of SIGTERM is answered, once, and the
 // router ends; a second signal and a new configuration change nothing.
 func TestDrainMoments(t *testing.T) {
-	b := standin.PlatformCall("serve", 1, clip(key), nil)
+	b := testserver.PlatformCall("serve", 1, clip(key), nil)
 	for _, c := range []struct {
 		name string
-		play func(w *world, c *standin.PlatformClient)
+		play func(w *world, c *testserver.PlatformClient)
 		word string
 	}{
-		{"between accept and first read", func(w *world, c *standin.PlatformClient) {
+		{"between accept and first read", func(w *world, c *testserver.PlatformClient) {
 			release := w.hold()
 			c.Write(b)
 			w.n.Drain()
 			time.Sleep(10 * time.Millisecond)
 			release()
 		}, "served"},
-		{"half a request read", func(w *world, c *standin.PlatformClient) {
+		{"half a request read", func(w *world, c *testserver.PlatformClient) {
 			c.Write(b[:30])
 			w.turn()
 			w.n.Drain()
 			time.Sleep(1200 * time.Millisecond) // past the least time of a drain
 			c.Write(b[30:])
 		}, "served"},
-		{"two signals, and another configuration between", func(w *world, c *standin.PlatformClient) {
+		{"two signals, and another configuration between", func(w *world, c *testserver.PlatformClient) {
 			w.n.Drain()
 			w.n.Reload()
 			w.n.Drain()
 			c.Write(b)
 		}, "served"},
-		{"an attempt out to a cache that hangs", func(w *world, c *standin.PlatformClient) {
-			c.Write(standin.PlatformCall("serve", 1, clip("00000000000000aa"), nil))
+		{"an attempt out to a cache that hangs", func(w *world, c *testserver.PlatformClient) {
+			c.Write(testserver.PlatformCall("serve", 1, clip("00000000000000aa"), nil))
 			w.turn()
 			w.n.Drain()
 		}, "refused"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			on := func(pc *standin.PlatformConn, q standin.PlatformRequest) {
+			on := func(pc *testserver.PlatformConn, q testserver.PlatformRequest) {
 				if q.Fields["key"] != "00000000000000aa" {
 					hits(pc, q)
 				}
@@ -503,13 +503,13 @@
 		t.Run(fmt.Sprint(late), func(t *testing.T) {
 			t.Parallel()
 			answers := make(chan func(), 400)
-			wait := func(c *standin.PlatformConn, q standin.PlatformRequest) {
+			wait := func(c *testserver.PlatformConn, q testserver.PlatformRequest) {
 				if !q.Stop {
 					answers <- func() { hits(c, q) }
 				}
 			}
 			w := open(t, map[string]handler{"s-000000c1": wait, "s-000000c2": wait})
-			var clients []*standin.PlatformClient
+			var clients []*testserver.PlatformClient
 			for range 8 {
 				c := w.client()
 				clients = append(clients, c)
@@ -526,7 +526,7 @@
 			for _, c := range clients {
 				for i := range int32(25) {
 					if !late {
-						c.Write(standin.PlatformForget(100+i, 1+i))
+						c.Write(testserver.PlatformForget(100+i, 1+i))
 					}
 				}
 			}
@@ -606,7 +606,7 @@
 		t.Errorf("a new client: %+v", r)
 	}
 	before := w.asked.Load()
-	again, err := standin.NewPlatformFeedAt(address, func(net.Conn, uint64) { w.asked.Add(1); <-t.Context().Done() })
+	again, err := testserver.NewPlatformFeedAt(address, func(net.Conn, uint64) { w.asked.Add(1); <-t.Context().Done() })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -672,7 +672,7 @@
 	var b []byte
 	b = binary.BigEndian.AppendUint16(b, 17) // the group of clip's objects
 	b = binary.BigEndian.AppendUint64(b, uint64(at.UnixMilli()))
-	w.say(standin.PlatformFrame(5, 4, b))
+	w.say(testserver.PlatformFrame(5, 4, b))
 	time.Sleep(300 * time.Millisecond)
 	late.let(t)
 	var first []byte
--- a/internal/node/node.go
+++ b/internal/proxy/platform/node.go
@@ -7,7 +7,7 @@
 // it tells the module what happened and carries out what that decides. It writes no
 // files and listens at one address only. Clients are in client.go, members in
 // upstream.go, the feed in watch.go.
-package node
+package platform
 
 import (
 	"errors"
@@ -17,29 +17,29 @@
 	"go.uber.org/zap"
 
 	spool "indigospool"
-	"indigospool/internal/core"
-	"indigospool/internal/feed"
-	"indigospool/internal/front"
-	"indigospool/internal/limits"
-	"indigospool/internal/loop"
-	"indigospool/internal/unixclock"
+	"indigospool/internal/eventloop"
+	"indigospool/internal/protocol/discovery"
+	"indigospool/internal/protocol/thriftrpc"
+	"indigospool/internal/proxy/engine"
+	"indigospool/internal/proxy/limits"
+	"indigospool/internal/proxy/unixclock"
 )
 
 // Node is one router. All of it belongs to its loop's goroutine, but for the methods
 // that say otherwise.
 type Node struct {
-	l    *loop.Loop
+	l    *eventloop.Loop
 	cfg  *Config
 	file string
 	log  *zap.Logger
-	core *core.Core
+	core *engine.Core
 
 	classes map[string]*spool.Class
 	reqs    map[string]*request
 	pools   map[string]*pool
 	clients map[*client]struct{}
-	codec   *front.Codec
-	bufs    loop.Buffers
+	codec   *thriftrpc.Codec
+	bufs    eventloop.Buffers
 	scratch []byte
 	places  limits.Places
 	conns   int // connections to members
@@ -49,7 +49,7 @@
 	acts   []spool.Action
 	busy   bool
 	born   *request // the request that the module hears of now: the timer asked for is its
-	beat   loop.Timer
+	beat   eventloop.Timer
 
 	watch      watch
 	clock      unixclock.Clock // of the platform, by the times that the feed has told
@@ -64,7 +64,7 @@
 
 // request is a client's request in hand.
 type request struct {
-	front.Request
+	thriftrpc.Request
 	c     *client // nil once it is over
 	seq   int32
 	until float64 // when its client stops waiting
@@ -72,8 +72,8 @@
 	tries int
 	out   *attempt
 
-	rested float64    // a member has ended a connection that had rested so long, in ms; 0: none has
-	timer  loop.Timer // the module's
+	rested float64         // a member has ended a connection that had rested so long, in ms; 0: none has
+	timer  eventloop.Timer // the module's
 }
 
 // Open makes a router that listens; Run serves.
@@ -86,23 +86,23 @@
 		address = cfg.Listen
 	}
 	n := &Node{cfg: cfg, file: file, log: log, reqs: map[string]*request{}, pools: map[string]*pool{},
-		clients: map[*client]struct{}{}, codec: front.NewCodec(), readConfig: ReadConfig, scratch: make([]byte, 64<<10),
+		clients: map[*client]struct{}{}, codec: thriftrpc.NewCodec(), readConfig: ReadConfig, scratch: make([]byte, 64<<10),
 		places: limits.NewPlaces(cfg.Limits.Sockets)}
 	n.bufs.Keep = n.waitingBytes() / 2
-	if n.core, err = core.NewBare(cfg.settings.Module, cfg.seed); err != nil {
+	if n.core, err = engine.NewBare(cfg.settings.Module, cfg.seed); err != nil {
 		return nil, err
 	}
 	n.setClasses()
-	if n.l, err = loop.New(0); err != nil {
+	if n.l, err = eventloop.New(0); err != nil {
 		return nil, err
 	}
 	n.beat.F = func() { n.tell(spool.Timer{}) }
-	n.watch.reader = feed.Reader{Zones: cfg.settings.Module.Zones, Kinds: cfg.settings.Kinds}
+	n.watch.reader = discovery.Reader{Zones: cfg.settings.Module.Zones, Kinds: cfg.settings.Kinds}
 	n.watch.node = n
 	n.watch.dial = n.l.Dial
 	n.watch.tries = limits.NewAgain(feedFirst, feedBase, feedMost, cfg.seed)
-	var known []feed.Event
-	if err := n.watch.reader.Known(cfg.Known, func(ev feed.Event) { known = append(known, ev) }); err != nil {
+	var known []discovery.Event
+	if err := n.watch.reader.Known(cfg.Known, func(ev discovery.Event) { known = append(known, ev) }); err != nil {
 		return nil, err
 	}
 	n.eventsOf(known)
@@ -174,9 +174,9 @@
 		return err
 	}
 	r := n.watch.reader
-	var list []feed.Event
+	var list []discovery.Event
 	r.Zones, r.Kinds = cfg.settings.Module.Zones, cfg.settings.Kinds
-	if err := r.Known(cfg.Known, func(ev feed.Event) { list = append(list, ev) }); err != nil {
+	if err := r.Known(cfg.Known, func(ev discovery.Event) { list = append(list, ev) }); err != nil {
 		return err
 	}
 	if n.acts, err = n.core.ResettleBare(n.l.Now(), cfg.settings.Module, n.acts[:0]); err != nil {
@@ -199,7 +199,7 @@
 
 // eventsOf hands the events of a configuration on. The times of all of them are looked at
 // first: the last tell how old the others are.
-func (n *Node) eventsOf(list []feed.Event) {
+func (n *Node) eventsOf(list []discovery.Event) {
 	for i := range list {
 		n.saw(&list[i])
 	}
@@ -210,8 +210,8 @@
 
 // saw shows the clock an event's times. They may lie behind the beginning of the turn in
 // which it is read.
-func (n *Node) saw(ev *feed.Event) {
-	now := loop.Clock()
+func (n *Node) saw(ev *discovery.Event) {
+	now := eventloop.Clock()
 	if !ev.Listed {
 		n.clock.Saw(float64(ev.At), now)
 	}
@@ -224,7 +224,7 @@
 
 // event hands an event of the feed on to the module. How old what it tells is goes by the
 // platform's own times alone: the wall clock of this machine may be anywhere.
-func (n *Node) event(ev feed.Event) {
+func (n *Node) event(ev discovery.Event) {
 	n.stats.Events++
 	n.saw(&ev)
 	now := n.l.Now()
@@ -233,12 +233,12 @@
 		n.purged(ev.Object, ev.Group)
 		return
 	}
-	news := core.News{Rev: int64(ev.N), How: "step"}
+	news := engine.News{Rev: int64(ev.N), How: "step"}
 	if ev.Full {
 		news.How = "full"
 	}
 	for _, r := range ev.Rows {
-		row := core.Row{ID: r.ID, Zone: r.Zone, Kind: r.Kind, Cell: r.Cell, State: memberStates[r.State],
+		row := engine.Row{ID: r.ID, Zone: r.Zone, Kind: r.Kind, Cell: r.Cell, State: memberStates[r.State],
 			Size: r.Weight, Address: r.Address, Start: r.Started}
 		if r.Started > 0 {
 			row.UpMs = max(n.clock.Age(float64(r.Started), now), justStarted)
@@ -335,7 +335,7 @@
 
 // take hands a client's request to the module. Its time counts from the earliest moment at
 // which its last byte may have come: it may have lain unread for a long turn of the loop.
-func (n *Node) take(c *client, seq int32, q front.Request, came float64) {
+func (n *Node) take(c *client, seq int32, q thriftrpc.Request, came float64) {
 	r := &request{Request: q, c: c, seq: seq, until: came + q.Wait, write: n.classes[q.Class].Write}
 	if n.drained > 0 {
 		r.until = min(r.until, n.goneBy-drainStep)
@@ -377,7 +377,7 @@
 		case !c.v.Overstays(now):
 		case c.v.Shut > 0 || c.v.Ignores(now):
 			c.close()
-		case !c.owes() && loop.Quiet(c.fd):
+		case !c.owes() && eventloop.Quiet(c.fd):
 			c.shut()
 		}
 	}
--- a/internal/node/node_test.go
+++ b/internal/proxy/platform/node_test.go
@@ -1,4 +1,4 @@
-package node
+package platform
 
 import (
 	"bytes"
@@ -17,7 +17,7 @@
 	"go.uber.org/zap"
 
 	spool "indigospool"
-	"indigospool/internal/standin"
+	"indigospool/internal/testbed/testserver"
 )
 
 const soon = 5 * time.Second // in which what is wanted comes; the rules' own spans are in the code
@@ -28,8 +28,8 @@
 	n        *Node
 	addr     string
 	file     string
-	members  map[string]*standin.PlatformCache
-	feed     *standin.PlatformFeed
+	members  map[string]*testserver.PlatformCache
+	feed     *testserver.PlatformFeed
 	settings string
 	last     atomic.Uint64               // number that the feed's last connection began with
 	asked    atomic.Int64                // connections of the feed
@@ -37,16 +37,16 @@
 	done     chan error
 }
 
-type handler = func(c *standin.PlatformConn, q standin.PlatformRequest)
+type handler = func(c *testserver.PlatformConn, q testserver.PlatformRequest)
 
 // hits answers reads with the object's key as bytes, and writes at the origin.
-func hits(c *standin.PlatformConn, q standin.PlatformRequest) {
+func hits(c *testserver.PlatformConn, q testserver.PlatformRequest) {
 	if !q.Stop {
 		c.Hit(q.ID, []byte("bytes of "+q.Fields["key"]))
 	}
 }
 
-func misses(c *standin.PlatformConn, q standin.PlatformRequest) {
+func misses(c *testserver.PlatformConn, q testserver.PlatformRequest) {
 	if q.Fields["miss"] != "" {
 		hits(c, q)
 	} else if !q.Stop {
@@ -89,13 +89,13 @@
 // outside is the stand-ins, and a configuration that names them.
 func outside(t *testing.T, on map[string]handler) *world {
 	t.Helper()
-	w := &world{t: t, settings: testSettings, members: map[string]*standin.PlatformCache{}, done: make(chan error, 1)}
+	w := &world{t: t, settings: testSettings, members: map[string]*testserver.PlatformCache{}, done: make(chan error, 1)}
 	for _, id := range []string{"s-000000c1", "s-000000c2", "s-000000a1"} {
 		f := on[id]
 		if f == nil {
 			f = hits
 		}
-		p, err := standin.NewPlatformCache("127.0.0.1:0", f)
+		p, err := testserver.NewPlatformCache("127.0.0.1:0", f)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -108,8 +108,8 @@
 	return w
 }
 
-func (w *world) newFeed() *standin.PlatformFeed {
-	f, err := standin.NewPlatformFeed(func(c net.Conn, last uint64) {
+func (w *world) newFeed() *testserver.PlatformFeed {
+	f, err := testserver.NewPlatformFeed(func(c net.Conn, last uint64) {
 		tell := make(chan []byte, 64)
 		w.tell.Store(&tell)
 		w.last.Store(last)
@@ -172,9 +172,9 @@
 	}
 }
 
-func (w *world) client() *standin.PlatformClient {
+func (w *world) client() *testserver.PlatformClient {
 	w.t.Helper()
-	c, err := standin.DialPlatform(w.addr)
+	c, err := testserver.DialPlatform(w.addr)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -196,7 +196,7 @@
 const key = "7f3a9c21e0b4d655"
 
 // ask makes one request on a connection of its own and returns the answer.
-func (w *world) ask(f map[string]string, body []byte) standin.PlatformResult {
+func (w *world) ask(f map[string]string, body []byte) testserver.PlatformResult {
 	w.t.Helper()
 	c := w.client()
 	defer c.Close()
@@ -258,7 +258,7 @@
 
 // TestOwnCopyHolds: VALID becomes current, only for a client that named its copy.
 func TestOwnCopyHolds(t *testing.T) {
-	valid := func(c *standin.PlatformConn, q standin.PlatformRequest) {
+	valid := func(c *testserver.PlatformConn, q testserver.PlatformRequest) {
 		c.Answer(q.ID, "VALID", fmt.Sprintf("how=cached,entity=x,issued=%d", time.Now().UnixMilli()), nil)
 	}
 	w := open(t, map[string]handler{"s-000000c1": valid, "s-000000c2": valid})
@@ -273,19 +273,19 @@
 // TestBadClients: each is answered with something other than 'served' or closed within
 // 3 s, and the usual ones are served meanwhile.
 func TestBadClients(t *testing.T) {
-	slow := func(c *standin.PlatformConn, q standin.PlatformRequest) {
+	slow := func(c *testserver.PlatformConn, q testserver.PlatformRequest) {
 		if !q.Stop {
 			time.AfterFunc(100*time.Millisecond, func() { c.Hit(q.ID, []byte("late")) })
 		}
 	}
 	w := open(t, map[string]handler{"s-000000c1": slow, "s-000000c2": slow})
-	call := func(seq int32, f map[string]string) []byte { return standin.PlatformCall("serve", seq, f, nil) }
+	call := func(seq int32, f map[string]string) []byte { return testserver.PlatformCall("serve", seq, f, nil) }
 	length := func(n uint32) []byte { return binary.BigEndian.AppendUint32(nil, n) }
 	without := func(name string) map[string]string { f := clip(key); delete(f, name); return f }
 	var flood, withdrawn []byte
 	for i := range int32(300) {
 		flood = append(flood, call(i+1, clip(key))...)
-		withdrawn = append(append(withdrawn, call(2*i+1, clip(key))...), standin.PlatformForget(2*i+2, 2*i+1)...)
+		withdrawn = append(append(withdrawn, call(2*i+1, clip(key))...), testserver.PlatformForget(2*i+2, 2*i+1)...)
 	}
 	for _, c := range []struct {
 		name   string
@@ -300,7 +300,7 @@
 		{"60 MB", append(length(60000000), make([]byte, 1<<20)...), false},
 		{"a length of 0", length(0), false},
 		{"not strict", append(length(12), 0, 0, 0, 5, 's', 'e', 'r', 'v', 'e', 1, 0, 0), false},
-		{"another name", standin.PlatformCall("drop", 1, nil, nil), false},
+		{"another name", testserver.PlatformCall("drop", 1, nil, nil), false},
 		{"no id", call(1, without("id")), false},
 		{"a long id", call(1, clip(key, "id", "00000000000000001")), false},
 		{"no key", call(1, without("key")), false},
@@ -313,7 +313,7 @@
 		{"a slice that is no number", call(1, clip(key, "slice", "nan")), false},
 		{"a set of 256", call(1, clip(key, "set", "256")), false},
 		{"a keyed class without once", call(1, clip(key, "class", "note")), false},
-		{"a body in a read", standin.PlatformCall("serve", 1, clip(key), []byte("x")), false},
+		{"a body in a read", testserver.PlatformCall("serve", 1, clip(key), []byte("x")), false},
 		{"two under one number", append(call(1, clip(key)), call(1, clip(key))...), false},
 		{"300 at once", flood, false},
 		{"300 withdrawn", withdrawn, true},
@@ -352,11 +352,11 @@
 	before := asked()
 	var b []byte
 	for i := range int32(20) {
-		b = append(append(b, standin.PlatformCall("serve", 2*i+1, clip(key), nil)...), standin.PlatformForget(2*i+2, 2*i+1)...)
+		b = append(append(b, testserver.PlatformCall("serve", 2*i+1, clip(key), nil)...), testserver.PlatformForget(2*i+2, 2*i+1)...)
 	}
 	c := w.client()
 	c.Write(b) // one segment, and so one read, on loopback
-	if _, err := c.Write(standin.PlatformCall("isWell", 100, nil, nil)); err != nil {
+	if _, err := c.Write(testserver.PlatformCall("isWell", 100, nil, nil)); err != nil {
 		t.Fatal(err)
 	}
 	if r, err := c.Result(soon); err != nil || r.Seq != 100 {
@@ -371,7 +371,7 @@
 // TestOpenIdWithAnotherObject: the second is failed, the first is answered.
 func TestOpenIdWithAnotherObject(t *testing.T) {
 	hold := make(chan func(), 4)
-	wait := func(c *standin.PlatformConn, q standin.PlatformRequest) {
+	wait := func(c *testserver.PlatformConn, q testserver.PlatformRequest) {
 		hold <- func() { c.Hit(q.ID, []byte("first")) }
 	}
 	w := open(t, map[string]handler{"s-000000c1": wait, "s-000000c2": wait})
@@ -407,7 +407,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			var spoilt atomic.Int64
-			bad := func(pc *standin.PlatformConn, q standin.PlatformRequest) {
+			bad := func(pc *testserver.PlatformConn, q testserver.PlatformRequest) {
 				if q.Stop {
 					return
 				}
@@ -434,7 +434,7 @@
 // TestMoreThanBelongsToIt: a second copy and an unknown id are dropped, and the
 // connection is kept.
 func TestMoreThanBelongsToIt(t *testing.T) {
-	twice := func(c *standin.PlatformConn, q standin.PlatformRequest) {
+	twice := func(c *testserver.PlatformConn, q testserver.PlatformRequest) {
 		if !q.Stop {
 			c.Hit("ffffffffffffffff", []byte("nobody's"))
 			c.Hit(q.ID, []byte("good"))
@@ -455,7 +455,7 @@
 // TestNothingFitsIt: a request that two caches answer with an error is ended, and what
 // others ask of these caches goes on.
 func TestNothingFitsIt(t *testing.T) {
-	fault := func(c *standin.PlatformConn, q standin.PlatformRequest) {
+	fault := func(c *testserver.PlatformConn, q testserver.PlatformRequest) {
 		if q.Fields["key"] == "0000000000000bad" {
 			c.Answer(q.ID, "FAULT", "-", nil)
 			return
@@ -477,7 +477,7 @@
 // change nothing, and silence is noticed.
 func TestFeed(t *testing.T) {
 	w := open(t, nil)
-	purge := func(n uint64) []byte { return standin.PlatformFrame(n, 4, []byte{0, 17, 0, 0, 1, 0x9a, 0, 0, 0, 0}) }
+	purge := func(n uint64) []byte { return testserver.PlatformFrame(n, 4, []byte{0, 17, 0, 0, 1, 0x9a, 0, 0, 0, 0}) }
 	w.until("the first connection", func() bool { return w.asked.Load() == 1 })
 	w.say(purge(2))
 	w.say(purge(2))
@@ -520,7 +520,7 @@
 	}
 	before := c1.Conns()
 	w.until("the first connection", func() bool { return w.asked.Load() == 1 })
-	w.say(standin.PlatformFrame(2, 2, append(record(0xc1, c1.Addr, 2, 0, 0), record(0xc9, c1.Addr, 0, 0, 0)...)))
+	w.say(testserver.PlatformFrame(2, 2, append(record(0xc1, c1.Addr, 2, 0, 0), record(0xc9, c1.Addr, 0, 0, 0)...)))
 	w.until("the new one is asked", func() bool {
 		w.ask(clip(fmt.Sprintf("%016x", ids.Load())), nil)
 		return c1.Conns() > before
@@ -535,9 +535,9 @@
 // TestSameIdElsewhere: a cache that comes back under its id at another address is asked
 // there, though connections to the first are still busy.
 func TestSameIdElsewhere(t *testing.T) {
-	never := func(*standin.PlatformConn, standin.PlatformRequest) {}
+	never := func(*testserver.PlatformConn, testserver.PlatformRequest) {}
 	w := open(t, map[string]handler{"s-000000c1": never})
-	other, err := standin.NewPlatformCache("127.0.0.1:0", hits)
+	other, err := testserver.NewPlatformCache("127.0.0.1:0", hits)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -548,7 +548,7 @@
 	}
 	w.until("the first is busy", func() bool { return w.members["s-000000c1"].Open() > 0 })
 	w.until("the feed is asked", func() bool { return w.asked.Load() == 1 })
-	w.say(standin.PlatformFrame(2, 2, record(0xc1, other.Addr, 0, 0, 0)))
+	w.say(testserver.PlatformFrame(2, 2, record(0xc1, other.Addr, 0, 0, 0)))
 	w.until("it is asked at its new address", func() bool {
 		w.ask(clip(fmt.Sprintf("%016x", ids.Load())), nil)
 		return len(other.Seen()) > 0
@@ -580,7 +580,7 @@
 // good, and then the router ends.
 func TestDrain(t *testing.T) {
 	hold := make(chan func(), 4)
-	wait := func(c *standin.PlatformConn, q standin.PlatformRequest) {
+	wait := func(c *testserver.PlatformConn, q testserver.PlatformRequest) {
 		if q.Stop {
 			return
 		}
@@ -616,7 +616,7 @@
 // resets, time-outs, withdrawals and spoilt answers; and nothing is left in the end.
 func TestBelief(t *testing.T) {
 	var n atomic.Int64
-	rough := func(c *standin.PlatformConn, q standin.PlatformRequest) {
+	rough := func(c *testserver.PlatformConn, q testserver.PlatformRequest) {
 		if q.Stop {
 			return
 		}
@@ -639,7 +639,7 @@
 			t.Fatal(err)
 		}
 		if i%5 == 0 {
-			c.Write(standin.PlatformForget(seq+100, seq))
+			c.Write(testserver.PlatformForget(seq+100, seq))
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
@@ -689,7 +689,7 @@
 // TestCloseBeginsNothing: when a connection with waiting requests ends, none of them is
 // begun in the place that another leaves.
 func TestCloseBeginsNothing(t *testing.T) {
-	never := func(*standin.PlatformConn, standin.PlatformRequest) {}
+	never := func(*testserver.PlatformConn, testserver.PlatformRequest) {}
 	w := open(t, map[string]handler{"s-000000c1": never, "s-000000c2": never})
 	c := w.client()
 	for range 32 {
@@ -717,7 +717,7 @@
 func TestKeyedWritesUnderResets(t *testing.T) {
 	var mu sync.Mutex
 	first, times := map[string]time.Time{}, map[string]int{}
-	origin := func(c *standin.PlatformConn, q standin.PlatformRequest) {
+	origin := func(c *testserver.PlatformConn, q testserver.PlatformRequest) {
 		mu.Lock()
 		defer mu.Unlock()
 		once := q.Fields["once"]
--- a/internal/node/run_test.go
+++ b/internal/proxy/platform/run_test.go
@@ -1,4 +1,4 @@
-package node
+package platform
 
 import (
 	"bytes"
@@ -10,13 +10,13 @@
 	"testing"
 	"time"
 
-	"indigospool/internal/standin"
+	"indigospool/internal/testbed/testserver"
 )
 
 // TestRunLine: the very line that the platform starts serves among the stand-ins, takes
 // SIGHUP without an end, and leaves with 0 after SIGTERM.
 func TestRunLine(t *testing.T) {
-	deploy, err := os.ReadFile("../../deploy/balancer.toml")
+	deploy, err := os.ReadFile("../../../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -25,12 +25,12 @@
 		t.Fatal("deploy/balancer.toml has no run line")
 	}
 	root := t.TempDir()
-	if out, err := exec.Command("go", "build", "-o", filepath.Join(root, "bin")+"/", "../../cmd/spool-router").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", filepath.Join(root, "bin")+"/", "../../../cmd/spool-router").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	w := outside(t, nil)
 	// The platform names the address before the start: one that was free a moment ago.
-	free, err := standin.NewPlatformCache("127.0.0.1:0", hits)
+	free, err := testserver.NewPlatformCache("127.0.0.1:0", hits)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,8 +46,8 @@
 	ended := make(chan error, 1)
 	go func() { ended <- run.Wait() }()
 	defer run.Process.Kill()
-	var c *standin.PlatformClient
-	w.until("it listens", func() bool { c, err = standin.DialPlatform(w.addr); return err == nil })
+	var c *testserver.PlatformClient
+	w.until("it listens", func() bool { c, err = testserver.DialPlatform(w.addr); return err == nil })
 	defer c.Close()
 	if good, err := c.Well(); !good || err != nil {
 		t.Fatalf("isWell: %v %v", good, err)
--- a/internal/node/terms_test.go
+++ b/internal/proxy/platform/terms_test.go
@@ -1,4 +1,4 @@
-package node
+package platform
 
 import (
 	"bytes"
@@ -15,9 +15,9 @@
 	"golang.org/x/sys/unix"
 
 	spool "indigospool"
-	"indigospool/internal/faultinject"
-	"indigospool/internal/loop"
-	"indigospool/internal/standin"
+	"indigospool/internal/eventloop"
+	"indigospool/internal/testbed/faultinject"
+	"indigospool/internal/testbed/testserver"
 )
 
 // The stricter terms: what a client is owed however late the loop, the kernel or a cache is.
@@ -26,7 +26,7 @@
 
 // arrival is a request as a cache read it.
 type arrival struct {
-	standin.PlatformRequest
+	testserver.PlatformRequest
 	at time.Time
 }
 
@@ -37,7 +37,7 @@
 	answer   handler
 }
 
-func (rec *recorder) on(c *standin.PlatformConn, q standin.PlatformRequest) {
+func (rec *recorder) on(c *testserver.PlatformConn, q testserver.PlatformRequest) {
 	if q.Stop {
 		return
 	}
@@ -117,7 +117,7 @@
 		},
 		"its first half came long ago": func(w *world) time.Time {
 			c := w.client()
-			frame := standin.PlatformCall("serve", 1, clip(key, "wait", "2000"), nil)
+			frame := testserver.PlatformCall("serve", 1, clip(key, "wait", "2000"), nil)
 			c.Write(frame[:len(frame)/2])
 			time.Sleep(700 * time.Millisecond)
 			sent := time.Now()
@@ -148,13 +148,13 @@
 // TestNothingBeginsForOneWhoIsGone: a client closes or gives up while the loop is busy, and
 // a repeat for it is due in that same turn.
 func TestNothingBeginsForOneWhoIsGone(t *testing.T) {
-	for name, leave := range map[string]func(c *standin.PlatformClient, seq int32){
-		"closes": func(c *standin.PlatformClient, _ int32) { c.Close() },
-		"resets": func(c *standin.PlatformClient, _ int32) {
-			(&standin.PlatformConn{Conn: c.Conn}).Reset()
+	for name, leave := range map[string]func(c *testserver.PlatformClient, seq int32){
+		"closes": func(c *testserver.PlatformClient, _ int32) { c.Close() },
+		"resets": func(c *testserver.PlatformClient, _ int32) {
+			(&testserver.PlatformConn{Conn: c.Conn}).Reset()
 		},
-		"gives up":          func(c *standin.PlatformClient, seq int32) { c.Write(standin.PlatformForget(seq+1, seq)) },
-		"gives up and asks": func(c *standin.PlatformClient, seq int32) { c.Write(standin.PlatformForget(100, seq)); c.Well() },
+		"gives up":          func(c *testserver.PlatformClient, seq int32) { c.Write(testserver.PlatformForget(seq+1, seq)) },
+		"gives up and asks": func(c *testserver.PlatformClient, seq int32) { c.Write(testserver.PlatformForget(100, seq)); c.Well() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -187,12 +187,12 @@
 
 // TestGoneBehindManyCalls: what ends calls stands behind more of them than one read takes.
 func TestGoneBehindManyCalls(t *testing.T) {
-	for name, leave := range map[string]func(c *standin.PlatformClient){
-		"closed":  func(c *standin.PlatformClient) { c.Close() },
-		"refused": func(c *standin.PlatformClient) { c.Write([]byte{0xff, 0xff, 0xff, 0xff}) },
-		"given up": func(c *standin.PlatformClient) {
+	for name, leave := range map[string]func(c *testserver.PlatformClient){
+		"closed":  func(c *testserver.PlatformClient) { c.Close() },
+		"refused": func(c *testserver.PlatformClient) { c.Write([]byte{0xff, 0xff, 0xff, 0xff}) },
+		"given up": func(c *testserver.PlatformClient) {
 			for i := range int32(32) {
-				c.Write(standin.PlatformForget(i+100, i+1))
+				c.Write(testserver.PlatformForget(i+100, i+1))
 			}
 		},
 	} {
@@ -207,7 +207,7 @@
 			left := make(chan struct{})
 			go func() { // into the kernel, which holds more of it back than it passes on
 				for i := range int32(32) {
-					c.Write(standin.PlatformCall("serve", i+1, save(), make([]byte, 40000)))
+					c.Write(testserver.PlatformCall("serve", i+1, save(), make([]byte, 40000)))
 				}
 				leave(c)
 				close(left)
@@ -247,7 +247,7 @@
 				return all
 			})
 			closes.Close()
-			forgets.Write(standin.PlatformForget(seq+1, seq))
+			forgets.Write(testserver.PlatformForget(seq+1, seq))
 			w.turn()
 			if n := late.rest(t, 1500*time.Millisecond); n != 0 {
 				t.Errorf("%d attempts came", n)
@@ -260,7 +260,7 @@
 // first.
 func TestHalfACallBehindAWholeOne(t *testing.T) {
 	t.Parallel()
-	slow := func(c *standin.PlatformConn, q standin.PlatformRequest) {
+	slow := func(c *testserver.PlatformConn, q testserver.PlatformRequest) {
 		if !q.Stop && q.Fields["key"] == key {
 			time.AfterFunc(2700*time.Millisecond, func() { hits(c, q) })
 		}
@@ -268,7 +268,7 @@
 	w := open(t, map[string]handler{"s-000000c1": slow, "s-000000c2": slow, "s-000000a1": slow})
 	c := w.client()
 	c.Ask(clip(key, "wait", "3000"), nil)
-	half := standin.PlatformCall("serve", 2, clip(key), nil)
+	half := testserver.PlatformCall("serve", 2, clip(key), nil)
 	c.Write(half[:len(half)/2])
 	if r, err := c.Result(soon); err != nil || r.Seq != 1 {
 		t.Errorf("the whole call: %+v %v", r, err)
@@ -283,7 +283,7 @@
 func TestMemoryOfOthers(t *testing.T) {
 	t.Parallel()
 	w := open(t, map[string]handler{"s-000000c1": large(240000), "s-000000c2": large(240000)})
-	slow := func() *standin.PlatformClient {
+	slow := func() *testserver.PlatformClient {
 		c := w.client()
 		c.Conn.(*net.TCPConn).SetReadBuffer(16 << 10)
 		return c
@@ -466,7 +466,7 @@
 			w := open(t, nil)
 			w.warm()
 			release := w.hold()
-			done := make(chan standin.PlatformResult, 1)
+			done := make(chan testserver.PlatformResult, 1)
 			c := w.client()
 			c.Ask(clip(key), nil)
 			go func() {
@@ -574,7 +574,7 @@
 // halting takes only the first bytes of the first attempt that is written, and nothing more
 // on its connection for a while.
 type halting struct {
-	loop.KernelCalls
+	eventloop.KernelCalls
 	fd    int
 	until time.Time
 	span  time.Duration
@@ -628,7 +628,7 @@
 // answered, and cost the caches no trust: the others are served meanwhile and afterwards.
 func TestAlmostNoTimeLeft(t *testing.T) {
 	t.Parallel()
-	curt := func(c *standin.PlatformConn, q standin.PlatformRequest) {
+	curt := func(c *testserver.PlatformConn, q testserver.PlatformRequest) {
 		if wait, _ := strconv.Atoi(q.Fields["wait"]); wait > 30 {
 			hits(c, q)
 		}
@@ -689,8 +689,8 @@
 	t.Parallel()
 	const forgets = 200 * time.Millisecond
 	var mu sync.Mutex
-	last, held := map[*standin.PlatformConn]time.Time{}, true
-	on := func(c *standin.PlatformConn, q standin.PlatformRequest) {
+	last, held := map[*testserver.PlatformConn]time.Time{}, true
+	on := func(c *testserver.PlatformConn, q testserver.PlatformRequest) {
 		mu.Lock()
 		defer mu.Unlock()
 		before, known := last[c]
@@ -743,7 +743,7 @@
 // hand are answered, and its feed is asked from the last number.
 func TestReloadTwice(t *testing.T) {
 	t.Parallel()
-	slow := func(c *standin.PlatformConn, q standin.PlatformRequest) {
+	slow := func(c *testserver.PlatformConn, q testserver.PlatformRequest) {
 		if !q.Stop {
 			time.AfterFunc(150*time.Millisecond, func() { hits(c, q) })
 		}
--- a/internal/node/upstream.go
+++ b/internal/proxy/platform/upstream.go
@@ -1,4 +1,4 @@
-package node
+package platform
 
 import (
 	"math"
@@ -9,9 +9,9 @@
 	"golang.org/x/sys/unix"
 
 	spool "indigospool"
-	"indigospool/internal/limits"
-	"indigospool/internal/loop"
-	"indigospool/internal/resp"
+	"indigospool/internal/eventloop"
+	"indigospool/internal/protocol/resp"
+	"indigospool/internal/proxy/limits"
 )
 
 // attempt is one attempt of a request. It is out from when it is written whole until
@@ -23,7 +23,7 @@
 	send    spool.Send
 	sent    float64 // when the module wanted it
 	until   float64
-	timer   loop.Timer
+	timer   eventloop.Timer
 	p       *pool
 	c       *conn
 	begin   float64 // it must not begin to be written later; 0: no bound
@@ -84,7 +84,7 @@
 		m, ok := a.in.core.Member(id)
 		return ok && m.State == spool.Serving
 	}
-	now := loop.Clock()
+	now := eventloop.Clock()
 	return a.r.c == nil || now >= a.until || a.begin > 0 && now > a.begin || !serves(a.send.Cache) ||
 		a.send.Source != "" && !serves(a.send.Source)
 }
@@ -192,7 +192,7 @@
 			continue
 		}
 		switch {
-		case load == 0 && c.up && loop.Quiet(c.fd):
+		case load == 0 && c.up && eventloop.Quiet(c.fd):
 			if idle == nil || c.used > idle.used {
 				idle = c
 			}
@@ -259,7 +259,7 @@
 		return nil, p.failed(err)
 	}
 	c = &conn{p: p, fd: fd, used: n.l.Now()}
-	if err := n.l.Add(fd, loop.Read|loop.Write, c); err != nil {
+	if err := n.l.Add(fd, eventloop.Read|eventloop.Write, c); err != nil {
 		closeFD(fd)
 		return nil, p.failed(err)
 	}
@@ -280,7 +280,7 @@
 		n.log.Warn("no connection", zap.String("member", p.id), zap.String("address", p.address),
 			zap.Uint64("times", n.stats.NoDial), zap.Error(err))
 	}
-	if loop.Lacking(err) {
+	if eventloop.Lacking(err) {
 		return spool.LocalFailure
 	}
 	return spool.ConnectFailed
@@ -312,23 +312,23 @@
 	up      bool
 	closed  bool
 	retired bool // nothing new goes to it
-	in, out loop.Queue
-	pend    []*attempt // not begun to be written
-	writing *attempt   // in out, and not whole at the member yet
-	rested  float64    // how long it was not used before what is open on it, in ms
-	framed  float64    // when its frame was made
-	size    int        // of its frame, in bytes
-	rest    loop.Timer // when the rest of it would come too late
-	open    []*attempt // written whole
-	used    float64    // when it last was written to or read from
-	heard   float64    // when it was last read from
-	recent  [4]string  // requests that it had last: a copy of their answers may yet come
+	in, out eventloop.Queue
+	pend    []*attempt      // not begun to be written
+	writing *attempt        // in out, and not whole at the member yet
+	rested  float64         // how long it was not used before what is open on it, in ms
+	framed  float64         // when its frame was made
+	size    int             // of its frame, in bytes
+	rest    eventloop.Timer // when the rest of it would come too late
+	open    []*attempt      // written whole
+	used    float64         // when it last was written to or read from
+	heard   float64         // when it was last read from
+	recent  [4]string       // requests that it had last: a copy of their answers may yet come
 	at      int
-	timer   loop.Timer
+	timer   eventloop.Timer
 }
 
 // OnReady is the loop's.
-func (c *conn) OnReady(r loop.Ready) {
+func (c *conn) OnReady(r eventloop.Ready) {
 	if !c.up {
 		if !r.Writable() {
 			return
@@ -359,8 +359,8 @@
 	for !c.closed {
 		for c.out.Len() > 0 {
 			k, err := n.l.Write(c.fd, c.out.Bytes())
-			if loop.Later(err) {
-				n.l.Want(c.fd, loop.Read|loop.Write)
+			if eventloop.Later(err) {
+				n.l.Want(c.fd, eventloop.Read|eventloop.Write)
 				c.takeBack()
 				c.restBy()
 				return
@@ -372,7 +372,7 @@
 			c.out.Take(&n.bufs, k)
 		}
 		if a := c.writing; a != nil {
-			a.written, a.left, c.writing = true, loop.Clock(), nil
+			a.written, a.left, c.writing = true, eventloop.Clock(), nil
 			n.l.Disarm(&c.rest)
 			c.recent[c.at%len(c.recent)] = a.r.ID
 			c.at++
@@ -384,7 +384,7 @@
 				c.close()
 				return
 			}
-			n.l.Want(c.fd, loop.Read)
+			n.l.Want(c.fd, eventloop.Read)
 			return
 		}
 		a := c.pend[0]
@@ -406,7 +406,7 @@
 			}
 		}
 		c.writing, c.used = a, n.l.Now()
-		c.framed = loop.Clock()
+		c.framed = eventloop.Clock()
 		frame := a.frame(c.framed)
 		c.size = len(frame)
 		c.out.Add(&n.bufs, frame)
@@ -439,7 +439,7 @@
 // too long by now. A part of it is there: the connection goes with it.
 func (c *conn) stale() bool {
 	a := c.writing
-	if c.closed || a == nil || loop.Clock()-c.framed < frameSlack {
+	if c.closed || a == nil || eventloop.Clock()-c.framed < frameSlack {
 		return false
 	}
 	a.giveUp(spool.TimedOut)
@@ -515,7 +515,7 @@
 		room = c.in.Room()
 	}
 	k, err := n.l.Read(c.fd, room)
-	if loop.Later(err) {
+	if eventloop.Later(err) {
 		return
 	}
 	if err != nil || k == 0 {
--- a/internal/node/watch.go
+++ b/internal/proxy/platform/watch.go
@@ -1,11 +1,11 @@
-package node
+package platform
 
 import (
 	"go.uber.org/zap"
 
-	"indigospool/internal/feed"
-	"indigospool/internal/limits"
-	"indigospool/internal/loop"
+	"indigospool/internal/eventloop"
+	"indigospool/internal/protocol/discovery"
+	"indigospool/internal/proxy/limits"
 )
 
 // watch follows the control feed of the configuration, over one connection after another.
@@ -13,10 +13,10 @@
 // one that was begun after it, and the first to say something is followed.
 type watch struct {
 	node    *Node
-	reader  feed.Reader
+	reader  discovery.Reader
 	follows *feedConn // the one that was begun last, or has said something
 	awaits  *feedConn // an earlier one that has not said anything yet
-	timer   loop.Timer
+	timer   eventloop.Timer
 	tries   *limits.Again
 	dial    func(address string) (fd int, inProgress bool, err error)
 }
@@ -26,7 +26,7 @@
 	watch *watch
 	fd    int
 	hello []byte // what is still to be written first
-	began loop.Millis
+	began eventloop.Millis
 	up    bool // it has said something
 }
 
@@ -59,7 +59,7 @@
 		return
 	}
 	c := &feedConn{watch: w, fd: fd, hello: w.reader.Hello(), began: w.node.l.Now()}
-	if err := w.node.l.Add(fd, loop.Read|loop.Write, c); err != nil {
+	if err := w.node.l.Add(fd, eventloop.Read|eventloop.Write, c); err != nil {
 		closeFD(fd)
 		w.node.l.Arm(&w.timer, w.tries.In())
 		return
@@ -116,7 +116,7 @@
 }
 
 // OnReady is the loop's.
-func (c *feedConn) OnReady(ready loop.Ready) {
+func (c *feedConn) OnReady(ready eventloop.Ready) {
 	if ready.Writable() && len(c.hello) > 0 && !c.greet() {
 		return
 	}
@@ -128,7 +128,7 @@
 // greet writes what is left of the first message. False: the connection has ended.
 func (c *feedConn) greet() bool {
 	written, err := c.watch.node.l.Write(c.fd, c.hello)
-	if loop.Later(err) {
+	if eventloop.Later(err) {
 		return true
 	}
 	if err != nil {
@@ -136,7 +136,7 @@
 		return false
 	}
 	if c.hello = c.hello[written:]; len(c.hello) == 0 {
-		c.watch.node.l.Want(c.fd, loop.Read)
+		c.watch.node.l.Want(c.fd, eventloop.Read)
 	}
 	return true
 }
@@ -145,7 +145,7 @@
 func (c *feedConn) read() {
 	w, n := c.watch, c.watch.node
 	size, err := n.l.Read(c.fd, n.scratch)
-	if loop.Later(err) {
+	if eventloop.Later(err) {
 		return
 	}
 	if err != nil || size == 0 {
@@ -160,6 +160,6 @@
 		return
 	}
 	if w.reader.Idle > idle {
-		n.clock.Current(loop.Clock())
+		n.clock.Current(eventloop.Clock())
 	}
 }
--- a/internal/bench/bench.go
+++ b/internal/testbed/bench/bench.go
@@ -35,9 +35,9 @@
 
 	"indigospool/internal/cli"
 	"indigospool/internal/config"
-	"indigospool/internal/edge"
-	"indigospool/internal/loop"
-	"indigospool/internal/standin"
+	"indigospool/internal/eventloop"
+	"indigospool/internal/proxy/httpfront"
+	"indigospool/internal/testbed/testserver"
 )
 
 // Proxies are what can be measured.
@@ -113,7 +113,7 @@
 		b, ok := bodies.Load(kb)
 		if !ok {
 			made := make([]byte, kb<<10)
-			standin.Content(made, path, 1, 0)
+			testserver.Content(made, path, 1, 0)
 			b, _ = bodies.LoadOrStore(kb, made)
 		}
 		ctx.Response.Header.Set("Cache-Status", `"b"; hit`)
@@ -133,11 +133,11 @@
 		return err
 	}
 	cli.Steady(s.Limits.MemoryMB) // as spool-router serve does
-	log, err := edge.NewAccessLog(&s)
+	log, err := httpfront.NewAccessLog(&s)
 	if err != nil {
 		return err
 	}
-	e, err := edge.New(&s, log)
+	e, err := httpfront.New(&s, log)
 	if err != nil {
 		return err
 	}
@@ -182,7 +182,7 @@
 // serveRelay copies bytes between a client and a connection of its own to the
 // server, on the same loop as the router: no parsing, no pools, no decisions.
 func serveRelay(backend string) error {
-	l, err := loop.New(0)
+	l, err := eventloop.New(0)
 	if err != nil {
 		return err
 	}
@@ -203,7 +203,7 @@
 	r := &relay{l: l, buf: make([]byte, 256<<10)}
 	copy(r.to.Addr[:], to.IP.To4())
 	r.to.Port = to.Port
-	listener := loop.Listener{PerTurn: 64, Take: r.pair}
+	listener := eventloop.Listener{PerTurn: 64, Take: r.pair}
 	if err := listener.Start(l, fd); err != nil {
 		return err
 	}
@@ -213,7 +213,7 @@
 }
 
 type relay struct {
-	l   *loop.Loop
+	l   *eventloop.Loop
 	to  unix.SockaddrInet4
 	buf []byte
 }
@@ -242,7 +242,7 @@
 	a.other, b.other = b, a
 	for _, s := range []*side{a, b} {
 		unix.SetsockoptInt(s.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-		r.l.Add(s.fd, loop.Read, s)
+		r.l.Add(s.fd, eventloop.Read, s)
 	}
 }
 
@@ -256,23 +256,23 @@
 	}
 }
 
-func (s *side) OnReady(r loop.Ready) {
+func (s *side) OnReady(r eventloop.Ready) {
 	if r.Writable() && len(s.wait) > 0 {
 		n, err := s.r.l.Write(s.fd, s.wait)
-		if err != nil && !loop.Later(err) {
+		if err != nil && !eventloop.Later(err) {
 			s.close()
 			return
 		}
 		if s.wait = s.wait[n:]; len(s.wait) == 0 {
-			s.r.l.Want(s.fd, loop.Read)
-			s.r.l.Want(s.other.fd, loop.Read)
+			s.r.l.Want(s.fd, eventloop.Read)
+			s.r.l.Want(s.other.fd, eventloop.Read)
 		}
 	}
 	if !r.Readable() || len(s.other.wait) > 0 {
 		return
 	}
 	n, err := s.r.l.Read(s.fd, s.r.buf)
-	if loop.Later(err) {
+	if eventloop.Later(err) {
 		return
 	}
 	if err != nil || n == 0 {
@@ -280,13 +280,13 @@
 		return
 	}
 	m, err := s.r.l.Write(s.other.fd, s.r.buf[:n])
-	if err != nil && !loop.Later(err) {
+	if err != nil && !eventloop.Later(err) {
 		s.close()
 		return
 	}
 	if m < n {
 		s.other.wait = append([]byte(nil), s.r.buf[m:n]...)
-		s.r.l.Want(s.other.fd, loop.Read|loop.Write)
+		s.r.l.Want(s.other.fd, eventloop.Read|eventloop.Write)
 		s.r.l.Want(s.fd, 0)
 	}
 }
--- a/internal/bench/fleet.go
+++ b/internal/testbed/bench/fleet.go
@@ -21,9 +21,9 @@
 	"google.golang.org/grpc/stats"
 
 	"indigospool/internal/config"
-	"indigospool/internal/control"
-	"indigospool/internal/edge"
-	"indigospool/internal/fleet"
+	"indigospool/internal/controlplane/rollout"
+	"indigospool/internal/controlplane/service"
+	"indigospool/internal/proxy/httpfront"
 )
 
 // FleetResult is what one size of a fleet was measured to do.
@@ -46,7 +46,7 @@
 // serveControl is the service as a child: its listener for operators is told
 // behind the routers'.
 func serveControl(store string) error {
-	var s control.ServiceSettings
+	var s service.ServiceSettings
 	if err := config.Read("bench", fmt.Sprintf(`(service (name bench) (listen "127.0.0.1:0") (admin "127.0.0.1:0") (store %q)
 		(streams 10000) (per-second %s)) (checks (box-churn 1) (parent-churn 1))`, store, cmp.Or(os.Getenv(paceEnv), "500")), &s); err != nil {
 		return err
@@ -56,7 +56,7 @@
 			return err
 		}
 	}
-	svc, err := control.StartService(&s, zap.NewNop(), nil)
+	svc, err := service.StartService(&s, zap.NewNop(), nil)
 	if err != nil {
 		return err
 	}
@@ -138,18 +138,18 @@
 		return r, err
 	}
 	push := func(size float64) (n int64, err error) {
-		n, err = control.PushTo(ctx, admin, fleetText(size), true)
+		n, err = service.PushTo(ctx, admin, fleetText(size), true)
 		return n, err
 	}
 	if _, err := push(10); err != nil {
 		return r, err
 	}
 	var got received
-	agents := make([]*control.Agent, routers)
+	agents := make([]*service.Agent, routers)
 	began := time.Now()
 	for i := range agents {
-		agents[i] = control.StartAgent(control.AgentConfig{Router: fmt.Sprintf("router-%04d", i), Services: []string{addr}, Seed: uint64(i),
-			Full: full, Use: func(fleet.Use) {},
+		agents[i] = service.StartAgent(service.AgentConfig{Router: fmt.Sprintf("router-%04d", i), Services: []string{addr}, Seed: uint64(i),
+			Full: full, Use: func(rollout.Use) {},
 			Dial: []grpc.DialOption{grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithStatsHandler(&got)}})
 	}
 	defer func() {
@@ -160,7 +160,7 @@
 		}
 		wg.Wait()
 	}()
-	wait := func(what string, n func(control.AgentStatus) int64, number int64) (time.Duration, error) {
+	wait := func(what string, n func(service.AgentStatus) int64, number int64) (time.Duration, error) {
 		from := time.Now()
 		for i := 0; i < len(agents); {
 			if n(agents[i].Status()) >= number {
@@ -174,8 +174,8 @@
 		}
 		return time.Since(from), nil
 	}
-	accepted := func(s control.AgentStatus) int64 { return s.Accepted }
-	running := func(s control.AgentStatus) int64 { return s.Running }
+	accepted := func(s service.AgentStatus) int64 { return s.Accepted }
+	running := func(s service.AgentStatus) int64 { return s.Running }
 	if _, err := wait("use", running, 1); err != nil {
 		return r, err
 	}
@@ -252,11 +252,11 @@
 		(control (services %q) (store %q) (spread 1) (start wait))`, service, filepath.Join(dir, "good.db")), &s); err != nil {
 		return err
 	}
-	log, err := edge.NewAccessLog(&s)
+	log, err := httpfront.NewAccessLog(&s)
 	if err != nil {
 		return err
 	}
-	e, end, err := edge.Open(context.Background(), &s, log)
+	e, end, err := httpfront.Open(context.Background(), &s, log)
 	if err != nil {
 		return err
 	}
@@ -323,7 +323,7 @@
 	number := 0
 	push := func() (int64, error) {
 		number++
-		return control.PushTo(ctx, admin, followerText(server.Addr, number), true)
+		return service.PushTo(ctx, admin, followerText(server.Addr, number), true)
 	}
 	if _, err := push(); err != nil {
 		return r, err
@@ -381,7 +381,7 @@
 		r.Ratios = append(r.Ratios, float64(p99[1][i])/float64(p99[0][i]))
 	}
 	sort.Float64s(r.Ratios)
-	v, err := control.StatusOf(ctx, admin)
+	v, err := service.StatusOf(ctx, admin)
 	if err == nil && len(v.Routers) == 1 {
 		r.Run = v.Routers[0].Running
 	}
--- a/internal/bench/pages.go
+++ b/internal/testbed/bench/pages.go
@@ -16,7 +16,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/valyala/fasthttp"
 
-	"indigospool/internal/standin"
+	"indigospool/internal/testbed/testserver"
 )
 
 // Assemblers are what puts pages together in Pages: the router, and a small program that
@@ -53,7 +53,7 @@
 		}
 		time.Sleep(delay)
 		b := make([]byte, n<<10)
-		standin.Content(b, string(ctx.Path()), 1, 0)
+		testserver.Content(b, string(ctx.Path()), 1, 0)
 		ctx.SetContentType("application/octet-stream")
 		ctx.Response.SetBodyRaw(b)
 	})
--- a/internal/demo/demo.go
+++ b/internal/testbed/demo/demo.go
@@ -8,9 +8,9 @@
 	"io"
 
 	"indigospool/internal/config"
-	"indigospool/internal/core"
-	"indigospool/internal/edge"
-	"indigospool/internal/standin"
+	"indigospool/internal/proxy/engine"
+	"indigospool/internal/proxy/httpfront"
+	"indigospool/internal/testbed/testserver"
 )
 
 const settings = `
@@ -29,10 +29,10 @@
 
 // Demo is a running demonstration.
 type Demo struct {
-	Edge  *edge.Edge
-	List  *standin.List
+	Edge  *httpfront.Edge
+	List  *testserver.List
 	stops []func()
-	log   *edge.AccessLog
+	log   *httpfront.AccessLog
 }
 
 // Start starts it all. log is where the access log goes, as in the settings.
@@ -45,19 +45,19 @@
 		}
 	}()
 	var err error
-	if d.List, err = standin.StartList(standin.ListConfig{ID: "list"}, nil); err != nil {
+	if d.List, err = testserver.StartList(testserver.ListConfig{ID: "list"}, nil); err != nil {
 		return nil, err
 	}
 	d.stops = append(d.stops, d.List.Close)
 	start := func(id, role, zone, upstream string) (string, error) {
-		s, err := standin.Start(standin.Config{ID: id, Role: role, Zone: zone, Upstream: upstream, Flow: 10,
+		s, err := testserver.Start(testserver.Config{ID: id, Role: role, Zone: zone, Upstream: upstream, Flow: 10,
 			Capacity: 50, Latency: 2, Feedback: []string{"inflight", "x0"},
-			Classes: []standin.Class{{Name: "still", KB: 60}, {Name: "film", KB: 500}, {Name: "page", KB: 2}, {Name: "note", Write: true, Window: 2000}}}, nil)
+			Classes: []testserver.Class{{Name: "still", KB: 60}, {Name: "film", KB: 500}, {Name: "page", KB: 2}, {Name: "note", Write: true, Window: 2000}}}, nil)
 		if err != nil {
 			return "", err
 		}
 		d.stops = append(d.stops, s.Kill)
-		d.List.Set(core.Row{ID: id, Kind: role, Zone: zone, Address: s.Addr(), Start: 1}, 0)
+		d.List.Set(engine.Row{ID: id, Kind: role, Zone: zone, Address: s.Addr(), Start: 1}, 0)
 		return s.Addr(), nil
 	}
 	origin, err := start("origin", "origin", "hub", "")
@@ -77,10 +77,10 @@
 	if err := config.Read("demo", fmt.Sprintf(settings, d.List.Addr(), log), &s); err != nil {
 		return nil, err
 	}
-	if d.log, err = edge.NewAccessLog(&s); err != nil {
+	if d.log, err = httpfront.NewAccessLog(&s); err != nil {
 		return nil, err
 	}
-	if d.Edge, err = edge.New(&s, d.log); err != nil {
+	if d.Edge, err = httpfront.New(&s, d.log); err != nil {
 		return nil, err
 	}
 	ok = true
--- a/internal/drift/bench.go
+++ b/internal/testbed/differential/bench.go
@@ -1,4 +1,4 @@
-package drift
+package differential
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 	"math"
 
 	spool "indigospool"
-	"indigospool/internal/wire"
+	"indigospool/internal/protocol/simwire"
 )
 
 // bench is the simulator's side of the adapter's wire: what a router was told
@@ -139,7 +139,7 @@
 // of the lines.
 func (b *bench) play() ([][]spool.Action, error) {
 	var out bytes.Buffer
-	if err := wire.Serve(&b.in, &out); err != nil {
+	if err := simwire.Serve(&b.in, &out); err != nil {
 		return nil, fmt.Errorf("drift: the adapter: %w", err)
 	}
 	var all [][]spool.Action
--- a/internal/drift/drift.go
+++ b/internal/testbed/differential/drift.go
@@ -4,9 +4,9 @@
 // same. A program that is wired otherwise is found, whichever it is.
 //
 // It decides nothing, and takes no program's word for another's. Days run it on
-// their routers' journals (spool-day run --journal); drift_test.go runs it, and
+// their routers' journals (spool-scenario run --journal); drift_test.go runs it, and
 // spool-fleet's asker, on generated fleets with troubles.
-package drift
+package differential
 
 import (
 	"fmt"
@@ -16,11 +16,11 @@
 
 	spool "indigospool"
 	"indigospool/internal/config"
-	"indigospool/internal/core"
-	"indigospool/internal/explain"
-	"indigospool/internal/journal"
-	"indigospool/internal/replay"
-	"indigospool/internal/tap"
+	"indigospool/internal/decisionlog/explain"
+	"indigospool/internal/decisionlog/journal"
+	"indigospool/internal/decisionlog/replay"
+	"indigospool/internal/proxy/engine"
+	"indigospool/internal/testbed/trafficlog"
 )
 
 // Report is what was compared, and what differed.
@@ -90,7 +90,7 @@
 
 // Check compares a router's journal with what stand-ins saw of it, and with the
 // other programs. open opens the journal anew for each of them.
-func Check(open func() (*journal.Reader, error), recs []tap.Record, o Options) (*Report, error) {
+func Check(open func() (*journal.Reader, error), recs []trafficlog.Record, o Options) (*Report, error) {
 	if o.Stories <= 0 {
 		o.Stories = 20
 	}
@@ -181,17 +181,17 @@
 }
 
 // sockets compares the decided attempts with those that stand-ins saw.
-func (r *Report) sockets(told *record, recs []tap.Record, router string) {
+func (r *Report) sockets(told *record, recs []trafficlog.Record, router string) {
 	seen := map[attempt]bool{}
 	var kills []float64
 	for i := range recs {
-		if recs[i].Ev == tap.Kill && recs[i].Who == router {
+		if recs[i].Ev == trafficlog.Kill && recs[i].Who == router {
 			kills = append(kills, recs[i].T)
 		}
 	}
 	for i := range recs {
 		rec := &recs[i]
-		if rec.Ev != tap.Recv || rec.Req == "" || router != "" && rec.From != router {
+		if rec.Ev != trafficlog.Recv || rec.Req == "" || router != "" && rec.From != router {
 			continue
 		}
 		d := told.decided[attempt{rec.Req, rec.N}]
@@ -240,7 +240,7 @@
 		return err
 	}
 	defer j.Close()
-	rep, err := replay.Run(j, &replay.Watcher{After: func(e *journal.Entry, _ *core.Core, acts []spool.Action) {
+	rep, err := replay.Run(j, &replay.Watcher{After: func(e *journal.Entry, _ *engine.Core, acts []spool.Action) {
 		if r.Replay++; !same(acts, e.Actions) {
 			r.differ("replay: record %d at %.3f: %T%+v gives %+v, recorded is %+v", e.Number, e.T, e.Event, e.Event, acts, e.Actions)
 		}
@@ -277,7 +277,7 @@
 			if err := config.Read("journal", e.Life.Settings, s); err != nil {
 				return fmt.Errorf("drift: %w", err)
 			}
-			m, err := core.Module(s)
+			m, err := engine.Module(s)
 			if err != nil {
 				return fmt.Errorf("drift: %w", err)
 			}
--- a/internal/drift/drift_test.go
+++ b/internal/testbed/differential/drift_test.go
@@ -1,4 +1,4 @@
-package drift
+package differential
 
 import (
 	"context"
@@ -14,13 +14,13 @@
 
 	spool "indigospool"
 	"indigospool/internal/config"
-	"indigospool/internal/core"
-	"indigospool/internal/edge"
-	"indigospool/internal/http1"
-	"indigospool/internal/journal"
-	"indigospool/internal/listcheck"
-	"indigospool/internal/standin"
-	"indigospool/internal/tap"
+	"indigospool/internal/controlplane/endpointcheck"
+	"indigospool/internal/decisionlog/journal"
+	"indigospool/internal/protocol/http1"
+	"indigospool/internal/proxy/engine"
+	"indigospool/internal/proxy/httpfront"
+	"indigospool/internal/testbed/testserver"
+	"indigospool/internal/testbed/trafficlog"
 )
 
 const text = `
@@ -83,7 +83,7 @@
 	})
 }
 
-var faults = []string{standin.Slow, standin.FastErrors, standin.ResetBody, standin.Hang, standin.Garbage, standin.Vanish, standin.Truncated, standin.AnswerLost}
+var faults = []string{testserver.Slow, testserver.FastErrors, testserver.ResetBody, testserver.Hang, testserver.Garbage, testserver.Vanish, testserver.Truncated, testserver.AnswerLost}
 
 var cases = rapid.Custom(func(t *rapid.T) *fleetCase {
 	c := &fleetCase{Boxes: rapid.IntRange(2, 5).Draw(t, "boxes"), Parents: rapid.IntRange(1, 3).Draw(t, "parents")}
@@ -116,27 +116,27 @@
 type rig struct {
 	t        testing.TB
 	c        *fleetCase
-	tap      *tap.Writer
-	list     *standin.List
-	origin   *standin.Server
-	servers  []*standin.Server // boxes, then parents
-	rows     []core.Row
-	all      []*standin.Server
+	tap      *trafficlog.Writer
+	list     *testserver.List
+	origin   *testserver.Server
+	servers  []*testserver.Server // boxes, then parents
+	rows     []engine.Row
+	all      []*testserver.Server
 	settings *config.Settings
-	edge     *edge.Edge
+	edge     *httpfront.Edge
 	done     chan error
 	dir      string
 	client   *http.Client
 }
 
 func start(t testing.TB, c *fleetCase) *rig {
-	r := &rig{t: t, c: c, tap: tap.NewWriter(nil), done: make(chan error, 1), dir: t.TempDir(), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
+	r := &rig{t: t, c: c, tap: trafficlog.NewWriter(nil), done: make(chan error, 1), dir: t.TempDir(), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 	var err error
-	if r.list, err = standin.StartList(standin.ListConfig{ID: "list"}, r.tap); err != nil {
+	if r.list, err = testserver.StartList(testserver.ListConfig{ID: "list"}, r.tap); err != nil {
 		t.Fatal(err)
 	}
 	r.origin = r.machine("o", "origin", 1, false)
-	r.set(core.Row{ID: "o", Kind: "origin", Zone: "y", Address: r.origin.Addr()}, 0)
+	r.set(engine.Row{ID: "o", Kind: "origin", Zone: "y", Address: r.origin.Addr()}, 0)
 	for i := range c.Boxes + c.Parents {
 		id, role, zone := fmt.Sprint("b", i), "box", "z"
 		if i >= c.Boxes {
@@ -144,33 +144,33 @@
 		}
 		s := r.machine(id, role, 1, false)
 		r.servers = append(r.servers, s)
-		r.rows = append(r.rows, core.Row{ID: id, Kind: role, Zone: zone, Address: s.Addr(), Size: 30, Start: 1})
+		r.rows = append(r.rows, engine.Row{ID: id, Kind: role, Zone: zone, Address: s.Addr(), Size: 30, Start: 1})
 		r.set(r.rows[i], 0)
 	}
 	r.settings = &config.Settings{}
 	if err := config.Read("test", fmt.Sprintf(text, r.list.Addr(), r.dir, c.Siblings, c.Fill), r.settings); err != nil {
 		t.Fatal(err)
 	}
-	log, err := edge.NewAccessLog(r.settings)
+	log, err := httpfront.NewAccessLog(r.settings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.edge, err = edge.New(r.settings, log); err != nil {
+	if r.edge, err = httpfront.New(r.settings, log); err != nil {
 		t.Fatal(err)
 	}
 	go func() { r.done <- r.edge.Run() }()
-	r.until(func(co *core.Core) bool { _, ok := co.Member("p" + fmt.Sprint(c.Boxes+c.Parents-1)); return ok })
+	r.until(func(co *engine.Core) bool { _, ok := co.Member("p" + fmt.Sprint(c.Boxes+c.Parents-1)); return ok })
 	return r
 }
 
-func (r *rig) machine(id, role string, start int64, cold bool) *standin.Server {
+func (r *rig) machine(id, role string, start int64, cold bool) *testserver.Server {
 	up := ""
 	if role == "parent" {
 		up = r.origin.Addr()
 	}
-	s, err := standin.Start(standin.Config{ID: id, Role: role, Zone: "z", Upstream: up, Start: start, Cold: cold, Flow: 100, FillWait: 500, Capacity: 30,
+	s, err := testserver.Start(testserver.Config{ID: id, Role: role, Zone: "z", Upstream: up, Start: start, Cold: cold, Flow: 100, FillWait: 500, Capacity: 30,
 		ColdFrom: 0.2, ColdTime: 18000, Feedback: []string{"inflight"},
-		Classes: []standin.Class{{Name: "still", KB: 4}, {Name: "film", KB: 20}, {Name: "order", Write: true, Window: 600}}}, r.tap)
+		Classes: []testserver.Class{{Name: "still", KB: 4}, {Name: "film", KB: 20}, {Name: "order", Write: true, Window: 600}}}, r.tap)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -178,13 +178,13 @@
 	return s
 }
 
-func (r *rig) set(row core.Row, since float64) { r.list.Set(row, since) }
+func (r *rig) set(row engine.Row, since float64) { r.list.Set(row, since) }
 
-func (r *rig) until(ok func(*core.Core) bool) {
+func (r *rig) until(ok func(*engine.Core) bool) {
 	r.t.Helper()
 	for range 1000 {
 		good := false
-		if err := r.edge.Query(func(_ *edge.Stats, c *core.Core) { good = ok(c) }); err != nil {
+		if err := r.edge.Query(func(_ *httpfront.Stats, c *engine.Core) { good = ok(c) }); err != nil {
 			r.t.Fatal(err)
 		}
 		if good {
@@ -252,10 +252,10 @@
 }
 
 // places are where the sockets saw requests go, by the clients' names of them.
-func (r *rig) places() map[string]listcheck.Place {
-	out := map[string]listcheck.Place{}
+func (r *rig) places() map[string]endpointcheck.Place {
+	out := map[string]endpointcheck.Place{}
 	for _, rec := range r.tap.Records() {
-		if rec.Ev != tap.Recv || rec.ID == "" || rec.Via != "" {
+		if rec.Ev != trafficlog.Recv || rec.ID == "" || rec.Via != "" {
 			continue
 		}
 		p := out[rec.ID]
@@ -273,18 +273,18 @@
 }
 
 // asker is spool-fleet's router of the same settings and list.
-func (r *rig) asker() *listcheck.Asker {
-	a, err := listcheck.NewAsker(r.settings, 1)
+func (r *rig) asker() *endpointcheck.Asker {
+	a, err := endpointcheck.NewAsker(r.settings, 1)
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	n := &core.News{Rev: 1, How: "full", Members: append([]core.Row{{ID: "o", Kind: "origin", Zone: "y"}}, r.rows...)}
+	n := &engine.News{Rev: 1, How: "full", Members: append([]engine.Row{{ID: "o", Kind: "origin", Zone: "y"}}, r.rows...)}
 	a.Tell(n)
 	return a
 }
 
 // classified is the module's request of an ask, by the core.
-func (r *rig) classified(c *core.Core, a *ask) spool.Request {
+func (r *rig) classified(c *engine.Core, a *ask) spool.Request {
 	msg := a.method() + " " + a.Path + " HTTP/1.1\r\nHost: h\r\n"
 	for _, f := range a.fields() {
 		msg += f[0] + ": " + f[1] + "\r\n"
@@ -305,7 +305,7 @@
 func (r *rig) oneByOne() (compared int) {
 	began := time.Now()
 	a := r.asker()
-	want := map[string]listcheck.Place{}
+	want := map[string]endpointcheck.Place{}
 	held := map[ask]bool{}
 	round := func(name string, list []ask) {
 		for i := range list {
@@ -320,21 +320,21 @@
 		}
 	}
 	round("first-", r.c.First)
-	row := core.Row{}
+	row := engine.Row{}
 	switch ch := r.c.Change; ch.What {
 	case "add":
 		s := r.machine("b9", "box", 1, false)
-		row = core.Row{ID: "b9", Kind: "box", Zone: "z", Address: s.Addr(), Size: 30, Start: 1}
+		row = engine.Row{ID: "b9", Kind: "box", Zone: "z", Address: s.Addr(), Size: 30, Start: 1}
 	default:
 		row = r.rows[ch.Who]
 		row.State = map[string]string{"drain": "draining", "remove": "removed"}[ch.What]
 	}
 	r.set(row, 0)
-	r.until(func(c *core.Core) bool {
+	r.until(func(c *engine.Core) bool {
 		m, ok := c.Member(row.ID)
 		return ok && (m.State != spool.Serving) == (row.State != "")
 	})
-	a.Tell(&core.News{Rev: 2, How: "delta", Members: []core.Row{row}})
+	a.Tell(&engine.News{Rev: 2, How: "delta", Members: []engine.Row{row}})
 	round("second-", r.c.Second)
 	if time.Since(began) > 4*time.Second { // a window of the histogram may have closed by its time: no comparison
 		return 0
@@ -383,15 +383,15 @@
 		row.Start++
 		r.servers[x.Who] = r.machine(row.ID, row.Kind, row.Start, true)
 		row.Address, row.State = r.servers[x.Who].Addr(), ""
-		r.set(*row, tap.Now())
+		r.set(*row, trafficlog.Now())
 	case "purge":
-		at := r.origin.Purge("/s/1/c1", 0, tap.Now())
+		at := r.origin.Purge("/s/1/c1", 0, trafficlog.Now())
 		r.list.Purge("/s/1/c1", 0, at)
 	case "purge-group":
-		at := r.origin.Purge("", 2, tap.Now())
+		at := r.origin.Purge("", 2, trafficlog.Now())
 		r.list.Purge("", 2, at)
 	default:
-		if err := r.servers[x.Who].Fault(standin.Fault{Kind: x.What, For: 120, Factor: 6, Share: 0.7}); err != nil {
+		if err := r.servers[x.Who].Fault(testserver.Fault{Kind: x.What, For: 120, Factor: 6, Share: 0.7}); err != nil {
 			r.t.Error(err)
 		}
 	}
--- a/internal/faultinject/faultinject.go
+++ b/internal/testbed/faultinject/faultinject.go
@@ -34,7 +34,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"indigospool/internal/loop"
+	"indigospool/internal/eventloop"
 )
 
 // Call names a kind of system call.
@@ -166,7 +166,7 @@
 // Syscalls fails calls by a plan; what does not fail is passed on. It may be used from any
 // goroutine.
 type Syscalls struct {
-	next  loop.Syscalls
+	next  eventloop.Syscalls
 	clock func() time.Duration
 
 	mu     sync.Mutex
@@ -176,12 +176,12 @@
 	failed map[Call]int
 }
 
-var _ loop.Syscalls = (*Syscalls)(nil)
+var _ eventloop.Syscalls = (*Syscalls)(nil)
 
 // New fails calls of the kernel's by a plan, whose spans are readings of clock. The same
 // seed fails the same calls of the same sequence.
 func New(plan Plan, seed uint64, clock func() time.Duration) *Syscalls {
-	return &Syscalls{next: loop.Kernel, clock: clock, plan: append(Plan(nil), plan...), random: rand.New(rand.NewPCG(seed, 0)),
+	return &Syscalls{next: eventloop.Kernel, clock: clock, plan: append(Plan(nil), plan...), random: rand.New(rand.NewPCG(seed, 0)),
 		made: map[Call]int{}, failed: map[Call]int{}}
 }
 
--- a/internal/rules/clients.go
+++ b/internal/testbed/invariants/clients.go
@@ -1,22 +1,22 @@
-package rules
+package invariants
 
 import (
 	"encoding/json"
 	"fmt"
 	"math"
 
-	"indigospool/internal/tap"
+	"indigospool/internal/testbed/trafficlog"
 )
 
 // ClientFault is a repeat of a write that a client of the day had no right to make: none
 // of the router's answers let it, and the key's window did not cover it. It is a fault of
 // the test, not a broken rule of the router's, and fails the day as well.
 type ClientFault struct {
-	T      float64      `json:"t"`
-	Key    string       `json:"key"`
-	Repeat string       `json:"repeat"` // the request that should not have been made
-	What   string       `json:"what"`
-	Around []tap.Record `json:"around,omitempty"` // of the first fault of a tap
+	T      float64             `json:"t"`
+	Key    string              `json:"key"`
+	Repeat string              `json:"repeat"` // the request that should not have been made
+	What   string              `json:"what"`
+	Around []trafficlog.Record `json:"around,omitempty"` // of the first fault of a tap
 }
 
 func (f *ClientFault) Error() string {
@@ -26,7 +26,7 @@
 // clientTry is one try of a write, as its client saw it.
 type clientTry struct {
 	index     int // of its ask in the tap
-	ask       *tap.Record
+	ask       *trafficlog.Record
 	refusedAt float64 // when the client read a 503: the promise that a repeat is harmless; +Inf: never
 	unreached bool    // no router took it, says its client
 	ran       bool    // and yet, or as it should be, it had an effect
@@ -37,17 +37,17 @@
 	tries := map[string]*clientTry{}
 	for i := range c.recs {
 		ask := &c.recs[i]
-		if ask.Ev != tap.Ask || ask.Key == "" {
+		if ask.Ev != trafficlog.Ask || ask.Key == "" {
 			continue
 		}
 		try := &clientTry{index: i, ask: ask, refusedAt: math.Inf(1)}
 		for _, k := range c.ids[ask.ID] {
 			switch r := &c.recs[k]; {
-			case r.Ev == tap.Head && r.Status == 503:
+			case r.Ev == trafficlog.Head && r.Status == 503:
 				try.refusedAt = min(try.refusedAt, r.T)
-			case r.Ev == tap.End:
+			case r.Ev == trafficlog.End:
 				try.unreached = r.Err == "unreached"
-			case r.Ev == tap.Ran && r.Note != "dropped":
+			case r.Ev == trafficlog.Ran && r.Note != "dropped":
 				try.ran = true
 			}
 		}
@@ -81,7 +81,7 @@
 // it is: it sent one request again, or had told the client that a repeat is harmless, or
 // the client's repeat stood inside the window. Only where none of that is so, for any of
 // the effects before, it is the client's fault. What is not known is the router's.
-func (c *checker) routersFault(before []*tap.Record, second *tap.Record) (why string, is bool) {
+func (c *checker) routersFault(before []*trafficlog.Record, second *trafficlog.Record) (why string, is bool) {
 	for _, r := range before {
 		first, repeat := c.tries[r.ID], c.tries[second.ID]
 		if first == nil || repeat == nil || first.ask.Key != repeat.ask.Key {
@@ -108,7 +108,7 @@
 	asked := map[string][]*clientTry{} // by key
 	for i := range c.recs {
 		ask := &c.recs[i]
-		if ask.Ev != tap.Ask || ask.Key == "" {
+		if ask.Ev != trafficlog.Ask || ask.Key == "" {
 			continue
 		}
 		repeat, before := c.tries[ask.ID], asked[ask.Key]
@@ -152,7 +152,7 @@
 }
 
 // lines are records as lines, set in.
-func lines(recs []tap.Record) string {
+func lines(recs []trafficlog.Record) string {
 	s := ""
 	for _, r := range recs {
 		line, _ := json.Marshal(r)
--- a/internal/rules/rules.go
+++ b/internal/testbed/invariants/rules.go
@@ -3,7 +3,7 @@
 // itself, and shares no code with the decision module, so that one can't excuse
 // the other. For each rule it counts what it looked at: a rule with nothing to
 // look at is not kept but unproven.
-package rules
+package invariants
 
 import (
 	"encoding/json"
@@ -13,7 +13,7 @@
 	"sort"
 	"strings"
 
-	"indigospool/internal/tap"
+	"indigospool/internal/testbed/trafficlog"
 )
 
 // Class is what the rules need to know of a class.
@@ -49,16 +49,16 @@
 const Ev = "figures"
 
 // Record is the figures as a record, the first of a tap.
-func (f Figures) Record() tap.Record {
+func (f Figures) Record() trafficlog.Record {
 	b, err := json.Marshal(f)
 	if err != nil {
-		return tap.Record{Ev: Ev, Err: err.Error()}
+		return trafficlog.Record{Ev: Ev, Err: err.Error()}
 	}
-	return tap.Record{T: tap.Now(), Ev: Ev, Note: string(b)}
+	return trafficlog.Record{T: trafficlog.Now(), Ev: Ev, Note: string(b)}
 }
 
 // FromTap finds the figures in a tap.
-func FromTap(recs []tap.Record) (f Figures, err error) {
+func FromTap(recs []trafficlog.Record) (f Figures, err error) {
 	for i := range recs {
 		if recs[i].Ev == Ev {
 			if err := json.Unmarshal([]byte(recs[i].Note), &f); err != nil {
@@ -67,14 +67,14 @@
 			return f, nil
 		}
 	}
-	return f, fmt.Errorf("rules: the tap holds no figures; it was not written by spool-day run")
+	return f, fmt.Errorf("rules: the tap holds no figures; it was not written by spool-scenario run")
 }
 
 // Break is one break of a rule.
 type Break struct {
-	T      float64      `json:"t"`
-	What   string       `json:"what"`
-	Around []tap.Record `json:"around,omitempty"` // of the first break of its rule
+	T      float64             `json:"t"`
+	What   string              `json:"what"`
+	Around []trafficlog.Record `json:"around,omitempty"` // of the first break of its rule
 }
 
 // Verdict is what was found of one rule.
@@ -100,7 +100,7 @@
 // checker holds the tap in the forms that the checks need.
 type checker struct {
 	f     Figures
-	recs  []tap.Record
+	recs  []trafficlog.Record
 	ids   map[string][]int // by client's request
 	tries map[string]*clientTry
 	kills map[string][]float64
@@ -109,8 +109,8 @@
 }
 
 // Check judges a tap; its records are in the order of time afterwards.
-func Check(recs []tap.Record, f Figures) []Verdict {
-	tap.Sort(recs)
+func Check(recs []trafficlog.Record, f Figures) []Verdict {
+	trafficlog.Sort(recs)
 	c := &checker{f: f, recs: recs, ids: map[string][]int{}, kills: map[string][]float64{}, lives: map[string][]float64{}}
 	for i := range c.out {
 		c.out[i] = Verdict{Rule: i, Name: names[i], Tried: !slices.Contains(f.NotTried, i)}
@@ -121,9 +121,9 @@
 			c.ids[r.ID] = append(c.ids[r.ID], i)
 		}
 		switch {
-		case r.Ev == tap.Kill && r.Role == "router":
+		case r.Ev == trafficlog.Kill && r.Role == "router":
 			c.kills[r.Who] = append(c.kills[r.Who], r.T)
-		case r.Ev == tap.Up && r.Role == "router":
+		case r.Ev == trafficlog.Up && r.Role == "router":
 			c.lives[r.Who] = append(c.lives[r.Who], r.T)
 		}
 	}
@@ -149,7 +149,7 @@
 
 // around is what is known of the request that a record is of, and else the
 // records of the same member or router just before and after it.
-func (c *checker) around(i int) (out []tap.Record) {
+func (c *checker) around(i int) (out []trafficlog.Record) {
 	r := &c.recs[i]
 	if r.ID != "" {
 		for _, k := range c.ids[r.ID] {
@@ -166,7 +166,7 @@
 }
 
 // ofKey is what is known of all tries of a write, up to a number of records.
-func (c *checker) ofKey(key string) (out []tap.Record) {
+func (c *checker) ofKey(key string) (out []trafficlog.Record) {
 	const most = 48
 	for i := range c.recs {
 		if c.recs[i].Key == key && len(out) < most {
@@ -208,7 +208,7 @@
 func (c *checker) answers() {
 	for i := range c.recs {
 		ask := &c.recs[i]
-		if ask.Ev != tap.Ask {
+		if ask.Ev != trafficlog.Ask {
 			continue
 		}
 		var heads int
@@ -217,15 +217,15 @@
 		why, whole := "", false
 		for _, k := range c.ids[ask.ID] {
 			switch x := &c.recs[k]; {
-			case x.Ev == tap.Head:
+			case x.Ev == trafficlog.Head:
 				heads++
 				first = min(first, x.T)
 				if heads == 2 {
 					c.fail(1, k, "request %s has a second answer (%d %s)", ask.ID, x.Status, x.Note)
 				}
-			case x.Ev == tap.End:
+			case x.Ev == trafficlog.End:
 				ended, why, whole = x.T, x.Err, x.Err == ""
-			case x.Ev == tap.Recv && x.Via == "":
+			case x.Ev == trafficlog.Recv && x.Via == "":
 				if x.T > late {
 					late, lateAt = x.T, k
 				}
@@ -263,7 +263,7 @@
 // once only where they are allowed. A second effect for which the client alone is to
 // blame is its fault, see repeats.
 func (c *checker) effects() {
-	ran := map[string][]*tap.Record{}
+	ran := map[string][]*trafficlog.Record{}
 	twice := map[string]bool{} // keys whose break is told
 	type attempt struct {
 		i        int
@@ -276,11 +276,11 @@
 	atMember := map[string][]string{} // requests with attempts there, in this life of it
 	for i := range c.recs {
 		switch r := &c.recs[i]; r.Ev {
-		case tap.Up:
+		case trafficlog.Up:
 			if r.Role != "router" {
 				zone[r.Who] = r.Note
 			}
-		case tap.Kill: // ends what the member had in hand
+		case trafficlog.Kill: // ends what the member had in hand
 			for _, req := range atMember[r.Who] {
 				for k := range byReq[req] {
 					if a := &byReq[req][k]; c.recs[a.i].Who == r.Who {
@@ -289,7 +289,7 @@
 				}
 			}
 			delete(atMember, r.Who)
-		case tap.Ran:
+		case trafficlog.Ran:
 			c.out[2].Checks++
 			if r.Note != "dropped" && r.Key != "" && c.f.Classes[r.Class].Effect != "free" {
 				if why, is := c.routersFault(ran[r.Key], r); is && !twice[r.Key] {
@@ -301,17 +301,17 @@
 				}
 				ran[r.Key] = append(ran[r.Key], r)
 			}
-		case tap.Recv:
+		case trafficlog.Recv:
 			if r.Via == "" && r.Req != "" {
 				atMember[r.Who] = append(atMember[r.Who], r.Req)
 				byReq[r.Req] = append(byReq[r.Req], attempt{i: i, from: r.T, to: math.Inf(1), n: r.N})
 			}
-		case tap.Sent, tap.Left:
+		case trafficlog.Sent, trafficlog.Left:
 			list := byReq[r.Req]
 			for k := range list {
 				if a := &list[k]; r.Via == "" && a.n == r.N && c.recs[a.i].Who == r.Who {
 					a.to = min(a.to, r.T)
-					if r.Ev == tap.Sent {
+					if r.Ev == trafficlog.Sent {
 						a.sent = r.Status
 					}
 				}
@@ -383,7 +383,7 @@
 	for i := range c.recs {
 		r := &c.recs[i]
 		switch {
-		case r.Ev == tap.Up && r.Role == "router": // a new life knows only what it is told
+		case r.Ev == trafficlog.Up && r.Role == "router": // a new life knows only what it is told
 			for k := range out {
 				if k.router == r.Who {
 					delete(out, k)
@@ -392,10 +392,10 @@
 			delete(known, r.Who)
 			delete(inFull, r.Who)
 			delete(outAt, r.Who)
-		case r.Ev == tap.Told && r.Note == "full":
+		case r.Ev == trafficlog.Told && r.Note == "full":
 			closeFull(r.Who)
 			inFull[r.Who], fullAt[r.Who] = map[string]bool{}, r.T
-		case r.Ev == tap.Told && r.Src != "":
+		case r.Ev == trafficlog.Told && r.Src != "":
 			if known[r.Who] == nil {
 				known[r.Who] = map[string]bool{}
 			}
@@ -412,7 +412,7 @@
 				out[k] = r.T
 			}
 			recount(r.Who)
-		case r.Ev == tap.Recv && r.Via == "":
+		case r.Ev == trafficlog.Recv && r.Via == "":
 			closeFull(r.From)
 			if due := outAt[r.From]; due > 0 && r.T > due+c.f.DrainGrace+c.f.Spread {
 				c.out[3].Checks++ // somebody is out for this router, and it sent elsewhere or did not
@@ -442,7 +442,7 @@
 // Two thirds of it must come from routers that were told of its start.
 func (c *checker) cold() {
 	type life struct {
-		up       *tap.Record
+		up       *trafficlog.Record
 		arrivals []int
 		broken   bool
 	}
@@ -455,11 +455,11 @@
 	for i := range c.recs {
 		r := &c.recs[i]
 		switch {
-		case r.Ev == tap.Up && r.Cold && (r.Role == "box" || r.Role == "parent"):
+		case r.Ev == trafficlog.Up && r.Cold && (r.Role == "box" || r.Role == "parent"):
 			lives[key{r.Who, r.Start}] = &life{up: r}
-		case r.Ev == tap.Told && r.Src != "":
+		case r.Ev == trafficlog.Told && r.Src != "":
 			told[[2]string{r.Who, r.Src}] = max(told[[2]string{r.Who, r.Src}], r.Start)
-		case r.Ev == tap.Recv:
+		case r.Ev == trafficlog.Recv:
 			l := lives[key{r.Who, r.Start}]
 			if l == nil || l.broken {
 				continue
@@ -515,19 +515,19 @@
 }
 
 // take takes a record, if it is of purges or of a router's new life.
-func (l *ledger) take(r *tap.Record) bool {
+func (l *ledger) take(r *trafficlog.Record) bool {
 	switch {
-	case r.Ev == tap.Up && r.Role == "router":
+	case r.Ev == trafficlog.Up && r.Role == "router":
 		for k := range l.told {
 			if k.router == r.Who {
 				delete(l.told, k)
 			}
 		}
-	case r.Ev == tap.Purge && r.Object != "":
+	case r.Ev == trafficlog.Purge && r.Object != "":
 		l.objects[r.Object] = append(l.objects[r.Object], r.T)
-	case r.Ev == tap.Purge:
+	case r.Ev == trafficlog.Purge:
 		l.groups[r.Group] = append(l.groups[r.Group], r.T)
-	case r.Ev == tap.Told && r.Note == "purge":
+	case r.Ev == trafficlog.Told && r.Note == "purge":
 		k := ledgerKey{r.Who, r.Object, r.Group}
 		if r.Object != "" {
 			k.group = 0
@@ -578,11 +578,11 @@
 		r := &c.recs[i]
 		switch {
 		case l.take(r):
-		case r.Ev == tap.End && strings.HasPrefix(r.Err, "byte "):
+		case r.Ev == trafficlog.End && strings.HasPrefix(r.Err, "byte "):
 			c.fail(5, i, "request %s: %s: copies were spliced", r.ID, r.Err)
-		case r.Ev == tap.Recv && r.Via == "":
+		case r.Ev == trafficlog.Recv && r.Via == "":
 			recv[at{r.Who, r.Req, r.N, r.Start}] = r.T
-		case r.Ev == tap.Sent && r.Via == "" && (r.Status == 200 || r.Status == 206) && !r.Write:
+		case r.Ev == trafficlog.Sent && r.Via == "" && (r.Status == 200 || r.Status == 206) && !r.Write:
 			t, ok := recv[at{r.Who, r.Req, r.N, r.Start}]
 			if !ok {
 				continue
@@ -606,18 +606,18 @@
 	for i := range c.recs {
 		switch r := &c.recs[i]; {
 		case l.take(r):
-		case r.Ev == tap.End:
+		case r.Ev == trafficlog.End:
 			ended[r.ID] = r.T
-		case r.Ev == tap.Recv && r.Via == "":
+		case r.Ev == trafficlog.Recv && r.Via == "":
 			page, _, is := strings.Cut(r.ID, ".f")
 			if t, over := ended[page]; is && over && r.T > t+c.f.Spread {
 				c.fail(1, i, "piece %s is asked for %.0f ms after its page has ended", r.ID, r.T-t)
 			}
-		case r.Ev == tap.Piece && r.Err == "missing":
-		case r.Ev == tap.Piece && r.Err != "":
+		case r.Ev == trafficlog.Piece && r.Err == "missing":
+		case r.Ev == trafficlog.Piece && r.Err != "":
 			c.out[1].Checks++
 			c.fail(1, i, "the page of request %s is not as it must be: %s", r.ID, r.Err)
-		case r.Ev == tap.Piece:
+		case r.Ev == trafficlog.Piece:
 			c.out[1].Checks++
 			c.out[5].Checks++
 			if least := l.least(r.Who, r.Object, r.Group, r.T); r.Ver < least {
--- a/internal/load/arrivals.go
+++ b/internal/testbed/loadgen/arrivals.go
@@ -5,7 +5,7 @@
 //
 // It measures and decides nothing of a router's. arrivals.go draws what comes when,
 // without I/O and from a seed; run.go asks; plot.go draws the results.
-package load
+package loadgen
 
 import (
 	"fmt"
--- a/internal/load/record.go
+++ b/internal/testbed/loadgen/record.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"bufio"
@@ -15,8 +15,8 @@
 
 	spool "indigospool"
 	"indigospool/internal/config"
-	"indigospool/internal/core"
-	"indigospool/internal/journal"
+	"indigospool/internal/decisionlog/journal"
+	"indigospool/internal/proxy/engine"
 )
 
 // RecordOptions say how a record is made again.
@@ -38,7 +38,7 @@
 	o       RecordOptions
 	next    func() (float64, *spool.Request, error) // when it came, on any clock that goes forward
 	close   func()
-	core    *core.Core
+	core    *engine.Core
 	classes []Class
 	place   map[string]int
 	base    float64 // the first one's time
@@ -87,7 +87,7 @@
 func (r *Record) Close() { r.close() }
 
 func (r *Record) routes(s *config.Settings) error {
-	c, err := core.New(s, 1)
+	c, err := engine.New(s, 1)
 	if err != nil {
 		return err
 	}
@@ -318,5 +318,5 @@
 		return 0, nil, io.EOF
 	}
 	one := heap.Pop(&l.wait).(*logLine)
-	return one.end - one.MS, &spool.Request{ID: one.ID, Class: one.Class, Object: one.Object, Part: one.Part, Group: core.AnyGroup}, nil
+	return one.end - one.MS, &spool.Request{ID: one.ID, Class: one.Class, Object: one.Object, Part: one.Part, Group: engine.AnyGroup}, nil
 }
--- a/internal/load/record_test.go
+++ b/internal/testbed/loadgen/record_test.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	spool "indigospool"
 	"indigospool/internal/config"
 
-	"indigospool/internal/journal"
+	"indigospool/internal/decisionlog/journal"
 )
 
 const routes = `(router (zone z)) (fill (range-kb 64))
--- a/internal/load/run.go
+++ b/internal/testbed/loadgen/run.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"context"
--- a/internal/day/box.go
+++ b/internal/testbed/scenario/box.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"bufio"
@@ -6,16 +6,16 @@
 	"fmt"
 	"os"
 
-	"indigospool/internal/cache"
-	"indigospool/internal/standin"
-	"indigospool/internal/store"
-	"indigospool/internal/tap"
+	"indigospool/internal/cachenode/server"
+	"indigospool/internal/cachenode/store"
+	"indigospool/internal/testbed/testserver"
+	"indigospool/internal/testbed/trafficlog"
 )
 
-// boxConfig is a box of the day's that is spool-box: what it would be as a stand-in, and
+// boxConfig is a box of the day's that is spool-cache: what it would be as a stand-in, and
 // the folder that outlives its processes.
 type boxConfig struct {
-	standin.Config
+	testserver.Config
 	Folder string `json:"folder"`
 }
 
@@ -40,21 +40,21 @@
 	if fills <= 0 {
 		fills = 1024
 	}
-	s, err := cache.StartOn(faultyFolder{store.Dir(c.Folder), faults}, cache.Form{Name: c.ID, Listen: "127.0.0.1:0", Folder: c.Folder, MB: float64(c.Bytes) / (1 << 20), Segment: max(float64(c.Bytes)/(16<<20), 0.5), Sync: "purges",
+	s, err := server.StartOn(faultyFolder{store.Dir(c.Folder), faults}, server.Form{Name: c.ID, Listen: "127.0.0.1:0", Folder: c.Folder, MB: float64(c.Bytes) / (1 << 20), Segment: max(float64(c.Bytes)/(16<<20), 0.5), Sync: "purges",
 		Threads: 2, Queue: 512, Patience: 2000, Fills: fills, FillWait: c.FillWait, Connect: 500, Idle: 300_000, Conns: 20000, Held: 1 << 20, Body: 1 << 20, RunOn: c.RunOn},
 		func(w string) { fmt.Fprintln(os.Stderr, c.ID, w) })
 	if err != nil {
 		return err
 	}
 	s.Intercept(faults.syscalls())
-	w := tap.NewWriter(os.Stdout)
+	w := trafficlog.NewWriter(os.Stdout)
 	kb := map[string]float64{}
 	for _, k := range c.Classes {
 		kb[k.Name] = k.KB
 	}
-	s.Watch = func(e cache.Seen) {
+	s.Watch = func(e server.Seen) {
 		a := e.Attempt
-		r := tap.Record{Ev: tap.Recv, Who: c.ID, Role: c.Role, Start: c.Start, Req: a.ID, N: a.Number, From: a.From, Via: a.Via, Src: a.Source, Class: a.Class,
+		r := trafficlog.Record{Ev: trafficlog.Recv, Who: c.ID, Role: c.Role, Start: c.Start, Req: a.ID, N: a.Number, From: a.From, Via: a.Via, Src: a.Source, Class: a.Class,
 			Object: a.Object, Group: a.Group, Key: e.Header.Get("Idempotency-Key"), Write: e.Method != "GET" && e.Method != "HEAD", ID: e.Header.Get("X-Request-Id"),
 			Work: kb[a.Class] / max(c.Flow, 0.01)}
 		switch e.What {
@@ -63,15 +63,15 @@
 				r.Note = "fill"
 			}
 		case "sent":
-			r.Ev, r.Status, r.Ver, r.Bytes, r.Hit = tap.Sent, e.Status, e.Version, e.Bytes, e.Hit
+			r.Ev, r.Status, r.Ver, r.Bytes, r.Hit = trafficlog.Sent, e.Status, e.Version, e.Bytes, e.Hit
 		case "done":
-			r.Ev, r.Bytes = tap.Done, e.Bytes
+			r.Ev, r.Bytes = trafficlog.Done, e.Bytes
 		case "left":
-			r.Ev = tap.Left
+			r.Ev = trafficlog.Left
 		}
 		w.Add(r)
 	}
-	w.Add(tap.Record{Ev: tap.Up, Who: c.ID, Role: c.Role, Addr: s.Addr(), Start: c.Start, Cold: c.Cold, Work: c.Capacity, Note: c.Zone,
+	w.Add(trafficlog.Record{Ev: trafficlog.Up, Who: c.ID, Role: c.Role, Addr: s.Addr(), Start: c.Start, Cold: c.Cold, Work: c.Capacity, Note: c.Zone,
 		Bytes: s.Found.Bytes})
 	go func() {
 		faults.untilOrphaned(in)
--- a/internal/day/calls.go
+++ b/internal/testbed/scenario/calls.go
@@ -1,13 +1,13 @@
-package day
+package scenario
 
 import (
 	"fmt"
 
 	"golang.org/x/sys/unix"
 
-	"indigospool/internal/faultinject"
-	"indigospool/internal/loop"
-	"indigospool/internal/tap"
+	"indigospool/internal/eventloop"
+	"indigospool/internal/testbed/faultinject"
+	"indigospool/internal/testbed/trafficlog"
 )
 
 // Whose connections a trouble of syscalls meets with its reads and writes.
@@ -25,7 +25,7 @@
 	accepted map[int]bool // by descriptor: whether the last connection of that number came from a client
 }
 
-var _ loop.Syscalls = (*faultyCalls)(nil)
+var _ eventloop.Syscalls = (*faultyCalls)(nil)
 
 func newFaultyCalls(faults *injector) *faultyCalls {
 	return &faultyCalls{faults: faults, accepted: map[int]bool{}}
@@ -63,21 +63,21 @@
 }
 
 // now are the calls that hold at the moment.
-func (c *faultyCalls) now() loop.Syscalls {
-	if planned := c.faults.calls.Load(); planned != nil && tap.Now() < planned.until {
+func (c *faultyCalls) now() eventloop.Syscalls {
+	if planned := c.faults.calls.Load(); planned != nil && trafficlog.Now() < planned.until {
 		return planned.calls
 	}
-	return loop.Kernel
+	return eventloop.Kernel
 }
 
 // on are the calls that hold for a connection at the moment.
-func (c *faultyCalls) on(fd int) loop.Syscalls {
+func (c *faultyCalls) on(fd int) eventloop.Syscalls {
 	planned := c.faults.calls.Load()
 	switch {
-	case planned == nil || tap.Now() >= planned.until:
-		return loop.Kernel
+	case planned == nil || trafficlog.Now() >= planned.until:
+		return eventloop.Kernel
 	case planned.peer == peerMembers && c.accepted[fd], planned.peer == peerClients && !c.accepted[fd]:
-		return loop.Kernel
+		return eventloop.Kernel
 	}
 	return planned.calls
 }
--- a/internal/day/clients.go
+++ b/internal/testbed/scenario/clients.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"bufio"
@@ -18,9 +18,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"indigospool/internal/fillwire"
-	"indigospool/internal/standin"
-	"indigospool/internal/tap"
+	"indigospool/internal/protocol/fetchheader"
+	"indigospool/internal/testbed/testserver"
+	"indigospool/internal/testbed/trafficlog"
 )
 
 // clients make requests of one zone: arrivals are open-loop, so that a slow
@@ -48,10 +48,10 @@
 	for i := range c.d.s.Classes {
 		perSession += c.d.s.Classes[i].Share / total
 	}
-	next := tap.Now()
+	next := trafficlog.Now()
 	for {
 		next += c.rng.ExpFloat64() * 1000 * perSession / c.rate
-		if d := next - tap.Now(); d > 0.5 {
+		if d := next - trafficlog.Now(); d > 0.5 {
 			select {
 			case <-time.After(time.Duration(d * float64(time.Millisecond))):
 			case <-ctx.Done():
@@ -91,7 +91,7 @@
 
 // object is the number of an object: popular ones are small.
 func (c *clients) object(k *Class, rng *rand.Rand) string {
-	now := tap.Now()
+	now := trafficlog.Now()
 	if hot := c.d.hot.Load(); hot != nil && now < hot.until && rng.Float64() < hot.share {
 		return hot.name
 	}
@@ -149,7 +149,7 @@
 	}
 	for try := 0; ; try++ {
 		r := c.d.routerFor(c.zone, rng)
-		asked := tap.Now()
+		asked := trafficlog.Now()
 		ans := c.ask(r, k, path, key, try, tries.limit(), rng)
 		if ans.whole && ans.status < 400 {
 			return true
@@ -162,7 +162,7 @@
 		}
 		wait := c.d.s.Day.RetryWait * (0.5 + rng.Float64())
 		wait = max(wait, ans.after)
-		if !tries.repeatable(tap.Now() + wait) {
+		if !tries.repeatable(trafficlog.Now() + wait) {
 			return false
 		}
 		select {
@@ -170,7 +170,7 @@
 		case <-ctx.Done():
 			return false
 		}
-		if !tries.repeatable(tap.Now()) { // the wait took longer than it should
+		if !tries.repeatable(trafficlog.Now()) { // the wait took longer than it should
 			return false
 		}
 	}
@@ -257,7 +257,7 @@
 	for len(r.idle) > 0 {
 		c := r.idle[len(r.idle)-1]
 		r.idle = r.idle[:len(r.idle)-1]
-		if tap.Now()-c.used < 5000 && !c.ended() { // well before the router's own limit
+		if trafficlog.Now()-c.used < 5000 && !c.ended() { // well before the router's own limit
 			r.mu.Unlock()
 			return c, nil
 		}
@@ -273,7 +273,7 @@
 }
 
 func (r *routerAt) put(c *conn) {
-	c.used = tap.Now()
+	c.used = trafficlog.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.idle) < 64 && c.RemoteAddr().String() == r.addr {
@@ -289,17 +289,17 @@
 	id := "c" + strconv.FormatInt(c.seq.Add(1), 10)
 	w := c.d.tap
 	patience := k.Deadline * (c.d.s.Day.Patience + (1-c.d.s.Day.Patience)*rng.Float64())
-	start := tap.Now()
+	start := trafficlog.Now()
 	patience = min(patience, until-start)
-	rec := tap.Record{ID: id, Who: r.name, Class: k.Name, Key: key, Write: k.Write, Retry: try, Limit: start + patience}
+	rec := trafficlog.Record{ID: id, Who: r.name, Class: k.Name, Key: key, Write: k.Write, Retry: try, Limit: start + patience}
 	end := func(err string, bytes int64) {
 		e := rec
-		e.Ev, e.Err, e.Bytes = tap.End, err, bytes
+		e.Ev, e.Err, e.Bytes = trafficlog.End, err, bytes
 		w.Add(e)
 		ans.err = err
 	}
 	ask := rec
-	ask.Ev, ask.T, ask.Object = tap.Ask, start, path
+	ask.Ev, ask.T, ask.Object = trafficlog.Ask, start, path
 	cn, err := r.get()
 	if err != nil {
 		w.Add(ask)
@@ -326,9 +326,9 @@
 		method, body = "POST", strings.Repeat("x", 200)
 	}
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: day\r\nX-Request-Id: %s\r\nSpool-Deadline: %.3f\r\n", method, path, id,
-		max(min(patience, until-tap.Now()), 1))
+		max(min(patience, until-trafficlog.Now()), 1))
 	if !k.Write {
-		fmt.Fprintf(&b, "Spool-KB: %.3f\r\n", float64(standin.SizeOf(path, k.KB))/1024)
+		fmt.Fprintf(&b, "Spool-KB: %.3f\r\n", float64(testserver.SizeOf(path, k.KB))/1024)
 	}
 	if try > 0 {
 		b.WriteString("Spool-Retry: 1\r\n")
@@ -363,9 +363,9 @@
 		return ans
 	}
 	head := rec
-	head.Ev, head.Status, head.Note = tap.Head, res.StatusCode, res.Header.Get(fillwire.StatusField)
+	head.Ev, head.Status, head.Note = trafficlog.Head, res.StatusCode, res.Header.Get(fetchheader.StatusField)
 	head.Hit = strings.HasSuffix(head.Note, ";hit") || strings.Contains(head.Note, ";hit;")
-	ver, verr := fillwire.ParseVersion(res.Header.Get(fillwire.CopyField))
+	ver, verr := fetchheader.ParseVersion(res.Header.Get(fetchheader.CopyField))
 	if verr == nil {
 		head.Ver = ver.V
 	}
@@ -389,8 +389,8 @@
 		if m > 0 && head.Status == 200 && !k.Write && (verr == nil || k.Pages > 0) {
 			if k.Pages > 0 {
 				page = append(page, buf[:m]...)
-				reads = append(reads, readAt{len(page), tap.Now()})
-			} else if at, ok := standin.Matches(buf[:m], path, ver.V, n); !ok {
+				reads = append(reads, readAt{len(page), trafficlog.Now()})
+			} else if at, ok := testserver.Matches(buf[:m], path, ver.V, n); !ok {
 				end(fmt.Sprintf("byte %d is not of version %d", at, ver.V), n)
 				return ans
 			}
@@ -406,10 +406,10 @@
 	}
 	ans.whole = true
 	if k.Pages > 0 && head.Status == 200 {
-		pieces, err := standin.Pieces(path, page)
+		pieces, err := testserver.Pieces(path, page)
 		for i, x := range pieces {
 			p := rec
-			p.Ev, p.Object, p.Group, p.Ver, p.N = tap.Piece, x.Key, groupIn(x.Key), x.Version, i
+			p.Ev, p.Object, p.Group, p.Ver, p.N = trafficlog.Piece, x.Key, groupIn(x.Key), x.Version, i
 			for _, r := range reads {
 				if r.bytes >= x.End && x.End > 0 {
 					p.T = r.at
@@ -423,14 +423,14 @@
 		}
 		if err != nil {
 			p := rec
-			p.Ev, p.N, p.Err = tap.Piece, len(pieces), err.Error()
+			p.Ev, p.N, p.Err = trafficlog.Piece, len(pieces), err.Error()
 			w.Add(p)
 		}
 	}
 	end("", n)
 	if cn.br.Buffered() > 0 { // nothing was asked: this answers nothing
 		extra := rec
-		extra.Ev, extra.Note = tap.Head, "bytes after the answer"
+		extra.Ev, extra.Note = trafficlog.Head, "bytes after the answer"
 		w.Add(extra)
 		return ans
 	}
@@ -452,7 +452,7 @@
 			objects = s.Classes[i].Objects
 		}
 	}
-	return fmt.Sprintf("/%s/%d/%s", k.Name, groupOf(k.Name+name, s.Day.Groups), standin.PageName(name, k.Pages, objects, k.Of))
+	return fmt.Sprintf("/%s/%d/%s", k.Name, groupOf(k.Name+name, s.Day.Groups), testserver.PageName(name, k.Pages, objects, k.Of))
 }
 
 // groupIn is the group that an address names.
--- a/internal/day/day_test.go
+++ b/internal/testbed/scenario/day_test.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"time"
 
 	"indigospool/internal/config"
-	"indigospool/internal/rules"
-	"indigospool/internal/tap"
+	"indigospool/internal/testbed/invariants"
+	"indigospool/internal/testbed/trafficlog"
 )
 
 // The test binary is also the machines of its days.
@@ -58,8 +58,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !rules.AllOK(res.Verdicts) {
-		t.Errorf("%s%s", rules.Summary(res.Verdicts), rules.Details(res.Verdicts))
+	if !invariants.AllOK(res.Verdicts) {
+		t.Errorf("%s%s", invariants.Summary(res.Verdicts), invariants.Details(res.Verdicts))
 	}
 	return res
 }
@@ -86,7 +86,7 @@
 		(trouble router-kill (at 700) (for 300) (routers 2)) (trouble drain (at 1600) (for 1800) (boxes 1))`)
 	cold := map[string]bool{}
 	for _, r := range res.Records {
-		if r.Ev == tap.Up && r.Cold {
+		if r.Ev == trafficlog.Up && r.Cold {
 			cold[r.Role] = true
 		}
 	}
--- a/internal/day/folder.go
+++ b/internal/testbed/scenario/folder.go
@@ -1,12 +1,12 @@
-package day
+package scenario
 
 import (
 	"os"
 
 	"go.etcd.io/bbolt"
 
-	"indigospool/internal/lastgood"
-	"indigospool/internal/store"
+	"indigospool/internal/cachenode/store"
+	"indigospool/internal/controlplane/configstore"
 )
 
 // faultyFolder is the folder of a box's store; while a folder-fault lasts, nothing can be
@@ -90,7 +90,7 @@
 
 // faultyFiles are the file operations of a store of versions, as faultyFolder's.
 type faultyFiles struct {
-	lastgood.Disk
+	configstore.Disk
 	faults *injector
 }
 
--- a/internal/day/import.go
+++ b/internal/testbed/scenario/import.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"encoding/json"
@@ -9,7 +9,7 @@
 	"strings"
 
 	"indigospool/internal/config"
-	"indigospool/internal/standin"
+	"indigospool/internal/testbed/testserver"
 )
 
 // Scale is what an imported day is scaled to. Zero fields mean the defaults.
@@ -311,7 +311,7 @@
 			meet()
 			factor()
 		case "pauses":
-			x.Kind = standin.Pauses
+			x.Kind = testserver.Pauses
 			meet()
 			for _, f := range []float64{t.Size, t.Extra} {
 				if f >= 50_000 { // in µs
@@ -320,11 +320,11 @@
 			}
 			x.Every = 2500
 		case "fast_errors":
-			x.Kind = standin.FastErrors
+			x.Kind = testserver.FastErrors
 			meet()
 			share(0.7)
 		case "answer_lost":
-			x.Kind = standin.AnswerLost
+			x.Kind = testserver.AnswerLost
 			meet()
 			share(0.5)
 		case "balancer_crash":
--- a/internal/day/inject.go
+++ b/internal/testbed/scenario/inject.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"bytes"
@@ -12,11 +12,11 @@
 
 	"golang.org/x/sys/unix"
 
-	"indigospool/internal/faultinject"
-	"indigospool/internal/tap"
+	"indigospool/internal/testbed/faultinject"
+	"indigospool/internal/testbed/trafficlog"
 )
 
-// Troubles inside the processes of routers, of boxes that are spool-box and of the control
+// Troubles inside the processes of routers, of boxes that are spool-cache and of the control
 // service: what the kernel or the disk gives them, and not what their peers do.
 const (
 	SyscallFaults = "syscalls"     // system calls on sockets fail by (plan "..."), see faultinject.Parse
@@ -108,7 +108,7 @@
 func (f *faultsInForce) of(machine string) []processFault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	now := tap.Now()
+	now := trafficlog.Now()
 	lasting := []processFault{}
 	for _, fault := range f.byName[machine] {
 		if fault.Until > now {
@@ -153,8 +153,8 @@
 		if !failed {
 			return err
 		}
-		if tap.Now() > works+recovery {
-			return fmt.Errorf("%w, for %.0f ms: %w", errNotRecovered, tap.Now()-works, err)
+		if trafficlog.Now() > works+recovery {
+			return fmt.Errorf("%w, for %.0f ms: %w", errNotRecovered, trafficlog.Now()-works, err)
 		}
 		if !sleep(ctx, refusalGap) {
 			return err
@@ -184,7 +184,7 @@
 
 // inject has the processes of a trouble suffer it for its time.
 func (d *Day) inject(ctx context.Context, t Trouble, met []string) error {
-	fault := processFault{Name: t.name(), Kind: t.Kind, Plan: t.Plan, Peer: t.Peer, Step: t.Step, Errno: t.Errno, Until: tap.Now() + t.For}
+	fault := processFault{Name: t.name(), Kind: t.Kind, Plan: t.Plan, Peer: t.Peer, Step: t.Step, Errno: t.Errno, Until: trafficlog.Now() + t.For}
 	line, err := json.Marshal(fault)
 	if err != nil {
 		return err
--- a/internal/day/inject_test.go
+++ b/internal/testbed/scenario/inject_test.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"bufio"
@@ -16,12 +16,12 @@
 	"go.etcd.io/bbolt"
 	"golang.org/x/sys/unix"
 
+	"indigospool/internal/cachenode/store"
 	"indigospool/internal/config"
-	"indigospool/internal/faultinject"
-	"indigospool/internal/lastgood"
-	"indigospool/internal/loop"
-	"indigospool/internal/store"
-	"indigospool/internal/tap"
+	"indigospool/internal/controlplane/configstore"
+	"indigospool/internal/eventloop"
+	"indigospool/internal/testbed/faultinject"
+	"indigospool/internal/testbed/trafficlog"
 	"indigospool/internal/wallclock"
 )
 
@@ -45,7 +45,7 @@
 // A process suffers the faults that it begins with and those that it is told of, each
 // until its end; what it can't suffer is an error.
 func TestProcessFaults(t *testing.T) {
-	now := tap.Now()
+	now := trafficlog.Now()
 	full := processFault{Kind: FolderFault, Errno: "ENOSPC", Until: now + 60_000}
 	broken := processFault{Kind: FolderFault, Errno: "EIO", Until: now + 60_000}
 	over := processFault{Kind: FolderFault, Errno: "EIO", Until: now}
@@ -102,7 +102,7 @@
 		t.Fatal(err)
 	}
 	defer db.Close()
-	var _ lastgood.FileSystem = versions
+	var _ configstore.FileSystem = versions
 	calls := map[string]func() error{
 		"write":       func() error { _, err := file.WriteAt([]byte("0123456789"), 0); return err },
 		"sync":        file.Sync,
@@ -120,14 +120,14 @@
 		"create a store's file": func() error { return createPlain(versions, filepath.Join(dir, "e")) },
 	}
 	for name, call := range calls {
-		faults.folder.Store(&folderFault{processFault: processFault{Errno: "ENOSPC", Until: tap.Now() + 60_000}})
+		faults.folder.Store(&folderFault{processFault: processFault{Errno: "ENOSPC", Until: trafficlog.Now() + 60_000}})
 		if err := call(); !errors.Is(err, unix.ENOSPC) {
 			t.Errorf("%s in a full folder: %v", name, err)
 		}
 		if _, err := folder.Open("a", false); err != nil {
 			t.Errorf("what is there can't be opened in a full folder: %v", err)
 		}
-		faults.folder.Store(&folderFault{processFault: processFault{Errno: "ENOSPC", Until: tap.Now()}})
+		faults.folder.Store(&folderFault{processFault: processFault{Errno: "ENOSPC", Until: trafficlog.Now()}})
 		if err := call(); err != nil {
 			t.Errorf("%s after the fault: %v", name, err)
 		}
@@ -142,7 +142,7 @@
 	return file.Close()
 }
 
-func createPlain(files lastgood.FileSystem, path string) error {
+func createPlain(files configstore.FileSystem, path string) error {
 	file, err := files.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return err
@@ -170,7 +170,7 @@
 	} {
 		day, called := &Day{}, 0
 		if c.until != 0 {
-			day.faults.add("m", processFault{Kind: FolderFault, Until: tap.Now() + c.until})
+			day.faults.add("m", processFault{Kind: FolderFault, Until: trafficlog.Now() + c.until})
 		}
 		err := day.untilKept(context.Background(), "m", func() error {
 			if called++; c.calls < 0 || called <= c.calls {
@@ -213,7 +213,7 @@
 	if err != nil || faults.syscalls() != nil {
 		t.Fatalf("calls are intercepted in a day without troubles of them: %v", err)
 	}
-	listener, address, err := loop.Listen("127.0.0.1:0")
+	listener, address, err := eventloop.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -230,7 +230,7 @@
 	} {
 		calls := newFaultyCalls(faults)
 		member, client := connected(t, calls, listener, address)
-		fault := processFault{Kind: SyscallFaults, Plan: "read:ETIMEDOUT", Peer: c.peer, Until: tap.Now() + c.span}
+		fault := processFault{Kind: SyscallFaults, Plan: "read:ETIMEDOUT", Peer: c.peer, Until: trafficlog.Now() + c.span}
 		if err := faults.begin(fault); err != nil {
 			t.Fatal(err)
 		}
@@ -252,7 +252,7 @@
 
 // connected are the two ends of a connection: that which was made, as to a member, and that
 // which was accepted, as from a client.
-func connected(t *testing.T, calls loop.Syscalls, listener int, address string) (made, accepted int) {
+func connected(t *testing.T, calls eventloop.Syscalls, listener int, address string) (made, accepted int) {
 	t.Helper()
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -280,7 +280,7 @@
 func TestClockStep(t *testing.T) {
 	faults := &injector{tell: io.Discard}
 	off := func() time.Duration { return wallclock.Now().Sub(time.Now().Round(0)).Round(time.Second) }
-	now := tap.Now()
+	now := trafficlog.Now()
 	for _, fault := range []processFault{{Step: 3.6e6, Until: now + 300}, {Step: -3000, Until: now + 900}} {
 		fault.Kind = ClockStep
 		if err := faults.begin(fault); err != nil {
@@ -288,14 +288,14 @@
 		}
 	}
 	for _, want := range []time.Duration{time.Hour - 3*time.Second, -3 * time.Second, 0} {
-		for tap.Now() < now+10_000 && off() != want {
+		for trafficlog.Now() < now+10_000 && off() != want {
 			time.Sleep(time.Millisecond)
 		}
 		if off() != want {
 			t.Fatalf("the clock is off by %v, want %v", off(), want)
 		}
 	}
-	if took := tap.Now() - now; took < 900 {
+	if took := trafficlog.Now() - now; took < 900 {
 		t.Errorf("the last step was taken back after %.0f ms, want 900", took)
 	}
 }
--- a/internal/day/injector.go
+++ b/internal/testbed/scenario/injector.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"bufio"
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"time"
 
-	"indigospool/internal/loop"
-	"indigospool/internal/tap"
+	"indigospool/internal/eventloop"
+	"indigospool/internal/testbed/trafficlog"
 	"indigospool/internal/wallclock"
 )
 
@@ -68,7 +68,7 @@
 
 // begin begins a fault, instead of the last one of its kind; steps of the clock add up.
 func (i *injector) begin(fault processFault) error {
-	left := time.Duration((fault.Until - tap.Now()) * float64(time.Millisecond))
+	left := time.Duration((fault.Until - trafficlog.Now()) * float64(time.Millisecond))
 	switch fault.Kind {
 	case FolderFault:
 		folder := &folderFault{processFault: fault}
@@ -98,7 +98,7 @@
 }
 
 // syscalls are the system calls of the process's event loop; nil: the kernel's.
-func (i *injector) syscalls() loop.Syscalls {
+func (i *injector) syscalls() eventloop.Syscalls {
 	if !i.intercept {
 		return nil
 	}
@@ -108,7 +108,7 @@
 // folderErr is what a write to the process's folder, or a sync of it, gives for now.
 func (i *injector) folderErr() error {
 	fault := i.folder.Load()
-	if fault == nil || tap.Now() >= fault.Until {
+	if fault == nil || trafficlog.Now() >= fault.Until {
 		return nil
 	}
 	fault.failed.Add(1)
--- a/internal/day/proc.go
+++ b/internal/testbed/scenario/proc.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"bufio"
@@ -14,9 +14,9 @@
 	"time"
 
 	"indigospool/internal/config"
-	"indigospool/internal/edge"
-	"indigospool/internal/standin"
-	"indigospool/internal/tap"
+	"indigospool/internal/proxy/httpfront"
+	"indigospool/internal/testbed/testserver"
+	"indigospool/internal/testbed/trafficlog"
 )
 
 // A day's machines are processes: the program itself, called again with one of
@@ -59,11 +59,11 @@
 	if err != nil {
 		return err
 	}
-	var c standin.Config
+	var c testserver.Config
 	if err := json.Unmarshal(line, &c); err != nil {
 		return err
 	}
-	s, err := standin.Start(c, tap.NewWriter(os.Stdout))
+	s, err := testserver.Start(c, trafficlog.NewWriter(os.Stdout))
 	if err != nil {
 		return err
 	}
@@ -97,7 +97,7 @@
 	if err != nil {
 		return err
 	}
-	log, err := edge.NewAccessLog(&s)
+	log, err := httpfront.NewAccessLog(&s)
 	if err != nil {
 		return err
 	}
@@ -106,7 +106,7 @@
 	defer cancel()
 	gone := make(chan struct{})
 	go func() { faults.untilOrphaned(in); cancel(); close(gone) }()
-	e, end, err := edge.OpenOn(ctx, &s, log, edge.System{Files: faultyFiles{faults: faults}, Syscalls: faults.syscalls()})
+	e, end, err := httpfront.OpenOn(ctx, &s, log, httpfront.System{Files: faultyFiles{faults: faults}, Syscalls: faults.syscalls()})
 	if err != nil {
 		return err
 	}
--- a/internal/day/repeat.go
+++ b/internal/testbed/scenario/repeat.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import "math"
 
--- a/internal/day/repeat_test.go
+++ b/internal/testbed/scenario/repeat_test.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"indigospool/internal/tap"
+	"indigospool/internal/testbed/trafficlog"
 )
 
 // reply is how a router answers one try in these tests.
@@ -54,7 +54,7 @@
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				span, _ := strconv.ParseFloat(r.Header.Get("Spool-Deadline"), 64)
 				mu.Lock()
-				deadlines = append(deadlines, tap.Now()+span)
+				deadlines = append(deadlines, trafficlog.Now()+span)
 				mu.Unlock()
 				answer := c.replies[min(int(asked.Add(1)), len(c.replies))-1]
 				time.Sleep(answer.after)
@@ -92,15 +92,15 @@
 
 // askOneWrite has a client make one write, at a router at an address, and returns the
 // records of its tries.
-func askOneWrite(address string, class Class) (asks []tap.Record) {
+func askOneWrite(address string, class Class) (asks []trafficlog.Record) {
 	script := &Script{Day: Form{Retries: 2, RetryWait: 20, Patience: 1, Groups: 1}, Classes: []Class{class}}
 	script.Limits.AnswerSlack = 50
-	day := &Day{s: script, tap: tap.NewKeeper(nil), routers: []*router{{at: &routerAt{name: "r1", zone: "z", addr: address}}}}
+	day := &Day{s: script, tap: trafficlog.NewKeeper(nil), routers: []*router{{at: &routerAt{name: "r1", zone: "z", addr: address}}}}
 	var seq atomic.Int64
 	c := &clients{d: day, zone: "z", seq: &seq}
 	c.want(context.Background(), &class, "/order/0/w1", rand.New(rand.NewPCG(1, 2)))
 	for _, r := range day.tap.Records() {
-		if r.Ev == tap.Ask {
+		if r.Ev == trafficlog.Ask {
 			asks = append(asks, r)
 		}
 	}
--- a/internal/day/run.go
+++ b/internal/testbed/scenario/run.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"context"
@@ -18,13 +18,13 @@
 	"time"
 
 	"indigospool/internal/config"
-	"indigospool/internal/core"
-	"indigospool/internal/drift"
-	"indigospool/internal/journal"
-	"indigospool/internal/replay"
-	"indigospool/internal/rules"
-	"indigospool/internal/standin"
-	"indigospool/internal/tap"
+	"indigospool/internal/decisionlog/journal"
+	"indigospool/internal/decisionlog/replay"
+	"indigospool/internal/proxy/engine"
+	"indigospool/internal/testbed/differential"
+	"indigospool/internal/testbed/invariants"
+	"indigospool/internal/testbed/testserver"
+	"indigospool/internal/testbed/trafficlog"
 )
 
 // Options are how a day is played.
@@ -42,13 +42,13 @@
 
 // Result is a played day.
 type Result struct {
-	Verdicts []rules.Verdict `json:"rules"`
-	Summary  Summary         `json:"summary"`
-	Steps    []Step          `json:"versions,omitempty"`
-	Injected []Injected      `json:"injected,omitempty"`
-	Replays  []Replayed      `json:"replays,omitempty"`
-	Dir      string          `json:"dir"`
-	Records  []tap.Record    `json:"-"`
+	Verdicts []invariants.Verdict `json:"rules"`
+	Summary  Summary              `json:"summary"`
+	Steps    []Step               `json:"versions,omitempty"`
+	Injected []Injected           `json:"injected,omitempty"`
+	Replays  []Replayed           `json:"replays,omitempty"`
+	Dir      string               `json:"dir"`
+	Records  []trafficlog.Record  `json:"-"`
 }
 
 // OK reports a day whose rules were all looked at and kept, whose steps with versions
@@ -64,20 +64,20 @@
 			return false
 		}
 	}
-	return rules.AllOK(r.Verdicts) && !slices.ContainsFunc(r.Steps, func(s Step) bool { return s.Wrong != "" })
+	return invariants.AllOK(r.Verdicts) && !slices.ContainsFunc(r.Steps, func(s Step) bool { return s.Wrong != "" })
 }
 
 // Replayed is what the replay of a router's journal found, and what comparing it
 // with the sockets and the other programs did.
 type Replayed struct {
-	Router string         `json:"router"`
-	Report *replay.Report `json:"report"`
-	Drift  *drift.Report  `json:"drift"`
+	Router string               `json:"router"`
+	Report *replay.Report       `json:"report"`
+	Drift  *differential.Report `json:"drift"`
 }
 
 func journalOf(dir, router string) string { return filepath.Join(dir, router+".journal") }
 
-func replayAll(dir string, routers int, recs []tap.Record) (out []Replayed, err error) {
+func replayAll(dir string, routers int, recs []trafficlog.Record) (out []Replayed, err error) {
 	for i := range routers {
 		name := fmt.Sprintf("router-%d", i+1)
 		j, err := journal.OpenReader(journalOf(dir, name))
@@ -89,7 +89,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("day: journal of %s: %w", name, err)
 		}
-		d, err := drift.Check(func() (*journal.Reader, error) { return journal.OpenReader(journalOf(dir, name)) }, recs, drift.Options{Router: name})
+		d, err := differential.Check(func() (*journal.Reader, error) { return journal.OpenReader(journalOf(dir, name)) }, recs, differential.Options{Router: name})
 		if err != nil {
 			return nil, fmt.Errorf("day: journal of %s: %w", name, err)
 		}
@@ -100,8 +100,8 @@
 
 // machine is a stand-in of the day, over its lives.
 type machine struct {
-	cfg  standin.Config
-	row  core.Row
+	cfg  testserver.Config
+	row  engine.Row
 	proc *process
 	addr string
 	busy float64 // until when a trouble has it
@@ -112,14 +112,14 @@
 	s   *Script
 	o   Options
 	dir string
-	tap *tap.Writer
+	tap *trafficlog.Writer
 	rng *rand.Rand
 
 	mu       sync.Mutex
 	machines map[string]*machine
 	order    []string
 	routers  []*router
-	list     *standin.List
+	list     *testserver.List
 	control  *controlled // nil: the day has none
 	faults   faultsInForce
 	origin   *machine
@@ -176,11 +176,11 @@
 		}
 		s.Day.Length = o.Length
 	}
-	d := &Day{s: s, o: o, tap: tap.NewKeeper(o.Tap), rng: rand.New(rand.NewPCG(uint64(s.Day.Seed), 0xda7)),
+	d := &Day{s: s, o: o, tap: trafficlog.NewKeeper(o.Tap), rng: rand.New(rand.NewPCG(uint64(s.Day.Seed), 0xda7)),
 		machines: map[string]*machine{}, http: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{}}}
 	var err error
 	if d.dir = o.Dir; d.dir == "" {
-		if d.dir, err = os.MkdirTemp("", "spool-day-"); err != nil {
+		if d.dir, err = os.MkdirTemp("", "spool-scenario-"); err != nil {
 			return nil, err
 		}
 	} else if err = os.MkdirAll(d.dir, 0o755); err != nil {
@@ -199,7 +199,7 @@
 		return nil, err
 	}
 	recs := d.tap.Records()
-	res := &Result{Verdicts: rules.Check(recs, s.Figures()), Dir: d.dir, Records: recs}
+	res := &Result{Verdicts: invariants.Check(recs, s.Figures()), Dir: d.dir, Records: recs}
 	res.Summary = Summarize(s, recs)
 	if d.control != nil {
 		res.Steps = d.control.steps
@@ -236,7 +236,7 @@
 func (d *Day) begin(ctx context.Context) error {
 	s := d.s
 	var err error
-	if d.list, err = standin.StartList(standin.ListConfig{ID: "list", LagFrom: s.List.LagFrom, LagTo: s.List.LagTo,
+	if d.list, err = testserver.StartList(testserver.ListConfig{ID: "list", LagFrom: s.List.LagFrom, LagTo: s.List.LagTo,
 		PurgeFrom: s.List.PurgeFrom, PurgeTo: s.List.PurgeTo, PurgeTakes: s.Rules.PurgeTakes, StaleOnStart: s.Day.StaleStart,
 		Seed: uint64(s.Day.Seed)}, d.tap); err != nil {
 		return err
@@ -244,13 +244,13 @@
 	if err := d.beginControl(ctx); err != nil {
 		return err
 	}
-	if d.origin, err = d.add(ctx, standin.Config{ID: "origin", Role: "origin", Zone: s.Zones[0].Hub,
+	if d.origin, err = d.add(ctx, testserver.Config{ID: "origin", Role: "origin", Zone: s.Zones[0].Hub,
 		Capacity: s.Origin.Cap, Latency: s.Origin.Latency, Limit: s.Origin.Limit}); err != nil {
 		return err
 	}
 	for i := range s.Parents.Count {
 		hub := s.Zones[i%len(s.Zones)].Hub
-		if _, err := d.add(ctx, standin.Config{ID: fmt.Sprintf("parent-%d", i+1), Role: "parent", Zone: hub,
+		if _, err := d.add(ctx, testserver.Config{ID: fmt.Sprintf("parent-%d", i+1), Role: "parent", Zone: hub,
 			Upstream: d.origin.addr, Capacity: s.Parents.Cap, Bytes: int64(s.Parents.MB * (1 << 20)),
 			Latency: s.Parents.Latency, ColdFrom: s.Rules.ParentColdFrom, ColdTime: s.Rules.ParentColdTime,
 			Fall: s.Rules.ParentFall, RunOn: true}); err != nil {
@@ -259,7 +259,7 @@
 	}
 	for _, z := range s.Zones {
 		for i := range z.Boxes {
-			if _, err := d.add(ctx, standin.Config{ID: fmt.Sprintf("%s-%d", z.Name, i+1), Role: "box", Zone: z.Name,
+			if _, err := d.add(ctx, testserver.Config{ID: fmt.Sprintf("%s-%d", z.Name, i+1), Role: "box", Zone: z.Name,
 				Capacity: z.Cap, Bytes: int64(z.MB * (1 << 20)), LinkIn: z.Link / float64(z.Boxes), MaxFills: z.Fills,
 				ColdFrom: s.Rules.ColdFrom, ColdTime: s.Rules.ColdTime, Fall: s.Rules.FallFactor, RunOn: true}); err != nil {
 				return err
@@ -291,14 +291,14 @@
 }
 
 // add starts a machine and lists it.
-func (d *Day) add(ctx context.Context, c standin.Config) (*machine, error) {
+func (d *Day) add(ctx context.Context, c testserver.Config) (*machine, error) {
 	st := &d.s.Stand
 	c.Flow, c.FillFlow, c.FillWait, c.FallTime, c.Feedback = st.Flow, st.FillFlow, st.FillWait, d.s.Rules.FallTime, st.Feedback
 	c.Seed = uint64(d.s.Day.Seed)<<16 + uint64(len(d.order))
 	for _, k := range d.s.Classes {
-		c.Classes = append(c.Classes, standin.Class{Name: k.Name, KB: k.KB, Fresh: k.Fresh, Write: k.Write, Window: k.Window})
+		c.Classes = append(c.Classes, testserver.Class{Name: k.Name, KB: k.KB, Fresh: k.Fresh, Write: k.Write, Window: k.Window})
 	}
-	m := &machine{cfg: c, row: core.Row{ID: c.ID, Kind: c.Role, Zone: c.Zone, Size: c.Capacity}}
+	m := &machine{cfg: c, row: engine.Row{ID: c.ID, Kind: c.Role, Zone: c.Zone, Size: c.Capacity}}
 	d.machines[c.ID] = m
 	d.order = append(d.order, c.ID)
 	return m, d.startMachine(ctx, m, false)
@@ -332,8 +332,8 @@
 	if err != nil {
 		return err
 	}
-	var up tap.Record
-	if err := json.Unmarshal([]byte(line), &up); err != nil || up.Ev != tap.Up {
+	var up trafficlog.Record
+	if err := json.Unmarshal([]byte(line), &up); err != nil || up.Ev != trafficlog.Up {
 		return fmt.Errorf("day: %s began with %q", m.cfg.ID, line)
 	}
 	m.addr = up.Addr
@@ -347,7 +347,7 @@
 }
 
 // listed is news of a member, by the list service or by versions.
-func (d *Day) listed(row core.Row, since float64) {
+func (d *Day) listed(row engine.Row, since float64) {
 	if d.control != nil && !d.control.form.FromList {
 		d.control.set(row)
 		return
@@ -385,7 +385,7 @@
 		return err
 	}
 	// known before its first attempt can be: a new life begins here
-	d.tap.Add(tap.Record{Ev: tap.Up, Who: r.at.name, Role: "router", Note: r.at.zone})
+	d.tap.Add(trafficlog.Record{Ev: trafficlog.Up, Who: r.at.name, Role: "router", Note: r.at.zone})
 	p, err := start(d.o.Self, ChildRouter, in, r.log, d.heard)
 	if err != nil {
 		return err
@@ -437,7 +437,7 @@
 func (d *Day) play(ctx context.Context) error {
 	s := d.s
 	sleep(ctx, s.Day.Settle)
-	begin := tap.Now()
+	begin := trafficlog.Now()
 	d.say("%s: %d routers, %d machines, %.0f requests a second for %.0f s", s.Day.Name, len(d.routers), len(d.order),
 		s.Day.Rate, s.Day.Length/1000)
 	during, stop := context.WithCancel(ctx)
@@ -470,22 +470,22 @@
 	list := append([]Trouble(nil), s.Troubles...)
 	sort.SliceStable(list, func(i, j int) bool { return list[i].At < list[j].At })
 	for n, t := range list {
-		if !sleep(ctx, begin+t.At-tap.Now()) {
+		if !sleep(ctx, begin+t.At-trafficlog.Now()) {
 			break
 		}
 		name := t.name()
 		rng := rand.New(rand.NewPCG(uint64(s.Day.Seed), uint64(n)+1000))
 		met := d.pick(t, rng)
-		d.say("%6.1f s  %s for %.1f s: %s", (tap.Now()-begin)/1000, t.Kind, t.For/1000, strings.Join(met, " "))
-		d.tap.Add(tap.Record{Ev: tap.Fault, Note: "begin " + name, Limit: t.For, Src: strings.Join(met, " ")})
+		d.say("%6.1f s  %s for %.1f s: %s", (trafficlog.Now()-begin)/1000, t.Kind, t.For/1000, strings.Join(met, " "))
+		d.tap.Add(trafficlog.Record{Ev: trafficlog.Fault, Note: "begin " + name, Limit: t.For, Src: strings.Join(met, " ")})
 		troubles.Add(1)
 		go func() {
 			defer troubles.Done()
 			d.problem(d.trouble(ctx, t, met, rng))
-			d.tap.Add(tap.Record{Ev: tap.Fault, Note: "end " + name})
+			d.tap.Add(trafficlog.Record{Ev: trafficlog.Fault, Note: "end " + name})
 		}()
 	}
-	sleep(ctx, begin+s.Day.Length-tap.Now())
+	sleep(ctx, begin+s.Day.Length-trafficlog.Now())
 	stop()
 	arrivals.Wait()
 	d.wg.Wait() // each try has its limit, and repeats end with the day
@@ -524,7 +524,7 @@
 func (d *Day) pick(t Trouble, rng *rand.Rand) (met []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	now := tap.Now()
+	now := trafficlog.Now()
 	choose := func(role string, n int) {
 		var free, rest []string
 		for _, id := range d.order {
@@ -572,7 +572,7 @@
 
 // trouble carries one trouble out, to its end.
 func (d *Day) trouble(ctx context.Context, t Trouble, met []string, rng *rand.Rand) error {
-	now := tap.Now()
+	now := trafficlog.Now()
 	if contains(controlKinds, t.Kind) {
 		return d.control.trouble(ctx, t)
 	}
@@ -586,9 +586,9 @@
 			sleep(ctx, t.For)
 			return d.startMachine(ctx, m, true)
 		})
-	case standin.Vanish: // silent, and then back cold and empty; the list sees a process all the while
+	case testserver.Vanish: // silent, and then back cold and empty; the list sees a process all the while
 		return d.each(met, func(m *machine) error {
-			if err := d.fault(m, standin.Fault{Kind: t.Kind, For: t.For}); err != nil {
+			if err := d.fault(m, testserver.Fault{Kind: t.Kind, For: t.For}); err != nil {
 				return err
 			}
 			sleep(ctx, t.For)
@@ -624,7 +624,7 @@
 				wg.Add(1)
 				go func() {
 					defer wg.Done()
-					d.tap.Add(tap.Record{Ev: tap.Kill, Who: name, Role: "router"})
+					d.tap.Add(trafficlog.Record{Ev: trafficlog.Kill, Who: name, Role: "router"})
 					r.at.moved("", "")
 					r.proc.kill()
 					sleep(ctx, t.For)
@@ -661,10 +661,10 @@
 		d.list.Cut("")
 		return nil
 	case OriginSlow:
-		return d.fault(d.origin, standin.Fault{Kind: standin.Slow, For: t.For, Factor: t.Factor})
+		return d.fault(d.origin, testserver.Fault{Kind: testserver.Slow, For: t.For, Factor: t.Factor})
 	default:
 		return d.each(met, func(m *machine) error {
-			return d.fault(m, standin.Fault{Kind: t.Kind, For: t.For, Factor: t.Factor, Share: t.Share, Every: t.Every, Length: t.Length})
+			return d.fault(m, testserver.Fault{Kind: t.Kind, For: t.For, Factor: t.Factor, Share: t.Share, Every: t.Every, Length: t.Length})
 		})
 	}
 	return nil
@@ -694,7 +694,7 @@
 
 // killMachine kills a machine by SIGKILL; state, if given, is what the list says of it.
 func (d *Day) killMachine(m *machine, state string) {
-	d.tap.Add(tap.Record{Ev: tap.Kill, Who: m.cfg.ID, Role: m.cfg.Role, Start: m.cfg.Start})
+	d.tap.Add(trafficlog.Record{Ev: trafficlog.Kill, Who: m.cfg.ID, Role: m.cfg.Role, Start: m.cfg.Start})
 	m.proc.kill()
 	if state != "" {
 		d.setState(m, state)
@@ -722,7 +722,7 @@
 }
 
 // fault tells a machine of its trouble, also while a day is being ended.
-func (d *Day) fault(m *machine, f standin.Fault) error {
+func (d *Day) fault(m *machine, f testserver.Fault) error {
 	return d.post(context.Background(), m, "/-/fault", f, nil)
 }
 
@@ -786,8 +786,8 @@
 		case k.Pages > 0:
 			path = d.s.pagePath(k, name)
 		case d.s.isFragment(k):
-			name = standin.FragmentName(rand.NewZipf(rng, k.Zipf, 1, uint64(max(k.Objects-1, 1))).Uint64())
-			g = standin.GroupOf(k.Name + name)
+			name = testserver.FragmentName(rand.NewZipf(rng, k.Zipf, 1, uint64(max(k.Objects-1, 1))).Uint64())
+			g = testserver.GroupOf(k.Name + name)
 			path = fmt.Sprintf("/%s/%d/%s", k.Name, g, name)
 		}
 		if err := d.purge(ctx, path, g); err != nil && ctx.Err() == nil {
--- a/internal/day/script.go
+++ b/internal/testbed/scenario/script.go
@@ -1,8 +1,8 @@
 // Package day plays scripted days: a fleet of stand-ins, separate router
 // processes before them, clients with open-loop arrivals, and troubles in time.
 // What passed on the sockets goes to a tap; the five rules are judged from it
-// (internal/rules). A day decides nothing of a router's.
-package day
+// (internal/testbed/invariants). A day decides nothing of a router's.
+package scenario
 
 import (
 	"fmt"
@@ -10,26 +10,26 @@
 	"strings"
 
 	"indigospool/internal/config"
-	"indigospool/internal/rules"
-	"indigospool/internal/standin"
+	"indigospool/internal/testbed/invariants"
+	"indigospool/internal/testbed/testserver"
 )
 
 // Script is a day. Spans are in ms, sizes in KB, rates in KB a ms or requests
 // a second.
 type Script struct {
-	Day      Form             `edn:"day,required"`
-	Stand    standin.Stand    `edn:"stand"`
-	List     standin.ListForm `edn:"list"`
-	Rules    config.Rules     `edn:"rules"`
-	Limits   config.Limits    `edn:"limits"`
-	Fill     config.Fill      `edn:"fill"`
-	Pages    config.Pages     `edn:"pages"`
-	Zones    []Zone           `edn:"zone"`
-	Parents  Parents          `edn:"parents"`
-	Origin   Origin           `edn:"origin"`
-	Classes  []Class          `edn:"class"`
-	Troubles []Trouble        `edn:"trouble"`
-	Control  ControlForm      `edn:"control"`
+	Day      Form                `edn:"day,required"`
+	Stand    testserver.Stand    `edn:"stand"`
+	List     testserver.ListForm `edn:"list"`
+	Rules    config.Rules        `edn:"rules"`
+	Limits   config.Limits       `edn:"limits"`
+	Fill     config.Fill         `edn:"fill"`
+	Pages    config.Pages        `edn:"pages"`
+	Zones    []Zone              `edn:"zone"`
+	Parents  Parents             `edn:"parents"`
+	Origin   Origin              `edn:"origin"`
+	Classes  []Class             `edn:"class"`
+	Troubles []Trouble           `edn:"trouble"`
+	Control  ControlForm         `edn:"control"`
 }
 
 // Form is the day as a whole.
@@ -183,7 +183,7 @@
 		}
 	}
 	for _, t := range s.Troubles {
-		if known := slices.Concat(ownKinds, processKinds, standin.Kinds, controlKinds); !contains(known, t.Kind) {
+		if known := slices.Concat(ownKinds, processKinds, testserver.Kinds, controlKinds); !contains(known, t.Kind) {
 			add(t.Place.Pos, "trouble", fmt.Sprintf("unknown trouble %q", t.Kind), "known are "+strings.Join(known, ", "))
 			continue
 		}
@@ -208,7 +208,7 @@
 		if t.Boxes > boxes || t.Parents > s.Parents.Count || t.Routers > s.Day.Routers {
 			add(t.Place.Pos, "trouble", "it meets more machines than there are", "lower their number")
 		}
-		if contains(standin.Kinds, t.Kind) || contains([]string{Crash, Drain, Preempt}, t.Kind) {
+		if contains(testserver.Kinds, t.Kind) || contains([]string{Crash, Drain, Preempt}, t.Kind) {
 			if t.Boxes+t.Parents == 0 && !t.Origin {
 				add(t.Place.Pos, "trouble", t.Kind+" meets nobody", "add (boxes n), (parents n) or (origin)")
 			}
@@ -238,14 +238,14 @@
 }
 
 // Figures are what the rules are judged by.
-func (s *Script) Figures() rules.Figures {
-	f := rules.Figures{AnswerSlack: s.Limits.AnswerSlack, DrainGrace: s.Rules.DrainGrace, ColdFrom: s.Rules.ColdFrom,
+func (s *Script) Figures() invariants.Figures {
+	f := invariants.Figures{AnswerSlack: s.Limits.AnswerSlack, DrainGrace: s.Rules.DrainGrace, ColdFrom: s.Rules.ColdFrom,
 		ColdTime: s.Rules.ColdTime, FallFactor: s.Rules.FallFactor, FallTime: s.Rules.FallTime,
 		ParentColdFrom: s.Rules.ParentColdFrom, ParentColdTime: s.Rules.ParentColdTime, ParentFall: s.Rules.ParentFall,
 		PurgeSlack: s.Rules.PurgeSlack, SecondCopies: s.Limits.SecondCopies, Spread: s.Day.Spread,
-		Classes: map[string]rules.Class{}}
+		Classes: map[string]invariants.Class{}}
 	for _, c := range s.Classes {
-		f.Classes[c.Name] = rules.Class{Effect: c.Effect, Group: c.Group, Window: c.Window}
+		f.Classes[c.Name] = invariants.Class{Effect: c.Effect, Group: c.Group, Window: c.Window}
 	}
 	f.NotTried = s.notTried()
 	return f
@@ -261,7 +261,7 @@
 			tries[3] = true
 		case contains([]string{Crash, Preempt, ZoneLoss}, t.Kind):
 			tries[3], tries[4] = true, true
-		case t.Kind == standin.Vanish:
+		case t.Kind == testserver.Vanish:
 			tries[4] = true
 		case t.Kind == Flush:
 			tries[5] = true
--- a/internal/day/sluggish.go
+++ b/internal/testbed/scenario/sluggish.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"indigospool/internal/tap"
+	"indigospool/internal/testbed/trafficlog"
 )
 
 // Clients that make trouble. They are nobody's users: what becomes of them is not
@@ -119,7 +119,7 @@
 	for _, name := range met {
 		for _, r := range d.routers {
 			if r.at.name == name {
-				d.tap.Add(tap.Record{Ev: tap.Fault, Note: "restart of " + name})
+				d.tap.Add(trafficlog.Record{Ev: trafficlog.Fault, Note: "restart of " + name})
 				if err := d.restart(ctx, r); err != nil {
 					return err
 				}
--- a/internal/day/summary.go
+++ b/internal/testbed/scenario/summary.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"indigospool/internal/tap"
+	"indigospool/internal/testbed/trafficlog"
 )
 
 // ClassSummary is what became of the requests of a class, as clients saw it.
@@ -52,7 +52,7 @@
 }
 
 // Summarize counts a tap.
-func Summarize(s *Script, recs []tap.Record) Summary {
+func Summarize(s *Script, recs []trafficlog.Record) Summary {
 	var out Summary
 	classes := map[string]*ClassSummary{}
 	hist := map[string]*hdrhistogram.Histogram{}
@@ -63,8 +63,8 @@
 		aims[k.Name] = k
 	}
 	type try struct {
-		ask    *tap.Record
-		head   *tap.Record
+		ask    *trafficlog.Record
+		head   *trafficlog.Record
 		inTime bool
 		taken  bool // a router had taken its connection
 	}
@@ -78,18 +78,18 @@
 		r := &recs[i]
 		c := classes[r.Class]
 		switch r.Ev {
-		case tap.Ask:
+		case trafficlog.Ask:
 			tries[r.ID] = &try{ask: r}
 			if c != nil {
 				if c.Requests++; r.Retry > 0 {
 					c.Retries++
 				}
 			}
-		case tap.Head:
+		case trafficlog.Head:
 			if t := tries[r.ID]; t != nil && t.head == nil {
 				t.head = r
 			}
-		case tap.End:
+		case trafficlog.End:
 			t := tries[r.ID]
 			if t == nil || c == nil {
 				continue
@@ -121,14 +121,14 @@
 				}
 				hist[r.Class].RecordValue(int64(took * 1000))
 			}
-		case tap.Recv:
+		case trafficlog.Recv:
 			if r.Via == "" {
 				out.Attempts++
 				if c != nil {
 					c.Attempts++
 				}
 			}
-		case tap.Done:
+		case trafficlog.Done:
 			mb := float64(r.Bytes) / (1 << 20)
 			switch {
 			case r.Role == "origin":
@@ -139,9 +139,9 @@
 			if r.Via != "" && !strings.HasPrefix(r.Via, "parent-") {
 				out.LinkMB += mb
 			}
-		case tap.Told:
+		case trafficlog.Told:
 			out.Told++
-		case tap.Fault:
+		case trafficlog.Fault:
 			if name, ok := strings.CutPrefix(r.Note, "begin "); ok {
 				spans = append(spans, span{name, r.T, r.T + r.Limit + 2000})
 			}
--- a/internal/day/versions.go
+++ b/internal/testbed/scenario/versions.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"bytes"
@@ -21,10 +21,10 @@
 	"go.uber.org/zap"
 
 	"indigospool/internal/config"
-	"indigospool/internal/control"
-	"indigospool/internal/core"
-	"indigospool/internal/fleet"
-	"indigospool/internal/tap"
+	"indigospool/internal/controlplane/rollout"
+	"indigospool/internal/controlplane/service"
+	"indigospool/internal/proxy/engine"
+	"indigospool/internal/testbed/trafficlog"
 )
 
 // ControlForm has the routers of a day follow a control service, a process of
@@ -75,7 +75,7 @@
 	http  *http.Client
 
 	mu    sync.Mutex
-	rows  map[string]core.Row
+	rows  map[string]engine.Row
 	held  int // a limit that changes with each good version
 	dirty chan struct{}
 	steps []Step
@@ -93,20 +93,20 @@
 // it sends: a version that does not pass the checks tells of no members, since
 // no router may go by it.
 func childControl() error {
-	var set control.ServiceSettings
+	var set service.ServiceSettings
 	in, faults, err := readSettings(&set)
 	if err != nil {
 		return err
 	}
-	out := tap.NewWriter(os.Stdout)
+	out := trafficlog.NewWriter(os.Stdout)
 	var mu sync.Mutex
 	parsed := map[string]*config.Settings{} // by sum; nil: tells of nothing
-	svc, err := control.StartServiceOn(faultyFiles{faults: faults}, &set, zap.NewNop(), func(router string, v fleet.Version) {
+	svc, err := service.StartServiceOn(faultyFiles{faults: faults}, &set, zap.NewNop(), func(router string, v rollout.Version) {
 		mu.Lock()
 		s, known := parsed[v.Sum]
 		if !known {
 			s = &config.Settings{}
-			if config.ReadVersion("sent", string(v.Body), nil, s) != nil || len(fleet.Check(nil, s, control.NoLimits)) > 0 {
+			if config.ReadVersion("sent", string(v.Body), nil, s) != nil || len(rollout.Check(nil, s, service.NoLimits)) > 0 {
 				s = nil
 			}
 			parsed[v.Sum] = s
@@ -115,10 +115,10 @@
 		if s == nil || len(s.Members) == 0 {
 			return
 		}
-		t := tap.Now()
-		out.Add(tap.Record{T: t, Ev: tap.Told, Who: router, Note: "full", Ver: v.Number})
+		t := trafficlog.Now()
+		out.Add(trafficlog.Record{T: t, Ev: trafficlog.Told, Who: router, Note: "full", Ver: v.Number})
 		for _, m := range s.Members {
-			out.Add(tap.Record{T: t, Ev: tap.Told, Who: router, Src: m.ID, State: m.State, Start: int64(m.Start)})
+			out.Add(trafficlog.Record{T: t, Ev: trafficlog.Told, Who: router, Src: m.ID, State: m.State, Start: int64(m.Start)})
 		}
 	})
 	if err != nil {
@@ -181,11 +181,11 @@
 	if extra != nil {
 		extra(s)
 	}
-	return control.Canonical(s)
+	return service.Canonical(s)
 }
 
 // set is news of a member.
-func (c *controlled) set(row core.Row) {
+func (c *controlled) set(row engine.Row) {
 	c.mu.Lock()
 	c.rows[row.ID] = row
 	c.mu.Unlock()
@@ -254,14 +254,14 @@
 }
 
 func (c *controlled) push(ctx context.Context, text []byte, q url.Values) (int64, error) {
-	var r control.PushResult
+	var r service.PushResult
 	err := c.d.untilKept(ctx, controlMachine, func() error {
 		return c.call(ctx, "POST", "/push?"+q.Encode(), text, &r)
 	})
 	return r.Number, err
 }
 
-func (c *controlled) view(ctx context.Context) (v control.StatusView, err error) {
+func (c *controlled) view(ctx context.Context) (v service.StatusView, err error) {
 	err = c.call(ctx, "GET", "/status", nil, &v)
 	return v, err
 }
@@ -292,11 +292,11 @@
 // level waits until the service holds its last number to be everybody's and
 // every router that lives says that it runs it.
 func (c *controlled) level(ctx context.Context, least int64) (took float64, err error) {
-	began := tap.Now()
+	began := trafficlog.Now()
 	why := ""
-	for tap.Now()-began < c.form.Level {
+	for trafficlog.Now()-began < c.form.Level {
 		if why = c.unlevel(ctx, least); why == "" {
-			return tap.Now() - began, nil
+			return trafficlog.Now() - began, nil
 		}
 		if !sleep(ctx, 20) {
 			return 0, ctx.Err()
@@ -357,11 +357,11 @@
 	c.busy.Lock()
 	defer c.busy.Unlock()
 	name := t.name()
-	began := tap.Now()
+	began := trafficlog.Now()
 	wrong := func(err error) error {
 		if err != nil && ctx.Err() == nil { // the day goes on, so that the rules can be judged
 			c.mu.Lock()
-			c.steps = append(c.steps, Step{Name: name, Took: tap.Now() - began, Wrong: strings.TrimPrefix(err.Error(), "day: ")})
+			c.steps = append(c.steps, Step{Name: name, Took: trafficlog.Now() - began, Wrong: strings.TrimPrefix(err.Error(), "day: ")})
 			c.mu.Unlock()
 			c.d.say("          %s: WRONG: %v", name, err)
 		}
@@ -381,11 +381,11 @@
 		if err != nil {
 			return wrong(err)
 		}
-		c.done(name, fmt.Sprintf("version %d or later everywhere", n), tap.Now()-began)
+		c.done(name, fmt.Sprintf("version %d or later everywhere", n), trafficlog.Now()-began)
 	case VersionBad:
 		return wrong(c.bad(ctx, name))
 	case ControlDown, ControlFlap:
-		for end := tap.Now() + t.For; ; {
+		for end := trafficlog.Now() + t.For; ; {
 			c.proc.kill()
 			down := t.For
 			if t.Kind == ControlFlap {
@@ -397,7 +397,7 @@
 			if err := c.start(ctx); err != nil {
 				return wrong(err)
 			}
-			if t.Kind == ControlDown || tap.Now() >= end {
+			if t.Kind == ControlDown || trafficlog.Now() >= end {
 				break
 			}
 			sleep(ctx, t.Every/2)
@@ -435,12 +435,12 @@
 }
 
 func (c *controlled) changeAll(ctx context.Context, name, since string) error {
-	began := tap.Now()
+	began := trafficlog.Now()
 	n, err := c.change(ctx)
 	if err != nil {
 		return err
 	}
-	c.done(name, fmt.Sprintf("a change is everywhere (version %d) %s", n, since), tap.Now()-began)
+	c.done(name, fmt.Sprintf("a change is everywhere (version %d) %s", n, since), trafficlog.Now()-began)
 	return nil
 }
 
@@ -470,7 +470,7 @@
 // bad offers a version that names a draining box as a fill source: those who are
 // offered it refuse it, nobody runs it, and the old content follows.
 func (c *controlled) bad(ctx context.Context, name string) error {
-	began := tap.Now()
+	began := trafficlog.Now()
 	n, err := c.push(ctx, c.text(func(s *config.Settings) {
 		last := -1
 		for i := range s.Members {
@@ -512,17 +512,17 @@
 			}
 		}
 		if v, err := c.view(ctx); err == nil && v.Base > n && refused == 0 && v.Halted == "" {
-			c.done(name, fmt.Sprintf("version %d was superseded before a router had it", n), tap.Now()-began)
+			c.done(name, fmt.Sprintf("version %d was superseded before a router had it", n), trafficlog.Now()-began)
 			return nil
 		}
-		if tap.Now()-began > c.form.Level || !sleep(ctx, 10) {
+		if trafficlog.Now()-began > c.form.Level || !sleep(ctx, 10) {
 			return fmt.Errorf("no router has refused version %d after %.0f ms", n, c.form.Level)
 		}
 	}
 	if _, err := c.level(ctx, n+1); err != nil {
 		return err
 	}
-	c.done(name, fmt.Sprintf("version %d refused by %d, halted, old content everywhere", n, refused), tap.Now()-began)
+	c.done(name, fmt.Sprintf("version %d refused by %d, halted, old content everywhere", n, refused), trafficlog.Now()-began)
 	return nil
 }
 
@@ -551,7 +551,7 @@
 	if err := c.without(ctx, t.For); err != nil { // in effect: what it offers is older, and refused
 		return err
 	}
-	began := tap.Now()
+	began := trafficlog.Now()
 	m, err := c.change(ctx)
 	if err != nil {
 		return err
@@ -559,7 +559,7 @@
 	if m <= n {
 		return fmt.Errorf("the service that came back with its past gives number %d; routers have accepted %d", m, n)
 	}
-	c.done(name, fmt.Sprintf("version %d everywhere from a service that had forgotten %d", m, n), tap.Now()-began)
+	c.done(name, fmt.Sprintf("version %d everywhere from a service that had forgotten %d", m, n), trafficlog.Now()-began)
 	return nil
 }
 
@@ -595,7 +595,7 @@
 	list := append([]purgeMade(nil), c.purge...)
 	c.mu.Unlock()
 	for _, p := range list {
-		if tap.Now()-p.made < c.d.s.Rules.PurgeTakes+1000 {
+		if trafficlog.Now()-p.made < c.d.s.Rules.PurgeTakes+1000 {
 			c.purgeAt(r, p)
 		}
 	}
@@ -617,7 +617,7 @@
 		}
 		return
 	}
-	c.d.tap.Add(tap.Record{Ev: tap.Told, Who: r.at.name, Object: p.object, Group: p.group, Born: p.made, Note: "purge"})
+	c.d.tap.Add(trafficlog.Record{Ev: trafficlog.Told, Who: r.at.name, Object: p.object, Group: p.group, Born: p.made, Note: "purge"})
 }
 
 // begin readies the service and the first version before the routers start.
@@ -625,7 +625,7 @@
 	if !d.s.Control.On {
 		return nil
 	}
-	d.control = &controlled{d: d, form: d.s.Control, store: filepath.Join(d.dir, "control.db"), rows: map[string]core.Row{},
+	d.control = &controlled{d: d, form: d.s.Control, store: filepath.Join(d.dir, "control.db"), rows: map[string]engine.Row{},
 		dirty: make(chan struct{}, 1), http: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
 	return d.control.start(ctx)
 }
--- a/internal/standin/fault.go
+++ b/internal/testbed/testserver/fault.go
@@ -1,4 +1,4 @@
-package standin
+package testserver
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"indigospool/internal/tap"
+	"indigospool/internal/testbed/trafficlog"
 )
 
 // Fault is a trouble that a stand-in is told to have, for a while.
@@ -85,7 +85,7 @@
 
 // on reports whether a fault acts now on this attempt.
 func (f *faults) on(kind string) bool {
-	now := tap.Now()
+	now := trafficlog.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if now >= f.until[kind] {
@@ -97,7 +97,7 @@
 
 // slowness is how many times slower the stand-in is now.
 func (f *faults) slowness() float64 {
-	now := tap.Now()
+	now := trafficlog.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	by := 1.0
@@ -114,7 +114,7 @@
 // gate waits while the stand-in is silent or pauses.
 func (f *faults) gate(ctx context.Context) error {
 	for {
-		now := tap.Now()
+		now := trafficlog.Now()
 		f.mu.Lock()
 		until := 0.0
 		for _, k := range []string{Vanish, Hang} {
@@ -182,7 +182,7 @@
 		if err != nil {
 			return c, err
 		}
-		now := tap.Now()
+		now := trafficlog.Now()
 		if until := g.f.refusing(now); until > now {
 			g.backlog(0)
 			for until > now {
@@ -200,7 +200,7 @@
 					c.Close()
 					return nil, net.ErrClosed
 				}
-				now = tap.Now()
+				now = trafficlog.Now()
 				until = g.f.refusing(now)
 			}
 			// what came meanwhile never reached a machine that was silent
--- a/internal/standin/fill.go
+++ b/internal/testbed/testserver/fill.go
@@ -1,4 +1,4 @@
-package standin
+package testserver
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 	"sync"
 	"time"
 
-	"indigospool/internal/box"
-	"indigospool/internal/fillwire"
-	"indigospool/internal/tap"
+	"indigospool/internal/cachenode/httpcache"
+	"indigospool/internal/protocol/fetchheader"
+	"indigospool/internal/testbed/trafficlog"
 )
 
 // flight is a fill under way: what has come of it so far, for all who wait.
@@ -73,14 +73,14 @@
 
 // fetch begins a fill of the visit's key. It returns nil, having answered, when
 // there is no place for one. A nil ctx is a fill that nobody waits for.
-func (v *visit) fetch(a fillwire.Attempt, ctx context.Context) *flight {
+func (v *visit) fetch(a fetchheader.Attempt, ctx context.Context) *flight {
 	s := v.s
 	s.mu.Lock()
-	place := s.box.Begin(tap.Now(), v.key)
+	place := s.box.Begin(trafficlog.Now(), v.key)
 	if place == nil {
 		s.mu.Unlock()
 		if ctx != nil {
-			v.refuse(http.StatusServiceUnavailable, fillwire.Handled{Fwd: "miss", Detail: fillwire.NoPlace})
+			v.refuse(http.StatusServiceUnavailable, fetchheader.Handled{Fwd: "miss", Detail: fetchheader.NoPlace})
 		}
 		return nil
 	}
@@ -99,14 +99,14 @@
 		if s.flights[v.key] == fl {
 			delete(s.flights, v.key)
 		}
-		s.box.End(tap.Now(), place, c)
+		s.box.End(trafficlog.Now(), place, c)
 		s.mu.Unlock()
 	}()
 	return fl
 }
 
 // fill gets the object from its source. It returns the copy when it came whole.
-func (v *visit) fill(ctx context.Context, a fillwire.Attempt, fl *flight) *box.Copy {
+func (v *visit) fill(ctx context.Context, a fetchheader.Attempt, fl *flight) *httpcache.Copy {
 	s := v.s
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -119,7 +119,7 @@
 		case <-ctx.Done():
 		}
 	}()
-	fail := func(status int, detail string, err error) *box.Copy {
+	fail := func(status int, detail string, err error) *httpcache.Copy {
 		fl.step(func() { fl.ready, fl.status, fl.detail, fl.err = true, status, detail, err })
 		return nil
 	}
@@ -131,13 +131,13 @@
 		address = s.cfg.Upstream
 	}
 	if address == "" {
-		return fail(http.StatusServiceUnavailable, fillwire.SourceUnreached, errors.New("no source"))
+		return fail(http.StatusServiceUnavailable, fetchheader.SourceUnreached, errors.New("no source"))
 	}
 	req, err := http.NewRequestWithContext(ctx, "GET", "http://"+address+v.r.URL.RequestURI(), nil)
 	if err != nil {
-		return fail(http.StatusServiceUnavailable, fillwire.SourceUnreached, err)
+		return fail(http.StatusServiceUnavailable, fetchheader.SourceUnreached, err)
 	}
-	req.Header.Set(fillwire.FillField, string(sub.Append(nil)))
+	req.Header.Set(fetchheader.FillField, string(sub.Append(nil)))
 	for _, name := range []string{"X-Request-Id", "Range"} {
 		if val := v.r.Header.Get(name); val != "" {
 			req.Header.Set(name, val)
@@ -146,30 +146,30 @@
 	if a.Held {
 		req.Header.Set("Cache-Control", "only-if-cached")
 	}
-	asked := tap.Now()
+	asked := trafficlog.Now()
 	idle := time.AfterFunc(time.Duration(s.cfg.FillWait)*time.Millisecond, cancel)
 	defer idle.Stop()
 	res, err := s.client.Do(req)
 	if err != nil {
-		return fail(http.StatusServiceUnavailable, fillwire.SourceUnreached, err)
+		return fail(http.StatusServiceUnavailable, fetchheader.SourceUnreached, err)
 	}
 	defer res.Body.Close()
-	behind := strings.Join(res.Header.Values(fillwire.StatusField), ", ")
+	behind := strings.Join(res.Header.Values(fetchheader.StatusField), ", ")
 	switch {
 	case res.StatusCode == http.StatusGatewayTimeout && a.Held:
-		return fail(http.StatusServiceUnavailable, fillwire.SourceLacks, errors.New("the source lacks it"))
-	case res.StatusCode == http.StatusServiceUnavailable && strings.Contains(behind, fillwire.SourceUnreached),
-		res.StatusCode == http.StatusServiceUnavailable && strings.Contains(behind, fillwire.OriginFailed):
-		return fail(http.StatusServiceUnavailable, fillwire.OriginFailed, errors.New("the origin failed behind the source"))
+		return fail(http.StatusServiceUnavailable, fetchheader.SourceLacks, errors.New("the source lacks it"))
+	case res.StatusCode == http.StatusServiceUnavailable && strings.Contains(behind, fetchheader.SourceUnreached),
+		res.StatusCode == http.StatusServiceUnavailable && strings.Contains(behind, fetchheader.OriginFailed):
+		return fail(http.StatusServiceUnavailable, fetchheader.OriginFailed, errors.New("the origin failed behind the source"))
 	case res.StatusCode == http.StatusServiceUnavailable:
-		return fail(http.StatusServiceUnavailable, fillwire.SourceRefused, errors.New("the source refused"))
+		return fail(http.StatusServiceUnavailable, fetchheader.SourceRefused, errors.New("the source refused"))
 	case res.StatusCode != http.StatusOK && res.StatusCode != http.StatusPartialContent:
-		return fail(http.StatusBadGateway, fillwire.SourceRefused, errors.New(res.Status))
+		return fail(http.StatusBadGateway, fetchheader.SourceRefused, errors.New(res.Status))
 	}
-	ver, err := fillwire.ParseVersion(res.Header.Get(fillwire.CopyField))
+	ver, err := fetchheader.ParseVersion(res.Header.Get(fetchheader.CopyField))
 	size, serr := strconv.ParseInt(res.Header.Get("Content-Length"), 10, 64)
 	if err != nil || serr != nil {
-		return fail(http.StatusBadGateway, fillwire.SourceUnreached, errors.Join(err, serr))
+		return fail(http.StatusBadGateway, fetchheader.SourceUnreached, errors.Join(err, serr))
 	}
 	// RFC 9111, section 4.2.3: what the answer took is part of the age
 	born := asked - ver.Age
@@ -199,7 +199,7 @@
 			return nil
 		}
 	}
-	return &box.Copy{Key: v.key, Object: a.Object, Group: a.Group, Bytes: size, Rank: a.Keep, Version: ver.V,
+	return &httpcache.Copy{Key: v.key, Object: a.Object, Group: a.Group, Bytes: size, Rank: a.Keep, Version: ver.V,
 		Born: born, Fresh: v.class.Fresh}
 }
 
@@ -211,13 +211,13 @@
 	fl.mu.Lock()
 	status, detail, version, born, size := fl.status, fl.detail, fl.version, fl.born, fl.size
 	fl.mu.Unlock()
-	h := fillwire.Handled{Cache: v.s.cfg.ID, Fwd: "miss", Stored: v.a.Keep > 0, Joined: joined}
+	h := fetchheader.Handled{Cache: v.s.cfg.ID, Fwd: "miss", Stored: v.a.Keep > 0, Joined: joined}
 	if status != http.StatusOK {
 		h.Detail, h.Stored = detail, false
 		v.refuse(status, h)
 		return
 	}
-	if joined && v.a.Age > 0 && tap.Now()-born > v.a.Age {
+	if joined && v.a.Age > 0 && trafficlog.Now()-born > v.a.Age {
 		// the fill that was joined brings a copy too old for this asker
 		if own := v.fetch(v.a, v.r.Context()); own != nil {
 			v.follow(own, false)
@@ -234,29 +234,29 @@
 		address = v.s.cfg.Upstream
 	}
 	if address == "" {
-		v.refuse(http.StatusGatewayTimeout, fillwire.Handled{Fwd: "bypass"})
+		v.refuse(http.StatusGatewayTimeout, fetchheader.Handled{Fwd: "bypass"})
 		return
 	}
 	req, err := http.NewRequestWithContext(v.r.Context(), v.r.Method, "http://"+address+v.r.URL.RequestURI(), v.r.Body)
 	if err != nil {
-		v.refuse(http.StatusBadGateway, fillwire.Handled{Fwd: "bypass"})
+		v.refuse(http.StatusBadGateway, fetchheader.Handled{Fwd: "bypass"})
 		return
 	}
 	req.ContentLength = v.r.ContentLength
 	req.Header = v.r.Header.Clone()
 	sub := v.a
 	sub.Via, sub.Source, sub.At = v.s.cfg.ID, "", ""
-	req.Header.Set(fillwire.FillField, string(sub.Append(nil)))
+	req.Header.Set(fetchheader.FillField, string(sub.Append(nil)))
 	res, err := v.s.client.Do(req)
 	if err != nil {
-		v.refuse(http.StatusBadGateway, fillwire.Handled{Fwd: "bypass", Detail: fillwire.SourceUnreached})
+		v.refuse(http.StatusBadGateway, fetchheader.Handled{Fwd: "bypass", Detail: fetchheader.SourceUnreached})
 		return
 	}
 	defer res.Body.Close()
 	rec := v.rec
 	rec.Status = res.StatusCode
 	v.sent(rec)
-	v.w.Header().Set(fillwire.StatusField, fillwire.Handled{Cache: v.s.cfg.ID, Fwd: "bypass"}.String())
+	v.w.Header().Set(fetchheader.StatusField, fetchheader.Handled{Cache: v.s.cfg.ID, Fwd: "bypass"}.String())
 	v.w.WriteHeader(res.StatusCode)
 	io.Copy(v.w, res.Body)
 }
--- a/internal/standin/fleet.go
+++ b/internal/testbed/testserver/fleet.go
@@ -1,4 +1,4 @@
-package standin
+package testserver
 
 import (
 	"context"
@@ -6,8 +6,8 @@
 	"io"
 
 	"indigospool/internal/config"
-	"indigospool/internal/core"
-	"indigospool/internal/tap"
+	"indigospool/internal/proxy/engine"
+	"indigospool/internal/testbed/trafficlog"
 )
 
 // Fleet is a file of stand-ins. Spans are in ms, sizes in KB, rates in KB a ms.
@@ -29,7 +29,7 @@
 	FallTime float64  `edn:"fall-time" def:"3000" min:"1"`
 	Feedback []string `edn:"feedback"`
 	Seed     int      `edn:"seed" def:"1"`
-	Boxes    string   `edn:"boxes" def:"stand-in" oneof:"stand-in warm cold"` // of a day: spool-box in their place, which finds its copies again after a crash, or has none
+	Boxes    string   `edn:"boxes" def:"stand-in" oneof:"stand-in warm cold"` // of a day: spool-cache in their place, which finds its copies again after a crash, or has none
 }
 
 // ListForm is how late the list service is.
@@ -114,7 +114,7 @@
 }
 
 // Run is one machine, or the list service, until the context ends.
-func (f *Fleet) Run(ctx context.Context, role, id string, w *tap.Writer, say io.Writer) error {
+func (f *Fleet) Run(ctx context.Context, role, id string, w *trafficlog.Writer, say io.Writer) error {
 	if role == "list" {
 		l, err := StartList(ListConfig{ID: "list", Listen: f.List.Listen, LagFrom: f.List.LagFrom, LagTo: f.List.LagTo,
 			PurgeFrom: f.List.PurgeFrom, PurgeTo: f.List.PurgeTo, Seed: uint64(f.Stand.Seed)}, w)
@@ -122,7 +122,7 @@
 			return err
 		}
 		for _, m := range f.Members {
-			l.Set(core.Row{ID: m.ID, Kind: m.Role, Zone: m.Zone, Address: m.Listen, Start: 1}, 0)
+			l.Set(engine.Row{ID: m.ID, Kind: m.Role, Zone: m.Zone, Address: m.Listen, Start: 1}, 0)
 		}
 		fmt.Fprintf(say, "list service at %s\n", l.Addr())
 		<-ctx.Done()
--- a/internal/standin/list.go
+++ b/internal/testbed/testserver/list.go
@@ -1,4 +1,4 @@
-package standin
+package testserver
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
-	"indigospool/internal/core"
-	"indigospool/internal/tap"
+	"indigospool/internal/proxy/engine"
+	"indigospool/internal/testbed/trafficlog"
 )
 
 // ListConfig is how late the list service is. Spans are in ms.
@@ -33,7 +33,7 @@
 // each router, late by design.
 type List struct {
 	cfg  ListConfig
-	tap  *tap.Writer
+	tap  *trafficlog.Writer
 	ln   net.Listener
 	http *http.Server
 	done chan struct{}
@@ -53,14 +53,14 @@
 type entry struct {
 	t     float64
 	rev   int64
-	row   *core.Row
+	row   *engine.Row
 	since float64 // when the row's start began, on the tap's clock; 0: long ago
-	purge *core.PurgeNews
+	purge *engine.PurgeNews
 	made  float64
 }
 
 // StartList begins to serve. Later calls of Set and Purge are its news.
-func StartList(cfg ListConfig, w *tap.Writer) (*List, error) {
+func StartList(cfg ListConfig, w *trafficlog.Writer) (*List, error) {
 	if cfg.Listen == "" {
 		cfg.Listen = "127.0.0.1:0"
 	}
@@ -92,7 +92,7 @@
 func (l *List) add(e entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e.t = tap.Now()
+	e.t = trafficlog.Now()
 	if e.row != nil {
 		l.rev++ // a purge has no version: it can only be heeded too often
 	}
@@ -104,17 +104,17 @@
 
 // Set is news of one member. since is when its present start began, on the
 // tap's clock; 0: long ago.
-func (l *List) Set(row core.Row, since float64) { l.add(entry{row: &row, since: since}) }
+func (l *List) Set(row engine.Row, since float64) { l.add(entry{row: &row, since: since}) }
 
 // Purge is news of a purge made at a time on the tap's clock.
 func (l *List) Purge(object string, group int, made float64) {
-	l.add(entry{purge: &core.PurgeNews{Object: object, Group: group}, made: made})
+	l.add(entry{purge: &engine.PurgeNews{Object: object, Group: group}, made: made})
 }
 
 // Cut ends a router's stream in the middle of its next line; empty: all routers'.
 func (l *List) Cut(router string) {
 	l.mu.Lock()
-	l.cut[router] = tap.Now()
+	l.cut[router] = trafficlog.Now()
 	close(l.changed)
 	l.changed = make(chan struct{})
 	l.mu.Unlock()
@@ -125,7 +125,7 @@
 func (l *List) SetBack(n int64) { l.mu.Lock(); l.setBack = n; l.mu.Unlock() }
 
 // Down takes no streams for so long.
-func (l *List) Down(span float64) { l.mu.Lock(); l.down = tap.Now() + span; l.mu.Unlock() }
+func (l *List) Down(span float64) { l.mu.Lock(); l.down = trafficlog.Now() + span; l.mu.Unlock() }
 
 // rows is the list as it was at a time, with its version.
 func (l *List) rows(at float64) (rows []entry, rev int64) {
@@ -147,7 +147,7 @@
 	return rows, rev
 }
 
-func (e entry) told(now float64) core.Row {
+func (e entry) told(now float64) engine.Row {
 	r := *e.row
 	if e.since > 0 {
 		r.UpMs = max(now-e.since, 0.001)
@@ -165,7 +165,7 @@
 		return
 	}
 	l.mu.Lock()
-	now := tap.Now()
+	now := trafficlog.Now()
 	down := now < l.down
 	lag := l.cfg.LagFrom + l.rng.Float64()*(l.cfg.LagTo-l.cfg.LagFrom)
 	purgeLag := l.cfg.PurgeFrom + l.rng.Float64()*(l.cfg.PurgeTo-l.cfg.PurgeFrom)
@@ -186,7 +186,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/x-ndjson")
-	send := func(n core.News, recs []tap.Record) bool {
+	send := func(n engine.News, recs []trafficlog.Record) bool {
 		line, err := json.Marshal(n)
 		if err != nil {
 			return false
@@ -199,23 +199,23 @@
 			flush.Flush()
 			return false
 		}
-		t := tap.Now()
+		t := trafficlog.Now()
 		for _, rec := range recs {
-			rec.T, rec.Ev, rec.Who = t, tap.Told, name
+			rec.T, rec.Ev, rec.Who = t, trafficlog.Told, name
 			l.tap.Add(rec)
 		}
 		_, err = w.Write(append(line, '\n'))
 		flush.Flush()
 		return err == nil
 	}
-	full := core.News{Rev: max(rev-back, 0), How: "full"}
-	recs := []tap.Record{{Note: "full"}}
+	full := engine.News{Rev: max(rev-back, 0), How: "full"}
+	recs := []trafficlog.Record{{Note: "full"}}
 	for _, e := range rows {
 		full.Members = append(full.Members, e.told(now))
-		recs = append(recs, tap.Record{Src: e.row.ID, State: state(e.row.State), Start: e.row.Start})
+		recs = append(recs, trafficlog.Record{Src: e.row.ID, State: state(e.row.State), Start: e.row.Start})
 	}
 	if back > 0 {
-		recs = []tap.Record{{Note: "set back"}} // passed over by a router that knows more
+		recs = []trafficlog.Record{{Note: "set back"}} // passed over by a router that knows more
 	}
 	if !send(full, recs) {
 		return
@@ -257,7 +257,7 @@
 			return
 		}
 		sort.SliceStable(waiting, func(i, j int) bool { return due(waiting[i], lag, purgeLag) < due(waiting[j], lag, purgeLag) })
-		now := tap.Now()
+		now := trafficlog.Now()
 		for len(waiting) > 0 && due(waiting[0], lag, purgeLag) <= now {
 			e := waiting[0]
 			waiting = waiting[1:]
@@ -265,8 +265,8 @@
 			if e.purge != nil {
 				ok = l.sendPurge(send, e)
 			} else {
-				ok = send(core.News{Rev: e.rev, How: "delta", Members: []core.Row{e.told(now)}},
-					[]tap.Record{{Src: e.row.ID, State: state(e.row.State), Start: e.row.Start}})
+				ok = send(engine.News{Rev: e.rev, How: "delta", Members: []engine.Row{e.told(now)}},
+					[]trafficlog.Record{{Src: e.row.ID, State: state(e.row.State), Start: e.row.Start}})
 			}
 			if !ok {
 				return
@@ -274,7 +274,7 @@
 		}
 		wait := time.Hour
 		if len(waiting) > 0 {
-			wait = time.Duration(max(due(waiting[0], lag, purgeLag)-tap.Now(), 0.2) * float64(time.Millisecond))
+			wait = time.Duration(max(due(waiting[0], lag, purgeLag)-trafficlog.Now(), 0.2) * float64(time.Millisecond))
 		}
 		timer := time.NewTimer(wait)
 		select {
@@ -302,22 +302,22 @@
 	return s
 }
 
-func (l *List) sendPurge(send func(core.News, []tap.Record) bool, e entry) bool {
+func (l *List) sendPurge(send func(engine.News, []trafficlog.Record) bool, e entry) bool {
 	p := *e.purge
-	p.AgeMs = max(tap.Now()-e.made, 0)
-	return send(core.News{Rev: e.rev, Purge: &p}, []tap.Record{{Object: p.Object, Group: p.Group, Born: e.made, Note: "purge"}})
+	p.AgeMs = max(trafficlog.Now()-e.made, 0)
+	return send(engine.News{Rev: e.rev, Purge: &p}, []trafficlog.Record{{Object: p.Object, Group: p.Group, Born: e.made, Note: "purge"}})
 }
 
 // post takes news from outside: a row, or a purge; ?ago=MS says how long ago
 // the member started, or the purge was made.
 func (l *List) post(w http.ResponseWriter, r *http.Request) {
-	var n core.News
+	var n engine.News
 	if err := json.NewDecoder(r.Body).Decode(&n); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	ago, _ := strconv.ParseFloat(r.URL.Query().Get("ago"), 64)
-	now := tap.Now()
+	now := trafficlog.Now()
 	for _, row := range n.Members {
 		since := 0.0
 		if row.UpMs > 0 {
--- a/internal/standin/mangle.go
+++ b/internal/testbed/testserver/mangle.go
@@ -1,4 +1,4 @@
-package standin
+package testserver
 
 import (
 	"bufio"
--- a/internal/standin/origin.go
+++ b/internal/testbed/testserver/origin.go
@@ -1,4 +1,4 @@
-package standin
+package testserver
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"net/http"
 	"strconv"
 
-	"indigospool/internal/fillwire"
-	"indigospool/internal/tap"
+	"indigospool/internal/protocol/fetchheader"
+	"indigospool/internal/testbed/trafficlog"
 )
 
 // origin is what the origin knows: the version of each object, and which
@@ -41,7 +41,7 @@
 	full := s.cfg.Limit > 0 && s.inflight > s.cfg.Limit
 	s.mu.Unlock()
 	if full {
-		v.refuse(http.StatusServiceUnavailable, fillwire.Handled{})
+		v.refuse(http.StatusServiceUnavailable, fetchheader.Handled{})
 		return
 	}
 	if v.rec.Write {
@@ -49,14 +49,14 @@
 		return
 	}
 	s.mu.Lock()
-	born := tap.Now()
+	born := trafficlog.Now()
 	version := s.origin.version(v.a.Object, v.a.Group)
 	s.mu.Unlock()
 	size := SizeOf(v.key, v.class.KB)
 	if first, last, ok := byteRange(v.r); ok { // each range is an object of its own here
 		size = last - first + 1
 	}
-	v.send(version, born, size, fillwire.Handled{Cache: s.cfg.ID}, nil)
+	v.send(version, born, size, fetchheader.Handled{Cache: s.cfg.ID}, nil)
 }
 
 // run runs a write, or drops the repeat of one that was run within the window.
@@ -66,7 +66,7 @@
 	if err != nil { // a request that did not come whole is not run
 		return
 	}
-	now := tap.Now()
+	now := trafficlog.Now()
 	s.mu.Lock()
 	first, again := s.origin.seen[v.rec.Key]
 	drop := v.rec.Key != "" && again && now-first < v.class.Window
@@ -75,7 +75,7 @@
 	}
 	s.mu.Unlock()
 	rec := v.rec
-	rec.Ev, rec.Bytes = tap.Ran, n
+	rec.Ev, rec.Bytes = trafficlog.Ran, n
 	if drop {
 		rec.Note = "dropped"
 	}
--- a/internal/standin/pace.go
+++ b/internal/testbed/testserver/pace.go
@@ -1,11 +1,11 @@
-package standin
+package testserver
 
 import (
 	"context"
 	"sync"
 	"time"
 
-	"indigospool/internal/tap"
+	"indigospool/internal/testbed/trafficlog"
 )
 
 // Link is a line of a set bandwidth that transfers share in the order in which
@@ -29,7 +29,7 @@
 
 // reserve takes the line for n bytes and says when they have passed.
 func (l *Link) reserve(n int) (until float64) {
-	now := tap.Now()
+	now := trafficlog.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.bytes += int64(n)
@@ -50,7 +50,7 @@
 }
 
 func sleepUntil(ctx context.Context, t float64) error {
-	d := t - tap.Now()
+	d := t - trafficlog.Now()
 	if d < 0.2 {
 		return ctx.Err()
 	}
--- a/internal/standin/platform.go
+++ b/internal/testbed/testserver/platform.go
@@ -1,4 +1,4 @@
-package standin
+package testserver
 
 import (
 	"bytes"
@@ -14,10 +14,10 @@
 
 	"github.com/apache/thrift/lib/go/thrift"
 
-	"indigospool/internal/resp"
+	"indigospool/internal/protocol/resp"
 )
 
-// The platform's outside, for tests of internal/node: caches, parents and origins that
+// The platform's outside, for tests of internal/proxy/platform: caches, parents and origins that
 // speak RESP, the control feed, and clients that speak Thrift. Each is a few goroutines
 // on loopback; what passed on its sockets is what tests go by.
 
