--- a/internal/standin/server.go
+++ b/internal/testbed/testserver/server.go
@@ -2,10 +2,10 @@
 // parents), the origin, the list service and clients, with the faults that a
 // day injects into them. All of them write what they see to a tap.
 //
-// They read and write HTTP with Go's net/http and not with internal/http1, so
+// They read and write HTTP with Go's net/http and not with internal/protocol/http1, so
 // that the router's parser is judged by another one. They decide nothing of a
 // router's: a cache does what Spool-Fill says, as docs/protocol.md defines it.
-package standin
+package testserver
 
 import (
 	"bufio"
@@ -20,9 +20,9 @@
 	"sync/atomic"
 	"time"
 
-	"indigospool/internal/box"
-	"indigospool/internal/fillwire"
-	"indigospool/internal/tap"
+	"indigospool/internal/cachenode/httpcache"
+	"indigospool/internal/protocol/fetchheader"
+	"indigospool/internal/testbed/trafficlog"
 )
 
 // Class is what a stand-in knows of a class of requests.
@@ -89,7 +89,7 @@
 // Server is a running stand-in.
 type Server struct {
 	cfg    Config
-	tap    *tap.Writer
+	tap    *trafficlog.Writer
 	f      *faults
 	ln     net.Listener
 	http   *http.Server
@@ -100,7 +100,7 @@
 	once   sync.Once
 
 	mu       sync.Mutex
-	box      *box.Box
+	box      *httpcache.Box
 	flights  map[string]*flight
 	classes  map[string]Class
 	inflight int
@@ -109,7 +109,7 @@
 }
 
 // Start begins to serve.
-func Start(cfg Config, w *tap.Writer) (*Server, error) {
+func Start(cfg Config, w *trafficlog.Writer) (*Server, error) {
 	cfg.fill()
 	s := &Server{cfg: cfg, tap: w, f: newFaults(cfg.Seed), done: make(chan struct{}),
 		flights: map[string]*flight{}, classes: map[string]Class{}}
@@ -121,14 +121,14 @@
 		return nil, fmt.Errorf("standin %s: %w", cfg.ID, err)
 	}
 	s.ln = ln
-	s.box = box.New(box.Settings{Name: cfg.ID, Bytes: cfg.Bytes, Capacity: cfg.Capacity, ColdFrom: cfg.ColdFrom,
+	s.box = httpcache.New(httpcache.Settings{Name: cfg.ID, Bytes: cfg.Bytes, Capacity: cfg.Capacity, ColdFrom: cfg.ColdFrom,
 		ColdTime: cfg.ColdTime, FallFactor: cfg.Fall, FallTime: cfg.FallTime, MaxFills: cfg.MaxFills},
-		tap.Now(), !cfg.Cold)
+		trafficlog.Now(), !cfg.Cold)
 	s.out = NewLink(func() float64 {
 		if cfg.Capacity <= 0 {
 			return 0
 		}
-		return s.box.Capacity(tap.Now()) * cfg.Flow / s.f.slowness()
+		return s.box.Capacity(trafficlog.Now()) * cfg.Flow / s.f.slowness()
 	})
 	s.in = NewLink(func() float64 { return cfg.LinkIn })
 	if cfg.Role == "origin" {
@@ -138,7 +138,7 @@
 		IdleConnTimeout: 5 * time.Second, ResponseHeaderTimeout: time.Duration(cfg.FillWait) * time.Millisecond,
 		DialContext: (&net.Dialer{Timeout: 500 * time.Millisecond}).DialContext}}
 	s.http = &http.Server{Handler: s, IdleTimeout: 5 * time.Minute}
-	s.tap.Add(tap.Record{Ev: tap.Up, Who: cfg.ID, Role: cfg.Role, Addr: ln.Addr().String(), Start: cfg.Start,
+	s.tap.Add(trafficlog.Record{Ev: trafficlog.Up, Who: cfg.ID, Role: cfg.Role, Addr: ln.Addr().String(), Start: cfg.Start,
 		Cold: cfg.Cold, Work: cfg.Capacity, Note: cfg.Zone})
 	go s.http.Serve(&gatedListener{Listener: ln, f: s.f, done: s.done})
 	return s, nil
@@ -151,7 +151,7 @@
 func (s *Server) ID() string { return s.cfg.ID }
 
 // Fault makes the stand-in suffer.
-func (s *Server) Fault(x Fault) error { return s.f.set(tap.Now(), x) }
+func (s *Server) Fault(x Fault) error { return s.f.set(trafficlog.Now(), x) }
 
 // Purge drops the copies that are older than made, a time on the tap's clock.
 // The origin makes a new version instead, and says itself when: the time is
@@ -164,7 +164,7 @@
 		return made
 	}
 	s.origin.purge(object, group)
-	rec := tap.Record{T: tap.Now(), Ev: tap.Purge, Who: s.cfg.ID, Object: object, Group: group}
+	rec := trafficlog.Record{T: trafficlog.Now(), Ev: trafficlog.Purge, Who: s.cfg.ID, Object: object, Group: group}
 	s.tap.Add(rec)
 	return rec.T
 }
@@ -187,11 +187,11 @@
 
 // ServeHTTP takes an attempt, or a word of control from the day.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if strings.HasPrefix(r.URL.Path, "/-/") && r.Header.Get(fillwire.FillField) == "" {
+	if strings.HasPrefix(r.URL.Path, "/-/") && r.Header.Get(fetchheader.FillField) == "" {
 		s.control(w, r)
 		return
 	}
-	a, err := fillwire.ParseAttempt(r.Header.Values(fillwire.FillField))
+	a, err := fetchheader.ParseAttempt(r.Header.Values(fetchheader.FillField))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -202,23 +202,23 @@
 	}
 	class := s.classes[a.Class]
 	v := &visit{s: s, w: w, r: r, a: a, key: key, class: class}
-	v.rec = tap.Record{Who: s.cfg.ID, Role: s.cfg.Role, Start: s.cfg.Start, Req: a.ID, N: a.Number, From: a.From,
+	v.rec = trafficlog.Record{Who: s.cfg.ID, Role: s.cfg.Role, Start: s.cfg.Start, Req: a.ID, N: a.Number, From: a.From,
 		Via: a.Via, Src: a.Source, Class: a.Class, Object: a.Object, Group: a.Group,
-		Key: r.Header.Get(fillwire.KeyField), Write: r.Method != "GET" && r.Method != "HEAD",
+		Key: r.Header.Get(fetchheader.KeyField), Write: r.Method != "GET" && r.Method != "HEAD",
 		ID: r.Header.Get("X-Request-Id")}
 	v.rec.Work = class.KB / s.cfg.Flow
 	if s.cfg.Role == "parent" {
 		v.rec.Work = float64(SizeOf(key, class.KB)) / 1024 / s.cfg.Flow
 	}
 	recv := v.rec
-	recv.Ev, recv.Note = tap.Recv, "look"
+	recv.Ev, recv.Note = trafficlog.Recv, "look"
 	if a.Source != "" || a.Fetch {
 		recv.Note = "fill"
 	}
 	s.tap.Add(recv)
 	s.mu.Lock()
 	s.inflight++
-	fallen := s.box.Arrive(tap.Now(), v.rec.Work)
+	fallen := s.box.Arrive(trafficlog.Now(), v.rec.Work)
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
@@ -232,7 +232,7 @@
 	stop := context.AfterFunc(r.Context(), func() {
 		if !v.answered.Load() {
 			left := v.rec
-			left.Ev = tap.Left
+			left.Ev = trafficlog.Left
 			s.tap.Add(left)
 		}
 	})
@@ -265,7 +265,7 @@
 		bytes, copies := s.Held()
 		s.mu.Lock()
 		state := map[string]any{"id": s.cfg.ID, "role": s.cfg.Role, "bytes": bytes, "copies": copies,
-			"fallen": s.box.Fallen(), "warmth": s.box.Warmth(tap.Now()), "hits": s.box.Hits, "misses": s.box.Misses,
+			"fallen": s.box.Fallen(), "warmth": s.box.Warmth(trafficlog.Now()), "hits": s.box.Hits, "misses": s.box.Misses,
 			"fills": s.box.Filling(), "inflight": s.inflight, "in_bytes": s.in.Bytes(), "out_bytes": s.out.Bytes()}
 		s.mu.Unlock()
 		json.NewEncoder(w).Encode(state)
@@ -298,7 +298,7 @@
 			v = append(v, min(float64(s.inflight)/max(s.cfg.Capacity, 1), 1))
 		}
 	}
-	return fillwire.FormatLoad(v)
+	return fetchheader.FormatLoad(v)
 }
 
 // visit is one attempt at a stand-in.
@@ -306,18 +306,18 @@
 	s     *Server
 	w     http.ResponseWriter
 	r     *http.Request
-	a     fillwire.Attempt
+	a     fetchheader.Attempt
 	key   string
 	class Class
-	rec   tap.Record
+	rec   trafficlog.Record
 
 	answered atomic.Bool
 }
 
 // sent records that the attempt is answered.
-func (v *visit) sent(rec tap.Record) {
+func (v *visit) sent(rec trafficlog.Record) {
 	v.answered.Store(true)
-	rec.Ev = tap.Sent
+	rec.Ev = trafficlog.Sent
 	v.s.tap.Add(rec)
 }
 
@@ -325,7 +325,7 @@
 func (v *visit) reset() {
 	if !v.answered.Swap(true) {
 		rec := v.rec
-		rec.Ev, rec.Note = tap.Left, "reset"
+		rec.Ev, rec.Note = trafficlog.Left, "reset"
 		v.s.tap.Add(rec)
 	}
 	if c, _, err := v.w.(http.Hijacker).Hijack(); err == nil {
@@ -340,7 +340,7 @@
 		return
 	}
 	if s.f.on(FastErrors) {
-		v.refuse(http.StatusInternalServerError, fillwire.Handled{Fwd: "miss"})
+		v.refuse(http.StatusInternalServerError, fetchheader.Handled{Fwd: "miss"})
 		return
 	}
 	lost := s.f.on(AnswerLost)
@@ -348,7 +348,7 @@
 		v.w = &lostWriter{header: http.Header{}, ctx: ctx}
 	}
 	if lat := s.cfg.Latency * s.f.slowness(); lat > 0 {
-		if sleepUntil(ctx, tap.Now()+lat) != nil {
+		if sleepUntil(ctx, trafficlog.Now()+lat) != nil {
 			return
 		}
 	}
@@ -384,10 +384,10 @@
 	return nil, nil, http.ErrNotSupported
 }
 
-func (v *visit) refuse(status int, h fillwire.Handled) {
+func (v *visit) refuse(status int, h fetchheader.Handled) {
 	h.Cache = v.s.cfg.ID
-	v.w.Header().Set(fillwire.StatusField, h.String())
-	v.w.Header().Set(fillwire.LoadField, v.s.load())
+	v.w.Header().Set(fetchheader.StatusField, h.String())
+	v.w.Header().Set(fetchheader.LoadField, v.s.load())
 	rec := v.rec
 	rec.Status, rec.Note = status, h.Detail
 	v.sent(rec)
@@ -397,7 +397,7 @@
 
 func (v *visit) atCache() {
 	s := v.s
-	now := tap.Now()
+	now := trafficlog.Now()
 	age := v.a.Age
 	if age <= 0 {
 		age = 1e15
@@ -419,7 +419,7 @@
 		held := *c
 		ageing := v.a.Renew && held.Fresh > 0 && now-held.Born > 0.8*held.Fresh
 		s.mu.Unlock()
-		h := fillwire.Handled{Cache: s.cfg.ID, Hit: true}
+		h := fetchheader.Handled{Cache: s.cfg.ID, Hit: true}
 		if held.Fresh > 0 {
 			h.HasTTL, h.TTL = true, (held.Fresh-(now-held.Born))/1000
 			if h.TTL < 0 {
@@ -435,7 +435,7 @@
 	fl := s.flights[v.key]
 	s.mu.Unlock()
 	if v.a.Source == "" && !v.a.Fetch { // a look
-		v.refuse(http.StatusGatewayTimeout, fillwire.Handled{Fwd: "miss", Joined: fl != nil})
+		v.refuse(http.StatusGatewayTimeout, fetchheader.Handled{Fwd: "miss", Joined: fl != nil})
 		return
 	}
 	if fl != nil && v.a.Join {
@@ -448,17 +448,17 @@
 }
 
 // send answers with a copy; fl is the fill that it comes from, or nil.
-func (v *visit) send(version int64, born float64, size int64, h fillwire.Handled, fl *flight) {
+func (v *visit) send(version int64, born float64, size int64, h fetchheader.Handled, fl *flight) {
 	s := v.s
 	head := v.w.Header()
 	status := h.String()
 	if fl != nil && fl.behind != "" {
 		status = fl.behind + ", " + status
 	}
-	now := tap.Now()
-	head.Set(fillwire.StatusField, status)
-	head.Set(fillwire.LoadField, s.load())
-	head.Set(fillwire.CopyField, fillwire.Version{V: version, Age: max(now-born, 0)}.String())
+	now := trafficlog.Now()
+	head.Set(fetchheader.StatusField, status)
+	head.Set(fetchheader.LoadField, s.load())
+	head.Set(fetchheader.CopyField, fetchheader.Version{V: version, Age: max(now-born, 0)}.String())
 	head.Set("Age", strconv.Itoa(int(max(now-born, 0)/1000)))
 	head.Set("Content-Type", "application/octet-stream")
 	if isText(v.key) {
@@ -517,7 +517,7 @@
 	if v.a.Via != "" {
 		flow = s.cfg.FillFlow
 	}
-	pace := tap.Now()
+	pace := trafficlog.Now()
 	for off := int64(0); off < size; {
 		n := int(min(chunk, size-off))
 		if fl != nil {
@@ -531,7 +531,7 @@
 		if s.f.gate(ctx) != nil {
 			return
 		}
-		pace = max(pace, tap.Now()-20) + float64(n)/1024/flow*s.f.slowness()
+		pace = max(pace, trafficlog.Now()-20) + float64(n)/1024/flow*s.f.slowness()
 		if s.out.Pass(ctx, n) != nil || sleepUntil(ctx, pace) != nil {
 			return
 		}
@@ -544,6 +544,6 @@
 		}
 	}
 	rec := v.rec
-	rec.Ev, rec.Bytes = tap.Done, size
+	rec.Ev, rec.Bytes = trafficlog.Done, size
 	s.tap.Add(rec)
 }
--- a/internal/standin/standin_test.go
+++ b/internal/testbed/testserver/standin_test.go
@@ -1,4 +1,4 @@
-package standin
+package testserver
 
 import (
 	"fmt"
@@ -12,8 +12,8 @@
 	"pgregory.net/rapid"
 
 	"indigospool/internal/config"
-	"indigospool/internal/fillwire"
-	"indigospool/internal/tap"
+	"indigospool/internal/protocol/fetchheader"
+	"indigospool/internal/testbed/trafficlog"
 )
 
 // Content is the same however it is cut, and told apart from other versions'.
@@ -51,9 +51,9 @@
 	}
 }
 
-func ask(t *testing.T, addr, path string, a fillwire.Attempt) (int, http.Header, string) {
+func ask(t *testing.T, addr, path string, a fetchheader.Attempt) (int, http.Header, string) {
 	req, _ := http.NewRequest("GET", "http://"+addr+path, nil)
-	req.Header.Set(fillwire.FillField, string(a.Append(nil)))
+	req.Header.Set(fetchheader.FillField, string(a.Append(nil)))
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return 0, nil, err.Error()
@@ -79,7 +79,7 @@
 		t.Fatal(err)
 	}
 	defer b.Kill()
-	look := fillwire.Attempt{ID: "r", From: "t", Class: "c", Object: "/x", Group: 1, Keep: 1, Age: 1e9}
+	look := fetchheader.Attempt{ID: "r", From: "t", Class: "c", Object: "/x", Group: 1, Keep: 1, Age: 1e9}
 	fill := look
 	fill.Source, fill.At = "o", o.Addr()
 	if code, h, _ := ask(t, b.Addr(), "/x", look); code != 504 || !strings.Contains(h.Get("Cache-Status"), "fwd=miss") {
@@ -110,21 +110,21 @@
 	if code, h, _ := ask(t, b.Addr(), "/y", gone); code != 503 || !strings.Contains(h.Get("Cache-Status"), "detail=source-unreached") {
 		t.Errorf("a fill from nowhere: %d %v", code, h)
 	}
-	if code, _, body := ask(t, b.Addr(), "/y", fillwire.Attempt{ID: "r", Keep: 9}); code != 400 {
+	if code, _, body := ask(t, b.Addr(), "/y", fetchheader.Attempt{ID: "r", Keep: 9}); code != 400 {
 		t.Errorf("a malformed attempt: %d %s", code, body)
 	}
 }
 
 // A cold cache that is sent too much falls over, and answers nothing any more.
 func TestFallsOverOnTheSocket(t *testing.T) {
-	w := tap.NewWriter(nil)
+	w := trafficlog.NewWriter(nil)
 	b, err := Start(Config{ID: "b", Role: "box", Cold: true, Capacity: 1, ColdFrom: 0.2, ColdTime: 60000, Fall: 2, FallTime: 1000,
 		Flow: 1, Classes: []Class{{Name: "c", KB: 100}}}, w)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer b.Kill()
-	look := fillwire.Attempt{ID: "r", Class: "c", Object: "/x", Age: 1e9}
+	look := fetchheader.Attempt{ID: "r", Class: "c", Object: "/x", Age: 1e9}
 	for i := range 8 { // 100 ms of work each, where 400 are borne
 		code, _, what := ask(t, b.Addr(), "/x", look)
 		if want := i < 4; (code == 504) != want {
--- a/internal/tap/tap.go
+++ b/internal/testbed/trafficlog/tap.go
@@ -1,10 +1,10 @@
 // Package tap is the record of what passed on the sockets, as the stand-ins
-// and the clients saw it; rules are judged from it alone (internal/rules). One
+// and the clients saw it; rules are judged from it alone (internal/testbed/invariants). One
 // record is one line of JSON. Times are of the machine's monotonic clock, in
 // ms, so that the records of several processes go into one order.
 //
 // It never holds the router's own word: no router writes to a tap.
-package tap
+package trafficlog
 
 import (
 	"bufio"
