--- a/internal/testbed/scenario/clients.go
+++ b/internal/testbed/scenario/clients.go
@@ -326,7 +326,7 @@
 		method, body = "POST", strings.Repeat("x", 200)
 	}
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: day\r\nX-Request-Id: %s\r\nSpool-Deadline: %.3f\r\n", method, path, id,
-		max(min(patience, until-trafficlog.Now()), 1))
+		max(rec.Limit-trafficlog.Now(), 1)) // what is left of it: connecting took its part
 	if !k.Write {
 		fmt.Fprintf(&b, "Spool-KB: %.3f\r\n", float64(testserver.SizeOf(path, k.KB))/1024)
 	}
--- a/internal/testbed/scenario/repeat_test.go
+++ b/internal/testbed/scenario/repeat_test.go
@@ -106,3 +106,32 @@
 	}
 	return asks
 }
+
+// A client states the time that it has left when it writes: what it has waited for its
+// connection is not the router's.
+func TestClientsStateWhatIsLeft(t *testing.T) {
+	const delay, patience, slack = 200, 2000, 50
+	left := make(chan float64, 1)
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		span, _ := strconv.ParseFloat(r.Header.Get("Spool-Deadline"), 64)
+		left <- span
+	}))
+	defer server.Close()
+	class := Class{Name: "order", Deadline: patience, Write: true, Effect: "single-shot"}
+	script := &Script{Day: Form{Patience: 1, Groups: 1}, Classes: []Class{class}}
+	at := &routerAt{name: "r1", zone: "z", addr: strings.TrimPrefix(server.URL, "http://")}
+	c := &clients{d: &Day{s: script, tap: trafficlog.NewKeeper(nil)}, zone: "z", seq: new(atomic.Int64)}
+	at.mu.Lock() // no connection is to be had
+	done := make(chan answer)
+	go func() {
+		done <- c.ask(at, &class, "/order/0/w1", "k1", 0, math.Inf(1), rand.New(rand.NewPCG(1, 2)))
+	}()
+	time.Sleep(delay * time.Millisecond)
+	at.mu.Unlock()
+	if ans := <-done; !ans.whole {
+		t.Fatalf("not answered: %+v", ans)
+	}
+	if span := <-left; span > patience-delay+slack {
+		t.Errorf("%.0f ms are stated to the router after %d of %d have passed", span, delay, patience)
+	}
+}
