--- a/router.go
+++ b/router.go
@@ -52,6 +52,7 @@
 	winsNeeded   = 3 // good trials in a row that clear a suspect
 	retryShare   = 0.25
 	retryBurst   = 30.0
+	retryReserve = 5.0  // of it, for the classes of the most worth
 	coldBurst    = 0.5  // of the fall time's budget may be spent at once
 	coldSizeUse  = 0.35 // load assumed of a stated capacity
 	coldLent     = 0.5  // of the ordinary load may go to a cold member beyond budgets, times its warmth
@@ -85,7 +86,7 @@
 		r.s.MaxAttempts = 4
 	}
 	known := r.classes
-	r.classes = map[string]*class{}
+	r.classes, r.mostWorth = map[string]*class{}, 0
 	for _, c := range s.Classes {
 		guess := max(c.Aim/2, 1)
 		k := &class{Class: c, mean: guess, took: guess}
@@ -93,6 +94,7 @@
 			k.mean, k.took = old.mean, old.took
 		}
 		r.classes[c.Name] = k
+		r.mostWorth = max(r.mostWorth, c.Worth)
 	}
 	for _, m := range r.members {
 		m.role = r.roleOf(m.Member)
@@ -430,7 +432,16 @@
 	late := q.ran != nil && (q.class.Effect == SingleShot ||
 		q.class.Effect == Guarded && r.now >= q.ranAt+q.class.Window-2*r.s.Tick)
 	return q.unfit || q.Deadline-r.now <= 2*r.s.Tick || q.made() >= r.s.MaxAttempts || q.locals >= localMost || late ||
-		!q.freely() && r.retries < 1
+		!q.freely() && r.retries < r.retryPrice(q)
+}
+
+// retryPrice is what the retry budget must hold for a further attempt of a request. What is left
+// of it at last is for the classes that earn most: in an overload the many others would spend it all.
+func (r *Router) retryPrice(q *request) float64 {
+	if q.class.Worth < r.mostWorth {
+		return 1 + retryReserve
+	}
+	return 1
 }
 
 // age is the oldest copy that will do: under the time since a purge until all
--- a/state.go
+++ b/state.go
@@ -122,6 +122,7 @@
 	timers         map[int64]*request
 	token          int64
 	retries        float64        // further attempts that may be made
+	mostWorth      float64        // of any class
 	mean           Millis         // sending time of all requests
 	link           gate           // fills
 	pace           float64        // recent time of fills over their sending time
