--- a/internal/controlplane/configstore/clock.go
+++ b/internal/controlplane/configstore/clock.go
@@ -7,7 +7,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"indigospool/internal/controlplane/rollout"
+	"indigospool/internal/controlplane/configversion"
 	"indigospool/internal/wallclock"
 )
 
@@ -56,8 +56,8 @@
 // ages are how long ago versions were stored, in their order: the last one's by the
 // wall clock where the machine was booted since, as a hint; those before it by their
 // distances, which no step of the wall clock changes.
-func (s *Store) ages(headers []header, now time.Time) []rollout.Millis {
-	out, wall := make([]rollout.Millis, len(headers)), wallclock.At(now)
+func (s *Store) ages(headers []header, now time.Time) []configversion.Millis {
+	out, wall := make([]configversion.Millis, len(headers)), wallclock.At(now)
 	next := header{Stored: wall, reading: s.readAt(now)}
 	age := time.Duration(0)
 	for i := len(headers) - 1; i >= 0; i-- {
--- a/internal/controlplane/configstore/fault_test.go
+++ b/internal/controlplane/configstore/fault_test.go
@@ -13,7 +13,7 @@
 	"go.etcd.io/bbolt"
 	"golang.org/x/sys/unix"
 
-	"indigospool/internal/controlplane/rollout"
+	"indigospool/internal/controlplane/configversion"
 )
 
 // failing is a file system of which operations fail for so many calls each.
@@ -224,7 +224,7 @@
 			t.Fatal(err)
 		}
 		tryUntil(t, "Put", func() error { return s.Put(version(2), time.Now()) })
-		tryUntil(t, "Save", func() error { return s.Save([]byte("state 2"), []rollout.Version{version(2)}, time.Now()) })
+		tryUntil(t, "Save", func() error { return s.Save([]byte("state 2"), []configversion.Version{version(2)}, time.Now()) })
 		if _, fault := s.Fault(); fault != nil {
 			t.Errorf("a fault after a write: %v", fault)
 		}
--- a/internal/controlplane/configstore/lastgood.go
+++ b/internal/controlplane/configstore/lastgood.go
@@ -4,7 +4,7 @@
 // interrupts, and is checked by its seal when it is read. A store that is damaged
 // is set aside under another name, never repaired and never deleted.
 //
-// It decides nothing about versions; internal/controlplane/rollout does. It waits for the disk,
+// It decides nothing about versions; internal/controlplane/configversion does. It waits for the disk,
 // and so is called from goroutines beside the loop only.
 package configstore
 
@@ -24,7 +24,7 @@
 	boltErrors "go.etcd.io/bbolt/errors"
 	"golang.org/x/sys/unix"
 
-	"indigospool/internal/controlplane/rollout"
+	"indigospool/internal/controlplane/configversion"
 	"indigospool/internal/wallclock"
 )
 
@@ -69,7 +69,7 @@
 }
 
 type late struct {
-	v   rollout.Version
+	v   configversion.Version
 	now time.Time
 }
 
@@ -504,8 +504,8 @@
 
 // Put stores a version; when it returns without an error, the version survives
 // any crash. Some before it are kept, the oldest go.
-func (s *Store) Put(v rollout.Version, now time.Time) error {
-	if v.Number <= 0 || rollout.SumOf(v.Body) != v.Sum {
+func (s *Store) Put(v configversion.Version, now time.Time) error {
+	if v.Number <= 0 || configversion.SumOf(v.Body) != v.Sum {
 		return fmt.Errorf("lastgood: version %d does not match its sum, and is not stored", v.Number)
 	}
 	s.mu.Lock()
@@ -523,7 +523,7 @@
 	return s.put(v, now)
 }
 
-func (s *Store) put(v rollout.Version, now time.Time) error {
+func (s *Store) put(v configversion.Version, now time.Time) error {
 	value, err := s.encode(v, now)
 	if err != nil {
 		return err
@@ -538,12 +538,12 @@
 }
 
 // trim removes the oldest versions past those that are kept, but none of needed.
-func (s *Store) trim(b *bbolt.Bucket, needed []rollout.Version) error {
+func (s *Store) trim(b *bbolt.Bucket, needed []configversion.Version) error {
 	c := b.Cursor()
 	var old [][]byte
 	n := b.Stats().KeyN
 	for k, _ := c.First(); k != nil && n > s.keep; k, _ = c.Next() {
-		if slices.ContainsFunc(needed, func(v rollout.Version) bool { return string(key(v.Number)) == string(k) }) {
+		if slices.ContainsFunc(needed, func(v configversion.Version) bool { return string(key(v.Number)) == string(k) }) {
 			continue
 		}
 		old = append(old, append([]byte(nil), k...))
@@ -560,7 +560,7 @@
 // Save stores a service's state, and in the same step the versions that it
 // speaks of, unless they are stored already; these are kept as long as a state
 // names them.
-func (s *Store) Save(text []byte, of []rollout.Version, now time.Time) error {
+func (s *Store) Save(text []byte, of []configversion.Version, now time.Time) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.update(func(tx *bbolt.Tx) error {
@@ -586,7 +586,7 @@
 }
 
 // holds reports whether a version is stored as it is.
-func holds(b *bbolt.Bucket, v rollout.Version) bool {
+func holds(b *bbolt.Bucket, v configversion.Version) bool {
 	value := b.Get(key(v.Number))
 	if value == nil {
 		return false
@@ -610,7 +610,7 @@
 }
 
 // Version is a stored version by its number.
-func (s *Store) Version(number int64) (v rollout.Version, stored time.Time, err error) {
+func (s *Store) Version(number int64) (v configversion.Version, stored time.Time, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
 		value := tx.Bucket(versions).Get(key(number))
 		if value == nil {
@@ -624,7 +624,7 @@
 	return v, stored, err
 }
 
-func (s *Store) encode(v rollout.Version, now time.Time) ([]byte, error) {
+func (s *Store) encode(v configversion.Version, now time.Time) ([]byte, error) {
 	h, err := json.Marshal(header{v.Sum, wallclock.At(now), s.readAt(now)})
 	if err != nil {
 		return nil, err
@@ -648,7 +648,7 @@
 }
 
 // Last is the stored version with the highest number, and when it was stored.
-func (s *Store) Last() (v rollout.Version, stored time.Time, err error) {
+func (s *Store) Last() (v configversion.Version, stored time.Time, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
 		k, value := tx.Bucket(versions).Cursor().Last()
 		if k == nil {
@@ -668,7 +668,7 @@
 	return sha256.Sum256(append(append([]byte(nil), k...), rest...))
 }
 
-func decode(k, value []byte) (v rollout.Version, h header, err error) {
+func decode(k, value []byte) (v configversion.Version, h header, err error) {
 	if value, err = unseal(k, value); err != nil {
 		return v, h, err
 	}
@@ -682,16 +682,16 @@
 	if err := json.Unmarshal(value[4:4+n], &h); err != nil {
 		return v, h, fmt.Errorf("lastgood: an entry's header: %w", err)
 	}
-	v = rollout.Version{Number: int64(binary.BigEndian.Uint64(k)), Sum: h.Sum, Body: append([]byte(nil), value[4+n:]...)}
-	if rollout.SumOf(v.Body) != v.Sum {
-		return rollout.Version{}, h, fmt.Errorf("lastgood: version %d does not match its sum", v.Number)
+	v = configversion.Version{Number: int64(binary.BigEndian.Uint64(k)), Sum: h.Sum, Body: append([]byte(nil), value[4+n:]...)}
+	if configversion.SumOf(v.Body) != v.Sum {
+		return configversion.Version{}, h, fmt.Errorf("lastgood: version %d does not match its sum", v.Number)
 	}
 	return v, h, nil
 }
 
 // History are the stored versions in the order of their numbers, with their ages
 // by the wall clock, never below 0.
-func (s *Store) History(now time.Time) (list []rollout.Aged, err error) {
+func (s *Store) History(now time.Time) (list []configversion.Aged, err error) {
 	list, headers, err := s.all()
 	for i := range list {
 		list[i].Age = max(float64(wallclock.At(now).Sub(headers[i].Stored).Microseconds())/1000, 0)
@@ -700,11 +700,11 @@
 }
 
 // all are the stored versions in the order of their numbers, without their ages.
-func (s *Store) all() (list []rollout.Aged, headers []header, err error) {
+func (s *Store) all() (list []configversion.Aged, headers []header, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
 		return tx.Bucket(versions).ForEach(func(k, value []byte) error {
 			v, h, err := decode(k, value)
-			list, headers = append(list, rollout.Aged{Version: v}), append(headers, h)
+			list, headers = append(list, configversion.Aged{Version: v}), append(headers, h)
 			return err
 		})
 	})
@@ -713,17 +713,17 @@
 
 // Restored is the event with which a router's machine begins. The wall clock counts
 // for the ages in it only where nothing else tells them.
-func (s *Store) Restored(now time.Time) rollout.Restored {
+func (s *Store) Restored(now time.Time) configversion.Restored {
 	list, headers, err := s.all()
 	if err == nil && len(list) == 0 {
 		err = ErrNone
 	}
 	if err != nil {
-		return rollout.Restored{Err: err}
+		return configversion.Restored{Err: err}
 	}
 	for i, age := range s.ages(headers, now) {
 		list[i].Age = age
 	}
 	last := list[len(list)-1]
-	return rollout.Restored{Version: last.Version, Age: last.Age, Before: list[:len(list)-1]}
+	return configversion.Restored{Version: last.Version, Age: last.Age, Before: list[:len(list)-1]}
 }
--- a/internal/controlplane/configstore/lastgood_test.go
+++ b/internal/controlplane/configstore/lastgood_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"indigospool/internal/controlplane/rollout"
+	"indigospool/internal/controlplane/configversion"
 )
 
 const childEnv = "LASTGOOD_WRITES_TO"
@@ -42,8 +42,8 @@
 	}
 }
 
-func version(n int64) rollout.Version {
-	return rollout.New(n, []byte(strings.Repeat(fmt.Sprintf("(version %d) ", n), int(20+n%50*20))))
+func version(n int64) configversion.Version {
+	return configversion.New(n, []byte(strings.Repeat(fmt.Sprintf("(version %d) ", n), int(20+n%50*20))))
 }
 
 func TestPutAndLast(t *testing.T) {
@@ -199,7 +199,7 @@
 	}
 	put := func(s *Store, n int64) {
 		t.Helper()
-		if err := s.Put(rollout.New(n, []byte(fmt.Sprint("version ", n))), time.Now()); err != nil {
+		if err := s.Put(configversion.New(n, []byte(fmt.Sprint("version ", n))), time.Now()); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/controlplane/rollout/diff.go
+++ b/internal/controlplane/configversion/diff.go
@@ -1,4 +1,4 @@
-package rollout
+package configversion
 
 import (
 	"sort"
--- a/internal/controlplane/rollout/fleet.go
+++ b/internal/controlplane/configversion/machine.go
@@ -1,19 +1,20 @@
-// Package fleet decides about versions of a router's configuration: which one
-// that a control service offers is accepted and which refused, and why; when an
-// accepted one is used; what is run after a restart, and whom to believe when
-// two services disagree. It is a state machine without I/O: events go in,
-// actions come out, time is the caller's and chance comes from a seed.
+// Package configversion decides about versions of a router's configuration: which one
+// that a control service offers is accepted and which rejected, and why; when an
+// accepted one is activated; what is run after a restart, and which service is believed
+// when two disagree. It is a state machine without I/O: events go in, actions come
+// out, time is the caller's and chance comes from a seed.
 //
-// It never speaks to a service, a disk or a router: streams and stores are
-// others' (docs/control.md), and what a version's members mean for requests is
-// the decision module's. Checks of a version's sense are in check.go, the order
-// in which changes of members are told in diff.go, the service's staged rollout
-// in rollout.go.
+// It never speaks to a service, a disk or a router: streams are those of
+// internal/controlplane/service, the disk that of internal/controlplane/configstore
+// (docs/control.md), and what a version's members mean for requests is the decision
+// module's. The machine is in machine.go, the semantic checks of a version in check.go,
+// the order in which changes of members are applied in diff.go. How a service brings
+// a version to its routers is internal/controlplane/rollout.
 //
-// What it promises, for any sequence of offers, cuts, restarts and damage: a
-// router runs only versions that passed every check, and never one with a lower
-// number than the last it accepted. A rollback is a new number with old content.
-package rollout
+// The guarantee, for any sequence of offers, lost streams, restarts and damage: a
+// router runs only versions that passed every check, and never one with a lower number
+// than the last it accepted. A rollback is a new number with old content.
+package configversion
 
 import (
 	"crypto/sha256"
--- a/internal/controlplane/endpointcheck/listcheck.go
+++ b/internal/controlplane/endpointcheck/listcheck.go
@@ -15,7 +15,7 @@
 
 	spool "indigospool"
 	"indigospool/internal/config"
-	"indigospool/internal/controlplane/rollout"
+	"indigospool/internal/controlplane/configversion"
 	"indigospool/internal/controlplane/service"
 	"indigospool/internal/proxy/engine"
 )
@@ -26,7 +26,7 @@
 	Parts   float64 // mean parts of an object of a class in parts; default 8
 	KB      float64 // of an object or part whose route states no size; default 100
 	Seed    uint64
-	Limits  rollout.CheckLimits
+	Limits  configversion.CheckLimits
 
 	Rehearse *RehearseOptions // play the change under load too; nil: don't
 }
@@ -98,7 +98,7 @@
 	if err := errors.Join(config.ReadVersion("old", string(before), nil, &was), config.ReadVersion("new", string(after), nil, &is)); err != nil {
 		return nil, err
 	}
-	for _, s := range rollout.Diff(was.Members, is.Members) {
+	for _, s := range configversion.Diff(was.Members, is.Members) {
 		line := s.What + ":"
 		for _, m := range s.Members {
 			line += " " + m.ID
@@ -156,7 +156,7 @@
 	a.all(things)
 	a.Pass(25000) // and what moved with them is settled
 	first := a.all(things)
-	for _, s := range rollout.Diff(was.Members, is.Members) {
+	for _, s := range configversion.Diff(was.Members, is.Members) {
 		a.Tell(engine.FromStep(1, s.Members, s.What == "starts"))
 	}
 	if _, err := a.c.Resettle(a.now, &is, nil); err != nil {
--- a/internal/controlplane/endpointcheck/rehearse.go
+++ b/internal/controlplane/endpointcheck/rehearse.go
@@ -11,7 +11,7 @@
 
 	spool "indigospool"
 	"indigospool/internal/config"
-	"indigospool/internal/controlplane/rollout"
+	"indigospool/internal/controlplane/configversion"
 	"indigospool/internal/decisionlog/whatif"
 	"indigospool/internal/protocol/http1"
 	"indigospool/internal/proxy/engine"
@@ -332,7 +332,7 @@
 // change tells each router of the new list, at its own moment, in the steps in which
 // routers tell their modules of a version.
 func (p *play) change(at float64) {
-	steps := rollout.Diff(p.was.Members, p.is.Members)
+	steps := configversion.Diff(p.was.Members, p.is.Members)
 	for _, s := range steps {
 		for _, m := range s.Members {
 			if s.What == "starts" {
--- a/internal/controlplane/rollout/rollout.go
+++ b/internal/controlplane/rollout/rollout.go
@@ -1,3 +1,11 @@
+// Package rollout decides how a control service brings a version of the configuration
+// to its routers: in stages, and so that a version that routers reject, or that makes
+// their service worse, goes no further. It is a state machine without I/O: events go
+// in, actions come out, and time is the caller's.
+//
+// Versions themselves, and what a router makes of one that it is offered, are
+// internal/controlplane/configversion's; streams and the service's disk are
+// internal/controlplane/service's (docs/control.md).
 package rollout
 
 import (
@@ -5,19 +13,21 @@
 	"hash/fnv"
 	"math"
 	"sort"
+
+	"indigospool/internal/controlplane/configversion"
 )
 
 // RolloutSettings are how a service brings a version to its routers. Zero
 // fields mean the defaults.
 type RolloutSettings struct {
-	Stages   []float64 // shares of the routers, in rising order; a share too small for one means one; default 0, 0.1, 1
-	Hold     Millis    // a stage lasts at least so long after its last router has accepted; default 30000
-	Patience Millis    // and is halted when routers have not answered for so long; default 120000
-	Refused  float64   // halted when more than this share of a stage's routers refuse; default 0: any
-	Silent   float64   // share of a stage's routers that may stay without an answer; default 0.05
-	Fall     float64   // halted when service at its routers falls by more than this against the others; default 0.05
-	Again    Millis    // a router that refused what is everybody's is offered it again after so long; default 60000
-	Asked    float64   // requests that such a comparison needs on either side, before and since; default 200
+	Stages   []float64            // shares of the routers, in rising order; a share too small for one means one; default 0, 0.1, 1
+	Hold     configversion.Millis // a stage lasts at least so long after its last router has accepted; default 30000
+	Patience configversion.Millis // and is halted when routers have not answered for so long; default 120000
+	Refused  float64              // halted when more than this share of a stage's routers refuse; default 0: any
+	Silent   float64              // share of a stage's routers that may stay without an answer; default 0.05
+	Fall     float64              // halted when service at its routers falls by more than this against the others; default 0.05
+	Again    configversion.Millis // a router that refused what is everybody's is offered it again after so long; default 60000
+	Asked    float64              // requests that such a comparison needs on either side, before and since; default 200
 }
 
 func (s RolloutSettings) filled() RolloutSettings {
@@ -87,7 +97,7 @@
 	// Offer sends a version to a router that has a stream.
 	Offer struct {
 		Router  string
-		Version Version
+		Version configversion.Version
 	}
 	// Halted says that a rollout was stopped, and why. The old content follows
 	// under a new number.
@@ -116,8 +126,8 @@
 // RolloutState is what a service must not forget: numbers are never given twice.
 type RolloutState struct {
 	Last   int64 // highest number ever given
-	Base   Version
-	Next   Version // on its way; Number 0: none
+	Base   configversion.Version
+	Next   configversion.Version // on its way; Number 0: none
 	Stage  int
 	Halted string // why the last rollout was halted; empty: it was not
 }
@@ -129,9 +139,9 @@
 	running int64 // last accepted
 	refused int64
 	reasons []string
-	at      Millis // of the refusal
-	before  tally  // of service, of late, when the present rollout began
-	since   tally  // since then
+	at      configversion.Millis // of the refusal
+	before  tally                // of service, of late, when the present rollout began
+	since   tally                // since then
 }
 
 // tally counts requests, and those that were served in time.
@@ -151,9 +161,9 @@
 type Rollout struct {
 	set     RolloutSettings
 	st      RolloutState
-	now     Millis
-	since   Millis // when the stage's last router accepted, or the stage began
-	began   Millis // of the stage
+	now     configversion.Millis
+	since   configversion.Millis // when the stage's last router accepted, or the stage began
+	began   configversion.Millis // of the stage
 	routers map[string]*seat
 	out     []any
 
@@ -194,7 +204,7 @@
 }
 
 // Handle takes one of the events above at the time now and appends what is to be done.
-func (r *Rollout) Handle(now Millis, ev any, dst []any) []any {
+func (r *Rollout) Handle(now configversion.Millis, ev any, dst []any) []any {
 	r.now, r.out = max(now, r.now), dst
 	switch ev := ev.(type) {
 	case Push:
@@ -259,10 +269,10 @@
 // is offered the new one first.
 func (r *Rollout) push(ev Push) {
 	r.st.Last++
-	v := New(r.st.Last, ev.Body)
+	v := configversion.New(r.st.Last, ev.Body)
 	r.st.Halted = ""
 	if r.st.Base.Number == 0 || ev.Force {
-		r.st.Base, r.st.Next, r.st.Stage = v, Version{}, 0
+		r.st.Base, r.st.Next, r.st.Stage = v, configversion.Version{}, 0
 		r.do(Keep{r.st})
 		r.offerAll()
 		r.do(Finished{v.Number})
@@ -416,7 +426,7 @@
 			r.begin(r.st.Stage + 1)
 			return
 		}
-		r.st.Base, r.st.Next, r.st.Stage = r.st.Next, Version{}, 0
+		r.st.Base, r.st.Next, r.st.Stage = r.st.Next, configversion.Version{}, 0
 		r.compare()
 		r.do(Keep{r.st})
 		r.do(Finished{n})
@@ -470,7 +480,7 @@
 	number := r.st.Next.Number
 	r.compare()
 	r.st.Last++
-	r.st.Base, r.st.Next, r.st.Stage, r.st.Halted = New(r.st.Last, r.st.Base.Body), Version{}, 0, why
+	r.st.Base, r.st.Next, r.st.Stage, r.st.Halted = configversion.New(r.st.Last, r.st.Base.Body), configversion.Version{}, 0, why
 	r.do(Halted{number, why})
 	r.do(Keep{r.st})
 	r.offerAll()
--- a/internal/controlplane/rollout/rollout_test.go
+++ b/internal/controlplane/rollout/rollout_test.go
@@ -7,14 +7,33 @@
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"indigospool/internal/controlplane/configversion"
 )
 
+// body is a valid configuration with one cache in zone z for each letter, s serving or
+// d draining, and four parents.
+func body(caches, extra string) []byte {
+	var text strings.Builder
+	fmt.Fprintf(&text, "(router (zone z) (of 4)) (zone z (routers 4) (hub h)) (zone h)\n(class c) (route \"/c/{object}\" (class c))\n%s\n", extra)
+	for i, letter := range caches {
+		state := map[rune]string{'s': "serving", 'd': "draining"}[letter]
+		fmt.Fprintf(&text, "(member b%d (kind box) (zone z) (state %s) (address \"127.0.0.1:%d\"))\n", i, state, 9000+i)
+	}
+	for i := range 4 {
+		fmt.Fprintf(&text, "(member p%d (kind parent) (zone h) (state serving) (address \"127.0.0.1:%d\"))\n", i, 9000+i)
+	}
+	return []byte(text.String())
+}
+
+var good = body("sss", "")
+
 // service is a rollout with routers' machines behind it, all in one.
 type service struct {
 	t       rapid.TB
 	r       *Rollout
-	now     Millis
-	routers map[string]*Machine
+	now     configversion.Millis
+	routers map[string]*configversion.Machine
 	served  func(router string, running int64) float64
 	log     []any
 	kept    RolloutState
@@ -23,11 +42,11 @@
 }
 
 func newService(t rapid.TB, routers int) *service {
-	s := &service{t: t, r: NewRollout(RolloutSettings{}, RolloutState{}), routers: map[string]*Machine{},
+	s := &service{t: t, r: NewRollout(RolloutSettings{}, RolloutState{}), routers: map[string]*configversion.Machine{},
 		served: func(string, int64) float64 { return 0.99 }, refuse: map[string]bool{}, deaf: map[string]bool{}}
 	for i := range routers {
 		id := fmt.Sprintf("r%03d", i)
-		s.routers[id] = NewMachine(Settings{}, uint64(i))
+		s.routers[id] = configversion.NewMachine(configversion.Settings{}, uint64(i))
 		s.tell(Joined{Router: id})
 	}
 	return s
@@ -64,18 +83,18 @@
 	if s.refuse[o.Router] {
 		return []any{Nacked{o.Router, o.Version.Number, []string{"its disk is full"}}}
 	}
-	acts := m.Handle(s.now, Offered{"svc", o.Version}, nil)
+	acts := m.Handle(s.now, configversion.Offered{Service: "svc", Version: o.Version}, nil)
 	for _, a := range acts {
 		switch a := a.(type) {
-		case Store:
-			for _, b := range m.Handle(s.now, Stored{Number: a.Version.Number}, nil) {
-				if ack, ok := b.(Ack); ok {
+		case configversion.Store:
+			for _, b := range m.Handle(s.now, configversion.Stored{Number: a.Version.Number}, nil) {
+				if ack, ok := b.(configversion.Ack); ok {
 					answers = append(answers, Acked{o.Router, ack.Number})
 				}
 			}
-		case Ack:
+		case configversion.Ack:
 			answers = append(answers, Acked{o.Router, a.Number})
-		case Nack:
+		case configversion.Nack:
 			var why []string
 			for _, r := range a.Reasons {
 				why = append(why, r.String())
@@ -86,11 +105,11 @@
 	return answers
 }
 
-func (s *service) pass(span Millis) {
+func (s *service) pass(span configversion.Millis) {
 	for end := s.now + span; s.now < end; {
 		s.now += 1000
 		for id, m := range s.routers {
-			m.Handle(s.now, Heard{"svc"}, nil)
+			m.Handle(s.now, configversion.Heard{Service: "svc"}, nil)
 			s.tell(Report{id, 1000 * s.served(id, m.Running()), 1000})
 		}
 		s.tell(Pass{})
@@ -121,7 +140,7 @@
 	if s.running()[1] != 50 {
 		t.Fatalf("the first version: %v", s.running())
 	}
-	s.tell(Push{Body: body("ssss", "ssss", "")})
+	s.tell(Push{Body: body("ssss", "")})
 	for _, want := range []int{1, 5, 50} {
 		s.pass(5000)
 		if got := s.running()[2]; got != want {
@@ -142,13 +161,13 @@
 		id := fmt.Sprintf("r%03d", i)
 		s.refuse[id] = true
 	}
-	s.tell(Push{Body: body("ssss", "ssss", "")})
+	s.tell(Push{Body: body("ssss", "")})
 	h := said[Halted](s)
 	if len(h) != 1 || h[0].Number != 2 || !strings.Contains(h[0].Why, "its disk is full") {
 		t.Fatalf("halted: %+v", h)
 	}
 	clear(s.refuse)
-	s.tell(Push{Body: body("ssss", "ssss", "")})
+	s.tell(Push{Body: body("ssss", "")})
 	s.pass(120000)
 	if got := s.running()[s.kept.Last]; got != 50 {
 		t.Errorf("a version after that: %v", s.running())
@@ -160,7 +179,7 @@
 	s := newService(t, 50)
 	s.tell(Push{Body: good})
 	s.pass(2000)
-	s.tell(Push{Body: body("ddd", "ssss", "")})
+	s.tell(Push{Body: body("ddd", "")})
 	s.pass(60000)
 	offered := 0
 	for _, o := range said[Offer](s) {
@@ -189,7 +208,7 @@
 		}
 		return 0.99
 	}
-	s.tell(Push{Body: body("ssss", "ssss", "")})
+	s.tell(Push{Body: body("ssss", "")})
 	s.pass(60000)
 	if h := said[Halted](s); len(h) != 1 || !strings.Contains(h[0].Why, "is 19.0 points of a hundred less than before, at the others 0.0") {
 		t.Fatalf("halted: %+v", h)
@@ -212,7 +231,7 @@
 	s.pass(20000)
 	usual := s.served
 	s.served = func(id string, n int64) float64 { return usual(id, n) - 0.2 }
-	s.tell(Push{Body: body("ssss", "ssss", "")})
+	s.tell(Push{Body: body("ssss", "")})
 	s.pass(120000)
 	if h := said[Halted](s); len(h) != 0 || s.running()[2] != 50 {
 		t.Errorf("halted: %+v; %v", h, s.running())
@@ -224,7 +243,7 @@
 	s := newService(t, 6)
 	for range 4 {
 		s.tell(Push{Body: good, Force: true})
-		s.tell(Push{Body: body("ssss", "ssss", ""), Force: true})
+		s.tell(Push{Body: body("ssss", ""), Force: true})
 	}
 	s.pass(2000)
 	s.r, s.kept = NewRollout(RolloutSettings{}, RolloutState{}), RolloutState{}
@@ -245,7 +264,7 @@
 	s := newService(t, 50)
 	s.tell(Push{Body: good})
 	s.tell(Halt{"nothing is under way"})
-	s.tell(Push{Body: body("ssss", "ssss", "")})
+	s.tell(Push{Body: body("ssss", "")})
 	s.pass(2000)
 	s.tell(Halt{"by hand"})
 	s.pass(2000)
@@ -261,7 +280,7 @@
 	for id := range s.routers {
 		s.deaf[id] = true
 	}
-	s.tell(Push{Body: body("ssss", "ssss", "")})
+	s.tell(Push{Body: body("ssss", "")})
 	s.pass(130000)
 	if h := said[Halted](s); len(h) != 1 || !strings.Contains(h[0].Why, "have not answered") {
 		t.Errorf("halted: %+v", h)
@@ -274,7 +293,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := newService(t, 6)
 		contents := map[int64]string{}
-		bodies := [][]byte{good, body("ssss", "ssss", ""), body("ss", "ssss", ""), body("ddd", "ssss", "")}
+		bodies := [][]byte{good, body("ssss", ""), body("ss", ""), body("ddd", "")}
 		for range rapid.IntRange(1, 8).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "op") {
 			case 0, 1:
@@ -307,7 +326,7 @@
 	s := newService(t, 6)
 	s.tell(Push{Body: good})
 	s.refuse["r003"] = true
-	s.tell(Push{Body: body("ssss", "ssss", ""), Force: true})
+	s.tell(Push{Body: body("ssss", ""), Force: true})
 	s.pass(10000)
 	if n := s.running(); n[2] != 5 {
 		t.Fatalf("%v", n)
@@ -327,7 +346,7 @@
 	for i := range 12 {
 		s.pass(2000)
 		before := len(s.log)
-		s.tell(Push{Body: body("sss", "ssss", fmt.Sprintf("; %d", i))})
+		s.tell(Push{Body: body("sss", fmt.Sprintf("; %d", i))})
 		if k := slices.IndexFunc(s.log[before:], func(a any) bool { _, ok := a.(Offer); return ok }); k >= 0 {
 			first[s.log[before+k].(Offer).Router] = true
 		}
--- a/internal/controlplane/service/agent.go
+++ b/internal/controlplane/service/agent.go
@@ -13,21 +13,21 @@
 	"google.golang.org/grpc/keepalive"
 
 	"indigospool/internal/controlplane/configstore"
-	"indigospool/internal/controlplane/rollout"
+	"indigospool/internal/controlplane/configversion"
 )
 
 // AgentConfig is what a router's agent is. Zero fields mean the defaults.
 type AgentConfig struct {
 	Router   string
 	Services []string // addresses; the first that answers is followed, the others are for when it is gone
-	Fleet    rollout.Settings
+	Fleet    configversion.Settings
 	Seed     uint64
-	Store    *configstore.Store // nil: nothing is kept
-	Known    rollout.Version    // to begin with where nothing is stored; Number 0: none
-	Held     bool               // no service is called until Begin
-	Backoff  time.Duration      // first wait before a service is called again; doubles to 64 times; default 250 ms
-	Silent   time.Duration      // a stream that begins and says nothing is left after so long; default 30 s
-	Alive    time.Duration      // how often an open stream counts as a sign of life; default 5 s
+	Store    *configstore.Store    // nil: nothing is kept
+	Known    configversion.Version // to begin with where nothing is stored; Number 0: none
+	Held     bool                  // no service is called until Begin
+	Backoff  time.Duration         // first wait before a service is called again; doubles to 64 times; default 250 ms
+	Silent   time.Duration         // a stream that begins and says nothing is left after so long; default 30 s
+	Alive    time.Duration         // how often an open stream counts as a sign of life; default 5 s
 	Dial     []grpc.DialOption
 	Full     bool                  // state of the world, instead of what differs
 	MaxBytes int                   // of a message; default 32 MB
@@ -35,8 +35,8 @@
 	Report   time.Duration         // how often service is reported, at most
 	Tally    func() (Tally, error) // what is reported; nil: nothing
 
-	Use  func(rollout.Use) // a version is to be run; called from the agent's goroutine
-	Warn func(text string) // for the operator
+	Use  func(configversion.Use) // a version is to be run; called from the agent's goroutine
+	Warn func(text string)       // for the operator
 }
 
 // Agent follows control services for one router.
@@ -47,7 +47,7 @@
 	done   sync.WaitGroup
 
 	mu        sync.Mutex
-	machine   *rollout.Machine
+	machine   *configversion.Machine
 	again     context.CancelCauseFunc // ends the present stream
 	following string                  // the service at its other end
 	replies   chan reply              // of the present stream; nil: there is none
@@ -58,17 +58,17 @@
 	began     time.Time
 	begin     sync.Once
 
-	poke      chan struct{}   // a version could not be stored
-	pending   *pending        // nil: there is none
-	unkept    rollout.Version // used without being stored, since there was none to run; Number 0: none
-	restoring bool            // the last good version could not be read yet
+	poke      chan struct{}         // a version could not be stored
+	pending   *pending              // nil: there is none
+	unkept    configversion.Version // used without being stored, since there was none to run; Number 0: none
+	restoring bool                  // the last good version could not be read yet
 }
 
 // reply is an answer to a version, to be written to the stream.
 type reply struct {
 	nonce            string
 	number, accepted int64
-	reasons          []rollout.Reason
+	reasons          []configversion.Reason
 }
 
 // errAgain ends a stream so that its service offers its version again.
@@ -94,7 +94,7 @@
 	if cfg.Warn == nil {
 		cfg.Warn = func(string) {}
 	}
-	a := &Agent{cfg: cfg, machine: rollout.NewMachine(cfg.Fleet, cfg.Seed), began: time.Now(), state: "not connected",
+	a := &Agent{cfg: cfg, machine: configversion.NewMachine(cfg.Fleet, cfg.Seed), began: time.Now(), state: "not connected",
 		poke: make(chan struct{}, 1)}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
 	a.restore()
@@ -117,7 +117,7 @@
 }
 
 // Accepted is the newest version that passed the checks and is kept.
-func (a *Agent) Accepted() rollout.Version {
+func (a *Agent) Accepted() configversion.Version {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.machine.Accepted()
@@ -135,7 +135,7 @@
 }
 
 // Running is the number of the version in use, and the remembered versions.
-func (a *Agent) Running() (int64, []rollout.Record) {
+func (a *Agent) Running() (int64, []configversion.Record) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.machine.Running(), a.machine.Records()
@@ -146,8 +146,8 @@
 	Running, Accepted int64
 	Service           string // in charge
 	Stream            string // state of the stream
-	Age               rollout.Millis
-	Versions          []rollout.Record
+	Age               configversion.Millis
+	Versions          []configversion.Record
 	Unkept            int64     // number of a version that could not be stored yet; 0: none
 	StoreFault        error     // why the store can't be read or written for now; nil: it can
 	StoreSince        time.Time // since when
@@ -170,39 +170,39 @@
 	return st
 }
 
-func (a *Agent) now() rollout.Millis { return float64(time.Since(a.began).Microseconds()) / 1000 }
+func (a *Agent) now() configversion.Millis { return float64(time.Since(a.began).Microseconds()) / 1000 }
 
 // tell gives the machine an event and carries out its actions. Storing waits
 // for the disk, which is why the agent is not on the loop.
-func (a *Agent) tell(ev rollout.Event) {
+func (a *Agent) tell(ev configversion.Event) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.tellLocked(ev)
 }
 
-func (a *Agent) tellLocked(queue ...rollout.Event) {
+func (a *Agent) tellLocked(queue ...configversion.Event) {
 	for len(queue) > 0 {
 		ev := queue[0]
 		queue = queue[1:]
 		for _, act := range a.machine.Handle(a.now(), ev, nil) {
 			switch act := act.(type) {
-			case rollout.Store:
+			case configversion.Store:
 				queue = append(queue, a.store(act.Version)...)
-			case rollout.Ack:
+			case configversion.Ack:
 				a.acknowledge(act.Number)
-			case rollout.Nack:
+			case configversion.Nack:
 				a.reply(act.Number, act.Reasons)
-			case rollout.Use:
+			case configversion.Use:
 				a.cfg.Use(act)
-			case rollout.Warn:
+			case configversion.Warn:
 				a.cfg.Warn(act.Text)
-			case rollout.Ask:
+			case configversion.Ask:
 				if a.again != nil && a.following == act.Service {
 					a.again(errAgain)
 				}
-			case rollout.Wake:
+			case configversion.Wake:
 				if a.wake == nil {
-					a.wake = time.AfterFunc(0, func() { a.tell(rollout.Tick{}) })
+					a.wake = time.AfterFunc(0, func() { a.tell(configversion.Tick{}) })
 				}
 				a.wake.Reset(time.Duration(act.In*float64(time.Millisecond)) + time.Millisecond)
 			}
@@ -212,7 +212,7 @@
 
 // reply acknowledges a version on the present stream, or refuses it with every
 // reason. A service that takes no answers is left.
-func (a *Agent) reply(number int64, reasons []rollout.Reason) {
+func (a *Agent) reply(number int64, reasons []configversion.Reason) {
 	if a.replies == nil {
 		return
 	}
@@ -237,7 +237,7 @@
 			return
 		}
 		if service != "" {
-			a.tell(rollout.Cut{Service: service})
+			a.tell(configversion.Cut{Service: service})
 		}
 		if got > 0 {
 			wait = a.cfg.Backoff
@@ -350,11 +350,11 @@
 		a.mu.Lock()
 		a.nonces[o.version.Number] = o.nonce
 		if o.bad != nil {
-			a.reply(o.version.Number, []rollout.Reason{{What: o.bad.Error(), Remedy: "send resources of the type, with number:sum"}})
+			a.reply(o.version.Number, []configversion.Reason{{What: o.bad.Error(), Remedy: "send resources of the type, with number:sum"}})
 		}
 		a.mu.Unlock()
 		if o.bad == nil {
-			a.tell(rollout.Offered{Service: service, Version: o.version})
+			a.tell(configversion.Offered{Service: service, Version: o.version})
 		}
 	}
 }
@@ -366,7 +366,7 @@
 	for {
 		select {
 		case <-t.C:
-			a.tell(rollout.Heard{Service: service})
+			a.tell(configversion.Heard{Service: service})
 		case <-ctx.Done():
 			return
 		}
--- a/internal/controlplane/service/control_test.go
+++ b/internal/controlplane/service/control_test.go
@@ -22,6 +22,7 @@
 
 	"indigospool/internal/config"
 	"indigospool/internal/controlplane/configstore"
+	"indigospool/internal/controlplane/configversion"
 	"indigospool/internal/controlplane/rollout"
 )
 
@@ -98,7 +99,7 @@
 }
 
 func follow(t testing.TB, full bool, name string, seed uint64, store *configstore.Store, services ...string) *router {
-	return followFor(t, AgentConfig{Router: name, Services: services, Seed: seed, Store: store, Full: full, Fleet: rollout.Settings{Spread: 50}})
+	return followFor(t, AgentConfig{Router: name, Services: services, Seed: seed, Store: store, Full: full, Fleet: configversion.Settings{Spread: 50}})
 }
 
 // followFor is follow with more said.
@@ -108,7 +109,7 @@
 	if c.Dial == nil {
 		c.Dial = []grpc.DialOption{grpc.WithTransportCredentials(insecure.NewCredentials())}
 	}
-	c.Use = func(rollout.Use) { r.uses.Add(1) }
+	c.Use = func(configversion.Use) { r.uses.Add(1) }
 	c.Warn = func(s string) { r.mu.Lock(); r.said = append(r.said, s); r.mu.Unlock() }
 	r.Agent = StartAgent(c)
 	t.Cleanup(r.Close)
@@ -335,7 +336,7 @@
 	}
 }
 
-func (r *router) machineVersion() rollout.Version {
+func (r *router) machineVersion() configversion.Version {
 	r.Agent.mu.Lock()
 	defer r.Agent.mu.Unlock()
 	return r.machine.Accepted()
@@ -357,7 +358,7 @@
 	eventually(t, "version 1", all([]*router{r}, 1))
 	s.Push(canonical(t, 31, ""), true)
 	eventually(t, "version 2", all([]*router{r}, 2))
-	bad := &misfit{first: canonical(t, 31, ""), next: rollout.New(3, canonical(t, 32, ""))}
+	bad := &misfit{first: canonical(t, 31, ""), next: configversion.New(3, canonical(t, 32, ""))}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -377,7 +378,7 @@
 type misfit struct {
 	discovery.UnimplementedAggregatedDiscoveryServiceServer
 	first   []byte
-	next    rollout.Version
+	next    configversion.Version
 	streams atomic.Int64
 }
 
@@ -387,7 +388,7 @@
 		return err
 	}
 	if m.streams.Add(1) == 1 {
-		if err := p.send(rollout.New(2, m.first), "bad"); err != nil {
+		if err := p.send(configversion.New(2, m.first), "bad"); err != nil {
 			return err
 		}
 		if _, _, err := p.recv(); err != nil {
@@ -581,7 +582,7 @@
 	}
 	lease := 3 * time.Second
 	r := followFor(t, AgentConfig{Router: "r", Services: []string{addrA, ln.Addr().String()}, Alive: 50 * time.Millisecond,
-		Fleet: rollout.Settings{Spread: 50, Lease: float64(lease.Milliseconds())}})
+		Fleet: configversion.Settings{Spread: 50, Lease: float64(lease.Milliseconds())}})
 	eventually(t, "version 1 of the first", all([]*router{r}, 1))
 	a.Stop()
 	gone := time.Now()
@@ -611,7 +612,7 @@
 				t.Fatal(err)
 			}
 			return followFor(t, AgentConfig{Router: "r", Services: []string{addr}, Store: store, Full: full,
-				Fleet: rollout.Settings{Spread: spread}}), store
+				Fleet: configversion.Settings{Spread: spread}}), store
 		}
 		s.Push(body(3, ""), true)
 		r, store := begin(path, 3.6e6)
--- a/internal/controlplane/service/delta.go
+++ b/internal/controlplane/service/delta.go
@@ -11,7 +11,7 @@
 	"google.golang.org/grpc"
 	"google.golang.org/protobuf/types/known/anypb"
 
-	"indigospool/internal/controlplane/rollout"
+	"indigospool/internal/controlplane/configversion"
 )
 
 // The incremental protocol sends what differs from the pieces that a router has
@@ -48,7 +48,7 @@
 const cutsKept = 8
 
 // cut is a version's.
-func (k *cutter) cut(v rollout.Version) (*cut, error) {
+func (k *cutter) cut(v configversion.Version) (*cut, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, c := range k.cuts {
@@ -159,7 +159,7 @@
 	return j, firstFault(j.router, r.GetTypeUrl())
 }
 
-func (p *deltaPeer) send(v rollout.Version, service string) error {
+func (p *deltaPeer) send(v configversion.Version, service string) error {
 	select {
 	case <-p.free:
 	case <-p.g.Context().Done():
@@ -251,14 +251,14 @@
 		next[one.GetName()] = string(text)
 	}
 	o.version.Body = join(next)
-	if rollout.SumOf(o.version.Body) != o.version.Sum && len(l.has) > 0 {
+	if configversion.SumOf(o.version.Body) != o.version.Sum && len(l.has) > 0 {
 		return o, errMisfit // a whole that is wrong is for the machine to refuse
 	}
 	l.pending[o.nonce] = next
 	return o, nil
 }
 
-func (l *deltaLine) reply(nonce string, _, _ int64, reasons []rollout.Reason) error {
+func (l *deltaLine) reply(nonce string, _, _ int64, reasons []configversion.Reason) error {
 	l.mu.Lock()
 	if next := l.pending[nonce]; next != nil && len(reasons) == 0 {
 		l.has = next
--- a/internal/controlplane/service/fault_test.go
+++ b/internal/controlplane/service/fault_test.go
@@ -21,7 +21,7 @@
 
 	"indigospool/internal/config"
 	"indigospool/internal/controlplane/configstore"
-	"indigospool/internal/controlplane/rollout"
+	"indigospool/internal/controlplane/configversion"
 )
 
 // set has saving fail from now on, or succeed again.
@@ -78,7 +78,7 @@
 	}
 }
 
-func startOn(t *testing.T, files configstore.FileSystem, store string, hold int, sent func(string, rollout.Version)) *Service {
+func startOn(t *testing.T, files configstore.FileSystem, store string, hold int, sent func(string, configversion.Version)) *Service {
 	t.Helper()
 	var set ServiceSettings
 	if err := config.Read("svc", fmt.Sprintf(`(service (listen "127.0.0.1:0") (admin "127.0.0.1:0") (store %q) (keep 20))
@@ -119,7 +119,7 @@
 	if step == "/halt" { // there has to be a rollout to stop
 		hold = 60000
 	}
-	s := startOn(t, files, store, hold, func(_ string, v rollout.Version) {
+	s := startOn(t, files, store, hold, func(_ string, v configversion.Version) {
 		mu.Lock()
 		defer mu.Unlock()
 		offered = append(offered, v.Number)
@@ -246,7 +246,7 @@
 	if _, err := s.Push(body(4, ""), true); err == nil {
 		t.Error("acknowledged")
 	}
-	clock := func() rollout.Millis {
+	clock := func() configversion.Millis {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.clock()
@@ -315,7 +315,7 @@
 		t.Fatal(err)
 	}
 	defer store.Close()
-	r := followFor(t, AgentConfig{Router: "r", Services: []string{addr}, Store: store, Trying: 200 * time.Millisecond, Fleet: rollout.Settings{Spread: 50}})
+	r := followFor(t, AgentConfig{Router: "r", Services: []string{addr}, Store: store, Trying: 200 * time.Millisecond, Fleet: configversion.Settings{Spread: 50}})
 	s.Push(body(3, ""), true)
 	eventually(t, "version 1", all([]*router{r}, 1))
 	files.set(syscall.ENOSPC)
--- a/internal/controlplane/service/pieces.go
+++ b/internal/controlplane/service/pieces.go
@@ -11,7 +11,7 @@
 	"strings"
 
 	"indigospool/internal/config"
-	"indigospool/internal/controlplane/rollout"
+	"indigospool/internal/controlplane/configversion"
 )
 
 // whole is the name of the one piece of a text that can't be cut.
@@ -115,7 +115,7 @@
 // Judge reads a text of settings and makes the checks that hold at every
 // router, against the version before it where there is one: the canonical text,
 // or every reason against it.
-func Judge(sources []config.Source, before []byte, l rollout.CheckLimits) (body []byte, reasons []rollout.Reason) {
+func Judge(sources []config.Source, before []byte, l configversion.CheckLimits) (body []byte, reasons []configversion.Reason) {
 	var old *config.Settings
 	if len(before) > 0 {
 		o := &config.Settings{}
@@ -128,20 +128,20 @@
 		return nil, reasonsOf(err)
 	}
 	body = Canonical(s)
-	return body, rollout.Check(old, s, l)
+	return body, configversion.Check(old, s, l)
 }
 
 // reasonsOf turns faults of settings into reasons, with their places.
-func reasonsOf(err error) (out []rollout.Reason) {
+func reasonsOf(err error) (out []configversion.Reason) {
 	faults, ok := err.(config.Faults)
 	if !ok {
-		return []rollout.Reason{{What: err.Error()}}
+		return []configversion.Reason{{What: err.Error()}}
 	}
 	for _, f := range faults {
-		out = append(out, rollout.Reason{Path: f.Key, What: fmt.Sprintf("%s: %s", f.Pos, f.What), Remedy: f.Remedy})
+		out = append(out, configversion.Reason{Path: f.Key, What: fmt.Sprintf("%s: %s", f.Pos, f.What), Remedy: f.Remedy})
 	}
 	return out
 }
 
 // NoLimits are limits that bound no change, for checks of settings by themselves.
-var NoLimits = rollout.CheckLimits{ParentChurn: 1, BoxChurn: 1}
+var NoLimits = configversion.CheckLimits{ParentChurn: 1, BoxChurn: 1}
--- a/internal/controlplane/service/server.go
+++ b/internal/controlplane/service/server.go
@@ -17,6 +17,7 @@
 	"google.golang.org/grpc/status"
 
 	"indigospool/internal/config"
+	"indigospool/internal/controlplane/configversion"
 	"indigospool/internal/controlplane/rollout"
 	"indigospool/internal/wallclock"
 )
@@ -37,9 +38,9 @@
 	Streams   int           // at once; more are turned away; default 4000
 	Tick      time.Duration // default 250 ms
 	Reports   time.Duration // how often routers are to report service; default 10 s
-	Limits    rollout.CheckLimits
-	Sent      func(router string, v rollout.Version) // a version is about to be written to a stream; nil: nobody asks
-	Note      func(text string)                      // what happens, as it happens; nil: only Status tells
+	Limits    configversion.CheckLimits
+	Sent      func(router string, v configversion.Version) // a version is about to be written to a stream; nil: nobody asks
+	Note      func(text string)                            // what happens, as it happens; nil: only Status tells
 }
 
 // Server is a control service.
@@ -59,13 +60,13 @@
 	next    time.Time
 	kept    rollout.RolloutState // what was kept last
 	unkept  *unkept              // the state can't be kept for now; nil: it can
-	stood   rollout.Millis       // for how long the rollout's clock has stood
+	stood   configversion.Millis // for how long the rollout's clock has stood
 }
 
 // stream is one router's.
 type stream struct {
 	router string
-	send   chan rollout.Version // of one: a newer version replaces an older one that was not sent yet
+	send   chan configversion.Version // of one: a newer version replaces an older one that was not sent yet
 	stop   context.CancelCauseFunc
 }
 
@@ -114,7 +115,7 @@
 
 var began = time.Now()
 
-func now() rollout.Millis { return float64(time.Since(began).Microseconds()) / 1000 }
+func now() configversion.Millis { return float64(time.Since(began).Microseconds()) / 1000 }
 
 // pass has time pass, or tries again to keep the state.
 func (s *Server) pass() {
@@ -188,7 +189,7 @@
 }
 
 // A Refused error says why a text was not made a version.
-type Refused struct{ Reasons []rollout.Reason }
+type Refused struct{ Reasons []configversion.Reason }
 
 func (r *Refused) Error() string {
 	text := "control: not made a version"
@@ -237,7 +238,7 @@
 	if len(reasons) > 0 {
 		return 0, false, &Refused{reasons}
 	}
-	if newest.Number > 0 && newest.Sum == rollout.SumOf(body) && !(force && st.Next.Number > 0) {
+	if newest.Number > 0 && newest.Sum == configversion.SumOf(body) && !(force && st.Next.Number > 0) {
 		return newest.Number, false, nil
 	}
 	number, err = s.pushLocked(body, force)
@@ -326,7 +327,7 @@
 	if err := s.pace(ctx); err != nil {
 		return err
 	}
-	st := &stream{router: first.router, send: make(chan rollout.Version, 1), stop: cancel}
+	st := &stream{router: first.router, send: make(chan configversion.Version, 1), stop: cancel}
 	s.mu.Lock()
 	if err := s.refusal(false); err != nil {
 		s.mu.Unlock()
--- a/internal/controlplane/service/service.go
+++ b/internal/controlplane/service/service.go
@@ -20,6 +20,7 @@
 
 	"indigospool/internal/config"
 	"indigospool/internal/controlplane/configstore"
+	"indigospool/internal/controlplane/configversion"
 	"indigospool/internal/controlplane/rollout"
 )
 
@@ -76,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	return k.store.Save(text, []rollout.Version{st.Base, st.Next}, time.Now())
+	return k.store.Save(text, []configversion.Version{st.Base, st.Next}, time.Now())
 }
 
 // load is the state that was kept, and who the service is: the same over all its
@@ -100,7 +101,7 @@
 	st = rollout.RolloutState{Last: s.Last, Stage: s.Stage, Halted: s.Halted}
 	for _, one := range []struct {
 		number int64
-		v      *rollout.Version
+		v      *configversion.Version
 	}{{s.Base, &st.Base}, {s.Next, &st.Next}} {
 		if one.number == 0 {
 			continue
@@ -114,12 +115,12 @@
 
 // StartService begins a service from its store and listens. sent is as in
 // ServerConfig.
-func StartService(set *ServiceSettings, log *zap.Logger, sent func(router string, v rollout.Version)) (*Service, error) {
+func StartService(set *ServiceSettings, log *zap.Logger, sent func(router string, v configversion.Version)) (*Service, error) {
 	return StartServiceOn(configstore.Disk{}, set, log, sent)
 }
 
 // StartServiceOn is StartService by the operations of a file system, for fault injection.
-func StartServiceOn(files configstore.FileSystem, set *ServiceSettings, log *zap.Logger, sent func(router string, v rollout.Version)) (*Service, error) {
+func StartServiceOn(files configstore.FileSystem, set *ServiceSettings, log *zap.Logger, sent func(router string, v configversion.Version)) (*Service, error) {
 	s := &Service{set: set, log: log, done: make(chan struct{})}
 	f := &set.Service
 	var err error
@@ -153,7 +154,7 @@
 	s.keep = keep
 	s.Server = NewServer(ServerConfig{Name: f.Name + "/" + keep.id, Rollout: set.Rollout.settings(), State: state, Keep: keep,
 		PerSecond: f.PerSecond, Streams: f.Streams, Reports: time.Duration(f.Reports * float64(time.Millisecond)),
-		Limits: rollout.CheckLimits{ParentChurn: set.Checks.ParentChurn, BoxChurn: set.Checks.BoxChurn,
+		Limits: configversion.CheckLimits{ParentChurn: set.Checks.ParentChurn, BoxChurn: set.Checks.BoxChurn,
 			MaxSize: set.Checks.MaxSize, MaxLink: set.Checks.MaxLink},
 		Sent: sent, Note: func(text string) { log.Info(text) }}, opts...)
 	if err := s.listen(); err != nil {
@@ -237,7 +238,7 @@
 	for _, one := range sources {
 		sum = append(append(sum, one.Text...), 0)
 	}
-	before, known := s.keep.fromFolder(rollout.SumOf(sum))
+	before, known := s.keep.fromFolder(configversion.SumOf(sum))
 	if known {
 		return lookEvery
 	}
--- a/internal/controlplane/service/sotw.go
+++ b/internal/controlplane/service/sotw.go
@@ -12,7 +12,7 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/types/known/anypb"
 
-	"indigospool/internal/controlplane/rollout"
+	"indigospool/internal/controlplane/configversion"
 )
 
 // nonces remembers which version went out with which nonce: the last few, since
@@ -75,7 +75,7 @@
 	return j, nil
 }
 
-func (p *sotwPeer) send(v rollout.Version, service string) error {
+func (p *sotwPeer) send(v configversion.Version, service string) error {
 	c, err := p.cuts.cut(v)
 	if err != nil {
 		return err
@@ -131,7 +131,7 @@
 	return o, nil
 }
 
-func (l *sotwLine) reply(nonce string, number, accepted int64, reasons []rollout.Reason) error {
+func (l *sotwLine) reply(nonce string, number, accepted int64, reasons []configversion.Reason) error {
 	r := &discovery.DiscoveryRequest{TypeUrl: SettingsType, ResponseNonce: nonce, ErrorDetail: detail(reasons)}
 	if r.VersionInfo = strconv.FormatInt(number, 10); len(reasons) > 0 {
 		r.VersionInfo = strconv.FormatInt(accepted, 10)
--- a/internal/controlplane/service/storing.go
+++ b/internal/controlplane/service/storing.go
@@ -6,19 +6,19 @@
 	"time"
 
 	"indigospool/internal/controlplane/configstore"
-	"indigospool/internal/controlplane/rollout"
+	"indigospool/internal/controlplane/configversion"
 )
 
 // pending is a version that could not be stored yet, and of which nothing is said
 // until it is.
 type pending struct {
-	version rollout.Version
+	version configversion.Version
 	since   time.Time
 }
 
 // restore begins with the last good version, as far as it can be read for now.
 func (a *Agent) restore() {
-	found := rollout.Restored{Err: configstore.ErrNone}
+	found := configversion.Restored{Err: configstore.ErrNone}
 	if a.cfg.Store != nil {
 		found = a.cfg.Store.Restored(time.Now())
 	}
@@ -28,7 +28,7 @@
 	}
 	switch {
 	case (a.restoring || errors.Is(found.Err, configstore.ErrNone)) && a.cfg.Known.Number > 0:
-		a.tell(rollout.Restored{Version: a.cfg.Known})
+		a.tell(configversion.Restored{Version: a.cfg.Known})
 	case !a.restoring && !errors.Is(found.Err, configstore.ErrNone):
 		a.tell(found)
 	}
@@ -38,9 +38,9 @@
 // tried again, and nothing is heard until then; but a router that has nothing to run
 // does not wait for its disk: it runs the version, and acknowledges it once it is
 // stored.
-func (a *Agent) store(v rollout.Version) []rollout.Event {
+func (a *Agent) store(v configversion.Version) []configversion.Event {
 	if a.cfg.Store == nil {
-		return []rollout.Event{rollout.Stored{Number: v.Number}}
+		return []configversion.Event{configversion.Stored{Number: v.Number}}
 	}
 	a.pending = nil // an older one is superseded
 	err := a.cfg.Store.Put(v, time.Now())
@@ -54,7 +54,7 @@
 	}
 	if a.machine.Accepted().Number == 0 {
 		a.unkept = v
-		return []rollout.Event{rollout.Stored{Number: v.Number}}
+		return []configversion.Event{configversion.Stored{Number: v.Number}}
 	}
 	a.pending = &pending{v, time.Now()}
 	return nil
@@ -62,18 +62,18 @@
 
 // stored is what the machine hears of a version that was stored. Where the store
 // could not be read until now, it may hold a newer one, which was acknowledged.
-func (a *Agent) stored(v rollout.Version) []rollout.Event {
-	a.pending, a.unkept = nil, rollout.Version{}
+func (a *Agent) stored(v configversion.Version) []configversion.Event {
+	a.pending, a.unkept = nil, configversion.Version{}
 	if !a.restoring {
-		return []rollout.Event{rollout.Stored{Number: v.Number}}
+		return []configversion.Event{configversion.Stored{Number: v.Number}}
 	}
 	a.restoring = false
 	last, _, err := a.cfg.Store.Last()
 	if err != nil || last.Number <= v.Number {
-		return []rollout.Event{rollout.Stored{Number: v.Number}}
+		return []configversion.Event{configversion.Stored{Number: v.Number}}
 	}
 	err = fmt.Errorf("control: number %d is older than %d, which was accepted", v.Number, last.Number)
-	return []rollout.Event{rollout.Stored{Number: v.Number, Err: err}, a.cfg.Store.Restored(time.Now())}
+	return []configversion.Event{configversion.Stored{Number: v.Number, Err: err}, a.cfg.Store.Restored(time.Now())}
 }
 
 // acknowledge acknowledges a version, unless it is used without being stored.
@@ -125,7 +125,7 @@
 		}
 		if time.Since(since) >= a.cfg.Trying {
 			a.pending = nil
-			a.tellLocked(rollout.Stored{Number: v.Number, Err: err})
+			a.tellLocked(configversion.Stored{Number: v.Number, Err: err})
 		}
 		return false
 	case a.unkept.Number > 0:
@@ -133,7 +133,7 @@
 		if a.cfg.Store.Put(v, time.Now()) != nil {
 			return false
 		}
-		a.unkept, a.restoring = rollout.Version{}, false
+		a.unkept, a.restoring = configversion.Version{}, false
 		if _, offered := a.nonces[v.Number]; offered {
 			a.reply(v.Number, nil)
 		}
--- a/internal/controlplane/service/tls_test.go
+++ b/internal/controlplane/service/tls_test.go
@@ -18,7 +18,7 @@
 
 	"google.golang.org/grpc"
 
-	"indigospool/internal/controlplane/rollout"
+	"indigospool/internal/controlplane/configversion"
 )
 
 // authority signs certificates for a test.
@@ -97,7 +97,7 @@
 		r := &router{}
 		r.Agent = StartAgent(AgentConfig{Router: strings.TrimSuffix(filepath.Base(k.Cert), ".pem"), Services: []string{ln.Addr().String()}, Backoff: 20 * time.Millisecond,
 			Dial: []grpc.DialOption{grpc.WithTransportCredentials(k.Client(service))},
-			Use:  func(rollout.Use) { r.uses.Add(1) },
+			Use:  func(configversion.Use) { r.uses.Add(1) },
 			Warn: func(s string) { r.mu.Lock(); r.said = append(r.said, s); r.mu.Unlock() }})
 		t.Cleanup(r.Close)
 		return r
--- a/internal/controlplane/service/unkept.go
+++ b/internal/controlplane/service/unkept.go
@@ -9,6 +9,7 @@
 	"google.golang.org/grpc/status"
 
 	"indigospool/internal/controlplane/configstore"
+	"indigospool/internal/controlplane/configversion"
 	"indigospool/internal/controlplane/rollout"
 )
 
@@ -44,8 +45,8 @@
 type unkept struct {
 	since  time.Time
 	err    error
-	clock  rollout.Millis // at which the rollout's clock stands
-	retry  time.Time      // when keeping is tried next
+	clock  configversion.Millis // at which the rollout's clock stands
+	retry  time.Time            // when keeping is tried next
 	wait   time.Duration
 	held   []any // actions that follow the one of keeping
 	events []any // of streams, for the rollout
@@ -107,7 +108,7 @@
 }
 
 // clock is the time of the rollout.
-func (s *Server) clock() rollout.Millis { return now() - s.stood }
+func (s *Server) clock() configversion.Millis { return now() - s.stood }
 
 // renewStore tries, after a fault of a store's file, to have it written anew, until
 // done is closed.
--- a/internal/controlplane/service/wire.go
+++ b/internal/controlplane/service/wire.go
@@ -23,7 +23,7 @@
 	"google.golang.org/protobuf/types/known/structpb"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"indigospool/internal/controlplane/rollout"
+	"indigospool/internal/controlplane/configversion"
 )
 
 // SettingsType is the type of the resources: a message with the field
@@ -35,7 +35,9 @@
 const SettingsType = "type.googleapis.com/indigospool.v1.Settings"
 
 // versionInfo is a version's number and sum, as version_info has it.
-func versionInfo(v rollout.Version) string { return strconv.FormatInt(v.Number, 10) + ":" + v.Sum }
+func versionInfo(v configversion.Version) string {
+	return strconv.FormatInt(v.Number, 10) + ":" + v.Sum
+}
 
 // parseInfo reads a number and, where it is given, a sum.
 func parseInfo(s string) (number int64, sum string, err error) {
@@ -92,7 +94,7 @@
 }
 
 // detail is the error_detail of a refusal: one reason a line.
-func detail(reasons []rollout.Reason) *rpc.Status {
+func detail(reasons []configversion.Reason) *rpc.Status {
 	if len(reasons) == 0 {
 		return nil
 	}
@@ -128,7 +130,7 @@
 	// hello is the first request.
 	hello() (joining, error)
 	// send sends a version.
-	send(v rollout.Version, service string) error
+	send(v configversion.Version, service string) error
 	// recv is the next answer; known is false of one to nothing that is waited for.
 	recv() (a answer, known bool, err error)
 }
@@ -136,7 +138,7 @@
 // offer is a version as a router receives it, and where it can't be read, why.
 type offer struct {
 	service string
-	version rollout.Version
+	version configversion.Version
 	nonce   string
 	bad     error
 }
@@ -147,5 +149,5 @@
 	hello(router string, accepted int64) error
 	recv() (offer, error)
 	// reply acknowledges what came with the nonce, or refuses it.
-	reply(nonce string, number, accepted int64, reasons []rollout.Reason) error
+	reply(nonce string, number, accepted int64, reasons []configversion.Reason) error
 }
--- a/internal/proxy/httpfront/handover.go
+++ b/internal/proxy/httpfront/handover.go
@@ -13,7 +13,7 @@
 
 	spool "indigospool"
 	"indigospool/internal/config"
-	"indigospool/internal/controlplane/rollout"
+	"indigospool/internal/controlplane/configversion"
 	"indigospool/internal/eventloop"
 	"indigospool/internal/proxy/engine"
 	"indigospool/internal/proxy/hotrestart"
@@ -170,7 +170,7 @@
 
 // tellVersion has a predecessor that still drains go by a version too: nobody else
 // tells it of members that leave.
-func (e *Edge) tellVersion(v rollout.Version) {
+func (e *Edge) tellVersion(v configversion.Version) {
 	if !e.followed.Load() { // until this one serves it follows the service itself
 		return
 	}
@@ -206,7 +206,7 @@
 
 // heardVersion goes by a version that the successor goes by.
 func (e *Edge) heardVersion(b []byte) {
-	var v rollout.Version
+	var v configversion.Version
 	err := json.Unmarshal(b, &v)
 	s := &config.Settings{}
 	if err == nil {
@@ -216,7 +216,7 @@
 		e.log.Log.Warn("the successor's version is not used", zap.Error(err))
 		return
 	}
-	e.l.Post(func() { e.use(rollout.Use{Version: v, Settings: s}) })
+	e.l.Post(func() { e.use(configversion.Use{Version: v, Settings: s}) })
 	e.tellVersion(v) // its own predecessor may still drain, too
 }
 
--- a/internal/testbed/bench/fleet.go
+++ b/internal/testbed/bench/fleet.go
@@ -21,7 +21,7 @@
 	"google.golang.org/grpc/stats"
 
 	"indigospool/internal/config"
-	"indigospool/internal/controlplane/rollout"
+	"indigospool/internal/controlplane/configversion"
 	"indigospool/internal/controlplane/service"
 	"indigospool/internal/proxy/httpfront"
 )
@@ -149,7 +149,7 @@
 	began := time.Now()
 	for i := range agents {
 		agents[i] = service.StartAgent(service.AgentConfig{Router: fmt.Sprintf("router-%04d", i), Services: []string{addr}, Seed: uint64(i),
-			Full: full, Use: func(rollout.Use) {},
+			Full: full, Use: func(configversion.Use) {},
 			Dial: []grpc.DialOption{grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithStatsHandler(&got)}})
 	}
 	defer func() {
--- a/internal/testbed/scenario/versions.go
+++ b/internal/testbed/scenario/versions.go
@@ -21,7 +21,7 @@
 	"go.uber.org/zap"
 
 	"indigospool/internal/config"
-	"indigospool/internal/controlplane/rollout"
+	"indigospool/internal/controlplane/configversion"
 	"indigospool/internal/controlplane/service"
 	"indigospool/internal/proxy/engine"
 	"indigospool/internal/testbed/trafficlog"
@@ -101,12 +101,12 @@
 	out := trafficlog.NewWriter(os.Stdout)
 	var mu sync.Mutex
 	parsed := map[string]*config.Settings{} // by sum; nil: tells of nothing
-	svc, err := service.StartServiceOn(faultyFiles{faults: faults}, &set, zap.NewNop(), func(router string, v rollout.Version) {
+	svc, err := service.StartServiceOn(faultyFiles{faults: faults}, &set, zap.NewNop(), func(router string, v configversion.Version) {
 		mu.Lock()
 		s, known := parsed[v.Sum]
 		if !known {
 			s = &config.Settings{}
-			if config.ReadVersion("sent", string(v.Body), nil, s) != nil || len(rollout.Check(nil, s, service.NoLimits)) > 0 {
+			if config.ReadVersion("sent", string(v.Body), nil, s) != nil || len(configversion.Check(nil, s, service.NoLimits)) > 0 {
 				s = nil
 			}
 			parsed[v.Sum] = s
