--- a/cmd/spool-control/main.go
+++ b/cmd/spool-control/main.go
@@ -230,7 +230,7 @@
 // behind counts routers with a stream that don't run everybody's version.
 func behind(v service.StatusView) (n int) {
 	for _, r := range v.Routers {
-		if r.Joined && r.Running < v.Base {
+		if r.Connected && r.Running < v.Base {
 			n++
 		}
 	}
@@ -274,14 +274,14 @@
 	fmt.Fprintln(t, "ROUTER\tSTREAM\tACCEPTED\tREFUSED\tIN TIME\tWHY")
 	for _, r := range v.Routers {
 		stream, refused, served, why := "yes", "-", "-", ""
-		if !r.Joined {
+		if !r.Connected {
 			stream = "no"
 		}
-		if r.Refused > 0 {
-			refused, why = strconv.FormatInt(r.Refused, 10), strings.Join(r.Reasons, " | ")
+		if r.Rejected > 0 {
+			refused, why = strconv.FormatInt(r.Rejected, 10), strings.Join(r.Reasons, " | ")
 		}
-		if r.Served >= 0 {
-			served = fmt.Sprintf("%.1f %%", 100*r.Served)
+		if r.InTimeShare >= 0 {
+			served = fmt.Sprintf("%.1f %%", 100*r.InTimeShare)
 		}
 		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%s\n", r.Router, stream, r.Running, refused, served, why)
 	}
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -226,7 +226,7 @@
 	Key      string   `edn:"key"`                        // of it
 	Roots    string   `edn:"authorities"`                // that the service's certificate must come from
 	Report   float64  `edn:"report" def:"10000" min:"0"` // how often service is reported; 0: never
-	Spread   float64  `edn:"spread" def:"1000" min:"0"`  // see fleet.Settings
+	Spread   float64  `edn:"spread" def:"1000" min:"0"`  // see configversion.MachineSettings
 	Lease    float64  `edn:"lease" def:"30000" min:"100"`
 	Old      float64  `edn:"old" def:"60000" min:"100"`
 	Stale    float64  `edn:"stale" def:"600000" min:"1000"`
--- a/internal/controlplane/configstore/clock_test.go
+++ b/internal/controlplane/configstore/clock_test.go
@@ -56,10 +56,10 @@
 			defer s.Close()
 			s.clock = func() reading { return clock }
 			r := s.Restored(wall)
-			if r.Err != nil || len(r.Before) != 2 {
+			if r.Err != nil || len(r.Earlier) != 2 {
 				t.Fatalf("%+v", r)
 			}
-			if got := [3]float64{r.Before[0].Age / 1000, r.Before[1].Age / 1000, r.Age / 1000}; got != c.want {
+			if got := [3]float64{r.Earlier[0].Age / 1000, r.Earlier[1].Age / 1000, r.Age / 1000}; got != c.want {
 				t.Errorf("ages %v s, want %v", got, c.want)
 			}
 		})
--- a/internal/controlplane/configstore/fault_test.go
+++ b/internal/controlplane/configstore/fault_test.go
@@ -154,7 +154,7 @@
 	if err := s.Put(version(1), time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Save([]byte("state 1"), nil, time.Now()); err != nil {
+	if err := s.SaveState([]byte("state 1"), nil, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
@@ -182,12 +182,12 @@
 	eachFault(t, func(t *testing.T, operation string, times int, f *failing) {
 		path := seeded(t)
 		f.left[operation] = times
-		s, err := OpenOn(f, path, 8)
+		s, err := OpenWith(f, path, 8)
 		if s == nil {
 			t.Fatalf("no store: %v", err)
 		}
 		if err != nil {
-			tryUntil(t, "opening", s.Renew)
+			tryUntil(t, "opening", s.Recover)
 		}
 		if since, fault := s.Fault(); fault != nil {
 			t.Errorf("since %v: %v", since, fault)
@@ -207,7 +207,7 @@
 func TestFaultWhileWriting(t *testing.T) {
 	eachFault(t, func(t *testing.T, operation string, times int, f *failing) {
 		path := seeded(t)
-		s, err := OpenOn(f, path, 8)
+		s, err := OpenWith(f, path, 8)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -224,7 +224,7 @@
 			t.Fatal(err)
 		}
 		tryUntil(t, "Put", func() error { return s.Put(version(2), time.Now()) })
-		tryUntil(t, "Save", func() error { return s.Save([]byte("state 2"), []configversion.Version{version(2)}, time.Now()) })
+		tryUntil(t, "Save", func() error { return s.SaveState([]byte("state 2"), []configversion.Version{version(2)}, time.Now()) })
 		if _, fault := s.Fault(); fault != nil {
 			t.Errorf("a fault after a write: %v", fault)
 		}
@@ -242,7 +242,7 @@
 func TestReadableWhileFull(t *testing.T) {
 	path := seeded(t)
 	f := &failing{errno: syscall.ENOSPC, left: map[string]int{"create": -1}}
-	s, err := OpenOn(f, path, 8)
+	s, err := OpenWith(f, path, 8)
 	if s == nil || !errors.Is(err, syscall.ENOSPC) {
 		t.Fatalf("%v, %v", s, err)
 	}
@@ -317,18 +317,18 @@
 func TestRegainedLater(t *testing.T) {
 	path := seeded(t)
 	f := &failing{errno: syscall.EIO, left: map[string]int{}}
-	s, err := OpenOn(f, path, 8)
+	s, err := OpenWith(f, path, 8)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Lend(); err != nil {
+	if err := s.ReleaseLock(); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Put(version(2), time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	f.left["read"] = 3
-	if err := s.Regain(); !errors.Is(err, syscall.EIO) {
+	if err := s.ReacquireLock(); !errors.Is(err, syscall.EIO) {
 		t.Fatalf("regained: %v", err)
 	}
 	tryUntil(t, "Put", func() error { return s.Put(version(3), time.Now()) })
--- a/internal/controlplane/configstore/lastgood.go
+++ b/internal/controlplane/configstore/lastgood.go
@@ -28,19 +28,19 @@
 	"indigospool/internal/wallclock"
 )
 
-// ErrNone says that nothing was ever stored.
-var ErrNone = errors.New("lastgood: no version is stored")
+// ErrNoVersion says that nothing was ever stored.
+var ErrNoVersion = errors.New("lastgood: no version is stored")
 
 // A DamagedError says that the store was read whole and is not what was written,
 // and where it is now.
 type DamagedError struct {
-	Path, Aside string
-	Err         error
+	Path, Quarantine string
+	Err              error
 }
 
 func (d *DamagedError) Error() string {
 	return fmt.Sprintf("lastgood: %s is damaged (%v); it was set aside as %s, and an empty store begins in its place",
-		d.Path, d.Err, d.Aside)
+		d.Path, d.Err, d.Quarantine)
 }
 
 func (d *DamagedError) Unwrap() error { return d.Err }
@@ -73,8 +73,8 @@
 	now time.Time
 }
 
-// ErrLent says that the store's file is another process's for now.
-var ErrLent = errors.New("lastgood: the store is lent to another process")
+// ErrLockReleased says that the store's file is another process's for now.
+var ErrLockReleased = errors.New("lastgood: the store is lent to another process")
 
 // ErrClosed says that the store was closed.
 var ErrClosed = errors.New("lastgood: the store is closed")
@@ -106,13 +106,13 @@
 // DamagedError the store that is returned is a new one; with a FaultError it is the
 // one that is there, as far as it can be read for now. No store is returned where
 // another process has it open, or the path is not one for a store.
-func Open(path string) (*Store, error) { return OpenKeeping(path, defaultKeep) }
+func Open(path string) (*Store, error) { return OpenWithLimit(path, defaultKeep) }
 
-// OpenKeeping is Open for a store that keeps so many versions.
-func OpenKeeping(path string, keep int) (*Store, error) { return OpenOn(Disk{}, path, keep) }
+// OpenWithLimit is Open for a store that keeps so many versions.
+func OpenWithLimit(path string, keep int) (*Store, error) { return OpenWith(Disk{}, path, keep) }
 
-// OpenOn is OpenKeeping by the operations of a file system.
-func OpenOn(files FileSystem, path string, keep int) (*Store, error) {
+// OpenWith is OpenWithLimit by the operations of a file system.
+func OpenWith(files FileSystem, path string, keep int) (*Store, error) {
 	s := &Store{path: path, keep: max(keep, 1), files: files, clock: clockNow}
 	err := s.load(lockWait)
 	var fault *FaultError
@@ -235,7 +235,7 @@
 	case s.released:
 		return ErrClosed
 	case s.lent && !s.wanted:
-		return ErrLent
+		return ErrLockReleased
 	case s.db == nil:
 		err := s.load(0)
 		if s.db == nil {
@@ -277,9 +277,9 @@
 	return s.faultAt, s.fault
 }
 
-// Renew tries again, after a fault, to have the file read and written anew. It does
+// Recover tries again, after a fault, to have the file read and written anew. It does
 // nothing where there is none.
-func (s *Store) Renew() error {
+func (s *Store) Recover() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.fault == nil {
@@ -382,10 +382,10 @@
 	return err
 }
 
-// Lend closes the file, so that a process that takes over can open it. What is put
-// from then on is kept in memory, and survives no crash until Regain; the rest fails
-// with ErrLent.
-func (s *Store) Lend() error {
+// ReleaseLock closes the file, so that a process that takes over can open it. What is put
+// from then on is kept in memory, and survives no crash until ReacquireLock; the rest fails
+// with ErrLockReleased.
+func (s *Store) ReleaseLock() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lent {
@@ -395,10 +395,10 @@
 	return s.release()
 }
 
-// Regain opens the file again, and stores what was put meanwhile. It fails as long as
+// ReacquireLock opens the file again, and stores what was put meanwhile. It fails as long as
 // the other process has it, and may be tried again; so does each operation that
 // writes, from then on.
-func (s *Store) Regain() error {
+func (s *Store) ReacquireLock() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.lent {
@@ -431,7 +431,7 @@
 	case s.released:
 		return ErrClosed
 	case s.lent || s.fault == nil:
-		return ErrLent
+		return ErrLockReleased
 	}
 	return s.fault
 }
@@ -505,7 +505,7 @@
 // Put stores a version; when it returns without an error, the version survives
 // any crash. Some before it are kept, the oldest go.
 func (s *Store) Put(v configversion.Version, now time.Time) error {
-	if v.Number <= 0 || configversion.SumOf(v.Body) != v.Sum {
+	if v.Number <= 0 || configversion.Checksum(v.Body) != v.Sum {
 		return fmt.Errorf("lastgood: version %d does not match its sum, and is not stored", v.Number)
 	}
 	s.mu.Lock()
@@ -557,10 +557,10 @@
 	return nil
 }
 
-// Save stores a service's state, and in the same step the versions that it
+// SaveState stores a service's state, and in the same step the versions that it
 // speaks of, unless they are stored already; these are kept as long as a state
 // names them.
-func (s *Store) Save(text []byte, of []configversion.Version, now time.Time) error {
+func (s *Store) SaveState(text []byte, of []configversion.Version, now time.Time) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.update(func(tx *bbolt.Tx) error {
@@ -595,7 +595,7 @@
 	return err == nil && stored.Sum == v.Sum
 }
 
-// State is what Save stored last, nil where it never did.
+// State is what SaveState stored last, nil where it never did.
 func (s *Store) State() (text []byte, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
 		sealed := tx.Bucket(states).Get(state)
@@ -614,7 +614,7 @@
 	err = s.view(func(tx *bbolt.Tx) error {
 		value := tx.Bucket(versions).Get(key(number))
 		if value == nil {
-			return ErrNone
+			return ErrNoVersion
 		}
 		var h header
 		v, h, err = decode(key(number), value)
@@ -652,7 +652,7 @@
 	err = s.view(func(tx *bbolt.Tx) error {
 		k, value := tx.Bucket(versions).Cursor().Last()
 		if k == nil {
-			return ErrNone
+			return ErrNoVersion
 		}
 		var h header
 		v, h, err = decode(k, value)
@@ -683,7 +683,7 @@
 		return v, h, fmt.Errorf("lastgood: an entry's header: %w", err)
 	}
 	v = configversion.Version{Number: int64(binary.BigEndian.Uint64(k)), Sum: h.Sum, Body: append([]byte(nil), value[4+n:]...)}
-	if configversion.SumOf(v.Body) != v.Sum {
+	if configversion.Checksum(v.Body) != v.Sum {
 		return configversion.Version{}, h, fmt.Errorf("lastgood: version %d does not match its sum", v.Number)
 	}
 	return v, h, nil
@@ -691,7 +691,7 @@
 
 // History are the stored versions in the order of their numbers, with their ages
 // by the wall clock, never below 0.
-func (s *Store) History(now time.Time) (list []configversion.Aged, err error) {
+func (s *Store) History(now time.Time) (list []configversion.StoredVersion, err error) {
 	list, headers, err := s.all()
 	for i := range list {
 		list[i].Age = max(float64(wallclock.At(now).Sub(headers[i].Stored).Microseconds())/1000, 0)
@@ -700,11 +700,11 @@
 }
 
 // all are the stored versions in the order of their numbers, without their ages.
-func (s *Store) all() (list []configversion.Aged, headers []header, err error) {
+func (s *Store) all() (list []configversion.StoredVersion, headers []header, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
 		return tx.Bucket(versions).ForEach(func(k, value []byte) error {
 			v, h, err := decode(k, value)
-			list, headers = append(list, configversion.Aged{Version: v}), append(headers, h)
+			list, headers = append(list, configversion.StoredVersion{Version: v}), append(headers, h)
 			return err
 		})
 	})
@@ -716,7 +716,7 @@
 func (s *Store) Restored(now time.Time) configversion.Restored {
 	list, headers, err := s.all()
 	if err == nil && len(list) == 0 {
-		err = ErrNone
+		err = ErrNoVersion
 	}
 	if err != nil {
 		return configversion.Restored{Err: err}
@@ -725,5 +725,5 @@
 		list[i].Age = age
 	}
 	last := list[len(list)-1]
-	return configversion.Restored{Version: last.Version, Age: last.Age, Before: list[:len(list)-1]}
+	return configversion.Restored{Version: last.Version, Age: last.Age, Earlier: list[:len(list)-1]}
 }
--- a/internal/controlplane/configstore/lastgood_test.go
+++ b/internal/controlplane/configstore/lastgood_test.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := s.Last(); !errors.Is(err, ErrNone) {
+	if _, _, err := s.Last(); !errors.Is(err, ErrNoVersion) {
 		t.Fatalf("an empty store: %v", err)
 	}
 	at := time.Now().Add(-time.Minute)
@@ -155,7 +155,7 @@
 		var damaged *DamagedError
 		if errors.As(err, &damaged) {
 			aside++
-			if kept, rerr := os.ReadFile(damaged.Aside); rerr != nil || len(kept) != len(b) {
+			if kept, rerr := os.ReadFile(damaged.Quarantine); rerr != nil || len(kept) != len(b) {
 				t.Fatalf("what was set aside is gone: %v", rerr)
 			}
 			if perr := s.Put(version(9), time.Now()); perr != nil {
@@ -204,7 +204,7 @@
 		}
 	}
 	put(s, 1)
-	if err := s.Lend(); err != nil {
+	if err := s.ReleaseLock(); err != nil {
 		t.Fatal(err)
 	}
 	other, err := Open(path)
@@ -213,14 +213,14 @@
 	}
 	put(s, 3)
 	put(other, 2)
-	if _, _, err := s.Last(); !errors.Is(err, ErrLent) {
+	if _, _, err := s.Last(); !errors.Is(err, ErrLockReleased) {
 		t.Errorf("reading what is lent: %v", err)
 	}
-	if err := s.Regain(); err == nil {
+	if err := s.ReacquireLock(); err == nil {
 		t.Fatal("it was regained while another has it")
 	}
 	other.Close()
-	if err := s.Regain(); err != nil {
+	if err := s.ReacquireLock(); err != nil {
 		t.Fatal(err)
 	}
 	list, err := s.History(time.Now())
--- a/internal/controlplane/configversion/check.go
+++ b/internal/controlplane/configversion/check.go
@@ -12,10 +12,10 @@
 // CheckLimits bound what one version may change or claim. Zero fields mean the
 // defaults.
 type CheckLimits struct {
-	ParentChurn float64 // share of the parents that may come or go at once; default 0.5
-	BoxChurn    float64 // share of a zone's caches that may go at once; default 0.67
-	MaxSize     float64 // of a member; default 1e6
-	MaxLink     float64 // KB a ms of a zone; default 1e6
+	ParentChurn     float64 // share of the parents that may come or go at once; default 0.5
+	CacheChurn      float64 // share of a zone's caches that may go at once; default 0.67
+	MaxCapacity     float64 // of a member; default 1e6
+	MaxLinkCapacity float64 // KB a ms of a zone; default 1e6
 }
 
 func (l CheckLimits) filled() CheckLimits {
@@ -25,9 +25,9 @@
 		}
 	}
 	def(&l.ParentChurn, 0.5)
-	def(&l.BoxChurn, 0.67)
-	def(&l.MaxSize, 1e6)
-	def(&l.MaxLink, 1e6)
+	def(&l.CacheChurn, 0.67)
+	def(&l.MaxCapacity, 1e6)
+	def(&l.MaxLinkCapacity, 1e6)
 	return l
 }
 
@@ -56,8 +56,8 @@
 	all := map[string]int{}
 	for _, m := range c.s.Members {
 		path := "member/" + m.ID
-		if m.Size < 0 || m.Size > c.l.MaxSize || math.IsNaN(m.Size) {
-			c.add(path+"/size", fmt.Sprintf("capacity %v", m.Size), fmt.Sprintf("it must be from 0 to %v", c.l.MaxSize))
+		if m.Size < 0 || m.Size > c.l.MaxCapacity || math.IsNaN(m.Size) {
+			c.add(path+"/size", fmt.Sprintf("capacity %v", m.Size), fmt.Sprintf("it must be from 0 to %v", c.l.MaxCapacity))
 		}
 		if m.Kind == c.s.Fill.ParentKind || m.Kind == c.s.Fill.OriginKind {
 			continue
@@ -67,8 +67,8 @@
 		}
 	}
 	for _, z := range c.s.Zones {
-		if z.LinkIn < 0 || z.LinkIn > c.l.MaxLink {
-			c.add("zone/"+z.Name+"/link", fmt.Sprintf("link of %v KB a ms", z.LinkIn), fmt.Sprintf("it must be from 0 to %v", c.l.MaxLink))
+		if z.LinkIn < 0 || z.LinkIn > c.l.MaxLinkCapacity {
+			c.add("zone/"+z.Name+"/link", fmt.Sprintf("link of %v KB a ms", z.LinkIn), fmt.Sprintf("it must be from 0 to %v", c.l.MaxLinkCapacity))
 		}
 		if z.Routers > 0 && serving[z.Name] == 0 && c.s.Router.List == "" {
 			what := "no cache is listed there, though it has routers"
@@ -181,9 +181,9 @@
 	}
 	sort.Strings(zones)
 	for _, z := range zones {
-		if n := lost(before[z], after[z]); n > 1 && float64(n) > c.l.BoxChurn*float64(len(before[z])) {
+		if n := lost(before[z], after[z]); n > 1 && float64(n) > c.l.CacheChurn*float64(len(before[z])) {
 			c.add("zone/"+z, fmt.Sprintf("%d of %d caches go at once", n, len(before[z])),
-				fmt.Sprintf("take out at most %.0f %% in one version", 100*c.l.BoxChurn))
+				fmt.Sprintf("take out at most %.0f %% in one version", 100*c.l.CacheChurn))
 		}
 	}
 }
--- a/internal/controlplane/configversion/diff.go
+++ b/internal/controlplane/configversion/diff.go
@@ -6,9 +6,9 @@
 	"indigospool/internal/config"
 )
 
-// Step is one change of the list of members, to be told before the next.
-type Step struct {
-	What    string // drains, starts, changes or removals
+// Delta is one change of the list of members, to be told before the next.
+type Delta struct {
+	Kind    string // drains, starts, changes or removals
 	Members []config.Member
 }
 
@@ -18,7 +18,7 @@
 // removals last. A member with another start number came back empty: it is told
 // as removed before it is told as started. A full list would do the same at
 // once, but could not say that a start is new where the number was reused.
-func Diff(old, new []config.Member) (steps []Step) {
+func Diff(old, new []config.Member) (steps []Delta) {
 	was := map[string]config.Member{}
 	for _, m := range old {
 		was[m.ID] = m
@@ -57,7 +57,7 @@
 	add := func(what string, list []config.Member) {
 		if len(list) > 0 {
 			sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
-			steps = append(steps, Step{what, list})
+			steps = append(steps, Delta{what, list})
 		}
 	}
 	add("drains", drains)
@@ -89,9 +89,9 @@
 		a.Address == b.Address && a.State == b.State && a.Start == b.Start
 }
 
-// Apply is a list after the steps, by id: what a router that was told them all
+// ApplyDeltas is a list after the steps, by id: what a router that was told them all
 // goes by. Members that are gone are left out.
-func Apply(old []config.Member, steps []Step) []config.Member {
+func ApplyDeltas(old []config.Member, steps []Delta) []config.Member {
 	by := map[string]config.Member{}
 	for _, m := range old {
 		m.Place = config.Place{}
--- a/internal/controlplane/configversion/machine.go
+++ b/internal/controlplane/configversion/machine.go
@@ -38,14 +38,14 @@
 	Body   []byte // settings as S-expressions
 }
 
-// SumOf is the checksum of a body.
-func SumOf(body []byte) string {
+// Checksum is the checksum of a body.
+func Checksum(body []byte) string {
 	s := sha256.Sum256(body)
 	return hex.EncodeToString(s[:])
 }
 
 // New makes a version of a body, with its checksum.
-func New(number int64, body []byte) Version { return Version{number, SumOf(body), body} }
+func New(number int64, body []byte) Version { return Version{number, Checksum(body), body} }
 
 // Reason is why a version is refused.
 type Reason struct {
@@ -65,33 +65,33 @@
 	return s
 }
 
-// Settings are the figures of the machine. Zero fields mean the defaults.
-type Settings struct {
-	Own      *config.Settings // the router's own file: its part goes before a version's; nil: no router's in particular
-	Limits   CheckLimits
-	MaxBytes int    // of a version; default 16 MB
-	Spread   Millis // an accepted version is used within so long, by chance; default 1000
-	Lease    Millis // another service is believed once the one in charge has been silent for so long; default 30000
-	Old      Millis // from this age on the running version is warned of; default 60000
-	Stale    Millis // a version restored at this age or above is called stale; default 600000
-	Remember int    // refused versions that are kept for status; default 32
+// MachineSettings are the figures of the machine. Zero fields mean the defaults.
+type MachineSettings struct {
+	Local            *config.Settings // the router's own file: its part goes before a version's; nil: no router's in particular
+	Limits           CheckLimits
+	MaxBytes         int    // of a version; default 16 MB
+	Jitter           Millis // an accepted version is used within so long, by chance; default 1000
+	Lease            Millis // another service is believed once the one in charge has been silent for so long; default 30000
+	UnconfirmedAfter Millis // from this age on the running version is warned of; default 60000
+	StaleAfter       Millis // a version restored at this age or above is called stale; default 600000
+	MaxRecords       int    // refused versions that are kept for status; default 32
 }
 
-func (s Settings) filled() Settings {
+func (s MachineSettings) filled() MachineSettings {
 	def := func(v *Millis, d Millis) {
 		if *v <= 0 {
 			*v = d
 		}
 	}
-	def(&s.Spread, 1000)
+	def(&s.Jitter, 1000)
 	def(&s.Lease, 30000)
-	def(&s.Old, 60000)
-	def(&s.Stale, 600000)
+	def(&s.UnconfirmedAfter, 60000)
+	def(&s.StaleAfter, 600000)
 	if s.MaxBytes <= 0 {
 		s.MaxBytes = 16 << 20
 	}
-	if s.Remember <= 0 {
-		s.Remember = 32
+	if s.MaxRecords <= 0 {
+		s.MaxRecords = 32
 	}
 	s.Limits = s.Limits.filled()
 	return s
@@ -106,11 +106,11 @@
 	Version Version
 }
 
-// Heard is any other sign of life of a service.
-type Heard struct{ Service string }
+// Heartbeat is any other sign of life of a service.
+type Heartbeat struct{ Service string }
 
-// Cut says that the stream of a service has ended.
-type Cut struct{ Service string }
+// Disconnected says that the stream of a service has ended.
+type Disconnected struct{ Service string }
 
 // Stored says that a version is on disk, or why it is not.
 type Stored struct {
@@ -124,12 +124,12 @@
 type Restored struct {
 	Version Version
 	Age     Millis // by the wall clock, as that of those before: negative after a step back
-	Before  []Aged
+	Earlier []StoredVersion
 	Err     error
 }
 
-// Aged is a version that was stored so long ago.
-type Aged struct {
+// StoredVersion is a version that was stored so long ago.
+type StoredVersion struct {
 	Version Version
 	Age     Millis
 }
@@ -138,12 +138,12 @@
 // the last Wake is due.
 type Tick struct{}
 
-func (Offered) event()  {}
-func (Heard) event()    {}
-func (Cut) event()      {}
-func (Stored) event()   {}
-func (Restored) event() {}
-func (Tick) event()     {}
+func (Offered) event()      {}
+func (Heartbeat) event()    {}
+func (Disconnected) event() {}
+func (Stored) event()       {}
+func (Restored) event()     {}
+func (Tick) event()         {}
 
 // Action is something that the machine wants done.
 type Action interface{ action() }
@@ -164,46 +164,46 @@
 // Store asks for a version to be put on disk; Stored is the answer.
 type Store struct{ Version Version }
 
-// Use has the router run a version from now on. Stale says that it was restored
+// Activate has the router run a version from now on. Stale says that it was restored
 // so old that much may have changed: it is run all the same, since a router that
 // serves nothing helps nobody, and members that are gone are found out as any
 // that fail are. Up is for how long members have been listed under their present
 // start, where that is known to be short.
-type Use struct {
-	Version  Version
-	Settings *config.Settings
-	Stale    bool
-	Up       map[string]Millis
+type Activate struct {
+	Version   Version
+	Settings  *config.Settings
+	Stale     bool
+	ListedFor map[string]Millis
 }
 
 // Wake asks for a Tick after a while; it takes the place of any before it.
-type Wake struct{ In Millis }
+type Wake struct{ After Millis }
 
-// Ask has a service offer its version again: it was turned down while another
+// RequestOffer has a service offer its version again: it was turned down while another
 // was in charge, which has been silent for its lease since.
-type Ask struct{ Service string }
+type RequestOffer struct{ Service string }
 
 // Warn is for the operator.
 type Warn struct{ Text string }
 
-func (Ack) action()   {}
-func (Nack) action()  {}
-func (Store) action() {}
-func (Use) action()   {}
-func (Wake) action()  {}
-func (Warn) action()  {}
-func (Ask) action()   {}
+func (Ack) action()          {}
+func (Nack) action()         {}
+func (Store) action()        {}
+func (Activate) action()     {}
+func (Wake) action()         {}
+func (Warn) action()         {}
+func (RequestOffer) action() {}
 
 // State is how far a version has come at this router.
 type State int
 
 // The states.
 const (
-	Offering   State = iota // checked and good, and not yet on disk
-	Accepted                // on disk, and not yet used
-	Running                 // used
-	Superseded              // replaced before or after it was used
-	Refused
+	StateOffered    State = iota // checked and good, and not yet on disk
+	StateAccepted                // on disk, and not yet used
+	StateRunning                 // used
+	StateSuperseded              // replaced before or after it was used
+	StateRejected
 )
 
 var stateWords = [...]string{"offered", "accepted", "running", "superseded", "refused"}
@@ -212,12 +212,12 @@
 
 // Record is what is remembered of a version.
 type Record struct {
-	Number  int64
-	Sum     string
-	State   State
-	Service string
-	At      Millis // of the last change of state
-	Reasons []Reason
+	Number    int64
+	Sum       string
+	State     State
+	Service   string
+	ChangedAt Millis // of the last change of state
+	Reasons   []Reason
 }
 
 // candidate is a version on its way to be used.
@@ -232,7 +232,7 @@
 
 // Machine is one router's view of its versions. It is not safe for concurrent use.
 type Machine struct {
-	set  Settings
+	set  MachineSettings
 	rng  *rand.Rand
 	now  Millis
 	acts []Action
@@ -252,15 +252,15 @@
 }
 
 // NewMachine makes a machine that runs nothing yet.
-func NewMachine(s Settings, seed uint64) *Machine {
+func NewMachine(s MachineSettings, seed uint64) *Machine {
 	return &Machine{set: s.filled(), rng: rand.New(rand.NewPCG(seed, 0xf1ee7)), records: map[int64]*Record{}}
 }
 
 // Running is the number of the version in use, 0 before the first.
 func (m *Machine) Running() int64 { return m.current.Number }
 
-// Floor is the highest number that was ever accepted.
-func (m *Machine) Floor() int64 { return m.floor }
+// HighestAccepted is the highest number that was ever accepted.
+func (m *Machine) HighestAccepted() int64 { return m.floor }
 
 // Accepted is the version with that number, as far as it is held.
 func (m *Machine) Accepted() Version {
@@ -278,8 +278,8 @@
 	return max(now-m.since, 0)
 }
 
-// Holder is the service that is in charge, or "".
-func (m *Machine) Holder() string { return m.holder }
+// LeaseHolder is the service that is in charge, or "".
+func (m *Machine) LeaseHolder() string { return m.holder }
 
 // Records are the versions that are remembered, by number.
 func (m *Machine) Records() []Record {
@@ -299,9 +299,9 @@
 		m.restore(ev)
 	case Offered:
 		m.offered(ev)
-	case Heard:
+	case Heartbeat:
 		m.sign(ev.Service)
-	case Cut:
+	case Disconnected:
 		// a cut alone changes nobody's mind: the lease does, when it is over
 	case Stored:
 		m.stored(ev)
@@ -315,7 +315,7 @@
 
 func (m *Machine) note(v Version, s State, service string, reasons []Reason) {
 	m.records[v.Number] = &Record{v.Number, v.Sum, s, service, m.now, reasons}
-	for len(m.records) > m.set.Remember {
+	for len(m.records) > m.set.MaxRecords {
 		lowest := int64(0)
 		for n := range m.records {
 			if n != m.current.Number && (m.next == nil || n != m.next.v.Number) && (lowest == 0 || n < lowest) {
@@ -349,11 +349,11 @@
 	}
 	m.floor, m.floorSum = ev.Version.Number, ev.Version.Sum
 	m.current, m.running, m.since = ev.Version, s, m.now-max(ev.Age, 0)
-	m.note(ev.Version, Running, "", nil)
-	if ev.Age >= m.set.Stale {
+	m.note(ev.Version, StateRunning, "", nil)
+	if ev.Age >= m.set.StaleAfter {
 		m.do(Warn{fmt.Sprintf("configuration %d is stale: it was stored %.0f s ago", ev.Version.Number, ev.Age/1000)})
 	}
-	m.do(Use{ev.Version, s, ev.Age >= m.set.Stale, m.up(ev, s)})
+	m.do(Activate{ev.Version, s, ev.Age >= m.set.StaleAfter, m.up(ev, s)})
 }
 
 // up tells of members that came with one of the last versions for how long they
@@ -372,9 +372,9 @@
 	for _, one := range s.Members {
 		now[start{one.ID, one.Start, one.Address}] = true
 	}
-	for i := len(ev.Before) - 1; i >= 0 && len(now) > 0; i-- {
+	for i := len(ev.Earlier) - 1; i >= 0 && len(now) > 0; i-- {
 		old := &config.Settings{}
-		if config.ReadVersion("stored", string(ev.Before[i].Version.Body), m.set.Own, old) != nil {
+		if config.ReadVersion("stored", string(ev.Earlier[i].Version.Body), m.set.Local, old) != nil {
 			break // one that can't be read says nothing of who was there
 		}
 		had := map[start]bool{}
@@ -387,7 +387,7 @@
 				delete(now, k)
 			}
 		}
-		since = max(ev.Before[i].Age-ev.Age, 0)
+		since = max(ev.Earlier[i].Age-ev.Age, 0)
 	}
 	for k := range now {
 		if k.n > 1 { // it has started anew some time: at the latest when the oldest was stored
@@ -417,8 +417,8 @@
 func (m *Machine) offered(ev Offered) {
 	v := ev.Version
 	nack := func(reasons ...Reason) {
-		if r := m.records[v.Number]; r == nil || r.State == Refused {
-			m.note(v, Refused, ev.Service, reasons)
+		if r := m.records[v.Number]; r == nil || r.State == StateRejected {
+			m.note(v, StateRejected, ev.Service, reasons)
 		}
 		m.do(Nack{ev.Service, v.Number, reasons})
 	}
@@ -437,8 +437,8 @@
 		nack(Reason{"", fmt.Sprintf("number %d", v.Number), "numbers are above 0"})
 	case len(v.Body) > m.set.MaxBytes:
 		nack(Reason{"", fmt.Sprintf("%d bytes, where %d are taken", len(v.Body), m.set.MaxBytes), "make it smaller, or raise the limit"})
-	case SumOf(v.Body) != v.Sum:
-		nack(Reason{"", fmt.Sprintf("its checksum is %.12s, it states %.12s", SumOf(v.Body), v.Sum), "send it again"})
+	case Checksum(v.Body) != v.Sum:
+		nack(Reason{"", fmt.Sprintf("its checksum is %.12s, it states %.12s", Checksum(v.Body), v.Sum), "send it again"})
 	case v.Number == top && v.Sum == topSum: // the same again, as after a reconnect
 		if m.next == nil || m.next.accepted {
 			m.since = m.now
@@ -460,10 +460,10 @@
 			return
 		}
 		if m.next != nil {
-			m.note(m.next.v, Superseded, m.next.service, nil)
+			m.note(m.next.v, StateSuperseded, m.next.service, nil)
 		}
 		m.next = &candidate{v: v, s: s, service: ev.Service, storing: true}
-		m.note(v, Offering, ev.Service, nil)
+		m.note(v, StateOffered, ev.Service, nil)
 		m.do(Store{v})
 	}
 }
@@ -471,7 +471,7 @@
 // sense reads a version and makes every check of it.
 func (m *Machine) sense(base *config.Settings, v Version) (*config.Settings, []Reason) {
 	s := &config.Settings{}
-	if err := config.ReadVersion(fmt.Sprintf("version-%d", v.Number), string(v.Body), m.set.Own, s); err != nil {
+	if err := config.ReadVersion(fmt.Sprintf("version-%d", v.Number), string(v.Body), m.set.Local, s); err != nil {
 		var faults config.Faults
 		if !errors.As(err, &faults) {
 			return nil, []Reason{{"", err.Error(), ""}}
@@ -494,7 +494,7 @@
 	if ev.Err != nil {
 		reason := Reason{"", fmt.Sprintf("it could not be stored: %v", ev.Err), "see the router's disk; the version may be offered again"}
 		m.next = nil
-		m.note(c.v, Refused, c.service, []Reason{reason})
+		m.note(c.v, StateRejected, c.service, []Reason{reason})
 		m.do(Nack{c.service, c.v.Number, []Reason{reason}})
 		m.do(Warn{"configuration: " + reason.String()})
 		return
@@ -506,9 +506,9 @@
 	// the first is used at once, and one that takes members away: their grace
 	// runs. Others are not used by all routers together.
 	if m.current.Number != 0 && !takesAway(m.running.Members, c.s.Members) {
-		c.useAt += m.rng.Float64() * m.set.Spread
+		c.useAt += m.rng.Float64() * m.set.Jitter
 	}
-	m.note(c.v, Accepted, c.service, nil)
+	m.note(c.v, StateAccepted, c.service, nil)
 	m.do(Ack{c.service, c.v.Number})
 }
 
@@ -518,38 +518,38 @@
 	if c := m.next; c != nil && c.accepted {
 		if m.now >= c.useAt {
 			if m.current.Number != 0 {
-				m.note(m.current, Superseded, "", nil)
+				m.note(m.current, StateSuperseded, "", nil)
 			}
 			m.current, m.running, m.next = c.v, c.s, nil
-			m.note(c.v, Running, c.service, nil)
-			m.do(Use{Version: c.v, Settings: c.s})
+			m.note(c.v, StateRunning, c.service, nil)
+			m.do(Activate{Version: c.v, Settings: c.s})
 		} else {
 			next = c.useAt - m.now
 		}
 	}
-	if m.holder != "" && m.now-m.heard < m.set.Old {
+	if m.holder != "" && m.now-m.heard < m.set.UnconfirmedAfter {
 		m.since = max(m.since, m.heard)
 	}
 	if m.suitor != "" {
 		if left := m.heard + m.set.Lease - m.now; left > 0 {
 			next = min(next, left)
 		} else {
-			m.do(Ask{m.suitor})
+			m.do(RequestOffer{m.suitor})
 			m.suitor = ""
 		}
 	}
 	age := m.now - m.since
 	switch {
 	case m.current.Number == 0:
-	case age >= m.set.Old && !m.warned:
+	case age >= m.set.UnconfirmedAfter && !m.warned:
 		m.warned = true
 		m.do(Warn{fmt.Sprintf("configuration %d runs on though no service has confirmed it for %.0f s", m.current.Number, age/1000)})
-	case age < m.set.Old:
+	case age < m.set.UnconfirmedAfter:
 		if m.warned {
 			m.do(Warn{fmt.Sprintf("configuration %d is confirmed again", m.current.Number)})
 		}
 		m.warned = false
-		next = min(next, m.set.Old-age)
+		next = min(next, m.set.UnconfirmedAfter-age)
 	}
 	if !math.IsInf(next, 1) {
 		m.do(Wake{next})
--- a/internal/controlplane/configversion/machine_test.go
+++ b/internal/controlplane/configversion/machine_test.go
@@ -39,7 +39,7 @@
 	acts []Action
 }
 
-func begin(t testing.TB) *story { return &story{t: t, m: NewMachine(Settings{}, 1)} }
+func begin(t testing.TB) *story { return &story{t: t, m: NewMachine(MachineSettings{}, 1)} }
 
 func (s *story) tell(ev Event) *story {
 	s.acts = s.m.Handle(s.now, ev, nil)
@@ -94,13 +94,13 @@
 func TestAcceptedStoredUsed(t *testing.T) {
 	s := begin(t)
 	s.tell(Offered{"a", New(1, good)})
-	if has[Ack](s, nil) || has[Use](s, nil) || !has[Store](s, nil) {
+	if has[Ack](s, nil) || has[Activate](s, nil) || !has[Store](s, nil) {
 		t.Fatalf("before it is on disk: %+v", s.acts)
 	}
 	s.tell(Stored{Number: 1}).wantAck(1).wantRuns(1) // the first at once
 	s.offer("a", New(2, body("sssd", "ssss", ""))).wantAck(2).wantRuns(1)
 	wakes := slices.DeleteFunc(slices.Clone(s.acts), func(a Action) bool { _, is := a.(Wake); return !is })
-	if len(wakes) == 0 || wakes[len(wakes)-1].(Wake).In > 1000 {
+	if len(wakes) == 0 || wakes[len(wakes)-1].(Wake).After > 1000 {
 		t.Errorf("it is woken by %+v, want at last to use the second", wakes)
 	}
 	s.pass(1001).wantRuns(2)
@@ -118,7 +118,7 @@
 	s.offer("a", bad).wantNack("checksum").wantRuns(5)
 	s.offer("a", New(6, body("ss", "ssss", ""))).wantAck(6) // a refused number may be offered again, whole
 	s.offer("a", New(7, good)).wantAck(7)                   // back to the old content by a new number
-	if got := s.m.Floor(); got != 7 {
+	if got := s.m.HighestAccepted(); got != 7 {
 		t.Errorf("floor %d", got)
 	}
 }
@@ -166,16 +166,16 @@
 	s := begin(t).offer("a", New(1, good)).wantRuns(1)
 	for n := int64(2); n < 20; n++ {
 		s.offer("b", New(n, body("ss", "ssss", ""))).wantNack("service a is in charge")
-		s.tell(Heard{"a"})
+		s.tell(Heartbeat{"a"})
 		s.pass(1000).wantRuns(1)
 	}
-	s.tell(Cut{"a"}).pass(28000)
+	s.tell(Disconnected{"a"}).pass(28000)
 	s.offer("b", New(30, body("ss", "ssss", ""))).wantNack("in charge")
-	if has[Ask](s, nil) {
+	if has[RequestOffer](s, nil) {
 		t.Error("the other service is asked again while one is in charge")
 	}
 	s.pass(2000)
-	if !has(s, func(a Ask) bool { return a.Service == "b" }) {
+	if !has(s, func(a RequestOffer) bool { return a.Service == "b" }) {
 		t.Errorf("who was turned down is not asked again: %+v", s.acts)
 	}
 	s.offer("b", New(31, body("ss", "ssss", ""))).wantAck(31)
@@ -187,7 +187,7 @@
 func TestRestart(t *testing.T) {
 	v := New(7, good)
 	s := begin(t).tell(Restored{Version: v, Age: 5000})
-	if !has(s, func(u Use) bool { return u.Version.Number == 7 && !u.Stale }) {
+	if !has(s, func(u Activate) bool { return u.Version.Number == 7 && !u.Stale }) {
 		t.Fatalf("%+v", s.acts)
 	}
 	s.offer("a", New(6, good)).wantNack("older than 7") // a service that came back with its past
@@ -198,16 +198,16 @@
 	s.offer("a", New(8, good)).wantAck(8)
 
 	s = begin(t).tell(Restored{Version: v, Age: 700000})
-	if !has(s, func(u Use) bool { return u.Stale }) {
+	if !has(s, func(u Activate) bool { return u.Stale }) {
 		t.Errorf("an old list counts as fresh: %+v", s.acts)
 	}
 	s = begin(t).tell(Restored{Err: errors.New("damaged")})
-	if !has[Warn](s, nil) || has[Use](s, nil) {
+	if !has[Warn](s, nil) || has[Activate](s, nil) {
 		t.Errorf("%+v", s.acts)
 	}
 	s.offer("a", New(1, good)).wantRuns(1)
 	s = begin(t).tell(Restored{Version: New(9, body("ddd", "ssss", ""))})
-	if has[Use](s, nil) {
+	if has[Activate](s, nil) {
 		t.Error("what does not pass the checks is run after a restart")
 	}
 	s.offer("a", New(8, good)).wantNack("older than 9")
@@ -216,7 +216,7 @@
 // A service gone for minutes: the last good version runs on, with one warning,
 // and the news that it is confirmed again.
 func TestServiceGone(t *testing.T) {
-	s := begin(t).offer("a", New(1, good)).tell(Cut{"a"})
+	s := begin(t).offer("a", New(1, good)).tell(Disconnected{"a"})
 	warned := 0
 	for range 300 {
 		s.pass(1000).wantRuns(1)
@@ -253,7 +253,7 @@
 func TestSpread(t *testing.T) {
 	at := map[int]int{}
 	for seed := range 300 {
-		m := NewMachine(Settings{}, uint64(seed))
+		m := NewMachine(MachineSettings{}, uint64(seed))
 		s := &story{t: t, m: m}
 		s.offer("a", New(1, good)).offer("a", New(2, body("ssss", "ssss", "")))
 		for s.m.Running() != 2 && s.now < 10000 {
@@ -283,9 +283,9 @@
 		(control (services "127.0.0.1:9") (start wait) (lease 777))`, own); err != nil {
 		t.Fatal(err)
 	}
-	s := &story{t: t, m: NewMachine(Settings{Own: own}, 1)}
+	s := &story{t: t, m: NewMachine(MachineSettings{Local: own}, 1)}
 	s.offer("a", New(1, good)).wantRuns(1)
-	if !has(s, func(u Use) bool {
+	if !has(s, func(u Activate) bool {
 		r := u.Settings.Router
 		return r.Name == "r7" && r.Me == 3 && r.Of == 4 && u.Settings.Control.Lease == 777 && len(u.Settings.Members) == 7
 	}) {
@@ -306,7 +306,7 @@
 	const old = `(member old (zone z) (start 3) (address "127.0.0.1:3"))`
 	const late, anew = `(member late (zone z) (address "127.0.0.1:1"))`, `(member anew (zone z) (start 2) (address "127.0.0.1:2"))`
 	ages := func(step float64) Restored {
-		return Restored{Version: with(5, old+late+anew), Age: 100 + step, Before: []Aged{
+		return Restored{Version: with(5, old+late+anew), Age: 100 + step, Earlier: []StoredVersion{
 			{with(2, old), 9000 + step},
 			{with(3, old+strings.Replace(anew, "start 2", "start 1", 1)), 5000 + step},
 			{with(4, old+late+anew), 700 + step}}}
@@ -314,16 +314,18 @@
 	// Ages are by the wall clock, which may have been stepped since.
 	for _, step := range []float64{0, 3000, -3000, 3.6e6, -3.6e6} {
 		s := begin(t).tell(ages(step))
-		if !has(s, func(u Use) bool {
-			return len(u.Up) == 3 && u.Up["late"] == 600 && u.Up["anew"] == 600 && u.Up["old"] == 8900
+		if !has(s, func(u Activate) bool {
+			return len(u.ListedFor) == 3 && u.ListedFor["late"] == 600 && u.ListedFor["anew"] == 600 && u.ListedFor["old"] == 8900
 		}) {
 			t.Errorf("a step of %v ms: up %v", step, upOf(s))
 		}
 	}
 	// A version that seems to be younger than the one after it says nothing of its age.
 	back := ages(0)
-	back.Before[2].Age = -3.6e6
-	if s := begin(t).tell(back); !has(s, func(u Use) bool { return u.Up["late"] == 0 && u.Up["anew"] == 0 && u.Up["old"] == 8900 }) {
+	back.Earlier[2].Age = -3.6e6
+	if s := begin(t).tell(back); !has(s, func(u Activate) bool {
+		return u.ListedFor["late"] == 0 && u.ListedFor["anew"] == 0 && u.ListedFor["old"] == 8900
+	}) {
 		t.Errorf("stepped back between two versions: up %v", upOf(s))
 	}
 }
@@ -331,8 +333,8 @@
 // upOf is for how long members have been listed, by the version that is used.
 func upOf(s *story) map[string]Millis {
 	for _, act := range s.acts {
-		if use, ok := act.(Use); ok {
-			return use.Up
+		if use, ok := act.(Activate); ok {
+			return use.ListedFor
 		}
 	}
 	return nil
@@ -344,7 +346,7 @@
 	bodies := [][]byte{good, body("ss", "ssss", ""), body("ssss", "sss", ""), body("ddd", "ssss", ""), []byte("(oops"),
 		body("sss", "ssss", "(rules (drain-grace 9000))"), body("s", "s", "")}
 	rapid.Check(t, func(t *rapid.T) {
-		m := NewMachine(Settings{}, 3)
+		m := NewMachine(MachineSettings{}, 3)
 		now, floor := 0.0, int64(0)
 		var disk, writing *Version
 		var running int64
@@ -359,11 +361,11 @@
 						t.Fatalf("version %d is accepted and not on disk", a.Number)
 					}
 					floor = max(floor, a.Number)
-				case Use:
+				case Activate:
 					if a.Version.Number < floor || a.Version.Number < running {
 						t.Fatalf("version %d is used after %d was accepted and %d run", a.Version.Number, floor, running)
 					}
-					if SumOf(a.Version.Body) != a.Version.Sum {
+					if Checksum(a.Version.Body) != a.Version.Sum {
 						t.Fatal("a damaged version is used")
 					}
 					s := &config.Settings{}
@@ -387,7 +389,7 @@
 				}
 				handle(Offered{rapid.SampledFrom([]string{"a", "a", "a", "b"}).Draw(t, "service"), v})
 			case 3:
-				handle(Cut{"a"})
+				handle(Disconnected{"a"})
 			case 4:
 				if writing != nil {
 					if rapid.Bool().Draw(t, "disk works") {
@@ -405,7 +407,7 @@
 					disk = writing // on disk, and never told of
 				}
 				writing = nil
-				m = NewMachine(Settings{}, 4)
+				m = NewMachine(MachineSettings{}, 4)
 				running = 0
 				if disk == nil || rapid.IntRange(0, 5).Draw(t, "store damaged") == 0 {
 					disk, floor = nil, 0 // set aside: nothing is known of what was accepted
@@ -439,12 +441,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		old, new := list(t, "old"), list(t, "new")
 		steps := Diff(old, new)
-		got, want := Apply(old, steps), Apply(nil, []Step{{"all", new}})
+		got, want := ApplyDeltas(old, steps), ApplyDeltas(nil, []Delta{{"all", new}})
 		if !slices.EqualFunc(got, want, same) {
 			t.Fatalf("from %+v\nby %+v\nto %+v, want %+v", old, steps, got, want)
 		}
 		for i, s := range steps {
-			if s.What == "drains" && i != 0 {
+			if s.Kind == "drains" && i != 0 {
 				t.Fatalf("drains are step %d: %+v", i, steps)
 			}
 		}
--- a/internal/controlplane/endpointcheck/rehearse.go
+++ b/internal/controlplane/endpointcheck/rehearse.go
@@ -335,7 +335,7 @@
 	steps := configversion.Diff(p.was.Members, p.is.Members)
 	for _, s := range steps {
 		for _, m := range s.Members {
-			if s.What == "starts" {
+			if s.Kind == "starts" {
 				p.came[m.ID] = at
 			}
 		}
@@ -343,9 +343,9 @@
 	for _, r := range p.sim.Routers() {
 		p.sim.At(at+p.rng.Float64()*p.o.Lag, func() {
 			for _, s := range steps {
-				n := engine.FromStep(1, s.Members, s.What == "starts")
+				n := engine.FromStep(1, s.Members, s.Kind == "starts")
 				for i := range n.Members {
-					if s.What == "starts" {
+					if s.Kind == "starts" {
 						n.Members[i].UpMs = max(p.sim.Now-at, 0.001)
 					}
 				}
--- a/internal/controlplane/rollout/rollout.go
+++ b/internal/controlplane/rollout/rollout.go
@@ -17,40 +17,40 @@
 	"indigospool/internal/controlplane/configversion"
 )
 
-// RolloutSettings are how a service brings a version to its routers. Zero
+// Settings are how a service brings a version to its routers. Zero
 // fields mean the defaults.
-type RolloutSettings struct {
-	Stages   []float64            // shares of the routers, in rising order; a share too small for one means one; default 0, 0.1, 1
-	Hold     configversion.Millis // a stage lasts at least so long after its last router has accepted; default 30000
-	Patience configversion.Millis // and is halted when routers have not answered for so long; default 120000
-	Refused  float64              // halted when more than this share of a stage's routers refuse; default 0: any
-	Silent   float64              // share of a stage's routers that may stay without an answer; default 0.05
-	Fall     float64              // halted when service at its routers falls by more than this against the others; default 0.05
-	Again    configversion.Millis // a router that refused what is everybody's is offered it again after so long; default 60000
-	Asked    float64              // requests that such a comparison needs on either side, before and since; default 200
+type Settings struct {
+	Stages           []float64            // shares of the routers, in rising order; a share too small for one means one; default 0, 0.1, 1
+	MinStageTime     configversion.Millis // a stage lasts at least so long after its last router has accepted; default 30000
+	AnswerTimeout    configversion.Millis // and is halted when routers have not answered for so long; default 120000
+	MaxRejectedShare float64              // halted when more than this share of a stage's routers refuse; default 0: any
+	MaxSilentShare   float64              // share of a stage's routers that may stay without an answer; default 0.05
+	MaxServiceDrop   float64              // halted when service at its routers falls by more than this against the others; default 0.05
+	ReofferAfter     configversion.Millis // a router that refused what is everybody's is offered it again after so long; default 60000
+	MinRequests      float64              // requests that such a comparison needs on either side, before and since; default 200
 }
 
-func (s RolloutSettings) filled() RolloutSettings {
+func (s Settings) filled() Settings {
 	if len(s.Stages) == 0 {
 		s.Stages = []float64{0, 0.1, 1}
 	}
-	if s.Hold <= 0 {
-		s.Hold = 30000
+	if s.MinStageTime <= 0 {
+		s.MinStageTime = 30000
 	}
-	if s.Patience <= 0 {
-		s.Patience = 120000
+	if s.AnswerTimeout <= 0 {
+		s.AnswerTimeout = 120000
 	}
-	if s.Silent <= 0 {
-		s.Silent = 0.05
+	if s.MaxSilentShare <= 0 {
+		s.MaxSilentShare = 0.05
 	}
-	if s.Fall <= 0 {
-		s.Fall = 0.05
+	if s.MaxServiceDrop <= 0 {
+		s.MaxServiceDrop = 0.05
 	}
-	if s.Again <= 0 {
-		s.Again = 60000
+	if s.ReofferAfter <= 0 {
+		s.ReofferAfter = 60000
 	}
-	if s.Asked <= 0 {
-		s.Asked = 200
+	if s.MinRequests <= 0 {
+		s.MinRequests = 200
 	}
 	return s
 }
@@ -62,13 +62,13 @@
 		Body  []byte
 		Force bool
 	}
-	// Joined says that a router's stream has begun, and what it runs.
-	Joined struct {
+	// Connected says that a router's stream has begun, and what it runs.
+	Connected struct {
 		Router  string
 		Running int64
 	}
-	// Left says that it has ended.
-	Left struct{ Router string }
+	// Disconnected says that it has ended.
+	Disconnected struct{ Router string }
 	// Acked says that a router has accepted a version.
 	Acked struct {
 		Router string
@@ -80,16 +80,16 @@
 		Number  int64
 		Reasons []string
 	}
-	// Report is how many requests a router had since its last report, and how
+	// LoadReport is how many requests a router had since its last report, and how
 	// many of them it served in time.
-	Report struct {
-		Router        string
-		Served, Asked float64
+	LoadReport struct {
+		Router           string
+		InTime, Requests float64
 	}
 	// Halt stops the rollout under way by hand, if there is one.
-	Halt struct{ Why string }
-	// Pass is time passing.
-	Pass struct{}
+	Halt struct{ Reason string }
+	// Tick is time passing.
+	Tick struct{}
 )
 
 // What a rollout wants done.
@@ -103,33 +103,33 @@
 	// under a new number.
 	Halted struct {
 		Number int64
-		Why    string
+		Reason string
 	}
-	// Staged says that a stage has begun.
-	Staged struct {
+	// StageStarted says that a stage has begun.
+	StageStarted struct {
 		Number  int64
 		Stage   int
 		Routers int
 	}
-	// Ahead says that a router has accepted a number that this service never
+	// NumberAhead says that a router has accepted a number that this service never
 	// gave, as after a state was lost: later numbers are above it.
-	Ahead struct {
+	NumberAhead struct {
 		Router string
 		Number int64
 	}
-	// Finished says that a version is everybody's.
-	Finished struct{ Number int64 }
-	// Keep asks for the state to be put on disk before any Offer after it is sent.
-	Keep struct{ State RolloutState }
+	// Completed says that a version is everybody's.
+	Completed struct{ Number int64 }
+	// Persist asks for the state to be put on disk before any Offer after it is sent.
+	Persist struct{ State State }
 )
 
-// RolloutState is what a service must not forget: numbers are never given twice.
-type RolloutState struct {
-	Last   int64 // highest number ever given
-	Base   configversion.Version
-	Next   configversion.Version // on its way; Number 0: none
-	Stage  int
-	Halted string // why the last rollout was halted; empty: it was not
+// State is what a service must not forget: numbers are never given twice.
+type State struct {
+	LastNumber int64 // highest number ever given
+	Base       configversion.Version
+	Next       configversion.Version // on its way; Number 0: none
+	Stage      int
+	HaltReason string // why the last rollout was halted; empty: it was not
 }
 
 // seat is a router as the service knows it.
@@ -159,8 +159,8 @@
 // Rollout brings versions to routers in stages, and stops by itself. Like the
 // Machine it does no I/O, and is not safe for concurrent use.
 type Rollout struct {
-	set     RolloutSettings
-	st      RolloutState
+	set     Settings
+	st      State
 	now     configversion.Millis
 	since   configversion.Millis // when the stage's last router accepted, or the stage began
 	began   configversion.Millis // of the stage
@@ -171,22 +171,22 @@
 	places map[string]float64
 }
 
-// NewRollout goes on from a state; the zero state is a new service's.
-func NewRollout(s RolloutSettings, st RolloutState) *Rollout {
+// New goes on from a state; the zero state is a new service's.
+func New(s Settings, st State) *Rollout {
 	return &Rollout{set: s.filled(), st: st, routers: map[string]*seat{}, limit: math.NaN(), places: map[string]float64{}}
 }
 
 // State is what must not be forgotten.
-func (r *Rollout) State() RolloutState { return r.st }
+func (r *Rollout) State() State { return r.st }
 
 // RouterStatus is what is known of one router.
 type RouterStatus struct {
-	Router  string
-	Joined  bool
-	Running int64
-	Refused int64
-	Reasons []string
-	Served  float64 // share of its requests of late that were served in time; -1: not told
+	Router      string
+	Connected   bool `json:"Joined"`
+	Running     int64
+	Rejected    int64 `json:"Refused"`
+	Reasons     []string
+	InTimeShare float64 `json:"Served"` // share of its requests of late that were served in time; -1: not reported
 }
 
 // Status lists the routers by name.
@@ -211,19 +211,19 @@
 		r.push(ev)
 	case Halt:
 		if r.st.Next.Number > 0 {
-			r.halt(ev.Why)
+			r.halt(ev.Reason)
 		}
-	case Joined:
+	case Connected:
 		s := r.seat(ev.Router)
 		s.joined, s.offered, s.running = true, 0, max(ev.Running, s.running)
 		r.limit = math.NaN()
-		if ev.Running > r.st.Last {
-			r.st.Last = ev.Running
-			r.do(Ahead{ev.Router, ev.Running})
-			r.do(Keep{r.st})
+		if ev.Running > r.st.LastNumber {
+			r.st.LastNumber = ev.Running
+			r.do(NumberAhead{ev.Router, ev.Running})
+			r.do(Persist{r.st})
 		}
 		r.offer(ev.Router)
-	case Left:
+	case Disconnected:
 		r.seat(ev.Router).joined = false
 		r.limit = math.NaN()
 	case Acked:
@@ -238,10 +238,10 @@
 	case Nacked:
 		s := r.seat(ev.Router)
 		s.refused, s.reasons, s.at = ev.Number, ev.Reasons, r.now
-	case Pass:
+	case Tick:
 		r.again()
-	case Report:
-		s, t := r.seat(ev.Router), tally{max(ev.Served, 0), max(ev.Asked, 0)}
+	case LoadReport:
+		s, t := r.seat(ev.Router), tally{max(ev.InTime, 0), max(ev.Requests, 0)}
 		if r.st.Next.Number > 0 {
 			s.since.add(t)
 		} else {
@@ -268,14 +268,14 @@
 // push gives a body a number. One that is on its way is superseded: who has it
 // is offered the new one first.
 func (r *Rollout) push(ev Push) {
-	r.st.Last++
-	v := configversion.New(r.st.Last, ev.Body)
-	r.st.Halted = ""
+	r.st.LastNumber++
+	v := configversion.New(r.st.LastNumber, ev.Body)
+	r.st.HaltReason = ""
 	if r.st.Base.Number == 0 || ev.Force {
 		r.st.Base, r.st.Next, r.st.Stage = v, configversion.Version{}, 0
-		r.do(Keep{r.st})
+		r.do(Persist{r.st})
 		r.offerAll()
-		r.do(Finished{v.Number})
+		r.do(Completed{v.Number})
 		return
 	}
 	r.st.Next = v
@@ -296,8 +296,8 @@
 func (r *Rollout) begin(stage int) {
 	r.st.Stage = stage
 	r.since, r.began, r.limit = r.now, r.now, math.NaN()
-	r.do(Keep{r.st})
-	r.do(Staged{r.st.Next.Number, stage, len(r.inStage())})
+	r.do(Persist{r.st})
+	r.do(StageStarted{r.st.Next.Number, stage, len(r.inStage())})
 	r.offerAll()
 }
 
@@ -330,7 +330,7 @@
 // disk, or another service in charge, may be of the past.
 func (r *Rollout) again() {
 	for id, s := range r.routers {
-		if s.joined && s.refused > 0 && s.refused == r.st.Base.Number && s.running < s.refused && r.now-s.at >= r.set.Again {
+		if s.joined && s.refused > 0 && s.refused == r.st.Base.Number && s.running < s.refused && r.now-s.at >= r.set.ReofferAfter {
 			s.offered, s.at = 0, r.now
 			r.offer(id)
 		}
@@ -416,20 +416,20 @@
 	total := float64(len(ids))
 	silent := float64(len(ids) - refused - accepted)
 	switch {
-	case float64(refused) > r.set.Refused*total:
+	case float64(refused) > r.set.MaxRejectedShare*total:
 		r.halt(fmt.Sprintf("%d of %d routers refuse it; %s", refused, len(ids), why))
-	case silent > r.set.Silent*total && r.now-r.began >= r.set.Patience:
-		r.halt(fmt.Sprintf("%.0f of %d routers have not answered in %.0f s", silent, len(ids), r.set.Patience/1000))
+	case silent > r.set.MaxSilentShare*total && r.now-r.began >= r.set.AnswerTimeout:
+		r.halt(fmt.Sprintf("%.0f of %d routers have not answered in %.0f s", silent, len(ids), r.set.AnswerTimeout/1000))
 	case r.fell(ids, n):
-	case silent <= r.set.Silent*total && r.now-r.since >= r.set.Hold:
+	case silent <= r.set.MaxSilentShare*total && r.now-r.since >= r.set.MinStageTime:
 		if r.st.Stage+1 < len(r.set.Stages) {
 			r.begin(r.st.Stage + 1)
 			return
 		}
 		r.st.Base, r.st.Next, r.st.Stage = r.st.Next, configversion.Version{}, 0
 		r.compare()
-		r.do(Keep{r.st})
-		r.do(Finished{n})
+		r.do(Persist{r.st})
+		r.do(Completed{n})
 	}
 }
 
@@ -451,10 +451,10 @@
 			others.add(s)
 		}
 	}
-	if min(mine.asked, mine.askedBefore, others.asked, others.askedBefore) < r.set.Asked {
+	if min(mine.asked, mine.askedBefore, others.asked, others.askedBefore) < r.set.MinRequests {
 		return false
 	}
-	if mine.fall()-max(others.fall(), 0) <= r.set.Fall {
+	if mine.fall()-max(others.fall(), 0) <= r.set.MaxServiceDrop {
 		return false
 	}
 	r.halt(fmt.Sprintf("service in time at routers that run it is %.1f points of a hundred less than before, at the others %.1f",
@@ -479,9 +479,9 @@
 func (r *Rollout) halt(why string) {
 	number := r.st.Next.Number
 	r.compare()
-	r.st.Last++
-	r.st.Base, r.st.Next, r.st.Stage, r.st.Halted = configversion.New(r.st.Last, r.st.Base.Body), configversion.Version{}, 0, why
+	r.st.LastNumber++
+	r.st.Base, r.st.Next, r.st.Stage, r.st.HaltReason = configversion.New(r.st.LastNumber, r.st.Base.Body), configversion.Version{}, 0, why
 	r.do(Halted{number, why})
-	r.do(Keep{r.st})
+	r.do(Persist{r.st})
 	r.offerAll()
 }
--- a/internal/controlplane/rollout/rollout_test.go
+++ b/internal/controlplane/rollout/rollout_test.go
@@ -36,18 +36,18 @@
 	routers map[string]*configversion.Machine
 	served  func(router string, running int64) float64
 	log     []any
-	kept    RolloutState
+	kept    State
 	refuse  map[string]bool
 	deaf    map[string]bool
 }
 
 func newService(t rapid.TB, routers int) *service {
-	s := &service{t: t, r: NewRollout(RolloutSettings{}, RolloutState{}), routers: map[string]*configversion.Machine{},
+	s := &service{t: t, r: New(Settings{}, State{}), routers: map[string]*configversion.Machine{},
 		served: func(string, int64) float64 { return 0.99 }, refuse: map[string]bool{}, deaf: map[string]bool{}}
 	for i := range routers {
 		id := fmt.Sprintf("r%03d", i)
-		s.routers[id] = configversion.NewMachine(configversion.Settings{}, uint64(i))
-		s.tell(Joined{Router: id})
+		s.routers[id] = configversion.NewMachine(configversion.MachineSettings{}, uint64(i))
+		s.tell(Connected{Router: id})
 	}
 	return s
 }
@@ -59,13 +59,13 @@
 		for _, a := range s.r.Handle(s.now, ev, nil) {
 			s.log = append(s.log, a)
 			switch a := a.(type) {
-			case Keep:
-				if a.State.Last < s.kept.Last {
-					s.t.Fatalf("the last number went back from %d to %d", s.kept.Last, a.State.Last)
+			case Persist:
+				if a.State.LastNumber < s.kept.LastNumber {
+					s.t.Fatalf("the last number went back from %d to %d", s.kept.LastNumber, a.State.LastNumber)
 				}
 				s.kept = a.State
 			case Offer:
-				if a.Version.Number > s.kept.Last {
+				if a.Version.Number > s.kept.LastNumber {
 					s.t.Fatalf("version %d is offered before it is kept", a.Version.Number)
 				}
 				queue = append(queue, s.router(a)...)
@@ -109,10 +109,10 @@
 	for end := s.now + span; s.now < end; {
 		s.now += 1000
 		for id, m := range s.routers {
-			m.Handle(s.now, configversion.Heard{Service: "svc"}, nil)
-			s.tell(Report{id, 1000 * s.served(id, m.Running()), 1000})
+			m.Handle(s.now, configversion.Heartbeat{Service: "svc"}, nil)
+			s.tell(LoadReport{id, 1000 * s.served(id, m.Running()), 1000})
 		}
-		s.tell(Pass{})
+		s.tell(Tick{})
 	}
 }
 
@@ -148,7 +148,7 @@
 		}
 		s.pass(28000)
 	}
-	if f := said[Finished](s); len(f) != 2 || f[1].Number != 2 {
+	if f := said[Completed](s); len(f) != 2 || f[1].Number != 2 {
 		t.Errorf("finished: %v", f)
 	}
 }
@@ -163,13 +163,13 @@
 	}
 	s.tell(Push{Body: body("ssss", "")})
 	h := said[Halted](s)
-	if len(h) != 1 || h[0].Number != 2 || !strings.Contains(h[0].Why, "its disk is full") {
+	if len(h) != 1 || h[0].Number != 2 || !strings.Contains(h[0].Reason, "its disk is full") {
 		t.Fatalf("halted: %+v", h)
 	}
 	clear(s.refuse)
 	s.tell(Push{Body: body("ssss", "")})
 	s.pass(120000)
-	if got := s.running()[s.kept.Last]; got != 50 {
+	if got := s.running()[s.kept.LastNumber]; got != 50 {
 		t.Errorf("a version after that: %v", s.running())
 	}
 }
@@ -188,7 +188,7 @@
 		}
 	}
 	h := said[Halted](s)
-	if offered != 1 || len(h) != 1 || !strings.Contains(h[0].Why, "none of its 3 caches is serving") {
+	if offered != 1 || len(h) != 1 || !strings.Contains(h[0].Reason, "none of its 3 caches is serving") {
 		t.Errorf("offered to %d, halted %+v", offered, h)
 	}
 	if n := s.running(); n[1]+n[3] != 50 || n[2] > 0 {
@@ -210,7 +210,7 @@
 	}
 	s.tell(Push{Body: body("ssss", "")})
 	s.pass(60000)
-	if h := said[Halted](s); len(h) != 1 || !strings.Contains(h[0].Why, "is 19.0 points of a hundred less than before, at the others 0.0") {
+	if h := said[Halted](s); len(h) != 1 || !strings.Contains(h[0].Reason, "is 19.0 points of a hundred less than before, at the others 0.0") {
 		t.Fatalf("halted: %+v", h)
 	}
 	if n := s.running(); n[3] != 50 {
@@ -246,11 +246,11 @@
 		s.tell(Push{Body: body("ssss", ""), Force: true})
 	}
 	s.pass(2000)
-	s.r, s.kept = NewRollout(RolloutSettings{}, RolloutState{}), RolloutState{}
+	s.r, s.kept = New(Settings{}, State{}), State{}
 	for id, m := range s.routers {
-		s.tell(Joined{id, m.Floor()})
+		s.tell(Connected{id, m.HighestAccepted()})
 	}
-	if a := said[Ahead](s); len(a) != 1 || a[0].Number != 8 {
+	if a := said[NumberAhead](s); len(a) != 1 || a[0].Number != 8 {
 		t.Errorf("%+v", a)
 	}
 	s.tell(Push{Body: good, Force: true})
@@ -282,7 +282,7 @@
 	}
 	s.tell(Push{Body: body("ssss", "")})
 	s.pass(130000)
-	if h := said[Halted](s); len(h) != 1 || !strings.Contains(h[0].Why, "have not answered") {
+	if h := said[Halted](s); len(h) != 1 || !strings.Contains(h[0].Reason, "have not answered") {
 		t.Errorf("halted: %+v", h)
 	}
 }
@@ -301,9 +301,9 @@
 			case 2:
 				s.pass(float64(rapid.IntRange(1, 12).Draw(t, "pass")) * 1000)
 			case 3:
-				s.r = NewRollout(RolloutSettings{}, s.kept)
+				s.r = New(Settings{}, s.kept)
 				for id, m := range s.routers {
-					s.tell(Joined{id, m.Floor()})
+					s.tell(Connected{id, m.HighestAccepted()})
 				}
 			}
 		}
@@ -315,8 +315,8 @@
 		}
 		s.tell(Push{Body: good, Force: true})
 		s.pass(3000)
-		if n := s.running(); n[s.kept.Last] != 6 {
-			t.Fatalf("not level after a forced push of %d: %v", s.kept.Last, n)
+		if n := s.running(); n[s.kept.LastNumber] != 6 {
+			t.Fatalf("not level after a forced push of %d: %v", s.kept.LastNumber, n)
 		}
 	})
 }
--- a/internal/controlplane/service/agent.go
+++ b/internal/controlplane/service/agent.go
@@ -20,7 +20,7 @@
 type AgentConfig struct {
 	Router   string
 	Services []string // addresses; the first that answers is followed, the others are for when it is gone
-	Fleet    configversion.Settings
+	Fleet    configversion.MachineSettings
 	Seed     uint64
 	Store    *configstore.Store    // nil: nothing is kept
 	Known    configversion.Version // to begin with where nothing is stored; Number 0: none
@@ -35,8 +35,8 @@
 	Report   time.Duration         // how often service is reported, at most
 	Tally    func() (Tally, error) // what is reported; nil: nothing
 
-	Use  func(configversion.Use) // a version is to be run; called from the agent's goroutine
-	Warn func(text string)       // for the operator
+	Use  func(configversion.Activate) // a version is to be run; called from the agent's goroutine
+	Warn func(text string)            // for the operator
 }
 
 // Agent follows control services for one router.
@@ -159,7 +159,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	m := a.machine
-	st := AgentStatus{Running: m.Running(), Accepted: a.accepted(), Service: m.Holder(), Stream: a.state, Age: m.Age(a.now()),
+	st := AgentStatus{Running: m.Running(), Accepted: a.accepted(), Service: m.LeaseHolder(), Stream: a.state, Age: m.Age(a.now()),
 		Versions: m.Records(), Unkept: a.unkept.Number}
 	if a.pending != nil {
 		st.Unkept = a.pending.version.Number
@@ -192,11 +192,11 @@
 				a.acknowledge(act.Number)
 			case configversion.Nack:
 				a.reply(act.Number, act.Reasons)
-			case configversion.Use:
+			case configversion.Activate:
 				a.cfg.Use(act)
 			case configversion.Warn:
 				a.cfg.Warn(act.Text)
-			case configversion.Ask:
+			case configversion.RequestOffer:
 				if a.again != nil && a.following == act.Service {
 					a.again(errAgain)
 				}
@@ -204,7 +204,7 @@
 				if a.wake == nil {
 					a.wake = time.AfterFunc(0, func() { a.tell(configversion.Tick{}) })
 				}
-				a.wake.Reset(time.Duration(act.In*float64(time.Millisecond)) + time.Millisecond)
+				a.wake.Reset(time.Duration(act.After*float64(time.Millisecond)) + time.Millisecond)
 			}
 		}
 	}
@@ -237,7 +237,7 @@
 			return
 		}
 		if service != "" {
-			a.tell(configversion.Cut{Service: service})
+			a.tell(configversion.Disconnected{Service: service})
 		}
 		if got > 0 {
 			wait = a.cfg.Backoff
@@ -366,7 +366,7 @@
 	for {
 		select {
 		case <-t.C:
-			a.tell(configversion.Heard{Service: service})
+			a.tell(configversion.Heartbeat{Service: service})
 		case <-ctx.Done():
 			return
 		}
--- a/internal/controlplane/service/control_test.go
+++ b/internal/controlplane/service/control_test.go
@@ -47,11 +47,11 @@
 // memory keeps a service's state over its restarts.
 type memory struct {
 	mu    sync.Mutex
-	state rollout.RolloutState
+	state rollout.State
 	err   error
 }
 
-func (m *memory) Save(s rollout.RolloutState) error {
+func (m *memory) Save(s rollout.State) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.err == nil {
@@ -60,7 +60,7 @@
 	return m.err
 }
 
-func (m *memory) get() rollout.RolloutState {
+func (m *memory) get() rollout.State {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state
@@ -79,7 +79,7 @@
 		t.Fatal(err)
 	}
 	s := NewServer(ServerConfig{Name: "svc", State: m.get(), Keep: m, Tick: 10 * time.Millisecond, PerSecond: 2000,
-		Rollout: rollout.RolloutSettings{Hold: hold, Patience: 5000}})
+		Rollout: rollout.Settings{MinStageTime: hold, AnswerTimeout: 5000}})
 	go s.Serve(ln)
 	t.Cleanup(s.Stop)
 	return s, ln.Addr().String()
@@ -99,7 +99,7 @@
 }
 
 func follow(t testing.TB, full bool, name string, seed uint64, store *configstore.Store, services ...string) *router {
-	return followFor(t, AgentConfig{Router: name, Services: services, Seed: seed, Store: store, Full: full, Fleet: configversion.Settings{Spread: 50}})
+	return followFor(t, AgentConfig{Router: name, Services: services, Seed: seed, Store: store, Full: full, Fleet: configversion.MachineSettings{Jitter: 50}})
 }
 
 // followFor is follow with more said.
@@ -109,7 +109,7 @@
 	if c.Dial == nil {
 		c.Dial = []grpc.DialOption{grpc.WithTransportCredentials(insecure.NewCredentials())}
 	}
-	c.Use = func(configversion.Use) { r.uses.Add(1) }
+	c.Use = func(configversion.Activate) { r.uses.Add(1) }
 	c.Warn = func(s string) { r.mu.Lock(); r.said = append(r.said, s); r.mu.Unlock() }
 	r.Agent = StartAgent(c)
 	t.Cleanup(r.Close)
@@ -155,14 +155,14 @@
 		s.Push(body(4, ""), false)
 		eventually(t, "the second by stages", all(routers, 2))
 		s.Push(body(3, "(zone y (routers 1))"), false) // a zone with routers and without a cache
-		eventually(t, "the halt", func() bool { return m.get().Halted != "" })
-		if !strings.Contains(m.get().Halted, "1 of 1 routers refuse it") || !strings.Contains(m.get().Halted, "zone/y: no cache is listed there") {
-			t.Errorf("halted: %q", m.get().Halted)
+		eventually(t, "the halt", func() bool { return m.get().HaltReason != "" })
+		if !strings.Contains(m.get().HaltReason, "1 of 1 routers refuse it") || !strings.Contains(m.get().HaltReason, "zone/y: no cache is listed there") {
+			t.Errorf("halted: %q", m.get().HaltReason)
 		}
 		eventually(t, "the old content under a new number", all(routers, 4))
 		refused := 0
 		for _, r := range s.Status().Routers {
-			if r.Refused == 3 {
+			if r.Rejected == 3 {
 				refused++
 			}
 		}
@@ -218,7 +218,7 @@
 		s.Push(body(5, ""), true) // it believes that this is number 2
 		eventually(t, "the refusal", func() bool {
 			st := s.Status().Routers
-			return len(st) == 1 && st[0].Refused == 2 && strings.Contains(strings.Join(st[0].Reasons, " "), "other content")
+			return len(st) == 1 && st[0].Rejected == 2 && strings.Contains(strings.Join(st[0].Reasons, " "), "other content")
 		})
 		if n, _ := r.Running(); n != 2 {
 			t.Errorf("runs %d", n)
@@ -328,7 +328,7 @@
 		st.stop(errors.New("cut by the test"))
 	}
 	s.mu.Unlock()
-	eventually(t, "the stream again", func() bool { st := s.Status().Routers; return len(st) == 1 && st[0].Joined && r.streaming() })
+	eventually(t, "the stream again", func() bool { st := s.Status().Routers; return len(st) == 1 && st[0].Connected && r.streaming() })
 	s.Push(canonical(t, 300, ""), true)
 	eventually(t, "version 3", all([]*router{r}, 3))
 	if n := c.sent.Swap(0); n > 800 {
@@ -582,11 +582,11 @@
 	}
 	lease := 3 * time.Second
 	r := followFor(t, AgentConfig{Router: "r", Services: []string{addrA, ln.Addr().String()}, Alive: 50 * time.Millisecond,
-		Fleet: configversion.Settings{Spread: 50, Lease: float64(lease.Milliseconds())}})
+		Fleet: configversion.MachineSettings{Jitter: 50, Lease: float64(lease.Milliseconds())}})
 	eventually(t, "version 1 of the first", all([]*router{r}, 1))
 	a.Stop()
 	gone := time.Now()
-	eventually(t, "the word of the other", func() bool { st := b.Status().Routers; return len(st) == 1 && st[0].Refused == 20 })
+	eventually(t, "the word of the other", func() bool { st := b.Status().Routers; return len(st) == 1 && st[0].Rejected == 20 })
 	if n, _ := r.Running(); n != 1 {
 		t.Errorf("flapped to %d while the first was silent for less than its lease", n)
 	}
@@ -612,7 +612,7 @@
 				t.Fatal(err)
 			}
 			return followFor(t, AgentConfig{Router: "r", Services: []string{addr}, Store: store, Full: full,
-				Fleet: configversion.Settings{Spread: spread}}), store
+				Fleet: configversion.MachineSettings{Jitter: spread}}), store
 		}
 		s.Push(body(3, ""), true)
 		r, store := begin(path, 3.6e6)
--- a/internal/controlplane/service/delta.go
+++ b/internal/controlplane/service/delta.go
@@ -251,7 +251,7 @@
 		next[one.GetName()] = string(text)
 	}
 	o.version.Body = join(next)
-	if configversion.SumOf(o.version.Body) != o.version.Sum && len(l.has) > 0 {
+	if configversion.Checksum(o.version.Body) != o.version.Sum && len(l.has) > 0 {
 		return o, errMisfit // a whole that is wrong is for the machine to refuse
 	}
 	l.pending[o.nonce] = next
--- a/internal/controlplane/service/fault_test.go
+++ b/internal/controlplane/service/fault_test.go
@@ -179,7 +179,7 @@
 	s.mu.Lock()
 	says := s.rollout.State()
 	s.mu.Unlock()
-	if kept, err := s.keep.load(); err != nil || kept.Last != says.Last || kept.Base.Sum != says.Base.Sum || kept.Next.Sum != says.Next.Sum {
+	if kept, err := s.keep.load(); err != nil || kept.LastNumber != says.LastNumber || kept.Base.Sum != says.Base.Sum || kept.Next.Sum != says.Next.Sum {
 		t.Errorf("%+v is kept, %+v is said: %v", kept, says, err)
 	}
 	eventually(t, "what was asked for, everywhere", func() bool {
@@ -273,7 +273,7 @@
 				m, files := &memory{}, &sick{late: late}
 				s, addr := serve(t, "127.0.0.1:0", m, 20)
 				path := filepath.Join(t.TempDir(), "good.db")
-				store, err := configstore.OpenOn(files, path, 8)
+				store, err := configstore.OpenWith(files, path, 8)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -285,8 +285,8 @@
 				s.Push(body(4, ""), false)
 				time.Sleep(500 * time.Millisecond)
 				st := s.Status()
-				if n, _ := r.Running(); n != 1 || st.Routers[0].Running != 1 || st.Routers[0].Refused != 0 || st.State.Halted != "" {
-					t.Errorf("while it can't be stored: runs %d, %+v, halted %q", n, st.Routers[0], st.State.Halted)
+				if n, _ := r.Running(); n != 1 || st.Routers[0].Running != 1 || st.Routers[0].Rejected != 0 || st.State.HaltReason != "" {
+					t.Errorf("while it can't be stored: runs %d, %+v, halted %q", n, st.Routers[0], st.State.HaltReason)
 				}
 				if status := r.Status(); status.Unkept != 2 || !errors.Is(status.StoreFault, errno) || time.Since(status.StoreSince) < 400*time.Millisecond {
 					t.Errorf("%+v", status)
@@ -310,19 +310,19 @@
 func TestAgentStoreFailsForLong(t *testing.T) {
 	files := &sick{}
 	s, addr := serve(t, "127.0.0.1:0", &memory{}, 20)
-	store, err := configstore.OpenOn(files, filepath.Join(t.TempDir(), "good.db"), 8)
+	store, err := configstore.OpenWith(files, filepath.Join(t.TempDir(), "good.db"), 8)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer store.Close()
-	r := followFor(t, AgentConfig{Router: "r", Services: []string{addr}, Store: store, Trying: 200 * time.Millisecond, Fleet: configversion.Settings{Spread: 50}})
+	r := followFor(t, AgentConfig{Router: "r", Services: []string{addr}, Store: store, Trying: 200 * time.Millisecond, Fleet: configversion.MachineSettings{Jitter: 50}})
 	s.Push(body(3, ""), true)
 	eventually(t, "version 1", all([]*router{r}, 1))
 	files.set(syscall.ENOSPC)
 	s.Push(body(4, ""), true)
 	eventually(t, "the refusal", func() bool {
 		st := s.Status().Routers[0]
-		return st.Refused == 2 && len(st.Reasons) == 1 && strings.Contains(st.Reasons[0], "no space left")
+		return st.Rejected == 2 && len(st.Reasons) == 1 && strings.Contains(st.Reasons[0], "no space left")
 	})
 	files.set(nil)
 	s.Push(body(4, ""), true)
@@ -345,7 +345,7 @@
 	}
 	store.Close()
 	files.set(syscall.EIO)
-	if store, err = configstore.OpenOn(files, path, 8); store == nil {
+	if store, err = configstore.OpenWith(files, path, 8); store == nil {
 		t.Fatal(err)
 	}
 	defer store.Close()
@@ -358,7 +358,7 @@
 	alone.Close()
 
 	files.set(syscall.ENOSPC)
-	empty, err := configstore.OpenOn(files, filepath.Join(t.TempDir(), "other.db"), 8)
+	empty, err := configstore.OpenWith(files, filepath.Join(t.TempDir(), "other.db"), 8)
 	if empty == nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/service/load.go
+++ b/internal/controlplane/service/load.go
@@ -45,7 +45,7 @@
 				continue
 			}
 			for _, u := range c.GetUpstreamLocalityStats() {
-				s.tell(rollout.Report{Router: router, Served: float64(u.GetTotalSuccessfulRequests()), Asked: float64(u.GetTotalIssuedRequests())})
+				s.tell(rollout.LoadReport{Router: router, InTime: float64(u.GetTotalSuccessfulRequests()), Requests: float64(u.GetTotalIssuedRequests())})
 			}
 		}
 		if r, err = g.Recv(); err != nil {
--- a/internal/controlplane/service/pieces.go
+++ b/internal/controlplane/service/pieces.go
@@ -144,4 +144,4 @@
 }
 
 // NoLimits are limits that bound no change, for checks of settings by themselves.
-var NoLimits = configversion.CheckLimits{ParentChurn: 1, BoxChurn: 1}
+var NoLimits = configversion.CheckLimits{ParentChurn: 1, CacheChurn: 1}
--- a/internal/controlplane/service/server.go
+++ b/internal/controlplane/service/server.go
@@ -25,14 +25,14 @@
 // Keeper keeps what a service must not forget. Save returns once it would
 // survive a crash.
 type Keeper interface {
-	Save(rollout.RolloutState) error
+	Save(rollout.State) error
 }
 
 // ServerConfig is what a service is. Zero fields mean the defaults.
 type ServerConfig struct {
 	Name      string // and epoch: unlike any other service's
-	Rollout   rollout.RolloutSettings
-	State     rollout.RolloutState
+	Rollout   rollout.Settings
+	State     rollout.State
 	Keep      Keeper
 	PerSecond float64       // streams accepted a second; others wait; default 200
 	Streams   int           // at once; more are turned away; default 4000
@@ -58,7 +58,7 @@
 	streams map[string]*stream
 	events  []string // the last of what happened, for status
 	next    time.Time
-	kept    rollout.RolloutState // what was kept last
+	kept    rollout.State        // what was kept last
 	unkept  *unkept              // the state can't be kept for now; nil: it can
 	stood   configversion.Millis // for how long the rollout's clock has stood
 }
@@ -87,7 +87,7 @@
 	opts = append([]grpc.ServerOption{grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second}),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 20 * time.Second, Timeout: 10 * time.Second})}, opts...)
 	s := &Server{cfg: cfg, grpc: grpc.NewServer(opts...), done: make(chan struct{}), streams: map[string]*stream{},
-		rollout: rollout.NewRollout(cfg.Rollout, cfg.State), kept: cfg.State}
+		rollout: rollout.New(cfg.Rollout, cfg.State), kept: cfg.State}
 	discovery.RegisterAggregatedDiscoveryServiceServer(s.grpc, s)
 	load.RegisterLoadReportingServiceServer(s.grpc, s)
 	go func() {
@@ -125,7 +125,7 @@
 		s.retryKeep()
 		return
 	}
-	s.tellLocked(rollout.Pass{})
+	s.tellLocked(rollout.Tick{})
 }
 
 // tell gives the rollout an event and carries out what it wants.
@@ -148,7 +148,7 @@
 func (s *Server) carryOut(actions []any) {
 	for i, a := range actions {
 		switch a := a.(type) {
-		case rollout.Keep:
+		case rollout.Persist:
 			if s.cfg.Keep == nil {
 				continue
 			}
@@ -166,12 +166,12 @@
 				st.send <- a.Version
 			}
 		case rollout.Halted:
-			s.note("version %d halted: %s", a.Number, a.Why)
-		case rollout.Ahead:
+			s.note("version %d halted: %s", a.Number, a.Reason)
+		case rollout.NumberAhead:
 			s.note("router %s has accepted version %d, which this service never gave; numbers go on from there", a.Router, a.Number)
-		case rollout.Staged:
+		case rollout.StageStarted:
 			s.note("version %d: stage %d, %d routers", a.Number, a.Stage+1, a.Routers)
-		case rollout.Finished:
+		case rollout.Completed:
 			s.note("version %d is everybody's", a.Number)
 		}
 	}
@@ -238,7 +238,7 @@
 	if len(reasons) > 0 {
 		return 0, false, &Refused{reasons}
 	}
-	if newest.Number > 0 && newest.Sum == configversion.SumOf(body) && !(force && st.Next.Number > 0) {
+	if newest.Number > 0 && newest.Sum == configversion.Checksum(body) && !(force && st.Next.Number > 0) {
 		return newest.Number, false, nil
 	}
 	number, err = s.pushLocked(body, force)
@@ -253,14 +253,14 @@
 	if err := s.refusal(false); err != nil {
 		return err
 	}
-	s.tellLocked(rollout.Halt{Why: why})
+	s.tellLocked(rollout.Halt{Reason: why})
 	return s.refusal(true)
 }
 
 // Status is what a service knows.
 type Status struct {
 	Service string
-	State   rollout.RolloutState // as it was kept
+	State   rollout.State // as it was kept
 	Routers []rollout.RouterStatus
 	Events  []string
 	Unkept  *UnkeptError // the state can't be kept for now; nil: it can
@@ -337,13 +337,13 @@
 		old.stop(errors.New("control: the router has begun another stream"))
 	}
 	s.streams[first.router] = st
-	s.tellLocked(rollout.Joined{Router: first.router, Running: first.running})
+	s.tellLocked(rollout.Connected{Router: first.router, Running: first.running})
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
 		if s.streams[first.router] == st {
 			delete(s.streams, first.router)
-			s.tellLocked(rollout.Left{Router: first.router})
+			s.tellLocked(rollout.Disconnected{Router: first.router})
 		}
 		s.mu.Unlock()
 	}()
--- a/internal/controlplane/service/service.go
+++ b/internal/controlplane/service/service.go
@@ -69,20 +69,20 @@
 }
 
 // Save implements Keeper.
-func (k *diskKeeper) Save(st rollout.RolloutState) error {
+func (k *diskKeeper) Save(st rollout.State) error {
 	k.mu.Lock()
 	folder := k.folder
 	k.mu.Unlock()
-	text, err := json.Marshal(kept{k.id, st.Last, st.Base.Number, st.Next.Number, st.Stage, st.Halted, folder})
+	text, err := json.Marshal(kept{k.id, st.LastNumber, st.Base.Number, st.Next.Number, st.Stage, st.HaltReason, folder})
 	if err != nil {
 		return err
 	}
-	return k.store.Save(text, []configversion.Version{st.Base, st.Next}, time.Now())
+	return k.store.SaveState(text, []configversion.Version{st.Base, st.Next}, time.Now())
 }
 
 // load is the state that was kept, and who the service is: the same over all its
 // restarts with this store, so that routers know it again.
-func (k *diskKeeper) load() (st rollout.RolloutState, err error) {
+func (k *diskKeeper) load() (st rollout.State, err error) {
 	text, err := k.store.State()
 	if err != nil {
 		return st, err
@@ -98,7 +98,7 @@
 		return st, fmt.Errorf("control: the stored state: %w", err)
 	}
 	k.id, k.folder = s.ID, s.Folder
-	st = rollout.RolloutState{Last: s.Last, Stage: s.Stage, Halted: s.Halted}
+	st = rollout.State{LastNumber: s.Last, Stage: s.Stage, HaltReason: s.Halted}
 	for _, one := range []struct {
 		number int64
 		v      *configversion.Version
@@ -124,13 +124,13 @@
 	s := &Service{set: set, log: log, done: make(chan struct{})}
 	f := &set.Service
 	var err error
-	s.store, err = configstore.OpenOn(files, f.Store, f.Keep)
+	s.store, err = configstore.OpenWith(files, f.Store, f.Keep)
 	var damaged *configstore.DamagedError
 	var fault *configstore.FaultError
 	if errors.As(err, &damaged) {
 		// numbers go on above what routers say that they have accepted
 		log.Error("the store was damaged; push the settings anew", zap.String("store", damaged.Path),
-			zap.String("set_aside", damaged.Aside), zap.Error(damaged.Err))
+			zap.String("set_aside", damaged.Quarantine), zap.Error(damaged.Err))
 	} else if errors.As(err, &fault) {
 		log.Error("the store can't be written, or not be read, for now", zap.Error(err))
 	} else if err != nil {
@@ -154,8 +154,8 @@
 	s.keep = keep
 	s.Server = NewServer(ServerConfig{Name: f.Name + "/" + keep.id, Rollout: set.Rollout.settings(), State: state, Keep: keep,
 		PerSecond: f.PerSecond, Streams: f.Streams, Reports: time.Duration(f.Reports * float64(time.Millisecond)),
-		Limits: configversion.CheckLimits{ParentChurn: set.Checks.ParentChurn, BoxChurn: set.Checks.BoxChurn,
-			MaxSize: set.Checks.MaxSize, MaxLink: set.Checks.MaxLink},
+		Limits: configversion.CheckLimits{ParentChurn: set.Checks.ParentChurn, CacheChurn: set.Checks.BoxChurn,
+			MaxCapacity: set.Checks.MaxSize, MaxLinkCapacity: set.Checks.MaxLink},
 		Sent: sent, Note: func(text string) { log.Info(text) }}, opts...)
 	if err := s.listen(); err != nil {
 		s.Close()
@@ -238,7 +238,7 @@
 	for _, one := range sources {
 		sum = append(append(sum, one.Text...), 0)
 	}
-	before, known := s.keep.fromFolder(configversion.SumOf(sum))
+	before, known := s.keep.fromFolder(configversion.Checksum(sum))
 	if known {
 		return lookEvery
 	}
@@ -313,7 +313,7 @@
 // unread is the status of an answer that wanted a version which is not kept, or can't
 // be read for now.
 func unread(err error) int {
-	if errors.Is(err, configstore.ErrNone) {
+	if errors.Is(err, configstore.ErrNoVersion) {
 		return http.StatusNotFound
 	}
 	return http.StatusServiceUnavailable
@@ -359,8 +359,8 @@
 // View is what operators are shown.
 func (s *Service) View() StatusView {
 	st := s.Status()
-	v := StatusView{Service: st.Service, Last: st.State.Last, Base: st.State.Base.Number, Next: st.State.Next.Number,
-		Stage: st.State.Stage, Halted: st.State.Halted, Routers: st.Routers, Events: st.Events}
+	v := StatusView{Service: st.Service, Last: st.State.LastNumber, Base: st.State.Base.Number, Next: st.State.Next.Number,
+		Stage: st.State.Stage, Halted: st.State.HaltReason, Routers: st.Routers, Events: st.Events}
 	since, fault := s.store.Fault()
 	if st.Unkept != nil {
 		since, fault = st.Unkept.Since, st.Unkept.Err
--- a/internal/controlplane/service/service_test.go
+++ b/internal/controlplane/service/service_test.go
@@ -182,7 +182,7 @@
 	if p = push("/push?now&unchecked", "(oops", 200); p.Number != 3 {
 		t.Errorf("%+v", p)
 	}
-	eventually(t, "the refusal", func() bool { r := s.View().Routers[0]; return r.Refused == 3 && r.Running == 2 })
+	eventually(t, "the refusal", func() bool { r := s.View().Routers[0]; return r.Rejected == 3 && r.Running == 2 })
 	if p = push("/rollback?to=1&now", "", 200); p.Number != 4 {
 		t.Errorf("%+v", p)
 	}
@@ -328,7 +328,7 @@
 	s := NewServer(ServerConfig{Name: "x"})
 	defer s.Stop()
 	_, _, err := s.Offer([]config.Source{{File: "f", Text: "(router)"}}, false)
-	if !errors.As(err, &refused) || s.Status().State.Last != 0 {
+	if !errors.As(err, &refused) || s.Status().State.LastNumber != 0 {
 		t.Errorf("%v, %+v", err, s.Status().State)
 	}
 }
--- a/internal/controlplane/service/settings.go
+++ b/internal/controlplane/service/settings.go
@@ -35,7 +35,7 @@
 	Log       string  `edn:"log" def:"stderr"` // stderr, stdout, none or a file
 }
 
-// RolloutForm is fleet.RolloutSettings.
+// RolloutForm is rollout.Settings.
 type RolloutForm struct {
 	Stages   []float64 `edn:"stages" min:"0" max:"1"` // default 0 0.1 1: one router, a tenth, all
 	Hold     float64   `edn:"hold" def:"30000" min:"0"`
@@ -46,7 +46,7 @@
 	Asked    float64   `edn:"asked" def:"200" min:"1"`
 }
 
-// ChecksForm is fleet.CheckLimits.
+// ChecksForm is configversion.CheckLimits.
 type ChecksForm struct {
 	ParentChurn float64 `edn:"parent-churn" def:"0.5" min:"0.01" max:"1"`
 	BoxChurn    float64 `edn:"box-churn" def:"0.67" min:"0.01" max:"1"`
@@ -91,7 +91,7 @@
 	return host == "localhost" || ip != nil && ip.IsLoopback()
 }
 
-func (r RolloutForm) settings() rollout.RolloutSettings {
-	return rollout.RolloutSettings{Stages: r.Stages, Hold: r.Hold, Patience: r.Patience, Refused: r.Refused, Silent: r.Silent,
-		Fall: r.Fall, Asked: r.Asked}
+func (r RolloutForm) settings() rollout.Settings {
+	return rollout.Settings{Stages: r.Stages, MinStageTime: r.Hold, AnswerTimeout: r.Patience, MaxRejectedShare: r.Refused, MaxSilentShare: r.Silent,
+		MaxServiceDrop: r.Fall, MinRequests: r.Asked}
 }
--- a/internal/controlplane/service/storing.go
+++ b/internal/controlplane/service/storing.go
@@ -18,7 +18,7 @@
 
 // restore begins with the last good version, as far as it can be read for now.
 func (a *Agent) restore() {
-	found := configversion.Restored{Err: configstore.ErrNone}
+	found := configversion.Restored{Err: configstore.ErrNoVersion}
 	if a.cfg.Store != nil {
 		found = a.cfg.Store.Restored(time.Now())
 	}
@@ -27,9 +27,9 @@
 		a.cfg.Warn(fmt.Sprintf("the last good configuration can't be read for now, and is tried again: %v", fault))
 	}
 	switch {
-	case (a.restoring || errors.Is(found.Err, configstore.ErrNone)) && a.cfg.Known.Number > 0:
+	case (a.restoring || errors.Is(found.Err, configstore.ErrNoVersion)) && a.cfg.Known.Number > 0:
 		a.tell(configversion.Restored{Version: a.cfg.Known})
-	case !a.restoring && !errors.Is(found.Err, configstore.ErrNone):
+	case !a.restoring && !errors.Is(found.Err, configstore.ErrNoVersion):
 		a.tell(found)
 	}
 }
@@ -88,7 +88,7 @@
 	if a.unkept.Number > 0 {
 		return 0
 	}
-	return a.machine.Floor()
+	return a.machine.HighestAccepted()
 }
 
 // keepStoring tries again what the store could not take or give, with backoff.
@@ -139,7 +139,7 @@
 		}
 		return true
 	case a.restoring:
-		if a.cfg.Store.Renew() != nil {
+		if a.cfg.Store.Recover() != nil {
 			return false
 		}
 		found := a.cfg.Store.Restored(time.Now())
@@ -148,11 +148,11 @@
 			return false
 		}
 		a.restoring = false
-		if !errors.Is(found.Err, configstore.ErrNone) {
+		if !errors.Is(found.Err, configstore.ErrNoVersion) {
 			a.tellLocked(found)
 		}
 		return true
 	}
 	_, fault := a.cfg.Store.Fault()
-	return fault == nil || a.cfg.Store.Renew() == nil
+	return fault == nil || a.cfg.Store.Recover() == nil
 }
--- a/internal/controlplane/service/tls_test.go
+++ b/internal/controlplane/service/tls_test.go
@@ -97,7 +97,7 @@
 		r := &router{}
 		r.Agent = StartAgent(AgentConfig{Router: strings.TrimSuffix(filepath.Base(k.Cert), ".pem"), Services: []string{ln.Addr().String()}, Backoff: 20 * time.Millisecond,
 			Dial: []grpc.DialOption{grpc.WithTransportCredentials(k.Client(service))},
-			Use:  func(configversion.Use) { r.uses.Add(1) },
+			Use:  func(configversion.Activate) { r.uses.Add(1) },
 			Warn: func(s string) { r.mu.Lock(); r.said = append(r.said, s); r.mu.Unlock() }})
 		t.Cleanup(r.Close)
 		return r
--- a/internal/controlplane/service/unkept.go
+++ b/internal/controlplane/service/unkept.go
@@ -55,7 +55,7 @@
 // bar books that the state could not be kept, and holds back what follows.
 func (s *Server) bar(err error, held []any) {
 	held = slices.DeleteFunc(slices.Clone(held), func(action any) bool {
-		_, keeps := action.(rollout.Keep)
+		_, keeps := action.(rollout.Persist)
 		return keeps // the whole state is kept before the others
 	})
 	began := time.Now()
@@ -76,7 +76,7 @@
 func (s *Server) putOff(ev any) {
 	events := &s.unkept.events
 	switch ev.(type) {
-	case rollout.Left:
+	case rollout.Disconnected:
 		*events = append(*events, ev)
 	case rollout.Acked, rollout.Nacked:
 		if len(*events) < 4*s.cfg.Streams {
@@ -119,7 +119,7 @@
 		case <-done:
 			return
 		}
-		if _, fault := store.Fault(); fault == nil || store.Renew() == nil {
+		if _, fault := store.Fault(); fault == nil || store.Recover() == nil {
 			wait = lastRetry
 			continue
 		}
--- a/internal/proxy/httpfront/edge.go
+++ b/internal/proxy/httpfront/edge.go
@@ -160,17 +160,19 @@
 
 // NewFrom makes a router that begins with a version. The router's own part of
 // the settings is in the version's already.
-func NewFrom(u *configversion.Use, log *AccessLog) (*Edge, error) { return newFrom(u, nil, log, nil) }
+func NewFrom(u *configversion.Activate, log *AccessLog) (*Edge, error) {
+	return newFrom(u, nil, log, nil)
+}
 
 // newFrom makes a router that begins with a version or, where that is nil, with
 // settings of its own, and takes over from in unless that is nil.
-func newFrom(u *configversion.Use, own *config.Settings, log *AccessLog, in *hotrestart.Inherited) (*Edge, error) {
+func newFrom(u *configversion.Activate, own *config.Settings, log *AccessLog, in *hotrestart.Inherited) (*Edge, error) {
 	if u == nil {
 		return newEdge(own, log, in)
 	}
 	e, err := newEdge(u.Settings, log, in)
 	if err == nil {
-		e.version, e.young = u.Version.Number, u.Up
+		e.version, e.young = u.Version.Number, u.ListedFor
 	}
 	return e, err
 }
--- a/internal/proxy/httpfront/handover.go
+++ b/internal/proxy/httpfront/handover.go
@@ -216,7 +216,7 @@
 		e.log.Log.Warn("the successor's version is not used", zap.Error(err))
 		return
 	}
-	e.l.Post(func() { e.use(configversion.Use{Version: v, Settings: s}) })
+	e.l.Post(func() { e.use(configversion.Activate{Version: v, Settings: s}) })
 	e.tellVersion(v) // its own predecessor may still drain, too
 }
 
--- a/internal/proxy/httpfront/versions.go
+++ b/internal/proxy/httpfront/versions.go
@@ -27,7 +27,7 @@
 	log   *AccessLog
 	store *configstore.Store
 	agent *service.Agent
-	uses  chan configversion.Use // in order; the newest is never dropped
+	uses  chan configversion.Activate // in order; the newest is never dropped
 	done  chan struct{}
 	edge  chan *Edge
 }
@@ -45,7 +45,7 @@
 // a service knows one stream of a router.
 func follow(own *config.Settings, log *AccessLog, in *hotrestart.Inherited, files configstore.FileSystem) (*Versions, error) {
 	c := &own.Control
-	v := &Versions{own: own, log: log, uses: make(chan configversion.Use, 64), done: make(chan struct{}), edge: make(chan *Edge, 1)}
+	v := &Versions{own: own, log: log, uses: make(chan configversion.Activate, 64), done: make(chan struct{}), edge: make(chan *Edge, 1)}
 	dial := grpc.WithTransportCredentials(insecure.NewCredentials())
 	if c.Cert != "" {
 		keys := &service.Keys{Cert: c.Cert, Key: c.Key, Authorities: c.Roots, Warn: func(text string) { log.Log.Warn(text) }}
@@ -56,7 +56,7 @@
 	}
 	if c.Store != "" {
 		var err error
-		if v.store, err = configstore.OpenOn(files, c.Store, versionsKept); v.store == nil {
+		if v.store, err = configstore.OpenWith(files, c.Store, versionsKept); v.store == nil {
 			return nil, err
 		} else if err != nil {
 			log.Log.Error("the store of versions was damaged, or can't be read or written for now", zap.Error(err))
@@ -65,7 +65,7 @@
 	cfg := service.AgentConfig{Router: own.Router.Name, Services: c.Services, Seed: uint64(own.Router.Seed), Store: v.store,
 		Backoff: span(c.Backoff), Full: c.Protocol == "full", MaxBytes: 2 * c.MaxBytes, Report: span(c.Report),
 		Dial:  []grpc.DialOption{dial},
-		Fleet: configversion.Settings{Own: own, MaxBytes: c.MaxBytes, Spread: c.Spread, Lease: c.Lease, Old: c.Old, Stale: c.Stale},
+		Fleet: configversion.MachineSettings{Local: own, MaxBytes: c.MaxBytes, Jitter: c.Spread, Lease: c.Lease, UnconfirmedAfter: c.Old, StaleAfter: c.Stale},
 		Use:   v.use, Warn: func(text string) { log.Log.Warn(text) }}
 	if c.Report > 0 {
 		cfg.Tally = v.tally
@@ -119,7 +119,7 @@
 
 // use queues a version that is to be run. It never waits: of versions that the
 // loop has not come to yet, the oldest gives way.
-func (v *Versions) use(u configversion.Use) {
+func (v *Versions) use(u configversion.Activate) {
 	for {
 		select {
 		case v.uses <- u:
@@ -135,7 +135,7 @@
 
 // First is the version to begin with: the stored one or, where the settings say
 // wait, the first that a service sends. nil: begin by the file.
-func (v *Versions) First(ctx context.Context) (*configversion.Use, error) {
+func (v *Versions) First(ctx context.Context) (*configversion.Activate, error) {
 	select {
 	case u := <-v.uses:
 		return &u, nil
@@ -185,7 +185,7 @@
 // lend has a successor open the store. What comes meanwhile is run, and kept in memory.
 func (v *Versions) lend() {
 	if v != nil && v.store != nil {
-		if err := v.store.Lend(); err != nil {
+		if err := v.store.ReleaseLock(); err != nil {
 			v.log.Log.Error("the store of versions", zap.Error(err))
 		}
 	}
@@ -199,7 +199,7 @@
 	}
 	var err error
 	for range 5 {
-		if err = v.store.Regain(); err == nil {
+		if err = v.store.ReacquireLock(); err == nil {
 			return
 		}
 		select {
@@ -223,13 +223,13 @@
 
 // use goes by a version from now on, on the loop: drains first, so that nothing
 // new goes to who leaves; then the settings; then the members that come.
-func (e *Edge) use(u configversion.Use) {
-	var steps []configversion.Step
+func (e *Edge) use(u configversion.Activate) {
+	var steps []configversion.Delta
 	if e.s.Router.List == "" { // else the list service's word counts
 		steps = configversion.Diff(e.s.Members, u.Settings.Members)
 	}
-	tell := func(s configversion.Step) { e.news(engine.FromStep(u.Version.Number, s.Members, s.What == "starts")) }
-	if len(steps) > 0 && steps[0].What == "drains" {
+	tell := func(s configversion.Delta) { e.news(engine.FromStep(u.Version.Number, s.Members, s.Kind == "starts")) }
+	if len(steps) > 0 && steps[0].Kind == "drains" {
 		tell(steps[0])
 		steps = steps[1:]
 	}
--- a/internal/proxy/httpfront/versions_test.go
+++ b/internal/proxy/httpfront/versions_test.go
@@ -225,7 +225,7 @@
 			if st.Version != 3 || last.Number != 4 || last.State != "refused" || !strings.Contains(strings.Join(last.Reasons, " "), "zone/empty") {
 				t.Errorf("after a bad version: %+v", st)
 			}
-			if r := v.svc.View().Routers; len(r) != 1 || r[0].Refused != 4 || !strings.Contains(strings.Join(r[0].Reasons, " "), "zone/empty") {
+			if r := v.svc.View().Routers; len(r) != 1 || r[0].Rejected != 4 || !strings.Contains(strings.Join(r[0].Reasons, " "), "zone/empty") {
 				t.Errorf("the service knows %+v", r)
 			}
 			v.mustGet("/s/1/e")
@@ -245,12 +245,12 @@
 				v.mustGet(fmt.Sprintf("/s/1/f%d", i))
 			}
 			for range 300 {
-				if r := v.svc.View().Routers; len(r) == 1 && r[0].Served >= 0 {
+				if r := v.svc.View().Routers; len(r) == 1 && r[0].InTimeShare >= 0 {
 					break
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
-			if r := v.svc.View().Routers; r[0].Served < 0.9 || r[0].Served > 1 {
+			if r := v.svc.View().Routers; r[0].InTimeShare < 0.9 || r[0].InTimeShare > 1 {
 				t.Errorf("reported service: %+v", r)
 			}
 
@@ -412,7 +412,7 @@
 				return
 			}
 			for range 300 {
-				if err = e.versions.store.Regain(); err == nil {
+				if err = e.versions.store.ReacquireLock(); err == nil {
 					break
 				}
 				time.Sleep(10 * time.Millisecond)
--- a/internal/testbed/bench/fleet.go
+++ b/internal/testbed/bench/fleet.go
@@ -149,7 +149,7 @@
 	began := time.Now()
 	for i := range agents {
 		agents[i] = service.StartAgent(service.AgentConfig{Router: fmt.Sprintf("router-%04d", i), Services: []string{addr}, Seed: uint64(i),
-			Full: full, Use: func(configversion.Use) {},
+			Full: full, Use: func(configversion.Activate) {},
 			Dial: []grpc.DialOption{grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithStatsHandler(&got)}})
 	}
 	defer func() {
--- a/internal/testbed/scenario/folder.go
+++ b/internal/testbed/scenario/folder.go
@@ -94,7 +94,7 @@
 	faults *injector
 }
 
-// OpenFile implements lastgood.FileSystem.
+// OpenFile implements configstore.FileSystem.
 func (f faultyFiles) OpenFile(path string, flag int, mode os.FileMode) (*os.File, error) {
 	if err := f.faults.folderErr(); err != nil && flag&os.O_CREATE != 0 {
 		return nil, &os.PathError{Op: "open", Path: path, Err: err}
@@ -102,7 +102,7 @@
 	return f.Disk.OpenFile(path, flag, mode)
 }
 
-// Write implements lastgood.FileSystem.
+// Write implements configstore.FileSystem.
 func (f faultyFiles) Write(file *os.File, content []byte) error {
 	err := f.faults.folderErr()
 	if err == nil {
@@ -112,7 +112,7 @@
 	return &os.PathError{Op: "write", Path: file.Name(), Err: err}
 }
 
-// Sync implements lastgood.FileSystem.
+// Sync implements configstore.FileSystem.
 func (f faultyFiles) Sync(file *os.File) error {
 	if err := f.faults.folderErr(); err != nil {
 		return &os.PathError{Op: "sync", Path: file.Name(), Err: err}
@@ -120,7 +120,7 @@
 	return f.Disk.Sync(file)
 }
 
-// Rename implements lastgood.FileSystem.
+// Rename implements configstore.FileSystem.
 func (f faultyFiles) Rename(from, to string) error {
 	if err := f.faults.folderErr(); err != nil {
 		return &os.LinkError{Op: "rename", Old: from, New: to, Err: err}
@@ -128,7 +128,7 @@
 	return f.Disk.Rename(from, to)
 }
 
-// SyncFolder implements lastgood.FileSystem.
+// SyncFolder implements configstore.FileSystem.
 func (f faultyFiles) SyncFolder(path string) error {
 	if err := f.faults.folderErr(); err != nil {
 		return &os.PathError{Op: "sync", Path: path, Err: err}
@@ -136,7 +136,7 @@
 	return f.Disk.SyncFolder(path)
 }
 
-// Commit implements lastgood.FileSystem.
+// Commit implements configstore.FileSystem.
 func (f faultyFiles) Commit(transaction *bbolt.Tx) error {
 	if err := f.faults.folderErr(); err != nil {
 		path := transaction.DB().Path()
--- a/internal/testbed/scenario/versions.go
+++ b/internal/testbed/scenario/versions.go
@@ -315,8 +315,8 @@
 	}
 	joined := map[string]bool{}
 	for _, r := range v.Routers {
-		if joined[r.Router] = r.Joined; r.Joined && r.Running < v.Base {
-			return fmt.Sprintf("the service knows %s to have accepted %d, refused %d: %s", r.Router, r.Running, r.Refused, strings.Join(r.Reasons, "; "))
+		if joined[r.Router] = r.Connected; r.Connected && r.Running < v.Base {
+			return fmt.Sprintf("the service knows %s to have accepted %d, refused %d: %s", r.Router, r.Running, r.Rejected, strings.Join(r.Reasons, "; "))
 		}
 	}
 	for _, r := range c.d.alive() {
