--- a/internal/controlplane/configversion/diff.go
+++ b/internal/controlplane/configversion/diff.go
@@ -6,9 +6,26 @@
 	"indigospool/internal/config"
 )
 
-// Delta is one change of the list of members, to be told before the next.
+// DeltaKind is what a Delta does to its members.
+type DeltaKind int
+
+// The kinds, in the order in which they are applied. Removals also come before starts
+// where a member has started anew.
+const (
+	DeltaDrains DeltaKind = iota
+	DeltaStarts
+	DeltaChanges
+	DeltaRemovals
+)
+
+var deltaKindNames = [...]string{DeltaDrains: "drains", DeltaStarts: "starts", DeltaChanges: "changes", DeltaRemovals: "removals"}
+
+// String is the kind in lower case, as operators are shown it.
+func (k DeltaKind) String() string { return deltaKindNames[k] }
+
+// Delta is one change of the list of members, to be applied before the next.
 type Delta struct {
-	Kind    string // drains, starts, changes or removals
+	Kind    DeltaKind
 	Members []config.Member
 }
 
@@ -54,17 +71,17 @@
 			removals = append(removals, o)
 		}
 	}
-	add := func(what string, list []config.Member) {
+	add := func(kind DeltaKind, list []config.Member) {
 		if len(list) > 0 {
 			sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
-			steps = append(steps, Delta{what, list})
+			steps = append(steps, Delta{kind, list})
 		}
 	}
-	add("drains", drains)
-	add("removals", gone)
-	add("starts", starts)
-	add("changes", changes)
-	add("removals", removals)
+	add(DeltaDrains, drains)
+	add(DeltaRemovals, gone)
+	add(DeltaStarts, starts)
+	add(DeltaChanges, changes)
+	add(DeltaRemovals, removals)
 	return steps
 }
 
--- a/internal/controlplane/configversion/machine_test.go
+++ b/internal/controlplane/configversion/machine_test.go
@@ -441,12 +441,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		old, new := list(t, "old"), list(t, "new")
 		steps := Diff(old, new)
-		got, want := ApplyDeltas(old, steps), ApplyDeltas(nil, []Delta{{"all", new}})
+		got, want := ApplyDeltas(old, steps), ApplyDeltas(nil, []Delta{{DeltaChanges, new}})
 		if !slices.EqualFunc(got, want, same) {
 			t.Fatalf("from %+v\nby %+v\nto %+v, want %+v", old, steps, got, want)
 		}
 		for i, s := range steps {
-			if s.Kind == "drains" && i != 0 {
+			if s.Kind == DeltaDrains && i != 0 {
 				t.Fatalf("drains are step %d: %+v", i, steps)
 			}
 		}
--- a/internal/controlplane/endpointcheck/listcheck.go
+++ b/internal/controlplane/endpointcheck/listcheck.go
@@ -99,7 +99,7 @@
 		return nil, err
 	}
 	for _, s := range configversion.Diff(was.Members, is.Members) {
-		line := s.Kind + ":"
+		line := s.Kind.String() + ":"
 		for _, m := range s.Members {
 			line += " " + m.ID
 		}
@@ -157,7 +157,7 @@
 	a.Pass(25000) // and what moved with them is settled
 	first := a.all(things)
 	for _, s := range configversion.Diff(was.Members, is.Members) {
-		a.Tell(engine.FromStep(1, s.Members, s.Kind == "starts"))
+		a.Tell(engine.FromStep(1, s.Members, s.Kind == configversion.DeltaStarts))
 	}
 	if _, err := a.c.Resettle(a.now, &is, nil); err != nil {
 		return nil, err
--- a/internal/controlplane/endpointcheck/rehearse.go
+++ b/internal/controlplane/endpointcheck/rehearse.go
@@ -335,7 +335,7 @@
 	steps := configversion.Diff(p.was.Members, p.is.Members)
 	for _, s := range steps {
 		for _, m := range s.Members {
-			if s.Kind == "starts" {
+			if s.Kind == configversion.DeltaStarts {
 				p.came[m.ID] = at
 			}
 		}
@@ -343,9 +343,9 @@
 	for _, r := range p.sim.Routers() {
 		p.sim.At(at+p.rng.Float64()*p.o.Lag, func() {
 			for _, s := range steps {
-				n := engine.FromStep(1, s.Members, s.Kind == "starts")
+				n := engine.FromStep(1, s.Members, s.Kind == configversion.DeltaStarts)
 				for i := range n.Members {
-					if s.Kind == "starts" {
+					if s.Kind == configversion.DeltaStarts {
 						n.Members[i].UpMs = max(p.sim.Now-at, 0.001)
 					}
 				}
--- a/internal/proxy/httpfront/versions.go
+++ b/internal/proxy/httpfront/versions.go
@@ -228,8 +228,10 @@
 	if e.s.Router.List == "" { // else the list service's word counts
 		steps = configversion.Diff(e.s.Members, u.Settings.Members)
 	}
-	tell := func(s configversion.Delta) { e.news(engine.FromStep(u.Version.Number, s.Members, s.Kind == "starts")) }
-	if len(steps) > 0 && steps[0].Kind == "drains" {
+	tell := func(s configversion.Delta) {
+		e.news(engine.FromStep(u.Version.Number, s.Members, s.Kind == configversion.DeltaStarts))
+	}
+	if len(steps) > 0 && steps[0].Kind == configversion.DeltaDrains {
 		tell(steps[0])
 		steps = steps[1:]
 	}
