--- a/cmd/spool-cache/main.go
+++ b/cmd/spool-cache/main.go
@@ -40,8 +40,8 @@
 			if err != nil {
 				return err
 			}
-			log.Info("serves", zap.String("address", s.Addr()), zap.Int("copies", s.Found.Copies), zap.Int64("bytes", s.Found.Bytes),
-				zap.Int("purges", s.Found.Purges), zap.String("cold", s.Found.Cold))
+			log.Info("serves", zap.String("address", s.Addr()), zap.Int("copies", s.Found.Objects), zap.Int64("bytes", s.Found.Bytes),
+				zap.Int("purges", s.Found.Purges), zap.String("cold", s.Found.DiscardReason))
 			context.AfterFunc(c.Context(), s.Stop)
 			return s.Run()
 		}}
--- a/internal/cachenode/server/cache.go
+++ b/internal/cachenode/server/cache.go
@@ -116,8 +116,8 @@
 	if warn == nil {
 		warn = func(string) {}
 	}
-	sync := map[string]store.Sync{"segments": store.SyncSegments, "copies": store.SyncCopies}[f.Sync]
-	st, found, err := store.Open(folder, store.Settings{Bytes: int64(f.MB * (1 << 20)), Segment: int64(f.Segment * (1 << 20)), Sync: sync, Warn: warn})
+	sync := map[string]store.Sync{"segments": store.SyncSegments, "copies": store.SyncObjects}[f.Sync]
+	st, found, err := store.Open(folder, store.Options{MaxBytes: int64(f.MB * (1 << 20)), SegmentBytes: int64(f.Segment * (1 << 20)), Sync: sync, Warn: warn})
 	if err != nil {
 		return nil, err
 	}
@@ -167,9 +167,9 @@
 const mendEvery = 100
 
 func (s *Server) mend() {
-	if s.st.Ailing() && !s.mending {
-		s.mending = s.disk.Do(func() {
-			s.st.Mend()
+	if s.st.Faulty() && !s.mending {
+		s.mending = s.disk.Submit(func() {
+			s.st.Retry()
 			s.post(func() { s.mending = false })
 		})
 	}
@@ -416,9 +416,9 @@
 	key     string
 	fields  http.Header // of the request, that matter
 	content []byte
-	copy    *store.Copy
-	old     *store.Copy // too old for it, unless its source says otherwise
-	whole   bool        // no conditions: it was asked with some already
+	copy    *store.CachedObject
+	old     *store.CachedObject // too old for it, unless its source says otherwise
+	whole   bool                // no conditions: it was asked with some already
 	fl      *flight
 	off     int64
 	size    int64
@@ -485,12 +485,12 @@
 // look looks for a copy.
 func (v *visit) look() {
 	s := v.s
-	if c, known := s.st.FindNow(v.key); known {
+	if c, known := s.st.TryLookup(v.key); known {
 		v.found(c)
 		return
 	}
-	ok := s.disk.Do(func() {
-		c := s.st.Find(v.key)
+	ok := s.disk.Submit(func() {
+		c := s.st.Lookup(v.key)
 		s.post(func() { v.found(c) })
 	})
 	if !ok { // the disk hangs, or is overloaded: as if nothing were held
@@ -500,7 +500,7 @@
 }
 
 // answerOf is a copy as RFC 9111 looks at it.
-func (s *Server) answerOf(c *store.Copy) *httpcache.Answer {
+func (s *Server) answerOf(c *store.CachedObject) *httpcache.Answer {
 	a := &httpcache.Answer{Status: 200, Head: http.Header{}, Came: float64(c.Born), Asked: float64(c.Born), Wall: time.UnixMilli(c.Born)}
 	for name, value := range c.Fields {
 		a.Head.Set(name, value)
@@ -520,17 +520,17 @@
 // spans of monotonic time. The stored time of a copy of before is only a hint: where it, or
 // that of another, lies behind the start by the present clock, the clock was stepped back,
 // by nobody knows how much.
-func (s *Server) ageUnknown(c *store.Copy) bool {
+func (s *Server) ageUnknown(c *store.CachedObject) bool {
 	start := s.wall.UnixMilli()
-	return c.Before && (c.Born > start || s.st.Newest() > start)
+	return c.BeforeStart && (c.Born > start || s.st.Newest() > start)
 }
 
 // use is what a copy may be used for: by the age that a router states, or else by what
 // its head and the request say.
-func (v *visit) use(c *store.Copy) httpcache.Use {
+func (v *visit) use(c *store.CachedObject) httpcache.Use {
 	age := float64(v.s.now() - c.Born)
 	switch {
-	case c.Doubt || v.s.ageUnknown(c):
+	case c.PurgesUnknown || v.s.ageUnknown(c):
 		return httpcache.Revalidate
 	case v.plain:
 		if c.Fresh <= 0 && v.fields.Get("Cache-Control") == "" && v.fields.Get("Pragma") == "" {
@@ -551,8 +551,8 @@
 		return
 	}
 	d := &visit{s: s, c: &conn{s: s, fd: -1, gone: true}, a: v.a, plain: v.plain, method: "GET", target: v.target, key: v.key, fields: v.fields, behind: true}
-	s.disk.Do(func() {
-		c := s.st.Find(d.key)
+	s.disk.Submit(func() {
+		c := s.st.Lookup(d.key)
 		s.post(func() {
 			switch {
 			case c == nil:
@@ -568,7 +568,7 @@
 }
 
 // serve answers with a copy.
-func (v *visit) serve(c *store.Copy, h fetchheader.Handled) {
+func (v *visit) serve(c *store.CachedObject, h fetchheader.Handled) {
 	s := v.s
 	v.copy, v.size = c, c.Size
 	h.Cache = s.f.Name
@@ -595,7 +595,7 @@
 }
 
 // found goes on with what the store has.
-func (v *visit) found(c *store.Copy) {
+func (v *visit) found(c *store.CachedObject) {
 	s := v.s
 	if v.over {
 		if c != nil {
@@ -743,8 +743,8 @@
 }
 
 // read has a thread read the next bytes of a copy.
-func (v *visit) read(c *store.Copy, n int64) {
-	if k := c.ReadNow(v.s.buf[:n], v.off); k > 0 {
+func (v *visit) read(c *store.CachedObject, n int64) {
+	if k := c.TryReadAt(v.s.buf[:n], v.off); k > 0 {
 		v.off += int64(k)
 		v.burst += int64(k)
 		v.c.write(v.s.buf[:k])
@@ -752,7 +752,7 @@
 	}
 	v.busy = true
 	at := v.off
-	ok := v.s.disk.Do(func() {
+	ok := v.s.disk.Submit(func() {
 		b := make([]byte, n)
 		k, err := c.ReadAt(b, at)
 		if int64(k) == n {
@@ -840,15 +840,15 @@
 			}
 			v.c.answer(200, fmt.Sprintf("{\"number\":%d,\"made\":%v}\n", n, strconv.FormatFloat(x.Made, 'f', -1, 64)))
 		}
-		if !s.disk.Do(func() {
+		if !s.disk.Submit(func() {
 			n, err := s.st.Purge(w)
 			s.post(func() { done(n, err) })
 		}) {
 			v.c.answer(503, "the disk does not answer: the purge is not acknowledged; send it again")
 		}
 	case "/-/caught-up":
-		if !s.disk.Do(func() {
-			s.st.CaughtUp()
+		if !s.disk.Submit(func() {
+			s.st.PurgesCaughtUp()
 			s.post(func() {
 				if !v.over {
 					v.c.answer(200, "")
@@ -865,8 +865,8 @@
 				v.c.answer(200, string(b)+"\n")
 			}
 		}
-		if !s.disk.Do(func() {
-			out["copies"], out["bytes"] = s.st.Held()
+		if !s.disk.Submit(func() {
+			out["copies"], out["bytes"] = s.st.Usage()
 			out["store"] = s.st.Counts()
 			disk := s.st.Status()
 			out["disk"], out["found"] = describe(disk), disk.Found
@@ -892,9 +892,9 @@
 }
 
 func describe(status store.Status) diskState {
-	out := diskState{Unread: status.Unread, Purges: status.Purges, Unreadable: status.Unreadable}
+	out := diskState{Unread: status.LogsUnread, Purges: status.PurgesDurable, Unreadable: status.UnreadableSegments}
 	if fault := status.Fault; fault != nil {
-		out.Fault, out.File, out.Since, out.ForMS = fault.Op, fault.File, fault.Since.UTC().Format(time.RFC3339), status.For.Milliseconds()
+		out.Fault, out.File, out.Since, out.ForMS = fault.Op, fault.File, fault.Since.UTC().Format(time.RFC3339), status.FaultDuration.Milliseconds()
 		out.Cause = fault.Err.Error()
 	}
 	return out
--- a/internal/cachenode/server/cache_test.go
+++ b/internal/cachenode/server/cache_test.go
@@ -186,7 +186,7 @@
 	r.stop()
 	made := r.origin.Purge(name(7), 0, 0) // while it is down
 	r.start()
-	if r.s.Found.Copies != 21 {
+	if r.s.Found.Objects != 21 {
 		t.Errorf("found %+v", r.s.Found)
 	}
 	if res, _, _ := r.ask(name(1), false, nil); res.StatusCode != 504 {
@@ -229,7 +229,7 @@
 		}
 		r.stop()
 		r.start()
-		r.s.st.CaughtUp()
+		r.s.st.PurgesCaughtUp()
 	}
 	hit(name(4))
 	if code := r.purge(`{"group":7}`); code != 200 {
@@ -408,9 +408,9 @@
 	r.waitKept(1)
 	let := make(chan bool)
 	for range 2 {
-		r.s.disk.Do(func() { <-let })
+		r.s.disk.Submit(func() { <-let })
 	}
-	for r.s.disk.Do(func() {}) {
+	for r.s.disk.Submit(func() {}) {
 		time.Sleep(time.Millisecond)
 	}
 	at := time.Now()
@@ -620,7 +620,7 @@
 		}
 		r.stop()
 		r.start()
-		r.s.st.CaughtUp()
+		r.s.st.PurgesCaughtUp()
 	}
 	r.purge(`{"object":"/v"}`)
 	for _, accept := range []string{"gzip", "br", "identity"} {
--- a/internal/cachenode/server/clock_test.go
+++ b/internal/cachenode/server/clock_test.go
@@ -71,7 +71,7 @@
 	}
 	was := step
 	r.start()
-	r.s.st.CaughtUp()           // every purge was told: only the age is left to say what is stale
+	r.s.st.PurgesCaughtUp()     // every purge was told: only the age is left to say what is stale
 	mayServe := down == 0       // in truth it is some ms old
 	must := down > 0 || was < 0 // too old, or its stored time lies in the future
 	for path, age := range map[string]float64{"/a": -1, "/b": 600_000} {
--- a/internal/cachenode/server/fault_test.go
+++ b/internal/cachenode/server/fault_test.go
@@ -152,7 +152,7 @@
 	r.s.Stop()
 	<-r.done
 	r.start()
-	r.s.st.CaughtUp()
+	r.s.st.PurgesCaughtUp()
 	for name, want := range map[string]int{"a": 200, "b": 504, "c": 504, "d": 200} {
 		if res, _, _ := r.ask("/still/1/"+name, false, nil); res.StatusCode != want {
 			t.Errorf("after a start %s is answered %d, want %d", name, res.StatusCode, want)
--- a/internal/cachenode/server/fill.go
+++ b/internal/cachenode/server/fill.go
@@ -32,7 +32,7 @@
 	asked    int64         // when that was, as Server.now
 	starting bool          // a thread makes room for it
 	doomed   *store.Writer // to be given up once the thread is done with it
-	file     *store.Copy
+	file     *store.CachedObject
 	written  int64  // that can be read from the file
 	queue    []byte // that waits for the disk
 	writing  bool
@@ -63,7 +63,7 @@
 	}
 	s.stats.Fills++
 	s.filling++
-	fl := &flight{s: s, v: v, key: v.key, who: map[*visit]bool{}, since: s.st.Number(), asked: s.now()}
+	fl := &flight{s: s, v: v, key: v.key, who: map[*visit]bool{}, since: s.st.LastPurge(), asked: s.now()}
 	if present := s.flights[v.key]; present == nil || present.overtaken() {
 		s.flights[v.key] = fl
 	}
@@ -107,12 +107,12 @@
 // began. Before the answer's head its version and tags are not known, nor whether it does.
 func (fl *flight) overtaken() bool {
 	switch {
-	case fl.since == fl.s.st.Number():
+	case fl.since == fl.s.st.LastPurge():
 		return false
 	case !fl.ready:
 		return true
 	}
-	void, known := fl.s.st.VoidNow(fl.since, &fl.meta)
+	void, known := fl.s.st.TryPurged(fl.since, &fl.meta)
 	return void || !known
 }
 
@@ -188,7 +188,7 @@
 		}
 	}
 	fl.keep = fl.v.storable(h)
-	fl.meta.Fresh = lifetime(fl.s.answerOf(&store.Copy{Meta: fl.meta}))
+	fl.meta.Fresh = lifetime(fl.s.answerOf(&store.CachedObject{Meta: fl.meta}))
 	if varies(fl.meta.Fields["Vary"]) && !strings.Contains(fl.key, "\x00") {
 		mine := fl.v.variant()
 		fl.meta.Key += mine
@@ -206,11 +206,11 @@
 	}
 	fl.ready = true
 	if fl.keep {
-		fl.starting = s.disk.Do(func() {
+		fl.starting = s.disk.Submit(func() {
 			w, err := s.st.BeginSince(fl.since, fl.meta, fl.size)
-			var c *store.Copy
+			var c *store.CachedObject
 			if err == nil {
-				c = w.Copy()
+				c = w.Reader()
 			}
 			s.post(func() { fl.started(w, c) })
 		})
@@ -268,7 +268,7 @@
 			}
 		}
 	}
-	if !s.disk.Do(func() {
+	if !s.disk.Submit(func() {
 		ok, err := old.Renew(born)
 		old.Close()
 		s.post(func() { again(ok && err == nil) })
@@ -279,7 +279,7 @@
 }
 
 // started has room on disk for the fill, or none.
-func (fl *flight) started(w *store.Writer, c *store.Copy) {
+func (fl *flight) started(w *store.Writer, c *store.CachedObject) {
 	fl.starting = false
 	switch {
 	case w == nil:
@@ -316,7 +316,7 @@
 	b, w := fl.queue, fl.w
 	fl.queue = nil
 	fl.writing = true
-	if !fl.s.disk.Do(func() {
+	if !fl.s.disk.Submit(func() {
 		_, err := w.Write(b)
 		fl.s.post(func() { fl.wrote(b, err) })
 	}) {
@@ -406,7 +406,7 @@
 				s.mark(fl.key, fl.meta, fl.since)
 			}
 			if err == nil {
-				s.st.Tidy(256 << 10)
+				s.st.Compact(256 << 10)
 			}
 			s.post(func() {
 				if ok {
@@ -415,7 +415,7 @@
 				fl.forget()
 			})
 		}
-		if !s.disk.Do(commit) {
+		if !s.disk.Submit(commit) {
 			go w.Abort()
 			fl.forget()
 		}
@@ -480,7 +480,7 @@
 		switch old := v.old; {
 		case v.begun:
 			v.c.close() // it is seen by the length
-		case old != nil && !old.Doubt && !fl.s.ageUnknown(old) && v.a.Age <= 0 && httpcache.OnError(float64(fl.s.now()), fl.s.answerOf(old), 0):
+		case old != nil && !old.PurgesUnknown && !fl.s.ageUnknown(old) && v.a.Age <= 0 && httpcache.OnError(float64(fl.s.now()), fl.s.answerOf(old), 0):
 			v.old = nil
 			fl.s.stats.Stale++
 			v.serve(old, fetchheader.Handled{Hit: true, Detail: detail})
--- a/internal/cachenode/server/kill_test.go
+++ b/internal/cachenode/server/kill_test.go
@@ -51,7 +51,7 @@
 			fmt.Println("error", err)
 			os.Exit(1)
 		}
-		fmt.Println(s.Addr(), s.Found.Copies)
+		fmt.Println(s.Addr(), s.Found.Objects)
 		go func() { // it ends with its test
 			io.Copy(io.Discard, os.Stdin)
 			os.Exit(0)
--- a/internal/cachenode/server/router_test.go
+++ b/internal/cachenode/server/router_test.go
@@ -82,7 +82,7 @@
 	for _, r := range []*rig{a, b} {
 		r.stop()
 		r.start()
-		if r.s.Found.Copies < 10 {
+		if r.s.Found.Objects < 10 {
 			t.Errorf("found %+v in %s", r.s.Found, filepath.Base(r.form.Folder))
 		}
 	}
--- a/internal/cachenode/store/bench_test.go
+++ b/internal/cachenode/store/bench_test.go
@@ -17,7 +17,7 @@
 	for _, n := range []int{10_000, 100_000, 1_000_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			dir := b.TempDir()
-			set := Settings{Bytes: 4 << 30, Segment: 64 << 20}
+			set := Options{MaxBytes: 4 << 30, SegmentBytes: 64 << 20}
 			s, _, err := Open(Dir(dir), set)
 			if err != nil {
 				b.Fatal(err)
@@ -34,7 +34,7 @@
 				runtime.ReadMemStats(&before)
 				b.StartTimer()
 				var r Recovered
-				if s, r, err = Open(Dir(dir), set); err != nil || r.Copies != n {
+				if s, r, err = Open(Dir(dir), set); err != nil || r.Objects != n {
 					b.Fatal(r, err)
 				}
 				b.StopTimer()
@@ -60,7 +60,7 @@
 	for _, kb := range []int{4, 64, 1024} {
 		const n = 200
 		dir := b.TempDir()
-		s, _, err := Open(Dir(filepath.Join(dir, "store")), Settings{Bytes: 2 << 30})
+		s, _, err := Open(Dir(filepath.Join(dir, "store")), Options{MaxBytes: 2 << 30})
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -82,7 +82,7 @@
 			b.SetBytes(int64(kb) << 10)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				c := s.Find(fmt.Sprintf("/%d", i%n))
+				c := s.Lookup(fmt.Sprintf("/%d", i%n))
 				for off := int64(0); off < c.Size; off += int64(len(buf)) {
 					c.ReadAt(buf, off)
 				}
@@ -121,9 +121,9 @@
 // BenchmarkKeep keeps copies of 64 KB, ten times what the store holds, under each policy;
 // a tenth of them is found again and again. written/kept is the write amplification.
 func BenchmarkKeep(b *testing.B) {
-	for name, sync := range map[string]Sync{"purges": SyncPurges, "segments": SyncSegments, "copies": SyncCopies} {
+	for name, sync := range map[string]Sync{"purges": SyncPurges, "segments": SyncSegments, "copies": SyncObjects} {
 		b.Run(name, func(b *testing.B) {
-			s, _, err := Open(Dir(b.TempDir()), Settings{Bytes: 64 << 20, Segment: 8 << 20, Sync: sync})
+			s, _, err := Open(Dir(b.TempDir()), Options{MaxBytes: 64 << 20, SegmentBytes: 8 << 20, Sync: sync})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -141,13 +141,13 @@
 				if _, err := w.Commit(); err != nil {
 					b.Fatal(err)
 				}
-				if c := s.Find(fmt.Sprint("/", i/100*10)); c != nil {
+				if c := s.Lookup(fmt.Sprint("/", i/100*10)); c != nil {
 					c.Close()
 				}
-				s.Tidy(128 << 10)
+				s.Compact(128 << 10)
 				worst = max(worst, time.Since(at))
 			}
-			b.ReportMetric(float64(s.Stats.Written)/float64(s.Stats.Bodies), "written/kept")
+			b.ReportMetric(float64(s.Stats.WrittenBytes)/float64(s.Stats.BodyBytes), "written/kept")
 			b.ReportMetric(float64(worst.Microseconds()), "worst-us")
 		})
 	}
@@ -155,7 +155,7 @@
 
 // BenchmarkPurge is a purge until it lasts.
 func BenchmarkPurge(b *testing.B) {
-	s, _, err := Open(Dir(b.TempDir()), Settings{})
+	s, _, err := Open(Dir(b.TempDir()), Options{})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/cachenode/store/copy.go
+++ b/internal/cachenode/store/copy.go
@@ -29,11 +29,11 @@
 // that was written first; of that, copies that were found since, and those of rank 3,
 // are written anew.
 func (s *Store) Begin(m Meta, size int64) (*Writer, error) {
-	return s.BeginSince(s.Number(), m, size)
+	return s.BeginSince(s.LastPurge(), m, size)
 }
 
 // Number is that of the last purge. It never waits.
-func (s *Store) Number() uint64 { return s.latest.Load() }
+func (s *Store) LastPurge() uint64 { return s.latest.Load() }
 
 // BeginSince is Begin for a fill that began when the last purge was a number.
 func (s *Store) BeginSince(since uint64, m Meta, size int64) (*Writer, error) {
@@ -55,7 +55,7 @@
 		s.Stats.Refused++
 		return nil, s.failSegment("write", w.g, err)
 	}
-	s.Stats.Written += int64(len(head))
+	s.Stats.WrittenBytes += int64(len(head))
 	return w, nil
 }
 
@@ -64,14 +64,14 @@
 	switch {
 	case s.closed:
 		return nil, ErrClosed
-	case size < 0 || size > mostBody || head > mostMeta || align(int64(head)+size) > s.s.Segment:
-		return nil, fmt.Errorf("%w: %.80q has %d bytes and a head of %d, a segment %d", ErrFull, m.Key, size, head, s.s.Segment)
+	case size < 0 || size > mostBody || head > mostMeta || align(int64(head)+size) > s.s.SegmentBytes:
+		return nil, fmt.Errorf("%w: %.80q has %d bytes and a head of %d, a segment %d", ErrTooLarge, m.Key, size, head, s.s.SegmentBytes)
 	}
 	if err := s.mend(); err != nil {
 		return nil, err
 	}
 	need := align(int64(head) + size)
-	if s.active == nil || s.active.size+need > s.s.Segment {
+	if s.active == nil || s.active.size+need > s.s.SegmentBytes {
 		if err := s.rotate(); err != nil {
 			return nil, err
 		}
@@ -96,7 +96,7 @@
 			s.evict(n)
 		}
 	}
-	for len(s.order) > 0 && s.used+s.s.Segment > s.s.Bytes {
+	for len(s.order) > 0 && s.used+s.s.SegmentBytes > s.s.MaxBytes {
 		s.evict(s.order[0])
 	}
 	s.removeStale()
@@ -183,7 +183,7 @@
 	w.crc = crc32.Update(w.crc, castagnoli, b[:n])
 	w.got += int64(n)
 	w.s.mu.Lock()
-	w.s.Stats.Written += int64(n)
+	w.s.Stats.WrittenBytes += int64(n)
 	if err == nil && n < len(b) {
 		err = io.ErrShortWrite
 	}
@@ -204,7 +204,7 @@
 	if w.fault == nil && w.got != w.size {
 		w.fault = fmt.Errorf("store: %.80q has %d bytes of %d", w.m.Key, w.got, w.size)
 	}
-	if w.fault == nil && s.s.Sync >= SyncCopies {
+	if w.fault == nil && s.s.Sync >= SyncObjects {
 		if err := w.g.sync(); err != nil {
 			s.mu.Lock()
 			w.fault = s.failSegment("sync", w.g, err)
@@ -236,7 +236,7 @@
 	if err := s.append(s.index, &s.indexL, entry(nil, kindAdd, w.p.append(nil))); err != nil {
 		return false, s.failLog("write", indexName(s.indexN), err)
 	}
-	if s.s.Sync >= SyncCopies {
+	if s.s.Sync >= SyncObjects {
 		if err := s.index.Sync(); err != nil {
 			return false, s.failLog("sync", indexName(s.indexN), err)
 		}
@@ -244,8 +244,8 @@
 	s.put(w.p)
 	w.g.synced = false
 	s.slots[s.byHash[w.p.hash]].lens |= flagChecked | flagKnown
-	s.Stats.Kept++
-	s.Stats.Bodies += w.size
+	s.Stats.Stored++
+	s.Stats.BodyBytes += w.size
 	return true, nil
 }
 
@@ -265,35 +265,35 @@
 
 // Copy is a copy that was found. Its bytes stay readable until Close, also when it is
 // purged or given up for room meanwhile: who reads on has to ask Void.
-type Copy struct {
+type CachedObject struct {
 	Meta
-	Size   int64
-	Before bool // it is of before the start, and its source has not found it good since
-	Doubt  bool // besides, a purge may have been missed meanwhile: only its source knows
-	s      *Store
-	g      *segment
-	off    int64
-	since  uint64
-	over   bool
+	Size          int64
+	BeforeStart   bool // it is of before the start, and its source has not found it good since
+	PurgesUnknown bool // besides, a purge may have been missed meanwhile: only its source knows
+	s             *Store
+	g             *segment
+	off           int64
+	since         uint64
+	over          bool
 
 	filling bool // it is being written, or was when its reader began
 }
 
 // Find finds a copy whose bytes are known to be right: the first time since the start
 // all of them are read. nil: there is none.
-func (s *Store) Find(key string) *Copy {
+func (s *Store) Lookup(key string) *CachedObject {
 	hash := xxhash.Sum64String(key)
 	s.mu.Lock()
 	i, ok := s.byHash[hash]
 	if !ok || s.closed {
-		s.Stats.Missed++
+		s.Stats.Misses++
 		s.mu.Unlock()
 		return nil
 	}
 	p := s.slots[i]
 	g := s.segs[p.seg]
 	if !s.readable(g) || !s.slots[i].live() { // the latter where it lies behind the end of a segment that was opened just now
-		s.Stats.Missed++
+		s.Stats.Misses++
 		s.mu.Unlock()
 		return nil
 	}
@@ -316,17 +316,17 @@
 	same := still && s.slots[k].seg == p.seg && s.slots[k].off == p.off
 	switch {
 	case err == nil && m.Key != key: // another of the same hash
-		s.Stats.Missed++
+		s.Stats.Misses++
 	case err == nil && s.void(p.since, m):
-		s.Stats.Void++
+		s.Stats.Purged++
 		if same {
 			s.unput(hash)
 		}
-	case err != nil && !errors.Is(err, ErrDamaged): // it may be right, and is read again later
-		s.Stats.Missed++
+	case err != nil && !errors.Is(err, ErrCorrupt): // it may be right, and is read again later
+		s.Stats.Misses++
 		s.rest(g, err)
 	case err != nil:
-		s.Stats.Damaged++
+		s.Stats.Corrupt++
 		if same {
 			s.s.Warn(fmt.Sprintf("store: a copy in %s at byte %d is not given out: %v", segmentName(p.seg), int64(p.off)*8, err))
 			s.unput(hash)
@@ -336,7 +336,7 @@
 		if same {
 			s.slots[k].lens |= flagChecked
 		}
-		s.Stats.Found++
+		s.Stats.Hits++
 		return s.copyOf(&p, g, m)
 	}
 	s.unref(g, 1)
@@ -344,9 +344,9 @@
 }
 
 // copyOf is a copy that was found. Its segment has one more reader.
-func (s *Store) copyOf(p *place, g *segment, m *Meta) *Copy {
+func (s *Store) copyOf(p *place, g *segment, m *Meta) *CachedObject {
 	before := p.lens&flagKnown == 0
-	return &Copy{Meta: *m, Size: p.body(), s: s, g: g, off: int64(p.off)*8 + int64(p.meta()), since: p.since, Before: before, Doubt: before && !s.caught}
+	return &CachedObject{Meta: *m, Size: p.body(), s: s, g: g, off: int64(p.off)*8 + int64(p.meta()), since: p.since, BeforeStart: before, PurgesUnknown: before && !s.caught}
 }
 
 // recordDrop notes in the index log that a copy is none.
@@ -362,14 +362,14 @@
 
 // FindNow is Find where the answer is known without waiting, for the disk or for another
 // thread; known is false where it is not: then Find has it.
-func (s *Store) FindNow(key string) (c *Copy, known bool) {
+func (s *Store) TryLookup(key string) (c *CachedObject, known bool) {
 	if !s.mu.TryLock() {
 		return nil, false
 	}
 	defer s.mu.Unlock()
 	i, ok := s.byHash[xxhash.Sum64String(key)]
 	if !ok || s.closed {
-		s.Stats.Missed++
+		s.Stats.Misses++
 		return nil, true
 	}
 	p := &s.slots[i]
@@ -391,13 +391,13 @@
 	}
 	p.lens |= flagUsed
 	g.refs++
-	s.Stats.Found++
+	s.Stats.Hits++
 	return s.copyOf(p, g, m), true
 }
 
 // ReadNow reads of the copy's bytes what is there without a wait for the disk; fewer than
 // were asked for, down to none: ReadAt has the rest.
-func (c *Copy) ReadNow(b []byte, off int64) int {
+func (c *CachedObject) TryReadAt(b []byte, off int64) int {
 	f, can := c.g.f.(nowReader)
 	if !can || off >= c.Size {
 		return 0
@@ -411,7 +411,7 @@
 
 // CaughtUp is that all purges that were made while the store was closed were told to it
 // since: nothing of before the start is in doubt any more.
-func (s *Store) CaughtUp() {
+func (s *Store) PurgesCaughtUp() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.caught = true
@@ -420,7 +420,7 @@
 // Renew says that the copy's source has found it still good: it was born so much later
 // (Unix ms). It is written over its head in place; one that a crash tears is dropped by its
 // checksum. False: it is not the copy of its key any more, or its head would not fit.
-func (c *Copy) Renew(born int64) (bool, error) {
+func (c *CachedObject) Renew(born int64) (bool, error) {
 	s := c.s
 	m := c.Meta
 	m.Born = born
@@ -444,9 +444,9 @@
 	if err := writeAt(c.g.f, head, at); err != nil {
 		return false, s.failSegment("write", c.g, err)
 	}
-	s.Stats.Written += int64(len(head))
+	s.Stats.WrittenBytes += int64(len(head))
 	p.lens |= flagKnown
-	c.Born, c.Before, c.Doubt = born, false, false
+	c.Born, c.BeforeStart, c.PurgesUnknown = born, false, false
 	return true, nil
 }
 
@@ -458,7 +458,7 @@
 		n := min(left, int64(len(buf)))
 		if _, err := f.ReadAt(buf[:n], at); err != nil {
 			if errors.Is(err, io.EOF) {
-				err = ErrDamaged
+				err = ErrCorrupt
 			}
 			return err
 		}
@@ -466,13 +466,13 @@
 		at, left = at+n, left-n
 	}
 	if sum != p.crc {
-		return ErrDamaged
+		return ErrCorrupt
 	}
 	return nil
 }
 
 // ReadAt reads of the copy's bytes.
-func (c *Copy) ReadAt(b []byte, off int64) (int, error) {
+func (c *CachedObject) ReadAt(b []byte, off int64) (int, error) {
 	if off >= c.Size {
 		return 0, io.EOF
 	}
@@ -491,12 +491,12 @@
 }
 
 // unsure reports whether a sync has lost what may be the copy's bytes.
-func (c *Copy) unsure() bool {
+func (c *CachedObject) unsure() bool {
 	return c.g.syncFailed.Load() && (c.filling || c.s.distrusted(c.g))
 }
 
 // Void reports whether a purge voids the copy by now.
-func (c *Copy) Void() bool {
+func (c *CachedObject) Purged() bool {
 	c.s.mu.Lock()
 	defer c.s.mu.Unlock()
 	return c.s.void(c.since, &c.Meta)
@@ -504,7 +504,7 @@
 
 // VoidNow reports whether a purge voids by now what a fill brings that began when the last
 // purge was a number. known is false where that can't be told without waiting.
-func (s *Store) VoidNow(since uint64, m *Meta) (void, known bool) {
+func (s *Store) TryPurged(since uint64, m *Meta) (void, known bool) {
 	if !s.mu.TryLock() {
 		return false, false
 	}
@@ -513,7 +513,7 @@
 }
 
 // Close ends reading.
-func (c *Copy) Close() {
+func (c *CachedObject) Close() {
 	c.s.mu.Lock()
 	defer c.s.mu.Unlock()
 	if !c.over {
@@ -523,7 +523,7 @@
 }
 
 // Held is how many copies there are, and the bytes of disk in use.
-func (s *Store) Held() (copies int, bytes int64) {
+func (s *Store) Usage() (copies int, bytes int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.byHash), s.used
@@ -546,9 +546,9 @@
 
 // Copy reads what was written so far, also while more is: up to the Size that was said,
 // no further than what Write has returned for. It stays readable until its Close.
-func (w *Writer) Copy() *Copy {
+func (w *Writer) Reader() *CachedObject {
 	w.s.mu.Lock()
 	defer w.s.mu.Unlock()
 	w.g.refs++
-	return &Copy{Meta: w.m, Size: w.size, s: w.s, g: w.g, off: int64(w.p.off)*8 + int64(w.p.meta()), since: w.p.since, filling: true}
+	return &CachedObject{Meta: w.m, Size: w.size, s: w.s, g: w.g, off: int64(w.p.off)*8 + int64(w.p.meta()), since: w.p.since, filling: true}
 }
--- a/internal/cachenode/store/fault.go
+++ b/internal/cachenode/store/fault.go
@@ -78,36 +78,36 @@
 
 // Status is what an operator should know of the disk.
 type Status struct {
-	Fault      *FaultError   // nil: what is kept and purged is written
-	For        time.Duration // since Fault.Since
-	Unread     bool          // the logs could not be read yet: nothing of before is given out
-	Purges     bool          // purges can be acknowledged
-	Unreadable int           // segments whose copies are not given out for now
-	Found      Recovered     // at the start, once it could be read
+	Fault              *FaultError   // nil: what is kept and purged is written
+	FaultDuration      time.Duration // since Fault.Since
+	LogsUnread         bool          // the logs could not be read yet: nothing of before is given out
+	PurgesDurable      bool          // purges can be acknowledged
+	UnreadableSegments int           // segments whose copies are not given out for now
+	Found              Recovered     // at the start, once it could be read
 }
 
 // Status is how the store is doing.
 func (s *Store) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	status := Status{Fault: s.failure, Unread: s.unread, Purges: !s.unread && !s.logBroken, Found: s.found}
+	status := Status{Fault: s.failure, LogsUnread: s.unread, PurgesDurable: !s.unread && !s.logBroken, Found: s.found}
 	if s.failure != nil {
-		status.For = s.s.Now().Sub(s.failure.Since)
+		status.FaultDuration = s.s.Now().Sub(s.failure.Since)
 	}
 	for _, g := range s.segs {
 		if g.fault != nil || s.distrusted(g) {
-			status.Unreadable++
+			status.UnreadableSegments++
 		}
 	}
 	return status
 }
 
 // Ailing reports whether there is something for Mend to try again. It never waits.
-func (s *Store) Ailing() bool { return s.ailing.Load() }
+func (s *Store) Faulty() bool { return s.ailing.Load() }
 
 // Mend tries again what failed, where its backoff is over. Begin and Purge do as well; who
 // owns the store calls it now and then so that it needs neither.
-func (s *Store) Mend() {
+func (s *Store) Retry() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
--- a/internal/cachenode/store/fault_test.go
+++ b/internal/cachenode/store/fault_test.go
@@ -18,7 +18,7 @@
 // wait lets more than the longest backoff pass, and the store try again.
 func (c *testClock) wait(s *Store) {
 	c.now = c.now.Add(2 * mostBackoff)
-	s.Mend()
+	s.Retry()
 }
 
 // faulty is a store on a crashFS whose calls fail where op and the beginning of the name
@@ -28,12 +28,12 @@
 	t     *testing.T
 	fs    *crashFS
 	clock testClock
-	set   Settings
+	set   Options
 	said  strings.Builder
 	found Recovered
 }
 
-func newFaulty(t *testing.T, set Settings) *faulty {
+func newFaulty(t *testing.T, set Options) *faulty {
 	f := &faulty{t: t, fs: newCrashFS(), set: set, clock: testClock{time.Unix(1_700_000_000, 0)}}
 	f.set.Warn = func(text string) { f.said.WriteString(text + "\n") }
 	f.set.Now = f.clock.Now
@@ -89,7 +89,7 @@
 func TestSegmentUnreadableForAMoment(t *testing.T) {
 	for _, ops := range []string{"open", "size", "read"} {
 		t.Run(ops, func(t *testing.T) {
-			f := newFaulty(t, Settings{})
+			f := newFaulty(t, Options{})
 			for _, key := range []string{"/a", "/b", "/c"} {
 				keep(t, f.Store, key, 1, 500)
 			}
@@ -120,7 +120,7 @@
 	for _, name := range []string{wordsName, "index-", formatName, ""} {
 		for _, ops := range []string{"read", "open", "size", "list", "lock", "open read write sync syncdir rename"} {
 			t.Run(name+" "+ops, func(t *testing.T) {
-				f := newFaulty(t, Settings{})
+				f := newFaulty(t, Options{})
 				for _, key := range []string{"/a", "/b", "/c", "/d"} {
 					keep(t, f.Store, key, 1, 500)
 				}
@@ -150,7 +150,7 @@
 func TestComesBack(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EIO} {
 		for _, ops := range []string{"write", "sync", "open", "syncdir", "rename", "write sync open rename syncdir remove"} {
-			for policy := SyncPurges; policy <= SyncCopies; policy++ {
+			for policy := SyncPurges; policy <= SyncObjects; policy++ {
 				t.Run(fmt.Sprint(errno, " ", ops, " ", policy), func(t *testing.T) { comesBack(t, ops, errno, policy) })
 			}
 		}
@@ -158,7 +158,7 @@
 }
 
 func comesBack(t *testing.T, ops string, errno syscall.Errno, policy Sync) {
-	f := newFaulty(t, Settings{Sync: policy, Segment: 4096, Bytes: 1 << 20})
+	f := newFaulty(t, Options{Sync: policy, SegmentBytes: 4096, MaxBytes: 1 << 20})
 	for _, key := range []string{"/a", "/b", "/c"} {
 		keep(t, f.Store, key, 1, 2000)
 	}
@@ -189,7 +189,7 @@
 	lost := f.fs.lost
 	f.fs = f.fs.crashed(f.fs.rngOf())
 	f.open()
-	if policy < SyncCopies {
+	if policy < SyncObjects {
 		delete(want, "/d") // a crash may take it
 	} else if !lost {
 		want["/a"] = true
@@ -200,7 +200,7 @@
 // A refusal says what failed and since when, Status as well; retries back off up to a
 // bound, and after a success begin anew.
 func TestFaultIsTold(t *testing.T) {
-	f := newFaulty(t, Settings{})
+	f := newFaulty(t, Options{})
 	keep(t, f.Store, "/a", 1, 100)
 	since := f.clock.now
 	f.fail("write sync", "", syscall.ENOSPC)
@@ -212,7 +212,7 @@
 		}
 		f.clock.now = f.clock.now.Add(time.Second)
 	}
-	if st := f.Status(); st.Fault == nil || st.Purges || st.For != 3*time.Second || !f.Ailing() {
+	if st := f.Status(); st.Fault == nil || st.PurgesDurable || st.FaultDuration != 3*time.Second || !f.Faulty() {
 		t.Errorf("%+v", st)
 	}
 	tries, fault := 0, f.fs.fault
@@ -224,14 +224,14 @@
 	}
 	for range 2000 {
 		f.clock.now = f.clock.now.Add(10 * time.Millisecond)
-		f.Mend()
+		f.Retry()
 	}
 	if tries < 10 || tries > 12 {
 		t.Errorf("%d tries in 20 s", tries)
 	}
 	f.mended()
 	f.clock.wait(f.Store)
-	if st := f.Status(); st.Fault != nil || !st.Purges || f.Ailing() {
+	if st := f.Status(); st.Fault != nil || !st.PurgesDurable || f.Faulty() {
 		t.Errorf("%+v", st)
 	}
 	f.killed()
@@ -242,11 +242,11 @@
 // what it lost; also where it can't be read at first.
 func TestSyncOfSegmentFails(t *testing.T) {
 	for seed := range uint64(20) {
-		f := newFaulty(t, Settings{Sync: SyncSegments, Segment: 4096, Bytes: 1 << 20})
+		f := newFaulty(t, Options{Sync: SyncSegments, SegmentBytes: 4096, MaxBytes: 1 << 20})
 		f.fs.rng = rand.New(rand.NewPCG(seed, 1))
 		keep(t, f.Store, "/a", 1, 1500)
 		keep(t, f.Store, "/b", 1, 1500)
-		reader, buf := f.Find("/a"), make([]byte, 1500)
+		reader, buf := f.Lookup("/a"), make([]byte, 1500)
 		f.fail("sync read", "seg-", syscall.EIO)
 		if _, err := f.Begin(Meta{Key: "/c"}, 3000); !errors.Is(err, syscall.EIO) {
 			t.Fatal(err)
@@ -260,12 +260,12 @@
 		f.clock.wait(f.Store)
 		f.mended()
 		f.clock.wait(f.Store)
-		st, lost := f.Status(), f.Stats.Damaged
-		if st.Fault != nil || st.Unreadable > 0 || lost+f.Stats.Moved != 2 {
-			t.Errorf("seed %d: %+v, %d lost, %d moved", seed, st, lost, f.Stats.Moved)
+		st, lost := f.Status(), f.Stats.Corrupt
+		if st.Fault != nil || st.UnreadableSegments > 0 || lost+f.Stats.Rewritten != 2 {
+			t.Errorf("seed %d: %+v, %d lost, %d moved", seed, st, lost, f.Stats.Rewritten)
 		}
-		f.expect("afterwards", map[string]bool{"/a": f.Find("/a") != nil, "/b": f.Find("/b") != nil}) // with the bytes they had
-		if n, _ := f.Held(); n != 2-int(lost) {
+		f.expect("afterwards", map[string]bool{"/a": f.Lookup("/a") != nil, "/b": f.Lookup("/b") != nil}) // with the bytes they had
+		if n, _ := f.Usage(); n != 2-int(lost) {
 			t.Errorf("seed %d: %d copies", seed, n)
 		}
 	}
@@ -274,7 +274,7 @@
 // A start that was killed while it made the folder one of this form is taken up again; in
 // a folder that has copies, a cut form is one that is not known.
 func TestFormatCutByKill(t *testing.T) {
-	f := newFaulty(t, Settings{})
+	f := newFaulty(t, Options{})
 	keep(t, f.Store, "/a", 1, 100)
 	full := f.fs.killed()
 	for n := range len(formatText) {
@@ -295,7 +295,7 @@
 
 // What waits while the disk fails is bounded.
 func TestWaitingIsBounded(t *testing.T) {
-	f := newFaulty(t, Settings{})
+	f := newFaulty(t, Options{})
 	keep(t, f.Store, "/a", 1, 100)
 	f.fail("read", "", syscall.EIO)
 	f.killed()
@@ -306,7 +306,7 @@
 	}
 	f.mended()
 	f.clock.wait(f.Store)
-	if st := f.Status(); st.Found.Cold == "" || len(f.waiting) > 0 {
+	if st := f.Status(); st.Found.DiscardReason == "" || len(f.waiting) > 0 {
 		t.Errorf("%+v", st)
 	}
 	f.expect("more purges came than are remembered", map[string]bool{"/a": false})
--- a/internal/cachenode/store/hard_test.go
+++ b/internal/cachenode/store/hard_test.go
@@ -44,7 +44,7 @@
 // good reports whether a key is found, with the bytes of its version.
 func good(t testing.TB, s *Store, key string) (version int64, found bool) {
 	t.Helper()
-	c := s.Find(key)
+	c := s.Lookup(key)
 	if c == nil {
 		return 0, false
 	}
@@ -64,7 +64,7 @@
 // there still.
 func TestEveryByte(t *testing.T) {
 	fs := newCrashFS()
-	set := Settings{Bytes: 1 << 20, Segment: 8 << 10}
+	set := Options{MaxBytes: 1 << 20, SegmentBytes: 8 << 10}
 	s, _, err := Open(fs, set)
 	if err != nil {
 		t.Fatal(err)
@@ -124,11 +124,11 @@
 // A folder serves one process; one of another form is refused, and left as it is.
 func TestFolder(t *testing.T) {
 	dir := t.TempDir()
-	s, _, err := Open(Dir(dir), Settings{})
+	s, _, err := Open(Dir(dir), Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := Open(Dir(dir), Settings{}); err == nil || !strings.Contains(err.Error(), dir) {
+	if _, _, err := Open(Dir(dir), Options{}); err == nil || !strings.Contains(err.Error(), dir) {
 		t.Errorf("a second process: %v", err)
 	}
 	keep(t, s, "/a", 1, 5000)
@@ -138,8 +138,8 @@
 	if _, err := s.Begin(Meta{Key: "/b"}, 1); !errors.Is(err, ErrClosed) {
 		t.Error(err)
 	}
-	s, r, err := Open(Dir(dir), Settings{})
-	if err != nil || r.Copies != 1 || r.Bytes != 5000 {
+	s, r, err := Open(Dir(dir), Options{})
+	if err != nil || r.Objects != 1 || r.Bytes != 5000 {
 		t.Fatal(r, err)
 	}
 	if _, ok := good(t, s, "/a"); !ok {
@@ -150,7 +150,7 @@
 		t.Fatal(err)
 	}
 	before, _ := os.ReadDir(dir)
-	_, _, err = Open(Dir(dir), Settings{})
+	_, _, err = Open(Dir(dir), Options{})
 	if after, _ := os.ReadDir(dir); !errors.Is(err, ErrFormat) || !strings.Contains(err.Error(), "empty the folder") || len(after) != len(before) {
 		t.Error(err)
 	}
@@ -161,7 +161,7 @@
 func TestDiskFull(t *testing.T) {
 	fs := newCrashFS()
 	said := ""
-	s, _, err := Open(fs, Settings{Warn: func(w string) { said += w }})
+	s, _, err := Open(fs, Options{Warn: func(w string) { said += w }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -191,7 +191,7 @@
 		}
 	}
 	n := fs.killed()
-	if s, _, err = Open(n, Settings{}); err != nil {
+	if s, _, err = Open(n, Options{}); err != nil {
 		t.Fatal(err)
 	}
 	if _, ok := good(t, s, "/a"); !ok {
@@ -206,13 +206,13 @@
 // A copy that is being read stays readable when its segment is given up, and says that it
 // is void once it is.
 func TestReadWhileEvicted(t *testing.T) {
-	s, _, err := Open(Dir(t.TempDir()), Settings{Bytes: 64 << 10, Segment: 16 << 10})
+	s, _, err := Open(Dir(t.TempDir()), Options{MaxBytes: 64 << 10, SegmentBytes: 16 << 10})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
 	keep(t, s, "/a", 1, 10_000)
-	c := s.Find("/a")
+	c := s.Lookup("/a")
 	for i := range 20 {
 		keep(t, s, fmt.Sprint("/x", i), 1, 10_000)
 	}
@@ -223,22 +223,22 @@
 	if _, err := c.ReadAt(b, 0); err != nil && err != io.EOF || !bytes.Equal(b, bodyOf("/a", 1, 10_000)) {
 		t.Error("its bytes are gone for its reader")
 	}
-	if c.Void() {
+	if c.Purged() {
 		t.Error("it is void, and nobody said so")
 	}
 	s.Purge(Purge{Scope: ByPrefix, Text: "/"})
-	if !c.Void() {
+	if !c.Purged() {
 		t.Error("a purge does not void it")
 	}
 	c.Close()
-	if _, err := s.Begin(Meta{Key: "/big"}, 20_000); !errors.Is(err, ErrFull) {
+	if _, err := s.Begin(Meta{Key: "/big"}, 20_000); !errors.Is(err, ErrTooLarge) {
 		t.Error(err)
 	}
 }
 
 // Tidying keeps what was found, and what ranks high, over many times the room.
 func TestTidyKeepsWhatIsUsed(t *testing.T) {
-	s, _, err := Open(Dir(t.TempDir()), Settings{Bytes: 256 << 10, Segment: 16 << 10})
+	s, _, err := Open(Dir(t.TempDir()), Options{MaxBytes: 256 << 10, SegmentBytes: 16 << 10})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -250,12 +250,12 @@
 			t.Fatalf("it is gone after %d others", i)
 		}
 		for more := true; more; {
-			if _, more, err = s.Tidy(8 << 10); err != nil {
+			if _, more, err = s.Compact(8 << 10); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	if n, used := s.Held(); n < 50 || used > 256<<10 {
+	if n, used := s.Usage(); n < 50 || used > 256<<10 {
 		t.Errorf("%d copies, %d bytes", n, used)
 	}
 }
@@ -263,12 +263,12 @@
 // writeOn is what the killed process does: it keeps copies and purges some, and says on
 // its output what was acknowledged.
 func writeOn(dir string, seed uint64) {
-	s, r, err := Open(Dir(dir), Settings{Bytes: 8 << 20, Segment: 256 << 10})
+	s, r, err := Open(Dir(dir), Options{MaxBytes: 8 << 20, SegmentBytes: 256 << 10})
 	if err != nil {
 		fmt.Println("error", err)
 		os.Exit(1)
 	}
-	fmt.Println("open", r.Copies, r.Cold)
+	fmt.Println("open", r.Objects, r.DiscardReason)
 	rng := rand.New(rand.NewPCG(seed, 9))
 	version := int64(seed) * 1_000_000
 	for {
@@ -293,7 +293,7 @@
 			fmt.Println("kept", key, version)
 		}
 		if rng.IntN(4) == 0 {
-			s.Tidy(64 << 10)
+			s.Compact(64 << 10)
 		}
 	}
 }
@@ -340,8 +340,8 @@
 		}
 		timer.Stop()
 		cmd.Wait()
-		s, r, err := Open(Dir(dir), Settings{Bytes: 8 << 20, Segment: 256 << 10})
-		if err != nil || r.Cold != "" {
+		s, r, err := Open(Dir(dir), Options{MaxBytes: 8 << 20, SegmentBytes: 256 << 10})
+		if err != nil || r.DiscardReason != "" {
 			t.Fatalf("round %d: %+v %v", round, r, err)
 		}
 		for key, v := range last {
--- a/internal/cachenode/store/index_bench_test.go
+++ b/internal/cachenode/store/index_bench_test.go
@@ -69,7 +69,7 @@
 		}
 	})
 	b.Run("own", func(b *testing.B) {
-		s, _, err := Open(Dir(b.TempDir()), Settings{})
+		s, _, err := Open(Dir(b.TempDir()), Options{})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/cachenode/store/store.go
+++ b/internal/cachenode/store/store.go
@@ -26,30 +26,29 @@
 const (
 	SyncPurges   Sync = iota // copies when the kernel gets to it
 	SyncSegments             // when a segment is full, and at Close
-	SyncCopies               // each copy before it is kept
+	SyncObjects              // each copy before it is kept
 )
 
 // Settings is what a store is. Zero fields have the defaults.
-type Settings struct {
-	Bytes    int64 // of bodies and heads on disk; default 1 GB
-	Segment  int64 // of a file; default 64 MB, at most a quarter of Bytes
-	Sync     Sync
-	Rules    int                 // purges by tag and prefix that are looked through for each find; default 256
-	Warn     func(string)        // what an operator should know
-	Checksum func([]byte) uint32 // nil: CRC-32C
-	Now      func() time.Time    // for the backoff of what failed; nil: time.Now
+type Options struct {
+	MaxBytes      int64 // of bodies and heads on disk; default 1 GB
+	SegmentBytes  int64 // of a file; default 64 MB, at most a quarter of Bytes
+	Sync          Sync
+	MaxPurgeRules int              // purges by tag and prefix that are looked through for each find; default 256
+	Warn          func(string)     // what an operator should know
+	Now           func() time.Time // for the backoff of what failed; nil: time.Now
 }
 
-func (s Settings) filled() Settings {
-	if s.Bytes <= 0 {
-		s.Bytes = 1 << 30
+func (s Options) filled() Options {
+	if s.MaxBytes <= 0 {
+		s.MaxBytes = 1 << 30
 	}
-	if s.Segment <= 0 {
-		s.Segment = 64 << 20
+	if s.SegmentBytes <= 0 {
+		s.SegmentBytes = 64 << 20
 	}
-	s.Segment = min(max(s.Segment, 4096), max(s.Bytes/4, 4096))
-	if s.Rules <= 0 {
-		s.Rules = 256
+	s.SegmentBytes = min(max(s.SegmentBytes, 4096), max(s.MaxBytes/4, 4096))
+	if s.MaxPurgeRules <= 0 {
+		s.MaxPurgeRules = 256
 	}
 	if s.Warn == nil {
 		s.Warn = func(string) {}
@@ -75,10 +74,10 @@
 
 // Errors that callers tell apart.
 var (
-	ErrFull    = errors.New("store: larger than a segment may hold")
-	ErrFormat  = errors.New("store: the folder is of another form")
-	ErrClosed  = errors.New("store: closed")
-	ErrDamaged = errors.New("store: damaged")
+	ErrTooLarge = errors.New("store: larger than a segment may hold")
+	ErrFormat   = errors.New("store: the folder is of another form")
+	ErrClosed   = errors.New("store: closed")
+	ErrCorrupt  = errors.New("store: damaged")
 )
 
 const (
@@ -126,7 +125,7 @@
 // Store is an open store.
 type Store struct {
 	fs   FS
-	s    Settings
+	s    Options
 	lock io.Closer
 
 	mu     sync.Mutex
@@ -171,27 +170,37 @@
 	Stats  Stats
 }
 
-// Stats counts what a store has done.
+// Stats counts what a store has done since it was opened. Its JSON keys are those of the
+// cache's state page.
 type Stats struct {
-	Kept, Refused, Found, Missed, Void, Damaged, Evicted, Moved uint64
-	Written, Bodies                                             int64 // bytes to disk, and those of them that are bodies of kept copies
-}
-
-// Recovered is what was found at the start.
+	Stored       uint64 `json:"Kept"`    // objects committed
+	Refused      uint64 `json:"Refused"` // writes not begun, or not committed
+	Hits         uint64 `json:"Found"`   // lookups that found an object
+	Misses       uint64 `json:"Missed"`  // lookups that found none, or one that could not be read
+	Purged       uint64 `json:"Void"`    // objects dropped because a purge covers them
+	Corrupt      uint64 `json:"Damaged"` // objects dropped because their checksum was wrong
+	Evicted      uint64 `json:"Evicted"` // objects dropped with their segment
+	Rewritten    uint64 `json:"Moved"`   // objects written anew into a later segment
+	WrittenBytes int64  `json:"Written"` // all bytes written to disk
+	BodyBytes    int64  `json:"Bodies"`  // of them, the bodies of committed objects
+}
+
+// Recovered is what was found on disk when the store was opened. Its JSON keys are those
+// of the cache's state page.
 type Recovered struct {
-	Copies  int
-	Bytes   int64
-	Purges  int
-	Damaged int      // places in the logs that could not be read
-	Aside   []string // files that were set aside
-	Cold    string   // why nothing is kept of before; empty: it is
+	Objects        int      `json:"Copies"`
+	Bytes          int64    `json:"Bytes"` // of their bodies
+	Purges         int      `json:"Purges"`
+	CorruptEntries int      `json:"Damaged"` // places in the logs that could not be read
+	Quarantined    []string `json:"Aside"`   // always empty; the state page has the key
+	DiscardReason  string   `json:"Cold"`    // why no object of before the start is served; empty: they are
 }
 
 // Open opens a store, or begins one. What is damaged is dropped and said. Where the disk
 // fails, the store is opened all the same: it gives out nothing of before until all of it
 // could be read, keeps nothing until it can be written, and tries again by itself (Status,
 // Mend).
-func Open(fs FS, set Settings) (*Store, Recovered, error) {
+func Open(fs FS, set Options) (*Store, Recovered, error) {
 	s := &Store{fs: fs, s: set.filled(), unread: true, logBroken: true}
 	s.reset()
 	if err := s.attempt(); errors.Is(err, ErrFormat) || s.lock == nil && !passes(err) {
@@ -335,7 +344,7 @@
 		s.nextN = max(s.nextN, n+1)
 		g := &segment{n: n, synced: true}
 		if err := s.open(g); err != nil {
-			g.size = s.s.Segment
+			g.size = s.s.SegmentBytes
 			s.rest(g, err)
 		}
 		s.segs[n] = g
@@ -370,7 +379,7 @@
 			purge(payload)
 		}
 	})
-	r.Damaged += damaged
+	r.CorruptEntries += damaged
 	within = within || len(words) == 0 && indexed
 	damaged, _ = entries(index, func(kind byte, payload []byte) {
 		switch kind {
@@ -386,14 +395,14 @@
 			purge(payload)
 		}
 	})
-	r.Damaged += damaged
+	r.CorruptEntries += damaged
 	switch {
 	case damaged > 0 && within:
-		r.Cold = "both logs are damaged: a purge may be lost"
+		r.DiscardReason = "both logs are damaged: a purge may be lost"
 	case !indexed && len(s.segs) > 0:
-		r.Cold = "there is no index"
+		r.DiscardReason = "there is no index"
 	case s.overrun:
-		r.Cold = "more purges came than are remembered while the logs could not be read"
+		r.DiscardReason = "more purges came than are remembered while the logs could not be read"
 	}
 	return purges
 }
@@ -411,11 +420,11 @@
 		s.number = max(s.number, purges[i].Number)
 	}
 	if newest > s.number {
-		r.Cold = fmt.Sprintf("copies know of purge %d, the logs of %d", newest, s.number)
+		r.DiscardReason = fmt.Sprintf("copies know of purge %d, the logs of %d", newest, s.number)
 		s.number = newest
 	}
-	if r.Cold != "" {
-		s.s.Warn("store: nothing of before is kept: " + r.Cold)
+	if r.DiscardReason != "" {
+		s.s.Warn("store: nothing of before is kept: " + r.DiscardReason)
 		s.slots, s.free, s.byHash = nil, nil, map[uint64]uint32{}
 	}
 	sort.SliceStable(purges, func(i, k int) bool { return purges[i].Number < purges[k].Number })
@@ -434,7 +443,7 @@
 	s.waiting, s.overrun = nil, false
 	s.latest.Store(s.number)
 	for n, g := range s.segs { // what nothing stands in goes
-		if len(g.slots) == 0 || r.Cold != "" {
+		if len(g.slots) == 0 || r.DiscardReason != "" {
 			if g.f != nil {
 				g.f.Close()
 			}
@@ -448,7 +457,7 @@
 	slices.Sort(s.order)
 	for i := range s.slots {
 		if s.slots[i].live() {
-			r.Copies++
+			r.Objects++
 			r.Bytes += s.slots[i].body()
 		}
 	}
@@ -589,7 +598,7 @@
 		s.words.Close()
 	}
 	s.words, s.wordsL = log, int64(len(words))
-	s.Stats.Written += int64(len(words))
+	s.Stats.WrittenBytes += int64(len(words))
 	s.logBroken = false
 	s.removeStale()
 	return nil
@@ -618,7 +627,7 @@
 		length += int64(len(b))
 		return err
 	})
-	s.Stats.Written += length
+	s.Stats.WrittenBytes += length
 	return f, length, err
 }
 
@@ -724,13 +733,13 @@
 func (s *Store) append(f File, at *int64, b []byte) error {
 	err := writeAt(f, b, *at)
 	*at += int64(len(b))
-	s.Stats.Written += int64(len(b))
+	s.Stats.WrittenBytes += int64(len(b))
 	return err
 }
 
 // settleAt is how many purges by tag and prefix without a version there may be before they
 // are settled.
-func (s *Store) settleAt() int { return max(s.s.Rules, s.postponed) }
+func (s *Store) settleAt() int { return max(s.s.MaxPurgeRules, s.postponed) }
 
 // settle looks through all copies for those that purges by tag or prefix void, and
 // forgets these purges. Those with a version stay: older ones may still come. False: some
@@ -745,21 +754,21 @@
 			continue
 		}
 		m, err := s.readMeta(s.segs[p.seg], p)
-		if err != nil && !errors.Is(err, ErrDamaged) {
+		if err != nil && !errors.Is(err, ErrCorrupt) {
 			unreadable++
 		}
 		if err != nil || s.void(p.since, m) {
 			void = append(void, p.hash)
 		}
 	}
-	if unreadable > 0 && s.plain < 4*s.s.Rules {
-		s.postponed = min(2*s.plain, 4*s.s.Rules)
+	if unreadable > 0 && s.plain < 4*s.s.MaxPurgeRules {
+		s.postponed = min(2*s.plain, 4*s.s.MaxPurgeRules)
 		return false
 	}
 	s.postponed = 0
 	for _, h := range void {
 		s.unput(h)
-		s.Stats.Void++
+		s.Stats.Purged++
 	}
 	// what is left was looked at; a fill that is under way was not, and is not kept
 	for i := range s.slots {
@@ -821,11 +830,11 @@
 // parseMeta reads a head, which begins with its own checksum.
 func parseMeta(b []byte) (*Meta, error) {
 	if len(b) < 4 || crc32.Checksum(b[4:], castagnoli) != binary.LittleEndian.Uint32(b) {
-		return nil, ErrDamaged
+		return nil, ErrCorrupt
 	}
 	m := &Meta{}
 	if err := json.Unmarshal(b[4:], m); err != nil {
-		return nil, ErrDamaged
+		return nil, ErrCorrupt
 	}
 	return m, nil
 }
--- a/internal/cachenode/store/store_test.go
+++ b/internal/cachenode/store/store_test.go
@@ -67,11 +67,11 @@
 func checkModel(t *testing.T, faults bool) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 5))
-		set := Settings{Bytes: 64 << 10, Segment: 8 << 10, Sync: Sync(rng.IntN(3)), Rules: 4}
+		set := Options{MaxBytes: 64 << 10, SegmentBytes: 8 << 10, Sync: Sync(rng.IntN(3)), MaxPurgeRules: 4}
 		big := rng.IntN(2) == 0
 		if big { // nothing is given up for room
-			set.Bytes = 64 << 20
-			set.Segment = 32 << 10
+			set.MaxBytes = 64 << 20
+			set.SegmentBytes = 32 << 10
 		}
 		clock := testClock{time.Unix(1_700_000_000, 0)}
 		set.Now = clock.Now
@@ -86,7 +86,7 @@
 		verify := func(mustAll bool) {
 			for i := range 40 {
 				key := fmt.Sprintf("/k/%d", i)
-				c := s.Find(key)
+				c := s.Lookup(key)
 				if c == nil {
 					if k := m.last[key]; mustAll && k != nil && !m.voided(k, true) {
 						t.Fatalf("%s is gone", key)
@@ -124,9 +124,9 @@
 		renewed := map[string]bool{}  // since the last start: a crash may tear their heads
 		lossy, gaveUp := false, false // copies may be lost that are not synced; and any of them
 		settled := func() {           // the disk works: see what is there
-			verify(big && !gaveUp && (!lossy || set.Sync == SyncCopies))
+			verify(big && !gaveUp && (!lossy || set.Sync == SyncObjects))
 			for key, k := range m.last { // what was lost is not missed from here on
-				c := s.Find(key)
+				c := s.Lookup(key)
 				if c == nil {
 					m.last[key] = nil
 					continue
@@ -144,7 +144,7 @@
 		}
 		for range rng.IntN(150) {
 			clock.now = clock.now.Add(time.Duration(rng.IntN(100)) * time.Millisecond)
-			lossy, gaveUp = lossy || fs.lost, gaveUp || s.plain >= 4*set.Rules && fs.fault != nil
+			lossy, gaveUp = lossy || fs.lost, gaveUp || s.plain >= 4*set.MaxPurgeRules && fs.fault != nil
 			switch {
 			case !faults || fs.stopped:
 			case fs.fault == nil && rng.IntN(12) == 0:
@@ -152,13 +152,13 @@
 			case fs.fault != nil && fs.left < 0 && rng.IntN(12) == 0:
 				fs.fault = nil
 				clock.wait(s)
-				if st := s.Status(); st.Fault != nil || st.Unread || !st.Purges {
+				if st := s.Status(); st.Fault != nil || st.LogsUnread || !st.PurgesDurable {
 					t.Fatalf("it does not come back: %+v", st)
 				}
 				settled()
 			}
 			if rng.IntN(30) == 0 {
-				s.Mend()
+				s.Retry()
 			}
 			if fs.stopped || rng.IntN(40) == 0 {
 				how := rng.IntN(3)
@@ -258,7 +258,7 @@
 				m.purges, m.acked = append(m.purges, w), append(m.acked, err == nil)
 			case rng.IntN(3) == 0: // a copy's source has found it good
 				key := fmt.Sprintf("/k/%d", rng.IntN(40))
-				c := s.Find(key)
+				c := s.Lookup(key)
 				if c == nil {
 					continue
 				}
@@ -274,7 +274,7 @@
 				c.Renew(born)
 				c.Close()
 			case rng.IntN(2) == 0:
-				s.Tidy(int64(rng.IntN(8 << 10)))
+				s.Compact(int64(rng.IntN(8 << 10)))
 			default:
 				if !fs.stopped {
 					verify(false)
--- a/internal/cachenode/store/threads.go
+++ b/internal/cachenode/store/threads.go
@@ -14,10 +14,10 @@
 	jobs     chan func()
 	wg       sync.WaitGroup
 
-	mu     sync.Mutex
-	since  map[int]time.Time // of the job that each thread is at
-	closed bool
-	Turned uint64 // jobs that were not taken
+	mu       sync.Mutex
+	since    map[int]time.Time // of the job that each thread is at
+	closed   bool
+	Rejected uint64 // jobs that were not taken
 }
 
 // NewThreads starts n threads with a queue. A disk that has had one job of each thread
@@ -45,7 +45,7 @@
 
 // Do has a thread call f. False: it is not called, since the queue is full, the disk
 // hangs, or the threads are closed. It never waits.
-func (t *Threads) Do(f func()) bool {
+func (t *Threads) Submit(f func()) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.closed && !t.hung() {
@@ -55,7 +55,7 @@
 		default:
 		}
 	}
-	t.Turned++
+	t.Rejected++
 	return false
 }
 
--- a/internal/cachenode/store/threads_test.go
+++ b/internal/cachenode/store/threads_test.go
@@ -13,11 +13,11 @@
 	let := make(chan bool)
 	var ran atomic.Int64
 	for range 2 {
-		if !th.Do(func() { <-let; ran.Add(1) }) {
+		if !th.Submit(func() { <-let; ran.Add(1) }) {
 			t.Fatal("not taken")
 		}
 	}
-	for i := 0; th.Do(func() { ran.Add(1) }); i++ { // the queue fills
+	for i := 0; th.Submit(func() { ran.Add(1) }); i++ { // the queue fills
 		if i > 6 {
 			t.Fatal("the queue has no bound")
 		}
@@ -32,17 +32,17 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	at := time.Now()
-	if !th.Hung() || th.Do(func() {}) || time.Since(at) > 40*time.Millisecond {
+	if !th.Hung() || th.Submit(func() {}) || time.Since(at) > 40*time.Millisecond {
 		t.Error("what hangs is not seen, or is waited for")
 	}
 	close(let)
 	for range 200 {
-		if !th.Hung() && th.Do(func() { ran.Add(1) }) {
+		if !th.Hung() && th.Submit(func() { ran.Add(1) }) {
 			th.Close()
 			if n := ran.Load(); n < 5 {
 				t.Errorf("%d jobs ran", n)
 			}
-			if th.Do(func() {}) {
+			if th.Submit(func() {}) {
 				t.Error("taken after the end")
 			}
 			return
--- a/internal/cachenode/store/tidy.go
+++ b/internal/cachenode/store/tidy.go
@@ -11,13 +11,13 @@
 // first, copies that were found since they were written, and those of rank 3, are written
 // anew, and then it is given up. more: there is more to do. Whoever owns the store calls it
 // between its writes; without, Begin gives up whole segments.
-func (s *Store) Tidy(most int64) (moved int64, more bool, err error) {
+func (s *Store) Compact(most int64) (moved int64, more bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed || s.failure != nil {
 		return 0, false, nil
 	}
-	for len(s.order) > 1 && s.used > s.s.Bytes-2*s.s.Segment {
+	for len(s.order) > 1 && s.used > s.s.MaxBytes-2*s.s.SegmentBytes {
 		g := s.segs[s.order[0]]
 		if !s.readable(g) { // its copies may be read later; without room, Begin gives it up
 			return moved, false, nil
@@ -54,9 +54,9 @@
 	b := make([]byte, int64(p.meta())+p.body())
 	_, err := g.f.ReadAt(b, int64(p.off)*8)
 	if errors.Is(err, io.EOF) {
-		err = ErrDamaged
+		err = ErrCorrupt
 	}
-	if err != nil && !errors.Is(err, ErrDamaged) {
+	if err != nil && !errors.Is(err, ErrCorrupt) {
 		s.rest(g, err)
 		return 0, nil
 	}
@@ -65,11 +65,11 @@
 		m, err = parseMeta(b[:p.meta()])
 	}
 	if err == nil && crc32.Checksum(b[p.meta():], castagnoli) != p.crc {
-		err = ErrDamaged
+		err = ErrCorrupt
 	}
 	if err != nil || s.void(p.since, m) {
 		if err != nil {
-			s.Stats.Damaged++
+			s.Stats.Corrupt++
 			s.s.Warn(fmt.Sprintf("store: a copy in %s at byte %d is given up: %v", segmentName(p.seg), int64(p.off)*8, err))
 		}
 		s.unput(p.hash)
@@ -83,7 +83,7 @@
 	if err := writeAt(w.g.f, b, int64(w.p.off)*8); err != nil {
 		return 0, s.failSegment("write", w.g, err)
 	}
-	s.Stats.Written += int64(len(b))
+	s.Stats.WrittenBytes += int64(len(b))
 	if s.segs[w.g.n] != w.g || s.segs[g.n] != g {
 		return 0, nil
 	}
@@ -94,6 +94,6 @@
 	s.put(w.p)
 	w.g.synced = false
 	s.slots[s.byHash[p.hash]].lens |= flagChecked | flagMoved | p.lens&flagKnown
-	s.Stats.Moved++
+	s.Stats.Rewritten++
 	return p.size(), nil
 }
--- a/internal/proxy/hotrestart/handover.go
+++ b/internal/proxy/hotrestart/handover.go
@@ -46,38 +46,38 @@
 )
 
 // ErrNobody says that no predecessor is there.
-var ErrNobody = errors.New("handover: nobody to take over from")
+var ErrNoPredecessor = errors.New("handover: nobody to take over from")
 
 // Given is what a predecessor hands over first. Descriptors stay the giver's.
-type Given struct {
+type Handover struct {
 	Listener, Admin int // 0: none
-	Memory          []byte
-	Peers           []byte // what is known of clients
-	Version         []byte // of the settings, that it goes by; nil: the file
+	LearnedState    []byte
+	Clients         []byte // what is known of clients
+	ConfigVersion   []byte // of the settings, that it goes by; nil: the file
 }
 
 // Offer is what a predecessor offers. Its functions are called one at a time.
-type Offer struct {
-	Path  string
-	Ready time.Duration          // that a successor may take until it serves
-	Ask   func() (*Given, error) // a successor has come
-	Go    func(to *Sender)       // it serves
-	Fail  func(err error)        // it went, or took too long, after Ask
-	Heard func(version []byte)   // after Go: it goes by another version of the settings
-	Noted func(json []byte)      // after Go: a note of its
-	Warn  func(text string)      // for the operator
+type Options struct {
+	Path            string
+	ReadyTimeout    time.Duration             // that a successor may take until it serves
+	Prepare         func() (*Handover, error) // a successor has come
+	OnServing       func(to *Sender)          // it serves
+	OnFailure       func(err error)           // it went, or took too long, after Ask
+	OnConfigVersion func(version []byte)      // after Go: it goes by another version of the settings
+	OnNote          func(json []byte)         // after Go: a note of its
+	Warn            func(text string)         // for the operator
 }
 
 // Server waits for a successor.
 type Server struct {
-	o    Offer
+	o    Options
 	ln   *net.UnixListener
 	done chan struct{}
 	wg   sync.WaitGroup
 }
 
 // Listen begins to wait. A socket that an ended process has left is replaced.
-func Listen(o Offer) (*Server, error) {
+func Listen(o Options) (*Server, error) {
 	if o.Warn == nil {
 		o.Warn = func(string) {}
 	}
@@ -147,13 +147,13 @@
 		c.Write(append([]byte{kRefuse}, fmt.Sprintf("this process speaks version %d", Version)...))
 		return false, fmt.Errorf("handover: a successor speaks another version: %q", buf[:n])
 	}
-	g, err := s.o.Ask()
+	g, err := s.o.Prepare()
 	if err != nil {
 		c.Write(append([]byte{kRefuse}, err.Error()...))
 		return false, fmt.Errorf("handover: %w", err)
 	}
 	if err = give(c, g); err == nil {
-		c.SetDeadline(time.Now().Add(s.o.Ready))
+		c.SetDeadline(time.Now().Add(s.o.ReadyTimeout))
 		stop := make(chan struct{})
 		go func() {
 			select {
@@ -170,14 +170,14 @@
 	}
 	if err != nil {
 		err = fmt.Errorf("handover: the successor does not serve, this process goes on: %w", err)
-		s.o.Fail(err)
+		s.o.OnFailure(err)
 		return false, err
 	}
 	c.SetDeadline(time.Time{})
 	s.ln.Close() // the path is the successor's to listen at
 	to := &Sender{c: c, q: make(chan any, waiting), done: make(chan struct{})}
 	go to.run()
-	s.o.Go(to)
+	s.o.OnServing(to)
 	go s.hear(c)
 	return true, nil
 }
@@ -194,11 +194,11 @@
 		switch {
 		case buf[0] == kVersion && len(version)+n <= mostBytes:
 			version = append(version, buf[1:n]...)
-		case buf[0] == kWhole && s.o.Heard != nil:
-			s.o.Heard(version)
+		case buf[0] == kWhole && s.o.OnConfigVersion != nil:
+			s.o.OnConfigVersion(version)
 			version = nil
-		case buf[0] == kNote && s.o.Noted != nil:
-			s.o.Noted(buf[1:n])
+		case buf[0] == kNote && s.o.OnNote != nil:
+			s.o.OnNote(buf[1:n])
 		default:
 			return
 		}
@@ -221,7 +221,7 @@
 	return nil
 }
 
-func give(c *net.UnixConn, g *Given) error {
+func give(c *net.UnixConn, g *Handover) error {
 	var fds []int
 	what := []byte{kSockets}
 	for _, one := range []struct {
@@ -235,13 +235,13 @@
 	if _, _, err := c.WriteMsgUnix(what, unix.UnixRights(fds...), nil); err != nil {
 		return err
 	}
-	if err := parts(c, kMemory, g.Memory); err != nil {
+	if err := parts(c, kMemory, g.LearnedState); err != nil {
 		return err
 	}
-	if err := parts(c, kPeers, g.Peers); err != nil {
+	if err := parts(c, kPeers, g.Clients); err != nil {
 		return err
 	}
-	if err := parts(c, kVersion, g.Version); err != nil {
+	if err := parts(c, kVersion, g.ConfigVersion); err != nil {
 		return err
 	}
 	_, err := c.Write([]byte{kWhole})
@@ -272,10 +272,10 @@
 
 // Conn passes a descriptor on, and closes it here. False: it can't be passed any
 // more, and stays the caller's. It never blocks.
-func (s *Sender) Conn(fd int) bool { return s.put(fd) }
+func (s *Sender) SendConn(fd int) bool { return s.put(fd) }
 
 // Note passes a note on.
-func (s *Sender) Note(v any) bool {
+func (s *Sender) SendNote(v any) bool {
 	b, err := json.Marshal(v)
 	return err == nil && len(b) < partBytes && s.put(append([]byte{kNote}, b...))
 }
@@ -347,19 +347,19 @@
 // Inherited is what a successor has got. Its descriptors are the holder's.
 type Inherited struct {
 	Listener, Admin int // 0: none
-	Memory          []byte
-	Peers           []byte // what is known of clients
-	Version         []byte // of the settings, that it goes by; nil: the file
+	LearnedState    []byte
+	Clients         []byte // what is known of clients
+	ConfigVersion   []byte // of the settings, that it goes by; nil: the file
 	c               *net.UnixConn
 	mu              sync.Mutex // of what is said after Ready
 }
 
 // Ask takes over from the process that offers at a path. ErrNobody: there is none.
-func Ask(path string) (*Inherited, error) {
+func TakeOver(path string) (*Inherited, error) {
 	c, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if err != nil {
 		if errors.Is(err, unix.ENOENT) || errors.Is(err, unix.ECONNREFUSED) {
-			return nil, ErrNobody
+			return nil, ErrNoPredecessor
 		}
 		return nil, fmt.Errorf("handover: %s: %w", path, err)
 	}
@@ -408,7 +408,7 @@
 		case kVersion:
 			version = append(version, b[1:]...)
 		case kWhole:
-			in.Memory, in.Peers, in.Version = memory, peers, version
+			in.LearnedState, in.Clients, in.ConfigVersion = memory, peers, version
 			in.c.SetDeadline(time.Time{})
 			return nil
 		default:
@@ -449,7 +449,7 @@
 
 // Tell says, after Ready, that this process goes by another version of the settings: the
 // predecessor follows nobody any more, and has to hear who drains until it ends.
-func (in *Inherited) Tell(version []byte) error {
+func (in *Inherited) SendConfigVersion(version []byte) error {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.c.SetWriteDeadline(time.Now().Add(step))
@@ -463,7 +463,7 @@
 }
 
 // Note tells the predecessor, after Ready, what came to this process only.
-func (in *Inherited) Note(v any) error {
+func (in *Inherited) SendNote(v any) error {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return err
--- a/internal/proxy/hotrestart/handover_test.go
+++ b/internal/proxy/hotrestart/handover_test.go
@@ -21,7 +21,7 @@
 	t      *testing.T
 	path   string
 	ln     *net.TCPListener
-	given  Given
+	given  Handover
 	server *Server
 
 	mu     sync.Mutex
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	g := &giver{t: t, path: filepath.Join(t.TempDir(), "handover"), ln: ln.(*net.TCPListener),
-		given: Given{Listener: int(f.Fd()), Memory: bytes.Repeat([]byte("memory "), 30000), Peers: []byte("peers"), Version: bytes.Repeat([]byte("version "), 20000)}}
+		given: Handover{Listener: int(f.Fd()), LearnedState: bytes.Repeat([]byte("memory "), 30000), Clients: []byte("peers"), ConfigVersion: bytes.Repeat([]byte("version "), 20000)}}
 	t.Cleanup(func() { f.Close(); ln.Close() })
 	g.offer(ready)
 	return g
@@ -49,12 +49,12 @@
 
 func (g *giver) offer(ready time.Duration) {
 	var err error
-	g.server, err = Listen(Offer{Path: g.path, Ready: ready,
-		Ask:   func() (*Given, error) { return &g.given, nil },
-		Go:    func(to *Sender) { g.mu.Lock(); g.to = to; g.mu.Unlock() },
-		Fail:  func(err error) { g.mu.Lock(); g.failed = append(g.failed, err); g.mu.Unlock() },
-		Heard: func(b []byte) { g.mu.Lock(); g.heard = append(g.heard, b); g.mu.Unlock() },
-		Warn:  func(s string) { g.mu.Lock(); g.warned = append(g.warned, s); g.mu.Unlock() }})
+	g.server, err = Listen(Options{Path: g.path, ReadyTimeout: ready,
+		Prepare:         func() (*Handover, error) { return &g.given, nil },
+		OnServing:       func(to *Sender) { g.mu.Lock(); g.to = to; g.mu.Unlock() },
+		OnFailure:       func(err error) { g.mu.Lock(); g.failed = append(g.failed, err); g.mu.Unlock() },
+		OnConfigVersion: func(b []byte) { g.mu.Lock(); g.heard = append(g.heard, b); g.mu.Unlock() },
+		Warn:            func(s string) { g.mu.Lock(); g.warned = append(g.warned, s); g.mu.Unlock() }})
 	if err != nil {
 		g.t.Fatal(err)
 	}
@@ -79,12 +79,12 @@
 // with notes between them in their order, versions the other way, and the end.
 func TestTakesOver(t *testing.T) {
 	g := newGiver(t, 5*time.Second)
-	in, err := Ask(g.path)
+	in, err := TakeOver(g.path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(in.Memory, g.given.Memory) || !bytes.Equal(in.Version, g.given.Version) || string(in.Peers) != "peers" || in.Listener <= 0 || in.Admin != 0 {
-		t.Fatalf("%d bytes of memory, %d of a version, listener %d, admin %d", len(in.Memory), len(in.Version), in.Listener, in.Admin)
+	if !bytes.Equal(in.LearnedState, g.given.LearnedState) || !bytes.Equal(in.ConfigVersion, g.given.ConfigVersion) || string(in.Clients) != "peers" || in.Listener <= 0 || in.Admin != 0 {
+		t.Fatalf("%d bytes of memory, %d of a version, listener %d, admin %d", len(in.LearnedState), len(in.ConfigVersion), in.Listener, in.Admin)
 	}
 	f := os.NewFile(uintptr(in.Listener), "listener")
 	ln, err := net.FileListener(f)
@@ -130,10 +130,10 @@
 		fd, err := unix.Dup(int(raw.Fd()))
 		raw.Close()
 		a.Close()
-		if err != nil || !g.to.Conn(fd) {
+		if err != nil || !g.to.SendConn(fd) {
 			t.Fatal(err, "a connection is not taken")
 		}
-		if i == conns/2 && !g.to.Note(map[string]int{"half": i}) {
+		if i == conns/2 && !g.to.SendNote(map[string]int{"half": i}) {
 			t.Fatal("a note is not taken")
 		}
 	}
@@ -153,7 +153,7 @@
 		}
 	}
 	for _, v := range []string{"small", strings.Repeat("large ", 40000)} {
-		if err := in.Tell([]byte(v)); err != nil {
+		if err := in.SendConfigVersion([]byte(v)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -164,10 +164,10 @@
 	case <-time.After(5 * time.Second):
 		t.Fatal("the successor does not hear of the end")
 	}
-	if g.to.Sent != conns || g.to.Conn(0) || g.to.Note(1) {
+	if g.to.Sent != conns || g.to.SendConn(0) || g.to.SendNote(1) {
 		t.Errorf("%d sent, and one more after the end", g.to.Sent)
 	}
-	if _, err := Ask(g.path); !errors.Is(err, ErrNobody) { // the path is the successor's to offer at
+	if _, err := TakeOver(g.path); !errors.Is(err, ErrNoPredecessor) { // the path is the successor's to offer at
 		t.Errorf("who asks the one that has left gets %v", err)
 	}
 }
@@ -198,8 +198,8 @@
 			c.do(conn)
 			conn.Close()
 			g.await("the warning", func() bool { return len(g.warned) == 1 && (len(g.failed) == 1) == c.got })
-			in, err := Ask(g.path)
-			if err != nil || !bytes.Equal(in.Memory, g.given.Memory) {
+			in, err := TakeOver(g.path)
+			if err != nil || !bytes.Equal(in.LearnedState, g.given.LearnedState) {
 				t.Fatal("the next one gets nothing:", err)
 			}
 			in.Abort()
@@ -230,7 +230,7 @@
 // clients see an end and not silence.
 func TestSuccessorDies(t *testing.T) {
 	g := newGiver(t, 5*time.Second)
-	in, err := Ask(g.path)
+	in, err := TakeOver(g.path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -245,7 +245,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !g.to.Conn(pair[0]) {
+		if !g.to.SendConn(pair[0]) {
 			unix.Close(pair[0])
 			unix.Close(pair[1])
 			break
@@ -267,7 +267,7 @@
 // socket that was left behind is replaced, and a file that is none is not.
 func TestPredecessorFails(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "handover")
-	if _, err := Ask(path); !errors.Is(err, ErrNobody) {
+	if _, err := TakeOver(path); !errors.Is(err, ErrNoPredecessor) {
 		t.Errorf("nobody: %v", err)
 	}
 	for name, say := range map[string][][]byte{
@@ -290,7 +290,7 @@
 			}
 			c.Close()
 		}()
-		if in, err := Ask(path); err == nil || errors.Is(err, ErrNobody) || in != nil {
+		if in, err := TakeOver(path); err == nil || errors.Is(err, ErrNoPredecessor) || in != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 		ln.Close()
@@ -301,20 +301,20 @@
 	}
 	left.SetUnlinkOnClose(false)
 	left.Close()
-	if _, err := Ask(path); !errors.Is(err, ErrNobody) {
+	if _, err := TakeOver(path); !errors.Is(err, ErrNoPredecessor) {
 		t.Errorf("a socket that was left: %v", err)
 	}
-	s, err := Listen(Offer{Path: path, Ask: func() (*Given, error) { return nil, errors.New("not now") }})
+	s, err := Listen(Options{Path: path, Prepare: func() (*Handover, error) { return nil, errors.New("not now") }})
 	if err != nil {
 		t.Fatal("a socket that was left:", err)
 	}
-	if _, err := Ask(path); err == nil || !strings.Contains(err.Error(), "not now") {
+	if _, err := TakeOver(path); err == nil || !strings.Contains(err.Error(), "not now") {
 		t.Errorf("one that refuses: %v", err)
 	}
 	s.Close()
 	file := filepath.Join(t.TempDir(), "precious")
 	os.WriteFile(file, []byte("x"), 0o600)
-	if _, err := Listen(Offer{Path: file}); err == nil || !strings.Contains(err.Error(), "name a path") {
+	if _, err := Listen(Options{Path: file}); err == nil || !strings.Contains(err.Error(), "name a path") {
 		t.Errorf("a file in the way: %v", err)
 	}
 	if b, err := os.ReadFile(file); string(b) != "x" {
--- a/internal/proxy/httpfront/handover.go
+++ b/internal/proxy/httpfront/handover.go
@@ -41,8 +41,8 @@
 	if s.Router.Handover == "" {
 		return nil, nil
 	}
-	in, err := hotrestart.Ask(s.Router.Handover)
-	if errors.Is(err, hotrestart.ErrNobody) {
+	in, err := hotrestart.TakeOver(s.Router.Handover)
+	if errors.Is(err, hotrestart.ErrNoPredecessor) {
 		return nil, nil
 	}
 	return in, err
@@ -81,16 +81,16 @@
 		return
 	}
 	var peers []limits.Known
-	if len(e.inherited.Peers) > 0 {
-		if err := json.Unmarshal(e.inherited.Peers, &peers); err != nil {
+	if len(e.inherited.Clients) > 0 {
+		if err := json.Unmarshal(e.inherited.Clients, &peers); err != nil {
 			e.log.Log.Warn("what the predecessor knew of clients is not used", zap.Error(err))
 		}
 		e.guard.standing.Recall(peers, e.l.Now())
 	}
-	if len(e.inherited.Memory) == 0 {
+	if len(e.inherited.LearnedState) == 0 {
 		return
 	}
-	m, err := learnedstate.Decode(e.inherited.Memory)
+	m, err := learnedstate.Decode(e.inherited.LearnedState)
 	if err != nil {
 		e.log.Log.Warn("the predecessor's memory is not used: this router starts as new", zap.Error(err))
 		return
@@ -99,7 +99,7 @@
 	for i := range acts {
 		e.carryOut(acts[i])
 	}
-	e.log.Log.Info("goes on from its predecessor", zap.Int("members", len(m.Members)), zap.Int("bytes", len(e.inherited.Memory)))
+	e.log.Log.Info("goes on from its predecessor", zap.Int("members", len(m.Members)), zap.Int("bytes", len(e.inherited.LearnedState)))
 }
 
 // serves tells the predecessor that this router serves, and takes its connections.
@@ -114,7 +114,7 @@
 		for {
 			err := e.l.Post(func() {
 				if e.draining { // it has a successor of its own by now, or ends
-					if e.successor == nil || !e.successor.Conn(fd) {
+					if e.successor == nil || !e.successor.SendConn(fd) {
 						unix.Close(fd)
 					}
 					return
@@ -147,7 +147,7 @@
 			e.Query(func(*Stats, *engine.Core) {
 				e.news(&engine.News{Purge: &p})
 				if e.successor != nil {
-					e.successor.Note(&p)
+					e.successor.SendNote(&p)
 				}
 			})
 		}
@@ -176,7 +176,7 @@
 	}
 	b, err := json.Marshal(v)
 	if err == nil {
-		err = e.inherited.Tell(b)
+		err = e.inherited.SendConfigVersion(b)
 	}
 	if err != nil && e.followed.Swap(false) {
 		e.log.Log.Warn("the predecessor is not told of a version", zap.Int64("version", v.Number), zap.Error(err))
@@ -189,7 +189,7 @@
 	if !e.followed.Load() {
 		return
 	}
-	if err := e.inherited.Note(p); err != nil && e.followed.Swap(false) {
+	if err := e.inherited.SendNote(p); err != nil && e.followed.Swap(false) {
 		e.log.Log.Warn("the predecessor is not told of a purge", zap.Error(err))
 	}
 }
@@ -226,18 +226,18 @@
 	if path == "" {
 		return nil
 	}
-	srv, err := hotrestart.Listen(hotrestart.Offer{Path: path, Ready: time.Duration(e.s.Limits.Successor) * time.Millisecond,
-		Ask: func() (g *hotrestart.Given, err error) {
+	srv, err := hotrestart.Listen(hotrestart.Options{Path: path, ReadyTimeout: time.Duration(e.s.Limits.Successor) * time.Millisecond,
+		Prepare: func() (g *hotrestart.Handover, err error) {
 			qerr := e.l.Call(5*time.Second, func() { g, err = e.give() })
 			if err = errors.Join(qerr, err); err == nil && e.versions != nil {
 				if v := e.versions.agent.Accepted(); v.Number > 0 {
-					g.Version, err = json.Marshal(v)
+					g.ConfigVersion, err = json.Marshal(v)
 				}
 				e.versions.lend()
 			}
 			return g, err
 		},
-		Go: func(to *hotrestart.Sender) {
+		OnServing: func(to *hotrestart.Sender) {
 			if e.versions != nil {
 				e.versions.agent.Close() // the successor follows from now on
 			}
@@ -245,20 +245,20 @@
 				to.Close()
 			}
 		},
-		Fail: func(error) {
+		OnFailure: func(error) {
 			e.l.Call(5*time.Second, func() {
 				e.leaving, e.since = false, nil
 				e.tell(spool.Retired{})
 			})
 			go e.versions.regain()
 		},
-		Heard: func(b []byte) {
+		OnConfigVersion: func(b []byte) {
 			if e.versions != nil {
 				e.heardVersion(b)
 			}
 		},
-		Noted: e.heardPurge,
-		Warn:  func(text string) { e.log.Log.Warn(text) }})
+		OnNote: e.heardPurge,
+		Warn:   func(text string) { e.log.Log.Warn(text) }})
 	if err != nil {
 		return err
 	}
@@ -267,7 +267,7 @@
 }
 
 // give is what a successor gets first. From now on cold budgets are its to spend.
-func (e *Edge) give() (*hotrestart.Given, error) {
+func (e *Edge) give() (*hotrestart.Handover, error) {
 	if e.draining {
 		return nil, errors.New("this router drains already")
 	}
@@ -281,7 +281,7 @@
 	}
 	e.leaving, e.since = true, nil
 	e.tell(spool.Retired{On: true})
-	g := &hotrestart.Given{Listener: e.lfd, Memory: b, Peers: peers}
+	g := &hotrestart.Handover{Listener: e.lfd, LearnedState: b, Clients: peers}
 	if e.adminFile != nil {
 		g.Admin = int(e.adminFile.Fd())
 		unix.SetNonblock(g.Admin, true) // Fd has ended that, for the listener too
@@ -298,7 +298,7 @@
 		return
 	}
 	for i := range e.since { // what was purged since the memory was taken
-		to.Note(&e.since[i])
+		to.SendNote(&e.since[i])
 	}
 	e.leaving, e.since, e.successor = false, nil, to
 	if e.stopAdmin != nil {
@@ -319,7 +319,7 @@
 	if !c.detach() {
 		return false
 	}
-	if !e.successor.Conn(fd) {
+	if !e.successor.SendConn(fd) {
 		unix.Close(fd)
 	} else {
 		e.stats.HandedOut++
--- a/internal/proxy/httpfront/handover_test.go
+++ b/internal/proxy/httpfront/handover_test.go
@@ -333,8 +333,8 @@
 func TestSuccessorFails(t *testing.T) {
 	r := newRelay(t, 2, "(successor 400)")
 	for _, how := range []string{"goes", "hangs"} {
-		in, err := hotrestart.Ask(r.path)
-		if err != nil || in.Listener == 0 || len(in.Memory) == 0 {
+		in, err := hotrestart.TakeOver(r.path)
+		if err != nil || in.Listener == 0 || len(in.LearnedState) == 0 {
 			t.Fatal(how, err)
 		}
 		if how == "goes" {
@@ -381,12 +381,12 @@
 	}
 	ln.Close()
 	served := make(chan *hotrestart.Sender, 1)
-	srv, err := hotrestart.Listen(hotrestart.Offer{Path: r.path, Ready: 5 * time.Second,
-		Ask: func() (*hotrestart.Given, error) {
-			return &hotrestart.Given{Listener: int(f.Fd()), Memory: []byte("SPOOLM\x01\x00nonsense")}, nil
+	srv, err := hotrestart.Listen(hotrestart.Options{Path: r.path, ReadyTimeout: 5 * time.Second,
+		Prepare: func() (*hotrestart.Handover, error) {
+			return &hotrestart.Handover{Listener: int(f.Fd()), LearnedState: []byte("SPOOLM\x01\x00nonsense")}, nil
 		},
-		Go:   func(s *hotrestart.Sender) { served <- s },
-		Fail: func(err error) { t.Error(err) }})
+		OnServing: func(s *hotrestart.Sender) { served <- s },
+		OnFailure: func(err error) { t.Error(err) }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -412,7 +412,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !to.Note(&engine.PurgeNews{Object: "/s/1/0"}) || !to.Conn(pair[0]) {
+	if !to.SendNote(&engine.PurgeNews{Object: "/s/1/0"}) || !to.SendConn(pair[0]) {
 		t.Error("nothing can be passed on")
 	}
 	unix.Write(pair[1], []byte("GET /s/1/0 HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"))
@@ -431,7 +431,7 @@
 // Nobody there, or the socket of one that was killed: the router starts as new.
 func TestNobodyToTakeOverFrom(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "h")
-	if _, err := hotrestart.Ask(path); !errors.Is(err, hotrestart.ErrNobody) {
+	if _, err := hotrestart.TakeOver(path); !errors.Is(err, hotrestart.ErrNoPredecessor) {
 		t.Error(err)
 	}
 	ln, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
@@ -440,15 +440,15 @@
 	}
 	ln.SetUnlinkOnClose(false)
 	ln.Close()
-	if _, err := hotrestart.Ask(path); !errors.Is(err, hotrestart.ErrNobody) {
+	if _, err := hotrestart.TakeOver(path); !errors.Is(err, hotrestart.ErrNoPredecessor) {
 		t.Error(err)
 	}
-	srv, err := hotrestart.Listen(hotrestart.Offer{Path: path, Ready: time.Second, Ask: func() (*hotrestart.Given, error) { return nil, errors.New("not now") }})
+	srv, err := hotrestart.Listen(hotrestart.Options{Path: path, ReadyTimeout: time.Second, Prepare: func() (*hotrestart.Handover, error) { return nil, errors.New("not now") }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer srv.Close()
-	if _, err := hotrestart.Ask(path); err == nil || !strings.Contains(err.Error(), "not now") {
+	if _, err := hotrestart.TakeOver(path); err == nil || !strings.Contains(err.Error(), "not now") {
 		t.Error(err)
 	}
 }
--- a/internal/proxy/httpfront/versions.go
+++ b/internal/proxy/httpfront/versions.go
@@ -70,8 +70,8 @@
 	if c.Report > 0 {
 		cfg.Tally = v.tally
 	}
-	if cfg.Held = in != nil; cfg.Held && len(in.Version) > 0 {
-		if err := json.Unmarshal(in.Version, &cfg.Known); err != nil {
+	if cfg.Held = in != nil; cfg.Held && len(in.ConfigVersion) > 0 {
+		if err := json.Unmarshal(in.ConfigVersion, &cfg.Known); err != nil {
 			log.Log.Warn("the predecessor's version can't be read", zap.Error(err))
 		}
 	}
--- a/internal/proxy/httpfront/versions_test.go
+++ b/internal/proxy/httpfront/versions_test.go
@@ -399,8 +399,8 @@
 			}
 
 			// one that asks and fails: all goes on, and versions are kept again
-			in, err := hotrestart.Ask(path)
-			if err != nil || len(in.Version) == 0 {
+			in, err := hotrestart.TakeOver(path)
+			if err != nil || len(in.ConfigVersion) == 0 {
 				t.Fatal(err)
 			}
 			number = v.push(versionText, true) // while the store is lent
--- a/internal/proxy/learnedstate/memory.go
+++ b/internal/proxy/learnedstate/memory.go
@@ -27,7 +27,7 @@
 var table = crc32.MakeTable(crc32.Castagnoli)
 
 // ErrDamaged says that bytes are not what was written, whole.
-var ErrDamaged = errors.New("memory: it is damaged, or not whole")
+var ErrCorrupt = errors.New("memory: it is damaged, or not whole")
 
 // ErrVersion says that they are of another version of the form.
 var ErrVersion = errors.New("memory: it is of another version")
@@ -64,17 +64,17 @@
 
 func decode(b []byte, v any) error {
 	if len(b) < headLen || string(b[:len(magic)]) != magic {
-		return ErrDamaged
+		return ErrCorrupt
 	}
 	if got := binary.LittleEndian.Uint16(b[len(magic):]); got != Version {
 		return fmt.Errorf("%w: %d, this program reads %d", ErrVersion, got, Version)
 	}
 	body := b[headLen:]
 	if int(binary.LittleEndian.Uint32(b[len(magic)+2:])) != len(body) || binary.LittleEndian.Uint32(b[len(magic)+6:]) != crc32.Checksum(body, table) {
-		return ErrDamaged
+		return ErrCorrupt
 	}
 	if err := cbor.Unmarshal(body, v); err != nil {
-		return fmt.Errorf("%w: %w", ErrDamaged, err)
+		return fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	return nil
 }
--- a/internal/proxy/learnedstate/memory_test.go
+++ b/internal/proxy/learnedstate/memory_test.go
@@ -59,16 +59,16 @@
 		t.Fatal(err)
 	}
 	for i := range b {
-		if _, err := Decode(b[:i]); !errors.Is(err, ErrDamaged) {
+		if _, err := Decode(b[:i]); !errors.Is(err, ErrCorrupt) {
 			t.Fatalf("%d bytes: %v", i, err)
 		}
 		bad := append([]byte(nil), b...)
 		bad[i] ^= 0x41
-		if _, err := Decode(bad); !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrVersion) {
+		if _, err := Decode(bad); !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrVersion) {
 			t.Fatalf("byte %d changed: %v", i, err)
 		}
 	}
-	if _, err := Decode(append(b, 0)); !errors.Is(err, ErrDamaged) {
+	if _, err := Decode(append(b, 0)); !errors.Is(err, ErrCorrupt) {
 		t.Error(err)
 	}
 	b[len(magic)]++
