--- a/internal/cachenode/store/tidy.go
+++ b/internal/cachenode/store/compact.go
@@ -97,3 +97,27 @@
 	s.Stats.Rewritten++
 	return p.size(), nil
 }
+
+// rewrite writes the copies anew that stand in segments whose sync failed, as far as their
+// checksums say that the kernel has them still.
+func (s *Store) rewrite() error {
+	for _, n := range append([]uint32(nil), s.order...) {
+		g := s.segs[n]
+		if g == nil || !s.distrusted(g) || g.fault != nil && !g.retry.due(s.s.Now()) {
+			continue
+		}
+		g.fault = nil
+		for len(g.slots) > 0 {
+			if _, err := s.move(g, s.slots[g.slots[0]]); err != nil {
+				return err
+			}
+			if s.segs[n] != g || g.fault != nil { // given up for room, or it can't be read now
+				break
+			}
+		}
+		if s.segs[n] == g && len(g.slots) == 0 {
+			s.evict(n)
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/cachenode/store/corruption_test.go
@@ -0,0 +1,69 @@
+package store
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+)
+
+// Every single byte of every file flipped, and every file cut at every length: what is
+// given out is right, nothing that was purged comes back, and what is not touched is
+// there still.
+func TestEveryByte(t *testing.T) {
+	fs := newCrashFS()
+	set := Options{MaxBytes: 1 << 20, SegmentBytes: 8 << 10}
+	s, _, err := Open(fs, set)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i := range 12 {
+		keep(t, s, fmt.Sprint("/k/", i), 1, 40+i*7)
+	}
+	for i := range 4 {
+		if _, err := s.Purge(Purge{Scope: ByObject, Text: fmt.Sprint("/k/", i)}); err != nil {
+			t.Fatal(err)
+		}
+	}
+	keep(t, s, "/k/20", 1, 100)
+	if _, err := s.Purge(Purge{Scope: ByObject, Text: "/k/4"}); err != nil { // the last thing before the end
+		t.Fatal(err)
+	}
+	names, _ := fs.List()
+	found, tries := 0, 0
+	try := func(what string, name string, data []byte) {
+		tries++
+		n := fs.killed()
+		n.now[name].data = data
+		s, _, err := Open(n, set)
+		if errors.Is(err, ErrFormat) {
+			return // said, and nothing is given out
+		}
+		if err != nil {
+			t.Fatalf("%s: %v", what, err)
+		}
+		for i := range 21 {
+			if _, is := good(t, s, fmt.Sprint("/k/", i)); is {
+				if i < 5 {
+					t.Fatalf("%s: /k/%d is back after its purge", what, i)
+				}
+				found++
+			}
+		}
+	}
+	for _, name := range names {
+		data := fs.now[name].data
+		for i := range data {
+			for _, bit := range []byte{1, 0x80} {
+				b := append([]byte(nil), data...)
+				b[i] ^= bit
+				try(fmt.Sprintf("byte %d of %s flipped", i, name), name, b)
+			}
+			try(fmt.Sprintf("%s cut at %d", name, i), name, append([]byte(nil), data[:i]...))
+		}
+	}
+	if share := float64(found) / float64(8*tries); share < 0.6 {
+		t.Errorf("of what was not purged %.2f is found, over %d damages", share, tries)
+	} else {
+		t.Logf("of what was not purged %.2f is found, over %d damages", share, tries)
+	}
+}
--- a/internal/cachenode/store/fs.go
+++ b/internal/cachenode/store/folder.go
@@ -121,3 +121,32 @@
 }
 
 const lockName = "lock"
+
+// remove removes a file; one that can't be is tried again later.
+func (s *Store) remove(name string) {
+	err := s.fs.Remove(name)
+	if err == nil || errors.Is(err, os.ErrNotExist) {
+		return
+	}
+	if len(s.stale) < mostStale {
+		s.stale = append(s.stale, name)
+	}
+}
+
+// removeStale removes what could not be removed before.
+func (s *Store) removeStale() {
+	names := s.stale
+	s.stale = nil
+	for _, name := range names {
+		s.remove(name)
+	}
+}
+
+// writeAt writes all of b.
+func writeAt(f io.WriterAt, b []byte, off int64) error {
+	n, err := f.WriteAt(b, off)
+	if err == nil && n < len(b) {
+		err = io.ErrShortWrite
+	}
+	return err
+}
--- /dev/null
+++ b/internal/cachenode/store/kill_test.go
@@ -0,0 +1,119 @@
+package store
+
+import (
+	"bufio"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"os/exec"
+	"testing"
+	"time"
+)
+
+// writeOn is what the killed process does: it keeps copies and purges some, and says on
+// its output what was acknowledged.
+func writeOn(dir string, seed uint64) {
+	s, r, err := Open(Dir(dir), Options{MaxBytes: 8 << 20, SegmentBytes: 256 << 10})
+	if err != nil {
+		fmt.Println("error", err)
+		os.Exit(1)
+	}
+	fmt.Println("open", r.Objects, r.DiscardReason)
+	rng := rand.New(rand.NewPCG(seed, 9))
+	version := int64(seed) * 1_000_000
+	for {
+		version++
+		key := fmt.Sprint("/k/", rng.IntN(300))
+		if rng.IntN(12) == 0 {
+			if _, err := s.Purge(Purge{Scope: ByObject, Text: key, Version: version}); err == nil {
+				fmt.Println("purge", key, version)
+			}
+			continue
+		}
+		n := 1 + rng.IntN(8000)
+		w, err := s.Begin(Meta{Key: key, Object: key, Version: version, Born: version, Rank: 2}, int64(n))
+		if err != nil {
+			fmt.Println("error", err)
+			os.Exit(1)
+		}
+		b := bodyOf(key, version, n)
+		w.Write(b[:n/2])
+		w.Write(b[n/2:])
+		if ok, err := w.Commit(); ok && err == nil {
+			fmt.Println("kept", key, version)
+		}
+		if rng.IntN(4) == 0 {
+			s.Compact(64 << 10)
+		}
+	}
+}
+
+// A process that is killed at any time, again and again on one folder: each copy that it
+// said was kept is found with its bytes, unless it was purged or given up for room, and
+// what it said was purged never comes back.
+func TestKilled(t *testing.T) {
+	if dir := os.Getenv("STORE_WRITE_ON"); dir != "" {
+		var seed uint64
+		fmt.Sscan(os.Getenv("STORE_SEED"), &seed)
+		writeOn(dir, seed)
+	}
+	rounds := 25
+	fmt.Sscan(os.Getenv("STORE_KILLS"), &rounds)
+	dir := t.TempDir()
+	rng := rand.New(rand.NewPCG(uint64(rounds), 1))
+	last, purged := map[string]int64{}, map[string]int64{}
+	expect, found := 0, 0
+	for round := range rounds {
+		cmd := exec.Command(os.Args[0], "-test.run", "^TestKilled$")
+		cmd.Env = append(os.Environ(), "STORE_WRITE_ON="+dir, fmt.Sprint("STORE_SEED=", round+1))
+		out, err := cmd.StdoutPipe()
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := cmd.Start(); err != nil {
+			t.Fatal(err)
+		}
+		timer := time.AfterFunc(time.Duration(5+rng.IntN(60))*time.Millisecond, func() { cmd.Process.Kill() })
+		in := bufio.NewScanner(out)
+		for in.Scan() {
+			var what, key string
+			var version int64
+			fmt.Sscan(in.Text(), &what, &key, &version)
+			switch what {
+			case "kept":
+				last[key] = version
+			case "purge":
+				purged[key] = version
+			case "error":
+				t.Error(in.Text())
+			}
+		}
+		timer.Stop()
+		cmd.Wait()
+		s, r, err := Open(Dir(dir), Options{MaxBytes: 8 << 20, SegmentBytes: 256 << 10})
+		if err != nil || r.DiscardReason != "" {
+			t.Fatalf("round %d: %+v %v", round, r, err)
+		}
+		for key, v := range last {
+			got, ok := good(t, s, key)
+			switch {
+			case ok && got < purged[key]:
+				t.Fatalf("round %d: %s is back in version %d, purged up to %d", round, key, got, purged[key])
+			case ok && got < v:
+				t.Fatalf("round %d: %s is found in version %d, %d was kept", round, key, got, v)
+			case v >= purged[key]:
+				expect++
+				if ok {
+					found++
+				}
+			}
+		}
+		if err := s.Close(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if expect == 0 || float64(found) < 0.95*float64(expect) {
+		t.Errorf("%d of %d are found", found, expect)
+	}
+	t.Logf("%d kills: %d of %d that were kept and not purged are found", rounds, found, expect)
+}
