--- a/cmd/spool-router/node.go
+++ b/cmd/spool-router/node.go
@@ -67,7 +67,7 @@
 		return err
 	}
 	if line > 0 {
-		n.Line(line)
+		n.LogCounts(line)
 	}
 	log.Info("serving", zap.String("address", n.Addr()))
 	context.AfterFunc(ctx, n.Drain)
@@ -76,7 +76,7 @@
 			n.Reload()
 		}
 	}()
-	err = n.Run()
+	err = n.Serve()
 	log.Info("ended")
 	return err
 }
--- a/internal/protocol/discovery/feed.go
+++ b/internal/protocol/discovery/feed.go
@@ -2,7 +2,7 @@
 // events of the configuration's known, become rows of the list and purges in the order
 // of their numbers, each once.
 //
-// It does no I/O and has no clock. Reader holds the last number, drops repeats and
+// It does no I/O and has no clock. Decoder holds the last number, drops repeats and
 // tells a gap; internal/proxy/platform connects, and asks again from the last number.
 package discovery
 
@@ -15,29 +15,29 @@
 	"regexp"
 )
 
-// ErrBroken says that a connection to the feed is of no further use: the rest of it
+// ErrStreamUnusable says that a connection to the feed is of no further use: the rest of it
 // can't be read, or events are missing.
-var ErrBroken = errors.New("feed: broken")
+var ErrStreamUnusable = errors.New("feed: broken")
 
-// Row is one cache, parent or origin as told.
-type Row struct {
+// Endpoint is one cache, parent or origin as told.
+type Endpoint struct {
 	ID, Address, Zone, Kind string
 	Cell                    int
 	State                   string // ready, draining or gone
 	Weight                  float64
-	Started                 int64 // Unix ms of its late start; 0: long ago
+	StartedAt               int64 // Unix ms of its late start; 0: long ago
 }
 
 // Event is one numbered event: rows of the list, or a purge of an object or, without
 // one, of a group.
 type Event struct {
-	N      uint64
-	Listed bool // it is about the list
-	Full   bool // the whole of it
-	Rows   []Row
-	Object string
-	Group  int
-	At     int64 // Unix ms of the purge
+	Number    uint64
+	Listed    bool // it is about the list
+	Full      bool // the whole of it
+	Endpoints []Endpoint
+	Object    string
+	Group     int
+	PurgedAt  int64 // Unix ms of the purge
 }
 
 const (
@@ -59,25 +59,25 @@
 
 var states = [...]string{"ready", "draining", "gone"}
 
-// Reader takes the bytes of connections to the feed, one after another.
-type Reader struct {
+// Decoder takes the bytes of connections to the feed, one after another.
+type Decoder struct {
 	Zones, Kinds []string // as the settings list them
-	Last         uint64   // number of the last event
-	Idle         uint64   // frames so far that told that there is nothing after it
+	LastNumber   uint64   // number of the last event
+	UpToDate     uint64   // frames so far that told that there is nothing after it
 	buf          []byte
 }
 
-// Hello starts on a new connection: what was half read is dropped. It returns what to
+// Resume starts on a new connection: what was half read is dropped. It returns what to
 // write first.
-func (r *Reader) Hello() []byte {
+func (r *Decoder) Resume() []byte {
 	r.buf = r.buf[:0]
-	return binary.BigEndian.AppendUint64(nil, r.Last)
+	return binary.BigEndian.AppendUint64(nil, r.LastNumber)
 }
 
-// Take adds bytes and calls f with each new event. A frame is used whole or not at
+// Decode adds bytes and calls f with each new event. A frame is used whole or not at
 // all, and an event only after the one before it. On an error the connection is to be
 // closed; what was told before it counts.
-func (r *Reader) Take(b []byte, f func(Event)) error {
+func (r *Decoder) Decode(b []byte, f func(Event)) error {
 	r.buf = append(r.buf, b...)
 	used := 0
 	defer func() { r.use(used) }()
@@ -85,7 +85,7 @@
 		rest := r.buf[used:]
 		n := int64(binary.BigEndian.Uint32(rest)) + 4
 		if n < headBytes || n > maxFrame {
-			return fmt.Errorf("%w: a frame of %d bytes", ErrBroken, n)
+			return fmt.Errorf("%w: a frame of %d bytes", ErrStreamUnusable, n)
 		}
 		if int64(len(rest)) < n {
 			return nil
@@ -96,7 +96,7 @@
 		}
 		used += int(n)
 		if ev != nil {
-			r.Last = ev.N
+			r.LastNumber = ev.Number
 			f(*ev)
 		}
 	}
@@ -104,7 +104,7 @@
 }
 
 // use drops what has been read, and the room of a long list once it is whole.
-func (r *Reader) use(n int) {
+func (r *Decoder) use(n int) {
 	r.buf = r.buf[:copy(r.buf, r.buf[n:])]
 	if len(r.buf) == 0 && cap(r.buf) > keepBytes {
 		r.buf = nil
@@ -112,49 +112,49 @@
 }
 
 // frame reads what follows a frame's length; nil: it tells nothing new.
-func (r *Reader) frame(b []byte) (*Event, error) {
-	ev := &Event{N: binary.BigEndian.Uint64(b)}
+func (r *Decoder) frame(b []byte) (*Event, error) {
+	ev := &Event{Number: binary.BigEndian.Uint64(b)}
 	kind, b := b[8], b[9:]
 	switch {
 	case kind > groupPurge:
-		return nil, fmt.Errorf("%w: event %d is of the unknown kind %d", ErrBroken, ev.N, kind)
-	case kind == nothing && ev.N == r.Last:
-		r.Idle++
+		return nil, fmt.Errorf("%w: event %d is of the unknown kind %d", ErrStreamUnusable, ev.Number, kind)
+	case kind == nothing && ev.Number == r.LastNumber:
+		r.UpToDate++
 		return nil, nil
-	case ev.N <= r.Last:
+	case ev.Number <= r.LastNumber:
 		return nil, nil
-	case kind == nothing, ev.N != r.Last+1 && kind != wholeList:
-		return nil, fmt.Errorf("%w: event %d follows %d", ErrBroken, ev.N, r.Last)
+	case kind == nothing, ev.Number != r.LastNumber+1 && kind != wholeList:
+		return nil, fmt.Errorf("%w: event %d follows %d", ErrStreamUnusable, ev.Number, r.LastNumber)
 	}
 	want := map[byte]int{objectPurge: 16, groupPurge: 10}[kind]
 	if kind == wholeList || kind == changes {
 		want = len(b) / rowBytes * rowBytes
 	}
 	if len(b) != want {
-		return nil, fmt.Errorf("%w: event %d of kind %d has %d bytes", ErrBroken, ev.N, kind, len(b))
+		return nil, fmt.Errorf("%w: event %d of kind %d has %d bytes", ErrStreamUnusable, ev.Number, kind, len(b))
 	}
 	switch kind {
 	case objectPurge:
-		ev.Object, ev.At = fmt.Sprintf("%016x", binary.BigEndian.Uint64(b)), int64(binary.BigEndian.Uint64(b[8:]))
+		ev.Object, ev.PurgedAt = fmt.Sprintf("%016x", binary.BigEndian.Uint64(b)), int64(binary.BigEndian.Uint64(b[8:]))
 		return ev, nil
 	case groupPurge:
-		ev.Group, ev.At = int(binary.BigEndian.Uint16(b)), int64(binary.BigEndian.Uint64(b[2:]))
+		ev.Group, ev.PurgedAt = int(binary.BigEndian.Uint16(b)), int64(binary.BigEndian.Uint64(b[2:]))
 		return ev, nil
 	}
 	ev.Listed, ev.Full = true, kind == wholeList
-	ev.Rows = make([]Row, 0, len(b)/rowBytes)
+	ev.Endpoints = make([]Endpoint, 0, len(b)/rowBytes)
 	for ; len(b) > 0; b = b[rowBytes:] {
 		state, zone, kind := int(b[10]), int(b[11]), int(b[12])
 		if state >= len(states) || zone >= len(r.Zones) || kind >= len(r.Kinds) {
-			return nil, fmt.Errorf("%w: event %d has state %d, zone %d, kind %d", ErrBroken, ev.N, state, zone, kind)
+			return nil, fmt.Errorf("%w: event %d has state %d, zone %d, kind %d", ErrStreamUnusable, ev.Number, state, zone, kind)
 		}
 		ip := netip.AddrFrom4([4]byte(b[4:8]))
-		ev.Rows = append(ev.Rows, Row{
+		ev.Endpoints = append(ev.Endpoints, Endpoint{
 			ID:      fmt.Sprintf("s-%08x", binary.BigEndian.Uint32(b)),
 			Address: netip.AddrPortFrom(ip, binary.BigEndian.Uint16(b[8:])).String(),
 			State:   states[state], Zone: r.Zones[zone], Kind: r.Kinds[kind],
 			Cell:   int(binary.BigEndian.Uint16(b[13:])),
-			Weight: float64(binary.BigEndian.Uint32(b[15:])) / 1000, Started: int64(binary.BigEndian.Uint64(b[19:])),
+			Weight: float64(binary.BigEndian.Uint32(b[15:])) / 1000, StartedAt: int64(binary.BigEndian.Uint64(b[19:])),
 		})
 	}
 	return ev, nil
@@ -184,9 +184,9 @@
 
 var memberID = regexp.MustCompile(`^[A-Za-z0-9_.:-]{1,64}$`)
 
-// Known reads the configuration's known and calls f with the events past the last one,
+// DecodeKnown reads the configuration's known and calls f with the events past the last one,
 // all of them or, on an error, none.
-func (r *Reader) Known(raw []byte, f func(Event)) error {
+func (r *Decoder) DecodeKnown(raw []byte, f func(Event)) error {
 	var k struct {
 		N      uint64       `json:"n"`
 		Events []knownEvent `json:"events"`
@@ -195,12 +195,12 @@
 		return fmt.Errorf("feed: known: %w", err)
 	}
 	var list []Event
-	first := r.Last == 0
+	first := r.LastNumber == 0
 	for _, e := range k.Events {
-		if e.N <= r.Last {
+		if e.N <= r.LastNumber {
 			continue
 		}
-		ev := Event{N: e.N}
+		ev := Event{Number: e.N}
 		switch {
 		case e.Members != nil:
 			ev.Listed, ev.Full = true, e.Members.Snapshot || first && len(list) == 0
@@ -209,20 +209,20 @@
 					m.Status != states[0] && m.Status != states[1] && m.Status != states[2] {
 					return fmt.Errorf("feed: known: event %d: member %.40q at %.40q is %.20q", e.N, m.Name, m.Address, m.Status)
 				}
-				ev.Rows = append(ev.Rows, Row{ID: m.Name, Address: m.Address, Zone: m.Zone, Kind: m.Type, Cell: m.Group,
-					State: m.Status, Weight: m.Weight, Started: int64(m.Since)})
+				ev.Endpoints = append(ev.Endpoints, Endpoint{ID: m.Name, Address: m.Address, Zone: m.Zone, Kind: m.Type, Cell: m.Group,
+					State: m.Status, Weight: m.Weight, StartedAt: int64(m.Since)})
 			}
 		case e.Purge != nil:
-			ev.Object, ev.Group, ev.At = e.Purge.Key, e.Purge.Group, int64(e.Purge.At)
+			ev.Object, ev.Group, ev.PurgedAt = e.Purge.Key, e.Purge.Group, int64(e.Purge.At)
 		default:
 			return fmt.Errorf("feed: known: event %d tells nothing", e.N)
 		}
 		list = append(list, ev)
 	}
 	for _, ev := range list {
-		r.Last = max(r.Last, ev.N)
+		r.LastNumber = max(r.LastNumber, ev.Number)
 		f(ev)
 	}
-	r.Last = max(r.Last, k.N)
+	r.LastNumber = max(r.LastNumber, k.N)
 	return nil
 }
--- a/internal/protocol/discovery/feed_test.go
+++ b/internal/protocol/discovery/feed_test.go
@@ -14,7 +14,7 @@
 	return append(append(binary.BigEndian.AppendUint64(b, n), kind), payload...)
 }
 
-func reader() *Reader { return &Reader{Zones: []string{"a", "b"}, Kinds: []string{"box", "parent"}} }
+func reader() *Decoder { return &Decoder{Zones: []string{"a", "b"}, Kinds: []string{"box", "parent"}} }
 
 var row = []byte{0, 0xc4, 0x1f, 0x7a, 10, 1, 0, 9, 0x13, 0xba, 1, 1, 0, 0, 2, 0, 0, 0x0f, 0xa0, 0, 0, 1, 0x9a, 0, 0, 0, 5}
 
@@ -24,12 +24,12 @@
 	var got []Event
 	r := reader()
 	all := append(append(append(frame(1, wholeList, row...), frame(1, nothing)...), purge...), append(purge, group...)...)
-	if err := r.Take(all, func(e Event) { got = append(got, e) }); err != nil {
+	if err := r.Decode(all, func(e Event) { got = append(got, e) }); err != nil {
 		t.Fatal(err)
 	}
-	want := []Event{{N: 1, Listed: true, Full: true, Rows: []Row{{ID: "s-00c41f7a", Address: "10.1.0.9:5050", Zone: "b", Kind: "box", Cell: 2,
-		State: "draining", Weight: 4, Started: 0x019a00000005}}}, {N: 2, Object: "7f3a9c21e0b4d655", At: 9}, {N: 3, Group: 17, At: 8}}
-	if !reflect.DeepEqual(got, want) || r.Last != 3 {
+	want := []Event{{Number: 1, Listed: true, Full: true, Endpoints: []Endpoint{{ID: "s-00c41f7a", Address: "10.1.0.9:5050", Zone: "b", Kind: "box", Cell: 2,
+		State: "draining", Weight: 4, StartedAt: 0x019a00000005}}}, {Number: 2, Object: "7f3a9c21e0b4d655", PurgedAt: 9}, {Number: 3, Group: 17, PurgedAt: 8}}
+	if !reflect.DeepEqual(got, want) || r.LastNumber != 3 {
 		t.Errorf("got %+v", got)
 	}
 	for name, b := range map[string][]byte{
@@ -38,9 +38,9 @@
 		"an unknown state": frame(4, changes, append(append([]byte{}, row[:10]...), append([]byte{7}, row[11:]...)...)...),
 	} {
 		r := reader()
-		r.Last = 3
-		if err := r.Take(b, func(e Event) { t.Errorf("%s: told %+v", name, e) }); !errors.Is(err, ErrBroken) || r.Last != 3 {
-			t.Errorf("%s: %v, last %d", name, err, r.Last)
+		r.LastNumber = 3
+		if err := r.Decode(b, func(e Event) { t.Errorf("%s: told %+v", name, e) }); !errors.Is(err, ErrStreamUnusable) || r.LastNumber != 3 {
+			t.Errorf("%s: %v, last %d", name, err, r.LastNumber)
 		}
 	}
 }
@@ -51,7 +51,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		r, last := reader(), uint64(0)
 		for range rapid.IntRange(1, 20).Draw(t, "connections") {
-			from := binary.BigEndian.Uint64(r.Hello())
+			from := binary.BigEndian.Uint64(r.Resume())
 			if from != last {
 				t.Fatalf("asked from %d, want %d", from, last)
 			}
@@ -65,11 +65,11 @@
 			b = b[:rapid.IntRange(0, len(b)).Draw(t, "until")]
 			for len(b) > 0 {
 				k := rapid.IntRange(1, len(b)).Draw(t, "read")
-				if err := r.Take(b[:k], func(e Event) {
-					if e.N != last+1 {
-						t.Fatalf("%d follows %d", e.N, last)
+				if err := r.Decode(b[:k], func(e Event) {
+					if e.Number != last+1 {
+						t.Fatalf("%d follows %d", e.Number, last)
 					}
-					last = e.N
+					last = e.Number
 				}); err != nil {
 					t.Fatal(err)
 				}
@@ -84,20 +84,20 @@
 	 "type":"box","group":2,"status":"ready","weight":4,"since_ms":0}]}},{"n":2,"purge":{"key":"7f3a9c21e0b4d655","at":9}},{"n":3,"purge":{"group":17,"at":8}}]}`
 	r, n := reader(), 0
 	count := func(e Event) {
-		if n++; e.N == 1 && (!e.Full || e.Rows[0].Weight != 4) || e.N == 2 && e.Object == "" || e.N == 3 && e.Group != 17 {
+		if n++; e.Number == 1 && (!e.Full || e.Endpoints[0].Weight != 4) || e.Number == 2 && e.Object == "" || e.Number == 3 && e.Group != 17 {
 			t.Errorf("%+v", e)
 		}
 	}
 	for range 2 { // the second time all of it is old
-		if err := r.Known([]byte(doc), count); err != nil || n != 3 || r.Last != 3 {
-			t.Fatalf("%v, %d events, last %d", err, n, r.Last)
+		if err := r.DecodeKnown([]byte(doc), count); err != nil || n != 3 || r.LastNumber != 3 {
+			t.Fatalf("%v, %d events, last %d", err, n, r.LastNumber)
 		}
 	}
 	for _, bad := range []string{"", "[]", `{"n":9,"events":[{"n":8,"purge":{"group":1}},{"n":9}]}`,
 		`{"n":9,"events":[{"n":9,"members":{"endpoints":[{"name":"a b","address":"10.1.0.9:5050","status":"ready"}]}}]}`,
 		`{"n":9,"events":[{"n":9,"members":{"endpoints":[{"name":"a","address":"there","status":"ready"}]}}]}`} {
-		if err := r.Known([]byte(bad), func(e Event) { t.Errorf("%s: told %+v", bad, e) }); err == nil || r.Last != 3 {
-			t.Errorf("%s: taken, last %d", bad, r.Last)
+		if err := r.DecodeKnown([]byte(bad), func(e Event) { t.Errorf("%s: told %+v", bad, e) }); err == nil || r.LastNumber != 3 {
+			t.Errorf("%s: taken, last %d", bad, r.LastNumber)
 		}
 	}
 }
--- a/internal/protocol/discovery/scale_test.go
+++ b/internal/protocol/discovery/scale_test.go
@@ -54,7 +54,7 @@
 	from := userTime(t)
 	r, told := reader(), 0
 	for rest := stream; len(rest) > 0; rest = rest[min(chunk, len(rest)):] {
-		if err := r.Take(rest[:min(chunk, len(rest))], func(e Event) { told += len(e.Rows) }); err != nil {
+		if err := r.Decode(rest[:min(chunk, len(rest))], func(e Event) { told += len(e.Endpoints) }); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/protocol/resp/resp.go
+++ b/internal/protocol/resp/resp.go
@@ -13,12 +13,12 @@
 	"strconv"
 )
 
-// ErrSpoilt is what a connection is closed for: where one answer ends and the next
+// ErrMalformed is what a connection is closed for: where one answer ends and the next
 // begins is no longer known.
-var ErrSpoilt = errors.New("resp: spoilt answer")
+var ErrMalformed = errors.New("resp: spoilt answer")
 
-// MaxBody bounds an answer's bytes.
-const MaxBody = 240000
+// MaxBodyBytes bounds an answer's bytes.
+const MaxBodyBytes = 240000
 
 const (
 	maxHead   = 16 // bytes of a line with a count or a length, with its end
@@ -26,20 +26,20 @@
 )
 
 // most bounds the strings of an answer by their places: id, word, fields, body.
-var most = [maxAnswer]int{64, 16, 4096, MaxBody}
+var most = [maxAnswer]int{64, 16, 4096, MaxBodyBytes}
 
 // Answer is one answer. Its strings are parts of the bytes that were read.
 type Answer struct{ ID, Word, Fields, Body []byte }
 
-// Read finds the first whole answer in b, and how many bytes it takes. With a size of
+// ReadAnswer finds the first whole answer in b, and how many bytes it takes. With a size of
 // 0 it needs more: want bytes in all, as far as that is known.
-func Read(b []byte) (a Answer, size, want int, err error) {
+func ReadAnswer(b []byte) (a Answer, size, want int, err error) {
 	count, at, err := head(b, 0, '*')
 	if err != nil || at == 0 {
 		return a, 0, len(b) + 1, err
 	}
 	if count < 2 || count > maxAnswer {
-		return a, 0, 0, fmt.Errorf("%w: an array of %d strings; 2 to %d are taken", ErrSpoilt, count, maxAnswer)
+		return a, 0, 0, fmt.Errorf("%w: an array of %d strings; 2 to %d are taken", ErrMalformed, count, maxAnswer)
 	}
 	var s [maxAnswer][]byte
 	for i := range count {
@@ -48,17 +48,17 @@
 			return a, 0, len(b) + 1, err
 		}
 		if n > most[i] {
-			return a, 0, 0, fmt.Errorf("%w: string %d has %d bytes; %d are taken", ErrSpoilt, i, n, most[i])
+			return a, 0, 0, fmt.Errorf("%w: string %d has %d bytes; %d are taken", ErrMalformed, i, n, most[i])
 		}
 		end := from + n
 		if len(b) < end+2 {
 			if len(b) > end && b[end] != '\r' {
-				return a, 0, 0, fmt.Errorf("%w: string %d does not end where it said", ErrSpoilt, i)
+				return a, 0, 0, fmt.Errorf("%w: string %d does not end where it said", ErrMalformed, i)
 			}
 			return a, 0, end + 2, nil
 		}
 		if b[end] != '\r' || b[end+1] != '\n' {
-			return a, 0, 0, fmt.Errorf("%w: string %d does not end where it said", ErrSpoilt, i)
+			return a, 0, 0, fmt.Errorf("%w: string %d does not end where it said", ErrMalformed, i)
 		}
 		s[i], at = b[from:end], end+2
 	}
@@ -69,30 +69,30 @@
 func head(b []byte, from int, mark byte) (n, next int, err error) {
 	line := b[min(from, len(b)):]
 	if len(line) > 0 && line[0] != mark {
-		return 0, 0, fmt.Errorf("%w: %q where %q belongs", ErrSpoilt, line[0], mark)
+		return 0, 0, fmt.Errorf("%w: %q where %q belongs", ErrMalformed, line[0], mark)
 	}
 	end := bytes.IndexByte(line[:min(len(line), maxHead)], '\n')
 	if end < 0 {
 		if len(line) >= maxHead {
-			return 0, 0, fmt.Errorf("%w: a line that does not end", ErrSpoilt)
+			return 0, 0, fmt.Errorf("%w: a line that does not end", ErrMalformed)
 		}
 		return 0, 0, nil
 	}
 	if end < 3 || line[end-1] != '\r' {
-		return 0, 0, fmt.Errorf("%w: a line without its number", ErrSpoilt)
+		return 0, 0, fmt.Errorf("%w: a line without its number", ErrMalformed)
 	}
 	for _, d := range line[1 : end-1] {
 		if d < '0' || d > '9' {
-			return 0, 0, fmt.Errorf("%w: %.12q is no length", ErrSpoilt, line[1:end-1])
+			return 0, 0, fmt.Errorf("%w: %.12q is no length", ErrMalformed, line[1:end-1])
 		}
 		n = n*10 + int(d-'0')
 	}
 	return n, from + end + 1, nil
 }
 
-// Field calls f with each name and value of a list of fields, until f returns false.
+// EachField calls f with each name and value of a list of fields, until f returns false.
 // It reports whether the list could be read.
-func Field(list []byte, f func(name, value []byte) bool) bool {
+func EachField(list []byte, f func(name, value []byte) bool) bool {
 	if len(list) == 0 || len(list) == 1 && list[0] == '-' {
 		return true
 	}
@@ -110,8 +110,8 @@
 	return true
 }
 
-// Array appends an array of bulk strings.
-func Array(dst []byte, words ...[]byte) []byte {
+// AppendArray appends an array of bulk strings.
+func AppendArray(dst []byte, words ...[]byte) []byte {
 	dst = line(dst, '*', len(words))
 	for _, w := range words {
 		dst = line(dst, '$', len(w))
--- a/internal/protocol/resp/resp_test.go
+++ b/internal/protocol/resp/resp_test.go
@@ -21,7 +21,7 @@
 		for range rapid.IntRange(1, 4).Draw(t, "answers") {
 			a := Answer{word(t, "id", 64), word(t, "word", 16), word(t, "fields", 200), word(t, "body", 3000)}
 			want = append(want, a)
-			all = Array(all, a.ID, a.Word, a.Fields, a.Body)
+			all = AppendArray(all, a.ID, a.Word, a.Fields, a.Body)
 		}
 		var got []Answer
 		var buf []byte
@@ -29,7 +29,7 @@
 			n := rapid.IntRange(1, len(all)).Draw(t, "read")
 			buf, all = append(buf, all[:n]...), all[n:]
 			for {
-				a, size, more, err := Read(buf)
+				a, size, more, err := ReadAnswer(buf)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -57,21 +57,21 @@
 
 // FuzzRead: whatever comes, no more is wanted than the bounds allow.
 func FuzzRead(f *testing.F) {
-	f.Add(Array(nil, []byte("id"), []byte("HIT"), []byte("-"), []byte("x")))
+	f.Add(AppendArray(nil, []byte("id"), []byte("HIT"), []byte("-"), []byte("x")))
 	f.Add([]byte("*4\r\n$16\r\n"))
 	f.Add([]byte("*4\r\n$3000000000\r\n"))
 	f.Add([]byte("*\r\n$-1\r\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		a, size, want, err := Read(b)
+		a, size, want, err := ReadAnswer(b)
 		switch {
-		case err != nil && !errors.Is(err, ErrSpoilt):
+		case err != nil && !errors.Is(err, ErrMalformed):
 			t.Fatal(err)
-		case err == nil && size == 0 && (want <= len(b) || want > len(b)+MaxBody+4096+200):
+		case err == nil && size == 0 && (want <= len(b) || want > len(b)+MaxBodyBytes+4096+200):
 			t.Fatalf("%d bytes are there, and %d are wanted", len(b), want)
-		case size > len(b) || len(a.Body) > MaxBody:
+		case size > len(b) || len(a.Body) > MaxBodyBytes:
 			t.Fatalf("an answer of %d bytes out of %d", size, len(b))
 		}
-		Field(a.Fields, func(name, _ []byte) bool {
+		EachField(a.Fields, func(name, _ []byte) bool {
 			if len(name) == 0 {
 				t.Fatal("a field without a name")
 			}
@@ -83,7 +83,7 @@
 func TestSpoilt(t *testing.T) {
 	for _, b := range []string{"x", "*9\r\n", "*1\r\n", "*4\n", "*4\r\n:1\r\n", "*4\r\n$65\r\n", "*4\r\n$1\r\nxyz", "*1234567890123456",
 		"*4\r\n$1\r\nx\r\n$3\r\nHIT\r\n$1\r\n-\r\n$240001\r\n"} {
-		if _, _, _, err := Read([]byte(b)); !errors.Is(err, ErrSpoilt) {
+		if _, _, _, err := ReadAnswer([]byte(b)); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%q: %v", b, err)
 		}
 	}
--- a/internal/protocol/thriftrpc/front.go
+++ b/internal/protocol/thriftrpc/front.go
@@ -19,28 +19,28 @@
 
 // The protocol's bounds, in bytes and counts.
 const (
-	MaxObject   = 240000 // bytes of an answer
-	MaxWrite    = 48000  // bytes that a write brings
-	MaxOpen     = 32     // open requests of a connection
-	maxEnvelope = 8192   // bytes of a message but for its body
-	MaxFrame    = MaxWrite + maxEnvelope
-	maxFields   = 64
-	lengthBytes = 4
+	MaxObjectBytes = 240000 // bytes of an answer
+	MaxWriteBytes  = 48000  // bytes that a write brings
+	MaxOpenCalls   = 32     // open requests of a connection
+	maxEnvelope    = 8192   // bytes of a message but for its body
+	MaxFrameBytes  = MaxWriteBytes + maxEnvelope
+	maxFields      = 64
+	lengthBytes    = 4
 )
 
-// ErrUnreadable is what a connection is closed for.
-var ErrUnreadable = errors.New("front: unreadable message")
+// ErrMalformed is what a connection is closed for.
+var ErrMalformed = errors.New("front: unreadable message")
 
-// Split finds the first whole frame in b: its payload and how many bytes it takes. A
+// SplitFrame finds the first whole frame in b: its payload and how many bytes it takes. A
 // size of 0 says that more bytes are needed. The length is judged before the payload is
 // there, so that nobody makes room for what would be turned away.
-func Split(b []byte) (payload []byte, size int, err error) {
+func SplitFrame(b []byte) (payload []byte, size int, err error) {
 	if len(b) < lengthBytes {
 		return nil, 0, nil
 	}
 	n := int32(binary.BigEndian.Uint32(b))
-	if n <= 0 || n > MaxFrame {
-		return nil, 0, fmt.Errorf("%w: a frame of %d bytes; 1 to %d are taken", ErrUnreadable, n, MaxFrame)
+	if n <= 0 || n > MaxFrameBytes {
+		return nil, 0, fmt.Errorf("%w: a frame of %d bytes; 1 to %d are taken", ErrMalformed, n, MaxFrameBytes)
 	}
 	if len(b) < lengthBytes+int(n) {
 		return nil, 0, nil
@@ -49,25 +49,25 @@
 	return b[lengthBytes:size], size, nil
 }
 
-// Verb is what a message asks for.
-type Verb int
+// Method is what a message asks for.
+type Method int
 
-// The verbs.
+// The methods of the service Front.
 const (
-	Unknown Verb = iota // answered by an application exception
-	Serve
-	Forget
-	IsWell
+	MethodUnknown Method = iota // answered by an application exception
+	MethodServe
+	MethodForget
+	MethodIsWell
 )
 
 // Call is one message of a client.
 type Call struct {
-	Verb   Verb
-	Name   string // as sent
-	Seq    int32
-	Fields map[string]string // of Serve
-	Body   []byte            // of Serve; its own memory
-	Of     int32             // of Forget: the number of the call that is given up
+	Method       Method
+	Name         string // as sent
+	Seq          int32
+	Fields       map[string]string // of Serve
+	Body         []byte            // of Serve; its own memory
+	CancelledSeq int32             // of Forget: the number of the call that is given up
 }
 
 // Codec reads and writes messages. It is not safe for concurrent use; what it returns
@@ -80,7 +80,7 @@
 // NewCodec makes a codec.
 func NewCodec() *Codec {
 	c := &Codec{}
-	conf := &thrift.TConfiguration{MaxMessageSize: MaxFrame, MaxFrameSize: MaxFrame, MaxContainerSize: maxFields,
+	conf := &thrift.TConfiguration{MaxMessageSize: MaxFrameBytes, MaxFrameSize: MaxFrameBytes, MaxContainerSize: maxFields,
 		TBinaryStrictRead: thrift.BoolPtr(true), TBinaryStrictWrite: thrift.BoolPtr(true)}
 	c.in.Buffer, c.out.Buffer = &bytes.Buffer{}, &bytes.Buffer{}
 	c.r, c.w = thrift.NewTBinaryProtocolConf(&c.in, conf), thrift.NewTBinaryProtocolConf(&c.out, conf)
@@ -95,49 +95,49 @@
 	*c.in.Buffer = *bytes.NewBuffer(payload)
 	name, kind, seq, err := c.r.ReadMessageBegin(ctx)
 	if err != nil {
-		return call, fmt.Errorf("%w: %v", ErrUnreadable, err)
+		return call, fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
 	call.Name, call.Seq = name, seq
 	if kind != thrift.CALL && kind != thrift.ONEWAY {
-		return call, fmt.Errorf("%w: message type %d", ErrUnreadable, kind)
+		return call, fmt.Errorf("%w: message type %d", ErrMalformed, kind)
 	}
 	switch {
 	case name == "serve" && kind == thrift.CALL:
-		call.Verb = Serve
+		call.Method = MethodServe
 	case name == "forget":
-		call.Verb = Forget
+		call.Method = MethodForget
 	case name == "isWell" && kind == thrift.CALL:
-		call.Verb = IsWell
+		call.Method = MethodIsWell
 	}
 	forgets := false
 	for {
 		_, t, id, err := c.r.ReadFieldBegin(ctx)
 		if err != nil {
-			return call, fmt.Errorf("%w: %v", ErrUnreadable, err)
+			return call, fmt.Errorf("%w: %v", ErrMalformed, err)
 		}
 		if t == thrift.STOP {
 			break
 		}
 		switch {
-		case call.Verb == Serve && id == 1 && t == thrift.MAP:
+		case call.Method == MethodServe && id == 1 && t == thrift.MAP:
 			call.Fields, err = c.fields()
-		case call.Verb == Serve && id == 2 && t == thrift.STRING:
+		case call.Method == MethodServe && id == 2 && t == thrift.STRING:
 			call.Body, err = c.r.ReadBinary(ctx)
-		case call.Verb == Forget && id == 1 && t == thrift.I32:
-			call.Of, err = c.r.ReadI32(ctx)
+		case call.Method == MethodForget && id == 1 && t == thrift.I32:
+			call.CancelledSeq, err = c.r.ReadI32(ctx)
 			forgets = true
 		default:
 			err = c.r.Skip(ctx, t)
 		}
 		if err != nil {
-			return call, fmt.Errorf("%w: field %d of %.20q: %v", ErrUnreadable, id, name, err)
+			return call, fmt.Errorf("%w: field %d of %.20q: %v", ErrMalformed, id, name, err)
 		}
 	}
 	if n := c.in.Len(); n > 0 {
-		return call, fmt.Errorf("%w: %d bytes after the end of %.20q", ErrUnreadable, n, name)
+		return call, fmt.Errorf("%w: %d bytes after the end of %.20q", ErrMalformed, n, name)
 	}
-	if call.Verb == Forget && !forgets {
-		return call, fmt.Errorf("%w: forget names no call", ErrUnreadable)
+	if call.Method == MethodForget && !forgets {
+		return call, fmt.Errorf("%w: forget names no call", ErrMalformed)
 	}
 	return call, nil
 }
@@ -207,8 +207,8 @@
 	return c.answer("serve", seq, body, true)
 }
 
-// Well answers isWell.
-func (c *Codec) Well(seq int32, good bool) []byte { return c.answer("isWell", seq, nil, good) }
+// Health answers isWell.
+func (c *Codec) Health(seq int32, good bool) []byte { return c.answer("isWell", seq, nil, good) }
 
 func (c *Codec) thrown(seq int32, id int16, fields ...string) []byte {
 	c.begin("serve", thrift.REPLY, seq)
@@ -219,8 +219,8 @@
 	return c.end()
 }
 
-// Refused answers Throttled; after is how long to stay away in ms, 0: not told.
-func (c *Codec) Refused(seq int32, after float64) []byte {
+// Rejected answers Throttled; after is how long to stay away in ms, 0: not told.
+func (c *Codec) Rejected(seq int32, after float64) []byte {
 	if after < 1 {
 		return c.thrown(seq, 1)
 	}
@@ -230,8 +230,8 @@
 // Failed answers Broken.
 func (c *Codec) Failed(seq int32) []byte { return c.thrown(seq, 2) }
 
-// NoSuch answers a call of another name than the service's.
-func (c *Codec) NoSuch(name string, seq int32) []byte {
+// UnknownMethod answers a call of another name than the service's.
+func (c *Codec) UnknownMethod(name string, seq int32) []byte {
 	c.begin(name, thrift.EXCEPTION, seq)
 	thrift.NewTApplicationException(thrift.UNKNOWN_METHOD, "unknown method").Write(ctx, c.w)
 	return c.end()
--- a/internal/protocol/thriftrpc/front_test.go
+++ b/internal/protocol/thriftrpc/front_test.go
@@ -37,7 +37,7 @@
 			k := rapid.IntRange(1, len(all)).Draw(t, "read")
 			buf, all = append(buf, all[:k]...), all[k:]
 			for {
-				p, size, err := Split(buf)
+				p, size, err := SplitFrame(buf)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -45,7 +45,7 @@
 					break
 				}
 				call, err := c.Parse(p)
-				if err != nil || call.Verb != Serve || int(call.Seq) != got+1 || call.Fields["key"] != "y" || !bytes.Equal(call.Body, bodies[got]) {
+				if err != nil || call.Method != MethodServe || int(call.Seq) != got+1 || call.Fields["key"] != "y" || !bytes.Equal(call.Body, bodies[got]) {
 					t.Fatalf("call %d: %+v %v", got, call, err)
 				}
 				got++
@@ -62,18 +62,18 @@
 func FuzzParse(f *testing.F) {
 	c := NewCodec()
 	f.Add(serve(c, 1, []string{"id", "9b1f03aa5c7e2d41"}, []byte("body")))
-	f.Add(bytes.Clone(c.Well(7, true)))
+	f.Add(bytes.Clone(c.Health(7, true)))
 	f.Add([]byte{0, 0, 0, 12, 0x80, 1, 0, 1, 0x7f, 0xff, 0xff, 0xff, 's', 'e', 'r', 'v'})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		p, size, err := Split(b)
-		if err != nil && !errors.Is(err, ErrUnreadable) || size > len(b) {
+		p, size, err := SplitFrame(b)
+		if err != nil && !errors.Is(err, ErrMalformed) || size > len(b) {
 			t.Fatalf("%d bytes of %d: %v", size, len(b), err)
 		}
 		if size == 0 {
 			return
 		}
 		call, err := c.Parse(p)
-		if err != nil && !errors.Is(err, ErrUnreadable) {
+		if err != nil && !errors.Is(err, ErrMalformed) {
 			t.Fatal(err)
 		}
 		n := len(call.Body)
@@ -83,7 +83,7 @@
 		if n > len(b) {
 			t.Fatalf("%d bytes out of %d", n, len(b))
 		}
-		Check(&call, func(string) *spool.Class { return &spool.Class{Deadline: 1000} })
+		ParseRequest(&call, func(string) *spool.Class { return &spool.Class{Deadline: 1000} })
 	})
 }
 
@@ -92,7 +92,7 @@
 	ask := func(class, wait, slice, set, once string, body int) error {
 		call := Call{Fields: map[string]string{"id": "9b1f03aa5c7e2d41", "key": "9b1f03aa5c7e2d41", "class": class, "wait": wait,
 			"slice": slice, "set": set, "once": once}, Body: make([]byte, body)}
-		_, err := Check(&call, func(n string) *spool.Class { return classes[n] })
+		_, err := ParseRequest(&call, func(n string) *spool.Class { return classes[n] })
 		return err
 	}
 	once := "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
@@ -101,11 +101,11 @@
 		body                          int
 		good                          bool
 	}{
-		{"r", "1", "0", "0", "", 0, true}, {"r", "1000", "19", "255", "", 0, true}, {"w", "1000", "0", "0", once, MaxWrite, true},
+		{"r", "1", "0", "0", "", 0, true}, {"r", "1000", "19", "255", "", 0, true}, {"w", "1000", "0", "0", once, MaxWriteBytes, true},
 		{"r", "0", "0", "0", "", 0, false}, {"r", "1002", "0", "0", "", 0, false}, {"r", "+5", "0", "0", "", 0, false},
 		{"r", "1e3", "0", "0", "", 0, false}, {"r", "99999999999999999999", "0", "0", "", 0, false},
 		{"r", "5", "65537", "0", "", 0, false}, {"r", "5", "0", "256", "", 0, false}, {"r", "5", "0", "0", once, 0, false},
-		{"r", "5", "0", "0", "", 1, false}, {"w", "5", "0", "0", once, MaxWrite + 1, false}, {"w", "5", "0", "0", "", 0, false},
+		{"r", "5", "0", "0", "", 1, false}, {"w", "5", "0", "0", once, MaxWriteBytes + 1, false}, {"w", "5", "0", "0", "", 0, false},
 		{"x", "5", "0", "0", "", 0, false},
 	} {
 		if err := ask(c.class, c.wait, c.slice, c.set, c.once, c.body); (err == nil) != c.good {
--- a/internal/protocol/thriftrpc/request.go
+++ b/internal/protocol/thriftrpc/request.go
@@ -10,11 +10,11 @@
 
 // Request is a call of serve whose fields were found usable.
 type Request struct {
-	ID, Class, Once, Key, Seen string
-	Wait                       float64 // ms from when the client sent it
-	Retry                      bool
-	Part, Group                int
-	Body                       []byte
+	ID, Class, IdempotencyKey, Key, ClientTag string
+	TimeLeft                                  float64 // ms from when the client sent it
+	Retry                                     bool
+	Part, Group                               int
+	Body                                      []byte
 }
 
 const (
@@ -25,11 +25,11 @@
 	maxGroup   = 255
 )
 
-// Check reads a call's fields for the class that it names. An error names the field at
+// ParseRequest reads a call's fields for the class that it names. An error names the field at
 // fault and what would do; such a call is answered 'failed', its connection is kept.
-func Check(call *Call, class func(name string) *spool.Class) (Request, error) {
+func ParseRequest(call *Call, class func(name string) *spool.Class) (Request, error) {
 	f := call.Fields
-	q := Request{ID: f["id"], Class: f["class"], Once: f["once"], Key: f["key"], Seen: f["seen"], Body: call.Body}
+	q := Request{ID: f["id"], Class: f["class"], IdempotencyKey: f["once"], Key: f["key"], ClientTag: f["seen"], Body: call.Body}
 	bad := func(field, want string) (Request, error) {
 		return q, fmt.Errorf("front: %s is %.40q; %s", field, f[field], want)
 	}
@@ -41,23 +41,23 @@
 		return bad("class", "the settings name no such class")
 	case !hex(q.Key, idDigits):
 		return bad("key", "16 hex digits are wanted")
-	case c.Effect == spool.Guarded && !hex(q.Once, onceDigits):
+	case c.Effect == spool.Guarded && !hex(q.IdempotencyKey, onceDigits):
 		return bad("once", "a keyed class needs 32 hex digits")
-	case c.Effect != spool.Guarded && q.Once != "":
+	case c.Effect != spool.Guarded && q.IdempotencyKey != "":
 		return bad("once", "only keyed classes have it")
 	case f["retry"] != "" && f["retry"] != "1":
 		return bad("retry", "1 or nothing is wanted")
-	case !tag(q.Seen):
+	case !tag(q.ClientTag):
 		return bad("seen", "a tag of at most 64 letters and digits is wanted")
-	case len(q.Body) > MaxWrite || len(q.Body) > 0 && !c.Write:
-		return q, fmt.Errorf("front: a body of %d bytes; only writes bring one, of at most %d", len(q.Body), MaxWrite)
+	case len(q.Body) > MaxWriteBytes || len(q.Body) > 0 && !c.Write:
+		return q, fmt.Errorf("front: a body of %d bytes; only writes bring one, of at most %d", len(q.Body), MaxWriteBytes)
 	}
 	q.Retry = f["retry"] == "1"
 	wait, err := strconv.ParseUint(f["wait"], 10, 31)
 	if err != nil || wait == 0 || float64(wait) > c.Deadline+1 {
 		return bad("wait", "whole milliseconds up to the class's own are wanted")
 	}
-	q.Wait = float64(wait)
+	q.TimeLeft = float64(wait)
 	var ok bool
 	if q.Part, ok = number(f, "slice", maxPart); !ok {
 		return bad("slice", "a part's number is wanted")
@@ -102,7 +102,7 @@
 
 // What a connection, or a request, is turned down for besides its fields.
 var (
-	ErrNumber = errors.New("front: a call's number does not rise")
-	ErrOpen   = errors.New("front: over 32 requests open on a connection")
-	ErrTwice  = errors.New("front: a request of this id is open")
+	ErrSequence    = errors.New("front: a call's number does not rise")
+	ErrTooManyOpen = errors.New("front: over 32 requests open on a connection")
+	ErrDuplicateID = errors.New("front: a request of this id is open")
 )
--- a/internal/proxy/platform/client.go
+++ b/internal/proxy/platform/client.go
@@ -20,12 +20,12 @@
 // listener takes clients' connections.
 type listener struct {
 	eventloop.Listener
-	n       *Node
+	n       *Server
 	fd      int
 	address string
 }
 
-func listen(n *Node, address string) (*listener, error) {
+func listen(n *Server, address string) (*listener, error) {
 	fd, bound, err := eventloop.Listen(address)
 	if err != nil {
 		return nil, err
@@ -69,7 +69,7 @@
 }
 
 // yield closes the connection that goes first where room is needed, if any may.
-func (n *Node) yield() bool {
+func (n *Server) yield() bool {
 	var first *client
 	for c := range n.clients {
 		if c.out.Len() > 0 {
@@ -92,7 +92,7 @@
 
 // client is a client's connection.
 type client struct {
-	n      *Node
+	n      *Server
 	fd     int
 	in     eventloop.Queue
 	out    eventloop.Queue
@@ -129,7 +129,7 @@
 	n := c.n
 	c.closed = true
 	n.stats.Closed++
-	n.stats.Gone += uint64(len(c.unsent))
+	n.stats.Abandoned += uint64(len(c.unsent))
 	c.unsent = nil
 	n.l.Forget(&c.settle)
 	n.l.Remove(c.fd)
@@ -159,7 +159,7 @@
 
 // giveUp tells the module that the client has left a request.
 func (c *client) giveUp(r *request) {
-	c.n.stats.Gone++
+	c.n.stats.Abandoned++
 	c.n.trace("gone", r)
 	c.n.over(r)
 	c.n.tell(spool.Gone{ID: r.ID})
@@ -199,7 +199,7 @@
 )
 
 // late reports that the present turn began so long ago that clients may have left since.
-func (n *Node) late() bool { return eventloop.Clock()-n.l.Now() > lateTurn }
+func (n *Server) late() bool { return eventloop.Clock()-n.l.Now() > lateTurn }
 
 // receive reads what has come. What gives up a request, or ends the connection, takes
 // effect at once; calls are kept until begin, so that one that is given up behind others,
@@ -293,7 +293,7 @@
 	}
 	used, err := c.messages(data, came)
 	if err != nil {
-		n.stats.Bad++
+		n.stats.Invalid++
 		n.log.Debug("client closed", zap.Error(err))
 		c.close()
 	}
@@ -332,7 +332,7 @@
 // messages hears all whole frames, and tells how many bytes they take.
 func (c *client) messages(data []byte, came float64) (used int, err error) {
 	for !c.closed {
-		payload, size, err := thriftrpc.Split(data[used:])
+		payload, size, err := thriftrpc.SplitFrame(data[used:])
 		if err != nil || size == 0 {
 			return used, err
 		}
@@ -353,22 +353,22 @@
 // many requests are open at once.
 func (c *client) hear(call *thriftrpc.Call, came float64) error {
 	n := c.n
-	switch call.Verb {
-	case thriftrpc.Serve:
+	switch call.Method {
+	case thriftrpc.MethodServe:
 		if call.Seq <= c.last {
-			return thriftrpc.ErrNumber
+			return thriftrpc.ErrSequence
 		}
-		if c.last = call.Seq; len(c.open)+len(c.unsent) >= thriftrpc.MaxOpen {
-			return thriftrpc.ErrOpen
+		if c.last = call.Seq; len(c.open)+len(c.unsent) >= thriftrpc.MaxOpenCalls {
+			return thriftrpc.ErrTooManyOpen
 		}
 		c.unsent = append(c.unsent, unsent{*call, came, eventloop.Clock()})
-	case thriftrpc.Forget:
-		c.forget(call.Of)
-	case thriftrpc.IsWell:
-		c.queue(n.codec.Well(call.Seq, n.drained == 0))
+	case thriftrpc.MethodForget:
+		c.forget(call.CancelledSeq)
+	case thriftrpc.MethodIsWell:
+		c.queue(n.codec.Health(call.Seq, n.drained == 0))
 	default:
-		n.stats.Bad++
-		c.queue(n.codec.NoSuch(call.Name, call.Seq))
+		n.stats.Invalid++
+		c.queue(n.codec.UnknownMethod(call.Name, call.Seq))
 	}
 	return nil
 }
@@ -382,19 +382,19 @@
 	at := slices.IndexFunc(c.unsent, func(u unsent) bool { return u.Seq == seq })
 	if at >= 0 {
 		c.unsent = slices.Delete(c.unsent, at, at+1)
-		c.n.stats.Gone++
+		c.n.stats.Abandoned++
 	}
 }
 
 // serve begins a request, or turns it down.
 func (c *client) serve(call *unsent) {
 	n := c.n
-	q, err := thriftrpc.Check(&call.Call, n.class)
+	q, err := thriftrpc.ParseRequest(&call.Call, n.class)
 	if err == nil && n.reqs[q.ID] != nil {
-		err = thriftrpc.ErrTwice
+		err = thriftrpc.ErrDuplicateID
 	}
 	if err != nil {
-		n.stats.Bad++
+		n.stats.Invalid++
 		n.log.Debug("request turned down", zap.Error(err))
 		c.queue(n.codec.Failed(call.Seq))
 		return
@@ -412,7 +412,7 @@
 // relieve closes the client for which most bytes are kept, where those that are kept for
 // clients take too much memory: answers that they don't read, and messages that don't come
 // whole.
-func (n *Node) relieve() {
+func (n *Server) relieve() {
 	var most *client
 	all := 0
 	for c := range n.clients {
--- a/internal/proxy/platform/clock_test.go
+++ b/internal/proxy/platform/clock_test.go
@@ -158,11 +158,11 @@
 	made := platform.ago(0)
 	w.n.l.Call(soon, func() {
 		time.Sleep(turn)
-		w.n.event(discovery.Event{N: 2, Group: 21, At: platform.ago(0)})
+		w.n.event(discovery.Event{Number: 2, Group: 21, PurgedAt: platform.ago(0)})
 	})
 	var age float64
 	w.n.l.Call(soon, func() {
-		w.n.event(discovery.Event{N: 3, Group: 22, At: made})
+		w.n.event(discovery.Event{Number: 3, Group: 22, PurgedAt: made})
 		age = w.n.l.Now() - w.n.core.Memory().Module.Groups[22]
 	})
 	if most := float64(platform.ago(0)-made) + 1; age > most || age < float64(turn.Milliseconds())-1 {
--- a/internal/proxy/platform/discovery_test.go
+++ b/internal/proxy/platform/discovery_test.go
@@ -228,7 +228,7 @@
 func (w *world) toldOnce(last uint64) {
 	w.t.Helper()
 	w.until("the last event is told", func() (told bool) {
-		w.n.l.Call(soon, func() { told = w.n.watch.reader.Last == last })
+		w.n.l.Call(soon, func() { told = w.n.watch.reader.LastNumber == last })
 		return told
 	})
 	w.n.l.Call(soon, func() {
@@ -348,19 +348,19 @@
 		w := open(t, nil)
 		before := heapMB()
 		w.n.l.Call(soon, func() {
-			n := w.n.watch.reader.Last
+			n := w.n.watch.reader.LastNumber
 			next := 0
-			row := func(i int, state string) discovery.Row {
-				return discovery.Row{ID: fmt.Sprintf("s-%08x", i), Address: "127.0.0.1:9", Zone: "near", Kind: "box", State: state, Weight: 4, Started: int64(i)}
+			row := func(i int, state string) discovery.Endpoint {
+				return discovery.Endpoint{ID: fmt.Sprintf("s-%08x", i), Address: "127.0.0.1:9", Zone: "near", Kind: "box", State: state, Weight: 4, StartedAt: int64(i)}
 			}
-			full := discovery.Event{N: n + 1, Listed: true, Full: true}
+			full := discovery.Event{Number: n + 1, Listed: true, Full: true}
 			for ; next < caches; next++ {
-				full.Rows = append(full.Rows, row(next, "ready"))
+				full.Endpoints = append(full.Endpoints, row(next, "ready"))
 			}
 			w.n.event(full)
 			from := userTime(t)
 			for i := range 24 * caches / 200 {
-				w.n.event(discovery.Event{N: n + 2 + uint64(i), Listed: true, Rows: []discovery.Row{row(next-caches, "gone"), row(next, "ready")}})
+				w.n.event(discovery.Event{Number: n + 2 + uint64(i), Listed: true, Endpoints: []discovery.Endpoint{row(next-caches, "gone"), row(next, "ready")}})
 				next++
 			}
 			cpu = userTime(t) - from
--- a/internal/proxy/platform/drain.go
+++ b/internal/proxy/platform/drain.go
@@ -22,7 +22,7 @@
 )
 
 // drain begins to end: what there is and what still comes is finished.
-func (n *Node) drain() {
+func (n *Server) drain() {
 	longest := 0.0
 	for _, class := range n.classes {
 		longest = max(longest, class.Deadline)
@@ -38,7 +38,7 @@
 // leave ends a router that has drained: who has connected meanwhile is still taken, those
 // at rest are shut and read until they close, and it stops once nobody is left, or there is
 // no more time. Requests that come shortly before are taken with what time there is.
-func (n *Node) leave() {
+func (n *Server) leave() {
 	now := n.l.Now()
 	if now < n.leaveAt {
 		return
--- a/internal/proxy/platform/moments_test.go
+++ b/internal/proxy/platform/moments_test.go
@@ -566,7 +566,7 @@
 	}
 }
 
-func beliefs(n *Node) map[string]float64 {
+func beliefs(n *Server) map[string]float64 {
 	out := map[string]float64{}
 	members, _ := n.core.Beliefs()
 	for id, b := range members {
--- a/internal/proxy/platform/node.go
+++ b/internal/proxy/platform/node.go
@@ -25,9 +25,9 @@
 	"indigospool/internal/proxy/unixclock"
 )
 
-// Node is one router. All of it belongs to its loop's goroutine, but for the methods
+// Server is one router. All of it belongs to its loop's goroutine, but for the methods
 // that say otherwise.
-type Node struct {
+type Server struct {
 	l    *eventloop.Loop
 	cfg  *Config
 	file string
@@ -59,7 +59,7 @@
 	drained float64 // since when it drains; 0: it does not
 	leaveAt float64 // from when on connections at rest are shut
 	goneBy  float64 // when the last answer is to have been written
-	stats   Stats
+	stats   Counts
 }
 
 // request is a client's request in hand.
@@ -76,8 +76,8 @@
 	timer  eventloop.Timer // the module's
 }
 
-// Open makes a router that listens; Run serves.
-func Open(file, address string, log *zap.Logger) (*Node, error) {
+// Open makes a router that listens; Serve runs it.
+func Open(file, address string, log *zap.Logger) (*Server, error) {
 	cfg, err := ReadConfig(file)
 	if err != nil {
 		return nil, err
@@ -85,7 +85,7 @@
 	if address == "" {
 		address = cfg.Listen
 	}
-	n := &Node{cfg: cfg, file: file, log: log, reqs: map[string]*request{}, pools: map[string]*pool{},
+	n := &Server{cfg: cfg, file: file, log: log, reqs: map[string]*request{}, pools: map[string]*pool{},
 		clients: map[*client]struct{}{}, codec: thriftrpc.NewCodec(), readConfig: ReadConfig, scratch: make([]byte, 64<<10),
 		places: limits.NewPlaces(cfg.Limits.Sockets)}
 	n.bufs.Keep = n.waitingBytes() / 2
@@ -97,12 +97,12 @@
 		return nil, err
 	}
 	n.beat.F = func() { n.tell(spool.Timer{}) }
-	n.watch.reader = discovery.Reader{Zones: cfg.settings.Module.Zones, Kinds: cfg.settings.Kinds}
+	n.watch.reader = discovery.Decoder{Zones: cfg.settings.Module.Zones, Kinds: cfg.settings.Kinds}
 	n.watch.node = n
 	n.watch.dial = n.l.Dial
 	n.watch.tries = limits.NewAgain(feedFirst, feedBase, feedMost, cfg.seed)
 	var known []discovery.Event
-	if err := n.watch.reader.Known(cfg.Known, func(ev discovery.Event) { known = append(known, ev) }); err != nil {
+	if err := n.watch.reader.DecodeKnown(cfg.Known, func(ev discovery.Event) { known = append(known, ev) }); err != nil {
 		return nil, err
 	}
 	n.eventsOf(known)
@@ -117,9 +117,11 @@
 const sweepSpan = 200 // ms between looks at connections that overstay
 
 // waitingBytes is how much may wait, and be held of what has come in part.
-func (n *Node) waitingBytes() int { return limits.WaitingBytes(int(n.cfg.Limits.MemoryMB * (1 << 20))) }
+func (n *Server) waitingBytes() int {
+	return limits.WaitingBytes(int(n.cfg.Limits.MemoryMB * (1 << 20)))
+}
 
-func (n *Node) setClasses() {
+func (n *Server) setClasses() {
 	n.classes = map[string]*spool.Class{}
 	for i := range n.cfg.settings.Module.Classes {
 		c := &n.cfg.settings.Module.Classes[i]
@@ -127,17 +129,17 @@
 	}
 }
 
-func (n *Node) class(name string) *spool.Class { return n.classes[name] }
+func (n *Server) class(name string) *spool.Class { return n.classes[name] }
 
 // Addr is where the router listens.
-func (n *Node) Addr() string { return n.listener.address }
+func (n *Server) Addr() string { return n.listener.address }
 
-// Run serves until it has drained.
-func (n *Node) Run() error { return n.l.Run() }
+// Serve runs until it has drained.
+func (n *Server) Serve() error { return n.l.Run() }
 
 // Drain has the router finish what it has and what still comes, and then end. It may be
 // called from any goroutine.
-func (n *Node) Drain() {
+func (n *Server) Drain() {
 	n.l.Post(func() {
 		if n.drained == 0 {
 			n.drain()
@@ -146,12 +148,12 @@
 }
 
 // Reload reads the configuration file again. It may be called from any goroutine.
-func (n *Node) Reload() {
+func (n *Server) Reload() {
 	n.l.Post(func() { n.reloadWithin(reloadTries) })
 }
 
 // reloadWithin reloads. Where the file cannot be read, which may pass, it is tried again.
-func (n *Node) reloadWithin(tries int) {
+func (n *Server) reloadWithin(tries int) {
 	err := n.reload()
 	if err == nil {
 		return
@@ -168,7 +170,7 @@
 	reloadAgain = 100 // ms between two
 )
 
-func (n *Node) reload() error {
+func (n *Server) reload() error {
 	cfg, err := n.readConfig(n.file)
 	if err != nil {
 		return err
@@ -176,7 +178,7 @@
 	r := n.watch.reader
 	var list []discovery.Event
 	r.Zones, r.Kinds = cfg.settings.Module.Zones, cfg.settings.Kinds
-	if err := r.Known(cfg.Known, func(ev discovery.Event) { list = append(list, ev) }); err != nil {
+	if err := r.DecodeKnown(cfg.Known, func(ev discovery.Event) { list = append(list, ev) }); err != nil {
 		return err
 	}
 	if n.acts, err = n.core.ResettleBare(n.l.Now(), cfg.settings.Module, n.acts[:0]); err != nil {
@@ -193,13 +195,13 @@
 	if moved {
 		n.watch.connect()
 	}
-	n.log.Info("configuration read", zap.String("feed", cfg.Feed), zap.Uint64("last", r.Last))
+	n.log.Info("configuration read", zap.String("feed", cfg.Feed), zap.Uint64("last", r.LastNumber))
 	return nil
 }
 
 // eventsOf hands the events of a configuration on. The times of all of them are looked at
 // first: the last tell how old the others are.
-func (n *Node) eventsOf(list []discovery.Event) {
+func (n *Server) eventsOf(list []discovery.Event) {
 	for i := range list {
 		n.saw(&list[i])
 	}
@@ -210,13 +212,13 @@
 
 // saw shows the clock an event's times. They may lie behind the beginning of the turn in
 // which it is read.
-func (n *Node) saw(ev *discovery.Event) {
+func (n *Server) saw(ev *discovery.Event) {
 	now := eventloop.Clock()
 	if !ev.Listed {
-		n.clock.Saw(float64(ev.At), now)
+		n.clock.Saw(float64(ev.PurgedAt), now)
 	}
-	for i := range ev.Rows {
-		if started := ev.Rows[i].Started; started > 0 {
+	for i := range ev.Endpoints {
+		if started := ev.Endpoints[i].StartedAt; started > 0 {
 			n.clock.Saw(float64(started), now)
 		}
 	}
@@ -224,31 +226,31 @@
 
 // event hands an event of the feed on to the module. How old what it tells is goes by the
 // platform's own times alone: the wall clock of this machine may be anywhere.
-func (n *Node) event(ev discovery.Event) {
+func (n *Server) event(ev discovery.Event) {
 	n.stats.Events++
 	n.saw(&ev)
 	now := n.l.Now()
 	if !ev.Listed {
-		n.tell(spool.Purge{Object: ev.Object, Group: ev.Group, Age: n.clock.Age(float64(ev.At), now)})
+		n.tell(spool.Purge{Object: ev.Object, Group: ev.Group, Age: n.clock.Age(float64(ev.PurgedAt), now)})
 		n.purged(ev.Object, ev.Group)
 		return
 	}
-	news := engine.News{Rev: int64(ev.N), How: "step"}
+	news := engine.News{Rev: int64(ev.Number), How: "step"}
 	if ev.Full {
 		news.How = "full"
 	}
-	for _, r := range ev.Rows {
+	for _, r := range ev.Endpoints {
 		row := engine.Row{ID: r.ID, Zone: r.Zone, Kind: r.Kind, Cell: r.Cell, State: memberStates[r.State],
-			Size: r.Weight, Address: r.Address, Start: r.Started}
-		if r.Started > 0 {
-			row.UpMs = max(n.clock.Age(float64(r.Started), now), justStarted)
+			Size: r.Weight, Address: r.Address, Start: r.StartedAt}
+		if r.StartedAt > 0 {
+			row.UpMs = max(n.clock.Age(float64(r.StartedAt), now), justStarted)
 		}
 		news.Members = append(news.Members, row)
 	}
 	for _, e := range n.core.Apply(now, &news).Events {
 		n.tell(e)
 	}
-	for _, r := range ev.Rows {
+	for _, r := range ev.Endpoints {
 		n.changed(r.ID)
 	}
 	if ev.Full { // those that it does not name are gone
@@ -258,7 +260,7 @@
 
 // changed has what is kept of a member go by its row: a pool that it no longer fits is
 // closed, and one that is gone is forgotten.
-func (n *Node) changed(id string) {
+func (n *Server) changed(id string) {
 	p := n.pools[id]
 	if m, ok := n.core.Member(id); p != nil && (!ok || m.State != spool.Serving || n.core.Address(id) != p.address) {
 		p.close()
@@ -272,7 +274,7 @@
 
 // tell gives the module an event and carries out its actions; what these bring about is
 // told behind them, in order.
-func (n *Node) tell(ev spool.Event) {
+func (n *Server) tell(ev spool.Event) {
 	n.events = append(n.events, ev)
 	if n.busy {
 		return
@@ -293,7 +295,7 @@
 }
 
 // carry carries out one action.
-func (n *Node) carry(a spool.Action) {
+func (n *Server) carry(a spool.Action) {
 	switch a := a.(type) {
 	case spool.Send:
 		if r := n.reqs[a.ID]; r != nil {
@@ -301,9 +303,9 @@
 		}
 	case spool.Refuse:
 		if r := n.reqs[a.ID]; r != nil && r.c != nil {
-			n.stats.Refused++
+			n.stats.Rejected++
 			n.trace("refused", r, zap.Float64("after", a.After))
-			r.c.answer(r, n.codec.Refused(r.seq, math.Floor(a.After)))
+			r.c.answer(r, n.codec.Rejected(r.seq, math.Floor(a.After)))
 		}
 	case spool.Fail:
 		if r := n.reqs[a.ID]; r != nil && r.c != nil {
@@ -320,7 +322,7 @@
 	}
 }
 
-func (n *Node) wake(a spool.Wake) {
+func (n *Server) wake(a spool.Wake) {
 	token := a.Token
 	switch {
 	case token == 0:
@@ -335,27 +337,27 @@
 
 // take hands a client's request to the module. Its time counts from the earliest moment at
 // which its last byte may have come: it may have lain unread for a long turn of the loop.
-func (n *Node) take(c *client, seq int32, q thriftrpc.Request, came float64) {
-	r := &request{Request: q, c: c, seq: seq, until: came + q.Wait, write: n.classes[q.Class].Write}
+func (n *Server) take(c *client, seq int32, q thriftrpc.Request, came float64) {
+	r := &request{Request: q, c: c, seq: seq, until: came + q.TimeLeft, write: n.classes[q.Class].Write}
 	if n.drained > 0 {
 		r.until = min(r.until, n.goneBy-drainStep)
 	}
 	n.reqs[q.ID], c.open[seq] = r, r
 	n.stats.Requests++
-	n.trace("taken", r, zap.String("class", q.Class), zap.Float64("wait", q.Wait), zap.String("once", q.Once), zap.Int("fd", c.fd))
+	n.trace("taken", r, zap.String("class", q.Class), zap.Float64("wait", q.TimeLeft), zap.String("once", q.IdempotencyKey), zap.Int("fd", c.fd))
 	n.tell(spool.Request{ID: q.ID, Class: q.Class, Object: q.Key, Deadline: r.until, Group: q.Group,
 		Part: q.Part, Retry: q.Retry, Write: r.write})
 }
 
 // trace logs a step of a request's way, where that is asked for.
-func (n *Node) trace(what string, r *request, fields ...zap.Field) {
+func (n *Server) trace(what string, r *request, fields ...zap.Field) {
 	if e := n.log.Check(zap.DebugLevel, what); e != nil {
 		e.Write(append(fields, zap.String("id", r.ID), zap.Float64("left", r.until-n.l.Now()))...)
 	}
 }
 
 // over ends a request towards its client; it is forgotten when nothing is out for it.
-func (n *Node) over(r *request) {
+func (n *Server) over(r *request) {
 	if r.c != nil {
 		delete(r.c.open, r.seq)
 		r.c = nil
@@ -370,7 +372,7 @@
 
 // sweep closes connections that overstay. One that is owed an answer is not shut before it
 // has that, whatever else it does.
-func (n *Node) sweep() {
+func (n *Server) sweep() {
 	now := n.l.Now()
 	for c := range n.clients {
 		switch c.v.Open = len(c.open) + len(c.unsent); {
--- a/internal/proxy/platform/node_test.go
+++ b/internal/proxy/platform/node_test.go
@@ -25,7 +25,7 @@
 // world is a router among stand-ins.
 type world struct {
 	t        *testing.T
-	n        *Node
+	n        *Server
 	addr     string
 	file     string
 	members  map[string]*testserver.PlatformCache
@@ -75,7 +75,7 @@
 		w.t.Fatal(err)
 	}
 	w.n, w.addr = n, n.Addr()
-	go func() { w.done <- n.Run() }()
+	go func() { w.done <- n.Serve() }()
 	w.t.Cleanup(func() {
 		n.l.Stop()
 		select {
--- a/internal/proxy/platform/upstream.go
+++ b/internal/proxy/platform/upstream.go
@@ -17,7 +17,7 @@
 // attempt is one attempt of a request. It is out from when it is written whole until
 // its outcome is told.
 type attempt struct {
-	in      *Node
+	in      *Server
 	r       *request
 	n       int
 	send    spool.Send
@@ -33,7 +33,7 @@
 }
 
 // send makes an attempt that the module wants.
-func (n *Node) send(r *request, s spool.Send) {
+func (n *Server) send(r *request, s spool.Send) {
 	now := n.l.Now()
 	a := &attempt{in: n, r: r, n: r.tries, send: s, sent: now, until: r.until}
 	r.tries++
@@ -64,7 +64,7 @@
 	}
 	c, failure := p.pick(r.ID)
 	if c == nil {
-		n.stats.NoConn++
+		n.stats.NoConnection++
 		a.end(failure, spool.NoteNone, 0)
 		return
 	}
@@ -91,7 +91,7 @@
 
 // purged takes back what has not begun to be written for an object, or for a group: the
 // age of copies that it would ask for was decided before the purge.
-func (n *Node) purged(object string, group int) {
+func (n *Server) purged(object string, group int) {
 	var list []*attempt
 	for _, r := range n.reqs {
 		if a := r.out; a != nil && a.c != nil && !a.written && a.c.writing != a &&
@@ -173,7 +173,7 @@
 
 // pool is the connections to one member, by its id: another one may come to have its address.
 type pool struct {
-	n       *Node
+	n       *Server
 	id      string
 	address string
 	conns   []*conn
@@ -235,7 +235,7 @@
 }
 
 // room closes the connection to members that was idle longest, if there is one.
-func (n *Node) room() bool {
+func (n *Server) room() bool {
 	var first *conn
 	for _, p := range n.pools {
 		for _, c := range p.conns {
@@ -276,9 +276,9 @@
 // failed notes that a connection could not be begun, and tells whose fault that was.
 func (p *pool) failed(err error) spool.Result {
 	n := p.n
-	if n.stats.NoDial++; n.stats.NoDial&(n.stats.NoDial-1) == 0 { // the 1st, 2nd, 4th, 8th...
+	if n.stats.FailedDials++; n.stats.FailedDials&(n.stats.FailedDials-1) == 0 { // the 1st, 2nd, 4th, 8th...
 		n.log.Warn("no connection", zap.String("member", p.id), zap.String("address", p.address),
-			zap.Uint64("times", n.stats.NoDial), zap.Error(err))
+			zap.Uint64("times", n.stats.FailedDials), zap.Error(err))
 	}
 	if eventloop.Lacking(err) {
 		return spool.LocalFailure
@@ -453,8 +453,8 @@
 	f = append(append(f, ",key="...), r.Key...)
 	f = strconv.AppendInt(append(f, ",part="...), int64(r.Part), 10)
 	f = strconv.AppendInt(append(f, ",wait="...), int64(max(a.until-now, 1)), 10)
-	if r.Once != "" {
-		f = append(append(f, ",once="...), r.Once...)
+	if r.IdempotencyKey != "" {
+		f = append(append(f, ",once="...), r.IdempotencyKey...)
 	}
 	if s.Source != "" && s.Source != s.Cache {
 		f = append(append(f, ",miss="...), s.Source...)
@@ -475,10 +475,10 @@
 			sep = "+"
 		}
 	}
-	if r.Seen != "" {
-		f = append(append(f, ",mine="...), r.Seen...)
+	if r.ClientTag != "" {
+		f = append(append(f, ",mine="...), r.ClientTag...)
 	}
-	return resp.Array(nil, []byte("REQ"), []byte(r.ID), f, r.Body)
+	return resp.AppendArray(nil, []byte("REQ"), []byte(r.ID), f, r.Body)
 }
 
 // stop gives up an attempt that was written. A connection on which nothing came since is
@@ -502,7 +502,7 @@
 	case again && silent, c.writing != nil: // behind a part of another, the word would come late
 		c.fail(spool.Cancelled)
 	default:
-		c.out.Add(&n.bufs, resp.Array(nil, []byte("STOP"), []byte(a.r.ID)))
+		c.out.Add(&n.bufs, resp.AppendArray(nil, []byte("STOP"), []byte(a.r.ID)))
 		c.flush()
 	}
 }
@@ -530,9 +530,9 @@
 	}
 	used := 0
 	for !c.closed {
-		ans, size, want, err := resp.Read(data[used:])
+		ans, size, want, err := resp.ReadAnswer(data[used:])
 		if err != nil {
-			n.stats.Spoilt++
+			n.stats.Malformed++
 			n.log.Debug("answer", zap.String("member", c.p.id), zap.Error(err))
 			c.spoil(nil)
 			return
@@ -571,13 +571,13 @@
 	n := c.p.n
 	i := slices.IndexFunc(c.open, func(a *attempt) bool { return a.r.ID == string(ans.ID) })
 	if i < 0 { // a second copy, or nobody's: what follows can be read all the same
-		n.stats.Extra++
+		n.stats.Unmatched++
 		return
 	}
 	a := c.open[i]
 	result, known := results[string(ans.Word)]
 	note, waited, entity, issued := spool.NoteNone, 0.0, false, false
-	whole := resp.Field(ans.Fields, func(name, value []byte) bool {
+	whole := resp.EachField(ans.Fields, func(name, value []byte) bool {
 		switch string(name) {
 		case "how":
 			note = notes[string(value)]
@@ -597,15 +597,15 @@
 		n.log.Debug("answer", zap.String("member", c.p.id), zap.ByteString("word", ans.Word),
 			zap.ByteString("fields", ans.Fields), zap.Any("request", r.Request), zap.Any("send", a.send))
 	}
-	if !known || !whole || result == spool.OK && !r.write && (!entity || !issued) || same && (r.Seen == "" || len(ans.Body) > 0) {
-		n.stats.Spoilt++
+	if !known || !whole || result == spool.OK && !r.write && (!entity || !issued) || same && (r.ClientTag == "" || len(ans.Body) > 0) {
+		n.stats.Malformed++
 		n.log.Debug("answer", zap.String("member", c.p.id), zap.ByteString("word", ans.Word), zap.ByteString("fields", ans.Fields))
 		c.spoil(a)
 		return
 	}
 	if result == spool.OK && r.c != nil {
 		if n.stats.Served++; same {
-			n.stats.Same++
+			n.stats.NotModified++
 		}
 		client := r.c
 		delete(client.open, r.seq)
--- a/internal/proxy/platform/watch.go
+++ b/internal/proxy/platform/watch.go
@@ -12,8 +12,8 @@
 // Where discovery is slow to say its first word, an earlier connection is kept beside the
 // one that was begun after it, and the first to say something is followed.
 type watch struct {
-	node    *Node
-	reader  discovery.Reader
+	node    *Server
+	reader  discovery.Decoder
 	follows *feedConn // the one that was begun last, or has said something
 	awaits  *feedConn // an earlier one that has not said anything yet
 	timer   eventloop.Timer
@@ -58,7 +58,7 @@
 		w.node.l.Arm(&w.timer, w.tries.In())
 		return
 	}
-	c := &feedConn{watch: w, fd: fd, hello: w.reader.Hello(), began: w.node.l.Now()}
+	c := &feedConn{watch: w, fd: fd, hello: w.reader.Resume(), began: w.node.l.Now()}
 	if err := w.node.l.Add(fd, eventloop.Read|eventloop.Write, c); err != nil {
 		closeFD(fd)
 		w.node.l.Arm(&w.timer, w.tries.In())
@@ -70,7 +70,7 @@
 // late goes on after a silence, or after the pause that follows a break.
 func (w *watch) late() {
 	if c := w.follows; c != nil {
-		w.node.log.Warn("feed is silent", zap.String("feed", w.node.cfg.Feed), zap.Uint64("last", w.reader.Last))
+		w.node.log.Warn("feed is silent", zap.String("feed", w.node.cfg.Feed), zap.Uint64("last", w.reader.LastNumber))
 		if w.awaits != nil && w.node.l.Now()-w.awaits.began > feedWord {
 			w.end(&w.awaits)
 		}
@@ -153,13 +153,13 @@
 		return
 	}
 	w.heard(c)
-	idle := w.reader.Idle
-	if err := w.reader.Take(n.scratch[:size], n.event); err != nil {
+	idle := w.reader.UpToDate
+	if err := w.reader.Decode(n.scratch[:size], n.event); err != nil {
 		n.log.Warn("feed", zap.Error(err))
 		w.broke(c)
 		return
 	}
-	if w.reader.Idle > idle {
+	if w.reader.UpToDate > idle {
 		n.clock.Current(eventloop.Clock())
 	}
 }
--- a/internal/testbed/testserver/platform.go
+++ b/internal/testbed/testserver/platform.go
@@ -41,7 +41,7 @@
 
 // Answer writes an answer.
 func (c *PlatformConn) Answer(id, word, fields string, body []byte) {
-	c.Write(resp.Array(nil, []byte(id), []byte(word), []byte(fields), body))
+	c.Write(resp.AppendArray(nil, []byte(id), []byte(word), []byte(fields), body))
 }
 
 // Hit answers with bytes that were given out now.
@@ -144,7 +144,7 @@
 		}
 		buf = append(buf, room[:k]...)
 		for {
-			a, size, _, err := resp.Read(buf) // a request has the form of an answer
+			a, size, _, err := resp.ReadAnswer(buf) // a request has the form of an answer
 			if err != nil {
 				return
 			}
@@ -152,7 +152,7 @@
 				break
 			}
 			q := PlatformRequest{ID: string(a.Word), Body: bytes.Clone(a.Body), Stop: string(a.ID) == "STOP", Fields: map[string]string{}}
-			resp.Field(a.Fields, func(name, value []byte) bool { q.Fields[string(name)] = string(value); return true })
+			resp.EachField(a.Fields, func(name, value []byte) bool { q.Fields[string(name)] = string(value); return true })
 			buf = buf[size:]
 			p.mu.Lock()
 			p.seen = append(p.seen, q)
