--- a/internal/protocol/discovery/feed_test.go
+++ b/internal/protocol/discovery/feed_test.go
@@ -45,9 +45,9 @@
 	}
 }
 
-// TestBreaks: over any number of connections that break anywhere, and repeat anything,
+// TestReconnects: over any number of connections that break anywhere, and repeat anything,
 // each event comes once and in order.
-func TestBreaks(t *testing.T) {
+func TestReconnects(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, last := reader(), uint64(0)
 		for range rapid.IntRange(1, 20).Draw(t, "connections") {
@@ -79,7 +79,7 @@
 	})
 }
 
-func TestKnown(t *testing.T) {
+func TestDecodeKnown(t *testing.T) {
 	const doc = `{"n":3,"events":[{"n":1,"members":{"index":7,"endpoints":[{"name":"s-00c41f7a","address":"10.1.0.9:5050","zone":"a",
 	 "type":"box","group":2,"status":"ready","weight":4,"since_ms":0}]}},{"n":2,"purge":{"key":"7f3a9c21e0b4d655","at":9}},{"n":3,"purge":{"group":17,"at":8}}]}`
 	r, n := reader(), 0
--- a/internal/protocol/resp/resp_test.go
+++ b/internal/protocol/resp/resp_test.go
@@ -12,9 +12,9 @@
 	return rapid.SliceOfN(rapid.Byte(), 0, most).Draw(t, name)
 }
 
-// TestAnySplit: answers come out the same however their bytes are split, and none comes
+// TestAnswersSplitAnywhere: answers come out the same however their bytes are split, and none comes
 // before it is whole.
-func TestAnySplit(t *testing.T) {
+func TestAnswersSplitAnywhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []byte
 		var want []Answer
@@ -80,7 +80,7 @@
 	})
 }
 
-func TestSpoilt(t *testing.T) {
+func TestMalformed(t *testing.T) {
 	for _, b := range []string{"x", "*9\r\n", "*1\r\n", "*4\n", "*4\r\n:1\r\n", "*4\r\n$65\r\n", "*4\r\n$1\r\nxyz", "*1234567890123456",
 		"*4\r\n$1\r\nx\r\n$3\r\nHIT\r\n$1\r\n-\r\n$240001\r\n"} {
 		if _, _, _, err := ReadAnswer([]byte(b)); !errors.Is(err, ErrMalformed) {
--- a/internal/protocol/thriftrpc/front_test.go
+++ b/internal/protocol/thriftrpc/front_test.go
@@ -20,8 +20,8 @@
 	return bytes.Clone(c.end())
 }
 
-// TestAnySplit: calls come out the same however their bytes are split.
-func TestAnySplit(t *testing.T) {
+// TestFramesSplitAnywhere: calls come out the same however their bytes are split.
+func TestFramesSplitAnywhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := NewCodec()
 		var all []byte
@@ -87,7 +87,7 @@
 	})
 }
 
-func TestCheckBounds(t *testing.T) {
+func TestRequestBounds(t *testing.T) {
 	classes := map[string]*spool.Class{"r": {Deadline: 1000}, "w": {Deadline: 1000, Effect: spool.Guarded, Write: true}}
 	ask := func(class, wait, slice, set, once string, body int) error {
 		call := Call{Fields: map[string]string{"id": "9b1f03aa5c7e2d41", "key": "9b1f03aa5c7e2d41", "class": class, "wait": wait,
--- a/internal/proxy/platform/client.go
+++ b/internal/proxy/platform/client.go
@@ -15,24 +15,24 @@
 
 func closeFD(fd int) { unix.Close(fd) }
 
-const acceptTurn = 64 // connections that one turn takes
+const acceptsPerTurn = 64 // connections that one turn takes
 
 // listener takes clients' connections.
 type listener struct {
 	eventloop.Listener
-	n       *Server
+	server  *Server
 	fd      int
 	address string
 }
 
-func listen(n *Server, address string) (*listener, error) {
+func listen(server *Server, address string) (*listener, error) {
 	fd, bound, err := eventloop.Listen(address)
 	if err != nil {
 		return nil, err
 	}
-	ln := &listener{n: n, fd: fd, address: bound}
-	ln.Listener = eventloop.Listener{PerTurn: acceptTurn, Take: ln.take, MakeRoom: n.yield}
-	return ln, ln.Start(n.l, fd)
+	ln := &listener{server: server, fd: fd, address: bound}
+	ln.Listener = eventloop.Listener{PerTurn: acceptsPerTurn, Take: ln.acceptClient, MakeRoom: server.closeIdleClient}
+	return ln, ln.Start(server.loop, fd)
 }
 
 // close takes who has connected already, and ends listening.
@@ -47,104 +47,106 @@
 }
 
 // take begins to hear a client.
-func (ln *listener) take(fd int) {
-	n := ln.n
-	n.stats.Accepted++
-	if len(n.clients) >= n.places.Clients && !n.yield() {
+func (ln *listener) acceptClient(fd int) {
+	server := ln.server
+	server.counts.Accepted++
+	if len(server.clients) >= server.connectionLimits.Clients && !server.closeIdleClient() {
 		closeFD(fd)
 		return
 	}
 	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	c := &client{n: n, fd: fd, open: map[int32]*request{}, v: limits.Visitor{Since: n.l.Now()}}
-	c.settle.F = c.begin
-	if c.emptied = eventloop.Clock(); !eventloop.Quiet(fd) { // it may have waited in the queue
-		c.behind = ln.Since()
+	c := &client{server: server, fd: fd, open: map[int32]*request{}, activity: limits.Visitor{Since: server.loop.Now()}}
+	c.settleTimer.F = c.startPending
+	if c.emptiedAt = eventloop.Clock(); !eventloop.Quiet(fd) { // it may have waited in the queue
+		c.unreadSince = ln.Since()
 	}
-	if err := n.l.Add(fd, eventloop.Read, c); err != nil {
+	if err := server.loop.Add(fd, eventloop.Read, c); err != nil {
 		closeFD(fd)
 		return
 	}
-	n.l.First(fd)
-	n.clients[c] = struct{}{}
+	server.loop.First(fd)
+	server.clients[c] = struct{}{}
 }
 
 // yield closes the connection that goes first where room is needed, if any may.
-func (n *Server) yield() bool {
-	var first *client
-	for c := range n.clients {
-		if c.out.Len() > 0 {
+func (s *Server) closeIdleClient() bool {
+	var idlest *client
+	for client := range s.clients {
+		if client.output.Len() > 0 {
 			continue // an answer is under way
 		}
-		c.v.Open = len(c.open) + len(c.unsent)
-		var best *limits.Visitor
-		if first != nil {
-			best = &first.v
+		client.activity.Open = len(client.open) + len(client.pending)
+		var idlestActivity *limits.Visitor
+		if idlest != nil {
+			idlestActivity = &idlest.activity
 		}
-		if c.v.Yields(best) && eventloop.Quiet(c.fd) { // what it has sent meanwhile was taken, and is owed an answer
-			first = c
+		if client.activity.Yields(idlestActivity) && eventloop.Quiet(client.fd) { // what it has sent meanwhile was taken, and is owed an answer
+			idlest = client
 		}
 	}
-	if first != nil {
-		first.close()
+	if idlest != nil {
+		idlest.close()
 	}
-	return first != nil
+	return idlest != nil
 }
 
 // client is a client's connection.
 type client struct {
-	n      *Server
-	fd     int
-	in     eventloop.Queue
-	out    eventloop.Queue
-	open   map[int32]*request
-	unsent []unsent // calls that were read whole, and of which nothing has begun
-	last   int32    // number of the last call of serve
-	v      limits.Visitor
-	closed bool
+	server       *Server
+	fd           int
+	input        eventloop.Queue
+	output       eventloop.Queue
+	open         map[int32]*request
+	pending      []pendingCall // calls that were read whole, and of which nothing has begun
+	lastSequence int32         // number of the last call of serve
+	activity     limits.Visitor
+	closed       bool
 
 	// What Node.take counts a request's time from.
-	emptied float64 // when a read last found nothing more
-	behind  float64 // 0, or when bytes may have come that no read has reached yet
+	emptiedAt   float64 // when a read last found nothing more
+	unreadSince float64 // 0, or when bytes may have come that no read has reached yet
 
-	large   bool            // so much came at once that the kernel may have held back more
-	settled float64         // when that has come, if nothing comes before
-	settle  eventloop.Timer // has what waited for that begin
+	largeRead   bool            // so much came at once that the kernel may have held back more
+	settledAt   float64         // when that has come, if nothing comes before
+	settleTimer eventloop.Timer // has what waited for that begin
 }
 
 // unsent is a call of serve that waits until all that came behind it has been read.
-type unsent struct {
+type pendingCall struct {
 	thriftrpc.Call
-	came float64 // the earliest moment at which its last byte may have come
-	read float64 // when it was read
+	arrivedAfter float64 // the earliest moment at which its last byte may have come
+	readAt       float64 // when it was read
 }
 
 // owes reports whether the client has a request, or a part of an answer, to come.
-func (c *client) owes() bool { return len(c.open) > 0 || len(c.unsent) > 0 || c.out.Len() > 0 }
+func (c *client) owesAnswer() bool {
+	return len(c.open) > 0 || len(c.pending) > 0 || c.output.Len() > 0
+}
 
 // close ends a connection; what is open on it is given up.
 func (c *client) close() {
 	if c.closed {
 		return
 	}
-	n := c.n
+	server := c.server
 	c.closed = true
-	n.stats.Closed++
-	n.stats.Abandoned += uint64(len(c.unsent))
-	c.unsent = nil
-	n.l.Forget(&c.settle)
-	n.l.Remove(c.fd)
+	server.counts.Closed++
+	server.counts.Abandoned += uint64(len(c.pending))
+	c.pending = nil
+	server.loop.Forget(&c.settleTimer)
+	server.loop.Remove(c.fd)
 	closeFD(c.fd)
-	delete(n.clients, c)
-	n.waiting -= c.out.Len()
-	c.in.Drop(&n.bufs)
-	c.out.Drop(&n.bufs)
+	delete(server.clients, c)
+	server.unsentBytes -= c.output.Len()
+	c.input.Drop(&server.buffers)
+	c.output.Drop(&server.buffers)
 	list := make([]*request, 0, len(c.open))
 	for _, r := range c.open {
 		list = append(list, r)
-		r.c = nil // nothing more is begun for any of them while the module hears of one
+		r.client = nil // nothing more is begun for any of them while the module hears of one
 	}
 	for _, r := range list {
-		c.giveUp(r)
+		c.abandon(r)
 	}
 }
 
@@ -152,198 +154,198 @@
 // moment is read and dropped, so that the kernel resets nothing and the client can tell:
 // it sends that again elsewhere. The connection is closed when the client closes it, or
 // when it overstays.
-func (c *client) shut() {
-	c.v.Shut = c.n.l.Now()
+func (c *client) shutdownWrite() {
+	c.activity.Shut = c.server.loop.Now()
 	unix.Shutdown(c.fd, unix.SHUT_WR)
 }
 
 // giveUp tells the module that the client has left a request.
-func (c *client) giveUp(r *request) {
-	c.n.stats.Abandoned++
-	c.n.trace("gone", r)
-	c.n.over(r)
-	c.n.tell(spool.Gone{ID: r.ID})
+func (c *client) abandon(r *request) {
+	c.server.counts.Abandoned++
+	c.server.trace("gone", r)
+	c.server.endForClient(r)
+	c.server.dispatch(spool.Gone{ID: r.ID})
 }
 
 // OnReady is the loop's.
-func (c *client) OnReady(r eventloop.Ready) {
+func (c *client) OnReady(ready eventloop.Ready) {
 	switch {
-	case r.Ended(): // whatever it has sent before: nobody waits for an answer to it
+	case ready.Ended(): // whatever it has sent before: nobody waits for an answer to it
 		c.close()
 		return
-	case c.v.Shut > 0:
-		c.drop()
+	case c.activity.Shut > 0:
+		c.discardInput()
 		return
-	case r.Writable() && c.out.Len() > 0:
+	case ready.Writable() && c.output.Len() > 0:
 		c.flush()
 	}
-	if !c.closed && r.Readable() {
+	if !c.closed && ready.Readable() {
 		c.receive()
-		c.begin()
+		c.startPending()
 	}
 }
 
 // drop reads what comes after the connection was shut.
-func (c *client) drop() {
-	if size, err := c.n.l.Read(c.fd, c.n.scratch); !eventloop.Later(err) && (err != nil || size == 0) {
+func (c *client) discardInput() {
+	if size, err := c.server.loop.Read(c.fd, c.server.readBuffer); !eventloop.Later(err) && (err != nil || size == 0) {
 		c.close()
 	}
 }
 
 const (
-	readMost   = 256 << 10 // bytes that one turn reads of one client
-	readLarge  = 64 << 10  // bytes in one turn, past which the kernel may have held back more at the client's side
-	settleTime = 5.0       // ms in which that comes
-	unsentMost = 100.0     // ms that a call waits for what comes behind it
-	lateTurn   = 30.0      // ms into a turn, from which on clients are read again before anything begins
+	maxReadPerTurn = 256 << 10 // bytes that one turn reads of one client
+	largeReadBytes = 64 << 10  // bytes in one turn, past which the kernel may have held back more at the client's side
+	settleDelay    = 5.0       // ms in which that comes
+	maxPendingTime = 100.0     // ms that a call waits for what comes behind it
+	longTurn       = 30.0      // ms into a turn, from which on clients are read again before anything begins
 )
 
 // late reports that the present turn began so long ago that clients may have left since.
-func (n *Server) late() bool { return eventloop.Clock()-n.l.Now() > lateTurn }
+func (s *Server) inLongTurn() bool { return eventloop.Clock()-s.loop.Now() > longTurn }
 
 // receive reads what has come. What gives up a request, or ends the connection, takes
 // effect at once; calls are kept until begin, so that one that is given up behind others,
 // however many, is not begun, and one that spoils its connection spoils what came along
 // with it.
 func (c *client) receive() {
-	n := c.n
-	came := c.behind
-	if came == 0 {
-		came = max(n.l.Since(), c.emptied)
-	}
-	for left := readMost; left > 0; {
-		asked := eventloop.Clock()
-		size, err := n.l.Read(c.fd, n.scratch)
+	server := c.server
+	arrivedAfter := c.unreadSince
+	if arrivedAfter == 0 {
+		arrivedAfter = max(server.loop.Since(), c.emptiedAt)
+	}
+	for left := maxReadPerTurn; left > 0; {
+		startedAt := eventloop.Clock()
+		size, err := server.loop.Read(c.fd, server.readBuffer)
 		switch {
 		case err == unix.EAGAIN:
-			c.empty(asked, readMost-left)
+			c.noteEmptied(startedAt, maxReadPerTurn-left)
 			return
 		case eventloop.Later(err):
-			c.behind = came
+			c.unreadSince = arrivedAfter
 			return
 		case err != nil || size == 0:
 			c.close()
 			return
 		}
-		if c.parse(n.scratch[:size], came); c.closed {
+		if c.parse(server.readBuffer[:size], arrivedAfter); c.closed {
 			return
 		}
 		left -= size
-		if size < len(n.scratch) && !n.late() { // an end that has come in a long turn is read behind it
-			c.empty(asked, readMost-left)
+		if size < len(server.readBuffer) && !server.inLongTurn() { // an end that has come in a long turn is read behind it
+			c.noteEmptied(startedAt, maxReadPerTurn-left)
 			return
 		}
 	}
-	c.behind = came
+	c.unreadSince = arrivedAfter
 }
 
 // empty notes that a read that began at asked has left nothing, after so many bytes.
-func (c *client) empty(asked float64, size int) {
-	c.emptied, c.behind = asked, 0
-	if c.large = c.large || size > readLarge; c.large {
-		c.settled = asked + settleTime
+func (c *client) noteEmptied(asked float64, size int) {
+	c.emptiedAt, c.unreadSince = asked, 0
+	if c.largeRead = c.largeRead || size > largeReadBytes; c.largeRead {
+		c.settledAt = asked + settleDelay
 	}
 }
 
 // begin hands on the calls that were read, once nothing is left behind them that could
 // give them up.
-func (c *client) begin() {
-	for !c.closed && len(c.unsent) > 0 {
-		call := c.unsent[0]
-		if now := eventloop.Clock(); c.expects(now) && now-call.read < unsentMost {
-			c.n.l.Arm(&c.settle, settleTime)
+func (c *client) startPending() {
+	for !c.closed && len(c.pending) > 0 {
+		call := c.pending[0]
+		if now := eventloop.Clock(); c.expectsMore(now) && now-call.readAt < maxPendingTime {
+			c.server.loop.Arm(&c.settleTimer, settleDelay)
 			break
 		}
-		c.unsent = c.unsent[1:]
-		c.serve(&call)
+		c.pending = c.pending[1:]
+		c.startCall(&call)
 	}
-	if len(c.unsent) == 0 {
-		c.unsent, c.large = nil, false
+	if len(c.pending) == 0 {
+		c.pending, c.largeRead = nil, false
 	}
 	c.flush()
 }
 
 // expects reports whether more is to come behind the calls that were read: it was not read
 // yet, or the kernel may have held it back. At the end of a drain there is no time for it.
-func (c *client) expects(now float64) bool {
-	if c.n.drained > 0 && now >= c.n.goneBy {
+func (c *client) expectsMore(now float64) bool {
+	if c.server.drainStarted > 0 && now >= c.server.lastAnswerBy {
 		return false
 	}
-	return c.behind > 0 || c.large && (c.settled > now || c.in.Len() > 0)
+	return c.unreadSince > 0 || c.largeRead && (c.settledAt > now || c.input.Len() > 0)
 }
 
 // heed hears what the client has sent since the turn began, where that is long ago.
-func (c *client) heed() {
-	if c.closed || c.v.Shut > 0 || !c.n.late() || eventloop.Clock()-c.emptied < lateTurn {
+func (c *client) receiveInLongTurn() {
+	if c.closed || c.activity.Shut > 0 || !c.server.inLongTurn() || eventloop.Clock()-c.emptiedAt < longTurn {
 		return
 	}
 	c.receive()
-	if !c.closed && (len(c.unsent) > 0 || c.out.Len() > 0) {
-		c.n.l.Arm(&c.settle, 0)
+	if !c.closed && (len(c.pending) > 0 || c.output.Len() > 0) {
+		c.server.loop.Arm(&c.settleTimer, 0)
 	}
 }
 
 // parse takes bytes that have come, and hears each message that is whole.
-func (c *client) parse(data []byte, came float64) {
-	n := c.n
-	kept := c.in.Len() > 0
-	if kept {
-		c.in.Add(&n.bufs, data)
-		data = c.in.Bytes()
-	}
-	used, err := c.messages(data, came)
+func (c *client) parse(data []byte, arrivedAfter float64) {
+	server := c.server
+	buffered := c.input.Len() > 0
+	if buffered {
+		c.input.Add(&server.buffers, data)
+		data = c.input.Bytes()
+	}
+	used, err := c.handleMessages(data, arrivedAfter)
 	if err != nil {
-		n.stats.Invalid++
-		n.log.Debug("client closed", zap.Error(err))
+		server.counts.Invalid++
+		server.log.Debug("client closed", zap.Error(err))
 		c.close()
 	}
 	if c.closed {
 		return
 	}
 	rest := len(data) - used
-	if kept {
-		c.in.Take(&n.bufs, used)
+	if buffered {
+		c.input.Take(&server.buffers, used)
 	} else if rest > 0 {
-		c.in.Add(&n.bufs, data[used:])
+		c.input.Add(&server.buffers, data[used:])
 	}
-	c.note(used, rest)
+	c.noteProgress(used, rest)
 }
 
 // note keeps what the limits go by, after a read that ended so many bytes of whole messages
 // and left so many of one that is not.
-func (c *client) note(used, rest int) {
-	n := c.n
+func (c *client) noteProgress(used, rest int) {
+	server := c.server
 	if used > 0 {
-		c.v.Last = n.l.Now()
+		c.activity.Last = server.loop.Now()
 	}
 	if rest == 0 {
-		c.v.Half = 0
+		c.activity.Half = 0
 		return
 	}
-	if c.v.Half == 0 || used > 0 {
-		c.v.Begun = n.l.Now()
+	if c.activity.Half == 0 || used > 0 {
+		c.activity.Begun = server.loop.Now()
 	}
-	c.v.Half = n.l.Now()
-	if n.bufs.Used > n.waitingBytes() {
-		n.relieve()
+	c.activity.Half = server.loop.Now()
+	if server.buffers.Used > server.maxBufferedBytes() {
+		server.closeLargestBuffer()
 	}
 }
 
 // messages hears all whole frames, and tells how many bytes they take.
-func (c *client) messages(data []byte, came float64) (used int, err error) {
+func (c *client) handleMessages(data []byte, arrivedAfter float64) (used int, err error) {
 	for !c.closed {
 		payload, size, err := thriftrpc.SplitFrame(data[used:])
 		if err != nil || size == 0 {
 			return used, err
 		}
-		call, err := c.n.codec.Parse(payload)
+		call, err := c.server.codec.Parse(payload)
 		if err != nil {
 			return used, err
 		}
-		if err := c.hear(&call, came); err != nil {
+		if err := c.handleCall(&call, arrivedAfter); err != nil {
 			return used, err
 		}
-		c.v.Messages++
+		c.activity.Messages++
 		used += size
 	}
 	return used, nil
@@ -351,60 +353,60 @@
 
 // hear takes one message, and holds it to what a connection may do: numbers rise, and so
 // many requests are open at once.
-func (c *client) hear(call *thriftrpc.Call, came float64) error {
-	n := c.n
+func (c *client) handleCall(call *thriftrpc.Call, arrivedAfter float64) error {
+	server := c.server
 	switch call.Method {
 	case thriftrpc.MethodServe:
-		if call.Seq <= c.last {
+		if call.Seq <= c.lastSequence {
 			return thriftrpc.ErrSequence
 		}
-		if c.last = call.Seq; len(c.open)+len(c.unsent) >= thriftrpc.MaxOpenCalls {
+		if c.lastSequence = call.Seq; len(c.open)+len(c.pending) >= thriftrpc.MaxOpenCalls {
 			return thriftrpc.ErrTooManyOpen
 		}
-		c.unsent = append(c.unsent, unsent{*call, came, eventloop.Clock()})
+		c.pending = append(c.pending, pendingCall{*call, arrivedAfter, eventloop.Clock()})
 	case thriftrpc.MethodForget:
-		c.forget(call.CancelledSeq)
+		c.cancelCall(call.CancelledSeq)
 	case thriftrpc.MethodIsWell:
-		c.queue(n.codec.Health(call.Seq, n.drained == 0))
+		c.queue(server.codec.Health(call.Seq, server.drainStarted == 0))
 	default:
-		n.stats.Invalid++
-		c.queue(n.codec.UnknownMethod(call.Name, call.Seq))
+		server.counts.Invalid++
+		c.queue(server.codec.UnknownMethod(call.Name, call.Seq))
 	}
 	return nil
 }
 
 // forget gives up a call; one that was not begun is not heard of by anybody.
-func (c *client) forget(seq int32) {
+func (c *client) cancelCall(seq int32) {
 	if r := c.open[seq]; r != nil {
-		c.giveUp(r)
+		c.abandon(r)
 		return
 	}
-	at := slices.IndexFunc(c.unsent, func(u unsent) bool { return u.Seq == seq })
+	at := slices.IndexFunc(c.pending, func(u pendingCall) bool { return u.Seq == seq })
 	if at >= 0 {
-		c.unsent = slices.Delete(c.unsent, at, at+1)
-		c.n.stats.Abandoned++
+		c.pending = slices.Delete(c.pending, at, at+1)
+		c.server.counts.Abandoned++
 	}
 }
 
 // serve begins a request, or turns it down.
-func (c *client) serve(call *unsent) {
-	n := c.n
-	q, err := thriftrpc.ParseRequest(&call.Call, n.class)
-	if err == nil && n.reqs[q.ID] != nil {
+func (c *client) startCall(call *pendingCall) {
+	server := c.server
+	request, err := thriftrpc.ParseRequest(&call.Call, server.class)
+	if err == nil && server.requests[request.ID] != nil {
 		err = thriftrpc.ErrDuplicateID
 	}
 	if err != nil {
-		n.stats.Invalid++
-		n.log.Debug("request turned down", zap.Error(err))
-		c.queue(n.codec.Failed(call.Seq))
+		server.counts.Invalid++
+		server.log.Debug("request turned down", zap.Error(err))
+		c.queue(server.codec.Failed(call.Seq))
 		return
 	}
-	n.take(c, call.Seq, q, call.came)
+	server.startRequest(c, call.Seq, request, call.arrivedAfter)
 }
 
 // answer gives a request its final answer.
 func (c *client) answer(r *request, frame []byte) {
-	c.n.over(r)
+	c.server.endForClient(r)
 	c.queue(frame)
 	c.flush()
 }
@@ -412,41 +414,41 @@
 // relieve closes the client for which most bytes are kept, where those that are kept for
 // clients take too much memory: answers that they don't read, and messages that don't come
 // whole.
-func (n *Server) relieve() {
-	var most *client
-	all := 0
-	for c := range n.clients {
-		if all += c.kept(); most == nil || c.kept() > most.kept() {
-			most = c
+func (s *Server) closeLargestBuffer() {
+	var largest *client
+	total := 0
+	for client := range s.clients {
+		if total += client.bufferedBytes(); largest == nil || client.bufferedBytes() > largest.bufferedBytes() {
+			largest = client
 		}
 	}
-	if all > n.waitingBytes() {
-		most.close()
+	if total > s.maxBufferedBytes() {
+		largest.close()
 	}
 }
 
 // kept is how many bytes wait for the client, or for the rest of its message.
-func (c *client) kept() int { return c.in.Len() + c.out.Len() }
+func (c *client) bufferedBytes() int { return c.input.Len() + c.output.Len() }
 
 // queue adds bytes for the client. One that asks and takes nothing is closed before
 // what waits for all takes too much memory.
 func (c *client) queue(b []byte) {
-	n := c.n
+	server := c.server
 	if c.closed {
 		return
 	}
-	if c.out.Len() == 0 {
-		c.v.Stuck = n.l.Now()
+	if c.output.Len() == 0 {
+		c.activity.Stuck = server.loop.Now()
 	}
-	c.out.Add(&n.bufs, b)
-	n.waiting += len(b)
-	c.v.Last = n.l.Now()
+	c.output.Add(&server.buffers, b)
+	server.unsentBytes += len(b)
+	c.activity.Last = server.loop.Now()
 }
 
 func (c *client) flush() {
-	n := c.n
-	for !c.closed && c.out.Len() > 0 {
-		k, err := n.l.Write(c.fd, c.out.Bytes())
+	server := c.server
+	for !c.closed && c.output.Len() > 0 {
+		written, err := server.loop.Write(c.fd, c.output.Bytes())
 		if eventloop.Later(err) {
 			break
 		}
@@ -454,24 +456,24 @@
 			c.close()
 			return
 		}
-		c.out.Take(&n.bufs, k)
-		n.waiting -= k
-		c.v.Stuck = n.l.Now()
+		c.output.Take(&server.buffers, written)
+		server.unsentBytes -= written
+		c.activity.Stuck = server.loop.Now()
 	}
 	if c.closed {
 		return
 	}
-	want := eventloop.Read
-	if c.out.Len() > 0 {
-		want |= eventloop.Write
-		if n.waiting > n.waitingBytes() {
-			n.relieve()
+	interest := eventloop.Read
+	if c.output.Len() > 0 {
+		interest |= eventloop.Write
+		if server.unsentBytes > server.maxBufferedBytes() {
+			server.closeLargestBuffer()
 		}
 		if c.closed {
 			return
 		}
 	} else {
-		c.v.Stuck = 0
+		c.activity.Stuck = 0
 	}
-	n.l.Want(c.fd, want)
+	server.loop.Want(c.fd, interest)
 }
--- a/internal/proxy/platform/clock_test.go
+++ b/internal/proxy/platform/clock_test.go
@@ -38,15 +38,15 @@
 
 // startedAt is a member's row with the Unix time of its late start.
 func startedAt(id uint32, address string, at int64) []byte {
-	row := record(id, address, 0, 0, 0)
+	row := endpointRecord(id, address, 0, 0, 0)
 	binary.BigEndian.PutUint64(row[len(row)-8:], uint64(at))
 	return row
 }
 
 // knows puts events behind the first one of the configuration's known.
-func (w *world) knows(events ...map[string]any) {
+func (w *testHarness) addKnown(events ...map[string]any) {
 	w.t.Helper()
-	raw, err := os.ReadFile(w.file)
+	raw, err := os.ReadFile(w.configFile)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -60,7 +60,7 @@
 		known["n"] = event["n"]
 	}
 	if raw, err = json.Marshal(config); err == nil {
-		err = os.WriteFile(w.file, raw, 0o600)
+		err = os.WriteFile(w.configFile, raw, 0o600)
 	}
 	if err != nil {
 		w.t.Fatal(err)
@@ -68,17 +68,17 @@
 }
 
 // told is how old the module takes things to be: a group's purge, a member's start.
-func (w *world) told(group int, id string) (purge, start float64) {
+func (w *testHarness) agesInRouter(group int, id string) (purge, start float64) {
 	w.t.Helper()
-	w.n.l.Call(soon, func() {
-		memory := w.n.core.Memory()
+	w.server.loop.Call(waitLimit, func() {
+		memory := w.server.engine.Memory()
 		if at, ok := memory.Module.Groups[group]; ok {
-			purge = w.n.l.Now() - at
+			purge = w.server.loop.Now() - at
 		} else {
 			purge = -1
 		}
-		member, _ := w.n.core.Member(id)
-		start = w.n.l.Now() - member.ReadyAt
+		member, _ := w.server.engine.Member(id)
+		start = w.server.loop.Now() - member.ReadyAt
 	})
 	return purge, start
 }
@@ -94,20 +94,20 @@
 		t.Run(fmt.Sprint(step), func(t *testing.T) {
 			t.Parallel()
 			platform := newPlatformClock(step)
-			w := outside(t, nil)
-			c1, c2 := w.members["s-000000c1"].Addr, w.members["s-000000c2"].Addr
-			w.knows(
+			harness := prepareHarness(t, nil)
+			c1, c2 := harness.members["s-000000c1"].Addr, harness.members["s-000000c2"].Addr
+			harness.addKnown(
 				map[string]any{"n": 2, "members": map[string]any{"endpoints": []map[string]any{{"name": "s-000000c9", "address": c1, "zone": "near",
 					"type": "box", "status": "ready", "weight": 4, "since_ms": platform.ago(oldAge)}}}},
 				map[string]any{"n": 3, "purge": map[string]any{"group": 21, "at": platform.ago(oldAge)}},
 				map[string]any{"n": 4, "purge": map[string]any{"group": 22, "at": platform.ago(0)}},
 			)
-			w.start(zap.NewNop())
+			harness.start(zap.NewNop())
 			began := time.Now()
 			check := func(what string, group int, id string, want time.Duration) {
 				t.Helper()
 				most := float64(want+time.Since(began))/1e6 + slack
-				purge, start := w.told(group, id)
+				purge, start := harness.agesInRouter(group, id)
 				for _, age := range []float64{purge, start} {
 					if age < float64(want)/1e6-slack || age > most {
 						t.Errorf("%s: a purge %.0f ms old and a start %.0f ms ago, want %v", what, purge, start, want)
@@ -116,12 +116,12 @@
 				}
 			}
 			check("known at the start", 21, "s-000000c9", oldAge)
-			w.until("the feed is asked", func() bool { return w.asked.Load() == 1 })
-			w.say(testserver.PlatformFrame(4, 0, nil))
-			w.say(groupPurge(5, 23, platform.ago(0)))
-			w.say(testserver.PlatformFrame(6, 2, startedAt(0xca, c2, platform.ago(0))))
-			w.until("the list has it", func() (found bool) {
-				w.n.l.Call(soon, func() { _, found = w.n.core.Member("s-000000ca") })
+			harness.waitUntil("the feed is asked", func() bool { return harness.discoveryConnections.Load() == 1 })
+			harness.sendDiscovery(testserver.PlatformFrame(4, 0, nil))
+			harness.sendDiscovery(groupPurge(5, 23, platform.ago(0)))
+			harness.sendDiscovery(testserver.PlatformFrame(6, 2, startedAt(0xca, c2, platform.ago(0))))
+			harness.waitUntil("the list has it", func() (found bool) {
+				harness.server.loop.Call(waitLimit, func() { _, found = harness.server.engine.Member("s-000000ca") })
 				return found
 			})
 			began = time.Now()
@@ -130,40 +130,40 @@
 	}
 }
 
-// TestTimesAheadOfTheirOwn: times that lie in the future make nothing that is told on the
+// TestEventTimesInTheFuture: times that lie in the future make nothing that is told on the
 // stream older than the time since the feed last had nothing new.
-func TestTimesAheadOfTheirOwn(t *testing.T) {
+func TestEventTimesInTheFuture(t *testing.T) {
 	t.Parallel()
 	platform := newPlatformClock(0)
-	w := open(t, nil)
-	w.until("the feed is asked", func() bool { return w.asked.Load() == 1 })
-	w.say(groupPurge(2, 21, platform.ago(-time.Hour)))
-	w.say(testserver.PlatformFrame(2, 0, nil))
-	w.turn()
+	harness := newHarness(t, nil)
+	harness.waitUntil("the feed is asked", func() bool { return harness.discoveryConnections.Load() == 1 })
+	harness.sendDiscovery(groupPurge(2, 21, platform.ago(-time.Hour)))
+	harness.sendDiscovery(testserver.PlatformFrame(2, 0, nil))
+	harness.waitTurn()
 	time.Sleep(200 * time.Millisecond)
-	w.say(groupPurge(3, 22, platform.ago(0)))
-	w.until("the purge is told", func() bool { age, _ := w.told(22, ""); return age >= 0 })
-	if age, _ := w.told(22, ""); age > 700 {
+	harness.sendDiscovery(groupPurge(3, 22, platform.ago(0)))
+	harness.waitUntil("the purge is told", func() bool { age, _ := harness.agesInRouter(22, ""); return age >= 0 })
+	if age, _ := harness.agesInRouter(22, ""); age > 700 {
 		t.Errorf("a purge made now is taken as %.0f ms old", age)
 	}
 }
 
-// TestTimesSeenInALongTurn: an event that is read late in a turn of the loop makes nothing
+// TestEventTimesReadInALongTurn: an event that is read late in a turn of the loop makes nothing
 // older that comes afterwards.
-func TestTimesSeenInALongTurn(t *testing.T) {
+func TestEventTimesReadInALongTurn(t *testing.T) {
 	t.Parallel()
 	const turn = 200 * time.Millisecond
 	platform := newPlatformClock(time.Hour)
-	w := open(t, nil)
+	harness := newHarness(t, nil)
 	made := platform.ago(0)
-	w.n.l.Call(soon, func() {
+	harness.server.loop.Call(waitLimit, func() {
 		time.Sleep(turn)
-		w.n.event(discovery.Event{Number: 2, Group: 21, PurgedAt: platform.ago(0)})
+		harness.server.applyEvent(discovery.Event{Number: 2, Group: 21, PurgedAt: platform.ago(0)})
 	})
 	var age float64
-	w.n.l.Call(soon, func() {
-		w.n.event(discovery.Event{Number: 3, Group: 22, PurgedAt: made})
-		age = w.n.l.Now() - w.n.core.Memory().Module.Groups[22]
+	harness.server.loop.Call(waitLimit, func() {
+		harness.server.applyEvent(discovery.Event{Number: 3, Group: 22, PurgedAt: made})
+		age = harness.server.loop.Now() - harness.server.engine.Memory().Module.Groups[22]
 	})
 	if most := float64(platform.ago(0)-made) + 1; age > most || age < float64(turn.Milliseconds())-1 {
 		t.Errorf("a purge made %.0f ms ago is taken as %.0f ms old", most, age)
--- a/internal/proxy/platform/config.go
+++ b/internal/proxy/platform/config.go
@@ -31,8 +31,8 @@
 
 // The least that a router can work with.
 const (
-	leastMemoryMB = 16
-	leastSockets  = 32
+	minMemoryMB = 16
+	minSockets  = 32
 )
 
 // ReadConfig reads a configuration file and checks it whole.
@@ -57,9 +57,9 @@
 	if _, err := netip.ParseAddrPort(c.Feed); err != nil {
 		return nil, fmt.Errorf("%s: feed %.40q is no address with a port: %w", file, c.Feed, err)
 	}
-	if c.Limits.MemoryMB < leastMemoryMB || c.Limits.Sockets < leastSockets {
+	if c.Limits.MemoryMB < minMemoryMB || c.Limits.Sockets < minSockets {
 		return nil, fmt.Errorf("%s: limits of %v MB and %d descriptors; %d and %d are the least", file,
-			c.Limits.MemoryMB, c.Limits.Sockets, leastMemoryMB, leastSockets)
+			c.Limits.MemoryMB, c.Limits.Sockets, minMemoryMB, minSockets)
 	}
 	c.seed, _ = strconv.ParseUint(c.Seed, 16, 64) // any seed will do
 	return c, nil
@@ -69,7 +69,7 @@
 // whoever wrote the settings meant: a write whose effect is left out is not one that may
 // be repeated at will.
 func (c *Config) check() error {
-	var raw struct {
+	var written struct {
 		Classes []struct {
 			Name, Idempotency string
 		}
@@ -77,29 +77,29 @@
 			MaxAttempts *float64 `json:"max_attempts"`
 		}
 	}
-	if err := json.Unmarshal(c.Settings, &raw); err != nil {
+	if err := json.Unmarshal(c.Settings, &written); err != nil {
 		return err
 	}
-	if n := raw.Limits.MaxAttempts; n == nil || *n < 1 {
+	if attempts := written.Limits.MaxAttempts; attempts == nil || *attempts < 1 {
 		return errors.New("limits: max_attempts is missing or under 1")
 	}
-	for i, k := range c.settings.Module.Classes {
+	for i, class := range c.settings.Module.Classes {
 		fault := ""
 		switch {
-		case k.Name == "":
+		case class.Name == "":
 			fault = "name is missing"
-		case raw.Classes[i].Idempotency == "":
+		case written.Classes[i].Idempotency == "":
 			fault = "idempotency is missing: free, guarded or single_shot"
-		case k.Deadline <= 0:
-			fault = fmt.Sprintf("give_up is %v; it has to be above 0", k.Deadline)
-		case k.Aim < 0 || k.Worth < 0 || k.LateWorth < 0:
+		case class.Deadline <= 0:
+			fault = fmt.Sprintf("give_up is %v; it has to be above 0", class.Deadline)
+		case class.Aim < 0 || class.Worth < 0 || class.LateWorth < 0:
 			fault = "aim, gain or late_worth is negative"
-		case k.Effect == spool.Guarded && k.Window <= 0:
-			fault = fmt.Sprintf("window is %v; a guarded class needs one above 0", k.Window)
+		case class.Effect == spool.Guarded && class.Window <= 0:
+			fault = fmt.Sprintf("window is %v; a guarded class needs one above 0", class.Window)
 		default:
 			continue
 		}
-		return fmt.Errorf("classes[%d] %.40q: %s", i, k.Name, fault)
+		return fmt.Errorf("classes[%d] %.40q: %s", i, class.Name, fault)
 	}
 	return nil
 }
--- a/internal/proxy/platform/discovery_test.go
+++ b/internal/proxy/platform/discovery_test.go
@@ -27,34 +27,34 @@
 	last  atomic.Uint64 // number that the last connection began with
 }
 
-func newDiscovery(t *testing.T, serve func(c net.Conn, nth int64)) *discoveryServer {
+func newDiscoveryServer(t *testing.T, serve func(c net.Conn, nth int64)) *discoveryServer {
 	t.Helper()
-	d := &discoveryServer{}
+	fake := &discoveryServer{}
 	feed, err := testserver.NewPlatformFeed(func(c net.Conn, last uint64) {
-		d.last.Store(last)
-		d.open.Add(1)
-		defer d.open.Add(-1)
-		serve(c, d.asked.Add(1))
+		fake.last.Store(last)
+		fake.open.Add(1)
+		defer fake.open.Add(-1)
+		serve(c, fake.asked.Add(1))
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(feed.Close)
-	d.PlatformFeed = feed
-	return d
+	fake.PlatformFeed = feed
+	return fake
 }
 
 // openAt starts a router that asks a discovery of the test's own.
-func openAt(t *testing.T, d *discoveryServer) *world {
+func newHarnessAt(t *testing.T, fake *discoveryServer) *testHarness {
 	t.Helper()
-	w := outside(t, nil)
-	w.write(d.Addr)
-	w.start(zap.NewNop())
-	return w
+	harness := prepareHarness(t, nil)
+	harness.writeConfig(fake.Addr)
+	harness.start(zap.NewNop())
+	return harness
 }
 
 // beats writes an empty frame each quarter of a second until the connection ends.
-func beats(c net.Conn, n uint64) {
+func writeHeartbeats(c net.Conn, n uint64) {
 	for {
 		if _, err := c.Write(testserver.PlatformFrame(n, 0, nil)); err != nil {
 			return
@@ -66,19 +66,19 @@
 // manyRows is a list's payload: rows of members that nobody asks, and one that is there.
 func manyRows(count int, id uint32, address string) (rows []byte) {
 	for i := range uint32(count) {
-		rows = append(rows, record(0x10000+i, "127.0.0.1:9", 1, 0, 0)...)
+		rows = append(rows, endpointRecord(0x10000+i, "127.0.0.1:9", 1, 0, 0)...)
 	}
-	return append(rows, record(id, address, 0, 0, 0)...)
+	return append(rows, endpointRecord(id, address, 0, 0, 0)...)
 }
 
-func (w *world) lists(id string) (found bool) {
-	w.n.l.Call(soon, func() { _, found = w.n.core.Member(id) })
+func (w *testHarness) hasMember(id string) (found bool) {
+	w.server.loop.Call(waitLimit, func() { _, found = w.server.engine.Member(id) })
 	return found
 }
 
 // servesAll asks in a row until the returned function is called, which tells of all that
 // was not served.
-func (w *world) servesAll() (end func()) {
+func (w *testHarness) serveContinuously() (end func()) {
 	stop, done := make(chan struct{}), make(chan []string, 1)
 	go func() {
 		var bad []string
@@ -89,16 +89,16 @@
 				return
 			case <-time.After(20 * time.Millisecond):
 			}
-			c, err := testserver.DialPlatform(w.addr)
+			client, err := testserver.DialPlatform(w.address)
 			if err != nil {
 				bad = append(bad, err.Error())
 				continue
 			}
-			c.Ask(clip(fmt.Sprintf("%016x", i)), nil)
-			if r, err := c.Result(soon); err != nil || r.Word != "served" {
-				bad = append(bad, fmt.Sprintf("request %d: %+v %v", i, r, err))
+			client.Ask(readFields(fmt.Sprintf("%016x", i)), nil)
+			if result, err := client.Result(waitLimit); err != nil || result.Word != "served" {
+				bad = append(bad, fmt.Sprintf("request %d: %+v %v", i, result, err))
 			}
-			c.Close()
+			client.Close()
 		}
 	}()
 	return func() {
@@ -117,21 +117,21 @@
 	for _, late := range []time.Duration{2500 * time.Millisecond, 5 * time.Second} {
 		t.Run(fmt.Sprint(late), func(t *testing.T) {
 			t.Parallel()
-			d := newDiscovery(t, func(c net.Conn, _ int64) {
+			fake := newDiscoveryServer(t, func(c net.Conn, _ int64) {
 				time.Sleep(late)
-				if _, err := c.Write(testserver.PlatformFrame(2, 2, record(0xc9, "127.0.0.1:9", 1, 0, 0))); err == nil {
-					beats(c, 2)
+				if _, err := c.Write(testserver.PlatformFrame(2, 2, endpointRecord(0xc9, "127.0.0.1:9", 1, 0, 0))); err == nil {
+					writeHeartbeats(c, 2)
 				}
 			})
-			w := openAt(t, d)
-			end := w.servesAll()
+			harness := newHarnessAt(t, fake)
+			end := harness.serveContinuously()
 			time.Sleep(late)
-			w.until("its list is there", func() bool { return w.lists("s-000000c9") })
+			harness.waitUntil("its list is there", func() bool { return harness.hasMember("s-000000c9") })
 			end()
-			if n := d.asked.Load(); n > int64(late/(feedSilent*time.Millisecond))+2 {
+			if n := fake.asked.Load(); n > int64(late/(streamSilence*time.Millisecond))+2 {
 				t.Errorf("it was asked %d times", n)
 			}
-			w.until("one connection is left", func() bool { return d.open.Load() == 1 })
+			harness.waitUntil("one connection is left", func() bool { return fake.open.Load() == 1 })
 		})
 	}
 }
@@ -151,7 +151,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			d := newDiscovery(t, func(conn net.Conn, _ int64) {
+			fake := newDiscoveryServer(t, func(conn net.Conn, _ int64) {
 				frame := testserver.PlatformFrame(2, 2, manyRows(c.rows, 0xc9, "127.0.0.1:9"))
 				for len(frame) > 0 {
 					piece := frame[:min(c.piece, len(frame))]
@@ -161,45 +161,45 @@
 					frame = frame[len(piece):]
 					time.Sleep(c.pause)
 				}
-				beats(conn, 2)
+				writeHeartbeats(conn, 2)
 			})
-			w := openAt(t, d)
-			end := w.servesAll()
-			w.until("the list is there", func() bool { return w.lists("s-000000c9") })
+			harness := newHarnessAt(t, fake)
+			end := harness.serveContinuously()
+			harness.waitUntil("the list is there", func() bool { return harness.hasMember("s-000000c9") })
 			end()
-			if n := d.asked.Load(); n != 1 {
+			if n := fake.asked.Load(); n != 1 {
 				t.Errorf("it was asked %d times", n)
 			}
 		})
 	}
 }
 
-// TestDiscoveryCrowded: discovery that takes connections and ends them, with or without a
+// TestDiscoveryOverloaded: discovery that takes connections and ends them, with or without a
 // word, is asked again and again, but not without a pause; once it has room the rest comes.
-func TestDiscoveryCrowded(t *testing.T) {
+func TestDiscoveryOverloaded(t *testing.T) {
 	t.Parallel()
 	const span = 3 * time.Second
 	for name, word := range map[string][]byte{"without a word": nil, "after a word": testserver.PlatformFrame(1, 0, nil)} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var room atomic.Bool
-			d := newDiscovery(t, func(c net.Conn, _ int64) {
+			fake := newDiscoveryServer(t, func(c net.Conn, _ int64) {
 				if !room.Load() {
 					c.Write(word)
 					return
 				}
-				c.Write(testserver.PlatformFrame(2, 2, record(0xc9, "127.0.0.1:9", 1, 0, 0)))
-				beats(c, 2)
+				c.Write(testserver.PlatformFrame(2, 2, endpointRecord(0xc9, "127.0.0.1:9", 1, 0, 0)))
+				writeHeartbeats(c, 2)
 			})
-			w := openAt(t, d)
-			end := w.servesAll()
+			harness := newHarnessAt(t, fake)
+			end := harness.serveContinuously()
 			time.Sleep(span)
-			if n := d.asked.Load(); n < 4 || n > 16 {
+			if n := fake.asked.Load(); n < 4 || n > 16 {
 				t.Errorf("asked %d times in %v", n, span)
 			}
 			room.Store(true)
 			at := time.Now()
-			w.until("the list is there", func() bool { return w.lists("s-000000c9") })
+			harness.waitUntil("the list is there", func() bool { return harness.hasMember("s-000000c9") })
 			if took := time.Since(at); took > 700*time.Millisecond {
 				t.Errorf("the list came %v after there was room", took)
 			}
@@ -210,9 +210,9 @@
 
 // newPurges is a discovery whose events are purges of groups of their own number, up to
 // the newest.
-func newPurges(t *testing.T, newest *atomic.Uint64) (d *discoveryServer) {
-	d = newDiscovery(t, func(c net.Conn, _ int64) {
-		for n := d.last.Load(); ; time.Sleep(20 * time.Millisecond) {
+func newPurges(t *testing.T, newest *atomic.Uint64) (fake *discoveryServer) {
+	fake = newDiscoveryServer(t, func(c net.Conn, _ int64) {
+		for n := fake.last.Load(); ; time.Sleep(20 * time.Millisecond) {
 			for ; n < newest.Load(); n++ {
 				c.Write(groupPurge(n+1, uint16(n+1), time.Now().UnixMilli()))
 			}
@@ -221,29 +221,29 @@
 			}
 		}
 	})
-	return d
+	return fake
 }
 
 // toldOnce waits for the last event of newPurges, and wants each of them once.
-func (w *world) toldOnce(last uint64) {
+func (w *testHarness) checkDeliveredOnce(last uint64) {
 	w.t.Helper()
-	w.until("the last event is told", func() (told bool) {
-		w.n.l.Call(soon, func() { told = w.n.watch.reader.LastNumber == last })
+	w.waitUntil("the last event is told", func() (told bool) {
+		w.server.loop.Call(waitLimit, func() { told = w.server.stream.decoder.LastNumber == last })
 		return told
 	})
-	w.n.l.Call(soon, func() {
-		if events := w.n.stats.Events; events != last {
+	w.server.loop.Call(waitLimit, func() {
+		if events := w.server.counts.Events; events != last {
 			w.t.Errorf("%d events were told, want %d", events, last)
 		}
-		if groups := w.n.core.Memory().Module.Groups; len(groups) != int(last)-1 {
+		if groups := w.server.engine.Memory().Module.Groups; len(groups) != int(last)-1 {
 			w.t.Errorf("purges of %d groups are known, want %d", len(groups), last-1)
 		}
 	})
 }
 
-// TestDiscoveryWhileCallsFail: whatever system calls say, each event is told once, and the
+// TestDiscoveryWhileSystemCallsFail: whatever system calls say, each event is told once, and the
 // feed is asked with pauses.
-func TestDiscoveryWhileCallsFail(t *testing.T) {
+func TestDiscoveryWhileSystemCallsFail(t *testing.T) {
 	t.Parallel()
 	for _, plan := range []string{
 		"read:EINTR:0.3; write:EINTR:0.3; wait:EINTR:0.3; read:short:0.5; write:short:0.5",
@@ -256,15 +256,15 @@
 			t.Parallel()
 			var newest atomic.Uint64
 			newest.Store(2)
-			d := newPurges(t, &newest)
-			w := openAt(t, d)
-			w.toldOnce(2)
-			faults := w.faults(plan)
+			fake := newPurges(t, &newest)
+			harness := newHarnessAt(t, fake)
+			harness.checkDeliveredOnce(2)
+			faults := harness.planFaults(plan)
 			for range 40 {
 				newest.Add(1)
 				time.Sleep(20 * time.Millisecond)
 			}
-			w.toldOnce(newest.Add(1))
+			harness.checkDeliveredOnce(newest.Add(1))
 			failed := 0
 			for _, call := range []faultinject.Call{faultinject.Read, faultinject.Write, faultinject.Socket, faultinject.Connect} {
 				_, n := faults.Counts(call)
@@ -273,7 +273,7 @@
 			if failed == 0 {
 				t.Error("no call failed")
 			}
-			if n := d.asked.Load(); n > 15 {
+			if n := fake.asked.Load(); n > 15 {
 				t.Errorf("it was asked %d times", n)
 			}
 		})
@@ -295,41 +295,41 @@
 			for range 3 {
 				feeds = append(feeds, newPurges(t, &newest))
 			}
-			w := openAt(t, feeds[0])
-			end := w.servesAll()
-			w.until("the first feed is asked", func() bool { return feeds[0].asked.Load() == 1 })
+			harness := newHarnessAt(t, feeds[0])
+			end := harness.serveContinuously()
+			harness.waitUntil("the first feed is asked", func() bool { return feeds[0].asked.Load() == 1 })
 			newest.Store(3)
 			for _, move := range moves {
-				w.write(feeds[move].Addr)
-				w.n.Reload()
+				harness.writeConfig(feeds[move].Addr)
+				harness.server.Reload()
 				time.Sleep(40 * time.Millisecond)
 				newest.Add(1)
 			}
 			holds := feeds[moves[len(moves)-1]]
-			w.until("the last one holds", func() bool {
+			harness.waitUntil("the last one holds", func() bool {
 				open := int64(0)
-				for _, d := range feeds {
-					open += d.open.Load()
+				for _, fake := range feeds {
+					open += fake.open.Load()
 				}
 				return open == 1 && holds.open.Load() == 1
 			})
-			w.toldOnce(newest.Add(1))
+			harness.checkDeliveredOnce(newest.Add(1))
 			end()
 		})
 	}
 }
 
-// TestTakesLongLists: what a reader holds of half a frame is given back once it is whole.
-func TestTakesLongLists(t *testing.T) {
+// TestLongEndpointList: what a reader holds of half a frame is given back once it is whole.
+func TestLongEndpointList(t *testing.T) {
 	t.Parallel()
 	rows := manyRows(3200, 0xc9, "127.0.0.1:9")
 	binary.BigEndian.PutUint32(rows, 0x20000)
-	d := newDiscovery(t, func(c net.Conn, _ int64) {
+	fake := newDiscoveryServer(t, func(c net.Conn, _ int64) {
 		c.Write(testserver.PlatformFrame(2, 1, rows))
-		beats(c, 2)
+		writeHeartbeats(c, 2)
 	})
-	w := openAt(t, d)
-	w.until("the list is there", func() bool { return w.lists("s-000000c9") && w.lists("s-00020000") })
+	harness := newHarnessAt(t, fake)
+	harness.waitUntil("the list is there", func() bool { return harness.hasMember("s-000000c9") && harness.hasMember("s-00020000") })
 }
 
 func userTime(t *testing.T) float64 {
@@ -341,14 +341,14 @@
 	return float64(usage.Utime.Sec) + float64(usage.Utime.Usec)/1e6
 }
 
-// TestManyChangesOfALongList: what changes of the list cost a router grows only so far from
+// TestManyDeltasOfALongList: what changes of the list cost a router grows only so far from
 // 200 to 3,200 caches, of which one in 200 is replaced each 5 s for two minutes.
-func TestManyChangesOfALongList(t *testing.T) {
+func TestManyDeltasOfALongList(t *testing.T) {
 	cost := func(caches int) (cpu, memory float64) {
-		w := open(t, nil)
+		harness := newHarness(t, nil)
 		before := heapMB()
-		w.n.l.Call(soon, func() {
-			n := w.n.watch.reader.LastNumber
+		harness.server.loop.Call(waitLimit, func() {
+			n := harness.server.stream.decoder.LastNumber
 			next := 0
 			row := func(i int, state string) discovery.Endpoint {
 				return discovery.Endpoint{ID: fmt.Sprintf("s-%08x", i), Address: "127.0.0.1:9", Zone: "near", Kind: "box", State: state, Weight: 4, StartedAt: int64(i)}
@@ -357,21 +357,21 @@
 			for ; next < caches; next++ {
 				full.Endpoints = append(full.Endpoints, row(next, "ready"))
 			}
-			w.n.event(full)
+			harness.server.applyEvent(full)
 			from := userTime(t)
 			for i := range 24 * caches / 200 {
-				w.n.event(discovery.Event{Number: n + 2 + uint64(i), Listed: true, Endpoints: []discovery.Endpoint{row(next-caches, "gone"), row(next, "ready")}})
+				harness.server.applyEvent(discovery.Event{Number: n + 2 + uint64(i), Listed: true, Endpoints: []discovery.Endpoint{row(next-caches, "gone"), row(next, "ready")}})
 				next++
 			}
 			cpu = userTime(t) - from
 			members := 0
-			w.n.core.Members(func(spool.Member, string) { members++ })
+			harness.server.engine.Members(func(spool.Member, string) { members++ })
 			if members != caches {
 				t.Errorf("%d members are known, want %d", members, caches)
 			}
 		})
 		memory = heapMB() - before
-		runtime.KeepAlive(w)
+		runtime.KeepAlive(harness)
 		return cpu, memory
 	}
 	small, smallMB := cost(200)
--- a/internal/proxy/platform/line.go
+++ b/internal/proxy/platform/line.go
@@ -6,44 +6,83 @@
 	spool "indigospool"
 )
 
-// Counts says what passed, since the start.
+// Counts is what has passed since the start.
 type Counts struct {
-	Requests, Invalid, Served, NotModified, Rejected, Failed, Abandoned, Attempts uint64
-	Outcomes                                                                      [int(spool.LocalFailure) + 1]uint64
-	Malformed, Unmatched, Dials, Accepted, Closed, Events                         uint64
-	NoConnection, FailedDials                                                     uint64                          // no connection for an attempt; none could be begun
-	PassedOver                                                                    [int(spool.NoMember) + 1]uint64 // by spool.Reason
+	Requests    uint64 // valid calls of serve
+	Invalid     uint64 // malformed messages, and calls of serve that cannot be used
+	Served      uint64 // answered with an object, or that the client's copy is current
+	NotModified uint64 // of these, the ones whose copy is current
+	Rejected    uint64 // answered Throttled
+	Failed      uint64 // answered Broken by the router's decision
+	Abandoned   uint64 // given up by the client, by forget or by closing
+
+	Attempts uint64
+	Outcomes [int(spool.LocalFailure) + 1]uint64 // of attempts, by spool.Result
+	// PassedOver counts members that were looked at and not chosen, by spool.Reason.
+	PassedOver [int(spool.NoMember) + 1]uint64
+
+	Malformed uint64 // answers that cannot be used
+	Unmatched uint64 // answers to no attempt that is in flight
+
+	Dials        uint64 // connections to members that were begun, or tried to
+	NoConnection uint64 // attempts for which there was no connection
+	FailedDials  uint64 // connections that could not be begun
+	Accepted     uint64 // clients' connections
+	Closed       uint64 // of these, the ones that have ended
+	Events       uint64 // discovery events
 }
 
-// LogCounts logs what passed and what is held, once each span in ms, for as long as it runs:
-// the module's belief of each member that has something, beside what is out on the sockets.
-func (n *Server) LogCounts(span float64) {
-	n.core.Explain(func(l spool.Look) { n.stats.PassedOver[l.Why]++ })
-	n.l.Ticker(span, func() {
-		s := &n.stats
-		members, link := n.core.Beliefs()
-		type row struct {
-			spool.Belief
-			Out int `json:"out"`
-		}
-		believed := map[string]row{}
-		for id, b := range members {
-			p := n.pools[id]
-			if r := (row{Belief: b}); p != nil {
-				r.Out = p.held
-				believed[id] = r
-			} else if b.Suspect || b.Held > 0 {
-				believed[id] = r
-			}
+// LogCounts logs what has passed since the start and what is in flight, once each interval
+// (in ms) until the server stops: what the router has recorded for each member that has
+// something, beside the attempts in flight on the sockets. docs/operating.md names the keys.
+func (s *Server) LogCounts(interval float64) {
+	s.engine.Explain(func(look spool.Look) { s.counts.PassedOver[look.Why]++ })
+	s.loop.Ticker(interval, s.logCounts)
+}
+
+// memberCounts is one member in the line of counts.
+type memberCounts struct {
+	spool.Belief
+	Out int `json:"out"` // attempts in flight
+}
+
+func (s *Server) logCounts() {
+	counts := &s.counts
+	members, link := s.engine.Beliefs()
+	logged := map[string]memberCounts{}
+	for id, belief := range members {
+		if pool := s.pools[id]; pool != nil {
+			logged[id] = memberCounts{belief, pool.inFlight}
+		} else if belief.Suspect || belief.Held > 0 {
+			logged[id] = memberCounts{Belief: belief}
 		}
-		n.log.Info("second", zap.Uint64("requests", s.Requests), zap.Uint64("bad", s.Invalid), zap.Uint64("served", s.Served),
-			zap.Uint64("same", s.NotModified), zap.Uint64("refused", s.Rejected), zap.Uint64("failed", s.Failed),
-			zap.Uint64("gone", s.Abandoned), zap.Uint64("attempts", s.Attempts), zap.Uint64s("outcomes", s.Outcomes[:]),
-			zap.Uint64s("passed", s.PassedOver[:]), zap.Uint64("spoilt", s.Malformed), zap.Uint64("extra", s.Unmatched),
-			zap.Uint64("dials", s.Dials), zap.Uint64("no_conn", s.NoConnection), zap.Uint64("no_dial", s.FailedDials), zap.Uint64("accepted", s.Accepted),
-			zap.Uint64("closed", s.Closed), zap.Uint64("events", s.Events), zap.Int("open", len(n.reqs)),
-			zap.Int("clients", len(n.clients)), zap.Int("conns", n.conns), zap.Int("pools", len(n.pools)),
-			zap.Int("lent_kb", n.bufs.Used>>10), zap.Int("waiting_kb", n.waiting>>10),
-			zap.Float64("lag_ms", n.l.Lag()), zap.Any("link", link), zap.Any("members", believed))
-	})
+	}
+	s.log.Info("second",
+		zap.Uint64("requests", counts.Requests),
+		zap.Uint64("bad", counts.Invalid),
+		zap.Uint64("served", counts.Served),
+		zap.Uint64("same", counts.NotModified),
+		zap.Uint64("refused", counts.Rejected),
+		zap.Uint64("failed", counts.Failed),
+		zap.Uint64("gone", counts.Abandoned),
+		zap.Uint64("attempts", counts.Attempts),
+		zap.Uint64s("outcomes", counts.Outcomes[:]),
+		zap.Uint64s("passed", counts.PassedOver[:]),
+		zap.Uint64("spoilt", counts.Malformed),
+		zap.Uint64("extra", counts.Unmatched),
+		zap.Uint64("dials", counts.Dials),
+		zap.Uint64("no_conn", counts.NoConnection),
+		zap.Uint64("no_dial", counts.FailedDials),
+		zap.Uint64("accepted", counts.Accepted),
+		zap.Uint64("closed", counts.Closed),
+		zap.Uint64("events", counts.Events),
+		zap.Int("open", len(s.requests)),
+		zap.Int("clients", len(s.clients)),
+		zap.Int("conns", s.memberConnections),
+		zap.Int("pools", len(s.pools)),
+		zap.Int("lent_kb", s.buffers.Used>>10),
+		zap.Int("waiting_kb", s.unsentBytes>>10),
+		zap.Float64("lag_ms", s.loop.Lag()),
+		zap.Any("link", link),
+		zap.Any("members", logged))
 }
--- a/internal/proxy/platform/node.go
+++ b/internal/proxy/platform/node.go
@@ -28,362 +28,362 @@
 // Server is one router. All of it belongs to its loop's goroutine, but for the methods
 // that say otherwise.
 type Server struct {
-	l    *eventloop.Loop
-	cfg  *Config
-	file string
-	log  *zap.Logger
-	core *engine.Core
-
-	classes map[string]*spool.Class
-	reqs    map[string]*request
-	pools   map[string]*pool
-	clients map[*client]struct{}
-	codec   *thriftrpc.Codec
-	bufs    eventloop.Buffers
-	scratch []byte
-	places  limits.Places
-	conns   int // connections to members
-	waiting int // bytes that wait for clients
-
-	events []spool.Event // what the module is still to hear
-	acts   []spool.Action
-	busy   bool
-	born   *request // the request that the module hears of now: the timer asked for is its
-	beat   eventloop.Timer
-
-	watch      watch
-	clock      unixclock.Clock // of the platform, by the times that the feed has told
-	listener   *listener
-	readConfig func(file string) (*Config, error) // ReadConfig, but for tests
-
-	drained float64 // since when it drains; 0: it does not
-	leaveAt float64 // from when on connections at rest are shut
-	goneBy  float64 // when the last answer is to have been written
-	stats   Counts
+	loop       *eventloop.Loop
+	config     *Config
+	configFile string
+	log        *zap.Logger
+	engine     *engine.Core
+
+	classes           map[string]*spool.Class
+	requests          map[string]*request
+	pools             map[string]*pool
+	clients           map[*client]struct{}
+	codec             *thriftrpc.Codec
+	buffers           eventloop.Buffers
+	readBuffer        []byte
+	connectionLimits  limits.Places
+	memberConnections int // connections to members
+	unsentBytes       int // bytes that wait for clients
+
+	pendingEvents []spool.Event // what the module is still to hear
+	actions       []spool.Action
+	dispatching   bool
+	arriving      *request // the request that the module hears of now: the timer asked for is its
+	tickTimer     eventloop.Timer
+
+	stream       discoveryStream
+	platformTime unixclock.Clock // of the platform, by the times that the feed has told
+	listener     *listener
+	readConfig   func(file string) (*Config, error) // ReadConfig, but for tests
+
+	drainStarted  float64 // since when it drains; 0: it does not
+	closeIdleFrom float64 // from when on connections at rest are shut
+	lastAnswerBy  float64 // when the last answer is to have been written
+	counts        Counts
 }
 
 // request is a client's request in hand.
 type request struct {
 	thriftrpc.Request
-	c     *client // nil once it is over
-	seq   int32
-	until float64 // when its client stops waiting
-	write bool    // as its class was when it came: settings may change meanwhile
-	tries int
-	out   *attempt
-
-	rested float64         // a member has ended a connection that had rested so long, in ms; 0: none has
-	timer  eventloop.Timer // the module's
+	client   *client // nil once it is over
+	sequence int32
+	deadline float64 // when its client stops waiting
+	write    bool    // as its class was when it came: settings may change meanwhile
+	attempts int
+	inFlight *attempt
+
+	forgottenAfter float64         // a member has ended a connection that had rested so long, in ms; 0: none has
+	timer          eventloop.Timer // the module's
 }
 
 // Open makes a router that listens; Serve runs it.
-func Open(file, address string, log *zap.Logger) (*Server, error) {
-	cfg, err := ReadConfig(file)
+func Open(configFile, address string, log *zap.Logger) (*Server, error) {
+	config, err := ReadConfig(configFile)
 	if err != nil {
 		return nil, err
 	}
 	if address == "" {
-		address = cfg.Listen
+		address = config.Listen
 	}
-	n := &Server{cfg: cfg, file: file, log: log, reqs: map[string]*request{}, pools: map[string]*pool{},
-		clients: map[*client]struct{}{}, codec: thriftrpc.NewCodec(), readConfig: ReadConfig, scratch: make([]byte, 64<<10),
-		places: limits.NewPlaces(cfg.Limits.Sockets)}
-	n.bufs.Keep = n.waitingBytes() / 2
-	if n.core, err = engine.NewBare(cfg.settings.Module, cfg.seed); err != nil {
+	server := &Server{config: config, configFile: configFile, log: log, requests: map[string]*request{}, pools: map[string]*pool{},
+		clients: map[*client]struct{}{}, codec: thriftrpc.NewCodec(), readConfig: ReadConfig, readBuffer: make([]byte, 64<<10),
+		connectionLimits: limits.NewPlaces(config.Limits.Sockets)}
+	server.buffers.Keep = server.maxBufferedBytes() / 2
+	if server.engine, err = engine.NewBare(config.settings.Module, config.seed); err != nil {
 		return nil, err
 	}
-	n.setClasses()
-	if n.l, err = eventloop.New(0); err != nil {
+	server.indexClasses()
+	if server.loop, err = eventloop.New(0); err != nil {
 		return nil, err
 	}
-	n.beat.F = func() { n.tell(spool.Timer{}) }
-	n.watch.reader = discovery.Decoder{Zones: cfg.settings.Module.Zones, Kinds: cfg.settings.Kinds}
-	n.watch.node = n
-	n.watch.dial = n.l.Dial
-	n.watch.tries = limits.NewAgain(feedFirst, feedBase, feedMost, cfg.seed)
+	server.tickTimer.F = func() { server.dispatch(spool.Timer{}) }
+	server.stream.decoder = discovery.Decoder{Zones: config.settings.Module.Zones, Kinds: config.settings.Kinds}
+	server.stream.server = server
+	server.stream.dial = server.loop.Dial
+	server.stream.backoff = limits.NewAgain(firstPause, basePause, maxPause, config.seed)
 	var known []discovery.Event
-	if err := n.watch.reader.DecodeKnown(cfg.Known, func(ev discovery.Event) { known = append(known, ev) }); err != nil {
+	if err := server.stream.decoder.DecodeKnown(config.Known, func(ev discovery.Event) { known = append(known, ev) }); err != nil {
 		return nil, err
 	}
-	n.eventsOf(known)
-	if n.listener, err = listen(n, address); err != nil {
+	server.applyEvents(known)
+	if server.listener, err = listen(server, address); err != nil {
 		return nil, err
 	}
-	n.watch.connect()
-	n.l.Ticker(sweepSpan, n.sweep)
-	return n, nil
+	server.stream.reconnect()
+	server.loop.Ticker(cleanUpInterval, server.cleanUp)
+	return server, nil
 }
 
-const sweepSpan = 200 // ms between looks at connections that overstay
+const cleanUpInterval = 200 // ms between looks at connections that overstay
 
 // waitingBytes is how much may wait, and be held of what has come in part.
-func (n *Server) waitingBytes() int {
-	return limits.WaitingBytes(int(n.cfg.Limits.MemoryMB * (1 << 20)))
+func (s *Server) maxBufferedBytes() int {
+	return limits.WaitingBytes(int(s.config.Limits.MemoryMB * (1 << 20)))
 }
 
-func (n *Server) setClasses() {
-	n.classes = map[string]*spool.Class{}
-	for i := range n.cfg.settings.Module.Classes {
-		c := &n.cfg.settings.Module.Classes[i]
-		n.classes[c.Name] = c
+func (s *Server) indexClasses() {
+	s.classes = map[string]*spool.Class{}
+	for i := range s.config.settings.Module.Classes {
+		c := &s.config.settings.Module.Classes[i]
+		s.classes[c.Name] = c
 	}
 }
 
-func (n *Server) class(name string) *spool.Class { return n.classes[name] }
+func (s *Server) class(name string) *spool.Class { return s.classes[name] }
 
 // Addr is where the router listens.
-func (n *Server) Addr() string { return n.listener.address }
+func (s *Server) Addr() string { return s.listener.address }
 
 // Serve runs until it has drained.
-func (n *Server) Serve() error { return n.l.Run() }
+func (s *Server) Serve() error { return s.loop.Run() }
 
 // Drain has the router finish what it has and what still comes, and then end. It may be
 // called from any goroutine.
-func (n *Server) Drain() {
-	n.l.Post(func() {
-		if n.drained == 0 {
-			n.drain()
+func (s *Server) Drain() {
+	s.loop.Post(func() {
+		if s.drainStarted == 0 {
+			s.drain()
 		}
 	})
 }
 
 // Reload reads the configuration file again. It may be called from any goroutine.
-func (n *Server) Reload() {
-	n.l.Post(func() { n.reloadWithin(reloadTries) })
+func (s *Server) Reload() {
+	s.loop.Post(func() { s.reloadRetrying(reloadAttempts) })
 }
 
 // reloadWithin reloads. Where the file cannot be read, which may pass, it is tried again.
-func (n *Server) reloadWithin(tries int) {
-	err := n.reload()
+func (s *Server) reloadRetrying(tries int) {
+	err := s.reload()
 	if err == nil {
 		return
 	}
-	n.log.Error("configuration kept as it was", zap.Error(err))
+	s.log.Error("configuration kept as it was", zap.Error(err))
 	var unread *os.PathError
 	if errors.As(err, &unread) && tries > 1 {
-		n.l.Once(reloadAgain, func() { n.reloadWithin(tries - 1) })
+		s.loop.Once(reloadPause, func() { s.reloadRetrying(tries - 1) })
 	}
 }
 
 const (
-	reloadTries = 30  // of a file that cannot be read
-	reloadAgain = 100 // ms between two
+	reloadAttempts = 30  // of a file that cannot be read
+	reloadPause    = 100 // ms between two
 )
 
-func (n *Server) reload() error {
-	cfg, err := n.readConfig(n.file)
+func (s *Server) reload() error {
+	config, err := s.readConfig(s.configFile)
 	if err != nil {
 		return err
 	}
-	r := n.watch.reader
-	var list []discovery.Event
-	r.Zones, r.Kinds = cfg.settings.Module.Zones, cfg.settings.Kinds
-	if err := r.DecodeKnown(cfg.Known, func(ev discovery.Event) { list = append(list, ev) }); err != nil {
+	decoder := s.stream.decoder
+	var known []discovery.Event
+	decoder.Zones, decoder.Kinds = config.settings.Module.Zones, config.settings.Kinds
+	if err := decoder.DecodeKnown(config.Known, func(ev discovery.Event) { known = append(known, ev) }); err != nil {
 		return err
 	}
-	if n.acts, err = n.core.ResettleBare(n.l.Now(), cfg.settings.Module, n.acts[:0]); err != nil {
+	if s.actions, err = s.engine.ResettleBare(s.loop.Now(), config.settings.Module, s.actions[:0]); err != nil {
 		return err
 	}
-	moved := cfg.Feed != n.cfg.Feed
-	n.cfg, n.watch.reader = cfg, r
-	n.setClasses()
-	acts := append([]spool.Action(nil), n.acts...)
-	for _, a := range acts {
-		n.carry(a)
+	moved := config.Feed != s.config.Feed
+	s.config, s.stream.decoder = config, decoder
+	s.indexClasses()
+	acts := append([]spool.Action(nil), s.actions...)
+	for _, action := range acts {
+		s.execute(action)
 	}
-	n.eventsOf(list)
+	s.applyEvents(known)
 	if moved {
-		n.watch.connect()
+		s.stream.reconnect()
 	}
-	n.log.Info("configuration read", zap.String("feed", cfg.Feed), zap.Uint64("last", r.LastNumber))
+	s.log.Info("configuration read", zap.String("feed", config.Feed), zap.Uint64("last", decoder.LastNumber))
 	return nil
 }
 
 // eventsOf hands the events of a configuration on. The times of all of them are looked at
 // first: the last tell how old the others are.
-func (n *Server) eventsOf(list []discovery.Event) {
+func (s *Server) applyEvents(list []discovery.Event) {
 	for i := range list {
-		n.saw(&list[i])
+		s.observeTimes(&list[i])
 	}
 	for _, ev := range list {
-		n.event(ev)
+		s.applyEvent(ev)
 	}
 }
 
 // saw shows the clock an event's times. They may lie behind the beginning of the turn in
 // which it is read.
-func (n *Server) saw(ev *discovery.Event) {
+func (s *Server) observeTimes(event *discovery.Event) {
 	now := eventloop.Clock()
-	if !ev.Listed {
-		n.clock.Saw(float64(ev.PurgedAt), now)
+	if !event.Listed {
+		s.platformTime.Saw(float64(event.PurgedAt), now)
 	}
-	for i := range ev.Endpoints {
-		if started := ev.Endpoints[i].StartedAt; started > 0 {
-			n.clock.Saw(float64(started), now)
+	for i := range event.Endpoints {
+		if started := event.Endpoints[i].StartedAt; started > 0 {
+			s.platformTime.Saw(float64(started), now)
 		}
 	}
 }
 
 // event hands an event of the feed on to the module. How old what it tells is goes by the
 // platform's own times alone: the wall clock of this machine may be anywhere.
-func (n *Server) event(ev discovery.Event) {
-	n.stats.Events++
-	n.saw(&ev)
-	now := n.l.Now()
-	if !ev.Listed {
-		n.tell(spool.Purge{Object: ev.Object, Group: ev.Group, Age: n.clock.Age(float64(ev.PurgedAt), now)})
-		n.purged(ev.Object, ev.Group)
+func (s *Server) applyEvent(event discovery.Event) {
+	s.counts.Events++
+	s.observeTimes(&event)
+	now := s.loop.Now()
+	if !event.Listed {
+		s.dispatch(spool.Purge{Object: event.Object, Group: event.Group, Age: s.platformTime.Age(float64(event.PurgedAt), now)})
+		s.cancelPurged(event.Object, event.Group)
 		return
 	}
-	news := engine.News{Rev: int64(ev.Number), How: "step"}
-	if ev.Full {
-		news.How = "full"
+	update := engine.News{Rev: int64(event.Number), How: "step"}
+	if event.Full {
+		update.How = "full"
 	}
-	for _, r := range ev.Endpoints {
-		row := engine.Row{ID: r.ID, Zone: r.Zone, Kind: r.Kind, Cell: r.Cell, State: memberStates[r.State],
-			Size: r.Weight, Address: r.Address, Start: r.StartedAt}
-		if r.StartedAt > 0 {
-			row.UpMs = max(n.clock.Age(float64(r.StartedAt), now), justStarted)
+	for _, endpoint := range event.Endpoints {
+		row := engine.Row{ID: endpoint.ID, Zone: endpoint.Zone, Kind: endpoint.Kind, Cell: endpoint.Cell, State: memberStateNames[endpoint.State],
+			Size: endpoint.Weight, Address: endpoint.Address, Start: endpoint.StartedAt}
+		if endpoint.StartedAt > 0 {
+			row.UpMs = max(s.platformTime.Age(float64(endpoint.StartedAt), now), leastUptime)
 		}
-		news.Members = append(news.Members, row)
+		update.Members = append(update.Members, row)
 	}
-	for _, e := range n.core.Apply(now, &news).Events {
-		n.tell(e)
+	for _, e := range s.engine.Apply(now, &update).Events {
+		s.dispatch(e)
 	}
-	for _, r := range ev.Endpoints {
-		n.changed(r.ID)
+	for _, endpoint := range event.Endpoints {
+		s.memberChanged(endpoint.ID)
 	}
-	if ev.Full { // those that it does not name are gone
-		n.core.Members(func(m spool.Member, _ string) { n.changed(m.ID) })
+	if event.Full { // those that it does not name are gone
+		s.engine.Members(func(m spool.Member, _ string) { s.memberChanged(m.ID) })
 	}
 }
 
 // changed has what is kept of a member go by its row: a pool that it no longer fits is
 // closed, and one that is gone is forgotten.
-func (n *Server) changed(id string) {
-	p := n.pools[id]
-	if m, ok := n.core.Member(id); p != nil && (!ok || m.State != spool.Serving || n.core.Address(id) != p.address) {
+func (s *Server) memberChanged(id string) {
+	p := s.pools[id]
+	if m, ok := s.engine.Member(id); p != nil && (!ok || m.State != spool.Serving || s.engine.Address(id) != p.address) {
 		p.close()
 	}
-	n.core.Forget(id)
+	s.engine.Forget(id)
 }
 
-const justStarted = 0.001 // ms: 0 would mean long ago
+const leastUptime = 0.001 // ms: 0 would mean long ago
 
-var memberStates = map[string]string{"ready": "serving", "draining": "draining", "gone": "removed"}
+var memberStateNames = map[string]string{"ready": "serving", "draining": "draining", "gone": "removed"}
 
 // tell gives the module an event and carries out its actions; what these bring about is
 // told behind them, in order.
-func (n *Server) tell(ev spool.Event) {
-	n.events = append(n.events, ev)
-	if n.busy {
+func (s *Server) dispatch(event spool.Event) {
+	s.pendingEvents = append(s.pendingEvents, event)
+	if s.dispatching {
 		return
 	}
-	n.busy = true
-	for i := 0; i < len(n.events); i++ {
-		ev := n.events[i]
-		if q, ok := ev.(spool.Request); ok {
-			n.born = n.reqs[q.ID]
+	s.dispatching = true
+	for i := 0; i < len(s.pendingEvents); i++ {
+		event := s.pendingEvents[i]
+		if request, ok := event.(spool.Request); ok {
+			s.arriving = s.requests[request.ID]
 		}
-		n.acts = n.core.Handle(n.l.Now(), ev, n.acts[:0])
-		for _, a := range n.acts {
-			n.carry(a)
+		s.actions = s.engine.Handle(s.loop.Now(), event, s.actions[:0])
+		for _, action := range s.actions {
+			s.execute(action)
 		}
-		n.born = nil
+		s.arriving = nil
 	}
-	n.events, n.busy = n.events[:0], false
+	s.pendingEvents, s.dispatching = s.pendingEvents[:0], false
 }
 
 // carry carries out one action.
-func (n *Server) carry(a spool.Action) {
-	switch a := a.(type) {
+func (s *Server) execute(action spool.Action) {
+	switch a := action.(type) {
 	case spool.Send:
-		if r := n.reqs[a.ID]; r != nil {
-			n.send(r, a)
+		if req := s.requests[a.ID]; req != nil {
+			s.startAttempt(req, a)
 		}
 	case spool.Refuse:
-		if r := n.reqs[a.ID]; r != nil && r.c != nil {
-			n.stats.Rejected++
-			n.trace("refused", r, zap.Float64("after", a.After))
-			r.c.answer(r, n.codec.Rejected(r.seq, math.Floor(a.After)))
+		if req := s.requests[a.ID]; req != nil && req.client != nil {
+			s.counts.Rejected++
+			s.trace("refused", req, zap.Float64("after", a.After))
+			req.client.answer(req, s.codec.Rejected(req.sequence, math.Floor(a.After)))
 		}
 	case spool.Fail:
-		if r := n.reqs[a.ID]; r != nil && r.c != nil {
-			n.stats.Failed++
-			n.trace("failed", r)
-			r.c.answer(r, n.codec.Failed(r.seq))
+		if req := s.requests[a.ID]; req != nil && req.client != nil {
+			s.counts.Failed++
+			s.trace("failed", req)
+			req.client.answer(req, s.codec.Failed(req.sequence))
 		}
 	case spool.Cancel:
-		if r := n.reqs[a.ID]; r != nil && r.out != nil && r.out.n == a.Attempt {
-			r.out.giveUp(spool.Cancelled)
+		if req := s.requests[a.ID]; req != nil && req.inFlight != nil && req.inFlight.number == a.Attempt {
+			req.inFlight.abandon(spool.Cancelled)
 		}
 	case spool.Wake:
-		n.wake(a)
+		s.setTimer(a)
 	}
 }
 
-func (n *Server) wake(a spool.Wake) {
-	token := a.Token
+func (s *Server) setTimer(wake spool.Wake) {
+	token := wake.Token
 	switch {
 	case token == 0:
-		n.l.Arm(&n.beat, a.In)
-	case n.born != nil && n.born.timer.F == nil:
-		n.born.timer.F = func() { n.tell(spool.Timer{Token: token}) }
-		n.l.Arm(&n.born.timer, a.In)
+		s.loop.Arm(&s.tickTimer, wake.In)
+	case s.arriving != nil && s.arriving.timer.F == nil:
+		s.arriving.timer.F = func() { s.dispatch(spool.Timer{Token: token}) }
+		s.loop.Arm(&s.arriving.timer, wake.In)
 	default:
-		n.l.Once(a.In, func() { n.tell(spool.Timer{Token: token}) })
+		s.loop.Once(wake.In, func() { s.dispatch(spool.Timer{Token: token}) })
 	}
 }
 
 // take hands a client's request to the module. Its time counts from the earliest moment at
 // which its last byte may have come: it may have lain unread for a long turn of the loop.
-func (n *Server) take(c *client, seq int32, q thriftrpc.Request, came float64) {
-	r := &request{Request: q, c: c, seq: seq, until: came + q.TimeLeft, write: n.classes[q.Class].Write}
-	if n.drained > 0 {
-		r.until = min(r.until, n.goneBy-drainStep)
-	}
-	n.reqs[q.ID], c.open[seq] = r, r
-	n.stats.Requests++
-	n.trace("taken", r, zap.String("class", q.Class), zap.Float64("wait", q.TimeLeft), zap.String("once", q.IdempotencyKey), zap.Int("fd", c.fd))
-	n.tell(spool.Request{ID: q.ID, Class: q.Class, Object: q.Key, Deadline: r.until, Group: q.Group,
-		Part: q.Part, Retry: q.Retry, Write: r.write})
+func (s *Server) startRequest(c *client, sequence int32, call thriftrpc.Request, arrivedAfter float64) {
+	req := &request{Request: call, client: c, sequence: sequence, deadline: arrivedAfter + call.TimeLeft, write: s.classes[call.Class].Write}
+	if s.drainStarted > 0 {
+		req.deadline = min(req.deadline, s.lastAnswerBy-drainInterval)
+	}
+	s.requests[call.ID], c.open[sequence] = req, req
+	s.counts.Requests++
+	s.trace("taken", req, zap.String("class", call.Class), zap.Float64("wait", call.TimeLeft), zap.String("once", call.IdempotencyKey), zap.Int("fd", c.fd))
+	s.dispatch(spool.Request{ID: call.ID, Class: call.Class, Object: call.Key, Deadline: req.deadline, Group: call.Group,
+		Part: call.Part, Retry: call.Retry, Write: req.write})
 }
 
 // trace logs a step of a request's way, where that is asked for.
-func (n *Server) trace(what string, r *request, fields ...zap.Field) {
-	if e := n.log.Check(zap.DebugLevel, what); e != nil {
-		e.Write(append(fields, zap.String("id", r.ID), zap.Float64("left", r.until-n.l.Now()))...)
+func (s *Server) trace(message string, req *request, fields ...zap.Field) {
+	if e := s.log.Check(zap.DebugLevel, message); e != nil {
+		e.Write(append(fields, zap.String("id", req.ID), zap.Float64("left", req.deadline-s.loop.Now()))...)
 	}
 }
 
 // over ends a request towards its client; it is forgotten when nothing is out for it.
-func (n *Server) over(r *request) {
-	if r.c != nil {
-		delete(r.c.open, r.seq)
-		r.c = nil
-	}
-	if r.out == nil {
-		n.l.Forget(&r.timer)
-		if n.reqs[r.ID] == r {
-			delete(n.reqs, r.ID)
+func (s *Server) endForClient(r *request) {
+	if r.client != nil {
+		delete(r.client.open, r.sequence)
+		r.client = nil
+	}
+	if r.inFlight == nil {
+		s.loop.Forget(&r.timer)
+		if s.requests[r.ID] == r {
+			delete(s.requests, r.ID)
 		}
 	}
 }
 
 // sweep closes connections that overstay. One that is owed an answer is not shut before it
 // has that, whatever else it does.
-func (n *Server) sweep() {
-	now := n.l.Now()
-	for c := range n.clients {
-		switch c.v.Open = len(c.open) + len(c.unsent); {
-		case !c.v.Overstays(now):
-		case c.v.Shut > 0 || c.v.Ignores(now):
-			c.close()
-		case !c.owes() && eventloop.Quiet(c.fd):
-			c.shut()
+func (s *Server) cleanUp() {
+	now := s.loop.Now()
+	for client := range s.clients {
+		switch client.activity.Open = len(client.open) + len(client.pending); {
+		case !client.activity.Overstays(now):
+		case client.activity.Shut > 0 || client.activity.Ignores(now):
+			client.close()
+		case !client.owesAnswer() && eventloop.Quiet(client.fd):
+			client.shutdownWrite()
 		}
 	}
-	for _, p := range n.pools {
-		p.sweep(now)
+	for _, pool := range s.pools {
+		pool.cleanUp(now)
 	}
 }
--- a/internal/proxy/platform/node_test.go
+++ b/internal/proxy/platform/node_test.go
@@ -20,100 +20,102 @@
 	"indigospool/internal/testbed/testserver"
 )
 
-const soon = 5 * time.Second // in which what is wanted comes; the rules' own spans are in the code
+const waitLimit = 5 * time.Second // in which what is wanted comes; the rules' own spans are in the code
 
 // world is a router among stand-ins.
-type world struct {
-	t        *testing.T
-	n        *Server
-	addr     string
-	file     string
-	members  map[string]*testserver.PlatformCache
-	feed     *testserver.PlatformFeed
-	settings string
-	last     atomic.Uint64               // number that the feed's last connection began with
-	asked    atomic.Int64                // connections of the feed
-	tell     atomic.Pointer[chan []byte] // what the feed's last connection writes next; nil: it breaks off
-	done     chan error
+type testHarness struct {
+	t                    *testing.T
+	server               *Server
+	address              string
+	configFile           string
+	members              map[string]*testserver.PlatformCache
+	discovery            *testserver.PlatformFeed
+	settings             string
+	lastResumed          atomic.Uint64               // number that the feed's last connection began with
+	discoveryConnections atomic.Int64                // connections of the feed
+	discoveryWrites      atomic.Pointer[chan []byte] // what the feed's last connection writes next; nil: it breaks off
+	served               chan error
 }
 
 type handler = func(c *testserver.PlatformConn, q testserver.PlatformRequest)
 
 // hits answers reads with the object's key as bytes, and writes at the origin.
-func hits(c *testserver.PlatformConn, q testserver.PlatformRequest) {
-	if !q.Stop {
-		c.Hit(q.ID, []byte("bytes of "+q.Fields["key"]))
+func answerHit(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
+	if !request.Stop {
+		conn.Hit(request.ID, []byte("bytes of "+request.Fields["key"]))
 	}
 }
 
-func misses(c *testserver.PlatformConn, q testserver.PlatformRequest) {
-	if q.Fields["miss"] != "" {
-		hits(c, q)
-	} else if !q.Stop {
-		c.Answer(q.ID, "NONE", "-", nil)
+func answerMiss(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
+	if request.Fields["miss"] != "" {
+		answerHit(conn, request)
+	} else if !request.Stop {
+		conn.Answer(request.ID, "NONE", "-", nil)
 	}
 }
 
 // open starts a router whose caches c1, c2 and origin a1 do as on says; nil: hits.
-func open(t *testing.T, on map[string]handler) *world { return openWith(t, on) }
+func newHarness(t *testing.T, handlers map[string]handler) *testHarness {
+	return newHarnessWith(t, handlers)
+}
 
 // openWith starts a router by settings in which each old text is replaced by a new one.
-func openWith(t *testing.T, on map[string]handler, oldnew ...string) *world {
+func newHarnessWith(t *testing.T, handlers map[string]handler, oldnew ...string) *testHarness {
 	t.Helper()
-	w := outside(t, on)
-	w.settings = strings.NewReplacer(oldnew...).Replace(testSettings)
-	w.write(w.feed.Addr)
-	w.start(zap.NewNop())
-	return w
+	harness := prepareHarness(t, handlers)
+	harness.settings = strings.NewReplacer(oldnew...).Replace(testSettings)
+	harness.writeConfig(harness.discovery.Addr)
+	harness.start(zap.NewNop())
+	return harness
 }
 
 // start opens the router and serves until the test's end.
-func (w *world) start(log *zap.Logger) {
+func (w *testHarness) start(log *zap.Logger) {
 	w.t.Helper()
-	n, err := Open(w.file, "127.0.0.1:0", log)
+	server, err := Open(w.configFile, "127.0.0.1:0", log)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.n, w.addr = n, n.Addr()
-	go func() { w.done <- n.Serve() }()
+	w.server, w.address = server, server.Addr()
+	go func() { w.served <- server.Serve() }()
 	w.t.Cleanup(func() {
-		n.l.Stop()
+		server.loop.Stop()
 		select {
-		case <-w.done:
-		case <-time.After(soon):
+		case <-w.served:
+		case <-time.After(waitLimit):
 			w.t.Error("the router does not stop")
 		}
 	})
 }
 
 // outside is the stand-ins, and a configuration that names them.
-func outside(t *testing.T, on map[string]handler) *world {
+func prepareHarness(t *testing.T, handlers map[string]handler) *testHarness {
 	t.Helper()
-	w := &world{t: t, settings: testSettings, members: map[string]*testserver.PlatformCache{}, done: make(chan error, 1)}
+	harness := &testHarness{t: t, settings: testSettings, members: map[string]*testserver.PlatformCache{}, served: make(chan error, 1)}
 	for _, id := range []string{"s-000000c1", "s-000000c2", "s-000000a1"} {
-		f := on[id]
-		if f == nil {
-			f = hits
+		handler := handlers[id]
+		if handler == nil {
+			handler = answerHit
 		}
-		p, err := testserver.NewPlatformCache("127.0.0.1:0", f)
+		cache, err := testserver.NewPlatformCache("127.0.0.1:0", handler)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(p.Close)
-		w.members[id] = p
+		t.Cleanup(cache.Close)
+		harness.members[id] = cache
 	}
-	w.feed = w.newFeed()
-	w.file = filepath.Join(t.TempDir(), "config.json")
-	w.write(w.feed.Addr)
-	return w
+	harness.discovery = harness.newDiscovery()
+	harness.configFile = filepath.Join(t.TempDir(), "config.json")
+	harness.writeConfig(harness.discovery.Addr)
+	return harness
 }
 
-func (w *world) newFeed() *testserver.PlatformFeed {
+func (w *testHarness) newDiscovery() *testserver.PlatformFeed {
 	f, err := testserver.NewPlatformFeed(func(c net.Conn, last uint64) {
 		tell := make(chan []byte, 64)
-		w.tell.Store(&tell)
-		w.last.Store(last)
-		w.asked.Add(1)
+		w.discoveryWrites.Store(&tell)
+		w.lastResumed.Store(last)
+		w.discoveryConnections.Add(1)
 		for {
 			select {
 			case b := <-tell:
@@ -134,7 +136,7 @@
 }
 
 // say has the feed's last connection write bytes.
-func (w *world) say(b []byte) { *w.tell.Load() <- b }
+func (w *testHarness) sendDiscovery(b []byte) { *w.discoveryWrites.Load() <- b }
 
 const testSettings = `{"classes":[
  {"name":"clip","aim":400,"aim_stretch":1.5,"give_up":3000,"gain":2,"late_worth":0.1,"idempotency":"free"},
@@ -146,7 +148,7 @@
   "upper_kind":1,"master_kind":2,"pass_through_ok":true,"purge_takes":6000,"purge_slack":500,"detail":"all","stream_kb_per_s":4000}}`
 
 // write writes the configuration with a feed's address, all at once as deployments do.
-func (w *world) write(feed string) {
+func (w *testHarness) writeConfig(feed string) {
 	w.t.Helper()
 	type row map[string]any
 	var rows []row
@@ -162,30 +164,30 @@
 		"known":  row{"n": 1, "events": []row{{"n": 1, "members": row{"index": 1, "snapshot": true, "endpoints": rows}}}}}
 	b, err := json.Marshal(c)
 	if err == nil {
-		err = os.WriteFile(w.file+".new", b, 0o600)
+		err = os.WriteFile(w.configFile+".new", b, 0o600)
 	}
 	if err == nil {
-		err = os.Rename(w.file+".new", w.file)
+		err = os.Rename(w.configFile+".new", w.configFile)
 	}
 	if err != nil {
 		w.t.Fatal(err)
 	}
 }
 
-func (w *world) client() *testserver.PlatformClient {
+func (w *testHarness) dial() *testserver.PlatformClient {
 	w.t.Helper()
-	c, err := testserver.DialPlatform(w.addr)
+	client, err := testserver.DialPlatform(w.address)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { c.Close() })
-	return c
+	w.t.Cleanup(func() { client.Close() })
+	return client
 }
 
 var ids atomic.Uint64
 
 // clip is a read with an id of its own; changes are pairs of field and value.
-func clip(key string, changes ...string) map[string]string {
+func readFields(key string, changes ...string) map[string]string {
 	f := map[string]string{"class": "clip", "id": fmt.Sprintf("%016x", ids.Add(1)), "wait": "2000", "key": key, "slice": "3", "set": "17"}
 	for i := 0; i < len(changes); i += 2 {
 		f[changes[i]] = changes[i+1]
@@ -196,47 +198,47 @@
 const key = "7f3a9c21e0b4d655"
 
 // ask makes one request on a connection of its own and returns the answer.
-func (w *world) ask(f map[string]string, body []byte) testserver.PlatformResult {
+func (w *testHarness) roundTrip(f map[string]string, body []byte) testserver.PlatformResult {
 	w.t.Helper()
-	c := w.client()
-	defer c.Close()
-	if _, err := c.Ask(f, body); err != nil {
+	client := w.dial()
+	defer client.Close()
+	if _, err := client.Ask(f, body); err != nil {
 		w.t.Fatal(err)
 	}
-	r, err := c.Result(soon)
+	result, err := client.Result(waitLimit)
 	if err != nil {
 		w.t.Fatalf("%v: %v", f, err)
 	}
-	return r
+	return result
 }
 
-func (w *world) until(what string, f func() bool) {
+func (w *testHarness) waitUntil(what string, f func() bool) {
 	w.t.Helper()
-	for end := time.Now().Add(soon); !f(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitLimit); !f(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			w.t.Fatalf("not within %v: %s", soon, what)
+			w.t.Fatalf("not within %v: %s", waitLimit, what)
 		}
 	}
 }
 
-// TestServes: what a client asks reaches caches unchanged, a look comes before a fill,
+// TestReadAndWriteAreServed: what a client asks reaches caches unchanged, a look comes before a fill,
 // and the bytes come back whole.
-func TestServes(t *testing.T) {
-	w := open(t, map[string]handler{"s-000000c1": misses, "s-000000c2": misses})
-	if good, err := w.client().Well(); !good || err != nil {
+func TestReadAndWriteAreServed(t *testing.T) {
+	harness := newHarness(t, map[string]handler{"s-000000c1": answerMiss, "s-000000c2": answerMiss})
+	if good, err := harness.dial().Well(); !good || err != nil {
 		t.Fatalf("isWell: %v %v", good, err)
 	}
-	f := clip(key)
-	if r := w.ask(f, nil); r.Word != "served" || string(r.Body) != "bytes of "+key || !r.Good || len(r.Fields) > 0 {
-		t.Fatalf("answered %+v", r)
+	f := readFields(key)
+	if result := harness.roundTrip(f, nil); result.Word != "served" || string(result.Body) != "bytes of "+key || !result.Good || len(result.Fields) > 0 {
+		t.Fatalf("answered %+v", result)
 	}
 	looks, fills := 0, 0
-	for _, p := range w.members {
-		for _, q := range p.Seen() {
-			if q.ID != f["id"] || q.Fields["class"] != "clip" || q.Fields["key"] != key || q.Fields["part"] != "3" || q.Fields["wait"] == "0" {
-				t.Errorf("a cache was asked %+v", q)
+	for _, p := range harness.members {
+		for _, request := range p.Seen() {
+			if request.ID != f["id"] || request.Fields["class"] != "clip" || request.Fields["key"] != key || request.Fields["part"] != "3" || request.Fields["wait"] == "0" {
+				t.Errorf("a cache was asked %+v", request)
 			}
-			if q.Fields["miss"] == "s-000000a1" {
+			if request.Fields["miss"] == "s-000000a1" {
 				fills++
 			} else {
 				looks++
@@ -248,44 +250,44 @@
 	}
 	once := "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 	body := bytes.Repeat([]byte{0, 0xff}, 24000)
-	if r := w.ask(clip(key, "class", "note", "once", once), body); r.Word != "served" {
-		t.Fatalf("a write: %+v", r)
+	if result := harness.roundTrip(readFields(key, "class", "note", "once", once), body); result.Word != "served" {
+		t.Fatalf("a write: %+v", result)
 	}
-	if s := w.members["s-000000a1"].Seen(); len(s) != 1 || s[0].Fields["once"] != once || !bytes.Equal(s[0].Body, body) {
+	if s := harness.members["s-000000a1"].Seen(); len(s) != 1 || s[0].Fields["once"] != once || !bytes.Equal(s[0].Body, body) {
 		t.Errorf("the origin was asked %d times, or otherwise than meant", len(s))
 	}
 }
 
-// TestOwnCopyHolds: VALID becomes current, only for a client that named its copy.
-func TestOwnCopyHolds(t *testing.T) {
-	valid := func(c *testserver.PlatformConn, q testserver.PlatformRequest) {
-		c.Answer(q.ID, "VALID", fmt.Sprintf("how=cached,entity=x,issued=%d", time.Now().UnixMilli()), nil)
+// TestNotModified: VALID becomes current, only for a client that named its copy.
+func TestNotModified(t *testing.T) {
+	valid := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
+		conn.Answer(request.ID, "VALID", fmt.Sprintf("how=cached,entity=x,issued=%d", time.Now().UnixMilli()), nil)
 	}
-	w := open(t, map[string]handler{"s-000000c1": valid, "s-000000c2": valid})
-	if r := w.ask(clip(key, "seen", "4be0c1927d55a6f3"), nil); r.Word != "served" || r.Fields["current"] != "1" || len(r.Body) > 0 {
-		t.Errorf("%+v", r)
+	harness := newHarness(t, map[string]handler{"s-000000c1": valid, "s-000000c2": valid})
+	if result := harness.roundTrip(readFields(key, "seen", "4be0c1927d55a6f3"), nil); result.Word != "served" || result.Fields["current"] != "1" || len(result.Body) > 0 {
+		t.Errorf("%+v", result)
 	}
-	if r := w.ask(clip(key), nil); r.Word == "served" {
-		t.Errorf("a client without a copy was told that it holds: %+v", r)
+	if result := harness.roundTrip(readFields(key), nil); result.Word == "served" {
+		t.Errorf("a client without a copy was told that it holds: %+v", result)
 	}
 }
 
-// TestBadClients: each is answered with something other than 'served' or closed within
+// TestMalformedClients: each is answered with something other than 'served' or closed within
 // 3 s, and the usual ones are served meanwhile.
-func TestBadClients(t *testing.T) {
-	slow := func(c *testserver.PlatformConn, q testserver.PlatformRequest) {
-		if !q.Stop {
-			time.AfterFunc(100*time.Millisecond, func() { c.Hit(q.ID, []byte("late")) })
+func TestMalformedClients(t *testing.T) {
+	slow := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
+		if !request.Stop {
+			time.AfterFunc(100*time.Millisecond, func() { conn.Hit(request.ID, []byte("late")) })
 		}
 	}
-	w := open(t, map[string]handler{"s-000000c1": slow, "s-000000c2": slow})
+	harness := newHarness(t, map[string]handler{"s-000000c1": slow, "s-000000c2": slow})
 	call := func(seq int32, f map[string]string) []byte { return testserver.PlatformCall("serve", seq, f, nil) }
 	length := func(n uint32) []byte { return binary.BigEndian.AppendUint32(nil, n) }
-	without := func(name string) map[string]string { f := clip(key); delete(f, name); return f }
+	without := func(name string) map[string]string { f := readFields(key); delete(f, name); return f }
 	var flood, withdrawn []byte
 	for i := range int32(300) {
-		flood = append(flood, call(i+1, clip(key))...)
-		withdrawn = append(append(withdrawn, call(2*i+1, clip(key))...), testserver.PlatformForget(2*i+2, 2*i+1)...)
+		flood = append(flood, call(i+1, readFields(key))...)
+		withdrawn = append(append(withdrawn, call(2*i+1, readFields(key))...), testserver.PlatformForget(2*i+2, 2*i+1)...)
 	}
 	for _, c := range []struct {
 		name   string
@@ -294,7 +296,7 @@
 	}{
 		{"noise", []byte("GET / HTTP/1.1\r\n\r\n"), false},
 		{"nothing", nil, false},
-		{"half a request", call(1, clip(key))[:40], false},
+		{"half a request", call(1, readFields(key))[:40], false},
 		{"a huge length", append(length(2147483632), make([]byte, 4096)...), false},
 		{"a negative length", length(0xffc00000), false},
 		{"60 MB", append(length(60000000), make([]byte, 1<<20)...), false},
@@ -302,29 +304,29 @@
 		{"not strict", append(length(12), 0, 0, 0, 5, 's', 'e', 'r', 'v', 'e', 1, 0, 0), false},
 		{"another name", testserver.PlatformCall("drop", 1, nil, nil), false},
 		{"no id", call(1, without("id")), false},
-		{"a long id", call(1, clip(key, "id", "00000000000000001")), false},
+		{"a long id", call(1, readFields(key, "id", "00000000000000001")), false},
 		{"no key", call(1, without("key")), false},
-		{"a separator in the key", call(1, clip("7f3a9c21e0b4,x=1")), false},
-		{"an unknown class", call(1, clip(key, "class", "clip2")), false},
+		{"a separator in the key", call(1, readFields("7f3a9c21e0b4,x=1")), false},
+		{"an unknown class", call(1, readFields(key, "class", "clip2")), false},
 		{"no wait", call(1, without("wait")), false},
-		{"a wait of 0", call(1, clip(key, "wait", "0")), false},
-		{"a wait of a day", call(1, clip(key, "wait", "86400000")), false},
-		{"a negative slice", call(1, clip(key, "slice", "-4")), false},
-		{"a slice that is no number", call(1, clip(key, "slice", "nan")), false},
-		{"a set of 256", call(1, clip(key, "set", "256")), false},
-		{"a keyed class without once", call(1, clip(key, "class", "note")), false},
-		{"a body in a read", testserver.PlatformCall("serve", 1, clip(key), []byte("x")), false},
-		{"two under one number", append(call(1, clip(key)), call(1, clip(key))...), false},
+		{"a wait of 0", call(1, readFields(key, "wait", "0")), false},
+		{"a wait of a day", call(1, readFields(key, "wait", "86400000")), false},
+		{"a negative slice", call(1, readFields(key, "slice", "-4")), false},
+		{"a slice that is no number", call(1, readFields(key, "slice", "nan")), false},
+		{"a set of 256", call(1, readFields(key, "set", "256")), false},
+		{"a keyed class without once", call(1, readFields(key, "class", "note")), false},
+		{"a body in a read", testserver.PlatformCall("serve", 1, readFields(key), []byte("x")), false},
+		{"two under one number", append(call(1, readFields(key)), call(1, readFields(key))...), false},
 		{"300 at once", flood, false},
 		{"300 withdrawn", withdrawn, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			b := w.client()
+			b := harness.dial()
 			go b.Write(c.bytes)
-			r, err := b.Result(3 * time.Second)
-			if err == nil && r.Word == "served" {
-				t.Errorf("answered %+v", r)
+			result, err := b.Result(3 * time.Second)
+			if err == nil && result.Word == "served" {
+				t.Errorf("answered %+v", result)
 			}
 			if ne, ok := err.(net.Error); ok && ne.Timeout() && !c.silent {
 				t.Error("neither answered nor closed")
@@ -334,63 +336,65 @@
 	t.Run("usual", func(t *testing.T) {
 		t.Parallel()
 		for range 10 {
-			if r := w.ask(clip(key), nil); r.Word != "served" {
-				t.Errorf("%+v", r)
+			if result := harness.roundTrip(readFields(key), nil); result.Word != "served" {
+				t.Errorf("%+v", result)
 			}
 		}
 	})
 }
 
-// TestWithdrawnAreNotBegun: a call that is given up in the read that it came with costs
+// TestForgottenCallsAreNotStarted: a call that is given up in the read that it came with costs
 // no cache anything; it did: bursts of 200 made attempts of all.
-func TestWithdrawnAreNotBegun(t *testing.T) {
-	w := open(t, nil)
-	asked := func() int { return len(w.members["s-000000c1"].Seen()) + len(w.members["s-000000c2"].Seen()) }
+func TestForgottenCallsAreNotStarted(t *testing.T) {
+	harness := newHarness(t, nil)
+	asked := func() int {
+		return len(harness.members["s-000000c1"].Seen()) + len(harness.members["s-000000c2"].Seen())
+	}
 	for range 4 { // so that there is a connection on which an attempt would go out at once
-		w.ask(clip(key), nil)
+		harness.roundTrip(readFields(key), nil)
 	}
 	before := asked()
 	var b []byte
 	for i := range int32(20) {
-		b = append(append(b, testserver.PlatformCall("serve", 2*i+1, clip(key), nil)...), testserver.PlatformForget(2*i+2, 2*i+1)...)
+		b = append(append(b, testserver.PlatformCall("serve", 2*i+1, readFields(key), nil)...), testserver.PlatformForget(2*i+2, 2*i+1)...)
 	}
-	c := w.client()
-	c.Write(b) // one segment, and so one read, on loopback
-	if _, err := c.Write(testserver.PlatformCall("isWell", 100, nil, nil)); err != nil {
+	client := harness.dial()
+	client.Write(b) // one segment, and so one read, on loopback
+	if _, err := client.Write(testserver.PlatformCall("isWell", 100, nil, nil)); err != nil {
 		t.Fatal(err)
 	}
-	if r, err := c.Result(soon); err != nil || r.Seq != 100 {
-		t.Fatalf("%+v %v", r, err)
+	if result, err := client.Result(waitLimit); err != nil || result.Seq != 100 {
+		t.Fatalf("%+v %v", result, err)
 	}
-	w.ask(clip(key), nil) // behind them on the same connection to a cache
+	harness.roundTrip(readFields(key), nil) // behind them on the same connection to a cache
 	if n := asked() - before - 1; n != 0 {
 		t.Errorf("caches were asked %d times", n)
 	}
 }
 
-// TestOpenIdWithAnotherObject: the second is failed, the first is answered.
-func TestOpenIdWithAnotherObject(t *testing.T) {
+// TestDuplicateRequestID: the second is failed, the first is answered.
+func TestDuplicateRequestID(t *testing.T) {
 	hold := make(chan func(), 4)
-	wait := func(c *testserver.PlatformConn, q testserver.PlatformRequest) {
-		hold <- func() { c.Hit(q.ID, []byte("first")) }
+	wait := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
+		hold <- func() { conn.Hit(request.ID, []byte("first")) }
 	}
-	w := open(t, map[string]handler{"s-000000c1": wait, "s-000000c2": wait})
-	f := clip(key)
-	c := w.client()
-	c.Ask(f, nil)
+	harness := newHarness(t, map[string]handler{"s-000000c1": wait, "s-000000c2": wait})
+	f := readFields(key)
+	client := harness.dial()
+	client.Ask(f, nil)
 	answer := <-hold
-	if r := w.ask(clip("0000000000000001", "id", f["id"]), nil); r.Word != "failed" {
-		t.Errorf("the second: %+v", r)
+	if result := harness.roundTrip(readFields("0000000000000001", "id", f["id"]), nil); result.Word != "failed" {
+		t.Errorf("the second: %+v", result)
 	}
 	answer()
-	if r, err := c.Result(soon); err != nil || r.Word != "served" || string(r.Body) != "first" {
-		t.Errorf("the first: %+v %v", r, err)
+	if result, err := client.Result(waitLimit); err != nil || result.Word != "served" || string(result.Body) != "first" {
+		t.Errorf("the first: %+v %v", result, err)
 	}
 }
 
-// TestBadPeers: nothing spoilt is passed on, the connection is closed, and the request is
+// TestMalformedAnswers: nothing spoilt is passed on, the connection is closed, and the request is
 // served by another member.
-func TestBadPeers(t *testing.T) {
+func TestMalformedAnswers(t *testing.T) {
 	now := fmt.Sprint(time.Now().UnixMilli())
 	for _, c := range []struct{ name, bytes string }{
 		{"noise", "\x00\x17noise\r\n"},
@@ -407,22 +411,22 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			var spoilt atomic.Int64
-			bad := func(pc *testserver.PlatformConn, q testserver.PlatformRequest) {
-				if q.Stop {
+			bad := func(pc *testserver.PlatformConn, request testserver.PlatformRequest) {
+				if request.Stop {
 					return
 				}
 				if spoilt.Add(1) > 1 { // only the first of all answers is bad
-					hits(pc, q)
+					answerHit(pc, request)
 					return
 				}
-				pc.Write([]byte(strings.Replace(c.bytes, "ID", q.ID, 1)))
+				pc.Write([]byte(strings.Replace(c.bytes, "ID", request.ID, 1)))
 				if c.name == "cut short" {
 					pc.Reset()
 				}
 			}
-			w := open(t, map[string]handler{"s-000000c1": bad, "s-000000c2": bad})
-			if r := w.ask(clip(key), nil); r.Word != "served" || string(r.Body) != "bytes of "+key {
-				t.Errorf("answered %+v", r)
+			harness := newHarness(t, map[string]handler{"s-000000c1": bad, "s-000000c2": bad})
+			if result := harness.roundTrip(readFields(key), nil); result.Word != "served" || string(result.Body) != "bytes of "+key {
+				t.Errorf("answered %+v", result)
 			}
 			if n := spoilt.Load(); n != 2 {
 				t.Errorf("%d attempts, want 2", n)
@@ -431,75 +435,75 @@
 	}
 }
 
-// TestMoreThanBelongsToIt: a second copy and an unknown id are dropped, and the
+// TestUnmatchedAnswersAreDropped: a second copy and an unknown id are dropped, and the
 // connection is kept.
-func TestMoreThanBelongsToIt(t *testing.T) {
-	twice := func(c *testserver.PlatformConn, q testserver.PlatformRequest) {
-		if !q.Stop {
-			c.Hit("ffffffffffffffff", []byte("nobody's"))
-			c.Hit(q.ID, []byte("good"))
-			c.Hit(q.ID, []byte("once more"))
+func TestUnmatchedAnswersAreDropped(t *testing.T) {
+	twice := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
+		if !request.Stop {
+			conn.Hit("ffffffffffffffff", []byte("nobody's"))
+			conn.Hit(request.ID, []byte("good"))
+			conn.Hit(request.ID, []byte("once more"))
 		}
 	}
-	w := open(t, map[string]handler{"s-000000c1": twice, "s-000000c2": twice})
+	harness := newHarness(t, map[string]handler{"s-000000c1": twice, "s-000000c2": twice})
 	for range 20 {
-		if r := w.ask(clip(key), nil); r.Word != "served" || string(r.Body) != "good" {
-			t.Fatalf("%+v", r)
+		if result := harness.roundTrip(readFields(key), nil); result.Word != "served" || string(result.Body) != "good" {
+			t.Fatalf("%+v", result)
 		}
 	}
-	if n := w.members["s-000000c1"].Conns() + w.members["s-000000c2"].Conns(); n > 2 {
+	if n := harness.members["s-000000c1"].Conns() + harness.members["s-000000c2"].Conns(); n > 2 {
 		t.Errorf("%d connections for requests one after another", n)
 	}
 }
 
-// TestNothingFitsIt: a request that two caches answer with an error is ended, and what
+// TestErrorsOfOneObjectSpareOthers: a request that two caches answer with an error is ended, and what
 // others ask of these caches goes on.
-func TestNothingFitsIt(t *testing.T) {
-	fault := func(c *testserver.PlatformConn, q testserver.PlatformRequest) {
-		if q.Fields["key"] == "0000000000000bad" {
-			c.Answer(q.ID, "FAULT", "-", nil)
+func TestErrorsOfOneObjectSpareOthers(t *testing.T) {
+	fault := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
+		if request.Fields["key"] == "0000000000000bad" {
+			conn.Answer(request.ID, "FAULT", "-", nil)
 			return
 		}
-		hits(c, q)
+		answerHit(conn, request)
 	}
-	w := open(t, map[string]handler{"s-000000c1": fault, "s-000000c2": fault})
+	harness := newHarness(t, map[string]handler{"s-000000c1": fault, "s-000000c2": fault})
 	for i := range 20 {
-		if r := w.ask(clip("0000000000000bad"), nil); r.Word == "served" {
-			t.Fatalf("%+v", r)
+		if result := harness.roundTrip(readFields("0000000000000bad"), nil); result.Word == "served" {
+			t.Fatalf("%+v", result)
 		}
-		if r := w.ask(clip(key), nil); r.Word != "served" {
-			t.Fatalf("round %d: %+v", i, r)
+		if result := harness.roundTrip(readFields(key), nil); result.Word != "served" {
+			t.Fatalf("round %d: %+v", i, result)
 		}
 	}
 }
 
-// TestFeed: what breaks off is asked for again from the last number, repeats and halves
+// TestDiscoveryStreamResumes: what breaks off is asked for again from the last number, repeats and halves
 // change nothing, and silence is noticed.
-func TestFeed(t *testing.T) {
-	w := open(t, nil)
+func TestDiscoveryStreamResumes(t *testing.T) {
+	harness := newHarness(t, nil)
 	purge := func(n uint64) []byte { return testserver.PlatformFrame(n, 4, []byte{0, 17, 0, 0, 1, 0x9a, 0, 0, 0, 0}) }
-	w.until("the first connection", func() bool { return w.asked.Load() == 1 })
-	w.say(purge(2))
-	w.say(purge(2))
-	w.say(purge(3)[:9])
-	w.say(nil)
-	w.until("asked again", func() bool { return w.asked.Load() == 2 })
-	if n := w.last.Load(); n != 2 {
+	harness.waitUntil("the first connection", func() bool { return harness.discoveryConnections.Load() == 1 })
+	harness.sendDiscovery(purge(2))
+	harness.sendDiscovery(purge(2))
+	harness.sendDiscovery(purge(3)[:9])
+	harness.sendDiscovery(nil)
+	harness.waitUntil("asked again", func() bool { return harness.discoveryConnections.Load() == 2 })
+	if n := harness.lastResumed.Load(); n != 2 {
 		t.Fatalf("asked from %d, want 2", n)
 	}
-	w.say(purge(5)) // 3 and 4 are missing
-	w.until("asked again after a gap", func() bool { return w.asked.Load() == 3 })
-	w.say([]byte{0xff, 0xff, 0xff, 0xff})
-	w.until("asked again after a lying length", func() bool { return w.asked.Load() == 4 })
-	w.say(purge(3))
-	w.until("asked again after silence", func() bool { return w.asked.Load() == 5 })
-	if n := w.last.Load(); n != 3 {
+	harness.sendDiscovery(purge(5)) // 3 and 4 are missing
+	harness.waitUntil("asked again after a gap", func() bool { return harness.discoveryConnections.Load() == 3 })
+	harness.sendDiscovery([]byte{0xff, 0xff, 0xff, 0xff})
+	harness.waitUntil("asked again after a lying length", func() bool { return harness.discoveryConnections.Load() == 4 })
+	harness.sendDiscovery(purge(3))
+	harness.waitUntil("asked again after silence", func() bool { return harness.discoveryConnections.Load() == 5 })
+	if n := harness.lastResumed.Load(); n != 3 {
 		t.Fatalf("asked from %d, want 3", n)
 	}
 }
 
 // record is a member as frames have it.
-func record(id uint32, address string, state, zone, kind byte) []byte {
+func endpointRecord(id uint32, address string, state, zone, kind byte) []byte {
 	a := net.TCPAddr{}
 	if r, err := net.ResolveTCPAddr("tcp", address); err == nil {
 		a = *r
@@ -513,44 +517,44 @@
 // TestAddressReuse: a new cache at the address of one that is gone gets connections of
 // its own, and nothing is kept of the other.
 func TestAddressReuse(t *testing.T) {
-	w := open(t, nil)
-	c1 := w.members["s-000000c1"]
+	harness := newHarness(t, nil)
+	c1 := harness.members["s-000000c1"]
 	for i := range 12 {
-		w.ask(clip(fmt.Sprintf("%016x", i)), nil)
+		harness.roundTrip(readFields(fmt.Sprintf("%016x", i)), nil)
 	}
 	before := c1.Conns()
-	w.until("the first connection", func() bool { return w.asked.Load() == 1 })
-	w.say(testserver.PlatformFrame(2, 2, append(record(0xc1, c1.Addr, 2, 0, 0), record(0xc9, c1.Addr, 0, 0, 0)...)))
-	w.until("the new one is asked", func() bool {
-		w.ask(clip(fmt.Sprintf("%016x", ids.Load())), nil)
+	harness.waitUntil("the first connection", func() bool { return harness.discoveryConnections.Load() == 1 })
+	harness.sendDiscovery(testserver.PlatformFrame(2, 2, append(endpointRecord(0xc1, c1.Addr, 2, 0, 0), endpointRecord(0xc9, c1.Addr, 0, 0, 0)...)))
+	harness.waitUntil("the new one is asked", func() bool {
+		harness.roundTrip(readFields(fmt.Sprintf("%016x", ids.Load())), nil)
 		return c1.Conns() > before
 	})
-	w.n.l.Call(soon, func() {
-		if _, ok := w.n.core.Member("s-000000c1"); ok || w.n.pools["s-000000c1"] != nil {
+	harness.server.loop.Call(waitLimit, func() {
+		if _, ok := harness.server.engine.Member("s-000000c1"); ok || harness.server.pools["s-000000c1"] != nil {
 			t.Error("something is kept of a cache that is gone")
 		}
 	})
 }
 
-// TestSameIdElsewhere: a cache that comes back under its id at another address is asked
+// TestMemberMovesToAnotherAddress: a cache that comes back under its id at another address is asked
 // there, though connections to the first are still busy.
-func TestSameIdElsewhere(t *testing.T) {
+func TestMemberMovesToAnotherAddress(t *testing.T) {
 	never := func(*testserver.PlatformConn, testserver.PlatformRequest) {}
-	w := open(t, map[string]handler{"s-000000c1": never})
-	other, err := testserver.NewPlatformCache("127.0.0.1:0", hits)
+	harness := newHarness(t, map[string]handler{"s-000000c1": never})
+	other, err := testserver.NewPlatformCache("127.0.0.1:0", answerHit)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer other.Close()
-	busy := w.client()
+	busy := harness.dial()
 	for i := range 8 {
-		busy.Ask(clip(fmt.Sprintf("%016x", i)), nil)
+		busy.Ask(readFields(fmt.Sprintf("%016x", i)), nil)
 	}
-	w.until("the first is busy", func() bool { return w.members["s-000000c1"].Open() > 0 })
-	w.until("the feed is asked", func() bool { return w.asked.Load() == 1 })
-	w.say(testserver.PlatformFrame(2, 2, record(0xc1, other.Addr, 0, 0, 0)))
-	w.until("it is asked at its new address", func() bool {
-		w.ask(clip(fmt.Sprintf("%016x", ids.Load())), nil)
+	harness.waitUntil("the first is busy", func() bool { return harness.members["s-000000c1"].Open() > 0 })
+	harness.waitUntil("the feed is asked", func() bool { return harness.discoveryConnections.Load() == 1 })
+	harness.sendDiscovery(testserver.PlatformFrame(2, 2, endpointRecord(0xc1, other.Addr, 0, 0, 0)))
+	harness.waitUntil("it is asked at its new address", func() bool {
+		harness.roundTrip(readFields(fmt.Sprintf("%016x", ids.Load())), nil)
 		return len(other.Seen()) > 0
 	})
 }
@@ -558,21 +562,21 @@
 // TestReload: the feed of the new file is asked from the last number, and a broken file
 // changes nothing.
 func TestReload(t *testing.T) {
-	w := open(t, nil)
-	w.until("the first connection", func() bool { return w.asked.Load() == 1 })
-	os.WriteFile(w.file, []byte(`{"name":`), 0o600)
-	w.n.Reload()
-	if r := w.ask(clip(key), nil); r.Word != "served" {
-		t.Fatalf("after a broken file: %+v", r)
-	}
-	w.write(w.newFeed().Addr)
-	w.n.Reload()
-	w.until("the new feed is asked", func() bool { return w.asked.Load() == 2 })
-	if n := w.last.Load(); n != 1 {
+	harness := newHarness(t, nil)
+	harness.waitUntil("the first connection", func() bool { return harness.discoveryConnections.Load() == 1 })
+	os.WriteFile(harness.configFile, []byte(`{"name":`), 0o600)
+	harness.server.Reload()
+	if result := harness.roundTrip(readFields(key), nil); result.Word != "served" {
+		t.Fatalf("after a broken file: %+v", result)
+	}
+	harness.writeConfig(harness.newDiscovery().Addr)
+	harness.server.Reload()
+	harness.waitUntil("the new feed is asked", func() bool { return harness.discoveryConnections.Load() == 2 })
+	if n := harness.lastResumed.Load(); n != 1 {
 		t.Errorf("asked from %d, want 1", n)
 	}
-	if r := w.ask(clip(key), nil); r.Word != "served" {
-		t.Errorf("after a new file: %+v", r)
+	if result := harness.roundTrip(readFields(key), nil); result.Word != "served" {
+		t.Errorf("after a new file: %+v", result)
 	}
 }
 
@@ -580,148 +584,148 @@
 // good, and then the router ends.
 func TestDrain(t *testing.T) {
 	hold := make(chan func(), 4)
-	wait := func(c *testserver.PlatformConn, q testserver.PlatformRequest) {
-		if q.Stop {
+	wait := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
+		if request.Stop {
 			return
 		}
-		hold <- func() { hits(c, q) }
+		hold <- func() { answerHit(conn, request) }
 	}
-	w := open(t, map[string]handler{"s-000000c1": wait, "s-000000c2": wait})
-	c := w.client()
-	c.Ask(clip(key), nil)
+	harness := newHarness(t, map[string]handler{"s-000000c1": wait, "s-000000c2": wait})
+	client := harness.dial()
+	client.Ask(readFields(key), nil)
 	answer := <-hold
-	w.n.Drain()
-	w.until("isWell is not good", func() bool { good, err := w.client().Well(); return !good && err == nil })
-	d := w.client()
-	d.Ask(clip(key), nil)
+	harness.server.Drain()
+	harness.waitUntil("isWell is not good", func() bool { good, err := harness.dial().Well(); return !good && err == nil })
+	d := harness.dial()
+	d.Ask(readFields(key), nil)
 	(<-hold)()
-	if r, err := d.Result(soon); err != nil || r.Word != "served" {
-		t.Errorf("one that came after: %+v %v", r, err)
+	if result, err := d.Result(waitLimit); err != nil || result.Word != "served" {
+		t.Errorf("one that came after: %+v %v", result, err)
 	}
 	answer()
-	if r, err := c.Result(soon); err != nil || r.Word != "served" {
-		t.Errorf("one that came before: %+v %v", r, err)
+	if result, err := client.Result(waitLimit); err != nil || result.Word != "served" {
+		t.Errorf("one that came before: %+v %v", result, err)
 	}
 	select {
-	case err := <-w.done:
-		if w.done <- err; err != nil {
+	case err := <-harness.served:
+		if harness.served <- err; err != nil {
 			t.Error(err)
 		}
-	case <-time.After(soon):
+	case <-time.After(waitLimit):
 		t.Error("it does not end")
 	}
 }
 
-// TestBelief: what the module holds of each member is what is open there, through
+// TestBookkeepingAgreesWithRouter: what the module holds of each member is what is open there, through
 // resets, time-outs, withdrawals and spoilt answers; and nothing is left in the end.
-func TestBelief(t *testing.T) {
+func TestBookkeepingAgreesWithRouter(t *testing.T) {
 	var n atomic.Int64
-	rough := func(c *testserver.PlatformConn, q testserver.PlatformRequest) {
-		if q.Stop {
+	rough := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
+		if request.Stop {
 			return
 		}
 		switch n.Add(1) % 6 {
 		case 0:
-			c.Reset()
+			conn.Reset()
 		case 1:
-			c.Write([]byte("*9\r\n"))
+			conn.Write([]byte("*9\r\n"))
 		case 2, 3: // never
 		default:
-			c.Hit(q.ID, []byte("good"))
-			c.Done(q.ID)
+			conn.Hit(request.ID, []byte("good"))
+			conn.Done(request.ID)
 		}
 	}
-	w := open(t, map[string]handler{"s-000000c1": rough, "s-000000c2": rough, "s-000000a1": rough})
-	c := w.client()
+	harness := newHarness(t, map[string]handler{"s-000000c1": rough, "s-000000c2": rough, "s-000000a1": rough})
+	client := harness.dial()
 	for i := range 30 {
-		seq, err := c.Ask(clip(fmt.Sprintf("%016x", i), "wait", "400"), nil)
+		seq, err := client.Ask(readFields(fmt.Sprintf("%016x", i), "wait", "400"), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if i%5 == 0 {
-			c.Write(testserver.PlatformForget(seq+100, seq))
+			client.Write(testserver.PlatformForget(seq+100, seq))
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
-	w.until("nothing is open", func() (none bool) {
-		w.n.l.Call(soon, func() {
+	harness.waitUntil("nothing is open", func() (none bool) {
+		harness.server.loop.Call(waitLimit, func() {
 			held, out := 0.0, 0
-			members, link := w.n.core.Beliefs()
+			members, link := harness.server.engine.Beliefs()
 			for id, b := range members {
 				held += b.Held
-				if p := w.n.pools[id]; p != nil && float64(p.held) != b.Held || p == nil && b.Held != 0 {
+				if p := harness.server.pools[id]; p != nil && float64(p.inFlight) != b.Held || p == nil && b.Held != 0 {
 					t.Errorf("%s: the module holds %v", id, b.Held)
 				}
 			}
 			held += link.Held
-			for _, p := range w.n.pools {
-				out += p.held
+			for _, p := range harness.server.pools {
+				out += p.inFlight
 			}
-			none = held == 0 && out == 0 && len(w.n.reqs) == 0
+			none = held == 0 && out == 0 && len(harness.server.requests) == 0
 		})
 		return none
 	})
-	for id, p := range w.members {
-		w.until("the stand-ins have nothing open: "+id, func() bool { return p.Open() == 0 })
+	for id, p := range harness.members {
+		harness.waitUntil("the stand-ins have nothing open: "+id, func() bool { return p.Open() == 0 })
 	}
 }
 
 // TestRefusedConnections: a cache that has died refuses connections, which the kernel
 // may tell at once; the module hears of it, and what the cache had is asked elsewhere.
 func TestRefusedConnections(t *testing.T) {
-	w := open(t, nil)
-	w.members["s-000000c1"].Close()
+	harness := newHarness(t, nil)
+	harness.members["s-000000c1"].Close()
 	for i := range 30 {
-		if r := w.ask(clip(fmt.Sprintf("%016x", i), "slice", fmt.Sprint(i%20)), nil); r.Word != "served" {
-			t.Errorf("%d: %+v", i, r)
+		if result := harness.roundTrip(readFields(fmt.Sprintf("%016x", i), "slice", fmt.Sprint(i%20)), nil); result.Word != "served" {
+			t.Errorf("%d: %+v", i, result)
 		}
 	}
-	w.n.l.Call(soon, func() {
-		if members, _ := w.n.core.Beliefs(); !members["s-000000c1"].Suspect {
+	harness.server.loop.Call(waitLimit, func() {
+		if members, _ := harness.server.engine.Beliefs(); !members["s-000000c1"].Suspect {
 			t.Errorf("a cache that refuses connections is no suspect: %+v", members["s-000000c1"])
 		}
-		if n := w.n.stats.Outcomes[spool.Moot]; n > 0 {
+		if n := harness.server.counts.Outcomes[spool.Moot]; n > 0 {
 			t.Errorf("%d attempts are said to have been moot", n)
 		}
 	})
 }
 
-// TestCloseBeginsNothing: when a connection with waiting requests ends, none of them is
+// TestClientCloseStartsNothing: when a connection with waiting requests ends, none of them is
 // begun in the place that another leaves.
-func TestCloseBeginsNothing(t *testing.T) {
+func TestClientCloseStartsNothing(t *testing.T) {
 	never := func(*testserver.PlatformConn, testserver.PlatformRequest) {}
-	w := open(t, map[string]handler{"s-000000c1": never, "s-000000c2": never})
-	c := w.client()
+	harness := newHarness(t, map[string]handler{"s-000000c1": never, "s-000000c2": never})
+	client := harness.dial()
 	for range 32 {
-		c.Ask(clip(key), nil)
+		client.Ask(readFields(key), nil)
 	}
-	w.until("all are in hand", func() (all bool) {
-		w.n.l.Call(soon, func() { all = len(w.n.reqs) == 32 })
+	harness.waitUntil("all are in hand", func() (all bool) {
+		harness.server.loop.Call(waitLimit, func() { all = len(harness.server.requests) == 32 })
 		return all
 	})
-	c.Close()
-	w.until("none is in hand", func() (none bool) {
-		w.n.l.Call(soon, func() { none = len(w.n.reqs) == 0 })
+	client.Close()
+	harness.waitUntil("none is in hand", func() (none bool) {
+		harness.server.loop.Call(waitLimit, func() { none = len(harness.server.requests) == 0 })
 		return none
 	})
-	w.n.l.Call(soon, func() {
-		if s := w.n.stats; s.Attempts-s.Outcomes[spool.Moot] > 32+s.Outcomes[spool.Miss] {
+	harness.server.loop.Call(waitLimit, func() {
+		if s := harness.server.counts; s.Attempts-s.Outcomes[spool.Moot] > 32+s.Outcomes[spool.Miss] {
 			t.Errorf("%d attempts, %d of them moot, for 32 requests", s.Attempts, s.Outcomes[spool.Moot])
 		}
 	})
 }
 
-// TestKeyedWritesUnderResets: a write whose connection breaks after it was read may have
+// TestIdempotentWritesUnderResets: a write whose connection breaks after it was read may have
 // run; it is sent again under the same key, to where its repeats are dropped, within the
 // window.
-func TestKeyedWritesUnderResets(t *testing.T) {
+func TestIdempotentWritesUnderResets(t *testing.T) {
 	var mu sync.Mutex
 	first, times := map[string]time.Time{}, map[string]int{}
-	origin := func(c *testserver.PlatformConn, q testserver.PlatformRequest) {
+	origin := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
 		mu.Lock()
 		defer mu.Unlock()
-		once := q.Fields["once"]
-		if q.Stop || once == "" {
+		once := request.Fields["once"]
+		if request.Stop || once == "" {
 			return
 		}
 		times[once]++
@@ -731,17 +735,17 @@
 			t.Errorf("%s: sent again after %v, when the key is forgotten", once, d)
 		}
 		if len(first)%2 == 0 && times[once] == 1 { // it ran, and nobody hears of it
-			c.Reset()
+			conn.Reset()
 			return
 		}
-		c.Answer(q.ID, "HIT", "-", nil)
+		conn.Answer(request.ID, "HIT", "-", nil)
 	}
-	w := open(t, map[string]handler{"s-000000a1": origin})
+	harness := newHarness(t, map[string]handler{"s-000000a1": origin})
 	for i := range 20 {
 		once := fmt.Sprintf("%032x", i+1)
-		r := w.ask(clip(key, "class", "note", "once", once), []byte("written"))
-		if r.Word != "served" {
-			t.Errorf("%d: %+v", i, r)
+		result := harness.roundTrip(readFields(key, "class", "note", "once", once), []byte("written"))
+		if result.Word != "served" {
+			t.Errorf("%d: %+v", i, result)
 		}
 	}
 	mu.Lock()
@@ -750,8 +754,8 @@
 		t.Errorf("%d keys for 20 writes", len(times))
 	}
 	again := 0
-	for _, q := range w.members["s-000000a1"].Seen() {
-		if !q.Stop && q.Fields["once"] != "" {
+	for _, request := range harness.members["s-000000a1"].Seen() {
+		if !request.Stop && request.Fields["once"] != "" {
 			again++
 		}
 	}
--- a/internal/proxy/platform/run_test.go
+++ b/internal/proxy/platform/run_test.go
@@ -13,9 +13,9 @@
 	"indigospool/internal/testbed/testserver"
 )
 
-// TestRunLine: the very line that the platform starts serves among the stand-ins, takes
+// TestDeployedCommandLine: the very line that the platform starts serves among the stand-ins, takes
 // SIGHUP without an end, and leaves with 0 after SIGTERM.
-func TestRunLine(t *testing.T) {
+func TestDeployedCommandLine(t *testing.T) {
 	deploy, err := os.ReadFile("../../../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -28,47 +28,47 @@
 	if out, err := exec.Command("go", "build", "-o", filepath.Join(root, "bin")+"/", "../../../cmd/spool-router").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	w := outside(t, nil)
+	harness := prepareHarness(t, nil)
 	// The platform names the address before the start: one that was free a moment ago.
-	free, err := testserver.NewPlatformCache("127.0.0.1:0", hits)
+	free, err := testserver.NewPlatformCache("127.0.0.1:0", answerHit)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.addr = free.Addr
+	harness.address = free.Addr
 	free.Close()
 	run := exec.Command("/bin/sh", "-c", string(line[1]))
 	var log bytes.Buffer
 	run.Dir, run.Stdout, run.Stderr = root, &log, &log
-	run.Env = append(os.Environ(), "NODE_NAME=n1", "NODE_LISTEN="+w.addr, "NODE_CONFIG="+w.file, "TMPDIR="+t.TempDir())
+	run.Env = append(os.Environ(), "NODE_NAME=n1", "NODE_LISTEN="+harness.address, "NODE_CONFIG="+harness.configFile, "TMPDIR="+t.TempDir())
 	if err := run.Start(); err != nil {
 		t.Fatal(err)
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- run.Wait() }()
 	defer run.Process.Kill()
-	var c *testserver.PlatformClient
-	w.until("it listens", func() bool { c, err = testserver.DialPlatform(w.addr); return err == nil })
-	defer c.Close()
-	if good, err := c.Well(); !good || err != nil {
+	var client *testserver.PlatformClient
+	harness.waitUntil("it listens", func() bool { client, err = testserver.DialPlatform(harness.address); return err == nil })
+	defer client.Close()
+	if good, err := client.Well(); !good || err != nil {
 		t.Fatalf("isWell: %v %v", good, err)
 	}
-	if r := w.ask(clip(key), nil); r.Word != "served" || string(r.Body) != "bytes of "+key {
-		t.Fatalf("answered %+v", r)
+	if result := harness.roundTrip(readFields(key), nil); result.Word != "served" || string(result.Body) != "bytes of "+key {
+		t.Fatalf("answered %+v", result)
 	}
 	run.Process.Signal(syscall.SIGHUP)
-	if r := w.ask(clip(key), nil); r.Word != "served" {
-		t.Fatalf("after SIGHUP: %+v", r)
+	if result := harness.roundTrip(readFields(key), nil); result.Word != "served" {
+		t.Fatalf("after SIGHUP: %+v", result)
 	}
 	run.Process.Signal(syscall.SIGTERM)
-	if r := w.ask(clip(key), nil); r.Word != "served" {
-		t.Fatalf("after SIGTERM: %+v", r)
+	if result := harness.roundTrip(readFields(key), nil); result.Word != "served" {
+		t.Fatalf("after SIGTERM: %+v", result)
 	}
 	select {
 	case err := <-ended:
 		if err != nil {
 			t.Errorf("it ended with %v: %s", err, log.Bytes())
 		}
-	case <-time.After(soon):
+	case <-time.After(waitLimit):
 		t.Errorf("it does not end: %s", log.Bytes())
 	}
 }
