--- /dev/null
+++ b/internal/proxy/platform/client_test.go
@@ -0,0 +1,433 @@
+package platform
+
+import (
+	"bytes"
+	"encoding/binary"
+	"fmt"
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	spool "indigospool"
+	"indigospool/internal/testbed/testserver"
+)
+
+// TestReadAndWriteAreServed: what a client asks reaches caches unchanged, a look comes before a fill,
+// and the bytes come back whole.
+func TestReadAndWriteAreServed(t *testing.T) {
+	harness := newHarness(t, map[string]handler{"s-000000c1": answerMiss, "s-000000c2": answerMiss})
+	if good, err := harness.dial().Well(); !good || err != nil {
+		t.Fatalf("isWell: %v %v", good, err)
+	}
+	f := readFields(key)
+	if result := harness.roundTrip(f, nil); result.Word != "served" || string(result.Body) != "bytes of "+key || !result.Good || len(result.Fields) > 0 {
+		t.Fatalf("answered %+v", result)
+	}
+	looks, fills := 0, 0
+	for _, p := range harness.members {
+		for _, request := range p.Seen() {
+			if request.ID != f["id"] || request.Fields["class"] != "clip" || request.Fields["key"] != key || request.Fields["part"] != "3" || request.Fields["wait"] == "0" {
+				t.Errorf("a cache was asked %+v", request)
+			}
+			if request.Fields["miss"] == "s-000000a1" {
+				fills++
+			} else {
+				looks++
+			}
+		}
+	}
+	if looks != 1 || fills != 1 {
+		t.Errorf("%d looks and %d fills", looks, fills)
+	}
+	once := "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
+	body := bytes.Repeat([]byte{0, 0xff}, 24000)
+	if result := harness.roundTrip(readFields(key, "class", "note", "once", once), body); result.Word != "served" {
+		t.Fatalf("a write: %+v", result)
+	}
+	if s := harness.members["s-000000a1"].Seen(); len(s) != 1 || s[0].Fields["once"] != once || !bytes.Equal(s[0].Body, body) {
+		t.Errorf("the origin was asked %d times, or otherwise than meant", len(s))
+	}
+}
+
+// TestNotModified: VALID becomes current, only for a client that named its copy.
+func TestNotModified(t *testing.T) {
+	valid := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
+		conn.Answer(request.ID, "VALID", fmt.Sprintf("how=cached,entity=x,issued=%d", time.Now().UnixMilli()), nil)
+	}
+	harness := newHarness(t, map[string]handler{"s-000000c1": valid, "s-000000c2": valid})
+	if result := harness.roundTrip(readFields(key, "seen", "4be0c1927d55a6f3"), nil); result.Word != "served" || result.Fields["current"] != "1" || len(result.Body) > 0 {
+		t.Errorf("%+v", result)
+	}
+	if result := harness.roundTrip(readFields(key), nil); result.Word == "served" {
+		t.Errorf("a client without a copy was told that it holds: %+v", result)
+	}
+}
+
+// TestMalformedClients: each is answered with something other than 'served' or closed within
+// 3 s, and the usual ones are served meanwhile.
+func TestMalformedClients(t *testing.T) {
+	slow := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
+		if !request.Stop {
+			time.AfterFunc(100*time.Millisecond, func() { conn.Hit(request.ID, []byte("late")) })
+		}
+	}
+	harness := newHarness(t, map[string]handler{"s-000000c1": slow, "s-000000c2": slow})
+	call := func(seq int32, f map[string]string) []byte { return testserver.PlatformCall("serve", seq, f, nil) }
+	length := func(n uint32) []byte { return binary.BigEndian.AppendUint32(nil, n) }
+	without := func(name string) map[string]string { f := readFields(key); delete(f, name); return f }
+	var flood, withdrawn []byte
+	for i := range int32(300) {
+		flood = append(flood, call(i+1, readFields(key))...)
+		withdrawn = append(append(withdrawn, call(2*i+1, readFields(key))...), testserver.PlatformForget(2*i+2, 2*i+1)...)
+	}
+	for _, c := range []struct {
+		name   string
+		bytes  []byte
+		silent bool // it is owed nothing but, in the end, a close
+	}{
+		{"noise", []byte("GET / HTTP/1.1\r\n\r\n"), false},
+		{"nothing", nil, false},
+		{"half a request", call(1, readFields(key))[:40], false},
+		{"a huge length", append(length(2147483632), make([]byte, 4096)...), false},
+		{"a negative length", length(0xffc00000), false},
+		{"60 MB", append(length(60000000), make([]byte, 1<<20)...), false},
+		{"a length of 0", length(0), false},
+		{"not strict", append(length(12), 0, 0, 0, 5, 's', 'e', 'r', 'v', 'e', 1, 0, 0), false},
+		{"another name", testserver.PlatformCall("drop", 1, nil, nil), false},
+		{"no id", call(1, without("id")), false},
+		{"a long id", call(1, readFields(key, "id", "00000000000000001")), false},
+		{"no key", call(1, without("key")), false},
+		{"a separator in the key", call(1, readFields("7f3a9c21e0b4,x=1")), false},
+		{"an unknown class", call(1, readFields(key, "class", "clip2")), false},
+		{"no wait", call(1, without("wait")), false},
+		{"a wait of 0", call(1, readFields(key, "wait", "0")), false},
+		{"a wait of a day", call(1, readFields(key, "wait", "86400000")), false},
+		{"a negative slice", call(1, readFields(key, "slice", "-4")), false},
+		{"a slice that is no number", call(1, readFields(key, "slice", "nan")), false},
+		{"a set of 256", call(1, readFields(key, "set", "256")), false},
+		{"a keyed class without once", call(1, readFields(key, "class", "note")), false},
+		{"a body in a read", testserver.PlatformCall("serve", 1, readFields(key), []byte("x")), false},
+		{"two under one number", append(call(1, readFields(key)), call(1, readFields(key))...), false},
+		{"300 at once", flood, false},
+		{"300 withdrawn", withdrawn, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
+			b := harness.dial()
+			go b.Write(c.bytes)
+			result, err := b.Result(3 * time.Second)
+			if err == nil && result.Word == "served" {
+				t.Errorf("answered %+v", result)
+			}
+			if ne, ok := err.(net.Error); ok && ne.Timeout() && !c.silent {
+				t.Error("neither answered nor closed")
+			}
+		})
+	}
+	t.Run("usual", func(t *testing.T) {
+		t.Parallel()
+		for range 10 {
+			if result := harness.roundTrip(readFields(key), nil); result.Word != "served" {
+				t.Errorf("%+v", result)
+			}
+		}
+	})
+}
+
+// TestForgottenCallsAreNotStarted: a call that is given up in the read that it came with costs
+// no cache anything; it did: bursts of 200 made attempts of all.
+func TestForgottenCallsAreNotStarted(t *testing.T) {
+	harness := newHarness(t, nil)
+	asked := func() int {
+		return len(harness.members["s-000000c1"].Seen()) + len(harness.members["s-000000c2"].Seen())
+	}
+	for range 4 { // so that there is a connection on which an attempt would go out at once
+		harness.roundTrip(readFields(key), nil)
+	}
+	before := asked()
+	var b []byte
+	for i := range int32(20) {
+		b = append(append(b, testserver.PlatformCall("serve", 2*i+1, readFields(key), nil)...), testserver.PlatformForget(2*i+2, 2*i+1)...)
+	}
+	client := harness.dial()
+	client.Write(b) // one segment, and so one read, on loopback
+	if _, err := client.Write(testserver.PlatformCall("isWell", 100, nil, nil)); err != nil {
+		t.Fatal(err)
+	}
+	if result, err := client.Result(waitLimit); err != nil || result.Seq != 100 {
+		t.Fatalf("%+v %v", result, err)
+	}
+	harness.roundTrip(readFields(key), nil) // behind them on the same connection to a cache
+	if n := asked() - before - 1; n != 0 {
+		t.Errorf("caches were asked %d times", n)
+	}
+}
+
+// TestDuplicateRequestID: the second is failed, the first is answered.
+func TestDuplicateRequestID(t *testing.T) {
+	hold := make(chan func(), 4)
+	wait := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
+		hold <- func() { conn.Hit(request.ID, []byte("first")) }
+	}
+	harness := newHarness(t, map[string]handler{"s-000000c1": wait, "s-000000c2": wait})
+	f := readFields(key)
+	client := harness.dial()
+	client.Ask(f, nil)
+	answer := <-hold
+	if result := harness.roundTrip(readFields("0000000000000001", "id", f["id"]), nil); result.Word != "failed" {
+		t.Errorf("the second: %+v", result)
+	}
+	answer()
+	if result, err := client.Result(waitLimit); err != nil || result.Word != "served" || string(result.Body) != "first" {
+		t.Errorf("the first: %+v %v", result, err)
+	}
+}
+
+// TestSlowClientWrite: a call that comes by and by is taken, and what stops in the middle is
+// closed; 2.2 s after its beginning the first was closed too.
+func TestSlowClientWrite(t *testing.T) {
+	t.Parallel()
+	harness := newHarness(t, nil)
+	client, half := harness.dial(), harness.dial()
+	b := testserver.PlatformCall("serve", 1, readFields(key), nil)
+	half.Write(b[:len(b)/2])
+	for i := range b {
+		if _, err := client.Write(b[i : i+1]); err != nil {
+			t.Fatalf("after %d bytes: %v", i, err)
+		}
+		time.Sleep(3 * time.Second / time.Duration(len(b)))
+	}
+	if result, err := client.Result(waitLimit); err != nil || result.Word != "served" {
+		t.Errorf("%+v %v", result, err)
+	}
+	if _, err := half.Result(time.Second); err != io.EOF {
+		t.Errorf("half a call: %v; an end is wanted", err)
+	}
+}
+
+// TestCloseBehindCalls: a client sends calls and closes, and the loop hears of all that
+// in one turn: nothing is begun. The same for calls that are given up behind a first
+// buffer full of them.
+func TestCloseBehindCalls(t *testing.T) {
+	harness := newHarness(t, nil)
+	save := func() map[string]string {
+		return readFields(key, "class", "note", "once", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
+	}
+	for range 4 { // so that there are connections on which an attempt would go out at once
+		harness.roundTrip(readFields(key), nil)
+		harness.roundTrip(save(), nil)
+	}
+	for name, write := range map[string]func(client *testserver.PlatformClient){
+		"closed": func(client *testserver.PlatformClient) {
+			for i := range int32(5) {
+				client.Write(testserver.PlatformCall("serve", i+1, readFields(key), nil))
+			}
+			client.Close()
+		},
+		"given up": func(client *testserver.PlatformClient) {
+			for i := range int32(3) {
+				client.Write(testserver.PlatformCall("serve", i+1, save(), make([]byte, 40000)))
+			}
+			for i := range int32(3) {
+				client.Write(testserver.PlatformForget(i+4, i+1))
+			}
+		},
+	} {
+		client, before := harness.dial(), harness.requestsSent()
+		harness.waitTurn()
+		release := harness.blockLoop()
+		write(client)
+		time.Sleep(20 * time.Millisecond) // for loopback
+		release()
+		harness.waitTurn()
+		harness.roundTrip(save(), nil) // behind them on the same connections
+		harness.roundTrip(readFields(key), nil)
+		if n := harness.requestsSent() - before - 2; n != 0 {
+			t.Errorf("%s: %d attempts", name, n)
+		}
+	}
+}
+
+// TestCloseBehindManyCalls: what ends calls stands behind more of them than one read takes.
+func TestCloseBehindManyCalls(t *testing.T) {
+	for name, leave := range map[string]func(client *testserver.PlatformClient){
+		"closed":  func(client *testserver.PlatformClient) { client.Close() },
+		"refused": func(client *testserver.PlatformClient) { client.Write([]byte{0xff, 0xff, 0xff, 0xff}) },
+		"given up": func(client *testserver.PlatformClient) {
+			for i := range int32(32) {
+				client.Write(testserver.PlatformForget(i+100, i+1))
+			}
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			harness := newHarness(t, nil)
+			harness.openConnections()
+			before := harness.requestsSent()
+			client := harness.dial()
+			harness.waitTurn()
+			release := harness.blockLoop()
+			left := make(chan struct{})
+			go func() { // into the kernel, which holds more of it back than it passes on
+				for i := range int32(32) {
+					client.Write(testserver.PlatformCall("serve", i+1, writeFields(), make([]byte, 40000)))
+				}
+				leave(client)
+				close(left)
+			}()
+			select {
+			case <-left:
+			case <-time.After(waitLimit):
+				t.Error("the kernel does not take so much")
+			}
+			release()
+			time.Sleep(200 * time.Millisecond)
+			harness.waitTurn()
+			if n := harness.requestsSent() - before; n != 0 {
+				t.Errorf("%d attempts for calls that were over before the first was read", n)
+			}
+		})
+	}
+}
+
+// TestClientCloseStartsNothing: when a connection with waiting requests ends, none of them is
+// begun in the place that another leaves.
+func TestClientCloseStartsNothing(t *testing.T) {
+	never := func(*testserver.PlatformConn, testserver.PlatformRequest) {}
+	harness := newHarness(t, map[string]handler{"s-000000c1": never, "s-000000c2": never})
+	client := harness.dial()
+	for range 32 {
+		client.Ask(readFields(key), nil)
+	}
+	harness.waitUntil("all are in hand", func() (all bool) {
+		harness.server.loop.Call(waitLimit, func() { all = len(harness.server.requests) == 32 })
+		return all
+	})
+	client.Close()
+	harness.waitUntil("none is in hand", func() (none bool) {
+		harness.server.loop.Call(waitLimit, func() { none = len(harness.server.requests) == 0 })
+		return none
+	})
+	harness.server.loop.Call(waitLimit, func() {
+		if s := harness.server.counts; s.Attempts-s.Outcomes[spool.Moot] > 32+s.Outcomes[spool.Miss] {
+			t.Errorf("%d attempts, %d of them moot, for 32 requests", s.Attempts, s.Outcomes[spool.Moot])
+		}
+	})
+}
+
+// TestPartialCallBehindCompleteCall: what comes of the second by halves takes no answer from the
+// first.
+func TestPartialCallBehindCompleteCall(t *testing.T) {
+	t.Parallel()
+	slow := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
+		if !request.Stop && request.Fields["key"] == key {
+			time.AfterFunc(2700*time.Millisecond, func() { answerHit(conn, request) })
+		}
+	}
+	harness := newHarness(t, map[string]handler{"s-000000c1": slow, "s-000000c2": slow, "s-000000a1": slow})
+	client := harness.dial()
+	client.Ask(readFields(key, "wait", "3000"), nil)
+	half := testserver.PlatformCall("serve", 2, readFields(key), nil)
+	client.Write(half[:len(half)/2])
+	if result, err := client.Result(waitLimit); err != nil || result.Seq != 1 {
+		t.Errorf("the whole call: %+v %v", result, err)
+	}
+	if _, err := client.Result(waitLimit); err != io.EOF {
+		t.Errorf("then %v; an end is wanted", err)
+	}
+}
+
+// TestMemoryLimitClosesLargestClient: what waits for a client that takes no answers closes that one, and not
+// another that is slow for a moment.
+func TestMemoryLimitClosesLargestClient(t *testing.T) {
+	t.Parallel()
+	harness := newHarness(t, map[string]handler{"s-000000c1": answerLarge(240000), "s-000000c2": answerLarge(240000)})
+	slow := func() *testserver.PlatformClient {
+		client := harness.dial()
+		client.Conn.(*net.TCPConn).SetReadBuffer(16 << 10)
+		return client
+	}
+	room := func() (left int) {
+		harness.server.loop.Call(waitLimit, func() { left = harness.server.maxBufferedBytes() - harness.server.unsentBytes })
+		return left
+	}
+	harness.server.loop.Call(waitLimit, func() { harness.server.config.Limits.MemoryMB = minMemoryMB })
+	never, other := slow(), slow()
+	for i := 0; room() > 300000 && i < 60; i++ { // one by one, until the next answer would be too much
+		if i == 30 {
+			never = slow()
+		}
+		served := uint64(0)
+		harness.server.loop.Call(waitLimit, func() { served = harness.server.counts.Served })
+		never.Ask(readFields(key), nil)
+		harness.waitUntil("it is served", func() (yes bool) {
+			harness.server.loop.Call(waitLimit, func() { yes = harness.server.counts.Served > served })
+			return yes
+		})
+	}
+	if left := room(); left > 300000 {
+		t.Fatalf("%d bytes may still wait", left)
+	}
+	const asked = 24
+	for range asked {
+		other.Ask(readFields(key), nil)
+	}
+	time.Sleep(200 * time.Millisecond)
+	for i := range asked {
+		if result, err := other.Result(waitLimit); err != nil || result.Word != "served" {
+			t.Fatalf("answer %d: %s %v", i, result.Word, err)
+		}
+	}
+	if left := room(); left < 0 {
+		t.Errorf("%d bytes too much wait", -left)
+	}
+}
+
+// TestClientLimitWhileDiscoveryIsDown: idle clients take all places there are while the feed
+// refuses; who works is served, and the feed is found when it is back.
+func TestClientLimitWhileDiscoveryIsDown(t *testing.T) {
+	t.Parallel()
+	harness := newHarnessWith(t, nil)
+	harness.waitUntil("the feed is asked", func() bool { return harness.discoveryWrites.Load() != nil })
+	address := harness.discovery.Addr
+	harness.discovery.Close()
+	harness.sendDiscovery(nil)
+	worker := harness.dial()
+	ask := func() {
+		t.Helper()
+		worker.Ask(readFields(key), nil)
+		if result, err := worker.Result(waitLimit); err != nil || result.Word != "served" {
+			t.Fatalf("%+v %v", result, err)
+		}
+	}
+	ask()
+	for range 300 { // more than the configuration's descriptors
+		c, err := net.Dial("tcp", harness.address)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { c.Close() })
+	}
+	harness.waitTurn()
+	ask()
+	if result := harness.roundTrip(readFields(key), nil); result.Word != "served" {
+		t.Errorf("a new client: %+v", result)
+	}
+	before := harness.discoveryConnections.Load()
+	again, err := testserver.NewPlatformFeedAt(address, func(net.Conn, uint64) { harness.discoveryConnections.Add(1); <-t.Context().Done() })
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(again.Close)
+	begin := time.Now()
+	harness.waitUntil("the feed is found again", func() bool { return harness.discoveryConnections.Load() > before })
+	if d := time.Since(begin); d > 900*time.Millisecond {
+		t.Errorf("found after %v", d)
+	}
+	harness.server.loop.Call(waitLimit, func() {
+		if n := len(harness.server.clients); n > harness.server.connectionLimits.Clients {
+			t.Errorf("%d clients, %d places", n, harness.server.connectionLimits.Clients)
+		}
+	})
+}
--- /dev/null
+++ b/internal/proxy/platform/deadline_test.go
@@ -0,0 +1,251 @@
+package platform
+
+import (
+	"fmt"
+	"strconv"
+	"sync"
+	"testing"
+	"time"
+
+	spool "indigospool"
+	"indigospool/internal/testbed/testserver"
+)
+
+// TestDeadlineCountsTimeInLongTurn: a request that lay unread while the loop was busy has so much
+// less time; one that comes to an idle loop, or in its first bytes long before its last,
+// has all of it.
+func TestDeadlineCountsTimeInLongTurn(t *testing.T) {
+	for name, play := range map[string]func(harness *testHarness) (sent time.Time){
+		"busy loop": func(harness *testHarness) time.Time {
+			client := harness.dial()
+			harness.waitTurn()
+			release := harness.blockLoop()
+			sent := time.Now()
+			client.Ask(readFields(key, "wait", "2000"), nil)
+			time.Sleep(600 * time.Millisecond)
+			release()
+			return sent
+		},
+		"connected while the loop was busy": func(harness *testHarness) time.Time {
+			release := harness.blockLoop()
+			client := harness.dial()
+			sent := time.Now()
+			client.Ask(readFields(key, "wait", "2000"), nil)
+			time.Sleep(600 * time.Millisecond)
+			release()
+			return sent
+		},
+		"idle loop": func(harness *testHarness) time.Time {
+			client := harness.dial()
+			time.Sleep(700 * time.Millisecond)
+			sent := time.Now()
+			client.Ask(readFields(key, "wait", "2000"), nil)
+			return sent
+		},
+		"its first half came long ago": func(harness *testHarness) time.Time {
+			client := harness.dial()
+			frame := testserver.PlatformCall("serve", 1, readFields(key, "wait", "2000"), nil)
+			client.Write(frame[:len(frame)/2])
+			time.Sleep(700 * time.Millisecond)
+			sent := time.Now()
+			client.Write(frame[len(frame)/2:])
+			return sent
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			rec := &recorder{answer: answerHit}
+			harness := newHarness(t, rec.handlers())
+			sent := play(harness)
+			harness.waitUntil("a cache is asked", func() bool { return len(rec.requests()) > 0 })
+			first := rec.requests()[0]
+			wait, _ := strconv.Atoi(first.Fields["wait"])
+			left := 2*time.Second - first.arrivedAt.Sub(sent)
+			passed := time.Duration(wait) * time.Millisecond
+			if passed > left+deadlineSlack {
+				t.Errorf("a wait of %v was passed on where the client had %v left", passed, left)
+			}
+			if passed < left-deadlineSlack {
+				t.Errorf("a wait of %v was passed on where the client had %v left: time was taken from it", passed, left)
+			}
+		})
+	}
+}
+
+// The stricter terms: what a client is owed however late the loop, the kernel or a cache is.
+
+const deadlineSlack = 150 * time.Millisecond // by which a deadline that is passed on may be late
+
+// TestAlmostNoTimeLeft: requests with 1 to 30 ms left, which caches drop without a word, are
+// answered, and cost the caches no trust: the others are served meanwhile and afterwards.
+func TestAlmostNoTimeLeft(t *testing.T) {
+	t.Parallel()
+	curt := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
+		if wait, _ := strconv.Atoi(request.Fields["wait"]); wait > 30 {
+			answerHit(conn, request)
+		}
+	}
+	harness := newHarness(t, map[string]handler{"s-000000c1": curt, "s-000000c2": curt, "s-000000a1": curt})
+	harness.openConnections()
+	hasty, usual := harness.dial(), harness.dial()
+	const asked = 150
+	sent := map[int32]time.Time{}
+	var answered sync.WaitGroup
+	var mu sync.Mutex
+	answered.Go(func() {
+		for range asked {
+			result, err := hasty.Result(waitLimit)
+			if err != nil {
+				t.Errorf("one with little time: %v", err)
+				return
+			}
+			mu.Lock()
+			if d := time.Since(sent[result.Seq]); d > 30*time.Millisecond+deadlineSlack {
+				t.Errorf("answered after %v", d)
+			}
+			mu.Unlock()
+		}
+	})
+	for i := range asked {
+		fields := readFields(fmt.Sprintf("%016x", i), "wait", fmt.Sprint(1+i%30))
+		if i%3 == 0 {
+			fields = writeFields("wait", fmt.Sprint(1+i%30))
+		}
+		mu.Lock()
+		seq, _ := hasty.Ask(fields, nil)
+		sent[seq] = time.Now()
+		mu.Unlock()
+		usual.Ask(readFields(fmt.Sprintf("%016x", i)), nil)
+		usual.Ask(writeFields(), nil)
+		for range 2 {
+			if result, err := usual.Result(waitLimit); err != nil || result.Word != "served" {
+				t.Errorf("a usual one: %+v %v", result, err)
+			}
+		}
+		time.Sleep(2 * time.Millisecond) // 32 may be open at once
+	}
+	answered.Wait()
+	harness.server.loop.Call(waitLimit, func() {
+		members, _ := harness.server.engine.Beliefs()
+		for id, b := range members {
+			if b.Suspect || b.Held != 0 {
+				t.Errorf("%s is held for suspect, or for busy: %+v", id, b)
+			}
+		}
+	})
+}
+
+// TestNothingStartsAfterClientCloses: a client closes or gives up while the loop is busy, and
+// a repeat for it is due in that same turn.
+func TestNothingStartsAfterClientCloses(t *testing.T) {
+	for name, leave := range map[string]func(client *testserver.PlatformClient, seq int32){
+		"closes": func(client *testserver.PlatformClient, _ int32) { client.Close() },
+		"resets": func(client *testserver.PlatformClient, _ int32) {
+			(&testserver.PlatformConn{Conn: client.Conn}).Reset()
+		},
+		"gives up": func(client *testserver.PlatformClient, seq int32) {
+			client.Write(testserver.PlatformForget(seq+1, seq))
+		},
+		"gives up and asks": func(client *testserver.PlatformClient, seq int32) {
+			client.Write(testserver.PlatformForget(100, seq))
+			client.Well()
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			rec := &recorder{answer: answerHit}
+			harness := newHarness(t, rec.handlers())
+			harness.openConnections()
+			rec.mutex.Lock()
+			rec.answer = nil
+			rec.mutex.Unlock()
+			before := harness.requestsSent()
+			client := harness.dial()
+			seq, _ := client.Ask(readFields(key), nil)
+			harness.waitUntil("an attempt is out", func() bool { return harness.requestsSent() == before+1 })
+			release := harness.blockLoopThen(func() {
+				for _, r := range harness.server.requests {
+					r.inFlight.abandon(spool.TimedOut) // the module sends it again at once
+				}
+			})
+			go leave(client, seq)
+			time.Sleep(300 * time.Millisecond)
+			release()
+			harness.waitTurn()
+			time.Sleep(50 * time.Millisecond) // for loopback
+			if n := harness.requestsSent() - before; n != 1 {
+				t.Errorf("%d attempts, the last of them 0.3 s after the client had left", n)
+			}
+		})
+	}
+}
+
+// TestAnswerTimeoutAndForgetInOneTurn: a client's forget, or the end of its time, in the turn of the cache's answer:
+// one final answer at most, and nothing is left behind. 200 at once.
+func TestAnswerTimeoutAndForgetInOneTurn(t *testing.T) {
+	for _, late := range []bool{false, true} {
+		t.Run(fmt.Sprint(late), func(t *testing.T) {
+			t.Parallel()
+			answers := make(chan func(), 400)
+			wait := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
+				if !request.Stop {
+					answers <- func() { answerHit(conn, request) }
+				}
+			}
+			harness := newHarness(t, map[string]handler{"s-000000c1": wait, "s-000000c2": wait})
+			var clients []*testserver.PlatformClient
+			for range 8 {
+				client := harness.dial()
+				clients = append(clients, client)
+				for range 25 {
+					client.Ask(readFields(key, "wait", "700"), nil)
+				}
+			}
+			harness.waitUntil("as many are out as the gates let through", func() bool { return len(answers) >= 50 })
+			harness.waitTurn()
+			release := harness.blockLoop()
+			for range len(answers) {
+				(<-answers)()
+			}
+			for _, client := range clients {
+				for i := range int32(25) {
+					if !late {
+						client.Write(testserver.PlatformForget(100+i, 1+i))
+					}
+				}
+			}
+			if late {
+				time.Sleep(800 * time.Millisecond)
+			}
+			time.Sleep(20 * time.Millisecond)
+			release()
+			harness.waitTurn()
+			for _, client := range clients {
+				seen := map[int32]bool{}
+				for {
+					result, err := client.Result(200 * time.Millisecond)
+					if err != nil {
+						break
+					}
+					if seen[result.Seq] {
+						t.Fatalf("two answers to %d", result.Seq)
+					}
+					seen[result.Seq] = true
+				}
+				if late && len(seen) != 25 {
+					t.Errorf("%d of 25 answered", len(seen))
+				}
+			}
+			harness.server.loop.Call(waitLimit, func() {
+				if len(harness.server.requests) > 0 || harness.server.unsentBytes > 0 {
+					t.Errorf("%d requests and %d bytes are left", len(harness.server.requests), harness.server.unsentBytes)
+				}
+				for id, m := range beliefs(harness.server) {
+					if m != 0 {
+						t.Errorf("%v attempts are believed to be out at %s", m, id)
+					}
+				}
+			})
+		})
+	}
+}
--- a/internal/proxy/platform/discovery_test.go
+++ b/internal/proxy/platform/discovery_test.go
@@ -13,7 +13,6 @@
 	"golang.org/x/sys/unix"
 
 	spool "indigospool"
-
 	"indigospool/internal/protocol/discovery"
 	"indigospool/internal/testbed/faultinject"
 	"indigospool/internal/testbed/testserver"
@@ -392,3 +391,45 @@
 	runtime.ReadMemStats(&memory)
 	return float64(memory.HeapAlloc) / (1 << 20)
 }
+
+// TestDiscoveryStreamResumes: what breaks off is asked for again from the last number, repeats and halves
+// change nothing, and silence is noticed.
+func TestDiscoveryStreamResumes(t *testing.T) {
+	harness := newHarness(t, nil)
+	purge := func(n uint64) []byte { return testserver.PlatformFrame(n, 4, []byte{0, 17, 0, 0, 1, 0x9a, 0, 0, 0, 0}) }
+	harness.waitUntil("the first connection", func() bool { return harness.discoveryConnections.Load() == 1 })
+	harness.sendDiscovery(purge(2))
+	harness.sendDiscovery(purge(2))
+	harness.sendDiscovery(purge(3)[:9])
+	harness.sendDiscovery(nil)
+	harness.waitUntil("asked again", func() bool { return harness.discoveryConnections.Load() == 2 })
+	if n := harness.lastResumed.Load(); n != 2 {
+		t.Fatalf("asked from %d, want 2", n)
+	}
+	harness.sendDiscovery(purge(5)) // 3 and 4 are missing
+	harness.waitUntil("asked again after a gap", func() bool { return harness.discoveryConnections.Load() == 3 })
+	harness.sendDiscovery([]byte{0xff, 0xff, 0xff, 0xff})
+	harness.waitUntil("asked again after a lying length", func() bool { return harness.discoveryConnections.Load() == 4 })
+	harness.sendDiscovery(purge(3))
+	harness.waitUntil("asked again after silence", func() bool { return harness.discoveryConnections.Load() == 5 })
+	if n := harness.lastResumed.Load(); n != 3 {
+		t.Fatalf("asked from %d, want 3", n)
+	}
+}
+
+// TestDiscoveryConnectionRefused: a feed that refuses is asked again soon, and not by all at once.
+func TestDiscoveryConnectionRefused(t *testing.T) {
+	t.Parallel()
+	harness := newHarness(t, nil)
+	harness.waitUntil("the feed is asked", func() bool { return harness.discoveryWrites.Load() != nil })
+	harness.discovery.Close()
+	var dials atomic.Int64
+	harness.server.loop.Call(waitLimit, func() {
+		harness.server.stream.dial = func(address string) (int, bool, error) { dials.Add(1); return harness.server.loop.Dial(address) }
+	})
+	harness.sendDiscovery(nil)
+	time.Sleep(3 * time.Second)
+	if n := dials.Load(); n < 6 || n > 12 {
+		t.Errorf("%d tries in 3 s", n)
+	}
+}
--- /dev/null
+++ b/internal/proxy/platform/dispatch.go
@@ -0,0 +1,72 @@
+package platform
+
+import (
+	"math"
+
+	"go.uber.org/zap"
+
+	spool "indigospool"
+)
+
+// tell gives the module an event and carries out its actions; what these bring about is
+// told behind them, in order.
+func (s *Server) dispatch(event spool.Event) {
+	s.pendingEvents = append(s.pendingEvents, event)
+	if s.dispatching {
+		return
+	}
+	s.dispatching = true
+	for i := 0; i < len(s.pendingEvents); i++ {
+		event := s.pendingEvents[i]
+		if request, ok := event.(spool.Request); ok {
+			s.arriving = s.requests[request.ID]
+		}
+		s.actions = s.engine.Handle(s.loop.Now(), event, s.actions[:0])
+		for _, action := range s.actions {
+			s.execute(action)
+		}
+		s.arriving = nil
+	}
+	s.pendingEvents, s.dispatching = s.pendingEvents[:0], false
+}
+
+// carry carries out one action.
+func (s *Server) execute(action spool.Action) {
+	switch a := action.(type) {
+	case spool.Send:
+		if req := s.requests[a.ID]; req != nil {
+			s.startAttempt(req, a)
+		}
+	case spool.Refuse:
+		if req := s.requests[a.ID]; req != nil && req.client != nil {
+			s.counts.Rejected++
+			s.trace("refused", req, zap.Float64("after", a.After))
+			req.client.answer(req, s.codec.Rejected(req.sequence, math.Floor(a.After)))
+		}
+	case spool.Fail:
+		if req := s.requests[a.ID]; req != nil && req.client != nil {
+			s.counts.Failed++
+			s.trace("failed", req)
+			req.client.answer(req, s.codec.Failed(req.sequence))
+		}
+	case spool.Cancel:
+		if req := s.requests[a.ID]; req != nil && req.inFlight != nil && req.inFlight.number == a.Attempt {
+			req.inFlight.abandon(spool.Cancelled)
+		}
+	case spool.Wake:
+		s.setTimer(a)
+	}
+}
+
+func (s *Server) setTimer(wake spool.Wake) {
+	token := wake.Token
+	switch {
+	case token == 0:
+		s.loop.Arm(&s.tickTimer, wake.In)
+	case s.arriving != nil && s.arriving.timer.F == nil:
+		s.arriving.timer.F = func() { s.dispatch(spool.Timer{Token: token}) }
+		s.loop.Arm(&s.arriving.timer, wake.In)
+	default:
+		s.loop.Once(wake.In, func() { s.dispatch(spool.Timer{Token: token}) })
+	}
+}
--- a/internal/proxy/platform/drain.go
+++ b/internal/proxy/platform/drain.go
@@ -62,3 +62,13 @@
 		s.loop.Stop()
 	}
 }
+
+// Drain has the router finish what it has and what still comes, and then end. It may be
+// called from any goroutine.
+func (s *Server) Drain() {
+	s.loop.Post(func() {
+		if s.drainStarted == 0 {
+			s.drain()
+		}
+	})
+}
--- /dev/null
+++ b/internal/proxy/platform/drain_test.go
@@ -0,0 +1,257 @@
+package platform
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"sync"
+	"testing"
+	"time"
+
+	"indigospool/internal/testbed/testserver"
+)
+
+// TestDrain: what was taken is answered, what still comes is too, isWell is no longer
+// good, and then the router ends.
+func TestDrain(t *testing.T) {
+	hold := make(chan func(), 4)
+	wait := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
+		if request.Stop {
+			return
+		}
+		hold <- func() { answerHit(conn, request) }
+	}
+	harness := newHarness(t, map[string]handler{"s-000000c1": wait, "s-000000c2": wait})
+	client := harness.dial()
+	client.Ask(readFields(key), nil)
+	answer := <-hold
+	harness.server.Drain()
+	harness.waitUntil("isWell is not good", func() bool { good, err := harness.dial().Well(); return !good && err == nil })
+	d := harness.dial()
+	d.Ask(readFields(key), nil)
+	(<-hold)()
+	if result, err := d.Result(waitLimit); err != nil || result.Word != "served" {
+		t.Errorf("one that came after: %+v %v", result, err)
+	}
+	answer()
+	if result, err := client.Result(waitLimit); err != nil || result.Word != "served" {
+		t.Errorf("one that came before: %+v %v", result, err)
+	}
+	select {
+	case err := <-harness.served:
+		if harness.served <- err; err != nil {
+			t.Error(err)
+		}
+	case <-time.After(waitLimit):
+		t.Error("it does not end")
+	}
+}
+
+// ends waits for a router that drains, and fails where it doesn't end.
+func (w *testHarness) waitStopped() {
+	w.t.Helper()
+	select {
+	case err := <-w.served:
+		if w.served <- err; err != nil {
+			w.t.Error(err)
+		}
+	case <-time.After(waitLimit):
+		w.t.Error("it does not end")
+	}
+}
+
+// TestDrainMoments: what has come in the very moment of SIGTERM is answered, once, and the
+// router ends; a second signal and a new configuration change nothing.
+func TestDrainMoments(t *testing.T) {
+	b := testserver.PlatformCall("serve", 1, readFields(key), nil)
+	for _, c := range []struct {
+		name string
+		play func(harness *testHarness, client *testserver.PlatformClient)
+		word string
+	}{
+		{"between accept and first read", func(harness *testHarness, client *testserver.PlatformClient) {
+			release := harness.blockLoop()
+			client.Write(b)
+			harness.server.Drain()
+			time.Sleep(10 * time.Millisecond)
+			release()
+		}, "served"},
+		{"half a request read", func(harness *testHarness, client *testserver.PlatformClient) {
+			client.Write(b[:30])
+			harness.waitTurn()
+			harness.server.Drain()
+			time.Sleep(1200 * time.Millisecond) // past the least time of a drain
+			client.Write(b[30:])
+		}, "served"},
+		{"two signals, and another configuration between", func(harness *testHarness, client *testserver.PlatformClient) {
+			harness.server.Drain()
+			harness.server.Reload()
+			harness.server.Drain()
+			client.Write(b)
+		}, "served"},
+		{"an attempt out to a cache that hangs", func(harness *testHarness, client *testserver.PlatformClient) {
+			client.Write(testserver.PlatformCall("serve", 1, readFields("00000000000000aa"), nil))
+			harness.waitTurn()
+			harness.server.Drain()
+		}, "refused"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
+			on := func(pc *testserver.PlatformConn, request testserver.PlatformRequest) {
+				if request.Fields["key"] != "00000000000000aa" {
+					answerHit(pc, request)
+				}
+			}
+			harness := newHarness(t, map[string]handler{"s-000000c1": on, "s-000000c2": on, "s-000000a1": on})
+			cl := harness.dial()
+			c.play(harness, cl)
+			if result, err := cl.Result(waitLimit); err != nil || result.Word != c.word {
+				t.Errorf("%+v %v", result, err)
+			}
+			if _, err := cl.Result(waitLimit); err != io.EOF {
+				t.Errorf("then %v; an end is wanted", err)
+			}
+			cl.Close()
+			harness.waitStopped()
+		})
+	}
+}
+
+// TestDrainWithPartialAnswer: its client reads slowly, and gets the whole of it.
+func TestDrainWithPartialAnswer(t *testing.T) {
+	t.Parallel()
+	harness := newHarness(t, map[string]handler{"s-000000c1": answerLarge(240000), "s-000000c2": answerLarge(240000)})
+	client := harness.dial()
+	client.Conn.(*net.TCPConn).SetReadBuffer(64 << 10)
+	for range 30 { // more than the kernel holds
+		client.Ask(readFields(key), nil)
+	}
+	harness.waitUntil("something waits", func() (yes bool) {
+		harness.server.loop.Call(waitLimit, func() { yes = harness.server.unsentBytes > 0 })
+		return yes
+	})
+	harness.server.Drain()
+	time.Sleep(1500 * time.Millisecond)
+	for i := range 30 {
+		if result, err := client.Result(waitLimit); err != nil || result.Word != "served" || len(result.Body) != 240000 {
+			t.Fatalf("answer %d: %s of %d bytes, %v", i, result.Word, len(result.Body), err)
+		}
+	}
+	client.Close()
+	harness.waitStopped()
+}
+
+// TestDrainResetsNoConnection: a router that has drained shuts connections at rest and reads
+// on: a request that comes in that moment is not sent on, and an answer that its client
+// has not read yet is not lost by a reset.
+func TestDrainResetsNoConnection(t *testing.T) {
+	t.Parallel()
+	harness := newHarness(t, map[string]handler{"s-000000c1": answerLarge(200000), "s-000000c2": answerLarge(200000)})
+	client := harness.dial()
+	client.Ask(readFields(key), nil)
+	harness.waitUntil("it is answered", func() bool {
+		n := -1
+		harness.server.loop.Call(waitLimit, func() { n = len(harness.server.requests) + harness.server.unsentBytes })
+		return n == 0 && harness.requestsSent() > 0
+	})
+	before := harness.requestsSent()
+	harness.server.Drain()
+	shut := func() (yes bool) {
+		harness.server.loop.Call(waitLimit, func() {
+			for c := range harness.server.clients {
+				yes = c.activity.Shut > 0
+			}
+		})
+		return yes
+	}
+	harness.waitUntil("it is shut", shut)
+	if _, err := client.Ask(readFields(key), nil); err != nil {
+		t.Fatal(err)
+	}
+	time.Sleep(50 * time.Millisecond)
+	if result, err := client.Result(waitLimit); err != nil || result.Word != "served" || len(result.Body) != 200000 {
+		t.Errorf("%s of %d bytes, %v", result.Word, len(result.Body), err)
+	}
+	if _, err := client.Result(waitLimit); err != io.EOF {
+		t.Errorf("then %v; an end is wanted", err)
+	}
+	client.Close()
+	harness.waitStopped()
+	if n := harness.requestsSent(); n != before {
+		t.Errorf("%d attempts after the shutdown", n-before)
+	}
+}
+
+// TestDrainMeetsDeadlines: caches hang through the whole of a shutdown, deadlines are short, and
+// clients go on sending on their connections: each request that was sent before the
+// connection's end has its answer, and the router is gone in time.
+func TestDrainMeetsDeadlines(t *testing.T) {
+	for _, deadline := range []time.Duration{60 * time.Millisecond, 200 * time.Millisecond, time.Second} {
+		t.Run(deadline.String(), func(t *testing.T) {
+			t.Parallel()
+			drainInTime(t, deadline)
+		})
+	}
+}
+
+func drainInTime(t *testing.T, deadline time.Duration) {
+	wait := fmt.Sprint(deadline.Milliseconds())
+	harness := newHarnessWith(t, (&recorder{}).handlers(), `"give_up":3000`, `"give_up":`+wait, `"aim":400`, `"aim":100`)
+	var mu sync.Mutex
+	owed := map[string]time.Time{}
+	var busy sync.WaitGroup
+	begun := make(chan struct{})
+	for i := range 8 {
+		client := harness.dial()
+		busy.Go(func() {
+			sent := sync.WaitGroup{}
+			defer sent.Wait()
+			over := make(chan struct{})
+			sent.Go(func() {
+				defer close(over)
+				for {
+					result, err := client.Result(waitLimit)
+					if err != nil {
+						return
+					}
+					mu.Lock()
+					delete(owed, fmt.Sprint(i, " ", result.Seq))
+					mu.Unlock()
+				}
+			})
+			for seq := int32(1); seq < 200; seq++ {
+				select {
+				case <-over:
+					client.Close()
+					return
+				case <-time.After(deadline/12 + time.Duration(5*i)*time.Millisecond):
+				}
+				name := fmt.Sprint(i, " ", seq)
+				mu.Lock()
+				owed[name] = time.Now()
+				mu.Unlock()
+				if _, err := client.Ask(readFields(key, "wait", wait), nil); err != nil {
+					client.Close()
+					return
+				}
+				if seq == 5 && i == 0 {
+					close(begun)
+				}
+			}
+		})
+	}
+	<-begun
+	at := time.Now()
+	harness.server.Drain()
+	harness.waitStopped()
+	gone := time.Now()
+	busy.Wait()
+	if d := gone.Sub(at); d > deadline+700*time.Millisecond {
+		t.Errorf("it ended %v after the signal; deadlines are %v", d, deadline)
+	}
+	for name, sent := range owed {
+		if before := gone.Sub(sent); before > 50*time.Millisecond {
+			t.Errorf("request %s, sent %v before the end, has no answer", name, before)
+		}
+	}
+}
--- /dev/null
+++ b/internal/proxy/platform/during_dial_test.go
@@ -0,0 +1,267 @@
+package platform
+
+import (
+	"encoding/binary"
+	"fmt"
+	"net"
+	"net/netip"
+	"os"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	spool "indigospool"
+	"indigospool/internal/testbed/testserver"
+)
+
+// lateMember is an address at which connections come up only once they are let in: its
+// queue is full, and the kernel drops what asks to connect. Who asks tries again after 1 s.
+type slowMember struct {
+	fd      int
+	address string
+	queued  []net.Conn
+}
+
+func newSlowMember(t *testing.T) *slowMember {
+	t.Helper()
+	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { unix.Close(fd) })
+	if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+		t.Fatal(err)
+	}
+	if err := unix.Listen(fd, 0); err != nil {
+		t.Fatal(err)
+	}
+	sa, err := unix.Getsockname(fd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	a := sa.(*unix.SockaddrInet4)
+	return &slowMember{fd: fd, address: netip.AddrPortFrom(netip.AddrFrom4(a.Addr), uint16(a.Port)).String()}
+}
+
+// fill has the queue full.
+func (m *slowMember) fillBacklog(t *testing.T) {
+	t.Helper()
+	for range 8 {
+		c, err := net.DialTimeout("tcp", m.address, 100*time.Millisecond)
+		if err != nil {
+			return
+		}
+		m.queued = append(m.queued, c)
+		t.Cleanup(func() { c.Close() })
+	}
+	t.Fatal("the queue never fills")
+}
+
+// take lets one connection in, and reads its first request.
+func (m *slowMember) acceptRequest(t *testing.T) (c net.Conn, first []byte) {
+	t.Helper()
+	if k, _ := unix.Poll([]unix.PollFd{{Fd: int32(m.fd), Events: unix.POLLIN}}, int(waitLimit.Milliseconds())); k <= 0 {
+		t.Fatal("nobody connects")
+	}
+	fd, _, err := unix.Accept(m.fd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	f := os.NewFile(uintptr(fd), "connection")
+	defer f.Close()
+	if c, err = net.FileConn(f); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	b := make([]byte, 4096)
+	c.SetReadDeadline(time.Now().Add(500 * time.Millisecond))
+	k, _ := c.Read(b)
+	return c, b[:k]
+}
+
+// let lets in those who filled the queue.
+func (m *slowMember) acceptBacklog(t *testing.T) {
+	t.Helper()
+	for range m.queued {
+		fd, _, err := unix.Accept(m.fd)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { unix.Close(fd) })
+	}
+}
+
+// rest lets in all who come for a while, and tells how many of them brought a request.
+func (m *slowMember) countRequests(t *testing.T, span time.Duration) (n int) {
+	t.Helper()
+	end := time.Now().Add(span)
+	for time.Now().Before(end) {
+		p := []unix.PollFd{{Fd: int32(m.fd), Events: unix.POLLIN}}
+		if k, _ := unix.Poll(p, int(time.Until(end).Milliseconds())+1); k <= 0 {
+			continue
+		}
+		fd, _, err := unix.Accept(m.fd)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer unix.Close(fd)
+		p[0].Fd = int32(fd)
+		var b [4096]byte
+		if k, _ := unix.Poll(p, 300); k > 0 {
+			if k, _ := unix.Read(fd, b[:]); k > 0 {
+				n++
+			}
+		}
+	}
+	return n
+}
+
+// TestRetryAfterIdempotencyWindow: a keyed write may have run, and the connection for its repeat
+// comes up when the window is over: it does not leave any more. Seen as 'sent again
+// outside its group or window'.
+func TestRetryAfterIdempotencyWindow(t *testing.T) {
+	t.Parallel()
+	slow := newSlowMember(t)
+	harness := newHarnessWith(t, nil, `"window":2000`, `"window":2400`, `"give_up":3000`, `"give_up":9000`, `"connect_timeout":300`, `"connect_timeout":1500`)
+	harness.changeMember(2, 0xd1, slow.address, 0, 1, 2)
+	harness.changeMember(3, 0xa1, harness.members["s-000000a1"].Addr, 1, 1, 2)
+	client := harness.dial()
+	client.Ask(readFields(key, "class", "note", "once", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", "wait", "9000"), []byte("x"))
+	began := time.Now()
+	for i := range 2 { // neither is answered; each is given up after 0.45 of the window
+		if _, b := slow.acceptRequest(t); len(b) == 0 {
+
+			t.Fatalf("attempt %d did not come", i)
+		}
+	}
+	slow.fillBacklog(t)
+	time.Sleep(time.Until(began.Add(2500 * time.Millisecond)))
+	if n := slow.countRequests(t, time.Second); n != 0 {
+		t.Errorf("%d attempts came after the window", n)
+	}
+	if result, err := client.Result(waitLimit); err != nil || result.Word != "failed" {
+		t.Errorf("%+v %v", result, err)
+	}
+}
+
+// TestMemberDrainsDuringDial: a member is told to drain, or the source of a fill is,
+// before the connection to it has come up.
+func TestMemberDrainsDuringDial(t *testing.T) {
+	for _, state := range []byte{1, 2} {
+		t.Run(fmt.Sprint(state), func(t *testing.T) {
+			t.Parallel()
+			slow := newSlowMember(t)
+			harness := newHarnessWith(t, nil, `"connect_timeout":300`, `"connect_timeout":1500`)
+			harness.changeMember(2, 0xd1, slow.address, 0, 0, 0)
+			harness.changeMember(3, 0xc1, harness.members["s-000000c1"].Addr, 1, 0, 0)
+			harness.changeMember(4, 0xc2, harness.members["s-000000c2"].Addr, 1, 0, 0)
+			slow.fillBacklog(t)
+			client := harness.dial()
+			client.Ask(readFields(key), nil)
+			harness.waitTurn()
+			harness.changeMember(5, 0xd1, slow.address, state, 0, 0)
+			if n := slow.countRequests(t, 1500*time.Millisecond); n != 0 {
+				t.Errorf("%d attempts came", n)
+			}
+			if result, err := client.Result(waitLimit); err != nil || result.Word != "served" {
+				t.Errorf("%+v %v", result, err)
+			}
+		})
+	}
+}
+
+// TestPurgeDuringDial: an attempt that waits for its connection asks for no copy
+// from before a purge that was told meanwhile. Who gave up what a connection was dialled
+// for leaves no connection behind, once its member has gone.
+func TestPurgeDuringDial(t *testing.T) {
+	t.Parallel()
+	slow := newSlowMember(t)
+	harness := newHarnessWith(t, nil, `"connect_timeout":300`, `"connect_timeout":1500`, `"cancel":true`, `"cancel":false`)
+	harness.changeMember(2, 0xd1, slow.address, 0, 0, 0)
+	harness.changeMember(3, 0xc1, harness.members["s-000000c1"].Addr, 1, 0, 0)
+	harness.changeMember(4, 0xc2, harness.members["s-000000c2"].Addr, 1, 0, 0)
+	slow.fillBacklog(t)
+	client := harness.dial()
+	client.Ask(readFields(key), nil)
+	harness.waitTurn()
+	time.Sleep(100 * time.Millisecond)
+	at := time.Now()
+	var b []byte
+	b = binary.BigEndian.AppendUint16(b, 17) // the group of clip's objects
+	b = binary.BigEndian.AppendUint64(b, uint64(at.UnixMilli()))
+	harness.sendDiscovery(testserver.PlatformFrame(5, 4, b))
+	time.Sleep(300 * time.Millisecond)
+	slow.acceptBacklog(t)
+	var first []byte
+	for len(first) == 0 { // what was dialled for the first try brings nothing any more
+		_, first = slow.acceptRequest(t)
+	}
+	_, rest, ok := strings.Cut(string(first), "within=")
+	within, _, _ := strings.Cut(rest, "\r")
+	within, _, _ = strings.Cut(within, ",")
+	if ms, err := strconv.Atoi(within); !ok || err != nil || ms > int(time.Since(at).Milliseconds()) {
+		t.Errorf("%v ms after the purge it asks %q", time.Since(at).Milliseconds(), first)
+	}
+}
+
+// TestDialOfRemovedMember: what a connection was dialled for is given up, its member
+// goes, and then it comes up: it is not kept.
+func TestDialOfRemovedMember(t *testing.T) {
+	t.Parallel()
+	slow := newSlowMember(t)
+	harness := newHarnessWith(t, nil, `"connect_timeout":300`, `"connect_timeout":1500`, `"cancel":true`, `"cancel":false`)
+	harness.changeMember(2, 0xd1, slow.address, 0, 0, 0)
+	harness.changeMember(3, 0xc1, harness.members["s-000000c1"].Addr, 1, 0, 0)
+	harness.changeMember(4, 0xc2, harness.members["s-000000c2"].Addr, 1, 0, 0)
+	slow.fillBacklog(t)
+	harness.dial().Ask(readFields(key), nil)
+	harness.waitTurn()
+	harness.changeMember(5, 0xd1, slow.address, 2, 0, 0)
+	harness.server.loop.Call(waitLimit, func() {
+		for _, r := range harness.server.requests {
+			r.inFlight.abandon(spool.Cancelled)
+		}
+	})
+	conns := func() (n int) {
+		harness.server.loop.Call(waitLimit, func() { n = harness.server.memberConnections })
+		return n
+	}
+	slow.acceptBacklog(t)
+	harness.waitUntil("the connection has come up and is closed", func() bool { return conns() <= 1 }) // 1: to the origin
+	time.Sleep(1200 * time.Millisecond)
+	if n := conns(); n > 1 {
+		t.Errorf("%d connections are left", n)
+	}
+}
+
+// TestClientClosesDuringDial: attempts that wait for a connection to a member are not
+// made for a client that has left, whether or not attempts are called off.
+func TestClientClosesDuringDial(t *testing.T) {
+	for _, cancels := range []string{"true", "false"} {
+		t.Run(cancels, func(t *testing.T) {
+			t.Parallel()
+			slow := newSlowMember(t)
+			harness := newHarnessWith(t, nil, `"connect_timeout":300`, `"connect_timeout":1500`, `"cancel":true`, `"cancel":`+cancels)
+			harness.changeMember(2, 0xd1, slow.address, 0, 0, 0)
+			harness.changeMember(3, 0xc1, harness.members["s-000000c1"].Addr, 1, 0, 0)
+			harness.changeMember(4, 0xc2, harness.members["s-000000c2"].Addr, 1, 0, 0)
+			slow.fillBacklog(t)
+			closes, forgets := harness.dial(), harness.dial()
+			closes.Ask(readFields(key), nil)
+			seq, _ := forgets.Ask(readFields(key), nil)
+			harness.waitUntil("both are taken", func() (all bool) {
+				harness.server.loop.Call(waitLimit, func() { all = len(harness.server.requests) == 2 })
+				return all
+			})
+			closes.Close()
+			forgets.Write(testserver.PlatformForget(seq+1, seq))
+			harness.waitTurn()
+			if n := slow.countRequests(t, 1500*time.Millisecond); n != 0 {
+				t.Errorf("%d attempts came", n)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/proxy/platform/faults_test.go
@@ -0,0 +1,242 @@
+package platform
+
+import (
+	"bytes"
+	"fmt"
+	"strconv"
+	"sync"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"indigospool/internal/eventloop"
+	"indigospool/internal/testbed/faultinject"
+	"indigospool/internal/testbed/testserver"
+)
+
+// faults has the router's system calls fail by a plan, from now on.
+func (w *testHarness) planFaults(plan string) (calls *faultinject.Syscalls) {
+	w.t.Helper()
+	w.server.loop.Call(waitLimit, func() { calls = w.injectFaults(plan) })
+	return calls
+}
+
+// fail is faults, called on the loop.
+func (w *testHarness) injectFaults(plan string) *faultinject.Syscalls {
+	parsed, err := faultinject.Parse(plan)
+	if err != nil {
+		w.t.Error(err)
+	}
+	calls := faultinject.New(parsed, 1, faultinject.Since())
+	w.server.loop.Intercept(calls)
+	return calls
+}
+
+// TestInterruptedSystemCallsLoseNothing: reads and writes that fail for a moment cost no request
+// its answer, and no cache a second attempt.
+func TestInterruptedSystemCallsLoseNothing(t *testing.T) {
+	for _, plan := range []string{
+		"read:EINTR:0.3; write:EINTR:0.3; wait:EINTR:0.3",
+		"read:EINTR:6x; write:EINTR:6x",
+		"read:ENOMEM:0.2; write:ENOBUFS:0.2",
+		"read:ENOBUFS:1:0ms-100ms; write:ENOMEM:1:0ms-200ms",
+		"read:short:0.5; write:short:0.5",
+	} {
+		t.Run(plan, func(t *testing.T) {
+			t.Parallel()
+			harness := newHarness(t, map[string]handler{"s-000000c1": answerLarge(100000), "s-000000c2": answerLarge(100000)})
+			harness.openConnections()
+			before := harness.requestsSent()
+			s := harness.planFaults(plan)
+			const asked = 30
+			for range 4 {
+				client := harness.dial()
+				for range asked / 2 {
+					client.Ask(readFields(key), nil)
+					client.Ask(writeFields(), make([]byte, 30000))
+				}
+				for i := range asked {
+					if result, err := client.Result(waitLimit); err != nil || result.Word != "served" {
+						t.Fatalf("answer %d: %s %v", i, result.Word, err)
+					}
+				}
+			}
+			if n := harness.requestsSent() - before; n != 4*asked {
+				t.Errorf("%d attempts for %d requests", n, 4*asked)
+			}
+			for _, call := range []faultinject.Call{faultinject.Read, faultinject.Write} {
+				if _, failed := s.Counts(call); failed == 0 {
+					t.Errorf("no %s failed", call)
+				}
+			}
+		})
+	}
+}
+
+// TestBrokenConnections: what the kernel says of a connection that was lost between is told
+// as its end, and the request is served over another.
+func TestBrokenConnections(t *testing.T) {
+	for _, errno := range []string{"ETIMEDOUT", "EHOSTUNREACH", "ENETUNREACH", "ECONNRESET", "EPIPE"} {
+		t.Run(errno, func(t *testing.T) {
+			t.Parallel()
+			harness := newHarness(t, nil)
+			harness.openConnections()
+			release := harness.blockLoop()
+			done := make(chan testserver.PlatformResult, 1)
+			client := harness.dial()
+			client.Ask(readFields(key), nil)
+			go func() {
+				result, _ := client.Result(waitLimit)
+				done <- result
+			}()
+			release()
+			if result := <-done; result.Word != "served" {
+				t.Fatalf("%+v", result)
+			}
+			for _, call := range []string{"write", "connect"} { // of a router's connection to a cache
+				client := harness.dial()
+				client.Ask(readFields(key), nil)
+				if call == "write" {
+					client.Result(waitLimit)
+				}
+				s := harness.planFaults(call + ":" + errno + ":1x")
+				if call == "write" {
+					client.Ask(readFields(key), nil)
+				}
+				if result, err := client.Result(waitLimit); err != nil || result.Word != "served" {
+					t.Errorf("%s: %+v %v", call, result, err)
+				}
+				if _, failed := s.Counts(faultinject.Call(call)); call == "write" && failed != 1 {
+					t.Errorf("%d calls of %s failed", failed, call)
+				}
+			}
+		})
+	}
+}
+
+// TestAcceptErrors: whatever accept says for a while, the loop does not turn for it, and
+// who waits in the queue is served afterwards.
+func TestAcceptErrors(t *testing.T) {
+	for _, errno := range []string{"ENFILE", "EMFILE", "ENOBUFS", "ENOMEM", "EPERM", "ECONNABORTED", "EINTR", "EPROTO", "EINVAL"} {
+		t.Run(errno, func(t *testing.T) {
+			t.Parallel()
+			harness := newHarness(t, nil)
+			idle := harness.dial()
+			s := harness.planFaults("accept:" + errno + ":1:0ms-400ms; connect:" + errno + ":0.0001")
+			began := time.Now()
+			client := harness.dial()
+			client.Ask(readFields(key), nil)
+			if result, err := client.Result(waitLimit); err != nil || result.Word != "served" {
+				t.Fatalf("%+v %v", result, err)
+			}
+			if d := time.Since(began); d > time.Second {
+				t.Errorf("served after %v", d)
+			}
+			if _, failed := s.Counts(faultinject.Accept); failed == 0 || failed > 500 {
+				t.Errorf("accept failed %d times in 0.4 s", failed)
+			}
+			idle.Close()
+		})
+	}
+}
+
+// TestLocalFailures: a connection that cannot be begun on this machine for a moment refuses
+// nobody who has time left.
+func TestLocalFailures(t *testing.T) {
+	calls := map[string][]string{
+		"socket":  {"ENFILE", "EMFILE", "ENOBUFS", "ENOMEM"},
+		"connect": {"EADDRNOTAVAIL", "EAGAIN", "ENETUNREACH", "ENOBUFS"},
+	}
+	for call, errnos := range calls {
+		for _, errno := range errnos {
+			for _, often := range []string{"1x", "1:0ms-50ms", "1:0ms-2000ms"} {
+				plan := call + ":" + errno + ":" + often
+				t.Run(plan, func(t *testing.T) {
+					t.Parallel()
+					harness := newHarness(t, nil)
+					var s *faultinject.Syscalls
+					release := harness.blockLoopThen(func() { s = harness.injectFaults(plan) }) // all is asked in that moment
+					const clients, each = 4, 25
+					var busy sync.WaitGroup
+					for range clients {
+						client := harness.dial()
+						for i := range each {
+							client.Ask(readFields(fmt.Sprintf("%016x", i), "wait", "3000"), nil)
+						}
+						busy.Go(func() {
+							for range each {
+								if result, err := client.Result(waitLimit); err != nil || result.Word != "served" {
+									t.Errorf("%+v %v", result, err)
+									return
+								}
+							}
+						})
+					}
+					release()
+					busy.Wait()
+					made, failed := s.Counts(faultinject.Call(call))
+					if failed == 0 {
+						t.Errorf("no %s failed", call)
+					}
+					if most := 100 * 40; failed > most {
+						t.Errorf("%d of %d calls of %s failed: it does not back off", failed, made, call)
+					}
+				})
+			}
+		}
+	}
+}
+
+// halting takes only the first bytes of the first attempt that is written, and nothing more
+// on its connection for a while.
+type stallingSyscalls struct {
+	eventloop.KernelCalls
+	fd    int
+	until time.Time
+	span  time.Duration
+}
+
+func (h *stallingSyscalls) Write(fd int, b []byte) (int, error) {
+	switch {
+	case h.fd == 0 && bytes.Contains(b, []byte("REQ")):
+		h.fd, h.until = fd, time.Now().Add(h.span)
+		return h.KernelCalls.Write(fd, b[:20])
+	case h.fd == fd && time.Now().Before(h.until):
+		return 0, unix.EAGAIN
+	}
+	return h.KernelCalls.Write(fd, b)
+}
+
+// TestPartiallyWrittenFrame: the rest of an attempt leaves while the deadline that it names still
+// holds, or not at all; and a request that shared the connection is served too.
+func TestPartiallyWrittenFrame(t *testing.T) {
+	for _, span := range []time.Duration{40 * time.Millisecond, 600 * time.Millisecond} {
+		t.Run(span.String(), func(t *testing.T) {
+			t.Parallel()
+			rec := &recorder{answer: answerHit}
+			harness := newHarness(t, rec.handlers())
+			harness.openConnections()
+			before := len(rec.requests())
+			harness.server.loop.Call(waitLimit, func() { harness.server.loop.Intercept(&stallingSyscalls{span: span}) })
+			client := harness.dial()
+			sent := time.Now()
+			for range 2 {
+				client.Ask(readFields(key, "wait", "2000"), nil)
+			}
+			for range 2 {
+				if result, err := client.Result(waitLimit); err != nil || result.Word != "served" {
+					t.Fatalf("%+v %v", result, err)
+				}
+			}
+			time.Sleep(time.Until(sent.Add(span + 100*time.Millisecond)))
+			for _, a := range rec.requests()[before:] {
+				wait, _ := strconv.Atoi(a.Fields["wait"])
+				passed, left := time.Duration(wait)*time.Millisecond, 2*time.Second-a.arrivedAt.Sub(sent)
+				if passed > left+deadlineSlack {
+					t.Errorf("a wait of %v was passed on where the client had %v left", passed, left)
+				}
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/proxy/platform/harness_test.go
@@ -0,0 +1,363 @@
+package platform
+
+import (
+	"encoding/binary"
+	"encoding/json"
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	spool "indigospool"
+	"indigospool/internal/testbed/testserver"
+)
+
+const waitLimit = 5 * time.Second // in which what is wanted comes; the rules' own spans are in the code
+
+// world is a router among stand-ins.
+type testHarness struct {
+	t                    *testing.T
+	server               *Server
+	address              string
+	configFile           string
+	members              map[string]*testserver.PlatformCache
+	discovery            *testserver.PlatformFeed
+	settings             string
+	lastResumed          atomic.Uint64               // number that the feed's last connection began with
+	discoveryConnections atomic.Int64                // connections of the feed
+	discoveryWrites      atomic.Pointer[chan []byte] // what the feed's last connection writes next; nil: it breaks off
+	served               chan error
+}
+
+// open starts a router whose caches c1, c2 and origin a1 do as on says; nil: hits.
+func newHarness(t *testing.T, handlers map[string]handler) *testHarness {
+	return newHarnessWith(t, handlers)
+}
+
+// openWith starts a router by settings in which each old text is replaced by a new one.
+func newHarnessWith(t *testing.T, handlers map[string]handler, oldnew ...string) *testHarness {
+	t.Helper()
+	harness := prepareHarness(t, handlers)
+	harness.settings = strings.NewReplacer(oldnew...).Replace(testSettings)
+	harness.writeConfig(harness.discovery.Addr)
+	harness.start(zap.NewNop())
+	return harness
+}
+
+// outside is the stand-ins, and a configuration that names them.
+func prepareHarness(t *testing.T, handlers map[string]handler) *testHarness {
+	t.Helper()
+	harness := &testHarness{t: t, settings: testSettings, members: map[string]*testserver.PlatformCache{}, served: make(chan error, 1)}
+	for _, id := range []string{"s-000000c1", "s-000000c2", "s-000000a1"} {
+		handler := handlers[id]
+		if handler == nil {
+			handler = answerHit
+		}
+		cache, err := testserver.NewPlatformCache("127.0.0.1:0", handler)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(cache.Close)
+		harness.members[id] = cache
+	}
+	harness.discovery = harness.newDiscovery()
+	harness.configFile = filepath.Join(t.TempDir(), "config.json")
+	harness.writeConfig(harness.discovery.Addr)
+	return harness
+}
+
+// start opens the router and serves until the test's end.
+func (w *testHarness) start(log *zap.Logger) {
+	w.t.Helper()
+	server, err := Open(w.configFile, "127.0.0.1:0", log)
+	if err != nil {
+		w.t.Fatal(err)
+	}
+	w.server, w.address = server, server.Addr()
+	go func() { w.served <- server.Serve() }()
+	w.t.Cleanup(func() {
+		server.loop.Stop()
+		select {
+		case <-w.served:
+		case <-time.After(waitLimit):
+			w.t.Error("the router does not stop")
+		}
+	})
+}
+
+func (w *testHarness) newDiscovery() *testserver.PlatformFeed {
+	f, err := testserver.NewPlatformFeed(func(c net.Conn, last uint64) {
+		tell := make(chan []byte, 64)
+		w.discoveryWrites.Store(&tell)
+		w.lastResumed.Store(last)
+		w.discoveryConnections.Add(1)
+		for {
+			select {
+			case b := <-tell:
+				if b == nil {
+					return
+				}
+				c.Write(b)
+			case <-w.t.Context().Done():
+				return
+			}
+		}
+	})
+	if err != nil {
+		w.t.Fatal(err)
+	}
+	w.t.Cleanup(f.Close)
+	return f
+}
+
+// say has the feed's last connection write bytes.
+func (w *testHarness) sendDiscovery(b []byte) { *w.discoveryWrites.Load() <- b }
+
+const testSettings = `{"classes":[
+ {"name":"clip","aim":400,"aim_stretch":1.5,"give_up":3000,"gain":2,"late_worth":0.1,"idempotency":"free"},
+ {"name":"note","aim":400,"give_up":3000,"gain":2,"idempotency":"guarded","group":"all","window":2000}],
+ "kinds":["box","parent","origin"],"localities":["near","hub"],"zone":"near","n_instances":1,"tick":2,"discovery":"pushed",
+ "limits":{"cancel":true,"conn_idle":30000,"connect_timeout":300,"max_attempts":6,"max_retry_after":2000,"multiplex":100,"retry_after":true},
+ "rules":{"answer_slack":8,"cold":10000,"cold_from":0.2,"drain_grace":1000,"overload_factor":3,"overload_for":1000},
+ "family_info":{"in_parts":[true,false],"class_write":[false,true],"lifetime_by_class":[0,0],"older_by":[0,0],
+  "upper_kind":1,"master_kind":2,"pass_through_ok":true,"purge_takes":6000,"purge_slack":500,"detail":"all","stream_kb_per_s":4000}}`
+
+// write writes the configuration with a feed's address, all at once as deployments do.
+func (w *testHarness) writeConfig(feed string) {
+	w.t.Helper()
+	type row map[string]any
+	var rows []row
+	for id, p := range w.members {
+		r := row{"name": id, "address": p.Addr, "zone": "near", "type": "box", "group": 0, "status": "ready", "weight": 4, "since_ms": 0}
+		if id == "s-000000a1" {
+			r["zone"], r["type"] = "hub", "origin"
+		}
+		rows = append(rows, r)
+	}
+	c := map[string]any{"name": "n1", "listen": "127.0.0.1:0", "seed": "1f", "feed": feed, "settings": json.RawMessage(w.settings),
+		"limits": row{"cores": 1, "memory_mb": 64, "sockets": 256},
+		"known":  row{"n": 1, "events": []row{{"n": 1, "members": row{"index": 1, "snapshot": true, "endpoints": rows}}}}}
+	b, err := json.Marshal(c)
+	if err == nil {
+		err = os.WriteFile(w.configFile+".new", b, 0o600)
+	}
+	if err == nil {
+		err = os.Rename(w.configFile+".new", w.configFile)
+	}
+	if err != nil {
+		w.t.Fatal(err)
+	}
+}
+
+func (w *testHarness) dial() *testserver.PlatformClient {
+	w.t.Helper()
+	client, err := testserver.DialPlatform(w.address)
+	if err != nil {
+		w.t.Fatal(err)
+	}
+	w.t.Cleanup(func() { client.Close() })
+	return client
+}
+
+// ask makes one request on a connection of its own and returns the answer.
+func (w *testHarness) roundTrip(f map[string]string, body []byte) testserver.PlatformResult {
+	w.t.Helper()
+	client := w.dial()
+	defer client.Close()
+	if _, err := client.Ask(f, body); err != nil {
+		w.t.Fatal(err)
+	}
+	result, err := client.Result(waitLimit)
+	if err != nil {
+		w.t.Fatalf("%v: %v", f, err)
+	}
+	return result
+}
+
+func (w *testHarness) waitUntil(what string, f func() bool) {
+	w.t.Helper()
+	for end := time.Now().Add(waitLimit); !f(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(end) {
+			w.t.Fatalf("not within %v: %s", waitLimit, what)
+		}
+	}
+}
+
+// turn waits until the router's loop has turned so often, with what had come by now.
+func (w *testHarness) waitTurn() {
+	w.t.Helper()
+	for range 3 {
+		if err := w.server.loop.Call(waitLimit, func() {}); err != nil {
+			w.t.Fatal(err)
+		}
+	}
+}
+
+// The narrow moments: what arrives in the very instant in which something ends. Each is
+// forced, by stand-ins that hold back until told, or by holding up the loop.
+
+// hold keeps the router's loop busy until the returned function is called, so that what
+// the outside does meanwhile reaches it in one turn.
+func (w *testHarness) blockLoop() (release func()) {
+	w.t.Helper()
+	in, out := make(chan struct{}), make(chan struct{})
+	if err := w.server.loop.Post(func() { close(in); <-out }); err != nil {
+		w.t.Fatal(err)
+	}
+	<-in
+	return func() { close(out) }
+}
+
+// holdThen is hold, with a call on the loop behind it in the same turn.
+func (w *testHarness) blockLoopThen(then func()) (release func()) {
+	w.t.Helper()
+	in, out := make(chan struct{}), make(chan struct{})
+	if err := w.server.loop.Post(func() { close(in); <-out; then() }); err != nil {
+		w.t.Fatal(err)
+	}
+	<-in
+	return func() { close(out) }
+}
+
+// adopt has the router know a member at an address of its own, by one change of the feed.
+func (w *testHarness) changeMember(n uint64, id uint32, address string, state, zone, kind byte) {
+	w.waitUntil("the feed is asked", func() bool { return w.discoveryWrites.Load() != nil })
+	w.sendDiscovery(testserver.PlatformFrame(n, 2, endpointRecord(id, address, state, zone, kind)))
+	w.waitTurn()
+	w.waitUntil("the list has it", func() bool {
+		found := false
+		w.server.loop.Call(waitLimit, func() {
+			m, ok := w.server.engine.Member(fmt.Sprintf("s-%08x", id))
+			found = ok && m.State == spool.State(state) || !ok && state == 2
+		})
+		return found
+	})
+}
+
+// warm has connections to members on which an attempt goes out at once.
+func (w *testHarness) openConnections() {
+	w.t.Helper()
+	for i := range 16 {
+		w.roundTrip(readFields(fmt.Sprintf("%016x", i)), nil)
+		w.roundTrip(writeFields(), nil)
+	}
+}
+
+// sent counts the attempts that reached members.
+func (w *testHarness) requestsSent() (n int) {
+	for _, p := range w.members {
+		for _, request := range p.Seen() {
+			if !request.Stop {
+				n++
+			}
+		}
+	}
+	return n
+}
+
+type handler = func(c *testserver.PlatformConn, q testserver.PlatformRequest)
+
+// hits answers reads with the object's key as bytes, and writes at the origin.
+func answerHit(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
+	if !request.Stop {
+		conn.Hit(request.ID, []byte("bytes of "+request.Fields["key"]))
+	}
+}
+
+func answerMiss(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
+	if request.Fields["miss"] != "" {
+		answerHit(conn, request)
+	} else if !request.Stop {
+		conn.Answer(request.ID, "NONE", "-", nil)
+	}
+}
+
+// large answers with so many bytes.
+func answerLarge(n int) handler {
+	return func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
+		if !request.Stop {
+			conn.Hit(request.ID, make([]byte, n))
+		}
+	}
+}
+
+var ids atomic.Uint64
+
+const key = "7f3a9c21e0b4d655"
+
+// clip is a read with an id of its own; changes are pairs of field and value.
+func readFields(key string, changes ...string) map[string]string {
+	f := map[string]string{"class": "clip", "id": fmt.Sprintf("%016x", ids.Add(1)), "wait": "2000", "key": key, "slice": "3", "set": "17"}
+	for i := 0; i < len(changes); i += 2 {
+		f[changes[i]] = changes[i+1]
+	}
+	return f
+}
+
+// save is a keyed write, which any router may send to the origin only.
+func writeFields(changes ...string) map[string]string {
+	return readFields(key, append([]string{"class", "note", "once", fmt.Sprintf("%032x", ids.Add(1))}, changes...)...)
+}
+
+// record is a member as frames have it.
+func endpointRecord(id uint32, address string, state, zone, kind byte) []byte {
+	a := net.TCPAddr{}
+	if r, err := net.ResolveTCPAddr("tcp", address); err == nil {
+		a = *r
+	}
+	b := binary.BigEndian.AppendUint32(nil, id)
+	b = binary.BigEndian.AppendUint16(append(b, a.IP.To4()...), uint16(a.Port))
+	b = append(b, state, zone, kind, 0, 0)
+	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint32(b, 4000), 0)
+}
+
+// arrival is a request as a cache read it.
+type arrival struct {
+	testserver.PlatformRequest
+	arrivedAt time.Time
+}
+
+// recorder collects what caches read, and answers as answer says; nil: never.
+type recorder struct {
+	mutex    sync.Mutex
+	arrivals []arrival
+	answer   handler
+}
+
+func (rec *recorder) handle(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
+	if request.Stop {
+		return
+	}
+	rec.mutex.Lock()
+	rec.arrivals = append(rec.arrivals, arrival{request, time.Now()})
+	rec.mutex.Unlock()
+	if rec.answer != nil {
+		rec.answer(conn, request)
+	}
+}
+
+func (rec *recorder) requests() []arrival {
+	rec.mutex.Lock()
+	defer rec.mutex.Unlock()
+	return append([]arrival(nil), rec.arrivals...)
+}
+
+func (rec *recorder) handlers() map[string]handler {
+	return map[string]handler{"s-000000c1": rec.handle, "s-000000c2": rec.handle, "s-000000a1": rec.handle}
+}
+
+func beliefs(server *Server) map[string]float64 {
+	out := map[string]float64{}
+	members, _ := server.engine.Beliefs()
+	for id, b := range members {
+		out[id] = b.Held
+	}
+	return out
+}
--- /dev/null
+++ b/internal/proxy/platform/member_test.go
@@ -0,0 +1,341 @@
+package platform
+
+import (
+	"fmt"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	spool "indigospool"
+	"indigospool/internal/testbed/testserver"
+)
+
+// TestConnectionsClosedByIdleMember: caches reset what comes on a connection that was idle for a
+// while; a request finds a fresh one before its attempts are spent.
+func TestConnectionsClosedByIdleMember(t *testing.T) {
+	t.Parallel()
+	const forgets = 200 * time.Millisecond
+	var mu sync.Mutex
+	last, held := map[*testserver.PlatformConn]time.Time{}, true
+	on := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
+		mu.Lock()
+		defer mu.Unlock()
+		before, known := last[conn]
+		last[conn] = time.Now()
+		switch {
+		case request.Stop:
+		case known && time.Since(before) > forgets:
+			conn.Reset()
+		case held: // so that each gets a connection of its own
+			time.AfterFunc(150*time.Millisecond, func() { answerHit(conn, request) })
+		default:
+			answerHit(conn, request)
+		}
+	}
+	harness := newHarness(t, map[string]handler{"s-000000c1": on, "s-000000c2": on, "s-000000a1": on})
+	ask := func(count int, what func(i int) map[string]string) {
+		client := harness.dial()
+		for i := range count {
+			client.Ask(what(i), nil)
+		}
+		for range count {
+			if result, err := client.Result(waitLimit); err != nil || result.Word != "served" {
+				t.Errorf("%+v %v", result, err)
+			}
+		}
+	}
+	mixed := func(i int) map[string]string {
+		if i%2 == 0 {
+			return writeFields("wait", "2500")
+		}
+		return readFields(fmt.Sprintf("%016x", i), "wait", "2500")
+	}
+	ask(32, mixed)
+	mu.Lock()
+	held = false
+	mu.Unlock()
+	conns := 0
+	harness.server.loop.Call(waitLimit, func() { conns = harness.server.memberConnections })
+	time.Sleep(forgets + 100*time.Millisecond)
+	before := harness.requestsSent()
+	ask(1, func(int) map[string]string { return writeFields("wait", "2500") })
+	ask(1, func(int) map[string]string { return readFields(key, "wait", "2500") })
+	if n := harness.requestsSent() - before; n > 4 {
+		t.Errorf("%d attempts for two requests, over %d connections that were forgotten", n, conns)
+	}
+	ask(16, mixed)
+}
+
+// TestMalformedAnswers: nothing spoilt is passed on, the connection is closed, and the request is
+// served by another member.
+func TestMalformedAnswers(t *testing.T) {
+	now := fmt.Sprint(time.Now().UnixMilli())
+	for _, c := range []struct{ name, bytes string }{
+		{"noise", "\x00\x17noise\r\n"},
+		{"an endless line", "*" + strings.Repeat("1", 4096)},
+		{"3 GB", "*4\r\n$16\r\nID\r\n$3\r\nHIT\r\n$1\r\n-\r\n$3000000000\r\nxxxxxxxx"},
+		{"a length that does not fit", "*4\r\n$16\r\nID\r\n$3\r\nHIT\r\n$1\r\n-\r\n$4\r\nlonger than that\r\n"},
+		{"a negative length", "*4\r\n$-1\r\n"},
+		{"too many strings", "*5\r\n$16\r\nID\r\n"},
+		{"an unknown word", "*4\r\n$16\r\nID\r\n$3\r\nHOT\r\n$1\r\n-\r\n$1\r\nx\r\n"},
+		{"no tag", "*4\r\n$16\r\nID\r\n$3\r\nHIT\r\n$20\r\nissued=" + now + "\r\n$1\r\nx\r\n"},
+		{"fields without names", "*4\r\n$16\r\nID\r\n$3\r\nHIT\r\n$3\r\n,,=\r\n$1\r\nx\r\n"},
+		{"cut short", "*4\r\n$16\r\nID\r\n$3\r\nHIT\r\n"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
+			var spoilt atomic.Int64
+			bad := func(pc *testserver.PlatformConn, request testserver.PlatformRequest) {
+				if request.Stop {
+					return
+				}
+				if spoilt.Add(1) > 1 { // only the first of all answers is bad
+					answerHit(pc, request)
+					return
+				}
+				pc.Write([]byte(strings.Replace(c.bytes, "ID", request.ID, 1)))
+				if c.name == "cut short" {
+					pc.Reset()
+				}
+			}
+			harness := newHarness(t, map[string]handler{"s-000000c1": bad, "s-000000c2": bad})
+			if result := harness.roundTrip(readFields(key), nil); result.Word != "served" || string(result.Body) != "bytes of "+key {
+				t.Errorf("answered %+v", result)
+			}
+			if n := spoilt.Load(); n != 2 {
+				t.Errorf("%d attempts, want 2", n)
+			}
+		})
+	}
+}
+
+// TestUnmatchedAnswersAreDropped: a second copy and an unknown id are dropped, and the
+// connection is kept.
+func TestUnmatchedAnswersAreDropped(t *testing.T) {
+	twice := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
+		if !request.Stop {
+			conn.Hit("ffffffffffffffff", []byte("nobody's"))
+			conn.Hit(request.ID, []byte("good"))
+			conn.Hit(request.ID, []byte("once more"))
+		}
+	}
+	harness := newHarness(t, map[string]handler{"s-000000c1": twice, "s-000000c2": twice})
+	for range 20 {
+		if result := harness.roundTrip(readFields(key), nil); result.Word != "served" || string(result.Body) != "good" {
+			t.Fatalf("%+v", result)
+		}
+	}
+	if n := harness.members["s-000000c1"].Conns() + harness.members["s-000000c2"].Conns(); n > 2 {
+		t.Errorf("%d connections for requests one after another", n)
+	}
+}
+
+// TestErrorsOfOneObjectSpareOthers: a request that two caches answer with an error is ended, and what
+// others ask of these caches goes on.
+func TestErrorsOfOneObjectSpareOthers(t *testing.T) {
+	fault := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
+		if request.Fields["key"] == "0000000000000bad" {
+			conn.Answer(request.ID, "FAULT", "-", nil)
+			return
+		}
+		answerHit(conn, request)
+	}
+	harness := newHarness(t, map[string]handler{"s-000000c1": fault, "s-000000c2": fault})
+	for i := range 20 {
+		if result := harness.roundTrip(readFields("0000000000000bad"), nil); result.Word == "served" {
+			t.Fatalf("%+v", result)
+		}
+		if result := harness.roundTrip(readFields(key), nil); result.Word != "served" {
+			t.Fatalf("round %d: %+v", i, result)
+		}
+	}
+}
+
+// TestAddressReuse: a new cache at the address of one that is gone gets connections of
+// its own, and nothing is kept of the other.
+func TestAddressReuse(t *testing.T) {
+	harness := newHarness(t, nil)
+	c1 := harness.members["s-000000c1"]
+	for i := range 12 {
+		harness.roundTrip(readFields(fmt.Sprintf("%016x", i)), nil)
+	}
+	before := c1.Conns()
+	harness.waitUntil("the first connection", func() bool { return harness.discoveryConnections.Load() == 1 })
+	harness.sendDiscovery(testserver.PlatformFrame(2, 2, append(endpointRecord(0xc1, c1.Addr, 2, 0, 0), endpointRecord(0xc9, c1.Addr, 0, 0, 0)...)))
+	harness.waitUntil("the new one is asked", func() bool {
+		harness.roundTrip(readFields(fmt.Sprintf("%016x", ids.Load())), nil)
+		return c1.Conns() > before
+	})
+	harness.server.loop.Call(waitLimit, func() {
+		if _, ok := harness.server.engine.Member("s-000000c1"); ok || harness.server.pools["s-000000c1"] != nil {
+			t.Error("something is kept of a cache that is gone")
+		}
+	})
+}
+
+// TestMemberMovesToAnotherAddress: a cache that comes back under its id at another address is asked
+// there, though connections to the first are still busy.
+func TestMemberMovesToAnotherAddress(t *testing.T) {
+	never := func(*testserver.PlatformConn, testserver.PlatformRequest) {}
+	harness := newHarness(t, map[string]handler{"s-000000c1": never})
+	other, err := testserver.NewPlatformCache("127.0.0.1:0", answerHit)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer other.Close()
+	busy := harness.dial()
+	for i := range 8 {
+		busy.Ask(readFields(fmt.Sprintf("%016x", i)), nil)
+	}
+	harness.waitUntil("the first is busy", func() bool { return harness.members["s-000000c1"].Open() > 0 })
+	harness.waitUntil("the feed is asked", func() bool { return harness.discoveryConnections.Load() == 1 })
+	harness.sendDiscovery(testserver.PlatformFrame(2, 2, endpointRecord(0xc1, other.Addr, 0, 0, 0)))
+	harness.waitUntil("it is asked at its new address", func() bool {
+		harness.roundTrip(readFields(fmt.Sprintf("%016x", ids.Load())), nil)
+		return len(other.Seen()) > 0
+	})
+}
+
+// TestBookkeepingAgreesWithRouter: what the module holds of each member is what is open there, through
+// resets, time-outs, withdrawals and spoilt answers; and nothing is left in the end.
+func TestBookkeepingAgreesWithRouter(t *testing.T) {
+	var n atomic.Int64
+	rough := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
+		if request.Stop {
+			return
+		}
+		switch n.Add(1) % 6 {
+		case 0:
+			conn.Reset()
+		case 1:
+			conn.Write([]byte("*9\r\n"))
+		case 2, 3: // never
+		default:
+			conn.Hit(request.ID, []byte("good"))
+			conn.Done(request.ID)
+		}
+	}
+	harness := newHarness(t, map[string]handler{"s-000000c1": rough, "s-000000c2": rough, "s-000000a1": rough})
+	client := harness.dial()
+	for i := range 30 {
+		seq, err := client.Ask(readFields(fmt.Sprintf("%016x", i), "wait", "400"), nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if i%5 == 0 {
+			client.Write(testserver.PlatformForget(seq+100, seq))
+		}
+		time.Sleep(2 * time.Millisecond)
+	}
+	harness.waitUntil("nothing is open", func() (none bool) {
+		harness.server.loop.Call(waitLimit, func() {
+			held, out := 0.0, 0
+			members, link := harness.server.engine.Beliefs()
+			for id, b := range members {
+				held += b.Held
+				if p := harness.server.pools[id]; p != nil && float64(p.inFlight) != b.Held || p == nil && b.Held != 0 {
+					t.Errorf("%s: the module holds %v", id, b.Held)
+				}
+			}
+			held += link.Held
+			for _, p := range harness.server.pools {
+				out += p.inFlight
+			}
+			none = held == 0 && out == 0 && len(harness.server.requests) == 0
+		})
+		return none
+	})
+	for id, p := range harness.members {
+		harness.waitUntil("the stand-ins have nothing open: "+id, func() bool { return p.Open() == 0 })
+	}
+}
+
+// TestRefusedConnections: a cache that has died refuses connections, which the kernel
+// may tell at once; the module hears of it, and what the cache had is asked elsewhere.
+func TestRefusedConnections(t *testing.T) {
+	harness := newHarness(t, nil)
+	harness.members["s-000000c1"].Close()
+	for i := range 30 {
+		if result := harness.roundTrip(readFields(fmt.Sprintf("%016x", i), "slice", fmt.Sprint(i%20)), nil); result.Word != "served" {
+			t.Errorf("%d: %+v", i, result)
+		}
+	}
+	harness.server.loop.Call(waitLimit, func() {
+		if members, _ := harness.server.engine.Beliefs(); !members["s-000000c1"].Suspect {
+			t.Errorf("a cache that refuses connections is no suspect: %+v", members["s-000000c1"])
+		}
+		if n := harness.server.counts.Outcomes[spool.Moot]; n > 0 {
+			t.Errorf("%d attempts are said to have been moot", n)
+		}
+	})
+}
+
+// TestIdempotentWritesUnderResets: a write whose connection breaks after it was read may have
+// run; it is sent again under the same key, to where its repeats are dropped, within the
+// window.
+func TestIdempotentWritesUnderResets(t *testing.T) {
+	var mu sync.Mutex
+	first, times := map[string]time.Time{}, map[string]int{}
+	origin := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
+		mu.Lock()
+		defer mu.Unlock()
+		once := request.Fields["once"]
+		if request.Stop || once == "" {
+			return
+		}
+		times[once]++
+		if first[once].IsZero() {
+			first[once] = time.Now()
+		} else if d := time.Since(first[once]); d > 2050*time.Millisecond {
+			t.Errorf("%s: sent again after %v, when the key is forgotten", once, d)
+		}
+		if len(first)%2 == 0 && times[once] == 1 { // it ran, and nobody hears of it
+			conn.Reset()
+			return
+		}
+		conn.Answer(request.ID, "HIT", "-", nil)
+	}
+	harness := newHarness(t, map[string]handler{"s-000000a1": origin})
+	for i := range 20 {
+		once := fmt.Sprintf("%032x", i+1)
+		result := harness.roundTrip(readFields(key, "class", "note", "once", once), []byte("written"))
+		if result.Word != "served" {
+			t.Errorf("%d: %+v", i, result)
+		}
+	}
+	mu.Lock()
+	defer mu.Unlock()
+	if len(times) != 20 {
+		t.Errorf("%d keys for 20 writes", len(times))
+	}
+	again := 0
+	for _, request := range harness.members["s-000000a1"].Seen() {
+		if !request.Stop && request.Fields["once"] != "" {
+			again++
+		}
+	}
+	if again != 30 {
+		t.Errorf("%d attempts for 20 writes, of which ten were reset once", again)
+	}
+}
+
+// TestRetryClosesSilentConnection: where a first attempt is given up to be made again, its
+// connection is closed: a word into a connection on which nothing came may never arrive.
+// Seen as 'a second copy, not given up' after a fresh connection had fallen silent.
+func TestRetryClosesSilentConnection(t *testing.T) {
+	t.Parallel()
+	slow := newSlowMember(t)
+	harness := newHarnessWith(t, nil, `"window":2000`, `"window":1000`)
+	harness.changeMember(2, 0xd1, slow.address, 0, 1, 2)
+	harness.changeMember(3, 0xa1, harness.members["s-000000a1"].Addr, 1, 1, 2)
+	harness.dial().Ask(readFields(key, "class", "note", "once", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"), []byte("x"))
+	first, _ := slow.acceptRequest(t)
+	slow.acceptRequest(t)
+	b := make([]byte, 64)
+	first.SetReadDeadline(time.Now().Add(time.Second))
+	if k, err := first.Read(b); k != 0 || err == nil {
+		t.Errorf("the first connection had %q, %v; an end is wanted", b[:k], err)
+	}
+}
