--- a/internal/protocol/resp/resp.go
+++ b/internal/protocol/resp/resp.go
@@ -1,9 +1,9 @@
-// Package resp is the platform's protocol between routers and caches as bytes in
-// memory: RESP arrays of bulk strings. It reads answers, writes requests, and bounds
-// every length before room for it is made.
+// Package resp is the protocol between routers and caches on the platform, as bytes in
+// memory: RESP arrays of bulk strings. It reads answers and writes requests. Every length is
+// bounded before room is made for what it announces.
 //
-// It does no I/O and keeps nothing between calls. What an answer means for a request
-// is internal/proxy/platform's to tell the module.
+// It does no I/O and keeps nothing between calls. What an answer means for a request is
+// decided in internal/proxy/platform (answer.go); docs/platform.md has the protocol's rules.
 package resp
 
 import (
@@ -13,92 +13,113 @@
 	"strconv"
 )
 
-// ErrMalformed is what a connection is closed for: where one answer ends and the next
-// begins is no longer known.
-var ErrMalformed = errors.New("resp: spoilt answer")
+// ErrMalformed is what a connection is closed for: where one answer ends and the next begins
+// is no longer known.
+var ErrMalformed = errors.New("resp: malformed answer")
 
-// MaxBodyBytes bounds an answer's bytes.
+// MaxBodyBytes bounds the body of an answer.
 const MaxBodyBytes = 240000
 
 const (
-	maxHead   = 16 // bytes of a line with a count or a length, with its end
-	maxAnswer = 4  // strings of an answer
+	minStrings      = 2 // of an answer
+	maxStrings      = 4
+	maxLineBytes    = 16 // of a count or a length, with its end
+	maxIDBytes      = 64
+	maxWordBytes    = 16
+	maxFieldsBytes  = 4096
+	arrayMark       = '*'
+	stringMark      = '$'
+	lineEnd         = "\r\n"
+	lineEndBytes    = len(lineEnd)
+	shortestLineEnd = 3 // where the last byte of the shortest line is: a mark, a digit, \r and \n
 )
 
-// most bounds the strings of an answer by their places: id, word, fields, body.
-var most = [maxAnswer]int{64, 16, 4096, MaxBodyBytes}
-
 // Answer is one answer. Its strings are parts of the bytes that were read.
-type Answer struct{ ID, Word, Fields, Body []byte }
+type Answer struct {
+	ID     []byte // of the request
+	Word   []byte // what became of it
+	Fields []byte // names and values, see EachField
+	Body   []byte
+}
 
-// ReadAnswer finds the first whole answer in b, and how many bytes it takes. With a size of
-// 0 it needs more: want bytes in all, as far as that is known.
-func ReadAnswer(b []byte) (a Answer, size, want int, err error) {
-	count, at, err := head(b, 0, '*')
+// ReadAnswer finds the first complete answer in data, and how many bytes it takes. A size of
+// 0 says that more bytes are needed: want in all, as far as that is known. An error wraps
+// ErrMalformed.
+func ReadAnswer(data []byte) (answer Answer, size, want int, err error) {
+	count, at, err := readLine(data, 0, arrayMark)
 	if err != nil || at == 0 {
-		return a, 0, len(b) + 1, err
+		return answer, 0, len(data) + 1, err
+	}
+	if count < minStrings || count > maxStrings {
+		return answer, 0, 0, fmt.Errorf("%w: an array of %d strings, want %d to %d", ErrMalformed, count, minStrings, maxStrings)
 	}
-	if count < 2 || count > maxAnswer {
-		return a, 0, 0, fmt.Errorf("%w: an array of %d strings; 2 to %d are taken", ErrMalformed, count, maxAnswer)
+	strings := [maxStrings]struct {
+		target *[]byte
+		max    int
+	}{
+		{&answer.ID, maxIDBytes},
+		{&answer.Word, maxWordBytes},
+		{&answer.Fields, maxFieldsBytes},
+		{&answer.Body, MaxBodyBytes},
 	}
-	var s [maxAnswer][]byte
-	for i := range count {
-		n, from, err := head(b, at, '$')
+	for i, part := range strings[:count] {
+		length, from, err := readLine(data, at, stringMark)
 		if err != nil || from == 0 {
-			return a, 0, len(b) + 1, err
+			return Answer{}, 0, len(data) + 1, err
 		}
-		if n > most[i] {
-			return a, 0, 0, fmt.Errorf("%w: string %d has %d bytes; %d are taken", ErrMalformed, i, n, most[i])
+		if length > part.max {
+			return Answer{}, 0, 0, fmt.Errorf("%w: string %d has %d bytes, want at most %d", ErrMalformed, i, length, part.max)
 		}
-		end := from + n
-		if len(b) < end+2 {
-			if len(b) > end && b[end] != '\r' {
-				return a, 0, 0, fmt.Errorf("%w: string %d does not end where it said", ErrMalformed, i)
-			}
-			return a, 0, end + 2, nil
+		end := from + length
+		at = end + lineEndBytes
+		present := data[min(end, len(data)):min(at, len(data))]
+		if string(present) != lineEnd[:len(present)] {
+			return Answer{}, 0, 0, fmt.Errorf("%w: string %d does not end after %d bytes", ErrMalformed, i, length)
 		}
-		if b[end] != '\r' || b[end+1] != '\n' {
-			return a, 0, 0, fmt.Errorf("%w: string %d does not end where it said", ErrMalformed, i)
+		if len(data) < at {
+			return Answer{}, 0, at, nil
 		}
-		s[i], at = b[from:end], end+2
+		*part.target = data[from:end]
 	}
-	return Answer{ID: s[0], Word: s[1], Fields: s[2], Body: s[3]}, at, 0, nil
+	return answer, at, 0, nil
 }
 
-// head reads a line of a mark and a number at b[from:]; next is 0 where it is not whole.
-func head(b []byte, from int, mark byte) (n, next int, err error) {
-	line := b[min(from, len(b)):]
+// readLine reads a line of a mark and a number at data[from:]. next is where the line ends,
+// and 0 where it is not complete.
+func readLine(data []byte, from int, mark byte) (number, next int, err error) {
+	line := data[min(from, len(data)):]
 	if len(line) > 0 && line[0] != mark {
-		return 0, 0, fmt.Errorf("%w: %q where %q belongs", ErrMalformed, line[0], mark)
+		return 0, 0, fmt.Errorf("%w: %q, want %q", ErrMalformed, line[0], mark)
 	}
-	end := bytes.IndexByte(line[:min(len(line), maxHead)], '\n')
+	end := bytes.IndexByte(line[:min(len(line), maxLineBytes)], '\n')
 	if end < 0 {
-		if len(line) >= maxHead {
-			return 0, 0, fmt.Errorf("%w: a line that does not end", ErrMalformed)
+		if len(line) >= maxLineBytes {
+			return 0, 0, fmt.Errorf("%w: a line of over %d bytes", ErrMalformed, maxLineBytes)
 		}
 		return 0, 0, nil
 	}
-	if end < 3 || line[end-1] != '\r' {
+	if end < shortestLineEnd || line[end-1] != '\r' {
 		return 0, 0, fmt.Errorf("%w: a line without its number", ErrMalformed)
 	}
-	for _, d := range line[1 : end-1] {
-		if d < '0' || d > '9' {
-			return 0, 0, fmt.Errorf("%w: %.12q is no length", ErrMalformed, line[1:end-1])
+	digits := line[1 : end-1]
+	for _, digit := range digits {
+		if digit < '0' || digit > '9' {
+			return 0, 0, fmt.Errorf("%w: %.12q is no length", ErrMalformed, digits)
 		}
-		n = n*10 + int(d-'0')
+		number = number*10 + int(digit-'0')
 	}
-	return n, from + end + 1, nil
+	return number, from + end + 1, nil
 }
 
-// EachField calls f with each name and value of a list of fields, until f returns false.
-// It reports whether the list could be read.
+// EachField calls f with each name and value of a list of fields, until f returns false. It
+// reports whether the list is well formed, as far as it was read. "-" is the empty list.
 func EachField(list []byte, f func(name, value []byte) bool) bool {
 	if len(list) == 0 || len(list) == 1 && list[0] == '-' {
 		return true
 	}
 	for len(list) > 0 {
-		item, rest, more := bytes.Cut(list, []byte{','})
-		name, value, ok := bytes.Cut(item, []byte{'='})
+		field, rest, more := bytes.Cut(list, []byte{','})
+		name, value, ok := bytes.Cut(field, []byte{'='})
 		if !ok || len(name) == 0 || more && len(rest) == 0 {
 			return false
 		}
@@ -110,16 +131,16 @@
 	return true
 }
 
-// AppendArray appends an array of bulk strings.
-func AppendArray(dst []byte, words ...[]byte) []byte {
-	dst = line(dst, '*', len(words))
-	for _, w := range words {
-		dst = line(dst, '$', len(w))
-		dst = append(append(dst, w...), '\r', '\n')
+// AppendArray appends an array of bulk strings to dst.
+func AppendArray(dst []byte, strings ...[]byte) []byte {
+	dst = appendLine(dst, arrayMark, len(strings))
+	for _, text := range strings {
+		dst = appendLine(dst, stringMark, len(text))
+		dst = append(append(dst, text...), lineEnd...)
 	}
 	return dst
 }
 
-func line(dst []byte, mark byte, n int) []byte {
-	return append(strconv.AppendInt(append(dst, mark), int64(n), 10), '\r', '\n')
+func appendLine(dst []byte, mark byte, number int) []byte {
+	return append(strconv.AppendInt(append(dst, mark), int64(number), 10), lineEnd...)
 }
