--- a/internal/protocol/thriftrpc/answer.go
+++ b/internal/protocol/thriftrpc/answer.go
@@ -2,81 +2,94 @@
 
 import (
 	"encoding/binary"
-	"fmt"
+	"strconv"
 
 	"github.com/apache/thrift/lib/go/thrift"
 )
 
-// begin opens a message's frame and its result struct. Writes to memory can't fail.
-func (c *Codec) begin(name string, kind thrift.TMessageType, seq int32) {
-	c.out.Reset()
-	c.out.Write([]byte{0, 0, 0, 0})
-	c.w.WriteMessageBegin(ctx, name, kind, seq)
+// The fields of a result of serve and isWell: the answer, or an exception.
+const (
+	resultAnswer    = 0
+	resultThrottled = 1
+	resultBroken    = 2
+)
+
+// Served returns the answer to a call of serve: the object's bytes or, where notModified is
+// set, that the client's copy is current.
+func (c *Codec) Served(seq int32, body []byte, notModified bool) []byte {
+	if notModified {
+		return c.answer(MethodServe, seq, nil, true, "current", "1")
+	}
+	return c.answer(MethodServe, seq, body, true)
 }
 
-// end closes the frame.
-func (c *Codec) end() []byte {
-	b := c.out.Bytes()
-	binary.BigEndian.PutUint32(b, uint32(len(b)-lengthBytes))
-	return b
+// Health returns the answer to a call of isWell.
+func (c *Codec) Health(seq int32, good bool) []byte {
+	return c.answer(MethodIsWell, seq, nil, good)
 }
 
-func (c *Codec) writeFields(id int16, names []string) {
-	c.w.WriteFieldBegin(ctx, "", thrift.MAP, id)
-	c.w.WriteMapBegin(ctx, thrift.STRING, thrift.STRING, len(names)/2)
-	for _, s := range names {
-		c.w.WriteString(ctx, s)
+// Rejected returns the exception Throttled. retryAfter is how long the client is to stay
+// away, in ms; below 1 it is not said.
+func (c *Codec) Rejected(seq int32, retryAfter float64) []byte {
+	if retryAfter < 1 {
+		return c.exception(seq, resultThrottled)
 	}
+	return c.exception(seq, resultThrottled, "after", strconv.FormatFloat(retryAfter, 'f', 0, 64))
 }
 
-// answer writes an Answer as the result of a call.
-func (c *Codec) answer(name string, seq int32, body []byte, good bool, fields ...string) []byte {
-	c.begin(name, thrift.REPLY, seq)
-	c.w.WriteFieldBegin(ctx, "", thrift.STRUCT, 0)
-	c.w.WriteFieldBegin(ctx, "", thrift.STRING, 1)
-	c.w.WriteBinary(ctx, body)
-	c.writeFields(2, fields)
-	c.w.WriteFieldBegin(ctx, "", thrift.BOOL, 3)
-	c.w.WriteBool(ctx, good)
-	c.w.WriteFieldStop(ctx)
-	c.w.WriteFieldStop(ctx)
+// Failed returns the exception Broken.
+func (c *Codec) Failed(seq int32) []byte { return c.exception(seq, resultBroken) }
+
+// UnknownMethod returns the application exception for a call of no method of the service.
+func (c *Codec) UnknownMethod(name string, seq int32) []byte {
+	c.begin(name, thrift.EXCEPTION, seq)
+	thrift.NewTApplicationException(thrift.UNKNOWN_METHOD, "unknown method").Write(ctx, c.writer)
 	return c.end()
 }
 
-// Served answers with an object's bytes or, when same, that the client's copy is the one.
-func (c *Codec) Served(seq int32, body []byte, same bool) []byte {
-	if same {
-		return c.answer("serve", seq, nil, true, "current", "1")
-	}
-	return c.answer("serve", seq, body, true)
+// answer writes the struct Answer as the result of a call.
+func (c *Codec) answer(method Method, seq int32, body []byte, good bool, fields ...string) []byte {
+	c.begin(method.String(), thrift.REPLY, seq)
+	c.writer.WriteFieldBegin(ctx, "", thrift.STRUCT, resultAnswer)
+	c.writer.WriteFieldBegin(ctx, "", thrift.STRING, 1)
+	c.writer.WriteBinary(ctx, body)
+	c.writeFields(2, fields)
+	c.writer.WriteFieldBegin(ctx, "", thrift.BOOL, 3)
+	c.writer.WriteBool(ctx, good)
+	c.writer.WriteFieldStop(ctx)
+	c.writer.WriteFieldStop(ctx)
+	return c.end()
 }
 
-// Health answers isWell.
-func (c *Codec) Health(seq int32, good bool) []byte { return c.answer("isWell", seq, nil, good) }
-
-func (c *Codec) thrown(seq int32, id int16, fields ...string) []byte {
-	c.begin("serve", thrift.REPLY, seq)
-	c.w.WriteFieldBegin(ctx, "", thrift.STRUCT, id)
+// exception writes an exception of serve, with fields of name and value in turn.
+func (c *Codec) exception(seq int32, result int16, fields ...string) []byte {
+	c.begin(MethodServe.String(), thrift.REPLY, seq)
+	c.writer.WriteFieldBegin(ctx, "", thrift.STRUCT, result)
 	c.writeFields(1, fields)
-	c.w.WriteFieldStop(ctx)
-	c.w.WriteFieldStop(ctx)
+	c.writer.WriteFieldStop(ctx)
+	c.writer.WriteFieldStop(ctx)
 	return c.end()
 }
 
-// Rejected answers Throttled; after is how long to stay away in ms, 0: not told.
-func (c *Codec) Rejected(seq int32, after float64) []byte {
-	if after < 1 {
-		return c.thrown(seq, 1)
-	}
-	return c.thrown(seq, 1, "after", fmt.Sprintf("%.0f", after))
+// begin opens the frame of a message and its result. Writes to memory cannot fail.
+func (c *Codec) begin(name string, kind thrift.TMessageType, seq int32) {
+	c.output.Reset()
+	c.output.Write(make([]byte, lengthBytes)) // end sets it
+	c.writer.WriteMessageBegin(ctx, name, kind, seq)
 }
 
-// Failed answers Broken.
-func (c *Codec) Failed(seq int32) []byte { return c.thrown(seq, 2) }
+// end closes the frame and returns it.
+func (c *Codec) end() []byte {
+	frame := c.output.Bytes()
+	binary.BigEndian.PutUint32(frame, uint32(len(frame)-lengthBytes))
+	return frame
+}
 
-// UnknownMethod answers a call of another name than the service's.
-func (c *Codec) UnknownMethod(name string, seq int32) []byte {
-	c.begin(name, thrift.EXCEPTION, seq)
-	thrift.NewTApplicationException(thrift.UNKNOWN_METHOD, "unknown method").Write(ctx, c.w)
-	return c.end()
+// writeFields writes a map of strings, of names and values in turn, as field id.
+func (c *Codec) writeFields(id int16, fields []string) {
+	c.writer.WriteFieldBegin(ctx, "", thrift.MAP, id)
+	c.writer.WriteMapBegin(ctx, thrift.STRING, thrift.STRING, len(fields)/2)
+	for _, text := range fields {
+		c.writer.WriteString(ctx, text)
+	}
 }
--- a/internal/protocol/thriftrpc/codec.go
+++ b/internal/protocol/thriftrpc/codec.go
@@ -1,10 +1,3 @@
-// Package front is the platform's client protocol as bytes in memory: frames of
-// Thrift's framed transport, and the messages of the service Front in the strict
-// binary protocol, by the field's own library. It checks every field of a request
-// before anything else hears of it.
-//
-// It does no I/O, keeps nothing between messages and decides nothing: what becomes of
-// a request is the module's. internal/proxy/platform is its connections.
 package thriftrpc
 
 import (
@@ -15,116 +8,153 @@
 	"github.com/apache/thrift/lib/go/thrift"
 )
 
-// Method is what a message asks for.
+// Method is what a message calls.
 type Method int
 
 // The methods of the service Front.
 const (
-	MethodUnknown Method = iota // answered by an application exception
+	MethodUnknown Method = iota // any other name: answered by an application exception
 	MethodServe
 	MethodForget
 	MethodIsWell
 )
 
+// String returns the method's name in the protocol.
+func (m Method) String() string {
+	switch m {
+	case MethodServe:
+		return "serve"
+	case MethodForget:
+		return "forget"
+	case MethodIsWell:
+		return "isWell"
+	}
+	return "unknown"
+}
+
 // Call is one message of a client.
 type Call struct {
 	Method       Method
-	Name         string // as sent
+	Name         string // of the method, as sent
 	Seq          int32
-	Fields       map[string]string // of Serve
-	Body         []byte            // of Serve; its own memory
-	CancelledSeq int32             // of Forget: the number of the call that is given up
+	Fields       map[string]string // of MethodServe
+	Body         []byte            // of MethodServe; its own memory
+	CancelledSeq int32             // of MethodForget: the call that is given up
 }
 
-// Codec reads and writes messages. It is not safe for concurrent use; what it returns
-// is valid until its next call, except for a Call.
+// Codec reads and writes messages. It is not safe for concurrent use. The bytes that it
+// returns are valid until its next call; a Call has its own memory.
 type Codec struct {
-	in, out thrift.TMemoryBuffer
-	r, w    *thrift.TBinaryProtocol
+	input, output thrift.TMemoryBuffer
+	reader        *thrift.TBinaryProtocol // of input
+	writer        *thrift.TBinaryProtocol // to output
 }
 
-// NewCodec makes a codec.
+// NewCodec returns a codec with the bounds of the protocol.
 func NewCodec() *Codec {
 	c := &Codec{}
-	conf := &thrift.TConfiguration{MaxMessageSize: MaxFrameBytes, MaxFrameSize: MaxFrameBytes, MaxContainerSize: maxFields,
-		TBinaryStrictRead: thrift.BoolPtr(true), TBinaryStrictWrite: thrift.BoolPtr(true)}
-	c.in.Buffer, c.out.Buffer = &bytes.Buffer{}, &bytes.Buffer{}
-	c.r, c.w = thrift.NewTBinaryProtocolConf(&c.in, conf), thrift.NewTBinaryProtocolConf(&c.out, conf)
+	config := &thrift.TConfiguration{
+		MaxMessageSize:     MaxFrameBytes,
+		MaxFrameSize:       MaxFrameBytes,
+		MaxContainerSize:   maxFields,
+		TBinaryStrictRead:  thrift.BoolPtr(true),
+		TBinaryStrictWrite: thrift.BoolPtr(true),
+	}
+	c.input.Buffer = &bytes.Buffer{}
+	c.output.Buffer = &bytes.Buffer{}
+	c.reader = thrift.NewTBinaryProtocolConf(&c.input, config)
+	c.writer = thrift.NewTBinaryProtocolConf(&c.output, config)
 	return c
 }
 
-var ctx = context.Background() // nothing here waits
+var ctx = context.Background() // the library asks for one; nothing here waits
 
-// Parse reads one frame's payload. An error means that the rest of the connection
-// can't be trusted either.
+// Parse reads the payload of one frame. An error wraps ErrMalformed: the rest of the
+// connection cannot be trusted either.
 func (c *Codec) Parse(payload []byte) (call Call, err error) {
-	*c.in.Buffer = *bytes.NewBuffer(payload)
-	name, kind, seq, err := c.r.ReadMessageBegin(ctx)
+	*c.input.Buffer = *bytes.NewBuffer(payload)
+	name, kind, seq, err := c.reader.ReadMessageBegin(ctx)
 	if err != nil {
-		return call, fmt.Errorf("%w: %v", ErrMalformed, err)
+		return call, fmt.Errorf("%w: head: %w", ErrMalformed, err)
 	}
-	call.Name, call.Seq = name, seq
+	call.Name = name
+	call.Seq = seq
 	if kind != thrift.CALL && kind != thrift.ONEWAY {
-		return call, fmt.Errorf("%w: message type %d", ErrMalformed, kind)
+		return call, fmt.Errorf("%w: message type %d of %.20q", ErrMalformed, kind, name)
 	}
+	call.Method = methodOf(name, kind)
+	if err := c.parseArguments(&call); err != nil {
+		return call, err
+	}
+	if rest := c.input.Len(); rest > 0 {
+		return call, fmt.Errorf("%w: %d bytes after the end of %.20q", ErrMalformed, rest, name)
+	}
+	return call, nil
+}
+
+// methodOf is the method of a message. Only forget may be sent one way.
+func methodOf(name string, kind thrift.TMessageType) Method {
 	switch {
-	case name == "serve" && kind == thrift.CALL:
-		call.Method = MethodServe
-	case name == "forget":
-		call.Method = MethodForget
-	case name == "isWell" && kind == thrift.CALL:
-		call.Method = MethodIsWell
+	case name == MethodServe.String() && kind == thrift.CALL:
+		return MethodServe
+	case name == MethodForget.String():
+		return MethodForget
+	case name == MethodIsWell.String() && kind == thrift.CALL:
+		return MethodIsWell
 	}
-	forgets := false
+	return MethodUnknown
+}
+
+// parseArguments reads the arguments of a call; those that its method does not have are skipped.
+func (c *Codec) parseArguments(call *Call) error {
+	namesCall := false
 	for {
-		_, t, id, err := c.r.ReadFieldBegin(ctx)
+		_, fieldType, id, err := c.reader.ReadFieldBegin(ctx)
 		if err != nil {
-			return call, fmt.Errorf("%w: %v", ErrMalformed, err)
+			return fmt.Errorf("%w: arguments of %.20q: %w", ErrMalformed, call.Name, err)
 		}
-		if t == thrift.STOP {
+		if fieldType == thrift.STOP {
 			break
 		}
 		switch {
-		case call.Method == MethodServe && id == 1 && t == thrift.MAP:
-			call.Fields, err = c.fields()
-		case call.Method == MethodServe && id == 2 && t == thrift.STRING:
-			call.Body, err = c.r.ReadBinary(ctx)
-		case call.Method == MethodForget && id == 1 && t == thrift.I32:
-			call.CancelledSeq, err = c.r.ReadI32(ctx)
-			forgets = true
+		case call.Method == MethodServe && id == 1 && fieldType == thrift.MAP:
+			call.Fields, err = c.parseFields()
+		case call.Method == MethodServe && id == 2 && fieldType == thrift.STRING:
+			call.Body, err = c.reader.ReadBinary(ctx)
+		case call.Method == MethodForget && id == 1 && fieldType == thrift.I32:
+			call.CancelledSeq, err = c.reader.ReadI32(ctx)
+			namesCall = true
 		default:
-			err = c.r.Skip(ctx, t)
+			err = c.reader.Skip(ctx, fieldType)
 		}
 		if err != nil {
-			return call, fmt.Errorf("%w: field %d of %.20q: %v", ErrMalformed, id, name, err)
+			return fmt.Errorf("%w: argument %d of %.20q: %w", ErrMalformed, id, call.Name, err)
 		}
 	}
-	if n := c.in.Len(); n > 0 {
-		return call, fmt.Errorf("%w: %d bytes after the end of %.20q", ErrMalformed, n, name)
-	}
-	if call.Method == MethodForget && !forgets {
-		return call, fmt.Errorf("%w: forget names no call", ErrMalformed)
+	if call.Method == MethodForget && !namesCall {
+		return fmt.Errorf("%w: forget names no call", ErrMalformed)
 	}
-	return call, nil
+	return nil
 }
 
-func (c *Codec) fields() (map[string]string, error) {
-	k, v, n, err := c.r.ReadMapBegin(ctx)
+// parseFields reads a map of strings.
+func (c *Codec) parseFields() (map[string]string, error) {
+	keyType, valueType, size, err := c.reader.ReadMapBegin(ctx)
 	if err != nil {
 		return nil, err
 	}
-	if n > 0 && (k != thrift.STRING || v != thrift.STRING) {
-		return nil, fmt.Errorf("a map from type %d to type %d", k, v)
+	if size > 0 && (keyType != thrift.STRING || valueType != thrift.STRING) {
+		return nil, fmt.Errorf("a map from type %d to type %d, want strings", keyType, valueType)
 	}
-	m := make(map[string]string, n)
-	for range n {
-		name, err := c.r.ReadString(ctx)
+	fields := make(map[string]string, size)
+	for range size {
+		name, err := c.reader.ReadString(ctx)
 		if err != nil {
 			return nil, err
 		}
-		if m[name], err = c.r.ReadString(ctx); err != nil {
+		if fields[name], err = c.reader.ReadString(ctx); err != nil {
 			return nil, err
 		}
 	}
-	return m, nil
+	return fields, nil
 }
--- a/internal/protocol/thriftrpc/codec_test.go
+++ b/internal/protocol/thriftrpc/codec_test.go
@@ -14,9 +14,9 @@
 func serve(c *Codec, seq int32, fields []string, body []byte) []byte {
 	c.begin("serve", 1, seq)
 	c.writeFields(1, fields)
-	c.w.WriteFieldBegin(ctx, "", 11, 2)
-	c.w.WriteBinary(ctx, body)
-	c.w.WriteFieldStop(ctx)
+	c.writer.WriteFieldBegin(ctx, "", 11, 2)
+	c.writer.WriteBinary(ctx, body)
+	c.writer.WriteFieldStop(ctx)
 	return bytes.Clone(c.end())
 }
 
--- a/internal/protocol/thriftrpc/frame.go
+++ b/internal/protocol/thriftrpc/frame.go
@@ -6,34 +6,39 @@
 	"fmt"
 )
 
-// The protocol's bounds, in bytes and counts.
+// The bounds of the protocol.
 const (
-	MaxObjectBytes = 240000 // bytes of an answer
-	MaxWriteBytes  = 48000  // bytes that a write brings
-	MaxOpenCalls   = 32     // open requests of a connection
-	maxEnvelope    = 8192   // bytes of a message but for its body
-	MaxFrameBytes  = MaxWriteBytes + maxEnvelope
-	maxFields      = 64
-	lengthBytes    = 4
+	MaxWriteBytes = 48000                            // of the body of a write
+	MaxFrameBytes = MaxWriteBytes + maxEnvelopeBytes // of a frame without its length
+	MaxOpenCalls  = 32                               // calls of serve without an answer, of a connection
+
+	maxEnvelopeBytes = 8192 // of a message without its body
+	maxFields        = 64   // of a request
+	lengthBytes      = 4
 )
 
-// ErrMalformed is what a connection is closed for.
-var ErrMalformed = errors.New("front: unreadable message")
+// The errors for which a connection is closed: who breaks these rules cannot tell answers apart.
+var (
+	ErrMalformed   = errors.New("thriftrpc: malformed message")
+	ErrSequence    = errors.New("thriftrpc: sequence number of a call does not rise")
+	ErrTooManyOpen = fmt.Errorf("thriftrpc: over %d calls open on a connection", MaxOpenCalls)
+)
 
-// SplitFrame finds the first whole frame in b: its payload and how many bytes it takes. A
-// size of 0 says that more bytes are needed. The length is judged before the payload is
-// there, so that nobody makes room for what would be turned away.
-func SplitFrame(b []byte) (payload []byte, size int, err error) {
-	if len(b) < lengthBytes {
+// SplitFrame finds the first complete frame in data: its payload, and how many bytes it takes
+// with its length. A size of 0 says that more bytes are needed. The length is checked before
+// the payload is there, so that no room is made for what would be rejected. An error wraps
+// ErrMalformed.
+func SplitFrame(data []byte) (payload []byte, size int, err error) {
+	if len(data) < lengthBytes {
 		return nil, 0, nil
 	}
-	n := int32(binary.BigEndian.Uint32(b))
-	if n <= 0 || n > MaxFrameBytes {
-		return nil, 0, fmt.Errorf("%w: a frame of %d bytes; 1 to %d are taken", ErrMalformed, n, MaxFrameBytes)
+	length := int32(binary.BigEndian.Uint32(data))
+	if length <= 0 || length > MaxFrameBytes {
+		return nil, 0, fmt.Errorf("%w: a frame of %d bytes, want 1 to %d", ErrMalformed, length, MaxFrameBytes)
 	}
-	if len(b) < lengthBytes+int(n) {
+	size = lengthBytes + int(length)
+	if len(data) < size {
 		return nil, 0, nil
 	}
-	size = lengthBytes + int(n)
-	return b[lengthBytes:size], size, nil
+	return data[lengthBytes:size], size, nil
 }
--- a/internal/protocol/thriftrpc/request.go
+++ b/internal/protocol/thriftrpc/request.go
@@ -8,81 +8,117 @@
 	spool "indigospool"
 )
 
-// Request is a call of serve whose fields were found usable.
+// Request is a call of serve whose fields were checked.
 type Request struct {
-	ID, Class, IdempotencyKey, Key, ClientTag string
-	TimeLeft                                  float64 // ms from when the client sent it
-	Retry                                     bool
-	Part, Group                               int
-	Body                                      []byte
+	ID             string // 16 hex digits
+	Class          string
+	IdempotencyKey string // 32 hex digits for the classes that have one, else ""
+	Key            string // of the object, 16 hex digits
+	ClientTag      string // of the client's own copy; "": it has none
+	TimeLeft       float64
+	Retry          bool // the client has sent the request before
+	Part           int  // of the object, from 0
+	Group          int  // of objects that are purged together
+	Body           []byte
 }
 
 const (
-	idDigits   = 16
-	onceDigits = 32
-	maxTag     = 64
-	maxPart    = 1 << 16
-	maxGroup   = 255
+	idDigits             = 16
+	idempotencyKeyDigits = 32
+	maxTagBytes          = 64
+	maxPart              = 1 << 16
+	maxGroup             = 255
 )
 
-// ParseRequest reads a call's fields for the class that it names. An error names the field at
-// fault and what would do; such a call is answered 'failed', its connection is kept.
+// ErrDuplicateID is the error for a request whose id another open request has. Its call is
+// answered by Codec.Failed, and the connection is kept.
+var ErrDuplicateID = errors.New("thriftrpc: a request with this id is open")
+
+// FieldError says which field of a request cannot be used. Its call is answered by
+// Codec.Failed, and the connection is kept.
+type FieldError struct {
+	Field string // its name in the protocol
+	Value string
+	Want  string // what would be accepted
+}
+
+// Error names the field, its value and what would be accepted.
+func (e *FieldError) Error() string {
+	return fmt.Sprintf("thriftrpc: field %s is %.40q, want %s", e.Field, e.Value, e.Want)
+}
+
+// ParseRequest checks the fields of a call of serve by the settings of its class, which
+// class returns; nil: there is no such class. The error is a *FieldError.
 func ParseRequest(call *Call, class func(name string) *spool.Class) (Request, error) {
-	f := call.Fields
-	q := Request{ID: f["id"], Class: f["class"], IdempotencyKey: f["once"], Key: f["key"], ClientTag: f["seen"], Body: call.Body}
-	bad := func(field, want string) (Request, error) {
-		return q, fmt.Errorf("front: %s is %.40q; %s", field, f[field], want)
+	fields := call.Fields
+	request := Request{
+		ID:             fields["id"],
+		Class:          fields["class"],
+		IdempotencyKey: fields["once"],
+		Key:            fields["key"],
+		ClientTag:      fields["seen"],
+		Retry:          fields["retry"] == "1",
+		Body:           call.Body,
 	}
-	c := class(q.Class)
-	switch {
-	case !hex(q.ID, idDigits):
-		return bad("id", "16 hex digits are wanted")
-	case c == nil:
-		return bad("class", "the settings name no such class")
-	case !hex(q.Key, idDigits):
-		return bad("key", "16 hex digits are wanted")
-	case c.Effect == spool.Guarded && !hex(q.IdempotencyKey, onceDigits):
-		return bad("once", "a keyed class needs 32 hex digits")
-	case c.Effect != spool.Guarded && q.IdempotencyKey != "":
-		return bad("once", "only keyed classes have it")
-	case f["retry"] != "" && f["retry"] != "1":
-		return bad("retry", "1 or nothing is wanted")
-	case !tag(q.ClientTag):
-		return bad("seen", "a tag of at most 64 letters and digits is wanted")
-	case len(q.Body) > MaxWriteBytes || len(q.Body) > 0 && !c.Write:
-		return q, fmt.Errorf("front: a body of %d bytes; only writes bring one, of at most %d", len(q.Body), MaxWriteBytes)
+	settings := class(request.Class)
+	if field, want := request.check(fields["retry"], settings); field != "" {
+		return request, &FieldError{field, fields[field], want}
+	}
+	if size := len(request.Body); size > MaxWriteBytes || size > 0 && !settings.Write {
+		return request, &FieldError{"body", fmt.Sprintf("%d bytes", size), fmt.Sprintf("at most %d, and only of writes", MaxWriteBytes)}
 	}
-	q.Retry = f["retry"] == "1"
-	wait, err := strconv.ParseUint(f["wait"], 10, 31)
-	if err != nil || wait == 0 || float64(wait) > c.Deadline+1 {
-		return bad("wait", "whole milliseconds up to the class's own are wanted")
+	wait, err := strconv.ParseUint(fields["wait"], 10, 31)
+	if err != nil || wait == 0 || float64(wait) > settings.Deadline+1 {
+		return request, &FieldError{"wait", fields["wait"], "whole milliseconds up to the deadline of the class"}
 	}
-	q.TimeLeft = float64(wait)
+	request.TimeLeft = float64(wait)
 	var ok bool
-	if q.Part, ok = number(f, "slice", maxPart); !ok {
-		return bad("slice", "a part's number is wanted")
+	if request.Part, ok = parseNumber(fields, "slice", maxPart); !ok {
+		return request, &FieldError{"slice", fields["slice"], fmt.Sprintf("0 to %d", maxPart)}
 	}
-	if q.Group, ok = number(f, "set", maxGroup); !ok {
-		return bad("set", "0 to 255 is wanted")
+	if request.Group, ok = parseNumber(fields, "set", maxGroup); !ok {
+		return request, &FieldError{"set", fields["set"], fmt.Sprintf("0 to %d", maxGroup)}
 	}
-	return q, nil
+	return request, nil
 }
 
-// number reads a whole number from 0 to most; a field that is absent is 0.
-func number(f map[string]string, name string, most uint64) (int, bool) {
-	s, ok := f[name]
-	if !ok {
+// check returns the first text field that cannot be used and what would be accepted, or "".
+func (r *Request) check(retry string, class *spool.Class) (field, want string) {
+	switch {
+	case !isHex(r.ID, idDigits):
+		return "id", "16 hex digits"
+	case class == nil:
+		return "class", "a class of the settings"
+	case !isHex(r.Key, idDigits):
+		return "key", "16 hex digits"
+	case class.Effect == spool.Guarded && !isHex(r.IdempotencyKey, idempotencyKeyDigits):
+		return "once", "32 hex digits, for a class with idempotency keys"
+	case class.Effect != spool.Guarded && r.IdempotencyKey != "":
+		return "once", "nothing, for a class without idempotency keys"
+	case retry != "" && retry != "1":
+		return "retry", "1 or nothing"
+	case !isTag(r.ClientTag):
+		return "seen", "a tag of at most 64 letters and digits"
+	}
+	return "", ""
+}
+
+// parseNumber reads a whole number from 0 to most; a field that is absent is 0.
+func parseNumber(fields map[string]string, name string, most uint64) (number int, ok bool) {
+	text, present := fields[name]
+	if !present {
 		return 0, true
 	}
-	n, err := strconv.ParseUint(s, 10, 31)
-	return int(n), err == nil && n <= most
+	value, err := strconv.ParseUint(text, 10, 31)
+	return int(value), err == nil && value <= most
 }
 
-func hex(s string, n int) bool {
-	if len(s) != n {
+// isHex reports whether text is so many hex digits, in lower case.
+func isHex(text string, digits int) bool {
+	if len(text) != digits {
 		return false
 	}
-	for _, b := range []byte(s) {
+	for _, b := range []byte(text) {
 		if (b < '0' || b > '9') && (b < 'a' || b > 'f') {
 			return false
 		}
@@ -90,19 +126,14 @@
 	return true
 }
 
-// tag is true of what can stand in a list of fields, or of nothing.
-func tag(s string) bool {
-	for _, b := range []byte(s) {
-		if (b < '0' || b > '9') && (b < 'a' || b > 'z') && (b < 'A' || b > 'Z') && b != '-' && b != '_' {
+// isTag reports whether text can stand in a list of fields, or is empty.
+func isTag(text string) bool {
+	for _, b := range []byte(text) {
+		digit := b >= '0' && b <= '9'
+		letter := b >= 'a' && b <= 'z' || b >= 'A' && b <= 'Z'
+		if !digit && !letter && b != '-' && b != '_' {
 			return false
 		}
 	}
-	return len(s) <= maxTag
+	return len(text) <= maxTagBytes
 }
-
-// What a connection, or a request, is turned down for besides its fields.
-var (
-	ErrSequence    = errors.New("front: a call's number does not rise")
-	ErrTooManyOpen = errors.New("front: over 32 requests open on a connection")
-	ErrDuplicateID = errors.New("front: a request of this id is open")
-)
