--- a/internal/protocol/discovery/decoder.go
+++ b/internal/protocol/discovery/decoder.go
@@ -1,9 +1,3 @@
-// Package feed is the platform's control feed as bytes in memory: frames, and the
-// events of the configuration's known, become rows of the list and purges in the order
-// of their numbers, each once.
-//
-// It does no I/O and has no clock. Decoder holds the last number, drops repeats and
-// tells a gap; internal/proxy/platform connects, and asks again from the last number.
 package discovery
 
 import (
@@ -13,126 +7,176 @@
 	"net/netip"
 )
 
-// ErrStreamUnusable says that a connection to the feed is of no further use: the rest of it
-// can't be read, or events are missing.
-var ErrStreamUnusable = errors.New("feed: broken")
+// ErrStreamUnusable says that a connection is to be closed: the rest of it cannot be read,
+// or events are missing.
+var ErrStreamUnusable = errors.New("discovery: stream unusable")
 
+// A frame is its length, an event's number, a kind and a payload, all numbers big-endian.
 const (
-	headBytes = 4 + 8 + 1
-	rowBytes  = 27
-	maxRows   = 20000
-	maxFrame  = headBytes + rowBytes*maxRows
-	keepBytes = 64 << 10 // of room that a reader keeps
+	lengthBytes       = 4
+	numberBytes       = 8
+	headBytes         = lengthBytes + numberBytes + 1
+	endpointBytes     = 27
+	objectPurgeBytes  = 16
+	groupPurgeBytes   = 10
+	maxEndpoints      = 20000
+	maxFrameBytes     = headBytes + endpointBytes*maxEndpoints
+	keptCapacityBytes = 64 << 10 // of the buffer of a Decoder, between frames
 )
 
-// The kinds of a frame.
+// frameKind is the kind of a frame.
+type frameKind uint8
+
 const (
-	nothing = iota
-	wholeList
-	changes
-	objectPurge
-	groupPurge
+	upToDateFrame frameKind = iota // there is no event after the number
+	snapshotFrame
+	deltaFrame
+	objectPurgeFrame
+	groupPurgeFrame
 )
 
-var states = [...]string{"ready", "draining", "gone"}
+// String returns the kind in words.
+func (k frameKind) String() string {
+	switch k {
+	case upToDateFrame:
+		return "up to date"
+	case snapshotFrame:
+		return "snapshot"
+	case deltaFrame:
+		return "delta"
+	case objectPurgeFrame:
+		return "object purge"
+	case groupPurgeFrame:
+		return "group purge"
+	}
+	return fmt.Sprintf("unknown kind %d", uint8(k))
+}
 
-// Decoder takes the bytes of connections to the feed, one after another.
+// Decoder reads the connections to the discovery server, one after another.
 type Decoder struct {
-	Zones, Kinds []string // as the settings list them
-	LastNumber   uint64   // number of the last event
-	UpToDate     uint64   // frames so far that told that there is nothing after it
-	buf          []byte
+	Zones, Kinds []string // the names of what frames number, by the settings
+	LastNumber   uint64   // of the last event; 0: there was none
+	UpToDate     uint64   // frames so far that said that there is no later event
+
+	buffer []byte // a frame that has come in part
 }
 
-// Resume starts on a new connection: what was half read is dropped. It returns what to
-// write first.
-func (r *Decoder) Resume() []byte {
-	r.buf = r.buf[:0]
-	return binary.BigEndian.AppendUint64(nil, r.LastNumber)
+// Resume starts on a new connection: a frame that has come in part is dropped. It returns
+// what to write first, which asks for the events after the last one.
+func (d *Decoder) Resume() []byte {
+	d.buffer = d.buffer[:0]
+	return binary.BigEndian.AppendUint64(nil, d.LastNumber)
 }
 
-// Decode adds bytes and calls f with each new event. A frame is used whole or not at
-// all, and an event only after the one before it. On an error the connection is to be
-// closed; what was told before it counts.
-func (r *Decoder) Decode(b []byte, f func(Event)) error {
-	r.buf = append(r.buf, b...)
+// Decode adds bytes of the connection and calls apply with each new event. A frame is used
+// as a whole or not at all, and an event only after the one before it. On an error, which
+// wraps ErrStreamUnusable, the connection is to be closed; events before it count.
+func (d *Decoder) Decode(data []byte, apply func(Event)) error {
+	d.buffer = append(d.buffer, data...)
 	used := 0
-	defer func() { r.use(used) }()
-	for len(r.buf)-used >= 4 {
-		rest := r.buf[used:]
-		n := int64(binary.BigEndian.Uint32(rest)) + 4
-		if n < headBytes || n > maxFrame {
-			return fmt.Errorf("%w: a frame of %d bytes", ErrStreamUnusable, n)
+	defer func() { d.discard(used) }()
+	for len(d.buffer)-used >= lengthBytes {
+		rest := d.buffer[used:]
+		size := int64(binary.BigEndian.Uint32(rest)) + lengthBytes
+		if size < headBytes || size > maxFrameBytes {
+			return fmt.Errorf("%w: a frame of %d bytes after event %d, want %d to %d", ErrStreamUnusable, size, d.LastNumber, headBytes, maxFrameBytes)
 		}
-		if int64(len(rest)) < n {
+		if int64(len(rest)) < size {
 			return nil
 		}
-		ev, err := r.frame(rest[4:n])
+		event, err := d.decodeFrame(rest[lengthBytes:size])
 		if err != nil {
 			return err
 		}
-		used += int(n)
-		if ev != nil {
-			r.LastNumber = ev.Number
-			f(*ev)
+		used += int(size)
+		if event != nil {
+			d.LastNumber = event.Number
+			apply(*event)
 		}
 	}
 	return nil
 }
 
-// use drops what has been read, and the room of a long list once it is whole.
-func (r *Decoder) use(n int) {
-	r.buf = r.buf[:copy(r.buf, r.buf[n:])]
-	if len(r.buf) == 0 && cap(r.buf) > keepBytes {
-		r.buf = nil
+// discard drops what has been used, and the capacity that a long list took once all is used.
+func (d *Decoder) discard(used int) {
+	d.buffer = d.buffer[:copy(d.buffer, d.buffer[used:])]
+	if len(d.buffer) == 0 && cap(d.buffer) > keptCapacityBytes {
+		d.buffer = nil
 	}
 }
 
-// frame reads what follows a frame's length; nil: it tells nothing new.
-func (r *Decoder) frame(b []byte) (*Event, error) {
-	ev := &Event{Number: binary.BigEndian.Uint64(b)}
-	kind, b := b[8], b[9:]
+// decodeFrame reads what follows a frame's length; nil: it has no new event.
+func (d *Decoder) decodeFrame(data []byte) (*Event, error) {
+	number := binary.BigEndian.Uint64(data)
+	kind := frameKind(data[numberBytes])
+	payload := data[numberBytes+1:]
 	switch {
-	case kind > groupPurge:
-		return nil, fmt.Errorf("%w: event %d is of the unknown kind %d", ErrStreamUnusable, ev.Number, kind)
-	case kind == nothing && ev.Number == r.LastNumber:
-		r.UpToDate++
+	case kind > groupPurgeFrame:
+		return nil, fmt.Errorf("%w: event %d is of %v", ErrStreamUnusable, number, kind)
+	case kind == upToDateFrame && number == d.LastNumber:
+		d.UpToDate++
 		return nil, nil
-	case ev.Number <= r.LastNumber:
+	case number <= d.LastNumber:
 		return nil, nil
-	case kind == nothing, ev.Number != r.LastNumber+1 && kind != wholeList:
-		return nil, fmt.Errorf("%w: event %d follows %d", ErrStreamUnusable, ev.Number, r.LastNumber)
+	case kind == upToDateFrame, number != d.LastNumber+1 && kind != snapshotFrame:
+		return nil, fmt.Errorf("%w: event %d follows %d", ErrStreamUnusable, number, d.LastNumber)
 	}
-	want := map[byte]int{objectPurge: 16, groupPurge: 10}[kind]
-	if kind == wholeList || kind == changes {
-		want = len(b) / rowBytes * rowBytes
-	}
-	if len(b) != want {
-		return nil, fmt.Errorf("%w: event %d of kind %d has %d bytes", ErrStreamUnusable, ev.Number, kind, len(b))
+	if !payloadFits(kind, len(payload)) {
+		return nil, fmt.Errorf("%w: event %d, %v, has %d bytes", ErrStreamUnusable, number, kind, len(payload))
 	}
+	event := &Event{Number: number}
 	switch kind {
-	case objectPurge:
-		ev.Object, ev.PurgedAt = fmt.Sprintf("%016x", binary.BigEndian.Uint64(b)), int64(binary.BigEndian.Uint64(b[8:]))
-		return ev, nil
-	case groupPurge:
-		ev.Group, ev.PurgedAt = int(binary.BigEndian.Uint16(b)), int64(binary.BigEndian.Uint64(b[2:]))
-		return ev, nil
+	case objectPurgeFrame:
+		event.Object = fmt.Sprintf("%016x", binary.BigEndian.Uint64(payload))
+		event.PurgedAt = int64(binary.BigEndian.Uint64(payload[8:]))
+		return event, nil
+	case groupPurgeFrame:
+		event.Group = int(binary.BigEndian.Uint16(payload))
+		event.PurgedAt = int64(binary.BigEndian.Uint64(payload[2:]))
+		return event, nil
+	case snapshotFrame:
+		event.Kind = Snapshot
+	case deltaFrame:
+		event.Kind = Delta
 	}
-	ev.Listed, ev.Full = true, kind == wholeList
-	ev.Endpoints = make([]Endpoint, 0, len(b)/rowBytes)
-	for ; len(b) > 0; b = b[rowBytes:] {
-		state, zone, kind := int(b[10]), int(b[11]), int(b[12])
-		if state >= len(states) || zone >= len(r.Zones) || kind >= len(r.Kinds) {
-			return nil, fmt.Errorf("%w: event %d has state %d, zone %d, kind %d", ErrStreamUnusable, ev.Number, state, zone, kind)
+	event.Endpoints = make([]Endpoint, 0, len(payload)/endpointBytes)
+	for ; len(payload) > 0; payload = payload[endpointBytes:] {
+		endpoint, err := d.decodeEndpoint(payload[:endpointBytes])
+		if err != nil {
+			return nil, fmt.Errorf("%w: event %d: %w", ErrStreamUnusable, number, err)
 		}
-		ip := netip.AddrFrom4([4]byte(b[4:8]))
-		ev.Endpoints = append(ev.Endpoints, Endpoint{
-			ID:      fmt.Sprintf("s-%08x", binary.BigEndian.Uint32(b)),
-			Address: netip.AddrPortFrom(ip, binary.BigEndian.Uint16(b[8:])).String(),
-			State:   states[state], Zone: r.Zones[zone], Kind: r.Kinds[kind],
-			Cell:   int(binary.BigEndian.Uint16(b[13:])),
-			Weight: float64(binary.BigEndian.Uint32(b[15:])) / 1000, StartedAt: int64(binary.BigEndian.Uint64(b[19:])),
-		})
+		event.Endpoints = append(event.Endpoints, endpoint)
+	}
+	return event, nil
+}
+
+// payloadFits reports whether a frame of a kind with an event may have a payload of so many bytes.
+func payloadFits(kind frameKind, size int) bool {
+	switch kind {
+	case objectPurgeFrame:
+		return size == objectPurgeBytes
+	case groupPurgeFrame:
+		return size == groupPurgeBytes
+	}
+	return size%endpointBytes == 0
+}
+
+// decodeEndpoint reads one endpoint of a list: id, address, port, state, zone, kind, cell,
+// weight in thousandths, and time of its late start.
+func (d *Decoder) decodeEndpoint(data []byte) (Endpoint, error) {
+	state, zone, kind := State(data[10]), int(data[11]), int(data[12])
+	if state > Removed || zone >= len(d.Zones) || kind >= len(d.Kinds) {
+		return Endpoint{}, fmt.Errorf("an endpoint has state %d, zone %d, kind %d", state, zone, kind)
 	}
-	return ev, nil
+	ip := netip.AddrFrom4([4]byte(data[4:8]))
+	return Endpoint{
+		ID:        fmt.Sprintf("s-%08x", binary.BigEndian.Uint32(data)),
+		Address:   netip.AddrPortFrom(ip, binary.BigEndian.Uint16(data[8:])).String(),
+		State:     state,
+		Zone:      d.Zones[zone],
+		Kind:      d.Kinds[kind],
+		Cell:      int(binary.BigEndian.Uint16(data[13:])),
+		Weight:    float64(binary.BigEndian.Uint32(data[15:])) / 1000,
+		StartedAt: int64(binary.BigEndian.Uint64(data[19:])),
+	}, nil
 }
--- a/internal/protocol/discovery/decoder_test.go
+++ b/internal/protocol/discovery/decoder_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-func frame(n uint64, kind byte, payload ...byte) []byte {
+func frame(n uint64, kind frameKind, payload ...byte) []byte {
 	b := binary.BigEndian.AppendUint32(nil, uint32(9+len(payload)))
-	return append(append(binary.BigEndian.AppendUint64(b, n), kind), payload...)
+	return append(append(binary.BigEndian.AppendUint64(b, n), byte(kind)), payload...)
 }
 
 func reader() *Decoder { return &Decoder{Zones: []string{"a", "b"}, Kinds: []string{"box", "parent"}} }
@@ -19,23 +19,23 @@
 var row = []byte{0, 0xc4, 0x1f, 0x7a, 10, 1, 0, 9, 0x13, 0xba, 1, 1, 0, 0, 2, 0, 0, 0x0f, 0xa0, 0, 0, 1, 0x9a, 0, 0, 0, 5}
 
 func TestFrames(t *testing.T) {
-	purge := frame(2, objectPurge, 0x7f, 0x3a, 0x9c, 0x21, 0xe0, 0xb4, 0xd6, 0x55, 0, 0, 0, 0, 0, 0, 0, 9)
-	group := frame(3, groupPurge, 0, 17, 0, 0, 0, 0, 0, 0, 0, 8)
+	purge := frame(2, objectPurgeFrame, 0x7f, 0x3a, 0x9c, 0x21, 0xe0, 0xb4, 0xd6, 0x55, 0, 0, 0, 0, 0, 0, 0, 9)
+	group := frame(3, groupPurgeFrame, 0, 17, 0, 0, 0, 0, 0, 0, 0, 8)
 	var got []Event
 	r := reader()
-	all := append(append(append(frame(1, wholeList, row...), frame(1, nothing)...), purge...), append(purge, group...)...)
+	all := append(append(append(frame(1, snapshotFrame, row...), frame(1, upToDateFrame)...), purge...), append(purge, group...)...)
 	if err := r.Decode(all, func(e Event) { got = append(got, e) }); err != nil {
 		t.Fatal(err)
 	}
-	want := []Event{{Number: 1, Listed: true, Full: true, Endpoints: []Endpoint{{ID: "s-00c41f7a", Address: "10.1.0.9:5050", Zone: "b", Kind: "box", Cell: 2,
-		State: "draining", Weight: 4, StartedAt: 0x019a00000005}}}, {Number: 2, Object: "7f3a9c21e0b4d655", PurgedAt: 9}, {Number: 3, Group: 17, PurgedAt: 8}}
+	want := []Event{{Number: 1, Kind: Snapshot, Endpoints: []Endpoint{{ID: "s-00c41f7a", Address: "10.1.0.9:5050", Zone: "b", Kind: "box", Cell: 2,
+		State: Draining, Weight: 4, StartedAt: 0x019a00000005}}}, {Number: 2, Object: "7f3a9c21e0b4d655", PurgedAt: 9}, {Number: 3, Group: 17, PurgedAt: 8}}
 	if !reflect.DeepEqual(got, want) || r.LastNumber != 3 {
 		t.Errorf("got %+v", got)
 	}
 	for name, b := range map[string][]byte{
-		"a gap": frame(5, groupPurge, 0, 17, 0, 0, 0, 0, 0, 0, 0, 8), "news that was missed": frame(4, nothing), "half a row": frame(4, changes, row[1:]...),
+		"a gap": frame(5, groupPurgeFrame, 0, 17, 0, 0, 0, 0, 0, 0, 0, 8), "news that was missed": frame(4, upToDateFrame), "half a row": frame(4, deltaFrame, row[1:]...),
 		"a lying length": {0xff, 0xff, 0xff, 0xff}, "no room for a head": {0, 0, 0, 3}, "an unknown kind": frame(4, 9),
-		"an unknown state": frame(4, changes, append(append([]byte{}, row[:10]...), append([]byte{7}, row[11:]...)...)...),
+		"an unknown state": frame(4, deltaFrame, append(append([]byte{}, row[:10]...), append([]byte{7}, row[11:]...)...)...),
 	} {
 		r := reader()
 		r.LastNumber = 3
@@ -57,7 +57,7 @@
 			}
 			var b []byte
 			for n := from + 1; n < from+4; n++ {
-				f := frame(n, groupPurge, 0, 1, 0, 0, 0, 0, 0, 0, 0, 1)
+				f := frame(n, groupPurgeFrame, 0, 1, 0, 0, 0, 0, 0, 0, 0, 1)
 				for range rapid.IntRange(1, 2).Draw(t, "times") {
 					b = append(b, f...)
 				}
--- a/internal/protocol/discovery/known.go
+++ b/internal/protocol/discovery/known.go
@@ -2,25 +2,18 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net/netip"
 	"regexp"
 )
 
+// knownEvent is an event in a configuration: of members, or a purge.
 type knownEvent struct {
 	N       uint64 `json:"n"`
 	Members *struct {
-		Snapshot  bool `json:"snapshot"`
-		Endpoints []struct {
-			Name    string  `json:"name"`
-			Address string  `json:"address"`
-			Zone    string  `json:"zone"`
-			Type    string  `json:"type"`
-			Group   int     `json:"group"`
-			Status  string  `json:"status"`
-			Weight  float64 `json:"weight"`
-			Since   float64 `json:"since_ms"`
-		} `json:"endpoints"`
+		Snapshot  bool            `json:"snapshot"`
+		Endpoints []knownEndpoint `json:"endpoints"`
 	} `json:"members"`
 	Purge *struct {
 		Key   string  `json:"key"`
@@ -29,47 +22,88 @@
 	} `json:"purge"`
 }
 
-var memberID = regexp.MustCompile(`^[A-Za-z0-9_.:-]{1,64}$`)
+type knownEndpoint struct {
+	Name    string  `json:"name"`
+	Address string  `json:"address"`
+	Zone    string  `json:"zone"`
+	Type    string  `json:"type"`
+	Group   int     `json:"group"`
+	Status  string  `json:"status"`
+	Weight  float64 `json:"weight"`
+	Since   float64 `json:"since_ms"`
+}
+
+var endpointID = regexp.MustCompile(`^[A-Za-z0-9_.:-]{1,64}$`)
 
-// DecodeKnown reads the configuration's known and calls f with the events past the last one,
-// all of them or, on an error, none.
-func (r *Decoder) DecodeKnown(raw []byte, f func(Event)) error {
-	var k struct {
+// DecodeKnown reads the events that a configuration brings along, in JSON, and calls apply
+// with those after the last one: with all of them or, on an error, with none.
+func (d *Decoder) DecodeKnown(raw []byte, apply func(Event)) error {
+	var known struct {
 		N      uint64       `json:"n"`
 		Events []knownEvent `json:"events"`
 	}
-	if err := json.Unmarshal(raw, &k); err != nil {
-		return fmt.Errorf("feed: known: %w", err)
+	if err := json.Unmarshal(raw, &known); err != nil {
+		return fmt.Errorf("discovery: known: %w", err)
 	}
-	var list []Event
-	first := r.LastNumber == 0
-	for _, e := range k.Events {
-		if e.N <= r.LastNumber {
+	var events []Event
+	for i := range known.Events {
+		if known.Events[i].N <= d.LastNumber {
 			continue
 		}
-		ev := Event{Number: e.N}
-		switch {
-		case e.Members != nil:
-			ev.Listed, ev.Full = true, e.Members.Snapshot || first && len(list) == 0
-			for _, m := range e.Members.Endpoints {
-				if _, err := netip.ParseAddrPort(m.Address); err != nil || !memberID.MatchString(m.Name) ||
-					m.Status != states[0] && m.Status != states[1] && m.Status != states[2] {
-					return fmt.Errorf("feed: known: event %d: member %.40q at %.40q is %.20q", e.N, m.Name, m.Address, m.Status)
-				}
-				ev.Endpoints = append(ev.Endpoints, Endpoint{ID: m.Name, Address: m.Address, Zone: m.Zone, Kind: m.Type, Cell: m.Group,
-					State: m.Status, Weight: m.Weight, StartedAt: int64(m.Since)})
-			}
-		case e.Purge != nil:
-			ev.Object, ev.Group, ev.PurgedAt = e.Purge.Key, e.Purge.Group, int64(e.Purge.At)
-		default:
-			return fmt.Errorf("feed: known: event %d tells nothing", e.N)
+		first := d.LastNumber == 0 && len(events) == 0 // there is no list that it could change
+		event, err := known.Events[i].decode(first)
+		if err != nil {
+			return fmt.Errorf("discovery: known: event %d: %w", known.Events[i].N, err)
 		}
-		list = append(list, ev)
+		events = append(events, event)
 	}
-	for _, ev := range list {
-		r.LastNumber = max(r.LastNumber, ev.Number)
-		f(ev)
+	for _, event := range events {
+		d.LastNumber = max(d.LastNumber, event.Number)
+		apply(event)
 	}
-	r.LastNumber = max(r.LastNumber, k.N)
+	d.LastNumber = max(d.LastNumber, known.N)
 	return nil
 }
+
+// decode returns the event; first has changes of the list be the complete list.
+func (k *knownEvent) decode(first bool) (Event, error) {
+	event := Event{Number: k.N}
+	switch {
+	case k.Members != nil:
+		event.Kind = Delta
+		if k.Members.Snapshot || first {
+			event.Kind = Snapshot
+		}
+		for i := range k.Members.Endpoints {
+			endpoint, err := k.Members.Endpoints[i].decode()
+			if err != nil {
+				return Event{}, err
+			}
+			event.Endpoints = append(event.Endpoints, endpoint)
+		}
+	case k.Purge != nil:
+		event.Object = k.Purge.Key
+		event.Group = k.Purge.Group
+		event.PurgedAt = int64(k.Purge.At)
+	default:
+		return Event{}, errors.New("neither members nor a purge")
+	}
+	return event, nil
+}
+
+func (k *knownEndpoint) decode() (Endpoint, error) {
+	state, ok := parseState(k.Status)
+	if _, err := netip.ParseAddrPort(k.Address); err != nil || !ok || !endpointID.MatchString(k.Name) {
+		return Endpoint{}, fmt.Errorf("endpoint %.40q at %.40q is %.20q", k.Name, k.Address, k.Status)
+	}
+	return Endpoint{
+		ID:        k.Name,
+		Address:   k.Address,
+		Zone:      k.Zone,
+		Kind:      k.Type,
+		Cell:      k.Group,
+		State:     state,
+		Weight:    k.Weight,
+		StartedAt: int64(k.Since),
+	}, nil
+}
--- a/internal/protocol/discovery/known_test.go
+++ b/internal/protocol/discovery/known_test.go
@@ -9,7 +9,7 @@
 	 "type":"box","group":2,"status":"ready","weight":4,"since_ms":0}]}},{"n":2,"purge":{"key":"7f3a9c21e0b4d655","at":9}},{"n":3,"purge":{"group":17,"at":8}}]}`
 	r, n := reader(), 0
 	count := func(e Event) {
-		if n++; e.Number == 1 && (!e.Full || e.Endpoints[0].Weight != 4) || e.Number == 2 && e.Object == "" || e.Number == 3 && e.Group != 17 {
+		if n++; e.Number == 1 && (e.Kind != Snapshot || e.Endpoints[0].Weight != 4) || e.Number == 2 && e.Object == "" || e.Number == 3 && e.Group != 17 {
 			t.Errorf("%+v", e)
 		}
 	}
--- a/internal/protocol/discovery/scale_test.go
+++ b/internal/protocol/discovery/scale_test.go
@@ -35,10 +35,10 @@
 		next++
 		list = append(list, add(0, next)...)
 	}
-	all = frame(1, wholeList, list...)
+	all = frame(1, snapshotFrame, list...)
 	for n := range uint64(600 * rows / smallList) {
 		next++
-		all = append(all, frame(n+2, changes, append(add(2, next-uint32(rows)), add(0, next)...)...)...)
+		all = append(all, frame(n+2, deltaFrame, append(add(2, next-uint32(rows)), add(0, next)...)...)...)
 	}
 	return all
 }
--- a/internal/proxy/platform/answer.go
+++ b/internal/proxy/platform/answer.go
@@ -11,84 +11,87 @@
 	"indigospool/internal/protocol/resp"
 )
 
-var notesByHow = map[string]spool.Note{"cached": spool.NoteHit, "fetched": spool.NoteFilled,
-	"fetched_root": spool.NoteFilledByOrigin, "merged": spool.NoteJoined, "past_fresh": spool.NoteStale,
-	"up_refused": spool.NoteSourceRefused, "up_lost": spool.NoteSourceUnreached, "up_empty": spool.NoteSourceLacks,
-	"fills_full": spool.NoteNoPlace, "root_failed": spool.NoteOriginFailed}
+// resultOf is the result that an answer's word stands for; false: the word is unknown.
+func resultOf(word []byte) (result spool.Result, known bool) {
+	switch string(word) {
+	case "HIT", wordNotModified:
+		return spool.OK, true
+	case "NONE":
+		return spool.Miss, true
+	case "SHED":
+		return spool.Full, true
+	case "FAULT":
+		return spool.Errored, true
+	case "LATE":
+		return spool.Moot, true
+	}
+	return 0, false
+}
 
-var resultsByWord = map[string]spool.Result{"HIT": spool.OK, "VALID": spool.OK, "NONE": spool.Miss, "SHED": spool.Full,
-	"FAULT": spool.Errored, "LATE": spool.Moot}
+// wordNotModified answers that the client's own copy is current.
+const wordNotModified = "VALID"
 
-// answer carries one answer to the module and, if it is the object, to the client.
-func (c *memberConn) handleAnswer(answer resp.Answer) {
-	server := c.pool.server
-	index := slices.IndexFunc(c.awaiting, func(try *attempt) bool { return try.request.ID == string(answer.ID) })
-	if index < 0 { // a second copy, or nobody's: what follows can be read all the same
-		server.counts.Unmatched++
-		return
+// noteOf is what the field 'how' of an answer says; unknown values say nothing.
+func noteOf(how []byte) spool.Note {
+	switch string(how) {
+	case "cached":
+		return spool.NoteHit
+	case "fetched":
+		return spool.NoteFilled
+	case "fetched_root":
+		return spool.NoteFilledByOrigin
+	case "merged":
+		return spool.NoteJoined
+	case "past_fresh":
+		return spool.NoteStale
+	case "up_refused":
+		return spool.NoteSourceRefused
+	case "up_lost":
+		return spool.NoteSourceUnreached
+	case "up_empty":
+		return spool.NoteSourceLacks
+	case "fills_full":
+		return spool.NoteNoPlace
+	case "root_failed":
+		return spool.NoteOriginFailed
 	}
-	try := c.awaiting[index]
-	result, known := resultsByWord[string(answer.Word)]
-	note, waited, entity, issued := spool.NoteNone, 0.0, false, false
-	readable := resp.EachField(answer.Fields, func(name, value []byte) bool {
+	return spool.NoteNone
+}
+
+// answerFields are the fields of an answer that the router uses.
+type answerFields struct {
+	note   spool.Note
+	waited float64 // ms that the attempt was queued at the member; 0: not said
+	tagged bool    // it has the entity's tag
+	issued bool    // it has the time of issue
+}
+
+// parseAnswerFields reads a list of fields; false: it is malformed.
+func parseAnswerFields(list []byte) (fields answerFields, ok bool) {
+	fields.note = spool.NoteNone
+	ok = resp.EachField(list, func(name, value []byte) bool {
 		switch string(name) {
 		case "how":
-			note = notesByHow[string(value)]
+			fields.note = noteOf(value)
 		case "delay":
-			waited, _ = strconv.ParseFloat(string(value), 64)
+			fields.waited, _ = strconv.ParseFloat(string(value), 64)
 		case "entity":
-			entity = len(value) > 0
+			fields.tagged = len(value) > 0
 		case "issued":
 			_, err := strconv.ParseInt(string(value), 10, 64)
-			issued = err == nil
+			fields.issued = err == nil
 		}
 		return true
 	})
-	notModified := string(answer.Word) == "VALID"
-	req := try.request
-	if result == spool.Errored || result == spool.Moot {
-		server.log.Debug("answer", zap.String("member", c.pool.id), zap.ByteString("word", answer.Word),
-			zap.ByteString("fields", answer.Fields), zap.Any("request", req.Request), zap.Any("send", try.decision))
-	}
-	if !known || !readable || result == spool.OK && !req.write && (!entity || !issued) || notModified && (req.ClientTag == "" || len(answer.Body) > 0) {
-		server.counts.Malformed++
-		server.log.Debug("answer", zap.String("member", c.pool.id), zap.ByteString("word", answer.Word), zap.ByteString("fields", answer.Fields))
-		c.failMalformed(try)
-		return
-	}
-	if result == spool.OK && req.client != nil {
-		if server.counts.Served++; notModified {
-			server.counts.NotModified++
-		}
-		client := req.client
-		delete(client.open, req.sequence)
-		req.client = nil
-		client.queue(server.codec.Served(req.sequence, answer.Body, notModified))
-		try.finish(result, note, waited)
-		client.flush()
-		return
-	}
-	try.finish(result, note, waited)
+	return fields, ok
 }
 
-// spoil ends a connection on which an answer can't be used: that of a, or nil where it
-// can't be told whose. It ran, and the member is alive. The others that share the
-// connection are called off, since it is closed from here.
-func (c *memberConn) failMalformed(a *attempt) {
-	if a == nil && len(c.awaiting) > 0 {
-		a = c.awaiting[0]
-	}
-	if a != nil {
-		a.finish(spool.Errored, spool.NoteNone, 0)
-	}
-	c.fail(spool.Cancelled)
-}
-
-// read takes answers.
+// read takes what the member has sent, and handles each complete answer.
 func (c *memberConn) read() {
 	server := c.pool.server
+	partial := c.input.Len() > 0 // of an answer, from earlier reads
 	buffer := server.readBuffer
-	if c.input.Len() > 0 {
+	if partial {
 		buffer = c.input.Room()
 	}
 	size, err := server.loop.Read(c.fd, buffer)
@@ -99,29 +102,42 @@
 		c.fail(spool.Reset)
 		return
 	}
-	c.lastRead, c.lastUsed = server.loop.Now(), server.loop.Now()
-	data, buffered := buffer[:size], c.input.Len() > 0
-	if buffered {
+	c.lastRead = server.loop.Now()
+	c.lastUsed = c.lastRead
+	data := buffer[:size]
+	if partial {
 		c.input.Filled(size)
 		data = c.input.Bytes()
 	}
-	consumedTotal := 0
+	if !c.handleAnswers(data, partial) {
+		return
+	}
+	if !c.closed && c.closing && c.load() == 0 && c.writing == nil {
+		c.close()
+	}
+}
+
+// handleAnswers handles the complete answers in data and keeps the rest in input, where
+// data is if buffered is set. False: an answer was malformed, and the connection is closed.
+func (c *memberConn) handleAnswers(data []byte, buffered bool) bool {
+	server := c.pool.server
+	consumed := 0
 	for !c.closed {
-		answer, consumed, want, err := resp.ReadAnswer(data[consumedTotal:])
+		answer, size, want, err := resp.ReadAnswer(data[consumed:])
 		if err != nil {
 			server.counts.Malformed++
-			server.log.Debug("answer", zap.String("member", c.pool.id), zap.Error(err))
+			server.log.Debug("malformed answer", zap.String("member", c.pool.id), zap.Error(err))
 			c.failMalformed(nil)
-			return
+			return false
 		}
-		if consumed > 0 {
+		if size > 0 {
 			c.handleAnswer(answer)
-			consumedTotal += consumed
+			consumed += size
 			continue
 		}
-		rest := data[consumedTotal:]
+		rest := data[consumed:]
 		if buffered {
-			c.input.Take(&server.buffers, consumedTotal)
+			c.input.Take(&server.buffers, consumed)
 		} else if len(rest) > 0 {
 			c.input.Add(&server.buffers, rest)
 		}
@@ -130,7 +146,61 @@
 		}
 		break
 	}
-	if !c.closed && c.closing && len(c.awaiting)+len(c.queued) == 0 && c.writing == nil {
-		c.close()
+	return true
+}
+
+// handleAnswer finishes the attempt that an answer belongs to and, if the answer is the
+// object, answers the client.
+func (c *memberConn) handleAnswer(answer resp.Answer) {
+	server := c.pool.server
+	index := slices.IndexFunc(c.awaiting, func(a *attempt) bool { return a.request.ID == string(answer.ID) })
+	if index < 0 { // a second copy, or nobody's: what follows can be read all the same
+		server.counts.Unmatched++
+		return
+	}
+	a := c.awaiting[index]
+	req := a.request
+	result, known := resultOf(answer.Word)
+	fields, readable := parseAnswerFields(answer.Fields)
+	notModified := string(answer.Word) == wordNotModified
+	if result == spool.Errored || result == spool.Moot {
+		server.log.Debug("answer without an object", zap.String("member", c.pool.id), zap.ByteString("word", answer.Word),
+			zap.ByteString("fields", answer.Fields), zap.Any("request", req.Request), zap.Any("send", a.decision))
 	}
+	unversioned := result == spool.OK && !req.write && (!fields.tagged || !fields.issued)
+	noCopy := notModified && (req.ClientTag == "" || len(answer.Body) > 0)
+	if !known || !readable || unversioned || noCopy {
+		server.counts.Malformed++
+		server.log.Debug("malformed answer", zap.String("member", c.pool.id), zap.ByteString("word", answer.Word),
+			zap.ByteString("fields", answer.Fields))
+		c.failMalformed(a)
+		return
+	}
+	if result != spool.OK || req.client == nil {
+		a.finish(result, fields.note, fields.waited)
+		return
+	}
+	server.counts.Served++
+	if notModified {
+		server.counts.NotModified++
+	}
+	client := req.client
+	delete(client.open, req.sequence)
+	req.client = nil
+	client.queue(server.codec.Served(req.sequence, answer.Body, notModified))
+	a.finish(result, fields.note, fields.waited)
+	client.flush()
+}
+
+// failMalformed closes a connection on which an answer cannot be used: that of a, or nil
+// where it is unknown whose it is. The attempt ends as an error: it ran, and the member is
+// alive. The others that share the connection are cancelled.
+func (c *memberConn) failMalformed(a *attempt) {
+	if a == nil && len(c.awaiting) > 0 {
+		a = c.awaiting[0]
+	}
+	if a != nil {
+		a.finish(spool.Errored, spool.NoteNone, 0)
+	}
+	c.fail(spool.Cancelled)
 }
--- /dev/null
+++ b/internal/proxy/platform/answer_test.go
@@ -0,0 +1,38 @@
+package platform
+
+import (
+	"testing"
+
+	spool "indigospool"
+	"indigospool/internal/protocol/discovery"
+)
+
+// TestWordsOfAnswers: each word, each 'how' and each state of the platform has its own
+// meaning to the router, and unknown ones have none.
+func TestWordsOfAnswers(t *testing.T) {
+	for word, want := range map[string]spool.Result{"HIT": spool.OK, "VALID": spool.OK, "NONE": spool.Miss,
+		"SHED": spool.Full, "FAULT": spool.Errored, "LATE": spool.Moot} {
+		if got, known := resultOf([]byte(word)); got != want || !known {
+			t.Errorf("%s: result %d, known %v; want %d", word, got, known, want)
+		}
+	}
+	for _, word := range []string{"", "HOT", "hit"} {
+		if _, known := resultOf([]byte(word)); known {
+			t.Errorf("%q is known", word)
+		}
+	}
+	for how, want := range map[string]spool.Note{"cached": spool.NoteHit, "fetched": spool.NoteFilled,
+		"fetched_root": spool.NoteFilledByOrigin, "merged": spool.NoteJoined, "past_fresh": spool.NoteStale,
+		"up_refused": spool.NoteSourceRefused, "up_lost": spool.NoteSourceUnreached, "up_empty": spool.NoteSourceLacks,
+		"fills_full": spool.NoteNoPlace, "root_failed": spool.NoteOriginFailed, "": spool.NoteNone, "other": spool.NoteNone} {
+		if got := noteOf([]byte(how)); got != want {
+			t.Errorf("%q: note %d, want %d", how, got, want)
+		}
+	}
+	for state, want := range map[discovery.State]string{discovery.Ready: "serving", discovery.Draining: "draining",
+		discovery.Removed: "removed", discovery.Removed + 1: ""} {
+		if got := memberState(state); got != want {
+			t.Errorf("%v: state %q, want %q", state, got, want)
+		}
+	}
+}
--- a/internal/proxy/platform/attempt.go
+++ b/internal/proxy/platform/attempt.go
@@ -12,137 +12,153 @@
 	"indigospool/internal/protocol/resp"
 )
 
-// attempt is one attempt of a request. It is out from when it is written whole until
-// its outcome is told.
+// attempt is one attempt of a request at one member. It is in flight from the router's
+// decision until its outcome has been dispatched. Times are on the loop's clock, in ms.
 type attempt struct {
 	server    *Server
 	request   *request
-	number    int
+	number    int // from 0, within the request
 	decision  spool.Send
-	decidedAt float64 // when the module wanted it
+	decidedAt float64
+	startBy   float64 // no byte of it is written after this; 0: no bound
 	deadline  float64
-	timer     eventloop.Timer
-	pool      *pool
-	conn      *memberConn
-	startBy   float64 // it must not begin to be written later; 0: no bound
-	written   bool    // whole, as far as the machine took it
-	writtenAt float64 // when that was
-	finished  bool
+	timer     eventloop.Timer // runs out at the deadline
+	pool      *pool           // nil until it has been counted in one
+	conn      *memberConn     // nil while it has none
+	written   bool            // the kernel has taken all of its frame
+	writtenAt float64
+	finished  bool // its outcome has been dispatched
 }
 
-// send makes an attempt that the module wants.
-func (s *Server) startAttempt(request *request, decision spool.Send) {
+// minTimeLeft is the least time, in ms, with which an attempt is started.
+const minTimeLeft = 1
+
+// startAttempt begins the attempt that the router has decided on.
+func (s *Server) startAttempt(req *request, decision spool.Send) {
 	now := s.loop.Now()
-	try := &attempt{server: s, request: request, number: request.attempts, decision: decision, decidedAt: now, deadline: request.deadline}
-	request.attempts++
-	request.inFlight = try
+	a := &attempt{server: s, request: req, number: req.attempts, decision: decision, decidedAt: now, deadline: req.deadline}
+	req.attempts++
+	req.inFlight = a
 	s.counts.Attempts++
-	s.trace("send", request, zap.Int("try", try.number), zap.String("member", decision.Cache), zap.String("source", decision.Source), zap.Float64("within", decision.Timeout))
+	s.trace("attempt started", req, zap.Int("attempt", a.number), zap.String("member", decision.Cache),
+		zap.String("source", decision.Source), zap.Float64("within", decision.Timeout))
 	if decision.Timeout > 0 {
-		try.deadline = min(try.deadline, now+decision.Timeout)
+		a.deadline = min(a.deadline, now+decision.Timeout)
 	}
 	if decision.Within > 0 {
-		try.startBy = now + decision.Within
+		a.startBy = now + decision.Within
 	}
-	if try.deadline-now < 1 || try.mustNotStart() {
-		try.finish(spool.Moot, spool.NoteNone, 0)
+	if a.deadline-now < minTimeLeft || a.mustNotStart() {
+		a.finish(spool.Moot, spool.NoteNone, 0)
 		return
 	}
-	try.timer.F = func() { try.abandon(spool.TimedOut) }
-	s.loop.Arm(&try.timer, try.deadline-now)
-	pool := s.poolOf(decision.Cache)
-	try.pool = pool
-	pool.inFlight++
-	if request.forgottenAfter > 0 {
-		pool.closeIdleFor(request.forgottenAfter)
-	}
-	conn, failure := pool.pick(request.ID)
+	a.timer.F = func() { a.abandon(spool.TimedOut) }
+	s.loop.Arm(&a.timer, a.deadline-now)
+	a.assign(s.poolOf(decision.Cache))
+}
+
+// assign queues the attempt on a connection of the pool, or finishes it where there is none.
+func (a *attempt) assign(p *pool) {
+	a.pool = p
+	p.inFlight++
+	if idle := a.request.forgottenAfter; idle > 0 {
+		p.closeIdleFor(idle)
+	}
+	conn, failure := p.pick(a.request.ID)
 	if conn == nil {
-		s.counts.NoConnection++
-		try.finish(failure, spool.NoteNone, 0)
+		a.server.counts.NoConnection++
+		a.finish(failure, spool.NoteNone, 0)
 		return
 	}
-	try.conn = conn
-	conn.queued = append(conn.queued, try)
+	a.conn = conn
+	conn.queued = append(conn.queued, a)
 	if conn.connected {
 		conn.flush()
 	}
 }
 
-// moot reports whether an attempt must not begin, or not any more: its client has gone,
-// its member or its source takes nothing new, or its time or that within which it might
-// begin is over.
-// A connection may come up long after the module's decision.
+// mustNotStart reports whether no byte of the attempt may be written, or not any more: its
+// client has closed or given up, its member or source serves no more, or its time is over.
+// It is asked again before each write, as a connection may come up long after the decision.
 func (a *attempt) mustNotStart() bool {
-	serves := func(id string) bool {
-		m, ok := a.server.engine.Member(id)
-		return ok && m.State == spool.Serving
-	}
 	now := eventloop.Clock()
-	return a.request.client == nil || now >= a.deadline || a.startBy > 0 && now > a.startBy || !serves(a.decision.Cache) ||
-		a.decision.Source != "" && !serves(a.decision.Source)
+	switch {
+	case a.request.client == nil:
+		return true
+	case now >= a.deadline || a.startBy > 0 && now > a.startBy:
+		return true
+	case !a.server.serving(a.decision.Cache):
+		return true
+	}
+	return a.decision.Source != "" && !a.server.serving(a.decision.Source)
 }
 
-// purged takes back what has not begun to be written for an object, or for a group: the
-// age of copies that it would ask for was decided before the purge.
+// serving reports whether a member takes new attempts.
+func (s *Server) serving(id string) bool {
+	member, ok := s.engine.Member(id)
+	return ok && member.State == spool.Serving
+}
+
+// cancelPurged finishes the attempts for an object, or for a group, of which nothing has
+// been written: the age of copies that they would accept was decided before the purge.
 func (s *Server) cancelPurged(object string, group int) {
-	var list []*attempt
-	for _, r := range s.requests {
-		if a := r.inFlight; a != nil && a.conn != nil && !a.written && a.conn.writing != a &&
-			(r.Key == object || object == "" && r.Group == group) {
-			list = append(list, a)
+	var unwritten []*attempt
+	for _, req := range s.requests {
+		purged := req.Key == object || object == "" && req.Group == group
+		a := req.inFlight
+		if purged && a != nil && a.conn != nil && !a.written && a.conn.writing != a {
+			unwritten = append(unwritten, a)
 		}
 	}
-	for _, a := range list {
+	for _, a := range unwritten {
 		a.detach()
 		a.finish(spool.Moot, spool.NoteNone, 0)
 	}
 }
 
-// giveUp ends the wait for an attempt: nothing of it comes back any more.
+// abandon ends the wait for an attempt with a result: nothing of it is accepted any more.
 func (a *attempt) abandon(result spool.Result) {
 	if a.finished {
 		return
 	}
-	c := a.conn
 	if result == spool.TimedOut && !a.written {
 		result = spool.ConnectFailed // nothing of it can have run
 	}
-	switch {
-	case c == nil:
-	case c.writing == a: // a part of it is there: the rest would have to follow
-		a.detach()
-		c.fail(spool.Cancelled)
-	case a.written:
-		a.detach()
-		c.cancel(a)
-	default:
+	if conn := a.conn; conn != nil {
+		partial := conn.writing == a
 		a.detach()
+		switch {
+		case partial: // the rest of the frame would have to follow
+			conn.fail(spool.Cancelled)
+		case a.written:
+			conn.cancel(a)
+		}
 	}
 	a.finish(result, spool.NoteNone, 0)
 }
 
-// leave takes the attempt off its connection.
+// detach takes the attempt off its connection, if it has one.
 func (a *attempt) detach() {
-	c := a.conn
-	if c == nil {
+	conn := a.conn
+	if conn == nil {
 		return
 	}
 	a.conn = nil
-	same := func(b *attempt) bool { return b == a }
-	c.queued, c.awaiting = slices.DeleteFunc(c.queued, same), slices.DeleteFunc(c.awaiting, same)
-	if c.writing == a {
-		c.writing = nil
+	isThis := func(other *attempt) bool { return other == a }
+	conn.queued = slices.DeleteFunc(conn.queued, isThis)
+	conn.awaiting = slices.DeleteFunc(conn.awaiting, isThis)
+	if conn.writing == a {
+		conn.writing = nil
 	}
 }
 
-// end tells the module the outcome, once.
+// finish dispatches the outcome of the attempt, once. waited is how long the member says
+// that it had the attempt queue, in ms.
 func (a *attempt) finish(result spool.Result, note spool.Note, waited float64) {
 	if a.finished {
 		return
 	}
-	req := a.request
-	server := a.server
+	server, req := a.server, a.request
 	a.finished = true
 	a.detach()
 	server.loop.Forget(&a.timer)
@@ -151,27 +167,43 @@
 	}
 	req.inFlight = nil
 	server.counts.Outcomes[result]++
-	server.trace("outcome", req, zap.Int("try", a.number), zap.Int("result", int(result)), zap.Int("note", int(note)), zap.Bool("written", a.written))
-	if a.decision.Source != a.decision.Cache {
-		server.log.Debug("fill", zap.String("member", a.decision.Cache), zap.String("source", a.decision.Source), zap.String("class", req.Class),
-			zap.Int("result", int(result)), zap.Int("note", int(note)), zap.Float64("took", server.loop.Now()-a.decidedAt),
-			zap.Float64("waited", waited), zap.Float64("left", req.deadline-server.loop.Now()))
-	}
+	a.logOutcome(result, note, waited)
 	last := req.client == nil
 	if last {
 		server.endForClient(req)
 	}
-	server.dispatch(spool.Outcome{ID: req.ID, Cache: a.decision.Cache, Attempt: a.number, Result: result,
-		Took: server.loop.Now() - a.decidedAt, Last: last, Note: note, Waited: waited})
+	server.dispatch(spool.Outcome{
+		ID:      req.ID,
+		Cache:   a.decision.Cache,
+		Attempt: a.number,
+		Result:  result,
+		Took:    server.loop.Now() - a.decidedAt,
+		Last:    last,
+		Note:    note,
+		Waited:  waited,
+	})
+}
+
+func (a *attempt) logOutcome(result spool.Result, note spool.Note, waited float64) {
+	server, req := a.server, a.request
+	server.trace("attempt finished", req, zap.Int("attempt", a.number), zap.Int("result", int(result)),
+		zap.Int("note", int(note)), zap.Bool("written", a.written))
+	if a.decision.Source != a.decision.Cache {
+		server.log.Debug("fill", zap.String("member", a.decision.Cache), zap.String("source", a.decision.Source),
+			zap.String("class", req.Class), zap.Int("result", int(result)), zap.Int("note", int(note)),
+			zap.Float64("took", server.loop.Now()-a.decidedAt), zap.Float64("waited", waited),
+			zap.Float64("left", req.deadline-server.loop.Now()))
+	}
 }
 
-// frame is the attempt as the member reads it.
+// encode is the attempt's frame as it is written at now: the time left that it names is
+// counted from then.
 func (a *attempt) encode(now float64) []byte {
 	decision, req := &a.decision, a.request
 	fields := append([]byte("class="), req.Class...)
 	fields = append(append(fields, ",key="...), req.Key...)
 	fields = strconv.AppendInt(append(fields, ",part="...), int64(req.Part), 10)
-	fields = strconv.AppendInt(append(fields, ",wait="...), int64(max(a.deadline-now, 1)), 10)
+	fields = strconv.AppendInt(append(fields, ",wait="...), int64(max(a.deadline-now, minTimeLeft)), 10)
 	if req.IdempotencyKey != "" {
 		fields = append(append(fields, ",once="...), req.IdempotencyKey...)
 	}
@@ -184,18 +216,28 @@
 	if decision.Age > 0 { // never rounded to 0, which would mean the default
 		fields = strconv.AppendInt(append(fields, ",within="...), int64(max(min(decision.Age, math.MaxInt32), 1)), 10)
 	}
+	fields = appendFlags(fields, decision)
+	if req.ClientTag != "" {
+		fields = append(append(fields, ",mine="...), req.ClientTag...)
+	}
+	return resp.AppendArray(nil, []byte("REQ"), []byte(req.ID), fields, req.Body)
+}
+
+// appendFlags appends the field of flags, if any is set.
+func appendFlags(fields []byte, decision *spool.Send) []byte {
 	separator := ",f="
 	for _, flag := range []struct {
-		on   bool
-		word string
-	}{{decision.Join, "collapse"}, {decision.Held, "only-if-cached"}, {decision.Renew, "refresh"}} {
-		if flag.on {
-			fields = append(append(fields, separator...), flag.word...)
+		set  bool
+		name string
+	}{
+		{decision.Join, "collapse"},
+		{decision.Held, "only-if-cached"},
+		{decision.Renew, "refresh"},
+	} {
+		if flag.set {
+			fields = append(append(fields, separator...), flag.name...)
 			separator = "+"
 		}
 	}
-	if req.ClientTag != "" {
-		fields = append(append(fields, ",mine="...), req.ClientTag...)
-	}
-	return resp.AppendArray(nil, []byte("REQ"), []byte(req.ID), fields, req.Body)
+	return fields
 }
--- a/internal/proxy/platform/client.go
+++ b/internal/proxy/platform/client.go
@@ -5,38 +5,80 @@
 
 	spool "indigospool"
 	"indigospool/internal/eventloop"
+	"indigospool/internal/protocol/thriftrpc"
 	"indigospool/internal/proxy/limits"
 )
 
-func closeFD(fd int) { unix.Close(fd) }
-
-// client is a client's connection.
+// client is a client's connection. Times are on the loop's clock, in ms.
 type client struct {
 	server       *Server
 	fd           int
-	input        eventloop.Queue
+	input        eventloop.Queue // of a message that has come in part
 	output       eventloop.Queue
-	open         map[int32]*request
-	pending      []pendingCall // calls that were read whole, and of which nothing has begun
-	lastSequence int32         // number of the last call of serve
+	open         map[int32]*request // requests without their final answer, by sequence number
+	pending      []pendingCall      // calls that were read, and are not started
+	lastSequence int32              // of the last call of serve
 	activity     limits.Visitor
 	closed       bool
 
-	// What Node.take counts a request's time from.
+	// From these two the time of a request is counted, see Server.startRequest.
 	emptiedAt   float64 // when a read last found nothing more
-	unreadSince float64 // 0, or when bytes may have come that no read has reached yet
+	unreadSince float64 // since when bytes may have come that no read has reached; 0: none may
 
 	largeRead   bool            // so much came at once that the kernel may have held back more
-	settledAt   float64         // when that has come, if nothing comes before
-	settleTimer eventloop.Timer // has what waited for that begin
+	settledAt   float64         // by when that has come, if nothing comes before
+	settleTimer eventloop.Timer // starts what is pending
 }
 
-// owes reports whether the client has a request, or a part of an answer, to come.
-func (c *client) owesAnswer() bool {
-	return len(c.open) > 0 || len(c.pending) > 0 || c.output.Len() > 0
+// pendingCall is a call of serve that waits until all that came behind it has been read.
+type pendingCall struct {
+	thriftrpc.Call
+	arrivedAfter float64 // the earliest moment at which its last byte may have come
+	readAt       float64
 }
 
-// close ends a connection; what is open on it is given up.
+// OnReady implements eventloop.Handler.
+func (c *client) OnReady(ready eventloop.Ready) {
+	switch {
+	case ready.Ended(): // whatever it has sent before: nobody waits for an answer to it
+		c.close()
+		return
+	case c.activity.Shut > 0:
+		c.discardInput()
+		return
+	case ready.Writable() && c.output.Len() > 0:
+		c.flush()
+	}
+	if !c.closed && ready.Readable() {
+		c.receive()
+		c.startPending()
+	}
+}
+
+// openCalls is the number of calls without their final answer.
+func (c *client) openCalls() int { return len(c.open) + len(c.pending) }
+
+// owesAnswer reports whether an answer to the client, or a part of one, is still to be written.
+func (c *client) owesAnswer() bool { return c.openCalls() > 0 || c.output.Len() > 0 }
+
+// abandon tells the router that the client has given up a request.
+func (c *client) abandon(req *request) {
+	c.server.counts.Abandoned++
+	c.server.trace("abandoned", req)
+	c.server.endForClient(req)
+	c.server.dispatch(spool.Gone{ID: req.ID})
+}
+
+// shutdownWrite ends a connection at rest from this side. What its client sends at that
+// moment is read and discarded, so that the kernel resets nothing and the client knows to
+// send it again elsewhere. The connection is closed when the client closes it, or when it
+// overstays.
+func (c *client) shutdownWrite() {
+	c.activity.Shut = c.server.loop.Now()
+	unix.Shutdown(c.fd, unix.SHUT_WR)
+}
+
+// close ends the connection, and abandons what is open on it.
 func (c *client) close() {
 	if c.closed {
 		return
@@ -53,47 +95,12 @@
 	server.unsentBytes -= c.output.Len()
 	c.input.Drop(&server.buffers)
 	c.output.Drop(&server.buffers)
-	list := make([]*request, 0, len(c.open))
-	for _, r := range c.open {
-		list = append(list, r)
-		r.client = nil // nothing more is begun for any of them while the module hears of one
-	}
-	for _, r := range list {
-		c.abandon(r)
-	}
-}
-
-// shut ends a connection that is at rest, from this side. What its client sends in that
-// moment is read and dropped, so that the kernel resets nothing and the client can tell:
-// it sends that again elsewhere. The connection is closed when the client closes it, or
-// when it overstays.
-func (c *client) shutdownWrite() {
-	c.activity.Shut = c.server.loop.Now()
-	unix.Shutdown(c.fd, unix.SHUT_WR)
-}
-
-// giveUp tells the module that the client has left a request.
-func (c *client) abandon(r *request) {
-	c.server.counts.Abandoned++
-	c.server.trace("gone", r)
-	c.server.endForClient(r)
-	c.server.dispatch(spool.Gone{ID: r.ID})
-}
-
-// OnReady is the loop's.
-func (c *client) OnReady(ready eventloop.Ready) {
-	switch {
-	case ready.Ended(): // whatever it has sent before: nobody waits for an answer to it
-		c.close()
-		return
-	case c.activity.Shut > 0:
-		c.discardInput()
-		return
-	case ready.Writable() && c.output.Len() > 0:
-		c.flush()
+	abandoned := make([]*request, 0, len(c.open))
+	for _, req := range c.open {
+		abandoned = append(abandoned, req)
+		req.client = nil // no attempt starts for any of them while the router handles the first
 	}
-	if !c.closed && ready.Readable() {
-		c.receive()
-		c.startPending()
+	for _, req := range abandoned {
+		c.abandon(req)
 	}
 }
--- a/internal/proxy/platform/client_input.go
+++ b/internal/proxy/platform/client_input.go
@@ -11,27 +11,20 @@
 )
 
 const (
-	maxReadPerTurn = 256 << 10 // bytes that one turn reads of one client
-	largeReadBytes = 64 << 10  // bytes in one turn, past which the kernel may have held back more at the client's side
+	maxReadPerTurn = 256 << 10 // bytes that one turn of the loop reads of one client
+	largeReadBytes = 64 << 10  // bytes in one turn, above which the kernel may have held back more at the client's side
 	settleDelay    = 5.0       // ms in which that comes
 	maxPendingTime = 100.0     // ms that a call waits for what comes behind it
-	longTurn       = 30.0      // ms into a turn, from which on clients are read again before anything begins
+	longTurn       = 30.0      // ms into a turn, from which on clients are read again before anything is started
 )
 
-// late reports that the present turn began so long ago that clients may have left since.
+// inLongTurn reports whether the present turn of the loop began so long ago that clients may
+// have closed or given up since.
 func (s *Server) inLongTurn() bool { return eventloop.Clock()-s.loop.Now() > longTurn }
 
-// unsent is a call of serve that waits until all that came behind it has been read.
-type pendingCall struct {
-	thriftrpc.Call
-	arrivedAfter float64 // the earliest moment at which its last byte may have come
-	readAt       float64 // when it was read
-}
-
-// receive reads what has come. What gives up a request, or ends the connection, takes
-// effect at once; calls are kept until begin, so that one that is given up behind others,
-// however many, is not begun, and one that spoils its connection spoils what came along
-// with it.
+// receive reads what has come. What gives up a request or ends the connection takes effect
+// at once. Calls are kept until startPending, so that a call that is given up behind others,
+// however many, is not started, and a malformed message drops the calls that came with it.
 func (c *client) receive() {
 	server := c.server
 	arrivedAfter := c.unreadSince
@@ -52,11 +45,12 @@
 			c.close()
 			return
 		}
-		if c.parse(server.readBuffer[:size], arrivedAfter); c.closed {
+		c.parse(server.readBuffer[:size], arrivedAfter)
+		if c.closed {
 			return
 		}
 		left -= size
-		if size < len(server.readBuffer) && !server.inLongTurn() { // an end that has come in a long turn is read behind it
+		if size < len(server.readBuffer) && !server.inLongTurn() { // in a long turn, an end that has come is read as well
 			c.noteEmptied(startedAt, maxReadPerTurn-left)
 			return
 		}
@@ -64,15 +58,18 @@
 	c.unreadSince = arrivedAfter
 }
 
-// empty notes that a read that began at asked has left nothing, after so many bytes.
-func (c *client) noteEmptied(asked float64, size int) {
-	c.emptiedAt, c.unreadSince = asked, 0
-	if c.largeRead = c.largeRead || size > largeReadBytes; c.largeRead {
-		c.settledAt = asked + settleDelay
+// noteEmptied notes that a read that began at startedAt has left nothing unread, after so
+// many bytes in this turn.
+func (c *client) noteEmptied(startedAt float64, size int) {
+	c.emptiedAt = startedAt
+	c.unreadSince = 0
+	c.largeRead = c.largeRead || size > largeReadBytes
+	if c.largeRead {
+		c.settledAt = startedAt + settleDelay
 	}
 }
 
-// heed hears what the client has sent since the turn began, where that is long ago.
+// receiveInLongTurn reads what the client has sent since the turn began, where that is long ago.
 func (c *client) receiveInLongTurn() {
 	if c.closed || c.activity.Shut > 0 || !c.server.inLongTurn() || eventloop.Clock()-c.emptiedAt < longTurn {
 		return
@@ -83,14 +80,15 @@
 	}
 }
 
-// drop reads what comes after the connection was shut.
+// discardInput reads what comes after shutdownWrite.
 func (c *client) discardInput() {
-	if size, err := c.server.loop.Read(c.fd, c.server.readBuffer); !eventloop.Later(err) && (err != nil || size == 0) {
+	size, err := c.server.loop.Read(c.fd, c.server.readBuffer)
+	if !eventloop.Later(err) && (err != nil || size == 0) {
 		c.close()
 	}
 }
 
-// parse takes bytes that have come, and hears each message that is whole.
+// parse handles each complete message in what has come, and keeps the rest in input.
 func (c *client) parse(data []byte, arrivedAfter float64) {
 	server := c.server
 	buffered := c.input.Len() > 0
@@ -101,7 +99,7 @@
 	used, err := c.handleMessages(data, arrivedAfter)
 	if err != nil {
 		server.counts.Invalid++
-		server.log.Debug("client closed", zap.Error(err))
+		server.log.Debug("malformed message, connection closed", zap.Error(err))
 		c.close()
 	}
 	if c.closed {
@@ -116,8 +114,8 @@
 	c.noteProgress(used, rest)
 }
 
-// note keeps what the limits go by, after a read that ended so many bytes of whole messages
-// and left so many of one that is not.
+// noteProgress notes what the limits go by, after a read that completed messages of so many
+// bytes and left so many of the next one.
 func (c *client) noteProgress(used, rest int) {
 	server := c.server
 	if used > 0 {
@@ -136,7 +134,7 @@
 	}
 }
 
-// messages hears all whole frames, and tells how many bytes they take.
+// handleMessages handles all complete frames, and returns how many bytes they take.
 func (c *client) handleMessages(data []byte, arrivedAfter float64) (used int, err error) {
 	for !c.closed {
 		payload, size, err := thriftrpc.SplitFrame(data[used:])
@@ -156,8 +154,8 @@
 	return used, nil
 }
 
-// hear takes one message, and holds it to what a connection may do: numbers rise, and so
-// many requests are open at once.
+// handleCall handles one message. Its error is a breach of the rules of a connection:
+// sequence numbers rise, and the number of open calls is bounded.
 func (c *client) handleCall(call *thriftrpc.Call, arrivedAfter float64) error {
 	server := c.server
 	switch call.Method {
@@ -165,7 +163,8 @@
 		if call.Seq <= c.lastSequence {
 			return thriftrpc.ErrSequence
 		}
-		if c.lastSequence = call.Seq; len(c.open)+len(c.pending) >= thriftrpc.MaxOpenCalls {
+		c.lastSequence = call.Seq
+		if c.openCalls() >= thriftrpc.MaxOpenCalls {
 			return thriftrpc.ErrTooManyOpen
 		}
 		c.pending = append(c.pending, pendingCall{*call, arrivedAfter, eventloop.Clock()})
@@ -180,25 +179,26 @@
 	return nil
 }
 
-// forget gives up a call; one that was not begun is not heard of by anybody.
+// cancelCall gives up a call; one that is still pending never reaches the router.
 func (c *client) cancelCall(seq int32) {
-	if r := c.open[seq]; r != nil {
-		c.abandon(r)
+	if req := c.open[seq]; req != nil {
+		c.abandon(req)
 		return
 	}
-	at := slices.IndexFunc(c.pending, func(u pendingCall) bool { return u.Seq == seq })
-	if at >= 0 {
-		c.pending = slices.Delete(c.pending, at, at+1)
+	index := slices.IndexFunc(c.pending, func(call pendingCall) bool { return call.Seq == seq })
+	if index >= 0 {
+		c.pending = slices.Delete(c.pending, index, index+1)
 		c.server.counts.Abandoned++
 	}
 }
 
-// begin hands on the calls that were read, once nothing is left behind them that could
+// startPending starts the calls that were read, once nothing is left behind them that could
 // give them up.
 func (c *client) startPending() {
 	for !c.closed && len(c.pending) > 0 {
 		call := c.pending[0]
-		if now := eventloop.Clock(); c.expectsMore(now) && now-call.readAt < maxPendingTime {
+		now := eventloop.Clock()
+		if c.expectsMore(now) && now-call.readAt < maxPendingTime {
 			c.server.loop.Arm(&c.settleTimer, settleDelay)
 			break
 		}
@@ -211,8 +211,8 @@
 	c.flush()
 }
 
-// expects reports whether more is to come behind the calls that were read: it was not read
-// yet, or the kernel may have held it back. At the end of a drain there is no time for it.
+// expectsMore reports whether more is to come behind the calls that were read: it was not
+// read yet, or the kernel may have held it back. At the end of a drain nothing is waited for.
 func (c *client) expectsMore(now float64) bool {
 	if c.server.drainStarted > 0 && now >= c.server.lastAnswerBy {
 		return false
@@ -220,7 +220,7 @@
 	return c.unreadSince > 0 || c.largeRead && (c.settledAt > now || c.input.Len() > 0)
 }
 
-// serve begins a request, or turns it down.
+// startCall starts a request, or answers that its fields cannot be used.
 func (c *client) startCall(call *pendingCall) {
 	server := c.server
 	request, err := thriftrpc.ParseRequest(&call.Call, server.class)
@@ -229,7 +229,7 @@
 	}
 	if err != nil {
 		server.counts.Invalid++
-		server.log.Debug("request turned down", zap.Error(err))
+		server.log.Debug("invalid request", zap.Error(err))
 		c.queue(server.codec.Failed(call.Seq))
 		return
 	}
--- a/internal/proxy/platform/client_output.go
+++ b/internal/proxy/platform/client_output.go
@@ -5,32 +5,34 @@
 	"indigospool/internal/proxy/limits"
 )
 
-// answer gives a request its final answer.
-func (c *client) answer(r *request, frame []byte) {
-	c.server.endForClient(r)
+// answer sends a request's final answer.
+func (c *client) answer(req *request, frame []byte) {
+	c.server.endForClient(req)
 	c.queue(frame)
 	c.flush()
 }
 
-// queue adds bytes for the client. One that asks and takes nothing is closed before
-// what waits for all takes too much memory.
-func (c *client) queue(b []byte) {
-	server := c.server
+// queue adds a frame to what is to be written. The next flush writes it.
+func (c *client) queue(frame []byte) {
 	if c.closed {
 		return
 	}
+	server := c.server
+	now := server.loop.Now()
 	if c.output.Len() == 0 {
-		c.activity.Stuck = server.loop.Now()
+		c.activity.Stuck = now
 	}
-	c.output.Add(&server.buffers, b)
-	server.unsentBytes += len(b)
-	c.activity.Last = server.loop.Now()
+	c.output.Add(&server.buffers, frame)
+	server.unsentBytes += len(frame)
+	c.activity.Last = now
 }
 
+// flush writes as much as the kernel takes. Where too much is left unsent for all clients,
+// the one for which most is buffered is closed.
 func (c *client) flush() {
 	server := c.server
 	for !c.closed && c.output.Len() > 0 {
-		written, err := server.loop.Write(c.fd, c.output.Bytes())
+		size, err := server.loop.Write(c.fd, c.output.Bytes())
 		if eventloop.Later(err) {
 			break
 		}
@@ -38,48 +40,47 @@
 			c.close()
 			return
 		}
-		c.output.Take(&server.buffers, written)
-		server.unsentBytes -= written
+		c.output.Take(&server.buffers, size)
+		server.unsentBytes -= size
 		c.activity.Stuck = server.loop.Now()
 	}
 	if c.closed {
 		return
 	}
-	interest := eventloop.Read
-	if c.output.Len() > 0 {
-		interest |= eventloop.Write
-		if server.unsentBytes > server.maxBufferedBytes() {
-			server.closeLargestBuffer()
-		}
-		if c.closed {
-			return
-		}
-	} else {
+	if c.output.Len() == 0 {
 		c.activity.Stuck = 0
+		server.loop.Want(c.fd, eventloop.Read)
+		return
+	}
+	if server.unsentBytes > server.maxBufferedBytes() {
+		server.closeLargestBuffer()
+	}
+	if !c.closed {
+		server.loop.Want(c.fd, eventloop.Read|eventloop.Write)
 	}
-	server.loop.Want(c.fd, interest)
 }
 
-// kept is how many bytes wait for the client, or for the rest of its message.
+// bufferedBytes is how much is kept for the client: answers, and a message that has come in part.
 func (c *client) bufferedBytes() int { return c.input.Len() + c.output.Len() }
 
-// relieve closes the client for which most bytes are kept, where those that are kept for
-// clients take too much memory: answers that they don't read, and messages that don't come
-// whole.
+// maxBufferedBytes bounds what is kept for all clients together.
+func (s *Server) maxBufferedBytes() int {
+	return limits.WaitingBytes(int(s.config.Limits.MemoryMB * (1 << 20)))
+}
+
+// closeLargestBuffer closes the client for which most is buffered, where the sum for all
+// clients is over the bound.
 func (s *Server) closeLargestBuffer() {
 	var largest *client
 	total := 0
-	for client := range s.clients {
-		if total += client.bufferedBytes(); largest == nil || client.bufferedBytes() > largest.bufferedBytes() {
-			largest = client
+	for candidate := range s.clients {
+		size := candidate.bufferedBytes()
+		total += size
+		if largest == nil || size > largest.bufferedBytes() {
+			largest = candidate
 		}
 	}
 	if total > s.maxBufferedBytes() {
 		largest.close()
 	}
 }
-
-// waitingBytes is how much may wait, and be held of what has come in part.
-func (s *Server) maxBufferedBytes() int {
-	return limits.WaitingBytes(int(s.config.Limits.MemoryMB * (1 << 20)))
-}
--- a/internal/proxy/platform/config.go
+++ b/internal/proxy/platform/config.go
@@ -12,18 +12,18 @@
 	"indigospool/internal/protocol/simwire"
 )
 
-// Config is the platform's configuration of one router.
+// Config is the platform's configuration of one router, a JSON file. ReadConfig reads it.
 type Config struct {
 	Name   string `json:"name"`
-	Listen string `json:"listen"`
-	Seed   string `json:"seed"`
+	Listen string `json:"listen"` // address with a port, unless the command names another
+	Seed   string `json:"seed"`   // of the router's random choices, in hexadecimal
 	Limits struct {
-		MemoryMB float64 `json:"memory_mb"`
-		Sockets  int     `json:"sockets"`
+		MemoryMB float64 `json:"memory_mb"` // of the process, in MiB
+		Sockets  int     `json:"sockets"`   // descriptors of the process
 	} `json:"limits"`
-	Feed     string          `json:"feed"`
-	Known    json.RawMessage `json:"known"`
-	Settings json.RawMessage `json:"settings"`
+	Feed     string          `json:"feed"`     // address with a port of the discovery server
+	Known    json.RawMessage `json:"known"`    // discovery events up to the file's making
+	Settings json.RawMessage `json:"settings"` // of the router's decisions
 
 	settings simwire.Settings
 	seed     uint64
@@ -35,39 +35,40 @@
 	minSockets  = 32
 )
 
-// ReadConfig reads a configuration file and checks it whole.
+// ReadConfig reads a configuration file and checks all of it. An error that wraps an
+// *os.PathError says that the file could not be read, any other what in it is invalid.
 func ReadConfig(file string) (*Config, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
-	c := &Config{}
-	if err := json.Unmarshal(raw, c); err != nil {
+	config := &Config{}
+	if err := json.Unmarshal(raw, config); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	if c.settings, err = simwire.ParseSettings(c.Settings); err != nil {
+	if config.settings, err = simwire.ParseSettings(config.Settings); err != nil {
 		return nil, fmt.Errorf("%s: settings: %w", file, err)
 	}
-	if err := c.settings.Module.Valid(); err != nil {
+	if err := config.settings.Module.Valid(); err != nil {
 		return nil, fmt.Errorf("%s: settings: %w", file, err)
 	}
-	if err := c.check(); err != nil {
+	if err := config.check(); err != nil {
 		return nil, fmt.Errorf("%s: settings: %w", file, err)
 	}
-	if _, err := netip.ParseAddrPort(c.Feed); err != nil {
-		return nil, fmt.Errorf("%s: feed %.40q is no address with a port: %w", file, c.Feed, err)
+	if _, err := netip.ParseAddrPort(config.Feed); err != nil {
+		return nil, fmt.Errorf("%s: feed %.40q is no address with a port: %w", file, config.Feed, err)
 	}
-	if c.Limits.MemoryMB < minMemoryMB || c.Limits.Sockets < minSockets {
+	if config.Limits.MemoryMB < minMemoryMB || config.Limits.Sockets < minSockets {
 		return nil, fmt.Errorf("%s: limits of %v MB and %d descriptors; %d and %d are the least", file,
-			c.Limits.MemoryMB, c.Limits.Sockets, minMemoryMB, minSockets)
+			config.Limits.MemoryMB, config.Limits.Sockets, minMemoryMB, minSockets)
 	}
-	c.seed, _ = strconv.ParseUint(c.Seed, 16, 64) // any seed will do
-	return c, nil
+	config.seed, _ = strconv.ParseUint(config.Seed, 16, 64) // any seed will do
+	return config, nil
 }
 
-// check names the first field without which requests would be handled otherwise than
-// whoever wrote the settings meant: a write whose effect is left out is not one that may
-// be repeated at will.
+// check returns an error for the first field without which requests would be handled in
+// another way than its author meant: a write without its idempotency is not one that may be
+// retried freely.
 func (c *Config) check() error {
 	var written struct {
 		Classes []struct {
@@ -80,7 +81,8 @@
 	if err := json.Unmarshal(c.Settings, &written); err != nil {
 		return err
 	}
-	if attempts := written.Limits.MaxAttempts; attempts == nil || *attempts < 1 {
+	maxAttempts := written.Limits.MaxAttempts
+	if maxAttempts == nil || *maxAttempts < 1 {
 		return errors.New("limits: max_attempts is missing or under 1")
 	}
 	for i, class := range c.settings.Module.Classes {
--- a/internal/proxy/platform/connection.go
+++ b/internal/proxy/platform/connection.go
@@ -11,35 +11,47 @@
 	"indigospool/internal/protocol/resp"
 )
 
-// conn is one connection to a member.
+// memberConn is one connection to a member. Attempts go through queued, writing and
+// awaiting, in this order. Times are on the loop's clock, in ms.
 type memberConn struct {
-	pool          *pool
-	fd            int
-	connected     bool
-	closed        bool
-	closing       bool // nothing new goes to it
-	input, output eventloop.Queue
-	queued        []*attempt      // not begun to be written
-	writing       *attempt        // in out, and not whole at the member yet
-	idleBefore    float64         // how long it was not used before what is open on it, in ms
-	encodedAt     float64         // when its frame was made
-	frameBytes    int             // of its frame, in bytes
-	frameTimer    eventloop.Timer // when the rest of it would come too late
-	awaiting      []*attempt      // written whole
-	lastUsed      float64         // when it last was written to or read from
-	lastRead      float64         // when it was last read from
-	recent        [4]string       // requests that it had last: a copy of their answers may yet come
-	answered      int
-	connectTimer  eventloop.Timer
+	pool      *pool
+	fd        int
+	connected bool
+	closed    bool
+	closing   bool // no new attempt goes to it
+	input     eventloop.Queue
+	output    eventloop.Queue
+
+	queued     []*attempt // nothing of them is written
+	writing    *attempt   // its frame is in output, and has not been taken whole
+	awaiting   []*attempt // written whole, and not answered
+	encodedAt  float64    // when the frame of writing was made
+	frameBytes int
+	frameTimer eventloop.Timer // runs out when the rest of that frame would come too late
+
+	lastUsed   float64 // when it was last written to or read from
+	lastRead   float64
+	idleBefore float64 // how long it was not used before what is awaiting on it; 0: it is new
+
+	written      int       // attempts
+	recent       [4]string // ids of the requests written last: second copies of their answers may yet come
+	connectTimer eventloop.Timer
 }
 
-// OnReady is the loop's.
+// load is the number of attempts that share the connection.
+func (c *memberConn) load() int { return len(c.awaiting) + len(c.queued) }
+
+// idle reports whether the connection is up and has no attempt.
+func (c *memberConn) idle() bool { return c.connected && c.load() == 0 }
+
+// OnReady implements eventloop.Handler.
 func (c *memberConn) OnReady(ready eventloop.Ready) {
 	if !c.connected {
 		if !ready.Writable() {
 			return
 		}
-		if e, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR); err != nil || e != 0 {
+		errno, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
+		if err != nil || errno != 0 {
 			c.fail(spool.ConnectFailed)
 			return
 		}
@@ -55,36 +67,18 @@
 	}
 }
 
-// flush writes what is pending, one attempt after another, so that it is known of each
-// whether any of it, or all of it, went out.
+// flush writes what is queued, one attempt after another, so that it is known of each
+// whether any of it, or all of it, has been written.
 func (c *memberConn) flush() {
 	server := c.pool.server
 	if c.abandonOverdueFrame() {
 		return
 	}
 	for !c.closed {
-		for c.output.Len() > 0 {
-			written, err := server.loop.Write(c.fd, c.output.Bytes())
-			if eventloop.Later(err) {
-				server.loop.Want(c.fd, eventloop.Read|eventloop.Write)
-				c.requeueUnsent()
-				c.armFrameTimer()
-				return
-			}
-			if err != nil {
-				c.fail(spool.Reset)
-				return
-			}
-			c.output.Take(&server.buffers, written)
-		}
-		if a := c.writing; a != nil {
-			a.written, a.writtenAt, c.writing = true, eventloop.Clock(), nil
-			server.loop.Disarm(&c.frameTimer)
-			c.recent[c.answered%len(c.recent)] = a.request.ID
-			c.answered++
-			server.trace("written", a.request, zap.Int("try", a.number), zap.Int("fd", c.fd))
-			c.awaiting = append(c.awaiting, a)
+		if !c.writeOutput() {
+			return
 		}
+		c.awaitAnswer()
 		if len(c.queued) == 0 {
 			if c.closing && len(c.awaiting) == 0 { // what it was dialled for has been given up meanwhile
 				c.close()
@@ -94,10 +88,10 @@
 			return
 		}
 		a := c.queued[0]
-		if r := a.request; r.client != nil && server.inLongTurn() {
-			r.client.receiveInLongTurn()
+		if client := a.request.client; client != nil && server.inLongTurn() {
+			client.receiveInLongTurn()
 			if c.closed || c.writing != nil || c.output.Len() > 0 || len(c.queued) == 0 || c.queued[0] != a {
-				continue // what the client said has changed what there is to do here
+				continue // what the client has sent changes what there is to do here
 			}
 		}
 		c.queued = slices.Delete(c.queued, 0, 1)
@@ -105,22 +99,68 @@
 			a.finish(spool.Moot, spool.NoteNone, 0)
 			continue
 		}
-		if len(c.awaiting) == 0 {
-			c.idleBefore = 0
-			if c.answered > 0 {
-				c.idleBefore = server.loop.Now() - c.lastUsed
-			}
+		c.encode(a)
+	}
+}
+
+// writeOutput writes until output is empty. False: the kernel takes no more for now, or
+// the connection has ended.
+func (c *memberConn) writeOutput() bool {
+	server := c.pool.server
+	for c.output.Len() > 0 {
+		size, err := server.loop.Write(c.fd, c.output.Bytes())
+		if eventloop.Later(err) {
+			server.loop.Want(c.fd, eventloop.Read|eventloop.Write)
+			c.requeueUnsent()
+			c.armFrameTimer()
+			return false
+		}
+		if err != nil {
+			c.fail(spool.Reset)
+			return false
+		}
+		c.output.Take(&server.buffers, size)
+	}
+	return true
+}
+
+// awaitAnswer notes that the frame that was being written has been taken whole.
+func (c *memberConn) awaitAnswer() {
+	a := c.writing
+	if a == nil {
+		return
+	}
+	server := c.pool.server
+	a.written = true
+	a.writtenAt = eventloop.Clock()
+	c.writing = nil
+	server.loop.Disarm(&c.frameTimer)
+	c.recent[c.written%len(c.recent)] = a.request.ID
+	c.written++
+	server.trace("attempt written", a.request, zap.Int("attempt", a.number), zap.Int("fd", c.fd))
+	c.awaiting = append(c.awaiting, a)
+}
+
+// encode puts the frame of an attempt into output.
+func (c *memberConn) encode(a *attempt) {
+	server := c.pool.server
+	now := server.loop.Now()
+	if len(c.awaiting) == 0 {
+		c.idleBefore = 0
+		if c.written > 0 {
+			c.idleBefore = now - c.lastUsed
 		}
-		c.writing, c.lastUsed = a, server.loop.Now()
-		c.encodedAt = eventloop.Clock()
-		frame := a.encode(c.encodedAt)
-		c.frameBytes = len(frame)
-		c.output.Add(&server.buffers, frame)
 	}
+	c.writing = a
+	c.lastUsed = now
+	c.encodedAt = eventloop.Clock()
+	frame := a.encode(c.encodedAt)
+	c.frameBytes = len(frame)
+	c.output.Add(&server.buffers, frame)
 }
 
-// takeBack has an attempt of which the machine has taken nothing wait again: its frame is
-// made anew, if it is to begin at all by then.
+// requeueUnsent puts an attempt back into the queue of whose frame the kernel has taken
+// nothing: it is encoded anew later, with the time left by then, if it may still start.
 func (c *memberConn) requeueUnsent() {
 	if c.writing == nil || c.output.Len() < c.frameBytes {
 		return
@@ -130,19 +170,21 @@
 	c.writing = nil
 }
 
-// frameSlack is how long after a frame was made its last byte may leave, in ms: the time
-// that it names as left is too long by so much at most.
+// maxFrameDelay is how long after a frame was encoded its last byte may be written, in ms:
+// the time left that it names is too long by at most this.
 const maxFrameDelay = 80
 
-// restBy has the rest of a frame that was taken in part leave in time or not at all.
+// armFrameTimer bounds the time in which the rest of a partially written frame may follow.
 func (c *memberConn) armFrameTimer() {
-	if l := c.pool.server.loop; c.writing != nil && !c.frameTimer.Armed() {
-		l.Arm(&c.frameTimer, c.encodedAt+maxFrameDelay-l.Now())
+	loop := c.pool.server.loop
+	if c.writing != nil && !c.frameTimer.Armed() {
+		loop.Arm(&c.frameTimer, c.encodedAt+maxFrameDelay-loop.Now())
 	}
 }
 
-// stale gives up an attempt whose frame was taken in part, where the time that it names is
-// too long by now. A part of it is there: the connection goes with it.
+// abandonOverdueFrame gives up an attempt whose frame was written in part, where the time
+// left that it names is too long by now. The connection is closed with it, as the member
+// has a part of the frame. It reports whether there was such an attempt.
 func (c *memberConn) abandonOverdueFrame() bool {
 	a := c.writing
 	if c.closed || a == nil || eventloop.Clock()-c.encodedAt < maxFrameDelay {
@@ -152,25 +194,28 @@
 	return true
 }
 
-// stop gives up an attempt that was written. A connection on which nothing came since is
-// not trusted with another: its member may have vanished. Where the request is to be
-// sent again, a word that may never arrive is not enough: what it had alone is closed,
-// and so is what has been silent since.
+// cancel gives up an attempt that was written and has been detached, by STOP or by closing
+// the connection. A connection on which nothing came since the write is not trusted with
+// another attempt: its member may be gone. Where the request is to be retried, a STOP that
+// may never arrive is not enough: a connection that the attempt had alone, or that has been
+// silent since, is closed.
 func (c *memberConn) cancel(a *attempt) {
-	server := c.pool.server
 	if c.closed {
 		return
 	}
-	silent, alone := c.lastRead <= a.writtenAt, len(c.awaiting)+len(c.queued) == 0 && c.writing == nil
+	server := c.pool.server
+	silent := c.lastRead <= a.writtenAt
+	alone := c.load() == 0 && c.writing == nil
 	if silent || c.writing != nil {
 		c.closing = true
 	}
 	retried := a.request.client != nil
-	server.trace("stop", a.request, zap.Int("try", a.number), zap.Int("fd", c.fd), zap.Bool("silent", silent), zap.Bool("alone", alone))
+	server.trace("attempt cancelled", a.request, zap.Int("attempt", a.number), zap.Int("fd", c.fd),
+		zap.Bool("silent", silent), zap.Bool("alone", alone))
 	switch {
 	case alone && (retried || c.closing):
 		c.close()
-	case retried && silent, c.writing != nil: // behind a part of another, the word would come late
+	case retried && silent, c.writing != nil: // behind a part of another frame, STOP would come late
 		c.fail(spool.Cancelled)
 	default:
 		c.output.Add(&server.buffers, resp.AppendArray(nil, []byte("STOP"), []byte(a.request.ID)))
@@ -178,8 +223,8 @@
 	}
 }
 
-// fail ends a connection that is of no use, and all that is open on it: what had been
-// written whole ends with result, the rest cannot have run.
+// fail closes the connection and finishes all attempts on it: those written whole with
+// result, the others with ConnectFailed, as they cannot have run.
 func (c *memberConn) fail(result spool.Result) {
 	if c.closed {
 		return
@@ -187,7 +232,8 @@
 	if result == spool.Reset {
 		c.closeLikelyForgotten()
 	}
-	awaiting, unsent := slices.Clone(c.awaiting), slices.Clone(c.queued)
+	awaiting := slices.Clone(c.awaiting)
+	unsent := slices.Clone(c.queued)
 	if c.writing != nil {
 		unsent = append(unsent, c.writing)
 	}
@@ -203,10 +249,10 @@
 	}
 }
 
-// forgotten looks at a connection that the member has ended. Where nothing came on it since
-// it rested, the member may have forgotten it, and others that rested as long: these are
-// closed, here and wherever what was out on it is sent next, so that no request spends its
-// attempts on them.
+// closeLikelyForgotten looks at a connection that the member has ended. Where nothing was
+// read from it since it was idle, the member may have forgotten it, and others that were idle
+// as long: these are closed, here and at the members to which the attempts on it are retried,
+// so that no request spends its attempts on them.
 func (c *memberConn) closeLikelyForgotten() {
 	if c.idleBefore < minForgetAfter || len(c.awaiting) == 0 || c.lastRead > c.awaiting[0].writtenAt {
 		return
@@ -220,6 +266,7 @@
 	c.pool.closeIdleFor(idle)
 }
 
+// close ends the connection and returns its buffers. It has no attempts by now.
 func (c *memberConn) close() {
 	if c.closed {
 		return
@@ -233,5 +280,5 @@
 	c.input.Drop(&server.buffers)
 	c.output.Drop(&server.buffers)
 	server.memberConnections--
-	c.pool.connections = slices.DeleteFunc(c.pool.connections, func(d *memberConn) bool { return d == c })
+	c.pool.connections = slices.DeleteFunc(c.pool.connections, func(other *memberConn) bool { return other == c })
 }
--- a/internal/proxy/platform/discovery_events.go
+++ b/internal/proxy/platform/discovery_events.go
@@ -7,39 +7,56 @@
 	"indigospool/internal/proxy/engine"
 )
 
-// eventsOf hands the events of a configuration on. The times of all of them are looked at
-// first: the last tell how old the others are.
-func (s *Server) applyEvents(list []discovery.Event) {
-	for i := range list {
-		s.observeTimes(&list[i])
+// leastUptime is the least age of a member's late start, in ms: 0 would mean long ago.
+const leastUptime = 0.001
+
+// memberState is the engine's name of an endpoint's state.
+func memberState(state discovery.State) string {
+	switch state {
+	case discovery.Ready:
+		return "serving"
+	case discovery.Draining:
+		return "draining"
+	case discovery.Removed:
+		return "removed"
 	}
-	for _, ev := range list {
-		s.applyEvent(ev)
+	return ""
+}
+
+// applyEvents applies the events of a configuration. The times of all of them are observed
+// first: the last ones say how old the others are.
+func (s *Server) applyEvents(events []discovery.Event) {
+	for i := range events {
+		s.observeTimes(&events[i])
+	}
+	for _, event := range events {
+		s.applyEvent(event)
 	}
 }
 
-// event hands an event of the feed on to the module. How old what it tells is goes by the
-// platform's own times alone: the wall clock of this machine may be anywhere.
+// applyEvent has the router handle a discovery event. The age of what it says goes by the
+// platform's own times alone: the wall clock of this machine may be wrong by any amount.
 func (s *Server) applyEvent(event discovery.Event) {
 	s.counts.Events++
 	s.observeTimes(&event)
-	now := s.loop.Now()
-	if !event.Listed {
-		s.dispatch(spool.Purge{Object: event.Object, Group: event.Group, Age: s.platformTime.Age(float64(event.PurgedAt), now)})
-		s.cancelPurged(event.Object, event.Group)
+	if event.Kind != discovery.Purge {
+		s.applyList(&event)
 		return
 	}
+	age := s.platformTime.Age(float64(event.PurgedAt), s.loop.Now())
+	s.dispatch(spool.Purge{Object: event.Object, Group: event.Group, Age: age})
+	s.cancelPurged(event.Object, event.Group)
+}
+
+// applyList has the router handle a snapshot or a delta of the endpoint list.
+func (s *Server) applyList(event *discovery.Event) {
+	now := s.loop.Now()
 	update := engine.News{Rev: int64(event.Number), How: "step"}
-	if event.Full {
+	if event.Kind == discovery.Snapshot {
 		update.How = "full"
 	}
-	for _, endpoint := range event.Endpoints {
-		row := engine.Row{ID: endpoint.ID, Zone: endpoint.Zone, Kind: endpoint.Kind, Cell: endpoint.Cell, State: memberStateNames[endpoint.State],
-			Size: endpoint.Weight, Address: endpoint.Address, Start: endpoint.StartedAt}
-		if endpoint.StartedAt > 0 {
-			row.UpMs = max(s.platformTime.Age(float64(endpoint.StartedAt), now), leastUptime)
-		}
-		update.Members = append(update.Members, row)
+	for i := range event.Endpoints {
+		update.Members = append(update.Members, s.engineRow(&event.Endpoints[i], now))
 	}
 	for _, e := range s.engine.Apply(now, &update).Events {
 		s.dispatch(e)
@@ -47,16 +64,34 @@
 	for _, endpoint := range event.Endpoints {
 		s.memberChanged(endpoint.ID)
 	}
-	if event.Full { // those that it does not name are gone
-		s.engine.Members(func(m spool.Member, _ string) { s.memberChanged(m.ID) })
+	if event.Kind == discovery.Snapshot { // members that it does not name are removed
+		s.engine.Members(func(member spool.Member, _ string) { s.memberChanged(member.ID) })
+	}
+}
+
+// engineRow is an endpoint in the engine's form.
+func (s *Server) engineRow(endpoint *discovery.Endpoint, now float64) engine.Row {
+	row := engine.Row{
+		ID:      endpoint.ID,
+		Zone:    endpoint.Zone,
+		Kind:    endpoint.Kind,
+		Cell:    endpoint.Cell,
+		State:   memberState(endpoint.State),
+		Size:    endpoint.Weight,
+		Address: endpoint.Address,
+		Start:   endpoint.StartedAt,
+	}
+	if endpoint.StartedAt > 0 {
+		row.UpMs = max(s.platformTime.Age(float64(endpoint.StartedAt), now), leastUptime)
 	}
+	return row
 }
 
-// saw shows the clock an event's times. They may lie behind the beginning of the turn in
-// which it is read.
+// observeTimes shows the times in an event to the clock of the platform. They may lie behind
+// the beginning of the loop's turn in which the event is read.
 func (s *Server) observeTimes(event *discovery.Event) {
 	now := eventloop.Clock()
-	if !event.Listed {
+	if event.Kind == discovery.Purge {
 		s.platformTime.Saw(float64(event.PurgedAt), now)
 	}
 	for i := range event.Endpoints {
@@ -66,16 +101,12 @@
 	}
 }
 
-// changed has what is kept of a member go by its row: a pool that it no longer fits is
-// closed, and one that is gone is forgotten.
+// memberChanged closes the pool of a member that is not serving any more or has another
+// address, and has the engine forget one that was removed.
 func (s *Server) memberChanged(id string) {
 	p := s.pools[id]
-	if m, ok := s.engine.Member(id); p != nil && (!ok || m.State != spool.Serving || s.engine.Address(id) != p.address) {
+	if p != nil && (!s.serving(id) || s.engine.Address(id) != p.address) {
 		p.close()
 	}
 	s.engine.Forget(id)
 }
-
-const leastUptime = 0.001 // ms: 0 would mean long ago
-
-var memberStateNames = map[string]string{"ready": "serving", "draining": "draining", "gone": "removed"}
--- a/internal/proxy/platform/discovery_stream.go
+++ b/internal/proxy/platform/discovery_stream.go
@@ -8,114 +8,131 @@
 	"indigospool/internal/proxy/limits"
 )
 
-// watch follows the control feed of the configuration, over one connection after another.
-// Where discovery is slow to say its first word, an earlier connection is kept beside the
-// one that was begun after it, and the first to say something is followed.
+// discoveryStream follows the discovery server of the configuration, over one connection after
+// another. Where the server takes long until its first byte, an earlier connection is kept
+// beside the one that was begun after it, and the first to send something is followed.
 type discoveryStream struct {
 	server   *Server
 	decoder  discovery.Decoder
-	current  *discoveryConn // the one that was begun last, or has said something
-	previous *discoveryConn // an earlier one that has not said anything yet
+	current  *discoveryConn // the one begun last, or the one that has sent something; nil in a pause
+	previous *discoveryConn // an earlier one that has not sent anything yet; nil: none
 	timer    eventloop.Timer
 	backoff  *limits.Again
 	dial     func(address string) (fd int, inProgress bool, err error)
 }
 
-// feedConn is a connection to the feed.
+// discoveryConn is a connection to the discovery server.
 type discoveryConn struct {
 	stream    *discoveryStream
 	fd        int
-	request   []byte // what is still to be written first
+	request   []byte // what is still to be written of the first message
 	startedAt eventloop.Millis
-	alive     bool // it has said something
+	alive     bool // it has sent something
 }
 
-// The feed tells something each second; one that is silent for longer is left. It is
-// asked again within 2 s of a break and 4 s of a silence, and no later than half a second
-// after it has come back; all routers lose it in the same moment, and don't ask in step.
+// The discovery server sends something each second; a connection that is silent for longer
+// is closed. The next one is begun within 2 s of a break and 4 s of a silence, and no later
+// than half a second after the server has come back. All routers lose it at the same moment,
+// and must not come back in step. Times are in ms.
 const (
-	streamSilence    = 1800  // ms without a byte
-	firstPause       = 250   // ms within which it is asked after a break
-	basePause        = 150   // ms before the second try
-	maxPause         = 500   // ms between two tries at the most
-	stableAfter      = 1000  // ms for which a connection lasts that counts as a success
-	firstByteTimeout = 10000 // ms for which a first word is awaited, while others are begun
+	streamSilence    = 1800  // without a byte
+	firstPause       = 250   // at most, before the first attempt after a break
+	basePause        = 150   // before the second attempt
+	maxPause         = 500   // between two attempts
+	stableAfter      = 1000  // of a connection, after which the backoff starts over
+	firstByteTimeout = 10000 // for which a first byte is awaited, while other connections are begun
 )
 
-// connect begins to follow the feed of the configuration, in place of any other.
-func (w *discoveryStream) reconnect() {
-	w.closeConn(&w.previous)
-	w.closeConn(&w.current)
-	w.dialNext()
+// init prepares the stream by the server's configuration. reconnect starts it.
+func (d *discoveryStream) init(s *Server) {
+	d.server = s
+	d.decoder = discovery.Decoder{Zones: s.config.settings.Module.Zones, Kinds: s.config.settings.Kinds}
+	d.dial = s.loop.Dial
+	d.backoff = limits.NewAgain(firstPause, basePause, maxPause, s.config.seed)
+	d.timer.F = d.onTimer
 }
 
-// begin begins another connection.
-func (w *discoveryStream) dialNext() {
-	w.timer.F = w.onTimer
-	w.server.loop.Arm(&w.timer, streamSilence)
-	fd, _, err := w.dial(w.server.config.Feed)
+// reconnect begins to follow the server of the configuration, in place of any other.
+func (d *discoveryStream) reconnect() {
+	d.closeConn(&d.previous)
+	d.closeConn(&d.current)
+	d.dialNext()
+}
+
+// dialNext begins another connection. Where that fails, the timer runs out after a pause.
+func (d *discoveryStream) dialNext() {
+	loop := d.server.loop
+	loop.Arm(&d.timer, streamSilence)
+	fd, _, err := d.dial(d.server.config.Feed)
 	if err != nil {
-		w.server.loop.Arm(&w.timer, w.backoff.In())
+		loop.Arm(&d.timer, d.backoff.In())
 		return
 	}
-	c := &discoveryConn{stream: w, fd: fd, request: w.decoder.Resume(), startedAt: w.server.loop.Now()}
-	if err := w.server.loop.Add(fd, eventloop.Read|eventloop.Write, c); err != nil {
+	c := &discoveryConn{stream: d, fd: fd, request: d.decoder.Resume(), startedAt: loop.Now()}
+	if err := loop.Add(fd, eventloop.Read|eventloop.Write, c); err != nil {
 		closeFD(fd)
-		w.server.loop.Arm(&w.timer, w.backoff.In())
+		loop.Arm(&d.timer, d.backoff.In())
 		return
 	}
-	w.current = c
+	d.current = c
 }
 
-// late goes on after a silence, or after the pause that follows a break.
-func (w *discoveryStream) onTimer() {
-	if c := w.current; c != nil {
-		w.server.log.Warn("feed is silent", zap.String("feed", w.server.config.Feed), zap.Uint64("last", w.decoder.LastNumber))
-		if w.previous != nil && w.server.loop.Now()-w.previous.startedAt > firstByteTimeout {
-			w.closeConn(&w.previous)
+// onTimer begins another connection after a silence, or after the pause that follows a break.
+func (d *discoveryStream) onTimer() {
+	if c := d.current; c != nil {
+		d.server.log.Warn("discovery stream is silent", zap.String("feed", d.server.config.Feed),
+			zap.Uint64("last", d.decoder.LastNumber))
+		if d.previous != nil && d.server.loop.Now()-d.previous.startedAt > firstByteTimeout {
+			d.closeConn(&d.previous)
 		}
-		if w.previous == nil && !c.alive {
-			w.previous, w.current = c, nil
+		if d.previous == nil && !c.alive {
+			d.previous = c
+			d.current = nil
 		}
 	}
-	w.closeConn(&w.current)
-	w.dialNext()
+	d.closeConn(&d.current)
+	d.dialNext()
 }
 
-// end closes a connection, if there is one.
-func (w *discoveryStream) closeConn(which **discoveryConn) {
-	if c := *which; c != nil {
-		w.server.loop.Remove(c.fd)
-		closeFD(c.fd)
-		*which = nil
+// closeConn closes a connection, if there is one.
+func (d *discoveryStream) closeConn(conn **discoveryConn) {
+	c := *conn
+	if c == nil {
+		return
 	}
+	d.server.loop.Remove(c.fd)
+	closeFD(c.fd)
+	*conn = nil
 }
 
-// broke leaves a connection, and has another one begun where it was the one followed.
-func (w *discoveryStream) connEnded(c *discoveryConn) {
-	if c == w.previous {
-		w.closeConn(&w.previous)
+// connEnded closes a connection that has ended, and has another one begun after a pause
+// where it was the current one.
+func (d *discoveryStream) connEnded(c *discoveryConn) {
+	if c == d.previous {
+		d.closeConn(&d.previous)
 		return
 	}
-	w.closeConn(&w.current)
-	w.server.loop.Arm(&w.timer, w.backoff.In())
+	d.closeConn(&d.current)
+	d.server.loop.Arm(&d.timer, d.backoff.In())
 }
 
-// heard has a connection that said something be the only one.
-func (w *discoveryStream) connAlive(c *discoveryConn) {
-	if c == w.previous {
-		w.closeConn(&w.current)
-		w.current, w.previous = c, nil
-	}
-	w.closeConn(&w.previous)
+// connAlive makes a connection that has sent something the only one.
+func (d *discoveryStream) connAlive(c *discoveryConn) {
+	loop := d.server.loop
+	if c == d.previous {
+		d.closeConn(&d.current)
+		d.current = c
+		d.previous = nil
+	}
+	d.closeConn(&d.previous)
 	c.alive = true
-	if w.server.loop.Now()-c.startedAt >= stableAfter {
-		w.backoff.Well()
+	if loop.Now()-c.startedAt >= stableAfter {
+		d.backoff.Well()
 	}
-	w.server.loop.Arm(&w.timer, streamSilence)
+	loop.Arm(&d.timer, streamSilence)
 }
 
-// OnReady is the loop's.
+// OnReady implements eventloop.Handler.
 func (c *discoveryConn) OnReady(ready eventloop.Ready) {
 	if ready.Writable() && len(c.request) > 0 && !c.writeRequest() {
 		return
@@ -125,9 +142,10 @@
 	}
 }
 
-// greet writes what is left of the first message. False: the connection has ended.
+// writeRequest writes what is left of the first message. False: the connection has ended.
 func (c *discoveryConn) writeRequest() bool {
-	written, err := c.stream.server.loop.Write(c.fd, c.request)
+	loop := c.stream.server.loop
+	size, err := loop.Write(c.fd, c.request)
 	if eventloop.Later(err) {
 		return true
 	}
@@ -135,31 +153,32 @@
 		c.stream.connEnded(c)
 		return false
 	}
-	if c.request = c.request[written:]; len(c.request) == 0 {
-		c.stream.server.loop.Want(c.fd, eventloop.Read)
+	c.request = c.request[size:]
+	if len(c.request) == 0 {
+		loop.Want(c.fd, eventloop.Read)
 	}
 	return true
 }
 
-// read takes what has come.
+// read applies the events in what has come.
 func (c *discoveryConn) read() {
-	w, server := c.stream, c.stream.server
+	stream, server := c.stream, c.stream.server
 	size, err := server.loop.Read(c.fd, server.readBuffer)
 	if eventloop.Later(err) {
 		return
 	}
 	if err != nil || size == 0 {
-		w.connEnded(c)
+		stream.connEnded(c)
 		return
 	}
-	w.connAlive(c)
-	idle := w.decoder.UpToDate
-	if err := w.decoder.Decode(server.readBuffer[:size], server.applyEvent); err != nil {
-		server.log.Warn("feed", zap.Error(err))
-		w.connEnded(c)
+	stream.connAlive(c)
+	upToDate := stream.decoder.UpToDate
+	if err := stream.decoder.Decode(server.readBuffer[:size], server.applyEvent); err != nil {
+		server.log.Warn("discovery stream ended", zap.Error(err))
+		stream.connEnded(c)
 		return
 	}
-	if w.decoder.UpToDate > idle {
+	if stream.decoder.UpToDate > upToDate {
 		server.platformTime.Current(eventloop.Clock())
 	}
 }
--- a/internal/proxy/platform/discovery_test.go
+++ b/internal/proxy/platform/discovery_test.go
@@ -349,17 +349,17 @@
 		harness.server.loop.Call(waitLimit, func() {
 			n := harness.server.stream.decoder.LastNumber
 			next := 0
-			row := func(i int, state string) discovery.Endpoint {
+			row := func(i int, state discovery.State) discovery.Endpoint {
 				return discovery.Endpoint{ID: fmt.Sprintf("s-%08x", i), Address: "127.0.0.1:9", Zone: "near", Kind: "box", State: state, Weight: 4, StartedAt: int64(i)}
 			}
-			full := discovery.Event{Number: n + 1, Listed: true, Full: true}
+			full := discovery.Event{Number: n + 1, Kind: discovery.Snapshot}
 			for ; next < caches; next++ {
-				full.Endpoints = append(full.Endpoints, row(next, "ready"))
+				full.Endpoints = append(full.Endpoints, row(next, discovery.Ready))
 			}
 			harness.server.applyEvent(full)
 			from := userTime(t)
 			for i := range 24 * caches / 200 {
-				harness.server.applyEvent(discovery.Event{Number: n + 2 + uint64(i), Listed: true, Endpoints: []discovery.Endpoint{row(next-caches, "gone"), row(next, "ready")}})
+				harness.server.applyEvent(discovery.Event{Number: n + 2 + uint64(i), Kind: discovery.Delta, Endpoints: []discovery.Endpoint{row(next-caches, discovery.Removed), row(next, discovery.Ready)}})
 				next++
 			}
 			cpu = userTime(t) - from
--- a/internal/proxy/platform/dispatch.go
+++ b/internal/proxy/platform/dispatch.go
@@ -8,8 +8,8 @@
 	spool "indigospool"
 )
 
-// tell gives the module an event and carries out its actions; what these bring about is
-// told behind them, in order.
+// dispatch has the router handle an event, and executes its actions. Events that these bring
+// about are handled after it, in order.
 func (s *Server) dispatch(event spool.Event) {
 	s.pendingEvents = append(s.pendingEvents, event)
 	if s.dispatching {
@@ -27,10 +27,11 @@
 		}
 		s.arriving = nil
 	}
-	s.pendingEvents, s.dispatching = s.pendingEvents[:0], false
+	s.pendingEvents = s.pendingEvents[:0]
+	s.dispatching = false
 }
 
-// carry carries out one action.
+// execute carries out one action. One for a request that has ended meanwhile does nothing.
 func (s *Server) execute(action spool.Action) {
 	switch a := action.(type) {
 	case spool.Send:
@@ -40,7 +41,7 @@
 	case spool.Refuse:
 		if req := s.requests[a.ID]; req != nil && req.client != nil {
 			s.counts.Rejected++
-			s.trace("refused", req, zap.Float64("after", a.After))
+			s.trace("rejected", req, zap.Float64("after", a.After))
 			req.client.answer(req, s.codec.Rejected(req.sequence, math.Floor(a.After)))
 		}
 	case spool.Fail:
@@ -58,15 +59,19 @@
 	}
 }
 
+// setTimer sets a timer that the router has asked for: its tick, the one of the request that
+// it handles now, or another one.
 func (s *Server) setTimer(wake spool.Wake) {
 	token := wake.Token
-	switch {
-	case token == 0:
+	if token == 0 {
 		s.loop.Arm(&s.tickTimer, wake.In)
-	case s.arriving != nil && s.arriving.timer.F == nil:
-		s.arriving.timer.F = func() { s.dispatch(spool.Timer{Token: token}) }
+		return
+	}
+	expire := func() { s.dispatch(spool.Timer{Token: token}) }
+	if s.arriving != nil && s.arriving.timer.F == nil {
+		s.arriving.timer.F = expire
 		s.loop.Arm(&s.arriving.timer, wake.In)
-	default:
-		s.loop.Once(wake.In, func() { s.dispatch(spool.Timer{Token: token}) })
+		return
 	}
+	s.loop.Once(wake.In, expire)
 }
--- a/internal/proxy/platform/listener.go
+++ b/internal/proxy/platform/listener.go
@@ -7,13 +7,14 @@
 	"indigospool/internal/proxy/limits"
 )
 
-const acceptsPerTurn = 64 // connections that one turn takes
+// acceptsPerTurn is how many connections one turn of the loop accepts at most.
+const acceptsPerTurn = 64
 
-// listener takes clients' connections.
+// listener accepts clients' connections.
 type listener struct {
 	eventloop.Listener
 	server  *Server
-	fd      int
+	fd      int // -1 once it is closed
 	address string
 }
 
@@ -27,7 +28,7 @@
 	return ln, ln.Start(server.loop, fd)
 }
 
-// take begins to hear a client.
+// acceptClient serves a new connection, if there is or can be made room for it.
 func (ln *listener) acceptClient(fd int) {
 	server := ln.server
 	server.counts.Accepted++
@@ -38,7 +39,8 @@
 	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	c := &client{server: server, fd: fd, open: map[int32]*request{}, activity: limits.Visitor{Since: server.loop.Now()}}
 	c.settleTimer.F = c.startPending
-	if c.emptiedAt = eventloop.Clock(); !eventloop.Quiet(fd) { // it may have waited in the queue
+	c.emptiedAt = eventloop.Clock()
+	if !eventloop.Quiet(fd) { // it may have waited in the listener's queue
 		c.unreadSince = ln.Since()
 	}
 	if err := server.loop.Add(fd, eventloop.Read, c); err != nil {
@@ -49,7 +51,7 @@
 	server.clients[c] = struct{}{}
 }
 
-// close takes who has connected already, and ends listening.
+// close accepts the connections that wait in the queue, and ends listening.
 func (ln *listener) close() {
 	if ln.fd < 0 {
 		return
@@ -60,24 +62,29 @@
 	ln.fd = -1
 }
 
-// yield closes the connection that goes first where room is needed, if any may.
+// closeIdleClient closes the client's connection that yields first to a new one, and
+// reports whether there was one.
 func (s *Server) closeIdleClient() bool {
 	var idlest *client
-	for client := range s.clients {
-		if client.output.Len() > 0 {
+	for candidate := range s.clients {
+		if candidate.output.Len() > 0 {
 			continue // an answer is under way
 		}
-		client.activity.Open = len(client.open) + len(client.pending)
-		var idlestActivity *limits.Visitor
+		candidate.activity.Open = candidate.openCalls()
+		var other *limits.Visitor
 		if idlest != nil {
-			idlestActivity = &idlest.activity
+			other = &idlest.activity
 		}
-		if client.activity.Yields(idlestActivity) && eventloop.Quiet(client.fd) { // what it has sent meanwhile was taken, and is owed an answer
-			idlest = client
+		// What has been sent meanwhile counts as accepted, and is owed an answer.
+		if candidate.activity.Yields(other) && eventloop.Quiet(candidate.fd) {
+			idlest = candidate
 		}
 	}
-	if idlest != nil {
-		idlest.close()
+	if idlest == nil {
+		return false
 	}
-	return idlest != nil
+	idlest.close()
+	return true
 }
+
+func closeFD(fd int) { unix.Close(fd) }
--- a/internal/proxy/platform/pool.go
+++ b/internal/proxy/platform/pool.go
@@ -10,16 +10,17 @@
 	"indigospool/internal/proxy/limits"
 )
 
-// pool is the connections to one member, by its id: another one may come to have its address.
+// pool holds the connections to one member. It belongs to the member's id: another member
+// may get its address later.
 type pool struct {
 	server      *Server
 	id          string
 	address     string
 	connections []*memberConn
-	inFlight    int // attempts
+	inFlight    int // attempts that were assigned to it and are not finished
 }
 
-// poolOf is the pool of a member, made where there is none yet.
+// poolOf is the pool of a member, created on first use.
 func (s *Server) poolOf(id string) *pool {
 	p := s.pools[id]
 	if p == nil {
@@ -29,105 +30,122 @@
 	return p
 }
 
-// pick is the connection for another attempt of a request, or how the attempt ends where
-// there can be none. One request to a connection is the aim, since one spoilt answer ends
-// all that share it.
+// pick chooses the connection for another attempt of a request: an idle one, else a new one,
+// else the one with the fewest attempts. Where there is none it returns nil and how the attempt
+// ends. One request to a connection is the aim, since one malformed answer ends all that share it.
 func (p *pool) pick(requestID string) (conn *memberConn, failure spool.Result) {
-	server := p.server
-	var idle, leastLoaded *memberConn
+	idle, leastLoaded := p.candidates(requestID)
+	if idle != nil {
+		return idle, 0
+	}
+	if !p.mayGrow() {
+		return leastLoaded, spool.LocalFailure
+	}
+	conn, failure = p.dial()
+	if conn != nil {
+		return conn, 0
+	}
+	return leastLoaded, failure
+}
+
+// candidates are the idle connection that was used last and the busy one with the fewest
+// attempts, of those that take an attempt of the request; nil where there is none.
+func (p *pool) candidates(requestID string) (idle, leastLoaded *memberConn) {
 	for _, conn := range p.connections {
-		load := len(conn.awaiting) + len(conn.queued)
+		load := conn.load()
 		if conn.closing || load >= p.maxPerConnection() || slices.Contains(conn.recent[:], requestID) {
 			continue
 		}
 		switch {
-		case load == 0 && conn.connected && eventloop.Quiet(conn.fd):
+		case conn.idle() && eventloop.Quiet(conn.fd):
 			if idle == nil || conn.lastUsed > idle.lastUsed {
 				idle = conn
 			}
-		case load > 0 && (leastLoaded == nil || load < len(leastLoaded.awaiting)+len(leastLoaded.queued)):
+		case load > 0 && (leastLoaded == nil || load < leastLoaded.load()):
 			leastLoaded = conn
 		}
 	}
-	if idle != nil {
-		return idle, 0
-	}
-	failure = spool.LocalFailure // no place for a connection
-	if len(p.connections) < server.connectionLimits.PerMember(len(server.pools)) && (server.memberConnections < server.connectionLimits.Members || server.closeIdleMemberConn()) {
-		if conn, failure = p.dial(); conn != nil {
-			return conn, 0
-		}
-	}
-	return leastLoaded, failure
+	return idle, leastLoaded
 }
 
-func (p *pool) maxPerConnection() int {
-	if s := p.server.config.settings.Streams; s > 0 {
-		return s
+// mayGrow reports whether the limits allow one more connection. It closes an idle one of
+// some member for that if need be.
+func (p *pool) mayGrow() bool {
+	server := p.server
+	if len(p.connections) >= server.connectionLimits.PerMember(len(server.pools)) {
+		return false
 	}
-	return 1
+	return server.memberConnections < server.connectionLimits.Members || server.closeIdleMemberConn()
 }
 
+// maxPerConnection is how many attempts may share a connection.
+func (p *pool) maxPerConnection() int { return max(p.server.config.settings.Streams, 1) }
+
 const (
-	minForgetAfter = 100 // ms; the least rest after which a member may have forgotten a connection
-	forgetMargin   = 0.8 // of the rest after which one was forgotten: so may be others
+	minForgetAfter = 100 // ms; the shortest idle time after which a member may have forgotten a connection
+	forgetMargin   = 0.8 // of the idle time after which one was forgotten: others may be by then
 )
 
-// closeRested closes connections that were not used for so long.
+// closeIdleFor closes the connections that have been idle for span ms or longer.
 func (p *pool) closeIdleFor(span float64) {
 	now := p.server.loop.Now()
 	for _, c := range slices.Clone(p.connections) {
-		if len(c.awaiting)+len(c.queued) == 0 && c.connected && now-c.lastUsed >= span {
+		if c.idle() && now-c.lastUsed >= span {
 			c.close()
 		}
 	}
 }
 
-// room closes the connection to members that was idle longest, if there is one.
+// closeIdleMemberConn closes the connection to any member that has been idle longest, and
+// reports whether there was one.
 func (s *Server) closeIdleMemberConn() bool {
 	var idlest *memberConn
 	for _, pool := range s.pools {
 		for _, conn := range pool.connections {
-			if len(conn.awaiting)+len(conn.queued) == 0 && conn.connected && (idlest == nil || conn.lastUsed < idlest.lastUsed) {
+			if conn.idle() && (idlest == nil || conn.lastUsed < idlest.lastUsed) {
 				idlest = conn
 			}
 		}
 	}
-	if idlest != nil {
-		idlest.close()
+	if idlest == nil {
+		return false
 	}
-	return idlest != nil
+	idlest.close()
+	return true
 }
 
-// dial begins another connection, or tells how the attempt ends that wanted it.
-func (p *pool) dial() (c *memberConn, failure spool.Result) {
+// dial begins another connection. Where that fails it returns nil and how the attempt ends
+// that it was for.
+func (p *pool) dial() (conn *memberConn, failure spool.Result) {
 	server := p.server
 	server.counts.Dials++
 	fd, _, err := server.loop.Dial(p.address)
 	if err != nil {
 		return nil, p.dialFailed(err)
 	}
-	c = &memberConn{pool: p, fd: fd, lastUsed: server.loop.Now()}
-	if err := server.loop.Add(fd, eventloop.Read|eventloop.Write, c); err != nil {
+	conn = &memberConn{pool: p, fd: fd, lastUsed: server.loop.Now()}
+	if err := server.loop.Add(fd, eventloop.Read|eventloop.Write, conn); err != nil {
 		closeFD(fd)
 		return nil, p.dialFailed(err)
 	}
-	c.connectTimer.F = func() { c.fail(spool.ConnectFailed) }
-	c.frameTimer.F = func() { c.abandonOverdueFrame() }
-	if t := server.config.settings.ConnectTimeout; t > 0 {
-		server.loop.Arm(&c.connectTimer, t)
+	conn.connectTimer.F = func() { conn.fail(spool.ConnectFailed) }
+	conn.frameTimer.F = func() { conn.abandonOverdueFrame() }
+	if timeout := server.config.settings.ConnectTimeout; timeout > 0 {
+		server.loop.Arm(&conn.connectTimer, timeout)
 	}
 	server.memberConnections++
-	p.connections = append(p.connections, c)
-	return c, 0
+	p.connections = append(p.connections, conn)
+	return conn, 0
 }
 
-// failed notes that a connection could not be begun, and tells whose fault that was.
+// dialFailed logs that a connection could not be begun, and returns whose fault that was.
 func (p *pool) dialFailed(err error) spool.Result {
 	server := p.server
-	if server.counts.FailedDials++; server.counts.FailedDials&(server.counts.FailedDials-1) == 0 { // the 1st, 2nd, 4th, 8th...
-		server.log.Warn("no connection", zap.String("member", p.id), zap.String("address", p.address),
-			zap.Uint64("times", server.counts.FailedDials), zap.Error(err))
+	server.counts.FailedDials++
+	times := server.counts.FailedDials
+	if times&(times-1) == 0 { // the 1st, 2nd, 4th, 8th...
+		server.log.Warn("dial of member failed", zap.String("member", p.id), zap.String("address", p.address),
+			zap.Uint64("times", times), zap.Error(err))
 	}
 	if eventloop.Lacking(err) {
 		return spool.LocalFailure
@@ -135,20 +153,22 @@
 	return spool.ConnectFailed
 }
 
-// close ends the pool of a member that drains, is gone or is reached elsewhere: its
-// connections go once nothing is open there, and what is sent to the id again gets others.
+// close ends the pool of a member that is draining, was removed or has another address. Its
+// connections are closed once no attempt is on them; later attempts get a new pool.
 func (p *pool) close() {
 	delete(p.server.pools, p.id)
 	for _, c := range slices.Clone(p.connections) {
-		if c.closing = true; len(c.awaiting)+len(c.queued) == 0 {
+		c.closing = true
+		if c.load() == 0 {
 			c.close()
 		}
 	}
 }
 
+// cleanUp closes the connections that the member would soon close as idle.
 func (p *pool) cleanUp(now float64) {
 	for _, c := range slices.Clone(p.connections) {
-		if len(c.awaiting)+len(c.queued) == 0 && c.connected && limits.Rests(now-c.lastUsed, p.server.config.settings.ConnIdle) {
+		if c.idle() && limits.Rests(now-c.lastUsed, p.server.config.settings.ConnIdle) {
 			c.close()
 		}
 	}
--- a/internal/proxy/platform/reload.go
+++ b/internal/proxy/platform/reload.go
@@ -3,61 +3,72 @@
 import (
 	"errors"
 	"os"
+	"slices"
 
 	"go.uber.org/zap"
 
-	spool "indigospool"
 	"indigospool/internal/protocol/discovery"
 )
 
-// Reload reads the configuration file again. It may be called from any goroutine.
-func (s *Server) Reload() {
-	s.loop.Post(func() { s.reloadRetrying(reloadAttempts) })
-}
-
 const (
-	reloadAttempts = 30  // of a file that cannot be read
+	reloadAttempts = 30  // to read a file that cannot be read
 	reloadPause    = 100 // ms between two
 )
 
-// reloadWithin reloads. Where the file cannot be read, which may pass, it is tried again.
-func (s *Server) reloadRetrying(tries int) {
+// Reload reads the configuration file again and applies it, or keeps the one in use and logs
+// what is wrong. It may be called from any goroutine.
+func (s *Server) Reload() {
+	s.loop.Post(func() { s.reloadRetrying(reloadAttempts) })
+}
+
+// reloadRetrying reloads, with so many attempts left. A file that cannot be read is retried,
+// as that may pass; one that is invalid is not.
+func (s *Server) reloadRetrying(attempts int) {
 	err := s.reload()
 	if err == nil {
 		return
 	}
-	s.log.Error("configuration kept as it was", zap.Error(err))
+	s.log.Error("configuration rejected, the one in use is kept", zap.Error(err))
 	var unread *os.PathError
-	if errors.As(err, &unread) && tries > 1 {
-		s.loop.Once(reloadPause, func() { s.reloadRetrying(tries - 1) })
+	if errors.As(err, &unread) && attempts > 1 {
+		s.loop.Once(reloadPause, func() { s.reloadRetrying(attempts - 1) })
 	}
 }
 
+// reload reads and checks the configuration, and applies it only if all of it is valid.
 func (s *Server) reload() error {
 	config, err := s.readConfig(s.configFile)
 	if err != nil {
 		return err
 	}
 	decoder := s.stream.decoder
-	var known []discovery.Event
-	decoder.Zones, decoder.Kinds = config.settings.Module.Zones, config.settings.Kinds
-	if err := decoder.DecodeKnown(config.Known, func(ev discovery.Event) { known = append(known, ev) }); err != nil {
+	decoder.Zones = config.settings.Module.Zones
+	decoder.Kinds = config.settings.Kinds
+	known, err := decodeKnown(&decoder, config)
+	if err != nil {
 		return err
 	}
-	if s.actions, err = s.engine.ResettleBare(s.loop.Now(), config.settings.Module, s.actions[:0]); err != nil {
+	s.actions, err = s.engine.ResettleBare(s.loop.Now(), config.settings.Module, s.actions[:0])
+	if err != nil {
 		return err
 	}
 	moved := config.Feed != s.config.Feed
-	s.config, s.stream.decoder = config, decoder
+	s.config = config
+	s.stream.decoder = decoder
 	s.indexClasses()
-	acts := append([]spool.Action(nil), s.actions...)
-	for _, action := range acts {
+	for _, action := range slices.Clone(s.actions) { // executing may dispatch, which reuses s.actions
 		s.execute(action)
 	}
 	s.applyEvents(known)
 	if moved {
 		s.stream.reconnect()
 	}
-	s.log.Info("configuration read", zap.String("feed", config.Feed), zap.Uint64("last", decoder.LastNumber))
+	s.log.Info("configuration applied", zap.String("feed", config.Feed), zap.Uint64("last", decoder.LastNumber))
 	return nil
 }
+
+// decodeKnown returns the events that a configuration brings along, past those decoded already.
+func decodeKnown(decoder *discovery.Decoder, config *Config) (known []discovery.Event, err error) {
+	err = decoder.DecodeKnown(config.Known, func(event discovery.Event) { known = append(known, event) })
+	return known, err
+}
--- a/internal/proxy/platform/server.go
+++ b/internal/proxy/platform/server.go
@@ -1,12 +1,3 @@
-// Package node is the router on the platform: clients come in by Thrift, caches are
-// reached by RESP, and the control feed tells the list and the purges. Bytes become
-// events of the decision module, and its actions become bytes again, on the loop, the
-// core and the limits that the other front uses too.
-//
-// It never chooses a cache, a source, a repeat or a refusal, and judges nobody's health:
-// it tells the module what happened and carries out what that decides. It writes no
-// files and listens at one address only. Clients are in client.go, members in
-// upstream.go, the feed in watch.go.
 package platform
 
 import (
@@ -14,51 +5,57 @@
 
 	spool "indigospool"
 	"indigospool/internal/eventloop"
-	"indigospool/internal/protocol/discovery"
 	"indigospool/internal/protocol/thriftrpc"
 	"indigospool/internal/proxy/engine"
 	"indigospool/internal/proxy/limits"
 	"indigospool/internal/proxy/unixclock"
 )
 
-// Server is one router. All of it belongs to its loop's goroutine, but for the methods
-// that say otherwise.
+// Server is one router on the platform. All of it belongs to its loop's goroutine, except
+// for the methods that say otherwise. Times are on the loop's clock, in ms.
 type Server struct {
 	loop       *eventloop.Loop
 	config     *Config
 	configFile string
+	readConfig func(file string) (*Config, error) // ReadConfig, except in tests
 	log        *zap.Logger
-	engine     *engine.Core
+	counts     Counts
 
-	classes           map[string]*spool.Class
-	requests          map[string]*request
-	pools             map[string]*pool
-	clients           map[*client]struct{}
-	codec             *thriftrpc.Codec
-	buffers           eventloop.Buffers
-	readBuffer        []byte
-	connectionLimits  limits.Places
-	memberConnections int // connections to members
-	unsentBytes       int // bytes that wait for clients
-
-	pendingEvents []spool.Event // what the module is still to hear
-	actions       []spool.Action
+	engine        *engine.Core
+	classes       map[string]*spool.Class // of the settings, by name
+	pendingEvents []spool.Event           // that the router has not handled yet
+	actions       []spool.Action          // of the event that is being handled
 	dispatching   bool
-	arriving      *request // the request that the module hears of now: the timer asked for is its
+	arriving      *request // that the event being handled begins: the next timer is its own
 	tickTimer     eventloop.Timer
 
+	listener          *listener
+	codec             *thriftrpc.Codec
+	clients           map[*client]struct{}
+	requests          map[string]*request // in flight, by id
+	pools             map[string]*pool    // by the member's id
+	connectionLimits  limits.Places
+	memberConnections int // open, or being dialled
+	buffers           eventloop.Buffers
+	readBuffer        []byte // of one read; nothing keeps it
+	unsentBytes       int    // in the clients' output
+
 	stream       discoveryStream
-	platformTime unixclock.Clock // of the platform, by the times that the feed has told
-	listener     *listener
-	readConfig   func(file string) (*Config, error) // ReadConfig, but for tests
+	platformTime unixclock.Clock // the platform's time, by the times in discovery events
 
-	drainStarted  float64 // since when it drains; 0: it does not
-	closeIdleFrom float64 // from when on connections at rest are shut
+	drainStarted  float64 // 0: it is not draining
+	closeIdleFrom float64 // from when on connections at rest are closed
 	lastAnswerBy  float64 // when the last answer is to have been written
-	counts        Counts
 }
 
-// Open makes a router that listens; Serve runs it.
+const (
+	cleanUpInterval = 200      // ms between looks at connections that overstay
+	readBufferBytes = 64 << 10 // that one read takes at most
+)
+
+// Open reads the configuration file and listens at address, or at the configuration's own
+// where address is empty. Serve runs the server. An error says what could not be used: the
+// file, its settings, the endpoint list in it, or the address.
 func Open(configFile, address string, log *zap.Logger) (*Server, error) {
 	config, err := ReadConfig(configFile)
 	if err != nil {
@@ -67,67 +64,74 @@
 	if address == "" {
 		address = config.Listen
 	}
-	server := &Server{config: config, configFile: configFile, log: log, requests: map[string]*request{}, pools: map[string]*pool{},
-		clients: map[*client]struct{}{}, codec: thriftrpc.NewCodec(), readConfig: ReadConfig, readBuffer: make([]byte, 64<<10),
-		connectionLimits: limits.NewPlaces(config.Limits.Sockets)}
-	server.buffers.Keep = server.maxBufferedBytes() / 2
-	if server.engine, err = engine.NewBare(config.settings.Module, config.seed); err != nil {
+	s := &Server{
+		config:           config,
+		configFile:       configFile,
+		readConfig:       ReadConfig,
+		log:              log,
+		codec:            thriftrpc.NewCodec(),
+		clients:          map[*client]struct{}{},
+		requests:         map[string]*request{},
+		pools:            map[string]*pool{},
+		connectionLimits: limits.NewPlaces(config.Limits.Sockets),
+		readBuffer:       make([]byte, readBufferBytes),
+	}
+	s.buffers.Keep = s.maxBufferedBytes() / 2
+	if s.engine, err = engine.NewBare(config.settings.Module, config.seed); err != nil {
 		return nil, err
 	}
-	server.indexClasses()
-	if server.loop, err = eventloop.New(0); err != nil {
+	s.indexClasses()
+	if s.loop, err = eventloop.New(0); err != nil {
 		return nil, err
 	}
-	server.tickTimer.F = func() { server.dispatch(spool.Timer{}) }
-	server.stream.decoder = discovery.Decoder{Zones: config.settings.Module.Zones, Kinds: config.settings.Kinds}
-	server.stream.server = server
-	server.stream.dial = server.loop.Dial
-	server.stream.backoff = limits.NewAgain(firstPause, basePause, maxPause, config.seed)
-	var known []discovery.Event
-	if err := server.stream.decoder.DecodeKnown(config.Known, func(ev discovery.Event) { known = append(known, ev) }); err != nil {
+	s.tickTimer.F = func() { s.dispatch(spool.Timer{}) }
+	s.stream.init(s)
+	known, err := decodeKnown(&s.stream.decoder, config)
+	if err != nil {
 		return nil, err
 	}
-	server.applyEvents(known)
-	if server.listener, err = listen(server, address); err != nil {
+	s.applyEvents(known)
+	if s.listener, err = listen(s, address); err != nil {
 		return nil, err
 	}
-	server.stream.reconnect()
-	server.loop.Ticker(cleanUpInterval, server.cleanUp)
-	return server, nil
+	s.stream.reconnect()
+	s.loop.Ticker(cleanUpInterval, s.cleanUp)
+	return s, nil
 }
 
-const cleanUpInterval = 200 // ms between looks at connections that overstay
-
+// indexClasses has class answer by the settings as they are now.
 func (s *Server) indexClasses() {
 	s.classes = map[string]*spool.Class{}
 	for i := range s.config.settings.Module.Classes {
-		c := &s.config.settings.Module.Classes[i]
-		s.classes[c.Name] = c
+		class := &s.config.settings.Module.Classes[i]
+		s.classes[class.Name] = class
 	}
 }
 
+// class is the settings of a class; nil: there is no such class.
 func (s *Server) class(name string) *spool.Class { return s.classes[name] }
 
-// Addr is where the router listens.
+// Addr is the address and port at which the server listens.
 func (s *Server) Addr() string { return s.listener.address }
 
-// Serve runs until it has drained.
+// Serve runs the server until it has drained. An error is one of the event loop.
 func (s *Server) Serve() error { return s.loop.Run() }
 
-// sweep closes connections that overstay. One that is owed an answer is not shut before it
-// has that, whatever else it does.
+// cleanUp closes connections that overstay. One that is owed an answer is not shut down
+// before it has that, whatever else it does, unless it takes nothing of what waits for it.
 func (s *Server) cleanUp() {
 	now := s.loop.Now()
-	for client := range s.clients {
-		switch client.activity.Open = len(client.open) + len(client.pending); {
-		case !client.activity.Overstays(now):
-		case client.activity.Shut > 0 || client.activity.Ignores(now):
-			client.close()
-		case !client.owesAnswer() && eventloop.Quiet(client.fd):
-			client.shutdownWrite()
+	for c := range s.clients {
+		c.activity.Open = c.openCalls()
+		switch {
+		case !c.activity.Overstays(now):
+		case c.activity.Shut > 0 || c.activity.Ignores(now):
+			c.close()
+		case !c.owesAnswer() && eventloop.Quiet(c.fd):
+			c.shutdownWrite()
 		}
 	}
-	for _, pool := range s.pools {
-		pool.cleanUp(now)
+	for _, p := range s.pools {
+		p.cleanUp(now)
 	}
 }
