--- /dev/null
+++ b/hash.go
@@ -0,0 +1,29 @@
+package indigospool
+
+import (
+	"math"
+)
+
+func hashString(s string) uint64 {
+	h := uint64(14695981039346656037)
+	for i := 0; i < len(s); i++ {
+		h = (h ^ uint64(s[i])) * 1099511628211
+	}
+	return mix(h)
+}
+
+func mix(h uint64) uint64 {
+	h += 0x9e3779b97f4a7c15
+	h = (h ^ h>>30) * 0xbf58476d1ce4e5b9
+	h = (h ^ h>>27) * 0x94d049bb133111eb
+	return h ^ h>>31
+}
+
+// chance is a share within [0, 1) that goes with h, the same each time.
+func chance(h uint64) float64 { return float64(mix(h)>>11) / (1 << 53) }
+
+// draw is what chance goes by for a request: another one at another time, and at another
+// router, but the same for one that asks the same in its place.
+func (r *Router) draw(q *request) uint64 {
+	return mix(r.seed^math.Float64bits(q.arrived)) + q.hash + uint64(q.Part)
+}
