--- a/fillsource.go
+++ b/fillsource.go
@@ -1,35 +1,35 @@
 package indigospool
 
-// source names where a miss is filled from: the parents by a hash of the
+// pickSource names where a miss is filled from: the parents by a hash of the
 // object, the origin where none is up.
-func (r *Router) source(q *request) *member {
-	parents := r.weighed(r.byRole[parent], q.hash)
-	for pass, again := range []bool{false, true} {
-		for p := range parents.members {
-			if r.supplies(q, p, pass, again) {
-				return p
+func (r *Router) pickSource(request *request) *member {
+	parents := r.byWeightedRendezvous(r.byRole[parent], request.hash)
+	for pass, failedBefore := range []bool{false, true} {
+		for parentServer := range parents.members {
+			if r.takesSource(request, parentServer, pass, failedBefore) {
+				return parentServer
 			}
 		}
-		for _, o := range r.byRole[origin] {
-			if r.supplies(q, o, pass, again) {
-				return o
+		for _, originServer := range r.byRole[origin] {
+			if r.takesSource(request, originServer, pass, failedBefore) {
+				return originServer
 			}
 		}
 	}
 	return nil
 }
 
-// supplies reports whether a member is taken as the source in a pass; again: in the one
+// takesSource reports whether a member is taken as the source in a pass; again: in the one
 // for those that failed the request before.
-func (r *Router) supplies(q *request, p *member, pass int, again bool) bool {
+func (r *Router) takesSource(request *request, member *member, pass int, failedBefore bool) bool {
 	why := LetDown
-	if q.failed(p) == again {
-		why = r.bars(p, q)
-	} else if again {
+	if request.failedAt(member) == failedBefore {
+		why = r.unavailableReason(member, request)
+	} else if failedBefore {
 		why = Passed
 	}
-	if again && q.failed(p) && p.role == origin {
+	if failedBefore && request.failedAt(member) && member.role == origin {
 		why = Taken
 	}
-	return r.saw(q, p, true, pass, why) == Taken
+	return r.traceLook(request, member, true, pass, why) == Taken
 }
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -84,8 +84,8 @@
 		case Send:
 			f.arrived[a.Cache] = append(f.arrived[a.Cache], f.now)
 			try := -1
-			if q := r.open[a.ID]; q != nil {
-				try = len(q.tries) - 1
+			if request := r.requests[a.ID]; request != nil {
+				try = len(request.attempts) - 1
 			}
 			out := Outcome{ID: a.ID, Cache: a.Cache, Attempt: try, Result: OK, Note: NoteHit, Last: true}
 			took := f.work * (0.5 + f.rng.Float64())
@@ -159,11 +159,11 @@
 				span := 9000.0
 				if gathered {
 					for _, r := range f.routers {
-						r.link.room, r.link.cut = 0, math.MaxFloat64
+						r.link.limit, r.link.lowered = 0, math.MaxFloat64
 					}
 					f.run(2500, 4)
 					for _, r := range f.routers {
-						r.link.room = 1000
+						r.link.limit = 1000
 					}
 					span = 6500
 				}
@@ -203,20 +203,20 @@
 // that was asked for 4.6 times what it could give.
 func TestWhatWaitsNeedsBudget(t *testing.T) {
 	g := newRig(t, testSettings())
-	m := g.r.members["e2"]
+	member := g.r.members["e2"]
 	g.wait(20000)
-	m.ReadyAt = g.now - 9000
+	member.ReadyAt = g.now - 9000
 	taken := 0
 	for i := range 400 {
-		q := &request{Request: Request{Object: fmt.Sprint("w", i)}, class: g.r.classes["page"], hash: hashString(fmt.Sprint("w", i)), arrived: g.now}
-		q.draw = g.r.draw(q)
-		m.tokens, m.topped = -1, g.now
-		if g.r.bars(m, q) != Taken {
+		request := &request{Request: Request{Object: fmt.Sprint("w", i)}, class: g.r.classes["page"], hash: hashString(fmt.Sprint("w", i)), arrived: g.now}
+		request.chanceSeed = g.r.chanceSeed(request)
+		member.tokens, member.refilled = -1, g.now
+		if g.r.unavailableReason(member, request) != Taken {
 			continue
 		}
 		taken++
-		if q.waited = true; g.r.bars(m, q) != ColdSpent {
-			t.Fatalf("%s has waited, and goes beyond the budget", q.Object)
+		if request.wasQueued = true; g.r.unavailableReason(member, request) != ColdSpent {
+			t.Fatalf("%s has waited, and goes beyond the budget", request.Object)
 		}
 	}
 	if taken < 10 || taken > 80 { // a third are its own, and a half of 0.6 of these
--- a/freshness.go
+++ b/freshness.go
@@ -1,27 +1,27 @@
 package indigospool
 
 const (
-	anyAge   = Millis(1e9) // "any age": 0 would mean the default
-	leastAge = Millis(0.05)
+	anyCopyAge = Millis(1e9) // "any age": 0 would mean the default
+	minCopyAge = Millis(0.05)
 )
 
-// age is the oldest copy that will do: under the time since a purge until all
+// maxCopyAge is the oldest copy that will do: under the time since a purge until all
 // caches have dropped older copies; else the fresh time, with the grace where
 // a fill would have to wait. It is never 0, which would mean the default.
-func (r *Router) age(q *request) Millis {
-	age := anyAge
-	if q.class.Fresh > 0 {
-		age = q.class.Fresh
-		if q.stale {
-			age += q.class.Grace
+func (r *Router) maxCopyAge(request *request) Millis {
+	maxAge := anyCopyAge
+	if request.class.Fresh > 0 {
+		maxAge = request.class.Fresh
+		if request.staleAllowed {
+			maxAge += request.class.Grace
 		}
 	}
-	at, ok := r.purges[q.Object]
-	if g, held := r.groups[q.Group]; held && (!ok || g > at) {
-		at, ok = g, true
+	purgedAt, known := r.objectPurges[request.Object]
+	if groupPurge, purged := r.groupPurges[request.Group]; purged && (!known || groupPurge > purgedAt) {
+		purgedAt, known = groupPurge, true
 	}
-	if ok && r.now < at+r.s.PurgeTakes+r.s.PurgeSlack {
-		age = min(age, r.now-at-1)
+	if known && r.now < purgedAt+r.settings.PurgeTakes+r.settings.PurgeSlack {
+		maxAge = min(maxAge, r.now-purgedAt-1)
 	}
-	return max(age, leastAge)
+	return max(maxAge, minCopyAge)
 }
--- a/fuzz_test.go
+++ b/fuzz_test.go
@@ -132,11 +132,11 @@
 			w.t.Fatalf("%s is used %v after its drain", id, w.now-at)
 		}
 	}
-	if at, ok := w.purged[q.Object]; ok && w.now < at+w.s.PurgeTakes && a.Age > max(w.now-at, leastAge) {
+	if at, ok := w.purged[q.Object]; ok && w.now < at+w.s.PurgeTakes && a.Age > max(w.now-at, minCopyAge) {
 		w.t.Fatalf("age %v allows a copy from before the purge %v ago", a.Age, w.now-at)
 	}
-	m := w.r.members[a.Cache]
-	if m == nil || m.role == foreign || m.role != edge && !w.s.Direct {
+	member := w.r.members[a.Cache]
+	if member == nil || member.role == foreign || member.role != edge && !w.s.Direct {
 		w.t.Fatalf("sent to %s, which takes no attempts", a.Cache)
 	}
 	q.open[q.sent] = a
--- a/hash.go
+++ b/hash.go
@@ -4,10 +4,10 @@
 	"math"
 )
 
-func hashString(s string) uint64 {
+func hashString(text string) uint64 {
 	h := uint64(14695981039346656037)
-	for i := 0; i < len(s); i++ {
-		h = (h ^ uint64(s[i])) * 1099511628211
+	for i := 0; i < len(text); i++ {
+		h = (h ^ uint64(text[i])) * 1099511628211
 	}
 	return mix(h)
 }
@@ -22,8 +22,8 @@
 // chance is a share within [0, 1) that goes with h, the same each time.
 func chance(h uint64) float64 { return float64(mix(h)>>11) / (1 << 53) }
 
-// draw is what chance goes by for a request: another one at another time, and at another
+// chanceSeed is what chance goes by for a request: another one at another time, and at another
 // router, but the same for one that asks the same in its place.
-func (r *Router) draw(q *request) uint64 {
-	return mix(r.seed^math.Float64bits(q.arrived)) + q.hash + uint64(q.Part)
+func (r *Router) chanceSeed(request *request) uint64 {
+	return mix(r.seed^math.Float64bits(request.arrived)) + request.hash + uint64(request.Part)
 }
--- a/inspect.go
+++ b/inspect.go
@@ -2,16 +2,16 @@
 
 // Explain has f hear of every member that a choice looks at, while it is made:
 // what it is told is the decision itself, not another one. nil ends that.
-func (r *Router) Explain(f func(Look)) { r.looker = f }
+func (r *Router) Explain(f func(Look)) { r.onLook = f }
 
-// saw tells of a member that a choice has looked at, and passes the reason on.
-func (r *Router) saw(q *request, m *member, source bool, pass int, why Reason) Reason {
-	if r.looker != nil {
-		l := Look{Request: q.ID, Source: source, Pass: pass, Why: why}
-		if m != nil {
-			l.Member = m.ID
+// traceLook tells of a member that a choice has looked at, and passes the reason on.
+func (r *Router) traceLook(request *request, member *member, source bool, pass int, why Reason) Reason {
+	if r.onLook != nil {
+		l := Look{Request: request.ID, Source: source, Pass: pass, Why: why}
+		if member != nil {
+			l.Member = member.ID
 		}
-		r.looker(l)
+		r.onLook(l)
 	}
 	return why
 }
@@ -28,8 +28,8 @@
 // Beliefs tells of each member that is listed, and of the link.
 func (r *Router) Beliefs() (members map[string]Belief, link Belief) {
 	members = make(map[string]Belief, len(r.members))
-	for id, m := range r.members {
-		members[id] = Belief{Held: m.held, Room: m.room, Tardy: m.tardy, Faults: m.faults, Suspect: m.suspect}
+	for id, member := range r.members {
+		members[id] = Belief{Held: member.inFlight, Room: member.limit, Tardy: member.slowShare, Faults: member.faultShare, Suspect: member.ejected}
 	}
-	return members, Belief{Held: r.link.held, Room: r.link.room, Tardy: r.link.tardy}
+	return members, Belief{Held: r.link.inFlight, Room: r.link.limit, Tardy: r.link.slowShare}
 }
--- a/local_failure_test.go
+++ b/local_failure_test.go
@@ -20,7 +20,7 @@
 						t.Fatalf("a final answer %.0f ms after the request: %v", g.now-g0, acts)
 					}
 					if len(sends(acts)) == 0 {
-						acts = g.wait(beatSpan)
+						acts = g.wait(tickSpan)
 						continue
 					}
 					send := g.one(acts)
@@ -34,7 +34,7 @@
 					acts = g.do(Outcome{ID: id, Cache: send.Cache, Attempt: attempt, Result: result, Last: result == OK})
 					attempt++
 					if result == OK {
-						if late := g.now - ends; late > 2*localLast {
+						if late := g.now - ends; late > 2*maxLocalBackoff {
 							t.Errorf("served %.0f ms after the shortage", late)
 						}
 						if attempt > 60 {
@@ -54,12 +54,12 @@
 	g := newRig(t, testSettings())
 	id, send, attempt := g.fill("page", "x", 0)
 	at, source := g.r.members[send.Cache], g.r.members[send.Source]
-	retries := g.r.retries
-	before := [...]float64{at.held, g.r.link.held, at.faults, source.faults}
+	retries := g.r.retryTokens
+	before := [...]float64{at.inFlight, g.r.link.inFlight, at.faultShare, source.faultShare}
 	g.do(Outcome{ID: id, Cache: send.Cache, Attempt: attempt, Result: LocalFailure})
-	after := [...]float64{at.held + 1, g.r.link.held + 1, at.faults, source.faults}
-	if before != after || g.r.retries != retries || at.suspect || source.suspect {
-		t.Errorf("before %v, after %v; retries %v, %v", before, after, retries, g.r.retries)
+	after := [...]float64{at.inFlight + 1, g.r.link.inFlight + 1, at.faultShare, source.faultShare}
+	if before != after || g.r.retryTokens != retries || at.ejected || source.ejected {
+		t.Errorf("before %v, after %v; retries %v, %v", before, after, retries, g.r.retryTokens)
 	}
 }
 
@@ -70,7 +70,7 @@
 	first := g.one(acts).Cache
 	for attempt := range 8 {
 		for len(sends(acts)) == 0 {
-			acts = g.wait(beatSpan)
+			acts = g.wait(tickSpan)
 		}
 		if send := g.one(acts); send.Cache != first {
 			return
--- a/rangesplit.go
+++ b/rangesplit.go
@@ -7,112 +7,114 @@
 )
 
 const (
-	windowCount = 500          // part requests that close a histogram window (K)
-	windowSpan  = Millis(5000) // or this time, whichever comes first
-	firstCount  = 128          // the first window is short: the hash's copies are soon worthless
-	moveAt      = 1.0          // a split point off by less than this of an index's cost stays
-	discount    = 0.95         // what a window keeps of its weight when the next one closes
-	tailWeight  = 1.0          // cost of a part beyond the object's mean depth
-	maxIndex    = 2048         // part indices told apart; later ones share the last
-	maxObjects  = 20000        // objects remembered in each of two generations
-	objectSpan  = Millis(60000)
+	windowPartRequests      = 500          // part requests that close a histogram window (K)
+	windowSpan              = Millis(5000) // or this time, whichever comes first
+	firstWindowPartRequests = 128          // the first window is short: the hash's copies are soon worthless
+	splitMoveThreshold      = 1.0          // a split point off by less than this of an index's cost stays
+	windowDiscount          = 0.95         // what a window keeps of its weight when the next one closes
+	tailPartCost            = 1.0          // cost of a part beyond the object's mean depth
+	maxPartIndices          = 2048         // part indices told apart; later ones share the last
+	maxObjects              = 20000        // objects remembered in each of two generations
+	objectGenerationSpan    = Millis(60000)
 )
 
-// object is what is remembered of an object: how deep clients go, how often.
-type object struct{ first, parts float64 }
+// objectDepth is what is remembered of an object: how deep clients go, how often.
+type objectDepth struct{ firstParts, parts float64 }
 
 // layout places parts: one range per ready edge cache. With no splits there
 // are no ranges yet, and parts go by a hash.
 type layout struct {
-	edges  []*member
+	caches []*member
 	splits []int // first index past each range but the last
 	ranged bool
 }
 
-// note counts a part request into the open window and the object's depth.
-func (r *Router) note(q *request) {
-	if !q.class.InParts {
+// recordPart counts a part request into the open window and the object's depth.
+func (r *Router) recordPart(request *request) {
+	if !request.class.InParts {
 		return
 	}
-	if len(r.objects[0]) >= maxObjects || r.now-r.turned > objectSpan {
-		r.objects[1], r.objects[0], r.turned = r.objects[0], map[string]*object{}, r.now
+	if len(r.objectDepths[0]) >= maxObjects || r.now-r.objectsRotated > objectGenerationSpan {
+		r.objectDepths[1], r.objectDepths[0], r.objectsRotated = r.objectDepths[0], map[string]*objectDepth{}, r.now
 	}
-	o := cmp.Or(r.objects[0][q.Object], r.objects[1][q.Object], &object{})
-	r.objects[0][q.Object] = o
+	o := cmp.Or(r.objectDepths[0][request.Object], r.objectDepths[1][request.Object], &objectDepth{})
+	r.objectDepths[0][request.Object] = o
 	depth := 1.0
-	if o.first > 0 {
-		depth = o.parts / o.first
+	if o.firstParts > 0 {
+		depth = o.parts / o.firstParts
 	}
 	o.parts++
-	if q.Part == 0 {
-		o.first++
+	if request.Part == 0 {
+		o.firstParts++
 	}
-	x := min(max(q.Part, 0), maxIndex-1)
-	for len(r.window) <= x {
-		r.window = append(r.window, 0)
+	part := min(max(request.Part, 0), maxPartIndices-1)
+	for len(r.windowCost) <= part {
+		r.windowCost = append(r.windowCost, 0)
 	}
-	if float64(x) <= depth {
-		r.window[x]++
+	if float64(part) <= depth {
+		r.windowCost[part]++
 	} else {
-		r.window[x] += tailWeight
+		r.windowCost[part] += tailPartCost
 	}
-	if r.seen++; r.seen >= windowCount || r.total == nil && float64(r.seen) >= r.enough() {
+	if r.windowRequests++; r.windowRequests >= windowPartRequests || r.totalCost == nil && float64(r.windowRequests) >= r.firstWindowTarget() {
 		r.closeWindow()
 	}
 }
 
-// enough is how many part requests the first window needs. Copies are shared by all routers
+// firstWindowTarget is how many part requests the first window needs. Copies are shared by all routers
 // of the location, each of which sees its own part of the requests: from a few dozen each,
 // many routers draw as many different ranges, and a part is fetched into several caches.
-func (r *Router) enough() float64 { return firstCount * max(r.s.sharers(edge)/2, 1) }
+func (r *Router) firstWindowTarget() float64 {
+	return firstWindowPartRequests * max(r.settings.sharingRouters(edge)/2, 1)
+}
 
 // closeWindow joins the window to the discounted sum and resets the splits.
 func (r *Router) closeWindow() {
-	r.opened = r.now
-	if r.seen == 0 || r.total == nil && float64(r.seen) < r.enough() {
+	r.windowOpened = r.now
+	if r.windowRequests == 0 || r.totalCost == nil && float64(r.windowRequests) < r.firstWindowTarget() {
 		return
 	}
-	for len(r.total) < len(r.window) {
-		r.total = append(r.total, 0)
+	for len(r.totalCost) < len(r.windowCost) {
+		r.totalCost = append(r.totalCost, 0)
 	}
-	for x := range r.total {
-		r.total[x] *= discount
-		if x < len(r.window) {
-			r.total[x] += r.window[x]
+	for part := range r.totalCost {
+		r.totalCost[part] *= windowDiscount
+		if part < len(r.windowCost) {
+			r.totalCost[part] += r.windowCost[part]
 		}
 	}
-	clear(r.window)
-	r.seen = 0
-	r.refit()
+	clear(r.windowCost)
+	r.windowRequests = 0
+	r.updateLayout()
 }
 
-// refit places the split points so that each range carries an equal share, to
+// updateLayout places the split points so that each range carries an equal share, to
 // within one index. A point that is off by less than an index's cost stays, so
 // that chance in the counts does not move ranges.
-func (r *Router) refit() {
-	next := layout{edges: r.byRole[edge]}
-	n, sum := len(next.edges), total(r.total)
-	if n > 0 && sum > 0 {
-		next.splits, next.ranged = splitPoints(r.total, n), true
-	}
-	if next.ranged && r.layout.ranged && len(r.layout.edges) == n {
-		below := make([]float64, len(r.total)+1)
-		for x, c := range r.total {
-			below[x+1] = below[x] + c
+func (r *Router) updateLayout() {
+	next := layout{caches: r.byRole[edge]}
+	count, sum := len(next.caches), total(r.totalCost)
+	if count > 0 && sum > 0 {
+		next.splits, next.ranged = splitPoints(r.totalCost, count), true
+	}
+	if next.ranged && r.layout.ranged && len(r.layout.caches) == count {
+		below := make([]float64, len(r.totalCost)+1)
+		for part, partCost := range r.totalCost {
+			below[part+1] = below[part] + partCost
 		}
 		for i, old := range r.layout.splits {
-			if old > 0 && old < len(r.total) {
-				off := below[old] - sum*float64(i+1)/float64(n)
-				if max(off, -off) < moveAt*max(r.total[old-1], r.total[old]) {
+			if old > 0 && old < len(r.totalCost) {
+				off := below[old] - sum*float64(i+1)/float64(count)
+				if max(off, -off) < splitMoveThreshold*max(r.totalCost[old-1], r.totalCost[old]) {
 					next.splits[i] = old
 				}
 			}
 		}
 		slices.Sort(next.splits)
 	}
-	if !slices.Equal(next.edges, r.layout.edges) || !slices.Equal(next.splits, r.layout.splits) ||
+	if !slices.Equal(next.caches, r.layout.caches) || !slices.Equal(next.splits, r.layout.splits) ||
 		next.ranged != r.layout.ranged {
-		r.prior, r.moved = r.layout, r.now
+		r.priorLayout, r.layoutChanged = r.layout, r.now
 	}
 	r.layout = next
 }
@@ -122,29 +124,29 @@
 func splitPoints(cost []float64, n int) []int {
 	sum := total(cost)
 	points := make([]int, 0, n-1)
-	x, below := 0, 0.0
+	part, below := 0, 0.0
 	for i := 1; i < n; i++ {
 		want := sum * float64(i) / float64(n)
-		for x < len(cost) && below+cost[x]/2 <= want {
-			below += cost[x]
-			x++
+		for part < len(cost) && below+cost[part]/2 <= want {
+			below += cost[part]
+			part++
 		}
-		points = append(points, x)
+		points = append(points, part)
 	}
 	return points
 }
 
 // owner is the edge cache of a request on the ordinary path.
-func (l layout) owner(q *request) *member {
+func (l layout) owner(request *request) *member {
 	switch {
-	case len(l.edges) == 0:
+	case len(l.caches) == 0:
 		return nil
-	case !q.class.InParts:
-		return best(l.edges, q.hash)
+	case !request.class.InParts:
+		return rendezvousBest(l.caches, request.hash)
 	case !l.ranged:
-		return best(l.edges, mix(q.hash+uint64(q.Part)))
+		return rendezvousBest(l.caches, mix(request.hash+uint64(request.Part)))
 	}
-	return l.edges[sort.SearchInts(l.splits, q.Part+1)]
+	return l.caches[sort.SearchInts(l.splits, request.Part+1)]
 }
 
 // Ranges are the caches' ranges of part indices; none before there are any.
@@ -153,20 +155,20 @@
 		return nil
 	}
 	from := 0
-	for i, m := range r.layout.edges {
+	for i, member := range r.layout.caches {
 		to := -1
 		if i < len(r.layout.splits) {
 			to = r.layout.splits[i]
 		}
-		out = append(out, Range{Cache: m.ID, From: from, To: to})
+		out = append(out, Range{Cache: member.ID, From: from, To: to})
 		from = to
 	}
 	return out
 }
 
 func total(cost []float64) (sum float64) {
-	for _, c := range cost {
-		sum += c
+	for _, partCost := range cost {
+		sum += partCost
 	}
 	return sum
 }
--- a/ranking.go
+++ b/ranking.go
@@ -4,12 +4,12 @@
 	"math"
 )
 
-// best is the highest of a rendezvous hash: a lost member moves only its own.
-func best(list []*member, h uint64) (top *member) {
+// rendezvousBest is the highest of a rendezvous hash: a lost member moves only its own.
+func rendezvousBest(list []*member, h uint64) (top *member) {
 	var high uint64
-	for _, m := range list {
-		if v := mix(h ^ m.hash); top == nil || v > high {
-			top, high = m, v
+	for _, member := range list {
+		if v := mix(h ^ member.hash); top == nil || v > high {
+			top, high = member, v
 		}
 	}
 	return top
@@ -45,30 +45,30 @@
 // first is the member of the highest rank; nil where there is nobody.
 func (k *ranking) first() (top *member) {
 	var most rank
-	for i, m := range k.list {
-		own := k.rank(m)
+	for i, member := range k.list {
+		own := k.rank(member)
 		own.listed = i
 		if top == nil || own.before(&most) {
-			top, most = m, own
+			top, most = member, own
 		}
 	}
 	return top
 }
 
-// order makes the heap of all.
-func (k *ranking) order() {
+// buildHeap makes the heap of all.
+func (k *ranking) buildHeap() {
 	k.heap = make([]rank, len(k.list))
-	for i, m := range k.list {
-		k.heap[i] = k.rank(m)
+	for i, member := range k.list {
+		k.heap[i] = k.rank(member)
 		k.heap[i].listed = i
 	}
 	for i := len(k.heap)/2 - 1; i >= 0; i-- {
-		k.sink(i)
+		k.siftDown(i)
 	}
 }
 
-// sink moves the one at i down to its place in the heap.
-func (k *ranking) sink(i int) {
+// siftDown moves the one at i down to its place in the heap.
+func (k *ranking) siftDown(i int) {
 	for {
 		first := i
 		for child := 2*i + 1; child <= 2*i+2 && child < len(k.heap); child++ {
@@ -85,7 +85,7 @@
 }
 
 // members gives the members in falling order.
-func (k *ranking) members(yield func(m *member) bool) {
+func (k *ranking) members(yield func(member *member) bool) {
 	for place := range k.list {
 		if !yield(k.at(place)) {
 			return
@@ -99,27 +99,27 @@
 	case place == 0 && len(k.found) == 0:
 		return k.first()
 	case len(k.found) == 0:
-		k.order()
+		k.buildHeap()
 	}
 	for len(k.found) <= place {
 		last := len(k.heap) - 1
 		k.found = append(k.found, k.list[k.heap[0].listed])
 		k.heap[0] = k.heap[last]
 		k.heap = k.heap[:last]
-		k.sink(0)
+		k.siftDown(0)
 	}
 	return k.found[place]
 }
 
-// ranked is the list in falling order of the rendezvous hash.
-func ranked(list []*member, h uint64) *ranking {
-	return &ranking{list: list, rank: func(m *member) rank { return rank{hash: mix(h ^ m.hash)} }}
+// byRendezvous is the list in falling order of the rendezvous hash.
+func byRendezvous(list []*member, h uint64) *ranking {
+	return &ranking{list: list, rank: func(member *member) rank { return rank{hash: mix(h ^ member.hash)} }}
 }
 
-// weighed is the list in falling order of the rendezvous hash weighed by capacity, as far
+// byWeightedRendezvous is the list in falling order of the rendezvous hash weighed by capacity, as far
 // as it is told: one that can serve twice as much is first for twice as many objects.
-func (r *Router) weighed(list []*member, h uint64) *ranking {
-	return &ranking{list: list, rank: func(m *member) rank {
-		return rank{key: math.Log(max(chance(h^m.hash), 1e-18)) / r.size(m)}
+func (r *Router) byWeightedRendezvous(list []*member, h uint64) *ranking {
+	return &ranking{list: list, rank: func(member *member) rank {
+		return rank{key: math.Log(max(chance(h^member.hash), 1e-18)) / r.capacity(member)}
 	}}
 }
--- a/refusal_test.go
+++ b/refusal_test.go
@@ -31,7 +31,7 @@
 			deadline := g.now + 3000
 			for attempt := 0; g.now < deadline-5; {
 				if len(sends(acts)) == 0 {
-					acts = g.wait(beatSpan)
+					acts = g.wait(tickSpan)
 					all = append(all, acts...)
 					continue
 				}
--- a/retry.go
+++ b/retry.go
@@ -5,108 +5,110 @@
 )
 
 const (
-	restStep     = Millis(20) // one that turned a request away rests so long for each attempt
-	retryShare   = 0.25
-	retryBurst   = 30.0
-	retryReserve = 5.0         // of it, for the classes of the most worth
-	localFirst   = Millis(10)  // backoff after an attempt that could not be begun here: shortages of a
-	localLast    = Millis(160) // moment pass in some ms, others are asked about some times a second
-	localMost    = 256         // such attempts that one request may make
+	rejectedBackoffStep = Millis(20) // one that turned a request away rests so long for each attempt
+	retryBudgetShare    = 0.25
+	retryBudgetBurst    = 30.0
+	retryReserve        = 5.0         // of it, for the classes of the most worth
+	initialLocalBackoff = Millis(10)  // backoff after an attempt that could not be begun here: shortages of a
+	maxLocalBackoff     = Millis(160) // moment pass in some ms, others are asked about some times a second
+	maxLocalFailures    = 256         // such attempts that one request may make
 )
 
-// spent reports whether a request may make no further attempt.
-func (r *Router) spent(q *request) bool {
-	late := q.ran != nil && (q.class.Effect == SingleShot ||
-		q.class.Effect == Guarded && r.now >= q.ranAt+q.class.Window-2*r.s.Tick)
-	return q.unfit || q.Deadline-r.now <= 2*r.s.Tick || q.made() >= r.s.MaxAttempts || q.locals >= localMost || late ||
-		!q.freely() && r.retries < r.retryPrice(q)
+// exhausted reports whether a request may make no further attempt.
+func (r *Router) exhausted(request *request) bool {
+	late := request.executedBy != nil && (request.class.Effect == SingleShot ||
+		request.class.Effect == Guarded && r.now >= request.executedAt+request.class.Window-2*r.settings.Tick)
+	return request.invalid || request.Deadline-r.now <= 2*r.settings.Tick || request.countedAttempts() >= r.settings.MaxAttempts || request.localFailures >= maxLocalFailures || late ||
+		!request.nextAttemptIsFree() && r.retryTokens < r.retryTokensNeeded(request)
 }
 
-// retryPrice is what the retry budget must hold for a further attempt of a request. What is left
+// retryTokensNeeded is what the retry budget must hold for a further attempt of a request. What is left
 // of it at last is for the classes that earn most: in an overload the many others would spend it all.
-func (r *Router) retryPrice(q *request) float64 {
-	if q.class.Worth < r.mostWorth {
+func (r *Router) retryTokensNeeded(request *request) float64 {
+	if request.class.Worth < r.highestWorth {
 		return 1 + retryReserve
 	}
 	return 1
 }
 
-// allows holds a guarded request that may have run to the group of caches that
+// mayRunAt holds a guarded request that may have run to the group of caches that
 // drops its repeats.
-func (q *request) allows(m *member) bool {
-	if q.ran == nil || q.class.Effect == Free {
+func (q *request) mayRunAt(member *member) bool {
+	if q.executedBy == nil || q.class.Effect == Free {
 		return true
 	}
-	near := m.Zone == q.ran.Zone
-	return q.class.Group == Everywhere || m == q.ran || q.class.Group == Location && near ||
-		q.class.Group == Cell && near && m.Cell == q.ran.Cell
+	near := member.Zone == q.executedBy.Zone
+	return q.class.Group == Everywhere || member == q.executedBy || q.class.Group == Location && near ||
+		q.class.Group == Cell && near && member.Cell == q.executedBy.Cell
 }
 
-// freely reports whether the next attempt costs nothing of the retries' budget.
-func (q *request) freely() bool {
-	if len(q.tries) == 0 {
+// nextAttemptIsFree reports whether the next attempt costs nothing of the retries' budget.
+func (q *request) nextAttemptIsFree() bool {
+	if len(q.attempts) == 0 {
 		return true
 	}
-	last := &q.tries[len(q.tries)-1]
-	return last.lacked || last.local
+	last := &q.attempts[len(q.attempts)-1]
+	return last.cacheMissed || last.localFailure
 }
 
-// made is how many attempts were made of those that a request may make: one that could not be
+// countedAttempts is how many attempts were made of those that a request may make: one that could not be
 // begun here reached nobody.
-func (q *request) made() int { return len(q.tries) - q.locals }
+func (q *request) countedAttempts() int { return len(q.attempts) - q.localFailures }
 
-// failed reports whether the request was let down by the member before.
-func (q *request) failed(m *member) bool {
-	return slices.ContainsFunc(q.tries, func(a attempt) bool {
-		return a.blamed == m || a.at == m && a.called && a.src.role != parent
+// failedAt reports whether the request was let down by the member before.
+func (q *request) failedAt(member *member) bool {
+	return slices.ContainsFunc(q.attempts, func(a attempt) bool {
+		return a.blamed == member || a.target == member && a.cancelled && a.source.role != parent
 	})
 }
 
-// settleLocal books an attempt that could not be begun here, for want of a descriptor, a port, a
+// handleLocalFailure books an attempt that could not be begun here, for want of a descriptor, a port, a
 // buffer or a route. It says nothing of members, spends no attempt and no budget, and would fail
 // again at once: the next follows after a backoff, and after two at one member elsewhere, since
 // want of a route may concern that one alone.
-func (r *Router) settleLocal(q *request, a *attempt, last bool) {
-	a.local = true
-	a.at.held = max(a.at.held-1, 0)
-	if a.fill {
-		r.link.held--
+func (r *Router) handleLocalFailure(request *request, attempt *attempt, last bool) {
+	attempt.localFailure = true
+	attempt.target.inFlight = max(attempt.target.inFlight-1, 0)
+	if attempt.fill {
+		r.link.inFlight--
 	}
-	a.at.trial, a.src.trial = false, false
-	a.at.tokens += r.cost(a.at, q)
-	if a.src != a.at && a.src.role != edge {
-		a.src.tokens += r.cost(a.src, q)
+	attempt.target.checking, attempt.source.checking = false, false
+	attempt.target.tokens += r.slowStartCost(attempt.target, request)
+	if attempt.source != attempt.target && attempt.source.role != edge {
+		attempt.source.tokens += r.slowStartCost(attempt.source, request)
 	}
-	if q.ran == a.at && q.ranAt == a.sent {
-		q.ran = nil
+	if request.executedBy == attempt.target && request.executedAt == attempt.sent {
+		request.executedBy = nil
 	}
-	if n := len(q.tries); n > 1 && q.tries[n-2].local && q.tries[n-2].at == a.at {
-		a.blamed = a.at
+	if n := len(request.attempts); n > 1 && request.attempts[n-2].localFailure && request.attempts[n-2].target == attempt.target {
+		attempt.blamed = attempt.target
 	}
-	wait := min(localFirst*float64(uint64(1)<<min(q.locals, 16)), localLast)
-	q.hold = r.now + wait*(0.5+chance(q.draw+uint64(len(q.tries))))
-	q.locals++
-	if q.over = q.over || last; q.over {
-		r.drop(q)
-	} else if !q.busy() && !q.stream {
-		r.advance(q)
+	wait := min(initialLocalBackoff*float64(uint64(1)<<min(request.localFailures, 16)), maxLocalBackoff)
+	request.notBefore = r.now + wait*(0.5+chance(request.chanceSeed+uint64(len(request.attempts))))
+	request.localFailures++
+	if request.ended = request.ended || last; request.ended {
+		r.forget(request)
+	} else if !request.hasOutstanding() && !request.streaming {
+		r.advance(request)
 	}
 }
 
-// rescue calls back attempts that wait on a silent or vanished member.
-func (r *Router) rescue(q *request) {
-	if !r.s.Cancels || q.class.Effect != Free || r.retries < 1 || q.made() >= r.s.MaxAttempts {
+// cancelUnresponsive calls back attempts that wait on a silent or vanished member.
+func (r *Router) cancelUnresponsive(request *request) {
+	if !r.settings.Cancels || request.class.Effect != Free || r.retryTokens < 1 || request.countedAttempts() >= r.settings.MaxAttempts {
 		return
 	}
-	for i := range q.tries {
-		a := &q.tries[i]
-		if a.called || !a.overdue(r.now) {
+	for i := range request.attempts {
+		attempt := &request.attempts[i]
+		if attempt.cancelled || !attempt.overdue(r.now) {
 			continue
 		}
-		lost := func(m *member) bool { return (m.suspect || m.gone) && m.good <= a.sent }
-		if lost(a.at) || a.src.role != edge && lost(a.src) && a.at.good > a.sent {
-			a.called = true
-			r.do(Cancel{ID: q.ID, Attempt: i})
+		lost := func(member *member) bool {
+			return (member.ejected || member.unavailable) && member.lastProgress <= attempt.sent
+		}
+		if lost(attempt.target) || attempt.source.role != edge && lost(attempt.source) && attempt.target.lastProgress > attempt.sent {
+			attempt.cancelled = true
+			r.emit(Cancel{ID: request.ID, Attempt: i})
 		}
 	}
 }
--- a/retry_budget_test.go
+++ b/retry_budget_test.go
@@ -26,7 +26,7 @@
 			g := newRig(t, testSettings())
 			id, acts := g.ask(c.class, "x", 0)
 			first := g.one(acts)
-			g.r.retries = c.budget
+			g.r.retryTokens = c.budget
 			acts = g.do(Outcome{ID: id, Cache: first.Cache, Result: ConnectFailed, Took: 1})
 			if again := len(sends(acts)) == 1; again != c.retries {
 				t.Errorf("sent again %v, want %v: %v", again, c.retries, acts)
--- a/router.go
+++ b/router.go
@@ -11,44 +11,44 @@
 )
 
 const (
-	beatSpan = Millis(25) // how often outstanding attempts are looked over
+	tickSpan = Millis(25) // how often outstanding attempts are looked over
 )
 
 // Router decides for one router. It is not safe for concurrent use.
 type Router struct {
-	s              Settings
-	seed           uint64
-	now            Millis
-	started, asked bool
-	classes        map[string]*class
-	members        map[string]*member
-	listed         []*member        // the same, by id
-	byRole         [roles][]*member // listed and up, by id
-	open           map[string]*request
-	order          []*request // as they came
-	wait           []*request // those that wait, while they are gone through
-	awaited        []*member  // those with overdue attempts at the last beat
-	timers         map[int64]*request
-	token          int64
-	retries        float64        // further attempts that may be made
-	mostWorth      float64        // of any class
-	mean           Millis         // sending time of all requests
-	link           gate           // fills
-	pace           float64        // recent time of fills over their sending time
-	typical        [roles]float64 // sending time a warm member is given, per millisecond
-	lastSec        Millis
-	objects        [2]map[string]*object // two generations
-	turned         Millis
-	purges         map[string]Millis
-	groups         map[int]Millis
-	window, total  []float64 // cost by part index: the open window, and the discounted sum
-	seen           int
-	opened         Millis
-	layout, prior  layout // who holds what, and before the last change
-	moved          Millis // when that was
-	retired        bool   // a successor spends the cold budgets
-	acts           []Action
-	looker         func(Look) // hears what choices look at; nil: nobody
+	settings              Settings
+	seed                  uint64
+	now                   Millis
+	started, subscribed   bool
+	classes               map[string]*class
+	members               map[string]*member
+	listed                []*member        // the same, by id
+	byRole                [roles][]*member // listed and up, by id
+	requests              map[string]*request
+	arrivals              []*request // as they came
+	queue                 []*request // those that wait, while they are gone through
+	overdueMembers        []*member  // those with overdue attempts at the last beat
+	deadlineTimers        map[int64]*request
+	lastTimerToken        int64
+	retryTokens           float64          // further attempts that may be made
+	highestWorth          float64          // of any class
+	meanSendTime          Millis           // sending time of all requests
+	link                  concurrencyLimit // fills
+	fillStretch           float64          // recent time of fills over their sending time
+	typicalRate           [roles]float64   // sending time a warm member is given, per millisecond
+	lastSecond            Millis
+	objectDepths          [2]map[string]*objectDepth // two generations
+	objectsRotated        Millis
+	objectPurges          map[string]Millis
+	groupPurges           map[int]Millis
+	windowCost, totalCost []float64 // cost by part index: the open window, and the discounted sum
+	windowRequests        int
+	windowOpened          Millis
+	layout, priorLayout   layout // who holds what, and before the last change
+	layoutChanged         Millis // when that was
+	closing               bool   // a successor spends the cold budgets
+	actions               []Action
+	onLook                func(Look) // hears what choices look at; nil: nobody
 }
 
 // New returns a router. The seed sets it apart from others where all would do the same at once.
@@ -56,131 +56,131 @@
 	if err := s.Valid(); err != nil {
 		return nil, err
 	}
-	r := &Router{seed: seed, retries: retryBurst, link: gate{room: firstRoom}, pace: 1,
-		members: map[string]*member{}, open: map[string]*request{},
-		timers: map[int64]*request{}, objects: [2]map[string]*object{{}, {}},
-		purges: map[string]Millis{}, groups: map[int]Millis{}}
-	r.adopt(s)
-	r.mean = r.classes[s.Classes[0].Name].mean
+	r := &Router{seed: seed, retryTokens: retryBudgetBurst, link: concurrencyLimit{limit: initialLimit}, fillStretch: 1,
+		members: map[string]*member{}, requests: map[string]*request{},
+		deadlineTimers: map[int64]*request{}, objectDepths: [2]map[string]*objectDepth{{}, {}},
+		objectPurges: map[string]Millis{}, groupPurges: map[int]Millis{}}
+	r.applySettings(s)
+	r.meanSendTime = r.classes[s.Classes[0].Name].meanSendTime
 	return r, nil
 }
 
 // Handle takes one event at the time now and appends what is to be done.
-func (r *Router) Handle(now Millis, ev Event, dst []Action) []Action {
-	r.now, r.acts = max(now, r.now), dst
+func (r *Router) Handle(now Millis, event Event, dst []Action) []Action {
+	r.now, r.actions = max(now, r.now), dst
 	if !r.started {
-		r.started, r.opened, r.lastSec, r.turned = true, r.now, r.now, r.now
-		r.do(Wake{In: beatSpan})
+		r.started, r.windowOpened, r.lastSecond, r.objectsRotated = true, r.now, r.now, r.now
+		r.emit(Wake{In: tickSpan})
 	}
-	switch ev := ev.(type) {
+	switch ev := event.(type) {
 	case Members:
-		r.list(ev)
+		r.updateEndpoints(ev)
 	case Request:
 		r.arrive(ev)
 	case Outcome:
-		r.settle(ev)
+		r.handleOutcome(ev)
 	case Started:
-		if q := r.open[ev.ID]; q != nil {
-			q.stream = true
+		if request := r.requests[ev.ID]; request != nil {
+			request.streaming = true
 		}
 	case Stalled:
-		r.stall(ev)
+		r.handleStall(ev)
 	case Gone:
-		if q := r.open[ev.ID]; q != nil {
-			r.close(q)
+		if request := r.requests[ev.ID]; request != nil {
+			r.endRequest(request)
 		}
 	case Purge:
 		at := r.now - ev.Age
 		if ev.Object != "" {
-			r.purges[ev.Object] = max(r.purges[ev.Object], at)
+			r.objectPurges[ev.Object] = max(r.objectPurges[ev.Object], at)
 		} else {
-			r.groups[ev.Group] = max(r.groups[ev.Group], at)
+			r.groupPurges[ev.Group] = max(r.groupPurges[ev.Group], at)
 		}
 	case Recalled:
-		r.recall(ev.Memory)
+		r.restore(ev.Memory)
 	case Retired:
-		r.retired = ev.On
+		r.closing = ev.On
 	case Resettled:
 		if ev.Settings.Valid() == nil {
-			ev.Settings.Zone, ev.Settings.Me = r.s.Zone, r.s.Me
-			r.adopt(ev.Settings)
+			ev.Settings.Zone, ev.Settings.Me = r.settings.Zone, r.settings.Me
+			r.applySettings(ev.Settings)
 		}
 	case Timer:
 		if ev.Token == 0 {
-			r.beat()
-		} else if q := r.timers[ev.Token]; q != nil {
-			delete(r.timers, ev.Token)
-			if !q.over && !q.stream {
-				r.finish(q)
+			r.tick()
+		} else if request := r.deadlineTimers[ev.Token]; request != nil {
+			delete(r.deadlineTimers, ev.Token)
+			if !request.ended && !request.streaming {
+				r.reject(request)
 			}
 		}
 	}
-	dst, r.acts = r.acts, nil
+	dst, r.actions = r.actions, nil
 	return dst
 }
 
-func (r *Router) do(a Action) { r.acts = append(r.acts, a) }
+func (r *Router) emit(a Action) { r.actions = append(r.actions, a) }
 
-// beat looks over what is out: a member with overdue attempts and no sign of
+// tick looks over what is out: a member with overdue attempts and no sign of
 // life is silent, whatever the reason; what it holds is called back and tried
 // elsewhere. Progress clears it, so slow answers alone do not.
-func (r *Router) beat() {
-	r.do(Wake{In: beatSpan})
-	r.order = slices.DeleteFunc(r.order, func(q *request) bool { return q.over && !q.busy() })
-	for _, m := range r.awaited {
-		m.late = 0
+func (r *Router) tick() {
+	r.emit(Wake{In: tickSpan})
+	r.arrivals = slices.DeleteFunc(r.arrivals, func(request *request) bool { return request.ended && !request.hasOutstanding() })
+	for _, member := range r.overdueMembers {
+		member.overdue = 0
 	}
-	clear(r.awaited) // members that have gone are not held
-	r.awaited = r.awaited[:0]
-	for _, q := range r.order {
-		for i := range q.tries {
-			if a := &q.tries[i]; a.overdue(r.now) {
-				r.awaits(a.at, a)
-				if a.src != a.at && a.at.good > a.sent {
-					r.awaits(a.src, a)
+	clear(r.overdueMembers) // members that have gone are not held
+	r.overdueMembers = r.overdueMembers[:0]
+	for _, request := range r.arrivals {
+		for i := range request.attempts {
+			if attempt := &request.attempts[i]; attempt.overdue(r.now) {
+				r.addOverdue(attempt.target, attempt)
+				if attempt.source != attempt.target && attempt.target.lastProgress > attempt.sent {
+					r.addOverdue(attempt.source, attempt)
 				}
 			}
 		}
 	}
-	for _, m := range r.awaited { // where nothing is asked, silence tells nothing
-		if !m.gone && !m.suspect && r.silent(m) {
-			r.accuse(m)
-			m.silent = true
+	for _, member := range r.overdueMembers { // where nothing is asked, silence tells nothing
+		if !member.unavailable && !member.ejected && r.isSilent(member) {
+			r.eject(member)
+			member.silent = true
 		}
 	}
-	for _, q := range r.order {
-		if !q.over && !q.stream && !q.parked {
-			r.rescue(q)
+	for _, request := range r.arrivals {
+		if !request.ended && !request.streaming && !request.queued {
+			r.cancelUnresponsive(request)
 		}
 	}
-	r.pump()
-	if r.now-r.lastSec >= 1000 {
-		r.second()
+	r.admitQueued()
+	if r.now-r.lastSecond >= 1000 {
+		r.everySecond()
 	}
 }
 
-// second does what needs doing once a second: rates, shares, ages, discovery.
-func (r *Router) second() {
-	span := r.now - r.lastSec
-	r.lastSec = r.now
+// everySecond does what needs doing once a second: rates, shares, ages, discovery.
+func (r *Router) everySecond() {
+	span := r.now - r.lastSecond
+	r.lastSecond = r.now
 	for k, list := range r.byRole {
 		sum, n := 0.0, 0
-		for _, m := range list {
-			m.rate += (m.work/span - m.rate) * 0.15
-			m.work = 0
-			if !m.suspect && r.warmth(m) >= 1 {
-				sum, n = sum+m.rate, n+1
+		for _, member := range list {
+			member.servedRate += (member.servedTime/span - member.servedRate) * 0.15
+			member.servedTime = 0
+			if !member.ejected && r.warmUpShare(member) >= 1 {
+				sum, n = sum+member.servedRate, n+1
 			}
 		}
 		if n > 0 {
-			r.typical[k] = sum / float64(n)
+			r.typicalRate[k] = sum / float64(n)
 		}
 	}
-	if r.now-r.opened >= windowSpan {
+	if r.now-r.windowOpened >= windowSpan {
 		r.closeWindow()
 	}
-	old := r.now - r.s.PurgeTakes - r.s.PurgeSlack
-	maps.DeleteFunc(r.purges, func(_ string, at Millis) bool { return at < old })
-	maps.DeleteFunc(r.groups, func(_ int, at Millis) bool { return at < old })
-	r.watch()
+	old := r.now - r.settings.PurgeTakes - r.settings.PurgeSlack
+	maps.DeleteFunc(r.objectPurges, func(_ string, at Millis) bool { return at < old })
+	maps.DeleteFunc(r.groupPurges, func(_ int, at Millis) bool { return at < old })
+	r.subscribe()
 }
--- a/router_test.go
+++ b/router_test.go
@@ -61,7 +61,7 @@
 // wait lets time pass, with the beats that the router asked for.
 func (g *rig) wait(d Millis) (acts []Action) {
 	for end := g.now + d; g.now < end; {
-		g.now = min(g.now+beatSpan, end)
+		g.now = min(g.now+tickSpan, end)
 		acts = append(acts, g.do(Timer{})...)
 	}
 	return acts
@@ -198,7 +198,7 @@
 	at := 0
 	for x := range 40 {
 		c := serve("b", x)
-		i := slices.IndexFunc(g.r.byRole[edge], func(m *member) bool { return m.ID == c })
+		i := slices.IndexFunc(g.r.byRole[edge], func(member *member) bool { return member.ID == c })
 		if i < at {
 			t.Fatalf("part %d goes back to %s", x, c)
 		}
@@ -289,7 +289,7 @@
 				ended = true
 			}
 		}
-		if len(g.r.open) != 0 && c.want == 0 {
+		if len(g.r.requests) != 0 && c.want == 0 {
 			t.Errorf("%s: the request is still held", c.name)
 		}
 	}
@@ -472,7 +472,7 @@
 	if b := g.one(acts); b.Source == a.Source || b.Cache != a.Cache {
 		t.Errorf("filled from %s again", b.Source)
 	}
-	if g.r.members[a.Cache].faults > 0 || g.r.members[a.Source].faults == 0 {
+	if g.r.members[a.Cache].faultShare > 0 || g.r.members[a.Source].faultShare == 0 {
 		t.Error("the wrong part was blamed")
 	}
 }
@@ -578,14 +578,14 @@
 	m.ReadyAt = g.now
 	g.do(Members{Rows: []Member{m}})
 	g.wait(500)
-	g.r.link.room = 0
+	g.r.link.limit = 0
 	for i := range 60 {
 		id, acts := g.ask("video", fmt.Sprint("c", i), i%9)
 		for _, s := range sends(acts) {
 			g.do(Outcome{ID: id, Cache: s.Cache, Result: Miss, Took: 1})
 		}
 	}
-	g.r.link.room = 1000
+	g.r.link.limit = 1000
 	cold := 0
 	for _, s := range sends(g.wait(100)) {
 		if s.Cache == "e2" {
@@ -608,8 +608,8 @@
 		}
 		g.wait(20)
 	}
-	if g.r.typical[edge] > 0 {
-		t.Errorf("caches that served nothing are thought to bear %v", g.r.typical[edge])
+	if g.r.typicalRate[edge] > 0 {
+		t.Errorf("caches that served nothing are thought to bear %v", g.r.typicalRate[edge])
 	}
 }
 
@@ -618,15 +618,15 @@
 // could still be on time.
 func TestFirstTriesGoBeforeRepeats(t *testing.T) {
 	g := newRig(t, testSettings())
-	g.r.link.room = 0
+	g.r.link.limit = 0
 	for _, retry := range []bool{true, false} {
 		id := fmt.Sprint(retry)
 		for _, s := range sends(g.do(Request{ID: id, Class: "video", Object: id, KB: 100, Retry: retry, Deadline: g.now + 6000})) {
 			g.do(Outcome{ID: id, Cache: s.Cache, Result: Miss, Took: 1})
 		}
 	}
-	g.r.link.room = 1
-	if s := sends(g.wait(beatSpan)); len(s) != 1 || s[0].ID != "false" {
+	g.r.link.limit = 1
+	if s := sends(g.wait(tickSpan)); len(s) != 1 || s[0].ID != "false" {
 		t.Errorf("with room for one, sent %v", s)
 	}
 }
@@ -639,18 +639,18 @@
 	for _, c := range []struct {
 		routers int
 		most    float64 // room left in a lasting shortage
-	}{{1, leastRoom}, {2, leastRoom}, {20, leastShared / 20}} {
+	}{{1, minLimit}, {2, minLimit}, {20, minSharedLimit / 20}} {
 		s := testSettings()
 		s.RoutersByZone = []int{0, c.routers}
 		g := newRig(t, s)
 		for range 100 {
 			g.wait(200)
-			g.r.gauge(&request{Request: Request{KB: 1}}, &g.r.link, true, true, 1000)
+			g.r.adjustLimit(&request{Request: Request{KB: 1}}, &g.r.link, true, true, 1000)
 		}
-		if room := g.r.link.room; room != c.most {
+		if room := g.r.link.limit; room != c.most {
 			t.Errorf("%d routers: each keeps room for %v fills", c.routers, room)
 		}
-		if c.most < 1 && (g.r.link.free(g.now) || !g.r.link.free(g.now+20000)) {
+		if c.most < 1 && (g.r.link.available(g.now) || !g.r.link.available(g.now+20000)) {
 			t.Error("the fraction of a place is not a part of the time")
 		}
 	}
@@ -661,21 +661,21 @@
 // still seen. It guards against a link that is taken to be full and is not.
 func TestChanceIsNoShortage(t *testing.T) {
 	g, rng := newRig(t, testSettings()), rand.New(rand.NewSource(5))
-	least := firstRoom
+	least := initialLimit
 	for range 5000 {
 		g.now += 5
-		g.r.gauge(&request{}, &g.r.link, rng.Float64() < 0.2, true, 100)
-		least = min(least, g.r.link.room)
+		g.r.adjustLimit(&request{}, &g.r.link, rng.Float64() < 0.2, true, 100)
+		least = min(least, g.r.link.limit)
 	}
-	if least < firstRoom*0.9 {
+	if least < initialLimit*0.9 {
 		t.Errorf("room came down to %v by chance", least)
 	}
 	for range 400 {
 		g.now += 25
-		g.r.gauge(&request{}, &g.r.link, true, true, 1000)
+		g.r.adjustLimit(&request{}, &g.r.link, true, true, 1000)
 	}
-	if g.r.link.room > leastRoom+1 {
-		t.Errorf("room is %v in a lasting shortage", g.r.link.room)
+	if g.r.link.limit > minLimit+1 {
+		t.Errorf("room is %v in a lasting shortage", g.r.link.limit)
 	}
 }
 
@@ -724,10 +724,10 @@
 					book(g.do(out))
 				}
 			}
-			for _, a := range g.r.timers { // every deadline comes
+			for _, a := range g.r.deadlineTimers { // every deadline comes
 				g.now = max(g.now, a.Deadline)
 			}
-			for token := int64(1); token <= g.r.token; token++ {
+			for token := int64(1); token <= g.r.lastTimerToken; token++ {
 				book(g.do(Timer{Token: token}))
 			}
 			if len(open) > 0 {
@@ -761,8 +761,8 @@
 	next.Zone, next.Me = "elsewhere", 9 // a router's own: they stay
 	next.ColdTime, next.MaxAttempts = 2*s.ColdTime, 0
 	g.do(Resettled{next})
-	if g.r.s.Zone != "z1" || g.r.s.Me != 0 || g.r.s.MaxAttempts != 4 {
-		t.Errorf("zone %q, me %d, attempts %d", g.r.s.Zone, g.r.s.Me, g.r.s.MaxAttempts)
+	if g.r.settings.Zone != "z1" || g.r.settings.Me != 0 || g.r.settings.MaxAttempts != 4 {
+		t.Errorf("zone %q, me %d, attempts %d", g.r.settings.Zone, g.r.settings.Me, g.r.settings.MaxAttempts)
 	}
 	if _, acts := g.ask("new", "x", 0); len(sends(acts)) != 1 {
 		t.Errorf("the new class is not taken: %+v", acts)
@@ -771,7 +771,7 @@
 	if got := sends(acts); len(got) != 1 || got[0].Age >= 101 {
 		t.Errorf("the purge is forgotten: %+v", got)
 	}
-	if w := g.r.warmth(g.r.members["e2"]); w > 0.21 {
+	if w := g.r.warmUpShare(g.r.members["e2"]); w > 0.21 {
 		t.Errorf("the cold member is warm by %v", w)
 	}
 	acts = g.do(Outcome{ID: hand.ID, Cache: hand.Cache, Result: Reset})
@@ -807,13 +807,13 @@
 			t.Fatalf("after one error: %+v", acts)
 		}
 		acts = g.do(Outcome{ID: id, Attempt: 1, Cache: second[0].Cache, Result: Errored})
-		if len(acts) != 1 || acts[0] != Action(Refuse{ID: id, After: refuseAdvice}) {
+		if len(acts) != 1 || acts[0] != Action(Refuse{ID: id, After: rejectionRetryAfter}) {
 			t.Fatalf("after two: %+v", acts)
 		}
 	}
-	for _, m := range g.r.members {
-		if m.suspect {
-			t.Errorf("%s is a suspect", m.ID)
+	for _, member := range g.r.members {
+		if member.ejected {
+			t.Errorf("%s is a suspect", member.ID)
 		}
 	}
 	_, acts := g.ask("page", "x", 0)
@@ -829,7 +829,7 @@
 			acts = g.do(Outcome{ID: id, Attempt: n, Cache: s.Cache, Result: result, Last: result == OK})
 		}
 	}
-	if !g.r.members[bad].suspect {
+	if !g.r.members[bad].ejected {
 		t.Errorf("%s fails all that others serve, and is no suspect", bad)
 	}
 }
@@ -840,10 +840,10 @@
 // answers looks and fails fills a little early.
 func TestTrialsThatMiss(t *testing.T) {
 	g := newRig(t, testSettings())
-	m := g.r.members["e1"]
-	g.r.accuse(m)
-	m.backoff = lastTrial // as after many failed trials
-	m.trialAt = g.now
+	member := g.r.members["e1"]
+	g.r.eject(member)
+	member.checkBackoff = maxCheckBackoff // as after many failed trials
+	member.nextCheck = g.now
 	for i := range 400 {
 		id, acts := g.ask("page", fmt.Sprint("x", i), 0)
 		g.now += 10
@@ -855,11 +855,11 @@
 			}
 			acts = g.do(Outcome{ID: id, Attempt: n, Cache: s.Cache, Result: result, Note: note, Last: result == OK})
 		}
-		if !m.suspect {
+		if !member.ejected {
 			return
 		}
 	}
-	t.Errorf("still a suspect after 4 s of good answers: %+v", m)
+	t.Errorf("still a suspect after 4 s of good answers: %+v", member)
 }
 
 // TestResetsAmongAnswers: connections that break by themselves make no suspect of a cache
@@ -878,9 +878,9 @@
 			g.do(Outcome{ID: broken, Attempt: 1, Cache: sends(acts)[0].Cache, Result: OK, Last: true})
 		}
 	}
-	for _, m := range g.r.members {
-		if m.suspect {
-			t.Errorf("%s is a suspect", m.ID)
+	for _, member := range g.r.members {
+		if member.ejected {
+			t.Errorf("%s is a suspect", member.ID)
 		}
 	}
 	var out []Send
@@ -895,7 +895,7 @@
 			g.do(Outcome{ID: s.ID, Cache: dead, Result: Reset})
 		}
 	}
-	if !g.r.members[dead].suspect {
+	if !g.r.members[dead].ejected {
 		t.Errorf("%s reset all that it had, and is no suspect", dead)
 	}
 }
@@ -922,8 +922,8 @@
 				g.do(Outcome{ID: id, Attempt: 1, Cache: s.Cache, Result: OK, Note: NoteFilled, Took: c.took, Waited: c.waited, Last: true})
 			}
 		}
-		if full := g.r.link.room < firstRoom; full != c.full {
-			t.Errorf("took %v, of it %v for the source: room %v", c.took, c.waited, g.r.link.room)
+		if full := g.r.link.limit < initialLimit; full != c.full {
+			t.Errorf("took %v, of it %v for the source: room %v", c.took, c.waited, g.r.link.limit)
 		}
 	}
 }
@@ -940,11 +940,11 @@
 	_, acts = g.ask("video", "o1", 0)
 	s = g.one(acts)
 	g.wait(1200)
-	if m := g.r.members[s.Cache]; m.suspect {
+	if member := g.r.members[s.Cache]; member.ejected {
 		t.Errorf("after %v ms of waiting", 1200)
 	}
 	g.wait(6000)
-	if m := g.r.members[s.Cache]; !m.suspect {
+	if member := g.r.members[s.Cache]; !member.ejected {
 		t.Error("a cache that says nothing at all is no suspect")
 	}
 }
@@ -957,12 +957,12 @@
 	q, acts := g.ask("video", "o1", 0)
 	first := g.one(acts)
 	g.wait(8000)
-	m := g.r.members[first.Cache]
-	if !m.suspect {
+	member := g.r.members[first.Cache]
+	if !member.ejected {
 		t.Fatal("no suspect")
 	}
 	g.do(Outcome{ID: q, Cache: first.Cache, Result: OK, Took: 8000, Last: true})
-	if m.suspect {
+	if member.ejected {
 		t.Error("it answers, and is a suspect still")
 	}
 }
@@ -1005,7 +1005,7 @@
 				n, last = n+1, g.now
 				acts = g.do(Outcome{ID: q, Cache: list[0].Cache, Attempt: n - 1, Result: Full, Note: NoteSourceRefused})
 			}
-			acts = g.wait(beatSpan)
+			acts = g.wait(tickSpan)
 		}
 		if n < 3 || n > 6 || last-begin < 1000 {
 			t.Errorf("%d attempts, the last after %v ms", n, last-begin)
@@ -1014,14 +1014,14 @@
 	if len(first) != 2 || first[0] == first[1] || min(first[0], first[1]) < 50 {
 		t.Errorf("the second attempts come after %v", first)
 	}
-	before := g.r.link.room
+	before := g.r.link.limit
 	for i := range 40 {
 		q, s, n := g.fill("page", fmt.Sprint("s", i), 0)
 		g.do(Outcome{ID: q, Cache: s.Cache, Attempt: n, Result: Full, Note: NoteOriginFailed, Took: 5})
 		g.wait(200)
-		if g.r.link.room < before/2 {
+		if g.r.link.limit < before/2 {
 			return
 		}
 	}
-	t.Errorf("room for fills is %v still, %v before", g.r.link.room, before)
+	t.Errorf("room for fills is %v still, %v before", g.r.link.limit, before)
 }
--- a/settings.go
+++ b/settings.go
@@ -9,32 +9,32 @@
 // class is a class and what is seen of it.
 type class struct {
 	Class
-	mean Millis // sending time
-	took Millis // time of answers from held copies
+	meanSendTime Millis // sending time
+	hitTime      Millis // time of answers from held copies
 }
 
-// adopt goes by settings from now on. What was learned of a class of the same name
+// applySettings goes by settings from now on. What was learned of a class of the same name
 // stays; requests in hand keep the class that they came with, and its effect.
-func (r *Router) adopt(s Settings) {
-	r.s = s
-	if r.s.MaxAttempts <= 0 {
-		r.s.MaxAttempts = 4
+func (r *Router) applySettings(settings Settings) {
+	r.settings = settings
+	if r.settings.MaxAttempts <= 0 {
+		r.settings.MaxAttempts = 4
 	}
 	known := r.classes
-	r.classes, r.mostWorth = map[string]*class{}, 0
-	for _, c := range s.Classes {
-		guess := max(c.Aim/2, 1)
-		k := &class{Class: c, mean: guess, took: guess}
-		if old := known[c.Name]; old != nil {
-			k.mean, k.took = old.mean, old.took
+	r.classes, r.highestWorth = map[string]*class{}, 0
+	for _, declared := range settings.Classes {
+		guess := max(declared.Aim/2, 1)
+		class := &class{Class: declared, meanSendTime: guess, hitTime: guess}
+		if old := known[declared.Name]; old != nil {
+			class.meanSendTime, class.hitTime = old.meanSendTime, old.hitTime
 		}
-		r.classes[c.Name] = k
-		r.mostWorth = max(r.mostWorth, c.Worth)
+		r.classes[declared.Name] = class
+		r.highestWorth = max(r.highestWorth, declared.Worth)
 	}
-	for _, m := range r.members {
-		m.role = r.roleOf(m.Member)
+	for _, member := range r.members {
+		member.role = r.roleOf(member.Member)
 	}
-	r.file()
+	r.groupByRole()
 }
 
 // Valid tells of settings that contradict themselves.
@@ -59,11 +59,11 @@
 	return nil
 }
 
-// sharers is how many routers send to the members of a role, as told.
-func (s Settings) sharers(k role) float64 {
-	n := s.Routers
-	if i := slices.Index(s.Zones, s.Zone); k == edge && i >= 0 && i < len(s.RoutersByZone) {
-		n = s.RoutersByZone[i]
+// sharingRouters is how many routers send to the members of a role, as told.
+func (s Settings) sharingRouters(role role) float64 {
+	routers := s.Routers
+	if i := slices.Index(s.Zones, s.Zone); role == edge && i >= 0 && i < len(s.RoutersByZone) {
+		routers = s.RoutersByZone[i]
 	}
-	return float64(max(n, 1))
+	return float64(max(routers, 1))
 }
--- a/slowstart.go
+++ b/slowstart.go
@@ -1,51 +1,51 @@
 package indigospool
 
 const (
-	coldBurst   = 0.5  // of the fall time's budget may be spent at once
-	coldSizeUse = 0.35 // load assumed of a stated capacity
-	coldLent    = 0.5  // of the ordinary load may go to a cold member beyond budgets, times its warmth
+	slowStartBurst     = 0.5  // of the fall time's budget may be spent at once
+	assumedUtilization = 0.35 // load assumed of a stated capacity
+	slowStartOverdraft = 0.5  // of the ordinary load may go to a cold member beyond budgets, times its warmth
 )
 
-// ordinary reports whether a member has a request on the ordinary path.
-func (r *Router) ordinary(m *member, q *request) bool {
-	if m.role == parent {
-		return r.weighed(r.byRole[parent], q.hash).at(0) == m
+// isPrimary reports whether a member has a request on the ordinary path.
+func (r *Router) isPrimary(member *member, request *request) bool {
+	if member.role == parent {
+		return r.byWeightedRendezvous(r.byRole[parent], request.hash).at(0) == member
 	}
-	return r.layout.owner(q) == m
+	return r.layout.owner(request) == member
 }
 
-// warmth is the part of its capacity that a member surely has.
-func (r *Router) warmth(m *member) float64 {
-	from, span := r.s.ColdFrom, r.s.ColdTime
-	if m.role == parent {
-		from, span = r.s.ParentColdFrom, r.s.ParentColdTime
+// warmUpShare is the part of its capacity that a member surely has.
+func (r *Router) warmUpShare(member *member) float64 {
+	from, span := r.settings.ColdFrom, r.settings.ColdTime
+	if member.role == parent {
+		from, span = r.settings.ParentColdFrom, r.settings.ParentColdTime
 	}
-	if m.ReadyAt <= 0 || m.role == origin || span <= 0 || r.now-m.ReadyAt >= span {
+	if member.ReadyAt <= 0 || member.role == origin || span <= 0 || r.now-member.ReadyAt >= span {
 		return 1
 	}
-	return from + (1-from)*max(r.now-m.ReadyAt, 0)/span
+	return from + (1-from)*max(r.now-member.ReadyAt, 0)/span
 }
 
-// cost is what a rule counts an attempt as: a cache, the mean sending time of
+// slowStartCost is what a rule counts an attempt as: a cache, the mean sending time of
 // the class; a parent, the own.
-func (r *Router) cost(m *member, q *request) Millis {
-	if m.role == parent {
-		return q.work
+func (r *Router) slowStartCost(member *member, request *request) Millis {
+	if member.role == parent {
+		return request.sendTime
 	}
-	return q.class.mean
+	return request.class.meanSendTime
 }
 
-// top refills a cold member's budget: this router's share of what it can bear,
+// refillTokens refills a cold member's budget: this router's share of what it can bear,
 // judged by what warm ones of the kind serve it, or by stated capacity.
-func (r *Router) top(m *member) {
-	base := r.typical[m.role]
-	if r.s.SizesCompare {
-		base = max(base, coldSizeUse*m.Size/r.s.sharers(m.role))
+func (r *Router) refillTokens(member *member) {
+	base := r.typicalRate[member.role]
+	if r.settings.SizesCompare {
+		base = max(base, assumedUtilization*member.Size/r.settings.sharingRouters(member.role))
 	}
-	rate := base * r.warmth(m)
-	if r.retired { // the budget is the successor's
+	rate := base * r.warmUpShare(member)
+	if r.closing { // the budget is the successor's
 		rate = 0
 	}
-	m.tokens = min(m.tokens+rate*(r.now-m.topped), rate*max(r.s.FallTime, 500)*coldBurst)
-	m.topped = r.now
+	member.tokens = min(member.tokens+rate*(r.now-member.refilled), rate*max(r.settings.FallTime, 500)*slowStartBurst)
+	member.refilled = r.now
 }
--- a/snapshot.go
+++ b/snapshot.go
@@ -85,17 +85,17 @@
 func (Recalled) event() {}
 func (Retired) event()  {}
 
-func (g *gate) memory() GateMemory {
-	return GateMemory{Room: g.room, Tardy: g.tardy, Cut: g.cut, Next: g.next}
+func (g *concurrencyLimit) snapshot() GateMemory {
+	return GateMemory{Room: g.limit, Tardy: g.slowShare, Cut: g.lowered, Next: g.nextFree}
 }
 
-func (g GateMemory) gate() gate {
-	return gate{room: g.Room, tardy: g.Tardy, cut: g.Cut, next: g.Next}
+func (g GateMemory) concurrencyLimit() concurrencyLimit {
+	return concurrencyLimit{limit: g.Room, slowShare: g.Tardy, lowered: g.Cut, nextFree: g.Next}
 }
 
-func (l layout) memory() LayoutMemory {
+func (l layout) snapshot() LayoutMemory {
 	m := LayoutMemory{Splits: slices.Clone(l.splits), Ranged: l.ranged}
-	for _, e := range l.edges {
+	for _, e := range l.caches {
 		m.Edges = append(m.Edges, e.ID)
 	}
 	return m
@@ -103,60 +103,60 @@
 
 // Memory is a copy of what the router has learned.
 func (r *Router) Memory() *Memory {
-	m := &Memory{At: r.now, Turned: r.turned, Purges: maps.Clone(r.purges), Groups: maps.Clone(r.groups), Link: r.link.memory(),
-		Typical: slices.Clone(r.typical[:]), Retries: r.retries, Mean: r.mean, Pace: r.pace, LastSec: r.lastSec, Window: slices.Clone(r.window),
-		Total: slices.Clone(r.total), Seen: r.seen, Opened: r.opened, Layout: r.layout.memory(), Prior: r.prior.memory(), Moved: r.moved}
+	memory := &Memory{At: r.now, Turned: r.objectsRotated, Purges: maps.Clone(r.objectPurges), Groups: maps.Clone(r.groupPurges), Link: r.link.snapshot(),
+		Typical: slices.Clone(r.typicalRate[:]), Retries: r.retryTokens, Mean: r.meanSendTime, Pace: r.fillStretch, LastSec: r.lastSecond, Window: slices.Clone(r.windowCost),
+		Total: slices.Clone(r.totalCost), Seen: r.windowRequests, Opened: r.windowOpened, Layout: r.layout.snapshot(), Prior: r.priorLayout.snapshot(), Moved: r.layoutChanged}
 	for _, id := range slices.Sorted(maps.Keys(r.members)) {
-		k := r.members[id]
-		m.Members = append(m.Members, MemberMemory{Member: k.Member, Gate: k.gate.memory(), Gone: k.gone, Suspect: k.suspect, Good: k.good,
-			Gap: k.gap, Faults: k.faults, Judged: k.judged, Wins: k.wins, TrialAt: k.trialAt, Backoff: k.backoff, Work: k.work, Rate: k.rate,
-			Tokens: k.tokens, Topped: k.topped})
+		known := r.members[id]
+		memory.Members = append(memory.Members, MemberMemory{Member: known.Member, Gate: known.concurrencyLimit.snapshot(), Gone: known.unavailable, Suspect: known.ejected, Good: known.lastProgress,
+			Gap: known.progressGap, Faults: known.faultShare, Judged: known.outcomes, Wins: known.goodChecks, TrialAt: known.nextCheck, Backoff: known.checkBackoff, Work: known.servedTime, Rate: known.servedRate,
+			Tokens: known.tokens, Topped: known.refilled})
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.classes)) {
 		c := r.classes[name]
-		m.Classes = append(m.Classes, ClassMemory{Name: name, Mean: c.mean, Took: c.took})
+		memory.Classes = append(memory.Classes, ClassMemory{Name: name, Mean: c.meanSendTime, Took: c.hitTime})
 	}
-	for i, objects := range r.objects {
+	for i, objects := range r.objectDepths {
 		for _, name := range slices.Sorted(maps.Keys(objects)) {
 			o := objects[name]
-			m.Objects[i] = append(m.Objects[i], ObjectMemory{Name: name, First: o.first, Parts: o.parts})
+			memory.Objects[i] = append(memory.Objects[i], ObjectMemory{Name: name, First: o.firstParts, Parts: o.parts})
 		}
 	}
-	return m
+	return memory
 }
 
-// recall goes on from a predecessor's memory. Members that are listed no more go with
+// restore goes on from a predecessor's memory. Members that are listed no more go with
 // the first list; classes that are no more are passed over.
-func (r *Router) recall(m *Memory) {
-	if m == nil || len(r.members) > 0 || len(r.order) > 0 {
+func (r *Router) restore(memory *Memory) {
+	if memory == nil || len(r.members) > 0 || len(r.arrivals) > 0 {
 		return
 	}
-	for _, k := range m.Members {
-		r.enlist(k.ID, &member{Member: k.Member, gate: k.Gate.gate(), role: r.roleOf(k.Member), hash: hashString(k.ID), gone: k.Gone,
-			suspect: k.Suspect, good: k.Good, gap: k.Gap, faults: k.Faults, judged: k.Judged, wins: k.Wins, trialAt: k.TrialAt,
-			backoff: k.Backoff, work: k.Work, rate: k.Rate, tokens: k.Tokens, topped: k.Topped})
+	for _, known := range memory.Members {
+		r.addMember(known.ID, &member{Member: known.Member, concurrencyLimit: known.Gate.concurrencyLimit(), role: r.roleOf(known.Member), hash: hashString(known.ID), unavailable: known.Gone,
+			ejected: known.Suspect, lastProgress: known.Good, progressGap: known.Gap, faultShare: known.Faults, outcomes: known.Judged, goodChecks: known.Wins, nextCheck: known.TrialAt,
+			checkBackoff: known.Backoff, servedTime: known.Work, servedRate: known.Rate, tokens: known.Tokens, refilled: known.Topped})
 	}
-	for _, c := range m.Classes {
-		if k := r.classes[c.Name]; k != nil {
-			k.mean, k.took = c.Mean, c.Took
+	for _, c := range memory.Classes {
+		if known := r.classes[c.Name]; known != nil {
+			known.meanSendTime, known.hitTime = c.Mean, c.Took
 		}
 	}
-	for i, list := range m.Objects {
+	for i, list := range memory.Objects {
 		for _, o := range list {
-			r.objects[i][o.Name] = &object{first: o.First, parts: o.Parts}
+			r.objectDepths[i][o.Name] = &objectDepth{firstParts: o.First, parts: o.Parts}
 		}
 	}
-	r.file()
-	if len(m.Purges) > 0 {
-		r.purges = maps.Clone(m.Purges)
+	r.groupByRole()
+	if len(memory.Purges) > 0 {
+		r.objectPurges = maps.Clone(memory.Purges)
 	}
-	if len(m.Groups) > 0 {
-		r.groups = maps.Clone(m.Groups)
+	if len(memory.Groups) > 0 {
+		r.groupPurges = maps.Clone(memory.Groups)
 	}
-	copy(r.typical[:], m.Typical)
-	r.turned, r.link, r.retries, r.mean, r.pace, r.lastSec = m.Turned, m.Link.gate(), m.Retries, m.Mean, m.Pace, m.LastSec
-	r.window, r.total, r.seen, r.opened = slices.Clone(m.Window), slices.Clone(m.Total), m.Seen, m.Opened
-	r.layout, r.prior, r.moved = r.layoutOf(m.Layout), r.layoutOf(m.Prior), m.Moved
+	copy(r.typicalRate[:], memory.Typical)
+	r.objectsRotated, r.link, r.retryTokens, r.meanSendTime, r.fillStretch, r.lastSecond = memory.Turned, memory.Link.concurrencyLimit(), memory.Retries, memory.Mean, memory.Pace, memory.LastSec
+	r.windowCost, r.totalCost, r.windowRequests, r.windowOpened = slices.Clone(memory.Window), slices.Clone(memory.Total), memory.Seen, memory.Opened
+	r.layout, r.priorLayout, r.layoutChanged = r.layoutOf(memory.Layout), r.layoutOf(memory.Prior), memory.Moved
 }
 
 // layoutOf is a layout whose members are known; one with a member that is not has
@@ -168,7 +168,7 @@
 		if k == nil || len(m.Splits) >= max(len(m.Edges), 1) {
 			return layout{}
 		}
-		l.edges = append(l.edges, k)
+		l.caches = append(l.caches, k)
 	}
 	return l
 }
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -68,7 +68,7 @@
 	for seed := range uint64(60) {
 		a, now := busy(t, seed, 300)
 		m := a.Memory()
-		b, err := New(a.s, 1)
+		b, err := New(a.settings, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -81,14 +81,14 @@
 			t.Fatalf("seed %d: ranges %v, not %v", seed, b.Ranges(), a.Ranges())
 		}
 		for _, k := range a.members { // trials that are out, and what is held, is the old one's
-			k.trial, k.held, k.out, k.late = false, 0, 0, 0
+			k.checking, k.inFlight, k.pendingTime, k.overdue = false, 0, 0, 0
 		}
-		a.link.held, a.order, a.token, b.token = 0, nil, 0, 0
+		a.link.inFlight, a.arrivals, a.lastTimerToken, b.lastTimerToken = 0, nil, 0, 0
 		rng := rand.New(rand.NewPCG(seed, 10))
 		for i := range 400 {
 			now += Millis(rng.IntN(30))
 			id := fmt.Sprint("n", i)
-			var ev Event = Request{ID: id, Class: a.s.Classes[rng.IntN(len(a.s.Classes))].Name, Object: fmt.Sprint("o", rng.IntN(9)), Part: rng.IntN(12), KB: 30, Deadline: now + 900}
+			var ev Event = Request{ID: id, Class: a.settings.Classes[rng.IntN(len(a.settings.Classes))].Name, Object: fmt.Sprint("o", rng.IntN(9)), Part: rng.IntN(12), KB: 30, Deadline: now + 900}
 			if rng.IntN(6) == 0 {
 				ev = Timer{}
 			}
@@ -194,7 +194,7 @@
 			}
 			return sent
 		}
-		for i := range int(firstRoom) {
+		for i := range int(initialLimit) {
 			id := fmt.Sprint("slow", i)
 			if !ask(id) {
 				t.Fatal("not sent", i)
@@ -209,17 +209,17 @@
 			now += 25
 			r.Handle(now, Timer{}, nil)
 		}
-		if got := ask("still"); got != stalled || r.members["b"].suspect == stalled {
-			t.Errorf("stalled %v: sent %v, suspect %v", stalled, got, r.members["b"].suspect)
+		if got := ask("still"); got != stalled || r.members["b"].ejected == stalled {
+			t.Errorf("stalled %v: sent %v, suspect %v", stalled, got, r.members["b"].ejected)
 		}
-		for i := range int(firstRoom) {
+		for i := range int(initialLimit) {
 			id := fmt.Sprint("slow", i)
 			r.Handle(now, Stalled{ID: id}, nil)
 			r.Handle(now, Outcome{ID: id, Cache: "b", Result: OK, Last: true, Took: 5000}, nil)
 		}
 		r.Handle(now, Outcome{ID: "still", Cache: "b", Result: OK, Last: true}, nil)
-		if b := r.members["b"]; b.held != 0 || b.out < 0 || b.out > 1e-6 {
-			t.Errorf("stalled %v: %v are held, %v expected", stalled, b.held, b.out)
+		if b := r.members["b"]; b.inFlight != 0 || b.pendingTime < 0 || b.pendingTime > 1e-6 {
+			t.Errorf("stalled %v: %v are held, %v expected", stalled, b.inFlight, b.pendingTime)
 		}
 	}
 }
