--- a/admission.go
+++ b/admission.go
@@ -6,32 +6,97 @@
 )
 
 const (
-	initialLimit   = 32.0 // fills at once at first, and at least; then as many as come in within the aim
-	minLimit       = 2.0
-	minSharedLimit = 4.0 // the same for all routers of a location, which may be many
-	slowFillPart   = 0.6 // a fill is tardy past this part of the aim
-	maxSlowShare   = 0.4 // and the link too full at this share of tardy fills
+	// initialLimit is how many transfers may be in flight at first. From there the limit follows
+	// what is answered in time.
+	initialLimit = 32.0
+	// minLimit is the least limit of one router's link or of a cache: with one transfer in flight
+	// at most nothing could show that more are borne.
+	minLimit = 2.0
+	// minSharedLimit is the least limit of a location's link for all its routers together, which
+	// may be many.
+	minSharedLimit = 4.0
+	// slowPart is the part of the latency objective past which a transfer is slow.
+	slowPart = 0.6
+	// maxSlowShare is the share of slow transfers from which a link is too full.
+	maxSlowShare = 0.4
+	// slowShareGain is the weight of one transfer in the share of slow ones.
+	slowShareGain = 0.1
+	// limitDecrease is what is left of a limit that is lowered.
+	limitDecrease = 0.9
+	// limitDecreaseSpan is the least time between two decreases: the transfers in flight are
+	// slow for the same cause.
+	limitDecreaseSpan = Millis(100)
+	// minPacedLimit bounds the time between two transfers where the limit is a fraction.
+	minPacedLimit = 0.05
+	// firstPicks is how many queued requests are picked one by one before all are sorted: most of
+	// the time no more can go on.
+	firstPicks = 4
 )
 
-// concurrencyLimit limits what is out over a link to what comes in on time.
+// concurrencyLimit bounds the transfers in flight over a link to as many as are answered in time.
 type concurrencyLimit struct {
-	inFlight, limit   float64 // what is out, and how much is thought to be borne
-	slowShare         float64 // recent share that took most of the aim
-	lowered, nextFree Millis  // when room was last lowered, and when its fraction is free again
+	inFlight  float64
+	limit     float64 // transfers that may be in flight; below 1 a share of the time
+	slowShare float64 // recent share of slow transfers
+	lowered   Millis  // when the limit was last lowered
+	nextFree  Millis  // while the limit is below 1: when the next transfer may start
 }
 
-// handleStall takes an answer that waits for its client out of what members and the link
-// bear, and back when it goes on: one slow client keeps no place from others.
-func (r *Router) handleStall(stalled Stalled) {
-	request := r.requests[stalled.ID]
-	if request == nil || stalled.Attempt < 0 || stalled.Attempt >= len(request.attempts) {
-		return
+// available reports whether one more transfer may start. A limit below 1 means one
+// transfer for a part of the time.
+func (l *concurrencyLimit) available(now Millis) bool {
+	return l.inFlight < l.limit && now >= l.nextFree
+}
+
+// transfer is what a finished attempt says about the link it went over.
+type transfer struct {
+	slow       bool // it used up most of the latency objective
+	succeeded  bool // nobody was blamed for a fault
+	took       Millis
+	sizeStated bool
+}
+
+// adjustLimit learns from a transfer how many at once a link bears, the location's or a
+// cache's: a tenth fewer when too many are slow, else one more for each limit's worth. Some
+// are slow for other reasons, such as size or a far source. The routers of the location share
+// the least limit of its link, which matters where they are many.
+func (r *Router) adjustLimit(limit *concurrencyLimit, transfer transfer) {
+	gain := slowShareGain
+	if !transfer.sizeStated { // large ones look slow: judge by as many as the limit, lest a few lower it
+		gain = min(gain, 1/max(limit.limit, 1))
+	}
+	limit.slowShare -= limit.slowShare * gain
+	if transfer.slow {
+		limit.slowShare += gain
 	}
-	attempt := &request.attempts[stalled.Attempt]
-	if !attempt.outstanding || attempt.stalled == stalled.On {
+	switch {
+	case limit.slowShare > maxSlowShare:
+		if transfer.slow && r.now-limit.lowered > limitDecreaseSpan {
+			r.lowerLimit(limit)
+		}
+	case transfer.succeeded && limit.inFlight+2 >= limit.limit: // only what is used shows what is borne
+		limit.limit += 1 / max(limit.limit, 1)
+	}
+	limit.nextFree = r.now + transfer.took*max(1/max(limit.limit, minPacedLimit)-1, 0)
+}
+
+// lowerLimit lowers a limit to a part of what is in flight.
+func (r *Router) lowerLimit(limit *concurrencyLimit) {
+	least := min(minLimit, minSharedLimit/r.settings.sharingRouters(edge))
+	limit.limit = max(min(limit.limit, limit.inFlight+1)*limitDecrease, least)
+	limit.lowered = r.now
+}
+
+// handleStall takes an answer that waits for its client out of what is in flight, and
+// counts it again when it goes on: one slow client does not take up capacity that others
+// could use.
+func (r *Router) handleStall(stalled Stalled) {
+	request, attempt := r.findAttempt(stalled.ID, stalled.Attempt)
+	if request == nil || !attempt.outstanding || attempt.stalled == stalled.On {
 		return
 	}
-	if attempt.stalled, attempt.wasStalled = stalled.On, true; !stalled.On {
+	attempt.stalled, attempt.wasStalled = stalled.On, true
+	if !stalled.On {
 		r.countInFlight(attempt, 1)
 		return
 	}
@@ -39,7 +104,7 @@
 	r.admitQueued()
 }
 
-// countInFlight counts an attempt in (1) or out (-1) of what is held.
+// countInFlight counts a stalled attempt in again (1), or out (-1).
 func (r *Router) countInFlight(attempt *attempt, sign float64) {
 	attempt.target.inFlight += sign
 	attempt.target.pendingTime = max(attempt.target.pendingTime+sign*attempt.expected, 0)
@@ -48,39 +113,8 @@
 	}
 }
 
-// adjustLimit learns how many transfers at once a link bears, the location's or a
-// cache's: a tenth less when too many of them use up most of the aim, else one
-// more. A few may be late for other reasons: size, a far source. All routers of
-// the location share the least room of its link; it binds where they are many.
-func (r *Router) adjustLimit(request *request, limit *concurrencyLimit, slow, good bool, took Millis) {
-	gain := 0.1
-	if request.KB <= 0 { // large ones can't be told from slow ones: a roomful is looked at, lest a few cut it
-		gain = min(gain, 1/max(limit.limit, 1))
-	}
-	if limit.slowShare -= limit.slowShare * gain; slow {
-		limit.slowShare += gain
-	}
-	if limit.slowShare > maxSlowShare {
-		if slow && r.now-limit.lowered > 100 {
-			least := min(minLimit, minSharedLimit/r.settings.sharingRouters(edge))
-			limit.limit, limit.lowered = max(min(limit.limit, limit.inFlight+1)*0.9, least), r.now
-		}
-	} else if good && limit.inFlight+2 >= limit.limit {
-		limit.limit += 1 / max(limit.limit, 1)
-	}
-	limit.nextFree = r.now + took*max(1/max(limit.limit, 0.05)-1, 0)
-}
-
-// available reports whether one more transfer may start. Room for less than one is a
-// place for a part of the time.
-func (g *concurrencyLimit) available(now Millis) bool {
-	return g.inFlight < g.limit && now >= g.nextFree
-}
-
-// admitQueued lets waiting requests go on, those first that earn most for their work:
-// when the link cannot serve all, the least worth waits. Once no cache of the
-// location takes anything, only those are looked at that could go on without one:
-// else each place that becomes free costs a look at all who wait.
+// admitQueued lets queued requests go on, those of the highest priority first: where the
+// link cannot serve all, the least valuable wait.
 func (r *Router) admitQueued() {
 	r.queue = r.queue[:0]
 	for _, request := range r.arrivals {
@@ -89,22 +123,17 @@
 		}
 	}
 	queue := r.queue
-	for picks := 0; len(queue) > 0 && picks < 4 && !r.allCachesFull(); picks++ {
-		first, highest := 0, r.priority(queue[0])
-		for i, request := range queue[1:] {
-			if priority := r.priority(request); priority > highest {
-				first, highest = i+1, priority
-			}
+	for range firstPicks {
+		if len(queue) == 0 || r.allCachesFull() {
+			break
 		}
+		first := r.highestPriority(queue)
 		request := queue[first]
 		queue = slices.Delete(queue, first, first+1)
 		r.advance(request)
 	}
 	if r.allCachesFull() {
-		direct := r.settings.Direct && r.link.available(r.now)
-		queue = slices.DeleteFunc(queue, func(request *request) bool {
-			return request.fillTarget == nil && !direct && !request.isWrite() && !r.exhausted(request)
-		})
+		queue = r.withoutNeedOfCache(queue)
 	}
 	slices.SortStableFunc(queue, func(a, b *request) int { return cmp.Compare(r.priority(b), r.priority(a)) })
 	for _, request := range queue {
@@ -112,10 +141,33 @@
 	}
 }
 
-// priority is a waiting request's worth for its work.
+// highestPriority is the index of the queued request of the highest priority; of equal
+// ones the first.
+func (r *Router) highestPriority(queue []*request) int {
+	first, highest := 0, r.priority(queue[0])
+	for i, request := range queue[1:] {
+		if priority := r.priority(request); priority > highest {
+			first, highest = i+1, priority
+		}
+	}
+	return first
+}
+
+// withoutNeedOfCache keeps the queued requests that can go on, or must end, while no cache
+// takes anything. Else each transfer that ends would cost a look at all that wait.
+func (r *Router) withoutNeedOfCache(queue []*request) []*request {
+	direct := r.settings.Direct && r.link.available(r.now)
+	return slices.DeleteFunc(queue, func(request *request) bool {
+		return request.fillTarget == nil && !direct && !request.isWrite() && !r.exhausted(request)
+	})
+}
+
+// priority is a queued request's weight for the time that it takes to send: less for one
+// that will be late, and for a client's repeat, which has waited before.
 func (r *Router) priority(request *request) float64 {
 	weight := request.class.Worth
-	if request.Retry || r.now+request.sendTime*r.fillStretch > request.arrived+request.latencyObjective() { // a repeat has waited before
+	expectedEnd := r.now + request.sendTime*r.fillStretch
+	if request.Retry || expectedEnd > request.arrived+request.latencyObjective() {
 		weight *= request.class.LateWorth
 	}
 	return weight / (request.sendTime + 1)
@@ -124,6 +176,9 @@
 // allCachesFull reports whether no cache of the location takes a request now, whichever it is.
 func (r *Router) allCachesFull() bool {
 	return !slices.ContainsFunc(r.byRole[edge], func(member *member) bool {
-		return !member.unavailable && member.inFlight < max(member.limit, minLimit) && !(member.ejected && (member.checking || r.now < member.nextCheck))
+		return !member.unavailable && !member.atLimit() && !(member.ejected && !r.healthCheckDue(member))
 	})
 }
+
+// atLimit reports whether a member has as many transfers in flight as it is thought to bear.
+func (m *member) atLimit() bool { return m.inFlight >= max(m.limit, minLimit) }
--- a/fillsource.go
+++ b/fillsource.go
@@ -1,35 +1,63 @@
 package indigospool
 
-// pickSource names where a miss is filled from: the parents by a hash of the
-// object, the origin where none is up.
+// siblingFillSpan is how long after a change of the layout the cache before it may still
+// hold copies: about as long as popular ones stay.
+const siblingFillSpan = Millis(20000)
+
+// siblingSource is the cache that served the request before the layout changed, if it can
+// fill the request's fill target: that spares the link to the parents. It is tried once.
+func (r *Router) siblingSource(request *request) *member {
+	previous := r.priorLayout.owner(request)
+	switch {
+	case request.fillTarget == nil, previous == nil, previous == request.fillTarget:
+		return nil
+	case request.siblingTried, r.settings.Siblings == Nowhere, r.now-r.layoutChanged >= siblingFillSpan:
+		return nil
+	case previous.unavailable, previous.ejected, r.warmUpShare(previous) < 1:
+		return nil
+	case !r.canAffordLookup(request):
+		return nil
+	}
+	return previous
+}
+
+// pickSource names where a miss is filled from: the parents in rendezvous order of the
+// object, the origin where none of them is taken. Those that failed the request before
+// come in a second pass.
 func (r *Router) pickSource(request *request) *member {
 	parents := r.byWeightedRendezvous(r.byRole[parent], request.hash)
 	for pass, failedBefore := range []bool{false, true} {
-		for parentServer := range parents.members {
-			if r.takesSource(request, parentServer, pass, failedBefore) {
-				return parentServer
+		for member := range parents.members {
+			if r.takesSource(request, member, pass, failedBefore) {
+				return member
 			}
 		}
-		for _, originServer := range r.byRole[origin] {
-			if r.takesSource(request, originServer, pass, failedBefore) {
-				return originServer
+		for _, member := range r.byRole[origin] {
+			if r.takesSource(request, member, pass, failedBefore) {
+				return member
 			}
 		}
 	}
 	return nil
 }
 
-// takesSource reports whether a member is taken as the source in a pass; again: in the one
-// for those that failed the request before.
+// takesSource reports whether a member is taken as the source in a pass. With failedBefore
+// the pass is the one for members that failed the request before.
 func (r *Router) takesSource(request *request, member *member, pass int, failedBefore bool) bool {
-	why := LetDown
-	if request.failedAt(member) == failedBefore {
-		why = r.unavailableReason(member, request)
-	} else if failedBefore {
-		why = Passed
-	}
-	if failedBefore && request.failedAt(member) && member.role == origin {
-		why = Taken
+	reason := r.sourceReason(request, member, failedBefore)
+	return r.traceLook(request, member, true, pass, reason) == Taken
+}
+
+// sourceReason says why a member is not taken as the source in a pass.
+func (r *Router) sourceReason(request *request, member *member, failedBefore bool) Reason {
+	failed := request.failedAt(member)
+	switch {
+	case failed && !failedBefore:
+		return LetDown
+	case !failed && failedBefore:
+		return Passed
+	case failed && member.role == origin: // there is nobody after it
+		return Taken
 	}
-	return r.traceLook(request, member, true, pass, why) == Taken
+	return r.unavailableReason(member, request)
 }
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -209,7 +209,7 @@
 	taken := 0
 	for i := range 400 {
 		request := &request{Request: Request{Object: fmt.Sprint("w", i)}, class: g.r.classes["page"], hash: hashString(fmt.Sprint("w", i)), arrived: g.now}
-		request.chanceSeed = g.r.chanceSeed(request)
+		request.chanceSeed = g.r.chanceSeedOf(request)
 		member.tokens, member.refilled = -1, g.now
 		if g.r.unavailableReason(member, request) != Taken {
 			continue
--- a/freshness.go
+++ b/freshness.go
@@ -1,13 +1,18 @@
 package indigospool
 
+import "maps"
+
 const (
-	anyCopyAge = Millis(1e9) // "any age": 0 would mean the default
+	// anyCopyAge means that a copy of any age will do; 0 would mean the cache's default.
+	anyCopyAge = Millis(1e9)
+	// minCopyAge is the least age that is asked for, above 0 for the same reason.
 	minCopyAge = Millis(0.05)
 )
 
-// maxCopyAge is the oldest copy that will do: under the time since a purge until all
-// caches have dropped older copies; else the fresh time, with the grace where
-// a fill would have to wait. It is never 0, which would mean the default.
+// maxCopyAge is the age of the oldest copy that will do. While a purge is under
+// way it is less than the time since the purge; else it is the fresh time of the
+// class, with its grace where a fill would have to wait. It is never 0, which
+// would mean the cache's default.
 func (r *Router) maxCopyAge(request *request) Millis {
 	maxAge := anyCopyAge
 	if request.class.Fresh > 0 {
@@ -16,12 +21,36 @@
 			maxAge += request.class.Grace
 		}
 	}
-	purgedAt, known := r.objectPurges[request.Object]
-	if groupPurge, purged := r.groupPurges[request.Group]; purged && (!known || groupPurge > purgedAt) {
-		purgedAt, known = groupPurge, true
-	}
-	if known && r.now < purgedAt+r.settings.PurgeTakes+r.settings.PurgeSlack {
+	purgedAt, purged := r.lastPurge(request)
+	if purged && r.now < purgedAt+r.settings.PurgeTakes+r.settings.PurgeSlack {
 		maxAge = min(maxAge, r.now-purgedAt-1)
 	}
 	return max(maxAge, minCopyAge)
 }
+
+// lastPurge is the time of the last purge of the request's object or of its group.
+func (r *Router) lastPurge(request *request) (at Millis, purged bool) {
+	at, purged = r.objectPurges[request.Object]
+	groupAt, groupPurged := r.groupPurges[request.Group]
+	if groupPurged && (!purged || groupAt > at) {
+		return groupAt, true
+	}
+	return at, purged
+}
+
+// recordPurge remembers a purge of an object or, with no object, of a group.
+func (r *Router) recordPurge(purge Purge) {
+	at := r.now - purge.Age
+	if purge.Object != "" {
+		r.objectPurges[purge.Object] = max(r.objectPurges[purge.Object], at)
+		return
+	}
+	r.groupPurges[purge.Group] = max(r.groupPurges[purge.Group], at)
+}
+
+// dropOldPurges drops the purges after which every cache has dropped older copies.
+func (r *Router) dropOldPurges() {
+	old := r.now - r.settings.PurgeTakes - r.settings.PurgeSlack
+	maps.DeleteFunc(r.objectPurges, func(_ string, at Millis) bool { return at < old })
+	maps.DeleteFunc(r.groupPurges, func(_ int, at Millis) bool { return at < old })
+}
--- a/hash.go
+++ b/hash.go
@@ -1,9 +1,8 @@
 package indigospool
 
-import (
-	"math"
-)
+import "math"
 
+// hashString is the FNV-1a hash of a text, mixed.
 func hashString(text string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := 0; i < len(text); i++ {
@@ -12,6 +11,7 @@
 	return mix(h)
 }
 
+// mix spreads the bits of a hash (the output step of SplitMix64).
 func mix(h uint64) uint64 {
 	h += 0x9e3779b97f4a7c15
 	h = (h ^ h>>30) * 0xbf58476d1ce4e5b9
@@ -22,8 +22,8 @@
 // chance is a share within [0, 1) that goes with h, the same each time.
 func chance(h uint64) float64 { return float64(mix(h)>>11) / (1 << 53) }
 
-// chanceSeed is what chance goes by for a request: another one at another time, and at another
-// router, but the same for one that asks the same in its place.
-func (r *Router) chanceSeed(request *request) uint64 {
+// chanceSeedOf is what chance goes by for a request: another one at another time and at
+// another router, but the same for a request that asks the same in its place.
+func (r *Router) chanceSeedOf(request *request) uint64 {
 	return mix(r.seed^math.Float64bits(request.arrived)) + request.hash + uint64(request.Part)
 }
--- a/outlier.go
+++ b/outlier.go
@@ -1,144 +1,245 @@
 package indigospool
 
+import "slices"
+
+const (
+	// An attempt is overdue after overdueBase and overdueStretch times its expected time.
+	overdueBase    = Millis(300)
+	overdueStretch = 1.5
+
+	// A member with silentOverdueCount overdue attempts and no progress for so long is silent:
+	// longer than the pauses that caches make.
+	cacheSilence       = Millis(450)
+	sourceSilence      = Millis(900) // of a source, whose progress shows less often
+	silenceGaps        = 4           // and for this many of its usual gaps between signs of progress
+	silentOverdueCount = 3
+	// One overdue attempt is enough after so long a silence, and after so many times what it was
+	// expected to take: objects differ in size.
+	singleOverdueSilence = Millis(1500)
+	singleOverdueStretch = 6
+
+	// faultGain is the weight of one outcome in a member's share of faults.
+	faultGain = 0.12
+	// assumedFaultShare is assumed of members that showed no fault, where one of two is at fault.
+	assumedFaultShare = 0.1
+	// ejectionFaultShare is the share of faults from which a member is ejected.
+	ejectionFaultShare = 0.4
+
+	// An ejected member gets one health check at a time, after a backoff that grows with each
+	// that fails.
+	initialCheckBackoff = Millis(400)
+	maxCheckBackoff     = Millis(4000)
+	checkBackoffGrowth  = 1.5
+	// goodChecksToReturn is how many good health checks in a row end an ejection.
+	goodChecksToReturn = 3
+
+	// progressGapGain is the weight of one gap between two signs of progress in the usual one,
+	// and maxProgressGap the longest that counts: longer ones mean that nothing was asked.
+	progressGapGain = 0.1
+	maxProgressGap  = Millis(2000)
+)
+
+// The weights of faults, by how surely they show that a member is at fault.
 const (
-	overdueBase          = Millis(300) // an attempt is overdue after this and overdueStretch x its expected time
-	overdueStretch       = 1.5
-	cacheSilence         = Millis(450) // overdue and no sign of life for so long: silent (pauses are shorter)
-	sourceSilence        = Millis(900) // the same for a source, which is heard of less often
-	silenceGaps          = 4           // and for this many usual gaps between signs of life
-	silentOverdueCount   = 3
-	singleOverdueSilence = Millis(1500) // one overdue attempt is enough after so long a silence, and
-	singleOverdueStretch = 6            // after so many times what it was expected to take: objects differ in size
-	faultWeight          = 0.12         // weight of one outcome in the share of faults
-	assumedFaultShare    = 0.1          // share of faults assumed of those that showed none
-	ejectionFaultShare   = 0.4          // share of faults that makes a suspect
-	initialCheckBackoff  = Millis(400)
-	maxCheckBackoff      = Millis(4000)
-	goodChecksToReturn   = 3 // good trials in a row that clear a suspect
+	certainFault  = 3.0  // it accepts no connections
+	fault         = 1.0  // an attempt failed at it
+	likelyFault   = 0.5  // an attempt failed at it or behind it
+	overloadFault = 0.25 // it rejected an attempt for want of capacity
 )
 
+// attributeOutcome attributes an outcome to the member that it says something about.
 func (r *Router) attributeOutcome(request *request, attempt *attempt, outcome Outcome) {
-	fill := attempt.source != attempt.target
 	switch outcome.Result {
 	case OK:
-		r.recordSuccess(attempt.target, attempt)
-		attempt.target.servedTime += request.sendTime
-		if fill && outcome.Note != NoteHit {
-			r.recordSuccess(attempt.source, attempt)
-			attempt.source.servedTime += request.sendTime
-		} else if attempt.target.role == edge {
-			request.class.hitTime += (outcome.Took - request.class.hitTime) * 0.02
-			if request.KB <= 0 {
-				request.class.meanSendTime += (outcome.Took - request.class.meanSendTime) * 0.02
-			}
-		}
+		r.attributeSuccess(request, attempt, outcome)
 	case Miss:
-		if attempt.target.lastProgress = r.now; attempt.healthCheck { // it answers; one that was out for long has few copies
-			r.recordSuccess(attempt.target, attempt)
-		}
-		if attempt.cacheMissed = attempt.source.role == edge; !fill {
-			request.fillTarget = attempt.target
-		}
+		r.attributeMiss(request, attempt)
 	case Full:
-		switch {
-		case outcome.Note == NoteSourceRefused && attempt.source.role == origin, outcome.Note == NoteSourceLacks:
-			attempt.blamed = attempt.source // it guards itself: no fault
-		case outcome.Note == NoteOriginFailed:
-			attempt.blamed = attempt.source
-			for _, originServer := range r.byRole[origin] {
-				r.recordFault(originServer, 0.5, nil)
-			}
-		case outcome.Note == NoteSourceRefused || outcome.Note == NoteSourceUnreached:
-			r.recordFault(attempt.source, 1, attempt)
-		case outcome.Note == NoteNoPlace || r.settings.Detail == DetailAll:
-			r.recordFault(attempt.target, 0.25, attempt)
-		default:
-			r.splitFault(attempt, 0.5)
-		}
+		r.attributeRejection(attempt, outcome.Note)
 	case Errored:
-		// What two caches find fault with, and no source, no cache can use: the request ends, and
-		// the first gets its blame back. Else a few such make suspects of a whole location.
-		if member := request.erroredAt; !fill && member != nil && member != attempt.target {
-			request.invalid, attempt.blamed = true, attempt.target
-			member.faultShare = max((member.faultShare-faultWeight)/(1-faultWeight), 0)
-			member.ejected = member.ejected && member.faultShare > ejectionFaultShare
-		} else if r.splitFault(attempt, 1); !fill {
-			request.erroredAt = attempt.target
-		}
+		r.attributeError(request, attempt)
 	case ConnectFailed:
-		r.recordFault(attempt.target, 3, attempt)
+		r.recordFaultOf(attempt, attempt.target, certainFault)
 	case TimedOut, Reset: // a dying cache resets all, and then refuses; a connection may break by itself
-		if attempt.target.lastProgress <= attempt.sent { // with progress since, it was crowded out: nobody's fault
-			r.recordFault(attempt.target, 1, attempt)
-		} else if fill && attempt.source.lastProgress <= attempt.sent {
-			r.recordFault(attempt.source, 0.5, attempt)
+		r.attributeBreak(attempt)
+	}
+}
+
+// attributeSuccess records an answer for the target and, where it was filled, for the source.
+func (r *Router) attributeSuccess(request *request, attempt *attempt, outcome Outcome) {
+	r.recordSuccess(attempt.target, attempt)
+	attempt.target.servedTime += request.sendTime
+	if attempt.hasSource() && outcome.Note != NoteHit {
+		r.recordSuccess(attempt.source, attempt)
+		attempt.source.servedTime += request.sendTime
+		return
+	}
+	if attempt.target.role == edge {
+		request.class.recordHit(outcome.Took, request.KB > 0)
+	}
+}
+
+// attributeMiss records that the target answered, and that it is to be filled.
+func (r *Router) attributeMiss(request *request, attempt *attempt) {
+	attempt.target.lastProgress = r.now
+	if attempt.healthCheck { // it answers; a member that was out for long has few copies
+		r.recordSuccess(attempt.target, attempt)
+	}
+	attempt.cacheMissed = attempt.source.role == edge
+	if !attempt.hasSource() {
+		request.fillTarget = attempt.target
+	}
+}
+
+// attributeRejection records who was short of capacity.
+func (r *Router) attributeRejection(attempt *attempt, note Note) {
+	switch {
+	case note == NoteSourceRefused && attempt.source.role == origin, note == NoteSourceLacks:
+		attempt.blamed = attempt.source // it protects itself: no fault
+	case note == NoteOriginFailed:
+		attempt.blamed = attempt.source
+		for _, member := range r.byRole[origin] {
+			r.recordFault(member, likelyFault)
 		}
+	case note == NoteSourceRefused, note == NoteSourceUnreached:
+		r.recordFaultOf(attempt, attempt.source, fault)
+	case note == NoteNoPlace, r.settings.Detail == DetailAll:
+		r.recordFaultOf(attempt, attempt.target, overloadFault)
+	default:
+		r.splitFault(attempt, likelyFault)
 	}
 }
 
-// recordSuccess books a sign of health. A suspect returns after good trials, with part
-// of its traffic first, so that one that is cold or half well is not flooded.
+// attributeError records an error. What two caches answer with an error, and no source is
+// involved, no cache can serve: the request ends, and the first cache's fault is taken back.
+// Else a few such requests would eject all caches of a location.
+func (r *Router) attributeError(request *request, attempt *attempt) {
+	first := request.erroredAt
+	if !attempt.hasSource() && first != nil && first != attempt.target {
+		request.invalid = true
+		attempt.blamed = attempt.target
+		first.faultShare = max((first.faultShare-faultGain)/(1-faultGain), 0)
+		first.ejected = first.ejected && first.faultShare > ejectionFaultShare
+		return
+	}
+	r.splitFault(attempt, fault)
+	if !attempt.hasSource() {
+		request.erroredAt = attempt.target
+	}
+}
+
+// attributeBreak records a lost connection or a timeout. A member that has made progress
+// since the attempt was sent is not at fault: the attempt was crowded out.
+func (r *Router) attributeBreak(attempt *attempt) {
+	switch {
+	case attempt.target.lastProgress <= attempt.sent:
+		r.recordFaultOf(attempt, attempt.target, fault)
+	case attempt.hasSource() && attempt.source.lastProgress <= attempt.sent:
+		r.recordFaultOf(attempt, attempt.source, likelyFault)
+	}
+}
+
+// recordSuccess records a sign of health. An ejected member returns after good health
+// checks one after the other, so that one that is warming up or half well is not flooded.
 func (r *Router) recordSuccess(member *member, attempt *attempt) {
-	member.progressGap += (min(r.now-member.lastProgress, 2000) - member.progressGap) * 0.1
+	member.progressGap += (min(r.now-member.lastProgress, maxProgressGap) - member.progressGap) * progressGapGain
 	member.lastProgress = r.now
-	member.faultShare -= member.faultShare * faultWeight
+	member.faultShare -= member.faultShare * faultGain
 	member.outcomes++
-	if member.ejected && (attempt.healthCheck || attempt.source == member || member.silent) {
-		member.nextCheck = r.now                                                           // the next trial may follow at once
-		if member.goodChecks++; member.goodChecks >= goodChecksToReturn || member.silent { // silence is over with the first sign of life
-			member.ejected, member.faultShare, member.outcomes = false, 0, 0
-		}
+	if !member.ejected || !(attempt.healthCheck || attempt.source == member || member.silent) {
+		return
+	}
+	member.nextCheck = r.now // the next health check may follow at once
+	member.goodChecks++
+	if member.goodChecks >= goodChecksToReturn || member.silent { // silence ends with the first sign of life
+		member.ejected, member.faultShare, member.outcomes = false, 0, 0
 	}
 }
 
-// splitFault blames a fault that the cache or the source may have: each in
-// proportion to the faults it has shown elsewhere, so that one explains the
-// other away.
+// splitFault records a fault that the target or the source may have: on each in proportion
+// to the faults it has shown elsewhere, so that one explains the other away.
 func (r *Router) splitFault(attempt *attempt, weight float64) {
-	if attempt.source == attempt.target {
-		r.recordFault(attempt.target, weight, attempt)
+	if !attempt.hasSource() {
+		r.recordFaultOf(attempt, attempt.target, weight)
 		return
 	}
-	part := (attempt.target.faultShare + assumedFaultShare) / (attempt.target.faultShare + attempt.source.faultShare + 2*assumedFaultShare)
-	r.recordFault(attempt.target, weight*part, nil)
-	r.recordFault(attempt.source, weight*(1-part), nil)
-	if attempt.blamed = attempt.target; part < 0.5 {
-		attempt.blamed = attempt.source
+	target, source := attempt.target, attempt.source
+	part := (target.faultShare + assumedFaultShare) / (target.faultShare + source.faultShare + 2*assumedFaultShare)
+	r.recordFault(target, weight*part)
+	r.recordFault(source, weight*(1-part))
+	attempt.blamed = target
+	if part < 0.5 {
+		attempt.blamed = source
 	}
 }
 
-// recordFault books a fault of weight w; a, if named, is put down to the member.
-func (r *Router) recordFault(member *member, weight float64, attempt *attempt) {
-	if attempt != nil {
-		attempt.blamed = member
-	}
-	member.faultShare += (1 - member.faultShare) * min(faultWeight*weight, 1)
+// recordFaultOf records that a member is to blame for an attempt.
+func (r *Router) recordFaultOf(attempt *attempt, member *member, weight float64) {
+	attempt.blamed = member
+	r.recordFault(member, weight)
+}
+
+// recordFault adds a fault to a member's share, and ejects it when that is too high. The
+// failed health check of an ejected one makes the next come later.
+func (r *Router) recordFault(member *member, weight float64) {
+	member.faultShare += (1 - member.faultShare) * min(faultGain*weight, 1)
 	member.outcomes++
 	member.goodChecks = 0
 	if member.ejected {
-		member.checkBackoff = min(member.checkBackoff*1.5, maxCheckBackoff)
+		member.checkBackoff = min(member.checkBackoff*checkBackoffGrowth, maxCheckBackoff)
 		member.nextCheck = r.now + member.checkBackoff
 	} else if member.faultShare > ejectionFaultShare && member.outcomes > 1 {
 		r.eject(member)
 	}
 }
 
-// eject takes the ordinary traffic from a member.
+// eject takes the ordinary traffic from a member; health checks are left.
 func (r *Router) eject(member *member) {
-	member.ejected, member.goodChecks, member.checking, member.silent = true, 0, false, false
+	member.ejected, member.silent = true, false
+	member.goodChecks, member.checking = 0, false
 	member.checkBackoff = initialCheckBackoff
 	member.nextCheck = r.now + member.checkBackoff
 }
 
-// isSilent reports whether a member with overdue attempts gives no sign of life.
-func (r *Router) isSilent(member *member) bool {
-	quiet := cacheSilence
-	if member.role != edge {
-		quiet = sourceSilence
+// healthCheckDue reports whether an ejected member may be sent a health check: an ordinary
+// request, one at a time.
+func (r *Router) healthCheckDue(member *member) bool {
+	return !member.checking && r.now >= member.nextCheck
+}
+
+// ejectSilent ejects members with overdue attempts and no sign of progress, whatever the
+// cause. Progress clears a member, so slow answers alone do not eject it. A member that is
+// asked nothing is not silent.
+func (r *Router) ejectSilent() {
+	r.countOverdue()
+	for _, member := range r.overdueMembers {
+		if !member.unavailable && !member.ejected && r.isSilent(member) {
+			r.eject(member)
+			member.silent = true
+		}
+	}
+}
+
+// countOverdue counts the overdue attempts of each member. One that waits for a fill counts
+// for the source too, once the target has shown progress since.
+func (r *Router) countOverdue() {
+	for _, member := range r.overdueMembers {
+		member.overdue = 0
+	}
+	clear(r.overdueMembers) // so that removed members can be collected
+	r.overdueMembers = r.overdueMembers[:0]
+	for _, request := range r.arrivals {
+		for i := range request.attempts {
+			attempt := &request.attempts[i]
+			if !attempt.isOverdue(r.now) {
+				continue
+			}
+			r.addOverdue(attempt.target, attempt)
+			if attempt.hasSource() && attempt.target.lastProgress > attempt.sent {
+				r.addOverdue(attempt.source, attempt)
+			}
+		}
 	}
-	still := r.now - max(member.lastProgress, member.overdueSince)
-	return member.overdue >= silentOverdueCount && still > max(quiet, silenceGaps*member.progressGap) ||
-		still > max(singleOverdueSilence, singleOverdueStretch*member.overdueExpected)
 }
 
 // addOverdue counts an overdue attempt of a member.
@@ -148,9 +249,60 @@
 		r.overdueMembers = append(r.overdueMembers, member)
 	}
 	member.overdue++
-	member.overdueSince, member.overdueExpected = min(member.overdueSince, attempt.sent), max(member.overdueExpected, attempt.expected)
+	member.overdueSince = min(member.overdueSince, attempt.sent)
+	member.overdueExpected = max(member.overdueExpected, attempt.expected)
+}
+
+// isSilent reports whether a member with overdue attempts gives no sign of progress.
+func (r *Router) isSilent(member *member) bool {
+	quiet := cacheSilence
+	if member.role != edge {
+		quiet = sourceSilence
+	}
+	silence := r.now - max(member.lastProgress, member.overdueSince)
+	if member.overdue >= silentOverdueCount && silence > max(quiet, silenceGaps*member.progressGap) {
+		return true
+	}
+	return silence > max(singleOverdueSilence, singleOverdueStretch*member.overdueExpected)
 }
 
-func (a *attempt) overdue(now Millis) bool {
+// isOverdue reports whether an attempt is out for much longer than expected. One that has
+// waited for its client says nothing about members.
+func (a *attempt) isOverdue(now Millis) bool {
 	return a.outstanding && !a.wasStalled && now-a.sent > overdueBase+overdueStretch*a.expected
 }
+
+// cancelUnresponsive cancels the attempts of a request that wait on an ejected or
+// unavailable member, so that they can be retried elsewhere while time is left.
+func (r *Router) cancelUnresponsive(request *request) {
+	if !r.settings.Cancels || request.class.Effect != Free || !r.mayRetry(request) {
+		return
+	}
+	for i := range request.attempts {
+		attempt := &request.attempts[i]
+		if !attempt.cancelled && attempt.isOverdue(r.now) && attempt.isLost() {
+			r.cancelAttempt(request, i)
+		}
+	}
+}
+
+// isLost reports whether an attempt waits on a member that will not answer.
+func (a *attempt) isLost() bool {
+	if a.target.lostSince(a.sent) {
+		return true
+	}
+	return a.source.role != edge && a.source.lostSince(a.sent) && a.target.lastProgress > a.sent
+}
+
+// lostSince reports whether a member is out and has made no progress since a time.
+func (m *member) lostSince(at Millis) bool {
+	return (m.ejected || m.unavailable) && m.lastProgress <= at
+}
+
+// failedAt reports whether the request failed at a member before, or waited on it until
+// the attempt was cancelled.
+func (q *request) failedAt(member *member) bool {
+	return slices.ContainsFunc(q.attempts, func(a attempt) bool {
+		return a.blamed == member || a.target == member && a.cancelled && a.source.role != parent
+	})
+}
--- a/placement.go
+++ b/placement.go
@@ -1,40 +1,65 @@
 package indigospool
 
 const (
-	siblingFillSpan   = Millis(20000) // for so long after a move the cache before may still hold copies
-	lookupMinAttempts = 3             // attempts that must be left to spend one on a look
-	boundedLoadFactor = 1.25          // a cache that holds more than this times its peers' mean, and a little,
-	boundedLoadSlack  = 1.0           // of mean sending times, passes requests to the next in order
+	// lookupMinAttempts is how many attempts must be left to spend one on a lookup: the fill
+	// that follows it may have to be retried.
+	lookupMinAttempts = 3
+	// A cache with more pending than boundedLoadFactor times the mean of its peers, and
+	// boundedLoadSlack mean sending times, passes requests on to the next in order.
+	boundedLoadFactor = 1.25
+	boundedLoadSlack  = 1.0
 )
 
-// chooseTarget names the cache and the source of the next attempt; the source is the
-// cache itself where it is only asked for what it holds.
+// chooseTarget names the target and the source of the next attempt; nil: none can be made
+// now. The source is the target itself where that is only asked for what it holds.
 func (r *Router) chooseTarget(request *request) (target, source *member) {
 	if request.isWrite() {
-		return r.chooseWrite(request)
+		return r.chooseWriteTarget(request)
 	}
-	if request.fillTarget == nil || request.fillTarget.unavailable || request.fillTarget.ejected || r.warmUpShare(request.fillTarget) < 1 { // cold: no place is held
-		request.fillTarget = nil
-		member := r.pickCache(request)
-		if member != nil && r.warmUpShare(member) >= 1 && r.settings.MaxAttempts-request.countedAttempts() >= lookupMinAttempts {
-			return member, member
+	if !r.canFill(request.fillTarget) {
+		picked := r.pickCache(request)
+		if picked != nil && r.warmUpShare(picked) >= 1 && r.canAffordLookup(request) {
+			request.fillTarget = nil
+			return picked, picked
 		}
-		request.fillTarget = member
+		request.fillTarget = picked
 	}
-	if previous := r.priorLayout.owner(request); request.fillTarget != nil && !request.siblingTried && previous != nil && previous != request.fillTarget &&
-		r.settings.Siblings != Nowhere && r.now-r.layoutChanged < siblingFillSpan && !previous.unavailable && !previous.ejected &&
-		r.warmUpShare(previous) >= 1 && r.settings.MaxAttempts-request.countedAttempts() >= lookupMinAttempts {
-		request.siblingTried = true // a range moved: fill past the thin link, from the cache before
-		return request.fillTarget, previous
+	if sibling := r.siblingSource(request); sibling != nil {
+		request.siblingTried = true
+		return request.fillTarget, sibling
 	}
 	if !r.link.available(r.now) {
 		r.traceLook(request, nil, true, 0, LinkFull)
-		if request.fillTarget != nil && !request.staleAllowed && request.class.Grace > 0 && r.settings.MaxAttempts-request.countedAttempts() >= lookupMinAttempts {
-			request.staleAllowed = true // better an old copy now than a full link
-			return request.fillTarget, request.fillTarget
-		}
+		return r.chooseStaleCopy(request)
+	}
+	return r.chooseFill(request)
+}
+
+// canFill reports whether a cache that missed a request is still the one to fill. One that
+// warms up is not: that would hold a place at it.
+func (r *Router) canFill(member *member) bool {
+	return member != nil && !member.unavailable && !member.ejected && r.warmUpShare(member) >= 1
+}
+
+// canAffordLookup reports whether a request has attempts to spare for one that may find
+// nothing.
+func (r *Router) canAffordLookup(request *request) bool {
+	return r.settings.MaxAttempts-request.countedAttempts() >= lookupMinAttempts
+}
+
+// chooseStaleCopy asks the fill target, once, for a copy past its fresh time: that is better
+// now than a fill when the link is free again.
+func (r *Router) chooseStaleCopy(request *request) (target, source *member) {
+	if request.fillTarget == nil || request.staleAllowed || request.class.Grace <= 0 || !r.canAffordLookup(request) {
 		return nil, nil
 	}
+	request.staleAllowed = true
+	return request.fillTarget, request.fillTarget
+}
+
+// chooseFill has the fill target filled or, where no cache takes the request, has a parent or
+// the origin answer it.
+func (r *Router) chooseFill(request *request) (target, source *member) {
 	source = r.pickSource(request)
 	switch {
 	case source == nil && request.fillTarget != nil && request.countedAttempts() == 0:
@@ -46,21 +71,42 @@
 	case !r.settings.Direct || !request.mayRunAt(source):
 		return nil, nil
 	}
-	if nearest := r.rendezvousOf(origin, request); nearest != nil && source.role == parent {
-		return source, nearest
+	behind := r.rendezvousOf(origin, request)
+	if behind != nil && source.role == parent {
+		return source, behind
 	}
 	return source, source
 }
 
-// pickCache names the edge cache: the one of the ordinary path, or, where that
-// is out, cold or overfull, the next by a hash of the object.
+// chooseWriteTarget sends a write to the origin, directly where that takes attempts, else
+// by a cache.
+func (r *Router) chooseWriteTarget(request *request) (target, source *member) {
+	server := r.rendezvousOf(origin, request)
+	if server == nil {
+		r.traceLook(request, nil, true, 0, NoMember)
+		return nil, nil
+	}
+	if r.settings.Direct && request.mayRunAt(server) && (!request.failedAt(server) || request.executedBy != nil) {
+		return server, server
+	}
+	cache := r.pickCache(request)
+	if cache == nil {
+		return nil, nil
+	}
+	return cache, server
+}
+
+// pickCache names the cache of a request: the one that the layout names or, where that is
+// out, warming up or overloaded, the next in rendezvous order of the object. The first two
+// passes leave out caches that failed the request before; the first of each two keeps to
+// the load bound.
 func (r *Router) pickCache(request *request) *member {
 	primary, bound := r.layout.owner(request), r.loadBound()
 	takes := func(member *member, pass int) bool {
 		return r.traceLook(request, member, false, pass, r.cacheReason(member, request, pass, bound)) == Taken
 	}
 	var others *ranking
-	for pass := range 4 { // first without those that failed it, first within bounds
+	for pass := range 4 {
 		if primary != nil && takes(primary, pass) {
 			return primary
 		}
@@ -76,14 +122,15 @@
 	return nil
 }
 
-// cacheReason says why an edge cache is not taken in a pass.
+// cacheReason says why a cache is not taken in a pass.
 func (r *Router) cacheReason(member *member, request *request, pass int, bound float64) Reason {
+	withinBound, withFailed := pass%2 == 0, pass >= 2
 	switch {
-	case pass&1 == 0 && member.pendingTime/r.capacity(member) > bound:
+	case withinBound && member.pendingTime/r.capacity(member) > bound:
 		return OverBound
-	case request.failedAt(member) && (pass <= 1 || r.now < request.rejectersAfter):
+	case request.failedAt(member) && (!withFailed || r.now < request.rejectersAfter):
 		return LetDown
-	case !request.failedAt(member) && pass > 1:
+	case !request.failedAt(member) && withFailed:
 		return Passed
 	case !request.mayRunAt(member):
 		return NotGroup
@@ -91,7 +138,24 @@
 	return r.unavailableReason(member, request)
 }
 
-// capacity is a member's capacity as far as it is told.
+// unavailableReason says why a member may not be given the request now. Taken: it is
+// available, not ejected (or due for a health check), below its concurrency limit and, while
+// it warms up, within its slow-start budget.
+func (r *Router) unavailableReason(member *member, request *request) Reason {
+	switch {
+	case member.unavailable:
+		return Out
+	case member.ejected && (!r.healthCheckDue(member) || request.countedAttempts() > 0):
+		return Suspect
+	case member.role == edge && member.atLimit():
+		return GateFull
+	case r.warmUpShare(member) < 1 && !r.slowStartAllows(member, request):
+		return ColdSpent
+	}
+	return Taken
+}
+
+// capacity is a member's capacity as far as it is stated, else 1.
 func (r *Router) capacity(member *member) float64 {
 	if r.settings.SizesCompare && member.Size > 0 {
 		return member.Size
@@ -99,63 +163,25 @@
 	return 1
 }
 
-// loadBound is the load past which a cache passes requests on: the mean of the
-// caches in service, and some room.
+// loadBound is the pending time, by capacity, past which a cache passes requests on: a
+// multiple of the mean of the caches in service, and some slack.
 func (r *Router) loadBound() float64 {
-	sum, size, n := 0.0, 0.0, 0.0
+	pending, capacity, caches := 0.0, 0.0, 0.0
 	for _, member := range r.byRole[edge] {
 		if !member.ejected {
-			sum, size, n = sum+member.pendingTime, size+r.capacity(member), n+1
+			pending += member.pendingTime
+			capacity += r.capacity(member)
+			caches++
 		}
 	}
-	if n == 0 {
+	if caches == 0 {
 		return 0
 	}
-	return (boundedLoadFactor*sum + boundedLoadSlack*n*r.meanSendTime) / size
-}
-
-func (r *Router) chooseWrite(request *request) (target, source *member) {
-	originServer := r.rendezvousOf(origin, request)
-	if originServer == nil {
-		r.traceLook(request, nil, true, 0, NoMember)
-		return nil, nil
-	}
-	if r.settings.Direct && request.mayRunAt(originServer) && (!request.failedAt(originServer) || request.executedBy != nil) {
-		return originServer, originServer
-	}
-	if member := r.pickCache(request); member != nil {
-		return member, originServer
-	}
-	return nil, nil
+	return (boundedLoadFactor*pending + boundedLoadSlack*caches*r.meanSendTime) / capacity
 }
 
+// rendezvousOf is the available member of a role that the object's rendezvous hash names;
+// nil: there is none.
 func (r *Router) rendezvousOf(role role, request *request) *member {
 	return rendezvousBest(r.byRole[role], request.hash)
 }
-
-// unavailableReason says why a member may not be given the request now. Taken: it is up, not
-// a suspect (or due for its one trial), within its share, and within its budget
-// while cold.
-func (r *Router) unavailableReason(member *member, request *request) Reason {
-	switch {
-	case member.unavailable:
-		return Out
-	case member.ejected && (member.checking || r.now < member.nextCheck || request.countedAttempts() > 0):
-		return Suspect
-	case member.role == edge && member.inFlight >= max(member.limit, minLimit):
-		return GateFull
-	case r.warmUpShare(member) >= 1:
-		return Taken
-	}
-	if r.refillTokens(member); member.tokens > 0 {
-		return Taken
-	}
-	// The share of one of many routers is less than a request. So of what comes and has its place there
-	// each may go beyond its budget by one, with a chance such that all bring half of the ordinary load
-	// that it can bear by then. What waits is as much as has gathered, and may not.
-	lent := !request.wasQueued && member.tokens > -r.slowStartCost(member, request) && !r.closing && r.isPrimary(member, request)
-	if !lent || chance(request.chanceSeed+member.hash) >= slowStartOverdraft*r.warmUpShare(member) {
-		return ColdSpent
-	}
-	return Taken
-}
--- a/rangesplit.go
+++ b/rangesplit.go
@@ -6,72 +6,120 @@
 	"sort"
 )
 
+// FlexSplit: the parts of all objects go to the caches of the location by contiguous ranges
+// of part indices. A histogram of the cost by part index, discounted from window to window,
+// is cut so that each cache carries an equal share.
+
 const (
-	windowPartRequests      = 500          // part requests that close a histogram window (K)
-	windowSpan              = Millis(5000) // or this time, whichever comes first
-	firstWindowPartRequests = 128          // the first window is short: the hash's copies are soon worthless
-	splitMoveThreshold      = 1.0          // a split point off by less than this of an index's cost stays
-	windowDiscount          = 0.95         // what a window keeps of its weight when the next one closes
-	tailPartCost            = 1.0          // cost of a part beyond the object's mean depth
-	maxPartIndices          = 2048         // part indices told apart; later ones share the last
-	maxObjects              = 20000        // objects remembered in each of two generations
-	objectGenerationSpan    = Millis(60000)
+	// A histogram window closes after windowPartRequests part requests or windowSpan.
+	windowPartRequests = 500
+	windowSpan         = Millis(5000)
+	// firstWindowPartRequests closes the first window: it is short since copies that were placed
+	// by a hash are useless once there are ranges.
+	firstWindowPartRequests = 128
+	// windowDiscount is what the sum of past windows keeps when another closes.
+	windowDiscount = 0.95
+	// splitMoveThreshold is the part of an index's cost by which a split point must be off to move.
+	splitMoveThreshold = 1.0
+	// tailPartCost is the cost of a part beyond the object's mean depth; one within it costs 1.
+	tailPartCost = 1.0
+	// maxPartIndices is how many part indices are told apart; later ones share the last.
+	maxPartIndices = 2048
+	// Objects are remembered in two generations of maxObjects at most; a new one begins after
+	// objectGenerationSpan at the latest.
+	maxObjects           = 20000
+	objectGenerationSpan = Millis(60000)
 )
 
-// objectDepth is what is remembered of an object: how deep clients go, how often.
-type objectDepth struct{ firstParts, parts float64 }
+// objectDepth is how deep clients go into an object.
+type objectDepth struct {
+	firstParts float64 // requests for its first part
+	parts      float64 // requests for any part
+}
 
-// layout places parts: one range per ready edge cache. With no splits there
-// are no ranges yet, and parts go by a hash.
+// mean is the number of parts that a client asks for.
+func (d *objectDepth) mean() float64 {
+	if d.firstParts > 0 {
+		return d.parts / d.firstParts
+	}
+	return 1
+}
+
+// layout places parts: one range for each available cache of the location. While it is not
+// ranged, parts are placed by a hash.
 type layout struct {
 	caches []*member
-	splits []int // first index past each range but the last
+	splits []int // the first index past each range but the last
 	ranged bool
 }
 
+// equal reports whether two layouts place all parts alike.
+func (l layout) equal(other layout) bool {
+	return l.ranged == other.ranged && slices.Equal(l.caches, other.caches) && slices.Equal(l.splits, other.splits)
+}
+
+// owner is the cache that a request goes to while all are in service; nil: there is none.
+func (l layout) owner(request *request) *member {
+	switch {
+	case len(l.caches) == 0:
+		return nil
+	case !request.class.InParts:
+		return rendezvousBest(l.caches, request.hash)
+	case !l.ranged:
+		return rendezvousBest(l.caches, mix(request.hash+uint64(request.Part)))
+	}
+	return l.caches[sort.SearchInts(l.splits, request.Part+1)]
+}
+
 // recordPart counts a part request into the open window and the object's depth.
 func (r *Router) recordPart(request *request) {
 	if !request.class.InParts {
 		return
 	}
-	if len(r.objectDepths[0]) >= maxObjects || r.now-r.objectsRotated > objectGenerationSpan {
-		r.objectDepths[1], r.objectDepths[0], r.objectsRotated = r.objectDepths[0], map[string]*objectDepth{}, r.now
-	}
-	o := cmp.Or(r.objectDepths[0][request.Object], r.objectDepths[1][request.Object], &objectDepth{})
-	r.objectDepths[0][request.Object] = o
-	depth := 1.0
-	if o.firstParts > 0 {
-		depth = o.parts / o.firstParts
-	}
-	o.parts++
+	depth := r.depthOf(request.Object)
+	meanDepth := depth.mean()
+	depth.parts++
 	if request.Part == 0 {
-		o.firstParts++
+		depth.firstParts++
 	}
 	part := min(max(request.Part, 0), maxPartIndices-1)
 	for len(r.windowCost) <= part {
 		r.windowCost = append(r.windowCost, 0)
 	}
-	if float64(part) <= depth {
+	if float64(part) <= meanDepth {
 		r.windowCost[part]++
 	} else {
 		r.windowCost[part] += tailPartCost
 	}
-	if r.windowRequests++; r.windowRequests >= windowPartRequests || r.totalCost == nil && float64(r.windowRequests) >= r.firstWindowTarget() {
+	r.windowRequests++
+	if r.windowRequests >= windowPartRequests || r.totalCost == nil && r.firstWindowDone() {
 		r.closeWindow()
 	}
 }
 
-// firstWindowTarget is how many part requests the first window needs. Copies are shared by all routers
-// of the location, each of which sees its own part of the requests: from a few dozen each,
-// many routers draw as many different ranges, and a part is fetched into several caches.
-func (r *Router) firstWindowTarget() float64 {
-	return firstWindowPartRequests * max(r.settings.sharingRouters(edge)/2, 1)
+// depthOf is what is remembered of an object, in the present generation.
+func (r *Router) depthOf(object string) *objectDepth {
+	if len(r.objectDepths[0]) >= maxObjects || r.now-r.objectsRotated > objectGenerationSpan {
+		r.objectDepths[1], r.objectDepths[0] = r.objectDepths[0], map[string]*objectDepth{}
+		r.objectsRotated = r.now
+	}
+	depth := cmp.Or(r.objectDepths[0][object], r.objectDepths[1][object], &objectDepth{})
+	r.objectDepths[0][object] = depth
+	return depth
 }
 
-// closeWindow joins the window to the discounted sum and resets the splits.
+// firstWindowDone reports whether the first window has as many part requests as it needs. Copies
+// are shared by all routers of the location, each of which sees its own part of the requests:
+// from a few dozen each, many routers would draw as many different ranges, and a part would be
+// fetched into several caches.
+func (r *Router) firstWindowDone() bool {
+	return float64(r.windowRequests) >= firstWindowPartRequests*max(r.settings.sharingRouters(edge)/2, 1)
+}
+
+// closeWindow adds the open window to the discounted sum and updates the layout.
 func (r *Router) closeWindow() {
 	r.windowOpened = r.now
-	if r.windowRequests == 0 || r.totalCost == nil && float64(r.windowRequests) < r.firstWindowTarget() {
+	if r.windowRequests == 0 || r.totalCost == nil && !r.firstWindowDone() {
 		return
 	}
 	for len(r.totalCost) < len(r.windowCost) {
@@ -89,44 +137,50 @@
 }
 
 // updateLayout places the split points so that each range carries an equal share, to
-// within one index. A point that is off by less than an index's cost stays, so
-// that chance in the counts does not move ranges.
+// within one index.
 func (r *Router) updateLayout() {
 	next := layout{caches: r.byRole[edge]}
-	count, sum := len(next.caches), total(r.totalCost)
-	if count > 0 && sum > 0 {
-		next.splits, next.ranged = splitPoints(r.totalCost, count), true
-	}
-	if next.ranged && r.layout.ranged && len(r.layout.caches) == count {
-		below := make([]float64, len(r.totalCost)+1)
-		for part, partCost := range r.totalCost {
-			below[part+1] = below[part] + partCost
-		}
-		for i, old := range r.layout.splits {
-			if old > 0 && old < len(r.totalCost) {
-				off := below[old] - sum*float64(i+1)/float64(count)
-				if max(off, -off) < splitMoveThreshold*max(r.totalCost[old-1], r.totalCost[old]) {
-					next.splits[i] = old
-				}
-			}
-		}
-		slices.Sort(next.splits)
+	if len(next.caches) > 0 && total(r.totalCost) > 0 {
+		next.splits, next.ranged = splitPoints(r.totalCost, len(next.caches)), true
 	}
-	if !slices.Equal(next.caches, r.layout.caches) || !slices.Equal(next.splits, r.layout.splits) ||
-		next.ranged != r.layout.ranged {
+	if next.ranged && r.layout.ranged && len(r.layout.caches) == len(next.caches) {
+		keepSplits(next.splits, r.layout.splits, r.totalCost)
+	}
+	if !next.equal(r.layout) {
 		r.priorLayout, r.layoutChanged = r.layout, r.now
 	}
 	r.layout = next
 }
 
-// splitPoints cuts the indices into n contiguous ranges of about equal cost.
-// The last range is open, so every index has one.
-func splitPoints(cost []float64, n int) []int {
+// keepSplits puts back the split points that are off by less than an index's cost, so that
+// chance in the counts moves no ranges.
+func keepSplits(splits, before []int, cost []float64) {
+	sum := total(cost)
+	below := make([]float64, len(cost)+1) // cost of all parts before an index
+	for part, partCost := range cost {
+		below[part+1] = below[part] + partCost
+	}
+	ranges := len(splits) + 1
+	for i, split := range before {
+		if split <= 0 || split >= len(cost) {
+			continue
+		}
+		off := below[split] - sum*float64(i+1)/float64(ranges)
+		if max(off, -off) < splitMoveThreshold*max(cost[split-1], cost[split]) {
+			splits[i] = split
+		}
+	}
+	slices.Sort(splits)
+}
+
+// splitPoints cuts the indices into ranges of about equal cost. The last range is open, so
+// every index has one.
+func splitPoints(cost []float64, ranges int) []int {
 	sum := total(cost)
-	points := make([]int, 0, n-1)
+	points := make([]int, 0, ranges-1)
 	part, below := 0, 0.0
-	for i := 1; i < n; i++ {
-		want := sum * float64(i) / float64(n)
+	for i := 1; i < ranges; i++ {
+		want := sum * float64(i) / float64(ranges)
 		for part < len(cost) && below+cost[part]/2 <= want {
 			below += cost[part]
 			part++
@@ -136,39 +190,28 @@
 	return points
 }
 
-// owner is the edge cache of a request on the ordinary path.
-func (l layout) owner(request *request) *member {
-	switch {
-	case len(l.caches) == 0:
-		return nil
-	case !request.class.InParts:
-		return rendezvousBest(l.caches, request.hash)
-	case !l.ranged:
-		return rendezvousBest(l.caches, mix(request.hash+uint64(request.Part)))
+// total is the sum of the costs of all parts.
+func total(cost []float64) (sum float64) {
+	for _, partCost := range cost {
+		sum += partCost
 	}
-	return l.caches[sort.SearchInts(l.splits, request.Part+1)]
+	return sum
 }
 
-// Ranges are the caches' ranges of part indices; none before there are any.
-func (r *Router) Ranges() (out []Range) {
+// Ranges are the caches' ranges of part indices, in their order; nil before there are any.
+func (r *Router) Ranges() []Range {
 	if !r.layout.ranged {
 		return nil
 	}
+	var ranges []Range
 	from := 0
 	for i, member := range r.layout.caches {
 		to := -1
 		if i < len(r.layout.splits) {
 			to = r.layout.splits[i]
 		}
-		out = append(out, Range{Cache: member.ID, From: from, To: to})
+		ranges = append(ranges, Range{Cache: member.ID, From: from, To: to})
 		from = to
 	}
-	return out
-}
-
-func total(cost []float64) (sum float64) {
-	for _, partCost := range cost {
-		sum += partCost
-	}
-	return sum
+	return ranges
 }
--- a/request.go
+++ b/request.go
@@ -1,86 +1,128 @@
 package indigospool
 
-import (
-	"slices"
-)
+import "slices"
 
 const (
-	copyRank            = 1 // one rank for all: a higher one would keep new copies out for long
-	rejectionRetryAfter = Millis(300)
+	// copyRank is the rank of every copy that a cache is asked to keep: with a higher one for
+	// some, new copies would be kept out for long.
+	copyRank = 1
+	// meanGain is the weight of one request in the mean times of all and of its class.
+	meanGain = 0.02
+	// fillStretchGain is the weight of one fill in fillStretch. The time of a fill counts in
+	// multiples, 1 to maxFillStretch, of its sending time and fillOverhead.
+	fillStretchGain = 0.05
+	maxFillStretch  = 4
+	fillOverhead    = Millis(50)
 )
 
-// request is a request in hand.
+// request is a client's request while it is in hand.
 type request struct {
 	Request
-	class                      *class
-	hash, chanceSeed           uint64
-	arrived                    Millis
-	timerToken                 int64  // of its deadline's timer
-	sendTime                   Millis // own sending time, as told or as its class takes
-	attempts                   []attempt
-	localFailures              int // of these, the ones that could not be begun here
-	ended, queued, streaming   bool
-	wasQueued                  bool    // it was parked
-	fillTarget                 *member // the cache that missed it and is to be filled
-	siblingTried, staleAllowed bool    // a sibling was asked; an old copy will do
-	erroredAt                  *member // the cache whose error it had, with no source involved
-	invalid                    bool    // another one's too
-	executedBy                 *member // where the first attempt that may have run went
-	executedAt                 Millis
-	rejected                   bool   // the last attempt was turned away
-	notBefore                  Millis // nobody is asked before
-	rejectersAfter             Millis // those that turned it away are not asked again before
+	class      *class
+	hash       uint64 // of the object
+	chanceSeed uint64
+	arrived    Millis
+	timerToken int64  // of its deadline's timer
+	sendTime   Millis // expected time that the answer takes to send
+
+	attempts      []attempt // in the order of their numbers
+	localFailures int       // of these, those that could not be begun at this router
+
+	ended     bool // it has its final answer, or the client has left
+	streaming bool // the answer has begun
+	queued    bool // it waits for capacity
+	wasQueued bool // or has waited
+
+	fillTarget   *member // the cache that has no copy and is to be filled
+	siblingTried bool    // a sibling was asked as a source
+	staleAllowed bool    // a copy past its fresh time will do
+
+	erroredAt *member // the cache that answered with an error, no source being involved
+	invalid   bool    // another cache did so too
+
+	executedBy *member // where the first attempt went that may have run; nil: none
+	executedAt Millis  // when that was sent
+
+	rejected       bool   // the last attempt was rejected
+	notBefore      Millis // no attempt is made before
+	rejectersAfter Millis // the members that failed it are not asked before
 }
 
 // attempt is one attempt of a request.
 type attempt struct {
-	target, source           *member
-	sent, expected           Millis
-	outstanding, healthCheck bool
-	fill                     bool // it takes room on the location's link
-	cancelled                bool // cancelled by us
-	cacheMissed              bool // only a cache was asked, which had no copy
-	localFailure             bool // it could not be begun here
-	blamed                   *member
-	stalled                  bool // it waits for its client now
-	wasStalled               bool // or did: how long it took tells nothing of members
+	target       *member // the member that it is sent to
+	source       *member // where the target fills from; the target itself: no fill
+	sent         Millis
+	expected     Millis // time that it is expected to take
+	outstanding  bool   // no outcome has come
+	cancelled    bool   // by this router
+	healthCheck  bool   // the target or the source is ejected
+	fill         bool   // it counts against the limit of the location's link
+	cacheMissed  bool   // only caches were asked, and they had no copy
+	localFailure bool   // it could not be begun at this router
+	stalled      bool   // the answer waits for its client
+	wasStalled   bool   // or has waited: how long it took says nothing about members
+	blamed       *member
 }
 
+// hasSource reports whether the target is to fill the object from another member.
+func (a *attempt) hasSource() bool { return a.source != a.target }
+
+// fillsFromSource reports whether the target is to fill from a parent or the origin.
+func (a *attempt) fillsFromSource() bool { return a.hasSource() && a.source.role != edge }
+
+// arrive takes in a request and makes its first attempt.
 func (r *Router) arrive(event Request) {
 	class := r.classes[event.Class]
 	if class == nil {
 		r.emit(Fail{ID: event.ID})
+		return
 	}
-	if class == nil || r.requests[event.ID] != nil {
+	if r.requests[event.ID] != nil {
 		return
 	}
 	request := &request{Request: event, class: class, hash: hashString(event.Object), arrived: r.now}
-	request.chanceSeed = r.chanceSeed(request)
+	request.chanceSeed = r.chanceSeedOf(request)
 	if event.Deadline <= 0 {
 		request.Deadline = r.now + class.Deadline
 	}
-	request.sendTime = class.meanSendTime
-	if event.KB > 0 && r.settings.FlowKBPerMs > 0 {
-		request.sendTime = event.KB / r.settings.FlowKBPerMs
-		class.meanSendTime += (request.sendTime - class.meanSendTime) * 0.02
-	}
+	request.sendTime = r.expectSendTime(event, class)
 	r.requests[event.ID] = request
 	r.arrivals = append(r.arrivals, request)
-	r.lastTimerToken++
-	r.deadlineTimers[r.lastTimerToken], request.timerToken = request, r.lastTimerToken
-	r.emit(Wake{In: max(request.Deadline-r.now-2*r.settings.Tick, 0), Token: r.lastTimerToken})
-	r.meanSendTime += (request.sendTime - r.meanSendTime) * 0.02
+	r.startDeadlineTimer(request)
+	r.meanSendTime += (request.sendTime - r.meanSendTime) * meanGain
 	r.retryTokens = min(r.retryTokens+retryBudgetShare, retryBudgetBurst)
 	r.recordPart(request)
 	r.advance(request)
 }
 
-// advance makes the next attempt of a request that has none out, or ends it.
-// A warm cache is first asked for what it holds; only a miss is then filled,
-// so that faults and bytes of fills are known for what they are.
+// expectSendTime is how long an answer takes to send: by its size where that and the pace
+// are stated, and then the class learns from it; else the mean of the class.
+func (r *Router) expectSendTime(event Request, class *class) Millis {
+	if !r.sizeKnown(event) {
+		return class.meanSendTime
+	}
+	sendTime := event.KB / r.settings.FlowKBPerMs
+	class.meanSendTime += (sendTime - class.meanSendTime) * meanGain
+	return sendTime
+}
+
+// sizeKnown reports whether the time that the answer takes to send follows from its size.
+func (r *Router) sizeKnown(event Request) bool { return event.KB > 0 && r.settings.FlowKBPerMs > 0 }
+
+// startDeadlineTimer asks for a timer shortly before the request's deadline.
+func (r *Router) startDeadlineTimer(request *request) {
+	r.lastTimerToken++
+	request.timerToken = r.lastTimerToken
+	r.deadlineTimers[request.timerToken] = request
+	r.emit(Wake{In: max(request.Deadline-r.now-2*r.settings.Tick, 0), Token: request.timerToken})
+}
+
+// advance makes the next attempt of a request that has none out, queues it, or ends it.
+// A warm cache is first asked for what it holds; only a miss is then filled, so that
+// the faults and the bytes of fills are known for what they are.
 func (r *Router) advance(request *request) {
 	request.queued = false
-	free := request.nextAttemptIsFree()
 	if r.exhausted(request) {
 		r.traceLook(request, nil, false, 0, NoBudget)
 		r.reject(request)
@@ -90,60 +132,107 @@
 	if r.now >= request.notBefore {
 		target, source = r.chooseTarget(request)
 	}
-	if target == nil {
-		request.queued, request.wasQueued = true, true // budgets, trials and the link's room come back with the next beats
+	if target == nil { // budgets, health checks and capacity come back with the next ticks
+		request.queued, request.wasQueued = true, true
 		return
 	}
-	if !free {
+	if !request.nextAttemptIsFree() {
 		r.retryTokens--
 	}
-	attempt := attempt{target: target, source: source, sent: r.now, expected: request.class.hitTime, outstanding: true}
-	if request.KB > 0 && r.settings.FlowKBPerMs > 0 {
+	r.send(request, target, source)
+}
+
+// send makes an attempt at a target that fills from a source; the target itself: no fill.
+func (r *Router) send(request *request, target, source *member) {
+	attempt := r.newAttempt(request, target, source)
+	r.emit(r.sendAction(request, &attempt))
+	r.acquireAttempt(&attempt)
+	r.takeTokens(request, &attempt)
+	if request.executedBy == nil { // until its outcome shows that it did not run
+		request.executedBy, request.executedAt = target, r.now
+	}
+	request.attempts = append(request.attempts, attempt)
+}
+
+// newAttempt is an attempt that is about to be sent.
+func (r *Router) newAttempt(request *request, target, source *member) attempt {
+	attempt := attempt{target: target, source: source, sent: r.now, outstanding: true}
+	attempt.expected = request.class.hitTime
+	if r.sizeKnown(request.Request) {
 		attempt.expected = request.sendTime
 	}
 	attempt.healthCheck = target.ejected || source.ejected
-	attempt.fill = target.role != edge || source != target && source.role != edge
-	send := Send{ID: request.ID, Cache: target.ID, Source: source.ID, Keep: copyRank, Age: r.maxCopyAge(request)}
-	send.Join, send.Held = r.settings.Joins && source != target, source.role == edge && source != target
+	attempt.fill = !request.isWrite() && (target.role != edge || attempt.fillsFromSource())
+	return attempt
+}
+
+// sendAction is the action that makes an attempt.
+func (r *Router) sendAction(request *request, attempt *attempt) Send {
+	send := Send{
+		ID:     request.ID,
+		Cache:  attempt.target.ID,
+		Source: attempt.source.ID,
+		Keep:   copyRank,
+		Age:    r.maxCopyAge(request),
+		Join:   r.settings.Joins && attempt.hasSource(),
+		Held:   attempt.hasSource() && attempt.source.role == edge,
+	}
+	keyed := request.class.Effect == Guarded
 	if request.isWrite() {
-		send.Keep, send.Join, attempt.fill = 0, false, false
-		if request.class.Effect == Guarded { // leave time for a repeat while it is remembered
-			send.Timeout = max(min(request.class.Window*0.45, (request.Deadline-r.now)*0.5), 1)
+		send.Keep, send.Join = 0, false
+		if keyed {
+			send.Timeout = r.keyedTimeout(request)
 		}
 	}
-	if request.executedBy != nil && request.class.Effect == Guarded { // a connection may come up past its window
-		send.Within = max(request.executedAt+request.class.Window-2*r.settings.Tick-r.now, minCopyAge)
+	if keyed && request.executedBy != nil { // a connection may come up after the key is forgotten
+		send.Within = max(r.keyRememberedUntil(request)-r.now, minCopyAge)
 	}
+	return send
+}
+
+// acquireAttempt counts an attempt against its link, its target and, where one of its
+// members is ejected, as that one's health check.
+func (r *Router) acquireAttempt(attempt *attempt) {
 	if attempt.fill {
 		r.link.inFlight++
 	}
-	target.inFlight++
-	target.pendingTime += attempt.expected
-	for _, member := range []*member{target, source} {
+	attempt.target.inFlight++
+	attempt.target.pendingTime += attempt.expected
+	for _, member := range []*member{attempt.target, attempt.source} {
 		if member.ejected {
-			member.checking, member.nextCheck = true, r.now+member.checkBackoff
+			member.checking = true
+			member.nextCheck = r.now + member.checkBackoff
 		}
 	}
-	if target.tokens -= r.slowStartCost(target, request); source != target && source.role != edge {
-		source.tokens -= r.slowStartCost(source, request)
+}
+
+// releaseAttempt gives back what an attempt had in flight.
+func (r *Router) releaseAttempt(attempt *attempt) {
+	attempt.target.inFlight = max(attempt.target.inFlight-1, 0)
+	if attempt.fill {
+		r.link.inFlight--
 	}
-	if request.executedBy == nil {
-		request.executedBy, request.executedAt = target, r.now // until its outcome proves otherwise
+}
+
+// findAttempt is an attempt by its request's id and its number; nil where there is none.
+func (r *Router) findAttempt(id string, number int) (*request, *attempt) {
+	request := r.requests[id]
+	if request == nil || number < 0 || number >= len(request.attempts) {
+		return nil, nil
 	}
-	request.attempts = append(request.attempts, attempt)
-	r.emit(send)
+	return request, &request.attempts[number]
 }
 
-// handleOutcome books an outcome, blames the part that failed and goes on.
+// handleOutcome ends an attempt: it attributes the outcome to the member that it says
+// something about, adjusts limits and goes on with the request.
 func (r *Router) handleOutcome(outcome Outcome) {
-	request := r.requests[outcome.ID]
-	if request == nil || outcome.Attempt < 0 || outcome.Attempt >= len(request.attempts) || !request.attempts[outcome.Attempt].outstanding {
+	request, attempt := r.findAttempt(outcome.ID, outcome.Attempt)
+	if request == nil || !attempt.outstanding {
 		return
 	}
-	attempt := &request.attempts[outcome.Attempt]
 	attempt.outstanding = false
-	if attempt.stalled {
-		r.countInFlight(attempt, 1) // and lets it go below
+	if attempt.stalled { // counted out; counted in here, since it is released below
+		r.countInFlight(attempt, 1)
 	}
 	attempt.target.pendingTime = max(attempt.target.pendingTime-attempt.expected, 0)
 	if outcome.Result == LocalFailure {
@@ -151,49 +240,87 @@
 		return
 	}
 	r.attributeOutcome(request, attempt, outcome)
-	behind := outcome.Result == Full && (outcome.Note == NoteOriginFailed || attempt.target.role == origin ||
-		outcome.Note == NoteSourceRefused && (attempt.source.role == origin || request.rejected))
-	if behind {
-		// What is short is behind all that could be asked instead, and is no longer so when asked
-		// again at once, by all: what is left of attempts is spread over what is left of time.
-		spread := (request.Deadline - r.now) / float64(2*max(r.settings.MaxAttempts-request.countedAttempts()+1, 1))
-		request.notBefore = r.now + spread*(0.5+chance(request.chanceSeed+uint64(len(request.attempts))))
+	shortage := attempt.showsShortage(outcome, request.rejected)
+	if shortage {
+		r.backOffFromShortage(request)
 	}
 	request.rejected = outcome.Result == Full
 	if attempt.blamed == attempt.target {
-		if request.fillTarget = nil; outcome.Result == Full {
+		request.fillTarget = nil
+		if request.rejected {
 			request.rejectersAfter = r.now + rejectedBackoffStep*float64(len(request.attempts))
 		}
 	}
-	slow := max(r.now-attempt.sent-outcome.Waited, slowFillPart*outcome.Waited) > slowFillPart*request.latencyObjective() || behind // or far away
-	if attempt.target.inFlight = max(attempt.target.inFlight-1, 0); attempt.fill {
-		r.link.inFlight--
+	r.releaseAttempt(attempt)
+	r.learnFromTransfer(request, attempt, outcome, shortage)
+	attempt.target.checking, attempt.source.checking = false, false
+	if outcome.Result.RanNot() {
+		request.forgetExecution(attempt)
+	}
+	fill := attempt.fill
+	r.continueRequest(request, outcome.Last)
+	if fill || outcome.Result != Miss {
+		r.admitQueued()
+	}
+}
+
+// showsShortage reports whether an attempt was rejected for a shortage behind all that could
+// be asked instead: at the origin, or at the second source one after the other.
+func (a *attempt) showsShortage(outcome Outcome, rejectedBefore bool) bool {
+	if outcome.Result != Full {
+		return false
+	}
+	if outcome.Note == NoteOriginFailed || a.target.role == origin {
+		return true
+	}
+	return outcome.Note == NoteSourceRefused && (a.source.role == origin || rejectedBefore)
+}
+
+// learnFromTransfer adjusts the limit of the link that an attempt went over. The wait for a
+// far source counts only as far as it uses up the latency objective.
+func (r *Router) learnFromTransfer(request *request, attempt *attempt, outcome Outcome, shortage bool) {
+	if attempt.wasStalled {
+		return
+	}
+	took := r.now - attempt.sent
+	spent := max(took-outcome.Waited, slowPart*outcome.Waited)
+	transfer := transfer{
+		slow:       spent > slowPart*request.latencyObjective() || shortage,
+		succeeded:  attempt.blamed == nil,
+		took:       took,
+		sizeStated: request.KB > 0,
 	}
 	switch {
-	case attempt.wasStalled:
 	case attempt.fill:
-		r.fillStretch += (min(max((r.now-attempt.sent)/(request.sendTime+50), 1), 4) - r.fillStretch) * 0.05
-		r.adjustLimit(request, &r.link, slow, attempt.blamed == nil, r.now-attempt.sent)
+		stretch := min(max(took/(request.sendTime+fillOverhead), 1), maxFillStretch)
+		r.fillStretch += (stretch - r.fillStretch) * fillStretchGain
+		r.adjustLimit(&r.link, transfer)
 	case outcome.Result != Miss:
-		r.adjustLimit(request, &attempt.target.concurrencyLimit, slow, attempt.blamed == nil, r.now-attempt.sent)
-	}
-	attempt.target.checking, attempt.source.checking = false, false
-	if outcome.Result.RanNot() && request.executedBy == attempt.target && request.executedAt == attempt.sent {
-		request.executedBy = nil
+		r.adjustLimit(&attempt.target.concurrencyLimit, transfer)
 	}
-	if request.ended = request.ended || outcome.Last; request.ended {
+}
+
+// continueRequest goes on with a request after the end of an attempt. With last the
+// request is over.
+func (r *Router) continueRequest(request *request, last bool) {
+	request.ended = request.ended || last
+	if request.ended {
 		r.forget(request)
 	} else if !request.hasOutstanding() && !request.streaming {
 		r.advance(request)
 	}
-	if attempt.fill || outcome.Result != Miss {
-		r.admitQueued()
+}
+
+// startStream notes that a request's answer has begun: it is final.
+func (r *Router) startStream(started Started) {
+	if request := r.requests[started.ID]; request != nil {
+		request.streaming = true
 	}
 }
 
-// reject gives the final answer: a refusal where a repeat is surely harmless. It is not where an
-// attempt may have run: caches drop the repeats of a guarded request for a window only, and what
-// was refused may come back at any time.
+// reject gives the final answer: a rejection where a client's retry is surely harmless, else
+// a failure. An attempt that may have run makes it a failure, also with an idempotency key:
+// caches remember that for its window only, and the client may come back at any time.
 func (r *Router) reject(request *request) {
 	r.endRequest(request)
 	if request.executedBy != nil && request.class.Effect != Free {
@@ -203,34 +330,50 @@
 	r.emit(Refuse{ID: request.ID, After: min(rejectionRetryAfter, r.settings.MaxRetryAfter)})
 }
 
-// endRequest ends a request and calls back what is still out for it.
+// endRequest ends a request and cancels its outstanding attempts.
 func (r *Router) endRequest(request *request) {
 	if request.ended {
 		return
 	}
 	request.ended = true
 	for i := range request.attempts {
-		if attempt := &request.attempts[i]; attempt.outstanding && !attempt.cancelled && r.settings.Cancels {
-			attempt.cancelled = true
-			r.emit(Cancel{ID: request.ID, Attempt: i})
+		attempt := &request.attempts[i]
+		if attempt.outstanding && !attempt.cancelled && r.settings.Cancels {
+			r.cancelAttempt(request, i)
 		}
 	}
 	r.forget(request)
 }
 
-// forget forgets a request that is over and has nothing out.
+// cancelAttempt cancels an attempt; its outcome is still to come.
+func (r *Router) cancelAttempt(request *request, number int) {
+	request.attempts[number].cancelled = true
+	r.emit(Cancel{ID: request.ID, Attempt: number})
+}
+
+// forget drops a request that has ended and has no attempt outstanding, with its timer,
+// which would else hold it until its deadline.
 func (r *Router) forget(request *request) {
 	if request.ended && !request.hasOutstanding() {
 		delete(r.requests, request.ID)
-		delete(r.deadlineTimers, request.timerToken) // else each is held for its client's whole patience
+		delete(r.deadlineTimers, request.timerToken)
+	}
+}
+
+// forgetExecution notes that an attempt did not run.
+func (q *request) forgetExecution(attempt *attempt) {
+	if q.executedBy == attempt.target && q.executedAt == attempt.sent {
+		q.executedBy = nil
 	}
 }
 
-// latencyObjective is how long an answer may take and still earn its worth.
+// latencyObjective is how long an answer may take and still have its full weight.
 func (q *request) latencyObjective() Millis { return q.class.Aim + q.class.AimStretch*q.sendTime }
 
+// hasOutstanding reports whether an attempt has no outcome yet.
 func (q *request) hasOutstanding() bool {
 	return slices.ContainsFunc(q.attempts, func(a attempt) bool { return a.outstanding })
 }
 
+// isWrite reports whether the request runs at the origin and its answer is not cached.
 func (q *request) isWrite() bool { return q.class.Write || q.Write }
--- a/retry.go
+++ b/retry.go
@@ -1,29 +1,49 @@
 package indigospool
 
-import (
-	"slices"
-)
-
 const (
-	rejectedBackoffStep = Millis(20) // one that turned a request away rests so long for each attempt
-	retryBudgetShare    = 0.25
-	retryBudgetBurst    = 30.0
-	retryReserve        = 5.0         // of it, for the classes of the most worth
-	initialLocalBackoff = Millis(10)  // backoff after an attempt that could not be begun here: shortages of a
-	maxLocalBackoff     = Millis(160) // moment pass in some ms, others are asked about some times a second
-	maxLocalFailures    = 256         // such attempts that one request may make
+	// Each request adds retryBudgetShare of a retry to the budget, which holds retryBudgetBurst at
+	// most: in an outage retries add a quarter to the load and no more.
+	retryBudgetShare = 0.25
+	retryBudgetBurst = 30.0
+	// retryReserve is the part of the budget that is kept for the classes of the highest worth.
+	retryReserve = 5.0
+	// defaultMaxAttempts stands in where the settings state none.
+	defaultMaxAttempts = 4
+
+	// rejectedBackoffStep is the backoff, for each attempt made, before a member that rejected the
+	// request is asked again.
+	rejectedBackoffStep = Millis(20)
+
+	// After an attempt that could not be begun at this router the backoff doubles from
+	// initialLocalBackoff to maxLocalBackoff: shortages of a moment pass in some milliseconds, and
+	// in others a few attempts a second do.
+	initialLocalBackoff = Millis(10)
+	maxLocalBackoff     = Millis(160)
+	// maxLocalFailures is how many such attempts one request may make.
+	maxLocalFailures = 256
+
+	// rejectionRetryAfter is the time after which a rejected client is advised to retry.
+	rejectionRetryAfter = Millis(300)
+	// timeoutWindowPart and timeoutDeadlinePart bound the timeout of an attempt with an idempotency
+	// key, so that time is left for a retry while the key is remembered.
+	timeoutWindowPart   = 0.45
+	timeoutDeadlinePart = 0.5
+	minTimeout          = Millis(1)
 )
 
 // exhausted reports whether a request may make no further attempt.
 func (r *Router) exhausted(request *request) bool {
-	late := request.executedBy != nil && (request.class.Effect == SingleShot ||
-		request.class.Effect == Guarded && r.now >= request.executedAt+request.class.Window-2*r.settings.Tick)
-	return request.invalid || request.Deadline-r.now <= 2*r.settings.Tick || request.countedAttempts() >= r.settings.MaxAttempts || request.localFailures >= maxLocalFailures || late ||
-		!request.nextAttemptIsFree() && r.retryTokens < r.retryTokensNeeded(request)
+	switch {
+	case request.invalid, r.deadlineReached(request), r.mayNotRunAgain(request):
+		return true
+	case request.countedAttempts() >= r.settings.MaxAttempts, request.localFailures >= maxLocalFailures:
+		return true
+	}
+	return !request.nextAttemptIsFree() && r.retryTokens < r.retryTokensNeeded(request)
 }
 
-// retryTokensNeeded is what the retry budget must hold for a further attempt of a request. What is left
-// of it at last is for the classes that earn most: in an overload the many others would spend it all.
+// retryTokensNeeded is what the retry budget must hold for a retry of a request. The last of it
+// is for the classes of the highest worth: in an overload the many others would spend it all.
 func (r *Router) retryTokensNeeded(request *request) float64 {
 	if request.class.Worth < r.highestWorth {
 		return 1 + retryReserve
@@ -31,18 +51,55 @@
 	return 1
 }
 
-// mayRunAt holds a guarded request that may have run to the group of caches that
-// drops its repeats.
+// deadlineReached reports whether no answer can be in time any more.
+func (r *Router) deadlineReached(request *request) bool {
+	return request.Deadline-r.now <= 2*r.settings.Tick
+}
+
+// mayNotRunAgain reports whether a request may have run, and a retry could run it twice.
+func (r *Router) mayNotRunAgain(request *request) bool {
+	if request.executedBy == nil {
+		return false
+	}
+	switch request.class.Effect {
+	case SingleShot:
+		return true
+	case Guarded:
+		return r.now >= r.keyRememberedUntil(request)
+	}
+	return false
+}
+
+// keyRememberedUntil is how long the caches surely know the idempotency key of a request
+// that may have run.
+func (r *Router) keyRememberedUntil(request *request) Millis {
+	return request.executedAt + request.class.Window - 2*r.settings.Tick
+}
+
+// mayRunAt holds a request with an idempotency key that may have run to the group of
+// caches that remember the key.
 func (q *request) mayRunAt(member *member) bool {
-	if q.executedBy == nil || q.class.Effect == Free {
+	if q.executedBy == nil || q.class.Effect == Free || member == q.executedBy {
+		return true
+	}
+	sameZone := member.Zone == q.executedBy.Zone
+	switch q.class.Group {
+	case Everywhere:
 		return true
+	case Location:
+		return sameZone
+	case Cell:
+		return sameZone && member.Cell == q.executedBy.Cell
 	}
-	near := member.Zone == q.executedBy.Zone
-	return q.class.Group == Everywhere || member == q.executedBy || q.class.Group == Location && near ||
-		q.class.Group == Cell && near && member.Cell == q.executedBy.Cell
+	return false
 }
 
-// nextAttemptIsFree reports whether the next attempt costs nothing of the retries' budget.
+// mayRetry reports whether the budget and the number of attempts allow a retry.
+func (r *Router) mayRetry(request *request) bool {
+	return r.retryTokens >= 1 && request.countedAttempts() < r.settings.MaxAttempts
+}
+
+// nextAttemptIsFree reports whether the next attempt takes nothing from the retry budget.
 func (q *request) nextAttemptIsFree() bool {
 	if len(q.attempts) == 0 {
 		return true
@@ -51,64 +108,49 @@
 	return last.cacheMissed || last.localFailure
 }
 
-// countedAttempts is how many attempts were made of those that a request may make: one that could not be
-// begun here reached nobody.
+// countedAttempts is how many of the attempts that it may make a request has made. One
+// that could not be begun at this router reached nobody and is not counted.
 func (q *request) countedAttempts() int { return len(q.attempts) - q.localFailures }
 
-// failedAt reports whether the request was let down by the member before.
-func (q *request) failedAt(member *member) bool {
-	return slices.ContainsFunc(q.attempts, func(a attempt) bool {
-		return a.blamed == member || a.target == member && a.cancelled && a.source.role != parent
-	})
-}
-
-// handleLocalFailure books an attempt that could not be begun here, for want of a descriptor, a port, a
-// buffer or a route. It says nothing of members, spends no attempt and no budget, and would fail
-// again at once: the next follows after a backoff, and after two at one member elsewhere, since
-// want of a route may concern that one alone.
+// handleLocalFailure records an attempt that could not be begun at this router, for want of a
+// descriptor, a port, a buffer or a route. It says nothing about members, takes no attempt and no
+// budget, and would fail again at once: the next follows after a backoff and, after two at one
+// member, elsewhere, since want of a route may concern that member alone.
 func (r *Router) handleLocalFailure(request *request, attempt *attempt, last bool) {
 	attempt.localFailure = true
-	attempt.target.inFlight = max(attempt.target.inFlight-1, 0)
-	if attempt.fill {
-		r.link.inFlight--
-	}
+	r.releaseAttempt(attempt)
 	attempt.target.checking, attempt.source.checking = false, false
-	attempt.target.tokens += r.slowStartCost(attempt.target, request)
-	if attempt.source != attempt.target && attempt.source.role != edge {
-		attempt.source.tokens += r.slowStartCost(attempt.source, request)
-	}
-	if request.executedBy == attempt.target && request.executedAt == attempt.sent {
-		request.executedBy = nil
-	}
-	if n := len(request.attempts); n > 1 && request.attempts[n-2].localFailure && request.attempts[n-2].target == attempt.target {
-		attempt.blamed = attempt.target
+	r.returnTokens(request, attempt)
+	request.forgetExecution(attempt)
+	if n := len(request.attempts); n > 1 {
+		before := &request.attempts[n-2]
+		if before.localFailure && before.target == attempt.target {
+			attempt.blamed = attempt.target
+		}
 	}
-	wait := min(initialLocalBackoff*float64(uint64(1)<<min(request.localFailures, 16)), maxLocalBackoff)
-	request.notBefore = r.now + wait*(0.5+chance(request.chanceSeed+uint64(len(request.attempts))))
+	backoff := min(initialLocalBackoff*float64(uint64(1)<<min(request.localFailures, 16)), maxLocalBackoff)
+	r.backOff(request, backoff)
 	request.localFailures++
-	if request.ended = request.ended || last; request.ended {
-		r.forget(request)
-	} else if !request.hasOutstanding() && !request.streaming {
-		r.advance(request)
-	}
+	r.continueRequest(request, last)
 }
 
-// cancelUnresponsive calls back attempts that wait on a silent or vanished member.
-func (r *Router) cancelUnresponsive(request *request) {
-	if !r.settings.Cancels || request.class.Effect != Free || r.retryTokens < 1 || request.countedAttempts() >= r.settings.MaxAttempts {
-		return
-	}
-	for i := range request.attempts {
-		attempt := &request.attempts[i]
-		if attempt.cancelled || !attempt.overdue(r.now) {
-			continue
-		}
-		lost := func(member *member) bool {
-			return (member.ejected || member.unavailable) && member.lastProgress <= attempt.sent
-		}
-		if lost(attempt.target) || attempt.source.role != edge && lost(attempt.source) && attempt.target.lastProgress > attempt.sent {
-			attempt.cancelled = true
-			r.emit(Cancel{ID: request.ID, Attempt: i})
-		}
-	}
+// backOff holds a request back for a half to one and a half of a time, by chance: requests
+// that failed together are not to come back together.
+func (r *Router) backOff(request *request, backoff Millis) {
+	request.notBefore = r.now + backoff*(0.5+chance(request.chanceSeed+uint64(len(request.attempts))))
+}
+
+// backOffFromShortage spreads the attempts that a request has left over the time it has left.
+// What is short behind all members that could be asked instead is still short when it is
+// asked for again at once, by all.
+func (r *Router) backOffFromShortage(request *request) {
+	attemptsLeft := r.settings.MaxAttempts - request.countedAttempts() + 1
+	r.backOff(request, (request.Deadline-r.now)/float64(2*max(attemptsLeft, 1)))
+}
+
+// keyedTimeout is the timeout of an attempt with an idempotency key: it leaves time for a
+// retry while the key is remembered.
+func (r *Router) keyedTimeout(request *request) Millis {
+	timeout := min(request.class.Window*timeoutWindowPart, (request.Deadline-r.now)*timeoutDeadlinePart)
+	return max(timeout, minTimeout)
 }
--- a/router.go
+++ b/router.go
@@ -1,186 +1,206 @@
 // Package indigospool decides, for a router in front of caches of large
 // objects, where each request goes, where a missing object is filled from and
-// when to give up. The interface (settings, events, actions) is in api.go;
-// this file holds every decision. It does no I/O, takes time from the caller
-// and leaves nothing to chance, so the same events give the same actions.
+// when to give up.
+//
+// It is a pure state machine: Router.Handle takes one event and returns the
+// actions that follow from it. It does no I/O, takes the time from its caller
+// and draws no random numbers, so the same events give the same actions. It
+// owns all routing decisions and what they remember; requests, connections
+// and timers are its caller's.
+//
+// The interface (settings, events, actions) is in api.go, the dispatch of
+// events in router.go. Each decision has a file of its own, with the values
+// that tune it:
+//
+//   - request.go: the lifecycle of a request and of its attempts
+//   - endpoints.go: the endpoint list, draining and removal
+//   - placement.go, ranking.go: which cache serves a request (bounded-load
+//     rendezvous hashing)
+//   - rangesplit.go: which cache serves a part of an object (FlexSplit)
+//   - fillsource.go: where a cache fills a missing object from
+//   - admission.go: concurrency limits, and which queued request goes next
+//   - outlier.go: faults, ejection, health checks and the return
+//   - slowstart.go: how much a cache that warms up is given
+//   - retry.go: retry budget, idempotency, backoff
+//   - freshness.go: how old a copy may be, and purges
+//   - snapshot.go: what a successor takes over after a restart
+//   - inspect.go: why a member was not chosen, and what is known of it
 package indigospool
 
-import (
-	"maps"
-	"slices"
-)
+import "slices"
 
-const (
-	tickSpan = Millis(25) // how often outstanding attempts are looked over
-)
+// tickSpan is the time between two ticks: short against the time in which an
+// attempt becomes overdue, long against the time that a look at all of them takes.
+const tickSpan = Millis(25)
+
+// housekeepingSpan is the time between two runs of the periodic cleanup.
+const housekeepingSpan = Millis(1000)
 
 // Router decides for one router. It is not safe for concurrent use.
 type Router struct {
-	settings              Settings
-	seed                  uint64
-	now                   Millis
-	started, subscribed   bool
-	classes               map[string]*class
-	members               map[string]*member
-	listed                []*member        // the same, by id
-	byRole                [roles][]*member // listed and up, by id
-	requests              map[string]*request
-	arrivals              []*request // as they came
-	queue                 []*request // those that wait, while they are gone through
-	overdueMembers        []*member  // those with overdue attempts at the last beat
-	deadlineTimers        map[int64]*request
-	lastTimerToken        int64
-	retryTokens           float64          // further attempts that may be made
-	highestWorth          float64          // of any class
-	meanSendTime          Millis           // sending time of all requests
-	link                  concurrencyLimit // fills
-	fillStretch           float64          // recent time of fills over their sending time
-	typicalRate           [roles]float64   // sending time a warm member is given, per millisecond
-	lastSecond            Millis
-	objectDepths          [2]map[string]*objectDepth // two generations
-	objectsRotated        Millis
-	objectPurges          map[string]Millis
-	groupPurges           map[int]Millis
-	windowCost, totalCost []float64 // cost by part index: the open window, and the discounted sum
-	windowRequests        int
+	settings Settings
+	seed     uint64 // differs between routers that would else do the same at once
+	now      Millis
+	started  bool // the first event has come
+	actions  []Action
+	onLook   func(Look) // notified of each member that a choice looks at; may be nil
+
+	// Endpoints.
+	members    map[string]*member
+	listed     []*member        // the same, by id
+	byRole     [roles][]*member // those available, by id
+	subscribed bool             // discovery notifies of changes, or has been asked to
+
+	// Requests.
+	classes        map[string]*class
+	requests       map[string]*request
+	arrivals       []*request // in the order of arrival
+	deadlineTimers map[int64]*request
+	lastTimerToken int64
+	meanSendTime   Millis  // recent mean over all requests
+	highestWorth   float64 // of any class
+
+	// Admission.
+	link        concurrencyLimit // of the fills of this router
+	queue       []*request       // used by admitQueued alone, kept for its capacity
+	fillStretch float64          // recent time of fills as a multiple of their sending time
+
+	// Retries, outlier detection and slow start.
+	retryTokens    float64        // retries that the budget allows now
+	overdueMembers []*member      // those with overdue attempts at the last tick
+	typicalRate    [roles]float64 // sending time that a warm member is given, per millisecond
+	lastSecond     Millis         // when housekeeping was last done
+	closing        bool           // a successor spends the slow-start budgets
+
+	// Purges.
+	objectPurges map[string]Millis // time of the last purge, by object
+	groupPurges  map[int]Millis    // and by group
+
+	// Range split.
+	objectDepths          [2]map[string]*objectDepth // the present and the past generation
+	objectsRotated        Millis                     // when the present generation began
+	windowCost, totalCost []float64                  // by part index: the open window, and the discounted sum
+	windowRequests        int                        // part requests in the open window
 	windowOpened          Millis
-	layout, priorLayout   layout // who holds what, and before the last change
-	layoutChanged         Millis // when that was
-	closing               bool   // a successor spends the cold budgets
-	actions               []Action
-	onLook                func(Look) // hears what choices look at; nil: nobody
+	layout, priorLayout   layout // the present one, and the one before the last change
+	layoutChanged         Millis
 }
 
-// New returns a router. The seed sets it apart from others where all would do the same at once.
-func New(s Settings, seed uint64) (*Router, error) {
-	if err := s.Valid(); err != nil {
+// New returns a router that knows no endpoints yet. The seed sets it apart from
+// routers that would otherwise do the same at once. The error is that of
+// Settings.Valid.
+func New(settings Settings, seed uint64) (*Router, error) {
+	if err := settings.Valid(); err != nil {
 		return nil, err
 	}
-	r := &Router{seed: seed, retryTokens: retryBudgetBurst, link: concurrencyLimit{limit: initialLimit}, fillStretch: 1,
-		members: map[string]*member{}, requests: map[string]*request{},
-		deadlineTimers: map[int64]*request{}, objectDepths: [2]map[string]*objectDepth{{}, {}},
-		objectPurges: map[string]Millis{}, groupPurges: map[int]Millis{}}
-	r.applySettings(s)
-	r.meanSendTime = r.classes[s.Classes[0].Name].meanSendTime
+	r := &Router{
+		seed:           seed,
+		members:        map[string]*member{},
+		requests:       map[string]*request{},
+		deadlineTimers: map[int64]*request{},
+		link:           concurrencyLimit{limit: initialLimit},
+		fillStretch:    1,
+		retryTokens:    retryBudgetBurst,
+		objectPurges:   map[string]Millis{},
+		groupPurges:    map[int]Millis{},
+		objectDepths:   [2]map[string]*objectDepth{{}, {}},
+	}
+	r.applySettings(settings)
+	r.meanSendTime = r.classes[settings.Classes[0].Name].meanSendTime
 	return r, nil
 }
 
-// Handle takes one event at the time now and appends what is to be done.
+// Handle takes one event at the time now and appends the actions that follow
+// from it to dst. A time before that of an earlier event counts as that one.
 func (r *Router) Handle(now Millis, event Event, dst []Action) []Action {
 	r.now, r.actions = max(now, r.now), dst
 	if !r.started {
-		r.started, r.windowOpened, r.lastSecond, r.objectsRotated = true, r.now, r.now, r.now
-		r.emit(Wake{In: tickSpan})
+		r.start()
 	}
-	switch ev := event.(type) {
+	switch event := event.(type) {
 	case Members:
-		r.updateEndpoints(ev)
+		r.updateEndpoints(event)
 	case Request:
-		r.arrive(ev)
+		r.arrive(event)
 	case Outcome:
-		r.handleOutcome(ev)
+		r.handleOutcome(event)
 	case Started:
-		if request := r.requests[ev.ID]; request != nil {
-			request.streaming = true
-		}
+		r.startStream(event)
 	case Stalled:
-		r.handleStall(ev)
+		r.handleStall(event)
 	case Gone:
-		if request := r.requests[ev.ID]; request != nil {
+		if request := r.requests[event.ID]; request != nil {
 			r.endRequest(request)
 		}
 	case Purge:
-		at := r.now - ev.Age
-		if ev.Object != "" {
-			r.objectPurges[ev.Object] = max(r.objectPurges[ev.Object], at)
-		} else {
-			r.groupPurges[ev.Group] = max(r.groupPurges[ev.Group], at)
-		}
+		r.recordPurge(event)
 	case Recalled:
-		r.restore(ev.Memory)
+		r.restore(event.Memory)
 	case Retired:
-		r.closing = ev.On
+		r.closing = event.On
 	case Resettled:
-		if ev.Settings.Valid() == nil {
-			ev.Settings.Zone, ev.Settings.Me = r.settings.Zone, r.settings.Me
-			r.applySettings(ev.Settings)
-		}
+		r.changeSettings(event.Settings)
 	case Timer:
-		if ev.Token == 0 {
-			r.tick()
-		} else if request := r.deadlineTimers[ev.Token]; request != nil {
-			delete(r.deadlineTimers, ev.Token)
-			if !request.ended && !request.streaming {
-				r.reject(request)
-			}
-		}
+		r.handleTimer(event)
 	}
 	dst, r.actions = r.actions, nil
 	return dst
 }
 
-func (r *Router) emit(a Action) { r.actions = append(r.actions, a) }
-
-// tick looks over what is out: a member with overdue attempts and no sign of
-// life is silent, whatever the reason; what it holds is called back and tried
-// elsewhere. Progress clears it, so slow answers alone do not.
-func (r *Router) tick() {
+// start begins the periodic work.
+func (r *Router) start() {
+	r.started = true
+	r.windowOpened, r.lastSecond, r.objectsRotated = r.now, r.now, r.now
 	r.emit(Wake{In: tickSpan})
-	r.arrivals = slices.DeleteFunc(r.arrivals, func(request *request) bool { return request.ended && !request.hasOutstanding() })
-	for _, member := range r.overdueMembers {
-		member.overdue = 0
+}
+
+// emit appends an action to those of the event in hand.
+func (r *Router) emit(action Action) { r.actions = append(r.actions, action) }
+
+// handleTimer runs the tick, whose token is 0, or a request's deadline.
+func (r *Router) handleTimer(timer Timer) {
+	if timer.Token == 0 {
+		r.tick()
+		return
 	}
-	clear(r.overdueMembers) // members that have gone are not held
-	r.overdueMembers = r.overdueMembers[:0]
-	for _, request := range r.arrivals {
-		for i := range request.attempts {
-			if attempt := &request.attempts[i]; attempt.overdue(r.now) {
-				r.addOverdue(attempt.target, attempt)
-				if attempt.source != attempt.target && attempt.target.lastProgress > attempt.sent {
-					r.addOverdue(attempt.source, attempt)
-				}
-			}
-		}
+	request := r.deadlineTimers[timer.Token]
+	if request == nil {
+		return
 	}
-	for _, member := range r.overdueMembers { // where nothing is asked, silence tells nothing
-		if !member.unavailable && !member.ejected && r.isSilent(member) {
-			r.eject(member)
-			member.silent = true
-		}
+	delete(r.deadlineTimers, timer.Token)
+	if !request.ended && !request.streaming {
+		r.reject(request)
 	}
+}
+
+// tick does the periodic work: it ejects members that have become silent, cancels
+// the attempts that wait on them, and admits queued requests.
+func (r *Router) tick() {
+	r.emit(Wake{In: tickSpan})
+	r.arrivals = slices.DeleteFunc(r.arrivals, func(request *request) bool {
+		return request.ended && !request.hasOutstanding()
+	})
+	r.ejectSilent()
 	for _, request := range r.arrivals {
 		if !request.ended && !request.streaming && !request.queued {
 			r.cancelUnresponsive(request)
 		}
 	}
 	r.admitQueued()
-	if r.now-r.lastSecond >= 1000 {
-		r.everySecond()
+	if r.now-r.lastSecond >= housekeepingSpan {
+		r.housekeep()
 	}
 }
 
-// everySecond does what needs doing once a second: rates, shares, ages, discovery.
-func (r *Router) everySecond() {
+// housekeep measures rates, closes a histogram window that is old, drops purges
+// that are through, and subscribes again where the subscription was lost.
+func (r *Router) housekeep() {
 	span := r.now - r.lastSecond
 	r.lastSecond = r.now
-	for k, list := range r.byRole {
-		sum, n := 0.0, 0
-		for _, member := range list {
-			member.servedRate += (member.servedTime/span - member.servedRate) * 0.15
-			member.servedTime = 0
-			if !member.ejected && r.warmUpShare(member) >= 1 {
-				sum, n = sum+member.servedRate, n+1
-			}
-		}
-		if n > 0 {
-			r.typicalRate[k] = sum / float64(n)
-		}
-	}
+	r.measureRates(span)
 	if r.now-r.windowOpened >= windowSpan {
 		r.closeWindow()
 	}
-	old := r.now - r.settings.PurgeTakes - r.settings.PurgeSlack
-	maps.DeleteFunc(r.objectPurges, func(_ string, at Millis) bool { return at < old })
-	maps.DeleteFunc(r.groupPurges, func(_ int, at Millis) bool { return at < old })
+	r.dropOldPurges()
 	r.subscribe()
 }
--- a/router_test.go
+++ b/router_test.go
@@ -645,7 +645,7 @@
 		g := newRig(t, s)
 		for range 100 {
 			g.wait(200)
-			g.r.adjustLimit(&request{Request: Request{KB: 1}}, &g.r.link, true, true, 1000)
+			g.r.adjustLimit(&g.r.link, transfer{slow: true, succeeded: true, took: 1000, sizeStated: true})
 		}
 		if room := g.r.link.limit; room != c.most {
 			t.Errorf("%d routers: each keeps room for %v fills", c.routers, room)
@@ -664,7 +664,7 @@
 	least := initialLimit
 	for range 5000 {
 		g.now += 5
-		g.r.adjustLimit(&request{}, &g.r.link, rng.Float64() < 0.2, true, 100)
+		g.r.adjustLimit(&g.r.link, transfer{slow: rng.Float64() < 0.2, succeeded: true, took: 100})
 		least = min(least, g.r.link.limit)
 	}
 	if least < initialLimit*0.9 {
@@ -672,7 +672,7 @@
 	}
 	for range 400 {
 		g.now += 25
-		g.r.adjustLimit(&request{}, &g.r.link, true, true, 1000)
+		g.r.adjustLimit(&g.r.link, transfer{slow: true, succeeded: true, took: 1000})
 	}
 	if g.r.link.limit > minLimit+1 {
 		t.Errorf("room is %v in a lasting shortage", g.r.link.limit)
--- a/settings.go
+++ b/settings.go
@@ -6,27 +6,27 @@
 	"slices"
 )
 
-// class is a class and what is seen of it.
+// class is a class of requests and what is known of it.
 type class struct {
 	Class
-	meanSendTime Millis // sending time
-	hitTime      Millis // time of answers from held copies
+	meanSendTime Millis // recent mean of the time that answers take to send
+	hitTime      Millis // recent mean of the time of answers from cached copies
 }
 
-// applySettings goes by settings from now on. What was learned of a class of the same name
-// stays; requests in hand keep the class that they came with, and its effect.
+// applySettings goes by settings from now on. What was learned about a class of the same
+// name stays; requests in hand keep the class that they came with, and its effect.
 func (r *Router) applySettings(settings Settings) {
 	r.settings = settings
 	if r.settings.MaxAttempts <= 0 {
-		r.settings.MaxAttempts = 4
+		r.settings.MaxAttempts = defaultMaxAttempts
 	}
 	known := r.classes
 	r.classes, r.highestWorth = map[string]*class{}, 0
 	for _, declared := range settings.Classes {
 		guess := max(declared.Aim/2, 1)
 		class := &class{Class: declared, meanSendTime: guess, hitTime: guess}
-		if old := known[declared.Name]; old != nil {
-			class.meanSendTime, class.hitTime = old.meanSendTime, old.hitTime
+		if before := known[declared.Name]; before != nil {
+			class.meanSendTime, class.hitTime = before.meanSendTime, before.hitTime
 		}
 		r.classes[declared.Name] = class
 		r.highestWorth = max(r.highestWorth, declared.Worth)
@@ -37,7 +37,26 @@
 	r.groupByRole()
 }
 
-// Valid tells of settings that contradict themselves.
+// changeSettings applies other settings, unless they contradict themselves. The zone and the
+// number of this router stay.
+func (r *Router) changeSettings(settings Settings) {
+	if settings.Valid() != nil {
+		return
+	}
+	settings.Zone, settings.Me = r.settings.Zone, r.settings.Me
+	r.applySettings(settings)
+}
+
+// recordHit learns from an answer out of a cached copy. With its size stated the mean
+// sending time is learned from sizes.
+func (c *class) recordHit(took Millis, sizeStated bool) {
+	c.hitTime += (took - c.hitTime) * meanGain
+	if !sizeStated {
+		c.meanSendTime += (took - c.meanSendTime) * meanGain
+	}
+}
+
+// Valid returns an error that says how the settings contradict themselves, or nil.
 func (s Settings) Valid() error {
 	switch {
 	case len(s.Classes) == 0:
@@ -50,20 +69,21 @@
 		return errors.New("indigospool: a span is negative")
 	}
 	named := map[string]bool{}
-	for _, c := range s.Classes {
-		if named[c.Name] {
-			return fmt.Errorf("indigospool: class %q is named twice", c.Name)
+	for _, class := range s.Classes {
+		if named[class.Name] {
+			return fmt.Errorf("indigospool: class %q is named twice", class.Name)
 		}
-		named[c.Name] = true
+		named[class.Name] = true
 	}
 	return nil
 }
 
-// sharingRouters is how many routers send to the members of a role, as told.
+// sharingRouters is how many routers send to the members of a role, as far as it is stated.
 func (s Settings) sharingRouters(role role) float64 {
 	routers := s.Routers
-	if i := slices.Index(s.Zones, s.Zone); role == edge && i >= 0 && i < len(s.RoutersByZone) {
-		routers = s.RoutersByZone[i]
+	zone := slices.Index(s.Zones, s.Zone)
+	if role == edge && zone >= 0 && zone < len(s.RoutersByZone) {
+		routers = s.RoutersByZone[zone]
 	}
 	return float64(max(routers, 1))
 }
