--- /dev/null
+++ b/rig_test.go
@@ -0,0 +1,122 @@
+package indigospool
+
+import (
+	"fmt"
+	"testing"
+)
+
+// rig drives a router by hand.
+type rig struct {
+	t   *testing.T
+	r   *Router
+	now Millis
+	n   int
+}
+
+func testSettings() Settings {
+	return Settings{
+		Me: 0, Routers: 2, Zone: "z1", Zones: []string{"hub", "z1"}, RoutersByZone: []int{0, 2},
+		ParentKind: "parent", OriginKind: "origin", Tick: 2, AnswerSlack: 8, DrainGrace: 500,
+		ColdFrom: 0.2, ColdTime: 18000, FallFactor: 3, FallTime: 1000,
+		ParentColdFrom: 0.1, ParentColdTime: 20000, ParentFall: 2,
+		PurgeTakes: 6000, PurgeSlack: 300, Direct: true, Detail: DetailAll, FlowKBPerMs: 5,
+		MaxAttempts: 6, MaxRetryAfter: 1000, Cancels: true,
+		Classes: []Class{
+			{Name: "video", Aim: 400, AimStretch: 2, Deadline: 6000, Worth: 2, InParts: true},
+			{Name: "page", Aim: 250, AimStretch: 2, Deadline: 3000, Worth: 1, Fresh: 8000, Grace: 8000},
+			{Name: "save", Aim: 700, Deadline: 3000, Worth: 3, Effect: Guarded, Group: Everywhere, Window: 2000,
+				Write: true},
+			{Name: "once", Aim: 700, Deadline: 3000, Worth: 3, Effect: SingleShot},
+			{Name: "keyed", Aim: 700, Deadline: 3000, Worth: 3, Effect: Guarded, Group: Cell, Window: 2000},
+		},
+	}
+}
+
+func row(id, zone, kind string) Member { return Member{ID: id, Zone: zone, Kind: kind} }
+
+func baseRows() []Member {
+	return []Member{row("e1", "z1", "box"), row("e2", "z1", "box"), row("e3", "z1", "box"), row("f1", "z2", "box"),
+		row("p1", "hub", "parent"), row("p2", "hub", "parent"), row("o1", "hub", "origin")}
+}
+
+func newRig(t *testing.T, s Settings, rows ...Member) *rig {
+	t.Helper()
+	r, err := New(s, 7)
+	if err != nil {
+		t.Fatal(err)
+	}
+	g := &rig{t: t, r: r, now: 5000}
+	if rows == nil {
+		rows = baseRows()
+	}
+	g.do(Members{Full: true, Rows: rows})
+	return g
+}
+
+func (g *rig) do(ev Event) []Action { return g.r.Handle(g.now, ev, nil) }
+
+// wait lets time pass, with the beats that the router asked for.
+func (g *rig) wait(d Millis) (acts []Action) {
+	for end := g.now + d; g.now < end; {
+		g.now = min(g.now+tickSpan, end)
+		acts = append(acts, g.do(Timer{})...)
+	}
+	return acts
+}
+
+// ask makes a request and returns its id and what the router did.
+func (g *rig) ask(class, object string, part int) (string, []Action) {
+	g.n++
+	id := fmt.Sprint("q", g.n)
+	dead := 3000.0
+	if c := g.r.classes[class]; c != nil {
+		dead = c.Deadline
+	}
+	return id, g.do(Request{ID: id, Class: class, Object: object, Part: part, KB: 500, Deadline: g.now + dead})
+}
+
+func sends(acts []Action) (out []Send) {
+	for _, a := range acts {
+		if s, ok := a.(Send); ok {
+			out = append(out, s)
+		}
+	}
+	return out
+}
+
+func finals(acts []Action) (n int, fail bool) {
+	for _, a := range acts {
+		switch a.(type) {
+		case Refuse:
+			n++
+		case Fail:
+			n, fail = n+1, true
+		}
+	}
+	return n, fail
+}
+
+func (g *rig) one(acts []Action) Send {
+	g.t.Helper()
+	s := sends(acts)
+	if len(s) != 1 {
+		g.t.Fatalf("%d sends, want 1: %v", len(s), acts)
+	}
+	return s[0]
+}
+
+// fill makes a request whose looks all miss, and returns the attempt that names
+// a source outside the caches, and its number.
+func (g *rig) fill(class, object string, part int) (string, Send, int) {
+	g.t.Helper()
+	id, acts := g.ask(class, object, part)
+	for n := range 6 {
+		s := g.one(acts)
+		if s.Source != s.Cache && g.r.members[s.Source].role != edge {
+			return id, s, n
+		}
+		acts = g.do(Outcome{ID: id, Attempt: n, Cache: s.Cache, Result: Miss, Took: 1})
+	}
+	g.t.Fatal("no fill")
+	return "", Send{}, 0
+}
