--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -5,54 +5,54 @@
 	"testing"
 )
 
-func TestDrains(t *testing.T) {
+func TestDraining(t *testing.T) {
 	for _, state := range []State{Draining, Removed} {
-		g := newRig(t, testSettings())
+		rig := newRig(t, testSettings())
 		for _, r := range []Member{{ID: "e2", Zone: "z1", Kind: "box"}, {ID: "p1", Zone: "hub", Kind: "parent"}} {
 			r.State = state
-			g.do(Members{Rows: []Member{r}})
+			rig.handle(Members{Rows: []Member{r}})
 		}
 		for i := range 40 {
-			id, s, n := g.fill("page", fmt.Sprint("o", i), 0)
-			if s.Cache == "e2" || s.Source == "p1" {
-				t.Fatalf("sent to %s from %s", s.Cache, s.Source)
+			id, send, n := rig.requestFill("page", fmt.Sprint("o", i), 0)
+			if send.Cache == "e2" || send.Source == "p1" {
+				t.Fatalf("sent to %s from %s", send.Cache, send.Source)
 			}
-			g.do(Outcome{ID: id, Attempt: n, Cache: s.Cache, Result: OK, Last: true, Note: NoteFilled})
+			rig.handle(Outcome{ID: id, Attempt: n, Cache: send.Cache, Result: OK, Last: true, Note: NoteFilled})
 		}
 	}
-	g := newRig(t, testSettings())
-	g.do(Members{Full: true, Rows: []Member{row("e1", "z1", "box"), row("o1", "hub", "origin")}})
-	if _, s, _ := g.fill("page", "x", 0); s.Cache != "e1" || s.Source != "o1" {
+	rig := newRig(t, testSettings())
+	rig.handle(Members{Full: true, Rows: []Member{row("e1", "z1", "box"), row("o1", "hub", "origin")}})
+	if _, send, _ := rig.requestFill("page", "x", 0); send.Cache != "e1" || send.Source != "o1" {
 		t.Error("a member missing from a full list is still used")
 	}
 }
 
-func TestOnRequestDiscovery(t *testing.T) {
-	s := testSettings()
-	s.OnRequest, s.AskWithin = true, 10000
-	watches := func(acts []Action) (n int) {
-		for _, a := range acts {
+func TestSubscription(t *testing.T) {
+	settings := testSettings()
+	settings.OnRequest, settings.AskWithin = true, 10000
+	watches := func(actions []Action) (n int) {
+		for _, a := range actions {
 			if _, ok := a.(Watch); ok {
 				n++
 			}
 		}
 		return n
 	}
-	r, _ := New(s, 1)
-	if watches(r.Handle(0, Members{Full: true, Rows: baseRows()}, nil)) != 1 {
+	router, _ := New(settings, 1)
+	if watches(router.Handle(0, Members{Full: true, Rows: baseRows()}, nil)) != 1 {
 		t.Error("the first list is not followed by a subscription")
 	}
-	if watches(r.Handle(1, Members{Lost: true}, nil)) != 0 || len(r.byRole[edge]) != 3 {
+	if watches(router.Handle(1, Members{Lost: true}, nil)) != 0 || len(router.byRole[edge]) != 3 {
 		t.Error("a failed call is repeated at once, or the list was lost with it")
 	}
-	if watches(r.Handle(1500, Timer{}, nil)) != 1 || watches(r.Handle(3000, Timer{}, nil)) != 0 {
+	if watches(router.Handle(1500, Timer{}, nil)) != 1 || watches(router.Handle(3000, Timer{}, nil)) != 0 {
 		t.Error("a lost subscription is not asked for again, once")
 	}
 }
 
-// TestListsOfAllKinds: long lists, none, one hub, a router alone and routers
+// TestEndpointListsOfAllKinds: long lists, none, one hub, a router alone and routers
 // that were not counted all leave a router that answers every request.
-func TestListsOfAllKinds(t *testing.T) {
+func TestEndpointListsOfAllKinds(t *testing.T) {
 	var many []Member
 	for i := range 400 {
 		many = append(many, row(fmt.Sprint("e", i), fmt.Sprint("z", i%40), "box"), row(fmt.Sprint("p", i), "hub", "parent"))
@@ -65,12 +65,12 @@
 		"all draining": {{ID: "e1", Zone: "z1", Kind: "box", State: Draining}},
 	} {
 		for _, seats := range [][]int{{0, 1}, {0, 0}, nil} {
-			s := testSettings()
-			s.RoutersByZone = seats
-			g := newRig(t, s, rows...)
+			settings := testSettings()
+			settings.RoutersByZone = seats
+			rig := newRig(t, settings, rows...)
 			open := map[string]bool{}
-			book := func(acts []Action) {
-				for _, a := range acts {
+			book := func(actions []Action) {
+				for _, a := range actions {
 					switch a := a.(type) {
 					case Refuse:
 						delete(open, a.ID)
@@ -79,27 +79,27 @@
 					}
 				}
 			}
-			var acts []Action
+			var actions []Action
 			for i := range 40 {
-				id, more := g.ask("video", fmt.Sprint("o", i), i%9)
+				id, more := rig.request("video", fmt.Sprint("o", i), i%9)
 				open[id] = true
-				acts = append(acts, more...)
+				actions = append(actions, more...)
 			}
-			book(acts)
+			book(actions)
 			for range 2 { // answers of every kind, then again, as lost ones that come late
-				for i, a := range sends(acts) {
-					out := Outcome{ID: a.ID, Cache: a.Cache, Result: Result(i % 9), Took: 1, Last: i%9 == 0}
-					if out.Last {
+				for i, a := range sends(actions) {
+					outcome := Outcome{ID: a.ID, Cache: a.Cache, Result: Result(i % 9), Took: 1, Last: i%9 == 0}
+					if outcome.Last {
 						delete(open, a.ID)
 					}
-					book(g.do(out))
+					book(rig.handle(outcome))
 				}
 			}
-			for _, a := range g.r.deadlineTimers { // every deadline comes
-				g.now = max(g.now, a.Deadline)
+			for _, a := range rig.router.deadlineTimers { // every deadline comes
+				rig.now = max(rig.now, a.Deadline)
 			}
-			for token := int64(1); token <= g.r.lastTimerToken; token++ {
-				book(g.do(Timer{Token: token}))
+			for token := int64(1); token <= rig.router.lastTimerToken; token++ {
+				book(rig.handle(Timer{Token: token}))
 			}
 			if len(open) > 0 {
 				t.Errorf("%s, seats %v: %d requests without an answer", name, seats, len(open))
--- a/freshness_test.go
+++ b/freshness_test.go
@@ -3,24 +3,24 @@
 import "testing"
 
 func TestPurges(t *testing.T) {
-	g := newRig(t, testSettings())
-	g.do(Purge{Object: "x", Group: 3, Age: 100})
-	g.now += 50
-	id, acts := g.ask("video", "x", 0)
-	if s := g.one(acts); s.Age <= 0 || s.Age >= 150 {
-		t.Errorf("age %v, want under 150", s.Age)
+	rig := newRig(t, testSettings())
+	rig.handle(Purge{Object: "x", Group: 3, Age: 100})
+	rig.now += 50
+	id, actions := rig.request("video", "x", 0)
+	if send := rig.onlySend(actions); send.Age <= 0 || send.Age >= 150 {
+		t.Errorf("age %v, want under 150", send.Age)
 	}
-	g.now += 10
-	acts = g.do(Outcome{ID: id, Result: Errored, Took: 10})
-	if s := g.one(acts); s.Age <= 0 || s.Age >= 160 {
-		t.Errorf("retry: age %v, want under 160", s.Age)
+	rig.now += 10
+	actions = rig.handle(Outcome{ID: id, Result: Errored, Took: 10})
+	if send := rig.onlySend(actions); send.Age <= 0 || send.Age >= 160 {
+		t.Errorf("retry: age %v, want under 160", send.Age)
 	}
-	g.do(Purge{Group: 0, Age: 0})
-	if _, acts = g.ask("page", "y", 0); g.one(acts).Age <= 0 || g.one(acts).Age > 1 {
-		t.Errorf("just told of a group's purge: age %v", g.one(acts).Age)
+	rig.handle(Purge{Group: 0, Age: 0})
+	if _, actions = rig.request("page", "y", 0); rig.onlySend(actions).Age <= 0 || rig.onlySend(actions).Age > 1 {
+		t.Errorf("just notified of a group's purge: age %v", rig.onlySend(actions).Age)
 	}
-	g.wait(7000)
-	if _, acts = g.ask("page", "y", 0); g.one(acts).Age != 8000 {
-		t.Errorf("after the purge is through: age %v", g.one(acts).Age)
+	rig.wait(7000)
+	if _, actions = rig.request("page", "y", 0); rig.onlySend(actions).Age != 8000 {
+		t.Errorf("after the purge is through: age %v", rig.onlySend(actions).Age)
 	}
 }
--- a/fuzz_test.go
+++ b/fuzz_test.go
@@ -17,7 +17,7 @@
 	} {
 		f.Add(seed)
 	}
-	f.Fuzz(func(t *testing.T, in []byte) { newWatch(t, testSettings()).run(in) })
+	f.Fuzz(func(t *testing.T, in []byte) { newInvariantChecker(t, testSettings()).run(in) })
 }
 
 // TestInvariantsOverSettings runs the same checks under other settings.
@@ -36,213 +36,213 @@
 		func(s *Settings) { s.MaxAttempts, s.Joins, s.SizesCompare, s.Siblings = 2, true, true, Location },
 		func(s *Settings) { s.FallTime, s.ColdTime, s.Tick, s.Zones, s.RoutersByZone = 0, 0, 0, nil, nil },
 	} {
-		s := testSettings()
-		change(&s)
-		t.Run(fmt.Sprint(i), func(t *testing.T) { newWatch(t, s).run(in) })
+		settings := testSettings()
+		change(&settings)
+		t.Run(fmt.Sprint(i), func(t *testing.T) { newInvariantChecker(t, settings).run(in) })
 	}
 }
 
-// watch follows a router's actions and knows what it was told.
-type watch struct {
-	t      *testing.T
-	s      Settings
-	r      *Router
-	now    Millis
-	reqs   map[string]*watched
-	ids    []string
-	told   map[string]Millis // when a member was heard to be draining or gone
-	purged map[string]Millis // when the last purge of an object was made
-	wakes  []wake
+// invariantChecker follows a router's actions and knows which events it was given.
+type invariantChecker struct {
+	t                *testing.T
+	settings         Settings
+	router           *Router
+	now              Millis
+	requests         map[string]*checkedRequest
+	ids              []string
+	unavailableSince map[string]Millis // when a member was heard to be draining or gone
+	purgedAt         map[string]Millis // when the last purge of an object was made
+	wakes            []pendingTimer
 }
 
-type wake struct {
+type pendingTimer struct {
 	at    Millis
 	token int64
 }
 
-type watched struct {
+type checkedRequest struct {
 	Request
-	sent, out int
-	open      map[int]Send
-	ended     bool
-	maybe     bool // an attempt may have run
-	effect    Effect
+	attempts, outstanding int
+	sends                 map[int]Send
+	ended                 bool
+	mayHaveRun            bool // an attempt may have run
+	effect                Effect
 }
 
-func newWatch(t *testing.T, s Settings) *watch {
-	r, err := New(s, 1)
+func newInvariantChecker(t *testing.T, settings Settings) *invariantChecker {
+	router, err := New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &watch{t: t, s: s, r: r, now: 1000, reqs: map[string]*watched{}, told: map[string]Millis{},
-		purged: map[string]Millis{}}
-	w.feed(Members{Full: true, Rows: baseRows()})
-	return w
+	checker := &invariantChecker{t: t, settings: settings, router: router, now: 1000, requests: map[string]*checkedRequest{}, unavailableSince: map[string]Millis{},
+		purgedAt: map[string]Millis{}}
+	checker.handle(Members{Full: true, Rows: baseRows()})
+	return checker
 }
 
-func (w *watch) feed(ev Event) {
-	for _, a := range w.r.Handle(w.now, ev, nil) {
+func (w *invariantChecker) handle(ev Event) {
+	for _, a := range w.router.Handle(w.now, ev, nil) {
 		switch a := a.(type) {
 		case Wake:
 			if a.In < 0 {
 				w.t.Fatal("a wake in the past")
 			}
-			w.wakes = append(w.wakes, wake{w.now + a.In, a.Token})
+			w.wakes = append(w.wakes, pendingTimer{w.now + a.In, a.Token})
 		case Refuse:
-			w.end(a.ID, true)
+			w.checkFinalAnswer(a.ID, true)
 		case Fail:
-			w.end(a.ID, false)
+			w.checkFinalAnswer(a.ID, false)
 		case Send:
-			w.send(a)
+			w.checkSend(a)
 		case Cancel:
-			if q := w.reqs[a.ID]; !w.s.Cancels || q == nil || a.Attempt >= q.sent {
+			if request := w.requests[a.ID]; !w.settings.Cancels || request == nil || a.Attempt >= request.attempts {
 				w.t.Fatalf("cancel of %v", a)
 			}
 		}
 	}
 }
 
-func (w *watch) end(id string, refused bool) {
-	q := w.reqs[id]
-	if q == nil || q.ended {
+func (w *invariantChecker) checkFinalAnswer(id string, refused bool) {
+	request := w.requests[id]
+	if request == nil || request.ended {
 		w.t.Fatalf("a second final answer for %s", id)
 	}
-	if refused && q.maybe && q.effect == SingleShot {
+	if refused && request.mayHaveRun && request.effect == SingleShot {
 		w.t.Fatalf("%s is refused though it may have run", id)
 	}
-	q.ended = true
+	request.ended = true
 }
 
-func (w *watch) send(a Send) {
-	q := w.reqs[a.ID]
+func (w *invariantChecker) checkSend(send Send) {
+	request := w.requests[send.ID]
 	switch {
-	case q == nil || q.ended:
-		w.t.Fatalf("a send after the end: %v", a)
-	case q.out > 0:
-		w.t.Fatalf("two attempts out: %v", a)
-	case q.sent >= w.s.MaxAttempts:
-		w.t.Fatalf("too many attempts: %v", a)
-	case a.Age <= 0 || a.Source == "" || a.Timeout < 0:
-		w.t.Fatalf("a malformed send: %+v", a)
-	case q.effect == SingleShot && q.maybe:
-		w.t.Fatalf("%s is sent again though it may have run", a.ID)
+	case request == nil || request.ended:
+		w.t.Fatalf("a send after the end: %v", send)
+	case request.outstanding > 0:
+		w.t.Fatalf("two attempts out: %v", send)
+	case request.attempts >= w.settings.MaxAttempts:
+		w.t.Fatalf("too many attempts: %v", send)
+	case send.Age <= 0 || send.Source == "" || send.Timeout < 0:
+		w.t.Fatalf("a malformed send: %+v", send)
+	case request.effect == SingleShot && request.mayHaveRun:
+		w.t.Fatalf("%s is sent again though it may have run", send.ID)
 	}
-	for _, id := range []string{a.Cache, a.Source} {
-		if at, ok := w.told[id]; ok && w.now > at+w.s.DrainGrace {
+	for _, id := range []string{send.Cache, send.Source} {
+		if at, ok := w.unavailableSince[id]; ok && w.now > at+w.settings.DrainGrace {
 			w.t.Fatalf("%s is used %v after its drain", id, w.now-at)
 		}
 	}
-	if at, ok := w.purged[q.Object]; ok && w.now < at+w.s.PurgeTakes && a.Age > max(w.now-at, minCopyAge) {
-		w.t.Fatalf("age %v allows a copy from before the purge %v ago", a.Age, w.now-at)
+	if at, ok := w.purgedAt[request.Object]; ok && w.now < at+w.settings.PurgeTakes && send.Age > max(w.now-at, minCopyAge) {
+		w.t.Fatalf("age %v allows a copy from before the purge %v ago", send.Age, w.now-at)
 	}
-	member := w.r.members[a.Cache]
-	if member == nil || member.role == foreign || member.role != edge && !w.s.Direct {
-		w.t.Fatalf("sent to %s, which takes no attempts", a.Cache)
+	member := w.router.members[send.Cache]
+	if member == nil || member.role == foreign || member.role != edge && !w.settings.Direct {
+		w.t.Fatalf("sent to %s, which takes no attempts", send.Cache)
 	}
-	q.open[q.sent] = a
-	q.sent, q.out = q.sent+1, q.out+1
-	q.maybe = true
+	request.sends[request.attempts] = send
+	request.attempts, request.outstanding = request.attempts+1, request.outstanding+1
+	request.mayHaveRun = true
 }
 
 // run turns each byte, or a few, into an event.
-func (w *watch) run(in []byte) {
+func (w *invariantChecker) run(in []byte) {
 	classes := []string{"video", "page", "save", "once", "keyed"}
-	for i, b := range in {
-		switch arg := int(b / 12); b % 12 {
+	for i, code := range in {
+		switch arg := int(code / 12); code % 12 {
 		case 0, 1, 2:
-			c := w.r.classes[classes[arg%5]]
-			q := &watched{Request: Request{ID: fmt.Sprint("q", i), Class: c.Name, Object: fmt.Sprint("o", arg%4),
-				Part: arg - 2, KB: float64(arg * 50), Group: arg % 2, Deadline: w.now + c.Deadline/2},
-				open: map[int]Send{}, effect: c.Effect}
-			w.reqs[q.ID] = q
-			w.ids = append(w.ids, q.ID)
-			w.feed(q.Request)
+			class := w.router.classes[classes[arg%5]]
+			request := &checkedRequest{Request: Request{ID: fmt.Sprint("q", i), Class: class.Name, Object: fmt.Sprint("o", arg%4),
+				Part: arg - 2, KB: float64(arg * 50), Group: arg % 2, Deadline: w.now + class.Deadline/2},
+				sends: map[int]Send{}, effect: class.Effect}
+			w.requests[request.ID] = request
+			w.ids = append(w.ids, request.ID)
+			w.handle(request.Request)
 		case 3, 4, 5, 6:
-			w.settle(arg, Result(int(b)%9))
+			w.finishAttempt(arg, Result(int(code)%9))
 		case 7:
 			if len(w.ids) > 0 {
-				q := w.reqs[w.ids[arg%len(w.ids)]]
-				q.ended = true
-				w.feed(Gone{ID: q.ID})
+				request := w.requests[w.ids[arg%len(w.ids)]]
+				request.ended = true
+				w.handle(Gone{ID: request.ID})
 			}
 		case 8:
 			row := baseRows()[arg%7]
 			row.State = State(arg % 3)
 			if row.State == Serving {
 				row.ReadyAt = w.now
-				delete(w.told, row.ID)
-			} else if _, ok := w.told[row.ID]; !ok {
-				w.told[row.ID] = w.now
+				delete(w.unavailableSince, row.ID)
+			} else if _, ok := w.unavailableSince[row.ID]; !ok {
+				w.unavailableSince[row.ID] = w.now
 			}
 			rows := []Member{row}
 			if arg > 13 { // a burst: it drains, goes and is back, new, in one piece of news
 				rows = rows[:0]
-				for _, st := range []State{Draining, Removed, Serving} {
-					row.State, row.ReadyAt = st, w.now
+				for _, state := range []State{Draining, Removed, Serving} {
+					row.State, row.ReadyAt = state, w.now
 					rows = append(rows, row)
 				}
-				delete(w.told, row.ID)
+				delete(w.unavailableSince, row.ID)
 			}
-			w.feed(Members{Rows: rows})
+			w.handle(Members{Rows: rows})
 		case 9:
-			o := fmt.Sprint("o", arg%4)
-			w.purged[o] = max(w.purged[o], w.now-float64(arg))
-			w.feed(Purge{Object: o, Age: float64(arg)})
+			object := fmt.Sprint("o", arg%4)
+			w.purgedAt[object] = max(w.purgedAt[object], w.now-float64(arg))
+			w.handle(Purge{Object: object, Age: float64(arg)})
 		case 10: // odd: nothing of this is known
-			w.feed(Outcome{ID: fmt.Sprint("q", arg), Attempt: arg + 50, Result: Errored})
-			w.feed(Timer{Token: 1 << 60})
-			w.feed(Members{Lost: true})
-			w.feed(Probed{Cache: "nowhere"})
-			w.feed(Started{ID: "never"})
-			w.feed(Message{From: arg})
+			w.handle(Outcome{ID: fmt.Sprint("q", arg), Attempt: arg + 50, Result: Errored})
+			w.handle(Timer{Token: 1 << 60})
+			w.handle(Members{Lost: true})
+			w.handle(Probed{Cache: "nowhere"})
+			w.handle(Started{ID: "never"})
+			w.handle(Message{From: arg})
 		case 11:
-			w.pass(float64(arg * 20))
+			w.advanceTime(float64(arg * 20))
 		}
 	}
-	w.pass(20000)
+	w.advanceTime(20000)
 	for _, id := range w.ids {
-		if !w.reqs[id].ended {
+		if !w.requests[id].ended {
 			w.t.Fatalf("%s got no final answer", id)
 		}
 	}
 }
 
-// settle ends the oldest open attempt of some request.
-func (w *watch) settle(arg int, res Result) {
-	for k := range w.ids {
-		q := w.reqs[w.ids[(arg+k)%len(w.ids)]]
-		for n := range q.sent {
-			s, ok := q.open[n]
+// finishAttempt ends the oldest open attempt of some request.
+func (w *invariantChecker) finishAttempt(arg int, res Result) {
+	for offset := range w.ids {
+		request := w.requests[w.ids[(arg+offset)%len(w.ids)]]
+		for n := range request.attempts {
+			send, ok := request.sends[n]
 			if !ok {
 				continue
 			}
-			delete(q.open, n)
-			q.out--
-			q.maybe = !res.RanNot()
-			last := q.ended || res == OK
-			q.ended = last
-			w.feed(Outcome{ID: q.ID, Attempt: n, Cache: s.Cache, Result: res, Took: 5, Last: last, Note: Note(arg % 11)})
+			delete(request.sends, n)
+			request.outstanding--
+			request.mayHaveRun = !res.RanNot()
+			last := request.ended || res == OK
+			request.ended = last
+			w.handle(Outcome{ID: request.ID, Attempt: n, Cache: send.Cache, Result: res, Took: 5, Last: last, Note: Note(arg % 11)})
 			return
 		}
 	}
 }
 
-// pass lets time go by with the wakes that were asked for.
-func (w *watch) pass(span Millis) {
+// advanceTime lets time go by with the wakes that were asked for.
+func (w *invariantChecker) advanceTime(span Millis) {
 	for end := w.now + span; ; {
-		k := -1
-		for i, x := range w.wakes {
-			if x.at <= end && (k < 0 || x.at < w.wakes[k].at) {
-				k = i
+		next := -1
+		for i, timer := range w.wakes {
+			if timer.at <= end && (next < 0 || timer.at < w.wakes[next].at) {
+				next = i
 			}
 		}
-		if k < 0 {
+		if next < 0 {
 			w.now = end
 			return
 		}
-		x := w.wakes[k]
-		w.wakes = append(w.wakes[:k], w.wakes[k+1:]...)
-		w.now = max(w.now, x.at)
-		w.feed(Timer{Token: x.token})
+		timer := w.wakes[next]
+		w.wakes = append(w.wakes[:next], w.wakes[next+1:]...)
+		w.now = max(w.now, timer.at)
+		w.handle(Timer{Token: timer.token})
 	}
 }
--- a/outlier_test.go
+++ b/outlier_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// TestSuspects: whatever the fault looks like, a member that does not serve
-// loses the ordinary traffic, gets single trials, and earns it back.
-func TestSuspects(t *testing.T) {
-	for _, c := range []struct {
+// TestEjection: whatever the fault looks like, a member that does not serve is ejected, gets
+// single health checks, and returns.
+func TestEjection(t *testing.T) {
+	for _, test := range []struct {
 		name  string
 		reply *Outcome // nil: silence
 	}{
@@ -16,188 +16,188 @@
 		{"fails fast", &Outcome{Result: Errored, Took: 1}},
 		{"hangs", nil},
 	} {
-		g := newRig(t, testSettings())
+		rig := newRig(t, testSettings())
 		var held []string
 		phase := func(n int, broken bool) (hits int) {
 			for i := range n {
-				id, acts := g.ask("page", fmt.Sprint("o", i%30), 0)
-				for k := 0; len(sends(acts)) > 0; k++ {
-					s := sends(acts)[0]
-					out := Outcome{ID: id, Attempt: k, Cache: s.Cache, Result: OK, Took: 100, Last: true, Note: NoteHit}
-					if s.Cache == "e2" {
+				id, actions := rig.request("page", fmt.Sprint("o", i%30), 0)
+				for k := 0; len(sends(actions)) > 0; k++ {
+					send := sends(actions)[0]
+					outcome := Outcome{ID: id, Attempt: k, Cache: send.Cache, Result: OK, Took: 100, Last: true, Note: NoteHit}
+					if send.Cache == "e2" {
 						hits++
-						if broken && c.reply == nil {
+						if broken && test.reply == nil {
 							held = append(held, id)
 							break
 						}
 						if broken {
-							out = *c.reply
-							out.ID, out.Attempt, out.Cache = id, k, s.Cache
+							outcome = *test.reply
+							outcome.ID, outcome.Attempt, outcome.Cache = id, k, send.Cache
 						}
 					}
-					acts = g.do(out)
+					actions = rig.handle(outcome)
 				}
-				g.wait(25)
+				rig.wait(25)
 			}
 			return hits
 		}
 		phase(100, false)
 		if early, later := phase(60, true), phase(120, true); early == 0 || later > 10 {
-			t.Errorf("%s: %d then %d attempts at the broken cache", c.name, early, later)
+			t.Errorf("%s: %d then %d attempts at the broken cache", test.name, early, later)
 		}
 		for _, id := range held {
-			g.do(Outcome{ID: id, Cache: "e2", Result: TimedOut, Last: true})
+			rig.handle(Outcome{ID: id, Cache: "e2", Result: TimedOut, Last: true})
 		}
 		phase(200, false)
 		phase(400, false)
 		if back := phase(100, false); back < 20 {
-			t.Errorf("%s: only %d attempts after the repair", c.name, back)
+			t.Errorf("%s: only %d attempts after the repair", test.name, back)
 		}
 	}
 }
 
-// TestTrialsThatMiss: a suspect that answers its trials is cleared within a second or
-// two, though it holds no copy of what is asked. It guards against a cache that stays out
+// TestHealthChecksThatMiss: an ejected cache that answers its health checks returns within a second
+// or two, though it holds no copy of what is asked. It guards against a cache that stays out
 // for long after a passing fault, for having few copies; it may take back one that
 // answers looks and fails fills a little early.
-func TestTrialsThatMiss(t *testing.T) {
-	g := newRig(t, testSettings())
-	member := g.r.members["e1"]
-	g.r.eject(member)
-	member.checkBackoff = maxCheckBackoff // as after many failed trials
-	member.nextCheck = g.now
+func TestHealthChecksThatMiss(t *testing.T) {
+	rig := newRig(t, testSettings())
+	member := rig.router.members["e1"]
+	rig.router.eject(member)
+	member.checkBackoff = maxCheckBackoff // as after many failed health checks
+	member.nextCheck = rig.now
 	for i := range 400 {
-		id, acts := g.ask("page", fmt.Sprint("x", i), 0)
-		g.now += 10
-		for n := 0; len(sends(acts)) > 0; n++ {
-			s := sends(acts)[0]
+		id, actions := rig.request("page", fmt.Sprint("x", i), 0)
+		rig.now += 10
+		for n := 0; len(sends(actions)) > 0; n++ {
+			send := sends(actions)[0]
 			result, note := OK, NoteFilled
-			if s.Source == s.Cache {
+			if send.Source == send.Cache {
 				result, note = Miss, NoteNone
 			}
-			acts = g.do(Outcome{ID: id, Attempt: n, Cache: s.Cache, Result: result, Note: note, Last: result == OK})
+			actions = rig.handle(Outcome{ID: id, Attempt: n, Cache: send.Cache, Result: result, Note: note, Last: result == OK})
 		}
 		if !member.ejected {
 			return
 		}
 	}
-	t.Errorf("still a suspect after 4 s of good answers: %+v", member)
+	t.Errorf("still ejected after 4 s of good answers: %+v", member)
 }
 
-// TestResetsAmongAnswers: connections that break by themselves make no suspect of a cache
+// TestResetsAmongAnswersEjectNobody: connections that break by themselves do not eject a cache
 // that answers on others; one that resets all it has, and then refuses, is one at once.
-func TestResetsAmongAnswers(t *testing.T) {
-	g := newRig(t, testSettings())
+func TestResetsAmongAnswersEjectNobody(t *testing.T) {
+	rig := newRig(t, testSettings())
 	for i := range 300 {
-		g.wait(25)
-		broken, acts := g.ask("page", fmt.Sprint("b", i), 0)
-		s := sends(acts)[0]
-		other, more := g.ask("page", fmt.Sprint("b", i), 0) // the same object, and so the same cache
-		g.now += 5
-		g.do(Outcome{ID: other, Cache: sends(more)[0].Cache, Result: OK, Last: true})
-		acts = g.do(Outcome{ID: broken, Cache: s.Cache, Result: Reset})
-		if len(sends(acts)) == 1 {
-			g.do(Outcome{ID: broken, Attempt: 1, Cache: sends(acts)[0].Cache, Result: OK, Last: true})
+		rig.wait(25)
+		broken, actions := rig.request("page", fmt.Sprint("b", i), 0)
+		send := sends(actions)[0]
+		other, more := rig.request("page", fmt.Sprint("b", i), 0) // the same object, and so the same cache
+		rig.now += 5
+		rig.handle(Outcome{ID: other, Cache: sends(more)[0].Cache, Result: OK, Last: true})
+		actions = rig.handle(Outcome{ID: broken, Cache: send.Cache, Result: Reset})
+		if len(sends(actions)) == 1 {
+			rig.handle(Outcome{ID: broken, Attempt: 1, Cache: sends(actions)[0].Cache, Result: OK, Last: true})
 		}
 	}
-	for _, member := range g.r.members {
+	for _, member := range rig.router.members {
 		if member.ejected {
-			t.Errorf("%s is a suspect", member.ID)
+			t.Errorf("%s is ejected", member.ID)
 		}
 	}
 	var out []Send
 	for i := range 60 {
-		_, acts := g.ask("page", fmt.Sprint("c", i), 0)
-		out = append(out, sends(acts)...)
+		_, actions := rig.request("page", fmt.Sprint("c", i), 0)
+		out = append(out, sends(actions)...)
 	}
-	g.now += 5
+	rig.now += 5
 	dead := out[0].Cache
-	for _, s := range out {
-		if s.Cache == dead {
-			g.do(Outcome{ID: s.ID, Cache: dead, Result: Reset})
+	for _, send := range out {
+		if send.Cache == dead {
+			rig.handle(Outcome{ID: send.ID, Cache: dead, Result: Reset})
 		}
 	}
-	if !g.r.members[dead].ejected {
-		t.Errorf("%s reset all that it had, and is no suspect", dead)
+	if !rig.router.members[dead].ejected {
+		t.Errorf("%s reset all that it had, and is not ejected", dead)
 	}
 }
 
-// TestThinTrafficAccusesNobody: a router that asks a cache now and then hears nothing in
+// TestThinTrafficEjectsNobody: a router that asks a cache now and then hears nothing in
 // between; a large answer that takes its time right after is no silence. It was: on a day
-// without a fault each router came to hold 14 of 18 members for suspects.
-func TestThinTrafficAccusesNobody(t *testing.T) {
-	g := newRig(t, testSettings(), baseRows()...)
-	q, acts := g.ask("video", "o1", 0)
-	s := g.one(acts)
-	g.do(Outcome{ID: q, Cache: s.Cache, Result: OK, Took: 100, Last: true})
-	g.wait(20000)
-	_, acts = g.ask("video", "o1", 0)
-	s = g.one(acts)
-	g.wait(1200)
-	if member := g.r.members[s.Cache]; member.ejected {
+// without a fault each router ejected 14 of 18 members.
+func TestThinTrafficEjectsNobody(t *testing.T) {
+	rig := newRig(t, testSettings(), baseRows()...)
+	q, actions := rig.request("video", "o1", 0)
+	send := rig.onlySend(actions)
+	rig.handle(Outcome{ID: q, Cache: send.Cache, Result: OK, Took: 100, Last: true})
+	rig.wait(20000)
+	_, actions = rig.request("video", "o1", 0)
+	send = rig.onlySend(actions)
+	rig.wait(1200)
+	if member := rig.router.members[send.Cache]; member.ejected {
 		t.Errorf("after %v ms of waiting", 1200)
 	}
-	g.wait(6000)
-	if member := g.r.members[s.Cache]; !member.ejected {
-		t.Error("a cache that says nothing at all is no suspect")
+	rig.wait(6000)
+	if member := rig.router.members[send.Cache]; !member.ejected {
+		t.Error("a cache that says nothing at all is not ejected")
 	}
 }
 
-// TestSilenceEndsWithASign: who was a suspect for silence alone is none with the first answer.
-func TestSilenceEndsWithASign(t *testing.T) {
-	s := testSettings()
-	s.Cancels = false
-	g := newRig(t, s, baseRows()...)
-	q, acts := g.ask("video", "o1", 0)
-	first := g.one(acts)
-	g.wait(8000)
-	member := g.r.members[first.Cache]
+// TestSilenceEndsWithProgress: a cache ejected for silence alone returns with the first answer.
+func TestSilenceEndsWithProgress(t *testing.T) {
+	settings := testSettings()
+	settings.Cancels = false
+	rig := newRig(t, settings, baseRows()...)
+	q, actions := rig.request("video", "o1", 0)
+	first := rig.onlySend(actions)
+	rig.wait(8000)
+	member := rig.router.members[first.Cache]
 	if !member.ejected {
-		t.Fatal("no suspect")
+		t.Fatal("not ejected")
 	}
-	g.do(Outcome{ID: q, Cache: first.Cache, Result: OK, Took: 8000, Last: true})
+	rig.handle(Outcome{ID: q, Cache: first.Cache, Result: OK, Took: 8000, Last: true})
 	if member.ejected {
-		t.Error("it answers, and is a suspect still")
+		t.Error("it answers, and is still ejected")
 	}
 }
 
-// TestUnfitRequest: a request that two caches find fault with, with no source involved,
-// is ended, and makes no suspect of either, however many come; one cache that fails
-// what others serve still becomes one.
-func TestUnfitRequest(t *testing.T) {
-	g := newRig(t, testSettings())
+// TestInvalidRequestEjectsNobody: a request that two caches find fault with, with no source involved,
+// is ended, and ejects neither, however many come; one cache that fails what others serve
+// is still ejected.
+func TestInvalidRequestEjectsNobody(t *testing.T) {
+	rig := newRig(t, testSettings())
 	for range 30 {
-		id, acts := g.ask("page", "nothing fits it", 0)
-		first := sends(acts)[0]
-		acts = g.do(Outcome{ID: id, Cache: first.Cache, Result: Errored})
-		second := sends(acts)
+		id, actions := rig.request("page", "nothing fits it", 0)
+		first := sends(actions)[0]
+		actions = rig.handle(Outcome{ID: id, Cache: first.Cache, Result: Errored})
+		second := sends(actions)
 		if len(second) != 1 || second[0].Cache == first.Cache {
-			t.Fatalf("after one error: %+v", acts)
+			t.Fatalf("after one error: %+v", actions)
 		}
-		acts = g.do(Outcome{ID: id, Attempt: 1, Cache: second[0].Cache, Result: Errored})
-		if len(acts) != 1 || acts[0] != Action(Refuse{ID: id, After: rejectionRetryAfter}) {
-			t.Fatalf("after two: %+v", acts)
+		actions = rig.handle(Outcome{ID: id, Attempt: 1, Cache: second[0].Cache, Result: Errored})
+		if len(actions) != 1 || actions[0] != Action(Refuse{ID: id, After: rejectionRetryAfter}) {
+			t.Fatalf("after two: %+v", actions)
 		}
 	}
-	for _, member := range g.r.members {
+	for _, member := range rig.router.members {
 		if member.ejected {
-			t.Errorf("%s is a suspect", member.ID)
+			t.Errorf("%s is ejected", member.ID)
 		}
 	}
-	_, acts := g.ask("page", "x", 0)
-	bad := sends(acts)[0].Cache
+	_, actions := rig.request("page", "x", 0)
+	bad := sends(actions)[0].Cache
 	for i := range 30 {
-		id, acts := g.ask("page", fmt.Sprint("y", i), 0)
-		for n := 0; len(sends(acts)) > 0; n++ {
-			s := sends(acts)[0]
+		id, actions := rig.request("page", fmt.Sprint("y", i), 0)
+		for n := 0; len(sends(actions)) > 0; n++ {
+			send := sends(actions)[0]
 			result := OK
-			if s.Cache == bad {
+			if send.Cache == bad {
 				result = Errored
 			}
-			acts = g.do(Outcome{ID: id, Attempt: n, Cache: s.Cache, Result: result, Last: result == OK})
+			actions = rig.handle(Outcome{ID: id, Attempt: n, Cache: send.Cache, Result: result, Last: result == OK})
 		}
 	}
-	if !g.r.members[bad].ejected {
-		t.Errorf("%s fails all that others serve, and is no suspect", bad)
+	if !rig.router.members[bad].ejected {
+		t.Errorf("%s fails all that others serve, and is not ejected", bad)
 	}
 }
--- a/rangesplit_test.go
+++ b/rangesplit_test.go
@@ -53,12 +53,12 @@
 // TestRanges checks that parts of all objects go by contiguous ranges once a
 // window has closed, by a hash before, and that an unchanged load moves none.
 func TestRanges(t *testing.T) {
-	g := newRig(t, testSettings())
+	rig := newRig(t, testSettings())
 	serve := func(object string, part int) string {
-		id, acts := g.ask("video", object, part)
-		s := g.one(acts)
-		g.do(Outcome{ID: id, Cache: s.Cache, Result: OK, Took: 100, Last: true, Note: NoteHit})
-		return s.Cache
+		id, actions := rig.request("video", object, part)
+		send := rig.onlySend(actions)
+		rig.handle(Outcome{ID: id, Cache: send.Cache, Result: OK, Took: 100, Last: true, Note: NoteHit})
+		return send.Cache
 	}
 	first := map[string]bool{}
 	for x := range 12 {
@@ -69,20 +69,20 @@
 	}
 	for i := range 400 {
 		serve(fmt.Sprint("o", i/12), i%12)
-		g.wait(25)
+		rig.wait(25)
 	}
-	before := slices.Clone(g.r.layout.splits)
+	before := slices.Clone(rig.router.layout.splits)
 	for i := range 600 {
 		serve(fmt.Sprint("o", i/12), i%12)
-		g.wait(25)
+		rig.wait(25)
 	}
-	if !slices.Equal(before, g.r.layout.splits) {
-		t.Errorf("an unchanged load moved %v to %v", before, g.r.layout.splits)
+	if !slices.Equal(before, rig.router.layout.splits) {
+		t.Errorf("an unchanged load moved %v to %v", before, rig.router.layout.splits)
 	}
 	at := 0
 	for x := range 40 {
 		c := serve("b", x)
-		i := slices.IndexFunc(g.r.byRole[edge], func(member *member) bool { return member.ID == c })
+		i := slices.IndexFunc(rig.router.byRole[edge], func(member *member) bool { return member.ID == c })
 		if i < at {
 			t.Fatalf("part %d goes back to %s", x, c)
 		}
@@ -94,29 +94,29 @@
 	if at != 2 {
 		t.Errorf("the last range is of cache %d", at)
 	}
-	g.do(Members{Rows: []Member{{ID: "e2", Zone: "z1", Kind: "box", State: Removed}}})
-	if len(g.r.layout.splits) != 1 {
-		t.Errorf("after a loss: splits %v", g.r.layout.splits)
+	rig.handle(Members{Rows: []Member{{ID: "e2", Zone: "z1", Kind: "box", State: Removed}}})
+	if len(rig.router.layout.splits) != 1 {
+		t.Errorf("after a loss: splits %v", rig.router.layout.splits)
 	}
 }
 
-// TestRangesNeedEvidence: the more routers share a location's caches, the more requests
+// TestFirstRangesNeedEvidence: the more routers share a location's caches, the more requests
 // each sees before it draws ranges of its own.
-func TestRangesNeedEvidence(t *testing.T) {
-	for _, c := range []struct{ routers, requests int }{{1, 128}, {2, 128}, {20, 1280}} {
-		s := testSettings()
-		s.Routers, s.Zones, s.RoutersByZone = c.routers, []string{s.Zone}, []int{c.routers}
-		g := newRig(t, s, baseRows()...)
-		for i := range c.requests {
-			if g.r.layout.ranged {
-				t.Errorf("%d routers: ranges after %d requests", c.routers, i)
+func TestFirstRangesNeedEvidence(t *testing.T) {
+	for _, test := range []struct{ routers, requests int }{{1, 128}, {2, 128}, {20, 1280}} {
+		settings := testSettings()
+		settings.Routers, settings.Zones, settings.RoutersByZone = test.routers, []string{settings.Zone}, []int{test.routers}
+		rig := newRig(t, settings, baseRows()...)
+		for i := range test.requests {
+			if rig.router.layout.ranged {
+				t.Errorf("%d routers: ranges after %d requests", test.routers, i)
 				break
 			}
-			g.ask("video", "o"+strconv.Itoa(i%7), i%9)
-			g.wait(50) // windows come due meanwhile
+			rig.request("video", "o"+strconv.Itoa(i%7), i%9)
+			rig.wait(50) // windows come due meanwhile
 		}
-		if !g.r.layout.ranged {
-			t.Errorf("%d routers: no ranges after %d requests", c.routers, c.requests)
+		if !rig.router.layout.ranged {
+			t.Errorf("%d routers: no ranges after %d requests", test.routers, test.requests)
 		}
 	}
 }
--- a/ranking_test.go
+++ b/ranking_test.go
@@ -13,21 +13,23 @@
 // TestRanking: members found one by one stand in the order of a sort of the whole list.
 func TestRanking(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := &Router{settings: Settings{SizesCompare: true}}
+		router := &Router{settings: Settings{SizesCompare: true}}
 		var list []*member
 		for i := range rapid.IntRange(0, 60).Draw(t, "members") {
 			member := &member{Member: Member{Size: float64(rapid.IntRange(0, 4).Draw(t, "size"))}, hash: hashString(fmt.Sprint(i))}
 			list = append(list, member)
 		}
-		h := rapid.Uint64().Draw(t, "hash")
+		hash := rapid.Uint64().Draw(t, "hash")
 		plain, weighty := slices.Clone(list), slices.Clone(list)
-		slices.SortFunc(plain, func(a, b *member) int { return cmp.Compare(mix(h^b.hash), mix(h^a.hash)) })
-		key := func(member *member) float64 { return math.Log(max(chance(h^member.hash), 1e-18)) / r.capacity(member) }
+		slices.SortFunc(plain, func(a, b *member) int { return cmp.Compare(mix(hash^b.hash), mix(hash^a.hash)) })
+		key := func(member *member) float64 {
+			return math.Log(max(chance(hash^member.hash), 1e-18)) / router.capacity(member)
+		}
 		slices.SortFunc(weighty, func(a, b *member) int { return cmp.Compare(key(b), key(a)) })
 		for name, c := range map[string]struct {
 			got  *ranking
 			want []*member
-		}{"plain": {byRendezvous(list, h), plain}, "weighed": {r.byWeightedRendezvous(list, h), weighty}} {
+		}{"plain": {byRendezvous(list, hash), plain}, "weighed": {router.byWeightedRendezvous(list, hash), weighty}} {
 			for range 2 { // the second time all are in order already
 				if got := slices.Collect(c.got.members); !slices.Equal(got, c.want) {
 					t.Fatalf("%s: not in the order of a sort", name)
--- a/request_test.go
+++ b/request_test.go
@@ -5,72 +5,72 @@
 // TestOneFinalAnswer covers the paths on which an answer could be lost or
 // given twice.
 func TestOneFinalAnswer(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
 		rows []Member
-		run  func(g *rig, id string, acts []Action) []Action
+		run  func(rig *testRig, id string, actions []Action) []Action
 		want int
 	}{
-		{"no members", []Member{}, func(g *rig, _ string, acts []Action) []Action {
-			return append(append(acts, g.wait(2996)...), g.do(Timer{Token: 1})...)
+		{"no members", []Member{}, func(rig *testRig, _ string, actions []Action) []Action {
+			return append(append(actions, rig.wait(2996)...), rig.handle(Timer{Token: 1})...)
 		}, 1},
-		{"silence", nil, func(g *rig, id string, acts []Action) []Action {
-			acts = append(acts, g.wait(2996)...)
-			acts = append(acts, g.do(Timer{Token: 1})...)
-			acts = append(acts, g.do(Outcome{ID: id, Result: TimedOut, Took: 3000})...)
-			return append(acts, g.do(Timer{Token: 1})...)
+		{"silence", nil, func(rig *testRig, id string, actions []Action) []Action {
+			actions = append(actions, rig.wait(2996)...)
+			actions = append(actions, rig.handle(Timer{Token: 1})...)
+			actions = append(actions, rig.handle(Outcome{ID: id, Result: TimedOut, Took: 3000})...)
+			return append(actions, rig.handle(Timer{Token: 1})...)
 		}, 1},
-		{"attempts used up", nil, func(g *rig, id string, acts []Action) []Action {
+		{"attempts used up", nil, func(rig *testRig, id string, actions []Action) []Action {
 			for i := range 20 {
-				acts = append(acts, g.do(Outcome{ID: id, Attempt: i, Result: Errored, Took: 1})...)
+				actions = append(actions, rig.handle(Outcome{ID: id, Attempt: i, Result: Errored, Took: 1})...)
 			}
-			return acts
+			return actions
 		}, 1},
-		{"client gone, outcome in the same batch", nil, func(g *rig, id string, acts []Action) []Action {
-			acts = append(acts, g.do(Gone{ID: id})...)
-			return append(acts, g.do(Outcome{ID: id, Result: Errored, Last: true})...)
+		{"client gone, outcome in the same batch", nil, func(rig *testRig, id string, actions []Action) []Action {
+			actions = append(actions, rig.handle(Gone{ID: id})...)
+			return append(actions, rig.handle(Outcome{ID: id, Result: Errored, Last: true})...)
 		}, 0},
-		{"served", nil, func(g *rig, id string, acts []Action) []Action {
-			acts = append(acts, g.do(Outcome{ID: id, Result: OK, Last: true})...)
-			acts = append(acts, g.do(Gone{ID: id})...)
-			return append(acts, g.do(Timer{Token: 1})...)
+		{"served", nil, func(rig *testRig, id string, actions []Action) []Action {
+			actions = append(actions, rig.handle(Outcome{ID: id, Result: OK, Last: true})...)
+			actions = append(actions, rig.handle(Gone{ID: id})...)
+			return append(actions, rig.handle(Timer{Token: 1})...)
 		}, 0},
 	} {
-		g := newRig(t, testSettings(), c.rows...)
-		if c.rows != nil {
-			g = &rig{t: t, r: g.r, now: g.now}
-			g.do(Members{Full: true})
+		rig := newRig(t, testSettings(), test.rows...)
+		if test.rows != nil {
+			rig = &testRig{t: t, router: rig.router, now: rig.now}
+			rig.handle(Members{Full: true})
 		}
-		id, acts := g.ask("page", "x", 0)
-		acts = c.run(g, id, acts)
-		if n, _ := finals(acts); n != c.want {
-			t.Errorf("%s: %d final answers, want %d: %v", c.name, n, c.want, acts)
+		id, actions := rig.request("page", "x", 0)
+		actions = test.run(rig, id, actions)
+		if n, _ := finalAnswers(actions); n != test.want {
+			t.Errorf("%s: %d final answers, want %d: %v", test.name, n, test.want, actions)
 		}
 		ended := false
-		for _, a := range acts {
+		for _, a := range actions {
 			if _, ok := a.(Send); ok && ended {
-				t.Errorf("%s: a send after the end", c.name)
+				t.Errorf("%s: a send after the end", test.name)
 			}
 			if _, ok := a.(Refuse); ok {
 				ended = true
 			}
 		}
-		if len(g.r.requests) != 0 && c.want == 0 {
-			t.Errorf("%s: the request is still held", c.name)
+		if len(rig.router.requests) != 0 && test.want == 0 {
+			t.Errorf("%s: the request is still in hand", test.name)
 		}
 	}
-	g := newRig(t, testSettings())
-	if n, _ := finals(g.do(Request{ID: "u", Class: "unheard", Deadline: 9000})); n != 1 {
+	rig := newRig(t, testSettings())
+	if n, _ := finalAnswers(rig.handle(Request{ID: "u", Class: "unheard", Deadline: 9000})); n != 1 {
 		t.Error("an unknown class gets no answer")
 	}
 }
 
-// TestRefusalPromises: a refusal tells a client that a repeat is harmless. A keyed write of which
-// an attempt may have run is harmless to repeat only within the window that the caches remember
+// TestRejectionPromises: a rejection tells a client that a retry is harmless. A keyed write of which
+// an attempt may have run is harmless to retry only within the window that the caches remember
 // its key for, and no client is held to that: such a request fails. Seen as an effect that
-// happened twice, the client having come back as told, past the window.
-func TestRefusalPromises(t *testing.T) {
-	for _, c := range []struct {
+// happened twice, the client having come back as advised, past the window.
+func TestRejectionPromises(t *testing.T) {
+	for _, test := range []struct {
 		name   string
 		class  string
 		result Result
@@ -80,35 +80,35 @@
 		{"keyed, answers lost", "save", TimedOut, 901, false},
 		{"keyed, connections reset at once", "save", Reset, 1, false},
 		{"keyed, errors", "save", Errored, 1, false},
-		{"keyed, turned away each time", "save", Full, 1, true},
+		{"keyed, rejected each time", "save", Full, 1, true},
 		{"keyed, never reached", "save", ConnectFailed, 1, true},
 		{"keyed in a cell, answers lost", "keyed", TimedOut, 901, false},
 		{"not idempotent, answer lost", "once", TimedOut, 901, false},
 		{"not idempotent, never reached", "once", ConnectFailed, 1, true},
-		{"free, answers lost", "page", TimedOut, 901, true},
+		{"idempotent, answers lost", "page", TimedOut, 901, true},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			g := newRig(t, testSettings())
-			id, acts := g.ask(c.class, "x", 0)
-			all := acts
-			deadline := g.now + 3000
-			for attempt := 0; g.now < deadline-5; {
-				if len(sends(acts)) == 0 {
-					acts = g.wait(tickSpan)
-					all = append(all, acts...)
+		t.Run(test.name, func(t *testing.T) {
+			rig := newRig(t, testSettings())
+			id, actions := rig.request(test.class, "x", 0)
+			all := actions
+			deadline := rig.now + 3000
+			for attempt := 0; rig.now < deadline-5; {
+				if len(sends(actions)) == 0 {
+					actions = rig.wait(tickSpan)
+					all = append(all, actions...)
 					continue
 				}
-				send := g.one(acts)
-				g.now = min(g.now+c.after, deadline-4)
-				acts = g.do(Outcome{ID: id, Cache: send.Cache, Attempt: attempt, Result: c.result, Took: c.after})
-				all = append(all, acts...)
+				send := rig.onlySend(actions)
+				rig.now = min(rig.now+test.after, deadline-4)
+				actions = rig.handle(Outcome{ID: id, Cache: send.Cache, Attempt: attempt, Result: test.result, Took: test.after})
+				all = append(all, actions...)
 				attempt++
 			}
-			g.now = deadline - 4
-			all = append(all, g.do(Timer{Token: 1})...)
-			count, fail := finals(all)
-			if count != 1 || fail == c.refuse {
-				t.Errorf("%d final answers, failed %v; want one, failed %v: %v", count, fail, !c.refuse, all)
+			rig.now = deadline - 4
+			all = append(all, rig.handle(Timer{Token: 1})...)
+			count, fail := finalAnswers(all)
+			if count != 1 || fail == test.refuse {
+				t.Errorf("%d final answers, failed %v; want one, failed %v: %v", count, fail, !test.refuse, all)
 			}
 		})
 	}
--- a/rig_test.go
+++ b/rig_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// rig drives a router by hand.
-type rig struct {
-	t   *testing.T
-	r   *Router
-	now Millis
-	n   int
+// testRig drives a router by hand.
+type testRig struct {
+	t        *testing.T
+	router   *Router
+	now      Millis
+	requests int
 }
 
 func testSettings() Settings {
@@ -39,53 +39,53 @@
 		row("p1", "hub", "parent"), row("p2", "hub", "parent"), row("o1", "hub", "origin")}
 }
 
-func newRig(t *testing.T, s Settings, rows ...Member) *rig {
+func newRig(t *testing.T, settings Settings, rows ...Member) *testRig {
 	t.Helper()
-	r, err := New(s, 7)
+	router, err := New(settings, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &rig{t: t, r: r, now: 5000}
+	rig := &testRig{t: t, router: router, now: 5000}
 	if rows == nil {
 		rows = baseRows()
 	}
-	g.do(Members{Full: true, Rows: rows})
-	return g
+	rig.handle(Members{Full: true, Rows: rows})
+	return rig
 }
 
-func (g *rig) do(ev Event) []Action { return g.r.Handle(g.now, ev, nil) }
+func (g *testRig) handle(ev Event) []Action { return g.router.Handle(g.now, ev, nil) }
 
-// wait lets time pass, with the beats that the router asked for.
-func (g *rig) wait(d Millis) (acts []Action) {
+// wait lets time pass, with the ticks that the router asked for.
+func (g *testRig) wait(d Millis) (actions []Action) {
 	for end := g.now + d; g.now < end; {
 		g.now = min(g.now+tickSpan, end)
-		acts = append(acts, g.do(Timer{})...)
+		actions = append(actions, g.handle(Timer{})...)
 	}
-	return acts
+	return actions
 }
 
-// ask makes a request and returns its id and what the router did.
-func (g *rig) ask(class, object string, part int) (string, []Action) {
-	g.n++
-	id := fmt.Sprint("q", g.n)
+// request makes a request and returns its id and what the router did.
+func (g *testRig) request(class, object string, part int) (string, []Action) {
+	g.requests++
+	id := fmt.Sprint("q", g.requests)
 	dead := 3000.0
-	if c := g.r.classes[class]; c != nil {
+	if c := g.router.classes[class]; c != nil {
 		dead = c.Deadline
 	}
-	return id, g.do(Request{ID: id, Class: class, Object: object, Part: part, KB: 500, Deadline: g.now + dead})
+	return id, g.handle(Request{ID: id, Class: class, Object: object, Part: part, KB: 500, Deadline: g.now + dead})
 }
 
-func sends(acts []Action) (out []Send) {
-	for _, a := range acts {
-		if s, ok := a.(Send); ok {
-			out = append(out, s)
+func sends(actions []Action) (out []Send) {
+	for _, a := range actions {
+		if send, ok := a.(Send); ok {
+			out = append(out, send)
 		}
 	}
 	return out
 }
 
-func finals(acts []Action) (n int, fail bool) {
-	for _, a := range acts {
+func finalAnswers(actions []Action) (n int, fail bool) {
+	for _, a := range actions {
 		switch a.(type) {
 		case Refuse:
 			n++
@@ -96,26 +96,26 @@
 	return n, fail
 }
 
-func (g *rig) one(acts []Action) Send {
+func (g *testRig) onlySend(actions []Action) Send {
 	g.t.Helper()
-	s := sends(acts)
+	s := sends(actions)
 	if len(s) != 1 {
-		g.t.Fatalf("%d sends, want 1: %v", len(s), acts)
+		g.t.Fatalf("%d sends, want 1: %v", len(s), actions)
 	}
 	return s[0]
 }
 
-// fill makes a request whose looks all miss, and returns the attempt that names
+// requestFill makes a request whose lookups all miss, and returns the attempt that names
 // a source outside the caches, and its number.
-func (g *rig) fill(class, object string, part int) (string, Send, int) {
+func (g *testRig) requestFill(class, object string, part int) (string, Send, int) {
 	g.t.Helper()
-	id, acts := g.ask(class, object, part)
+	id, actions := g.request(class, object, part)
 	for n := range 6 {
-		s := g.one(acts)
-		if s.Source != s.Cache && g.r.members[s.Source].role != edge {
-			return id, s, n
+		send := g.onlySend(actions)
+		if send.Source != send.Cache && g.router.members[send.Source].role != edge {
+			return id, send, n
 		}
-		acts = g.do(Outcome{ID: id, Attempt: n, Cache: s.Cache, Result: Miss, Took: 1})
+		actions = g.handle(Outcome{ID: id, Attempt: n, Cache: send.Cache, Result: Miss, Took: 1})
 	}
 	g.t.Fatal("no fill")
 	return "", Send{}, 0
--- a/router.go
+++ b/router.go
@@ -93,7 +93,7 @@
 	if err := settings.Valid(); err != nil {
 		return nil, err
 	}
-	r := &Router{
+	router := &Router{
 		seed:           seed,
 		members:        map[string]*member{},
 		requests:       map[string]*request{},
@@ -105,9 +105,9 @@
 		groupPurges:    map[int]Millis{},
 		objectDepths:   [2]map[string]*objectDepth{{}, {}},
 	}
-	r.applySettings(settings)
-	r.meanSendTime = r.classes[settings.Classes[0].Name].meanSendTime
-	return r, nil
+	router.applySettings(settings)
+	router.meanSendTime = router.classes[settings.Classes[0].Name].meanSendTime
+	return router, nil
 }
 
 // Handle takes one event at the time now and appends the actions that follow
--- a/scale_test.go
+++ b/scale_test.go
@@ -20,37 +20,37 @@
 	servedTimes                                = 0.85
 )
 
-// scaleDay is a router's day among many caches that answer at once or after a fill.
-type scaleDay struct {
-	router  *Router
-	rng     *rand.Rand
-	caches  []Member
-	size    float64
-	started int // caches so far
-	now     Millis
-	queue   scaleQueue
-	held    map[string]bool // object and part at a cache
-	acts    []Action
-	asked   int
-	served  int
+// scaleScenario is a router's day among many caches that answer at once or after a fill.
+type scaleScenario struct {
+	router   *Router
+	rng      *rand.Rand
+	caches   []Member
+	size     float64
+	started  int // caches so far
+	now      Millis
+	queue    scaleQueue
+	cached   map[string]bool // object and part at a cache
+	actions  []Action
+	requests int
+	served   int
 }
 
 type scaleEvent struct {
-	at Millis
-	n  int
-	do func()
+	at    Millis
+	order int
+	call  func()
 }
 
 type scaleQueue struct {
-	list []scaleEvent
-	n    int
+	list      []scaleEvent
+	scheduled int
 }
 
 func (q *scaleQueue) Len() int { return len(q.list) }
 
 func (q *scaleQueue) Less(i, j int) bool {
 	a, b := q.list[i], q.list[j]
-	return a.at < b.at || a.at == b.at && a.n < b.n
+	return a.at < b.at || a.at == b.at && a.order < b.order
 }
 
 func (q *scaleQueue) Swap(i, j int) { q.list[i], q.list[j] = q.list[j], q.list[i] }
@@ -63,9 +63,9 @@
 	return last
 }
 
-func (d *scaleDay) in(span Millis, do func()) {
-	d.queue.n++
-	heap.Push(&d.queue, scaleEvent{d.now + span, d.queue.n, do})
+func (d *scaleScenario) after(span Millis, do func()) {
+	d.queue.scheduled++
+	heap.Push(&d.queue, scaleEvent{d.now + span, d.queue.scheduled, do})
 }
 
 const (
@@ -76,7 +76,7 @@
 	scaleParts   = 8
 )
 
-func newScaleDay(t testing.TB, fleet int) *scaleDay {
+func newScaleScenario(t testing.TB, fleet int) *scaleScenario {
 	t.Helper()
 	settings := Settings{Routers: fleet * 900 / 3200, Zone: "near", Zones: []string{"near", "hub"}, RoutersByZone: []int{fleet * 900 / 3200, 0},
 		ParentKind: "parent", OriginKind: "origin", Tick: 2, AnswerSlack: 8, DrainGrace: 1000, ColdFrom: 0.2, ColdTime: 10000,
@@ -90,30 +90,30 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &scaleDay{router: router, rng: rand.New(rand.NewPCG(1, 2)), size: 800 / float64(fleet), now: 1, held: map[string]bool{}}
+	scenario := &scaleScenario{router: router, rng: rand.New(rand.NewPCG(1, 2)), size: 800 / float64(fleet), now: 1, cached: map[string]bool{}}
 	for range fleet {
-		d.caches = append(d.caches, d.newCache(0))
+		scenario.caches = append(scenario.caches, scenario.newCache(0))
 	}
-	rows := append([]Member{}, d.caches...)
+	rows := append([]Member{}, scenario.caches...)
 	for i := range fleet / 25 {
-		rows = append(rows, Member{ID: fmt.Sprintf("p%d", i), Zone: "hub", Kind: "parent", Size: 50 * d.size})
+		rows = append(rows, Member{ID: fmt.Sprintf("p%d", i), Zone: "hub", Kind: "parent", Size: 50 * scenario.size})
 	}
-	d.tell(Members{Full: true, Rows: append(rows, Member{ID: "o1", Zone: "hub", Kind: "origin"})})
-	return d
+	scenario.handle(Members{Full: true, Rows: append(rows, Member{ID: "o1", Zone: "hub", Kind: "origin"})})
+	return scenario
 }
 
-func (d *scaleDay) newCache(ready Millis) Member {
+func (d *scaleScenario) newCache(ready Millis) Member {
 	d.started++
 	return Member{ID: fmt.Sprintf("s-%08x", d.started), Zone: "near", Kind: "box", Cell: d.started % 16, Size: d.size, ReadyAt: ready}
 }
 
 // run plays the day: requests in an even stream, and each 5 s one cache of 200 replaced,
-// told one by one.
-func (d *scaleDay) run() {
+// notified one by one.
+func (d *scaleScenario) run() {
 	var request, change func()
 	request = func() {
-		d.request()
-		d.in(scaleGap, request)
+		d.sendRequest()
+		d.after(scaleGap, request)
 	}
 	change = func() {
 		for range len(d.caches) / smallFleet {
@@ -121,53 +121,53 @@
 			gone := d.caches[i]
 			gone.State = Removed
 			d.caches[i] = d.newCache(d.now)
-			d.tell(Members{Rows: []Member{gone, d.caches[i]}})
+			d.handle(Members{Rows: []Member{gone, d.caches[i]}})
 		}
-		d.in(scaleChange, change)
+		d.after(scaleChange, change)
 	}
-	d.in(scaleGap, request)
-	d.in(scaleChange, change)
+	d.after(scaleGap, request)
+	d.after(scaleChange, change)
 	for d.queue.Len() > 0 {
 		next := heap.Pop(&d.queue).(scaleEvent)
 		if next.at > scaleSpan {
 			return
 		}
 		d.now = next.at
-		next.do()
+		next.call()
 	}
 }
 
-func (d *scaleDay) request() {
-	d.asked++
-	ev := Request{ID: fmt.Sprintf("r%d", d.asked), Class: "clip", Object: fmt.Sprintf("object%d", d.rng.IntN(scaleObjects)), Part: d.rng.IntN(scaleParts)}
-	switch d.asked % 10 {
+func (d *scaleScenario) sendRequest() {
+	d.requests++
+	ev := Request{ID: fmt.Sprintf("r%d", d.requests), Class: "clip", Object: fmt.Sprintf("object%d", d.rng.IntN(scaleObjects)), Part: d.rng.IntN(scaleParts)}
+	switch d.requests % 10 {
 	case 0:
 		ev.Class, ev.Write = "note", true
 	case 1, 2, 3:
 		ev.Class, ev.Part = "page", 0
 	}
 	ev.Deadline = d.now + 3000
-	d.tell(ev)
+	d.handle(ev)
 }
 
-func (d *scaleDay) tell(ev Event) {
-	acts := d.router.Handle(d.now, ev, d.acts[:0])
-	d.acts = nil // what is told meanwhile has room of its own
-	for _, act := range acts {
+func (d *scaleScenario) handle(ev Event) {
+	actions := d.router.Handle(d.now, ev, d.actions[:0])
+	d.actions = nil // events handled meanwhile have room of their own
+	for _, act := range actions {
 		switch act := act.(type) {
 		case Send:
-			d.send(act)
+			d.answer(act)
 		case Wake:
-			d.in(act.In, func() { d.tell(Timer{Token: act.Token}) })
+			d.after(act.In, func() { d.handle(Timer{Token: act.Token}) })
 		case Cancel:
-			d.in(0, func() { d.tell(Outcome{ID: act.ID, Attempt: act.Attempt, Result: Cancelled}) })
+			d.after(0, func() { d.handle(Outcome{ID: act.ID, Attempt: act.Attempt, Result: Cancelled}) })
 		}
 	}
-	d.acts = acts
+	d.actions = actions
 }
 
-// send answers an attempt: a look is a hit where the object was filled before.
-func (d *scaleDay) send(send Send) {
+// answer answers an attempt: a look is a hit where the object was filled before.
+func (d *scaleScenario) answer(send Send) {
 	request := d.router.requests[send.ID]
 	attempt, sent := len(request.attempts)-1, d.now
 	took, result := 5+20*d.rng.Float64(), OK
@@ -175,15 +175,15 @@
 	switch {
 	case send.Source != send.Cache:
 		took += 40
-		d.held[place] = true
-	case !d.held[place] && request.class.Name != "note":
+		d.cached[place] = true
+	case !d.cached[place] && request.class.Name != "note":
 		result = Miss
 	}
-	d.in(took, func() {
+	d.after(took, func() {
 		if result == OK {
 			d.served++
 		}
-		d.tell(Outcome{ID: send.ID, Cache: send.Cache, Attempt: attempt, Result: result, Took: d.now - sent, Last: result == OK})
+		d.handle(Outcome{ID: send.ID, Cache: send.Cache, Attempt: attempt, Result: result, Took: d.now - sent, Last: result == OK})
 	})
 }
 
@@ -197,31 +197,31 @@
 	return float64(usage.Utime.Sec) + float64(usage.Utime.Usec)/1e6
 }
 
-// needs is what a router took for a day.
-type needs struct{ cpu, memory, served float64 }
+// resources is what a router took for a day.
+type resources struct{ cpu, memory, served float64 }
 
-func playScaleDay(t testing.TB, fleet int) needs {
+func runScaleScenario(t testing.TB, fleet int) resources {
 	t.Helper()
 	runtime.GC()
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	from := userTime(t)
-	day := newScaleDay(t, fleet)
+	day := newScaleScenario(t, fleet)
 	day.run()
 	cpu := userTime(t) - from
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	runtime.KeepAlive(day)
-	return needs{cpu, (float64(after.HeapAlloc) - float64(before.HeapAlloc)) / (1 << 20), float64(day.served) / float64(day.asked)}
+	return resources{cpu, (float64(after.HeapAlloc) - float64(before.HeapAlloc)) / (1 << 20), float64(day.served) / float64(day.requests)}
 }
 
-// TestScale: the same stream of requests, beats and changes over 200 and over 3,200 caches.
+// TestScale: the same stream of requests, ticks and changes over 200 and over 3,200 caches.
 // Of CPU the least of a few plays counts, since other work on the machine only adds to it.
 func TestScale(t *testing.T) {
-	small, large := playScaleDay(t, smallFleet), playScaleDay(t, largeFleet)
+	small, large := runScaleScenario(t, smallFleet), runScaleScenario(t, largeFleet)
 	for range 2 {
-		small.cpu = min(small.cpu, playScaleDay(t, smallFleet).cpu)
-		large.cpu = min(large.cpu, playScaleDay(t, largeFleet).cpu)
+		small.cpu = min(small.cpu, runScaleScenario(t, smallFleet).cpu)
+		large.cpu = min(large.cpu, runScaleScenario(t, largeFleet).cpu)
 	}
 	t.Logf("%d caches: %+v; %d caches: %+v", smallFleet, small, largeFleet, large)
 	thousands := float64(largeFleet) / 1000
