--- a/internal/controlplane/configstore/age.go
+++ b/internal/controlplane/configstore/age.go
@@ -11,39 +11,39 @@
 	"indigospool/internal/wallclock"
 )
 
-// A reading is one of the machine's clock since it was booted, which nobody steps. It
+// bootReading is one of the machine's clock since it was booted, which nobody steps. It
 // compares with readings of the same boot only.
-type reading struct {
-	Boot string        `json:"boot,omitempty"` // empty: there is none
+type bootReading struct {
+	Boot string        `json:"boot,omitempty"` // the kernel's id of the boot; empty: there is no reading
 	Up   time.Duration `json:"up,omitempty"`
 }
 
-// clockNow reads the machine's clock.
-func clockNow() reading {
+// readBootClock reads the machine's clock.
+func readBootClock() bootReading {
 	id, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
-		return reading{}
+		return bootReading{}
 	}
 	var up unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &up) != nil {
-		return reading{}
+		return bootReading{}
 	}
-	return reading{strings.TrimSpace(string(id)), time.Duration(up.Nano())}
+	return bootReading{strings.TrimSpace(string(id)), time.Duration(up.Nano())}
 }
 
-// readAt is the reading at a moment of this process.
-func (s *Store) readAt(moment time.Time) reading {
-	r := s.clock()
+// bootReadingAt is the reading at a moment of this process.
+func (s *Store) bootReadingAt(moment time.Time) bootReading {
+	reading := s.bootClock()
 	if moment != moment.Round(0) { // it has a reading of the monotonic clock
-		r.Up -= time.Since(moment)
+		reading.Up -= time.Since(moment)
 	}
-	return r
+	return reading
 }
 
-// apart is how much later than another header one was stored. Where no clock was
+// timeUntil is how much later another header was stored. Where no clock was
 // kept with them it is by the wall clock; where the machine was booted in between, it
 // is at least what had passed since then.
-func (h header) apart(later header) time.Duration {
+func (h header) timeUntil(later header) time.Duration {
 	switch {
 	case h.Boot == "" || later.Boot == "":
 		return max(later.Stored.Sub(h.Stored), 0)
@@ -57,17 +57,22 @@
 // wall clock where the machine was booted since, as a hint; those before it by their
 // distances, which no step of the wall clock changes.
 func (s *Store) ages(headers []header, now time.Time) []configversion.Millis {
-	out, wall := make([]configversion.Millis, len(headers)), wallclock.At(now)
-	next := header{Stored: wall, reading: s.readAt(now)}
+	ages := make([]configversion.Millis, len(headers))
+	wall := wallclock.At(now)
+	later := header{Stored: wall, bootReading: s.bootReadingAt(now)}
 	age := time.Duration(0)
 	for i := len(headers) - 1; i >= 0; i-- {
-		if next.Boot != headers[i].Boot && i == len(headers)-1 {
-			age = max(wall.Sub(headers[i].Stored), 0)
+		stored := headers[i]
+		isLast := i == len(headers)-1
+		if isLast && stored.Boot != later.Boot {
+			age = max(wall.Sub(stored.Stored), 0)
 		} else {
-			age += headers[i].apart(next)
+			age += stored.timeUntil(later)
 		}
-		next = headers[i]
-		out[i] = float64(age.Microseconds()) / 1000
+		later = stored
+		ages[i] = millis(age)
 	}
-	return out
+	return ages
 }
+
+func millis(span time.Duration) configversion.Millis { return float64(span.Microseconds()) / 1000 }
--- a/internal/controlplane/configstore/age_test.go
+++ b/internal/controlplane/configstore/age_test.go
@@ -11,7 +11,7 @@
 // a boot, ages before the newest are at least what the machine's clocks can show.
 func TestStoredTimesAreHints(t *testing.T) {
 	hour := time.Hour
-	for _, c := range []struct {
+	for _, test := range []struct {
 		steps  [3]time.Duration // of the wall clock, before versions 2 and 3 and the restart
 		booted int              // before this version, 4: the restart; 0: never
 		want   [3]float64       // s, of versions 1, 2 and 3
@@ -25,42 +25,43 @@
 		{booted: 4, steps: [3]time.Duration{hour, 0, 0}, want: [3]float64{6, 5, 3}},          // the last by the wall clock
 		{booted: 4, steps: [3]time.Duration{0, 0, hour}, want: [3]float64{3606, 3605, 3603}}, // as a hint: distances hold
 	} {
-		t.Run(fmt.Sprint(c.steps, c.booted), func(t *testing.T) {
+		t.Run(fmt.Sprint(test.steps, test.booted), func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "good.db")
 			wall := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-			clock := reading{"first", 100 * time.Second}
-			pass := func(n int, d, step time.Duration) {
-				wall, clock.Up = wall.Add(d+step), clock.Up+d
-				if n == c.booted {
-					clock = reading{"second", time.Second}
+			clock := bootReading{"first", 100 * time.Second}
+			pass := func(before int, span, step time.Duration) {
+				wall = wall.Add(span + step)
+				clock.Up += span
+				if before == test.booted {
+					clock = bootReading{"second", time.Second}
 				}
 			}
-			s, err := Open(path)
+			store, err := Open(path)
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.clock = func() reading { return clock }
-			for n := 1; n <= 3; n++ {
-				if n > 1 {
-					pass(n, time.Duration(n-1)*time.Second, c.steps[n-2])
+			store.bootClock = func() bootReading { return clock }
+			for number := 1; number <= 3; number++ {
+				if number > 1 {
+					pass(number, time.Duration(number-1)*time.Second, test.steps[number-2])
 				}
-				if err := s.Put(version(int64(n)), wall); err != nil {
+				if err := store.Put(version(int64(number)), wall); err != nil {
 					t.Fatal(err)
 				}
 			}
-			s.Close()
-			pass(4, 3*time.Second, c.steps[2])
-			if s, err = Open(path); err != nil {
+			store.Close()
+			pass(4, 3*time.Second, test.steps[2])
+			if store, err = Open(path); err != nil {
 				t.Fatal(err)
 			}
-			defer s.Close()
-			s.clock = func() reading { return clock }
-			r := s.Restored(wall)
-			if r.Err != nil || len(r.Earlier) != 2 {
-				t.Fatalf("%+v", r)
+			defer store.Close()
+			store.bootClock = func() bootReading { return clock }
+			restored := store.Restored(wall)
+			if restored.Err != nil || len(restored.Earlier) != 2 {
+				t.Fatalf("%+v", restored)
 			}
-			if got := [3]float64{r.Earlier[0].Age / 1000, r.Earlier[1].Age / 1000, r.Age / 1000}; got != c.want {
-				t.Errorf("ages %v s, want %v", got, c.want)
+			if got := [3]float64{restored.Earlier[0].Age / 1000, restored.Earlier[1].Age / 1000, restored.Age / 1000}; got != test.want {
+				t.Errorf("ages %v s, want %v", got, test.want)
 			}
 		})
 	}
--- /dev/null
+++ b/internal/controlplane/configstore/versions.go
@@ -0,0 +1,202 @@
+package configstore
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"go.etcd.io/bbolt"
+
+	"indigospool/internal/controlplane/configversion"
+	"indigospool/internal/wallclock"
+)
+
+// Put stores a version; when it returns without an error, the version survives
+// any crash. The oldest versions past the store's limit are removed. A version that
+// could not be written is reported by a FaultError.
+func (s *Store) Put(version configversion.Version, now time.Time) error {
+	if version.Number <= 0 || configversion.Checksum(version.Body) != version.Sum {
+		return fmt.Errorf("configstore: version %d does not match its sum, and is not stored", version.Number)
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.lockReleased && !s.reacquiring {
+		s.deferred = append(s.deferred, deferredVersion{version, now})
+		if len(s.deferred) > maxDeferred {
+			s.deferred = s.deferred[1:] // the oldest, as trim has it
+		}
+		return nil
+	}
+	if err := s.makeWritable(); err != nil {
+		return err
+	}
+	return s.putLocked(version, now)
+}
+
+// putLocked stores a version in a file that can be written.
+func (s *Store) putLocked(version configversion.Version, now time.Time) error {
+	value, err := s.encodeVersion(version, now)
+	if err != nil {
+		return err
+	}
+	return s.commit(func(tx *bbolt.Tx) error {
+		versions := tx.Bucket(versionsBucket)
+		if err := versions.Put(versionKey(version.Number), value); err != nil {
+			return err
+		}
+		return s.trim(versions, nil)
+	})
+}
+
+// trim removes the oldest versions past the limit, but none of needed.
+func (s *Store) trim(versions *bbolt.Bucket, needed []configversion.Version) error {
+	neededKeys := map[string]bool{}
+	for _, version := range needed {
+		neededKeys[string(versionKey(version.Number))] = true
+	}
+	cursor := versions.Cursor()
+	count := versions.Stats().KeyN
+	var removed [][]byte
+	for key, _ := cursor.First(); key != nil && count > s.limit; key, _ = cursor.Next() {
+		if neededKeys[string(key)] {
+			continue
+		}
+		removed = append(removed, slices.Clone(key))
+		count--
+	}
+	for _, key := range removed {
+		if err := versions.Delete(key); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// SaveState stores a service's state, and in the same transaction the versions that it
+// refers to, unless they are stored already; these are kept as long as a state
+// names them. A state that could not be written is reported by a FaultError.
+func (s *Store) SaveState(text []byte, referred []configversion.Version, now time.Time) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err := s.makeWritable(); err != nil {
+		return err
+	}
+	return s.commit(func(tx *bbolt.Tx) error {
+		versions := tx.Bucket(versionsBucket)
+		for _, version := range referred {
+			if version.Number <= 0 || isStored(versions, version) {
+				continue
+			}
+			value, err := s.encodeVersion(version, now)
+			if err != nil {
+				return err
+			}
+			if err := versions.Put(versionKey(version.Number), value); err != nil {
+				return err
+			}
+		}
+		if err := tx.Bucket(statesBucket).Put(stateKey, addChecksum(stateKey, text)); err != nil {
+			return err
+		}
+		return s.trim(versions, referred)
+	})
+}
+
+// isStored reports whether a version is stored with the same content.
+func isStored(versions *bbolt.Bucket, version configversion.Version) bool {
+	key := versionKey(version.Number)
+	value := versions.Get(key)
+	if value == nil {
+		return false
+	}
+	stored, _, err := decodeVersion(key, value)
+	return err == nil && stored.Sum == version.Sum
+}
+
+// State is what SaveState stored last, nil where it never did.
+func (s *Store) State() (text []byte, err error) {
+	err = s.view(func(tx *bbolt.Tx) error {
+		stored := tx.Bucket(statesBucket).Get(stateKey)
+		if stored == nil {
+			return nil
+		}
+		rest, err := verify(stateKey, stored)
+		text = append([]byte(nil), rest...)
+		return err
+	})
+	return text, err
+}
+
+// Version is a stored version by its number, and when it was stored by the wall clock;
+// ErrNoVersion where there is none.
+func (s *Store) Version(number int64) (version configversion.Version, storedAt time.Time, err error) {
+	err = s.view(func(tx *bbolt.Tx) error {
+		key := versionKey(number)
+		value := tx.Bucket(versionsBucket).Get(key)
+		if value == nil {
+			return ErrNoVersion
+		}
+		var stored header
+		version, stored, err = decodeVersion(key, value)
+		storedAt = stored.Stored
+		return err
+	})
+	return version, storedAt, err
+}
+
+// Last is the stored version with the highest number, and when it was stored by the wall
+// clock; ErrNoVersion where there is none.
+func (s *Store) Last() (version configversion.Version, storedAt time.Time, err error) {
+	err = s.view(func(tx *bbolt.Tx) error {
+		key, value := tx.Bucket(versionsBucket).Cursor().Last()
+		if key == nil {
+			return ErrNoVersion
+		}
+		var stored header
+		version, stored, err = decodeVersion(key, value)
+		storedAt = stored.Stored
+		return err
+	})
+	return version, storedAt, err
+}
+
+// History is the stored versions in the order of their numbers, with their ages in
+// milliseconds by the wall clock, never below 0.
+func (s *Store) History(now time.Time) ([]configversion.StoredVersion, error) {
+	history, headers, err := s.all()
+	for i := range history {
+		age := wallclock.At(now).Sub(headers[i].Stored)
+		history[i].Age = max(millis(age), 0)
+	}
+	return history, err
+}
+
+// all is the stored versions in the order of their numbers, without their ages.
+func (s *Store) all() (list []configversion.StoredVersion, headers []header, err error) {
+	err = s.view(func(tx *bbolt.Tx) error {
+		return tx.Bucket(versionsBucket).ForEach(func(key, value []byte) error {
+			version, stored, err := decodeVersion(key, value)
+			list = append(list, configversion.StoredVersion{Version: version})
+			headers = append(headers, stored)
+			return err
+		})
+	})
+	return list, headers, err
+}
+
+// Restored is the event with which a router's machine begins. The wall clock counts
+// for the ages in it only where no other clock shows them.
+func (s *Store) Restored(now time.Time) configversion.Restored {
+	list, headers, err := s.all()
+	if err == nil && len(list) == 0 {
+		err = ErrNoVersion
+	}
+	if err != nil {
+		return configversion.Restored{Err: err}
+	}
+	for i, age := range s.ages(headers, now) {
+		list[i].Age = age
+	}
+	last := list[len(list)-1]
+	return configversion.Restored{Version: last.Version, Age: last.Age, Earlier: list[:len(list)-1]}
+}
