--- a/internal/controlplane/rollout/rollout.go
+++ b/internal/controlplane/rollout/rollout.go
@@ -3,485 +3,333 @@
 // their service worse, goes no further. It is a state machine without I/O: events go
 // in, actions come out, and time is the caller's.
 //
-// Versions themselves, and what a router makes of one that it is offered, are
-// internal/controlplane/configversion's; streams and the service's disk are
-// internal/controlplane/service's (docs/control.md).
+// The package owns the numbers of versions, the stage under way and what is known of
+// each router; State is what of this must survive a crash. Versions themselves, and what
+// a router makes of one that it is offered, are internal/controlplane/configversion's;
+// streams and the service's disk are internal/controlplane/service's (docs/control.md).
+//
+// The machine is in rollout.go, its events and actions in events.go, who belongs to a
+// stage in stage.go, the comparison of service in comparison.go.
 package rollout
 
 import (
 	"fmt"
-	"hash/fnv"
-	"math"
-	"sort"
+	"slices"
+	"strings"
 
 	"indigospool/internal/controlplane/configversion"
 )
 
-// Settings are how a service brings a version to its routers. Zero
-// fields mean the defaults.
-type Settings struct {
-	Stages           []float64            // shares of the routers, in rising order; a share too small for one means one; default 0, 0.1, 1
-	MinStageTime     configversion.Millis // a stage lasts at least so long after its last router has accepted; default 30000
-	AnswerTimeout    configversion.Millis // and is halted when routers have not answered for so long; default 120000
-	MaxRejectedShare float64              // halted when more than this share of a stage's routers refuse; default 0: any
-	MaxSilentShare   float64              // share of a stage's routers that may stay without an answer; default 0.05
-	MaxServiceDrop   float64              // halted when service at its routers falls by more than this against the others; default 0.05
-	ReofferAfter     configversion.Millis // a router that refused what is everybody's is offered it again after so long; default 60000
-	MinRequests      float64              // requests that such a comparison needs on either side, before and since; default 200
-}
-
-func (s Settings) filled() Settings {
-	if len(s.Stages) == 0 {
-		s.Stages = []float64{0, 0.1, 1}
-	}
-	if s.MinStageTime <= 0 {
-		s.MinStageTime = 30000
-	}
-	if s.AnswerTimeout <= 0 {
-		s.AnswerTimeout = 120000
-	}
-	if s.MaxSilentShare <= 0 {
-		s.MaxSilentShare = 0.05
-	}
-	if s.MaxServiceDrop <= 0 {
-		s.MaxServiceDrop = 0.05
-	}
-	if s.ReofferAfter <= 0 {
-		s.ReofferAfter = 60000
-	}
-	if s.MinRequests <= 0 {
-		s.MinRequests = 200
-	}
-	return s
-}
-
-// What a rollout hears of.
-type (
-	// Push begins the rollout of a body. Force takes it to all at once.
-	Push struct {
-		Body  []byte
-		Force bool
-	}
-	// Connected says that a router's stream has begun, and what it runs.
-	Connected struct {
-		Router  string
-		Running int64
-	}
-	// Disconnected says that it has ended.
-	Disconnected struct{ Router string }
-	// Acked says that a router has accepted a version.
-	Acked struct {
-		Router string
-		Number int64
-	}
-	// Nacked says that it has refused one.
-	Nacked struct {
-		Router  string
-		Number  int64
-		Reasons []string
-	}
-	// LoadReport is how many requests a router had since its last report, and how
-	// many of them it served in time.
-	LoadReport struct {
-		Router           string
-		InTime, Requests float64
-	}
-	// Halt stops the rollout under way by hand, if there is one.
-	Halt struct{ Reason string }
-	// Tick is time passing.
-	Tick struct{}
-)
-
-// What a rollout wants done.
-type (
-	// Offer sends a version to a router that has a stream.
-	Offer struct {
-		Router  string
-		Version configversion.Version
-	}
-	// Halted says that a rollout was stopped, and why. The old content follows
-	// under a new number.
-	Halted struct {
-		Number int64
-		Reason string
-	}
-	// StageStarted says that a stage has begun.
-	StageStarted struct {
-		Number  int64
-		Stage   int
-		Routers int
-	}
-	// NumberAhead says that a router has accepted a number that this service never
-	// gave, as after a state was lost: later numbers are above it.
-	NumberAhead struct {
-		Router string
-		Number int64
-	}
-	// Completed says that a version is everybody's.
-	Completed struct{ Number int64 }
-	// Persist asks for the state to be put on disk before any Offer after it is sent.
-	Persist struct{ State State }
-)
-
 // State is what a service must not forget: numbers are never given twice.
 type State struct {
-	LastNumber int64 // highest number ever given
-	Base       configversion.Version
-	Next       configversion.Version // on its way; Number 0: none
-	Stage      int
-	HaltReason string // why the last rollout was halted; empty: it was not
+	LastNumber int64                 // highest number ever given
+	Base       configversion.Version // what all routers are offered; Number 0: none yet
+	Next       configversion.Version // being rolled out; Number 0: none
+	Stage      int                   // of Next, from 0
+	HaltReason string                // why the last rollout was halted; empty: it was not
 }
 
-// seat is a router as the service knows it.
-type seat struct {
-	joined  bool
-	offered int64
-	running int64 // last accepted
-	refused int64
-	reasons []string
-	at      configversion.Millis // of the refusal
-	before  tally                // of service, of late, when the present rollout began
-	since   tally                // since then
+// RouterStatus is what is known of one router. Its JSON is that of the service's status.
+type RouterStatus struct {
+	Router      string
+	Connected   bool     `json:"Joined"` // it has a stream
+	Running     int64    // number of the version that it accepted last
+	Rejected    int64    `json:"Refused"` // number of the version that it rejected, and has not accepted since
+	Reasons     []string // of the rejection
+	InTimeShare float64  `json:"Served"` // share of its requests of late that were served in time; -1: not reported
 }
 
-// tally counts requests, and those that were served in time.
-type tally struct{ served, asked float64 }
-
-func (t tally) share() float64 { return t.served / max(t.asked, 1) }
-
-func (t *tally) add(o tally) { t.served, t.asked = t.served+o.served, t.asked+o.asked }
-
-// fade makes what was counted before weigh less than what comes.
-func (t *tally) fade(keep float64) { t.served, t.asked = t.served*keep, t.asked*keep }
-
-const keepOfBefore = 0.9 // a report: service of late is that of about the last ten
+// routerState is a router as the service knows it.
+type routerState struct {
+	connected  bool
+	offered    int64
+	running    int64 // last accepted
+	rejected   int64
+	reasons    []string             // of the rejection
+	rejectedAt configversion.Millis // or when it was offered again since
+	before     requestCounts        // of late, when the present rollout began
+	since      requestCounts        // since then
+}
 
-// Rollout brings versions to routers in stages, and stops by itself. Like the
-// Machine it does no I/O, and is not safe for concurrent use.
+// Rollout brings versions to routers in stages, and halts by itself. It does no I/O, and
+// is not safe for concurrent use.
 type Rollout struct {
-	set     Settings
-	st      State
-	now     configversion.Millis
-	since   configversion.Millis // when the stage's last router accepted, or the stage began
-	began   configversion.Millis // of the stage
-	routers map[string]*seat
-	out     []any
-
-	limit  float64 // routers whose place is at most this are in the stage; NaN: to be found anew
-	places map[string]float64
+	settings     Settings
+	state        State
+	now          configversion.Millis
+	lastAccepted configversion.Millis // when the stage's last router accepted, or the stage began
+	stageBegan   configversion.Millis
+	routers      map[string]*routerState
+	order        stageOrder
+	actions      []any
 }
 
 // New goes on from a state; the zero state is a new service's.
-func New(s Settings, st State) *Rollout {
-	return &Rollout{set: s.filled(), st: st, routers: map[string]*seat{}, limit: math.NaN(), places: map[string]float64{}}
+func New(settings Settings, state State) *Rollout {
+	return &Rollout{
+		settings: settings.withDefaults(),
+		state:    state,
+		routers:  map[string]*routerState{},
+		order:    newStageOrder(state.Next.Number),
+	}
 }
 
 // State is what must not be forgotten.
-func (r *Rollout) State() State { return r.st }
-
-// RouterStatus is what is known of one router.
-type RouterStatus struct {
-	Router      string
-	Connected   bool `json:"Joined"`
-	Running     int64
-	Rejected    int64 `json:"Refused"`
-	Reasons     []string
-	InTimeShare float64 `json:"Served"` // share of its requests of late that were served in time; -1: not reported
-}
+func (r *Rollout) State() State { return r.state }
 
 // Status lists the routers by name.
 func (r *Rollout) Status() []RouterStatus {
-	var out []RouterStatus
-	for id, s := range r.routers {
-		served, all := -1.0, s.before
-		if all.add(s.since); all.asked > 0 {
-			served = all.share()
+	var list []RouterStatus
+	for name, router := range r.routers {
+		status := RouterStatus{
+			Router:      name,
+			Connected:   router.connected,
+			Running:     router.running,
+			Rejected:    router.rejected,
+			Reasons:     router.reasons,
+			InTimeShare: -1,
+		}
+		counts := router.before
+		counts.add(router.since)
+		if counts.requests > 0 {
+			status.InTimeShare = counts.inTimeShare()
 		}
-		out = append(out, RouterStatus{id, s.joined, s.running, s.refused, s.reasons, served})
+		list = append(list, status)
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].Router < out[j].Router })
-	return out
+	slices.SortFunc(list, func(a, b RouterStatus) int { return strings.Compare(a.Router, b.Router) })
+	return list
 }
 
-// Handle takes one of the events above at the time now and appends what is to be done.
-func (r *Rollout) Handle(now configversion.Millis, ev any, dst []any) []any {
-	r.now, r.out = max(now, r.now), dst
-	switch ev := ev.(type) {
+// Handle takes one of the events of this package at the time now, and appends the
+// actions that are to be done, in their order, to actions.
+func (r *Rollout) Handle(now configversion.Millis, event any, actions []any) []any {
+	r.now = max(now, r.now)
+	r.actions = actions
+	switch event := event.(type) {
 	case Push:
-		r.push(ev)
+		r.push(event)
 	case Halt:
-		if r.st.Next.Number > 0 {
-			r.halt(ev.Reason)
+		if r.inProgress() {
+			r.halt(event.Reason)
 		}
 	case Connected:
-		s := r.seat(ev.Router)
-		s.joined, s.offered, s.running = true, 0, max(ev.Running, s.running)
-		r.limit = math.NaN()
-		if ev.Running > r.st.LastNumber {
-			r.st.LastNumber = ev.Running
-			r.do(NumberAhead{ev.Router, ev.Running})
-			r.do(Persist{r.st})
-		}
-		r.offer(ev.Router)
+		r.connected(event)
 	case Disconnected:
-		r.seat(ev.Router).joined = false
-		r.limit = math.NaN()
+		r.router(event.Router).connected = false
+		r.order.invalidate()
 	case Acked:
-		s := r.seat(ev.Router)
-		s.running = max(s.running, ev.Number)
-		if s.refused == ev.Number {
-			s.refused, s.reasons = 0, nil
-		}
-		if ev.Number == r.st.Next.Number {
-			r.since = r.now
-		}
+		r.acked(event)
 	case Nacked:
-		s := r.seat(ev.Router)
-		s.refused, s.reasons, s.at = ev.Number, ev.Reasons, r.now
+		router := r.router(event.Router)
+		router.rejected = event.Number
+		router.reasons = event.Reasons
+		router.rejectedAt = r.now
 	case Tick:
-		r.again()
+		r.reoffer()
 	case LoadReport:
-		s, t := r.seat(ev.Router), tally{max(ev.InTime, 0), max(ev.Requests, 0)}
-		if r.st.Next.Number > 0 {
-			s.since.add(t)
-		} else {
-			s.before.fade(keepOfBefore)
-			s.before.add(t)
-		}
+		r.loadReport(event)
 	}
 	r.judge()
-	dst, r.out = r.out, nil
-	return dst
+	actions, r.actions = r.actions, nil
+	return actions
 }
 
-func (r *Rollout) seat(id string) *seat {
-	s := r.routers[id]
-	if s == nil {
-		s = &seat{}
-		r.routers[id] = s
+func (r *Rollout) do(action any) { r.actions = append(r.actions, action) }
+
+// inProgress reports whether a version is being rolled out.
+func (r *Rollout) inProgress() bool { return r.state.Next.Number > 0 }
+
+// router is what is known of a router, which may be a new one.
+func (r *Rollout) router(name string) *routerState {
+	router := r.routers[name]
+	if router == nil {
+		router = &routerState{}
+		r.routers[name] = router
 	}
-	return s
+	return router
+}
+
+func (r *Rollout) connected(event Connected) {
+	router := r.router(event.Router)
+	router.connected = true
+	router.offered = 0
+	router.running = max(event.Running, router.running)
+	r.order.invalidate()
+	if event.Running > r.state.LastNumber {
+		r.state.LastNumber = event.Running
+		r.do(NumberAhead{event.Router, event.Running})
+		r.do(Persist{r.state})
+	}
+	r.offer(event.Router)
 }
 
-func (r *Rollout) do(a any) { r.out = append(r.out, a) }
+func (r *Rollout) acked(event Acked) {
+	router := r.router(event.Router)
+	router.running = max(router.running, event.Number)
+	if router.rejected == event.Number {
+		router.rejected, router.reasons = 0, nil
+	}
+	if event.Number == r.state.Next.Number {
+		r.lastAccepted = r.now
+	}
+}
 
-// push gives a body a number. One that is on its way is superseded: who has it
+// push gives a body a number. One that is being rolled out is superseded: who has it
 // is offered the new one first.
-func (r *Rollout) push(ev Push) {
-	r.st.LastNumber++
-	v := configversion.New(r.st.LastNumber, ev.Body)
-	r.st.HaltReason = ""
-	if r.st.Base.Number == 0 || ev.Force {
-		r.st.Base, r.st.Next, r.st.Stage = v, configversion.Version{}, 0
-		r.do(Persist{r.st})
+func (r *Rollout) push(event Push) {
+	r.state.LastNumber++
+	version := configversion.New(r.state.LastNumber, event.Body)
+	r.state.HaltReason = ""
+	if r.state.Base.Number == 0 || event.Force {
+		r.setBase(version)
+		r.do(Persist{r.state})
 		r.offerAll()
-		r.do(Completed{v.Number})
+		r.do(Completed{version.Number})
 		return
 	}
-	r.st.Next = v
-	r.places = map[string]float64{}
-	r.compare()
-	r.begin(0)
+	r.state.Next = version
+	r.order = newStageOrder(version.Number)
+	r.restartComparison()
+	r.beginStage(0)
 }
 
-// compare has service counted anew: what was counted is of before.
-func (r *Rollout) compare() {
-	for _, s := range r.routers {
-		s.before.add(s.since)
-		s.since = tally{}
-	}
+// setBase has a version be what all routers are offered, and ends a rollout under way.
+func (r *Rollout) setBase(version configversion.Version) {
+	r.state.Base = version
+	r.state.Next = configversion.Version{}
+	r.state.Stage = 0
 }
 
-// begin begins a stage.
-func (r *Rollout) begin(stage int) {
-	r.st.Stage = stage
-	r.since, r.began, r.limit = r.now, r.now, math.NaN()
-	r.do(Persist{r.st})
-	r.do(StageStarted{r.st.Next.Number, stage, len(r.inStage())})
+func (r *Rollout) beginStage(stage int) {
+	r.state.Stage = stage
+	r.lastAccepted = r.now
+	r.stageBegan = r.now
+	r.order.invalidate()
+	r.do(Persist{r.state})
+	r.do(StageStarted{r.state.Next.Number, stage, len(r.stageRouters())})
 	r.offerAll()
 }
 
 func (r *Rollout) offerAll() {
-	ids := make([]string, 0, len(r.routers))
-	for id := range r.routers {
-		ids = append(ids, id)
+	names := make([]string, 0, len(r.routers))
+	for name := range r.routers {
+		names = append(names, name)
 	}
-	sort.Strings(ids)
-	for _, id := range ids {
-		r.offer(id)
+	slices.Sort(names)
+	for _, name := range names {
+		r.offer(name)
 	}
 }
 
-// offer sends a router what is its, unless it has been sent or is run already.
-func (r *Rollout) offer(id string) {
-	s := r.routers[id]
-	v := r.st.Base
-	if r.st.Next.Number > 0 && r.included(id) {
-		v = r.st.Next
-	}
-	if !s.joined || v.Number == 0 || s.offered == v.Number || s.running >= v.Number && s.offered != 0 {
+// offer sends a router the version that is meant for it, unless it has been sent or is
+// run already.
+func (r *Rollout) offer(name string) {
+	router := r.routers[name]
+	version := r.state.Base
+	if r.inProgress() && r.isIncluded(name) {
+		version = r.state.Next
+	}
+	isOffered := router.offered == version.Number
+	isRunning := router.running >= version.Number && router.offered != 0
+	if !router.connected || version.Number == 0 || isOffered || isRunning {
 		return
 	}
-	s.offered = v.Number
-	r.do(Offer{id, v})
+	router.offered = version.Number
+	r.do(Offer{name, version})
 }
 
-// again offers what is everybody's to those who refused it a while ago: a full
-// disk, or another service in charge, may be of the past.
-func (r *Rollout) again() {
-	for id, s := range r.routers {
-		if s.joined && s.refused > 0 && s.refused == r.st.Base.Number && s.running < s.refused && r.now-s.at >= r.set.ReofferAfter {
-			s.offered, s.at = 0, r.now
-			r.offer(id)
+// reoffer offers the base to those who rejected it a while ago: a full disk, or another
+// service that held the lease, may be of the past.
+func (r *Rollout) reoffer() {
+	for name, router := range r.routers {
+		hasRejectedBase := router.rejected > 0 && router.rejected == r.state.Base.Number && router.running < router.rejected
+		if router.connected && hasRejectedBase && r.now-router.rejectedAt >= r.settings.ReofferAfter {
+			router.offered = 0
+			router.rejectedAt = r.now
+			r.offer(name)
 		}
 	}
 }
 
-// place is where a router stands in the order of a version's stages, from 0 to
-// 1: another for each version, so that not always the same go first.
-func (r *Rollout) place(id string) float64 {
-	if p, ok := r.places[id]; ok {
-		return p
-	}
-	h := fnv.New64a()
-	fmt.Fprintf(h, "%d/%s", r.st.Next.Number, id)
-	x := h.Sum64()
-	x ^= x >> 33
-	x *= 0xff51afd7ed558ccd
-	x ^= x >> 33
-	p := float64(x>>11) / (1 << 53)
-	r.places[id] = p
-	return p
+// answers are what the routers of a stage have made of its version.
+type answers struct {
+	accepted, rejected int
+	firstRejection     string // which router rejected the version, and why
 }
 
-// included reports whether a router is in the present stage, or in one before:
-// the stage's share of the routers with a stream, those that stand first.
-func (r *Rollout) included(id string) bool {
-	share := r.set.Stages[min(r.st.Stage, len(r.set.Stages)-1)]
-	if share >= 1 {
-		return true
-	}
-	if math.IsNaN(r.limit) {
-		var all []float64
-		for other, s := range r.routers {
-			if s.joined {
-				all = append(all, r.place(other))
+func (r *Rollout) answers(stage []string) (result answers) {
+	number := r.state.Next.Number
+	for _, name := range stage {
+		router := r.routers[name]
+		switch {
+		case router.rejected == number:
+			result.rejected++
+			if result.firstRejection != "" {
+				continue
 			}
-		}
-		sort.Float64s(all)
-		r.limit = -1
-		if n := max(int(math.Ceil(share*float64(len(all)))), 1); n <= len(all) {
-			r.limit = all[n-1]
-		}
-	}
-	return r.place(id) <= r.limit
-}
-
-// inStage are the routers with a stream that are in the present stage.
-func (r *Rollout) inStage() (ids []string) {
-	for id, s := range r.routers {
-		if s.joined && r.included(id) {
-			ids = append(ids, id)
+			result.firstRejection = name + " refuses it"
+			if len(router.reasons) > 0 {
+				result.firstRejection += ": " + router.reasons[0]
+			}
+		case router.running >= number:
+			result.accepted++
 		}
 	}
-	sort.Strings(ids)
-	return ids
+	return result
 }
 
 // judge halts a rollout, or goes on to its next stage.
 func (r *Rollout) judge() {
-	n := r.st.Next.Number
-	if n == 0 {
+	if !r.inProgress() {
 		return
 	}
-	ids := r.inStage()
-	if len(ids) == 0 {
-		return // nobody is there to tell: the stage waits
-	}
-	refused, accepted, why := 0, 0, ""
-	for _, id := range ids {
-		s := r.routers[id]
-		switch {
-		case s.refused == n:
-			if refused++; why == "" {
-				why = fmt.Sprintf("%s refuses it", id)
-				if len(s.reasons) > 0 {
-					why += ": " + s.reasons[0]
-				}
-			}
-		case s.running >= n:
-			accepted++
-		}
-	}
-	total := float64(len(ids))
-	silent := float64(len(ids) - refused - accepted)
-	switch {
-	case float64(refused) > r.set.MaxRejectedShare*total:
-		r.halt(fmt.Sprintf("%d of %d routers refuse it; %s", refused, len(ids), why))
-	case silent > r.set.MaxSilentShare*total && r.now-r.began >= r.set.AnswerTimeout:
-		r.halt(fmt.Sprintf("%.0f of %d routers have not answered in %.0f s", silent, len(ids), r.set.AnswerTimeout/1000))
-	case r.fell(ids, n):
-	case silent <= r.set.MaxSilentShare*total && r.now-r.since >= r.set.MinStageTime:
-		if r.st.Stage+1 < len(r.set.Stages) {
-			r.begin(r.st.Stage + 1)
-			return
-		}
-		r.st.Base, r.st.Next, r.st.Stage = r.st.Next, configversion.Version{}, 0
-		r.compare()
-		r.do(Persist{r.st})
-		r.do(Completed{n})
+	stage := r.stageRouters()
+	if len(stage) == 0 {
+		return // the stage waits for a router
 	}
-}
-
-// fell halts a rollout when service at those who run the version has fallen
-// against what it was before by more than it has at those who don't: zones
-// differ, and what befalls all of them is not the version's doing.
-func (r *Rollout) fell(ids []string, n int64) bool {
-	in := map[string]bool{}
-	for _, id := range ids {
-		in[id] = true
+	result := r.answers(stage)
+	total := float64(len(stage))
+	silent := float64(len(stage) - result.rejected - result.accepted)
+	if float64(result.rejected) > r.settings.MaxRejectedShare*total {
+		r.halt(fmt.Sprintf("%d of %d routers refuse it; %s", result.rejected, len(stage), result.firstRejection))
+		return
 	}
-	var mine, others change
-	for id, s := range r.routers {
-		switch {
-		case !s.joined || s.before.asked == 0 || s.since.asked == 0:
-		case in[id] && s.running >= n:
-			mine.add(s)
-		case !in[id]:
-			others.add(s)
-		}
+	tooManySilent := silent > r.settings.MaxSilentShare*total
+	if tooManySilent && r.now-r.stageBegan >= r.settings.AnswerTimeout {
+		r.halt(fmt.Sprintf("%.0f of %d routers have not answered in %.0f s", silent, len(stage), r.settings.AnswerTimeout/1000))
+		return
 	}
-	if min(mine.asked, mine.askedBefore, others.asked, others.askedBefore) < r.set.MinRequests {
-		return false
+	if reason, dropped := r.serviceDropped(stage); dropped {
+		r.halt(reason)
+		return
 	}
-	if mine.fall()-max(others.fall(), 0) <= r.set.MaxServiceDrop {
-		return false
+	if !tooManySilent && r.now-r.lastAccepted >= r.settings.MinStageTime {
+		r.completeStage()
 	}
-	r.halt(fmt.Sprintf("service in time at routers that run it is %.1f points of a hundred less than before, at the others %.1f",
-		100*mine.fall(), 100*others.fall()))
-	return true
 }
 
-// change is how service has changed at several routers: each one's own change
-// counts by its requests since.
-type change struct{ sum, asked, askedBefore float64 }
-
-func (c *change) add(s *seat) {
-	c.sum += (s.before.share() - s.since.share()) * s.since.asked
-	c.asked += s.since.asked
-	c.askedBefore += s.before.asked
+// completeStage goes on to the next stage, or ends the rollout.
+func (r *Rollout) completeStage() {
+	if r.state.Stage+1 < len(r.settings.Stages) {
+		r.beginStage(r.state.Stage + 1)
+		return
+	}
+	number := r.state.Next.Number
+	r.setBase(r.state.Next)
+	r.restartComparison()
+	r.do(Persist{r.state})
+	r.do(Completed{number})
 }
 
-func (c *change) fall() float64 { return c.sum / max(c.asked, 1) }
-
 // halt stops a rollout: the old content is offered to all under a new number,
 // since a router never takes a lower one.
-func (r *Rollout) halt(why string) {
-	number := r.st.Next.Number
-	r.compare()
-	r.st.LastNumber++
-	r.st.Base, r.st.Next, r.st.Stage, r.st.HaltReason = configversion.New(r.st.LastNumber, r.st.Base.Body), configversion.Version{}, 0, why
-	r.do(Halted{number, why})
-	r.do(Persist{r.st})
+func (r *Rollout) halt(reason string) {
+	number := r.state.Next.Number
+	r.restartComparison()
+	r.state.LastNumber++
+	r.setBase(configversion.New(r.state.LastNumber, r.state.Base.Body))
+	r.state.HaltReason = reason
+	r.do(Halted{number, reason})
+	r.do(Persist{r.state})
 	r.offerAll()
 }
