--- a/internal/controlplane/configversion/check.go
+++ b/internal/controlplane/configversion/check.go
@@ -3,232 +3,220 @@
 import (
 	"fmt"
 	"math"
-	"sort"
 	"strings"
 
 	"indigospool/internal/config"
 )
 
-// CheckLimits bound what one version may change or claim. Zero fields mean the
+// CheckLimits bound what one version may change or state. Zero fields mean the
 // defaults.
 type CheckLimits struct {
 	ParentChurn     float64 // share of the parents that may come or go at once; default 0.5
 	CacheChurn      float64 // share of a zone's caches that may go at once; default 0.67
 	MaxCapacity     float64 // of a member; default 1e6
-	MaxLinkCapacity float64 // KB a ms of a zone; default 1e6
+	MaxLinkCapacity float64 // of a zone, in KB a ms; default 1e6
 }
 
-func (l CheckLimits) filled() CheckLimits {
-	def := func(v *float64, d float64) {
-		if *v <= 0 {
-			*v = d
-		}
-	}
-	def(&l.ParentChurn, 0.5)
-	def(&l.CacheChurn, 0.67)
-	def(&l.MaxCapacity, 1e6)
-	def(&l.MaxLinkCapacity, 1e6)
+// withDefaults has the defaults in place of zero fields.
+func (l CheckLimits) withDefaults() CheckLimits {
+	l.ParentChurn = positiveOr(l.ParentChurn, 0.5)
+	l.CacheChurn = positiveOr(l.CacheChurn, 0.67)
+	l.MaxCapacity = positiveOr(l.MaxCapacity, 1e6)
+	l.MaxLinkCapacity = positiveOr(l.MaxLinkCapacity, 1e6)
 	return l
 }
 
-// Check makes the checks of a version's sense that the schema can't: against
-// itself, and against the version before it, nil where there is none.
-func Check(old, s *config.Settings, l CheckLimits) []Reason {
-	c := &check{old: old, s: s, l: l.filled()}
-	c.members()
-	c.sources()
-	c.churn()
-	c.figures()
-	return c.out
+// Check makes the semantic checks of a version that the schema can't: against
+// itself, and against the version before it, nil where there is none. It returns every
+// reason to reject it; none means that it passes.
+func Check(old, settings *config.Settings, limits CheckLimits) []Reason {
+	c := &checker{old: old, settings: settings, limits: limits.withDefaults()}
+	c.checkMembers()
+	c.checkZones()
+	c.checkFillSources()
+	c.checkFillFrom()
+	if old != nil {
+		c.checkParentChurn()
+		c.checkCacheChurn()
+	}
+	c.checkRules()
+	if old != nil {
+		c.checkLoosenedRules()
+		c.checkClasses()
+	}
+	return c.reasons
 }
 
-type check struct {
-	old, s *config.Settings
-	l      CheckLimits
-	out    []Reason
+// Words of the settings.
+const (
+	stateServing  = "serving"
+	stateDraining = "draining"
+	stateRemoved  = "removed"
+	effectFree    = "free"
+)
+
+// checker collects the reasons to reject a version.
+type checker struct {
+	old, settings *config.Settings
+	limits        CheckLimits
+	reasons       []Reason
 }
 
-func (c *check) add(path, what, remedy string) { c.out = append(c.out, Reason{path, what, remedy}) }
+func (c *checker) reject(path, what, remedy string) {
+	c.reasons = append(c.reasons, Reason{path, what, remedy})
+}
 
-// members checks each member, and that no zone with routers is left without a cache.
-func (c *check) members() {
-	serving := map[string]int{}
-	all := map[string]int{}
-	for _, m := range c.s.Members {
-		path := "member/" + m.ID
-		if m.Size < 0 || m.Size > c.l.MaxCapacity || math.IsNaN(m.Size) {
-			c.add(path+"/size", fmt.Sprintf("capacity %v", m.Size), fmt.Sprintf("it must be from 0 to %v", c.l.MaxCapacity))
-		}
-		if m.Kind == c.s.Fill.ParentKind || m.Kind == c.s.Fill.OriginKind {
-			continue
-		}
-		if all[m.Zone]++; m.State == "serving" {
-			serving[m.Zone]++
-		}
-	}
-	for _, z := range c.s.Zones {
-		if z.LinkIn < 0 || z.LinkIn > c.l.MaxLinkCapacity {
-			c.add("zone/"+z.Name+"/link", fmt.Sprintf("link of %v KB a ms", z.LinkIn), fmt.Sprintf("it must be from 0 to %v", c.l.MaxLinkCapacity))
+func (c *checker) checkMembers() {
+	for _, member := range c.settings.Members {
+		if member.Size < 0 || member.Size > c.limits.MaxCapacity || math.IsNaN(member.Size) {
+			c.reject("member/"+member.ID+"/size", fmt.Sprintf("capacity %v", member.Size),
+				fmt.Sprintf("it must be from 0 to %v", c.limits.MaxCapacity))
 		}
-		if z.Routers > 0 && serving[z.Name] == 0 && c.s.Router.List == "" {
-			what := "no cache is listed there, though it has routers"
-			if all[z.Name] > 0 {
-				what = fmt.Sprintf("none of its %d caches is serving", all[z.Name])
-			}
-			c.add("zone/"+z.Name, what, "keep one cache serving, or set (routers 0)")
-		}
-	}
-	sum := 0
-	for _, z := range c.s.Zones {
-		sum += z.Routers
-	}
-	if sum > c.s.Router.Of {
-		c.add("router/of", fmt.Sprintf("the zones have %d routers, there are %d in all", sum, c.s.Router.Of), "raise (of n)")
 	}
 }
 
-// sources checks what can be filled from: where parents are listed, one must
-// serve; the origin must serve always.
-func (c *check) sources() {
-	count := map[string][2]int{}
-	for _, m := range c.s.Members {
-		n := count[m.Kind]
-		if n[0]++; m.State == "serving" {
-			n[1]++
+// checkZones checks each zone, and that none with routers is left without a cache.
+func (c *checker) checkZones() {
+	serving := map[string]int{} // caches, by zone
+	listed := map[string]int{}
+	for _, member := range c.settings.Members {
+		if !isCache(c.settings, member) {
+			continue
 		}
-		count[m.Kind] = n
-	}
-	for _, k := range []struct{ kind, role string }{{c.s.Fill.ParentKind, "parent"}, {c.s.Fill.OriginKind, "origin"}} {
-		n := count[k.kind]
-		if n[0] > 0 && n[1] == 0 {
-			var ids []string
-			for _, m := range c.s.Members {
-				if m.Kind == k.kind {
-					ids = append(ids, m.ID+" is "+m.State)
-				}
-			}
-			c.add("member/"+k.kind, fmt.Sprintf("every %s is a fill source that takes nothing: %s", k.role, strings.Join(ids, ", ")),
-				"keep one serving, or list none")
+		listed[member.Zone]++
+		if member.State == stateServing {
+			serving[member.Zone]++
 		}
 	}
-	for _, m := range c.s.Members {
-		if len(m.FillFrom) == 0 {
+	routers := 0
+	for _, zone := range c.settings.Zones {
+		routers += zone.Routers
+		if zone.LinkIn < 0 || zone.LinkIn > c.limits.MaxLinkCapacity {
+			c.reject("zone/"+zone.Name+"/link", fmt.Sprintf("link of %v KB a ms", zone.LinkIn),
+				fmt.Sprintf("it must be from 0 to %v", c.limits.MaxLinkCapacity))
+		}
+		if zone.Routers <= 0 || serving[zone.Name] > 0 || c.settings.Router.List != "" {
 			continue
 		}
-		for _, id := range m.FillFrom {
-			path := fmt.Sprintf("member/%s/fill-from", m.ID)
-			src := find(c.s.Members, id)
-			switch {
-			case src == nil:
-				c.add(path, fmt.Sprintf("source %q is not listed", id), "list it, or name another")
-			case src.State != "serving":
-				c.add(path, fmt.Sprintf("source %q is %s", id, src.State), "name one that is serving")
-			}
+		what := "no cache is listed there, though it has routers"
+		if listed[zone.Name] > 0 {
+			what = fmt.Sprintf("none of its %d caches is serving", listed[zone.Name])
 		}
+		c.reject("zone/"+zone.Name, what, "keep one cache serving, or set (routers 0)")
+	}
+	if routers > c.settings.Router.Of {
+		c.reject("router/of", fmt.Sprintf("the zones have %d routers, there are %d in all", routers, c.settings.Router.Of),
+			"raise (of n)")
 	}
 }
 
-func find(list []config.Member, id string) *config.Member {
-	for i := range list {
-		if list[i].ID == id {
-			return &list[i]
-		}
-	}
-	return nil
+// isCache reports whether a member is neither a parent nor the origin.
+func isCache(settings *config.Settings, member config.Member) bool {
+	return member.Kind != settings.Fill.ParentKind && member.Kind != settings.Fill.OriginKind
 }
 
-// churn bounds what comes and goes at once: fills follow a hash over the
-// parents, so a new list of them sends a wave of misses to the origin.
-func (c *check) churn() {
-	if c.old == nil {
-		return
-	}
-	group := func(s *config.Settings, parents bool) map[string]map[string]bool {
-		out := map[string]map[string]bool{}
-		for _, m := range s.Members {
-			is := m.Kind == s.Fill.ParentKind
-			if m.State != "serving" || m.Kind == s.Fill.OriginKind || is != parents {
+// checkFillSources checks what can be filled from: where parents, or origins, are
+// listed, one must serve.
+func (c *checker) checkFillSources() {
+	fill := c.settings.Fill
+	for _, source := range []struct{ kind, role string }{{fill.ParentKind, "parent"}, {fill.OriginKind, "origin"}} {
+		var states []string
+		serving := 0
+		for _, member := range c.settings.Members {
+			if member.Kind != source.kind {
 				continue
 			}
-			zone := m.Zone
-			if parents {
-				zone = ""
+			states = append(states, member.ID+" is "+member.State)
+			if member.State == stateServing {
+				serving++
 			}
-			if out[zone] == nil {
-				out[zone] = map[string]bool{}
-			}
-			out[zone][m.ID] = true
 		}
-		return out
+		if len(states) > 0 && serving == 0 {
+			c.reject("member/"+source.kind,
+				fmt.Sprintf("every %s is a fill source that takes nothing: %s", source.role, strings.Join(states, ", ")),
+				"keep one serving, or list none")
+		}
 	}
-	lost := func(was, is map[string]bool) (n int) {
-		for id := range was {
-			if !is[id] {
-				n++
+}
+
+// checkFillFrom checks the fill sources that members name.
+func (c *checker) checkFillFrom() {
+	states := map[string]string{}
+	for _, member := range c.settings.Members {
+		if _, known := states[member.ID]; !known {
+			states[member.ID] = member.State
+		}
+	}
+	for _, member := range c.settings.Members {
+		path := fmt.Sprintf("member/%s/fill-from", member.ID)
+		for _, id := range member.FillFrom {
+			state, listed := states[id]
+			switch {
+			case !listed:
+				c.reject(path, fmt.Sprintf("source %q is not listed", id), "list it, or name another")
+			case state != stateServing:
+				c.reject(path, fmt.Sprintf("source %q is %s", id, state), "name one that is serving")
 			}
 		}
-		return n
-	}
-	was, is := group(c.old, true)[""], group(c.s, true)[""]
-	if changed := lost(was, is) + lost(is, was); len(was) > 0 && float64(changed) > c.l.ParentChurn*float64(len(was)) && changed > 1 {
-		c.add("member/"+c.s.Fill.ParentKind, fmt.Sprintf("%d of %d parents come or go at once", changed, len(was)),
-			fmt.Sprintf("change at most %.0f %% in one version, and let fills settle", 100*c.l.ParentChurn))
-	}
-	before, after := group(c.old, false), group(c.s, false)
-	zones := make([]string, 0, len(before))
-	for z := range before {
-		zones = append(zones, z)
-	}
-	sort.Strings(zones)
-	for _, z := range zones {
-		if n := lost(before[z], after[z]); n > 1 && float64(n) > c.l.CacheChurn*float64(len(before[z])) {
-			c.add("zone/"+z, fmt.Sprintf("%d of %d caches go at once", n, len(before[z])),
-				fmt.Sprintf("take out at most %.0f %% in one version", 100*c.l.CacheChurn))
-		}
 	}
 }
 
-// figures checks that a version does not loosen a figure of the rules, or what
-// a request's class may do, under requests that run by it.
-func (c *check) figures() {
-	r := c.s.Rules
-	if r.FallFactor*r.ColdFrom > 1e3 || r.ParentFall*r.ParentColdFrom > 1e3 {
-		c.add("rules", "a cold member could be given a thousand times its capacity", "lower fall-factor or cold-from")
-	}
-	if r.PurgeTakes < r.PurgeSlack {
-		c.add("rules/purge-takes", fmt.Sprintf("copies are gone %v ms after a purge, heeded after %v", r.PurgeTakes, r.PurgeSlack),
+// checkRules checks the figures of the rules against each other.
+func (c *checker) checkRules() {
+	rules := c.settings.Rules
+	if rules.FallFactor*rules.ColdFrom > 1e3 || rules.ParentFall*rules.ParentColdFrom > 1e3 {
+		c.reject("rules", "a cold member could be given a thousand times its capacity", "lower fall-factor or cold-from")
+	}
+	if rules.PurgeTakes < rules.PurgeSlack {
+		c.reject("rules/purge-takes",
+			fmt.Sprintf("copies are gone %v ms after a purge, heeded after %v", rules.PurgeTakes, rules.PurgeSlack),
 			"purge-takes is the longer span")
 	}
-	if c.old == nil {
+}
+
+// checkLoosenedRules checks that a version does not loosen a figure of the rules under
+// requests that run by it.
+func (c *checker) checkLoosenedRules() {
+	old, now := c.old.Rules, c.settings.Rules
+	if now.Loosen {
 		return
 	}
-	o := c.old.Rules
-	for _, f := range []struct {
+	for _, figure := range []struct {
 		name     string
 		was, is  float64
 		loosened bool
 	}{
-		{"drain-grace", o.DrainGrace, r.DrainGrace, r.DrainGrace > o.DrainGrace},
-		{"purge-slack", o.PurgeSlack, r.PurgeSlack, r.PurgeSlack > o.PurgeSlack},
-		{"purge-takes", o.PurgeTakes, r.PurgeTakes, r.PurgeTakes < o.PurgeTakes},
-		{"cold-from", o.ColdFrom, r.ColdFrom, r.ColdFrom > o.ColdFrom},
-		{"cold-time", o.ColdTime, r.ColdTime, r.ColdTime < o.ColdTime},
-		{"fall-factor", o.FallFactor, r.FallFactor, r.FallFactor > o.FallFactor},
-		{"parent-cold-from", o.ParentColdFrom, r.ParentColdFrom, r.ParentColdFrom > o.ParentColdFrom},
-		{"parent-fall", o.ParentFall, r.ParentFall, r.ParentFall > o.ParentFall},
+		{"drain-grace", old.DrainGrace, now.DrainGrace, now.DrainGrace > old.DrainGrace},
+		{"purge-slack", old.PurgeSlack, now.PurgeSlack, now.PurgeSlack > old.PurgeSlack},
+		{"purge-takes", old.PurgeTakes, now.PurgeTakes, now.PurgeTakes < old.PurgeTakes},
+		{"cold-from", old.ColdFrom, now.ColdFrom, now.ColdFrom > old.ColdFrom},
+		{"cold-time", old.ColdTime, now.ColdTime, now.ColdTime < old.ColdTime},
+		{"fall-factor", old.FallFactor, now.FallFactor, now.FallFactor > old.FallFactor},
+		{"parent-cold-from", old.ParentColdFrom, now.ParentColdFrom, now.ParentColdFrom > old.ParentColdFrom},
+		{"parent-fall", old.ParentFall, now.ParentFall, now.ParentFall > old.ParentFall},
 	} {
-		if f.loosened && !c.s.Rules.Loosen {
-			c.add("rules/"+f.name, fmt.Sprintf("loosened from %v to %v", f.was, f.is),
+		if figure.loosened {
+			c.reject("rules/"+figure.name, fmt.Sprintf("loosened from %v to %v", figure.was, figure.is),
 				"a rule's figure is loosened only by a version that says (rules (loosen true))")
 		}
 	}
-	classes := map[string]config.Class{}
-	for _, k := range c.old.Classes {
-		classes[k.Name] = k
+}
+
+// checkClasses checks that a version does not change what a request's class may do under
+// requests that run by it.
+func (c *checker) checkClasses() {
+	if c.settings.Rules.Loosen {
+		return
+	}
+	oldClasses := map[string]config.Class{}
+	for _, class := range c.old.Classes {
+		oldClasses[class.Name] = class
 	}
-	for _, k := range c.s.Classes {
-		if was, ok := classes[k.Name]; ok && was.Effect != k.Effect && was.Effect != "free" && !c.s.Rules.Loosen {
-			c.add("class/"+k.Name+"/effect", fmt.Sprintf("changed from %s to %s, so that repeats are treated otherwise", was.Effect, k.Effect),
+	for _, class := range c.settings.Classes {
+		old, known := oldClasses[class.Name]
+		if known && old.Effect != class.Effect && old.Effect != effectFree {
+			c.reject("class/"+class.Name+"/effect",
+				fmt.Sprintf("changed from %s to %s, so that repeats are treated otherwise", old.Effect, class.Effect),
 				"give the class another name, or say (rules (loosen true))")
 		}
 	}
--- a/internal/controlplane/configversion/diff.go
+++ b/internal/controlplane/configversion/diff.go
@@ -1,7 +1,8 @@
 package configversion
 
 import (
-	"sort"
+	"slices"
+	"strings"
 
 	"indigospool/internal/config"
 )
@@ -30,105 +31,110 @@
 }
 
 // Diff is what has changed from one list to another, in the order in which it is
-// told: drains come first, so that nothing new goes to who leaves; then new
+// applied: drains come first, so that nothing new goes to who leaves; then new
 // members, new starts and changes, so that there is somebody to take over;
-// removals last. A member with another start number came back empty: it is told
-// as removed before it is told as started. A full list would do the same at
+// removals last. A member with another start number came back empty: it is
+// removed before it is started. A snapshot of the list would do the same at
 // once, but could not say that a start is new where the number was reused.
-func Diff(old, new []config.Member) (steps []Delta) {
-	was := map[string]config.Member{}
-	for _, m := range old {
-		was[m.ID] = m
+func Diff(old, new []config.Member) []Delta {
+	oldByID := map[string]config.Member{}
+	for _, member := range old {
+		oldByID[member.ID] = member
 	}
-	is := map[string]bool{}
-	var drains, gone, starts, changes, removals []config.Member
-	for _, m := range new {
-		is[m.ID] = true
-		o, known := was[m.ID]
-		m.Place, o.Place = config.Place{}, config.Place{}
+	listed := map[string]bool{}
+	var drains, restarts, starts, changes, removals []config.Member
+	for _, member := range new {
+		listed[member.ID] = true
+		before, known := oldByID[member.ID]
+		member.Place, before.Place = config.Place{}, config.Place{} // where they stand in their files
+		isRestart := before.Start != member.Start || before.Address != member.Address
 		switch {
-		case m.State == "removed":
-			if known && o.State != "removed" {
-				removals = append(removals, m)
+		case member.State == stateRemoved:
+			if known && before.State != stateRemoved {
+				removals = append(removals, member)
 			}
-		case m.State == "draining":
-			if !known || !same(o, m) {
-				drains = append(drains, m)
+		case member.State == stateDraining:
+			if !known || !isSame(before, member) {
+				drains = append(drains, member)
 			}
 		case !known:
-			starts = append(starts, m)
-		case o.Start != m.Start || o.Address != m.Address:
-			o.State = "removed"
-			gone = append(gone, o)
-			starts = append(starts, m)
-		case !same(o, m):
-			changes = append(changes, m)
+			starts = append(starts, member)
+		case isRestart:
+			before.State = stateRemoved
+			restarts = append(restarts, before)
+			starts = append(starts, member)
+		case !isSame(before, member):
+			changes = append(changes, member)
 		}
 	}
-	for _, o := range old {
-		if !is[o.ID] && o.State != "removed" {
-			o.State, o.Place = "removed", config.Place{}
-			removals = append(removals, o)
+	for _, member := range old {
+		if !listed[member.ID] && member.State != stateRemoved {
+			member.State, member.Place = stateRemoved, config.Place{}
+			removals = append(removals, member)
 		}
 	}
-	add := func(kind DeltaKind, list []config.Member) {
-		if len(list) > 0 {
-			sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
-			steps = append(steps, Delta{kind, list})
+	var deltas []Delta
+	for _, delta := range []Delta{
+		{DeltaDrains, drains}, {DeltaRemovals, restarts}, {DeltaStarts, starts}, {DeltaChanges, changes}, {DeltaRemovals, removals},
+	} {
+		if len(delta.Members) > 0 {
+			slices.SortFunc(delta.Members, compareIDs)
+			deltas = append(deltas, delta)
 		}
 	}
-	add(DeltaDrains, drains)
-	add(DeltaRemovals, gone)
-	add(DeltaStarts, starts)
-	add(DeltaChanges, changes)
-	add(DeltaRemovals, removals)
-	return steps
+	return deltas
 }
 
+func compareIDs(a, b config.Member) int { return strings.Compare(a.ID, b.ID) }
+
 // takesAway reports whether a member takes nothing new by the new list that did
 // by the old one, or has started anew.
 func takesAway(old, new []config.Member) bool {
-	is := map[string]config.Member{}
-	for _, m := range new {
-		is[m.ID] = m
+	newByID := map[string]config.Member{}
+	for _, member := range new {
+		newByID[member.ID] = member
 	}
-	for _, o := range old {
-		m, listed := is[o.ID]
-		if o.State == "serving" && (!listed || m.State != "serving" || m.Start != o.Start || m.Address != o.Address) {
+	for _, before := range old {
+		if before.State != stateServing {
+			continue
+		}
+		member, listed := newByID[before.ID]
+		if !listed || member.State != stateServing || member.Start != before.Start || member.Address != before.Address {
 			return true
 		}
 	}
 	return false
 }
 
-func same(a, b config.Member) bool {
+// isSame compares what routers go by, and not where members stand in their files.
+func isSame(a, b config.Member) bool {
 	return a.ID == b.ID && a.Zone == b.Zone && a.Kind == b.Kind && a.Cell == b.Cell && a.Size == b.Size &&
 		a.Address == b.Address && a.State == b.State && a.Start == b.Start
 }
 
-// ApplyDeltas is a list after the steps, by id: what a router that was told them all
-// goes by. Members that are gone are left out.
-func ApplyDeltas(old []config.Member, steps []Delta) []config.Member {
-	by := map[string]config.Member{}
-	for _, m := range old {
-		m.Place = config.Place{}
-		if m.State != "removed" {
-			by[m.ID] = m
+// ApplyDeltas is the list after changes, by id: what a router goes by that has applied
+// them all. Members that were removed are left out.
+func ApplyDeltas(old []config.Member, deltas []Delta) []config.Member {
+	byID := map[string]config.Member{}
+	for _, member := range old {
+		member.Place = config.Place{}
+		if member.State != stateRemoved {
+			byID[member.ID] = member
 		}
 	}
-	for _, s := range steps {
-		for _, m := range s.Members {
-			if m.State == "removed" {
-				delete(by, m.ID)
+	for _, delta := range deltas {
+		for _, member := range delta.Members {
+			if member.State == stateRemoved {
+				delete(byID, member.ID)
 			} else {
-				by[m.ID] = m
+				byID[member.ID] = member
 			}
 		}
 	}
-	out := make([]config.Member, 0, len(by))
-	for _, m := range by {
-		out = append(out, m)
+	list := make([]config.Member, 0, len(byID))
+	for _, member := range byID {
+		list = append(list, member)
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].ID < out[j].ID })
-	return out
+	slices.SortFunc(list, compareIDs)
+	return list
 }
--- a/internal/controlplane/configversion/machine_test.go
+++ b/internal/controlplane/configversion/machine_test.go
@@ -442,7 +442,7 @@
 		old, new := list(t, "old"), list(t, "new")
 		steps := Diff(old, new)
 		got, want := ApplyDeltas(old, steps), ApplyDeltas(nil, []Delta{{DeltaChanges, new}})
-		if !slices.EqualFunc(got, want, same) {
+		if !slices.EqualFunc(got, want, isSame) {
 			t.Fatalf("from %+v\nby %+v\nto %+v, want %+v", old, steps, got, want)
 		}
 		for i, s := range steps {
