--- /dev/null
+++ b/internal/controlplane/configversion/record_test.go
@@ -0,0 +1,70 @@
+package configversion
+
+import (
+	"encoding/json"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// What operators are shown of a machine follows its versions.
+func TestStatusFollowsVersions(t *testing.T) {
+	test := newMachineTest(t)
+	if age := test.machine.Age(1000); age != 0 || test.machine.Accepted().Number != 0 || test.machine.LeaseHolder() != "" {
+		t.Errorf("before the first version: age %v, accepted %d", age, test.machine.Accepted().Number)
+	}
+	test.offer("a", New(1, good)).offer("a", New(2, body("ssss", "ssss", "")))
+	test.offer("a", New(3, []byte("(oops")))
+	if test.machine.Accepted().Number != 2 || test.machine.LeaseHolder() != "a" {
+		t.Errorf("accepted %d, by %q", test.machine.Accepted().Number, test.machine.LeaseHolder())
+	}
+	var states []string
+	for _, record := range test.machine.Records() {
+		states = append(states, record.State.String())
+	}
+	if want := []string{"running", "accepted", "refused"}; !slices.Equal(states, want) {
+		t.Errorf("states %v, want %v", states, want)
+	}
+	test.pass(2000).wantRunning(2)
+	if first := test.machine.Records()[0]; first.State.String() != "superseded" || first.ChangedAt != 2000 {
+		t.Errorf("%+v", first)
+	}
+	if age := test.machine.Age(test.now); age != 2000 || test.machine.Accepted().Number != 2 {
+		t.Errorf("age %v ms, accepted %d", age, test.machine.Accepted().Number)
+	}
+}
+
+// The oldest records are forgotten past the limit, but not that of the running version.
+func TestRecordsAreLimited(t *testing.T) {
+	test := &machineTest{t: t, machine: NewMachine(MachineSettings{MaxRecords: 3, MaxBytes: len(good) + 1000}, 1)}
+	test.offer("a", New(1, good))
+	for number := int64(2); number <= 6; number++ {
+		test.offer("a", New(number, []byte(strings.Repeat(" ", len(good)+1001)))).wantRejected("bytes, where")
+	}
+	var numbers []int64
+	for _, record := range test.machine.Records() {
+		numbers = append(numbers, record.Number)
+	}
+	if want := []int64{1, 5, 6}; !slices.Equal(numbers, want) {
+		t.Errorf("records of %v, want %v", numbers, want)
+	}
+}
+
+// A process hands its version to the one that takes over in this form.
+func TestVersionJSON(t *testing.T) {
+	text, err := json.Marshal(Version{Number: 7, Sum: "ab", Body: []byte("(x)")})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := `{"Number":7,"Sum":"ab","Body":"KHgp"}`; string(text) != want {
+		t.Errorf("%s, want %s", text, want)
+	}
+}
+
+func TestDeltaKindNames(t *testing.T) {
+	for kind, want := range map[DeltaKind]string{DeltaDrains: "drains", DeltaStarts: "starts", DeltaChanges: "changes", DeltaRemovals: "removals"} {
+		if got := kind.String(); got != want {
+			t.Errorf("%q, want %q", got, want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/controlplane/configversion/restore_test.go
@@ -0,0 +1,79 @@
+package configversion
+
+import (
+	"errors"
+	"strings"
+	"testing"
+)
+
+func TestRestart(t *testing.T) {
+	version := New(7, good)
+	test := newMachineTest(t).handle(Restored{Version: version, Age: 5000})
+	if !hasAction(test, func(u Activate) bool { return u.Version.Number == 7 && !u.Stale }) {
+		t.Fatalf("%+v", test.actions)
+	}
+	test.offer("a", New(6, good)).wantRejected("older than 7") // a service that came back with an old state
+	test.pass(60000)
+	if !hasAction(test, func(w Warn) bool { return strings.Contains(w.Text, "no service has confirmed it") }) || test.machine.Running() != 7 {
+		t.Errorf("%+v", test.actions)
+	}
+	test.offer("a", New(8, good)).wantAccepted(8)
+
+	test = newMachineTest(t).handle(Restored{Version: version, Age: 700000})
+	if !hasAction(test, func(u Activate) bool { return u.Stale }) {
+		t.Errorf("an old list is not reported as stale: %+v", test.actions)
+	}
+	test = newMachineTest(t).handle(Restored{Err: errors.New("damaged")})
+	if !hasAction[Warn](test, nil) || hasAction[Activate](test, nil) {
+		t.Errorf("%+v", test.actions)
+	}
+	test.offer("a", New(1, good)).wantRunning(1)
+	test = newMachineTest(t).handle(Restored{Version: New(9, body("ddd", "ssss", ""))})
+	if hasAction[Activate](test, nil) {
+		t.Error("what does not pass the checks is run after a restart")
+	}
+	test.offer("a", New(8, good)).wantRejected("older than 9")
+}
+
+// After a restart, members that came with one of the last versions are known to
+// be young; those that were in the oldest are not.
+func TestUpAfterRestart(t *testing.T) {
+	with := func(n int, members string) Version {
+		return New(int64(n), append(body("ss", "ssss", ""), members...))
+	}
+	const old = `(member old (zone z) (start 3) (address "127.0.0.1:3"))`
+	const late, anew = `(member late (zone z) (address "127.0.0.1:1"))`, `(member anew (zone z) (start 2) (address "127.0.0.1:2"))`
+	ages := func(step float64) Restored {
+		return Restored{Version: with(5, old+late+anew), Age: 100 + step, Earlier: []StoredVersion{
+			{with(2, old), 9000 + step},
+			{with(3, old+strings.Replace(anew, "start 2", "start 1", 1)), 5000 + step},
+			{with(4, old+late+anew), 700 + step}}}
+	}
+	// Ages are by the wall clock, which may have been stepped since.
+	for _, step := range []float64{0, 3000, -3000, 3.6e6, -3.6e6} {
+		test := newMachineTest(t).handle(ages(step))
+		if !hasAction(test, func(u Activate) bool {
+			return len(u.ListedFor) == 3 && u.ListedFor["late"] == 600 && u.ListedFor["anew"] == 600 && u.ListedFor["old"] == 8900
+		}) {
+			t.Errorf("a step of %v ms: up %v", step, listedForOf(test))
+		}
+	}
+	// A version that seems to be younger than the one after it says nothing of its age.
+	back := ages(0)
+	back.Earlier[2].Age = -3.6e6
+	if test := newMachineTest(t).handle(back); !hasAction(test, func(u Activate) bool {
+		return u.ListedFor["late"] == 0 && u.ListedFor["anew"] == 0 && u.ListedFor["old"] == 8900
+	}) {
+		t.Errorf("stepped back between two versions: up %v", listedForOf(test))
+	}
+}
+
+// listedForOf is for how long members have been listed, by the version that is used.
+func listedForOf(test *machineTest) map[string]Millis {
+	for _, action := range test.actions {
+		if activate, ok := action.(Activate); ok {
+			return activate.ListedFor
+		}
+	}
+	return nil
+}
