--- a/cmd/spool-control/main.go
+++ b/cmd/spool-control/main.go
@@ -95,7 +95,7 @@
 }
 
 func serve(ctx context.Context, file string) error {
-	s := &service.ServiceSettings{}
+	s := &service.Settings{}
 	if err := config.ReadFile(file, s); err != nil {
 		var faults config.Faults
 		if errors.As(err, &faults) {
@@ -126,10 +126,10 @@
 
 // start starts the service. Where its store can't be read or written for now, it
 // tries again until the context ends: without its state it must offer nothing.
-func start(ctx context.Context, s *service.ServiceSettings, log *zap.Logger) (*service.Service, error) {
+func start(ctx context.Context, s *service.Settings, log *zap.Logger) (*service.Service, error) {
 	began := time.Now()
 	for wait := firstRetry; ; wait = min(2*wait, lastRetry) {
-		svc, err := service.StartService(s, log, nil)
+		svc, err := service.Start(s, log, nil)
 		var fault *configstore.FaultError
 		if !errors.As(err, &fault) {
 			return svc, err
@@ -168,8 +168,8 @@
 		return "", nil, err
 	}
 	// checked here too, since only here faults have the files' own places
-	if _, reasons := service.Judge(sources, nil, service.NoLimits); len(reasons) > 0 {
-		return "", nil, &cli.FoundError{Err: &service.Refused{Reasons: reasons}}
+	if _, reasons := service.Validate(sources, nil, service.NoLimits()); len(reasons) > 0 {
+		return "", nil, &cli.FoundError{Err: &service.RejectedError{Reasons: reasons}}
 	}
 	for _, s := range sources {
 		text = append(append(text, s.Text...), '\n')
@@ -182,8 +182,8 @@
 
 // call is control.Call, with what is refused as something found.
 func (c client) call(ctx context.Context, method, path string, body []byte) ([]byte, error) {
-	b, err := service.Call(ctx, c.admin, method, path, body)
-	var lines *service.RefusedLines
+	b, err := service.AdminCall(ctx, c.admin, method, path, body)
+	var lines *service.PushRejectedError
 	if errors.As(err, &lines) {
 		return nil, &cli.FoundError{Err: err}
 	}
@@ -199,7 +199,7 @@
 	if err := json.Unmarshal(b, &r); err != nil {
 		return err
 	}
-	if !r.Fresh {
+	if !r.Created {
 		fmt.Printf("version %d has this content already\n", r.Number)
 	} else {
 		fmt.Printf("version %d\n", r.Number)
@@ -208,7 +208,7 @@
 		return nil
 	}
 	for end := time.Now().Add(wait); time.Now().Before(end); {
-		v, err := service.StatusOf(ctx, c.admin)
+		v, err := service.AdminStatus(ctx, c.admin)
 		switch {
 		case err != nil:
 			return err
@@ -238,7 +238,7 @@
 }
 
 func (c client) status(ctx context.Context, asJSON bool) error {
-	v, err := service.StatusOf(ctx, c.admin)
+	v, err := service.AdminStatus(ctx, c.admin)
 	if err != nil {
 		return err
 	}
@@ -263,9 +263,9 @@
 		fmt.Fprintf(w, ", version %d is in stage %d", v.Next, v.Stage+1)
 	}
 	fmt.Fprintln(w)
-	if v.Unkept != "" {
-		fmt.Fprintf(w, "the state can't be kept since %s, for %v, and nothing is offered meanwhile: %s\n", v.Since,
-			(time.Duration(v.ForMs) * time.Millisecond).Round(time.Second), v.Unkept)
+	if v.StateFault != "" {
+		fmt.Fprintf(w, "the state can't be kept since %s, for %v, and nothing is offered meanwhile: %s\n", v.StateFaultSince,
+			(time.Duration(v.StateFaultMs) * time.Millisecond).Round(time.Second), v.StateFault)
 	}
 	if v.Halted != "" {
 		fmt.Fprintf(w, "the last rollout was halted: %s\n", v.Halted)
--- a/internal/controlplane/endpointcheck/listcheck.go
+++ b/internal/controlplane/endpointcheck/listcheck.go
@@ -81,13 +81,13 @@
 	rep := &Report{}
 	var before []byte
 	if len(old) > 0 {
-		b, reasons := service.Judge(old, nil, service.NoLimits)
+		b, reasons := service.Validate(old, nil, service.NoLimits())
 		if len(reasons) > 0 {
 			return nil, fmt.Errorf("listcheck: the old list does not stand by itself: %s", reasons[0])
 		}
 		before = b
 	}
-	after, reasons := service.Judge(list, before, o.Limits)
+	after, reasons := service.Validate(list, before, o.Limits)
 	for _, r := range reasons {
 		rep.Reasons = append(rep.Reasons, r.String())
 	}
--- a/internal/controlplane/service/agent.go
+++ b/internal/controlplane/service/agent.go
@@ -18,22 +18,22 @@
 
 // AgentConfig is what a router's agent is. Zero fields mean the defaults.
 type AgentConfig struct {
-	Router   string
-	Services []string // addresses; the first that answers is followed, the others are for when it is gone
-	Fleet    configversion.MachineSettings
-	Seed     uint64
-	Store    *configstore.Store    // nil: nothing is kept
-	Known    configversion.Version // to begin with where nothing is stored; Number 0: none
-	Held     bool                  // no service is called until Begin
-	Backoff  time.Duration         // first wait before a service is called again; doubles to 64 times; default 250 ms
-	Silent   time.Duration         // a stream that begins and says nothing is left after so long; default 30 s
-	Alive    time.Duration         // how often an open stream counts as a sign of life; default 5 s
-	Dial     []grpc.DialOption
-	Full     bool                  // state of the world, instead of what differs
-	MaxBytes int                   // of a message; default 32 MB
-	Trying   time.Duration         // a version that can't be stored for so long is refused; default 30 s
-	Report   time.Duration         // how often service is reported, at most
-	Tally    func() (Tally, error) // what is reported; nil: nothing
+	Router            string
+	Services          []string // addresses; the first that answers is followed, the others are for when it is gone
+	Machine           configversion.MachineSettings
+	Seed              uint64
+	Store             *configstore.Store    // nil: nothing is kept
+	Initial           configversion.Version // to begin with where nothing is stored; Number 0: none
+	Deferred          bool                  // no service is called until Connect
+	Backoff           time.Duration         // first wait before a service is called again; doubles to 64 times; default 250 ms
+	SilenceTimeout    time.Duration         // a stream that begins and says nothing is left after so long; default 30 s
+	HeartbeatInterval time.Duration         // how often an open stream counts as a sign of life; default 5 s
+	DialOptions       []grpc.DialOption
+	StateOfTheWorld   bool                       // state of the world, instead of what differs
+	MaxBytes          int                        // of a message; default 32 MB
+	StoreTimeout      time.Duration              // a version that can't be stored for so long is refused; default 30 s
+	ReportInterval    time.Duration              // how often service is reported, at most
+	LoadCounts        func() (LoadCounts, error) // what is reported; nil: nothing
 
 	Use  func(configversion.Activate) // a version is to be run; called from the agent's goroutine
 	Warn func(text string)            // for the operator
@@ -79,14 +79,14 @@
 	if cfg.Backoff <= 0 {
 		cfg.Backoff = 250 * time.Millisecond
 	}
-	if cfg.Silent <= 0 {
-		cfg.Silent = 30 * time.Second
+	if cfg.SilenceTimeout <= 0 {
+		cfg.SilenceTimeout = 30 * time.Second
 	}
-	if cfg.Alive <= 0 {
-		cfg.Alive = 5 * time.Second
+	if cfg.HeartbeatInterval <= 0 {
+		cfg.HeartbeatInterval = 5 * time.Second
 	}
-	if cfg.Trying <= 0 {
-		cfg.Trying = 30 * time.Second
+	if cfg.StoreTimeout <= 0 {
+		cfg.StoreTimeout = 30 * time.Second
 	}
 	if cfg.MaxBytes <= 0 {
 		cfg.MaxBytes = 32 << 20
@@ -94,7 +94,7 @@
 	if cfg.Warn == nil {
 		cfg.Warn = func(string) {}
 	}
-	a := &Agent{cfg: cfg, machine: configversion.NewMachine(cfg.Fleet, cfg.Seed), began: time.Now(), state: "not connected",
+	a := &Agent{cfg: cfg, machine: configversion.NewMachine(cfg.Machine, cfg.Seed), began: time.Now(), state: "not connected",
 		poke: make(chan struct{}, 1)}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
 	a.restore()
@@ -102,14 +102,14 @@
 		a.done.Add(1)
 		go a.keepStoring()
 	}
-	if !cfg.Held {
-		a.Begin()
+	if !cfg.Deferred {
+		a.Connect()
 	}
 	return a
 }
 
-// Begin has an agent that was held call its services.
-func (a *Agent) Begin() {
+// Connect has an agent that was held call its services.
+func (a *Agent) Connect() {
 	a.begin.Do(func() {
 		a.done.Add(1)
 		go a.run()
@@ -145,12 +145,12 @@
 type AgentStatus struct {
 	Running, Accepted int64
 	Service           string // in charge
-	Stream            string // state of the stream
+	StreamState       string // state of the stream
 	Age               configversion.Millis
 	Versions          []configversion.Record
-	Unkept            int64     // number of a version that could not be stored yet; 0: none
+	NotStored         int64     // number of a version that could not be stored yet; 0: none
 	StoreFault        error     // why the store can't be read or written for now; nil: it can
-	StoreSince        time.Time // since when
+	StoreFaultSince   time.Time // since when
 }
 
 // Status tells what runs, who is in charge, how old the word on it is, and what
@@ -159,13 +159,13 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	m := a.machine
-	st := AgentStatus{Running: m.Running(), Accepted: a.accepted(), Service: m.LeaseHolder(), Stream: a.state, Age: m.Age(a.now()),
-		Versions: m.Records(), Unkept: a.unkept.Number}
+	st := AgentStatus{Running: m.Running(), Accepted: a.accepted(), Service: m.LeaseHolder(), StreamState: a.state, Age: m.Age(a.now()),
+		Versions: m.Records(), NotStored: a.unkept.Number}
 	if a.pending != nil {
-		st.Unkept = a.pending.version.Number
+		st.NotStored = a.pending.version.Number
 	}
 	if a.cfg.Store != nil {
-		st.StoreSince, st.StoreFault = a.cfg.Store.Fault()
+		st.StoreFaultSince, st.StoreFault = a.cfg.Store.Fault()
 	}
 	return st
 }
@@ -259,7 +259,7 @@
 // open begins a stream by the protocol of the settings.
 func (a *Agent) open(ctx context.Context, conn *grpc.ClientConn) (line, error) {
 	c := discovery.NewAggregatedDiscoveryServiceClient(conn)
-	if a.cfg.Full {
+	if a.cfg.StateOfTheWorld {
 		g, err := c.StreamAggregatedResources(ctx)
 		return &sotwLine{g: g}, err
 	}
@@ -279,14 +279,14 @@
 	conn, err := grpc.NewClient(address, append([]grpc.DialOption{
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(a.cfg.MaxBytes)),
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: 10 * time.Second, Timeout: 5 * time.Second}),
-	}, a.cfg.Dial...)...)
+	}, a.cfg.DialOptions...)...)
 	if err != nil {
 		return 0, "", err
 	}
 	defer conn.Close()
 	ctx, cancel := context.WithCancelCause(a.ctx)
 	defer cancel(nil)
-	silent := time.AfterFunc(a.cfg.Silent, func() { cancel(errors.New("the service said nothing")) })
+	silent := time.AfterFunc(a.cfg.SilenceTimeout, func() { cancel(errors.New("the service said nothing")) })
 	defer silent.Stop()
 	l, err := a.open(ctx, conn)
 	if err != nil {
@@ -339,7 +339,7 @@
 			a.state, a.following = "following "+address, service
 			a.mu.Unlock()
 			go a.alive(ctx, service)
-			if a.cfg.Tally != nil {
+			if a.cfg.LoadCounts != nil {
 				go func() {
 					if err := a.report(ctx, conn); err != nil && ctx.Err() == nil {
 						a.cfg.Warn(fmt.Sprintf("service is not reported to %s: %v", address, err))
@@ -361,7 +361,7 @@
 
 // alive counts an open stream as a sign of life: the connection answers pings.
 func (a *Agent) alive(ctx context.Context, service string) {
-	t := time.NewTicker(a.cfg.Alive)
+	t := time.NewTicker(a.cfg.HeartbeatInterval)
 	defer t.Stop()
 	for {
 		select {
--- a/internal/controlplane/service/control_test.go
+++ b/internal/controlplane/service/control_test.go
@@ -37,7 +37,7 @@
 
 // canonical is the same as a service makes it of what is offered.
 func canonical(t testing.TB, boxes int, extra string) []byte {
-	b, reasons := Judge([]config.Source{{File: "test", Text: string(body(boxes, extra))}}, nil, NoLimits)
+	b, reasons := Validate([]config.Source{{File: "test", Text: string(body(boxes, extra))}}, nil, NoLimits())
 	if len(reasons) > 0 {
 		t.Fatal(reasons)
 	}
@@ -78,7 +78,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := NewServer(ServerConfig{Name: "svc", State: m.get(), Keep: m, Tick: 10 * time.Millisecond, PerSecond: 2000,
+	s := NewServer(ServerConfig{Name: "svc", State: m.get(), Store: m, TickInterval: 10 * time.Millisecond, StreamsPerSecond: 2000,
 		Rollout: rollout.Settings{MinStageTime: hold, AnswerTimeout: 5000}})
 	go s.Serve(ln)
 	t.Cleanup(s.Stop)
@@ -99,15 +99,15 @@
 }
 
 func follow(t testing.TB, full bool, name string, seed uint64, store *configstore.Store, services ...string) *router {
-	return followFor(t, AgentConfig{Router: name, Services: services, Seed: seed, Store: store, Full: full, Fleet: configversion.MachineSettings{Jitter: 50}})
+	return followFor(t, AgentConfig{Router: name, Services: services, Seed: seed, Store: store, StateOfTheWorld: full, Machine: configversion.MachineSettings{Jitter: 50}})
 }
 
 // followFor is follow with more said.
 func followFor(t testing.TB, c AgentConfig) *router {
 	r := &router{}
 	c.Backoff = 20 * time.Millisecond
-	if c.Dial == nil {
-		c.Dial = []grpc.DialOption{grpc.WithTransportCredentials(insecure.NewCredentials())}
+	if c.DialOptions == nil {
+		c.DialOptions = []grpc.DialOption{grpc.WithTransportCredentials(insecure.NewCredentials())}
 	}
 	c.Use = func(configversion.Activate) { r.uses.Add(1) }
 	c.Warn = func(s string) { r.mu.Lock(); r.said = append(r.said, s); r.mu.Unlock() }
@@ -148,13 +148,13 @@
 			routers = append(routers, follow(t, full, fmt.Sprint("r", i), uint64(i), nil, addr))
 		}
 		eventually(t, "the streams", func() bool { return len(s.Status().Routers) == 8 })
-		if n, err := s.Push(body(3, ""), false); n != 1 || err != nil {
+		if n, err := s.PushUnchecked(body(3, ""), false); n != 1 || err != nil {
 			t.Fatal(n, err)
 		}
 		eventually(t, "the first version everywhere", all(routers, 1))
-		s.Push(body(4, ""), false)
+		s.PushUnchecked(body(4, ""), false)
 		eventually(t, "the second by stages", all(routers, 2))
-		s.Push(body(3, "(zone y (routers 1))"), false) // a zone with routers and without a cache
+		s.PushUnchecked(body(3, "(zone y (routers 1))"), false) // a zone with routers and without a cache
 		eventually(t, "the halt", func() bool { return m.get().HaltReason != "" })
 		if !strings.Contains(m.get().HaltReason, "1 of 1 routers refuse it") || !strings.Contains(m.get().HaltReason, "zone/y: no cache is listed there") {
 			t.Errorf("halted: %q", m.get().HaltReason)
@@ -176,7 +176,7 @@
 		}
 		s, _ = serve(t, addr, m, 100)
 		eventually(t, "the streams again", func() bool { return len(s.Status().Routers) == 8 })
-		s.Push(body(5, ""), true)
+		s.PushUnchecked(body(5, ""), true)
 		eventually(t, "the fleet to be level", all(routers, 5))
 		for _, r := range routers {
 			if n := r.uses.Load(); n != 4 {
@@ -198,10 +198,10 @@
 			t.Fatal(err)
 		}
 		r := follow(t, full, "r", 1, store, addr)
-		s.Push(body(3, ""), true)
+		s.PushUnchecked(body(3, ""), true)
 		eventually(t, "version 1", all([]*router{r}, 1))
 		past := m.get()
-		s.Push(body(4, ""), true)
+		s.PushUnchecked(body(4, ""), true)
 		eventually(t, "version 2", all([]*router{r}, 2))
 		r.Close()
 		store.Close()
@@ -215,7 +215,7 @@
 			t.Fatalf("after the restart: version %d", n)
 		}
 		s, _ = serve(t, addr, &memory{state: past}, 50)
-		s.Push(body(5, ""), true) // it believes that this is number 2
+		s.PushUnchecked(body(5, ""), true) // it believes that this is number 2
 		eventually(t, "the refusal", func() bool {
 			st := s.Status().Routers
 			return len(st) == 1 && st[0].Rejected == 2 && strings.Contains(strings.Join(st[0].Reasons, " "), "other content")
@@ -223,7 +223,7 @@
 		if n, _ := r.Running(); n != 2 {
 			t.Errorf("runs %d", n)
 		}
-		s.Push(body(5, ""), true)
+		s.PushUnchecked(body(5, ""), true)
 		eventually(t, "the next number", all([]*router{r}, 3))
 	})
 }
@@ -235,7 +235,7 @@
 		s, addr := serve(t, "127.0.0.1:0", m, 50)
 		r := follow(t, full, "r", 1, nil, addr)
 		eventually(t, "the stream", func() bool { return len(s.Status().Routers) == 1 })
-		if _, err := s.Push(body(3, ""), true); err == nil || !strings.Contains(err.Error(), "no space left") {
+		if _, err := s.PushUnchecked(body(3, ""), true); err == nil || !strings.Contains(err.Error(), "no space left") {
 			t.Errorf("push: %v", err)
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -251,7 +251,7 @@
 		m := &memory{}
 		s, addr := serve(t, "127.0.0.1:0", m, 50)
 		r := follow(t, full, "r", 1, nil, "127.0.0.1:1", addr)
-		s.Push(body(3, "; "+strings.Repeat("x", 5<<20)), true)
+		s.PushUnchecked(body(3, "; "+strings.Repeat("x", 5<<20)), true)
 		eventually(t, "5 MB by the second service", all([]*router{r}, 1))
 	})
 }
@@ -261,7 +261,7 @@
 	both(t, func(t *testing.T, full bool) {
 		m := &memory{}
 		s, addr := serve(t, "127.0.0.1:0", m, 50)
-		s.Push(body(3, ""), true)
+		s.PushUnchecked(body(3, ""), true)
 		var routers []*router
 		for i := range 60 {
 			routers = append(routers, follow(t, full, fmt.Sprint("r", i), uint64(i), nil, addr))
@@ -273,10 +273,10 @@
 			time.Sleep(20 * time.Millisecond)
 			ln, err = net.Listen("tcp", addr)
 		}
-		slow := NewServer(ServerConfig{Name: "svc", State: m.get(), Keep: m, PerSecond: 30, Tick: 10 * time.Millisecond})
+		slow := NewServer(ServerConfig{Name: "svc", State: m.get(), Store: m, StreamsPerSecond: 30, TickInterval: 10 * time.Millisecond})
 		go slow.Serve(ln)
 		defer slow.Stop()
-		slow.Push(body(4, ""), true)
+		slow.PushUnchecked(body(4, ""), true)
 		eventually(t, "the fleet level again", all(routers, 2))
 	})
 }
@@ -304,18 +304,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := NewServer(ServerConfig{Name: "svc", Keep: m, PerSecond: 2000}, grpc.StatsHandler(c))
+	s := NewServer(ServerConfig{Name: "svc", Store: m, StreamsPerSecond: 2000}, grpc.StatsHandler(c))
 	go s.Serve(ln)
 	defer s.Stop()
 	r := follow(t, false, "r", 1, nil, ln.Addr().String())
 	first, second := canonical(t, 300, ""), canonical(t, 301, "")
-	s.Push(first, true)
+	s.PushUnchecked(first, true)
 	eventually(t, "version 1", all([]*router{r}, 1))
 	whole := c.sent.Swap(0)
 	if whole < int64(len(first)) {
 		t.Fatalf("%d bytes were sent of a version of %d", whole, len(first))
 	}
-	s.Push(second, true)
+	s.PushUnchecked(second, true)
 	eventually(t, "version 2", all([]*router{r}, 2))
 	if n := c.sent.Swap(0); n > 400 {
 		t.Errorf("one more member took %d bytes; the whole takes %d", n, len(second))
@@ -329,7 +329,7 @@
 	}
 	s.mu.Unlock()
 	eventually(t, "the stream again", func() bool { st := s.Status().Routers; return len(st) == 1 && st[0].Connected && r.streaming() })
-	s.Push(canonical(t, 300, ""), true)
+	s.PushUnchecked(canonical(t, 300, ""), true)
 	eventually(t, "version 3", all([]*router{r}, 3))
 	if n := c.sent.Swap(0); n > 800 {
 		t.Errorf("after a reconnect, one member less took %d bytes", n)
@@ -354,9 +354,9 @@
 	m := &memory{}
 	s, addr := serve(t, "127.0.0.1:0", m, 50)
 	r := follow(t, false, "r", 1, nil, addr)
-	s.Push(canonical(t, 30, ""), true)
+	s.PushUnchecked(canonical(t, 30, ""), true)
 	eventually(t, "version 1", all([]*router{r}, 1))
-	s.Push(canonical(t, 31, ""), true)
+	s.PushUnchecked(canonical(t, 31, ""), true)
 	eventually(t, "version 2", all([]*router{r}, 2))
 	bad := &misfit{first: canonical(t, 31, ""), next: configversion.New(3, canonical(t, 32, ""))}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -471,14 +471,14 @@
 		m := &memory{}
 		s, addr := serve(t, "127.0.0.1:0", m, 50)
 		r := follow(t, full, "r", 1, nil, addr)
-		s.Push(body(3, ""), true)
+		s.PushUnchecked(body(3, ""), true)
 		eventually(t, "version 1", all([]*router{r}, 1))
-		s.Push(body(3, "; "+strings.Repeat("x", 33<<20)), true)
+		s.PushUnchecked(body(3, "; "+strings.Repeat("x", 33<<20)), true)
 		eventually(t, "the turn-down", func() bool { return r.told("larger than max") })
 		if n, _ := r.Running(); n != 1 {
 			t.Fatalf("runs %d", n)
 		}
-		s.Push(body(4, ""), true)
+		s.PushUnchecked(body(4, ""), true)
 		eventually(t, "the next", all([]*router{r}, 3))
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -543,7 +543,7 @@
 		for i := range 5 {
 			routers = append(routers, follow(t, full, fmt.Sprint("r", i), uint64(i), nil, addr))
 		}
-		s.Push(body(3, ""), true)
+		s.PushUnchecked(body(3, ""), true)
 		eventually(t, "version 1", all(routers, 1))
 		for i := range 8 {
 			s.Stop()
@@ -559,7 +559,7 @@
 				t.Errorf("version 1 was used %d times", n)
 			}
 		}
-		s.Push(body(4, ""), true)
+		s.PushUnchecked(body(4, ""), true)
 		eventually(t, "version 2", all(routers, 2))
 	})
 }
@@ -569,20 +569,20 @@
 func TestTwoServicesDisagree(t *testing.T) {
 	a, addrA := serve(t, "127.0.0.1:0", &memory{}, 50)
 	other := &memory{}
-	b := NewServer(ServerConfig{Name: "other", Keep: other, Tick: 10 * time.Millisecond, PerSecond: 2000})
+	b := NewServer(ServerConfig{Name: "other", Store: other, TickInterval: 10 * time.Millisecond, StreamsPerSecond: 2000})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	go b.Serve(ln)
 	defer b.Stop()
-	a.Push(body(3, ""), true)
+	a.PushUnchecked(body(3, ""), true)
 	for i := range 20 {
-		b.Push(body(5+i%2, ""), true)
+		b.PushUnchecked(body(5+i%2, ""), true)
 	}
 	lease := 3 * time.Second
-	r := followFor(t, AgentConfig{Router: "r", Services: []string{addrA, ln.Addr().String()}, Alive: 50 * time.Millisecond,
-		Fleet: configversion.MachineSettings{Jitter: 50, Lease: float64(lease.Milliseconds())}})
+	r := followFor(t, AgentConfig{Router: "r", Services: []string{addrA, ln.Addr().String()}, HeartbeatInterval: 50 * time.Millisecond,
+		Machine: configversion.MachineSettings{Jitter: 50, Lease: float64(lease.Milliseconds())}})
 	eventually(t, "version 1 of the first", all([]*router{r}, 1))
 	a.Stop()
 	gone := time.Now()
@@ -611,10 +611,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			return followFor(t, AgentConfig{Router: "r", Services: []string{addr}, Store: store, Full: full,
-				Fleet: configversion.MachineSettings{Jitter: spread}}), store
+			return followFor(t, AgentConfig{Router: "r", Services: []string{addr}, Store: store, StateOfTheWorld: full,
+				Machine: configversion.MachineSettings{Jitter: spread}}), store
 		}
-		s.Push(body(3, ""), true)
+		s.PushUnchecked(body(3, ""), true)
 		r, store := begin(path, 3.6e6)
 		eventually(t, "version 1", all([]*router{r}, 1))
 		r.Close()
@@ -625,7 +625,7 @@
 		}
 		os.WriteFile(before, b, 0o600)
 		r, store = begin(path, 3.6e6)
-		s.Push(body(4, ""), true)
+		s.PushUnchecked(body(4, ""), true)
 		eventually(t, "the word on version 2", func() bool { return s.Status().Routers[0].Running == 2 })
 		if n, _ := r.Running(); n != 1 {
 			t.Fatalf("version %d is in use before its time", n)
--- a/internal/controlplane/service/fault_test.go
+++ b/internal/controlplane/service/fault_test.go
@@ -80,12 +80,12 @@
 
 func startOn(t *testing.T, files configstore.FileSystem, store string, hold int, sent func(string, configversion.Version)) *Service {
 	t.Helper()
-	var set ServiceSettings
+	var set Settings
 	if err := config.Read("svc", fmt.Sprintf(`(service (listen "127.0.0.1:0") (admin "127.0.0.1:0") (store %q) (keep 20))
 		(rollout (hold %d) (patience 400))`, store, hold), &set); err != nil {
 		t.Fatal(err)
 	}
-	s, err := StartServiceOn(files, &set, zap.NewNop(), sent)
+	s, err := StartWithFiles(files, &set, zap.NewNop(), sent)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -156,8 +156,8 @@
 	if code, answer := ask(t, s, "POST", "/push?now", text(4)); code != http.StatusServiceUnavailable {
 		t.Errorf("pushed while nothing can be kept: %d %s", code, answer)
 	}
-	var unkept *UnkeptError
-	if err := s.Halt("x"); !errors.As(err, &unkept) || unkept.Taken || status.Code(err) != codes.Unavailable || !errors.Is(err, errno) {
+	var unkept *PersistError
+	if err := s.Halt("x"); !errors.As(err, &unkept) || unkept.Queued || status.Code(err) != codes.Unavailable || !errors.Is(err, errno) {
 		t.Errorf("halted while nothing can be kept: %v", err)
 	}
 	other := follow(t, false, "other", 2, nil, s.Addr())
@@ -166,7 +166,7 @@
 		t.Errorf("offered while nothing can be kept: %d, then %d; the new router runs %d", last, highest(), n)
 	}
 	view := s.View()
-	if view.Unkept == "" || view.Since == "" || view.ForMs < 600 || view.Base != before.Base || view.Next != before.Next || view.Last != before.Last {
+	if view.StateFault == "" || view.StateFaultSince == "" || view.StateFaultMs < 600 || view.Base != before.Base || view.Next != before.Next || view.Last != before.Last {
 		t.Errorf("status says %+v, it was %+v", view, before)
 	}
 	copied, err := os.ReadFile(store) // as a kill would leave it
@@ -175,7 +175,7 @@
 	}
 
 	files.set(nil)
-	eventually(t, "the service", func() bool { return s.View().Unkept == "" })
+	eventually(t, "the service", func() bool { return s.View().StateFault == "" })
 	s.mu.Lock()
 	says := s.rollout.State()
 	s.mu.Unlock()
@@ -219,14 +219,14 @@
 		t.Fatal(err)
 	}
 	files.set(syscall.ENOSPC)
-	if _, err := s.Push(body(4, ""), true); err == nil {
+	if _, err := s.PushUnchecked(body(4, ""), true); err == nil {
 		t.Fatal("acknowledged")
 	}
 	if again := s.lookAtFolder(); again >= lookEvery {
 		t.Errorf("looked at again after %v", again)
 	}
 	files.set(nil)
-	eventually(t, "the service", func() bool { return s.View().Unkept == "" })
+	eventually(t, "the service", func() bool { return s.View().StateFault == "" })
 	s.lookAtFolder()
 	if v := s.View(); v.Last != 2 {
 		t.Errorf("the folder's content was not offered: %+v", v)
@@ -238,12 +238,12 @@
 	m := &memory{}
 	s, addr := serve(t, "127.0.0.1:0", m, 50)
 	r := follow(t, false, "r", 1, nil, addr)
-	if _, err := s.Push(body(3, ""), true); err != nil {
+	if _, err := s.PushUnchecked(body(3, ""), true); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "version 1", all([]*router{r}, 1))
 	m.set(syscall.ENOSPC)
-	if _, err := s.Push(body(4, ""), true); err == nil {
+	if _, err := s.PushUnchecked(body(4, ""), true); err == nil {
 		t.Error("acknowledged")
 	}
 	clock := func() configversion.Millis {
@@ -254,11 +254,11 @@
 	began := clock()
 	time.Sleep(500 * time.Millisecond)
 	m.set(nil)
-	eventually(t, "the state", func() bool { return s.Status().Unkept == nil })
+	eventually(t, "the state", func() bool { return s.Status().PersistError == nil })
 	if stood := clock() - began; stood >= 500 {
 		t.Errorf("%v ms of a rollout's patience have passed while nothing could be offered", stood)
 	}
-	eventually(t, "a push", func() bool { _, err := s.Push(body(5, ""), true); return err == nil })
+	eventually(t, "a push", func() bool { _, err := s.PushUnchecked(body(5, ""), true); return err == nil })
 	eventually(t, "the newest", func() bool { n, _ := r.Running(); return n == m.get().Base.Number })
 }
 
@@ -279,22 +279,22 @@
 				}
 				defer store.Close()
 				r := follow(t, false, "r", 1, store, addr)
-				s.Push(body(3, ""), true)
+				s.PushUnchecked(body(3, ""), true)
 				eventually(t, "version 1", all([]*router{r}, 1))
 				files.set(errno)
-				s.Push(body(4, ""), false)
+				s.PushUnchecked(body(4, ""), false)
 				time.Sleep(500 * time.Millisecond)
 				st := s.Status()
 				if n, _ := r.Running(); n != 1 || st.Routers[0].Running != 1 || st.Routers[0].Rejected != 0 || st.State.HaltReason != "" {
 					t.Errorf("while it can't be stored: runs %d, %+v, halted %q", n, st.Routers[0], st.State.HaltReason)
 				}
-				if status := r.Status(); status.Unkept != 2 || !errors.Is(status.StoreFault, errno) || time.Since(status.StoreSince) < 400*time.Millisecond {
+				if status := r.Status(); status.NotStored != 2 || !errors.Is(status.StoreFault, errno) || time.Since(status.StoreFaultSince) < 400*time.Millisecond {
 					t.Errorf("%+v", status)
 				}
 				files.set(nil)
 				eventually(t, "version 2", all([]*router{r}, 2))
 				eventually(t, "its acknowledgement", func() bool { return s.Status().Routers[0].Running == 2 })
-				if status := r.Status(); status.Unkept != 0 || status.StoreFault != nil {
+				if status := r.Status(); status.NotStored != 0 || status.StoreFault != nil {
 					t.Errorf("%+v", status)
 				}
 				if v, _, err := store.Last(); err != nil || v.Number != 2 {
@@ -315,17 +315,17 @@
 		t.Fatal(err)
 	}
 	defer store.Close()
-	r := followFor(t, AgentConfig{Router: "r", Services: []string{addr}, Store: store, Trying: 200 * time.Millisecond, Fleet: configversion.MachineSettings{Jitter: 50}})
-	s.Push(body(3, ""), true)
+	r := followFor(t, AgentConfig{Router: "r", Services: []string{addr}, Store: store, StoreTimeout: 200 * time.Millisecond, Machine: configversion.MachineSettings{Jitter: 50}})
+	s.PushUnchecked(body(3, ""), true)
 	eventually(t, "version 1", all([]*router{r}, 1))
 	files.set(syscall.ENOSPC)
-	s.Push(body(4, ""), true)
+	s.PushUnchecked(body(4, ""), true)
 	eventually(t, "the refusal", func() bool {
 		st := s.Status().Routers[0]
 		return st.Rejected == 2 && len(st.Reasons) == 1 && strings.Contains(st.Reasons[0], "no space left")
 	})
 	files.set(nil)
-	s.Push(body(4, ""), true)
+	s.PushUnchecked(body(4, ""), true)
 	eventually(t, "version 3", all([]*router{r}, 3))
 }
 
@@ -335,7 +335,7 @@
 	path := filepath.Join(t.TempDir(), "good.db")
 	m, files := &memory{}, &sick{reads: true}
 	s, addr := serve(t, "127.0.0.1:0", m, 20)
-	s.Push(body(3, ""), true)
+	s.PushUnchecked(body(3, ""), true)
 	store, err := configstore.Open(path)
 	if err != nil {
 		t.Fatal(err)
@@ -349,7 +349,7 @@
 		t.Fatal(err)
 	}
 	defer store.Close()
-	alone := followFor(t, AgentConfig{Router: "alone", Store: store, Held: true})
+	alone := followFor(t, AgentConfig{Router: "alone", Store: store, Deferred: true})
 	if status := alone.Status(); status.Running != 0 || !errors.Is(status.StoreFault, syscall.EIO) {
 		t.Errorf("%+v", status)
 	}
--- a/internal/controlplane/service/load.go
+++ b/internal/controlplane/service/load.go
@@ -19,9 +19,9 @@
 // requests, whose one locality counts what was asked and what was served in time.
 const cluster = "requests"
 
-// Tally counts what a router was asked and what it served in time, since it
+// LoadCounts counts what a router was asked and what it served in time, since it
 // began.
-type Tally struct{ Asked, Served uint64 }
+type LoadCounts struct{ Issued, Succeeded uint64 }
 
 // StreamLoadStats takes a router's reports.
 func (s *Server) StreamLoadStats(g grpc.BidiStreamingServer[load.LoadStatsRequest, load.LoadStatsResponse]) error {
@@ -36,7 +36,7 @@
 	if err := named(g.Context(), router); err != nil {
 		return err
 	}
-	if err := g.Send(&load.LoadStatsResponse{Clusters: []string{cluster}, LoadReportingInterval: durationpb.New(s.cfg.Reports)}); err != nil {
+	if err := g.Send(&load.LoadStatsResponse{Clusters: []string{cluster}, LoadReportingInterval: durationpb.New(s.cfg.ReportInterval)}); err != nil {
 		return err
 	}
 	for {
@@ -68,8 +68,8 @@
 	if err != nil {
 		return err
 	}
-	every := max(res.GetLoadReportingInterval().AsDuration(), a.cfg.Report, 10*time.Millisecond)
-	last, err := a.cfg.Tally()
+	every := max(res.GetLoadReportingInterval().AsDuration(), a.cfg.ReportInterval, 10*time.Millisecond)
+	last, err := a.cfg.LoadCounts()
 	if err != nil {
 		return err
 	}
@@ -80,19 +80,19 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		t, err := a.cfg.Tally()
+		t, err := a.cfg.LoadCounts()
 		if err != nil {
 			return fmt.Errorf("control: service can't be counted: %w", err)
 		}
 		now := time.Now()
-		if t.Asked < last.Asked || t.Served < last.Served {
-			last = Tally{} // the counters began anew
+		if t.Issued < last.Issued || t.Succeeded < last.Succeeded {
+			last = LoadCounts{} // the counters began anew
 		}
 		err = g.Send(&load.LoadStatsRequest{ClusterStats: []*endpoint.ClusterStats{{ClusterName: cluster,
 			LoadReportInterval: durationpb.New(now.Sub(began)),
-			UpstreamLocalityStats: []*endpoint.UpstreamLocalityStats{{TotalIssuedRequests: t.Asked - last.Asked,
-				TotalSuccessfulRequests: t.Served - last.Served,
-				TotalErrorRequests:      (t.Asked - last.Asked) - min(t.Served-last.Served, t.Asked-last.Asked)}}}}})
+			UpstreamLocalityStats: []*endpoint.UpstreamLocalityStats{{TotalIssuedRequests: t.Issued - last.Issued,
+				TotalSuccessfulRequests: t.Succeeded - last.Succeeded,
+				TotalErrorRequests:      (t.Issued - last.Issued) - min(t.Succeeded-last.Succeeded, t.Issued-last.Issued)}}}}})
 		if err != nil {
 			return err
 		}
--- a/internal/controlplane/service/operators.go
+++ b/internal/controlplane/service/operators.go
@@ -13,17 +13,17 @@
 	"time"
 )
 
-// RefusedLines is a service's refusal of a text, as it told it.
-type RefusedLines struct{ Reasons []string }
+// PushRejectedError is a service's refusal of a text, as it told it.
+type PushRejectedError struct{ Reasons []string }
 
-func (r *RefusedLines) Error() string {
+func (r *PushRejectedError) Error() string {
 	return "refused, nothing has changed:\n" + strings.Join(r.Reasons, "\n")
 }
 
-// Call asks a service's listener for operators, at host:port or at a Unix
+// AdminCall asks a service's listener for operators, at host:port or at a Unix
 // socket's path, and returns the body of its answer. What it refuses to make a
-// version is a *RefusedLines.
-func Call(ctx context.Context, admin, method, path string, body []byte) ([]byte, error) {
+// version is a *PushRejectedError.
+func AdminCall(ctx context.Context, admin, method, path string, body []byte) ([]byte, error) {
 	network, base := "tcp", "http://"+admin
 	if strings.HasPrefix(admin, "/") {
 		network, base = "unix", "http://unix"
@@ -51,7 +51,7 @@
 		if err := json.Unmarshal(b, &r); err != nil {
 			return nil, err
 		}
-		return nil, &RefusedLines{r.Reasons}
+		return nil, &PushRejectedError{r.Reasons}
 	}
 	if res.StatusCode != http.StatusOK {
 		var r PushResult
@@ -63,13 +63,13 @@
 	return b, nil
 }
 
-// PushTo pushes settings to a service, and returns their number.
-func PushTo(ctx context.Context, admin string, text []byte, now bool) (int64, error) {
+// AdminPush pushes settings to a service, and returns their number.
+func AdminPush(ctx context.Context, admin string, text []byte, now bool) (int64, error) {
 	q := url.Values{}
 	if now {
 		q.Set("now", "1")
 	}
-	b, err := Call(ctx, admin, "POST", "/push?"+q.Encode(), text)
+	b, err := AdminCall(ctx, admin, "POST", "/push?"+q.Encode(), text)
 	if err != nil {
 		return 0, err
 	}
@@ -78,9 +78,9 @@
 	return r.Number, err
 }
 
-// StatusOf is a service's status.
-func StatusOf(ctx context.Context, admin string) (v StatusView, err error) {
-	b, err := Call(ctx, admin, "GET", "/status", nil)
+// AdminStatus is a service's status.
+func AdminStatus(ctx context.Context, admin string) (v StatusView, err error) {
+	b, err := AdminCall(ctx, admin, "GET", "/status", nil)
 	if err != nil {
 		return v, err
 	}
--- a/internal/controlplane/service/pieces.go
+++ b/internal/controlplane/service/pieces.go
@@ -112,10 +112,10 @@
 	return strings.TrimSuffix(strings.TrimPrefix(text, "(member "), ")\n")
 }
 
-// Judge reads a text of settings and makes the checks that hold at every
+// Validate reads a text of settings and makes the checks that hold at every
 // router, against the version before it where there is one: the canonical text,
 // or every reason against it.
-func Judge(sources []config.Source, before []byte, l configversion.CheckLimits) (body []byte, reasons []configversion.Reason) {
+func Validate(sources []config.Source, before []byte, l configversion.CheckLimits) (body []byte, reasons []configversion.Reason) {
 	var old *config.Settings
 	if len(before) > 0 {
 		o := &config.Settings{}
@@ -143,5 +143,7 @@
 	return out
 }
 
-// NoLimits are limits that bound no change, for checks of settings by themselves.
-var NoLimits = configversion.CheckLimits{ParentChurn: 1, CacheChurn: 1}
+// NoLimits returns limits that bound no change, for checks of settings by themselves.
+func NoLimits() configversion.CheckLimits {
+	return configversion.CheckLimits{ParentChurn: 1, CacheChurn: 1}
+}
--- a/internal/controlplane/service/server.go
+++ b/internal/controlplane/service/server.go
@@ -22,25 +22,25 @@
 	"indigospool/internal/wallclock"
 )
 
-// Keeper keeps what a service must not forget. Save returns once it would
+// StateStore keeps what a service must not forget. Save returns once it would
 // survive a crash.
-type Keeper interface {
+type StateStore interface {
 	Save(rollout.State) error
 }
 
 // ServerConfig is what a service is. Zero fields mean the defaults.
 type ServerConfig struct {
-	Name      string // and epoch: unlike any other service's
-	Rollout   rollout.Settings
-	State     rollout.State
-	Keep      Keeper
-	PerSecond float64       // streams accepted a second; others wait; default 200
-	Streams   int           // at once; more are turned away; default 4000
-	Tick      time.Duration // default 250 ms
-	Reports   time.Duration // how often routers are to report service; default 10 s
-	Limits    configversion.CheckLimits
-	Sent      func(router string, v configversion.Version) // a version is about to be written to a stream; nil: nobody asks
-	Note      func(text string)                            // what happens, as it happens; nil: only Status tells
+	Name             string // and epoch: unlike any other service's
+	Rollout          rollout.Settings
+	State            rollout.State
+	Store            StateStore
+	StreamsPerSecond float64       // streams accepted a second; others wait; default 200
+	MaxStreams       int           // at once; more are turned away; default 4000
+	TickInterval     time.Duration // default 250 ms
+	ReportInterval   time.Duration // how often routers are to report service; default 10 s
+	Limits           configversion.CheckLimits
+	OnSend           func(router string, v configversion.Version) // a version is about to be written to a stream; nil: nobody asks
+	OnEvent          func(text string)                            // what happens, as it happens; nil: only Status tells
 }
 
 // Server is a control service.
@@ -72,17 +72,17 @@
 
 // NewServer makes a service; options are gRPC's, as credentials.
 func NewServer(cfg ServerConfig, opts ...grpc.ServerOption) *Server {
-	if cfg.PerSecond <= 0 {
-		cfg.PerSecond = 200
+	if cfg.StreamsPerSecond <= 0 {
+		cfg.StreamsPerSecond = 200
 	}
-	if cfg.Streams <= 0 {
-		cfg.Streams = 4000
+	if cfg.MaxStreams <= 0 {
+		cfg.MaxStreams = 4000
 	}
-	if cfg.Tick <= 0 {
-		cfg.Tick = 250 * time.Millisecond
+	if cfg.TickInterval <= 0 {
+		cfg.TickInterval = 250 * time.Millisecond
 	}
-	if cfg.Reports <= 0 {
-		cfg.Reports = 10 * time.Second
+	if cfg.ReportInterval <= 0 {
+		cfg.ReportInterval = 10 * time.Second
 	}
 	opts = append([]grpc.ServerOption{grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second}),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 20 * time.Second, Timeout: 10 * time.Second})}, opts...)
@@ -91,7 +91,7 @@
 	discovery.RegisterAggregatedDiscoveryServiceServer(s.grpc, s)
 	load.RegisterLoadReportingServiceServer(s.grpc, s)
 	go func() {
-		t := time.NewTicker(cfg.Tick)
+		t := time.NewTicker(cfg.TickInterval)
 		defer t.Stop()
 		for {
 			select {
@@ -149,10 +149,10 @@
 	for i, a := range actions {
 		switch a := a.(type) {
 		case rollout.Persist:
-			if s.cfg.Keep == nil {
+			if s.cfg.Store == nil {
 				continue
 			}
-			if err := s.cfg.Keep.Save(a.State); err != nil {
+			if err := s.cfg.Store.Save(a.State); err != nil {
 				s.bar(err, actions[i+1:])
 				return
 			}
@@ -179,8 +179,8 @@
 
 func (s *Server) note(format string, a ...any) {
 	text := fmt.Sprintf(format, a...)
-	if s.cfg.Note != nil {
-		s.cfg.Note(text)
+	if s.cfg.OnEvent != nil {
+		s.cfg.OnEvent(text)
 	}
 	s.events = append(s.events, wallclock.Now().UTC().Format("15:04:05.000 ")+text)
 	if len(s.events) > 100 {
@@ -188,10 +188,10 @@
 	}
 }
 
-// A Refused error says why a text was not made a version.
-type Refused struct{ Reasons []configversion.Reason }
+// A RejectedError says why a text was not made a version.
+type RejectedError struct{ Reasons []configversion.Reason }
 
-func (r *Refused) Error() string {
+func (r *RejectedError) Error() string {
 	text := "control: not made a version"
 	for _, one := range r.Reasons {
 		text += "\n" + one.String()
@@ -199,10 +199,10 @@
 	return text
 }
 
-// Push begins the rollout of a body as it is, and returns its number. It makes
-// no checks but the routers'; see Offer. Where the state can't be kept, the error is
-// an *UnkeptError.
-func (s *Server) Push(body []byte, force bool) (int64, error) {
+// PushUnchecked begins the rollout of a body as it is, and returns its number. It makes
+// no checks but the routers'; see PushSources. Where the state can't be kept, the error is
+// an *PersistError.
+func (s *Server) PushUnchecked(body []byte, force bool) (int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.pushLocked(body, force)
@@ -220,10 +220,10 @@
 	return max(st.Next.Number, st.Base.Number), nil
 }
 
-// Offer checks settings, makes them canonical and begins their rollout. What
-// does not pass the checks is refused with every reason, a *Refused. The same
+// PushSources checks settings, makes them canonical and begins their rollout. What
+// does not pass the checks is refused with every reason, a *RejectedError. The same
 // content as the newest version's is not pushed again: its number is returned.
-func (s *Server) Offer(sources []config.Source, force bool) (number int64, fresh bool, err error) {
+func (s *Server) PushSources(sources []config.Source, force bool) (number int64, fresh bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.refusal(false); err != nil {
@@ -234,9 +234,9 @@
 	if st.Next.Number > 0 {
 		newest = st.Next
 	}
-	body, reasons := Judge(sources, newest.Body, s.cfg.Limits)
+	body, reasons := Validate(sources, newest.Body, s.cfg.Limits)
 	if len(reasons) > 0 {
-		return 0, false, &Refused{reasons}
+		return 0, false, &RejectedError{reasons}
 	}
 	if newest.Number > 0 && newest.Sum == configversion.Checksum(body) && !(force && st.Next.Number > 0) {
 		return newest.Number, false, nil
@@ -246,7 +246,7 @@
 }
 
 // Halt stops the rollout under way; the old content goes to all under a new number.
-// Where the state can't be kept, the error is an *UnkeptError.
+// Where the state can't be kept, the error is an *PersistError.
 func (s *Server) Halt(why string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -259,11 +259,11 @@
 
 // Status is what a service knows.
 type Status struct {
-	Service string
-	State   rollout.State // as it was kept
-	Routers []rollout.RouterStatus
-	Events  []string
-	Unkept  *UnkeptError // the state can't be kept for now; nil: it can
+	Service      string
+	State        rollout.State // as it was kept
+	Routers      []rollout.RouterStatus
+	Events       []string
+	PersistError *PersistError // the state can't be kept for now; nil: it can
 }
 
 // Status tells which version each router runs, what it refused and why.
@@ -272,7 +272,7 @@
 	defer s.mu.Unlock()
 	st := Status{s.cfg.Name, s.rollout.State(), s.rollout.Status(), append([]string(nil), s.events...), nil}
 	if u := s.unkept; u != nil {
-		st.State, st.Unkept = s.kept, &UnkeptError{Since: u.since, Err: u.err}
+		st.State, st.PersistError = s.kept, &PersistError{Since: u.since, Err: u.err}
 	}
 	return st
 }
@@ -286,11 +286,11 @@
 		s.next = t
 	}
 	wait := s.next.Sub(t)
-	if wait > 2*time.Second || len(s.streams) >= s.cfg.Streams {
+	if wait > 2*time.Second || len(s.streams) >= s.cfg.MaxStreams {
 		s.mu.Unlock()
 		return status.Error(codes.ResourceExhausted, "control: too many streams begin at once; come back later")
 	}
-	s.next = s.next.Add(time.Duration(float64(time.Second) / s.cfg.PerSecond))
+	s.next = s.next.Add(time.Duration(float64(time.Second) / s.cfg.StreamsPerSecond))
 	s.mu.Unlock()
 	select {
 	case <-time.After(wait):
@@ -351,8 +351,8 @@
 		for {
 			select {
 			case v := <-st.send:
-				if s.cfg.Sent != nil {
-					s.cfg.Sent(first.router, v)
+				if s.cfg.OnSend != nil {
+					s.cfg.OnSend(first.router, v)
 				}
 				if err := p.send(v, s.cfg.Name); err != nil {
 					cancel(err)
--- a/internal/controlplane/service/service.go
+++ b/internal/controlplane/service/service.go
@@ -27,7 +27,7 @@
 // Service is a control service as a program runs it.
 type Service struct {
 	*Server
-	set   *ServiceSettings
+	set   *Settings
 	log   *zap.Logger
 	store *configstore.Store
 	ln    net.Listener
@@ -68,7 +68,7 @@
 	return before, before == sum
 }
 
-// Save implements Keeper.
+// Save implements StateStore.
 func (k *diskKeeper) Save(st rollout.State) error {
 	k.mu.Lock()
 	folder := k.folder
@@ -113,14 +113,14 @@
 	return st, nil
 }
 
-// StartService begins a service from its store and listens. sent is as in
+// Start begins a service from its store and listens. sent is as in
 // ServerConfig.
-func StartService(set *ServiceSettings, log *zap.Logger, sent func(router string, v configversion.Version)) (*Service, error) {
-	return StartServiceOn(configstore.Disk{}, set, log, sent)
+func Start(set *Settings, log *zap.Logger, sent func(router string, v configversion.Version)) (*Service, error) {
+	return StartWithFiles(configstore.Disk{}, set, log, sent)
 }
 
-// StartServiceOn is StartService by the operations of a file system, for fault injection.
-func StartServiceOn(files configstore.FileSystem, set *ServiceSettings, log *zap.Logger, sent func(router string, v configversion.Version)) (*Service, error) {
+// StartWithFiles is Start by the operations of a file system, for fault injection.
+func StartWithFiles(files configstore.FileSystem, set *Settings, log *zap.Logger, sent func(router string, v configversion.Version)) (*Service, error) {
 	s := &Service{set: set, log: log, done: make(chan struct{})}
 	f := &set.Service
 	var err error
@@ -144,19 +144,19 @@
 	}
 	var opts []grpc.ServerOption
 	if f.Cert != "" {
-		keys := &Keys{Cert: f.Cert, Key: f.Key, Authorities: f.Roots, Warn: func(text string) { log.Warn(text) }}
+		keys := &CertificateFiles{Cert: f.Cert, Key: f.Key, Authorities: f.Authorities, Warn: func(text string) { log.Warn(text) }}
 		if err := keys.Load(); err != nil {
 			s.store.Close()
 			return nil, err
 		}
-		opts = append(opts, grpc.Creds(keys.Server()))
+		opts = append(opts, grpc.Creds(keys.ServerCredentials()))
 	}
 	s.keep = keep
-	s.Server = NewServer(ServerConfig{Name: f.Name + "/" + keep.id, Rollout: set.Rollout.settings(), State: state, Keep: keep,
-		PerSecond: f.PerSecond, Streams: f.Streams, Reports: time.Duration(f.Reports * float64(time.Millisecond)),
+	s.Server = NewServer(ServerConfig{Name: f.Name + "/" + keep.id, Rollout: set.Rollout.settings(), State: state, Store: keep,
+		StreamsPerSecond: f.PerSecond, MaxStreams: f.Streams, ReportInterval: time.Duration(f.Reports * float64(time.Millisecond)),
 		Limits: configversion.CheckLimits{ParentChurn: set.Checks.ParentChurn, CacheChurn: set.Checks.BoxChurn,
 			MaxCapacity: set.Checks.MaxSize, MaxLinkCapacity: set.Checks.MaxLink},
-		Sent: sent, Note: func(text string) { log.Info(text) }}, opts...)
+		OnSend: sent, OnEvent: func(text string) { log.Info(text) }}, opts...)
 	if err := s.listen(); err != nil {
 		s.Close()
 		return nil, err
@@ -242,10 +242,10 @@
 	if known {
 		return lookEvery
 	}
-	number, fresh, err := s.Offer(sources, false)
-	var unkept *UnkeptError
+	number, fresh, err := s.PushSources(sources, false)
+	var unkept *PersistError
 	switch {
-	case errors.As(err, &unkept) && !unkept.Taken:
+	case errors.As(err, &unkept) && !unkept.Queued:
 		s.keep.fromFolder(before)
 		return lastRetry
 	case err != nil:
@@ -259,7 +259,7 @@
 // PushResult is what became of a push.
 type PushResult struct {
 	Number  int64    `json:"number,omitempty"`
-	Fresh   bool     `json:"fresh"` // false: the newest version has that content already
+	Created bool     `json:"fresh"` // false: the newest version has that content already
 	Reasons []string `json:"reasons,omitempty"`
 	Error   string   `json:"error,omitempty"`
 }
@@ -271,7 +271,7 @@
 }
 
 func pushed(w http.ResponseWriter, number int64, fresh bool, err error) {
-	var refused *Refused
+	var refused *RejectedError
 	switch {
 	case errors.As(err, &refused):
 		var lines []string
@@ -282,7 +282,7 @@
 	case err != nil:
 		answerJSON(w, http.StatusServiceUnavailable, PushResult{Error: err.Error()})
 	default:
-		answerJSON(w, http.StatusOK, PushResult{Number: number, Fresh: fresh})
+		answerJSON(w, http.StatusOK, PushResult{Number: number, Created: fresh})
 	}
 }
 
@@ -302,11 +302,11 @@
 		name = "pushed"
 	}
 	if q.Has("unchecked") {
-		number, err := s.Push(b, q.Has("now"))
+		number, err := s.PushUnchecked(b, q.Has("now"))
 		pushed(w, number, true, err)
 		return
 	}
-	number, fresh, err := s.Offer([]config.Source{{File: name, Text: string(b)}}, q.Has("now"))
+	number, fresh, err := s.PushSources([]config.Source{{File: name, Text: string(b)}}, q.Has("now"))
 	pushed(w, number, fresh, err)
 }
 
@@ -331,7 +331,7 @@
 		answerJSON(w, unread(err), PushResult{Error: fmt.Sprintf("version %d is not kept, or can't be read: %v; see spool-control versions", to, err)})
 		return
 	}
-	number, err := s.Push(v.Body, r.URL.Query().Has("now"))
+	number, err := s.PushUnchecked(v.Body, r.URL.Query().Has("now"))
 	pushed(w, number, true, err)
 }
 
@@ -343,17 +343,17 @@
 
 // StatusView is Status without the versions' bodies.
 type StatusView struct {
-	Service string                 `json:"service"`
-	Last    int64                  `json:"last"`
-	Base    int64                  `json:"base"`           // everybody's
-	Next    int64                  `json:"next,omitempty"` // on its way
-	Stage   int                    `json:"stage,omitempty"`
-	Halted  string                 `json:"halted,omitempty"` // why the last rollout was
-	Routers []rollout.RouterStatus `json:"routers"`
-	Events  []string               `json:"events"`
-	Unkept  string                 `json:"unkept,omitempty"`       // why the state can't be kept for now
-	Since   string                 `json:"unkept_since,omitempty"` // since when, and
-	ForMs   float64                `json:"unkept_ms,omitempty"`    // for how long
+	Service         string                 `json:"service"`
+	Last            int64                  `json:"last"`
+	Base            int64                  `json:"base"`           // everybody's
+	Next            int64                  `json:"next,omitempty"` // on its way
+	Stage           int                    `json:"stage,omitempty"`
+	Halted          string                 `json:"halted,omitempty"` // why the last rollout was
+	Routers         []rollout.RouterStatus `json:"routers"`
+	Events          []string               `json:"events"`
+	StateFault      string                 `json:"unkept,omitempty"`       // why the state can't be kept for now
+	StateFaultSince string                 `json:"unkept_since,omitempty"` // since when, and
+	StateFaultMs    float64                `json:"unkept_ms,omitempty"`    // for how long
 }
 
 // View is what operators are shown.
@@ -362,11 +362,11 @@
 	v := StatusView{Service: st.Service, Last: st.State.LastNumber, Base: st.State.Base.Number, Next: st.State.Next.Number,
 		Stage: st.State.Stage, Halted: st.State.HaltReason, Routers: st.Routers, Events: st.Events}
 	since, fault := s.store.Fault()
-	if st.Unkept != nil {
-		since, fault = st.Unkept.Since, st.Unkept.Err
+	if st.PersistError != nil {
+		since, fault = st.PersistError.Since, st.PersistError.Err
 	}
 	if fault != nil {
-		v.Unkept, v.Since, v.ForMs = fault.Error(), since.UTC().Format(time.RFC3339Nano), float64(time.Since(since).Microseconds())/1000
+		v.StateFault, v.StateFaultSince, v.StateFaultMs = fault.Error(), since.UTC().Format(time.RFC3339Nano), float64(time.Since(since).Microseconds())/1000
 	}
 	return v
 }
--- a/internal/controlplane/service/service_test.go
+++ b/internal/controlplane/service/service_test.go
@@ -44,7 +44,7 @@
 		return err
 	}
 	for n := 0; ; n++ {
-		number, _, err := s.Offer([]config.Source{{File: "x", Text: string(body(1, fmt.Sprintf("(limits (held %d))", 1+rand.IntN(1e6))))}}, n%3 == 0)
+		number, _, err := s.PushSources([]config.Source{{File: "x", Text: string(body(1, fmt.Sprintf("(limits (held %d))", 1+rand.IntN(1e6))))}}, n%3 == 0)
 		if err != nil {
 			return err
 		}
@@ -57,12 +57,12 @@
 }
 
 func startService(dir, extra string, log *zap.Logger) (*Service, error) {
-	var s ServiceSettings
+	var s Settings
 	if err := config.Read("svc", fmt.Sprintf(`(service (listen "127.0.0.1:0") (admin "127.0.0.1:0") (store %q) (keep 5) %s)
 		(rollout (hold 50))`, filepath.Join(dir, "svc.db"), extra), &s); err != nil {
 		return nil, err
 	}
-	return StartService(&s, log, nil)
+	return Start(&s, log, nil)
 }
 
 // Killed at any moment, a service goes on with what it had said: no number is
@@ -162,10 +162,10 @@
 		return p
 	}
 	eventually(t, "the stream", func() bool { return len(s.View().Routers) == 1 })
-	if p := push("/push?now&name=a.edn", string(body(3, "")), 200); p.Number != 1 || !p.Fresh {
+	if p := push("/push?now&name=a.edn", string(body(3, "")), 200); p.Number != 1 || !p.Created {
 		t.Errorf("%+v", p)
 	}
-	if p := push("/push", "; the same again\n"+string(body(3, "")), 200); p.Number != 1 || p.Fresh {
+	if p := push("/push", "; the same again\n"+string(body(3, "")), 200); p.Number != 1 || p.Created {
 		t.Errorf("the same content: %+v", p)
 	}
 	p := push("/push?name=b.edn", string(body(3, "(zone y (routers 1))\n(limits (held 0))")), 422)
@@ -264,7 +264,7 @@
 	}
 	var last int64
 	for i := range 6 {
-		last, _ = s.Push(body(3, fmt.Sprintf("(limits (held %d))", 10+i)), true)
+		last, _ = s.PushUnchecked(body(3, fmt.Sprintf("(limits (held %d))", 10+i)), true)
 	}
 	store, err := configstore.Open(filepath.Join(dir, "router.db"))
 	if err != nil {
@@ -296,7 +296,7 @@
 	}
 	r = follow(t, false, "r", 2, store, s.Addr())
 	eventually(t, "the lead of the router", func() bool { return s.View().Last == last })
-	n, err := s.Push(body(4, ""), true)
+	n, err := s.PushUnchecked(body(4, ""), true)
 	if err != nil || n != last+1 {
 		t.Fatal(n, err)
 	}
@@ -316,7 +316,7 @@
 		`(service (store x)) (checks (parent-churn 0))`:             "it must be from 0.01 to 1",
 		`(service (store x) (per-second 0)) (rollout (patience 0))`: "must be",
 	} {
-		var s ServiceSettings
+		var s Settings
 		if err := config.Read("svc", text, &s); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v, want %q", text, err, want)
 		}
@@ -324,10 +324,10 @@
 	if _, err := ReadFolder(t.TempDir()); err == nil || !strings.Contains(err.Error(), "holds no file *.edn") {
 		t.Errorf("an empty folder: %v", err)
 	}
-	var refused *Refused
+	var refused *RejectedError
 	s := NewServer(ServerConfig{Name: "x"})
 	defer s.Stop()
-	_, _, err := s.Offer([]config.Source{{File: "f", Text: "(router)"}}, false)
+	_, _, err := s.PushSources([]config.Source{{File: "f", Text: "(router)"}}, false)
 	if !errors.As(err, &refused) || s.Status().State.LastNumber != 0 {
 		t.Errorf("%v, %+v", err, s.Status().State)
 	}
@@ -343,12 +343,12 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if _, _, err := s.Offer([]config.Source{{File: "x", Text: string(body(3, ""))}}, true); err != nil {
+	if _, _, err := s.PushSources([]config.Source{{File: "x", Text: string(body(3, ""))}}, true); err != nil {
 		t.Fatal(err)
 	}
 	plain := follow(t, false, "plain", 1, nil, s.Addr())
 	r := followFor(t, AgentConfig{Router: "r", Services: []string{s.Addr()},
-		Dial: []grpc.DialOption{grpc.WithTransportCredentials(a.keys(dir, "r", "r", time.Hour).Client("control"))}})
+		DialOptions: []grpc.DialOption{grpc.WithTransportCredentials(a.keys(dir, "r", "r", time.Hour).ClientCredentials("control"))}})
 	eventually(t, "the version over TLS", all([]*router{r}, 1))
 	if n, _ := plain.Running(); n != 0 {
 		t.Error("a router without a certificate got a version")
--- a/internal/controlplane/service/settings.go
+++ b/internal/controlplane/service/settings.go
@@ -9,34 +9,34 @@
 	"indigospool/internal/controlplane/rollout"
 )
 
-// ServiceSettings is the settings file of a control service. Spans are in ms.
-type ServiceSettings struct {
-	Service ServiceForm `edn:"service,required"`
-	Rollout RolloutForm `edn:"rollout"`
-	Checks  ChecksForm  `edn:"checks"`
+// Settings is the settings file of a control service. Spans are in ms.
+type Settings struct {
+	Service ServiceSection `edn:"service,required"`
+	Rollout RolloutSection `edn:"rollout"`
+	Checks  ChecksSection  `edn:"checks"`
 }
 
-// ServiceForm is what the service is.
-type ServiceForm struct {
-	Place     config.Place
-	Name      string  `edn:"name" def:"control"`
-	Listen    string  `edn:"listen" def:"127.0.0.1:9900"` // for routers
-	Admin     string  `edn:"admin" def:"127.0.0.1:9901"`  // for operators: a loopback address, or the path of a Unix socket
-	Store     string  `edn:"store,required"`              // file of its state
-	Folder    string  `edn:"folder"`                      // of settings, *.edn; what changes there is offered; empty: only what is pushed
-	Keep      int     `edn:"keep" def:"64" min:"2" max:"900"`
-	Streams   int     `edn:"streams" def:"4000" min:"1"`
-	PerSecond float64 `edn:"per-second" def:"200" min:"0.1"` // streams that may begin; others wait or come back
-	Reports   float64 `edn:"reports" def:"10000" min:"100"`  // how often routers report service
-	MaxBytes  int     `edn:"max-bytes" def:"16777216" min:"1024"`
-	Cert      string  `edn:"cert"`
-	Key       string  `edn:"key"`
-	Roots     string  `edn:"authorities"`
-	Log       string  `edn:"log" def:"stderr"` // stderr, stdout, none or a file
+// ServiceSection is what the service is.
+type ServiceSection struct {
+	Place       config.Place
+	Name        string  `edn:"name" def:"control"`
+	Listen      string  `edn:"listen" def:"127.0.0.1:9900"` // for routers
+	Admin       string  `edn:"admin" def:"127.0.0.1:9901"`  // for operators: a loopback address, or the path of a Unix socket
+	Store       string  `edn:"store,required"`              // file of its state
+	Folder      string  `edn:"folder"`                      // of settings, *.edn; what changes there is offered; empty: only what is pushed
+	Keep        int     `edn:"keep" def:"64" min:"2" max:"900"`
+	Streams     int     `edn:"streams" def:"4000" min:"1"`
+	PerSecond   float64 `edn:"per-second" def:"200" min:"0.1"` // streams that may begin; others wait or come back
+	Reports     float64 `edn:"reports" def:"10000" min:"100"`  // how often routers report service
+	MaxBytes    int     `edn:"max-bytes" def:"16777216" min:"1024"`
+	Cert        string  `edn:"cert"`
+	Key         string  `edn:"key"`
+	Authorities string  `edn:"authorities"`
+	Log         string  `edn:"log" def:"stderr"` // stderr, stdout, none or a file
 }
 
-// RolloutForm is rollout.Settings.
-type RolloutForm struct {
+// RolloutSection is rollout.Settings.
+type RolloutSection struct {
 	Stages   []float64 `edn:"stages" min:"0" max:"1"` // default 0 0.1 1: one router, a tenth, all
 	Hold     float64   `edn:"hold" def:"30000" min:"0"`
 	Patience float64   `edn:"patience" def:"120000" min:"1"`
@@ -46,8 +46,8 @@
 	Asked    float64   `edn:"asked" def:"200" min:"1"`
 }
 
-// ChecksForm is configversion.CheckLimits.
-type ChecksForm struct {
+// ChecksSection is configversion.CheckLimits.
+type ChecksSection struct {
 	ParentChurn float64 `edn:"parent-churn" def:"0.5" min:"0.01" max:"1"`
 	BoxChurn    float64 `edn:"box-churn" def:"0.67" min:"0.01" max:"1"`
 	MaxSize     float64 `edn:"max-size" def:"1000000" min:"1"`
@@ -55,7 +55,7 @@
 }
 
 // Check tells what contradicts itself.
-func (s *ServiceSettings) Check(f *config.Faults) {
+func (s *Settings) Check(f *config.Faults) {
 	add := func(p config.Pos, key, what, remedy string) {
 		*f = append(*f, config.Fault{Pos: p, Key: key, What: what, Remedy: remedy})
 	}
@@ -73,7 +73,7 @@
 				"the listener for operators has no password: bind it to 127.0.0.1 or to a Unix socket")
 		}
 	}
-	if n := len(v.Cert) * len(v.Key) * len(v.Roots); n == 0 && v.Cert+v.Key+v.Roots != "" {
+	if n := len(v.Cert) * len(v.Key) * len(v.Authorities); n == 0 && v.Cert+v.Key+v.Authorities != "" {
 		add(v.Place.Pos, "service/cert", "cert, key and authorities are not all given", "give all three, or none")
 	}
 	for i := 1; i < len(s.Rollout.Stages); i++ {
@@ -91,7 +91,7 @@
 	return host == "localhost" || ip != nil && ip.IsLoopback()
 }
 
-func (r RolloutForm) settings() rollout.Settings {
+func (r RolloutSection) settings() rollout.Settings {
 	return rollout.Settings{Stages: r.Stages, MinStageTime: r.Hold, AnswerTimeout: r.Patience, MaxRejectedShare: r.Refused, MaxSilentShare: r.Silent,
 		MaxServiceDrop: r.Fall, MinRequests: r.Asked}
 }
--- a/internal/controlplane/service/storing.go
+++ b/internal/controlplane/service/storing.go
@@ -27,8 +27,8 @@
 		a.cfg.Warn(fmt.Sprintf("the last good configuration can't be read for now, and is tried again: %v", fault))
 	}
 	switch {
-	case (a.restoring || errors.Is(found.Err, configstore.ErrNoVersion)) && a.cfg.Known.Number > 0:
-		a.tell(configversion.Restored{Version: a.cfg.Known})
+	case (a.restoring || errors.Is(found.Err, configstore.ErrNoVersion)) && a.cfg.Initial.Number > 0:
+		a.tell(configversion.Restored{Version: a.cfg.Initial})
 	case !a.restoring && !errors.Is(found.Err, configstore.ErrNoVersion):
 		a.tell(found)
 	}
@@ -123,7 +123,7 @@
 			a.tellLocked(a.stored(v)...)
 			return true
 		}
-		if time.Since(since) >= a.cfg.Trying {
+		if time.Since(since) >= a.cfg.StoreTimeout {
 			a.pending = nil
 			a.tellLocked(configversion.Stored{Number: v.Number, Err: err})
 		}
--- a/internal/controlplane/service/tls.go
+++ b/internal/controlplane/service/tls.go
@@ -17,11 +17,11 @@
 	"google.golang.org/grpc/status"
 )
 
-// Keys are the files of one side's certificate, its key, and the authorities
+// CertificateFiles are the files of one side's certificate, its key, and the authorities
 // that the other side's certificate must come from. They are read again when
 // they change, without a restart; a change that can't be read leaves the last
 // good ones in force.
-type Keys struct {
+type CertificateFiles struct {
 	Cert, Key, Authorities string
 	Warn                   func(text string)
 
@@ -39,12 +39,12 @@
 const lookAgain = time.Second // how often files are looked at, at most
 
 // Load reads the files, or says which of them is wrong and why.
-func (k *Keys) Load() error {
+func (k *CertificateFiles) Load() error {
 	_, err := k.current(true)
 	return err
 }
 
-func (k *Keys) stamps() (s [3]time.Time, err error) {
+func (k *CertificateFiles) stamps() (s [3]time.Time, err error) {
 	for i, f := range []string{k.Cert, k.Key, k.Authorities} {
 		st, err := os.Stat(f)
 		if err != nil {
@@ -55,7 +55,7 @@
 	return s, nil
 }
 
-func (k *Keys) current(strict bool) (*loadedKeys, error) {
+func (k *CertificateFiles) current(strict bool) (*loadedKeys, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if !strict && k.loaded != nil && time.Since(k.looked) < lookAgain {
@@ -75,7 +75,7 @@
 }
 
 // read reads the files if they have changed.
-func (k *Keys) read() (*loadedKeys, error) {
+func (k *CertificateFiles) read() (*loadedKeys, error) {
 	stamp, err := k.stamps()
 	if err != nil {
 		return nil, err
@@ -98,7 +98,7 @@
 }
 
 // verify checks the other side's chain with the authorities of now.
-func (k *Keys) verify(raw [][]byte, name string, usage x509.ExtKeyUsage) error {
+func (k *CertificateFiles) verify(raw [][]byte, name string, usage x509.ExtKeyUsage) error {
 	l, err := k.current(false)
 	if err != nil {
 		return err
@@ -122,8 +122,8 @@
 	return nil
 }
 
-// Server are a service's credentials: routers must show a certificate.
-func (k *Keys) Server() credentials.TransportCredentials {
+// ServerCredentials are a service's credentials: routers must show a certificate.
+func (k *CertificateFiles) ServerCredentials() credentials.TransportCredentials {
 	return credentials.NewTLS(&tls.Config{MinVersion: tls.VersionTLS13, ClientAuth: tls.RequireAnyClientCert,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 			l, err := k.current(false)
@@ -160,8 +160,8 @@
 		leaf.Subject.CommonName, leaf.DNSNames, router)
 }
 
-// Client are a router's credentials for a service of the given name.
-func (k *Keys) Client(service string) credentials.TransportCredentials {
+// ClientCredentials are a router's credentials for a service of the given name.
+func (k *CertificateFiles) ClientCredentials(service string) credentials.TransportCredentials {
 	return credentials.NewTLS(&tls.Config{MinVersion: tls.VersionTLS13, ServerName: service,
 		InsecureSkipVerify: true, // the chain and the name are verified below, with the authorities of now
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
--- a/internal/controlplane/service/tls_test.go
+++ b/internal/controlplane/service/tls_test.go
@@ -43,7 +43,7 @@
 }
 
 // issue writes a certificate for a name into the files of keys.
-func (a *authority) issue(k *Keys, name string, until time.Duration) {
+func (a *authority) issue(k *CertificateFiles, name string, until time.Duration) {
 	a.n++
 	key, _ := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	c := &x509.Certificate{SerialNumber: big.NewInt(a.n), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name},
@@ -66,8 +66,8 @@
 	}
 }
 
-func (a *authority) keys(dir, name, cert string, until time.Duration) *Keys {
-	k := &Keys{Cert: filepath.Join(dir, name+".pem"), Key: filepath.Join(dir, name+".key"), Authorities: filepath.Join(dir, name+".ca")}
+func (a *authority) keys(dir, name, cert string, until time.Duration) *CertificateFiles {
+	k := &CertificateFiles{Cert: filepath.Join(dir, name+".pem"), Key: filepath.Join(dir, name+".key"), Authorities: filepath.Join(dir, name+".ca")}
 	a.issue(k, cert, until)
 	return k
 }
@@ -89,16 +89,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := NewServer(ServerConfig{Name: "svc", Keep: &memory{}, Tick: 10 * time.Millisecond}, grpc.Creds(serverKeys.Server()))
+	s := NewServer(ServerConfig{Name: "svc", Store: &memory{}, TickInterval: 10 * time.Millisecond}, grpc.Creds(serverKeys.ServerCredentials()))
 	go s.Serve(ln)
 	defer s.Stop()
-	s.Push(body(3, ""), true)
-	connect := func(k *Keys, service string) *router {
+	s.PushUnchecked(body(3, ""), true)
+	connect := func(k *CertificateFiles, service string) *router {
 		r := &router{}
 		r.Agent = StartAgent(AgentConfig{Router: strings.TrimSuffix(filepath.Base(k.Cert), ".pem"), Services: []string{ln.Addr().String()}, Backoff: 20 * time.Millisecond,
-			Dial: []grpc.DialOption{grpc.WithTransportCredentials(k.Client(service))},
-			Use:  func(configversion.Activate) { r.uses.Add(1) },
-			Warn: func(s string) { r.mu.Lock(); r.said = append(r.said, s); r.mu.Unlock() }})
+			DialOptions: []grpc.DialOption{grpc.WithTransportCredentials(k.ClientCredentials(service))},
+			Use:         func(configversion.Activate) { r.uses.Add(1) },
+			Warn:        func(s string) { r.mu.Lock(); r.said = append(r.said, s); r.mu.Unlock() }})
 		t.Cleanup(r.Close)
 		return r
 	}
@@ -115,7 +115,7 @@
 	eventually(t, "a router with good keys", all([]*router{r}, 1))
 	for _, c := range []struct {
 		name, want string
-		k          *Keys
+		k          *CertificateFiles
 		service    string
 	}{
 		{"wrong name", "not another.example.org", good.keys(dir, "r2", "r2", time.Hour), "another.example.org"},
@@ -131,7 +131,7 @@
 	}
 	// a good certificate speaks for its own router only
 	posing := followFor(t, AgentConfig{Router: "r9", Services: []string{ln.Addr().String()},
-		Dial: []grpc.DialOption{grpc.WithTransportCredentials(good.keys(dir, "r1", "r1", time.Hour).Client("control.example.org"))}})
+		DialOptions: []grpc.DialOption{grpc.WithTransportCredentials(good.keys(dir, "r1", "r1", time.Hour).ClientCredentials("control.example.org"))}})
 	eventually(t, "another router's name", heard(posing, `does not speak for router "r9"`))
 	posing.Close()
 	// the expired router gets a new certificate, and comes in without a restart
@@ -157,7 +157,7 @@
 	if l, err := k.current(false); err != nil || l == nil || !strings.Contains(said, "stay in force") {
 		t.Errorf("a damaged file: %v, %v, %q", l, err, said)
 	}
-	if err := (&Keys{Cert: "nowhere", Key: "x", Authorities: "x"}).Load(); err == nil || !strings.Contains(err.Error(), "nowhere") {
+	if err := (&CertificateFiles{Cert: "nowhere", Key: "x", Authorities: "x"}).Load(); err == nil || !strings.Contains(err.Error(), "nowhere") {
 		t.Errorf("no file: %v", err)
 	}
 }
--- a/internal/controlplane/service/unkept.go
+++ b/internal/controlplane/service/unkept.go
@@ -13,27 +13,27 @@
 	"indigospool/internal/controlplane/rollout"
 )
 
-// An UnkeptError says that a service's state can't be kept for now, so that nothing
+// An PersistError says that a service's state can't be kept for now, so that nothing
 // is offered or taken in. The service comes back by itself.
-type UnkeptError struct {
-	Since time.Time
-	Taken bool // what was asked for is taken in, and is carried out once the state is kept
-	Err   error
+type PersistError struct {
+	Since  time.Time
+	Queued bool // what was asked for is taken in, and is carried out once the state is kept
+	Err    error
 }
 
-func (u *UnkeptError) Error() string {
+func (u *PersistError) Error() string {
 	then := "nothing is taken in or offered until it can; try again"
-	if u.Taken {
+	if u.Queued {
 		then = "what was asked for is carried out once it can, and is lost if the service ends before"
 	}
 	return fmt.Sprintf("control: the state can't be kept since %s, for %v: %v; %s", u.Since.UTC().Format(time.TimeOnly),
 		time.Since(u.Since).Round(time.Millisecond), u.Err, then)
 }
 
-func (u *UnkeptError) Unwrap() error { return u.Err }
+func (u *PersistError) Unwrap() error { return u.Err }
 
 // GRPCStatus is what a router's stream ends with.
-func (u *UnkeptError) GRPCStatus() *status.Status { return status.New(codes.Unavailable, u.Error()) }
+func (u *PersistError) GRPCStatus() *status.Status { return status.New(codes.Unavailable, u.Error()) }
 
 const (
 	firstRetry = 50 * time.Millisecond // of keeping the state, or a version
@@ -68,7 +68,7 @@
 	if s.unkept == nil {
 		return nil
 	}
-	return &UnkeptError{s.unkept.since, taken, s.unkept.err}
+	return &PersistError{s.unkept.since, taken, s.unkept.err}
 }
 
 // putOff has the rollout hear of an event once the state is kept again. Streams end
@@ -79,7 +79,7 @@
 	case rollout.Disconnected:
 		*events = append(*events, ev)
 	case rollout.Acked, rollout.Nacked:
-		if len(*events) < 4*s.cfg.Streams {
+		if len(*events) < 4*s.cfg.MaxStreams {
 			*events = append(*events, ev)
 		}
 	}
@@ -93,7 +93,7 @@
 		return
 	}
 	state := s.rollout.State()
-	if err := s.cfg.Keep.Save(state); err != nil {
+	if err := s.cfg.Store.Save(state); err != nil {
 		u.err, u.wait = err, min(2*u.wait, lastRetry)
 		u.retry = time.Now().Add(u.wait)
 		return
--- a/internal/proxy/httpfront/admin.go
+++ b/internal/proxy/httpfront/admin.go
@@ -115,13 +115,13 @@
 		}
 		list = append(list, one)
 	}
-	out := map[string]any{"running": st.Running, "accepted": st.Accepted, "service": st.Service, "stream": st.Stream,
+	out := map[string]any{"running": st.Running, "accepted": st.Accepted, "service": st.Service, "stream": st.StreamState,
 		"unconfirmed_ms": st.Age, "list": list}
-	if st.Unkept > 0 {
-		out["not_stored"] = st.Unkept
+	if st.NotStored > 0 {
+		out["not_stored"] = st.NotStored
 	}
 	if st.StoreFault != nil {
-		out["store_fault"], out["store_fault_since"] = st.StoreFault.Error(), st.StoreSince.UTC()
+		out["store_fault"], out["store_fault_since"] = st.StoreFault.Error(), st.StoreFaultSince.UTC()
 	}
 	return out
 }
--- a/internal/proxy/httpfront/handover.go
+++ b/internal/proxy/httpfront/handover.go
@@ -162,7 +162,7 @@
 	if err == nil {
 		e.followed.Store(true)
 		if e.versions != nil {
-			e.versions.agent.Begin()
+			e.versions.agent.Connect()
 		}
 	}
 	return err
--- a/internal/proxy/httpfront/versions.go
+++ b/internal/proxy/httpfront/versions.go
@@ -48,11 +48,11 @@
 	v := &Versions{own: own, log: log, uses: make(chan configversion.Activate, 64), done: make(chan struct{}), edge: make(chan *Edge, 1)}
 	dial := grpc.WithTransportCredentials(insecure.NewCredentials())
 	if c.Cert != "" {
-		keys := &service.Keys{Cert: c.Cert, Key: c.Key, Authorities: c.Roots, Warn: func(text string) { log.Log.Warn(text) }}
+		keys := &service.CertificateFiles{Cert: c.Cert, Key: c.Key, Authorities: c.Roots, Warn: func(text string) { log.Log.Warn(text) }}
 		if err := keys.Load(); err != nil {
 			return nil, err
 		}
-		dial = grpc.WithTransportCredentials(keys.Client(c.Name))
+		dial = grpc.WithTransportCredentials(keys.ClientCredentials(c.Name))
 	}
 	if c.Store != "" {
 		var err error
@@ -63,15 +63,15 @@
 		}
 	}
 	cfg := service.AgentConfig{Router: own.Router.Name, Services: c.Services, Seed: uint64(own.Router.Seed), Store: v.store,
-		Backoff: span(c.Backoff), Full: c.Protocol == "full", MaxBytes: 2 * c.MaxBytes, Report: span(c.Report),
-		Dial:  []grpc.DialOption{dial},
-		Fleet: configversion.MachineSettings{Local: own, MaxBytes: c.MaxBytes, Jitter: c.Spread, Lease: c.Lease, UnconfirmedAfter: c.Old, StaleAfter: c.Stale},
-		Use:   v.use, Warn: func(text string) { log.Log.Warn(text) }}
+		Backoff: span(c.Backoff), StateOfTheWorld: c.Protocol == "full", MaxBytes: 2 * c.MaxBytes, ReportInterval: span(c.Report),
+		DialOptions: []grpc.DialOption{dial},
+		Machine:     configversion.MachineSettings{Local: own, MaxBytes: c.MaxBytes, Jitter: c.Spread, Lease: c.Lease, UnconfirmedAfter: c.Old, StaleAfter: c.Stale},
+		Use:         v.use, Warn: func(text string) { log.Log.Warn(text) }}
 	if c.Report > 0 {
-		cfg.Tally = v.tally
+		cfg.LoadCounts = v.tally
 	}
-	if cfg.Held = in != nil; cfg.Held && len(in.ConfigVersion) > 0 {
-		if err := json.Unmarshal(in.ConfigVersion, &cfg.Known); err != nil {
+	if cfg.Deferred = in != nil; cfg.Deferred && len(in.ConfigVersion) > 0 {
+		if err := json.Unmarshal(in.ConfigVersion, &cfg.Initial); err != nil {
 			log.Log.Warn("the predecessor's version can't be read", zap.Error(err))
 		}
 	}
@@ -144,7 +144,7 @@
 	if v.own.Control.Start != "wait" {
 		return nil, nil
 	}
-	v.agent.Begin()
+	v.agent.Connect()
 	v.log.Log.Info("waiting for the first version", zap.Strings("services", v.own.Control.Services))
 	select {
 	case u := <-v.uses:
@@ -212,11 +212,11 @@
 }
 
 // tally counts requests that have ended, for reports.
-func (v *Versions) tally() (t service.Tally, err error) {
+func (v *Versions) tally() (t service.LoadCounts, err error) {
 	e := <-v.edge // once a router is attached, it is there for all
 	v.edge <- e
 	err = e.Query(func(s *Stats, _ *engine.Core) {
-		t.Served, t.Asked = s.Served, s.Served+s.Refused+s.Failed+s.Broken
+		t.Succeeded, t.Issued = s.Served, s.Served+s.Refused+s.Failed+s.Broken
 	})
 	return t, err
 }
--- a/internal/proxy/httpfront/versions_test.go
+++ b/internal/proxy/httpfront/versions_test.go
@@ -77,14 +77,14 @@
 }
 
 func (v *versioned) serve(listen string) {
-	var s service.ServiceSettings
+	var s service.Settings
 	if err := config.Read("svc", fmt.Sprintf(`(service (listen %q) (admin "127.0.0.1:0") (store %q) (reports 100))
 		(rollout (hold 50))`, listen, filepath.Join(v.dir, "svc.db")), &s); err != nil {
 		v.t.Fatal(err)
 	}
 	var err error
 	for range 200 { // the address may take a moment to be free
-		if v.svc, err = service.StartService(&s, zap.NewNop(), nil); err == nil {
+		if v.svc, err = service.Start(&s, zap.NewNop(), nil); err == nil {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -98,7 +98,7 @@
 	for _, m := range v.members {
 		text += m
 	}
-	n, _, err := v.svc.Offer([]config.Source{{File: "test", Text: text}}, now)
+	n, _, err := v.svc.PushSources([]config.Source{{File: "test", Text: text}}, now)
 	if err != nil {
 		v.t.Fatal(err)
 	}
@@ -211,7 +211,7 @@
 			for _, m := range v.members {
 				bad += m
 			}
-			if _, err := v.svc.Push([]byte(bad), true); err != nil {
+			if _, err := v.svc.PushUnchecked([]byte(bad), true); err != nil {
 				t.Fatal(err)
 			}
 			for range 300 {
--- a/internal/testbed/bench/fleet.go
+++ b/internal/testbed/bench/fleet.go
@@ -46,7 +46,7 @@
 // serveControl is the service as a child: its listener for operators is told
 // behind the routers'.
 func serveControl(store string) error {
-	var s service.ServiceSettings
+	var s service.Settings
 	if err := config.Read("bench", fmt.Sprintf(`(service (name bench) (listen "127.0.0.1:0") (admin "127.0.0.1:0") (store %q)
 		(streams 10000) (per-second %s)) (checks (box-churn 1) (parent-churn 1))`, store, cmp.Or(os.Getenv(paceEnv), "500")), &s); err != nil {
 		return err
@@ -56,7 +56,7 @@
 			return err
 		}
 	}
-	svc, err := service.StartService(&s, zap.NewNop(), nil)
+	svc, err := service.Start(&s, zap.NewNop(), nil)
 	if err != nil {
 		return err
 	}
@@ -138,7 +138,7 @@
 		return r, err
 	}
 	push := func(size float64) (n int64, err error) {
-		n, err = service.PushTo(ctx, admin, fleetText(size), true)
+		n, err = service.AdminPush(ctx, admin, fleetText(size), true)
 		return n, err
 	}
 	if _, err := push(10); err != nil {
@@ -149,8 +149,8 @@
 	began := time.Now()
 	for i := range agents {
 		agents[i] = service.StartAgent(service.AgentConfig{Router: fmt.Sprintf("router-%04d", i), Services: []string{addr}, Seed: uint64(i),
-			Full: full, Use: func(configversion.Activate) {},
-			Dial: []grpc.DialOption{grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithStatsHandler(&got)}})
+			StateOfTheWorld: full, Use: func(configversion.Activate) {},
+			DialOptions: []grpc.DialOption{grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithStatsHandler(&got)}})
 	}
 	defer func() {
 		var wg sync.WaitGroup
@@ -323,7 +323,7 @@
 	number := 0
 	push := func() (int64, error) {
 		number++
-		return service.PushTo(ctx, admin, followerText(server.Addr, number), true)
+		return service.AdminPush(ctx, admin, followerText(server.Addr, number), true)
 	}
 	if _, err := push(); err != nil {
 		return r, err
@@ -381,7 +381,7 @@
 		r.Ratios = append(r.Ratios, float64(p99[1][i])/float64(p99[0][i]))
 	}
 	sort.Float64s(r.Ratios)
-	v, err := service.StatusOf(ctx, admin)
+	v, err := service.AdminStatus(ctx, admin)
 	if err == nil && len(v.Routers) == 1 {
 		r.Run = v.Routers[0].Running
 	}
--- a/internal/testbed/scenario/versions.go
+++ b/internal/testbed/scenario/versions.go
@@ -93,7 +93,7 @@
 // it sends: a version that does not pass the checks tells of no members, since
 // no router may go by it.
 func childControl() error {
-	var set service.ServiceSettings
+	var set service.Settings
 	in, faults, err := readSettings(&set)
 	if err != nil {
 		return err
@@ -101,12 +101,12 @@
 	out := trafficlog.NewWriter(os.Stdout)
 	var mu sync.Mutex
 	parsed := map[string]*config.Settings{} // by sum; nil: tells of nothing
-	svc, err := service.StartServiceOn(faultyFiles{faults: faults}, &set, zap.NewNop(), func(router string, v configversion.Version) {
+	svc, err := service.StartWithFiles(faultyFiles{faults: faults}, &set, zap.NewNop(), func(router string, v configversion.Version) {
 		mu.Lock()
 		s, known := parsed[v.Sum]
 		if !known {
 			s = &config.Settings{}
-			if config.ReadVersion("sent", string(v.Body), nil, s) != nil || len(configversion.Check(nil, s, service.NoLimits)) > 0 {
+			if config.ReadVersion("sent", string(v.Body), nil, s) != nil || len(configversion.Check(nil, s, service.NoLimits())) > 0 {
 				s = nil
 			}
 			parsed[v.Sum] = s
