--- a/internal/controlplane/service/operators.go
+++ b/internal/controlplane/service/adminclient.go
@@ -28,61 +28,61 @@
 	if strings.HasPrefix(admin, "/") {
 		network, base = "unix", "http://unix"
 	}
-	h := &http.Client{Timeout: 30 * time.Second, Transport: &http.Transport{
+	client := &http.Client{Timeout: 30 * time.Second, Transport: &http.Transport{
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			return (&net.Dialer{}).DialContext(ctx, network, admin)
 		}}}
-	defer h.CloseIdleConnections()
-	req, err := http.NewRequestWithContext(ctx, method, base+path, bytes.NewReader(body))
+	defer client.CloseIdleConnections()
+	request, err := http.NewRequestWithContext(ctx, method, base+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	res, err := h.Do(req)
+	response, err := client.Do(request)
 	if err != nil {
 		return nil, fmt.Errorf("control: %w; does spool-control serve run, and is this its (admin ...)?", err)
 	}
-	defer res.Body.Close()
-	b, err := io.ReadAll(res.Body)
+	defer response.Body.Close()
+	answer, err := io.ReadAll(response.Body)
 	if err != nil {
 		return nil, err
 	}
-	if res.StatusCode == http.StatusUnprocessableEntity {
-		var r PushResult
-		if err := json.Unmarshal(b, &r); err != nil {
+	if response.StatusCode == http.StatusUnprocessableEntity {
+		var result PushResult
+		if err := json.Unmarshal(answer, &result); err != nil {
 			return nil, err
 		}
-		return nil, &PushRejectedError{r.Reasons}
+		return nil, &PushRejectedError{result.Reasons}
 	}
-	if res.StatusCode != http.StatusOK {
-		var r PushResult
-		if json.Unmarshal(b, &r) == nil && r.Error != "" {
-			return nil, fmt.Errorf("control: %s", r.Error)
+	if response.StatusCode != http.StatusOK {
+		var result PushResult
+		if json.Unmarshal(answer, &result) == nil && result.Error != "" {
+			return nil, fmt.Errorf("control: %s", result.Error)
 		}
-		return nil, fmt.Errorf("control: the service answers %s: %s", res.Status, bytes.TrimSpace(b))
+		return nil, fmt.Errorf("control: the service answers %s: %s", response.Status, bytes.TrimSpace(answer))
 	}
-	return b, nil
+	return answer, nil
 }
 
 // AdminPush pushes settings to a service, and returns their number.
 func AdminPush(ctx context.Context, admin string, text []byte, now bool) (int64, error) {
-	q := url.Values{}
+	query := url.Values{}
 	if now {
-		q.Set("now", "1")
+		query.Set("now", "1")
 	}
-	b, err := AdminCall(ctx, admin, "POST", "/push?"+q.Encode(), text)
+	answer, err := AdminCall(ctx, admin, "POST", "/push?"+query.Encode(), text)
 	if err != nil {
 		return 0, err
 	}
-	var r PushResult
-	err = json.Unmarshal(b, &r)
-	return r.Number, err
+	var result PushResult
+	err = json.Unmarshal(answer, &result)
+	return result.Number, err
 }
 
 // AdminStatus is a service's status.
-func AdminStatus(ctx context.Context, admin string) (v StatusView, err error) {
-	b, err := AdminCall(ctx, admin, "GET", "/status", nil)
+func AdminStatus(ctx context.Context, admin string) (view StatusView, err error) {
+	answer, err := AdminCall(ctx, admin, "GET", "/status", nil)
 	if err != nil {
-		return v, err
+		return view, err
 	}
-	return v, json.Unmarshal(b, &v)
+	return view, json.Unmarshal(answer, &view)
 }
--- a/internal/controlplane/service/agent.go
+++ b/internal/controlplane/service/agent.go
@@ -41,27 +41,27 @@
 
 // Agent follows control services for one router.
 type Agent struct {
-	cfg    AgentConfig
-	ctx    context.Context
-	cancel context.CancelFunc
-	done   sync.WaitGroup
+	cfg     AgentConfig
+	ctx     context.Context
+	cancel  context.CancelFunc
+	workers sync.WaitGroup
 
-	mu        sync.Mutex
-	machine   *configversion.Machine
-	again     context.CancelCauseFunc // ends the present stream
-	following string                  // the service at its other end
-	replies   chan reply              // of the present stream; nil: there is none
-	nonces    map[int64]string        // of versions offered on it
-	whole     bool                    // the next stream asks for everything
-	state     string                  // of the stream, for status
-	wake      *time.Timer
-	began     time.Time
-	begin     sync.Once
+	mu              sync.Mutex
+	machine         *configversion.Machine
+	cancelStream    context.CancelCauseFunc // ends the present stream
+	streamService   string                  // the service at its other end
+	replies         chan reply              // of the present stream; nil: there is none
+	nonces          map[int64]string        // of versions offered on it
+	requestComplete bool                    // the next stream asks for everything
+	streamState     string                  // of the stream, for status
+	wakeTimer       *time.Timer
+	started         time.Time
+	connectOnce     sync.Once
 
-	poke      chan struct{}         // a version could not be stored
-	pending   *pending              // nil: there is none
-	unkept    configversion.Version // used without being stored, since there was none to run; Number 0: none
-	restoring bool                  // the last good version could not be read yet
+	storeFailed chan struct{}         // a version could not be stored
+	pending     *pendingVersion       // nil: there is none
+	unstored    configversion.Version // used without being stored, since there was none to run; Number 0: none
+	restoring   bool                  // the last good version could not be read yet
 }
 
 // reply is an answer to a version, to be written to the stream.
@@ -71,8 +71,8 @@
 	reasons          []configversion.Reason
 }
 
-// errAgain ends a stream so that its service offers its version again.
-var errAgain = errors.New("control: the service in charge is silent; this one is asked again")
+// errReoffer ends a stream so that its service offers its version again.
+var errReoffer = errors.New("control: the service in charge is silent; this one is asked again")
 
 // StartAgent begins: the last good version first, then the services.
 func StartAgent(cfg AgentConfig) *Agent {
@@ -94,24 +94,24 @@
 	if cfg.Warn == nil {
 		cfg.Warn = func(string) {}
 	}
-	a := &Agent{cfg: cfg, machine: configversion.NewMachine(cfg.Machine, cfg.Seed), began: time.Now(), state: "not connected",
-		poke: make(chan struct{}, 1)}
-	a.ctx, a.cancel = context.WithCancel(context.Background())
-	a.restore()
+	agent := &Agent{cfg: cfg, machine: configversion.NewMachine(cfg.Machine, cfg.Seed), started: time.Now(), streamState: "not connected",
+		storeFailed: make(chan struct{}, 1)}
+	agent.ctx, agent.cancel = context.WithCancel(context.Background())
+	agent.restore()
 	if cfg.Store != nil {
-		a.done.Add(1)
-		go a.keepStoring()
+		agent.workers.Add(1)
+		go agent.retryStoreLoop()
 	}
 	if !cfg.Deferred {
-		a.Connect()
+		agent.Connect()
 	}
-	return a
+	return agent
 }
 
 // Connect has an agent that was held call its services.
 func (a *Agent) Connect() {
-	a.begin.Do(func() {
-		a.done.Add(1)
+	a.connectOnce.Do(func() {
+		a.workers.Add(1)
 		go a.run()
 	})
 }
@@ -126,11 +126,11 @@
 // Close ends the agent; what it ran stays as it is.
 func (a *Agent) Close() {
 	a.cancel()
-	a.done.Wait()
+	a.workers.Wait()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.wake != nil {
-		a.wake.Stop()
+	if a.wakeTimer != nil {
+		a.wakeTimer.Stop()
 	}
 }
 
@@ -158,53 +158,55 @@
 func (a *Agent) Status() AgentStatus {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	m := a.machine
-	st := AgentStatus{Running: m.Running(), Accepted: a.accepted(), Service: m.LeaseHolder(), StreamState: a.state, Age: m.Age(a.now()),
-		Versions: m.Records(), NotStored: a.unkept.Number}
+	machine := a.machine
+	status := AgentStatus{Running: machine.Running(), Accepted: a.acknowledgedNumber(), Service: machine.LeaseHolder(), StreamState: a.streamState, Age: machine.Age(a.now()),
+		Versions: machine.Records(), NotStored: a.unstored.Number}
 	if a.pending != nil {
-		st.NotStored = a.pending.version.Number
+		status.NotStored = a.pending.version.Number
 	}
 	if a.cfg.Store != nil {
-		st.StoreFaultSince, st.StoreFault = a.cfg.Store.Fault()
+		status.StoreFaultSince, status.StoreFault = a.cfg.Store.Fault()
 	}
-	return st
+	return status
 }
 
-func (a *Agent) now() configversion.Millis { return float64(time.Since(a.began).Microseconds()) / 1000 }
+func (a *Agent) now() configversion.Millis {
+	return float64(time.Since(a.started).Microseconds()) / 1000
+}
 
-// tell gives the machine an event and carries out its actions. Storing waits
+// handle gives the machine an event and carries out its actions. Storing waits
 // for the disk, which is why the agent is not on the loop.
-func (a *Agent) tell(ev configversion.Event) {
+func (a *Agent) handle(event configversion.Event) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.tellLocked(ev)
+	a.handleLocked(event)
 }
 
-func (a *Agent) tellLocked(queue ...configversion.Event) {
+func (a *Agent) handleLocked(queue ...configversion.Event) {
 	for len(queue) > 0 {
-		ev := queue[0]
+		event := queue[0]
 		queue = queue[1:]
-		for _, act := range a.machine.Handle(a.now(), ev, nil) {
-			switch act := act.(type) {
+		for _, action := range a.machine.Handle(a.now(), event, nil) {
+			switch action := action.(type) {
 			case configversion.Store:
-				queue = append(queue, a.store(act.Version)...)
+				queue = append(queue, a.storeVersion(action.Version)...)
 			case configversion.Ack:
-				a.acknowledge(act.Number)
+				a.acknowledge(action.Number)
 			case configversion.Nack:
-				a.reply(act.Number, act.Reasons)
+				a.reply(action.Number, action.Reasons)
 			case configversion.Activate:
-				a.cfg.Use(act)
+				a.cfg.Use(action)
 			case configversion.Warn:
-				a.cfg.Warn(act.Text)
+				a.cfg.Warn(action.Text)
 			case configversion.RequestOffer:
-				if a.again != nil && a.following == act.Service {
-					a.again(errAgain)
+				if a.cancelStream != nil && a.streamService == action.Service {
+					a.cancelStream(errReoffer)
 				}
 			case configversion.Wake:
-				if a.wake == nil {
-					a.wake = time.AfterFunc(0, func() { a.tell(configversion.Tick{}) })
+				if a.wakeTimer == nil {
+					a.wakeTimer = time.AfterFunc(0, func() { a.handle(configversion.Tick{}) })
 				}
-				a.wake.Reset(time.Duration(act.After*float64(time.Millisecond)) + time.Millisecond)
+				a.wakeTimer.Reset(time.Duration(action.After*float64(time.Millisecond)) + time.Millisecond)
 			}
 		}
 	}
@@ -217,7 +219,7 @@
 		return
 	}
 	select {
-	case a.replies <- reply{a.nonces[number], number, a.accepted(), reasons}:
+	case a.replies <- reply{a.nonces[number], number, a.acknowledgedNumber(), reasons}:
 	default:
 		close(a.replies)
 		a.replies = nil
@@ -227,55 +229,55 @@
 // run keeps a stream, with waits between tries that double, each by chance of
 // the seed: a fleet that lost its service does not come back at once.
 func (a *Agent) run() {
-	defer a.done.Done()
+	defer a.workers.Done()
 	rng := rand.New(rand.NewPCG(a.cfg.Seed, 0xa9e7))
-	wait := a.cfg.Backoff
+	backoff := a.cfg.Backoff
 	for i := 0; a.ctx.Err() == nil; i++ {
 		address := a.cfg.Services[i%len(a.cfg.Services)]
-		got, service, err := a.follow(address)
+		received, service, err := a.follow(address)
 		if a.ctx.Err() != nil {
 			return
 		}
 		if service != "" {
-			a.tell(configversion.Disconnected{Service: service})
+			a.handle(configversion.Disconnected{Service: service})
 		}
-		if got > 0 {
-			wait = a.cfg.Backoff
+		if received > 0 {
+			backoff = a.cfg.Backoff
 			i-- // the one that spoke is called again first
 		}
 		a.mu.Lock()
-		a.whole = errors.Is(err, errMisfit)
-		a.state = fmt.Sprintf("lost %s: %v", address, err)
+		a.requestComplete = errors.Is(err, errStateMismatch)
+		a.streamState = fmt.Sprintf("lost %s: %v", address, err)
 		a.mu.Unlock()
 		a.cfg.Warn(fmt.Sprintf("stream of control service %s ended: %v", address, err))
 		select {
-		case <-time.After(time.Duration(float64(wait) * (0.5 + rng.Float64()))):
+		case <-time.After(time.Duration(float64(backoff) * (0.5 + rng.Float64()))):
 		case <-a.ctx.Done():
 		}
-		wait = min(2*wait, 64*a.cfg.Backoff)
+		backoff = min(2*backoff, 64*a.cfg.Backoff)
 	}
 }
 
-// open begins a stream by the protocol of the settings.
-func (a *Agent) open(ctx context.Context, conn *grpc.ClientConn) (line, error) {
+// openStream begins a stream by the protocol of the settings.
+func (a *Agent) openStream(ctx context.Context, conn *grpc.ClientConn) (clientStream, error) {
 	c := discovery.NewAggregatedDiscoveryServiceClient(conn)
 	if a.cfg.StateOfTheWorld {
 		g, err := c.StreamAggregatedResources(ctx)
-		return &sotwLine{g: g}, err
+		return &sotwClientStream{stream: g}, err
 	}
 	g, err := c.DeltaAggregatedResources(ctx)
-	l := &deltaLine{g: g}
+	l := &deltaClientStream{stream: g}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if v := a.machine.Accepted(); v.Number > 0 && !a.whole {
-		l.has = split(v.Body)
+	if v := a.machine.Accepted(); v.Number > 0 && !a.requestComplete {
+		l.accepted = splitPieces(v.Body)
 	}
 	return l, err
 }
 
 // follow follows one service until its stream ends, and says how many versions
 // came and from whom.
-func (a *Agent) follow(address string) (got int, service string, err error) {
+func (a *Agent) follow(address string) (received int, service string, err error) {
 	conn, err := grpc.NewClient(address, append([]grpc.DialOption{
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(a.cfg.MaxBytes)),
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: 10 * time.Second, Timeout: 5 * time.Second}),
@@ -288,21 +290,21 @@
 	defer cancel(nil)
 	silent := time.AfterFunc(a.cfg.SilenceTimeout, func() { cancel(errors.New("the service said nothing")) })
 	defer silent.Stop()
-	l, err := a.open(ctx, conn)
+	stream, err := a.openStream(ctx, conn)
 	if err != nil {
 		return 0, "", err
 	}
 	replies := make(chan reply, 16)
 	a.mu.Lock()
-	accepted := a.accepted()
-	a.nonces, a.replies, a.again, a.following = map[int64]string{}, replies, cancel, ""
+	accepted := a.acknowledgedNumber()
+	a.nonces, a.replies, a.cancelStream, a.streamService = map[int64]string{}, replies, cancel, ""
 	a.mu.Unlock()
 	defer func() {
 		a.mu.Lock()
-		a.replies, a.again = nil, nil
+		a.replies, a.cancelStream = nil, nil
 		a.mu.Unlock()
 	}()
-	if err := l.hello(a.cfg.Router, accepted); err != nil {
+	if err := stream.hello(a.cfg.Router, accepted); err != nil {
 		return 0, "", err
 	}
 	go func() {
@@ -311,7 +313,7 @@
 			case r, open := <-replies:
 				err := errors.New("the service takes no answers")
 				if open {
-					err = l.reply(r.nonce, r.number, r.accepted, r.reasons)
+					err = stream.reply(r.nonce, r.number, r.accepted, r.reasons)
 				}
 				if err != nil {
 					cancel(err)
@@ -323,50 +325,50 @@
 		}
 	}()
 	for {
-		o, err := l.recv()
+		offered, err := stream.recv()
 		if err != nil {
 			if cause := context.Cause(ctx); cause != nil {
 				err = cause
 			}
-			return got, service, err
+			return received, service, err
 		}
 		silent.Stop()
-		if got++; service == "" {
-			if service = o.service; service == "" {
+		if received++; service == "" {
+			if service = offered.service; service == "" {
 				service = address
 			}
 			a.mu.Lock()
-			a.state, a.following = "following "+address, service
+			a.streamState, a.streamService = "following "+address, service
 			a.mu.Unlock()
-			go a.alive(ctx, service)
+			go a.reportStreamAlive(ctx, service)
 			if a.cfg.LoadCounts != nil {
 				go func() {
-					if err := a.report(ctx, conn); err != nil && ctx.Err() == nil {
+					if err := a.reportLoad(ctx, conn); err != nil && ctx.Err() == nil {
 						a.cfg.Warn(fmt.Sprintf("service is not reported to %s: %v", address, err))
 					}
 				}()
 			}
 		}
 		a.mu.Lock()
-		a.nonces[o.version.Number] = o.nonce
-		if o.bad != nil {
-			a.reply(o.version.Number, []configversion.Reason{{What: o.bad.Error(), Remedy: "send resources of the type, with number:sum"}})
+		a.nonces[offered.version.Number] = offered.nonce
+		if offered.fault != nil {
+			a.reply(offered.version.Number, []configversion.Reason{{What: offered.fault.Error(), Remedy: "send resources of the type, with number:sum"}})
 		}
 		a.mu.Unlock()
-		if o.bad == nil {
-			a.tell(configversion.Offered{Service: service, Version: o.version})
+		if offered.fault == nil {
+			a.handle(configversion.Offered{Service: service, Version: offered.version})
 		}
 	}
 }
 
-// alive counts an open stream as a sign of life: the connection answers pings.
-func (a *Agent) alive(ctx context.Context, service string) {
-	t := time.NewTicker(a.cfg.HeartbeatInterval)
-	defer t.Stop()
+// reportStreamAlive counts an open stream as a sign of life: the connection answers pings.
+func (a *Agent) reportStreamAlive(ctx context.Context, service string) {
+	ticker := time.NewTicker(a.cfg.HeartbeatInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-t.C:
-			a.tell(configversion.Heartbeat{Service: service})
+		case <-ticker.C:
+			a.handle(configversion.Heartbeat{Service: service})
 		case <-ctx.Done():
 			return
 		}
--- a/internal/controlplane/service/storing.go
+++ b/internal/controlplane/service/agentstore.go
@@ -9,9 +9,9 @@
 	"indigospool/internal/controlplane/configversion"
 )
 
-// pending is a version that could not be stored yet, and of which nothing is said
+// pendingVersion is a version that could not be stored yet, and of which nothing is said
 // until it is.
-type pending struct {
+type pendingVersion struct {
 	version configversion.Version
 	since   time.Time
 }
@@ -28,42 +28,42 @@
 	}
 	switch {
 	case (a.restoring || errors.Is(found.Err, configstore.ErrNoVersion)) && a.cfg.Initial.Number > 0:
-		a.tell(configversion.Restored{Version: a.cfg.Initial})
+		a.handle(configversion.Restored{Version: a.cfg.Initial})
 	case !a.restoring && !errors.Is(found.Err, configstore.ErrNoVersion):
-		a.tell(found)
+		a.handle(found)
 	}
 }
 
-// store stores a version, and is what the machine hears of it. Where that fails it is
+// storeVersion stores a version, and is what the machine hears of it. Where that fails it is
 // tried again, and nothing is heard until then; but a router that has nothing to run
 // does not wait for its disk: it runs the version, and acknowledges it once it is
 // stored.
-func (a *Agent) store(v configversion.Version) []configversion.Event {
+func (a *Agent) storeVersion(v configversion.Version) []configversion.Event {
 	if a.cfg.Store == nil {
 		return []configversion.Event{configversion.Stored{Number: v.Number}}
 	}
 	a.pending = nil // an older one is superseded
 	err := a.cfg.Store.Put(v, time.Now())
 	if err == nil {
-		return a.stored(v)
+		return a.versionStored(v)
 	}
 	a.cfg.Warn(fmt.Sprintf("configuration %d can't be stored for now, and is tried again: %v", v.Number, err))
 	select {
-	case a.poke <- struct{}{}:
+	case a.storeFailed <- struct{}{}:
 	default:
 	}
 	if a.machine.Accepted().Number == 0 {
-		a.unkept = v
+		a.unstored = v
 		return []configversion.Event{configversion.Stored{Number: v.Number}}
 	}
-	a.pending = &pending{v, time.Now()}
+	a.pending = &pendingVersion{v, time.Now()}
 	return nil
 }
 
-// stored is what the machine hears of a version that was stored. Where the store
+// versionStored is what the machine hears of a version that was stored. Where the store
 // could not be read until now, it may hold a newer one, which was acknowledged.
-func (a *Agent) stored(v configversion.Version) []configversion.Event {
-	a.pending, a.unkept = nil, configversion.Version{}
+func (a *Agent) versionStored(v configversion.Version) []configversion.Event {
+	a.pending, a.unstored = nil, configversion.Version{}
 	if !a.restoring {
 		return []configversion.Event{configversion.Stored{Number: v.Number}}
 	}
@@ -78,35 +78,35 @@
 
 // acknowledge acknowledges a version, unless it is used without being stored.
 func (a *Agent) acknowledge(number int64) {
-	if number != a.unkept.Number {
+	if number != a.unstored.Number {
 		a.reply(number, nil)
 	}
 }
 
-// accepted is the highest number that was acknowledged.
-func (a *Agent) accepted() int64 {
-	if a.unkept.Number > 0 {
+// acknowledgedNumber is the highest number that was acknowledged.
+func (a *Agent) acknowledgedNumber() int64 {
+	if a.unstored.Number > 0 {
 		return 0
 	}
 	return a.machine.HighestAccepted()
 }
 
-// keepStoring tries again what the store could not take or give, with backoff.
-func (a *Agent) keepStoring() {
-	defer a.done.Done()
-	wait := firstRetry
+// retryStoreLoop tries again what the store could not take or give, with backoff.
+func (a *Agent) retryStoreLoop() {
+	defer a.workers.Done()
+	delay := firstRetryDelay
 	for {
 		select {
-		case <-a.poke:
-			wait = firstRetry
+		case <-a.storeFailed:
+			delay = firstRetryDelay
 			continue
-		case <-time.After(wait):
+		case <-time.After(delay):
 		case <-a.ctx.Done():
 			return
 		}
-		wait = min(2*wait, lastRetry)
+		delay = min(2*delay, maxRetryDelay)
 		if a.retryStore() {
-			wait = lastRetry
+			delay = maxRetryDelay
 		}
 	}
 }
@@ -120,20 +120,20 @@
 		v, since := a.pending.version, a.pending.since
 		err := a.cfg.Store.Put(v, time.Now())
 		if err == nil {
-			a.tellLocked(a.stored(v)...)
+			a.handleLocked(a.versionStored(v)...)
 			return true
 		}
 		if time.Since(since) >= a.cfg.StoreTimeout {
 			a.pending = nil
-			a.tellLocked(configversion.Stored{Number: v.Number, Err: err})
+			a.handleLocked(configversion.Stored{Number: v.Number, Err: err})
 		}
 		return false
-	case a.unkept.Number > 0:
-		v := a.unkept
+	case a.unstored.Number > 0:
+		v := a.unstored
 		if a.cfg.Store.Put(v, time.Now()) != nil {
 			return false
 		}
-		a.unkept, a.restoring = configversion.Version{}, false
+		a.unstored, a.restoring = configversion.Version{}, false
 		if _, offered := a.nonces[v.Number]; offered {
 			a.reply(v.Number, nil)
 		}
@@ -149,7 +149,7 @@
 		}
 		a.restoring = false
 		if !errors.Is(found.Err, configstore.ErrNoVersion) {
-			a.tellLocked(found)
+			a.handleLocked(found)
 		}
 		return true
 	}
--- a/internal/controlplane/service/pieces.go
+++ b/internal/controlplane/service/canonical.go
@@ -14,21 +14,21 @@
 	"indigospool/internal/controlplane/configversion"
 )
 
-// whole is the name of the one piece of a text that can't be cut.
-const whole = "settings"
+// singlePiece is the name of the one piece of a text that can't be cut.
+const singlePiece = "settings"
 
 // pieceOrder is the order of the sections in a canonical text; members follow.
 var pieceOrder = []string{"router", "limits", "rules", "fill", "zone", "class", "route", "control"}
 
-// split cuts a canonical text of settings into pieces by name: one for each
+// splitPieces cuts a canonical text of settings into pieces by name: one for each
 // section, and one for each member, as member/b1. A text that join would not
 // give again, as one that is no settings at all, is one piece.
-func split(body []byte) map[string]string {
-	out := map[string]string{}
+func splitPieces(body []byte) map[string]string {
+	pieces := map[string]string{}
 	rest := string(body)
 	for rest != "" {
 		if rest[0] != '(' {
-			return map[string]string{whole: string(body)}
+			return map[string]string{singlePiece: string(body)}
 		}
 		form := rest
 		if i := strings.Index(rest, "\n("); i >= 0 {
@@ -39,16 +39,16 @@
 		if name == "member" {
 			name += "/" + after
 		}
-		out[name] += form
+		pieces[name] += form
 	}
-	if !bytes.Equal(join(out), body) {
-		return map[string]string{whole: string(body)}
+	if !bytes.Equal(joinPieces(pieces), body) {
+		return map[string]string{singlePiece: string(body)}
 	}
-	return out
+	return pieces
 }
 
-// join puts pieces together again.
-func join(pieces map[string]string) []byte {
+// joinPieces puts pieces together again.
+func joinPieces(pieces map[string]string) []byte {
 	names := slices.Collect(maps.Keys(pieces))
 	rank := func(name string) int {
 		if strings.HasPrefix(name, "member/") {
@@ -60,16 +60,16 @@
 		return -1
 	}
 	sort.Slice(names, func(i, j int) bool {
-		if a, b := rank(names[i]), rank(names[j]); a != b {
-			return a < b
+		if a, body := rank(names[i]), rank(names[j]); a != body {
+			return a < body
 		}
 		return names[i] < names[j]
 	})
-	var b bytes.Buffer
-	for _, n := range names {
-		b.WriteString(pieces[n])
+	var body bytes.Buffer
+	for _, name := range names {
+		body.WriteString(pieces[name])
 	}
-	return b.Bytes()
+	return body.Bytes()
 }
 
 // pieceVersion is the version of a piece: it follows from its content.
@@ -79,29 +79,29 @@
 }
 
 func pieceVersions(pieces map[string]string) map[string]string {
-	out := map[string]string{}
+	versions := map[string]string{}
 	for name, text := range pieces {
-		out[name] = pieceVersion(text)
+		versions[name] = pieceVersion(text)
 	}
-	return out
+	return versions
 }
 
 // Canonical is the text of settings that versions are made of: in the order of
 // the schema, members by id, so that a change of one member is one piece; what
 // is each router's own is left out.
-func Canonical(s *config.Settings) []byte {
-	c := *s
-	blank := config.Defaults()
-	c.Router, c.Control = blank.Router, blank.Control
-	c.Router.Of, c.Router.DeadlineHeader = s.Router.Of, s.Router.DeadlineHeader
-	c.Router.SizeHeader, c.Router.RetryHeader = s.Router.SizeHeader, s.Router.RetryHeader
-	c.Members = slices.Clone(s.Members)
-	sort.SliceStable(c.Members, func(i, j int) bool { return memberLine(c.Members[i].ID) < memberLine(c.Members[j].ID) })
-	return []byte(config.Print(&c))
+func Canonical(settings *config.Settings) []byte {
+	canonical := *settings
+	defaults := config.Defaults()
+	canonical.Router, canonical.Control = defaults.Router, defaults.Control
+	canonical.Router.Of, canonical.Router.DeadlineHeader = settings.Router.Of, settings.Router.DeadlineHeader
+	canonical.Router.SizeHeader, canonical.Router.RetryHeader = settings.Router.SizeHeader, settings.Router.RetryHeader
+	canonical.Members = slices.Clone(settings.Members)
+	sort.SliceStable(canonical.Members, func(i, j int) bool { return printedID(canonical.Members[i].ID) < printedID(canonical.Members[j].ID) })
+	return []byte(config.Print(&canonical))
 }
 
-// memberLine is an id as the canonical text has it, which may be quoted.
-func memberLine(id string) string {
+// printedID is an id as the canonical text has it, which may be quoted.
+func printedID(id string) string {
 	text := config.Print(&struct {
 		M []struct {
 			ID string `edn:"@,required"`
@@ -115,24 +115,24 @@
 // Validate reads a text of settings and makes the checks that hold at every
 // router, against the version before it where there is one: the canonical text,
 // or every reason against it.
-func Validate(sources []config.Source, before []byte, l configversion.CheckLimits) (body []byte, reasons []configversion.Reason) {
-	var old *config.Settings
+func Validate(sources []config.Source, before []byte, limits configversion.CheckLimits) (body []byte, reasons []configversion.Reason) {
+	var previous *config.Settings
 	if len(before) > 0 {
 		o := &config.Settings{}
 		if config.ReadVersion("before", string(before), nil, o) == nil {
-			old = o
+			previous = o
 		}
 	}
-	s := &config.Settings{}
-	if err := config.ReadSources(sources, nil, s); err != nil {
-		return nil, reasonsOf(err)
+	settings := &config.Settings{}
+	if err := config.ReadSources(sources, nil, settings); err != nil {
+		return nil, settingsReasons(err)
 	}
-	body = Canonical(s)
-	return body, configversion.Check(old, s, l)
+	body = Canonical(settings)
+	return body, configversion.Check(previous, settings, limits)
 }
 
-// reasonsOf turns faults of settings into reasons, with their places.
-func reasonsOf(err error) (out []configversion.Reason) {
+// settingsReasons turns faults of settings into reasons, with their places.
+func settingsReasons(err error) (out []configversion.Reason) {
 	faults, ok := err.(config.Faults)
 	if !ok {
 		return []configversion.Reason{{What: err.Error()}}
--- a/internal/controlplane/service/tls.go
+++ b/internal/controlplane/service/certificates.go
@@ -25,18 +25,18 @@
 	Cert, Key, Authorities string
 	Warn                   func(text string)
 
-	mu     sync.Mutex
-	loaded *loadedKeys
-	looked time.Time
+	mu        sync.Mutex
+	loaded    *loadedCertificates
+	checkedAt time.Time
 }
 
-type loadedKeys struct {
-	cert  tls.Certificate
-	roots *x509.CertPool
-	stamp [3]time.Time
+type loadedCertificates struct {
+	certificate tls.Certificate
+	authorities *x509.CertPool
+	modTimes    [3]time.Time
 }
 
-const lookAgain = time.Second // how often files are looked at, at most
+const recheckInterval = time.Second // how often files are looked at, at most
 
 // Load reads the files, or says which of them is wrong and why.
 func (k *CertificateFiles) Load() error {
@@ -44,7 +44,7 @@
 	return err
 }
 
-func (k *CertificateFiles) stamps() (s [3]time.Time, err error) {
+func (k *CertificateFiles) modTimes() (s [3]time.Time, err error) {
 	for i, f := range []string{k.Cert, k.Key, k.Authorities} {
 		st, err := os.Stat(f)
 		if err != nil {
@@ -55,17 +55,17 @@
 	return s, nil
 }
 
-func (k *CertificateFiles) current(strict bool) (*loadedKeys, error) {
+func (k *CertificateFiles) current(strict bool) (*loadedCertificates, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if !strict && k.loaded != nil && time.Since(k.looked) < lookAgain {
+	if !strict && k.loaded != nil && time.Since(k.checkedAt) < recheckInterval {
 		return k.loaded, nil
 	}
-	k.looked = time.Now()
-	fresh, err := k.read()
+	k.checkedAt = time.Now()
+	changed, err := k.readChanged()
 	switch {
-	case err == nil && fresh != nil:
-		k.loaded = fresh
+	case err == nil && changed != nil:
+		k.loaded = changed
 	case err != nil && (strict || k.loaded == nil):
 		return nil, err
 	case err != nil && k.Warn != nil:
@@ -75,26 +75,26 @@
 }
 
 // read reads the files if they have changed.
-func (k *CertificateFiles) read() (*loadedKeys, error) {
-	stamp, err := k.stamps()
+func (k *CertificateFiles) readChanged() (*loadedCertificates, error) {
+	modTimes, err := k.modTimes()
 	if err != nil {
 		return nil, err
 	}
-	if k.loaded != nil && k.loaded.stamp == stamp {
+	if k.loaded != nil && k.loaded.modTimes == modTimes {
 		return nil, nil
 	}
-	l := &loadedKeys{stamp: stamp, roots: x509.NewCertPool()}
-	if l.cert, err = tls.LoadX509KeyPair(k.Cert, k.Key); err != nil {
+	loaded := &loadedCertificates{modTimes: modTimes, authorities: x509.NewCertPool()}
+	if loaded.certificate, err = tls.LoadX509KeyPair(k.Cert, k.Key); err != nil {
 		return nil, fmt.Errorf("control: certificate %s with key %s: %w", k.Cert, k.Key, err)
 	}
 	pem, err := os.ReadFile(k.Authorities)
 	if err != nil {
 		return nil, fmt.Errorf("control: %w", err)
 	}
-	if !l.roots.AppendCertsFromPEM(pem) {
+	if !loaded.authorities.AppendCertsFromPEM(pem) {
 		return nil, fmt.Errorf("control: %s holds no certificate of an authority", k.Authorities)
 	}
-	return l, nil
+	return loaded, nil
 }
 
 // verify checks the other side's chain with the authorities of now.
@@ -110,7 +110,7 @@
 	if err != nil {
 		return fmt.Errorf("control: the other side's certificate: %w", err)
 	}
-	opts := x509.VerifyOptions{Roots: l.roots, DNSName: name, Intermediates: x509.NewCertPool(), KeyUsages: []x509.ExtKeyUsage{usage}}
+	opts := x509.VerifyOptions{Roots: l.authorities, DNSName: name, Intermediates: x509.NewCertPool(), KeyUsages: []x509.ExtKeyUsage{usage}}
 	for _, b := range raw[1:] {
 		if c, err := x509.ParseCertificate(b); err == nil {
 			opts.Intermediates.AddCert(c)
@@ -130,7 +130,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return &l.cert, nil
+			return &l.certificate, nil
 		},
 		VerifyPeerCertificate: func(raw [][]byte, _ [][]*x509.Certificate) error {
 			err := k.verify(raw, "", x509.ExtKeyUsageClientAuth)
@@ -141,9 +141,9 @@
 		}})
 }
 
-// named checks that a router's certificate, where the channel has one, is its own:
+// checkCertificateName checks that a router's certificate, where the channel has one, is its own:
 // whoever holds one router's key must not speak for others.
-func named(ctx context.Context, router string) error {
+func checkCertificateName(ctx context.Context, router string) error {
 	p, ok := grpcpeer.FromContext(ctx)
 	if !ok {
 		return nil
@@ -169,7 +169,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return &l.cert, nil
+			return &l.certificate, nil
 		},
 		VerifyPeerCertificate: func(raw [][]byte, _ [][]*x509.Certificate) error {
 			return k.verify(raw, service, x509.ExtKeyUsageServerAuth)
--- a/internal/controlplane/service/tls_test.go
+++ b/internal/controlplane/service/certificates_test.go
@@ -21,16 +21,16 @@
 	"indigospool/internal/controlplane/configversion"
 )
 
-// authority signs certificates for a test.
-type authority struct {
-	t    *testing.T
-	cert *x509.Certificate
-	key  *ecdsa.PrivateKey
-	n    int64
+// testAuthority signs certificates for a test.
+type testAuthority struct {
+	t      *testing.T
+	cert   *x509.Certificate
+	key    *ecdsa.PrivateKey
+	serial int64
 }
 
-func newAuthority(t *testing.T, name string) *authority {
-	a := &authority{t: t, n: 1}
+func newAuthority(t *testing.T, name string) *testAuthority {
+	a := &testAuthority{t: t, serial: 1}
 	a.key, _ = ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	c := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: name}, IsCA: true, BasicConstraintsValid: true,
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), KeyUsage: x509.KeyUsageCertSign}
@@ -43,10 +43,10 @@
 }
 
 // issue writes a certificate for a name into the files of keys.
-func (a *authority) issue(k *CertificateFiles, name string, until time.Duration) {
-	a.n++
+func (a *testAuthority) issue(k *CertificateFiles, name string, until time.Duration) {
+	a.serial++
 	key, _ := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
-	c := &x509.Certificate{SerialNumber: big.NewInt(a.n), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name},
+	c := &x509.Certificate{SerialNumber: big.NewInt(a.serial), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name},
 		NotBefore: time.Now().Add(-2 * time.Hour), NotAfter: time.Now().Add(until),
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}}
 	der, err := x509.CreateCertificate(rand.Reader, c, a.cert, &key.PublicKey, a.key)
@@ -66,7 +66,7 @@
 	}
 }
 
-func (a *authority) keys(dir, name, cert string, until time.Duration) *CertificateFiles {
+func (a *testAuthority) certificateFiles(dir, name, cert string, until time.Duration) *CertificateFiles {
 	k := &CertificateFiles{Cert: filepath.Join(dir, name+".pem"), Key: filepath.Join(dir, name+".key"), Authorities: filepath.Join(dir, name+".ca")}
 	a.issue(k, cert, until)
 	return k
@@ -78,7 +78,7 @@
 func TestMutualTLS(t *testing.T) {
 	dir := t.TempDir()
 	good, other := newAuthority(t, "good"), newAuthority(t, "other")
-	serverKeys := good.keys(dir, "svc", "control.example.org", time.Hour)
+	serverKeys := good.certificateFiles(dir, "svc", "control.example.org", time.Hour)
 	var mu sync.Mutex
 	var turned []string
 	serverKeys.Warn = func(s string) { mu.Lock(); turned = append(turned, s); mu.Unlock() }
@@ -89,38 +89,38 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := NewServer(ServerConfig{Name: "svc", Store: &memory{}, TickInterval: 10 * time.Millisecond}, grpc.Creds(serverKeys.ServerCredentials()))
+	s := NewServer(ServerConfig{Name: "svc", Store: &memoryStateStore{}, TickInterval: 10 * time.Millisecond}, grpc.Creds(serverKeys.ServerCredentials()))
 	go s.Serve(ln)
 	defer s.Stop()
-	s.PushUnchecked(body(3, ""), true)
-	connect := func(k *CertificateFiles, service string) *router {
-		r := &router{}
+	s.PushUnchecked(settingsText(3, ""), true)
+	connect := func(k *CertificateFiles, service string) *testRouter {
+		r := &testRouter{}
 		r.Agent = StartAgent(AgentConfig{Router: strings.TrimSuffix(filepath.Base(k.Cert), ".pem"), Services: []string{ln.Addr().String()}, Backoff: 20 * time.Millisecond,
 			DialOptions: []grpc.DialOption{grpc.WithTransportCredentials(k.ClientCredentials(service))},
 			Use:         func(configversion.Activate) { r.uses.Add(1) },
-			Warn:        func(s string) { r.mu.Lock(); r.said = append(r.said, s); r.mu.Unlock() }})
+			Warn:        func(s string) { r.mu.Lock(); r.warnings = append(r.warnings, s); r.mu.Unlock() }})
 		t.Cleanup(r.Close)
 		return r
 	}
-	heard := func(r *router, what string) func() bool {
+	heard := func(r *testRouter, what string) func() bool {
 		return func() bool {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			mu.Lock()
 			defer mu.Unlock()
-			return strings.Contains(strings.Join(r.said, "\n")+strings.Join(turned, "\n"), what)
+			return strings.Contains(strings.Join(r.warnings, "\n")+strings.Join(turned, "\n"), what)
 		}
 	}
-	r := connect(good.keys(dir, "r1", "r1", time.Hour), "control.example.org")
-	eventually(t, "a router with good keys", all([]*router{r}, 1))
+	r := connect(good.certificateFiles(dir, "r1", "r1", time.Hour), "control.example.org")
+	eventually(t, "a router with good keys", allRunning([]*testRouter{r}, 1))
 	for _, c := range []struct {
 		name, want string
 		k          *CertificateFiles
 		service    string
 	}{
-		{"wrong name", "not another.example.org", good.keys(dir, "r2", "r2", time.Hour), "another.example.org"},
-		{"expired router", "certificate has expired", good.keys(dir, "r3", "r3", -time.Hour), "control.example.org"},
-		{"wrong authority", "signed by unknown authority", other.keys(dir, "r4", "r4", time.Hour), "control.example.org"},
+		{"wrong name", "not another.example.org", good.certificateFiles(dir, "r2", "r2", time.Hour), "another.example.org"},
+		{"expired router", "certificate has expired", good.certificateFiles(dir, "r3", "r3", -time.Hour), "control.example.org"},
+		{"wrong authority", "signed by unknown authority", other.certificateFiles(dir, "r4", "r4", time.Hour), "control.example.org"},
 	} {
 		bad := connect(c.k, c.service)
 		eventually(t, c.name, heard(bad, c.want))
@@ -130,22 +130,22 @@
 		bad.Close()
 	}
 	// a good certificate speaks for its own router only
-	posing := followFor(t, AgentConfig{Router: "r9", Services: []string{ln.Addr().String()},
-		DialOptions: []grpc.DialOption{grpc.WithTransportCredentials(good.keys(dir, "r1", "r1", time.Hour).ClientCredentials("control.example.org"))}})
+	posing := startRouterWith(t, AgentConfig{Router: "r9", Services: []string{ln.Addr().String()},
+		DialOptions: []grpc.DialOption{grpc.WithTransportCredentials(good.certificateFiles(dir, "r1", "r1", time.Hour).ClientCredentials("control.example.org"))}})
 	eventually(t, "another router's name", heard(posing, `does not speak for router "r9"`))
 	posing.Close()
 	// the expired router gets a new certificate, and comes in without a restart
-	late := good.keys(dir, "r5", "r5", -time.Hour)
+	late := good.certificateFiles(dir, "r5", "r5", -time.Hour)
 	r5 := connect(late, "control.example.org")
 	eventually(t, "its refusal", heard(r5, `certificate of "r5"`))
 	time.Sleep(20 * time.Millisecond) // another time of change
 	good.issue(late, "r5", time.Hour)
-	eventually(t, "the renewed router", all([]*router{r5}, 1))
+	eventually(t, "the renewed router", allRunning([]*testRouter{r5}, 1))
 }
 
-func TestKeysThatCannotBeRead(t *testing.T) {
+func TestUnreadableCertificateFiles(t *testing.T) {
 	dir := t.TempDir()
-	k := newAuthority(t, "a").keys(dir, "x", "x", time.Hour)
+	k := newAuthority(t, "a").certificateFiles(dir, "x", "x", time.Hour)
 	if err := k.Load(); err != nil {
 		t.Fatal(err)
 	}
@@ -153,7 +153,7 @@
 	k.Warn = func(s string) { said = s }
 	os.WriteFile(k.Cert, []byte("damaged"), 0o600)
 	os.Chtimes(k.Cert, time.Now(), time.Now().Add(time.Minute))
-	k.looked = time.Time{}
+	k.checkedAt = time.Time{}
 	if l, err := k.current(false); err != nil || l == nil || !strings.Contains(said, "stay in force") {
 		t.Errorf("a damaged file: %v, %v, %q", l, err, said)
 	}
--- a/internal/controlplane/service/delta.go
+++ b/internal/controlplane/service/delta.go
@@ -21,218 +21,218 @@
 // the two never disagree; if they did all the same, the checksum would tell, and
 // the router begins its stream anew with nothing.
 
-// cut is a version in pieces, made once for all streams.
-type cut struct {
+// versionSnapshot is a version in pieces, made once for all streams.
+type versionSnapshot struct {
 	sum       string
-	whole     *anypb.Any
+	complete  *anypb.Any
 	pieces    map[string]string
 	versions  map[string]string // of the pieces
 	resources map[string]*discovery.Resource
 
-	mu   sync.Mutex
-	from map[*cut]*difference // from others that many routers have
+	mu     sync.Mutex
+	deltas map[*versionSnapshot]*snapshotDelta // from others that many routers have
 }
 
-// difference is what leads from some pieces to a cut.
-type difference struct {
+// snapshotDelta is what leads from some pieces to a cut.
+type snapshotDelta struct {
 	resources []*discovery.Resource
 	removed   []string
 }
 
-// cutter keeps the last cuts.
-type cutter struct {
-	mu   sync.Mutex
-	cuts []*cut // the newest last
+// snapshotCache keeps the last snapshots.
+type snapshotCache struct {
+	mu     sync.Mutex
+	recent []*versionSnapshot // the newest last
 }
 
-const cutsKept = 8
+const maxSnapshots = 8
 
-// cut is a version's.
-func (k *cutter) cut(v configversion.Version) (*cut, error) {
+// snapshot is a version's.
+func (k *snapshotCache) snapshot(v configversion.Version) (*versionSnapshot, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for _, c := range k.cuts {
-		if c.sum == v.Sum {
-			return c, nil
+	for _, snapshot := range k.recent {
+		if snapshot.sum == v.Sum {
+			return snapshot, nil
 		}
 	}
-	c := &cut{sum: v.Sum, pieces: split(v.Body), resources: map[string]*discovery.Resource{}, from: map[*cut]*difference{}}
-	c.versions = pieceVersions(c.pieces)
+	snapshot := &versionSnapshot{sum: v.Sum, pieces: splitPieces(v.Body), resources: map[string]*discovery.Resource{}, deltas: map[*versionSnapshot]*snapshotDelta{}}
+	snapshot.versions = pieceVersions(snapshot.pieces)
 	var err error
-	if c.whole, err = pack(v.Body); err != nil {
+	if snapshot.complete, err = marshalResource(v.Body); err != nil {
 		return nil, err
 	}
-	for name, text := range c.pieces {
-		a, err := pack([]byte(text))
+	for name, text := range snapshot.pieces {
+		resource, err := marshalResource([]byte(text))
 		if err != nil {
 			return nil, err
 		}
-		c.resources[name] = &discovery.Resource{Name: name, Version: c.versions[name], Resource: a}
+		snapshot.resources[name] = &discovery.Resource{Name: name, Version: snapshot.versions[name], Resource: resource}
 	}
-	if len(k.cuts) >= cutsKept {
-		old := k.cuts[0]
-		k.cuts = append([]*cut(nil), k.cuts[1:]...)
-		for _, other := range k.cuts {
+	if len(k.recent) >= maxSnapshots {
+		old := k.recent[0]
+		k.recent = append([]*versionSnapshot(nil), k.recent[1:]...)
+		for _, other := range k.recent {
 			other.forget(old)
 		}
 	}
-	k.cuts = append(k.cuts, c)
-	return c, nil
+	k.recent = append(k.recent, snapshot)
+	return snapshot, nil
 }
 
-// known is the kept cut with just these pieces, nil where there is none.
-func (k *cutter) known(versions map[string]string) *cut {
+// find is the kept snapshot with just these pieces, nil where there is none.
+func (k *snapshotCache) find(versions map[string]string) *versionSnapshot {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for _, c := range k.cuts {
-		if maps.Equal(c.versions, versions) {
-			return c
+	for _, snapshot := range k.recent {
+		if maps.Equal(snapshot.versions, versions) {
+			return snapshot
 		}
 	}
 	return nil
 }
 
-func (c *cut) forget(other *cut) {
+func (c *versionSnapshot) forget(other *versionSnapshot) {
 	c.mu.Lock()
-	delete(c.from, other)
+	delete(c.deltas, other)
 	c.mu.Unlock()
 }
 
-// since is what leads to the cut from what a router has: a cut, or pieces of
+// deltaFrom is what leads to the cut from what a router has: a cut, or pieces of
 // these versions.
-func (c *cut) since(has *cut, versions map[string]string) *difference {
-	if has != nil {
-		versions = has.versions
+func (c *versionSnapshot) deltaFrom(base *versionSnapshot, versions map[string]string) *snapshotDelta {
+	if base != nil {
+		versions = base.versions
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if d := c.from[has]; d != nil {
-			return d
+		if delta := c.deltas[base]; delta != nil {
+			return delta
 		}
 	}
-	d := &difference{}
+	delta := &snapshotDelta{}
 	for name, r := range c.resources {
 		if versions[name] != r.Version {
-			d.resources = append(d.resources, r)
+			delta.resources = append(delta.resources, r)
 		}
 	}
 	for name := range versions {
 		if _, is := c.versions[name]; !is {
-			d.removed = append(d.removed, name)
+			delta.removed = append(delta.removed, name)
 		}
 	}
-	sort.Slice(d.resources, func(i, j int) bool { return d.resources[i].Name < d.resources[j].Name })
-	sort.Strings(d.removed)
-	if has != nil {
-		if len(c.from) > 4*cutsKept {
-			clear(c.from)
+	sort.Slice(delta.resources, func(i, j int) bool { return delta.resources[i].Name < delta.resources[j].Name })
+	sort.Strings(delta.removed)
+	if base != nil {
+		if len(c.deltas) > 4*maxSnapshots {
+			clear(c.deltas)
 		}
-		c.from[has] = d
+		c.deltas[base] = delta
 	}
-	return d
+	return delta
 }
 
-// deltaPeer is a router's stream by the incremental protocol.
-type deltaPeer struct {
-	g    grpc.BidiStreamingServer[discovery.DeltaDiscoveryRequest, discovery.DeltaDiscoveryResponse]
-	cuts *cutter
-	sent nonces
+// deltaServerStream is a router's stream by the incremental protocol.
+type deltaServerStream struct {
+	stream    grpc.BidiStreamingServer[discovery.DeltaDiscoveryRequest, discovery.DeltaDiscoveryResponse]
+	snapshots *snapshotCache
+	nonces    sentNonces
 
-	mu       sync.Mutex
-	has      *cut              // what the router has accepted, where it is a kept cut
-	versions map[string]string // and else the versions of its pieces
-	pending  *cut              // on its way
-	nonce    string            // of that
-	free     chan struct{}     // of one: nothing is on its way
+	mu               sync.Mutex
+	accepted         *versionSnapshot  // what the router has accepted, where it is a kept cut
+	acceptedVersions map[string]string // and else the versions of its pieces
+	pending          *versionSnapshot  // on its way
+	pendingNonce     string            // of that
+	idle             chan struct{}     // of one: nothing is on its way
 }
 
-func (p *deltaPeer) hello() (joining, error) {
-	r, err := p.g.Recv()
+func (p *deltaServerStream) hello() (helloRequest, error) {
+	r, err := p.stream.Recv()
 	if err != nil {
-		return joining{}, err
+		return helloRequest{}, err
 	}
-	p.free = make(chan struct{}, 1)
-	p.free <- struct{}{}
-	if p.has = p.cuts.known(r.GetInitialResourceVersions()); p.has == nil {
-		p.versions = r.GetInitialResourceVersions()
+	p.idle = make(chan struct{}, 1)
+	p.idle <- struct{}{}
+	if p.accepted = p.snapshots.find(r.GetInitialResourceVersions()); p.accepted == nil {
+		p.acceptedVersions = r.GetInitialResourceVersions()
 	}
-	j := joining{router: r.GetNode().GetId(), running: acceptedBy(r.GetNode())}
-	return j, firstFault(j.router, r.GetTypeUrl())
+	j := helloRequest{router: r.GetNode().GetId(), accepted: acceptedNumber(r.GetNode())}
+	return j, checkFirstRequest(j.router, r.GetTypeUrl())
 }
 
-func (p *deltaPeer) send(v configversion.Version, service string) error {
+func (p *deltaServerStream) send(v configversion.Version, service string) error {
 	select {
-	case <-p.free:
-	case <-p.g.Context().Done():
-		return p.g.Context().Err()
+	case <-p.idle:
+	case <-p.stream.Context().Done():
+		return p.stream.Context().Err()
 	}
-	c, err := p.cuts.cut(v)
+	c, err := p.snapshots.snapshot(v)
 	if err != nil {
 		return err
 	}
 	p.mu.Lock()
-	d := c.since(p.has, p.versions)
-	p.pending, p.nonce = c, p.sent.next(v.Number)
-	out := &discovery.DeltaDiscoveryResponse{SystemVersionInfo: versionInfo(v), TypeUrl: SettingsType, Nonce: p.nonce,
+	d := c.deltaFrom(p.accepted, p.acceptedVersions)
+	p.pending, p.pendingNonce = c, p.nonces.next(v.Number)
+	out := &discovery.DeltaDiscoveryResponse{SystemVersionInfo: versionInfo(v), TypeUrl: SettingsType, Nonce: p.pendingNonce,
 		Resources: d.resources, RemovedResources: d.removed, ControlPlane: controlPlane(service)}
 	p.mu.Unlock()
-	return p.g.Send(out)
+	return p.stream.Send(out)
 }
 
-func (p *deltaPeer) recv() (answer, bool, error) {
-	r, err := p.g.Recv()
+func (p *deltaServerStream) recv() (versionResponse, bool, error) {
+	r, err := p.stream.Recv()
 	if err != nil {
-		return answer{}, false, err
+		return versionResponse{}, false, err
 	}
-	number, known := p.sent.number(r.GetResponseNonce())
+	number, known := p.nonces.number(r.GetResponseNonce())
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !known || r.GetResponseNonce() != p.nonce {
-		return answer{}, false, nil
+	if !known || r.GetResponseNonce() != p.pendingNonce {
+		return versionResponse{}, false, nil
 	}
-	p.nonce = ""
+	p.pendingNonce = ""
 	d := r.GetErrorDetail()
 	if d == nil {
-		p.has, p.versions = p.pending, nil
+		p.accepted, p.acceptedVersions = p.pending, nil
 	}
 	p.pending = nil
-	p.free <- struct{}{}
-	return answer{number, detailLines(d)}, true, nil
+	p.idle <- struct{}{}
+	return versionResponse{number, reasonLines(d)}, true, nil
 }
 
-// errMisfit ends a stream whose two sides disagree about what a router has.
-var errMisfit = errors.New("control: what came does not fit what was there; the stream begins anew with the whole")
+// errStateMismatch ends a stream whose two sides disagree about what a router has.
+var errStateMismatch = errors.New("control: what came does not fit what was there; the stream begins anew with the whole")
 
-// deltaLine is a service's stream by the incremental protocol.
-type deltaLine struct {
-	g grpc.BidiStreamingClient[discovery.DeltaDiscoveryRequest, discovery.DeltaDiscoveryResponse]
+// deltaClientStream is a service's stream by the incremental protocol.
+type deltaClientStream struct {
+	stream grpc.BidiStreamingClient[discovery.DeltaDiscoveryRequest, discovery.DeltaDiscoveryResponse]
 
-	mu      sync.Mutex
-	has     map[string]string // accepted pieces
-	pending map[string]map[string]string
+	mu       sync.Mutex
+	accepted map[string]string // accepted pieces
+	pending  map[string]map[string]string
 }
 
-func (l *deltaLine) hello(router string, accepted int64) error {
+func (l *deltaClientStream) hello(router string, accepted int64) error {
 	l.pending = map[string]map[string]string{}
-	return l.g.Send(&discovery.DeltaDiscoveryRequest{Node: node(router, accepted), TypeUrl: SettingsType,
-		ResourceNamesSubscribe: []string{"*"}, InitialResourceVersions: pieceVersions(l.has)})
+	return l.stream.Send(&discovery.DeltaDiscoveryRequest{Node: routerNode(router, accepted), TypeUrl: SettingsType,
+		ResourceNamesSubscribe: []string{"*"}, InitialResourceVersions: pieceVersions(l.accepted)})
 }
 
-func (l *deltaLine) recv() (offer, error) {
-	r, err := l.g.Recv()
+func (l *deltaClientStream) recv() (offeredVersion, error) {
+	r, err := l.stream.Recv()
 	if err != nil {
-		return offer{}, err
+		return offeredVersion{}, err
 	}
-	o := offer{service: r.GetControlPlane().GetIdentifier(), nonce: r.GetNonce()}
-	if o.version.Number, o.version.Sum, o.bad = parseInfo(r.GetSystemVersionInfo()); o.bad != nil {
+	o := offeredVersion{service: r.GetControlPlane().GetIdentifier(), nonce: r.GetNonce()}
+	if o.version.Number, o.version.Sum, o.fault = parseVersionInfo(r.GetSystemVersionInfo()); o.fault != nil {
 		return o, nil
 	}
 	if o.version.Number == 0 || r.GetTypeUrl() != SettingsType {
-		o.bad = fmt.Errorf("control: a response of type %.80q with version %d", r.GetTypeUrl(), o.version.Number)
+		o.fault = fmt.Errorf("control: a response of type %.80q with version %d", r.GetTypeUrl(), o.version.Number)
 		return o, nil
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	next := maps.Clone(l.has)
+	next := maps.Clone(l.accepted)
 	if next == nil {
 		next = map[string]string{}
 	}
@@ -240,30 +240,30 @@
 		delete(next, name)
 	}
 	for _, one := range r.GetResources() {
-		text, err := unpack(one.GetResource())
+		text, err := unmarshalResource(one.GetResource())
 		if err == nil && (one.GetName() == "" || pieceVersion(string(text)) != one.GetVersion()) {
 			err = fmt.Errorf("control: piece %.80q does not match its version %.40q", one.GetName(), one.GetVersion())
 		}
 		if err != nil {
-			o.bad = err
+			o.fault = err
 			return o, nil
 		}
 		next[one.GetName()] = string(text)
 	}
-	o.version.Body = join(next)
-	if configversion.Checksum(o.version.Body) != o.version.Sum && len(l.has) > 0 {
-		return o, errMisfit // a whole that is wrong is for the machine to refuse
+	o.version.Body = joinPieces(next)
+	if configversion.Checksum(o.version.Body) != o.version.Sum && len(l.accepted) > 0 {
+		return o, errStateMismatch // a whole that is wrong is for the machine to refuse
 	}
 	l.pending[o.nonce] = next
 	return o, nil
 }
 
-func (l *deltaLine) reply(nonce string, _, _ int64, reasons []configversion.Reason) error {
+func (l *deltaClientStream) reply(nonce string, _, _ int64, reasons []configversion.Reason) error {
 	l.mu.Lock()
 	if next := l.pending[nonce]; next != nil && len(reasons) == 0 {
-		l.has = next
+		l.accepted = next
 	}
 	clear(l.pending)
 	l.mu.Unlock()
-	return l.g.Send(&discovery.DeltaDiscoveryRequest{TypeUrl: SettingsType, ResponseNonce: nonce, ErrorDetail: detail(reasons)})
+	return l.stream.Send(&discovery.DeltaDiscoveryRequest{TypeUrl: SettingsType, ResponseNonce: nonce, ErrorDetail: errorDetail(reasons)})
 }
--- a/internal/controlplane/service/folder.go
+++ b/internal/controlplane/service/folder.go
@@ -17,60 +17,60 @@
 
 // ReadFolder reads the files *.edn of a folder in the order of their names: they
 // are one text. Those whose names begin with a dot are left out.
-func ReadFolder(dir string) (out []config.Source, err error) {
-	list, err := os.ReadDir(dir)
+func ReadFolder(dir string) (sources []config.Source, err error) {
+	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, fmt.Errorf("control: %w", err)
 	}
-	sort.Slice(list, func(i, j int) bool { return list[i].Name() < list[j].Name() })
-	for _, e := range list {
-		if e.IsDir() || !strings.HasSuffix(e.Name(), ".edn") || strings.HasPrefix(e.Name(), ".") {
+	sort.Slice(entries, func(i, j int) bool { return entries[i].Name() < entries[j].Name() })
+	for _, entry := range entries {
+		if entry.IsDir() || !strings.HasSuffix(entry.Name(), ".edn") || strings.HasPrefix(entry.Name(), ".") {
 			continue
 		}
-		path := filepath.Join(dir, e.Name())
-		b, err := os.ReadFile(path)
+		path := filepath.Join(dir, entry.Name())
+		text, err := os.ReadFile(path)
 		if errors.Is(err, fs.ErrNotExist) {
 			continue // removed since; that is told too
 		}
 		if err != nil {
 			return nil, fmt.Errorf("control: %w", err)
 		}
-		out = append(out, config.Source{File: path, Text: string(b)})
+		sources = append(sources, config.Source{File: path, Text: string(text)})
 	}
-	if len(out) == 0 {
+	if len(sources) == 0 {
 		return nil, fmt.Errorf("control: %s holds no file *.edn", dir)
 	}
-	return out, nil
+	return sources, nil
 }
 
 const (
-	settleFor = 300 * time.Millisecond // files change in bursts
-	lookEvery = 30 * time.Second       // some file systems tell of no change
+	folderSettleTime   = 300 * time.Millisecond // files change in bursts
+	folderPollInterval = 30 * time.Second       // some file systems tell of no change
 )
 
 // watchFolder calls changed once at the start, after each change, and after as long
 // as it says, until done is closed.
 func watchFolder(dir string, done <-chan struct{}, changed func() time.Duration) error {
-	w, err := fsnotify.NewWatcher()
+	watcher, err := fsnotify.NewWatcher()
 	if err != nil {
 		return fmt.Errorf("control: %w", err)
 	}
-	if err := w.Add(dir); err != nil {
-		w.Close()
+	if err := watcher.Add(dir); err != nil {
+		watcher.Close()
 		return fmt.Errorf("control: %s: %w", dir, err)
 	}
 	go func() {
-		defer w.Close()
-		t := time.NewTimer(0)
-		defer t.Stop()
+		defer watcher.Close()
+		timer := time.NewTimer(0)
+		defer timer.Stop()
 		for {
 			select {
-			case <-t.C:
-				t.Reset(changed())
-			case <-w.Events:
-				t.Reset(settleFor)
-			case <-w.Errors: // events were lost
-				t.Reset(settleFor)
+			case <-timer.C:
+				timer.Reset(changed())
+			case <-watcher.Events:
+				timer.Reset(folderSettleTime)
+			case <-watcher.Errors: // events were lost
+				timer.Reset(folderSettleTime)
 			case <-done:
 				return
 			}
--- a/internal/controlplane/service/server.go
+++ b/internal/controlplane/service/server.go
@@ -47,31 +47,31 @@
 type Server struct {
 	discovery.UnimplementedAggregatedDiscoveryServiceServer
 	load.UnimplementedLoadReportingServiceServer
-	cfg  ServerConfig
-	grpc *grpc.Server
-	done chan struct{}
-	once sync.Once
-	cuts cutter
+	cfg       ServerConfig
+	grpc      *grpc.Server
+	done      chan struct{}
+	stopOnce  sync.Once
+	snapshots snapshotCache
 
-	mu      sync.Mutex
-	rollout *rollout.Rollout
-	streams map[string]*stream
-	events  []string // the last of what happened, for status
-	next    time.Time
-	kept    rollout.State        // what was kept last
-	unkept  *unkept              // the state can't be kept for now; nil: it can
-	stood   configversion.Millis // for how long the rollout's clock has stood
+	mu           sync.Mutex
+	rollout      *rollout.Rollout
+	streams      map[string]*routerStream
+	events       []string // the last of what happened, for status
+	nextStreamAt time.Time
+	persisted    rollout.State        // what was kept last
+	persistFault *persistFault        // the state can't be kept for now; nil: it can
+	pausedFor    configversion.Millis // for how long the rollout's clock has stood
 }
 
-// stream is one router's.
-type stream struct {
-	router string
-	send   chan configversion.Version // of one: a newer version replaces an older one that was not sent yet
-	stop   context.CancelCauseFunc
+// routerStream is one router's.
+type routerStream struct {
+	router   string
+	versions chan configversion.Version // of one: a newer version replaces an older one that was not sent yet
+	cancel   context.CancelCauseFunc
 }
 
 // NewServer makes a service; options are gRPC's, as credentials.
-func NewServer(cfg ServerConfig, opts ...grpc.ServerOption) *Server {
+func NewServer(cfg ServerConfig, options ...grpc.ServerOption) *Server {
 	if cfg.StreamsPerSecond <= 0 {
 		cfg.StreamsPerSecond = 200
 	}
@@ -84,25 +84,25 @@
 	if cfg.ReportInterval <= 0 {
 		cfg.ReportInterval = 10 * time.Second
 	}
-	opts = append([]grpc.ServerOption{grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second}),
-		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 20 * time.Second, Timeout: 10 * time.Second})}, opts...)
-	s := &Server{cfg: cfg, grpc: grpc.NewServer(opts...), done: make(chan struct{}), streams: map[string]*stream{},
-		rollout: rollout.New(cfg.Rollout, cfg.State), kept: cfg.State}
-	discovery.RegisterAggregatedDiscoveryServiceServer(s.grpc, s)
-	load.RegisterLoadReportingServiceServer(s.grpc, s)
+	options = append([]grpc.ServerOption{grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second}),
+		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 20 * time.Second, Timeout: 10 * time.Second})}, options...)
+	server := &Server{cfg: cfg, grpc: grpc.NewServer(options...), done: make(chan struct{}), streams: map[string]*routerStream{},
+		rollout: rollout.New(cfg.Rollout, cfg.State), persisted: cfg.State}
+	discovery.RegisterAggregatedDiscoveryServiceServer(server.grpc, server)
+	load.RegisterLoadReportingServiceServer(server.grpc, server)
 	go func() {
-		t := time.NewTicker(cfg.TickInterval)
-		defer t.Stop()
+		ticker := time.NewTicker(cfg.TickInterval)
+		defer ticker.Stop()
 		for {
 			select {
-			case <-t.C:
-				s.pass()
-			case <-s.done:
+			case <-ticker.C:
+				server.tick()
+			case <-server.done:
 				return
 			}
 		}
 	}()
-	return s
+	return server
 }
 
 // Serve serves until Stop.
@@ -110,75 +110,75 @@
 
 // Stop ends the service and its streams at once.
 func (s *Server) Stop() {
-	s.once.Do(func() { close(s.done); s.grpc.Stop() })
+	s.stopOnce.Do(func() { close(s.done); s.grpc.Stop() })
 }
 
 var began = time.Now()
 
 func now() configversion.Millis { return float64(time.Since(began).Microseconds()) / 1000 }
 
-// pass has time pass, or tries again to keep the state.
-func (s *Server) pass() {
+// tick has time pass, or tries again to keep the state.
+func (s *Server) tick() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.unkept != nil {
-		s.retryKeep()
+	if s.persistFault != nil {
+		s.retryPersist()
 		return
 	}
-	s.tellLocked(rollout.Tick{})
+	s.handleLocked(rollout.Tick{})
 }
 
-// tell gives the rollout an event and carries out what it wants.
-func (s *Server) tell(ev any) {
+// handle gives the rollout an event and carries out what it wants.
+func (s *Server) handle(ev any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tellLocked(ev)
+	s.handleLocked(ev)
 }
 
-func (s *Server) tellLocked(ev any) {
-	if s.unkept != nil {
-		s.putOff(ev)
+func (s *Server) handleLocked(ev any) {
+	if s.persistFault != nil {
+		s.deferEvent(ev)
 		return
 	}
-	s.carryOut(s.rollout.Handle(s.clock(), ev, nil))
+	s.execute(s.rollout.Handle(s.rolloutNow(), ev, nil))
 }
 
-// carryOut does what the rollout wants, in its order: what follows the keeping of a
+// execute does what the rollout wants, in its order: what follows the keeping of a
 // state is done only once it is kept.
-func (s *Server) carryOut(actions []any) {
-	for i, a := range actions {
-		switch a := a.(type) {
+func (s *Server) execute(actions []any) {
+	for i, action := range actions {
+		switch action := action.(type) {
 		case rollout.Persist:
 			if s.cfg.Store == nil {
 				continue
 			}
-			if err := s.cfg.Store.Save(a.State); err != nil {
-				s.bar(err, actions[i+1:])
+			if err := s.cfg.Store.Save(action.State); err != nil {
+				s.suspend(err, actions[i+1:])
 				return
 			}
-			s.kept = a.State
+			s.persisted = action.State
 		case rollout.Offer:
-			if st := s.streams[a.Router]; st != nil {
+			if st := s.streams[action.Router]; st != nil {
 				select {
-				case <-st.send: // not sent yet, and superseded
+				case <-st.versions: // not sent yet, and superseded
 				default:
 				}
-				st.send <- a.Version
+				st.versions <- action.Version
 			}
 		case rollout.Halted:
-			s.note("version %d halted: %s", a.Number, a.Reason)
+			s.recordEvent("version %d halted: %s", action.Number, action.Reason)
 		case rollout.NumberAhead:
-			s.note("router %s has accepted version %d, which this service never gave; numbers go on from there", a.Router, a.Number)
+			s.recordEvent("router %s has accepted version %d, which this service never gave; numbers go on from there", action.Router, action.Number)
 		case rollout.StageStarted:
-			s.note("version %d: stage %d, %d routers", a.Number, a.Stage+1, a.Routers)
+			s.recordEvent("version %d: stage %d, %d routers", action.Number, action.Stage+1, action.Routers)
 		case rollout.Completed:
-			s.note("version %d is everybody's", a.Number)
+			s.recordEvent("version %d is everybody's", action.Number)
 		}
 	}
 }
 
-func (s *Server) note(format string, a ...any) {
-	text := fmt.Sprintf(format, a...)
+func (s *Server) recordEvent(format string, args ...any) {
+	text := fmt.Sprintf(format, args...)
 	if s.cfg.OnEvent != nil {
 		s.cfg.OnEvent(text)
 	}
@@ -201,19 +201,19 @@
 
 // PushUnchecked begins the rollout of a body as it is, and returns its number. It makes
 // no checks but the routers'; see PushSources. Where the state can't be kept, the error is
-// an *PersistError.
+// a *PersistError.
 func (s *Server) PushUnchecked(body []byte, force bool) (int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.pushLocked(body, force)
 }
 
-func (s *Server) pushLocked(body []byte, force bool) (int64, error) {
-	if err := s.refusal(false); err != nil {
+func (s *Server) pushLocked(body []byte, immediate bool) (int64, error) {
+	if err := s.persistError(false); err != nil {
 		return 0, err
 	}
-	s.tellLocked(rollout.Push{Body: body, Force: force})
-	if err := s.refusal(true); err != nil {
+	s.handleLocked(rollout.Push{Body: body, Force: immediate})
+	if err := s.persistError(true); err != nil {
 		return 0, err
 	}
 	st := s.rollout.State()
@@ -226,7 +226,7 @@
 func (s *Server) PushSources(sources []config.Source, force bool) (number int64, fresh bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.refusal(false); err != nil {
+	if err := s.persistError(false); err != nil {
 		return 0, false, err
 	}
 	st := s.rollout.State()
@@ -246,15 +246,15 @@
 }
 
 // Halt stops the rollout under way; the old content goes to all under a new number.
-// Where the state can't be kept, the error is an *PersistError.
+// Where the state can't be kept, the error is a *PersistError.
 func (s *Server) Halt(why string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.refusal(false); err != nil {
+	if err := s.persistError(false); err != nil {
 		return err
 	}
-	s.tellLocked(rollout.Halt{Reason: why})
-	return s.refusal(true)
+	s.handleLocked(rollout.Halt{Reason: why})
+	return s.persistError(true)
 }
 
 // Status is what a service knows.
@@ -271,26 +271,26 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	st := Status{s.cfg.Name, s.rollout.State(), s.rollout.Status(), append([]string(nil), s.events...), nil}
-	if u := s.unkept; u != nil {
-		st.State, st.PersistError = s.kept, &PersistError{Since: u.since, Err: u.err}
+	if u := s.persistFault; u != nil {
+		st.State, st.PersistError = s.persisted, &PersistError{Since: u.since, Err: u.err}
 	}
 	return st
 }
 
-// pace has streams begin no faster than the service can take: the wait that is
+// admitStream has streams begin no faster than the service can take: the wait that is
 // still bearable, or an error that tells the router to come back.
-func (s *Server) pace(ctx context.Context) error {
+func (s *Server) admitStream(ctx context.Context) error {
 	s.mu.Lock()
-	t := time.Now()
-	if s.next.Before(t) {
-		s.next = t
+	now := time.Now()
+	if s.nextStreamAt.Before(now) {
+		s.nextStreamAt = now
 	}
-	wait := s.next.Sub(t)
+	wait := s.nextStreamAt.Sub(now)
 	if wait > 2*time.Second || len(s.streams) >= s.cfg.MaxStreams {
 		s.mu.Unlock()
 		return status.Error(codes.ResourceExhausted, "control: too many streams begin at once; come back later")
 	}
-	s.next = s.next.Add(time.Duration(float64(time.Second) / s.cfg.StreamsPerSecond))
+	s.nextStreamAt = s.nextStreamAt.Add(time.Duration(float64(time.Second) / s.cfg.StreamsPerSecond))
 	s.mu.Unlock()
 	select {
 	case <-time.After(wait):
@@ -301,60 +301,60 @@
 }
 
 // StreamAggregatedResources is a router's stream by state of the world.
-func (s *Server) StreamAggregatedResources(g grpc.BidiStreamingServer[discovery.DiscoveryRequest, discovery.DiscoveryResponse]) error {
-	return s.stream(g.Context(), &sotwPeer{g: g, cuts: &s.cuts})
+func (s *Server) StreamAggregatedResources(stream grpc.BidiStreamingServer[discovery.DiscoveryRequest, discovery.DiscoveryResponse]) error {
+	return s.serveStream(stream.Context(), &sotwServerStream{stream: stream, snapshots: &s.snapshots})
 }
 
 // DeltaAggregatedResources is a router's stream by the incremental protocol.
-func (s *Server) DeltaAggregatedResources(g grpc.BidiStreamingServer[discovery.DeltaDiscoveryRequest, discovery.DeltaDiscoveryResponse]) error {
-	return s.stream(g.Context(), &deltaPeer{g: g, cuts: &s.cuts})
+func (s *Server) DeltaAggregatedResources(stream grpc.BidiStreamingServer[discovery.DeltaDiscoveryRequest, discovery.DeltaDiscoveryResponse]) error {
+	return s.serveStream(stream.Context(), &deltaServerStream{stream: stream, snapshots: &s.snapshots})
 }
 
-// stream serves a router's stream, to its end.
-func (s *Server) stream(ctx context.Context, p peer) error {
+// serveStream serves a router's stream, to its end.
+func (s *Server) serveStream(ctx context.Context, peer serverStream) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	first, err := p.hello()
+	first, err := peer.hello()
 	if err != nil {
 		return err
 	}
-	if err := named(ctx, first.router); err != nil {
+	if err := checkCertificateName(ctx, first.router); err != nil {
 		s.mu.Lock()
-		s.note("%v", err)
+		s.recordEvent("%v", err)
 		s.mu.Unlock()
 		return err
 	}
-	if err := s.pace(ctx); err != nil {
+	if err := s.admitStream(ctx); err != nil {
 		return err
 	}
-	st := &stream{router: first.router, send: make(chan configversion.Version, 1), stop: cancel}
+	registered := &routerStream{router: first.router, versions: make(chan configversion.Version, 1), cancel: cancel}
 	s.mu.Lock()
-	if err := s.refusal(false); err != nil {
+	if err := s.persistError(false); err != nil {
 		s.mu.Unlock()
 		return err
 	}
 	if old := s.streams[first.router]; old != nil {
-		old.stop(errors.New("control: the router has begun another stream"))
+		old.cancel(errors.New("control: the router has begun another stream"))
 	}
-	s.streams[first.router] = st
-	s.tellLocked(rollout.Connected{Router: first.router, Running: first.running})
+	s.streams[first.router] = registered
+	s.handleLocked(rollout.Connected{Router: first.router, Running: first.accepted})
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
-		if s.streams[first.router] == st {
+		if s.streams[first.router] == registered {
 			delete(s.streams, first.router)
-			s.tellLocked(rollout.Disconnected{Router: first.router})
+			s.handleLocked(rollout.Disconnected{Router: first.router})
 		}
 		s.mu.Unlock()
 	}()
 	go func() {
 		for {
 			select {
-			case v := <-st.send:
+			case v := <-registered.versions:
 				if s.cfg.OnSend != nil {
 					s.cfg.OnSend(first.router, v)
 				}
-				if err := p.send(v, s.cfg.Name); err != nil {
+				if err := peer.send(v, s.cfg.Name); err != nil {
 					cancel(err)
 					return
 				}
@@ -365,16 +365,16 @@
 	}()
 	go func() {
 		for {
-			a, known, err := p.recv()
+			a, known, err := peer.recv()
 			switch {
 			case err != nil:
 				cancel(err)
 				return
 			case !known: // to a response that was superseded, or to none: xDS has such be ignored
 			case a.reasons != nil:
-				s.tell(rollout.Nacked{Router: first.router, Number: a.number, Reasons: a.reasons})
+				s.handle(rollout.Nacked{Router: first.router, Number: a.number, Reasons: a.reasons})
 			default:
-				s.tell(rollout.Acked{Router: first.router, Number: a.number})
+				s.handle(rollout.Acked{Router: first.router, Number: a.number})
 			}
 		}
 	}()
--- a/internal/controlplane/service/service.go
+++ b/internal/controlplane/service/service.go
@@ -27,20 +27,20 @@
 // Service is a control service as a program runs it.
 type Service struct {
 	*Server
-	set   *Settings
-	log   *zap.Logger
-	store *configstore.Store
-	ln    net.Listener
-	admin net.Listener
-	http  *http.Server
-	done  chan struct{}
-	once  sync.Once
-	keep  *diskKeeper
-	last  string // what was last said of the folder, once each
+	settings          *Settings
+	log               *zap.Logger
+	store             *configstore.Store
+	routerListener    net.Listener
+	adminListener     net.Listener
+	adminServer       *http.Server
+	done              chan struct{}
+	closeOnce         sync.Once
+	stateStore        *diskStateStore
+	lastFolderMessage string // what was last said of the folder, once each
 }
 
-// kept is a service's state as the store has it; the versions stand beside it.
-type kept struct {
+// storedState is a service's state as the store has it; the versions stand beside it.
+type storedState struct {
 	ID     string `json:"id"`
 	Last   int64  `json:"last"`
 	Base   int64  `json:"base"`
@@ -50,81 +50,81 @@
 	Folder string `json:"folder,omitempty"` // sum of what the folder held when it was last offered
 }
 
-// diskKeeper keeps a rollout's state in a store.
-type diskKeeper struct {
+// diskStateStore keeps a rollout's state in a store.
+type diskStateStore struct {
 	store *configstore.Store
 	id    string
 
-	mu     sync.Mutex
-	folder string
+	mu        sync.Mutex
+	folderSum string
 }
 
-// fromFolder reports whether a content of the folder was offered before: it is
+// swapFolderSum reports whether a content of the folder was offered before: it is
 // offered once, also where its rollout was halted, or rolled back since.
-func (k *diskKeeper) fromFolder(sum string) (before string, known bool) {
+func (k *diskStateStore) swapFolderSum(sum string) (previous string, known bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	before, k.folder = k.folder, sum
-	return before, before == sum
+	previous, k.folderSum = k.folderSum, sum
+	return previous, previous == sum
 }
 
 // Save implements StateStore.
-func (k *diskKeeper) Save(st rollout.State) error {
+func (k *diskStateStore) Save(state rollout.State) error {
 	k.mu.Lock()
-	folder := k.folder
+	folder := k.folderSum
 	k.mu.Unlock()
-	text, err := json.Marshal(kept{k.id, st.LastNumber, st.Base.Number, st.Next.Number, st.Stage, st.HaltReason, folder})
+	text, err := json.Marshal(storedState{k.id, state.LastNumber, state.Base.Number, state.Next.Number, state.Stage, state.HaltReason, folder})
 	if err != nil {
 		return err
 	}
-	return k.store.SaveState(text, []configversion.Version{st.Base, st.Next}, time.Now())
+	return k.store.SaveState(text, []configversion.Version{state.Base, state.Next}, time.Now())
 }
 
 // load is the state that was kept, and who the service is: the same over all its
 // restarts with this store, so that routers know it again.
-func (k *diskKeeper) load() (st rollout.State, err error) {
+func (k *diskStateStore) load() (state rollout.State, err error) {
 	text, err := k.store.State()
 	if err != nil {
-		return st, err
+		return state, err
 	}
 	if text == nil {
 		var id [4]byte
 		rand.Read(id[:])
 		k.id = hex.EncodeToString(id[:])
-		return st, k.Save(st)
+		return state, k.Save(state)
 	}
-	var s kept
-	if err := json.Unmarshal(text, &s); err != nil {
-		return st, fmt.Errorf("control: the stored state: %w", err)
+	var stored storedState
+	if err := json.Unmarshal(text, &stored); err != nil {
+		return state, fmt.Errorf("control: the stored state: %w", err)
 	}
-	k.id, k.folder = s.ID, s.Folder
-	st = rollout.State{LastNumber: s.Last, Stage: s.Stage, HaltReason: s.Halted}
+	k.id, k.folderSum = stored.ID, stored.Folder
+	state = rollout.State{LastNumber: stored.Last, Stage: stored.Stage, HaltReason: stored.Halted}
 	for _, one := range []struct {
 		number int64
 		v      *configversion.Version
-	}{{s.Base, &st.Base}, {s.Next, &st.Next}} {
+	}{{stored.Base, &state.Base}, {stored.Next, &state.Next}} {
 		if one.number == 0 {
 			continue
 		}
 		if *one.v, _, err = k.store.Version(one.number); err != nil {
-			return st, fmt.Errorf("control: version %d of the stored state: %w", one.number, err)
+			return state, fmt.Errorf("control: version %d of the stored state: %w", one.number, err)
 		}
 	}
-	return st, nil
+	return state, nil
 }
 
 // Start begins a service from its store and listens. sent is as in
 // ServerConfig.
-func Start(set *Settings, log *zap.Logger, sent func(router string, v configversion.Version)) (*Service, error) {
-	return StartWithFiles(configstore.Disk{}, set, log, sent)
+func Start(settings *Settings, log *zap.Logger, onSend func(router string, v configversion.Version)) (*Service, error) {
+	return StartWithFiles(configstore.Disk{}, settings, log, onSend)
 }
 
 // StartWithFiles is Start by the operations of a file system, for fault injection.
-func StartWithFiles(files configstore.FileSystem, set *Settings, log *zap.Logger, sent func(router string, v configversion.Version)) (*Service, error) {
-	s := &Service{set: set, log: log, done: make(chan struct{})}
-	f := &set.Service
+func StartWithFiles(files configstore.FileSystem, settings *Settings, log *zap.Logger, onSend func(router string, v configversion.Version)) (*Service, error) {
+	service := &Service{settings: settings, log: log, done: make(chan struct{})}
+	section := &settings.Service
 	var err error
-	s.store, err = configstore.OpenWith(files, f.Store, f.Keep)
+	service.store, err = configstore.OpenWith(files, section.Store, section.Keep)
 	var damaged *configstore.DamagedError
 	var fault *configstore.FaultError
 	if errors.As(err, &damaged) {
@@ -136,82 +136,82 @@
 	} else if err != nil {
 		return nil, err
 	}
-	keep := &diskKeeper{store: s.store}
-	state, err := keep.load()
+	stateStore := &diskStateStore{store: service.store}
+	state, err := stateStore.load()
 	if err != nil {
-		s.store.Close()
+		service.store.Close()
 		return nil, err
 	}
-	var opts []grpc.ServerOption
-	if f.Cert != "" {
-		keys := &CertificateFiles{Cert: f.Cert, Key: f.Key, Authorities: f.Authorities, Warn: func(text string) { log.Warn(text) }}
-		if err := keys.Load(); err != nil {
-			s.store.Close()
+	var options []grpc.ServerOption
+	if section.Cert != "" {
+		certificates := &CertificateFiles{Cert: section.Cert, Key: section.Key, Authorities: section.Authorities, Warn: func(text string) { log.Warn(text) }}
+		if err := certificates.Load(); err != nil {
+			service.store.Close()
 			return nil, err
 		}
-		opts = append(opts, grpc.Creds(keys.ServerCredentials()))
+		options = append(options, grpc.Creds(certificates.ServerCredentials()))
 	}
-	s.keep = keep
-	s.Server = NewServer(ServerConfig{Name: f.Name + "/" + keep.id, Rollout: set.Rollout.settings(), State: state, Store: keep,
-		StreamsPerSecond: f.PerSecond, MaxStreams: f.Streams, ReportInterval: time.Duration(f.Reports * float64(time.Millisecond)),
-		Limits: configversion.CheckLimits{ParentChurn: set.Checks.ParentChurn, CacheChurn: set.Checks.BoxChurn,
-			MaxCapacity: set.Checks.MaxSize, MaxLinkCapacity: set.Checks.MaxLink},
-		OnSend: sent, OnEvent: func(text string) { log.Info(text) }}, opts...)
-	if err := s.listen(); err != nil {
-		s.Close()
+	service.stateStore = stateStore
+	service.Server = NewServer(ServerConfig{Name: section.Name + "/" + stateStore.id, Rollout: settings.Rollout.settings(), State: state, Store: stateStore,
+		StreamsPerSecond: section.PerSecond, MaxStreams: section.Streams, ReportInterval: time.Duration(section.Reports * float64(time.Millisecond)),
+		Limits: configversion.CheckLimits{ParentChurn: settings.Checks.ParentChurn, CacheChurn: settings.Checks.BoxChurn,
+			MaxCapacity: settings.Checks.MaxSize, MaxLinkCapacity: settings.Checks.MaxLink},
+		OnSend: onSend, OnEvent: func(text string) { log.Info(text) }}, options...)
+	if err := service.listen(); err != nil {
+		service.Close()
 		return nil, err
 	}
-	go renewStore(s.store, s.done)
-	go s.Server.Serve(s.ln)
-	go s.http.Serve(s.admin)
-	if f.Folder != "" {
-		if err := watchFolder(f.Folder, s.done, s.lookAtFolder); err != nil {
-			s.Close()
+	go renewStore(service.store, service.done)
+	go service.Server.Serve(service.routerListener)
+	go service.adminServer.Serve(service.adminListener)
+	if section.Folder != "" {
+		if err := watchFolder(section.Folder, service.done, service.offerFolder); err != nil {
+			service.Close()
 			return nil, err
 		}
 	}
-	return s, nil
+	return service, nil
 }
 
 func (s *Service) listen() (err error) {
-	f := &s.set.Service
-	if s.ln, err = net.Listen("tcp", f.Listen); err != nil {
-		return fmt.Errorf("control: listen %s: %w; is the address free, and one of this machine?", f.Listen, err)
+	section := &s.settings.Service
+	if s.routerListener, err = net.Listen("tcp", section.Listen); err != nil {
+		return fmt.Errorf("control: listen %s: %w; is the address free, and one of this machine?", section.Listen, err)
 	}
 	network := "tcp"
-	if strings.HasPrefix(f.Admin, "/") {
+	if strings.HasPrefix(section.Admin, "/") {
 		network = "unix"
-		if st, err := os.Stat(f.Admin); err == nil && st.Mode()&os.ModeSocket != 0 {
-			os.Remove(f.Admin) // of an earlier life
+		if st, err := os.Stat(section.Admin); err == nil && st.Mode()&os.ModeSocket != 0 {
+			os.Remove(section.Admin) // of an earlier life
 		}
 	}
-	if s.admin, err = net.Listen(network, f.Admin); err != nil {
-		return fmt.Errorf("control: listener for operators %s: %w", f.Admin, err)
+	if s.adminListener, err = net.Listen(network, section.Admin); err != nil {
+		return fmt.Errorf("control: listener for operators %s: %w", section.Admin, err)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /push", s.httpPush)
-	mux.HandleFunc("POST /rollback", s.httpRollback)
-	mux.HandleFunc("POST /halt", s.httpHalt)
-	mux.HandleFunc("GET /status", s.httpStatus)
-	mux.HandleFunc("GET /versions", s.httpVersions)
-	mux.HandleFunc("GET /version", s.httpVersion)
-	s.http = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
+	mux.HandleFunc("POST /push", s.handlePush)
+	mux.HandleFunc("POST /rollback", s.handleRollback)
+	mux.HandleFunc("POST /halt", s.handleHalt)
+	mux.HandleFunc("GET /status", s.handleStatus)
+	mux.HandleFunc("GET /versions", s.handleVersions)
+	mux.HandleFunc("GET /version", s.handleVersion)
+	s.adminServer = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
 	return nil
 }
 
 // Addr is where routers reach the service, AdminAddr where operators do.
-func (s *Service) Addr() string      { return s.ln.Addr().String() }
-func (s *Service) AdminAddr() string { return s.admin.Addr().String() }
+func (s *Service) Addr() string      { return s.routerListener.Addr().String() }
+func (s *Service) AdminAddr() string { return s.adminListener.Addr().String() }
 
 // Close ends the service.
 func (s *Service) Close() {
-	s.once.Do(func() {
+	s.closeOnce.Do(func() {
 		close(s.done)
 		s.Server.Stop()
-		if s.http != nil {
-			s.http.Close()
+		if s.adminServer != nil {
+			s.adminServer.Close()
 		}
-		for _, ln := range []net.Listener{s.ln, s.admin} {
+		for _, ln := range []net.Listener{s.routerListener, s.adminListener} {
 			if ln != nil {
 				ln.Close()
 			}
@@ -220,40 +220,40 @@
 	})
 }
 
-// lookAtFolder offers what the folder holds, and says after how long to look again.
+// offerFolder offers what the folder holds, and says after how long to look again.
 // It is called from one goroutine.
-func (s *Service) lookAtFolder() time.Duration {
-	say := func(text string, level func(string, ...zap.Field)) {
-		if text != s.last {
-			level(text)
+func (s *Service) offerFolder() time.Duration {
+	logOnce := func(message string, level func(string, ...zap.Field)) {
+		if message != s.lastFolderMessage {
+			level(message)
 		}
-		s.last = text
+		s.lastFolderMessage = message
 	}
-	sources, err := ReadFolder(s.set.Service.Folder)
+	sources, err := ReadFolder(s.settings.Service.Folder)
 	if err != nil {
-		say(err.Error(), s.log.Error)
-		return lookEvery
+		logOnce(err.Error(), s.log.Error)
+		return folderPollInterval
 	}
 	var sum []byte
 	for _, one := range sources {
 		sum = append(append(sum, one.Text...), 0)
 	}
-	before, known := s.keep.fromFolder(configversion.Checksum(sum))
+	previous, known := s.stateStore.swapFolderSum(configversion.Checksum(sum))
 	if known {
-		return lookEvery
+		return folderPollInterval
 	}
-	number, fresh, err := s.PushSources(sources, false)
+	number, created, err := s.PushSources(sources, false)
 	var unkept *PersistError
 	switch {
 	case errors.As(err, &unkept) && !unkept.Queued:
-		s.keep.fromFolder(before)
-		return lastRetry
+		s.stateStore.swapFolderSum(previous)
+		return maxRetryDelay
 	case err != nil:
-		say(err.Error(), s.log.Error)
-	case fresh:
-		say(fmt.Sprintf("%s is version %d", s.set.Service.Folder, number), s.log.Info)
+		logOnce(err.Error(), s.log.Error)
+	case created:
+		logOnce(fmt.Sprintf("%s is version %d", s.settings.Service.Folder, number), s.log.Info)
 	}
-	return lookEvery
+	return folderPollInterval
 }
 
 // PushResult is what became of a push.
@@ -264,81 +264,81 @@
 	Error   string   `json:"error,omitempty"`
 }
 
-func answerJSON(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	json.NewEncoder(w).Encode(v)
 }
 
-func pushed(w http.ResponseWriter, number int64, fresh bool, err error) {
-	var refused *RejectedError
+func writePushResult(response http.ResponseWriter, number int64, created bool, err error) {
+	var rejected *RejectedError
 	switch {
-	case errors.As(err, &refused):
+	case errors.As(err, &rejected):
 		var lines []string
-		for _, r := range refused.Reasons {
+		for _, r := range rejected.Reasons {
 			lines = append(lines, r.String())
 		}
-		answerJSON(w, http.StatusUnprocessableEntity, PushResult{Reasons: lines})
+		writeJSON(response, http.StatusUnprocessableEntity, PushResult{Reasons: lines})
 	case err != nil:
-		answerJSON(w, http.StatusServiceUnavailable, PushResult{Error: err.Error()})
+		writeJSON(response, http.StatusServiceUnavailable, PushResult{Error: err.Error()})
 	default:
-		answerJSON(w, http.StatusOK, PushResult{Number: number, Created: fresh})
+		writeJSON(response, http.StatusOK, PushResult{Number: number, Created: created})
 	}
 }
 
-// httpPush takes a text of settings. ?now has it go to all routers at once,
+// handlePush takes a text of settings. ?now has it go to all routers at once,
 // ?unchecked has it go out though it does not pass the service's checks: the
 // routers make theirs. ?name is what faults call it by.
-func (s *Service) httpPush(w http.ResponseWriter, r *http.Request) {
-	limit := int64(s.set.Service.MaxBytes)
-	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
+func (s *Service) handlePush(response http.ResponseWriter, request *http.Request) {
+	limit := int64(s.settings.Service.MaxBytes)
+	body, err := io.ReadAll(http.MaxBytesReader(response, request.Body, limit))
 	if err != nil {
-		answerJSON(w, http.StatusRequestEntityTooLarge, PushResult{Error: fmt.Sprintf("%v; raise (service (max-bytes n))", err)})
+		writeJSON(response, http.StatusRequestEntityTooLarge, PushResult{Error: fmt.Sprintf("%v; raise (service (max-bytes n))", err)})
 		return
 	}
-	q := r.URL.Query()
-	name := q.Get("name")
+	query := request.URL.Query()
+	name := query.Get("name")
 	if name == "" {
 		name = "pushed"
 	}
-	if q.Has("unchecked") {
-		number, err := s.PushUnchecked(b, q.Has("now"))
-		pushed(w, number, true, err)
+	if query.Has("unchecked") {
+		number, err := s.PushUnchecked(body, query.Has("now"))
+		writePushResult(response, number, true, err)
 		return
 	}
-	number, fresh, err := s.PushSources([]config.Source{{File: name, Text: string(b)}}, q.Has("now"))
-	pushed(w, number, fresh, err)
+	number, created, err := s.PushSources([]config.Source{{File: name, Text: string(body)}}, query.Has("now"))
+	writePushResult(response, number, created, err)
 }
 
-// unread is the status of an answer that wanted a version which is not kept, or can't
+// versionErrorStatus is the status of an answer that wanted a version which is not kept, or can't
 // be read for now.
-func unread(err error) int {
+func versionErrorStatus(err error) int {
 	if errors.Is(err, configstore.ErrNoVersion) {
 		return http.StatusNotFound
 	}
 	return http.StatusServiceUnavailable
 }
 
-// httpRollback gives the content of an earlier version (?to) a new number.
-func (s *Service) httpRollback(w http.ResponseWriter, r *http.Request) {
-	to, err := strconv.ParseInt(r.URL.Query().Get("to"), 10, 64)
+// handleRollback gives the content of an earlier version (?to) a new number.
+func (s *Service) handleRollback(response http.ResponseWriter, request *http.Request) {
+	to, err := strconv.ParseInt(request.URL.Query().Get("to"), 10, 64)
 	if err != nil {
-		answerJSON(w, http.StatusBadRequest, PushResult{Error: "rollback wants ?to=NUMBER"})
+		writeJSON(response, http.StatusBadRequest, PushResult{Error: "rollback wants ?to=NUMBER"})
 		return
 	}
-	v, _, err := s.store.Version(to)
+	version, _, err := s.store.Version(to)
 	if err != nil {
-		answerJSON(w, unread(err), PushResult{Error: fmt.Sprintf("version %d is not kept, or can't be read: %v; see spool-control versions", to, err)})
+		writeJSON(response, versionErrorStatus(err), PushResult{Error: fmt.Sprintf("version %d is not kept, or can't be read: %v; see spool-control versions", to, err)})
 		return
 	}
-	number, err := s.PushUnchecked(v.Body, r.URL.Query().Has("now"))
-	pushed(w, number, true, err)
+	number, err := s.PushUnchecked(version.Body, request.URL.Query().Has("now"))
+	writePushResult(response, number, true, err)
 }
 
-func (s *Service) httpHalt(w http.ResponseWriter, _ *http.Request) {
+func (s *Service) handleHalt(response http.ResponseWriter, _ *http.Request) {
 	err := s.Halt("by hand")
-	st := s.Status()
-	pushed(w, st.State.Base.Number, true, err)
+	status := s.Status()
+	writePushResult(response, status.State.Base.Number, true, err)
 }
 
 // StatusView is Status without the versions' bodies.
@@ -358,21 +358,21 @@
 
 // View is what operators are shown.
 func (s *Service) View() StatusView {
-	st := s.Status()
-	v := StatusView{Service: st.Service, Last: st.State.LastNumber, Base: st.State.Base.Number, Next: st.State.Next.Number,
-		Stage: st.State.Stage, Halted: st.State.HaltReason, Routers: st.Routers, Events: st.Events}
+	status := s.Status()
+	view := StatusView{Service: status.Service, Last: status.State.LastNumber, Base: status.State.Base.Number, Next: status.State.Next.Number,
+		Stage: status.State.Stage, Halted: status.State.HaltReason, Routers: status.Routers, Events: status.Events}
 	since, fault := s.store.Fault()
-	if st.PersistError != nil {
-		since, fault = st.PersistError.Since, st.PersistError.Err
+	if status.PersistError != nil {
+		since, fault = status.PersistError.Since, status.PersistError.Err
 	}
 	if fault != nil {
-		v.StateFault, v.StateFaultSince, v.StateFaultMs = fault.Error(), since.UTC().Format(time.RFC3339Nano), float64(time.Since(since).Microseconds())/1000
+		view.StateFault, view.StateFaultSince, view.StateFaultMs = fault.Error(), since.UTC().Format(time.RFC3339Nano), float64(time.Since(since).Microseconds())/1000
 	}
-	return v
+	return view
 }
 
-func (s *Service) httpStatus(w http.ResponseWriter, _ *http.Request) {
-	answerJSON(w, http.StatusOK, s.View())
+func (s *Service) handleStatus(response http.ResponseWriter, _ *http.Request) {
+	writeJSON(response, http.StatusOK, s.View())
 }
 
 // VersionView is a kept version.
@@ -383,30 +383,30 @@
 	AgeMs  float64 `json:"age_ms"`
 }
 
-func (s *Service) httpVersions(w http.ResponseWriter, _ *http.Request) {
+func (s *Service) handleVersions(response http.ResponseWriter, _ *http.Request) {
 	list, err := s.store.History(time.Now())
 	if err != nil {
-		answerJSON(w, http.StatusServiceUnavailable, PushResult{Error: err.Error()})
+		writeJSON(response, http.StatusServiceUnavailable, PushResult{Error: err.Error()})
 		return
 	}
-	out := []VersionView{}
+	views := []VersionView{}
 	for _, a := range list {
-		out = append(out, VersionView{a.Version.Number, a.Version.Sum, len(a.Version.Body), a.Age})
+		views = append(views, VersionView{a.Version.Number, a.Version.Sum, len(a.Version.Body), a.Age})
 	}
-	answerJSON(w, http.StatusOK, out)
+	writeJSON(response, http.StatusOK, views)
 }
 
-func (s *Service) httpVersion(w http.ResponseWriter, r *http.Request) {
-	number, err := strconv.ParseInt(r.URL.Query().Get("number"), 10, 64)
+func (s *Service) handleVersion(response http.ResponseWriter, request *http.Request) {
+	number, err := strconv.ParseInt(request.URL.Query().Get("number"), 10, 64)
 	if err != nil {
-		http.Error(w, "version wants ?number=N", http.StatusBadRequest)
+		http.Error(response, "version wants ?number=N", http.StatusBadRequest)
 		return
 	}
-	v, _, err := s.store.Version(number)
+	version, _, err := s.store.Version(number)
 	if err != nil {
-		http.Error(w, fmt.Sprintf("version %d is not kept: %v", number, err), unread(err))
+		http.Error(response, fmt.Sprintf("version %d is not kept: %v", number, err), versionErrorStatus(err))
 		return
 	}
-	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	w.Write(v.Body)
+	response.Header().Set("Content-Type", "text/plain; charset=utf-8")
+	response.Write(version.Body)
 }
--- a/internal/controlplane/service/service_test.go
+++ b/internal/controlplane/service/service_test.go
@@ -44,7 +44,7 @@
 		return err
 	}
 	for n := 0; ; n++ {
-		number, _, err := s.PushSources([]config.Source{{File: "x", Text: string(body(1, fmt.Sprintf("(limits (held %d))", 1+rand.IntN(1e6))))}}, n%3 == 0)
+		number, _, err := s.PushSources([]config.Source{{File: "x", Text: string(settingsText(1, fmt.Sprintf("(limits (held %d))", 1+rand.IntN(1e6))))}}, n%3 == 0)
 		if err != nil {
 			return err
 		}
@@ -129,7 +129,7 @@
 	}
 }
 
-func ask(t *testing.T, s *Service, method, path, text string) (int, []byte) {
+func adminRequest(t *testing.T, s *Service, method, path, text string) (int, []byte) {
 	t.Helper()
 	req, err := http.NewRequest(method, "http://"+s.AdminAddr()+path, strings.NewReader(text))
 	if err != nil {
@@ -145,38 +145,38 @@
 }
 
 // What operators ask for, and what they are told where it can't be.
-func TestOperators(t *testing.T) {
+func TestAdminRequests(t *testing.T) {
 	dir := t.TempDir()
 	s, err := startService(dir, "(max-bytes 100000)", zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	r := follow(t, false, "r", 1, nil, s.Addr())
+	r := startRouter(t, false, "r", 1, nil, s.Addr())
 	push := func(path, text string, want int) (p PushResult) {
 		t.Helper()
-		code, b := ask(t, s, "POST", path, text)
+		code, b := adminRequest(t, s, "POST", path, text)
 		if err := json.Unmarshal(b, &p); err != nil || code != want {
 			t.Fatalf("%s: %d %s", path, code, b)
 		}
 		return p
 	}
 	eventually(t, "the stream", func() bool { return len(s.View().Routers) == 1 })
-	if p := push("/push?now&name=a.edn", string(body(3, "")), 200); p.Number != 1 || !p.Created {
+	if p := push("/push?now&name=a.edn", string(settingsText(3, "")), 200); p.Number != 1 || !p.Created {
 		t.Errorf("%+v", p)
 	}
-	if p := push("/push", "; the same again\n"+string(body(3, "")), 200); p.Number != 1 || p.Created {
+	if p := push("/push", "; the same again\n"+string(settingsText(3, "")), 200); p.Number != 1 || p.Created {
 		t.Errorf("the same content: %+v", p)
 	}
-	p := push("/push?name=b.edn", string(body(3, "(zone y (routers 1))\n(limits (held 0))")), 422)
+	p := push("/push?name=b.edn", string(settingsText(3, "(zone y (routers 1))\n(limits (held 0))")), 422)
 	if len(p.Reasons) != 1 || !strings.Contains(p.Reasons[0], "b.edn:3:") {
 		t.Errorf("a fault: %+v", p)
 	}
-	if p = push("/push", string(body(3, "(zone y (routers 1))")), 422); len(p.Reasons) != 1 || !strings.Contains(p.Reasons[0], "zone/y") {
+	if p = push("/push", string(settingsText(3, "(zone y (routers 1))")), 422); len(p.Reasons) != 1 || !strings.Contains(p.Reasons[0], "zone/y") {
 		t.Errorf("no sense: %+v", p)
 	}
 	push("/push", strings.Repeat(" ", 100001), 413)
-	if p = push("/push?now", string(body(4, "")), 200); p.Number != 2 {
+	if p = push("/push?now", string(settingsText(4, "")), 200); p.Number != 2 {
 		t.Errorf("%+v", p)
 	}
 	if p = push("/push?now&unchecked", "(oops", 200); p.Number != 3 {
@@ -186,18 +186,18 @@
 	if p = push("/rollback?to=1&now", "", 200); p.Number != 4 {
 		t.Errorf("%+v", p)
 	}
-	eventually(t, "the old content", all([]*router{r}, 4))
+	eventually(t, "the old content", allRunning([]*testRouter{r}, 4))
 	push("/rollback?to=99", "", 404)
 	push("/rollback", "", 400)
-	if code, b := ask(t, s, "GET", "/version?number=4", ""); code != 200 || !bytes.Equal(b, canonical(t, 3, "")) {
+	if code, b := adminRequest(t, s, "GET", "/version?number=4", ""); code != 200 || !bytes.Equal(b, canonical(t, 3, "")) {
 		t.Errorf("version 4: %d %s", code, b)
 	}
 	var list []VersionView
-	if code, b := ask(t, s, "GET", "/versions", ""); code != 200 || json.Unmarshal(b, &list) != nil || len(list) != 4 {
+	if code, b := adminRequest(t, s, "GET", "/versions", ""); code != 200 || json.Unmarshal(b, &list) != nil || len(list) != 4 {
 		t.Errorf("versions: %d %s", code, b)
 	}
 	for i := range 9 {
-		push("/push", string(body(3, fmt.Sprintf("(limits (held %d))", 100+i))), 200)
+		push("/push", string(settingsText(3, fmt.Sprintf("(limits (held %d))", 100+i))), 200)
 	}
 	if list, err := s.store.History(time.Now()); err != nil || len(list) > 6 || list[0].Version.Number != 4 && s.View().Base == 4 {
 		t.Errorf("%d versions are kept, the first of them %d: %v", len(list), list[0].Version.Number, err)
@@ -210,7 +210,7 @@
 
 // What changes in a folder is offered once, also over a restart: a halted
 // content does not come back by itself.
-func TestFolder(t *testing.T) {
+func TestFolderIsOfferedOnce(t *testing.T) {
 	dir := t.TempDir()
 	set := filepath.Join(dir, "set")
 	os.Mkdir(set, 0o755)
@@ -220,7 +220,7 @@
 			t.Fatal(err)
 		}
 	}
-	one := string(body(3, ""))
+	one := string(settingsText(3, ""))
 	cut := strings.Index(one, "(member")
 	write("10-classes.edn", one[:cut])
 	write("20-members.edn", one[cut:])
@@ -246,7 +246,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	time.Sleep(2 * settleFor)
+	time.Sleep(2 * folderSettleTime)
 	if v := s.View(); v.Last != 3 {
 		t.Errorf("a halted content came back by itself: %+v", v)
 	}
@@ -256,7 +256,7 @@
 
 // A damaged store is set aside and told of; numbers go on above what routers
 // have accepted.
-func TestServiceStoreDamaged(t *testing.T) {
+func TestDamagedServiceStore(t *testing.T) {
 	dir := t.TempDir()
 	s, err := startService(dir, "", zap.NewNop())
 	if err != nil {
@@ -264,15 +264,15 @@
 	}
 	var last int64
 	for i := range 6 {
-		last, _ = s.PushUnchecked(body(3, fmt.Sprintf("(limits (held %d))", 10+i)), true)
+		last, _ = s.PushUnchecked(settingsText(3, fmt.Sprintf("(limits (held %d))", 10+i)), true)
 	}
 	store, err := configstore.Open(filepath.Join(dir, "router.db"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer store.Close()
-	r := follow(t, false, "r", 1, store, s.Addr())
-	eventually(t, "the last version", all([]*router{r}, last))
+	r := startRouter(t, false, "r", 1, store, s.Addr())
+	eventually(t, "the last version", allRunning([]*testRouter{r}, last))
 	r.Close()
 	s.Close()
 	path := filepath.Join(dir, "svc.db")
@@ -294,17 +294,17 @@
 	if logs.FilterMessageSnippet("was damaged").Len() != 1 {
 		t.Errorf("told: %+v", logs.All())
 	}
-	r = follow(t, false, "r", 2, store, s.Addr())
+	r = startRouter(t, false, "r", 2, store, s.Addr())
 	eventually(t, "the lead of the router", func() bool { return s.View().Last == last })
-	n, err := s.PushUnchecked(body(4, ""), true)
+	n, err := s.PushUnchecked(settingsText(4, ""), true)
 	if err != nil || n != last+1 {
 		t.Fatal(n, err)
 	}
-	eventually(t, "the next number", all([]*router{r}, last+1))
+	eventually(t, "the next number", allRunning([]*testRouter{r}, last+1))
 }
 
 // Settings of a service that can't be right are told of with their place.
-func TestServiceSettings(t *testing.T) {
+func TestInvalidServiceSettings(t *testing.T) {
 	for text, want := range map[string]string{
 		`(service (store x) (listen "10.0.0.1:9900"))`:              "is not a loopback address, and there is no certificate",
 		`(service (store x) (admin "0.0.0.0:9901"))`:                "the listener for operators has no password",
@@ -337,19 +337,19 @@
 func TestServiceWithCertificates(t *testing.T) {
 	dir := t.TempDir()
 	a := newAuthority(t, "good")
-	k := a.keys(dir, "svc", "control", time.Hour)
+	k := a.certificateFiles(dir, "svc", "control", time.Hour)
 	s, err := startService(dir, fmt.Sprintf("(cert %q) (key %q) (authorities %q)", k.Cert, k.Key, k.Authorities), zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if _, _, err := s.PushSources([]config.Source{{File: "x", Text: string(body(3, ""))}}, true); err != nil {
+	if _, _, err := s.PushSources([]config.Source{{File: "x", Text: string(settingsText(3, ""))}}, true); err != nil {
 		t.Fatal(err)
 	}
-	plain := follow(t, false, "plain", 1, nil, s.Addr())
-	r := followFor(t, AgentConfig{Router: "r", Services: []string{s.Addr()},
-		DialOptions: []grpc.DialOption{grpc.WithTransportCredentials(a.keys(dir, "r", "r", time.Hour).ClientCredentials("control"))}})
-	eventually(t, "the version over TLS", all([]*router{r}, 1))
+	plain := startRouter(t, false, "plain", 1, nil, s.Addr())
+	r := startRouterWith(t, AgentConfig{Router: "r", Services: []string{s.Addr()},
+		DialOptions: []grpc.DialOption{grpc.WithTransportCredentials(a.certificateFiles(dir, "r", "r", time.Hour).ClientCredentials("control"))}})
+	eventually(t, "the version over TLS", allRunning([]*testRouter{r}, 1))
 	if n, _ := plain.Running(); n != 0 {
 		t.Error("a router without a certificate got a version")
 	}
--- a/internal/controlplane/service/settings.go
+++ b/internal/controlplane/service/settings.go
@@ -55,34 +55,34 @@
 }
 
 // Check tells what contradicts itself.
-func (s *Settings) Check(f *config.Faults) {
-	add := func(p config.Pos, key, what, remedy string) {
-		*f = append(*f, config.Fault{Pos: p, Key: key, What: what, Remedy: remedy})
+func (s *Settings) Check(faults *config.Faults) {
+	addFault := func(pos config.Pos, key, what, remedy string) {
+		*faults = append(*faults, config.Fault{Pos: pos, Key: key, What: what, Remedy: remedy})
 	}
-	v := &s.Service
-	host, _, err := net.SplitHostPort(v.Listen)
+	section := &s.Service
+	host, _, err := net.SplitHostPort(section.Listen)
 	if err != nil {
-		add(v.Place.Of("listen"), "service/listen", fmt.Sprintf("%q is no address", v.Listen), "write host:port")
-	} else if v.Cert == "" && !loopback(host) {
-		add(v.Place.Of("listen"), "service/listen", fmt.Sprintf("%q is not a loopback address, and there is no certificate", v.Listen),
+		addFault(section.Place.Of("listen"), "service/listen", fmt.Sprintf("%q is no address", section.Listen), "write host:port")
+	} else if section.Cert == "" && !loopback(host) {
+		addFault(section.Place.Of("listen"), "service/listen", fmt.Sprintf("%q is not a loopback address, and there is no certificate", section.Listen),
 			"give (cert FILE) (key FILE) (authorities FILE): versions say where requests go")
 	}
-	if !strings.HasPrefix(v.Admin, "/") {
-		if host, _, err := net.SplitHostPort(v.Admin); err != nil || !loopback(host) {
-			add(v.Place.Of("admin"), "service/admin", fmt.Sprintf("%q is not a loopback address", v.Admin),
+	if !strings.HasPrefix(section.Admin, "/") {
+		if host, _, err := net.SplitHostPort(section.Admin); err != nil || !loopback(host) {
+			addFault(section.Place.Of("admin"), "service/admin", fmt.Sprintf("%q is not a loopback address", section.Admin),
 				"the listener for operators has no password: bind it to 127.0.0.1 or to a Unix socket")
 		}
 	}
-	if n := len(v.Cert) * len(v.Key) * len(v.Authorities); n == 0 && v.Cert+v.Key+v.Authorities != "" {
-		add(v.Place.Pos, "service/cert", "cert, key and authorities are not all given", "give all three, or none")
+	if n := len(section.Cert) * len(section.Key) * len(section.Authorities); n == 0 && section.Cert+section.Key+section.Authorities != "" {
+		addFault(section.Place.Pos, "service/cert", "cert, key and authorities are not all given", "give all three, or none")
 	}
 	for i := 1; i < len(s.Rollout.Stages); i++ {
 		if s.Rollout.Stages[i] <= s.Rollout.Stages[i-1] {
-			add(v.Place.Pos, "rollout/stages", fmt.Sprintf("%v does not rise", s.Rollout.Stages), "give rising shares, the last 1")
+			addFault(section.Place.Pos, "rollout/stages", fmt.Sprintf("%v does not rise", s.Rollout.Stages), "give rising shares, the last 1")
 		}
 	}
 	if n := len(s.Rollout.Stages); n > 0 && s.Rollout.Stages[n-1] != 1 {
-		add(v.Place.Pos, "rollout/stages", fmt.Sprintf("the last of %v is not 1", s.Rollout.Stages), "end with 1: all routers")
+		addFault(section.Place.Pos, "rollout/stages", fmt.Sprintf("the last of %v is not 1", s.Rollout.Stages), "end with 1: all routers")
 	}
 }
 
--- a/internal/controlplane/service/sotw.go
+++ b/internal/controlplane/service/sotw.go
@@ -15,42 +15,42 @@
 	"indigospool/internal/controlplane/configversion"
 )
 
-// nonces remembers which version went out with which nonce: the last few, since
+// sentNonces remembers which version went out with which nonce: the last few, since
 // an answer to an older one is to be ignored.
-type nonces struct {
-	mu   sync.Mutex
-	n    int
-	sent map[string]int64
+type sentNonces struct {
+	mu      sync.Mutex
+	last    int
+	numbers map[string]int64
 }
 
-func (t *nonces) next(number int64) string {
+func (t *sentNonces) next(number int64) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.sent == nil {
-		t.sent = map[string]int64{}
+	if t.numbers == nil {
+		t.numbers = map[string]int64{}
 	}
-	t.n++
-	nonce := strconv.Itoa(t.n)
-	t.sent[nonce] = number
-	delete(t.sent, strconv.Itoa(t.n-8))
+	t.last++
+	nonce := strconv.Itoa(t.last)
+	t.numbers[nonce] = number
+	delete(t.numbers, strconv.Itoa(t.last-8))
 	return nonce
 }
 
-func (t *nonces) number(nonce string) (int64, bool) {
+func (t *sentNonces) number(nonce string) (int64, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	n, ok := t.sent[nonce]
+	n, ok := t.numbers[nonce]
 	return n, ok
 }
 
-// sotwPeer is a router's stream by state of the world.
-type sotwPeer struct {
-	g    grpc.BidiStreamingServer[discovery.DiscoveryRequest, discovery.DiscoveryResponse]
-	cuts *cutter
-	sent nonces
+// sotwServerStream is a router's stream by state of the world.
+type sotwServerStream struct {
+	stream    grpc.BidiStreamingServer[discovery.DiscoveryRequest, discovery.DiscoveryResponse]
+	snapshots *snapshotCache
+	nonces    sentNonces
 }
 
-func firstFault(router, typeURL string) error {
+func checkFirstRequest(router, typeURL string) error {
 	if router == "" {
 		return status.Error(codes.InvalidArgument, "control: the first request names no node id")
 	}
@@ -60,81 +60,81 @@
 	return nil
 }
 
-func (p *sotwPeer) hello() (joining, error) {
-	r, err := p.g.Recv()
+func (p *sotwServerStream) hello() (helloRequest, error) {
+	r, err := p.stream.Recv()
 	if err != nil {
-		return joining{}, err
+		return helloRequest{}, err
 	}
-	j := joining{router: r.GetNode().GetId()}
-	if err := firstFault(j.router, r.GetTypeUrl()); err != nil {
+	j := helloRequest{router: r.GetNode().GetId()}
+	if err := checkFirstRequest(j.router, r.GetTypeUrl()); err != nil {
 		return j, err
 	}
-	if j.running, _, err = parseInfo(r.GetVersionInfo()); err != nil {
+	if j.accepted, _, err = parseVersionInfo(r.GetVersionInfo()); err != nil {
 		return j, status.Error(codes.InvalidArgument, err.Error())
 	}
 	return j, nil
 }
 
-func (p *sotwPeer) send(v configversion.Version, service string) error {
-	c, err := p.cuts.cut(v)
+func (p *sotwServerStream) send(v configversion.Version, service string) error {
+	c, err := p.snapshots.snapshot(v)
 	if err != nil {
 		return err
 	}
-	return p.g.Send(&discovery.DiscoveryResponse{VersionInfo: versionInfo(v), TypeUrl: SettingsType,
-		Nonce: p.sent.next(v.Number), Resources: []*anypb.Any{c.whole}, ControlPlane: controlPlane(service)})
+	return p.stream.Send(&discovery.DiscoveryResponse{VersionInfo: versionInfo(v), TypeUrl: SettingsType,
+		Nonce: p.nonces.next(v.Number), Resources: []*anypb.Any{c.complete}, ControlPlane: controlPlane(service)})
 }
 
-func (p *sotwPeer) recv() (answer, bool, error) {
-	r, err := p.g.Recv()
+func (p *sotwServerStream) recv() (versionResponse, bool, error) {
+	r, err := p.stream.Recv()
 	if err != nil {
-		return answer{}, false, err
+		return versionResponse{}, false, err
 	}
-	number, known := p.sent.number(r.GetResponseNonce())
+	number, known := p.nonces.number(r.GetResponseNonce())
 	if !known {
-		return answer{}, false, nil
+		return versionResponse{}, false, nil
 	}
 	if d := r.GetErrorDetail(); d != nil {
-		return answer{number, detailLines(d)}, true, nil
+		return versionResponse{number, reasonLines(d)}, true, nil
 	}
-	return answer{number: number}, true, nil
+	return versionResponse{number: number}, true, nil
 }
 
-// sotwLine is a service's stream by state of the world.
-type sotwLine struct {
-	g grpc.BidiStreamingClient[discovery.DiscoveryRequest, discovery.DiscoveryResponse]
+// sotwClientStream is a service's stream by state of the world.
+type sotwClientStream struct {
+	stream grpc.BidiStreamingClient[discovery.DiscoveryRequest, discovery.DiscoveryResponse]
 }
 
-func (l *sotwLine) hello(router string, accepted int64) error {
-	r := &discovery.DiscoveryRequest{Node: node(router, accepted), TypeUrl: SettingsType}
+func (l *sotwClientStream) hello(router string, accepted int64) error {
+	r := &discovery.DiscoveryRequest{Node: routerNode(router, accepted), TypeUrl: SettingsType}
 	if accepted > 0 {
 		r.VersionInfo = strconv.FormatInt(accepted, 10)
 	}
-	return l.g.Send(r)
+	return l.stream.Send(r)
 }
 
-func (l *sotwLine) recv() (offer, error) {
-	r, err := l.g.Recv()
+func (l *sotwClientStream) recv() (offeredVersion, error) {
+	r, err := l.stream.Recv()
 	if err != nil {
-		return offer{}, err
+		return offeredVersion{}, err
 	}
-	o := offer{service: r.GetControlPlane().GetIdentifier(), nonce: r.GetNonce()}
-	if o.version.Number, o.version.Sum, o.bad = parseInfo(r.GetVersionInfo()); o.bad != nil {
+	o := offeredVersion{service: r.GetControlPlane().GetIdentifier(), nonce: r.GetNonce()}
+	if o.version.Number, o.version.Sum, o.fault = parseVersionInfo(r.GetVersionInfo()); o.fault != nil {
 		return o, nil
 	}
 	if r.GetTypeUrl() != SettingsType || len(r.GetResources()) != 1 {
-		o.bad = fmt.Errorf("control: %d resources of type %.80q, where one of %s is wanted", len(r.GetResources()), r.GetTypeUrl(), SettingsType)
+		o.fault = fmt.Errorf("control: %d resources of type %.80q, where one of %s is wanted", len(r.GetResources()), r.GetTypeUrl(), SettingsType)
 	} else if o.version.Number == 0 {
-		o.bad = errors.New("control: a response without a version")
+		o.fault = errors.New("control: a response without a version")
 	} else {
-		o.version.Body, o.bad = unpack(r.Resources[0])
+		o.version.Body, o.fault = unmarshalResource(r.Resources[0])
 	}
 	return o, nil
 }
 
-func (l *sotwLine) reply(nonce string, number, accepted int64, reasons []configversion.Reason) error {
-	r := &discovery.DiscoveryRequest{TypeUrl: SettingsType, ResponseNonce: nonce, ErrorDetail: detail(reasons)}
+func (l *sotwClientStream) reply(nonce string, number, accepted int64, reasons []configversion.Reason) error {
+	r := &discovery.DiscoveryRequest{TypeUrl: SettingsType, ResponseNonce: nonce, ErrorDetail: errorDetail(reasons)}
 	if r.VersionInfo = strconv.FormatInt(number, 10); len(reasons) > 0 {
 		r.VersionInfo = strconv.FormatInt(accepted, 10)
 	}
-	return l.g.Send(r)
+	return l.stream.Send(r)
 }
--- a/internal/controlplane/service/control_test.go
+++ b/internal/controlplane/service/stream_test.go
@@ -26,32 +26,32 @@
 	"indigospool/internal/controlplane/rollout"
 )
 
-func body(boxes int, extra string) []byte {
-	var b strings.Builder
-	b.WriteString(`(router (zone z) (of 400)) (zone z (routers 4)) (class c) (route "/c/{object}" (class c))` + "\n" + extra + "\n")
+func settingsText(boxes int, extra string) []byte {
+	var text strings.Builder
+	text.WriteString(`(router (zone z) (of 400)) (zone z (routers 4)) (class c) (route "/c/{object}" (class c))` + "\n" + extra + "\n")
 	for i := range boxes {
-		fmt.Fprintf(&b, "(member b%d (zone z) (address \"127.0.0.1:%d\"))\n", i, 9000+i)
+		fmt.Fprintf(&text, "(member b%d (zone z) (address \"127.0.0.1:%d\"))\n", i, 9000+i)
 	}
-	return []byte(b.String())
+	return []byte(text.String())
 }
 
 // canonical is the same as a service makes it of what is offered.
 func canonical(t testing.TB, boxes int, extra string) []byte {
-	b, reasons := Validate([]config.Source{{File: "test", Text: string(body(boxes, extra))}}, nil, NoLimits())
+	b, reasons := Validate([]config.Source{{File: "test", Text: string(settingsText(boxes, extra))}}, nil, NoLimits())
 	if len(reasons) > 0 {
 		t.Fatal(reasons)
 	}
 	return b
 }
 
-// memory keeps a service's state over its restarts.
-type memory struct {
+// memoryStateStore keeps a service's state over its restarts.
+type memoryStateStore struct {
 	mu    sync.Mutex
 	state rollout.State
 	err   error
 }
 
-func (m *memory) Save(s rollout.State) error {
+func (m *memoryStateStore) Save(s rollout.State) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.err == nil {
@@ -60,17 +60,17 @@
 	return m.err
 }
 
-func (m *memory) get() rollout.State {
+func (m *memoryStateStore) get() rollout.State {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state
 }
 
-func serve(t testing.TB, addr string, m *memory, hold float64) (*Server, string) {
-	var ln net.Listener
+func startServer(t testing.TB, addr string, store *memoryStateStore, hold float64) (*Server, string) {
+	var listener net.Listener
 	var err error
 	for range 100 { // the address of an earlier life may take a moment to be free
-		if ln, err = net.Listen("tcp", addr); err == nil {
+		if listener, err = net.Listen("tcp", addr); err == nil {
 			break
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -78,42 +78,42 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := NewServer(ServerConfig{Name: "svc", State: m.get(), Store: m, TickInterval: 10 * time.Millisecond, StreamsPerSecond: 2000,
+	server := NewServer(ServerConfig{Name: "svc", State: store.get(), Store: store, TickInterval: 10 * time.Millisecond, StreamsPerSecond: 2000,
 		Rollout: rollout.Settings{MinStageTime: hold, AnswerTimeout: 5000}})
-	go s.Serve(ln)
-	t.Cleanup(s.Stop)
-	return s, ln.Addr().String()
+	go server.Serve(listener)
+	t.Cleanup(server.Stop)
+	return server, listener.Addr().String()
 }
 
-// both runs a test by both protocols.
-func both(t *testing.T, f func(t *testing.T, full bool)) {
+// bothProtocols runs a test by both protocols.
+func bothProtocols(t *testing.T, f func(t *testing.T, full bool)) {
 	t.Run("full", func(t *testing.T) { f(t, true) })
 	t.Run("delta", func(t *testing.T) { f(t, false) })
 }
 
-type router struct {
+type testRouter struct {
 	*Agent
-	uses atomic.Int64
-	mu   sync.Mutex
-	said []string
+	uses     atomic.Int64
+	mu       sync.Mutex
+	warnings []string
 }
 
-func follow(t testing.TB, full bool, name string, seed uint64, store *configstore.Store, services ...string) *router {
-	return followFor(t, AgentConfig{Router: name, Services: services, Seed: seed, Store: store, StateOfTheWorld: full, Machine: configversion.MachineSettings{Jitter: 50}})
+func startRouter(t testing.TB, full bool, name string, seed uint64, store *configstore.Store, services ...string) *testRouter {
+	return startRouterWith(t, AgentConfig{Router: name, Services: services, Seed: seed, Store: store, StateOfTheWorld: full, Machine: configversion.MachineSettings{Jitter: 50}})
 }
 
-// followFor is follow with more said.
-func followFor(t testing.TB, c AgentConfig) *router {
-	r := &router{}
-	c.Backoff = 20 * time.Millisecond
-	if c.DialOptions == nil {
-		c.DialOptions = []grpc.DialOption{grpc.WithTransportCredentials(insecure.NewCredentials())}
+// startRouterWith is startRouter with more said.
+func startRouterWith(t testing.TB, config AgentConfig) *testRouter {
+	router := &testRouter{}
+	config.Backoff = 20 * time.Millisecond
+	if config.DialOptions == nil {
+		config.DialOptions = []grpc.DialOption{grpc.WithTransportCredentials(insecure.NewCredentials())}
 	}
-	c.Use = func(configversion.Activate) { r.uses.Add(1) }
-	c.Warn = func(s string) { r.mu.Lock(); r.said = append(r.said, s); r.mu.Unlock() }
-	r.Agent = StartAgent(c)
-	t.Cleanup(r.Close)
-	return r
+	config.Use = func(configversion.Activate) { router.uses.Add(1) }
+	config.Warn = func(s string) { router.mu.Lock(); router.warnings = append(router.warnings, s); router.mu.Unlock() }
+	router.Agent = StartAgent(config)
+	t.Cleanup(router.Close)
+	return router
 }
 
 func eventually(t testing.TB, what string, ok func() bool) {
@@ -127,7 +127,7 @@
 	t.Fatalf("waited in vain for %s", what)
 }
 
-func all(routers []*router, number int64) func() bool {
+func allRunning(routers []*testRouter, number int64) func() bool {
 	return func() bool {
 		for _, r := range routers {
 			if n, _ := r.Running(); n != number {
@@ -139,27 +139,27 @@
 }
 
 // Good, bad and repeated versions; then the service stops, and comes back.
-func TestVersionsOverTheStream(t *testing.T) {
-	both(t, func(t *testing.T, full bool) {
-		m := &memory{}
-		s, addr := serve(t, "127.0.0.1:0", m, 100)
-		var routers []*router
+func TestVersionsByStages(t *testing.T) {
+	bothProtocols(t, func(t *testing.T, full bool) {
+		m := &memoryStateStore{}
+		s, addr := startServer(t, "127.0.0.1:0", m, 100)
+		var routers []*testRouter
 		for i := range 8 {
-			routers = append(routers, follow(t, full, fmt.Sprint("r", i), uint64(i), nil, addr))
+			routers = append(routers, startRouter(t, full, fmt.Sprint("r", i), uint64(i), nil, addr))
 		}
 		eventually(t, "the streams", func() bool { return len(s.Status().Routers) == 8 })
-		if n, err := s.PushUnchecked(body(3, ""), false); n != 1 || err != nil {
+		if n, err := s.PushUnchecked(settingsText(3, ""), false); n != 1 || err != nil {
 			t.Fatal(n, err)
 		}
-		eventually(t, "the first version everywhere", all(routers, 1))
-		s.PushUnchecked(body(4, ""), false)
-		eventually(t, "the second by stages", all(routers, 2))
-		s.PushUnchecked(body(3, "(zone y (routers 1))"), false) // a zone with routers and without a cache
+		eventually(t, "the first version everywhere", allRunning(routers, 1))
+		s.PushUnchecked(settingsText(4, ""), false)
+		eventually(t, "the second by stages", allRunning(routers, 2))
+		s.PushUnchecked(settingsText(3, "(zone y (routers 1))"), false) // a zone with routers and without a cache
 		eventually(t, "the halt", func() bool { return m.get().HaltReason != "" })
 		if !strings.Contains(m.get().HaltReason, "1 of 1 routers refuse it") || !strings.Contains(m.get().HaltReason, "zone/y: no cache is listed there") {
 			t.Errorf("halted: %q", m.get().HaltReason)
 		}
-		eventually(t, "the old content under a new number", all(routers, 4))
+		eventually(t, "the old content under a new number", allRunning(routers, 4))
 		refused := 0
 		for _, r := range s.Status().Routers {
 			if r.Rejected == 3 {
@@ -171,13 +171,13 @@
 		}
 		s.Stop()
 		time.Sleep(100 * time.Millisecond)
-		if !all(routers, 4)() {
+		if !allRunning(routers, 4)() {
 			t.Error("the last good version does not run on without its service")
 		}
-		s, _ = serve(t, addr, m, 100)
+		s, _ = startServer(t, addr, m, 100)
 		eventually(t, "the streams again", func() bool { return len(s.Status().Routers) == 8 })
-		s.PushUnchecked(body(5, ""), true)
-		eventually(t, "the fleet to be level", all(routers, 5))
+		s.PushUnchecked(settingsText(5, ""), true)
+		eventually(t, "the fleet to be level", allRunning(routers, 5))
 		for _, r := range routers {
 			if n := r.uses.Load(); n != 4 {
 				t.Errorf("%d versions were used, want 4: 1, 2, 4 and 5", n)
@@ -188,21 +188,21 @@
 
 // A router that restarts begins with its last good version, without a service,
 // and takes nothing older from one that comes back with its past.
-func TestRouterRestarts(t *testing.T) {
-	both(t, func(t *testing.T, full bool) {
-		m := &memory{}
-		s, addr := serve(t, "127.0.0.1:0", m, 50)
+func TestRouterRestart(t *testing.T) {
+	bothProtocols(t, func(t *testing.T, full bool) {
+		m := &memoryStateStore{}
+		s, addr := startServer(t, "127.0.0.1:0", m, 50)
 		path := filepath.Join(t.TempDir(), "good.db")
 		store, err := configstore.Open(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := follow(t, full, "r", 1, store, addr)
-		s.PushUnchecked(body(3, ""), true)
-		eventually(t, "version 1", all([]*router{r}, 1))
+		r := startRouter(t, full, "r", 1, store, addr)
+		s.PushUnchecked(settingsText(3, ""), true)
+		eventually(t, "version 1", allRunning([]*testRouter{r}, 1))
 		past := m.get()
-		s.PushUnchecked(body(4, ""), true)
-		eventually(t, "version 2", all([]*router{r}, 2))
+		s.PushUnchecked(settingsText(4, ""), true)
+		eventually(t, "version 2", allRunning([]*testRouter{r}, 2))
 		r.Close()
 		store.Close()
 		s.Stop()
@@ -210,12 +210,12 @@
 			t.Fatal(err)
 		}
 		defer store.Close()
-		r = follow(t, full, "r", 2, store, addr)
+		r = startRouter(t, full, "r", 2, store, addr)
 		if n, _ := r.Running(); n != 2 {
 			t.Fatalf("after the restart: version %d", n)
 		}
-		s, _ = serve(t, addr, &memory{state: past}, 50)
-		s.PushUnchecked(body(5, ""), true) // it believes that this is number 2
+		s, _ = startServer(t, addr, &memoryStateStore{state: past}, 50)
+		s.PushUnchecked(settingsText(5, ""), true) // it believes that this is number 2
 		eventually(t, "the refusal", func() bool {
 			st := s.Status().Routers
 			return len(st) == 1 && st[0].Rejected == 2 && strings.Contains(strings.Join(st[0].Reasons, " "), "other content")
@@ -223,19 +223,19 @@
 		if n, _ := r.Running(); n != 2 {
 			t.Errorf("runs %d", n)
 		}
-		s.PushUnchecked(body(5, ""), true)
-		eventually(t, "the next number", all([]*router{r}, 3))
+		s.PushUnchecked(settingsText(5, ""), true)
+		eventually(t, "the next number", allRunning([]*testRouter{r}, 3))
 	})
 }
 
 // A service whose state can't be kept offers nothing that it could forget.
-func TestStateCannotBeKept(t *testing.T) {
-	both(t, func(t *testing.T, full bool) {
-		m := &memory{err: errors.New("no space left")}
-		s, addr := serve(t, "127.0.0.1:0", m, 50)
-		r := follow(t, full, "r", 1, nil, addr)
+func TestNothingIsOfferedWhenStateIsNotPersisted(t *testing.T) {
+	bothProtocols(t, func(t *testing.T, full bool) {
+		m := &memoryStateStore{err: errors.New("no space left")}
+		s, addr := startServer(t, "127.0.0.1:0", m, 50)
+		r := startRouter(t, full, "r", 1, nil, addr)
 		eventually(t, "the stream", func() bool { return len(s.Status().Routers) == 1 })
-		if _, err := s.PushUnchecked(body(3, ""), true); err == nil || !strings.Contains(err.Error(), "no space left") {
+		if _, err := s.PushUnchecked(settingsText(3, ""), true); err == nil || !strings.Contains(err.Error(), "no space left") {
 			t.Errorf("push: %v", err)
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -247,26 +247,26 @@
 
 // A version of 5 MB comes through; of two services the first one is followed.
 func TestLargeVersionAndSecondService(t *testing.T) {
-	both(t, func(t *testing.T, full bool) {
-		m := &memory{}
-		s, addr := serve(t, "127.0.0.1:0", m, 50)
-		r := follow(t, full, "r", 1, nil, "127.0.0.1:1", addr)
-		s.PushUnchecked(body(3, "; "+strings.Repeat("x", 5<<20)), true)
-		eventually(t, "5 MB by the second service", all([]*router{r}, 1))
+	bothProtocols(t, func(t *testing.T, full bool) {
+		m := &memoryStateStore{}
+		s, addr := startServer(t, "127.0.0.1:0", m, 50)
+		r := startRouter(t, full, "r", 1, nil, "127.0.0.1:1", addr)
+		s.PushUnchecked(settingsText(3, "; "+strings.Repeat("x", 5<<20)), true)
+		eventually(t, "5 MB by the second service", allRunning([]*testRouter{r}, 1))
 	})
 }
 
 // Many routers come back at once to a service that takes few streams a second.
 func TestReconnectingFleet(t *testing.T) {
-	both(t, func(t *testing.T, full bool) {
-		m := &memory{}
-		s, addr := serve(t, "127.0.0.1:0", m, 50)
-		s.PushUnchecked(body(3, ""), true)
-		var routers []*router
+	bothProtocols(t, func(t *testing.T, full bool) {
+		m := &memoryStateStore{}
+		s, addr := startServer(t, "127.0.0.1:0", m, 50)
+		s.PushUnchecked(settingsText(3, ""), true)
+		var routers []*testRouter
 		for i := range 60 {
-			routers = append(routers, follow(t, full, fmt.Sprint("r", i), uint64(i), nil, addr))
+			routers = append(routers, startRouter(t, full, fmt.Sprint("r", i), uint64(i), nil, addr))
 		}
-		eventually(t, "all on version 1", all(routers, 1))
+		eventually(t, "all on version 1", allRunning(routers, 1))
 		s.Stop()
 		ln, err := net.Listen("tcp", addr)
 		for err != nil {
@@ -276,21 +276,21 @@
 		slow := NewServer(ServerConfig{Name: "svc", State: m.get(), Store: m, StreamsPerSecond: 30, TickInterval: 10 * time.Millisecond})
 		go slow.Serve(ln)
 		defer slow.Stop()
-		slow.PushUnchecked(body(4, ""), true)
-		eventually(t, "the fleet level again", all(routers, 2))
+		slow.PushUnchecked(settingsText(4, ""), true)
+		eventually(t, "the fleet level again", allRunning(routers, 2))
 	})
 }
 
-// counting counts the bytes of what a service sends.
-type counting struct {
+// byteCounter counts the bytes of what a service sends.
+type byteCounter struct {
 	stats.Handler
 	sent atomic.Int64
 }
 
-func (c *counting) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context   { return ctx }
-func (c *counting) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
-func (c *counting) HandleConn(context.Context, stats.ConnStats)                       {}
-func (c *counting) HandleRPC(_ context.Context, s stats.RPCStats) {
+func (c *byteCounter) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context   { return ctx }
+func (c *byteCounter) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
+func (c *byteCounter) HandleConn(context.Context, stats.ConnStats)                       {}
+func (c *byteCounter) HandleRPC(_ context.Context, s stats.RPCStats) {
 	if p, ok := s.(*stats.OutPayload); ok {
 		c.sent.Add(int64(p.WireLength))
 	}
@@ -298,8 +298,8 @@
 
 // By the incremental protocol a change of one member costs about that member,
 // also after a reconnect, and what arrives is the version to the byte.
-func TestDeltaIsSmall(t *testing.T) {
-	m, c := &memory{}, &counting{}
+func TestDeltaSendsOnlyChanges(t *testing.T) {
+	m, c := &memoryStateStore{}, &byteCounter{}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -307,42 +307,42 @@
 	s := NewServer(ServerConfig{Name: "svc", Store: m, StreamsPerSecond: 2000}, grpc.StatsHandler(c))
 	go s.Serve(ln)
 	defer s.Stop()
-	r := follow(t, false, "r", 1, nil, ln.Addr().String())
+	r := startRouter(t, false, "r", 1, nil, ln.Addr().String())
 	first, second := canonical(t, 300, ""), canonical(t, 301, "")
 	s.PushUnchecked(first, true)
-	eventually(t, "version 1", all([]*router{r}, 1))
+	eventually(t, "version 1", allRunning([]*testRouter{r}, 1))
 	whole := c.sent.Swap(0)
 	if whole < int64(len(first)) {
 		t.Fatalf("%d bytes were sent of a version of %d", whole, len(first))
 	}
 	s.PushUnchecked(second, true)
-	eventually(t, "version 2", all([]*router{r}, 2))
+	eventually(t, "version 2", allRunning([]*testRouter{r}, 2))
 	if n := c.sent.Swap(0); n > 400 {
 		t.Errorf("one more member took %d bytes; the whole takes %d", n, len(second))
 	}
-	if v := r.machineVersion(); string(v.Body) != string(second) {
+	if v := r.acceptedVersion(); string(v.Body) != string(second) {
 		t.Errorf("%d bytes arrived of %d", len(v.Body), len(second))
 	}
 	s.mu.Lock()
 	for _, st := range s.streams {
-		st.stop(errors.New("cut by the test"))
+		st.cancel(errors.New("cut by the test"))
 	}
 	s.mu.Unlock()
 	eventually(t, "the stream again", func() bool { st := s.Status().Routers; return len(st) == 1 && st[0].Connected && r.streaming() })
 	s.PushUnchecked(canonical(t, 300, ""), true)
-	eventually(t, "version 3", all([]*router{r}, 3))
+	eventually(t, "version 3", allRunning([]*testRouter{r}, 3))
 	if n := c.sent.Swap(0); n > 800 {
 		t.Errorf("after a reconnect, one member less took %d bytes", n)
 	}
 }
 
-func (r *router) machineVersion() configversion.Version {
+func (r *testRouter) acceptedVersion() configversion.Version {
 	r.Agent.mu.Lock()
 	defer r.Agent.mu.Unlock()
 	return r.machine.Accepted()
 }
 
-func (r *router) streaming() bool {
+func (r *testRouter) streaming() bool {
 	r.Agent.mu.Lock()
 	defer r.Agent.mu.Unlock()
 	return r.replies != nil
@@ -350,15 +350,15 @@
 
 // Where the two sides disagree about what a router has, the checksum tells, and
 // the whole is sent.
-func TestDeltaMisfit(t *testing.T) {
-	m := &memory{}
-	s, addr := serve(t, "127.0.0.1:0", m, 50)
-	r := follow(t, false, "r", 1, nil, addr)
+func TestDeltaStateMismatch(t *testing.T) {
+	m := &memoryStateStore{}
+	s, addr := startServer(t, "127.0.0.1:0", m, 50)
+	r := startRouter(t, false, "r", 1, nil, addr)
 	s.PushUnchecked(canonical(t, 30, ""), true)
-	eventually(t, "version 1", all([]*router{r}, 1))
+	eventually(t, "version 1", allRunning([]*testRouter{r}, 1))
 	s.PushUnchecked(canonical(t, 31, ""), true)
-	eventually(t, "version 2", all([]*router{r}, 2))
-	bad := &misfit{first: canonical(t, 31, ""), next: configversion.New(3, canonical(t, 32, ""))}
+	eventually(t, "version 2", allRunning([]*testRouter{r}, 2))
+	bad := &mismatchedServer{first: canonical(t, 31, ""), next: configversion.New(3, canonical(t, 32, ""))}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -367,23 +367,23 @@
 	discovery.RegisterAggregatedDiscoveryServiceServer(g, bad)
 	go g.Serve(ln)
 	defer g.Stop()
-	r = follow(t, false, "r", 1, nil, ln.Addr().String())
-	eventually(t, "the whole, in the second stream", all([]*router{r}, 3))
+	r = startRouter(t, false, "r", 1, nil, ln.Addr().String())
+	eventually(t, "the whole, in the second stream", allRunning([]*testRouter{r}, 3))
 	if n := bad.streams.Load(); n != 2 {
 		t.Errorf("%d streams, want 2", n)
 	}
 }
 
-// misfit first takes a router to have what it has not.
-type misfit struct {
+// mismatchedServer first takes a router to have what it has not.
+type mismatchedServer struct {
 	discovery.UnimplementedAggregatedDiscoveryServiceServer
 	first   []byte
 	next    configversion.Version
 	streams atomic.Int64
 }
 
-func (m *misfit) DeltaAggregatedResources(g grpc.BidiStreamingServer[discovery.DeltaDiscoveryRequest, discovery.DeltaDiscoveryResponse]) error {
-	p := &deltaPeer{g: g, cuts: &cutter{}}
+func (m *mismatchedServer) DeltaAggregatedResources(g grpc.BidiStreamingServer[discovery.DeltaDiscoveryRequest, discovery.DeltaDiscoveryResponse]) error {
+	p := &deltaServerStream{stream: g, snapshots: &snapshotCache{}}
 	if _, err := p.hello(); err != nil {
 		return err
 	}
@@ -394,9 +394,9 @@
 		if _, _, err := p.recv(); err != nil {
 			return err
 		}
-		p.versions = maps.Clone(p.has.versions)
-		p.versions["member/b31"] = pieceVersion(split(m.next.Body)["member/b31"]) // which the router was never sent
-		p.has = nil
+		p.acceptedVersions = maps.Clone(p.accepted.versions)
+		p.acceptedVersions["member/b31"] = pieceVersion(splitPieces(m.next.Body)["member/b31"]) // which the router was never sent
+		p.accepted = nil
 	}
 	if err := p.send(m.next, "bad"); err != nil {
 		return err
@@ -408,14 +408,14 @@
 
 // However settings change, pieces put together are the text to the byte, and the
 // pieces that differ lead from one text to the other.
-func TestPieces(t *testing.T) {
+func TestSplitAndJoinPieces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string) []byte {
 			if rapid.IntRange(0, 9).Draw(t, name+" is no settings") == 0 {
 				return rapid.SliceOfN(rapid.Byte(), 0, 60).Draw(t, name)
 			}
 			var s config.Settings
-			if err := config.ReadVersion("x", string(body(1, "")), nil, &s); err != nil {
+			if err := config.ReadVersion("x", string(settingsText(1, "")), nil, &s); err != nil {
 				t.Fatal(err)
 			}
 			s.Members = nil
@@ -430,9 +430,9 @@
 			return Canonical(&s)
 		}
 		a, b := draw("a"), draw("b")
-		pa, pb := split(a), split(b)
-		if string(join(pa)) != string(a) || string(join(pb)) != string(b) {
-			t.Fatalf("%q came back as %q", a, join(pa))
+		pa, pb := splitPieces(a), splitPieces(b)
+		if string(joinPieces(pa)) != string(a) || string(joinPieces(pb)) != string(b) {
+			t.Fatalf("%q came back as %q", a, joinPieces(pa))
 		}
 		has := maps.Clone(pa)
 		for name, text := range pb {
@@ -445,15 +445,15 @@
 				delete(has, name)
 			}
 		}
-		if string(join(has)) != string(b) {
-			t.Fatalf("from\n%q to\n%q came\n%q", a, b, join(has))
+		if string(joinPieces(has)) != string(b) {
+			t.Fatalf("from\n%q to\n%q came\n%q", a, b, joinPieces(has))
 		}
 	})
 }
 
 // A change of one member in canonical settings is one piece.
 func TestOneMemberIsOnePiece(t *testing.T) {
-	a, b := split(canonical(t, 12, "")), split(canonical(t, 13, ""))
+	a, b := splitPieces(canonical(t, 12, "")), splitPieces(canonical(t, 13, ""))
 	if len(a) < 12 || len(b) != len(a)+1 {
 		t.Fatalf("%d and %d pieces", len(a), len(b))
 	}
@@ -466,33 +466,33 @@
 
 // A version that never ends is bounded by the size of a message, and the router
 // goes on with what it has; the service may be slow, and is followed all the same.
-func TestEndlessAndSlow(t *testing.T) {
-	both(t, func(t *testing.T, full bool) {
-		m := &memory{}
-		s, addr := serve(t, "127.0.0.1:0", m, 50)
-		r := follow(t, full, "r", 1, nil, addr)
-		s.PushUnchecked(body(3, ""), true)
-		eventually(t, "version 1", all([]*router{r}, 1))
-		s.PushUnchecked(body(3, "; "+strings.Repeat("x", 33<<20)), true)
-		eventually(t, "the turn-down", func() bool { return r.told("larger than max") })
+func TestOversizedVersionAndSlowService(t *testing.T) {
+	bothProtocols(t, func(t *testing.T, full bool) {
+		m := &memoryStateStore{}
+		s, addr := startServer(t, "127.0.0.1:0", m, 50)
+		r := startRouter(t, full, "r", 1, nil, addr)
+		s.PushUnchecked(settingsText(3, ""), true)
+		eventually(t, "version 1", allRunning([]*testRouter{r}, 1))
+		s.PushUnchecked(settingsText(3, "; "+strings.Repeat("x", 33<<20)), true)
+		eventually(t, "the turn-down", func() bool { return r.warned("larger than max") })
 		if n, _ := r.Running(); n != 1 {
 			t.Fatalf("runs %d", n)
 		}
-		s.PushUnchecked(body(4, ""), true)
-		eventually(t, "the next", all([]*router{r}, 3))
+		s.PushUnchecked(settingsText(4, ""), true)
+		eventually(t, "the next", allRunning([]*testRouter{r}, 3))
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer ln.Close()
-		go drip(ln, addr)
-		slow := follow(t, full, "slow", 2, nil, ln.Addr().String())
-		eventually(t, "a version that drips", all([]*router{slow}, 3))
+		go relaySlowly(ln, addr)
+		slow := startRouter(t, full, "slow", 2, nil, ln.Addr().String())
+		eventually(t, "a version that drips", allRunning([]*testRouter{slow}, 3))
 	})
 }
 
-// drip passes bytes on a few at a time.
-func drip(ln net.Listener, to string) {
+// relaySlowly passes bytes on a few at a time.
+func relaySlowly(ln net.Listener, to string) {
 	for {
 		c, err := ln.Accept()
 		if err != nil {
@@ -522,10 +522,10 @@
 	}
 }
 
-func (r *router) told(what string) bool {
+func (r *testRouter) warned(what string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, s := range r.said {
+	for _, s := range r.warnings {
 		if strings.Contains(s, what) {
 			return true
 		}
@@ -536,22 +536,22 @@
 // A service that comes and goes every moment: the routers neither lose what they
 // run nor take anything twice.
 func TestFlappingService(t *testing.T) {
-	both(t, func(t *testing.T, full bool) {
-		m := &memory{}
-		s, addr := serve(t, "127.0.0.1:0", m, 50)
-		var routers []*router
+	bothProtocols(t, func(t *testing.T, full bool) {
+		m := &memoryStateStore{}
+		s, addr := startServer(t, "127.0.0.1:0", m, 50)
+		var routers []*testRouter
 		for i := range 5 {
-			routers = append(routers, follow(t, full, fmt.Sprint("r", i), uint64(i), nil, addr))
+			routers = append(routers, startRouter(t, full, fmt.Sprint("r", i), uint64(i), nil, addr))
 		}
-		s.PushUnchecked(body(3, ""), true)
-		eventually(t, "version 1", all(routers, 1))
+		s.PushUnchecked(settingsText(3, ""), true)
+		eventually(t, "version 1", allRunning(routers, 1))
 		for i := range 8 {
 			s.Stop()
 			time.Sleep(20 * time.Millisecond)
-			if !all(routers, 1)() {
+			if !allRunning(routers, 1)() {
 				t.Fatalf("flap %d: not all run version 1", i)
 			}
-			s, _ = serve(t, addr, m, 50)
+			s, _ = startServer(t, addr, m, 50)
 			time.Sleep(30 * time.Millisecond)
 		}
 		for _, r := range routers {
@@ -559,16 +559,16 @@
 				t.Errorf("version 1 was used %d times", n)
 			}
 		}
-		s.PushUnchecked(body(4, ""), true)
-		eventually(t, "version 2", all(routers, 2))
+		s.PushUnchecked(settingsText(4, ""), true)
+		eventually(t, "version 2", allRunning(routers, 2))
 	})
 }
 
 // Two services that disagree: whoever is in charge stays so while it is heard of,
 // also when the stream of one of them breaks, and the routers don't flap.
 func TestTwoServicesDisagree(t *testing.T) {
-	a, addrA := serve(t, "127.0.0.1:0", &memory{}, 50)
-	other := &memory{}
+	a, addrA := startServer(t, "127.0.0.1:0", &memoryStateStore{}, 50)
+	other := &memoryStateStore{}
 	b := NewServer(ServerConfig{Name: "other", Store: other, TickInterval: 10 * time.Millisecond, StreamsPerSecond: 2000})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -576,14 +576,14 @@
 	}
 	go b.Serve(ln)
 	defer b.Stop()
-	a.PushUnchecked(body(3, ""), true)
+	a.PushUnchecked(settingsText(3, ""), true)
 	for i := range 20 {
-		b.PushUnchecked(body(5+i%2, ""), true)
+		b.PushUnchecked(settingsText(5+i%2, ""), true)
 	}
 	lease := 3 * time.Second
-	r := followFor(t, AgentConfig{Router: "r", Services: []string{addrA, ln.Addr().String()}, HeartbeatInterval: 50 * time.Millisecond,
+	r := startRouterWith(t, AgentConfig{Router: "r", Services: []string{addrA, ln.Addr().String()}, HeartbeatInterval: 50 * time.Millisecond,
 		Machine: configversion.MachineSettings{Jitter: 50, Lease: float64(lease.Milliseconds())}})
-	eventually(t, "version 1 of the first", all([]*router{r}, 1))
+	eventually(t, "version 1 of the first", allRunning([]*testRouter{r}, 1))
 	a.Stop()
 	gone := time.Now()
 	eventually(t, "the word of the other", func() bool { st := b.Status().Routers; return len(st) == 1 && st[0].Rejected == 20 })
@@ -593,7 +593,7 @@
 	if st := b.Status().Routers; !strings.Contains(strings.Join(st[0].Reasons, " "), "is in charge") {
 		t.Errorf("the other is told %q", st[0].Reasons)
 	}
-	eventually(t, "the other in charge", all([]*router{r}, 20))
+	eventually(t, "the other in charge", allRunning([]*testRouter{r}, 20))
 	if took := time.Since(gone); took < lease*9/10 {
 		t.Errorf("the other was believed after %v", took)
 	}
@@ -601,22 +601,22 @@
 
 // A router that is killed between its word and its use runs what it gave its
 // word on; one killed before it was on disk never gave it, and is offered it again.
-func TestKilledBetween(t *testing.T) {
-	both(t, func(t *testing.T, full bool) {
-		s, addr := serve(t, "127.0.0.1:0", &memory{}, 50)
+func TestRouterKilledBetweenAcceptanceAndUse(t *testing.T) {
+	bothProtocols(t, func(t *testing.T, full bool) {
+		s, addr := startServer(t, "127.0.0.1:0", &memoryStateStore{}, 50)
 		dir := t.TempDir()
 		path, before := filepath.Join(dir, "good.db"), filepath.Join(dir, "before.db")
-		begin := func(path string, spread float64) (*router, *configstore.Store) {
+		begin := func(path string, spread float64) (*testRouter, *configstore.Store) {
 			store, err := configstore.Open(path)
 			if err != nil {
 				t.Fatal(err)
 			}
-			return followFor(t, AgentConfig{Router: "r", Services: []string{addr}, Store: store, StateOfTheWorld: full,
+			return startRouterWith(t, AgentConfig{Router: "r", Services: []string{addr}, Store: store, StateOfTheWorld: full,
 				Machine: configversion.MachineSettings{Jitter: spread}}), store
 		}
-		s.PushUnchecked(body(3, ""), true)
+		s.PushUnchecked(settingsText(3, ""), true)
 		r, store := begin(path, 3.6e6)
-		eventually(t, "version 1", all([]*router{r}, 1))
+		eventually(t, "version 1", allRunning([]*testRouter{r}, 1))
 		r.Close()
 		store.Close()
 		b, err := os.ReadFile(path)
@@ -625,7 +625,7 @@
 		}
 		os.WriteFile(before, b, 0o600)
 		r, store = begin(path, 3.6e6)
-		s.PushUnchecked(body(4, ""), true)
+		s.PushUnchecked(settingsText(4, ""), true)
 		eventually(t, "the word on version 2", func() bool { return s.Status().Routers[0].Running == 2 })
 		if n, _ := r.Running(); n != 1 {
 			t.Fatalf("version %d is in use before its time", n)
@@ -639,12 +639,12 @@
 			t.Errorf("killed between disk and use: runs %d", n)
 		}
 		r.Close()
-		s, _ = serve(t, addr, &memory{state: s.Status().State}, 50)
+		s, _ = startServer(t, addr, &memoryStateStore{state: s.Status().State}, 50)
 		r, store = begin(before, 50)
 		defer store.Close()
 		if n, _ := r.Running(); n != 1 {
 			t.Errorf("killed before the disk: runs %d", n)
 		}
-		eventually(t, "version 2, offered again", all([]*router{r}, 2))
+		eventually(t, "version 2, offered again", allRunning([]*testRouter{r}, 2))
 	})
 }
--- a/internal/controlplane/service/wire.go
+++ b/internal/controlplane/service/wire.go
@@ -39,8 +39,8 @@
 	return strconv.FormatInt(v.Number, 10) + ":" + v.Sum
 }
 
-// parseInfo reads a number and, where it is given, a sum.
-func parseInfo(s string) (number int64, sum string, err error) {
+// parseVersionInfo reads a number and, where it is given, a sum.
+func parseVersionInfo(s string) (number int64, sum string, err error) {
 	if s == "" {
 		return 0, "", nil
 	}
@@ -54,9 +54,9 @@
 
 func controlPlane(service string) *core.ControlPlane { return &core.ControlPlane{Identifier: service} }
 
-// node names a router and, for a protocol whose first request has no version,
+// routerNode names a router and, for a protocol whose first request has no version,
 // the number that it has accepted.
-func node(router string, running int64) *core.Node {
+func routerNode(router string, running int64) *core.Node {
 	n := &core.Node{Id: router}
 	if running > 0 {
 		n.Metadata = &structpb.Struct{Fields: map[string]*structpb.Value{
@@ -65,8 +65,8 @@
 	return n
 }
 
-// acceptedBy is the number in a node's metadata, 0 where there is none.
-func acceptedBy(n *core.Node) int64 {
+// acceptedNumber is the number in a node's metadata, 0 where there is none.
+func acceptedNumber(n *core.Node) int64 {
 	v, err := strconv.ParseInt(n.GetMetadata().GetFields()["accepted"].GetStringValue(), 10, 64)
 	if err != nil || v < 0 {
 		return 0
@@ -74,7 +74,7 @@
 	return v
 }
 
-func pack(text []byte) (*anypb.Any, error) {
+func marshalResource(text []byte) (*anypb.Any, error) {
 	b, err := proto.Marshal(wrapperspb.Bytes(text))
 	if err != nil {
 		return nil, err
@@ -82,7 +82,7 @@
 	return &anypb.Any{TypeUrl: SettingsType, Value: b}, nil
 }
 
-func unpack(a *anypb.Any) ([]byte, error) {
+func unmarshalResource(a *anypb.Any) ([]byte, error) {
 	if t := a.GetTypeUrl(); t != SettingsType {
 		return nil, fmt.Errorf("control: a resource of type %.80q, where %s is wanted", t, SettingsType)
 	}
@@ -93,8 +93,8 @@
 	return b.Value, nil
 }
 
-// detail is the error_detail of a refusal: one reason a line.
-func detail(reasons []configversion.Reason) *rpc.Status {
+// errorDetail is the error_detail of a refusal: one reason a line.
+func errorDetail(reasons []configversion.Reason) *rpc.Status {
 	if len(reasons) == 0 {
 		return nil
 	}
@@ -105,49 +105,49 @@
 	return &rpc.Status{Code: int32(codes.InvalidArgument), Message: strings.Join(lines, "\n")}
 }
 
-func detailLines(s *rpc.Status) []string {
+func reasonLines(s *rpc.Status) []string {
 	if s == nil {
 		return nil
 	}
 	return strings.Split(s.GetMessage(), "\n")
 }
 
-// joining is what a router says when its stream begins.
-type joining struct {
-	router  string
-	running int64
+// helloRequest is what a router says when its stream begins.
+type helloRequest struct {
+	router   string
+	accepted int64
 }
 
-// answer is a router's word on a version that it was sent.
-type answer struct {
+// versionResponse is a router's word on a version that it was sent.
+type versionResponse struct {
 	number  int64
 	reasons []string // nil: accepted
 }
 
-// peer is a router's stream as the server sees it, by either protocol. One
+// serverStream is a router's stream as the server sees it, by either protocol. One
 // goroutine sends, another receives.
-type peer interface {
+type serverStream interface {
 	// hello is the first request.
-	hello() (joining, error)
+	hello() (helloRequest, error)
 	// send sends a version.
 	send(v configversion.Version, service string) error
 	// recv is the next answer; known is false of one to nothing that is waited for.
-	recv() (a answer, known bool, err error)
+	recv() (a versionResponse, known bool, err error)
 }
 
-// offer is a version as a router receives it, and where it can't be read, why.
-type offer struct {
+// offeredVersion is a version as a router receives it, and where it can't be read, why.
+type offeredVersion struct {
 	service string
 	version configversion.Version
 	nonce   string
-	bad     error
+	fault   error
 }
 
-// line is a service's stream as an agent sees it, by either protocol. One
+// clientStream is a service's stream as an agent sees it, by either protocol. One
 // goroutine receives, another answers.
-type line interface {
+type clientStream interface {
 	hello(router string, accepted int64) error
-	recv() (offer, error)
+	recv() (offeredVersion, error)
 	// reply acknowledges what came with the nonce, or refuses it.
 	reply(nonce string, number, accepted int64, reasons []configversion.Reason) error
 }
