--- a/internal/controlplane/service/adminclient.go
+++ b/internal/controlplane/service/adminclient.go
@@ -13,22 +13,26 @@
 	"time"
 )
 
-// PushRejectedError is a service's refusal of a text, as it told it.
+// adminTimeout bounds an operator's request, its answer included.
+const adminTimeout = 30 * time.Second
+
+// PushRejectedError is a service's rejection of a text, as operators receive it.
 type PushRejectedError struct{ Reasons []string }
 
-func (r *PushRejectedError) Error() string {
-	return "refused, nothing has changed:\n" + strings.Join(r.Reasons, "\n")
+// Error has one reason a line.
+func (e *PushRejectedError) Error() string {
+	return "refused, nothing has changed:\n" + strings.Join(e.Reasons, "\n")
 }
 
-// AdminCall asks a service's listener for operators, at host:port or at a Unix
-// socket's path, and returns the body of its answer. What it refuses to make a
-// version is a *PushRejectedError.
+// AdminCall sends a request to a service's listener for operators, at host:port or at a
+// Unix socket's path, and returns the body of its answer. What the service does not make
+// a version is a *PushRejectedError; any other answer than 200 is an error too.
 func AdminCall(ctx context.Context, admin, method, path string, body []byte) ([]byte, error) {
 	network, base := "tcp", "http://"+admin
-	if strings.HasPrefix(admin, "/") {
+	if isSocketPath(admin) {
 		network, base = "unix", "http://unix"
 	}
-	client := &http.Client{Timeout: 30 * time.Second, Transport: &http.Transport{
+	client := &http.Client{Timeout: adminTimeout, Transport: &http.Transport{
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			return (&net.Dialer{}).DialContext(ctx, network, admin)
 		}}}
@@ -46,27 +50,28 @@
 	if err != nil {
 		return nil, err
 	}
-	if response.StatusCode == http.StatusUnprocessableEntity {
+	switch response.StatusCode {
+	case http.StatusOK:
+		return answer, nil
+	case http.StatusUnprocessableEntity:
 		var result PushResult
 		if err := json.Unmarshal(answer, &result); err != nil {
 			return nil, err
 		}
 		return nil, &PushRejectedError{result.Reasons}
 	}
-	if response.StatusCode != http.StatusOK {
-		var result PushResult
-		if json.Unmarshal(answer, &result) == nil && result.Error != "" {
-			return nil, fmt.Errorf("control: %s", result.Error)
-		}
-		return nil, fmt.Errorf("control: the service answers %s: %s", response.Status, bytes.TrimSpace(answer))
+	var result PushResult
+	if json.Unmarshal(answer, &result) == nil && result.Error != "" {
+		return nil, fmt.Errorf("control: %s", result.Error)
 	}
-	return answer, nil
+	return nil, fmt.Errorf("control: the service answers %s: %s", response.Status, bytes.TrimSpace(answer))
 }
 
-// AdminPush pushes settings to a service, and returns their number.
-func AdminPush(ctx context.Context, admin string, text []byte, now bool) (int64, error) {
+// AdminPush pushes settings to a service, and returns their number. immediate has them go
+// to all routers at once. Errors are as AdminCall's.
+func AdminPush(ctx context.Context, admin string, text []byte, immediate bool) (int64, error) {
 	query := url.Values{}
-	if now {
+	if immediate {
 		query.Set("now", "1")
 	}
 	answer, err := AdminCall(ctx, admin, "POST", "/push?"+query.Encode(), text)
@@ -78,11 +83,13 @@
 	return result.Number, err
 }
 
-// AdminStatus is a service's status.
-func AdminStatus(ctx context.Context, admin string) (view StatusView, err error) {
+// AdminStatus returns a service's status. Errors are as AdminCall's.
+func AdminStatus(ctx context.Context, admin string) (StatusView, error) {
+	var view StatusView
 	answer, err := AdminCall(ctx, admin, "GET", "/status", nil)
 	if err != nil {
 		return view, err
 	}
-	return view, json.Unmarshal(answer, &view)
+	err = json.Unmarshal(answer, &view)
+	return view, err
 }
--- a/internal/controlplane/service/certificates.go
+++ b/internal/controlplane/service/certificates.go
@@ -17,16 +17,18 @@
 	"google.golang.org/grpc/status"
 )
 
-// CertificateFiles are the files of one side's certificate, its key, and the authorities
-// that the other side's certificate must come from. They are read again when
-// they change, without a restart; a change that can't be read leaves the last
-// good ones in force.
+// CertificateFiles are the PEM files of one side's certificate, its key, and the
+// authorities that the other side's certificate must come from. They are read again
+// when they change, without a restart; a change that can't be read leaves the last
+// good ones in force. Its methods may be called from any goroutine.
 type CertificateFiles struct {
 	Cert, Key, Authorities string
-	Warn                   func(text string)
+	// Warn is called for files that can't be read and, at a service, for routers whose
+	// certificate is rejected; may be nil.
+	Warn func(text string)
 
 	mu        sync.Mutex
-	loaded    *loadedCertificates
+	loaded    *loadedCertificates // nil: nothing was read yet
 	checkedAt time.Time
 }
 
@@ -36,119 +38,152 @@
 	modTimes    [3]time.Time
 }
 
-const recheckInterval = time.Second // how often files are looked at, at most
+const recheckInterval = time.Second // files are looked at no more often
 
 // Load reads the files, or says which of them is wrong and why.
-func (k *CertificateFiles) Load() error {
-	_, err := k.current(true)
+func (c *CertificateFiles) Load() error {
+	_, err := c.current(true)
 	return err
 }
 
-func (k *CertificateFiles) modTimes() (s [3]time.Time, err error) {
-	for i, f := range []string{k.Cert, k.Key, k.Authorities} {
-		st, err := os.Stat(f)
+func (c *CertificateFiles) modTimes() (times [3]time.Time, err error) {
+	for i, file := range []string{c.Cert, c.Key, c.Authorities} {
+		info, err := os.Stat(file)
 		if err != nil {
-			return s, fmt.Errorf("control: %w", err)
+			return times, fmt.Errorf("control: %w", err)
 		}
-		s[i] = st.ModTime()
+		times[i] = info.ModTime()
 	}
-	return s, nil
+	return times, nil
 }
 
-func (k *CertificateFiles) current(strict bool) (*loadedCertificates, error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if !strict && k.loaded != nil && time.Since(k.checkedAt) < recheckInterval {
-		return k.loaded, nil
-	}
-	k.checkedAt = time.Now()
-	changed, err := k.readChanged()
+// current returns the certificates in force. strict has it look at the files now, and
+// return an error where they can't be read, instead of a warning.
+func (c *CertificateFiles) current(strict bool) (*loadedCertificates, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !strict && c.loaded != nil && time.Since(c.checkedAt) < recheckInterval {
+		return c.loaded, nil
+	}
+	c.checkedAt = time.Now()
+	changed, err := c.readChanged()
 	switch {
 	case err == nil && changed != nil:
-		k.loaded = changed
-	case err != nil && (strict || k.loaded == nil):
+		c.loaded = changed
+	case err != nil && (strict || c.loaded == nil):
 		return nil, err
-	case err != nil && k.Warn != nil:
-		k.Warn(fmt.Sprintf("%v; the keys read before stay in force", err))
+	case err != nil && c.Warn != nil:
+		c.Warn(fmt.Sprintf("%v; the keys read before stay in force", err))
 	}
-	return k.loaded, nil
+	return c.loaded, nil
 }
 
-// read reads the files if they have changed.
-func (k *CertificateFiles) readChanged() (*loadedCertificates, error) {
-	modTimes, err := k.modTimes()
+// readChanged reads the files if they have changed, and returns nil if not.
+func (c *CertificateFiles) readChanged() (*loadedCertificates, error) {
+	modTimes, err := c.modTimes()
 	if err != nil {
 		return nil, err
 	}
-	if k.loaded != nil && k.loaded.modTimes == modTimes {
+	if c.loaded != nil && c.loaded.modTimes == modTimes {
 		return nil, nil
 	}
-	loaded := &loadedCertificates{modTimes: modTimes, authorities: x509.NewCertPool()}
-	if loaded.certificate, err = tls.LoadX509KeyPair(k.Cert, k.Key); err != nil {
-		return nil, fmt.Errorf("control: certificate %s with key %s: %w", k.Cert, k.Key, err)
+	certificate, err := tls.LoadX509KeyPair(c.Cert, c.Key)
+	if err != nil {
+		return nil, fmt.Errorf("control: certificate %s with key %s: %w", c.Cert, c.Key, err)
 	}
-	pem, err := os.ReadFile(k.Authorities)
+	pem, err := os.ReadFile(c.Authorities)
 	if err != nil {
 		return nil, fmt.Errorf("control: %w", err)
 	}
-	if !loaded.authorities.AppendCertsFromPEM(pem) {
-		return nil, fmt.Errorf("control: %s holds no certificate of an authority", k.Authorities)
+	authorities := x509.NewCertPool()
+	if !authorities.AppendCertsFromPEM(pem) {
+		return nil, fmt.Errorf("control: %s holds no certificate of an authority", c.Authorities)
 	}
-	return loaded, nil
+	return &loadedCertificates{certificate: certificate, authorities: authorities, modTimes: modTimes}, nil
 }
 
-// verify checks the other side's chain with the authorities of now.
-func (k *CertificateFiles) verify(raw [][]byte, name string, usage x509.ExtKeyUsage) error {
-	l, err := k.current(false)
+// verify checks the other side's chain with the authorities in force. An empty name is
+// not checked.
+func (c *CertificateFiles) verify(chain [][]byte, name string, usage x509.ExtKeyUsage) error {
+	loaded, err := c.current(false)
 	if err != nil {
 		return err
 	}
-	if len(raw) == 0 {
+	if len(chain) == 0 {
 		return errors.New("control: the other side shows no certificate")
 	}
-	leaf, err := x509.ParseCertificate(raw[0])
+	leaf, err := x509.ParseCertificate(chain[0])
 	if err != nil {
 		return fmt.Errorf("control: the other side's certificate: %w", err)
 	}
-	opts := x509.VerifyOptions{Roots: l.authorities, DNSName: name, Intermediates: x509.NewCertPool(), KeyUsages: []x509.ExtKeyUsage{usage}}
-	for _, b := range raw[1:] {
-		if c, err := x509.ParseCertificate(b); err == nil {
-			opts.Intermediates.AddCert(c)
+	intermediates := x509.NewCertPool()
+	for _, der := range chain[1:] {
+		if certificate, err := x509.ParseCertificate(der); err == nil {
+			intermediates.AddCert(certificate)
 		}
 	}
-	if _, err := leaf.Verify(opts); err != nil {
+	_, err = leaf.Verify(x509.VerifyOptions{
+		Roots:         loaded.authorities,
+		DNSName:       name,
+		Intermediates: intermediates,
+		KeyUsages:     []x509.ExtKeyUsage{usage},
+	})
+	if err != nil {
 		return fmt.Errorf("control: certificate of %q, valid until %s: %w", leaf.Subject.CommonName, leaf.NotAfter.UTC().Format(time.RFC3339), err)
 	}
 	return nil
 }
 
+// certificate is the one to show to the other side.
+func (c *CertificateFiles) certificate() (*tls.Certificate, error) {
+	loaded, err := c.current(false)
+	if err != nil {
+		return nil, err
+	}
+	return &loaded.certificate, nil
+}
+
 // ServerCredentials are a service's credentials: routers must show a certificate.
-func (k *CertificateFiles) ServerCredentials() credentials.TransportCredentials {
-	return credentials.NewTLS(&tls.Config{MinVersion: tls.VersionTLS13, ClientAuth: tls.RequireAnyClientCert,
+func (c *CertificateFiles) ServerCredentials() credentials.TransportCredentials {
+	return credentials.NewTLS(&tls.Config{
+		MinVersion: tls.VersionTLS13,
+		ClientAuth: tls.RequireAnyClientCert, // which is verified below, with the authorities in force
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			l, err := k.current(false)
-			if err != nil {
-				return nil, err
-			}
-			return &l.certificate, nil
+			return c.certificate()
 		},
-		VerifyPeerCertificate: func(raw [][]byte, _ [][]*x509.Certificate) error {
-			err := k.verify(raw, "", x509.ExtKeyUsageClientAuth)
-			if err != nil && k.Warn != nil {
-				k.Warn(fmt.Sprintf("a router was turned away: %v", err))
+		VerifyPeerCertificate: func(chain [][]byte, _ [][]*x509.Certificate) error {
+			err := c.verify(chain, "", x509.ExtKeyUsageClientAuth)
+			if err != nil && c.Warn != nil {
+				c.Warn(fmt.Sprintf("a router was turned away: %v", err))
 			}
 			return err
-		}})
+		},
+	})
 }
 
-// checkCertificateName checks that a router's certificate, where the channel has one, is its own:
-// whoever holds one router's key must not speak for others.
+// ClientCredentials are a router's credentials for a service of the given name.
+func (c *CertificateFiles) ClientCredentials(service string) credentials.TransportCredentials {
+	return credentials.NewTLS(&tls.Config{
+		MinVersion:         tls.VersionTLS13,
+		ServerName:         service,
+		InsecureSkipVerify: true, // the chain and the name are verified below, with the authorities in force
+		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
+			return c.certificate()
+		},
+		VerifyPeerCertificate: func(chain [][]byte, _ [][]*x509.Certificate) error {
+			return c.verify(chain, service, x509.ExtKeyUsageServerAuth)
+		},
+	})
+}
+
+// checkCertificateName checks that a router's certificate, where the channel has one, is
+// its own: whoever holds one router's key must not speak for others.
 func checkCertificateName(ctx context.Context, router string) error {
-	p, ok := grpcpeer.FromContext(ctx)
+	peer, ok := grpcpeer.FromContext(ctx)
 	if !ok {
 		return nil
 	}
-	info, ok := p.AuthInfo.(credentials.TLSInfo)
+	info, ok := peer.AuthInfo.(credentials.TLSInfo)
 	if !ok || len(info.State.PeerCertificates) == 0 {
 		return nil
 	}
@@ -159,19 +194,3 @@
 	return status.Errorf(codes.PermissionDenied, "control: a certificate of %q, with names %q, does not speak for router %q",
 		leaf.Subject.CommonName, leaf.DNSNames, router)
 }
-
-// ClientCredentials are a router's credentials for a service of the given name.
-func (k *CertificateFiles) ClientCredentials(service string) credentials.TransportCredentials {
-	return credentials.NewTLS(&tls.Config{MinVersion: tls.VersionTLS13, ServerName: service,
-		InsecureSkipVerify: true, // the chain and the name are verified below, with the authorities of now
-		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			l, err := k.current(false)
-			if err != nil {
-				return nil, err
-			}
-			return &l.certificate, nil
-		},
-		VerifyPeerCertificate: func(raw [][]byte, _ [][]*x509.Certificate) error {
-			return k.verify(raw, service, x509.ExtKeyUsageServerAuth)
-		}})
-}
--- a/internal/controlplane/service/delta.go
+++ b/internal/controlplane/service/delta.go
@@ -3,200 +3,100 @@
 import (
 	"errors"
 	"fmt"
+	"indigospool/internal/controlplane/configversion"
 	"maps"
-	"sort"
 	"sync"
 
 	discovery "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 	"google.golang.org/grpc"
-	"google.golang.org/protobuf/types/known/anypb"
-
-	"indigospool/internal/controlplane/configversion"
 )
 
 // The incremental protocol sends what differs from the pieces that a router has
 // accepted. Both sides know which these are from the protocol alone: those named
 // when the stream began, and then those of the last version acknowledged on it.
-// The next version is sent only once there is a word on the one before, so that
-// the two never disagree; if they did all the same, the checksum would tell, and
+// The next version is sent only once there is a response to the one before, so that
+// the two never disagree; if they did all the same, the checksum would show it, and
 // the router begins its stream anew with nothing.
 
-// versionSnapshot is a version in pieces, made once for all streams.
-type versionSnapshot struct {
-	sum       string
-	complete  *anypb.Any
-	pieces    map[string]string
-	versions  map[string]string // of the pieces
-	resources map[string]*discovery.Resource
-
-	mu     sync.Mutex
-	deltas map[*versionSnapshot]*snapshotDelta // from others that many routers have
-}
-
-// snapshotDelta is what leads from some pieces to a cut.
-type snapshotDelta struct {
-	resources []*discovery.Resource
-	removed   []string
-}
-
-// snapshotCache keeps the last snapshots.
-type snapshotCache struct {
-	mu     sync.Mutex
-	recent []*versionSnapshot // the newest last
-}
-
-const maxSnapshots = 8
-
-// snapshot is a version's.
-func (k *snapshotCache) snapshot(v configversion.Version) (*versionSnapshot, error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for _, snapshot := range k.recent {
-		if snapshot.sum == v.Sum {
-			return snapshot, nil
-		}
-	}
-	snapshot := &versionSnapshot{sum: v.Sum, pieces: splitPieces(v.Body), resources: map[string]*discovery.Resource{}, deltas: map[*versionSnapshot]*snapshotDelta{}}
-	snapshot.versions = pieceVersions(snapshot.pieces)
-	var err error
-	if snapshot.complete, err = marshalResource(v.Body); err != nil {
-		return nil, err
-	}
-	for name, text := range snapshot.pieces {
-		resource, err := marshalResource([]byte(text))
-		if err != nil {
-			return nil, err
-		}
-		snapshot.resources[name] = &discovery.Resource{Name: name, Version: snapshot.versions[name], Resource: resource}
-	}
-	if len(k.recent) >= maxSnapshots {
-		old := k.recent[0]
-		k.recent = append([]*versionSnapshot(nil), k.recent[1:]...)
-		for _, other := range k.recent {
-			other.forget(old)
-		}
-	}
-	k.recent = append(k.recent, snapshot)
-	return snapshot, nil
-}
-
-// find is the kept snapshot with just these pieces, nil where there is none.
-func (k *snapshotCache) find(versions map[string]string) *versionSnapshot {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for _, snapshot := range k.recent {
-		if maps.Equal(snapshot.versions, versions) {
-			return snapshot
-		}
-	}
-	return nil
-}
-
-func (c *versionSnapshot) forget(other *versionSnapshot) {
-	c.mu.Lock()
-	delete(c.deltas, other)
-	c.mu.Unlock()
-}
-
-// deltaFrom is what leads to the cut from what a router has: a cut, or pieces of
-// these versions.
-func (c *versionSnapshot) deltaFrom(base *versionSnapshot, versions map[string]string) *snapshotDelta {
-	if base != nil {
-		versions = base.versions
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		if delta := c.deltas[base]; delta != nil {
-			return delta
-		}
-	}
-	delta := &snapshotDelta{}
-	for name, r := range c.resources {
-		if versions[name] != r.Version {
-			delta.resources = append(delta.resources, r)
-		}
-	}
-	for name := range versions {
-		if _, is := c.versions[name]; !is {
-			delta.removed = append(delta.removed, name)
-		}
-	}
-	sort.Slice(delta.resources, func(i, j int) bool { return delta.resources[i].Name < delta.resources[j].Name })
-	sort.Strings(delta.removed)
-	if base != nil {
-		if len(c.deltas) > 4*maxSnapshots {
-			clear(c.deltas)
-		}
-		c.deltas[base] = delta
-	}
-	return delta
-}
-
 // deltaServerStream is a router's stream by the incremental protocol.
 type deltaServerStream struct {
 	stream    grpc.BidiStreamingServer[discovery.DeltaDiscoveryRequest, discovery.DeltaDiscoveryResponse]
 	snapshots *snapshotCache
 	nonces    sentNonces
+	idle      chan struct{} // of one: no version is on its way
 
 	mu               sync.Mutex
-	accepted         *versionSnapshot  // what the router has accepted, where it is a kept cut
+	accepted         *versionSnapshot  // by the router, where it is a cached snapshot
 	acceptedVersions map[string]string // and else the versions of its pieces
 	pending          *versionSnapshot  // on its way
-	pendingNonce     string            // of that
-	idle             chan struct{}     // of one: nothing is on its way
+	pendingNonce     string            // empty: none is on its way
 }
 
-func (p *deltaServerStream) hello() (helloRequest, error) {
-	r, err := p.stream.Recv()
+func (d *deltaServerStream) hello() (helloRequest, error) {
+	request, err := d.stream.Recv()
 	if err != nil {
 		return helloRequest{}, err
 	}
-	p.idle = make(chan struct{}, 1)
-	p.idle <- struct{}{}
-	if p.accepted = p.snapshots.find(r.GetInitialResourceVersions()); p.accepted == nil {
-		p.acceptedVersions = r.GetInitialResourceVersions()
+	d.idle = make(chan struct{}, 1)
+	d.idle <- struct{}{}
+	versions := request.GetInitialResourceVersions()
+	d.accepted = d.snapshots.find(versions)
+	if d.accepted == nil {
+		d.acceptedVersions = versions
 	}
-	j := helloRequest{router: r.GetNode().GetId(), accepted: acceptedNumber(r.GetNode())}
-	return j, checkFirstRequest(j.router, r.GetTypeUrl())
+	hello := helloRequest{router: request.GetNode().GetId(), accepted: acceptedNumber(request.GetNode())}
+	return hello, checkFirstRequest(hello.router, request.GetTypeUrl())
 }
 
-func (p *deltaServerStream) send(v configversion.Version, service string) error {
+func (d *deltaServerStream) send(v configversion.Version, service string) error {
 	select {
-	case <-p.idle:
-	case <-p.stream.Context().Done():
-		return p.stream.Context().Err()
+	case <-d.idle:
+	case <-d.stream.Context().Done():
+		return d.stream.Context().Err()
 	}
-	c, err := p.snapshots.snapshot(v)
+	snapshot, err := d.snapshots.snapshot(v)
 	if err != nil {
 		return err
 	}
-	p.mu.Lock()
-	d := c.deltaFrom(p.accepted, p.acceptedVersions)
-	p.pending, p.pendingNonce = c, p.nonces.next(v.Number)
-	out := &discovery.DeltaDiscoveryResponse{SystemVersionInfo: versionInfo(v), TypeUrl: SettingsType, Nonce: p.pendingNonce,
-		Resources: d.resources, RemovedResources: d.removed, ControlPlane: controlPlane(service)}
-	p.mu.Unlock()
-	return p.stream.Send(out)
+	return d.stream.Send(d.response(v, snapshot, service))
 }
 
-func (p *deltaServerStream) recv() (versionResponse, bool, error) {
-	r, err := p.stream.Recv()
+// response makes the response that leads a router to a version, and books that it is on
+// its way.
+func (d *deltaServerStream) response(v configversion.Version, snapshot *versionSnapshot, service string) *discovery.DeltaDiscoveryResponse {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	delta := snapshot.deltaFrom(d.accepted, d.acceptedVersions)
+	d.pending = snapshot
+	d.pendingNonce = d.nonces.next(v.Number)
+	return &discovery.DeltaDiscoveryResponse{
+		SystemVersionInfo: versionInfo(v),
+		TypeUrl:           SettingsType,
+		Nonce:             d.pendingNonce,
+		Resources:         delta.resources,
+		RemovedResources:  delta.removed,
+		ControlPlane:      controlPlane(service),
+	}
+}
+
+func (d *deltaServerStream) recv() (versionResponse, bool, error) {
+	request, err := d.stream.Recv()
 	if err != nil {
 		return versionResponse{}, false, err
 	}
-	number, known := p.nonces.number(r.GetResponseNonce())
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if !known || r.GetResponseNonce() != p.pendingNonce {
+	number, known := d.nonces.number(request.GetResponseNonce())
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if !known || request.GetResponseNonce() != d.pendingNonce {
 		return versionResponse{}, false, nil
 	}
-	p.pendingNonce = ""
-	d := r.GetErrorDetail()
-	if d == nil {
-		p.accepted, p.acceptedVersions = p.pending, nil
+	reasons := reasonLines(request.GetErrorDetail())
+	if reasons == nil {
+		d.accepted, d.acceptedVersions = d.pending, nil
 	}
-	p.pending = nil
-	p.idle <- struct{}{}
-	return versionResponse{number, reasonLines(d)}, true, nil
+	d.pending, d.pendingNonce = nil, ""
+	d.idle <- struct{}{}
+	return versionResponse{number: number, reasons: reasons}, true, nil
 }
 
 // errStateMismatch ends a stream whose two sides disagree about what a router has.
@@ -207,63 +107,87 @@
 	stream grpc.BidiStreamingClient[discovery.DeltaDiscoveryRequest, discovery.DeltaDiscoveryResponse]
 
 	mu       sync.Mutex
-	accepted map[string]string // accepted pieces
-	pending  map[string]map[string]string
+	accepted map[string]string            // pieces of the version that was acknowledged last
+	pending  map[string]map[string]string // pieces of offered versions, by nonce
 }
 
-func (l *deltaClientStream) hello(router string, accepted int64) error {
-	l.pending = map[string]map[string]string{}
-	return l.stream.Send(&discovery.DeltaDiscoveryRequest{Node: routerNode(router, accepted), TypeUrl: SettingsType,
-		ResourceNamesSubscribe: []string{"*"}, InitialResourceVersions: pieceVersions(l.accepted)})
+func (d *deltaClientStream) hello(router string, accepted int64) error {
+	d.pending = map[string]map[string]string{}
+	return d.stream.Send(&discovery.DeltaDiscoveryRequest{
+		Node:                    routerNode(router, accepted),
+		TypeUrl:                 SettingsType,
+		ResourceNamesSubscribe:  []string{"*"},
+		InitialResourceVersions: pieceVersions(d.accepted),
+	})
 }
 
-func (l *deltaClientStream) recv() (offeredVersion, error) {
-	r, err := l.stream.Recv()
+func (d *deltaClientStream) recv() (offeredVersion, error) {
+	response, err := d.stream.Recv()
 	if err != nil {
 		return offeredVersion{}, err
 	}
-	o := offeredVersion{service: r.GetControlPlane().GetIdentifier(), nonce: r.GetNonce()}
-	if o.version.Number, o.version.Sum, o.fault = parseVersionInfo(r.GetSystemVersionInfo()); o.fault != nil {
-		return o, nil
+	offered := offeredVersion{service: response.GetControlPlane().GetIdentifier(), nonce: response.GetNonce()}
+	offered.version.Number, offered.version.Sum, offered.fault = parseVersionInfo(response.GetSystemVersionInfo())
+	if offered.fault != nil {
+		return offered, nil
 	}
-	if o.version.Number == 0 || r.GetTypeUrl() != SettingsType {
-		o.fault = fmt.Errorf("control: a response of type %.80q with version %d", r.GetTypeUrl(), o.version.Number)
-		return o, nil
+	if offered.version.Number == 0 || response.GetTypeUrl() != SettingsType {
+		offered.fault = fmt.Errorf("control: a response of type %.80q with version %d", response.GetTypeUrl(), offered.version.Number)
+		return offered, nil
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	next := maps.Clone(l.accepted)
-	if next == nil {
-		next = map[string]string{}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	pieces, err := applyDelta(d.accepted, response)
+	if err != nil {
+		offered.fault = err
+		return offered, nil
 	}
-	for _, name := range r.GetRemovedResources() {
-		delete(next, name)
+	offered.version.Body = joinPieces(pieces)
+	if configversion.Checksum(offered.version.Body) != offered.version.Sum && len(d.accepted) > 0 {
+		return offered, errStateMismatch // complete settings that are wrong are for the machine to reject
 	}
-	for _, one := range r.GetResources() {
-		text, err := unmarshalResource(one.GetResource())
-		if err == nil && (one.GetName() == "" || pieceVersion(string(text)) != one.GetVersion()) {
-			err = fmt.Errorf("control: piece %.80q does not match its version %.40q", one.GetName(), one.GetVersion())
-		}
+	d.pending[offered.nonce] = pieces
+	return offered, nil
+}
+
+// applyDelta returns the pieces to which a response leads from those accepted.
+func applyDelta(accepted map[string]string, response *discovery.DeltaDiscoveryResponse) (map[string]string, error) {
+	pieces := map[string]string{}
+	maps.Copy(pieces, accepted)
+	for _, name := range response.GetRemovedResources() {
+		delete(pieces, name)
+	}
+	for _, resource := range response.GetResources() {
+		text, err := unmarshalResource(resource.GetResource())
 		if err != nil {
-			o.fault = err
-			return o, nil
+			return nil, err
 		}
-		next[one.GetName()] = string(text)
-	}
-	o.version.Body = joinPieces(next)
-	if configversion.Checksum(o.version.Body) != o.version.Sum && len(l.accepted) > 0 {
-		return o, errStateMismatch // a whole that is wrong is for the machine to refuse
+		name := resource.GetName()
+		if name == "" || pieceVersion(string(text)) != resource.GetVersion() {
+			return nil, fmt.Errorf("control: piece %.80q does not match its version %.40q", name, resource.GetVersion())
+		}
+		pieces[name] = string(text)
 	}
-	l.pending[o.nonce] = next
-	return o, nil
+	return pieces, nil
+}
+
+func (d *deltaClientStream) reply(r reply) error {
+	d.acceptPending(r)
+	return d.stream.Send(&discovery.DeltaDiscoveryRequest{
+		TypeUrl:       SettingsType,
+		ResponseNonce: r.nonce,
+		ErrorDetail:   errorDetail(r.reasons),
+	})
 }
 
-func (l *deltaClientStream) reply(nonce string, _, _ int64, reasons []configversion.Reason) error {
-	l.mu.Lock()
-	if next := l.pending[nonce]; next != nil && len(reasons) == 0 {
-		l.accepted = next
+// acceptPending books the pieces of an offered version as accepted, if the reply
+// accepts it.
+func (d *deltaClientStream) acceptPending(r reply) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	pieces := d.pending[r.nonce]
+	if pieces != nil && len(r.reasons) == 0 {
+		d.accepted = pieces
 	}
-	clear(l.pending)
-	l.mu.Unlock()
-	return l.stream.Send(&discovery.DeltaDiscoveryRequest{TypeUrl: SettingsType, ResponseNonce: nonce, ErrorDetail: errorDetail(reasons)})
+	clear(d.pending)
 }
--- a/internal/controlplane/service/folder.go
+++ b/internal/controlplane/service/folder.go
@@ -1,6 +1,7 @@
 package service
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io/fs"
@@ -11,12 +12,15 @@
 	"time"
 
 	"github.com/fsnotify/fsnotify"
+	"go.uber.org/zap"
 
 	"indigospool/internal/config"
+	"indigospool/internal/controlplane/configversion"
 )
 
 // ReadFolder reads the files *.edn of a folder in the order of their names: they
-// are one text. Those whose names begin with a dot are left out.
+// are one text. Those whose names begin with a dot are left out. A folder without such
+// a file is an error.
 func ReadFolder(dir string) (sources []config.Source, err error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -30,7 +34,7 @@
 		path := filepath.Join(dir, entry.Name())
 		text, err := os.ReadFile(path)
 		if errors.Is(err, fs.ErrNotExist) {
-			continue // removed since; that is told too
+			continue // removed since; the watcher has an event of that too
 		}
 		if err != nil {
 			return nil, fmt.Errorf("control: %w", err)
@@ -45,36 +49,79 @@
 
 const (
 	folderSettleTime   = 300 * time.Millisecond // files change in bursts
-	folderPollInterval = 30 * time.Second       // some file systems tell of no change
+	folderPollInterval = 30 * time.Second       // some file systems send no events
 )
 
-// watchFolder calls changed once at the start, after each change, and after as long
-// as it says, until done is closed.
-func watchFolder(dir string, done <-chan struct{}, changed func() time.Duration) error {
+// folderWatcher watches a folder by the file system's events and by polling.
+type folderWatcher struct{ watcher *fsnotify.Watcher }
+
+func newFolderWatcher(dir string) (*folderWatcher, error) {
 	watcher, err := fsnotify.NewWatcher()
 	if err != nil {
-		return fmt.Errorf("control: %w", err)
+		return nil, fmt.Errorf("control: %w", err)
 	}
 	if err := watcher.Add(dir); err != nil {
 		watcher.Close()
-		return fmt.Errorf("control: %s: %w", dir, err)
+		return nil, fmt.Errorf("control: %s: %w", dir, err)
 	}
-	go func() {
-		defer watcher.Close()
-		timer := time.NewTimer(0)
-		defer timer.Stop()
-		for {
-			select {
-			case <-timer.C:
-				timer.Reset(changed())
-			case <-watcher.Events:
-				timer.Reset(folderSettleTime)
-			case <-watcher.Errors: // events were lost
-				timer.Reset(folderSettleTime)
-			case <-done:
-				return
-			}
+	return &folderWatcher{watcher}, nil
+}
+
+// run calls changed once at the start, after each change, and after the delay that it
+// returned last, until the context ends.
+func (f *folderWatcher) run(ctx context.Context, changed func() time.Duration) {
+	defer f.watcher.Close()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	for {
+		select {
+		case <-timer.C:
+			timer.Reset(changed())
+		case <-f.watcher.Events:
+			timer.Reset(folderSettleTime)
+		case <-f.watcher.Errors: // events were lost
+			timer.Reset(folderSettleTime)
+		case <-ctx.Done():
+			return
 		}
-	}()
-	return nil
+	}
+}
+
+// offerFolder offers what the folder holds, and returns the delay after which it is to be
+// read again. It is called from one goroutine.
+func (s *Service) offerFolder() time.Duration {
+	sources, err := ReadFolder(s.settings.Service.Folder)
+	if err != nil {
+		s.logFolder(s.log.Error, err.Error())
+		return folderPollInterval
+	}
+	var content []byte
+	for _, source := range sources {
+		content = append(content, source.Text...)
+		content = append(content, 0)
+	}
+	previous, known := s.stateStore.swapFolderSum(configversion.Checksum(content))
+	if known {
+		return folderPollInterval
+	}
+	number, created, err := s.PushSources(sources, false)
+	var notPersisted *PersistError
+	switch {
+	case errors.As(err, &notPersisted) && !notPersisted.Queued:
+		s.stateStore.swapFolderSum(previous)
+		return maxRetryDelay
+	case err != nil:
+		s.logFolder(s.log.Error, err.Error())
+	case created:
+		s.logFolder(s.log.Info, fmt.Sprintf("%s is version %d", s.settings.Service.Folder, number))
+	}
+	return folderPollInterval
+}
+
+// logFolder logs what became of the folder's content, unless it was logged last.
+func (s *Service) logFolder(log func(string, ...zap.Field), message string) {
+	if message != s.lastFolderMessage {
+		log(message)
+	}
+	s.lastFolderMessage = message
 }
--- a/internal/controlplane/service/loadreport.go
+++ b/internal/controlplane/service/loadreport.go
@@ -15,46 +15,58 @@
 	"indigospool/internal/controlplane/rollout"
 )
 
-// Reports of service go by Envoy's load reporting service: one cluster, named
-// requests, whose one locality counts what was asked and what was served in time.
+// Load reports go by Envoy's load reporting service: one cluster, named requests,
+// whose one locality counts the requests issued and those served in time.
 const loadCluster = "requests"
 
-// LoadCounts counts what a router was asked and what it served in time, since it
-// began.
-type LoadCounts struct{ Issued, Succeeded uint64 }
+// minReportInterval bounds how often an agent reports, whatever the service asks for.
+const minReportInterval = 10 * time.Millisecond
 
-// StreamLoadStats takes a router's reports.
+// LoadCounts counts a router's requests since it began.
+type LoadCounts struct {
+	Issued    uint64 // by clients
+	Succeeded uint64 // served in time
+}
+
+// StreamLoadStats takes a router's load reports.
 func (s *Server) StreamLoadStats(stream grpc.BidiStreamingServer[load.LoadStatsRequest, load.LoadStatsResponse]) error {
-	request, err := stream.Recv()
+	first, err := stream.Recv()
 	if err != nil {
 		return err
 	}
-	router := request.GetNode().GetId()
+	router := first.GetNode().GetId()
 	if router == "" {
 		return status.Error(codes.InvalidArgument, "control: the first report names no node id")
 	}
 	if err := checkCertificateName(stream.Context(), router); err != nil {
 		return err
 	}
-	if err := stream.Send(&load.LoadStatsResponse{Clusters: []string{loadCluster}, LoadReportingInterval: durationpb.New(s.cfg.ReportInterval)}); err != nil {
+	err = stream.Send(&load.LoadStatsResponse{Clusters: []string{loadCluster}, LoadReportingInterval: durationpb.New(s.cfg.ReportInterval)})
+	if err != nil {
 		return err
 	}
-	for {
-		for _, c := range request.GetClusterStats() {
-			if c.GetClusterName() != loadCluster {
-				continue
-			}
-			for _, u := range c.GetUpstreamLocalityStats() {
-				s.handle(rollout.LoadReport{Router: router, InTime: float64(u.GetTotalSuccessfulRequests()), Requests: float64(u.GetTotalIssuedRequests())})
-			}
+	for request := first; err == nil; request, err = stream.Recv() {
+		s.handleLoadReport(router, request)
+	}
+	return nil
+}
+
+func (s *Server) handleLoadReport(router string, request *load.LoadStatsRequest) {
+	for _, cluster := range request.GetClusterStats() {
+		if cluster.GetClusterName() != loadCluster {
+			continue
 		}
-		if request, err = stream.Recv(); err != nil {
-			return nil
+		for _, locality := range cluster.GetUpstreamLocalityStats() {
+			s.handle(rollout.LoadReport{
+				Router:   router,
+				InTime:   float64(locality.GetTotalSuccessfulRequests()),
+				Requests: float64(locality.GetTotalIssuedRequests()),
+			})
 		}
 	}
 }
 
-// reportLoad reports service over a connection, at the service's interval or the
+// reportLoad reports load over a connection, at the service's interval or the
 // agent's, whichever is longer, until the context ends.
 func (a *Agent) reportLoad(ctx context.Context, conn *grpc.ClientConn) error {
 	stream, err := load.NewLoadReportingServiceClient(conn).StreamLoadStats(ctx)
@@ -68,7 +80,7 @@
 	if err != nil {
 		return err
 	}
-	interval := max(response.GetLoadReportingInterval().AsDuration(), a.cfg.ReportInterval, 10*time.Millisecond)
+	interval := max(response.GetLoadReportingInterval().AsDuration(), a.cfg.ReportInterval, minReportInterval)
 	last, err := a.cfg.LoadCounts()
 	if err != nil {
 		return err
@@ -88,14 +100,23 @@
 		if counts.Issued < last.Issued || counts.Succeeded < last.Succeeded {
 			last = LoadCounts{} // the counters began anew
 		}
-		err = stream.Send(&load.LoadStatsRequest{ClusterStats: []*endpoint.ClusterStats{{ClusterName: loadCluster,
-			LoadReportInterval: durationpb.New(now.Sub(began)),
-			UpstreamLocalityStats: []*endpoint.UpstreamLocalityStats{{TotalIssuedRequests: counts.Issued - last.Issued,
-				TotalSuccessfulRequests: counts.Succeeded - last.Succeeded,
-				TotalErrorRequests:      (counts.Issued - last.Issued) - min(counts.Succeeded-last.Succeeded, counts.Issued-last.Issued)}}}}})
-		if err != nil {
+		if err := stream.Send(loadReport(counts, last, now.Sub(began))); err != nil {
 			return err
 		}
 		last, began = counts, now
 	}
 }
+
+// loadReport is what was counted between two counts.
+func loadReport(counts, last LoadCounts, interval time.Duration) *load.LoadStatsRequest {
+	issued, succeeded := counts.Issued-last.Issued, counts.Succeeded-last.Succeeded
+	return &load.LoadStatsRequest{ClusterStats: []*endpoint.ClusterStats{{
+		ClusterName:        loadCluster,
+		LoadReportInterval: durationpb.New(interval),
+		UpstreamLocalityStats: []*endpoint.UpstreamLocalityStats{{
+			TotalIssuedRequests:     issued,
+			TotalSuccessfulRequests: succeeded,
+			TotalErrorRequests:      issued - min(succeeded, issued),
+		}},
+	}}}
+}
--- a/internal/controlplane/service/server.go
+++ b/internal/controlplane/service/server.go
@@ -2,9 +2,7 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
-	"io"
 	"net"
 	"sync"
 	"time"
@@ -12,9 +10,7 @@
 	discovery "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 	load "github.com/envoyproxy/go-control-plane/envoy/service/load_stats/v3"
 	"google.golang.org/grpc"
-	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/keepalive"
-	"google.golang.org/grpc/status"
 
 	"indigospool/internal/config"
 	"indigospool/internal/controlplane/configversion"
@@ -22,102 +18,130 @@
 	"indigospool/internal/wallclock"
 )
 
-// StateStore keeps what a service must not forget. Save returns once it would
-// survive a crash.
+// StateStore persists what a service must not forget.
 type StateStore interface {
+	// Save returns once the state would survive a crash, or why it would not.
 	Save(rollout.State) error
 }
 
-// ServerConfig is what a service is. Zero fields mean the defaults.
+// ServerConfig is what a Server is made of. Zero fields mean the defaults.
 type ServerConfig struct {
-	Name             string // and epoch: unlike any other service's
-	Rollout          rollout.Settings
-	State            rollout.State
-	Store            StateStore
-	StreamsPerSecond float64       // streams accepted a second; others wait; default 200
-	MaxStreams       int           // at once; more are turned away; default 4000
-	TickInterval     time.Duration // default 250 ms
-	ReportInterval   time.Duration // how often routers are to report service; default 10 s
-	Limits           configversion.CheckLimits
-	OnSend           func(router string, v configversion.Version) // a version is about to be written to a stream; nil: nobody asks
-	OnEvent          func(text string)                            // what happens, as it happens; nil: only Status tells
+	// Name identifies the service and its epoch to routers; no other service has it.
+	Name string
+	// Rollout has the figures of staged rollouts.
+	Rollout rollout.Settings
+	// State is the persisted state to begin with.
+	State rollout.State
+	// Store persists the state; nil: it is forgotten when the service ends.
+	Store StateStore
+	// StreamsPerSecond bounds the streams admitted in a second; others wait up to
+	// maxAdmissionDelay or are rejected. Default 200.
+	StreamsPerSecond float64
+	// MaxStreams bounds the open streams; more are rejected. Default 4000.
+	MaxStreams int
+	// TickInterval is how often the rollout's time passes. Default 250 ms.
+	TickInterval time.Duration
+	// ReportInterval is how often routers are asked to report load. Default 10 s.
+	ReportInterval time.Duration
+	// Limits bound what one version may change.
+	Limits configversion.CheckLimits
+	// OnSend is called before a version is written to a router's stream; may be nil.
+	OnSend func(router string, v configversion.Version)
+	// OnEvent is called with each event's text as it happens; may be nil. Status has
+	// the last events in any case.
+	OnEvent func(text string)
 }
 
-// Server is a control service.
+func (c ServerConfig) withDefaults() ServerConfig {
+	if c.StreamsPerSecond <= 0 {
+		c.StreamsPerSecond = 200
+	}
+	if c.MaxStreams <= 0 {
+		c.MaxStreams = 4000
+	}
+	if c.TickInterval <= 0 {
+		c.TickInterval = 250 * time.Millisecond
+	}
+	if c.ReportInterval <= 0 {
+		c.ReportInterval = 10 * time.Second
+	}
+	return c
+}
+
+// maxEvents is how many events Status remembers.
+const maxEvents = 100
+
+// Server is a control service: it serves versions to routers' streams and carries
+// out the actions of the rollout. Its methods may be called from any goroutine.
 type Server struct {
 	discovery.UnimplementedAggregatedDiscoveryServiceServer
 	load.UnimplementedLoadReportingServiceServer
 	cfg       ServerConfig
 	grpc      *grpc.Server
-	done      chan struct{}
-	stopOnce  sync.Once
+	started   time.Time // origin of the rollout's clock
+	ctx       context.Context
+	cancel    context.CancelFunc
+	ticking   sync.WaitGroup
 	snapshots snapshotCache
 
 	mu           sync.Mutex
 	rollout      *rollout.Rollout
-	streams      map[string]*routerStream
-	events       []string // the last of what happened, for status
-	nextStreamAt time.Time
-	persisted    rollout.State        // what was kept last
-	persistFault *persistFault        // the state can't be kept for now; nil: it can
-	pausedFor    configversion.Millis // for how long the rollout's clock has stood
+	streams      map[string]*routerStream // by router
+	events       []string                 // the last maxEvents
+	nextStreamAt time.Time                // earliest admission of the next stream
+	persisted    rollout.State            // the last state that was persisted
+	persistFault *persistFault            // the state can't be persisted for now; nil: it can
+	pausedFor    configversion.Millis     // for how long the rollout's clock has been paused in all
 }
 
-// routerStream is one router's.
-type routerStream struct {
-	router   string
-	versions chan configversion.Version // of one: a newer version replaces an older one that was not sent yet
-	cancel   context.CancelCauseFunc
-}
-
-// NewServer makes a service; options are gRPC's, as credentials.
+// NewServer makes a service; options are gRPC's, as credentials. Its clock runs from
+// now on, until Stop.
 func NewServer(cfg ServerConfig, options ...grpc.ServerOption) *Server {
-	if cfg.StreamsPerSecond <= 0 {
-		cfg.StreamsPerSecond = 200
-	}
-	if cfg.MaxStreams <= 0 {
-		cfg.MaxStreams = 4000
+	options = append([]grpc.ServerOption{
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second}),
+		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 20 * time.Second, Timeout: 10 * time.Second}),
+	}, options...)
+	s := &Server{
+		cfg:       cfg.withDefaults(),
+		grpc:      grpc.NewServer(options...),
+		started:   time.Now(),
+		streams:   map[string]*routerStream{},
+		rollout:   rollout.New(cfg.Rollout, cfg.State),
+		persisted: cfg.State,
 	}
-	if cfg.TickInterval <= 0 {
-		cfg.TickInterval = 250 * time.Millisecond
-	}
-	if cfg.ReportInterval <= 0 {
-		cfg.ReportInterval = 10 * time.Second
-	}
-	options = append([]grpc.ServerOption{grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second}),
-		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 20 * time.Second, Timeout: 10 * time.Second})}, options...)
-	server := &Server{cfg: cfg, grpc: grpc.NewServer(options...), done: make(chan struct{}), streams: map[string]*routerStream{},
-		rollout: rollout.New(cfg.Rollout, cfg.State), persisted: cfg.State}
-	discovery.RegisterAggregatedDiscoveryServiceServer(server.grpc, server)
-	load.RegisterLoadReportingServiceServer(server.grpc, server)
-	go func() {
-		ticker := time.NewTicker(cfg.TickInterval)
-		defer ticker.Stop()
-		for {
-			select {
-			case <-ticker.C:
-				server.tick()
-			case <-server.done:
-				return
-			}
-		}
-	}()
-	return server
+	s.ctx, s.cancel = context.WithCancel(context.Background())
+	discovery.RegisterAggregatedDiscoveryServiceServer(s.grpc, s)
+	load.RegisterLoadReportingServiceServer(s.grpc, s)
+	s.ticking.Go(s.runTicks)
+	return s
 }
 
-// Serve serves until Stop.
-func (s *Server) Serve(ln net.Listener) error { return s.grpc.Serve(ln) }
+// Serve serves routers until Stop; the error is gRPC's.
+func (s *Server) Serve(listener net.Listener) error { return s.grpc.Serve(listener) }
 
-// Stop ends the service and its streams at once.
+// Stop ends the service and its streams at once. It may be called again.
 func (s *Server) Stop() {
-	s.stopOnce.Do(func() { close(s.done); s.grpc.Stop() })
+	s.cancel()
+	s.grpc.Stop()
+	s.ticking.Wait()
 }
 
-var began = time.Now()
-
-func now() configversion.Millis { return float64(time.Since(began).Microseconds()) / 1000 }
+// runTicks has the rollout's time pass until the server is stopped.
+func (s *Server) runTicks() {
+	ticker := time.NewTicker(s.cfg.TickInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ticker.C:
+			s.tick()
+		case <-s.ctx.Done():
+			return
+		}
+	}
+}
 
-// tick has time pass, or tries again to keep the state.
+// tick has the rollout's time pass or, while the state can't be persisted, tries that
+// again.
 func (s *Server) tick() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,23 +152,23 @@
 	s.handleLocked(rollout.Tick{})
 }
 
-// handle gives the rollout an event and carries out what it wants.
-func (s *Server) handle(ev any) {
+// handle passes an event to the rollout and executes its actions.
+func (s *Server) handle(event any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.handleLocked(ev)
+	s.handleLocked(event)
 }
 
-func (s *Server) handleLocked(ev any) {
+func (s *Server) handleLocked(event any) {
 	if s.persistFault != nil {
-		s.deferEvent(ev)
+		s.deferEvent(event)
 		return
 	}
-	s.execute(s.rollout.Handle(s.rolloutNow(), ev, nil))
+	s.execute(s.rollout.Handle(s.rolloutNow(), event, nil))
 }
 
-// execute does what the rollout wants, in its order: what follows the keeping of a
-// state is done only once it is kept.
+// execute executes the rollout's actions in their order: what follows a Persist is done
+// only once that state is persisted.
 func (s *Server) execute(actions []any) {
 	for i, action := range actions {
 		switch action := action.(type) {
@@ -158,12 +182,8 @@
 			}
 			s.persisted = action.State
 		case rollout.Offer:
-			if st := s.streams[action.Router]; st != nil {
-				select {
-				case <-st.versions: // not sent yet, and superseded
-				default:
-				}
-				st.versions <- action.Version
+			if stream := s.streams[action.Router]; stream != nil {
+				stream.offer(action.Version)
 			}
 		case rollout.Halted:
 			s.recordEvent("version %d halted: %s", action.Number, action.Reason)
@@ -183,29 +203,31 @@
 		s.cfg.OnEvent(text)
 	}
 	s.events = append(s.events, wallclock.Now().UTC().Format("15:04:05.000 ")+text)
-	if len(s.events) > 100 {
-		s.events = s.events[len(s.events)-100:]
+	if len(s.events) > maxEvents {
+		s.events = s.events[len(s.events)-maxEvents:]
 	}
 }
 
-// A RejectedError says why a text was not made a version.
+// RejectedError says why a text of settings was not made a version.
 type RejectedError struct{ Reasons []configversion.Reason }
 
-func (r *RejectedError) Error() string {
+// Error has one reason a line.
+func (e *RejectedError) Error() string {
 	text := "control: not made a version"
-	for _, one := range r.Reasons {
-		text += "\n" + one.String()
+	for _, reason := range e.Reasons {
+		text += "\n" + reason.String()
 	}
 	return text
 }
 
 // PushUnchecked begins the rollout of a body as it is, and returns its number. It makes
-// no checks but the routers'; see PushSources. Where the state can't be kept, the error is
-// a *PersistError.
-func (s *Server) PushUnchecked(body []byte, force bool) (int64, error) {
+// no checks but the routers'; see PushSources. immediate has it go to all routers at
+// once, without stages. Where the state can't be persisted, the error is a
+// *PersistError.
+func (s *Server) PushUnchecked(body []byte, immediate bool) (int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.pushLocked(body, force)
+	return s.pushLocked(body, immediate)
 }
 
 func (s *Server) pushLocked(body []byte, immediate bool) (int64, error) {
@@ -216,37 +238,42 @@
 	if err := s.persistError(true); err != nil {
 		return 0, err
 	}
-	st := s.rollout.State()
-	return max(st.Next.Number, st.Base.Number), nil
+	state := s.rollout.State()
+	return max(state.Next.Number, state.Base.Number), nil
 }
 
-// PushSources checks settings, makes them canonical and begins their rollout. What
-// does not pass the checks is refused with every reason, a *RejectedError. The same
-// content as the newest version's is not pushed again: its number is returned.
-func (s *Server) PushSources(sources []config.Source, force bool) (number int64, fresh bool, err error) {
+// PushSources checks settings, makes them canonical and begins their rollout; immediate
+// has them go to all routers at once, without stages. What does not pass the checks is
+// rejected with every reason, a *RejectedError; where the state can't be persisted, the
+// error is a *PersistError. The same content as the newest version's is not pushed
+// again: its number is returned, and created is false.
+func (s *Server) PushSources(sources []config.Source, immediate bool) (number int64, created bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.persistError(false); err != nil {
 		return 0, false, err
 	}
-	st := s.rollout.State()
-	newest := st.Base
-	if st.Next.Number > 0 {
-		newest = st.Next
+	state := s.rollout.State()
+	newest := state.Base
+	if state.Next.Number > 0 {
+		newest = state.Next
 	}
 	body, reasons := Validate(sources, newest.Body, s.cfg.Limits)
 	if len(reasons) > 0 {
 		return 0, false, &RejectedError{reasons}
 	}
-	if newest.Number > 0 && newest.Sum == configversion.Checksum(body) && !(force && st.Next.Number > 0) {
+	sameContent := newest.Number > 0 && newest.Sum == configversion.Checksum(body)
+	hastens := immediate && state.Next.Number > 0 // the version is in its stages, and is to go to all
+	if sameContent && !hastens {
 		return newest.Number, false, nil
 	}
-	number, err = s.pushLocked(body, force)
+	number, err = s.pushLocked(body, immediate)
 	return number, err == nil, err
 }
 
-// Halt stops the rollout under way; the old content goes to all under a new number.
-// Where the state can't be kept, the error is a *PersistError.
+// Halt stops the rollout under way, if any; the old content goes to all routers under a
+// new number. why is for operators. Where the state can't be persisted, the error is a
+// *PersistError.
 func (s *Server) Halt(why string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -259,128 +286,26 @@
 
 // Status is what a service knows.
 type Status struct {
-	Service      string
-	State        rollout.State // as it was kept
+	Service      string        // its name and epoch
+	State        rollout.State // as it was persisted last
 	Routers      []rollout.RouterStatus
-	Events       []string
-	PersistError *PersistError // the state can't be kept for now; nil: it can
+	Events       []string      // the last events, each with its time of day (UTC)
+	PersistError *PersistError // the state can't be persisted for now; nil: it can
 }
 
-// Status tells which version each router runs, what it refused and why.
+// Status returns which version each router runs, what it rejected and why.
 func (s *Server) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	st := Status{s.cfg.Name, s.rollout.State(), s.rollout.Status(), append([]string(nil), s.events...), nil}
-	if u := s.persistFault; u != nil {
-		st.State, st.PersistError = s.persisted, &PersistError{Since: u.since, Err: u.err}
-	}
-	return st
-}
-
-// admitStream has streams begin no faster than the service can take: the wait that is
-// still bearable, or an error that tells the router to come back.
-func (s *Server) admitStream(ctx context.Context) error {
-	s.mu.Lock()
-	now := time.Now()
-	if s.nextStreamAt.Before(now) {
-		s.nextStreamAt = now
-	}
-	wait := s.nextStreamAt.Sub(now)
-	if wait > 2*time.Second || len(s.streams) >= s.cfg.MaxStreams {
-		s.mu.Unlock()
-		return status.Error(codes.ResourceExhausted, "control: too many streams begin at once; come back later")
-	}
-	s.nextStreamAt = s.nextStreamAt.Add(time.Duration(float64(time.Second) / s.cfg.StreamsPerSecond))
-	s.mu.Unlock()
-	select {
-	case <-time.After(wait):
-		return nil
-	case <-ctx.Done():
-		return ctx.Err()
+	status := Status{
+		Service: s.cfg.Name,
+		State:   s.rollout.State(),
+		Routers: s.rollout.Status(),
+		Events:  append([]string(nil), s.events...),
 	}
-}
-
-// StreamAggregatedResources is a router's stream by state of the world.
-func (s *Server) StreamAggregatedResources(stream grpc.BidiStreamingServer[discovery.DiscoveryRequest, discovery.DiscoveryResponse]) error {
-	return s.serveStream(stream.Context(), &sotwServerStream{stream: stream, snapshots: &s.snapshots})
-}
-
-// DeltaAggregatedResources is a router's stream by the incremental protocol.
-func (s *Server) DeltaAggregatedResources(stream grpc.BidiStreamingServer[discovery.DeltaDiscoveryRequest, discovery.DeltaDiscoveryResponse]) error {
-	return s.serveStream(stream.Context(), &deltaServerStream{stream: stream, snapshots: &s.snapshots})
-}
-
-// serveStream serves a router's stream, to its end.
-func (s *Server) serveStream(ctx context.Context, peer serverStream) error {
-	ctx, cancel := context.WithCancelCause(ctx)
-	defer cancel(nil)
-	first, err := peer.hello()
-	if err != nil {
-		return err
-	}
-	if err := checkCertificateName(ctx, first.router); err != nil {
-		s.mu.Lock()
-		s.recordEvent("%v", err)
-		s.mu.Unlock()
-		return err
-	}
-	if err := s.admitStream(ctx); err != nil {
-		return err
-	}
-	registered := &routerStream{router: first.router, versions: make(chan configversion.Version, 1), cancel: cancel}
-	s.mu.Lock()
-	if err := s.persistError(false); err != nil {
-		s.mu.Unlock()
-		return err
-	}
-	if old := s.streams[first.router]; old != nil {
-		old.cancel(errors.New("control: the router has begun another stream"))
-	}
-	s.streams[first.router] = registered
-	s.handleLocked(rollout.Connected{Router: first.router, Running: first.accepted})
-	s.mu.Unlock()
-	defer func() {
-		s.mu.Lock()
-		if s.streams[first.router] == registered {
-			delete(s.streams, first.router)
-			s.handleLocked(rollout.Disconnected{Router: first.router})
-		}
-		s.mu.Unlock()
-	}()
-	go func() {
-		for {
-			select {
-			case v := <-registered.versions:
-				if s.cfg.OnSend != nil {
-					s.cfg.OnSend(first.router, v)
-				}
-				if err := peer.send(v, s.cfg.Name); err != nil {
-					cancel(err)
-					return
-				}
-			case <-ctx.Done():
-				return
-			}
-		}
-	}()
-	go func() {
-		for {
-			a, known, err := peer.recv()
-			switch {
-			case err != nil:
-				cancel(err)
-				return
-			case !known: // to a response that was superseded, or to none: xDS has such be ignored
-			case a.reasons != nil:
-				s.handle(rollout.Nacked{Router: first.router, Number: a.number, Reasons: a.reasons})
-			default:
-				s.handle(rollout.Acked{Router: first.router, Number: a.number})
-			}
-		}
-	}()
-	<-ctx.Done()
-	if err := context.Cause(ctx); err != io.EOF {
-		return err
+	if fault := s.persistFault; fault != nil {
+		status.State = s.persisted
+		status.PersistError = &PersistError{Since: fault.since, Err: fault.err}
 	}
-	return nil
+	return status
 }
--- /dev/null
+++ b/internal/controlplane/service/stream.go
@@ -0,0 +1,196 @@
+package service
+
+import (
+	"context"
+	"errors"
+	"io"
+	"time"
+
+	discovery "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
+	"golang.org/x/sync/errgroup"
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+
+	"indigospool/internal/controlplane/configversion"
+	"indigospool/internal/controlplane/rollout"
+)
+
+// serverStream is a router's stream as the server sees it, by either protocol. One
+// goroutine sends, another receives.
+type serverStream interface {
+	// hello receives the first request.
+	hello() (helloRequest, error)
+	// send sends a version.
+	send(v configversion.Version, service string) error
+	// recv receives the next response; known is false of one to nothing that is waited for.
+	recv() (response versionResponse, known bool, err error)
+}
+
+// helloRequest is what a router says when its stream begins.
+type helloRequest struct {
+	router   string
+	accepted int64 // number of the version that it has accepted; 0: none
+}
+
+// versionResponse is a router's ACK or NACK of a version that it was sent.
+type versionResponse struct {
+	number  int64
+	reasons []string // nil: accepted
+}
+
+// routerStream is a stream as the server books it.
+type routerStream struct {
+	router   string
+	versions chan configversion.Version // of one: a newer version replaces an older one that was not sent yet
+	cancel   context.CancelCauseFunc
+}
+
+// offer has a version sent, in place of one that was not sent yet. Only one goroutine
+// at a time may call it: the server's lock is held.
+func (r *routerStream) offer(v configversion.Version) {
+	select {
+	case <-r.versions: // not sent yet, and superseded
+	default:
+	}
+	r.versions <- v
+}
+
+var errStreamReplaced = errors.New("control: the router has begun another stream")
+
+// maxAdmissionDelay is how long a new stream may wait for its admission. A router that
+// would wait longer is better off with another service, or later.
+const maxAdmissionDelay = 2 * time.Second
+
+// admitStream has streams begin no faster than the service can take: it waits for the
+// stream's turn, or returns an error that has the router come back later.
+func (s *Server) admitStream(ctx context.Context) error {
+	wait, err := s.reserveAdmission(time.Now())
+	if err != nil {
+		return err
+	}
+	select {
+	case <-time.After(wait):
+		return nil
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+}
+
+func (s *Server) reserveAdmission(now time.Time) (wait time.Duration, err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.nextStreamAt.Before(now) {
+		s.nextStreamAt = now
+	}
+	wait = s.nextStreamAt.Sub(now)
+	if wait > maxAdmissionDelay || len(s.streams) >= s.cfg.MaxStreams {
+		return 0, status.Error(codes.ResourceExhausted, "control: too many streams begin at once; come back later")
+	}
+	s.nextStreamAt = s.nextStreamAt.Add(time.Duration(float64(time.Second) / s.cfg.StreamsPerSecond))
+	return wait, nil
+}
+
+// StreamAggregatedResources serves a router's stream by state of the world.
+func (s *Server) StreamAggregatedResources(stream grpc.BidiStreamingServer[discovery.DiscoveryRequest, discovery.DiscoveryResponse]) error {
+	return s.serveStream(stream.Context(), &sotwServerStream{stream: stream, snapshots: &s.snapshots})
+}
+
+// DeltaAggregatedResources serves a router's stream by the incremental protocol.
+func (s *Server) DeltaAggregatedResources(stream grpc.BidiStreamingServer[discovery.DeltaDiscoveryRequest, discovery.DeltaDiscoveryResponse]) error {
+	return s.serveStream(stream.Context(), &deltaServerStream{stream: stream, snapshots: &s.snapshots})
+}
+
+// serveStream serves a router's stream to its end.
+func (s *Server) serveStream(ctx context.Context, peer serverStream) error {
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	first, err := peer.hello()
+	if err != nil {
+		return err
+	}
+	if err := checkCertificateName(ctx, first.router); err != nil {
+		s.mu.Lock()
+		s.recordEvent("%v", err)
+		s.mu.Unlock()
+		return err
+	}
+	if err := s.admitStream(ctx); err != nil {
+		return err
+	}
+	stream := &routerStream{router: first.router, versions: make(chan configversion.Version, 1), cancel: cancel}
+	if err := s.addStream(stream, first.accepted); err != nil {
+		return err
+	}
+	defer s.removeStream(stream)
+	// The group's first error ends its context. The group is not waited for: gRPC
+	// releases calls to send and recv only when this function returns.
+	group, ctx := errgroup.WithContext(ctx)
+	group.Go(func() error { return s.sendVersions(ctx, stream, peer) })
+	group.Go(func() error { return s.receiveResponses(stream.router, peer) })
+	<-ctx.Done()
+	if err := context.Cause(ctx); err != io.EOF {
+		return err
+	}
+	return nil
+}
+
+// addStream books a stream, in place of the router's stream before it. Where the state
+// can't be persisted, the error is a *PersistError.
+func (s *Server) addStream(stream *routerStream, accepted int64) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err := s.persistError(false); err != nil {
+		return err
+	}
+	if old := s.streams[stream.router]; old != nil {
+		old.cancel(errStreamReplaced)
+	}
+	s.streams[stream.router] = stream
+	s.handleLocked(rollout.Connected{Router: stream.router, Running: accepted})
+	return nil
+}
+
+// removeStream removes a stream that has ended, unless another has replaced it.
+func (s *Server) removeStream(stream *routerStream) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.streams[stream.router] != stream {
+		return
+	}
+	delete(s.streams, stream.router)
+	s.handleLocked(rollout.Disconnected{Router: stream.router})
+}
+
+// sendVersions sends what is offered to a router, until the context ends.
+func (s *Server) sendVersions(ctx context.Context, stream *routerStream, peer serverStream) error {
+	for {
+		select {
+		case version := <-stream.versions:
+			if s.cfg.OnSend != nil {
+				s.cfg.OnSend(stream.router, version)
+			}
+			if err := peer.send(version, s.cfg.Name); err != nil {
+				return err
+			}
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+	}
+}
+
+// receiveResponses passes a router's responses to the rollout, until the stream ends.
+func (s *Server) receiveResponses(router string, peer serverStream) error {
+	for {
+		response, known, err := peer.recv()
+		switch {
+		case err != nil:
+			return err
+		case !known: // to a response that was superseded, or to none: xDS has such be ignored
+		case response.reasons != nil:
+			s.handle(rollout.Nacked{Router: router, Number: response.number, Reasons: response.reasons})
+		default:
+			s.handle(rollout.Acked{Router: router, Number: response.number})
+		}
+	}
+}
