--- a/internal/controlplane/service/certificates_test.go
+++ b/internal/controlplane/service/certificates_test.go
@@ -30,132 +30,137 @@
 }
 
 func newAuthority(t *testing.T, name string) *testAuthority {
-	a := &testAuthority{t: t, serial: 1}
-	a.key, _ = ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
-	c := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: name}, IsCA: true, BasicConstraintsValid: true,
+	authority := &testAuthority{t: t, serial: 1}
+	authority.key, _ = ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+	template := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: name}, IsCA: true, BasicConstraintsValid: true,
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), KeyUsage: x509.KeyUsageCertSign}
-	der, err := x509.CreateCertificate(rand.Reader, c, c, &a.key.PublicKey, a.key)
+	der, err := x509.CreateCertificate(rand.Reader, template, template, &authority.key.PublicKey, authority.key)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.cert, _ = x509.ParseCertificate(der)
-	return a
+	authority.cert, _ = x509.ParseCertificate(der)
+	return authority
 }
 
 // issue writes a certificate for a name into the files of keys.
-func (a *testAuthority) issue(k *CertificateFiles, name string, until time.Duration) {
+func (a *testAuthority) issue(files *CertificateFiles, name string, until time.Duration) {
 	a.serial++
 	key, _ := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
-	c := &x509.Certificate{SerialNumber: big.NewInt(a.serial), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name},
+	template := &x509.Certificate{SerialNumber: big.NewInt(a.serial), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name},
 		NotBefore: time.Now().Add(-2 * time.Hour), NotAfter: time.Now().Add(until),
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}}
-	der, err := x509.CreateCertificate(rand.Reader, c, a.cert, &key.PublicKey, a.key)
+	der, err := x509.CreateCertificate(rand.Reader, template, a.cert, &key.PublicKey, a.key)
 	if err != nil {
 		a.t.Fatal(err)
 	}
-	kder, _ := x509.MarshalECPrivateKey(key)
+	keyDER, _ := x509.MarshalECPrivateKey(key)
 	write := func(file, kind string, b []byte) {
 		if err := os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: b}), 0o600); err != nil {
 			a.t.Fatal(err)
 		}
 	}
-	write(k.Cert, "CERTIFICATE", der)
-	write(k.Key, "EC PRIVATE KEY", kder)
-	if _, err := os.Stat(k.Authorities); err != nil {
-		write(k.Authorities, "CERTIFICATE", a.cert.Raw)
+	write(files.Cert, "CERTIFICATE", der)
+	write(files.Key, "EC PRIVATE KEY", keyDER)
+	if _, err := os.Stat(files.Authorities); err != nil {
+		write(files.Authorities, "CERTIFICATE", a.cert.Raw)
 	}
 }
 
 func (a *testAuthority) certificateFiles(dir, name, cert string, until time.Duration) *CertificateFiles {
-	k := &CertificateFiles{Cert: filepath.Join(dir, name+".pem"), Key: filepath.Join(dir, name+".key"), Authorities: filepath.Join(dir, name+".ca")}
-	a.issue(k, cert, until)
-	return k
+	files := &CertificateFiles{Cert: filepath.Join(dir, name+".pem"), Key: filepath.Join(dir, name+".key"), Authorities: filepath.Join(dir, name+".ca")}
+	a.issue(files, cert, until)
+	return files
 }
 
 // Both sides show certificates; expired ones, a wrong name and a wrong
-// authority are each turned away with the reason; new files are used without a
+// authority are each rejected with the reason; new files are used without a
 // restart.
 func TestMutualTLS(t *testing.T) {
 	dir := t.TempDir()
 	good, other := newAuthority(t, "good"), newAuthority(t, "other")
-	serverKeys := good.certificateFiles(dir, "svc", "control.example.org", time.Hour)
+	serverFiles := good.certificateFiles(dir, "svc", "control.example.org", time.Hour)
 	var mu sync.Mutex
-	var turned []string
-	serverKeys.Warn = func(s string) { mu.Lock(); turned = append(turned, s); mu.Unlock() }
-	if err := serverKeys.Load(); err != nil {
+	var rejections []string
+	serverFiles.Warn = func(text string) {
+		mu.Lock()
+		defer mu.Unlock()
+		rejections = append(rejections, text)
+	}
+	if err := serverFiles.Load(); err != nil {
 		t.Fatal(err)
 	}
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := NewServer(ServerConfig{Name: "svc", Store: &memoryStateStore{}, TickInterval: 10 * time.Millisecond}, grpc.Creds(serverKeys.ServerCredentials()))
-	go s.Serve(ln)
-	defer s.Stop()
-	s.PushUnchecked(settingsText(3, ""), true)
-	connect := func(k *CertificateFiles, service string) *testRouter {
-		r := &testRouter{}
-		r.Agent = StartAgent(AgentConfig{Router: strings.TrimSuffix(filepath.Base(k.Cert), ".pem"), Services: []string{ln.Addr().String()}, Backoff: 20 * time.Millisecond,
-			DialOptions: []grpc.DialOption{grpc.WithTransportCredentials(k.ClientCredentials(service))},
-			Use:         func(configversion.Activate) { r.uses.Add(1) },
-			Warn:        func(s string) { r.mu.Lock(); r.warnings = append(r.warnings, s); r.mu.Unlock() }})
-		t.Cleanup(r.Close)
-		return r
+	server := NewServer(ServerConfig{Name: "svc", Store: &memoryStateStore{}, TickInterval: 10 * time.Millisecond}, grpc.Creds(serverFiles.ServerCredentials()))
+	go server.Serve(listener)
+	defer server.Stop()
+	server.PushUnchecked(settingsText(3, ""), true)
+	connect := func(certificates *CertificateFiles, service string) *testRouter {
+		router := &testRouter{}
+		router.Agent = StartAgent(AgentConfig{Router: strings.TrimSuffix(filepath.Base(certificates.Cert), ".pem"), Services: []string{listener.Addr().String()}, Backoff: 20 * time.Millisecond,
+			DialOptions: []grpc.DialOption{grpc.WithTransportCredentials(certificates.ClientCredentials(service))},
+			Use:         func(configversion.Activate) { router.uses.Add(1) },
+			Warn:        router.warn})
+		t.Cleanup(router.Close)
+		return router
 	}
-	heard := func(r *testRouter, what string) func() bool {
+	warned := func(router *testRouter, what string) func() bool {
 		return func() bool {
-			r.mu.Lock()
-			defer r.mu.Unlock()
+			router.mu.Lock()
+			defer router.mu.Unlock()
 			mu.Lock()
 			defer mu.Unlock()
-			return strings.Contains(strings.Join(r.warnings, "\n")+strings.Join(turned, "\n"), what)
+			return strings.Contains(strings.Join(router.warnings, "\n")+strings.Join(rejections, "\n"), what)
 		}
 	}
-	r := connect(good.certificateFiles(dir, "r1", "r1", time.Hour), "control.example.org")
-	eventually(t, "a router with good keys", allRunning([]*testRouter{r}, 1))
+	router := connect(good.certificateFiles(dir, "r1", "r1", time.Hour), "control.example.org")
+	eventually(t, "a router with a good certificate", allRunning([]*testRouter{router}, 1))
 	for _, c := range []struct {
 		name, want string
-		k          *CertificateFiles
+		files      *CertificateFiles
 		service    string
 	}{
 		{"wrong name", "not another.example.org", good.certificateFiles(dir, "r2", "r2", time.Hour), "another.example.org"},
 		{"expired router", "certificate has expired", good.certificateFiles(dir, "r3", "r3", -time.Hour), "control.example.org"},
 		{"wrong authority", "signed by unknown authority", other.certificateFiles(dir, "r4", "r4", time.Hour), "control.example.org"},
 	} {
-		bad := connect(c.k, c.service)
-		eventually(t, c.name, heard(bad, c.want))
+		bad := connect(c.files, c.service)
+		eventually(t, c.name, warned(bad, c.want))
 		if n := bad.uses.Load(); n > 0 {
 			t.Errorf("%s: a version came through", c.name)
 		}
 		bad.Close()
 	}
 	// a good certificate speaks for its own router only
-	posing := startRouterWith(t, AgentConfig{Router: "r9", Services: []string{ln.Addr().String()},
+	impostor := startRouterWith(t, AgentConfig{Router: "r9", Services: []string{listener.Addr().String()},
 		DialOptions: []grpc.DialOption{grpc.WithTransportCredentials(good.certificateFiles(dir, "r1", "r1", time.Hour).ClientCredentials("control.example.org"))}})
-	eventually(t, "another router's name", heard(posing, `does not speak for router "r9"`))
-	posing.Close()
+	eventually(t, "another router's name", warned(impostor, `does not speak for router "r9"`))
+	impostor.Close()
 	// the expired router gets a new certificate, and comes in without a restart
-	late := good.certificateFiles(dir, "r5", "r5", -time.Hour)
-	r5 := connect(late, "control.example.org")
-	eventually(t, "its refusal", heard(r5, `certificate of "r5"`))
+	renewed := good.certificateFiles(dir, "r5", "r5", -time.Hour)
+	renewedRouter := connect(renewed, "control.example.org")
+	eventually(t, "its rejection", warned(renewedRouter, `certificate of "r5"`))
 	time.Sleep(20 * time.Millisecond) // another time of change
-	good.issue(late, "r5", time.Hour)
-	eventually(t, "the renewed router", allRunning([]*testRouter{r5}, 1))
+	good.issue(renewed, "r5", time.Hour)
+	eventually(t, "the renewed router", allRunning([]*testRouter{renewedRouter}, 1))
 }
 
+// Files that can't be read leave the certificates read before in force.
 func TestUnreadableCertificateFiles(t *testing.T) {
 	dir := t.TempDir()
-	k := newAuthority(t, "a").certificateFiles(dir, "x", "x", time.Hour)
-	if err := k.Load(); err != nil {
+	certificates := newAuthority(t, "a").certificateFiles(dir, "x", "x", time.Hour)
+	if err := certificates.Load(); err != nil {
 		t.Fatal(err)
 	}
-	var said string
-	k.Warn = func(s string) { said = s }
-	os.WriteFile(k.Cert, []byte("damaged"), 0o600)
-	os.Chtimes(k.Cert, time.Now(), time.Now().Add(time.Minute))
-	k.checkedAt = time.Time{}
-	if l, err := k.current(false); err != nil || l == nil || !strings.Contains(said, "stay in force") {
-		t.Errorf("a damaged file: %v, %v, %q", l, err, said)
+	var warning string
+	certificates.Warn = func(s string) { warning = s }
+	os.WriteFile(certificates.Cert, []byte("damaged"), 0o600)
+	os.Chtimes(certificates.Cert, time.Now(), time.Now().Add(time.Minute))
+	certificates.checkedAt = time.Time{}
+	if loaded, err := certificates.current(false); err != nil || loaded == nil || !strings.Contains(warning, "stay in force") {
+		t.Errorf("a damaged file: %v, %v, %q", loaded, err, warning)
 	}
 	if err := (&CertificateFiles{Cert: "nowhere", Key: "x", Authorities: "x"}).Load(); err == nil || !strings.Contains(err.Error(), "nowhere") {
 		t.Errorf("no file: %v", err)
--- a/internal/controlplane/service/delta_test.go
+++ b/internal/controlplane/service/delta_test.go
@@ -36,70 +36,73 @@
 // By the incremental protocol a change of one member costs about that member,
 // also after a reconnect, and what arrives is the version to the byte.
 func TestDeltaSendsOnlyChanges(t *testing.T) {
-	m, c := &memoryStateStore{}, &byteCounter{}
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	stateStore, sent := &memoryStateStore{}, &byteCounter{}
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := NewServer(ServerConfig{Name: "svc", Store: m, StreamsPerSecond: 2000}, grpc.StatsHandler(c))
-	go s.Serve(ln)
-	defer s.Stop()
-	r := startRouter(t, false, "r", 1, nil, ln.Addr().String())
+	server := NewServer(ServerConfig{Name: "svc", Store: stateStore, StreamsPerSecond: 2000}, grpc.StatsHandler(sent))
+	go server.Serve(listener)
+	defer server.Stop()
+	router := startRouter(t, false, "r", 1, nil, listener.Addr().String())
 	first, second := canonical(t, 300, ""), canonical(t, 301, "")
-	s.PushUnchecked(first, true)
-	eventually(t, "version 1", allRunning([]*testRouter{r}, 1))
-	whole := c.sent.Swap(0)
-	if whole < int64(len(first)) {
-		t.Fatalf("%d bytes were sent of a version of %d", whole, len(first))
+	server.PushUnchecked(first, true)
+	eventually(t, "version 1", allRunning([]*testRouter{router}, 1))
+	complete := sent.sent.Swap(0)
+	if complete < int64(len(first)) {
+		t.Fatalf("%d bytes were sent of a version of %d", complete, len(first))
 	}
-	s.PushUnchecked(second, true)
-	eventually(t, "version 2", allRunning([]*testRouter{r}, 2))
-	if n := c.sent.Swap(0); n > 400 {
-		t.Errorf("one more member took %d bytes; the whole takes %d", n, len(second))
+	server.PushUnchecked(second, true)
+	eventually(t, "version 2", allRunning([]*testRouter{router}, 2))
+	if n := sent.sent.Swap(0); n > 400 {
+		t.Errorf("one more member took %d bytes; the complete settings take %d", n, len(second))
 	}
-	if v := r.acceptedVersion(); string(v.Body) != string(second) {
+	if v := router.acceptedVersion(); string(v.Body) != string(second) {
 		t.Errorf("%d bytes arrived of %d", len(v.Body), len(second))
 	}
-	s.mu.Lock()
-	for _, st := range s.streams {
-		st.cancel(errors.New("cut by the test"))
+	server.mu.Lock()
+	for _, status := range server.streams {
+		status.cancel(errors.New("cut by the test"))
 	}
-	s.mu.Unlock()
-	eventually(t, "the stream again", func() bool { st := s.Status().Routers; return len(st) == 1 && st[0].Connected && r.streaming() })
-	s.PushUnchecked(canonical(t, 300, ""), true)
-	eventually(t, "version 3", allRunning([]*testRouter{r}, 3))
-	if n := c.sent.Swap(0); n > 800 {
+	server.mu.Unlock()
+	eventually(t, "the stream again", func() bool {
+		status := server.Status().Routers
+		return len(status) == 1 && status[0].Connected && router.streaming()
+	})
+	server.PushUnchecked(canonical(t, 300, ""), true)
+	eventually(t, "version 3", allRunning([]*testRouter{router}, 3))
+	if n := sent.sent.Swap(0); n > 800 {
 		t.Errorf("after a reconnect, one member less took %d bytes", n)
 	}
 }
 
-// Where the two sides disagree about what a router has, the checksum tells, and
-// the whole is sent.
+// Where the two sides disagree about what a router has, the checksum shows it, and the
+// complete settings are sent.
 func TestDeltaStateMismatch(t *testing.T) {
-	m := &memoryStateStore{}
-	s, addr := startServer(t, "127.0.0.1:0", m, 50)
-	r := startRouter(t, false, "r", 1, nil, addr)
-	s.PushUnchecked(canonical(t, 30, ""), true)
-	eventually(t, "version 1", allRunning([]*testRouter{r}, 1))
-	s.PushUnchecked(canonical(t, 31, ""), true)
-	eventually(t, "version 2", allRunning([]*testRouter{r}, 2))
-	bad := &mismatchedServer{first: canonical(t, 31, ""), next: configversion.New(3, canonical(t, 32, ""))}
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	stateStore := &memoryStateStore{}
+	server, addr := startServer(t, "127.0.0.1:0", stateStore, 50)
+	router := startRouter(t, false, "r", 1, nil, addr)
+	server.PushUnchecked(canonical(t, 30, ""), true)
+	eventually(t, "version 1", allRunning([]*testRouter{router}, 1))
+	server.PushUnchecked(canonical(t, 31, ""), true)
+	eventually(t, "version 2", allRunning([]*testRouter{router}, 2))
+	mismatched := &mismatchedServer{first: canonical(t, 31, ""), next: configversion.New(3, canonical(t, 32, ""))}
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := grpc.NewServer()
-	discovery.RegisterAggregatedDiscoveryServiceServer(g, bad)
-	go g.Serve(ln)
-	defer g.Stop()
-	r = startRouter(t, false, "r", 1, nil, ln.Addr().String())
-	eventually(t, "the whole, in the second stream", allRunning([]*testRouter{r}, 3))
-	if n := bad.streams.Load(); n != 2 {
+	grpcServer := grpc.NewServer()
+	discovery.RegisterAggregatedDiscoveryServiceServer(grpcServer, mismatched)
+	go grpcServer.Serve(listener)
+	defer grpcServer.Stop()
+	router = startRouter(t, false, "r", 1, nil, listener.Addr().String())
+	eventually(t, "the complete settings, in the second stream", allRunning([]*testRouter{router}, 3))
+	if n := mismatched.streams.Load(); n != 2 {
 		t.Errorf("%d streams, want 2", n)
 	}
 }
 
-// mismatchedServer first takes a router to have what it has not.
+// mismatchedServer is a service that first takes a router to have what it has not.
 type mismatchedServer struct {
 	discovery.UnimplementedAggregatedDiscoveryServiceServer
 	first   []byte
@@ -107,26 +110,26 @@
 	streams atomic.Int64
 }
 
-func (m *mismatchedServer) DeltaAggregatedResources(g grpc.BidiStreamingServer[discovery.DeltaDiscoveryRequest, discovery.DeltaDiscoveryResponse]) error {
-	p := &deltaServerStream{stream: g, snapshots: &snapshotCache{}}
-	if _, err := p.hello(); err != nil {
+func (m *mismatchedServer) DeltaAggregatedResources(stream grpc.BidiStreamingServer[discovery.DeltaDiscoveryRequest, discovery.DeltaDiscoveryResponse]) error {
+	peer := &deltaServerStream{stream: stream, snapshots: &snapshotCache{}}
+	if _, err := peer.hello(); err != nil {
 		return err
 	}
 	if m.streams.Add(1) == 1 {
-		if err := p.send(configversion.New(2, m.first), "bad"); err != nil {
+		if err := peer.send(configversion.New(2, m.first), "bad"); err != nil {
 			return err
 		}
-		if _, _, err := p.recv(); err != nil {
+		if _, _, err := peer.recv(); err != nil {
 			return err
 		}
-		p.acceptedVersions = maps.Clone(p.accepted.versions)
-		p.acceptedVersions["member/b31"] = pieceVersion(splitPieces(m.next.Body)["member/b31"]) // which the router was never sent
-		p.accepted = nil
+		peer.acceptedVersions = maps.Clone(peer.accepted.versions)
+		peer.acceptedVersions["member/b31"] = pieceVersion(splitPieces(m.next.Body)["member/b31"]) // which the router was never sent
+		peer.accepted = nil
 	}
-	if err := p.send(m.next, "bad"); err != nil {
+	if err := peer.send(m.next, "bad"); err != nil {
 		return err
 	}
-	_, _, err := p.recv()
-	<-g.Context().Done()
+	_, _, err := peer.recv()
+	<-stream.Context().Done()
 	return err
 }
--- a/internal/controlplane/service/folder_test.go
+++ b/internal/controlplane/service/folder_test.go
@@ -14,28 +14,29 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// A folder's content that could not be kept is offered once it can.
+// A folder's content that could not be offered while nothing can be persisted is offered
+// afterwards.
 func TestFolderDuringStoreFault(t *testing.T) {
 	dir := t.TempDir()
-	set := filepath.Join(dir, "set")
-	os.Mkdir(set, 0o755)
+	folder := filepath.Join(dir, "set")
+	os.Mkdir(folder, 0o755)
 	files := &faultyFiles{}
-	s := startServiceOn(t, files, filepath.Join(dir, "svc.db"), 20, nil)
-	s.settings.Service.Folder = set
-	if err := os.WriteFile(filepath.Join(set, "a.edn"), settingsText(3, ""), 0o644); err != nil {
+	service := startServiceOn(t, files, filepath.Join(dir, "svc.db"), 20, nil)
+	service.settings.Service.Folder = folder
+	if err := os.WriteFile(filepath.Join(folder, "a.edn"), settingsText(3, ""), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	files.setFault(syscall.ENOSPC)
-	if _, err := s.PushUnchecked(settingsText(4, ""), true); err == nil {
+	if _, err := service.PushUnchecked(settingsText(4, ""), true); err == nil {
 		t.Fatal("acknowledged")
 	}
-	if again := s.offerFolder(); again >= folderPollInterval {
-		t.Errorf("looked at again after %v", again)
+	if delay := service.offerFolder(); delay >= folderPollInterval {
+		t.Errorf("read again after %v", delay)
 	}
 	files.setFault(nil)
-	eventually(t, "the service", func() bool { return s.View().StateFault == "" })
-	s.offerFolder()
-	if v := s.View(); v.Last != 2 {
+	eventually(t, "the service", func() bool { return service.View().StateFault == "" })
+	service.offerFolder()
+	if v := service.View(); v.Last != 2 {
 		t.Errorf("the folder's content was not offered: %+v", v)
 	}
 }
@@ -44,44 +45,44 @@
 // content does not come back by itself.
 func TestFolderIsOfferedOnce(t *testing.T) {
 	dir := t.TempDir()
-	set := filepath.Join(dir, "set")
-	os.Mkdir(set, 0o755)
+	folder := filepath.Join(dir, "set")
+	os.Mkdir(folder, 0o755)
 	write := func(name, text string) {
 		t.Helper()
-		if err := os.WriteFile(filepath.Join(set, name), []byte(text), 0o644); err != nil {
+		if err := os.WriteFile(filepath.Join(folder, name), []byte(text), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
-	one := string(settingsText(3, ""))
-	cut := strings.Index(one, "(member")
-	write("10-classes.edn", one[:cut])
-	write("20-members.edn", one[cut:])
+	text := string(settingsText(3, ""))
+	firstMember := strings.Index(text, "(member")
+	write("10-classes.edn", text[:firstMember])
+	write("20-members.edn", text[firstMember:])
 	write("notes.txt", "(not settings")
 	core, logs := observer.New(zapcore.InfoLevel)
-	s, err := startService(dir, fmt.Sprintf("(folder %q)", set), zap.New(core))
+	service, err := startService(dir, fmt.Sprintf("(folder %q)", folder), zap.New(core))
 	if err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the folder's first version", func() bool { return s.View().Base == 1 })
-	write("20-members.edn", one[cut:]+"(member oops (zone nowhere) (address \"127.0.0.1:1\"))")
+	eventually(t, "the folder's first version", func() bool { return service.View().Base == 1 })
+	write("20-members.edn", text[firstMember:]+"(member oops (zone nowhere) (address \"127.0.0.1:1\"))")
 	eventually(t, "the fault with its file", func() bool {
 		return len(logs.Filter(func(e observer.LoggedEntry) bool {
 			return strings.Contains(e.Message, "20-members.edn:4:") && strings.Contains(e.Message, `"nowhere" is no zone`)
 		}).All()) == 1
 	})
-	write("20-members.edn", one[cut:]+"(member more (zone z) (address \"127.0.0.1:1\"))")
-	eventually(t, "the second", func() bool { return s.View().Last == 2 })
-	s.Halt("by the test") // nobody is there to tell: it is in its first stage
-	eventually(t, "the old content as a third", func() bool { v := s.View(); return v.Base == 3 && v.Next == 0 })
-	s.Close()
-	if s, err = startService(dir, fmt.Sprintf("(folder %q)", set), zap.NewNop()); err != nil {
+	write("20-members.edn", text[firstMember:]+"(member more (zone z) (address \"127.0.0.1:1\"))")
+	eventually(t, "the second", func() bool { return service.View().Last == 2 })
+	service.Halt("by the test") // no router is there: it is in its first stage
+	eventually(t, "the old content as a third", func() bool { v := service.View(); return v.Base == 3 && v.Next == 0 })
+	service.Close()
+	if service, err = startService(dir, fmt.Sprintf("(folder %q)", folder), zap.NewNop()); err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
+	defer service.Close()
 	time.Sleep(2 * folderSettleTime)
-	if v := s.View(); v.Last != 3 {
+	if v := service.View(); v.Last != 3 {
 		t.Errorf("a halted content came back by itself: %+v", v)
 	}
 	write("30-more.edn", "(limits (held 777))")
-	eventually(t, "the next change", func() bool { return s.View().Last == 4 })
+	eventually(t, "the next change", func() bool { return service.View().Last == 4 })
 }
--- a/internal/controlplane/service/harness_test.go
+++ b/internal/controlplane/service/harness_test.go
@@ -25,7 +25,7 @@
 	"indigospool/internal/controlplane/rollout"
 )
 
-// faultyFiles is a file system that takes no writes while it has an errno.
+// faultyFiles is a file system whose writes fail while it has a fault.
 type faultyFiles struct {
 	configstore.Disk
 	mu        sync.Mutex
@@ -34,78 +34,81 @@
 	failReads bool // reads fail too
 }
 
-func (s *faultyFiles) setFault(errno error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.fault = errno
+// setFault has writes fail from now on or, with nil, succeed again.
+func (f *faultyFiles) setFault(fault error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.fault = fault
 }
 
-func (s *faultyFiles) currentFault() error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.fault
+func (f *faultyFiles) currentFault() error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.fault
 }
 
-func (s *faultyFiles) Read(file *os.File) ([]byte, error) {
-	if err := s.currentFault(); err != nil && s.failReads {
+func (f *faultyFiles) Read(file *os.File) ([]byte, error) {
+	if err := f.currentFault(); err != nil && f.failReads {
 		return nil, err
 	}
-	return s.Disk.Read(file)
+	return f.Disk.Read(file)
 }
 
-func (s *faultyFiles) Write(file *os.File, content []byte) error {
-	if err := s.currentFault(); err != nil {
-		s.Disk.Write(file, content[:len(content)/2])
+func (f *faultyFiles) Write(file *os.File, content []byte) error {
+	if err := f.currentFault(); err != nil {
+		f.Disk.Write(file, content[:len(content)/2])
 		return err
 	}
-	return s.Disk.Write(file, content)
+	return f.Disk.Write(file, content)
 }
 
-func (s *faultyFiles) Commit(tx *bbolt.Tx) error {
-	err := s.currentFault()
+func (f *faultyFiles) Commit(tx *bbolt.Tx) error {
+	err := f.currentFault()
 	switch {
-	case err == nil || s.onlySync:
-		return errors.Join(err, s.Disk.Commit(tx))
+	case err == nil || f.onlySync:
+		return errors.Join(err, f.Disk.Commit(tx))
 	default:
 		tx.Rollback()
 		return err
 	}
 }
 
-func startServiceOn(t *testing.T, files configstore.FileSystem, store string, hold int, sent func(string, configversion.Version)) *Service {
+// startServiceOn starts a service whose stages last at least minStageTime ms.
+func startServiceOn(t *testing.T, files configstore.FileSystem, store string, minStageTime int, onSend func(string, configversion.Version)) *Service {
 	t.Helper()
-	var set Settings
+	var settings Settings
 	if err := config.Read("svc", fmt.Sprintf(`(service (listen "127.0.0.1:0") (admin "127.0.0.1:0") (store %q) (keep 20))
-		(rollout (hold %d) (patience 400))`, store, hold), &set); err != nil {
+		(rollout (hold %d) (patience 400))`, store, minStageTime), &settings); err != nil {
 		t.Fatal(err)
 	}
-	s, err := StartWithFiles(files, &set, zap.NewNop(), sent)
+	service, err := StartWithFiles(files, &settings, zap.NewNop(), onSend)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(s.Close)
-	return s
+	t.Cleanup(service.Close)
+	return service
 }
 
-func settingsText(boxes int, extra string) []byte {
+// settingsText is a text of settings with some caches, and extra sections.
+func settingsText(caches int, extra string) []byte {
 	var text strings.Builder
 	text.WriteString(`(router (zone z) (of 400)) (zone z (routers 4)) (class c) (route "/c/{object}" (class c))` + "\n" + extra + "\n")
-	for i := range boxes {
+	for i := range caches {
 		fmt.Fprintf(&text, "(member b%d (zone z) (address \"127.0.0.1:%d\"))\n", i, 9000+i)
 	}
 	return []byte(text.String())
 }
 
-// canonical is the same as a service makes it of what is offered.
-func canonical(t testing.TB, boxes int, extra string) []byte {
-	b, reasons := Validate([]config.Source{{File: "test", Text: string(settingsText(boxes, extra))}}, nil, NoLimits())
+// canonical is settingsText as a service makes it canonical.
+func canonical(t testing.TB, caches int, extra string) []byte {
+	text, reasons := Validate([]config.Source{{File: "test", Text: string(settingsText(caches, extra))}}, nil, NoLimits())
 	if len(reasons) > 0 {
 		t.Fatal(reasons)
 	}
-	return b
+	return text
 }
 
-// memoryStateStore keeps a service's state over its restarts.
+// memoryStateStore has a service's state over its restarts.
 type memoryStateStore struct {
 	mu    sync.Mutex
 	state rollout.State
@@ -127,18 +130,20 @@
 	return m.state
 }
 
-// setFault has saving fail from now on, or succeed again.
+// setFault has saving fail from now on or, with nil, succeed again.
 func (m *memoryStateStore) setFault(err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.err = err
 }
 
-func startServer(t testing.TB, addr string, store *memoryStateStore, hold float64) (*Server, string) {
+// startServer starts a server at an address whose stages last at least minStageTime ms.
+func startServer(t testing.TB, addr string, store *memoryStateStore, minStageTime float64) (*Server, string) {
 	var listener net.Listener
 	var err error
-	for range 100 { // the address of an earlier life may take a moment to be free
-		if listener, err = net.Listen("tcp", addr); err == nil {
+	for range 100 { // the address of an earlier server may take a moment to be free
+		listener, err = net.Listen("tcp", addr)
+		if err == nil {
 			break
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -147,7 +152,7 @@
 		t.Fatal(err)
 	}
 	server := NewServer(ServerConfig{Name: "svc", State: store.get(), Store: store, TickInterval: 10 * time.Millisecond, StreamsPerSecond: 2000,
-		Rollout: rollout.Settings{MinStageTime: hold, AnswerTimeout: 5000}})
+		Rollout: rollout.Settings{MinStageTime: minStageTime, AnswerTimeout: 5000}})
 	go server.Serve(listener)
 	t.Cleanup(server.Stop)
 	return server, listener.Addr().String()
@@ -159,6 +164,7 @@
 	t.Run("delta", func(t *testing.T) { f(t, false) })
 }
 
+// testRouter is an agent that counts the versions it is to run and its warnings.
 type testRouter struct {
 	*Agent
 	uses     atomic.Int64
@@ -166,24 +172,26 @@
 	warnings []string
 }
 
+// startRouter starts an agent; full selects the state-of-the-world protocol.
 func startRouter(t testing.TB, full bool, name string, seed uint64, store *configstore.Store, services ...string) *testRouter {
 	return startRouterWith(t, AgentConfig{Router: name, Services: services, Seed: seed, Store: store, StateOfTheWorld: full, Machine: configversion.MachineSettings{Jitter: 50}})
 }
 
-// startRouterWith is startRouter with more said.
-func startRouterWith(t testing.TB, config AgentConfig) *testRouter {
+// startRouterWith is startRouter by a configuration, which it completes.
+func startRouterWith(t testing.TB, cfg AgentConfig) *testRouter {
 	router := &testRouter{}
-	config.Backoff = 20 * time.Millisecond
-	if config.DialOptions == nil {
-		config.DialOptions = []grpc.DialOption{grpc.WithTransportCredentials(insecure.NewCredentials())}
+	cfg.Backoff = 20 * time.Millisecond
+	if cfg.DialOptions == nil {
+		cfg.DialOptions = []grpc.DialOption{grpc.WithTransportCredentials(insecure.NewCredentials())}
 	}
-	config.Use = func(configversion.Activate) { router.uses.Add(1) }
-	config.Warn = func(s string) { router.mu.Lock(); router.warnings = append(router.warnings, s); router.mu.Unlock() }
-	router.Agent = StartAgent(config)
+	cfg.Use = func(configversion.Activate) { router.uses.Add(1) }
+	cfg.Warn = router.warn
+	router.Agent = StartAgent(cfg)
 	t.Cleanup(router.Close)
 	return router
 }
 
+// eventually waits for a condition, 15 s at the longest.
 func eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for range 1500 {
@@ -195,6 +203,7 @@
 	t.Fatalf("waited in vain for %s", what)
 }
 
+// allRunning returns a condition: that all routers run a version.
 func allRunning(routers []*testRouter, number int64) func() bool {
 	return func() bool {
 		for _, r := range routers {
@@ -206,6 +215,12 @@
 	}
 }
 
+func (r *testRouter) warn(text string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.warnings = append(r.warnings, text)
+}
+
 func (r *testRouter) acceptedVersion() configversion.Version {
 	r.Agent.mu.Lock()
 	defer r.Agent.mu.Unlock()
@@ -221,34 +236,36 @@
 func (r *testRouter) warned(what string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, s := range r.warnings {
-		if strings.Contains(s, what) {
+	for _, warning := range r.warnings {
+		if strings.Contains(warning, what) {
 			return true
 		}
 	}
 	return false
 }
 
+// startService starts a service with its store in a folder, and extra settings.
 func startService(dir, extra string, log *zap.Logger) (*Service, error) {
-	var s Settings
+	var settings Settings
 	if err := config.Read("svc", fmt.Sprintf(`(service (listen "127.0.0.1:0") (admin "127.0.0.1:0") (store %q) (keep 5) %s)
-		(rollout (hold 50))`, filepath.Join(dir, "svc.db"), extra), &s); err != nil {
+		(rollout (hold 50))`, filepath.Join(dir, "svc.db"), extra), &settings); err != nil {
 		return nil, err
 	}
-	return Start(&s, log, nil)
+	return Start(&settings, log, nil)
 }
 
-func adminRequest(t *testing.T, s *Service, method, path, text string) (int, []byte) {
+// adminRequest sends an operator's request, and returns the answer's status and body.
+func adminRequest(t *testing.T, service *Service, method, path, text string) (int, []byte) {
 	t.Helper()
-	req, err := http.NewRequest(method, "http://"+s.AdminAddr()+path, strings.NewReader(text))
+	request, err := http.NewRequest(method, "http://"+service.AdminAddr()+path, strings.NewReader(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	res, err := http.DefaultClient.Do(req)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer res.Body.Close()
-	b, _ := io.ReadAll(res.Body)
-	return res.StatusCode, b
+	defer response.Body.Close()
+	body, _ := io.ReadAll(response.Body)
+	return response.StatusCode, body
 }
--- a/internal/controlplane/service/service_test.go
+++ b/internal/controlplane/service/service_test.go
@@ -32,18 +32,18 @@
 	os.Exit(m.Run())
 }
 
-// childService pushes versions as fast as it can and says which it has pushed.
+// childService pushes versions as fast as it can and prints which it has pushed.
 func childService(dir string) error {
-	s, err := startService(dir, "", zap.NewNop())
+	service, err := startService(dir, "", zap.NewNop())
 	if err != nil {
 		return err
 	}
 	for n := 0; ; n++ {
-		number, _, err := s.PushSources([]config.Source{{File: "x", Text: string(settingsText(1, fmt.Sprintf("(limits (held %d))", 1+rand.IntN(1e6))))}}, n%3 == 0)
+		number, _, err := service.PushSources([]config.Source{{File: "x", Text: string(settingsText(1, fmt.Sprintf("(limits (held %d))", 1+rand.IntN(1e6))))}}, n%3 == 0)
 		if err != nil {
 			return err
 		}
-		v, _, err := s.store.Version(number)
+		v, _, err := service.store.Version(number)
 		if err != nil {
 			return err
 		}
@@ -51,136 +51,142 @@
 	}
 }
 
-// Killed at any moment, a service goes on with what it had said: no number is
+// startChild starts childService in a process of its own, and returns its output.
+func startChild(t *testing.T, dir string) (*exec.Cmd, *bufio.Scanner) {
+	t.Helper()
+	cmd := exec.Command(os.Args[0])
+	cmd.Env = append(os.Environ(), childEnv+"="+dir)
+	stdout, err := cmd.StdoutPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	return cmd, bufio.NewScanner(stdout)
+}
+
+// Killed at any moment, a service goes on with what it had persisted: no number is
 // given to two contents, none goes back, and it is known as the same service.
 func TestServiceKilled(t *testing.T) {
 	dir := t.TempDir()
-	rng := rand.New(rand.NewPCG(1, 2))
+	chance := rand.New(rand.NewPCG(1, 2))
 	sums := map[int64]string{}
 	var last int64
 	name := ""
 	for range 12 {
-		cmd := exec.Command(os.Args[0])
-		cmd.Env = append(os.Environ(), childEnv+"="+dir)
-		out, err := cmd.StdoutPipe()
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := cmd.Start(); err != nil {
-			t.Fatal(err)
-		}
-		sc := bufio.NewScanner(out)
-		read := func() bool {
-			if !sc.Scan() {
+		cmd, scanner := startChild(t, dir)
+		readVersion := func() bool {
+			if !scanner.Scan() {
 				return false
 			}
-			var n int64
+			var number int64
 			var sum string
-			if _, err := fmt.Sscan(sc.Text(), &n, &sum); err != nil || len(sum) != 64 {
-				if !strings.HasPrefix(sc.Text(), "error") {
+			if _, err := fmt.Sscan(scanner.Text(), &number, &sum); err != nil || len(sum) != 64 {
+				if !strings.HasPrefix(scanner.Text(), "error") {
 					return false // cut by the kill
 				}
-				t.Fatal(sc.Text())
+				t.Fatal(scanner.Text())
 			}
-			if was, ok := sums[n]; ok && was != sum {
-				t.Fatalf("number %d was given to two contents", n)
+			if before, ok := sums[number]; ok && before != sum {
+				t.Fatalf("number %d was given to two contents", number)
 			}
-			if n <= last {
-				t.Fatalf("number %d was given after %d", n, last)
+			if number <= last {
+				t.Fatalf("number %d was given after %d", number, last)
 			}
-			sums[n], last = sum, n
+			sums[number], last = sum, number
 			return true
 		}
-		for range 1 + rng.IntN(15) {
-			read()
+		for range 1 + chance.IntN(15) {
+			readVersion()
 		}
-		time.Sleep(time.Duration(rng.IntN(4000)) * time.Microsecond)
+		time.Sleep(time.Duration(chance.IntN(4000)) * time.Microsecond)
 		cmd.Process.Kill()
-		for read() {
+		for readVersion() {
 		}
 		cmd.Wait()
-		s, err := startService(dir, "", zap.NewNop())
+		service, err := startService(dir, "", zap.NewNop())
 		if err != nil {
 			t.Fatal(err)
 		}
-		v := s.View()
-		s.Close()
-		if v.Last < last || name != "" && v.Service != name {
-			t.Fatalf("after a kill: last number %d, %d was said; service %s, %s before", v.Last, last, v.Service, name)
+		view := service.View()
+		service.Close()
+		if view.Last < last || name != "" && view.Service != name {
+			t.Fatalf("after a kill: last number %d, %d was said; service %s, %s before", view.Last, last, view.Service, name)
 		}
-		last, name = v.Last, v.Service
+		last, name = view.Last, view.Service
 	}
 	if len(sums) < 30 {
 		t.Errorf("only %d versions were pushed", len(sums))
 	}
 }
 
-// A damaged store is set aside and told of; numbers go on above what routers
-// have accepted.
+// A damaged store is quarantined and logged; numbers go on above what routers have
+// accepted.
 func TestDamagedServiceStore(t *testing.T) {
 	dir := t.TempDir()
-	s, err := startService(dir, "", zap.NewNop())
+	service, err := startService(dir, "", zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	var last int64
 	for i := range 6 {
-		last, _ = s.PushUnchecked(settingsText(3, fmt.Sprintf("(limits (held %d))", 10+i)), true)
+		last, _ = service.PushUnchecked(settingsText(3, fmt.Sprintf("(limits (held %d))", 10+i)), true)
 	}
 	store, err := configstore.Open(filepath.Join(dir, "router.db"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer store.Close()
-	r := startRouter(t, false, "r", 1, store, s.Addr())
-	eventually(t, "the last version", allRunning([]*testRouter{r}, last))
-	r.Close()
-	s.Close()
+	router := startRouter(t, false, "r", 1, store, service.Addr())
+	eventually(t, "the last version", allRunning([]*testRouter{router}, last))
+	router.Close()
+	service.Close()
 	path := filepath.Join(dir, "svc.db")
-	b, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range b {
+	for i := range content {
 		if i > 100 {
-			b[i] ^= 0x55
+			content[i] ^= 0x55
 		}
 	}
-	os.WriteFile(path, b, 0o600)
+	os.WriteFile(path, content, 0o600)
 	core, logs := observer.New(zapcore.ErrorLevel)
-	if s, err = startService(dir, "", zap.New(core)); err != nil {
+	if service, err = startService(dir, "", zap.New(core)); err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
+	defer service.Close()
 	if logs.FilterMessageSnippet("was damaged").Len() != 1 {
-		t.Errorf("told: %+v", logs.All())
+		t.Errorf("logged: %+v", logs.All())
 	}
-	r = startRouter(t, false, "r", 2, store, s.Addr())
-	eventually(t, "the lead of the router", func() bool { return s.View().Last == last })
-	n, err := s.PushUnchecked(settingsText(4, ""), true)
+	router = startRouter(t, false, "r", 2, store, service.Addr())
+	eventually(t, "the number of the router", func() bool { return service.View().Last == last })
+	n, err := service.PushUnchecked(settingsText(4, ""), true)
 	if err != nil || n != last+1 {
 		t.Fatal(n, err)
 	}
-	eventually(t, "the next number", allRunning([]*testRouter{r}, last+1))
+	eventually(t, "the next number", allRunning([]*testRouter{router}, last+1))
 }
 
 // A service as a program runs it, with certificates.
 func TestServiceWithCertificates(t *testing.T) {
 	dir := t.TempDir()
-	a := newAuthority(t, "good")
-	k := a.certificateFiles(dir, "svc", "control", time.Hour)
-	s, err := startService(dir, fmt.Sprintf("(cert %q) (key %q) (authorities %q)", k.Cert, k.Key, k.Authorities), zap.NewNop())
+	authority := newAuthority(t, "good")
+	certificates := authority.certificateFiles(dir, "svc", "control", time.Hour)
+	service, err := startService(dir, fmt.Sprintf("(cert %q) (key %q) (authorities %q)", certificates.Cert, certificates.Key, certificates.Authorities), zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
-	if _, _, err := s.PushSources([]config.Source{{File: "x", Text: string(settingsText(3, ""))}}, true); err != nil {
+	defer service.Close()
+	if _, _, err := service.PushSources([]config.Source{{File: "x", Text: string(settingsText(3, ""))}}, true); err != nil {
 		t.Fatal(err)
 	}
-	plain := startRouter(t, false, "plain", 1, nil, s.Addr())
-	r := startRouterWith(t, AgentConfig{Router: "r", Services: []string{s.Addr()},
-		DialOptions: []grpc.DialOption{grpc.WithTransportCredentials(a.certificateFiles(dir, "r", "r", time.Hour).ClientCredentials("control"))}})
-	eventually(t, "the version over TLS", allRunning([]*testRouter{r}, 1))
+	plain := startRouter(t, false, "plain", 1, nil, service.Addr())
+	router := startRouterWith(t, AgentConfig{Router: "r", Services: []string{service.Addr()},
+		DialOptions: []grpc.DialOption{grpc.WithTransportCredentials(authority.certificateFiles(dir, "r", "r", time.Hour).ClientCredentials("control"))}})
+	eventually(t, "the version over TLS", allRunning([]*testRouter{router}, 1))
 	if n, _ := plain.Running(); n != 0 {
 		t.Error("a router without a certificate got a version")
 	}
--- a/internal/controlplane/service/settings_test.go
+++ b/internal/controlplane/service/settings_test.go
@@ -8,7 +8,7 @@
 	"indigospool/internal/config"
 )
 
-// Settings of a service that can't be right are told of with their place.
+// Settings of a service that can't be right are faults with their place.
 func TestInvalidServiceSettings(t *testing.T) {
 	for text, want := range map[string]string{
 		`(service (store x) (listen "10.0.0.1:9900"))`:              "is not a loopback address, and there is no certificate",
@@ -21,19 +21,19 @@
 		`(service (store x)) (checks (parent-churn 0))`:             "it must be from 0.01 to 1",
 		`(service (store x) (per-second 0)) (rollout (patience 0))`: "must be",
 	} {
-		var s Settings
-		if err := config.Read("svc", text, &s); err == nil || !strings.Contains(err.Error(), want) {
+		var server Settings
+		if err := config.Read("svc", text, &server); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v, want %q", text, err, want)
 		}
 	}
 	if _, err := ReadFolder(t.TempDir()); err == nil || !strings.Contains(err.Error(), "holds no file *.edn") {
 		t.Errorf("an empty folder: %v", err)
 	}
-	var refused *RejectedError
-	s := NewServer(ServerConfig{Name: "x"})
-	defer s.Stop()
-	_, _, err := s.PushSources([]config.Source{{File: "f", Text: "(router)"}}, false)
-	if !errors.As(err, &refused) || s.Status().State.LastNumber != 0 {
-		t.Errorf("%v, %+v", err, s.Status().State)
+	var rejected *RejectedError
+	server := NewServer(ServerConfig{Name: "x"})
+	defer server.Stop()
+	_, _, err := server.PushSources([]config.Source{{File: "f", Text: "(router)"}}, false)
+	if !errors.As(err, &rejected) || server.Status().State.LastNumber != 0 {
+		t.Errorf("%v, %+v", err, server.Status().State)
 	}
 }
--- a/internal/controlplane/service/storefault_test.go
+++ b/internal/controlplane/service/storefault_test.go
@@ -20,18 +20,18 @@
 	"indigospool/internal/controlplane/configversion"
 )
 
-// A folder that takes no writes for a while, longer than the patience of a rollout,
+// A disk that takes no writes for a while, longer than the answer timeout of a rollout,
 // during a push, a rollback or a halt: nothing is offered or acknowledged that is not
-// kept, streams and requests are refused with a typed error, status says since when
-// and why, the service comes back by itself, and a kill loses nothing acknowledged.
+// persisted, streams and requests are rejected with a typed error, status says since when
+// and why, the service recovers by itself, and a kill loses nothing acknowledged.
 func TestServiceStoreFault(t *testing.T) {
 	steps := map[string]string{"push": "/push", "push now": "/push?now", "rollback": "/rollback?to=1&now", "halt": "/halt"}
 	for name, path := range steps {
 		for _, errno := range []syscall.Errno{syscall.EIO, syscall.ENOSPC} {
-			for _, late := range []bool{false, true} {
-				t.Run(fmt.Sprintf("%s/%v/synced %v", name, errno, !late), func(t *testing.T) {
+			for _, onlySync := range []bool{false, true} {
+				t.Run(fmt.Sprintf("%s/%v/synced %v", name, errno, !onlySync), func(t *testing.T) {
 					t.Parallel()
-					testServiceStoreFault(t, path, &faultyFiles{onlySync: late}, errno)
+					testServiceStoreFault(t, path, &faultyFiles{onlySync: onlySync}, errno)
 				})
 			}
 		}
@@ -41,12 +41,12 @@
 func testServiceStoreFault(t *testing.T, step string, files *faultyFiles, errno error) {
 	var mu sync.Mutex
 	var offered []int64
-	store := filepath.Join(t.TempDir(), "svc.db")
-	hold := 20
+	path := filepath.Join(t.TempDir(), "svc.db")
+	minStageTime := 20
 	if step == "/halt" { // there has to be a rollout to stop
-		hold = 60000
+		minStageTime = 60000
 	}
-	s := startServiceOn(t, files, store, hold, func(_ string, v configversion.Version) {
+	service := startServiceOn(t, files, path, minStageTime, func(_ string, v configversion.Version) {
 		mu.Lock()
 		defer mu.Unlock()
 		offered = append(offered, v.Number)
@@ -57,108 +57,114 @@
 		return slices.Max(offered)
 	}
 	text := func(n int) string { return string(settingsText(3, fmt.Sprintf("(limits (held %d))", n))) }
-	ok := func(path, text string) {
+	mustPost := func(path, text string) {
 		t.Helper()
-		if code, b := adminRequest(t, s, "POST", path, text); code != http.StatusOK {
+		if code, b := adminRequest(t, service, "POST", path, text); code != http.StatusOK {
 			t.Fatalf("%s: %d %s", path, code, b)
 		}
 	}
-	r := startRouter(t, false, "r", 1, nil, s.Addr())
-	eventually(t, "the stream", func() bool { return len(s.View().Routers) == 1 })
-	ok("/push?now", text(1))
-	ok("/push?now", text(2))
-	eventually(t, "version 2", allRunning([]*testRouter{r}, 2))
+	router := startRouter(t, false, "r", 1, nil, service.Addr())
+	eventually(t, "the stream", func() bool { return len(service.View().Routers) == 1 })
+	mustPost("/push?now", text(1))
+	mustPost("/push?now", text(2))
+	eventually(t, "version 2", allRunning([]*testRouter{router}, 2))
 	if step == "/halt" {
-		ok("/push", text(3))
-		eventually(t, "version 3", allRunning([]*testRouter{r}, 3))
+		mustPost("/push", text(3))
+		eventually(t, "version 3", allRunning([]*testRouter{router}, 3))
 	}
-	before, last := s.View(), highest()
+	before, lastOffered := service.View(), highest()
 
 	files.setFault(errno)
-	code, answer := adminRequest(t, s, "POST", step, text(4))
-	var refused PushResult
-	if err := json.Unmarshal(answer, &refused); err != nil || code != http.StatusServiceUnavailable || refused.Error == "" {
+	code, answer := adminRequest(t, service, "POST", step, text(4))
+	var result PushResult
+	if err := json.Unmarshal(answer, &result); err != nil || code != http.StatusServiceUnavailable || result.Error == "" {
 		t.Fatalf("%s: %d %s", step, code, answer)
 	}
-	if code, answer := adminRequest(t, s, "POST", "/push?now", text(4)); code != http.StatusServiceUnavailable {
-		t.Errorf("pushed while nothing can be kept: %d %s", code, answer)
+	if code, answer := adminRequest(t, service, "POST", "/push?now", text(4)); code != http.StatusServiceUnavailable {
+		t.Errorf("pushed while nothing can be persisted: %d %s", code, answer)
 	}
-	var unkept *PersistError
-	if err := s.Halt("x"); !errors.As(err, &unkept) || unkept.Queued || status.Code(err) != codes.Unavailable || !errors.Is(err, errno) {
-		t.Errorf("halted while nothing can be kept: %v", err)
+	var notPersisted *PersistError
+	if err := service.Halt("x"); !errors.As(err, &notPersisted) || notPersisted.Queued || status.Code(err) != codes.Unavailable || !errors.Is(err, errno) {
+		t.Errorf("halted while nothing can be persisted: %v", err)
 	}
-	other := startRouter(t, false, "other", 2, nil, s.Addr())
+	other := startRouter(t, false, "other", 2, nil, service.Addr())
 	time.Sleep(700 * time.Millisecond)
-	if n, _ := other.Running(); n != 0 || highest() != last {
-		t.Errorf("offered while nothing can be kept: %d, then %d; the new router runs %d", last, highest(), n)
+	if n, _ := other.Running(); n != 0 || highest() != lastOffered {
+		t.Errorf("offered while nothing can be persisted: %d, then %d; the new router runs %d", lastOffered, highest(), n)
 	}
-	view := s.View()
+	view := service.View()
 	if view.StateFault == "" || view.StateFaultSince == "" || view.StateFaultMs < 600 || view.Base != before.Base || view.Next != before.Next || view.Last != before.Last {
 		t.Errorf("status says %+v, it was %+v", view, before)
 	}
-	copied, err := os.ReadFile(store) // as a kill would leave it
+	copied, err := os.ReadFile(path) // as a kill would leave it
 	if err != nil {
 		t.Fatal(err)
 	}
 
 	files.setFault(nil)
-	eventually(t, "the service", func() bool { return s.View().StateFault == "" })
-	s.mu.Lock()
-	says := s.rollout.State()
-	s.mu.Unlock()
-	if kept, err := s.stateStore.load(); err != nil || kept.LastNumber != says.LastNumber || kept.Base.Sum != says.Base.Sum || kept.Next.Sum != says.Next.Sum {
-		t.Errorf("%+v is kept, %+v is said: %v", kept, says, err)
+	eventually(t, "the service", func() bool { return service.View().StateFault == "" })
+	service.mu.Lock()
+	decided := service.rollout.State()
+	service.mu.Unlock()
+	if persisted, err := service.stateStore.load(); err != nil || persisted.LastNumber != decided.LastNumber || persisted.Base.Sum != decided.Base.Sum || persisted.Next.Sum != decided.Next.Sum {
+		t.Errorf("%+v is persisted, %+v was decided: %v", persisted, decided, err)
 	}
 	eventually(t, "what was asked for, everywhere", func() bool {
-		v := s.View()
-		return v.Next == 0 && v.Base > before.Base && allRunning([]*testRouter{r, other}, v.Base)()
+		v := service.View()
+		return v.Next == 0 && v.Base > before.Base && allRunning([]*testRouter{router, other}, v.Base)()
 	})
-	if v := s.View(); v.Halted != "" && step != "/halt" {
+	if v := service.View(); v.Halted != "" && step != "/halt" {
 		t.Errorf("halted for want of answers to what was not sent: %s", v.Halted)
 	}
-	ok("/push?now", text(5))
-	eventually(t, "the newest everywhere", func() bool { return allRunning([]*testRouter{r, other}, s.View().Base)() })
+	mustPost("/push?now", text(5))
+	eventually(t, "the newest everywhere", func() bool { return allRunning([]*testRouter{router, other}, service.View().Base)() })
+	checkAfterKill(t, copied, before)
+}
 
+// checkAfterKill checks that a service which starts with a copy of a store, taken at any
+// moment, has what was acknowledged before.
+func checkAfterKill(t *testing.T, copied []byte, before StatusView) {
+	t.Helper()
 	killed := filepath.Join(t.TempDir(), "svc.db")
 	if err := os.WriteFile(killed, copied, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	anew := startServiceOn(t, configstore.Disk{}, killed, 20, nil)
-	if v := anew.View(); v.Last < before.Last || v.Base < before.Base || v.Service != before.Service {
+	restarted := startServiceOn(t, configstore.Disk{}, killed, 20, nil)
+	if v := restarted.View(); v.Last < before.Last || v.Base < before.Base || v.Service != before.Service {
 		t.Errorf("after a kill: %+v, %+v was acknowledged", v, before)
 	}
 	for number := int64(1); number <= before.Last; number++ {
-		if v, _, err := anew.store.Version(number); err != nil || v.Number != number {
+		if v, _, err := restarted.store.Version(number); err != nil || v.Number != number {
 			t.Errorf("after a kill: version %d: %v", number, err)
 		}
 	}
 }
 
-// A service whose state could not be kept for a while comes back by itself.
+// A service whose state could not be persisted for a while recovers by itself.
 func TestServiceRecoversFromStoreFault(t *testing.T) {
-	m := &memoryStateStore{}
-	s, addr := startServer(t, "127.0.0.1:0", m, 50)
-	r := startRouter(t, false, "r", 1, nil, addr)
-	if _, err := s.PushUnchecked(settingsText(3, ""), true); err != nil {
+	stateStore := &memoryStateStore{}
+	server, addr := startServer(t, "127.0.0.1:0", stateStore, 50)
+	router := startRouter(t, false, "r", 1, nil, addr)
+	if _, err := server.PushUnchecked(settingsText(3, ""), true); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "version 1", allRunning([]*testRouter{r}, 1))
-	m.setFault(syscall.ENOSPC)
-	if _, err := s.PushUnchecked(settingsText(4, ""), true); err == nil {
+	eventually(t, "version 1", allRunning([]*testRouter{router}, 1))
+	stateStore.setFault(syscall.ENOSPC)
+	if _, err := server.PushUnchecked(settingsText(4, ""), true); err == nil {
 		t.Error("acknowledged")
 	}
-	clock := func() configversion.Millis {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		return s.rolloutNow()
+	rolloutTime := func() configversion.Millis {
+		server.mu.Lock()
+		defer server.mu.Unlock()
+		return server.rolloutNow()
 	}
-	began := clock()
+	began := rolloutTime()
 	time.Sleep(500 * time.Millisecond)
-	m.setFault(nil)
-	eventually(t, "the state", func() bool { return s.Status().PersistError == nil })
-	if stood := clock() - began; stood >= 500 {
-		t.Errorf("%v ms of a rollout's patience have passed while nothing could be offered", stood)
+	stateStore.setFault(nil)
+	eventually(t, "the state", func() bool { return server.Status().PersistError == nil })
+	if passed := rolloutTime() - began; passed >= 500 {
+		t.Errorf("%v ms of a rollout's answer timeout have passed while nothing could be offered", passed)
 	}
-	eventually(t, "a push", func() bool { _, err := s.PushUnchecked(settingsText(5, ""), true); return err == nil })
-	eventually(t, "the newest", func() bool { n, _ := r.Running(); return n == m.get().Base.Number })
+	eventually(t, "a push", func() bool { _, err := server.PushUnchecked(settingsText(5, ""), true); return err == nil })
+	eventually(t, "the newest", func() bool { n, _ := router.Running(); return n == stateStore.get().Base.Number })
 }
