--- a/internal/proxy/hotrestart/hotrestart_test.go
+++ b/internal/proxy/hotrestart/hotrestart_test.go
@@ -16,88 +16,92 @@
 	"golang.org/x/sys/unix"
 )
 
-// giver offers a listener, a memory and a version, and notes what it hears.
-type giver struct {
-	t      *testing.T
-	path   string
-	ln     *net.TCPListener
-	given  Handover
-	server *Server
+// predecessor offers a listener, learned state and a configuration version, and notes what
+// its Server calls back with.
+type predecessor struct {
+	t        *testing.T
+	path     string
+	listener *net.TCPListener
+	handover Handover
+	server   *Server
 
-	mu     sync.Mutex
-	to     *Sender
-	failed []error
-	heard  [][]byte
-	warned []string
+	mu             sync.Mutex
+	sender         *Sender
+	failures       []error
+	configVersions [][]byte
+	notes          []string
+	warnings       []string
 }
 
-func newGiver(t *testing.T, ready time.Duration) *giver {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+func newPredecessor(t *testing.T, ready time.Duration) *predecessor {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := ln.(*net.TCPListener).File()
+	file, err := listener.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &giver{t: t, path: filepath.Join(t.TempDir(), "handover"), ln: ln.(*net.TCPListener),
-		given: Handover{Listener: int(f.Fd()), LearnedState: bytes.Repeat([]byte("memory "), 30000), Clients: []byte("peers"), ConfigVersion: bytes.Repeat([]byte("version "), 20000)}}
-	t.Cleanup(func() { f.Close(); ln.Close() })
-	g.offer(ready)
-	return g
+	p := &predecessor{t: t, path: filepath.Join(t.TempDir(), "handover"), listener: listener.(*net.TCPListener),
+		handover: Handover{Listener: int(file.Fd()), LearnedState: bytes.Repeat([]byte("memory "), 30000), Clients: []byte("peers"), ConfigVersion: bytes.Repeat([]byte("version "), 20000)}}
+	t.Cleanup(func() { file.Close(); listener.Close() })
+	p.listen(ready)
+	return p
 }
 
-func (g *giver) offer(ready time.Duration) {
+func (p *predecessor) listen(ready time.Duration) {
 	var err error
-	g.server, err = Listen(Options{Path: g.path, ReadyTimeout: ready,
-		Prepare:         func() (*Handover, error) { return &g.given, nil },
-		OnServing:       func(to *Sender) { g.mu.Lock(); g.to = to; g.mu.Unlock() },
-		OnFailure:       func(err error) { g.mu.Lock(); g.failed = append(g.failed, err); g.mu.Unlock() },
-		OnConfigVersion: func(b []byte) { g.mu.Lock(); g.heard = append(g.heard, b); g.mu.Unlock() },
-		Warn:            func(s string) { g.mu.Lock(); g.warned = append(g.warned, s); g.mu.Unlock() }})
+	p.server, err = Listen(Options{Path: p.path, ReadyTimeout: ready,
+		Prepare:         func() (*Handover, error) { return &p.handover, nil },
+		OnServing:       func(to *Sender) { p.mu.Lock(); p.sender = to; p.mu.Unlock() },
+		OnFailure:       func(err error) { p.mu.Lock(); p.failures = append(p.failures, err); p.mu.Unlock() },
+		OnConfigVersion: func(b []byte) { p.mu.Lock(); p.configVersions = append(p.configVersions, b); p.mu.Unlock() },
+		OnNote:          func(b []byte) { p.mu.Lock(); p.notes = append(p.notes, string(b)); p.mu.Unlock() },
+		Warn:            func(s string) { p.mu.Lock(); p.warnings = append(p.warnings, s); p.mu.Unlock() }})
 	if err != nil {
-		g.t.Fatal(err)
+		p.t.Fatal(err)
 	}
-	g.t.Cleanup(g.server.Close)
+	p.t.Cleanup(p.server.Close)
 }
 
-func (g *giver) await(what string, f func() bool) {
-	g.t.Helper()
+func (p *predecessor) await(what string, done func() bool) {
+	p.t.Helper()
 	for range 500 {
-		g.mu.Lock()
-		ok := f()
-		g.mu.Unlock()
+		p.mu.Lock()
+		ok := done()
+		p.mu.Unlock()
 		if ok {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	g.t.Fatalf("waited in vain for %s; failed %v, warned %v", what, g.failed, g.warned)
+	p.t.Fatalf("no %s in 5 s; failures %v, warnings %v", what, p.failures, p.warnings)
 }
 
-// All of it: sockets that accept, memory and version over many messages, connections
-// with notes between them in their order, versions the other way, and the end.
-func TestTakesOver(t *testing.T) {
-	g := newGiver(t, 5*time.Second)
-	in, err := TakeOver(g.path)
+// A whole hot restart: sockets that accept, learned state and configuration version over
+// many messages, connections with notes between them in their order, configuration versions
+// the other way, and the end.
+func TestTakeOver(t *testing.T) {
+	p := newPredecessor(t, 5*time.Second)
+	successor, err := TakeOver(p.path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(in.LearnedState, g.given.LearnedState) || !bytes.Equal(in.ConfigVersion, g.given.ConfigVersion) || string(in.Clients) != "peers" || in.Listener <= 0 || in.Admin != 0 {
-		t.Fatalf("%d bytes of memory, %d of a version, listener %d, admin %d", len(in.LearnedState), len(in.ConfigVersion), in.Listener, in.Admin)
+	if !bytes.Equal(successor.LearnedState, p.handover.LearnedState) || !bytes.Equal(successor.ConfigVersion, p.handover.ConfigVersion) || string(successor.Clients) != "peers" || successor.Listener <= 0 || successor.Admin != 0 {
+		t.Fatalf("%d bytes of learned state, %d of a configuration version, listener %d, admin %d", len(successor.LearnedState), len(successor.ConfigVersion), successor.Listener, successor.Admin)
 	}
-	f := os.NewFile(uintptr(in.Listener), "listener")
-	ln, err := net.FileListener(f)
+	f := os.NewFile(uintptr(successor.Listener), "listener")
+	listener, err := net.FileListener(f)
 	f.Close()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	if ln.Addr().String() != g.ln.Addr().String() {
-		t.Errorf("it listens at %v, not at %v", ln.Addr(), g.ln.Addr())
+	defer listener.Close()
+	if listener.Addr().String() != p.listener.Addr().String() {
+		t.Errorf("it listens at %v, not at %v", listener.Addr(), p.listener.Addr())
 	}
 	events, ended := make(chan string, 1000), make(chan bool)
-	err = in.Ready(func(fd int) {
+	err = successor.Ready(func(fd int) {
 		f := os.NewFile(uintptr(fd), "conn")
 		c, err := net.FileConn(f)
 		f.Close()
@@ -112,29 +116,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.await("Go", func() bool { return g.to != nil })
+	p.await("call of OnServing", func() bool { return p.sender != nil })
 	const conns = 200
 	var clients []net.Conn
 	for i := range conns { // each is accepted here, and answered there
-		c, err := net.Dial("tcp", g.ln.Addr().String())
+		c, err := net.Dial("tcp", p.listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
 		clients = append(clients, c)
-		a, err := ln.Accept()
+		accepted, err := listener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		raw, _ := a.(*net.TCPConn).File()
+		raw, _ := accepted.(*net.TCPConn).File()
 		fd, err := unix.Dup(int(raw.Fd()))
 		raw.Close()
-		a.Close()
-		if err != nil || !g.to.SendConn(fd) {
-			t.Fatal(err, "a connection is not taken")
+		accepted.Close()
+		if err != nil || !p.sender.SendConn(fd) {
+			t.Fatal(err, "a connection is not queued")
 		}
-		if i == conns/2 && !g.to.SendNote(map[string]int{"half": i}) {
-			t.Fatal("a note is not taken")
+		if i == conns/2 && !p.sender.SendNote(map[string]int{"half": i}) {
+			t.Fatal("a note is not queued")
 		}
 	}
 	for i, c := range clients {
@@ -153,58 +157,60 @@
 		}
 	}
 	for _, v := range []string{"small", strings.Repeat("large ", 40000)} {
-		if err := in.SendConfigVersion([]byte(v)); err != nil {
+		if err := successor.SendConfigVersion([]byte(v)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	g.await("two versions", func() bool { return len(g.heard) == 2 && string(g.heard[0]) == "small" && len(g.heard[1]) == 240000 })
-	g.to.Close()
+	p.await("two configuration versions", func() bool {
+		return len(p.configVersions) == 2 && string(p.configVersions[0]) == "small" && len(p.configVersions[1]) == 240000
+	})
+	p.sender.Close()
 	select {
 	case <-ended:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the successor does not hear of the end")
+		t.Fatal("onEnd is not called")
 	}
-	if g.to.Sent != conns || g.to.SendConn(0) || g.to.SendNote(1) {
-		t.Errorf("%d sent, and one more after the end", g.to.Sent)
+	if p.sender.Sent != conns || p.sender.SendConn(0) || p.sender.SendNote(1) {
+		t.Errorf("%d sent, and one more after the end", p.sender.Sent)
 	}
-	if _, err := TakeOver(g.path); !errors.Is(err, ErrNoPredecessor) { // the path is the successor's to offer at
-		t.Errorf("who asks the one that has left gets %v", err)
+	if _, err := TakeOver(p.path); !errors.Is(err, ErrNoPredecessor) { // the path is the successor's to listen at
+		t.Errorf("TakeOver from one that has left: %v", err)
 	}
 }
 
-// A successor that crashes at any moment, is silent or speaks nonsense leaves the
-// predecessor offering, and is told of as failed where it had got something.
+// A successor that crashes at any moment, is silent or sends malformed messages leaves the
+// predecessor listening; OnFailure is called where it had got the handover.
 func TestSuccessorFails(t *testing.T) {
-	hello := []byte{kHello, Version}
+	hello := message(messageHello, []byte{Version})
 	for _, c := range []struct {
-		what string
-		do   func(c *net.UnixConn)
-		got  bool // it had the memory
+		name   string
+		behave func(c *net.UnixConn)
+		failed bool // OnFailure is due
 	}{
 		{"says nothing", func(c *net.UnixConn) {}, false},
-		{"speaks another version", func(c *net.UnixConn) { c.Write([]byte{kHello, Version + 1}) }, false},
+		{"speaks another version", func(c *net.UnixConn) { c.Write(message(messageHello, []byte{Version + 1})) }, false},
 		{"says something else", func(c *net.UnixConn) { c.Write([]byte("GET / HTTP/1.1")) }, false},
 		{"reads nothing", func(c *net.UnixConn) { c.Write(hello) }, true},
 		{"reads half", func(c *net.UnixConn) { c.Write(hello); c.Read(make([]byte, 10)); receive(c) }, true},
-		{"does not become ready", func(c *net.UnixConn) { c.Write(hello); drain(c, 300*time.Millisecond) }, true},
-		{"is not ready but says so otherwise", func(c *net.UnixConn) { c.Write(hello); go drain(c, time.Second); c.Write([]byte("ready")) }, true},
+		{"does not become ready", func(c *net.UnixConn) { c.Write(hello); readAndDrop(c, 300*time.Millisecond) }, true},
+		{"is not ready but says so otherwise", func(c *net.UnixConn) { c.Write(hello); go readAndDrop(c, time.Second); c.Write([]byte("ready")) }, true},
 	} {
-		t.Run(c.what, func(t *testing.T) {
-			g := newGiver(t, 100*time.Millisecond)
-			conn, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: g.path, Net: "unixpacket"})
+		t.Run(c.name, func(t *testing.T) {
+			p := newPredecessor(t, 100*time.Millisecond)
+			conn, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: p.path, Net: "unixpacket"})
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.do(conn)
+			c.behave(conn)
 			conn.Close()
-			g.await("the warning", func() bool { return len(g.warned) == 1 && (len(g.failed) == 1) == c.got })
-			in, err := TakeOver(g.path)
-			if err != nil || !bytes.Equal(in.LearnedState, g.given.LearnedState) {
-				t.Fatal("the next one gets nothing:", err)
+			p.await("warning", func() bool { return len(p.warnings) == 1 && (len(p.failures) == 1) == c.failed })
+			successor, err := TakeOver(p.path)
+			if err != nil || !bytes.Equal(successor.LearnedState, p.handover.LearnedState) {
+				t.Fatal("the next successor gets no handover:", err)
 			}
-			in.Abort()
-			g.await("its end", func() bool { return len(g.warned) == 2 && g.to == nil })
-			if c, err := net.Dial("tcp", g.ln.Addr().String()); err != nil { // the listener lives on
+			successor.Abort()
+			p.await("second warning", func() bool { return len(p.warnings) == 2 && p.sender == nil })
+			if c, err := net.Dial("tcp", p.listener.Addr().String()); err != nil { // the listener lives on
 				t.Error(err)
 			} else {
 				c.Close()
@@ -213,79 +219,78 @@
 	}
 }
 
-func drain(c *net.UnixConn, span time.Duration) {
-	c.SetReadDeadline(time.Now().Add(span))
+// readAndDrop reads messages until the span is over.
+func readAndDrop(conn *net.UnixConn, span time.Duration) {
+	conn.SetReadDeadline(time.Now().Add(span))
 	for {
-		_, fds, err := receive(c)
-		for _, fd := range fds {
-			unix.Close(fd)
-		}
+		_, _, descriptors, err := receive(conn)
+		closeAll(descriptors)
 		if err != nil {
 			return
 		}
 	}
 }
 
-// What is queued for a successor that has died is closed, and nothing more is taken:
-// clients see an end and not silence.
-func TestSuccessorDies(t *testing.T) {
-	g := newGiver(t, 5*time.Second)
-	in, err := TakeOver(g.path)
+// Connections that are queued for a successor that has crashed are closed, and soon none is
+// queued any more: clients see an end and no silence.
+func TestSuccessorCrashesAfterReady(t *testing.T) {
+	p := newPredecessor(t, 5*time.Second)
+	successor, err := TakeOver(p.path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := in.Ready(func(fd int) { unix.Close(fd) }, func([]byte) {}, func() {}); err != nil {
+	if err := successor.Ready(func(fd int) { unix.Close(fd) }, func([]byte) {}, func() {}); err != nil {
 		t.Fatal(err)
 	}
-	g.await("Go", func() bool { return g.to != nil })
-	in.Abort()
-	taken := 0
+	p.await("call of OnServing", func() bool { return p.sender != nil })
+	successor.Abort()
+	queued := 0
 	for range 200 {
 		pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !g.to.SendConn(pair[0]) {
+		if !p.sender.SendConn(pair[0]) {
 			unix.Close(pair[0])
 			unix.Close(pair[1])
 			break
 		}
-		taken++
+		queued++
 		unix.SetsockoptTimeval(pair[1], unix.SOL_SOCKET, unix.SO_RCVTIMEO, &unix.Timeval{Sec: 5})
 		if n, err := unix.Read(pair[1], make([]byte, 1)); n != 0 || err != nil {
-			t.Fatalf("connection %d: %d bytes, %v, where its end was due", taken, n, err)
+			t.Fatalf("connection %d: %d bytes, %v, where its end was due", queued, n, err)
 		}
 		unix.Close(pair[1])
 	}
-	if taken == 200 {
-		t.Error("200 connections were taken for a successor that is gone")
+	if queued == 200 {
+		t.Error("200 connections were queued for a successor that is gone")
 	}
-	g.to.Close()
+	p.sender.Close()
 }
 
-// A predecessor that is gone or breaks off leaves the successor with nothing open; a
-// socket that was left behind is replaced, and a file that is none is not.
+// A predecessor that is gone or breaks off is an error of TakeOver; a socket that was left
+// behind is replaced, and a file that is none is not.
 func TestPredecessorFails(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "handover")
 	if _, err := TakeOver(path); !errors.Is(err, ErrNoPredecessor) {
-		t.Errorf("nobody: %v", err)
+		t.Errorf("no predecessor: %v", err)
 	}
-	for name, say := range map[string][][]byte{
-		"refuses":       {append([]byte{kRefuse}, "drains already"...)},
-		"breaks off":    {{kSockets}, append([]byte{kMemory}, "half"...)},
-		"talks at once": {[]byte("HTTP/1.1 200 OK")},
+	for name, messages := range map[string][][]byte{
+		"refuses":                 {message(messageRefuse, []byte("drains already"))},
+		"breaks off":              {message(messageSockets, nil), message(messageLearnedState, []byte("half"))},
+		"speaks another protocol": {[]byte("HTTP/1.1 200 OK")},
 	} {
-		ln, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
+		listener, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
 		if err != nil {
 			t.Fatal(err)
 		}
 		go func() {
-			c, err := ln.AcceptUnix()
+			c, err := listener.AcceptUnix()
 			if err != nil {
 				return
 			}
 			c.Read(make([]byte, 10))
-			for _, b := range say {
+			for _, b := range messages {
 				c.Write(b)
 			}
 			c.Close()
@@ -293,20 +298,20 @@
 		if in, err := TakeOver(path); err == nil || errors.Is(err, ErrNoPredecessor) || in != nil {
 			t.Errorf("%s: %v", name, err)
 		}
-		ln.Close()
+		listener.Close()
 	}
-	left, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
+	stale, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	left.SetUnlinkOnClose(false)
-	left.Close()
+	stale.SetUnlinkOnClose(false)
+	stale.Close()
 	if _, err := TakeOver(path); !errors.Is(err, ErrNoPredecessor) {
-		t.Errorf("a socket that was left: %v", err)
+		t.Errorf("a stale socket: %v", err)
 	}
 	s, err := Listen(Options{Path: path, Prepare: func() (*Handover, error) { return nil, errors.New("not now") }})
 	if err != nil {
-		t.Fatal("a socket that was left:", err)
+		t.Fatal("a stale socket:", err)
 	}
 	if _, err := TakeOver(path); err == nil || !strings.Contains(err.Error(), "not now") {
 		t.Errorf("one that refuses: %v", err)
--- a/internal/proxy/hotrestart/predecessor.go
+++ b/internal/proxy/hotrestart/predecessor.go
@@ -10,186 +10,223 @@
 	"golang.org/x/sys/unix"
 )
 
-// Given is what a predecessor hands over first. Descriptors stay the giver's.
+// Handover is what a predecessor gives first. The descriptors stay the predecessor's: the
+// successor gets duplicates.
 type Handover struct {
-	Listener, Admin int // 0: none
-	LearnedState    []byte
-	Clients         []byte // what is known of clients
-	ConfigVersion   []byte // of the settings, that it goes by; nil: the file
+	Listener      int    // descriptor of the listening socket; 0: none
+	Admin         int    // descriptor of the admin listener; 0: none
+	LearnedState  []byte // by package learnedstate
+	Clients       []byte // what is known of clients, as JSON
+	ConfigVersion []byte // the configuration version in force; nil: that of the file
 }
 
-// Offer is what a predecessor offers. Its functions are called one at a time.
+// Options are a predecessor's. Its functions are called one at a time, on goroutines of
+// this package.
 type Options struct {
-	Path            string
-	ReadyTimeout    time.Duration             // that a successor may take until it serves
-	Prepare         func() (*Handover, error) // a successor has come
-	OnServing       func(to *Sender)          // it serves
-	OnFailure       func(err error)           // it went, or took too long, after Ask
-	OnConfigVersion func(version []byte)      // after Go: it goes by another version of the settings
-	OnNote          func(json []byte)         // after Go: a note of its
-	Warn            func(text string)         // for the operator
+	// Path is that of the Unix socket. A socket that an ended process left there is
+	// replaced; any other file is an error of Listen.
+	Path string
+	// ReadyTimeout is how long a successor may take from the complete handover to Ready.
+	ReadyTimeout time.Duration
+	// Prepare gathers the handover: a successor has connected. An error refuses it.
+	Prepare func() (*Handover, error)
+	// OnServing is called once the successor serves; the sender passes it connections.
+	OnServing func(sender *Sender)
+	// OnFailure is called where the successor failed, or took too long, after Prepare had
+	// succeeded: this process goes on serving.
+	OnFailure func(err error)
+	// OnConfigVersion is called after OnServing, when the successor goes by another
+	// configuration version. nil ends the reading at the first.
+	OnConfigVersion func(version []byte)
+	// OnNote is called after OnServing for each of the successor's notes. nil ends the
+	// reading at the first.
+	OnNote func(json []byte)
+	// Warn takes messages for the operator; nil: they are dropped.
+	Warn func(text string)
 }
 
-// Server waits for a successor.
+// Server is the predecessor's end: it waits for successors until one serves.
 type Server struct {
-	o    Options
-	ln   *net.UnixListener
-	done chan struct{}
-	wg   sync.WaitGroup
+	options  Options
+	listener *net.UnixListener
+	closed   chan struct{}
+	running  sync.WaitGroup
 }
 
-// Listen begins to wait. A socket that an ended process has left is replaced.
-func Listen(o Options) (*Server, error) {
-	if o.Warn == nil {
-		o.Warn = func(string) {}
+// Listen begins to wait for a successor.
+func Listen(options Options) (*Server, error) {
+	if options.Warn == nil {
+		options.Warn = func(string) {}
 	}
-	if st, err := os.Lstat(o.Path); err == nil && st.Mode()&os.ModeSocket != 0 {
-		os.Remove(o.Path)
+	if info, err := os.Lstat(options.Path); err == nil && info.Mode()&os.ModeSocket != 0 {
+		os.Remove(options.Path)
 	}
-	ln, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: o.Path, Net: "unixpacket"})
+	listener, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: options.Path, Net: "unixpacket"})
 	if err != nil {
-		return nil, fmt.Errorf("handover: %w; name a path in a folder that the router may write to", err)
+		return nil, fmt.Errorf("hot restart: %w; name a path in a folder that the router may write to", err)
 	}
-	ln.SetUnlinkOnClose(false) // by then it may be the successor's
-	if err := os.Chmod(o.Path, 0o600); err != nil {
-		ln.Close()
-		return nil, fmt.Errorf("handover: %w", err)
+	listener.SetUnlinkOnClose(false) // by then it may be the successor's
+	if err := os.Chmod(options.Path, 0o600); err != nil {
+		listener.Close()
+		return nil, fmt.Errorf("hot restart: %w", err)
 	}
-	s := &Server{o: o, ln: ln, done: make(chan struct{})}
-	s.wg.Add(1)
-	go s.run()
+	s := &Server{options: options, listener: listener, closed: make(chan struct{})}
+	s.running.Add(1)
+	go s.acceptSuccessors()
 	return s, nil
 }
 
-// Close stops waiting. What is under way with a successor ends.
+// Close stops waiting. A handover in progress is broken off; what a successor that serves
+// was given stays with it.
 func (s *Server) Close() {
 	select {
-	case <-s.done:
+	case <-s.closed:
 	default:
-		close(s.done)
+		close(s.closed)
 	}
-	s.ln.Close()
+	s.listener.Close()
 }
 
-func (s *Server) run() {
-	defer s.wg.Done()
+func (s *Server) acceptSuccessors() {
+	defer s.running.Done()
 	for {
-		c, err := s.ln.AcceptUnix()
+		conn, err := s.listener.AcceptUnix()
 		if err != nil {
 			select {
-			case <-s.done:
+			case <-s.closed:
 			default:
-				s.o.Warn("handover: " + err.Error())
+				s.options.Warn("hot restart: accept a successor: " + err.Error())
 			}
 			return
 		}
-		over, err := s.one(c)
+		serving, err := s.handOver(conn)
 		if err != nil {
-			s.o.Warn(err.Error())
+			s.options.Warn(err.Error())
 		}
-		if over {
+		if serving {
 			return
 		}
-		c.Close()
+		conn.Close()
 	}
 }
 
-// one serves a successor; over says that it has taken over.
-func (s *Server) one(c *net.UnixConn) (over bool, err error) {
-	if err := sameUser(c); err != nil {
+// handOver gives a successor the handover, and reports whether it serves.
+func (s *Server) handOver(conn *net.UnixConn) (serving bool, err error) {
+	if err := checkSameUser(conn); err != nil {
 		return false, err
 	}
-	c.SetDeadline(time.Now().Add(step))
-	buf := make([]byte, 256)
-	n, err := c.Read(buf)
-	if err != nil {
-		return false, fmt.Errorf("handover: a successor said nothing: %w", err)
-	}
-	if n != 2 || buf[0] != kHello || buf[1] != Version {
-		c.Write(append([]byte{kRefuse}, fmt.Sprintf("this process speaks version %d", Version)...))
-		return false, fmt.Errorf("handover: a successor speaks another version: %q", buf[:n])
+	if err := readHello(conn); err != nil {
+		return false, err
 	}
-	g, err := s.o.Prepare()
+	handover, err := s.options.Prepare()
 	if err != nil {
-		c.Write(append([]byte{kRefuse}, err.Error()...))
-		return false, fmt.Errorf("handover: %w", err)
+		conn.Write(message(messageRefuse, []byte(err.Error())))
+		return false, fmt.Errorf("hot restart: prepare the handover: %w", err)
 	}
-	if err = give(c, g); err == nil {
-		c.SetDeadline(time.Now().Add(s.o.ReadyTimeout))
-		stop := make(chan struct{})
-		go func() {
-			select {
-			case <-s.done:
-				c.Close()
-			case <-stop:
-			}
-		}()
-		n, err = c.Read(buf)
-		close(stop)
-		if err == nil && (n != 1 || buf[0] != kReady) {
-			err = fmt.Errorf("it said %q", buf[:n])
-		}
+	err = writeHandover(conn, handover)
+	if err == nil {
+		err = s.awaitReady(conn)
 	}
 	if err != nil {
-		err = fmt.Errorf("handover: the successor does not serve, this process goes on: %w", err)
-		s.o.OnFailure(err)
+		err = fmt.Errorf("hot restart: the successor does not serve, this process goes on: %w", err)
+		s.options.OnFailure(err)
 		return false, err
 	}
-	c.SetDeadline(time.Time{})
-	s.ln.Close() // the path is the successor's to listen at
-	to := &Sender{c: c, q: make(chan any, waiting), done: make(chan struct{})}
-	go to.run()
-	s.o.OnServing(to)
-	go s.hear(c)
+	s.listener.Close() // the path is the successor's to listen at
+	sender := newSender(conn)
+	s.options.OnServing(sender)
+	go s.receiveFromSuccessor(conn)
 	return true, nil
 }
 
-// hear takes what a successor that serves says, until the connection ends.
-func (s *Server) hear(c *net.UnixConn) {
-	buf := make([]byte, partBytes+1)
-	var version []byte
-	for {
-		n, err := c.Read(buf)
-		if err != nil || n == 0 {
-			return
-		}
-		switch {
-		case buf[0] == kVersion && len(version)+n <= mostBytes:
-			version = append(version, buf[1:n]...)
-		case buf[0] == kWhole && s.o.OnConfigVersion != nil:
-			s.o.OnConfigVersion(version)
-			version = nil
-		case buf[0] == kNote && s.o.OnNote != nil:
-			s.o.OnNote(buf[1:n])
-		default:
-			return
-		}
+// readHello reads a successor's first message, and refuses one of another version.
+func readHello(conn *net.UnixConn) error {
+	conn.SetDeadline(time.Now().Add(messageTimeout))
+	buf := make([]byte, 256)
+	n, err := conn.Read(buf)
+	if err != nil {
+		return fmt.Errorf("hot restart: read the successor's hello: %w", err)
+	}
+	if n != 2 || messageKind(buf[0]) != messageHello || buf[1] != Version {
+		conn.Write(message(messageRefuse, fmt.Appendf(nil, "this process speaks version %d", Version)))
+		return fmt.Errorf("hot restart: the successor speaks another version: %q", buf[:n])
 	}
+	return nil
 }
 
-func give(c *net.UnixConn, g *Handover) error {
-	var fds []int
-	what := []byte{kSockets}
-	for _, one := range []struct {
-		fd   int
-		name byte
-	}{{g.Listener, 'l'}, {g.Admin, 'a'}} {
-		if one.fd > 0 {
-			fds, what = append(fds, one.fd), append(what, one.name)
-		}
-	}
-	if _, _, err := c.WriteMsgUnix(what, unix.UnixRights(fds...), nil); err != nil {
+// writeHandover sends all that a successor needs before it serves.
+func writeHandover(conn *net.UnixConn, handover *Handover) error {
+	var descriptors []int
+	var names []byte
+	if handover.Listener > 0 {
+		descriptors = append(descriptors, handover.Listener)
+		names = append(names, socketListener)
+	}
+	if handover.Admin > 0 {
+		descriptors = append(descriptors, handover.Admin)
+		names = append(names, socketAdmin)
+	}
+	if _, _, err := conn.WriteMsgUnix(message(messageSockets, names), unix.UnixRights(descriptors...), nil); err != nil {
 		return err
 	}
-	if err := parts(c, kMemory, g.LearnedState); err != nil {
+	if err := writeParts(conn, messageLearnedState, handover.LearnedState); err != nil {
 		return err
 	}
-	if err := parts(c, kPeers, g.Clients); err != nil {
+	if err := writeParts(conn, messageClients, handover.Clients); err != nil {
 		return err
 	}
-	if err := parts(c, kVersion, g.ConfigVersion); err != nil {
+	if err := writeParts(conn, messageConfigVersion, handover.ConfigVersion); err != nil {
 		return err
 	}
-	_, err := c.Write([]byte{kWhole})
+	_, err := conn.Write(message(messageComplete, nil))
 	return err
 }
+
+// awaitReady waits until the successor says that it serves; Close breaks it off.
+func (s *Server) awaitReady(conn *net.UnixConn) error {
+	conn.SetDeadline(time.Now().Add(s.options.ReadyTimeout))
+	answered := make(chan struct{})
+	go func() {
+		select {
+		case <-s.closed:
+			conn.Close()
+		case <-answered:
+		}
+	}()
+	buf := make([]byte, 256)
+	n, err := conn.Read(buf)
+	close(answered)
+	if err != nil {
+		return err
+	}
+	if n != 1 || messageKind(buf[0]) != messageReady {
+		return fmt.Errorf("it sent %q", buf[:n])
+	}
+	conn.SetDeadline(time.Time{})
+	return nil
+}
+
+// receiveFromSuccessor takes the messages of a successor that serves, until the connection
+// ends.
+func (s *Server) receiveFromSuccessor(conn *net.UnixConn) {
+	buf := make([]byte, maxPartBytes+1)
+	var version []byte
+	for {
+		n, err := conn.Read(buf)
+		if err != nil || n == 0 {
+			return
+		}
+		kind, payload := messageKind(buf[0]), buf[1:n]
+		switch {
+		case kind == messageConfigVersion && len(version)+n <= maxTotalBytes:
+			version = append(version, payload...)
+		case kind == messageComplete && s.options.OnConfigVersion != nil:
+			s.options.OnConfigVersion(version)
+			version = nil
+		case kind == messageNote && s.options.OnNote != nil:
+			s.options.OnNote(payload)
+		default:
+			return
+		}
+	}
+}
--- a/internal/proxy/hotrestart/sender.go
+++ b/internal/proxy/hotrestart/sender.go
@@ -9,86 +9,104 @@
 	"golang.org/x/sys/unix"
 )
 
-// Sender passes connections and notes to a successor that serves.
+// Sender passes connections and notes to a successor that serves. It is safe for
+// concurrent use, and only Close waits.
 type Sender struct {
-	c    *net.UnixConn
-	q    chan any // int: a descriptor, which is the sender's; []byte: a note
-	done chan struct{}
-	mu   sync.Mutex
-	gone bool // closed, or the successor is gone
-	Sent int  // connections; to be read after Close
+	conn   *net.UnixConn
+	queue  chan any // int: a descriptor, which is the sender's; []byte: a note's message
+	ended  chan struct{}
+	mu     sync.Mutex
+	closed bool // by Close, or since the successor is gone: nothing more is queued
+
+	// Sent counts the connections that were passed; to be read after Close.
+	Sent int
+}
+
+func newSender(conn *net.UnixConn) *Sender {
+	s := &Sender{conn: conn, queue: make(chan any, sendQueueLen), ended: make(chan struct{})}
+	go s.sendQueued()
+	return s
 }
 
-// Conn passes a descriptor on, and closes it here. False: it can't be passed any
-// more, and stays the caller's. It never blocks.
-func (s *Sender) SendConn(fd int) bool { return s.put(fd) }
+// SendConn passes a connection's descriptor on, and closes it here. false: it can't be
+// passed any more, and stays the caller's. It never waits.
+func (s *Sender) SendConn(fd int) bool { return s.enqueue(fd) }
 
-// Note passes a note on.
-func (s *Sender) SendNote(v any) bool {
-	b, err := json.Marshal(v)
-	return err == nil && len(b) < partBytes && s.put(append([]byte{kNote}, b...))
+// SendNote passes a value on as JSON; after the connections that were passed before it.
+// false: it is not sent. It never waits.
+func (s *Sender) SendNote(note any) bool {
+	payload, err := json.Marshal(note)
+	if err != nil || len(payload) >= maxPartBytes {
+		return false
+	}
+	return s.enqueue(message(messageNote, payload))
 }
 
-func (s *Sender) put(v any) bool {
+func (s *Sender) enqueue(item any) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.gone {
+	if s.closed {
 		return false
 	}
 	select {
-	case s.q <- v:
+	case s.queue <- item:
 		return true
 	default:
 		return false
 	}
 }
 
-// Close sends what is queued, and ends.
+// Close sends what is queued, and ends the connection to the successor.
 func (s *Sender) Close() {
+	s.closeQueue()
+	<-s.ended
+}
+
+func (s *Sender) closeQueue() {
 	s.mu.Lock()
-	if !s.gone {
-		s.gone = true
-		close(s.q)
+	defer s.mu.Unlock()
+	if !s.closed {
+		s.closed = true
+		close(s.queue)
 	}
-	s.mu.Unlock()
-	<-s.done
 }
 
-func (s *Sender) run() {
-	defer close(s.done)
-	defer s.c.Close()
-	var fds []int
-	flush := func() {
-		if len(fds) == 0 {
-			return
-		}
-		s.c.SetWriteDeadline(time.Now().Add(step))
-		if _, _, err := s.c.WriteMsgUnix([]byte{kConns}, unix.UnixRights(fds...), nil); err != nil {
-			s.mu.Lock()
-			if !s.gone {
-				s.gone = true
-				close(s.q)
-			}
-			s.mu.Unlock()
-		} else {
-			s.Sent += len(fds)
-		}
-		for _, fd := range fds { // those that did not go end here: there is nobody to serve them
-			unix.Close(fd)
-		}
-		fds = fds[:0]
-	}
-	for v := range s.q {
-		switch v := v.(type) {
+// sendQueued sends until the queue is closed: descriptors in batches, and each note after
+// the descriptors that were queued before it.
+func (s *Sender) sendQueued() {
+	defer close(s.ended)
+	defer s.conn.Close()
+	var pending []int
+	for item := range s.queue {
+		switch item := item.(type) {
 		case int:
-			if fds = append(fds, v); len(fds) >= mostFDs || len(s.q) == 0 {
-				flush()
+			pending = append(pending, item)
+			if len(pending) >= maxDescriptors || len(s.queue) == 0 {
+				s.sendConns(pending)
+				pending = pending[:0]
 			}
 		case []byte:
-			flush()
-			s.c.SetWriteDeadline(time.Now().Add(step))
-			s.c.Write(v)
+			s.sendConns(pending)
+			pending = pending[:0]
+			s.conn.SetWriteDeadline(time.Now().Add(messageTimeout))
+			s.conn.Write(item)
 		}
 	}
-	flush()
+	s.sendConns(pending)
+}
+
+// sendConns passes descriptors on, and closes them here. Those that could not be passed end:
+// there is nobody to serve them, and their clients see an end and no silence.
+func (s *Sender) sendConns(descriptors []int) {
+	if len(descriptors) == 0 {
+		return
+	}
+	s.conn.SetWriteDeadline(time.Now().Add(messageTimeout))
+	_, _, err := s.conn.WriteMsgUnix(message(messageConnections, nil), unix.UnixRights(descriptors...), nil)
+	if err != nil {
+		s.closeQueue()
+	} else {
+		s.Sent += len(descriptors)
+	}
+	closeAll(descriptors)
 }
--- a/internal/proxy/hotrestart/successor.go
+++ b/internal/proxy/hotrestart/successor.go
@@ -11,143 +11,158 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrNobody says that no predecessor is there.
-var ErrNoPredecessor = errors.New("handover: nobody to take over from")
+// ErrNoPredecessor says that no process listens at the path: the router starts without learned state.
+var ErrNoPredecessor = errors.New("hot restart: no predecessor to take over from")
 
-// Inherited is what a successor has got. Its descriptors are the holder's.
+// Inherited is the successor's end: what it was given, and its connection to the
+// predecessor. The descriptors are the caller's, who sets one that it has taken to 0.
 type Inherited struct {
-	Listener, Admin int // 0: none
-	LearnedState    []byte
-	Clients         []byte // what is known of clients
-	ConfigVersion   []byte // of the settings, that it goes by; nil: the file
-	c               *net.UnixConn
-	mu              sync.Mutex // of what is said after Ready
+	Listener      int    // descriptor of the listening socket; 0: none
+	Admin         int    // descriptor of the admin listener; 0: none
+	LearnedState  []byte // by package learnedstate
+	Clients       []byte // what is known of clients, as JSON
+	ConfigVersion []byte // the configuration version in force; nil: that of the file
+
+	conn    *net.UnixConn
+	writeMu sync.Mutex // of what is sent after Ready: the messages of a version stay together
 }
 
-// Ask takes over from the process that offers at a path. ErrNobody: there is none.
+// TakeOver takes over from the process that listens at a path; ErrNoPredecessor where none
+// does. Until Ready the predecessor goes on serving, and after Abort or an error too.
 func TakeOver(path string) (*Inherited, error) {
-	c, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
+	conn, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
+	if errors.Is(err, unix.ENOENT) || errors.Is(err, unix.ECONNREFUSED) {
+		return nil, ErrNoPredecessor
+	}
 	if err != nil {
-		if errors.Is(err, unix.ENOENT) || errors.Is(err, unix.ECONNREFUSED) {
-			return nil, ErrNoPredecessor
-		}
-		return nil, fmt.Errorf("handover: %s: %w", path, err)
+		return nil, fmt.Errorf("hot restart: connect to %s: %w", path, err)
 	}
-	in := &Inherited{c: c}
-	if err := in.take(); err != nil {
+	in := &Inherited{conn: conn}
+	if err := in.readHandover(); err != nil {
 		in.Abort()
 		return nil, err
 	}
 	return in, nil
 }
 
-func (in *Inherited) take() error {
-	if err := sameUser(in.c); err != nil {
+// readHandover asks for the handover, and reads it.
+func (in *Inherited) readHandover() error {
+	if err := checkSameUser(in.conn); err != nil {
 		return err
 	}
-	in.c.SetDeadline(time.Now().Add(step))
-	if _, err := in.c.Write([]byte{kHello, Version}); err != nil {
-		return fmt.Errorf("handover: %w", err)
+	in.conn.SetDeadline(time.Now().Add(messageTimeout))
+	if _, err := in.conn.Write(message(messageHello, []byte{Version})); err != nil {
+		return fmt.Errorf("hot restart: send hello: %w", err)
 	}
-	var memory, peers, version []byte
+	var learnedState, clients, configVersion []byte
 	for {
-		in.c.SetDeadline(time.Now().Add(step))
-		b, fds, err := receive(in.c)
+		in.conn.SetDeadline(time.Now().Add(messageTimeout))
+		kind, payload, descriptors, err := receive(in.conn)
 		if err != nil {
-			return fmt.Errorf("handover: the predecessor broke off: %w", err)
+			return fmt.Errorf("hot restart: the predecessor broke off: %w", err)
 		}
-		switch b[0] {
-		case kRefuse:
-			return fmt.Errorf("handover: the predecessor refuses: %.200q", b[1:])
-		case kSockets:
-			for i, name := range b[1:] {
-				switch {
-				case i >= len(fds):
-				case name == 'l':
-					in.Listener = fds[i]
-				case name == 'a':
-					in.Admin = fds[i]
-				default:
-					unix.Close(fds[i])
-				}
-			}
-		case kMemory:
-			memory = append(memory, b[1:]...)
-		case kPeers:
-			peers = append(peers, b[1:]...)
-		case kVersion:
-			version = append(version, b[1:]...)
-		case kWhole:
-			in.LearnedState, in.Clients, in.ConfigVersion = memory, peers, version
-			in.c.SetDeadline(time.Time{})
+		switch kind {
+		case messageRefuse:
+			return fmt.Errorf("hot restart: the predecessor refuses: %.200q", payload)
+		case messageSockets:
+			in.takeSockets(payload, descriptors)
+		case messageLearnedState:
+			learnedState = append(learnedState, payload...)
+		case messageClients:
+			clients = append(clients, payload...)
+		case messageConfigVersion:
+			configVersion = append(configVersion, payload...)
+		case messageComplete:
+			in.LearnedState, in.Clients, in.ConfigVersion = learnedState, clients, configVersion
+			in.conn.SetDeadline(time.Time{})
 			return nil
 		default:
-			return fmt.Errorf("handover: the predecessor said %.40q", b)
+			return fmt.Errorf("hot restart: the predecessor sent a message of %v: %.40q", kind, payload)
+		}
+		if len(learnedState)+len(clients)+len(configVersion) > maxTotalBytes {
+			return fmt.Errorf("hot restart: the predecessor sent more than %d MB", maxTotalBytes>>20)
 		}
-		if len(memory)+len(peers)+len(version) > mostBytes {
-			return fmt.Errorf("handover: the predecessor gave more than %d MB", mostBytes>>20)
+	}
+}
+
+// takeSockets takes the descriptors by their names; those of an unknown name are closed.
+func (in *Inherited) takeSockets(names []byte, descriptors []int) {
+	for i, name := range names {
+		if i >= len(descriptors) {
+			return
+		}
+		switch name {
+		case socketListener:
+			in.Listener = descriptors[i]
+		case socketAdmin:
+			in.Admin = descriptors[i]
+		default:
+			unix.Close(descriptors[i])
 		}
 	}
 }
 
-// Ready says that this process serves, and has conn called for each connection that
-// comes, note for each note, and end once the predecessor has ended.
-func (in *Inherited) Ready(conn func(fd int), note func(json []byte), end func()) error {
-	if _, err := in.c.Write([]byte{kReady}); err != nil {
-		return fmt.Errorf("handover: the predecessor is gone: %w", err)
+// Ready tells the predecessor that this process serves. From then on, on a goroutine of its
+// own, onConn is called for each connection that is passed on, onNote for each note, and
+// onEnd once the predecessor has ended.
+func (in *Inherited) Ready(onConn func(fd int), onNote func(json []byte), onEnd func()) error {
+	if _, err := in.conn.Write(message(messageReady, nil)); err != nil {
+		return fmt.Errorf("hot restart: tell the predecessor that this process serves: %w", err)
 	}
 	go func() {
-		defer end()
-		defer in.c.Close()
+		defer onEnd()
+		defer in.conn.Close()
 		for {
-			b, fds, err := receive(in.c)
+			kind, payload, descriptors, err := receive(in.conn)
 			if err != nil {
 				return
 			}
-			switch b[0] {
-			case kConns:
-				for _, fd := range fds {
-					conn(fd)
+			switch kind {
+			case messageConnections:
+				for _, fd := range descriptors {
+					onConn(fd)
 				}
-			case kNote:
-				note(b[1:])
+			case messageNote:
+				onNote(payload)
 			}
 		}
 	}()
 	return nil
 }
 
-// Tell says, after Ready, that this process goes by another version of the settings: the
-// predecessor follows nobody any more, and has to hear who drains until it ends.
+// SendConfigVersion sends the predecessor, after Ready, the configuration version that this
+// process goes by now: while it drains, the predecessor follows no control plane, and has to
+// know which endpoints drain.
 func (in *Inherited) SendConfigVersion(version []byte) error {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	in.c.SetWriteDeadline(time.Now().Add(step))
-	if err := parts(in.c, kVersion, version); err != nil {
-		return fmt.Errorf("handover: %w", err)
+	in.writeMu.Lock()
+	defer in.writeMu.Unlock()
+	in.conn.SetWriteDeadline(time.Now().Add(messageTimeout))
+	if err := writeParts(in.conn, messageConfigVersion, version); err != nil {
+		return fmt.Errorf("hot restart: send a configuration version: %w", err)
 	}
-	if _, err := in.c.Write([]byte{kWhole}); err != nil {
-		return fmt.Errorf("handover: %w", err)
+	if _, err := in.conn.Write(message(messageComplete, nil)); err != nil {
+		return fmt.Errorf("hot restart: send a configuration version: %w", err)
 	}
 	return nil
 }
 
-// Note tells the predecessor, after Ready, what came to this process only.
-func (in *Inherited) SendNote(v any) error {
-	b, err := json.Marshal(v)
+// SendNote sends the predecessor, after Ready, a value as JSON: what came to this process
+// only, such as a purge.
+func (in *Inherited) SendNote(note any) error {
+	payload, err := json.Marshal(note)
 	if err != nil {
-		return err
+		return fmt.Errorf("hot restart: encode a note: %w", err)
 	}
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	in.c.SetWriteDeadline(time.Now().Add(step))
-	if _, err := in.c.Write(append([]byte{kNote}, b...)); err != nil {
-		return fmt.Errorf("handover: %w", err)
+	in.writeMu.Lock()
+	defer in.writeMu.Unlock()
+	in.conn.SetWriteDeadline(time.Now().Add(messageTimeout))
+	if _, err := in.conn.Write(message(messageNote, payload)); err != nil {
+		return fmt.Errorf("hot restart: send a note: %w", err)
 	}
 	return nil
 }
 
-// Abort gives up taking over: the predecessor goes on.
+// Abort gives up taking over: the predecessor goes on serving.
 func (in *Inherited) Abort() {
 	for _, fd := range []int{in.Listener, in.Admin} {
 		if fd > 0 {
@@ -155,5 +170,5 @@
 		}
 	}
 	in.Listener, in.Admin = 0, 0
-	in.c.Close()
+	in.conn.Close()
 }
--- a/internal/proxy/learnedstate/learnedstate.go
+++ b/internal/proxy/learnedstate/learnedstate.go
@@ -1,6 +1,10 @@
-// Package memory writes what a router's decision module has learned as bytes, and
-// reads it again: with a version, and sealed by a checksum, so that what is damaged
-// or of another program is refused whole. It holds no state and decides nothing.
+// Package learnedstate encodes what a router has learned (latencies, capacities, outliers,
+// purges) for the process that replaces it, and for the journal, with a version and a
+// checksum: what is corrupt or of another version is rejected as a whole.
+//
+// It is a codec: it holds no state and decides nothing. Package hotrestart carries the bytes
+// to a successor, package journal keeps them in records, and package engine and the root
+// module take the state and restore it.
 package learnedstate
 
 import (
@@ -15,65 +19,78 @@
 	"indigospool/internal/proxy/engine"
 )
 
-// Version is that of the form. Another one is refused: a successor that can't read
-// it starts as new.
+// Version is that of the encoding. A successor that reads another one starts without learned state.
 const Version = 1
 
+// A snapshot is a header, and the state as CBOR behind it:
+//
+//	0  magic "SPOOLM"
+//	6  version (2 bytes, little endian as all of the header)
+//	8  length of the CBOR (4 bytes)
+//	12 its CRC-32C (4 bytes)
 const (
-	magic   = "SPOOLM"
-	headLen = len(magic) + 2 + 4 + 4 // version, length and checksum of what follows
+	magic       = "SPOOLM"
+	versionAt   = len(magic)
+	lengthAt    = versionAt + 2
+	checksumAt  = lengthAt + 4
+	headerBytes = checksumAt + 4
 )
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// ErrDamaged says that bytes are not what was written, whole.
-var ErrCorrupt = errors.New("memory: it is damaged, or not whole")
+// ErrCorrupt says that the bytes are not a complete snapshot, as it was encoded.
+var ErrCorrupt = errors.New("learned state: corrupt or incomplete")
 
-// ErrVersion says that they are of another version of the form.
-var ErrVersion = errors.New("memory: it is of another version")
+// ErrVersion says that the snapshot is of another version of the encoding.
+var ErrVersion = errors.New("learned state: of another version")
 
-// Encode writes a core's memory.
-func Encode(m *engine.Memory) ([]byte, error) { return encode(m) }
+// Encode encodes an engine's learned state.
+func Encode(state *engine.Memory) ([]byte, error) { return encode(state) }
 
-// Decode reads a core's memory. Nothing of one that is refused is used.
-func Decode(b []byte) (*engine.Memory, error) {
-	m := &engine.Memory{}
-	return m, decode(b, m)
+// Decode decodes an engine's learned state. The error is an ErrCorrupt or ErrVersion; the
+// state is then not to be used.
+func Decode(snapshot []byte) (*engine.Memory, error) {
+	state := &engine.Memory{}
+	return state, decode(snapshot, state)
 }
 
-// EncodeModule writes a module's memory, as journals keep it.
-func EncodeModule(m *spool.Memory) ([]byte, error) { return encode(m) }
+// EncodeModule encodes the decision module's learned state, as journals keep it.
+func EncodeModule(state *spool.Memory) ([]byte, error) { return encode(state) }
 
-// DecodeModule reads it.
-func DecodeModule(b []byte) (*spool.Memory, error) {
-	m := &spool.Memory{}
-	return m, decode(b, m)
+// DecodeModule decodes the decision module's learned state, with the errors of Decode.
+func DecodeModule(snapshot []byte) (*spool.Memory, error) {
+	state := &spool.Memory{}
+	return state, decode(snapshot, state)
 }
 
-func encode(v any) ([]byte, error) {
-	body, err := cbor.Marshal(v)
+func encode(state any) ([]byte, error) {
+	body, err := cbor.Marshal(state)
 	if err != nil {
-		return nil, fmt.Errorf("memory: %w", err)
+		return nil, fmt.Errorf("learned state: encode %T: %w", state, err)
 	}
-	out := append([]byte(magic), 0, 0)
-	binary.LittleEndian.PutUint16(out[len(magic):], Version)
-	out = binary.LittleEndian.AppendUint32(out, uint32(len(body)))
-	out = binary.LittleEndian.AppendUint32(out, crc32.Checksum(body, table))
-	return append(out, body...), nil
+	snapshot := make([]byte, 0, headerBytes+len(body))
+	snapshot = append(snapshot, magic...)
+	snapshot = binary.LittleEndian.AppendUint16(snapshot, Version)
+	snapshot = binary.LittleEndian.AppendUint32(snapshot, uint32(len(body)))
+	snapshot = binary.LittleEndian.AppendUint32(snapshot, crc32.Checksum(body, castagnoli))
+	return append(snapshot, body...), nil
 }
 
-func decode(b []byte, v any) error {
-	if len(b) < headLen || string(b[:len(magic)]) != magic {
+func decode(snapshot []byte, state any) error {
+	if len(snapshot) < headerBytes || string(snapshot[:versionAt]) != magic {
 		return ErrCorrupt
 	}
-	if got := binary.LittleEndian.Uint16(b[len(magic):]); got != Version {
-		return fmt.Errorf("%w: %d, this program reads %d", ErrVersion, got, Version)
+	if version := binary.LittleEndian.Uint16(snapshot[versionAt:]); version != Version {
+		return fmt.Errorf("%w: %d, this program reads %d", ErrVersion, version, Version)
 	}
-	body := b[headLen:]
-	if int(binary.LittleEndian.Uint32(b[len(magic)+2:])) != len(body) || binary.LittleEndian.Uint32(b[len(magic)+6:]) != crc32.Checksum(body, table) {
+	body := snapshot[headerBytes:]
+	if int(binary.LittleEndian.Uint32(snapshot[lengthAt:])) != len(body) {
 		return ErrCorrupt
 	}
-	if err := cbor.Unmarshal(body, v); err != nil {
+	if binary.LittleEndian.Uint32(snapshot[checksumAt:]) != crc32.Checksum(body, castagnoli) {
+		return ErrCorrupt
+	}
+	if err := cbor.Unmarshal(body, state); err != nil {
 		return fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	return nil
