--- a/internal/cachenode/store/bench_test.go
+++ b/internal/cachenode/store/bench_test.go
@@ -23,7 +23,7 @@
 				b.Fatal(err)
 			}
 			for i := range n {
-				keep(b, s, fmt.Sprintf("/object/%d", i), 1, 64)
+				storeObject(b, s, fmt.Sprintf("/object/%d", i), 1, 64)
 			}
 			s.lock.Close() // as if it had been killed
 			var before, after runtime.MemStats
@@ -41,10 +41,10 @@
 				runtime.GC()
 				runtime.ReadMemStats(&after)
 				s.lock.Close()
-				s.index.Close()
-				s.words.Close()
-				for _, g := range s.segs {
-					g.f.Close()
+				s.indexLog.Close()
+				s.purgeLog.Close()
+				for _, g := range s.segments {
+					g.file.Close()
 				}
 				b.StartTimer()
 			}
@@ -56,7 +56,7 @@
 
 // BenchmarkFind finds and reads copies of a size; beside it Go's file server on files of
 // that size, without a socket, and plain reads of open files, the machine's limit.
-func BenchmarkFind(b *testing.B) {
+func BenchmarkLookup(b *testing.B) {
 	for _, kb := range []int{4, 64, 1024} {
 		const n = 200
 		dir := b.TempDir()
@@ -68,7 +68,7 @@
 		os.Mkdir(files, 0o700)
 		var open []*os.File
 		for i := range n {
-			keep(b, s, fmt.Sprintf("/%d", i), 1, kb<<10)
+			storeObject(b, s, fmt.Sprintf("/%d", i), 1, kb<<10)
 			name := filepath.Join(files, fmt.Sprint(i))
 			os.WriteFile(name, bodyOf("/x", 1, kb<<10), 0o600)
 			f, err := os.Open(name)
@@ -120,7 +120,7 @@
 
 // BenchmarkKeep keeps copies of 64 KB, ten times what the store holds, under each policy;
 // a tenth of them is found again and again. written/kept is the write amplification.
-func BenchmarkKeep(b *testing.B) {
+func BenchmarkWrite(b *testing.B) {
 	for name, sync := range map[string]Sync{"purges": SyncPurges, "segments": SyncSegments, "copies": SyncObjects} {
 		b.Run(name, func(b *testing.B) {
 			s, _, err := Open(Dir(b.TempDir()), Options{MaxBytes: 64 << 20, SegmentBytes: 8 << 20, Sync: sync})
--- a/internal/cachenode/store/corruption_test.go
+++ b/internal/cachenode/store/corruption_test.go
@@ -9,7 +9,7 @@
 // Every single byte of every file flipped, and every file cut at every length: what is
 // given out is right, nothing that was purged comes back, and what is not touched is
 // there still.
-func TestEveryByte(t *testing.T) {
+func TestEveryByteCorrupted(t *testing.T) {
 	fs := newCrashFS()
 	set := Options{MaxBytes: 1 << 20, SegmentBytes: 8 << 10}
 	s, _, err := Open(fs, set)
@@ -17,14 +17,14 @@
 		t.Fatal(err)
 	}
 	for i := range 12 {
-		keep(t, s, fmt.Sprint("/k/", i), 1, 40+i*7)
+		storeObject(t, s, fmt.Sprint("/k/", i), 1, 40+i*7)
 	}
 	for i := range 4 {
 		if _, err := s.Purge(Purge{Scope: ByObject, Text: fmt.Sprint("/k/", i)}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	keep(t, s, "/k/20", 1, 100)
+	storeObject(t, s, "/k/20", 1, 100)
 	if _, err := s.Purge(Purge{Scope: ByObject, Text: "/k/4"}); err != nil { // the last thing before the end
 		t.Fatal(err)
 	}
@@ -42,7 +42,7 @@
 			t.Fatalf("%s: %v", what, err)
 		}
 		for i := range 21 {
-			if _, is := good(t, s, fmt.Sprint("/k/", i)); is {
+			if _, is := lookupChecked(t, s, fmt.Sprint("/k/", i)); is {
 				if i < 5 {
 					t.Fatalf("%s: /k/%d is back after its purge", what, i)
 				}
--- a/internal/cachenode/store/eviction_test.go
+++ b/internal/cachenode/store/eviction_test.go
@@ -16,12 +16,12 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	keep(t, s, "/a", 1, 10_000)
+	storeObject(t, s, "/a", 1, 10_000)
 	c := s.Lookup("/a")
 	for i := range 20 {
-		keep(t, s, fmt.Sprint("/x", i), 1, 10_000)
+		storeObject(t, s, fmt.Sprint("/x", i), 1, 10_000)
 	}
-	if _, ok := good(t, s, "/a"); ok {
+	if _, ok := lookupChecked(t, s, "/a"); ok {
 		t.Error("it was not given up")
 	}
 	b := make([]byte, 10_000)
@@ -42,16 +42,16 @@
 }
 
 // Tidying keeps what was found, and what ranks high, over many times the room.
-func TestTidyKeepsWhatIsUsed(t *testing.T) {
+func TestCompactKeepsUsedObjects(t *testing.T) {
 	s, _, err := Open(Dir(t.TempDir()), Options{MaxBytes: 256 << 10, SegmentBytes: 16 << 10})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	keep(t, s, "/hot", 1, 3000)
+	storeObject(t, s, "/hot", 1, 3000)
 	for i := range 400 {
-		keep(t, s, fmt.Sprint("/x", i), 1, 3000)
-		if _, ok := good(t, s, "/hot"); !ok {
+		storeObject(t, s, fmt.Sprint("/x", i), 1, 3000)
+		if _, ok := lookupChecked(t, s, "/hot"); !ok {
 			t.Fatalf("it is gone after %d others", i)
 		}
 		for more := true; more; {
--- a/internal/cachenode/store/fault.go
+++ b/internal/cachenode/store/fault.go
@@ -12,15 +12,15 @@
 // The backoff of what failed: the first retry comes after the least, each later one after
 // twice as long, at most the most.
 const (
-	leastBackoff = 50 * time.Millisecond
-	mostBackoff  = 2 * time.Second
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 2 * time.Second
 )
 
 // Bounds of what is held while the disk fails.
 const (
-	mostWaiting = 4096 // purges that came before the logs could be read
-	mostStale   = 64   // files to remove; more are found again by the next Open
-	probeBytes  = 4096 // written and synced to see whether a new segment can be
+	maxPendingPurges = 4096 // purges that came before the logs could be read
+	maxStaleFiles    = 64   // files to remove; more are found again by the next Open
+	probeLen         = 4096 // written and synced to see whether a new segment can be
 )
 
 // FaultError is that a call to the disk failed. It is no damage: the store refuses what
@@ -44,7 +44,7 @@
 
 // passes reports whether a lock failed for a reason that may pass by itself, and is not
 // held by another process or forbidden.
-func passes(err error) bool {
+func transient(err error) bool {
 	for _, errno := range []syscall.Errno{unix.EIO, unix.ENOSPC, unix.EDQUOT, unix.EMFILE, unix.ENFILE, unix.ENOMEM, unix.EINTR} {
 		if errors.Is(err, errno) {
 			return true
@@ -65,10 +65,10 @@
 	switch {
 	case now.Before(b.next):
 		return
-	case now.Sub(b.next) > 2*mostBackoff:
+	case now.Sub(b.next) > 2*maxBackoff:
 		b.wait = 0
 	}
-	b.wait = min(max(2*b.wait, leastBackoff), mostBackoff)
+	b.wait = min(max(2*b.wait, minBackoff), maxBackoff)
 	b.next = now.Add(b.wait)
 }
 
@@ -88,12 +88,12 @@
 func (s *Store) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	status := Status{Fault: s.failure, LogsUnread: s.unread, PurgesDurable: !s.unread && !s.logBroken, Found: s.found}
+	status := Status{Fault: s.failure, LogsUnread: s.logsUnread, PurgesDurable: !s.logsUnread && !s.logsBroken, Found: s.recovered}
 	if s.failure != nil {
-		status.FaultDuration = s.s.Now().Sub(s.failure.Since)
+		status.FaultDuration = s.options.Now().Sub(s.failure.Since)
 	}
-	for _, g := range s.segs {
-		if g.fault != nil || s.distrusted(g) {
+	for _, g := range s.segments {
+		if g.fault != nil || s.syncLost(g) {
 			status.UnreadableSegments++
 		}
 	}
@@ -101,7 +101,7 @@
 }
 
 // Ailing reports whether there is something for Mend to try again. It never waits.
-func (s *Store) Faulty() bool { return s.ailing.Load() }
+func (s *Store) Faulty() bool { return s.faulty.Load() }
 
 // Mend tries again what failed, where its backoff is over. Begin and Purge do as well; who
 // owns the store calls it now and then so that it needs neither.
@@ -111,38 +111,38 @@
 	if s.closed {
 		return
 	}
-	err := s.mend()
+	err := s.retryIfDue()
 	if err == nil {
-		err = s.rewrite()
+		err = s.rewriteSyncLost()
 	}
 	ailing := err != nil
-	for _, g := range s.segs {
-		if !s.readable(g) {
+	for _, g := range s.segments {
+		if !s.segmentReadable(g) {
 			ailing = true
 		}
 	}
-	s.ailing.Store(ailing || s.failure != nil)
+	s.faulty.Store(ailing || s.failure != nil)
 }
 
 // fail notes that the disk failed; the error is what callers are told.
 func (s *Store) fail(op, file string, err error) error {
-	now := s.s.Now()
+	now := s.options.Now()
 	fault := &FaultError{Op: op, File: file, Since: now, Err: err}
 	if s.failure != nil {
 		fault.Since = s.failure.Since
 	} else {
-		s.s.Warn(fault.Error() + "; nothing more is kept until it succeeds")
+		s.options.Warn(fault.Error() + "; nothing more is kept until it succeeds")
 	}
 	s.failure = fault
-	s.retry.failed(now)
-	s.ailing.Store(true)
+	s.backoff.failed(now)
+	s.faulty.Store(true)
 	return fault
 }
 
 // failLog is fail for the logs: what stands in them is not trusted any more, and they are
 // written anew before anything else is acknowledged.
 func (s *Store) failLog(op, file string, err error) error {
-	s.logBroken = true
+	s.logsBroken = true
 	return s.fail(op, file, err)
 }
 
@@ -152,28 +152,28 @@
 	if s.active == g {
 		s.active = nil
 	}
-	return s.fail(op, segmentName(g.n), err)
+	return s.fail(op, segmentName(g.number), err)
 }
 
 // mend tries again, if it is time to. The lock is held. nil: the store works.
-func (s *Store) mend() error {
+func (s *Store) retryIfDue() error {
 	if s.failure == nil {
 		return nil
 	}
-	if !s.retry.due(s.s.Now()) {
+	if !s.backoff.due(s.options.Now()) {
 		return s.failure
 	}
-	if err := s.attempt(); err != nil {
+	if err := s.retryNow(); err != nil {
 		return err
 	}
-	s.s.Warn(fmt.Sprintf("store: the disk works again after %v; it had failed: %v", s.s.Now().Sub(s.failure.Since).Round(time.Millisecond), s.failure.Err))
+	s.options.Warn(fmt.Sprintf("store: the disk works again after %v; it had failed: %v", s.options.Now().Sub(s.failure.Since).Round(time.Millisecond), s.failure.Err))
 	s.failure = nil
-	return s.rewrite()
+	return s.rewriteSyncLost()
 }
 
 // attempt does once what has to succeed before the store works. Nothing of what failed is
 // trusted: the logs and the segment are new files, made of what is in memory.
-func (s *Store) attempt() error {
+func (s *Store) retryNow() error {
 	if s.lock == nil {
 		lock, err := s.fs.Lock()
 		if err != nil {
@@ -181,36 +181,36 @@
 		}
 		s.lock = lock
 	}
-	if s.unread {
-		if err := s.read(); err != nil {
+	if s.logsUnread {
+		if err := s.recover(); err != nil {
 			return err
 		}
 	}
-	if s.logBroken {
+	if s.logsBroken {
 		if err := s.checkpoint(); err != nil {
 			return err
 		}
 	}
 	if s.segmentBroken {
-		return s.probe()
+		return s.probeSegment()
 	}
 	return nil
 }
 
 // probe begins a segment, and sees that it can be written and synced.
-func (s *Store) probe() error {
+func (s *Store) probeSegment() error {
 	s.active = nil
 	if err := s.rotate(); err != nil {
 		return err
 	}
 	g := s.active
-	err := writeAt(g.f, make([]byte, probeBytes), 0)
+	err := writeAt(g.file, make([]byte, probeLen), 0)
 	if err == nil {
-		err = g.f.Sync()
+		err = g.file.Sync()
 	}
 	if err != nil {
 		err = s.failSegment("write", g, err)
-		s.evict(g.n)
+		s.evict(g.number)
 		return err
 	}
 	s.segmentBroken = false
--- a/internal/cachenode/store/folder.go
+++ b/internal/cachenode/store/folder.go
@@ -128,15 +128,15 @@
 	if err == nil || errors.Is(err, os.ErrNotExist) {
 		return
 	}
-	if len(s.stale) < mostStale {
-		s.stale = append(s.stale, name)
+	if len(s.staleFiles) < maxStaleFiles {
+		s.staleFiles = append(s.staleFiles, name)
 	}
 }
 
 // removeStale removes what could not be removed before.
 func (s *Store) removeStale() {
-	names := s.stale
-	s.stale = nil
+	names := s.staleFiles
+	s.staleFiles = nil
 	for _, name := range names {
 		s.remove(name)
 	}
--- a/internal/cachenode/store/folder_test.go
+++ b/internal/cachenode/store/folder_test.go
@@ -9,7 +9,7 @@
 )
 
 // A folder serves one process; one of another form is refused, and left as it is.
-func TestFolder(t *testing.T) {
+func TestFolderLockAndFormat(t *testing.T) {
 	dir := t.TempDir()
 	s, _, err := Open(Dir(dir), Options{})
 	if err != nil {
@@ -18,7 +18,7 @@
 	if _, _, err := Open(Dir(dir), Options{}); err == nil || !strings.Contains(err.Error(), dir) {
 		t.Errorf("a second process: %v", err)
 	}
-	keep(t, s, "/a", 1, 5000)
+	storeObject(t, s, "/a", 1, 5000)
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -29,7 +29,7 @@
 	if err != nil || r.Objects != 1 || r.Bytes != 5000 {
 		t.Fatal(r, err)
 	}
-	if _, ok := good(t, s, "/a"); !ok {
+	if _, ok := lookupChecked(t, s, "/a"); !ok {
 		t.Error("it is gone")
 	}
 	s.Close()
@@ -52,8 +52,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	keep(t, s, "/a", 1, 1000)
-	keep(t, s, "/b", 1, 1000)
+	storeObject(t, s, "/a", 1, 1000)
+	storeObject(t, s, "/b", 1, 1000)
 	w, err := s.Begin(Meta{Key: "/c", Object: "/c"}, 2000)
 	if err != nil {
 		t.Fatal(err)
@@ -73,7 +73,7 @@
 		t.Error("a purge that does not last is acknowledged")
 	}
 	for key, want := range map[string]bool{"/a": true, "/b": false, "/c": false} {
-		if _, ok := good(t, s, key); ok != want {
+		if _, ok := lookupChecked(t, s, key); ok != want {
 			t.Errorf("%s: %v", key, ok)
 		}
 	}
@@ -81,11 +81,11 @@
 	if s, _, err = Open(n, Options{}); err != nil {
 		t.Fatal(err)
 	}
-	if _, ok := good(t, s, "/a"); !ok {
+	if _, ok := lookupChecked(t, s, "/a"); !ok {
 		t.Error("/a is gone after the start")
 	}
-	if _, ok := good(t, s, "/c"); ok {
+	if _, ok := lookupChecked(t, s, "/c"); ok {
 		t.Error("half a copy is given out")
 	}
-	keep(t, s, "/d", 1, 10)
+	storeObject(t, s, "/d", 1, 10)
 }
--- a/internal/cachenode/store/index_bench_test.go
+++ b/internal/cachenode/store/index_bench_test.go
@@ -16,7 +16,7 @@
 func BenchmarkIndex(b *testing.B) {
 	const n = 100_000
 	pl := func(i int) place {
-		return place{hash: uint64(i) * 0x9e3779b97f4a7c15, seg: 1, off: uint32(i), lens: lensOf(0, 8, 1)}
+		return place{keyHash: uint64(i) * 0x9e3779b97f4a7c15, segment: 1, offset8: uint32(i), packed: packLengths(0, 8, 1)}
 	}
 	b.Run("bbolt", func(b *testing.B) {
 		file := filepath.Join(b.TempDir(), "index")
@@ -32,7 +32,7 @@
 			if err != nil {
 				return err
 			}
-			return k.Put(binary.BigEndian.AppendUint64(nil, p.hash), p.append(nil))
+			return k.Put(binary.BigEndian.AppendUint64(nil, p.keyHash), p.append(nil))
 		}
 		for i := 0; i < n; i += 1000 {
 			if err := db.Update(func(tx *bolt.Tx) error {
@@ -57,7 +57,7 @@
 			for b.Loop() {
 				p := pl(rand.IntN(n))
 				db.View(func(tx *bolt.Tx) error {
-					if _, ok := readPlace(tx.Bucket(bucket).Get(binary.BigEndian.AppendUint64(nil, p.hash))); !ok {
+					if _, ok := readPlace(tx.Bucket(bucket).Get(binary.BigEndian.AppendUint64(nil, p.keyHash))); !ok {
 						b.Fatal("it is gone")
 					}
 					return nil
@@ -80,10 +80,10 @@
 		s.active.size = 1 << 40
 		put := func(i int) {
 			p := pl(i)
-			if err := s.append(s.index, &s.indexL, entry(nil, kindAdd, p.append(nil))); err != nil {
+			if err := s.appendLog(s.indexLog, &s.indexLogLen, appendEntry(nil, entryAdd, p.append(nil))); err != nil {
 				b.Fatal(err)
 			}
-			s.put(p)
+			s.addPlace(p)
 		}
 		for i := range n {
 			put(i)
@@ -96,7 +96,7 @@
 		b.Run("find", func(b *testing.B) {
 			for b.Loop() {
 				p := pl(rand.IntN(n))
-				if _, ok := s.byHash[p.hash]; !ok {
+				if _, ok := s.byHash[p.keyHash]; !ok {
 					b.Fatal("it is gone")
 				}
 			}
--- a/internal/cachenode/store/kill_test.go
+++ b/internal/cachenode/store/kill_test.go
@@ -12,7 +12,7 @@
 
 // writeOn is what the killed process does: it keeps copies and purges some, and says on
 // its output what was acknowledged.
-func writeOn(dir string, seed uint64) {
+func writeUntilKilled(dir string, seed uint64) {
 	s, r, err := Open(Dir(dir), Options{MaxBytes: 8 << 20, SegmentBytes: 256 << 10})
 	if err != nil {
 		fmt.Println("error", err)
@@ -55,7 +55,7 @@
 	if dir := os.Getenv("STORE_WRITE_ON"); dir != "" {
 		var seed uint64
 		fmt.Sscan(os.Getenv("STORE_SEED"), &seed)
-		writeOn(dir, seed)
+		writeUntilKilled(dir, seed)
 	}
 	rounds := 25
 	fmt.Sscan(os.Getenv("STORE_KILLS"), &rounds)
@@ -95,7 +95,7 @@
 			t.Fatalf("round %d: %+v %v", round, r, err)
 		}
 		for key, v := range last {
-			got, ok := good(t, s, key)
+			got, ok := lookupChecked(t, s, key)
 			switch {
 			case ok && got < purged[key]:
 				t.Fatalf("round %d: %s is back in version %d, purged up to %d", round, key, got, purged[key])
--- a/internal/cachenode/store/logentry.go
+++ b/internal/cachenode/store/logentry.go
@@ -13,27 +13,27 @@
 //	8  blocks (2 bytes), kind (1), 5 free
 //	16 the entry
 const (
-	block    = 64
-	headLen  = 16
-	mark     = 0x314c5053
-	kindAdd  = 1
-	kindDrop = 2
-	kindWord = 3 // a purge
-	mostText = 4096
+	blockLen       = 64
+	entryHeaderLen = 16
+	entryMark      = 0x314c5053
+	entryAdd       = 1
+	entryDrop      = 2
+	entryPurge     = 3 // a purge
+	maxPurgeText   = 4096
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // entry appends an entry with the payload.
-func entry(dst []byte, kind byte, payload []byte) []byte {
-	n := (headLen + len(payload) + block - 1) / block
+func appendEntry(dst []byte, kind byte, payload []byte) []byte {
+	n := (entryHeaderLen + len(payload) + blockLen - 1) / blockLen
 	at := len(dst)
-	dst = append(dst, make([]byte, n*block)...)
+	dst = append(dst, make([]byte, n*blockLen)...)
 	b := dst[at:]
-	binary.LittleEndian.PutUint32(b, mark)
+	binary.LittleEndian.PutUint32(b, entryMark)
 	binary.LittleEndian.PutUint16(b[8:], uint16(n))
 	b[10] = kind
-	copy(b[headLen:], payload)
+	copy(b[entryHeaderLen:], payload)
 	binary.LittleEndian.PutUint32(b[4:], crc32.Checksum(b[8:], castagnoli))
 	return dst
 }
@@ -41,32 +41,32 @@
 // entries calls f for each entry in b, and says how many places were damaged, and whether
 // entries follow one of them: a crash leaves the end torn of a log that is synced with each
 // entry, and nothing before it.
-func entries(b []byte, f func(kind byte, payload []byte)) (damaged int, within bool) {
+func readEntries(b []byte, f func(kind byte, payload []byte)) (damaged int, within bool) {
 	bad := false
 	for at := 0; at < len(b); {
-		n := whole(b[at:])
+		n := entryLen(b[at:])
 		if n == 0 {
 			if !bad {
 				damaged++
 			}
 			bad = true
-			at += block
+			at += blockLen
 			continue
 		}
 		within = within || damaged > 0
 		bad = false
-		f(b[at+10], b[at+headLen:at+n])
+		f(b[at+10], b[at+entryHeaderLen:at+n])
 		at += n
 	}
 	return damaged, within
 }
 
 // whole is the length of the entry that b begins with; 0: there is none that is whole.
-func whole(b []byte) int {
-	if len(b) < block || binary.LittleEndian.Uint32(b) != mark {
+func entryLen(b []byte) int {
+	if len(b) < blockLen || binary.LittleEndian.Uint32(b) != entryMark {
 		return 0
 	}
-	n := int(binary.LittleEndian.Uint16(b[8:])) * block
+	n := int(binary.LittleEndian.Uint16(b[8:])) * blockLen
 	if n == 0 || n > len(b) || crc32.Checksum(b[8:n], castagnoli) != binary.LittleEndian.Uint32(b[4:]) {
 		return 0
 	}
--- a/internal/cachenode/store/meta.go
+++ b/internal/cachenode/store/meta.go
@@ -21,11 +21,11 @@
 }
 
 func (s *Store) readMeta(g *segment, p *place) (*Meta, error) {
-	if g.f == nil {
+	if g.file == nil {
 		return nil, g.fault
 	}
-	b := make([]byte, p.meta())
-	if _, err := g.f.ReadAt(b, int64(p.off)*8); err != nil && err != io.EOF {
+	b := make([]byte, p.metaLen())
+	if _, err := g.file.ReadAt(b, int64(p.offset8)*8); err != nil && err != io.EOF {
 		return nil, err
 	}
 	return parseMeta(b)
--- a/internal/cachenode/store/model_test.go
+++ b/internal/cachenode/store/model_test.go
@@ -15,32 +15,32 @@
 )
 
 // kept is what the model knows of a copy that was kept.
-type kept struct {
-	m     Meta
+type storedObject struct {
+	meta  Meta
 	body  []byte
 	since int // purges that were made before its fill began
 }
 
 // model is a store as a map: every copy that was ever kept of each key, and all purges.
 type model struct {
-	all    map[string][]kept
-	last   map[string]*kept
-	purges []Purge
-	acked  []bool
+	stored       map[string][]storedObject
+	latest       map[string]*storedObject
+	purges       []Purge
+	acknowledged []bool
 }
 
-func (m *model) voided(k *kept, maybe bool) bool {
+func (m *model) purged(k *storedObject, maybe bool) bool {
 	for i, w := range m.purges {
-		if !m.acked[i] && !maybe {
+		if !m.acknowledged[i] && !maybe {
 			continue
 		}
-		hit := w.Scope == ByObject && w.Text == k.m.Object || w.Scope == ByGroup && w.Group == k.m.Group ||
-			w.Scope == ByTag && slices.Contains(k.m.Tags, w.Text) || w.Scope == ByPrefix && strings.HasPrefix(k.m.Key, w.Text)
+		hit := w.Scope == ByObject && w.Text == k.meta.Object || w.Scope == ByGroup && w.Group == k.meta.Group ||
+			w.Scope == ByTag && slices.Contains(k.meta.Tags, w.Text) || w.Scope == ByPrefix && strings.HasPrefix(k.meta.Key, w.Text)
 		if !hit {
 			continue
 		}
-		if w.Version > 0 && k.m.Version > 0 {
-			if k.m.Version < w.Version {
+		if w.Version > 0 && k.meta.Version > 0 {
+			if k.meta.Version < w.Version {
 				return true
 			}
 			continue
@@ -81,14 +81,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		m := &model{all: map[string][]kept{}, last: map[string]*kept{}}
+		m := &model{stored: map[string][]storedObject{}, latest: map[string]*storedObject{}}
 		version := int64(0)
 		verify := func(mustAll bool) {
 			for i := range 40 {
 				key := fmt.Sprintf("/k/%d", i)
 				c := s.Lookup(key)
 				if c == nil {
-					if k := m.last[key]; mustAll && k != nil && !m.voided(k, true) {
+					if k := m.latest[key]; mustAll && k != nil && !m.purged(k, true) {
 						t.Fatalf("%s is gone", key)
 					}
 					continue
@@ -102,10 +102,10 @@
 				}
 				c.Close()
 				ok := false
-				for k := range m.all[key] {
-					x := &m.all[key][k]
-					if bytes.Equal(x.body, b) && x.m.Version == c.Version && x.m.Born == c.Born {
-						if ok = true; m.voided(x, false) {
+				for k := range m.stored[key] {
+					x := &m.stored[key][k]
+					if bytes.Equal(x.body, b) && x.meta.Version == c.Version && x.meta.Born == c.Born {
+						if ok = true; m.purged(x, false) {
 							t.Fatalf("%s is given out in version %d after a purge that was acknowledged", key, c.Version)
 						}
 					}
@@ -117,7 +117,7 @@
 		}
 		type open struct {
 			w *Writer
-			k kept
+			k storedObject
 		}
 		var writers []open
 		born := int64(1000)
@@ -125,16 +125,16 @@
 		lossy, gaveUp := false, false // copies may be lost that are not synced; and any of them
 		settled := func() {           // the disk works: see what is there
 			verify(big && !gaveUp && (!lossy || set.Sync == SyncObjects))
-			for key, k := range m.last { // what was lost is not missed from here on
+			for key, k := range m.latest { // what was lost is not missed from here on
 				c := s.Lookup(key)
 				if c == nil {
-					m.last[key] = nil
+					m.latest[key] = nil
 					continue
 				}
-				if !renewed[key] && (k == nil || c.Born != k.m.Born) {
-					for i := range m.all[key] {
-						if m.all[key][i].m.Born == c.Born {
-							m.last[key] = &m.all[key][i]
+				if !renewed[key] && (k == nil || c.Born != k.meta.Born) {
+					for i := range m.stored[key] {
+						if m.stored[key][i].meta.Born == c.Born {
+							m.latest[key] = &m.stored[key][i]
 						}
 					}
 				}
@@ -144,14 +144,14 @@
 		}
 		for range rng.IntN(150) {
 			clock.now = clock.now.Add(time.Duration(rng.IntN(100)) * time.Millisecond)
-			lossy, gaveUp = lossy || fs.lost, gaveUp || s.plain >= 4*set.MaxPurgeRules && fs.fault != nil
+			lossy, gaveUp = lossy || fs.lost, gaveUp || s.unversionedRules >= 4*set.MaxPurgeRules && fs.fault != nil
 			switch {
 			case !faults || fs.stopped:
 			case fs.fault == nil && rng.IntN(12) == 0:
 				fs.fault = randomFault(rng)
 			case fs.fault != nil && fs.left < 0 && rng.IntN(12) == 0:
 				fs.fault = nil
-				clock.wait(s)
+				clock.retryAfterBackoff(s)
 				if st := s.Status(); st.Fault != nil || st.LogsUnread || !st.PurgesDurable {
 					t.Fatalf("it does not come back: %+v", st)
 				}
@@ -204,15 +204,15 @@
 				}
 				born++
 				key := fmt.Sprintf("/k/%d", rng.IntN(40))
-				k := kept{m: Meta{Key: key, Object: "/o/" + key[3:], Group: int32(rng.IntN(4)), Tags: []string{fmt.Sprint("t", rng.IntN(4))}, Born: born,
+				k := storedObject{meta: Meta{Key: key, Object: "/o/" + key[3:], Group: int32(rng.IntN(4)), Tags: []string{fmt.Sprint("t", rng.IntN(4))}, Born: born,
 					Rank: 1 + rng.IntN(3)}, body: make([]byte, rng.IntN(3000)), since: len(m.purges)}
 				if rng.IntN(2) == 0 {
-					k.m.Version = max(version-int64(rng.IntN(3)), 1)
+					k.meta.Version = max(version-int64(rng.IntN(3)), 1)
 				}
 				for i := range k.body {
 					k.body[i] = byte(rng.Uint32())
 				}
-				if w, err := s.Begin(k.m, int64(len(k.body))); err == nil {
+				if w, err := s.Begin(k.meta, int64(len(k.body))); err == nil {
 					writers = append(writers, open{w, k})
 				} else if fault := (*FaultError)(nil); !errors.Is(err, errStopped) && !(faults && errors.As(err, &fault)) {
 					t.Fatal(err)
@@ -228,15 +228,15 @@
 				o.w.Write(o.k.body[:cut/2])
 				o.w.Write(o.k.body[cut/2 : cut])
 				// it may last although it was not said to
-				m.all[o.k.m.Key] = append(m.all[o.k.m.Key], o.k)
+				m.stored[o.k.meta.Key] = append(m.stored[o.k.meta.Key], o.k)
 				was, err := o.w.Commit()
 				if was {
 					if cut < len(o.k.body) {
 						t.Fatal("a copy that did not come whole was kept")
 					}
 					x := o.k
-					m.last[o.k.m.Key] = &x
-				} else if err == nil && !m.voided(&o.k, true) && big && o.k.m.Version == 0 && len(m.purges) < 3 && !faults {
+					m.latest[o.k.meta.Key] = &x
+				} else if err == nil && !m.purged(&o.k, true) && big && o.k.meta.Version == 0 && len(m.purges) < 3 && !faults {
 					t.Fatal("a copy was not kept, and nothing voids it")
 				}
 			case n == 8:
@@ -255,7 +255,7 @@
 					w.Version = version + 1
 				}
 				_, err := s.Purge(w)
-				m.purges, m.acked = append(m.purges, w), append(m.acked, err == nil)
+				m.purges, m.acknowledged = append(m.purges, w), append(m.acknowledged, err == nil)
 			case rng.IntN(3) == 0: // a copy's source has found it good
 				key := fmt.Sprintf("/k/%d", rng.IntN(40))
 				c := s.Lookup(key)
@@ -263,11 +263,11 @@
 					continue
 				}
 				born++
-				for _, k := range m.all[key] {
-					if k.m.Born == c.Born { // the new head may last or not, or be torn by a kill
-						k.m.Born = born
-						m.all[key] = append(m.all[key], k)
-						m.last[key], renewed[key] = nil, true
+				for _, k := range m.stored[key] {
+					if k.meta.Born == c.Born { // the new head may last or not, or be torn by a kill
+						k.meta.Born = born
+						m.stored[key] = append(m.stored[key], k)
+						m.latest[key], renewed[key] = nil, true
 						break
 					}
 				}
@@ -291,7 +291,7 @@
 		ops[op] = rng.IntN(2) == 0
 	}
 	errno := []syscall.Errno{syscall.ENOSPC, syscall.EIO}[rng.IntN(2)]
-	prefix := []string{"", "", "seg-", "index-", wordsName}[rng.IntN(5)]
+	prefix := []string{"", "", "seg-", "index-", purgeLogName}[rng.IntN(5)]
 	often := 1 + rng.IntN(4) // in four
 	return func(op, name string) error {
 		if ops[op] && strings.HasPrefix(name, prefix) && rng.IntN(4) < often {
--- a/internal/cachenode/store/object.go
+++ b/internal/cachenode/store/object.go
@@ -18,11 +18,11 @@
 	Size          int64
 	BeforeStart   bool // it is of before the start, and its source has not found it good since
 	PurgesUnknown bool // besides, a purge may have been missed meanwhile: only its source knows
-	s             *Store
-	g             *segment
-	off           int64
-	since         uint64
-	over          bool
+	store         *Store
+	segment       *segment
+	bodyOffset    int64
+	sincePurge    uint64
+	closed        bool
 
 	filling bool // it is being written, or was when its reader began
 }
@@ -39,14 +39,14 @@
 		return nil
 	}
 	p := s.slots[i]
-	g := s.segs[p.seg]
-	if !s.readable(g) || !s.slots[i].live() { // the latter where it lies behind the end of a segment that was opened just now
+	g := s.segments[p.segment]
+	if !s.segmentReadable(g) || !s.slots[i].live() { // the latter where it lies behind the end of a segment that was opened just now
 		s.Stats.Misses++
 		s.mu.Unlock()
 		return nil
 	}
 	g.refs++
-	s.slots[i].lens |= flagUsed
+	s.slots[i].packed |= flagUsed
 	s.mu.Unlock()
 
 	m, err := s.readMeta(g, &p)
@@ -55,46 +55,46 @@
 		m, err = s.readMeta(g, &p)
 		s.mu.Unlock()
 	}
-	if err == nil && p.lens&flagChecked == 0 {
-		err = check(g.f, &p)
+	if err == nil && p.packed&flagVerified == 0 {
+		err = verifyBody(g.file, &p)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k, still := s.byHash[hash]
-	same := still && s.slots[k].seg == p.seg && s.slots[k].off == p.off
+	same := still && s.slots[k].segment == p.segment && s.slots[k].offset8 == p.offset8
 	switch {
 	case err == nil && m.Key != key: // another of the same hash
 		s.Stats.Misses++
-	case err == nil && s.void(p.since, m):
+	case err == nil && s.purged(p.sincePurge, m):
 		s.Stats.Purged++
 		if same {
-			s.unput(hash)
+			s.removePlace(hash)
 		}
 	case err != nil && !errors.Is(err, ErrCorrupt): // it may be right, and is read again later
 		s.Stats.Misses++
-		s.rest(g, err)
+		s.suspendSegment(g, err)
 	case err != nil:
 		s.Stats.Corrupt++
 		if same {
-			s.s.Warn(fmt.Sprintf("store: a copy in %s at byte %d is not given out: %v", segmentName(p.seg), int64(p.off)*8, err))
-			s.unput(hash)
-			s.recordDrop(hash)
+			s.options.Warn(fmt.Sprintf("store: a copy in %s at byte %d is not given out: %v", segmentName(p.segment), int64(p.offset8)*8, err))
+			s.removePlace(hash)
+			s.logDrop(hash)
 		}
 	default:
 		if same {
-			s.slots[k].lens |= flagChecked
+			s.slots[k].packed |= flagVerified
 		}
 		s.Stats.Hits++
-		return s.copyOf(&p, g, m)
+		return s.cachedObject(&p, g, m)
 	}
 	s.unref(g, 1)
 	return nil
 }
 
 // copyOf is a copy that was found. Its segment has one more reader.
-func (s *Store) copyOf(p *place, g *segment, m *Meta) *CachedObject {
-	before := p.lens&flagKnown == 0
-	return &CachedObject{Meta: *m, Size: p.body(), s: s, g: g, off: int64(p.off)*8 + int64(p.meta()), since: p.since, BeforeStart: before, PurgesUnknown: before && !s.caught}
+func (s *Store) cachedObject(p *place, g *segment, m *Meta) *CachedObject {
+	before := p.packed&flagConfirmed == 0
+	return &CachedObject{Meta: *m, Size: p.bodyLen(), store: s, segment: g, bodyOffset: int64(p.offset8)*8 + int64(p.metaLen()), sincePurge: p.sincePurge, BeforeStart: before, PurgesUnknown: before && !s.purgesCaughtUp}
 }
 
 // FindNow is Find where the answer is known without waiting, for the disk or for another
@@ -110,33 +110,33 @@
 		return nil, true
 	}
 	p := &s.slots[i]
-	g := s.segs[p.seg]
-	f, can := g.f.(nowReader)
-	if !can || p.lens&flagChecked == 0 || g.fault != nil || s.distrusted(g) {
+	g := s.segments[p.segment]
+	f, can := g.file.(nowReader)
+	if !can || p.packed&flagVerified == 0 || g.fault != nil || s.syncLost(g) {
 		return nil, false
 	}
-	if cap(s.head) < p.meta() {
-		s.head = make([]byte, max(p.meta(), 4096))
+	if cap(s.headBuffer) < p.metaLen() {
+		s.headBuffer = make([]byte, max(p.metaLen(), 4096))
 	}
-	b := s.head[:p.meta()]
-	if n, err := f.ReadNow(b, int64(p.off)*8); err != nil || n < len(b) {
+	b := s.headBuffer[:p.metaLen()]
+	if n, err := f.ReadNow(b, int64(p.offset8)*8); err != nil || n < len(b) {
 		return nil, false
 	}
 	m, err := parseMeta(b)
-	if err != nil || m.Key != key || s.void(p.since, m) {
+	if err != nil || m.Key != key || s.purged(p.sincePurge, m) {
 		return nil, false // to be told, and dropped, by Find
 	}
-	p.lens |= flagUsed
+	p.packed |= flagUsed
 	g.refs++
 	s.Stats.Hits++
-	return s.copyOf(p, g, m), true
+	return s.cachedObject(p, g, m), true
 }
 
 // check reads a body, and compares its checksum.
-func check(f File, p *place) error {
-	buf := make([]byte, min(p.body(), 1<<20))
-	sum, at := uint32(0), int64(p.off)*8+int64(p.meta())
-	for left := p.body(); left > 0; {
+func verifyBody(f File, p *place) error {
+	buf := make([]byte, min(p.bodyLen(), 1<<20))
+	sum, at := uint32(0), int64(p.offset8)*8+int64(p.metaLen())
+	for left := p.bodyLen(); left > 0; {
 		n := min(left, int64(len(buf)))
 		if _, err := f.ReadAt(buf[:n], at); err != nil {
 			if errors.Is(err, io.EOF) {
@@ -147,7 +147,7 @@
 		sum = crc32.Update(sum, castagnoli, buf[:n])
 		at, left = at+n, left-n
 	}
-	if sum != p.crc {
+	if sum != p.bodyCRC {
 		return ErrCorrupt
 	}
 	return nil
@@ -162,8 +162,8 @@
 	if short {
 		b = b[:c.Size-off]
 	}
-	n, err := c.g.f.ReadAt(b, c.off+off)
-	if c.unsure() {
+	n, err := c.segment.file.ReadAt(b, c.bodyOffset+off)
+	if c.syncLost() {
 		return 0, errSyncFailed
 	}
 	if err == nil && short {
@@ -175,34 +175,34 @@
 // ReadNow reads of the copy's bytes what is there without a wait for the disk; fewer than
 // were asked for, down to none: ReadAt has the rest.
 func (c *CachedObject) TryReadAt(b []byte, off int64) int {
-	f, can := c.g.f.(nowReader)
+	f, can := c.segment.file.(nowReader)
 	if !can || off >= c.Size {
 		return 0
 	}
-	n, _ := f.ReadNow(b[:min(int64(len(b)), c.Size-off)], c.off+off)
-	if c.unsure() {
+	n, _ := f.ReadNow(b[:min(int64(len(b)), c.Size-off)], c.bodyOffset+off)
+	if c.syncLost() {
 		return 0
 	}
 	return n
 }
 
 // unsure reports whether a sync has lost what may be the copy's bytes.
-func (c *CachedObject) unsure() bool {
-	return c.g.syncFailed.Load() && (c.filling || c.s.distrusted(c.g))
+func (c *CachedObject) syncLost() bool {
+	return c.segment.syncFailed.Load() && (c.filling || c.store.syncLost(c.segment))
 }
 
 // Void reports whether a purge voids the copy by now.
 func (c *CachedObject) Purged() bool {
-	c.s.mu.Lock()
-	defer c.s.mu.Unlock()
-	return c.s.void(c.since, &c.Meta)
+	c.store.mu.Lock()
+	defer c.store.mu.Unlock()
+	return c.store.purged(c.sincePurge, &c.Meta)
 }
 
 // Renew says that the copy's source has found it still good: it was born so much later
 // (Unix ms). It is written over its head in place; one that a crash tears is dropped by its
 // checksum. False: it is not the copy of its key any more, or its head would not fit.
 func (c *CachedObject) Renew(born int64) (bool, error) {
-	s := c.s
+	s := c.store
 	m := c.Meta
 	m.Born = born
 	meta, err := json.Marshal(&m)
@@ -216,27 +216,27 @@
 		return false, nil
 	}
 	p := &s.slots[i]
-	at := int64(p.off) * 8
-	if p.seg != c.g.n || at+int64(p.meta()) != c.off || 4+len(meta) != p.meta() || s.void(p.since, &m) {
+	at := int64(p.offset8) * 8
+	if p.segment != c.segment.number || at+int64(p.metaLen()) != c.bodyOffset || 4+len(meta) != p.metaLen() || s.purged(p.sincePurge, &m) {
 		return false, nil
 	}
 	head := append(make([]byte, 4, 4+len(meta)), meta...)
 	binary.LittleEndian.PutUint32(head, crc32.Checksum(meta, castagnoli))
-	if err := writeAt(c.g.f, head, at); err != nil {
-		return false, s.failSegment("write", c.g, err)
+	if err := writeAt(c.segment.file, head, at); err != nil {
+		return false, s.failSegment("write", c.segment, err)
 	}
 	s.Stats.WrittenBytes += int64(len(head))
-	p.lens |= flagKnown
+	p.packed |= flagConfirmed
 	c.Born, c.BeforeStart, c.PurgesUnknown = born, false, false
 	return true, nil
 }
 
 // Close ends reading.
 func (c *CachedObject) Close() {
-	c.s.mu.Lock()
-	defer c.s.mu.Unlock()
-	if !c.over {
-		c.over = true
-		c.s.unref(c.g, 1)
+	c.store.mu.Lock()
+	defer c.store.mu.Unlock()
+	if !c.closed {
+		c.closed = true
+		c.store.unref(c.segment, 1)
 	}
 }
--- a/internal/cachenode/store/options.go
+++ b/internal/cachenode/store/options.go
@@ -26,7 +26,7 @@
 	Now           func() time.Time // for the backoff of what failed; nil: time.Now
 }
 
-func (s Options) filled() Options {
+func (s Options) withDefaults() Options {
 	if s.MaxBytes <= 0 {
 		s.MaxBytes = 1 << 30
 	}
--- a/internal/cachenode/store/purge.go
+++ b/internal/cachenode/store/purge.go
@@ -55,71 +55,71 @@
 }
 
 // floor is what of an object, group or tag is void.
-type floor struct {
-	plain   uint64 // of the last purge without a version: what began before it is void
-	number  uint64 // of the last with one: so is what began before it and has none
-	version int64  // and what has an older one, whenever it began
+type watermark struct {
+	unversioned uint64 // of the last purge without a version: what began before it is void
+	versioned   uint64 // of the last with one: so is what began before it and has none
+	version     int64  // and what has an older one, whenever it began
 }
 
-func (f floor) with(w *Purge) floor {
+func (f watermark) with(w *Purge) watermark {
 	if w.Version <= 0 {
-		f.plain = max(f.plain, w.Number)
+		f.unversioned = max(f.unversioned, w.Number)
 		return f
 	}
-	f.number, f.version = max(f.number, w.Number), max(f.version, w.Version)
+	f.versioned, f.version = max(f.versioned, w.Number), max(f.version, w.Version)
 	return f
 }
 
 // voids reports whether a floor voids a copy.
-func (f floor) voids(since uint64, version int64) bool {
-	if since < f.plain {
+func (f watermark) covers(since uint64, version int64) bool {
+	if since < f.unversioned {
 		return true
 	}
 	if version > 0 {
 		return version < f.version
 	}
-	return since < f.number
+	return since < f.versioned
 }
 
 // apply has a purge hold from now on.
-func (s *Store) apply(w Purge) {
+func (s *Store) applyPurge(w Purge) {
 	switch w.Scope {
 	case ByObject:
 		h := xxhash.Sum64String(w.Text)
-		s.objects[h] = s.objects[h].with(&w)
+		s.objectPurges[h] = s.objectPurges[h].with(&w)
 	case ByGroup:
-		s.groups[w.Group] = s.groups[w.Group].with(&w)
+		s.groupPurges[w.Group] = s.groupPurges[w.Group].with(&w)
 	case byHash:
 		if len(w.Text) == 8 {
 			h := binary.LittleEndian.Uint64([]byte(w.Text))
-			s.objects[h] = s.objects[h].with(&w)
+			s.objectPurges[h] = s.objectPurges[h].with(&w)
 		}
 	case ByTag, ByPrefix:
-		for i := range s.rules {
-			if r := &s.rules[i]; r.Scope == w.Scope && r.Text == w.Text && (r.Version > 0) == (w.Version > 0) {
+		for i := range s.purgeRules {
+			if r := &s.purgeRules[i]; r.Scope == w.Scope && r.Text == w.Text && (r.Version > 0) == (w.Version > 0) {
 				r.Number, r.Version = max(r.Number, w.Number), max(r.Version, w.Version)
 				return
 			}
 		}
-		s.rules = append(s.rules, w)
+		s.purgeRules = append(s.purgeRules, w)
 		if w.Version <= 0 {
-			s.plain++
+			s.unversionedRules++
 		}
 	}
 }
 
 // void reports whether a purge voids a copy.
-func (s *Store) void(since uint64, m *Meta) bool {
-	if f, ok := s.objects[xxhash.Sum64String(m.Object)]; ok && f.voids(since, m.Version) {
+func (s *Store) purged(since uint64, m *Meta) bool {
+	if f, ok := s.objectPurges[xxhash.Sum64String(m.Object)]; ok && f.covers(since, m.Version) {
 		return true
 	}
-	if f, ok := s.groups[m.Group]; ok && f.voids(since, m.Version) {
+	if f, ok := s.groupPurges[m.Group]; ok && f.covers(since, m.Version) {
 		return true
 	}
-	for i := range s.rules {
-		w := &s.rules[i]
-		f := floor{}.with(w)
-		if f.voids(since, m.Version) && (w.Scope == ByPrefix && strings.HasPrefix(m.Key, w.Text) || w.Scope == ByTag && slices.Contains(m.Tags, w.Text)) {
+	for i := range s.purgeRules {
+		w := &s.purgeRules[i]
+		f := watermark{}.with(w)
+		if f.covers(since, m.Version) && (w.Scope == ByPrefix && strings.HasPrefix(m.Key, w.Text) || w.Scope == ByTag && slices.Contains(m.Tags, w.Text)) {
 			return true
 		}
 	}
@@ -128,34 +128,34 @@
 
 // holding is the purges that have to last: those that may void what is here, or what
 // is being fetched.
-func (s *Store) holding() []Purge {
-	list := []Purge{{Number: s.number, Scope: byNumber}}
-	add := func(f floor, w Purge) {
-		if w.Number = f.plain; w.Number > 0 {
+func (s *Store) lastingPurges() []Purge {
+	list := []Purge{{Number: s.lastPurge, Scope: byNumber}}
+	add := func(f watermark, w Purge) {
+		if w.Number = f.unversioned; w.Number > 0 {
 			list = append(list, w)
 		}
-		if w.Number, w.Version = f.number, f.version; w.Version > 0 {
+		if w.Number, w.Version = f.versioned, f.version; w.Version > 0 {
 			list = append(list, w)
 		}
 	}
-	for h, f := range s.objects {
+	for h, f := range s.objectPurges {
 		add(f, Purge{Scope: byHash, Text: string(binary.LittleEndian.AppendUint64(nil, h))})
 	}
-	for g, f := range s.groups {
+	for g, f := range s.groupPurges {
 		add(f, Purge{Scope: ByGroup, Group: g})
 	}
-	return append(list, s.rules...)
+	return append(list, s.purgeRules...)
 }
 
 // settleAt is how many purges by tag and prefix without a version there may be before they
 // are settled.
-func (s *Store) settleAt() int { return max(s.s.MaxPurgeRules, s.postponed) }
+func (s *Store) settleThreshold() int { return max(s.options.MaxPurgeRules, s.settlePostponed) }
 
 // settle looks through all copies for those that purges by tag or prefix void, and
 // forgets these purges. Those with a version stay: older ones may still come. False: some
 // copies can't be read for now, and the purges are kept for them; at four times as many
 // purges, these copies are given up.
-func (s *Store) settle() bool {
+func (s *Store) settleRules() bool {
 	var void []uint64
 	unreadable := 0
 	for i := range s.slots {
@@ -163,43 +163,43 @@
 		if !p.live() {
 			continue
 		}
-		m, err := s.readMeta(s.segs[p.seg], p)
+		m, err := s.readMeta(s.segments[p.segment], p)
 		if err != nil && !errors.Is(err, ErrCorrupt) {
 			unreadable++
 		}
-		if err != nil || s.void(p.since, m) {
-			void = append(void, p.hash)
+		if err != nil || s.purged(p.sincePurge, m) {
+			void = append(void, p.keyHash)
 		}
 	}
-	if unreadable > 0 && s.plain < 4*s.s.MaxPurgeRules {
-		s.postponed = min(2*s.plain, 4*s.s.MaxPurgeRules)
+	if unreadable > 0 && s.unversionedRules < 4*s.options.MaxPurgeRules {
+		s.settlePostponed = min(2*s.unversionedRules, 4*s.options.MaxPurgeRules)
 		return false
 	}
-	s.postponed = 0
+	s.settlePostponed = 0
 	for _, h := range void {
-		s.unput(h)
+		s.removePlace(h)
 		s.Stats.Purged++
 	}
 	// what is left was looked at; a fill that is under way was not, and is not kept
 	for i := range s.slots {
 		if s.slots[i].live() {
-			s.slots[i].since = s.number
+			s.slots[i].sincePurge = s.lastPurge
 		}
 	}
-	s.barrier = s.number
-	s.rules, s.plain = slices.DeleteFunc(s.rules, func(w Purge) bool { return w.Version <= 0 }), 0
-	for h, f := range s.objects {
-		if f.plain = 0; f.version == 0 {
-			delete(s.objects, h)
+	s.fillBarrier = s.lastPurge
+	s.purgeRules, s.unversionedRules = slices.DeleteFunc(s.purgeRules, func(w Purge) bool { return w.Version <= 0 }), 0
+	for h, f := range s.objectPurges {
+		if f.unversioned = 0; f.version == 0 {
+			delete(s.objectPurges, h)
 		} else {
-			s.objects[h] = f
+			s.objectPurges[h] = f
 		}
 	}
-	for g, f := range s.groups {
-		if f.plain = 0; f.version == 0 {
-			delete(s.groups, g)
+	for g, f := range s.groupPurges {
+		if f.unversioned = 0; f.version == 0 {
+			delete(s.groupPurges, g)
 		} else {
-			s.groups[g] = f
+			s.groupPurges[g] = f
 		}
 	}
 	return true
--- a/internal/cachenode/store/recovery.go
+++ b/internal/cachenode/store/recovery.go
@@ -12,17 +12,17 @@
 
 // reset forgets what an attempt to read the folder has found.
 func (s *Store) reset() {
-	for _, g := range s.segs {
-		if g.f != nil {
-			g.f.Close()
+	for _, g := range s.segments {
+		if g.file != nil {
+			g.file.Close()
 		}
 	}
-	s.slots, s.free, s.byHash = nil, nil, map[uint64]uint32{}
-	s.segs, s.order, s.used, s.nextN = map[uint32]*segment{}, nil, 0, 1
-	s.objects, s.groups = map[uint64]floor{}, map[int32]floor{}
-	s.rules, s.plain = nil, 0
-	s.number, s.indexN = 0, 0
-	s.found = Recovered{}
+	s.slots, s.freeSlots, s.byHash = nil, nil, map[uint64]uint32{}
+	s.segments, s.segmentOrder, s.usedBytes, s.nextSegment = map[uint32]*segment{}, nil, 0, 1
+	s.objectPurges, s.groupPurges = map[uint64]watermark{}, map[int32]watermark{}
+	s.purgeRules, s.unversionedRules = nil, 0
+	s.lastPurge, s.indexNumber = 0, 0
+	s.recovered = Recovered{}
 }
 
 func readAll(f File) ([]byte, error) {
@@ -52,17 +52,17 @@
 }
 
 // listing is the files of the folder by what they are.
-type listing struct {
-	has      map[string]bool
+type folderListing struct {
+	names    map[string]bool
 	segments []uint32
 	indexes  []int
 }
 
-func (s *Store) list() (listing, error) {
+func (s *Store) listFolder() (folderListing, error) {
 	names, err := s.fs.List()
-	l := listing{has: map[string]bool{}}
+	l := folderListing{names: map[string]bool{}}
 	for _, name := range names {
-		l.has[name] = true
+		l.names[name] = true
 		var segment uint32
 		var index int
 		if _, err := fmt.Sscanf(name, "seg-%08d.dat", &segment); err == nil && segmentName(segment) == name {
@@ -77,8 +77,8 @@
 }
 
 // readFormat sees that the folder is of this form, and makes it one where it is new.
-func (s *Store) readFormat(l listing) error {
-	b, err := s.readFile(formatName, l.has[formatName])
+func (s *Store) readFormat(l folderListing) error {
+	b, err := s.readFile(formatName, l.names[formatName])
 	text := string(b)
 	switch {
 	case err != nil:
@@ -103,78 +103,78 @@
 // the other; where both are, a purge may be lost, and nothing of before is kept. A file
 // that can't be read is no damaged one: then nothing is changed, and it is tried again;
 // but segments may be missing meanwhile, and are opened later.
-func (s *Store) read() error {
+func (s *Store) recover() error {
 	s.reset()
-	l, err := s.list()
+	l, err := s.listFolder()
 	if err != nil {
 		return s.fail("list", "", err)
 	}
 	if err := s.readFormat(l); err != nil {
 		return err
 	}
-	words, err := s.readFile(wordsName, l.has[wordsName])
+	words, err := s.readFile(purgeLogName, l.names[purgeLogName])
 	if err != nil {
-		return s.fail("read", wordsName, err)
+		return s.fail("read", purgeLogName, err)
 	}
 	var index []byte
 	if len(l.indexes) > 0 {
-		s.indexN = l.indexes[len(l.indexes)-1]
-		if index, err = s.readFile(indexName(s.indexN), true); err != nil {
-			return s.fail("read", indexName(s.indexN), err)
+		s.indexNumber = l.indexes[len(l.indexes)-1]
+		if index, err = s.readFile(indexName(s.indexNumber), true); err != nil {
+			return s.fail("read", indexName(s.indexNumber), err)
 		}
 	}
 	for _, n := range l.segments {
-		s.nextN = max(s.nextN, n+1)
-		g := &segment{n: n, synced: true}
-		if err := s.open(g); err != nil {
-			g.size = s.s.SegmentBytes
-			s.rest(g, err)
+		s.nextSegment = max(s.nextSegment, n+1)
+		g := &segment{number: n, synced: true}
+		if err := s.openSegment(g); err != nil {
+			g.size = s.options.SegmentBytes
+			s.suspendSegment(g, err)
 		}
-		s.segs[n] = g
+		s.segments[n] = g
 	}
-	s.used = 0
-	purges := s.replay(words, index, len(l.indexes) > 0)
-	s.adopt(purges)
-	for name := range l.has {
-		if strings.HasSuffix(name, ".new") && len(s.stale) < mostStale {
-			s.stale = append(s.stale, name)
+	s.usedBytes = 0
+	purges := s.replayLogs(words, index, len(l.indexes) > 0)
+	s.adoptRecovered(purges)
+	for name := range l.names {
+		if strings.HasSuffix(name, ".new") && len(s.staleFiles) < maxStaleFiles {
+			s.staleFiles = append(s.staleFiles, name)
 		}
 	}
 	for _, n := range l.indexes { // they go once there is a log of this life
-		if len(s.stale) < mostStale {
-			s.stale = append(s.stale, indexName(n))
+		if len(s.staleFiles) < maxStaleFiles {
+			s.staleFiles = append(s.staleFiles, indexName(n))
 		}
 	}
-	s.unread = false
+	s.logsUnread = false
 	return nil
 }
 
 // replay takes the copies of the index log, and returns the purges of both logs.
-func (s *Store) replay(words, index []byte, indexed bool) (purges []Purge) {
-	r := &s.found
+func (s *Store) replayLogs(words, index []byte, indexed bool) (purges []Purge) {
+	r := &s.recovered
 	purge := func(b []byte) {
 		if w, ok := readPurge(b); ok {
 			purges = append(purges, w)
 		}
 	}
-	damaged, within := entries(words, func(kind byte, payload []byte) {
-		if kind == kindWord {
+	damaged, within := readEntries(words, func(kind byte, payload []byte) {
+		if kind == entryPurge {
 			purge(payload)
 		}
 	})
 	r.CorruptEntries += damaged
 	within = within || len(words) == 0 && indexed
-	damaged, _ = entries(index, func(kind byte, payload []byte) {
+	damaged, _ = readEntries(index, func(kind byte, payload []byte) {
 		switch kind {
-		case kindAdd:
+		case entryAdd:
 			if p, ok := readPlace(payload); ok {
-				s.put(p)
+				s.addPlace(p)
 			}
-		case kindDrop:
+		case entryDrop:
 			if len(payload) >= 8 {
-				s.unput(binary.LittleEndian.Uint64(payload))
+				s.removePlace(binary.LittleEndian.Uint64(payload))
 			}
-		case kindWord:
+		case entryPurge:
 			purge(payload)
 		}
 	})
@@ -182,77 +182,77 @@
 	switch {
 	case damaged > 0 && within:
 		r.DiscardReason = "both logs are damaged: a purge may be lost"
-	case !indexed && len(s.segs) > 0:
+	case !indexed && len(s.segments) > 0:
 		r.DiscardReason = "there is no index"
-	case s.overrun:
+	case s.pendingOverflow:
 		r.DiscardReason = "more purges came than are remembered while the logs could not be read"
 	}
 	return purges
 }
 
 // adopt begins with what was read.
-func (s *Store) adopt(purges []Purge) {
-	r := &s.found
+func (s *Store) adoptRecovered(purges []Purge) {
+	r := &s.recovered
 	newest := uint64(0)
 	for i := range s.slots {
 		if s.slots[i].live() {
-			newest = max(newest, s.slots[i].since)
+			newest = max(newest, s.slots[i].sincePurge)
 		}
 	}
 	for i := range purges {
-		s.number = max(s.number, purges[i].Number)
+		s.lastPurge = max(s.lastPurge, purges[i].Number)
 	}
-	if newest > s.number {
-		r.DiscardReason = fmt.Sprintf("copies know of purge %d, the logs of %d", newest, s.number)
-		s.number = newest
+	if newest > s.lastPurge {
+		r.DiscardReason = fmt.Sprintf("copies know of purge %d, the logs of %d", newest, s.lastPurge)
+		s.lastPurge = newest
 	}
 	if r.DiscardReason != "" {
-		s.s.Warn("store: nothing of before is kept: " + r.DiscardReason)
-		s.slots, s.free, s.byHash = nil, nil, map[uint64]uint32{}
+		s.options.Warn("store: nothing of before is kept: " + r.DiscardReason)
+		s.slots, s.freeSlots, s.byHash = nil, nil, map[uint64]uint32{}
 	}
 	sort.SliceStable(purges, func(i, k int) bool { return purges[i].Number < purges[k].Number })
 	for i := range purges {
 		if i == 0 || purges[i] != purges[i-1] {
-			s.apply(purges[i])
+			s.applyPurge(purges[i])
 			r.Purges++
 		}
 	}
-	s.number = max(s.number, s.latest.Load())
-	for _, w := range s.waiting { // after all that were read, and all fills that began meanwhile
-		s.number++
-		w.Number = s.number
-		s.apply(w)
+	s.lastPurge = max(s.lastPurge, s.announcedPurge.Load())
+	for _, w := range s.pendingPurges { // after all that were read, and all fills that began meanwhile
+		s.lastPurge++
+		w.Number = s.lastPurge
+		s.applyPurge(w)
 	}
-	s.waiting, s.overrun = nil, false
-	s.latest.Store(s.number)
-	for n, g := range s.segs { // what nothing stands in goes
+	s.pendingPurges, s.pendingOverflow = nil, false
+	s.announcedPurge.Store(s.lastPurge)
+	for n, g := range s.segments { // what nothing stands in goes
 		if len(g.slots) == 0 || r.DiscardReason != "" {
-			if g.f != nil {
-				g.f.Close()
+			if g.file != nil {
+				g.file.Close()
 			}
-			delete(s.segs, n)
+			delete(s.segments, n)
 			s.remove(segmentName(n))
 			continue
 		}
-		s.order = append(s.order, n)
-		s.used += g.size
+		s.segmentOrder = append(s.segmentOrder, n)
+		s.usedBytes += g.size
 	}
-	slices.Sort(s.order)
+	slices.Sort(s.segmentOrder)
 	for i := range s.slots {
 		if s.slots[i].live() {
 			r.Objects++
-			r.Bytes += s.slots[i].body()
+			r.Bytes += s.slots[i].bodyLen()
 		}
 	}
-	s.newest.Store(s.newestBorn())
+	s.newestAtStart.Store(s.newestBorn())
 }
 
 // newestBorn looks for the newest among what was read.
 func (s *Store) newestBorn() (newest int64) {
-	if len(s.order) == 0 {
+	if len(s.segmentOrder) == 0 {
 		return 0
 	}
-	g := s.segs[s.order[len(s.order)-1]]
+	g := s.segments[s.segmentOrder[len(s.segmentOrder)-1]]
 	for _, i := range g.slots[max(len(g.slots)-64, 0):] {
 		if m, err := s.readMeta(g, &s.slots[i]); err == nil {
 			newest = max(newest, m.Born)
--- a/internal/cachenode/store/store.go
+++ b/internal/cachenode/store/store.go
@@ -17,59 +17,59 @@
 )
 
 const (
-	formatName = "format"
-	formatText = "indigospool store 1\n"
-	wordsName  = "purges.log"
+	formatName   = "format"
+	formatText   = "indigospool store 1\n"
+	purgeLogName = "purges.log"
 )
 
 func indexName(n int) string { return fmt.Sprintf("index-%06d.log", n) }
 
 // Store is an open store.
 type Store struct {
-	fs   FS
-	s    Options
-	lock io.Closer
-
-	mu     sync.Mutex
-	closed bool
-	index  File
-	indexN int
-	indexL int64 // its length
-	words  File
-	wordsL int64
-	slots  []place
-	free   []uint32
-	byHash map[uint64]uint32
-	segs   map[uint32]*segment
-	order  []uint32 // of segments, the oldest first
-	active *segment
-	nextN  uint32
-	used   int64
-	number uint64        // of the last purge
-	latest atomic.Uint64 // the same
-	newest atomic.Int64  // see Newest
-
-	objects map[uint64]floor
-	groups  map[int32]floor
-	rules   []Purge // by tag and prefix
-	plain   int     // of them, those without a version
-	barrier uint64  // fills that began before this purge are not kept
-
-	failure       *FaultError // of the disk's: nothing is kept until retry succeeds; nil: it works
-	retry         backoff
-	logBroken     bool     // the logs are to be written anew before they are added to; failure is set
-	segmentBroken bool     // a new segment has to be begun; failure is set
-	unread        bool     // what the folder holds could not be read yet; failure is set
-	waiting       []Purge  // that came while it is unread
-	overrun       bool     // there were more of them
-	postponed     int      // purges at which settle is tried again; 0: it is not put off
-	stale         []string // files that could not be removed yet
-	ailing        atomic.Bool
-	found         Recovered
-
-	head   []byte // of FindNow
-	caught bool   // see CaughtUp
-	Stats  Stats
+	fs      FS
+	options Options
+	lock    io.Closer
+
+	mu             sync.Mutex
+	closed         bool
+	indexLog       File
+	indexNumber    int
+	indexLogLen    int64 // its length
+	purgeLog       File
+	purgeLogLen    int64
+	slots          []place
+	freeSlots      []uint32
+	byHash         map[uint64]uint32
+	segments       map[uint32]*segment
+	segmentOrder   []uint32 // of segments, the oldest first
+	active         *segment
+	nextSegment    uint32
+	usedBytes      int64
+	lastPurge      uint64        // of the last purge
+	announcedPurge atomic.Uint64 // the same
+	newestAtStart  atomic.Int64  // see Newest
+
+	objectPurges     map[uint64]watermark
+	groupPurges      map[int32]watermark
+	purgeRules       []Purge // by tag and prefix
+	unversionedRules int     // of them, those without a version
+	fillBarrier      uint64  // fills that began before this purge are not kept
+
+	failure         *FaultError // of the disk's: nothing is kept until retry succeeds; nil: it works
+	backoff         backoff
+	logsBroken      bool     // the logs are to be written anew before they are added to; failure is set
+	segmentBroken   bool     // a new segment has to be begun; failure is set
+	logsUnread      bool     // what the folder holds could not be read yet; failure is set
+	pendingPurges   []Purge  // that came while it is unread
+	pendingOverflow bool     // there were more of them
+	settlePostponed int      // purges at which settle is tried again; 0: it is not put off
+	staleFiles      []string // files that could not be removed yet
+	faulty          atomic.Bool
+	recovered       Recovered
+
+	headBuffer     []byte // of FindNow
+	purgesCaughtUp bool   // see CaughtUp
+	Stats          Stats
 }
 
 // Stats counts what a store has done since it was opened. Its JSON keys are those of the
@@ -103,26 +103,26 @@
 // could be read, keeps nothing until it can be written, and tries again by itself (Status,
 // Mend).
 func Open(fs FS, set Options) (*Store, Recovered, error) {
-	s := &Store{fs: fs, s: set.filled(), unread: true, logBroken: true}
+	s := &Store{fs: fs, options: set.withDefaults(), logsUnread: true, logsBroken: true}
 	s.reset()
-	if err := s.attempt(); errors.Is(err, ErrFormat) || s.lock == nil && !passes(err) {
-		s.release()
+	if err := s.retryNow(); errors.Is(err, ErrFormat) || s.lock == nil && !transient(err) {
+		s.closeFiles()
 		return nil, Recovered{}, s.failure.Err
 	}
-	return s, s.found, nil
+	return s, s.recovered, nil
 }
 
-func (s *Store) release() {
-	for _, g := range s.segs {
-		if g.f != nil {
-			g.f.Close()
+func (s *Store) closeFiles() {
+	for _, g := range s.segments {
+		if g.file != nil {
+			g.file.Close()
 		}
 	}
-	if s.index != nil {
-		s.index.Close()
+	if s.indexLog != nil {
+		s.indexLog.Close()
 	}
-	if s.words != nil {
-		s.words.Close()
+	if s.purgeLog != nil {
+		s.purgeLog.Close()
 	}
 	if s.lock != nil {
 		s.lock.Close()
@@ -137,11 +137,11 @@
 		return nil
 	}
 	s.closed = true
-	defer s.release()
+	defer s.closeFiles()
 	if s.failure != nil { // once more, whatever its backoff
-		return errors.Join(s.attempt(), s.syncSegments())
+		return errors.Join(s.retryNow(), s.syncSegments())
 	}
-	return errors.Join(s.syncSegments(), s.index.Sync())
+	return errors.Join(s.syncSegments(), s.indexLog.Sync())
 }
 
 // Counts is the counters now.
@@ -155,10 +155,10 @@
 func (s *Store) Usage() (copies int, bytes int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.byHash), s.used
+	return len(s.byHash), s.usedBytes
 }
 
 // Newest is the time of birth, Unix ms, of the newest copy among those of before the start
 // that were written last; 0: there is none, or it could not be read. One that lies in the
 // future tells that the clock was stepped back. It never waits.
-func (s *Store) Newest() int64 { return s.newest.Load() }
+func (s *Store) Newest() int64 { return s.newestAtStart.Load() }
--- a/internal/cachenode/store/testobject_test.go
+++ b/internal/cachenode/store/testobject_test.go
@@ -17,7 +17,7 @@
 	return b
 }
 
-func keep(t testing.TB, s *Store, key string, version int64, n int) bool {
+func storeObject(t testing.TB, s *Store, key string, version int64, n int) bool {
 	t.Helper()
 	w, err := s.Begin(Meta{Key: key, Object: key, Group: int32(n % 3), Version: version, Born: version, Rank: 2}, int64(n))
 	if err != nil {
@@ -34,7 +34,7 @@
 }
 
 // good reports whether a key is found, with the bytes of its version.
-func good(t testing.TB, s *Store, key string) (version int64, found bool) {
+func lookupChecked(t testing.TB, s *Store, key string) (version int64, found bool) {
 	t.Helper()
 	c := s.Lookup(key)
 	if c == nil {
--- a/internal/cachenode/store/threads.go
+++ b/internal/cachenode/store/threads.go
@@ -9,13 +9,13 @@
 // bounded, and a disk that hangs is seen: then nothing more is taken, and whoever asks
 // goes on without the disk until it answers again.
 type Threads struct {
-	n        int
-	patience time.Duration
-	jobs     chan func()
-	wg       sync.WaitGroup
+	count   int
+	timeout time.Duration
+	jobs    chan func()
+	wg      sync.WaitGroup
 
 	mu       sync.Mutex
-	since    map[int]time.Time // of the job that each thread is at
+	started  map[int]time.Time // of the job that each thread is at
 	closed   bool
 	Rejected uint64 // jobs that were not taken
 }
@@ -24,18 +24,18 @@
 // for longer than the patience hangs.
 func NewThreads(n, queue int, patience time.Duration) *Threads {
 	n = max(n, 1)
-	t := &Threads{n: n, patience: patience, jobs: make(chan func(), max(queue, 1)), since: map[int]time.Time{}}
+	t := &Threads{count: n, timeout: patience, jobs: make(chan func(), max(queue, 1)), started: map[int]time.Time{}}
 	for i := range n {
 		t.wg.Add(1)
 		go func() {
 			defer t.wg.Done()
 			for f := range t.jobs {
 				t.mu.Lock()
-				t.since[i] = time.Now()
+				t.started[i] = time.Now()
 				t.mu.Unlock()
 				f()
 				t.mu.Lock()
-				delete(t.since, i)
+				delete(t.started, i)
 				t.mu.Unlock()
 			}
 		}()
@@ -67,11 +67,11 @@
 }
 
 func (t *Threads) hung() bool {
-	if len(t.since) == 0 || len(t.since) < t.n {
+	if len(t.started) == 0 || len(t.started) < t.count {
 		return false
 	}
-	for _, at := range t.since {
-		if time.Since(at) < t.patience {
+	for _, at := range t.started {
+		if time.Since(at) < t.timeout {
 			return false
 		}
 	}
@@ -91,6 +91,6 @@
 	go func() { t.wg.Wait(); close(done) }()
 	select {
 	case <-done:
-	case <-time.After(t.patience):
+	case <-time.After(t.timeout):
 	}
 }
