--- a/internal/cachenode/store/bench_test.go
+++ b/internal/cachenode/store/bench_test.go
@@ -17,39 +17,39 @@
 	for _, n := range []int{10_000, 100_000, 1_000_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			dir := b.TempDir()
-			set := Options{MaxBytes: 4 << 30, SegmentBytes: 64 << 20}
-			s, _, err := Open(Dir(dir), set)
+			options := Options{MaxBytes: 4 << 30, SegmentBytes: 64 << 20}
+			store, _, err := Open(Dir(dir), options)
 			if err != nil {
 				b.Fatal(err)
 			}
 			for i := range n {
-				storeObject(b, s, fmt.Sprintf("/object/%d", i), 1, 64)
+				storeObject(b, store, fmt.Sprintf("/object/%d", i), 1, 64)
 			}
-			s.lock.Close() // as if it had been killed
+			store.lock.Close() // as if it had been killed
 			var before, after runtime.MemStats
 			for b.Loop() {
 				b.StopTimer()
-				s = nil
+				store = nil
 				runtime.GC()
 				runtime.ReadMemStats(&before)
 				b.StartTimer()
 				var r Recovered
-				if s, r, err = Open(Dir(dir), set); err != nil || r.Objects != n {
+				if store, r, err = Open(Dir(dir), options); err != nil || r.Objects != n {
 					b.Fatal(r, err)
 				}
 				b.StopTimer()
 				runtime.GC()
 				runtime.ReadMemStats(&after)
-				s.lock.Close()
-				s.indexLog.Close()
-				s.purgeLog.Close()
-				for _, g := range s.segments {
-					g.file.Close()
+				store.lock.Close()
+				store.indexLog.Close()
+				store.purgeLog.Close()
+				for _, seg := range store.segments {
+					seg.file.Close()
 				}
 				b.StartTimer()
 			}
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(n), "B/object")
-			runtime.KeepAlive(s)
+			runtime.KeepAlive(store)
 		})
 	}
 }
@@ -60,7 +60,7 @@
 	for _, kb := range []int{4, 64, 1024} {
 		const n = 200
 		dir := b.TempDir()
-		s, _, err := Open(Dir(filepath.Join(dir, "store")), Options{MaxBytes: 2 << 30})
+		store, _, err := Open(Dir(filepath.Join(dir, "store")), Options{MaxBytes: 2 << 30})
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -68,7 +68,7 @@
 		os.Mkdir(files, 0o700)
 		var open []*os.File
 		for i := range n {
-			storeObject(b, s, fmt.Sprintf("/%d", i), 1, kb<<10)
+			storeObject(b, store, fmt.Sprintf("/%d", i), 1, kb<<10)
 			name := filepath.Join(files, fmt.Sprint(i))
 			os.WriteFile(name, bodyOf("/x", 1, kb<<10), 0o600)
 			f, err := os.Open(name)
@@ -82,11 +82,11 @@
 			b.SetBytes(int64(kb) << 10)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				c := s.Lookup(fmt.Sprintf("/%d", i%n))
-				for off := int64(0); off < c.Size; off += int64(len(buf)) {
-					c.ReadAt(buf, off)
+				object := store.Lookup(fmt.Sprintf("/%d", i%n))
+				for off := int64(0); off < object.Size; off += int64(len(buf)) {
+					object.ReadAt(buf, off)
 				}
-				c.Close()
+				object.Close()
 			}
 		})
 		b.Run(fmt.Sprintf("fileserver/%dKB", kb), func(b *testing.B) {
@@ -105,7 +105,7 @@
 				}
 			}
 		})
-		s.Close()
+		store.Close()
 		for _, f := range open {
 			f.Close()
 		}
@@ -114,40 +114,40 @@
 
 type discard struct{ h http.Header }
 
-func (d *discard) Header() http.Header         { return d.h }
-func (d *discard) Write(b []byte) (int, error) { return len(b), nil }
-func (d *discard) WriteHeader(int)             {}
+func (d *discard) Header() http.Header            { return d.h }
+func (d *discard) Write(data []byte) (int, error) { return len(data), nil }
+func (d *discard) WriteHeader(int)                {}
 
 // BenchmarkKeep keeps copies of 64 KB, ten times what the store holds, under each policy;
 // a tenth of them is found again and again. written/kept is the write amplification.
 func BenchmarkWrite(b *testing.B) {
 	for name, sync := range map[string]Sync{"purges": SyncPurges, "segments": SyncSegments, "copies": SyncObjects} {
 		b.Run(name, func(b *testing.B) {
-			s, _, err := Open(Dir(b.TempDir()), Options{MaxBytes: 64 << 20, SegmentBytes: 8 << 20, Sync: sync})
+			store, _, err := Open(Dir(b.TempDir()), Options{MaxBytes: 64 << 20, SegmentBytes: 8 << 20, Sync: sync})
 			if err != nil {
 				b.Fatal(err)
 			}
-			defer s.Close()
+			defer store.Close()
 			body := bodyOf("/x", 1, 64<<10)
 			b.SetBytes(int64(len(body)))
 			worst := time.Duration(0)
 			for i := 0; b.Loop(); i++ {
 				at := time.Now()
-				w, err := s.Begin(Meta{Key: fmt.Sprint("/", i), Rank: 2}, int64(len(body)))
+				writer, err := store.Begin(Meta{Key: fmt.Sprint("/", i), Rank: 2}, int64(len(body)))
 				if err != nil {
 					b.Fatal(err)
 				}
-				w.Write(body)
-				if _, err := w.Commit(); err != nil {
+				writer.Write(body)
+				if _, err := writer.Commit(); err != nil {
 					b.Fatal(err)
 				}
-				if c := s.Lookup(fmt.Sprint("/", i/100*10)); c != nil {
-					c.Close()
+				if object := store.Lookup(fmt.Sprint("/", i/100*10)); object != nil {
+					object.Close()
 				}
-				s.Compact(128 << 10)
+				store.Compact(128 << 10)
 				worst = max(worst, time.Since(at))
 			}
-			b.ReportMetric(float64(s.Stats.WrittenBytes)/float64(s.Stats.BodyBytes), "written/kept")
+			b.ReportMetric(float64(store.Stats.WrittenBytes)/float64(store.Stats.BodyBytes), "written/kept")
 			b.ReportMetric(float64(worst.Microseconds()), "worst-us")
 		})
 	}
@@ -155,13 +155,13 @@
 
 // BenchmarkPurge is a purge until it lasts.
 func BenchmarkPurge(b *testing.B) {
-	s, _, err := Open(Dir(b.TempDir()), Options{})
+	store, _, err := Open(Dir(b.TempDir()), Options{})
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer s.Close()
+	defer store.Close()
 	for i := 0; b.Loop(); i++ {
-		if _, err := s.Purge(Purge{Scope: ByObject, Text: fmt.Sprint("/", i)}); err != nil {
+		if _, err := store.Purge(Purge{Scope: ByObject, Text: fmt.Sprint("/", i)}); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/cachenode/store/compact.go
+++ b/internal/cachenode/store/compact.go
@@ -5,118 +5,134 @@
 	"fmt"
 	"hash/crc32"
 	"io"
+	"slices"
 )
 
-// Tidy makes room ahead of need, so much of it at a time: of the segment that was written
-// first, copies that were found since they were written, and those of rank 3, are written
-// anew, and then it is given up. more: there is more to do. Whoever owns the store calls it
-// between its writes; without, Begin gives up whole segments.
-func (s *Store) Compact(most int64) (moved int64, more bool, err error) {
+// Compact makes room ahead of need: of the oldest segment, objects that were found since they
+// were written, and those of rank 3, are written anew, and then it is evicted. At most about
+// maxBytes are written anew in a call; more says that there is more to do. Whoever owns the
+// store calls it between its writes; without, Begin evicts whole segments. The error is a
+// FaultError.
+func (s *Store) Compact(maxBytes int64) (rewritten int64, more bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed || s.failure != nil {
 		return 0, false, nil
 	}
 	for len(s.segmentOrder) > 1 && s.usedBytes > s.options.MaxBytes-2*s.options.SegmentBytes {
-		g := s.segments[s.segmentOrder[0]]
-		if !s.segmentReadable(g) { // its copies may be read later; without room, Begin gives it up
-			return moved, false, nil
+		seg := s.segments[s.segmentOrder[0]]
+		if !s.segmentReadable(seg) { // its objects may be read later; without room, Begin evicts it
+			return rewritten, false, nil
 		}
-		i, ok := s.survivor(g)
+		slot, ok := s.survivor(seg)
 		if !ok {
-			s.evict(g.number)
+			s.evict(seg.number)
 			continue
 		}
-		p := s.slots[i]
-		if moved > 0 && moved+p.size() > most {
-			return moved, true, nil
+		loc := s.slots[slot]
+		if rewritten > 0 && rewritten+loc.size() > maxBytes {
+			return rewritten, true, nil
 		}
-		n, err := s.rewriteObject(g, p)
-		if moved += n; err != nil {
-			return moved, false, err
+		n, err := s.rewriteObject(seg, loc)
+		rewritten += n
+		if err != nil {
+			return rewritten, false, err
 		}
 	}
-	return moved, false, nil
+	return rewritten, false, nil
 }
 
-// worthy is a copy of a segment that is to outlast it.
-func (s *Store) survivor(g *segment) (uint32, bool) {
-	for _, i := range g.slots {
-		if p := &s.slots[i]; p.packed&flagUsed != 0 || p.rank() == 3 && p.packed&flagRewritten == 0 {
-			return i, true
+// survivor is an object of a segment that is to outlast it.
+func (s *Store) survivor(seg *segment) (slot uint32, ok bool) {
+	for _, slot := range seg.slots {
+		loc := &s.slots[slot]
+		if loc.has(flagUsed) || loc.rank() == maxRank && !loc.has(flagRewritten) {
+			return slot, true
 		}
 	}
 	return 0, false
 }
 
-// move writes a copy anew, at the end. One that can't be read, or is void, goes.
-func (s *Store) rewriteObject(g *segment, p place) (int64, error) {
-	b := make([]byte, int64(p.metaLen())+p.bodyLen())
-	_, err := g.file.ReadAt(b, int64(p.offset8)*8)
-	if errors.Is(err, io.EOF) {
-		err = ErrCorrupt
-	}
+// rewriteObject writes an object anew, at the end of the active segment, and returns what it
+// takes there. One that is corrupt or purged is dropped, and one that can't be read now stays.
+func (s *Store) rewriteObject(seg *segment, loc location) (int64, error) {
+	data, meta, err := readObject(seg, &loc)
 	if err != nil && !errors.Is(err, ErrCorrupt) {
-		s.suspendSegment(g, err)
+		s.suspendSegment(seg, err)
 		return 0, nil
 	}
-	var m *Meta
-	if err == nil {
-		m, err = parseMeta(b[:p.metaLen()])
-	}
-	if err == nil && crc32.Checksum(b[p.metaLen():], castagnoli) != p.bodyCRC {
-		err = ErrCorrupt
+	if err != nil {
+		s.Stats.Corrupt++
+		s.options.Warn(fmt.Sprintf("store: an object in %s at byte %d is dropped: %v", segmentName(loc.segment), loc.offset(), err))
 	}
-	if err != nil || s.purged(p.sincePurge, m) {
-		if err != nil {
-			s.Stats.Corrupt++
-			s.options.Warn(fmt.Sprintf("store: a copy in %s at byte %d is given up: %v", segmentName(p.segment), int64(p.offset8)*8, err))
-		}
-		s.removePlace(p.keyHash)
+	if err != nil || s.purged(loc.sincePurge, meta) {
+		s.removeLocation(loc.keyHash)
 		return 0, nil
 	}
-	w, err := s.reserve(*m, p.metaLen(), p.bodyLen(), p.sincePurge)
+	writer, err := s.reserve(*meta, loc.metaLen(), loc.bodyLen(), loc.sincePurge)
 	if err != nil {
 		return 0, err
 	}
-	defer w.drop()
-	if err := writeAt(w.segment.file, b, int64(w.place.offset8)*8); err != nil {
-		return 0, s.failSegment("write", w.segment, err)
+	defer writer.release()
+	if err := writeAt(writer.segment.file, data, writer.location.offset()); err != nil {
+		return 0, s.failSegment("write", writer.segment, err)
 	}
-	s.Stats.WrittenBytes += int64(len(b))
-	if s.segments[w.segment.number] != w.segment || s.segments[g.number] != g {
-		return 0, nil
+	s.Stats.WrittenBytes += int64(len(data))
+	if s.segments[writer.segment.number] != writer.segment || s.segments[seg.number] != seg {
+		return 0, nil // evicted for the room that was reserved
 	}
-	w.place.bodyCRC = p.bodyCRC
-	if err := s.appendLog(s.indexLog, &s.indexLogLen, appendEntry(nil, entryAdd, w.place.append(nil))); err != nil {
-		return 0, s.failLog("write", indexName(s.indexNumber), err)
+	writer.location.bodyCRC = loc.bodyCRC
+	if err := s.logAdd(&writer.location); err != nil {
+		return 0, err
 	}
-	s.addPlace(w.place)
-	w.segment.synced = false
-	s.slots[s.byHash[p.keyHash]].packed |= flagVerified | flagRewritten | p.packed&flagConfirmed
+	s.addLocation(writer.location)
+	writer.segment.synced = false
+	s.slots[s.byHash[loc.keyHash]].packed |= flagVerified | flagRewritten | loc.packed&flagConfirmed
 	s.Stats.Rewritten++
-	return p.size(), nil
+	return loc.size(), nil
 }
 
-// rewrite writes the copies anew that stand in segments whose sync failed, as far as their
-// checksums say that the kernel has them still.
+// readObject reads an object's head and body as they are on disk, and verifies both.
+func readObject(seg *segment, loc *location) (data []byte, meta *Meta, err error) {
+	data = make([]byte, int64(loc.metaLen())+loc.bodyLen())
+	if _, err := seg.file.ReadAt(data, loc.offset()); err != nil {
+		if errors.Is(err, io.EOF) {
+			return nil, nil, ErrCorrupt
+		}
+		return nil, nil, err
+	}
+	meta, err = parseMeta(data[:loc.metaLen()])
+	if err != nil {
+		return nil, nil, err
+	}
+	if crc32.Checksum(data[loc.metaLen():], castagnoli) != loc.bodyCRC {
+		return nil, nil, ErrCorrupt
+	}
+	return data, meta, nil
+}
+
+// rewriteSyncLost writes the objects anew that stand in segments whose sync failed, as far as
+// their checksums say that the kernel has them still, and evicts these segments.
 func (s *Store) rewriteSyncLost() error {
-	for _, n := range append([]uint32(nil), s.segmentOrder...) {
-		g := s.segments[n]
-		if g == nil || !s.syncLost(g) || g.fault != nil && !g.backoff.due(s.options.Now()) {
+	for _, number := range slices.Clone(s.segmentOrder) {
+		seg := s.segments[number]
+		if seg == nil || !s.syncLost(seg) {
+			continue
+		}
+		if seg.fault != nil && !seg.backoff.due(s.options.Now()) {
 			continue
 		}
-		g.fault = nil
-		for len(g.slots) > 0 {
-			if _, err := s.rewriteObject(g, s.slots[g.slots[0]]); err != nil {
+		seg.fault = nil
+		for len(seg.slots) > 0 {
+			if _, err := s.rewriteObject(seg, s.slots[seg.slots[0]]); err != nil {
 				return err
 			}
-			if s.segments[n] != g || g.fault != nil { // given up for room, or it can't be read now
+			if s.segments[number] != seg || seg.fault != nil { // evicted for room, or it can't be read now
 				break
 			}
 		}
-		if s.segments[n] == g && len(g.slots) == 0 {
-			s.evict(n)
+		if s.segments[number] == seg && len(seg.slots) == 0 {
+			s.evict(number)
 		}
 	}
 	return nil
--- a/internal/cachenode/store/corruption_test.go
+++ b/internal/cachenode/store/corruption_test.go
@@ -6,45 +6,45 @@
 	"testing"
 )
 
-// Every single byte of every file flipped, and every file cut at every length: what is
-// given out is right, nothing that was purged comes back, and what is not touched is
-// there still.
+// Every single byte of every file flipped, and every file truncated at every length: what is
+// served is right, nothing that was purged comes back, and what is not touched is there
+// still.
 func TestEveryByteCorrupted(t *testing.T) {
 	fs := newCrashFS()
-	set := Options{MaxBytes: 1 << 20, SegmentBytes: 8 << 10}
-	s, _, err := Open(fs, set)
+	options := Options{MaxBytes: 1 << 20, SegmentBytes: 8 << 10}
+	store, _, err := Open(fs, options)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 12 {
-		storeObject(t, s, fmt.Sprint("/k/", i), 1, 40+i*7)
+		storeObject(t, store, fmt.Sprint("/k/", i), 1, 40+i*7)
 	}
 	for i := range 4 {
-		if _, err := s.Purge(Purge{Scope: ByObject, Text: fmt.Sprint("/k/", i)}); err != nil {
+		if _, err := store.Purge(Purge{Scope: ByObject, Text: fmt.Sprint("/k/", i)}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	storeObject(t, s, "/k/20", 1, 100)
-	if _, err := s.Purge(Purge{Scope: ByObject, Text: "/k/4"}); err != nil { // the last thing before the end
+	storeObject(t, store, "/k/20", 1, 100)
+	if _, err := store.Purge(Purge{Scope: ByObject, Text: "/k/4"}); err != nil { // the last thing before the end
 		t.Fatal(err)
 	}
 	names, _ := fs.List()
 	found, tries := 0, 0
-	try := func(what string, name string, data []byte) {
+	try := func(damage, name string, data []byte) {
 		tries++
-		n := fs.killed()
-		n.now[name].data = data
-		s, _, err := Open(n, set)
+		killed := fs.killed()
+		killed.now[name].data = data
+		store, _, err := Open(killed, options)
 		if errors.Is(err, ErrFormat) {
-			return // said, and nothing is given out
+			return // reported, and nothing is served
 		}
 		if err != nil {
-			t.Fatalf("%s: %v", what, err)
+			t.Fatalf("%s: %v", damage, err)
 		}
 		for i := range 21 {
-			if _, is := lookupChecked(t, s, fmt.Sprint("/k/", i)); is {
+			if _, is := lookupChecked(t, store, fmt.Sprint("/k/", i)); is {
 				if i < 5 {
-					t.Fatalf("%s: /k/%d is back after its purge", what, i)
+					t.Fatalf("%s: /k/%d is back after its purge", damage, i)
 				}
 				found++
 			}
@@ -54,9 +54,9 @@
 		data := fs.now[name].data
 		for i := range data {
 			for _, bit := range []byte{1, 0x80} {
-				b := append([]byte(nil), data...)
-				b[i] ^= bit
-				try(fmt.Sprintf("byte %d of %s flipped", i, name), name, b)
+				flipped := append([]byte(nil), data...)
+				flipped[i] ^= bit
+				try(fmt.Sprintf("byte %d of %s flipped", i, name), name, flipped)
 			}
 			try(fmt.Sprintf("%s cut at %d", name, i), name, append([]byte(nil), data[:i]...))
 		}
--- a/internal/cachenode/store/crashfs_test.go
+++ b/internal/cachenode/store/crashfs_test.go
@@ -98,31 +98,31 @@
 	if err := c.ask("open", name); err != nil {
 		return nil, err
 	}
-	f := c.now[name]
-	if f == nil {
+	file := c.now[name]
+	if file == nil {
 		if !create {
 			return nil, os.ErrNotExist
 		}
-		f = &crashFile{}
-		c.now[name] = f
-		c.pending = append(c.pending, func(m map[string]*crashFile) { m[name] = f })
+		file = &crashFile{}
+		c.now[name] = file
+		c.pending = append(c.pending, func(m map[string]*crashFile) { m[name] = file })
 	}
-	return &handle{c, f, name}, nil
+	return &handle{c, file, name}, nil
 }
 
 func (c *crashFS) Rename(from, to string) error {
 	if err := c.ask("rename", from); err != nil {
 		return err
 	}
-	f := c.now[from]
-	if f == nil {
+	file := c.now[from]
+	if file == nil {
 		return os.ErrNotExist
 	}
 	do := func(m map[string]*crashFile) {
-		if m[from] == f {
+		if m[from] == file {
 			delete(m, from)
 		}
-		m[to] = f
+		m[to] = file
 	}
 	do(c.now)
 	c.pending = append(c.pending, do)
@@ -179,7 +179,7 @@
 
 func (u unlock) Close() error { u.c.locked = false; return nil }
 
-func (h *handle) ReadAt(b []byte, off int64) (int, error) {
+func (h *handle) ReadAt(data []byte, off int64) (int, error) {
 	if h.c.stopped {
 		return 0, errStopped
 	}
@@ -189,8 +189,8 @@
 	if off >= int64(len(h.f.data)) {
 		return 0, io.EOF
 	}
-	n := copy(b, h.f.data[off:])
-	if n < len(b) {
+	n := copy(data, h.f.data[off:])
+	if n < len(data) {
 		return n, io.EOF
 	}
 	return n, nil
@@ -210,7 +210,7 @@
 	return data
 }
 
-func (h *handle) WriteAt(b []byte, off int64) (int, error) {
+func (h *handle) WriteAt(data []byte, off int64) (int, error) {
 	if err := h.c.step(); err != nil {
 		return 0, err
 	}
@@ -219,16 +219,16 @@
 		err = errNoSpace
 	}
 	if err != nil { // half of it still fits
-		w := write{off, append([]byte(nil), b[:len(b)/2]...), -1}
+		w := write{off, append([]byte(nil), data[:len(data)/2]...), -1}
 		h.f.data, h.f.pending = put(h.f.data, w), append(h.f.pending, w)
-		return len(b) / 2, err
+		return len(data) / 2, err
 	}
 	if h.c.full > 0 {
 		h.c.full--
 	}
-	w := write{off, append([]byte(nil), b...), -1}
+	w := write{off, append([]byte(nil), data...), -1}
 	h.f.data, h.f.pending = put(h.f.data, w), append(h.f.pending, w)
-	return len(b), nil
+	return len(data), nil
 }
 
 func (h *handle) Truncate(size int64) error {
@@ -271,8 +271,8 @@
 // killed is the folder after the process was killed: all that it wrote is there.
 func (c *crashFS) killed() *crashFS {
 	n := newCrashFS()
-	for name, f := range c.now {
-		n.now[name] = &crashFile{data: append([]byte(nil), f.data...), synced: append([]byte(nil), f.data...)}
+	for name, file := range c.now {
+		n.now[name] = &crashFile{data: append([]byte(nil), file.data...), synced: append([]byte(nil), file.data...)}
 		n.disk[name] = n.now[name]
 	}
 	return n
@@ -281,8 +281,8 @@
 // crashed is the folder after the machine stopped.
 func (c *crashFS) crashed(rng *rand.Rand) *crashFS {
 	names := map[string]*crashFile{}
-	for n, f := range c.disk {
-		names[n] = f
+	for n, file := range c.disk {
+		names[n] = file
 	}
 	for _, do := range c.pending[:rng.IntN(len(c.pending)+1)] {
 		do(names)
@@ -294,9 +294,9 @@
 	}
 	sort.Strings(sorted)
 	for _, name := range sorted {
-		f := names[name]
-		data := append([]byte(nil), f.synced...)
-		for _, w := range f.pending {
+		file := names[name]
+		data := append([]byte(nil), file.synced...)
+		for _, w := range file.pending {
 			switch {
 			case rng.IntN(3) == 0:
 				continue // it never reached the disk
--- a/internal/cachenode/store/fault.go
+++ b/internal/cachenode/store/fault.go
@@ -9,29 +9,31 @@
 	"golang.org/x/sys/unix"
 )
 
-// The backoff of what failed: the first retry comes after the least, each later one after
-// twice as long, at most the most.
+// The first retry of what failed comes after minBackoff, each later one after twice as long,
+// up to maxBackoff: a fault of a moment is over soon, and a disk that stays full is not asked
+// all the time.
 const (
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 2 * time.Second
 )
 
-// Bounds of what is held while the disk fails.
+// Bounds of what is kept in memory while the disk fails.
 const (
 	maxPendingPurges = 4096 // purges that came before the logs could be read
 	maxStaleFiles    = 64   // files to remove; more are found again by the next Open
-	probeLen         = 4096 // written and synced to see whether a new segment can be
+	probeLen         = 4096 // bytes that are written and synced to see whether a new segment works
 )
 
-// FaultError is that a call to the disk failed. It is no damage: the store refuses what
-// needs the disk, leaves the files in their place, and tries again by itself.
+// FaultError says that a call to the disk failed. Nothing is corrupt by it: the store refuses
+// what needs the disk, leaves the files in their place, and retries by itself.
 type FaultError struct {
-	Op    string    // what was done, as "write" or "sync"
-	File  string    // of the store's folder; empty: the folder itself
+	Op    string    // the operation, such as "write" or "sync"
+	File  string    // its name in the store's folder; empty: the folder itself
 	Since time.Time // of the first failure since the store last worked
-	Err   error
+	Err   error     // the cause
 }
 
+// Error names operation, file, cause, and since when.
 func (e *FaultError) Error() string {
 	file := e.File
 	if file == "" {
@@ -40,9 +42,10 @@
 	return fmt.Sprintf("store: %s %s: %v (failing since %s, tried again)", e.Op, file, e.Err, e.Since.UTC().Format(time.RFC3339))
 }
 
+// Unwrap returns the cause.
 func (e *FaultError) Unwrap() error { return e.Err }
 
-// passes reports whether a lock failed for a reason that may pass by itself, and is not
+// transient reports whether a lock failed for a reason that may pass by itself, and is not
 // held by another process or forbidden.
 func transient(err error) bool {
 	for _, errno := range []syscall.Errno{unix.EIO, unix.ENOSPC, unix.EDQUOT, unix.EMFILE, unix.ENFILE, unix.ENOMEM, unix.EINTR} {
@@ -60,7 +63,7 @@
 }
 
 // failed notes a failure. Several before the next retry count as one; one long after the
-// last retry begins anew.
+// last retry begins anew at minBackoff.
 func (b *backoff) failed(now time.Time) {
 	switch {
 	case now.Before(b.next):
@@ -74,17 +77,17 @@
 
 func (b *backoff) due(now time.Time) bool { return !now.Before(b.next) }
 
-// Status is what an operator should know of the disk.
+// Status is the state of the disk, for operators.
 type Status struct {
-	Fault              *FaultError   // nil: what is kept and purged is written
+	Fault              *FaultError   // nil: the disk works
 	FaultDuration      time.Duration // since Fault.Since
-	LogsUnread         bool          // the logs could not be read yet: nothing of before is given out
+	LogsUnread         bool          // the logs could not be read yet: no object of before the start is served
 	PurgesDurable      bool          // purges can be acknowledged
-	UnreadableSegments int           // segments whose copies are not given out for now
-	Found              Recovered     // at the start, once it could be read
+	UnreadableSegments int           // segments whose objects are not served for now
+	Found              Recovered     // at the start, once the logs could be read
 }
 
-// Status is how the store is doing.
+// Status returns the state of the disk.
 func (s *Store) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,19 +95,19 @@
 	if s.failure != nil {
 		status.FaultDuration = s.options.Now().Sub(s.failure.Since)
 	}
-	for _, g := range s.segments {
-		if g.fault != nil || s.syncLost(g) {
+	for _, seg := range s.segments {
+		if seg.fault != nil || s.syncLost(seg) {
 			status.UnreadableSegments++
 		}
 	}
 	return status
 }
 
-// Ailing reports whether there is something for Mend to try again. It never waits.
+// Faulty reports whether there is something for Retry to try again. It never waits.
 func (s *Store) Faulty() bool { return s.faulty.Load() }
 
-// Mend tries again what failed, where its backoff is over. Begin and Purge do as well; who
-// owns the store calls it now and then so that it needs neither.
+// Retry tries again what failed, where its backoff is over. Begin and Purge do as well;
+// whoever owns the store calls it periodically, so that it needs neither.
 func (s *Store) Retry() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,23 +118,23 @@
 	if err == nil {
 		err = s.rewriteSyncLost()
 	}
-	ailing := err != nil
-	for _, g := range s.segments {
-		if !s.segmentReadable(g) {
-			ailing = true
+	faulty := err != nil || s.failure != nil
+	for _, seg := range s.segments {
+		if !s.segmentReadable(seg) {
+			faulty = true
 		}
 	}
-	s.faulty.Store(ailing || s.failure != nil)
+	s.faulty.Store(faulty)
 }
 
-// fail notes that the disk failed; the error is what callers are told.
+// fail notes that the disk failed, and returns the FaultError for the caller.
 func (s *Store) fail(op, file string, err error) error {
 	now := s.options.Now()
 	fault := &FaultError{Op: op, File: file, Since: now, Err: err}
 	if s.failure != nil {
 		fault.Since = s.failure.Since
 	} else {
-		s.options.Warn(fault.Error() + "; nothing more is kept until it succeeds")
+		s.options.Warn(fault.Error() + "; nothing more is stored until it succeeds")
 	}
 	s.failure = fault
 	s.backoff.failed(now)
@@ -139,23 +142,23 @@
 	return fault
 }
 
-// failLog is fail for the logs: what stands in them is not trusted any more, and they are
-// written anew before anything else is acknowledged.
+// failLog is fail for the logs: their content is not trusted any more, and a checkpoint
+// writes them anew before anything else is acknowledged.
 func (s *Store) failLog(op, file string, err error) error {
 	s.logsBroken = true
 	return s.fail(op, file, err)
 }
 
-// failSegment is fail for a segment: what comes next goes into a new one.
-func (s *Store) failSegment(op string, g *segment, err error) error {
+// failSegment is fail for a segment: the next object goes into a new one.
+func (s *Store) failSegment(op string, seg *segment, err error) error {
 	s.segmentBroken = true
-	if s.active == g {
+	if s.active == seg {
 		s.active = nil
 	}
-	return s.fail(op, segmentName(g.number), err)
+	return s.fail(op, segmentName(seg.number), err)
 }
 
-// mend tries again, if it is time to. The lock is held. nil: the store works.
+// retryIfDue tries again where the backoff is over. nil: the disk works.
 func (s *Store) retryIfDue() error {
 	if s.failure == nil {
 		return nil
@@ -171,8 +174,8 @@
 	return s.rewriteSyncLost()
 }
 
-// attempt does once what has to succeed before the store works. Nothing of what failed is
-// trusted: the logs and the segment are new files, made of what is in memory.
+// retryNow does once what has to succeed before the store works. Nothing of what failed is
+// trusted: the logs and the segment are new files, written from memory.
 func (s *Store) retryNow() error {
 	if s.lock == nil {
 		lock, err := s.fs.Lock()
@@ -197,20 +200,20 @@
 	return nil
 }
 
-// probe begins a segment, and sees that it can be written and synced.
+// probeSegment begins a segment, and sees that it can be written and synced.
 func (s *Store) probeSegment() error {
 	s.active = nil
 	if err := s.rotate(); err != nil {
 		return err
 	}
-	g := s.active
-	err := writeAt(g.file, make([]byte, probeLen), 0)
+	seg := s.active
+	err := writeAt(seg.file, make([]byte, probeLen), 0)
 	if err == nil {
-		err = g.file.Sync()
+		err = seg.file.Sync()
 	}
 	if err != nil {
-		err = s.failSegment("write", g, err)
-		s.evict(g.number)
+		err = s.failSegment("write", seg, err)
+		s.evict(seg.number)
 		return err
 	}
 	s.segmentBroken = false
--- a/internal/cachenode/store/fault_test.go
+++ b/internal/cachenode/store/fault_test.go
@@ -16,9 +16,9 @@
 func (c *testClock) Now() time.Time { return c.now }
 
 // wait lets more than the longest backoff pass, and the store try again.
-func (c *testClock) retryAfterBackoff(s *Store) {
+func (c *testClock) retryAfterBackoff(store *Store) {
 	c.now = c.now.Add(2 * maxBackoff)
-	s.Retry()
+	store.Retry()
 }
 
 // faulty is a store on a crashFS whose calls fail where op and the beginning of the name
@@ -33,12 +33,12 @@
 	recovered Recovered
 }
 
-func newFaultyStore(t *testing.T, set Options) *faultyStore {
-	f := &faultyStore{t: t, fs: newCrashFS(), options: set, clock: testClock{time.Unix(1_700_000_000, 0)}}
-	f.options.Warn = func(text string) { f.warnings.WriteString(text + "\n") }
-	f.options.Now = f.clock.Now
-	f.open()
-	return f
+func newFaultyStore(t *testing.T, options Options) *faultyStore {
+	faulty := &faultyStore{t: t, fs: newCrashFS(), options: options, clock: testClock{time.Unix(1_700_000_000, 0)}}
+	faulty.options.Warn = func(text string) { faulty.warnings.WriteString(text + "\n") }
+	faulty.options.Now = faulty.clock.Now
+	faulty.open()
+	return faulty
 }
 
 func (f *faultyStore) open() {
@@ -83,68 +83,68 @@
 	return err
 }
 
-// A segment that can't be opened or read for a moment is not damaged: its copies are
+// A segment that can't be opened or read for a moment is not corrupt: its objects are
 // missed meanwhile and there again afterwards, but for those that were purged; the file
 // is not touched, also over a start meanwhile.
 func TestSegmentTemporarilyUnreadable(t *testing.T) {
 	for _, ops := range []string{"open", "size", "read"} {
 		t.Run(ops, func(t *testing.T) {
-			f := newFaultyStore(t, Options{})
+			faulty := newFaultyStore(t, Options{})
 			for _, key := range []string{"/a", "/b", "/c"} {
-				storeObject(t, f.Store, key, 1, 500)
+				storeObject(t, faulty.Store, key, 1, 500)
 			}
-			f.fail(ops, "seg-", syscall.EIO)
-			f.restartAfterKill()
-			before := string(f.fs.now["seg-00000001.dat"].data)
-			f.expect("during the fault", map[string]bool{"/a": false, "/b": false})
-			if err := f.purge("/b"); err != nil {
+			faulty.fail(ops, "seg-", syscall.EIO)
+			faulty.restartAfterKill()
+			before := string(faulty.fs.now["seg-00000001.dat"].data)
+			faulty.expect("during the fault", map[string]bool{"/a": false, "/b": false})
+			if err := faulty.purge("/b"); err != nil {
 				t.Errorf("a purge while a segment can't be read: %v", err)
 			}
-			f.restartAfterKill()
-			f.expect("during the fault, after a start", map[string]bool{"/a": false})
-			if file := f.fs.now["seg-00000001.dat"]; file == nil || string(file.data) != before {
+			faulty.restartAfterKill()
+			faulty.expect("during the fault, after a start", map[string]bool{"/a": false})
+			if file := faulty.fs.now["seg-00000001.dat"]; file == nil || string(file.data) != before {
 				t.Fatal("the segment was touched")
 			}
-			f.endFault()
-			f.clock.retryAfterBackoff(f.Store)
-			f.expect("afterwards", map[string]bool{"/a": true, "/b": false, "/c": true})
-			f.restartAfterKill()
-			f.expect("after a start", map[string]bool{"/a": true, "/b": false, "/c": true})
+			faulty.endFault()
+			faulty.clock.retryAfterBackoff(faulty.Store)
+			faulty.expect("afterwards", map[string]bool{"/a": true, "/b": false, "/c": true})
+			faulty.restartAfterKill()
+			faulty.expect("after a start", map[string]bool{"/a": true, "/b": false, "/c": true})
 		})
 	}
 }
 
-// A log that can't be read for a moment: nothing of before is given out until it was, and
+// A log that can't be read for a moment: no object of before is served until it was, and
 // then all that was not purged, before or meanwhile.
 func TestLogTemporarilyUnreadable(t *testing.T) {
 	for _, name := range []string{purgeLogName, "index-", formatName, ""} {
 		for _, ops := range []string{"read", "open", "size", "list", "lock", "open read write sync syncdir rename"} {
 			t.Run(name+" "+ops, func(t *testing.T) {
-				f := newFaultyStore(t, Options{})
+				faulty := newFaultyStore(t, Options{})
 				for _, key := range []string{"/a", "/b", "/c", "/d"} {
-					storeObject(t, f.Store, key, 1, 500)
+					storeObject(t, faulty.Store, key, 1, 500)
 				}
-				if err := f.purge("/b"); err != nil {
+				if err := faulty.purge("/b"); err != nil {
 					t.Fatal(err)
 				}
-				f.fail(ops, name, syscall.EIO)
-				f.restartAfterKill()
-				f.expect("during the fault", map[string]bool{"/b": false})
-				acked := f.purge("/c") == nil
-				f.endFault()
-				if acked {
-					f.restartAfterKill()
+				faulty.fail(ops, name, syscall.EIO)
+				faulty.restartAfterKill()
+				faulty.expect("during the fault", map[string]bool{"/b": false})
+				acknowledged := faulty.purge("/c") == nil
+				faulty.endFault()
+				if acknowledged {
+					faulty.restartAfterKill()
 				}
-				f.clock.retryAfterBackoff(f.Store)
-				f.expect("afterwards", map[string]bool{"/a": true, "/b": false, "/c": false, "/d": true})
-				f.restartAfterKill()
-				f.expect("after a start", map[string]bool{"/a": true, "/b": false, "/c": false, "/d": true})
+				faulty.clock.retryAfterBackoff(faulty.Store)
+				faulty.expect("afterwards", map[string]bool{"/a": true, "/b": false, "/c": false, "/d": true})
+				faulty.restartAfterKill()
+				faulty.expect("after a start", map[string]bool{"/a": true, "/b": false, "/c": false, "/d": true})
 			})
 		}
 	}
 }
 
-// A folder that fails for a while: what is kept and purged is refused with an error that
+// A folder that fails for a while: writes and purges are refused with an error that
 // says what failed and since when; afterwards the store works again by itself, and purges
 // that were not acknowledged last.
 func TestRecoversFromFault(t *testing.T) {
@@ -158,156 +158,156 @@
 }
 
 func checkRecoversFromFault(t *testing.T, ops string, errno syscall.Errno, policy Sync) {
-	f := newFaultyStore(t, Options{Sync: policy, SegmentBytes: 4096, MaxBytes: 1 << 20})
+	faulty := newFaultyStore(t, Options{Sync: policy, SegmentBytes: 4096, MaxBytes: 1 << 20})
 	for _, key := range []string{"/a", "/b", "/c"} {
-		storeObject(t, f.Store, key, 1, 2000)
+		storeObject(t, faulty.Store, key, 1, 2000)
 	}
-	f.fail(ops, "", errno)
+	faulty.fail(ops, "", errno)
 	for range 3 {
-		if w, err := f.Begin(Meta{Key: "/x", Object: "/x"}, 3000); err == nil {
-			w.Write(bodyOf("/x", 0, 3000))
-			w.Commit()
+		if writer, err := faulty.Begin(Meta{Key: "/x", Object: "/x"}, 3000); err == nil {
+			writer.Write(bodyOf("/x", 0, 3000))
+			writer.Commit()
 		}
 	}
-	f.purge("/b")
-	f.expect("during the fault", map[string]bool{"/b": false})
-	f.endFault()
-	f.clock.retryAfterBackoff(f.Store)
-	if w, err := f.Begin(Meta{Key: "/d"}, 0); err != nil {
-		t.Fatalf("nothing is kept after the fault: %v", err)
+	faulty.purge("/b")
+	faulty.expect("during the fault", map[string]bool{"/b": false})
+	faulty.endFault()
+	faulty.clock.retryAfterBackoff(faulty.Store)
+	if writer, err := faulty.Begin(Meta{Key: "/d"}, 0); err != nil {
+		t.Fatalf("nothing is stored after the fault: %v", err)
 	} else {
-		w.Abort()
+		writer.Abort()
 	}
-	if !storeObject(t, f.Store, "/d", 1, 2000) {
-		t.Error("/d is not kept after the fault")
+	if !storeObject(t, faulty.Store, "/d", 1, 2000) {
+		t.Error("/d is not stored after the fault")
 	}
-	if err := f.purge("/c"); err != nil {
+	if err := faulty.purge("/c"); err != nil {
 		t.Errorf("a purge after the fault: %v", err)
 	}
 	want := map[string]bool{"/b": false, "/c": false, "/d": true}
-	f.expect("after the fault", want)
-	lost := f.fs.lost
-	f.fs = f.fs.crashed(f.fs.rngOf())
-	f.open()
+	faulty.expect("after the fault", want)
+	lost := faulty.fs.lost
+	faulty.fs = faulty.fs.crashed(faulty.fs.rngOf())
+	faulty.open()
 	if policy < SyncObjects {
 		delete(want, "/d") // a crash may take it
 	} else if !lost {
 		want["/a"] = true
 	}
-	f.expect("after a crash", want)
+	faulty.expect("after a crash", want)
 }
 
 // A refusal says what failed and since when, Status as well; retries back off up to a
 // bound, and after a success begin anew.
 func TestFaultReported(t *testing.T) {
-	f := newFaultyStore(t, Options{})
-	storeObject(t, f.Store, "/a", 1, 100)
-	since := f.clock.now
-	f.fail("write sync", "", syscall.ENOSPC)
+	faulty := newFaultyStore(t, Options{})
+	storeObject(t, faulty.Store, "/a", 1, 100)
+	since := faulty.clock.now
+	faulty.fail("write sync", "", syscall.ENOSPC)
 	for range 3 {
-		err := f.purge("/a")
+		err := faulty.purge("/a")
 		var fault *FaultError
 		if !errors.As(err, &fault) || !errors.Is(err, syscall.ENOSPC) || fault.Since != since || fault.File == "" || fault.Op != "write" {
 			t.Errorf("%v", err)
 		}
-		f.clock.now = f.clock.now.Add(time.Second)
+		faulty.clock.now = faulty.clock.now.Add(time.Second)
 	}
-	if st := f.Status(); st.Fault == nil || st.PurgesDurable || st.FaultDuration != 3*time.Second || !f.Faulty() {
-		t.Errorf("%+v", st)
+	if status := faulty.Status(); status.Fault == nil || status.PurgesDurable || status.FaultDuration != 3*time.Second || !faulty.Faulty() {
+		t.Errorf("%+v", status)
 	}
-	tries, fault := 0, f.fs.fault
-	f.fs.fault = func(op, name string) error {
+	retries, fault := 0, faulty.fs.fault
+	faulty.fs.fault = func(op, name string) error {
 		if op == "write" {
-			tries++
+			retries++
 		}
 		return fault(op, name)
 	}
 	for range 2000 {
-		f.clock.now = f.clock.now.Add(10 * time.Millisecond)
-		f.Retry()
+		faulty.clock.now = faulty.clock.now.Add(10 * time.Millisecond)
+		faulty.Retry()
 	}
-	if tries < 10 || tries > 12 {
-		t.Errorf("%d tries in 20 s", tries)
+	if retries < 10 || retries > 12 {
+		t.Errorf("%d retries in 20 s", retries)
 	}
-	f.endFault()
-	f.clock.retryAfterBackoff(f.Store)
-	if st := f.Status(); st.Fault != nil || !st.PurgesDurable || f.Faulty() {
-		t.Errorf("%+v", st)
+	faulty.endFault()
+	faulty.clock.retryAfterBackoff(faulty.Store)
+	if status := faulty.Status(); status.Fault != nil || !status.PurgesDurable || faulty.Faulty() {
+		t.Errorf("%+v", status)
 	}
-	f.restartAfterKill()
-	f.expect("a purge that was refused, made to last without being asked again", map[string]bool{"/a": false})
+	faulty.restartAfterKill()
+	faulty.expect("a purge that was refused, made to last without being asked again", map[string]bool{"/a": false})
 }
 
 // A segment whose sync failed is written anew from what the kernel has, and not from
 // what it lost; also where it can't be read at first.
 func TestSyncOfSegmentFails(t *testing.T) {
 	for seed := range uint64(20) {
-		f := newFaultyStore(t, Options{Sync: SyncSegments, SegmentBytes: 4096, MaxBytes: 1 << 20})
-		f.fs.rng = rand.New(rand.NewPCG(seed, 1))
-		storeObject(t, f.Store, "/a", 1, 1500)
-		storeObject(t, f.Store, "/b", 1, 1500)
-		reader, buf := f.Lookup("/a"), make([]byte, 1500)
-		f.fail("sync read", "seg-", syscall.EIO)
-		if _, err := f.Begin(Meta{Key: "/c"}, 3000); !errors.Is(err, syscall.EIO) {
+		faulty := newFaultyStore(t, Options{Sync: SyncSegments, SegmentBytes: 4096, MaxBytes: 1 << 20})
+		faulty.fs.rng = rand.New(rand.NewPCG(seed, 1))
+		storeObject(t, faulty.Store, "/a", 1, 1500)
+		storeObject(t, faulty.Store, "/b", 1, 1500)
+		reader, buf := faulty.Lookup("/a"), make([]byte, 1500)
+		faulty.fail("sync read", "seg-", syscall.EIO)
+		if _, err := faulty.Begin(Meta{Key: "/c"}, 3000); !errors.Is(err, syscall.EIO) {
 			t.Fatal(err)
 		}
-		f.expect("during the fault", map[string]bool{"/a": false, "/b": false})
-		f.endFault()
+		faulty.expect("during the fault", map[string]bool{"/a": false, "/b": false})
+		faulty.endFault()
 		if n, err := reader.ReadAt(buf, 0); err == nil || n > 0 {
-			t.Errorf("seed %d: who reads a copy goes on, from what a sync may have lost", seed)
+			t.Errorf("seed %d: a reader goes on, from what a sync may have lost", seed)
 		}
-		f.fail("read", "seg-", syscall.EIO)
-		f.clock.retryAfterBackoff(f.Store)
-		f.endFault()
-		f.clock.retryAfterBackoff(f.Store)
-		st, lost := f.Status(), f.Stats.Corrupt
-		if st.Fault != nil || st.UnreadableSegments > 0 || lost+f.Stats.Rewritten != 2 {
-			t.Errorf("seed %d: %+v, %d lost, %d moved", seed, st, lost, f.Stats.Rewritten)
+		faulty.fail("read", "seg-", syscall.EIO)
+		faulty.clock.retryAfterBackoff(faulty.Store)
+		faulty.endFault()
+		faulty.clock.retryAfterBackoff(faulty.Store)
+		status, lost := faulty.Status(), faulty.Stats.Corrupt
+		if status.Fault != nil || status.UnreadableSegments > 0 || lost+faulty.Stats.Rewritten != 2 {
+			t.Errorf("seed %d: %+v, %d lost, %d rewritten", seed, status, lost, faulty.Stats.Rewritten)
 		}
-		f.expect("afterwards", map[string]bool{"/a": f.Lookup("/a") != nil, "/b": f.Lookup("/b") != nil}) // with the bytes they had
-		if n, _ := f.Usage(); n != 2-int(lost) {
-			t.Errorf("seed %d: %d copies", seed, n)
+		faulty.expect("afterwards", map[string]bool{"/a": faulty.Lookup("/a") != nil, "/b": faulty.Lookup("/b") != nil}) // with the bytes they had
+		if n, _ := faulty.Usage(); n != 2-int(lost) {
+			t.Errorf("seed %d: %d objects", seed, n)
 		}
 	}
 }
 
-// A start that was killed while it made the folder one of this form is taken up again; in
-// a folder that has copies, a cut form is one that is not known.
+// A start that was killed while it wrote the format is taken up again; in a folder that has
+// objects, a truncated format is an unknown one.
 func TestFormatTruncatedByKill(t *testing.T) {
-	f := newFaultyStore(t, Options{})
-	storeObject(t, f.Store, "/a", 1, 100)
-	full := f.fs.killed()
+	faulty := newFaultyStore(t, Options{})
+	storeObject(t, faulty.Store, "/a", 1, 100)
+	full := faulty.fs.killed()
 	for n := range len(formatText) {
 		text := []byte(formatText[:n])
-		f.fs = newCrashFS()
-		f.fs.now[formatName] = &crashFile{data: text, synced: text}
-		f.fs.disk[formatName] = f.fs.now[formatName]
-		f.open()
-		storeObject(t, f.Store, "/a", 1, 100)
-		f.restartAfterKill()
-		f.expect(fmt.Sprintf("the form cut at %d", n), map[string]bool{"/a": true})
+		faulty.fs = newCrashFS()
+		faulty.fs.now[formatName] = &crashFile{data: text, synced: text}
+		faulty.fs.disk[formatName] = faulty.fs.now[formatName]
+		faulty.open()
+		storeObject(t, faulty.Store, "/a", 1, 100)
+		faulty.restartAfterKill()
+		faulty.expect(fmt.Sprintf("the format truncated at %d", n), map[string]bool{"/a": true})
 		full.now[formatName].data = text
-		if _, _, err := Open(full.killed(), f.options); n > 0 && !errors.Is(err, ErrFormat) {
-			t.Errorf("the form of a folder in use, cut at %d: %v", n, err)
+		if _, _, err := Open(full.killed(), faulty.options); n > 0 && !errors.Is(err, ErrFormat) {
+			t.Errorf("the format of a folder in use, truncated at %d: %v", n, err)
 		}
 	}
 }
 
-// What waits while the disk fails is bounded.
+// Purges that wait while the disk fails are bounded.
 func TestPendingPurgesBounded(t *testing.T) {
-	f := newFaultyStore(t, Options{})
-	storeObject(t, f.Store, "/a", 1, 100)
-	f.fail("read", "", syscall.EIO)
-	f.restartAfterKill()
+	faulty := newFaultyStore(t, Options{})
+	storeObject(t, faulty.Store, "/a", 1, 100)
+	faulty.fail("read", "", syscall.EIO)
+	faulty.restartAfterKill()
 	for i := range maxPendingPurges + 1 {
-		if f.purge(fmt.Sprint("/x", i)) == nil {
+		if faulty.purge(fmt.Sprint("/x", i)) == nil {
 			t.Fatal("acknowledged")
 		}
 	}
-	f.endFault()
-	f.clock.retryAfterBackoff(f.Store)
-	if st := f.Status(); st.Found.DiscardReason == "" || len(f.pendingPurges) > 0 {
-		t.Errorf("%+v", st)
+	faulty.endFault()
+	faulty.clock.retryAfterBackoff(faulty.Store)
+	if status := faulty.Status(); status.Found.DiscardReason == "" || len(faulty.pendingPurges) > 0 {
+		t.Errorf("%+v", status)
 	}
-	f.expect("more purges came than are remembered", map[string]bool{"/a": false})
+	faulty.expect("more purges came than are remembered", map[string]bool{"/a": false})
 }
--- a/internal/cachenode/store/folder.go
+++ b/internal/cachenode/store/folder.go
@@ -14,52 +14,61 @@
 type File interface {
 	io.ReaderAt
 	io.WriterAt
+	// Sync returns once what was written is on disk.
 	Sync() error
 	Truncate(size int64) error
+	// Size returns the length in bytes.
 	Size() (int64, error)
 	Close() error
 }
 
-// FS is the folder that a store is in. Tests put one in its place that loses what was
-// not synced, fails and lies (crashfs_test.go).
+// FS is the folder that a store is in. Tests have one that loses what was not synced, and
+// whose calls fail (crashfs_test.go).
 type FS interface {
+	// Open opens a file to read and write; create: makes it where there is none.
 	Open(name string, create bool) (File, error)
+	// Rename puts a file in another's place.
 	Rename(from, to string) error
 	Remove(name string) error
+	// List returns the names of the files.
 	List() ([]string, error)
-	SyncDir() error           // what was created, renamed and removed is on disk
-	Lock() (io.Closer, error) // for one process alone
+	// SyncDir returns once what was created, renamed and removed is on disk.
+	SyncDir() error
+	// Lock locks the folder for this process, until the lock is closed.
+	Lock() (io.Closer, error)
 }
 
-// Dir is a folder of the operating system's.
+const lockName = "lock"
+
+// Dir is a folder of the operating system, by its path.
 type Dir string
 
 type osFile struct{ *os.File }
 
-// Size is the file's length.
+// Size returns the file's length in bytes.
 func (f osFile) Size() (int64, error) {
-	st, err := f.Stat()
+	info, err := f.Stat()
 	if err != nil {
 		return 0, err
 	}
-	return st.Size(), nil
+	return info.Size(), nil
 }
 
 // ReadNow reads what the kernel has in memory, and never waits for the disk (preadv2 with
 // RWF_NOWAIT): less than was asked for, or an error, says that it would have to.
-func (f osFile) ReadNow(b []byte, off int64) (int, error) {
+func (f osFile) ReadNow(data []byte, off int64) (int, error) {
 	raw, err := f.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
 	n := 0
-	cerr := raw.Control(func(fd uintptr) { n, err = unix.Preadv2(int(fd), [][]byte{b}, off, unix.RWF_NOWAIT) })
-	return max(n, 0), errors.Join(err, cerr)
+	controlErr := raw.Control(func(fd uintptr) { n, err = unix.Preadv2(int(fd), [][]byte{data}, off, unix.RWF_NOWAIT) })
+	return max(n, 0), errors.Join(err, controlErr)
 }
 
 // nowReader is a File that can be read without waiting.
 type nowReader interface {
-	ReadNow(b []byte, off int64) (int, error)
+	ReadNow(data []byte, off int64) (int, error)
 }
 
 // Open opens a file to read and write.
@@ -83,12 +92,12 @@
 // Remove removes a file.
 func (d Dir) Remove(name string) error { return os.Remove(filepath.Join(string(d), name)) }
 
-// List is the names of the files.
+// List returns the names of the files.
 func (d Dir) List() (names []string, err error) {
-	list, err := os.ReadDir(string(d))
-	for _, e := range list {
-		if !e.IsDir() {
-			names = append(names, e.Name())
+	entries, err := os.ReadDir(string(d))
+	for _, entry := range entries {
+		if !entry.IsDir() {
+			names = append(names, entry.Name())
 		}
 	}
 	return names, err
@@ -120,9 +129,63 @@
 	return f, nil
 }
 
-const lockName = "lock"
+// readFile reads a whole file. One that is not there is empty.
+func (s *Store) readFile(name string, there bool) ([]byte, error) {
+	if !there {
+		return nil, nil
+	}
+	file, err := s.fs.Open(name, false)
+	if err != nil {
+		return nil, err
+	}
+	defer file.Close()
+	return readAll(file)
+}
+
+func readAll(file File) ([]byte, error) {
+	size, err := file.Size()
+	if err != nil {
+		return nil, err
+	}
+	data := make([]byte, size)
+	n, err := file.ReadAt(data, 0)
+	if err == io.EOF && int64(n) == size {
+		err = nil
+	}
+	return data[:n], err
+}
+
+// replaceFile writes a file under a temporary name, and puts it in the place of another once
+// it is on disk.
+func (s *Store) replaceFile(temporary, name string, write func(File) error) (File, error) {
+	file, err := s.fs.Open(temporary, true)
+	if err != nil {
+		return nil, err
+	}
+	if err := s.writeAndRename(file, temporary, name, write); err != nil {
+		file.Close()
+		return nil, err
+	}
+	return file, nil
+}
+
+func (s *Store) writeAndRename(file File, temporary, name string, write func(File) error) error {
+	if err := file.Truncate(0); err != nil {
+		return err
+	}
+	if err := write(file); err != nil {
+		return err
+	}
+	if err := file.Sync(); err != nil {
+		return err
+	}
+	if err := s.fs.Rename(temporary, name); err != nil {
+		return err
+	}
+	return s.fs.SyncDir()
+}
 
-// remove removes a file; one that can't be is tried again later.
+// remove removes a file; one that can't be removed is tried again by removeStale.
 func (s *Store) remove(name string) {
 	err := s.fs.Remove(name)
 	if err == nil || errors.Is(err, os.ErrNotExist) {
@@ -142,10 +205,10 @@
 	}
 }
 
-// writeAt writes all of b.
-func writeAt(f io.WriterAt, b []byte, off int64) error {
-	n, err := f.WriteAt(b, off)
-	if err == nil && n < len(b) {
+// writeAt writes all of data; a short write is an error.
+func writeAt(file io.WriterAt, data []byte, off int64) error {
+	n, err := file.WriteAt(data, off)
+	if err == nil && n < len(data) {
 		err = io.ErrShortWrite
 	}
 	return err
--- a/internal/cachenode/store/folder_test.go
+++ b/internal/cachenode/store/folder_test.go
@@ -8,31 +8,31 @@
 	"testing"
 )
 
-// A folder serves one process; one of another form is refused, and left as it is.
+// A folder serves one process; one of another format is refused, and left as it is.
 func TestFolderLockAndFormat(t *testing.T) {
 	dir := t.TempDir()
-	s, _, err := Open(Dir(dir), Options{})
+	store, _, err := Open(Dir(dir), Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := Open(Dir(dir), Options{}); err == nil || !strings.Contains(err.Error(), dir) {
 		t.Errorf("a second process: %v", err)
 	}
-	storeObject(t, s, "/a", 1, 5000)
-	if err := s.Close(); err != nil {
+	storeObject(t, store, "/a", 1, 5000)
+	if err := store.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := s.Begin(Meta{Key: "/b"}, 1); !errors.Is(err, ErrClosed) {
+	if _, err := store.Begin(Meta{Key: "/b"}, 1); !errors.Is(err, ErrClosed) {
 		t.Error(err)
 	}
-	s, r, err := Open(Dir(dir), Options{})
-	if err != nil || r.Objects != 1 || r.Bytes != 5000 {
-		t.Fatal(r, err)
+	store, recovered, err := Open(Dir(dir), Options{})
+	if err != nil || recovered.Objects != 1 || recovered.Bytes != 5000 {
+		t.Fatal(recovered, err)
 	}
-	if _, ok := lookupChecked(t, s, "/a"); !ok {
+	if _, ok := lookupChecked(t, store, "/a"); !ok {
 		t.Error("it is gone")
 	}
-	s.Close()
+	store.Close()
 	if err := os.WriteFile(filepath.Join(dir, formatName), []byte("indigospool store 0\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -43,49 +43,49 @@
 	}
 }
 
-// The disk is full in the middle of a fill: nothing half is kept, what was there is
-// found, more is refused in words, and purges still hold.
+// The disk is full in the middle of a fill: nothing incomplete is stored, what was there is
+// found, more is refused and warned of, and purges still hold.
 func TestDiskFull(t *testing.T) {
 	fs := newCrashFS()
-	said := ""
-	s, _, err := Open(fs, Options{Warn: func(w string) { said += w }})
+	warnings := ""
+	store, _, err := Open(fs, Options{Warn: func(text string) { warnings += text }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	storeObject(t, s, "/a", 1, 1000)
-	storeObject(t, s, "/b", 1, 1000)
-	w, err := s.Begin(Meta{Key: "/c", Object: "/c"}, 2000)
+	storeObject(t, store, "/a", 1, 1000)
+	storeObject(t, store, "/b", 1, 1000)
+	writer, err := store.Begin(Meta{Key: "/c", Object: "/c"}, 2000)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Write(bodyOf("/c", 0, 2000)[:1000])
+	writer.Write(bodyOf("/c", 0, 2000)[:1000])
 	fs.full = 0
-	if _, err := w.Write(bodyOf("/c", 0, 2000)[1000:]); !errors.Is(err, errNoSpace) {
+	if _, err := writer.Write(bodyOf("/c", 0, 2000)[1000:]); !errors.Is(err, errNoSpace) {
 		t.Fatal(err)
 	}
-	if ok, err := w.Commit(); ok || err == nil {
+	if ok, err := writer.Commit(); ok || err == nil {
 		t.Fatal(ok, err)
 	}
-	if _, err := s.Begin(Meta{Key: "/d"}, 10); !errors.Is(err, errNoSpace) || !strings.Contains(said, "nothing more is kept") {
-		t.Error(err, said)
+	if _, err := store.Begin(Meta{Key: "/d"}, 10); !errors.Is(err, errNoSpace) || !strings.Contains(warnings, "nothing more is stored") {
+		t.Error(err, warnings)
 	}
-	if _, err := s.Purge(Purge{Scope: ByObject, Text: "/b"}); err == nil {
+	if _, err := store.Purge(Purge{Scope: ByObject, Text: "/b"}); err == nil {
 		t.Error("a purge that does not last is acknowledged")
 	}
 	for key, want := range map[string]bool{"/a": true, "/b": false, "/c": false} {
-		if _, ok := lookupChecked(t, s, key); ok != want {
+		if _, ok := lookupChecked(t, store, key); ok != want {
 			t.Errorf("%s: %v", key, ok)
 		}
 	}
-	n := fs.killed()
-	if s, _, err = Open(n, Options{}); err != nil {
+	killed := fs.killed()
+	if store, _, err = Open(killed, Options{}); err != nil {
 		t.Fatal(err)
 	}
-	if _, ok := lookupChecked(t, s, "/a"); !ok {
+	if _, ok := lookupChecked(t, store, "/a"); !ok {
 		t.Error("/a is gone after the start")
 	}
-	if _, ok := lookupChecked(t, s, "/c"); ok {
-		t.Error("half a copy is given out")
+	if _, ok := lookupChecked(t, store, "/c"); ok {
+		t.Error("an incomplete object is served")
 	}
-	storeObject(t, s, "/d", 1, 10)
+	storeObject(t, store, "/d", 1, 10)
 }
--- a/internal/cachenode/store/index.go
+++ b/internal/cachenode/store/index.go
@@ -6,75 +6,92 @@
 	"slices"
 )
 
-// put takes a place into the index, if its segment holds it.
-func (s *Store) addPlace(p place) {
-	g := s.segments[p.segment]
-	if g == nil || g.file != nil && !g.holds(&p) { // one that is not open yet is seen when it is
+// checkpointBytes is how much of a new index log is written at a time.
+const checkpointBytes = 1 << 20
+
+func indexName(number int) string { return fmt.Sprintf("index-%06d.log", number) }
+
+// addLocation takes an object into the index in memory, unless its segment does not hold
+// it.
+func (s *Store) addLocation(loc location) {
+	seg := s.segments[loc.segment]
+	if seg == nil || seg.file != nil && !seg.holds(&loc) { // of one that is not open yet, openSegment sees
 		return
 	}
-	s.removePlace(p.keyHash)
-	p.packed |= flagLive
-	var i uint32
+	s.removeLocation(loc.keyHash)
+	loc.packed |= flagLive
+	var slot uint32
 	if n := len(s.freeSlots); n > 0 {
-		i = s.freeSlots[n-1]
+		slot = s.freeSlots[n-1]
 		s.freeSlots = s.freeSlots[:n-1]
-		s.slots[i] = p
+		s.slots[slot] = loc
 	} else {
-		i = uint32(len(s.slots))
-		s.slots = append(s.slots, p)
+		slot = uint32(len(s.slots))
+		s.slots = append(s.slots, loc)
 	}
-	s.byHash[p.keyHash] = i
-	g.slots = append(g.slots, i)
-	g.liveBytes += p.size()
+	s.byHash[loc.keyHash] = slot
+	seg.slots = append(seg.slots, slot)
 }
 
-func (s *Store) removePlace(hash uint64) {
-	i, ok := s.byHash[hash]
+// removeLocation drops an object, by the hash of its key, from the index in memory.
+func (s *Store) removeLocation(keyHash uint64) {
+	slot, ok := s.byHash[keyHash]
 	if !ok {
 		return
 	}
-	p := &s.slots[i]
-	if g := s.segments[p.segment]; g != nil {
-		g.liveBytes -= p.size()
-		for k, x := range g.slots {
-			if x == i {
-				g.slots[k] = g.slots[len(g.slots)-1]
-				g.slots = g.slots[:len(g.slots)-1]
-				break
-			}
+	loc := &s.slots[slot]
+	if seg := s.segments[loc.segment]; seg != nil {
+		if i := slices.Index(seg.slots, slot); i >= 0 {
+			last := len(seg.slots) - 1
+			seg.slots[i] = seg.slots[last]
+			seg.slots = seg.slots[:last]
 		}
 	}
-	delete(s.byHash, hash)
-	*p = place{}
-	s.freeSlots = append(s.freeSlots, i)
+	delete(s.byHash, keyHash)
+	*loc = location{}
+	s.freeSlots = append(s.freeSlots, slot)
 }
 
-// recordDrop notes in the index log that a copy is none.
-func (s *Store) logDrop(hash uint64) {
-	if s.closed || s.logsBroken { // a log that is written anew has it no more
+// logAdd writes an object's location into the index log.
+func (s *Store) logAdd(loc *location) error {
+	return s.appendIndexLog(entryAdd, loc.appendTo(nil))
+}
+
+// logDrop writes into the index log that an object is gone.
+func (s *Store) logDrop(keyHash uint64) {
+	if s.closed || s.logsBroken { // a log that is written anew does not have it
 		return
 	}
-	b := appendEntry(nil, entryDrop, binary.LittleEndian.AppendUint64(nil, hash))
-	if err := s.appendLog(s.indexLog, &s.indexLogLen, b); err != nil {
-		s.failLog("write", indexName(s.indexNumber), err)
+	s.appendIndexLog(entryDrop, binary.LittleEndian.AppendUint64(nil, keyHash)) // an error is in s.failure
+}
+
+func (s *Store) appendIndexLog(kind entryKind, payload []byte) error {
+	if err := s.appendLog(s.indexLog, &s.indexLogLen, appendEntry(nil, kind, payload)); err != nil {
+		return s.failLog("write", indexName(s.indexNumber), err)
 	}
+	return nil
+}
+
+// appendLog writes entries at the end of a log, and moves the end.
+func (s *Store) appendLog(file File, end *int64, entries []byte) error {
+	err := writeAt(file, entries, *end)
+	*end += int64(len(entries))
+	s.Stats.WrittenBytes += int64(len(entries))
+	return err
 }
 
-// checkpoint writes both logs anew, of what there is, as new files in the place of the
-// present ones. Until it has succeeded nothing is added to either.
+// checkpoint writes both logs anew from memory, as new files in the place of the present
+// ones. Until it has succeeded nothing is added to either.
+//
+// The purge log is not replaced before the index log that has the same purges lasts: one of
+// the two is complete at any time.
 func (s *Store) checkpoint() error {
 	s.logsBroken = true
 	previous := s.indexNumber
 	s.indexNumber++ // each attempt has a name of its own
 	name := indexName(s.indexNumber)
-	var words, payload []byte
-	for _, w := range s.lastingPurges() {
-		payload = w.append(payload[:0])
-		words = appendEntry(words, entryPurge, payload)
-	}
-	// the log of purges is not made anew before the index that has them lasts, nor the
-	// index before the log: one of the two is whole at any time
-	index, length, err := s.writeIndex(name, words)
+	purges := s.encodeLastingPurges()
+	index, length, err := s.writeIndexLog(name, purges)
 	if err != nil {
 		s.remove(name + ".new")
 		s.remove(name)
@@ -86,7 +103,7 @@
 	s.indexLog, s.indexLogLen = index, length
 	s.remove(indexName(previous))
 	temporary := fmt.Sprintf("%s.%06d.new", purgeLogName, s.indexNumber)
-	log, err := s.replaceFile(temporary, purgeLogName, func(f File) error { return writeAt(f, words, 0) })
+	log, err := s.replaceFile(temporary, purgeLogName, func(file File) error { return writeAt(file, purges, 0) })
 	if err != nil {
 		s.remove(temporary)
 		return s.failLog("write", purgeLogName, err)
@@ -94,69 +111,37 @@
 	if s.purgeLog != nil {
 		s.purgeLog.Close()
 	}
-	s.purgeLog, s.purgeLogLen = log, int64(len(words))
-	s.Stats.WrittenBytes += int64(len(words))
+	s.purgeLog, s.purgeLogLen = log, int64(len(purges))
+	s.Stats.WrittenBytes += int64(len(purges))
 	s.logsBroken = false
 	s.removeStale()
 	return nil
 }
 
-// writeIndex writes an index log of the purges and all copies.
-func (s *Store) writeIndex(name string, words []byte) (f File, length int64, err error) {
-	f, err = s.replaceFile(name+".new", name, func(f File) error {
-		b := slices.Clone(words)
+// writeIndexLog writes a new index log of the purges and all objects.
+func (s *Store) writeIndexLog(name string, purges []byte) (file File, length int64, err error) {
+	file, err = s.replaceFile(name+".new", name, func(file File) error {
+		entries := slices.Clone(purges)
 		var payload []byte
 		for i := range s.slots {
 			if !s.slots[i].live() {
 				continue
 			}
-			payload = s.slots[i].append(payload[:0])
-			if b = appendEntry(b, entryAdd, payload); len(b) < 1<<20 {
+			payload = s.slots[i].appendTo(payload[:0])
+			entries = appendEntry(entries, entryAdd, payload)
+			if len(entries) < checkpointBytes {
 				continue
 			}
-			if err := writeAt(f, b, length); err != nil {
+			if err := writeAt(file, entries, length); err != nil {
 				return err
 			}
-			length += int64(len(b))
-			b = b[:0]
+			length += int64(len(entries))
+			entries = entries[:0]
 		}
-		err := writeAt(f, b, length)
-		length += int64(len(b))
+		err := writeAt(file, entries, length)
+		length += int64(len(entries))
 		return err
 	})
 	s.Stats.WrittenBytes += length
-	return f, length, err
-}
-
-// replace writes a new file under a temporary name, and puts it in a file's place once it
-// lasts.
-func (s *Store) replaceFile(temporary, name string, write func(File) error) (File, error) {
-	f, err := s.fs.Open(temporary, true)
-	if err != nil {
-		return nil, err
-	}
-	if err = f.Truncate(0); err == nil {
-		err = write(f)
-	}
-	if err == nil {
-		err = f.Sync()
-	}
-	if err == nil {
-		err = s.fs.Rename(temporary, name)
-	}
-	if err == nil {
-		err = s.fs.SyncDir()
-	}
-	if err != nil {
-		f.Close()
-		return nil, err
-	}
-	return f, nil
-}
-
-func (s *Store) appendLog(f File, at *int64, b []byte) error {
-	err := writeAt(f, b, *at)
-	*at += int64(len(b))
-	s.Stats.WrittenBytes += int64(len(b))
-	return err
+	return file, length, err
 }
--- a/internal/cachenode/store/index_bench_test.go
+++ b/internal/cachenode/store/index_bench_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/binary"
-	"fmt"
 	"math/rand/v2"
 	"os"
 	"path/filepath"
@@ -15,8 +14,8 @@
 // for each place as the store would need it (not synced), and in the store's own.
 func BenchmarkIndex(b *testing.B) {
 	const n = 100_000
-	pl := func(i int) place {
-		return place{keyHash: uint64(i) * 0x9e3779b97f4a7c15, segment: 1, offset8: uint32(i), packed: packLengths(0, 8, 1)}
+	pl := func(i int) location {
+		return location{keyHash: uint64(i) * 0x9e3779b97f4a7c15, segment: 1, offset8: uint32(i), packed: packLengths(0, 8, 1)}
 	}
 	b.Run("bbolt", func(b *testing.B) {
 		file := filepath.Join(b.TempDir(), "index")
@@ -27,12 +26,12 @@
 		defer db.Close()
 		bucket := []byte("i")
 		put := func(tx *bolt.Tx, i int) error {
-			p := pl(i)
+			loc := pl(i)
 			k, err := tx.CreateBucketIfNotExists(bucket)
 			if err != nil {
 				return err
 			}
-			return k.Put(binary.BigEndian.AppendUint64(nil, p.keyHash), p.append(nil))
+			return k.Put(binary.BigEndian.AppendUint64(nil, loc.keyHash), loc.appendTo(nil))
 		}
 		for i := 0; i < n; i += 1000 {
 			if err := db.Update(func(tx *bolt.Tx) error {
@@ -55,9 +54,9 @@
 		})
 		b.Run("find", func(b *testing.B) {
 			for b.Loop() {
-				p := pl(rand.IntN(n))
+				loc := pl(rand.IntN(n))
 				db.View(func(tx *bolt.Tx) error {
-					if _, ok := readPlace(tx.Bucket(bucket).Get(binary.BigEndian.AppendUint64(nil, p.keyHash))); !ok {
+					if _, ok := readLocation(tx.Bucket(bucket).Get(binary.BigEndian.AppendUint64(nil, loc.keyHash))); !ok {
 						b.Fatal("it is gone")
 					}
 					return nil
@@ -65,25 +64,25 @@
 			}
 		})
 		if st, err := os.Stat(file); err == nil {
-			b.Log(fmt.Sprintf("%d bytes of disk a place", st.Size()/n))
+			b.Logf("%d bytes of disk a place", st.Size()/n)
 		}
 	})
 	b.Run("own", func(b *testing.B) {
-		s, _, err := Open(Dir(b.TempDir()), Options{})
+		store, _, err := Open(Dir(b.TempDir()), Options{})
 		if err != nil {
 			b.Fatal(err)
 		}
-		defer s.Close()
-		if err := s.rotate(); err != nil {
+		defer store.Close()
+		if err := store.rotate(); err != nil {
 			b.Fatal(err)
 		}
-		s.active.size = 1 << 40
+		store.active.size = 1 << 40
 		put := func(i int) {
-			p := pl(i)
-			if err := s.appendLog(s.indexLog, &s.indexLogLen, appendEntry(nil, entryAdd, p.append(nil))); err != nil {
+			loc := pl(i)
+			if err := store.appendLog(store.indexLog, &store.indexLogLen, appendEntry(nil, entryAdd, loc.appendTo(nil))); err != nil {
 				b.Fatal(err)
 			}
-			s.addPlace(p)
+			store.addLocation(loc)
 		}
 		for i := range n {
 			put(i)
@@ -95,8 +94,8 @@
 		})
 		b.Run("find", func(b *testing.B) {
 			for b.Loop() {
-				p := pl(rand.IntN(n))
-				if _, ok := s.byHash[p.keyHash]; !ok {
+				loc := pl(rand.IntN(n))
+				if _, ok := store.byHash[loc.keyHash]; !ok {
 					b.Fatal("it is gone")
 				}
 			}
--- a/internal/cachenode/store/kill_test.go
+++ b/internal/cachenode/store/kill_test.go
@@ -10,47 +10,47 @@
 	"time"
 )
 
-// writeOn is what the killed process does: it keeps copies and purges some, and says on
-// its output what was acknowledged.
+// writeUntilKilled is what the killed process does: it stores objects and purges some, and
+// prints what was acknowledged.
 func writeUntilKilled(dir string, seed uint64) {
-	s, r, err := Open(Dir(dir), Options{MaxBytes: 8 << 20, SegmentBytes: 256 << 10})
+	store, recovered, err := Open(Dir(dir), Options{MaxBytes: 8 << 20, SegmentBytes: 256 << 10})
 	if err != nil {
 		fmt.Println("error", err)
 		os.Exit(1)
 	}
-	fmt.Println("open", r.Objects, r.DiscardReason)
+	fmt.Println("open", recovered.Objects, recovered.DiscardReason)
 	rng := rand.New(rand.NewPCG(seed, 9))
 	version := int64(seed) * 1_000_000
 	for {
 		version++
 		key := fmt.Sprint("/k/", rng.IntN(300))
 		if rng.IntN(12) == 0 {
-			if _, err := s.Purge(Purge{Scope: ByObject, Text: key, Version: version}); err == nil {
+			if _, err := store.Purge(Purge{Scope: ByObject, Text: key, Version: version}); err == nil {
 				fmt.Println("purge", key, version)
 			}
 			continue
 		}
 		n := 1 + rng.IntN(8000)
-		w, err := s.Begin(Meta{Key: key, Object: key, Version: version, Born: version, Rank: 2}, int64(n))
+		writer, err := store.Begin(Meta{Key: key, Object: key, Version: version, Born: version, Rank: 2}, int64(n))
 		if err != nil {
 			fmt.Println("error", err)
 			os.Exit(1)
 		}
-		b := bodyOf(key, version, n)
-		w.Write(b[:n/2])
-		w.Write(b[n/2:])
-		if ok, err := w.Commit(); ok && err == nil {
-			fmt.Println("kept", key, version)
+		data := bodyOf(key, version, n)
+		writer.Write(data[:n/2])
+		writer.Write(data[n/2:])
+		if ok, err := writer.Commit(); ok && err == nil {
+			fmt.Println("stored", key, version)
 		}
 		if rng.IntN(4) == 0 {
-			s.Compact(64 << 10)
+			store.Compact(64 << 10)
 		}
 	}
 }
 
-// A process that is killed at any time, again and again on one folder: each copy that it
-// said was kept is found with its bytes, unless it was purged or given up for room, and
-// what it said was purged never comes back.
+// A process that is killed at any time, again and again on one folder: each object that it
+// acknowledged is found with its bytes, unless it was purged or evicted, and what it
+// acknowledged as purged never comes back.
 func TestKilled(t *testing.T) {
 	if dir := os.Getenv("STORE_WRITE_ON"); dir != "" {
 		var seed uint64
@@ -80,7 +80,7 @@
 			var version int64
 			fmt.Sscan(in.Text(), &what, &key, &version)
 			switch what {
-			case "kept":
+			case "stored":
 				last[key] = version
 			case "purge":
 				purged[key] = version
@@ -90,30 +90,30 @@
 		}
 		timer.Stop()
 		cmd.Wait()
-		s, r, err := Open(Dir(dir), Options{MaxBytes: 8 << 20, SegmentBytes: 256 << 10})
-		if err != nil || r.DiscardReason != "" {
-			t.Fatalf("round %d: %+v %v", round, r, err)
+		store, recovered, err := Open(Dir(dir), Options{MaxBytes: 8 << 20, SegmentBytes: 256 << 10})
+		if err != nil || recovered.DiscardReason != "" {
+			t.Fatalf("round %d: %+v %v", round, recovered, err)
 		}
-		for key, v := range last {
-			got, ok := lookupChecked(t, s, key)
+		for key, stored := range last {
+			got, ok := lookupChecked(t, store, key)
 			switch {
 			case ok && got < purged[key]:
 				t.Fatalf("round %d: %s is back in version %d, purged up to %d", round, key, got, purged[key])
-			case ok && got < v:
-				t.Fatalf("round %d: %s is found in version %d, %d was kept", round, key, got, v)
-			case v >= purged[key]:
+			case ok && got < stored:
+				t.Fatalf("round %d: %s is found in version %d, %d was stored", round, key, got, stored)
+			case stored >= purged[key]:
 				expect++
 				if ok {
 					found++
 				}
 			}
 		}
-		if err := s.Close(); err != nil {
+		if err := store.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if expect == 0 || float64(found) < 0.95*float64(expect) {
 		t.Errorf("%d of %d are found", found, expect)
 	}
-	t.Logf("%d kills: %d of %d that were kept and not purged are found", rounds, found, expect)
+	t.Logf("%d kills: %d of %d that were stored and not purged are found", rounds, found, expect)
 }
--- a/internal/cachenode/store/logentry.go
+++ b/internal/cachenode/store/logentry.go
@@ -2,72 +2,98 @@
 
 import (
 	"encoding/binary"
+	"fmt"
 	"hash/crc32"
 )
 
-// Entries of the logs stand in blocks of 64 bytes, each entry with a mark and a checksum
-// at its beginning, so that behind a damaged one the next is found again.
+// entryKind is what an entry of the logs says.
+type entryKind byte
+
+const (
+	entryAdd   entryKind = 1 // an object is at a location (index log)
+	entryDrop  entryKind = 2 // the object of a key's hash is gone (index log)
+	entryPurge entryKind = 3 // a purge (both logs)
+)
+
+// String names the kind.
+func (k entryKind) String() string {
+	switch k {
+	case entryAdd:
+		return "add"
+	case entryDrop:
+		return "drop"
+	case entryPurge:
+		return "purge"
+	}
+	return fmt.Sprintf("entryKind(%d)", byte(k))
+}
+
+// An entry takes whole blocks, and begins with a mark and a checksum, so that behind a
+// corrupt one the next is found again:
 //
 //	0  mark "SPL1"
 //	4  CRC-32C of all behind it
-//	8  blocks (2 bytes), kind (1), 5 free
-//	16 the entry
+//	8  number of blocks (2 bytes), kind (1), 5 unused
+//	16 payload, and zeros up to the end of the block
 const (
-	blockLen       = 64
-	entryHeaderLen = 16
-	entryMark      = 0x314c5053
-	entryAdd       = 1
-	entryDrop      = 2
-	entryPurge     = 3 // a purge
-	maxPurgeText   = 4096
+	blockLen        = 64
+	entryMark       = 0x314c5053
+	entryChecksumAt = 4
+	entryBlocksAt   = 8
+	entryKindAt     = 10
+	entryHeaderLen  = 16
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// entry appends an entry with the payload.
-func appendEntry(dst []byte, kind byte, payload []byte) []byte {
-	n := (entryHeaderLen + len(payload) + blockLen - 1) / blockLen
-	at := len(dst)
-	dst = append(dst, make([]byte, n*blockLen)...)
-	b := dst[at:]
-	binary.LittleEndian.PutUint32(b, entryMark)
-	binary.LittleEndian.PutUint16(b[8:], uint16(n))
-	b[10] = kind
-	copy(b[entryHeaderLen:], payload)
-	binary.LittleEndian.PutUint32(b[4:], crc32.Checksum(b[8:], castagnoli))
-	return dst
+// appendEntry appends an entry to a log's bytes.
+func appendEntry(log []byte, kind entryKind, payload []byte) []byte {
+	blocks := (entryHeaderLen + len(payload) + blockLen - 1) / blockLen
+	start := len(log)
+	log = append(log, make([]byte, blocks*blockLen)...)
+	entry := log[start:]
+	binary.LittleEndian.PutUint32(entry, entryMark)
+	binary.LittleEndian.PutUint16(entry[entryBlocksAt:], uint16(blocks))
+	entry[entryKindAt] = byte(kind)
+	copy(entry[entryHeaderLen:], payload)
+	binary.LittleEndian.PutUint32(entry[entryChecksumAt:], crc32.Checksum(entry[entryBlocksAt:], castagnoli))
+	return log
 }
 
-// entries calls f for each entry in b, and says how many places were damaged, and whether
-// entries follow one of them: a crash leaves the end torn of a log that is synced with each
-// entry, and nothing before it.
-func readEntries(b []byte, f func(kind byte, payload []byte)) (damaged int, within bool) {
-	bad := false
-	for at := 0; at < len(b); {
-		n := entryLen(b[at:])
+// readEntries calls visit for each entry of a log, and returns how many places are corrupt,
+// and whether an entry follows one of them: of a log that is synced with each entry a crash
+// leaves the end torn, and nothing before it.
+func readEntries(log []byte, visit func(kind entryKind, payload []byte)) (corrupt int, before bool) {
+	inCorrupt := false
+	for at := 0; at < len(log); {
+		n := entryLen(log[at:])
 		if n == 0 {
-			if !bad {
-				damaged++
+			if !inCorrupt {
+				corrupt++
 			}
-			bad = true
+			inCorrupt = true
 			at += blockLen
 			continue
 		}
-		within = within || damaged > 0
-		bad = false
-		f(b[at+10], b[at+entryHeaderLen:at+n])
+		before = before || corrupt > 0
+		inCorrupt = false
+		visit(entryKind(log[at+entryKindAt]), log[at+entryHeaderLen:at+n])
 		at += n
 	}
-	return damaged, within
+	return corrupt, before
 }
 
-// whole is the length of the entry that b begins with; 0: there is none that is whole.
-func entryLen(b []byte) int {
-	if len(b) < blockLen || binary.LittleEndian.Uint32(b) != entryMark {
+// entryLen is the length of the entry that a log's bytes begin with; 0: there is none, or it
+// is corrupt.
+func entryLen(log []byte) int {
+	if len(log) < blockLen || binary.LittleEndian.Uint32(log) != entryMark {
+		return 0
+	}
+	n := int(binary.LittleEndian.Uint16(log[entryBlocksAt:])) * blockLen
+	if n == 0 || n > len(log) {
 		return 0
 	}
-	n := int(binary.LittleEndian.Uint16(b[8:])) * blockLen
-	if n == 0 || n > len(b) || crc32.Checksum(b[8:n], castagnoli) != binary.LittleEndian.Uint32(b[4:]) {
+	if crc32.Checksum(log[entryBlocksAt:n], castagnoli) != binary.LittleEndian.Uint32(log[entryChecksumAt:]) {
 		return 0
 	}
 	return n
--- a/internal/cachenode/store/model_test.go
+++ b/internal/cachenode/store/model_test.go
@@ -14,14 +14,15 @@
 	"pgregory.net/rapid"
 )
 
-// kept is what the model knows of a copy that was kept.
+// storedObject is what the model knows of an object that was stored.
 type storedObject struct {
 	meta  Meta
 	body  []byte
 	since int // purges that were made before its fill began
 }
 
-// model is a store as a map: every copy that was ever kept of each key, and all purges.
+// model is a store as a map: every object that was ever stored under each key, and all
+// purges.
 type model struct {
 	stored       map[string][]storedObject
 	latest       map[string]*storedObject
@@ -29,34 +30,35 @@
 	acknowledged []bool
 }
 
-func (m *model) purged(k *storedObject, maybe bool) bool {
-	for i, w := range m.purges {
+// purged reports whether a purge covers an object; maybe: also one that was not acknowledged.
+func (m *model) purged(object *storedObject, maybe bool) bool {
+	for i, purge := range m.purges {
 		if !m.acknowledged[i] && !maybe {
 			continue
 		}
-		hit := w.Scope == ByObject && w.Text == k.meta.Object || w.Scope == ByGroup && w.Group == k.meta.Group ||
-			w.Scope == ByTag && slices.Contains(k.meta.Tags, w.Text) || w.Scope == ByPrefix && strings.HasPrefix(k.meta.Key, w.Text)
+		hit := purge.Scope == ByObject && purge.Text == object.meta.Object || purge.Scope == ByGroup && purge.Group == object.meta.Group ||
+			purge.Scope == ByTag && slices.Contains(object.meta.Tags, purge.Text) || purge.Scope == ByPrefix && strings.HasPrefix(object.meta.Key, purge.Text)
 		if !hit {
 			continue
 		}
-		if w.Version > 0 && k.meta.Version > 0 {
-			if k.meta.Version < w.Version {
+		if purge.Version > 0 && object.meta.Version > 0 {
+			if object.meta.Version < purge.Version {
 				return true
 			}
 			continue
 		}
-		if k.since <= i {
+		if object.since <= i {
 			return true
 		}
 	}
 	return false
 }
 
-// Any sequence of copies, purges, finds and tidying, with the process killed or the machine
-// stopped at any write, and anything that was not synced lost, in part or in any order:
-// what is found is a copy that was kept, whole, and no purge that was acknowledged voids it;
-// after a kill, and after a crash where copies are synced, all that was kept is found but
-// for what was given up for room.
+// Any sequence of writes, purges, lookups and compactions, with the process killed or the
+// machine stopped at any write, and anything that was not synced lost, in part or in any
+// order: what is found is an object that was stored, complete, and no acknowledged purge
+// covers it; after a kill, and after a crash where objects are synced, all that was stored is
+// found but for what was evicted.
 func TestModel(t *testing.T) { checkModel(t, false) }
 
 // The same with a disk that fails for a while, again and again (ENOSPC, EIO, short writes,
@@ -66,222 +68,289 @@
 
 func checkModel(t *testing.T, faults bool) {
 	rapid.Check(t, func(t *rapid.T) {
-		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 5))
-		set := Options{MaxBytes: 64 << 10, SegmentBytes: 8 << 10, Sync: Sync(rng.IntN(3)), MaxPurgeRules: 4}
-		big := rng.IntN(2) == 0
-		if big { // nothing is given up for room
-			set.MaxBytes = 64 << 20
-			set.SegmentBytes = 32 << 10
+		run := newModelRun(t, faults)
+		for range run.rng.IntN(150) {
+			run.step()
 		}
-		clock := testClock{time.Unix(1_700_000_000, 0)}
-		set.Now = clock.Now
-		fs := newCrashFS()
-		fs.rng = rng
-		s, _, err := Open(fs, set)
-		if err != nil {
-			t.Fatal(err)
+	})
+}
+
+// openWriter is a fill in flight.
+type openWriter struct {
+	writer *Writer
+	object storedObject
+}
+
+// modelRun is a store, and the model that it is held against.
+type modelRun struct {
+	t        *rapid.T
+	rng      *rand.Rand
+	options  Options
+	roomy    bool // nothing is evicted
+	faults   bool
+	clock    testClock
+	fs       *crashFS
+	store    *Store
+	expected *model
+	version  int64
+	born     int64
+	writers  []openWriter
+	renewed  map[string]bool // since the last start: a crash may tear their heads
+	lossy    bool            // objects may be lost that are not synced
+	gaveUp   bool            // any object may be lost
+}
+
+func newModelRun(t *rapid.T, faults bool) *modelRun {
+	rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 5))
+	r := &modelRun{t: t, rng: rng, faults: faults, born: 1000, renewed: map[string]bool{},
+		clock:    testClock{time.Unix(1_700_000_000, 0)},
+		expected: &model{stored: map[string][]storedObject{}, latest: map[string]*storedObject{}}}
+	r.options = Options{MaxBytes: 64 << 10, SegmentBytes: 8 << 10, Sync: Sync(rng.IntN(3)), MaxPurgeRules: 4}
+	r.roomy = rng.IntN(2) == 0
+	if r.roomy {
+		r.options.MaxBytes = 64 << 20
+		r.options.SegmentBytes = 32 << 10
+	}
+	r.options.Now = r.clock.Now
+	r.fs = newCrashFS()
+	r.fs.rng = rng
+	var err error
+	if r.store, _, err = Open(r.fs, r.options); err != nil {
+		t.Fatal(err)
+	}
+	return r
+}
+
+// verify looks up all keys; mustAll: what was stored last and not purged has to be there.
+func (r *modelRun) verify(mustAll bool) {
+	for i := range 40 {
+		key := fmt.Sprintf("/k/%d", i)
+		found := r.store.Lookup(key)
+		if found == nil {
+			if latest := r.expected.latest[key]; mustAll && latest != nil && !r.expected.purged(latest, true) {
+				r.t.Fatalf("%s is gone", key)
+			}
+			continue
 		}
-		m := &model{stored: map[string][]storedObject{}, latest: map[string]*storedObject{}}
-		version := int64(0)
-		verify := func(mustAll bool) {
-			for i := range 40 {
-				key := fmt.Sprintf("/k/%d", i)
-				c := s.Lookup(key)
-				if c == nil {
-					if k := m.latest[key]; mustAll && k != nil && !m.purged(k, true) {
-						t.Fatalf("%s is gone", key)
-					}
-					continue
-				}
-				b := make([]byte, c.Size)
-				if n, err := c.ReadAt(b, 0); int64(n) != c.Size && fs.fault != nil {
-					c.Close()
-					continue
-				} else if int64(n) != c.Size {
-					t.Fatalf("%s: %d bytes of %d, %v", key, n, c.Size, err)
-				}
-				c.Close()
-				ok := false
-				for k := range m.stored[key] {
-					x := &m.stored[key][k]
-					if bytes.Equal(x.body, b) && x.meta.Version == c.Version && x.meta.Born == c.Born {
-						if ok = true; m.purged(x, false) {
-							t.Fatalf("%s is given out in version %d after a purge that was acknowledged", key, c.Version)
-						}
-					}
-				}
-				if !ok {
-					t.Fatalf("%s is given out as it never was: %d bytes, version %d", key, c.Size, c.Version)
-				}
+		r.verifyFound(key, found)
+	}
+}
+
+func (r *modelRun) verifyFound(key string, found *CachedObject) {
+	defer found.Close()
+	body := make([]byte, found.Size)
+	n, err := found.ReadAt(body, 0)
+	if int64(n) != found.Size && r.fs.fault != nil {
+		return
+	}
+	if int64(n) != found.Size {
+		r.t.Fatalf("%s: %d bytes of %d, %v", key, n, found.Size, err)
+	}
+	ok := false
+	for i := range r.expected.stored[key] {
+		object := &r.expected.stored[key][i]
+		if bytes.Equal(object.body, body) && object.meta.Version == found.Version && object.meta.Born == found.Born {
+			ok = true
+			if r.expected.purged(object, false) {
+				r.t.Fatalf("%s is served in version %d after a purge that was acknowledged", key, found.Version)
 			}
 		}
-		type open struct {
-			w *Writer
-			k storedObject
+	}
+	if !ok {
+		r.t.Fatalf("%s is served as it never was: %d bytes, version %d", key, found.Size, found.Version)
+	}
+}
+
+// settled verifies what is there once the disk works; what was lost is not missed from here
+// on.
+func (r *modelRun) settled() {
+	r.verify(r.roomy && !r.gaveUp && (!r.lossy || r.options.Sync == SyncObjects))
+	for key, latest := range r.expected.latest {
+		found := r.store.Lookup(key)
+		if found == nil {
+			r.expected.latest[key] = nil
+			continue
 		}
-		var writers []open
-		born := int64(1000)
-		renewed := map[string]bool{}  // since the last start: a crash may tear their heads
-		lossy, gaveUp := false, false // copies may be lost that are not synced; and any of them
-		settled := func() {           // the disk works: see what is there
-			verify(big && !gaveUp && (!lossy || set.Sync == SyncObjects))
-			for key, k := range m.latest { // what was lost is not missed from here on
-				c := s.Lookup(key)
-				if c == nil {
-					m.latest[key] = nil
-					continue
-				}
-				if !renewed[key] && (k == nil || c.Born != k.meta.Born) {
-					for i := range m.stored[key] {
-						if m.stored[key][i].meta.Born == c.Born {
-							m.latest[key] = &m.stored[key][i]
-						}
-					}
+		if !r.renewed[key] && (latest == nil || found.Born != latest.meta.Born) {
+			for i := range r.expected.stored[key] {
+				if r.expected.stored[key][i].meta.Born == found.Born {
+					r.expected.latest[key] = &r.expected.stored[key][i]
 				}
-				c.Close()
 			}
-			lossy, gaveUp, fs.lost = false, false, false
 		}
-		for range rng.IntN(150) {
-			clock.now = clock.now.Add(time.Duration(rng.IntN(100)) * time.Millisecond)
-			lossy, gaveUp = lossy || fs.lost, gaveUp || s.unversionedRules >= 4*set.MaxPurgeRules && fs.fault != nil
-			switch {
-			case !faults || fs.stopped:
-			case fs.fault == nil && rng.IntN(12) == 0:
-				fs.fault = randomFault(rng)
-			case fs.fault != nil && fs.left < 0 && rng.IntN(12) == 0:
-				fs.fault = nil
-				clock.retryAfterBackoff(s)
-				if st := s.Status(); st.Fault != nil || st.LogsUnread || !st.PurgesDurable {
-					t.Fatalf("it does not come back: %+v", st)
-				}
-				settled()
-			}
-			if rng.IntN(30) == 0 {
-				s.Retry()
-			}
-			if fs.stopped || rng.IntN(40) == 0 {
-				how := rng.IntN(3)
-				fault := fs.fault
-				lossy = lossy || fs.lost
-				switch how {
-				case 0:
-					fs = fs.killed()
-				case 1:
-					fs = fs.crashed(rng)
-				default: // the recovery is stopped too
-					fs = fs.killed()
-					fs.left = rng.IntN(30)
-					if s2, _, err := Open(fs, set); err == nil {
-						s = s2
-						fs.left = -1
-					}
-					fs = fs.crashed(rng)
-				}
-				writers, renewed = nil, map[string]bool{}
-				lossy = lossy || how > 0
-				fs.rng = rng
-				if rng.IntN(2) == 0 {
-					fs.fault = fault
-				}
-				if s, _, err = Open(fs, set); err != nil {
-					t.Fatalf("it does not open again: %v", err)
-				}
-				if fs.fault != nil {
-					verify(false)
-					continue
-				}
-				settled()
-				continue
-			}
-			if rng.IntN(60) == 0 {
-				fs.left = rng.IntN(20)
-			}
-			switch n := rng.IntN(10); {
-			case n < 4:
-				if rng.IntN(3) == 0 {
-					version++
-				}
-				born++
-				key := fmt.Sprintf("/k/%d", rng.IntN(40))
-				k := storedObject{meta: Meta{Key: key, Object: "/o/" + key[3:], Group: int32(rng.IntN(4)), Tags: []string{fmt.Sprint("t", rng.IntN(4))}, Born: born,
-					Rank: 1 + rng.IntN(3)}, body: make([]byte, rng.IntN(3000)), since: len(m.purges)}
-				if rng.IntN(2) == 0 {
-					k.meta.Version = max(version-int64(rng.IntN(3)), 1)
-				}
-				for i := range k.body {
-					k.body[i] = byte(rng.Uint32())
-				}
-				if w, err := s.Begin(k.meta, int64(len(k.body))); err == nil {
-					writers = append(writers, open{w, k})
-				} else if fault := (*FaultError)(nil); !errors.Is(err, errStopped) && !(faults && errors.As(err, &fault)) {
-					t.Fatal(err)
-				}
-			case n < 8 && len(writers) > 0:
-				i := rng.IntN(len(writers))
-				o := writers[i]
-				writers = append(writers[:i], writers[i+1:]...)
-				cut := len(o.k.body)
-				if rng.IntN(8) == 0 {
-					cut = rng.IntN(cut + 1)
-				}
-				o.w.Write(o.k.body[:cut/2])
-				o.w.Write(o.k.body[cut/2 : cut])
-				// it may last although it was not said to
-				m.stored[o.k.meta.Key] = append(m.stored[o.k.meta.Key], o.k)
-				was, err := o.w.Commit()
-				if was {
-					if cut < len(o.k.body) {
-						t.Fatal("a copy that did not come whole was kept")
-					}
-					x := o.k
-					m.latest[o.k.meta.Key] = &x
-				} else if err == nil && !m.purged(&o.k, true) && big && o.k.meta.Version == 0 && len(m.purges) < 3 && !faults {
-					t.Fatal("a copy was not kept, and nothing voids it")
-				}
-			case n == 8:
-				w := Purge{Scope: Scope(1 + rng.IntN(4))}
-				switch w.Scope {
-				case ByObject:
-					w.Text = fmt.Sprintf("/o/%d", rng.IntN(40))
-				case ByGroup:
-					w.Group = int32(rng.IntN(4))
-				case ByTag:
-					w.Text = fmt.Sprint("t", rng.IntN(4))
-				case ByPrefix:
-					w.Text = fmt.Sprintf("/k/%d", rng.IntN(10))
-				}
-				if rng.IntN(3) == 0 {
-					w.Version = version + 1
-				}
-				_, err := s.Purge(w)
-				m.purges, m.acknowledged = append(m.purges, w), append(m.acknowledged, err == nil)
-			case rng.IntN(3) == 0: // a copy's source has found it good
-				key := fmt.Sprintf("/k/%d", rng.IntN(40))
-				c := s.Lookup(key)
-				if c == nil {
-					continue
-				}
-				born++
-				for _, k := range m.stored[key] {
-					if k.meta.Born == c.Born { // the new head may last or not, or be torn by a kill
-						k.meta.Born = born
-						m.stored[key] = append(m.stored[key], k)
-						m.latest[key], renewed[key] = nil, true
-						break
-					}
-				}
-				c.Renew(born)
-				c.Close()
-			case rng.IntN(2) == 0:
-				s.Compact(int64(rng.IntN(8 << 10)))
-			default:
-				if !fs.stopped {
-					verify(false)
-				}
-			}
+		found.Close()
+	}
+	r.lossy, r.gaveUp, r.fs.lost = false, false, false
+}
+
+// step is one of everything that may happen.
+func (r *modelRun) step() {
+	r.clock.now = r.clock.now.Add(time.Duration(r.rng.IntN(100)) * time.Millisecond)
+	r.lossy = r.lossy || r.fs.lost
+	r.gaveUp = r.gaveUp || r.store.unversionedRules >= 4*r.options.MaxPurgeRules && r.fs.fault != nil
+	switch {
+	case !r.faults || r.fs.stopped:
+	case r.fs.fault == nil && r.rng.IntN(12) == 0:
+		r.fs.fault = randomFault(r.rng)
+	case r.fs.fault != nil && r.fs.left < 0 && r.rng.IntN(12) == 0:
+		r.fs.fault = nil
+		r.clock.retryAfterBackoff(r.store)
+		if status := r.store.Status(); status.Fault != nil || status.LogsUnread || !status.PurgesDurable {
+			r.t.Fatalf("it does not work again: %+v", status)
 		}
-	})
+		r.settled()
+	}
+	if r.rng.IntN(30) == 0 {
+		r.store.Retry()
+	}
+	if r.fs.stopped || r.rng.IntN(40) == 0 {
+		r.restart()
+		return
+	}
+	if r.rng.IntN(60) == 0 {
+		r.fs.left = r.rng.IntN(20)
+	}
+	switch n := r.rng.IntN(10); {
+	case n < 4:
+		r.begin()
+	case n < 8 && len(r.writers) > 0:
+		r.commit()
+	case n == 8:
+		r.purge()
+	case r.rng.IntN(3) == 0:
+		r.renew()
+	case r.rng.IntN(2) == 0:
+		r.store.Compact(int64(r.rng.IntN(8 << 10)))
+	default:
+		if !r.fs.stopped {
+			r.verify(false)
+		}
+	}
+}
+
+// restart kills the process, or stops the machine, also while it recovers.
+func (r *modelRun) restart() {
+	how := r.rng.IntN(3)
+	fault := r.fs.fault
+	r.lossy = r.lossy || r.fs.lost
+	switch how {
+	case 0:
+		r.fs = r.fs.killed()
+	case 1:
+		r.fs = r.fs.crashed(r.rng)
+	default: // the recovery is stopped too
+		r.fs = r.fs.killed()
+		r.fs.left = r.rng.IntN(30)
+		if store, _, err := Open(r.fs, r.options); err == nil {
+			r.store = store
+			r.fs.left = -1
+		}
+		r.fs = r.fs.crashed(r.rng)
+	}
+	r.writers, r.renewed = nil, map[string]bool{}
+	r.lossy = r.lossy || how > 0
+	r.fs.rng = r.rng
+	if r.rng.IntN(2) == 0 {
+		r.fs.fault = fault
+	}
+	var err error
+	if r.store, _, err = Open(r.fs, r.options); err != nil {
+		r.t.Fatalf("it does not open again: %v", err)
+	}
+	if r.fs.fault != nil {
+		r.verify(false)
+		return
+	}
+	r.settled()
+}
+
+func (r *modelRun) begin() {
+	if r.rng.IntN(3) == 0 {
+		r.version++
+	}
+	r.born++
+	key := fmt.Sprintf("/k/%d", r.rng.IntN(40))
+	object := storedObject{meta: Meta{Key: key, Object: "/o/" + key[3:], Group: int32(r.rng.IntN(4)), Tags: []string{fmt.Sprint("t", r.rng.IntN(4))}, Born: r.born,
+		Rank: 1 + r.rng.IntN(3)}, body: make([]byte, r.rng.IntN(3000)), since: len(r.expected.purges)}
+	if r.rng.IntN(2) == 0 {
+		object.meta.Version = max(r.version-int64(r.rng.IntN(3)), 1)
+	}
+	for i := range object.body {
+		object.body[i] = byte(r.rng.Uint32())
+	}
+	writer, err := r.store.Begin(object.meta, int64(len(object.body)))
+	if err == nil {
+		r.writers = append(r.writers, openWriter{writer, object})
+		return
+	}
+	if fault := (*FaultError)(nil); !errors.Is(err, errStopped) && !(r.faults && errors.As(err, &fault)) {
+		r.t.Fatal(err)
+	}
+}
+
+func (r *modelRun) commit() {
+	i := r.rng.IntN(len(r.writers))
+	open := r.writers[i]
+	r.writers = append(r.writers[:i], r.writers[i+1:]...)
+	object := open.object
+	key := object.meta.Key
+	cut := len(object.body)
+	if r.rng.IntN(8) == 0 {
+		cut = r.rng.IntN(cut + 1)
+	}
+	open.writer.Write(object.body[:cut/2])
+	open.writer.Write(object.body[cut/2 : cut])
+	// it may last although it was not said to
+	r.expected.stored[key] = append(r.expected.stored[key], object)
+	stored, err := open.writer.Commit()
+	if stored {
+		if cut < len(object.body) {
+			r.t.Fatal("an incomplete object was stored")
+		}
+		r.expected.latest[key] = &object
+	} else if err == nil && !r.expected.purged(&object, true) && r.roomy && object.meta.Version == 0 && len(r.expected.purges) < 3 && !r.faults {
+		r.t.Fatal("an object was not stored, and no purge covers it")
+	}
+}
+
+func (r *modelRun) purge() {
+	purge := Purge{Scope: Scope(1 + r.rng.IntN(4))}
+	switch purge.Scope {
+	case ByObject:
+		purge.Text = fmt.Sprintf("/o/%d", r.rng.IntN(40))
+	case ByGroup:
+		purge.Group = int32(r.rng.IntN(4))
+	case ByTag:
+		purge.Text = fmt.Sprint("t", r.rng.IntN(4))
+	case ByPrefix:
+		purge.Text = fmt.Sprintf("/k/%d", r.rng.IntN(10))
+	}
+	if r.rng.IntN(3) == 0 {
+		purge.Version = r.version + 1
+	}
+	_, err := r.store.Purge(purge)
+	r.expected.purges = append(r.expected.purges, purge)
+	r.expected.acknowledged = append(r.expected.acknowledged, err == nil)
+}
+
+// renew has an object's source confirm it.
+func (r *modelRun) renew() {
+	key := fmt.Sprintf("/k/%d", r.rng.IntN(40))
+	found := r.store.Lookup(key)
+	if found == nil {
+		return
+	}
+	defer found.Close()
+	r.born++
+	for _, object := range r.expected.stored[key] {
+		if object.meta.Born == found.Born { // the new head may last or not, or be torn by a kill
+			object.meta.Born = r.born
+			r.expected.stored[key] = append(r.expected.stored[key], object)
+			r.expected.latest[key], r.renewed[key] = nil, true
+			break
+		}
+	}
+	found.Renew(r.born)
 }
 
 // randomFault has some of the calls fail, some of the time.
--- a/internal/cachenode/store/object.go
+++ b/internal/cachenode/store/object.go
@@ -1,8 +1,6 @@
 package store
 
 import (
-	"encoding/binary"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"hash/crc32"
@@ -11,158 +9,190 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Copy is a copy that was found. Its bytes stay readable until Close, also when it is
-// purged or given up for room meanwhile: who reads on has to ask Void.
+const (
+	verifyBytes   = 1 << 20 // of a body that are read at a time
+	minHeadBuffer = 4096
+)
+
+// CachedObject is an object that a lookup found, or that a Writer's Reader reads. Its body
+// stays readable until Close, also when it is purged or evicted meanwhile: whoever reads on
+// has to ask Purged.
 type CachedObject struct {
 	Meta
-	Size          int64
-	BeforeStart   bool // it is of before the start, and its source has not found it good since
-	PurgesUnknown bool // besides, a purge may have been missed meanwhile: only its source knows
-	store         *Store
-	segment       *segment
-	bodyOffset    int64
-	sincePurge    uint64
-	closed        bool
-
-	filling bool // it is being written, or was when its reader began
+	Size          int64 // of the body, in bytes
+	BeforeStart   bool  // it was stored before the start, and its source has not confirmed it since
+	PurgesUnknown bool  // besides, a purge may have been missed meanwhile: only its source knows
+
+	store      *Store
+	segment    *segment
+	bodyOffset int64
+	sincePurge uint64
+	closed     bool
+	filling    bool // it is being written, or was when its reader began
 }
 
-// Find finds a copy whose bytes are known to be right: the first time since the start
-// all of them are read. nil: there is none.
+// Lookup finds an object, and verifies its checksum: the first time since the start all of
+// its body is read. nil: there is none that can be served.
 func (s *Store) Lookup(key string) *CachedObject {
-	hash := xxhash.Sum64String(key)
-	s.mu.Lock()
-	i, ok := s.byHash[hash]
-	if !ok || s.closed {
-		s.Stats.Misses++
-		s.mu.Unlock()
+	keyHash := xxhash.Sum64String(key)
+	seg, loc := s.locate(keyHash)
+	if seg == nil {
 		return nil
 	}
-	p := s.slots[i]
-	g := s.segments[p.segment]
-	if !s.segmentReadable(g) || !s.slots[i].live() { // the latter where it lies behind the end of a segment that was opened just now
-		s.Stats.Misses++
-		s.mu.Unlock()
-		return nil
-	}
-	g.refs++
-	s.slots[i].packed |= flagUsed
-	s.mu.Unlock()
-
-	m, err := s.readMeta(g, &p)
-	if err != nil { // it may be being renewed
-		s.mu.Lock()
-		m, err = s.readMeta(g, &p)
-		s.mu.Unlock()
-	}
-	if err == nil && p.packed&flagVerified == 0 {
-		err = verifyBody(g.file, &p)
-	}
+	meta, err := s.readVerified(seg, &loc)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	k, still := s.byHash[hash]
-	same := still && s.slots[k].segment == p.segment && s.slots[k].offset8 == p.offset8
+	slot, ok := s.byHash[keyHash]
+	unchanged := ok && s.slots[slot].segment == loc.segment && s.slots[slot].offset8 == loc.offset8
 	switch {
-	case err == nil && m.Key != key: // another of the same hash
+	case err == nil && meta.Key != key: // another of the same hash
 		s.Stats.Misses++
-	case err == nil && s.purged(p.sincePurge, m):
+	case err == nil && s.purged(loc.sincePurge, meta):
 		s.Stats.Purged++
-		if same {
-			s.removePlace(hash)
+		if unchanged {
+			s.removeLocation(keyHash)
 		}
 	case err != nil && !errors.Is(err, ErrCorrupt): // it may be right, and is read again later
 		s.Stats.Misses++
-		s.suspendSegment(g, err)
+		s.suspendSegment(seg, err)
 	case err != nil:
 		s.Stats.Corrupt++
-		if same {
-			s.options.Warn(fmt.Sprintf("store: a copy in %s at byte %d is not given out: %v", segmentName(p.segment), int64(p.offset8)*8, err))
-			s.removePlace(hash)
-			s.logDrop(hash)
+		if unchanged {
+			s.options.Warn(fmt.Sprintf("store: an object in %s at byte %d is dropped: %v", segmentName(loc.segment), loc.offset(), err))
+			s.removeLocation(keyHash)
+			s.logDrop(keyHash)
 		}
 	default:
-		if same {
-			s.slots[k].packed |= flagVerified
+		if unchanged {
+			s.slots[slot].packed |= flagVerified
 		}
 		s.Stats.Hits++
-		return s.cachedObject(&p, g, m)
+		return s.newObject(&loc, seg, meta)
 	}
-	s.unref(g, 1)
+	s.unref(seg)
 	return nil
 }
 
-// copyOf is a copy that was found. Its segment has one more reader.
-func (s *Store) cachedObject(p *place, g *segment, m *Meta) *CachedObject {
-	before := p.packed&flagConfirmed == 0
-	return &CachedObject{Meta: *m, Size: p.bodyLen(), store: s, segment: g, bodyOffset: int64(p.offset8)*8 + int64(p.metaLen()), sincePurge: p.sincePurge, BeforeStart: before, PurgesUnknown: before && !s.purgesCaughtUp}
-}
-
-// FindNow is Find where the answer is known without waiting, for the disk or for another
-// thread; known is false where it is not: then Find has it.
-func (s *Store) TryLookup(key string) (c *CachedObject, known bool) {
-	if !s.mu.TryLock() {
-		return nil, false
-	}
+// locate finds where an object is, and takes a reference to its segment; nil: nowhere that
+// can be read. It takes mu itself.
+func (s *Store) locate(keyHash uint64) (*segment, location) {
+	s.mu.Lock()
 	defer s.mu.Unlock()
-	i, ok := s.byHash[xxhash.Sum64String(key)]
+	slot, ok := s.byHash[keyHash]
 	if !ok || s.closed {
 		s.Stats.Misses++
-		return nil, true
-	}
-	p := &s.slots[i]
-	g := s.segments[p.segment]
-	f, can := g.file.(nowReader)
-	if !can || p.packed&flagVerified == 0 || g.fault != nil || s.syncLost(g) {
-		return nil, false
+		return nil, location{}
 	}
-	if cap(s.headBuffer) < p.metaLen() {
-		s.headBuffer = make([]byte, max(p.metaLen(), 4096))
+	loc := s.slots[slot]
+	seg := s.segments[loc.segment]
+	// segmentReadable may open the segment, and drop the object that lies behind its end
+	if !s.segmentReadable(seg) || !s.slots[slot].live() {
+		s.Stats.Misses++
+		return nil, location{}
 	}
-	b := s.headBuffer[:p.metaLen()]
-	if n, err := f.ReadNow(b, int64(p.offset8)*8); err != nil || n < len(b) {
-		return nil, false
+	seg.refs++
+	s.slots[slot].packed |= flagUsed
+	return seg, loc
+}
+
+// readVerified reads an object's head, and its body unless it was verified since the start;
+// without mu, since the disk takes its time.
+func (s *Store) readVerified(seg *segment, loc *location) (*Meta, error) {
+	meta, err := s.readMeta(seg, loc)
+	if err != nil { // Renew may be writing it
+		s.mu.Lock()
+		meta, err = s.readMeta(seg, loc)
+		s.mu.Unlock()
 	}
-	m, err := parseMeta(b)
-	if err != nil || m.Key != key || s.purged(p.sincePurge, m) {
-		return nil, false // to be told, and dropped, by Find
+	if err == nil && !loc.has(flagVerified) {
+		err = verifyBody(seg.file, loc)
 	}
-	p.packed |= flagUsed
-	g.refs++
-	s.Stats.Hits++
-	return s.cachedObject(p, g, m), true
+	return meta, err
 }
 
-// check reads a body, and compares its checksum.
-func verifyBody(f File, p *place) error {
-	buf := make([]byte, min(p.bodyLen(), 1<<20))
-	sum, at := uint32(0), int64(p.offset8)*8+int64(p.metaLen())
-	for left := p.bodyLen(); left > 0; {
+// verifyBody reads a body, and compares its checksum.
+func verifyBody(file File, loc *location) error {
+	buf := make([]byte, min(loc.bodyLen(), verifyBytes))
+	sum := uint32(0)
+	at := loc.bodyOffset()
+	for left := loc.bodyLen(); left > 0; {
 		n := min(left, int64(len(buf)))
-		if _, err := f.ReadAt(buf[:n], at); err != nil {
+		if _, err := file.ReadAt(buf[:n], at); err != nil {
 			if errors.Is(err, io.EOF) {
-				err = ErrCorrupt
+				return ErrCorrupt
 			}
 			return err
 		}
 		sum = crc32.Update(sum, castagnoli, buf[:n])
-		at, left = at+n, left-n
+		at += n
+		left -= n
 	}
-	if sum != p.bodyCRC {
+	if sum != loc.bodyCRC {
 		return ErrCorrupt
 	}
 	return nil
 }
 
-// ReadAt reads of the copy's bytes.
-func (c *CachedObject) ReadAt(b []byte, off int64) (int, error) {
+// newObject is an object that was found. Its segment has one more reference.
+func (s *Store) newObject(loc *location, seg *segment, meta *Meta) *CachedObject {
+	beforeStart := !loc.has(flagConfirmed)
+	return &CachedObject{
+		Meta:          *meta,
+		Size:          loc.bodyLen(),
+		BeforeStart:   beforeStart,
+		PurgesUnknown: beforeStart && !s.purgesCaughtUp,
+		store:         s,
+		segment:       seg,
+		bodyOffset:    loc.bodyOffset(),
+		sincePurge:    loc.sincePurge,
+	}
+}
+
+// TryLookup is Lookup where the answer is known without waiting, for the disk or for another
+// thread; known is false where it is not: then Lookup has it.
+func (s *Store) TryLookup(key string) (object *CachedObject, known bool) {
+	if !s.mu.TryLock() {
+		return nil, false
+	}
+	defer s.mu.Unlock()
+	slot, ok := s.byHash[xxhash.Sum64String(key)]
+	if !ok || s.closed {
+		s.Stats.Misses++
+		return nil, true
+	}
+	loc := &s.slots[slot]
+	seg := s.segments[loc.segment]
+	file, ok := seg.file.(nowReader)
+	if !ok || !loc.has(flagVerified) || seg.fault != nil || s.syncLost(seg) {
+		return nil, false
+	}
+	if cap(s.headBuffer) < loc.metaLen() {
+		s.headBuffer = make([]byte, max(loc.metaLen(), minHeadBuffer))
+	}
+	head := s.headBuffer[:loc.metaLen()]
+	if n, err := file.ReadNow(head, loc.offset()); err != nil || n < len(head) {
+		return nil, false
+	}
+	meta, err := parseMeta(head)
+	if err != nil || meta.Key != key || s.purged(loc.sincePurge, meta) {
+		return nil, false // Lookup counts and drops it
+	}
+	loc.packed |= flagUsed
+	seg.refs++
+	s.Stats.Hits++
+	return s.newObject(loc, seg, meta), true
+}
+
+// ReadAt reads of the body, as io.ReaderAt.
+func (c *CachedObject) ReadAt(data []byte, off int64) (int, error) {
 	if off >= c.Size {
 		return 0, io.EOF
 	}
-	short := int64(len(b)) > c.Size-off
+	short := int64(len(data)) > c.Size-off
 	if short {
-		b = b[:c.Size-off]
+		data = data[:c.Size-off]
 	}
-	n, err := c.segment.file.ReadAt(b, c.bodyOffset+off)
+	n, err := c.segment.file.ReadAt(data, c.bodyOffset+off)
 	if c.syncLost() {
 		return 0, errSyncFailed
 	}
@@ -172,62 +202,62 @@
 	return n, err
 }
 
-// ReadNow reads of the copy's bytes what is there without a wait for the disk; fewer than
-// were asked for, down to none: ReadAt has the rest.
-func (c *CachedObject) TryReadAt(b []byte, off int64) int {
-	f, can := c.segment.file.(nowReader)
-	if !can || off >= c.Size {
+// TryReadAt reads of the body what is there without waiting for the disk, and returns its
+// length; less than was asked for, down to none: ReadAt has the rest.
+func (c *CachedObject) TryReadAt(data []byte, off int64) int {
+	file, ok := c.segment.file.(nowReader)
+	if !ok || off >= c.Size {
 		return 0
 	}
-	n, _ := f.ReadNow(b[:min(int64(len(b)), c.Size-off)], c.bodyOffset+off)
+	n, _ := file.ReadNow(data[:min(int64(len(data)), c.Size-off)], c.bodyOffset+off)
 	if c.syncLost() {
 		return 0
 	}
 	return n
 }
 
-// unsure reports whether a sync has lost what may be the copy's bytes.
+// syncLost reports whether a sync has lost what may be bytes of the body.
 func (c *CachedObject) syncLost() bool {
 	return c.segment.syncFailed.Load() && (c.filling || c.store.syncLost(c.segment))
 }
 
-// Void reports whether a purge voids the copy by now.
+// Purged reports whether a purge covers the object by now.
 func (c *CachedObject) Purged() bool {
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
 	return c.store.purged(c.sincePurge, &c.Meta)
 }
 
-// Renew says that the copy's source has found it still good: it was born so much later
-// (Unix ms). It is written over its head in place; one that a crash tears is dropped by its
-// checksum. False: it is not the copy of its key any more, or its head would not fit.
+// Renew says that the object's source has confirmed it: it is as if generated at born (Unix
+// ms). The head is written over in place; one that a crash tears is dropped by its checksum.
+// false: it is not the object of its key any more, or its head would not fit.
 func (c *CachedObject) Renew(born int64) (bool, error) {
-	s := c.store
-	m := c.Meta
-	m.Born = born
-	meta, err := json.Marshal(&m)
+	store := c.store
+	meta := c.Meta
+	meta.Born = born
+	head, err := encodeMeta(&meta)
 	if err != nil {
-		return false, fmt.Errorf("store: %w", err)
+		return false, err
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	i, ok := s.byHash[xxhash.Sum64String(c.Key)]
-	if !ok || s.closed || s.failure != nil {
+	store.mu.Lock()
+	defer store.mu.Unlock()
+	slot, ok := store.byHash[xxhash.Sum64String(c.Key)]
+	if !ok || store.closed || store.failure != nil {
 		return false, nil
 	}
-	p := &s.slots[i]
-	at := int64(p.offset8) * 8
-	if p.segment != c.segment.number || at+int64(p.metaLen()) != c.bodyOffset || 4+len(meta) != p.metaLen() || s.purged(p.sincePurge, &m) {
+	loc := &store.slots[slot]
+	current := loc.segment == c.segment.number && loc.bodyOffset() == c.bodyOffset
+	if !current || len(head) != loc.metaLen() || store.purged(loc.sincePurge, &meta) {
 		return false, nil
 	}
-	head := append(make([]byte, 4, 4+len(meta)), meta...)
-	binary.LittleEndian.PutUint32(head, crc32.Checksum(meta, castagnoli))
-	if err := writeAt(c.segment.file, head, at); err != nil {
-		return false, s.failSegment("write", c.segment, err)
+	if err := writeAt(c.segment.file, head, loc.offset()); err != nil {
+		return false, store.failSegment("write", c.segment, err)
 	}
-	s.Stats.WrittenBytes += int64(len(head))
-	p.packed |= flagConfirmed
-	c.Born, c.BeforeStart, c.PurgesUnknown = born, false, false
+	store.Stats.WrittenBytes += int64(len(head))
+	loc.packed |= flagConfirmed
+	c.Born = born
+	c.BeforeStart = false
+	c.PurgesUnknown = false
 	return true, nil
 }
 
@@ -237,6 +267,6 @@
 	defer c.store.mu.Unlock()
 	if !c.closed {
 		c.closed = true
-		c.store.unref(c.segment, 1)
+		c.store.unref(c.segment)
 	}
 }
--- a/internal/cachenode/store/options.go
+++ b/internal/cachenode/store/options.go
@@ -1,47 +1,61 @@
 package store
 
 import (
+	"fmt"
 	"time"
 )
 
-// Sync is when what was written is made to last.
+// Sync is a policy: when an object that was committed is synced to disk.
 type Sync uint8
 
-// The policies. Purges last before they are acknowledged under each of them, and nothing
-// that did not last whole is ever given out: what they say is only how many of the newest
-// copies a crash of the machine may take. A kill of the process takes none that were kept.
+// The policies. Under each of them purges are synced before they are acknowledged, and
+// nothing is ever served that did not last completely: a policy says only how many of the
+// newest objects a crash of the machine may take. A kill of the process takes none.
 const (
-	SyncPurges   Sync = iota // copies when the kernel gets to it
-	SyncSegments             // when a segment is full, and at Close
-	SyncObjects              // each copy before it is kept
+	SyncPurges   Sync = iota // objects when the kernel gets to it
+	SyncSegments             // objects when their segment is full, and at Close
+	SyncObjects              // each object before it is committed
 )
 
-// Settings is what a store is. Zero fields have the defaults.
+// String is the policy's name in the settings.
+func (p Sync) String() string {
+	switch p {
+	case SyncPurges:
+		return "purges"
+	case SyncSegments:
+		return "segments"
+	case SyncObjects:
+		return "copies"
+	}
+	return fmt.Sprintf("Sync(%d)", uint8(p))
+}
+
+// Options are a store's. Fields that are zero have the defaults.
 type Options struct {
-	MaxBytes      int64 // of bodies and heads on disk; default 1 GB
-	SegmentBytes  int64 // of a file; default 64 MB, at most a quarter of Bytes
-	Sync          Sync
-	MaxPurgeRules int              // purges by tag and prefix that are looked through for each find; default 256
-	Warn          func(string)     // what an operator should know
-	Now           func() time.Time // for the backoff of what failed; nil: time.Now
+	MaxBytes      int64            // of segments on disk; default 1 GB
+	SegmentBytes  int64            // of a segment; default 64 MB, at least 4 KB, at most a quarter of MaxBytes
+	Sync          Sync             // default SyncPurges
+	MaxPurgeRules int              // purges by tag and prefix that each lookup goes through; default 256
+	Warn          func(string)     // takes messages for the operator; nil: they are dropped
+	Now           func() time.Time // the clock of retries; nil: time.Now
 }
 
-func (s Options) withDefaults() Options {
-	if s.MaxBytes <= 0 {
-		s.MaxBytes = 1 << 30
+func (o Options) withDefaults() Options {
+	if o.MaxBytes <= 0 {
+		o.MaxBytes = 1 << 30
 	}
-	if s.SegmentBytes <= 0 {
-		s.SegmentBytes = 64 << 20
+	if o.SegmentBytes <= 0 {
+		o.SegmentBytes = 64 << 20
 	}
-	s.SegmentBytes = min(max(s.SegmentBytes, 4096), max(s.MaxBytes/4, 4096))
-	if s.MaxPurgeRules <= 0 {
-		s.MaxPurgeRules = 256
+	o.SegmentBytes = min(max(o.SegmentBytes, 4096), max(o.MaxBytes/4, 4096))
+	if o.MaxPurgeRules <= 0 {
+		o.MaxPurgeRules = 256
 	}
-	if s.Warn == nil {
-		s.Warn = func(string) {}
+	if o.Warn == nil {
+		o.Warn = func(string) {}
 	}
-	if s.Now == nil {
-		s.Now = time.Now
+	if o.Now == nil {
+		o.Now = time.Now
 	}
-	return s
+	return o
 }
--- a/internal/cachenode/store/purge.go
+++ b/internal/cachenode/store/purge.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/binary"
 	"errors"
+	"fmt"
 	"slices"
 	"strings"
 
@@ -14,193 +15,249 @@
 
 // The scopes.
 const (
-	ByObject Scope = iota + 1 // all copies of an object: Text
-	ByGroup                   // of a group: Group
-	ByTag                     // that carry a tag: Text
-	ByPrefix                  // whose key begins so: Text
-	byHash                    // of an object, by its hash: Text, 8 bytes
-	byNumber                  // of nothing: it says only that numbers went so far
+	ByObject Scope = iota + 1 // all variants of an object: Text
+	ByGroup                   // the objects of a group: Group
+	ByTag                     // objects that carry a tag: Text
+	ByPrefix                  // objects whose key begins with Text
+	byHash                    // an object, by its hash: Text, 8 bytes; of checkpoints only
+	byNumber                  // nothing: says only that purge numbers went so far; of checkpoints only
 )
 
-// Purge voids copies. Number is the store's own, in the order in which it took them.
-// With a Version, copies of that and later ones of the origin's are good, whenever they
-// were fetched, and all earlier ones void; with none, all whose fill began before it.
+// String names the scope in errors.
+func (s Scope) String() string {
+	switch s {
+	case ByObject:
+		return "object"
+	case ByGroup:
+		return "group"
+	case ByTag:
+		return "tag"
+	case ByPrefix:
+		return "prefix"
+	case byHash:
+		return "hash"
+	case byNumber:
+		return "number"
+	}
+	return fmt.Sprintf("Scope(%d)", uint8(s))
+}
+
+// maxPurgeText is the longest Purge.Text, in bytes.
+const maxPurgeText = 4096
+
+// Purge is an invalidation. With a Version, objects of that version of the origin's and of
+// later ones stay, whenever they were fetched, and all of earlier ones are purged; without
+// one, all whose fill began before it.
 type Purge struct {
-	Number  uint64
+	Number  uint64 // the store's own, in the order in which it took them
 	Scope   Scope
 	Text    string
 	Group   int32
-	Version int64
+	Version int64 // the origin's; 0: none
 }
 
-func (w *Purge) append(b []byte) []byte {
-	b = binary.LittleEndian.AppendUint64(b, w.Number)
-	b = binary.LittleEndian.AppendUint64(b, uint64(w.Version))
-	b = append(b, byte(w.Scope))
-	b = binary.LittleEndian.AppendUint32(b, uint32(w.Group))
-	b = binary.LittleEndian.AppendUint16(b, uint16(len(w.Text)))
-	return append(b, w.Text...)
+const purgeHeaderLen = 23 // of a purge on disk; Text is behind it
+
+// appendTo appends the purge as it is on disk.
+func (p *Purge) appendTo(data []byte) []byte {
+	data = binary.LittleEndian.AppendUint64(data, p.Number)
+	data = binary.LittleEndian.AppendUint64(data, uint64(p.Version))
+	data = append(data, byte(p.Scope))
+	data = binary.LittleEndian.AppendUint32(data, uint32(p.Group))
+	data = binary.LittleEndian.AppendUint16(data, uint16(len(p.Text)))
+	return append(data, p.Text...)
 }
 
-func readPurge(b []byte) (w Purge, ok bool) {
-	if len(b) < 23 {
-		return w, false
+func readPurge(data []byte) (purge Purge, ok bool) {
+	if len(data) < purgeHeaderLen {
+		return Purge{}, false
 	}
-	n := int(binary.LittleEndian.Uint16(b[21:]))
-	if len(b) < 23+n {
-		return w, false
+	textLen := int(binary.LittleEndian.Uint16(data[21:]))
+	if len(data) < purgeHeaderLen+textLen {
+		return Purge{}, false
 	}
-	return Purge{Number: binary.LittleEndian.Uint64(b), Version: int64(binary.LittleEndian.Uint64(b[8:])), Scope: Scope(b[16]),
-		Group: int32(binary.LittleEndian.Uint32(b[17:])), Text: string(b[23 : 23+n])}, true
+	return Purge{
+		Number:  binary.LittleEndian.Uint64(data),
+		Version: int64(binary.LittleEndian.Uint64(data[8:])),
+		Scope:   Scope(data[16]),
+		Group:   int32(binary.LittleEndian.Uint32(data[17:])),
+		Text:    string(data[purgeHeaderLen : purgeHeaderLen+textLen]),
+	}, true
 }
 
-// floor is what of an object, group or tag is void.
+// watermark is all purges of an object, group or rule in one: what began before is purged.
 type watermark struct {
-	unversioned uint64 // of the last purge without a version: what began before it is void
-	versioned   uint64 // of the last with one: so is what began before it and has none
-	version     int64  // and what has an older one, whenever it began
+	unversioned uint64 // number of the last purge without a version: all whose fill began before it
+	versioned   uint64 // number of the last purge with one: objects without a version whose fill began before it
+	version     int64  // objects of an older version, whenever their fill began
 }
 
-func (f watermark) with(w *Purge) watermark {
-	if w.Version <= 0 {
-		f.unversioned = max(f.unversioned, w.Number)
-		return f
+func (m watermark) with(purge *Purge) watermark {
+	if purge.Version <= 0 {
+		m.unversioned = max(m.unversioned, purge.Number)
+		return m
 	}
-	f.versioned, f.version = max(f.versioned, w.Number), max(f.version, w.Version)
-	return f
+	m.versioned = max(m.versioned, purge.Number)
+	m.version = max(m.version, purge.Version)
+	return m
 }
 
-// voids reports whether a floor voids a copy.
-func (f watermark) covers(since uint64, version int64) bool {
-	if since < f.unversioned {
+// covers reports whether an object is purged whose fill began after the purge since, and
+// that has a version of the origin's.
+func (m watermark) covers(since uint64, version int64) bool {
+	if since < m.unversioned {
 		return true
 	}
 	if version > 0 {
-		return version < f.version
+		return version < m.version
 	}
-	return since < f.versioned
+	return since < m.versioned
 }
 
-// apply has a purge hold from now on.
-func (s *Store) applyPurge(w Purge) {
-	switch w.Scope {
+// applyPurge has a purge hold from now on.
+func (s *Store) applyPurge(purge Purge) {
+	switch purge.Scope {
 	case ByObject:
-		h := xxhash.Sum64String(w.Text)
-		s.objectPurges[h] = s.objectPurges[h].with(&w)
+		hash := xxhash.Sum64String(purge.Text)
+		s.objectPurges[hash] = s.objectPurges[hash].with(&purge)
 	case ByGroup:
-		s.groupPurges[w.Group] = s.groupPurges[w.Group].with(&w)
+		s.groupPurges[purge.Group] = s.groupPurges[purge.Group].with(&purge)
 	case byHash:
-		if len(w.Text) == 8 {
-			h := binary.LittleEndian.Uint64([]byte(w.Text))
-			s.objectPurges[h] = s.objectPurges[h].with(&w)
+		if len(purge.Text) == 8 {
+			hash := binary.LittleEndian.Uint64([]byte(purge.Text))
+			s.objectPurges[hash] = s.objectPurges[hash].with(&purge)
 		}
 	case ByTag, ByPrefix:
-		for i := range s.purgeRules {
-			if r := &s.purgeRules[i]; r.Scope == w.Scope && r.Text == w.Text && (r.Version > 0) == (w.Version > 0) {
-				r.Number, r.Version = max(r.Number, w.Number), max(r.Version, w.Version)
-				return
-			}
-		}
-		s.purgeRules = append(s.purgeRules, w)
-		if w.Version <= 0 {
-			s.unversionedRules++
+		s.applyRule(purge)
+	}
+}
+
+// applyRule takes a purge by tag or prefix into the rules, or into the one of the same text.
+func (s *Store) applyRule(purge Purge) {
+	for i := range s.purgeRules {
+		rule := &s.purgeRules[i]
+		if rule.Scope == purge.Scope && rule.Text == purge.Text && (rule.Version > 0) == (purge.Version > 0) {
+			rule.Number = max(rule.Number, purge.Number)
+			rule.Version = max(rule.Version, purge.Version)
+			return
 		}
 	}
+	s.purgeRules = append(s.purgeRules, purge)
+	if purge.Version <= 0 {
+		s.unversionedRules++
+	}
+}
+
+// matches reports whether a purge by tag or prefix names an object.
+func (p *Purge) matches(meta *Meta) bool {
+	switch p.Scope {
+	case ByPrefix:
+		return strings.HasPrefix(meta.Key, p.Text)
+	case ByTag:
+		return slices.Contains(meta.Tags, p.Text)
+	}
+	return false
 }
 
-// void reports whether a purge voids a copy.
-func (s *Store) purged(since uint64, m *Meta) bool {
-	if f, ok := s.objectPurges[xxhash.Sum64String(m.Object)]; ok && f.covers(since, m.Version) {
+// purged reports whether a purge covers an object whose fill began after the purge since.
+func (s *Store) purged(since uint64, meta *Meta) bool {
+	if mark, ok := s.objectPurges[xxhash.Sum64String(meta.Object)]; ok && mark.covers(since, meta.Version) {
 		return true
 	}
-	if f, ok := s.groupPurges[m.Group]; ok && f.covers(since, m.Version) {
+	if mark, ok := s.groupPurges[meta.Group]; ok && mark.covers(since, meta.Version) {
 		return true
 	}
 	for i := range s.purgeRules {
-		w := &s.purgeRules[i]
-		f := watermark{}.with(w)
-		if f.covers(since, m.Version) && (w.Scope == ByPrefix && strings.HasPrefix(m.Key, w.Text) || w.Scope == ByTag && slices.Contains(m.Tags, w.Text)) {
+		rule := &s.purgeRules[i]
+		if (watermark{}).with(rule).covers(since, meta.Version) && rule.matches(meta) {
 			return true
 		}
 	}
 	return false
 }
 
-// holding is the purges that have to last: those that may void what is here, or what
-// is being fetched.
+// lastingPurges are those that a checkpoint has to have: that may cover what is stored, or
+// what is being fetched.
 func (s *Store) lastingPurges() []Purge {
 	list := []Purge{{Number: s.lastPurge, Scope: byNumber}}
-	add := func(f watermark, w Purge) {
-		if w.Number = f.unversioned; w.Number > 0 {
-			list = append(list, w)
+	add := func(mark watermark, purge Purge) {
+		if mark.unversioned > 0 {
+			purge.Number = mark.unversioned
+			list = append(list, purge)
 		}
-		if w.Number, w.Version = f.versioned, f.version; w.Version > 0 {
-			list = append(list, w)
+		if mark.version > 0 {
+			purge.Number, purge.Version = mark.versioned, mark.version
+			list = append(list, purge)
 		}
 	}
-	for h, f := range s.objectPurges {
-		add(f, Purge{Scope: byHash, Text: string(binary.LittleEndian.AppendUint64(nil, h))})
+	for hash, mark := range s.objectPurges {
+		add(mark, Purge{Scope: byHash, Text: string(binary.LittleEndian.AppendUint64(nil, hash))})
 	}
-	for g, f := range s.groupPurges {
-		add(f, Purge{Scope: ByGroup, Group: g})
+	for group, mark := range s.groupPurges {
+		add(mark, Purge{Scope: ByGroup, Group: group})
 	}
 	return append(list, s.purgeRules...)
 }
 
-// settleAt is how many purges by tag and prefix without a version there may be before they
-// are settled.
+// settleThreshold is how many rules without a version there may be before they are settled.
 func (s *Store) settleThreshold() int { return max(s.options.MaxPurgeRules, s.settlePostponed) }
 
-// settle looks through all copies for those that purges by tag or prefix void, and
-// forgets these purges. Those with a version stay: older ones may still come. False: some
-// copies can't be read for now, and the purges are kept for them; at four times as many
-// purges, these copies are given up.
+// settleRules drops all objects that a purge covers, and forgets the purges without a
+// version: no lookup has to go through them any more. Those with a version stay, since
+// objects of older versions may still come. false: some heads can't be read for now, and the
+// rules are kept for them; at four times MaxPurgeRules these objects are dropped.
 func (s *Store) settleRules() bool {
-	var void []uint64
-	unreadable := 0
-	for i := range s.slots {
-		p := &s.slots[i]
-		if !p.live() {
-			continue
-		}
-		m, err := s.readMeta(s.segments[p.segment], p)
-		if err != nil && !errors.Is(err, ErrCorrupt) {
-			unreadable++
-		}
-		if err != nil || s.purged(p.sincePurge, m) {
-			void = append(void, p.keyHash)
-		}
-	}
+	covered, unreadable := s.coveredObjects()
 	if unreadable > 0 && s.unversionedRules < 4*s.options.MaxPurgeRules {
 		s.settlePostponed = min(2*s.unversionedRules, 4*s.options.MaxPurgeRules)
 		return false
 	}
 	s.settlePostponed = 0
-	for _, h := range void {
-		s.removePlace(h)
+	for _, keyHash := range covered {
+		s.removeLocation(keyHash)
 		s.Stats.Purged++
 	}
-	// what is left was looked at; a fill that is under way was not, and is not kept
+	// what is left was looked at; a fill in flight was not, and is not committed
 	for i := range s.slots {
 		if s.slots[i].live() {
 			s.slots[i].sincePurge = s.lastPurge
 		}
 	}
 	s.fillBarrier = s.lastPurge
-	s.purgeRules, s.unversionedRules = slices.DeleteFunc(s.purgeRules, func(w Purge) bool { return w.Version <= 0 }), 0
-	for h, f := range s.objectPurges {
-		if f.unversioned = 0; f.version == 0 {
-			delete(s.objectPurges, h)
-		} else {
-			s.objectPurges[h] = f
+	s.purgeRules = slices.DeleteFunc(s.purgeRules, func(rule Purge) bool { return rule.Version <= 0 })
+	s.unversionedRules = 0
+	forgetUnversioned(s.objectPurges)
+	forgetUnversioned(s.groupPurges)
+	return true
+}
+
+// coveredObjects returns the hashes of the keys of objects that a purge covers or whose head
+// can't be read, and how many heads can't be read for now (corrupt ones are not counted).
+func (s *Store) coveredObjects() (covered []uint64, unreadable int) {
+	for i := range s.slots {
+		loc := &s.slots[i]
+		if !loc.live() {
+			continue
+		}
+		meta, err := s.readMeta(s.segments[loc.segment], loc)
+		if err != nil && !errors.Is(err, ErrCorrupt) {
+			unreadable++
+		}
+		if err != nil || s.purged(loc.sincePurge, meta) {
+			covered = append(covered, loc.keyHash)
 		}
 	}
-	for g, f := range s.groupPurges {
-		if f.unversioned = 0; f.version == 0 {
-			delete(s.groupPurges, g)
-		} else {
-			s.groupPurges[g] = f
+	return covered, unreadable
+}
+
+// forgetUnversioned forgets the purges without a version.
+func forgetUnversioned[K comparable](marks map[K]watermark) {
+	for key, mark := range marks {
+		if mark.version == 0 {
+			delete(marks, key)
+			continue
 		}
+		mark.unversioned = 0
+		marks[key] = mark
 	}
-	return true
 }
--- a/internal/cachenode/store/purgelog.go
+++ b/internal/cachenode/store/purgelog.go
@@ -4,37 +4,39 @@
 	"fmt"
 )
 
-// Number is that of the last purge. It never waits.
+const purgeLogName = "purges.log"
+
+// LastPurge returns the number of the last purge, for BeginSince. It never waits.
 func (s *Store) LastPurge() uint64 { return s.announcedPurge.Load() }
 
-// CaughtUp is that all purges that were made while the store was closed were told to it
-// since: nothing of before the start is in doubt any more.
+// PurgesCaughtUp says that the store was given all purges that were made while it was
+// closed: no object of before the start has PurgesUnknown any more.
 func (s *Store) PurgesCaughtUp() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.purgesCaughtUp = true
 }
 
-// VoidNow reports whether a purge voids by now what a fill brings that began when the last
-// purge was a number. known is false where that can't be told without waiting.
-func (s *Store) TryPurged(since uint64, m *Meta) (void, known bool) {
+// TryPurged reports whether a purge covers by now what a fill brings that began after the
+// purge since. known is false where that can't be seen without waiting.
+func (s *Store) TryPurged(since uint64, meta *Meta) (purged, known bool) {
 	if !s.mu.TryLock() {
 		return false, false
 	}
 	defer s.mu.Unlock()
-	return s.logsUnread || s.purged(since, m), true
+	return s.logsUnread || s.purged(since, meta), true
 }
 
-// Purge voids copies. When it returns without an error it lasts, and its number orders
-// it; with one it may or may not last, and holds here all the same. One that could not be
-// made to last is when the disk works again, without being asked for anew, as long as this
-// process lives; asking again does no harm, and is how a caller learns that it lasts.
-func (s *Store) Purge(w Purge) (uint64, error) {
-	if len(w.Text) > maxPurgeText {
-		return 0, fmt.Errorf("store: a purge of %d bytes; %d are the most", len(w.Text), maxPurgeText)
+// Purge invalidates objects. When it returns without an error the purge lasts, and its
+// number orders it. With a FaultError it may or may not last, and holds here all the same:
+// once the disk works again it is made to last without being asked for again, as long as
+// this process lives. Asking again does no harm, and is how a caller learns that it lasts.
+func (s *Store) Purge(purge Purge) (uint64, error) {
+	if len(purge.Text) > maxPurgeText {
+		return 0, fmt.Errorf("store: a purge by %v of %d bytes; %d are the most", purge.Scope, len(purge.Text), maxPurgeText)
 	}
-	if w.Scope < ByObject || w.Scope > ByPrefix || w.Scope != ByGroup && w.Text == "" {
-		return 0, fmt.Errorf("store: a purge of scope %d of %.40q names nothing", w.Scope, w.Text)
+	if purge.Scope < ByObject || purge.Scope > ByPrefix || purge.Scope != ByGroup && purge.Text == "" {
+		return 0, fmt.Errorf("store: a purge by %v of %.40q names nothing", purge.Scope, purge.Text)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,49 +46,50 @@
 	if s.logsUnread {
 		err := s.retryIfDue()
 		if s.logsUnread {
-			s.deferPurge(w)
+			s.deferPurge(purge)
 			return 0, err
 		}
 	}
 	s.lastPurge++
 	s.announcedPurge.Store(s.lastPurge)
-	w.Number = s.lastPurge
-	s.applyPurge(w)
+	purge.Number = s.lastPurge
+	s.applyPurge(purge)
 	if s.unversionedRules > s.settleThreshold() && s.settleRules() {
 		if s.failure == nil {
-			return w.Number, s.checkpoint()
+			return purge.Number, s.checkpoint()
 		}
 		s.logsBroken = true
 	}
-	if s.logsBroken { // it is among what is written anew
-		if err := s.retryIfDue(); s.logsBroken {
-			return w.Number, err
+	if s.logsBroken { // it is among what a checkpoint writes
+		err := s.retryIfDue()
+		if s.logsBroken {
+			return purge.Number, err
 		}
-		return w.Number, nil
+		return purge.Number, nil
 	}
-	return w.Number, s.logPurge(w)
+	return purge.Number, s.logPurge(purge)
 }
 
-// await remembers a purge until the logs are read. Fills see by Number that there was one;
-// it has a higher one in the end.
-func (s *Store) deferPurge(w Purge) {
+// deferPurge remembers a purge until the logs are read. Fills see by LastPurge that there
+// was one; it has a higher number in the end.
+func (s *Store) deferPurge(purge Purge) {
 	s.announcedPurge.Add(1)
 	if len(s.pendingPurges) >= maxPendingPurges {
 		s.pendingOverflow = true
 		return
 	}
-	s.pendingPurges = append(s.pendingPurges, w)
+	s.pendingPurges = append(s.pendingPurges, purge)
 }
 
-// record writes a purge into both logs, and has it last. Both are written before the first
+// logPurge writes a purge into both logs, and syncs them. Both are written before the first
 // sync: it takes the file system's records of both along.
-func (s *Store) logPurge(w Purge) error {
-	b := appendEntry(nil, entryPurge, w.append(nil))
+func (s *Store) logPurge(purge Purge) error {
+	entry := appendEntry(nil, entryPurge, purge.appendTo(nil))
 	index := indexName(s.indexNumber)
-	if err := s.appendLog(s.purgeLog, &s.purgeLogLen, b); err != nil {
+	if err := s.appendLog(s.purgeLog, &s.purgeLogLen, entry); err != nil {
 		return s.failLog("write", purgeLogName, err)
 	}
-	if err := s.appendLog(s.indexLog, &s.indexLogLen, b); err != nil {
+	if err := s.appendLog(s.indexLog, &s.indexLogLen, entry); err != nil {
 		return s.failLog("write", index, err)
 	}
 	if err := s.purgeLog.Sync(); err != nil {
@@ -97,3 +100,13 @@
 	}
 	return nil
 }
+
+// encodeLastingPurges encodes a checkpoint's purges as entries.
+func (s *Store) encodeLastingPurges() []byte {
+	var entries, payload []byte
+	for _, purge := range s.lastingPurges() {
+		payload = purge.appendTo(payload[:0])
+		entries = appendEntry(entries, entryPurge, payload)
+	}
+	return entries
+}
--- a/internal/cachenode/store/recovery.go
+++ b/internal/cachenode/store/recovery.go
@@ -4,259 +4,290 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
-	"io"
 	"slices"
 	"sort"
 	"strings"
 )
 
-// reset forgets what an attempt to read the folder has found.
-func (s *Store) reset() {
-	for _, g := range s.segments {
-		if g.file != nil {
-			g.file.Close()
-		}
-	}
-	s.slots, s.freeSlots, s.byHash = nil, nil, map[uint64]uint32{}
-	s.segments, s.segmentOrder, s.usedBytes, s.nextSegment = map[uint32]*segment{}, nil, 0, 1
-	s.objectPurges, s.groupPurges = map[uint64]watermark{}, map[int32]watermark{}
-	s.purgeRules, s.unversionedRules = nil, 0
-	s.lastPurge, s.indexNumber = 0, 0
-	s.recovered = Recovered{}
-}
+const (
+	formatName = "format"
+	formatText = "indigospool store 1\n"
 
-func readAll(f File) ([]byte, error) {
-	n, err := f.Size()
-	if err != nil {
-		return nil, err
-	}
-	b := make([]byte, n)
-	m, err := f.ReadAt(b, 0)
-	if err == io.EOF && int64(m) == n {
-		err = nil
-	}
-	return b[:m], err
-}
-
-// readFile reads a whole file. One that is not there is empty.
-func (s *Store) readFile(name string, there bool) ([]byte, error) {
-	if !there {
-		return nil, nil
-	}
-	f, err := s.fs.Open(name, false)
-	if err != nil {
-		return nil, err
-	}
-	defer f.Close()
-	return readAll(f)
-}
+	// newestSample is how many of the last objects are read for Newest.
+	newestSample = 64
+)
 
-// listing is the files of the folder by what they are.
+// folderListing is the files of the folder by what they are.
 type folderListing struct {
 	names    map[string]bool
 	segments []uint32
-	indexes  []int
+	indexes  []int // ascending
 }
 
 func (s *Store) listFolder() (folderListing, error) {
 	names, err := s.fs.List()
-	l := folderListing{names: map[string]bool{}}
+	listing := folderListing{names: map[string]bool{}}
 	for _, name := range names {
-		l.names[name] = true
+		listing.names[name] = true
 		var segment uint32
-		var index int
 		if _, err := fmt.Sscanf(name, "seg-%08d.dat", &segment); err == nil && segmentName(segment) == name {
-			l.segments = append(l.segments, segment)
+			listing.segments = append(listing.segments, segment)
 		}
+		var index int
 		if _, err := fmt.Sscanf(name, "index-%06d.log", &index); err == nil && indexName(index) == name {
-			l.indexes = append(l.indexes, index)
+			listing.indexes = append(listing.indexes, index)
 		}
 	}
-	sort.Ints(l.indexes)
-	return l, err
+	sort.Ints(listing.indexes)
+	return listing, err
 }
 
-// readFormat sees that the folder is of this form, and makes it one where it is new.
-func (s *Store) readFormat(l folderListing) error {
-	b, err := s.readFile(formatName, l.names[formatName])
-	text := string(b)
-	switch {
-	case err != nil:
-		return s.fail("read", formatName, err)
-	case text == formatText:
-		return nil
-	case text != "" && (!strings.HasPrefix(formatText, text) || len(l.indexes)+len(l.segments) > 0): // but for a start that was killed in the middle
-		return s.fail("read", formatName, fmt.Errorf("%w: %.40q, this program reads %q; empty the folder, or run the program that wrote it", ErrFormat, b, formatText))
-	}
-	f, err := s.fs.Open(formatName, true)
-	if err != nil {
-		return s.fail("create", formatName, err)
-	}
-	err = writeAt(f, []byte(formatText), 0)
-	if err = errors.Join(err, f.Sync(), f.Close()); err != nil {
-		return s.fail("write", formatName, err)
+// reset forgets what an attempt to read the folder has found.
+func (s *Store) reset() {
+	for _, seg := range s.segments {
+		if seg.file != nil {
+			seg.file.Close()
+		}
 	}
-	return nil
+	s.forgetObjects()
+	s.segments = map[uint32]*segment{}
+	s.segmentOrder = nil
+	s.usedBytes = 0
+	s.nextSegment = 1
+	s.objectPurges = map[uint64]watermark{}
+	s.groupPurges = map[int32]watermark{}
+	s.purgeRules = nil
+	s.unversionedRules = 0
+	s.lastPurge = 0
+	s.indexNumber = 0
+	s.recovered = Recovered{}
 }
 
-// read reads what is there. Purges stand in two logs: one that is damaged is made good by
-// the other; where both are, a purge may be lost, and nothing of before is kept. A file
-// that can't be read is no damaged one: then nothing is changed, and it is tried again;
-// but segments may be missing meanwhile, and are opened later.
+func (s *Store) forgetObjects() {
+	s.slots = nil
+	s.freeSlots = nil
+	s.byHash = map[uint64]uint32{}
+}
+
+// recover reads the folder. Purges stand in two logs: where one is corrupt the other has
+// them; where both are, a purge may be lost, and no object of before is served. A file that
+// can't be read is not corrupt: then nothing is changed, and all is tried again later, but
+// for segments, which may be missing meanwhile and are opened when they can be.
 func (s *Store) recover() error {
 	s.reset()
-	l, err := s.listFolder()
+	listing, err := s.listFolder()
 	if err != nil {
 		return s.fail("list", "", err)
 	}
-	if err := s.readFormat(l); err != nil {
+	if err := s.checkFormat(listing); err != nil {
 		return err
 	}
-	words, err := s.readFile(purgeLogName, l.names[purgeLogName])
+	purgeLog, err := s.readFile(purgeLogName, listing.names[purgeLogName])
 	if err != nil {
 		return s.fail("read", purgeLogName, err)
 	}
-	var index []byte
-	if len(l.indexes) > 0 {
-		s.indexNumber = l.indexes[len(l.indexes)-1]
-		if index, err = s.readFile(indexName(s.indexNumber), true); err != nil {
+	indexed := len(listing.indexes) > 0
+	var indexLog []byte
+	if indexed {
+		s.indexNumber = listing.indexes[len(listing.indexes)-1]
+		indexLog, err = s.readFile(indexName(s.indexNumber), true)
+		if err != nil {
 			return s.fail("read", indexName(s.indexNumber), err)
 		}
 	}
-	for _, n := range l.segments {
-		s.nextSegment = max(s.nextSegment, n+1)
-		g := &segment{number: n, synced: true}
-		if err := s.openSegment(g); err != nil {
-			g.size = s.options.SegmentBytes
-			s.suspendSegment(g, err)
-		}
-		s.segments[n] = g
+	s.openSegments(listing.segments)
+	purges := s.replayLogs(purgeLog, indexLog, indexed)
+	s.discardIfOutdated(purges)
+	s.applyRecovered(purges)
+	s.dropEmptySegments()
+	s.countRecovered()
+	s.markStale(listing)
+	s.logsUnread = false
+	return nil
+}
+
+// checkFormat sees that the folder is of this format, and makes it one where it is new.
+func (s *Store) checkFormat(listing folderListing) error {
+	data, err := s.readFile(formatName, listing.names[formatName])
+	if err != nil {
+		return s.fail("read", formatName, err)
 	}
-	s.usedBytes = 0
-	purges := s.replayLogs(words, index, len(l.indexes) > 0)
-	s.adoptRecovered(purges)
-	for name := range l.names {
-		if strings.HasSuffix(name, ".new") && len(s.staleFiles) < maxStaleFiles {
-			s.staleFiles = append(s.staleFiles, name)
-		}
+	text := string(data)
+	if text == formatText {
+		return nil
 	}
-	for _, n := range l.indexes { // they go once there is a log of this life
-		if len(s.staleFiles) < maxStaleFiles {
-			s.staleFiles = append(s.staleFiles, indexName(n))
-		}
+	// a truncated one in a folder without data is of a start that was killed in the middle
+	inUse := len(listing.indexes)+len(listing.segments) > 0
+	if text != "" && (inUse || !strings.HasPrefix(formatText, text)) {
+		return s.fail("read", formatName, fmt.Errorf("%w: %.40q, this program reads %q; empty the folder, or run the program that wrote it", ErrFormat, data, formatText))
+	}
+	file, err := s.fs.Open(formatName, true)
+	if err != nil {
+		return s.fail("create", formatName, err)
+	}
+	err = writeAt(file, []byte(formatText), 0)
+	err = errors.Join(err, file.Sync(), file.Close())
+	if err != nil {
+		return s.fail("write", formatName, err)
 	}
-	s.logsUnread = false
 	return nil
 }
 
-// replay takes the copies of the index log, and returns the purges of both logs.
-func (s *Store) replayLogs(words, index []byte, indexed bool) (purges []Purge) {
-	r := &s.recovered
-	purge := func(b []byte) {
-		if w, ok := readPurge(b); ok {
-			purges = append(purges, w)
+// openSegments opens the segments of before. One that can't be opened is suspended.
+func (s *Store) openSegments(numbers []uint32) {
+	for _, number := range numbers {
+		s.nextSegment = max(s.nextSegment, number+1)
+		seg := &segment{number: number, synced: true}
+		if err := s.openSegment(seg); err != nil {
+			seg.size = s.options.SegmentBytes
+			s.suspendSegment(seg, err)
 		}
+		s.segments[number] = seg
 	}
-	damaged, within := readEntries(words, func(kind byte, payload []byte) {
+	s.usedBytes = 0 // dropEmptySegments adds up those that stay
+}
+
+// replayLogs takes the objects of the index log into the index, and returns the purges of
+// both logs.
+func (s *Store) replayLogs(purgeLog, indexLog []byte, indexed bool) (purges []Purge) {
+	addPurge := func(payload []byte) {
+		if purge, ok := readPurge(payload); ok {
+			purges = append(purges, purge)
+		}
+	}
+	corrupt, purgeMayBeLost := readEntries(purgeLog, func(kind entryKind, payload []byte) {
 		if kind == entryPurge {
-			purge(payload)
+			addPurge(payload)
 		}
 	})
-	r.CorruptEntries += damaged
-	within = within || len(words) == 0 && indexed
-	damaged, _ = readEntries(index, func(kind byte, payload []byte) {
+	s.recovered.CorruptEntries += corrupt
+	if len(purgeLog) == 0 && indexed {
+		purgeMayBeLost = true
+	}
+	corrupt, _ = readEntries(indexLog, func(kind entryKind, payload []byte) {
 		switch kind {
 		case entryAdd:
-			if p, ok := readPlace(payload); ok {
-				s.addPlace(p)
+			if loc, ok := readLocation(payload); ok {
+				s.addLocation(loc)
 			}
 		case entryDrop:
 			if len(payload) >= 8 {
-				s.removePlace(binary.LittleEndian.Uint64(payload))
+				s.removeLocation(binary.LittleEndian.Uint64(payload))
 			}
 		case entryPurge:
-			purge(payload)
+			addPurge(payload)
 		}
 	})
-	r.CorruptEntries += damaged
+	s.recovered.CorruptEntries += corrupt
 	switch {
-	case damaged > 0 && within:
-		r.DiscardReason = "both logs are damaged: a purge may be lost"
+	case corrupt > 0 && purgeMayBeLost:
+		s.recovered.DiscardReason = "both logs are damaged: a purge may be lost"
 	case !indexed && len(s.segments) > 0:
-		r.DiscardReason = "there is no index"
+		s.recovered.DiscardReason = "there is no index"
 	case s.pendingOverflow:
-		r.DiscardReason = "more purges came than are remembered while the logs could not be read"
+		s.recovered.DiscardReason = "more purges came than are remembered while the logs could not be read"
 	}
 	return purges
 }
 
-// adopt begins with what was read.
-func (s *Store) adoptRecovered(purges []Purge) {
-	r := &s.recovered
-	newest := uint64(0)
+// discardIfOutdated drops all objects where a purge may be lost: by what replayLogs found,
+// or because an object knows of a later purge than the logs.
+func (s *Store) discardIfOutdated(purges []Purge) {
+	newestKnown := uint64(0)
 	for i := range s.slots {
 		if s.slots[i].live() {
-			newest = max(newest, s.slots[i].sincePurge)
+			newestKnown = max(newestKnown, s.slots[i].sincePurge)
 		}
 	}
 	for i := range purges {
 		s.lastPurge = max(s.lastPurge, purges[i].Number)
 	}
-	if newest > s.lastPurge {
-		r.DiscardReason = fmt.Sprintf("copies know of purge %d, the logs of %d", newest, s.lastPurge)
-		s.lastPurge = newest
+	if newestKnown > s.lastPurge {
+		s.recovered.DiscardReason = fmt.Sprintf("copies know of purge %d, the logs of %d", newestKnown, s.lastPurge)
+		s.lastPurge = newestKnown
 	}
-	if r.DiscardReason != "" {
-		s.options.Warn("store: nothing of before is kept: " + r.DiscardReason)
-		s.slots, s.freeSlots, s.byHash = nil, nil, map[uint64]uint32{}
+	if s.recovered.DiscardReason != "" {
+		s.options.Warn("store: no object of before the start is served: " + s.recovered.DiscardReason)
+		s.forgetObjects()
 	}
+}
+
+// applyRecovered applies the purges of both logs, each once, and then those that came while
+// the logs could not be read: after all fills that began meanwhile.
+func (s *Store) applyRecovered(purges []Purge) {
 	sort.SliceStable(purges, func(i, k int) bool { return purges[i].Number < purges[k].Number })
 	for i := range purges {
 		if i == 0 || purges[i] != purges[i-1] {
 			s.applyPurge(purges[i])
-			r.Purges++
+			s.recovered.Purges++
 		}
 	}
 	s.lastPurge = max(s.lastPurge, s.announcedPurge.Load())
-	for _, w := range s.pendingPurges { // after all that were read, and all fills that began meanwhile
+	for _, purge := range s.pendingPurges {
 		s.lastPurge++
-		w.Number = s.lastPurge
-		s.applyPurge(w)
+		purge.Number = s.lastPurge
+		s.applyPurge(purge)
 	}
-	s.pendingPurges, s.pendingOverflow = nil, false
+	s.pendingPurges = nil
+	s.pendingOverflow = false
 	s.announcedPurge.Store(s.lastPurge)
-	for n, g := range s.segments { // what nothing stands in goes
-		if len(g.slots) == 0 || r.DiscardReason != "" {
-			if g.file != nil {
-				g.file.Close()
+}
+
+// dropEmptySegments removes the segments of before that hold no object, and orders the others.
+func (s *Store) dropEmptySegments() {
+	for number, seg := range s.segments {
+		if len(seg.slots) == 0 || s.recovered.DiscardReason != "" {
+			if seg.file != nil {
+				seg.file.Close()
 			}
-			delete(s.segments, n)
-			s.remove(segmentName(n))
+			delete(s.segments, number)
+			s.remove(segmentName(number))
 			continue
 		}
-		s.segmentOrder = append(s.segmentOrder, n)
-		s.usedBytes += g.size
+		s.segmentOrder = append(s.segmentOrder, number)
+		s.usedBytes += seg.size
 	}
 	slices.Sort(s.segmentOrder)
+}
+
+func (s *Store) countRecovered() {
 	for i := range s.slots {
 		if s.slots[i].live() {
-			r.Objects++
-			r.Bytes += s.slots[i].bodyLen()
+			s.recovered.Objects++
+			s.recovered.Bytes += s.slots[i].bodyLen()
 		}
 	}
-	s.newestAtStart.Store(s.newestBorn())
+	s.newestAtStart.Store(s.findNewest())
 }
 
-// newestBorn looks for the newest among what was read.
-func (s *Store) newestBorn() (newest int64) {
+// findNewest looks for the newest object among the last of the last segment.
+func (s *Store) findNewest() (born int64) {
 	if len(s.segmentOrder) == 0 {
 		return 0
 	}
-	g := s.segments[s.segmentOrder[len(s.segmentOrder)-1]]
-	for _, i := range g.slots[max(len(g.slots)-64, 0):] {
-		if m, err := s.readMeta(g, &s.slots[i]); err == nil {
-			newest = max(newest, m.Born)
+	seg := s.segments[s.segmentOrder[len(s.segmentOrder)-1]]
+	for _, slot := range seg.slots[max(len(seg.slots)-newestSample, 0):] {
+		if meta, err := s.readMeta(seg, &s.slots[slot]); err == nil {
+			born = max(born, meta.Born)
 		}
 	}
-	return newest
+	return born
+}
+
+// markStale has temporary files and the index logs of before removed, once there is an index
+// log of this process.
+func (s *Store) markStale(listing folderListing) {
+	mark := func(name string) {
+		if len(s.staleFiles) < maxStaleFiles {
+			s.staleFiles = append(s.staleFiles, name)
+		}
+	}
+	for name := range listing.names {
+		if strings.HasSuffix(name, ".new") {
+			mark(name)
+		}
+	}
+	for _, number := range listing.indexes {
+		mark(indexName(number))
+	}
 }
--- a/internal/cachenode/store/store.go
+++ b/internal/cachenode/store/store.go
@@ -2,74 +2,74 @@
 
 import (
 	"errors"
-	"fmt"
 	"io"
 	"sync"
 	"sync/atomic"
 )
 
-// Errors that callers tell apart.
+// Errors that callers decide by. A disk that fails is a FaultError.
 var (
 	ErrTooLarge = errors.New("store: larger than a segment may hold")
-	ErrFormat   = errors.New("store: the folder is of another form")
+	ErrFormat   = errors.New("store: the folder has another format")
 	ErrClosed   = errors.New("store: closed")
-	ErrCorrupt  = errors.New("store: damaged")
+	ErrCorrupt  = errors.New("store: corrupt")
 )
 
-const (
-	formatName   = "format"
-	formatText   = "indigospool store 1\n"
-	purgeLogName = "purges.log"
-)
-
-func indexName(n int) string { return fmt.Sprintf("index-%06d.log", n) }
-
-// Store is an open store.
+// Store is an open store. Its methods that are not exported expect mu to be held, but for
+// those that say otherwise.
 type Store struct {
 	fs      FS
 	options Options
-	lock    io.Closer
-
-	mu             sync.Mutex
-	closed         bool
-	indexLog       File
-	indexNumber    int
-	indexLogLen    int64 // its length
-	purgeLog       File
-	purgeLogLen    int64
-	slots          []place
-	freeSlots      []uint32
-	byHash         map[uint64]uint32
-	segments       map[uint32]*segment
-	segmentOrder   []uint32 // of segments, the oldest first
-	active         *segment
-	nextSegment    uint32
-	usedBytes      int64
-	lastPurge      uint64        // of the last purge
-	announcedPurge atomic.Uint64 // the same
-	newestAtStart  atomic.Int64  // see Newest
-
-	objectPurges     map[uint64]watermark
+	lock    io.Closer // of the folder; nil: it could not be locked yet
+
+	mu     sync.Mutex
+	closed bool
+
+	// The index, in memory and as a log (index.go).
+	slots       []location        // of all objects; freed ones are zero
+	freeSlots   []uint32          // indices of slots
+	byHash      map[uint64]uint32 // hash of the key: index of slots
+	indexLog    File
+	indexNumber int // of the index log's name
+	indexLogLen int64
+
+	// Segments (segment.go).
+	segments     map[uint32]*segment
+	segmentOrder []uint32 // their numbers, the oldest first
+	active       *segment // that is written to; nil: the next object begins one
+	nextSegment  uint32
+	usedBytes    int64 // of all segments
+
+	// Purges (purge.go, purgelog.go).
+	purgeLog         File
+	purgeLogLen      int64
+	lastPurge        uint64               // number of the last purge
+	announcedPurge   atomic.Uint64        // the same, and those that are pending: read without mu
+	objectPurges     map[uint64]watermark // by the hash of the object's name
 	groupPurges      map[int32]watermark
 	purgeRules       []Purge // by tag and prefix
 	unversionedRules int     // of them, those without a version
-	fillBarrier      uint64  // fills that began before this purge are not kept
-
-	failure         *FaultError // of the disk's: nothing is kept until retry succeeds; nil: it works
-	backoff         backoff
-	logsBroken      bool     // the logs are to be written anew before they are added to; failure is set
-	segmentBroken   bool     // a new segment has to be begun; failure is set
-	logsUnread      bool     // what the folder holds could not be read yet; failure is set
-	pendingPurges   []Purge  // that came while it is unread
-	pendingOverflow bool     // there were more of them
-	settlePostponed int      // purges at which settle is tried again; 0: it is not put off
-	staleFiles      []string // files that could not be removed yet
-	faulty          atomic.Bool
-	recovered       Recovered
-
-	headBuffer     []byte // of FindNow
-	purgesCaughtUp bool   // see CaughtUp
-	Stats          Stats
+	settlePostponed  int     // number of unversioned rules at which settleRules is tried again; 0: it is not postponed
+	fillBarrier      uint64  // fills that began before this purge are not committed
+	purgesCaughtUp   bool    // see PurgesCaughtUp
+
+	// Faults of the disk (fault.go).
+	failure         *FaultError // nothing is stored until a retry succeeds; nil: the disk works
+	backoff         backoff     // of the retries
+	logsUnread      bool        // the folder could not be read yet; failure is set
+	logsBroken      bool        // both logs are to be written anew before anything is added; failure is set
+	segmentBroken   bool        // a new segment has to be begun; failure is set
+	pendingPurges   []Purge     // that came while logsUnread
+	pendingOverflow bool        // there were more of them than are remembered
+	staleFiles      []string    // that are to be removed
+	faulty          atomic.Bool // see Faulty
+
+	recovered     Recovered
+	newestAtStart atomic.Int64 // see Newest
+	headBuffer    []byte       // of TryLookup
+
+	// Stats counts; to be read by Counts while the store is in use.
+	Stats Stats
 }
 
 // Stats counts what a store has done since it was opened. Its JSON keys are those of the
@@ -98,38 +98,23 @@
 	DiscardReason  string   `json:"Cold"`    // why no object of before the start is served; empty: they are
 }
 
-// Open opens a store, or begins one. What is damaged is dropped and said. Where the disk
-// fails, the store is opened all the same: it gives out nothing of before until all of it
-// could be read, keeps nothing until it can be written, and tries again by itself (Status,
-// Mend).
-func Open(fs FS, set Options) (*Store, Recovered, error) {
-	s := &Store{fs: fs, options: set.withDefaults(), logsUnread: true, logsBroken: true}
-	s.reset()
-	if err := s.retryNow(); errors.Is(err, ErrFormat) || s.lock == nil && !transient(err) {
-		s.closeFiles()
-		return nil, Recovered{}, s.failure.Err
+// Open opens the store in a folder, or makes one of an empty folder. What is corrupt is
+// dropped and counted. Where the disk fails, the store is opened all the same: it serves
+// nothing of before until all of it could be read, stores nothing until it can be written,
+// and retries by itself (Status, Retry). An error is ErrFormat, or that the folder can't be
+// locked.
+func Open(fs FS, options Options) (*Store, Recovered, error) {
+	store := &Store{fs: fs, options: options.withDefaults(), logsUnread: true, logsBroken: true}
+	store.reset()
+	err := store.retryNow()
+	if errors.Is(err, ErrFormat) || store.lock == nil && !transient(err) {
+		store.closeFiles()
+		return nil, Recovered{}, store.failure.Err
 	}
-	return s, s.recovered, nil
+	return store, store.recovered, nil
 }
 
-func (s *Store) closeFiles() {
-	for _, g := range s.segments {
-		if g.file != nil {
-			g.file.Close()
-		}
-	}
-	if s.indexLog != nil {
-		s.indexLog.Close()
-	}
-	if s.purgeLog != nil {
-		s.purgeLog.Close()
-	}
-	if s.lock != nil {
-		s.lock.Close()
-	}
-}
-
-// Close makes what is kept last, and ends the store.
+// Close syncs what was committed, and ends the store.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,21 +129,38 @@
 	return errors.Join(s.syncSegments(), s.indexLog.Sync())
 }
 
-// Counts is the counters now.
+func (s *Store) closeFiles() {
+	for _, seg := range s.segments {
+		if seg.file != nil {
+			seg.file.Close()
+		}
+	}
+	if s.indexLog != nil {
+		s.indexLog.Close()
+	}
+	if s.purgeLog != nil {
+		s.purgeLog.Close()
+	}
+	if s.lock != nil {
+		s.lock.Close()
+	}
+}
+
+// Counts returns the counters.
 func (s *Store) Counts() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.Stats
 }
 
-// Held is how many copies there are, and the bytes of disk in use.
-func (s *Store) Usage() (copies int, bytes int64) {
+// Usage returns the number of objects, and the bytes of disk that segments take.
+func (s *Store) Usage() (objects int, bytes int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.byHash), s.usedBytes
 }
 
-// Newest is the time of birth, Unix ms, of the newest copy among those of before the start
-// that were written last; 0: there is none, or it could not be read. One that lies in the
-// future tells that the clock was stepped back. It never waits.
+// Newest returns when the newest object of before the start was generated (Unix ms), among
+// those that were written last; 0: there is none, or it could not be read. A time in the
+// future shows that the clock was set back. It never waits.
 func (s *Store) Newest() int64 { return s.newestAtStart.Load() }
--- a/internal/cachenode/store/testobject_test.go
+++ b/internal/cachenode/store/testobject_test.go
@@ -7,46 +7,47 @@
 	"testing"
 )
 
-// bodyOf is the content of a key's version.
+// bodyOf is the body of a key's version.
 func bodyOf(key string, version int64, n int) []byte {
 	rng := rand.New(rand.NewPCG(uint64(version), uint64(len(key))*31+uint64(key[len(key)-1])))
-	b := make([]byte, n)
-	for i := range b {
-		b[i] = byte(rng.Uint32())
+	data := make([]byte, n)
+	for i := range data {
+		data[i] = byte(rng.Uint32())
 	}
-	return b
+	return data
 }
 
-func storeObject(t testing.TB, s *Store, key string, version int64, n int) bool {
+// storeObject stores an object; false: it was overtaken.
+func storeObject(t testing.TB, store *Store, key string, version int64, n int) bool {
 	t.Helper()
-	w, err := s.Begin(Meta{Key: key, Object: key, Group: int32(n % 3), Version: version, Born: version, Rank: 2}, int64(n))
+	writer, err := store.Begin(Meta{Key: key, Object: key, Group: int32(n % 3), Version: version, Born: version, Rank: 2}, int64(n))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := w.Write(bodyOf(key, version, n)); err != nil {
+	if _, err := writer.Write(bodyOf(key, version, n)); err != nil {
 		t.Fatal(err)
 	}
-	ok, err := w.Commit()
+	ok, err := writer.Commit()
 	if err != nil {
 		t.Fatal(err)
 	}
 	return ok
 }
 
-// good reports whether a key is found, with the bytes of its version.
-func lookupChecked(t testing.TB, s *Store, key string) (version int64, found bool) {
+// lookupChecked reports whether a key is found, and sees that the body is that of its version.
+func lookupChecked(t testing.TB, store *Store, key string) (version int64, found bool) {
 	t.Helper()
-	c := s.Lookup(key)
-	if c == nil {
+	object := store.Lookup(key)
+	if object == nil {
 		return 0, false
 	}
-	defer c.Close()
-	b := make([]byte, c.Size)
-	if _, err := c.ReadAt(b, 0); err != nil && err != io.EOF {
+	defer object.Close()
+	data := make([]byte, object.Size)
+	if _, err := object.ReadAt(data, 0); err != nil && err != io.EOF {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(b, bodyOf(key, c.Version, len(b))) || c.Key != key {
-		t.Fatalf("%s is given out with bytes that it never had", key)
+	if !bytes.Equal(data, bodyOf(key, object.Version, len(data))) || object.Key != key {
+		t.Fatalf("%s is served with bytes that it never had", key)
 	}
-	return c.Version, true
+	return object.Version, true
 }
--- a/internal/cachenode/store/threads.go
+++ b/internal/cachenode/store/threads.go
@@ -5,52 +5,57 @@
 	"time"
 )
 
-// Threads runs what waits for the disk apart from those who must not wait. Its queue is
-// bounded, and a disk that hangs is seen: then nothing more is taken, and whoever asks
-// goes on without the disk until it answers again.
+// Threads runs jobs that wait for the disk, for callers that must not wait. Its queue is
+// bounded, and a disk that hangs is noticed: then jobs are rejected, and callers go on without
+// the disk until it answers again.
 type Threads struct {
 	count   int
 	timeout time.Duration
 	jobs    chan func()
-	wg      sync.WaitGroup
+	running sync.WaitGroup
 
-	mu       sync.Mutex
-	started  map[int]time.Time // of the job that each thread is at
-	closed   bool
-	Rejected uint64 // jobs that were not taken
+	mu      sync.Mutex
+	started map[int]time.Time // of the job that each thread is at
+	closed  bool
+
+	// Rejected counts the jobs that were not taken.
+	Rejected uint64
 }
 
-// NewThreads starts n threads with a queue. A disk that has had one job of each thread
-// for longer than the patience hangs.
-func NewThreads(n, queue int, patience time.Duration) *Threads {
-	n = max(n, 1)
-	t := &Threads{count: n, timeout: patience, jobs: make(chan func(), max(queue, 1)), started: map[int]time.Time{}}
-	for i := range n {
-		t.wg.Add(1)
-		go func() {
-			defer t.wg.Done()
-			for f := range t.jobs {
-				t.mu.Lock()
-				t.started[i] = time.Now()
-				t.mu.Unlock()
-				f()
-				t.mu.Lock()
-				delete(t.started, i)
-				t.mu.Unlock()
-			}
-		}()
+// NewThreads starts count threads with a queue of so many jobs. The disk hangs when each
+// thread has been at one job for longer than the timeout.
+func NewThreads(count, queue int, timeout time.Duration) *Threads {
+	count = max(count, 1)
+	t := &Threads{count: count, timeout: timeout, jobs: make(chan func(), max(queue, 1)), started: map[int]time.Time{}}
+	for i := range count {
+		t.running.Add(1)
+		go t.run(i)
 	}
 	return t
 }
 
-// Do has a thread call f. False: it is not called, since the queue is full, the disk
+// run runs jobs on thread i until the queue is closed.
+func (t *Threads) run(i int) {
+	defer t.running.Done()
+	for job := range t.jobs {
+		t.mu.Lock()
+		t.started[i] = time.Now()
+		t.mu.Unlock()
+		job()
+		t.mu.Lock()
+		delete(t.started, i)
+		t.mu.Unlock()
+	}
+}
+
+// Submit has a thread run a job. false: it is rejected, since the queue is full, the disk
 // hangs, or the threads are closed. It never waits.
-func (t *Threads) Submit(f func()) bool {
+func (t *Threads) Submit(job func()) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.closed && !t.hung() {
 		select {
-		case t.jobs <- f:
+		case t.jobs <- job:
 			return true
 		default:
 		}
@@ -59,7 +64,7 @@
 	return false
 }
 
-// Hung reports whether the disk hangs: every thread is at one job for too long.
+// Hung reports whether the disk hangs.
 func (t *Threads) Hung() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -67,19 +72,19 @@
 }
 
 func (t *Threads) hung() bool {
-	if len(t.started) == 0 || len(t.started) < t.count {
+	if len(t.started) < t.count {
 		return false
 	}
-	for _, at := range t.started {
-		if time.Since(at) < t.timeout {
+	for _, start := range t.started {
+		if time.Since(start) < t.timeout {
 			return false
 		}
 	}
 	return true
 }
 
-// Close lets what is queued run, and ends the threads; those that hang are left behind
-// after the patience.
+// Close runs the jobs that are queued, and ends the threads. Those that hang are left behind
+// after the timeout.
 func (t *Threads) Close() {
 	t.mu.Lock()
 	if !t.closed {
@@ -87,10 +92,13 @@
 		close(t.jobs)
 	}
 	t.mu.Unlock()
-	done := make(chan struct{})
-	go func() { t.wg.Wait(); close(done) }()
+	ended := make(chan struct{})
+	go func() {
+		t.running.Wait()
+		close(ended)
+	}()
 	select {
-	case <-done:
+	case <-ended:
 	case <-time.After(t.timeout):
 	}
 }
--- a/internal/cachenode/store/threads_test.go
+++ b/internal/cachenode/store/threads_test.go
@@ -6,43 +6,43 @@
 	"time"
 )
 
-// A disk that hangs holds nobody up: what comes is turned away at once, and taken again
-// when it answers. A queue that is full turns away too.
+// A disk that hangs holds nobody up: jobs are rejected at once, and taken again when it
+// answers. A full queue rejects too.
 func TestDiskHangs(t *testing.T) {
-	th := NewThreads(2, 4, 50*time.Millisecond)
-	let := make(chan bool)
+	threads := NewThreads(2, 4, 50*time.Millisecond)
+	release := make(chan bool)
 	var ran atomic.Int64
 	for range 2 {
-		if !th.Submit(func() { <-let; ran.Add(1) }) {
+		if !threads.Submit(func() { <-release; ran.Add(1) }) {
 			t.Fatal("not taken")
 		}
 	}
-	for i := 0; th.Submit(func() { ran.Add(1) }); i++ { // the queue fills
+	for i := 0; threads.Submit(func() { ran.Add(1) }); i++ { // the queue fills
 		if i > 6 {
 			t.Fatal("the queue has no bound")
 		}
 	}
-	if th.Hung() {
-		t.Error("it is said to hang before the patience is over")
+	if threads.Hung() {
+		t.Error("it hangs before the timeout")
 	}
 	for range 200 {
-		if th.Hung() {
+		if threads.Hung() {
 			break
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	at := time.Now()
-	if !th.Hung() || th.Submit(func() {}) || time.Since(at) > 40*time.Millisecond {
-		t.Error("what hangs is not seen, or is waited for")
+	start := time.Now()
+	if !threads.Hung() || threads.Submit(func() {}) || time.Since(start) > 40*time.Millisecond {
+		t.Error("a disk that hangs is not noticed, or is waited for")
 	}
-	close(let)
+	close(release)
 	for range 200 {
-		if !th.Hung() && th.Submit(func() { ran.Add(1) }) {
-			th.Close()
+		if !threads.Hung() && threads.Submit(func() { ran.Add(1) }) {
+			threads.Close()
 			if n := ran.Load(); n < 5 {
 				t.Errorf("%d jobs ran", n)
 			}
-			if th.Submit(func() {}) {
+			if threads.Submit(func() {}) {
 				t.Error("taken after the end")
 			}
 			return
