--- a/internal/cachenode/store/bench_test.go
+++ b/internal/cachenode/store/bench_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// BenchmarkRecover opens a store of so many objects again, after it was left without a
-// word, and says what it takes in memory an object.
+// BenchmarkRecover opens a store of so many objects again, after it was left without Close,
+// and reports what an object takes in memory.
 func BenchmarkRecover(b *testing.B) {
 	for _, n := range []int{10_000, 100_000, 1_000_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -33,9 +33,9 @@
 				runtime.GC()
 				runtime.ReadMemStats(&before)
 				b.StartTimer()
-				var r Recovered
-				if store, r, err = Open(Dir(dir), options); err != nil || r.Objects != n {
-					b.Fatal(r, err)
+				var recovered Recovered
+				if store, recovered, err = Open(Dir(dir), options); err != nil || recovered.Objects != n {
+					b.Fatal(recovered, err)
 				}
 				b.StopTimer()
 				runtime.GC()
@@ -54,7 +54,7 @@
 	}
 }
 
-// BenchmarkFind finds and reads copies of a size; beside it Go's file server on files of
+// BenchmarkLookup finds and reads objects of a size; beside it Go's file server on files of
 // that size, without a socket, and plain reads of open files, the machine's limit.
 func BenchmarkLookup(b *testing.B) {
 	for _, kb := range []int{4, 64, 1024} {
@@ -71,11 +71,11 @@
 			storeObject(b, store, fmt.Sprintf("/%d", i), 1, kb<<10)
 			name := filepath.Join(files, fmt.Sprint(i))
 			os.WriteFile(name, bodyOf("/x", 1, kb<<10), 0o600)
-			f, err := os.Open(name)
+			file, err := os.Open(name)
 			if err != nil {
 				b.Fatal(err)
 			}
-			open = append(open, f)
+			open = append(open, file)
 		}
 		buf := make([]byte, 64<<10)
 		b.Run(fmt.Sprintf("store/%dKB", kb), func(b *testing.B) {
@@ -90,11 +90,11 @@
 			}
 		})
 		b.Run(fmt.Sprintf("fileserver/%dKB", kb), func(b *testing.B) {
-			h := http.FileServer(http.Dir(files))
+			handler := http.FileServer(http.Dir(files))
 			b.SetBytes(int64(kb) << 10)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				h.ServeHTTP(&discard{h: http.Header{}}, httptest.NewRequest("GET", fmt.Sprintf("/%d", i%n), nil))
+				handler.ServeHTTP(&discard{h: http.Header{}}, httptest.NewRequest("GET", fmt.Sprintf("/%d", i%n), nil))
 			}
 		})
 		b.Run(fmt.Sprintf("pread/%dKB", kb), func(b *testing.B) {
@@ -106,8 +106,8 @@
 			}
 		})
 		store.Close()
-		for _, f := range open {
-			f.Close()
+		for _, file := range open {
+			file.Close()
 		}
 	}
 }
@@ -118,7 +118,7 @@
 func (d *discard) Write(data []byte) (int, error) { return len(data), nil }
 func (d *discard) WriteHeader(int)                {}
 
-// BenchmarkKeep keeps copies of 64 KB, ten times what the store holds, under each policy;
+// BenchmarkWrite stores objects of 64 KB, ten times what the store holds, under each policy;
 // a tenth of them is found again and again. written/kept is the write amplification.
 func BenchmarkWrite(b *testing.B) {
 	for name, sync := range map[string]Sync{"purges": SyncPurges, "segments": SyncSegments, "copies": SyncObjects} {
@@ -132,7 +132,7 @@
 			b.SetBytes(int64(len(body)))
 			worst := time.Duration(0)
 			for i := 0; b.Loop(); i++ {
-				at := time.Now()
+				start := time.Now()
 				writer, err := store.Begin(Meta{Key: fmt.Sprint("/", i), Rank: 2}, int64(len(body)))
 				if err != nil {
 					b.Fatal(err)
@@ -145,7 +145,7 @@
 					object.Close()
 				}
 				store.Compact(128 << 10)
-				worst = max(worst, time.Since(at))
+				worst = max(worst, time.Since(start))
 			}
 			b.ReportMetric(float64(store.Stats.WrittenBytes)/float64(store.Stats.BodyBytes), "written/kept")
 			b.ReportMetric(float64(worst.Microseconds()), "worst-us")
--- a/internal/cachenode/store/corruption_test.go
+++ b/internal/cachenode/store/corruption_test.go
@@ -32,8 +32,8 @@
 	found, tries := 0, 0
 	try := func(damage, name string, data []byte) {
 		tries++
-		killed := fs.killed()
-		killed.now[name].data = data
+		killed := fs.afterKill()
+		killed.files[name].data = data
 		store, _, err := Open(killed, options)
 		if errors.Is(err, ErrFormat) {
 			return // reported, and nothing is served
@@ -51,7 +51,7 @@
 		}
 	}
 	for _, name := range names {
-		data := fs.now[name].data
+		data := fs.files[name].data
 		for i := range data {
 			for _, bit := range []byte{1, 0x80} {
 				flipped := append([]byte(nil), data...)
--- a/internal/cachenode/store/crashfs_test.go
+++ b/internal/cachenode/store/crashfs_test.go
@@ -9,21 +9,21 @@
 )
 
 // crashFS is a folder in memory that behaves as a disk does in a crash: of what was not
-// synced any part may be there afterwards, in any order, torn within a write. It can
-// also fail: at a countdown of writes all of it stops, or there is no space.
+// synced any part may be there afterwards, in any order, torn within a write. It can also
+// fail: after a number of calls all of it stops, or there is no space.
 type crashFS struct {
-	now     map[string]*crashFile // as the process sees it
-	disk    map[string]*crashFile // names that last
-	pending []func(map[string]*crashFile)
-	left    int // writes until it stops; -1: never
-	full    int // writes until there is no space; -1: never
-	stopped bool
-	locked  bool
+	files           map[string]*crashFile // as the process sees it
+	durable         map[string]*crashFile // names that last
+	pending         []func(map[string]*crashFile)
+	writesLeft      int // writes until it stops; -1: never
+	writesUntilFull int // writes until there is no space; -1: never
+	stopped         bool
+	locked          bool
 	// fault, if set, is asked before each call; its error is what the call gives.
 	// A write that fails has written half, a sync that fails has lost pages (lose).
-	fault func(op, name string) error
-	lost  bool // a sync failed, and dropped what it should have written
-	rng   *rand.Rand
+	fault      func(op, name string) error
+	lostBySync bool // a sync failed, and dropped what it should have written
+	rng        *rand.Rand
 }
 
 type crashFile struct {
@@ -33,9 +33,9 @@
 }
 
 type write struct {
-	at   int64
-	b    []byte
-	trim int64 // >= 0: a truncation
+	offset     int64
+	data       []byte
+	truncateTo int64 // >= 0: a truncation
 }
 
 var (
@@ -44,31 +44,31 @@
 )
 
 func newCrashFS() *crashFS {
-	return &crashFS{now: map[string]*crashFile{}, disk: map[string]*crashFile{}, left: -1, full: -1}
+	return &crashFS{files: map[string]*crashFile{}, durable: map[string]*crashFile{}, writesLeft: -1, writesUntilFull: -1}
 }
 
-func (c *crashFS) step() error {
-	if c.left == 0 {
+func (c *crashFS) countCall() error {
+	if c.writesLeft == 0 {
 		c.stopped = true
 	}
 	if c.stopped {
 		return errStopped
 	}
-	if c.left > 0 {
-		c.left--
+	if c.writesLeft > 0 {
+		c.writesLeft--
 	}
 	return nil
 }
 
-// ask is step for a call that may fail by itself.
-func (c *crashFS) ask(op, name string) error {
-	if err := c.step(); err != nil {
+// beforeCall is countCall for a call that may fail by fault.
+func (c *crashFS) beforeCall(op, name string) error {
+	if err := c.countCall(); err != nil {
 		return err
 	}
-	return c.fails(op, name)
+	return c.faultOf(op, name)
 }
 
-func (c *crashFS) fails(op, name string) error {
+func (c *crashFS) faultOf(op, name string) error {
 	if c.fault == nil {
 		return nil
 	}
@@ -78,10 +78,10 @@
 	return nil
 }
 
-func (c *crashFS) rngOf() *rand.Rand { c.chance(); return c.rng }
+func (c *crashFS) random() *rand.Rand { c.coin(); return c.rng }
 
-// chance is a coin for what a failing sync leaves behind.
-func (c *crashFS) chance() bool {
+// coin decides what a failing sync leaves behind.
+func (c *crashFS) coin() bool {
 	if c.rng == nil {
 		c.rng = rand.New(rand.NewPCG(1, 2))
 	}
@@ -89,32 +89,32 @@
 }
 
 type handle struct {
-	c    *crashFS
-	f    *crashFile
+	fs   *crashFS
+	file *crashFile
 	name string
 }
 
 func (c *crashFS) Open(name string, create bool) (File, error) {
-	if err := c.ask("open", name); err != nil {
+	if err := c.beforeCall("open", name); err != nil {
 		return nil, err
 	}
-	file := c.now[name]
+	file := c.files[name]
 	if file == nil {
 		if !create {
 			return nil, os.ErrNotExist
 		}
 		file = &crashFile{}
-		c.now[name] = file
+		c.files[name] = file
 		c.pending = append(c.pending, func(m map[string]*crashFile) { m[name] = file })
 	}
 	return &handle{c, file, name}, nil
 }
 
 func (c *crashFS) Rename(from, to string) error {
-	if err := c.ask("rename", from); err != nil {
+	if err := c.beforeCall("rename", from); err != nil {
 		return err
 	}
-	file := c.now[from]
+	file := c.files[from]
 	if file == nil {
 		return os.ErrNotExist
 	}
@@ -124,40 +124,40 @@
 		}
 		m[to] = file
 	}
-	do(c.now)
+	do(c.files)
 	c.pending = append(c.pending, do)
 	return nil
 }
 
 func (c *crashFS) Remove(name string) error {
-	if err := c.ask("remove", name); err != nil {
+	if err := c.beforeCall("remove", name); err != nil {
 		return err
 	}
-	if c.now[name] == nil {
+	if c.files[name] == nil {
 		return os.ErrNotExist
 	}
 	do := func(m map[string]*crashFile) { delete(m, name) }
-	do(c.now)
+	do(c.files)
 	c.pending = append(c.pending, do)
 	return nil
 }
 
 func (c *crashFS) List() (names []string, err error) {
-	for n := range c.now {
+	for n := range c.files {
 		names = append(names, n)
 	}
 	sort.Strings(names)
-	return names, c.ask("list", "")
+	return names, c.beforeCall("list", "")
 }
 
 func (c *crashFS) SyncDir() error {
-	if err := c.step(); err != nil {
+	if err := c.countCall(); err != nil {
 		return err
 	}
-	err := c.fails("syncdir", "")
+	err := c.faultOf("syncdir", "")
 	for _, do := range c.pending {
-		if err == nil || c.chance() { // of one that fails, part is never tried again
-			do(c.disk)
+		if err == nil || c.coin() { // of one that fails, part is never tried again
+			do(c.durable)
 		}
 	}
 	c.pending = nil
@@ -165,129 +165,129 @@
 }
 
 func (c *crashFS) Lock() (io.Closer, error) {
-	if err := c.fails("lock", ""); err != nil {
+	if err := c.faultOf("lock", ""); err != nil {
 		return nil, err
 	}
 	if c.locked {
 		return nil, errors.New("crashfs: locked")
 	}
 	c.locked = true
-	return unlock{c}, nil
+	return crashLock{c}, nil
 }
 
-type unlock struct{ c *crashFS }
+type crashLock struct{ fs *crashFS }
 
-func (u unlock) Close() error { u.c.locked = false; return nil }
+func (u crashLock) Close() error { u.fs.locked = false; return nil }
 
 func (h *handle) ReadAt(data []byte, off int64) (int, error) {
-	if h.c.stopped {
+	if h.fs.stopped {
 		return 0, errStopped
 	}
-	if err := h.c.fails("read", h.name); err != nil {
+	if err := h.fs.faultOf("read", h.name); err != nil {
 		return 0, err
 	}
-	if off >= int64(len(h.f.data)) {
+	if off >= int64(len(h.file.data)) {
 		return 0, io.EOF
 	}
-	n := copy(data, h.f.data[off:])
+	n := copy(data, h.file.data[off:])
 	if n < len(data) {
 		return n, io.EOF
 	}
 	return n, nil
 }
 
-func put(data []byte, w write) []byte {
-	if w.trim >= 0 {
-		if int64(len(data)) > w.trim {
-			return append([]byte(nil), data[:w.trim]...)
+func applyWrite(data []byte, change write) []byte {
+	if change.truncateTo >= 0 {
+		if int64(len(data)) > change.truncateTo {
+			return append([]byte(nil), data[:change.truncateTo]...)
 		}
-		return append(data, make([]byte, w.trim-int64(len(data)))...)
+		return append(data, make([]byte, change.truncateTo-int64(len(data)))...)
 	}
-	if need := w.at + int64(len(w.b)); int64(len(data)) < need {
+	if need := change.offset + int64(len(change.data)); int64(len(data)) < need {
 		data = append(data, make([]byte, need-int64(len(data)))...)
 	}
-	copy(data[w.at:], w.b)
+	copy(data[change.offset:], change.data)
 	return data
 }
 
 func (h *handle) WriteAt(data []byte, off int64) (int, error) {
-	if err := h.c.step(); err != nil {
+	if err := h.fs.countCall(); err != nil {
 		return 0, err
 	}
-	err := h.c.fails("write", h.name)
-	if h.c.full == 0 {
+	err := h.fs.faultOf("write", h.name)
+	if h.fs.writesUntilFull == 0 {
 		err = errNoSpace
 	}
 	if err != nil { // half of it still fits
-		w := write{off, append([]byte(nil), data[:len(data)/2]...), -1}
-		h.f.data, h.f.pending = put(h.f.data, w), append(h.f.pending, w)
+		change := write{off, append([]byte(nil), data[:len(data)/2]...), -1}
+		h.file.data, h.file.pending = applyWrite(h.file.data, change), append(h.file.pending, change)
 		return len(data) / 2, err
 	}
-	if h.c.full > 0 {
-		h.c.full--
+	if h.fs.writesUntilFull > 0 {
+		h.fs.writesUntilFull--
 	}
-	w := write{off, append([]byte(nil), data...), -1}
-	h.f.data, h.f.pending = put(h.f.data, w), append(h.f.pending, w)
+	change := write{off, append([]byte(nil), data...), -1}
+	h.file.data, h.file.pending = applyWrite(h.file.data, change), append(h.file.pending, change)
 	return len(data), nil
 }
 
 func (h *handle) Truncate(size int64) error {
-	if err := h.c.ask("truncate", h.name); err != nil {
+	if err := h.fs.beforeCall("truncate", h.name); err != nil {
 		return err
 	}
-	w := write{trim: size}
-	h.f.data, h.f.pending = put(h.f.data, w), append(h.f.pending, w)
+	change := write{truncateTo: size}
+	h.file.data, h.file.pending = applyWrite(h.file.data, change), append(h.file.pending, change)
 	return nil
 }
 
 func (h *handle) Sync() error {
-	if err := h.c.step(); err != nil {
+	if err := h.fs.countCall(); err != nil {
 		return err
 	}
-	err := h.c.fails("sync", h.name)
-	for _, w := range h.f.pending {
-		if err == nil || h.c.chance() {
-			h.f.synced = put(h.f.synced, w)
+	err := h.fs.faultOf("sync", h.name)
+	for _, change := range h.file.pending {
+		if err == nil || h.fs.coin() {
+			h.file.synced = applyWrite(h.file.synced, change)
 		}
 	}
-	h.f.pending = nil
+	h.file.pending = nil
 	if err != nil { // the pages count as clean: a later sync succeeds, and does not write them
-		h.c.lost = true
-		if h.c.chance() {
-			h.f.data = append([]byte(nil), h.f.synced...)
+		h.fs.lostBySync = true
+		if h.fs.coin() {
+			h.file.data = append([]byte(nil), h.file.synced...)
 		}
 	}
 	return err
 }
 
 func (h *handle) Size() (int64, error) {
-	if err := h.c.fails("size", h.name); err != nil {
+	if err := h.fs.faultOf("size", h.name); err != nil {
 		return 0, err
 	}
-	return int64(len(h.f.data)), nil
+	return int64(len(h.file.data)), nil
 }
 func (h *handle) Close() error { return nil }
 
-// killed is the folder after the process was killed: all that it wrote is there.
-func (c *crashFS) killed() *crashFS {
-	n := newCrashFS()
-	for name, file := range c.now {
-		n.now[name] = &crashFile{data: append([]byte(nil), file.data...), synced: append([]byte(nil), file.data...)}
-		n.disk[name] = n.now[name]
-	}
-	return n
+// afterKill is the folder after the process was killed: all that it wrote is there.
+func (c *crashFS) afterKill() *crashFS {
+	after := newCrashFS()
+	for name, file := range c.files {
+		after.files[name] = &crashFile{data: append([]byte(nil), file.data...), synced: append([]byte(nil), file.data...)}
+		after.durable[name] = after.files[name]
+	}
+	return after
 }
 
-// crashed is the folder after the machine stopped.
-func (c *crashFS) crashed(rng *rand.Rand) *crashFS {
+// afterCrash is the folder after the machine stopped.
+func (c *crashFS) afterCrash(rng *rand.Rand) *crashFS {
 	names := map[string]*crashFile{}
-	for n, file := range c.disk {
+	for n, file := range c.durable {
 		names[n] = file
 	}
 	for _, do := range c.pending[:rng.IntN(len(c.pending)+1)] {
 		do(names)
 	}
-	out := newCrashFS()
+	after := newCrashFS()
 	sorted := make([]string, 0, len(names))
 	for name := range names {
 		sorted = append(sorted, name)
@@ -296,17 +296,17 @@
 	for _, name := range sorted {
 		file := names[name]
 		data := append([]byte(nil), file.synced...)
-		for _, w := range file.pending {
+		for _, change := range file.pending {
 			switch {
 			case rng.IntN(3) == 0:
 				continue // it never reached the disk
-			case w.trim < 0 && rng.IntN(4) == 0:
-				w.b = w.b[:rng.IntN(len(w.b)+1)] // torn
+			case change.truncateTo < 0 && rng.IntN(4) == 0:
+				change.data = change.data[:rng.IntN(len(change.data)+1)] // torn
 			}
-			data = put(data, w)
+			data = applyWrite(data, change)
 		}
-		out.now[name] = &crashFile{data: data, synced: append([]byte(nil), data...)}
-		out.disk[name] = out.now[name]
+		after.files[name] = &crashFile{data: data, synced: append([]byte(nil), data...)}
+		after.durable[name] = after.files[name]
 	}
-	return out
+	return after
 }
--- a/internal/cachenode/store/fault_test.go
+++ b/internal/cachenode/store/fault_test.go
@@ -64,7 +64,7 @@
 // killed starts the store anew on what is there; faults stay.
 func (f *faultyStore) restartAfterKill() {
 	fault := f.fs.fault
-	f.fs = f.fs.killed()
+	f.fs = f.fs.afterKill()
 	f.fs.fault = fault
 	f.open()
 }
@@ -95,14 +95,14 @@
 			}
 			faulty.fail(ops, "seg-", syscall.EIO)
 			faulty.restartAfterKill()
-			before := string(faulty.fs.now["seg-00000001.dat"].data)
+			before := string(faulty.fs.files["seg-00000001.dat"].data)
 			faulty.expect("during the fault", map[string]bool{"/a": false, "/b": false})
 			if err := faulty.purge("/b"); err != nil {
 				t.Errorf("a purge while a segment can't be read: %v", err)
 			}
 			faulty.restartAfterKill()
 			faulty.expect("during the fault, after a start", map[string]bool{"/a": false})
-			if file := faulty.fs.now["seg-00000001.dat"]; file == nil || string(file.data) != before {
+			if file := faulty.fs.files["seg-00000001.dat"]; file == nil || string(file.data) != before {
 				t.Fatal("the segment was touched")
 			}
 			faulty.endFault()
@@ -186,8 +186,8 @@
 	}
 	want := map[string]bool{"/b": false, "/c": false, "/d": true}
 	faulty.expect("after the fault", want)
-	lost := faulty.fs.lost
-	faulty.fs = faulty.fs.crashed(faulty.fs.rngOf())
+	lost := faulty.fs.lostBySync
+	faulty.fs = faulty.fs.afterCrash(faulty.fs.random())
 	faulty.open()
 	if policy < SyncObjects {
 		delete(want, "/d") // a crash may take it
@@ -276,18 +276,18 @@
 func TestFormatTruncatedByKill(t *testing.T) {
 	faulty := newFaultyStore(t, Options{})
 	storeObject(t, faulty.Store, "/a", 1, 100)
-	full := faulty.fs.killed()
+	full := faulty.fs.afterKill()
 	for n := range len(formatText) {
 		text := []byte(formatText[:n])
 		faulty.fs = newCrashFS()
-		faulty.fs.now[formatName] = &crashFile{data: text, synced: text}
-		faulty.fs.disk[formatName] = faulty.fs.now[formatName]
+		faulty.fs.files[formatName] = &crashFile{data: text, synced: text}
+		faulty.fs.durable[formatName] = faulty.fs.files[formatName]
 		faulty.open()
 		storeObject(t, faulty.Store, "/a", 1, 100)
 		faulty.restartAfterKill()
 		faulty.expect(fmt.Sprintf("the format truncated at %d", n), map[string]bool{"/a": true})
-		full.now[formatName].data = text
-		if _, _, err := Open(full.killed(), faulty.options); n > 0 && !errors.Is(err, ErrFormat) {
+		full.files[formatName].data = text
+		if _, _, err := Open(full.afterKill(), faulty.options); n > 0 && !errors.Is(err, ErrFormat) {
 			t.Errorf("the format of a folder in use, truncated at %d: %v", n, err)
 		}
 	}
--- a/internal/cachenode/store/folder_test.go
+++ b/internal/cachenode/store/folder_test.go
@@ -59,7 +59,7 @@
 		t.Fatal(err)
 	}
 	writer.Write(bodyOf("/c", 0, 2000)[:1000])
-	fs.full = 0
+	fs.writesUntilFull = 0
 	if _, err := writer.Write(bodyOf("/c", 0, 2000)[1000:]); !errors.Is(err, errNoSpace) {
 		t.Fatal(err)
 	}
@@ -77,7 +77,7 @@
 			t.Errorf("%s: %v", key, ok)
 		}
 	}
-	killed := fs.killed()
+	killed := fs.afterKill()
 	if store, _, err = Open(killed, Options{}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cachenode/store/index_bench_test.go
+++ b/internal/cachenode/store/index_bench_test.go
@@ -10,33 +10,33 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// BenchmarkIndex writes and finds places in an index of 100,000: in bbolt, with a commit
-// for each place as the store would need it (not synced), and in the store's own.
+// BenchmarkIndex writes and finds locations in an index of 100,000: in bbolt, with a commit
+// for each as the store would need it (not synced), and in the store's own.
 func BenchmarkIndex(b *testing.B) {
 	const n = 100_000
-	pl := func(i int) location {
+	locationOf := func(i int) location {
 		return location{keyHash: uint64(i) * 0x9e3779b97f4a7c15, segment: 1, offset8: uint32(i), packed: packLengths(0, 8, 1)}
 	}
 	b.Run("bbolt", func(b *testing.B) {
 		file := filepath.Join(b.TempDir(), "index")
-		db, err := bolt.Open(file, 0o600, &bolt.Options{NoSync: true, NoFreelistSync: true, FreelistType: bolt.FreelistMapType})
+		database, err := bolt.Open(file, 0o600, &bolt.Options{NoSync: true, NoFreelistSync: true, FreelistType: bolt.FreelistMapType})
 		if err != nil {
 			b.Fatal(err)
 		}
-		defer db.Close()
+		defer database.Close()
 		bucket := []byte("i")
 		put := func(tx *bolt.Tx, i int) error {
-			loc := pl(i)
-			k, err := tx.CreateBucketIfNotExists(bucket)
+			loc := locationOf(i)
+			index, err := tx.CreateBucketIfNotExists(bucket)
 			if err != nil {
 				return err
 			}
-			return k.Put(binary.BigEndian.AppendUint64(nil, loc.keyHash), loc.appendTo(nil))
+			return index.Put(binary.BigEndian.AppendUint64(nil, loc.keyHash), loc.appendTo(nil))
 		}
 		for i := 0; i < n; i += 1000 {
-			if err := db.Update(func(tx *bolt.Tx) error {
-				for k := range 1000 {
-					if err := put(tx, i+k); err != nil {
+			if err := database.Update(func(tx *bolt.Tx) error {
+				for index := range 1000 {
+					if err := put(tx, i+index); err != nil {
 						return err
 					}
 				}
@@ -47,15 +47,15 @@
 		}
 		b.Run("keep", func(b *testing.B) {
 			for i := n; b.Loop(); i++ {
-				if err := db.Update(func(tx *bolt.Tx) error { return put(tx, i) }); err != nil {
+				if err := database.Update(func(tx *bolt.Tx) error { return put(tx, i) }); err != nil {
 					b.Fatal(err)
 				}
 			}
 		})
 		b.Run("find", func(b *testing.B) {
 			for b.Loop() {
-				loc := pl(rand.IntN(n))
-				db.View(func(tx *bolt.Tx) error {
+				loc := locationOf(rand.IntN(n))
+				database.View(func(tx *bolt.Tx) error {
 					if _, ok := readLocation(tx.Bucket(bucket).Get(binary.BigEndian.AppendUint64(nil, loc.keyHash))); !ok {
 						b.Fatal("it is gone")
 					}
@@ -64,7 +64,7 @@
 			}
 		})
 		if st, err := os.Stat(file); err == nil {
-			b.Logf("%d bytes of disk a place", st.Size()/n)
+			b.Logf("%d bytes of disk a location", st.Size()/n)
 		}
 	})
 	b.Run("own", func(b *testing.B) {
@@ -78,7 +78,7 @@
 		}
 		store.active.size = 1 << 40
 		put := func(i int) {
-			loc := pl(i)
+			loc := locationOf(i)
 			if err := store.appendLog(store.indexLog, &store.indexLogLen, appendEntry(nil, entryAdd, loc.appendTo(nil))); err != nil {
 				b.Fatal(err)
 			}
@@ -94,7 +94,7 @@
 		})
 		b.Run("find", func(b *testing.B) {
 			for b.Loop() {
-				loc := pl(rand.IntN(n))
+				loc := locationOf(rand.IntN(n))
 				if _, ok := store.byHash[loc.keyHash]; !ok {
 					b.Fatal("it is gone")
 				}
--- a/internal/cachenode/store/model_test.go
+++ b/internal/cachenode/store/model_test.go
@@ -180,19 +180,19 @@
 		}
 		found.Close()
 	}
-	r.lossy, r.gaveUp, r.fs.lost = false, false, false
+	r.lossy, r.gaveUp, r.fs.lostBySync = false, false, false
 }
 
 // step is one of everything that may happen.
 func (r *modelRun) step() {
 	r.clock.now = r.clock.now.Add(time.Duration(r.rng.IntN(100)) * time.Millisecond)
-	r.lossy = r.lossy || r.fs.lost
+	r.lossy = r.lossy || r.fs.lostBySync
 	r.gaveUp = r.gaveUp || r.store.unversionedRules >= 4*r.options.MaxPurgeRules && r.fs.fault != nil
 	switch {
 	case !r.faults || r.fs.stopped:
 	case r.fs.fault == nil && r.rng.IntN(12) == 0:
 		r.fs.fault = randomFault(r.rng)
-	case r.fs.fault != nil && r.fs.left < 0 && r.rng.IntN(12) == 0:
+	case r.fs.fault != nil && r.fs.writesLeft < 0 && r.rng.IntN(12) == 0:
 		r.fs.fault = nil
 		r.clock.retryAfterBackoff(r.store)
 		if status := r.store.Status(); status.Fault != nil || status.LogsUnread || !status.PurgesDurable {
@@ -208,7 +208,7 @@
 		return
 	}
 	if r.rng.IntN(60) == 0 {
-		r.fs.left = r.rng.IntN(20)
+		r.fs.writesLeft = r.rng.IntN(20)
 	}
 	switch n := r.rng.IntN(10); {
 	case n < 4:
@@ -232,20 +232,20 @@
 func (r *modelRun) restart() {
 	how := r.rng.IntN(3)
 	fault := r.fs.fault
-	r.lossy = r.lossy || r.fs.lost
+	r.lossy = r.lossy || r.fs.lostBySync
 	switch how {
 	case 0:
-		r.fs = r.fs.killed()
+		r.fs = r.fs.afterKill()
 	case 1:
-		r.fs = r.fs.crashed(r.rng)
+		r.fs = r.fs.afterCrash(r.rng)
 	default: // the recovery is stopped too
-		r.fs = r.fs.killed()
-		r.fs.left = r.rng.IntN(30)
+		r.fs = r.fs.afterKill()
+		r.fs.writesLeft = r.rng.IntN(30)
 		if store, _, err := Open(r.fs, r.options); err == nil {
 			r.store = store
-			r.fs.left = -1
+			r.fs.writesLeft = -1
 		}
-		r.fs = r.fs.crashed(r.rng)
+		r.fs = r.fs.afterCrash(r.rng)
 	}
 	r.writers, r.renewed = nil, map[string]bool{}
 	r.lossy = r.lossy || how > 0
--- a/internal/cachenode/store/purge_test.go
+++ b/internal/cachenode/store/purge_test.go
@@ -48,9 +48,9 @@
 				t.Fatal(err)
 			}
 			faulty.restartAfterKill()
-			file := faulty.fs.now[corrupt]
+			file := faulty.fs.files[corrupt]
 			if file == nil {
-				t.Fatalf("no such file among %d", len(faulty.fs.now))
+				t.Fatalf("no such file among %d", len(faulty.fs.files))
 			}
 			for i := range file.data {
 				file.data[i] ^= 0x55
--- a/internal/cachenode/store/testobject_test.go
+++ b/internal/cachenode/store/testobject_test.go
@@ -8,9 +8,9 @@
 )
 
 // bodyOf is the body of a key's version.
-func bodyOf(key string, version int64, n int) []byte {
+func bodyOf(key string, version int64, size int) []byte {
 	rng := rand.New(rand.NewPCG(uint64(version), uint64(len(key))*31+uint64(key[len(key)-1])))
-	data := make([]byte, n)
+	data := make([]byte, size)
 	for i := range data {
 		data[i] = byte(rng.Uint32())
 	}
@@ -18,13 +18,13 @@
 }
 
 // storeObject stores an object; false: it was overtaken.
-func storeObject(t testing.TB, store *Store, key string, version int64, n int) bool {
+func storeObject(t testing.TB, store *Store, key string, version int64, size int) bool {
 	t.Helper()
-	writer, err := store.Begin(Meta{Key: key, Object: key, Group: int32(n % 3), Version: version, Born: version, Rank: 2}, int64(n))
+	writer, err := store.Begin(Meta{Key: key, Object: key, Group: int32(size % 3), Version: version, Born: version, Rank: 2}, int64(size))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := writer.Write(bodyOf(key, version, n)); err != nil {
+	if _, err := writer.Write(bodyOf(key, version, size)); err != nil {
 		t.Fatal(err)
 	}
 	ok, err := writer.Commit()
