--- a/internal/protocol/discovery/decoder_test.go
+++ b/internal/protocol/discovery/decoder_test.go
@@ -14,7 +14,9 @@
 	return append(append(binary.BigEndian.AppendUint64(b, n), byte(kind)), payload...)
 }
 
-func reader() *Decoder { return &Decoder{Zones: []string{"a", "b"}, Kinds: []string{"box", "parent"}} }
+func newDecoder() *Decoder {
+	return &Decoder{Zones: []string{"a", "b"}, Kinds: []string{"box", "parent"}}
+}
 
 var row = []byte{0, 0xc4, 0x1f, 0x7a, 10, 1, 0, 9, 0x13, 0xba, 1, 1, 0, 0, 2, 0, 0, 0x0f, 0xa0, 0, 0, 1, 0x9a, 0, 0, 0, 5}
 
@@ -22,7 +24,7 @@
 	purge := frame(2, objectPurgeFrame, 0x7f, 0x3a, 0x9c, 0x21, 0xe0, 0xb4, 0xd6, 0x55, 0, 0, 0, 0, 0, 0, 0, 9)
 	group := frame(3, groupPurgeFrame, 0, 17, 0, 0, 0, 0, 0, 0, 0, 8)
 	var got []Event
-	r := reader()
+	r := newDecoder()
 	all := append(append(append(frame(1, snapshotFrame, row...), frame(1, upToDateFrame)...), purge...), append(purge, group...)...)
 	if err := r.Decode(all, func(e Event) { got = append(got, e) }); err != nil {
 		t.Fatal(err)
@@ -37,7 +39,7 @@
 		"a lying length": {0xff, 0xff, 0xff, 0xff}, "no room for a head": {0, 0, 0, 3}, "an unknown kind": frame(4, 9),
 		"an unknown state": frame(4, deltaFrame, append(append([]byte{}, row[:10]...), append([]byte{7}, row[11:]...)...)...),
 	} {
-		r := reader()
+		r := newDecoder()
 		r.LastNumber = 3
 		if err := r.Decode(b, func(e Event) { t.Errorf("%s: told %+v", name, e) }); !errors.Is(err, ErrStreamUnusable) || r.LastNumber != 3 {
 			t.Errorf("%s: %v, last %d", name, err, r.LastNumber)
@@ -49,23 +51,23 @@
 // each event comes once and in order.
 func TestReconnects(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r, last := reader(), uint64(0)
+		decoder, last := newDecoder(), uint64(0)
 		for range rapid.IntRange(1, 20).Draw(t, "connections") {
-			from := binary.BigEndian.Uint64(r.Resume())
+			from := binary.BigEndian.Uint64(decoder.Resume())
 			if from != last {
 				t.Fatalf("asked from %d, want %d", from, last)
 			}
-			var b []byte
+			var stream []byte
 			for n := from + 1; n < from+4; n++ {
 				f := frame(n, groupPurgeFrame, 0, 1, 0, 0, 0, 0, 0, 0, 0, 1)
 				for range rapid.IntRange(1, 2).Draw(t, "times") {
-					b = append(b, f...)
+					stream = append(stream, f...)
 				}
 			}
-			b = b[:rapid.IntRange(0, len(b)).Draw(t, "until")]
-			for len(b) > 0 {
-				k := rapid.IntRange(1, len(b)).Draw(t, "read")
-				if err := r.Decode(b[:k], func(e Event) {
+			stream = stream[:rapid.IntRange(0, len(stream)).Draw(t, "until")]
+			for len(stream) > 0 {
+				k := rapid.IntRange(1, len(stream)).Draw(t, "read")
+				if err := decoder.Decode(stream[:k], func(e Event) {
 					if e.Number != last+1 {
 						t.Fatalf("%d follows %d", e.Number, last)
 					}
@@ -73,7 +75,7 @@
 				}); err != nil {
 					t.Fatal(err)
 				}
-				b = b[k:]
+				stream = stream[k:]
 			}
 		}
 	})
--- a/internal/protocol/discovery/scale_test.go
+++ b/internal/protocol/discovery/scale_test.go
@@ -43,31 +43,31 @@
 	return all
 }
 
-func read(t *testing.T, rows int) (n needs) {
+func read(t *testing.T, rows int) (result needs) {
 	t.Helper()
 	const chunk = 64 << 10 // as the router reads
 	stream := day(rows)
-	n.bytes = float64(len(stream)) / 1024
+	result.bytes = float64(len(stream)) / 1024
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	from := userTime(t)
-	r, told := reader(), 0
+	r, told := newDecoder(), 0
 	for rest := stream; len(rest) > 0; rest = rest[min(chunk, len(rest)):] {
 		if err := r.Decode(rest[:min(chunk, len(rest))], func(e Event) { told += len(e.Endpoints) }); err != nil {
 			t.Fatal(err)
 		}
 	}
-	n.cpu = userTime(t) - from
+	result.cpu = userTime(t) - from
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	runtime.KeepAlive(r)
 	runtime.KeepAlive(stream)
-	n.memory = (float64(after.HeapAlloc) - float64(before.HeapAlloc)) / (1 << 20)
+	result.memory = (float64(after.HeapAlloc) - float64(before.HeapAlloc)) / (1 << 20)
 	if want := rows + 2*600*rows/smallList; told != want {
 		t.Fatalf("%d rows were told, want %d", told, want)
 	}
-	return n
+	return result
 }
 
 // userTime is the process's, in seconds.
--- a/internal/protocol/thriftrpc/answer_test.go
+++ b/internal/protocol/thriftrpc/answer_test.go
@@ -12,7 +12,7 @@
 // TestAnswerBytes: answers have the bytes that clients in the field read.
 func TestAnswerBytes(t *testing.T) {
 	codec := NewCodec()
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name  string
 		frame []byte
 		want  string
@@ -34,8 +34,8 @@
 		{"unknown method", NewCodec().UnknownMethod("drop", 11), "\x00\x00\x00-\x80\x01\x00\x03\x00\x00\x00\x04drop\x00\x00\x00\v" +
 			"\v\x00\x01\x00\x00\x00\x0eunknown method\b\x00\x02\x00\x00\x00\x01\x00"},
 	} {
-		if string(c.frame) != c.want {
-			t.Errorf("%s: %q, want %q", c.name, c.frame, c.want)
+		if string(test.frame) != test.want {
+			t.Errorf("%s: %q, want %q", test.name, test.frame, test.want)
 		}
 	}
 }
--- a/internal/protocol/thriftrpc/codec.go
+++ b/internal/protocol/thriftrpc/codec.go
@@ -52,7 +52,7 @@
 
 // NewCodec returns a codec with the bounds of the protocol.
 func NewCodec() *Codec {
-	c := &Codec{}
+	codec := &Codec{}
 	config := &thrift.TConfiguration{
 		MaxMessageSize:     MaxFrameBytes,
 		MaxFrameSize:       MaxFrameBytes,
@@ -60,11 +60,11 @@
 		TBinaryStrictRead:  thrift.BoolPtr(true),
 		TBinaryStrictWrite: thrift.BoolPtr(true),
 	}
-	c.input.Buffer = &bytes.Buffer{}
-	c.output.Buffer = &bytes.Buffer{}
-	c.reader = thrift.NewTBinaryProtocolConf(&c.input, config)
-	c.writer = thrift.NewTBinaryProtocolConf(&c.output, config)
-	return c
+	codec.input.Buffer = &bytes.Buffer{}
+	codec.output.Buffer = &bytes.Buffer{}
+	codec.reader = thrift.NewTBinaryProtocolConf(&codec.input, config)
+	codec.writer = thrift.NewTBinaryProtocolConf(&codec.output, config)
+	return codec
 }
 
 var ctx = context.Background() // the library asks for one; nothing here waits
--- a/internal/protocol/thriftrpc/codec_test.go
+++ b/internal/protocol/thriftrpc/codec_test.go
@@ -23,13 +23,13 @@
 // TestFramesSplitAnywhere: calls come out the same however their bytes are split.
 func TestFramesSplitAnywhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := NewCodec()
+		codec := NewCodec()
 		var all []byte
-		n := rapid.IntRange(1, 4).Draw(t, "calls")
+		calls := rapid.IntRange(1, 4).Draw(t, "calls")
 		bodies := [][]byte{}
-		for i := range n {
+		for i := range calls {
 			bodies = append(bodies, rapid.SliceOfN(rapid.Byte(), 0, 2000).Draw(t, "body"))
-			all = append(all, serve(c, int32(i+1), []string{"id", "x", "key", "y"}, bodies[i])...)
+			all = append(all, serve(codec, int32(i+1), []string{"id", "x", "key", "y"}, bodies[i])...)
 		}
 		var buf []byte
 		got := 0
@@ -44,7 +44,7 @@
 				if size == 0 {
 					break
 				}
-				call, err := c.Parse(p)
+				call, err := codec.Parse(p)
 				if err != nil || call.Method != MethodServe || int(call.Seq) != got+1 || call.Fields["key"] != "y" || !bytes.Equal(call.Body, bodies[got]) {
 					t.Fatalf("call %d: %+v %v", got, call, err)
 				}
@@ -52,27 +52,27 @@
 				buf = buf[size:]
 			}
 		}
-		if got != n {
-			t.Fatalf("%d calls of %d", got, n)
+		if got != calls {
+			t.Fatalf("%d calls of %d", got, calls)
 		}
 	})
 }
 
 // FuzzParse: whatever comes is a call or unreadable, and takes no memory beyond itself.
 func FuzzParse(f *testing.F) {
-	c := NewCodec()
-	f.Add(serve(c, 1, []string{"id", "9b1f03aa5c7e2d41"}, []byte("body")))
-	f.Add(bytes.Clone(c.Health(7, true)))
+	codec := NewCodec()
+	f.Add(serve(codec, 1, []string{"id", "9b1f03aa5c7e2d41"}, []byte("body")))
+	f.Add(bytes.Clone(codec.Health(7, true)))
 	f.Add([]byte{0, 0, 0, 12, 0x80, 1, 0, 1, 0x7f, 0xff, 0xff, 0xff, 's', 'e', 'r', 'v'})
-	f.Fuzz(func(t *testing.T, b []byte) {
-		p, size, err := SplitFrame(b)
-		if err != nil && !errors.Is(err, ErrMalformed) || size > len(b) {
-			t.Fatalf("%d bytes of %d: %v", size, len(b), err)
+	f.Fuzz(func(t *testing.T, data []byte) {
+		p, size, err := SplitFrame(data)
+		if err != nil && !errors.Is(err, ErrMalformed) || size > len(data) {
+			t.Fatalf("%d bytes of %d: %v", size, len(data), err)
 		}
 		if size == 0 {
 			return
 		}
-		call, err := c.Parse(p)
+		call, err := codec.Parse(p)
 		if err != nil && !errors.Is(err, ErrMalformed) {
 			t.Fatal(err)
 		}
@@ -80,8 +80,8 @@
 		for k, v := range call.Fields {
 			n += len(k) + len(v)
 		}
-		if n > len(b) {
-			t.Fatalf("%d bytes out of %d", n, len(b))
+		if n > len(data) {
+			t.Fatalf("%d bytes out of %d", n, len(data))
 		}
 		ParseRequest(&call, func(string) *spool.Class { return &spool.Class{Deadline: 1000} })
 	})
--- a/internal/protocol/thriftrpc/request_test.go
+++ b/internal/protocol/thriftrpc/request_test.go
@@ -15,7 +15,7 @@
 		return err
 	}
 	once := "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
-	for _, c := range []struct {
+	for _, test := range []struct {
 		class, wait, slice, set, once string
 		body                          int
 		good                          bool
@@ -27,8 +27,8 @@
 		{"r", "5", "0", "0", "", 1, false}, {"w", "5", "0", "0", once, MaxWriteBytes + 1, false}, {"w", "5", "0", "0", "", 0, false},
 		{"x", "5", "0", "0", "", 0, false},
 	} {
-		if err := ask(c.class, c.wait, c.slice, c.set, c.once, c.body); (err == nil) != c.good {
-			t.Errorf("%+v: %v", c, err)
+		if err := ask(test.class, test.wait, test.slice, test.set, test.once, test.body); (err == nil) != test.good {
+			t.Errorf("%+v: %v", test, err)
 		}
 	}
 }
--- a/internal/proxy/platform/answer.go
+++ b/internal/proxy/platform/answer.go
@@ -153,19 +153,19 @@
 // object, answers the client.
 func (c *memberConn) handleAnswer(answer resp.Answer) {
 	server := c.pool.server
-	index := slices.IndexFunc(c.awaiting, func(a *attempt) bool { return a.request.ID == string(answer.ID) })
+	index := slices.IndexFunc(c.awaiting, func(waiting *attempt) bool { return waiting.request.ID == string(answer.ID) })
 	if index < 0 { // a second copy, or nobody's: what follows can be read all the same
 		server.counts.Unmatched++
 		return
 	}
-	a := c.awaiting[index]
-	req := a.request
+	attempt := c.awaiting[index]
+	req := attempt.request
 	result, known := resultOf(answer.Word)
 	fields, readable := parseAnswerFields(answer.Fields)
 	notModified := string(answer.Word) == wordNotModified
 	if result == spool.Errored || result == spool.Moot {
 		server.log.Debug("answer without an object", zap.String("member", c.pool.id), zap.ByteString("word", answer.Word),
-			zap.ByteString("fields", answer.Fields), zap.Any("request", req.Request), zap.Any("send", a.decision))
+			zap.ByteString("fields", answer.Fields), zap.Any("request", req.Request), zap.Any("send", attempt.decision))
 	}
 	unversioned := result == spool.OK && !req.write && (!fields.tagged || !fields.issued)
 	noCopy := notModified && (req.ClientTag == "" || len(answer.Body) > 0)
@@ -173,11 +173,11 @@
 		server.counts.Malformed++
 		server.log.Debug("malformed answer", zap.String("member", c.pool.id), zap.ByteString("word", answer.Word),
 			zap.ByteString("fields", answer.Fields))
-		c.failMalformed(a)
+		c.failMalformed(attempt)
 		return
 	}
 	if result != spool.OK || req.client == nil {
-		a.finish(result, fields.note, fields.waited)
+		attempt.finish(result, fields.note, fields.waited)
 		return
 	}
 	server.counts.Served++
@@ -188,7 +188,7 @@
 	delete(client.open, req.sequence)
 	req.client = nil
 	client.queue(server.codec.Served(req.sequence, answer.Body, notModified))
-	a.finish(result, fields.note, fields.waited)
+	attempt.finish(result, fields.note, fields.waited)
 	client.flush()
 }
 
--- a/internal/proxy/platform/attempt.go
+++ b/internal/proxy/platform/attempt.go
@@ -36,25 +36,25 @@
 // startAttempt begins the attempt that the router has decided on.
 func (s *Server) startAttempt(req *request, decision spool.Send) {
 	now := s.loop.Now()
-	a := &attempt{server: s, request: req, number: req.attempts, decision: decision, decidedAt: now, deadline: req.deadline}
+	attempt := &attempt{server: s, request: req, number: req.attempts, decision: decision, decidedAt: now, deadline: req.deadline}
 	req.attempts++
-	req.inFlight = a
+	req.inFlight = attempt
 	s.counts.Attempts++
-	s.trace("attempt started", req, zap.Int("attempt", a.number), zap.String("member", decision.Cache),
+	s.trace("attempt started", req, zap.Int("attempt", attempt.number), zap.String("member", decision.Cache),
 		zap.String("source", decision.Source), zap.Float64("within", decision.Timeout))
 	if decision.Timeout > 0 {
-		a.deadline = min(a.deadline, now+decision.Timeout)
+		attempt.deadline = min(attempt.deadline, now+decision.Timeout)
 	}
 	if decision.Within > 0 {
-		a.startBy = now + decision.Within
+		attempt.startBy = now + decision.Within
 	}
-	if a.deadline-now < minTimeLeft || a.mustNotStart() {
-		a.finish(spool.Moot, spool.NoteNone, 0)
+	if attempt.deadline-now < minTimeLeft || attempt.mustNotStart() {
+		attempt.finish(spool.Moot, spool.NoteNone, 0)
 		return
 	}
-	a.timer.F = func() { a.abandon(spool.TimedOut) }
-	s.loop.Arm(&a.timer, a.deadline-now)
-	a.assign(s.poolOf(decision.Cache))
+	attempt.timer.F = func() { attempt.abandon(spool.TimedOut) }
+	s.loop.Arm(&attempt.timer, attempt.deadline-now)
+	attempt.assign(s.poolOf(decision.Cache))
 }
 
 // assign queues the attempt on a connection of the pool, or finishes it where there is none.
--- a/internal/proxy/platform/client_test.go
+++ b/internal/proxy/platform/client_test.go
@@ -14,7 +14,7 @@
 )
 
 // TestReadAndWriteAreServed: what a client asks reaches caches unchanged, a look comes before a fill,
-// and the bytes come back whole.
+// and the bytes come back complete.
 func TestReadAndWriteAreServed(t *testing.T) {
 	harness := newHarness(t, map[string]handler{"s-000000c1": answerMiss, "s-000000c2": answerMiss})
 	if good, err := harness.dial().Well(); !good || err != nil {
@@ -60,7 +60,7 @@
 		t.Errorf("%+v", result)
 	}
 	if result := harness.roundTrip(readFields(key), nil); result.Word == "served" {
-		t.Errorf("a client without a copy was told that it holds: %+v", result)
+		t.Errorf("a client without a copy was answered that it is current: %+v", result)
 	}
 }
 
@@ -81,7 +81,7 @@
 		flood = append(flood, call(i+1, readFields(key))...)
 		withdrawn = append(append(withdrawn, call(2*i+1, readFields(key))...), testserver.PlatformForget(2*i+2, 2*i+1)...)
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		bytes  []byte
 		silent bool // it is owed nothing but, in the end, a close
@@ -112,15 +112,15 @@
 		{"300 at once", flood, false},
 		{"300 withdrawn", withdrawn, true},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			b := harness.dial()
-			go b.Write(c.bytes)
+			go b.Write(test.bytes)
 			result, err := b.Result(3 * time.Second)
 			if err == nil && result.Word == "served" {
 				t.Errorf("answered %+v", result)
 			}
-			if ne, ok := err.(net.Error); ok && ne.Timeout() && !c.silent {
+			if ne, ok := err.(net.Error); ok && ne.Timeout() && !test.silent {
 				t.Error("neither answered nor closed")
 			}
 		})
@@ -311,7 +311,7 @@
 	})
 	harness.server.loop.Call(waitLimit, func() {
 		if s := harness.server.counts; s.Attempts-s.Outcomes[spool.Moot] > 32+s.Outcomes[spool.Miss] {
-			t.Errorf("%d attempts, %d of them moot, for 32 requests", s.Attempts, s.Outcomes[spool.Moot])
+			t.Errorf("%d attempts, %d of them not sent, for 32 requests", s.Attempts, s.Outcomes[spool.Moot])
 		}
 	})
 }
@@ -331,7 +331,7 @@
 	half := testserver.PlatformCall("serve", 2, readFields(key), nil)
 	client.Write(half[:len(half)/2])
 	if result, err := client.Result(waitLimit); err != nil || result.Seq != 1 {
-		t.Errorf("the whole call: %+v %v", result, err)
+		t.Errorf("the complete call: %+v %v", result, err)
 	}
 	if _, err := client.Result(waitLimit); err != io.EOF {
 		t.Errorf("then %v; an end is wanted", err)
@@ -384,12 +384,12 @@
 	}
 }
 
-// TestClientLimitWhileDiscoveryIsDown: idle clients take all places there are while the feed
-// refuses; who works is served, and the feed is found when it is back.
+// TestClientLimitWhileDiscoveryIsDown: idle clients take all places there are while
+// discovery refuses; a client that works is served, and discovery is found when it is back.
 func TestClientLimitWhileDiscoveryIsDown(t *testing.T) {
 	t.Parallel()
 	harness := newHarnessWith(t, nil)
-	harness.waitUntil("the feed is asked", func() bool { return harness.discoveryWrites.Load() != nil })
+	harness.waitUntil("the discovery server is asked", func() bool { return harness.discoveryWrites.Load() != nil })
 	address := harness.discovery.Addr
 	harness.discovery.Close()
 	harness.sendDiscovery(nil)
@@ -421,7 +421,7 @@
 	}
 	t.Cleanup(again.Close)
 	begin := time.Now()
-	harness.waitUntil("the feed is found again", func() bool { return harness.discoveryConnections.Load() > before })
+	harness.waitUntil("the discovery server is found again", func() bool { return harness.discoveryConnections.Load() > before })
 	if d := time.Since(begin); d > 900*time.Millisecond {
 		t.Errorf("found after %v", d)
 	}
--- a/internal/proxy/platform/clock_test.go
+++ b/internal/proxy/platform/clock_test.go
@@ -43,7 +43,7 @@
 	return row
 }
 
-// knows puts events behind the first one of the configuration's known.
+// addKnown puts events behind the first one that the configuration brings along.
 func (w *testHarness) addKnown(events ...map[string]any) {
 	w.t.Helper()
 	raw, err := os.ReadFile(w.configFile)
@@ -67,7 +67,7 @@
 	}
 }
 
-// told is how old the module takes things to be: a group's purge, a member's start.
+// agesInRouter is how old the router takes things to be: a group's purge, a member's start.
 func (w *testHarness) agesInRouter(group int, id string) (purge, start float64) {
 	w.t.Helper()
 	w.server.loop.Call(waitLimit, func() {
@@ -116,33 +116,33 @@
 				}
 			}
 			check("known at the start", 21, "s-000000c9", oldAge)
-			harness.waitUntil("the feed is asked", func() bool { return harness.discoveryConnections.Load() == 1 })
+			harness.waitUntil("the discovery server is asked", func() bool { return harness.discoveryConnections.Load() == 1 })
 			harness.sendDiscovery(testserver.PlatformFrame(4, 0, nil))
 			harness.sendDiscovery(groupPurge(5, 23, platform.ago(0)))
 			harness.sendDiscovery(testserver.PlatformFrame(6, 2, startedAt(0xca, c2, platform.ago(0))))
-			harness.waitUntil("the list has it", func() (found bool) {
+			harness.waitUntil("the list has the member", func() (found bool) {
 				harness.server.loop.Call(waitLimit, func() { _, found = harness.server.engine.Member("s-000000ca") })
 				return found
 			})
 			began = time.Now()
-			check("told on the stream", 23, "s-000000ca", 0)
+			check("delivered on the stream", 23, "s-000000ca", 0)
 		})
 	}
 }
 
-// TestEventTimesInTheFuture: times that lie in the future make nothing that is told on the
-// stream older than the time since the feed last had nothing new.
+// TestEventTimesInTheFuture: times that lie in the future make nothing that is delivered
+// on the stream older than the time since the last frame without an event.
 func TestEventTimesInTheFuture(t *testing.T) {
 	t.Parallel()
 	platform := newPlatformClock(0)
 	harness := newHarness(t, nil)
-	harness.waitUntil("the feed is asked", func() bool { return harness.discoveryConnections.Load() == 1 })
+	harness.waitUntil("the discovery server is asked", func() bool { return harness.discoveryConnections.Load() == 1 })
 	harness.sendDiscovery(groupPurge(2, 21, platform.ago(-time.Hour)))
 	harness.sendDiscovery(testserver.PlatformFrame(2, 0, nil))
 	harness.waitTurn()
 	time.Sleep(200 * time.Millisecond)
 	harness.sendDiscovery(groupPurge(3, 22, platform.ago(0)))
-	harness.waitUntil("the purge is told", func() bool { age, _ := harness.agesInRouter(22, ""); return age >= 0 })
+	harness.waitUntil("the purge is delivered", func() bool { age, _ := harness.agesInRouter(22, ""); return age >= 0 })
 	if age, _ := harness.agesInRouter(22, ""); age > 700 {
 		t.Errorf("a purge made now is taken as %.0f ms old", age)
 	}
@@ -170,7 +170,7 @@
 	}
 }
 
-// TestNoWallClock: nothing between the feed and the decisions reads the wall clock, so that
+// TestNoWallClock: nothing between the discovery stream and the decisions reads the wall clock, so that
 // its steps between events change nothing either.
 func TestNoWallClock(t *testing.T) {
 	for _, directory := range []string{".", "../../protocol/discovery", "../unixclock", "../../protocol/thriftrpc",
--- a/internal/proxy/platform/config.go
+++ b/internal/proxy/platform/config.go
@@ -21,9 +21,9 @@
 		MemoryMB float64 `json:"memory_mb"` // of the process, in MiB
 		Sockets  int     `json:"sockets"`   // descriptors of the process
 	} `json:"limits"`
-	Feed     string          `json:"feed"`     // address with a port of the discovery server
-	Known    json.RawMessage `json:"known"`    // discovery events up to the file's making
-	Settings json.RawMessage `json:"settings"` // of the router's decisions
+	DiscoveryAddress string          `json:"feed"`     // address with a port of the discovery server
+	KnownEvents      json.RawMessage `json:"known"`    // discovery events up to the file's making
+	Settings         json.RawMessage `json:"settings"` // of the router's decisions
 
 	settings simwire.Settings
 	seed     uint64
@@ -55,8 +55,8 @@
 	if err := config.check(); err != nil {
 		return nil, fmt.Errorf("%s: settings: %w", file, err)
 	}
-	if _, err := netip.ParseAddrPort(config.Feed); err != nil {
-		return nil, fmt.Errorf("%s: feed %.40q is no address with a port: %w", file, config.Feed, err)
+	if _, err := netip.ParseAddrPort(config.DiscoveryAddress); err != nil {
+		return nil, fmt.Errorf("%s: feed %.40q is no address with a port: %w", file, config.DiscoveryAddress, err)
 	}
 	if config.Limits.MemoryMB < minMemoryMB || config.Limits.Sockets < minSockets {
 		return nil, fmt.Errorf("%s: limits of %v MB and %d descriptors; %d and %d are the least", file,
--- a/internal/proxy/platform/connection.go
+++ b/internal/proxy/platform/connection.go
@@ -23,8 +23,8 @@
 	output    eventloop.Queue
 
 	queued     []*attempt // nothing of them is written
-	writing    *attempt   // its frame is in output, and has not been taken whole
-	awaiting   []*attempt // written whole, and not answered
+	writing    *attempt   // its frame is in output, and not completely written
+	awaiting   []*attempt // completely written, and not answered
 	encodedAt  float64    // when the frame of writing was made
 	frameBytes int
 	frameTimer eventloop.Timer // runs out when the rest of that frame would come too late
@@ -87,19 +87,19 @@
 			server.loop.Want(c.fd, eventloop.Read)
 			return
 		}
-		a := c.queued[0]
-		if client := a.request.client; client != nil && server.inLongTurn() {
+		next := c.queued[0]
+		if client := next.request.client; client != nil && server.inLongTurn() {
 			client.receiveInLongTurn()
-			if c.closed || c.writing != nil || c.output.Len() > 0 || len(c.queued) == 0 || c.queued[0] != a {
+			if c.closed || c.writing != nil || c.output.Len() > 0 || len(c.queued) == 0 || c.queued[0] != next {
 				continue // what the client has sent changes what there is to do here
 			}
 		}
 		c.queued = slices.Delete(c.queued, 0, 1)
-		if a.mustNotStart() {
-			a.finish(spool.Moot, spool.NoteNone, 0)
+		if next.mustNotStart() {
+			next.finish(spool.Moot, spool.NoteNone, 0)
 			continue
 		}
-		c.encode(a)
+		c.encode(next)
 	}
 }
 
@@ -124,25 +124,25 @@
 	return true
 }
 
-// awaitAnswer notes that the frame that was being written has been taken whole.
+// awaitAnswer notes that the kernel has taken all of the frame that was being written.
 func (c *memberConn) awaitAnswer() {
-	a := c.writing
-	if a == nil {
+	attempt := c.writing
+	if attempt == nil {
 		return
 	}
 	server := c.pool.server
-	a.written = true
-	a.writtenAt = eventloop.Clock()
+	attempt.written = true
+	attempt.writtenAt = eventloop.Clock()
 	c.writing = nil
 	server.loop.Disarm(&c.frameTimer)
-	c.recent[c.written%len(c.recent)] = a.request.ID
+	c.recent[c.written%len(c.recent)] = attempt.request.ID
 	c.written++
-	server.trace("attempt written", a.request, zap.Int("attempt", a.number), zap.Int("fd", c.fd))
-	c.awaiting = append(c.awaiting, a)
+	server.trace("attempt written", attempt.request, zap.Int("attempt", attempt.number), zap.Int("fd", c.fd))
+	c.awaiting = append(c.awaiting, attempt)
 }
 
 // encode puts the frame of an attempt into output.
-func (c *memberConn) encode(a *attempt) {
+func (c *memberConn) encode(attempt *attempt) {
 	server := c.pool.server
 	now := server.loop.Now()
 	if len(c.awaiting) == 0 {
@@ -151,10 +151,10 @@
 			c.idleBefore = now - c.lastUsed
 		}
 	}
-	c.writing = a
+	c.writing = attempt
 	c.lastUsed = now
 	c.encodedAt = eventloop.Clock()
-	frame := a.encode(c.encodedAt)
+	frame := attempt.encode(c.encodedAt)
 	c.frameBytes = len(frame)
 	c.output.Add(&server.buffers, frame)
 }
@@ -196,21 +196,21 @@
 
 // cancel gives up an attempt that was written and has been detached, by STOP or by closing
 // the connection. A connection on which nothing came since the write is not trusted with
-// another attempt: its member may be gone. Where the request is to be retried, a STOP that
+// another attempt: its member may have failed. Where the request is to be retried, a STOP that
 // may never arrive is not enough: a connection that the attempt had alone, or that has been
 // silent since, is closed.
-func (c *memberConn) cancel(a *attempt) {
+func (c *memberConn) cancel(attempt *attempt) {
 	if c.closed {
 		return
 	}
 	server := c.pool.server
-	silent := c.lastRead <= a.writtenAt
+	silent := c.lastRead <= attempt.writtenAt
 	alone := c.load() == 0 && c.writing == nil
 	if silent || c.writing != nil {
 		c.closing = true
 	}
-	retried := a.request.client != nil
-	server.trace("attempt cancelled", a.request, zap.Int("attempt", a.number), zap.Int("fd", c.fd),
+	retried := attempt.request.client != nil
+	server.trace("attempt cancelled", attempt.request, zap.Int("attempt", attempt.number), zap.Int("fd", c.fd),
 		zap.Bool("silent", silent), zap.Bool("alone", alone))
 	switch {
 	case alone && (retried || c.closing):
@@ -218,12 +218,12 @@
 	case retried && silent, c.writing != nil: // behind a part of another frame, STOP would come late
 		c.fail(spool.Cancelled)
 	default:
-		c.output.Add(&server.buffers, resp.AppendArray(nil, []byte("STOP"), []byte(a.request.ID)))
+		c.output.Add(&server.buffers, resp.AppendArray(nil, []byte("STOP"), []byte(attempt.request.ID)))
 		c.flush()
 	}
 }
 
-// fail closes the connection and finishes all attempts on it: those written whole with
+// fail closes the connection and finishes all attempts on it: those written completely with
 // result, the others with ConnectFailed, as they cannot have run.
 func (c *memberConn) fail(result spool.Result) {
 	if c.closed {
--- a/internal/proxy/platform/deadline_test.go
+++ b/internal/proxy/platform/deadline_test.go
@@ -76,7 +76,7 @@
 
 const deadlineSlack = 150 * time.Millisecond // by which a deadline that is passed on may be late
 
-// TestAlmostNoTimeLeft: requests with 1 to 30 ms left, which caches drop without a word, are
+// TestAlmostNoTimeLeft: requests with 1 to 30 ms left, which caches drop without an answer, are
 // answered, and cost the caches no trust: the others are served meanwhile and afterwards.
 func TestAlmostNoTimeLeft(t *testing.T) {
 	t.Parallel()
@@ -162,10 +162,10 @@
 			before := harness.requestsSent()
 			client := harness.dial()
 			seq, _ := client.Ask(readFields(key), nil)
-			harness.waitUntil("an attempt is out", func() bool { return harness.requestsSent() == before+1 })
+			harness.waitUntil("an attempt is in flight", func() bool { return harness.requestsSent() == before+1 })
 			release := harness.blockLoopThen(func() {
 				for _, r := range harness.server.requests {
-					r.inFlight.abandon(spool.TimedOut) // the module sends it again at once
+					r.inFlight.abandon(spool.TimedOut) // the router retries it at once
 				}
 			})
 			go leave(client, seq)
@@ -201,7 +201,7 @@
 					client.Ask(readFields(key, "wait", "700"), nil)
 				}
 			}
-			harness.waitUntil("as many are out as the gates let through", func() bool { return len(answers) >= 50 })
+			harness.waitUntil("as many are in flight as the limits admit", func() bool { return len(answers) >= 50 })
 			harness.waitTurn()
 			release := harness.blockLoop()
 			for range len(answers) {
@@ -236,16 +236,22 @@
 					t.Errorf("%d of 25 answered", len(seen))
 				}
 			}
-			harness.server.loop.Call(waitLimit, func() {
-				if len(harness.server.requests) > 0 || harness.server.unsentBytes > 0 {
-					t.Errorf("%d requests and %d bytes are left", len(harness.server.requests), harness.server.unsentBytes)
-				}
-				for id, m := range beliefs(harness.server) {
-					if m != 0 {
-						t.Errorf("%v attempts are believed to be out at %s", m, id)
-					}
-				}
-			})
+			harness.checkNothingInFlight()
 		})
 	}
 }
+
+// checkNothingInFlight fails where the router has requests, unsent bytes or recorded attempts.
+func (w *testHarness) checkNothingInFlight() {
+	w.t.Helper()
+	w.server.loop.Call(waitLimit, func() {
+		if len(w.server.requests) > 0 || w.server.unsentBytes > 0 {
+			w.t.Errorf("%d requests and %d bytes are left", len(w.server.requests), w.server.unsentBytes)
+		}
+		for id, held := range beliefs(w.server) {
+			if held != 0 {
+				w.t.Errorf("%v attempts are recorded as in flight at %s", held, id)
+			}
+		}
+	})
+}
--- a/internal/proxy/platform/discovery_stream.go
+++ b/internal/proxy/platform/discovery_stream.go
@@ -63,7 +63,7 @@
 func (d *discoveryStream) dialNext() {
 	loop := d.server.loop
 	loop.Arm(&d.timer, streamSilence)
-	fd, _, err := d.dial(d.server.config.Feed)
+	fd, _, err := d.dial(d.server.config.DiscoveryAddress)
 	if err != nil {
 		loop.Arm(&d.timer, d.backoff.In())
 		return
@@ -80,7 +80,7 @@
 // onTimer begins another connection after a silence, or after the pause that follows a break.
 func (d *discoveryStream) onTimer() {
 	if c := d.current; c != nil {
-		d.server.log.Warn("discovery stream is silent", zap.String("feed", d.server.config.Feed),
+		d.server.log.Warn("discovery stream is silent", zap.String("feed", d.server.config.DiscoveryAddress),
 			zap.Uint64("last", d.decoder.LastNumber))
 		if d.previous != nil && d.server.loop.Now()-d.previous.startedAt > firstByteTimeout {
 			d.closeConn(&d.previous)
--- a/internal/proxy/platform/discovery_test.go
+++ b/internal/proxy/platform/discovery_test.go
@@ -18,7 +18,7 @@
 	"indigospool/internal/testbed/testserver"
 )
 
-// discoveryServer is a feed of a test's own: serve gets each connection and closes it by returning.
+// discoveryServer is a discovery server of a test's own: serve gets each connection and closes it by returning.
 type discoveryServer struct {
 	*testserver.PlatformFeed
 	asked atomic.Int64 // connections so far
@@ -43,7 +43,7 @@
 	return fake
 }
 
-// openAt starts a router that asks a discovery of the test's own.
+// newHarnessAt starts a router that follows a discovery server of the test's own.
 func newHarnessAt(t *testing.T, fake *discoveryServer) *testHarness {
 	t.Helper()
 	harness := prepareHarness(t, nil)
@@ -52,7 +52,7 @@
 	return harness
 }
 
-// beats writes an empty frame each quarter of a second until the connection ends.
+// writeHeartbeats writes an empty frame each quarter of a second until the connection ends.
 func writeHeartbeats(c net.Conn, n uint64) {
 	for {
 		if _, err := c.Write(testserver.PlatformFrame(n, 0, nil)); err != nil {
@@ -75,8 +75,8 @@
 	return found
 }
 
-// servesAll asks in a row until the returned function is called, which tells of all that
-// was not served.
+// serveContinuously sends one request after another until the returned function is called,
+// which reports all that were not served.
 func (w *testHarness) serveContinuously() (end func()) {
 	stop, done := make(chan struct{}), make(chan []string, 1)
 	go func() {
@@ -109,7 +109,7 @@
 	}
 }
 
-// TestDiscoveryAnswersLate: discovery that says its first word long after it was asked is
+// TestDiscoveryAnswersLate: discovery whose first byte comes long after it was dialled is
 // waited for, though it is asked again meanwhile.
 func TestDiscoveryAnswersLate(t *testing.T) {
 	t.Parallel()
@@ -136,10 +136,10 @@
 }
 
 // TestDiscoveryInSmallPieces: a list that comes slowly and in small pieces is taken once it
-// is whole, from one connection.
+// is complete, from one connection.
 func TestDiscoveryInSmallPieces(t *testing.T) {
 	t.Parallel()
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name        string
 		rows, piece int
 		pause       time.Duration
@@ -148,17 +148,17 @@
 		{"byte by byte", 2, 1, 15 * time.Millisecond},
 		{"a piece each 1.5 s", 2, 30, 1500 * time.Millisecond},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			fake := newDiscoveryServer(t, func(conn net.Conn, _ int64) {
-				frame := testserver.PlatformFrame(2, 2, manyRows(c.rows, 0xc9, "127.0.0.1:9"))
+				frame := testserver.PlatformFrame(2, 2, manyRows(test.rows, 0xc9, "127.0.0.1:9"))
 				for len(frame) > 0 {
-					piece := frame[:min(c.piece, len(frame))]
+					piece := frame[:min(test.piece, len(frame))]
 					if _, err := conn.Write(piece); err != nil {
 						return
 					}
 					frame = frame[len(piece):]
-					time.Sleep(c.pause)
+					time.Sleep(test.pause)
 				}
 				writeHeartbeats(conn, 2)
 			})
@@ -223,16 +223,17 @@
 	return fake
 }
 
-// toldOnce waits for the last event of newPurges, and wants each of them once.
+// checkDeliveredOnce waits for the last event of newPurges, and fails unless each was
+// delivered once.
 func (w *testHarness) checkDeliveredOnce(last uint64) {
 	w.t.Helper()
-	w.waitUntil("the last event is told", func() (told bool) {
+	w.waitUntil("the last event is delivered", func() (told bool) {
 		w.server.loop.Call(waitLimit, func() { told = w.server.stream.decoder.LastNumber == last })
 		return told
 	})
 	w.server.loop.Call(waitLimit, func() {
 		if events := w.server.counts.Events; events != last {
-			w.t.Errorf("%d events were told, want %d", events, last)
+			w.t.Errorf("%d events were delivered, want %d", events, last)
 		}
 		if groups := w.server.engine.Memory().Module.Groups; len(groups) != int(last)-1 {
 			w.t.Errorf("purges of %d groups are known, want %d", len(groups), last-1)
@@ -240,8 +241,8 @@
 	})
 }
 
-// TestDiscoveryWhileSystemCallsFail: whatever system calls say, each event is told once, and the
-// feed is asked with pauses.
+// TestDiscoveryWhileSystemCallsFail: whatever system calls say, each event is delivered once, and
+// discovery is dialled with pauses.
 func TestDiscoveryWhileSystemCallsFail(t *testing.T) {
 	t.Parallel()
 	for _, plan := range []string{
@@ -280,7 +281,7 @@
 }
 
 // TestConfigurationsInQuickSuccession: two or more SIGHUPs within 100 ms, with and without a
-// moved discovery: the last one holds, one connection is left, and no event is lost or told
+// moved discovery: the last one holds, one connection is left, and no event is lost or delivered
 // twice.
 func TestConfigurationsInQuickSuccession(t *testing.T) {
 	t.Parallel()
@@ -296,7 +297,7 @@
 			}
 			harness := newHarnessAt(t, feeds[0])
 			end := harness.serveContinuously()
-			harness.waitUntil("the first feed is asked", func() bool { return feeds[0].asked.Load() == 1 })
+			harness.waitUntil("the first discovery server is asked", func() bool { return feeds[0].asked.Load() == 1 })
 			newest.Store(3)
 			for _, move := range moves {
 				harness.writeConfig(feeds[move].Addr)
@@ -318,7 +319,7 @@
 	}
 }
 
-// TestLongEndpointList: what a reader holds of half a frame is given back once it is whole.
+// TestLongEndpointList: what a decoder holds of half a frame is given back once it is complete.
 func TestLongEndpointList(t *testing.T) {
 	t.Parallel()
 	rows := manyRows(3200, 0xc9, "127.0.0.1:9")
@@ -347,19 +348,19 @@
 		harness := newHarness(t, nil)
 		before := heapMB()
 		harness.server.loop.Call(waitLimit, func() {
-			n := harness.server.stream.decoder.LastNumber
+			number := harness.server.stream.decoder.LastNumber
 			next := 0
 			row := func(i int, state discovery.State) discovery.Endpoint {
 				return discovery.Endpoint{ID: fmt.Sprintf("s-%08x", i), Address: "127.0.0.1:9", Zone: "near", Kind: "box", State: state, Weight: 4, StartedAt: int64(i)}
 			}
-			full := discovery.Event{Number: n + 1, Kind: discovery.Snapshot}
+			full := discovery.Event{Number: number + 1, Kind: discovery.Snapshot}
 			for ; next < caches; next++ {
 				full.Endpoints = append(full.Endpoints, row(next, discovery.Ready))
 			}
 			harness.server.applyEvent(full)
 			from := userTime(t)
 			for i := range 24 * caches / 200 {
-				harness.server.applyEvent(discovery.Event{Number: n + 2 + uint64(i), Kind: discovery.Delta, Endpoints: []discovery.Endpoint{row(next-caches, discovery.Removed), row(next, discovery.Ready)}})
+				harness.server.applyEvent(discovery.Event{Number: number + 2 + uint64(i), Kind: discovery.Delta, Endpoints: []discovery.Endpoint{row(next-caches, discovery.Removed), row(next, discovery.Ready)}})
 				next++
 			}
 			cpu = userTime(t) - from
@@ -417,11 +418,11 @@
 	}
 }
 
-// TestDiscoveryConnectionRefused: a feed that refuses is asked again soon, and not by all at once.
+// TestDiscoveryConnectionRefused: a discovery server that refuses is dialled again soon, and not by all at once.
 func TestDiscoveryConnectionRefused(t *testing.T) {
 	t.Parallel()
 	harness := newHarness(t, nil)
-	harness.waitUntil("the feed is asked", func() bool { return harness.discoveryWrites.Load() != nil })
+	harness.waitUntil("the discovery server is asked", func() bool { return harness.discoveryWrites.Load() != nil })
 	harness.discovery.Close()
 	var dials atomic.Int64
 	harness.server.loop.Call(waitLimit, func() {
--- a/internal/proxy/platform/drain_test.go
+++ b/internal/proxy/platform/drain_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// ends waits for a router that drains, and fails where it doesn't end.
+// waitStopped waits until a router that drains has stopped.
 func (w *testHarness) waitStopped() {
 	w.t.Helper()
 	select {
@@ -63,31 +63,31 @@
 // TestDrainMoments: what has come in the very moment of SIGTERM is answered, once, and the
 // router ends; a second signal and a new configuration change nothing.
 func TestDrainMoments(t *testing.T) {
-	b := testserver.PlatformCall("serve", 1, readFields(key), nil)
-	for _, c := range []struct {
+	call := testserver.PlatformCall("serve", 1, readFields(key), nil)
+	for _, test := range []struct {
 		name string
 		play func(harness *testHarness, client *testserver.PlatformClient)
 		word string
 	}{
 		{"between accept and first read", func(harness *testHarness, client *testserver.PlatformClient) {
 			release := harness.blockLoop()
-			client.Write(b)
+			client.Write(call)
 			harness.server.Drain()
 			time.Sleep(10 * time.Millisecond)
 			release()
 		}, "served"},
 		{"half a request read", func(harness *testHarness, client *testserver.PlatformClient) {
-			client.Write(b[:30])
+			client.Write(call[:30])
 			harness.waitTurn()
 			harness.server.Drain()
 			time.Sleep(1200 * time.Millisecond) // past the least time of a drain
-			client.Write(b[30:])
+			client.Write(call[30:])
 		}, "served"},
 		{"two signals, and another configuration between", func(harness *testHarness, client *testserver.PlatformClient) {
 			harness.server.Drain()
 			harness.server.Reload()
 			harness.server.Drain()
-			client.Write(b)
+			client.Write(call)
 		}, "served"},
 		{"an attempt out to a cache that hangs", func(harness *testHarness, client *testserver.PlatformClient) {
 			client.Write(testserver.PlatformCall("serve", 1, readFields("00000000000000aa"), nil))
@@ -95,7 +95,7 @@
 			harness.server.Drain()
 		}, "refused"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			on := func(pc *testserver.PlatformConn, request testserver.PlatformRequest) {
 				if request.Fields["key"] != "00000000000000aa" {
@@ -103,21 +103,21 @@
 				}
 			}
 			harness := newHarness(t, map[string]handler{"s-000000c1": on, "s-000000c2": on, "s-000000a1": on})
-			cl := harness.dial()
-			c.play(harness, cl)
-			if result, err := cl.Result(waitLimit); err != nil || result.Word != c.word {
+			client := harness.dial()
+			test.play(harness, client)
+			if result, err := client.Result(waitLimit); err != nil || result.Word != test.word {
 				t.Errorf("%+v %v", result, err)
 			}
-			if _, err := cl.Result(waitLimit); err != io.EOF {
+			if _, err := client.Result(waitLimit); err != io.EOF {
 				t.Errorf("then %v; an end is wanted", err)
 			}
-			cl.Close()
+			client.Close()
 			harness.waitStopped()
 		})
 	}
 }
 
-// TestDrainWithPartialAnswer: its client reads slowly, and gets the whole of it.
+// TestDrainWithPartialAnswer: its client reads slowly, and gets all of it.
 func TestDrainWithPartialAnswer(t *testing.T) {
 	t.Parallel()
 	harness := newHarness(t, map[string]handler{"s-000000c1": answerLarge(240000), "s-000000c2": answerLarge(240000)})
@@ -194,63 +194,85 @@
 	}
 }
 
+// owedAnswers are the times of requests that have no answer yet, by client and number.
+type owedAnswers struct {
+	mutex  sync.Mutex
+	sentAt map[string]time.Time
+}
+
+func (o *owedAnswers) sent(client int, seq int32) {
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
+	o.sentAt[fmt.Sprint(client, " ", seq)] = time.Now()
+}
+
+func (o *owedAnswers) answered(client int, seq int32) {
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
+	delete(o.sentAt, fmt.Sprint(client, " ", seq))
+}
+
+// sendUntilClosed has one client send requests in a pause of each other until its connection
+// ends, or 199 are sent, and waits for their answers; it calls afterFive behind the fifth.
+func (o *owedAnswers) sendUntilClosed(client *testserver.PlatformClient, number int, pause time.Duration, wait string, afterFive func()) {
+	reading := sync.WaitGroup{}
+	defer reading.Wait()
+	closed := make(chan struct{})
+	reading.Go(func() {
+		defer close(closed)
+		for {
+			result, err := client.Result(waitLimit)
+			if err != nil {
+				return
+			}
+			o.answered(number, result.Seq)
+		}
+	})
+	for seq := int32(1); seq < 200; seq++ {
+		select {
+		case <-closed:
+			client.Close()
+			return
+		case <-time.After(pause):
+		}
+		o.sent(number, seq)
+		if _, err := client.Ask(readFields(key, "wait", wait), nil); err != nil {
+			client.Close()
+			return
+		}
+		if seq == 5 {
+			afterFive()
+		}
+	}
+}
+
 func drainInTime(t *testing.T, deadline time.Duration) {
 	wait := fmt.Sprint(deadline.Milliseconds())
 	harness := newHarnessWith(t, (&recorder{}).handlers(), `"give_up":3000`, `"give_up":`+wait, `"aim":400`, `"aim":100`)
-	var mu sync.Mutex
-	owed := map[string]time.Time{}
-	var busy sync.WaitGroup
+	owed := owedAnswers{sentAt: map[string]time.Time{}}
+	var clients sync.WaitGroup
 	begun := make(chan struct{})
 	for i := range 8 {
 		client := harness.dial()
-		busy.Go(func() {
-			sent := sync.WaitGroup{}
-			defer sent.Wait()
-			over := make(chan struct{})
-			sent.Go(func() {
-				defer close(over)
-				for {
-					result, err := client.Result(waitLimit)
-					if err != nil {
-						return
-					}
-					mu.Lock()
-					delete(owed, fmt.Sprint(i, " ", result.Seq))
-					mu.Unlock()
-				}
-			})
-			for seq := int32(1); seq < 200; seq++ {
-				select {
-				case <-over:
-					client.Close()
-					return
-				case <-time.After(deadline/12 + time.Duration(5*i)*time.Millisecond):
-				}
-				name := fmt.Sprint(i, " ", seq)
-				mu.Lock()
-				owed[name] = time.Now()
-				mu.Unlock()
-				if _, err := client.Ask(readFields(key, "wait", wait), nil); err != nil {
-					client.Close()
-					return
-				}
-				if seq == 5 && i == 0 {
-					close(begun)
-				}
-			}
+		afterFive := func() {}
+		if i == 0 {
+			afterFive = func() { close(begun) }
+		}
+		clients.Go(func() {
+			owed.sendUntilClosed(client, i, deadline/12+time.Duration(5*i)*time.Millisecond, wait, afterFive)
 		})
 	}
 	<-begun
-	at := time.Now()
+	signalled := time.Now()
 	harness.server.Drain()
 	harness.waitStopped()
-	gone := time.Now()
-	busy.Wait()
-	if d := gone.Sub(at); d > deadline+700*time.Millisecond {
-		t.Errorf("it ended %v after the signal; deadlines are %v", d, deadline)
+	stopped := time.Now()
+	clients.Wait()
+	if took := stopped.Sub(signalled); took > deadline+700*time.Millisecond {
+		t.Errorf("it ended %v after the signal; deadlines are %v", took, deadline)
 	}
-	for name, sent := range owed {
-		if before := gone.Sub(sent); before > 50*time.Millisecond {
+	for name, sent := range owed.sentAt {
+		if before := stopped.Sub(sent); before > 50*time.Millisecond {
 			t.Errorf("request %s, sent %v before the end, has no answer", name, before)
 		}
 	}
--- a/internal/proxy/platform/during_dial_test.go
+++ b/internal/proxy/platform/during_dial_test.go
@@ -17,8 +17,9 @@
 	"indigospool/internal/testbed/testserver"
 )
 
-// lateMember is an address at which connections come up only once they are let in: its
-// queue is full, and the kernel drops what asks to connect. Who asks tries again after 1 s.
+// slowMember is an address at which connections come up only once they are accepted: its
+// backlog is full, and the kernel drops what connects. A client's kernel tries again after
+// 1 s.
 type slowMember struct {
 	fd      int
 	address string
@@ -46,7 +47,7 @@
 	return &slowMember{fd: fd, address: netip.AddrPortFrom(netip.AddrFrom4(a.Addr), uint16(a.Port)).String()}
 }
 
-// fill has the queue full.
+// fillBacklog fills the listener's backlog.
 func (m *slowMember) fillBacklog(t *testing.T) {
 	t.Helper()
 	for range 8 {
@@ -60,8 +61,8 @@
 	t.Fatal("the queue never fills")
 }
 
-// take lets one connection in, and reads its first request.
-func (m *slowMember) acceptRequest(t *testing.T) (c net.Conn, first []byte) {
+// acceptRequest accepts one connection, and reads its first request.
+func (m *slowMember) acceptRequest(t *testing.T) (conn net.Conn, first []byte) {
 	t.Helper()
 	if k, _ := unix.Poll([]unix.PollFd{{Fd: int32(m.fd), Events: unix.POLLIN}}, int(waitLimit.Milliseconds())); k <= 0 {
 		t.Fatal("nobody connects")
@@ -72,17 +73,17 @@
 	}
 	f := os.NewFile(uintptr(fd), "connection")
 	defer f.Close()
-	if c, err = net.FileConn(f); err != nil {
+	if conn, err = net.FileConn(f); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
+	t.Cleanup(func() { conn.Close() })
 	b := make([]byte, 4096)
-	c.SetReadDeadline(time.Now().Add(500 * time.Millisecond))
-	k, _ := c.Read(b)
-	return c, b[:k]
+	conn.SetReadDeadline(time.Now().Add(500 * time.Millisecond))
+	k, _ := conn.Read(b)
+	return conn, b[:k]
 }
 
-// let lets in those who filled the queue.
+// acceptBacklog accepts the connections that filled the backlog.
 func (m *slowMember) acceptBacklog(t *testing.T) {
 	t.Helper()
 	for range m.queued {
@@ -94,13 +95,14 @@
 	}
 }
 
-// rest lets in all who come for a while, and tells how many of them brought a request.
-func (m *slowMember) countRequests(t *testing.T, span time.Duration) (n int) {
+// countRequests accepts all connections for a while, and returns how many of them brought a
+// request.
+func (m *slowMember) countRequests(t *testing.T, span time.Duration) (requests int) {
 	t.Helper()
 	end := time.Now().Add(span)
 	for time.Now().Before(end) {
-		p := []unix.PollFd{{Fd: int32(m.fd), Events: unix.POLLIN}}
-		if k, _ := unix.Poll(p, int(time.Until(end).Milliseconds())+1); k <= 0 {
+		poll := []unix.PollFd{{Fd: int32(m.fd), Events: unix.POLLIN}}
+		if k, _ := unix.Poll(poll, int(time.Until(end).Milliseconds())+1); k <= 0 {
 			continue
 		}
 		fd, _, err := unix.Accept(m.fd)
@@ -108,15 +110,15 @@
 			t.Fatal(err)
 		}
 		defer unix.Close(fd)
-		p[0].Fd = int32(fd)
+		poll[0].Fd = int32(fd)
 		var b [4096]byte
-		if k, _ := unix.Poll(p, 300); k > 0 {
+		if k, _ := unix.Poll(poll, 300); k > 0 {
 			if k, _ := unix.Read(fd, b[:]); k > 0 {
-				n++
+				requests++
 			}
 		}
 	}
-	return n
+	return requests
 }
 
 // TestRetryAfterIdempotencyWindow: a keyed write may have run, and the connection for its repeat
@@ -147,7 +149,7 @@
 	}
 }
 
-// TestMemberDrainsDuringDial: a member is told to drain, or the source of a fill is,
+// TestMemberDrainsDuringDial: a member drains, or the source of a fill is,
 // before the connection to it has come up.
 func TestMemberDrainsDuringDial(t *testing.T) {
 	for _, state := range []byte{1, 2} {
--- a/internal/proxy/platform/faults_test.go
+++ b/internal/proxy/platform/faults_test.go
@@ -15,14 +15,14 @@
 	"indigospool/internal/testbed/testserver"
 )
 
-// faults has the router's system calls fail by a plan, from now on.
+// planFaults has the router's system calls fail by a plan, from now on.
 func (w *testHarness) planFaults(plan string) (calls *faultinject.Syscalls) {
 	w.t.Helper()
 	w.server.loop.Call(waitLimit, func() { calls = w.injectFaults(plan) })
 	return calls
 }
 
-// fail is faults, called on the loop.
+// injectFaults is planFaults, called on the loop.
 func (w *testHarness) injectFaults(plan string) *faultinject.Syscalls {
 	parsed, err := faultinject.Parse(plan)
 	if err != nil {
@@ -48,7 +48,7 @@
 			harness := newHarness(t, map[string]handler{"s-000000c1": answerLarge(100000), "s-000000c2": answerLarge(100000)})
 			harness.openConnections()
 			before := harness.requestsSent()
-			s := harness.planFaults(plan)
+			calls := harness.planFaults(plan)
 			const asked = 30
 			for range 4 {
 				client := harness.dial()
@@ -66,7 +66,7 @@
 				t.Errorf("%d attempts for %d requests", n, 4*asked)
 			}
 			for _, call := range []faultinject.Call{faultinject.Read, faultinject.Write} {
-				if _, failed := s.Counts(call); failed == 0 {
+				if _, failed := calls.Counts(call); failed == 0 {
 					t.Errorf("no %s failed", call)
 				}
 			}
@@ -155,8 +155,8 @@
 				t.Run(plan, func(t *testing.T) {
 					t.Parallel()
 					harness := newHarness(t, nil)
-					var s *faultinject.Syscalls
-					release := harness.blockLoopThen(func() { s = harness.injectFaults(plan) }) // all is asked in that moment
+					var calls *faultinject.Syscalls
+					release := harness.blockLoopThen(func() { calls = harness.injectFaults(plan) }) // all is asked in that moment
 					const clients, each = 4, 25
 					var busy sync.WaitGroup
 					for range clients {
@@ -175,7 +175,7 @@
 					}
 					release()
 					busy.Wait()
-					made, failed := s.Counts(faultinject.Call(call))
+					made, failed := calls.Counts(faultinject.Call(call))
 					if failed == 0 {
 						t.Errorf("no %s failed", call)
 					}
@@ -188,8 +188,8 @@
 	}
 }
 
-// halting takes only the first bytes of the first attempt that is written, and nothing more
-// on its connection for a while.
+// stallingSyscalls takes only the first bytes of the first attempt that is written, and
+// nothing more on its connection for a while.
 type stallingSyscalls struct {
 	eventloop.KernelCalls
 	fd    int
--- a/internal/proxy/platform/harness_test.go
+++ b/internal/proxy/platform/harness_test.go
@@ -21,7 +21,7 @@
 
 const waitLimit = 5 * time.Second // in which what is wanted comes; the rules' own spans are in the code
 
-// world is a router among stand-ins.
+// testHarness is a router among fake members and a fake discovery server.
 type testHarness struct {
 	t                    *testing.T
 	server               *Server
@@ -36,12 +36,14 @@
 	served               chan error
 }
 
-// open starts a router whose caches c1, c2 and origin a1 do as on says; nil: hits.
+// newHarness starts a router whose caches c1, c2 and origin a1 do as handlers say; nil:
+// answerHit.
 func newHarness(t *testing.T, handlers map[string]handler) *testHarness {
 	return newHarnessWith(t, handlers)
 }
 
-// openWith starts a router by settings in which each old text is replaced by a new one.
+// newHarnessWith starts a router by settings in which each old text is replaced by a new
+// one.
 func newHarnessWith(t *testing.T, handlers map[string]handler, oldnew ...string) *testHarness {
 	t.Helper()
 	harness := prepareHarness(t, handlers)
@@ -51,7 +53,7 @@
 	return harness
 }
 
-// outside is the stand-ins, and a configuration that names them.
+// prepareHarness starts the fakes, and writes a configuration that names them.
 func prepareHarness(t *testing.T, handlers map[string]handler) *testHarness {
 	t.Helper()
 	harness := &testHarness{t: t, settings: testSettings, members: map[string]*testserver.PlatformCache{}, served: make(chan error, 1)}
@@ -93,7 +95,7 @@
 }
 
 func (w *testHarness) newDiscovery() *testserver.PlatformFeed {
-	f, err := testserver.NewPlatformFeed(func(c net.Conn, last uint64) {
+	server, err := testserver.NewPlatformFeed(func(conn net.Conn, last uint64) {
 		tell := make(chan []byte, 64)
 		w.discoveryWrites.Store(&tell)
 		w.lastResumed.Store(last)
@@ -104,7 +106,7 @@
 				if b == nil {
 					return
 				}
-				c.Write(b)
+				conn.Write(b)
 			case <-w.t.Context().Done():
 				return
 			}
@@ -113,11 +115,12 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.t.Cleanup(f.Close)
-	return f
+	w.t.Cleanup(server.Close)
+	return server
 }
 
-// say has the feed's last connection write bytes.
+// sendDiscovery has the last connection of the discovery server write bytes; nil: it is
+// closed.
 func (w *testHarness) sendDiscovery(b []byte) { *w.discoveryWrites.Load() <- b }
 
 const testSettings = `{"classes":[
@@ -129,7 +132,8 @@
  "family_info":{"in_parts":[true,false],"class_write":[false,true],"lifetime_by_class":[0,0],"older_by":[0,0],
   "upper_kind":1,"master_kind":2,"pass_through_ok":true,"purge_takes":6000,"purge_slack":500,"detail":"all","stream_kb_per_s":4000}}`
 
-// write writes the configuration with a feed's address, all at once as deployments do.
+// writeConfig writes the configuration with a discovery server's address, atomically as
+// deployments do.
 func (w *testHarness) writeConfig(feed string) {
 	w.t.Helper()
 	type row map[string]any
@@ -166,7 +170,7 @@
 	return client
 }
 
-// ask makes one request on a connection of its own and returns the answer.
+// roundTrip makes one request on a connection of its own and returns the answer.
 func (w *testHarness) roundTrip(f map[string]string, body []byte) testserver.PlatformResult {
 	w.t.Helper()
 	client := w.dial()
@@ -190,7 +194,7 @@
 	}
 }
 
-// turn waits until the router's loop has turned so often, with what had come by now.
+// waitTurn waits until the router's loop has turned so often, with what had come by now.
 func (w *testHarness) waitTurn() {
 	w.t.Helper()
 	for range 3 {
@@ -203,8 +207,8 @@
 // The narrow moments: what arrives in the very instant in which something ends. Each is
 // forced, by stand-ins that hold back until told, or by holding up the loop.
 
-// hold keeps the router's loop busy until the returned function is called, so that what
-// the outside does meanwhile reaches it in one turn.
+// blockLoop keeps the router's loop busy until the returned function is called, so that
+// what comes meanwhile reaches it in one turn.
 func (w *testHarness) blockLoop() (release func()) {
 	w.t.Helper()
 	in, out := make(chan struct{}), make(chan struct{})
@@ -215,7 +219,7 @@
 	return func() { close(out) }
 }
 
-// holdThen is hold, with a call on the loop behind it in the same turn.
+// blockLoopThen is blockLoop, with a call on the loop behind it in the same turn.
 func (w *testHarness) blockLoopThen(then func()) (release func()) {
 	w.t.Helper()
 	in, out := make(chan struct{}), make(chan struct{})
@@ -226,12 +230,13 @@
 	return func() { close(out) }
 }
 
-// adopt has the router know a member at an address of its own, by one change of the feed.
+// changeMember has the router know a member at an address of its own, by one delta of the
+// discovery stream.
 func (w *testHarness) changeMember(n uint64, id uint32, address string, state, zone, kind byte) {
-	w.waitUntil("the feed is asked", func() bool { return w.discoveryWrites.Load() != nil })
+	w.waitUntil("the discovery server is asked", func() bool { return w.discoveryWrites.Load() != nil })
 	w.sendDiscovery(testserver.PlatformFrame(n, 2, endpointRecord(id, address, state, zone, kind)))
 	w.waitTurn()
-	w.waitUntil("the list has it", func() bool {
+	w.waitUntil("the list has the member", func() bool {
 		found := false
 		w.server.loop.Call(waitLimit, func() {
 			m, ok := w.server.engine.Member(fmt.Sprintf("s-%08x", id))
@@ -241,7 +246,7 @@
 	})
 }
 
-// warm has connections to members on which an attempt goes out at once.
+// openConnections opens connections to members, on which an attempt is written at once.
 func (w *testHarness) openConnections() {
 	w.t.Helper()
 	for i := range 16 {
@@ -250,7 +255,7 @@
 	}
 }
 
-// sent counts the attempts that reached members.
+// requestsSent counts the attempts that reached members.
 func (w *testHarness) requestsSent() (n int) {
 	for _, p := range w.members {
 		for _, request := range p.Seen() {
@@ -264,7 +269,7 @@
 
 type handler = func(c *testserver.PlatformConn, q testserver.PlatformRequest)
 
-// hits answers reads with the object's key as bytes, and writes at the origin.
+// answerHit answers reads with the object's key as bytes, and writes at the origin.
 func answerHit(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
 	if !request.Stop {
 		conn.Hit(request.ID, []byte("bytes of "+request.Fields["key"]))
@@ -279,7 +284,7 @@
 	}
 }
 
-// large answers with so many bytes.
+// answerLarge answers with so many bytes.
 func answerLarge(n int) handler {
 	return func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
 		if !request.Stop {
@@ -292,7 +297,7 @@
 
 const key = "7f3a9c21e0b4d655"
 
-// clip is a read with an id of its own; changes are pairs of field and value.
+// readFields is a read with an id of its own; changes are pairs of field and value.
 func readFields(key string, changes ...string) map[string]string {
 	f := map[string]string{"class": "clip", "id": fmt.Sprintf("%016x", ids.Add(1)), "wait": "2000", "key": key, "slice": "3", "set": "17"}
 	for i := 0; i < len(changes); i += 2 {
@@ -301,12 +306,13 @@
 	return f
 }
 
-// save is a keyed write, which any router may send to the origin only.
+// writeFields is a write with an idempotency key, which any router may send to the origin
+// only.
 func writeFields(changes ...string) map[string]string {
 	return readFields(key, append([]string{"class", "note", "once", fmt.Sprintf("%032x", ids.Add(1))}, changes...)...)
 }
 
-// record is a member as frames have it.
+// endpointRecord is a member as frames have it.
 func endpointRecord(id uint32, address string, state, zone, kind byte) []byte {
 	a := net.TCPAddr{}
 	if r, err := net.ResolveTCPAddr("tcp", address); err == nil {
--- a/internal/proxy/platform/listener.go
+++ b/internal/proxy/platform/listener.go
@@ -37,18 +37,18 @@
 		return
 	}
 	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	c := &client{server: server, fd: fd, open: map[int32]*request{}, activity: limits.Visitor{Since: server.loop.Now()}}
-	c.settleTimer.F = c.startPending
-	c.emptiedAt = eventloop.Clock()
+	client := &client{server: server, fd: fd, open: map[int32]*request{}, activity: limits.Visitor{Since: server.loop.Now()}}
+	client.settleTimer.F = client.startPending
+	client.emptiedAt = eventloop.Clock()
 	if !eventloop.Quiet(fd) { // it may have waited in the listener's queue
-		c.unreadSince = ln.Since()
+		client.unreadSince = ln.Since()
 	}
-	if err := server.loop.Add(fd, eventloop.Read, c); err != nil {
+	if err := server.loop.Add(fd, eventloop.Read, client); err != nil {
 		closeFD(fd)
 		return
 	}
 	server.loop.First(fd)
-	server.clients[c] = struct{}{}
+	server.clients[client] = struct{}{}
 }
 
 // close accepts the connections that wait in the queue, and ends listening.
--- a/internal/proxy/platform/member_test.go
+++ b/internal/proxy/platform/member_test.go
@@ -72,7 +72,7 @@
 // served by another member.
 func TestMalformedAnswers(t *testing.T) {
 	now := fmt.Sprint(time.Now().UnixMilli())
-	for _, c := range []struct{ name, bytes string }{
+	for _, test := range []struct{ name, bytes string }{
 		{"noise", "\x00\x17noise\r\n"},
 		{"an endless line", "*" + strings.Repeat("1", 4096)},
 		{"3 GB", "*4\r\n$16\r\nID\r\n$3\r\nHIT\r\n$1\r\n-\r\n$3000000000\r\nxxxxxxxx"},
@@ -84,7 +84,7 @@
 		{"fields without names", "*4\r\n$16\r\nID\r\n$3\r\nHIT\r\n$3\r\n,,=\r\n$1\r\nx\r\n"},
 		{"cut short", "*4\r\n$16\r\nID\r\n$3\r\nHIT\r\n"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			var spoilt atomic.Int64
 			bad := func(pc *testserver.PlatformConn, request testserver.PlatformRequest) {
@@ -95,8 +95,8 @@
 					answerHit(pc, request)
 					return
 				}
-				pc.Write([]byte(strings.Replace(c.bytes, "ID", request.ID, 1)))
-				if c.name == "cut short" {
+				pc.Write([]byte(strings.Replace(test.bytes, "ID", request.ID, 1)))
+				if test.name == "cut short" {
 					pc.Reset()
 				}
 			}
@@ -190,7 +190,7 @@
 		busy.Ask(readFields(fmt.Sprintf("%016x", i)), nil)
 	}
 	harness.waitUntil("the first is busy", func() bool { return harness.members["s-000000c1"].Open() > 0 })
-	harness.waitUntil("the feed is asked", func() bool { return harness.discoveryConnections.Load() == 1 })
+	harness.waitUntil("the discovery server is asked", func() bool { return harness.discoveryConnections.Load() == 1 })
 	harness.sendDiscovery(testserver.PlatformFrame(2, 2, endpointRecord(0xc1, other.Addr, 0, 0, 0)))
 	harness.waitUntil("it is asked at its new address", func() bool {
 		harness.roundTrip(readFields(fmt.Sprintf("%016x", ids.Load())), nil)
--- a/internal/proxy/platform/reload.go
+++ b/internal/proxy/platform/reload.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	moved := config.Feed != s.config.Feed
+	moved := config.DiscoveryAddress != s.config.DiscoveryAddress
 	s.config = config
 	s.stream.decoder = decoder
 	s.indexClasses()
@@ -63,12 +63,12 @@
 	if moved {
 		s.stream.reconnect()
 	}
-	s.log.Info("configuration applied", zap.String("feed", config.Feed), zap.Uint64("last", decoder.LastNumber))
+	s.log.Info("configuration applied", zap.String("feed", config.DiscoveryAddress), zap.Uint64("last", decoder.LastNumber))
 	return nil
 }
 
 // decodeKnown returns the events that a configuration brings along, past those decoded already.
 func decodeKnown(decoder *discovery.Decoder, config *Config) (known []discovery.Event, err error) {
-	err = decoder.DecodeKnown(config.Known, func(event discovery.Event) { known = append(known, event) })
+	err = decoder.DecodeKnown(config.KnownEvents, func(event discovery.Event) { known = append(known, event) })
 	return known, err
 }
--- a/internal/proxy/platform/reload_test.go
+++ b/internal/proxy/platform/reload_test.go
@@ -43,7 +43,7 @@
 		}
 	}
 	harness := newHarness(t, map[string]handler{"s-000000c1": slow, "s-000000c2": slow, "s-000000a1": slow})
-	harness.waitUntil("the first feed is asked", func() bool { return harness.discoveryConnections.Load() == 1 })
+	harness.waitUntil("the first discovery server is asked", func() bool { return harness.discoveryConnections.Load() == 1 })
 	for round := range 5 {
 		client := harness.dial()
 		for range 10 {
@@ -72,7 +72,7 @@
 			t.Errorf("round %d, afterwards: %+v", round, result)
 		}
 		feed := ""
-		harness.server.loop.Call(waitLimit, func() { feed = harness.server.config.Feed })
+		harness.server.loop.Call(waitLimit, func() { feed = harness.server.config.DiscoveryAddress })
 		if feed != second.Addr {
 			t.Errorf("round %d: the feed is %s, not %s", round, feed, second.Addr)
 		}
@@ -99,7 +99,7 @@
 			harness.writeConfig(second.Addr)
 			harness.server.Reload()
 			harness.waitUntil("the new file holds", func() (yes bool) {
-				harness.server.loop.Call(waitLimit, func() { yes = harness.server.config.Feed == second.Addr })
+				harness.server.loop.Call(waitLimit, func() { yes = harness.server.config.DiscoveryAddress == second.Addr })
 				return yes
 			})
 		})
@@ -134,7 +134,7 @@
 // reload keeps what there was.
 func TestInvalidConfiguration(t *testing.T) {
 	harness := newHarness(t, nil)
-	for _, c := range []struct{ old, new, want string }{
+	for _, test := range []struct{ old, new, want string }{
 		{`"idempotency":"guarded"`, `"idempotency":"sometimes"`, `class "note": unknown idempotency "sometimes"`},
 		{`"idempotency":"guarded",`, ``, `classes[1] "note": idempotency is missing`},
 		{`"window":2000`, `"window":0`, `classes[1] "note": window is 0`},
@@ -143,19 +143,19 @@
 		{`"name":"clip"`, `"name":"note"`, `class "note" is named twice`},
 		{`"cold_from":0.2`, `"cold_from":7`, `cold share is not within 0 and 1`},
 	} {
-		harness.settings = strings.Replace(testSettings, c.old, c.new, 1)
+		harness.settings = strings.Replace(testSettings, test.old, test.new, 1)
 		harness.writeConfig(harness.discovery.Addr)
 		server, err := Open(harness.configFile, "127.0.0.1:0", zap.NewNop())
 		if err == nil {
 			server.listener.close()
-			t.Errorf("%s is taken", c.new)
-		} else if !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%v; wanted is %q, in one line", err, c.want)
+			t.Errorf("%s is taken", test.new)
+		} else if !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%v; wanted is %q, in one line", err, test.want)
 		}
 		harness.server.Reload()
 		harness.waitTurn()
 		if result := harness.roundTrip(readFields(key), nil); result.Word != "served" {
-			t.Errorf("after a reload with %s: %+v", c.new, result)
+			t.Errorf("after a reload with %s: %+v", test.new, result)
 		}
 	}
 }
--- a/internal/proxy/platform/request.go
+++ b/internal/proxy/platform/request.go
@@ -26,10 +26,10 @@
 // startRequest hands a client's request to the router. Its time counts from the earliest
 // moment at which its last byte may have come: it may have lain unread for a long turn of
 // the loop.
-func (s *Server) startRequest(c *client, sequence int32, call thriftrpc.Request, arrivedAfter float64) {
+func (s *Server) startRequest(client *client, sequence int32, call thriftrpc.Request, arrivedAfter float64) {
 	req := &request{
 		Request:  call,
-		client:   c,
+		client:   client,
 		sequence: sequence,
 		deadline: arrivedAfter + call.TimeLeft,
 		write:    s.classes[call.Class].Write,
@@ -38,10 +38,10 @@
 		req.deadline = min(req.deadline, s.lastAnswerBy-drainInterval)
 	}
 	s.requests[call.ID] = req
-	c.open[sequence] = req
+	client.open[sequence] = req
 	s.counts.Requests++
 	s.trace("request started", req, zap.String("class", call.Class), zap.Float64("wait", call.TimeLeft),
-		zap.String("once", call.IdempotencyKey), zap.Int("fd", c.fd))
+		zap.String("once", call.IdempotencyKey), zap.Int("fd", client.fd))
 	s.dispatch(spool.Request{
 		ID:       call.ID,
 		Class:    call.Class,
--- a/internal/proxy/platform/server.go
+++ b/internal/proxy/platform/server.go
@@ -1,6 +1,8 @@
 package platform
 
 import (
+	"fmt"
+
 	"go.uber.org/zap"
 
 	spool "indigospool"
@@ -64,7 +66,7 @@
 	if address == "" {
 		address = config.Listen
 	}
-	s := &Server{
+	server := &Server{
 		config:           config,
 		configFile:       configFile,
 		readConfig:       ReadConfig,
@@ -76,27 +78,27 @@
 		connectionLimits: limits.NewPlaces(config.Limits.Sockets),
 		readBuffer:       make([]byte, readBufferBytes),
 	}
-	s.buffers.Keep = s.maxBufferedBytes() / 2
-	if s.engine, err = engine.NewBare(config.settings.Module, config.seed); err != nil {
+	server.buffers.Keep = server.maxBufferedBytes() / 2
+	if server.engine, err = engine.NewBare(config.settings.Module, config.seed); err != nil {
 		return nil, err
 	}
-	s.indexClasses()
-	if s.loop, err = eventloop.New(0); err != nil {
+	server.indexClasses()
+	if server.loop, err = eventloop.New(0); err != nil {
 		return nil, err
 	}
-	s.tickTimer.F = func() { s.dispatch(spool.Timer{}) }
-	s.stream.init(s)
-	known, err := decodeKnown(&s.stream.decoder, config)
+	server.tickTimer.F = func() { server.dispatch(spool.Timer{}) }
+	server.stream.init(server)
+	known, err := decodeKnown(&server.stream.decoder, config)
 	if err != nil {
 		return nil, err
 	}
-	s.applyEvents(known)
-	if s.listener, err = listen(s, address); err != nil {
-		return nil, err
+	server.applyEvents(known)
+	if server.listener, err = listen(server, address); err != nil {
+		return nil, fmt.Errorf("platform: listen at %s: %w", address, err)
 	}
-	s.stream.reconnect()
-	s.loop.Ticker(cleanUpInterval, s.cleanUp)
-	return s, nil
+	server.stream.reconnect()
+	server.loop.Ticker(cleanUpInterval, server.cleanUp)
+	return server, nil
 }
 
 // indexClasses has class answer by the settings as they are now.
