--- a/internal/cachenode/server/fill.go
+++ b/internal/cachenode/server/fill.go
@@ -745,7 +745,6 @@
 type passing struct {
 	v      *visit
 	status int
-	head_  []byte
 	b      []byte
 }
 
--- a/internal/protocol/esi/page.go
+++ b/internal/protocol/esi/page.go
@@ -86,7 +86,6 @@
 	since   float64 // when its head came
 	parser  *Parser
 	seq     *seq // of one that is a page itself
-	raw     []byte
 	depth   int
 	up      []*piece // those that it is used in
 	uses    int      // holes that still wait for it
--- a/internal/proxy/httpfront/guard_test.go
+++ b/internal/proxy/httpfront/guard_test.go
@@ -245,14 +245,12 @@
 func TestFewDescriptors(t *testing.T) {
 	r := newRig(t, 2, "(connections-per-address 5000)")
 	r.e.Query(func(*Stats, *engine.Core) { r.e.guard.most = 64 })
-	var list []net.Conn
 	for range 300 {
 		c, err := net.Dial("tcp4", r.e.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		list = append(list, c)
 	}
 	time.Sleep(250 * time.Millisecond) // until they count as idle
 	if _, bad := r.stills(50); bad > 0 {
--- a/internal/testbed/bench/pages.go
+++ b/internal/testbed/bench/pages.go
@@ -83,7 +83,7 @@
 	go http.Serve(ln, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		page, err := get(r.URL.Path)
 		if err != nil {
-			http.Error(w, err.Error(), 502)
+			http.Error(w, err.Error(), http.StatusBadGateway)
 			return
 		}
 		type piece struct {
--- a/internal/testbed/differential/bench.go
+++ b/internal/testbed/differential/bench.go
@@ -14,8 +14,7 @@
 // becomes the simulator's messages, and the adapter's replies become actions. It
 // shares no table with package wire, so that an error there is not made twice.
 type bench struct {
-	in    bytes.Buffer
-	kinds []string
+	in bytes.Buffer
 }
 
 type obj = map[string]any
--- a/internal/testbed/testserver/fleet.go
+++ b/internal/testbed/testserver/fleet.go
@@ -106,7 +106,7 @@
 			ColdFrom: f.Stand.ColdFrom, ColdTime: f.Stand.ColdTime, Fall: f.Stand.Fall, FallTime: f.Stand.FallTime,
 			Limit: m.Limit, Seed: uint64(f.Stand.Seed), Feedback: f.Stand.Feedback}
 		for _, k := range f.Classes {
-			c.Classes = append(c.Classes, Class{Name: k.Name, KB: k.KB, Fresh: k.Fresh, Write: k.Write, Window: k.Window})
+			c.Classes = append(c.Classes, Class(k))
 		}
 		return c, nil
 	}
