--- a/cmd/spool-cache/main.go
+++ b/cmd/spool-cache/main.go
@@ -1,5 +1,5 @@
-// Spool-box is a cache as a program: a box or a parent that keeps its copies on disk, and
-// finds them again when it is started anew (docs/store.md).
+// Spool-cache is a cache, or a parent, as a program: it keeps its copies on disk, and finds
+// them again when it is started anew (docs/store.md).
 package main
 
 import (
--- a/cmd/spool-scenario/main.go
+++ b/cmd/spool-scenario/main.go
@@ -1,5 +1,5 @@
-// Spool-day plays scripted days against real routers, judges recorded ones and
-// imports days of the bench.
+// Spool-scenario plays scripted days against real routers, judges recorded ones and imports
+// days of the bench.
 package main
 
 import (
--- a/cmd/spool-testserver/main.go
+++ b/cmd/spool-testserver/main.go
@@ -1,5 +1,5 @@
-// Spool-stand runs one stand-in as a process: a cache box, a parent, an origin
-// or a list service, for trying a router by hand and for days (spool-scenario).
+// Spool-testserver runs one test server as a process: a cache, a parent, an origin or a list
+// service, for trying a router by hand and for scenarios (spool-scenario).
 package main
 
 import (
--- a/internal/cachenode/httpcache/box.go
+++ b/internal/cachenode/httpcache/box.go
@@ -1,11 +1,12 @@
-// Package box is a cache's logic without I/O: a store with ranks, copies'
-// ages, purges, fills and joins, and the warm-up from a cold start with its
-// fall. A parent is a box of another role. Time comes from the caller, in
-// milliseconds on any clock that only goes forward; chance has no part in it.
+// Package httpcache is a cache's logic without I/O: what may be stored and for how long
+// it may be used (RFC 9111, rfc9111.go), and a cache as simulations have it (box.go):
+// ranked copies, their ages, purges, fills, requests that join them, and the warm-up
+// after a cold start. A parent is a cache of another role. Time comes from the caller, in
+// milliseconds on any clock that only goes forward; nothing is random.
 //
-// It holds what is known of copies, never their bytes: a stand-in makes those
-// from the key and the version (internal/testbed/testserver). It is not safe for
-// concurrent use.
+// It owns what is known of copies, never their bytes: internal/testbed/testserver makes
+// those from key and version, internal/cachenode/server reads them from
+// internal/cachenode/store. It is not safe for concurrent use.
 package httpcache
 
 import (
--- a/internal/cachenode/server/cache.go
+++ b/internal/cachenode/server/cache.go
@@ -1,11 +1,12 @@
-// Package cache is a box or a parent as a program: what Spool-Fill asks for
-// (docs/protocol.md), answered from a store on disk (internal/cachenode/store) or filled from the
-// source that is named, on the event loop and the parser of the router's.
+// Package server is a cache, or a parent, as a program: it answers what Spool-Fill asks
+// for (docs/protocol.md) from a store on disk (internal/cachenode/store), or fills it from
+// the source that is named, on the router's event loop and parser.
 //
-// It decides nothing of a router's: where an object is looked for, filled from and how
-// long it may be used is asked of it with each attempt. What may be kept at all is
-// internal/cachenode/httpcache's to say. All of it runs on one loop, but for the disk's work, which
-// store.Threads does; nothing here waits for either.
+// It owns client and source connections and the fills in flight, and decides nothing of a
+// router's: where an object is looked up, where it is filled from and how long it may be
+// used comes with each attempt. What may be stored at all, internal/cachenode/httpcache
+// says. All of it runs on one loop but for the disk's work, which store.Threads does;
+// nothing here waits for either.
 package server
 
 import (
--- a/internal/protocol/fetchheader/fillwire.go
+++ b/internal/protocol/fetchheader/fillwire.go
@@ -1,12 +1,12 @@
-// Package fillwire says how an attempt and its outcome stand in HTTP: the
-// request field Spool-Fill and the response fields Cache-Status (RFC 9211),
-// Spool-Copy and Spool-Load, all of them structured fields (RFC 9651). Routers
-// and caches both use it; docs/protocol.md is its definition in prose.
+// Package fetchheader is the codec for an attempt and its outcome in HTTP: the request
+// field Spool-Fill and the response fields Cache-Status (RFC 9211), Spool-Copy and
+// Spool-Load, all of them structured fields (RFC 9651). Routers and caches both use it;
+// docs/protocol.md is its definition in prose.
 //
-// It holds no state and decides nothing: it only says which Result and Note of
-// the decision module a response amounts to. What the router does for each
-// attempt is written here without allocation, and tested against
-// github.com/dunglas/httpsfv; what only caches need uses that library.
+// It holds no state and decides nothing: it only says which Result and Note of the
+// decision module a response amounts to. What the router does for each attempt is written
+// here without allocation, and tested against github.com/dunglas/httpsfv; what only caches
+// need uses that library.
 package fetchheader
 
 import (
--- a/internal/protocol/simwire/wire.go
+++ b/internal/protocol/simwire/wire.go
@@ -1,5 +1,6 @@
-// Package wire turns the lines of the simulator's JSON wire into the events of
-// package indigospool, and its actions into replies. All wire words stay here.
+// Package simwire turns the lines of the simulator's JSON wire into the events of package
+// indigospool, and its actions into replies. All words of that wire stay here; cmd/adapter
+// reads and writes the lines.
 package simwire
 
 import (
--- a/internal/proxy/asynclog/logq.go
+++ b/internal/proxy/asynclog/logq.go
@@ -1,6 +1,6 @@
-// Package logq is a writer between a logger and its file: a bounded queue of lines that
-// a goroutine of its own writes, so that a loop that logs never waits for whoever reads
-// the log. When the queue is full, lines are dropped, counted, and the count is told.
+// Package asynclog writes log lines to their file from a goroutine of its own: a loop that
+// logs puts a line into a bounded queue, and never waits for whoever reads the log. When
+// the queue is full, lines are dropped and counted, and the count is logged.
 package asynclog
 
 import (
--- a/internal/proxy/engine/core.go
+++ b/internal/proxy/engine/core.go
@@ -1,12 +1,11 @@
-// Package core is the one way to the decisions: settings become
-// indigospool.Settings, a request's method, target and headers become an
-// indigospool.Request, rows of the list become Members. Router, tools and tests
-// all go through it, so that none can say one thing while another does
-// something else.
+// Package engine is the one way to the decisions: settings become indigospool.Settings, a
+// request's method, target and headers become an indigospool.Request, rows of the endpoint
+// list become Members. Router, tools and tests all go through it, so that no two of them
+// can decide the same thing differently.
 //
-// It does no I/O and has no clock; every decision is the module's. What it adds
-// to the module's events is bookkeeping only: addresses of members, and which
-// start of a member a list speaks of.
+// It does no I/O and has no clock; every decision is made by indigospool.Router. It owns
+// bookkeeping only: the addresses of endpoints, which start of an endpoint a list speaks
+// of, and the compiled routes (route.go).
 package engine
 
 import (
--- a/internal/proxy/httpfront/edge.go
+++ b/internal/proxy/httpfront/edge.go
@@ -1,13 +1,14 @@
-// Package edge is the router program: client and upstream connections on one
-// event loop, which tell the decision module what happens and carry out what
-// it decides. Bytes become events, actions become bytes.
+// Package httpfront is the HTTP router: client and upstream connections on one event loop,
+// which report what happens to the decision module and carry out what it decides. Bytes
+// become events, actions become bytes.
 //
-// It decides nothing about where a request goes, whether it is tried again or
-// when it is given up; that is the module's, reached through internal/proxy/engine. It
-// keeps to limits that the settings name, and never waits for anything but the
-// loop: the list service and the admin listener run on goroutines of their own
-// and post to it (watch.go, admin.go). client.go and upstream.go hold the two
-// sides of a request; docs/protocol.md what stands on the wire.
+// It owns the connections, the requests in flight and the connection pools. Where a request
+// goes, whether it is retried and when it is given up is decided by the module, reached
+// through internal/proxy/engine. It keeps to limits that the settings name, and never waits
+// for anything but the loop: the list service and the admin listener run on goroutines of
+// their own and post to it (watch.go, admin.go). client.go and upstream.go hold the two
+// sides of a request; docs/protocol.md defines what is on the wire, docs/architecture.md
+// the path of a request.
 package httpfront
 
 import (
--- a/internal/testbed/differential/drift.go
+++ b/internal/testbed/differential/drift.go
@@ -1,11 +1,11 @@
-// Package drift holds the programs on the one core against one another and against
-// the sockets: what a router decided, as its journal has it, must be what passed on
-// the sockets, and what adapter, replay and explain decide when they are told the
-// same. A program that is wired otherwise is found, whichever it is.
+// Package differential compares the programs that share the one engine, with each other
+// and with the sockets: what a router decided, by its journal, must be what passed on the
+// sockets, and what adapter, replay and explain decide when they are given the same
+// events. A program that is wired otherwise is found, whichever it is.
 //
-// It decides nothing, and takes no program's word for another's. Days run it on
-// their routers' journals (spool-scenario run --journal); drift_test.go runs it, and
-// spool-fleet's asker, on generated fleets with troubles.
+// It decides nothing, and takes no program's word for another's. Scenarios run it on their
+// routers' journals (spool-scenario run --journal); drift_test.go runs it, and
+// spool-fleet's asker, on generated fleets with faults.
 package differential
 
 import (
--- a/internal/testbed/invariants/rules.go
+++ b/internal/testbed/invariants/rules.go
@@ -1,8 +1,8 @@
-// Package rules checks the five rules from a tap alone: from what stand-ins and
-// clients saw on their sockets. It knows nothing of what a router says of
-// itself, and shares no code with the decision module, so that one can't excuse
-// the other. For each rule it counts what it looked at: a rule with nothing to
-// look at is not kept but unproven.
+// Package invariants checks the five rules from a traffic log alone: from what test servers
+// and clients saw on their sockets. It knows nothing of what a router says of itself, and
+// shares no code with the decision module, so that an error in one cannot hide in the
+// other. For each rule it counts what it looked at: a rule with nothing to look at is not
+// kept but unproven.
 package invariants
 
 import (
--- a/internal/testbed/loadgen/arrivals.go
+++ b/internal/testbed/loadgen/arrivals.go
@@ -1,10 +1,10 @@
-// Package load makes requests as users do, against a running router: open-loop
-// arrivals from distributions, objects by their popularity, sessions that go from
-// part to part and stop early. Latencies count from when a request was due, so that
-// a slow server can't hide by being asked less.
+// Package loadgen makes requests as users do, against a running router: open-loop arrivals
+// from distributions, objects by their popularity, sessions that go from part to part and
+// stop early. Latencies count from when a request was due, so that a slow server cannot
+// hide by being asked less.
 //
-// It measures and decides nothing of a router's. arrivals.go draws what comes when,
-// without I/O and from a seed; run.go asks; plot.go draws the results.
+// It measures, and decides nothing of a router's. arrivals.go draws what comes when,
+// without I/O and from a seed; run.go makes the requests; plot.go draws the results.
 package loadgen
 
 import (
--- a/internal/testbed/scenario/script.go
+++ b/internal/testbed/scenario/script.go
@@ -1,7 +1,7 @@
-// Package day plays scripted days: a fleet of stand-ins, separate router
-// processes before them, clients with open-loop arrivals, and troubles in time.
-// What passed on the sockets goes to a tap; the five rules are judged from it
-// (internal/testbed/invariants). A day decides nothing of a router's.
+// Package scenario plays scripted days: a fleet of test servers, separate router processes
+// in front of them, clients with open-loop arrivals, and faults at their times. What passed
+// on the sockets goes to a traffic log (internal/testbed/trafficlog); the five rules are
+// judged from it (internal/testbed/invariants). A scenario decides nothing of a router's.
 package scenario
 
 import (
--- a/internal/testbed/testserver/server.go
+++ b/internal/testbed/testserver/server.go
@@ -1,10 +1,10 @@
-// Package standin is what the router is proved against: caches (boxes and
-// parents), the origin, the list service and clients, with the faults that a
-// day injects into them. All of them write what they see to a tap.
+// Package testserver is what the router is tested against: caches, parents, the origin, the
+// list service and clients, with the faults that a scenario injects into them. All of them
+// write what they see to a traffic log.
 //
-// They read and write HTTP with Go's net/http and not with internal/protocol/http1, so
-// that the router's parser is judged by another one. They decide nothing of a
-// router's: a cache does what Spool-Fill says, as docs/protocol.md defines it.
+// They read and write HTTP with Go's net/http and not with internal/protocol/http1, so that
+// the router's parser is judged by another one. They decide nothing of a router's: a cache
+// does what Spool-Fill says, as docs/protocol.md defines it.
 package testserver
 
 import (
--- a/internal/testbed/trafficlog/tap.go
+++ b/internal/testbed/trafficlog/tap.go
@@ -1,9 +1,9 @@
-// Package tap is the record of what passed on the sockets, as the stand-ins
-// and the clients saw it; rules are judged from it alone (internal/testbed/invariants). One
-// record is one line of JSON. Times are of the machine's monotonic clock, in
-// ms, so that the records of several processes go into one order.
+// Package trafficlog is the record of what passed on the sockets, as test servers and
+// clients saw it; the rules are judged from it alone (internal/testbed/invariants). One
+// record is one line of JSON. Times are of the machine's monotonic clock, in ms, so that
+// the records of several processes can be put into one order.
 //
-// It never holds the router's own word: no router writes to a tap.
+// It never holds the router's own word: no router writes to it.
 package trafficlog
 
 import (
