--- a/internal/testbed/compat/compat_test.go
+++ b/internal/testbed/compat/compat_test.go
@@ -209,12 +209,12 @@
 	folder, want := fixture(t)
 	path := filepath.Join(folder, "control.db")
 	checkVersions(t, path, want.Service.Versions)
-	var settings service.ServiceSettings
+	var settings service.Settings
 	if err := config.Read("svc", fmt.Sprintf(`(service (listen "127.0.0.1:0") (admin "127.0.0.1:0") (store %q) (keep 5))
 		(rollout (hold 50))`, path), &settings); err != nil {
 		t.Fatal(err)
 	}
-	control, err := service.StartService(&settings, zap.NewNop(), nil)
+	control, err := service.Start(&settings, zap.NewNop(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
