--- a/internal/controlplane/configversion/machine.go
+++ b/internal/controlplane/configversion/machine.go
@@ -60,7 +60,7 @@
 	confirmedAt     Millis // when the running version was last known to be the newest
 	candidate       *candidate
 	accepted        identity // the highest ever accepted
-	restored        bool     // the disk was heard of
+	restored        bool     // Restored was handled
 	warned          bool     // that the running version is not confirmed
 	records         map[int64]*Record
 
--- a/internal/controlplane/configversion/machine_test.go
+++ b/internal/controlplane/configversion/machine_test.go
@@ -130,7 +130,7 @@
 	test.offer("a", New(6, body("ss", "ssss", ""))).wantAccepted(6) // a rejected number may be offered again, with its content intact
 	test.offer("a", New(7, good)).wantAccepted(7)                   // back to the old content by a new number
 	if got := test.machine.HighestAccepted(); got != 7 {
-		t.Errorf("floor %d", got)
+		t.Errorf("highest accepted %d", got)
 	}
 }
 
@@ -241,80 +241,92 @@
 	test.wantRunning(1)
 }
 
+// guarantee is a machine with its disk, of which each action is checked.
+type guarantee struct {
+	t               *rapid.T
+	machine         *Machine
+	now             Millis
+	disk, writing   *Version
+	highestAccepted int64
+	running         int64
+}
+
+func (g *guarantee) handle(event Event) {
+	for _, action := range g.machine.Handle(g.now, event, nil) {
+		switch action := action.(type) {
+		case Store:
+			version := action.Version
+			g.writing = &version
+		case Ack:
+			if g.disk == nil || g.disk.Number != action.Number {
+				g.t.Fatalf("version %d is accepted and not on disk", action.Number)
+			}
+			g.highestAccepted = max(g.highestAccepted, action.Number)
+		case Activate:
+			g.checkActivated(action.Version)
+			g.running = action.Version.Number
+		}
+	}
+}
+
+func (g *guarantee) checkActivated(version Version) {
+	if version.Number < g.highestAccepted || version.Number < g.running {
+		g.t.Fatalf("version %d is activated after %d was accepted and %d run", version.Number, g.highestAccepted, g.running)
+	}
+	if Checksum(version.Body) != version.Sum {
+		g.t.Fatal("a damaged version is activated")
+	}
+	settings := &config.Settings{}
+	if err := config.Read("x", string(version.Body), settings); err != nil {
+		g.t.Fatalf("a malformed version is activated: %v", err)
+	}
+	if reasons := Check(nil, settings, CheckLimits{}); len(reasons) > 0 {
+		g.t.Fatalf("a version that fails its checks is activated: %v", reasons)
+	}
+}
+
 // For any sequence of offers, lost streams, restarts and damage: a router runs only
 // versions that passed every check, and never one older than the last accepted.
 func TestGuarantee(t *testing.T) {
 	bodies := [][]byte{good, body("ss", "ssss", ""), body("ssss", "sss", ""), body("ddd", "ssss", ""), []byte("(oops"),
 		body("sss", "ssss", "(rules (drain-grace 9000))"), body("s", "s", "")}
 	rapid.Check(t, func(t *rapid.T) {
-		machine := NewMachine(MachineSettings{}, 3)
-		now, highestAccepted := 0.0, int64(0)
-		var disk, writing *Version
-		var running int64
-		handle := func(event Event) {
-			for _, action := range machine.Handle(now, event, nil) {
-				switch action := action.(type) {
-				case Store:
-					version := action.Version
-					writing = &version
-				case Ack:
-					if disk == nil || disk.Number != action.Number {
-						t.Fatalf("version %d is accepted and not on disk", action.Number)
-					}
-					highestAccepted = max(highestAccepted, action.Number)
-				case Activate:
-					if action.Version.Number < highestAccepted || action.Version.Number < running {
-						t.Fatalf("version %d is activated after %d was accepted and %d run", action.Version.Number, highestAccepted, running)
-					}
-					if Checksum(action.Version.Body) != action.Version.Sum {
-						t.Fatal("a damaged version is activated")
-					}
-					settings := &config.Settings{}
-					if err := config.Read("x", string(action.Version.Body), settings); err != nil {
-						t.Fatalf("a malformed version is activated: %v", err)
-					}
-					if reasons := Check(nil, settings, CheckLimits{}); len(reasons) > 0 {
-						t.Fatalf("a version that fails its checks is activated: %v", reasons)
-					}
-					running = action.Version.Number
-				}
-			}
-		}
+		model := &guarantee{t: t, machine: NewMachine(MachineSettings{}, 3)}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			now += float64(rapid.IntRange(0, 40000).Draw(t, "pass"))
+			model.now += float64(rapid.IntRange(0, 40000).Draw(t, "pass"))
 			switch rapid.IntRange(0, 6).Draw(t, "op") {
 			case 0, 1, 2:
 				version := New(int64(rapid.IntRange(0, 12).Draw(t, "number")), bodies[rapid.IntRange(0, len(bodies)-1).Draw(t, "body")])
 				if rapid.IntRange(0, 9).Draw(t, "damage") == 0 {
 					version.Body = append(slices.Clone(version.Body), '!')
 				}
-				handle(Offered{rapid.SampledFrom([]string{"a", "a", "a", "b"}).Draw(t, "service"), version})
+				model.handle(Offered{rapid.SampledFrom([]string{"a", "a", "a", "b"}).Draw(t, "service"), version})
 			case 3:
-				handle(Disconnected{"a"})
+				model.handle(Disconnected{"a"})
 			case 4:
-				if writing != nil {
+				if model.writing != nil {
 					if rapid.Bool().Draw(t, "disk works") {
-						disk = writing
-						handle(Stored{Number: writing.Number})
+						model.disk = model.writing
+						model.handle(Stored{Number: model.writing.Number})
 					} else {
-						handle(Stored{writing.Number, errors.New("full")})
+						model.handle(Stored{model.writing.Number, errors.New("full")})
 					}
-					writing = nil
+					model.writing = nil
 				}
 			case 5:
-				handle(Tick{})
+				model.handle(Tick{})
 			case 6: // killed, at whatever point, and started again
-				if writing != nil && rapid.Bool().Draw(t, "the write was complete") {
-					disk = writing // on disk, and the machine was never notified
+				if model.writing != nil && rapid.Bool().Draw(t, "the write was complete") {
+					model.disk = model.writing // on disk, and the machine was never notified
 				}
-				writing = nil
-				machine = NewMachine(MachineSettings{}, 4)
-				running = 0
-				if disk == nil || rapid.IntRange(0, 5).Draw(t, "store damaged") == 0 {
-					disk, highestAccepted = nil, 0 // quarantined: nothing is known of what was accepted
-					handle(Restored{Err: errors.New("damaged")})
+				model.writing = nil
+				model.machine = NewMachine(MachineSettings{}, 4)
+				model.running = 0
+				if model.disk == nil || rapid.IntRange(0, 5).Draw(t, "store damaged") == 0 {
+					model.disk, model.highestAccepted = nil, 0 // quarantined: nothing is known of what was accepted
+					model.handle(Restored{Err: errors.New("damaged")})
 				} else {
-					handle(Restored{Version: *disk, Age: float64(rapid.IntRange(0, 1e6).Draw(t, "age"))})
+					model.handle(Restored{Version: *model.disk, Age: float64(rapid.IntRange(0, 1e6).Draw(t, "age"))})
 				}
 			}
 		}
