--- a/cmd/spool-control/admin.go
+++ b/cmd/spool-control/admin.go
@@ -64,8 +64,8 @@
 	if err != nil {
 		return err
 	}
-	var result service.PushResult
-	if err := json.Unmarshal(answer, &result); err != nil {
+	result, err := service.ParsePushResult(answer)
+	if err != nil {
 		return err
 	}
 	if result.Created {
@@ -177,7 +177,7 @@
 	}
 	var views []service.VersionView
 	if err := json.Unmarshal(answer, &views); err != nil {
-		return err
+		return fmt.Errorf("the versions of %s are malformed: %w", a.admin, err)
 	}
 	table := newTable(os.Stdout)
 	fmt.Fprintln(table, "VERSION\tBYTES\tAGE\tSUM")
--- a/internal/controlplane/service/adminclient.go
+++ b/internal/controlplane/service/adminclient.go
@@ -39,7 +39,7 @@
 	defer client.CloseIdleConnections()
 	request, err := http.NewRequestWithContext(ctx, method, base+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("control: %w", err)
 	}
 	response, err := client.Do(request)
 	if err != nil {
@@ -48,14 +48,14 @@
 	defer response.Body.Close()
 	answer, err := io.ReadAll(response.Body)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("control: %s %s: reading the answer of %s: %w", method, path, admin, err)
 	}
 	switch response.StatusCode {
 	case http.StatusOK:
 		return answer, nil
 	case http.StatusUnprocessableEntity:
-		var result PushResult
-		if err := json.Unmarshal(answer, &result); err != nil {
+		result, err := ParsePushResult(answer)
+		if err != nil {
 			return nil, err
 		}
 		return nil, &PushRejectedError{result.Reasons}
@@ -78,11 +78,19 @@
 	if err != nil {
 		return 0, err
 	}
-	var result PushResult
-	err = json.Unmarshal(answer, &result)
+	result, err := ParsePushResult(answer)
 	return result.Number, err
 }
 
+// ParsePushResult reads the answer to a push, a rollback or a halt.
+func ParsePushResult(answer []byte) (PushResult, error) {
+	var result PushResult
+	if err := json.Unmarshal(answer, &result); err != nil {
+		return PushResult{}, fmt.Errorf("control: the answer to a push is malformed: %w", err)
+	}
+	return result, nil
+}
+
 // AdminStatus returns a service's status. Errors are as AdminCall's.
 func AdminStatus(ctx context.Context, admin string) (StatusView, error) {
 	var view StatusView
@@ -90,6 +98,8 @@
 	if err != nil {
 		return view, err
 	}
-	err = json.Unmarshal(answer, &view)
-	return view, err
+	if err := json.Unmarshal(answer, &view); err != nil {
+		return view, fmt.Errorf("control: the status of %s is malformed: %w", admin, err)
+	}
+	return view, nil
 }
