--- a/endpoints.go
+++ b/endpoints.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"fmt"
 	"slices"
 )
 
@@ -17,15 +16,6 @@
 	roles               // how many there are
 )
 
-// String is the name of the role.
-func (r role) String() string {
-	names := [roles]string{"edge", "parent", "origin", "foreign"}
-	if r < 0 || r >= roles {
-		return fmt.Sprintf("role(%d)", int(r))
-	}
-	return names[r]
-}
-
 // member is a listed cache, parent or origin and what is known of it.
 type member struct {
 	Member
--- a/fillsource_test.go
+++ b/fillsource_test.go
@@ -37,3 +37,47 @@
 		t.Error("the wrong member was blamed")
 	}
 }
+
+// TestFillFromSibling: after a range has moved, its new cache is first filled from the one before,
+// once for each request, and only while that may still hold copies.
+func TestFillFromSibling(t *testing.T) {
+	for _, test := range []struct {
+		name    string
+		change  func(rig *testRig, previous *member)
+		sibling bool
+	}{
+		{"just moved", func(*testRig, *member) {}, true},
+		{"moved long ago", func(rig *testRig, _ *member) { rig.now += siblingFillSpan }, false},
+		{"ejected", func(rig *testRig, previous *member) { rig.router.eject(previous) }, false},
+		{"siblings are no sources", func(rig *testRig, _ *member) { rig.router.settings.Siblings = Nowhere }, false},
+		{"no attempts to spare", func(rig *testRig, _ *member) { rig.router.settings.MaxAttempts = 3 }, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			settings := testSettings()
+			settings.Siblings = Location
+			rig := newRig(t, settings)
+			caches := rig.router.byRole[edge]
+			rig.router.layout = layout{caches: caches, splits: []int{1, 2}, ranged: true}
+			rig.router.priorLayout = layout{caches: caches, splits: []int{2, 3}, ranged: true}
+			rig.router.layoutChanged = rig.now
+			test.change(rig, caches[0])
+			id, actions := rig.request("video", "x", 1)
+			send := rig.onlySend(actions)
+			if send.Cache != caches[1].ID {
+				t.Fatalf("%+v", send)
+			}
+			send = rig.onlySend(rig.handle(Outcome{ID: id, Cache: send.Cache, Result: Miss}))
+			sibling := send.Source == caches[0].ID && send.Held
+			if send.Cache != caches[1].ID || sibling != test.sibling {
+				t.Fatalf("%+v, want a sibling: %v", send, test.sibling)
+			}
+			if !sibling {
+				return
+			}
+			send = rig.onlySend(rig.handle(Outcome{ID: id, Cache: send.Cache, Attempt: 1, Result: Miss}))
+			if send.Cache != caches[1].ID || send.Held || rig.router.members[send.Source].role != parent {
+				t.Errorf("after the sibling: %+v", send)
+			}
+		})
+	}
+}
--- a/outlier_test.go
+++ b/outlier_test.go
@@ -201,3 +201,22 @@
 		t.Errorf("%s fails all that others serve, and is not ejected", bad)
 	}
 }
+
+// TestBreakBehindTarget: a fill that breaks while its target makes progress is the source's fault;
+// where both have made progress since, it is nobody's.
+func TestBreakBehindTarget(t *testing.T) {
+	for _, progress := range []bool{false, true} {
+		rig := newRig(t, testSettings())
+		id, send, attempt := rig.requestFill("page", "x", 0)
+		target, source := rig.router.members[send.Cache], rig.router.members[send.Source]
+		rig.now += 500
+		target.lastProgress = rig.now
+		if progress {
+			source.lastProgress = rig.now
+		}
+		rig.handle(Outcome{ID: id, Cache: send.Cache, Attempt: attempt, Result: TimedOut})
+		if target.faultShare != 0 || (source.faultShare == 0) != progress {
+			t.Errorf("progress %v: faults %v at the target, %v at the source", progress, target.faultShare, source.faultShare)
+		}
+	}
+}
--- a/rangesplit_test.go
+++ b/rangesplit_test.go
@@ -120,3 +120,24 @@
 		}
 	}
 }
+
+// TestReportedRanges: the ranges that are reported are those that parts go by, and there are none
+// before the first window has closed.
+func TestReportedRanges(t *testing.T) {
+	rig := newRig(t, testSettings())
+	if ranges := rig.router.Ranges(); ranges != nil {
+		t.Errorf("before a window closes: %v", ranges)
+	}
+	caches := rig.router.byRole[edge]
+	rig.router.layout = layout{caches: caches, splits: []int{2, 5}, ranged: true}
+	want := []Range{{Cache: "e1", From: 0, To: 2}, {Cache: "e2", From: 2, To: 5}, {Cache: "e3", From: 5, To: -1}}
+	if got := rig.router.Ranges(); !slices.Equal(got, want) {
+		t.Errorf("ranges %v, want %v", got, want)
+	}
+	for _, r := range want {
+		owner := rig.router.layout.owner(&request{Request: Request{Part: r.From}, class: rig.router.classes["video"]})
+		if owner.ID != r.Cache {
+			t.Errorf("part %d goes to %s, not to %s", r.From, owner.ID, r.Cache)
+		}
+	}
+}
--- a/retry_test.go
+++ b/retry_test.go
@@ -240,3 +240,30 @@
 	}
 	t.Errorf("eight attempts, all at %s", first)
 }
+
+// TestKeyIsRememberedByGroup: a request with an idempotency key that may have run goes on only to
+// members of the group that remembers the key, whatever the group is.
+func TestKeyIsRememberedByGroup(t *testing.T) {
+	executed := &member{Member: Member{ID: "a", Zone: "z1", Cell: 1}}
+	sameCell := &member{Member: Member{ID: "b", Zone: "z1", Cell: 1}}
+	otherCell := &member{Member: Member{ID: "c", Zone: "z1", Cell: 2}}
+	otherZone := &member{Member: Member{ID: "d", Zone: "z2", Cell: 1}}
+	for _, test := range []struct {
+		group Scope
+		want  [4]bool // in the order above
+	}{
+		{Nowhere, [4]bool{true, false, false, false}},
+		{Cell, [4]bool{true, true, false, false}},
+		{Location, [4]bool{true, true, true, false}},
+		{Everywhere, [4]bool{true, true, true, true}},
+	} {
+		request := &request{class: &class{Class: Class{Effect: Guarded, Group: test.group}}, executedBy: executed}
+		var got [4]bool
+		for i, member := range []*member{executed, sameCell, otherCell, otherZone} {
+			got[i] = request.mayRunAt(member)
+		}
+		if got != test.want {
+			t.Errorf("group %d: %v, want %v", test.group, got, test.want)
+		}
+	}
+}
