--- a/api.go
+++ b/api.go
@@ -4,121 +4,120 @@
 // The clock may start anywhere; it only goes forward.
 type Millis = float64
 
-// Effect says what a repeat of a request can do.
+// Effect says what a retry of a request can do: its idempotency.
 type Effect int
 
 // The effect classes.
 const (
-	Free       Effect = iota // may be repeated and refused at will
-	Guarded                  // repeats are dropped by a group of caches for a while
-	SingleShot               // may be repeated only where it surely never ran
+	Free       Effect = iota // idempotent: may be retried and rejected at will
+	Guarded                  // carries an idempotency key: a group of caches drops repeats for a while
+	SingleShot               // not idempotent: may be retried only where it surely never ran
 )
 
-// Scope names a set of caches: those that drop a guarded request's repeats,
-// or those that may be a source for one another.
+// Scope names a set of caches: those that remember the idempotency key of a Guarded request, or
+// those that may be a source for one another.
 type Scope int
 
 // The scopes.
 const (
-	Nowhere Scope = iota
-	Cell
-	Location
-	Everywhere
+	Nowhere    Scope = iota
+	Cell             // of one cell in a zone
+	Location         // of one zone
+	Everywhere       // all
 )
 
-// Detail says how much an Outcome tells of hits and fills.
+// Detail says how much the Note of an Outcome tells of hits and fills.
 type Detail int
 
 // The levels of detail.
 const (
-	DetailOff Detail = iota
-	DetailHit
-	DetailAll
+	DetailOff Detail = iota // nothing
+	DetailHit               // whether it was a hit
+	DetailAll               // all notes
 )
 
 // Class describes one class of requests.
 type Class struct {
 	Name             string
-	Aim              Millis  // full worth when answered within it
-	AimStretch       float64 // the aim grows by this multiple of the own sending time
-	Deadline         Millis  // the client's whole patience
-	Worth, LateWorth float64 // worth in time; share of it paid when late
+	Aim              Millis  // latency objective: an answer within it has its full weight
+	AimStretch       float64 // the objective grows by this multiple of the time that the answer takes to send
+	Deadline         Millis  // the client's timeout, where the request states no deadline
+	Worth, LateWorth float64 // priority weight; the share of it that is left when late, 0 to 1
 	Effect           Effect
-	Group            Scope  // for Guarded: who drops repeats
-	Window           Millis // for Guarded: how long they remember
+	Group            Scope  // for Guarded: who remembers the idempotency key
+	Window           Millis // for Guarded: how long they remember it
 	Streamed         bool   // answers are streamed (a Started event comes)
 	InParts          bool   // objects come in parts
-	Write            bool   // runs at the origin and is never kept
+	Write            bool   // runs at the origin, and its answer is never cached
 	Fresh, Grace     Millis // how long a copy is fresh (0: until purged), and usable after
 	StaleWorth       float64
 }
 
-// Settings is what a router is told at its start. A zero value in a field
-// means that nothing was said.
+// Settings are the settings of a router. A zero value in a field means that nothing is stated.
 type Settings struct {
-	Me, Routers    int // this router's number, and how many there are
-	Zone           string
-	Zones          []string
-	RoutersByZone  []int // in the order of Zones
-	HubOfZone      []int // in the order of Zones: place of the hub zone
-	LinkIn         map[string]float64
-	ParentKind     string // kind of the parents; empty: there are none
-	OriginKind     string
-	Classes        []Class
-	Tick           Millis
+	Me, Routers    int                // this router's number, and how many there are
+	Zone           string             // this router's zone
+	Zones          []string           // all zones
+	RoutersByZone  []int              // in the order of Zones
+	HubOfZone      []int              // in the order of Zones: place of the hub zone
+	LinkIn         map[string]float64 // capacity of the link into a zone, in KB per millisecond
+	ParentKind     string             // Member.Kind of parents; empty: there are none
+	OriginKind     string             // Member.Kind of the origin
+	Classes        []Class            // one at least
+	Tick           Millis             // resolution of the caller's timers
 	AnswerSlack    Millis
 	DrainGrace     Millis
-	ColdFrom       float64 // least part of its capacity with which a cache starts
+	ColdFrom       float64 // share of its capacity with which a cache starts, 0 to 1
 	ColdTime       Millis  // longest time until it is warm
-	FallFactor     float64 // it falls over at this multiple of its present capacity
+	FallFactor     float64 // a cache fails at this multiple of its present capacity
 	FallTime       Millis  // when the overload lasts this long
-	ParentColdFrom float64
-	ParentColdTime Millis
-	ParentFall     float64
-	OriginFall     float64
-	PurgeTakes     Millis // all older copies are gone this long after a purge
-	PurgeSlack     Millis
-	Direct         bool  // parents and the origin take attempts too
-	Joins          bool  // a request may join a fill under way
-	Siblings       Scope // caches that may be a source
+	ParentColdFrom float64 // as ColdFrom, of parents
+	ParentColdTime Millis  // as ColdTime, of parents
+	ParentFall     float64 // as FallFactor, of parents
+	OriginFall     float64 // as FallFactor, of the origin
+	PurgeTakes     Millis  // all older copies are gone this long after a purge
+	PurgeSlack     Millis  // added to PurgeTakes
+	Direct         bool    // parents and the origin take attempts too
+	Joins          bool    // a request may join a fill under way
+	Siblings       Scope   // caches that may be a source; Nowhere: none
 	Detail         Detail
-	FlowKBPerMs    float64 // pace of one transfer to a client
+	FlowKBPerMs    float64 // rate of one transfer to a client, in KB per millisecond
 	SizesCompare   bool    // Member.Size means capacity
-	MaxAttempts    int
+	MaxAttempts    int     // attempts of one request; 0: 4
 	MaxHeld        int
-	MaxRetryAfter  Millis // longest wait that a client heeds; 0: none may be named
-	SecondCopies   bool   // one request may have two attempts out
-	Cancels        bool
-	Probes         bool
-	OnRequest      bool   // the list of caches has to be asked for
+	MaxRetryAfter  Millis // longest Retry-After that a client heeds; 0: none may be named
+	SecondCopies   bool   // hedged requests: one request may have two attempts out
+	Cancels        bool   // attempts can be cancelled
+	Probes         bool   // caches can be probed
+	OnRequest      bool   // discovery notifies of changes only once it is asked to (Watch)
 	AskWithin      Millis // ask again at least this often
 	Feedback       []string
 }
 
-// Event is one thing that a router hears of.
+// Event is one thing that happened: what Router.Handle takes.
 type Event interface{ event() }
 
-// State is a listed cache's state.
+// State is a listed member's state.
 type State int
 
 // The states.
 const (
-	Serving State = iota
-	Draining
+	Serving  State = iota
+	Draining       // it finishes what it has and is sent nothing more
 	Removed
 )
 
-// Member is a line of the list of caches, parents and origins.
+// Member is a row of the endpoint list: a cache, a parent or an origin.
 type Member struct {
 	ID, Zone, Kind string
 	Cell           int
 	State          State
-	Size           float64
-	ReadyAt        Millis // its last start; 0: long ago
+	Size           float64 // capacity, where Settings.SizesCompare
+	ReadyAt        Millis  // its last start; 0: long ago
 }
 
-// Members is news of the list. Full lists replace what was known; Lost says
-// that a call to discovery failed and brings no rows.
+// Members is an update of the endpoint list: a snapshot (Full), which replaces what was known, or
+// a delta. Lost says that a call to discovery failed and brings no rows.
 type Members struct {
 	Full, Lost bool
 	Rows       []Member
@@ -127,11 +126,11 @@
 // Request is a client's request for an object, or for one part of it.
 type Request struct {
 	ID, Class, Tenant, Object string
-	Deadline                  Millis // on the clock
-	KB                        float64
-	Group                     int // group of the object, for purges
-	Part                      int
-	Retry, Write              bool
+	Deadline                  Millis  // on the caller's clock; 0: that of the class
+	KB                        float64 // size of the answer; 0: unknown
+	Group                     int     // group of the object, for purges
+	Part                      int     // index of the part, from 0
+	Retry, Write              bool    // the client's retry of an earlier request; a write
 }
 
 // Result says how an attempt ended.
@@ -139,16 +138,16 @@
 
 // The results. RanNot is true of those that prove that nothing was run.
 const (
-	OK Result = iota
-	Errored
-	Full
-	TimedOut
-	ConnectFailed
-	Reset
-	Cancelled
-	Moot
-	Miss
-	LocalFailure // it could not be begun here: no descriptor, port, buffer or route for now
+	OK            Result = iota
+	Errored              // answered with an error
+	Full                 // rejected for want of capacity
+	TimedOut             // no answer in time
+	ConnectFailed        // no connection
+	Reset                // the connection broke
+	Cancelled            // its wait was ended
+	Moot                 // not sent
+	Miss                 // the cache has no copy
+	LocalFailure         // it could not be begun here: no descriptor, port, buffer or route for now
 )
 
 // RanNot reports whether the result proves that the request did not run.
@@ -156,44 +155,44 @@
 	return r == Full || r == ConnectFailed || r == Moot || r == Miss || r == LocalFailure
 }
 
-// Note tells of an outcome's hit or fill.
+// Note says how an outcome's hit or fill went.
 type Note int
 
 // The notes.
 const (
-	NoteNone Note = iota
-	NoteHit
-	NoteFilled
-	NoteFilledByOrigin
-	NoteJoined
-	NoteStale
-	NoteSourceRefused
-	NoteSourceUnreached
-	NoteSourceLacks
-	NoteNoPlace
-	NoteOriginFailed
+	NoteNone            Note = iota
+	NoteHit                  // answered from a cached copy
+	NoteFilled               // filled from the source
+	NoteFilledByOrigin       // filled by the origin, behind the source
+	NoteJoined               // joined a fill under way
+	NoteStale                // answered from a copy past its fresh time
+	NoteSourceRefused        // the source rejected the fill
+	NoteSourceUnreached      // the source could not be reached
+	NoteSourceLacks          // the source has no copy
+	NoteNoPlace              // the cache has no capacity for a fill
+	NoteOriginFailed         // the origin failed
 )
 
 // Outcome ends one attempt.
 type Outcome struct {
 	ID, Cache string
-	Attempt   int
+	Attempt   int // its number in the request
 	Result    Result
 	Took      Millis
-	Last      bool // the request is over
+	Last      bool // the request has ended
 	Note      Note
-	Waited    Millis
-	Load      []float64 // in the order of Settings.Feedback
+	Waited    Millis    // the part of the time that the target waited for its source
+	Load      []float64 // the target's load report, in the order of Settings.Feedback
 }
 
-// Started says that a streamed answer has begun: it is the client's now.
+// Started says that a streamed answer has begun: it is final.
 type Started struct {
 	ID, Cache string
 	Attempt   int
 }
 
-// Stalled says that an answer that has begun waits for its client (On), and for no
-// member, or (not On) goes on again.
+// Stalled says that an answer that has begun waits for its client (On), and not for a
+// member, or goes on again (not On).
 type Stalled struct {
 	ID      string
 	Attempt int
@@ -203,14 +202,14 @@
 // Gone says that the client has left.
 type Gone struct{ ID string }
 
-// Purge voids older copies of one object or, with no object, of a group.
+// Purge invalidates the older copies of one object or, with no object, of a group.
 type Purge struct {
 	Object string
 	Group  int
 	Age    Millis // how long ago it was made
 }
 
-// Timer is a Wake come due.
+// Timer says that the time of a Wake has come; Token is that of the Wake.
 type Timer struct{ Token int64 }
 
 // Probed is the result of a probe.
@@ -220,9 +219,8 @@
 	Load  []float64
 }
 
-// Resettled says that the settings are others from now on. The zone, the number
-// of this router and what it has learned stay. Settings that contradict
-// themselves change nothing: Settings.Valid tells beforehand.
+// Resettled replaces the settings. The zone, the number of this router and what it has learned
+// stay. Settings that contradict themselves change nothing: Settings.Valid says so beforehand.
 type Resettled struct{ Settings Settings }
 
 // Message came from another router.
@@ -249,21 +247,21 @@
 // The reasons.
 const (
 	Taken     Reason = iota
-	OverBound        // it holds more than its share; it may be taken in a later pass
-	LetDown          // it let the request down before; it may be taken in a later pass
+	OverBound        // above the load bound; it may be taken in a later pass
+	LetDown          // the request failed at it before; it may be taken in a later pass
 	Passed           // looked at in an earlier pass already
-	NotGroup         // outside of the group that drops the request's repeats
-	Out              // it drains or is gone
-	Suspect          // and not due for a trial, or not by this request
-	GateFull         // it holds as much as it is thought to bear
-	ColdSpent        // it is cold, and its budget is spent
-	LinkFull         // the location's link bears no further fill now
+	NotGroup         // outside of the group that remembers the request's idempotency key
+	Out              // it is draining or removed
+	Suspect          // it is ejected and not due for a health check, or not by this request
+	GateFull         // it is at its concurrency limit
+	ColdSpent        // it is warming up, and its slow-start budget is spent
+	LinkFull         // the location's link is at its concurrency limit
 	NoBudget         // the request may make no further attempt
 	NoMember         // there is nobody to ask
 )
 
 // Look is one member that a choice looked at, in the order of looking. Member is
-// empty of what concerns the request as such.
+// empty where the reason concerns the request as such.
 type Look struct {
 	Request, Member string
 	Source          bool // as a source, not as the cache
@@ -278,47 +276,47 @@
 	From, To int
 }
 
-// Action is one thing that a router wants done.
+// Action is one thing that follows from an event: what Router.Handle returns.
 type Action interface{ action() }
 
-// Send makes an attempt. Attempts of a request are numbered from 0.
+// Send asks for an attempt to be made. Attempts of a request are numbered from 0.
 type Send struct {
 	ID, Cache, Source string // Source == Cache: no fill
 	Keep              int    // rank of the copy, 1 to 3; 0: pass through
-	Age               Millis // oldest copy that will do; always above 0
-	Timeout           Millis
-	Within            Millis // it must leave within this, or not at all; 0: no bound
+	Age               Millis // age of the oldest copy that will do; always above 0
+	Timeout           Millis // of the attempt; 0: until the request's deadline
+	Within            Millis // it must be sent within this, or not at all; 0: no bound
 	Join, Held, Renew bool   // join a fill; only what the source holds; renew an ageing copy
 }
 
-// Refuse is a final answer: turned away, a retry is harmless.
+// Refuse is a final answer: rejected, a retry is harmless.
 type Refuse struct {
 	ID    string
-	After Millis
+	After Millis // Retry-After; 0: none is named
 }
 
-// Fail is a final answer that promises nothing.
+// Fail is a final answer: failed. The request may have run.
 type Fail struct{ ID string }
 
-// Cancel stops the wait for an attempt.
+// Cancel asks for an attempt to be cancelled; its Outcome still comes.
 type Cancel struct {
 	ID      string
 	Attempt int
 }
 
-// Wake asks for a Timer event.
+// Wake asks for a Timer event after a time.
 type Wake struct {
 	In    Millis
 	Token int64
 }
 
-// Probe checks a cache.
+// Probe asks for a cache to be probed.
 type Probe struct{ Cache string }
 
-// Watch asks discovery for changes from now on.
+// Watch subscribes to the endpoint list.
 type Watch struct{}
 
-// Fetch asks discovery for the whole list, once.
+// Fetch asks discovery for one snapshot of the endpoint list.
 type Fetch struct{}
 
 func (Send) action()   {}
