--- a/cmd/spool-router/node.go
+++ b/cmd/spool-router/node.go
@@ -54,7 +54,7 @@
 	}
 	out := asynclog.New(os.Stderr, logLines)
 	defer func() { // what is left is written, unless nobody reads it
-		out.End()
+		out.CloseNoWait()
 		select {
 		case <-out.Done():
 		case <-time.After(logWait):
--- a/internal/cachenode/server/cache.go
+++ b/internal/cachenode/server/cache.go
@@ -152,7 +152,7 @@
 	if err := s.listener.Start(s.l, s.lfd); err != nil {
 		return err
 	}
-	s.l.Once(mendEvery, s.mend)
+	s.l.AfterFunc(mendEvery, s.mend)
 	err := s.l.Run()
 	close(s.stopped)
 	for c := range s.conns {
@@ -174,7 +174,7 @@
 			s.post(func() { s.mending = false })
 		})
 	}
-	s.l.Once(mendEvery, s.mend)
+	s.l.AfterFunc(mendEvery, s.mend)
 }
 
 // now is the time by which copies' ages are told, Unix ms: as the clock was at the start,
@@ -730,7 +730,7 @@
 	}
 	if v.burst >= perTurn { // others have their turn first
 		v.busy = true
-		v.s.l.Once(0, func() {
+		v.s.l.AfterFunc(0, func() {
 			v.busy, v.burst = false, 0
 			v.more()
 		})
--- a/internal/cachenode/server/fill.go
+++ b/internal/cachenode/server/fill.go
@@ -558,7 +558,7 @@
 	case err == nil:
 		src.fd, src.connect, src.lacked = fd, true, false
 		l.Arm(&src.timer, src.until-l.Now())
-	case eventloop.Lacking(err):
+	case eventloop.IsLocalShortage(err):
 		src.lacked = true
 		l.Arm(&src.timer, dialPause)
 	default:
--- a/internal/eventloop/errors.go
+++ b/internal/eventloop/errors.go
@@ -39,10 +39,10 @@
 	return false
 }
 
-// Lacking reports that accept, socket, connect or the watch of a descriptor failed for want
+// IsLocalShortage reports that accept, socket, connect or the watch of a descriptor failed for want
 // of something on this process or machine that may be there again soon: descriptors, memory,
 // ports, watches, a route, a firewall's leave. It says nothing of a peer.
-func Lacking(err error) bool {
+func IsLocalShortage(err error) bool {
 	errno, ok := errnoOf(err)
 	if !ok {
 		return false
--- a/internal/eventloop/io.go
+++ b/internal/eventloop/io.go
@@ -134,7 +134,7 @@
 }
 
 // Dial begins to connect without waiting; inProgress: it is not connected yet. An error for
-// which Lacking holds is this machine's, and no word about the peer.
+// which IsLocalShortage holds is this machine's, and no word about the peer.
 func (l *Loop) Dial(address string) (fd int, inProgress bool, err error) {
 	var calls Syscalls = Kernel
 	if l.calls != nil {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -4,7 +4,7 @@
 //
 // Handlers make their system calls on sockets through it, so that one place decides which
 // errors are for later (Later), end a connection (Broken) or are this machine's own
-// (Lacking), and tests can have any call fail (Intercept). It never reads or writes a
+// (IsLocalShortage), and tests can have any call fail (Intercept). It never reads or writes a
 // descriptor of its own accord and never allocates on the path of an event. The clock is
 // the system's monotonic one, in milliseconds, so that records of processes on one machine
 // can be set side by side. Connections on top of it are in internal/proxy/httpfront.
@@ -155,9 +155,9 @@
 
 const slowTurn = 5 // ms
 
-// After has f called at the end of each turn, behind readiness, posted calls and
+// AfterEachTurn has f called at the end of each turn, behind readiness, posted calls and
 // timers. While it returns true there is more to do: the next turn does not wait.
-func (l *Loop) After(f func() (more bool)) { l.after = f }
+func (l *Loop) AfterEachTurn(f func() (more bool)) { l.after = f }
 
 // Took is how long the present turn has taken so far.
 func (l *Loop) Took() Millis { return Clock() - l.now }
@@ -184,9 +184,9 @@
 	return nil
 }
 
-// First has a watched descriptor's events handed out before those of others in each
+// Prioritize has a watched descriptor's events handed out before those of others in each
 // turn: who has gone is heard of before anything is begun for him.
-func (l *Loop) First(fd int) { l.slots[fd].first = true }
+func (l *Loop) Prioritize(fd int) { l.slots[fd].first = true }
 
 // Want changes what is wanted of a watched descriptor. It costs nothing when
 // nothing changes.
@@ -400,8 +400,8 @@
 	}
 }
 
-// Once calls f once after in. It allocates; use a Timer of your own on hot paths.
-func (l *Loop) Once(in Millis, f func()) *Timer {
+// AfterFunc calls f once after in. It allocates; use a Timer of your own on hot paths.
+func (l *Loop) AfterFunc(in Millis, f func()) *Timer {
 	t := &Timer{F: f}
 	l.Arm(t, in)
 	return t
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -192,7 +192,7 @@
 	got := make(chan int, 3)
 	l.Post(func() {
 		for _, in := range []int{30, 10, 20} {
-			l.Once(float64(in), func() { got <- in })
+			l.AfterFunc(float64(in), func() { got <- in })
 		}
 	})
 	for _, want := range []int{10, 20, 30} {
--- a/internal/eventloop/syscalls_test.go
+++ b/internal/eventloop/syscalls_test.go
@@ -82,7 +82,7 @@
 func turnFor(t *testing.T, l *Loop, span Millis) uint64 {
 	t.Helper()
 	before, over := l.Turns(), false
-	l.Once(Clock()-l.Now()+span, func() { over = true })
+	l.AfterFunc(Clock()-l.Now()+span, func() { over = true })
 	for !over {
 		if err := l.turn(); err != nil {
 			t.Fatal(err)
@@ -121,7 +121,7 @@
 	} {
 		for _, err := range []error{err, fmt.Errorf("wrapped: %w", err)} {
 			got := 0
-			for bit, holds := range map[int]bool{later: Later(err), broken: Broken(err), lacking: Lacking(err)} {
+			for bit, holds := range map[int]bool{later: Later(err), broken: Broken(err), lacking: IsLocalShortage(err)} {
 				if holds {
 					got |= bit
 				}
--- a/internal/proxy/asynclog/logq.go
+++ b/internal/proxy/asynclog/logq.go
@@ -52,8 +52,8 @@
 // Done is closed when all is written after Close.
 func (q *Queue) Done() <-chan struct{} { return q.done }
 
-// End ends the queue as Close does, without waiting.
-func (q *Queue) End() { q.once.Do(func() { close(q.lines) }) }
+// CloseNoWait ends the queue as Close does, without waiting.
+func (q *Queue) CloseNoWait() { q.once.Do(func() { close(q.lines) }) }
 
 func (q *Queue) run() {
 	defer close(q.done)
--- a/internal/proxy/httpfront/admin.go
+++ b/internal/proxy/httpfront/admin.go
@@ -84,9 +84,9 @@
 		out["name"], out["stats"], out["list_rev"], out["lag_ms"] = e.name, *s, c.Rev(), e.l.Lag()
 		out["version"] = e.version
 		g := e.guard
-		out["limits"] = map[string]any{"cut": g.counts.Map(), "memory": g.mem.Map(), "memory_used": g.mem.Used(), "memory_most": g.mem.Most,
+		out["limits"] = map[string]any{"cut": g.counts.Map(), "memory": g.mem.Map(), "memory_used": g.mem.Used(), "memory_most": g.mem.Peak,
 			"sockets": g.tails.Held, "sockets_most": g.tails.Peak,
-			"in_hand_limit": g.adm.Limit(), "overloaded": g.adm.Over(), "wait_ms": g.adm.Waits, "ready": g.turns.Len(), "connections_limit": g.most,
+			"in_hand_limit": g.adm.Limit(), "overloaded": g.adm.Overloaded(), "wait_ms": g.adm.LastWait, "ready": g.turns.Len(), "connections_limit": g.most,
 			"spared": g.jury.Spared, "slow_ms": e.l.Slow()}
 		out["pages"] = len(e.pages)
 		out["draining"], out["timers"] = e.draining, e.l.Timers()
--- a/internal/proxy/httpfront/client.go
+++ b/internal/proxy/httpfront/client.go
@@ -231,13 +231,13 @@
 		e.stats.Refused++
 		began := e.l.Took()
 		c.answer(r, 503, 1000)
-		e.guard.hold.Spent((e.l.Took() - began) * 1.5) // it was read and looked at, too
+		e.guard.hold.AddCost((e.l.Took() - began) * 1.5) // it was read and looked at, too
 		e.guard.holdBack(c)
 		return
 	}
 	if e.guard.poor(c) {
 		r.poor = true
-		e.guard.standing.Take()
+		e.guard.standing.Reserve()
 	}
 	c.class = e.guard.class(r.q.Class)
 	e.guard.mem.Add(limits.Requests, requestBytes)
@@ -455,7 +455,7 @@
 }
 
 // judgedBy is the least rate that the client is held to now, and what it is cut for.
-func (c *client) judgedBy() (*limits.Least, limits.Cause) {
+func (c *client) judgedBy() (*limits.MinRate, limits.Cause) {
 	g := c.e.guard
 	switch {
 	case c.out.len() > 0:
@@ -958,7 +958,7 @@
 	}
 	c := r.c
 	if r.why == endServed && !c.blamed && c.part == nil {
-		c.e.guard.standing.Good(c.address, c.e.l.Now())
+		c.e.guard.standing.AddGood(c.address, c.e.l.Now())
 	}
 	c.blamed = false
 	if c.cur == r {
@@ -979,7 +979,7 @@
 	r.freed = true
 	if r.poor {
 		r.poor = false
-		r.e.guard.standing.Give()
+		r.e.guard.standing.Release()
 	}
 	if r.booked > 0 {
 		r.e.guard.mem.Add(limits.Requests, -requestBytes)
--- a/internal/proxy/httpfront/edge.go
+++ b/internal/proxy/httpfront/edge.go
@@ -191,7 +191,7 @@
 	if err := e.listener.Start(e.l, e.lfd); err != nil {
 		return err
 	}
-	e.l.After(e.guard.after)
+	e.l.AfterEachTurn(e.guard.after)
 	e.l.Arm(&e.guard.sweepT, sweepEvery)
 	e.l.Post(func() { e.remember(); e.begin() })
 	if e.s.Router.List != "" {
@@ -496,7 +496,7 @@
 	case err == nil:
 		p.fd = fd
 		e.l.Arm(&p.timer, p.until-e.l.Now())
-	case eventloop.Lacking(err):
+	case eventloop.IsLocalShortage(err):
 		e.l.Arm(&p.timer, shortPause)
 	default:
 		p.end(false)
--- a/internal/proxy/httpfront/guard.go
+++ b/internal/proxy/httpfront/guard.go
@@ -20,16 +20,16 @@
 type guard struct {
 	e *Edge
 
-	head, body, reader, member limits.Least
-	jury                       limits.Jury
+	head, body, reader, member limits.MinRate
+	jury                       limits.MassSlowness
 	turns                      *limits.DRR[mover]
 	adm                        *limits.Admission
-	retries                    *limits.Retries
+	retries                    *limits.RetryBudget
 	jitter                     *limits.Jitter
-	standing                   *limits.Standing
-	hold                       *limits.Hold
+	standing                   *limits.Reputation
+	hold                       *limits.ReadPause
 	held                       []heldBack // in the order in which they are read again
-	tails                      limits.Tails
+	tails                      limits.UnreadAccount
 	tailed                     []*client // that the kernel may hold some of a whole answer for
 	mem                        limits.Budget
 	counts                     limits.Counts
@@ -78,15 +78,15 @@
 func (g *guard) adopt(s *config.Settings) {
 	l := &s.Limits
 	g.e.listener.PerTurn = l.AcceptPerTurn
-	least := func(kbs, grace float64) limits.Least {
-		return limits.Least{Rate: kbs * 1024 / 1000, Grace: grace, Step: 2 * sweepEvery}
+	least := func(kbs, grace float64) limits.MinRate {
+		return limits.MinRate{Rate: kbs * 1024 / 1000, Grace: grace, Step: 2 * sweepEvery}
 	}
 	g.head, g.body = least(l.HeadRate, l.HeadGrace), least(l.ClientRate, l.ClientGrace)
 	g.reader, g.member = g.body, least(l.MemberRate, l.MemberGrace)
 	g.jury.Span, g.jury.Share, g.jury.Least = 2*l.MemberGrace+1000, l.JuryShare, 2
 	total := int64(l.MemoryMB * (1 << 20))
-	g.mem.Total = total - limits.Own(total)
-	g.tails.Most, g.tails.Idle = int64(l.SocketsMB*(1<<20)), l.WriteIdle
+	g.mem.Total = total - limits.UnaccountedMemory(total)
+	g.tails.Total, g.tails.Idle = int64(l.SocketsMB*(1<<20)), l.WriteIdle
 	var weights []float64
 	g.classes, g.ranks, g.worth = map[string]int{}, nil, nil
 	for i := range s.Classes {
@@ -108,16 +108,16 @@
 	}
 	if g.adm == nil {
 		g.jitter = limits.NewJitter(uint64(s.Router.Seed), 0.5)
-		g.hold = limits.NewHold(limits.UsualHold)
-		g.standing = limits.NewStanding(limits.StandingSettings{})
+		g.hold = limits.NewReadPause(limits.DefaultReadPause)
+		g.standing = limits.NewReputation(limits.ReputationSettings{})
 	}
-	g.standing.Adopt(limits.UsualStanding(l.Poor))
+	g.standing.Adopt(limits.DefaultReputation(l.Poor))
 	adm := limits.AdmissionSettings{Target: l.OverloadTarget, Part: l.OverloadPart, Interval: 100, Least: l.OverloadLeast, Most: l.Held, Headroom: 0.2}
 	if g.adm == nil {
 		g.adm = limits.NewAdmission(adm)
 	}
 	g.adm.Adopt(adm)
-	g.retries = limits.NewRetries(limits.RetrySettings{Share: l.RetryShare, Burst: 100, AddressShare: 1, AddressBurst: float64(l.RetryBurst), Addresses: 4096})
+	g.retries = limits.NewRetryBudget(limits.RetryBudgetSettings{Share: l.RetryShare, Burst: 100, AddressShare: 1, AddressBurst: float64(l.RetryBurst), Addresses: 4096})
 	g.most = l.Connections
 	var r unix.Rlimit
 	if unix.Getrlimit(unix.RLIMIT_NOFILE, &r) == nil && r.Cur < 1<<30 {
@@ -143,7 +143,7 @@
 	e := g.e
 	e.pump()
 	if g.turns.Len() == 0 {
-		g.adm.Waited(e.l.Took())
+		g.adm.ObserveWait(e.l.Took())
 	} else {
 		left := int(e.s.Limits.TurnKB * 1024)
 		for left > 0 {
@@ -151,15 +151,15 @@
 			if !ok {
 				break
 			}
-			g.adm.Waited(e.l.Took() + e.l.Now() - it.queuedAt())
+			g.adm.ObserveWait(e.l.Took() + e.l.Now() - it.queuedAt())
 			n, more := it.move(room)
 			g.turns.Used(class, it, n, more)
 			left -= max(n, 1024) // a call has its price too
 		}
 	}
 	e.pump()
-	g.adm.Turn(e.l.Now(), len(e.reqs))
-	g.hold.Turn(e.l.Now())
+	g.adm.Tick(e.l.Now(), len(e.reqs))
+	g.hold.Tick(e.l.Now())
 	if g.mem.Full() {
 		g.shed()
 	}
@@ -174,7 +174,7 @@
 
 // holdBack has a connection wait that was turned away.
 func (g *guard) holdBack(c *client) {
-	ms := g.hold.For()
+	ms := g.hold.Duration()
 	if ms <= 0 || c.gone || c.last || c.linger || c.cur != nil || c.paused || len(c.left) > 0 {
 		return
 	}
@@ -206,10 +206,10 @@
 	switch {
 	case g.mem.Full():
 		return limits.Memory
-	case g.poor(c) && !g.standing.Free():
-		return limits.PoorStanding
-	case !g.retries.Ask(c.address, q.Retry, g.adm.Over()):
-		return limits.Repeats
+	case g.poor(c) && !g.standing.HasCapacity():
+		return limits.PoorReputation
+	case !g.retries.Admit(c.address, q.Retry, g.adm.Overloaded()):
+		return limits.RetryLimit
 	case !g.adm.Admit(len(g.e.reqs), g.rank(q.Class)):
 		return limits.Overload
 	}
@@ -225,7 +225,7 @@
 func (g *guard) bad(c *client) {
 	if !c.blamed {
 		c.blamed = true
-		g.standing.Bad(c.address, g.e.l.Now())
+		g.standing.AddBad(c.address, g.e.l.Now())
 	}
 }
 
@@ -262,7 +262,7 @@
 			at := c.taken()
 			if at > c.seen {
 				c.movedAt = now
-			} else if limits.Unmoved(now - c.movedAt) {
+			} else if limits.IsStalled(now - c.movedAt) {
 				g.bad(c)
 			}
 			c.flow.Moved(now, int(at-c.seen), &g.reader)
@@ -281,7 +281,7 @@
 			}
 			if u.state == upBody && u.flow.Waiting() && u.flow.Slow(now, &g.member) {
 				g.found = append(g.found, u)
-				g.jury.Slow(p.member, now)
+				g.jury.ObserveSlow(p.member, now)
 			}
 		}
 	}
@@ -296,7 +296,7 @@
 		g.judge()
 	}
 	for i, u := range g.found {
-		if g.found[i] = nil; u.fd >= 0 && u.state == upBody && g.jury.Cut(u.p.member, now) {
+		if g.found[i] = nil; u.fd >= 0 && u.state == upBody && g.jury.MayCut(u.p.member, now) {
 			g.counts[limits.SlowMember]++
 			u.broke(spool.TimedOut)
 		}
@@ -315,12 +315,12 @@
 }
 
 // lookAtTails sees how much the kernel holds for clients, and cuts those of them that
-// limits.Tails names.
+// limits.UnreadAccount names.
 func (g *guard) lookAtTails(now float64) {
-	var list []limits.Tail
+	var list []limits.Unread
 	var who []*client
 	add := func(c *client, bytes int64) {
-		list, who = append(list, limits.Tail{Index: len(who), Bytes: bytes, Still: now - c.movedAt}), append(who, c)
+		list, who = append(list, limits.Unread{Index: len(who), Bytes: bytes, Still: now - c.movedAt}), append(who, c)
 	}
 	for c := range g.slow { // looked at before
 		if c.out.len() > 0 {
@@ -348,7 +348,7 @@
 	}
 	clear(g.tailed[len(rest):])
 	g.tailed = rest
-	for _, t := range g.tails.Look(list) {
+	for _, t := range g.tails.Update(list) {
 		if c := who[t.Index]; !c.gone {
 			g.counts[limits.SlowReader]++
 			c.cutSlow(limits.SlowReader)
@@ -357,11 +357,11 @@
 }
 
 // judge finds requests in hand of those who have become poor, and gives up what is
-// too many of them: by limits.Order, of the answers that have begun only those that
+// too many of them: by limits.ShedOrder, of the answers that have begun only those that
 // nobody takes.
 func (g *guard) judge() {
 	e := g.e
-	var held []limits.Holder
+	var held []limits.ShedCandidate
 	var list []*request
 	for _, r := range e.reqs {
 		if r.phase == over || !r.poor && !g.poor(r.c) {
@@ -369,35 +369,35 @@
 		}
 		if !r.poor {
 			r.poor = true
-			g.standing.Take()
+			g.standing.Reserve()
 		}
 		t := r.winner
-		stuck := t != nil && t.u != nil && t.u.held && len(limits.Stuck([]float64{e.l.Now() - t.u.heldAt})) > 0
+		stuck := t != nil && t.u != nil && t.u.held && len(limits.LongStalled([]float64{e.l.Now() - t.u.heldAt})) > 0
 		if r.phase == asked && r.open == 0 || r.phase == relaying && stuck {
 			held, list = append(held, g.holder(len(list), r)), append(list, r)
 		}
 	}
 	excess := g.standing.Excess()
-	for i, h := range limits.Order(held) {
+	for i, h := range limits.ShedOrder(held) {
 		if i >= excess {
 			return
 		}
 		if r := list[h.Index]; r.c.cur == r {
-			g.counts[limits.PoorStanding]++
-			r.shed(limits.PoorStanding)
+			g.counts[limits.PoorReputation]++
+			r.shed(limits.PoorReputation)
 		}
 	}
 }
 
-// holder is a request as limits.Order looks at it.
-func (g *guard) holder(index int, r *request) limits.Holder {
+// holder is a request as limits.ShedOrder looks at it.
+func (g *guard) holder(index int, r *request) limits.ShedCandidate {
 	c := r.c
-	h := limits.Holder{Index: index, Bytes: requestBytes + int64(cap(c.out.buf)+cap(c.left)+cap(r.content)), Begun: r.phase == relaying,
-		Left: max(r.q.KB*1024-float64(r.sent), 0), Repeat: r.phase == takingBody || !r.q.Write || !r.written()}
+	h := limits.ShedCandidate{Index: index, Bytes: requestBytes + int64(cap(c.out.buf)+cap(c.left)+cap(r.content)), Begun: r.phase == relaying,
+		Left: max(r.q.KB*1024-float64(r.sent), 0), Idempotent: r.phase == takingBody || !r.q.Write || !r.written()}
 	if i, ok := g.classes[r.q.Class]; ok {
 		k := &g.e.s.Classes[i]
-		if h.Worth = k.Worth; g.e.l.Now()-r.at > k.Aim {
-			h.Worth *= k.LateWorth
+		if h.Weight = k.Worth; g.e.l.Now()-r.at > k.Aim {
+			h.Weight *= k.LateWorth
 		}
 	}
 	return h
@@ -409,7 +409,7 @@
 		return
 	}
 	if waited {
-		c.flow.Wait(g.now())
+		c.flow.StartWaiting(g.now())
 		g.slow[c] = struct{}{}
 		c.movedAt = g.now()
 		if c.out.len() > 0 {
@@ -418,12 +418,12 @@
 		return
 	}
 	least, _ := c.judgedBy()
-	c.flow.Rest(g.now(), least)
+	c.flow.StopWaiting(g.now(), least)
 	delete(g.slow, c)
 }
 
 // shed gives memory back: idle connections, the longest unused first, and at the very
-// edge requests, by limits.Order.
+// edge requests, by limits.ShedOrder.
 func (g *guard) shed() {
 	idle, requests := g.mem.Excess()
 	for idle > 0 && g.closeIdle(limits.Memory) {
@@ -448,7 +448,7 @@
 	if requests = min(requests, idle); requests <= 0 {
 		return
 	}
-	var held []limits.Holder
+	var held []limits.ShedCandidate
 	var list []*request
 	for c := range e.clients {
 		r := c.cur
@@ -477,7 +477,7 @@
 			}
 		}
 	}
-	for _, i := range limits.Stuck(waits) {
+	for _, i := range limits.LongStalled(waits) {
 		list = append(list, all[i])
 	}
 	return list
@@ -486,7 +486,7 @@
 // closeIdle closes the connection that is unused for longest; false: none is.
 func (g *guard) closeIdle(cause limits.Cause) bool {
 	c := g.idle.oldest()
-	if c == nil || !limits.Idle(g.e.l.Now()-c.idleAt) {
+	if c == nil || !limits.MayCloseIdle(g.e.l.Now()-c.idleAt) {
 		return false
 	}
 	g.counts[cause]++
--- a/internal/proxy/httpfront/guard_test.go
+++ b/internal/proxy/httpfront/guard_test.go
@@ -317,8 +317,8 @@
 	r.boxes["b0"].Fault(testserver.Fault{Kind: testserver.Hang, For: 1500})
 	r.e.Query(func(*Stats, *engine.Core) {
 		for i := range 50 { // as if bytes had waited
-			r.e.guard.adm.Waited(500)
-			r.e.guard.adm.Turn(r.e.l.Now()+float64(200*i), 5)
+			r.e.guard.adm.ObserveWait(500)
+			r.e.guard.adm.Tick(r.e.l.Now()+float64(200*i), 5)
 		}
 	})
 	answers := make(chan string, 30)
@@ -415,12 +415,12 @@
 	for _, c := range first {
 		c.Close()
 	}
-	r.waitFor("the first to go", func(*Stats, *engine.Core) bool { return len(r.e.reqs) == 0 && r.e.guard.standing.Free() })
+	r.waitFor("the first to go", func(*Stats, *engine.Core) bool { return len(r.e.reqs) == 0 && r.e.guard.standing.HasCapacity() })
 	wave(300)
 	if _, bad := r.stills(50); bad > 0 {
 		t.Errorf("%d stills went wrong", bad)
 	}
-	r.waitFor("the others to be turned away", func(*Stats, *engine.Core) bool { return r.e.guard.counts[limits.PoorStanding] >= 292 })
+	r.waitFor("the others to be turned away", func(*Stats, *engine.Core) bool { return r.e.guard.counts[limits.PoorReputation] >= 292 })
 	r.e.Query(func(*Stats, *engine.Core) {
 		if n := len(r.e.reqs); n > 8 {
 			t.Errorf("%d requests are in hand, of 8", n)
@@ -473,7 +473,7 @@
 			return most > 4<<20
 		})
 		if k.what == "past the limit" { // from the start, sockets would have been given less
-			r.e.Query(func(*Stats, *engine.Core) { r.e.guard.tails.Most = 4 << 20 })
+			r.e.Query(func(*Stats, *engine.Core) { r.e.guard.tails.Total = 4 << 20 })
 		}
 		r.waitFor(k.what+" those who take nothing to go", func(*Stats, *engine.Core) bool {
 			return r.e.guard.tails.Held < 4<<20 && r.e.guard.counts[limits.SlowReader] > 10
@@ -663,8 +663,8 @@
 		r.e.guard.adm.Adopt(limits.AdmissionSettings{Target: 20, Interval: 100, Least: 1, Most: 1})
 		r.e.s.Limits.Held = 100 // so that it is the limit that refuses
 		for range 4 {           // as if refusing had taken all of the time
-			r.e.guard.hold.Spent(1e6)
-			r.e.guard.hold.Turn(r.e.l.Now() + 1e5)
+			r.e.guard.hold.AddCost(1e6)
+			r.e.guard.hold.Tick(r.e.l.Now() + 1e5)
 		}
 	})
 	var list []net.Conn
--- a/internal/proxy/httpfront/handover.go
+++ b/internal/proxy/httpfront/handover.go
@@ -80,12 +80,12 @@
 	if e.inherited == nil {
 		return
 	}
-	var peers []limits.Known
+	var peers []limits.AddressRecord
 	if len(e.inherited.Clients) > 0 {
 		if err := json.Unmarshal(e.inherited.Clients, &peers); err != nil {
 			e.log.Log.Warn("what the predecessor knew of clients is not used", zap.Error(err))
 		}
-		e.guard.standing.Recall(peers, e.l.Now())
+		e.guard.standing.Restore(peers, e.l.Now())
 	}
 	if len(e.inherited.LearnedState) == 0 {
 		return
@@ -275,7 +275,7 @@
 	if err != nil {
 		return nil, err
 	}
-	peers, err := json.Marshal(e.guard.standing.Known(e.l.Now()))
+	peers, err := json.Marshal(e.guard.standing.Records(e.l.Now()))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/proxy/httpfront/upstream.go
+++ b/internal/proxy/httpfront/upstream.go
@@ -42,7 +42,7 @@
 		v.attempted()
 	}
 	if t.n == 0 && r.q.Deadline > r.asked {
-		e.guard.adm.Queued((e.l.Now() - r.asked) / (r.q.Deadline - r.asked))
+		e.guard.adm.ObserveQueueing((e.l.Now() - r.asked) / (r.q.Deadline - r.asked))
 	}
 	if r.phase != asked {
 		t.end(spool.Moot, spool.NoteNone, false)
@@ -58,7 +58,7 @@
 	t.p.start(t)
 	if a.Within > 0 && !t.written && !t.done { // its window ends while it waits for a connection
 		id, n := a.ID, t.n
-		e.l.Once(a.Within, func() { e.takeBack(func(t *try) bool { return t.send.ID == id && t.n == n }) })
+		e.l.AfterFunc(a.Within, func() { e.takeBack(func(t *try) bool { return t.send.ID == id && t.n == n }) })
 	}
 }
 
@@ -184,7 +184,7 @@
 	switch {
 	case err == nil:
 		u.begin(t)
-	case eventloop.Lacking(err): // no word about the member
+	case eventloop.IsLocalShortage(err): // no word about the member
 		p.e.stats.ConnectWaits++
 		t.end(spool.LocalFailure, spool.NoteNone, false)
 	default:
@@ -457,7 +457,7 @@
 	}
 	if !u.queued {
 		u.queued, u.since = true, u.e.l.Now()
-		u.flow.Rest(u.e.guard.now(), &u.e.guard.member) // it is the router that it waits for now
+		u.flow.StopWaiting(u.e.guard.now(), &u.e.guard.member) // it is the router that it waits for now
 		u.e.guard.ready(u.t.r.c.class, u)
 	}
 }
@@ -484,7 +484,7 @@
 		return n, true
 	}
 	if u.fd >= 0 && u.state == upBody && !u.held {
-		u.flow.Wait(u.e.guard.now())
+		u.flow.StartWaiting(u.e.guard.now())
 	}
 	return max(n, 0), false
 }
@@ -799,7 +799,7 @@
 	}
 	u.e.l.Arm(&u.timer, u.e.s.Limits.BodyIdle)
 	u.flow = limits.Flow{}
-	u.flow.Wait(u.e.guard.now())
+	u.flow.StartWaiting(u.e.guard.now())
 }
 
 // relay passes content on to the client. Once as much waits as may, the member
@@ -847,7 +847,7 @@
 	if u.t != nil && u.fd >= 0 && (pg != nil && pg.holds(r) || pg == nil &&
 		(c.out.len() >= u.e.guard.room() || c.out.len() > 0 && u.e.guard.mem.Full())) {
 		u.held, u.heldAt = true, u.e.l.Now()
-		u.flow.Rest(u.e.guard.now(), &u.e.guard.member)
+		u.flow.StopWaiting(u.e.guard.now(), &u.e.guard.member)
 		u.e.l.Disarm(&u.timer) // the client holds things up, not the member
 		u.e.l.Want(u.fd, 0)
 	}
@@ -863,7 +863,7 @@
 	u := t.u
 	u.held = false
 	u.stalled(false)
-	u.flow.Wait(u.e.guard.now())
+	u.flow.StartWaiting(u.e.guard.now())
 	u.e.l.Arm(&u.timer, u.e.s.Limits.BodyIdle)
 	u.e.l.Want(u.fd, eventloop.Read)
 }
@@ -898,7 +898,7 @@
 	if r.page == nil {
 		r.why = endServed
 	}
-	u.e.guard.jury.Good(u.p.member, u.e.guard.now())
+	u.e.guard.jury.ObserveGood(u.p.member, u.e.guard.now())
 	t.u, u.t = nil, nil
 	keep := !excess && !u.head.Close && u.body.Kind() != http1.UntilClose
 	note := u.note
--- a/internal/proxy/limits/admission.go
+++ b/internal/proxy/limits/admission.go
@@ -21,16 +21,16 @@
 // by a tenth to a half an interval, from what is in hand; else, where the limit is in
 // use, it grows by a twentieth and one an interval.
 type Admission struct {
-	s     AdmissionSettings
-	limit float64
-	least float64 // wait in the present interval; below 0: none was seen
-	parts float64 // sum of the parts of their time that requests waited, in the present interval
-	waits int     // how many those are
-	long  int     // and of how many it was too long
-	most  int     // in hand in the present interval
-	ends  float64
-	over  bool
-	Waits float64 // the least wait of the last interval
+	s        AdmissionSettings
+	limit    float64
+	least    float64 // wait in the present interval; below 0: none was seen
+	parts    float64 // sum of the parts of their time that requests waited, in the present interval
+	waits    int     // how many those are
+	long     int     // and of how many it was too long
+	most     int     // in hand in the present interval
+	ends     float64
+	over     bool
+	LastWait float64 // the least wait of the last interval
 }
 
 // NewAdmission begins without a limit below Most.
@@ -48,9 +48,9 @@
 	a.s, a.limit = s, min(a.limit, float64(s.Most))
 }
 
-// Queued says which part of its time until the deadline a request has waited for its
+// ObserveQueueing says which part of its time until the deadline a request has waited for its
 // first attempt.
-func (a *Admission) Queued(part float64) {
+func (a *Admission) ObserveQueueing(part float64) {
 	a.parts += part
 	a.waits++
 	if part > a.s.Part {
@@ -58,22 +58,22 @@
 	}
 }
 
-// Waited says that ready bytes had to wait for the router.
-func (a *Admission) Waited(ms float64) {
+// ObserveWait says that ready bytes had to wait for the router.
+func (a *Admission) ObserveWait(ms float64) {
 	if a.least < 0 || ms < a.least {
 		a.least = ms
 	}
 }
 
-// Turn says how many requests are in hand; it is to be called at least once an
+// Tick says how many requests are in hand; it is to be called at least once an
 // interval.
-func (a *Admission) Turn(now float64, inHand int) {
+func (a *Admission) Tick(now float64, inHand int) {
 	a.most = max(a.most, inHand)
 	if now < a.ends {
 		return
 	}
 	if a.ends > 0 {
-		a.Waits = max(a.least, 0)
+		a.LastWait = max(a.least, 0)
 		wait := a.least / a.s.Target
 		if a.s.Part > 0 && 2*a.long > a.waits {
 			wait = max(wait, a.parts/float64(a.waits)/a.s.Part, 1.1)
@@ -90,8 +90,8 @@
 	a.parts, a.waits, a.long = 0, 0, 0
 }
 
-// Over reports whether the router was found overloaded in the last interval.
-func (a *Admission) Over() bool { return a.over }
+// Overloaded reports whether the router was found overloaded in the last interval.
+func (a *Admission) Overloaded() bool { return a.over }
 
 // Limit is how many requests may be in hand.
 func (a *Admission) Limit() int { return int(a.limit) }
--- a/internal/proxy/limits/again.go
+++ b/internal/proxy/limits/again.go
@@ -2,10 +2,10 @@
 
 import "math/rand/v2"
 
-// Again spaces out tries that failed, so that many processes that lost the same service at
+// Backoff spaces out tries that failed, so that many processes that lost the same service at
 // once don't ask in step, and don't ask more often the longer it is away. The chance is
 // from a seed. Spans are in milliseconds.
-type Again struct {
+type Backoff struct {
 	First float64 // within which the first try after a loss falls, by chance
 	Base  float64 // before the second, give or take half of it; each later one takes twice as long
 	Most  float64 // no wait is longer
@@ -13,13 +13,13 @@
 	n     int
 }
 
-// NewAgain begins with nothing lost.
-func NewAgain(first, base, most float64, seed uint64) *Again {
-	return &Again{First: first, Base: base, Most: most, rng: rand.New(rand.NewPCG(seed, 0x5eed))}
+// NewBackoff begins with nothing lost.
+func NewBackoff(first, base, most float64, seed uint64) *Backoff {
+	return &Backoff{First: first, Base: base, Most: most, rng: rand.New(rand.NewPCG(seed, 0x5eed))}
 }
 
-// In is how long to wait before the next try.
-func (a *Again) In() float64 {
+// Next is how long to wait before the next try.
+func (a *Backoff) Next() float64 {
 	if a.n++; a.n == 1 {
 		return a.First * a.rng.Float64()
 	}
@@ -27,5 +27,5 @@
 	return min(span*(0.5+a.rng.Float64()), a.Most)
 }
 
-// Well says that a try succeeded.
-func (a *Again) Well() { a.n = 0 }
+// Reset says that a try succeeded.
+func (a *Backoff) Reset() { a.n = 0 }
--- a/internal/proxy/limits/flow.go
+++ b/internal/proxy/limits/flow.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// Least is the least rate at which a peer has to move bytes while it is the one that
+// MinRate is the least rate at which a peer has to move bytes while it is the one that
 // is waited for. A zero Rate asks for none.
-type Least struct {
+type MinRate struct {
 	Rate  float64 // bytes a ms
 	Grace float64 // ms of its own delay that a peer may run up beyond what its bytes pay for
 	Step  float64 // most that is charged between two looks: a longer gap is the router's own
@@ -22,15 +22,15 @@
 	waiting bool
 }
 
-// Wait says that from now on the peer is waited for.
-func (f *Flow) Wait(now float64) {
+// StartWaiting says that from now on the peer is waited for.
+func (f *Flow) StartWaiting(now float64) {
 	if !f.waiting {
 		f.waiting, f.last = true, now
 	}
 }
 
-// Rest says that from now on it is not: the other side, or the router, holds things up.
-func (f *Flow) Rest(now float64, l *Least) {
+// StopWaiting says that from now on it is not: the other side, or the router, holds things up.
+func (f *Flow) StopWaiting(now float64, l *MinRate) {
 	f.charge(now, l)
 	f.waiting = false
 }
@@ -39,7 +39,7 @@
 func (f *Flow) Waiting() bool { return f.waiting }
 
 // Moved says that the peer took, or sent, so many bytes.
-func (f *Flow) Moved(now float64, n int, l *Least) {
+func (f *Flow) Moved(now float64, n int, l *MinRate) {
 	f.charge(now, l)
 	if l.Rate > 0 {
 		f.owed = max(f.owed-float64(n)/l.Rate, 0)
@@ -48,20 +48,20 @@
 
 // Slow reports whether the peer has run up more than its grace. It is to be asked at
 // least every Step while the peer is waited for.
-func (f *Flow) Slow(now float64, l *Least) bool {
+func (f *Flow) Slow(now float64, l *MinRate) bool {
 	f.charge(now, l)
 	return l.Rate > 0 && f.owed > l.Grace
 }
 
 // Due is in how many ms the peer will be slow if nothing moves.
-func (f *Flow) Due(l *Least) float64 {
+func (f *Flow) Due(l *MinRate) float64 {
 	if !f.waiting || l.Rate <= 0 {
 		return math.Inf(1)
 	}
 	return max(l.Grace-f.owed, 0)
 }
 
-func (f *Flow) charge(now float64, l *Least) {
+func (f *Flow) charge(now float64, l *MinRate) {
 	if f.waiting && now > f.last {
 		spent := now - f.last
 		if l.Step > 0 {
@@ -72,10 +72,10 @@
 	f.last = max(f.last, now)
 }
 
-// Jury keeps a judgement on members from being the router's own fault: where most of
+// MassSlowness keeps a judgement on members from being the router's own fault: where most of
 // those that are at work are found slow within a short while, the cause is nearer to
 // the router than to them, and none is cut.
-type Jury struct {
+type MassSlowness struct {
 	Span  float64 // ms over which members are counted
 	Share float64 // of those at work: from there on judgement is suspect
 	Least int     // members at work below which one may always be cut
@@ -84,16 +84,16 @@
 	Spared     uint64             // cuts that were not made
 }
 
-// Good says that a member moved bytes at the least rate or more.
-func (j *Jury) Good(member string, now float64) { j.note(&j.good, member, now) }
+// ObserveGood says that a member moved bytes at the least rate or more.
+func (j *MassSlowness) ObserveGood(member string, now float64) { j.note(&j.good, member, now) }
 
-// Slow says that a member was found slow. All that are found so at a time are to be
+// ObserveSlow says that a member was found slow. All that are found so at a time are to be
 // told before Cut is asked of one.
-func (j *Jury) Slow(member string, now float64) { j.note(&j.slow, member, now) }
+func (j *MassSlowness) ObserveSlow(member string, now float64) { j.note(&j.slow, member, now) }
 
-// Cut reports whether a member that was found slow may be cut.
-func (j *Jury) Cut(member string, now float64) bool {
-	j.Slow(member, now)
+// MayCut reports whether a member that was found slow may be cut.
+func (j *MassSlowness) MayCut(member string, now float64) bool {
+	j.ObserveSlow(member, now)
 	slow, working := 0, 0
 	for id, at := range j.slow {
 		if now-at > j.Span {
@@ -117,7 +117,7 @@
 	return true
 }
 
-func (j *Jury) note(m *map[string]float64, member string, now float64) {
+func (j *MassSlowness) note(m *map[string]float64, member string, now float64) {
 	if *m == nil {
 		*m = map[string]float64{}
 	}
--- a/internal/proxy/limits/hold.go
+++ b/internal/proxy/limits/hold.go
@@ -1,35 +1,35 @@
 package limits
 
-// HoldSettings bound what turning requests away may cost. Spans are in ms.
-type HoldSettings struct {
+// ReadPauseSettings bound what turning requests away may cost. Spans are in ms.
+type ReadPauseSettings struct {
 	Share    float64 // of the time
 	Interval float64 // over which it is measured
 	Most     float64 // that a connection is held
 }
 
-// UsualHold is what routers go by.
-var UsualHold = HoldSettings{Share: 0.015, Interval: 100, Most: 200}
+// DefaultReadPause is what routers go by.
+var DefaultReadPause = ReadPauseSettings{Share: 0.015, Interval: 100, Most: 200}
 
-// Hold is for how long a connection whose request was turned away is not read again.
+// ReadPause is for how long a connection whose request was turned away is not read again.
 // A refusal costs two calls into the kernel, and who is refused may ask again at once:
 // at several times what a router can do, refusing takes the time of answering. While
 // it takes more than its share the hold doubles, and else it halves, down to none.
 // Who waits as long as Retry-After says never notices.
-type Hold struct {
-	s     HoldSettings
+type ReadPause struct {
+	s     ReadPauseSettings
 	ms    float64
 	spent float64
 	since float64
 }
 
-// NewHold begins with none.
-func NewHold(s HoldSettings) *Hold { return &Hold{s: s} }
+// NewReadPause begins with none.
+func NewReadPause(s ReadPauseSettings) *ReadPause { return &ReadPause{s: s} }
 
-// Spent says that turning a request away took so long.
-func (h *Hold) Spent(ms float64) { h.spent += ms }
+// AddCost says that turning a request away took so long.
+func (h *ReadPause) AddCost(ms float64) { h.spent += ms }
 
-// Turn is to be called at least once an interval.
-func (h *Hold) Turn(now float64) {
+// Tick is to be called at least once an interval.
+func (h *ReadPause) Tick(now float64) {
 	span := now - h.since
 	if span < h.s.Interval {
 		return
@@ -45,5 +45,5 @@
 	h.spent, h.since = 0, now
 }
 
-// For is how long a connection is held now, in ms.
-func (h *Hold) For() float64 { return h.ms }
+// Duration is how long a connection is held now, in ms.
+func (h *ReadPause) Duration() float64 { return h.ms }
--- a/internal/proxy/limits/limits.go
+++ b/internal/proxy/limits/limits.go
@@ -17,17 +17,17 @@
 
 // The causes.
 const (
-	None         Cause = iota
-	SlowHead           // a request's head came too slowly
-	SlowBody           // a request's body did
-	SlowReader         // a client took its answer too slowly
-	SlowMember         // a member sent its answer too slowly
-	Overload           // as many requests in hand as the router bears now
-	Repeats            // too many repeats, of this client or of all
-	Memory             // the memory budget's edge
-	PerAddress         // as many connections of one client address as may be
-	Descriptors        // as many connections as there are descriptors for
-	PoorStanding       // its address has wasted the places that it had
+	None           Cause = iota
+	SlowHead             // a request's head came too slowly
+	SlowBody             // a request's body did
+	SlowReader           // a client took its answer too slowly
+	SlowMember           // a member sent its answer too slowly
+	Overload             // as many requests in hand as the router bears now
+	RetryLimit           // too many repeats, of this client or of all
+	Memory               // the memory budget's edge
+	PerAddress           // as many connections of one client address as may be
+	Descriptors          // as many connections as there are descriptors for
+	PoorReputation       // its address has wasted the places that it had
 	causes
 )
 
--- a/internal/proxy/limits/limits_test.go
+++ b/internal/proxy/limits/limits_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-var least = Least{Rate: 8, Grace: 4000, Step: 500}
+var least = MinRate{Rate: 8, Grace: 4000, Step: 500}
 
 // A peer that moves the least rate over each span is never cut, whatever the other
 // side and the router do meanwhile, and however it spreads its bytes within the span.
@@ -17,12 +17,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var f Flow
 		now, debt := 0.0, 0.0 // ms of its own delay since its bytes last paid for it
-		f.Wait(now)
+		f.StartWaiting(now)
 		waited := true
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0: // the other side, or the router, holds things up for as long as it likes
-				f.Rest(now, &least)
+				f.StopWaiting(now, &least)
 				now += rapid.Float64Range(0, 60000).Draw(t, "other")
 				waited = false
 			case 1: // the router does not look for a while: charged is a step at most
@@ -32,7 +32,7 @@
 				now += rapid.Float64Range(least.Step, 20000).Draw(t, "stall")
 			default:
 				if !waited {
-					f.Wait(now)
+					f.StartWaiting(now)
 					waited = true
 				}
 				d := rapid.Float64Range(0, least.Step).Draw(t, "peer")
@@ -58,7 +58,7 @@
 		rate := rapid.Float64Range(0, 0.8).Draw(t, "share") * least.Rate
 		gap := rapid.Float64Range(1, 1500).Draw(t, "gap")
 		var f Flow
-		f.Wait(0)
+		f.StartWaiting(0)
 		next, part := gap, 0.0
 		for now := 0.0; now < 60000; now += 250 {
 			for next <= now {
@@ -81,7 +81,7 @@
 // Reading in bursts at just the least rate is allowed.
 func TestBurstsAtTheRate(t *testing.T) {
 	var f Flow
-	f.Wait(0)
+	f.StartWaiting(0)
 	for now := 250.0; now < 600000; now += 250 {
 		if math.Mod(now, 3500) == 0 {
 			f.Moved(now, int(3500*least.Rate), &least)
@@ -93,7 +93,7 @@
 	if d := f.Due(&least); d <= 0 || d > least.Grace {
 		t.Error(d)
 	}
-	if f = (Flow{}); f.Slow(1e9, &least) || !math.IsInf(f.Due(&least), 1) || f.Slow(1e9, &Least{}) {
+	if f = (Flow{}); f.Slow(1e9, &least) || !math.IsInf(f.Due(&least), 1) || f.Slow(1e9, &MinRate{}) {
 		t.Error("a flow that nobody waits for is slow")
 	}
 }
@@ -101,30 +101,30 @@
 // One slow member is cut; where most are slow at once none is, and once the others are
 // well again the one is.
 func TestJury(t *testing.T) {
-	j := Jury{Span: 5000, Share: 0.5, Least: 3}
+	j := MassSlowness{Span: 5000, Share: 0.5, Least: 3}
 	for _, m := range []string{"a", "b", "c", "d"} {
-		j.Good(m, 1000)
+		j.ObserveGood(m, 1000)
 	}
-	if !j.Cut("a", 1200) || !j.Cut("b", 1300) {
+	if !j.MayCut("a", 1200) || !j.MayCut("b", 1300) {
 		t.Error("two of four were not cut")
 	}
-	if j.Cut("c", 1400) || j.Cut("d", 1500) || j.Spared != 2 {
+	if j.MayCut("c", 1400) || j.MayCut("d", 1500) || j.Spared != 2 {
 		t.Errorf("three of four were cut (%d spared)", j.Spared)
 	}
-	all := Jury{Span: 5000, Share: 0.5, Least: 2}
+	all := MassSlowness{Span: 5000, Share: 0.5, Least: 2}
 	for _, m := range []string{"a", "b", "c"} { // told first, none of them is cut
-		all.Slow(m, 1000)
+		all.ObserveSlow(m, 1000)
 	}
-	if all.Cut("a", 1000) || all.Cut("b", 1000) {
+	if all.MayCut("a", 1000) || all.MayCut("b", 1000) {
 		t.Error("all three are slow, and one was cut")
 	}
-	j.Good("a", 9000)
-	j.Good("b", 9000)
-	if !j.Cut("c", 9100) {
+	j.ObserveGood("a", 9000)
+	j.ObserveGood("b", 9000)
+	if !j.MayCut("c", 9100) {
 		t.Error("one of three, once the others are well, was not cut")
 	}
-	one := Jury{Span: 5000, Share: 0.5, Least: 3}
-	if !one.Cut("a", 1) || !one.Cut("a", 2) {
+	one := MassSlowness{Span: 5000, Share: 0.5, Least: 3}
+	if !one.MayCut("a", 1) || !one.MayCut("a", 2) {
 		t.Error("the only member at work was not cut")
 	}
 }
@@ -245,7 +245,7 @@
 			for len(ends) > 0 && ends[0] <= now {
 				ends = ends[1:]
 			}
-			a.Turn(now, len(ends))
+			a.Tick(now, len(ends))
 			if !a.Admit(len(ends), 1) {
 				refused++
 				busy = max(busy, now) + per*0.02 // a refusal is cheap, and not free
@@ -253,7 +253,7 @@
 			}
 			wait := max(busy-now, 0)
 			busy = max(busy, now) + per
-			a.Waited(wait)
+			a.ObserveWait(wait)
 			ends = append(ends, busy+hold)
 			if now > 20000 {
 				served++
@@ -270,10 +270,10 @@
 		}
 		for range 200 { // calm again
 			now += 100
-			a.Waited(0)
-			a.Turn(now, a.Limit())
+			a.ObserveWait(0)
+			a.Tick(now, a.Limit())
 		}
-		if a.Limit() < 20000 || a.Over() {
+		if a.Limit() < 20000 || a.Overloaded() {
 			t.Errorf("load %v: the limit stays at %d", load, a.Limit())
 		}
 	}
@@ -299,7 +299,7 @@
 			for len(other) > 0 && other[0] <= now {
 				other = other[1:]
 			}
-			a.Turn(now, len(queue)+len(busy)+len(other))
+			a.Tick(now, len(queue)+len(busy)+len(other))
 			for ; arrive < now; arrive += rng.ExpFloat64() / (4 * places / takes) {
 				if !a.Admit(len(queue)+len(busy)+len(other), 1) {
 					refused++
@@ -309,7 +309,7 @@
 			}
 			for range 3 {
 				if beside {
-					a.Queued(0)
+					a.ObserveQueueing(0)
 					other = append(other, now+10)
 				}
 			}
@@ -320,7 +320,7 @@
 			for len(queue) > 0 && len(busy) < places {
 				at := queue[0]
 				queue = queue[1:]
-				a.Queued((now - at) / deadline)
+				a.ObserveQueueing((now - at) / deadline)
 				busy = append(busy, now+takes)
 				if now+takes-at > deadline {
 					late++
@@ -350,8 +350,8 @@
 		t.Error("without overload the limit is not the most")
 	}
 	for now := 0.0; now < 3000; now += 100 {
-		a.Waited(50)
-		a.Turn(now, 200)
+		a.ObserveWait(50)
+		a.Tick(now, 200)
 	}
 	limit := a.Limit()
 	if limit > 200 || limit < 10 || !a.Admit(limit*8/10, 1) || limit > 20 && a.Admit(limit*8/10, 0) {
@@ -365,12 +365,12 @@
 // Repeats are a share of first tries once an overload lasts; one address can't take
 // the others' share, and is bounded in calm times too.
 func TestRetries(t *testing.T) {
-	r := NewRetries(RetrySettings{Share: 0.25, Burst: 20, AddressShare: 0.5, AddressBurst: 10, Addresses: 100})
+	r := NewRetryBudget(RetryBudgetSettings{Share: 0.25, Burst: 20, AddressShare: 0.5, AddressBurst: 10, Addresses: 100})
 	went := 0
 	for i := range 1000 {
-		r.Ask(fmt.Sprint(i%50), false, true)
+		r.Admit(fmt.Sprint(i%50), false, true)
 		for range 3 {
-			if r.Ask(fmt.Sprint(i%50), true, true) {
+			if r.Admit(fmt.Sprint(i%50), true, true) {
 				went++
 			}
 		}
@@ -380,7 +380,7 @@
 	}
 	went = 0
 	for range 1000 {
-		if r.Ask("greedy", true, false) {
+		if r.Admit("greedy", true, false) {
 			went++
 		}
 	}
@@ -388,7 +388,7 @@
 		t.Errorf("one address made %d repeats at once", went)
 	}
 	for i := range 100000 { // addresses that come once are forgotten
-		r.Ask(fmt.Sprint("a", i), false, false)
+		r.Admit(fmt.Sprint("a", i), false, false)
 	}
 	if len(r.now)+len(r.before) > 200 {
 		t.Errorf("%d addresses are remembered", len(r.now)+len(r.before))
@@ -426,31 +426,31 @@
 	if idle, reqs := b.Excess(); idle != 169 || reqs != 169 || b.Used() != 969 || b.Map()["answers"] != 899 {
 		t.Error(idle, reqs)
 	}
-	list := []Holder{
-		{Index: 0, Bytes: 100, Worth: 1, Left: 10, Begun: true, Repeat: true},
-		{Index: 1, Bytes: 100, Worth: 1, Left: 10, Repeat: true},
-		{Index: 2, Bytes: 100, Worth: 1, Left: 1000, Repeat: true},
-		{Index: 3, Bytes: 100, Worth: 0.1, Left: 10, Repeat: true},
-		{Index: 4, Bytes: 100, Worth: 0, Left: 1e9},
-		{Index: 5, Bytes: 0, Worth: 0, Left: 1e9, Repeat: true},
+	list := []ShedCandidate{
+		{Index: 0, Bytes: 100, Weight: 1, Left: 10, Begun: true, Idempotent: true},
+		{Index: 1, Bytes: 100, Weight: 1, Left: 10, Idempotent: true},
+		{Index: 2, Bytes: 100, Weight: 1, Left: 1000, Idempotent: true},
+		{Index: 3, Bytes: 100, Weight: 0.1, Left: 10, Idempotent: true},
+		{Index: 4, Bytes: 100, Weight: 0, Left: 1e9},
+		{Index: 5, Bytes: 0, Weight: 0, Left: 1e9, Idempotent: true},
 	}
 	want := []int{2, 3, 1, 0}
-	for i, h := range Order(append([]Holder(nil), list...)) {
+	for i, h := range ShedOrder(append([]ShedCandidate(nil), list...)) {
 		if h.Index != want[i] {
 			t.Errorf("place %d is of %d, not %d", i, h.Index, want[i])
 		}
 	}
-	if got := Shed(append([]Holder(nil), list...), 150); len(got) != 2 {
+	if got := Shed(append([]ShedCandidate(nil), list...), 150); len(got) != 2 {
 		t.Errorf("%+v", got)
 	}
-	if got := Shed(append([]Holder(nil), list...), 1e6); len(got) != 4 {
+	if got := Shed(append([]ShedCandidate(nil), list...), 1e6); len(got) != 4 {
 		t.Errorf("%+v", got)
 	}
 }
 
 // Answers that have waited for their clients for a second give way, the longest first.
 func TestStuck(t *testing.T) {
-	if got := fmt.Sprint(Stuck([]float64{999, 1000, 5000, 0, 2000})); got != "[2 4 1]" || len(Stuck(nil)) != 0 {
+	if got := fmt.Sprint(LongStalled([]float64{999, 1000, 5000, 0, 2000})); got != "[2 4 1]" || len(LongStalled(nil)) != 0 {
 		t.Error(got)
 	}
 }
@@ -471,7 +471,7 @@
 	now := 0.0
 	for b.Loop() {
 		now += 0.1
-		f.Wait(now)
+		f.StartWaiting(now)
 		f.Moved(now, 100, &least)
 		if f.Slow(now, &least) {
 			b.Fatal()
@@ -483,25 +483,25 @@
 // wastes more than a tenth of his places is, and is forgiven in time; and no more than
 // so many addresses are remembered.
 func TestStanding(t *testing.T) {
-	settings := StandingSettings{Half: 60000, Least: 1.5, Weight: 10, Most: 4, Addresses: 64}
+	settings := ReputationSettings{Half: 60000, Least: 1.5, Weight: 10, Most: 4, Addresses: 64}
 	rapid.Check(t, func(t *rapid.T) {
-		s := NewStanding(settings)
+		s := NewReputation(settings)
 		now, ends := 0.0, rapid.IntRange(30, 300).Draw(t, "ends")
 		wasted := rapid.IntRange(2, 9).Draw(t, "one in")
 		for i := range ends {
 			now += rapid.Float64Range(0, 3000).Draw(t, "gap")
-			s.Good("well", now)
+			s.AddGood("well", now)
 			if i%wasted == 0 {
-				s.Bad("wasteful", now)
+				s.AddBad("wasteful", now)
 			} else {
-				s.Good("wasteful", now)
+				s.AddGood("wasteful", now)
 			}
 			if i%40 == 0 { // one in forty, as where a line breaks now and then
-				s.Bad("mostly well", now)
+				s.AddBad("mostly well", now)
 			} else {
-				s.Good("mostly well", now)
+				s.AddGood("mostly well", now)
 			}
-			s.Bad(fmt.Sprint("passing ", i), now)
+			s.AddBad(fmt.Sprint("passing ", i), now)
 			if s.Poor("well", now) || s.Poor("unknown", now) || i > 20 && s.Poor("mostly well", now) {
 				t.Fatalf("a good one is poor at %v", now)
 			}
@@ -509,40 +509,40 @@
 				t.Fatalf("%d are remembered", n)
 			}
 		}
-		if s.Bad("wasteful", now); now < 60000 && !s.Poor("wasteful", now) {
+		if s.AddBad("wasteful", now); now < 60000 && !s.Poor("wasteful", now) {
 			t.Fatalf("one in %d of its places was wasted, and it is not poor", wasted)
 		}
 		if s.Poor("wasteful", now+10*60000) {
 			t.Fatal("it is not forgiven in ten half-lives")
 		}
 	})
-	s := NewStanding(settings)
+	s := NewReputation(settings)
 	for i := range 30 {
 		for range i % 5 {
-			s.Bad(fmt.Sprint(i), 100)
-			s.Good(fmt.Sprint(i), 100)
+			s.AddBad(fmt.Sprint(i), 100)
+			s.AddGood(fmt.Sprint(i), 100)
 		}
 	}
-	next := NewStanding(settings)
-	next.Recall(append(s.Known(200), Known{"nan", math.NaN(), 1}, Known{"inf", 0, math.Inf(1)}, Known{"below", -1, 1}), 7000)
+	next := NewReputation(settings)
+	next.Restore(append(s.Records(200), AddressRecord{"nan", math.NaN(), 1}, AddressRecord{"inf", 0, math.Inf(1)}, AddressRecord{"below", -1, 1}), 7000)
 	for i := range 30 {
 		if a := fmt.Sprint(i); s.Poor(a, 200) != next.Poor(a, 7000) || s.Poor(a, 200) != (i%5 >= 2) {
 			t.Errorf("%s: %v before, %v after", a, s.Poor(a, 200), next.Poor(a, 7000))
 		}
 	}
-	if len(next.Known(7000)) != len(s.Known(200)) {
-		t.Errorf("%d known, of %d", len(next.Known(7000)), len(s.Known(200)))
+	if len(next.Records(7000)) != len(s.Records(200)) {
+		t.Errorf("%d known, of %d", len(next.Records(7000)), len(s.Records(200)))
 	}
-	s = NewStanding(settings)
+	s = NewReputation(settings)
 	for range 4 {
-		if s.Take(); s.Free() != (s.Excess() < 0) {
-			t.Error(s.Free(), s.Excess())
+		if s.Reserve(); s.HasCapacity() != (s.Excess() < 0) {
+			t.Error(s.HasCapacity(), s.Excess())
 		}
 	}
-	if s.Take(); s.Free() || s.Excess() != 1 {
+	if s.Reserve(); s.HasCapacity() || s.Excess() != 1 {
 		t.Error(s.Excess())
 	}
-	if s.Give(); s.Excess() != 0 || s.Any() {
+	if s.Release(); s.Excess() != 0 || s.Any() {
 		t.Error(s.Excess())
 	}
 }
@@ -578,8 +578,8 @@
 	if got := one.Room(1 << 20); got != leastRoom {
 		t.Error(got)
 	}
-	if Own(64<<20) != 24<<20 || Own(4<<20) != 3<<20 || !Idle(200) || Idle(199) || !Unmoved(2000) || Unmoved(1999) {
-		t.Error(Own(64<<20), Own(4<<20))
+	if UnaccountedMemory(64<<20) != 24<<20 || UnaccountedMemory(4<<20) != 3<<20 || !MayCloseIdle(200) || MayCloseIdle(199) || !IsStalled(2000) || IsStalled(1999) {
+		t.Error(UnaccountedMemory(64<<20), UnaccountedMemory(4<<20))
 	}
 }
 
@@ -588,7 +588,7 @@
 func TestHold(t *testing.T) {
 	const cost, conns = 0.01, 1500 // ms a refusal
 	for _, rate := range []float64{0.5, 10, 100} {
-		h := NewHold(HoldSettings{Share: 0.05, Interval: 100, Most: 200})
+		h := NewReadPause(ReadPauseSettings{Share: 0.05, Interval: 100, Most: 200})
 		var back []float64 // when each connection is read again, in order
 		spent, now := 0.0, 0.0
 		for ; now < 20000; now++ {
@@ -599,26 +599,26 @@
 				if len(back) >= conns || rate < 1 && int(now)%2 == 1 {
 					continue
 				}
-				h.Spent(cost)
+				h.AddCost(cost)
 				if now > 5000 {
 					spent += cost
 				}
-				if ms := h.For(); ms > 0 {
+				if ms := h.Duration(); ms > 0 {
 					back = append(back, now+ms)
 				}
 			}
-			h.Turn(now)
+			h.Tick(now)
 		}
 		share := spent / 15000
-		if share > 0.12 || rate < 1 && h.For() > 0 || rate > 50 && (h.For() == 0 || share < 0.02) {
-			t.Errorf("%v a ms: %.3f of the time, held for %v ms", rate, share, h.For())
+		if share > 0.12 || rate < 1 && h.Duration() > 0 || rate > 50 && (h.Duration() == 0 || share < 0.02) {
+			t.Errorf("%v a ms: %.3f of the time, held for %v ms", rate, share, h.Duration())
 		}
 		for range 12 {
 			now += 100
-			h.Turn(now)
+			h.Tick(now)
 		}
-		if h.For() > 0 {
-			t.Errorf("%v a ms: still held for %v ms, for nothing", rate, h.For())
+		if h.Duration() > 0 {
+			t.Errorf("%v a ms: still held for %v ms, for nothing", rate, h.Duration())
 		}
 	}
 }
@@ -627,13 +627,13 @@
 // always is, and past the limit it comes down to 0.80 unless only those are left who take.
 func TestTails(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tails := Tails{Most: 1 << 20, Idle: 20_000}
-		var list []Tail
+		tails := UnreadAccount{Total: 1 << 20, Idle: 20_000}
+		var list []Unread
 		for i := range rapid.IntRange(0, 60).Draw(t, "clients") {
-			list = append(list, Tail{Index: i, Bytes: rapid.Int64Range(0, 200<<10).Draw(t, "bytes"), Still: rapid.Float64Range(0, 25_000).Draw(t, "still")})
+			list = append(list, Unread{Index: i, Bytes: rapid.Int64Range(0, 200<<10).Draw(t, "bytes"), Still: rapid.Float64Range(0, 25_000).Draw(t, "still")})
 		}
-		all := append([]Tail(nil), list...)
-		cut := tails.Look(list)
+		all := append([]Unread(nil), list...)
+		cut := tails.Update(list)
 		gone, left, moving := map[int]bool{}, tails.Held, int64(0)
 		for _, c := range cut {
 			if gone[c.Index] {
@@ -648,9 +648,9 @@
 				t.Fatalf("%+v is cut, and holds nothing", c)
 			case c.Bytes > 0 && c.Still >= tails.Idle && !gone[c.Index]:
 				t.Fatalf("%+v is left", c)
-			case !Unmoved(c.Still) && gone[c.Index]:
+			case !IsStalled(c.Still) && gone[c.Index]:
 				t.Fatalf("%+v takes something, and is cut", c)
-			case !Unmoved(c.Still):
+			case !IsStalled(c.Still):
 				moving += c.Bytes
 			case tails.Held < 900<<10 && c.Still < tails.Idle && gone[c.Index]:
 				t.Fatalf("%+v is cut although there is room", c)
@@ -660,15 +660,15 @@
 			t.Fatalf("%d bytes are left, %d of them of those who take some", left, moving)
 		}
 	})
-	free := Tails{}
-	if cut := free.Look([]Tail{{Bytes: 1 << 40, Still: -1}}); len(cut) > 0 || free.Room(0) != 0 || free.Room(512<<10) != 512<<10 {
+	free := UnreadAccount{}
+	if cut := free.Update([]Unread{{Bytes: 1 << 40, Still: -1}}); len(cut) > 0 || free.Room(0) != 0 || free.Room(512<<10) != 512<<10 {
 		t.Error("no limit is set, and one is kept")
 	}
-	big := Tails{Most: 160 << 20, Held: 48 << 20}
+	big := UnreadAccount{Total: 160 << 20, Held: 48 << 20}
 	if n := big.Room(512 << 10); n != 384<<10 {
 		t.Errorf("room of %d", n)
 	}
-	half := Tails{Most: 64 << 20, Held: 32 << 20}
+	half := UnreadAccount{Total: 64 << 20, Held: 32 << 20}
 	if n := half.Room(512 << 10); n != 128<<10 {
 		t.Errorf("room of %d", n)
 	}
@@ -676,7 +676,7 @@
 
 func TestPlaces(t *testing.T) {
 	for _, n := range []int{32, 256, 1024} {
-		p := NewPlaces(n)
+		p := NewConnectionQuota(n)
 		if p.Clients+p.Members > n || p.Clients < n/10 || p.Members < 2 || n >= 256 && p.Clients < n/3 {
 			t.Errorf("%d descriptors: %+v", n, p)
 		}
@@ -687,24 +687,24 @@
 	now := 100000.0
 	for _, c := range []struct {
 		name string
-		v    Visitor
+		v    ClientActivity
 		goes bool
 	}{
-		{"just came", Visitor{Since: now - 1000}, false},
-		{"says nothing", Visitor{Since: now - 2500}, true},
-		{"says half", Visitor{Since: now - 9000, Last: now - 3000, Half: now - 2500, Messages: 3, Open: 1}, true},
-		{"waits for an answer", Visitor{Since: now - 9000, Last: now - 9000, Messages: 3, Open: 1}, false},
-		{"takes no answer", Visitor{Since: now - 9000, Last: now, Stuck: now - 3000, Messages: 3, Open: 1}, true},
-		{"between two requests", Visitor{Since: now - 9000, Last: now - 3900, Messages: 3}, false},
-		{"asked once and stays", Visitor{Since: now - 9000, Last: now - 8000, Messages: 1}, true},
+		{"just came", ClientActivity{Since: now - 1000}, false},
+		{"says nothing", ClientActivity{Since: now - 2500}, true},
+		{"says half", ClientActivity{Since: now - 9000, Last: now - 3000, Half: now - 2500, Messages: 3, Open: 1}, true},
+		{"waits for an answer", ClientActivity{Since: now - 9000, Last: now - 9000, Messages: 3, Open: 1}, false},
+		{"takes no answer", ClientActivity{Since: now - 9000, Last: now, Stuck: now - 3000, Messages: 3, Open: 1}, true},
+		{"between two requests", ClientActivity{Since: now - 9000, Last: now - 3900, Messages: 3}, false},
+		{"asked once and stays", ClientActivity{Since: now - 9000, Last: now - 8000, Messages: 1}, true},
 	} {
-		if c.v.Overstays(now) != c.goes {
+		if c.v.Expired(now) != c.goes {
 			t.Errorf("%s: goes is %v", c.name, !c.goes)
 		}
 	}
-	busy, silent := &Visitor{Open: 1, Messages: 9}, &Visitor{Since: 500}
-	early, late := &Visitor{Last: 100, Messages: 2}, &Visitor{Last: 200, Messages: 2}
-	if busy.Yields(nil) || !silent.Yields(early) || early.Yields(silent) || !early.Yields(late) || late.Yields(early) || !late.Yields(busy) {
+	busy, silent := &ClientActivity{Open: 1, Messages: 9}, &ClientActivity{Since: 500}
+	early, late := &ClientActivity{Last: 100, Messages: 2}, &ClientActivity{Last: 200, Messages: 2}
+	if busy.ClosesBefore(nil) || !silent.ClosesBefore(early) || early.ClosesBefore(silent) || !early.ClosesBefore(late) || late.ClosesBefore(early) || !late.ClosesBefore(busy) {
 		t.Error("the wrong one yields")
 	}
 }
@@ -714,21 +714,21 @@
 func TestAgain(t *testing.T) {
 	first := map[float64]bool{}
 	for seed := range uint64(100) {
-		a := NewAgain(250, 150, 500, seed)
-		in := a.In()
+		a := NewBackoff(250, 150, 500, seed)
+		in := a.Next()
 		if first[in] = true; in < 0 || in >= 250 {
 			t.Errorf("seed %d: first after %v", seed, in)
 		}
 		last := 0.0
 		for range 80 {
-			if last = a.In(); last < 75 || last > 500 {
+			if last = a.Next(); last < 75 || last > 500 {
 				t.Fatalf("seed %d: then after %v", seed, last)
 			}
 		}
 		if last < 250 {
 			t.Errorf("seed %d: at last after %v", seed, last)
 		}
-		if a.Well(); a.In() >= 250 {
+		if a.Reset(); a.Next() >= 250 {
 			t.Errorf("seed %d: after a success it does not begin anew", seed)
 		}
 	}
@@ -742,21 +742,21 @@
 func TestVisitorsThatLinger(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		v    Visitor
+		v    ClientActivity
 		now  float64
 		over bool
 	}{
-		{"bytes came lately", Visitor{Begun: 1, Half: 3000}, 5000, false},
-		{"none for long", Visitor{Begun: 1, Half: 3000}, 5300, true},
-		{"for too long in all", Visitor{Begun: 1, Half: 8900}, 9000, true},
-		{"shut", Visitor{Messages: 1, Shut: 100}, 1000, false},
-		{"shut, and the client stays", Visitor{Messages: 1, Shut: 100}, 1101, true},
+		{"bytes came lately", ClientActivity{Begun: 1, Half: 3000}, 5000, false},
+		{"none for long", ClientActivity{Begun: 1, Half: 3000}, 5300, true},
+		{"for too long in all", ClientActivity{Begun: 1, Half: 8900}, 9000, true},
+		{"shut", ClientActivity{Messages: 1, Shut: 100}, 1000, false},
+		{"shut, and the client stays", ClientActivity{Messages: 1, Shut: 100}, 1101, true},
 	} {
-		if got := c.v.Overstays(c.now); got != c.over {
+		if got := c.v.Expired(c.now); got != c.over {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
-	if shut, silent := (&Visitor{Messages: 3, Last: 900, Shut: 950}), (&Visitor{Since: 1}); !shut.Yields(silent) || silent.Yields(shut) {
+	if shut, silent := (&ClientActivity{Messages: 3, Last: 900, Shut: 950}), (&ClientActivity{Since: 1}); !shut.ClosesBefore(silent) || silent.ClosesBefore(shut) {
 		t.Error("one that was shut does not yield first")
 	}
 }
--- a/internal/proxy/limits/memory.go
+++ b/internal/proxy/limits/memory.go
@@ -25,14 +25,14 @@
 	Total int64
 	used  [kinds]int64
 	sum   int64
-	Most  int64 // that was ever used
+	Peak  int64 // that was ever used
 }
 
 // Add books bytes; a negative number gives them back.
 func (b *Budget) Add(k Kind, n int64) {
 	b.used[k] += n
 	b.sum += n
-	b.Most = max(b.Most, b.sum)
+	b.Peak = max(b.Peak, b.sum)
 }
 
 // Used is what is booked.
@@ -82,9 +82,9 @@
 	return min(max(int(free/roomPart), leastRoom), most)
 }
 
-// Own is the part of a process's memory that is not booked: its program, the runtime,
+// UnaccountedMemory is the part of a process's memory that is not booked: its program, the runtime,
 // logs and queues. Of a small budget it is at most three quarters.
-func Own(total int64) int64 { return min(ownBytes, total*3/4) }
+func UnaccountedMemory(total int64) int64 { return min(ownBytes, total*3/4) }
 
 const (
 	roomPart  = 256
@@ -92,36 +92,36 @@
 	ownBytes  = 24 << 20
 )
 
-// Holder is a request that holds memory.
-type Holder struct {
-	Index  int     // the caller's
-	Bytes  int64   // that are free again once it is shed
-	Worth  float64 // of its answer now: less once it is late
-	Left   float64 // bytes that are still to move, or a guess
-	Begun  bool    // its client has part of the answer: it can only be cut
-	Repeat bool    // whether a repeat is surely harmless; others are not shed
+// ShedCandidate is a request that holds memory.
+type ShedCandidate struct {
+	Index      int     // the caller's
+	Bytes      int64   // that are free again once it is shed
+	Weight     float64 // of its answer now: less once it is late
+	Left       float64 // bytes that are still to move, or a guess
+	Begun      bool    // its client has part of the answer: it can only be cut
+	Idempotent bool    // whether a repeat is surely harmless; others are not shed
 }
 
-// Order sorts holders by who is shed first: those whose answer has not begun before
+// ShedOrder sorts holders by who is shed first: those whose answer has not begun before
 // those that have, and among them the least worth for the bytes still to move. Those
 // whose repeat may do harm are left out.
-func Order(list []Holder) []Holder {
-	list = slices.DeleteFunc(list, func(h Holder) bool { return !h.Repeat || h.Bytes <= 0 })
-	slices.SortStableFunc(list, func(a, b Holder) int {
+func ShedOrder(list []ShedCandidate) []ShedCandidate {
+	list = slices.DeleteFunc(list, func(h ShedCandidate) bool { return !h.Idempotent || h.Bytes <= 0 })
+	slices.SortStableFunc(list, func(a, b ShedCandidate) int {
 		if a.Begun != b.Begun {
 			if a.Begun {
 				return 1
 			}
 			return -1
 		}
-		return cmp.Compare(a.Worth/(a.Left+1), b.Worth/(b.Left+1))
+		return cmp.Compare(a.Weight/(a.Left+1), b.Weight/(b.Left+1))
 	})
 	return list
 }
 
 // Shed is the first holders of the order that together give back so many bytes.
-func Shed(list []Holder, need int64) []Holder {
-	list = Order(list)
+func Shed(list []ShedCandidate, need int64) []ShedCandidate {
+	list = ShedOrder(list)
 	for i := range list {
 		if need <= 0 {
 			return list[:i]
@@ -135,16 +135,16 @@
 // the request of one that was just made may be on its way.
 const idleFor = 200
 
-// Idle reports whether a connection that was unused for so long, in ms, may give way.
-func Idle(ms float64) bool { return ms >= idleFor }
+// MayCloseIdle reports whether a connection that was unused for so long, in ms, may give way.
+func MayCloseIdle(ms float64) bool { return ms >= idleFor }
 
 // stuckFor is for how long, in ms, an answer has to wait for its client before it gives
 // way to others.
 const stuckFor = 1000
 
-// Stuck is the places of those waits, in ms for a client, that give way to others: the
+// LongStalled is the places of those waits, in ms for a client, that give way to others: the
 // longest first.
-func Stuck(waits []float64) (out []int) {
+func LongStalled(waits []float64) (out []int) {
 	for i, w := range waits {
 		if w >= stuckFor {
 			out = append(out, i)
--- a/internal/proxy/limits/places.go
+++ b/internal/proxy/limits/places.go
@@ -1,9 +1,9 @@
 package limits
 
-// Places shares the descriptors of a router that may hold few: so many for clients'
+// ConnectionQuota shares the descriptors of a router that may hold few: so many for clients'
 // connections, so many for those to members, and some kept back for what else a
 // process needs. The spans are in milliseconds.
-type Places struct{ Clients, Members int }
+type ConnectionQuota struct{ Clients, Members int }
 
 const (
 	keptBack     = 24   // the loop, the listener, the feed, logs, and what the runtime opens
@@ -20,23 +20,23 @@
 	leastWaiting = 4 << 20
 )
 
-// NewPlaces shares out so many descriptors.
-func NewPlaces(descriptors int) Places {
+// NewConnectionQuota shares out so many descriptors.
+func NewConnectionQuota(descriptors int) ConnectionQuota {
 	n := max(descriptors-keptBack, 8)
 	c := int(float64(n) * clientPart)
-	return Places{Clients: c, Members: n - c}
+	return ConnectionQuota{Clients: c, Members: n - c}
 }
 
 // PerMember is how many connections one of so many members may have before its requests
 // share them: a flood to some leaves room for the others.
-func (p Places) PerMember(members int) int { return max(p.Members/max(members, 1), 2) }
+func (p ConnectionQuota) PerMember(members int) int { return max(p.Members/max(members, 1), 2) }
 
 // WaitingBytes is how much may wait for clients and members that read slowly, of a
 // memory of so many bytes.
 func WaitingBytes(memory int) int { return max(int(float64(memory)*memoryPart), leastWaiting) }
 
-// Visitor is what is known of a client's connection. Times are on the caller's clock.
-type Visitor struct {
+// ClientActivity is what is known of a client's connection. Times are on the caller's clock.
+type ClientActivity struct {
 	Since    float64 // when it came
 	Last     float64 // when it last sent a whole message or was answered
 	Half     float64 // when the last bytes of a part of one came; 0: it has sent no part
@@ -47,13 +47,13 @@
 	Messages int     // whole ones so far
 }
 
-// Overstays reports whether a connection is to be closed now: it says nothing, says half
+// Expired reports whether a connection is to be closed now: it says nothing, says half
 // of something, takes no answer, or was not used for long.
-func (v *Visitor) Overstays(now float64) bool {
+func (v *ClientActivity) Expired(now float64) bool {
 	switch {
 	case v.Shut > 0:
 		return now-v.Shut > lingerFor
-	case v.Half > 0 && (now-v.Half > halfFor || now-v.Begun > wholeFor), v.Ignores(now):
+	case v.Half > 0 && (now-v.Half > halfFor || now-v.Begun > wholeFor), v.NotReading(now):
 		return true
 	case v.Open > 0:
 		return false
@@ -63,13 +63,13 @@
 	return v.Half == 0 && now-v.Last > unusedFor
 }
 
-// Ignores reports whether a connection takes nothing of what waits for it.
-func (v *Visitor) Ignores(now float64) bool { return v.Stuck > 0 && now-v.Stuck > unreadFor }
+// NotReading reports whether a connection takes nothing of what waits for it.
+func (v *ClientActivity) NotReading(now float64) bool { return v.Stuck > 0 && now-v.Stuck > unreadFor }
 
-// Yields reports whether v goes before w where room is needed for another connection:
+// ClosesBefore reports whether v goes before w where room is needed for another connection:
 // never one with an open request; of the others one that was shut already, then one that
 // never spoke, then the one that was longest without use.
-func (v *Visitor) Yields(w *Visitor) bool {
+func (v *ClientActivity) ClosesBefore(w *ClientActivity) bool {
 	switch {
 	case v.Open > 0:
 		return false
@@ -83,9 +83,9 @@
 	return max(v.Last, v.Since) < max(w.Last, w.Since)
 }
 
-// Rests reports whether an idle connection to a member is closed before the member
+// MemberIdleExpired reports whether an idle connection to a member is closed before the member
 // closes it, told that members do so after span; 0: not told.
-func Rests(idle, span float64) bool {
+func MemberIdleExpired(idle, span float64) bool {
 	if span <= 0 {
 		span = usualIdle
 	}
--- a/internal/proxy/limits/retries.go
+++ b/internal/proxy/limits/retries.go
@@ -2,30 +2,30 @@
 
 import "math/rand/v2"
 
-// RetrySettings bound the repeats that clients make. A budget gains Share with each
+// RetryBudgetSettings bound the repeats that clients make. A budget gains Share with each
 // first try, up to Burst, and each repeat costs one.
-type RetrySettings struct {
+type RetryBudgetSettings struct {
 	Share, Burst               float64 // of all clients
 	AddressShare, AddressBurst float64 // of one client address
 	Addresses                  int     // that are remembered, in each of two generations
 }
 
-// Retries keeps clients' repeats from amplifying an overload. All clients' budget
+// RetryBudget keeps clients' repeats from amplifying an overload. All clients' budget
 // counts only while the router is overloaded; that of one address counts always.
-type Retries struct {
-	s      RetrySettings
+type RetryBudget struct {
+	s      RetryBudgetSettings
 	all    float64
 	now    map[string]*float64 // budgets by address
 	before map[string]*float64
 }
 
-// NewRetries begins with full budgets.
-func NewRetries(s RetrySettings) *Retries {
-	return &Retries{s: s, all: s.Burst, now: map[string]*float64{}}
+// NewRetryBudget begins with full budgets.
+func NewRetryBudget(s RetryBudgetSettings) *RetryBudget {
+	return &RetryBudget{s: s, all: s.Burst, now: map[string]*float64{}}
 }
 
-// Ask reports whether a request may go on.
-func (r *Retries) Ask(address string, repeat, overloaded bool) bool {
+// Admit reports whether a request may go on.
+func (r *RetryBudget) Admit(address string, repeat, overloaded bool) bool {
 	b := r.budget(address)
 	if !repeat {
 		r.all = min(r.all+r.s.Share, r.s.Burst)
@@ -40,7 +40,7 @@
 	return true
 }
 
-func (r *Retries) budget(address string) *float64 {
+func (r *RetryBudget) budget(address string) *float64 {
 	if b := r.now[address]; b != nil {
 		return b
 	}
--- a/internal/proxy/limits/standing.go
+++ b/internal/proxy/limits/standing.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// StandingSettings say when a client address is of poor standing.
-type StandingSettings struct {
+// ReputationSettings say when a client address is of poor standing.
+type ReputationSettings struct {
 	Half      float64 // ms after which what was noted counts half
 	Least     float64 // bad ends, after their decay, below which an address is never poor
 	Weight    float64 // good ends that outweigh a bad one
@@ -16,52 +16,52 @@
 	Addresses int     // that are remembered, in each of two generations
 }
 
-// UsualStanding is what routers go by, with so many places for all poor addresses: one
+// DefaultReputation is what routers go by, with so many places for all poor addresses: one
 // end in five that is bad makes an address poor, from the third on.
-func UsualStanding(most int) StandingSettings {
-	return StandingSettings{Half: 60000, Least: 2.5, Weight: 4, Most: most, Addresses: 16384}
+func DefaultReputation(most int) ReputationSettings {
+	return ReputationSettings{Half: 60000, Least: 2.5, Weight: 4, Most: most, Addresses: 16384}
 }
 
-// Standing is what client addresses have done with the places that they were given.
+// Reputation is what client addresses have done with the places that they were given.
 // A bad end is an answer that was not taken, or a request that never came whole: its
 // place was lost to others. An address is poor while its bad ends outweigh its good
 // ones, and all poor ones together share a few places: the first wave of those who
 // ask and don't take may cost the others something, and the second does not. Who only
 // reads slowly, behind a thin link, ends well and is never poor.
-type Standing struct {
-	s           StandingSettings
+type Reputation struct {
+	s           ReputationSettings
 	now, before map[string]*record
 	places      int // that poor addresses have in hand
 }
 
 type record struct{ good, bad, at float64 }
 
-// NewStanding begins with every address well thought of.
-func NewStanding(s StandingSettings) *Standing {
-	return &Standing{s: s, now: map[string]*record{}}
+// NewReputation begins with every address well thought of.
+func NewReputation(s ReputationSettings) *Reputation {
+	return &Reputation{s: s, now: map[string]*record{}}
 }
 
-// Known is what is known of an address, for a successor.
-type Known struct {
+// AddressRecord is what is known of an address, for a successor.
+type AddressRecord struct {
 	Address   string
 	Good, Bad float64 // ends, after their decay
 }
 
-// Known is what is known of all addresses, the worst first.
-func (s *Standing) Known(now float64) (list []Known) {
+// Records is what is known of all addresses, the worst first.
+func (s *Reputation) Records(now float64) (list []AddressRecord) {
 	for _, m := range []map[string]*record{s.before, s.now} {
 		for _, address := range slices.Sorted(maps.Keys(m)) {
 			if r := s.known(address, now); r != nil {
-				list = append(list, Known{address, r.good, r.bad})
+				list = append(list, AddressRecord{address, r.good, r.bad})
 			}
 		}
 	}
-	slices.SortStableFunc(list, func(a, b Known) int { return cmp.Compare(b.Bad, a.Bad) })
+	slices.SortStableFunc(list, func(a, b AddressRecord) int { return cmp.Compare(b.Bad, a.Bad) })
 	return list
 }
 
-// Recall goes on from what a predecessor knew. What makes no sense is passed over.
-func (s *Standing) Recall(list []Known, now float64) {
+// Restore goes on from what a predecessor knew. What makes no sense is passed over.
+func (s *Reputation) Restore(list []AddressRecord, now float64) {
 	for _, k := range list {
 		if k.Bad > 0 && k.Good >= 0 && !math.IsInf(k.Bad+k.Good, 0) && len(s.now) < s.s.Addresses {
 			s.now[k.Address] = &record{good: k.Good, bad: k.Bad, at: now}
@@ -70,17 +70,17 @@
 }
 
 // Adopt goes by other settings from now on.
-func (s *Standing) Adopt(x StandingSettings) { s.s = x }
+func (s *Reputation) Adopt(x ReputationSettings) { s.s = x }
 
-// Good says that a request of the address ended well.
-func (s *Standing) Good(address string, now float64) {
+// AddGood says that a request of the address ended well.
+func (s *Reputation) AddGood(address string, now float64) {
 	if r := s.known(address, now); r != nil { // of whom nothing bad is known there is nothing to keep
 		r.good++
 	}
 }
 
-// Bad says that one ended badly.
-func (s *Standing) Bad(address string, now float64) {
+// AddBad says that one ended badly.
+func (s *Reputation) AddBad(address string, now float64) {
 	r := s.known(address, now)
 	if r == nil {
 		if len(s.now) >= max(s.s.Addresses, 1) {
@@ -93,37 +93,37 @@
 }
 
 // Poor reports whether the address is of poor standing.
-func (s *Standing) Poor(address string, now float64) bool {
+func (s *Reputation) Poor(address string, now float64) bool {
 	r := s.known(address, now)
 	return r != nil && r.bad >= s.s.Least && r.bad*s.s.Weight > r.good
 }
 
 // Any reports whether anything bad is known of anybody.
-func (s *Standing) Any() bool { return len(s.now)+len(s.before) > 0 }
+func (s *Reputation) Any() bool { return len(s.now)+len(s.before) > 0 }
 
-// Free reports whether poor addresses may have one more request in hand.
-func (s *Standing) Free() bool { return s.places < s.s.Most }
+// HasCapacity reports whether poor addresses may have one more request in hand.
+func (s *Reputation) HasCapacity() bool { return s.places < s.s.Most }
 
 // Excess is how many more they have in hand than they may.
-func (s *Standing) Excess() int { return s.places - s.s.Most }
+func (s *Reputation) Excess() int { return s.places - s.s.Most }
 
-// Take says that a request of a poor address is in hand, or that one's is that has
+// Reserve says that a request of a poor address is in hand, or that one's is that has
 // become poor.
-func (s *Standing) Take() { s.places++ }
+func (s *Reputation) Reserve() { s.places++ }
 
-// Give says that such a request is over.
-func (s *Standing) Give() { s.places-- }
+// Release says that such a request is over.
+func (s *Reputation) Release() { s.places-- }
 
 // unmovedFor is how long, in ms, a client may take nothing of what waits for it until
 // that counts as a bad end.
 const unmovedFor = 2000
 
-// Unmoved reports whether a client that has taken nothing for so long, in ms, holds its
+// IsStalled reports whether a client that has taken nothing for so long, in ms, holds its
 // place for nothing.
-func Unmoved(ms float64) bool { return ms >= unmovedFor }
+func IsStalled(ms float64) bool { return ms >= unmovedFor }
 
 // known is what is known of the address, with its age counted in.
-func (s *Standing) known(address string, now float64) *record {
+func (s *Reputation) known(address string, now float64) *record {
 	r := s.now[address]
 	if r == nil {
 		if r = s.before[address]; r == nil {
--- a/internal/proxy/limits/tails.go
+++ b/internal/proxy/limits/tails.go
@@ -5,34 +5,34 @@
 	"slices"
 )
 
-// Tail is what the kernel still holds of answers for a client: written, and not taken.
-type Tail struct {
+// Unread is what the kernel still holds of answers for a client: written, and not taken.
+type Unread struct {
 	Index int     // the caller's
 	Bytes int64   // that the kernel holds
 	Still float64 // ms since the client has taken some
 }
 
-// Tails is the accounting of what the kernel holds for clients, which no budget of the
+// UnreadAccount is the accounting of what the kernel holds for clients, which no budget of the
 // process's memory sees. A Most of 0 is no limit.
-type Tails struct {
-	Most int64   // bytes for all clients together
-	Idle float64 // ms after which who takes nothing is cut in any case
-	Held int64   // at the last look
-	Peak int64   // that was ever held at a look
+type UnreadAccount struct {
+	Total int64   // bytes for all clients together
+	Idle  float64 // ms after which who takes nothing is cut in any case
+	Held  int64   // at the last look
+	Peak  int64   // that was ever held at a look
 }
 
-// Look takes what is held for each client now, and returns those that are cut: who takes
+// Update takes what is held for each client now, and returns those that are cut: who takes
 // nothing for Idle, and past 0.90 of Most who takes nothing for long enough to count as
 // one that wastes his place (Unmoved), the most bytes for the longest time first, down to
 // 0.80. Who takes something, however little, is left to the least rate.
-func (t *Tails) Look(list []Tail) (cut []Tail) {
+func (t *UnreadAccount) Update(list []Unread) (cut []Unread) {
 	t.Held = 0
 	for _, c := range list {
 		t.Held += c.Bytes
 	}
 	t.Peak = max(t.Peak, t.Held)
 	left := t.Held
-	list = slices.DeleteFunc(list, func(c Tail) bool {
+	list = slices.DeleteFunc(list, func(c Unread) bool {
 		if c.Still < t.Idle && c.Bytes > 0 {
 			return false
 		}
@@ -42,15 +42,15 @@
 		}
 		return true
 	})
-	if t.Most <= 0 || float64(left) < shedAt*float64(t.Most) {
+	if t.Total <= 0 || float64(left) < shedAt*float64(t.Total) {
 		return cut
 	}
-	list = slices.DeleteFunc(list, func(c Tail) bool { return !Unmoved(c.Still) })
-	slices.SortStableFunc(list, func(a, b Tail) int {
+	list = slices.DeleteFunc(list, func(c Unread) bool { return !IsStalled(c.Still) })
+	slices.SortStableFunc(list, func(a, b Unread) int {
 		return cmp.Compare(float64(b.Bytes)*b.Still, float64(a.Bytes)*a.Still)
 	})
 	for _, c := range list {
-		if float64(left) <= shedTo*float64(t.Most) {
+		if float64(left) <= shedTo*float64(t.Total) {
 			break
 		}
 		cut = append(cut, c)
@@ -61,11 +61,11 @@
 
 // Room is how much the kernel may hold for a connection that is new: a part of what is
 // free, as Budget.Room, at most most and at least leastSocket.
-func (t *Tails) Room(most int) int {
+func (t *UnreadAccount) Room(most int) int {
 	if most <= leastSocket {
 		return most // 0: no limit is set
 	}
-	b := Budget{Total: t.Most, sum: t.Held}
+	b := Budget{Total: t.Total, sum: t.Held}
 	return max(b.Room(most), leastSocket)
 }
 
--- a/internal/proxy/platform/client.go
+++ b/internal/proxy/platform/client.go
@@ -18,7 +18,7 @@
 	open         map[int32]*request // requests without their final answer, by sequence number
 	pending      []pendingCall      // calls that were read, and are not started
 	lastSequence int32              // of the last call of serve
-	activity     limits.Visitor
+	activity     limits.ClientActivity
 	closed       bool
 
 	// From these two the time of a request is counted, see Server.startRequest.
--- a/internal/proxy/platform/discovery_events.go
+++ b/internal/proxy/platform/discovery_events.go
@@ -92,11 +92,11 @@
 func (s *Server) observeTimes(event *discovery.Event) {
 	now := eventloop.Clock()
 	if event.Kind == discovery.Purge {
-		s.platformTime.Saw(float64(event.PurgedAt), now)
+		s.platformTime.Observe(float64(event.PurgedAt), now)
 	}
 	for i := range event.Endpoints {
 		if started := event.Endpoints[i].StartedAt; started > 0 {
-			s.platformTime.Saw(float64(started), now)
+			s.platformTime.Observe(float64(started), now)
 		}
 	}
 }
--- a/internal/proxy/platform/discovery_stream.go
+++ b/internal/proxy/platform/discovery_stream.go
@@ -17,7 +17,7 @@
 	current  *discoveryConn // the one begun last, or the one that has sent something; nil in a pause
 	previous *discoveryConn // an earlier one that has not sent anything yet; nil: none
 	timer    eventloop.Timer
-	backoff  *limits.Again
+	backoff  *limits.Backoff
 	dial     func(address string) (fd int, inProgress bool, err error)
 }
 
@@ -48,7 +48,7 @@
 	d.server = s
 	d.decoder = discovery.Decoder{Zones: s.config.settings.Module.Zones, Kinds: s.config.settings.Kinds}
 	d.dial = s.loop.Dial
-	d.backoff = limits.NewAgain(firstPause, basePause, maxPause, s.config.seed)
+	d.backoff = limits.NewBackoff(firstPause, basePause, maxPause, s.config.seed)
 	d.timer.F = d.onTimer
 }
 
@@ -65,13 +65,13 @@
 	loop.Arm(&d.timer, streamSilence)
 	fd, _, err := d.dial(d.server.config.DiscoveryAddress)
 	if err != nil {
-		loop.Arm(&d.timer, d.backoff.In())
+		loop.Arm(&d.timer, d.backoff.Next())
 		return
 	}
 	c := &discoveryConn{stream: d, fd: fd, request: d.decoder.Resume(), startedAt: loop.Now()}
 	if err := loop.Add(fd, eventloop.Read|eventloop.Write, c); err != nil {
 		closeFD(fd)
-		loop.Arm(&d.timer, d.backoff.In())
+		loop.Arm(&d.timer, d.backoff.Next())
 		return
 	}
 	d.current = c
@@ -113,7 +113,7 @@
 		return
 	}
 	d.closeConn(&d.current)
-	d.server.loop.Arm(&d.timer, d.backoff.In())
+	d.server.loop.Arm(&d.timer, d.backoff.Next())
 }
 
 // connAlive makes a connection that has sent something the only one.
@@ -127,7 +127,7 @@
 	d.closeConn(&d.previous)
 	c.alive = true
 	if loop.Now()-c.startedAt >= stableAfter {
-		d.backoff.Well()
+		d.backoff.Reset()
 	}
 	loop.Arm(&d.timer, streamSilence)
 }
@@ -179,6 +179,6 @@
 		return
 	}
 	if stream.decoder.UpToDate > upToDate {
-		server.platformTime.Current(eventloop.Clock())
+		server.platformTime.MarkCurrent(eventloop.Clock())
 	}
 }
--- a/internal/proxy/platform/dispatch.go
+++ b/internal/proxy/platform/dispatch.go
@@ -73,5 +73,5 @@
 		s.loop.Arm(&s.arriving.timer, wake.In)
 		return
 	}
-	s.loop.Once(wake.In, expire)
+	s.loop.AfterFunc(wake.In, expire)
 }
--- a/internal/proxy/platform/listener.go
+++ b/internal/proxy/platform/listener.go
@@ -37,7 +37,7 @@
 		return
 	}
 	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	client := &client{server: server, fd: fd, open: map[int32]*request{}, activity: limits.Visitor{Since: server.loop.Now()}}
+	client := &client{server: server, fd: fd, open: map[int32]*request{}, activity: limits.ClientActivity{Since: server.loop.Now()}}
 	client.settleTimer.F = client.startPending
 	client.emptiedAt = eventloop.Clock()
 	if !eventloop.Quiet(fd) { // it may have waited in the listener's queue
@@ -47,7 +47,7 @@
 		closeFD(fd)
 		return
 	}
-	server.loop.First(fd)
+	server.loop.Prioritize(fd)
 	server.clients[client] = struct{}{}
 }
 
@@ -71,12 +71,12 @@
 			continue // an answer is under way
 		}
 		candidate.activity.Open = candidate.openCalls()
-		var other *limits.Visitor
+		var other *limits.ClientActivity
 		if idlest != nil {
 			other = &idlest.activity
 		}
 		// What has been sent meanwhile counts as accepted, and is owed an answer.
-		if candidate.activity.Yields(other) && eventloop.Quiet(candidate.fd) {
+		if candidate.activity.ClosesBefore(other) && eventloop.Quiet(candidate.fd) {
 			idlest = candidate
 		}
 	}
--- a/internal/proxy/platform/pool.go
+++ b/internal/proxy/platform/pool.go
@@ -147,7 +147,7 @@
 		server.log.Warn("dial of member failed", zap.String("member", p.id), zap.String("address", p.address),
 			zap.Uint64("times", times), zap.Error(err))
 	}
-	if eventloop.Lacking(err) {
+	if eventloop.IsLocalShortage(err) {
 		return spool.LocalFailure
 	}
 	return spool.ConnectFailed
@@ -168,7 +168,7 @@
 // cleanUp closes the connections that the member would soon close as idle.
 func (p *pool) cleanUp(now float64) {
 	for _, c := range slices.Clone(p.connections) {
-		if c.idle() && limits.Rests(now-c.lastUsed, p.server.config.settings.ConnIdle) {
+		if c.idle() && limits.MemberIdleExpired(now-c.lastUsed, p.server.config.settings.ConnIdle) {
 			c.close()
 		}
 	}
--- a/internal/proxy/platform/reload.go
+++ b/internal/proxy/platform/reload.go
@@ -31,7 +31,7 @@
 	s.log.Error("configuration rejected, the one in use is kept", zap.Error(err))
 	var unread *os.PathError
 	if errors.As(err, &unread) && attempts > 1 {
-		s.loop.Once(reloadPause, func() { s.reloadRetrying(attempts - 1) })
+		s.loop.AfterFunc(reloadPause, func() { s.reloadRetrying(attempts - 1) })
 	}
 }
 
--- a/internal/proxy/platform/server.go
+++ b/internal/proxy/platform/server.go
@@ -36,7 +36,7 @@
 	clients           map[*client]struct{}
 	requests          map[string]*request // in flight, by id
 	pools             map[string]*pool    // by the member's id
-	connectionLimits  limits.Places
+	connectionLimits  limits.ConnectionQuota
 	memberConnections int // open, or being dialled
 	buffers           eventloop.Buffers
 	readBuffer        []byte // of one read; nothing keeps it
@@ -75,7 +75,7 @@
 		clients:          map[*client]struct{}{},
 		requests:         map[string]*request{},
 		pools:            map[string]*pool{},
-		connectionLimits: limits.NewPlaces(config.Limits.Sockets),
+		connectionLimits: limits.NewConnectionQuota(config.Limits.Sockets),
 		readBuffer:       make([]byte, readBufferBytes),
 	}
 	server.buffers.Keep = server.maxBufferedBytes() / 2
@@ -126,8 +126,8 @@
 	for c := range s.clients {
 		c.activity.Open = c.openCalls()
 		switch {
-		case !c.activity.Overstays(now):
-		case c.activity.Shut > 0 || c.activity.Ignores(now):
+		case !c.activity.Expired(now):
+		case c.activity.Shut > 0 || c.activity.NotReading(now):
 			c.close()
 		case !c.owesAnswer() && eventloop.Quiet(c.fd):
 			c.shutdownWrite()
--- a/internal/proxy/unixclock/unixclock.go
+++ b/internal/proxy/unixclock/unixclock.go
@@ -22,17 +22,17 @@
 	since   Millis // when it was last certain that there was nothing new
 }
 
-// Saw says that something bears a Unix time in milliseconds and was there at now. A time
+// Observe says that something bears a Unix time in milliseconds and was there at now. A time
 // that lies ahead of the estimate moves it forward; no other does anything.
-func (c *Clock) Saw(unix, now Millis) {
+func (c *Clock) Observe(unix, now Millis) {
 	if offset := unix - now; !c.seen || offset > c.offset {
 		c.seen, c.offset = true, offset
 	}
 }
 
-// Current says that at now there was nothing that had not been told: what is told later was
+// MarkCurrent says that at now there was nothing that had not been told: what is told later was
 // made later.
-func (c *Clock) Current(now Millis) { c.current, c.since = true, now }
+func (c *Clock) MarkCurrent(now Millis) { c.current, c.since = true, now }
 
 // Age is for how long, at now, the Unix time of something that has just been told surely
 // lies back. It is negative for a time that lies ahead of the estimate, as that of something
--- a/internal/proxy/unixclock/unixclock_test.go
+++ b/internal/proxy/unixclock/unixclock_test.go
@@ -14,7 +14,7 @@
 	if age := clock.Age(start, 50); age != 0 {
 		t.Errorf("without evidence: %v", age)
 	}
-	clock.Saw(start, 100)
+	clock.Observe(start, 100)
 	for _, c := range []struct{ unix, now, want Millis }{
 		{start, 100, 0}, {start, 400, 300}, {start - 4000, 100, 4000}, {start + 3.6e6, 100, -3.6e6}, {start, 90, -10},
 	} {
@@ -22,13 +22,13 @@
 			t.Errorf("Age(%v, %v) = %v, want %v", c.unix, c.now, age, c.want)
 		}
 	}
-	clock.Saw(start+500, 200) // 400 ms sooner than by the estimate
-	clock.Saw(start-3.6e6, 250)
+	clock.Observe(start+500, 200) // 400 ms sooner than by the estimate
+	clock.Observe(start-3.6e6, 250)
 	if age := clock.Age(start, 300); age != 600 {
 		t.Errorf("after evidence ahead and behind: %v, want 600", age)
 	}
-	clock.Current(1000)
-	clock.Saw(start+3.6e6, 1100) // a time that is wrong by an hour
+	clock.MarkCurrent(1000)
+	clock.Observe(start+3.6e6, 1100) // a time that is wrong by an hour
 	if age := clock.Age(start+1000, 1200); age != 200 {
 		t.Errorf("told 200 ms after the last look: %v old", age)
 	}
@@ -43,13 +43,13 @@
 		for range rapid.IntRange(1, 50).Draw(t, "events") {
 			now += rapid.Float64Range(0, 5000).Draw(t, "gap")
 			if rapid.Bool().Draw(t, "current") {
-				clock.Current(now)
+				clock.MarkCurrent(now)
 			}
 			now += rapid.Float64Range(0, 500).Draw(t, "later")
 			delay := rapid.Float64Range(0, 2000).Draw(t, "delay")
 			made := math.Floor(start + now - delay)
 			least = min(least, start+now-made)
-			clock.Saw(made, now)
+			clock.Observe(made, now)
 			if age := clock.Age(made, now); age > start+now-made+0.01 || !clock.current && age < start+now-made-least-0.01 {
 				t.Fatalf("%v ms old for %v", age, start+now-made)
 			}
--- a/internal/testbed/compat/compat_test.go
+++ b/internal/testbed/compat/compat_test.go
@@ -224,7 +224,7 @@
 	if !reflect.DeepEqual(got, want.Service) {
 		t.Errorf("got %+v, want %+v", got, want.Service)
 	}
-	if number, err := control.Push([]byte(want.Journal.Settings), true); err != nil || number != want.Service.Last+1 {
+	if number, err := control.PushUnchecked([]byte(want.Journal.Settings), true); err != nil || number != want.Service.Last+1 {
 		t.Errorf("the next version is %d (%v), want %d", number, err, want.Service.Last+1)
 	}
 }
