--- a/internal/eventloop/arrival.go
+++ b/internal/eventloop/arrival.go
@@ -8,30 +8,30 @@
 // It holds for a descriptor only if the turn before left nothing to be read on it.
 func (l *Loop) Since() Millis { return l.since }
 
-// waitFor is how long the next poll may wait. After a long turn it does not, so that what
+// pollTimeout is how long the next poll may wait. After a long turn it does not, so that what
 // has come in that turn is told from what comes while the loop waits.
-func (l *Loop) waitFor(wait int, began Millis) int {
-	if began-l.polled > slowTurn {
+func (l *Loop) pollTimeout(wait int, began Millis) int {
+	if began-l.lastPoll > slowTurn {
 		return 0
 	}
 	return wait
 }
 
-// arrived sets the moments that Since goes by, after a poll that began at began. One that
+// notePoll sets the moments that Since goes by, after a poll that began at began. One that
 // was interrupted has looked at nothing: the process may have been stopped meanwhile.
-func (l *Loop) arrived(began Millis, interrupted bool) {
-	unwatched := began - l.polled // between two looks
-	l.since = l.polled
+func (l *Loop) notePoll(began Millis, interrupted bool) {
+	unwatched := began - l.lastPoll // between two looks
+	l.since = l.lastPoll
 	switch {
 	case interrupted:
 	case unwatched > slowTurn:
-		l.polled = began
+		l.lastPoll = began
 	default:
 		l.since = l.now - unwatched
-		l.polled = l.now
+		l.lastPoll = l.now
 	}
 }
 
 // Since is the earliest moment at which the connection that is being taken may have come:
 // it may have waited while accepting was paused, or behind others.
-func (ln *Listener) Since() Millis { return ln.queued }
+func (ln *Listener) Since() Millis { return ln.waitingSince }
--- a/internal/eventloop/arrival_test.go
+++ b/internal/eventloop/arrival_test.go
@@ -7,9 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestSince: what comes during a long turn may have come since that turn's own poll; what
+// TestSinceBoundsArrival: what comes during a long turn may have come since that turn's own poll; what
 // comes while the loop waits came when the wait ended.
-func TestSince(t *testing.T) {
+func TestSinceBoundsArrival(t *testing.T) {
 	l, err := New(0)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/eventloop/buffer.go
+++ b/internal/eventloop/buffer.go
@@ -3,26 +3,26 @@
 // Buffers lends memory by classes of size and keeps a bounded part of what comes back.
 // Used counts all that is out. It belongs to one loop.
 type Buffers struct {
-	Keep int // bytes kept unused, of all classes together
-	Used int // bytes lent
-	kept int
-	free [len(sizes)][][]byte
+	Keep        int // bytes kept unused, of all classes together
+	Used        int // bytes lent
+	unusedBytes int
+	unused      [len(bufferSizes)][][]byte
 }
 
-var sizes = [...]int{1 << 10, 4 << 10, 16 << 10, 64 << 10, 256 << 10}
+var bufferSizes = [...]int{1 << 10, 4 << 10, 16 << 10, 64 << 10, 256 << 10}
 
 // Lend is an empty buffer with room for at least n bytes.
 func (p *Buffers) Lend(n int) []byte {
-	for i, size := range sizes {
+	for i, size := range bufferSizes {
 		if n > size {
 			continue
 		}
 		p.Used += size
-		if k := len(p.free[i]); k > 0 {
-			b := p.free[i][k-1]
-			p.free[i][k-1] = nil
-			p.free[i] = p.free[i][:k-1]
-			p.kept -= size
+		if k := len(p.unused[i]); k > 0 {
+			b := p.unused[i][k-1]
+			p.unused[i][k-1] = nil
+			p.unused[i] = p.unused[i][:k-1]
+			p.unusedBytes -= size
 			return b
 		}
 		return make([]byte, 0, size)
@@ -37,10 +37,10 @@
 		return
 	}
 	p.Used -= cap(b)
-	for i, size := range sizes {
-		if cap(b) == size && p.kept+size <= p.Keep {
-			p.kept += size
-			p.free[i] = append(p.free[i], b[:0])
+	for i, size := range bufferSizes {
+		if cap(b) == size && p.unusedBytes+size <= p.Keep {
+			p.unusedBytes += size
+			p.unused[i] = append(p.unused[i], b[:0])
 		}
 	}
 }
--- a/internal/eventloop/errors.go
+++ b/internal/eventloop/errors.go
@@ -66,9 +66,9 @@
 	return errno, ok
 }
 
-// ofOneConnection reports an error of accept that concerns the connection that would have
+// concernsOneConnection reports an error of accept that concerns the connection that would have
 // been taken, as accept(2) lists them, or the call alone: the next call may succeed.
-func ofOneConnection(err error) bool {
+func concernsOneConnection(err error) bool {
 	errno, _ := errnoOf(err)
 	switch errno {
 	case unix.ECONNABORTED, unix.EINTR, unix.EPERM, unix.EPROTO, unix.ENOPROTOOPT, unix.EOPNOTSUPP, unix.ENONET,
--- a/internal/eventloop/io.go
+++ b/internal/eventloop/io.go
@@ -13,9 +13,9 @@
 func (l *Loop) Intercept(calls Syscalls) { l.calls = calls }
 
 const (
-	interruptedTries = 4    // of a call that is interrupted, before it counts as one for later
-	shortageFirst    = 2.0  // ms, until a call is made again for which the kernel lacked memory;
-	shortageLast     = 16.0 // doubled up to this while the shortage lasts
+	interruptedAttempts = 4    // of a call that is interrupted, before it counts as one for later
+	firstSuspension     = 2.0  // ms, until a call is made again for which the kernel lacked memory;
+	longestSuspension   = 16.0 // doubled up to this while the shortage lasts
 )
 
 // Read reads from a non-blocking descriptor.
@@ -27,7 +27,7 @@
 func (l *Loop) Read(fd int, b []byte) (int, error) {
 	for try := 1; ; try++ {
 		n, err := l.read(fd, b)
-		if err == nil || !l.retry(fd, try, err) {
+		if err == nil || !l.retryNow(fd, try, err) {
 			return n, err
 		}
 	}
@@ -44,7 +44,7 @@
 func (l *Loop) Write(fd int, b []byte) (int, error) {
 	for try := 1; ; try++ {
 		n, err := l.write(fd, b)
-		if err == nil || !l.retry(fd, try, err) {
+		if err == nil || !l.retryNow(fd, try, err) {
 			return n, err
 		}
 	}
@@ -61,7 +61,7 @@
 func (l *Loop) WriteTwo(fd int, first, second []byte) (int, error) {
 	for try := 1; ; try++ {
 		n, err := l.writeTwo(fd, first, second)
-		if err == nil || !l.retry(fd, try, err) {
+		if err == nil || !l.retryNow(fd, try, err) {
 			return n, err
 		}
 	}
@@ -74,13 +74,13 @@
 	return l.calls.WriteTwo(fd, first, second)
 }
 
-// retry reports that a call that failed is made again at once. One that is to be made later
+// retryNow reports that a call that failed is made again at once. One that is to be made later
 // though its descriptor is ready has its descriptor suspended.
-func (l *Loop) retry(fd, try int, err error) bool {
+func (l *Loop) retryNow(fd, try int, err error) bool {
 	switch {
 	case err == unix.EAGAIN || !Later(err):
 		return false
-	case err == unix.EINTR && try < interruptedTries:
+	case err == unix.EINTR && try < interruptedAttempts:
 		return true
 	}
 	l.suspend(fd)
@@ -89,27 +89,27 @@
 
 // suspension is a watched descriptor that epoll is not to tell of for a while.
 type suspension struct {
-	fd  int
-	gen uint32
+	fd         int
+	generation uint32
 }
 
 // suspend takes a watched descriptor out of epoll for a short while, errors and hang-ups
 // included. Its handler notices nothing but the delay.
 func (l *Loop) suspend(fd int) {
-	if fd < 0 || fd >= len(l.slots) || l.slots[fd].h == nil || l.slots[fd].suspended {
+	if fd < 0 || fd >= len(l.slots) || l.slots[fd].handler == nil || l.slots[fd].suspended {
 		return
 	}
 	s := &l.slots[fd]
 	unix.EpollCtl(l.epfd, unix.EPOLL_CTL_DEL, fd, nil)
 	s.suspended = true
-	l.suspended = append(l.suspended, suspension{fd, s.gen})
-	if l.resumeT.Armed() {
+	l.suspended = append(l.suspended, suspension{fd, s.generation})
+	if l.resumeTimer.Armed() {
 		return
 	}
-	if l.shortage = min(2*l.shortage, shortageLast); l.now-l.resumedAt > shortageLast {
-		l.shortage = shortageFirst
+	if l.suspendFor = min(2*l.suspendFor, longestSuspension); l.now-l.resumedAt > longestSuspension {
+		l.suspendFor = firstSuspension
 	}
-	l.Arm(&l.resumeT, l.shortage)
+	l.Arm(&l.resumeTimer, l.suspendFor)
 }
 
 // resume watches again what was suspended. What cannot be watched yet stays suspended.
@@ -118,7 +118,7 @@
 	l.resumedAt = l.now
 	for _, r := range l.suspended {
 		s := &l.slots[r.fd]
-		if s.gen != r.gen || !s.suspended {
+		if s.generation != r.generation || !s.suspended {
 			continue
 		}
 		event := s.event(r.fd)
@@ -129,7 +129,7 @@
 		s.suspended = false
 	}
 	if l.suspended = left; len(left) > 0 {
-		l.Arm(&l.resumeT, l.shortage)
+		l.Arm(&l.resumeTimer, l.suspendFor)
 	}
 }
 
@@ -157,7 +157,7 @@
 		to = &unix.SockaddrInet6{Port: int(parsed.Port()), Addr: ip.As16()}
 	}
 	for try := 1; ; try++ {
-		if fd, err = calls.Socket(family); err != unix.EINTR || try == interruptedTries {
+		if fd, err = calls.Socket(family); err != unix.EINTR || try == interruptedAttempts {
 			break
 		}
 	}
@@ -175,7 +175,7 @@
 // connect begins to connect a socket. Called again after an interruption, it finds whether
 // the connection has been begun or made.
 func connect(calls Syscalls, fd int, to unix.Sockaddr) (inProgress bool, err error) {
-	for range interruptedTries {
+	for range interruptedAttempts {
 		switch err = calls.Connect(fd, to); err {
 		case nil, unix.EISCONN:
 			return false, nil
@@ -198,10 +198,10 @@
 		n, err = l.calls.Wait(l.epfd, l.events, timeout)
 	}
 	if err != unix.EINTR {
-		l.interrupted = 0
+		l.interruptedWaits = 0
 		return n, err
 	}
-	if l.interrupted++; l.interrupted > interruptedTries {
+	if l.interruptedWaits++; l.interruptedWaits > interruptedAttempts {
 		time.Sleep(time.Millisecond)
 	}
 	return 0, nil
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -5,7 +5,7 @@
 const (
 	acceptFailures = 16     // in a row that concern one connection each, before accepting pauses
 	acceptPause    = 20.0   // ms without accepting where something lacks
-	roomAgain      = 1000.0 // ms until room is asked for again that was of no use
+	makeRoomPause  = 1000.0 // ms until room is asked for again that was of no use
 )
 
 // A Listener takes the connections of a listening socket, a bounded number in each turn of
@@ -22,29 +22,29 @@
 	// Pauses counts how often accepting has paused.
 	Pauses uint64
 
-	l        *Loop
-	fd       int
-	failures int
-	queued   Millis // see Since; 0: the queue was found empty
-	noRoom   Millis // no room is asked for before
-	resume   Timer
+	loop         *Loop
+	fd           int
+	failures     int
+	waitingSince Millis // see Since; 0: the queue was found empty
+	noRoomBefore Millis // no room is asked for before
+	resumeTimer  Timer
 }
 
 // Start begins to take the connections of a listening socket, which stays the caller's to
 // close after Stop.
 func (ln *Listener) Start(l *Loop, fd int) error {
-	ln.l, ln.fd = l, fd
-	ln.resume.F = func() { ln.l.Want(ln.fd, Read) }
+	ln.loop, ln.fd = l, fd
+	ln.resumeTimer.F = func() { ln.loop.Want(ln.fd, Read) }
 	return l.Add(fd, Read, ln)
 }
 
 // Stop ends it.
 func (ln *Listener) Stop() {
-	if ln.l == nil || ln.fd < 0 {
+	if ln.loop == nil || ln.fd < 0 {
 		return
 	}
-	ln.l.Forget(&ln.resume)
-	ln.l.Remove(ln.fd)
+	ln.loop.Forget(&ln.resumeTimer)
+	ln.loop.Remove(ln.fd)
 	ln.fd = -1
 }
 
@@ -54,27 +54,27 @@
 // Accept takes connections that wait, as many as one turn may.
 func (ln *Listener) Accept() {
 	asked := false
-	if ln.queued == 0 && ln.l != nil {
-		ln.queued = ln.l.Since()
+	if ln.waitingSince == 0 && ln.loop != nil {
+		ln.waitingSince = ln.loop.Since()
 	}
 	for range ln.PerTurn {
 		if ln.fd < 0 { // stopped by Take
 			return
 		}
-		fd, err := ln.l.accept(ln.fd)
+		fd, err := ln.loop.accept(ln.fd)
 		if err == nil {
 			ln.failures = 0
 			if asked { // room was of use
-				ln.noRoom = 0
+				ln.noRoomBefore = 0
 			}
 			ln.Take(fd)
 			continue
 		}
 		if err == unix.EAGAIN {
-			ln.queued = 0
+			ln.waitingSince = 0
 			return
 		}
-		if ln.failures++; ofOneConnection(err) && ln.failures < acceptFailures {
+		if ln.failures++; concernsOneConnection(err) && ln.failures < acceptFailures {
 			continue
 		}
 		if !asked && ln.makeRoom(err) {
@@ -89,18 +89,18 @@
 // makeRoom has a descriptor closed where none is to be had. Where that was of no use, as in
 // a shortage of the whole machine, it is not done again for a while.
 func (ln *Listener) makeRoom(err error) bool {
-	if err != unix.EMFILE && err != unix.ENFILE || ln.MakeRoom == nil || ln.l.Now() < ln.noRoom || !ln.MakeRoom() {
+	if err != unix.EMFILE && err != unix.ENFILE || ln.MakeRoom == nil || ln.loop.Now() < ln.noRoomBefore || !ln.MakeRoom() {
 		return false
 	}
-	ln.noRoom = ln.l.Now() + roomAgain
+	ln.noRoomBefore = ln.loop.Now() + makeRoomPause
 	return true
 }
 
 func (ln *Listener) pause() {
 	ln.failures = 0
 	ln.Pauses++
-	ln.l.Want(ln.fd, 0)
-	ln.l.Arm(&ln.resume, acceptPause)
+	ln.loop.Want(ln.fd, 0)
+	ln.loop.Arm(&ln.resumeTimer, acceptPause)
 }
 
 func (l *Loop) accept(listener int) (int, error) {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -61,45 +61,45 @@
 var ErrStopped = errors.New("loop: stopped")
 
 type slot struct {
-	h         Handler
-	gen       uint32
-	want      Interest
-	first     bool
-	suspended bool // epoll does not know of it for a while, see suspend
+	handler     Handler
+	generation  uint32
+	interest    Interest
+	prioritized bool
+	suspended   bool // epoll does not know of it for a while, see suspend
 }
 
 // event is what epoll is to be told of the slot's descriptor.
 func (s *slot) event(fd int) unix.EpollEvent {
-	return unix.EpollEvent{Events: uint32(s.want), Fd: int32(fd), Pad: int32(s.gen & 0x7fffffff)}
+	return unix.EpollEvent{Events: uint32(s.interest), Fd: int32(fd), Pad: int32(s.generation & 0x7fffffff)}
 }
 
 // Loop is one event loop. The zero value is not usable; see New.
 type Loop struct {
-	epfd, wakefd int
-	slots        []slot // by descriptor
-	events       []unix.EpollEvent
-	now          Millis
-	timers       heap
-	polled       Millis // what the last poll did not tell of came later
-	since        Millis // see Since
-	turns        uint64
-	lag          Millis // the longest turn of late, see Lag
-	slow         Millis // see Slow
-	after        func() (more bool)
-	more         bool     // after has more to do: the next turn does not wait
-	calls        Syscalls // nil: the kernel's, directly
-	interrupted  int      // waits in a row
-	suspended    []suspension
-	resumeT      Timer
-	shortage     Millis // how long descriptors are suspended
-	resumedAt    Millis // when they were last watched again
-
-	mu      sync.Mutex
-	posted  []func()
-	spare   []func()
-	maxPost int
-	stopped bool
-	closed  bool
+	epfd, wakefd     int
+	slots            []slot // by descriptor
+	events           []unix.EpollEvent
+	now              Millis
+	timers           timerHeap
+	lastPoll         Millis // what the last poll did not tell of came later
+	since            Millis // see Since
+	turns            uint64
+	lag              Millis // the longest turn of late, see Lag
+	slowTotal        Millis // see Slow
+	afterTurn        func() (more bool)
+	moreAfterTurn    bool     // after has more to do: the next turn does not wait
+	calls            Syscalls // nil: the kernel's, directly
+	interruptedWaits int      // waits in a row
+	suspended        []suspension
+	resumeTimer      Timer
+	suspendFor       Millis // how long descriptors are suspended
+	resumedAt        Millis // when they were last watched again
+
+	mu        sync.Mutex
+	posted    []func()
+	spare     []func()
+	maxPosted int
+	stopped   bool
+	closed    bool
 }
 
 // New makes a loop whose queue of posted calls holds at most maxPost; 0 means 4096.
@@ -116,10 +116,10 @@
 		unix.Close(epfd)
 		return nil, fmt.Errorf("loop: eventfd: %w", err)
 	}
-	l := &Loop{epfd: epfd, wakefd: wakefd, events: make([]unix.EpollEvent, 512), maxPost: maxPost}
+	l := &Loop{epfd: epfd, wakefd: wakefd, events: make([]unix.EpollEvent, 512), maxPosted: maxPost}
 	l.now = Clock()
-	l.polled, l.since = l.now, l.now
-	l.resumeT.F = l.resume
+	l.lastPoll, l.since = l.now, l.now
+	l.resumeTimer.F = l.resume
 	ev := unix.EpollEvent{Events: unix.EPOLLIN, Fd: int32(wakefd), Pad: -1}
 	if err := unix.EpollCtl(epfd, unix.EPOLL_CTL_ADD, wakefd, &ev); err != nil {
 		unix.Close(epfd)
@@ -151,13 +151,13 @@
 
 // Slow is how many milliseconds turns have taken in all beyond slowTurn each: time in
 // which peers waited for the loop, and not it for them.
-func (l *Loop) Slow() Millis { return l.slow }
+func (l *Loop) Slow() Millis { return l.slowTotal }
 
 const slowTurn = 5 // ms
 
 // AfterEachTurn has f called at the end of each turn, behind readiness, posted calls and
 // timers. While it returns true there is more to do: the next turn does not wait.
-func (l *Loop) AfterEachTurn(f func() (more bool)) { l.after = f }
+func (l *Loop) AfterEachTurn(f func() (more bool)) { l.afterTurn = f }
 
 // Took is how long the present turn has taken so far.
 func (l *Loop) Took() Millis { return Clock() - l.now }
@@ -171,41 +171,41 @@
 		l.slots = append(l.slots, make([]slot, max(64, len(l.slots)))...)
 	}
 	s := &l.slots[fd]
-	if s.h != nil {
+	if s.handler != nil {
 		return fmt.Errorf("loop: descriptor %d is watched already", fd)
 	}
-	s.gen++
-	s.want, s.first, s.suspended = want, false, false
+	s.generation++
+	s.interest, s.prioritized, s.suspended = want, false, false
 	event := s.event(fd)
 	if err := unix.EpollCtl(l.epfd, unix.EPOLL_CTL_ADD, fd, &event); err != nil {
 		return fmt.Errorf("loop: epoll_ctl add %d: %w", fd, err)
 	}
-	s.h = h
+	s.handler = h
 	return nil
 }
 
 // Prioritize has a watched descriptor's events handed out before those of others in each
 // turn: who has gone is heard of before anything is begun for him.
-func (l *Loop) Prioritize(fd int) { l.slots[fd].first = true }
+func (l *Loop) Prioritize(fd int) { l.slots[fd].prioritized = true }
 
 // Want changes what is wanted of a watched descriptor. It costs nothing when
 // nothing changes.
 func (l *Loop) Want(fd int, want Interest) error {
-	if fd < 0 || fd >= len(l.slots) || l.slots[fd].h == nil {
+	if fd < 0 || fd >= len(l.slots) || l.slots[fd].handler == nil {
 		return fmt.Errorf("loop: descriptor %d is not watched", fd)
 	}
 	s := &l.slots[fd]
-	if s.want == want {
+	if s.interest == want {
 		return nil
 	}
-	before := s.want
-	s.want = want
+	before := s.interest
+	s.interest = want
 	if s.suspended { // the new interest holds once it is watched again
 		return nil
 	}
 	event := s.event(fd)
 	if err := unix.EpollCtl(l.epfd, unix.EPOLL_CTL_MOD, fd, &event); err != nil {
-		s.want = before
+		s.interest = before
 		return fmt.Errorf("loop: epoll_ctl mod %d: %w", fd, err)
 	}
 	return nil
@@ -214,11 +214,11 @@
 // Remove ends the watch; events of this turn that still name the descriptor
 // are dropped. Call it before closing.
 func (l *Loop) Remove(fd int) {
-	if fd < 0 || fd >= len(l.slots) || l.slots[fd].h == nil {
+	if fd < 0 || fd >= len(l.slots) || l.slots[fd].handler == nil {
 		return
 	}
-	l.slots[fd].h = nil
-	l.slots[fd].gen++
+	l.slots[fd].handler = nil
+	l.slots[fd].generation++
 	unix.EpollCtl(l.epfd, unix.EPOLL_CTL_DEL, fd, nil) // a closed descriptor is gone already
 }
 
@@ -230,7 +230,7 @@
 		l.mu.Unlock()
 		return ErrStopped
 	}
-	if len(l.posted) >= l.maxPost {
+	if len(l.posted) >= l.maxPosted {
 		l.mu.Unlock()
 		return ErrFull
 	}
@@ -290,18 +290,18 @@
 // readiness first, then posted calls, then timers.
 func (l *Loop) turn() error {
 	wait := -1
-	if l.more {
+	if l.moreAfterTurn {
 		wait = 0
 	} else if len(l.timers.list) > 0 {
-		wait = max(int(l.timers.list[0].due-Clock()+0.999), 0)
+		wait = max(int(l.timers.list[0].heapKey-Clock()+0.999), 0)
 	}
 	began := Clock()
-	n, err := l.poll(l.waitFor(wait, began))
+	n, err := l.poll(l.pollTimeout(wait, began))
 	if err != nil {
 		return fmt.Errorf("loop: epoll_wait: %w", err)
 	}
 	l.now = Clock()
-	l.arrived(began, l.interrupted > 0)
+	l.notePoll(began, l.interruptedWaits > 0)
 	l.turns++
 	posts := false
 	for _, first := range [...]bool{true, false} {
@@ -312,8 +312,8 @@
 				continue
 			}
 			s := &l.slots[ev.Fd]
-			if s.h != nil && int32(s.gen&0x7fffffff) == ev.Pad && s.first == first {
-				s.h.OnReady(Ready(ev.Events))
+			if s.handler != nil && int32(s.generation&0x7fffffff) == ev.Pad && s.prioritized == first {
+				s.handler.OnReady(Ready(ev.Events))
 			}
 		}
 	}
@@ -321,11 +321,11 @@
 		l.runPosted()
 	}
 	l.runTimers()
-	if l.after != nil {
-		l.more = l.after()
+	if l.afterTurn != nil {
+		l.moreAfterTurn = l.afterTurn()
 	}
 	took := Clock() - l.now
-	l.slow += max(took-slowTurn, 0)
+	l.slowTotal += max(took-slowTurn, 0)
 	l.lag = max(took, l.lag*0.99)
 	if n == len(l.events) && n < 8192 {
 		l.events = make([]unix.EpollEvent, 2*n)
@@ -352,32 +352,32 @@
 // heap, and is looked at again when that comes due. Most timers are limits that
 // are moved on all the time and seldom reached.
 type Timer struct {
-	F     func()
-	due   Millis // its place in the heap
-	want  Millis // when it is to be called; never before due
-	seq   uint64
-	index int // place in the heap, from 1; 0: it has none
-	on    bool
+	F        func()
+	heapKey  Millis // its place in the heap
+	due      Millis // when it is to be called; never before due
+	seq      uint64
+	position int // place in the heap, from 1; 0: it has none
+	armed    bool
 }
 
 // Armed reports whether the timer waits to come due.
-func (t *Timer) Armed() bool { return t.on }
+func (t *Timer) Armed() bool { return t.armed }
 
 // Arm has the timer come due after in; armed already, it is moved.
 func (l *Loop) Arm(t *Timer, in Millis) {
-	t.want = l.now + max(in, 0)
-	if !t.on {
-		t.on = true
-		l.timers.armed++
+	t.due = l.now + max(in, 0)
+	if !t.armed {
+		t.armed = true
+		l.timers.armedCount++
 	}
-	if t.index > 0 && t.due <= t.want {
+	if t.position > 0 && t.heapKey <= t.due {
 		return
 	}
-	t.due = t.want
+	t.heapKey = t.due
 	l.timers.seq++
 	t.seq = l.timers.seq
-	if t.index > 0 {
-		l.timers.fix(t.index - 1)
+	if t.position > 0 {
+		l.timers.fix(t.position - 1)
 		return
 	}
 	l.timers.push(t)
@@ -386,17 +386,17 @@
 // Disarm stops a timer; it does nothing to one that is not armed. The loop may
 // hold on to the timer until it would have come due; see Forget.
 func (l *Loop) Disarm(t *Timer) {
-	if t.on {
-		t.on = false
-		l.timers.armed--
+	if t.armed {
+		t.armed = false
+		l.timers.armedCount--
 	}
 }
 
 // Forget disarms a timer that will not be used again.
 func (l *Loop) Forget(t *Timer) {
 	l.Disarm(t)
-	if t.index > 0 {
-		l.timers.remove(t.index - 1)
+	if t.position > 0 {
+		l.timers.remove(t.position - 1)
 	}
 }
 
@@ -408,7 +408,7 @@
 }
 
 // Timers is how many timers are armed.
-func (l *Loop) Timers() int { return l.timers.armed }
+func (l *Loop) Timers() int { return l.timers.armedCount }
 
 // runTimers runs what is due at the time of the turn; what these arm waits for
 // the next turn, so that none can hold the loop.
@@ -416,58 +416,60 @@
 	last := l.timers.seq
 	for len(l.timers.list) > 0 {
 		t := l.timers.list[0]
-		if t.due > l.now || t.seq > last {
+		if t.heapKey > l.now || t.seq > last {
 			return
 		}
-		if t.on && t.want > l.now {
-			t.due = t.want
+		if t.armed && t.due > l.now {
+			t.heapKey = t.due
 			l.timers.down(0)
 			continue
 		}
 		l.timers.remove(0)
-		if t.on {
+		if t.armed {
 			l.Disarm(t)
 			t.F()
 		}
 	}
 }
 
-// heap is a four-way heap by due time, equal times in the order of arming.
-type heap struct {
-	list  []*Timer
-	seq   uint64
-	armed int
+// timerHeap is a four-way heap by due time, equal times in the order of arming.
+type timerHeap struct {
+	list       []*Timer
+	seq        uint64
+	armedCount int
 }
 
-func (h *heap) less(a, b *Timer) bool { return a.due < b.due || a.due == b.due && a.seq < b.seq }
+func (h *timerHeap) less(a, b *Timer) bool {
+	return a.heapKey < b.heapKey || a.heapKey == b.heapKey && a.seq < b.seq
+}
 
-func (h *heap) push(t *Timer) {
+func (h *timerHeap) push(t *Timer) {
 	h.list = append(h.list, t)
-	t.index = len(h.list)
+	t.position = len(h.list)
 	h.up(len(h.list) - 1)
 }
 
-func (h *heap) remove(i int) {
+func (h *timerHeap) remove(i int) {
 	t, n := h.list[i], len(h.list)-1
 	if i != n {
 		h.list[i] = h.list[n]
-		h.list[i].index = i + 1
+		h.list[i].position = i + 1
 	}
 	h.list[n] = nil
 	h.list = h.list[:n]
-	t.index = 0
+	t.position = 0
 	if i != n {
 		h.fix(i)
 	}
 }
 
-func (h *heap) fix(i int) {
+func (h *timerHeap) fix(i int) {
 	if !h.up(i) {
 		h.down(i)
 	}
 }
 
-func (h *heap) up(i int) (moved bool) {
+func (h *timerHeap) up(i int) (moved bool) {
 	t := h.list[i]
 	for i > 0 {
 		p := (i - 1) / 4
@@ -475,15 +477,15 @@
 			break
 		}
 		h.list[i] = h.list[p]
-		h.list[i].index = i + 1
+		h.list[i].position = i + 1
 		i, moved = p, true
 	}
 	h.list[i] = t
-	t.index = i + 1
+	t.position = i + 1
 	return moved
 }
 
-func (h *heap) down(i int) {
+func (h *timerHeap) down(i int) {
 	t, n := h.list[i], len(h.list)
 	for {
 		c := 4*i + 1
@@ -499,11 +501,11 @@
 			break
 		}
 		h.list[i] = h.list[c]
-		h.list[i].index = i + 1
+		h.list[i].position = i + 1
 		i = c
 	}
 	h.list[i] = t
-	t.index = i + 1
+	t.position = i + 1
 }
 
 // Ticker calls f every span until the returned function is called.
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-func start(t testing.TB) *Loop {
+func startLoop(t testing.TB) *Loop {
 	l, err := New(64)
 	if err != nil {
 		t.Fatal(err)
@@ -31,7 +31,7 @@
 func (f onReady) OnReady(r Ready) { f(r) }
 
 func TestReadiness(t *testing.T) {
-	l := start(t)
+	l := startLoop(t)
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -119,7 +119,7 @@
 }
 
 func TestPostFromMany(t *testing.T) {
-	l := start(t)
+	l := startLoop(t)
 	var wg sync.WaitGroup
 	sum, tries := 0, 200
 	for range 8 {
@@ -187,8 +187,8 @@
 	})
 }
 
-func TestTimersRun(t *testing.T) {
-	l := start(t)
+func TestTimersRunInOrder(t *testing.T) {
+	l := startLoop(t)
 	got := make(chan int, 3)
 	l.Post(func() {
 		for _, in := range []int{30, 10, 20} {
--- a/internal/eventloop/syscalls_test.go
+++ b/internal/eventloop/syscalls_test.go
@@ -9,14 +9,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// failing fails chosen calls; what has no error is the kernel's.
-type failing struct {
+// failingCalls fails chosen calls; what has no error is the kernel's.
+type failingCalls struct {
 	KernelCalls
 	accept, socket, connect, read, write, wait func() error
 	calls                                      int
 }
 
-func (f *failing) fails(call func() error) error {
+func (f *failingCalls) fails(call func() error) error {
 	if call == nil {
 		return nil
 	}
@@ -24,52 +24,52 @@
 	return call()
 }
 
-func (f *failing) Accept(listener int) (int, error) {
+func (f *failingCalls) Accept(listener int) (int, error) {
 	if err := f.fails(f.accept); err != nil {
 		return -1, err
 	}
 	return f.KernelCalls.Accept(listener)
 }
 
-func (f *failing) Socket(family int) (int, error) {
+func (f *failingCalls) Socket(family int) (int, error) {
 	if err := f.fails(f.socket); err != nil {
 		return -1, err
 	}
 	return f.KernelCalls.Socket(family)
 }
 
-func (f *failing) Connect(fd int, to unix.Sockaddr) error {
+func (f *failingCalls) Connect(fd int, to unix.Sockaddr) error {
 	if err := f.fails(f.connect); err != nil {
 		return err
 	}
 	return f.KernelCalls.Connect(fd, to)
 }
 
-func (f *failing) Read(fd int, b []byte) (int, error) {
+func (f *failingCalls) Read(fd int, b []byte) (int, error) {
 	if err := f.fails(f.read); err != nil {
 		return 0, err
 	}
 	return f.KernelCalls.Read(fd, b)
 }
 
-func (f *failing) Write(fd int, b []byte) (int, error) {
+func (f *failingCalls) Write(fd int, b []byte) (int, error) {
 	if err := f.fails(f.write); err != nil {
 		return 0, err
 	}
 	return f.KernelCalls.Write(fd, b)
 }
 
-func (f *failing) Wait(epoll int, events []unix.EpollEvent, timeout int) (int, error) {
+func (f *failingCalls) Wait(epoll int, events []unix.EpollEvent, timeout int) (int, error) {
 	if err := f.fails(f.wait); err != nil {
 		return 0, err
 	}
 	return f.KernelCalls.Wait(epoll, events, timeout)
 }
 
-func always(err error) func() error { return func() error { return err } }
+func failAlways(err error) func() error { return func() error { return err } }
 
-// times fails a number of calls.
-func times(n int, err error) func() error {
+// failTimes fails a number of calls.
+func failTimes(n int, err error) func() error {
 	return func() error {
 		if n--; n >= 0 {
 			return err
@@ -101,7 +101,7 @@
 	return l
 }
 
-func pair(t testing.TB) (ours, theirs int) {
+func socketPair(t testing.TB) (ours, theirs int) {
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -110,7 +110,7 @@
 	return fds[0], fds[1]
 }
 
-func TestErrorsMean(t *testing.T) {
+func TestErrorClasses(t *testing.T) {
 	const later, broken, lacking = 1, 2, 4
 	for err, want := range map[error]int{
 		nil: 0, os.ErrInvalid: 0, unix.EBADF: 0,
@@ -135,13 +135,13 @@
 
 // A read or write that is interrupted, or for which the kernel lacks memory, is made again:
 // the bytes arrive, and the loop does not spin while the shortage lasts.
-func TestCallsMadeAgain(t *testing.T) {
+func TestReadWriteRetried(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.EINTR, unix.ENOBUFS, unix.ENOMEM, unix.EAGAIN} {
 		for _, for_ := range []string{"one call", "50 ms"} {
 			t.Run(fmt.Sprintf("%v/%s", errno, for_), func(t *testing.T) {
-				f := &failing{}
+				f := &failingCalls{}
 				l := newLoop(t, f)
-				ours, theirs := pair(t)
+				ours, theirs := socketPair(t)
 				got, sent := "", false
 				var b [16]byte
 				l.Add(ours, Read|Write, onReady(func(r Ready) {
@@ -161,14 +161,14 @@
 					}
 				}))
 				unix.Write(theirs, []byte("pong"))
-				if f.read, f.write = times(1, errno), times(1, errno); for_ == "50 ms" {
-					f.read, f.write = always(errno), always(errno)
+				if f.read, f.write = failTimes(1, errno), failTimes(1, errno); for_ == "50 ms" {
+					f.read, f.write = failAlways(errno), failAlways(errno)
 				}
 				if turns := turnFor(t, l, 50); turns > 30 && errno != unix.EAGAIN {
 					t.Errorf("%d turns in 50 ms, %d calls", turns, f.calls)
 				}
 				f.read, f.write = nil, nil
-				turnFor(t, l, 2*shortageLast)
+				turnFor(t, l, 2*longestSuspension)
 				n, _ := unix.Read(theirs, b[:])
 				if got != "pong" || n != 4 {
 					t.Errorf("read %q, peer %d bytes", got, n)
@@ -180,9 +180,9 @@
 
 // A descriptor that is suspended may be removed, and its number used anew, meanwhile.
 func TestRemovedWhileSuspended(t *testing.T) {
-	f := &failing{read: always(unix.ENOBUFS)}
+	f := &failingCalls{read: failAlways(unix.ENOBUFS)}
 	l := newLoop(t, f)
-	ours, theirs := pair(t)
+	ours, theirs := socketPair(t)
 	heard := 0
 	var b [1]byte
 	l.Add(ours, Read, onReady(func(Ready) { l.Read(ours, b[:]); l.Remove(ours) }))
@@ -202,12 +202,12 @@
 }
 
 func TestWaitInterrupted(t *testing.T) {
-	l := newLoop(t, &failing{wait: always(unix.EINTR)})
+	l := newLoop(t, &failingCalls{wait: failAlways(unix.EINTR)})
 	if turns := turnFor(t, l, 50); turns > 100 {
 		t.Errorf("%d turns in 50 ms", turns)
 	}
 	l.Intercept(nil)
-	ours, theirs := pair(t)
+	ours, theirs := socketPair(t)
 	heard := 0
 	l.Add(ours, Read, onReady(func(Ready) { heard++; l.Remove(ours) }))
 	unix.Write(theirs, []byte("x"))
@@ -227,14 +227,14 @@
 		socket, connect func() error
 		want            error
 	}{
-		{"interrupted once", times(1, unix.EINTR), times(1, unix.EINTR), nil},
-		{"interrupted always", nil, always(unix.EINTR), unix.EINTR},
-		{"no descriptor", always(unix.ENFILE), nil, unix.ENFILE},
-		{"no port", nil, always(unix.EADDRNOTAVAIL), unix.EADDRNOTAVAIL},
-		{"no route", nil, always(unix.ENETUNREACH), unix.ENETUNREACH},
-		{"refused", nil, always(unix.ECONNREFUSED), unix.ECONNREFUSED},
+		{"interrupted once", failTimes(1, unix.EINTR), failTimes(1, unix.EINTR), nil},
+		{"interrupted always", nil, failAlways(unix.EINTR), unix.EINTR},
+		{"no descriptor", failAlways(unix.ENFILE), nil, unix.ENFILE},
+		{"no port", nil, failAlways(unix.EADDRNOTAVAIL), unix.EADDRNOTAVAIL},
+		{"no route", nil, failAlways(unix.ENETUNREACH), unix.ENETUNREACH},
+		{"refused", nil, failAlways(unix.ECONNREFUSED), unix.ECONNREFUSED},
 	} {
-		l := newLoop(t, &failing{socket: c.socket, connect: c.connect})
+		l := newLoop(t, &failingCalls{socket: c.socket, connect: c.connect})
 		fd, _, err := l.Dial(address)
 		if !errors.Is(err, c.want) || (err == nil) != (fd >= 0) {
 			t.Errorf("%s: descriptor %d, %v, want %v", c.name, fd, err, c.want)
@@ -247,15 +247,15 @@
 
 // Whatever accept fails with, and for how long, the loop does not spin, and who has
 // connected is taken once it succeeds.
-func TestListener(t *testing.T) {
+func TestListenerSurvivesAcceptErrors(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.EPERM, unix.ENETUNREACH,
 		unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EINVAL, unix.ETIMEDOUT} {
 		for _, fails := range []struct {
 			span  string
 			calls func() error
-		}{{"one call", times(1, errno)}, {"100 ms", always(errno)}} {
+		}{{"one call", failTimes(1, errno)}, {"100 ms", failAlways(errno)}} {
 			t.Run(fmt.Sprintf("%v/%s", errno, fails.span), func(t *testing.T) {
-				f := &failing{accept: fails.calls}
+				f := &failingCalls{accept: fails.calls}
 				l := newLoop(t, f)
 				fd, address, err := Listen("127.0.0.1:0")
 				if err != nil {
@@ -292,7 +292,7 @@
 }
 
 func BenchmarkReadWrite(b *testing.B) {
-	ours, theirs := pair(b)
+	ours, theirs := socketPair(b)
 	message, buf := make([]byte, 64), make([]byte, 4096)
 	l := newLoop(b, nil)
 	intercepted := newLoop(b, Kernel)
