--- a/internal/eventloop/syscalls_test.go
+++ b/internal/eventloop/io_test.go
@@ -1,9 +1,7 @@
 package eventloop
 
 import (
-	"errors"
 	"fmt"
-	"os"
 	"testing"
 
 	"golang.org/x/sys/unix"
@@ -110,29 +108,6 @@
 	return fds[0], fds[1]
 }
 
-func TestErrorClasses(t *testing.T) {
-	const later, broken, lacking = 1, 2, 4
-	for err, want := range map[error]int{
-		nil: 0, os.ErrInvalid: 0, unix.EBADF: 0,
-		unix.EAGAIN: later | lacking, unix.EINTR: later | lacking, unix.ENOBUFS: later | lacking, unix.ENOMEM: later | lacking,
-		unix.ECONNRESET: broken, unix.EPIPE: broken, unix.ETIMEDOUT: broken, unix.EHOSTUNREACH: broken, unix.ECONNREFUSED: broken,
-		unix.ENETUNREACH: broken | lacking, unix.ECONNABORTED: broken | lacking,
-		unix.EMFILE: lacking, unix.ENFILE: lacking, unix.EADDRNOTAVAIL: lacking, unix.EPERM: lacking, unix.ENOSPC: lacking,
-	} {
-		for _, err := range []error{err, fmt.Errorf("wrapped: %w", err)} {
-			got := 0
-			for bit, holds := range map[int]bool{later: Later(err), broken: Broken(err), lacking: IsLocalShortage(err)} {
-				if holds {
-					got |= bit
-				}
-			}
-			if got != want {
-				t.Errorf("%v: conditions %03b, want %03b", err, got, want)
-			}
-		}
-	}
-}
-
 // A read or write that is interrupted, or for which the kernel lacks memory, is made again:
 // the bytes arrive, and the loop does not spin while the shortage lasts.
 func TestReadWriteRetried(t *testing.T) {
@@ -216,81 +191,6 @@
 	}
 }
 
-func TestDialFails(t *testing.T) {
-	listener, address, err := Listen("127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer unix.Close(listener)
-	for _, c := range []struct {
-		name            string
-		socket, connect func() error
-		want            error
-	}{
-		{"interrupted once", failTimes(1, unix.EINTR), failTimes(1, unix.EINTR), nil},
-		{"interrupted always", nil, failAlways(unix.EINTR), unix.EINTR},
-		{"no descriptor", failAlways(unix.ENFILE), nil, unix.ENFILE},
-		{"no port", nil, failAlways(unix.EADDRNOTAVAIL), unix.EADDRNOTAVAIL},
-		{"no route", nil, failAlways(unix.ENETUNREACH), unix.ENETUNREACH},
-		{"refused", nil, failAlways(unix.ECONNREFUSED), unix.ECONNREFUSED},
-	} {
-		l := newLoop(t, &failingCalls{socket: c.socket, connect: c.connect})
-		fd, _, err := l.Dial(address)
-		if !errors.Is(err, c.want) || (err == nil) != (fd >= 0) {
-			t.Errorf("%s: descriptor %d, %v, want %v", c.name, fd, err, c.want)
-		}
-		if fd >= 0 {
-			unix.Close(fd)
-		}
-	}
-}
-
-// Whatever accept fails with, and for how long, the loop does not spin, and who has
-// connected is taken once it succeeds.
-func TestListenerSurvivesAcceptErrors(t *testing.T) {
-	for _, errno := range []unix.Errno{unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.EPERM, unix.ENETUNREACH,
-		unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EINVAL, unix.ETIMEDOUT} {
-		for _, fails := range []struct {
-			span  string
-			calls func() error
-		}{{"one call", failTimes(1, errno)}, {"100 ms", failAlways(errno)}} {
-			t.Run(fmt.Sprintf("%v/%s", errno, fails.span), func(t *testing.T) {
-				f := &failingCalls{accept: fails.calls}
-				l := newLoop(t, f)
-				fd, address, err := Listen("127.0.0.1:0")
-				if err != nil {
-					t.Fatal(err)
-				}
-				defer unix.Close(fd)
-				taken, room := 0, 0
-				ln := &Listener{PerTurn: 64, Take: func(fd int) { taken++; unix.Close(fd) },
-					MakeRoom: func() bool { room++; return true }}
-				if err := ln.Start(l, fd); err != nil {
-					t.Fatal(err)
-				}
-				defer ln.Stop()
-				for range 10 {
-					c, _, err := l.Dial(address)
-					if err != nil {
-						t.Fatal(err)
-					}
-					defer unix.Close(c)
-				}
-				if turns := turnFor(t, l, 100); turns > 50 || f.calls > 200 {
-					t.Errorf("%d turns and %d calls in 100 ms", turns, f.calls)
-				}
-				if room > 1 || room == 1 && errno != unix.EMFILE && errno != unix.ENFILE {
-					t.Errorf("room was asked for %d times", room)
-				}
-				f.accept = nil
-				if turnFor(t, l, 30); taken != 10 {
-					t.Errorf("%d connections taken of 10", taken)
-				}
-			})
-		}
-	}
-}
-
 func BenchmarkReadWrite(b *testing.B) {
 	ours, theirs := socketPair(b)
 	message, buf := make([]byte, 64), make([]byte, 4096)
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -1,6 +1,10 @@
 package eventloop
 
-import "golang.org/x/sys/unix"
+import (
+	"net"
+
+	"golang.org/x/sys/unix"
+)
 
 const (
 	acceptFailures = 16     // in a row that concern one connection each, before accepting pauses
@@ -109,3 +113,27 @@
 	}
 	return l.calls.Accept(listener)
 }
+
+// Listen makes a non-blocking listening socket by way of net, for its parsing
+// of addresses, and takes over its descriptor.
+func Listen(address string) (int, string, error) {
+	ln, err := net.Listen("tcp", address)
+	if err != nil {
+		return -1, "", err
+	}
+	defer ln.Close()
+	f, err := ln.(*net.TCPListener).File()
+	if err != nil {
+		return -1, "", err
+	}
+	defer f.Close()
+	fd, err := unix.FcntlInt(f.Fd(), unix.F_DUPFD_CLOEXEC, 0)
+	if err != nil {
+		return -1, "", err
+	}
+	if err := unix.SetNonblock(fd, true); err != nil {
+		unix.Close(fd)
+		return -1, "", err
+	}
+	return fd, ln.Addr().String(), nil
+}
--- /dev/null
+++ b/internal/eventloop/listener_test.go
@@ -0,0 +1,54 @@
+package eventloop
+
+import (
+	"fmt"
+	"testing"
+
+	"golang.org/x/sys/unix"
+)
+
+// Whatever accept fails with, and for how long, the loop does not spin, and who has
+// connected is taken once it succeeds.
+func TestListenerSurvivesAcceptErrors(t *testing.T) {
+	for _, errno := range []unix.Errno{unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.EPERM, unix.ENETUNREACH,
+		unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EINVAL, unix.ETIMEDOUT} {
+		for _, fails := range []struct {
+			span  string
+			calls func() error
+		}{{"one call", failTimes(1, errno)}, {"100 ms", failAlways(errno)}} {
+			t.Run(fmt.Sprintf("%v/%s", errno, fails.span), func(t *testing.T) {
+				f := &failingCalls{accept: fails.calls}
+				l := newLoop(t, f)
+				fd, address, err := Listen("127.0.0.1:0")
+				if err != nil {
+					t.Fatal(err)
+				}
+				defer unix.Close(fd)
+				taken, room := 0, 0
+				ln := &Listener{PerTurn: 64, Take: func(fd int) { taken++; unix.Close(fd) },
+					MakeRoom: func() bool { room++; return true }}
+				if err := ln.Start(l, fd); err != nil {
+					t.Fatal(err)
+				}
+				defer ln.Stop()
+				for range 10 {
+					c, _, err := l.Dial(address)
+					if err != nil {
+						t.Fatal(err)
+					}
+					defer unix.Close(c)
+				}
+				if turns := turnFor(t, l, 100); turns > 50 || f.calls > 200 {
+					t.Errorf("%d turns and %d calls in 100 ms", turns, f.calls)
+				}
+				if room > 1 || room == 1 && errno != unix.EMFILE && errno != unix.ENFILE {
+					t.Errorf("room was asked for %d times", room)
+				}
+				f.accept = nil
+				if turnFor(t, l, 30); taken != 10 {
+					t.Errorf("%d connections taken of 10", taken)
+				}
+			})
+		}
+	}
+}
