--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -1,13 +1,16 @@
 package eventloop
 
 import (
+	"fmt"
 	"net/netip"
 
 	"golang.org/x/sys/unix"
 )
 
-// Dial begins to connect without waiting; inProgress: it is not connected yet. An error for
-// which IsLocalShortage holds is this machine's, and no word about the peer.
+// Dial begins to connect to address, an IP address and port, without waiting. While inProgress,
+// fd is not connected yet: it becomes writable once it is, or has failed. The caller closes fd.
+// An error for which IsLocalShortage holds is due to this machine and says nothing about the
+// peer. Errors wrap the system's error number.
 func (l *Loop) Dial(address string) (fd int, inProgress bool, err error) {
 	var calls Syscalls = Kernel
 	if l.calls != nil {
@@ -19,7 +22,7 @@
 func dial(calls Syscalls, address string) (fd int, inProgress bool, err error) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return -1, false, err
+		return -1, false, fmt.Errorf("eventloop: dial: %w", err)
 	}
 	var to unix.Sockaddr
 	family := unix.AF_INET
@@ -29,27 +32,36 @@
 		family = unix.AF_INET6
 		to = &unix.SockaddrInet6{Port: int(parsed.Port()), Addr: ip.As16()}
 	}
-	for try := 1; ; try++ {
-		if fd, err = calls.Socket(family); err != unix.EINTR || try == interruptedAttempts {
-			break
-		}
-	}
+	fd, err = socket(calls, family)
 	if err != nil {
-		return -1, false, err
+		return -1, false, fmt.Errorf("eventloop: socket for %s: %w", address, err)
 	}
 	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	if inProgress, err = connect(calls, fd, to); err != nil {
+	inProgress, err = connect(calls, fd, to)
+	if err != nil {
 		unix.Close(fd)
-		return -1, false, err
+		return -1, false, fmt.Errorf("eventloop: connect to %s: %w", address, err)
 	}
 	return fd, inProgress, nil
 }
 
-// connect begins to connect a socket. Called again after an interruption, it finds whether
-// the connection has been begun or made.
+// socket makes a socket, again where the call was interrupted.
+func socket(calls Syscalls, family int) (fd int, err error) {
+	for range interruptedAttempts {
+		fd, err = calls.Socket(family)
+		if err != unix.EINTR {
+			break
+		}
+	}
+	return fd, err
+}
+
+// connect begins to connect a socket. The call that it makes again after an interruption
+// finds whether the connection has been begun or made.
 func connect(calls Syscalls, fd int, to unix.Sockaddr) (inProgress bool, err error) {
 	for range interruptedAttempts {
-		switch err = calls.Connect(fd, to); err {
+		err = calls.Connect(fd, to)
+		switch err {
 		case nil, unix.EISCONN:
 			return false, nil
 		case unix.EINPROGRESS, unix.EALREADY:
--- a/internal/eventloop/doc.go
+++ b/internal/eventloop/doc.go
@@ -1,11 +1,21 @@
-// Package loop is an event loop on Linux's epoll: readiness of descriptors,
-// timers, and calls posted from other threads. One goroutine, locked to its
-// thread, runs it; everything but Post and Stop belongs to that goroutine.
+// Package eventloop is an event loop on Linux's epoll: readiness of file descriptors, timers,
+// and calls posted from other threads. It is the only package that makes system calls on
+// sockets, so that one place decides what their errors mean: Later (make the call again
+// later), Broken (the connection has ended) or IsLocalShortage (this machine lacks something,
+// and the peer is not to blame). Tests and fault injection have any call fail by Intercept.
 //
-// Handlers make their system calls on sockets through it, so that one place decides which
-// errors are for later (Later), end a connection (Broken) or are this machine's own
-// (IsLocalShortage), and tests can have any call fail (Intercept). It never reads or writes a
-// descriptor of its own accord and never allocates on the path of an event. The clock is
-// the system's monotonic one, in milliseconds, so that records of processes on one machine
-// can be set side by side. Connections on top of it are in internal/proxy/httpfront.
+// It owns the epoll descriptor, the timers and the queue of posted calls. Sockets stay their
+// callers' to close, and what is read and written is theirs too: the loop never reads or
+// writes a socket of its own accord.
+//
+// One goroutine, locked to its thread, runs a Loop, and everything but Post, Call and Stop
+// belongs to that goroutine. It runs in turns: each waits for readiness, hands it to the
+// handlers, runs posted calls, then timers that are due, then AfterEachTurn's function. The
+// path of an event allocates nothing. Times are readings of the system's monotonic clock in
+// milliseconds, so that records of processes on one machine can be compared.
+//
+// Where to go next: loop.go (the turn and the watched descriptors), timer.go, post.go, io.go
+// (Read and Write, and what follows their errors), listener.go and dial.go (connections), and
+// errors.go. Connections on top of it are in internal/proxy/httpfront, internal/proxy/platform
+// and internal/cachenode/server.
 package eventloop
--- a/internal/eventloop/errors.go
+++ b/internal/eventloop/errors.go
@@ -7,8 +7,8 @@
 )
 
 // Later reports that a call on a connection can be made again later: the connection is
-// whole, and the call has moved nothing. Where it was made through a loop, its handler is
-// told when to try.
+// intact, and the call has moved no bytes. If it was made through a Loop, the descriptor's
+// handler is called when to make it again.
 func Later(err error) bool {
 	errno, ok := errnoOf(err)
 	if !ok {
@@ -21,11 +21,13 @@
 	return false
 }
 
-// NotReady reports that a call found its descriptor not ready: all that was told of it is
-// dealt with. Of the errors that Later names, it is the ordinary one.
+// NotReady reports that a call found its descriptor not ready: all that the loop has reported
+// of it is dealt with. Of the errors for which Later holds, it is the ordinary one. err must
+// be as Read, Write or WriteTwo returned it, not wrapped.
 func NotReady(err error) bool { return err == unix.EAGAIN }
 
-// Broken reports that a connection has ended, by its peer or by the network between.
+// Broken reports that a connection has ended, by its peer or by the network between. It holds
+// for wrapped errors too.
 func Broken(err error) bool {
 	errno, ok := errnoOf(err)
 	if !ok {
@@ -39,9 +41,10 @@
 	return false
 }
 
-// IsLocalShortage reports that accept, socket, connect or the watch of a descriptor failed for want
-// of something on this process or machine that may be there again soon: descriptors, memory,
-// ports, watches, a route, a firewall's leave. It says nothing of a peer.
+// IsLocalShortage reports that accept, socket, connect or the watch of a descriptor failed
+// because this process or machine lacks something that may be available again soon:
+// descriptors, memory, ports, epoll watches, a route, a firewall's permission. It says nothing
+// about the peer. It holds for wrapped errors too.
 func IsLocalShortage(err error) bool {
 	errno, ok := errnoOf(err)
 	if !ok {
@@ -55,8 +58,8 @@
 	return false
 }
 
-// errnoOf is the system's error number in err. The plain number, which every call on a
-// connection returns, is found without a search.
+// errnoOf returns the system's error number in err. The plain number, which every call on a
+// connection returns, is found without a search of wrapped errors.
 func errnoOf(err error) (unix.Errno, bool) {
 	if errno, ok := err.(unix.Errno); ok {
 		return errno, true
@@ -66,8 +69,8 @@
 	return errno, ok
 }
 
-// concernsOneConnection reports an error of accept that concerns the connection that would have
-// been taken, as accept(2) lists them, or the call alone: the next call may succeed.
+// concernsOneConnection reports an error of accept that concerns only the connection that
+// would have been accepted, as accept(2) lists them, or only this call: the next may succeed.
 func concernsOneConnection(err error) bool {
 	errno, _ := errnoOf(err)
 	switch errno {
--- a/internal/eventloop/io.go
+++ b/internal/eventloop/io.go
@@ -8,25 +8,27 @@
 )
 
 // Intercept has the loop's system calls on sockets made by calls; nil has them made by the
-// kernel directly. It is called before Run, or on the loop.
+// kernel directly. Call it before Run, or on the loop's goroutine.
 func (l *Loop) Intercept(calls Syscalls) { l.calls = calls }
 
 const (
-	interruptedAttempts = 4    // of a call that is interrupted, before it counts as one for later
-	firstSuspension     = 2.0  // ms, until a call is made again for which the kernel lacked memory;
-	longestSuspension   = 16.0 // doubled up to this while the shortage lasts
+	interruptedAttempts = 4    // of a call that is interrupted, before it is left for later
+	firstSuspension     = 2.0  // ms, until a call for which the kernel lacked memory is made again;
+	longestSuspension   = 16.0 // ms, up to which that is doubled while the shortage lasts
 )
 
 // Read reads from a non-blocking descriptor.
 //
-// After an error for which Later holds, a watched descriptor's handler is told when to read
-// again: for EAGAIN when it is ready, and where it is ready but the call could not be made,
-// after a short wait, so that a shortage that lasts does not keep the loop turning. The same
-// holds for Write and WriteTwo, whose callers want Write of the descriptor then.
+// After an error for which Later holds, a watched descriptor's handler is called when to read
+// again: after EAGAIN when the descriptor is ready, and where it is ready but the call could
+// not be made, after a short wait, so that a lasting shortage does not keep the loop spinning.
+// The same holds for Write and WriteTwo, whose callers Want Write of the descriptor then.
+//
+// Errors are the system's own numbers, unwrapped, so that the hot path allocates nothing.
 func (l *Loop) Read(fd int, b []byte) (int, error) {
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		n, err := l.read(fd, b)
-		if err == nil || !l.retryNow(fd, try, err) {
+		if err == nil || !l.retryNow(fd, attempt, err) {
 			return n, err
 		}
 	}
@@ -41,9 +43,9 @@
 
 // Write writes to a non-blocking descriptor; see Read for what follows an error.
 func (l *Loop) Write(fd int, b []byte) (int, error) {
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		n, err := l.write(fd, b)
-		if err == nil || !l.retryNow(fd, try, err) {
+		if err == nil || !l.retryNow(fd, attempt, err) {
 			return n, err
 		}
 	}
@@ -58,9 +60,9 @@
 
 // WriteTwo writes two pieces in one call; see Read for what follows an error.
 func (l *Loop) WriteTwo(fd int, first, second []byte) (int, error) {
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		n, err := l.writeTwo(fd, first, second)
-		if err == nil || !l.retryNow(fd, try, err) {
+		if err == nil || !l.retryNow(fd, attempt, err) {
 			return n, err
 		}
 	}
@@ -73,27 +75,27 @@
 	return l.calls.WriteTwo(fd, first, second)
 }
 
-// retryNow reports that a call that failed is made again at once. One that is to be made later
-// though its descriptor is ready has its descriptor suspended.
-func (l *Loop) retryNow(fd, try int, err error) bool {
+// retryNow reports that a failed call is to be made again at once. If it is to be made later
+// although its descriptor is ready, the descriptor is suspended.
+func (l *Loop) retryNow(fd, attempt int, err error) bool {
 	switch {
 	case err == unix.EAGAIN || !Later(err):
 		return false
-	case err == unix.EINTR && try < interruptedAttempts:
+	case err == unix.EINTR && attempt < interruptedAttempts:
 		return true
 	}
 	l.suspend(fd)
 	return false
 }
 
-// suspension is a watched descriptor that epoll is not to tell of for a while.
+// suspension is a watched descriptor that is out of epoll for a while.
 type suspension struct {
 	fd         int
 	generation uint32
 }
 
 // suspend takes a watched descriptor out of epoll for a short while, errors and hang-ups
-// included. Its handler notices nothing but the delay.
+// included. Its handler notices only the delay.
 func (l *Loop) suspend(fd int) {
 	if fd < 0 || fd >= len(l.slots) || l.slots[fd].handler == nil || l.slots[fd].suspended {
 		return
@@ -105,35 +107,39 @@
 	if l.resumeTimer.Armed() {
 		return
 	}
-	if l.suspendFor = min(2*l.suspendFor, longestSuspension); l.now-l.resumedAt > longestSuspension {
+	l.suspendFor = min(2*l.suspendFor, longestSuspension)
+	if l.now-l.resumedAt > longestSuspension { // the shortage before is over
 		l.suspendFor = firstSuspension
 	}
 	l.Arm(&l.resumeTimer, l.suspendFor)
 }
 
-// resume watches again what was suspended. What cannot be watched yet stays suspended.
+// resume watches the suspended descriptors again. Those that epoll cannot take yet stay
+// suspended.
 func (l *Loop) resume() {
 	left := l.suspended[:0]
 	l.resumedAt = l.now
-	for _, r := range l.suspended {
-		s := &l.slots[r.fd]
-		if s.generation != r.generation || !s.suspended {
-			continue
+	for _, entry := range l.suspended {
+		s := &l.slots[entry.fd]
+		if s.generation != entry.generation || !s.suspended {
+			continue // removed meanwhile
 		}
-		event := s.event(r.fd)
-		if err := unix.EpollCtl(l.epfd, unix.EPOLL_CTL_ADD, r.fd, &event); err != nil {
-			left = append(left, r)
+		event := s.event(entry.fd)
+		if err := unix.EpollCtl(l.epfd, unix.EPOLL_CTL_ADD, entry.fd, &event); err != nil {
+			left = append(left, entry)
 			continue
 		}
 		s.suspended = false
 	}
-	if l.suspended = left; len(left) > 0 {
+	l.suspended = left
+	if len(left) > 0 {
 		l.Arm(&l.resumeTimer, l.suspendFor)
 	}
 }
 
-// poll waits for events. Waits that are interrupted time after time, with nothing to be
-// done, are made further apart.
+// poll waits for events, for timeout ms at most; -1 is without limit. An interrupted wait
+// returns none. Where waits are interrupted time after time, it sleeps between them, so that
+// the loop does not spin.
 func (l *Loop) poll(timeout int) (n int, err error) {
 	if l.calls == nil {
 		n, err = Kernel.Wait(l.epfd, l.events, timeout)
@@ -144,13 +150,14 @@
 		l.interruptedWaits = 0
 		return n, err
 	}
-	if l.interruptedWaits++; l.interruptedWaits > interruptedAttempts {
+	l.interruptedWaits++
+	if l.interruptedWaits > interruptedAttempts {
 		time.Sleep(time.Millisecond)
 	}
 	return 0, nil
 }
 
-// Quiet reports that a stream has neither bytes to be read, nor an end, nor an error.
+// Quiet reports that a stream socket has neither bytes to be read, nor an end, nor an error.
 func Quiet(fd int) bool {
 	var b [1]byte
 	for {
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -1,6 +1,7 @@
 package eventloop
 
 import (
+	"fmt"
 	"net"
 
 	"golang.org/x/sys/unix"
@@ -8,20 +9,20 @@
 
 const (
 	acceptFailures = 16     // in a row that concern one connection each, before accepting pauses
-	acceptPause    = 20.0   // ms without accepting where something lacks
-	makeRoomPause  = 1000.0 // ms until room is asked for again that was of no use
+	acceptPause    = 20.0   // ms without accepting after a shortage or that many failures
+	makeRoomPause  = 1000.0 // ms until MakeRoom is called again after a call that did not help
 )
 
-// A Listener takes the connections of a listening socket, a bounded number in each turn of
-// its loop. Where something lacks, and where calls fail time after time, it pauses: who
-// connects waits in the kernel's queue, and the loop does not turn for it.
+// A Listener accepts the connections of a listening socket, a bounded number in each turn of
+// its loop. In a shortage, and where calls fail time after time, it pauses: clients wait in
+// the kernel's queue, and the loop does not spin.
 type Listener struct {
-	// PerTurn is how many calls of accept one turn makes at most.
+	// PerTurn is the most calls of accept in one turn.
 	PerTurn int
-	// Take is given each connection's descriptor, to be closed by it.
+	// Take is called with each connection's descriptor, which it has to close in the end.
 	Take func(fd int)
-	// MakeRoom, unless it is nil, closes a descriptor that can be done without, where none
-	// is to be had; false: there is none.
+	// MakeRoom, unless it is nil, is called where the process or the machine is out of
+	// descriptors. It closes one that can be spared, and returns false if there is none.
 	MakeRoom func() bool
 	// Pauses counts how often accepting has paused.
 	Pauses uint64
@@ -29,20 +30,21 @@
 	loop         *Loop
 	fd           int
 	failures     int
-	waitingSince Millis // see Since; 0: the queue was found empty
-	noRoomBefore Millis // no room is asked for before
+	waitingSince Millis // see Since; 0: the kernel's queue was found empty
+	noRoomBefore Millis // MakeRoom is not called before
 	resumeTimer  Timer
 }
 
-// Start begins to take the connections of a listening socket, which stays the caller's to
+// Start begins to accept the connections of a listening socket, which stays the caller's to
 // close after Stop.
 func (ln *Listener) Start(l *Loop, fd int) error {
-	ln.loop, ln.fd = l, fd
+	ln.loop = l
+	ln.fd = fd
 	ln.resumeTimer.F = func() { ln.loop.Want(ln.fd, Read) }
 	return l.Add(fd, Read, ln)
 }
 
-// Stop ends it.
+// Stop ends accepting. It may be called from Take, and more than once.
 func (ln *Listener) Stop() {
 	if ln.loop == nil || ln.fd < 0 {
 		return
@@ -52,12 +54,12 @@
 	ln.fd = -1
 }
 
-// OnReady is the loop's.
+// OnReady is called by the loop.
 func (ln *Listener) OnReady(Ready) { ln.Accept() }
 
-// Accept takes connections that wait, as many as one turn may.
+// Accept accepts connections that wait, with at most PerTurn calls.
 func (ln *Listener) Accept() {
-	asked := false
+	madeRoom := false
 	if ln.waitingSince == 0 && ln.loop != nil {
 		ln.waitingSince = ln.loop.Since()
 	}
@@ -68,7 +70,7 @@
 		fd, err := ln.loop.accept(ln.fd)
 		if err == nil {
 			ln.failures = 0
-			if asked { // room was of use
+			if madeRoom { // and it helped
 				ln.noRoomBefore = 0
 			}
 			ln.Take(fd)
@@ -78,11 +80,12 @@
 			ln.waitingSince = 0
 			return
 		}
-		if ln.failures++; concernsOneConnection(err) && ln.failures < acceptFailures {
+		ln.failures++
+		if concernsOneConnection(err) && ln.failures < acceptFailures {
 			continue
 		}
-		if !asked && ln.makeRoom(err) {
-			asked = true
+		if !madeRoom && ln.makeRoom(err) {
+			madeRoom = true
 			continue
 		}
 		ln.pause()
@@ -90,10 +93,14 @@
 	}
 }
 
-// makeRoom has a descriptor closed where none is to be had. Where that was of no use, as in
-// a shortage of the whole machine, it is not done again for a while.
+// makeRoom has a descriptor closed after an error of accept that says that none is left. Where
+// that did not help, as in a shortage of the whole machine, it is not done again for a while.
 func (ln *Listener) makeRoom(err error) bool {
-	if err != unix.EMFILE && err != unix.ENFILE || ln.MakeRoom == nil || ln.loop.Now() < ln.noRoomBefore || !ln.MakeRoom() {
+	noDescriptor := err == unix.EMFILE || err == unix.ENFILE
+	if !noDescriptor || ln.MakeRoom == nil || ln.loop.Now() < ln.noRoomBefore {
+		return false
+	}
+	if !ln.MakeRoom() {
 		return false
 	}
 	ln.noRoomBefore = ln.loop.Now() + makeRoomPause
@@ -114,26 +121,26 @@
 	return l.calls.Accept(listener)
 }
 
-// Listen makes a non-blocking listening socket by way of net, for its parsing
-// of addresses, and takes over its descriptor.
-func Listen(address string) (int, string, error) {
+// Listen makes a non-blocking listening TCP socket at address, as net.Listen parses it, and
+// returns its descriptor, which the caller closes, and the address that it is bound to.
+func Listen(address string) (fd int, bound string, err error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
-		return -1, "", err
+		return -1, "", err // names the operation and the address already
 	}
 	defer ln.Close()
-	f, err := ln.(*net.TCPListener).File()
+	file, err := ln.(*net.TCPListener).File()
 	if err != nil {
-		return -1, "", err
+		return -1, "", fmt.Errorf("eventloop: descriptor of the listener at %s: %w", address, err)
 	}
-	defer f.Close()
-	fd, err := unix.FcntlInt(f.Fd(), unix.F_DUPFD_CLOEXEC, 0)
+	defer file.Close()
+	fd, err = unix.FcntlInt(file.Fd(), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
-		return -1, "", err
+		return -1, "", fmt.Errorf("eventloop: duplicate the listener at %s: %w", address, err)
 	}
 	if err := unix.SetNonblock(fd, true); err != nil {
 		unix.Close(fd)
-		return -1, "", err
+		return -1, "", fmt.Errorf("eventloop: make the listener at %s non-blocking: %w", address, err)
 	}
 	return fd, ln.Addr().String(), nil
 }
--- a/internal/eventloop/listener_test.go
+++ b/internal/eventloop/listener_test.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Whatever accept fails with, and for how long, the loop does not spin, and who has
-// connected is taken once it succeeds.
+// TestListenerSurvivesAcceptErrors: whatever accept fails with, and for how long, the loop does
+// not spin, and all connections are accepted once it succeeds.
 func TestListenerSurvivesAcceptErrors(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.EPERM, unix.ENETUNREACH,
 		unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EINVAL, unix.ETIMEDOUT} {
@@ -17,8 +17,8 @@
 			calls func() error
 		}{{"one call", failTimes(1, errno)}, {"100 ms", failAlways(errno)}} {
 			t.Run(fmt.Sprintf("%v/%s", errno, fails.span), func(t *testing.T) {
-				f := &failingCalls{accept: fails.calls}
-				l := newLoop(t, f)
+				calls := &failingCalls{accept: fails.calls}
+				l := newLoop(t, calls)
 				fd, address, err := Listen("127.0.0.1:0")
 				if err != nil {
 					t.Fatal(err)
@@ -32,20 +32,21 @@
 				}
 				defer ln.Stop()
 				for range 10 {
-					c, _, err := l.Dial(address)
+					client, _, err := l.Dial(address)
 					if err != nil {
 						t.Fatal(err)
 					}
-					defer unix.Close(c)
+					defer unix.Close(client)
 				}
-				if turns := turnFor(t, l, 100); turns > 50 || f.calls > 200 {
-					t.Errorf("%d turns and %d calls in 100 ms", turns, f.calls)
+				if turns := turnFor(t, l, 100); turns > 50 || calls.calls > 200 {
+					t.Errorf("%d turns and %d calls in 100 ms", turns, calls.calls)
 				}
 				if room > 1 || room == 1 && errno != unix.EMFILE && errno != unix.ENFILE {
 					t.Errorf("room was asked for %d times", room)
 				}
-				f.accept = nil
-				if turnFor(t, l, 30); taken != 10 {
+				calls.accept = nil
+				turnFor(t, l, 30)
+				if taken != 10 {
 					t.Errorf("%d connections taken of 10", taken)
 				}
 			})
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -8,71 +8,85 @@
 	"golang.org/x/sys/unix"
 )
 
+const (
+	defaultMaxPosted = 4096
+	firstEvents      = 512  // that one poll can return; doubled while polls return as many
+	mostEvents       = 8192 // from which on it is not doubled any more
+	slowTurn         = 5    // ms, from which on the time of a turn counts as Slow
+	lagDecay         = 0.99 // of Lag, each turn
+)
+
+// slot is a descriptor that is, or was, watched.
 type slot struct {
-	handler     Handler
-	generation  uint32
+	handler     Handler // nil: it is not watched
+	generation  uint32  // of the watch: events of an earlier watch of the same number are dropped
 	interest    Interest
 	prioritized bool
-	suspended   bool // epoll does not know of it for a while, see suspend
+	suspended   bool // not in epoll for a while, see suspend
 }
 
-// event is what epoll is to be told of the slot's descriptor.
+// event is the epoll event by which the slot's descriptor is watched.
 func (s *slot) event(fd int) unix.EpollEvent {
-	return unix.EpollEvent{Events: uint32(s.interest), Fd: int32(fd), Pad: int32(s.generation & 0x7fffffff)}
+	return unix.EpollEvent{Events: uint32(s.interest), Fd: int32(fd), Pad: s.tag()}
 }
 
+// tag marks the events of the present watch. It is never negative, as that of wakefd is.
+func (s *slot) tag() int32 { return int32(s.generation & 0x7fffffff) }
+
 // Loop is one event loop. The zero value is not usable; see New.
 type Loop struct {
-	epfd, wakefd     int
+	epfd             int
+	wakefd           int    // an eventfd by which other threads end the wait of a poll
 	slots            []slot // by descriptor
 	events           []unix.EpollEvent
-	now              Millis
+	now              Millis // when the present turn began
 	timers           timerHeap
-	lastPoll         Millis // what the last poll did not tell of came later
+	lastPoll         Millis // what the last poll did not report happened later
 	since            Millis // see Since
 	turns            uint64
-	lag              Millis // the longest turn of late, see Lag
+	lag              Millis // see Lag
 	slowTotal        Millis // see Slow
 	afterTurn        func() (more bool)
-	moreAfterTurn    bool     // after has more to do: the next turn does not wait
+	moreAfterTurn    bool     // afterTurn has more to do: the next turn does not wait
 	calls            Syscalls // nil: the kernel's, directly
-	interruptedWaits int      // waits in a row
+	interruptedWaits int      // in a row
 	suspended        []suspension
 	resumeTimer      Timer
 	suspendFor       Millis // how long descriptors are suspended
 	resumedAt        Millis // when they were last watched again
 
-	mu        sync.Mutex
+	mu        sync.Mutex // guards what follows
 	posted    []func()
-	spare     []func()
+	spare     []func() // the memory of the posted calls that ran last
 	maxPosted int
 	stopped   bool
 	closed    bool
 }
 
-// New makes a loop whose queue of posted calls holds at most maxPost; 0 means 4096.
-func New(maxPost int) (*Loop, error) {
-	if maxPost <= 0 {
-		maxPost = 4096
+// New makes a loop whose queue of posted calls holds at most maxPosted; 0 means 4096. Run
+// closes it.
+func New(maxPosted int) (*Loop, error) {
+	if maxPosted <= 0 {
+		maxPosted = defaultMaxPosted
 	}
 	epfd, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
-		return nil, fmt.Errorf("loop: epoll_create1: %w", err)
+		return nil, fmt.Errorf("eventloop: epoll_create1: %w", err)
 	}
 	wakefd, err := unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK)
 	if err != nil {
 		unix.Close(epfd)
-		return nil, fmt.Errorf("loop: eventfd: %w", err)
+		return nil, fmt.Errorf("eventloop: eventfd: %w", err)
 	}
-	l := &Loop{epfd: epfd, wakefd: wakefd, events: make([]unix.EpollEvent, 512), maxPosted: maxPost}
+	l := &Loop{epfd: epfd, wakefd: wakefd, events: make([]unix.EpollEvent, firstEvents), maxPosted: maxPosted}
 	l.now = Clock()
 	l.lastPoll, l.since = l.now, l.now
 	l.resumeTimer.F = l.resume
-	ev := unix.EpollEvent{Events: unix.EPOLLIN, Fd: int32(wakefd), Pad: -1}
-	if err := unix.EpollCtl(epfd, unix.EPOLL_CTL_ADD, wakefd, &ev); err != nil {
+	event := unix.EpollEvent{Events: unix.EPOLLIN, Fd: int32(wakefd), Pad: -1}
+	if err := unix.EpollCtl(epfd, unix.EPOLL_CTL_ADD, wakefd, &event); err != nil {
 		unix.Close(epfd)
 		unix.Close(wakefd)
-		return nil, fmt.Errorf("loop: epoll_ctl: %w", err)
+		return nil, fmt.Errorf("eventloop: epoll_ctl add eventfd %d: %w", wakefd, err)
 	}
 	return l, nil
 }
@@ -83,53 +97,52 @@
 // Turns counts the turns so far.
 func (l *Loop) Turns() uint64 { return l.turns }
 
-// Lag is a decaying maximum of how long turns take, in milliseconds.
+// Lag is a decaying maximum of how long turns took, in milliseconds.
 func (l *Loop) Lag() Millis { return l.lag }
 
-// Slow is how many milliseconds turns have taken in all beyond slowTurn each: time in
-// which peers waited for the loop, and not it for them.
+// Slow is how many milliseconds turns have taken in all, beyond 5 ms each: time in which peers
+// waited for the loop, and not the loop for them.
 func (l *Loop) Slow() Millis { return l.slowTotal }
 
-const slowTurn = 5 // ms
-
-// AfterEachTurn has f called at the end of each turn, behind readiness, posted calls and
-// timers. While it returns true there is more to do: the next turn does not wait.
+// AfterEachTurn has f called at the end of each turn, after handlers, posted calls and timers.
+// While it returns true there is more to do: the next turn does not wait for events.
 func (l *Loop) AfterEachTurn(f func() (more bool)) { l.afterTurn = f }
 
-// Took is how long the present turn has taken so far.
+// Took is how long the present turn has taken so far, in milliseconds.
 func (l *Loop) Took() Millis { return Clock() - l.now }
 
-// Add begins to watch a descriptor, which stays the caller's to close.
+// Add begins to watch a descriptor, which stays the caller's to close. An error for which
+// IsLocalShortage holds means that no more descriptors can be watched now.
 func (l *Loop) Add(fd int, want Interest, h Handler) error {
 	if fd < 0 {
-		return fmt.Errorf("loop: cannot watch descriptor %d", fd)
+		return fmt.Errorf("eventloop: cannot watch descriptor %d", fd)
 	}
 	for fd >= len(l.slots) {
 		l.slots = append(l.slots, make([]slot, max(64, len(l.slots)))...)
 	}
 	s := &l.slots[fd]
 	if s.handler != nil {
-		return fmt.Errorf("loop: descriptor %d is watched already", fd)
+		return fmt.Errorf("eventloop: descriptor %d is watched already", fd)
 	}
 	s.generation++
 	s.interest, s.prioritized, s.suspended = want, false, false
 	event := s.event(fd)
 	if err := unix.EpollCtl(l.epfd, unix.EPOLL_CTL_ADD, fd, &event); err != nil {
-		return fmt.Errorf("loop: epoll_ctl add %d: %w", fd, err)
+		return fmt.Errorf("eventloop: epoll_ctl add %d: %w", fd, err)
 	}
 	s.handler = h
 	return nil
 }
 
 // Prioritize has a watched descriptor's events handed out before those of others in each
-// turn: who has gone is heard of before anything is begun for him.
+// turn, so that the end of a client's connection is known before work for it is begun.
 func (l *Loop) Prioritize(fd int) { l.slots[fd].prioritized = true }
 
-// Want changes what is wanted of a watched descriptor. It costs nothing when
+// Want changes the events that are wanted of a watched descriptor. It makes no system call if
 // nothing changes.
 func (l *Loop) Want(fd int, want Interest) error {
 	if fd < 0 || fd >= len(l.slots) || l.slots[fd].handler == nil {
-		return fmt.Errorf("loop: descriptor %d is not watched", fd)
+		return fmt.Errorf("eventloop: descriptor %d is not watched", fd)
 	}
 	s := &l.slots[fd]
 	if s.interest == want {
@@ -137,19 +150,19 @@
 	}
 	before := s.interest
 	s.interest = want
-	if s.suspended { // the new interest holds once it is watched again
+	if s.suspended { // resume watches it with the new interest
 		return nil
 	}
 	event := s.event(fd)
 	if err := unix.EpollCtl(l.epfd, unix.EPOLL_CTL_MOD, fd, &event); err != nil {
 		s.interest = before
-		return fmt.Errorf("loop: epoll_ctl mod %d: %w", fd, err)
+		return fmt.Errorf("eventloop: epoll_ctl mod %d: %w", fd, err)
 	}
 	return nil
 }
 
-// Remove ends the watch; events of this turn that still name the descriptor
-// are dropped. Call it before closing.
+// Remove ends the watch; events of this turn that still name the descriptor are dropped. Call
+// it before the descriptor is closed. It does nothing to one that is not watched.
 func (l *Loop) Remove(fd int) {
 	if fd < 0 || fd >= len(l.slots) || l.slots[fd].handler == nil {
 		return
@@ -169,7 +182,8 @@
 	}
 }
 
-// Run turns the loop until Stop, on a thread of its own, and then closes it.
+// Run turns the loop until Stop, on a thread of its own, and then closes the loop. It returns
+// an error only if epoll itself fails.
 func (l *Loop) Run() error {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -197,38 +211,19 @@
 	}
 }
 
-// turn waits for events until the next timer is due, and hands them out:
-// readiness first, then posted calls, then timers.
+// turn waits for events until the next timer is due, and then runs handlers, posted calls,
+// timers and afterTurn, in this order.
 func (l *Loop) turn() error {
-	wait := -1
-	if l.moreAfterTurn {
-		wait = 0
-	} else if len(l.timers.list) > 0 {
-		wait = max(int(l.timers.list[0].heapKey-Clock()+0.999), 0)
-	}
+	wait := l.untilTimer()
 	began := Clock()
 	n, err := l.poll(l.pollTimeout(wait, began))
 	if err != nil {
-		return fmt.Errorf("loop: epoll_wait: %w", err)
+		return fmt.Errorf("eventloop: epoll_wait: %w", err)
 	}
 	l.now = Clock()
 	l.notePoll(began, l.interruptedWaits > 0)
 	l.turns++
-	posts := false
-	for _, first := range [...]bool{true, false} {
-		for i := 0; i < n; i++ {
-			ev := &l.events[i]
-			if int(ev.Fd) == l.wakefd {
-				posts = true
-				continue
-			}
-			s := &l.slots[ev.Fd]
-			if s.handler != nil && int32(s.generation&0x7fffffff) == ev.Pad && s.prioritized == first {
-				s.handler.OnReady(Ready(ev.Events))
-			}
-		}
-	}
-	if posts {
+	if l.handOut(l.events[:n]) {
 		l.runPosted()
 	}
 	l.runTimers()
@@ -237,9 +232,40 @@
 	}
 	took := Clock() - l.now
 	l.slowTotal += max(took-slowTurn, 0)
-	l.lag = max(took, l.lag*0.99)
-	if n == len(l.events) && n < 8192 {
+	l.lag = max(took, l.lag*lagDecay)
+	if n == len(l.events) && n < mostEvents {
 		l.events = make([]unix.EpollEvent, 2*n)
 	}
 	return nil
 }
+
+// untilTimer is how long a poll may wait before a timer is due or afterTurn has more to do, in
+// whole ms, rounded up so that the timer is due when the wait ends; -1 is without limit.
+func (l *Loop) untilTimer() int {
+	if l.moreAfterTurn {
+		return 0
+	}
+	if len(l.timers.list) == 0 {
+		return -1
+	}
+	return max(int(l.timers.list[0].heapKey-Clock()+0.999), 0)
+}
+
+// handOut calls the handlers of events, prioritized descriptors' first, and reports whether
+// calls were posted.
+func (l *Loop) handOut(events []unix.EpollEvent) (posted bool) {
+	for _, prioritized := range [...]bool{true, false} {
+		for i := range events {
+			event := &events[i]
+			if int(event.Fd) == l.wakefd {
+				posted = true
+				continue
+			}
+			s := &l.slots[event.Fd]
+			if s.handler != nil && s.tag() == event.Pad && s.prioritized == prioritized {
+				s.handler.OnReady(Ready(event.Events))
+			}
+		}
+	}
+	return posted
+}
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -8,6 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
+// startLoop makes a loop that runs on a goroutine of its own until the test ends.
 func startLoop(t testing.TB) *Loop {
 	l, err := New(64)
 	if err != nil {
@@ -28,6 +29,7 @@
 
 func (f onReady) OnReady(r Ready) { f(r) }
 
+// TestReadiness: data and the peer's half-close are reported.
 func TestReadiness(t *testing.T) {
 	l := startLoop(t)
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
@@ -59,8 +61,8 @@
 	}
 }
 
-// A handler that closes another's descriptor in the same turn must keep that
-// other's event from reaching whoever gets the number next.
+// TestRemovedInSameTurn: a handler that closes another's descriptor in the same turn must
+// keep that other's event from the next owner of the number.
 func TestRemovedInSameTurn(t *testing.T) {
 	l, err := New(0)
 	if err != nil {
@@ -87,10 +89,11 @@
 		t.Fatal(err)
 	}
 	if calls != 1 {
-		t.Fatalf("%d handlers heard, want only the first", calls)
+		t.Fatalf("%d handlers were called, want only the first", calls)
 	}
 }
 
+// TestPostBounds: Post refuses calls beyond its bound, and after Stop.
 func TestPostBounds(t *testing.T) {
 	l, err := New(2)
 	if err != nil {
@@ -116,13 +119,14 @@
 	l.Run()
 }
 
+// TestPostFromMany: calls that several goroutines post all run.
 func TestPostFromMany(t *testing.T) {
 	l := startLoop(t)
 	var wg sync.WaitGroup
-	sum, tries := 0, 200
+	sum, calls := 0, 200
 	for range 8 {
 		wg.Go(func() {
-			for range tries {
+			for range calls {
 				for l.Post(func() { sum++ }) == ErrFull {
 					time.Sleep(time.Millisecond)
 				}
@@ -134,7 +138,7 @@
 	if err := l.Call(5*time.Second, func() { got = sum }); err != nil {
 		t.Fatal(err)
 	}
-	if got != 8*tries {
-		t.Fatalf("%d calls ran, want %d", got, 8*tries)
+	if got != 8*calls {
+		t.Fatalf("%d calls ran, want %d", got, 8*calls)
 	}
 }
--- a/internal/eventloop/post.go
+++ b/internal/eventloop/post.go
@@ -9,13 +9,13 @@
 )
 
 // ErrFull is returned by Post when the queue of posted calls is full.
-var ErrFull = errors.New("loop: queue of posted calls is full")
+var ErrFull = errors.New("eventloop: queue of posted calls is full")
 
 // ErrStopped is returned by Post after Stop.
-var ErrStopped = errors.New("loop: stopped")
+var ErrStopped = errors.New("eventloop: stopped")
 
-// Post has f called by the loop's goroutine in its next turn. It may be called
-// from any goroutine, never blocks, and fails when the queue is full.
+// Post queues f to be called by the loop's goroutine in its next turn. It may be called from
+// any goroutine and never blocks; it returns ErrFull or ErrStopped where f will not be called.
 func (l *Loop) Post(f func()) error {
 	l.mu.Lock()
 	if l.stopped {
@@ -35,11 +35,14 @@
 	return nil
 }
 
+// wake ends the wait of the loop's poll. A failed write means that the eventfd's counter is
+// full, which wakes the loop too.
 func (l *Loop) wake() {
 	one := [8]byte{1}
-	unix.Write(l.wakefd, one[:]) // a full counter wakes the loop too
+	unix.Write(l.wakefd, one[:])
 }
 
+// runPosted runs what was posted before it began; what these calls post runs in the next turn.
 func (l *Loop) runPosted() {
 	var count [8]byte
 	unix.Read(l.wakefd, count[:])
@@ -52,16 +55,22 @@
 	}
 }
 
-// Call runs f on the loop's goroutine and waits for it at most within limit.
+// Call runs f on the loop's goroutine and waits until it has run, for limit at most: after
+// that it returns an error, and f may still run later. It returns ErrFull or ErrStopped as
+// Post does, and must not be called on the loop's own goroutine.
 func (l *Loop) Call(limit time.Duration, f func()) error {
 	done := make(chan struct{})
-	if err := l.Post(func() { f(); close(done) }); err != nil {
+	err := l.Post(func() {
+		f()
+		close(done)
+	})
+	if err != nil {
 		return err
 	}
 	select {
 	case <-done:
 		return nil
 	case <-time.After(limit):
-		return fmt.Errorf("loop: a posted call did not run within %v", limit)
+		return fmt.Errorf("eventloop: a posted call did not run within %v", limit)
 	}
 }
--- a/internal/eventloop/since.go
+++ b/internal/eventloop/since.go
@@ -1,15 +1,16 @@
 package eventloop
 
-// Since is the earliest moment at which what the present turn tells of may have come: bytes,
-// an end, a connection. A descriptor that the poll before did not tell of became ready after
-// that poll, which may be long ago where the turn between took long; where the loop was
-// waiting, it became ready now.
+// Since is the earliest time at which the events of the present turn may have happened: the
+// arrival of bytes, of an end or of a connection. A descriptor that the previous poll did not
+// report became ready after that poll, which may be long ago if the turn between took long; if
+// the loop was waiting, it became ready now.
 //
-// It holds for a descriptor only if the turn before left nothing to be read on it.
+// It holds for a descriptor only if the previous turn left nothing to be read on it.
 func (l *Loop) Since() Millis { return l.since }
 
-// pollTimeout is how long the next poll may wait. After a long turn it does not, so that what
-// has come in that turn is told from what comes while the loop waits.
+// pollTimeout is how long the next poll may wait, in ms; -1 is without limit. After a slow
+// turn it does not wait, so that events of that turn are told apart from those that happen
+// while the loop waits.
 func (l *Loop) pollTimeout(wait int, began Millis) int {
 	if began-l.lastPoll > slowTurn {
 		return 0
@@ -17,10 +18,10 @@
 	return wait
 }
 
-// notePoll sets the moments that Since goes by, after a poll that began at began. One that
-// was interrupted has looked at nothing: the process may have been stopped meanwhile.
+// notePoll sets the times that Since is computed from, after a poll that began at began. An
+// interrupted poll has looked at nothing: the process may have been stopped meanwhile.
 func (l *Loop) notePoll(began Millis, interrupted bool) {
-	unwatched := began - l.lastPoll // between two looks
+	unwatched := began - l.lastPoll // time between two polls
 	l.since = l.lastPoll
 	switch {
 	case interrupted:
@@ -32,6 +33,6 @@
 	}
 }
 
-// Since is the earliest moment at which the connection that is being taken may have come:
+// Since is the earliest time at which the connection that is being accepted may have arrived:
 // it may have waited while accepting was paused, or behind others.
 func (ln *Listener) Since() Millis { return ln.waitingSince }
--- a/internal/eventloop/since_test.go
+++ b/internal/eventloop/since_test.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestSinceBoundsArrival: what comes during a long turn may have come since that turn's own poll; what
-// comes while the loop waits came when the wait ended.
+// TestSinceBoundsArrival: events during a slow turn may have happened since that turn's own
+// poll; events while the loop waits happened when the wait ended.
 func TestSinceBoundsArrival(t *testing.T) {
 	l, err := New(0)
 	if err != nil {
@@ -24,8 +24,8 @@
 	var since Millis
 	l.Add(pair[0], Read, onReady(func(Ready) {
 		since = l.Since()
-		var b [8]byte
-		unix.Read(pair[0], b[:])
+		var buf [8]byte
+		unix.Read(pair[0], buf[:])
 	}))
 	turn := func() {
 		t.Helper()
@@ -35,7 +35,7 @@
 	}
 	const span = 60 * time.Millisecond
 
-	l.Post(func() { // a long turn, at whose end something comes
+	l.Post(func() { // a slow turn, at whose end bytes arrive
 		time.Sleep(span)
 		unix.Write(pair[1], []byte("x"))
 	})
@@ -43,7 +43,7 @@
 	polled := l.Now()
 	turn()
 	if since > polled || since < polled-slowTurn {
-		t.Errorf("after a long turn: %v ms after its poll", since-polled)
+		t.Errorf("after a slow turn: %v ms after its poll", since-polled)
 	}
 
 	waits := func(wait time.Duration) {
@@ -59,7 +59,7 @@
 			}
 		}
 		if early := <-sent - since; early > slowTurn {
-			t.Errorf("in a wait: %v ms before it came", early)
+			t.Errorf("in a wait: %v ms before the bytes arrived", early)
 		}
 	}
 	waits(span)
--- a/internal/eventloop/syscalls.go
+++ b/internal/eventloop/syscalls.go
@@ -7,27 +7,30 @@
 )
 
 // Syscalls are the system calls that a loop makes on sockets; tests and fault injection
-// replace them.
+// replace them. Errors are the system's error numbers, unwrapped: the loop compares them.
 type Syscalls interface {
-	// Accept takes a connection, non-blocking and close-on-exec.
+	// Accept accepts a connection, non-blocking and close-on-exec.
 	Accept(listener int) (fd int, err error)
 	// Socket makes a stream socket, non-blocking and close-on-exec.
 	Socket(family int) (fd int, err error)
+	// Connect begins to connect a socket.
 	Connect(fd int, to unix.Sockaddr) error
+	// Read reads up to len(b) bytes; 0 and no error is the peer's end.
 	Read(fd int, b []byte) (int, error)
+	// Write writes b, or the beginning of it.
 	Write(fd int, b []byte) (int, error)
-	// WriteTwo writes two pieces in one call.
+	// WriteTwo writes two pieces in one call, or the beginning of them.
 	WriteTwo(fd int, first, second []byte) (int, error)
-	// Wait waits for events, at most for a time in milliseconds; -1: without limit.
+	// Wait waits for events, for timeout milliseconds at most; -1 is without limit.
 	Wait(epoll int, events []unix.EpollEvent, timeout int) (int, error)
 }
 
-// Kernel makes the real calls.
+// Kernel makes the real calls. It has no state.
 var Kernel KernelCalls
 
 // KernelCalls are the kernel's own system calls, for wrappers to embed. Calls on
-// non-blocking descriptors return at once, so the runtime is not told of them as of calls
-// that may block: that costs more than a small read.
+// non-blocking descriptors return at once, so they are raw: to announce a call that may block
+// to Go's scheduler costs more than a small read.
 type KernelCalls struct{}
 
 var _ Syscalls = Kernel
@@ -96,8 +99,8 @@
 	return int(n), nil
 }
 
-// Wait is epoll_pwait(2). It takes what is ready without telling the runtime of a call that
-// may block; only when nothing is ready does it wait.
+// Wait is epoll_pwait(2). It first polls by a raw call, and only if nothing is ready does it
+// make the call that may block, which it announces to Go's scheduler.
 func (KernelCalls) Wait(epoll int, events []unix.EpollEvent, timeout int) (int, error) {
 	n, _, errno := unix.RawSyscall6(unix.SYS_EPOLL_PWAIT, uintptr(epoll), uintptr(unsafe.Pointer(&events[0])),
 		uintptr(len(events)), 0, 0, 0)
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -1,24 +1,26 @@
 package eventloop
 
-// A Timer calls its function once when due. The zero value is idle; it can be
-// armed again after it was due or stopped. Set F before arming.
+// A Timer calls its function once when it is due. The zero value is idle. It can be armed
+// again after it was due or disarmed. Set F before arming.
 //
-// Arming for later and disarming cost nothing: the timer keeps its place in the
-// heap, and is looked at again when that comes due. Most timers are limits that
-// are moved on all the time and seldom reached.
+// Arming for later and disarming are cheap: the timer keeps its position in the heap, and is
+// examined again when that position comes up. Most timers are timeouts that are postponed all
+// the time and seldom reached.
 type Timer struct {
+	// F is called on the loop's goroutine.
 	F        func()
-	heapKey  Millis // its place in the heap
-	due      Millis // when it is to be called; never before due
-	seq      uint64
-	position int // place in the heap, from 1; 0: it has none
+	heapKey  Millis // what the heap sorts it by; never after due while it is armed
+	due      Millis // when F is to be called
+	seq      uint64 // order of arming, among equal heapKeys
+	position int    // in the heap, from 1; 0: it is not in it
 	armed    bool
 }
 
-// Armed reports whether the timer waits to come due.
+// Armed reports whether the timer waits to be due.
 func (t *Timer) Armed() bool { return t.armed }
 
-// Arm has the timer come due after in; armed already, it is moved.
+// Arm makes the timer due after in milliseconds, counted from the beginning of the present
+// turn; a timer that is armed already is moved. A negative in counts as 0.
 func (l *Loop) Arm(t *Timer, in Millis) {
 	t.due = l.now + max(in, 0)
 	if !t.armed {
@@ -38,8 +40,8 @@
 	l.timers.push(t)
 }
 
-// Disarm stops a timer; it does nothing to one that is not armed. The loop may
-// hold on to the timer until it would have come due; see Forget.
+// Disarm stops a timer; it does nothing to one that is not armed. The loop may keep a
+// reference to the timer until it would have been due; see Forget.
 func (l *Loop) Disarm(t *Timer) {
 	if t.armed {
 		t.armed = false
@@ -47,7 +49,7 @@
 	}
 }
 
-// Forget disarms a timer that will not be used again.
+// Forget disarms a timer that will not be used again, and drops the loop's reference to it.
 func (l *Loop) Forget(t *Timer) {
 	l.Disarm(t)
 	if t.position > 0 {
@@ -55,34 +57,35 @@
 	}
 }
 
-// AfterFunc calls f once after in. It allocates; use a Timer of your own on hot paths.
+// AfterFunc calls f once after in milliseconds. It allocates: use a Timer of your own on hot
+// paths.
 func (l *Loop) AfterFunc(in Millis, f func()) *Timer {
 	t := &Timer{F: f}
 	l.Arm(t, in)
 	return t
 }
 
-// Ticker calls f every span until the returned function is called.
-func (l *Loop) Ticker(span Millis, f func()) (stop func()) {
+// Ticker calls f every period, in milliseconds, until the returned function is called.
+func (l *Loop) Ticker(period Millis, f func()) (stop func()) {
 	t := &Timer{}
 	t.F = func() {
-		l.Arm(t, span)
+		l.Arm(t, period)
 		f()
 	}
-	l.Arm(t, span)
+	l.Arm(t, period)
 	return func() { l.Forget(t) }
 }
 
 // Timers is how many timers are armed.
 func (l *Loop) Timers() int { return l.timers.armedCount }
 
-// runTimers runs what is due at the time of the turn; what these arm waits for
-// the next turn, so that none can hold the loop.
+// runTimers runs the timers that are due at the time of the turn. What these arm waits for the
+// next turn, so that a timer that arms itself for now cannot keep the loop from its events.
 func (l *Loop) runTimers() {
-	last := l.timers.seq
+	lastSeq := l.timers.seq
 	for len(l.timers.list) > 0 {
 		t := l.timers.list[0]
-		if t.heapKey > l.now || t.seq > last {
+		if t.heapKey > l.now || t.seq > lastSeq {
 			return
 		}
 		if t.armed && t.due > l.now {
@@ -98,7 +101,9 @@
 	}
 }
 
-// timerHeap is a four-way heap by due time, equal times in the order of arming.
+// timerHeap is a four-way heap by heapKey, equal keys in the order of arming. It is its own
+// code because container/heap costs an interface call for each comparison; four children to a
+// node keep it shallow, as most changes are an arming, which goes up.
 type timerHeap struct {
 	list       []*Timer
 	seq        uint64
@@ -116,15 +121,16 @@
 }
 
 func (h *timerHeap) remove(i int) {
-	t, n := h.list[i], len(h.list)-1
-	if i != n {
-		h.list[i] = h.list[n]
+	t := h.list[i]
+	last := len(h.list) - 1
+	if i != last {
+		h.list[i] = h.list[last]
 		h.list[i].position = i + 1
 	}
-	h.list[n] = nil
-	h.list = h.list[:n]
+	h.list[last] = nil
+	h.list = h.list[:last]
 	t.position = 0
-	if i != n {
+	if i != last {
 		h.fix(i)
 	}
 }
@@ -138,13 +144,13 @@
 func (h *timerHeap) up(i int) (moved bool) {
 	t := h.list[i]
 	for i > 0 {
-		p := (i - 1) / 4
-		if !h.less(t, h.list[p]) {
+		parent := (i - 1) / 4
+		if !h.less(t, h.list[parent]) {
 			break
 		}
-		h.list[i] = h.list[p]
+		h.list[i] = h.list[parent]
 		h.list[i].position = i + 1
-		i, moved = p, true
+		i, moved = parent, true
 	}
 	h.list[i] = t
 	t.position = i + 1
@@ -152,23 +158,24 @@
 }
 
 func (h *timerHeap) down(i int) {
-	t, n := h.list[i], len(h.list)
+	t := h.list[i]
+	n := len(h.list)
 	for {
-		c := 4*i + 1
-		if c >= n {
+		child := 4*i + 1
+		if child >= n {
 			break
 		}
-		for k := c + 1; k < min(c+4, n); k++ {
-			if h.less(h.list[k], h.list[c]) {
-				c = k
+		for sibling := child + 1; sibling < min(4*i+5, n); sibling++ {
+			if h.less(h.list[sibling], h.list[child]) {
+				child = sibling
 			}
 		}
-		if !h.less(h.list[c], t) {
+		if !h.less(h.list[child], t) {
 			break
 		}
-		h.list[i] = h.list[c]
+		h.list[i] = h.list[child]
 		h.list[i].position = i + 1
-		i = c
+		i = child
 	}
 	h.list[i] = t
 	t.position = i + 1
--- a/internal/eventloop/timer_test.go
+++ b/internal/eventloop/timer_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is armed, moved and stopped, timers come due in order.
+// TestTimersAgainstModel: whatever is armed, moved and disarmed, timers run when they are due
+// and not before.
 func TestTimersAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := &Loop{}
@@ -53,6 +54,7 @@
 	})
 }
 
+// TestTimersRunInOrder: timers run in the order in which they are due.
 func TestTimersRunInOrder(t *testing.T) {
 	l := startLoop(t)
 	got := make(chan int, 3)
