--- a/internal/proxy/asynclog/logq_test.go
+++ b/internal/proxy/asynclog/logq_test.go
@@ -17,9 +17,9 @@
 	return s.Buffer.Write(b)
 }
 
-// TestNobodyReads: a writer that does not move holds nobody up; lines past the bound are
+// TestStuckWriterBlocksNobody: a writer that does not move holds nobody up; lines past the bound are
 // dropped, and their number is told once it moves.
-func TestNobodyReads(t *testing.T) {
+func TestStuckWriterBlocksNobody(t *testing.T) {
 	w := &stuck{move: make(chan struct{})}
 	q := New(w, 4)
 	written := make(chan struct{})
--- a/internal/proxy/limits/admission.go
+++ b/internal/proxy/limits/admission.go
@@ -21,77 +21,77 @@
 // by a tenth to a half an interval, from what is in hand; else, where the limit is in
 // use, it grows by a twentieth and one an interval.
 type Admission struct {
-	s        AdmissionSettings
-	limit    float64
-	least    float64 // wait in the present interval; below 0: none was seen
-	parts    float64 // sum of the parts of their time that requests waited, in the present interval
-	waits    int     // how many those are
-	long     int     // and of how many it was too long
-	most     int     // in hand in the present interval
-	ends     float64
-	over     bool
-	LastWait float64 // the least wait of the last interval
+	settings      AdmissionSettings
+	limit         float64
+	leastWait     float64 // wait in the present interval; below 0: none was seen
+	queueingSum   float64 // sum of the parts of their time that requests waited, in the present interval
+	queued        int     // how many those are
+	queuedTooLong int     // and of how many it was too long
+	mostInFlight  int     // in hand in the present interval
+	intervalEnds  float64
+	overloaded    bool
+	LastWait      float64 // the least wait of the last interval
 }
 
 // NewAdmission begins without a limit below Most.
 func NewAdmission(s AdmissionSettings) *Admission {
 	s.Least = max(min(s.Least, s.Most), 1)
-	return &Admission{s: s, limit: float64(s.Most), least: -1}
+	return &Admission{settings: s, limit: float64(s.Most), leastWait: -1}
 }
 
 // Adopt goes by other settings from now on. What was learned stays.
 func (a *Admission) Adopt(s AdmissionSettings) {
 	s.Least = max(min(s.Least, s.Most), 1)
-	if a.limit >= float64(a.s.Most) {
+	if a.limit >= float64(a.settings.Most) {
 		a.limit = float64(s.Most) // none was found
 	}
-	a.s, a.limit = s, min(a.limit, float64(s.Most))
+	a.settings, a.limit = s, min(a.limit, float64(s.Most))
 }
 
 // ObserveQueueing says which part of its time until the deadline a request has waited for its
 // first attempt.
 func (a *Admission) ObserveQueueing(part float64) {
-	a.parts += part
-	a.waits++
-	if part > a.s.Part {
-		a.long++
+	a.queueingSum += part
+	a.queued++
+	if part > a.settings.Part {
+		a.queuedTooLong++
 	}
 }
 
 // ObserveWait says that ready bytes had to wait for the router.
 func (a *Admission) ObserveWait(ms float64) {
-	if a.least < 0 || ms < a.least {
-		a.least = ms
+	if a.leastWait < 0 || ms < a.leastWait {
+		a.leastWait = ms
 	}
 }
 
 // Tick says how many requests are in hand; it is to be called at least once an
 // interval.
 func (a *Admission) Tick(now float64, inHand int) {
-	a.most = max(a.most, inHand)
-	if now < a.ends {
+	a.mostInFlight = max(a.mostInFlight, inHand)
+	if now < a.intervalEnds {
 		return
 	}
-	if a.ends > 0 {
-		a.LastWait = max(a.least, 0)
-		wait := a.least / a.s.Target
-		if a.s.Part > 0 && 2*a.long > a.waits {
-			wait = max(wait, a.parts/float64(a.waits)/a.s.Part, 1.1)
+	if a.intervalEnds > 0 {
+		a.LastWait = max(a.leastWait, 0)
+		wait := a.leastWait / a.settings.Target
+		if a.settings.Part > 0 && 2*a.queuedTooLong > a.queued {
+			wait = max(wait, a.queueingSum/float64(a.queued)/a.settings.Part, 1.1)
 		}
-		a.over = wait > 1
-		switch used := float64(a.most); {
-		case a.over:
-			a.limit = max(min(a.limit, used)*min(max(1/wait, 0.5), 0.9), float64(a.s.Least))
+		a.overloaded = wait > 1
+		switch used := float64(a.mostInFlight); {
+		case a.overloaded:
+			a.limit = max(min(a.limit, used)*min(max(1/wait, 0.5), 0.9), float64(a.settings.Least))
 		case used >= 0.8*a.limit:
-			a.limit = min(a.limit*1.05+1, float64(a.s.Most))
+			a.limit = min(a.limit*1.05+1, float64(a.settings.Most))
 		}
 	}
-	a.ends, a.least, a.most = now+a.s.Interval, -1, inHand
-	a.parts, a.waits, a.long = 0, 0, 0
+	a.intervalEnds, a.leastWait, a.mostInFlight = now+a.settings.Interval, -1, inHand
+	a.queueingSum, a.queued, a.queuedTooLong = 0, 0, 0
 }
 
 // Overloaded reports whether the router was found overloaded in the last interval.
-func (a *Admission) Overloaded() bool { return a.over }
+func (a *Admission) Overloaded() bool { return a.overloaded }
 
 // Limit is how many requests may be in hand.
 func (a *Admission) Limit() int { return int(a.limit) }
@@ -101,8 +101,8 @@
 // the headroom.
 func (a *Admission) Admit(inHand int, rank float64) bool {
 	limit := a.limit
-	if limit < float64(a.s.Most) {
-		limit *= 1 - a.s.Headroom*(1-min(max(rank, 0), 1))
+	if limit < float64(a.settings.Most) {
+		limit *= 1 - a.settings.Headroom*(1-min(max(rank, 0), 1))
 	}
-	return float64(inHand) < max(limit, float64(a.s.Least))
+	return float64(inHand) < max(limit, float64(a.settings.Least))
 }
--- a/internal/proxy/limits/drr.go
+++ b/internal/proxy/limits/drr.go
@@ -8,8 +8,8 @@
 	quantum int
 	classes []drrClass[T]
 	ring    []int // classes with ready connections, the present first
-	visited bool  // the present class was given its quantum
-	n       int
+	charged bool  // the present class was given its quantum
+	ready   int
 }
 
 type drrClass[T comparable] struct {
@@ -17,7 +17,7 @@
 	deficit float64
 	queue   []T
 	head    int
-	in      bool // the ring
+	inRing  bool // the ring
 }
 
 // NewDRR makes a scheduler of classes with the weights; a class of weight 1 moves
@@ -31,7 +31,7 @@
 }
 
 // Len is how many connections are ready.
-func (d *DRR[T]) Len() int { return d.n }
+func (d *DRR[T]) Len() int { return d.ready }
 
 // Push says that a connection is ready. It must not be ready already. A class that
 // is not known counts as the last.
@@ -41,9 +41,9 @@
 	}
 	c := &d.classes[class]
 	c.queue = append(c.queue, it)
-	d.n++
-	if !c.in {
-		c.in, c.deficit = true, 0
+	d.ready++
+	if !c.inRing {
+		c.inRing, c.deficit = true, 0
 		d.ring = append(d.ring, class)
 	}
 }
@@ -54,17 +54,17 @@
 	for len(d.ring) > 0 {
 		class = d.ring[0]
 		c := &d.classes[class]
-		if !d.visited {
-			d.visited = true
+		if !d.charged {
+			d.charged = true
 			c.deficit += c.weight * float64(d.quantum)
 		}
 		if c.head >= len(c.queue) { // all that was ready is served: nothing is saved up
-			c.in, c.deficit, c.queue, c.head = false, 0, c.queue[:0], 0
-			d.ring, d.visited = d.ring[1:], false
+			c.inRing, c.deficit, c.queue, c.head = false, 0, c.queue[:0], 0
+			d.ring, d.charged = d.ring[1:], false
 			continue
 		}
 		if c.deficit < 1 {
-			d.ring, d.visited = append(d.ring[1:], class), false
+			d.ring, d.charged = append(d.ring[1:], class), false
 			continue
 		}
 		it = c.queue[c.head]
@@ -74,7 +74,7 @@
 			c.queue = c.queue[:copy(c.queue, c.queue[c.head:])]
 			c.head = 0
 		}
-		d.n--
+		d.ready--
 		return it, class, int(min(c.deficit, float64(d.quantum))), true
 	}
 	return it, 0, 0, false
@@ -87,6 +87,6 @@
 	c.deficit -= float64(n)
 	if more {
 		c.queue = append(c.queue, it)
-		d.n++
+		d.ready++
 	}
 }
--- a/internal/proxy/limits/flow.go
+++ b/internal/proxy/limits/flow.go
@@ -17,15 +17,15 @@
 // below it is, at the latest when Grace and what it paid for are used up. While
 // somebody else holds things up nothing is charged. The zero Flow is new.
 type Flow struct {
-	owed    float64 // ms that are used up of the grace
-	last    float64
-	waiting bool
+	owed       float64 // ms that are used up of the grace
+	lastCharge float64
+	waiting    bool
 }
 
 // StartWaiting says that from now on the peer is waited for.
 func (f *Flow) StartWaiting(now float64) {
 	if !f.waiting {
-		f.waiting, f.last = true, now
+		f.waiting, f.lastCharge = true, now
 	}
 }
 
@@ -62,14 +62,14 @@
 }
 
 func (f *Flow) charge(now float64, l *MinRate) {
-	if f.waiting && now > f.last {
-		spent := now - f.last
+	if f.waiting && now > f.lastCharge {
+		spent := now - f.lastCharge
 		if l.Step > 0 {
 			spent = min(spent, l.Step)
 		}
 		f.owed += spent
 	}
-	f.last = max(f.last, now)
+	f.lastCharge = max(f.lastCharge, now)
 }
 
 // MassSlowness keeps a judgement on members from being the router's own fault: where most of
@@ -80,33 +80,33 @@
 	Share float64 // of those at work: from there on judgement is suspect
 	Least int     // members at work below which one may always be cut
 
-	good, slow map[string]float64 // when last seen so
-	Spared     uint64             // cuts that were not made
+	lastGood, lastSlow map[string]float64 // when last seen so
+	Spared             uint64             // cuts that were not made
 }
 
 // ObserveGood says that a member moved bytes at the least rate or more.
-func (j *MassSlowness) ObserveGood(member string, now float64) { j.note(&j.good, member, now) }
+func (j *MassSlowness) ObserveGood(member string, now float64) { j.record(&j.lastGood, member, now) }
 
 // ObserveSlow says that a member was found slow. All that are found so at a time are to be
 // told before Cut is asked of one.
-func (j *MassSlowness) ObserveSlow(member string, now float64) { j.note(&j.slow, member, now) }
+func (j *MassSlowness) ObserveSlow(member string, now float64) { j.record(&j.lastSlow, member, now) }
 
 // MayCut reports whether a member that was found slow may be cut.
 func (j *MassSlowness) MayCut(member string, now float64) bool {
 	j.ObserveSlow(member, now)
 	slow, working := 0, 0
-	for id, at := range j.slow {
+	for id, at := range j.lastSlow {
 		if now-at > j.Span {
-			delete(j.slow, id)
+			delete(j.lastSlow, id)
 			continue
 		}
 		slow++
 		working++
 	}
-	for id, at := range j.good {
+	for id, at := range j.lastGood {
 		if now-at > j.Span {
-			delete(j.good, id)
-		} else if _, both := j.slow[id]; !both {
+			delete(j.lastGood, id)
+		} else if _, both := j.lastSlow[id]; !both {
 			working++
 		}
 	}
@@ -117,7 +117,7 @@
 	return true
 }
 
-func (j *MassSlowness) note(m *map[string]float64, member string, now float64) {
+func (j *MassSlowness) record(m *map[string]float64, member string, now float64) {
 	if *m == nil {
 		*m = map[string]float64{}
 	}
--- a/internal/proxy/limits/hold.go
+++ b/internal/proxy/limits/hold.go
@@ -16,34 +16,34 @@
 // it takes more than its share the hold doubles, and else it halves, down to none.
 // Who waits as long as Retry-After says never notices.
 type ReadPause struct {
-	s     ReadPauseSettings
-	ms    float64
-	spent float64
-	since float64
+	settings      ReadPauseSettings
+	pause         float64
+	cost          float64
+	intervalBegan float64
 }
 
 // NewReadPause begins with none.
-func NewReadPause(s ReadPauseSettings) *ReadPause { return &ReadPause{s: s} }
+func NewReadPause(s ReadPauseSettings) *ReadPause { return &ReadPause{settings: s} }
 
 // AddCost says that turning a request away took so long.
-func (h *ReadPause) AddCost(ms float64) { h.spent += ms }
+func (h *ReadPause) AddCost(ms float64) { h.cost += ms }
 
 // Tick is to be called at least once an interval.
 func (h *ReadPause) Tick(now float64) {
-	span := now - h.since
-	if span < h.s.Interval {
+	span := now - h.intervalBegan
+	if span < h.settings.Interval {
 		return
 	}
-	switch share := h.spent / span; {
-	case share > h.s.Share:
-		h.ms = min(max(2*h.ms, h.s.Interval/10), h.s.Most)
-	case share < h.s.Share/2:
-		if h.ms /= 2; h.ms < h.s.Interval/10 {
-			h.ms = 0
+	switch share := h.cost / span; {
+	case share > h.settings.Share:
+		h.pause = min(max(2*h.pause, h.settings.Interval/10), h.settings.Most)
+	case share < h.settings.Share/2:
+		if h.pause /= 2; h.pause < h.settings.Interval/10 {
+			h.pause = 0
 		}
 	}
-	h.spent, h.since = 0, now
+	h.cost, h.intervalBegan = 0, now
 }
 
 // Duration is how long a connection is held now, in ms.
-func (h *ReadPause) Duration() float64 { return h.ms }
+func (h *ReadPause) Duration() float64 { return h.pause }
--- a/internal/proxy/limits/limits.go
+++ b/internal/proxy/limits/limits.go
@@ -31,9 +31,9 @@
 	causes
 )
 
-var words = [causes]string{"none", "slow-head", "slow-body", "slow-reader", "slow-member", "overload", "repeats", "memory", "per-address", "descriptors", "standing"}
+var causeNames = [causes]string{"none", "slow-head", "slow-body", "slow-reader", "slow-member", "overload", "repeats", "memory", "per-address", "descriptors", "standing"}
 
-func (c Cause) String() string { return words[c] }
+func (c Cause) String() string { return causeNames[c] }
 
 // Counts counts by cause.
 type Counts [causes]uint64
@@ -43,7 +43,7 @@
 	out := map[string]uint64{}
 	for i, n := range c {
 		if n > 0 {
-			out[words[i]] = n
+			out[causeNames[i]] = n
 		}
 	}
 	return out
--- a/internal/proxy/limits/limits_test.go
+++ b/internal/proxy/limits/limits_test.go
@@ -9,11 +9,11 @@
 	"pgregory.net/rapid"
 )
 
-var least = MinRate{Rate: 8, Grace: 4000, Step: 500}
+var testRate = MinRate{Rate: 8, Grace: 4000, Step: 500}
 
 // A peer that moves the least rate over each span is never cut, whatever the other
 // side and the router do meanwhile, and however it spreads its bytes within the span.
-func TestHealthyIsNeverSlow(t *testing.T) {
+func TestFlowAtMinRateNeverSlow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var f Flow
 		now, debt := 0.0, 0.0 // ms of its own delay since its bytes last paid for it
@@ -22,29 +22,29 @@
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0: // the other side, or the router, holds things up for as long as it likes
-				f.StopWaiting(now, &least)
+				f.StopWaiting(now, &testRate)
 				now += rapid.Float64Range(0, 60000).Draw(t, "other")
 				waited = false
 			case 1: // the router does not look for a while: charged is a step at most
 				if waited {
-					debt += least.Step
+					debt += testRate.Step
 				}
-				now += rapid.Float64Range(least.Step, 20000).Draw(t, "stall")
+				now += rapid.Float64Range(testRate.Step, 20000).Draw(t, "stall")
 			default:
 				if !waited {
 					f.StartWaiting(now)
 					waited = true
 				}
-				d := rapid.Float64Range(0, least.Step).Draw(t, "peer")
+				d := rapid.Float64Range(0, testRate.Step).Draw(t, "peer")
 				now += d
 				debt += d
 			}
-			if debt > least.Grace-least.Step-1 { // it keeps the rate: it moves what it owes for
-				n := int(math.Ceil(debt * least.Rate))
-				f.Moved(now, n, &least)
+			if debt > testRate.Grace-testRate.Step-1 { // it keeps the rate: it moves what it owes for
+				n := int(math.Ceil(debt * testRate.Rate))
+				f.Moved(now, n, &testRate)
 				debt = 0
 			}
-			if f.Slow(now, &least) {
+			if f.Slow(now, &testRate) {
 				t.Fatalf("cut at %v with %v ms of its own", now, debt)
 			}
 		}
@@ -53,9 +53,9 @@
 
 // A peer that keeps below the rate is found slow, and not before its grace is used up;
 // one byte a second is no way out.
-func TestTricklerIsSlow(t *testing.T) {
+func TestFlowBelowMinRateIsSlow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rate := rapid.Float64Range(0, 0.8).Draw(t, "share") * least.Rate
+		rate := rapid.Float64Range(0, 0.8).Draw(t, "share") * testRate.Rate
 		gap := rapid.Float64Range(1, 1500).Draw(t, "gap")
 		var f Flow
 		f.StartWaiting(0)
@@ -63,12 +63,12 @@
 		for now := 0.0; now < 60000; now += 250 {
 			for next <= now {
 				part += rate * gap
-				f.Moved(next, int(part), &least)
+				f.Moved(next, int(part), &testRate)
 				part -= math.Floor(part)
 				next += gap
 			}
-			if f.Slow(now, &least) {
-				if now < least.Grace {
+			if f.Slow(now, &testRate) {
+				if now < testRate.Grace {
 					t.Fatalf("slow at %v, within its grace", now)
 				}
 				return
@@ -79,28 +79,28 @@
 }
 
 // Reading in bursts at just the least rate is allowed.
-func TestBurstsAtTheRate(t *testing.T) {
+func TestFlowBurstsAtMinRate(t *testing.T) {
 	var f Flow
 	f.StartWaiting(0)
 	for now := 250.0; now < 600000; now += 250 {
 		if math.Mod(now, 3500) == 0 {
-			f.Moved(now, int(3500*least.Rate), &least)
+			f.Moved(now, int(3500*testRate.Rate), &testRate)
 		}
-		if f.Slow(now, &least) {
+		if f.Slow(now, &testRate) {
 			t.Fatalf("slow at %v", now)
 		}
 	}
-	if d := f.Due(&least); d <= 0 || d > least.Grace {
+	if d := f.Due(&testRate); d <= 0 || d > testRate.Grace {
 		t.Error(d)
 	}
-	if f = (Flow{}); f.Slow(1e9, &least) || !math.IsInf(f.Due(&least), 1) || f.Slow(1e9, &MinRate{}) {
+	if f = (Flow{}); f.Slow(1e9, &testRate) || !math.IsInf(f.Due(&testRate), 1) || f.Slow(1e9, &MinRate{}) {
 		t.Error("a flow that nobody waits for is slow")
 	}
 }
 
 // One slow member is cut; where most are slow at once none is, and once the others are
 // well again the one is.
-func TestJury(t *testing.T) {
+func TestMassSlowness(t *testing.T) {
 	j := MassSlowness{Span: 5000, Share: 0.5, Least: 3}
 	for _, m := range []string{"a", "b", "c", "d"} {
 		j.ObserveGood(m, 1000)
@@ -201,7 +201,7 @@
 
 // A small answer behind any number of large ones of another class waits for a
 // quantum of each class, and not for theirs.
-func TestStillBehindFootage(t *testing.T) {
+func TestDRRSmallBehindLarge(t *testing.T) {
 	d := NewDRR[int](64<<10, []float64{1, 1})
 	for i := range 1000 {
 		d.Push(1, i)
@@ -232,7 +232,7 @@
 
 // A queue in simulated time that gets up to four times what it can do: the limit finds
 // a place at which the wait stays short and the server is busy, and comes back after.
-func TestAdmissionFinds(t *testing.T) {
+func TestAdmissionAdapts(t *testing.T) {
 	for _, load := range []float64{0.5, 0.9, 1.5, 2, 4} {
 		a := NewAdmission(AdmissionSettings{Target: 5, Interval: 100, Least: 8, Most: 20000, Headroom: 0.2})
 		rng := rand.New(rand.NewPCG(1, uint64(load*10)))
@@ -283,7 +283,7 @@
 // until they are nearly late: without a limit on that all answers come late, with it
 // most places are used in time. With as many requests of
 // another, idle cache beside it nobody is turned away.
-func TestAdmissionQueue(t *testing.T) {
+func TestAdmissionQueueing(t *testing.T) {
 	run := func(part float64, beside bool) (good, late, refused int) {
 		a := NewAdmission(AdmissionSettings{Target: 20, Part: part, Interval: 100, Least: 64, Most: 20000, Headroom: 0.2})
 		rng := rand.New(rand.NewPCG(7, 7))
@@ -344,7 +344,7 @@
 }
 
 // The worthiest are taken when the least are not; the least number is always allowed.
-func TestAdmissionRanks(t *testing.T) {
+func TestAdmissionRank(t *testing.T) {
 	a := NewAdmission(AdmissionSettings{Target: 5, Interval: 100, Least: 10, Most: 1000, Headroom: 0.3})
 	if !a.Admit(999, 0) || a.Admit(1000, 1) {
 		t.Error("without overload the limit is not the most")
@@ -364,7 +364,7 @@
 
 // Repeats are a share of first tries once an overload lasts; one address can't take
 // the others' share, and is bounded in calm times too.
-func TestRetries(t *testing.T) {
+func TestRetryBudget(t *testing.T) {
 	r := NewRetryBudget(RetryBudgetSettings{Share: 0.25, Burst: 20, AddressShare: 0.5, AddressBurst: 10, Addresses: 100})
 	went := 0
 	for i := range 1000 {
@@ -390,8 +390,8 @@
 	for i := range 100000 { // addresses that come once are forgotten
 		r.Admit(fmt.Sprint("a", i), false, false)
 	}
-	if len(r.now)+len(r.before) > 200 {
-		t.Errorf("%d addresses are remembered", len(r.now)+len(r.before))
+	if len(r.recent)+len(r.older) > 200 {
+		t.Errorf("%d addresses are remembered", len(r.recent)+len(r.older))
 	}
 }
 
@@ -449,7 +449,7 @@
 }
 
 // Answers that have waited for their clients for a second give way, the longest first.
-func TestStuck(t *testing.T) {
+func TestLongStalled(t *testing.T) {
 	if got := fmt.Sprint(LongStalled([]float64{999, 1000, 5000, 0, 2000})); got != "[2 4 1]" || len(LongStalled(nil)) != 0 {
 		t.Error(got)
 	}
@@ -472,8 +472,8 @@
 	for b.Loop() {
 		now += 0.1
 		f.StartWaiting(now)
-		f.Moved(now, 100, &least)
-		if f.Slow(now, &least) {
+		f.Moved(now, 100, &testRate)
+		if f.Slow(now, &testRate) {
 			b.Fatal()
 		}
 	}
@@ -482,7 +482,7 @@
 // Whose requests end well is never poor, however slowly and unevenly they do; who
 // wastes more than a tenth of his places is, and is forgiven in time; and no more than
 // so many addresses are remembered.
-func TestStanding(t *testing.T) {
+func TestReputation(t *testing.T) {
 	settings := ReputationSettings{Half: 60000, Least: 1.5, Weight: 10, Most: 4, Addresses: 64}
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewReputation(settings)
@@ -505,7 +505,7 @@
 			if s.Poor("well", now) || s.Poor("unknown", now) || i > 20 && s.Poor("mostly well", now) {
 				t.Fatalf("a good one is poor at %v", now)
 			}
-			if n := len(s.now) + len(s.before); n > 2*64 {
+			if n := len(s.recent) + len(s.older); n > 2*64 {
 				t.Fatalf("%d are remembered", n)
 			}
 		}
@@ -549,7 +549,7 @@
 
 // Hundreds of answers that wait stay below the edge of the budget together, thousands
 // pass it by their least at most, and one alone has all that it may.
-func TestRoom(t *testing.T) {
+func TestBudgetRoom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.Int64Range(8<<20, 1<<30).Draw(t, "total")
 		n := rapid.Int64Range(1, total/(64<<10)).Draw(t, "answers")
@@ -563,7 +563,7 @@
 				}
 			}
 		}
-		if n <= roomPart && b.Full() || float64(b.Used()) > shedAt*float64(total)+float64(n*leastRoom) {
+		if n <= roomShare && b.Full() || float64(b.Used()) > shedAbove*float64(total)+float64(n*minRoom) {
 			t.Fatalf("%d answers fill %d of %d", n, b.Used(), total)
 		}
 	})
@@ -575,7 +575,7 @@
 		t.Error(got)
 	}
 	one.Add(Bodies, 1<<30)
-	if got := one.Room(1 << 20); got != leastRoom {
+	if got := one.Room(1 << 20); got != minRoom {
 		t.Error(got)
 	}
 	if UnaccountedMemory(64<<20) != 24<<20 || UnaccountedMemory(4<<20) != 3<<20 || !MayCloseIdle(200) || MayCloseIdle(199) || !IsStalled(2000) || IsStalled(1999) {
@@ -585,7 +585,7 @@
 
 // Turning away takes about its share of the time, however many ask again at once; where
 // few do nobody is held, and a hold ends with its reason.
-func TestHold(t *testing.T) {
+func TestReadPause(t *testing.T) {
 	const cost, conns = 0.01, 1500 // ms a refusal
 	for _, rate := range []float64{0.5, 10, 100} {
 		h := NewReadPause(ReadPauseSettings{Share: 0.05, Interval: 100, Most: 200})
@@ -625,7 +625,7 @@
 
 // What the kernel holds: who takes something is never cut before it idles, who idles
 // always is, and past the limit it comes down to 0.80 unless only those are left who take.
-func TestTails(t *testing.T) {
+func TestUnreadAccount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tails := UnreadAccount{Total: 1 << 20, Idle: 20_000}
 		var list []Unread
@@ -674,7 +674,7 @@
 	}
 }
 
-func TestPlaces(t *testing.T) {
+func TestConnectionQuota(t *testing.T) {
 	for _, n := range []int{32, 256, 1024} {
 		p := NewConnectionQuota(n)
 		if p.Clients+p.Members > n || p.Clients < n/10 || p.Members < 2 || n >= 256 && p.Clients < n/3 {
@@ -709,9 +709,9 @@
 	}
 }
 
-// TestAgain: after a common loss processes ask at different times, at first soon and then
+// TestBackoff: after a common loss processes ask at different times, at first soon and then
 // less often, and never wait longer than the most.
-func TestAgain(t *testing.T) {
+func TestBackoff(t *testing.T) {
 	first := map[float64]bool{}
 	for seed := range uint64(100) {
 		a := NewBackoff(250, 150, 500, seed)
@@ -737,9 +737,9 @@
 	}
 }
 
-// TestVisitorsThatLinger: a message that comes by and by is waited for, within a bound; a
+// TestClientActivityLingering: a message that comes by and by is waited for, within a bound; a
 // connection that was shut is read for a while, and is the first to yield.
-func TestVisitorsThatLinger(t *testing.T) {
+func TestClientActivityLingering(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		v    ClientActivity
--- a/internal/proxy/limits/memory.go
+++ b/internal/proxy/limits/memory.go
@@ -18,7 +18,7 @@
 	kinds
 )
 
-var kindWords = [kinds]string{"connections", "heads", "answers", "requests", "bodies"}
+var kindNames = [kinds]string{"connections", "heads", "answers", "requests", "bodies"}
 
 // Budget is the memory that a process accounts for. A Total of 0 is no limit.
 type Budget struct {
@@ -42,28 +42,28 @@
 func (b *Budget) Map() map[string]int64 {
 	out := map[string]int64{}
 	for i, n := range b.used {
-		out[kindWords[i]] = n
+		out[kindNames[i]] = n
 	}
 	return out
 }
 
 // Levels of pressure.
 const (
-	shedAt   = 0.90 // from here idle connections go, and nothing new is taken into hand
-	shedTo   = 0.80 // down to here
-	refuseAt = 0.95 // from here requests in hand go too
+	shedAbove         = 0.90 // from here idle connections go, and nothing new is taken into hand
+	shedDownTo        = 0.80 // down to here
+	shedRequestsAbove = 0.95 // from here requests in hand go too
 )
 
 // Full reports that nothing new may be taken into hand.
-func (b *Budget) Full() bool { return b.Total > 0 && float64(b.sum) >= shedAt*float64(b.Total) }
+func (b *Budget) Full() bool { return b.Total > 0 && float64(b.sum) >= shedAbove*float64(b.Total) }
 
 // Excess is how many bytes have to be given back: of idle connections, and of requests.
 func (b *Budget) Excess() (idle, requests int64) {
 	if !b.Full() {
 		return 0, 0
 	}
-	idle = b.sum - int64(shedTo*float64(b.Total))
-	if float64(b.sum) >= refuseAt*float64(b.Total) {
+	idle = b.sum - int64(shedDownTo*float64(b.Total))
+	if float64(b.sum) >= shedRequestsAbove*float64(b.Total) {
 		requests = idle
 	}
 	return idle, requests
@@ -78,18 +78,18 @@
 	if b.Total <= 0 {
 		return most
 	}
-	free := shedAt*float64(b.Total) - float64(b.sum)
-	return min(max(int(free/roomPart), leastRoom), most)
+	free := shedAbove*float64(b.Total) - float64(b.sum)
+	return min(max(int(free/roomShare), minRoom), most)
 }
 
 // UnaccountedMemory is the part of a process's memory that is not booked: its program, the runtime,
 // logs and queues. Of a small budget it is at most three quarters.
-func UnaccountedMemory(total int64) int64 { return min(ownBytes, total*3/4) }
+func UnaccountedMemory(total int64) int64 { return min(maxUnaccounted, total*3/4) }
 
 const (
-	roomPart  = 256
-	leastRoom = 16 << 10
-	ownBytes  = 24 << 20
+	roomShare      = 256
+	minRoom        = 16 << 10
+	maxUnaccounted = 24 << 20
 )
 
 // ShedCandidate is a request that holds memory.
@@ -131,22 +131,22 @@
 	return list
 }
 
-// idleFor is for how long, in ms, a connection has to be unused until it counts as idle:
+// idleAfter is for how long, in ms, a connection has to be unused until it counts as idle:
 // the request of one that was just made may be on its way.
-const idleFor = 200
+const idleAfter = 200
 
 // MayCloseIdle reports whether a connection that was unused for so long, in ms, may give way.
-func MayCloseIdle(ms float64) bool { return ms >= idleFor }
+func MayCloseIdle(ms float64) bool { return ms >= idleAfter }
 
-// stuckFor is for how long, in ms, an answer has to wait for its client before it gives
+// stalledAnswerAfter is for how long, in ms, an answer has to wait for its client before it gives
 // way to others.
-const stuckFor = 1000
+const stalledAnswerAfter = 1000
 
 // LongStalled is the places of those waits, in ms for a client, that give way to others: the
 // longest first.
 func LongStalled(waits []float64) (out []int) {
 	for i, w := range waits {
-		if w >= stuckFor {
+		if w >= stalledAnswerAfter {
 			out = append(out, i)
 		}
 	}
--- a/internal/proxy/limits/places.go
+++ b/internal/proxy/limits/places.go
@@ -6,24 +6,24 @@
 type ConnectionQuota struct{ Clients, Members int }
 
 const (
-	keptBack     = 24   // the loop, the listener, the feed, logs, and what the runtime opens
-	clientPart   = 0.55 // of the others; what is left goes to members
-	silentFor    = 2200 // a connection that has not sent a whole message
-	halfFor      = 2200 // a message that has begun, and of which nothing more comes
-	wholeFor     = 8000 // a message that has begun and comes by and by
-	unusedFor    = 6000 // a connection without an open request: clients close theirs earlier
-	unreadFor    = 2500 // an answer of which nothing is taken
-	lingerFor    = 1000 // a connection that was shut, and that its client does not close
-	idlePart     = 0.8  // of the time after which members close idle connections
-	usualIdle    = 30000
-	memoryPart   = 0.3 // of the memory that waiting bytes may take
-	leastWaiting = 4 << 20
+	reservedDescriptors = 24   // the loop, the listener, the feed, logs, and what the runtime opens
+	clientShare         = 0.55 // of the others; what is left goes to members
+	silentTimeout       = 2200 // a connection that has not sent a whole message
+	partTimeout         = 2200 // a message that has begun, and of which nothing more comes
+	messageTimeout      = 8000 // a message that has begun and comes by and by
+	idleTimeout         = 6000 // a connection without an open request: clients close theirs earlier
+	unreadTimeout       = 2500 // an answer of which nothing is taken
+	lingerTimeout       = 1000 // a connection that was shut, and that its client does not close
+	memberIdleShare     = 0.8  // of the time after which members close idle connections
+	defaultMemberIdle   = 30000
+	waitingShare        = 0.3 // of the memory that waiting bytes may take
+	minWaitingBytes     = 4 << 20
 )
 
 // NewConnectionQuota shares out so many descriptors.
 func NewConnectionQuota(descriptors int) ConnectionQuota {
-	n := max(descriptors-keptBack, 8)
-	c := int(float64(n) * clientPart)
+	n := max(descriptors-reservedDescriptors, 8)
+	c := int(float64(n) * clientShare)
 	return ConnectionQuota{Clients: c, Members: n - c}
 }
 
@@ -33,7 +33,7 @@
 
 // WaitingBytes is how much may wait for clients and members that read slowly, of a
 // memory of so many bytes.
-func WaitingBytes(memory int) int { return max(int(float64(memory)*memoryPart), leastWaiting) }
+func WaitingBytes(memory int) int { return max(int(float64(memory)*waitingShare), minWaitingBytes) }
 
 // ClientActivity is what is known of a client's connection. Times are on the caller's clock.
 type ClientActivity struct {
@@ -52,19 +52,21 @@
 func (v *ClientActivity) Expired(now float64) bool {
 	switch {
 	case v.Shut > 0:
-		return now-v.Shut > lingerFor
-	case v.Half > 0 && (now-v.Half > halfFor || now-v.Begun > wholeFor), v.NotReading(now):
+		return now-v.Shut > lingerTimeout
+	case v.Half > 0 && (now-v.Half > partTimeout || now-v.Begun > messageTimeout), v.NotReading(now):
 		return true
 	case v.Open > 0:
 		return false
 	case v.Messages == 0 && v.Half == 0:
-		return now-v.Since > silentFor
+		return now-v.Since > silentTimeout
 	}
-	return v.Half == 0 && now-v.Last > unusedFor
+	return v.Half == 0 && now-v.Last > idleTimeout
 }
 
 // NotReading reports whether a connection takes nothing of what waits for it.
-func (v *ClientActivity) NotReading(now float64) bool { return v.Stuck > 0 && now-v.Stuck > unreadFor }
+func (v *ClientActivity) NotReading(now float64) bool {
+	return v.Stuck > 0 && now-v.Stuck > unreadTimeout
+}
 
 // ClosesBefore reports whether v goes before w where room is needed for another connection:
 // never one with an open request; of the others one that was shut already, then one that
@@ -87,7 +89,7 @@
 // closes it, told that members do so after span; 0: not told.
 func MemberIdleExpired(idle, span float64) bool {
 	if span <= 0 {
-		span = usualIdle
+		span = defaultMemberIdle
 	}
-	return idle > idlePart*span
+	return idle > memberIdleShare*span
 }
--- a/internal/proxy/limits/retries.go
+++ b/internal/proxy/limits/retries.go
@@ -13,23 +13,23 @@
 // RetryBudget keeps clients' repeats from amplifying an overload. All clients' budget
 // counts only while the router is overloaded; that of one address counts always.
 type RetryBudget struct {
-	s      RetryBudgetSettings
-	all    float64
-	now    map[string]*float64 // budgets by address
-	before map[string]*float64
+	settings RetryBudgetSettings
+	all      float64
+	recent   map[string]*float64 // budgets by address
+	older    map[string]*float64
 }
 
 // NewRetryBudget begins with full budgets.
 func NewRetryBudget(s RetryBudgetSettings) *RetryBudget {
-	return &RetryBudget{s: s, all: s.Burst, now: map[string]*float64{}}
+	return &RetryBudget{settings: s, all: s.Burst, recent: map[string]*float64{}}
 }
 
 // Admit reports whether a request may go on.
 func (r *RetryBudget) Admit(address string, repeat, overloaded bool) bool {
 	b := r.budget(address)
 	if !repeat {
-		r.all = min(r.all+r.s.Share, r.s.Burst)
-		*b = min(*b+r.s.AddressShare, r.s.AddressBurst)
+		r.all = min(r.all+r.settings.Share, r.settings.Burst)
+		*b = min(*b+r.settings.AddressShare, r.settings.AddressBurst)
 		return true
 	}
 	if *b < 1 || overloaded && r.all < 1 {
@@ -41,18 +41,18 @@
 }
 
 func (r *RetryBudget) budget(address string) *float64 {
-	if b := r.now[address]; b != nil {
+	if b := r.recent[address]; b != nil {
 		return b
 	}
-	if len(r.now) >= max(r.s.Addresses, 1) {
-		r.before, r.now = r.now, map[string]*float64{}
+	if len(r.recent) >= max(r.settings.Addresses, 1) {
+		r.older, r.recent = r.recent, map[string]*float64{}
 	}
-	b := r.before[address]
+	b := r.older[address]
 	if b == nil {
-		full := r.s.AddressBurst
+		full := r.settings.AddressBurst
 		b = &full
 	}
-	r.now[address] = b
+	r.recent[address] = b
 	return b
 }
 
--- a/internal/proxy/limits/standing.go
+++ b/internal/proxy/limits/standing.go
@@ -29,16 +29,16 @@
 // ask and don't take may cost the others something, and the second does not. Who only
 // reads slowly, behind a thin link, ends well and is never poor.
 type Reputation struct {
-	s           ReputationSettings
-	now, before map[string]*record
-	places      int // that poor addresses have in hand
+	settings      ReputationSettings
+	recent, older map[string]*outcomes
+	reserved      int // that poor addresses have in hand
 }
 
-type record struct{ good, bad, at float64 }
+type outcomes struct{ good, bad, at float64 }
 
 // NewReputation begins with every address well thought of.
 func NewReputation(s ReputationSettings) *Reputation {
-	return &Reputation{s: s, now: map[string]*record{}}
+	return &Reputation{settings: s, recent: map[string]*outcomes{}}
 }
 
 // AddressRecord is what is known of an address, for a successor.
@@ -49,9 +49,9 @@
 
 // Records is what is known of all addresses, the worst first.
 func (s *Reputation) Records(now float64) (list []AddressRecord) {
-	for _, m := range []map[string]*record{s.before, s.now} {
+	for _, m := range []map[string]*outcomes{s.older, s.recent} {
 		for _, address := range slices.Sorted(maps.Keys(m)) {
-			if r := s.known(address, now); r != nil {
+			if r := s.decayed(address, now); r != nil {
 				list = append(list, AddressRecord{address, r.good, r.bad})
 			}
 		}
@@ -63,81 +63,81 @@
 // Restore goes on from what a predecessor knew. What makes no sense is passed over.
 func (s *Reputation) Restore(list []AddressRecord, now float64) {
 	for _, k := range list {
-		if k.Bad > 0 && k.Good >= 0 && !math.IsInf(k.Bad+k.Good, 0) && len(s.now) < s.s.Addresses {
-			s.now[k.Address] = &record{good: k.Good, bad: k.Bad, at: now}
+		if k.Bad > 0 && k.Good >= 0 && !math.IsInf(k.Bad+k.Good, 0) && len(s.recent) < s.settings.Addresses {
+			s.recent[k.Address] = &outcomes{good: k.Good, bad: k.Bad, at: now}
 		}
 	}
 }
 
 // Adopt goes by other settings from now on.
-func (s *Reputation) Adopt(x ReputationSettings) { s.s = x }
+func (s *Reputation) Adopt(x ReputationSettings) { s.settings = x }
 
 // AddGood says that a request of the address ended well.
 func (s *Reputation) AddGood(address string, now float64) {
-	if r := s.known(address, now); r != nil { // of whom nothing bad is known there is nothing to keep
+	if r := s.decayed(address, now); r != nil { // of whom nothing bad is known there is nothing to keep
 		r.good++
 	}
 }
 
 // AddBad says that one ended badly.
 func (s *Reputation) AddBad(address string, now float64) {
-	r := s.known(address, now)
+	r := s.decayed(address, now)
 	if r == nil {
-		if len(s.now) >= max(s.s.Addresses, 1) {
-			s.before, s.now = s.now, map[string]*record{}
+		if len(s.recent) >= max(s.settings.Addresses, 1) {
+			s.older, s.recent = s.recent, map[string]*outcomes{}
 		}
-		r = &record{at: now}
-		s.now[address] = r
+		r = &outcomes{at: now}
+		s.recent[address] = r
 	}
 	r.bad++
 }
 
 // Poor reports whether the address is of poor standing.
 func (s *Reputation) Poor(address string, now float64) bool {
-	r := s.known(address, now)
-	return r != nil && r.bad >= s.s.Least && r.bad*s.s.Weight > r.good
+	r := s.decayed(address, now)
+	return r != nil && r.bad >= s.settings.Least && r.bad*s.settings.Weight > r.good
 }
 
 // Any reports whether anything bad is known of anybody.
-func (s *Reputation) Any() bool { return len(s.now)+len(s.before) > 0 }
+func (s *Reputation) Any() bool { return len(s.recent)+len(s.older) > 0 }
 
 // HasCapacity reports whether poor addresses may have one more request in hand.
-func (s *Reputation) HasCapacity() bool { return s.places < s.s.Most }
+func (s *Reputation) HasCapacity() bool { return s.reserved < s.settings.Most }
 
 // Excess is how many more they have in hand than they may.
-func (s *Reputation) Excess() int { return s.places - s.s.Most }
+func (s *Reputation) Excess() int { return s.reserved - s.settings.Most }
 
 // Reserve says that a request of a poor address is in hand, or that one's is that has
 // become poor.
-func (s *Reputation) Reserve() { s.places++ }
+func (s *Reputation) Reserve() { s.reserved++ }
 
 // Release says that such a request is over.
-func (s *Reputation) Release() { s.places-- }
+func (s *Reputation) Release() { s.reserved-- }
 
-// unmovedFor is how long, in ms, a client may take nothing of what waits for it until
+// stalledAfter is how long, in ms, a client may take nothing of what waits for it until
 // that counts as a bad end.
-const unmovedFor = 2000
+const stalledAfter = 2000
 
 // IsStalled reports whether a client that has taken nothing for so long, in ms, holds its
 // place for nothing.
-func IsStalled(ms float64) bool { return ms >= unmovedFor }
+func IsStalled(ms float64) bool { return ms >= stalledAfter }
 
-// known is what is known of the address, with its age counted in.
-func (s *Reputation) known(address string, now float64) *record {
-	r := s.now[address]
+// decayed is what is known of the address, with its age counted in.
+func (s *Reputation) decayed(address string, now float64) *outcomes {
+	r := s.recent[address]
 	if r == nil {
-		if r = s.before[address]; r == nil {
+		if r = s.older[address]; r == nil {
 			return nil
 		}
-		delete(s.before, address) // so that it is not forgotten with those that are not met again
-		s.now[address] = r
+		delete(s.older, address) // so that it is not forgotten with those that are not met again
+		s.recent[address] = r
 	}
 	if span := now - r.at; span > 0 {
-		part := math.Exp2(-span / s.s.Half)
+		part := math.Exp2(-span / s.settings.Half)
 		r.good, r.bad, r.at = r.good*part, r.bad*part, now
 	}
 	if r.bad < 0.01 {
-		delete(s.now, address)
+		delete(s.recent, address)
 		return nil
 	}
 	return r
--- a/internal/proxy/limits/tails.go
+++ b/internal/proxy/limits/tails.go
@@ -42,7 +42,7 @@
 		}
 		return true
 	})
-	if t.Total <= 0 || float64(left) < shedAt*float64(t.Total) {
+	if t.Total <= 0 || float64(left) < shedAbove*float64(t.Total) {
 		return cut
 	}
 	list = slices.DeleteFunc(list, func(c Unread) bool { return !IsStalled(c.Still) })
@@ -50,7 +50,7 @@
 		return cmp.Compare(float64(b.Bytes)*b.Still, float64(a.Bytes)*a.Still)
 	})
 	for _, c := range list {
-		if float64(left) <= shedTo*float64(t.Total) {
+		if float64(left) <= shedDownTo*float64(t.Total) {
 			break
 		}
 		cut = append(cut, c)
@@ -62,12 +62,12 @@
 // Room is how much the kernel may hold for a connection that is new: a part of what is
 // free, as Budget.Room, at most most and at least leastSocket.
 func (t *UnreadAccount) Room(most int) int {
-	if most <= leastSocket {
+	if most <= minSocketBytes {
 		return most // 0: no limit is set
 	}
 	b := Budget{Total: t.Total, sum: t.Held}
-	return max(b.Room(most), leastSocket)
+	return max(b.Room(most), minSocketBytes)
 }
 
-// leastSocket gives a client that is 50 ms away 2.5 MB a second.
-const leastSocket = 128 << 10
+// minSocketBytes gives a client that is 50 ms away 2.5 MB a second.
+const minSocketBytes = 128 << 10
--- a/internal/proxy/unixclock/unixclock_test.go
+++ b/internal/proxy/unixclock/unixclock_test.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// TestNeverOlder: for any delays on the way an age is never over the true one, and it is
+// TestAgeNeverOverstated: for any delays on the way an age is never over the true one, and it is
 // short of it by no more than the least delay of anything seen lately.
-func TestNeverOlder(t *testing.T) {
+func TestAgeNeverOverstated(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var clock Clock
 		now, least := 0.0, math.Inf(1)
