--- /dev/null
+++ b/internal/proxy/limits/clientactivity_test.go
@@ -0,0 +1,29 @@
+package limits
+
+import (
+	"testing"
+)
+
+// TestClientActivityLingering: a message that comes by and by is waited for, within a bound; a
+// connection that was shut is read for a while, and is the first to yield.
+func TestClientActivityLingering(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		v    ClientActivity
+		now  float64
+		over bool
+	}{
+		{"bytes came lately", ClientActivity{Begun: 1, Half: 3000}, 5000, false},
+		{"none for long", ClientActivity{Begun: 1, Half: 3000}, 5300, true},
+		{"for too long in all", ClientActivity{Begun: 1, Half: 8900}, 9000, true},
+		{"shut", ClientActivity{Messages: 1, Shut: 100}, 1000, false},
+		{"shut, and the client stays", ClientActivity{Messages: 1, Shut: 100}, 1101, true},
+	} {
+		if got := c.v.Expired(c.now); got != c.over {
+			t.Errorf("%s: %v", c.name, got)
+		}
+	}
+	if shut, silent := (&ClientActivity{Messages: 3, Last: 900, Shut: 950}), (&ClientActivity{Since: 1}); !shut.ClosesBefore(silent) || silent.ClosesBefore(shut) {
+		t.Error("one that was shut does not yield first")
+	}
+}
