--- a/internal/proxy/limits/admission.go
+++ b/internal/proxy/limits/admission.go
@@ -1,55 +1,78 @@
 package limits
 
-// AdmissionSettings are how many requests may be in hand. Spans are in ms.
+// AdmissionSettings bound the requests in flight.
 type AdmissionSettings struct {
-	Target   float64 // bytes may wait for the router so long
-	Part     float64 // and a request for its first attempt, of its time until the deadline; 0: however long
-	Interval float64 // over which the least wait counts
-	Least    int     // requests in hand that are always allowed
-	Most     int     // and that never are more
-	Headroom float64 // part of the limit that only the worthiest requests may use
+	Target   float64 // ms that ready bytes may wait for the router
+	Part     float64 // part of its time until the deadline that a request may wait for its first attempt; 0: all of it
+	Interval float64 // ms over which the shortest wait counts
+	Least    int     // requests in flight that are always allowed
+	Most     int     // requests in flight that are never exceeded
+	Headroom float64 // part of the limit that only requests of the highest rank may use
 }
 
-// Admission is a limit on the requests in hand that adapts to two waits: of ready bytes
-// for the router's own time, and of requests for their first attempt, while the module
-// has no place for them. Of the first, as in CoDel (RFC 8289), it is the least over an
-// interval that counts: a burst is no overload, a queue that never empties is. The
-// second is no queue in order, and there most have to wait for long, so that one cache
-// whose requests do while others' do not turns nobody away. Who has waited so long is
-// served at the last moment or late: a queue that stands costs all of them their time.
-// While either is above its target the limit falls with the target's part of the wait,
-// by a tenth to a half an interval, from what is in hand; else, where the limit is in
+// normalized returns the settings with a Least between 1 and Most.
+func (s AdmissionSettings) normalized() AdmissionSettings {
+	s.Least = max(min(s.Least, s.Most), 1)
+	return s
+}
+
+// How fast the limit moves in an interval.
+const (
+	admissionMostCut   = 0.5  // it falls to no less than this part
+	admissionLeastCut  = 0.9  // and at least to this one, once there is an overload
+	admissionGrowth    = 1.05 // it grows by this factor, and by one request
+	admissionInUse     = 0.8  // part of the limit that has to be in flight for it to grow
+	queueingIsOverload = 1.1  // least relative wait where most requests wait for too long
+)
+
+// Admission is a limit on the requests in flight that adapts to two waits: of ready bytes for
+// the router's own time, and of requests for their first attempt, while the decision module
+// has no capacity for them.
+//
+// Of the first, as in CoDel (RFC 8289), the shortest in an interval counts: a burst is no
+// overload, a queue that never empties is. The second is not one queue in order, so there
+// most requests have to wait for too long: one cache whose requests do while others' do not
+// gets nobody rejected. A request that has waited for so long is answered at the last moment
+// or late, and a standing queue costs all requests that time.
+//
+// While either wait is above its target the limit falls by the ratio of target and wait, by a
+// tenth to a half an interval, starting from what is in flight. Otherwise, if the limit is in
 // use, it grows by a twentieth and one an interval.
 type Admission struct {
-	settings      AdmissionSettings
-	limit         float64
-	leastWait     float64 // wait in the present interval; below 0: none was seen
-	queueingSum   float64 // sum of the parts of their time that requests waited, in the present interval
-	queued        int     // how many those are
-	queuedTooLong int     // and of how many it was too long
-	mostInFlight  int     // in hand in the present interval
+	// LastWait is the shortest wait of ready bytes in the last interval, in ms.
+	LastWait float64
+
+	settings   AdmissionSettings
+	limit      float64
+	overloaded bool
+
+	// Of the present interval:
 	intervalEnds  float64
-	overloaded    bool
-	LastWait      float64 // the least wait of the last interval
+	leastWait     float64 // ms; below 0: none was observed
+	queueingSum   float64 // sum of the parts of their time that requests waited
+	queued        int     // how many requests that is the sum of
+	queuedTooLong int     // how many of them waited for more than Part
+	mostInFlight  int
 }
 
-// NewAdmission begins without a limit below Most.
-func NewAdmission(s AdmissionSettings) *Admission {
-	s.Least = max(min(s.Least, s.Most), 1)
-	return &Admission{settings: s, limit: float64(s.Most), leastWait: -1}
+// NewAdmission makes an Admission whose limit is Most until there is an overload.
+func NewAdmission(settings AdmissionSettings) *Admission {
+	settings = settings.normalized()
+	return &Admission{settings: settings, limit: float64(settings.Most), leastWait: -1}
 }
 
-// Adopt goes by other settings from now on. What was learned stays.
-func (a *Admission) Adopt(s AdmissionSettings) {
-	s.Least = max(min(s.Least, s.Most), 1)
-	if a.limit >= float64(a.settings.Most) {
-		a.limit = float64(s.Most) // none was found
+// Adopt changes the settings. What was learned stays.
+func (a *Admission) Adopt(settings AdmissionSettings) {
+	settings = settings.normalized()
+	if a.limit >= float64(a.settings.Most) { // there was no overload
+		a.limit = float64(settings.Most)
 	}
-	a.settings, a.limit = s, min(a.limit, float64(s.Most))
+	a.settings = settings
+	a.limit = min(a.limit, float64(settings.Most))
 }
 
-// ObserveQueueing says which part of its time until the deadline a request has waited for its
-// first attempt.
+// ObserveQueueing records which part of its time until the deadline a request has waited for
+// its first attempt, from 0 to 1.
 func (a *Admission) ObserveQueueing(part float64) {
 	a.queueingSum += part
 	a.queued++
@@ -58,51 +81,68 @@
 	}
 }
 
-// ObserveWait says that ready bytes had to wait for the router.
+// ObserveWait records how long ready bytes had to wait for the router, in ms.
 func (a *Admission) ObserveWait(ms float64) {
 	if a.leastWait < 0 || ms < a.leastWait {
 		a.leastWait = ms
 	}
 }
 
-// Tick says how many requests are in hand; it is to be called at least once an
-// interval.
-func (a *Admission) Tick(now float64, inHand int) {
-	a.mostInFlight = max(a.mostInFlight, inHand)
+// Tick records how many requests are in flight, and adapts the limit at the end of each
+// interval. It has to be called at least once an interval.
+func (a *Admission) Tick(now float64, inFlight int) {
+	a.mostInFlight = max(a.mostInFlight, inFlight)
 	if now < a.intervalEnds {
 		return
 	}
-	if a.intervalEnds > 0 {
-		a.LastWait = max(a.leastWait, 0)
-		wait := a.leastWait / a.settings.Target
-		if a.settings.Part > 0 && 2*a.queuedTooLong > a.queued {
-			wait = max(wait, a.queueingSum/float64(a.queued)/a.settings.Part, 1.1)
-		}
-		a.overloaded = wait > 1
-		switch used := float64(a.mostInFlight); {
-		case a.overloaded:
-			a.limit = max(min(a.limit, used)*min(max(1/wait, 0.5), 0.9), float64(a.settings.Least))
-		case used >= 0.8*a.limit:
-			a.limit = min(a.limit*1.05+1, float64(a.settings.Most))
-		}
+	if a.intervalEnds > 0 { // an interval has passed
+		a.adapt()
 	}
-	a.intervalEnds, a.leastWait, a.mostInFlight = now+a.settings.Interval, -1, inHand
+	a.intervalEnds = now + a.settings.Interval
+	a.leastWait = -1
+	a.mostInFlight = inFlight
 	a.queueingSum, a.queued, a.queuedTooLong = 0, 0, 0
 }
 
+// adapt moves the limit by what was observed in the interval.
+func (a *Admission) adapt() {
+	a.LastWait = max(a.leastWait, 0)
+	wait := a.relativeWait()
+	a.overloaded = wait > 1
+	used := float64(a.mostInFlight)
+	switch {
+	case a.overloaded:
+		cut := min(max(1/wait, admissionMostCut), admissionLeastCut)
+		a.limit = max(min(a.limit, used)*cut, float64(a.settings.Least))
+	case used >= admissionInUse*a.limit:
+		a.limit = min(a.limit*admissionGrowth+1, float64(a.settings.Most))
+	}
+}
+
+// relativeWait is the longer of the interval's two waits, each as a multiple of its target:
+// above 1 the router is overloaded.
+func (a *Admission) relativeWait() float64 {
+	wait := a.leastWait / a.settings.Target
+	mostTooLong := 2*a.queuedTooLong > a.queued
+	if a.settings.Part > 0 && mostTooLong {
+		meanPart := a.queueingSum / float64(a.queued)
+		wait = max(wait, meanPart/a.settings.Part, queueingIsOverload)
+	}
+	return wait
+}
+
 // Overloaded reports whether the router was found overloaded in the last interval.
 func (a *Admission) Overloaded() bool { return a.overloaded }
 
-// Limit is how many requests may be in hand.
+// Limit is how many requests may be in flight.
 func (a *Admission) Limit() int { return int(a.limit) }
 
-// Admit reports whether one more request may come in hand. rank is its worth among
-// those of all classes, 0 the least and 1 the most: the limit of the least is lower by
-// the headroom.
-func (a *Admission) Admit(inHand int, rank float64) bool {
+// Admit reports whether one more request is admitted while inFlight are. rank is its priority
+// among those of all classes, from 0 to 1: the limit for rank 0 is lower by the headroom.
+func (a *Admission) Admit(inFlight int, rank float64) bool {
 	limit := a.limit
 	if limit < float64(a.settings.Most) {
 		limit *= 1 - a.settings.Headroom*(1-min(max(rank, 0), 1))
 	}
-	return float64(inHand) < max(limit, float64(a.settings.Least))
+	return float64(inFlight) < max(limit, float64(a.settings.Least))
 }
--- a/internal/proxy/limits/backoff.go
+++ b/internal/proxy/limits/backoff.go
@@ -2,30 +2,33 @@
 
 import "math/rand/v2"
 
-// Backoff spaces out tries that failed, so that many processes that lost the same service at
-// once don't ask in step, and don't ask more often the longer it is away. The chance is
-// from a seed. Spans are in milliseconds.
+// Backoff spaces out attempts to reach a lost service, so that many processes that lost it at
+// once do not try in step, and try less often the longer it is away. Chance is drawn from a
+// seed. Times are in milliseconds.
 type Backoff struct {
-	First    float64 // within which the first try after a loss falls, by chance
-	Base     float64 // before the second, give or take half of it; each later one takes twice as long
-	Most     float64 // no wait is longer
-	rng      *rand.Rand
-	attempts int
+	First float64 // the first attempt after a loss follows at a random time within this
+	Base  float64 // wait before the second, plus or minus half of it; doubled for each later one
+	Most  float64 // longest wait
+
+	random   *rand.Rand
+	attempts int // since the loss
 }
 
-// NewBackoff begins with nothing lost.
+// NewBackoff makes a Backoff that has lost nothing; times are in milliseconds.
 func NewBackoff(first, base, most float64, seed uint64) *Backoff {
-	return &Backoff{First: first, Base: base, Most: most, rng: rand.New(rand.NewPCG(seed, 0x5eed))}
+	return &Backoff{First: first, Base: base, Most: most, random: rand.New(rand.NewPCG(seed, 0x5eed))}
 }
 
-// Next is how long to wait before the next try.
-func (a *Backoff) Next() float64 {
-	if a.attempts++; a.attempts == 1 {
-		return a.First * a.rng.Float64()
+// Next returns how long to wait before the next attempt, in milliseconds.
+func (b *Backoff) Next() float64 {
+	b.attempts++
+	if b.attempts == 1 {
+		return b.First * b.random.Float64()
 	}
-	span := min(a.Base*float64(uint64(1)<<min(a.attempts-2, 30)), a.Most)
-	return min(span*(0.5+a.rng.Float64()), a.Most)
+	doublings := min(b.attempts-2, 30)
+	wait := min(b.Base*float64(uint64(1)<<doublings), b.Most)
+	return min(wait*(0.5+b.random.Float64()), b.Most)
 }
 
-// Reset says that a try succeeded.
-func (a *Backoff) Reset() { a.attempts = 0 }
+// Reset records that an attempt succeeded: the next Next is again the first after a loss.
+func (b *Backoff) Reset() { b.attempts = 0 }
--- a/internal/proxy/limits/budget.go
+++ b/internal/proxy/limits/budget.go
@@ -1,58 +1,70 @@
 package limits
 
-// Kind is what memory is held for.
+// Kind is what memory is used for.
 type Kind uint8
 
 // The kinds.
 const (
-	Connections Kind = iota // descriptions of clients' and members' connections
-	Heads                   // read, and not yet taken
-	Answers                 // answered, and not yet written
-	Requests                // requests in hand
+	Connections Kind = iota // state of clients' and members' connections
+	Heads                   // bytes that were read, and not yet parsed
+	Answers                 // answers, and not yet written
+	Requests                // state of requests in flight
 	Bodies                  // bodies of writes
 	kinds
 )
 
+// kindNames are keys of the state that a router reports.
 var kindNames = [kinds]string{"connections", "heads", "answers", "requests", "bodies"}
 
-// Budget is the memory that a process accounts for. A Total of 0 is no limit.
+// String returns the kind's key in the state that a router reports.
+func (k Kind) String() string { return kindNames[k] }
+
+// Levels of use, as parts of the total.
+const (
+	shedAbove         = 0.90 // from here idle connections are closed, and no request is admitted
+	shedRequestsAbove = 0.95 // from here requests in flight are shed too
+	shedDownTo        = 0.80 // and both go on down to here
+)
+
+const (
+	roomShare      = 256      // one answer may use this part of what is free
+	minRoom        = 16 << 10 // bytes that one read is worth
+	maxUnaccounted = 24 << 20 // bytes, see UnaccountedMemory
+)
+
+// Budget is the memory that a process accounts for, in bytes.
 type Budget struct {
-	Total int64
-	used  [kinds]int64
-	sum   int64
-	Peak  int64 // that was ever used
+	Total int64 // 0: no limit
+	Peak  int64 // the most that was ever used
+
+	used [kinds]int64
+	sum  int64 // of used
 }
 
-// Add books bytes; a negative number gives them back.
-func (b *Budget) Add(k Kind, n int64) {
-	b.used[k] += n
+// Add accounts for n more bytes; a negative n gives them back.
+func (b *Budget) Add(kind Kind, n int64) {
+	b.used[kind] += n
 	b.sum += n
 	b.Peak = max(b.Peak, b.sum)
 }
 
-// Used is what is booked.
+// Used is how many bytes are in use.
 func (b *Budget) Used() int64 { return b.sum }
 
-// Map is what is booked, by kind.
+// Map returns the bytes in use, by the names of their kinds.
 func (b *Budget) Map() map[string]int64 {
-	out := map[string]int64{}
-	for i, n := range b.used {
-		out[kindNames[i]] = n
+	byName := map[string]int64{}
+	for kind, n := range b.used {
+		byName[Kind(kind).String()] = n
 	}
-	return out
+	return byName
 }
 
-// Levels of pressure.
-const (
-	shedAbove         = 0.90 // from here idle connections go, and nothing new is taken into hand
-	shedDownTo        = 0.80 // down to here
-	shedRequestsAbove = 0.95 // from here requests in hand go too
-)
-
-// Full reports that nothing new may be taken into hand.
+// Full reports that no more requests can be admitted.
 func (b *Budget) Full() bool { return b.Total > 0 && float64(b.sum) >= shedAbove*float64(b.Total) }
 
-// Excess is how many bytes have to be given back: of idle connections, and of requests.
+// Excess is how many bytes have to be given back, by closing idle connections and by shedding
+// requests.
 func (b *Budget) Excess() (idle, requests int64) {
 	if !b.Full() {
 		return 0, 0
@@ -64,11 +76,11 @@
 	return idle, requests
 }
 
-// Room is how many bytes one answer may have waiting for its client: a fixed part of
-// what is free, at most most and at least what one read is worth. The more answers wait, the less is left for
-// each (the dynamic thresholds of shared-memory switches, Choudhury and Hahne 1998):
-// some hundreds that are not taken can't use up what the next needs, and one alone has
-// all that it may. Thousands take the least each, and reach the edge.
+// Room is how many bytes one answer may have waiting for its client: a fixed part of what is
+// free, at most most and at least what one read is worth. The more answers wait, the less is
+// left for each (the dynamic thresholds of shared-memory switches, Choudhury and Hahne 1998):
+// some hundreds that are not read cannot use up what the next needs, and one alone has all
+// that it may. Thousands use the minimum each, and reach the limit.
 func (b *Budget) Room(most int) int {
 	if b.Total <= 0 {
 		return most
@@ -77,12 +89,6 @@
 	return min(max(int(free/roomShare), minRoom), most)
 }
 
-// UnaccountedMemory is the part of a process's memory that is not booked: its program, the runtime,
-// logs and queues. Of a small budget it is at most three quarters.
+// UnaccountedMemory is the part of a process's memory, of total bytes, that no Budget accounts
+// for: its program, the runtime, logs and queues. It is at most three quarters of the total.
 func UnaccountedMemory(total int64) int64 { return min(maxUnaccounted, total*3/4) }
-
-const (
-	roomShare      = 256
-	minRoom        = 16 << 10
-	maxUnaccounted = 24 << 20
-)
--- a/internal/proxy/limits/clientactivity.go
+++ b/internal/proxy/limits/clientactivity.go
@@ -1,60 +1,68 @@
 package limits
 
-// ClientActivity is what is known of a client's connection. Times are on the caller's clock.
+// After these times, in ms, a client's connection is closed.
+const (
+	silentTimeout  = 2200 // it has not sent a whole message yet
+	partTimeout    = 2200 // a message has begun, and no more bytes of it come
+	messageTimeout = 8000 // a message has begun, and is still incomplete although bytes come
+	idleTimeout    = 6000 // it has no open request: clients close theirs earlier
+	unreadTimeout  = 2500 // it reads nothing of an answer
+	lingerTimeout  = 1000 // it was shut down, and its client does not close it
+)
+
+// ClientActivity is what is known of a client's connection. Times are on the caller's clock,
+// in milliseconds.
 type ClientActivity struct {
-	Since    float64 // when it came
+	Since    float64 // when it was accepted
 	Last     float64 // when it last sent a whole message or was answered
-	Half     float64 // when the last bytes of a part of one came; 0: it has sent no part
-	Begun    float64 // when that part began
-	Shut     float64 // since when nothing more is written to it; 0: it is not shut
-	Stuck    float64 // since when it has taken nothing of what waits for it; 0: nothing waits
+	Half     float64 // when the last bytes of an incomplete message came; 0: there is none
+	Begun    float64 // when that message began
+	Shut     float64 // since when nothing more is written to it; 0: it is not shut down
+	Stuck    float64 // since when it has read nothing of what waits for it; 0: nothing waits
 	Open     int     // its open requests
-	Messages int     // whole ones so far
+	Messages int     // whole messages so far
 }
 
-// Expired reports whether a connection is to be closed now: it says nothing, says half
-// of something, takes no answer, or was not used for long.
-func (v *ClientActivity) Expired(now float64) bool {
+// Expired reports whether a connection is to be closed now: it sends nothing or half a
+// message, does not read its answer, or was not used for long.
+func (c *ClientActivity) Expired(now float64) bool {
 	switch {
-	case v.Shut > 0:
-		return now-v.Shut > lingerTimeout
-	case v.Half > 0 && (now-v.Half > partTimeout || now-v.Begun > messageTimeout), v.NotReading(now):
+	case c.Shut > 0:
+		return now-c.Shut > lingerTimeout
+	case c.messageOverdue(now), c.NotReading(now):
 		return true
-	case v.Open > 0:
+	case c.Open > 0:
 		return false
-	case v.Messages == 0 && v.Half == 0:
-		return now-v.Since > silentTimeout
+	case c.Messages == 0 && c.Half == 0:
+		return now-c.Since > silentTimeout
 	}
-	return v.Half == 0 && now-v.Last > idleTimeout
+	return c.Half == 0 && now-c.Last > idleTimeout
+}
+
+// messageOverdue reports whether an incomplete message takes too long.
+func (c *ClientActivity) messageOverdue(now float64) bool {
+	return c.Half > 0 && (now-c.Half > partTimeout || now-c.Begun > messageTimeout)
 }
 
-// NotReading reports whether a connection takes nothing of what waits for it.
-func (v *ClientActivity) NotReading(now float64) bool {
-	return v.Stuck > 0 && now-v.Stuck > unreadTimeout
+// NotReading reports whether a connection reads nothing of what waits for it.
+func (c *ClientActivity) NotReading(now float64) bool {
+	return c.Stuck > 0 && now-c.Stuck > unreadTimeout
 }
 
-// ClosesBefore reports whether v goes before w where room is needed for another connection:
-// never one with an open request; of the others one that was shut already, then one that
-// never spoke, then the one that was longest without use.
-func (v *ClientActivity) ClosesBefore(w *ClientActivity) bool {
+// ClosesBefore reports whether c is closed before other where a descriptor is needed for
+// another connection: never one with an open request; of the others one that is shut down
+// already, then one that never sent a message, then the one that was unused for longest. A
+// nil other stands for none.
+func (c *ClientActivity) ClosesBefore(other *ClientActivity) bool {
 	switch {
-	case v.Open > 0:
+	case c.Open > 0:
 		return false
-	case w == nil || w.Open > 0:
+	case other == nil || other.Open > 0:
 		return true
-	case (v.Shut > 0) != (w.Shut > 0):
-		return v.Shut > 0
-	case (v.Messages == 0) != (w.Messages == 0):
-		return v.Messages == 0
-	}
-	return max(v.Last, v.Since) < max(w.Last, w.Since)
-}
-
-// MemberIdleExpired reports whether an idle connection to a member is closed before the member
-// closes it, told that members do so after span; 0: not told.
-func MemberIdleExpired(idle, span float64) bool {
-	if span <= 0 {
-		span = defaultMemberIdle
+	case (c.Shut > 0) != (other.Shut > 0):
+		return c.Shut > 0
+	case (c.Messages == 0) != (other.Messages == 0):
+		return c.Messages == 0
 	}
-	return idle > memberIdleShare*span
+	return max(c.Last, c.Since) < max(other.Last, other.Since)
 }
--- a/internal/proxy/limits/flow.go
+++ b/internal/proxy/limits/flow.go
@@ -2,70 +2,74 @@
 
 import "math"
 
-// MinRate is the least rate at which a peer has to move bytes while it is the one that
-// is waited for. A zero Rate asks for none.
+// MinRate is the rate at which a peer has to move bytes while the router waits for it.
 type MinRate struct {
-	Rate  float64 // bytes a ms
-	Grace float64 // ms of its own delay that a peer may run up beyond what its bytes pay for
-	Step  float64 // most that is charged between two looks: a longer gap is the router's own
+	Rate  float64 // bytes a ms; 0: none is asked for
+	Grace float64 // ms of delay that a peer may run up beyond what its bytes pay for
+	Step  float64 // most ms charged between two checks: a longer gap is the router's own; 0: no limit
 }
 
-// Flow is one direction of one connection, as a bucket of time: each ms in which the
-// peer is waited for costs one, each byte pays for the time that it may take at the
-// least rate, and Grace is the most that can be saved. A peer that moves the least
-// rate over each span of Grace is never found slow, however it spreads its bytes; one
-// below it is, at the latest when Grace and what it paid for are used up. While
-// somebody else holds things up nothing is charged. The zero Flow is new.
+// Flow is one direction of one connection, measured as a token bucket of time: each ms in which
+// the router waits for the peer costs one, each byte pays for the time that it may take at the
+// minimum rate, and Grace is the most that can be saved. A peer that moves the minimum rate
+// over each span of Grace is never found slow, however it spreads its bytes; one below it is,
+// at the latest when Grace and what it paid for are used up. While the router waits for
+// somebody else nothing is charged. The zero Flow is new.
+//
+// Times are in milliseconds on the caller's clock.
 type Flow struct {
-	owed       float64 // ms that are used up of the grace
+	owed       float64 // ms of the grace that are used up
 	lastCharge float64
 	waiting    bool
 }
 
-// StartWaiting says that from now on the peer is waited for.
+// StartWaiting records that from now on the router waits for the peer.
 func (f *Flow) StartWaiting(now float64) {
 	if !f.waiting {
-		f.waiting, f.lastCharge = true, now
+		f.waiting = true
+		f.lastCharge = now
 	}
 }
 
-// StopWaiting says that from now on it is not: the other side, or the router, holds things up.
-func (f *Flow) StopWaiting(now float64, l *MinRate) {
-	f.charge(now, l)
+// StopWaiting records that from now on the router does not wait for the peer, but for the
+// other side or for itself.
+func (f *Flow) StopWaiting(now float64, limit *MinRate) {
+	f.charge(now, limit)
 	f.waiting = false
 }
 
-// Waiting reports whether the peer is waited for.
+// Waiting reports whether the router waits for the peer.
 func (f *Flow) Waiting() bool { return f.waiting }
 
-// Moved says that the peer took, or sent, so many bytes.
-func (f *Flow) Moved(now float64, n int, l *MinRate) {
-	f.charge(now, l)
-	if l.Rate > 0 {
-		f.owed = max(f.owed-float64(n)/l.Rate, 0)
+// Moved records that the peer read, or sent, n bytes.
+func (f *Flow) Moved(now float64, n int, limit *MinRate) {
+	f.charge(now, limit)
+	if limit.Rate > 0 {
+		f.owed = max(f.owed-float64(n)/limit.Rate, 0)
 	}
 }
 
-// Slow reports whether the peer has run up more than its grace. It is to be asked at
-// least every Step while the peer is waited for.
-func (f *Flow) Slow(now float64, l *MinRate) bool {
-	f.charge(now, l)
-	return l.Rate > 0 && f.owed > l.Grace
+// Slow reports whether the peer has run up more than its grace. It has to be called at least
+// every Step while the router waits for the peer.
+func (f *Flow) Slow(now float64, limit *MinRate) bool {
+	f.charge(now, limit)
+	return limit.Rate > 0 && f.owed > limit.Grace
 }
 
 // Due is in how many ms the peer will be slow if nothing moves.
-func (f *Flow) Due(l *MinRate) float64 {
-	if !f.waiting || l.Rate <= 0 {
+func (f *Flow) Due(limit *MinRate) float64 {
+	if !f.waiting || limit.Rate <= 0 {
 		return math.Inf(1)
 	}
-	return max(l.Grace-f.owed, 0)
+	return max(limit.Grace-f.owed, 0)
 }
 
-func (f *Flow) charge(now float64, l *MinRate) {
+// charge charges the peer for the time since the last charge, if the router waited for it.
+func (f *Flow) charge(now float64, limit *MinRate) {
 	if f.waiting && now > f.lastCharge {
 		spent := now - f.lastCharge
-		if l.Step > 0 {
-			spent = min(spent, l.Step)
+		if limit.Step > 0 {
+			spent = min(spent, limit.Step)
 		}
 		f.owed += spent
 	}
--- a/internal/proxy/limits/jitter.go
+++ b/internal/proxy/limits/jitter.go
@@ -1,26 +1,26 @@
 package limits
 
-import (
-	"math/rand/v2"
-)
+import "math/rand/v2"
 
-// Jitter spreads when clients come again, so that those who were turned away together
-// don't return together.
+// Jitter spreads the times at which rejected clients are asked to come again, so that those
+// who were rejected together do not return together.
 type Jitter struct {
-	rng  *rand.Rand
-	Part float64 // of the wait that is added at most
+	Part float64 // most that is added, as a part of the wait
+
+	random *rand.Rand
 }
 
-// NewJitter draws from a seed.
+// NewJitter makes a Jitter that draws from a seed.
 func NewJitter(seed uint64, part float64) *Jitter {
-	return &Jitter{rng: rand.New(rand.NewPCG(seed, 0x1177e4)), Part: part}
+	return &Jitter{Part: part, random: rand.New(rand.NewPCG(seed, 0x1177e4))}
 }
 
-// After is when a client may come again, in whole seconds: from the wait in ms on, up
-// to Part of it, or one second, later. 0 stays 0.
+// After turns a wait in ms into a Retry-After in whole seconds: no less than the wait, and
+// more by up to Part of it, or by up to one second. A wait of 0 stays 0.
 func (j *Jitter) After(ms float64) int64 {
 	if ms <= 0 {
 		return 0
 	}
-	return int64((ms + 999 + j.rng.Float64()*max(ms*j.Part, 1000)) / 1000)
+	added := j.random.Float64() * max(ms*j.Part, 1000)
+	return int64((ms + 999 + added) / 1000)
 }
--- a/internal/proxy/limits/massslowness.go
+++ b/internal/proxy/limits/massslowness.go
@@ -1,53 +1,67 @@
 package limits
 
-// MassSlowness keeps a judgement on members from being the router's own fault: where most of
-// those that are at work are found slow within a short while, the cause is nearer to
-// the router than to them, and none is cut.
+// MassSlowness keeps members from being cut for what is the router's own fault, as the panic
+// threshold of outlier detection does: if most of the members at work are found slow within a
+// short time, the cause is nearer to the router than to them, and none is cut.
+//
+// Times are in milliseconds on the caller's clock.
 type MassSlowness struct {
-	Span  float64 // ms over which members are counted
-	Share float64 // of those at work: from there on judgement is suspect
-	Least int     // members at work below which one may always be cut
+	Span   float64 // ms for which a finding counts
+	Share  float64 // part of the members at work above which slow ones are not cut
+	Least  int     // members at work below which a slow one is always cut
+	Spared uint64  // cuts that were not made
 
-	lastGood, lastSlow map[string]float64 // when last seen so
-	Spared             uint64             // cuts that were not made
+	lastGood map[string]float64 // by member
+	lastSlow map[string]float64
 }
 
-// ObserveGood says that a member moved bytes at the least rate or more.
-func (j *MassSlowness) ObserveGood(member string, now float64) { j.record(&j.lastGood, member, now) }
+// ObserveGood records that a member moved bytes at the minimum rate or more.
+func (s *MassSlowness) ObserveGood(member string, now float64) {
+	if s.lastGood == nil {
+		s.lastGood = map[string]float64{}
+	}
+	s.lastGood[member] = now
+}
 
-// ObserveSlow says that a member was found slow. All that are found so at a time are to be
-// told before Cut is asked of one.
-func (j *MassSlowness) ObserveSlow(member string, now float64) { j.record(&j.lastSlow, member, now) }
+// ObserveSlow records that a member was found slow. All that are found slow at a time have to
+// be recorded before MayCut is asked about one.
+func (s *MassSlowness) ObserveSlow(member string, now float64) {
+	if s.lastSlow == nil {
+		s.lastSlow = map[string]float64{}
+	}
+	s.lastSlow[member] = now
+}
 
 // MayCut reports whether a member that was found slow may be cut.
-func (j *MassSlowness) MayCut(member string, now float64) bool {
-	j.ObserveSlow(member, now)
-	slow, working := 0, 0
-	for id, at := range j.lastSlow {
-		if now-at > j.Span {
-			delete(j.lastSlow, id)
-			continue
-		}
-		slow++
-		working++
+func (s *MassSlowness) MayCut(member string, now float64) bool {
+	s.ObserveSlow(member, now)
+	slow, working := s.count(now)
+	if working >= s.Least && float64(slow) > s.Share*float64(working) {
+		s.Spared++
+		return false
 	}
-	for id, at := range j.lastGood {
-		if now-at > j.Span {
-			delete(j.lastGood, id)
-		} else if _, both := j.lastSlow[id]; !both {
+	return true
+}
+
+// count forgets what is older than Span, and counts the members found slow and those at work.
+func (s *MassSlowness) count(now float64) (slow, working int) {
+	forgetOlder(s.lastSlow, now, s.Span)
+	forgetOlder(s.lastGood, now, s.Span)
+	slow = len(s.lastSlow)
+	working = slow
+	for member := range s.lastGood {
+		if _, both := s.lastSlow[member]; !both {
 			working++
 		}
 	}
-	if working >= j.Least && float64(slow) > j.Share*float64(working) {
-		j.Spared++
-		return false
-	}
-	return true
+	return slow, working
 }
 
-func (j *MassSlowness) record(m *map[string]float64, member string, now float64) {
-	if *m == nil {
-		*m = map[string]float64{}
+// forgetOlder deletes the findings that are older than span.
+func forgetOlder(found map[string]float64, now, span float64) {
+	for member, at := range found {
+		if now-at > span {
+			delete(found, member)
+		}
 	}
-	(*m)[member] = now
 }
--- a/internal/proxy/limits/readpause.go
+++ b/internal/proxy/limits/readpause.go
@@ -1,49 +1,56 @@
 package limits
 
-// ReadPauseSettings bound what turning requests away may cost. Spans are in ms.
+// ReadPauseSettings bound what rejecting requests may cost.
 type ReadPauseSettings struct {
-	Share    float64 // of the time
-	Interval float64 // over which it is measured
-	Most     float64 // that a connection is held
+	Share    float64 // of the router's time
+	Interval float64 // ms over which that is measured
+	Most     float64 // longest pause, in ms
 }
 
-// DefaultReadPause is what routers go by.
+// DefaultReadPause are the settings that routers use.
 var DefaultReadPause = ReadPauseSettings{Share: 0.015, Interval: 100, Most: 200}
 
-// ReadPause is for how long a connection whose request was turned away is not read again.
-// A refusal costs two calls into the kernel, and who is refused may ask again at once:
-// at several times what a router can do, refusing takes the time of answering. While
-// it takes more than its share the hold doubles, and else it halves, down to none.
-// Who waits as long as Retry-After says never notices.
+// ReadPause is for how long a connection whose request was rejected is not read again. A
+// rejection costs two system calls, and its client may retry at once: at several times the
+// load that a router can serve, rejecting would take the time of serving. While it takes more
+// than its share the pause doubles, otherwise it halves, down to none. Clients that wait as
+// long as Retry-After says never notice.
+//
+// Times are in milliseconds on the caller's clock.
 type ReadPause struct {
 	settings      ReadPauseSettings
-	pause         float64
-	cost          float64
+	pause         float64 // ms
+	cost          float64 // ms, in the present interval
 	intervalBegan float64
 }
 
-// NewReadPause begins with none.
-func NewReadPause(s ReadPauseSettings) *ReadPause { return &ReadPause{settings: s} }
+// NewReadPause makes a ReadPause that begins with no pause.
+func NewReadPause(settings ReadPauseSettings) *ReadPause { return &ReadPause{settings: settings} }
 
-// AddCost says that turning a request away took so long.
-func (h *ReadPause) AddCost(ms float64) { h.cost += ms }
+// AddCost records how long a rejection took, in ms.
+func (p *ReadPause) AddCost(ms float64) { p.cost += ms }
 
-// Tick is to be called at least once an interval.
-func (h *ReadPause) Tick(now float64) {
-	span := now - h.intervalBegan
-	if span < h.settings.Interval {
+// Tick adapts the pause at the end of each interval. It has to be called at least once an
+// interval.
+func (p *ReadPause) Tick(now float64) {
+	elapsed := now - p.intervalBegan
+	if elapsed < p.settings.Interval {
 		return
 	}
-	switch share := h.cost / span; {
-	case share > h.settings.Share:
-		h.pause = min(max(2*h.pause, h.settings.Interval/10), h.settings.Most)
-	case share < h.settings.Share/2:
-		if h.pause /= 2; h.pause < h.settings.Interval/10 {
-			h.pause = 0
+	shortest := p.settings.Interval / 10 // below that there is no pause
+	share := p.cost / elapsed
+	switch {
+	case share > p.settings.Share:
+		p.pause = min(max(2*p.pause, shortest), p.settings.Most)
+	case share < p.settings.Share/2:
+		p.pause /= 2
+		if p.pause < shortest {
+			p.pause = 0
 		}
 	}
-	h.cost, h.intervalBegan = 0, now
+	p.cost = 0
+	p.intervalBegan = now
 }
 
-// Duration is how long a connection is held now, in ms.
-func (h *ReadPause) Duration() float64 { return h.pause }
+// Duration is the pause of a connection whose request is rejected now, in ms; 0 is none.
+func (p *ReadPause) Duration() float64 { return p.pause }
--- a/internal/proxy/limits/reputation.go
+++ b/internal/proxy/limits/reputation.go
@@ -7,138 +7,148 @@
 	"slices"
 )
 
-// ReputationSettings say when a client address is of poor standing.
+// ReputationSettings say when a client address is of poor reputation.
 type ReputationSettings struct {
-	Half      float64 // ms after which what was noted counts half
-	Least     float64 // bad ends, after their decay, below which an address is never poor
-	Weight    float64 // good ends that outweigh a bad one
-	Most      int     // requests that all poor addresses together may have in hand
+	Half      float64 // half-life of what is recorded, in ms
+	Least     float64 // bad outcomes, after their decay, below which an address is never poor
+	Weight    float64 // good outcomes that outweigh a bad one
+	Most      int     // requests that all poor addresses together may have in flight
 	Addresses int     // that are remembered, in each of two generations
 }
 
-// DefaultReputation is what routers go by, with so many places for all poor addresses: one
-// end in five that is bad makes an address poor, from the third on.
+// DefaultReputation returns the settings that routers use, with so many requests in flight for
+// all poor addresses: one bad outcome in five makes an address poor, from the third on.
 func DefaultReputation(most int) ReputationSettings {
 	return ReputationSettings{Half: 60000, Least: 2.5, Weight: 4, Most: most, Addresses: 16384}
 }
 
-// Reputation is what client addresses have done with the places that they were given.
-// A bad end is an answer that was not taken, or a request that never came whole: its
-// place was lost to others. An address is poor while its bad ends outweigh its good
-// ones, and all poor ones together share a few places: the first wave of those who
-// ask and don't take may cost the others something, and the second does not. Who only
-// reads slowly, behind a thin link, ends well and is never poor.
+// forgottenBelow is how many bad outcomes, after their decay, are not remembered any more.
+const forgottenBelow = 0.01
+
+// Reputation is what client addresses have done with the capacity that they were given. A bad
+// outcome is an answer that was not read, or a request that never became complete: others
+// could have used its capacity. An address is poor while its bad outcomes outweigh its good
+// ones, and all poor ones together share little capacity: the first wave of clients that ask
+// and do not read may cost the others something, and the second does not. A client that only
+// reads slowly, behind a thin link, has good outcomes and is never poor.
+//
+// Times are in milliseconds on the caller's clock.
 type Reputation struct {
-	settings      ReputationSettings
-	recent, older map[string]*outcomes
-	reserved      int // that poor addresses have in hand
+	settings ReputationSettings
+	recent   map[string]*outcomes // by address
+	older    map[string]*outcomes // the generation before, which the next one replaces
+	reserved int                  // requests of poor addresses in flight
 }
 
+// outcomes are counts of requests that have decayed until a time.
 type outcomes struct{ good, bad, at float64 }
 
-// NewReputation begins with every address well thought of.
-func NewReputation(s ReputationSettings) *Reputation {
-	return &Reputation{settings: s, recent: map[string]*outcomes{}}
+// NewReputation makes a Reputation in which no address is poor.
+func NewReputation(settings ReputationSettings) *Reputation {
+	return &Reputation{settings: settings, recent: map[string]*outcomes{}}
 }
 
-// AddressRecord is what is known of an address, for a successor.
+// AddressRecord is what is known of an address, for the router that replaces this one. Its
+// field names are keys of what a hot restart hands over.
 type AddressRecord struct {
-	Address   string
-	Good, Bad float64 // ends, after their decay
+	Address string
+	Good    float64 // outcomes, after their decay
+	Bad     float64
 }
 
-// Records is what is known of all addresses, the worst first.
-func (s *Reputation) Records(now float64) (list []AddressRecord) {
-	for _, m := range []map[string]*outcomes{s.older, s.recent} {
-		for _, address := range slices.Sorted(maps.Keys(m)) {
-			if r := s.decayed(address, now); r != nil {
-				list = append(list, AddressRecord{address, r.good, r.bad})
+// valid reports whether a record can have come from Records.
+func (r AddressRecord) valid() bool {
+	return r.Bad > 0 && r.Good >= 0 && !math.IsInf(r.Bad+r.Good, 0)
+}
+
+// Records returns what is known of all addresses, the worst first.
+func (r *Reputation) Records(now float64) (records []AddressRecord) {
+	for _, generation := range []map[string]*outcomes{r.older, r.recent} {
+		for _, address := range slices.Sorted(maps.Keys(generation)) {
+			if known := r.decayed(address, now); known != nil {
+				records = append(records, AddressRecord{address, known.good, known.bad})
 			}
 		}
 	}
-	slices.SortStableFunc(list, func(a, b AddressRecord) int { return cmp.Compare(b.Bad, a.Bad) })
-	return list
+	slices.SortStableFunc(records, func(a, b AddressRecord) int { return cmp.Compare(b.Bad, a.Bad) })
+	return records
 }
 
-// Restore goes on from what a predecessor knew. What makes no sense is passed over.
-func (s *Reputation) Restore(list []AddressRecord, now float64) {
-	for _, k := range list {
-		if k.Bad > 0 && k.Good >= 0 && !math.IsInf(k.Bad+k.Good, 0) && len(s.recent) < s.settings.Addresses {
-			s.recent[k.Address] = &outcomes{good: k.Good, bad: k.Bad, at: now}
+// Restore takes over what the router before this one knew. Invalid records are ignored.
+func (r *Reputation) Restore(records []AddressRecord, now float64) {
+	for _, record := range records {
+		if record.valid() && len(r.recent) < r.settings.Addresses {
+			r.recent[record.Address] = &outcomes{good: record.Good, bad: record.Bad, at: now}
 		}
 	}
 }
 
-// Adopt goes by other settings from now on.
-func (s *Reputation) Adopt(x ReputationSettings) { s.settings = x }
+// Adopt changes the settings. What is known of addresses stays.
+func (r *Reputation) Adopt(settings ReputationSettings) { r.settings = settings }
 
-// AddGood says that a request of the address ended well.
-func (s *Reputation) AddGood(address string, now float64) {
-	if r := s.decayed(address, now); r != nil { // of whom nothing bad is known there is nothing to keep
-		r.good++
+// AddGood records a good outcome of an address. Addresses without a bad one are not remembered.
+func (r *Reputation) AddGood(address string, now float64) {
+	if known := r.decayed(address, now); known != nil {
+		known.good++
 	}
 }
 
-// AddBad says that one ended badly.
-func (s *Reputation) AddBad(address string, now float64) {
-	r := s.decayed(address, now)
-	if r == nil {
-		if len(s.recent) >= max(s.settings.Addresses, 1) {
-			s.older, s.recent = s.recent, map[string]*outcomes{}
+// AddBad records a bad outcome of an address.
+func (r *Reputation) AddBad(address string, now float64) {
+	known := r.decayed(address, now)
+	if known == nil {
+		if len(r.recent) >= max(r.settings.Addresses, 1) {
+			r.older, r.recent = r.recent, map[string]*outcomes{}
 		}
-		r = &outcomes{at: now}
-		s.recent[address] = r
+		known = &outcomes{at: now}
+		r.recent[address] = known
 	}
-	r.bad++
+	known.bad++
 }
 
-// Poor reports whether the address is of poor standing.
-func (s *Reputation) Poor(address string, now float64) bool {
-	r := s.decayed(address, now)
-	return r != nil && r.bad >= s.settings.Least && r.bad*s.settings.Weight > r.good
+// Poor reports whether the address is of poor reputation.
+func (r *Reputation) Poor(address string, now float64) bool {
+	known := r.decayed(address, now)
+	return known != nil && known.bad >= r.settings.Least && known.bad*r.settings.Weight > known.good
 }
 
-// Any reports whether anything bad is known of anybody.
-func (s *Reputation) Any() bool { return len(s.recent)+len(s.older) > 0 }
-
-// HasCapacity reports whether poor addresses may have one more request in hand.
-func (s *Reputation) HasCapacity() bool { return s.reserved < s.settings.Most }
-
-// Excess is how many more they have in hand than they may.
-func (s *Reputation) Excess() int { return s.reserved - s.settings.Most }
+// Any reports whether anything bad is known of any address.
+func (r *Reputation) Any() bool { return len(r.recent)+len(r.older) > 0 }
 
-// Reserve says that a request of a poor address is in hand, or that one's is that has
-// become poor.
-func (s *Reputation) Reserve() { s.reserved++ }
+// HasCapacity reports whether poor addresses may have one more request in flight.
+func (r *Reputation) HasCapacity() bool { return r.reserved < r.settings.Most }
 
-// Release says that such a request is over.
-func (s *Reputation) Release() { s.reserved-- }
+// Excess is how many more requests poor addresses have in flight than they may; it is negative
+// while they have fewer.
+func (r *Reputation) Excess() int { return r.reserved - r.settings.Most }
 
-// stalledAfter is how long, in ms, a client may take nothing of what waits for it until
-// that counts as a bad end.
-const stalledAfter = 2000
+// Reserve records that a request of a poor address is in flight, or that the address of one
+// that is has become poor.
+func (r *Reputation) Reserve() { r.reserved++ }
 
-// IsStalled reports whether a client that has taken nothing for so long, in ms, holds its
-// place for nothing.
-func IsStalled(ms float64) bool { return ms >= stalledAfter }
+// Release records that a request for which Reserve was called is over.
+func (r *Reputation) Release() { r.reserved-- }
 
-// decayed is what is known of the address, with its age counted in.
-func (s *Reputation) decayed(address string, now float64) *outcomes {
-	r := s.recent[address]
-	if r == nil {
-		if r = s.older[address]; r == nil {
+// decayed returns what is known of the address, decayed until now, or nil.
+func (r *Reputation) decayed(address string, now float64) *outcomes {
+	known := r.recent[address]
+	if known == nil {
+		known = r.older[address]
+		if known == nil {
 			return nil
 		}
-		delete(s.older, address) // so that it is not forgotten with those that are not met again
-		s.recent[address] = r
+		delete(r.older, address) // met again: it is not forgotten with its generation
+		r.recent[address] = known
 	}
-	if span := now - r.at; span > 0 {
-		part := math.Exp2(-span / s.settings.Half)
-		r.good, r.bad, r.at = r.good*part, r.bad*part, now
+	if elapsed := now - known.at; elapsed > 0 {
+		factor := math.Exp2(-elapsed / r.settings.Half)
+		known.good *= factor
+		known.bad *= factor
+		known.at = now
 	}
-	if r.bad < 0.01 {
-		delete(s.recent, address)
+	if known.bad < forgottenBelow {
+		delete(r.recent, address)
 		return nil
 	}
-	return r
+	return known
 }
--- a/internal/proxy/limits/retrybudget.go
+++ b/internal/proxy/limits/retrybudget.go
@@ -1,55 +1,58 @@
 package limits
 
-// RetryBudgetSettings bound the repeats that clients make. A budget gains Share with each
-// first try, up to Burst, and each repeat costs one.
+// RetryBudgetSettings bound the retries that clients make. A budget gains its share of a retry
+// with each first attempt, up to its burst, and each retry costs one.
 type RetryBudgetSettings struct {
-	Share, Burst               float64 // of all clients
-	AddressShare, AddressBurst float64 // of one client address
-	Addresses                  int     // that are remembered, in each of two generations
+	Share        float64 // of all clients' budget
+	Burst        float64
+	AddressShare float64 // of the budget of one client address
+	AddressBurst float64
+	Addresses    int // that are remembered, in each of two generations
 }
 
-// RetryBudget keeps clients' repeats from amplifying an overload. All clients' budget
-// counts only while the router is overloaded; that of one address counts always.
+// RetryBudget keeps clients' retries from amplifying an overload. All clients' budget counts
+// only while the router is overloaded; that of one address counts always.
 type RetryBudget struct {
 	settings RetryBudgetSettings
-	all      float64
-	recent   map[string]*float64 // budgets by address
-	older    map[string]*float64
+	all      float64             // retries left to all clients
+	recent   map[string]*float64 // retries left, by address
+	older    map[string]*float64 // the generation before, which the next one replaces
 }
 
-// NewRetryBudget begins with full budgets.
-func NewRetryBudget(s RetryBudgetSettings) *RetryBudget {
-	return &RetryBudget{settings: s, all: s.Burst, recent: map[string]*float64{}}
+// NewRetryBudget makes full budgets.
+func NewRetryBudget(settings RetryBudgetSettings) *RetryBudget {
+	return &RetryBudget{settings: settings, all: settings.Burst, recent: map[string]*float64{}}
 }
 
-// Admit reports whether a request may go on.
-func (r *RetryBudget) Admit(address string, repeat, overloaded bool) bool {
-	b := r.budget(address)
-	if !repeat {
+// Admit reports whether a request is admitted, and charges the budgets.
+func (r *RetryBudget) Admit(address string, retry, overloaded bool) bool {
+	left := r.ofAddress(address)
+	if !retry {
 		r.all = min(r.all+r.settings.Share, r.settings.Burst)
-		*b = min(*b+r.settings.AddressShare, r.settings.AddressBurst)
+		*left = min(*left+r.settings.AddressShare, r.settings.AddressBurst)
 		return true
 	}
-	if *b < 1 || overloaded && r.all < 1 {
+	if *left < 1 || overloaded && r.all < 1 {
 		return false
 	}
-	*b--
+	*left--
 	r.all = max(r.all-1, 0)
 	return true
 }
 
-func (r *RetryBudget) budget(address string) *float64 {
-	if b := r.recent[address]; b != nil {
-		return b
+// ofAddress returns the budget of one address, a full one if it is not remembered.
+func (r *RetryBudget) ofAddress(address string) *float64 {
+	if left := r.recent[address]; left != nil {
+		return left
 	}
 	if len(r.recent) >= max(r.settings.Addresses, 1) {
 		r.older, r.recent = r.recent, map[string]*float64{}
 	}
-	b := r.older[address]
-	if b == nil {
+	left := r.older[address]
+	if left == nil {
 		full := r.settings.AddressBurst
-		b = &full
+		left = &full
 	}
-	r.recent[address] = b
-	return b
+	r.recent[address] = left
+	return left
 }
--- a/internal/proxy/limits/shedding.go
+++ b/internal/proxy/limits/shedding.go
@@ -5,21 +5,28 @@
 	"slices"
 )
 
-// ShedCandidate is a request that holds memory.
+// After these times, in ms, something may be given up for others.
+const (
+	idleAfter          = 200  // an unused connection: the request of a new one may be on its way
+	stalledAnswerAfter = 1000 // an answer that waits for its client
+	stalledAfter       = 2000 // a client that reads nothing: that counts as a bad outcome
+)
+
+// ShedCandidate is a request that uses memory and may be shed.
 type ShedCandidate struct {
 	Index      int     // the caller's
 	Bytes      int64   // that are free again once it is shed
-	Weight     float64 // of its answer now: less once it is late
-	Left       float64 // bytes that are still to move, or a guess
+	Weight     float64 // priority weight of its answer now: less once it is late
+	Left       float64 // bytes that are still to be moved, or a guess
 	Begun      bool    // its client has part of the answer: it can only be cut
-	Idempotent bool    // whether a repeat is surely harmless; others are not shed
+	Idempotent bool    // a retry is surely harmless; others are not shed
 }
 
-// ShedOrder sorts holders by who is shed first: those whose answer has not begun before
-// those that have, and among them the least worth for the bytes still to move. Those
-// whose repeat may do harm are left out.
+// ShedOrder sorts candidates by what is shed first: those whose answer has not begun before
+// those whose has, and among them the least weight for the bytes still to be moved. It leaves
+// out those whose retry may do harm. The list's memory is used for the result.
 func ShedOrder(list []ShedCandidate) []ShedCandidate {
-	list = slices.DeleteFunc(list, func(h ShedCandidate) bool { return !h.Idempotent || h.Bytes <= 0 })
+	list = slices.DeleteFunc(list, func(c ShedCandidate) bool { return !c.Idempotent || c.Bytes <= 0 })
 	slices.SortStableFunc(list, func(a, b ShedCandidate) int {
 		if a.Begun != b.Begun {
 			if a.Begun {
@@ -32,7 +39,7 @@
 	return list
 }
 
-// Shed is the first holders of the order that together give back so many bytes.
+// Shed returns the first candidates in ShedOrder that together give back need bytes, or all.
 func Shed(list []ShedCandidate, need int64) []ShedCandidate {
 	list = ShedOrder(list)
 	for i := range list {
@@ -44,25 +51,22 @@
 	return list
 }
 
-// idleAfter is for how long, in ms, a connection has to be unused until it counts as idle:
-// the request of one that was just made may be on its way.
-const idleAfter = 200
-
-// MayCloseIdle reports whether a connection that was unused for so long, in ms, may give way.
+// MayCloseIdle reports whether a connection that was unused for so long, in ms, may be closed
+// for others.
 func MayCloseIdle(ms float64) bool { return ms >= idleAfter }
 
-// stalledAnswerAfter is for how long, in ms, an answer has to wait for its client before it gives
-// way to others.
-const stalledAnswerAfter = 1000
+// IsStalled reports whether a client that has read nothing of what waits for it for so long,
+// in ms, wastes its capacity.
+func IsStalled(ms float64) bool { return ms >= stalledAfter }
 
-// LongStalled is the places of those waits, in ms for a client, that give way to others: the
-// longest first.
-func LongStalled(waits []float64) (out []int) {
-	for i, w := range waits {
-		if w >= stalledAnswerAfter {
-			out = append(out, i)
+// LongStalled returns the indexes of those answers that are given up for others, the longest
+// stalled first, by how long each has waited for its client, in ms.
+func LongStalled(waits []float64) (indexes []int) {
+	for i, wait := range waits {
+		if wait >= stalledAnswerAfter {
+			indexes = append(indexes, i)
 		}
 	}
-	slices.SortStableFunc(out, func(a, b int) int { return cmp.Compare(waits[b], waits[a]) })
-	return out
+	slices.SortStableFunc(indexes, func(a, b int) int { return cmp.Compare(waits[b], waits[a]) })
+	return indexes
 }
--- a/internal/proxy/limits/unread.go
+++ b/internal/proxy/limits/unread.go
@@ -5,69 +5,75 @@
 	"slices"
 )
 
-// Unread is what the kernel still holds of answers for a client: written, and not taken.
+// minSocketBytes gives a client that is 50 ms away 2.5 MB a second.
+const minSocketBytes = 128 << 10
+
+// Unread is what the kernel holds of answers for a client: written, and not read by it.
 type Unread struct {
 	Index int     // the caller's
 	Bytes int64   // that the kernel holds
-	Still float64 // ms since the client has taken some
+	Still float64 // ms since the client has read any
 }
 
-// UnreadAccount is the accounting of what the kernel holds for clients, which no budget of the
-// process's memory sees. A Most of 0 is no limit.
+// UnreadAccount accounts for what the kernel holds for clients, which is no part of the
+// process's memory and of its Budget.
 type UnreadAccount struct {
-	Total int64   // bytes for all clients together
-	Idle  float64 // ms after which who takes nothing is cut in any case
-	Held  int64   // at the last look
-	Peak  int64   // that was ever held at a look
+	Total int64   // bytes for all clients together; 0: no limit
+	Idle  float64 // ms after which a client that reads nothing is cut in any case
+	Held  int64   // bytes at the last Update
+	Peak  int64   // most bytes at any Update
 }
 
-// Update takes what is held for each client now, and returns those that are cut: who takes
-// nothing for Idle, and past 0.90 of Most who takes nothing for long enough to count as
-// one that wastes his place (Unmoved), the most bytes for the longest time first, down to
-// 0.80. Who takes something, however little, is left to the least rate.
-func (t *UnreadAccount) Update(list []Unread) (cut []Unread) {
-	t.Held = 0
-	for _, c := range list {
-		t.Held += c.Bytes
+// Update records what is held for each client now, and returns the clients to be cut: those
+// that read nothing for Idle, and past 0.90 of Total those that are stalled (IsStalled), the
+// most bytes for the longest time first, until 0.80 is left. Clients that read something,
+// however little, are left to the minimum rate. The list's memory is used up.
+func (a *UnreadAccount) Update(list []Unread) (cut []Unread) {
+	a.Held = 0
+	for _, client := range list {
+		a.Held += client.Bytes
 	}
-	t.Peak = max(t.Peak, t.Held)
-	left := t.Held
-	list = slices.DeleteFunc(list, func(c Unread) bool {
-		if c.Still < t.Idle && c.Bytes > 0 {
+	a.Peak = max(a.Peak, a.Held)
+	left := a.Held
+	list = slices.DeleteFunc(list, func(client Unread) bool {
+		if client.Still < a.Idle && client.Bytes > 0 {
 			return false
 		}
-		if c.Bytes > 0 {
-			cut = append(cut, c)
-			left -= c.Bytes
+		if client.Bytes > 0 {
+			cut = append(cut, client)
+			left -= client.Bytes
 		}
 		return true
 	})
-	if t.Total <= 0 || float64(left) < shedAbove*float64(t.Total) {
+	if a.Total <= 0 || float64(left) < shedAbove*float64(a.Total) {
 		return cut
 	}
-	list = slices.DeleteFunc(list, func(c Unread) bool { return !IsStalled(c.Still) })
-	slices.SortStableFunc(list, func(a, b Unread) int {
-		return cmp.Compare(float64(b.Bytes)*b.Still, float64(a.Bytes)*a.Still)
-	})
-	for _, c := range list {
-		if float64(left) <= shedDownTo*float64(t.Total) {
+	for _, client := range stalled(list) {
+		if float64(left) <= shedDownTo*float64(a.Total) {
 			break
 		}
-		cut = append(cut, c)
-		left -= c.Bytes
+		cut = append(cut, client)
+		left -= client.Bytes
 	}
 	return cut
 }
 
-// Room is how much the kernel may hold for a connection that is new: a part of what is
-// free, as Budget.Room, at most most and at least leastSocket.
-func (t *UnreadAccount) Room(most int) int {
+// stalled returns the clients that read nothing, the most bytes for the longest time first.
+func stalled(list []Unread) []Unread {
+	list = slices.DeleteFunc(list, func(client Unread) bool { return !IsStalled(client.Still) })
+	slices.SortStableFunc(list, func(a, b Unread) int {
+		return cmp.Compare(float64(b.Bytes)*b.Still, float64(a.Bytes)*a.Still)
+	})
+	return list
+}
+
+// Room is how many bytes the kernel may hold for a new connection: a part of what is free, as
+// by Budget.Room, at most most and at least 128 KiB. A most below that is returned as it is,
+// so that 0 stays no limit.
+func (a *UnreadAccount) Room(most int) int {
 	if most <= minSocketBytes {
-		return most // 0: no limit is set
+		return most
 	}
-	b := Budget{Total: t.Total, sum: t.Held}
-	return max(b.Room(most), minSocketBytes)
+	budget := Budget{Total: a.Total, sum: a.Held}
+	return max(budget.Room(most), minSocketBytes)
 }
-
-// minSocketBytes gives a client that is 50 ms away 2.5 MB a second.
-const minSocketBytes = 128 << 10
