--- a/internal/proxy/limits/admission_test.go
+++ b/internal/proxy/limits/admission_test.go
@@ -5,68 +5,69 @@
 	"testing"
 )
 
-// A queue in simulated time that gets up to four times what it can do: the limit finds
-// a place at which the wait stays short and the server is busy, and comes back after.
+// TestAdmissionAdapts: a queue in simulated time gets up to four times what it can serve. The
+// limit finds a value at which the wait stays short and the server is busy, and recovers
+// after.
 func TestAdmissionAdapts(t *testing.T) {
 	for _, load := range []float64{0.5, 0.9, 1.5, 2, 4} {
-		a := NewAdmission(AdmissionSettings{Target: 5, Interval: 100, Least: 8, Most: 20000, Headroom: 0.2})
-		rng := rand.New(rand.NewPCG(1, uint64(load*10)))
-		const per = 0.1 // ms of work a request; 10 a ms is what the server can do
-		now, busy, hold := 0.0, 0.0, 20.0
+		admission := NewAdmission(AdmissionSettings{Target: 5, Interval: 100, Least: 8, Most: 20000, Headroom: 0.2})
+		random := rand.New(rand.NewPCG(1, uint64(load*10)))
+		const work = 0.1 // ms of work a request; 10 requests a ms are what the server can do
+		now, busy, held := 0.0, 0.0, 20.0
 		var ends []float64 // of those in hand
-		served, refused, waits := 0, 0, []float64{}
+		served, rejected, waits := 0, 0, []float64{}
 		for now < 60000 {
-			now += rng.ExpFloat64() * per / load
+			now += random.ExpFloat64() * work / load
 			for len(ends) > 0 && ends[0] <= now {
 				ends = ends[1:]
 			}
-			a.Tick(now, len(ends))
-			if !a.Admit(len(ends), 1) {
-				refused++
-				busy = max(busy, now) + per*0.02 // a refusal is cheap, and not free
+			admission.Tick(now, len(ends))
+			if !admission.Admit(len(ends), 1) {
+				rejected++
+				busy = max(busy, now) + work*0.02 // a rejection is cheap, and not free
 				continue
 			}
 			wait := max(busy-now, 0)
-			busy = max(busy, now) + per
-			a.ObserveWait(wait)
-			ends = append(ends, busy+hold)
+			busy = max(busy, now) + work
+			admission.ObserveWait(wait)
+			ends = append(ends, busy+held)
 			if now > 20000 {
 				served++
 				waits = append(waits, wait)
 			}
 		}
 		sum := 0.0
-		for _, w := range waits {
-			sum += w
+		for _, wait := range waits {
+			sum += wait
 		}
-		share := float64(served) * per / 40000
-		if load > 1 && (share < 0.85 || sum/float64(len(waits)) > 60) || load < 1 && refused > 0 {
-			t.Errorf("load %v: %.2f of the time at work, %.1f ms of wait, %d refused, limit %d", load, share, sum/float64(len(waits)), refused, a.Limit())
+		share := float64(served) * work / 40000
+		if load > 1 && (share < 0.85 || sum/float64(len(waits)) > 60) || load < 1 && rejected > 0 {
+			t.Errorf("load %v: %.2f of the time at work, %.1f ms of wait, %d rejected, limit %d", load, share, sum/float64(len(waits)), rejected, admission.Limit())
 		}
 		for range 200 { // calm again
 			now += 100
-			a.ObserveWait(0)
-			a.Tick(now, a.Limit())
+			admission.ObserveWait(0)
+			admission.Tick(now, admission.Limit())
 		}
-		if a.Limit() < 20000 || a.Overloaded() {
-			t.Errorf("load %v: the limit stays at %d", load, a.Limit())
+		if admission.Limit() < 20000 || admission.Overloaded() {
+			t.Errorf("load %v: the limit stays at %d", load, admission.Limit())
 		}
 	}
 }
 
-// A module that has places for few at a time, each for a while, and lets the others wait
-// until they are nearly late: without a limit on that all answers come late, with it
-// most places are used in time. With as many requests of
-// another, idle cache beside it nobody is turned away.
+// TestAdmissionQueueing: a module that has capacity for few requests at a time lets the others
+// wait until they are nearly late. Without a limit on that wait all answers come late, with it
+// most capacity is used in time. With as many requests for another, idle cache beside it none
+// is rejected.
 func TestAdmissionQueueing(t *testing.T) {
-	run := func(part float64, beside bool) (good, late, refused int) {
-		a := NewAdmission(AdmissionSettings{Target: 20, Part: part, Interval: 100, Least: 64, Most: 20000, Headroom: 0.2})
-		rng := rand.New(rand.NewPCG(7, 7))
-		const places, takes, deadline = 64, 25.0, 500.0 // 2.56 a ms
-		var queue []float64                             // when they came
-		var busy []float64                              // when places are free again
+	run := func(part float64, beside bool) (good, late, rejected int) {
+		admission := NewAdmission(AdmissionSettings{Target: 20, Part: part, Interval: 100, Least: 64, Most: 20000, Headroom: 0.2})
+		random := rand.New(rand.NewPCG(7, 7))
+		const capacity, takes, deadline = 64, 25.0, 500.0 // 2.56 requests a ms
+		var queue []float64                               // when they came
+		var busy []float64                                // when each is free again
 		other := []float64{}
-		arrive := 0.0
+		arrives := 0.0
 		for now := 0.0; now < 30000; now++ {
 			for len(busy) > 0 && busy[0] <= now {
 				busy = busy[1:]
@@ -74,17 +75,17 @@
 			for len(other) > 0 && other[0] <= now {
 				other = other[1:]
 			}
-			a.Tick(now, len(queue)+len(busy)+len(other))
-			for ; arrive < now; arrive += rng.ExpFloat64() / (4 * places / takes) {
-				if !a.Admit(len(queue)+len(busy)+len(other), 1) {
-					refused++
+			admission.Tick(now, len(queue)+len(busy)+len(other))
+			for ; arrives < now; arrives += random.ExpFloat64() / (4 * capacity / takes) {
+				if !admission.Admit(len(queue)+len(busy)+len(other), 1) {
+					rejected++
 					continue
 				}
-				queue = append(queue, arrive)
+				queue = append(queue, arrives)
 			}
 			for range 3 {
 				if beside {
-					a.ObserveQueueing(0)
+					admission.ObserveQueueing(0)
 					other = append(other, now+10)
 				}
 			}
@@ -92,47 +93,48 @@
 				queue = queue[1:]
 				late++
 			}
-			for len(queue) > 0 && len(busy) < places {
-				at := queue[0]
+			for len(queue) > 0 && len(busy) < capacity {
+				arrived := queue[0]
 				queue = queue[1:]
-				a.ObserveQueueing((now - at) / deadline)
+				admission.ObserveQueueing((now - arrived) / deadline)
 				busy = append(busy, now+takes)
-				if now+takes-at > deadline {
+				if now+takes-arrived > deadline {
 					late++
 				} else if now > 5000 {
 					good++
 				}
 			}
 		}
-		return good, late, refused
+		return good, late, rejected
 	}
-	good, late, refused := run(0.25, false)
-	if full := int(25000 * 64 / 25.0); good < full*9/10 || refused == 0 {
-		t.Errorf("%d of %d good, %d late, %d refused", good, full, late, refused)
+	good, late, rejected := run(0.25, false)
+	if full := int(25000 * 64 / 25.0); good < full*9/10 || rejected == 0 {
+		t.Errorf("%d of %d good, %d late, %d rejected", good, full, late, rejected)
 	}
 	if g, l, r := run(0, false); g > good/2 {
-		t.Errorf("without it %d are good, %d late, %d refused: this shows nothing", g, l, r)
+		t.Errorf("without it %d are good, %d late, %d rejected: this shows nothing", g, l, r)
 	}
 	if _, _, r := run(0.25, true); r > 0 {
-		t.Errorf("%d were refused for one cache of two", r)
+		t.Errorf("%d were rejected for one cache of two", r)
 	}
 }
 
-// The worthiest are taken when the least are not; the least number is always allowed.
+// TestAdmissionRank: requests of the highest rank are admitted when those of the lowest are
+// not; the least number is always allowed.
 func TestAdmissionRank(t *testing.T) {
-	a := NewAdmission(AdmissionSettings{Target: 5, Interval: 100, Least: 10, Most: 1000, Headroom: 0.3})
-	if !a.Admit(999, 0) || a.Admit(1000, 1) {
+	admission := NewAdmission(AdmissionSettings{Target: 5, Interval: 100, Least: 10, Most: 1000, Headroom: 0.3})
+	if !admission.Admit(999, 0) || admission.Admit(1000, 1) {
 		t.Error("without overload the limit is not the most")
 	}
 	for now := 0.0; now < 3000; now += 100 {
-		a.ObserveWait(50)
-		a.Tick(now, 200)
+		admission.ObserveWait(50)
+		admission.Tick(now, 200)
 	}
-	limit := a.Limit()
-	if limit > 200 || limit < 10 || !a.Admit(limit*8/10, 1) || limit > 20 && a.Admit(limit*8/10, 0) {
+	limit := admission.Limit()
+	if limit > 200 || limit < 10 || !admission.Admit(limit*8/10, 1) || limit > 20 && admission.Admit(limit*8/10, 0) {
 		t.Errorf("limit %d", limit)
 	}
-	if !a.Admit(9, 0) {
-		t.Error("below the least number one was turned away")
+	if !admission.Admit(9, 0) {
+		t.Error("below the least number one was rejected")
 	}
 }
--- a/internal/proxy/limits/budget_test.go
+++ b/internal/proxy/limits/budget_test.go
@@ -6,24 +6,24 @@
 	"pgregory.net/rapid"
 )
 
-// Hundreds of answers that wait stay below the edge of the budget together, thousands
-// pass it by their least at most, and one alone has all that it may.
+// TestBudgetRoom: hundreds of answers that wait stay below the limit of the budget together,
+// thousands exceed it by their minimum at most, and one alone has all that it may.
 func TestBudgetRoom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.Int64Range(8<<20, 1<<30).Draw(t, "total")
-		n := rapid.Int64Range(1, total/(64<<10)).Draw(t, "answers")
-		b := Budget{Total: total}
-		held := make([]int64, n)
-		for round := 0; round < 20; round++ { // each fills what it may, again and again
+		answers := rapid.Int64Range(1, total/(64<<10)).Draw(t, "answers")
+		budget := Budget{Total: total}
+		held := make([]int64, answers)
+		for round := 0; round < 20; round++ { // each uses what it may, again and again
 			for i := range held {
-				if room := int64(b.Room(256 << 10)); room > held[i] {
-					b.Add(Answers, room-held[i])
+				if room := int64(budget.Room(256 << 10)); room > held[i] {
+					budget.Add(Answers, room-held[i])
 					held[i] = room
 				}
 			}
 		}
-		if n <= roomShare && b.Full() || float64(b.Used()) > shedAbove*float64(total)+float64(n*minRoom) {
-			t.Fatalf("%d answers fill %d of %d", n, b.Used(), total)
+		if answers <= roomShare && budget.Full() || float64(budget.Used()) > shedAbove*float64(total)+float64(answers*minRoom) {
+			t.Fatalf("%d answers fill %d of %d", answers, budget.Used(), total)
 		}
 	})
 	one := Budget{Total: 64 << 20}
--- a/internal/proxy/limits/clientactivity_test.go
+++ b/internal/proxy/limits/clientactivity_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// TestClientActivityLingering: a message that comes by and by is waited for, within a bound; a
-// connection that was shut is read for a while, and is the first to yield.
+// TestClientActivityLingering: a message that comes in pieces is waited for, within a bound; a
+// connection that was shut down is read for a while, and is the first to be closed.
 func TestClientActivityLingering(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -24,6 +24,6 @@
 		}
 	}
 	if shut, silent := (&ClientActivity{Messages: 3, Last: 900, Shut: 950}), (&ClientActivity{Since: 1}); !shut.ClosesBefore(silent) || silent.ClosesBefore(shut) {
-		t.Error("one that was shut does not yield first")
+		t.Error("one that was shut down is not closed first")
 	}
 }
--- a/internal/proxy/limits/jitter_test.go
+++ b/internal/proxy/limits/jitter_test.go
@@ -4,17 +4,18 @@
 	"testing"
 )
 
+// TestJitter: waits are spread between the wait and half as much more, the same for a seed.
 func TestJitter(t *testing.T) {
-	a, b := NewJitter(7, 0.5), NewJitter(7, 0.5)
+	jitter, same := NewJitter(7, 0.5), NewJitter(7, 0.5)
 	seen := map[int64]int{}
 	for range 1000 {
-		x, y := a.After(4000), b.After(4000)
-		if x != y || x < 4 || x > 6 {
-			t.Fatal(x, y)
+		seconds, again := jitter.After(4000), same.After(4000)
+		if seconds != again || seconds < 4 || seconds > 6 {
+			t.Fatal(seconds, again)
 		}
-		seen[x]++
+		seen[seconds]++
 	}
-	if len(seen) < 2 || a.After(0) != 0 || a.After(1) < 1 {
+	if len(seen) < 2 || jitter.After(0) != 0 || jitter.After(1) < 1 {
 		t.Error(seen)
 	}
 }
--- a/internal/proxy/limits/quota_test.go
+++ b/internal/proxy/limits/quota_test.go
@@ -4,21 +4,23 @@
 	"testing"
 )
 
+// TestConnectionQuota: clients and members both have connections, however few there are; of
+// clients' connections those are closed that say nothing, say half or read nothing.
 func TestConnectionQuota(t *testing.T) {
-	for _, n := range []int{32, 256, 1024} {
-		p := NewConnectionQuota(n)
-		if p.Clients+p.Members > n || p.Clients < n/10 || p.Members < 2 || n >= 256 && p.Clients < n/3 {
-			t.Errorf("%d descriptors: %+v", n, p)
+	for _, descriptors := range []int{32, 256, 1024} {
+		quota := NewConnectionQuota(descriptors)
+		if quota.Clients+quota.Members > descriptors || quota.Clients < descriptors/10 || quota.Members < 2 || descriptors >= 256 && quota.Clients < descriptors/3 {
+			t.Errorf("%d descriptors: %+v", descriptors, quota)
 		}
-		if k := p.PerMember(4); k < 1 || k*4 > max(p.Members, 8) {
-			t.Errorf("%d descriptors: %d to a member of 4", n, k)
+		if each := quota.PerMember(4); each < 1 || each*4 > max(quota.Members, 8) {
+			t.Errorf("%d descriptors: %d to a member of 4", descriptors, each)
 		}
 	}
 	now := 100000.0
 	for _, c := range []struct {
-		name string
-		v    ClientActivity
-		goes bool
+		name    string
+		v       ClientActivity
+		expired bool
 	}{
 		{"just came", ClientActivity{Since: now - 1000}, false},
 		{"says nothing", ClientActivity{Since: now - 2500}, true},
@@ -28,13 +30,13 @@
 		{"between two requests", ClientActivity{Since: now - 9000, Last: now - 3900, Messages: 3}, false},
 		{"asked once and stays", ClientActivity{Since: now - 9000, Last: now - 8000, Messages: 1}, true},
 	} {
-		if c.v.Expired(now) != c.goes {
-			t.Errorf("%s: goes is %v", c.name, !c.goes)
+		if c.v.Expired(now) != c.expired {
+			t.Errorf("%s: expired is %v", c.name, !c.expired)
 		}
 	}
 	busy, silent := &ClientActivity{Open: 1, Messages: 9}, &ClientActivity{Since: 500}
 	early, late := &ClientActivity{Last: 100, Messages: 2}, &ClientActivity{Last: 200, Messages: 2}
 	if busy.ClosesBefore(nil) || !silent.ClosesBefore(early) || early.ClosesBefore(silent) || !early.ClosesBefore(late) || late.ClosesBefore(early) || !late.ClosesBefore(busy) {
-		t.Error("the wrong one yields")
+		t.Error("the wrong one is closed")
 	}
 }
--- a/internal/proxy/limits/shedding_test.go
+++ b/internal/proxy/limits/shedding_test.go
@@ -5,21 +5,21 @@
 	"testing"
 )
 
-// Idle connections go before requests, answers that have begun go last, the least
-// worth for its bytes first, and what may do harm when it is repeated never.
+// TestShed: idle connections are closed before requests are shed; answers that have begun go
+// last, the least weight for its bytes first, and what may do harm when it is retried never.
 func TestShed(t *testing.T) {
-	b := Budget{Total: 1000}
-	b.Add(Answers, 899)
-	if idle, reqs := b.Excess(); idle+reqs != 0 || b.Full() {
-		t.Error(idle, reqs)
+	budget := Budget{Total: 1000}
+	budget.Add(Answers, 899)
+	if idle, requests := budget.Excess(); idle+requests != 0 || budget.Full() {
+		t.Error(idle, requests)
 	}
-	b.Add(Heads, 20)
-	if idle, reqs := b.Excess(); idle != 119 || reqs != 0 || !b.Full() {
-		t.Error(idle, reqs)
+	budget.Add(Heads, 20)
+	if idle, requests := budget.Excess(); idle != 119 || requests != 0 || !budget.Full() {
+		t.Error(idle, requests)
 	}
-	b.Add(Bodies, 50)
-	if idle, reqs := b.Excess(); idle != 169 || reqs != 169 || b.Used() != 969 || b.Map()["answers"] != 899 {
-		t.Error(idle, reqs)
+	budget.Add(Bodies, 50)
+	if idle, requests := budget.Excess(); idle != 169 || requests != 169 || budget.Used() != 969 || budget.Map()["answers"] != 899 {
+		t.Error(idle, requests)
 	}
 	list := []ShedCandidate{
 		{Index: 0, Bytes: 100, Weight: 1, Left: 10, Begun: true, Idempotent: true},
@@ -30,9 +30,9 @@
 		{Index: 5, Bytes: 0, Weight: 0, Left: 1e9, Idempotent: true},
 	}
 	want := []int{2, 3, 1, 0}
-	for i, h := range ShedOrder(append([]ShedCandidate(nil), list...)) {
-		if h.Index != want[i] {
-			t.Errorf("place %d is of %d, not %d", i, h.Index, want[i])
+	for i, candidate := range ShedOrder(append([]ShedCandidate(nil), list...)) {
+		if candidate.Index != want[i] {
+			t.Errorf("position %d is of %d, not %d", i, candidate.Index, want[i])
 		}
 	}
 	if got := Shed(append([]ShedCandidate(nil), list...), 150); len(got) != 2 {
@@ -43,7 +43,8 @@
 	}
 }
 
-// Answers that have waited for their clients for a second give way, the longest first.
+// TestLongStalled: answers that have waited for their clients for a second are given up, the
+// longest first.
 func TestLongStalled(t *testing.T) {
 	if got := fmt.Sprint(LongStalled([]float64{999, 1000, 5000, 0, 2000})); got != "[2 4 1]" || len(LongStalled(nil)) != 0 {
 		t.Error(got)
--- a/internal/proxy/limits/unread_test.go
+++ b/internal/proxy/limits/unread_test.go
@@ -6,41 +6,42 @@
 	"pgregory.net/rapid"
 )
 
-// What the kernel holds: who takes something is never cut before it idles, who idles
-// always is, and past the limit it comes down to 0.80 unless only those are left who take.
+// TestUnreadAccount: a client that reads something is never cut before it idles, one that
+// idles always is, and past the limit it comes down to 0.80 unless only clients that read are
+// left.
 func TestUnreadAccount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tails := UnreadAccount{Total: 1 << 20, Idle: 20_000}
+		account := UnreadAccount{Total: 1 << 20, Idle: 20_000}
 		var list []Unread
 		for i := range rapid.IntRange(0, 60).Draw(t, "clients") {
 			list = append(list, Unread{Index: i, Bytes: rapid.Int64Range(0, 200<<10).Draw(t, "bytes"), Still: rapid.Float64Range(0, 25_000).Draw(t, "still")})
 		}
 		all := append([]Unread(nil), list...)
-		cut := tails.Update(list)
-		gone, left, moving := map[int]bool{}, tails.Held, int64(0)
-		for _, c := range cut {
-			if gone[c.Index] {
-				t.Fatalf("%d is cut twice", c.Index)
+		cut := account.Update(list)
+		gone, left, moving := map[int]bool{}, account.Held, int64(0)
+		for _, client := range cut {
+			if gone[client.Index] {
+				t.Fatalf("%d is cut twice", client.Index)
 			}
-			gone[c.Index] = true
-			left -= c.Bytes
+			gone[client.Index] = true
+			left -= client.Bytes
 		}
-		for _, c := range all {
+		for _, client := range all {
 			switch {
-			case c.Bytes == 0 && gone[c.Index]:
-				t.Fatalf("%+v is cut, and holds nothing", c)
-			case c.Bytes > 0 && c.Still >= tails.Idle && !gone[c.Index]:
-				t.Fatalf("%+v is left", c)
-			case !IsStalled(c.Still) && gone[c.Index]:
-				t.Fatalf("%+v takes something, and is cut", c)
-			case !IsStalled(c.Still):
-				moving += c.Bytes
-			case tails.Held < 900<<10 && c.Still < tails.Idle && gone[c.Index]:
-				t.Fatalf("%+v is cut although there is room", c)
+			case client.Bytes == 0 && gone[client.Index]:
+				t.Fatalf("%+v is cut, and holds nothing", client)
+			case client.Bytes > 0 && client.Still >= account.Idle && !gone[client.Index]:
+				t.Fatalf("%+v is left", client)
+			case !IsStalled(client.Still) && gone[client.Index]:
+				t.Fatalf("%+v reads something, and is cut", client)
+			case !IsStalled(client.Still):
+				moving += client.Bytes
+			case account.Held < 900<<10 && client.Still < account.Idle && gone[client.Index]:
+				t.Fatalf("%+v is cut although the kernel may hold it", client)
 			}
 		}
 		if left > max(moving, 922<<10) {
-			t.Fatalf("%d bytes are left, %d of them of those who take some", left, moving)
+			t.Fatalf("%d bytes are left, %d of them of clients that read some", left, moving)
 		}
 	})
 	free := UnreadAccount{}
