--- a/internal/proxy/asynclog/asynclog_test.go
+++ b/internal/proxy/asynclog/asynclog_test.go
@@ -7,25 +7,26 @@
 	"time"
 )
 
-type stuck struct {
+// stuckWriter does not write before move is closed.
+type stuckWriter struct {
 	move chan struct{}
 	bytes.Buffer
 }
 
-func (s *stuck) Write(b []byte) (int, error) {
+func (s *stuckWriter) Write(b []byte) (int, error) {
 	<-s.move
 	return s.Buffer.Write(b)
 }
 
-// TestStuckWriterBlocksNobody: a writer that does not move holds nobody up; lines past the bound are
-// dropped, and their number is told once it moves.
+// TestStuckWriterBlocksNobody: an output that does not move blocks no logger; lines past
+// the bound are dropped, and their number is logged once it moves.
 func TestStuckWriterBlocksNobody(t *testing.T) {
-	w := &stuck{move: make(chan struct{})}
-	q := New(w, 4)
+	output := &stuckWriter{move: make(chan struct{})}
+	queue := New(output, 4)
 	written := make(chan struct{})
 	go func() {
 		for range 100 {
-			q.Write([]byte("line\n"))
+			queue.Write([]byte("line\n"))
 		}
 		close(written)
 	}()
@@ -34,10 +35,10 @@
 	case <-time.After(5 * time.Second):
 		t.Fatal("a line waits for the writer")
 	}
-	close(w.move)
-	q.Close()
-	got := w.String()
-	if n := strings.Count(got, "line\n"); n < 4 || n > 6 || !strings.Contains(got, `"dropped":`) || int(q.Dropped())+n != 100 {
-		t.Errorf("%d lines, %d dropped: %q", n, q.Dropped(), got)
+	close(output.move)
+	queue.Close()
+	got := output.String()
+	if n := strings.Count(got, "line\n"); n < 4 || n > 6 || !strings.Contains(got, `"dropped":`) || int(queue.Dropped())+n != 100 {
+		t.Errorf("%d lines, %d dropped: %q", n, queue.Dropped(), got)
 	}
 }
--- a/internal/proxy/unixclock/unixclock_test.go
+++ b/internal/proxy/unixclock/unixclock_test.go
@@ -9,6 +9,7 @@
 
 const start = 1.76e12 // a Unix time in ms
 
+// TestAge: ages by the latest evidence, and never from before the clock was current.
 func TestAge(t *testing.T) {
 	var clock Clock
 	if age := clock.Age(start, 50); age != 0 {
@@ -30,12 +31,12 @@
 	clock.MarkCurrent(1000)
 	clock.Observe(start+3.6e6, 1100) // a time that is wrong by an hour
 	if age := clock.Age(start+1000, 1200); age != 200 {
-		t.Errorf("told 200 ms after the last look: %v old", age)
+		t.Errorf("arrived 200 ms after the clock was current: %v old", age)
 	}
 }
 
-// TestAgeNeverOverstated: for any delays on the way an age is never over the true one, and it is
-// short of it by no more than the least delay of anything seen lately.
+// TestAgeNeverOverstated: for any delays on the way an age never exceeds the true one, and it is
+// short of it by no more than the least delay of anything observed.
 func TestAgeNeverOverstated(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var clock Clock
--- a/internal/wallclock/wallclock_test.go
+++ b/internal/wallclock/wallclock_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// TestStep: a step moves Now by as much, and Now has no monotonic reading.
 func TestStep(t *testing.T) {
 	for _, by := range []time.Duration{3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
 		before := Now()
