--- a/fleet_test.go
+++ b/fleet_test.go
@@ -26,7 +26,12 @@
 
 func (d *callQueue) Push(x any) { *d = append(*d, x.(scheduledCall)) }
 
-func (d *callQueue) Pop() any { o := *d; x := o[len(o)-1]; *d = o[:len(o)-1]; return x }
+func (d *callQueue) Pop() any {
+	last := len(*d) - 1
+	call := (*d)[last]
+	*d = (*d)[:last]
+	return call
+}
 
 type fleet struct {
 	t        *testing.T
@@ -172,32 +177,48 @@
 					span = 6500
 				}
 				fleet.run(span, 0.5)
-				for _, c := range []struct {
-					id          string
-					from, fall  float64
-					cold, least Millis
-				}{{"e2", fleet.settings.ColdFrom, fleet.settings.FallFactor, fleet.settings.ColdTime, 0.05}, {"p1", fleet.settings.ParentColdFrom, fleet.settings.ParentFall, fleet.settings.ParentColdTime, 0.05}} {
-					list, used, may := fleet.arrived[c.id], 0.0, 0.0
-					for i, at := range list {
-						allowed := c.fall * fleetSize * (c.from + (1-c.from)*(at-begin)/c.cold) * fleet.settings.FallTime / fleet.sendTime
-						n := 0.0
-						for j := i; j < len(list) && list[j] < at+fleet.settings.FallTime; j++ {
-							n++
-						}
-						if n > allowed+2*math.Sqrt(allowed)+2 {
-							t.Errorf("%s: %v attempts within %v ms, %.0f ms after the start; %.1f are allowed", c.id, n, fleet.settings.FallTime, at-begin, allowed)
-							break
-						}
-					}
-					for at := 0.0; at < 9000; at += fleet.settings.FallTime {
-						may += c.fall * fleetSize * (c.from + (1-c.from)*at/c.cold) * fleet.settings.FallTime / fleet.sendTime
-					}
-					if used = float64(len(list)); used < c.least*may {
-						t.Errorf("%s: %v attempts in 9 s, of %.0f that are allowed", c.id, used, may)
-					}
-					t.Logf("%s: %v of %.0f", c.id, used, may)
-				}
+				settings := fleet.settings
+				fleet.checkSlowStart("e2", begin, slowStartRule{settings.ColdFrom, settings.ColdTime, settings.FallFactor})
+				fleet.checkSlowStart("p1", begin, slowStartRule{settings.ParentColdFrom, settings.ParentColdTime, settings.ParentFall})
 			})
 		}
 	}
 }
+
+// slowStartRule is what a member that warms up can bear.
+type slowStartRule struct {
+	from     float64 // share of its capacity at first
+	coldTime Millis
+	fall     float64 // it fails at this multiple of its present capacity
+}
+
+// checkSlowStart checks that a member that started at begin was never sent more attempts within
+// the fall time than it bears and what is chance, and a twentieth of that at least in all.
+func (f *fleet) checkSlowStart(id string, begin Millis, rule slowStartRule) {
+	const least = 0.05
+	fallTime := f.settings.FallTime
+	allowedAfter := func(span Millis) float64 {
+		return rule.fall * fleetSize * (rule.from + (1-rule.from)*span/rule.coldTime) * fallTime / f.sendTime
+	}
+	arrived := f.arrived[id]
+	for i, at := range arrived {
+		allowed := allowedAfter(at - begin)
+		attempts := 0.0
+		for j := i; j < len(arrived) && arrived[j] < at+fallTime; j++ {
+			attempts++
+		}
+		if attempts > allowed+2*math.Sqrt(allowed)+2 {
+			f.t.Errorf("%s: %v attempts within %v ms, %.0f ms after the start; %.1f are allowed", id, attempts, fallTime, at-begin, allowed)
+			break
+		}
+	}
+	allowed := 0.0
+	for span := 0.0; span < 9000; span += fallTime {
+		allowed += allowedAfter(span)
+	}
+	used := float64(len(arrived))
+	if used < least*allowed {
+		f.t.Errorf("%s: %v attempts in 9 s, of %.0f that are allowed", id, used, allowed)
+	}
+	f.t.Logf("%s: %v of %.0f", id, used, allowed)
+}
--- a/fuzz_test.go
+++ b/fuzz_test.go
@@ -166,24 +166,7 @@
 				w.handle(Gone{ID: request.ID})
 			}
 		case 8:
-			row := baseRows()[arg%7]
-			row.State = State(arg % 3)
-			if row.State == Serving {
-				row.ReadyAt = w.now
-				delete(w.unavailableSince, row.ID)
-			} else if _, ok := w.unavailableSince[row.ID]; !ok {
-				w.unavailableSince[row.ID] = w.now
-			}
-			rows := []Member{row}
-			if arg > 13 { // a burst: it drains, goes and is back, new, in one piece of news
-				rows = rows[:0]
-				for _, state := range []State{Draining, Removed, Serving} {
-					row.State, row.ReadyAt = state, w.now
-					rows = append(rows, row)
-				}
-				delete(w.unavailableSince, row.ID)
-			}
-			w.handle(Members{Rows: rows})
+			w.changeEndpoint(arg)
 		case 9:
 			object := fmt.Sprint("o", arg%4)
 			w.purgedAt[object] = max(w.purgedAt[object], w.now-float64(arg))
@@ -207,6 +190,28 @@
 	}
 }
 
+// changeEndpoint changes one endpoint, in some events several times over.
+func (w *invariantChecker) changeEndpoint(arg int) {
+	row := baseRows()[arg%7]
+	row.State = State(arg % 3)
+	if row.State == Serving {
+		row.ReadyAt = w.now
+		delete(w.unavailableSince, row.ID)
+	} else if _, ok := w.unavailableSince[row.ID]; !ok {
+		w.unavailableSince[row.ID] = w.now
+	}
+	rows := []Member{row}
+	if arg > 13 { // a burst: it drains, goes and is back, new, in one event
+		rows = rows[:0]
+		for _, state := range []State{Draining, Removed, Serving} {
+			row.State, row.ReadyAt = state, w.now
+			rows = append(rows, row)
+		}
+		delete(w.unavailableSince, row.ID)
+	}
+	w.handle(Members{Rows: rows})
+}
+
 // finishAttempt ends the oldest open attempt of some request.
 func (w *invariantChecker) finishAttempt(arg int, res Result) {
 	for offset := range w.ids {
--- a/rangesplit.go
+++ b/rangesplit.go
@@ -23,7 +23,7 @@
 	splitMoveThreshold = 1.0
 	// tailPartCost is the cost of a part beyond the object's mean depth; one within it costs 1.
 	tailPartCost = 1.0
-	// maxPartIndices is how many part indices are told apart; later ones share the last.
+	// maxPartIndices is how many part indices are distinguished; later ones share the last.
 	maxPartIndices = 2048
 	// Objects are remembered in two generations of maxObjects at most; a new one begins after
 	// objectGenerationSpan at the latest.
