--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -166,3 +166,36 @@
 		t.Fatal(err)
 	}
 }
+
+// The pages name only packages, programs and files that are there. results.md and
+// ROADMAP.md tell of the past, and may name what has gone.
+func TestPathsOfPages(t *testing.T) {
+	pages, err := filepath.Glob("*.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	inTree := regexp.MustCompile(`^(?:cmd|docs|examples|internal|\.ci)/[\w./-]+$`)
+	paths := 0
+	for _, page := range append(pages, "../README.md") {
+		if page == "results.md" || page == "ROADMAP.md" {
+			continue
+		}
+		text, err := os.ReadFile(page)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, span := range codeSpan.FindAllStringSubmatch(string(text), -1) {
+			path := span[1]
+			if !inTree.MatchString(path) {
+				continue
+			}
+			paths++
+			if _, err := os.Stat(filepath.Join("..", path)); err != nil {
+				t.Errorf("%s names the path %s: %v", page, path, err)
+			}
+		}
+	}
+	if paths < 80 {
+		t.Errorf("only %d paths were found on the pages: is their form another?", paths)
+	}
+}
