--- a/internal/controlplane/endpointcheck/listcheck.go
+++ b/internal/controlplane/endpointcheck/listcheck.go
@@ -1,8 +1,8 @@
-// Package listcheck tells what a new list of members would do before it is used:
-// whether it passes the checks that routers make, and which objects, parts and
-// fills would go elsewhere. It asks the decision module of a router in each zone,
-// through internal/proxy/engine, by telling it requests before and after the change; it
-// works out no placement itself.
+// Package endpointcheck reports what a new endpoint list would do before it is used:
+// whether it passes the checks that routers make, and which objects, parts and fills would
+// go elsewhere. It gives the decision module of a router in each zone, through
+// internal/proxy/engine, the same requests before and after the change, and computes no
+// placement itself. It owns no state; the checks are configversion.Check.
 package endpointcheck
 
 import (
