--- a/internal/eventloop/doc.go
+++ b/internal/eventloop/doc.go
@@ -1,8 +1,8 @@
 // Package eventloop is an event loop on Linux's epoll: readiness of file descriptors, timers,
-// and calls posted from other threads. It is the only package that makes system calls on
-// sockets, so that one place decides what their errors mean: Later (make the call again
-// later), Broken (the connection has ended) or IsLocalShortage (this machine lacks something,
-// and the peer is not to blame). Tests and fault injection have any call fail by Intercept.
+// and calls posted from other threads. Accept, connect, read and write go through it, so that
+// one place decides what their errors mean: Later (make the call again later), Broken (the
+// connection has ended) or IsLocalShortage (this machine lacks something, and the peer is not
+// to blame). Tests and fault injection have any of these calls fail by Intercept.
 //
 // It owns the epoll descriptor, the timers and the queue of posted calls. Sockets stay their
 // callers' to close, and what is read and written is theirs too: the loop never reads or
--- a/internal/proxy/httpfront/guard.go
+++ b/internal/proxy/httpfront/guard.go
@@ -108,7 +108,7 @@
 	}
 	if g.adm == nil {
 		g.jitter = limits.NewJitter(uint64(s.Router.Seed), 0.5)
-		g.hold = limits.NewReadPause(limits.DefaultReadPause)
+		g.hold = limits.NewReadPause(limits.DefaultReadPause())
 		g.standing = limits.NewReputation(limits.ReputationSettings{})
 	}
 	g.standing.Adopt(limits.DefaultReputation(l.Poor))
--- a/internal/proxy/limits/readpause.go
+++ b/internal/proxy/limits/readpause.go
@@ -7,8 +7,10 @@
 	Most     float64 // longest pause, in ms
 }
 
-// DefaultReadPause are the settings that routers use.
-var DefaultReadPause = ReadPauseSettings{Share: 0.015, Interval: 100, Most: 200}
+// DefaultReadPause returns the settings that routers use.
+func DefaultReadPause() ReadPauseSettings {
+	return ReadPauseSettings{Share: 0.015, Interval: 100, Most: 200}
+}
 
 // ReadPause is for how long a connection whose request was rejected is not read again. A
 // rejection costs two system calls, and its client may retry at once: at several times the
--- a/internal/proxy/limits/reputation_test.go
+++ b/internal/proxy/limits/reputation_test.go
@@ -46,6 +46,14 @@
 			t.Fatal("it is not forgiven in ten half-lives")
 		}
 	})
+	checkRestored(t, settings)
+	checkReserved(t, settings)
+}
+
+// checkRestored restores a reputation's records, and some that are invalid, and checks that
+// both judge all addresses alike.
+func checkRestored(t *testing.T, settings ReputationSettings) {
+	t.Helper()
 	reputation := NewReputation(settings)
 	for i := range 30 {
 		for range i % 5 {
@@ -63,7 +71,12 @@
 	if len(next.Records(7000)) != len(reputation.Records(200)) {
 		t.Errorf("%d known, of %d", len(next.Records(7000)), len(reputation.Records(200)))
 	}
-	reputation = NewReputation(settings)
+}
+
+// checkReserved checks the capacity that poor addresses share, of four requests.
+func checkReserved(t *testing.T, settings ReputationSettings) {
+	t.Helper()
+	reputation := NewReputation(settings)
 	for range 4 {
 		if reputation.Reserve(); reputation.HasCapacity() != (reputation.Excess() < 0) {
 			t.Error(reputation.HasCapacity(), reputation.Excess())
