--- a/internal/eventloop/buffer.go
+++ b/internal/eventloop/buffer.go
@@ -1,21 +1,34 @@
 package eventloop
 
 // Buffers is a pool of buffers by size class that keeps a bounded part of what is given back
-// for use again. It belongs to one loop's goroutine.
+// for use again. It belongs to one loop's goroutine. Set its fields before the first Lend.
 type Buffers struct {
-	Keep        int // most bytes kept unused, of all classes together
-	Used        int // bytes that are lent now
+	// Keep is the most bytes kept unused, of all classes together.
+	Keep int
+	// Used is how many bytes are lent now.
+	Used int
+	// Classes are the size classes in bytes, the smallest first; nil stands for 1, 4, 16, 64
+	// and 256 KiB. What is larger than the last is allocated for each loan and never kept.
+	Classes []int
+	// MayKeep, unless it is nil, decides instead of Keep whether a buffer that is given back
+	// is kept, by the bytes of its class that would then be unused.
+	MayKeep func(classBytes int) bool
+	// Allocated, unless it is nil, is called with the bytes of each buffer that is allocated,
+	// and with their negative for each that is given back and not kept.
+	Allocated func(bytes int)
+
 	unusedBytes int
-	unused      [len(bufferSizes)][][]byte
+	unused      [][][]byte // by class
 }
 
-// bufferSizes are the size classes in bytes. What is larger than the last is allocated for
-// each loan and never kept.
-var bufferSizes = [...]int{1 << 10, 4 << 10, 16 << 10, 64 << 10, 256 << 10}
+var defaultClasses = [...]int{1 << 10, 4 << 10, 16 << 10, 64 << 10, 256 << 10}
 
 // Lend returns an empty buffer with a capacity of at least n bytes, to be given back.
 func (p *Buffers) Lend(n int) []byte {
-	for i, size := range bufferSizes {
+	if p.unused == nil {
+		p.init()
+	}
+	for i, size := range p.Classes {
 		if n > size {
 			continue
 		}
@@ -27,10 +40,10 @@
 			p.unusedBytes -= size
 			return b
 		}
-		return make([]byte, 0, size)
+		return p.allocate(size)
 	}
 	p.Used += n
-	return make([]byte, 0, n)
+	return p.allocate(n)
 }
 
 // GiveBack ends a loan; the caller must not use b any more. A nil b is ignored.
@@ -39,10 +52,37 @@
 		return
 	}
 	p.Used -= cap(b)
-	for i, size := range bufferSizes {
-		if cap(b) == size && p.unusedBytes+size <= p.Keep {
+	for i, size := range p.Classes {
+		if cap(b) == size && p.mayKeep(i) {
 			p.unusedBytes += size
 			p.unused[i] = append(p.unused[i], b[:0])
+			return
 		}
 	}
+	if p.Allocated != nil {
+		p.Allocated(-cap(b))
+	}
+}
+
+func (p *Buffers) init() {
+	if p.Classes == nil {
+		p.Classes = defaultClasses[:]
+	}
+	p.unused = make([][][]byte, len(p.Classes))
+}
+
+func (p *Buffers) allocate(n int) []byte {
+	if p.Allocated != nil {
+		p.Allocated(n)
+	}
+	return make([]byte, 0, n)
+}
+
+// mayKeep reports whether one more unused buffer of a class is kept.
+func (p *Buffers) mayKeep(class int) bool {
+	size := p.Classes[class]
+	if p.MayKeep != nil {
+		return p.MayKeep((len(p.unused[class]) + 1) * size)
+	}
+	return p.unusedBytes+size <= p.Keep
 }
--- a/internal/eventloop/queue.go
+++ b/internal/eventloop/queue.go
@@ -10,6 +10,9 @@
 // Len is how many bytes wait.
 func (q *Queue) Len() int { return len(q.buf) - q.off }
 
+// Cap is how many bytes of memory are lent to the queue.
+func (q *Queue) Cap() int { return cap(q.buf) }
+
 // Bytes returns what waits; it is valid until the next call.
 func (q *Queue) Bytes() []byte { return q.buf[q.off:] }
 
--- a/internal/proxy/httpfront/client.go
+++ b/internal/proxy/httpfront/client.go
@@ -17,8 +17,8 @@
 type client struct {
 	e    *Edge
 	fd   int
-	left []byte // read, and not yet taken
-	out  outq   // answered, and not yet written
+	left []byte          // read, and not yet taken
+	out  eventloop.Queue // answered, and not yet written
 	idle eventloop.Timer
 	cur  *request // in hand; nil between requests
 	part *part    // no connection: it asks for a fragment of a page; nil: it is one
@@ -53,8 +53,8 @@
 const readSize = 64 << 10
 
 func (c *client) OnReady(r eventloop.Ready) {
-	if r.Writable() && c.out.len() > 0 {
-		if c.out.len() <= smallWrite {
+	if r.Writable() && c.out.Len() > 0 {
+		if c.out.Len() <= smallWrite {
 			c.flush()
 		} else if !c.queued {
 			c.queued, c.since = true, c.e.l.Now()
@@ -105,7 +105,7 @@
 		return
 	}
 	c.e.stats.InBytes += uint64(n)
-	if c.flow.Waiting() && c.out.len() == 0 {
+	if c.flow.Waiting() && c.out.Len() == 0 {
 		least, _ := c.judgedBy()
 		c.flow.Moved(c.e.guard.now(), n, least)
 	}
@@ -171,7 +171,7 @@
 			c.linger = true // the connection ends here: what follows is not looked at
 			return nil
 		}
-		if c.out.len() > 0 {
+		if c.out.Len() > 0 {
 			return data // a slow client's earlier answer goes first
 		}
 		if !c.reading {
@@ -338,7 +338,7 @@
 	if c.gone {
 		return
 	}
-	n, err := c.e.l.WriteTwo(c.fd, c.out.bytes(), b)
+	n, err := c.e.l.WriteTwo(c.fd, c.out.Bytes(), b)
 	if eventloop.Later(err) {
 		n, err = 0, nil
 	}
@@ -349,8 +349,8 @@
 	c.e.stats.OutBytes += uint64(n)
 	c.took(n)
 	c.stalled = c.stalled && n == 0
-	if k := min(n, c.out.len()); k > 0 {
-		c.out.take(c.e, k)
+	if k := min(n, c.out.Len()); k > 0 {
+		c.out.Take(&c.e.buffers, k)
 		n -= k
 	}
 	if b = b[n:]; len(b) > 0 {
@@ -359,15 +359,15 @@
 	}
 }
 
-func (c *client) add(b []byte) { c.out.add(c.e, b) }
+func (c *client) add(b []byte) { c.out.Add(&c.e.buffers, b) }
 
 // flush writes what waits. It reports whether all of it went out.
 func (c *client) flush() bool {
 	if c.part != nil {
 		return true
 	}
-	for c.out.len() > 0 && !c.gone {
-		n, err := c.e.l.Write(c.fd, c.out.bytes())
+	for c.out.Len() > 0 && !c.gone {
+		n, err := c.e.l.Write(c.fd, c.out.Bytes())
 		if eventloop.Later(err) {
 			c.wants()
 			return false
@@ -379,7 +379,7 @@
 		c.e.stats.OutBytes += uint64(n)
 		c.took(n)
 		c.stalled = false
-		c.out.take(c.e, n)
+		c.out.Take(&c.e.buffers, n)
 	}
 	if c.gone {
 		return false
@@ -412,8 +412,8 @@
 // move writes what waits, in its turn.
 func (c *client) move(room int) (moved int, more bool) {
 	c.queued = false
-	for c.out.len() > 0 && !c.gone && moved < room {
-		b := c.out.bytes()
+	for c.out.Len() > 0 && !c.gone && moved < room {
+		b := c.out.Bytes()
 		n, err := c.e.l.Write(c.fd, b[:min(len(b), room-moved)])
 		if eventloop.Later(err) {
 			c.wants()
@@ -426,13 +426,13 @@
 		c.e.stats.OutBytes += uint64(n)
 		c.took(n)
 		c.stalled = false
-		c.out.take(c.e, n)
+		c.out.Take(&c.e.buffers, n)
 		moved += n
 	}
 	switch {
 	case c.gone:
 		return moved, false
-	case c.out.len() > 0:
+	case c.out.Len() > 0:
 		c.queued = true
 		return moved, true
 	}
@@ -458,7 +458,7 @@
 func (c *client) judgedBy() (*limits.MinRate, limits.Cause) {
 	g := c.e.guard
 	switch {
-	case c.out.len() > 0:
+	case c.out.Len() > 0:
 		return &g.reader, limits.SlowReader
 	case c.cur != nil:
 		return &g.body, limits.SlowBody
@@ -491,7 +491,7 @@
 	if !c.paused && !c.eof {
 		want |= eventloop.Read
 	}
-	if c.out.len() > 0 {
+	if c.out.Len() > 0 {
 		want |= eventloop.Write
 		if !c.queued {
 			c.e.guard.watch(c, true)
@@ -501,7 +501,7 @@
 			c.e.l.Arm(&c.idle, c.e.s.Limits.WriteIdle)
 		}
 	}
-	if c.out.len() == 0 && !c.coming() {
+	if c.out.Len() == 0 && !c.coming() {
 		c.e.guard.watch(c, false)
 	}
 	c.e.l.Want(c.fd, want)
@@ -519,7 +519,7 @@
 		return
 	}
 	c.fresh()
-	if c.out.len() > 0 {
+	if c.out.Len() > 0 {
 		c.flush() // and then goes on
 		return
 	}
@@ -547,12 +547,12 @@
 		} else if cap(c.left) > 0 {
 			c.left = nil
 		}
-		if !c.gone && c.cur == nil && !c.reading && c.out.len() == 0 {
+		if !c.gone && c.cur == nil && !c.reading && c.out.Len() == 0 {
 			c.e.guard.idle.add(c, c.e.l.Now())
 			c.e.guard.tail(c)
 		}
 		c.book()
-		if !c.gone && c.cur == nil && c.eof && c.out.len() == 0 {
+		if !c.gone && c.cur == nil && c.eof && c.out.Len() == 0 {
 			c.close() // what is left will never be whole
 		}
 	}
@@ -560,7 +560,7 @@
 
 // drain ends the connection when nothing is in hand.
 func (c *client) drain() {
-	if c.cur == nil && !c.reading && c.out.len() == 0 {
+	if c.cur == nil && !c.reading && c.out.Len() == 0 {
 		if !c.pass() {
 			c.close()
 		}
@@ -575,7 +575,7 @@
 func (c *client) onEOF() {
 	c.eof = true
 	switch {
-	case c.linger || c.cur == nil && c.out.len() == 0:
+	case c.linger || c.cur == nil && c.out.Len() == 0:
 		c.close()
 	case c.cur != nil && (c.cur.phase == takingBody || !c.e.s.Limits.HalfClose):
 		c.lost()
@@ -589,7 +589,7 @@
 	case c.gone:
 	case c.linger:
 		c.close()
-	case c.out.len() > 0:
+	case c.out.Len() > 0:
 		if at := c.taken(); at > c.idled { // the kernel takes nothing, and the client does
 			c.idled = at
 			c.e.l.Arm(&c.idle, c.e.s.Limits.WriteIdle)
@@ -676,7 +676,7 @@
 	c.left = nil
 	c.book()
 	g.mem.Add(limits.Connections, -clientBytes)
-	c.out.drop(c.e)
+	c.out.Drop(&c.e.buffers)
 	return true
 }
 
--- a/internal/proxy/httpfront/edge.go
+++ b/internal/proxy/httpfront/edge.go
@@ -74,9 +74,9 @@
 	drainT    eventloop.Timer
 	freeWakes []*wake
 	free      []*request
-	lent      [len(lentSizes)][][]byte
-	hbuf      []byte     // a head that is being written
-	head      http1.Head // of the request that is being taken
+	buffers   eventloop.Buffers // for bytes that wait to be written
+	hbuf      []byte            // a head that is being written
+	head      http1.Head        // of the request that is being taken
 	stats     Stats
 	probed    func(spool.Probed) // also hears of probes, in tests
 	stopWatch func()
@@ -117,6 +117,7 @@
 	e.listState.Store("none")
 	e.drainT.F = e.drained
 	e.guard = newGuard(e)
+	e.buffers = newBuffers(e.guard)
 	e.inherited = in
 	var ok bool
 	if e.lfd, e.addr, ok = inherit(in, s.Router.Listen); ok {
--- a/internal/proxy/httpfront/edge_test.go
+++ b/internal/proxy/httpfront/edge_test.go
@@ -383,7 +383,7 @@
 	time.Sleep(300 * time.Millisecond)
 	r.e.Query(func(*Stats, *engine.Core) {
 		for cl := range r.e.clients {
-			if n := cl.out.len(); n > 65536+len(r.e.scratch) {
+			if n := cl.out.Len(); n > 65536+len(r.e.scratch) {
 				t.Errorf("%d bytes wait for a slow client", n)
 			}
 		}
@@ -592,7 +592,7 @@
 	held := 0
 	r.e.Query(func(*Stats, *engine.Core) {
 		for c := range r.e.clients {
-			held += cap(c.left) + cap(c.out.buf)
+			held += cap(c.left) + c.out.Cap()
 		}
 	})
 	if held > 64<<10 {
--- a/internal/proxy/httpfront/guard.go
+++ b/internal/proxy/httpfront/guard.go
@@ -258,7 +258,7 @@
 	e, now := g.e, g.now()
 	e.l.Arm(&g.sweepT, sweepEvery)
 	for c := range g.slow {
-		if c.out.len() > 0 {
+		if c.out.Len() > 0 {
 			at := c.taken()
 			if at > c.seen {
 				c.movedAt = now
@@ -323,7 +323,7 @@
 		list, who = append(list, limits.Unread{Index: len(who), Bytes: bytes, Still: now - c.movedAt}), append(who, c)
 	}
 	for c := range g.slow { // looked at before
-		if c.out.len() > 0 {
+		if c.out.Len() > 0 {
 			add(c, c.wrote-c.seen)
 		}
 	}
@@ -332,7 +332,7 @@
 		if c.gone {
 			continue
 		}
-		if c.out.len() == 0 {
+		if c.out.Len() == 0 {
 			if at := c.taken(); at > c.seen {
 				c.seen, c.movedAt = at, now
 			}
@@ -342,7 +342,7 @@
 			continue
 		}
 		rest = append(rest, c)
-		if c.out.len() == 0 {
+		if c.out.Len() == 0 {
 			add(c, c.wrote-c.seen)
 		}
 	}
@@ -392,7 +392,7 @@
 // holder is a request as limits.ShedOrder looks at it.
 func (g *guard) holder(index int, r *request) limits.ShedCandidate {
 	c := r.c
-	h := limits.ShedCandidate{Index: index, Bytes: requestBytes + int64(cap(c.out.buf)+cap(c.left)+cap(r.content)), Begun: r.phase == relaying,
+	h := limits.ShedCandidate{Index: index, Bytes: requestBytes + int64(c.out.Cap()+cap(c.left)+cap(r.content)), Begun: r.phase == relaying,
 		Left: max(r.q.KB*1024-float64(r.sent), 0), Idempotent: r.phase == takingBody || !r.q.Write || !r.written()}
 	if i, ok := g.classes[r.q.Class]; ok {
 		k := &g.e.s.Classes[i]
@@ -412,7 +412,7 @@
 		c.flow.StartWaiting(g.now())
 		g.slow[c] = struct{}{}
 		c.movedAt = g.now()
-		if c.out.len() > 0 {
+		if c.out.Len() > 0 {
 			c.seen = c.taken()
 		}
 		return
@@ -440,7 +440,7 @@
 		}
 		if u.held && u.t != nil {
 			c := u.t.r.c
-			idle -= clientBytes + upstreamBytes + requestBytes + int64(cap(c.out.buf))
+			idle -= clientBytes + upstreamBytes + requestBytes + int64(c.out.Cap())
 			g.counts[limits.Memory]++
 			c.cutSlow(limits.SlowReader)
 		}
--- a/internal/proxy/httpfront/handover.go
+++ b/internal/proxy/httpfront/handover.go
@@ -312,7 +312,7 @@
 // pass gives a connection between requests to the successor; false: it stays.
 func (c *client) pass() bool {
 	e := c.e
-	if e.successor == nil || c.gone || c.eof || c.linger || c.cur != nil || len(c.left) > 0 || c.out.len() > 0 {
+	if e.successor == nil || c.gone || c.eof || c.linger || c.cur != nil || len(c.left) > 0 || c.out.Len() > 0 {
 		return false
 	}
 	fd := c.fd
--- a/internal/proxy/httpfront/page.go
+++ b/internal/proxy/httpfront/page.go
@@ -530,12 +530,12 @@
 			}
 		}
 	}
-	pg.p.Busy(pg.r.c.out.len() > 0, e.l.Now())
+	pg.p.Busy(pg.r.c.out.Len() > 0, e.l.Now())
 	pg.send()
 	if pg.gone {
 		return
 	}
-	pg.p.Busy(pg.r.c.out.len() > 0, e.l.Now())
+	pg.p.Busy(pg.r.c.out.Len() > 0, e.l.Now())
 	if n := pg.p.Held() + int64(len(pg.zipped)); n != pg.booked {
 		e.guard.mem.Add(limits.Answers, n-pg.booked)
 		pg.booked = n
@@ -573,7 +573,7 @@
 			return
 		}
 	}
-	for !c.gone && !pg.gone && c.out.len() == 0 {
+	for !c.gone && !pg.gone && c.out.Len() == 0 {
 		ready, meta := pg.p.Ready(), esi.Meta{}
 		if !pg.begun && ready && !pg.plain {
 			meta = pg.p.Meta()
@@ -717,7 +717,7 @@
 			c.add(b)
 		}
 	}
-	if c.out.len() > 0 {
+	if c.out.Len() > 0 {
 		c.flush()
 	}
 }
--- a/internal/proxy/httpfront/upstream.go
+++ b/internal/proxy/httpfront/upstream.go
@@ -205,7 +205,7 @@
 		return nil
 	}
 	for u := range p.all {
-		if n := len(u.line); n < depth && (u.state == upHead || u.state == upBody) && u.out.len() == 0 && !u.held &&
+		if n := len(u.line); n < depth && (u.state == upHead || u.state == upBody) && u.out.Len() == 0 && !u.held &&
 			(best == nil || n < len(best.line)) {
 			best = u
 		}
@@ -262,7 +262,7 @@
 	t       *try
 	line    []*try // GETs that follow it; nil for one whose answer nobody wants any more
 	left    []byte // read, and not yet taken
-	out     outq
+	out     eventloop.Queue
 	pending *try // whose bytes wait in out
 	head    http1.Head
 	body    http1.Body
@@ -373,8 +373,8 @@
 		return
 	}
 	u.pending = t
-	u.out.add(u.e, b[min(n, len(b)):])
-	u.out.add(u.e, r.content[max(n-len(b), 0):])
+	u.out.Add(&u.e.buffers, b[min(n, len(b)):])
+	u.out.Add(&u.e.buffers, r.content[max(n-len(b), 0):])
 	u.flush()
 }
 
@@ -392,8 +392,8 @@
 }
 
 func (u *upstream) flush() {
-	for u.out.len() > 0 {
-		n, err := u.e.l.Write(u.fd, u.out.bytes())
+	for u.out.Len() > 0 {
+		n, err := u.e.l.Write(u.fd, u.out.Bytes())
 		if eventloop.Later(err) {
 			u.e.l.Want(u.fd, eventloop.Read|eventloop.Write)
 			return
@@ -403,7 +403,7 @@
 			return
 		}
 		u.e.stats.OutBytes += uint64(n)
-		u.out.take(u.e, n)
+		u.out.Take(&u.e.buffers, n)
 		u.pending.written = true
 	}
 	u.pending = nil
@@ -443,7 +443,7 @@
 		u.writeAttempt()
 		return
 	}
-	if r.Writable() && u.out.len() > 0 {
+	if r.Writable() && u.out.Len() > 0 {
 		if u.flush(); u.fd < 0 {
 			return
 		}
@@ -475,7 +475,7 @@
 		return 0, false
 	}
 	if u.t != nil {
-		room = min(room, u.e.guard.room()-u.t.r.c.out.len())
+		room = min(room, u.e.guard.room()-u.t.r.c.out.Len())
 	}
 	room = max(room, leastRead)
 	n := u.read(false, room)
@@ -546,7 +546,7 @@
 		}
 	}
 	u.left = nil
-	u.out.drop(u.e)
+	u.out.Drop(&u.e.buffers)
 	line := u.line
 	u.line = nil
 	for _, t := range line {
@@ -827,7 +827,7 @@
 		if u.chunk {
 			u.e.hbuf = http1.AppendChunk(u.e.hbuf[:0], content)
 			c.add(u.e.hbuf)
-		} else if len(content) > 2048 && c.out.len() <= 4096 {
+		} else if len(content) > 2048 && c.out.Len() <= 4096 {
 			c.write(content)
 		} else {
 			c.add(content)
@@ -841,11 +841,11 @@
 	}
 	u.e.l.Arm(&u.timer, u.e.s.Limits.BodyIdle)
 	pg := r.pageOf()
-	if pg == nil && c.out.len() > 0 {
+	if pg == nil && c.out.Len() > 0 {
 		c.flush()
 	}
 	if u.t != nil && u.fd >= 0 && (pg != nil && pg.holds(r) || pg == nil &&
-		(c.out.len() >= u.e.guard.room() || c.out.len() > 0 && u.e.guard.mem.Full())) {
+		(c.out.Len() >= u.e.guard.room() || c.out.Len() > 0 && u.e.guard.mem.Full())) {
 		u.held, u.heldAt = true, u.e.l.Now()
 		u.flow.StopWaiting(u.e.guard.now(), &u.e.guard.member)
 		u.e.l.Disarm(&u.timer) // the client holds things up, not the member
