--- a/outlier.go
+++ b/outlier.go
@@ -207,6 +207,26 @@
 	return !member.checking && r.now >= member.nextCheck
 }
 
+// mayCheckHealth reports whether a request may be an ejected member's health check: one that
+// made no attempt, or, for a parent while the location's link has shown no shortage, one whose
+// looks at caches have missed, which no member has failed. Most fills follow such a look, and each
+// that goes past an ejected parent is one more for the origin. Where the link is short, they wait:
+// fills from fewer sources bring more over it.
+func (r *Router) mayCheckHealth(member *member, request *request) bool {
+	if !r.healthCheckDue(member) {
+		return false
+	}
+	if request.countedAttempts() == 0 {
+		return true
+	}
+	return member.role == parent && request.nextAttemptIsFree() && (r.link.limit >= initialLimit || r.originEjected())
+}
+
+// originEjected reports whether an origin is ejected.
+func (r *Router) originEjected() bool {
+	return slices.ContainsFunc(r.byRole[origin], func(member *member) bool { return member.ejected })
+}
+
 // ejectSilent ejects members with overdue attempts and no sign of progress, whatever the
 // cause. Progress clears a member, so slow answers alone do not eject it. A member that is
 // asked nothing is not silent.
--- a/placement.go
+++ b/placement.go
@@ -145,7 +145,7 @@
 	switch {
 	case member.unavailable:
 		return Out
-	case member.ejected && (!r.healthCheckDue(member) || request.countedAttempts() > 0):
+	case member.ejected && !r.mayCheckHealth(member, request):
 		return Suspect
 	case member.role == edge && member.atLimit():
 		return GateFull
