--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -7,11 +7,11 @@
 	"fmt"
 	"os"
 
-	"indigospool/internal/wire"
+	"indigospool/internal/protocol/simwire"
 )
 
 func main() {
-	if err := wire.Serve(os.Stdin, os.Stdout); err != nil {
+	if err := simwire.Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
 		os.Exit(1)
 	}
--- a/cmd/spool-bench/main.go
+++ b/cmd/spool-bench/main.go
@@ -13,8 +13,8 @@
 
 	"github.com/spf13/cobra"
 
-	"indigospool/internal/bench"
 	"indigospool/internal/cli"
+	"indigospool/internal/testbed/bench"
 )
 
 func main() {
--- a/cmd/spool-box/main.go
+++ b/cmd/spool-cache/main.go
@@ -9,23 +9,23 @@
 	"github.com/spf13/cobra"
 	"go.uber.org/zap"
 
-	"indigospool/internal/cache"
+	"indigospool/internal/cachenode/server"
 	"indigospool/internal/cli"
 	"indigospool/internal/config"
 )
 
 func main() {
-	root := &cobra.Command{Use: "spool-box", Short: "A cache with a store on disk, as a box or a parent",
+	root := &cobra.Command{Use: "spool-cache", Short: "A cache with a store on disk, as a box or a parent",
 		Long: "A cache with a store on disk, as a box or a parent.\n\nRouters ask it by Spool-Fill (docs/protocol.md). POST /-/purge {\"object\": PATH}, or group, tag or\nprefix, voids copies: it lasts once it is answered. GET /-/state tells counters."}
 	var file string
-	read := func() (*cache.Form, error) {
-		var s cache.Settings
+	read := func() (*server.Form, error) {
+		var s server.Settings
 		if err := config.ReadFile(file, &s); err != nil {
 			return nil, &cli.FoundError{Err: err}
 		}
 		return &s.Cache, nil
 	}
-	serve := &cobra.Command{Use: "serve -c FILE", Short: "Serve until SIGTERM", Args: cobra.NoArgs, Example: "  spool-box serve -c examples/box.edn",
+	serve := &cobra.Command{Use: "serve -c FILE", Short: "Serve until SIGTERM", Args: cobra.NoArgs, Example: "  spool-cache serve -c examples/box.edn",
 		RunE: func(c *cobra.Command, _ []string) error {
 			f, err := read()
 			if err != nil {
@@ -36,7 +36,7 @@
 				return err
 			}
 			defer log.Sync()
-			s, err := cache.Start(*f, func(w string) { log.Warn(w) })
+			s, err := server.Start(*f, func(w string) { log.Warn(w) })
 			if err != nil {
 				return err
 			}
@@ -45,7 +45,7 @@
 			context.AfterFunc(c.Context(), s.Stop)
 			return s.Run()
 		}}
-	check := &cobra.Command{Use: "check -c FILE", Short: "Check settings", Args: cobra.NoArgs, Example: "  spool-box check -c examples/box.edn",
+	check := &cobra.Command{Use: "check -c FILE", Short: "Check settings", Args: cobra.NoArgs, Example: "  spool-cache check -c examples/box.edn",
 		RunE: func(*cobra.Command, []string) error {
 			f, err := read()
 			if err == nil {
--- a/cmd/spool-control/main.go
+++ b/cmd/spool-control/main.go
@@ -20,8 +20,8 @@
 
 	"indigospool/internal/cli"
 	"indigospool/internal/config"
-	"indigospool/internal/control"
-	"indigospool/internal/lastgood"
+	"indigospool/internal/controlplane/configstore"
+	"indigospool/internal/controlplane/service"
 )
 
 func main() {
@@ -95,7 +95,7 @@
 }
 
 func serve(ctx context.Context, file string) error {
-	s := &control.ServiceSettings{}
+	s := &service.ServiceSettings{}
 	if err := config.ReadFile(file, s); err != nil {
 		var faults config.Faults
 		if errors.As(err, &faults) {
@@ -126,11 +126,11 @@
 
 // start starts the service. Where its store can't be read or written for now, it
 // tries again until the context ends: without its state it must offer nothing.
-func start(ctx context.Context, s *control.ServiceSettings, log *zap.Logger) (*control.Service, error) {
+func start(ctx context.Context, s *service.ServiceSettings, log *zap.Logger) (*service.Service, error) {
 	began := time.Now()
 	for wait := firstRetry; ; wait = min(2*wait, lastRetry) {
-		svc, err := control.StartService(s, log, nil)
-		var fault *lastgood.FaultError
+		svc, err := service.StartService(s, log, nil)
+		var fault *configstore.FaultError
 		if !errors.As(err, &fault) {
 			return svc, err
 		}
@@ -163,13 +163,13 @@
 		text, err = os.ReadFile(path)
 		return path, text, err
 	}
-	sources, err := control.ReadFolder(path)
+	sources, err := service.ReadFolder(path)
 	if err != nil {
 		return "", nil, err
 	}
 	// checked here too, since only here faults have the files' own places
-	if _, reasons := control.Judge(sources, nil, control.NoLimits); len(reasons) > 0 {
-		return "", nil, &cli.FoundError{Err: &control.Refused{Reasons: reasons}}
+	if _, reasons := service.Judge(sources, nil, service.NoLimits); len(reasons) > 0 {
+		return "", nil, &cli.FoundError{Err: &service.Refused{Reasons: reasons}}
 	}
 	for _, s := range sources {
 		text = append(append(text, s.Text...), '\n')
@@ -182,8 +182,8 @@
 
 // call is control.Call, with what is refused as something found.
 func (c client) call(ctx context.Context, method, path string, body []byte) ([]byte, error) {
-	b, err := control.Call(ctx, c.admin, method, path, body)
-	var lines *control.RefusedLines
+	b, err := service.Call(ctx, c.admin, method, path, body)
+	var lines *service.RefusedLines
 	if errors.As(err, &lines) {
 		return nil, &cli.FoundError{Err: err}
 	}
@@ -195,7 +195,7 @@
 	if err != nil {
 		return err
 	}
-	var r control.PushResult
+	var r service.PushResult
 	if err := json.Unmarshal(b, &r); err != nil {
 		return err
 	}
@@ -208,7 +208,7 @@
 		return nil
 	}
 	for end := time.Now().Add(wait); time.Now().Before(end); {
-		v, err := control.StatusOf(ctx, c.admin)
+		v, err := service.StatusOf(ctx, c.admin)
 		switch {
 		case err != nil:
 			return err
@@ -228,7 +228,7 @@
 }
 
 // behind counts routers with a stream that don't run everybody's version.
-func behind(v control.StatusView) (n int) {
+func behind(v service.StatusView) (n int) {
 	for _, r := range v.Routers {
 		if r.Joined && r.Running < v.Base {
 			n++
@@ -238,7 +238,7 @@
 }
 
 func (c client) status(ctx context.Context, asJSON bool) error {
-	v, err := control.StatusOf(ctx, c.admin)
+	v, err := service.StatusOf(ctx, c.admin)
 	if err != nil {
 		return err
 	}
@@ -257,7 +257,7 @@
 	return nil
 }
 
-func tell(w io.Writer, v control.StatusView) {
+func tell(w io.Writer, v service.StatusView) {
 	fmt.Fprintf(w, "service %s: version %d is everybody's", v.Service, v.Base)
 	if v.Next > 0 {
 		fmt.Fprintf(w, ", version %d is in stage %d", v.Next, v.Stage+1)
@@ -293,7 +293,7 @@
 	if err != nil {
 		return err
 	}
-	var list []control.VersionView
+	var list []service.VersionView
 	if err := json.Unmarshal(b, &list); err != nil {
 		return err
 	}
--- a/cmd/spool-explain/main.go
+++ b/cmd/spool-explain/main.go
@@ -8,9 +8,9 @@
 	"github.com/spf13/cobra"
 
 	"indigospool/internal/cli"
-	"indigospool/internal/explain"
-	"indigospool/internal/journal"
-	"indigospool/internal/replay"
+	"indigospool/internal/decisionlog/explain"
+	"indigospool/internal/decisionlog/journal"
+	"indigospool/internal/decisionlog/replay"
 )
 
 func main() {
--- a/cmd/spool-fleet/main.go
+++ b/cmd/spool-fleet/main.go
@@ -11,18 +11,18 @@
 
 	"indigospool/internal/cli"
 	"indigospool/internal/config"
-	"indigospool/internal/control"
-	"indigospool/internal/listcheck"
-	"indigospool/internal/load"
+	"indigospool/internal/controlplane/endpointcheck"
+	"indigospool/internal/controlplane/service"
+	"indigospool/internal/testbed/loadgen"
 )
 
 func main() {
 	root := &cobra.Command{Use: "spool-fleet", Short: "Judges lists of members before routers get them"}
-	var o listcheck.Options
+	var o endpointcheck.Options
 	var against string
 	var asJSON, rehearse bool
 	var loadFile string
-	var ro listcheck.RehearseOptions
+	var ro endpointcheck.RehearseOptions
 	check := &cobra.Command{Use: "check LIST", Short: "What a list would do; exit 1 where routers would refuse it", Args: cobra.ExactArgs(1),
 		Long: "Judges a list (a file of settings, or a folder of them) by the checks that routers make and,\n" +
 			"against an old one, tells which objects, parts and fills would go elsewhere, as the module of\n" +
@@ -45,14 +45,14 @@
 				}
 				ro.Seed, ro.KB = o.Seed, o.KB
 				if loadFile != "" {
-					ro.Load = &load.Script{}
+					ro.Load = &loadgen.Script{}
 					if err := config.ReadFile(loadFile, ro.Load); err != nil {
 						return &cli.FoundError{Err: err}
 					}
 				}
 				o.Rehearse = &ro
 			}
-			r, err := listcheck.Check(list, old, o)
+			r, err := endpointcheck.Check(list, old, o)
 			if err != nil {
 				return err
 			}
@@ -89,7 +89,7 @@
 
 func read(path string) ([]config.Source, error) {
 	if st, err := os.Stat(path); err == nil && st.IsDir() {
-		return control.ReadFolder(path)
+		return service.ReadFolder(path)
 	}
 	b, err := os.ReadFile(path)
 	return []config.Source{{File: path, Text: string(b)}}, err
--- a/cmd/spool-load/main.go
+++ b/cmd/spool-load/main.go
@@ -9,7 +9,7 @@
 
 	"indigospool/internal/cli"
 	"indigospool/internal/config"
-	"indigospool/internal/load"
+	"indigospool/internal/testbed/loadgen"
 )
 
 func main() {
@@ -25,7 +25,7 @@
 				return err
 			}
 			text := string(b)
-			s := &load.Script{}
+			s := &loadgen.Script{}
 			err = config.Read(args[0], text, s)
 			var faults config.Faults
 			if errors.As(err, &faults) {
@@ -44,7 +44,7 @@
 			if rate > 0 {
 				s.Arrivals.Rate = rate
 			}
-			r, err := load.Run(c.Context(), s)
+			r, err := loadgen.Run(c.Context(), s)
 			if err != nil {
 				return err
 			}
--- a/cmd/spool-replay/main.go
+++ b/cmd/spool-replay/main.go
@@ -16,10 +16,10 @@
 
 	"indigospool/internal/cli"
 	"indigospool/internal/config"
-	"indigospool/internal/journal"
-	"indigospool/internal/load"
-	"indigospool/internal/replay"
-	"indigospool/internal/whatif"
+	"indigospool/internal/decisionlog/journal"
+	"indigospool/internal/decisionlog/replay"
+	"indigospool/internal/decisionlog/whatif"
+	"indigospool/internal/testbed/loadgen"
 )
 
 // flags are the command line.
@@ -150,12 +150,12 @@
 			return &cli.FoundError{Err: err}
 		}
 	}
-	src, err := load.OpenRecord(path, load.RecordOptions{Routes: routes, Speed: speed, Writes: f.writes})
+	src, err := loadgen.OpenRecord(path, loadgen.RecordOptions{Routes: routes, Speed: speed, Writes: f.writes})
 	if err != nil {
 		return err
 	}
 	defer src.Close()
-	r, err := load.RunRecord(c.Context(), src, load.Form{Name: path, Targets: f.live, Conns: f.conns, Most: f.most})
+	r, err := loadgen.RunRecord(c.Context(), src, loadgen.Form{Name: path, Targets: f.live, Conns: f.conns, Most: f.most})
 	if err != nil {
 		return err
 	}
--- a/cmd/spool-router/main.go
+++ b/cmd/spool-router/main.go
@@ -13,8 +13,8 @@
 
 	"indigospool/internal/cli"
 	"indigospool/internal/config"
-	"indigospool/internal/demo"
-	"indigospool/internal/edge"
+	"indigospool/internal/proxy/httpfront"
+	"indigospool/internal/testbed/demo"
 )
 
 func main() {
@@ -70,12 +70,12 @@
 		return err
 	}
 	cli.Steady(s.Limits.MemoryMB)
-	log, err := edge.NewAccessLog(s)
+	log, err := httpfront.NewAccessLog(s)
 	if err != nil {
 		return err
 	}
 	defer log.Close()
-	e, end, err := edge.Open(ctx, s, log)
+	e, end, err := httpfront.Open(ctx, s, log)
 	if err != nil {
 		return err
 	}
--- a/cmd/spool-router/node.go
+++ b/cmd/spool-router/node.go
@@ -14,8 +14,8 @@
 	"go.uber.org/zap/zapcore"
 
 	"indigospool/internal/cli"
-	"indigospool/internal/logq"
-	"indigospool/internal/node"
+	"indigospool/internal/proxy/asynclog"
+	"indigospool/internal/proxy/platform"
 )
 
 const (
@@ -43,7 +43,7 @@
 	if file == "" {
 		return errors.New("NODE_CONFIG names no configuration file")
 	}
-	cfg, err := node.ReadConfig(file)
+	cfg, err := platform.ReadConfig(file)
 	if err != nil {
 		return err
 	}
@@ -52,7 +52,7 @@
 	if verbose {
 		level = zapcore.DebugLevel
 	}
-	out := logq.New(os.Stderr, logLines)
+	out := asynclog.New(os.Stderr, logLines)
 	defer func() { // what is left is written, unless nobody reads it
 		out.End()
 		select {
@@ -62,7 +62,7 @@
 	}()
 	log := zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig()), out, level))
 	log = log.With(zap.String("node", os.Getenv("NODE_NAME")))
-	n, err := node.Open(file, os.Getenv("NODE_LISTEN"), log)
+	n, err := platform.Open(file, os.Getenv("NODE_LISTEN"), log)
 	if err != nil {
 		return err
 	}
--- a/cmd/spool-stand/main.go
+++ b/cmd/spool-testserver/main.go
@@ -1,5 +1,5 @@
 // Spool-stand runs one stand-in as a process: a cache box, a parent, an origin
-// or a list service, for trying a router by hand and for days (spool-day).
+// or a list service, for trying a router by hand and for days (spool-scenario).
 package main
 
 import (
@@ -9,32 +9,32 @@
 	"github.com/spf13/cobra"
 
 	"indigospool/internal/cli"
-	"indigospool/internal/standin"
-	"indigospool/internal/tap"
+	"indigospool/internal/testbed/testserver"
+	"indigospool/internal/testbed/trafficlog"
 )
 
 func main() {
-	root := &cobra.Command{Use: "spool-stand", Short: "Stand-ins for caches, parents, origins and list services",
+	root := &cobra.Command{Use: "spool-testserver", Short: "Stand-ins for caches, parents, origins and list services",
 		Long: "Stand-ins for caches, parents, origins and list services.\n\n" +
 			"What each sees on its sockets is written as a tap, a line of JSON a record (--tap).\n" +
 			"Faults: POST {\"kind\": \"hang\", \"for\": 5000} to /-/fault of a box, parent or origin."}
 	var file, id, tapFile string
 	for _, role := range []string{"box", "parent", "origin", "list"} {
 		c := &cobra.Command{Use: role + " -c FILE --id ID", Short: "Run a stand-in " + role, Args: cobra.NoArgs,
-			Example: "  spool-stand " + role + " -c fleet.edn --id " + role + "-1",
+			Example: "  spool-testserver " + role + " -c fleet.edn --id " + role + "-1",
 			RunE: func(c *cobra.Command, _ []string) error {
-				f, err := standin.ReadFleet(file)
+				f, err := testserver.ReadFleet(file)
 				if err != nil {
 					return &cli.FoundError{Err: err}
 				}
-				w := tap.NewWriter(os.Stdout)
+				w := trafficlog.NewWriter(os.Stdout)
 				if tapFile != "-" {
 					out, err := os.OpenFile(tapFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 					if err != nil {
 						return fmt.Errorf("tap: %w", err)
 					}
 					defer out.Close()
-					w = tap.NewWriter(out)
+					w = trafficlog.NewWriter(out)
 				}
 				return f.Run(c.Context(), role, id, w, os.Stderr)
 			}}
--- a/internal/box/box.go
+++ b/internal/cachenode/httpcache/box.go
@@ -4,9 +4,9 @@
 // milliseconds on any clock that only goes forward; chance has no part in it.
 //
 // It holds what is known of copies, never their bytes: a stand-in makes those
-// from the key and the version (internal/standin). It is not safe for
+// from the key and the version (internal/testbed/testserver). It is not safe for
 // concurrent use.
-package box
+package httpcache
 
 import (
 	"container/list"
--- a/internal/box/box_test.go
+++ b/internal/cachenode/httpcache/box_test.go
@@ -1,4 +1,4 @@
-package box
+package httpcache
 
 import (
 	"fmt"
--- a/internal/cache/cache.go
+++ b/internal/cachenode/server/cache.go
@@ -1,12 +1,12 @@
 // Package cache is a box or a parent as a program: what Spool-Fill asks for
-// (docs/protocol.md), answered from a store on disk (internal/store) or filled from the
+// (docs/protocol.md), answered from a store on disk (internal/cachenode/store) or filled from the
 // source that is named, on the event loop and the parser of the router's.
 //
 // It decides nothing of a router's: where an object is looked for, filled from and how
 // long it may be used is asked of it with each attempt. What may be kept at all is
-// internal/box's to say. All of it runs on one loop, but for the disk's work, which
+// internal/cachenode/httpcache's to say. All of it runs on one loop, but for the disk's work, which
 // store.Threads does; nothing here waits for either.
-package cache
+package server
 
 import (
 	"encoding/json"
@@ -19,12 +19,12 @@
 
 	"golang.org/x/sys/unix"
 
-	"indigospool/internal/box"
+	"indigospool/internal/cachenode/httpcache"
+	"indigospool/internal/cachenode/store"
 	"indigospool/internal/config"
-	"indigospool/internal/fillwire"
-	"indigospool/internal/http1"
-	"indigospool/internal/loop"
-	"indigospool/internal/store"
+	"indigospool/internal/eventloop"
+	"indigospool/internal/protocol/fetchheader"
+	"indigospool/internal/protocol/http1"
 	"indigospool/internal/wallclock"
 )
 
@@ -59,8 +59,8 @@
 // Server is a running cache.
 type Server struct {
 	f        Form
-	l        *loop.Loop
-	listener loop.Listener
+	l        *eventloop.Loop
+	listener eventloop.Listener
 	lfd      int
 	addr     string
 	st       *store.Store
@@ -85,7 +85,7 @@
 // Seen is what passed on the cache's sockets, for who watches (Server.Watch).
 type Seen struct {
 	What    string // recv: an attempt's whole head; sent: it is answered; done: all of the answer is out; left: its asker has closed
-	Attempt *fillwire.Attempt
+	Attempt *fetchheader.Attempt
 	Method  string
 	Target  string
 	Key     string // key of a copy: target and range
@@ -123,11 +123,11 @@
 	}
 	s := &Server{f: f, st: st, Found: found, warn: warn, conns: map[*conn]struct{}{}, flights: map[string]*flight{}, spare: map[string][]*source{},
 		buf: make([]byte, 256<<10), stopped: make(chan struct{}), began: time.Now(), wall: wallClock()}
-	if s.l, err = loop.New(8192); err != nil {
+	if s.l, err = eventloop.New(8192); err != nil {
 		st.Close()
 		return nil, err
 	}
-	if s.lfd, s.addr, err = loop.Listen(f.Listen); err != nil {
+	if s.lfd, s.addr, err = eventloop.Listen(f.Listen); err != nil {
 		st.Close()
 		return nil, fmt.Errorf("cache: %w", err)
 	}
@@ -137,7 +137,7 @@
 
 // Intercept has the system calls on its sockets made by calls, for fault injection; nil has
 // them made by the kernel. It is called before Run.
-func (s *Server) Intercept(calls loop.Syscalls) { s.l.Intercept(calls) }
+func (s *Server) Intercept(calls eventloop.Syscalls) { s.l.Intercept(calls) }
 
 // Addr is where it listens.
 func (s *Server) Addr() string { return s.addr }
@@ -147,7 +147,7 @@
 
 // Run serves until Stop, and then makes what is kept last.
 func (s *Server) Run() error {
-	s.listener = loop.Listener{PerTurn: 64, Take: s.accepted}
+	s.listener = eventloop.Listener{PerTurn: 64, Take: s.accepted}
 	if err := s.listener.Start(s.l, s.lfd); err != nil {
 		return err
 	}
@@ -182,7 +182,7 @@
 
 // post has f run on the loop, from a thread.
 func (s *Server) post(f func()) {
-	for s.l.Post(f) == loop.ErrFull {
+	for s.l.Post(f) == eventloop.ErrFull {
 		select {
 		case <-s.stopped:
 			return
@@ -206,7 +206,7 @@
 	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	c := &conn{s: s, fd: fd}
 	c.idle.F = c.close
-	if s.l.Add(fd, loop.Read, c) != nil {
+	if s.l.Add(fd, eventloop.Read, c) != nil {
 		unix.Close(fd)
 		return
 	}
@@ -226,10 +226,10 @@
 	last  bool
 	gone  bool
 	taken bool // the head of the request in hand is parsed, its body comes
-	idle  loop.Timer
+	idle  eventloop.Timer
 }
 
-func (c *conn) OnReady(r loop.Ready) {
+func (c *conn) OnReady(r eventloop.Ready) {
 	if r.Writable() && len(c.out) > 0 {
 		c.flush()
 	}
@@ -238,8 +238,8 @@
 	}
 	n, err := c.s.l.Read(c.fd, c.s.buf)
 	switch {
-	case loop.Later(err):
-		if r.Hangup() && loop.NotReady(err) {
+	case eventloop.Later(err):
+		if r.Hangup() && eventloop.NotReady(err) {
 			c.close()
 		}
 		return
@@ -340,11 +340,11 @@
 	}
 }
 
-func (c *conn) want() loop.Interest {
+func (c *conn) want() eventloop.Interest {
 	if len(c.out) > 0 {
-		return loop.Read | loop.Write
+		return eventloop.Read | eventloop.Write
 	}
-	return loop.Read
+	return eventloop.Read
 }
 
 // write writes what can be at once, and keeps the rest.
@@ -354,7 +354,7 @@
 		if err == nil {
 			c.s.stats.Out += int64(n)
 			b = b[n:]
-		} else if !loop.Later(err) {
+		} else if !eventloop.Later(err) {
 			c.close()
 			return
 		}
@@ -366,8 +366,8 @@
 func (c *conn) flush() {
 	for len(c.out) > 0 && !c.gone {
 		n, err := c.s.l.Write(c.fd, c.out)
-		if loop.Later(err) {
-			c.s.l.Want(c.fd, loop.Read|loop.Write)
+		if eventloop.Later(err) {
+			c.s.l.Want(c.fd, eventloop.Read|eventloop.Write)
 			return
 		}
 		if err != nil {
@@ -381,7 +381,7 @@
 		return
 	}
 	c.out = nil
-	c.s.l.Want(c.fd, loop.Read)
+	c.s.l.Want(c.fd, eventloop.Read)
 	switch {
 	case c.v != nil:
 		c.v.more()
@@ -409,7 +409,7 @@
 type visit struct {
 	s       *Server
 	c       *conn
-	a       fillwire.Attempt
+	a       fetchheader.Attempt
 	plain   bool // no Spool-Fill: a user's own request
 	method  string
 	target  string
@@ -453,18 +453,18 @@
 	c.last = c.last || h.Close
 	if len(fills) == 0 {
 		v.plain = true
-		v.a = fillwire.Attempt{Object: v.target, Group: -1, Keep: 1, Join: true, Fetch: true}
+		v.a = fetchheader.Attempt{Object: v.target, Group: -1, Keep: 1, Join: true, Fetch: true}
 		return v
 	}
 	var err error
-	if v.a, err = fillwire.ParseAttempt(fills); err != nil {
+	if v.a, err = fetchheader.ParseAttempt(fills); err != nil {
 		v.method = "" // answered 400 once its body is here
 		v.target = err.Error()
 	}
 	return v
 }
 
-var fillField = strings.ToLower(fillwire.FillField)
+var fillField = strings.ToLower(fetchheader.FillField)
 
 func (v *visit) handle() {
 	s := v.s
@@ -500,8 +500,8 @@
 }
 
 // answerOf is a copy as RFC 9111 looks at it.
-func (s *Server) answerOf(c *store.Copy) *box.Answer {
-	a := &box.Answer{Status: 200, Head: http.Header{}, Came: float64(c.Born), Asked: float64(c.Born), Wall: time.UnixMilli(c.Born)}
+func (s *Server) answerOf(c *store.Copy) *httpcache.Answer {
+	a := &httpcache.Answer{Status: 200, Head: http.Header{}, Came: float64(c.Born), Asked: float64(c.Born), Wall: time.UnixMilli(c.Born)}
 	for name, value := range c.Fields {
 		a.Head.Set(name, value)
 	}
@@ -509,11 +509,11 @@
 }
 
 // lifetime is for how long an answer's own head says that it is fresh, ms; 0: it does not.
-func lifetime(a *box.Answer) int64 {
+func lifetime(a *httpcache.Answer) int64 {
 	if a.Head.Get("Expires") == "" && !strings.Contains(strings.ToLower(strings.Join(a.Head.Values("Cache-Control"), ",")), "max") {
 		return 0
 	}
-	return max(int64(box.Lifetime(a)), 1)
+	return max(int64(httpcache.Lifetime(a)), 1)
 }
 
 // ageUnknown reports whether the age of a copy can't be told. Within this process ages are
@@ -527,22 +527,22 @@
 
 // use is what a copy may be used for: by the age that a router states, or else by what
 // its head and the request say.
-func (v *visit) use(c *store.Copy) box.Use {
+func (v *visit) use(c *store.Copy) httpcache.Use {
 	age := float64(v.s.now() - c.Born)
 	switch {
 	case c.Doubt || v.s.ageUnknown(c):
-		return box.Revalidate
+		return httpcache.Revalidate
 	case v.plain:
 		if c.Fresh <= 0 && v.fields.Get("Cache-Control") == "" && v.fields.Get("Pragma") == "" {
-			return box.Serve // nothing is said: until it is purged
+			return httpcache.Serve // nothing is said: until it is purged
 		}
-		return box.Decide(float64(v.s.now()), v.s.answerOf(c), box.Asking{Method: v.method, Head: v.fields}, 0)
+		return httpcache.Decide(float64(v.s.now()), v.s.answerOf(c), httpcache.Asking{Method: v.method, Head: v.fields}, 0)
 	case v.a.Age > 0 && age > v.a.Age, v.a.Age <= 0 && c.Fresh > 0 && age > float64(c.Fresh):
-		return box.Revalidate
+		return httpcache.Revalidate
 	case v.a.Renew && v.a.Source != "" && c.Fresh > 0 && age > 0.8*float64(c.Fresh):
-		return box.ServeRenew
+		return httpcache.ServeRenew
 	}
-	return box.Serve
+	return httpcache.Serve
 }
 
 // renewBehind asks a source about a copy that is served meanwhile, once for all who do.
@@ -568,7 +568,7 @@
 }
 
 // serve answers with a copy.
-func (v *visit) serve(c *store.Copy, h fillwire.Handled) {
+func (v *visit) serve(c *store.Copy, h fetchheader.Handled) {
 	s := v.s
 	v.copy, v.size = c, c.Size
 	h.Cache = s.f.Name
@@ -587,7 +587,7 @@
 	if strings.Contains(v.key, "\x00") {
 		return ""
 	}
-	return box.Variant("Accept-Encoding", v.fields)
+	return httpcache.Variant("Accept-Encoding", v.fields)
 }
 
 func varies(vary string) bool {
@@ -611,15 +611,15 @@
 	}
 	if c != nil {
 		use := v.use(c)
-		if use == box.Unsatisfied {
+		if use == httpcache.Unsatisfied {
 			go c.Close()
-			v.refuse(504, fillwire.Handled{Fwd: "miss"})
+			v.refuse(504, fetchheader.Handled{Fwd: "miss"})
 			return
 		}
-		if use == box.ServeRenew {
+		if use == httpcache.ServeRenew {
 			s.renewBehind(v)
 		}
-		if use == box.Fetch || use == box.Revalidate {
+		if use == httpcache.Fetch || use == httpcache.Revalidate {
 			if v.old != nil {
 				go v.old.Close()
 			}
@@ -633,13 +633,13 @@
 	s.hits += (hit - s.hits) * 0.02
 	if c != nil {
 		s.stats.Hits++
-		v.serve(c, fillwire.Handled{Hit: true})
+		v.serve(c, fetchheader.Handled{Hit: true})
 		return
 	}
 	fl := s.flights[v.key]
 	if v.a.Source == "" && !v.a.Fetch {
 		s.stats.Looked++
-		v.refuse(504, fillwire.Handled{Fwd: "miss", Joined: fl != nil})
+		v.refuse(504, fetchheader.Handled{Fwd: "miss", Joined: fl != nil})
 		return
 	}
 	if fl != nil && v.a.Join && fl.joinable() {
@@ -660,7 +660,7 @@
 }
 
 // refuse is an answer without a copy.
-func (v *visit) refuse(status int, h fillwire.Handled) {
+func (v *visit) refuse(status int, h fetchheader.Handled) {
 	if v.over {
 		return
 	}
@@ -668,8 +668,8 @@
 	v.seen("sent", status, 0, 0, false)
 	h.Cache = v.s.f.Name
 	b := http1.AppendStatus(nil, status)
-	b = http1.AppendFieldString(b, fillwire.StatusField, h.String())
-	b = http1.AppendFieldString(b, fillwire.LoadField, v.s.load())
+	b = http1.AppendFieldString(b, fetchheader.StatusField, h.String())
+	b = http1.AppendFieldString(b, fetchheader.LoadField, v.s.load())
 	b = http1.AppendFieldInt(b, "Content-Length", 0)
 	v.c.out = append(append(v.c.out, b...), "\r\n"...)
 	v.c.done()
@@ -677,7 +677,7 @@
 
 // load is what routers hear with each answer: requests in hand, and the share of hits.
 func (s *Server) load() string {
-	return fillwire.FormatLoad([]float64{float64(len(s.conns)), s.hits})
+	return fetchheader.FormatLoad([]float64{float64(len(s.conns)), s.hits})
 }
 
 // begin writes an answer's head.
@@ -689,10 +689,10 @@
 	}
 	v.seen("sent", code, m.Version, size, v.fl == nil)
 	b := http1.AppendStatus(nil, code)
-	b = http1.AppendFieldString(b, fillwire.StatusField, status)
-	b = http1.AppendFieldString(b, fillwire.LoadField, v.s.load())
+	b = http1.AppendFieldString(b, fetchheader.StatusField, status)
+	b = http1.AppendFieldString(b, fetchheader.LoadField, v.s.load())
 	age := max(v.s.now()-m.Born, 0)
-	b = http1.AppendFieldString(b, fillwire.CopyField, fillwire.Version{V: m.Version, Age: float64(age)}.String())
+	b = http1.AppendFieldString(b, fetchheader.CopyField, fetchheader.Version{V: m.Version, Age: float64(age)}.String())
 	b = http1.AppendFieldInt(b, "Age", age/1000)
 	for name, value := range m.Fields {
 		b = http1.AppendFieldString(b, name, value)
@@ -905,13 +905,13 @@
 	if v.a.Keep < 1 {
 		return false
 	}
-	a := &box.Answer{Status: h.Status, Head: http.Header{}}
+	a := &httpcache.Answer{Status: h.Status, Head: http.Header{}}
 	if a.Status == 206 {
 		a.Status = 200 // a part that is an object of its own, by its range
 	}
 	for i := range h.Fields {
 		a.Head.Add(string(h.Fields[i].Name), string(h.Fields[i].Value))
 	}
-	_, ok := box.Storable(box.Asking{Method: "GET", Head: v.fields}, a)
+	_, ok := httpcache.Storable(httpcache.Asking{Method: "GET", Head: v.fields}, a)
 	return ok
 }
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -92,7 +92,7 @@
 
 // kinds are the kinds of files, by the word of their first form, and who reads them.
 var kinds = map[string]string{"router": "settings of a router: spool-router and the tools read them", "load": "a load: spool-load reads it",
-	"day": "a day: spool-day run plays it", "stand": "a fleet of stand-ins: spool-stand reads it", "service": "settings of a control service: spool-control reads them"}
+	"day": "a day: spool-scenario run plays it", "stand": "a fleet of stand-ins: spool-testserver reads it", "service": "settings of a control service: spool-control reads them"}
 
 // otherKind tells a file of another kind than the one that is read, in one line
 // instead of one for each of its keys.
--- a/internal/lastgood/files.go
+++ b/internal/controlplane/configstore/files.go
@@ -1,4 +1,4 @@
-package lastgood
+package configstore
 
 import (
 	"errors"
--- a/internal/listcheck/listcheck_test.go
+++ b/internal/controlplane/endpointcheck/listcheck_test.go
@@ -1,4 +1,4 @@
-package listcheck
+package endpointcheck
 
 import (
 	"math"
--- a/internal/fleet/fleet.go
+++ b/internal/controlplane/rollout/fleet.go
@@ -13,7 +13,7 @@
 // What it promises, for any sequence of offers, cuts, restarts and damage: a
 // router runs only versions that passed every check, and never one with a lower
 // number than the last it accepted. A rollback is a new number with old content.
-package fleet
+package rollout
 
 import (
 	"crypto/sha256"
--- a/internal/control/folder.go
+++ b/internal/controlplane/service/folder.go
@@ -1,4 +1,4 @@
-package control
+package service
 
 import (
 	"errors"
--- a/internal/control/load.go
+++ b/internal/controlplane/service/load.go
@@ -1,4 +1,4 @@
-package control
+package service
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/types/known/durationpb"
 
-	"indigospool/internal/fleet"
+	"indigospool/internal/controlplane/rollout"
 )
 
 // Reports of service go by Envoy's load reporting service: one cluster, named
@@ -45,7 +45,7 @@
 				continue
 			}
 			for _, u := range c.GetUpstreamLocalityStats() {
-				s.tell(fleet.Report{Router: router, Served: float64(u.GetTotalSuccessfulRequests()), Asked: float64(u.GetTotalIssuedRequests())})
+				s.tell(rollout.Report{Router: router, Served: float64(u.GetTotalSuccessfulRequests()), Asked: float64(u.GetTotalIssuedRequests())})
 			}
 		}
 		if r, err = g.Recv(); err != nil {
--- a/internal/control/server.go
+++ b/internal/controlplane/service/server.go
@@ -1,4 +1,4 @@
-package control
+package service
 
 import (
 	"context"
@@ -17,29 +17,29 @@
 	"google.golang.org/grpc/status"
 
 	"indigospool/internal/config"
-	"indigospool/internal/fleet"
+	"indigospool/internal/controlplane/rollout"
 	"indigospool/internal/wallclock"
 )
 
 // Keeper keeps what a service must not forget. Save returns once it would
 // survive a crash.
 type Keeper interface {
-	Save(fleet.RolloutState) error
+	Save(rollout.RolloutState) error
 }
 
 // ServerConfig is what a service is. Zero fields mean the defaults.
 type ServerConfig struct {
 	Name      string // and epoch: unlike any other service's
-	Rollout   fleet.RolloutSettings
-	State     fleet.RolloutState
+	Rollout   rollout.RolloutSettings
+	State     rollout.RolloutState
 	Keep      Keeper
 	PerSecond float64       // streams accepted a second; others wait; default 200
 	Streams   int           // at once; more are turned away; default 4000
 	Tick      time.Duration // default 250 ms
 	Reports   time.Duration // how often routers are to report service; default 10 s
-	Limits    fleet.CheckLimits
-	Sent      func(router string, v fleet.Version) // a version is about to be written to a stream; nil: nobody asks
-	Note      func(text string)                    // what happens, as it happens; nil: only Status tells
+	Limits    rollout.CheckLimits
+	Sent      func(router string, v rollout.Version) // a version is about to be written to a stream; nil: nobody asks
+	Note      func(text string)                      // what happens, as it happens; nil: only Status tells
 }
 
 // Server is a control service.
@@ -53,19 +53,19 @@
 	cuts cutter
 
 	mu      sync.Mutex
-	rollout *fleet.Rollout
+	rollout *rollout.Rollout
 	streams map[string]*stream
 	events  []string // the last of what happened, for status
 	next    time.Time
-	kept    fleet.RolloutState // what was kept last
-	unkept  *unkept            // the state can't be kept for now; nil: it can
-	stood   fleet.Millis       // for how long the rollout's clock has stood
+	kept    rollout.RolloutState // what was kept last
+	unkept  *unkept              // the state can't be kept for now; nil: it can
+	stood   rollout.Millis       // for how long the rollout's clock has stood
 }
 
 // stream is one router's.
 type stream struct {
 	router string
-	send   chan fleet.Version // of one: a newer version replaces an older one that was not sent yet
+	send   chan rollout.Version // of one: a newer version replaces an older one that was not sent yet
 	stop   context.CancelCauseFunc
 }
 
@@ -86,7 +86,7 @@
 	opts = append([]grpc.ServerOption{grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second}),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 20 * time.Second, Timeout: 10 * time.Second})}, opts...)
 	s := &Server{cfg: cfg, grpc: grpc.NewServer(opts...), done: make(chan struct{}), streams: map[string]*stream{},
-		rollout: fleet.NewRollout(cfg.Rollout, cfg.State), kept: cfg.State}
+		rollout: rollout.NewRollout(cfg.Rollout, cfg.State), kept: cfg.State}
 	discovery.RegisterAggregatedDiscoveryServiceServer(s.grpc, s)
 	load.RegisterLoadReportingServiceServer(s.grpc, s)
 	go func() {
@@ -114,7 +114,7 @@
 
 var began = time.Now()
 
-func now() fleet.Millis { return float64(time.Since(began).Microseconds()) / 1000 }
+func now() rollout.Millis { return float64(time.Since(began).Microseconds()) / 1000 }
 
 // pass has time pass, or tries again to keep the state.
 func (s *Server) pass() {
@@ -124,7 +124,7 @@
 		s.retryKeep()
 		return
 	}
-	s.tellLocked(fleet.Pass{})
+	s.tellLocked(rollout.Pass{})
 }
 
 // tell gives the rollout an event and carries out what it wants.
@@ -147,7 +147,7 @@
 func (s *Server) carryOut(actions []any) {
 	for i, a := range actions {
 		switch a := a.(type) {
-		case fleet.Keep:
+		case rollout.Keep:
 			if s.cfg.Keep == nil {
 				continue
 			}
@@ -156,7 +156,7 @@
 				return
 			}
 			s.kept = a.State
-		case fleet.Offer:
+		case rollout.Offer:
 			if st := s.streams[a.Router]; st != nil {
 				select {
 				case <-st.send: // not sent yet, and superseded
@@ -164,13 +164,13 @@
 				}
 				st.send <- a.Version
 			}
-		case fleet.Halted:
+		case rollout.Halted:
 			s.note("version %d halted: %s", a.Number, a.Why)
-		case fleet.Ahead:
+		case rollout.Ahead:
 			s.note("router %s has accepted version %d, which this service never gave; numbers go on from there", a.Router, a.Number)
-		case fleet.Staged:
+		case rollout.Staged:
 			s.note("version %d: stage %d, %d routers", a.Number, a.Stage+1, a.Routers)
-		case fleet.Finished:
+		case rollout.Finished:
 			s.note("version %d is everybody's", a.Number)
 		}
 	}
@@ -188,7 +188,7 @@
 }
 
 // A Refused error says why a text was not made a version.
-type Refused struct{ Reasons []fleet.Reason }
+type Refused struct{ Reasons []rollout.Reason }
 
 func (r *Refused) Error() string {
 	text := "control: not made a version"
@@ -211,7 +211,7 @@
 	if err := s.refusal(false); err != nil {
 		return 0, err
 	}
-	s.tellLocked(fleet.Push{Body: body, Force: force})
+	s.tellLocked(rollout.Push{Body: body, Force: force})
 	if err := s.refusal(true); err != nil {
 		return 0, err
 	}
@@ -237,7 +237,7 @@
 	if len(reasons) > 0 {
 		return 0, false, &Refused{reasons}
 	}
-	if newest.Number > 0 && newest.Sum == fleet.SumOf(body) && !(force && st.Next.Number > 0) {
+	if newest.Number > 0 && newest.Sum == rollout.SumOf(body) && !(force && st.Next.Number > 0) {
 		return newest.Number, false, nil
 	}
 	number, err = s.pushLocked(body, force)
@@ -252,15 +252,15 @@
 	if err := s.refusal(false); err != nil {
 		return err
 	}
-	s.tellLocked(fleet.Halt{Why: why})
+	s.tellLocked(rollout.Halt{Why: why})
 	return s.refusal(true)
 }
 
 // Status is what a service knows.
 type Status struct {
 	Service string
-	State   fleet.RolloutState // as it was kept
-	Routers []fleet.RouterStatus
+	State   rollout.RolloutState // as it was kept
+	Routers []rollout.RouterStatus
 	Events  []string
 	Unkept  *UnkeptError // the state can't be kept for now; nil: it can
 }
@@ -326,7 +326,7 @@
 	if err := s.pace(ctx); err != nil {
 		return err
 	}
-	st := &stream{router: first.router, send: make(chan fleet.Version, 1), stop: cancel}
+	st := &stream{router: first.router, send: make(chan rollout.Version, 1), stop: cancel}
 	s.mu.Lock()
 	if err := s.refusal(false); err != nil {
 		s.mu.Unlock()
@@ -336,13 +336,13 @@
 		old.stop(errors.New("control: the router has begun another stream"))
 	}
 	s.streams[first.router] = st
-	s.tellLocked(fleet.Joined{Router: first.router, Running: first.running})
+	s.tellLocked(rollout.Joined{Router: first.router, Running: first.running})
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
 		if s.streams[first.router] == st {
 			delete(s.streams, first.router)
-			s.tellLocked(fleet.Left{Router: first.router})
+			s.tellLocked(rollout.Left{Router: first.router})
 		}
 		s.mu.Unlock()
 	}()
@@ -371,9 +371,9 @@
 				return
 			case !known: // to a response that was superseded, or to none: xDS has such be ignored
 			case a.reasons != nil:
-				s.tell(fleet.Nacked{Router: first.router, Number: a.number, Reasons: a.reasons})
+				s.tell(rollout.Nacked{Router: first.router, Number: a.number, Reasons: a.reasons})
 			default:
-				s.tell(fleet.Acked{Router: first.router, Number: a.number})
+				s.tell(rollout.Acked{Router: first.router, Number: a.number})
 			}
 		}
 	}()
--- a/internal/control/service.go
+++ b/internal/controlplane/service/service.go
@@ -1,4 +1,4 @@
-package control
+package service
 
 import (
 	"crypto/rand"
@@ -19,8 +19,8 @@
 	"google.golang.org/grpc"
 
 	"indigospool/internal/config"
-	"indigospool/internal/fleet"
-	"indigospool/internal/lastgood"
+	"indigospool/internal/controlplane/configstore"
+	"indigospool/internal/controlplane/rollout"
 )
 
 // Service is a control service as a program runs it.
@@ -28,7 +28,7 @@
 	*Server
 	set   *ServiceSettings
 	log   *zap.Logger
-	store *lastgood.Store
+	store *configstore.Store
 	ln    net.Listener
 	admin net.Listener
 	http  *http.Server
@@ -51,7 +51,7 @@
 
 // diskKeeper keeps a rollout's state in a store.
 type diskKeeper struct {
-	store *lastgood.Store
+	store *configstore.Store
 	id    string
 
 	mu     sync.Mutex
@@ -68,7 +68,7 @@
 }
 
 // Save implements Keeper.
-func (k *diskKeeper) Save(st fleet.RolloutState) error {
+func (k *diskKeeper) Save(st rollout.RolloutState) error {
 	k.mu.Lock()
 	folder := k.folder
 	k.mu.Unlock()
@@ -76,12 +76,12 @@
 	if err != nil {
 		return err
 	}
-	return k.store.Save(text, []fleet.Version{st.Base, st.Next}, time.Now())
+	return k.store.Save(text, []rollout.Version{st.Base, st.Next}, time.Now())
 }
 
 // load is the state that was kept, and who the service is: the same over all its
 // restarts with this store, so that routers know it again.
-func (k *diskKeeper) load() (st fleet.RolloutState, err error) {
+func (k *diskKeeper) load() (st rollout.RolloutState, err error) {
 	text, err := k.store.State()
 	if err != nil {
 		return st, err
@@ -97,10 +97,10 @@
 		return st, fmt.Errorf("control: the stored state: %w", err)
 	}
 	k.id, k.folder = s.ID, s.Folder
-	st = fleet.RolloutState{Last: s.Last, Stage: s.Stage, Halted: s.Halted}
+	st = rollout.RolloutState{Last: s.Last, Stage: s.Stage, Halted: s.Halted}
 	for _, one := range []struct {
 		number int64
-		v      *fleet.Version
+		v      *rollout.Version
 	}{{s.Base, &st.Base}, {s.Next, &st.Next}} {
 		if one.number == 0 {
 			continue
@@ -114,18 +114,18 @@
 
 // StartService begins a service from its store and listens. sent is as in
 // ServerConfig.
-func StartService(set *ServiceSettings, log *zap.Logger, sent func(router string, v fleet.Version)) (*Service, error) {
-	return StartServiceOn(lastgood.Disk{}, set, log, sent)
+func StartService(set *ServiceSettings, log *zap.Logger, sent func(router string, v rollout.Version)) (*Service, error) {
+	return StartServiceOn(configstore.Disk{}, set, log, sent)
 }
 
 // StartServiceOn is StartService by the operations of a file system, for fault injection.
-func StartServiceOn(files lastgood.FileSystem, set *ServiceSettings, log *zap.Logger, sent func(router string, v fleet.Version)) (*Service, error) {
+func StartServiceOn(files configstore.FileSystem, set *ServiceSettings, log *zap.Logger, sent func(router string, v rollout.Version)) (*Service, error) {
 	s := &Service{set: set, log: log, done: make(chan struct{})}
 	f := &set.Service
 	var err error
-	s.store, err = lastgood.OpenOn(files, f.Store, f.Keep)
-	var damaged *lastgood.DamagedError
-	var fault *lastgood.FaultError
+	s.store, err = configstore.OpenOn(files, f.Store, f.Keep)
+	var damaged *configstore.DamagedError
+	var fault *configstore.FaultError
 	if errors.As(err, &damaged) {
 		// numbers go on above what routers say that they have accepted
 		log.Error("the store was damaged; push the settings anew", zap.String("store", damaged.Path),
@@ -153,7 +153,7 @@
 	s.keep = keep
 	s.Server = NewServer(ServerConfig{Name: f.Name + "/" + keep.id, Rollout: set.Rollout.settings(), State: state, Keep: keep,
 		PerSecond: f.PerSecond, Streams: f.Streams, Reports: time.Duration(f.Reports * float64(time.Millisecond)),
-		Limits: fleet.CheckLimits{ParentChurn: set.Checks.ParentChurn, BoxChurn: set.Checks.BoxChurn,
+		Limits: rollout.CheckLimits{ParentChurn: set.Checks.ParentChurn, BoxChurn: set.Checks.BoxChurn,
 			MaxSize: set.Checks.MaxSize, MaxLink: set.Checks.MaxLink},
 		Sent: sent, Note: func(text string) { log.Info(text) }}, opts...)
 	if err := s.listen(); err != nil {
@@ -237,7 +237,7 @@
 	for _, one := range sources {
 		sum = append(append(sum, one.Text...), 0)
 	}
-	before, known := s.keep.fromFolder(fleet.SumOf(sum))
+	before, known := s.keep.fromFolder(rollout.SumOf(sum))
 	if known {
 		return lookEvery
 	}
@@ -312,7 +312,7 @@
 // unread is the status of an answer that wanted a version which is not kept, or can't
 // be read for now.
 func unread(err error) int {
-	if errors.Is(err, lastgood.ErrNone) {
+	if errors.Is(err, configstore.ErrNone) {
 		return http.StatusNotFound
 	}
 	return http.StatusServiceUnavailable
@@ -342,17 +342,17 @@
 
 // StatusView is Status without the versions' bodies.
 type StatusView struct {
-	Service string               `json:"service"`
-	Last    int64                `json:"last"`
-	Base    int64                `json:"base"`           // everybody's
-	Next    int64                `json:"next,omitempty"` // on its way
-	Stage   int                  `json:"stage,omitempty"`
-	Halted  string               `json:"halted,omitempty"` // why the last rollout was
-	Routers []fleet.RouterStatus `json:"routers"`
-	Events  []string             `json:"events"`
-	Unkept  string               `json:"unkept,omitempty"`       // why the state can't be kept for now
-	Since   string               `json:"unkept_since,omitempty"` // since when, and
-	ForMs   float64              `json:"unkept_ms,omitempty"`    // for how long
+	Service string                 `json:"service"`
+	Last    int64                  `json:"last"`
+	Base    int64                  `json:"base"`           // everybody's
+	Next    int64                  `json:"next,omitempty"` // on its way
+	Stage   int                    `json:"stage,omitempty"`
+	Halted  string                 `json:"halted,omitempty"` // why the last rollout was
+	Routers []rollout.RouterStatus `json:"routers"`
+	Events  []string               `json:"events"`
+	Unkept  string                 `json:"unkept,omitempty"`       // why the state can't be kept for now
+	Since   string                 `json:"unkept_since,omitempty"` // since when, and
+	ForMs   float64                `json:"unkept_ms,omitempty"`    // for how long
 }
 
 // View is what operators are shown.
--- a/internal/control/settings.go
+++ b/internal/controlplane/service/settings.go
@@ -1,4 +1,4 @@
-package control
+package service
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strings"
 
 	"indigospool/internal/config"
-	"indigospool/internal/fleet"
+	"indigospool/internal/controlplane/rollout"
 )
 
 // ServiceSettings is the settings file of a control service. Spans are in ms.
@@ -91,7 +91,7 @@
 	return host == "localhost" || ip != nil && ip.IsLoopback()
 }
 
-func (r RolloutForm) settings() fleet.RolloutSettings {
-	return fleet.RolloutSettings{Stages: r.Stages, Hold: r.Hold, Patience: r.Patience, Refused: r.Refused, Silent: r.Silent,
+func (r RolloutForm) settings() rollout.RolloutSettings {
+	return rollout.RolloutSettings{Stages: r.Stages, Hold: r.Hold, Patience: r.Patience, Refused: r.Refused, Silent: r.Silent,
 		Fall: r.Fall, Asked: r.Asked}
 }
--- a/internal/control/storing.go
+++ b/internal/controlplane/service/storing.go
@@ -1,35 +1,35 @@
-package control
+package service
 
 import (
 	"errors"
 	"fmt"
 	"time"
 
-	"indigospool/internal/fleet"
-	"indigospool/internal/lastgood"
+	"indigospool/internal/controlplane/configstore"
+	"indigospool/internal/controlplane/rollout"
 )
 
 // pending is a version that could not be stored yet, and of which nothing is said
 // until it is.
 type pending struct {
-	version fleet.Version
+	version rollout.Version
 	since   time.Time
 }
 
 // restore begins with the last good version, as far as it can be read for now.
 func (a *Agent) restore() {
-	found := fleet.Restored{Err: lastgood.ErrNone}
+	found := rollout.Restored{Err: configstore.ErrNone}
 	if a.cfg.Store != nil {
 		found = a.cfg.Store.Restored(time.Now())
 	}
-	var fault *lastgood.FaultError
+	var fault *configstore.FaultError
 	if a.restoring = errors.As(found.Err, &fault); a.restoring {
 		a.cfg.Warn(fmt.Sprintf("the last good configuration can't be read for now, and is tried again: %v", fault))
 	}
 	switch {
-	case (a.restoring || errors.Is(found.Err, lastgood.ErrNone)) && a.cfg.Known.Number > 0:
-		a.tell(fleet.Restored{Version: a.cfg.Known})
-	case !a.restoring && !errors.Is(found.Err, lastgood.ErrNone):
+	case (a.restoring || errors.Is(found.Err, configstore.ErrNone)) && a.cfg.Known.Number > 0:
+		a.tell(rollout.Restored{Version: a.cfg.Known})
+	case !a.restoring && !errors.Is(found.Err, configstore.ErrNone):
 		a.tell(found)
 	}
 }
@@ -38,9 +38,9 @@
 // tried again, and nothing is heard until then; but a router that has nothing to run
 // does not wait for its disk: it runs the version, and acknowledges it once it is
 // stored.
-func (a *Agent) store(v fleet.Version) []fleet.Event {
+func (a *Agent) store(v rollout.Version) []rollout.Event {
 	if a.cfg.Store == nil {
-		return []fleet.Event{fleet.Stored{Number: v.Number}}
+		return []rollout.Event{rollout.Stored{Number: v.Number}}
 	}
 	a.pending = nil // an older one is superseded
 	err := a.cfg.Store.Put(v, time.Now())
@@ -54,7 +54,7 @@
 	}
 	if a.machine.Accepted().Number == 0 {
 		a.unkept = v
-		return []fleet.Event{fleet.Stored{Number: v.Number}}
+		return []rollout.Event{rollout.Stored{Number: v.Number}}
 	}
 	a.pending = &pending{v, time.Now()}
 	return nil
@@ -62,18 +62,18 @@
 
 // stored is what the machine hears of a version that was stored. Where the store
 // could not be read until now, it may hold a newer one, which was acknowledged.
-func (a *Agent) stored(v fleet.Version) []fleet.Event {
-	a.pending, a.unkept = nil, fleet.Version{}
+func (a *Agent) stored(v rollout.Version) []rollout.Event {
+	a.pending, a.unkept = nil, rollout.Version{}
 	if !a.restoring {
-		return []fleet.Event{fleet.Stored{Number: v.Number}}
+		return []rollout.Event{rollout.Stored{Number: v.Number}}
 	}
 	a.restoring = false
 	last, _, err := a.cfg.Store.Last()
 	if err != nil || last.Number <= v.Number {
-		return []fleet.Event{fleet.Stored{Number: v.Number}}
+		return []rollout.Event{rollout.Stored{Number: v.Number}}
 	}
 	err = fmt.Errorf("control: number %d is older than %d, which was accepted", v.Number, last.Number)
-	return []fleet.Event{fleet.Stored{Number: v.Number, Err: err}, a.cfg.Store.Restored(time.Now())}
+	return []rollout.Event{rollout.Stored{Number: v.Number, Err: err}, a.cfg.Store.Restored(time.Now())}
 }
 
 // acknowledge acknowledges a version, unless it is used without being stored.
@@ -125,7 +125,7 @@
 		}
 		if time.Since(since) >= a.cfg.Trying {
 			a.pending = nil
-			a.tellLocked(fleet.Stored{Number: v.Number, Err: err})
+			a.tellLocked(rollout.Stored{Number: v.Number, Err: err})
 		}
 		return false
 	case a.unkept.Number > 0:
@@ -133,7 +133,7 @@
 		if a.cfg.Store.Put(v, time.Now()) != nil {
 			return false
 		}
-		a.unkept, a.restoring = fleet.Version{}, false
+		a.unkept, a.restoring = rollout.Version{}, false
 		if _, offered := a.nonces[v.Number]; offered {
 			a.reply(v.Number, nil)
 		}
@@ -143,12 +143,12 @@
 			return false
 		}
 		found := a.cfg.Store.Restored(time.Now())
-		var fault *lastgood.FaultError
+		var fault *configstore.FaultError
 		if errors.As(found.Err, &fault) {
 			return false
 		}
 		a.restoring = false
-		if !errors.Is(found.Err, lastgood.ErrNone) {
+		if !errors.Is(found.Err, configstore.ErrNone) {
 			a.tellLocked(found)
 		}
 		return true
--- a/internal/control/unkept.go
+++ b/internal/controlplane/service/unkept.go
@@ -1,4 +1,4 @@
-package control
+package service
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"indigospool/internal/fleet"
-	"indigospool/internal/lastgood"
+	"indigospool/internal/controlplane/configstore"
+	"indigospool/internal/controlplane/rollout"
 )
 
 // An UnkeptError says that a service's state can't be kept for now, so that nothing
@@ -44,8 +44,8 @@
 type unkept struct {
 	since  time.Time
 	err    error
-	clock  fleet.Millis // at which the rollout's clock stands
-	retry  time.Time    // when keeping is tried next
+	clock  rollout.Millis // at which the rollout's clock stands
+	retry  time.Time      // when keeping is tried next
 	wait   time.Duration
 	held   []any // actions that follow the one of keeping
 	events []any // of streams, for the rollout
@@ -54,7 +54,7 @@
 // bar books that the state could not be kept, and holds back what follows.
 func (s *Server) bar(err error, held []any) {
 	held = slices.DeleteFunc(slices.Clone(held), func(action any) bool {
-		_, keeps := action.(fleet.Keep)
+		_, keeps := action.(rollout.Keep)
 		return keeps // the whole state is kept before the others
 	})
 	began := time.Now()
@@ -75,9 +75,9 @@
 func (s *Server) putOff(ev any) {
 	events := &s.unkept.events
 	switch ev.(type) {
-	case fleet.Left:
+	case rollout.Left:
 		*events = append(*events, ev)
-	case fleet.Acked, fleet.Nacked:
+	case rollout.Acked, rollout.Nacked:
 		if len(*events) < 4*s.cfg.Streams {
 			*events = append(*events, ev)
 		}
@@ -107,11 +107,11 @@
 }
 
 // clock is the time of the rollout.
-func (s *Server) clock() fleet.Millis { return now() - s.stood }
+func (s *Server) clock() rollout.Millis { return now() - s.stood }
 
 // renewStore tries, after a fault of a store's file, to have it written anew, until
 // done is closed.
-func renewStore(store *lastgood.Store, done <-chan struct{}) {
+func renewStore(store *configstore.Store, done <-chan struct{}) {
 	for wait := firstRetry; ; {
 		select {
 		case <-time.After(wait):
--- a/internal/control/wire.go
+++ b/internal/controlplane/service/wire.go
@@ -5,10 +5,10 @@
 // one, load.go the reports of service. service.go is the service as a program
 // runs it: its state on disk, its folder of settings, its listener for operators.
 //
-// What either side decides is decided by internal/fleet. The package runs on
+// What either side decides is decided by internal/controlplane/rollout. The package runs on
 // goroutines beside the routers' loop and never touches a request: an agent
 // hands a version to the router by a callback, which posts it.
-package control
+package service
 
 import (
 	"fmt"
@@ -23,7 +23,7 @@
 	"google.golang.org/protobuf/types/known/structpb"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"indigospool/internal/fleet"
+	"indigospool/internal/controlplane/rollout"
 )
 
 // SettingsType is the type of the resources: a message with the field
@@ -35,7 +35,7 @@
 const SettingsType = "type.googleapis.com/indigospool.v1.Settings"
 
 // versionInfo is a version's number and sum, as version_info has it.
-func versionInfo(v fleet.Version) string { return strconv.FormatInt(v.Number, 10) + ":" + v.Sum }
+func versionInfo(v rollout.Version) string { return strconv.FormatInt(v.Number, 10) + ":" + v.Sum }
 
 // parseInfo reads a number and, where it is given, a sum.
 func parseInfo(s string) (number int64, sum string, err error) {
@@ -92,7 +92,7 @@
 }
 
 // detail is the error_detail of a refusal: one reason a line.
-func detail(reasons []fleet.Reason) *rpc.Status {
+func detail(reasons []rollout.Reason) *rpc.Status {
 	if len(reasons) == 0 {
 		return nil
 	}
@@ -128,7 +128,7 @@
 	// hello is the first request.
 	hello() (joining, error)
 	// send sends a version.
-	send(v fleet.Version, service string) error
+	send(v rollout.Version, service string) error
 	// recv is the next answer; known is false of one to nothing that is waited for.
 	recv() (a answer, known bool, err error)
 }
@@ -136,7 +136,7 @@
 // offer is a version as a router receives it, and where it can't be read, why.
 type offer struct {
 	service string
-	version fleet.Version
+	version rollout.Version
 	nonce   string
 	bad     error
 }
@@ -147,5 +147,5 @@
 	hello(router string, accepted int64) error
 	recv() (offer, error)
 	// reply acknowledges what came with the nonce, or refuses it.
-	reply(nonce string, number, accepted int64, reasons []fleet.Reason) error
+	reply(nonce string, number, accepted int64, reasons []rollout.Reason) error
 }
--- a/internal/explain/explain.go
+++ b/internal/decisionlog/explain/explain.go
@@ -11,9 +11,9 @@
 	"strings"
 
 	spool "indigospool"
-	"indigospool/internal/core"
-	"indigospool/internal/journal"
-	"indigospool/internal/replay"
+	"indigospool/internal/decisionlog/journal"
+	"indigospool/internal/decisionlog/replay"
+	"indigospool/internal/proxy/engine"
 )
 
 // Step is one moment at which the module decided something of the request.
@@ -103,11 +103,11 @@
 func Hypothetical(j *journal.Reader, a Ask) (*Story, error) {
 	s := &Story{Hypothetical: true}
 	t := &teller{s: s, id: askedID}
-	var c *core.Core
+	var c *engine.Core
 	last, found := 0.0, false
 	w := &replay.Watcher{
-		Life: func(next *core.Core, l *journal.Life) { c, s.Router = next, l.Name },
-		Before: func(e *journal.Entry, _ *core.Core) bool {
+		Life: func(next *engine.Core, l *journal.Life) { c, s.Router = next, l.Name },
+		Before: func(e *journal.Entry, _ *engine.Core) bool {
 			if q, ok := e.Event.(spool.Request); ok && a.Instead != "" && q.ID == a.Instead {
 				last, found = e.T, true
 				return true
@@ -164,19 +164,19 @@
 
 func (t *teller) watcher() *replay.Watcher {
 	return &replay.Watcher{
-		Life: func(c *core.Core, l *journal.Life) {
+		Life: func(c *engine.Core, l *journal.Life) {
 			if !t.began {
 				t.s.Router = l.Name
 			}
 			t.listen(c)
 			t.listed = nil
 		},
-		Before: func(e *journal.Entry, c *core.Core) bool { t.before(e, c); return t.s.Over },
-		After:  func(e *journal.Entry, c *core.Core, acts []spool.Action) { t.after(e, c, acts) },
+		Before: func(e *journal.Entry, c *engine.Core) bool { t.before(e, c); return t.s.Over },
+		After:  func(e *journal.Entry, c *engine.Core, acts []spool.Action) { t.after(e, c, acts) },
 	}
 }
 
-func (t *teller) listen(c *core.Core) {
+func (t *teller) listen(c *engine.Core) {
 	c.Explain(func(l spool.Look) {
 		if l.Request != t.id {
 			return
@@ -189,7 +189,7 @@
 	})
 }
 
-func (t *teller) before(e *journal.Entry, c *core.Core) {
+func (t *teller) before(e *journal.Entry, c *engine.Core) {
 	t.looks = nil
 	if ev, ok := e.Event.(spool.Members); ok && !t.began {
 		if ev.Full || t.listed == nil {
@@ -232,7 +232,7 @@
 	return ""
 }
 
-func (t *teller) after(e *journal.Entry, c *core.Core, acts []spool.Action) {
+func (t *teller) after(e *journal.Entry, c *engine.Core, acts []spool.Action) {
 	if !t.began {
 		return
 	}
--- a/internal/journal/format.go
+++ b/internal/decisionlog/journal/format.go
@@ -14,7 +14,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	spool "indigospool"
-	"indigospool/internal/memory"
+	"indigospool/internal/proxy/learnedstate"
 )
 
 // FormatVersion is the version of the format that is written. Readers read it
@@ -353,7 +353,7 @@
 func (n *names) handedOver(e spool.Event) (written, error) {
 	switch e := e.(type) {
 	case spool.Recalled:
-		b, err := memory.EncodeModule(e.Memory)
+		b, err := learnedstate.EncodeModule(e.Memory)
 		return written{Kind: evRecalled, Fields: &fBytes{Bytes: b}}, err
 	case spool.Stalled:
 		return written{Kind: evStalled, Fields: &fStalled{ID: n.put(e.ID), Attempt: e.Attempt, On: e.On}}, nil
@@ -537,7 +537,7 @@
 		if !ok {
 			return nil, fmt.Errorf("journal: a recalled memory is no bytes")
 		}
-		m, err := memory.DecodeModule(b)
+		m, err := learnedstate.DecodeModule(b)
 		if err != nil {
 			return nil, fmt.Errorf("%w of event: %w", ErrUnknown, err)
 		}
--- a/internal/replay/replay.go
+++ b/internal/decisionlog/replay/replay.go
@@ -1,6 +1,6 @@
 // Package replay tells a decision module again what a journal says that a router
 // told its own, and compares the answers. It makes no decision and no I/O but to
-// read the journal: what it compares is internal/core against the record.
+// read the journal: what it compares is internal/proxy/engine against the record.
 package replay
 
 import (
@@ -11,8 +11,8 @@
 
 	spool "indigospool"
 	"indigospool/internal/config"
-	"indigospool/internal/core"
-	"indigospool/internal/journal"
+	"indigospool/internal/decisionlog/journal"
+	"indigospool/internal/proxy/engine"
 )
 
 // Difference is where an answer is another than the recorded one.
@@ -51,9 +51,9 @@
 
 // Watcher sees a replay as it goes. Its functions may be nil.
 type Watcher struct {
-	Life   func(c *core.Core, l *journal.Life)
-	Before func(e *journal.Entry, c *core.Core) (stop bool) // an event is about to be told
-	After  func(e *journal.Entry, c *core.Core, acts []spool.Action)
+	Life   func(c *engine.Core, l *journal.Life)
+	Before func(e *journal.Entry, c *engine.Core) (stop bool) // an event is about to be told
+	After  func(e *journal.Entry, c *engine.Core, acts []spool.Action)
 }
 
 // Run replays a journal to its end, or until the watcher stops it.
@@ -81,7 +81,7 @@
 
 type player struct {
 	rep  *Report
-	c    *core.Core // nil: behind a gap, or before the first life
+	c    *engine.Core // nil: behind a gap, or before the first life
 	acts []spool.Action
 	last [around]*journal.Entry
 	n    int
@@ -102,7 +102,7 @@
 		if err := config.Read("journal", e.Life.Settings, s); err != nil {
 			return fmt.Errorf("replay: the settings of life %d (%s at byte %d): %w", p.rep.Lives, e.Segment, e.Offset, err)
 		}
-		c, err := core.New(s, e.Life.Seed)
+		c, err := engine.New(s, e.Life.Seed)
 		if err != nil {
 			return fmt.Errorf("replay: life %d: %w", p.rep.Lives, err)
 		}
--- a/internal/whatif/boxes.go
+++ b/internal/decisionlog/whatif/boxes.go
@@ -5,7 +5,7 @@
 	"strconv"
 
 	spool "indigospool"
-	"indigospool/internal/box"
+	"indigospool/internal/cachenode/httpcache"
 )
 
 // BoxOptions are what members can do, where the list does not say. Spans are in
@@ -42,7 +42,7 @@
 	}
 }
 
-// Boxes is a World of cache models (internal/box) that all routers of a run share.
+// Boxes is a World of cache models (internal/cachenode/httpcache) that all routers of a run share.
 // A member's sending time is its load; one that is given more transfers than it has
 // places for sends each the slower. A source that has fallen over answers nothing.
 type Boxes struct {
@@ -64,7 +64,7 @@
 	id     string
 	role   string // box, parent or origin
 	listed spool.Member
-	box    *box.Box
+	box    *httpcache.Box
 	cap    float64
 	busy   int // transfers under way
 	second int
@@ -103,7 +103,7 @@
 	if w.o.Sizes && r.Size > 0 {
 		m.cap = r.Size
 	}
-	s := box.Settings{Name: r.ID, Bytes: w.o.Bytes, Capacity: m.cap, ColdFrom: w.o.ColdFrom, ColdTime: w.o.ColdTime,
+	s := httpcache.Settings{Name: r.ID, Bytes: w.o.Bytes, Capacity: m.cap, ColdFrom: w.o.ColdFrom, ColdTime: w.o.ColdTime,
 		FallFactor: w.o.Fall, FallTime: w.o.FallTime}
 	switch {
 	case r.Kind == w.o.ParentKind && r.Kind != "":
@@ -111,7 +111,7 @@
 	case r.Kind == w.o.OriginKind && r.Kind != "":
 		m.role = "origin"
 	}
-	m.box = box.New(s, max(r.ReadyAt, 1e-6), r.ReadyAt <= 0)
+	m.box = httpcache.New(s, max(r.ReadyAt, 1e-6), r.ReadyAt <= 0)
 	return m
 }
 
@@ -184,7 +184,7 @@
 	if f == nil {
 		return
 	}
-	m.box.End(now, f, &box.Copy{Key: f.Key, Object: q.Object, Group: q.Group, Bytes: int64(q.KB*1024) + 1, Rank: rank, Version: 1, Born: now})
+	m.box.End(now, f, &httpcache.Copy{Key: f.Key, Object: q.Object, Group: q.Group, Bytes: int64(q.KB*1024) + 1, Rank: rank, Version: 1, Born: now})
 }
 
 func keyOf(q *spool.Request) string {
--- a/internal/whatif/compare.go
+++ b/internal/decisionlog/whatif/compare.go
@@ -10,9 +10,9 @@
 
 	spool "indigospool"
 	"indigospool/internal/config"
-	"indigospool/internal/core"
-	"indigospool/internal/explain"
-	"indigospool/internal/journal"
+	"indigospool/internal/decisionlog/explain"
+	"indigospool/internal/decisionlog/journal"
+	"indigospool/internal/proxy/engine"
 )
 
 // Change is what would have been otherwise.
@@ -264,7 +264,7 @@
 				c.aims[k.Name] = k // both are held to the aims that were
 			}
 		}
-		co, err := core.New(s, l.Seed)
+		co, err := engine.New(s, l.Seed)
 		if err != nil {
 			return fmt.Errorf("whatif: life %d: %w", c.rep.Lives, err)
 		}
--- a/internal/whatif/sim.go
+++ b/internal/decisionlog/whatif/sim.go
@@ -5,7 +5,7 @@
 //
 // It makes no decision of a router's and does no I/O but to read a journal that it
 // is given. What it says of outcomes is a model's word, and never proof of a rule:
-// proof is what passed on sockets (internal/rules).
+// proof is what passed on sockets (internal/testbed/invariants).
 //
 // sim.go is the clock and what a router's sockets would do; recorded.go a World
 // learned from a journal; boxes.go a World of cache models; compare.go two runs
@@ -17,7 +17,7 @@
 
 	spool "indigospool"
 	"indigospool/internal/config"
-	"indigospool/internal/core"
+	"indigospool/internal/proxy/engine"
 )
 
 // Answer is how a modelled member deals with an attempt. Spans count from the
@@ -92,7 +92,7 @@
 
 // Router is one router of a Sim.
 type Router struct {
-	Core  *core.Core
+	Core  *engine.Core
 	Name  string
 	World World
 	held  map[string]*Held
@@ -112,7 +112,7 @@
 }
 
 // Add puts a router into the run.
-func (s *Sim) Add(name string, c *core.Core, w World) *Router {
+func (s *Sim) Add(name string, c *engine.Core, w World) *Router {
 	r := &Router{Core: c, Name: name, World: w, held: map[string]*Held{}}
 	s.routers = append(s.routers, r)
 	if s.Explain {
--- a/internal/loop/arrival.go
+++ b/internal/eventloop/arrival.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 // Since is the earliest moment at which what the present turn tells of may have come: bytes,
 // an end, a connection. A descriptor that the poll before did not tell of became ready after
--- a/internal/loop/arrival_test.go
+++ b/internal/eventloop/arrival_test.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"testing"
--- a/internal/loop/buffer.go
+++ b/internal/eventloop/buffer.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 // Buffers lends memory by classes of size and keeps a bounded part of what comes back.
 // Used counts all that is out. It belongs to one loop.
--- a/internal/loop/listener.go
+++ b/internal/eventloop/listener.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import "golang.org/x/sys/unix"
 
--- a/internal/loop/loop.go
+++ b/internal/eventloop/loop.go
@@ -7,8 +7,8 @@
 // (Lacking), and tests can have any call fail (Intercept). It never reads or writes a
 // descriptor of its own accord and never allocates on the path of an event. The clock is
 // the system's monotonic one, in milliseconds, so that records of processes on one machine
-// can be set side by side. Connections on top of it are in internal/edge.
-package loop
+// can be set side by side. Connections on top of it are in internal/proxy/httpfront.
+package eventloop
 
 import (
 	"errors"
--- a/internal/feed/feed.go
+++ b/internal/protocol/discovery/feed.go
@@ -3,8 +3,8 @@
 // of their numbers, each once.
 //
 // It does no I/O and has no clock. Reader holds the last number, drops repeats and
-// tells a gap; internal/node connects, and asks again from the last number.
-package feed
+// tells a gap; internal/proxy/platform connects, and asks again from the last number.
+package discovery
 
 import (
 	"encoding/binary"
--- a/internal/feed/scale_test.go
+++ b/internal/protocol/discovery/scale_test.go
@@ -1,4 +1,4 @@
-package feed
+package discovery
 
 import (
 	"encoding/binary"
--- a/internal/fillwire/fillwire.go
+++ b/internal/protocol/fetchheader/fillwire.go
@@ -7,7 +7,7 @@
 // the decision module a response amounts to. What the router does for each
 // attempt is written here without allocation, and tested against
 // github.com/dunglas/httpsfv; what only caches need uses that library.
-package fillwire
+package fetchheader
 
 import (
 	"bytes"
@@ -19,7 +19,7 @@
 	"github.com/dunglas/httpsfv"
 
 	spool "indigospool"
-	"indigospool/internal/http1"
+	"indigospool/internal/protocol/http1"
 )
 
 // The fields of the protocol.
--- a/internal/http1/head.go
+++ b/internal/protocol/http1/head.go
@@ -8,7 +8,7 @@
 // (sections 6.3 and 11.2): no bare LF or CR, no white space before a colon, no
 // folded lines, no two different lengths, no length beside chunked, no coding
 // but a single final chunked. Every fault carries the status that a server
-// answers with. Connections are in internal/edge.
+// answers with. Connections are in internal/proxy/httpfront.
 package http1
 
 import (
--- a/internal/resp/resp.go
+++ b/internal/protocol/resp/resp.go
@@ -3,7 +3,7 @@
 // every length before room for it is made.
 //
 // It does no I/O and keeps nothing between calls. What an answer means for a request
-// is internal/node's to tell the module.
+// is internal/proxy/platform's to tell the module.
 package resp
 
 import (
--- a/internal/wire/wire.go
+++ b/internal/protocol/simwire/wire.go
@@ -1,6 +1,6 @@
 // Package wire turns the lines of the simulator's JSON wire into the events of
 // package indigospool, and its actions into replies. All wire words stay here.
-package wire
+package simwire
 
 import (
 	"encoding/json"
--- a/internal/front/front.go
+++ b/internal/protocol/thriftrpc/front.go
@@ -4,8 +4,8 @@
 // before anything else hears of it.
 //
 // It does no I/O, keeps nothing between messages and decides nothing: what becomes of
-// a request is the module's. internal/node is its connections.
-package front
+// a request is the module's. internal/proxy/platform is its connections.
+package thriftrpc
 
 import (
 	"bytes"
--- a/internal/logq/logq.go
+++ b/internal/proxy/asynclog/logq.go
@@ -1,7 +1,7 @@
 // Package logq is a writer between a logger and its file: a bounded queue of lines that
 // a goroutine of its own writes, so that a loop that logs never waits for whoever reads
 // the log. When the queue is full, lines are dropped, counted, and the count is told.
-package logq
+package asynclog
 
 import (
 	"fmt"
--- a/internal/logq/logq_test.go
+++ b/internal/proxy/asynclog/logq_test.go
@@ -1,4 +1,4 @@
-package logq
+package asynclog
 
 import (
 	"bytes"
--- a/internal/core/core.go
+++ b/internal/proxy/engine/core.go
@@ -7,7 +7,7 @@
 // It does no I/O and has no clock; every decision is the module's. What it adds
 // to the module's events is bookkeeping only: addresses of members, and which
 // start of a member a list speaks of.
-package core
+package engine
 
 import (
 	"fmt"
@@ -15,7 +15,7 @@
 
 	spool "indigospool"
 	"indigospool/internal/config"
-	"indigospool/internal/http1"
+	"indigospool/internal/protocol/http1"
 )
 
 // Core holds a Router and what is needed to speak to it. Like the Router it is
--- a/internal/core/route.go
+++ b/internal/proxy/engine/route.go
@@ -1,4 +1,4 @@
-package core
+package engine
 
 import (
 	"bytes"
@@ -6,7 +6,7 @@
 	"strings"
 
 	"indigospool/internal/config"
-	"indigospool/internal/http1"
+	"indigospool/internal/protocol/http1"
 )
 
 type segKind uint8
--- a/internal/handover/handover.go
+++ b/internal/proxy/hotrestart/handover.go
@@ -6,7 +6,7 @@
 // It decides nothing of a router's. It belongs to goroutines of its own: an event
 // loop only queues descriptors, and is called back where something has come. The
 // predecessor goes on as before until the successor has said that it serves.
-package handover
+package hotrestart
 
 import (
 	"encoding/json"
--- a/internal/edge/admin.go
+++ b/internal/proxy/httpfront/admin.go
@@ -1,4 +1,4 @@
-package edge
+package httpfront
 
 import (
 	"encoding/json"
@@ -12,8 +12,8 @@
 	"time"
 
 	spool "indigospool"
-	"indigospool/internal/control"
-	"indigospool/internal/core"
+	"indigospool/internal/controlplane/service"
+	"indigospool/internal/proxy/engine"
 )
 
 // admin serves operators on a loopback address or a Unix socket, by goroutines
@@ -57,12 +57,12 @@
 }
 
 func (e *Edge) adminPurge(w http.ResponseWriter, r *http.Request) {
-	p := &core.PurgeNews{Object: r.URL.Path}
+	p := &engine.PurgeNews{Object: r.URL.Path}
 	if g := r.URL.Query().Get("group"); g != "" {
-		p = &core.PurgeNews{Group: core.Group(g)}
+		p = &engine.PurgeNews{Group: engine.Group(g)}
 	}
 	e.tellPurge(p)
-	if err := e.Query(func(*Stats, *core.Core) { e.news(&core.News{Purge: p}) }); err != nil {
+	if err := e.Query(func(*Stats, *engine.Core) { e.news(&engine.News{Purge: p}) }); err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
@@ -80,7 +80,7 @@
 
 func (e *Edge) adminState(w http.ResponseWriter, _ *http.Request) {
 	out := map[string]any{}
-	err := e.Query(func(s *Stats, c *core.Core) {
+	err := e.Query(func(s *Stats, c *engine.Core) {
 		out["name"], out["stats"], out["list_rev"], out["lag_ms"] = e.name, *s, c.Rev(), e.l.Lag()
 		out["version"] = e.version
 		g := e.guard
@@ -102,7 +102,7 @@
 }
 
 // versionsView is what is known of versions, as /state has it.
-func versionsView(st control.AgentStatus) map[string]any {
+func versionsView(st service.AgentStatus) map[string]any {
 	list := []map[string]any{}
 	for _, r := range st.Versions {
 		one := map[string]any{"number": r.Number, "state": r.State.String(), "service": r.Service}
@@ -133,7 +133,7 @@
 	}
 	rows := []row{}
 	states := map[spool.State]string{spool.Serving: "serving", spool.Draining: "draining", spool.Removed: "removed"}
-	err := e.Query(func(_ *Stats, c *core.Core) {
+	err := e.Query(func(_ *Stats, c *engine.Core) {
 		c.Members(func(m spool.Member, address string) {
 			one := row{ID: m.ID, Zone: m.Zone, Kind: m.Kind, State: states[m.State], Address: address}
 			if p := e.pools[address]; p != nil {
--- a/internal/edge/buffer.go
+++ b/internal/proxy/httpfront/buffer.go
@@ -1,6 +1,6 @@
-package edge
+package httpfront
 
-import "indigospool/internal/limits"
+import "indigospool/internal/proxy/limits"
 
 // outq is what waits to be written. Its memory is lent by the edge for as long
 // as something waits.
--- a/internal/edge/client.go
+++ b/internal/proxy/httpfront/client.go
@@ -1,4 +1,4 @@
-package edge
+package httpfront
 
 import (
 	"net/netip"
@@ -6,11 +6,11 @@
 	"golang.org/x/sys/unix"
 
 	spool "indigospool"
-	"indigospool/internal/core"
-	"indigospool/internal/esi"
-	"indigospool/internal/http1"
-	"indigospool/internal/limits"
-	"indigospool/internal/loop"
+	"indigospool/internal/eventloop"
+	"indigospool/internal/protocol/esi"
+	"indigospool/internal/protocol/http1"
+	"indigospool/internal/proxy/engine"
+	"indigospool/internal/proxy/limits"
 )
 
 // client is a client's connection. Between requests it holds no buffer.
@@ -19,7 +19,7 @@
 	fd   int
 	left []byte // read, and not yet taken
 	out  outq   // answered, and not yet written
-	idle loop.Timer
+	idle eventloop.Timer
 	cur  *request // in hand; nil between requests
 	part *part    // no connection: it asks for a fragment of a page; nil: it is one
 
@@ -52,7 +52,7 @@
 // much is read at once.
 const readSize = 64 << 10
 
-func (c *client) OnReady(r loop.Ready) {
+func (c *client) OnReady(r eventloop.Ready) {
 	if r.Writable() && c.out.len() > 0 {
 		if c.out.len() <= smallWrite {
 			c.flush()
@@ -67,7 +67,7 @@
 	}
 }
 
-func (c *client) read(r loop.Ready) {
+func (c *client) read(r eventloop.Ready) {
 	c.readOnce(r)
 	c.book()
 }
@@ -86,12 +86,12 @@
 	c.flow = limits.Flow{}
 }
 
-func (c *client) readOnce(r loop.Ready) {
+func (c *client) readOnce(r eventloop.Ready) {
 	buf := c.e.scratch[:readSize]
 	n, err := c.e.l.Read(c.fd, buf)
 	switch {
-	case loop.Later(err):
-		if r.Hangup() && loop.NotReady(err) {
+	case eventloop.Later(err):
+		if r.Hangup() && eventloop.NotReady(err) {
 			c.lost()
 		}
 		return
@@ -207,9 +207,9 @@
 	q, err := e.core.Classify("", r.at, h)
 	r.q = q
 	if err != nil {
-		t, ok := err.(*core.Turndown)
+		t, ok := err.(*engine.Turndown)
 		if !ok {
-			t = &core.Turndown{Status: 400, Word: endMalformed.word(), What: err.Error()}
+			t = &engine.Turndown{Status: 400, Word: endMalformed.word(), What: err.Error()}
 		}
 		r.path = string(clip(h.Target, 256))
 		c.skipBody(h)
@@ -339,7 +339,7 @@
 		return
 	}
 	n, err := c.e.l.WriteTwo(c.fd, c.out.bytes(), b)
-	if loop.Later(err) {
+	if eventloop.Later(err) {
 		n, err = 0, nil
 	}
 	if err != nil {
@@ -368,7 +368,7 @@
 	}
 	for c.out.len() > 0 && !c.gone {
 		n, err := c.e.l.Write(c.fd, c.out.bytes())
-		if loop.Later(err) {
+		if eventloop.Later(err) {
 			c.wants()
 			return false
 		}
@@ -415,7 +415,7 @@
 	for c.out.len() > 0 && !c.gone && moved < room {
 		b := c.out.bytes()
 		n, err := c.e.l.Write(c.fd, b[:min(len(b), room-moved)])
-		if loop.Later(err) {
+		if eventloop.Later(err) {
 			c.wants()
 			return moved, false
 		}
@@ -487,12 +487,12 @@
 	if c.gone {
 		return
 	}
-	want := loop.Interest(0)
+	want := eventloop.Interest(0)
 	if !c.paused && !c.eof {
-		want |= loop.Read
+		want |= eventloop.Read
 	}
 	if c.out.len() > 0 {
-		want |= loop.Write
+		want |= eventloop.Write
 		if !c.queued {
 			c.e.guard.watch(c, true)
 		}
@@ -724,8 +724,8 @@
 	cause  limits.Cause // of what a limit ended
 	booked int64        // of the memory budget
 	sent   int64
-	poor   bool           // it holds a place of those of poor standing
-	turned *core.Turndown // no class took it; nil: one did
+	poor   bool             // it holds a place of those of poor standing
+	turned *engine.Turndown // no class took it; nil: one did
 	why    endWord
 	path   string // of what no class fits
 
--- a/internal/edge/edge.go
+++ b/internal/proxy/httpfront/edge.go
@@ -3,12 +3,12 @@
 // it decides. Bytes become events, actions become bytes.
 //
 // It decides nothing about where a request goes, whether it is tried again or
-// when it is given up; that is the module's, reached through internal/core. It
+// when it is given up; that is the module's, reached through internal/proxy/engine. It
 // keeps to limits that the settings name, and never waits for anything but the
 // loop: the list service and the admin listener run on goroutines of their own
 // and post to it (watch.go, admin.go). client.go and upstream.go hold the two
 // sides of a request; docs/protocol.md what stands on the wire.
-package edge
+package httpfront
 
 import (
 	"errors"
@@ -25,13 +25,13 @@
 	spool "indigospool"
 	"indigospool/internal/cli"
 	"indigospool/internal/config"
-	"indigospool/internal/core"
-	"indigospool/internal/fleet"
-	"indigospool/internal/handover"
-	"indigospool/internal/http1"
-	"indigospool/internal/journal"
-	"indigospool/internal/limits"
-	"indigospool/internal/loop"
+	"indigospool/internal/controlplane/rollout"
+	"indigospool/internal/decisionlog/journal"
+	"indigospool/internal/eventloop"
+	"indigospool/internal/protocol/http1"
+	"indigospool/internal/proxy/engine"
+	"indigospool/internal/proxy/hotrestart"
+	"indigospool/internal/proxy/limits"
 	"indigospool/internal/wallclock"
 )
 
@@ -49,15 +49,15 @@
 // Edge is one router.
 type Edge struct {
 	s    *config.Settings
-	core *core.Core
-	l    *loop.Loop
+	core *engine.Core
+	l    *eventloop.Loop
 	log  *AccessLog
 	name string
 
 	started   time.Time // by the wall clock
-	startedAt loop.Millis
+	startedAt eventloop.Millis
 	lfd       int
-	listener  loop.Listener
+	listener  eventloop.Listener
 	addr      string
 	clients   map[*client]struct{}
 	pages     map[*page]struct{}
@@ -70,7 +70,7 @@
 	queue     []spool.Event
 	telling   bool
 	draining  bool
-	drainT    loop.Timer
+	drainT    eventloop.Timer
 	freeWakes []*wake
 	free      []*request
 	lent      [len(lentSizes)][][]byte
@@ -82,13 +82,13 @@
 	stopAdmin func()
 	adminFile *os.File // of its listener, for a successor
 
-	inherited *handover.Inherited // from a predecessor; nil: there was none
-	followed  atomic.Bool         // that knows that this one serves, and has not ended
-	behind    bool                // as followed, as the loop knows it: it still passes connections on
-	offered   *handover.Server
-	leaving   bool             // a successor has the memory, and does not serve yet
-	since     []core.PurgeNews // purges since then
-	successor *handover.Sender // it serves; nil: there is none
+	inherited *hotrestart.Inherited // from a predecessor; nil: there was none
+	followed  atomic.Bool           // that knows that this one serves, and has not ended
+	behind    bool                  // as followed, as the loop knows it: it still passes connections on
+	offered   *hotrestart.Server
+	leaving   bool               // a successor has the memory, and does not serve yet
+	since     []engine.PurgeNews // purges since then
+	successor *hotrestart.Sender // it serves; nil: there is none
 	guard     *guard
 	journal   *journal.Writer // nil: none is kept
 	versions  *Versions
@@ -102,24 +102,24 @@
 // New makes a router from checked settings; it listens, and serves once Run is called.
 func New(s *config.Settings, log *AccessLog) (*Edge, error) { return newEdge(s, log, nil) }
 
-func newEdge(s *config.Settings, log *AccessLog, in *handover.Inherited) (*Edge, error) {
-	c, err := core.New(s, uint64(s.Router.Seed))
+func newEdge(s *config.Settings, log *AccessLog, in *hotrestart.Inherited) (*Edge, error) {
+	c, err := engine.New(s, uint64(s.Router.Seed))
 	if err != nil {
 		return nil, err
 	}
-	l, err := loop.New(0)
+	l, err := eventloop.New(0)
 	if err != nil {
 		return nil, err
 	}
 	e := &Edge{s: s, core: c, l: l, log: log, name: s.Router.Name, clients: map[*client]struct{}{}, pages: map[*page]struct{}{},
-		reqs: map[string]*request{}, pools: map[string]*pool{}, scratch: make([]byte, 256<<10), started: wallclock.Now(), startedAt: loop.Clock()}
+		reqs: map[string]*request{}, pools: map[string]*pool{}, scratch: make([]byte, 256<<10), started: wallclock.Now(), startedAt: eventloop.Clock()}
 	e.listState.Store("none")
 	e.drainT.F = e.drained
 	e.guard = newGuard(e)
 	e.inherited = in
 	var ok bool
 	if e.lfd, e.addr, ok = inherit(in, s.Router.Listen); ok {
-	} else if e.lfd, e.addr, err = loop.Listen(s.Router.Listen); err != nil {
+	} else if e.lfd, e.addr, err = eventloop.Listen(s.Router.Listen); err != nil {
 		return nil, fmt.Errorf("edge: listen %s: %w; is the address free, and one of this machine?", s.Router.Listen, err)
 	}
 	e.listener.Take = func(fd int) { e.accepted(fd) }
@@ -160,11 +160,11 @@
 
 // NewFrom makes a router that begins with a version. The router's own part of
 // the settings is in the version's already.
-func NewFrom(u *fleet.Use, log *AccessLog) (*Edge, error) { return newFrom(u, nil, log, nil) }
+func NewFrom(u *rollout.Use, log *AccessLog) (*Edge, error) { return newFrom(u, nil, log, nil) }
 
 // newFrom makes a router that begins with a version or, where that is nil, with
 // settings of its own, and takes over from in unless that is nil.
-func newFrom(u *fleet.Use, own *config.Settings, log *AccessLog, in *handover.Inherited) (*Edge, error) {
+func newFrom(u *rollout.Use, own *config.Settings, log *AccessLog, in *hotrestart.Inherited) (*Edge, error) {
 	if u == nil {
 		return newEdge(own, log, in)
 	}
@@ -177,7 +177,7 @@
 
 // date is the time of day as it was when the router began, run on by the monotonic clock.
 func (e *Edge) date() time.Time {
-	return e.started.Add(time.Duration((loop.Clock() - e.startedAt) * float64(time.Millisecond)))
+	return e.started.Add(time.Duration((eventloop.Clock() - e.startedAt) * float64(time.Millisecond)))
 }
 
 // Addr is where clients reach the router.
@@ -249,7 +249,7 @@
 func (e *Edge) Ready() error {
 	for range 300 {
 		known := false
-		if err := e.Query(func(_ *Stats, c *core.Core) { c.Members(func(spool.Member, string) { known = true }) }); err != nil {
+		if err := e.Query(func(_ *Stats, c *engine.Core) { c.Members(func(spool.Member, string) { known = true }) }); err != nil {
 			return err
 		}
 		if known {
@@ -296,7 +296,7 @@
 func (e *Edge) drained() { e.l.Stop() }
 
 // Query runs f on the loop with the router's counters and core.
-func (e *Edge) Query(f func(*Stats, *core.Core)) error {
+func (e *Edge) Query(f func(*Stats, *engine.Core)) error {
 	return e.l.Call(5*time.Second, func() {
 		e.stats.Connections, e.stats.Held = uint64(len(e.clients)), len(e.reqs)
 		e.stats.AcceptPauses, e.stats.Upstreams = e.listener.Pauses, 0
@@ -314,7 +314,7 @@
 func (e *Edge) accepted(fd int) {
 	e.stats.Accepted++
 	peer, err := unix.Getpeername(fd)
-	if loop.Broken(err) { // it was reset before it was taken
+	if eventloop.Broken(err) { // it was reset before it was taken
 		unix.Close(fd)
 		return
 	}
@@ -353,7 +353,7 @@
 		if n := g.tails.Room(e.s.Limits.SocketKB * 1024); n > 0 {
 			unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_SNDBUF, n/2) // the kernel doubles it
 		}
-		if err := e.l.Add(fd, loop.Read, c); err != nil {
+		if err := e.l.Add(fd, eventloop.Read, c); err != nil {
 			cause = limits.Descriptors
 		}
 	}
@@ -388,7 +388,7 @@
 
 // wake is a timer that the module asked for.
 type wake struct {
-	t     loop.Timer
+	t     eventloop.Timer
 	e     *Edge
 	token int64
 }
@@ -468,8 +468,8 @@
 	e     *Edge
 	id    string
 	fd    int // -1: it could not be begun yet
-	timer loop.Timer
-	until loop.Millis
+	timer eventloop.Timer
+	until eventloop.Millis
 }
 
 // probe looks whether a member takes connections, within the time for connects.
@@ -485,7 +485,7 @@
 	e := p.e
 	fd, _, err := e.l.Dial(e.core.Address(p.id))
 	if err == nil {
-		if err = e.l.Add(fd, loop.Write, p); err != nil {
+		if err = e.l.Add(fd, eventloop.Write, p); err != nil {
 			unix.Close(fd)
 		}
 	}
@@ -493,7 +493,7 @@
 	case err == nil:
 		p.fd = fd
 		e.l.Arm(&p.timer, p.until-e.l.Now())
-	case loop.Lacking(err):
+	case eventloop.Lacking(err):
 		e.l.Arm(&p.timer, shortPause)
 	default:
 		p.end(false)
@@ -515,7 +515,7 @@
 	e.tell(p)
 }
 
-func (p *prober) OnReady(loop.Ready) {
+func (p *prober) OnReady(eventloop.Ready) {
 	soerr, err := unix.GetsockoptInt(p.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	p.end(err == nil && soerr == 0)
 }
@@ -530,7 +530,7 @@
 }
 
 // news applies a line of the list service, or the settings' members.
-func (e *Edge) news(n *core.News) core.Applied {
+func (e *Edge) news(n *engine.News) engine.Applied {
 	a := e.core.Apply(e.l.Now(), n)
 	for _, ev := range a.Events {
 		switch ev := ev.(type) {
@@ -540,7 +540,7 @@
 		case spool.Purge:
 			e.stats.Purges++
 			if e.leaving {
-				e.since = append(e.since, core.PurgeNews{Object: ev.Object, Group: ev.Group, AgeMs: ev.Age})
+				e.since = append(e.since, engine.PurgeNews{Object: ev.Object, Group: ev.Group, AgeMs: ev.Age})
 			}
 			e.tell(ev)
 			e.recall(ev)
@@ -603,4 +603,4 @@
 	return string(strconv.AppendUint(id, e.seq, 36))
 }
 
-var bootMillis = int64(loop.Clock())
+var bootMillis = int64(eventloop.Clock())
--- a/internal/edge/guard.go
+++ b/internal/proxy/httpfront/guard.go
@@ -1,4 +1,4 @@
-package edge
+package httpfront
 
 import (
 	"maps"
@@ -11,11 +11,11 @@
 
 	spool "indigospool"
 	"indigospool/internal/config"
-	"indigospool/internal/limits"
-	"indigospool/internal/loop"
+	"indigospool/internal/eventloop"
+	"indigospool/internal/proxy/limits"
 )
 
-// guard carries out what internal/limits decides: it tells it what sockets do, and
+// guard carries out what internal/proxy/limits decides: it tells it what sockets do, and
 // cuts, refuses and sheds what it names. The decisions are that package's.
 type guard struct {
 	e *Edge
@@ -43,9 +43,9 @@
 	shedAt    float64     // when requests may be looked over again
 	found     []*upstream // in a sweep
 	stuck     []*upstream // in a sweep: their clients hold them up
-	sweepT    loop.Timer
-	holdT     loop.Timer // connections that are held back
-	most      int        // connections that there are descriptors for
+	sweepT    eventloop.Timer
+	holdT     eventloop.Timer // connections that are held back
+	most      int             // connections that there are descriptors for
 }
 
 // mover is a connection that is ready to move bytes.
--- a/internal/edge/handover.go
+++ b/internal/proxy/httpfront/handover.go
@@ -1,4 +1,4 @@
-package edge
+package httpfront
 
 import (
 	"encoding/json"
@@ -13,12 +13,12 @@
 
 	spool "indigospool"
 	"indigospool/internal/config"
-	"indigospool/internal/core"
-	"indigospool/internal/fleet"
-	"indigospool/internal/handover"
-	"indigospool/internal/limits"
-	"indigospool/internal/loop"
-	"indigospool/internal/memory"
+	"indigospool/internal/controlplane/rollout"
+	"indigospool/internal/eventloop"
+	"indigospool/internal/proxy/engine"
+	"indigospool/internal/proxy/hotrestart"
+	"indigospool/internal/proxy/learnedstate"
+	"indigospool/internal/proxy/limits"
 )
 
 // TakeOver makes a router that takes over from the one that offers at the settings'
@@ -37,12 +37,12 @@
 }
 
 // predecessor asks the one that offers at the settings' handover path; nil: nobody does.
-func predecessor(s *config.Settings) (*handover.Inherited, error) {
+func predecessor(s *config.Settings) (*hotrestart.Inherited, error) {
 	if s.Router.Handover == "" {
 		return nil, nil
 	}
-	in, err := handover.Ask(s.Router.Handover)
-	if errors.Is(err, handover.ErrNobody) {
+	in, err := hotrestart.Ask(s.Router.Handover)
+	if errors.Is(err, hotrestart.ErrNobody) {
 		return nil, nil
 	}
 	return in, err
@@ -50,7 +50,7 @@
 
 // inherit takes the listening socket of a predecessor, where it is at the address
 // that the settings name.
-func inherit(in *handover.Inherited, address string) (fd int, at string, ok bool) {
+func inherit(in *hotrestart.Inherited, address string) (fd int, at string, ok bool) {
 	if in == nil || in.Listener == 0 {
 		return 0, "", false
 	}
@@ -90,7 +90,7 @@
 	if len(e.inherited.Memory) == 0 {
 		return
 	}
-	m, err := memory.Decode(e.inherited.Memory)
+	m, err := learnedstate.Decode(e.inherited.Memory)
 	if err != nil {
 		e.log.Log.Warn("the predecessor's memory is not used: this router starts as new", zap.Error(err))
 		return
@@ -134,7 +134,7 @@
 			switch err {
 			case nil:
 				return
-			case loop.ErrFull:
+			case eventloop.ErrFull:
 				time.Sleep(time.Millisecond)
 			default:
 				unix.Close(fd)
@@ -142,10 +142,10 @@
 			}
 		}
 	}, func(note []byte) {
-		var p core.PurgeNews
+		var p engine.PurgeNews
 		if json.Unmarshal(note, &p) == nil {
-			e.Query(func(*Stats, *core.Core) {
-				e.news(&core.News{Purge: &p})
+			e.Query(func(*Stats, *engine.Core) {
+				e.news(&engine.News{Purge: &p})
 				if e.successor != nil {
 					e.successor.Note(&p)
 				}
@@ -170,7 +170,7 @@
 
 // tellVersion has a predecessor that still drains go by a version too: nobody else
 // tells it of members that leave.
-func (e *Edge) tellVersion(v fleet.Version) {
+func (e *Edge) tellVersion(v rollout.Version) {
 	if !e.followed.Load() { // until this one serves it follows the service itself
 		return
 	}
@@ -185,7 +185,7 @@
 
 // tellPurge has a predecessor that still drains know of a purge that came to this
 // router only: its requests in hand may get no older copy either.
-func (e *Edge) tellPurge(p *core.PurgeNews) {
+func (e *Edge) tellPurge(p *engine.PurgeNews) {
 	if !e.followed.Load() {
 		return
 	}
@@ -196,17 +196,17 @@
 
 // heardPurge goes by a purge that came to the successor.
 func (e *Edge) heardPurge(b []byte) {
-	var p core.PurgeNews
+	var p engine.PurgeNews
 	if json.Unmarshal(b, &p) != nil {
 		return
 	}
-	e.Query(func(*Stats, *core.Core) { e.news(&core.News{Purge: &p}) })
+	e.Query(func(*Stats, *engine.Core) { e.news(&engine.News{Purge: &p}) })
 	e.tellPurge(&p)
 }
 
 // heardVersion goes by a version that the successor goes by.
 func (e *Edge) heardVersion(b []byte) {
-	var v fleet.Version
+	var v rollout.Version
 	err := json.Unmarshal(b, &v)
 	s := &config.Settings{}
 	if err == nil {
@@ -216,7 +216,7 @@
 		e.log.Log.Warn("the successor's version is not used", zap.Error(err))
 		return
 	}
-	e.l.Post(func() { e.use(fleet.Use{Version: v, Settings: s}) })
+	e.l.Post(func() { e.use(rollout.Use{Version: v, Settings: s}) })
 	e.tellVersion(v) // its own predecessor may still drain, too
 }
 
@@ -226,8 +226,8 @@
 	if path == "" {
 		return nil
 	}
-	srv, err := handover.Listen(handover.Offer{Path: path, Ready: time.Duration(e.s.Limits.Successor) * time.Millisecond,
-		Ask: func() (g *handover.Given, err error) {
+	srv, err := hotrestart.Listen(hotrestart.Offer{Path: path, Ready: time.Duration(e.s.Limits.Successor) * time.Millisecond,
+		Ask: func() (g *hotrestart.Given, err error) {
 			qerr := e.l.Call(5*time.Second, func() { g, err = e.give() })
 			if err = errors.Join(qerr, err); err == nil && e.versions != nil {
 				if v := e.versions.agent.Accepted(); v.Number > 0 {
@@ -237,7 +237,7 @@
 			}
 			return g, err
 		},
-		Go: func(to *handover.Sender) {
+		Go: func(to *hotrestart.Sender) {
 			if e.versions != nil {
 				e.versions.agent.Close() // the successor follows from now on
 			}
@@ -267,11 +267,11 @@
 }
 
 // give is what a successor gets first. From now on cold budgets are its to spend.
-func (e *Edge) give() (*handover.Given, error) {
+func (e *Edge) give() (*hotrestart.Given, error) {
 	if e.draining {
 		return nil, errors.New("this router drains already")
 	}
-	b, err := memory.Encode(e.core.Memory())
+	b, err := learnedstate.Encode(e.core.Memory())
 	if err != nil {
 		return nil, err
 	}
@@ -281,7 +281,7 @@
 	}
 	e.leaving, e.since = true, nil
 	e.tell(spool.Retired{On: true})
-	g := &handover.Given{Listener: e.lfd, Memory: b, Peers: peers}
+	g := &hotrestart.Given{Listener: e.lfd, Memory: b, Peers: peers}
 	if e.adminFile != nil {
 		g.Admin = int(e.adminFile.Fd())
 		unix.SetNonblock(g.Admin, true) // Fd has ended that, for the listener too
@@ -292,7 +292,7 @@
 
 // leaveTo drains for a successor that serves: nothing is accepted here any more, and
 // connections go to it, each once it is between requests.
-func (e *Edge) leaveTo(to *handover.Sender) {
+func (e *Edge) leaveTo(to *hotrestart.Sender) {
 	if e.draining {
 		go to.Close()
 		return
@@ -332,7 +332,7 @@
 
 // adminFrom is the listener that a predecessor's admin listener was, if it is the
 // one that the settings name.
-func adminFrom(in *handover.Inherited, address string) net.Listener {
+func adminFrom(in *hotrestart.Inherited, address string) net.Listener {
 	if in == nil || in.Admin == 0 {
 		return nil
 	}
--- a/internal/edge/log.go
+++ b/internal/proxy/httpfront/log.go
@@ -1,4 +1,4 @@
-package edge
+package httpfront
 
 import (
 	"fmt"
@@ -11,8 +11,8 @@
 
 	spool "indigospool"
 	"indigospool/internal/config"
-	"indigospool/internal/limits"
-	"indigospool/internal/logq"
+	"indigospool/internal/proxy/asynclog"
+	"indigospool/internal/proxy/limits"
 )
 
 // endWord says why a request ended, in a few stable words: docs/operating.md.
@@ -29,7 +29,7 @@
 	endNoRoute                       // no class fits
 	endHeld                          // as many requests in hand as may be
 	endPage                          // a page could not be put together
-	endLimit                         // a limit of internal/limits, which the request names
+	endLimit                         // a limit of internal/proxy/limits, which the request names
 )
 
 func (w endWord) word() string {
@@ -68,7 +68,7 @@
 type AccessLog struct {
 	access *zap.Logger
 	Log    *zap.Logger // the router's own messages
-	q      *logq.Queue
+	q      *asynclog.Queue
 }
 
 // NewAccessLog opens the log that the settings name. Close ends it.
@@ -95,7 +95,7 @@
 	if w == nil {
 		return &AccessLog{access: zap.NewNop(), Log: zap.NewNop()}
 	}
-	q := logq.New(w, lines)
+	q := asynclog.New(w, lines)
 	enc := zap.NewProductionEncoderConfig()
 	enc.EncodeTime = zapcore.ISO8601TimeEncoder
 	lv, err := zapcore.ParseLevel(level)
--- a/internal/edge/page.go
+++ b/internal/proxy/httpfront/page.go
@@ -1,4 +1,4 @@
-package edge
+package httpfront
 
 import (
 	"bytes"
@@ -17,15 +17,15 @@
 
 	spool "indigospool"
 	"indigospool/internal/config"
-	"indigospool/internal/esi"
-	"indigospool/internal/http1"
-	"indigospool/internal/limits"
-	"indigospool/internal/loop"
+	"indigospool/internal/eventloop"
+	"indigospool/internal/protocol/esi"
+	"indigospool/internal/protocol/http1"
+	"indigospool/internal/proxy/limits"
 )
 
 // page is the answer to a request of a class of pages, on its way: the bytes of what a
 // member answered, put together with fragments where the member says so
-// (Surrogate-Control). What is fetched, given up and sent is internal/esi's to say; each
+// (Surrogate-Control). What is fetched, given up and sent is internal/protocol/esi's to say; each
 // fragment is a request of its own to the module.
 type page struct {
 	e       *Edge
@@ -34,7 +34,7 @@
 	setup   esi.Setup
 	parts   map[int]*request  // fragments that are out
 	what    map[string]copyOf // fragments by their address, for purges
-	timer   loop.Timer
+	timer   eventloop.Timer
 	fields  []byte // of the template's head, that the client gets
 	zipped  []byte // of a template that came compressed
 	coding  coding
