--- a/admission.go
+++ b/admission.go
@@ -156,7 +156,7 @@
 // withoutNeedOfCache keeps the queued requests that can go on, or must end, while no cache
 // takes anything. Else each transfer that ends would cost a look at all that wait.
 func (r *Router) withoutNeedOfCache(queue []*request) []*request {
-	direct := r.settings.Direct && r.link.available(r.now)
+	direct := r.settings.DirectAttempts && r.link.available(r.now)
 	return slices.DeleteFunc(queue, func(request *request) bool {
 		return request.fillTarget == nil && !direct && !request.isWrite() && !r.exhausted(request)
 	})
@@ -165,10 +165,10 @@
 // priority is a queued request's weight for the time that it takes to send: less for one
 // that will be late, and for a client's repeat, which has waited before.
 func (r *Router) priority(request *request) float64 {
-	weight := request.class.Worth
+	weight := request.class.PriorityWeight
 	expectedEnd := r.now + request.sendTime*r.fillStretch
 	if request.Retry || expectedEnd > request.arrived+request.latencyObjective() {
-		weight *= request.class.LateWorth
+		weight *= request.class.LateWeightShare
 	}
 	return weight / (request.sendTime + 1)
 }
--- a/api.go
+++ b/api.go
@@ -4,14 +4,14 @@
 // The clock may start anywhere; it only goes forward.
 type Millis = float64
 
-// Effect says what a retry of a request can do: its idempotency.
-type Effect int
+// Idempotency says what a retry of a request can do: its idempotency.
+type Idempotency int
 
 // The effect classes.
 const (
-	Free       Effect = iota // idempotent: may be retried and rejected at will
-	Guarded                  // carries an idempotency key: a group of caches drops repeats for a while
-	SingleShot               // not idempotent: may be retried only where it surely never ran
+	Idempotent      Idempotency = iota // idempotent: may be retried and rejected at will
+	IdempotentByKey                    // carries an idempotency key: a group of caches drops repeats for a while
+	NonIdempotent                      // not idempotent: may be retried only where it surely never ran
 )
 
 // Scope names a set of caches: those that remember the idempotency key of a Guarded request, or
@@ -20,10 +20,10 @@
 
 // The scopes.
 const (
-	Nowhere    Scope = iota
-	Cell             // of one cell in a zone
-	Location         // of one zone
-	Everywhere       // all
+	ScopeNone Scope = iota
+	ScopeCell       // of one cell in a zone
+	ScopeZone       // of one zone
+	ScopeAll        // all
 )
 
 // Detail says how much the Note of an Outcome tells of hits and fills.
@@ -38,60 +38,60 @@
 
 // Class describes one class of requests.
 type Class struct {
-	Name             string
-	Aim              Millis  // latency objective: an answer within it has its full weight
-	AimStretch       float64 // the objective grows by this multiple of the time that the answer takes to send
-	Deadline         Millis  // the client's timeout, where the request states no deadline
-	Worth, LateWorth float64 // priority weight; the share of it that is left when late, 0 to 1
-	Effect           Effect
-	Group            Scope  // for Guarded: who remembers the idempotency key
-	Window           Millis // for Guarded: how long they remember it
-	Streamed         bool   // answers are streamed (a Started event comes)
-	InParts          bool   // objects come in parts
-	Write            bool   // runs at the origin, and its answer is never cached
-	Fresh, Grace     Millis // how long a copy is fresh (0: until purged), and usable after
-	StaleWorth       float64
+	Name                            string
+	LatencyObjective                Millis  // latency objective: an answer within it has its full weight
+	ObjectivePerSendTime            float64 // the objective grows by this multiple of the time that the answer takes to send
+	Deadline                        Millis  // the client's timeout, where the request states no deadline
+	PriorityWeight, LateWeightShare float64 // priority weight; the share of it that is left when late, 0 to 1
+	Idempotency                     Idempotency
+	KeyScope                        Scope  // for Guarded: who remembers the idempotency key
+	KeyWindow                       Millis // for Guarded: how long they remember it
+	Streamed                        bool   // answers are streamed (a Started event comes)
+	InParts                         bool   // objects come in parts
+	Write                           bool   // runs at the origin, and its answer is never cached
+	Fresh, Grace                    Millis // how long a copy is fresh (0: until purged), and usable after
+	StaleWeightShare                float64
 }
 
 // Settings are the settings of a router. A zero value in a field means that nothing is stated.
 type Settings struct {
-	Me, Routers    int                // this router's number, and how many there are
-	Zone           string             // this router's zone
-	Zones          []string           // all zones
-	RoutersByZone  []int              // in the order of Zones
-	HubOfZone      []int              // in the order of Zones: place of the hub zone
-	LinkIn         map[string]float64 // capacity of the link into a zone, in KB per millisecond
-	ParentKind     string             // Member.Kind of parents; empty: there are none
-	OriginKind     string             // Member.Kind of the origin
-	Classes        []Class            // one at least
-	Tick           Millis             // resolution of the caller's timers
-	AnswerSlack    Millis
-	DrainGrace     Millis
-	ColdFrom       float64 // share of its capacity with which a cache starts, 0 to 1
-	ColdTime       Millis  // longest time until it is warm
-	FallFactor     float64 // a cache fails at this multiple of its present capacity
-	FallTime       Millis  // when the overload lasts this long
-	ParentColdFrom float64 // as ColdFrom, of parents
-	ParentColdTime Millis  // as ColdTime, of parents
-	ParentFall     float64 // as FallFactor, of parents
-	OriginFall     float64 // as FallFactor, of the origin
-	PurgeTakes     Millis  // all older copies are gone this long after a purge
-	PurgeSlack     Millis  // added to PurgeTakes
-	Direct         bool    // parents and the origin take attempts too
-	Joins          bool    // a request may join a fill under way
-	Siblings       Scope   // caches that may be a source; Nowhere: none
-	Detail         Detail
-	FlowKBPerMs    float64 // rate of one transfer to a client, in KB per millisecond
-	SizesCompare   bool    // Member.Size means capacity
-	MaxAttempts    int     // attempts of one request; 0: 4
-	MaxHeld        int
-	MaxRetryAfter  Millis // longest Retry-After that a client heeds; 0: none may be named
-	SecondCopies   bool   // hedged requests: one request may have two attempts out
-	Cancels        bool   // attempts can be cancelled
-	Probes         bool   // caches can be probed
-	OnRequest      bool   // discovery notifies of changes only once it is asked to (Watch)
-	AskWithin      Millis // ask again at least this often
-	Feedback       []string
+	RouterIndex, Routers     int                // this router's number, and how many there are
+	Zone                     string             // this router's zone
+	Zones                    []string           // all zones
+	RoutersByZone            []int              // in the order of Zones
+	HubOfZone                []int              // in the order of Zones: place of the hub zone
+	LinkCapacity             map[string]float64 // capacity of the link into a zone, in KB per millisecond
+	ParentKind               string             // Member.Kind of parents; empty: there are none
+	OriginKind               string             // Member.Kind of the origin
+	Classes                  []Class            // one at least
+	TimerResolution          Millis             // resolution of the caller's timers
+	AnswerSlack              Millis
+	DrainGrace               Millis
+	WarmUpInitialShare       float64 // share of its capacity with which a cache starts, 0 to 1
+	WarmUpTime               Millis  // longest time until it is warm
+	OverloadFactor           float64 // a cache fails at this multiple of its present capacity
+	OverloadTime             Millis  // when the overload lasts this long
+	ParentWarmUpInitialShare float64 // as ColdFrom, of parents
+	ParentWarmUpTime         Millis  // as ColdTime, of parents
+	ParentOverloadFactor     float64 // as FallFactor, of parents
+	OriginOverloadFactor     float64 // as FallFactor, of the origin
+	PurgeTime                Millis  // all older copies are gone this long after a purge
+	PurgeSlack               Millis  // added to PurgeTakes
+	DirectAttempts           bool    // parents and the origin take attempts too
+	JoinFills                bool    // a request may join a fill under way
+	SiblingScope             Scope   // caches that may be a source; Nowhere: none
+	Detail                   Detail
+	FlowKBPerMs              float64 // rate of one transfer to a client, in KB per millisecond
+	SizeIsCapacity           bool    // Member.Size means capacity
+	MaxAttempts              int     // attempts of one request; 0: 4
+	MaxRequests              int
+	MaxRetryAfter            Millis // longest Retry-After that a client heeds; 0: none may be named
+	HedgedRequests           bool   // hedged requests: one request may have two attempts out
+	CanCancel                bool   // attempts can be cancelled
+	CanProbe                 bool   // caches can be probed
+	WatchRequired            bool   // discovery notifies of changes only once it is asked to (Watch)
+	PollInterval             Millis // ask again at least this often
+	LoadMetrics              []string
 }
 
 // Event is one thing that happened: what Router.Handle takes.
@@ -140,19 +140,19 @@
 const (
 	OK            Result = iota
 	Errored              // answered with an error
-	Full                 // rejected for want of capacity
+	Rejected             // rejected for want of capacity
 	TimedOut             // no answer in time
 	ConnectFailed        // no connection
 	Reset                // the connection broke
 	Cancelled            // its wait was ended
-	Moot                 // not sent
+	NotSent              // not sent
 	Miss                 // the cache has no copy
 	LocalFailure         // it could not be begun here: no descriptor, port, buffer or route for now
 )
 
-// RanNot reports whether the result proves that the request did not run.
-func (r Result) RanNot() bool {
-	return r == Full || r == ConnectFailed || r == Moot || r == Miss || r == LocalFailure
+// NotExecuted reports whether the result proves that the request did not run.
+func (r Result) NotExecuted() bool {
+	return r == Rejected || r == ConnectFailed || r == NotSent || r == Miss || r == LocalFailure
 }
 
 // Note says how an outcome's hit or fill went.
@@ -160,17 +160,17 @@
 
 // The notes.
 const (
-	NoteNone            Note = iota
-	NoteHit                  // answered from a cached copy
-	NoteFilled               // filled from the source
-	NoteFilledByOrigin       // filled by the origin, behind the source
-	NoteJoined               // joined a fill under way
-	NoteStale                // answered from a copy past its fresh time
-	NoteSourceRefused        // the source rejected the fill
-	NoteSourceUnreached      // the source could not be reached
-	NoteSourceLacks          // the source has no copy
-	NoteNoPlace              // the cache has no capacity for a fill
-	NoteOriginFailed         // the origin failed
+	NoteNone              Note = iota
+	NoteHit                    // answered from a cached copy
+	NoteFilled                 // filled from the source
+	NoteFilledByOrigin         // filled by the origin, behind the source
+	NoteJoined                 // joined a fill under way
+	NoteStale                  // answered from a copy past its fresh time
+	NoteSourceRejected         // the source rejected the fill
+	NoteSourceUnreachable      // the source could not be reached
+	NoteSourceMiss             // the source has no copy
+	NoteNoCapacity             // the cache has no capacity for a fill
+	NoteOriginFailed           // the origin failed
 )
 
 // Outcome ends one attempt.
@@ -219,9 +219,9 @@
 	Load  []float64
 }
 
-// Resettled replaces the settings. The zone, the number of this router and what it has learned
+// SettingsChanged replaces the settings. The zone, the number of this router and what it has learned
 // stay. Settings that contradict themselves change nothing: Settings.Valid says so beforehand.
-type Resettled struct{ Settings Settings }
+type SettingsChanged struct{ Settings Settings }
 
 // Message came from another router.
 type Message struct {
@@ -229,44 +229,44 @@
 	Text string
 }
 
-func (Members) event()   {}
-func (Request) event()   {}
-func (Outcome) event()   {}
-func (Started) event()   {}
-func (Gone) event()      {}
-func (Stalled) event()   {}
-func (Purge) event()     {}
-func (Timer) event()     {}
-func (Probed) event()    {}
-func (Message) event()   {}
-func (Resettled) event() {}
+func (Members) event()         {}
+func (Request) event()         {}
+func (Outcome) event()         {}
+func (Started) event()         {}
+func (Gone) event()            {}
+func (Stalled) event()         {}
+func (Purge) event()           {}
+func (Timer) event()           {}
+func (Probed) event()          {}
+func (Message) event()         {}
+func (SettingsChanged) event() {}
 
 // Reason says why a member was not taken for an attempt.
 type Reason int
 
 // The reasons.
 const (
-	Taken     Reason = iota
-	OverBound        // above the load bound; it may be taken in a later pass
-	LetDown          // the request failed at it before; it may be taken in a later pass
-	Passed           // looked at in an earlier pass already
-	NotGroup         // outside of the group that remembers the request's idempotency key
-	Out              // it is draining or removed
-	Suspect          // it is ejected and not due for a health check, or not by this request
-	GateFull         // it is at its concurrency limit
-	ColdSpent        // it is warming up, and its slow-start budget is spent
-	LinkFull         // the location's link is at its concurrency limit
-	NoBudget         // the request may make no further attempt
-	NoMember         // there is nobody to ask
+	ReasonAccepted           Reason = iota
+	ReasonOverLoadBound             // above the load bound; it may be taken in a later pass
+	ReasonFailedBefore              // the request failed at it before; it may be taken in a later pass
+	ReasonAlreadyConsidered         // looked at in an earlier pass already
+	ReasonOutsideKeyScope           // outside of the group that remembers the request's idempotency key
+	ReasonUnavailable               // it is draining or removed
+	ReasonEjected                   // it is ejected and not due for a health check, or not by this request
+	ReasonAtConcurrencyLimit        // it is at its concurrency limit
+	ReasonSlowStartExhausted        // it is warming up, and its slow-start budget is spent
+	ReasonLinkAtLimit               // the location's link is at its concurrency limit
+	ReasonAttemptsExhausted         // the request may make no further attempt
+	NoMember                        // there is nobody to ask
 )
 
-// Look is one member that a choice looked at, in the order of looking. Member is
+// Candidate is one member that a choice looked at, in the order of looking. Member is
 // empty where the reason concerns the request as such.
-type Look struct {
+type Candidate struct {
 	Request, Member string
-	Source          bool // as a source, not as the cache
+	AsSource        bool // as a source, not as the cache
 	Pass            int  // the first is 0
-	Why             Reason
+	Reason          Reason
 }
 
 // Range is a cache's range of part indices: From, up to but not with To; To -1:
--- a/endpoints.go
+++ b/endpoints.go
@@ -110,7 +110,7 @@
 
 // subscribe subscribes to the endpoint list where discovery does not notify by itself.
 func (r *Router) subscribe() {
-	if r.settings.OnRequest && !r.subscribed {
+	if r.settings.WatchRequired && !r.subscribed {
 		r.subscribed = true
 		r.emit(Watch{})
 	}
--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -29,7 +29,7 @@
 
 func TestSubscription(t *testing.T) {
 	settings := testSettings()
-	settings.OnRequest, settings.AskWithin = true, 10000
+	settings.WatchRequired, settings.PollInterval = true, 10000
 	watches := func(actions []Action) (n int) {
 		for _, a := range actions {
 			if _, ok := a.(Watch); ok {
--- a/fillsource.go
+++ b/fillsource.go
@@ -11,7 +11,7 @@
 	switch {
 	case request.fillTarget == nil, previous == nil, previous == request.fillTarget:
 		return nil
-	case request.siblingTried, r.settings.Siblings == Nowhere, r.now-r.layoutChanged >= siblingFillSpan:
+	case request.siblingTried, r.settings.SiblingScope == ScopeNone, r.now-r.layoutChanged >= siblingFillSpan:
 		return nil
 	case previous.unavailable, previous.ejected, r.warmUpShare(previous) < 1:
 		return nil
@@ -45,7 +45,7 @@
 // the pass is the one for members that failed the request before.
 func (r *Router) takesSource(request *request, member *member, pass int, failedBefore bool) bool {
 	reason := r.sourceReason(request, member, failedBefore)
-	return r.traceLook(request, member, true, pass, reason) == Taken
+	return r.traceLook(request, member, true, pass, reason) == ReasonAccepted
 }
 
 // sourceReason says why a member is not taken as the source in a pass.
@@ -53,11 +53,11 @@
 	failed := request.failedAt(member)
 	switch {
 	case failed && !failedBefore:
-		return LetDown
+		return ReasonFailedBefore
 	case !failed && failedBefore:
-		return Passed
+		return ReasonAlreadyConsidered
 	case failed && member.role == origin: // there is nobody after it
-		return Taken
+		return ReasonAccepted
 	}
 	return r.unavailableReason(member, request)
 }
--- a/fillsource_test.go
+++ b/fillsource_test.go
@@ -29,7 +29,7 @@
 func TestFailedFillTriesAnotherSource(t *testing.T) {
 	rig := newRig(t, testSettings())
 	id, a, n := rig.requestFill("page", "x", 0)
-	actions := rig.handle(Outcome{ID: id, Attempt: n, Cache: a.Cache, Result: Full, Took: 900, Note: NoteSourceUnreached})
+	actions := rig.handle(Outcome{ID: id, Attempt: n, Cache: a.Cache, Result: Rejected, Took: 900, Note: NoteSourceUnreachable})
 	if b := rig.onlySend(actions); b.Source == a.Source || b.Cache != a.Cache {
 		t.Errorf("filled from %s again", b.Source)
 	}
@@ -49,12 +49,12 @@
 		{"just moved", func(*testRig, *member) {}, true},
 		{"moved long ago", func(rig *testRig, _ *member) { rig.now += siblingFillSpan }, false},
 		{"ejected", func(rig *testRig, previous *member) { rig.router.eject(previous) }, false},
-		{"siblings are no sources", func(rig *testRig, _ *member) { rig.router.settings.Siblings = Nowhere }, false},
+		{"siblings are no sources", func(rig *testRig, _ *member) { rig.router.settings.SiblingScope = ScopeNone }, false},
 		{"no attempts to spare", func(rig *testRig, _ *member) { rig.router.settings.MaxAttempts = 3 }, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			settings := testSettings()
-			settings.Siblings = Location
+			settings.SiblingScope = ScopeZone
 			rig := newRig(t, settings)
 			caches := rig.router.byRole[edge]
 			rig.router.layout = layout{caches: caches, splits: []int{1, 2}, ranged: true}
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -51,7 +51,7 @@
 
 func newFleet(t *testing.T, routers int, seed int64) *fleet {
 	settings := testSettings()
-	settings.Routers, settings.RoutersByZone, settings.SizesCompare = routers, []int{0, routers}, true
+	settings.Routers, settings.RoutersByZone, settings.SizeIsCapacity = routers, []int{0, routers}, true
 	fleet := &fleet{t: t, settings: settings, rng: rand.New(rand.NewSource(seed)), now: 1000, sendTime: 100, arrived: map[string][]Millis{}}
 	for i := range 10 {
 		m := row(fmt.Sprint("e", i), "z1", "box")
@@ -178,8 +178,8 @@
 				}
 				fleet.run(span, 0.5)
 				settings := fleet.settings
-				fleet.checkSlowStart("e2", begin, slowStartRule{settings.ColdFrom, settings.ColdTime, settings.FallFactor})
-				fleet.checkSlowStart("p1", begin, slowStartRule{settings.ParentColdFrom, settings.ParentColdTime, settings.ParentFall})
+				fleet.checkSlowStart("e2", begin, slowStartRule{settings.WarmUpInitialShare, settings.WarmUpTime, settings.OverloadFactor})
+				fleet.checkSlowStart("p1", begin, slowStartRule{settings.ParentWarmUpInitialShare, settings.ParentWarmUpTime, settings.ParentOverloadFactor})
 			})
 		}
 	}
@@ -196,7 +196,7 @@
 // the fall time than it bears and what is chance, and a twentieth of that at least in all.
 func (f *fleet) checkSlowStart(id string, begin Millis, rule slowStartRule) {
 	const least = 0.05
-	fallTime := f.settings.FallTime
+	fallTime := f.settings.OverloadTime
 	allowedAfter := func(span Millis) float64 {
 		return rule.fall * fleetSize * (rule.from + (1-rule.from)*span/rule.coldTime) * fallTime / f.sendTime
 	}
--- a/freshness.go
+++ b/freshness.go
@@ -22,7 +22,7 @@
 		}
 	}
 	purgedAt, purged := r.lastPurge(request)
-	if purged && r.now < purgedAt+r.settings.PurgeTakes+r.settings.PurgeSlack {
+	if purged && r.now < purgedAt+r.settings.PurgeTime+r.settings.PurgeSlack {
 		maxAge = min(maxAge, r.now-purgedAt-1)
 	}
 	return max(maxAge, minCopyAge)
@@ -50,7 +50,7 @@
 
 // dropOldPurges drops the purges after which every cache has dropped older copies.
 func (r *Router) dropOldPurges() {
-	old := r.now - r.settings.PurgeTakes - r.settings.PurgeSlack
+	old := r.now - r.settings.PurgeTime - r.settings.PurgeSlack
 	maps.DeleteFunc(r.objectPurges, func(_ string, at Millis) bool { return at < old })
 	maps.DeleteFunc(r.groupPurges, func(_ int, at Millis) bool { return at < old })
 }
--- a/fuzz_test.go
+++ b/fuzz_test.go
@@ -30,11 +30,15 @@
 	}
 	for i, change := range []func(*Settings){
 		func(*Settings) {},
-		func(s *Settings) { s.Direct, s.Siblings = false, Everywhere },
+		func(s *Settings) { s.DirectAttempts, s.SiblingScope = false, ScopeAll },
 		func(s *Settings) { s.ParentKind, s.Detail, s.FlowKBPerMs = "", DetailOff, 0 },
-		func(s *Settings) { s.MaxAttempts, s.Cancels, s.OnRequest = 1, false, true },
-		func(s *Settings) { s.MaxAttempts, s.Joins, s.SizesCompare, s.Siblings = 2, true, true, Location },
-		func(s *Settings) { s.FallTime, s.ColdTime, s.Tick, s.Zones, s.RoutersByZone = 0, 0, 0, nil, nil },
+		func(s *Settings) { s.MaxAttempts, s.CanCancel, s.WatchRequired = 1, false, true },
+		func(s *Settings) {
+			s.MaxAttempts, s.JoinFills, s.SizeIsCapacity, s.SiblingScope = 2, true, true, ScopeZone
+		},
+		func(s *Settings) {
+			s.OverloadTime, s.WarmUpTime, s.TimerResolution, s.Zones, s.RoutersByZone = 0, 0, 0, nil, nil
+		},
 	} {
 		settings := testSettings()
 		change(&settings)
@@ -66,7 +70,7 @@
 	sends                 map[int]Send
 	ended                 bool
 	mayHaveRun            bool // an attempt may have run
-	effect                Effect
+	effect                Idempotency
 }
 
 func newInvariantChecker(t *testing.T, settings Settings) *invariantChecker {
@@ -95,7 +99,7 @@
 		case Send:
 			w.checkSend(a)
 		case Cancel:
-			if request := w.requests[a.ID]; !w.settings.Cancels || request == nil || a.Attempt >= request.attempts {
+			if request := w.requests[a.ID]; !w.settings.CanCancel || request == nil || a.Attempt >= request.attempts {
 				w.t.Fatalf("cancel of %v", a)
 			}
 		}
@@ -107,7 +111,7 @@
 	if request == nil || request.ended {
 		w.t.Fatalf("a second final answer for %s", id)
 	}
-	if refused && request.mayHaveRun && request.effect == SingleShot {
+	if refused && request.mayHaveRun && request.effect == NonIdempotent {
 		w.t.Fatalf("%s is refused though it may have run", id)
 	}
 	request.ended = true
@@ -124,7 +128,7 @@
 		w.t.Fatalf("too many attempts: %v", send)
 	case send.Age <= 0 || send.Source == "" || send.Timeout < 0:
 		w.t.Fatalf("a malformed send: %+v", send)
-	case request.effect == SingleShot && request.mayHaveRun:
+	case request.effect == NonIdempotent && request.mayHaveRun:
 		w.t.Fatalf("%s is sent again though it may have run", send.ID)
 	}
 	for _, id := range []string{send.Cache, send.Source} {
@@ -132,11 +136,11 @@
 			w.t.Fatalf("%s is used %v after its drain", id, w.now-at)
 		}
 	}
-	if at, ok := w.purgedAt[request.Object]; ok && w.now < at+w.settings.PurgeTakes && send.Age > max(w.now-at, minCopyAge) {
+	if at, ok := w.purgedAt[request.Object]; ok && w.now < at+w.settings.PurgeTime && send.Age > max(w.now-at, minCopyAge) {
 		w.t.Fatalf("age %v allows a copy from before the purge %v ago", send.Age, w.now-at)
 	}
 	member := w.router.members[send.Cache]
-	if member == nil || member.role == foreign || member.role != edge && !w.settings.Direct {
+	if member == nil || member.role == foreign || member.role != edge && !w.settings.DirectAttempts {
 		w.t.Fatalf("sent to %s, which takes no attempts", send.Cache)
 	}
 	request.sends[request.attempts] = send
@@ -153,7 +157,7 @@
 			class := w.router.classes[classes[arg%5]]
 			request := &checkedRequest{Request: Request{ID: fmt.Sprint("q", i), Class: class.Name, Object: fmt.Sprint("o", arg%4),
 				Part: arg - 2, KB: float64(arg * 50), Group: arg % 2, Deadline: w.now + class.Deadline/2},
-				sends: map[int]Send{}, effect: class.Effect}
+				sends: map[int]Send{}, effect: class.Idempotency}
 			w.requests[request.ID] = request
 			w.ids = append(w.ids, request.ID)
 			w.handle(request.Request)
@@ -223,7 +227,7 @@
 			}
 			delete(request.sends, n)
 			request.outstanding--
-			request.mayHaveRun = !res.RanNot()
+			request.mayHaveRun = !res.NotExecuted()
 			last := request.ended || res == OK
 			request.ended = last
 			w.handle(Outcome{ID: request.ID, Attempt: n, Cache: send.Cache, Result: res, Took: 5, Last: last, Note: Note(arg % 11)})
--- a/inspect_test.go
+++ b/inspect_test.go
@@ -11,25 +11,25 @@
 	rig := newRig(t, testSettings())
 	rig.router.eject(rig.router.members["e1"])
 	rig.router.eject(rig.router.members["e2"])
-	var looks []Look
-	rig.router.Explain(func(look Look) { looks = append(looks, look) })
+	var looks []Candidate
+	rig.router.Explain(func(look Candidate) { looks = append(looks, look) })
 	reasons := map[string]Reason{}
 	for range 40 { // so many that each ejected cache comes first for some
 		looks = nil
 		id, actions := rig.request("page", string(rune('a'+rig.requests)), 0)
 		send := rig.onlySend(actions)
 		for _, look := range looks {
-			if look.Request != id || look.Source || look.Pass != 0 {
+			if look.Request != id || look.AsSource || look.Pass != 0 {
 				t.Fatalf("%+v", look)
 			}
-			reasons[look.Member] = look.Why
+			reasons[look.Member] = look.Reason
 		}
-		if last := looks[len(looks)-1]; last.Member != send.Cache || last.Why != Taken {
+		if last := looks[len(looks)-1]; last.Member != send.Cache || last.Reason != ReasonAccepted {
 			t.Fatalf("sent to %s, the last look is %+v", send.Cache, last)
 		}
 		rig.handle(Outcome{ID: id, Cache: send.Cache, Result: OK, Took: 1, Last: true, Note: NoteHit})
 	}
-	if reasons["e1"] != Suspect || reasons["e2"] != Suspect || reasons["e3"] != Taken {
+	if reasons["e1"] != ReasonEjected || reasons["e2"] != ReasonEjected || reasons["e3"] != ReasonAccepted {
 		t.Errorf("reasons %v", reasons)
 	}
 	looks = nil
@@ -46,10 +46,10 @@
 	id, actions := rig.request("video", "x", 0)
 	send := rig.onlySend(actions)
 	rig.router.link.limit = 0
-	var looks []Look
-	rig.router.Explain(func(look Look) { looks = append(looks, look) })
+	var looks []Candidate
+	rig.router.Explain(func(look Candidate) { looks = append(looks, look) })
 	rig.handle(Outcome{ID: id, Cache: send.Cache, Result: Miss})
-	if !slices.Contains(looks, Look{Request: id, Source: true, Why: LinkFull}) {
+	if !slices.Contains(looks, Candidate{Request: id, AsSource: true, Reason: ReasonLinkAtLimit}) {
 		t.Errorf("looks %+v", looks)
 	}
 }
@@ -61,17 +61,17 @@
 	source := rig.router.members[send.Source]
 	rig.router.eject(source)
 	source.faultShare, source.slowShare = 0.5, 0.25
-	members, link := rig.router.Beliefs()
+	members, link := rig.router.Statuses()
 	if len(members) != len(baseRows()) {
 		t.Errorf("%d members", len(members))
 	}
-	if got, want := members[send.Cache], (Belief{Held: 1, Room: initialLimit}); got != want {
+	if got, want := members[send.Cache], (Status{InFlight: 1, Limit: initialLimit}); got != want {
 		t.Errorf("target: %+v, want %+v", got, want)
 	}
-	if got, want := members[send.Source], (Belief{Room: initialLimit, Tardy: 0.25, Faults: 0.5, Suspect: true}); got != want {
+	if got, want := members[send.Source], (Status{Limit: initialLimit, SlowShare: 0.25, FaultShare: 0.5, Ejected: true}); got != want {
 		t.Errorf("source: %+v, want %+v", got, want)
 	}
-	if want := (Belief{Held: 1, Room: initialLimit}); link != want {
+	if want := (Status{InFlight: 1, Limit: initialLimit}); link != want {
 		t.Errorf("link: %+v, want %+v", link, want)
 	}
 }
--- a/internal/decisionlog/explain/explain.go
+++ b/internal/decisionlog/explain/explain.go
@@ -49,11 +49,11 @@
 }
 
 var words = map[spool.Reason]string{
-	spool.Taken: "taken", spool.OverBound: "holds more than its share", spool.LetDown: "has let the request down before",
-	spool.Passed: "was looked at before", spool.NotGroup: "is outside of the group that drops its repeats",
-	spool.Out: "drains or is gone", spool.Suspect: "is suspect, and due for no trial by it",
-	spool.GateFull: "holds as much as it bears", spool.ColdSpent: "is cold, and its budget is spent",
-	spool.LinkFull: "the location's link bears no further fill now", spool.NoBudget: "no further attempt may be made",
+	spool.ReasonAccepted: "taken", spool.ReasonOverLoadBound: "holds more than its share", spool.ReasonFailedBefore: "has let the request down before",
+	spool.ReasonAlreadyConsidered: "was looked at before", spool.ReasonOutsideKeyScope: "is outside of the group that drops its repeats",
+	spool.ReasonUnavailable: "drains or is gone", spool.ReasonEjected: "is suspect, and due for no trial by it",
+	spool.ReasonAtConcurrencyLimit: "holds as much as it bears", spool.ReasonSlowStartExhausted: "is cold, and its budget is spent",
+	spool.ReasonLinkAtLimit: "the location's link bears no further fill now", spool.ReasonAttemptsExhausted: "no further attempt may be made",
 	spool.NoMember: "nobody is there to ask",
 }
 
@@ -177,12 +177,12 @@
 }
 
 func (t *teller) listen(c *engine.Core) {
-	c.Explain(func(l spool.Look) {
+	c.Explain(func(l spool.Candidate) {
 		if l.Request != t.id {
 			return
 		}
-		one := Look{Member: l.Member, As: "cache", Pass: l.Pass, Why: Word(l.Why), Times: 1}
-		if l.Source {
+		one := Look{Member: l.Member, As: "cache", Pass: l.Pass, Why: Word(l.Reason), Times: 1}
+		if l.AsSource {
 			one.As = "source"
 		}
 		t.looks = append(t.looks, one)
@@ -302,8 +302,8 @@
 	return true
 }
 
-var results = map[spool.Result]string{spool.OK: "ok", spool.Errored: "error", spool.Full: "full", spool.TimedOut: "timeout",
-	spool.ConnectFailed: "connect failed", spool.Reset: "reset", spool.Cancelled: "cancelled", spool.Moot: "never sent", spool.Miss: "miss",
+var results = map[spool.Result]string{spool.OK: "ok", spool.Errored: "error", spool.Rejected: "full", spool.TimedOut: "timeout",
+	spool.ConnectFailed: "connect failed", spool.Reset: "reset", spool.Cancelled: "cancelled", spool.NotSent: "never sent", spool.Miss: "miss",
 	spool.LocalFailure: "not begun here"}
 
 func eventText(ev spool.Event, mine bool) string {
@@ -410,7 +410,7 @@
 	at := map[key]int{}
 	for _, l := range looks {
 		k := key{l.As, l.Member, l.Why}
-		if _, told := at[k]; told || l.Why == Word(spool.Passed) {
+		if _, told := at[k]; told || l.Why == Word(spool.ReasonAlreadyConsidered) {
 			continue
 		}
 		at[k] = len(out)
--- a/internal/decisionlog/explain/explain_test.go
+++ b/internal/decisionlog/explain/explain_test.go
@@ -139,7 +139,7 @@
 					acts = h(at, spool.Timer{})
 					continue
 				}
-				acts = h(at, spool.Outcome{ID: "q", Cache: acts[i].(spool.Send).Cache, Attempt: n, Result: spool.Full, Note: spool.NoteNoPlace})
+				acts = h(at, spool.Outcome{ID: "q", Cache: acts[i].(spool.Send).Cache, Attempt: n, Result: spool.Rejected, Note: spool.NoteNoCapacity})
 				n++
 			}
 		}},
--- a/internal/decisionlog/journal/journal_test.go
+++ b/internal/decisionlog/journal/journal_test.go
@@ -389,7 +389,7 @@
 	want := []Entry{
 		{T: 1.5, Event: spool.Members{Full: true, Rows: []spool.Member{{ID: "b1", Zone: "z", Kind: "box", Size: 2, ReadyAt: 3.25}}}, Actions: []spool.Action{spool.Wake{In: 25}}},
 		{T: 2, Event: spool.Request{ID: "q", Class: "still", Object: "/s/1/a", Deadline: 900, KB: 1.5, Group: 1, Part: 4, Retry: true}, Actions: []spool.Action{spool.Send{ID: "q", Cache: "b1", Source: "p", Keep: 1, Age: 1e9, Timeout: 7, Join: true, Held: true}}},
-		{T: 3, Event: spool.Outcome{ID: "q", Cache: "b1", Result: spool.Full, Took: 1, Note: spool.NoteSourceLacks, Load: []float64{0.5}}, Actions: []spool.Action{spool.Refuse{ID: "q", After: 300}, spool.Cancel{ID: "q", Attempt: 1}}},
+		{T: 3, Event: spool.Outcome{ID: "q", Cache: "b1", Result: spool.Rejected, Took: 1, Note: spool.NoteSourceMiss, Load: []float64{0.5}}, Actions: []spool.Action{spool.Refuse{ID: "q", After: 300}, spool.Cancel{ID: "q", Attempt: 1}}},
 		{T: 4, Event: spool.Purge{Object: "/s/1/a", Age: 2}},
 		{T: 5, Event: spool.Message{From: 2, Text: "hello"}, Actions: []spool.Action{spool.Fail{ID: "x"}}},
 	}
--- a/internal/decisionlog/whatif/boxes.go
+++ b/internal/decisionlog/whatif/boxes.go
@@ -139,13 +139,13 @@
 	}
 	src := w.m[s.Source]
 	if src == nil || src.Fell > 0 {
-		return Answer{Result: spool.Full, Note: spool.NoteSourceUnreached, Took: w.o.Look}
+		return Answer{Result: spool.Rejected, Note: spool.NoteSourceUnreachable, Took: w.o.Look}
 	}
 	begins, note := w.o.Latency, spool.NoteFilled
 	switch {
 	case src.box.Find(now, key, s.Age, 0) != nil:
 	case s.Held:
-		return Answer{Result: spool.Full, Note: spool.NoteSourceLacks, Took: 2 * w.o.Look}
+		return Answer{Result: spool.Rejected, Note: spool.NoteSourceMiss, Took: 2 * w.o.Look}
 	case src.role == "parent": // it fetches it from the origin first
 		begins += w.o.Latency
 		w.keep(now, src, q, 1)
@@ -153,7 +153,7 @@
 		note = spool.NoteFilledByOrigin
 	}
 	if w.load(now, src, kb/w.o.Flow, kb, true) {
-		return Answer{Result: spool.Full, Note: spool.NoteSourceUnreached, Took: w.o.Look}
+		return Answer{Result: spool.Rejected, Note: spool.NoteSourceUnreachable, Took: w.o.Look}
 	}
 	m.busy++
 	src.busy++
--- a/internal/decisionlog/whatif/compare.go
+++ b/internal/decisionlog/whatif/compare.go
@@ -218,7 +218,7 @@
 // step is what a run did for a request, once: it sent it somewhere, or had it wait.
 type step struct {
 	cache, source string
-	looks         []spool.Look
+	looks         []spool.Candidate
 }
 
 type comparison struct {
@@ -274,7 +274,7 @@
 		sd := &side{sim: &Sim{Explain: true}, risks: c.all[i]}
 		sd.risks.begin(s)
 		sd.sim.Watch = Watcher{
-			Sent: func(r *Router, h *Held, s *spool.Send, looks []spool.Look) {
+			Sent: func(r *Router, h *Held, s *spool.Send, looks []spool.Candidate) {
 				sd.risks.sent(sd.sim.Now, h, s)
 				if p := c.pairs[h.Q.ID]; p != nil {
 					p.steps[i] = append(p.steps[i], step{s.Cache, s.Source, looks})
@@ -287,7 +287,7 @@
 					c.load(s.Source, i).Fills++
 				}
 			},
-			Waits: func(_ *Router, h *Held, looks []spool.Look) {
+			Waits: func(_ *Router, h *Held, looks []spool.Candidate) {
 				if p := c.pairs[h.Q.ID]; p != nil {
 					p.steps[i] = append(p.steps[i], step{looks: looks})
 				}
@@ -539,14 +539,14 @@
 
 // reason is the last that was said against a member; of no member, why nobody was
 // taken.
-func reason(looks []spool.Look, member string) string {
+func reason(looks []spool.Candidate, member string) string {
 	for i := len(looks) - 1; i >= 0; i-- {
-		if l := looks[i]; l.Member == member && l.Why != spool.Taken && l.Why != spool.Passed {
-			return explain.Word(l.Why)
+		if l := looks[i]; l.Member == member && l.Reason != spool.ReasonAccepted && l.Reason != spool.ReasonAlreadyConsidered {
+			return explain.Word(l.Reason)
 		}
 	}
 	if member == "" && len(looks) > 0 {
-		return "every member was passed over, the last " + looks[len(looks)-1].Member + ": " + explain.Word(looks[len(looks)-1].Why)
+		return "every member was passed over, the last " + looks[len(looks)-1].Member + ": " + explain.Word(looks[len(looks)-1].Reason)
 	}
 	return ""
 }
--- a/internal/decisionlog/whatif/recorded.go
+++ b/internal/decisionlog/whatif/recorded.go
@@ -43,8 +43,8 @@
 	switch s.result {
 	case spool.Errored, spool.TimedOut, spool.ConnectFailed, spool.Reset:
 		return true
-	case spool.Full:
-		return s.note != spool.NoteSourceLacks
+	case spool.Rejected:
+		return s.note != spool.NoteSourceMiss
 	case spool.Cancelled:
 		return s.begins == 0
 	}
@@ -140,7 +140,7 @@
 	if len(ev.Load) > 0 {
 		one.load = append([]float64(nil), ev.Load...)
 	}
-	if ev.Result == spool.Moot || ev.Result == spool.LocalFailure { // it never went anywhere
+	if ev.Result == spool.NotSent || ev.Result == spool.LocalFailure { // it never went anywhere
 		return
 	}
 	add(m.all, r.send.Cache, one)
@@ -149,7 +149,7 @@
 		m.Looks++
 	}
 	hit := ev.Result == spool.OK
-	if !hit && ev.Result != spool.Miss && !(what == nearby && ev.Note == spool.NoteSourceLacks) {
+	if !hit && ev.Result != spool.Miss && !(what == nearby && ev.Note == spool.NoteSourceMiss) {
 		return // a fault of the moment, or called back: it tells nothing of what was held
 	}
 	if what == looked {
@@ -289,7 +289,7 @@
 	}
 	if !hit { // nothing like it was recorded
 		if what == nearby {
-			return Answer{Result: spool.Full, Note: spool.NoteSourceLacks, Took: 1}
+			return Answer{Result: spool.Rejected, Note: spool.NoteSourceMiss, Took: 1}
 		}
 		return Answer{Result: spool.Miss, Took: 1}
 	}
--- a/internal/decisionlog/whatif/risk.go
+++ b/internal/decisionlog/whatif/risk.go
@@ -96,7 +96,7 @@
 	if n := len(h.Tries) - 1; n > 0 {
 		may := -1 // the first attempt that may have run
 		for i, t := range h.Tries[:n] {
-			if may < 0 && (!t.Done || !t.Result.RanNot()) {
+			if may < 0 && (!t.Done || !t.Result.NotExecuted()) {
 				may = i
 			}
 		}
--- a/internal/decisionlog/whatif/sim.go
+++ b/internal/decisionlog/whatif/sim.go
@@ -43,10 +43,10 @@
 
 // Watcher sees a run as it goes. Its functions may be nil.
 type Watcher struct {
-	Sent  func(r *Router, h *Held, s *spool.Send, looks []spool.Look)
-	Waits func(r *Router, h *Held, looks []spool.Look) // nothing was sent, and it is not over
-	Ended func(r *Router, h *Held, t *Try)             // an attempt is over
-	Over  func(r *Router, h *Held)                     // a request is over
+	Sent  func(r *Router, h *Held, s *spool.Send, looks []spool.Candidate)
+	Waits func(r *Router, h *Held, looks []spool.Candidate) // nothing was sent, and it is not over
+	Ended func(r *Router, h *Held, t *Try)                  // an attempt is over
+	Over  func(r *Router, h *Held)                          // a request is over
 }
 
 // End says how a request ended.
@@ -96,7 +96,7 @@
 	Name  string
 	World World
 	held  map[string]*Held
-	looks []spool.Look
+	looks []spool.Candidate
 	acts  []spool.Action
 }
 
@@ -116,7 +116,7 @@
 	r := &Router{Core: c, Name: name, World: w, held: map[string]*Held{}}
 	s.routers = append(s.routers, r)
 	if s.Explain {
-		c.Explain(func(l spool.Look) { r.looks = append(r.looks, l) })
+		c.Explain(func(l spool.Candidate) { r.looks = append(r.looks, l) })
 	}
 	return r
 }
@@ -223,7 +223,7 @@
 }
 
 // of are the looks that concern a request, in their own slice.
-func of(all []spool.Look, id string) (out []spool.Look) {
+func of(all []spool.Candidate, id string) (out []spool.Candidate) {
 	for _, l := range all {
 		if l.Request == id {
 			out = append(out, l)
@@ -270,7 +270,7 @@
 		s.Watch.Sent(r, h, &t.Send, of(r.looks, a.ID))
 	}
 	if h.End != Open {
-		s.At(s.Now, func() { s.end(r, h, n, spool.Moot, spool.NoteNone) })
+		s.At(s.Now, func() { s.end(r, h, n, spool.NotSent, spool.NoteNone) })
 		return
 	}
 	t.answer = r.World.Attempt(s.Now, &h.Q, n, &t.Send)
--- a/internal/decisionlog/whatif/whatif_test.go
+++ b/internal/decisionlog/whatif/whatif_test.go
@@ -293,7 +293,7 @@
 		ends, came := map[string]int{}, 0
 		ri := newRisks()
 		ri.begin(s)
-		sim.Watch.Sent = func(_ *Router, h *Held, a *spool.Send, _ []spool.Look) { ri.sent(sim.Now, h, a) }
+		sim.Watch.Sent = func(_ *Router, h *Held, a *spool.Send, _ []spool.Candidate) { ri.sent(sim.Now, h, a) }
 		sim.Watch.Over = func(_ *Router, h *Held) { ends[h.Q.ID]++; ri.over(sim.Now, h) }
 		r := sim.Add("r", c, wild{t})
 		tell := func(n *engine.News) {
--- a/internal/protocol/fetchheader/fillwire.go
+++ b/internal/protocol/fetchheader/fillwire.go
@@ -237,8 +237,8 @@
 )
 
 var noteOf = map[string]spool.Note{
-	SourceRefused: spool.NoteSourceRefused, SourceUnreached: spool.NoteSourceUnreached,
-	SourceLacks: spool.NoteSourceLacks, NoPlace: spool.NoteNoPlace, OriginFailed: spool.NoteOriginFailed,
+	SourceRefused: spool.NoteSourceRejected, SourceUnreached: spool.NoteSourceUnreachable,
+	SourceLacks: spool.NoteSourceMiss, NoPlace: spool.NoteNoCapacity, OriginFailed: spool.NoteOriginFailed,
 }
 
 // Handled is what a cache says of how it handled an attempt: one member of
@@ -370,7 +370,7 @@
 		}
 		return spool.Miss, note
 	case h.Status == 503:
-		return spool.Full, note
+		return spool.Rejected, note
 	case h.Status >= 500:
 		return spool.Errored, note
 	}
--- a/internal/protocol/simwire/settings.go
+++ b/internal/protocol/simwire/settings.go
@@ -131,19 +131,19 @@
 func module(b *boot) (spool.Settings, error) {
 	fam := &b.Family
 	s := spool.Settings{
-		Me: b.Me, Routers: b.Instances, Zone: b.Zone, Zones: b.Localities,
-		RoutersByZone: fam.Seats, HubOfZone: fam.HomeHub, LinkIn: map[string]float64{},
-		Tick: b.Tick, AnswerSlack: b.Rules.AnswerSlack, DrainGrace: b.Rules.DrainGrace,
-		ColdFrom: b.Rules.ColdFrom, ColdTime: b.Rules.Cold,
-		FallFactor: b.Rules.OverloadFactor, FallTime: b.Rules.OverloadFor,
-		ParentColdFrom: fam.ParentFrom, ParentColdTime: fam.ParentCold, ParentFall: fam.UpperFall,
-		OriginFall: fam.OriginLimit, PurgeTakes: fam.PurgeTakes, PurgeSlack: fam.PurgeSlack,
-		Direct: fam.PassThrough, Joins: fam.Joins, FlowKBPerMs: fam.StreamKB / 1000,
-		SizesCompare: b.WeightKind == "nominal" || b.WeightKind == "rough",
-		MaxAttempts:  b.Limits.MaxAttempts, MaxHeld: b.Limits.MostHeld,
-		SecondCopies: b.Limits.SecondCopies, Cancels: b.Limits.Cancel, Probes: b.Limits.Probing,
-		OnRequest: b.Discovery == "on_request", AskWithin: b.Rules.MustAskIn,
-		Feedback: b.Feedback.Names,
+		RouterIndex: b.Me, Routers: b.Instances, Zone: b.Zone, Zones: b.Localities,
+		RoutersByZone: fam.Seats, HubOfZone: fam.HomeHub, LinkCapacity: map[string]float64{},
+		TimerResolution: b.Tick, AnswerSlack: b.Rules.AnswerSlack, DrainGrace: b.Rules.DrainGrace,
+		WarmUpInitialShare: b.Rules.ColdFrom, WarmUpTime: b.Rules.Cold,
+		OverloadFactor: b.Rules.OverloadFactor, OverloadTime: b.Rules.OverloadFor,
+		ParentWarmUpInitialShare: fam.ParentFrom, ParentWarmUpTime: fam.ParentCold, ParentOverloadFactor: fam.UpperFall,
+		OriginOverloadFactor: fam.OriginLimit, PurgeTime: fam.PurgeTakes, PurgeSlack: fam.PurgeSlack,
+		DirectAttempts: fam.PassThrough, JoinFills: fam.Joins, FlowKBPerMs: fam.StreamKB / 1000,
+		SizeIsCapacity: b.WeightKind == "nominal" || b.WeightKind == "rough",
+		MaxAttempts:    b.Limits.MaxAttempts, MaxRequests: b.Limits.MostHeld,
+		HedgedRequests: b.Limits.SecondCopies, CanCancel: b.Limits.Cancel, CanProbe: b.Limits.Probing,
+		WatchRequired: b.Discovery == "on_request", PollInterval: b.Rules.MustAskIn,
+		LoadMetrics: b.Feedback.Names,
 	}
 	if b.Limits.RetryAfter {
 		s.MaxRetryAfter = b.Limits.MaxRetryAfter
@@ -155,24 +155,24 @@
 		s.OriginKind = at(b.Kinds, *fam.MasterKind)
 	}
 	for i, z := range b.Localities {
-		s.LinkIn[z] = at(fam.LinkIn, i) / 1000
+		s.LinkCapacity[z] = at(fam.LinkIn, i) / 1000
 	}
 	var err error
-	if s.Siblings, err = pick(scopes, fam.Neighbours, "neighbours"); err != nil {
+	if s.SiblingScope, err = pick(scopes, fam.Neighbours, "neighbours"); err != nil {
 		return s, err
 	}
 	if s.Detail, err = pick(details, fam.Detail, "detail"); err != nil {
 		return s, err
 	}
 	for i, c := range b.Classes {
-		k := spool.Class{Name: c.Name, Aim: c.Aim, AimStretch: c.AimStretch, Deadline: c.GiveUp,
-			Worth: c.Gain, LateWorth: c.LateWorth, Window: c.Window, Streamed: c.Stream,
+		k := spool.Class{Name: c.Name, LatencyObjective: c.Aim, ObjectivePerSendTime: c.AimStretch, Deadline: c.GiveUp,
+			PriorityWeight: c.Gain, LateWeightShare: c.LateWorth, KeyWindow: c.Window, Streamed: c.Stream,
 			InParts: at(fam.InParts, i), Write: at(fam.ClassWrite, i),
-			Fresh: at(fam.Lifetime, i), Grace: at(fam.OlderBy, i), StaleWorth: at(fam.StaleEarns, i)}
-		if k.Effect, err = pick(effects, c.Idempotency, "idempotency"); err != nil {
+			Fresh: at(fam.Lifetime, i), Grace: at(fam.OlderBy, i), StaleWeightShare: at(fam.StaleEarns, i)}
+		if k.Idempotency, err = pick(effects, c.Idempotency, "idempotency"); err != nil {
 			return s, fmt.Errorf("class %.40q: %w", c.Name, err)
 		}
-		if k.Group, err = pick(scopes, c.Group, "group"); err != nil {
+		if k.KeyScope, err = pick(scopes, c.Group, "group"); err != nil {
 			return s, fmt.Errorf("class %.40q: %w", c.Name, err)
 		}
 		s.Classes = append(s.Classes, k)
--- a/internal/protocol/simwire/wire.go
+++ b/internal/protocol/simwire/wire.go
@@ -90,9 +90,9 @@
 }
 
 var results = map[string]spool.Result{
-	"ok": spool.OK, "error": spool.Errored, "full": spool.Full, "timeout": spool.TimedOut,
+	"ok": spool.OK, "error": spool.Errored, "full": spool.Rejected, "timeout": spool.TimedOut,
 	"connect_failed": spool.ConnectFailed, "reset": spool.Reset, "cancelled": spool.Cancelled,
-	"moot": spool.Moot, "miss": spool.Miss,
+	"moot": spool.NotSent, "miss": spool.Miss,
 }
 
 var states = map[string]spool.State{
@@ -100,12 +100,12 @@
 }
 
 var scopes = map[string]spool.Scope{
-	"": spool.Nowhere, "off": spool.Nowhere, "cell": spool.Cell, "zone": spool.Location,
-	"location": spool.Location, "all": spool.Everywhere, "any": spool.Everywhere,
+	"": spool.ScopeNone, "off": spool.ScopeNone, "cell": spool.ScopeCell, "zone": spool.ScopeZone,
+	"location": spool.ScopeZone, "all": spool.ScopeAll, "any": spool.ScopeAll,
 }
 
-var effects = map[string]spool.Effect{
-	"": spool.Free, "free": spool.Free, "guarded": spool.Guarded, "single_shot": spool.SingleShot,
+var effects = map[string]spool.Idempotency{
+	"": spool.Idempotent, "free": spool.Idempotent, "guarded": spool.IdempotentByKey, "single_shot": spool.NonIdempotent,
 }
 
 var details = map[string]spool.Detail{
--- a/internal/protocol/thriftrpc/request.go
+++ b/internal/protocol/thriftrpc/request.go
@@ -91,9 +91,9 @@
 		return "class", "a class of the settings"
 	case !isHex(r.Key, idDigits):
 		return "key", "16 hex digits"
-	case class.Effect == spool.Guarded && !isHex(r.IdempotencyKey, idempotencyKeyDigits):
+	case class.Idempotency == spool.IdempotentByKey && !isHex(r.IdempotencyKey, idempotencyKeyDigits):
 		return "once", "32 hex digits, for a class with idempotency keys"
-	case class.Effect != spool.Guarded && r.IdempotencyKey != "":
+	case class.Idempotency != spool.IdempotentByKey && r.IdempotencyKey != "":
 		return "once", "nothing, for a class without idempotency keys"
 	case retry != "" && retry != "1":
 		return "retry", "1 or nothing"
--- a/internal/protocol/thriftrpc/request_test.go
+++ b/internal/protocol/thriftrpc/request_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestRequestBounds(t *testing.T) {
-	classes := map[string]*spool.Class{"r": {Deadline: 1000}, "w": {Deadline: 1000, Effect: spool.Guarded, Write: true}}
+	classes := map[string]*spool.Class{"r": {Deadline: 1000}, "w": {Deadline: 1000, Idempotency: spool.IdempotentByKey, Write: true}}
 	ask := func(class, wait, slice, set, once string, body int) error {
 		call := Call{Fields: map[string]string{"id": "9b1f03aa5c7e2d41", "key": "9b1f03aa5c7e2d41", "class": class, "wait": wait,
 			"slice": slice, "set": set, "once": once}, Body: make([]byte, body)}
--- a/internal/proxy/engine/core.go
+++ b/internal/proxy/engine/core.go
@@ -75,7 +75,7 @@
 		return dst, err
 	}
 	c.module = m
-	return c.Handle(now, spool.Resettled{Settings: m}, dst), nil
+	return c.Handle(now, spool.SettingsChanged{Settings: m}, dst), nil
 }
 
 func compileAll(s *config.Settings) (list []route, err error) {
@@ -106,16 +106,16 @@
 	}
 	c.Settings, c.module, c.routes = s, m, routes
 	n := len(dst)
-	dst = c.router.Handle(now, spool.Resettled{Settings: m}, dst)
+	dst = c.router.Handle(now, spool.SettingsChanged{Settings: m}, dst)
 	if c.Recorder != nil {
 		c.Recorder.Resettled(now, s, dst[n:])
 	}
 	return dst, nil
 }
 
-var effects = map[string]spool.Effect{"free": spool.Free, "guarded": spool.Guarded, "single-shot": spool.SingleShot}
-var scopes = map[string]spool.Scope{"nowhere": spool.Nowhere, "off": spool.Nowhere, "cell": spool.Cell,
-	"zone": spool.Location, "location": spool.Location, "all": spool.Everywhere, "any": spool.Everywhere}
+var effects = map[string]spool.Idempotency{"free": spool.Idempotent, "guarded": spool.IdempotentByKey, "single-shot": spool.NonIdempotent}
+var scopes = map[string]spool.Scope{"nowhere": spool.ScopeNone, "off": spool.ScopeNone, "cell": spool.ScopeCell,
+	"zone": spool.ScopeZone, "location": spool.ScopeZone, "all": spool.ScopeAll, "any": spool.ScopeAll}
 var details = map[string]spool.Detail{"off": spool.DetailOff, "hit": spool.DetailHit, "all": spool.DetailAll}
 var states = map[string]spool.State{"serving": spool.Serving, "draining": spool.Draining, "removed": spool.Removed}
 
@@ -124,24 +124,24 @@
 // first byte makes the attempt the client's.
 func Module(s *config.Settings) (spool.Settings, error) {
 	m := spool.Settings{
-		Me: s.Router.Me, Routers: s.Router.Of, Zone: s.Router.Zone, LinkIn: map[string]float64{},
+		RouterIndex: s.Router.Me, Routers: s.Router.Of, Zone: s.Router.Zone, LinkCapacity: map[string]float64{},
 		ParentKind: s.Fill.ParentKind, OriginKind: s.Fill.OriginKind,
-		Tick: s.Limits.TimerGrain, AnswerSlack: s.Limits.AnswerSlack, DrainGrace: s.Rules.DrainGrace,
-		ColdFrom: s.Rules.ColdFrom, ColdTime: s.Rules.ColdTime,
-		FallFactor: s.Rules.FallFactor, FallTime: s.Rules.FallTime,
-		ParentColdFrom: s.Rules.ParentColdFrom, ParentColdTime: s.Rules.ParentColdTime, ParentFall: s.Rules.ParentFall,
-		PurgeTakes: s.Rules.PurgeTakes, PurgeSlack: s.Rules.PurgeSlack,
-		Direct: s.Fill.Direct, Joins: s.Fill.Joins, Siblings: scopes[s.Fill.Siblings], Detail: details[s.Fill.Detail],
-		FlowKBPerMs: s.Fill.FlowKB, SizesCompare: s.Fill.Sizes,
-		MaxAttempts: s.Limits.Attempts, MaxHeld: s.Limits.Held, MaxRetryAfter: s.Limits.RetryAfter,
-		SecondCopies: s.Limits.SecondCopies, Cancels: !s.Limits.NoCancel, Feedback: s.Fill.Feedback,
+		TimerResolution: s.Limits.TimerGrain, AnswerSlack: s.Limits.AnswerSlack, DrainGrace: s.Rules.DrainGrace,
+		WarmUpInitialShare: s.Rules.ColdFrom, WarmUpTime: s.Rules.ColdTime,
+		OverloadFactor: s.Rules.FallFactor, OverloadTime: s.Rules.FallTime,
+		ParentWarmUpInitialShare: s.Rules.ParentColdFrom, ParentWarmUpTime: s.Rules.ParentColdTime, ParentOverloadFactor: s.Rules.ParentFall,
+		PurgeTime: s.Rules.PurgeTakes, PurgeSlack: s.Rules.PurgeSlack,
+		DirectAttempts: s.Fill.Direct, JoinFills: s.Fill.Joins, SiblingScope: scopes[s.Fill.Siblings], Detail: details[s.Fill.Detail],
+		FlowKBPerMs: s.Fill.FlowKB, SizeIsCapacity: s.Fill.Sizes,
+		MaxAttempts: s.Limits.Attempts, MaxRequests: s.Limits.Held, MaxRetryAfter: s.Limits.RetryAfter,
+		HedgedRequests: s.Limits.SecondCopies, CanCancel: !s.Limits.NoCancel, LoadMetrics: s.Fill.Feedback,
 	}
 	place := map[string]int{}
 	for i, z := range s.Zones {
 		place[z.Name] = i
 		m.Zones = append(m.Zones, z.Name)
 		m.RoutersByZone = append(m.RoutersByZone, z.Routers)
-		m.LinkIn[z.Name] = z.LinkIn
+		m.LinkCapacity[z.Name] = z.LinkIn
 	}
 	for _, z := range s.Zones {
 		hub := place[z.Name]
@@ -151,10 +151,10 @@
 		m.HubOfZone = append(m.HubOfZone, hub)
 	}
 	for _, k := range s.Classes {
-		m.Classes = append(m.Classes, spool.Class{Name: k.Name, Aim: k.Aim, AimStretch: k.AimStretch,
-			Deadline: k.Deadline, Worth: k.Worth, LateWorth: k.LateWorth, Effect: effects[k.Effect],
-			Group: scopes[k.Group], Window: k.Window, Streamed: true, InParts: k.Parts, Write: k.Write,
-			Fresh: k.Fresh, Grace: k.Grace, StaleWorth: k.StaleWorth})
+		m.Classes = append(m.Classes, spool.Class{Name: k.Name, LatencyObjective: k.Aim, ObjectivePerSendTime: k.AimStretch,
+			Deadline: k.Deadline, PriorityWeight: k.Worth, LateWeightShare: k.LateWorth, Idempotency: effects[k.Effect],
+			KeyScope: scopes[k.Group], KeyWindow: k.Window, Streamed: true, InParts: k.Parts, Write: k.Write,
+			Fresh: k.Fresh, Grace: k.Grace, StaleWeightShare: k.StaleWorth})
 	}
 	return m, nil
 }
@@ -172,13 +172,13 @@
 
 // Explain has f hear of what each choice of the module looks at, while it is made;
 // nil ends that.
-func (c *Core) Explain(f func(spool.Look)) { c.router.Explain(f) }
+func (c *Core) Explain(f func(spool.Candidate)) { c.router.Explain(f) }
 
 // Ranges are the caches' ranges of part indices.
 func (c *Core) Ranges() []spool.Range { return c.router.Ranges() }
 
 // Beliefs is what the module holds of each member, and of the location's link.
-func (c *Core) Beliefs() (map[string]spool.Belief, spool.Belief) { return c.router.Beliefs() }
+func (c *Core) Beliefs() (map[string]spool.Status, spool.Status) { return c.router.Statuses() }
 
 // Address is where a member is reached; empty when it was never listed with one.
 func (c *Core) Address(id string) string {
@@ -289,7 +289,7 @@
 func (c *Core) Guarded(class string) bool {
 	for i := range c.module.Classes {
 		if c.module.Classes[i].Name == class {
-			return c.module.Classes[i].Effect == spool.Guarded
+			return c.module.Classes[i].Idempotency == spool.IdempotentByKey
 		}
 	}
 	return false
--- a/internal/proxy/httpfront/edge.go
+++ b/internal/proxy/httpfront/edge.go
@@ -592,7 +592,7 @@
 	}
 	for _, t := range back {
 		t.abandon()
-		t.end(spool.Moot, spool.NoteNone, false)
+		t.end(spool.NotSent, spool.NoteNone, false)
 	}
 }
 
--- a/internal/proxy/httpfront/log.go
+++ b/internal/proxy/httpfront/log.go
@@ -58,8 +58,8 @@
 	return "limit"
 }
 
-var resultWords = [...]string{spool.OK: "ok", spool.Errored: "error", spool.Full: "full", spool.TimedOut: "timeout",
-	spool.ConnectFailed: "connect-failed", spool.Reset: "reset", spool.Cancelled: "cancelled", spool.Moot: "moot",
+var resultWords = [...]string{spool.OK: "ok", spool.Errored: "error", spool.Rejected: "full", spool.TimedOut: "timeout",
+	spool.ConnectFailed: "connect-failed", spool.Reset: "reset", spool.Cancelled: "cancelled", spool.NotSent: "moot",
 	spool.Miss: "miss", spool.LocalFailure: "not-begun"}
 
 // AccessLog writes one line a request, and the router's own messages, from a
--- a/internal/proxy/httpfront/upstream.go
+++ b/internal/proxy/httpfront/upstream.go
@@ -45,7 +45,7 @@
 		e.guard.adm.ObserveQueueing((e.l.Now() - r.asked) / (r.q.Deadline - r.asked))
 	}
 	if r.phase != asked {
-		t.end(spool.Moot, spool.NoteNone, false)
+		t.end(spool.NotSent, spool.NoteNone, false)
 		return
 	}
 	address := e.core.Address(a.Cache)
@@ -70,7 +70,7 @@
 	switch {
 	case t.u == nil: // it waited for a connection: nothing has run
 		t.abandon()
-		t.end(spool.Full, spool.NoteNoPlace, false)
+		t.end(spool.Rejected, spool.NoteNoCapacity, false)
 		return
 	case !t.written && t.u.state == upConnecting:
 		result = spool.ConnectFailed
@@ -552,7 +552,7 @@
 	for _, t := range line {
 		if t != nil { // nothing was run for it that matters: only GETs follow
 			t.u = nil
-			t.end(spool.Moot, spool.NoteNone, false)
+			t.end(spool.NotSent, spool.NoteNone, false)
 		}
 	}
 	p.next()
@@ -713,7 +713,7 @@
 		return
 	}
 	if result == spool.OK { // another attempt was first, or the client has its answer
-		result = spool.Moot
+		result = spool.NotSent
 		if t.written {
 			result = spool.Cancelled
 		}
--- a/internal/proxy/platform/answer.go
+++ b/internal/proxy/platform/answer.go
@@ -19,11 +19,11 @@
 	case "NONE":
 		return spool.Miss, true
 	case "SHED":
-		return spool.Full, true
+		return spool.Rejected, true
 	case "FAULT":
 		return spool.Errored, true
 	case "LATE":
-		return spool.Moot, true
+		return spool.NotSent, true
 	}
 	return 0, false
 }
@@ -45,13 +45,13 @@
 	case "past_fresh":
 		return spool.NoteStale
 	case "up_refused":
-		return spool.NoteSourceRefused
+		return spool.NoteSourceRejected
 	case "up_lost":
-		return spool.NoteSourceUnreached
+		return spool.NoteSourceUnreachable
 	case "up_empty":
-		return spool.NoteSourceLacks
+		return spool.NoteSourceMiss
 	case "fills_full":
-		return spool.NoteNoPlace
+		return spool.NoteNoCapacity
 	case "root_failed":
 		return spool.NoteOriginFailed
 	}
@@ -163,7 +163,7 @@
 	result, known := resultOf(answer.Word)
 	fields, readable := parseAnswerFields(answer.Fields)
 	notModified := string(answer.Word) == wordNotModified
-	if result == spool.Errored || result == spool.Moot {
+	if result == spool.Errored || result == spool.NotSent {
 		server.log.Debug("answer without an object", zap.String("member", c.pool.id), zap.ByteString("word", answer.Word),
 			zap.ByteString("fields", answer.Fields), zap.Any("request", req.Request), zap.Any("send", attempt.decision))
 	}
--- a/internal/proxy/platform/answer_test.go
+++ b/internal/proxy/platform/answer_test.go
@@ -11,7 +11,7 @@
 // meaning to the router, and unknown ones have none.
 func TestWordsOfAnswers(t *testing.T) {
 	for word, want := range map[string]spool.Result{"HIT": spool.OK, "VALID": spool.OK, "NONE": spool.Miss,
-		"SHED": spool.Full, "FAULT": spool.Errored, "LATE": spool.Moot} {
+		"SHED": spool.Rejected, "FAULT": spool.Errored, "LATE": spool.NotSent} {
 		if got, known := resultOf([]byte(word)); got != want || !known {
 			t.Errorf("%s: result %d, known %v; want %d", word, got, known, want)
 		}
@@ -23,8 +23,8 @@
 	}
 	for how, want := range map[string]spool.Note{"cached": spool.NoteHit, "fetched": spool.NoteFilled,
 		"fetched_root": spool.NoteFilledByOrigin, "merged": spool.NoteJoined, "past_fresh": spool.NoteStale,
-		"up_refused": spool.NoteSourceRefused, "up_lost": spool.NoteSourceUnreached, "up_empty": spool.NoteSourceLacks,
-		"fills_full": spool.NoteNoPlace, "root_failed": spool.NoteOriginFailed, "": spool.NoteNone, "other": spool.NoteNone} {
+		"up_refused": spool.NoteSourceRejected, "up_lost": spool.NoteSourceUnreachable, "up_empty": spool.NoteSourceMiss,
+		"fills_full": spool.NoteNoCapacity, "root_failed": spool.NoteOriginFailed, "": spool.NoteNone, "other": spool.NoteNone} {
 		if got := noteOf([]byte(how)); got != want {
 			t.Errorf("%q: note %d, want %d", how, got, want)
 		}
--- a/internal/proxy/platform/attempt.go
+++ b/internal/proxy/platform/attempt.go
@@ -49,7 +49,7 @@
 		attempt.startBy = now + decision.Within
 	}
 	if attempt.deadline-now < minTimeLeft || attempt.mustNotStart() {
-		attempt.finish(spool.Moot, spool.NoteNone, 0)
+		attempt.finish(spool.NotSent, spool.NoteNone, 0)
 		return
 	}
 	attempt.timer.F = func() { attempt.abandon(spool.TimedOut) }
@@ -112,7 +112,7 @@
 	}
 	for _, a := range unwritten {
 		a.detach()
-		a.finish(spool.Moot, spool.NoteNone, 0)
+		a.finish(spool.NotSent, spool.NoteNone, 0)
 	}
 }
 
--- a/internal/proxy/platform/client_test.go
+++ b/internal/proxy/platform/client_test.go
@@ -310,8 +310,8 @@
 		return none
 	})
 	harness.server.loop.Call(waitLimit, func() {
-		if s := harness.server.counts; s.Attempts-s.Outcomes[spool.Moot] > 32+s.Outcomes[spool.Miss] {
-			t.Errorf("%d attempts, %d of them not sent, for 32 requests", s.Attempts, s.Outcomes[spool.Moot])
+		if s := harness.server.counts; s.Attempts-s.Outcomes[spool.NotSent] > 32+s.Outcomes[spool.Miss] {
+			t.Errorf("%d attempts, %d of them not sent, for 32 requests", s.Attempts, s.Outcomes[spool.NotSent])
 		}
 	})
 }
--- a/internal/proxy/platform/config.go
+++ b/internal/proxy/platform/config.go
@@ -94,10 +94,10 @@
 			fault = "idempotency is missing: free, guarded or single_shot"
 		case class.Deadline <= 0:
 			fault = fmt.Sprintf("give_up is %v; it has to be above 0", class.Deadline)
-		case class.Aim < 0 || class.Worth < 0 || class.LateWorth < 0:
+		case class.LatencyObjective < 0 || class.PriorityWeight < 0 || class.LateWeightShare < 0:
 			fault = "aim, gain or late_worth is negative"
-		case class.Effect == spool.Guarded && class.Window <= 0:
-			fault = fmt.Sprintf("window is %v; a guarded class needs one above 0", class.Window)
+		case class.Idempotency == spool.IdempotentByKey && class.KeyWindow <= 0:
+			fault = fmt.Sprintf("window is %v; a guarded class needs one above 0", class.KeyWindow)
 		default:
 			continue
 		}
--- a/internal/proxy/platform/connection.go
+++ b/internal/proxy/platform/connection.go
@@ -96,7 +96,7 @@
 		}
 		c.queued = slices.Delete(c.queued, 0, 1)
 		if next.mustNotStart() {
-			next.finish(spool.Moot, spool.NoteNone, 0)
+			next.finish(spool.NotSent, spool.NoteNone, 0)
 			continue
 		}
 		c.encode(next)
--- a/internal/proxy/platform/counts.go
+++ b/internal/proxy/platform/counts.go
@@ -36,13 +36,13 @@
 // (in ms) until the server stops: what the router has recorded for each member that has
 // something, beside the attempts in flight on the sockets. docs/operating.md names the keys.
 func (s *Server) LogCounts(interval float64) {
-	s.engine.Explain(func(look spool.Look) { s.counts.PassedOver[look.Why]++ })
+	s.engine.Explain(func(look spool.Candidate) { s.counts.PassedOver[look.Reason]++ })
 	s.loop.Ticker(interval, s.logCounts)
 }
 
 // memberCounts is one member in the line of counts.
 type memberCounts struct {
-	spool.Belief
+	spool.Status
 	Out int `json:"out"` // attempts in flight
 }
 
@@ -53,8 +53,8 @@
 	for id, belief := range members {
 		if pool := s.pools[id]; pool != nil {
 			logged[id] = memberCounts{belief, pool.inFlight}
-		} else if belief.Suspect || belief.Held > 0 {
-			logged[id] = memberCounts{Belief: belief}
+		} else if belief.Ejected || belief.InFlight > 0 {
+			logged[id] = memberCounts{Status: belief}
 		}
 	}
 	s.log.Info("second",
--- a/internal/proxy/platform/deadline_test.go
+++ b/internal/proxy/platform/deadline_test.go
@@ -128,7 +128,7 @@
 	harness.server.loop.Call(waitLimit, func() {
 		members, _ := harness.server.engine.Beliefs()
 		for id, b := range members {
-			if b.Suspect || b.Held != 0 {
+			if b.Ejected || b.InFlight != 0 {
 				t.Errorf("%s is held for suspect, or for busy: %+v", id, b)
 			}
 		}
--- a/internal/proxy/platform/harness_test.go
+++ b/internal/proxy/platform/harness_test.go
@@ -363,7 +363,7 @@
 	out := map[string]float64{}
 	members, _ := server.engine.Beliefs()
 	for id, b := range members {
-		out[id] = b.Held
+		out[id] = b.InFlight
 	}
 	return out
 }
--- a/internal/proxy/platform/member_test.go
+++ b/internal/proxy/platform/member_test.go
@@ -234,12 +234,12 @@
 			held, out := 0.0, 0
 			members, link := harness.server.engine.Beliefs()
 			for id, b := range members {
-				held += b.Held
-				if p := harness.server.pools[id]; p != nil && float64(p.inFlight) != b.Held || p == nil && b.Held != 0 {
-					t.Errorf("%s: the module holds %v", id, b.Held)
+				held += b.InFlight
+				if p := harness.server.pools[id]; p != nil && float64(p.inFlight) != b.InFlight || p == nil && b.InFlight != 0 {
+					t.Errorf("%s: the module holds %v", id, b.InFlight)
 				}
 			}
-			held += link.Held
+			held += link.InFlight
 			for _, p := range harness.server.pools {
 				out += p.inFlight
 			}
@@ -263,10 +263,10 @@
 		}
 	}
 	harness.server.loop.Call(waitLimit, func() {
-		if members, _ := harness.server.engine.Beliefs(); !members["s-000000c1"].Suspect {
+		if members, _ := harness.server.engine.Beliefs(); !members["s-000000c1"].Ejected {
 			t.Errorf("a cache that refuses connections is no suspect: %+v", members["s-000000c1"])
 		}
-		if n := harness.server.counts.Outcomes[spool.Moot]; n > 0 {
+		if n := harness.server.counts.Outcomes[spool.NotSent]; n > 0 {
 			t.Errorf("%d attempts are said to have been moot", n)
 		}
 	})
--- a/internal/testbed/differential/bench.go
+++ b/internal/testbed/differential/bench.go
@@ -46,19 +46,19 @@
 	var fresh, grace, stale []float64
 	var parts, writes []bool
 	for _, c := range s.Classes {
-		group := scopeWords[c.Group]
+		group := scopeWords[c.KeyScope]
 		if group == "any" {
 			group = "all"
 		}
-		classes = append(classes, obj{"name": c.Name, "aim": c.Aim, "aim_stretch": c.AimStretch, "gain": c.Worth, "give_up": c.Deadline,
-			"group": group, "idempotency": []string{"free", "guarded", "single_shot"}[c.Effect], "late_worth": c.LateWorth, "stream": c.Streamed, "window": c.Window})
-		fresh, grace, stale = append(fresh, c.Fresh), append(grace, c.Grace), append(stale, c.StaleWorth)
+		classes = append(classes, obj{"name": c.Name, "aim": c.LatencyObjective, "aim_stretch": c.ObjectivePerSendTime, "gain": c.PriorityWeight, "give_up": c.Deadline,
+			"group": group, "idempotency": []string{"free", "guarded", "single_shot"}[c.Idempotency], "late_worth": c.LateWeightShare, "stream": c.Streamed, "window": c.KeyWindow})
+		fresh, grace, stale = append(fresh, c.Fresh), append(grace, c.Grace), append(stale, c.StaleWeightShare)
 		parts, writes = append(parts, c.InParts), append(writes, c.Write)
 	}
 	family := obj{"lifetime_by_class": fresh, "older_by": grace, "in_parts": parts, "stale_earns": stale, "class_write": writes,
-		"pass_through_ok": s.Direct, "stream_kb_per_s": thousandth(s.FlowKBPerMs), "joins": s.Joins, "origin_limit_factor": s.OriginFall,
-		"parent_starts_at": s.ParentColdFrom, "parent_cold": s.ParentColdTime, "upper_fall_multiple": s.ParentFall,
-		"purge_takes": s.PurgeTakes, "purge_slack": s.PurgeSlack, "neighbours": scopeWords[s.Siblings],
+		"pass_through_ok": s.DirectAttempts, "stream_kb_per_s": thousandth(s.FlowKBPerMs), "joins": s.JoinFills, "origin_limit_factor": s.OriginOverloadFactor,
+		"parent_starts_at": s.ParentWarmUpInitialShare, "parent_cold": s.ParentWarmUpTime, "upper_fall_multiple": s.ParentOverloadFactor,
+		"purge_takes": s.PurgeTime, "purge_slack": s.PurgeSlack, "neighbours": scopeWords[s.SiblingScope],
 		"detail": []string{"off", "hit", "all"}[s.Detail], "seats_by_zone": s.RoutersByZone, "home_hub": s.HubOfZone}
 	kinds := []string{}
 	for _, k := range []struct{ key, kind string }{{"upper_kind", s.ParentKind}, {"master_kind", s.OriginKind}} {
@@ -69,28 +69,28 @@
 	}
 	var links []float64
 	for _, z := range s.Zones {
-		links = append(links, thousandth(s.LinkIn[z]))
+		links = append(links, thousandth(s.LinkCapacity[z]))
 	}
 	family["link_in_kb_per_s"] = links
 	discovery := "pushed"
-	if s.OnRequest {
+	if s.WatchRequired {
 		discovery = "on_request"
 	}
 	weights := "plain"
-	if s.SizesCompare {
+	if s.SizeIsCapacity {
 		weights = "nominal"
 	}
 	return b.line(clock, inst, "BORN", obj{"init_seed": seed, "boot_info": obj{"classes": classes, "discovery": discovery,
-		"family_info": family, "feedback": obj{"names": s.Feedback}, "kinds": kinds, "limits": obj{"cancel": s.Cancels,
-			"max_attempts": s.MaxAttempts, "max_retry_after": s.MaxRetryAfter, "most_held": s.MaxHeld, "probing": s.Probes,
-			"retry_after": s.MaxRetryAfter > 0, "second_copies": s.SecondCopies}, "localities": s.Zones, "me": s.Me, "n_instances": s.Routers,
-		"rules": obj{"answer_slack": s.AnswerSlack, "cold": s.ColdTime, "cold_from": s.ColdFrom, "drain_grace": s.DrainGrace,
-			"must_ask_in": s.AskWithin, "overload_factor": s.FallFactor, "overload_for": s.FallTime},
-		"tick": s.Tick, "weight_kind": weights, "zone": s.Zone}})
+		"family_info": family, "feedback": obj{"names": s.LoadMetrics}, "kinds": kinds, "limits": obj{"cancel": s.CanCancel,
+			"max_attempts": s.MaxAttempts, "max_retry_after": s.MaxRetryAfter, "most_held": s.MaxRequests, "probing": s.CanProbe,
+			"retry_after": s.MaxRetryAfter > 0, "second_copies": s.HedgedRequests}, "localities": s.Zones, "me": s.RouterIndex, "n_instances": s.Routers,
+		"rules": obj{"answer_slack": s.AnswerSlack, "cold": s.WarmUpTime, "cold_from": s.WarmUpInitialShare, "drain_grace": s.DrainGrace,
+			"must_ask_in": s.PollInterval, "overload_factor": s.OverloadFactor, "overload_for": s.OverloadTime},
+		"tick": s.TimerResolution, "weight_kind": weights, "zone": s.Zone}})
 }
 
-var resultWords = map[spool.Result]string{spool.OK: "ok", spool.Errored: "error", spool.Full: "full", spool.TimedOut: "timeout",
-	spool.ConnectFailed: "connect_failed", spool.Reset: "reset", spool.Cancelled: "cancelled", spool.Moot: "moot", spool.Miss: "miss"}
+var resultWords = map[spool.Result]string{spool.OK: "ok", spool.Errored: "error", spool.Rejected: "full", spool.TimedOut: "timeout",
+	spool.ConnectFailed: "connect_failed", spool.Reset: "reset", spool.Cancelled: "cancelled", spool.NotSent: "moot", spool.Miss: "miss"}
 
 // tell writes an event.
 func (b *bench) tell(clock float64, inst int, ev spool.Event) error {
--- a/internal/testbed/differential/drift.go
+++ b/internal/testbed/differential/drift.go
@@ -373,7 +373,7 @@
 func (r *Report) taken(id string, n int, s *spool.Send, looks []explain.Look) {
 	cache, source := "", ""
 	for _, l := range looks {
-		if l.Why == explain.Word(spool.Taken) {
+		if l.Why == explain.Word(spool.ReasonAccepted) {
 			if l.As == "source" {
 				source = l.Member
 			} else {
--- a/outlier.go
+++ b/outlier.go
@@ -54,7 +54,7 @@
 		r.attributeSuccess(request, attempt, outcome)
 	case Miss:
 		r.attributeMiss(request, attempt)
-	case Full:
+	case Rejected:
 		r.attributeRejection(attempt, outcome.Note)
 	case Errored:
 		r.attributeError(request, attempt)
@@ -94,16 +94,16 @@
 // attributeRejection records who was short of capacity.
 func (r *Router) attributeRejection(attempt *attempt, note Note) {
 	switch {
-	case note == NoteSourceRefused && attempt.source.role == origin, note == NoteSourceLacks:
+	case note == NoteSourceRejected && attempt.source.role == origin, note == NoteSourceMiss:
 		attempt.blamed = attempt.source // it protects itself: no fault
 	case note == NoteOriginFailed:
 		attempt.blamed = attempt.source
 		for _, member := range r.byRole[origin] {
 			r.recordFault(member, likelyFault)
 		}
-	case note == NoteSourceRefused, note == NoteSourceUnreached:
+	case note == NoteSourceRejected, note == NoteSourceUnreachable:
 		r.recordFaultOf(attempt, attempt.source, fault)
-	case note == NoteNoPlace, r.settings.Detail == DetailAll:
+	case note == NoteNoCapacity, r.settings.Detail == DetailAll:
 		r.recordFaultOf(attempt, attempt.target, overloadFault)
 	default:
 		r.splitFault(attempt, likelyFault)
@@ -295,7 +295,7 @@
 // cancelUnresponsive cancels the attempts of a request that wait on an ejected or
 // unavailable member, so that they can be retried elsewhere while time is left.
 func (r *Router) cancelUnresponsive(request *request) {
-	if !r.settings.Cancels || request.class.Effect != Free || !r.mayRetry(request) {
+	if !r.settings.CanCancel || request.class.Idempotency != Idempotent || !r.mayRetry(request) {
 		return
 	}
 	for i := range request.attempts {
--- a/outlier_test.go
+++ b/outlier_test.go
@@ -146,7 +146,7 @@
 // TestSilenceEndsWithProgress: a cache ejected for silence alone returns with the first answer.
 func TestSilenceEndsWithProgress(t *testing.T) {
 	settings := testSettings()
-	settings.Cancels = false
+	settings.CanCancel = false
 	rig := newRig(t, settings, baseRows()...)
 	q, actions := rig.request("video", "o1", 0)
 	first := rig.onlySend(actions)
--- a/placement.go
+++ b/placement.go
@@ -29,7 +29,7 @@
 		return request.fillTarget, sibling
 	}
 	if !r.link.available(r.now) {
-		r.traceLook(request, nil, true, 0, LinkFull)
+		r.traceLook(request, nil, true, 0, ReasonLinkAtLimit)
 		return r.chooseStaleCopy(request)
 	}
 	return r.chooseFill(request)
@@ -68,7 +68,7 @@
 		return nil, nil
 	case request.fillTarget != nil:
 		return request.fillTarget, source
-	case !r.settings.Direct || !request.mayRunAt(source):
+	case !r.settings.DirectAttempts || !request.mayRunAt(source):
 		return nil, nil
 	}
 	behind := r.rendezvousOf(origin, request)
@@ -86,7 +86,7 @@
 		r.traceLook(request, nil, true, 0, NoMember)
 		return nil, nil
 	}
-	if r.settings.Direct && request.mayRunAt(server) && (!request.failedAt(server) || request.executedBy != nil) {
+	if r.settings.DirectAttempts && request.mayRunAt(server) && (!request.failedAt(server) || request.executedBy != nil) {
 		return server, server
 	}
 	cache := r.pickCache(request)
@@ -103,7 +103,7 @@
 func (r *Router) pickCache(request *request) *member {
 	primary, bound := r.layout.owner(request), r.loadBound()
 	takes := func(member *member, pass int) bool {
-		return r.traceLook(request, member, false, pass, r.cacheReason(member, request, pass, bound)) == Taken
+		return r.traceLook(request, member, false, pass, r.cacheReason(member, request, pass, bound)) == ReasonAccepted
 	}
 	var others *ranking
 	for pass := range 4 {
@@ -127,13 +127,13 @@
 	withinBound, withFailed := pass%2 == 0, pass >= 2
 	switch {
 	case withinBound && member.pendingTime/r.capacity(member) > bound:
-		return OverBound
+		return ReasonOverLoadBound
 	case request.failedAt(member) && (!withFailed || r.now < request.rejectersAfter):
-		return LetDown
+		return ReasonFailedBefore
 	case !request.failedAt(member) && withFailed:
-		return Passed
+		return ReasonAlreadyConsidered
 	case !request.mayRunAt(member):
-		return NotGroup
+		return ReasonOutsideKeyScope
 	}
 	return r.unavailableReason(member, request)
 }
@@ -144,20 +144,20 @@
 func (r *Router) unavailableReason(member *member, request *request) Reason {
 	switch {
 	case member.unavailable:
-		return Out
+		return ReasonUnavailable
 	case member.ejected && !r.mayCheckHealth(member, request):
-		return Suspect
+		return ReasonEjected
 	case member.role == edge && member.atLimit():
-		return GateFull
+		return ReasonAtConcurrencyLimit
 	case r.warmUpShare(member) < 1 && !r.slowStartAllows(member, request):
-		return ColdSpent
+		return ReasonSlowStartExhausted
 	}
-	return Taken
+	return ReasonAccepted
 }
 
 // capacity is a member's capacity as far as it is stated, else 1.
 func (r *Router) capacity(member *member) float64 {
-	if r.settings.SizesCompare && member.Size > 0 {
+	if r.settings.SizeIsCapacity && member.Size > 0 {
 		return member.Size
 	}
 	return 1
--- a/ranking_test.go
+++ b/ranking_test.go
@@ -13,7 +13,7 @@
 // TestRanking: members found one by one stand in the order of a sort of the whole list.
 func TestRanking(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		router := &Router{settings: Settings{SizesCompare: true}}
+		router := &Router{settings: Settings{SizeIsCapacity: true}}
 		var list []*member
 		for i := range rapid.IntRange(0, 60).Draw(t, "members") {
 			member := &member{Member: Member{Size: float64(rapid.IntRange(0, 4).Draw(t, "size"))}, hash: hashString(fmt.Sprint(i))}
--- a/request.go
+++ b/request.go
@@ -115,7 +115,7 @@
 	r.lastTimerToken++
 	request.timerToken = r.lastTimerToken
 	r.deadlineTimers[request.timerToken] = request
-	r.emit(Wake{In: max(request.Deadline-r.now-2*r.settings.Tick, 0), Token: request.timerToken})
+	r.emit(Wake{In: max(request.Deadline-r.now-2*r.settings.TimerResolution, 0), Token: request.timerToken})
 }
 
 // advance makes the next attempt of a request that has none out, queues it, or ends it.
@@ -124,7 +124,7 @@
 func (r *Router) advance(request *request) {
 	request.queued = false
 	if r.exhausted(request) {
-		r.traceLook(request, nil, false, 0, NoBudget)
+		r.traceLook(request, nil, false, 0, ReasonAttemptsExhausted)
 		r.reject(request)
 		return
 	}
@@ -174,10 +174,10 @@
 		Source: attempt.source.ID,
 		Keep:   copyRank,
 		Age:    r.maxCopyAge(request),
-		Join:   r.settings.Joins && attempt.hasSource(),
+		Join:   r.settings.JoinFills && attempt.hasSource(),
 		Held:   attempt.hasSource() && attempt.source.role == edge,
 	}
-	keyed := request.class.Effect == Guarded
+	keyed := request.class.Idempotency == IdempotentByKey
 	if request.isWrite() {
 		send.Keep, send.Join = 0, false
 		if keyed {
@@ -244,7 +244,7 @@
 	if shortage {
 		r.backOffFromShortage(request)
 	}
-	request.rejected = outcome.Result == Full
+	request.rejected = outcome.Result == Rejected
 	if attempt.blamed == attempt.target {
 		request.fillTarget = nil
 		if request.rejected {
@@ -254,7 +254,7 @@
 	r.releaseAttempt(attempt)
 	r.learnFromTransfer(request, attempt, outcome, shortage)
 	attempt.target.checking, attempt.source.checking = false, false
-	if outcome.Result.RanNot() {
+	if outcome.Result.NotExecuted() {
 		request.forgetExecution(attempt)
 	}
 	fill := attempt.fill
@@ -267,13 +267,13 @@
 // showsShortage reports whether an attempt was rejected for a shortage behind all that could
 // be asked instead: at the origin, or at the second source one after the other.
 func (a *attempt) showsShortage(outcome Outcome, rejectedBefore bool) bool {
-	if outcome.Result != Full {
+	if outcome.Result != Rejected {
 		return false
 	}
 	if outcome.Note == NoteOriginFailed || a.target.role == origin {
 		return true
 	}
-	return outcome.Note == NoteSourceRefused && (a.source.role == origin || rejectedBefore)
+	return outcome.Note == NoteSourceRejected && (a.source.role == origin || rejectedBefore)
 }
 
 // learnFromTransfer adjusts the limit of the link that an attempt went over. The wait for a
@@ -323,7 +323,7 @@
 // caches remember that for its window only, and the client may come back at any time.
 func (r *Router) reject(request *request) {
 	r.endRequest(request)
-	if request.executedBy != nil && request.class.Effect != Free {
+	if request.executedBy != nil && request.class.Idempotency != Idempotent {
 		r.emit(Fail{ID: request.ID})
 		return
 	}
@@ -338,7 +338,7 @@
 	request.ended = true
 	for i := range request.attempts {
 		attempt := &request.attempts[i]
-		if attempt.outstanding && !attempt.cancelled && r.settings.Cancels {
+		if attempt.outstanding && !attempt.cancelled && r.settings.CanCancel {
 			r.cancelAttempt(request, i)
 		}
 	}
@@ -368,7 +368,9 @@
 }
 
 // latencyObjective is how long an answer may take and still have its full weight.
-func (q *request) latencyObjective() Millis { return q.class.Aim + q.class.AimStretch*q.sendTime }
+func (q *request) latencyObjective() Millis {
+	return q.class.LatencyObjective + q.class.ObjectivePerSendTime*q.sendTime
+}
 
 // hasOutstanding reports whether an attempt has no outcome yet.
 func (q *request) hasOutstanding() bool {
--- a/request_test.go
+++ b/request_test.go
@@ -80,7 +80,7 @@
 		{"keyed, answers lost", "save", TimedOut, 901, false},
 		{"keyed, connections reset at once", "save", Reset, 1, false},
 		{"keyed, errors", "save", Errored, 1, false},
-		{"keyed, rejected each time", "save", Full, 1, true},
+		{"keyed, rejected each time", "save", Rejected, 1, true},
 		{"keyed, never reached", "save", ConnectFailed, 1, true},
 		{"keyed in a cell, answers lost", "keyed", TimedOut, 901, false},
 		{"not idempotent, answer lost", "once", TimedOut, 901, false},
--- a/retry.go
+++ b/retry.go
@@ -45,7 +45,7 @@
 // retryTokensNeeded is what the retry budget must hold for a retry of a request. The last of it
 // is for the classes of the highest worth: in an overload the many others would spend it all.
 func (r *Router) retryTokensNeeded(request *request) float64 {
-	if request.class.Worth < r.highestWorth {
+	if request.class.PriorityWeight < r.highestWorth {
 		return 1 + retryReserve
 	}
 	return 1
@@ -53,7 +53,7 @@
 
 // deadlineReached reports whether no answer can be in time any more.
 func (r *Router) deadlineReached(request *request) bool {
-	return request.Deadline-r.now <= 2*r.settings.Tick
+	return request.Deadline-r.now <= 2*r.settings.TimerResolution
 }
 
 // mayNotRunAgain reports whether a request may have run, and a retry could run it twice.
@@ -61,10 +61,10 @@
 	if request.executedBy == nil {
 		return false
 	}
-	switch request.class.Effect {
-	case SingleShot:
+	switch request.class.Idempotency {
+	case NonIdempotent:
 		return true
-	case Guarded:
+	case IdempotentByKey:
 		return r.now >= r.keyRememberedUntil(request)
 	}
 	return false
@@ -73,22 +73,22 @@
 // keyRememberedUntil is how long the caches surely know the idempotency key of a request
 // that may have run.
 func (r *Router) keyRememberedUntil(request *request) Millis {
-	return request.executedAt + request.class.Window - 2*r.settings.Tick
+	return request.executedAt + request.class.KeyWindow - 2*r.settings.TimerResolution
 }
 
 // mayRunAt holds a request with an idempotency key that may have run to the group of
 // caches that remember the key.
 func (q *request) mayRunAt(member *member) bool {
-	if q.executedBy == nil || q.class.Effect == Free || member == q.executedBy {
+	if q.executedBy == nil || q.class.Idempotency == Idempotent || member == q.executedBy {
 		return true
 	}
 	sameZone := member.Zone == q.executedBy.Zone
-	switch q.class.Group {
-	case Everywhere:
+	switch q.class.KeyScope {
+	case ScopeAll:
 		return true
-	case Location:
+	case ScopeZone:
 		return sameZone
-	case Cell:
+	case ScopeCell:
 		return sameZone && member.Cell == q.executedBy.Cell
 	}
 	return false
@@ -151,6 +151,6 @@
 // keyedTimeout is the timeout of an attempt with an idempotency key: it leaves time for a
 // retry while the key is remembered.
 func (r *Router) keyedTimeout(request *request) Millis {
-	timeout := min(request.class.Window*timeoutWindowPart, (request.Deadline-r.now)*timeoutDeadlinePart)
+	timeout := min(request.class.KeyWindow*timeoutWindowPart, (request.Deadline-r.now)*timeoutDeadlinePart)
 	return max(timeout, minTimeout)
 }
--- a/retry_test.go
+++ b/retry_test.go
@@ -19,7 +19,7 @@
 		{"once", Reset, 1, 0, true},
 		{"once", TimedOut, 1, 0, true},
 		{"once", ConnectFailed, 1, 1, false},
-		{"once", Full, 1, 1, false},
+		{"once", Rejected, 1, 1, false},
 		{"save", Reset, 1, 1, false},
 		{"save", Reset, 2100, 0, true},
 		{"keyed", Reset, 2100, 0, true},
@@ -55,7 +55,7 @@
 // that has not rejected the request is asked at once.
 func TestBackoffAfterRejection(t *testing.T) {
 	settings := testSettings()
-	settings.Direct = false
+	settings.DirectAttempts = false
 	rig := newRig(t, settings, row("e1", "z1", "box"), row("e2", "z1", "box"), row("p1", "hub", "parent"), row("o1", "hub", "origin"))
 	id, a, n := rig.requestFill("page", "x", 0)
 	turned := map[string]Millis{}
@@ -65,7 +65,7 @@
 	for began := rig.now; rig.now < began+1500 && !ended; {
 		times[a.Cache] = append(times[a.Cache], rig.now-turned[a.Cache])
 		turned[a.Cache] = rig.now
-		for actions = rig.handle(Outcome{ID: id, Attempt: n, Cache: a.Cache, Result: Full, Took: 0.1, Note: NoteNoPlace}); len(sends(actions)) == 0; actions = rig.wait(5) {
+		for actions = rig.handle(Outcome{ID: id, Attempt: n, Cache: a.Cache, Result: Rejected, Took: 0.1, Note: NoteNoCapacity}); len(sends(actions)) == 0; actions = rig.wait(5) {
 			if k, _ := finalAnswers(actions); k > 0 || rig.now >= began+1500 {
 				ended = true
 				break
@@ -113,7 +113,7 @@
 					first = append(first, rig.now-begin)
 				}
 				n, last = n+1, rig.now
-				actions = rig.handle(Outcome{ID: q, Cache: list[0].Cache, Attempt: n - 1, Result: Full, Note: NoteSourceRefused})
+				actions = rig.handle(Outcome{ID: q, Cache: list[0].Cache, Attempt: n - 1, Result: Rejected, Note: NoteSourceRejected})
 			}
 			actions = rig.wait(tickSpan)
 		}
@@ -127,7 +127,7 @@
 	before := rig.router.link.limit
 	for i := range 40 {
 		q, send, n := rig.requestFill("page", fmt.Sprint("s", i), 0)
-		rig.handle(Outcome{ID: q, Cache: send.Cache, Attempt: n, Result: Full, Note: NoteOriginFailed, Took: 5})
+		rig.handle(Outcome{ID: q, Cache: send.Cache, Attempt: n, Result: Rejected, Note: NoteOriginFailed, Took: 5})
 		rig.wait(200)
 		if rig.router.link.limit < before/2 {
 			return
@@ -252,12 +252,12 @@
 		group Scope
 		want  [4]bool // in the order above
 	}{
-		{Nowhere, [4]bool{true, false, false, false}},
-		{Cell, [4]bool{true, true, false, false}},
-		{Location, [4]bool{true, true, true, false}},
-		{Everywhere, [4]bool{true, true, true, true}},
+		{ScopeNone, [4]bool{true, false, false, false}},
+		{ScopeCell, [4]bool{true, true, false, false}},
+		{ScopeZone, [4]bool{true, true, true, false}},
+		{ScopeAll, [4]bool{true, true, true, true}},
 	} {
-		request := &request{class: &class{Class: Class{Effect: Guarded, Group: test.group}}, executedBy: executed}
+		request := &request{class: &class{Class: Class{Idempotency: IdempotentByKey, KeyScope: test.group}}, executedBy: executed}
 		var got [4]bool
 		for i, member := range []*member{executed, sameCell, otherCell, otherZone} {
 			got[i] = request.mayRunAt(member)
--- a/rig_test.go
+++ b/rig_test.go
@@ -15,19 +15,19 @@
 
 func testSettings() Settings {
 	return Settings{
-		Me: 0, Routers: 2, Zone: "z1", Zones: []string{"hub", "z1"}, RoutersByZone: []int{0, 2},
-		ParentKind: "parent", OriginKind: "origin", Tick: 2, AnswerSlack: 8, DrainGrace: 500,
-		ColdFrom: 0.2, ColdTime: 18000, FallFactor: 3, FallTime: 1000,
-		ParentColdFrom: 0.1, ParentColdTime: 20000, ParentFall: 2,
-		PurgeTakes: 6000, PurgeSlack: 300, Direct: true, Detail: DetailAll, FlowKBPerMs: 5,
-		MaxAttempts: 6, MaxRetryAfter: 1000, Cancels: true,
+		RouterIndex: 0, Routers: 2, Zone: "z1", Zones: []string{"hub", "z1"}, RoutersByZone: []int{0, 2},
+		ParentKind: "parent", OriginKind: "origin", TimerResolution: 2, AnswerSlack: 8, DrainGrace: 500,
+		WarmUpInitialShare: 0.2, WarmUpTime: 18000, OverloadFactor: 3, OverloadTime: 1000,
+		ParentWarmUpInitialShare: 0.1, ParentWarmUpTime: 20000, ParentOverloadFactor: 2,
+		PurgeTime: 6000, PurgeSlack: 300, DirectAttempts: true, Detail: DetailAll, FlowKBPerMs: 5,
+		MaxAttempts: 6, MaxRetryAfter: 1000, CanCancel: true,
 		Classes: []Class{
-			{Name: "video", Aim: 400, AimStretch: 2, Deadline: 6000, Worth: 2, InParts: true},
-			{Name: "page", Aim: 250, AimStretch: 2, Deadline: 3000, Worth: 1, Fresh: 8000, Grace: 8000},
-			{Name: "save", Aim: 700, Deadline: 3000, Worth: 3, Effect: Guarded, Group: Everywhere, Window: 2000,
+			{Name: "video", LatencyObjective: 400, ObjectivePerSendTime: 2, Deadline: 6000, PriorityWeight: 2, InParts: true},
+			{Name: "page", LatencyObjective: 250, ObjectivePerSendTime: 2, Deadline: 3000, PriorityWeight: 1, Fresh: 8000, Grace: 8000},
+			{Name: "save", LatencyObjective: 700, Deadline: 3000, PriorityWeight: 3, Idempotency: IdempotentByKey, KeyScope: ScopeAll, KeyWindow: 2000,
 				Write: true},
-			{Name: "once", Aim: 700, Deadline: 3000, Worth: 3, Effect: SingleShot},
-			{Name: "keyed", Aim: 700, Deadline: 3000, Worth: 3, Effect: Guarded, Group: Cell, Window: 2000},
+			{Name: "once", LatencyObjective: 700, Deadline: 3000, PriorityWeight: 3, Idempotency: NonIdempotent},
+			{Name: "keyed", LatencyObjective: 700, Deadline: 3000, PriorityWeight: 3, Idempotency: IdempotentByKey, KeyScope: ScopeCell, KeyWindow: 2000},
 		},
 	}
 }
--- a/router.go
+++ b/router.go
@@ -43,7 +43,7 @@
 	now      Millis
 	started  bool // the first event has come
 	actions  []Action
-	onLook   func(Look) // notified of each member that a choice looks at; may be nil
+	onLook   func(Candidate) // notified of each member that a choice looks at; may be nil
 
 	// Endpoints.
 	members    map[string]*member
@@ -138,7 +138,7 @@
 		r.restore(event.Memory)
 	case Retired:
 		r.closing = event.On
-	case Resettled:
+	case SettingsChanged:
 		r.changeSettings(event.Settings)
 	case Timer:
 		r.handleTimer(event)
--- a/scale_test.go
+++ b/scale_test.go
@@ -79,13 +79,13 @@
 func newScaleScenario(t testing.TB, fleet int) *scaleScenario {
 	t.Helper()
 	settings := Settings{Routers: fleet * 900 / 3200, Zone: "near", Zones: []string{"near", "hub"}, RoutersByZone: []int{fleet * 900 / 3200, 0},
-		ParentKind: "parent", OriginKind: "origin", Tick: 2, AnswerSlack: 8, DrainGrace: 1000, ColdFrom: 0.2, ColdTime: 10000,
-		FallFactor: 3, FallTime: 1000, PurgeTakes: 6000, PurgeSlack: 500, Direct: true, Detail: DetailAll, SizesCompare: true,
-		MaxAttempts: 6, MaxRetryAfter: 2000, Cancels: true,
+		ParentKind: "parent", OriginKind: "origin", TimerResolution: 2, AnswerSlack: 8, DrainGrace: 1000, WarmUpInitialShare: 0.2, WarmUpTime: 10000,
+		OverloadFactor: 3, OverloadTime: 1000, PurgeTime: 6000, PurgeSlack: 500, DirectAttempts: true, Detail: DetailAll, SizeIsCapacity: true,
+		MaxAttempts: 6, MaxRetryAfter: 2000, CanCancel: true,
 		Classes: []Class{
-			{Name: "clip", Aim: 400, Deadline: 3000, Worth: 2, LateWorth: 0.1, InParts: true},
-			{Name: "page", Aim: 400, Deadline: 3000, Worth: 1, LateWorth: 0.1},
-			{Name: "note", Aim: 400, Deadline: 3000, Worth: 2, Effect: Guarded, Group: Everywhere, Window: 2000, Write: true}}}
+			{Name: "clip", LatencyObjective: 400, Deadline: 3000, PriorityWeight: 2, LateWeightShare: 0.1, InParts: true},
+			{Name: "page", LatencyObjective: 400, Deadline: 3000, PriorityWeight: 1, LateWeightShare: 0.1},
+			{Name: "note", LatencyObjective: 400, Deadline: 3000, PriorityWeight: 2, Idempotency: IdempotentByKey, KeyScope: ScopeAll, KeyWindow: 2000, Write: true}}}
 	router, err := New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
--- a/settings.go
+++ b/settings.go
@@ -23,13 +23,13 @@
 	known := r.classes
 	r.classes, r.highestWorth = map[string]*class{}, 0
 	for _, declared := range settings.Classes {
-		guess := max(declared.Aim/2, 1)
+		guess := max(declared.LatencyObjective/2, 1)
 		class := &class{Class: declared, meanSendTime: guess, hitTime: guess}
 		if before := known[declared.Name]; before != nil {
 			class.meanSendTime, class.hitTime = before.meanSendTime, before.hitTime
 		}
 		r.classes[declared.Name] = class
-		r.highestWorth = max(r.highestWorth, declared.Worth)
+		r.highestWorth = max(r.highestWorth, declared.PriorityWeight)
 	}
 	for _, member := range r.members {
 		member.role = r.roleOf(member.Member)
@@ -43,7 +43,7 @@
 	if settings.Valid() != nil {
 		return
 	}
-	settings.Zone, settings.Me = r.settings.Zone, r.settings.Me
+	settings.Zone, settings.RouterIndex = r.settings.Zone, r.settings.RouterIndex
 	r.applySettings(settings)
 }
 
@@ -61,11 +61,11 @@
 	switch {
 	case len(s.Classes) == 0:
 		return errors.New("indigospool: settings name no class")
-	case s.ColdFrom < 0 || s.ColdFrom > 1 || s.ParentColdFrom < 0 || s.ParentColdFrom > 1:
+	case s.WarmUpInitialShare < 0 || s.WarmUpInitialShare > 1 || s.ParentWarmUpInitialShare < 0 || s.ParentWarmUpInitialShare > 1:
 		return errors.New("indigospool: a cold share is not within 0 and 1")
 	case s.ParentKind != "" && s.ParentKind == s.OriginKind:
 		return fmt.Errorf("indigospool: parents and origin are both of kind %q", s.ParentKind)
-	case s.PurgeTakes < 0 || s.ColdTime < 0 || s.ParentColdTime < 0 || s.DrainGrace < 0:
+	case s.PurgeTime < 0 || s.WarmUpTime < 0 || s.ParentWarmUpTime < 0 || s.DrainGrace < 0:
 		return errors.New("indigospool: a span is negative")
 	}
 	named := map[string]bool{}
--- a/settings_test.go
+++ b/settings_test.go
@@ -6,9 +6,9 @@
 	for _, change := range []func(*Settings){
 		func(s *Settings) { s.Classes = nil },
 		func(s *Settings) { s.Classes = append(s.Classes, s.Classes[0]) },
-		func(s *Settings) { s.ColdFrom = 2 },
+		func(s *Settings) { s.WarmUpInitialShare = 2 },
 		func(s *Settings) { s.ParentKind = s.OriginKind },
-		func(s *Settings) { s.PurgeTakes = -1 },
+		func(s *Settings) { s.PurgeTime = -1 },
 	} {
 		settings := testSettings()
 		change(&settings)
@@ -33,17 +33,17 @@
 	hand := sends(actions)[0]
 	rig.now += 100
 	next := settings
-	next.Classes = append([]Class{{Name: "new", Aim: 100, Deadline: 1000, Worth: 1}}, settings.Classes...)
+	next.Classes = append([]Class{{Name: "new", LatencyObjective: 100, Deadline: 1000, PriorityWeight: 1}}, settings.Classes...)
 	for i := range next.Classes {
 		if next.Classes[i].Name == "once" {
-			next.Classes[i].Effect = Free
+			next.Classes[i].Idempotency = Idempotent
 		}
 	}
-	next.Zone, next.Me = "elsewhere", 9 // a router's own: they stay
-	next.ColdTime, next.MaxAttempts = 2*settings.ColdTime, 0
-	rig.handle(Resettled{next})
-	if rig.router.settings.Zone != "z1" || rig.router.settings.Me != 0 || rig.router.settings.MaxAttempts != 4 {
-		t.Errorf("zone %q, me %d, attempts %d", rig.router.settings.Zone, rig.router.settings.Me, rig.router.settings.MaxAttempts)
+	next.Zone, next.RouterIndex = "elsewhere", 9 // a router's own: they stay
+	next.WarmUpTime, next.MaxAttempts = 2*settings.WarmUpTime, 0
+	rig.handle(SettingsChanged{next})
+	if rig.router.settings.Zone != "z1" || rig.router.settings.RouterIndex != 0 || rig.router.settings.MaxAttempts != 4 {
+		t.Errorf("zone %q, me %d, attempts %d", rig.router.settings.Zone, rig.router.settings.RouterIndex, rig.router.settings.MaxAttempts)
 	}
 	if _, actions := rig.request("new", "x", 0); len(sends(actions)) != 1 {
 		t.Errorf("the new class is not taken: %+v", actions)
@@ -63,12 +63,12 @@
 		t.Errorf("%+v", actions)
 	}
 	before := len(rig.router.classes)
-	rig.handle(Resettled{Settings{}})
+	rig.handle(SettingsChanged{Settings{}})
 	if len(rig.router.classes) != before {
 		t.Error("settings that contradict themselves were taken")
 	}
 	settings.ParentKind, settings.OriginKind = "box", "origin"
-	rig.handle(Resettled{settings})
+	rig.handle(SettingsChanged{settings})
 	if len(rig.router.byRole[parent]) != 2 || len(rig.router.byRole[edge]) != 0 {
 		t.Errorf("roles by the old kinds: %d parents, %d edges", len(rig.router.byRole[parent]), len(rig.router.byRole[edge]))
 	}
--- a/slowstart.go
+++ b/slowstart.go
@@ -18,9 +18,9 @@
 // warmUpShare is the part of its capacity that a member surely has: it grows from
 // the least stated share to 1 over its warm-up time.
 func (r *Router) warmUpShare(member *member) float64 {
-	from, span := r.settings.ColdFrom, r.settings.ColdTime
+	from, span := r.settings.WarmUpInitialShare, r.settings.WarmUpTime
 	if member.role == parent {
-		from, span = r.settings.ParentColdFrom, r.settings.ParentColdTime
+		from, span = r.settings.ParentWarmUpInitialShare, r.settings.ParentWarmUpTime
 	}
 	if member.ReadyAt <= 0 || member.role == origin || span <= 0 || r.now-member.ReadyAt >= span {
 		return 1
@@ -85,14 +85,14 @@
 // stated capacity.
 func (r *Router) refillTokens(member *member) {
 	base := r.typicalRate[member.role]
-	if r.settings.SizesCompare {
+	if r.settings.SizeIsCapacity {
 		base = max(base, assumedUtilization*member.Size/r.settings.sharingRouters(member.role))
 	}
 	rate := base * r.warmUpShare(member)
 	if r.closing { // the budget is the successor's
 		rate = 0
 	}
-	burst := rate * max(r.settings.FallTime, minBurstSpan) * slowStartBurst
+	burst := rate * max(r.settings.OverloadTime, minBurstSpan) * slowStartBurst
 	member.tokens = min(member.tokens+rate*(r.now-member.refilled), burst)
 	member.refilled = r.now
 }
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -70,7 +70,7 @@
 	for i := range 300 {
 		id, actions := rig.request("page", fmt.Sprint("w", i), 0)
 		for n := 0; n < 6 && len(sends(actions)) > 0; n++ {
-			actions = rig.handle(Outcome{ID: id, Attempt: n, Result: Full, Note: NoteSourceLacks, Took: 1})
+			actions = rig.handle(Outcome{ID: id, Attempt: n, Result: Rejected, Note: NoteSourceMiss, Took: 1})
 		}
 		rig.wait(20)
 	}
@@ -92,11 +92,11 @@
 		request := &request{Request: Request{Object: fmt.Sprint("w", i)}, class: rig.router.classes["page"], hash: hashString(fmt.Sprint("w", i)), arrived: rig.now}
 		request.chanceSeed = rig.router.chanceSeedOf(request)
 		member.tokens, member.refilled = -1, rig.now
-		if rig.router.unavailableReason(member, request) != Taken {
+		if rig.router.unavailableReason(member, request) != ReasonAccepted {
 			continue
 		}
 		taken++
-		if request.wasQueued = true; rig.router.unavailableReason(member, request) != ColdSpent {
+		if request.wasQueued = true; rig.router.unavailableReason(member, request) != ReasonSlowStartExhausted {
 			t.Fatalf("%s was queued, and goes beyond the budget", request.Object)
 		}
 	}
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -11,7 +11,7 @@
 func trainedRouter(t *testing.T, seed uint64, steps int) (*Router, Millis) {
 	t.Helper()
 	settings := testSettings()
-	settings.SizesCompare, settings.ParentColdFrom, settings.ParentColdTime = true, 0.06, 22000
+	settings.SizeIsCapacity, settings.ParentWarmUpInitialShare, settings.ParentWarmUpTime = true, 0.06, 22000
 	router, err := New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -53,7 +53,7 @@
 				break
 			}
 			now += Millis(rng.IntN(30))
-			results := []Result{OK, OK, Miss, Full, Errored, Reset, TimedOut}
+			results := []Result{OK, OK, Miss, Rejected, Errored, Reset, TimedOut}
 			result := results[rng.IntN(len(results))]
 			actions = router.Handle(now, Outcome{ID: id, Cache: send.Cache, Attempt: n, Result: result, Took: 12, Last: result == OK}, nil)
 		}
@@ -110,7 +110,7 @@
 					break
 				}
 				now += 3
-				result := []Result{OK, Miss, Full, Reset}[rng.IntN(4)]
+				result := []Result{OK, Miss, Rejected, Reset}[rng.IntN(4)]
 				ev = Outcome{ID: id, Cache: send.Cache, Attempt: n, Result: result, Took: 3, Last: result == OK}
 			}
 		}
@@ -121,7 +121,7 @@
 // nothing more, and goes on where its successor never came up.
 func TestSuccessorSpendsSlowStartBudget(t *testing.T) {
 	settings := testSettings()
-	settings.SizesCompare = true
+	settings.SizeIsCapacity = true
 	router, err := New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
