--- a/internal/cachenode/server/cache.go
+++ b/internal/cachenode/server/cache.go
@@ -239,7 +239,7 @@
 	}
 	n, err := c.s.l.Read(c.fd, c.s.buf)
 	switch {
-	case eventloop.Later(err):
+	case eventloop.Retryable(err):
 		if r.Hangup() && eventloop.NotReady(err) {
 			c.close()
 		}
@@ -355,7 +355,7 @@
 		if err == nil {
 			c.s.stats.Out += int64(n)
 			b = b[n:]
-		} else if !eventloop.Later(err) {
+		} else if !eventloop.Retryable(err) {
 			c.close()
 			return
 		}
@@ -367,7 +367,7 @@
 func (c *conn) flush() {
 	for len(c.out) > 0 && !c.gone {
 		n, err := c.s.l.Write(c.fd, c.out)
-		if eventloop.Later(err) {
+		if eventloop.Retryable(err) {
 			c.s.l.Want(c.fd, eventloop.Read|eventloop.Write)
 			return
 		}
--- a/internal/cachenode/server/fill.go
+++ b/internal/cachenode/server/fill.go
@@ -524,7 +524,7 @@
 	for list := s.spare[address]; len(list) > 0; list = s.spare[address] {
 		src := list[len(list)-1]
 		s.spare[address] = list[:len(list)-1]
-		if !eventloop.Quiet(src.fd) {
+		if !eventloop.Idle(src.fd) {
 			src.close()
 			continue
 		}
@@ -631,7 +631,7 @@
 func (src *source) flush() {
 	for len(src.out) > 0 {
 		n, err := src.s.l.Write(src.fd, src.out)
-		if eventloop.Later(err) {
+		if eventloop.Retryable(err) {
 			src.lacked = src.lacked || !eventloop.NotReady(err)
 			src.s.l.Want(src.fd, eventloop.Read|eventloop.Write)
 			return
@@ -670,7 +670,7 @@
 	}
 	k := copy(src.s.buf, src.left)
 	n, err := src.s.l.Read(src.fd, src.s.buf[k:])
-	if eventloop.Later(err) {
+	if eventloop.Retryable(err) {
 		if r.Hangup() && eventloop.NotReady(err) {
 			src.broke()
 		}
--- a/internal/controlplane/endpointcheck/asker.go
+++ b/internal/controlplane/endpointcheck/asker.go
@@ -32,7 +32,7 @@
 func (a *Asker) Core() *engine.Core { return a.c }
 
 // Tell tells it news of members or purges.
-func (a *Asker) Tell(n *engine.News) {
+func (a *Asker) Tell(n *engine.Update) {
 	for _, ev := range a.c.Apply(a.now, n).Events {
 		a.c.Handle(a.now, ev, nil)
 	}
--- a/internal/controlplane/endpointcheck/listcheck.go
+++ b/internal/controlplane/endpointcheck/listcheck.go
@@ -146,7 +146,7 @@
 	if err != nil {
 		return nil, err
 	}
-	a.Tell(engine.FromSettings(&was))
+	a.Tell(engine.UpdateFromSettings(&was))
 	things := draw(&was, o)
 	if len(things) == 0 {
 		return &Zone{Zone: zone}, nil
@@ -157,9 +157,9 @@
 	a.Pass(25000) // and what moved with them is settled
 	first := a.all(things)
 	for _, s := range configversion.Diff(was.Members, is.Members) {
-		a.Tell(engine.FromStep(1, s.Members, s.Kind == configversion.DeltaStarts))
+		a.Tell(engine.UpdateFromVersion(1, s.Members, s.Kind == configversion.DeltaStarts))
 	}
-	if _, err := a.c.Resettle(a.now, &is, nil); err != nil {
+	if _, err := a.c.ChangeSettings(a.now, &is, nil); err != nil {
 		return nil, err
 	}
 	second := a.all(things)
--- a/internal/controlplane/endpointcheck/rehearse.go
+++ b/internal/controlplane/endpointcheck/rehearse.go
@@ -177,7 +177,7 @@
 			}
 			r := p.sim.Add(own.Router.Name, c, p.world)
 			p.zones = append(p.zones, z.Name)
-			for _, ev := range c.Apply(p.sim.Now, engine.FromSettings(mine)).Events {
+			for _, ev := range c.Apply(p.sim.Now, engine.UpdateFromSettings(mine)).Events {
 				p.sim.Tell(r, ev)
 			}
 		}
@@ -343,10 +343,10 @@
 	for _, r := range p.sim.Routers() {
 		p.sim.At(at+p.rng.Float64()*p.o.Lag, func() {
 			for _, s := range steps {
-				n := engine.FromStep(1, s.Members, s.Kind == configversion.DeltaStarts)
+				n := engine.UpdateFromVersion(1, s.Members, s.Kind == configversion.DeltaStarts)
 				for i := range n.Members {
 					if s.Kind == configversion.DeltaStarts {
-						n.Members[i].UpMs = max(p.sim.Now-at, 0.001)
+						n.Members[i].UptimeMillis = max(p.sim.Now-at, 0.001)
 					}
 				}
 				for _, ev := range r.Core.Apply(p.sim.Now, n).Events {
--- a/internal/decisionlog/explain/explain_test.go
+++ b/internal/decisionlog/explain/explain_test.go
@@ -25,7 +25,7 @@
 func (r recorder) Handled(now float64, ev spool.Event, acts []spool.Action) {
 	r.w.Handled(now, ev, acts)
 }
-func (r recorder) Resettled(float64, *config.Settings, []spool.Action) {}
+func (r recorder) SettingsChanged(float64, *config.Settings, []spool.Action) {}
 
 // record tells a core some events and keeps the journal.
 func record(t *testing.T, tell func(h func(now float64, ev spool.Event) []spool.Action, c *engine.Core)) *journal.Reader {
@@ -46,7 +46,7 @@
 	w.Life(journal.Life{Name: "r1", Seed: 1, Settings: config.Print(s)})
 	c.Recorder = recorder{w}
 	h := func(now float64, ev spool.Event) []spool.Action { return c.Handle(now, ev, nil) }
-	for _, ev := range c.Apply(1, engine.FromSettings(s)).Events {
+	for _, ev := range c.Apply(1, engine.UpdateFromSettings(s)).Events {
 		h(1, ev)
 	}
 	tell(h, c)
@@ -114,7 +114,7 @@
 		tell       func(h func(float64, spool.Event) []spool.Action, c *engine.Core)
 	}{
 		{"cold", "is cold, and its budget is spent", func(h func(float64, spool.Event) []spool.Action, c *engine.Core) {
-			for _, ev := range c.Apply(5, engine.FromStep(1, []config.Member{{ID: "b1", Zone: "z", Kind: "box", State: "serving", Start: 2},
+			for _, ev := range c.Apply(5, engine.UpdateFromVersion(1, []config.Member{{ID: "b1", Zone: "z", Kind: "box", State: "serving", Start: 2},
 				{ID: "b2", Zone: "z", Kind: "box", State: "serving", Start: 2}}, true)).Events {
 				h(5, ev)
 			}
@@ -167,7 +167,7 @@
 					}
 				}
 			}
-			for _, ev := range c.Apply(200, engine.FromStep(2, []config.Member{{ID: "b1", Zone: "z", Kind: "box", State: "draining"}}, false)).Events {
+			for _, ev := range c.Apply(200, engine.UpdateFromVersion(2, []config.Member{{ID: "b1", Zone: "z", Kind: "box", State: "draining"}}, false)).Events {
 				h(200, ev)
 			}
 		})
--- a/internal/decisionlog/replay/replay.go
+++ b/internal/decisionlog/replay/replay.go
@@ -124,7 +124,7 @@
 			return fmt.Errorf("replay: version %d (%s at byte %d): %w", e.Version, e.Segment, e.Offset, err)
 		}
 		var err error
-		if p.acts, err = p.c.Resettle(e.T, s, p.acts[:0]); err != nil {
+		if p.acts, err = p.c.ChangeSettings(e.T, s, p.acts[:0]); err != nil {
 			return fmt.Errorf("replay: version %d: %w", e.Version, err)
 		}
 		p.compare(e, fmt.Sprintf("settings of version %d", e.Version))
--- a/internal/decisionlog/replay/replay_test.go
+++ b/internal/decisionlog/replay/replay_test.go
@@ -33,7 +33,7 @@
 	}
 	r.w.Handled(now, ev, acts)
 }
-func (r recorder) Resettled(now float64, s *config.Settings, acts []spool.Action) {
+func (r recorder) SettingsChanged(now float64, s *config.Settings, acts []spool.Action) {
 	r.w.Settings(now, 2, func() string { return config.Print(s) }, acts)
 }
 
@@ -56,7 +56,7 @@
 		w.Life(journal.Life{Name: "r", Seed: 1, Settings: config.Print(s)})
 		c.Recorder = recorder{w, change}
 		now := float64(1000 * life)
-		for _, ev := range c.Apply(now, engine.FromSettings(s)).Events {
+		for _, ev := range c.Apply(now, engine.UpdateFromSettings(s)).Events {
 			c.Handle(now, ev, nil)
 		}
 		for i := range requests {
@@ -65,7 +65,7 @@
 				next := *s
 				next.Classes = append([]config.Class(nil), s.Classes...)
 				next.Classes[0].Aim = 333
-				if _, err := c.Resettle(now, &next, nil); err != nil {
+				if _, err := c.ChangeSettings(now, &next, nil); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -178,7 +178,7 @@
 	}
 	w.Life(journal.Life{Name: "r", Seed: 1, Settings: config.Print(s)})
 	c.Recorder = recorder{w, nil}
-	for _, ev := range c.Apply(5000, engine.FromSettings(s)).Events {
+	for _, ev := range c.Apply(5000, engine.UpdateFromSettings(s)).Events {
 		c.Handle(5000, ev, nil)
 	}
 	sent := 0
@@ -241,7 +241,7 @@
 		t.Fatal(err)
 	}
 	c.Recorder = recorder{w, nil}
-	for _, ev := range c.Apply(1, engine.FromSettings(s)).Events {
+	for _, ev := range c.Apply(1, engine.UpdateFromSettings(s)).Events {
 		c.Handle(1, ev, nil)
 	}
 	long, size, events := strings.Repeat("a-long-path/", 60), 0, int64(1)
--- a/internal/decisionlog/whatif/sim.go
+++ b/internal/decisionlog/whatif/sim.go
@@ -206,7 +206,7 @@
 
 // Resettle has a router go by other settings.
 func (s *Sim) Resettle(r *Router, set *config.Settings) error {
-	acts, err := r.Core.Resettle(s.Now, set, nil)
+	acts, err := r.Core.ChangeSettings(s.Now, set, nil)
 	if err == nil {
 		s.carryOut(r, acts)
 	}
--- a/internal/decisionlog/whatif/whatif_test.go
+++ b/internal/decisionlog/whatif/whatif_test.go
@@ -46,7 +46,7 @@
 func (r recorder) Handled(now float64, ev spool.Event, acts []spool.Action) {
 	r.w.Handled(now, ev, acts)
 }
-func (r recorder) Resettled(now float64, s *config.Settings, acts []spool.Action) {
+func (r recorder) SettingsChanged(now float64, s *config.Settings, acts []spool.Action) {
 	r.w.Settings(now, 2, func() string { return config.Print(s) }, acts)
 }
 
@@ -68,12 +68,12 @@
 	c.Recorder = recorder{w}
 	sim := &Sim{Now: 1000}
 	r := sim.Add("r", c, NewBoxes(options(s)))
-	news := func(n *engine.News) {
+	news := func(n *engine.Update) {
 		for _, ev := range c.Apply(sim.Now, n).Events {
 			sim.Tell(r, ev)
 		}
 	}
-	news(engine.FromSettings(s))
+	news(engine.UpdateFromSettings(s))
 	rng := rand.New(rand.NewPCG(1, 2))
 	for i := range requests {
 		sim.RunTo(sim.Now + gap*rng.ExpFloat64())
@@ -88,9 +88,9 @@
 		sim.Tell(r, q)
 		switch i {
 		case requests / 3:
-			news(engine.FromStep(1, s.Members[2:3], true)) // b3 comes back empty
+			news(engine.UpdateFromVersion(1, s.Members[2:3], true)) // b3 comes back empty
 		case requests / 2:
-			news(&engine.News{Rev: 1, How: "step", Members: []engine.Row{{ID: "p2", Kind: "parent", Zone: "h", State: "draining", Size: 20}}})
+			news(&engine.Update{Rev: 1, Kind: "step", Members: []engine.Row{{ID: "p2", Kind: "parent", Zone: "h", State: "draining", Size: 20}}})
 		case requests * 2 / 3:
 			sim.Tell(r, spool.Purge{Object: "/s/0/o0"})
 			sim.Tell(r, spool.Purge{Group: 1})
@@ -296,20 +296,20 @@
 		sim.Watch.Sent = func(_ *Router, h *Held, a *spool.Send, _ []spool.Candidate) { ri.sent(sim.Now, h, a) }
 		sim.Watch.Over = func(_ *Router, h *Held) { ends[h.Q.ID]++; ri.over(sim.Now, h) }
 		r := sim.Add("r", c, wild{t})
-		tell := func(n *engine.News) {
+		tell := func(n *engine.Update) {
 			for _, ev := range c.Apply(sim.Now, n).Events {
 				ri.news(sim.Now, ev)
 				sim.Tell(r, ev)
 			}
 		}
-		tell(engine.FromSettings(s))
+		tell(engine.UpdateFromSettings(s))
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			sim.RunTo(sim.Now + rapid.Float64Range(0, 400).Draw(t, "pause"))
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
 				m := rapid.SampledFrom(s.Members[:5]).Draw(t, "member")
 				m.State = rapid.SampledFrom([]string{"serving", "draining", "removed"}).Draw(t, "state")
-				tell(engine.FromStep(1, []config.Member{m}, rapid.Bool().Draw(t, "fresh")))
+				tell(engine.UpdateFromVersion(1, []config.Member{m}, rapid.Bool().Draw(t, "fresh")))
 			case 1:
 				ev := spool.Purge{Group: rapid.IntRange(0, 2).Draw(t, "purged")}
 				ri.news(sim.Now, ev)
--- a/internal/eventloop/errors.go
+++ b/internal/eventloop/errors.go
@@ -6,10 +6,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Later reports that a call on a connection can be made again later: the connection is
+// Retryable reports that a call on a connection can be made again later: the connection is
 // intact, and the call has moved no bytes. If it was made through a Loop, the descriptor's
 // handler is called when to make it again.
-func Later(err error) bool {
+func Retryable(err error) bool {
 	errno, ok := errnoOf(err)
 	if !ok {
 		return false
--- a/internal/eventloop/errors_test.go
+++ b/internal/eventloop/errors_test.go
@@ -21,7 +21,7 @@
 	} {
 		for _, err := range []error{err, fmt.Errorf("wrapped: %w", err)} {
 			got := 0
-			for bit, holds := range map[int]bool{later: Later(err), broken: Broken(err), shortage: IsLocalShortage(err)} {
+			for bit, holds := range map[int]bool{later: Retryable(err), broken: Broken(err), shortage: IsLocalShortage(err)} {
 				if holds {
 					got |= bit
 				}
--- a/internal/eventloop/io.go
+++ b/internal/eventloop/io.go
@@ -79,7 +79,7 @@
 // although its descriptor is ready, the descriptor is suspended.
 func (l *Loop) retryNow(fd, attempt int, err error) bool {
 	switch {
-	case err == unix.EAGAIN || !Later(err):
+	case err == unix.EAGAIN || !Retryable(err):
 		return false
 	case err == unix.EINTR && attempt < interruptedAttempts:
 		return true
@@ -157,8 +157,8 @@
 	return 0, nil
 }
 
-// Quiet reports that a stream socket has neither bytes to be read, nor an end, nor an error.
-func Quiet(fd int) bool {
+// Idle reports that a stream socket has neither bytes to be read, nor an end, nor an error.
+func Idle(fd int) bool {
 	var b [1]byte
 	for {
 		_, _, errno := unix.RawSyscall6(unix.SYS_RECVFROM, uintptr(fd), uintptr(unsafe.Pointer(&b[0])), 1,
--- a/internal/eventloop/io_test.go
+++ b/internal/eventloop/io_test.go
@@ -21,7 +21,7 @@
 				l.Add(ours, Read|Write, onReady(func(r Ready) {
 					if !sent {
 						n, err := l.Write(ours, []byte("ping"))
-						if err != nil && !Later(err) {
+						if err != nil && !Retryable(err) {
 							t.Fatalf("write: %v", err)
 						}
 						sent = n == 4
@@ -31,7 +31,7 @@
 					}
 					if n, err := l.Read(ours, buf[:]); err == nil {
 						got += string(buf[:n])
-					} else if !Later(err) {
+					} else if !Retryable(err) {
 						t.Fatalf("read: %v", err)
 					}
 				}))
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -61,7 +61,7 @@
 func (ln *Listener) Accept() {
 	madeRoom := false
 	if ln.waitingSince == 0 && ln.loop != nil {
-		ln.waitingSince = ln.loop.Since()
+		ln.waitingSince = ln.loop.EarliestArrival()
 	}
 	for range ln.PerTurn {
 		if ln.fd < 0 { // stopped by Take
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -100,9 +100,9 @@
 // Lag is a decaying maximum of how long turns took, in milliseconds.
 func (l *Loop) Lag() Millis { return l.lag }
 
-// Slow is how many milliseconds turns have taken in all, beyond 5 ms each: time in which peers
+// SlowTime is how many milliseconds turns have taken in all, beyond 5 ms each: time in which peers
 // waited for the loop, and not the loop for them.
-func (l *Loop) Slow() Millis { return l.slowTotal }
+func (l *Loop) SlowTime() Millis { return l.slowTotal }
 
 // AfterEachTurn has f called at the end of each turn, after handlers, posted calls and timers.
 // While it returns true there is more to do: the next turn does not wait for events.
--- a/internal/eventloop/since.go
+++ b/internal/eventloop/since.go
@@ -1,12 +1,12 @@
 package eventloop
 
-// Since is the earliest time at which the events of the present turn may have happened: the
+// EarliestArrival is the earliest time at which the events of the present turn may have happened: the
 // arrival of bytes, of an end or of a connection. A descriptor that the previous poll did not
 // report became ready after that poll, which may be long ago if the turn between took long; if
 // the loop was waiting, it became ready now.
 //
 // It holds for a descriptor only if the previous turn left nothing to be read on it.
-func (l *Loop) Since() Millis { return l.since }
+func (l *Loop) EarliestArrival() Millis { return l.since }
 
 // pollTimeout is how long the next poll may wait, in ms; -1 is without limit. After a slow
 // turn it does not wait, so that events of that turn are told apart from those that happen
@@ -33,6 +33,6 @@
 	}
 }
 
-// Since is the earliest time at which the connection that is being accepted may have arrived:
+// EarliestArrival is the earliest time at which the connection that is being accepted may have arrived:
 // it may have waited while accepting was paused, or behind others.
-func (ln *Listener) Since() Millis { return ln.waitingSince }
+func (ln *Listener) EarliestArrival() Millis { return ln.waitingSince }
--- a/internal/eventloop/since_test.go
+++ b/internal/eventloop/since_test.go
@@ -23,7 +23,7 @@
 	defer unix.Close(pair[1])
 	var since Millis
 	l.Add(pair[0], Read, onReady(func(Ready) {
-		since = l.Since()
+		since = l.EarliestArrival()
 		var buf [8]byte
 		unix.Read(pair[0], buf[:])
 	}))
--- a/internal/proxy/engine/core.go
+++ b/internal/proxy/engine/core.go
@@ -33,7 +33,7 @@
 // the actions nor what they point to, and never waits.
 type Recorder interface {
 	Handled(now spool.Millis, ev spool.Event, acts []spool.Action)
-	Resettled(now spool.Millis, s *config.Settings, acts []spool.Action)
+	SettingsChanged(now spool.Millis, s *config.Settings, acts []spool.Action)
 }
 
 // known is what the core keeps of a listed member.
@@ -47,7 +47,7 @@
 func New(s *config.Settings, seed uint64) (*Core, error) {
 	c := &Core{Settings: s, members: map[string]*known{}}
 	var err error
-	if c.module, err = Module(s); err != nil {
+	if c.module, err = ModuleSettings(s); err != nil {
 		return nil, err
 	}
 	if c.router, err = spool.New(c.module, seed); err != nil {
@@ -59,9 +59,9 @@
 	return c, nil
 }
 
-// NewBare makes a core from the module's own settings, for those who bring requests
+// NewFromModule makes a core from the module's own settings, for those who bring requests
 // of the module's form and have no use for routes.
-func NewBare(m spool.Settings, seed uint64) (*Core, error) {
+func NewFromModule(m spool.Settings, seed uint64) (*Core, error) {
 	r, err := spool.New(m, seed)
 	if err != nil {
 		return nil, err
@@ -69,8 +69,8 @@
 	return &Core{module: m, router: r, members: map[string]*known{}}, nil
 }
 
-// ResettleBare goes by other settings of the module from now on, as Resettle does.
-func (c *Core) ResettleBare(now spool.Millis, m spool.Settings, dst []spool.Action) ([]spool.Action, error) {
+// ChangeModuleSettings goes by other settings of the module from now on, as Resettle does.
+func (c *Core) ChangeModuleSettings(now spool.Millis, m spool.Settings, dst []spool.Action) ([]spool.Action, error) {
 	if err := m.Valid(); err != nil {
 		return dst, err
 	}
@@ -89,11 +89,11 @@
 	return list, nil
 }
 
-// Resettle goes by other checked settings from now on; members come by Apply.
+// ChangeSettings goes by other checked settings from now on; members come by Apply.
 // What the module has learned, and what it holds, stays. On an error nothing
 // has changed.
-func (c *Core) Resettle(now spool.Millis, s *config.Settings, dst []spool.Action) ([]spool.Action, error) {
-	m, err := Module(s)
+func (c *Core) ChangeSettings(now spool.Millis, s *config.Settings, dst []spool.Action) ([]spool.Action, error) {
+	m, err := ModuleSettings(s)
 	if err == nil {
 		err = m.Valid()
 	}
@@ -108,7 +108,7 @@
 	n := len(dst)
 	dst = c.router.Handle(now, spool.SettingsChanged{Settings: m}, dst)
 	if c.Recorder != nil {
-		c.Recorder.Resettled(now, s, dst[n:])
+		c.Recorder.SettingsChanged(now, s, dst[n:])
 	}
 	return dst, nil
 }
@@ -119,10 +119,10 @@
 var details = map[string]spool.Detail{"off": spool.DetailOff, "hit": spool.DetailHit, "all": spool.DetailAll}
 var states = map[string]spool.State{"serving": spool.Serving, "draining": spool.Draining, "removed": spool.Removed}
 
-// Module is what the decision module is told of the settings. Every class
+// ModuleSettings is what the decision module is told of the settings. Every class
 // counts as streamed, since the edge passes each answer on as it comes: its
 // first byte makes the attempt the client's.
-func Module(s *config.Settings) (spool.Settings, error) {
+func ModuleSettings(s *config.Settings) (spool.Settings, error) {
 	m := spool.Settings{
 		RouterIndex: s.Router.Me, Routers: s.Router.Of, Zone: s.Router.Zone, LinkCapacity: map[string]float64{},
 		ParentKind: s.Fill.ParentKind, OriginKind: s.Fill.OriginKind,
@@ -177,8 +177,8 @@
 // Ranges are the caches' ranges of part indices.
 func (c *Core) Ranges() []spool.Range { return c.router.Ranges() }
 
-// Beliefs is what the module holds of each member, and of the location's link.
-func (c *Core) Beliefs() (map[string]spool.Status, spool.Status) { return c.router.Statuses() }
+// Statuses is what the module holds of each member, and of the location's link.
+func (c *Core) Statuses() (map[string]spool.Status, spool.Status) { return c.router.Statuses() }
 
 // Address is where a member is reached; empty when it was never listed with one.
 func (c *Core) Address(id string) string {
@@ -214,23 +214,23 @@
 // Rev is the version of the list that the router goes by.
 func (c *Core) Rev() int64 { return c.rev }
 
-// A Turndown is a request that no class fits.
-type Turndown struct {
-	Status int
-	Word   string // as a Cache-Status detail and in the access log
-	What   string // with the remedy
+// A Rejection is a request that no class fits.
+type Rejection struct {
+	Status  int
+	Detail  string // as a Cache-Status detail and in the access log
+	Message string // with the remedy
 }
 
-func (t *Turndown) Error() string { return fmt.Sprintf("core: %s (status %d)", t.What, t.Status) }
+func (t *Rejection) Error() string { return fmt.Sprintf("core: %s (status %d)", t.Message, t.Status) }
 
 // The turndowns.
 var (
-	ErrNoRoute  = &Turndown{404, "no-route", "no route fits the path"}
-	ErrMethod   = &Turndown{405, "bad-method", "the route does not take the method"}
-	ErrKey      = &Turndown{400, "no-idempotency-key", "a write to this route needs an Idempotency-Key: add the field, with a value of its own for each write and the same one for its repeats"}
-	ErrPart     = &Turndown{400, "bad-part", "the part in the path is no whole number: write one, from 0"}
-	ErrRange    = &Turndown{416, "bad-range", "the range does not begin at a part: begin it at a multiple of the part's size"}
-	ErrDeadline = &Turndown{400, "bad-deadline", "the deadline is no positive number of milliseconds: write one, or leave the field out"}
+	ErrNoRoute  = &Rejection{404, "no-route", "no route fits the path"}
+	ErrMethod   = &Rejection{405, "bad-method", "the route does not take the method"}
+	ErrKey      = &Rejection{400, "no-idempotency-key", "a write to this route needs an Idempotency-Key: add the field, with a value of its own for each write and the same one for its repeats"}
+	ErrPart     = &Rejection{400, "bad-part", "the part in the path is no whole number: write one, from 0"}
+	ErrRange    = &Rejection{416, "bad-range", "the range does not begin at a part: begin it at a multiple of the part's size"}
+	ErrDeadline = &Rejection{400, "bad-deadline", "the deadline is no positive number of milliseconds: write one, or leave the field out"}
 )
 
 // Classify turns a request's head into the module's request: the id and the
--- a/internal/proxy/engine/core_test.go
+++ b/internal/proxy/engine/core_test.go
@@ -92,14 +92,14 @@
 // One start told twice with other times up is one start; another number is a new one.
 func TestStartsAreKept(t *testing.T) {
 	c := load(t)
-	apply := func(now float64, line string) Applied {
-		n, err := ParseNews([]byte(line))
+	apply := func(now float64, line string) ApplyResult {
+		n, err := ParseUpdate([]byte(line))
 		if err != nil {
 			t.Fatal(err)
 		}
 		return c.Apply(now, n)
 	}
-	row := func(a Applied) spool.Member { return a.Events[0].(spool.Members).Rows[0] }
+	row := func(a ApplyResult) spool.Member { return a.Events[0].(spool.Members).Rows[0] }
 	if m := row(apply(1000, `{"rev":1,"how":"full","members":[{"id":"b","start":1}]}`)); m.ReadyAt != 0 {
 		t.Fatalf("a member that is up for long is ready at %v", m.ReadyAt)
 	}
@@ -110,7 +110,7 @@
 	if again := row(apply(6000, `{"rev":3,"how":"full","members":[{"id":"b","start":2,"up_ms":1290}]}`)); again.ReadyAt != 4700 {
 		t.Fatalf("the same start is now at %v", again.ReadyAt)
 	}
-	if a := apply(6000, `{"rev":2,"how":"full","members":[{"id":"b","start":1}],"purge":{"object":"o"}}`); !a.Old || len(a.Events) != 1 {
+	if a := apply(6000, `{"rev":2,"how":"full","members":[{"id":"b","start":1}],"purge":{"object":"o"}}`); !a.Outdated || len(a.Events) != 1 {
 		t.Fatalf("an older version gave %+v", a)
 	}
 	if a := apply(6000, `{"rev":7,"how":"delta","members":[{"id":"c"}]}`); !a.Gap || len(a.Events) != 0 {
@@ -131,7 +131,7 @@
 		`{"rev":1,"how":"full","members":[{"id":"a","state":"up"}]}`,
 		`{"rev":1,"how":"full","members":[{"id":"a","up_ms":-4}]}`,
 		`{"rev":1,"how":"full","members":[{"id":"a\n"}]}`, `{"rev":1,"how":"full","members":[{"id":"a","zone":"\u001b[31m"}]}`, `{"rev":1,"purge":{"age_ms":-1}}`} {
-		if n, err := ParseNews([]byte(line)); err == nil {
+		if n, err := ParseUpdate([]byte(line)); err == nil {
 			t.Errorf("%s was taken as %+v", line, n)
 		}
 	}
@@ -141,7 +141,7 @@
 // gives a Send there, with an address to go to.
 func TestDecisionHasAddress(t *testing.T) {
 	c := load(t)
-	for _, ev := range c.Apply(1, FromSettings(c.Settings)).Events {
+	for _, ev := range c.Apply(1, UpdateFromSettings(c.Settings)).Events {
 		c.Handle(1, ev, nil)
 	}
 	q, err := c.Classify("r1", 1, head(t, c, "GET /s/7/a.jpg HTTP/1.1\r\n"))
@@ -178,7 +178,7 @@
 		}
 	}
 	now := 1000.0
-	for _, ev := range c.Apply(now, FromSettings(c.Settings)).Events {
+	for _, ev := range c.Apply(now, UpdateFromSettings(c.Settings)).Events {
 		carry(c.Handle(now, ev, nil), now)
 	}
 	ids := 0
@@ -218,14 +218,14 @@
 // follow, and what can't be taken changes nothing.
 func TestResettle(t *testing.T) {
 	c := load(t)
-	for _, ev := range c.Apply(10, FromSettings(c.Settings)).Events {
+	for _, ev := range c.Apply(10, UpdateFromSettings(c.Settings)).Events {
 		c.Handle(10, ev, nil)
 	}
 	next := &config.Settings{}
 	if err := config.Read("n.edn", strings.Replace(text, `"/x/*"`, `"/y/*"`, 1), next); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.Resettle(20, next, nil); err != nil {
+	if _, err := c.ChangeSettings(20, next, nil); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := c.Classify("q", 30, head(t, c, "GET /y/a HTTP/1.1\r\n")); err != nil {
@@ -236,10 +236,10 @@
 	}
 	bad := *next
 	bad.Classes = nil
-	if _, err := c.Resettle(40, &bad, nil); err == nil || len(c.Settings.Classes) == 0 {
+	if _, err := c.ChangeSettings(40, &bad, nil); err == nil || len(c.Settings.Classes) == 0 {
 		t.Errorf("settings without a class: %v", err)
 	}
-	for _, ev := range c.Apply(50, FromStep(7, []config.Member{{ID: "b3", Zone: "z", Kind: "box", State: "serving"}}, true)).Events {
+	for _, ev := range c.Apply(50, UpdateFromVersion(7, []config.Member{{ID: "b3", Zone: "z", Kind: "box", State: "serving"}}, true)).Events {
 		c.Handle(50, ev, nil)
 	}
 	if m, ok := c.Member("b3"); !ok || m.ReadyAt <= 0 || c.Rev() != 7 {
@@ -280,7 +280,7 @@
 		if err != nil {
 			t.Fatal(msg, err)
 		}
-		target, err := c.Target(1000, &q)
+		target, err := c.HTTPRequest(1000, &q)
 		if err != nil {
 			t.Fatal(msg, err)
 		}
@@ -297,7 +297,7 @@
 		}
 	})
 	for _, q := range []spool.Request{{Class: "still", Object: "/nowhere/1"}, {Class: "none", Object: "/s/1/a"}, {Class: "still", Object: "/s/1/a b", Group: 1}} {
-		if got, err := c.Target(1, &q); err == nil {
+		if got, err := c.HTTPRequest(1, &q); err == nil {
 			t.Errorf("%+v became %+v", q, got)
 		}
 	}
--- a/internal/proxy/engine/memory.go
+++ b/internal/proxy/engine/memory.go
@@ -6,9 +6,9 @@
 	spool "indigospool"
 )
 
-// Memory is what a core has learned, for its successor: the list as it was told,
+// LearnedState is what a core has learned, for its successor: the list as it was told,
 // with starts and addresses, and the module's own.
-type Memory struct {
+type LearnedState struct {
 	Rev     int64
 	Members []Known // in the order of ids
 	Module  *spool.Memory
@@ -21,9 +21,9 @@
 	Start   int64
 }
 
-// Memory is a copy of what was learned.
-func (c *Core) Memory() *Memory {
-	m := &Memory{Rev: c.rev, Module: c.router.Memory()}
+// LearnedState is a copy of what was learned.
+func (c *Core) LearnedState() *LearnedState {
+	m := &LearnedState{Rev: c.rev, Module: c.router.Memory()}
 	for _, k := range c.members {
 		m.Members = append(m.Members, Known{Member: k.Member, Address: k.address, Start: k.start})
 	}
@@ -31,8 +31,8 @@
 	return m
 }
 
-// Recall goes on from a predecessor's memory. It comes before any news.
-func (c *Core) Recall(now spool.Millis, m *Memory, dst []spool.Action) []spool.Action {
+// Restore goes on from a predecessor's memory. It comes before any news.
+func (c *Core) Restore(now spool.Millis, m *LearnedState, dst []spool.Action) []spool.Action {
 	c.rev = m.Rev
 	for _, k := range m.Members {
 		c.members[k.ID] = &known{Member: k.Member, address: k.Address, start: k.Start}
--- a/internal/proxy/engine/route.go
+++ b/internal/proxy/engine/route.go
@@ -173,8 +173,8 @@
 	return int(h>>1) | 1<<30
 }
 
-// Group is the number by which the module knows a group named in a path.
-func Group(text string) int { return groupOf([]byte(text)) }
+// GroupNumber is the number by which the module knows a group named in a path.
+func GroupNumber(text string) int { return groupOf([]byte(text)) }
 
 // Parse reads a request head, with the limits of the settings.
 func (c *Core) Parse(buf []byte, h *http1.Head) (int, error) {
--- a/internal/proxy/engine/target.go
+++ b/internal/proxy/engine/target.go
@@ -11,18 +11,18 @@
 // AnyGroup is the group of a request whose group is not known; see Target.
 const AnyGroup = -2
 
-// Target is how a request stands in HTTP.
-type Target struct {
+// HTTPRequest is how a request stands in HTTP.
+type HTTPRequest struct {
 	Method string
 	Path   string
 	Fields [][2]string
 }
 
-// Target is the other way of Classify: a message that is classified as the request
+// HTTPRequest is the other way of Classify: a message that is classified as the request
 // was at the time now, with the same class, object, part, group and size. What
 // stood in segments that nothing is taken of is lost: x stands there. An error says
 // that no route leads to it.
-func (c *Core) Target(now spool.Millis, q *spool.Request) (t Target, err error) {
+func (c *Core) HTTPRequest(now spool.Millis, q *spool.Request) (t HTTPRequest, err error) {
 	for i := range c.routes {
 		r := &c.routes[i]
 		if r.class != q.Class {
@@ -32,7 +32,7 @@
 		if path == nil {
 			continue
 		}
-		t = Target{Method: r.method(q.Write), Path: string(path)}
+		t = HTTPRequest{Method: r.method(q.Write), Path: string(path)}
 		if t.Method == "" || !c.leads(i, []byte(t.Method), path, q) {
 			continue
 		}
@@ -52,7 +52,7 @@
 		}
 		return t, nil
 	}
-	return Target{}, fmt.Errorf("core: no route of class %q leads to object %q part %d; are these the settings of the router that took it?", q.Class, q.Object, q.Part)
+	return HTTPRequest{}, fmt.Errorf("core: no route of class %q leads to object %q part %d; are these the settings of the router that took it?", q.Class, q.Object, q.Part)
 }
 
 // path is the path by which a route would be taken for a request; nil: by none.
--- a/internal/proxy/httpfront/admin.go
+++ b/internal/proxy/httpfront/admin.go
@@ -57,12 +57,12 @@
 }
 
 func (e *Edge) adminPurge(w http.ResponseWriter, r *http.Request) {
-	p := &engine.PurgeNews{Object: r.URL.Path}
+	p := &engine.Purge{Object: r.URL.Path}
 	if g := r.URL.Query().Get("group"); g != "" {
-		p = &engine.PurgeNews{Group: engine.Group(g)}
+		p = &engine.Purge{Group: engine.GroupNumber(g)}
 	}
 	e.tellPurge(p)
-	if err := e.Query(func(*Stats, *engine.Core) { e.news(&engine.News{Purge: p}) }); err != nil {
+	if err := e.Query(func(*Stats, *engine.Core) { e.news(&engine.Update{Purge: p}) }); err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
@@ -87,7 +87,7 @@
 		out["limits"] = map[string]any{"cut": g.counts.Map(), "memory": g.mem.Map(), "memory_used": g.mem.Used(), "memory_most": g.mem.Peak,
 			"sockets": g.tails.Held, "sockets_most": g.tails.Peak,
 			"in_hand_limit": g.adm.Limit(), "overloaded": g.adm.Overloaded(), "wait_ms": g.adm.LastWait, "ready": g.turns.Len(), "connections_limit": g.most,
-			"spared": g.jury.Spared, "slow_ms": e.l.Slow()}
+			"spared": g.jury.Spared, "slow_ms": e.l.SlowTime()}
 		out["pages"] = len(e.pages)
 		out["draining"], out["timers"] = e.draining, e.l.Timers()
 	})
--- a/internal/proxy/httpfront/client.go
+++ b/internal/proxy/httpfront/client.go
@@ -90,7 +90,7 @@
 	buf := c.e.scratch[:readSize]
 	n, err := c.e.l.Read(c.fd, buf)
 	switch {
-	case eventloop.Later(err):
+	case eventloop.Retryable(err):
 		if r.Hangup() && eventloop.NotReady(err) {
 			c.lost()
 		}
@@ -207,9 +207,9 @@
 	q, err := e.core.Classify("", r.at, h)
 	r.q = q
 	if err != nil {
-		t, ok := err.(*engine.Turndown)
+		t, ok := err.(*engine.Rejection)
 		if !ok {
-			t = &engine.Turndown{Status: 400, Word: endMalformed.word(), What: err.Error()}
+			t = &engine.Rejection{Status: 400, Detail: endMalformed.word(), Message: err.Error()}
 		}
 		r.path = string(clip(h.Target, 256))
 		c.skipBody(h)
@@ -307,7 +307,7 @@
 	b = http1.AppendFieldString(b, "Cache-Status", c.e.name+"; fwd=miss; detail="+r.word())
 	text := http1.Reason(status) + "\n"
 	if r.turned != nil {
-		text = http1.Reason(status) + ": " + r.turned.What + "\n"
+		text = http1.Reason(status) + ": " + r.turned.Message + "\n"
 	}
 	b = http1.AppendFieldString(b, "Content-Type", "text/plain")
 	b = http1.AppendFieldInt(b, "Content-Length", int64(len(text)))
@@ -339,7 +339,7 @@
 		return
 	}
 	n, err := c.e.l.WriteTwo(c.fd, c.out.Bytes(), b)
-	if eventloop.Later(err) {
+	if eventloop.Retryable(err) {
 		n, err = 0, nil
 	}
 	if err != nil {
@@ -368,7 +368,7 @@
 	}
 	for c.out.Len() > 0 && !c.gone {
 		n, err := c.e.l.Write(c.fd, c.out.Bytes())
-		if eventloop.Later(err) {
+		if eventloop.Retryable(err) {
 			c.wants()
 			return false
 		}
@@ -415,7 +415,7 @@
 	for c.out.Len() > 0 && !c.gone && moved < room {
 		b := c.out.Bytes()
 		n, err := c.e.l.Write(c.fd, b[:min(len(b), room-moved)])
-		if eventloop.Later(err) {
+		if eventloop.Retryable(err) {
 			c.wants()
 			return moved, false
 		}
@@ -724,8 +724,8 @@
 	cause  limits.Cause // of what a limit ended
 	booked int64        // of the memory budget
 	sent   int64
-	poor   bool             // it holds a place of those of poor standing
-	turned *engine.Turndown // no class took it; nil: one did
+	poor   bool              // it holds a place of those of poor standing
+	turned *engine.Rejection // no class took it; nil: one did
 	why    endWord
 	path   string // of what no class fits
 
--- a/internal/proxy/httpfront/edge.go
+++ b/internal/proxy/httpfront/edge.go
@@ -88,7 +88,7 @@
 	behind    bool                  // as followed, as the loop knows it: it still passes connections on
 	offered   *hotrestart.Server
 	leaving   bool               // a successor has the memory, and does not serve yet
-	since     []engine.PurgeNews // purges since then
+	since     []engine.Purge     // purges since then
 	successor *hotrestart.Sender // it serves; nil: there is none
 	guard     *guard
 	journal   *journal.Writer // nil: none is kept
@@ -156,7 +156,7 @@
 	r.e.journal.Handled(now, ev, acts)
 }
 
-func (r recorder) Resettled(now float64, s *config.Settings, acts []spool.Action) {
+func (r recorder) SettingsChanged(now float64, s *config.Settings, acts []spool.Action) {
 	r.e.journal.Settings(now, r.e.next, func() string { return config.Print(s) }, acts)
 }
 
@@ -534,7 +534,7 @@
 }
 
 // news applies a line of the list service, or the settings' members.
-func (e *Edge) news(n *engine.News) engine.Applied {
+func (e *Edge) news(n *engine.Update) engine.ApplyResult {
 	a := e.core.Apply(e.l.Now(), n)
 	for _, ev := range a.Events {
 		switch ev := ev.(type) {
@@ -544,7 +544,7 @@
 		case spool.Purge:
 			e.stats.Purges++
 			if e.leaving {
-				e.since = append(e.since, engine.PurgeNews{Object: ev.Object, Group: ev.Group, AgeMs: ev.Age})
+				e.since = append(e.since, engine.Purge{Object: ev.Object, Group: ev.Group, AgeMs: ev.Age})
 			}
 			e.tell(ev)
 			e.recall(ev)
--- a/internal/proxy/httpfront/guard.go
+++ b/internal/proxy/httpfront/guard.go
@@ -83,7 +83,7 @@
 	}
 	g.head, g.body = least(l.HeadRate, l.HeadGrace), least(l.ClientRate, l.ClientGrace)
 	g.reader, g.member = g.body, least(l.MemberRate, l.MemberGrace)
-	g.jury.Span, g.jury.Share, g.jury.Least = 2*l.MemberGrace+1000, l.JuryShare, 2
+	g.jury.Window, g.jury.Share, g.jury.MinWorking = 2*l.MemberGrace+1000, l.JuryShare, 2
 	total := int64(l.MemoryMB * (1 << 20))
 	g.mem.Total = total - limits.UnaccountedMemory(total)
 	g.tails.Total, g.tails.Idle = int64(l.SocketsMB*(1<<20)), l.WriteIdle
@@ -112,7 +112,7 @@
 		g.standing = limits.NewReputation(limits.ReputationSettings{})
 	}
 	g.standing.Adopt(limits.DefaultReputation(l.Poor))
-	adm := limits.AdmissionSettings{Target: l.OverloadTarget, Part: l.OverloadPart, Interval: 100, Least: l.OverloadLeast, Most: l.Held, Headroom: 0.2}
+	adm := limits.AdmissionSettings{Target: l.OverloadTarget, QueueingShare: l.OverloadPart, Interval: 100, MinInFlight: l.OverloadLeast, MaxInFlight: l.Held, Headroom: 0.2}
 	if g.adm == nil {
 		g.adm = limits.NewAdmission(adm)
 	}
@@ -241,7 +241,7 @@
 
 // now is the time by which peers are judged: what turns of the loop took beyond the
 // ordinary is not theirs.
-func (g *guard) now() float64 { return g.e.l.Now() - g.e.l.Slow() }
+func (g *guard) now() float64 { return g.e.l.Now() - g.e.l.SlowTime() }
 
 // freePlace has the connection of a member give its place to an attempt that finds
 // none, where one has waited for its client for long.
@@ -320,7 +320,7 @@
 	var list []limits.Unread
 	var who []*client
 	add := func(c *client, bytes int64) {
-		list, who = append(list, limits.Unread{Index: len(who), Bytes: bytes, Still: now - c.movedAt}), append(who, c)
+		list, who = append(list, limits.Unread{Index: len(who), Bytes: bytes, StalledFor: now - c.movedAt}), append(who, c)
 	}
 	for c := range g.slow { // looked at before
 		if c.out.Len() > 0 {
@@ -393,7 +393,7 @@
 func (g *guard) holder(index int, r *request) limits.ShedCandidate {
 	c := r.c
 	h := limits.ShedCandidate{Index: index, Bytes: requestBytes + int64(c.out.Cap()+cap(c.left)+cap(r.content)), Begun: r.phase == relaying,
-		Left: max(r.q.KB*1024-float64(r.sent), 0), Idempotent: r.phase == takingBody || !r.q.Write || !r.written()}
+		BytesLeft: max(r.q.KB*1024-float64(r.sent), 0), Idempotent: r.phase == takingBody || !r.q.Write || !r.written()}
 	if i, ok := g.classes[r.q.Class]; ok {
 		k := &g.e.s.Classes[i]
 		if h.Weight = k.Worth; g.e.l.Now()-r.at > k.Aim {
--- a/internal/proxy/httpfront/guard_test.go
+++ b/internal/proxy/httpfront/guard_test.go
@@ -660,7 +660,7 @@
 	fmt.Fprintf(in, "GET /s/1/in HTTP/1.1\r\nHost: h\r\n\r\n")
 	r.waitFor("the one in hand", func(*Stats, *engine.Core) bool { return len(r.e.reqs) == 1 })
 	r.e.Query(func(*Stats, *engine.Core) {
-		r.e.guard.adm.Adopt(limits.AdmissionSettings{Target: 20, Interval: 100, Least: 1, Most: 1})
+		r.e.guard.adm.Adopt(limits.AdmissionSettings{Target: 20, Interval: 100, MinInFlight: 1, MaxInFlight: 1})
 		r.e.s.Limits.Held = 100 // so that it is the limit that refuses
 		for range 4 {           // as if refusing had taken all of the time
 			r.e.guard.hold.AddCost(1e6)
--- a/internal/proxy/httpfront/handover.go
+++ b/internal/proxy/httpfront/handover.go
@@ -95,7 +95,7 @@
 		e.log.Log.Warn("the predecessor's memory is not used: this router starts as new", zap.Error(err))
 		return
 	}
-	acts := e.core.Recall(e.l.Now(), m, nil)
+	acts := e.core.Restore(e.l.Now(), m, nil)
 	for i := range acts {
 		e.carryOut(acts[i])
 	}
@@ -142,10 +142,10 @@
 			}
 		}
 	}, func(note []byte) {
-		var p engine.PurgeNews
+		var p engine.Purge
 		if json.Unmarshal(note, &p) == nil {
 			e.Query(func(*Stats, *engine.Core) {
-				e.news(&engine.News{Purge: &p})
+				e.news(&engine.Update{Purge: &p})
 				if e.successor != nil {
 					e.successor.SendNote(&p)
 				}
@@ -185,7 +185,7 @@
 
 // tellPurge has a predecessor that still drains know of a purge that came to this
 // router only: its requests in hand may get no older copy either.
-func (e *Edge) tellPurge(p *engine.PurgeNews) {
+func (e *Edge) tellPurge(p *engine.Purge) {
 	if !e.followed.Load() {
 		return
 	}
@@ -196,11 +196,11 @@
 
 // heardPurge goes by a purge that came to the successor.
 func (e *Edge) heardPurge(b []byte) {
-	var p engine.PurgeNews
+	var p engine.Purge
 	if json.Unmarshal(b, &p) != nil {
 		return
 	}
-	e.Query(func(*Stats, *engine.Core) { e.news(&engine.News{Purge: &p}) })
+	e.Query(func(*Stats, *engine.Core) { e.news(&engine.Update{Purge: &p}) })
 	e.tellPurge(&p)
 }
 
@@ -271,7 +271,7 @@
 	if e.draining {
 		return nil, errors.New("this router drains already")
 	}
-	b, err := learnedstate.Encode(e.core.Memory())
+	b, err := learnedstate.Encode(e.core.LearnedState())
 	if err != nil {
 		return nil, err
 	}
--- a/internal/proxy/httpfront/handover_test.go
+++ b/internal/proxy/httpfront/handover_test.go
@@ -412,7 +412,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !to.SendNote(&engine.PurgeNews{Object: "/s/1/0"}) || !to.SendConn(pair[0]) {
+	if !to.SendNote(&engine.Purge{Object: "/s/1/0"}) || !to.SendConn(pair[0]) {
 		t.Error("nothing can be passed on")
 	}
 	unix.Write(pair[1], []byte("GET /s/1/0 HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"))
--- a/internal/proxy/httpfront/log.go
+++ b/internal/proxy/httpfront/log.go
@@ -144,7 +144,7 @@
 // word says why the request ended.
 func (r *request) word() string {
 	if r.turned != nil {
-		return r.turned.Word
+		return r.turned.Detail
 	}
 	if r.cause != limits.None {
 		return r.cause.String()
--- a/internal/proxy/httpfront/upstream.go
+++ b/internal/proxy/httpfront/upstream.go
@@ -159,7 +159,7 @@
 		p.idle = p.idle[:n-1]
 		// what has come to it unasked would pass for the answer, and a request on one
 		// that its member has closed would be lost; both may be known to the kernel only
-		if !eventloop.Quiet(u.fd) {
+		if !eventloop.Idle(u.fd) {
 			u.close()
 			continue
 		}
@@ -357,7 +357,7 @@
 	switch {
 	case eventloop.NotReady(err):
 		n = 0
-	case eventloop.Later(err):
+	case eventloop.Retryable(err):
 		u.takeBack(t)
 		return
 	case err != nil:
@@ -394,7 +394,7 @@
 func (u *upstream) flush() {
 	for u.out.Len() > 0 {
 		n, err := u.e.l.Write(u.fd, u.out.Bytes())
-		if eventloop.Later(err) {
+		if eventloop.Retryable(err) {
 			u.e.l.Want(u.fd, eventloop.Read|eventloop.Write)
 			return
 		}
@@ -596,7 +596,7 @@
 	buf := u.e.scratch
 	k := copy(buf, u.left)
 	n, err := u.e.l.Read(u.fd, buf[k:min(k+most, len(buf))])
-	if eventloop.Later(err) {
+	if eventloop.Retryable(err) {
 		if hangup && eventloop.NotReady(err) {
 			u.broke(spool.Reset)
 		}
--- a/internal/proxy/httpfront/versions.go
+++ b/internal/proxy/httpfront/versions.go
@@ -229,14 +229,14 @@
 		steps = configversion.Diff(e.s.Members, u.Settings.Members)
 	}
 	tell := func(s configversion.Delta) {
-		e.news(engine.FromStep(u.Version.Number, s.Members, s.Kind == configversion.DeltaStarts))
+		e.news(engine.UpdateFromVersion(u.Version.Number, s.Members, s.Kind == configversion.DeltaStarts))
 	}
 	if len(steps) > 0 && steps[0].Kind == configversion.DeltaDrains {
 		tell(steps[0])
 		steps = steps[1:]
 	}
 	e.next = u.Version.Number
-	acts, err := e.core.Resettle(e.l.Now(), u.Settings, nil)
+	acts, err := e.core.ChangeSettings(e.l.Now(), u.Settings, nil)
 	if err != nil { // the checks let through what the module does not take
 		e.log.Log.Error("version not run", zap.Int64("version", u.Version.Number), zap.Error(err))
 		return
@@ -260,11 +260,11 @@
 	if len(e.s.Members) == 0 || e.s.Router.List != "" {
 		return
 	}
-	n := engine.FromSettings(e.s)
+	n := engine.UpdateFromSettings(e.s)
 	n.Rev = e.version
 	for i := range n.Members {
 		if up, young := e.young[n.Members[i].ID]; young {
-			n.Members[i].UpMs = max(up, 0.001)
+			n.Members[i].UptimeMillis = max(up, 0.001)
 		}
 	}
 	e.news(n)
--- a/internal/proxy/httpfront/watch.go
+++ b/internal/proxy/httpfront/watch.go
@@ -84,7 +84,7 @@
 		if len(line) == 0 {
 			continue // sent to keep the stream alive
 		}
-		n, err := engine.ParseNews(line)
+		n, err := engine.ParseUpdate(line)
 		if err != nil {
 			return lines, err
 		}
@@ -121,8 +121,8 @@
 }
 
 // postNews hands news to the loop and hears what became of it.
-func (e *Edge) postNews(ctx context.Context, n *engine.News) error {
-	got := make(chan engine.Applied, 1)
+func (e *Edge) postNews(ctx context.Context, n *engine.Update) error {
+	got := make(chan engine.ApplyResult, 1)
 	for {
 		err := e.l.Post(func() { got <- e.news(n) })
 		if err == nil {
@@ -139,7 +139,7 @@
 	}
 	select {
 	case a := <-got:
-		if a.Old {
+		if a.Outdated {
 			e.log.Log.Warn("list news of an older version passed over", zap.Int64("rev", n.Rev))
 		}
 		if a.Gap {
--- a/internal/proxy/learnedstate/learnedstate.go
+++ b/internal/proxy/learnedstate/learnedstate.go
@@ -45,12 +45,12 @@
 var ErrVersion = errors.New("learned state: of another version")
 
 // Encode encodes an engine's learned state.
-func Encode(state *engine.Memory) ([]byte, error) { return encode(state) }
+func Encode(state *engine.LearnedState) ([]byte, error) { return encode(state) }
 
 // Decode decodes an engine's learned state. The error is an ErrCorrupt or ErrVersion; the
 // state is then not to be used.
-func Decode(snapshot []byte) (*engine.Memory, error) {
-	state := &engine.Memory{}
+func Decode(snapshot []byte) (*engine.LearnedState, error) {
+	state := &engine.LearnedState{}
 	return state, decode(snapshot, state)
 }
 
--- a/internal/proxy/learnedstate/learnedstate_test.go
+++ b/internal/proxy/learnedstate/learnedstate_test.go
@@ -19,10 +19,10 @@
 }
 
 // learnedStates are random states, each field of which must survive.
-var learnedStates = rapid.Custom(func(t *rapid.T) *engine.Memory {
+var learnedStates = rapid.Custom(func(t *rapid.T) *engine.LearnedState {
 	number := rapid.OneOf(rapid.Float64Range(-1e12, 1e12), rapid.Just(math.Pi), rapid.Just(0.1))
 	name := rapid.StringN(1, 9, 40)
-	state := &engine.Memory{Rev: rapid.Int64Min(0).Draw(t, "rev"), Module: &spool.Memory{At: number.Draw(t, "at"), Link: gateMemory(t), Mean: number.Draw(t, "mean")}}
+	state := &engine.LearnedState{Rev: rapid.Int64Min(0).Draw(t, "rev"), Module: &spool.Memory{At: number.Draw(t, "at"), Link: gateMemory(t), Mean: number.Draw(t, "mean")}}
 	module := state.Module
 	for range rapid.IntRange(1, 4).Draw(t, "members") {
 		id := name.Draw(t, "id")
--- a/internal/proxy/limits/admission.go
+++ b/internal/proxy/limits/admission.go
@@ -2,17 +2,17 @@
 
 // AdmissionSettings bound the requests in flight.
 type AdmissionSettings struct {
-	Target   float64 // ms that ready bytes may wait for the router
-	Part     float64 // part of its time until the deadline that a request may wait for its first attempt; 0: all of it
-	Interval float64 // ms over which the shortest wait counts
-	Least    int     // requests in flight that are always allowed
-	Most     int     // requests in flight that are never exceeded
-	Headroom float64 // part of the limit that only requests of the highest rank may use
+	Target        float64 // ms that ready bytes may wait for the router
+	QueueingShare float64 // part of its time until the deadline that a request may wait for its first attempt; 0: all of it
+	Interval      float64 // ms over which the shortest wait counts
+	MinInFlight   int     // requests in flight that are always allowed
+	MaxInFlight   int     // requests in flight that are never exceeded
+	Headroom      float64 // part of the limit that only requests of the highest rank may use
 }
 
 // normalized returns the settings with a Least between 1 and Most.
 func (s AdmissionSettings) normalized() AdmissionSettings {
-	s.Least = max(min(s.Least, s.Most), 1)
+	s.MinInFlight = max(min(s.MinInFlight, s.MaxInFlight), 1)
 	return s
 }
 
@@ -58,17 +58,17 @@
 // NewAdmission makes an Admission whose limit is Most until there is an overload.
 func NewAdmission(settings AdmissionSettings) *Admission {
 	settings = settings.normalized()
-	return &Admission{settings: settings, limit: float64(settings.Most), leastWait: -1}
+	return &Admission{settings: settings, limit: float64(settings.MaxInFlight), leastWait: -1}
 }
 
 // Adopt changes the settings. What was learned stays.
 func (a *Admission) Adopt(settings AdmissionSettings) {
 	settings = settings.normalized()
-	if a.limit >= float64(a.settings.Most) { // there was no overload
-		a.limit = float64(settings.Most)
+	if a.limit >= float64(a.settings.MaxInFlight) { // there was no overload
+		a.limit = float64(settings.MaxInFlight)
 	}
 	a.settings = settings
-	a.limit = min(a.limit, float64(settings.Most))
+	a.limit = min(a.limit, float64(settings.MaxInFlight))
 }
 
 // ObserveQueueing records which part of its time until the deadline a request has waited for
@@ -76,7 +76,7 @@
 func (a *Admission) ObserveQueueing(part float64) {
 	a.queueingSum += part
 	a.queued++
-	if part > a.settings.Part {
+	if part > a.settings.QueueingShare {
 		a.queuedTooLong++
 	}
 }
@@ -113,9 +113,9 @@
 	switch {
 	case a.overloaded:
 		cut := min(max(1/wait, admissionMostCut), admissionLeastCut)
-		a.limit = max(min(a.limit, used)*cut, float64(a.settings.Least))
+		a.limit = max(min(a.limit, used)*cut, float64(a.settings.MinInFlight))
 	case used >= admissionInUse*a.limit:
-		a.limit = min(a.limit*admissionGrowth+1, float64(a.settings.Most))
+		a.limit = min(a.limit*admissionGrowth+1, float64(a.settings.MaxInFlight))
 	}
 }
 
@@ -124,9 +124,9 @@
 func (a *Admission) relativeWait() float64 {
 	wait := a.leastWait / a.settings.Target
 	mostTooLong := 2*a.queuedTooLong > a.queued
-	if a.settings.Part > 0 && mostTooLong {
+	if a.settings.QueueingShare > 0 && mostTooLong {
 		meanPart := a.queueingSum / float64(a.queued)
-		wait = max(wait, meanPart/a.settings.Part, queueingIsOverload)
+		wait = max(wait, meanPart/a.settings.QueueingShare, queueingIsOverload)
 	}
 	return wait
 }
@@ -141,8 +141,8 @@
 // among those of all classes, from 0 to 1: the limit for rank 0 is lower by the headroom.
 func (a *Admission) Admit(inFlight int, rank float64) bool {
 	limit := a.limit
-	if limit < float64(a.settings.Most) {
+	if limit < float64(a.settings.MaxInFlight) {
 		limit *= 1 - a.settings.Headroom*(1-min(max(rank, 0), 1))
 	}
-	return float64(inFlight) < max(limit, float64(a.settings.Least))
+	return float64(inFlight) < max(limit, float64(a.settings.MinInFlight))
 }
--- a/internal/proxy/limits/admission_test.go
+++ b/internal/proxy/limits/admission_test.go
@@ -10,7 +10,7 @@
 // after.
 func TestAdmissionAdapts(t *testing.T) {
 	for _, load := range []float64{0.5, 0.9, 1.5, 2, 4} {
-		admission := NewAdmission(AdmissionSettings{Target: 5, Interval: 100, Least: 8, Most: 20000, Headroom: 0.2})
+		admission := NewAdmission(AdmissionSettings{Target: 5, Interval: 100, MinInFlight: 8, MaxInFlight: 20000, Headroom: 0.2})
 		random := rand.New(rand.NewPCG(1, uint64(load*10)))
 		const work = 0.1 // ms of work a request; 10 requests a ms are what the server can do
 		now, busy, held := 0.0, 0.0, 20.0
@@ -61,7 +61,7 @@
 // is rejected.
 func TestAdmissionQueueing(t *testing.T) {
 	run := func(part float64, beside bool) (good, late, rejected int) {
-		admission := NewAdmission(AdmissionSettings{Target: 20, Part: part, Interval: 100, Least: 64, Most: 20000, Headroom: 0.2})
+		admission := NewAdmission(AdmissionSettings{Target: 20, QueueingShare: part, Interval: 100, MinInFlight: 64, MaxInFlight: 20000, Headroom: 0.2})
 		random := rand.New(rand.NewPCG(7, 7))
 		const capacity, takes, deadline = 64, 25.0, 500.0 // 2.56 requests a ms
 		var queue []float64                               // when they came
@@ -122,7 +122,7 @@
 // TestAdmissionRank: requests of the highest rank are admitted when those of the lowest are
 // not; the least number is always allowed.
 func TestAdmissionRank(t *testing.T) {
-	admission := NewAdmission(AdmissionSettings{Target: 5, Interval: 100, Least: 10, Most: 1000, Headroom: 0.3})
+	admission := NewAdmission(AdmissionSettings{Target: 5, Interval: 100, MinInFlight: 10, MaxInFlight: 1000, Headroom: 0.3})
 	if !admission.Admit(999, 0) || admission.Admit(1000, 1) {
 		t.Error("without overload the limit is not the most")
 	}
--- a/internal/proxy/limits/clientactivity.go
+++ b/internal/proxy/limits/clientactivity.go
@@ -13,40 +13,40 @@
 // ClientActivity is what is known of a client's connection. Times are on the caller's clock,
 // in milliseconds.
 type ClientActivity struct {
-	Since    float64 // when it was accepted
-	Last     float64 // when it last sent a whole message or was answered
-	Half     float64 // when the last bytes of an incomplete message came; 0: there is none
-	Begun    float64 // when that message began
-	Shut     float64 // since when nothing more is written to it; 0: it is not shut down
-	Stuck    float64 // since when it has read nothing of what waits for it; 0: nothing waits
-	Open     int     // its open requests
-	Messages int     // whole messages so far
+	AcceptedAt   float64 // when it was accepted
+	LastUsed     float64 // when it last sent a whole message or was answered
+	LastPartial  float64 // when the last bytes of an incomplete message came; 0: there is none
+	PartialBegan float64 // when that message began
+	ShutdownAt   float64 // since when nothing more is written to it; 0: it is not shut down
+	StalledSince float64 // since when it has read nothing of what waits for it; 0: nothing waits
+	OpenRequests int     // its open requests
+	Messages     int     // whole messages so far
 }
 
 // Expired reports whether a connection is to be closed now: it sends nothing or half a
 // message, does not read its answer, or was not used for long.
 func (c *ClientActivity) Expired(now float64) bool {
 	switch {
-	case c.Shut > 0:
-		return now-c.Shut > lingerTimeout
+	case c.ShutdownAt > 0:
+		return now-c.ShutdownAt > lingerTimeout
 	case c.messageOverdue(now), c.NotReading(now):
 		return true
-	case c.Open > 0:
+	case c.OpenRequests > 0:
 		return false
-	case c.Messages == 0 && c.Half == 0:
-		return now-c.Since > silentTimeout
+	case c.Messages == 0 && c.LastPartial == 0:
+		return now-c.AcceptedAt > silentTimeout
 	}
-	return c.Half == 0 && now-c.Last > idleTimeout
+	return c.LastPartial == 0 && now-c.LastUsed > idleTimeout
 }
 
 // messageOverdue reports whether an incomplete message takes too long.
 func (c *ClientActivity) messageOverdue(now float64) bool {
-	return c.Half > 0 && (now-c.Half > partTimeout || now-c.Begun > messageTimeout)
+	return c.LastPartial > 0 && (now-c.LastPartial > partTimeout || now-c.PartialBegan > messageTimeout)
 }
 
 // NotReading reports whether a connection reads nothing of what waits for it.
 func (c *ClientActivity) NotReading(now float64) bool {
-	return c.Stuck > 0 && now-c.Stuck > unreadTimeout
+	return c.StalledSince > 0 && now-c.StalledSince > unreadTimeout
 }
 
 // ClosesBefore reports whether c is closed before other where a descriptor is needed for
@@ -55,14 +55,14 @@
 // nil other stands for none.
 func (c *ClientActivity) ClosesBefore(other *ClientActivity) bool {
 	switch {
-	case c.Open > 0:
+	case c.OpenRequests > 0:
 		return false
-	case other == nil || other.Open > 0:
+	case other == nil || other.OpenRequests > 0:
 		return true
-	case (c.Shut > 0) != (other.Shut > 0):
-		return c.Shut > 0
+	case (c.ShutdownAt > 0) != (other.ShutdownAt > 0):
+		return c.ShutdownAt > 0
 	case (c.Messages == 0) != (other.Messages == 0):
 		return c.Messages == 0
 	}
-	return max(c.Last, c.Since) < max(other.Last, other.Since)
+	return max(c.LastUsed, c.AcceptedAt) < max(other.LastUsed, other.AcceptedAt)
 }
--- a/internal/proxy/limits/clientactivity_test.go
+++ b/internal/proxy/limits/clientactivity_test.go
@@ -13,17 +13,17 @@
 		now  float64
 		over bool
 	}{
-		{"bytes came lately", ClientActivity{Begun: 1, Half: 3000}, 5000, false},
-		{"none for long", ClientActivity{Begun: 1, Half: 3000}, 5300, true},
-		{"for too long in all", ClientActivity{Begun: 1, Half: 8900}, 9000, true},
-		{"shut", ClientActivity{Messages: 1, Shut: 100}, 1000, false},
-		{"shut, and the client stays", ClientActivity{Messages: 1, Shut: 100}, 1101, true},
+		{"bytes came lately", ClientActivity{PartialBegan: 1, LastPartial: 3000}, 5000, false},
+		{"none for long", ClientActivity{PartialBegan: 1, LastPartial: 3000}, 5300, true},
+		{"for too long in all", ClientActivity{PartialBegan: 1, LastPartial: 8900}, 9000, true},
+		{"shut", ClientActivity{Messages: 1, ShutdownAt: 100}, 1000, false},
+		{"shut, and the client stays", ClientActivity{Messages: 1, ShutdownAt: 100}, 1101, true},
 	} {
 		if got := c.v.Expired(c.now); got != c.over {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
-	if shut, silent := (&ClientActivity{Messages: 3, Last: 900, Shut: 950}), (&ClientActivity{Since: 1}); !shut.ClosesBefore(silent) || silent.ClosesBefore(shut) {
+	if shut, silent := (&ClientActivity{Messages: 3, LastUsed: 900, ShutdownAt: 950}), (&ClientActivity{AcceptedAt: 1}); !shut.ClosesBefore(silent) || silent.ClosesBefore(shut) {
 		t.Error("one that was shut down is not closed first")
 	}
 }
--- a/internal/proxy/limits/massslowness.go
+++ b/internal/proxy/limits/massslowness.go
@@ -6,10 +6,10 @@
 //
 // Times are in milliseconds on the caller's clock.
 type MassSlowness struct {
-	Span   float64 // ms for which a finding counts
-	Share  float64 // part of the members at work above which slow ones are not cut
-	Least  int     // members at work below which a slow one is always cut
-	Spared uint64  // cuts that were not made
+	Window     float64 // ms for which a finding counts
+	Share      float64 // part of the members at work above which slow ones are not cut
+	MinWorking int     // members at work below which a slow one is always cut
+	Spared     uint64  // cuts that were not made
 
 	lastGood map[string]float64 // by member
 	lastSlow map[string]float64
@@ -36,7 +36,7 @@
 func (s *MassSlowness) MayCut(member string, now float64) bool {
 	s.ObserveSlow(member, now)
 	slow, working := s.count(now)
-	if working >= s.Least && float64(slow) > s.Share*float64(working) {
+	if working >= s.MinWorking && float64(slow) > s.Share*float64(working) {
 		s.Spared++
 		return false
 	}
@@ -45,8 +45,8 @@
 
 // count forgets what is older than Span, and counts the members found slow and those at work.
 func (s *MassSlowness) count(now float64) (slow, working int) {
-	forgetOlder(s.lastSlow, now, s.Span)
-	forgetOlder(s.lastGood, now, s.Span)
+	forgetOlder(s.lastSlow, now, s.Window)
+	forgetOlder(s.lastGood, now, s.Window)
 	slow = len(s.lastSlow)
 	working = slow
 	for member := range s.lastGood {
--- a/internal/proxy/limits/massslowness_test.go
+++ b/internal/proxy/limits/massslowness_test.go
@@ -7,7 +7,7 @@
 // TestMassSlowness: one slow member is cut; where most are slow at once none is, and once the
 // others are good again the one is.
 func TestMassSlowness(t *testing.T) {
-	slowness := MassSlowness{Span: 5000, Share: 0.5, Least: 3}
+	slowness := MassSlowness{Window: 5000, Share: 0.5, MinWorking: 3}
 	for _, member := range []string{"a", "b", "c", "d"} {
 		slowness.ObserveGood(member, 1000)
 	}
@@ -17,7 +17,7 @@
 	if slowness.MayCut("c", 1400) || slowness.MayCut("d", 1500) || slowness.Spared != 2 {
 		t.Errorf("three of four were cut (%d spared)", slowness.Spared)
 	}
-	all := MassSlowness{Span: 5000, Share: 0.5, Least: 2}
+	all := MassSlowness{Window: 5000, Share: 0.5, MinWorking: 2}
 	for _, member := range []string{"a", "b", "c"} { // all are recorded first: none of them is cut
 		all.ObserveSlow(member, 1000)
 	}
@@ -29,7 +29,7 @@
 	if !slowness.MayCut("c", 9100) {
 		t.Error("one of three, once the others are good, was not cut")
 	}
-	single := MassSlowness{Span: 5000, Share: 0.5, Least: 3}
+	single := MassSlowness{Window: 5000, Share: 0.5, MinWorking: 3}
 	if !single.MayCut("a", 1) || !single.MayCut("a", 2) {
 		t.Error("the only member at work was not cut")
 	}
--- a/internal/proxy/limits/quota_test.go
+++ b/internal/proxy/limits/quota_test.go
@@ -22,20 +22,20 @@
 		v       ClientActivity
 		expired bool
 	}{
-		{"just came", ClientActivity{Since: now - 1000}, false},
-		{"says nothing", ClientActivity{Since: now - 2500}, true},
-		{"says half", ClientActivity{Since: now - 9000, Last: now - 3000, Half: now - 2500, Messages: 3, Open: 1}, true},
-		{"waits for an answer", ClientActivity{Since: now - 9000, Last: now - 9000, Messages: 3, Open: 1}, false},
-		{"takes no answer", ClientActivity{Since: now - 9000, Last: now, Stuck: now - 3000, Messages: 3, Open: 1}, true},
-		{"between two requests", ClientActivity{Since: now - 9000, Last: now - 3900, Messages: 3}, false},
-		{"asked once and stays", ClientActivity{Since: now - 9000, Last: now - 8000, Messages: 1}, true},
+		{"just came", ClientActivity{AcceptedAt: now - 1000}, false},
+		{"says nothing", ClientActivity{AcceptedAt: now - 2500}, true},
+		{"says half", ClientActivity{AcceptedAt: now - 9000, LastUsed: now - 3000, LastPartial: now - 2500, Messages: 3, OpenRequests: 1}, true},
+		{"waits for an answer", ClientActivity{AcceptedAt: now - 9000, LastUsed: now - 9000, Messages: 3, OpenRequests: 1}, false},
+		{"takes no answer", ClientActivity{AcceptedAt: now - 9000, LastUsed: now, StalledSince: now - 3000, Messages: 3, OpenRequests: 1}, true},
+		{"between two requests", ClientActivity{AcceptedAt: now - 9000, LastUsed: now - 3900, Messages: 3}, false},
+		{"asked once and stays", ClientActivity{AcceptedAt: now - 9000, LastUsed: now - 8000, Messages: 1}, true},
 	} {
 		if c.v.Expired(now) != c.expired {
 			t.Errorf("%s: expired is %v", c.name, !c.expired)
 		}
 	}
-	busy, silent := &ClientActivity{Open: 1, Messages: 9}, &ClientActivity{Since: 500}
-	early, late := &ClientActivity{Last: 100, Messages: 2}, &ClientActivity{Last: 200, Messages: 2}
+	busy, silent := &ClientActivity{OpenRequests: 1, Messages: 9}, &ClientActivity{AcceptedAt: 500}
+	early, late := &ClientActivity{LastUsed: 100, Messages: 2}, &ClientActivity{LastUsed: 200, Messages: 2}
 	if busy.ClosesBefore(nil) || !silent.ClosesBefore(early) || early.ClosesBefore(silent) || !early.ClosesBefore(late) || late.ClosesBefore(early) || !late.ClosesBefore(busy) {
 		t.Error("the wrong one is closed")
 	}
--- a/internal/proxy/limits/shedding.go
+++ b/internal/proxy/limits/shedding.go
@@ -17,7 +17,7 @@
 	Index      int     // the caller's
 	Bytes      int64   // that are free again once it is shed
 	Weight     float64 // priority weight of its answer now: less once it is late
-	Left       float64 // bytes that are still to be moved, or a guess
+	BytesLeft  float64 // bytes that are still to be moved, or a guess
 	Begun      bool    // its client has part of the answer: it can only be cut
 	Idempotent bool    // a retry is surely harmless; others are not shed
 }
@@ -34,7 +34,7 @@
 			}
 			return -1
 		}
-		return cmp.Compare(a.Weight/(a.Left+1), b.Weight/(b.Left+1))
+		return cmp.Compare(a.Weight/(a.BytesLeft+1), b.Weight/(b.BytesLeft+1))
 	})
 	return list
 }
--- a/internal/proxy/limits/shedding_test.go
+++ b/internal/proxy/limits/shedding_test.go
@@ -22,12 +22,12 @@
 		t.Error(idle, requests)
 	}
 	list := []ShedCandidate{
-		{Index: 0, Bytes: 100, Weight: 1, Left: 10, Begun: true, Idempotent: true},
-		{Index: 1, Bytes: 100, Weight: 1, Left: 10, Idempotent: true},
-		{Index: 2, Bytes: 100, Weight: 1, Left: 1000, Idempotent: true},
-		{Index: 3, Bytes: 100, Weight: 0.1, Left: 10, Idempotent: true},
-		{Index: 4, Bytes: 100, Weight: 0, Left: 1e9},
-		{Index: 5, Bytes: 0, Weight: 0, Left: 1e9, Idempotent: true},
+		{Index: 0, Bytes: 100, Weight: 1, BytesLeft: 10, Begun: true, Idempotent: true},
+		{Index: 1, Bytes: 100, Weight: 1, BytesLeft: 10, Idempotent: true},
+		{Index: 2, Bytes: 100, Weight: 1, BytesLeft: 1000, Idempotent: true},
+		{Index: 3, Bytes: 100, Weight: 0.1, BytesLeft: 10, Idempotent: true},
+		{Index: 4, Bytes: 100, Weight: 0, BytesLeft: 1e9},
+		{Index: 5, Bytes: 0, Weight: 0, BytesLeft: 1e9, Idempotent: true},
 	}
 	want := []int{2, 3, 1, 0}
 	for i, candidate := range ShedOrder(append([]ShedCandidate(nil), list...)) {
--- a/internal/proxy/limits/unread.go
+++ b/internal/proxy/limits/unread.go
@@ -10,9 +10,9 @@
 
 // Unread is what the kernel holds of answers for a client: written, and not read by it.
 type Unread struct {
-	Index int     // the caller's
-	Bytes int64   // that the kernel holds
-	Still float64 // ms since the client has read any
+	Index      int     // the caller's
+	Bytes      int64   // that the kernel holds
+	StalledFor float64 // ms since the client has read any
 }
 
 // UnreadAccount accounts for what the kernel holds for clients, which is no part of the
@@ -36,7 +36,7 @@
 	a.Peak = max(a.Peak, a.Held)
 	left := a.Held
 	list = slices.DeleteFunc(list, func(client Unread) bool {
-		if client.Still < a.Idle && client.Bytes > 0 {
+		if client.StalledFor < a.Idle && client.Bytes > 0 {
 			return false
 		}
 		if client.Bytes > 0 {
@@ -60,9 +60,9 @@
 
 // stalled returns the clients that read nothing, the most bytes for the longest time first.
 func stalled(list []Unread) []Unread {
-	list = slices.DeleteFunc(list, func(client Unread) bool { return !IsStalled(client.Still) })
+	list = slices.DeleteFunc(list, func(client Unread) bool { return !IsStalled(client.StalledFor) })
 	slices.SortStableFunc(list, func(a, b Unread) int {
-		return cmp.Compare(float64(b.Bytes)*b.Still, float64(a.Bytes)*a.Still)
+		return cmp.Compare(float64(b.Bytes)*b.StalledFor, float64(a.Bytes)*a.StalledFor)
 	})
 	return list
 }
--- a/internal/proxy/limits/unread_test.go
+++ b/internal/proxy/limits/unread_test.go
@@ -14,7 +14,7 @@
 		account := UnreadAccount{Total: 1 << 20, Idle: 20_000}
 		var list []Unread
 		for i := range rapid.IntRange(0, 60).Draw(t, "clients") {
-			list = append(list, Unread{Index: i, Bytes: rapid.Int64Range(0, 200<<10).Draw(t, "bytes"), Still: rapid.Float64Range(0, 25_000).Draw(t, "still")})
+			list = append(list, Unread{Index: i, Bytes: rapid.Int64Range(0, 200<<10).Draw(t, "bytes"), StalledFor: rapid.Float64Range(0, 25_000).Draw(t, "still")})
 		}
 		all := append([]Unread(nil), list...)
 		cut := account.Update(list)
@@ -30,13 +30,13 @@
 			switch {
 			case client.Bytes == 0 && gone[client.Index]:
 				t.Fatalf("%+v is cut, and holds nothing", client)
-			case client.Bytes > 0 && client.Still >= account.Idle && !gone[client.Index]:
+			case client.Bytes > 0 && client.StalledFor >= account.Idle && !gone[client.Index]:
 				t.Fatalf("%+v is left", client)
-			case !IsStalled(client.Still) && gone[client.Index]:
+			case !IsStalled(client.StalledFor) && gone[client.Index]:
 				t.Fatalf("%+v reads something, and is cut", client)
-			case !IsStalled(client.Still):
+			case !IsStalled(client.StalledFor):
 				moving += client.Bytes
-			case account.Held < 900<<10 && client.Still < account.Idle && gone[client.Index]:
+			case account.Held < 900<<10 && client.StalledFor < account.Idle && gone[client.Index]:
 				t.Fatalf("%+v is cut although the kernel may hold it", client)
 			}
 		}
@@ -45,7 +45,7 @@
 		}
 	})
 	free := UnreadAccount{}
-	if cut := free.Update([]Unread{{Bytes: 1 << 40, Still: -1}}); len(cut) > 0 || free.Room(0) != 0 || free.Room(512<<10) != 512<<10 {
+	if cut := free.Update([]Unread{{Bytes: 1 << 40, StalledFor: -1}}); len(cut) > 0 || free.Room(0) != 0 || free.Room(512<<10) != 512<<10 {
 		t.Error("no limit is set, and one is kept")
 	}
 	big := UnreadAccount{Total: 160 << 20, Held: 48 << 20}
--- a/internal/proxy/platform/answer.go
+++ b/internal/proxy/platform/answer.go
@@ -95,7 +95,7 @@
 		buffer = c.input.Room()
 	}
 	size, err := server.loop.Read(c.fd, buffer)
-	if eventloop.Later(err) {
+	if eventloop.Retryable(err) {
 		return
 	}
 	if err != nil || size == 0 {
--- a/internal/proxy/platform/client.go
+++ b/internal/proxy/platform/client.go
@@ -43,7 +43,7 @@
 	case ready.Ended(): // whatever it has sent before: nobody waits for an answer to it
 		c.close()
 		return
-	case c.activity.Shut > 0:
+	case c.activity.ShutdownAt > 0:
 		c.discardInput()
 		return
 	case ready.Writable() && c.output.Len() > 0:
@@ -74,7 +74,7 @@
 // send it again elsewhere. The connection is closed when the client closes it, or when it
 // overstays.
 func (c *client) shutdownWrite() {
-	c.activity.Shut = c.server.loop.Now()
+	c.activity.ShutdownAt = c.server.loop.Now()
 	unix.Shutdown(c.fd, unix.SHUT_WR)
 }
 
--- a/internal/proxy/platform/client_input.go
+++ b/internal/proxy/platform/client_input.go
@@ -29,7 +29,7 @@
 	server := c.server
 	arrivedAfter := c.unreadSince
 	if arrivedAfter == 0 {
-		arrivedAfter = max(server.loop.Since(), c.emptiedAt)
+		arrivedAfter = max(server.loop.EarliestArrival(), c.emptiedAt)
 	}
 	for left := maxReadPerTurn; left > 0; {
 		startedAt := eventloop.Clock()
@@ -38,7 +38,7 @@
 		case err == unix.EAGAIN:
 			c.noteEmptied(startedAt, maxReadPerTurn-left)
 			return
-		case eventloop.Later(err):
+		case eventloop.Retryable(err):
 			c.unreadSince = arrivedAfter
 			return
 		case err != nil || size == 0:
@@ -71,7 +71,7 @@
 
 // receiveInLongTurn reads what the client has sent since the turn began, where that is long ago.
 func (c *client) receiveInLongTurn() {
-	if c.closed || c.activity.Shut > 0 || !c.server.inLongTurn() || eventloop.Clock()-c.emptiedAt < longTurn {
+	if c.closed || c.activity.ShutdownAt > 0 || !c.server.inLongTurn() || eventloop.Clock()-c.emptiedAt < longTurn {
 		return
 	}
 	c.receive()
@@ -83,7 +83,7 @@
 // discardInput reads what comes after shutdownWrite.
 func (c *client) discardInput() {
 	size, err := c.server.loop.Read(c.fd, c.server.readBuffer)
-	if !eventloop.Later(err) && (err != nil || size == 0) {
+	if !eventloop.Retryable(err) && (err != nil || size == 0) {
 		c.close()
 	}
 }
@@ -119,16 +119,16 @@
 func (c *client) noteProgress(used, rest int) {
 	server := c.server
 	if used > 0 {
-		c.activity.Last = server.loop.Now()
+		c.activity.LastUsed = server.loop.Now()
 	}
 	if rest == 0 {
-		c.activity.Half = 0
+		c.activity.LastPartial = 0
 		return
 	}
-	if c.activity.Half == 0 || used > 0 {
-		c.activity.Begun = server.loop.Now()
+	if c.activity.LastPartial == 0 || used > 0 {
+		c.activity.PartialBegan = server.loop.Now()
 	}
-	c.activity.Half = server.loop.Now()
+	c.activity.LastPartial = server.loop.Now()
 	if server.buffers.Used > server.maxBufferedBytes() {
 		server.closeLargestBuffer()
 	}
--- a/internal/proxy/platform/client_output.go
+++ b/internal/proxy/platform/client_output.go
@@ -20,11 +20,11 @@
 	server := c.server
 	now := server.loop.Now()
 	if c.output.Len() == 0 {
-		c.activity.Stuck = now
+		c.activity.StalledSince = now
 	}
 	c.output.Add(&server.buffers, frame)
 	server.unsentBytes += len(frame)
-	c.activity.Last = now
+	c.activity.LastUsed = now
 }
 
 // flush writes as much as the kernel takes. Where too much is left unsent for all clients,
@@ -33,7 +33,7 @@
 	server := c.server
 	for !c.closed && c.output.Len() > 0 {
 		size, err := server.loop.Write(c.fd, c.output.Bytes())
-		if eventloop.Later(err) {
+		if eventloop.Retryable(err) {
 			break
 		}
 		if err != nil {
@@ -42,13 +42,13 @@
 		}
 		c.output.Take(&server.buffers, size)
 		server.unsentBytes -= size
-		c.activity.Stuck = server.loop.Now()
+		c.activity.StalledSince = server.loop.Now()
 	}
 	if c.closed {
 		return
 	}
 	if c.output.Len() == 0 {
-		c.activity.Stuck = 0
+		c.activity.StalledSince = 0
 		server.loop.Want(c.fd, eventloop.Read)
 		return
 	}
--- a/internal/proxy/platform/clock_test.go
+++ b/internal/proxy/platform/clock_test.go
@@ -71,7 +71,7 @@
 func (w *testHarness) agesInRouter(group int, id string) (purge, start float64) {
 	w.t.Helper()
 	w.server.loop.Call(waitLimit, func() {
-		memory := w.server.engine.Memory()
+		memory := w.server.engine.LearnedState()
 		if at, ok := memory.Module.Groups[group]; ok {
 			purge = w.server.loop.Now() - at
 		} else {
@@ -163,7 +163,7 @@
 	var age float64
 	harness.server.loop.Call(waitLimit, func() {
 		harness.server.applyEvent(discovery.Event{Number: 3, Group: 22, PurgedAt: made})
-		age = harness.server.loop.Now() - harness.server.engine.Memory().Module.Groups[22]
+		age = harness.server.loop.Now() - harness.server.engine.LearnedState().Module.Groups[22]
 	})
 	if most := float64(platform.ago(0)-made) + 1; age > most || age < float64(turn.Milliseconds())-1 {
 		t.Errorf("a purge made %.0f ms ago is taken as %.0f ms old", most, age)
--- a/internal/proxy/platform/connection.go
+++ b/internal/proxy/platform/connection.go
@@ -109,7 +109,7 @@
 	server := c.pool.server
 	for c.output.Len() > 0 {
 		size, err := server.loop.Write(c.fd, c.output.Bytes())
-		if eventloop.Later(err) {
+		if eventloop.Retryable(err) {
 			server.loop.Want(c.fd, eventloop.Read|eventloop.Write)
 			c.requeueUnsent()
 			c.armFrameTimer()
--- a/internal/proxy/platform/counts.go
+++ b/internal/proxy/platform/counts.go
@@ -48,7 +48,7 @@
 
 func (s *Server) logCounts() {
 	counts := &s.counts
-	members, link := s.engine.Beliefs()
+	members, link := s.engine.Statuses()
 	logged := map[string]memberCounts{}
 	for id, belief := range members {
 		if pool := s.pools[id]; pool != nil {
--- a/internal/proxy/platform/deadline_test.go
+++ b/internal/proxy/platform/deadline_test.go
@@ -126,7 +126,7 @@
 	}
 	answered.Wait()
 	harness.server.loop.Call(waitLimit, func() {
-		members, _ := harness.server.engine.Beliefs()
+		members, _ := harness.server.engine.Statuses()
 		for id, b := range members {
 			if b.Ejected || b.InFlight != 0 {
 				t.Errorf("%s is held for suspect, or for busy: %+v", id, b)
--- a/internal/proxy/platform/discovery_events.go
+++ b/internal/proxy/platform/discovery_events.go
@@ -51,9 +51,9 @@
 // applyList has the router handle a snapshot or a delta of the endpoint list.
 func (s *Server) applyList(event *discovery.Event) {
 	now := s.loop.Now()
-	update := engine.News{Rev: int64(event.Number), How: "step"}
+	update := engine.Update{Rev: int64(event.Number), Kind: "step"}
 	if event.Kind == discovery.Snapshot {
-		update.How = "full"
+		update.Kind = "full"
 	}
 	for i := range event.Endpoints {
 		update.Members = append(update.Members, s.engineRow(&event.Endpoints[i], now))
@@ -82,7 +82,7 @@
 		Start:   endpoint.StartedAt,
 	}
 	if endpoint.StartedAt > 0 {
-		row.UpMs = max(s.platformTime.Age(float64(endpoint.StartedAt), now), leastUptime)
+		row.UptimeMillis = max(s.platformTime.Age(float64(endpoint.StartedAt), now), leastUptime)
 	}
 	return row
 }
--- a/internal/proxy/platform/discovery_stream.go
+++ b/internal/proxy/platform/discovery_stream.go
@@ -146,7 +146,7 @@
 func (c *discoveryConn) writeRequest() bool {
 	loop := c.stream.server.loop
 	size, err := loop.Write(c.fd, c.request)
-	if eventloop.Later(err) {
+	if eventloop.Retryable(err) {
 		return true
 	}
 	if err != nil {
@@ -164,7 +164,7 @@
 func (c *discoveryConn) read() {
 	stream, server := c.stream, c.stream.server
 	size, err := server.loop.Read(c.fd, server.readBuffer)
-	if eventloop.Later(err) {
+	if eventloop.Retryable(err) {
 		return
 	}
 	if err != nil || size == 0 {
--- a/internal/proxy/platform/discovery_test.go
+++ b/internal/proxy/platform/discovery_test.go
@@ -235,7 +235,7 @@
 		if events := w.server.counts.Events; events != last {
 			w.t.Errorf("%d events were delivered, want %d", events, last)
 		}
-		if groups := w.server.engine.Memory().Module.Groups; len(groups) != int(last)-1 {
+		if groups := w.server.engine.LearnedState().Module.Groups; len(groups) != int(last)-1 {
 			w.t.Errorf("purges of %d groups are known, want %d", len(groups), last-1)
 		}
 	})
--- a/internal/proxy/platform/drain.go
+++ b/internal/proxy/platform/drain.go
@@ -61,15 +61,15 @@
 		s.answerInFlight()
 	}
 	for c := range s.clients {
-		if c.activity.Shut > 0 {
+		if c.activity.ShutdownAt > 0 {
 			continue
 		}
 		if final { // what has come by now is answered
 			c.receive()
 			c.startPending()
 		}
-		atRest := c.input.Len() == 0 && now-c.activity.Last > drainIdle // one that has just been answered may ask again
-		if !c.closed && !c.owesAnswer() && (final || atRest) && eventloop.Quiet(c.fd) {
+		atRest := c.input.Len() == 0 && now-c.activity.LastUsed > drainIdle // one that has just been answered may ask again
+		if !c.closed && !c.owesAnswer() && (final || atRest) && eventloop.Idle(c.fd) {
 			c.shutdownWrite()
 		}
 	}
--- a/internal/proxy/platform/drain_test.go
+++ b/internal/proxy/platform/drain_test.go
@@ -159,7 +159,7 @@
 	shut := func() (yes bool) {
 		harness.server.loop.Call(waitLimit, func() {
 			for c := range harness.server.clients {
-				yes = c.activity.Shut > 0
+				yes = c.activity.ShutdownAt > 0
 			}
 		})
 		return yes
--- a/internal/proxy/platform/harness_test.go
+++ b/internal/proxy/platform/harness_test.go
@@ -361,7 +361,7 @@
 
 func beliefs(server *Server) map[string]float64 {
 	out := map[string]float64{}
-	members, _ := server.engine.Beliefs()
+	members, _ := server.engine.Statuses()
 	for id, b := range members {
 		out[id] = b.InFlight
 	}
--- a/internal/proxy/platform/listener.go
+++ b/internal/proxy/platform/listener.go
@@ -37,11 +37,11 @@
 		return
 	}
 	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	client := &client{server: server, fd: fd, open: map[int32]*request{}, activity: limits.ClientActivity{Since: server.loop.Now()}}
+	client := &client{server: server, fd: fd, open: map[int32]*request{}, activity: limits.ClientActivity{AcceptedAt: server.loop.Now()}}
 	client.settleTimer.F = client.startPending
 	client.emptiedAt = eventloop.Clock()
-	if !eventloop.Quiet(fd) { // it may have waited in the listener's queue
-		client.unreadSince = ln.Since()
+	if !eventloop.Idle(fd) { // it may have waited in the listener's queue
+		client.unreadSince = ln.EarliestArrival()
 	}
 	if err := server.loop.Add(fd, eventloop.Read, client); err != nil {
 		closeFD(fd)
@@ -70,13 +70,13 @@
 		if candidate.output.Len() > 0 {
 			continue // an answer is under way
 		}
-		candidate.activity.Open = candidate.openCalls()
+		candidate.activity.OpenRequests = candidate.openCalls()
 		var other *limits.ClientActivity
 		if idlest != nil {
 			other = &idlest.activity
 		}
 		// What has been sent meanwhile counts as accepted, and is owed an answer.
-		if candidate.activity.ClosesBefore(other) && eventloop.Quiet(candidate.fd) {
+		if candidate.activity.ClosesBefore(other) && eventloop.Idle(candidate.fd) {
 			idlest = candidate
 		}
 	}
--- a/internal/proxy/platform/member_test.go
+++ b/internal/proxy/platform/member_test.go
@@ -232,7 +232,7 @@
 	harness.waitUntil("nothing is open", func() (none bool) {
 		harness.server.loop.Call(waitLimit, func() {
 			held, out := 0.0, 0
-			members, link := harness.server.engine.Beliefs()
+			members, link := harness.server.engine.Statuses()
 			for id, b := range members {
 				held += b.InFlight
 				if p := harness.server.pools[id]; p != nil && float64(p.inFlight) != b.InFlight || p == nil && b.InFlight != 0 {
@@ -263,7 +263,7 @@
 		}
 	}
 	harness.server.loop.Call(waitLimit, func() {
-		if members, _ := harness.server.engine.Beliefs(); !members["s-000000c1"].Ejected {
+		if members, _ := harness.server.engine.Statuses(); !members["s-000000c1"].Ejected {
 			t.Errorf("a cache that refuses connections is no suspect: %+v", members["s-000000c1"])
 		}
 		if n := harness.server.counts.Outcomes[spool.NotSent]; n > 0 {
--- a/internal/proxy/platform/pool.go
+++ b/internal/proxy/platform/pool.go
@@ -57,7 +57,7 @@
 			continue
 		}
 		switch {
-		case conn.idle() && eventloop.Quiet(conn.fd):
+		case conn.idle() && eventloop.Idle(conn.fd):
 			if idle == nil || conn.lastUsed > idle.lastUsed {
 				idle = conn
 			}
--- a/internal/proxy/platform/reload.go
+++ b/internal/proxy/platform/reload.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	s.actions, err = s.engine.ResettleBare(s.loop.Now(), config.settings.Module, s.actions[:0])
+	s.actions, err = s.engine.ChangeModuleSettings(s.loop.Now(), config.settings.Module, s.actions[:0])
 	if err != nil {
 		return err
 	}
--- a/internal/proxy/platform/server.go
+++ b/internal/proxy/platform/server.go
@@ -79,7 +79,7 @@
 		readBuffer:       make([]byte, readBufferBytes),
 	}
 	server.buffers.Keep = server.maxBufferedBytes() / 2
-	if server.engine, err = engine.NewBare(config.settings.Module, config.seed); err != nil {
+	if server.engine, err = engine.NewFromModule(config.settings.Module, config.seed); err != nil {
 		return nil, err
 	}
 	server.indexClasses()
@@ -124,12 +124,12 @@
 func (s *Server) cleanUp() {
 	now := s.loop.Now()
 	for c := range s.clients {
-		c.activity.Open = c.openCalls()
+		c.activity.OpenRequests = c.openCalls()
 		switch {
 		case !c.activity.Expired(now):
-		case c.activity.Shut > 0 || c.activity.NotReading(now):
+		case c.activity.ShutdownAt > 0 || c.activity.NotReading(now):
 			c.close()
-		case !c.owesAnswer() && eventloop.Quiet(c.fd):
+		case !c.owesAnswer() && eventloop.Idle(c.fd):
 			c.shutdownWrite()
 		}
 	}
--- a/internal/testbed/bench/bench.go
+++ b/internal/testbed/bench/bench.go
@@ -259,7 +259,7 @@
 func (s *side) OnReady(r eventloop.Ready) {
 	if r.Writable() && len(s.wait) > 0 {
 		n, err := s.r.l.Write(s.fd, s.wait)
-		if err != nil && !eventloop.Later(err) {
+		if err != nil && !eventloop.Retryable(err) {
 			s.close()
 			return
 		}
@@ -272,7 +272,7 @@
 		return
 	}
 	n, err := s.r.l.Read(s.fd, s.r.buf)
-	if eventloop.Later(err) {
+	if eventloop.Retryable(err) {
 		return
 	}
 	if err != nil || n == 0 {
@@ -280,7 +280,7 @@
 		return
 	}
 	m, err := s.r.l.Write(s.other.fd, s.r.buf[:n])
-	if err != nil && !eventloop.Later(err) {
+	if err != nil && !eventloop.Retryable(err) {
 		s.close()
 		return
 	}
--- a/internal/testbed/compat/compat_test.go
+++ b/internal/testbed/compat/compat_test.go
@@ -337,13 +337,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	core.Recall(want.Learned.At+1, learned, nil)
+	core.Restore(want.Learned.At+1, learned, nil)
 	for id, address := range want.Learned.Addresses {
 		if got := core.Address(id); got != address {
 			t.Errorf("%s is at %q, want %q", id, got, address)
 		}
 	}
-	believed, _ := core.Beliefs()
+	believed, _ := core.Statuses()
 	if members := slices.Sorted(maps.Keys(believed)); !slices.Equal(members, want.Learned.Members) {
 		t.Errorf("believes something of %q, want %q", members, want.Learned.Members)
 	}
--- a/internal/testbed/differential/drift.go
+++ b/internal/testbed/differential/drift.go
@@ -277,7 +277,7 @@
 			if err := config.Read("journal", e.Life.Settings, s); err != nil {
 				return fmt.Errorf("drift: %w", err)
 			}
-			m, err := engine.Module(s)
+			m, err := engine.ModuleSettings(s)
 			if err != nil {
 				return fmt.Errorf("drift: %w", err)
 			}
--- a/internal/testbed/differential/drift_test.go
+++ b/internal/testbed/differential/drift_test.go
@@ -278,7 +278,7 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	n := &engine.News{Rev: 1, How: "full", Members: append([]engine.Row{{ID: "o", Kind: "origin", Zone: "y"}}, r.rows...)}
+	n := &engine.Update{Rev: 1, Kind: "full", Members: append([]engine.Row{{ID: "o", Kind: "origin", Zone: "y"}}, r.rows...)}
 	a.Tell(n)
 	return a
 }
@@ -334,7 +334,7 @@
 		m, ok := c.Member(row.ID)
 		return ok && (m.State != spool.Serving) == (row.State != "")
 	})
-	a.Tell(&engine.News{Rev: 2, How: "delta", Members: []engine.Row{row}})
+	a.Tell(&engine.Update{Rev: 2, Kind: "delta", Members: []engine.Row{row}})
 	round("second-", r.c.Second)
 	if time.Since(began) > 4*time.Second { // a window of the histogram may have closed by its time: no comparison
 		return 0
--- a/internal/testbed/loadgen/record.go
+++ b/internal/testbed/loadgen/record.go
@@ -149,7 +149,7 @@
 			r.out["they write (--writes makes them)"]++
 			continue
 		}
-		target, err := r.core.Target(t, q)
+		target, err := r.core.HTTPRequest(t, q)
 		if err != nil {
 			r.out[shorten(err.Error())]++
 			continue
--- a/internal/testbed/testserver/list.go
+++ b/internal/testbed/testserver/list.go
@@ -55,7 +55,7 @@
 	rev   int64
 	row   *engine.Row
 	since float64 // when the row's start began, on the tap's clock; 0: long ago
-	purge *engine.PurgeNews
+	purge *engine.Purge
 	made  float64
 }
 
@@ -108,7 +108,7 @@
 
 // Purge is news of a purge made at a time on the tap's clock.
 func (l *List) Purge(object string, group int, made float64) {
-	l.add(entry{purge: &engine.PurgeNews{Object: object, Group: group}, made: made})
+	l.add(entry{purge: &engine.Purge{Object: object, Group: group}, made: made})
 }
 
 // Cut ends a router's stream in the middle of its next line; empty: all routers'.
@@ -150,7 +150,7 @@
 func (e entry) told(now float64) engine.Row {
 	r := *e.row
 	if e.since > 0 {
-		r.UpMs = max(now-e.since, 0.001)
+		r.UptimeMillis = max(now-e.since, 0.001)
 	}
 	return r
 }
@@ -186,7 +186,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/x-ndjson")
-	send := func(n engine.News, recs []trafficlog.Record) bool {
+	send := func(n engine.Update, recs []trafficlog.Record) bool {
 		line, err := json.Marshal(n)
 		if err != nil {
 			return false
@@ -208,7 +208,7 @@
 		flush.Flush()
 		return err == nil
 	}
-	full := engine.News{Rev: max(rev-back, 0), How: "full"}
+	full := engine.Update{Rev: max(rev-back, 0), Kind: "full"}
 	recs := []trafficlog.Record{{Note: "full"}}
 	for _, e := range rows {
 		full.Members = append(full.Members, e.told(now))
@@ -265,7 +265,7 @@
 			if e.purge != nil {
 				ok = l.sendPurge(send, e)
 			} else {
-				ok = send(engine.News{Rev: e.rev, How: "delta", Members: []engine.Row{e.told(now)}},
+				ok = send(engine.Update{Rev: e.rev, Kind: "delta", Members: []engine.Row{e.told(now)}},
 					[]trafficlog.Record{{Src: e.row.ID, State: state(e.row.State), Start: e.row.Start}})
 			}
 			if !ok {
@@ -302,16 +302,16 @@
 	return s
 }
 
-func (l *List) sendPurge(send func(engine.News, []trafficlog.Record) bool, e entry) bool {
+func (l *List) sendPurge(send func(engine.Update, []trafficlog.Record) bool, e entry) bool {
 	p := *e.purge
 	p.AgeMs = max(trafficlog.Now()-e.made, 0)
-	return send(engine.News{Rev: e.rev, Purge: &p}, []trafficlog.Record{{Object: p.Object, Group: p.Group, Born: e.made, Note: "purge"}})
+	return send(engine.Update{Rev: e.rev, Purge: &p}, []trafficlog.Record{{Object: p.Object, Group: p.Group, Born: e.made, Note: "purge"}})
 }
 
 // post takes news from outside: a row, or a purge; ?ago=MS says how long ago
 // the member started, or the purge was made.
 func (l *List) post(w http.ResponseWriter, r *http.Request) {
-	var n engine.News
+	var n engine.Update
 	if err := json.NewDecoder(r.Body).Decode(&n); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -320,8 +320,8 @@
 	now := trafficlog.Now()
 	for _, row := range n.Members {
 		since := 0.0
-		if row.UpMs > 0 {
-			since = now - row.UpMs
+		if row.UptimeMillis > 0 {
+			since = now - row.UptimeMillis
 		}
 		l.Set(row, since)
 	}
