--- a/internal/controlplane/endpointcheck/asker.go
+++ b/internal/controlplane/endpointcheck/asker.go
@@ -8,45 +8,45 @@
 	"indigospool/internal/proxy/engine"
 )
 
-// Asker is a router that is asked for one thing after another: caches lack it, and
+// SimulatedRouter is a router that is asked for one thing after another: caches lack it, and
 // each fill succeeds at once, so that where it goes depends on the list alone, and
 // on what was asked before.
-type Asker struct {
+type SimulatedRouter struct {
 	c    *engine.Core
 	now  float64
 	n    int
 	acts []spool.Action
 }
 
-// Place is where a thing went: the cache that was asked first, and the source that
+// Placement is where a thing went: the cache that was asked first, and the source that
 // it was filled from. Empty: it was refused, or had to wait.
-type Place struct{ Cache, Source string }
+type Placement struct{ Cache, Source string }
 
-// NewAsker makes a router of settings, without members: they come with Tell.
-func NewAsker(s *config.Settings, seed uint64) (*Asker, error) {
+// NewSimulatedRouter makes a router of settings, without members: they come with Tell.
+func NewSimulatedRouter(s *config.Settings, seed uint64) (*SimulatedRouter, error) {
 	c, err := engine.New(s, seed)
-	return &Asker{c: c, now: 1e6}, err
+	return &SimulatedRouter{c: c, now: 1e6}, err
 }
 
 // Core is the router's.
-func (a *Asker) Core() *engine.Core { return a.c }
+func (a *SimulatedRouter) Core() *engine.Core { return a.c }
 
-// Tell tells it news of members or purges.
-func (a *Asker) Tell(n *engine.Update) {
+// Apply tells it news of members or purges.
+func (a *SimulatedRouter) Apply(n *engine.Update) {
 	for _, ev := range a.c.Apply(a.now, n).Events {
 		a.c.Handle(a.now, ev, nil)
 	}
 }
 
-// Pass lets time pass, with the module's beats.
-func (a *Asker) Pass(ms float64) {
+// Advance lets time pass, with the module's beats.
+func (a *SimulatedRouter) Advance(ms float64) {
 	for end := a.now + ms; a.now < end; a.now += 25 {
 		a.acts = a.c.Handle(a.now, spool.Timer{}, a.acts[:0])
 	}
 }
 
-// Ask asks for a thing. Of the request the name and the deadline are the asker's.
-func (a *Asker) Ask(q spool.Request) (p Place) {
+// Route asks for a thing. Of the request the name and the deadline are the asker's.
+func (a *SimulatedRouter) Route(q spool.Request) (p Placement) {
 	a.n++
 	a.now += 2
 	q.ID, q.Deadline = fmt.Sprint("q", a.n), a.now+1e4
--- a/internal/controlplane/endpointcheck/listcheck.go
+++ b/internal/controlplane/endpointcheck/listcheck.go
@@ -142,28 +142,28 @@
 	if err := errors.Join(config.ReadVersion("old", before, own, &was), config.ReadVersion("new", after, own, &is)); err != nil {
 		return nil, err
 	}
-	a, err := NewAsker(&was, o.Seed)
+	a, err := NewSimulatedRouter(&was, o.Seed)
 	if err != nil {
 		return nil, err
 	}
-	a.Tell(engine.UpdateFromSettings(&was))
+	a.Apply(engine.UpdateFromSettings(&was))
 	things := draw(&was, o)
 	if len(things) == 0 {
 		return &Zone{Zone: zone}, nil
 	}
 	a.all(things) // so that ranges form
-	a.Pass(6000)
+	a.Advance(6000)
 	a.all(things)
-	a.Pass(25000) // and what moved with them is settled
+	a.Advance(25000) // and what moved with them is settled
 	first := a.all(things)
 	for _, s := range configversion.Diff(was.Members, is.Members) {
-		a.Tell(engine.UpdateFromVersion(1, s.Members, s.Kind == configversion.DeltaStarts))
+		a.Apply(engine.UpdateFromVersion(1, s.Members, s.Kind == configversion.DeltaStarts))
 	}
 	if _, err := a.c.ChangeSettings(a.now, &is, nil); err != nil {
 		return nil, err
 	}
 	second := a.all(things)
-	a.Pass(max(is.Rules.ColdTime, is.Rules.ParentColdTime) + 25000)
+	a.Advance(max(is.Rules.ColdTime, is.Rules.ParentColdTime) + 25000)
 	third := a.all(things)
 	return compare(zone, &is, things, first, second, third), nil
 }
@@ -192,15 +192,15 @@
 	return out
 }
 
-func (a *Asker) all(things []thing) []Place {
-	out := make([]Place, len(things))
+func (a *SimulatedRouter) all(things []thing) []Placement {
+	out := make([]Placement, len(things))
 	for i, t := range things {
-		out[i] = a.Ask(spool.Request{Class: t.class, Object: t.object, Part: t.part, KB: t.kb})
+		out[i] = a.Route(spool.Request{Class: t.class, Object: t.object, Part: t.part, KB: t.kb})
 	}
 	return out
 }
 
-func compare(zone string, s *config.Settings, things []thing, first, second, third []Place) *Zone {
+func compare(zone string, s *config.Settings, things []thing, first, second, third []Placement) *Zone {
 	z := &Zone{Zone: zone, Asked: len(things)}
 	kind := map[string]string{}
 	for _, m := range s.Members {
@@ -208,7 +208,7 @@
 	}
 	type key struct{ member, role string }
 	shares := map[key]*Share{}
-	count := func(list []Place, add func(*Share, float64)) {
+	count := func(list []Placement, add func(*Share, float64)) {
 		for _, p := range list {
 			for _, k := range []key{{p.Cache, "cache"}, {p.Source, "source"}} {
 				if k.member == "" {
--- a/internal/controlplane/service/agent.go
+++ b/internal/controlplane/service/agent.go
@@ -50,9 +50,9 @@
 	// block.
 	LoadCounts func() (LoadCounts, error)
 
-	// Use is called for a version that is to be run, from one of the agent's goroutines
+	// OnActivate is called for a version that is to be run, from one of the agent's goroutines
 	// and in order. It must not call the agent.
-	Use func(configversion.Activate)
+	OnActivate func(configversion.Activate)
 	// Warn is called with what operators should know; may be nil.
 	Warn func(text string)
 }
@@ -222,7 +222,7 @@
 	case configversion.Nack:
 		a.reply(action.Number, action.Reasons)
 	case configversion.Activate:
-		a.cfg.Use(action)
+		a.cfg.OnActivate(action)
 	case configversion.Warn:
 		a.cfg.Warn(action.Text)
 	case configversion.RequestOffer:
--- a/internal/controlplane/service/certificates_test.go
+++ b/internal/controlplane/service/certificates_test.go
@@ -101,7 +101,7 @@
 		router := &testRouter{}
 		router.Agent = StartAgent(AgentConfig{Router: strings.TrimSuffix(filepath.Base(certificates.Cert), ".pem"), Services: []string{listener.Addr().String()}, Backoff: 20 * time.Millisecond,
 			DialOptions: []grpc.DialOption{grpc.WithTransportCredentials(certificates.ClientCredentials(service))},
-			Use:         func(configversion.Activate) { router.uses.Add(1) },
+			OnActivate:  func(configversion.Activate) { router.uses.Add(1) },
 			Warn:        router.warn})
 		t.Cleanup(router.Close)
 		return router
--- a/internal/controlplane/service/harness_test.go
+++ b/internal/controlplane/service/harness_test.go
@@ -184,7 +184,7 @@
 	if cfg.DialOptions == nil {
 		cfg.DialOptions = []grpc.DialOption{grpc.WithTransportCredentials(insecure.NewCredentials())}
 	}
-	cfg.Use = func(configversion.Activate) { router.uses.Add(1) }
+	cfg.OnActivate = func(configversion.Activate) { router.uses.Add(1) }
 	cfg.Warn = router.warn
 	router.Agent = StartAgent(cfg)
 	t.Cleanup(router.Close)
--- a/internal/proxy/httpfront/versions.go
+++ b/internal/proxy/httpfront/versions.go
@@ -66,7 +66,7 @@
 		Backoff: span(c.Backoff), StateOfTheWorld: c.Protocol == "full", MaxBytes: 2 * c.MaxBytes, ReportInterval: span(c.Report),
 		DialOptions: []grpc.DialOption{dial},
 		Machine:     configversion.MachineSettings{Local: own, MaxBytes: c.MaxBytes, Jitter: c.Spread, Lease: c.Lease, UnconfirmedAfter: c.Old, StaleAfter: c.Stale},
-		Use:         v.use, Warn: func(text string) { log.Log.Warn(text) }}
+		OnActivate:  v.use, Warn: func(text string) { log.Log.Warn(text) }}
 	if c.Report > 0 {
 		cfg.LoadCounts = v.tally
 	}
--- a/internal/testbed/bench/fleet.go
+++ b/internal/testbed/bench/fleet.go
@@ -149,7 +149,7 @@
 	began := time.Now()
 	for i := range agents {
 		agents[i] = service.StartAgent(service.AgentConfig{Router: fmt.Sprintf("router-%04d", i), Services: []string{addr}, Seed: uint64(i),
-			StateOfTheWorld: full, Use: func(configversion.Activate) {},
+			StateOfTheWorld: full, OnActivate: func(configversion.Activate) {},
 			DialOptions: []grpc.DialOption{grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithStatsHandler(&got)}})
 	}
 	defer func() {
--- a/internal/testbed/differential/drift_test.go
+++ b/internal/testbed/differential/drift_test.go
@@ -252,8 +252,8 @@
 }
 
 // places are where the sockets saw requests go, by the clients' names of them.
-func (r *rig) places() map[string]endpointcheck.Place {
-	out := map[string]endpointcheck.Place{}
+func (r *rig) places() map[string]endpointcheck.Placement {
+	out := map[string]endpointcheck.Placement{}
 	for _, rec := range r.tap.Records() {
 		if rec.Ev != trafficlog.Recv || rec.ID == "" || rec.Via != "" {
 			continue
@@ -273,13 +273,13 @@
 }
 
 // asker is spool-fleet's router of the same settings and list.
-func (r *rig) asker() *endpointcheck.Asker {
-	a, err := endpointcheck.NewAsker(r.settings, 1)
+func (r *rig) asker() *endpointcheck.SimulatedRouter {
+	a, err := endpointcheck.NewSimulatedRouter(r.settings, 1)
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	n := &engine.Update{Rev: 1, Kind: "full", Members: append([]engine.Row{{ID: "o", Kind: "origin", Zone: "y"}}, r.rows...)}
-	a.Tell(n)
+	a.Apply(n)
 	return a
 }
 
@@ -305,7 +305,7 @@
 func (r *rig) oneByOne() (compared int) {
 	began := time.Now()
 	a := r.asker()
-	want := map[string]endpointcheck.Place{}
+	want := map[string]endpointcheck.Placement{}
 	held := map[ask]bool{}
 	round := func(name string, list []ask) {
 		for i := range list {
@@ -316,7 +316,7 @@
 			held[thing] = true
 			id := fmt.Sprint(name, i)
 			r.make(&list[i], id)
-			want[id] = a.Ask(r.classified(a.Core(), &list[i]))
+			want[id] = a.Route(r.classified(a.Core(), &list[i]))
 		}
 	}
 	round("first-", r.c.First)
@@ -334,7 +334,7 @@
 		m, ok := c.Member(row.ID)
 		return ok && (m.State != spool.Serving) == (row.State != "")
 	})
-	a.Tell(&engine.Update{Rev: 2, Kind: "delta", Members: []engine.Row{row}})
+	a.Apply(&engine.Update{Rev: 2, Kind: "delta", Members: []engine.Row{row}})
 	round("second-", r.c.Second)
 	if time.Since(began) > 4*time.Second { // a window of the histogram may have closed by its time: no comparison
 		return 0
