--- a/internal/cachenode/server/cache.go
+++ b/internal/cachenode/server/cache.go
@@ -454,7 +454,7 @@
 	c.last = c.last || h.Close
 	if len(fills) == 0 {
 		v.plain = true
-		v.a = fetchheader.Attempt{Object: v.target, Group: -1, Keep: 1, Join: true, Fetch: true}
+		v.a = fetchheader.Attempt{Object: v.target, Group: -1, Keep: 1, Join: true, MayFetch: true}
 		return v
 	}
 	var err error
@@ -569,7 +569,7 @@
 }
 
 // serve answers with a copy.
-func (v *visit) serve(c *store.CachedObject, h fetchheader.Handled) {
+func (v *visit) serve(c *store.CachedObject, h fetchheader.CacheStatus) {
 	s := v.s
 	v.copy, v.size = c, c.Size
 	h.Cache = s.f.Name
@@ -614,7 +614,7 @@
 		use := v.use(c)
 		if use == httpcache.Unsatisfied {
 			go c.Close()
-			v.refuse(504, fetchheader.Handled{Fwd: "miss"})
+			v.refuse(504, fetchheader.CacheStatus{Fwd: "miss"})
 			return
 		}
 		if use == httpcache.ServeRenew {
@@ -634,13 +634,13 @@
 	s.hits += (hit - s.hits) * 0.02
 	if c != nil {
 		s.stats.Hits++
-		v.serve(c, fetchheader.Handled{Hit: true})
+		v.serve(c, fetchheader.CacheStatus{Hit: true})
 		return
 	}
 	fl := s.flights[v.key]
-	if v.a.Source == "" && !v.a.Fetch {
+	if v.a.Source == "" && !v.a.MayFetch {
 		s.stats.Looked++
-		v.refuse(504, fetchheader.Handled{Fwd: "miss", Joined: fl != nil})
+		v.refuse(504, fetchheader.CacheStatus{Fwd: "miss", Collapsed: fl != nil})
 		return
 	}
 	if fl != nil && v.a.Join && fl.joinable() {
@@ -661,7 +661,7 @@
 }
 
 // refuse is an answer without a copy.
-func (v *visit) refuse(status int, h fetchheader.Handled) {
+func (v *visit) refuse(status int, h fetchheader.CacheStatus) {
 	if v.over {
 		return
 	}
@@ -693,7 +693,7 @@
 	b = http1.AppendFieldString(b, fetchheader.StatusField, status)
 	b = http1.AppendFieldString(b, fetchheader.LoadField, v.s.load())
 	age := max(v.s.now()-m.Born, 0)
-	b = http1.AppendFieldString(b, fetchheader.CopyField, fetchheader.Version{V: m.Version, Age: float64(age)}.String())
+	b = http1.AppendFieldString(b, fetchheader.CopyField, fetchheader.CopyVersion{Number: m.Version, Age: float64(age)}.String())
 	b = http1.AppendFieldInt(b, "Age", age/1000)
 	for name, value := range m.Fields {
 		b = http1.AppendFieldString(b, name, value)
--- a/internal/cachenode/server/cache_test.go
+++ b/internal/cachenode/server/cache_test.go
@@ -87,7 +87,7 @@
 
 // at makes an attempt with a fill at a cache elsewhere.
 func (r *rig) at(addr, path string) (*http.Response, []byte, error) {
-	a := fetchheader.Attempt{ID: "q" + path, From: "r1", Class: "still", Object: path, Group: 7, Keep: 2, Join: true, Source: "o", At: r.origin.Addr()}
+	a := fetchheader.Attempt{ID: "q" + path, From: "r1", Class: "still", Object: path, Group: 7, Keep: 2, Join: true, Source: "o", SourceAddress: r.origin.Addr()}
 	req, _ := http.NewRequest("GET", "http://"+addr+path, nil)
 	req.Header.Set(fetchheader.FillField, string(a.Append(nil)))
 	res, err := r.client.Do(req)
@@ -104,7 +104,7 @@
 	class := strings.Split(path, "/")[1]
 	a := fetchheader.Attempt{ID: "q" + path, From: "r1", Class: class, Object: path, Group: 7, Keep: 2, Join: true}
 	if src {
-		a.Source, a.At = "o", r.origin.Addr()
+		a.Source, a.SourceAddress = "o", r.origin.Addr()
 	}
 	req, _ := http.NewRequest("GET", "http://"+r.s.Addr()+path, nil)
 	if change != nil {
@@ -127,14 +127,14 @@
 	if err != nil || res.StatusCode != 200 {
 		r.t.Fatalf("%s: %v %v", path, res, err)
 	}
-	v, err := fetchheader.ParseVersion(res.Header.Get(fetchheader.CopyField))
+	v, err := fetchheader.ParseCopyVersion(res.Header.Get(fetchheader.CopyField))
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	if at, ok := testserver.Matches(b, path, v.V, 0); !ok || int64(len(b)) != res.ContentLength {
-		r.t.Fatalf("%s: byte %d is not of version %d; %d bytes of %d", path, at, v.V, len(b), res.ContentLength)
+	if at, ok := testserver.Matches(b, path, v.Number, 0); !ok || int64(len(b)) != res.ContentLength {
+		r.t.Fatalf("%s: byte %d is not of version %d; %d bytes of %d", path, at, v.Number, len(b), res.ContentLength)
 	}
-	return res.Header.Get(fetchheader.StatusField), v.V
+	return res.Header.Get(fetchheader.StatusField), v.Number
 }
 
 func (r *rig) waitKept(n uint64) {
@@ -330,7 +330,7 @@
 	}
 	res, b, err := r.ask("/order/1", true, func(a *fetchheader.Attempt, q *http.Request) {
 		q.Method, q.Body, q.ContentLength = "POST", io.NopCloser(strings.NewReader("hello")), 5
-		q.Header.Set(fetchheader.KeyField, "k1")
+		q.Header.Set(fetchheader.IdempotencyKeyField, "k1")
 	})
 	if err != nil || res.StatusCode != 200 || !bytes.Contains(b, []byte("5 bytes")) {
 		t.Errorf("%v %q %v", res, b, err)
@@ -374,14 +374,14 @@
 		res, _, err := r.ask("/still/1/"+what, true, func(a *fetchheader.Attempt, _ *http.Request) {
 			switch what {
 			case "gone":
-				a.At = "127.0.0.1:1"
+				a.SourceAddress = "127.0.0.1:1"
 			case "hangs":
 				if err := r.origin.Fault(testserver.Fault{Kind: testserver.Hang, For: 400}); err != nil {
 					t.Fatal(err)
 				}
 			case "lacks":
 				a.Held = true
-				a.At = r.s.Addr() // itself: it holds nothing of it
+				a.SourceAddress = r.s.Addr() // itself: it holds nothing of it
 			}
 		})
 		if err != nil || res.StatusCode != 503 || !strings.Contains(res.Header.Get(fetchheader.StatusField), want) {
@@ -464,7 +464,7 @@
 	ask := func(age float64, plain bool) (int, string) {
 		req, _ := http.NewRequest("GET", "http://"+r.s.Addr()+"/still/1/x", nil)
 		if !plain {
-			a := fetchheader.Attempt{ID: "q", From: "r", Class: "still", Object: "/still/1/x", Group: -1, Keep: 2, Age: age, Source: "o", At: at}
+			a := fetchheader.Attempt{ID: "q", From: "r", Class: "still", Object: "/still/1/x", Group: -1, Keep: 2, Age: age, Source: "o", SourceAddress: at}
 			req.Header.Set(fetchheader.FillField, string(a.Append(nil)))
 		}
 		res, err := r.client.Do(req)
--- a/internal/cachenode/server/clock_test.go
+++ b/internal/cachenode/server/clock_test.go
@@ -40,7 +40,7 @@
 	get := func(path string, age float64) int {
 		req, _ := http.NewRequest("GET", "http://"+r.s.Addr()+path, nil)
 		if age >= 0 {
-			a := fetchheader.Attempt{ID: "q", From: "r", Class: "still", Object: path, Group: -1, Keep: 2, Age: age, Source: "o", At: src.Listener.Addr().String()}
+			a := fetchheader.Attempt{ID: "q", From: "r", Class: "still", Object: path, Group: -1, Keep: 2, Age: age, Source: "o", SourceAddress: src.Listener.Addr().String()}
 			req.Header.Set(fetchheader.FillField, string(a.Append(nil)))
 		}
 		before := asked.Load()
--- a/internal/cachenode/server/fill.go
+++ b/internal/cachenode/server/fill.go
@@ -46,7 +46,7 @@
 
 // fill begins a fill for a visit.
 func (s *Server) fill(v *visit) {
-	address := v.a.At
+	address := v.a.SourceAddress
 	if address == "" {
 		address = s.f.Upstream
 	}
@@ -55,10 +55,10 @@
 		go v.old.Close()
 		return
 	case address == "":
-		v.refuse(503, fetchheader.Handled{Fwd: "miss", Detail: fetchheader.SourceUnreached})
+		v.refuse(503, fetchheader.CacheStatus{Fwd: "miss", Detail: fetchheader.SourceUnreached})
 		return
 	case s.filling >= s.f.Fills:
-		v.refuse(503, fetchheader.Handled{Fwd: "miss"})
+		v.refuse(503, fetchheader.CacheStatus{Fwd: "miss"})
 		return
 	}
 	s.stats.Fills++
@@ -71,8 +71,8 @@
 		fl.add(v)
 	}
 	sub := v.a
-	sub.Via, sub.Source, sub.At, sub.Held = s.f.Name, "", "", false
-	sub.Fetch = !v.a.Held
+	sub.Via, sub.Source, sub.SourceAddress, sub.Held = s.f.Name, "", "", false
+	sub.MayFetch = !v.a.Held
 	b := []byte("GET " + v.target + " HTTP/1.1\r\n")
 	host := v.fields.Get("host")
 	if host == "" {
@@ -133,7 +133,7 @@
 		return
 	}
 	v.size = fl.size
-	status := fetchheader.Handled{Cache: fl.s.f.Name, Fwd: "miss", Stored: fl.keep, Joined: v.joined}.String()
+	status := fetchheader.CacheStatus{Cache: fl.s.f.Name, Fwd: "miss", Stored: fl.keep, Collapsed: v.joined}.String()
 	if fl.status != "" {
 		status = fl.status + ", " + status
 	}
@@ -173,8 +173,8 @@
 	}
 	fl.size = h.ContentLength
 	a := &fl.v.a
-	ver, _ := fetchheader.ParseVersion(string(h.Get("spool-copy")))
-	fl.meta = store.Meta{Key: fl.key, Object: a.Object, Group: int32(a.Group), Version: ver.V, Born: s.now() - int64(ver.Age), Rank: a.Keep, Fields: map[string]string{}}
+	ver, _ := fetchheader.ParseCopyVersion(string(h.Get("spool-copy")))
+	fl.meta = store.Meta{Key: fl.key, Object: a.Object, Group: int32(a.Group), Version: ver.Number, Born: s.now() - int64(ver.Age), Rank: a.Keep, Fields: map[string]string{}}
 	for i := range h.Fields {
 		name := strings.ToLower(string(h.Fields[i].Name))
 		switch name {
@@ -242,8 +242,8 @@
 func (fl *flight) renew(h *http1.Head) {
 	s, old := fl.s, fl.v.old
 	fl.v.old = nil
-	ver, err := fetchheader.ParseVersion(string(h.Get("spool-copy")))
-	if err != nil || old.Version != 0 && ver.V < old.Version {
+	ver, err := fetchheader.ParseCopyVersion(string(h.Get("spool-copy")))
+	if err != nil || old.Version != 0 && ver.Number < old.Version {
 		ver.Age = 0
 		if n, err := strconv.ParseInt(string(h.Get("age")), 10, 31); err == nil {
 			ver.Age = float64(n) * 1000
@@ -483,9 +483,9 @@
 		case old != nil && !old.PurgesUnknown && !fl.s.ageUnknown(old) && v.a.Age <= 0 && httpcache.OnError(float64(fl.s.now()), fl.s.answerOf(old), 0):
 			v.old = nil
 			fl.s.stats.Stale++
-			v.serve(old, fetchheader.Handled{Hit: true, Detail: detail})
+			v.serve(old, fetchheader.CacheStatus{Hit: true, Detail: detail})
 		default:
-			v.refuse(status, fetchheader.Handled{Fwd: "miss", Detail: detail})
+			v.refuse(status, fetchheader.CacheStatus{Fwd: "miss", Detail: detail})
 		}
 	}
 	fl.settle()
@@ -750,21 +750,21 @@
 
 // pass takes a write to the source that the attempt names.
 func (s *Server) pass(v *visit) {
-	address := v.a.At
+	address := v.a.SourceAddress
 	if address == "" {
 		address = s.f.Upstream
 	}
 	if address == "" || v.plain {
-		v.refuse(504, fetchheader.Handled{Fwd: "bypass"})
+		v.refuse(504, fetchheader.CacheStatus{Fwd: "bypass"})
 		return
 	}
 	sub := v.a
-	sub.Via, sub.Source, sub.At = s.f.Name, "", ""
+	sub.Via, sub.Source, sub.SourceAddress = s.f.Name, "", ""
 	b := []byte(v.method + " " + v.target + " HTTP/1.1\r\n")
 	b = http1.AppendFieldString(b, "Host", address)
 	b = append(b, fetchheader.FillField+": "...)
 	b = append(sub.Append(b), "\r\n"...)
-	for _, name := range []string{"X-Request-Id", fetchheader.KeyField, "Content-Type"} {
+	for _, name := range []string{"X-Request-Id", fetchheader.IdempotencyKeyField, "Content-Type"} {
 		if val := v.fields.Get(name); val != "" {
 			b = http1.AppendFieldString(b, name, val)
 		}
@@ -790,7 +790,7 @@
 	}
 	p.v.seen("sent", p.status, 0, 0, false)
 	b := http1.AppendStatus(nil, p.status)
-	b = http1.AppendFieldString(b, fetchheader.StatusField, fetchheader.Handled{Cache: p.v.s.f.Name, Fwd: "bypass"}.String())
+	b = http1.AppendFieldString(b, fetchheader.StatusField, fetchheader.CacheStatus{Cache: p.v.s.f.Name, Fwd: "bypass"}.String())
 	b = http1.AppendFieldString(b, fetchheader.LoadField, p.v.s.load())
 	b = http1.AppendFieldInt(b, "Content-Length", int64(len(p.b)))
 	p.v.c.out = append(append(append(p.v.c.out, b...), "\r\n"...), p.b...)
@@ -803,6 +803,6 @@
 		status = 503
 	}
 	if !p.v.over {
-		p.v.refuse(status, fetchheader.Handled{Fwd: "bypass", Detail: detail})
+		p.v.refuse(status, fetchheader.CacheStatus{Fwd: "bypass", Detail: detail})
 	}
 }
--- a/internal/cachenode/server/kill_test.go
+++ b/internal/cachenode/server/kill_test.go
@@ -148,13 +148,13 @@
 					if res.StatusCode == 503 {
 						continue
 					}
-					v, verr := fetchheader.ParseVersion(res.Header.Get(fetchheader.CopyField))
+					v, verr := fetchheader.ParseCopyVersion(res.Header.Get(fetchheader.CopyField))
 					if res.StatusCode != 200 || verr != nil {
 						t.Errorf("%s: %s %v", p, res.Status, verr)
 						return
 					}
-					if at, ok := testserver.Matches(b, p, v.V, 0); !ok || v.V < want {
-						t.Errorf("round %d: %s in version %d, %d is the least; byte %d", round, p, v.V, want, at)
+					if at, ok := testserver.Matches(b, p, v.Number, 0); !ok || v.Number < want {
+						t.Errorf("round %d: %s in version %d, %d is the least; byte %d", round, p, v.Number, want, at)
 						return
 					}
 					mu.Lock()
--- a/internal/cachenode/server/router_test.go
+++ b/internal/cachenode/server/router_test.go
@@ -56,11 +56,11 @@
 			}
 			body, err := io.ReadAll(res.Body)
 			res.Body.Close()
-			v, verr := fetchheader.ParseVersion(res.Header.Get(fetchheader.CopyField))
+			v, verr := fetchheader.ParseCopyVersion(res.Header.Get(fetchheader.CopyField))
 			if err != nil || verr != nil || res.StatusCode != 200 {
 				t.Fatal(path, res.Status, err, verr)
 			}
-			if at, ok := testserver.Matches(body, path, v.V, 0); !ok {
+			if at, ok := testserver.Matches(body, path, v.Number, 0); !ok {
 				t.Fatalf("%s: byte %d", path, at)
 			}
 			if strings.Contains(res.Header.Get(fetchheader.StatusField), "hit") {
--- a/internal/protocol/fetchheader/fillwire.go
+++ b/internal/protocol/fetchheader/fillwire.go
@@ -24,42 +24,42 @@
 
 // The fields of the protocol.
 const (
-	FillField   = "Spool-Fill"
-	CopyField   = "Spool-Copy"
-	LoadField   = "Spool-Load"
-	StatusField = "Cache-Status"
-	KeyField    = "Idempotency-Key"
+	FillField           = "Spool-Fill"
+	CopyField           = "Spool-Copy"
+	LoadField           = "Spool-Load"
+	StatusField         = "Cache-Status"
+	IdempotencyKeyField = "Idempotency-Key"
 )
 
 // Attempt is what a router asks of a cache, parent or origin, beside the
 // request itself.
 type Attempt struct {
-	ID     string // the router's name of the request
-	Number int    // of the attempt, from 0
-	From   string // the router's name
-	Class  string
-	Object string // what a purge names; all parts of an object share it
-	Group  int    // group of the object, for purges; -1: none
-	Source string // member to fill from; empty: a look, answered from its own copy or not at all
-	At     string // address of the source
-	Keep   int    // rank of the copy, 1 to 3; 0: pass through
-	Age    float64
-	Left   float64 // time that the asker waits, ms; 0: not told
-	Join   bool    // may join a fill under way
-	Held   bool    // the source gives only what it holds
-	Renew  bool    // renew an ageing copy behind the answer
+	ID            string // the router's name of the request
+	Number        int    // of the attempt, from 0
+	From          string // the router's name
+	Class         string
+	Object        string // what a purge names; all parts of an object share it
+	Group         int    // group of the object, for purges; -1: none
+	Source        string // member to fill from; empty: a look, answered from its own copy or not at all
+	SourceAddress string // address of the source
+	Keep          int    // rank of the copy, 1 to 3; 0: pass through
+	Age           float64
+	Left          float64 // time that the asker waits, ms; 0: not told
+	Join          bool    // may join a fill under way
+	Held          bool    // the source gives only what it holds
+	Renew         bool    // renew an ageing copy behind the answer
 
-	Via   string // of a fill: the cache that asks; empty: a router does
-	Fetch bool   // of a fill: the source may fetch what it lacks from where it is set to
+	Via      string // of a fill: the cache that asks; empty: a router does
+	MayFetch bool   // of a fill: the source may fetch what it lacks from where it is set to
 }
 
-// FromSend is the attempt that an action of the module asks for. Where a copy's
+// NewAttempt is the attempt that an action of the module asks for. Where a copy's
 // own cache is named as its source, there is no fill.
-func FromSend(s *spool.Send, q *spool.Request, number int, from, address string, left float64) Attempt {
+func NewAttempt(s *spool.Send, q *spool.Request, number int, from, address string, left float64) Attempt {
 	a := Attempt{ID: s.ID, Number: number, From: from, Class: q.Class, Object: q.Object, Group: q.Group,
 		Keep: s.Keep, Age: s.Age, Left: left, Join: s.Join, Held: s.Held, Renew: s.Renew}
 	if s.Source != s.Cache {
-		a.Source, a.At = s.Source, address
+		a.Source, a.SourceAddress = s.Source, address
 	}
 	return a
 }
@@ -76,7 +76,7 @@
 	}
 	if a.Source != "" {
 		dst = appendString(append(dst, ", src="...), a.Source)
-		dst = appendString(append(dst, ", at="...), a.At)
+		dst = appendString(append(dst, ", at="...), a.SourceAddress)
 	}
 	dst = strconv.AppendInt(append(dst, ", keep="...), int64(a.Keep), 10)
 	if a.Age > 0 {
@@ -97,7 +97,7 @@
 	if a.Via != "" {
 		dst = appendString(append(dst, ", via="...), a.Via)
 	}
-	if a.Fetch {
+	if a.MayFetch {
 		dst = append(dst, ", fetch"...)
 	}
 	return dst
@@ -162,7 +162,7 @@
 		case "src":
 			err = set(&a.Source, item)
 		case "at":
-			err = set(&a.At, item)
+			err = set(&a.SourceAddress, item)
 		case "keep":
 			err = setInt(&a.Keep, item)
 		case "age":
@@ -178,7 +178,7 @@
 		case "via":
 			err = set(&a.Via, item)
 		case "fetch":
-			err = set(&a.Fetch, item)
+			err = set(&a.MayFetch, item)
 		} // others are for later versions: ignored
 		if err != nil {
 			return a, fmt.Errorf("fillwire: %s: member %s: %w", FillField, name, err)
@@ -187,7 +187,7 @@
 	switch {
 	case a.ID == "":
 		err = errors.New("fillwire: Spool-Fill names no id")
-	case a.Source != "" && a.At == "":
+	case a.Source != "" && a.SourceAddress == "":
 		err = fmt.Errorf("fillwire: Spool-Fill names the source %q without its address (at)", a.Source)
 	case a.Keep < 0 || a.Keep > 3:
 		err = fmt.Errorf("fillwire: Spool-Fill: keep is %d; 0 to 3 are known", a.Keep)
@@ -241,21 +241,21 @@
 	SourceLacks: spool.NoteSourceMiss, NoPlace: spool.NoteNoCapacity, OriginFailed: spool.NoteOriginFailed,
 }
 
-// Handled is what a cache says of how it handled an attempt: one member of
+// CacheStatus is what a cache says of how it handled an attempt: one member of
 // Cache-Status.
-type Handled struct {
-	Cache  string
-	Hit    bool
-	TTL    float64 // seconds; below 0: past its fresh time. Told only of hits with HasTTL
-	HasTTL bool
-	Fwd    string // why it went on: "miss", "stale", "bypass"
-	Stored bool
-	Joined bool   // RFC 9211: collapsed
-	Detail string // one of the details above
+type CacheStatus struct {
+	Cache     string
+	Hit       bool
+	TTL       float64 // seconds; below 0: past its fresh time. Told only of hits with HasTTL
+	HasTTL    bool
+	Fwd       string // why it went on: "miss", "stale", "bypass"
+	Stored    bool
+	Collapsed bool   // RFC 9211: collapsed
+	Detail    string // one of the details above
 }
 
 // String is the list member.
-func (h Handled) String() string {
+func (h CacheStatus) String() string {
 	p := httpsfv.NewParams()
 	if h.Hit {
 		p.Add("hit", true)
@@ -268,7 +268,7 @@
 	if h.Stored {
 		p.Add("stored", true)
 	}
-	if h.Joined {
+	if h.Collapsed {
 		p.Add("collapsed", true)
 	}
 	if h.Detail != "" {
@@ -340,13 +340,13 @@
 
 var equals = []byte("=")
 
-// Judge says which result and note a response amounts to. looked tells that
+// ClassifyResponse says which result and note a response amounts to. looked tells that
 // only a copy was asked for; write that the request runs at the origin.
 //
 // 504 to a look is a miss (RFC 9111, section 5.2.1.7); 503 was turned away
 // before anything ran; other 5xx are faults. All else is the object's answer,
 // also where that is 404.
-func Judge(h *http1.Head, looked, write bool) (spool.Result, spool.Note) {
+func ClassifyResponse(h *http1.Head, looked, write bool) (spool.Result, spool.Note) {
 	s, behind := scanStatus(h.Get("cache-status"))
 	note := spool.NoteNone
 	switch {
@@ -377,20 +377,20 @@
 	return spool.OK, note
 }
 
-// Version is what Spool-Copy says of an answer's copy.
-type Version struct {
-	V   int64   // the origin's version of the object
-	Age float64 // ms since the origin gave it, at the time of the answer
+// CopyVersion is what Spool-Copy says of an answer's copy.
+type CopyVersion struct {
+	Number int64   // the origin's version of the object
+	Age    float64 // ms since the origin gave it, at the time of the answer
 }
 
 // String is the value of Spool-Copy.
-func (v Version) String() string {
-	b := strconv.AppendInt([]byte("v="), v.V, 10)
+func (v CopyVersion) String() string {
+	b := strconv.AppendInt([]byte("v="), v.Number, 10)
 	return string(appendDecimal(append(b, ", age="...), v.Age))
 }
 
-// ParseVersion reads Spool-Copy.
-func ParseVersion(value string) (v Version, err error) {
+// ParseCopyVersion reads Spool-Copy.
+func ParseCopyVersion(value string) (v CopyVersion, err error) {
 	d, err := httpsfv.UnmarshalDictionary([]string{value})
 	if err != nil {
 		return v, fmt.Errorf("fillwire: %s %q: %w", CopyField, value, err)
@@ -400,7 +400,7 @@
 			item, ok := item.(httpsfv.Item)
 			switch {
 			case ok && name == "v":
-				err = set(&v.V, item)
+				err = set(&v.Number, item)
 			case ok && name == "age":
 				err = setNumber(&v.Age, item)
 			}
--- a/internal/protocol/fetchheader/fillwire_test.go
+++ b/internal/protocol/fetchheader/fillwire_test.go
@@ -24,7 +24,7 @@
 			Age: span.Draw(t, "age"), Left: span.Draw(t, "left"), Join: rapid.Bool().Draw(t, "join"),
 			Held: rapid.Bool().Draw(t, "held"), Renew: rapid.Bool().Draw(t, "renew")}
 		if rapid.Bool().Draw(t, "fill") {
-			want.Source, want.At = text.Draw(t, "src"), text.Draw(t, "at")
+			want.Source, want.SourceAddress = text.Draw(t, "src"), text.Draw(t, "at")
 		}
 		value := string(want.Append(nil))
 		got, err := ParseAttempt([]string{value})
@@ -80,7 +80,7 @@
 		{200, `;;;"`, false, false, spool.OK, spool.NoteNone},
 	} {
 		h := &http1.Head{Status: c.status, Fields: []http1.Field{{Name: []byte("Cache-Status"), Value: []byte(c.cs)}}}
-		if r, n := Judge(h, c.look, c.wr); r != c.result || n != c.note {
+		if r, n := ClassifyResponse(h, c.look, c.wr); r != c.result || n != c.note {
 			t.Errorf("%d %s: result %v, note %v, want %v, %v", c.status, c.cs, r, n, c.result, c.note)
 		}
 	}
@@ -90,8 +90,8 @@
 // reader finds in it.
 func TestHandledIsRead(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := Handled{Cache: rapid.StringMatching(`[ -~]{1,12}`).Draw(t, "name"), Hit: rapid.Bool().Draw(t, "hit"),
-			HasTTL: true, TTL: float64(rapid.IntRange(-9, 9).Draw(t, "ttl")), Joined: rapid.Bool().Draw(t, "joined")}
+		h := CacheStatus{Cache: rapid.StringMatching(`[ -~]{1,12}`).Draw(t, "name"), Hit: rapid.Bool().Draw(t, "hit"),
+			HasTTL: true, TTL: float64(rapid.IntRange(-9, 9).Draw(t, "ttl")), Collapsed: rapid.Bool().Draw(t, "joined")}
 		if !h.Hit {
 			h.Fwd = "miss"
 			h.Detail = rapid.SampledFrom([]string{"", SourceRefused, NoPlace}).Draw(t, "detail")
@@ -101,7 +101,7 @@
 			t.Fatal(err)
 		}
 		s, _ := scanStatus([]byte(`"p"; fwd=miss, ` + value))
-		if s.hit != h.Hit || s.fwd != (h.Fwd != "") || s.joined != h.Joined || string(s.detail) != h.Detail ||
+		if s.hit != h.Hit || s.fwd != (h.Fwd != "") || s.joined != h.Collapsed || string(s.detail) != h.Detail ||
 			h.Hit && s.stale != (h.TTL < 0) {
 			t.Fatalf("%s read as %+v", value, s)
 		}
@@ -123,8 +123,8 @@
 }
 
 func TestVersion(t *testing.T) {
-	v, err := ParseVersion(Version{V: 12, Age: 345.5}.String())
-	if err != nil || v.V != 12 || v.Age != 345.5 {
+	v, err := ParseCopyVersion(CopyVersion{Number: 12, Age: 345.5}.String())
+	if err != nil || v.Number != 12 || v.Age != 345.5 {
 		t.Fatalf("%+v, %v", v, err)
 	}
 }
@@ -135,7 +135,7 @@
 	buf, load := make([]byte, 0, 512), make([]float64, 0, 4)
 	if n := testing.AllocsPerRun(100, func() {
 		buf = a.Append(buf[:0])
-		Judge(h, true, false)
+		ClassifyResponse(h, true, false)
 		load = ParseLoad(load, []byte("3, 0.5"))
 	}); n > 0 {
 		t.Errorf("%v allocations an attempt", n)
@@ -147,7 +147,7 @@
 	f.Add(`"p"; fwd=miss, "b"; hit; ttl=-1; detail="x"`)
 	f.Fuzz(func(t *testing.T, v string) {
 		h := &http1.Head{Status: 200, Fields: []http1.Field{{Name: []byte("Cache-Status"), Value: []byte(v)}}}
-		Judge(h, true, false)
+		ClassifyResponse(h, true, false)
 		ParseLoad(nil, []byte(v))
 		ParseAttempt([]string{v})
 	})
@@ -163,7 +163,7 @@
 		b.ReportAllocs()
 		for b.Loop() {
 			buf = a.Append(buf[:0])
-			Judge(h, true, false)
+			ClassifyResponse(h, true, false)
 		}
 	})
 	b.Run("httpsfv", func(b *testing.B) {
--- a/internal/protocol/http1/head.go
+++ b/internal/protocol/http1/head.go
@@ -36,45 +36,47 @@
 	return l
 }
 
-// A Fault is a message that is not valid or not served.
-type Fault struct {
-	Status int    // the status that a server answers with (RFC 9110, section 15)
-	What   string // the offending thing
+// A ProtocolError is a message that is not valid or not served.
+type ProtocolError struct {
+	Status  int    // the status that a server answers with (RFC 9110, section 15)
+	Message string // the offending thing
 }
 
-func (f *Fault) Error() string { return fmt.Sprintf("http1: %s (status %d)", f.What, f.Status) }
+func (f *ProtocolError) Error() string {
+	return fmt.Sprintf("http1: %s (status %d)", f.Message, f.Status)
+}
 
 // The faults. They are values, so that the parser allocates nothing.
 var (
-	ErrRequestLine    = &Fault{400, "malformed request line"}
-	ErrMethod         = &Fault{400, "method is not a token"}
-	ErrMethodLong     = &Fault{501, "method longer than any known"}
-	ErrTarget         = &Fault{400, "malformed request target"}
-	ErrTargetLong     = &Fault{414, "request line longer than the limit"}
-	ErrVersion        = &Fault{505, "version is not HTTP/1.0 or HTTP/1.1"}
-	ErrVersionForm    = &Fault{400, "malformed version"}
-	ErrStatusLine     = &Fault{502, "malformed status line"}
-	ErrFieldName      = &Fault{400, "field name is not a token, or white space stands before its colon"}
-	ErrFieldValue     = &Fault{400, "control character in a field value"}
-	ErrFold           = &Fault{400, "folded field line"}
-	ErrBareLF         = &Fault{400, "line ended by a bare LF or broken by a bare CR"}
-	ErrHeadLong       = &Fault{431, "head longer than the limit"}
-	ErrFields         = &Fault{431, "more field lines than the limit"}
-	ErrNoHost         = &Fault{400, "no Host, or more than one"}
-	ErrHost           = &Fault{400, "malformed Host"}
-	ErrLength         = &Fault{400, "malformed Content-Length"}
-	ErrLengths        = &Fault{400, "Content-Lengths that differ"}
-	ErrLengthAndCoded = &Fault{400, "both Content-Length and Transfer-Encoding"}
-	ErrCoding         = &Fault{501, "transfer coding other than chunked"}
-	ErrCodingOrder    = &Fault{400, "chunked is not the single, final transfer coding"}
-	ErrCodingOld      = &Fault{400, "Transfer-Encoding in an HTTP/1.0 message"}
-	ErrExpect         = &Fault{417, "expectation other than 100-continue"}
-	ErrUpgradeStatus  = &Fault{502, "switched protocols unasked"}
-	ErrChunkSize      = &Fault{400, "malformed chunk size"}
-	ErrChunkLong      = &Fault{400, "chunk line longer than the limit"}
-	ErrChunkEnd       = &Fault{400, "chunk data not followed by CRLF"}
-	ErrTrailer        = &Fault{400, "malformed trailer"}
-	ErrBodyLong       = &Fault{413, "body longer than the limit"}
+	ErrRequestLine    = &ProtocolError{400, "malformed request line"}
+	ErrMethod         = &ProtocolError{400, "method is not a token"}
+	ErrMethodLong     = &ProtocolError{501, "method longer than any known"}
+	ErrTarget         = &ProtocolError{400, "malformed request target"}
+	ErrTargetLong     = &ProtocolError{414, "request line longer than the limit"}
+	ErrVersion        = &ProtocolError{505, "version is not HTTP/1.0 or HTTP/1.1"}
+	ErrVersionForm    = &ProtocolError{400, "malformed version"}
+	ErrStatusLine     = &ProtocolError{502, "malformed status line"}
+	ErrFieldName      = &ProtocolError{400, "field name is not a token, or white space stands before its colon"}
+	ErrFieldValue     = &ProtocolError{400, "control character in a field value"}
+	ErrFold           = &ProtocolError{400, "folded field line"}
+	ErrBareLF         = &ProtocolError{400, "line ended by a bare LF or broken by a bare CR"}
+	ErrHeadLong       = &ProtocolError{431, "head longer than the limit"}
+	ErrFields         = &ProtocolError{431, "more field lines than the limit"}
+	ErrNoHost         = &ProtocolError{400, "no Host, or more than one"}
+	ErrHost           = &ProtocolError{400, "malformed Host"}
+	ErrLength         = &ProtocolError{400, "malformed Content-Length"}
+	ErrLengths        = &ProtocolError{400, "Content-Lengths that differ"}
+	ErrLengthAndCoded = &ProtocolError{400, "both Content-Length and Transfer-Encoding"}
+	ErrCoding         = &ProtocolError{501, "transfer coding other than chunked"}
+	ErrCodingOrder    = &ProtocolError{400, "chunked is not the single, final transfer coding"}
+	ErrCodingOld      = &ProtocolError{400, "Transfer-Encoding in an HTTP/1.0 message"}
+	ErrExpect         = &ProtocolError{417, "expectation other than 100-continue"}
+	ErrUpgradeStatus  = &ProtocolError{502, "switched protocols unasked"}
+	ErrChunkSize      = &ProtocolError{400, "malformed chunk size"}
+	ErrChunkLong      = &ProtocolError{400, "chunk line longer than the limit"}
+	ErrChunkEnd       = &ProtocolError{400, "chunk data not followed by CRLF"}
+	ErrTrailer        = &ProtocolError{400, "malformed trailer"}
+	ErrBodyLong       = &ProtocolError{413, "body longer than the limit"}
 )
 
 // Field is one field line. Both parts are slices of the parsed buffer.
@@ -528,11 +530,11 @@
 }
 
 // ErrMethodNot is a method that is understood and never served here.
-var ErrMethodNot = &Fault{501, "CONNECT is not served"}
+var ErrMethodNot = &ProtocolError{501, "CONNECT is not served"}
 
 func (h *Head) frameResponse(toHead bool) error {
 	coded, err := h.frame()
-	if f, ok := err.(*Fault); ok {
+	if f, ok := err.(*ProtocolError); ok {
 		if f == ErrNoHost { // means nothing in a response
 			coded, err = h.Has("transfer-encoding"), nil
 		} else {
--- a/internal/protocol/http1/http1_test.go
+++ b/internal/protocol/http1/http1_test.go
@@ -197,7 +197,7 @@
 		ParseRequest(req, &h, Limits{})
 		out = AppendRequestLine(out[:0], h.Method, h.Target)
 		for _, f := range h.Fields {
-			if !HopByHop(f.Name) && !h.Named(f.Name) {
+			if !HopByHop(f.Name) && !h.ListedInConnection(f.Name) {
 				out = AppendField(out, "x", f.Value)
 			}
 		}
@@ -220,7 +220,7 @@
 		var h Head
 		n, err := ParseRequest(in, &h, Limits{})
 		if err != nil {
-			var fault *Fault
+			var fault *ProtocolError
 			if !errors.As(err, &fault) || fault.Status < 400 || fault.Status > 505 {
 				t.Fatalf("error %v is no fault with a status", err)
 			}
--- a/internal/protocol/http1/write.go
+++ b/internal/protocol/http1/write.go
@@ -7,7 +7,7 @@
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(status), 10)
 	dst = append(dst, ' ')
-	dst = append(dst, Reason(status)...)
+	dst = append(dst, StatusText(status)...)
 	return append(dst, "\r\n"...)
 }
 
@@ -81,8 +81,8 @@
 	return false
 }
 
-// Named reports whether a Connection field of the head names the field.
-func (h *Head) Named(name []byte) bool {
+// ListedInConnection reports whether a Connection field of the head names the field.
+func (h *Head) ListedInConnection(name []byte) bool {
 	for i := range h.Fields {
 		if len(h.Fields[i].Name) != 10 || !EqualFold(h.Fields[i].Name, "connection") {
 			continue
@@ -114,8 +114,8 @@
 	return true
 }
 
-// Reason is the registered phrase of a status, or a plain one.
-func Reason(status int) string {
+// StatusText is the registered phrase of a status, or a plain one.
+func StatusText(status int) string {
 	switch status {
 	case 100:
 		return "Continue"
--- a/internal/proxy/httpfront/client.go
+++ b/internal/proxy/httpfront/client.go
@@ -271,7 +271,7 @@
 
 // fault answers what is not valid, and ends the connection.
 func (c *client) fault(err error) {
-	f, ok := err.(*http1.Fault)
+	f, ok := err.(*http1.ProtocolError)
 	if !ok {
 		f = http1.ErrRequestLine
 	}
@@ -282,7 +282,7 @@
 		r.at, r.minor = c.e.l.Now(), 1
 		c.cur = r
 	}
-	r.why, r.path = endMalformed, f.What
+	r.why, r.path = endMalformed, f.Message
 	c.last, c.linger = true, true
 	c.left = nil
 	c.answer(r, f.Status, 0)
@@ -305,9 +305,9 @@
 		b = http1.AppendFieldInt(b, "Retry-After", c.e.guard.jitter.After(after))
 	}
 	b = http1.AppendFieldString(b, "Cache-Status", c.e.name+"; fwd=miss; detail="+r.word())
-	text := http1.Reason(status) + "\n"
+	text := http1.StatusText(status) + "\n"
 	if r.turned != nil {
-		text = http1.Reason(status) + ": " + r.turned.Message + "\n"
+		text = http1.StatusText(status) + ": " + r.turned.Message + "\n"
 	}
 	b = http1.AppendFieldString(b, "Content-Type", "text/plain")
 	b = http1.AppendFieldInt(b, "Content-Length", int64(len(text)))
@@ -620,7 +620,7 @@
 	c.close()
 }
 
-var errTooSlow = &http1.Fault{Status: 408, What: "the request did not come whole within the limit"}
+var errTooSlow = &http1.ProtocolError{Status: 408, Message: "the request did not come whole within the limit"}
 
 // reset ends the connection of a client that takes nothing: what the kernel still holds
 // for it, up to megabytes, is dropped, and not kept until the kernel gives up in turn.
@@ -818,7 +818,7 @@
 	named := h.Has("connection")
 	for i := range h.Fields {
 		f := &h.Fields[i]
-		if http1.HopByHop(f.Name) || except(f.Name) || named && h.Named(f.Name) {
+		if http1.HopByHop(f.Name) || except(f.Name) || named && h.ListedInConnection(f.Name) {
 			continue
 		}
 		b = append(b, f.Name...)
--- a/internal/proxy/httpfront/system.go
+++ b/internal/proxy/httpfront/system.go
@@ -14,8 +14,8 @@
 	Syscalls eventloop.Syscalls     // on clients' and members' sockets; nil: the kernel's
 }
 
-// OpenOn is Open on another system.
-func OpenOn(ctx context.Context, s *config.Settings, log *AccessLog, system System) (e *Edge, end func(), err error) {
+// OpenWithSystem is Open on another system.
+func OpenWithSystem(ctx context.Context, s *config.Settings, log *AccessLog, system System) (e *Edge, end func(), err error) {
 	if e, end, err = open(ctx, s, log, system.Files); err == nil {
 		e.l.Intercept(system.Syscalls)
 	}
--- a/internal/proxy/httpfront/upstream.go
+++ b/internal/proxy/httpfront/upstream.go
@@ -341,7 +341,7 @@
 func (u *upstream) put(t *try) {
 	r := t.r
 	b := append(u.e.hbuf[:0], r.fwd...)
-	a := fetchheader.FromSend(&t.send, &r.q, t.n, u.e.name, u.e.core.Address(t.source), max(r.q.Deadline-u.e.l.Now(), 1))
+	a := fetchheader.NewAttempt(&t.send, &r.q, t.n, u.e.name, u.e.core.Address(t.source), max(r.q.Deadline-u.e.l.Now(), 1))
 	b = append(b, fetchheader.FillField+": "...)
 	b = a.Append(b)
 	b = append(b, "\r\n"...)
@@ -706,7 +706,7 @@
 	if v := u.head.Get("spool-load"); v != nil {
 		t.load = fetchheader.ParseLoad(t.load, v)
 	}
-	result, note := fetchheader.Judge(&u.head, t.send.Source == t.cache && !r.q.Write, r.q.Write)
+	result, note := fetchheader.ClassifyResponse(&u.head, t.send.Source == t.cache && !r.q.Write, r.q.Write)
 	u.body.Start(&u.head, 0)
 	if result == spool.OK && r.phase == asked {
 		u.relayHead(note)
--- a/internal/testbed/scenario/box.go
+++ b/internal/testbed/scenario/box.go
@@ -59,7 +59,7 @@
 			Work: kb[a.Class] / max(c.Flow, 0.01)}
 		switch e.What {
 		case "recv":
-			if r.Note = "look"; a.Source != "" || a.Fetch {
+			if r.Note = "look"; a.Source != "" || a.MayFetch {
 				r.Note = "fill"
 			}
 		case "sent":
--- a/internal/testbed/scenario/clients.go
+++ b/internal/testbed/scenario/clients.go
@@ -365,9 +365,9 @@
 	head := rec
 	head.Ev, head.Status, head.Note = trafficlog.Head, res.StatusCode, res.Header.Get(fetchheader.StatusField)
 	head.Hit = strings.HasSuffix(head.Note, ";hit") || strings.Contains(head.Note, ";hit;")
-	ver, verr := fetchheader.ParseVersion(res.Header.Get(fetchheader.CopyField))
+	ver, verr := fetchheader.ParseCopyVersion(res.Header.Get(fetchheader.CopyField))
 	if verr == nil {
-		head.Ver = ver.V
+		head.Ver = ver.Number
 	}
 	ans.status = res.StatusCode
 	if s, err := strconv.Atoi(res.Header.Get("Retry-After")); err == nil {
@@ -390,8 +390,8 @@
 			if k.Pages > 0 {
 				page = append(page, buf[:m]...)
 				reads = append(reads, readAt{len(page), trafficlog.Now()})
-			} else if at, ok := testserver.Matches(buf[:m], path, ver.V, n); !ok {
-				end(fmt.Sprintf("byte %d is not of version %d", at, ver.V), n)
+			} else if at, ok := testserver.Matches(buf[:m], path, ver.Number, n); !ok {
+				end(fmt.Sprintf("byte %d is not of version %d", at, ver.Number), n)
 				return ans
 			}
 		}
--- a/internal/testbed/scenario/proc.go
+++ b/internal/testbed/scenario/proc.go
@@ -106,7 +106,7 @@
 	defer cancel()
 	gone := make(chan struct{})
 	go func() { faults.untilOrphaned(in); cancel(); close(gone) }()
-	e, end, err := httpfront.OpenOn(ctx, &s, log, httpfront.System{Files: faultyFiles{faults: faults}, Syscalls: faults.syscalls()})
+	e, end, err := httpfront.OpenWithSystem(ctx, &s, log, httpfront.System{Files: faultyFiles{faults: faults}, Syscalls: faults.syscalls()})
 	if err != nil {
 		return err
 	}
--- a/internal/testbed/testserver/fill.go
+++ b/internal/testbed/testserver/fill.go
@@ -80,7 +80,7 @@
 	if place == nil {
 		s.mu.Unlock()
 		if ctx != nil {
-			v.refuse(http.StatusServiceUnavailable, fetchheader.Handled{Fwd: "miss", Detail: fetchheader.NoPlace})
+			v.refuse(http.StatusServiceUnavailable, fetchheader.CacheStatus{Fwd: "miss", Detail: fetchheader.NoPlace})
 		}
 		return nil
 	}
@@ -123,10 +123,10 @@
 		fl.step(func() { fl.ready, fl.status, fl.detail, fl.err = true, status, detail, err })
 		return nil
 	}
-	address := a.At
+	address := a.SourceAddress
 	sub := a
-	sub.Via, sub.Source, sub.At, sub.Held = s.cfg.ID, "", "", false
-	sub.Fetch = !a.Held
+	sub.Via, sub.Source, sub.SourceAddress, sub.Held = s.cfg.ID, "", "", false
+	sub.MayFetch = !a.Held
 	if address == "" {
 		address = s.cfg.Upstream
 	}
@@ -166,7 +166,7 @@
 	case res.StatusCode != http.StatusOK && res.StatusCode != http.StatusPartialContent:
 		return fail(http.StatusBadGateway, fetchheader.SourceRefused, errors.New(res.Status))
 	}
-	ver, err := fetchheader.ParseVersion(res.Header.Get(fetchheader.CopyField))
+	ver, err := fetchheader.ParseCopyVersion(res.Header.Get(fetchheader.CopyField))
 	size, serr := strconv.ParseInt(res.Header.Get("Content-Length"), 10, 64)
 	if err != nil || serr != nil {
 		return fail(http.StatusBadGateway, fetchheader.SourceUnreached, errors.Join(err, serr))
@@ -175,14 +175,14 @@
 	born := asked - ver.Age
 	fl.step(func() {
 		fl.ready, fl.status, fl.behind = true, http.StatusOK, behind
-		fl.version, fl.born, fl.size = ver.V, born, size
+		fl.version, fl.born, fl.size = ver.Number, born, size
 	})
 	buf := make([]byte, chunk)
 	for got := int64(0); got < size; {
 		n, err := res.Body.Read(buf[:min(chunk, size-got)])
 		if n > 0 {
 			idle.Reset(time.Duration(s.cfg.FillWait) * time.Millisecond)
-			if at, ok := Matches(buf[:n], v.key, ver.V, got); !ok {
+			if at, ok := Matches(buf[:n], v.key, ver.Number, got); !ok {
 				err = errors.New("byte " + strconv.FormatInt(at, 10) + " is of another version")
 			} else if perr := s.in.Pass(ctx, n); perr != nil {
 				err = perr
@@ -199,7 +199,7 @@
 			return nil
 		}
 	}
-	return &httpcache.Copy{Key: v.key, Object: a.Object, Group: a.Group, Bytes: size, Rank: a.Keep, Version: ver.V,
+	return &httpcache.Copy{Key: v.key, Object: a.Object, Group: a.Group, Bytes: size, Rank: a.Keep, Version: ver.Number,
 		Born: born, Fresh: v.class.Fresh}
 }
 
@@ -211,7 +211,7 @@
 	fl.mu.Lock()
 	status, detail, version, born, size := fl.status, fl.detail, fl.version, fl.born, fl.size
 	fl.mu.Unlock()
-	h := fetchheader.Handled{Cache: v.s.cfg.ID, Fwd: "miss", Stored: v.a.Keep > 0, Joined: joined}
+	h := fetchheader.CacheStatus{Cache: v.s.cfg.ID, Fwd: "miss", Stored: v.a.Keep > 0, Collapsed: joined}
 	if status != http.StatusOK {
 		h.Detail, h.Stored = detail, false
 		v.refuse(status, h)
@@ -229,34 +229,34 @@
 
 // passWrite takes a write to the origin by way of a cache, which keeps nothing.
 func (v *visit) passWrite() {
-	address := v.a.At
+	address := v.a.SourceAddress
 	if address == "" {
 		address = v.s.cfg.Upstream
 	}
 	if address == "" {
-		v.refuse(http.StatusGatewayTimeout, fetchheader.Handled{Fwd: "bypass"})
+		v.refuse(http.StatusGatewayTimeout, fetchheader.CacheStatus{Fwd: "bypass"})
 		return
 	}
 	req, err := http.NewRequestWithContext(v.r.Context(), v.r.Method, "http://"+address+v.r.URL.RequestURI(), v.r.Body)
 	if err != nil {
-		v.refuse(http.StatusBadGateway, fetchheader.Handled{Fwd: "bypass"})
+		v.refuse(http.StatusBadGateway, fetchheader.CacheStatus{Fwd: "bypass"})
 		return
 	}
 	req.ContentLength = v.r.ContentLength
 	req.Header = v.r.Header.Clone()
 	sub := v.a
-	sub.Via, sub.Source, sub.At = v.s.cfg.ID, "", ""
+	sub.Via, sub.Source, sub.SourceAddress = v.s.cfg.ID, "", ""
 	req.Header.Set(fetchheader.FillField, string(sub.Append(nil)))
 	res, err := v.s.client.Do(req)
 	if err != nil {
-		v.refuse(http.StatusBadGateway, fetchheader.Handled{Fwd: "bypass", Detail: fetchheader.SourceUnreached})
+		v.refuse(http.StatusBadGateway, fetchheader.CacheStatus{Fwd: "bypass", Detail: fetchheader.SourceUnreached})
 		return
 	}
 	defer res.Body.Close()
 	rec := v.rec
 	rec.Status = res.StatusCode
 	v.sent(rec)
-	v.w.Header().Set(fetchheader.StatusField, fetchheader.Handled{Cache: v.s.cfg.ID, Fwd: "bypass"}.String())
+	v.w.Header().Set(fetchheader.StatusField, fetchheader.CacheStatus{Cache: v.s.cfg.ID, Fwd: "bypass"}.String())
 	v.w.WriteHeader(res.StatusCode)
 	io.Copy(v.w, res.Body)
 }
--- a/internal/testbed/testserver/origin.go
+++ b/internal/testbed/testserver/origin.go
@@ -41,7 +41,7 @@
 	full := s.cfg.Limit > 0 && s.inflight > s.cfg.Limit
 	s.mu.Unlock()
 	if full {
-		v.refuse(http.StatusServiceUnavailable, fetchheader.Handled{})
+		v.refuse(http.StatusServiceUnavailable, fetchheader.CacheStatus{})
 		return
 	}
 	if v.rec.Write {
@@ -56,7 +56,7 @@
 	if first, last, ok := byteRange(v.r); ok { // each range is an object of its own here
 		size = last - first + 1
 	}
-	v.send(version, born, size, fetchheader.Handled{Cache: s.cfg.ID}, nil)
+	v.send(version, born, size, fetchheader.CacheStatus{Cache: s.cfg.ID}, nil)
 }
 
 // run runs a write, or drops the repeat of one that was run within the window.
--- a/internal/testbed/testserver/server.go
+++ b/internal/testbed/testserver/server.go
@@ -204,7 +204,7 @@
 	v := &visit{s: s, w: w, r: r, a: a, key: key, class: class}
 	v.rec = trafficlog.Record{Who: s.cfg.ID, Role: s.cfg.Role, Start: s.cfg.Start, Req: a.ID, N: a.Number, From: a.From,
 		Via: a.Via, Src: a.Source, Class: a.Class, Object: a.Object, Group: a.Group,
-		Key: r.Header.Get(fetchheader.KeyField), Write: r.Method != "GET" && r.Method != "HEAD",
+		Key: r.Header.Get(fetchheader.IdempotencyKeyField), Write: r.Method != "GET" && r.Method != "HEAD",
 		ID: r.Header.Get("X-Request-Id")}
 	v.rec.Work = class.KB / s.cfg.Flow
 	if s.cfg.Role == "parent" {
@@ -212,7 +212,7 @@
 	}
 	recv := v.rec
 	recv.Ev, recv.Note = trafficlog.Recv, "look"
-	if a.Source != "" || a.Fetch {
+	if a.Source != "" || a.MayFetch {
 		recv.Note = "fill"
 	}
 	s.tap.Add(recv)
@@ -340,7 +340,7 @@
 		return
 	}
 	if s.f.on(FastErrors) {
-		v.refuse(http.StatusInternalServerError, fetchheader.Handled{Fwd: "miss"})
+		v.refuse(http.StatusInternalServerError, fetchheader.CacheStatus{Fwd: "miss"})
 		return
 	}
 	lost := s.f.on(AnswerLost)
@@ -384,7 +384,7 @@
 	return nil, nil, http.ErrNotSupported
 }
 
-func (v *visit) refuse(status int, h fetchheader.Handled) {
+func (v *visit) refuse(status int, h fetchheader.CacheStatus) {
 	h.Cache = v.s.cfg.ID
 	v.w.Header().Set(fetchheader.StatusField, h.String())
 	v.w.Header().Set(fetchheader.LoadField, v.s.load())
@@ -419,7 +419,7 @@
 		held := *c
 		ageing := v.a.Renew && held.Fresh > 0 && now-held.Born > 0.8*held.Fresh
 		s.mu.Unlock()
-		h := fetchheader.Handled{Cache: s.cfg.ID, Hit: true}
+		h := fetchheader.CacheStatus{Cache: s.cfg.ID, Hit: true}
 		if held.Fresh > 0 {
 			h.HasTTL, h.TTL = true, (held.Fresh-(now-held.Born))/1000
 			if h.TTL < 0 {
@@ -434,8 +434,8 @@
 	}
 	fl := s.flights[v.key]
 	s.mu.Unlock()
-	if v.a.Source == "" && !v.a.Fetch { // a look
-		v.refuse(http.StatusGatewayTimeout, fetchheader.Handled{Fwd: "miss", Joined: fl != nil})
+	if v.a.Source == "" && !v.a.MayFetch { // a look
+		v.refuse(http.StatusGatewayTimeout, fetchheader.CacheStatus{Fwd: "miss", Collapsed: fl != nil})
 		return
 	}
 	if fl != nil && v.a.Join {
@@ -448,7 +448,7 @@
 }
 
 // send answers with a copy; fl is the fill that it comes from, or nil.
-func (v *visit) send(version int64, born float64, size int64, h fetchheader.Handled, fl *flight) {
+func (v *visit) send(version int64, born float64, size int64, h fetchheader.CacheStatus, fl *flight) {
 	s := v.s
 	head := v.w.Header()
 	status := h.String()
@@ -458,7 +458,7 @@
 	now := trafficlog.Now()
 	head.Set(fetchheader.StatusField, status)
 	head.Set(fetchheader.LoadField, s.load())
-	head.Set(fetchheader.CopyField, fetchheader.Version{V: version, Age: max(now-born, 0)}.String())
+	head.Set(fetchheader.CopyField, fetchheader.CopyVersion{Number: version, Age: max(now-born, 0)}.String())
 	head.Set("Age", strconv.Itoa(int(max(now-born, 0)/1000)))
 	head.Set("Content-Type", "application/octet-stream")
 	if isText(v.key) {
--- a/internal/testbed/testserver/standin_test.go
+++ b/internal/testbed/testserver/standin_test.go
@@ -81,7 +81,7 @@
 	defer b.Kill()
 	look := fetchheader.Attempt{ID: "r", From: "t", Class: "c", Object: "/x", Group: 1, Keep: 1, Age: 1e9}
 	fill := look
-	fill.Source, fill.At = "o", o.Addr()
+	fill.Source, fill.SourceAddress = "o", o.Addr()
 	if code, h, _ := ask(t, b.Addr(), "/x", look); code != 504 || !strings.Contains(h.Get("Cache-Status"), "fwd=miss") {
 		t.Errorf("a look at what it lacks: %d %v", code, h)
 	}
@@ -106,7 +106,7 @@
 		t.Error("its bytes are not the new version's")
 	}
 	gone := fill
-	gone.At = "127.0.0.1:1"
+	gone.SourceAddress = "127.0.0.1:1"
 	if code, h, _ := ask(t, b.Addr(), "/y", gone); code != 503 || !strings.Contains(h.Get("Cache-Status"), "detail=source-unreached") {
 		t.Errorf("a fill from nowhere: %d %v", code, h)
 	}
