--- a/admission.go
+++ b/admission.go
@@ -15,22 +15,22 @@
 	// minSharedLimit is the least limit of a location's link for all its routers together, which
 	// may be many.
 	minSharedLimit = 4.0
-	// slowPart is the part of the latency objective past which a transfer is slow.
-	slowPart = 0.6
+	// slowFraction is the part of the latency objective past which a transfer is slow.
+	slowFraction = 0.6
 	// maxSlowShare is the share of slow transfers from which a link is too full.
 	maxSlowShare = 0.4
 	// slowShareGain is the weight of one transfer in the share of slow ones.
 	slowShareGain = 0.1
-	// limitDecrease is what is left of a limit that is lowered.
-	limitDecrease = 0.9
-	// limitDecreaseSpan is the least time between two decreases: the transfers in flight are
+	// limitDecreaseFactor is what is left of a limit that is lowered.
+	limitDecreaseFactor = 0.9
+	// limitDecreaseInterval is the least time between two decreases: the transfers in flight are
 	// slow for the same cause.
-	limitDecreaseSpan = Millis(100)
+	limitDecreaseInterval = Millis(100)
 	// minPacedLimit bounds the time between two transfers where the limit is a fraction.
 	minPacedLimit = 0.05
-	// firstPicks is how many queued requests are picked one by one before all are sorted: most of
+	// picksBeforeSort is how many queued requests are picked one by one before all are sorted: most of
 	// the time no more can go on.
-	firstPicks = 4
+	picksBeforeSort = 4
 )
 
 // concurrencyLimit bounds the transfers in flight over a link to as many as are answered in time.
@@ -38,14 +38,14 @@
 	inFlight  float64
 	limit     float64 // transfers that may be in flight; below 1 a share of the time
 	slowShare float64 // recent share of slow transfers
-	lowered   Millis  // when the limit was last lowered
-	nextFree  Millis  // while the limit is below 1: when the next transfer may start
+	loweredAt Millis  // when the limit was last lowered
+	nextStart Millis  // while the limit is below 1: when the next transfer may start
 }
 
 // available reports whether one more transfer may start. A limit below 1 means one
 // transfer for a part of the time.
 func (l *concurrencyLimit) available(now Millis) bool {
-	return l.inFlight < l.limit && now >= l.nextFree
+	return l.inFlight < l.limit && now >= l.nextStart
 }
 
 // transfer is what a finished attempt says about the link it went over.
@@ -71,20 +71,20 @@
 	}
 	switch {
 	case limit.slowShare > maxSlowShare:
-		if transfer.slow && r.now-limit.lowered > limitDecreaseSpan {
+		if transfer.slow && r.now-limit.loweredAt > limitDecreaseInterval {
 			r.lowerLimit(limit)
 		}
 	case transfer.succeeded && limit.inFlight+2 >= limit.limit: // only what is used shows what is borne
 		limit.limit += 1 / max(limit.limit, 1)
 	}
-	limit.nextFree = r.now + transfer.took*max(1/max(limit.limit, minPacedLimit)-1, 0)
+	limit.nextStart = r.now + transfer.took*max(1/max(limit.limit, minPacedLimit)-1, 0)
 }
 
 // lowerLimit lowers a limit to a part of what is in flight.
 func (r *Router) lowerLimit(limit *concurrencyLimit) {
-	least := min(minLimit, minSharedLimit/r.settings.sharingRouters(edge))
-	limit.limit = max(min(limit.limit, limit.inFlight+1)*limitDecrease, least)
-	limit.lowered = r.now
+	lowerBound := min(minLimit, minSharedLimit/r.settings.sharingRouters(edge))
+	limit.limit = max(min(limit.limit, limit.inFlight+1)*limitDecreaseFactor, lowerBound)
+	limit.loweredAt = r.now
 }
 
 // handleStall takes an answer that waits for its client out of what is in flight, and
@@ -123,7 +123,7 @@
 		}
 	}
 	queue := r.queue
-	for range firstPicks {
+	for range picksBeforeSort {
 		if len(queue) == 0 || r.allCachesFull() {
 			break
 		}
@@ -133,7 +133,7 @@
 		r.advance(request)
 	}
 	if r.allCachesFull() {
-		queue = r.withoutNeedOfCache(queue)
+		queue = r.independentOfCaches(queue)
 	}
 	slices.SortStableFunc(queue, func(a, b *request) int { return cmp.Compare(r.priority(b), r.priority(a)) })
 	for _, request := range queue {
@@ -153,9 +153,9 @@
 	return first
 }
 
-// withoutNeedOfCache keeps the queued requests that can go on, or must end, while no cache
+// independentOfCaches keeps the queued requests that can go on, or must end, while no cache
 // takes anything. Else each transfer that ends would cost a look at all that wait.
-func (r *Router) withoutNeedOfCache(queue []*request) []*request {
+func (r *Router) independentOfCaches(queue []*request) []*request {
 	direct := r.settings.DirectAttempts && r.link.available(r.now)
 	return slices.DeleteFunc(queue, func(request *request) bool {
 		return request.fillTarget == nil && !direct && !request.isWrite() && !r.exhausted(request)
@@ -166,7 +166,7 @@
 // that will be late, and for a client's repeat, which has waited before.
 func (r *Router) priority(request *request) float64 {
 	weight := request.class.PriorityWeight
-	expectedEnd := r.now + request.sendTime*r.fillStretch
+	expectedEnd := r.now + request.sendTime*r.fillTimeRatio
 	if request.Retry || expectedEnd > request.arrived+request.latencyObjective() {
 		weight *= request.class.LateWeightShare
 	}
--- a/admission_test.go
+++ b/admission_test.go
@@ -19,7 +19,7 @@
 		}
 	}
 	rig.router.link.limit = 1
-	if s := sends(rig.wait(tickSpan)); len(s) != 1 || s[0].ID != "false" {
+	if s := sends(rig.wait(tickInterval)); len(s) != 1 || s[0].ID != "false" {
 		t.Errorf("with a limit of one, sent %v", s)
 	}
 }
--- a/endpoints.go
+++ b/endpoints.go
@@ -9,11 +9,11 @@
 type role int
 
 const (
-	edge    role = iota // a cache of the router's location
-	parent              // a cache that caches fill from
-	origin              // where all objects come from
-	foreign             // a cache of another location: nothing is sent to it
-	roles               // how many there are
+	edge      role = iota // a cache of the router's location
+	parent                // a cache that caches fill from
+	origin                // where all objects come from
+	otherZone             // a cache of another location: nothing is sent to it
+	roleCount             // how many there are
 )
 
 // member is a listed cache, parent or origin and what is known of it.
@@ -93,7 +93,7 @@
 		concurrencyLimit: concurrencyLimit{limit: initialLimit},
 		lastProgress:     r.now,
 		checkBackoff:     initialCheckBackoff,
-		tokens:           -r.meanSendTime * chance(r.seed^hashString(id)),
+		tokens:           -r.meanSendTime * hashFraction(r.seed^hashString(id)),
 		refilled:         r.now,
 	}
 }
@@ -126,7 +126,7 @@
 	case row.Zone == r.settings.Zone:
 		return edge
 	}
-	return foreign
+	return otherZone
 }
 
 // addMember adds a member that was not known.
--- a/fillsource.go
+++ b/fillsource.go
@@ -11,7 +11,7 @@
 	switch {
 	case request.fillTarget == nil, previous == nil, previous == request.fillTarget:
 		return nil
-	case request.siblingTried, r.settings.SiblingScope == ScopeNone, r.now-r.layoutChanged >= siblingFillSpan:
+	case request.siblingTried, r.settings.SiblingScope == ScopeNone, r.now-r.layoutChangedAt >= siblingFillSpan:
 		return nil
 	case previous.unavailable, previous.ejected, r.warmUpShare(previous) < 1:
 		return nil
@@ -28,12 +28,12 @@
 	parents := r.byWeightedRendezvous(r.byRole[parent], request.hash)
 	for pass, failedBefore := range []bool{false, true} {
 		for member := range parents.members {
-			if r.takesSource(request, member, pass, failedBefore) {
+			if r.acceptsSource(request, member, pass, failedBefore) {
 				return member
 			}
 		}
 		for _, member := range r.byRole[origin] {
-			if r.takesSource(request, member, pass, failedBefore) {
+			if r.acceptsSource(request, member, pass, failedBefore) {
 				return member
 			}
 		}
@@ -41,11 +41,11 @@
 	return nil
 }
 
-// takesSource reports whether a member is taken as the source in a pass. With failedBefore
+// acceptsSource reports whether a member is taken as the source in a pass. With failedBefore
 // the pass is the one for members that failed the request before.
-func (r *Router) takesSource(request *request, member *member, pass int, failedBefore bool) bool {
+func (r *Router) acceptsSource(request *request, member *member, pass int, failedBefore bool) bool {
 	reason := r.sourceReason(request, member, failedBefore)
-	return r.traceLook(request, member, true, pass, reason) == ReasonAccepted
+	return r.traceCandidate(request, member, true, pass, reason) == ReasonAccepted
 }
 
 // sourceReason says why a member is not taken as the source in a pass.
--- a/fillsource_test.go
+++ b/fillsource_test.go
@@ -59,7 +59,7 @@
 			caches := rig.router.byRole[edge]
 			rig.router.layout = layout{caches: caches, splits: []int{1, 2}, ranged: true}
 			rig.router.priorLayout = layout{caches: caches, splits: []int{2, 3}, ranged: true}
-			rig.router.layoutChanged = rig.now
+			rig.router.layoutChangedAt = rig.now
 			test.change(rig, caches[0])
 			id, actions := rig.request("video", "x", 1)
 			send := rig.onlySend(actions)
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -168,7 +168,7 @@
 				span := 9000.0
 				if gathered {
 					for _, router := range fleet.routers {
-						router.link.limit, router.link.lowered = 0, math.MaxFloat64
+						router.link.limit, router.link.loweredAt = 0, math.MaxFloat64
 					}
 					fleet.run(2500, 4)
 					for _, router := range fleet.routers {
--- a/freshness.go
+++ b/freshness.go
@@ -50,7 +50,7 @@
 
 // dropOldPurges drops the purges after which every cache has dropped older copies.
 func (r *Router) dropOldPurges() {
-	old := r.now - r.settings.PurgeTime - r.settings.PurgeSlack
-	maps.DeleteFunc(r.objectPurges, func(_ string, at Millis) bool { return at < old })
-	maps.DeleteFunc(r.groupPurges, func(_ int, at Millis) bool { return at < old })
+	cutoff := r.now - r.settings.PurgeTime - r.settings.PurgeSlack
+	maps.DeleteFunc(r.objectPurges, func(_ string, at Millis) bool { return at < cutoff })
+	maps.DeleteFunc(r.groupPurges, func(_ int, at Millis) bool { return at < cutoff })
 }
--- a/fuzz_test.go
+++ b/fuzz_test.go
@@ -140,7 +140,7 @@
 		w.t.Fatalf("age %v allows a copy from before the purge %v ago", send.Age, w.now-at)
 	}
 	member := w.router.members[send.Cache]
-	if member == nil || member.role == foreign || member.role != edge && !w.settings.DirectAttempts {
+	if member == nil || member.role == otherZone || member.role != edge && !w.settings.DirectAttempts {
 		w.t.Fatalf("sent to %s, which takes no attempts", send.Cache)
 	}
 	request.sends[request.attempts] = send
--- a/hash.go
+++ b/hash.go
@@ -19,11 +19,11 @@
 	return h ^ h>>31
 }
 
-// chance is a share within [0, 1) that goes with h, the same each time.
-func chance(h uint64) float64 { return float64(mix(h)>>11) / (1 << 53) }
+// hashFraction is a share within [0, 1) that goes with h, the same each time.
+func hashFraction(h uint64) float64 { return float64(mix(h)>>11) / (1 << 53) }
 
-// chanceSeedOf is what chance goes by for a request: another one at another time and at
+// newJitterSeed is what chance goes by for a request: another one at another time and at
 // another router, but the same for a request that asks the same in its place.
-func (r *Router) chanceSeedOf(request *request) uint64 {
+func (r *Router) newJitterSeed(request *request) uint64 {
 	return mix(r.seed^math.Float64bits(request.arrived)) + request.hash + uint64(request.Part)
 }
--- a/inspect.go
+++ b/inspect.go
@@ -1,20 +1,20 @@
 package indigospool
 
-// Explain has onLook notified of every member that a choice looks at, while the choice
+// Explain has onCandidate notified of every member that a choice looks at, while the choice
 // is made: what it is given is the decision itself, not a second computation. nil ends that.
-func (r *Router) Explain(onLook func(Candidate)) { r.onLook = onLook }
+func (r *Router) Explain(onCandidate func(Candidate)) { r.onCandidate = onCandidate }
 
-// traceLook notifies of a member that a choice has looked at and returns the reason
+// traceCandidate notifies of a member that a choice has looked at and returns the reason
 // unchanged. The member is nil where the reason concerns the request as such.
-func (r *Router) traceLook(request *request, member *member, asSource bool, pass int, reason Reason) Reason {
-	if r.onLook == nil {
+func (r *Router) traceCandidate(request *request, member *member, asSource bool, pass int, reason Reason) Reason {
+	if r.onCandidate == nil {
 		return reason
 	}
-	look := Candidate{Request: request.ID, AsSource: asSource, Pass: pass, Reason: reason}
+	candidate := Candidate{Request: request.ID, AsSource: asSource, Pass: pass, Reason: reason}
 	if member != nil {
-		look.Member = member.ID
+		candidate.Member = member.ID
 	}
-	r.onLook(look)
+	r.onCandidate(candidate)
 	return reason
 }
 
--- a/internal/protocol/simwire/host.go
+++ b/internal/protocol/simwire/host.go
@@ -17,7 +17,7 @@
 	for n := 1; ; n++ {
 		line, err := r.ReadBytes('\n')
 		if len(bytes.TrimSpace(line)) > 0 {
-			reply, err := h.batch(line)
+			reply, err := h.handleBatch(line)
 			if err != nil {
 				return fmt.Errorf("line %d: %w", n, err)
 			}
@@ -38,11 +38,11 @@
 type host struct {
 	routers map[int]*spool.Router
 	clock   float64
-	buf     []spool.Action
+	actions []spool.Action
 }
 
-// batch handles one line and returns the line that answers it.
-func (h *host) batch(line []byte) ([]byte, error) {
+// handleBatch handles one line and returns the line that answers it.
+func (h *host) handleBatch(line []byte) ([]byte, error) {
 	b, err := ParseBatch(line)
 	if err != nil {
 		return nil, err
@@ -53,52 +53,52 @@
 	h.clock = *b.Clock
 	var reply Reply
 	for _, g := range b.Groups {
-		out := Out{Inst: *g.Inst}
+		out := InstanceReply{Instance: *g.Instance}
 		for _, m := range g.Inbox {
 			ev, err := ParseEvent(m)
 			if err != nil {
-				return nil, fmt.Errorf("instance %d: %w", *g.Inst, err)
+				return nil, fmt.Errorf("instance %d: %w", *g.Instance, err)
 			}
-			acts, err := h.event(*g.Inst, ev)
+			acts, err := h.handleEvent(*g.Instance, ev)
 			if err != nil {
-				return nil, fmt.Errorf("instance %d: %w", *g.Inst, err)
+				return nil, fmt.Errorf("instance %d: %w", *g.Instance, err)
 			}
-			out.Out = append(out.Out, acts...)
+			out.Actions = append(out.Actions, acts...)
 		}
-		if len(out.Out) > 0 {
+		if len(out.Actions) > 0 {
 			reply.Groups = append(reply.Groups, out)
 		}
 	}
 	return reply.Encode()
 }
 
-// event hands one event to its router. What breaks inside the module is
+// handleEvent hands one event to its router. What breaks inside the module is
 // reported on the wire; what the wire itself has wrong is an error.
-func (h *host) event(inst int, ev any) (acts []any, err error) {
+func (h *host) handleEvent(inst int, ev any) (acts []any, err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			acts = []any{GiveIn(fmt.Sprint("panic: ", p))}
+			acts = []any{InternalError(fmt.Sprint("panic: ", p))}
 		}
 	}()
 	router := h.routers[inst]
 	switch ev := ev.(type) {
-	case Born:
+	case Start:
 		router, err := spool.New(ev.Settings, ev.Seed)
 		if err != nil {
-			return []any{GiveIn(err.Error())}, nil
+			return []any{InternalError(err.Error())}, nil
 		}
 		h.routers[inst] = router
 		return nil, nil
-	case Destroy:
+	case Stop:
 		delete(h.routers, inst)
 		return nil, nil
 	case spool.Event:
 		if router == nil {
 			return nil, errors.New("an event for an instance that was not started")
 		}
-		h.buf = router.Handle(h.clock, ev, h.buf[:0])
-		for _, a := range h.buf {
-			acts = append(acts, Action(a))
+		h.actions = router.Handle(h.clock, ev, h.actions[:0])
+		for _, a := range h.actions {
+			acts = append(acts, EncodeAction(a))
 		}
 	}
 	return acts, nil
--- a/internal/protocol/simwire/host_test.go
+++ b/internal/protocol/simwire/host_test.go
@@ -54,12 +54,12 @@
 // TestPanicIsReported: what breaks inside the module is said on the wire.
 func TestPanicIsReported(t *testing.T) {
 	h := host{}
-	acts, err := h.event(1, nil)
+	acts, err := h.handleEvent(1, nil)
 	if err != nil || acts != nil {
 		t.Fatalf("%v %v", acts, err)
 	}
 	h.routers = nil // a start cannot be stored: the assignment panics
-	reply, err := h.batch([]byte(batch("1", born)))
+	reply, err := h.handleBatch([]byte(batch("1", born)))
 	if err != nil || !strings.Contains(string(reply), "GIVE_IN") || !strings.Contains(string(reply), "panic") {
 		t.Errorf("%s %v", reply, err)
 	}
--- a/internal/protocol/simwire/wire.go
+++ b/internal/protocol/simwire/wire.go
@@ -20,18 +20,18 @@
 
 // Group is what one instance hears in a batch.
 type Group struct {
-	Inst  *int                         `json:"i"`
-	Inbox []map[string]json.RawMessage `json:"inbox"`
+	Instance *int                         `json:"i"`
+	Inbox    []map[string]json.RawMessage `json:"inbox"`
 }
 
-// Born starts an instance.
-type Born struct {
+// Start starts an instance.
+type Start struct {
 	Seed     uint64
 	Settings spool.Settings
 }
 
-// Destroy ends an instance.
-type Destroy struct{}
+// Stop ends an instance.
+type Stop struct{}
 
 // ParseBatch reads one line.
 func ParseBatch(line []byte) (Batch, error) {
@@ -43,50 +43,50 @@
 		return b, errors.New("no clock")
 	}
 	for _, g := range b.Groups {
-		if g.Inst == nil {
+		if g.Instance == nil {
 			return b, errors.New("a group names no instance")
 		}
 	}
 	return b, nil
 }
 
-type entry struct {
+type endpointRow struct {
 	Cache   string  `json:"cache"`
-	Area    string  `json:"area"`
-	Shape   string  `json:"shape"`
+	Zone    string  `json:"area"`
+	Kind    string  `json:"shape"`
 	Cell    int     `json:"cell"`
-	Phase   string  `json:"phase"`
+	State   string  `json:"phase"`
 	Size    float64 `json:"size"`
 	ReadyAt float64 `json:"ready_at"`
 }
 
-// fields holds every field that an event other than BORN can have.
-type fields struct {
-	ID         string    `json:"msg_id"`
-	Class      string    `json:"tier_class"`
-	Tenant     any       `json:"user_group"` // a name, or 0 for none
-	Item       any       `json:"item"`       // a name, or 0 for none
-	GiveUpAt   float64   `json:"give_up_at"`
-	KB         float64   `json:"kb"`
-	PurgeGroup float64   `json:"purge_group"`
-	Piece      float64   `json:"piece"`
-	Retry      bool      `json:"retry"`
-	Mutates    bool      `json:"mutates"`
-	How        string    `json:"how"`
-	Rows       []entry   `json:"rows_in"`
-	Cache      string    `json:"cache"`
-	Attempt    int       `json:"attempt"`
-	Reason     string    `json:"reason"`
-	Spent      float64   `json:"spent"`
-	Last       bool      `json:"last"`
-	Note       int       `json:"note"`
-	Waited     float64   `json:"waited"`
-	Metrics    []float64 `json:"metrics"`
-	FamilyID   float64   `json:"family_id"`
-	AgeSpan    float64   `json:"age_span"`
-	Ref        int64     `json:"ref"`
-	Src        int       `json:"src"`
-	Contents   string    `json:"contents"`
+// eventFields holds every field that an event other than BORN can have.
+type eventFields struct {
+	ID          string        `json:"msg_id"`
+	Class       string        `json:"tier_class"`
+	Tenant      any           `json:"user_group"` // a name, or 0 for none
+	Object      any           `json:"item"`       // a name, or 0 for none
+	Deadline    float64       `json:"give_up_at"`
+	KB          float64       `json:"kb"`
+	Group       float64       `json:"purge_group"`
+	Part        float64       `json:"piece"`
+	Retry       bool          `json:"retry"`
+	Write       bool          `json:"mutates"`
+	Kind        string        `json:"how"`
+	Rows        []endpointRow `json:"rows_in"`
+	Cache       string        `json:"cache"`
+	Attempt     int           `json:"attempt"`
+	Reason      string        `json:"reason"`
+	Took        float64       `json:"spent"`
+	Last        bool          `json:"last"`
+	Note        int           `json:"note"`
+	Waited      float64       `json:"waited"`
+	Load        []float64     `json:"metrics"`
+	PurgedGroup float64       `json:"family_id"`
+	Age         float64       `json:"age_span"`
+	Token       int64         `json:"ref"`
+	From        int           `json:"src"`
+	Text        string        `json:"contents"`
 }
 
 var results = map[string]spool.Result{
@@ -112,8 +112,8 @@
 	"": spool.DetailOff, "off": spool.DetailOff, "hit": spool.DetailHit, "all": spool.DetailAll,
 }
 
-// pick looks a word up and says what it was for when it is unknown.
-func pick[T any](table map[string]T, word, what string) (T, error) {
+// lookUp looks a word up and says what it was for when it is unknown.
+func lookUp[T any](table map[string]T, word, what string) (T, error) {
 	v, ok := table[word]
 	if !ok {
 		return v, fmt.Errorf("unknown %s %q", what, word)
@@ -121,8 +121,8 @@
 	return v, nil
 }
 
-// name reads a value that is a word, or a number where there is none.
-func name(v any) string {
+// identifier reads a value that is a word, or a number where there is none.
+func identifier(v any) string {
 	switch v := v.(type) {
 	case string:
 		return v
@@ -141,7 +141,7 @@
 		return nil, fmt.Errorf("an event has %d names, not one", len(m))
 	}
 	for word, raw := range m {
-		ev, err := parse(word, raw)
+		ev, err := decodeEvent(word, raw)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", word, err)
 		}
@@ -150,42 +150,42 @@
 	return nil, nil
 }
 
-func parse(word string, raw json.RawMessage) (any, error) {
+func decodeEvent(word string, raw json.RawMessage) (any, error) {
 	if word == "BORN" {
-		return parseBorn(raw)
+		return parseStart(raw)
 	}
-	var f fields
+	var f eventFields
 	if err := json.Unmarshal(raw, &f); err != nil {
 		return nil, err
 	}
 	var err error
 	switch word {
 	case "DESTROY":
-		return Destroy{}, nil
+		return Stop{}, nil
 	case "ROSTER_CHANGE":
-		ev := spool.Members{Full: f.How == "total" || f.How == "warm_copy", Lost: f.How == "lost"}
-		if !ev.Full && !ev.Lost && f.How != "incr" {
-			return nil, fmt.Errorf("unknown kind %q", f.How)
+		ev := spool.Members{Full: f.Kind == "total" || f.Kind == "warm_copy", Lost: f.Kind == "lost"}
+		if !ev.Full && !ev.Lost && f.Kind != "incr" {
+			return nil, fmt.Errorf("unknown kind %q", f.Kind)
 		}
 		for _, e := range f.Rows {
-			r := spool.Member{ID: e.Cache, Zone: e.Area, Kind: e.Shape, Cell: e.Cell, Size: e.Size, ReadyAt: e.ReadyAt}
+			r := spool.Member{ID: e.Cache, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Size: e.Size, ReadyAt: e.ReadyAt}
 			if e.Cache == "" {
 				return nil, errors.New("a row names no cache")
 			}
-			if r.State, err = pick(states, e.Phase, "phase"); err != nil {
+			if r.State, err = lookUp(states, e.State, "phase"); err != nil {
 				return nil, err
 			}
 			ev.Rows = append(ev.Rows, r)
 		}
 		return ev, nil
 	case "REMINDER":
-		return spool.Timer{Token: f.Ref}, nil
+		return spool.Timer{Token: f.Token}, nil
 	case "PURGED":
-		return spool.Purge{Object: name(f.Item), Group: int(f.FamilyID), Age: f.AgeSpan}, nil
+		return spool.Purge{Object: identifier(f.Object), Group: int(f.PurgedGroup), Age: f.Age}, nil
 	case "MESSAGE":
-		return spool.Message{From: f.Src, Text: f.Contents}, nil
+		return spool.Message{From: f.From, Text: f.Text}, nil
 	case "CHECKED":
-		return spool.Probed{Cache: f.Cache, OK: f.Reason == "ok", Load: f.Metrics}, nil
+		return spool.Probed{Cache: f.Cache, OK: f.Reason == "ok", Load: f.Load}, nil
 	case "KNOCK", "SETTLED", "STREAMING", "TIMED_OUT_CLIENT":
 		if f.ID == "" {
 			return nil, errors.New("no request id")
@@ -195,13 +195,13 @@
 	}
 	switch word {
 	case "KNOCK":
-		return spool.Request{ID: f.ID, Class: f.Class, Tenant: name(f.Tenant), Object: name(f.Item),
-			Deadline: f.GiveUpAt, KB: f.KB, Group: int(f.PurgeGroup), Part: int(f.Piece),
-			Retry: f.Retry, Write: f.Mutates}, nil
+		return spool.Request{ID: f.ID, Class: f.Class, Tenant: identifier(f.Tenant), Object: identifier(f.Object),
+			Deadline: f.Deadline, KB: f.KB, Group: int(f.Group), Part: int(f.Part),
+			Retry: f.Retry, Write: f.Write}, nil
 	case "SETTLED":
-		ev := spool.Outcome{ID: f.ID, Cache: f.Cache, Attempt: f.Attempt, Took: f.Spent, Last: f.Last,
-			Note: spool.Note(f.Note), Waited: f.Waited, Load: f.Metrics}
-		ev.Result, err = pick(results, f.Reason, "reason")
+		ev := spool.Outcome{ID: f.ID, Cache: f.Cache, Attempt: f.Attempt, Took: f.Took, Last: f.Last,
+			Note: spool.Note(f.Note), Waited: f.Waited, Load: f.Load}
+		ev.Result, err = lookUp(results, f.Reason, "reason")
 		return ev, err
 	case "STREAMING":
 		return spool.Started{ID: f.ID, Cache: f.Cache, Attempt: f.Attempt}, nil
--- a/outlier.go
+++ b/outlier.go
@@ -4,19 +4,19 @@
 
 const (
 	// An attempt is overdue after overdueBase and overdueStretch times its expected time.
-	overdueBase    = Millis(300)
-	overdueStretch = 1.5
+	overdueBase   = Millis(300)
+	overdueFactor = 1.5
 
 	// A member with silentOverdueCount overdue attempts and no progress for so long is silent:
 	// longer than the pauses that caches make.
 	cacheSilence       = Millis(450)
 	sourceSilence      = Millis(900) // of a source, whose progress shows less often
-	silenceGaps        = 4           // and for this many of its usual gaps between signs of progress
+	silenceGapFactor   = 4           // and for this many of its usual gaps between signs of progress
 	silentOverdueCount = 3
 	// One overdue attempt is enough after so long a silence, and after so many times what it was
 	// expected to take: objects differ in size.
 	singleOverdueSilence = Millis(1500)
-	singleOverdueStretch = 6
+	singleOverdueFactor  = 6
 
 	// faultGain is the weight of one outcome in a member's share of faults.
 	faultGain = 0.12
@@ -59,9 +59,9 @@
 	case Errored:
 		r.attributeError(request, attempt)
 	case ConnectFailed:
-		r.recordFaultOf(attempt, attempt.target, certainFault)
+		r.blameMember(attempt, attempt.target, certainFault)
 	case TimedOut, Reset: // a dying cache resets all, and then refuses; a connection may break by itself
-		r.attributeBreak(attempt)
+		r.attributeTimeoutOrReset(attempt)
 	}
 }
 
@@ -102,9 +102,9 @@
 			r.recordFault(member, likelyFault)
 		}
 	case note == NoteSourceRejected, note == NoteSourceUnreachable:
-		r.recordFaultOf(attempt, attempt.source, fault)
+		r.blameMember(attempt, attempt.source, fault)
 	case note == NoteNoCapacity, r.settings.Detail == DetailAll:
-		r.recordFaultOf(attempt, attempt.target, overloadFault)
+		r.blameMember(attempt, attempt.target, overloadFault)
 	default:
 		r.splitFault(attempt, likelyFault)
 	}
@@ -128,14 +128,14 @@
 	}
 }
 
-// attributeBreak records a lost connection or a timeout. A member that has made progress
+// attributeTimeoutOrReset records a lost connection or a timeout. A member that has made progress
 // since the attempt was sent is not at fault: the attempt was crowded out.
-func (r *Router) attributeBreak(attempt *attempt) {
+func (r *Router) attributeTimeoutOrReset(attempt *attempt) {
 	switch {
 	case attempt.target.lastProgress <= attempt.sent:
-		r.recordFaultOf(attempt, attempt.target, fault)
+		r.blameMember(attempt, attempt.target, fault)
 	case attempt.hasSource() && attempt.source.lastProgress <= attempt.sent:
-		r.recordFaultOf(attempt, attempt.source, likelyFault)
+		r.blameMember(attempt, attempt.source, likelyFault)
 	}
 }
 
@@ -160,21 +160,21 @@
 // to the faults it has shown elsewhere, so that one explains the other away.
 func (r *Router) splitFault(attempt *attempt, weight float64) {
 	if !attempt.hasSource() {
-		r.recordFaultOf(attempt, attempt.target, weight)
+		r.blameMember(attempt, attempt.target, weight)
 		return
 	}
 	target, source := attempt.target, attempt.source
-	part := (target.faultShare + assumedFaultShare) / (target.faultShare + source.faultShare + 2*assumedFaultShare)
-	r.recordFault(target, weight*part)
-	r.recordFault(source, weight*(1-part))
+	targetShare := (target.faultShare + assumedFaultShare) / (target.faultShare + source.faultShare + 2*assumedFaultShare)
+	r.recordFault(target, weight*targetShare)
+	r.recordFault(source, weight*(1-targetShare))
 	attempt.blamed = target
-	if part < 0.5 {
+	if targetShare < 0.5 {
 		attempt.blamed = source
 	}
 }
 
-// recordFaultOf records that a member is to blame for an attempt.
-func (r *Router) recordFaultOf(attempt *attempt, member *member, weight float64) {
+// blameMember records that a member is to blame for an attempt.
+func (r *Router) blameMember(attempt *attempt, member *member, weight float64) {
 	attempt.blamed = member
 	r.recordFault(member, weight)
 }
@@ -275,21 +275,21 @@
 
 // isSilent reports whether a member with overdue attempts gives no sign of progress.
 func (r *Router) isSilent(member *member) bool {
-	quiet := cacheSilence
+	maxSilence := cacheSilence
 	if member.role != edge {
-		quiet = sourceSilence
+		maxSilence = sourceSilence
 	}
 	silence := r.now - max(member.lastProgress, member.overdueSince)
-	if member.overdue >= silentOverdueCount && silence > max(quiet, silenceGaps*member.progressGap) {
+	if member.overdue >= silentOverdueCount && silence > max(maxSilence, silenceGapFactor*member.progressGap) {
 		return true
 	}
-	return silence > max(singleOverdueSilence, singleOverdueStretch*member.overdueExpected)
+	return silence > max(singleOverdueSilence, singleOverdueFactor*member.overdueExpected)
 }
 
 // isOverdue reports whether an attempt is out for much longer than expected. One that has
 // waited for its client says nothing about members.
 func (a *attempt) isOverdue(now Millis) bool {
-	return a.outstanding && !a.wasStalled && now-a.sent > overdueBase+overdueStretch*a.expected
+	return a.outstanding && !a.wasStalled && now-a.sent > overdueBase+overdueFactor*a.expected
 }
 
 // cancelUnresponsive cancels the attempts of a request that wait on an ejected or
@@ -300,22 +300,22 @@
 	}
 	for i := range request.attempts {
 		attempt := &request.attempts[i]
-		if !attempt.cancelled && attempt.isOverdue(r.now) && attempt.isLost() {
+		if !attempt.cancelled && attempt.isOverdue(r.now) && attempt.isUnresponsive() {
 			r.cancelAttempt(request, i)
 		}
 	}
 }
 
-// isLost reports whether an attempt waits on a member that will not answer.
-func (a *attempt) isLost() bool {
-	if a.target.lostSince(a.sent) {
+// isUnresponsive reports whether an attempt waits on a member that will not answer.
+func (a *attempt) isUnresponsive() bool {
+	if a.target.unresponsiveSince(a.sent) {
 		return true
 	}
-	return a.source.role != edge && a.source.lostSince(a.sent) && a.target.lastProgress > a.sent
+	return a.source.role != edge && a.source.unresponsiveSince(a.sent) && a.target.lastProgress > a.sent
 }
 
-// lostSince reports whether a member is out and has made no progress since a time.
-func (m *member) lostSince(at Millis) bool {
+// unresponsiveSince reports whether a member is out and has made no progress since a time.
+func (m *member) unresponsiveSince(at Millis) bool {
 	return (m.ejected || m.unavailable) && m.lastProgress <= at
 }
 
--- a/parent_check_test.go
+++ b/parent_check_test.go
@@ -29,7 +29,7 @@
 			if c.originEjected {
 				rig.router.eject(rig.router.members["o1"])
 			}
-			rig.wait(initialCheckBackoff + tickSpan) // until health checks are due
+			rig.wait(initialCheckBackoff + tickInterval) // until health checks are due
 			asked := map[string]int{}
 			for i := range 200 {
 				rig.router.link.limit = c.linkLimit
--- a/placement.go
+++ b/placement.go
@@ -29,7 +29,7 @@
 		return request.fillTarget, sibling
 	}
 	if !r.link.available(r.now) {
-		r.traceLook(request, nil, true, 0, ReasonLinkAtLimit)
+		r.traceCandidate(request, nil, true, 0, ReasonLinkAtLimit)
 		return r.chooseStaleCopy(request)
 	}
 	return r.chooseFill(request)
@@ -71,9 +71,9 @@
 	case !r.settings.DirectAttempts || !request.mayRunAt(source):
 		return nil, nil
 	}
-	behind := r.rendezvousOf(origin, request)
-	if behind != nil && source.role == parent {
-		return source, behind
+	originMember := r.rendezvousOf(origin, request)
+	if originMember != nil && source.role == parent {
+		return source, originMember
 	}
 	return source, source
 }
@@ -81,19 +81,19 @@
 // chooseWriteTarget sends a write to the origin, directly where that takes attempts, else
 // by a cache.
 func (r *Router) chooseWriteTarget(request *request) (target, source *member) {
-	server := r.rendezvousOf(origin, request)
-	if server == nil {
-		r.traceLook(request, nil, true, 0, NoMember)
+	originMember := r.rendezvousOf(origin, request)
+	if originMember == nil {
+		r.traceCandidate(request, nil, true, 0, NoMember)
 		return nil, nil
 	}
-	if r.settings.DirectAttempts && request.mayRunAt(server) && (!request.failedAt(server) || request.executedBy != nil) {
-		return server, server
+	if r.settings.DirectAttempts && request.mayRunAt(originMember) && (!request.failedAt(originMember) || request.executedBy != nil) {
+		return originMember, originMember
 	}
 	cache := r.pickCache(request)
 	if cache == nil {
 		return nil, nil
 	}
-	return cache, server
+	return cache, originMember
 }
 
 // pickCache names the cache of a request: the one that the layout names or, where that is
@@ -102,19 +102,19 @@
 // the load bound.
 func (r *Router) pickCache(request *request) *member {
 	primary, bound := r.layout.owner(request), r.loadBound()
-	takes := func(member *member, pass int) bool {
-		return r.traceLook(request, member, false, pass, r.cacheReason(member, request, pass, bound)) == ReasonAccepted
+	accepts := func(member *member, pass int) bool {
+		return r.traceCandidate(request, member, false, pass, r.cacheReason(member, request, pass, bound)) == ReasonAccepted
 	}
 	var others *ranking
 	for pass := range 4 {
-		if primary != nil && takes(primary, pass) {
+		if primary != nil && accepts(primary, pass) {
 			return primary
 		}
 		if others == nil {
 			others = byRendezvous(r.byRole[edge], request.hash)
 		}
 		for member := range others.members {
-			if takes(member, pass) {
+			if accepts(member, pass) {
 				return member
 			}
 		}
@@ -128,7 +128,7 @@
 	switch {
 	case withinBound && member.pendingTime/r.capacity(member) > bound:
 		return ReasonOverLoadBound
-	case request.failedAt(member) && (!withFailed || r.now < request.rejectersAfter):
+	case request.failedAt(member) && (!withFailed || r.now < request.rejectersNotBefore):
 		return ReasonFailedBefore
 	case !request.failedAt(member) && withFailed:
 		return ReasonAlreadyConsidered
--- a/rangesplit.go
+++ b/rangesplit.go
@@ -99,9 +99,9 @@
 
 // depthOf is what is remembered of an object, in the present generation.
 func (r *Router) depthOf(object string) *objectDepth {
-	if len(r.objectDepths[0]) >= maxObjects || r.now-r.objectsRotated > objectGenerationSpan {
+	if len(r.objectDepths[0]) >= maxObjects || r.now-r.objectDepthsRotatedAt > objectGenerationSpan {
 		r.objectDepths[1], r.objectDepths[0] = r.objectDepths[0], map[string]*objectDepth{}
-		r.objectsRotated = r.now
+		r.objectDepthsRotatedAt = r.now
 	}
 	depth := cmp.Or(r.objectDepths[0][object], r.objectDepths[1][object], &objectDepth{})
 	r.objectDepths[0][object] = depth
@@ -118,7 +118,7 @@
 
 // closeWindow adds the open window to the discounted sum and updates the layout.
 func (r *Router) closeWindow() {
-	r.windowOpened = r.now
+	r.windowOpenedAt = r.now
 	if r.windowRequests == 0 || r.totalCost == nil && !r.firstWindowDone() {
 		return
 	}
@@ -147,7 +147,7 @@
 		keepSplits(next.splits, r.layout.splits, r.totalCost)
 	}
 	if !next.equal(r.layout) {
-		r.priorLayout, r.layoutChanged = r.layout, r.now
+		r.priorLayout, r.layoutChangedAt = r.layout, r.now
 	}
 	r.layout = next
 }
@@ -156,17 +156,17 @@
 // chance in the counts moves no ranges.
 func keepSplits(splits, before []int, cost []float64) {
 	sum := total(cost)
-	below := make([]float64, len(cost)+1) // cost of all parts before an index
+	cumulative := make([]float64, len(cost)+1) // cost of all parts before an index
 	for part, partCost := range cost {
-		below[part+1] = below[part] + partCost
+		cumulative[part+1] = cumulative[part] + partCost
 	}
 	ranges := len(splits) + 1
 	for i, split := range before {
 		if split <= 0 || split >= len(cost) {
 			continue
 		}
-		off := below[split] - sum*float64(i+1)/float64(ranges)
-		if max(off, -off) < splitMoveThreshold*max(cost[split-1], cost[split]) {
+		deviation := cumulative[split] - sum*float64(i+1)/float64(ranges)
+		if max(deviation, -deviation) < splitMoveThreshold*max(cost[split-1], cost[split]) {
 			splits[i] = split
 		}
 	}
@@ -178,11 +178,11 @@
 func splitPoints(cost []float64, ranges int) []int {
 	sum := total(cost)
 	points := make([]int, 0, ranges-1)
-	part, below := 0, 0.0
+	part, cumulative := 0, 0.0
 	for i := 1; i < ranges; i++ {
-		want := sum * float64(i) / float64(ranges)
-		for part < len(cost) && below+cost[part]/2 <= want {
-			below += cost[part]
+		target := sum * float64(i) / float64(ranges)
+		for part < len(cost) && cumulative+cost[part]/2 <= target {
+			cumulative += cost[part]
 			part++
 		}
 		points = append(points, part)
--- a/ranking.go
+++ b/ranking.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// minChance keeps the logarithm of a weighted rendezvous hash finite.
-const minChance = 1e-18
+// minHashFraction keeps the logarithm of a weighted rendezvous hash finite.
+const minHashFraction = 1e-18
 
 // rendezvousBest is the member of the highest rendezvous hash, nil where there is none. When
 // a member leaves, only its own objects move.
@@ -27,7 +27,7 @@
 // is stated: one that can serve twice as much is first for twice as many objects.
 func (r *Router) byWeightedRendezvous(list []*member, hash uint64) *ranking {
 	return &ranking{list: list, rankOf: func(member *member) rank {
-		return rank{key: math.Log(max(chance(hash^member.hash), minChance)) / r.capacity(member)}
+		return rank{key: math.Log(max(hashFraction(hash^member.hash), minHashFraction)) / r.capacity(member)}
 	}}
 }
 
@@ -91,10 +91,10 @@
 	var first *member
 	var highest rank
 	for i, member := range k.list {
-		own := k.rankOf(member)
-		own.index = i
-		if first == nil || own.before(&highest) {
-			first, highest = member, own
+		current := k.rankOf(member)
+		current.index = i
+		if first == nil || current.before(&highest) {
+			first, highest = member, current
 		}
 	}
 	return first
--- a/ranking_test.go
+++ b/ranking_test.go
@@ -23,7 +23,7 @@
 		plain, weighty := slices.Clone(list), slices.Clone(list)
 		slices.SortFunc(plain, func(a, b *member) int { return cmp.Compare(mix(hash^b.hash), mix(hash^a.hash)) })
 		key := func(member *member) float64 {
-			return math.Log(max(chance(hash^member.hash), 1e-18)) / router.capacity(member)
+			return math.Log(max(hashFraction(hash^member.hash), 1e-18)) / router.capacity(member)
 		}
 		slices.SortFunc(weighty, func(a, b *member) int { return cmp.Compare(key(b), key(a)) })
 		for name, c := range map[string]struct {
--- a/request.go
+++ b/request.go
@@ -8,11 +8,11 @@
 	copyRank = 1
 	// meanGain is the weight of one request in the mean times of all and of its class.
 	meanGain = 0.02
-	// fillStretchGain is the weight of one fill in fillStretch. The time of a fill counts in
+	// fillTimeRatioGain is the weight of one fill in fillStretch. The time of a fill counts in
 	// multiples, 1 to maxFillStretch, of its sending time and fillOverhead.
-	fillStretchGain = 0.05
-	maxFillStretch  = 4
-	fillOverhead    = Millis(50)
+	fillTimeRatioGain = 0.05
+	maxFillTimeRatio  = 4
+	fillOverhead      = Millis(50)
 )
 
 // request is a client's request while it is in hand.
@@ -20,7 +20,7 @@
 	Request
 	class      *class
 	hash       uint64 // of the object
-	chanceSeed uint64
+	jitterSeed uint64
 	arrived    Millis
 	timerToken int64  // of its deadline's timer
 	sendTime   Millis // expected time that the answer takes to send
@@ -43,9 +43,9 @@
 	executedBy *member // where the first attempt went that may have run; nil: none
 	executedAt Millis  // when that was sent
 
-	rejected       bool   // the last attempt was rejected
-	notBefore      Millis // no attempt is made before
-	rejectersAfter Millis // the members that failed it are not asked before
+	rejected           bool   // the last attempt was rejected
+	notBefore          Millis // no attempt is made before
+	rejectersNotBefore Millis // the members that failed it are not asked before
 }
 
 // attempt is one attempt of a request.
@@ -71,8 +71,8 @@
 // fillsFromSource reports whether the target is to fill from a parent or the origin.
 func (a *attempt) fillsFromSource() bool { return a.hasSource() && a.source.role != edge }
 
-// arrive takes in a request and makes its first attempt.
-func (r *Router) arrive(event Request) {
+// handleRequest takes in a request and makes its first attempt.
+func (r *Router) handleRequest(event Request) {
 	class := r.classes[event.Class]
 	if class == nil {
 		r.emit(Fail{ID: event.ID})
@@ -82,7 +82,7 @@
 		return
 	}
 	request := &request{Request: event, class: class, hash: hashString(event.Object), arrived: r.now}
-	request.chanceSeed = r.chanceSeedOf(request)
+	request.jitterSeed = r.newJitterSeed(request)
 	if event.Deadline <= 0 {
 		request.Deadline = r.now + class.Deadline
 	}
@@ -124,7 +124,7 @@
 func (r *Router) advance(request *request) {
 	request.queued = false
 	if r.exhausted(request) {
-		r.traceLook(request, nil, false, 0, ReasonAttemptsExhausted)
+		r.traceCandidate(request, nil, false, 0, ReasonAttemptsExhausted)
 		r.reject(request)
 		return
 	}
@@ -248,14 +248,14 @@
 	if attempt.blamed == attempt.target {
 		request.fillTarget = nil
 		if request.rejected {
-			request.rejectersAfter = r.now + rejectedBackoffStep*float64(len(request.attempts))
+			request.rejectersNotBefore = r.now + rejectedBackoffStep*float64(len(request.attempts))
 		}
 	}
 	r.releaseAttempt(attempt)
 	r.learnFromTransfer(request, attempt, outcome, shortage)
 	attempt.target.checking, attempt.source.checking = false, false
 	if outcome.Result.NotExecuted() {
-		request.forgetExecution(attempt)
+		request.clearExecution(attempt)
 	}
 	fill := attempt.fill
 	r.continueRequest(request, outcome.Last)
@@ -283,17 +283,17 @@
 		return
 	}
 	took := r.now - attempt.sent
-	spent := max(took-outcome.Waited, slowPart*outcome.Waited)
+	spent := max(took-outcome.Waited, slowFraction*outcome.Waited)
 	transfer := transfer{
-		slow:       spent > slowPart*request.latencyObjective() || shortage,
+		slow:       spent > slowFraction*request.latencyObjective() || shortage,
 		succeeded:  attempt.blamed == nil,
 		took:       took,
 		sizeStated: request.KB > 0,
 	}
 	switch {
 	case attempt.fill:
-		stretch := min(max(took/(request.sendTime+fillOverhead), 1), maxFillStretch)
-		r.fillStretch += (stretch - r.fillStretch) * fillStretchGain
+		ratio := min(max(took/(request.sendTime+fillOverhead), 1), maxFillTimeRatio)
+		r.fillTimeRatio += (ratio - r.fillTimeRatio) * fillTimeRatioGain
 		r.adjustLimit(&r.link, transfer)
 	case outcome.Result != Miss:
 		r.adjustLimit(&attempt.target.concurrencyLimit, transfer)
@@ -305,14 +305,14 @@
 func (r *Router) continueRequest(request *request, last bool) {
 	request.ended = request.ended || last
 	if request.ended {
-		r.forget(request)
+		r.removeIfDone(request)
 	} else if !request.hasOutstanding() && !request.streaming {
 		r.advance(request)
 	}
 }
 
-// startStream notes that a request's answer has begun: it is final.
-func (r *Router) startStream(started Started) {
+// handleStarted notes that a request's answer has begun: it is final.
+func (r *Router) handleStarted(started Started) {
 	if request := r.requests[started.ID]; request != nil {
 		request.streaming = true
 	}
@@ -342,7 +342,7 @@
 			r.cancelAttempt(request, i)
 		}
 	}
-	r.forget(request)
+	r.removeIfDone(request)
 }
 
 // cancelAttempt cancels an attempt; its outcome is still to come.
@@ -351,17 +351,17 @@
 	r.emit(Cancel{ID: request.ID, Attempt: number})
 }
 
-// forget drops a request that has ended and has no attempt outstanding, with its timer,
+// removeIfDone drops a request that has ended and has no attempt outstanding, with its timer,
 // which would else hold it until its deadline.
-func (r *Router) forget(request *request) {
+func (r *Router) removeIfDone(request *request) {
 	if request.ended && !request.hasOutstanding() {
 		delete(r.requests, request.ID)
 		delete(r.deadlineTimers, request.timerToken)
 	}
 }
 
-// forgetExecution notes that an attempt did not run.
-func (q *request) forgetExecution(attempt *attempt) {
+// clearExecution notes that an attempt did not run.
+func (q *request) clearExecution(attempt *attempt) {
 	if q.executedBy == attempt.target && q.executedAt == attempt.sent {
 		q.executedBy = nil
 	}
--- a/request_test.go
+++ b/request_test.go
@@ -94,7 +94,7 @@
 			deadline := rig.now + 3000
 			for attempt := 0; rig.now < deadline-5; {
 				if len(sends(actions)) == 0 {
-					actions = rig.wait(tickSpan)
+					actions = rig.wait(tickInterval)
 					all = append(all, actions...)
 					continue
 				}
--- a/retry.go
+++ b/retry.go
@@ -24,17 +24,17 @@
 
 	// rejectionRetryAfter is the time after which a rejected client is advised to retry.
 	rejectionRetryAfter = Millis(300)
-	// timeoutWindowPart and timeoutDeadlinePart bound the timeout of an attempt with an idempotency
+	// timeoutWindowFraction and timeoutDeadlinePart bound the timeout of an attempt with an idempotency
 	// key, so that time is left for a retry while the key is remembered.
-	timeoutWindowPart   = 0.45
-	timeoutDeadlinePart = 0.5
-	minTimeout          = Millis(1)
+	timeoutWindowFraction   = 0.45
+	timeoutDeadlineFraction = 0.5
+	minTimeout              = Millis(1)
 )
 
 // exhausted reports whether a request may make no further attempt.
 func (r *Router) exhausted(request *request) bool {
 	switch {
-	case request.invalid, r.deadlineReached(request), r.mayNotRunAgain(request):
+	case request.invalid, r.deadlineReached(request), r.mustNotRunAgain(request):
 		return true
 	case request.countedAttempts() >= r.settings.MaxAttempts, request.localFailures >= maxLocalFailures:
 		return true
@@ -45,7 +45,7 @@
 // retryTokensNeeded is what the retry budget must hold for a retry of a request. The last of it
 // is for the classes of the highest worth: in an overload the many others would spend it all.
 func (r *Router) retryTokensNeeded(request *request) float64 {
-	if request.class.PriorityWeight < r.highestWorth {
+	if request.class.PriorityWeight < r.highestPriorityWeight {
 		return 1 + retryReserve
 	}
 	return 1
@@ -56,8 +56,8 @@
 	return request.Deadline-r.now <= 2*r.settings.TimerResolution
 }
 
-// mayNotRunAgain reports whether a request may have run, and a retry could run it twice.
-func (r *Router) mayNotRunAgain(request *request) bool {
+// mustNotRunAgain reports whether a request may have run, and a retry could run it twice.
+func (r *Router) mustNotRunAgain(request *request) bool {
 	if request.executedBy == nil {
 		return false
 	}
@@ -121,10 +121,10 @@
 	r.releaseAttempt(attempt)
 	attempt.target.checking, attempt.source.checking = false, false
 	r.returnTokens(request, attempt)
-	request.forgetExecution(attempt)
+	request.clearExecution(attempt)
 	if n := len(request.attempts); n > 1 {
-		before := &request.attempts[n-2]
-		if before.localFailure && before.target == attempt.target {
+		previous := &request.attempts[n-2]
+		if previous.localFailure && previous.target == attempt.target {
 			attempt.blamed = attempt.target
 		}
 	}
@@ -137,7 +137,7 @@
 // backOff holds a request back for a half to one and a half of a time, by chance: requests
 // that failed together are not to come back together.
 func (r *Router) backOff(request *request, backoff Millis) {
-	request.notBefore = r.now + backoff*(0.5+chance(request.chanceSeed+uint64(len(request.attempts))))
+	request.notBefore = r.now + backoff*(0.5+hashFraction(request.jitterSeed+uint64(len(request.attempts))))
 }
 
 // backOffFromShortage spreads the attempts that a request has left over the time it has left.
@@ -151,6 +151,6 @@
 // keyedTimeout is the timeout of an attempt with an idempotency key: it leaves time for a
 // retry while the key is remembered.
 func (r *Router) keyedTimeout(request *request) Millis {
-	timeout := min(request.class.KeyWindow*timeoutWindowPart, (request.Deadline-r.now)*timeoutDeadlinePart)
+	timeout := min(request.class.KeyWindow*timeoutWindowFraction, (request.Deadline-r.now)*timeoutDeadlineFraction)
 	return max(timeout, minTimeout)
 }
--- a/retry_test.go
+++ b/retry_test.go
@@ -115,7 +115,7 @@
 				n, last = n+1, rig.now
 				actions = rig.handle(Outcome{ID: q, Cache: list[0].Cache, Attempt: n - 1, Result: Rejected, Note: NoteSourceRejected})
 			}
-			actions = rig.wait(tickSpan)
+			actions = rig.wait(tickInterval)
 		}
 		if n < 3 || n > 6 || last-begin < 1000 {
 			t.Errorf("%d attempts, the last after %v ms", n, last-begin)
@@ -181,7 +181,7 @@
 						t.Fatalf("a final answer %.0f ms after the request: %v", rig.now-g0, actions)
 					}
 					if len(sends(actions)) == 0 {
-						actions = rig.wait(tickSpan)
+						actions = rig.wait(tickInterval)
 						continue
 					}
 					send := rig.onlySend(actions)
@@ -231,7 +231,7 @@
 	first := rig.onlySend(actions).Cache
 	for attempt := range 8 {
 		for len(sends(actions)) == 0 {
-			actions = rig.wait(tickSpan)
+			actions = rig.wait(tickInterval)
 		}
 		if send := rig.onlySend(actions); send.Cache != first {
 			return
--- a/rig_test.go
+++ b/rig_test.go
@@ -58,7 +58,7 @@
 // wait lets time pass, with the ticks that the router asked for.
 func (g *testRig) wait(d Millis) (actions []Action) {
 	for end := g.now + d; g.now < end; {
-		g.now = min(g.now+tickSpan, end)
+		g.now = min(g.now+tickInterval, end)
 		actions = append(actions, g.handle(Timer{})...)
 	}
 	return actions
--- a/router.go
+++ b/router.go
@@ -29,48 +29,48 @@
 
 import "slices"
 
-// tickSpan is the time between two ticks: short against the time in which an
+// tickInterval is the time between two ticks: short against the time in which an
 // attempt becomes overdue, long against the time that a look at all of them takes.
-const tickSpan = Millis(25)
+const tickInterval = Millis(25)
 
-// housekeepingSpan is the time between two runs of the periodic cleanup.
-const housekeepingSpan = Millis(1000)
+// cleanupInterval is the time between two runs of the periodic cleanup.
+const cleanupInterval = Millis(1000)
 
 // Router decides for one router. It is not safe for concurrent use.
 type Router struct {
-	settings Settings
-	seed     uint64 // differs between routers that would else do the same at once
-	now      Millis
-	started  bool // the first event has come
-	actions  []Action
-	onLook   func(Candidate) // notified of each member that a choice looks at; may be nil
+	settings    Settings
+	seed        uint64 // differs between routers that would else do the same at once
+	now         Millis
+	started     bool // the first event has come
+	actions     []Action
+	onCandidate func(Candidate) // notified of each member that a choice looks at; may be nil
 
 	// Endpoints.
 	members    map[string]*member
-	listed     []*member        // the same, by id
-	byRole     [roles][]*member // those available, by id
-	subscribed bool             // discovery notifies of changes, or has been asked to
+	listed     []*member            // the same, by id
+	byRole     [roleCount][]*member // those available, by id
+	subscribed bool                 // discovery notifies of changes, or has been asked to
 
 	// Requests.
-	classes        map[string]*class
-	requests       map[string]*request
-	arrivals       []*request // in the order of arrival
-	deadlineTimers map[int64]*request
-	lastTimerToken int64
-	meanSendTime   Millis  // recent mean over all requests
-	highestWorth   float64 // of any class
+	classes               map[string]*class
+	requests              map[string]*request
+	arrivals              []*request // in the order of arrival
+	deadlineTimers        map[int64]*request
+	lastTimerToken        int64
+	meanSendTime          Millis  // recent mean over all requests
+	highestPriorityWeight float64 // of any class
 
 	// Admission.
-	link        concurrencyLimit // of the fills of this router
-	queue       []*request       // used by admitQueued alone, kept for its capacity
-	fillStretch float64          // recent time of fills as a multiple of their sending time
+	link          concurrencyLimit // of the fills of this router
+	queue         []*request       // used by admitQueued alone, kept for its capacity
+	fillTimeRatio float64          // recent time of fills as a multiple of their sending time
 
 	// Retries, outlier detection and slow start.
-	retryTokens    float64        // retries that the budget allows now
-	overdueMembers []*member      // those with overdue attempts at the last tick
-	typicalRate    [roles]float64 // sending time that a warm member is given, per millisecond
-	lastSecond     Millis         // when housekeeping was last done
-	closing        bool           // a successor spends the slow-start budgets
+	retryTokens    float64            // retries that the budget allows now
+	overdueMembers []*member          // those with overdue attempts at the last tick
+	typicalRate    [roleCount]float64 // sending time that a warm member is given, per millisecond
+	lastCleanup    Millis             // when housekeeping was last done
+	superseded     bool               // a successor spends the slow-start budgets
 
 	// Purges.
 	objectPurges map[string]Millis // time of the last purge, by object
@@ -78,12 +78,12 @@
 
 	// Range split.
 	objectDepths          [2]map[string]*objectDepth // the present and the past generation
-	objectsRotated        Millis                     // when the present generation began
+	objectDepthsRotatedAt Millis                     // when the present generation began
 	windowCost, totalCost []float64                  // by part index: the open window, and the discounted sum
 	windowRequests        int                        // part requests in the open window
-	windowOpened          Millis
+	windowOpenedAt        Millis
 	layout, priorLayout   layout // the present one, and the one before the last change
-	layoutChanged         Millis
+	layoutChangedAt       Millis
 }
 
 // New returns a router that knows no endpoints yet. The seed sets it apart from
@@ -99,7 +99,7 @@
 		requests:       map[string]*request{},
 		deadlineTimers: map[int64]*request{},
 		link:           concurrencyLimit{limit: initialLimit},
-		fillStretch:    1,
+		fillTimeRatio:  1,
 		retryTokens:    retryBudgetBurst,
 		objectPurges:   map[string]Millis{},
 		groupPurges:    map[int]Millis{},
@@ -121,11 +121,11 @@
 	case Members:
 		r.updateEndpoints(event)
 	case Request:
-		r.arrive(event)
+		r.handleRequest(event)
 	case Outcome:
 		r.handleOutcome(event)
 	case Started:
-		r.startStream(event)
+		r.handleStarted(event)
 	case Stalled:
 		r.handleStall(event)
 	case Gone:
@@ -137,7 +137,7 @@
 	case Recalled:
 		r.restore(event.Memory)
 	case Retired:
-		r.closing = event.On
+		r.superseded = event.On
 	case SettingsChanged:
 		r.changeSettings(event.Settings)
 	case Timer:
@@ -150,8 +150,8 @@
 // start begins the periodic work.
 func (r *Router) start() {
 	r.started = true
-	r.windowOpened, r.lastSecond, r.objectsRotated = r.now, r.now, r.now
-	r.emit(Wake{In: tickSpan})
+	r.windowOpenedAt, r.lastCleanup, r.objectDepthsRotatedAt = r.now, r.now, r.now
+	r.emit(Wake{In: tickInterval})
 }
 
 // emit appends an action to those of the event in hand.
@@ -176,7 +176,7 @@
 // tick does the periodic work: it ejects members that have become silent, cancels
 // the attempts that wait on them, and admits queued requests.
 func (r *Router) tick() {
-	r.emit(Wake{In: tickSpan})
+	r.emit(Wake{In: tickInterval})
 	r.arrivals = slices.DeleteFunc(r.arrivals, func(request *request) bool {
 		return request.ended && !request.hasOutstanding()
 	})
@@ -187,18 +187,18 @@
 		}
 	}
 	r.admitQueued()
-	if r.now-r.lastSecond >= housekeepingSpan {
-		r.housekeep()
+	if r.now-r.lastCleanup >= cleanupInterval {
+		r.runCleanup()
 	}
 }
 
-// housekeep measures rates, closes a histogram window that is old, drops purges
+// runCleanup measures rates, closes a histogram window that is old, drops purges
 // that are through, and subscribes again where the subscription was lost.
-func (r *Router) housekeep() {
-	span := r.now - r.lastSecond
-	r.lastSecond = r.now
+func (r *Router) runCleanup() {
+	span := r.now - r.lastCleanup
+	r.lastCleanup = r.now
 	r.measureRates(span)
-	if r.now-r.windowOpened >= windowSpan {
+	if r.now-r.windowOpenedAt >= windowSpan {
 		r.closeWindow()
 	}
 	r.dropOldPurges()
--- a/settings.go
+++ b/settings.go
@@ -20,16 +20,16 @@
 	if r.settings.MaxAttempts <= 0 {
 		r.settings.MaxAttempts = defaultMaxAttempts
 	}
-	known := r.classes
-	r.classes, r.highestWorth = map[string]*class{}, 0
+	previousClasses := r.classes
+	r.classes, r.highestPriorityWeight = map[string]*class{}, 0
 	for _, declared := range settings.Classes {
-		guess := max(declared.LatencyObjective/2, 1)
-		class := &class{Class: declared, meanSendTime: guess, hitTime: guess}
-		if before := known[declared.Name]; before != nil {
-			class.meanSendTime, class.hitTime = before.meanSendTime, before.hitTime
+		initialEstimate := max(declared.LatencyObjective/2, 1)
+		class := &class{Class: declared, meanSendTime: initialEstimate, hitTime: initialEstimate}
+		if previous := previousClasses[declared.Name]; previous != nil {
+			class.meanSendTime, class.hitTime = previous.meanSendTime, previous.hitTime
 		}
 		r.classes[declared.Name] = class
-		r.highestWorth = max(r.highestWorth, declared.PriorityWeight)
+		r.highestPriorityWeight = max(r.highestPriorityWeight, declared.PriorityWeight)
 	}
 	for _, member := range r.members {
 		member.role = r.roleOf(member.Member)
--- a/slowstart.go
+++ b/slowstart.go
@@ -40,10 +40,10 @@
 	// the ordinary load that the member can bear by then. Queued requests may not: many of them have
 	// gathered.
 	withinOverdraft := member.tokens > -r.slowStartCost(member, request)
-	if request.wasQueued || !withinOverdraft || r.closing || !r.isPrimary(member, request) {
+	if request.wasQueued || !withinOverdraft || r.superseded || !r.isPrimary(member, request) {
 		return false
 	}
-	return chance(request.chanceSeed+member.hash) < slowStartOverdraft*r.warmUpShare(member)
+	return hashFraction(request.jitterSeed+member.hash) < slowStartOverdraft*r.warmUpShare(member)
 }
 
 // isPrimary reports whether a member is the first choice for a request while all are in service.
@@ -89,7 +89,7 @@
 		base = max(base, assumedUtilization*member.Size/r.settings.sharingRouters(member.role))
 	}
 	rate := base * r.warmUpShare(member)
-	if r.closing { // the budget is the successor's
+	if r.superseded { // the budget is the successor's
 		rate = 0
 	}
 	burst := rate * max(r.settings.OverloadTime, minBurstSpan) * slowStartBurst
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -90,7 +90,7 @@
 	taken := 0
 	for i := range 400 {
 		request := &request{Request: Request{Object: fmt.Sprint("w", i)}, class: rig.router.classes["page"], hash: hashString(fmt.Sprint("w", i)), arrived: rig.now}
-		request.chanceSeed = rig.router.chanceSeedOf(request)
+		request.jitterSeed = rig.router.newJitterSeed(request)
 		member.tokens, member.refilled = -1, rig.now
 		if rig.router.unavailableReason(member, request) != ReasonAccepted {
 			continue
--- a/snapshot.go
+++ b/snapshot.go
@@ -90,22 +90,22 @@
 func (r *Router) Memory() *Memory {
 	memory := &Memory{
 		At:      r.now,
-		Turned:  r.objectsRotated,
+		Turned:  r.objectDepthsRotatedAt,
 		Purges:  maps.Clone(r.objectPurges),
 		Groups:  maps.Clone(r.groupPurges),
 		Link:    r.link.snapshot(),
 		Typical: slices.Clone(r.typicalRate[:]),
 		Retries: r.retryTokens,
 		Mean:    r.meanSendTime,
-		Pace:    r.fillStretch,
-		LastSec: r.lastSecond,
+		Pace:    r.fillTimeRatio,
+		LastSec: r.lastCleanup,
 		Window:  slices.Clone(r.windowCost),
 		Total:   slices.Clone(r.totalCost),
 		Seen:    r.windowRequests,
-		Opened:  r.windowOpened,
+		Opened:  r.windowOpenedAt,
 		Layout:  r.layout.snapshot(),
 		Prior:   r.priorLayout.snapshot(),
-		Moved:   r.layoutChanged,
+		Moved:   r.layoutChangedAt,
 	}
 	for _, id := range slices.Sorted(maps.Keys(r.members)) {
 		memory.Members = append(memory.Members, r.members[id].snapshot())
@@ -151,19 +151,19 @@
 		r.groupPurges = maps.Clone(memory.Groups)
 	}
 	copy(r.typicalRate[:], memory.Typical)
-	r.objectsRotated = memory.Turned
+	r.objectDepthsRotatedAt = memory.Turned
 	r.link = memory.Link.concurrencyLimit()
 	r.retryTokens = memory.Retries
 	r.meanSendTime = memory.Mean
-	r.fillStretch = memory.Pace
-	r.lastSecond = memory.LastSec
+	r.fillTimeRatio = memory.Pace
+	r.lastCleanup = memory.LastSec
 	r.windowCost = slices.Clone(memory.Window)
 	r.totalCost = slices.Clone(memory.Total)
 	r.windowRequests = memory.Seen
-	r.windowOpened = memory.Opened
+	r.windowOpenedAt = memory.Opened
 	r.layout = r.restoreLayout(memory.Layout)
 	r.priorLayout = r.restoreLayout(memory.Prior)
-	r.layoutChanged = memory.Moved
+	r.layoutChangedAt = memory.Moved
 }
 
 // snapshot is the stored form of a member.
@@ -212,12 +212,12 @@
 
 // snapshot is the stored form of a concurrency limit; what is in flight is not stored.
 func (l *concurrencyLimit) snapshot() GateMemory {
-	return GateMemory{Room: l.limit, Tardy: l.slowShare, Cut: l.lowered, Next: l.nextFree}
+	return GateMemory{Room: l.limit, Tardy: l.slowShare, Cut: l.loweredAt, Next: l.nextStart}
 }
 
 // concurrencyLimit is the limit of a stored form.
 func (g GateMemory) concurrencyLimit() concurrencyLimit {
-	return concurrencyLimit{limit: g.Room, slowShare: g.Tardy, lowered: g.Cut, nextFree: g.Next}
+	return concurrencyLimit{limit: g.Room, slowShare: g.Tardy, loweredAt: g.Cut, nextStart: g.Next}
 }
 
 // snapshot is the stored form of a layout.
