--- a/admission.go
+++ b/admission.go
@@ -6,63 +6,62 @@
 )
 
 const (
-	// initialLimit is how many transfers may be in flight at first. From there the limit follows
-	// what is answered in time.
+	// initialLimit is the initial number of transfers that may be in flight.
 	initialLimit = 32.0
-	// minLimit is the least limit of one router's link or of a cache: with one transfer in flight
-	// at most nothing could show that more are borne.
+	// minLimit is the lowest limit of a cache, and of one router's fills over the link. With only one
+	// transfer in flight there would be no evidence that a higher limit is possible.
 	minLimit = 2.0
-	// minSharedLimit is the least limit of a location's link for all its routers together, which
-	// may be many.
+	// minSharedLimit is the lowest limit of the link into the zone for all routers of the zone
+	// together, of which there may be many.
 	minSharedLimit = 4.0
-	// slowFraction is the part of the latency objective past which a transfer is slow.
+	// slowFraction is the fraction of the latency objective above which a transfer is slow.
 	slowFraction = 0.6
-	// maxSlowShare is the share of slow transfers from which a link is too full.
+	// maxSlowShare is the share of slow transfers above which a limit is lowered.
 	maxSlowShare = 0.4
-	// slowShareGain is the weight of one transfer in the share of slow ones.
+	// slowShareGain is the weight of one transfer in the moving share of slow transfers.
 	slowShareGain = 0.1
-	// limitDecreaseFactor is what is left of a limit that is lowered.
+	// limitDecreaseFactor is the factor by which a limit is lowered.
 	limitDecreaseFactor = 0.9
-	// limitDecreaseInterval is the least time between two decreases: the transfers in flight are
-	// slow for the same cause.
+	// limitDecreaseInterval is the minimum time between two decreases: transfers that were in flight
+	// together are slow for the same reason.
 	limitDecreaseInterval = Millis(100)
-	// minPacedLimit bounds the time between two transfers where the limit is a fraction.
+	// minPacedLimit is the lowest limit that is used to compute the pause between two transfers.
 	minPacedLimit = 0.05
-	// picksBeforeSort is how many queued requests are picked one by one before all are sorted: most of
-	// the time no more can go on.
+	// picksBeforeSort is the number of queued requests that are selected one by one before the rest
+	// is sorted. Usually no more can be admitted.
 	picksBeforeSort = 4
 )
 
-// concurrencyLimit bounds the transfers in flight over a link to as many as are answered in time.
+// concurrencyLimit is an adaptive limit on the transfers in flight over the link into the zone, or
+// from one member. It rises and falls with the share of transfers that are slow.
 type concurrencyLimit struct {
 	inFlight  float64
-	limit     float64 // transfers that may be in flight; below 1 a share of the time
-	slowShare float64 // recent share of slow transfers
+	limit     float64 // maximum of inFlight; below 1: the share of time in which one transfer may be in flight
+	slowShare float64 // moving share of slow transfers, 0 to 1
 	loweredAt Millis  // when the limit was last lowered
-	nextStart Millis  // while the limit is below 1: when the next transfer may start
+	nextStart Millis  // while the limit is below 1: the earliest start of the next transfer
 }
 
-// available reports whether one more transfer may start. A limit below 1 means one
-// transfer for a part of the time.
+// available reports whether another transfer may start.
 func (l *concurrencyLimit) available(now Millis) bool {
 	return l.inFlight < l.limit && now >= l.nextStart
 }
 
-// transfer is what a finished attempt says about the link it went over.
+// transfer is a completed attempt as seen by the concurrency limit that it counted against.
 type transfer struct {
-	slow       bool // it used up most of the latency objective
-	succeeded  bool // nobody was blamed for a fault
+	slow       bool // it took most of the latency objective, or was rejected for a shortage
+	succeeded  bool // no member was blamed for a failure
 	took       Millis
-	sizeStated bool
+	sizeStated bool // the request stated the size of the answer
 }
 
-// adjustLimit learns from a transfer how many at once a link bears, the location's or a
-// cache's: a tenth fewer when too many are slow, else one more for each limit's worth. Some
-// are slow for other reasons, such as size or a far source. The routers of the location share
-// the least limit of its link, which matters where they are many.
+// adjustLimit adjusts the limit of the link or of a member after a transfer: additive increase, by
+// one for as many transfers as the limit allows in flight, and multiplicative decrease if the share
+// of slow transfers exceeds maxSlowShare. A few transfers may be slow for other reasons, such as
+// their size or a distant source.
 func (r *Router) adjustLimit(limit *concurrencyLimit, transfer transfer) {
 	gain := slowShareGain
-	if !transfer.sizeStated { // large ones look slow: judge by as many as the limit, lest a few lower it
+	if !transfer.sizeStated { // large answers look slow: average over more transfers, so that a few don't lower the limit
 		gain = min(gain, 1/max(limit.limit, 1))
 	}
 	limit.slowShare -= limit.slowShare * gain
@@ -74,22 +73,22 @@
 		if transfer.slow && r.now-limit.loweredAt > limitDecreaseInterval {
 			r.lowerLimit(limit)
 		}
-	case transfer.succeeded && limit.inFlight+2 >= limit.limit: // only what is used shows what is borne
+	case transfer.succeeded && limit.inFlight+2 >= limit.limit: // an unused limit gives no evidence that a higher one is possible
 		limit.limit += 1 / max(limit.limit, 1)
 	}
 	limit.nextStart = r.now + transfer.took*max(1/max(limit.limit, minPacedLimit)-1, 0)
 }
 
-// lowerLimit lowers a limit to a part of what is in flight.
+// lowerLimit lowers a limit by limitDecreaseFactor, starting from the number in flight if that is
+// lower. The routers of the zone share minSharedLimit.
 func (r *Router) lowerLimit(limit *concurrencyLimit) {
 	lowerBound := min(minLimit, minSharedLimit/r.settings.sharingRouters(edge))
 	limit.limit = max(min(limit.limit, limit.inFlight+1)*limitDecreaseFactor, lowerBound)
 	limit.loweredAt = r.now
 }
 
-// handleStall takes an answer that waits for its client out of what is in flight, and
-// counts it again when it goes on: one slow client does not take up capacity that others
-// could use.
+// handleStall excludes a transfer that waits for its client from the counts in flight, and includes
+// it again when it resumes. This keeps slow clients from using up the concurrency limits.
 func (r *Router) handleStall(stalled Stalled) {
 	request, attempt := r.findAttempt(stalled.ID, stalled.Attempt)
 	if request == nil || !attempt.outstanding || attempt.stalled == stalled.On {
@@ -104,7 +103,7 @@
 	r.admitQueued()
 }
 
-// countInFlight counts a stalled attempt in again (1), or out (-1).
+// countInFlight adds an attempt to the counts in flight (sign 1) or subtracts it (sign -1).
 func (r *Router) countInFlight(attempt *attempt, sign float64) {
 	attempt.target.inFlight += sign
 	attempt.target.pendingTime = max(attempt.target.pendingTime+sign*attempt.expected, 0)
@@ -113,8 +112,8 @@
 	}
 }
 
-// admitQueued lets queued requests go on, those of the highest priority first: where the
-// link cannot serve all, the least valuable wait.
+// admitQueued advances the queued requests in the order of their priority. If the capacity is not
+// sufficient for all, those of the lowest priority stay queued.
 func (r *Router) admitQueued() {
 	r.queue = r.queue[:0]
 	for _, request := range r.arrivals {
@@ -141,8 +140,7 @@
 	}
 }
 
-// highestPriority is the index of the queued request of the highest priority; of equal
-// ones the first.
+// highestPriority returns the index of the first request of the highest priority.
 func (r *Router) highestPriority(queue []*request) int {
 	first, highest := 0, r.priority(queue[0])
 	for i, request := range queue[1:] {
@@ -153,8 +151,9 @@
 	return first
 }
 
-// independentOfCaches keeps the queued requests that can go on, or must end, while no cache
-// takes anything. Else each transfer that ends would cost a look at all that wait.
+// independentOfCaches returns the queued requests that can be advanced or ended while no cache
+// accepts requests. Without this filter the end of each transfer would cost an attempt to advance
+// every queued request.
 func (r *Router) independentOfCaches(queue []*request) []*request {
 	direct := r.settings.DirectAttempts && r.link.available(r.now)
 	return slices.DeleteFunc(queue, func(request *request) bool {
@@ -162,8 +161,8 @@
 	})
 }
 
-// priority is a queued request's weight for the time that it takes to send: less for one
-// that will be late, and for a client's repeat, which has waited before.
+// priority returns the priority weight of a queued request per unit of send time. Requests that are
+// expected to be late, and retries by clients, which are late already, have the reduced weight.
 func (r *Router) priority(request *request) float64 {
 	weight := request.class.PriorityWeight
 	expectedEnd := r.now + request.sendTime*r.fillTimeRatio
@@ -173,12 +172,12 @@
 	return weight / (request.sendTime + 1)
 }
 
-// allCachesFull reports whether no cache of the location takes a request now, whichever it is.
+// allCachesFull reports whether no cache of the zone accepts any request now.
 func (r *Router) allCachesFull() bool {
 	return !slices.ContainsFunc(r.byRole[edge], func(member *member) bool {
 		return !member.unavailable && !member.atLimit() && !(member.ejected && !r.healthCheckDue(member))
 	})
 }
 
-// atLimit reports whether a member has as many transfers in flight as it is thought to bear.
+// atLimit reports whether a member has reached its concurrency limit.
 func (m *member) atLimit() bool { return m.inFlight >= max(m.limit, minLimit) }
--- a/api.go
+++ b/api.go
@@ -1,153 +1,153 @@
 package indigospool
 
-// Millis is a time on the caller's clock, or a span of it, in milliseconds.
-// The clock may start anywhere; it only goes forward.
+// Millis is a time on the caller's clock, or a duration on it, in milliseconds. The clock may
+// start at any value and must not go backwards.
 type Millis = float64
 
-// Idempotency says what a retry of a request can do: its idempotency.
+// Idempotency says whether a request may be executed more than once.
 type Idempotency int
 
-// The effect classes.
+// The kinds of idempotency.
 const (
-	Idempotent      Idempotency = iota // idempotent: may be retried and rejected at will
-	IdempotentByKey                    // carries an idempotency key: a group of caches drops repeats for a while
-	NonIdempotent                      // not idempotent: may be retried only where it surely never ran
+	Idempotent      Idempotency = iota // may be retried and rejected at any time
+	IdempotentByKey                    // has an idempotency key: caches of a scope drop repeats within a window
+	NonIdempotent                      // may be retried only if it certainly did not run
 )
 
-// Scope names a set of caches: those that remember the idempotency key of a Guarded request, or
-// those that may be a source for one another.
+// Scope is the set of caches that share something with a cache: the idempotency keys that they
+// remember, or the copies that they fill from one another.
 type Scope int
 
 // The scopes.
 const (
 	ScopeNone Scope = iota
-	ScopeCell       // of one cell in a zone
-	ScopeZone       // of one zone
-	ScopeAll        // all
+	ScopeCell       // caches of the same cell and zone
+	ScopeZone       // caches of the same zone
+	ScopeAll        // all caches
 )
 
-// Detail says how much the Note of an Outcome tells of hits and fills.
+// Detail is how much the Note of an Outcome reports about hits and fills.
 type Detail int
 
 // The levels of detail.
 const (
-	DetailOff Detail = iota // nothing
-	DetailHit               // whether it was a hit
+	DetailOff Detail = iota // no notes
+	DetailHit               // only whether the request was a hit
 	DetailAll               // all notes
 )
 
-// Class describes one class of requests.
+// Class describes a class of requests.
 type Class struct {
 	Name                            string
-	LatencyObjective                Millis  // latency objective: an answer within it has its full weight
-	ObjectivePerSendTime            float64 // the objective grows by this multiple of the time that the answer takes to send
-	Deadline                        Millis  // the client's timeout, where the request states no deadline
-	PriorityWeight, LateWeightShare float64 // priority weight; the share of it that is left when late, 0 to 1
+	LatencyObjective                Millis  // an answer within it has its full priority weight
+	ObjectivePerSendTime            float64 // multiple of the send time that is added to the objective
+	Deadline                        Millis  // the client's timeout, if the request has no deadline
+	PriorityWeight, LateWeightShare float64 // weight of an answer in time; share of it that a late one has, 0 to 1
 	Idempotency                     Idempotency
-	KeyScope                        Scope  // for Guarded: who remembers the idempotency key
-	KeyWindow                       Millis // for Guarded: how long they remember it
-	Streamed                        bool   // answers are streamed (a Started event comes)
-	InParts                         bool   // objects come in parts
-	Write                           bool   // runs at the origin, and its answer is never cached
-	Fresh, Grace                    Millis // how long a copy is fresh (0: until purged), and usable after
-	StaleWeightShare                float64
+	KeyScope                        Scope   // for IdempotentByKey: the caches that remember the key
+	KeyWindow                       Millis  // for IdempotentByKey: how long they remember it
+	Streamed                        bool    // answers are streamed: a Started event reports their start
+	InParts                         bool    // objects are requested in parts
+	Write                           bool    // executed by the origin; the answer is not cached
+	Fresh, Grace                    Millis  // how long a copy is fresh (0: until purged), and may be served stale after that
+	StaleWeightShare                float64 // share of the priority weight that a stale answer has, 0 to 1
 }
 
-// Settings are the settings of a router. A zero value in a field means that nothing is stated.
+// Settings configure a router. A field that is zero is not specified.
 type Settings struct {
-	RouterIndex, Routers     int                // this router's number, and how many there are
-	Zone                     string             // this router's zone
+	RouterIndex, Routers     int                // number of this router; how many routers there are
+	Zone                     string             // zone of this router
 	Zones                    []string           // all zones
-	RoutersByZone            []int              // in the order of Zones
-	HubOfZone                []int              // in the order of Zones: place of the hub zone
-	LinkCapacity             map[string]float64 // capacity of the link into a zone, in KB per millisecond
-	ParentKind               string             // Member.Kind of parents; empty: there are none
+	RoutersByZone            []int              // number of routers in each of Zones
+	HubOfZone                []int              // index in Zones of the hub of each zone
+	LinkCapacity             map[string]float64 // capacity of the link into each zone, in KB per millisecond
+	ParentKind               string             // Member.Kind of parents; empty: there are no parents
 	OriginKind               string             // Member.Kind of the origin
-	Classes                  []Class            // one at least
+	Classes                  []Class            // at least one
 	TimerResolution          Millis             // resolution of the caller's timers
-	AnswerSlack              Millis
-	DrainGrace               Millis
-	WarmUpInitialShare       float64 // share of its capacity with which a cache starts, 0 to 1
-	WarmUpTime               Millis  // longest time until it is warm
-	OverloadFactor           float64 // a cache fails at this multiple of its present capacity
-	OverloadTime             Millis  // when the overload lasts this long
-	ParentWarmUpInitialShare float64 // as ColdFrom, of parents
-	ParentWarmUpTime         Millis  // as ColdTime, of parents
-	ParentOverloadFactor     float64 // as FallFactor, of parents
-	OriginOverloadFactor     float64 // as FallFactor, of the origin
-	PurgeTime                Millis  // all older copies are gone this long after a purge
-	PurgeSlack               Millis  // added to PurgeTakes
-	DirectAttempts           bool    // parents and the origin take attempts too
-	JoinFills                bool    // a request may join a fill under way
-	SiblingScope             Scope   // caches that may be a source; Nowhere: none
-	Detail                   Detail
-	FlowKBPerMs              float64 // rate of one transfer to a client, in KB per millisecond
-	SizeIsCapacity           bool    // Member.Size means capacity
-	MaxAttempts              int     // attempts of one request; 0: 4
-	MaxRequests              int
-	MaxRetryAfter            Millis // longest Retry-After that a client heeds; 0: none may be named
-	HedgedRequests           bool   // hedged requests: one request may have two attempts out
-	CanCancel                bool   // attempts can be cancelled
-	CanProbe                 bool   // caches can be probed
-	WatchRequired            bool   // discovery notifies of changes only once it is asked to (Watch)
-	PollInterval             Millis // ask again at least this often
-	LoadMetrics              []string
+	AnswerSlack              Millis             // how long past its deadline a client still waits for an answer
+	DrainGrace               Millis             // how long a draining member still takes attempts
+	WarmUpInitialShare       float64            // share of its capacity that a cache has at its start, 0 to 1
+	WarmUpTime               Millis             // time after which a cache has its whole capacity
+	OverloadFactor           float64            // a cache fails at this multiple of its present capacity
+	OverloadTime             Millis             // if the overload lasts this long
+	ParentWarmUpInitialShare float64            // WarmUpInitialShare of parents
+	ParentWarmUpTime         Millis             // WarmUpTime of parents
+	ParentOverloadFactor     float64            // OverloadFactor of parents
+	OriginOverloadFactor     float64            // OverloadFactor of the origin
+	PurgeTime                Millis             // time after a purge within which all caches drop older copies
+	PurgeSlack               Millis             // margin added to PurgeTime
+	DirectAttempts           bool               // attempts may be sent to parents and the origin directly
+	JoinFills                bool               // a request may join a fill that is in flight
+	SiblingScope             Scope              // other caches that a cache may fill from
+	Detail                   Detail             // what the Note of an Outcome reports
+	FlowKBPerMs              float64            // transfer rate to one client, in KB per millisecond
+	SizeIsCapacity           bool               // Member.Size is the member's capacity
+	MaxAttempts              int                // attempts per request; 0: 4
+	MaxRequests              int                // requests that the caller holds at a time
+	MaxRetryAfter            Millis             // longest Retry-After that clients honor; 0: none is sent
+	HedgedRequests           bool               // a request may have two attempts in flight
+	CanCancel                bool               // attempts can be cancelled
+	CanProbe                 bool               // caches can be probed
+	WatchRequired            bool               // discovery sends updates only after a Watch
+	PollInterval             Millis             // longest time between two requests to discovery
+	LoadMetrics              []string           // names of the values in Outcome.Load
 }
 
-// Event is one thing that happened: what Router.Handle takes.
+// Event is an input of Router.Handle.
 type Event interface{ event() }
 
-// State is a listed member's state.
+// State is the state of a member in the endpoint list.
 type State int
 
 // The states.
 const (
 	Serving  State = iota
-	Draining       // it finishes what it has and is sent nothing more
+	Draining       // completes the attempts that it has and takes no new ones
 	Removed
 )
 
-// Member is a row of the endpoint list: a cache, a parent or an origin.
+// Member is an entry of the endpoint list: a cache, a parent or an origin.
 type Member struct {
 	ID, Zone, Kind string
 	Cell           int
 	State          State
-	Size           float64 // capacity, where Settings.SizesCompare
-	ReadyAt        Millis  // its last start; 0: long ago
+	Size           float64 // capacity, if Settings.SizeIsCapacity
+	ReadyAt        Millis  // time of its last start; 0: long ago
 }
 
-// Members is an update of the endpoint list: a snapshot (Full), which replaces what was known, or
-// a delta. Lost says that a call to discovery failed and brings no rows.
+// Members is an update of the endpoint list: a snapshot (Full), which replaces the whole list, or
+// a delta. Lost reports that a call to discovery failed; it has no rows.
 type Members struct {
 	Full, Lost bool
 	Rows       []Member
 }
 
-// Request is a client's request for an object, or for one part of it.
+// Request is a client's request for an object or for one of its parts.
 type Request struct {
 	ID, Class, Tenant, Object string
-	Deadline                  Millis  // on the caller's clock; 0: that of the class
+	Deadline                  Millis  // on the caller's clock; 0: after the class's Deadline
 	KB                        float64 // size of the answer; 0: unknown
 	Group                     int     // group of the object, for purges
 	Part                      int     // index of the part, from 0
-	Retry, Write              bool    // the client's retry of an earlier request; a write
+	Retry, Write              bool    // whether it is the client's retry of an earlier request; whether it is a write
 }
 
 // Result says how an attempt ended.
 type Result int
 
-// The results. RanNot is true of those that prove that nothing was run.
+// The results. NotExecuted tells which of them prove that the request did not run.
 const (
 	OK            Result = iota
 	Errored              // answered with an error
-	Rejected             // rejected for want of capacity
-	TimedOut             // no answer in time
-	ConnectFailed        // no connection
+	Rejected             // rejected for lack of capacity
+	TimedOut             // no answer within the timeout
+	ConnectFailed        // no connection was established
 	Reset                // the connection broke
-	Cancelled            // its wait was ended
+	Cancelled            // cancelled by the router
 	NotSent              // not sent
 	Miss                 // the cache has no copy
-	LocalFailure         // it could not be begun here: no descriptor, port, buffer or route for now
+	LocalFailure         // this router had no descriptor, port, buffer or route for it at the time
 )
 
 // NotExecuted reports whether the result proves that the request did not run.
@@ -155,7 +155,7 @@
 	return r == Rejected || r == ConnectFailed || r == NotSent || r == Miss || r == LocalFailure
 }
 
-// Note says how an outcome's hit or fill went.
+// Note reports how the hit or fill of an attempt went.
 type Note int
 
 // The notes.
@@ -163,9 +163,9 @@
 	NoteNone              Note = iota
 	NoteHit                    // answered from a cached copy
 	NoteFilled                 // filled from the source
-	NoteFilledByOrigin         // filled by the origin, behind the source
-	NoteJoined                 // joined a fill under way
-	NoteStale                  // answered from a copy past its fresh time
+	NoteFilledByOrigin         // filled through the source from the origin
+	NoteJoined                 // joined a fill in flight
+	NoteStale                  // answered from a stale copy
 	NoteSourceRejected         // the source rejected the fill
 	NoteSourceUnreachable      // the source could not be reached
 	NoteSourceMiss             // the source has no copy
@@ -173,43 +173,44 @@
 	NoteOriginFailed           // the origin failed
 )
 
-// Outcome ends one attempt.
+// Outcome reports the end of an attempt.
 type Outcome struct {
 	ID, Cache string
-	Attempt   int // its number in the request
+	Attempt   int // number of the attempt in its request
 	Result    Result
 	Took      Millis
-	Last      bool // the request has ended
+	Last      bool // whether the request has ended
 	Note      Note
-	Waited    Millis    // the part of the time that the target waited for its source
-	Load      []float64 // the target's load report, in the order of Settings.Feedback
+	Waited    Millis    // how much of Took the target waited for its source
+	Load      []float64 // load report of the target, in the order of Settings.LoadMetrics
 }
 
-// Started says that a streamed answer has begun: it is final.
+// Started reports that a streamed answer has begun. The request is then not retried.
 type Started struct {
 	ID, Cache string
 	Attempt   int
 }
 
-// Stalled says that an answer that has begun waits for its client (On), and not for a
-// member, or goes on again (not On).
+// Stalled reports that an answer in transfer waits for its client to read (On), or that the
+// transfer has resumed (not On).
 type Stalled struct {
 	ID      string
 	Attempt int
 	On      bool
 }
 
-// Gone says that the client has left.
+// Gone reports that the client no longer waits for the answer.
 type Gone struct{ ID string }
 
-// Purge invalidates the older copies of one object or, with no object, of a group.
+// Purge invalidates the copies of an object or, if Object is empty, of a group that are older than
+// the purge.
 type Purge struct {
 	Object string
 	Group  int
-	Age    Millis // how long ago it was made
+	Age    Millis // time since the purge was issued
 }
 
-// Timer says that the time of a Wake has come; Token is that of the Wake.
+// Timer reports that the time of a Wake has come. Token is the one of the Wake.
 type Timer struct{ Token int64 }
 
 // Probed is the result of a probe.
@@ -219,11 +220,11 @@
 	Load  []float64
 }
 
-// SettingsChanged replaces the settings. The zone, the number of this router and what it has learned
-// stay. Settings that contradict themselves change nothing: Settings.Valid says so beforehand.
+// SettingsChanged replaces the settings, except Zone and RouterIndex. The router keeps its learned
+// state. Settings for which Settings.Valid returns an error are ignored.
 type SettingsChanged struct{ Settings Settings }
 
-// Message came from another router.
+// Message is a message from another router.
 type Message struct {
 	From int
 	Text string
@@ -241,82 +242,82 @@
 func (Message) event()         {}
 func (SettingsChanged) event() {}
 
-// Reason says why a member was not taken for an attempt.
+// Reason says why a member was or was not chosen for an attempt.
 type Reason int
 
 // The reasons.
 const (
 	ReasonAccepted           Reason = iota
-	ReasonOverLoadBound             // above the load bound; it may be taken in a later pass
-	ReasonFailedBefore              // the request failed at it before; it may be taken in a later pass
-	ReasonAlreadyConsidered         // looked at in an earlier pass already
-	ReasonOutsideKeyScope           // outside of the group that remembers the request's idempotency key
+	ReasonOverLoadBound             // its load is above the bound; a later pass may accept it
+	ReasonFailedBefore              // an earlier attempt of the request failed at it; a later pass may accept it
+	ReasonAlreadyConsidered         // an earlier pass has considered it
+	ReasonOutsideKeyScope           // it is outside the scope that remembers the request's idempotency key
 	ReasonUnavailable               // it is draining or removed
-	ReasonEjected                   // it is ejected and not due for a health check, or not by this request
+	ReasonEjected                   // it is ejected, and this request may not be its health check
 	ReasonAtConcurrencyLimit        // it is at its concurrency limit
-	ReasonSlowStartExhausted        // it is warming up, and its slow-start budget is spent
-	ReasonLinkAtLimit               // the location's link is at its concurrency limit
+	ReasonSlowStartExhausted        // it is warming up and has no slow-start tokens left
+	ReasonLinkAtLimit               // the link into the zone is at its concurrency limit
 	ReasonAttemptsExhausted         // the request may make no further attempt
-	NoMember                        // there is nobody to ask
+	NoMember                        // no member of the required role is available
 )
 
-// Candidate is one member that a choice looked at, in the order of looking. Member is
-// empty where the reason concerns the request as such.
+// Candidate is a member that was considered for an attempt. Member is empty if the reason concerns
+// the request itself.
 type Candidate struct {
 	Request, Member string
-	AsSource        bool // as a source, not as the cache
-	Pass            int  // the first is 0
+	AsSource        bool // considered as the source of a fill, not as the target
+	Pass            int  // number of the pass over the members, from 0
 	Reason          Reason
 }
 
-// Range is a cache's range of part indices: From, up to but not with To; To -1:
-// all from there on.
+// Range is the half-open range of part indices [From, To) that a cache serves. To is -1 in the
+// last range, which has no upper end.
 type Range struct {
 	Cache    string
 	From, To int
 }
 
-// Action is one thing that follows from an event: what Router.Handle returns.
+// Action is an output of Router.Handle, to be carried out by the caller.
 type Action interface{ action() }
 
-// Send asks for an attempt to be made. Attempts of a request are numbered from 0.
+// Send starts an attempt. The attempts of a request are numbered from 0.
 type Send struct {
-	ID, Cache, Source string // Source == Cache: no fill
-	Keep              int    // rank of the copy, 1 to 3; 0: pass through
-	Age               Millis // age of the oldest copy that will do; always above 0
-	Timeout           Millis // of the attempt; 0: until the request's deadline
-	Within            Millis // it must be sent within this, or not at all; 0: no bound
-	Join, Held, Renew bool   // join a fill; only what the source holds; renew an ageing copy
+	ID, Cache, Source string // request; target; where the target fills from, the target itself for no fill
+	Keep              int    // rank of the copy to cache, 1 to 3; 0: not cached
+	Age               Millis // maximum age of the copy; always above 0
+	Timeout           Millis // timeout of the attempt; 0: until the request's deadline
+	Within            Millis // the attempt must be sent within this time or not at all; 0: no bound
+	Join, Held, Renew bool   // join a fill in flight; fill only if the source has a copy; refresh an aging copy
 }
 
-// Refuse is a final answer: rejected, a retry is harmless.
+// Refuse rejects a request. The client may retry it safely.
 type Refuse struct {
 	ID    string
-	After Millis // Retry-After; 0: none is named
+	After Millis // Retry-After; 0: none
 }
 
-// Fail is a final answer: failed. The request may have run.
+// Fail ends a request with a failure. The request may have run.
 type Fail struct{ ID string }
 
-// Cancel asks for an attempt to be cancelled; its Outcome still comes.
+// Cancel cancels an attempt. The Outcome of the attempt still follows.
 type Cancel struct {
 	ID      string
 	Attempt int
 }
 
-// Wake asks for a Timer event after a time.
+// Wake requests a Timer event after the time In.
 type Wake struct {
 	In    Millis
 	Token int64
 }
 
-// Probe asks for a cache to be probed.
+// Probe requests a probe of a cache.
 type Probe struct{ Cache string }
 
 // Watch subscribes to the endpoint list.
 type Watch struct{}
 
-// Fetch asks discovery for one snapshot of the endpoint list.
+// Fetch requests a snapshot of the endpoint list from discovery.
 type Fetch struct{}
 
 func (Send) action()   {}
--- a/request.go
+++ b/request.go
@@ -3,75 +3,75 @@
 import "slices"
 
 const (
-	// copyRank is the rank of every copy that a cache is asked to keep: with a higher one for
-	// some, new copies would be kept out for long.
+	// copyRank is the rank of all cached copies. Copies of a higher rank would keep new copies out
+	// of the cache for a long time.
 	copyRank = 1
-	// meanGain is the weight of one request in the mean times of all and of its class.
+	// meanGain is the weight of one request in the moving averages of send and hit times.
 	meanGain = 0.02
-	// fillTimeRatioGain is the weight of one fill in fillStretch. The time of a fill counts in
-	// multiples, 1 to maxFillStretch, of its sending time and fillOverhead.
+	// fillTimeRatioGain is the weight of one fill in Router.fillTimeRatio. The ratio of one fill is
+	// its duration divided by its send time plus fillOverhead, limited to 1 to maxFillTimeRatio.
 	fillTimeRatioGain = 0.05
 	maxFillTimeRatio  = 4
 	fillOverhead      = Millis(50)
 )
 
-// request is a client's request while it is in hand.
+// request is a client's request until it has ended and all its attempts have an outcome.
 type request struct {
 	Request
 	class      *class
-	hash       uint64 // of the object
+	hash       uint64 // hash of the object
 	jitterSeed uint64
 	arrived    Millis
-	timerToken int64  // of its deadline's timer
-	sendTime   Millis // expected time that the answer takes to send
+	timerToken int64  // token of the deadline timer
+	sendTime   Millis // expected time to send the answer to the client
 
 	attempts      []attempt // in the order of their numbers
-	localFailures int       // of these, those that could not be begun at this router
+	localFailures int       // number of attempts that ended with LocalFailure
 
-	ended     bool // it has its final answer, or the client has left
+	ended     bool // it has its final answer, or the client no longer waits
 	streaming bool // the answer has begun
-	queued    bool // it waits for capacity
-	wasQueued bool // or has waited
+	queued    bool // it waits for capacity or for its backoff
+	wasQueued bool // it has been queued at least once
 
 	fillTarget   *member // the cache that has no copy and is to be filled
-	siblingTried bool    // a sibling was asked as a source
-	staleAllowed bool    // a copy past its fresh time will do
+	siblingTried bool    // a sibling has been tried as the source
+	staleAllowed bool    // a stale copy is acceptable
 
-	erroredAt *member // the cache that answered with an error, no source being involved
-	invalid   bool    // another cache did so too
+	erroredAt *member // the cache that answered with an error, without a source involved
+	invalid   bool    // a second cache answered with an error too
 
-	executedBy *member // where the first attempt went that may have run; nil: none
-	executedAt Millis  // when that was sent
+	executedBy *member // target of the first attempt that may have run; nil: none
+	executedAt Millis  // when that attempt was sent
 
 	rejected           bool   // the last attempt was rejected
-	notBefore          Millis // no attempt is made before
-	rejectersNotBefore Millis // the members that failed it are not asked before
+	notBefore          Millis // time of the earliest next attempt
+	rejectersNotBefore Millis // time of the earliest next attempt at a member that failed the request
 }
 
 // attempt is one attempt of a request.
 type attempt struct {
 	target       *member // the member that it is sent to
-	source       *member // where the target fills from; the target itself: no fill
+	source       *member // where the target fills from; the target itself for no fill
 	sent         Millis
-	expected     Millis // time that it is expected to take
-	outstanding  bool   // no outcome has come
-	cancelled    bool   // by this router
-	healthCheck  bool   // the target or the source is ejected
-	fill         bool   // it counts against the limit of the location's link
-	cacheMissed  bool   // only caches were asked, and they had no copy
-	localFailure bool   // it could not be begun at this router
-	stalled      bool   // the answer waits for its client
-	wasStalled   bool   // or has waited: how long it took says nothing about members
-	blamed       *member
+	expected     Millis  // expected duration
+	outstanding  bool    // it has no outcome yet
+	cancelled    bool    // cancelled by this router
+	healthCheck  bool    // the target or the source was ejected when it was sent
+	fill         bool    // it counts against the limit of the link into the zone
+	cacheMissed  bool    // it involved only caches, and they had no copy
+	localFailure bool    // it ended with LocalFailure
+	stalled      bool    // the transfer waits for the client
+	wasStalled   bool    // the transfer has waited for the client: its duration says nothing about members
+	blamed       *member // the member that caused the failure; nil: none
 }
 
-// hasSource reports whether the target is to fill the object from another member.
+// hasSource reports whether the target fills the object from another member.
 func (a *attempt) hasSource() bool { return a.source != a.target }
 
-// fillsFromSource reports whether the target is to fill from a parent or the origin.
+// fillsFromSource reports whether the target fills the object from a parent or the origin.
 func (a *attempt) fillsFromSource() bool { return a.hasSource() && a.source.role != edge }
 
-// handleRequest takes in a request and makes its first attempt.
+// handleRequest registers a request and makes its first attempt.
 func (r *Router) handleRequest(event Request) {
 	class := r.classes[event.Class]
 	if class == nil {
@@ -96,8 +96,9 @@
 	r.advance(request)
 }
 
-// expectSendTime is how long an answer takes to send: by its size where that and the pace
-// are stated, and then the class learns from it; else the mean of the class.
+// expectSendTime returns the expected time to send the answer: the size divided by the transfer rate
+// if both are known, else the average of the class. A send time computed from the size updates that
+// average.
 func (r *Router) expectSendTime(event Request, class *class) Millis {
 	if !r.sizeKnown(event) {
 		return class.meanSendTime
@@ -107,10 +108,10 @@
 	return sendTime
 }
 
-// sizeKnown reports whether the time that the answer takes to send follows from its size.
+// sizeKnown reports whether the send time can be computed from the size of the answer.
 func (r *Router) sizeKnown(event Request) bool { return event.KB > 0 && r.settings.FlowKBPerMs > 0 }
 
-// startDeadlineTimer asks for a timer shortly before the request's deadline.
+// startDeadlineTimer requests a timer shortly before the request's deadline.
 func (r *Router) startDeadlineTimer(request *request) {
 	r.lastTimerToken++
 	request.timerToken = r.lastTimerToken
@@ -118,9 +119,9 @@
 	r.emit(Wake{In: max(request.Deadline-r.now-2*r.settings.TimerResolution, 0), Token: request.timerToken})
 }
 
-// advance makes the next attempt of a request that has none out, queues it, or ends it.
-// A warm cache is first asked for what it holds; only a miss is then filled, so that
-// the faults and the bytes of fills are known for what they are.
+// advance makes the next attempt of a request that has none outstanding, or queues or ends the
+// request. A warm cache is first asked for a cached copy only, and the object is filled after a
+// miss: this keeps the faults and the traffic of fills apart from those of hits.
 func (r *Router) advance(request *request) {
 	request.queued = false
 	if r.exhausted(request) {
@@ -132,7 +133,7 @@
 	if r.now >= request.notBefore {
 		target, source = r.chooseTarget(request)
 	}
-	if target == nil { // budgets, health checks and capacity come back with the next ticks
+	if target == nil { // the next ticks retry it: tokens, health checks and capacity become available again
 		request.queued, request.wasQueued = true, true
 		return
 	}
@@ -142,19 +143,20 @@
 	r.send(request, target, source)
 }
 
-// send makes an attempt at a target that fills from a source; the target itself: no fill.
+// send makes an attempt at a target that fills from source. There is no fill if source is the
+// target.
 func (r *Router) send(request *request, target, source *member) {
 	attempt := r.newAttempt(request, target, source)
 	r.emit(r.sendAction(request, &attempt))
 	r.acquireAttempt(&attempt)
 	r.takeTokens(request, &attempt)
-	if request.executedBy == nil { // until its outcome shows that it did not run
+	if request.executedBy == nil { // cleared if the outcome shows that the attempt did not run
 		request.executedBy, request.executedAt = target, r.now
 	}
 	request.attempts = append(request.attempts, attempt)
 }
 
-// newAttempt is an attempt that is about to be sent.
+// newAttempt returns an attempt that is sent now.
 func (r *Router) newAttempt(request *request, target, source *member) attempt {
 	attempt := attempt{target: target, source: source, sent: r.now, outstanding: true}
 	attempt.expected = request.class.hitTime
@@ -166,7 +168,7 @@
 	return attempt
 }
 
-// sendAction is the action that makes an attempt.
+// sendAction returns the action that starts an attempt.
 func (r *Router) sendAction(request *request, attempt *attempt) Send {
 	send := Send{
 		ID:     request.ID,
@@ -184,14 +186,14 @@
 			send.Timeout = r.keyedTimeout(request)
 		}
 	}
-	if keyed && request.executedBy != nil { // a connection may come up after the key is forgotten
+	if keyed && request.executedBy != nil { // the connection might be established only after the key has expired
 		send.Within = max(r.keyRememberedUntil(request)-r.now, minCopyAge)
 	}
 	return send
 }
 
-// acquireAttempt counts an attempt against its link, its target and, where one of its
-// members is ejected, as that one's health check.
+// acquireAttempt counts an attempt as in flight at its target and, if it is a fill, on the link.
+// For an ejected target or source the attempt is a health check.
 func (r *Router) acquireAttempt(attempt *attempt) {
 	if attempt.fill {
 		r.link.inFlight++
@@ -206,7 +208,7 @@
 	}
 }
 
-// releaseAttempt gives back what an attempt had in flight.
+// releaseAttempt undoes the in-flight counts of acquireAttempt.
 func (r *Router) releaseAttempt(attempt *attempt) {
 	attempt.target.inFlight = max(attempt.target.inFlight-1, 0)
 	if attempt.fill {
@@ -214,7 +216,7 @@
 	}
 }
 
-// findAttempt is an attempt by its request's id and its number; nil where there is none.
+// findAttempt returns the attempt with a number of the request with an id, or nil if there is none.
 func (r *Router) findAttempt(id string, number int) (*request, *attempt) {
 	request := r.requests[id]
 	if request == nil || number < 0 || number >= len(request.attempts) {
@@ -223,15 +225,15 @@
 	return request, &request.attempts[number]
 }
 
-// handleOutcome ends an attempt: it attributes the outcome to the member that it says
-// something about, adjusts limits and goes on with the request.
+// handleOutcome ends an attempt. It attributes the outcome to a member, adjusts the concurrency
+// limits and continues the request.
 func (r *Router) handleOutcome(outcome Outcome) {
 	request, attempt := r.findAttempt(outcome.ID, outcome.Attempt)
 	if request == nil || !attempt.outstanding {
 		return
 	}
 	attempt.outstanding = false
-	if attempt.stalled { // counted out; counted in here, since it is released below
+	if attempt.stalled { // handleStall has subtracted it, and it is released below
 		r.countInFlight(attempt, 1)
 	}
 	attempt.target.pendingTime = max(attempt.target.pendingTime-attempt.expected, 0)
@@ -264,8 +266,8 @@
 	}
 }
 
-// showsShortage reports whether an attempt was rejected for a shortage behind all that could
-// be asked instead: at the origin, or at the second source one after the other.
+// showsShortage reports whether an attempt was rejected for lack of capacity that another member
+// could not provide either: at the origin, or at a second source in a row.
 func (a *attempt) showsShortage(outcome Outcome, rejectedBefore bool) bool {
 	if outcome.Result != Rejected {
 		return false
@@ -276,8 +278,9 @@
 	return outcome.Note == NoteSourceRejected && (a.source.role == origin || rejectedBefore)
 }
 
-// learnFromTransfer adjusts the limit of the link that an attempt went over. The wait for a
-// far source counts only as far as it uses up the latency objective.
+// learnFromTransfer adjusts the concurrency limit of the link for a fill, else that of the target.
+// The time that the target waited for its source is not counted, unless the wait alone exceeds the
+// latency objective.
 func (r *Router) learnFromTransfer(request *request, attempt *attempt, outcome Outcome, shortage bool) {
 	if attempt.wasStalled {
 		return
@@ -300,8 +303,7 @@
 	}
 }
 
-// continueRequest goes on with a request after the end of an attempt. With last the
-// request is over.
+// continueRequest continues a request after the end of an attempt. If last, the request has ended.
 func (r *Router) continueRequest(request *request, last bool) {
 	request.ended = request.ended || last
 	if request.ended {
@@ -311,16 +313,16 @@
 	}
 }
 
-// handleStarted notes that a request's answer has begun: it is final.
+// handleStarted records that a request's answer has begun.
 func (r *Router) handleStarted(started Started) {
 	if request := r.requests[started.ID]; request != nil {
 		request.streaming = true
 	}
 }
 
-// reject gives the final answer: a rejection where a client's retry is surely harmless, else
-// a failure. An attempt that may have run makes it a failure, also with an idempotency key:
-// caches remember that for its window only, and the client may come back at any time.
+// reject gives the final answer: a rejection if a retry by the client is safe, else a failure. For a
+// request that is not idempotent, an attempt that may have run makes it a failure, even with an
+// idempotency key: caches remember the key for its window only, and the client may retry later.
 func (r *Router) reject(request *request) {
 	r.endRequest(request)
 	if request.executedBy != nil && request.class.Idempotency != Idempotent {
@@ -345,14 +347,14 @@
 	r.removeIfDone(request)
 }
 
-// cancelAttempt cancels an attempt; its outcome is still to come.
+// cancelAttempt cancels an attempt. The attempt is outstanding until its outcome comes.
 func (r *Router) cancelAttempt(request *request, number int) {
 	request.attempts[number].cancelled = true
 	r.emit(Cancel{ID: request.ID, Attempt: number})
 }
 
-// removeIfDone drops a request that has ended and has no attempt outstanding, with its timer,
-// which would else hold it until its deadline.
+// removeIfDone removes a request that has ended and has no outstanding attempts. Its timer is
+// removed too, since it would keep the request in memory until the deadline.
 func (r *Router) removeIfDone(request *request) {
 	if request.ended && !request.hasOutstanding() {
 		delete(r.requests, request.ID)
@@ -360,22 +362,22 @@
 	}
 }
 
-// clearExecution notes that an attempt did not run.
+// clearExecution records that an attempt did not run.
 func (q *request) clearExecution(attempt *attempt) {
 	if q.executedBy == attempt.target && q.executedAt == attempt.sent {
 		q.executedBy = nil
 	}
 }
 
-// latencyObjective is how long an answer may take and still have its full weight.
+// latencyObjective returns the time within which an answer has its full priority weight.
 func (q *request) latencyObjective() Millis {
 	return q.class.LatencyObjective + q.class.ObjectivePerSendTime*q.sendTime
 }
 
-// hasOutstanding reports whether an attempt has no outcome yet.
+// hasOutstanding reports whether any attempt has no outcome yet.
 func (q *request) hasOutstanding() bool {
 	return slices.ContainsFunc(q.attempts, func(a attempt) bool { return a.outstanding })
 }
 
-// isWrite reports whether the request runs at the origin and its answer is not cached.
+// isWrite reports whether the request is executed by the origin and its answer is not cached.
 func (q *request) isWrite() bool { return q.class.Write || q.Write }
--- a/retry.go
+++ b/retry.go
@@ -1,31 +1,32 @@
 package indigospool
 
 const (
-	// Each request adds retryBudgetShare of a retry to the budget, which holds retryBudgetBurst at
-	// most: in an outage retries add a quarter to the load and no more.
+	// Each request adds retryBudgetShare tokens to the retry budget, which holds at most
+	// retryBudgetBurst: in a long outage retries add at most a quarter to the load.
 	retryBudgetShare = 0.25
 	retryBudgetBurst = 30.0
-	// retryReserve is the part of the budget that is kept for the classes of the highest worth.
+	// retryReserve is the number of tokens that are reserved for the classes of the highest priority
+	// weight.
 	retryReserve = 5.0
-	// defaultMaxAttempts stands in where the settings state none.
+	// defaultMaxAttempts is used if Settings.MaxAttempts is not specified.
 	defaultMaxAttempts = 4
 
-	// rejectedBackoffStep is the backoff, for each attempt made, before a member that rejected the
-	// request is asked again.
+	// rejectedBackoffStep, times the number of attempts made, is the backoff before a member that
+	// rejected the request is asked again.
 	rejectedBackoffStep = Millis(20)
 
-	// After an attempt that could not be begun at this router the backoff doubles from
-	// initialLocalBackoff to maxLocalBackoff: shortages of a moment pass in some milliseconds, and
-	// in others a few attempts a second do.
+	// The backoff after a LocalFailure doubles from initialLocalBackoff to maxLocalBackoff: short
+	// shortages pass within milliseconds, and in longer ones a few attempts per second are enough.
 	initialLocalBackoff = Millis(10)
 	maxLocalBackoff     = Millis(160)
-	// maxLocalFailures is how many such attempts one request may make.
+	// maxLocalFailures is the maximum number of attempts per request that end with LocalFailure.
 	maxLocalFailures = 256
 
-	// rejectionRetryAfter is the time after which a rejected client is advised to retry.
+	// rejectionRetryAfter is the Retry-After of rejections, unless Settings.MaxRetryAfter is lower.
 	rejectionRetryAfter = Millis(300)
-	// timeoutWindowFraction and timeoutDeadlinePart bound the timeout of an attempt with an idempotency
-	// key, so that time is left for a retry while the key is remembered.
+	// The timeout of a write with an idempotency key is at most timeoutWindowFraction of the key's
+	// window and timeoutDeadlineFraction of the time to the deadline. This leaves time for a retry
+	// while the caches remember the key.
 	timeoutWindowFraction   = 0.45
 	timeoutDeadlineFraction = 0.5
 	minTimeout              = Millis(1)
@@ -42,8 +43,9 @@
 	return !request.nextAttemptIsFree() && r.retryTokens < r.retryTokensNeeded(request)
 }
 
-// retryTokensNeeded is what the retry budget must hold for a retry of a request. The last of it
-// is for the classes of the highest worth: in an overload the many others would spend it all.
+// retryTokensNeeded returns the number of tokens that the retry budget must hold for a retry of a
+// request. The last retryReserve tokens are for the classes of the highest priority weight: in an
+// overload the retries of other classes, which are more frequent, would use up the budget.
 func (r *Router) retryTokensNeeded(request *request) float64 {
 	if request.class.PriorityWeight < r.highestPriorityWeight {
 		return 1 + retryReserve
@@ -51,12 +53,12 @@
 	return 1
 }
 
-// deadlineReached reports whether no answer can be in time any more.
+// deadlineReached reports whether it is too late for an answer before the deadline.
 func (r *Router) deadlineReached(request *request) bool {
 	return request.Deadline-r.now <= 2*r.settings.TimerResolution
 }
 
-// mustNotRunAgain reports whether a request may have run, and a retry could run it twice.
+// mustNotRunAgain reports whether the request may have run and a retry could execute it twice.
 func (r *Router) mustNotRunAgain(request *request) bool {
 	if request.executedBy == nil {
 		return false
@@ -70,14 +72,14 @@
 	return false
 }
 
-// keyRememberedUntil is how long the caches surely know the idempotency key of a request
-// that may have run.
+// keyRememberedUntil returns the time until which the caches are certain to remember the idempotency
+// key of a request that may have run.
 func (r *Router) keyRememberedUntil(request *request) Millis {
 	return request.executedAt + request.class.KeyWindow - 2*r.settings.TimerResolution
 }
 
-// mayRunAt holds a request with an idempotency key that may have run to the group of
-// caches that remember the key.
+// mayRunAt reports whether a request may be sent to a member. A request that may have run and is not
+// idempotent may only be sent to members that remember its idempotency key.
 func (q *request) mayRunAt(member *member) bool {
 	if q.executedBy == nil || q.class.Idempotency == Idempotent || member == q.executedBy {
 		return true
@@ -94,12 +96,13 @@
 	return false
 }
 
-// mayRetry reports whether the budget and the number of attempts allow a retry.
+// mayRetry reports whether the retry budget and the number of attempts allow a retry.
 func (r *Router) mayRetry(request *request) bool {
 	return r.retryTokens >= 1 && request.countedAttempts() < r.settings.MaxAttempts
 }
 
-// nextAttemptIsFree reports whether the next attempt takes nothing from the retry budget.
+// nextAttemptIsFree reports whether the next attempt takes no token from the retry budget: the first
+// one, and those that follow a lookup without a copy or a LocalFailure.
 func (q *request) nextAttemptIsFree() bool {
 	if len(q.attempts) == 0 {
 		return true
@@ -108,14 +111,15 @@
 	return last.cacheMissed || last.localFailure
 }
 
-// countedAttempts is how many of the attempts that it may make a request has made. One
-// that could not be begun at this router reached nobody and is not counted.
+// countedAttempts returns the number of attempts that count against Settings.MaxAttempts. Attempts
+// that ended with LocalFailure reached no member and are not counted.
 func (q *request) countedAttempts() int { return len(q.attempts) - q.localFailures }
 
-// handleLocalFailure records an attempt that could not be begun at this router, for want of a
-// descriptor, a port, a buffer or a route. It says nothing about members, takes no attempt and no
-// budget, and would fail again at once: the next follows after a backoff and, after two at one
-// member, elsewhere, since want of a route may concern that member alone.
+// handleLocalFailure ends an attempt for which this router had no descriptor, port, buffer or route.
+// The attempt says nothing about members, does not count against MaxAttempts and takes nothing from
+// the budgets. An immediate retry would fail again, so the next attempt follows after a backoff. After
+// two such attempts in a row at the same member it goes to another one, since a missing route or port
+// may concern that member only.
 func (r *Router) handleLocalFailure(request *request, attempt *attempt, last bool) {
 	attempt.localFailure = true
 	r.releaseAttempt(attempt)
@@ -134,22 +138,20 @@
 	r.continueRequest(request, last)
 }
 
-// backOff holds a request back for a half to one and a half of a time, by chance: requests
-// that failed together are not to come back together.
+// backOff delays the next attempt by 0.5 to 1.5 times backoff. The factor depends on the request, so
+// that requests that failed at the same time are not retried at the same time.
 func (r *Router) backOff(request *request, backoff Millis) {
 	request.notBefore = r.now + backoff*(0.5+hashFraction(request.jitterSeed+uint64(len(request.attempts))))
 }
 
-// backOffFromShortage spreads the attempts that a request has left over the time it has left.
-// What is short behind all members that could be asked instead is still short when it is
-// asked for again at once, by all.
+// backOffFromShortage spreads the remaining attempts of a request over the time to its deadline. A
+// shortage at the origin or at several sources persists if all rejected requests are retried at once.
 func (r *Router) backOffFromShortage(request *request) {
 	attemptsLeft := r.settings.MaxAttempts - request.countedAttempts() + 1
 	r.backOff(request, (request.Deadline-r.now)/float64(2*max(attemptsLeft, 1)))
 }
 
-// keyedTimeout is the timeout of an attempt with an idempotency key: it leaves time for a
-// retry while the key is remembered.
+// keyedTimeout returns the timeout of a write with an idempotency key.
 func (r *Router) keyedTimeout(request *request) Millis {
 	timeout := min(request.class.KeyWindow*timeoutWindowFraction, (request.Deadline-r.now)*timeoutDeadlineFraction)
 	return max(timeout, minTimeout)
--- a/router.go
+++ b/router.go
@@ -1,94 +1,89 @@
-// Package indigospool decides, for a router in front of caches of large
-// objects, where each request goes, where a missing object is filled from and
-// when to give up.
+// Package indigospool decides, for a router in front of caches of large objects, where each request
+// is sent, where a missing object is filled from, and when a request is rejected.
 //
-// It is a pure state machine: Router.Handle takes one event and returns the
-// actions that follow from it. It does no I/O, takes the time from its caller
-// and draws no random numbers, so the same events give the same actions. It
-// owns all routing decisions and what they remember; requests, connections
-// and timers are its caller's.
+// A Router is a deterministic state machine. Router.Handle takes an event and returns the actions
+// that the caller has to carry out. The package does no I/O, takes the time from its caller and uses
+// no random numbers, so the same events give the same actions. Requests on the wire, connections and
+// timers belong to the caller.
 //
-// The interface (settings, events, actions) is in api.go, the dispatch of
-// events in router.go. Each decision has a file of its own, with the values
-// that tune it:
+// The interface (settings, events, actions) is in api.go, the dispatch of events in router.go. Each
+// kind of decision has its own file, with its tuning constants:
 //
-//   - request.go: the lifecycle of a request and of its attempts
+//   - request.go: the lifecycle of requests and attempts
 //   - endpoints.go: the endpoint list, draining and removal
-//   - placement.go, ranking.go: which cache serves a request (bounded-load
-//     rendezvous hashing)
+//   - placement.go, ranking.go: which cache serves a request (rendezvous hashing with bounded loads)
 //   - rangesplit.go: which cache serves a part of an object (FlexSplit)
 //   - fillsource.go: where a cache fills a missing object from
-//   - admission.go: concurrency limits, and which queued request goes next
-//   - outlier.go: faults, ejection, health checks and the return
-//   - slowstart.go: how much a cache that warms up is given
+//   - admission.go: concurrency limits, and the order of queued requests
+//   - outlier.go: attribution of faults, ejection, health checks and return
+//   - slowstart.go: how much traffic a member that warms up receives
 //   - retry.go: retry budget, idempotency, backoff
-//   - freshness.go: how old a copy may be, and purges
-//   - snapshot.go: what a successor takes over after a restart
-//   - inspect.go: why a member was not chosen, and what is known of it
+//   - freshness.go: the maximum age of copies, and purges
+//   - snapshot.go: the learned state that a successor restores after a hot restart
+//   - inspect.go: why members were not chosen, and the learned state of each
 package indigospool
 
 import "slices"
 
-// tickInterval is the time between two ticks: short against the time in which an
-// attempt becomes overdue, long against the time that a look at all of them takes.
+// tickInterval is the time between two ticks. It is short compared to the time after which an
+// attempt is overdue, and long compared to the time that an iteration over all attempts takes.
 const tickInterval = Millis(25)
 
 // cleanupInterval is the time between two runs of the periodic cleanup.
 const cleanupInterval = Millis(1000)
 
-// Router decides for one router. It is not safe for concurrent use.
+// Router makes the decisions of one router process. It is not safe for concurrent use.
 type Router struct {
 	settings    Settings
-	seed        uint64 // differs between routers that would else do the same at once
+	seed        uint64 // differs between routers, so that they don't act in lockstep
 	now         Millis
-	started     bool // the first event has come
+	started     bool // whether an event has been handled
 	actions     []Action
-	onCandidate func(Candidate) // notified of each member that a choice looks at; may be nil
+	onCandidate func(Candidate) // called for each member that is considered; may be nil
 
 	// Endpoints.
 	members    map[string]*member
-	listed     []*member            // the same, by id
-	byRole     [roleCount][]*member // those available, by id
-	subscribed bool                 // discovery notifies of changes, or has been asked to
+	listed     []*member            // the members in the order of their ids
+	byRole     [roleCount][]*member // the available members of each role, in the order of their ids
+	subscribed bool                 // whether a Watch has been emitted and no call to discovery has failed since
 
 	// Requests.
 	classes               map[string]*class
 	requests              map[string]*request
-	arrivals              []*request // in the order of arrival
+	arrivals              []*request // requests in the order of arrival
 	deadlineTimers        map[int64]*request
 	lastTimerToken        int64
-	meanSendTime          Millis  // recent mean over all requests
-	highestPriorityWeight float64 // of any class
+	meanSendTime          Millis  // moving average of request.sendTime over all classes
+	highestPriorityWeight float64 // highest Class.PriorityWeight
 
 	// Admission.
-	link          concurrencyLimit // of the fills of this router
-	queue         []*request       // used by admitQueued alone, kept for its capacity
-	fillTimeRatio float64          // recent time of fills as a multiple of their sending time
+	link          concurrencyLimit // of this router's fills over the link into the zone
+	queue         []*request       // scratch space of admitQueued
+	fillTimeRatio float64          // moving average of the duration of fills as a multiple of their send time
 
 	// Retries, outlier detection and slow start.
-	retryTokens    float64            // retries that the budget allows now
-	overdueMembers []*member          // those with overdue attempts at the last tick
-	typicalRate    [roleCount]float64 // sending time that a warm member is given, per millisecond
-	lastCleanup    Millis             // when housekeeping was last done
-	superseded     bool               // a successor spends the slow-start budgets
+	retryTokens    float64            // retries left in the retry budget
+	overdueMembers []*member          // members with overdue attempts at the last tick
+	typicalRate    [roleCount]float64 // mean load of a warm member of each role, as send time per millisecond
+	lastCleanup    Millis             // time of the last periodic cleanup
+	superseded     bool               // whether a successor has taken over and uses the slow-start budgets
 
 	// Purges.
 	objectPurges map[string]Millis // time of the last purge, by object
-	groupPurges  map[int]Millis    // and by group
+	groupPurges  map[int]Millis    // time of the last purge, by group
 
 	// Range split.
-	objectDepths          [2]map[string]*objectDepth // the present and the past generation
-	objectDepthsRotatedAt Millis                     // when the present generation began
-	windowCost, totalCost []float64                  // by part index: the open window, and the discounted sum
+	objectDepths          [2]map[string]*objectDepth // the current and the previous generation
+	objectDepthsRotatedAt Millis                     // start of the current generation
+	windowCost, totalCost []float64                  // cost by part index: in the open window; discounted sum of closed windows
 	windowRequests        int                        // part requests in the open window
 	windowOpenedAt        Millis
-	layout, priorLayout   layout // the present one, and the one before the last change
+	layout, priorLayout   layout // the current layout, and the one before the last change
 	layoutChangedAt       Millis
 }
 
-// New returns a router that knows no endpoints yet. The seed sets it apart from
-// routers that would otherwise do the same at once. The error is that of
-// Settings.Valid.
+// New returns a Router without endpoints. Routers with different seeds spread their retries and
+// slow-start attempts differently. The error is that of Settings.Valid.
 func New(settings Settings, seed uint64) (*Router, error) {
 	if err := settings.Valid(); err != nil {
 		return nil, err
@@ -110,8 +105,8 @@
 	return router, nil
 }
 
-// Handle takes one event at the time now and appends the actions that follow
-// from it to dst. A time before that of an earlier event counts as that one.
+// Handle handles an event at the time now and returns dst with the resulting actions appended. If now
+// is before the time of an earlier event, the earlier event's time is used.
 func (r *Router) Handle(now Millis, event Event, dst []Action) []Action {
 	r.now, r.actions = max(now, r.now), dst
 	if !r.started {
@@ -147,17 +142,17 @@
 	return dst
 }
 
-// start begins the periodic work.
+// start starts the periodic work.
 func (r *Router) start() {
 	r.started = true
 	r.windowOpenedAt, r.lastCleanup, r.objectDepthsRotatedAt = r.now, r.now, r.now
 	r.emit(Wake{In: tickInterval})
 }
 
-// emit appends an action to those of the event in hand.
+// emit appends an action to the result of the current Handle call.
 func (r *Router) emit(action Action) { r.actions = append(r.actions, action) }
 
-// handleTimer runs the tick, whose token is 0, or a request's deadline.
+// handleTimer handles a tick, which has the token 0, or the timer of a request's deadline.
 func (r *Router) handleTimer(timer Timer) {
 	if timer.Token == 0 {
 		r.tick()
@@ -173,8 +168,8 @@
 	}
 }
 
-// tick does the periodic work: it ejects members that have become silent, cancels
-// the attempts that wait on them, and admits queued requests.
+// tick does the periodic work: it ejects members that have become silent, cancels the attempts
+// that wait for them, and admits queued requests.
 func (r *Router) tick() {
 	r.emit(Wake{In: tickInterval})
 	r.arrivals = slices.DeleteFunc(r.arrivals, func(request *request) bool {
@@ -192,8 +187,8 @@
 	}
 }
 
-// runCleanup measures rates, closes a histogram window that is old, drops purges
-// that are through, and subscribes again where the subscription was lost.
+// runCleanup updates load averages, closes an expired histogram window, drops completed purges and
+// renews a lost subscription.
 func (r *Router) runCleanup() {
 	span := r.now - r.lastCleanup
 	r.lastCleanup = r.now
