--- a/admission.go
+++ b/admission.go
@@ -55,10 +55,10 @@
 	sizeStated bool // the request stated the size of the answer
 }
 
-// adjustLimit adjusts the limit of the link or of a member after a transfer: additive increase, by
-// one for as many transfers as the limit allows in flight, and multiplicative decrease if the share
-// of slow transfers exceeds maxSlowShare. A few transfers may be slow for other reasons, such as
-// their size or a distant source.
+// adjustLimit adjusts the limit of the link or of a member after a transfer (additive increase,
+// multiplicative decrease). A successful transfer adds 1/limit if the limit is nearly used up. A slow
+// one lowers the limit if the share of slow transfers exceeds maxSlowShare: below that share,
+// transfers are slow for other reasons, such as their size or a distant source.
 func (r *Router) adjustLimit(limit *concurrencyLimit, transfer transfer) {
 	gain := slowShareGain
 	if !transfer.sizeStated { // large answers look slow: average over more transfers, so that a few don't lower the limit
@@ -79,8 +79,8 @@
 	limit.nextStart = r.now + transfer.took*max(1/max(limit.limit, minPacedLimit)-1, 0)
 }
 
-// lowerLimit lowers a limit by limitDecreaseFactor, starting from the number in flight if that is
-// lower. The routers of the zone share minSharedLimit.
+// lowerLimit multiplies a limit, or the number in flight if that is lower, by limitDecreaseFactor. The
+// result is at least minLimit, or this router's part of minSharedLimit if many routers share the zone.
 func (r *Router) lowerLimit(limit *concurrencyLimit) {
 	lowerBound := min(minLimit, minSharedLimit/r.settings.sharingRouters(edge))
 	limit.limit = max(min(limit.limit, limit.inFlight+1)*limitDecreaseFactor, lowerBound)
--- a/outlier.go
+++ b/outlier.go
@@ -3,51 +3,53 @@
 import "slices"
 
 const (
-	// An attempt is overdue after overdueBase and overdueStretch times its expected time.
+	// An attempt is overdue after overdueBase plus overdueFactor times its expected duration.
 	overdueBase   = Millis(300)
 	overdueFactor = 1.5
 
-	// A member with silentOverdueCount overdue attempts and no progress for so long is silent:
-	// longer than the pauses that caches make.
+	// A member is silent if it has silentOverdueCount overdue attempts and has made no progress for
+	// cacheSilence or sourceSilence, and for silenceGapFactor times its average gap between signs of
+	// progress. Caches pause for less than that; progress of sources is visible less often.
 	cacheSilence       = Millis(450)
-	sourceSilence      = Millis(900) // of a source, whose progress shows less often
-	silenceGapFactor   = 4           // and for this many of its usual gaps between signs of progress
+	sourceSilence      = Millis(900)
+	silenceGapFactor   = 4
 	silentOverdueCount = 3
-	// One overdue attempt is enough after so long a silence, and after so many times what it was
-	// expected to take: objects differ in size.
+	// A member with any overdue attempt is silent after singleOverdueSilence, and singleOverdueFactor
+	// times the longest expected duration of its overdue attempts, since objects differ in size.
 	singleOverdueSilence = Millis(1500)
 	singleOverdueFactor  = 6
 
-	// faultGain is the weight of one outcome in a member's share of faults.
+	// faultGain is the weight of one outcome in a member's fault share.
 	faultGain = 0.12
-	// assumedFaultShare is assumed of members that showed no fault, where one of two is at fault.
+	// assumedFaultShare is added to the fault shares of two members when a fault is split between
+	// them, so that a member without faults gets a part of it.
 	assumedFaultShare = 0.1
-	// ejectionFaultShare is the share of faults from which a member is ejected.
+	// ejectionFaultShare is the fault share above which a member is ejected.
 	ejectionFaultShare = 0.4
 
-	// An ejected member gets one health check at a time, after a backoff that grows with each
-	// that fails.
+	// An ejected member gets one health check at a time, after a backoff that grows by
+	// checkBackoffGrowth with each that fails.
 	initialCheckBackoff = Millis(400)
 	maxCheckBackoff     = Millis(4000)
 	checkBackoffGrowth  = 1.5
-	// goodChecksToReturn is how many good health checks in a row end an ejection.
+	// goodChecksToReturn is the number of successful health checks in a row that end an ejection.
 	goodChecksToReturn = 3
 
-	// progressGapGain is the weight of one gap between two signs of progress in the usual one,
-	// and maxProgressGap the longest that counts: longer ones mean that nothing was asked.
+	// progressGapGain is the weight of one gap in a member's average gap between signs of progress.
+	// Gaps count as at most maxProgressGap: in longer ones the member had nothing to do.
 	progressGapGain = 0.1
 	maxProgressGap  = Millis(2000)
 )
 
-// The weights of faults, by how surely they show that a member is at fault.
+// The weights of faults, by the certainty that the member is at fault.
 const (
 	certainFault  = 3.0  // it accepts no connections
 	fault         = 1.0  // an attempt failed at it
-	likelyFault   = 0.5  // an attempt failed at it or behind it
-	overloadFault = 0.25 // it rejected an attempt for want of capacity
+	likelyFault   = 0.5  // an attempt failed at it or at its source
+	overloadFault = 0.25 // it rejected an attempt for lack of capacity
 )
 
-// attributeOutcome attributes an outcome to the member that it says something about.
+// attributeOutcome attributes an outcome to the member that caused it.
 func (r *Router) attributeOutcome(request *request, attempt *attempt, outcome Outcome) {
 	switch outcome.Result {
 	case OK:
@@ -60,12 +62,12 @@
 		r.attributeError(request, attempt)
 	case ConnectFailed:
 		r.blameMember(attempt, attempt.target, certainFault)
-	case TimedOut, Reset: // a dying cache resets all, and then refuses; a connection may break by itself
+	case TimedOut, Reset: // a connection may break by itself; a cache that fails resets all, and then refuses new ones
 		r.attributeTimeoutOrReset(attempt)
 	}
 }
 
-// attributeSuccess records an answer for the target and, where it was filled, for the source.
+// attributeSuccess records an answer for the target and, if the target was filled, for the source.
 func (r *Router) attributeSuccess(request *request, attempt *attempt, outcome Outcome) {
 	r.recordSuccess(attempt.target, attempt)
 	attempt.target.servedTime += request.sendTime
@@ -79,10 +81,10 @@
 	}
 }
 
-// attributeMiss records that the target answered, and that it is to be filled.
+// attributeMiss records that the target answered and has to be filled.
 func (r *Router) attributeMiss(request *request, attempt *attempt) {
 	attempt.target.lastProgress = r.now
-	if attempt.healthCheck { // it answers; a member that was out for long has few copies
+	if attempt.healthCheck { // a miss is a success: a member that was ejected for long has few copies
 		r.recordSuccess(attempt.target, attempt)
 	}
 	attempt.cacheMissed = attempt.source.role == edge
@@ -91,11 +93,11 @@
 	}
 }
 
-// attributeRejection records who was short of capacity.
+// attributeRejection attributes a rejection to the member that lacked capacity.
 func (r *Router) attributeRejection(attempt *attempt, note Note) {
 	switch {
 	case note == NoteSourceRejected && attempt.source.role == origin, note == NoteSourceMiss:
-		attempt.blamed = attempt.source // it protects itself: no fault
+		attempt.blamed = attempt.source // a source that protects itself is not faulty
 	case note == NoteOriginFailed:
 		attempt.blamed = attempt.source
 		for _, member := range r.byRole[origin] {
@@ -110,9 +112,9 @@
 	}
 }
 
-// attributeError records an error. What two caches answer with an error, and no source is
-// involved, no cache can serve: the request ends, and the first cache's fault is taken back.
-// Else a few such requests would eject all caches of a location.
+// attributeError attributes an error. If two caches answer a request with an error and no source is
+// involved, the request is considered invalid: it ends, and the fault recorded for the first cache is
+// undone. Otherwise a few invalid requests would eject all caches of a zone.
 func (r *Router) attributeError(request *request, attempt *attempt) {
 	first := request.erroredAt
 	if !attempt.hasSource() && first != nil && first != attempt.target {
@@ -128,8 +130,8 @@
 	}
 }
 
-// attributeTimeoutOrReset records a lost connection or a timeout. A member that has made progress
-// since the attempt was sent is not at fault: the attempt was crowded out.
+// attributeTimeoutOrReset attributes a broken connection or a timeout. A member that has made progress
+// since the attempt was sent is not at fault: it served other attempts first.
 func (r *Router) attributeTimeoutOrReset(attempt *attempt) {
 	switch {
 	case attempt.target.lastProgress <= attempt.sent:
@@ -139,8 +141,9 @@
 	}
 }
 
-// recordSuccess records a sign of health. An ejected member returns after good health
-// checks one after the other, so that one that is warming up or half well is not flooded.
+// recordSuccess records a success of a member. An ejected member returns only after several
+// successful health checks in a row, so that a member that is warming up or partly failing is not
+// flooded.
 func (r *Router) recordSuccess(member *member, attempt *attempt) {
 	member.progressGap += (min(r.now-member.lastProgress, maxProgressGap) - member.progressGap) * progressGapGain
 	member.lastProgress = r.now
@@ -149,15 +152,15 @@
 	if !member.ejected || !(attempt.healthCheck || attempt.source == member || member.silent) {
 		return
 	}
-	member.nextCheck = r.now // the next health check may follow at once
+	member.nextCheck = r.now // the next health check may follow immediately
 	member.goodChecks++
-	if member.goodChecks >= goodChecksToReturn || member.silent { // silence ends with the first sign of life
+	if member.goodChecks >= goodChecksToReturn || member.silent { // the first answer ends an ejection for silence
 		member.ejected, member.faultShare, member.outcomes = false, 0, 0
 	}
 }
 
-// splitFault records a fault that the target or the source may have: on each in proportion
-// to the faults it has shown elsewhere, so that one explains the other away.
+// splitFault records a fault that either the target or the source has caused. It is split in
+// proportion to their fault shares, so most of it goes to the member that has failed other attempts.
 func (r *Router) splitFault(attempt *attempt, weight float64) {
 	if !attempt.hasSource() {
 		r.blameMember(attempt, attempt.target, weight)
@@ -173,14 +176,14 @@
 	}
 }
 
-// blameMember records that a member is to blame for an attempt.
+// blameMember records that a member caused the failure of an attempt.
 func (r *Router) blameMember(attempt *attempt, member *member, weight float64) {
 	attempt.blamed = member
 	r.recordFault(member, weight)
 }
 
-// recordFault adds a fault to a member's share, and ejects it when that is too high. The
-// failed health check of an ejected one makes the next come later.
+// recordFault adds a fault to a member's fault share and ejects the member if the share is too high.
+// For an ejected member it increases the backoff of the next health check.
 func (r *Router) recordFault(member *member, weight float64) {
 	member.faultShare += (1 - member.faultShare) * min(faultGain*weight, 1)
 	member.outcomes++
@@ -193,7 +196,7 @@
 	}
 }
 
-// eject takes the ordinary traffic from a member; health checks are left.
+// eject stops the traffic to a member, except for health checks.
 func (r *Router) eject(member *member) {
 	member.ejected, member.silent = true, false
 	member.goodChecks, member.checking = 0, false
@@ -201,17 +204,17 @@
 	member.nextCheck = r.now + member.checkBackoff
 }
 
-// healthCheckDue reports whether an ejected member may be sent a health check: an ordinary
-// request, one at a time.
+// healthCheckDue reports whether an ejected member may be sent a health check. A health check is an
+// ordinary request; one may be in flight at a time.
 func (r *Router) healthCheckDue(member *member) bool {
 	return !member.checking && r.now >= member.nextCheck
 }
 
-// mayCheckHealth reports whether a request may be an ejected member's health check: one that
-// made no attempt, or, for a parent while the location's link has shown no shortage, one whose
-// looks at caches have missed, which no member has failed. Most fills follow such a look, and each
-// that goes past an ejected parent is one more for the origin. Where the link is short, they wait:
-// fills from fewer sources bring more over it.
+// mayCheckHealth reports whether a request may be the health check of an ejected member. A request
+// without attempts may. For a parent, a request whose lookups at caches have missed may too: most
+// fills follow such a lookup, and fills that avoid an ejected parent add load at the origin. This
+// holds only while the link's limit is at least initialLimit or an origin is ejected: over a
+// congested link, fills from fewer sources achieve more.
 func (r *Router) mayCheckHealth(member *member, request *request) bool {
 	if !r.healthCheckDue(member) {
 		return false
@@ -222,14 +225,14 @@
 	return member.role == parent && request.nextAttemptIsFree() && (r.link.limit >= initialLimit || r.originEjected())
 }
 
-// originEjected reports whether an origin is ejected.
+// originEjected reports whether any origin is ejected.
 func (r *Router) originEjected() bool {
 	return slices.ContainsFunc(r.byRole[origin], func(member *member) bool { return member.ejected })
 }
 
-// ejectSilent ejects members with overdue attempts and no sign of progress, whatever the
-// cause. Progress clears a member, so slow answers alone do not eject it. A member that is
-// asked nothing is not silent.
+// ejectSilent ejects members that have overdue attempts and make no progress, whatever the cause. Slow
+// answers alone don't eject a member, since each answer is progress. A member without attempts is not
+// silent.
 func (r *Router) ejectSilent() {
 	r.countOverdue()
 	for _, member := range r.overdueMembers {
@@ -240,13 +243,13 @@
 	}
 }
 
-// countOverdue counts the overdue attempts of each member. One that waits for a fill counts
-// for the source too, once the target has shown progress since.
+// countOverdue counts the overdue attempts of each member. A fill counts for its source too if the
+// target has made progress since the attempt was sent.
 func (r *Router) countOverdue() {
 	for _, member := range r.overdueMembers {
 		member.overdue = 0
 	}
-	clear(r.overdueMembers) // so that removed members can be collected
+	clear(r.overdueMembers) // so that removed members can be garbage-collected
 	r.overdueMembers = r.overdueMembers[:0]
 	for _, request := range r.arrivals {
 		for i := range request.attempts {
@@ -262,7 +265,7 @@
 	}
 }
 
-// addOverdue counts an overdue attempt of a member.
+// addOverdue adds an overdue attempt to the counts of a member.
 func (r *Router) addOverdue(member *member, attempt *attempt) {
 	if member.overdue == 0 {
 		member.overdueSince, member.overdueExpected = r.now, 0
@@ -273,7 +276,7 @@
 	member.overdueExpected = max(member.overdueExpected, attempt.expected)
 }
 
-// isSilent reports whether a member with overdue attempts gives no sign of progress.
+// isSilent reports whether a member with overdue attempts has made no progress for too long.
 func (r *Router) isSilent(member *member) bool {
 	maxSilence := cacheSilence
 	if member.role != edge {
@@ -286,14 +289,14 @@
 	return silence > max(singleOverdueSilence, singleOverdueFactor*member.overdueExpected)
 }
 
-// isOverdue reports whether an attempt is out for much longer than expected. One that has
-// waited for its client says nothing about members.
+// isOverdue reports whether an attempt is outstanding for much longer than expected. An attempt that
+// has waited for its client is never overdue, since its duration says nothing about members.
 func (a *attempt) isOverdue(now Millis) bool {
 	return a.outstanding && !a.wasStalled && now-a.sent > overdueBase+overdueFactor*a.expected
 }
 
-// cancelUnresponsive cancels the attempts of a request that wait on an ejected or
-// unavailable member, so that they can be retried elsewhere while time is left.
+// cancelUnresponsive cancels the overdue attempts of a request that wait for an ejected or unavailable
+// member, so that the request can be retried elsewhere before its deadline.
 func (r *Router) cancelUnresponsive(request *request) {
 	if !r.settings.CanCancel || request.class.Idempotency != Idempotent || !r.mayRetry(request) {
 		return
@@ -306,7 +309,7 @@
 	}
 }
 
-// isUnresponsive reports whether an attempt waits on a member that will not answer.
+// isUnresponsive reports whether an attempt waits for a member that is not expected to answer.
 func (a *attempt) isUnresponsive() bool {
 	if a.target.unresponsiveSince(a.sent) {
 		return true
@@ -314,13 +317,14 @@
 	return a.source.role != edge && a.source.unresponsiveSince(a.sent) && a.target.lastProgress > a.sent
 }
 
-// unresponsiveSince reports whether a member is out and has made no progress since a time.
+// unresponsiveSince reports whether a member is ejected or unavailable and has made no progress since
+// the time at.
 func (m *member) unresponsiveSince(at Millis) bool {
 	return (m.ejected || m.unavailable) && m.lastProgress <= at
 }
 
-// failedAt reports whether the request failed at a member before, or waited on it until
-// the attempt was cancelled.
+// failedAt reports whether a member has failed the request before: it was blamed for an attempt, or
+// an attempt at it was cancelled that was not a fill from a parent.
 func (q *request) failedAt(member *member) bool {
 	return slices.ContainsFunc(q.attempts, func(a attempt) bool {
 		return a.blamed == member || a.target == member && a.cancelled && a.source.role != parent
--- a/placement.go
+++ b/placement.go
@@ -1,17 +1,17 @@
 package indigospool
 
 const (
-	// lookupMinAttempts is how many attempts must be left to spend one on a lookup: the fill
-	// that follows it may have to be retried.
+	// lookupMinAttempts is the number of attempts that a request must have left for a lookup: the fill
+	// after a miss may have to be retried.
 	lookupMinAttempts = 3
-	// A cache with more pending than boundedLoadFactor times the mean of its peers, and
-	// boundedLoadSlack mean sending times, passes requests on to the next in order.
+	// A cache whose pending time exceeds boundedLoadFactor times the mean of all caches plus
+	// boundedLoadSlack mean send times is skipped in favor of the next in rendezvous order.
 	boundedLoadFactor = 1.25
 	boundedLoadSlack  = 1.0
 )
 
-// chooseTarget names the target and the source of the next attempt; nil: none can be made
-// now. The source is the target itself where that is only asked for what it holds.
+// chooseTarget returns the target and the source of the next attempt, or nil if none is possible now.
+// The source is the target itself for a lookup, which is only answered from a cached copy.
 func (r *Router) chooseTarget(request *request) (target, source *member) {
 	if request.isWrite() {
 		return r.chooseWriteTarget(request)
@@ -35,20 +35,19 @@
 	return r.chooseFill(request)
 }
 
-// canFill reports whether a cache that missed a request is still the one to fill. One that
-// warms up is not: that would hold a place at it.
+// canFill reports whether the fill target of a request is still usable. A cache that warms up is not:
+// requests that are queued for the link would bypass its slow-start budget when they are admitted.
 func (r *Router) canFill(member *member) bool {
 	return member != nil && !member.unavailable && !member.ejected && r.warmUpShare(member) >= 1
 }
 
-// canAffordLookup reports whether a request has attempts to spare for one that may find
-// nothing.
+// canAffordLookup reports whether a request has enough attempts left for a lookup that may miss.
 func (r *Router) canAffordLookup(request *request) bool {
 	return r.settings.MaxAttempts-request.countedAttempts() >= lookupMinAttempts
 }
 
-// chooseStaleCopy asks the fill target, once, for a copy past its fresh time: that is better
-// now than a fill when the link is free again.
+// chooseStaleCopy chooses a lookup at the fill target that accepts a stale copy, once per request. A
+// stale copy now is better than a fill when the link is available again.
 func (r *Router) chooseStaleCopy(request *request) (target, source *member) {
 	if request.fillTarget == nil || request.staleAllowed || request.class.Grace <= 0 || !r.canAffordLookup(request) {
 		return nil, nil
@@ -57,8 +56,8 @@
 	return request.fillTarget, request.fillTarget
 }
 
-// chooseFill has the fill target filled or, where no cache takes the request, has a parent or
-// the origin answer it.
+// chooseFill chooses a fill of the fill target. If no cache accepts the request, it chooses a direct
+// attempt at a parent or the origin.
 func (r *Router) chooseFill(request *request) (target, source *member) {
 	source = r.pickSource(request)
 	switch {
@@ -78,8 +77,8 @@
 	return source, source
 }
 
-// chooseWriteTarget sends a write to the origin, directly where that takes attempts, else
-// by a cache.
+// chooseWriteTarget chooses the target and the source of a write, which the origin executes: the
+// origin itself if direct attempts are possible, else a cache that forwards it.
 func (r *Router) chooseWriteTarget(request *request) (target, source *member) {
 	originMember := r.rendezvousOf(origin, request)
 	if originMember == nil {
@@ -96,10 +95,10 @@
 	return cache, originMember
 }
 
-// pickCache names the cache of a request: the one that the layout names or, where that is
-// out, warming up or overloaded, the next in rendezvous order of the object. The first two
-// passes leave out caches that failed the request before; the first of each two keeps to
-// the load bound.
+// pickCache returns the cache for a request: its owner in the layout or, if that does not accept the
+// request, the first one in rendezvous order that does. The first two passes skip caches that have
+// failed the request before, the last two consider only those. The first and third pass skip caches
+// above the load bound.
 func (r *Router) pickCache(request *request) *member {
 	primary, bound := r.layout.owner(request), r.loadBound()
 	accepts := func(member *member, pass int) bool {
@@ -122,7 +121,7 @@
 	return nil
 }
 
-// cacheReason says why a cache is not taken in a pass.
+// cacheReason returns ReasonAccepted if a cache is accepted in a pass, else why it is not.
 func (r *Router) cacheReason(member *member, request *request, pass int, bound float64) Reason {
 	withinBound, withFailed := pass%2 == 0, pass >= 2
 	switch {
@@ -138,9 +137,9 @@
 	return r.unavailableReason(member, request)
 }
 
-// unavailableReason says why a member may not be given the request now. Taken: it is
-// available, not ejected (or due for a health check), below its concurrency limit and, while
-// it warms up, within its slow-start budget.
+// unavailableReason returns ReasonAccepted if a member can take the request now: it is in service,
+// not ejected (or the request may be its health check), below its concurrency limit and, while it
+// warms up, within its slow-start budget. Otherwise it returns why it can't.
 func (r *Router) unavailableReason(member *member, request *request) Reason {
 	switch {
 	case member.unavailable:
@@ -155,7 +154,7 @@
 	return ReasonAccepted
 }
 
-// capacity is a member's capacity as far as it is stated, else 1.
+// capacity returns a member's capacity if it is known, else 1.
 func (r *Router) capacity(member *member) float64 {
 	if r.settings.SizeIsCapacity && member.Size > 0 {
 		return member.Size
@@ -163,8 +162,8 @@
 	return 1
 }
 
-// loadBound is the pending time, by capacity, past which a cache passes requests on: a
-// multiple of the mean of the caches in service, and some slack.
+// loadBound returns the pending time per unit of capacity above which a cache is skipped. It is
+// computed from the caches that are in service and not ejected.
 func (r *Router) loadBound() float64 {
 	pending, capacity, caches := 0.0, 0.0, 0.0
 	for _, member := range r.byRole[edge] {
@@ -180,8 +179,8 @@
 	return (boundedLoadFactor*pending + boundedLoadSlack*caches*r.meanSendTime) / capacity
 }
 
-// rendezvousOf is the available member of a role that the object's rendezvous hash names;
-// nil: there is none.
+// rendezvousOf returns the available member of a role that is first in rendezvous order of the
+// object, or nil if there is none.
 func (r *Router) rendezvousOf(role role, request *request) *member {
 	return rendezvousBest(r.byRole[role], request.hash)
 }
--- a/rangesplit.go
+++ b/rangesplit.go
@@ -6,38 +6,40 @@
 	"sort"
 )
 
-// FlexSplit: the parts of all objects go to the caches of the location by contiguous ranges
-// of part indices. A histogram of the cost by part index, discounted from window to window,
-// is cut so that each cache carries an equal share.
+// FlexSplit assigns contiguous ranges of part indices, the same for all objects, to the caches of the
+// zone. A histogram holds the cost of each part index; older windows are discounted. The split points
+// divide the histogram so that each cache has an equal share of the cost.
 
 const (
-	// A histogram window closes after windowPartRequests part requests or windowSpan.
+	// A histogram window closes after windowPartRequests part requests or after windowSpan.
 	windowPartRequests = 500
 	windowSpan         = Millis(5000)
-	// firstWindowPartRequests closes the first window: it is short since copies that were placed
-	// by a hash are useless once there are ranges.
+	// firstWindowPartRequests is the least number of part requests in the first window. It is low
+	// because copies that were placed by the hash are no longer used once there are ranges.
 	firstWindowPartRequests = 128
-	// windowDiscount is what the sum of past windows keeps when another closes.
+	// windowDiscount is the factor of the sum of closed windows when another window is added.
 	windowDiscount = 0.95
-	// splitMoveThreshold is the part of an index's cost by which a split point must be off to move.
+	// splitMoveThreshold is the imbalance above which a split point moves, as a multiple of the cost of
+	// a part index next to it.
 	splitMoveThreshold = 1.0
-	// tailPartCost is the cost of a part beyond the object's mean depth; one within it costs 1.
+	// tailPartCost is the cost of a request for a part beyond the object's mean depth. Requests for
+	// other parts cost 1.
 	tailPartCost = 1.0
-	// maxPartIndices is how many part indices are distinguished; later ones share the last.
+	// maxPartIndices is the length of the histogram. Higher part indices are counted as the last one.
 	maxPartIndices = 2048
-	// Objects are remembered in two generations of maxObjects at most; a new one begins after
-	// objectGenerationSpan at the latest.
+	// The depths of objects are kept in two generations. A new one begins when the current one has
+	// maxObjects objects or is older than objectGenerationSpan.
 	maxObjects           = 20000
 	objectGenerationSpan = Millis(60000)
 )
 
-// objectDepth is how deep clients go into an object.
+// objectDepth records how many parts of an object clients request.
 type objectDepth struct {
-	firstParts float64 // requests for its first part
-	parts      float64 // requests for any part
+	firstParts float64 // number of requests for the first part
+	parts      float64 // number of requests for any part
 }
 
-// mean is the number of parts that a client asks for.
+// mean returns the mean number of parts that a client requests.
 func (d *objectDepth) mean() float64 {
 	if d.firstParts > 0 {
 		return d.parts / d.firstParts
@@ -45,20 +47,19 @@
 	return 1
 }
 
-// layout places parts: one range for each available cache of the location. While it is not
-// ranged, parts are placed by a hash.
+// layout assigns requests to the available caches of the zone.
 type layout struct {
 	caches []*member
-	splits []int // the first index past each range but the last
-	ranged bool
+	splits []int // upper ends of the ranges of all caches but the last
+	ranged bool  // whether parts are placed by ranges; otherwise by rendezvous hashing
 }
 
-// equal reports whether two layouts place all parts alike.
+// equal reports whether two layouts assign all requests to the same caches.
 func (l layout) equal(other layout) bool {
 	return l.ranged == other.ranged && slices.Equal(l.caches, other.caches) && slices.Equal(l.splits, other.splits)
 }
 
-// owner is the cache that a request goes to while all are in service; nil: there is none.
+// owner returns the cache that is the first choice for a request, or nil if there are no caches.
 func (l layout) owner(request *request) *member {
 	switch {
 	case len(l.caches) == 0:
@@ -71,7 +72,7 @@
 	return l.caches[sort.SearchInts(l.splits, request.Part+1)]
 }
 
-// recordPart counts a part request into the open window and the object's depth.
+// recordPart counts a request for a part in the open window and in the object's depth.
 func (r *Router) recordPart(request *request) {
 	if !request.class.InParts {
 		return
@@ -97,7 +98,7 @@
 	}
 }
 
-// depthOf is what is remembered of an object, in the present generation.
+// depthOf returns the depth of an object, after moving or adding it to the current generation.
 func (r *Router) depthOf(object string) *objectDepth {
 	if len(r.objectDepths[0]) >= maxObjects || r.now-r.objectDepthsRotatedAt > objectGenerationSpan {
 		r.objectDepths[1], r.objectDepths[0] = r.objectDepths[0], map[string]*objectDepth{}
@@ -108,15 +109,15 @@
 	return depth
 }
 
-// firstWindowDone reports whether the first window has as many part requests as it needs. Copies
-// are shared by all routers of the location, each of which sees its own part of the requests:
-// from a few dozen each, many routers would draw as many different ranges, and a part would be
-// fetched into several caches.
+// firstWindowDone reports whether the first window has enough part requests. The number grows with
+// the number of routers in the zone: each sees only some of the requests, and with few samples the
+// routers would compute different ranges, so that a part would be filled into several caches.
 func (r *Router) firstWindowDone() bool {
 	return float64(r.windowRequests) >= firstWindowPartRequests*max(r.settings.sharingRouters(edge)/2, 1)
 }
 
-// closeWindow adds the open window to the discounted sum and updates the layout.
+// closeWindow adds the open window to the discounted sum and updates the layout. It does nothing if
+// the window is empty or is the first one and not done.
 func (r *Router) closeWindow() {
 	r.windowOpenedAt = r.now
 	if r.windowRequests == 0 || r.totalCost == nil && !r.firstWindowDone() {
@@ -136,8 +137,8 @@
 	r.updateLayout()
 }
 
-// updateLayout places the split points so that each range carries an equal share, to
-// within one index.
+// updateLayout computes the split points so that the costs of the ranges are equal, up to the cost of
+// one part index.
 func (r *Router) updateLayout() {
 	next := layout{caches: r.byRole[edge]}
 	if len(next.caches) > 0 && total(r.totalCost) > 0 {
@@ -152,11 +153,11 @@
 	r.layout = next
 }
 
-// keepSplits puts back the split points that are off by less than an index's cost, so that
-// chance in the counts moves no ranges.
+// keepSplits keeps the previous split points whose imbalance is below splitMoveThreshold, so that
+// random variation of the counts moves no ranges.
 func keepSplits(splits, before []int, cost []float64) {
 	sum := total(cost)
-	cumulative := make([]float64, len(cost)+1) // cost of all parts before an index
+	cumulative := make([]float64, len(cost)+1) // total cost of the parts before each index
 	for part, partCost := range cost {
 		cumulative[part+1] = cumulative[part] + partCost
 	}
@@ -173,8 +174,8 @@
 	slices.Sort(splits)
 }
 
-// splitPoints cuts the indices into ranges of about equal cost. The last range is open, so
-// every index has one.
+// splitPoints divides the part indices into ranges of about equal cost. The last range has no upper
+// end, so that every index belongs to a range.
 func splitPoints(cost []float64, ranges int) []int {
 	sum := total(cost)
 	points := make([]int, 0, ranges-1)
@@ -190,7 +191,7 @@
 	return points
 }
 
-// total is the sum of the costs of all parts.
+// total returns the sum of the costs of all parts.
 func total(cost []float64) (sum float64) {
 	for _, partCost := range cost {
 		sum += partCost
@@ -198,7 +199,8 @@
 	return sum
 }
 
-// Ranges are the caches' ranges of part indices, in their order; nil before there are any.
+// Ranges returns the ranges of part indices of the caches in ascending order, or nil if parts are not
+// placed by ranges yet.
 func (r *Router) Ranges() []Range {
 	if !r.layout.ranged {
 		return nil
--- a/ranking.go
+++ b/ranking.go
@@ -5,8 +5,8 @@
 // minHashFraction keeps the logarithm of a weighted rendezvous hash finite.
 const minHashFraction = 1e-18
 
-// rendezvousBest is the member of the highest rendezvous hash, nil where there is none. When
-// a member leaves, only its own objects move.
+// rendezvousBest returns the member with the highest rendezvous hash, or nil if the list is empty.
+// When a member leaves, only the objects assigned to it are assigned to other members.
 func rendezvousBest(list []*member, hash uint64) *member {
 	var best *member
 	var highest uint64
@@ -18,28 +18,27 @@
 	return best
 }
 
-// byRendezvous ranks members by the rendezvous hash.
+// byRendezvous ranks members by their rendezvous hash for an object.
 func byRendezvous(list []*member, hash uint64) *ranking {
 	return &ranking{list: list, rankOf: func(member *member) rank { return rank{hash: mix(hash ^ member.hash)} }}
 }
 
-// byWeightedRendezvous ranks members by the rendezvous hash weighted by capacity, as far as it
-// is stated: one that can serve twice as much is first for twice as many objects.
+// byWeightedRendezvous ranks members by their rendezvous hash for an object, weighted by capacity: a
+// member with twice the capacity is first for twice as many objects.
 func (r *Router) byWeightedRendezvous(list []*member, hash uint64) *ranking {
 	return &ranking{list: list, rankOf: func(member *member) rank {
 		return rank{key: math.Log(max(hashFraction(hash^member.hash), minHashFraction)) / r.capacity(member)}
 	}}
 }
 
-// rank is what members are ordered by: the key, then the hash; of equal ones the first in
-// the list comes first.
+// rank is the sort key of a member. A higher key comes first, then a higher hash, then a lower index.
 type rank struct {
 	key   float64
 	hash  uint64
-	index int // in the list
+	index int // index in the list
 }
 
-// before reports whether a member of this rank comes before one of the other.
+// before reports whether a member of rank r comes before a member of rank other.
 func (r *rank) before(other *rank) bool {
 	if r.key != other.key {
 		return r.key > other.key
@@ -50,16 +49,16 @@
 	return r.index < other.index
 }
 
-// ranking is a list of members in falling order of their ranks. Most of the time only the
-// first of thousands is looked at: the others are put in order once one is asked for.
+// ranking sorts a list of members by rank, lazily. Usually only the first of thousands of members is
+// needed, so the heap is not built before the second one is requested.
 type ranking struct {
 	list   []*member
 	rankOf func(member *member) rank
-	heap   []rank    // those not found yet
-	found  []*member // in falling order
+	heap   []rank    // ranks of the members not in found
+	found  []*member // the first members, in order
 }
 
-// members yields the members in falling order.
+// members yields the members in order.
 func (k *ranking) members(yield func(member *member) bool) {
 	for place := range k.list {
 		if !yield(k.at(place)) {
@@ -68,7 +67,7 @@
 	}
 }
 
-// at is the member at a place, from 0.
+// at returns the member at a place in the order, from 0.
 func (k *ranking) at(place int) *member {
 	if len(k.found) == 0 {
 		if place == 0 {
@@ -86,7 +85,7 @@
 	return k.found[place]
 }
 
-// first is the member of the highest rank; nil where there is none.
+// first returns the member that comes first, or nil if the list is empty.
 func (k *ranking) first() *member {
 	var first *member
 	var highest rank
@@ -100,7 +99,7 @@
 	return first
 }
 
-// buildHeap makes the heap of all members.
+// buildHeap builds a heap of the ranks of all members.
 func (k *ranking) buildHeap() {
 	k.heap = make([]rank, len(k.list))
 	for i, member := range k.list {
@@ -112,7 +111,7 @@
 	}
 }
 
-// siftDown moves the rank at an index down to its place in the heap.
+// siftDown moves the rank at an index down until the heap property holds.
 func (k *ranking) siftDown(index int) {
 	for {
 		first := index
--- a/slowstart.go
+++ b/slowstart.go
@@ -1,22 +1,24 @@
 package indigospool
 
 const (
-	// slowStartBurst is the part of a budget over the fall time that may be spent at once: the rule
-	// counts attempts over any such span, so a full one at its begin would come on top of the next.
+	// slowStartBurst is the capacity of a token bucket as a fraction of the tokens that are added in
+	// Settings.OverloadTime. A member fails if it is overloaded over any period of that length, so a
+	// whole bucket used at the start of the period would be too much in addition to its refill.
 	slowStartBurst = 0.5
-	// minBurstSpan stands in for a fall time that is not stated or very short.
+	// minBurstSpan is the lower bound of the OverloadTime that is used for the burst.
 	minBurstSpan = Millis(500)
-	// assumedUtilization is the load assumed of a stated capacity, where none was measured.
+	// assumedUtilization is the assumed load of members, as a fraction of their capacity, if none was
+	// measured.
 	assumedUtilization = 0.35
-	// slowStartOverdraft is the part of its ordinary load, times its warm-up share, that a member
-	// may be given beyond the budgets of all routers.
+	// slowStartOverdraft is the load that a member may receive beyond the budgets of all routers, as a
+	// fraction of its ordinary load times its warm-up share.
 	slowStartOverdraft = 0.5
-	// servedRateGain is the weight of one measurement in a member's rate.
+	// servedRateGain is the weight of one measurement in a member's average rate.
 	servedRateGain = 0.15
 )
 
-// warmUpShare is the part of its capacity that a member surely has: it grows from
-// the least stated share to 1 over its warm-up time.
+// warmUpShare returns the fraction of its capacity that a member has at least. It grows linearly from
+// the initial share to 1 over the warm-up time.
 func (r *Router) warmUpShare(member *member) float64 {
 	from, span := r.settings.WarmUpInitialShare, r.settings.WarmUpTime
 	if member.role == parent {
@@ -28,17 +30,17 @@
 	return from + (1-from)*max(r.now-member.ReadyAt, 0)/span
 }
 
-// slowStartAllows reports whether a member that warms up may be given a request: its
-// token bucket has some left, or the request may overdraw it.
+// slowStartAllows reports whether a member that warms up may receive a request: its token bucket is
+// not empty, or the request may overdraw it.
 func (r *Router) slowStartAllows(member *member, request *request) bool {
 	r.refillTokens(member)
 	if member.tokens > 0 {
 		return true
 	}
-	// The share of one of many routers is less than a request. So of what arrives and has its place
-	// there each may go beyond its budget by one, with a chance such that all together bring half of
-	// the ordinary load that the member can bear by then. Queued requests may not: many of them have
-	// gathered.
+	// With many routers, the share of one router is less than one request. A new request whose first
+	// choice is this member may therefore overdraw the bucket by up to one request. The probability is
+	// such that all routers together add half of the ordinary load that the member can bear at this
+	// time. Requests that were queued may not, since many of them are released at once.
 	withinOverdraft := member.tokens > -r.slowStartCost(member, request)
 	if request.wasQueued || !withinOverdraft || r.superseded || !r.isPrimary(member, request) {
 		return false
@@ -46,7 +48,7 @@
 	return hashFraction(request.jitterSeed+member.hash) < slowStartOverdraft*r.warmUpShare(member)
 }
 
-// isPrimary reports whether a member is the first choice for a request while all are in service.
+// isPrimary reports whether a member is the first choice for a request when all members can serve it.
 func (r *Router) isPrimary(member *member, request *request) bool {
 	if member.role == parent {
 		return r.byWeightedRendezvous(r.byRole[parent], request.hash).at(0) == member
@@ -54,8 +56,8 @@
 	return r.layout.owner(request) == member
 }
 
-// slowStartCost is what an attempt takes from a member's token bucket: at a cache
-// the mean sending time of the class, at a parent the request's own.
+// slowStartCost returns the tokens that an attempt takes from a member's bucket: at a cache the mean
+// send time of the class, at a parent the send time of the request.
 func (r *Router) slowStartCost(member *member, request *request) Millis {
 	if member.role == parent {
 		return request.sendTime
@@ -63,8 +65,8 @@
 	return request.class.meanSendTime
 }
 
-// takeTokens takes the cost of an attempt from the token buckets of its target and
-// source. Another cache as a source sends from what it holds and is charged nothing.
+// takeTokens takes the cost of an attempt from the token buckets of its target and its source. A
+// cache that is the source has a copy already and is not charged.
 func (r *Router) takeTokens(request *request, attempt *attempt) {
 	attempt.target.tokens -= r.slowStartCost(attempt.target, request)
 	if attempt.fillsFromSource() {
@@ -80,16 +82,16 @@
 	}
 }
 
-// refillTokens fills the token bucket of a member that warms up with this router's share
-// of what the member can bear, judged by what warm members of its role are given or by its
-// stated capacity.
+// refillTokens refills the token bucket of a member that warms up. The rate is the member's warm-up
+// share of the load that this router sends to a warm member of the same role, or of this router's
+// part of the assumed load if capacities are known and that is more.
 func (r *Router) refillTokens(member *member) {
 	base := r.typicalRate[member.role]
 	if r.settings.SizeIsCapacity {
 		base = max(base, assumedUtilization*member.Size/r.settings.sharingRouters(member.role))
 	}
 	rate := base * r.warmUpShare(member)
-	if r.superseded { // the budget is the successor's
+	if r.superseded { // the successor uses the budget
 		rate = 0
 	}
 	burst := rate * max(r.settings.OverloadTime, minBurstSpan) * slowStartBurst
@@ -97,8 +99,8 @@
 	member.refilled = r.now
 }
 
-// measureRates updates the sending time that each member, and a warm one of each
-// role, was given over the last span.
+// measureRates updates the load averages of each member and of the warm members of each role, as send
+// time per millisecond over the last span.
 func (r *Router) measureRates(span Millis) {
 	for role, list := range r.byRole {
 		sum, warm := 0.0, 0
