--- a/endpoints.go
+++ b/endpoints.go
@@ -5,55 +5,55 @@
 	"slices"
 )
 
-// role is what a member does for this router.
+// role is the role of a member for this router.
 type role int
 
 const (
-	edge      role = iota // a cache of the router's location
-	parent                // a cache that caches fill from
-	origin                // where all objects come from
-	otherZone             // a cache of another location: nothing is sent to it
-	roleCount             // how many there are
+	edge      role = iota // a cache in the router's zone
+	parent                // a cache that other caches fill from
+	origin                // the origin of all objects
+	otherZone             // a cache in another zone, which this router does not use
+	roleCount
 )
 
-// member is a listed cache, parent or origin and what is known of it.
+// member is an entry of the endpoint list with its learned state.
 type member struct {
 	Member
-	concurrencyLimit // of its transfers with this router
+	concurrencyLimit // for this router's attempts at the member
 	role             role
-	hash             uint64 // of its id
+	hash             uint64 // hash of the id
 	unavailable      bool   // draining, removed or no longer listed
-	pendingTime      Millis // expected time of the attempts in flight
+	pendingTime      Millis // sum of the expected durations of the attempts in flight
 
 	// Outlier detection.
-	lastProgress Millis  // the last sign that it makes progress
-	progressGap  Millis  // the usual time between two
-	faultShare   float64 // recent share of faults, 0 to 1
-	outcomes     int     // outcomes that say something about it, since its start or return
+	lastProgress Millis  // time of the last sign of progress
+	progressGap  Millis  // moving average of the time between two signs of progress
+	faultShare   float64 // moving share of faults, 0 to 1
+	outcomes     int     // number of outcomes recorded since its start or last return
 	ejected      bool
-	silent       bool   // ejected for its silence alone
-	checking     bool   // its health check is out
-	nextCheck    Millis // no health check is sent before
+	silent       bool   // ejected only because it was silent
+	checking     bool   // a health check is in flight
+	nextCheck    Millis // time of the earliest next health check
 	checkBackoff Millis
-	goodChecks   int // good health checks in a row
+	goodChecks   int // successful health checks in a row
 
 	// Overdue attempts at the last tick.
-	overdue         int
+	overdue         int    // number of them
 	overdueSince    Millis // when the first of them was sent
-	overdueExpected Millis // the longest time that one of them was expected to take
+	overdueExpected Millis // longest expected duration of any of them
 
 	// Slow start.
-	servedTime Millis  // sending time given to it since rates were measured
-	servedRate float64 // recent sending time per millisecond
-	tokens     Millis  // sending time that it may be given while it warms up; below 0: overdrawn
-	refilled   Millis  // when tokens were last added
+	servedTime Millis  // send time of its answers since the last measurement of rates
+	servedRate float64 // moving average of its send time per millisecond
+	tokens     Millis  // send time in its token bucket while it warms up; negative if overdrawn
+	refilled   Millis  // time of the last refill
 }
 
-// updateEndpoints follows the endpoint list. Draining and removal act at once, for sources as
-// well.
+// updateEndpoints applies an update of the endpoint list. Draining and removal take effect
+// immediately, also for members that are used as sources.
 func (r *Router) updateEndpoints(event Members) {
 	if event.Lost {
-		r.subscribed = false // subscribed again before long, not at once: discovery may be overloaded
+		r.subscribed = false // the next cleanup renews the subscription: discovery may be overloaded now
 		return
 	}
 	r.subscribe()
@@ -71,8 +71,8 @@
 	r.groupByRole()
 }
 
-// updateMember takes in a row of the endpoint list. A new start makes a member one that is
-// empty, warms up and has no record of faults.
+// updateMember adds or updates a member. A member that has been restarted loses its learned state and
+// warms up again.
 func (r *Router) updateMember(row Member) {
 	known := r.members[row.ID]
 	switch {
@@ -80,14 +80,14 @@
 		known = r.newMember(row.ID)
 		r.addMember(row.ID, known)
 	case row.State == Serving && row.ReadyAt != known.ReadyAt:
-		*known = *r.newMember(row.ID) // in place: outstanding attempts point to it
+		*known = *r.newMember(row.ID) // replaced in place, since outstanding attempts point to it
 	}
 	known.Member, known.hash, known.role = row, hashString(row.ID), r.roleOf(row)
 	known.unavailable = row.State != Serving
 }
 
-// newMember is a member of which nothing is known. Its token bucket is neither full nor in
-// step with those of other routers.
+// newMember returns a member without learned state. Its token bucket starts at a negative value that
+// differs between routers, so that they don't all send to the member at the same time.
 func (r *Router) newMember(id string) *member {
 	return &member{
 		concurrencyLimit: concurrencyLimit{limit: initialLimit},
@@ -98,8 +98,8 @@
 	}
 }
 
-// dropIfRemoved drops a member that has been removed and has nothing in flight; ids of
-// removed members are not used again.
+// dropIfRemoved forgets a member that has been removed and has no attempts in flight, and
+// reports whether it did. The ids of removed members are not reused.
 func (r *Router) dropIfRemoved(member *member) bool {
 	removed := member.unavailable && member.State != Draining && member.inFlight <= 0
 	if removed {
@@ -108,7 +108,7 @@
 	return removed
 }
 
-// subscribe subscribes to the endpoint list where discovery does not notify by itself.
+// subscribe subscribes to the endpoint list if discovery requires it and there is no subscription.
 func (r *Router) subscribe() {
 	if r.settings.WatchRequired && !r.subscribed {
 		r.subscribed = true
@@ -116,7 +116,7 @@
 	}
 }
 
-// roleOf is the role of a row of the endpoint list.
+// roleOf returns the role of an entry of the endpoint list.
 func (r *Router) roleOf(row Member) role {
 	switch {
 	case row.Kind == r.settings.OriginKind && row.Kind != "":
@@ -129,7 +129,7 @@
 	return otherZone
 }
 
-// addMember adds a member that was not known.
+// addMember adds a new member.
 func (r *Router) addMember(id string, added *member) {
 	added.ID = id
 	r.members[id] = added
@@ -139,8 +139,8 @@
 	r.listed = slices.Insert(r.listed, at, added)
 }
 
-// groupByRole groups the available members by their role. Layouts keep the lists that they
-// were made of, so these are made anew.
+// groupByRole groups the available members by role. It allocates new lists, since layouts refer to the
+// previous ones.
 func (r *Router) groupByRole() {
 	for role, list := range r.byRole {
 		r.byRole[role] = make([]*member, 0, len(list)+1)
--- a/fillsource.go
+++ b/fillsource.go
@@ -1,11 +1,12 @@
 package indigospool
 
-// siblingFillSpan is how long after a change of the layout the cache before it may still
-// hold copies: about as long as popular ones stay.
+// siblingFillSpan is the time after a change of the layout in which the previous cache of a part is
+// tried as a source. Popular copies stay in a cache for about that long.
 const siblingFillSpan = Millis(20000)
 
-// siblingSource is the cache that served the request before the layout changed, if it can
-// fill the request's fill target: that spares the link to the parents. It is tried once.
+// siblingSource returns the cache that was the first choice for the request before the layout changed,
+// or nil if the fill target cannot be filled from it. A fill from a sibling saves capacity on the link
+// to the parents. It is tried once per request.
 func (r *Router) siblingSource(request *request) *member {
 	previous := r.priorLayout.owner(request)
 	switch {
@@ -21,9 +22,9 @@
 	return previous
 }
 
-// pickSource names where a miss is filled from: the parents in rendezvous order of the
-// object, the origin where none of them is taken. Those that failed the request before
-// come in a second pass.
+// pickSource returns the source of a fill: the first parent in rendezvous order of the object that
+// accepts the request, else an origin, else nil. Members that have failed the request before are
+// considered in a second pass.
 func (r *Router) pickSource(request *request) *member {
 	parents := r.byWeightedRendezvous(r.byRole[parent], request.hash)
 	for pass, failedBefore := range []bool{false, true} {
@@ -41,14 +42,15 @@
 	return nil
 }
 
-// acceptsSource reports whether a member is taken as the source in a pass. With failedBefore
-// the pass is the one for members that failed the request before.
+// acceptsSource reports whether a member is accepted as the source in a pass. If failedBefore, the pass
+// considers only members that have failed the request before.
 func (r *Router) acceptsSource(request *request, member *member, pass int, failedBefore bool) bool {
 	reason := r.sourceReason(request, member, failedBefore)
 	return r.traceCandidate(request, member, true, pass, reason) == ReasonAccepted
 }
 
-// sourceReason says why a member is not taken as the source in a pass.
+// sourceReason returns ReasonAccepted if a member is accepted as the source in a pass, else why it is
+// not.
 func (r *Router) sourceReason(request *request, member *member, failedBefore bool) Reason {
 	failed := request.failedAt(member)
 	switch {
@@ -56,7 +58,7 @@
 		return ReasonFailedBefore
 	case !failed && failedBefore:
 		return ReasonAlreadyConsidered
-	case failed && member.role == origin: // there is nobody after it
+	case failed && member.role == origin: // there is no other source after the origin
 		return ReasonAccepted
 	}
 	return r.unavailableReason(member, request)
--- a/freshness.go
+++ b/freshness.go
@@ -3,16 +3,15 @@
 import "maps"
 
 const (
-	// anyCopyAge means that a copy of any age will do; 0 would mean the cache's default.
+	// anyCopyAge is the maximum age that accepts all copies. An age of 0 would select the cache's
+	// default.
 	anyCopyAge = Millis(1e9)
-	// minCopyAge is the least age that is asked for, above 0 for the same reason.
+	// minCopyAge is the lowest maximum age. It is above 0 for the same reason.
 	minCopyAge = Millis(0.05)
 )
 
-// maxCopyAge is the age of the oldest copy that will do. While a purge is under
-// way it is less than the time since the purge; else it is the fresh time of the
-// class, with its grace where a fill would have to wait. It is never 0, which
-// would mean the cache's default.
+// maxCopyAge returns the maximum age of a copy for a request: the class's Fresh, plus its Grace if a
+// stale copy is acceptable. Until a purge is complete, copies from before the purge are excluded.
 func (r *Router) maxCopyAge(request *request) Millis {
 	maxAge := anyCopyAge
 	if request.class.Fresh > 0 {
@@ -28,7 +27,7 @@
 	return max(maxAge, minCopyAge)
 }
 
-// lastPurge is the time of the last purge of the request's object or of its group.
+// lastPurge returns the time of the last purge of the request's object or of its group.
 func (r *Router) lastPurge(request *request) (at Millis, purged bool) {
 	at, purged = r.objectPurges[request.Object]
 	groupAt, groupPurged := r.groupPurges[request.Group]
@@ -38,7 +37,7 @@
 	return at, purged
 }
 
-// recordPurge remembers a purge of an object or, with no object, of a group.
+// recordPurge records a purge of an object or, if Object is empty, of a group.
 func (r *Router) recordPurge(purge Purge) {
 	at := r.now - purge.Age
 	if purge.Object != "" {
@@ -48,7 +47,7 @@
 	r.groupPurges[purge.Group] = max(r.groupPurges[purge.Group], at)
 }
 
-// dropOldPurges drops the purges after which every cache has dropped older copies.
+// dropOldPurges removes the purges that all caches have completed.
 func (r *Router) dropOldPurges() {
 	cutoff := r.now - r.settings.PurgeTime - r.settings.PurgeSlack
 	maps.DeleteFunc(r.objectPurges, func(_ string, at Millis) bool { return at < cutoff })
--- a/rangesplit.go
+++ b/rangesplit.go
@@ -19,8 +19,8 @@
 	firstWindowPartRequests = 128
 	// windowDiscount is the factor of the sum of closed windows when another window is added.
 	windowDiscount = 0.95
-	// splitMoveThreshold is the imbalance above which a split point moves, as a multiple of the cost of
-	// a part index next to it.
+	// splitMoveThreshold is the imbalance above which a split point moves, as a multiple of the higher
+	// cost of the two adjacent part indices.
 	splitMoveThreshold = 1.0
 	// tailPartCost is the cost of a request for a part beyond the object's mean depth. Requests for
 	// other parts cost 1.
--- a/settings.go
+++ b/settings.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// class is a class of requests and what is known of it.
+// class is a class of requests with its learned state.
 type class struct {
 	Class
-	meanSendTime Millis // recent mean of the time that answers take to send
-	hitTime      Millis // recent mean of the time of answers from cached copies
+	meanSendTime Millis // moving average of the send time of answers
+	hitTime      Millis // moving average of the duration of hits
 }
 
-// applySettings goes by settings from now on. What was learned about a class of the same
-// name stays; requests in hand keep the class that they came with, and its effect.
+// applySettings replaces the settings. Classes keep the learned state of the previous class of the
+// same name. Requests that have already arrived keep their previous class.
 func (r *Router) applySettings(settings Settings) {
 	r.settings = settings
 	if r.settings.MaxAttempts <= 0 {
@@ -37,8 +37,7 @@
 	r.groupByRole()
 }
 
-// changeSettings applies other settings, unless they contradict themselves. The zone and the
-// number of this router stay.
+// changeSettings replaces the settings, except Zone and RouterIndex. Invalid settings are ignored.
 func (r *Router) changeSettings(settings Settings) {
 	if settings.Valid() != nil {
 		return
@@ -47,8 +46,8 @@
 	r.applySettings(settings)
 }
 
-// recordHit learns from an answer out of a cached copy. With its size stated the mean
-// sending time is learned from sizes.
+// recordHit updates the averages of a class after a hit. If the request states the size,
+// expectSendTime has updated the mean send time from it.
 func (c *class) recordHit(took Millis, sizeStated bool) {
 	c.hitTime += (took - c.hitTime) * meanGain
 	if !sizeStated {
@@ -56,29 +55,31 @@
 	}
 }
 
-// Valid returns an error that says how the settings contradict themselves, or nil.
+// Valid returns an error if the settings are invalid or contradict each other.
 func (s Settings) Valid() error {
 	switch {
 	case len(s.Classes) == 0:
-		return errors.New("indigospool: settings name no class")
+		return errors.New("indigospool: settings have no class")
 	case s.WarmUpInitialShare < 0 || s.WarmUpInitialShare > 1 || s.ParentWarmUpInitialShare < 0 || s.ParentWarmUpInitialShare > 1:
-		return errors.New("indigospool: a cold share is not within 0 and 1")
+		return fmt.Errorf("indigospool: initial warm-up share of caches (%v) or parents (%v) is not between 0 and 1",
+			s.WarmUpInitialShare, s.ParentWarmUpInitialShare)
 	case s.ParentKind != "" && s.ParentKind == s.OriginKind:
-		return fmt.Errorf("indigospool: parents and origin are both of kind %q", s.ParentKind)
+		return fmt.Errorf("indigospool: parents and origin have the same kind %q", s.ParentKind)
 	case s.PurgeTime < 0 || s.WarmUpTime < 0 || s.ParentWarmUpTime < 0 || s.DrainGrace < 0:
-		return errors.New("indigospool: a span is negative")
+		return fmt.Errorf("indigospool: negative duration in ms: purge %v, warm-up of caches %v, of parents %v, drain grace %v",
+			s.PurgeTime, s.WarmUpTime, s.ParentWarmUpTime, s.DrainGrace)
 	}
 	named := map[string]bool{}
 	for _, class := range s.Classes {
 		if named[class.Name] {
-			return fmt.Errorf("indigospool: class %q is named twice", class.Name)
+			return fmt.Errorf("indigospool: duplicate class %q", class.Name)
 		}
 		named[class.Name] = true
 	}
 	return nil
 }
 
-// sharingRouters is how many routers send to the members of a role, as far as it is stated.
+// sharingRouters returns the number of routers that send to the members of a role, at least 1.
 func (s Settings) sharingRouters(role role) float64 {
 	routers := s.Routers
 	zone := slices.Index(s.Zones, s.Zone)
--- a/snapshot.go
+++ b/snapshot.go
@@ -5,88 +5,94 @@
 	"slices"
 )
 
-// The learned-state snapshot: what a router has learned, so that its successor can go on
-// from it after a hot restart. Requests in hand stay with their router. The names of the
-// types and fields here are the stored form; the comments beside them give the terms that
-// the other files use.
+// The learned-state snapshot holds what a router has learned, so that its successor can start from it
+// after a hot restart. Requests are not part of it: they stay with their router. The CBOR names of the
+// fields are stored on disk and must not change.
 
-// Memory is what a Router has learned. Times are on its clock; members are named by
-// id. A zero Memory is nothing.
+// Memory is the learned state of a Router. Times are on the router's clock.
 type Memory struct {
-	At      Millis            // when it was taken
-	Members []MemberMemory    // in the order of ids
-	Classes []ClassMemory     // in the order of names
-	Objects [2][]ObjectMemory // object depths: the present and the past generation
-	Turned  Millis            // when the present generation began
-	Purges  map[string]Millis // time of the last purge, by object
-	Groups  map[int]Millis    // and by group
-	Link    GateMemory        // the concurrency limit of the link
-	Typical []Millis          // typical rates, by role
-	Retries float64           // retries that the budget allows
-	Mean    Millis            // mean sending time
-	Pace    float64           // fill stretch
-	LastSec Millis            // when housekeeping was last done
-	Window  []float64         // cost by part index in the open window
-	Total   []float64         // and the discounted sum
-	Seen    int               // part requests in the open window
-	Opened  Millis            // when that was opened
-	Layout  LayoutMemory      // the present layout
-	Prior   LayoutMemory      // the one before the last change
-	Moved   Millis            // when that was
+	At      Millis            `cbor:"At"`      // time of the snapshot
+	Members []MemberMemory    `cbor:"Members"` // in the order of ids
+	Classes []ClassMemory     `cbor:"Classes"` // in the order of names
+	Objects [2][]ObjectMemory `cbor:"Objects"` // depths of objects: the current and the previous generation
+	Turned  Millis            `cbor:"Turned"`  // start of the current generation
+	Purges  map[string]Millis `cbor:"Purges"`  // time of the last purge, by object
+	Groups  map[int]Millis    `cbor:"Groups"`  // time of the last purge, by group
+	Link    GateMemory        `cbor:"Link"`    // concurrency limit of the link
+	Typical []Millis          `cbor:"Typical"` // mean load of a warm member, by role
+	Retries float64           `cbor:"Retries"` // retries left in the retry budget
+	Mean    Millis            `cbor:"Mean"`    // mean send time
+	Pace    float64           `cbor:"Pace"`    // duration of fills as a multiple of their send time
+	LastSec Millis            `cbor:"LastSec"` // time of the last periodic cleanup
+	Window  []float64         `cbor:"Window"`  // cost by part index in the open window
+	Total   []float64         `cbor:"Total"`   // discounted sum of the closed windows
+	Seen    int               `cbor:"Seen"`    // part requests in the open window
+	Opened  Millis            `cbor:"Opened"`  // start of the open window
+	Layout  LayoutMemory      `cbor:"Layout"`  // the current layout
+	Prior   LayoutMemory      `cbor:"Prior"`   // the layout before the last change
+	Moved   Millis            `cbor:"Moved"`   // time of the last change of the layout
 }
 
-// MemberMemory is what is known of a member.
+// MemberMemory is the learned state of a member.
 type MemberMemory struct {
 	Member
-	Gate           GateMemory // its concurrency limit
-	Gone, Suspect  bool       // unavailable; ejected
-	Good, Gap      Millis     // last progress; usual gap between two signs of it
-	Faults         float64    // share of faults
-	Judged, Wins   int        // outcomes; good health checks in a row
-	TrialAt        Millis     // when the next health check may be sent
-	Backoff        Millis     // backoff of health checks
-	Work           Millis     // sending time given to it since rates were measured
-	Rate           float64    // recent sending time per millisecond
-	Tokens, Topped Millis     // slow-start tokens; when some were last added
+	Gate    GateMemory `cbor:"Gate"`    // concurrency limit
+	Gone    bool       `cbor:"Gone"`    // draining, removed or no longer listed
+	Suspect bool       `cbor:"Suspect"` // ejected
+	Good    Millis     `cbor:"Good"`    // time of the last sign of progress
+	Gap     Millis     `cbor:"Gap"`     // average time between two signs of progress
+	Faults  float64    `cbor:"Faults"`  // share of faults, 0 to 1
+	Judged  int        `cbor:"Judged"`  // number of outcomes since its start or last return
+	Wins    int        `cbor:"Wins"`    // successful health checks in a row
+	TrialAt Millis     `cbor:"TrialAt"` // time of the earliest next health check
+	Backoff Millis     `cbor:"Backoff"` // backoff of health checks
+	Work    Millis     `cbor:"Work"`    // send time of its answers since the last measurement of rates
+	Rate    float64    `cbor:"Rate"`    // average of its send time per millisecond
+	Tokens  Millis     `cbor:"Tokens"`  // slow-start tokens
+	Topped  Millis     `cbor:"Topped"`  // time of the last refill of the tokens
 }
 
-// GateMemory is a concurrency limit, but for what is in flight.
+// GateMemory is the learned state of a concurrency limit, without the transfers in flight.
 type GateMemory struct {
-	Room, Tardy float64 // the limit; the share of slow transfers
-	Cut, Next   Millis  // when the limit was last lowered; when the next transfer may start
+	Room  float64 `cbor:"Room"`  // the limit
+	Tardy float64 `cbor:"Tardy"` // share of slow transfers, 0 to 1
+	Cut   Millis  `cbor:"Cut"`   // when the limit was last lowered
+	Next  Millis  `cbor:"Next"`  // while the limit is below 1: the earliest start of the next transfer
 }
 
-// ClassMemory is what is known of a class.
+// ClassMemory is the learned state of a class.
 type ClassMemory struct {
-	Name       string
-	Mean, Took Millis // mean sending time; time of answers from cached copies
+	Name string `cbor:"Name"`
+	Mean Millis `cbor:"Mean"` // mean send time
+	Took Millis `cbor:"Took"` // mean duration of hits
 }
 
-// ObjectMemory is how deep clients go into an object.
+// ObjectMemory is the depth of an object.
 type ObjectMemory struct {
-	Name         string
-	First, Parts float64 // requests for its first part; for any part
+	Name  string  `cbor:"Name"`
+	First float64 `cbor:"First"` // number of requests for the first part
+	Parts float64 `cbor:"Parts"` // number of requests for any part
 }
 
 // LayoutMemory is a layout of part ranges.
 type LayoutMemory struct {
-	Edges  []string // ids of the caches
-	Splits []int    // the first index past each range but the last
-	Ranged bool     // whether there are ranges
+	Edges  []string `cbor:"Edges"`  // ids of the caches
+	Splits []int    `cbor:"Splits"` // upper ends of the ranges of all caches but the last
+	Ranged bool     `cbor:"Ranged"` // whether parts are placed by ranges
 }
 
-// Recalled is the event that restores what a predecessor had learned. It comes first, before
-// any endpoint list; a Router that has begun already ignores it.
+// Recalled restores the learned state of a predecessor. It must come before the first endpoint list; a
+// Router that already has members or requests ignores it.
 type Recalled struct{ Memory *Memory }
 
-// Retired says that a successor has taken over or, with On false, that after all none has. A
-// router that is closing spends no slow-start budget any more, since its successor does.
+// Retired reports that a successor has taken over (On), or that the successor did not start after all
+// (not On). A router with a successor uses no slow-start tokens, since the successor uses them.
 type Retired struct{ On bool }
 
 func (Recalled) event() {}
 func (Retired) event()  {}
 
-// Memory returns a copy of what the router has learned.
+// Memory returns a snapshot of the learned state.
 func (r *Router) Memory() *Memory {
 	memory := &Memory{
 		At:      r.now,
@@ -124,8 +130,8 @@
 	return memory
 }
 
-// restore goes on from what a predecessor had learned. Members that are not listed any more
-// go with the first endpoint list; classes that are not declared any more are left out.
+// restore restores the learned state of a predecessor. Members that are no longer listed are removed
+// with the first endpoint list. Classes that are not in the settings are ignored.
 func (r *Router) restore(memory *Memory) {
 	if memory == nil || len(r.members) > 0 || len(r.arrivals) > 0 {
 		return
@@ -166,7 +172,7 @@
 	r.layoutChangedAt = memory.Moved
 }
 
-// snapshot is the stored form of a member.
+// snapshot returns the stored form of a member.
 func (m *member) snapshot() MemberMemory {
 	return MemberMemory{
 		Member:  m.Member,
@@ -187,7 +193,7 @@
 	}
 }
 
-// restoreMember is the member of a stored form.
+// restoreMember returns the member of a stored form.
 func (r *Router) restoreMember(stored MemberMemory) *member {
 	return &member{
 		Member:           stored.Member,
@@ -210,17 +216,17 @@
 	}
 }
 
-// snapshot is the stored form of a concurrency limit; what is in flight is not stored.
+// snapshot returns the stored form of a concurrency limit.
 func (l *concurrencyLimit) snapshot() GateMemory {
 	return GateMemory{Room: l.limit, Tardy: l.slowShare, Cut: l.loweredAt, Next: l.nextStart}
 }
 
-// concurrencyLimit is the limit of a stored form.
+// concurrencyLimit returns the concurrency limit of a stored form.
 func (g GateMemory) concurrencyLimit() concurrencyLimit {
 	return concurrencyLimit{limit: g.Room, slowShare: g.Tardy, loweredAt: g.Cut, nextStart: g.Next}
 }
 
-// snapshot is the stored form of a layout.
+// snapshot returns the stored form of a layout.
 func (l layout) snapshot() LayoutMemory {
 	stored := LayoutMemory{Splits: slices.Clone(l.splits), Ranged: l.ranged}
 	for _, member := range l.caches {
@@ -229,8 +235,8 @@
 	return stored
 }
 
-// restoreLayout is the layout of a stored form; an empty one where a member of it is not
-// known, or the form is malformed.
+// restoreLayout returns the layout of a stored form. The layout is empty if one of its members is not
+// known, or if the stored form is malformed.
 func (r *Router) restoreLayout(stored LayoutMemory) layout {
 	restored := layout{splits: slices.Clone(stored.Splits), ranged: stored.Ranged}
 	for _, id := range stored.Edges {
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -5,6 +5,8 @@
 	"math/rand/v2"
 	"reflect"
 	"testing"
+
+	"github.com/fxamacker/cbor/v2"
 )
 
 // trainedRouter is a router that has learned from many events and has nothing in hand.
@@ -174,3 +176,57 @@
 		t.Error("a memory was restored by one that has begun")
 	}
 }
+
+// TestStoredFieldNames guards the snapshots of earlier versions: the CBOR names of all fields stay, so
+// that a successor can restore what a predecessor of another version has stored.
+func TestStoredFieldNames(t *testing.T) {
+	limit := map[string]any{"Room": 1.5, "Tardy": 2.5, "Cut": 3.5, "Next": 4.5}
+	layout := map[string]any{"Edges": []any{"b"}, "Splits": []any{uint64(7)}, "Ranged": true}
+	stored := map[string]any{
+		"At": 1.25, "Turned": 2.25, "Typical": []any{3.25}, "Retries": 4.25, "Mean": 5.25, "Pace": 6.25, "LastSec": 7.25,
+		"Window": []any{8.25}, "Total": []any{9.25}, "Seen": uint64(10), "Opened": 11.25, "Moved": 12.25,
+		"Purges": map[any]any{"o": 13.25}, "Groups": map[any]any{uint64(3): 14.25},
+		"Link": limit, "Layout": layout, "Prior": layout,
+		"Members": []any{map[string]any{
+			"ID": "b", "Zone": "z1", "Kind": "box", "Cell": uint64(2), "State": uint64(1), "Size": 15.25, "ReadyAt": 16.25,
+			"Gate": limit, "Gone": true, "Suspect": true, "Good": 17.25, "Gap": 18.25, "Faults": 19.25, "Judged": uint64(20),
+			"Wins": uint64(21), "TrialAt": 22.25, "Backoff": 23.25, "Work": 24.25, "Rate": 25.25, "Tokens": 26.25, "Topped": 27.25,
+		}},
+		"Classes": []any{map[string]any{"Name": "page", "Mean": 28.25, "Took": 29.25}},
+		"Objects": []any{[]any{map[string]any{"Name": "o", "First": 30.25, "Parts": 31.25}}, []any{}},
+	}
+	encoded, err := cbor.Marshal(stored)
+	if err != nil {
+		t.Fatal(err)
+	}
+	wantLimit := GateMemory{Room: 1.5, Tardy: 2.5, Cut: 3.5, Next: 4.5}
+	wantLayout := LayoutMemory{Edges: []string{"b"}, Splits: []int{7}, Ranged: true}
+	want := Memory{
+		At: 1.25, Turned: 2.25, Typical: []Millis{3.25}, Retries: 4.25, Mean: 5.25, Pace: 6.25, LastSec: 7.25,
+		Window: []float64{8.25}, Total: []float64{9.25}, Seen: 10, Opened: 11.25, Moved: 12.25,
+		Purges: map[string]Millis{"o": 13.25}, Groups: map[int]Millis{3: 14.25},
+		Link: wantLimit, Layout: wantLayout, Prior: wantLayout,
+		Members: []MemberMemory{{
+			Member: Member{ID: "b", Zone: "z1", Kind: "box", Cell: 2, State: Draining, Size: 15.25, ReadyAt: 16.25},
+			Gate:   wantLimit, Gone: true, Suspect: true, Good: 17.25, Gap: 18.25, Faults: 19.25, Judged: 20,
+			Wins: 21, TrialAt: 22.25, Backoff: 23.25, Work: 24.25, Rate: 25.25, Tokens: 26.25, Topped: 27.25,
+		}},
+		Classes: []ClassMemory{{Name: "page", Mean: 28.25, Took: 29.25}},
+		Objects: [2][]ObjectMemory{{{Name: "o", First: 30.25, Parts: 31.25}}, {}},
+	}
+	var got Memory
+	if err := cbor.Unmarshal(encoded, &got); err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("decoded %+v, want %+v; error %v", got, want, err)
+	}
+	reencoded, err := cbor.Marshal(want)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var asStored, asEncoded map[string]any
+	if err := cbor.Unmarshal(encoded, &asStored); err != nil {
+		t.Fatal(err)
+	}
+	if err := cbor.Unmarshal(reencoded, &asEncoded); err != nil || !reflect.DeepEqual(asEncoded, asStored) {
+		t.Errorf("encoded %v, want %v; error %v", asEncoded, asStored, err)
+	}
+}
