--- a/snapshot.go
+++ b/snapshot.go
@@ -11,45 +11,45 @@
 
 // Memory is the learned state of a Router. Times are on the router's clock.
 type Memory struct {
-	At      Millis            `cbor:"At"`      // time of the snapshot
-	Members []MemberMemory    `cbor:"Members"` // in the order of ids
-	Classes []ClassMemory     `cbor:"Classes"` // in the order of names
-	Objects [2][]ObjectMemory `cbor:"Objects"` // depths of objects: the current and the previous generation
-	Turned  Millis            `cbor:"Turned"`  // start of the current generation
-	Purges  map[string]Millis `cbor:"Purges"`  // time of the last purge, by object
-	Groups  map[int]Millis    `cbor:"Groups"`  // time of the last purge, by group
-	Link    GateMemory        `cbor:"Link"`    // concurrency limit of the link
-	Typical []Millis          `cbor:"Typical"` // mean load of a warm member, by role
-	Retries float64           `cbor:"Retries"` // retries left in the retry budget
-	Mean    Millis            `cbor:"Mean"`    // mean send time
-	Pace    float64           `cbor:"Pace"`    // duration of fills as a multiple of their send time
-	LastSec Millis            `cbor:"LastSec"` // time of the last periodic cleanup
-	Window  []float64         `cbor:"Window"`  // cost by part index in the open window
-	Total   []float64         `cbor:"Total"`   // discounted sum of the closed windows
-	Seen    int               `cbor:"Seen"`    // part requests in the open window
-	Opened  Millis            `cbor:"Opened"`  // start of the open window
-	Layout  LayoutMemory      `cbor:"Layout"`  // the current layout
-	Prior   LayoutMemory      `cbor:"Prior"`   // the layout before the last change
-	Moved   Millis            `cbor:"Moved"`   // time of the last change of the layout
+	At                    Millis            `cbor:"At"`      // time of the snapshot
+	Members               []MemberMemory    `cbor:"Members"` // in the order of ids
+	Classes               []ClassMemory     `cbor:"Classes"` // in the order of names
+	Objects               [2][]ObjectMemory `cbor:"Objects"` // depths of objects: the current and the previous generation
+	ObjectDepthsRotatedAt Millis            `cbor:"Turned"`  // start of the current generation
+	Purges                map[string]Millis `cbor:"Purges"`  // time of the last purge, by object
+	Groups                map[int]Millis    `cbor:"Groups"`  // time of the last purge, by group
+	Link                  GateMemory        `cbor:"Link"`    // concurrency limit of the link
+	Typical               []Millis          `cbor:"Typical"` // mean load of a warm member, by role
+	RetryTokens           float64           `cbor:"Retries"` // retries left in the retry budget
+	Mean                  Millis            `cbor:"Mean"`    // mean send time
+	FillTimeRatio         float64           `cbor:"Pace"`    // duration of fills as a multiple of their send time
+	LastCleanup           Millis            `cbor:"LastSec"` // time of the last periodic cleanup
+	WindowCost            []float64         `cbor:"Window"`  // cost by part index in the open window
+	Total                 []float64         `cbor:"Total"`   // discounted sum of the closed windows
+	WindowRequests        int               `cbor:"Seen"`    // part requests in the open window
+	WindowOpenedAt        Millis            `cbor:"Opened"`  // start of the open window
+	Layout                LayoutMemory      `cbor:"Layout"`  // the current layout
+	PriorLayout           LayoutMemory      `cbor:"Prior"`   // the layout before the last change
+	LayoutChangedAt       Millis            `cbor:"Moved"`   // time of the last change of the layout
 }
 
 // MemberMemory is the learned state of a member.
 type MemberMemory struct {
 	Member
-	Gate    GateMemory `cbor:"Gate"`    // concurrency limit
-	Gone    bool       `cbor:"Gone"`    // draining, removed or no longer listed
-	Suspect bool       `cbor:"Suspect"` // ejected
-	Good    Millis     `cbor:"Good"`    // time of the last sign of progress
-	Gap     Millis     `cbor:"Gap"`     // average time between two signs of progress
-	Faults  float64    `cbor:"Faults"`  // share of faults, 0 to 1
-	Judged  int        `cbor:"Judged"`  // number of outcomes since its start or last return
-	Wins    int        `cbor:"Wins"`    // successful health checks in a row
-	TrialAt Millis     `cbor:"TrialAt"` // time of the earliest next health check
-	Backoff Millis     `cbor:"Backoff"` // backoff of health checks
-	Work    Millis     `cbor:"Work"`    // send time of its answers since the last measurement of rates
-	Rate    float64    `cbor:"Rate"`    // average of its send time per millisecond
-	Tokens  Millis     `cbor:"Tokens"`  // slow-start tokens
-	Topped  Millis     `cbor:"Topped"`  // time of the last refill of the tokens
+	Gate         GateMemory `cbor:"Gate"`    // concurrency limit
+	Gone         bool       `cbor:"Gone"`    // draining, removed or no longer listed
+	Ejected      bool       `cbor:"Suspect"` // ejected
+	LastProgress Millis     `cbor:"Good"`    // time of the last sign of progress
+	ProgressGap  Millis     `cbor:"Gap"`     // average time between two signs of progress
+	Faults       float64    `cbor:"Faults"`  // share of faults, 0 to 1
+	Outcomes     int        `cbor:"Judged"`  // number of outcomes since its start or last return
+	GoodChecks   int        `cbor:"Wins"`    // successful health checks in a row
+	NextCheck    Millis     `cbor:"TrialAt"` // time of the earliest next health check
+	CheckBackoff Millis     `cbor:"Backoff"` // backoff of health checks
+	ServedTime   Millis     `cbor:"Work"`    // send time of its answers since the last measurement of rates
+	ServedRate   float64    `cbor:"Rate"`    // average of its send time per millisecond
+	Tokens       Millis     `cbor:"Tokens"`  // slow-start tokens
+	Refilled     Millis     `cbor:"Topped"`  // time of the last refill of the tokens
 }
 
 // GateMemory is the learned state of a concurrency limit, without the transfers in flight.
@@ -62,9 +62,9 @@
 
 // ClassMemory is the learned state of a class.
 type ClassMemory struct {
-	Name string `cbor:"Name"`
-	Mean Millis `cbor:"Mean"` // mean send time
-	Took Millis `cbor:"Took"` // mean duration of hits
+	Name         string `cbor:"Name"`
+	MeanSendTime Millis `cbor:"Mean"` // mean send time
+	HitTime      Millis `cbor:"Took"` // mean duration of hits
 }
 
 // ObjectMemory is the depth of an object.
@@ -95,30 +95,30 @@
 // Memory returns a snapshot of the learned state.
 func (r *Router) Memory() *Memory {
 	memory := &Memory{
-		At:      r.now,
-		Turned:  r.objectDepthsRotatedAt,
-		Purges:  maps.Clone(r.objectPurges),
-		Groups:  maps.Clone(r.groupPurges),
-		Link:    r.link.snapshot(),
-		Typical: slices.Clone(r.typicalRate[:]),
-		Retries: r.retryTokens,
-		Mean:    r.meanSendTime,
-		Pace:    r.fillTimeRatio,
-		LastSec: r.lastCleanup,
-		Window:  slices.Clone(r.windowCost),
-		Total:   slices.Clone(r.totalCost),
-		Seen:    r.windowRequests,
-		Opened:  r.windowOpenedAt,
-		Layout:  r.layout.snapshot(),
-		Prior:   r.priorLayout.snapshot(),
-		Moved:   r.layoutChangedAt,
+		At:                    r.now,
+		ObjectDepthsRotatedAt: r.objectDepthsRotatedAt,
+		Purges:                maps.Clone(r.objectPurges),
+		Groups:                maps.Clone(r.groupPurges),
+		Link:                  r.link.snapshot(),
+		Typical:               slices.Clone(r.typicalRate[:]),
+		RetryTokens:           r.retryTokens,
+		Mean:                  r.meanSendTime,
+		FillTimeRatio:         r.fillTimeRatio,
+		LastCleanup:           r.lastCleanup,
+		WindowCost:            slices.Clone(r.windowCost),
+		Total:                 slices.Clone(r.totalCost),
+		WindowRequests:        r.windowRequests,
+		WindowOpenedAt:        r.windowOpenedAt,
+		Layout:                r.layout.snapshot(),
+		PriorLayout:           r.priorLayout.snapshot(),
+		LayoutChangedAt:       r.layoutChangedAt,
 	}
 	for _, id := range slices.Sorted(maps.Keys(r.members)) {
 		memory.Members = append(memory.Members, r.members[id].snapshot())
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.classes)) {
 		class := r.classes[name]
-		memory.Classes = append(memory.Classes, ClassMemory{Name: name, Mean: class.meanSendTime, Took: class.hitTime})
+		memory.Classes = append(memory.Classes, ClassMemory{Name: name, MeanSendTime: class.meanSendTime, HitTime: class.hitTime})
 	}
 	for generation, depths := range r.objectDepths {
 		for _, name := range slices.Sorted(maps.Keys(depths)) {
@@ -141,7 +141,7 @@
 	}
 	for _, stored := range memory.Classes {
 		if class := r.classes[stored.Name]; class != nil {
-			class.meanSendTime, class.hitTime = stored.Mean, stored.Took
+			class.meanSendTime, class.hitTime = stored.MeanSendTime, stored.HitTime
 		}
 	}
 	for generation, objects := range memory.Objects {
@@ -157,39 +157,39 @@
 		r.groupPurges = maps.Clone(memory.Groups)
 	}
 	copy(r.typicalRate[:], memory.Typical)
-	r.objectDepthsRotatedAt = memory.Turned
+	r.objectDepthsRotatedAt = memory.ObjectDepthsRotatedAt
 	r.link = memory.Link.concurrencyLimit()
-	r.retryTokens = memory.Retries
+	r.retryTokens = memory.RetryTokens
 	r.meanSendTime = memory.Mean
-	r.fillTimeRatio = memory.Pace
-	r.lastCleanup = memory.LastSec
-	r.windowCost = slices.Clone(memory.Window)
+	r.fillTimeRatio = memory.FillTimeRatio
+	r.lastCleanup = memory.LastCleanup
+	r.windowCost = slices.Clone(memory.WindowCost)
 	r.totalCost = slices.Clone(memory.Total)
-	r.windowRequests = memory.Seen
-	r.windowOpenedAt = memory.Opened
+	r.windowRequests = memory.WindowRequests
+	r.windowOpenedAt = memory.WindowOpenedAt
 	r.layout = r.restoreLayout(memory.Layout)
-	r.priorLayout = r.restoreLayout(memory.Prior)
-	r.layoutChangedAt = memory.Moved
+	r.priorLayout = r.restoreLayout(memory.PriorLayout)
+	r.layoutChangedAt = memory.LayoutChangedAt
 }
 
 // snapshot returns the stored form of a member.
 func (m *member) snapshot() MemberMemory {
 	return MemberMemory{
-		Member:  m.Member,
-		Gate:    m.concurrencyLimit.snapshot(),
-		Gone:    m.unavailable,
-		Suspect: m.ejected,
-		Good:    m.lastProgress,
-		Gap:     m.progressGap,
-		Faults:  m.faultShare,
-		Judged:  m.outcomes,
-		Wins:    m.goodChecks,
-		TrialAt: m.nextCheck,
-		Backoff: m.checkBackoff,
-		Work:    m.servedTime,
-		Rate:    m.servedRate,
-		Tokens:  m.tokens,
-		Topped:  m.refilled,
+		Member:       m.Member,
+		Gate:         m.concurrencyLimit.snapshot(),
+		Gone:         m.unavailable,
+		Ejected:      m.ejected,
+		LastProgress: m.lastProgress,
+		ProgressGap:  m.progressGap,
+		Faults:       m.faultShare,
+		Outcomes:     m.outcomes,
+		GoodChecks:   m.goodChecks,
+		NextCheck:    m.nextCheck,
+		CheckBackoff: m.checkBackoff,
+		ServedTime:   m.servedTime,
+		ServedRate:   m.servedRate,
+		Tokens:       m.tokens,
+		Refilled:     m.refilled,
 	}
 }
 
@@ -201,18 +201,18 @@
 		role:             r.roleOf(stored.Member),
 		hash:             hashString(stored.ID),
 		unavailable:      stored.Gone,
-		ejected:          stored.Suspect,
-		lastProgress:     stored.Good,
-		progressGap:      stored.Gap,
+		ejected:          stored.Ejected,
+		lastProgress:     stored.LastProgress,
+		progressGap:      stored.ProgressGap,
 		faultShare:       stored.Faults,
-		outcomes:         stored.Judged,
-		goodChecks:       stored.Wins,
-		nextCheck:        stored.TrialAt,
-		checkBackoff:     stored.Backoff,
-		servedTime:       stored.Work,
-		servedRate:       stored.Rate,
+		outcomes:         stored.Outcomes,
+		goodChecks:       stored.GoodChecks,
+		nextCheck:        stored.NextCheck,
+		checkBackoff:     stored.CheckBackoff,
+		servedTime:       stored.ServedTime,
+		servedRate:       stored.ServedRate,
 		tokens:           stored.Tokens,
-		refilled:         stored.Topped,
+		refilled:         stored.Refilled,
 	}
 }
 
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -202,16 +202,16 @@
 	wantLimit := GateMemory{Room: 1.5, Tardy: 2.5, Cut: 3.5, Next: 4.5}
 	wantLayout := LayoutMemory{Edges: []string{"b"}, Splits: []int{7}, Ranged: true}
 	want := Memory{
-		At: 1.25, Turned: 2.25, Typical: []Millis{3.25}, Retries: 4.25, Mean: 5.25, Pace: 6.25, LastSec: 7.25,
-		Window: []float64{8.25}, Total: []float64{9.25}, Seen: 10, Opened: 11.25, Moved: 12.25,
+		At: 1.25, ObjectDepthsRotatedAt: 2.25, Typical: []Millis{3.25}, RetryTokens: 4.25, Mean: 5.25, FillTimeRatio: 6.25, LastCleanup: 7.25,
+		WindowCost: []float64{8.25}, Total: []float64{9.25}, WindowRequests: 10, WindowOpenedAt: 11.25, LayoutChangedAt: 12.25,
 		Purges: map[string]Millis{"o": 13.25}, Groups: map[int]Millis{3: 14.25},
-		Link: wantLimit, Layout: wantLayout, Prior: wantLayout,
+		Link: wantLimit, Layout: wantLayout, PriorLayout: wantLayout,
 		Members: []MemberMemory{{
 			Member: Member{ID: "b", Zone: "z1", Kind: "box", Cell: 2, State: Draining, Size: 15.25, ReadyAt: 16.25},
-			Gate:   wantLimit, Gone: true, Suspect: true, Good: 17.25, Gap: 18.25, Faults: 19.25, Judged: 20,
-			Wins: 21, TrialAt: 22.25, Backoff: 23.25, Work: 24.25, Rate: 25.25, Tokens: 26.25, Topped: 27.25,
+			Gate:   wantLimit, Gone: true, Ejected: true, LastProgress: 17.25, ProgressGap: 18.25, Faults: 19.25, Outcomes: 20,
+			GoodChecks: 21, NextCheck: 22.25, CheckBackoff: 23.25, ServedTime: 24.25, ServedRate: 25.25, Tokens: 26.25, Refilled: 27.25,
 		}},
-		Classes: []ClassMemory{{Name: "page", Mean: 28.25, Took: 29.25}},
+		Classes: []ClassMemory{{Name: "page", MeanSendTime: 28.25, HitTime: 29.25}},
 		Objects: [2][]ObjectMemory{{{Name: "o", First: 30.25, Parts: 31.25}}, {}},
 	}
 	var got Memory
