--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,6 +1,5 @@
-// Command adapter lets routers of package indigospool decide on the wire of
-// the simulator: batches of events on standard input, replies on standard
-// output, one router for each instance.
+// Command adapter runs routers of package indigospool for the simulator. It reads batches of events
+// from standard input and writes replies to standard output; each instance has its own router.
 package main
 
 import (
--- a/hash.go
+++ b/hash.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// hashString is the FNV-1a hash of a text, mixed.
+// hashString returns the 64-bit FNV-1a hash of a string, passed through mix.
 func hashString(text string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := 0; i < len(text); i++ {
@@ -19,11 +19,11 @@
 	return h ^ h>>31
 }
 
-// hashFraction is a share within [0, 1) that goes with h, the same each time.
+// hashFraction maps a hash to a number in [0, 1).
 func hashFraction(h uint64) float64 { return float64(mix(h)>>11) / (1 << 53) }
 
-// newJitterSeed is what chance goes by for a request: another one at another time and at
-// another router, but the same for a request that asks the same in its place.
+// newJitterSeed returns the seed of a request's backoffs and slow-start decisions. It depends on the
+// router's seed, the time of arrival, the object and the part, but not on the request's id.
 func (r *Router) newJitterSeed(request *request) uint64 {
 	return mix(r.seed^math.Float64bits(request.arrived)) + request.hash + uint64(request.Part)
 }
--- a/inspect.go
+++ b/inspect.go
@@ -1,11 +1,11 @@
 package indigospool
 
-// Explain has onCandidate notified of every member that a choice looks at, while the choice
-// is made: what it is given is the decision itself, not a second computation. nil ends that.
+// Explain sets a function that is called for every member that is considered for an attempt, at the
+// time of the decision and in the order of consideration. Nil removes it.
 func (r *Router) Explain(onCandidate func(Candidate)) { r.onCandidate = onCandidate }
 
-// traceCandidate notifies of a member that a choice has looked at and returns the reason
-// unchanged. The member is nil where the reason concerns the request as such.
+// traceCandidate reports a considered member to the function set by Explain and returns reason. The
+// member is nil if the reason concerns the request itself.
 func (r *Router) traceCandidate(request *request, member *member, asSource bool, pass int, reason Reason) Reason {
 	if r.onCandidate == nil {
 		return reason
@@ -18,29 +18,29 @@
 	return reason
 }
 
-// Status is the state of a member, or of the link of the location's fills, as the
-// router sees it. The names of its fields are part of the JSON of /state.
+// Status is the learned state of a member or of the link into the zone. Its JSON form is part of the
+// response of /state.
 type Status struct {
-	InFlight   float64 `json:"held"`              // attempts in flight
-	Limit      float64 `json:"room"`              // the concurrency limit: attempts that may be in flight
-	SlowShare  float64 `json:"tardy"`             // recent share of slow attempts, 0 to 1
-	FaultShare float64 `json:"faults"`            // recent share of faults, 0 to 1; not of a link
-	Ejected    bool    `json:"suspect,omitempty"` // ejected; not of a link
+	InFlight   float64 `json:"held"`              // attempts or fills in flight
+	Limit      float64 `json:"room"`              // the concurrency limit
+	SlowShare  float64 `json:"tardy"`             // moving share of slow transfers, 0 to 1
+	FaultShare float64 `json:"faults"`            // moving share of faults, 0 to 1; always 0 for the link
+	Ejected    bool    `json:"suspect,omitempty"` // always false for the link
 }
 
-// Statuses returns the state of each listed member, by id, and that of the link.
+// Statuses returns the status of each member by id, and that of the link.
 func (r *Router) Statuses() (members map[string]Status, link Status) {
 	members = make(map[string]Status, len(r.members))
 	for id, member := range r.members {
-		belief := member.concurrencyLimit.belief()
-		belief.FaultShare = member.faultShare
-		belief.Ejected = member.ejected
-		members[id] = belief
+		status := member.concurrencyLimit.status()
+		status.FaultShare = member.faultShare
+		status.Ejected = member.ejected
+		members[id] = status
 	}
-	return members, r.link.belief()
+	return members, r.link.status()
 }
 
-// belief is what a concurrency limit has learned.
-func (l *concurrencyLimit) belief() Status {
+// status returns the status of a concurrency limit, without faults.
+func (l *concurrencyLimit) status() Status {
 	return Status{InFlight: l.inFlight, Limit: l.limit, SlowShare: l.slowShare}
 }
--- a/internal/protocol/simwire/host.go
+++ b/internal/protocol/simwire/host.go
@@ -10,7 +10,7 @@
 	spool "indigospool"
 )
 
-// Serve answers batches until the input ends.
+// Serve reads batches from in, one per line, and writes a reply to each to out, until in ends.
 func Serve(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<20)
 	h := host{routers: map[int]*spool.Router{}}
@@ -34,72 +34,72 @@
 	}
 }
 
-// host keeps the routers of a process.
+// host holds the routers of a process by instance number.
 type host struct {
 	routers map[int]*spool.Router
 	clock   float64
 	actions []spool.Action
 }
 
-// handleBatch handles one line and returns the line that answers it.
+// handleBatch handles one line of input and returns the line of the reply.
 func (h *host) handleBatch(line []byte) ([]byte, error) {
 	b, err := ParseBatch(line)
 	if err != nil {
 		return nil, err
 	}
 	if *b.Clock < h.clock {
-		return nil, fmt.Errorf("the clock went back from %v to %v", h.clock, *b.Clock)
+		return nil, fmt.Errorf("clock went backwards from %v ms to %v ms", h.clock, *b.Clock)
 	}
 	h.clock = *b.Clock
 	var reply Reply
 	for _, g := range b.Groups {
-		out := InstanceReply{Instance: *g.Instance}
+		instanceReply := InstanceReply{Instance: *g.Instance}
 		for _, m := range g.Inbox {
 			ev, err := ParseEvent(m)
 			if err != nil {
 				return nil, fmt.Errorf("instance %d: %w", *g.Instance, err)
 			}
-			acts, err := h.handleEvent(*g.Instance, ev)
+			actions, err := h.handleEvent(*g.Instance, ev)
 			if err != nil {
 				return nil, fmt.Errorf("instance %d: %w", *g.Instance, err)
 			}
-			out.Actions = append(out.Actions, acts...)
+			instanceReply.Actions = append(instanceReply.Actions, actions...)
 		}
-		if len(out.Actions) > 0 {
-			reply.Groups = append(reply.Groups, out)
+		if len(instanceReply.Actions) > 0 {
+			reply.Groups = append(reply.Groups, instanceReply)
 		}
 	}
 	return reply.Encode()
 }
 
-// handleEvent hands one event to its router. What breaks inside the module is
-// reported on the wire; what the wire itself has wrong is an error.
-func (h *host) handleEvent(inst int, ev any) (acts []any, err error) {
+// handleEvent handles one event of an instance and returns its actions in wire form. Failures of the
+// module, including panics, are reported on the wire. Malformed input is returned as an error.
+func (h *host) handleEvent(instance int, ev any) (replies []any, err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			acts = []any{InternalError(fmt.Sprint("panic: ", p))}
+			replies = []any{InternalError(fmt.Sprint("panic: ", p))}
 		}
 	}()
-	router := h.routers[inst]
+	router := h.routers[instance]
 	switch ev := ev.(type) {
 	case Start:
 		router, err := spool.New(ev.Settings, ev.Seed)
 		if err != nil {
 			return []any{InternalError(err.Error())}, nil
 		}
-		h.routers[inst] = router
+		h.routers[instance] = router
 		return nil, nil
 	case Stop:
-		delete(h.routers, inst)
+		delete(h.routers, instance)
 		return nil, nil
 	case spool.Event:
 		if router == nil {
-			return nil, errors.New("an event for an instance that was not started")
+			return nil, errors.New("event for an instance that was not started")
 		}
 		h.actions = router.Handle(h.clock, ev, h.actions[:0])
 		for _, a := range h.actions {
-			acts = append(acts, EncodeAction(a))
+			replies = append(replies, EncodeAction(a))
 		}
 	}
-	return acts, nil
+	return replies, nil
 }
--- a/internal/protocol/simwire/host_test.go
+++ b/internal/protocol/simwire/host_test.go
@@ -25,20 +25,20 @@
 		name, in, out, err string
 	}{
 		{"an empty batch", `{"clock":1,"groups":[]}` + "\n", `{"groups":[]}`, ""},
-		{"nothing", "", "", ""},
-		{"a look", start + batch("1001", knock), `"cache":"a"`, ""},
+		{"empty input", "", "", ""},
+		{"a lookup", start + batch("1001", knock), `"cache":"a"`, ""},
 		{"a fill after a miss", start + batch("1001", knock) +
 			batch("1002", `{"SETTLED":{"msg_id":"r1","attempt":0,"cache":"a","reason":"miss","spent":1}}`),
 			`"supplier":"o"`, ""},
 		{"not JSON", start + "{\n", "", "line 2: "},
 		{"no clock", `{"groups":[]}` + "\n", "", "line 1: no clock"},
-		{"the clock goes back", start + batch("999", knock), "", "line 2: the clock went back"},
+		{"the clock goes back", start + batch("999", knock), "", "line 2: clock went backwards from 1000 ms to 999 ms"},
 		{"an unknown event", start + batch("1001", `{"SNEEZE":{}}`), "", "SNEEZE: unknown event"},
 		{"an unknown reason", start + batch("1001", `{"SETTLED":{"msg_id":"r","reason":"so"}}`), "", `reason "so"`},
 		{"two names", start + batch("1001", `{"DESTROY":{},"REMINDER":{}}`), "", "2 names"},
 		{"not started", batch("1", knock), "", "not started"},
-		{"after its end", start + batch("1001", `{"DESTROY":{}}`) + batch("1002", knock), "", "not started"},
-		{"settings that contradict", batch("1", `{"BORN":{"boot_info":{}}}`), "GIVE_IN", ""},
+		{"already stopped", start + batch("1001", `{"DESTROY":{}}`) + batch("1002", knock), "", "not started"},
+		{"invalid settings", batch("1", `{"BORN":{"boot_info":{}}}`), "GIVE_IN", ""},
 	} {
 		var out bytes.Buffer
 		err := Serve(strings.NewReader(c.in), &out)
@@ -51,14 +51,14 @@
 	}
 }
 
-// TestPanicIsReported: what breaks inside the module is said on the wire.
+// TestPanicIsReported checks that a panic of the module is reported on the wire.
 func TestPanicIsReported(t *testing.T) {
 	h := host{}
 	acts, err := h.handleEvent(1, nil)
 	if err != nil || acts != nil {
 		t.Fatalf("%v %v", acts, err)
 	}
-	h.routers = nil // a start cannot be stored: the assignment panics
+	h.routers = nil // the assignment of the new router panics
 	reply, err := h.handleBatch([]byte(batch("1", born)))
 	if err != nil || !strings.Contains(string(reply), "GIVE_IN") || !strings.Contains(string(reply), "panic") {
 		t.Errorf("%s %v", reply, err)
--- a/internal/protocol/simwire/reply.go
+++ b/internal/protocol/simwire/reply.go
@@ -11,24 +11,26 @@
 	Groups []InstanceReply `json:"groups"`
 }
 
-// InstanceReply is what one instance does.
+// InstanceReply holds the actions of one instance.
 type InstanceReply struct {
 	Instance int   `json:"i"`
 	Actions  []any `json:"out"`
 }
 
+// object is a JSON object.
 type object map[string]any
 
-// InternalError says that the decisions are broken, and why.
+// InternalError returns the message that reports a failure of the module.
 func InternalError(text string) any { return object{"GIVE_IN": object{"message": text}} }
 
-// The copy-handling bits of an attempt.
+// The bits of sendMessage.Flags: Send.Join, Send.Held and Send.Renew.
 const (
 	flagJoin  = 1
 	flagHeld  = 2
 	flagRenew = 8
 )
 
+// sendMessage is the wire form of spool.Send.
 type sendMessage struct {
 	ID      string  `json:"msg_id"`
 	Rank    int     `json:"rank"`
@@ -39,7 +41,7 @@
 	Source  string  `json:"supplier"`
 }
 
-// EncodeAction turns an action into its message.
+// EncodeAction returns the message of an action, ready for encoding/json.
 func EncodeAction(a spool.Action) any {
 	switch a := a.(type) {
 	case spool.Send:
@@ -76,7 +78,7 @@
 	return object{"DEBUG": object{"message": "an action without a message"}}
 }
 
-// Encode writes the reply as one line.
+// Encode returns the reply as one line of JSON.
 func (r Reply) Encode() ([]byte, error) {
 	if r.Groups == nil {
 		r.Groups = []InstanceReply{}
--- a/internal/protocol/simwire/settings.go
+++ b/internal/protocol/simwire/settings.go
@@ -7,7 +7,7 @@
 	spool "indigospool"
 )
 
-// elementAt returns a list's element, or the zero value past its end.
+// elementAt returns the element of a list at an index, or the zero value if there is none.
 func elementAt[T any](list []T, i int) (v T) {
 	if i >= 0 && i < len(list) {
 		v = list[i]
@@ -15,21 +15,23 @@
 	return v
 }
 
+// startFields is the wire form of Start.
 type startFields struct {
-	Seed uint64          `json:"init_seed"`
-	Boot json.RawMessage `json:"boot_info"`
+	Seed     uint64          `json:"init_seed"`
+	Settings json.RawMessage `json:"boot_info"`
 }
 
-// Settings is all that an instance is told at its start: what the module goes by, and
-// what only those on sockets need.
+// Settings are the settings of an instance: those of the module, and those that only a router with
+// real connections uses.
 type Settings struct {
 	Module         spool.Settings
-	Kinds          []string
-	ConnectTimeout float64 // ms
-	ConnIdle       float64 // ms after which members close idle connections; 0: not told
-	Streams        int     // attempts that a connection to a member carries at once; 0: not told
+	Kinds          []string // kinds of members
+	ConnectTimeout float64  // in ms
+	ConnIdle       float64  // time in ms after which members close idle connections; 0: not specified
+	Streams        int      // concurrent attempts per connection to a member; 0: not specified
 }
 
+// settingsMessage is the wire form of Settings.
 type settingsMessage struct {
 	Classes []struct {
 		LatencyObjective     float64 `json:"aim"`
@@ -79,6 +81,8 @@
 	Zone            string  `json:"zone"`
 }
 
+// familySettings are the settings of the cache hierarchy. Lists are in the order of the classes
+// or of the zones.
 type familySettings struct {
 	Fresh                    []float64 `json:"lifetime_by_class"`
 	Grace                    []float64 `json:"older_by"`
@@ -103,73 +107,75 @@
 	LinkKBPerSecond          []float64 `json:"link_in_kb_per_s"`
 }
 
+// parseStart parses the fields of the event that starts an instance.
 func parseStart(raw json.RawMessage) (any, error) {
 	var f startFields
 	if err := json.Unmarshal(raw, &f); err != nil {
 		return nil, err
 	}
-	if f.Boot == nil {
+	if f.Settings == nil {
 		return nil, fmt.Errorf("no boot_info")
 	}
-	s, err := ParseSettings(f.Boot)
+	s, err := ParseSettings(f.Settings)
 	return Start{Seed: f.Seed, Settings: s.Module}, err
 }
 
-// ParseSettings reads the object of settings, of an instance's first message as of a
-// router's configuration. Whether they contradict themselves is the module's to say.
+// ParseSettings parses the settings object of an instance's first message or of a router's
+// configuration. It does not validate the values; see spool.Settings.Valid.
 func ParseSettings(raw json.RawMessage) (out Settings, err error) {
-	var b settingsMessage
-	if err := json.Unmarshal(raw, &b); err != nil {
+	var message settingsMessage
+	if err := json.Unmarshal(raw, &message); err != nil {
 		return out, err
 	}
-	out = Settings{Kinds: b.Kinds, ConnectTimeout: b.Limits.ConnectTimeout, ConnIdle: b.Limits.ConnIdle,
-		Streams: b.Limits.Streams}
-	out.Module, err = moduleSettings(&b)
+	out = Settings{Kinds: message.Kinds, ConnectTimeout: message.Limits.ConnectTimeout, ConnIdle: message.Limits.ConnIdle,
+		Streams: message.Limits.Streams}
+	out.Module, err = moduleSettings(&message)
 	return out, err
 }
 
-func moduleSettings(b *settingsMessage) (spool.Settings, error) {
-	fam := &b.Family
+// moduleSettings converts the settings of the module from their wire form.
+func moduleSettings(message *settingsMessage) (spool.Settings, error) {
+	family := &message.Family
 	s := spool.Settings{
-		RouterIndex: b.RouterIndex, Routers: b.Routers, Zone: b.Zone, Zones: b.Zones,
-		RoutersByZone: fam.RoutersByZone, HubOfZone: fam.HubOfZone, LinkCapacity: map[string]float64{},
-		TimerResolution: b.TimerResolution, AnswerSlack: b.Rules.AnswerSlack, DrainGrace: b.Rules.DrainGrace,
-		WarmUpInitialShare: b.Rules.WarmUpInitialShare, WarmUpTime: b.Rules.WarmUpTime,
-		OverloadFactor: b.Rules.OverloadFactor, OverloadTime: b.Rules.OverloadTime,
-		ParentWarmUpInitialShare: fam.ParentWarmUpInitialShare, ParentWarmUpTime: fam.ParentWarmUpTime, ParentOverloadFactor: fam.ParentOverloadFactor,
-		OriginOverloadFactor: fam.OriginOverloadFactor, PurgeTime: fam.PurgeTime, PurgeSlack: fam.PurgeSlack,
-		DirectAttempts: fam.DirectAttempts, JoinFills: fam.JoinFills, FlowKBPerMs: fam.FlowKBPerSecond / 1000,
-		SizeIsCapacity: b.WeightKind == "nominal" || b.WeightKind == "rough",
-		MaxAttempts:    b.Limits.MaxAttempts, MaxRequests: b.Limits.MaxRequests,
-		HedgedRequests: b.Limits.HedgedRequests, CanCancel: b.Limits.CanCancel, CanProbe: b.Limits.CanProbe,
-		WatchRequired: b.Discovery == "on_request", PollInterval: b.Rules.PollInterval,
-		LoadMetrics: b.Feedback.Names,
+		RouterIndex: message.RouterIndex, Routers: message.Routers, Zone: message.Zone, Zones: message.Zones,
+		RoutersByZone: family.RoutersByZone, HubOfZone: family.HubOfZone, LinkCapacity: map[string]float64{},
+		TimerResolution: message.TimerResolution, AnswerSlack: message.Rules.AnswerSlack, DrainGrace: message.Rules.DrainGrace,
+		WarmUpInitialShare: message.Rules.WarmUpInitialShare, WarmUpTime: message.Rules.WarmUpTime,
+		OverloadFactor: message.Rules.OverloadFactor, OverloadTime: message.Rules.OverloadTime,
+		ParentWarmUpInitialShare: family.ParentWarmUpInitialShare, ParentWarmUpTime: family.ParentWarmUpTime, ParentOverloadFactor: family.ParentOverloadFactor,
+		OriginOverloadFactor: family.OriginOverloadFactor, PurgeTime: family.PurgeTime, PurgeSlack: family.PurgeSlack,
+		DirectAttempts: family.DirectAttempts, JoinFills: family.JoinFills, FlowKBPerMs: family.FlowKBPerSecond / 1000,
+		SizeIsCapacity: message.WeightKind == "nominal" || message.WeightKind == "rough",
+		MaxAttempts:    message.Limits.MaxAttempts, MaxRequests: message.Limits.MaxRequests,
+		HedgedRequests: message.Limits.HedgedRequests, CanCancel: message.Limits.CanCancel, CanProbe: message.Limits.CanProbe,
+		WatchRequired: message.Discovery == "on_request", PollInterval: message.Rules.PollInterval,
+		LoadMetrics: message.Feedback.Names,
 	}
-	if b.Limits.RetryAfter {
-		s.MaxRetryAfter = b.Limits.MaxRetryAfter
+	if message.Limits.RetryAfter {
+		s.MaxRetryAfter = message.Limits.MaxRetryAfter
 	}
-	if fam.ParentKind != nil {
-		s.ParentKind = elementAt(b.Kinds, *fam.ParentKind)
+	if family.ParentKind != nil {
+		s.ParentKind = elementAt(message.Kinds, *family.ParentKind)
 	}
-	if fam.OriginKind != nil {
-		s.OriginKind = elementAt(b.Kinds, *fam.OriginKind)
+	if family.OriginKind != nil {
+		s.OriginKind = elementAt(message.Kinds, *family.OriginKind)
 	}
-	for i, z := range b.Zones {
-		s.LinkCapacity[z] = elementAt(fam.LinkKBPerSecond, i) / 1000
+	for i, z := range message.Zones {
+		s.LinkCapacity[z] = elementAt(family.LinkKBPerSecond, i) / 1000
 	}
 	var err error
-	if s.SiblingScope, err = lookUp(scopes, fam.SiblingScope, "neighbours"); err != nil {
+	if s.SiblingScope, err = lookUp(scopes, family.SiblingScope, "neighbours"); err != nil {
 		return s, err
 	}
-	if s.Detail, err = lookUp(details, fam.Detail, "detail"); err != nil {
+	if s.Detail, err = lookUp(details, family.Detail, "detail"); err != nil {
 		return s, err
 	}
-	for i, c := range b.Classes {
+	for i, c := range message.Classes {
 		k := spool.Class{Name: c.Name, LatencyObjective: c.LatencyObjective, ObjectivePerSendTime: c.ObjectivePerSendTime, Deadline: c.Deadline,
 			PriorityWeight: c.PriorityWeight, LateWeightShare: c.LateWeightShare, KeyWindow: c.KeyWindow, Streamed: c.Streamed,
-			InParts: elementAt(fam.InParts, i), Write: elementAt(fam.Write, i),
-			Fresh: elementAt(fam.Fresh, i), Grace: elementAt(fam.Grace, i), StaleWeightShare: elementAt(fam.StaleWeightShare, i)}
-		if k.Idempotency, err = lookUp(effects, c.Idempotency, "idempotency"); err != nil {
+			InParts: elementAt(family.InParts, i), Write: elementAt(family.Write, i),
+			Fresh: elementAt(family.Fresh, i), Grace: elementAt(family.Grace, i), StaleWeightShare: elementAt(family.StaleWeightShare, i)}
+		if k.Idempotency, err = lookUp(idempotencies, c.Idempotency, "idempotency"); err != nil {
 			return s, fmt.Errorf("class %.40q: %w", c.Name, err)
 		}
 		if k.KeyScope, err = lookUp(scopes, c.KeyScope, "group"); err != nil {
--- a/internal/protocol/simwire/wire.go
+++ b/internal/protocol/simwire/wire.go
@@ -1,6 +1,6 @@
-// Package simwire turns the lines of the simulator's JSON wire into the events of package
-// indigospool, and its actions into replies. All words of that wire stay here; cmd/adapter
-// reads and writes the lines.
+// Package simwire implements the simulator's JSON protocol: it parses lines of input into events of
+// package indigospool and encodes its actions as replies. The names of that protocol are used in this
+// package only. Command adapter serves the protocol on standard input and output.
 package simwire
 
 import (
@@ -18,7 +18,7 @@
 	Groups []Group  `json:"groups"`
 }
 
-// Group is what one instance hears in a batch.
+// Group holds the events of one instance in a batch.
 type Group struct {
 	Instance *int                         `json:"i"`
 	Inbox    []map[string]json.RawMessage `json:"inbox"`
@@ -33,7 +33,7 @@
 // Stop ends an instance.
 type Stop struct{}
 
-// ParseBatch reads one line.
+// ParseBatch parses one line of input.
 func ParseBatch(line []byte) (Batch, error) {
 	var b Batch
 	if err := json.Unmarshal(line, &b); err != nil {
@@ -44,12 +44,13 @@
 	}
 	for _, g := range b.Groups {
 		if g.Instance == nil {
-			return b, errors.New("a group names no instance")
+			return b, errors.New("group without instance")
 		}
 	}
 	return b, nil
 }
 
+// endpointRow is the wire form of spool.Member.
 type endpointRow struct {
 	Cache   string  `json:"cache"`
 	Zone    string  `json:"area"`
@@ -60,12 +61,12 @@
 	ReadyAt float64 `json:"ready_at"`
 }
 
-// eventFields holds every field that an event other than BORN can have.
+// eventFields holds the fields of all events except BORN.
 type eventFields struct {
 	ID          string        `json:"msg_id"`
 	Class       string        `json:"tier_class"`
-	Tenant      any           `json:"user_group"` // a name, or 0 for none
-	Object      any           `json:"item"`       // a name, or 0 for none
+	Tenant      any           `json:"user_group"` // a string, or the number 0 for none
+	Object      any           `json:"item"`       // a string, or the number 0 for none
 	Deadline    float64       `json:"give_up_at"`
 	KB          float64       `json:"kb"`
 	Group       float64       `json:"purge_group"`
@@ -104,7 +105,7 @@
 	"location": spool.ScopeZone, "all": spool.ScopeAll, "any": spool.ScopeAll,
 }
 
-var effects = map[string]spool.Idempotency{
+var idempotencies = map[string]spool.Idempotency{
 	"": spool.Idempotent, "free": spool.Idempotent, "guarded": spool.IdempotentByKey, "single_shot": spool.NonIdempotent,
 }
 
@@ -112,7 +113,7 @@
 	"": spool.DetailOff, "off": spool.DetailOff, "hit": spool.DetailHit, "all": spool.DetailAll,
 }
 
-// lookUp looks a word up and says what it was for when it is unknown.
+// lookUp returns the value of a word in a table. The error for an unknown word names the field.
 func lookUp[T any](table map[string]T, word, what string) (T, error) {
 	v, ok := table[word]
 	if !ok {
@@ -121,7 +122,8 @@
 	return v, nil
 }
 
-// identifier reads a value that is a word, or a number where there is none.
+// identifier returns a JSON value that is a string or a number as a string. The number 0 and values of
+// other types become the empty string.
 func identifier(v any) string {
 	switch v := v.(type) {
 	case string:
@@ -134,11 +136,10 @@
 	return ""
 }
 
-// ParseEvent reads one entry of an inbox: a Born, a Destroy, or an event of
-// the library.
+// ParseEvent parses an entry of Group.Inbox: it returns a Start, a Stop or a spool.Event.
 func ParseEvent(m map[string]json.RawMessage) (any, error) {
 	if len(m) != 1 {
-		return nil, fmt.Errorf("an event has %d names, not one", len(m))
+		return nil, fmt.Errorf("event has %d names, want 1", len(m))
 	}
 	for word, raw := range m {
 		ev, err := decodeEvent(word, raw)
@@ -150,6 +151,7 @@
 	return nil, nil
 }
 
+// decodeEvent decodes the fields of an event by its name.
 func decodeEvent(word string, raw json.RawMessage) (any, error) {
 	if word == "BORN" {
 		return parseStart(raw)
@@ -170,7 +172,7 @@
 		for _, e := range f.Rows {
 			r := spool.Member{ID: e.Cache, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Size: e.Size, ReadyAt: e.ReadyAt}
 			if e.Cache == "" {
-				return nil, errors.New("a row names no cache")
+				return nil, errors.New("endpoint row without cache")
 			}
 			if r.State, err = lookUp(states, e.State, "phase"); err != nil {
 				return nil, err
--- a/rangesplit.go
+++ b/rangesplit.go
@@ -155,14 +155,14 @@
 
 // keepSplits keeps the previous split points whose imbalance is below splitMoveThreshold, so that
 // random variation of the counts moves no ranges.
-func keepSplits(splits, before []int, cost []float64) {
+func keepSplits(splits, previous []int, cost []float64) {
 	sum := total(cost)
 	cumulative := make([]float64, len(cost)+1) // total cost of the parts before each index
 	for part, partCost := range cost {
 		cumulative[part+1] = cumulative[part] + partCost
 	}
 	ranges := len(splits) + 1
-	for i, split := range before {
+	for i, split := range previous {
 		if split <= 0 || split >= len(cost) {
 			continue
 		}
