--- a/settings.go
+++ b/settings.go
@@ -61,7 +61,7 @@
 	case len(s.Classes) == 0:
 		return errors.New("indigospool: settings have no class")
 	case s.WarmUpInitialShare < 0 || s.WarmUpInitialShare > 1 || s.ParentWarmUpInitialShare < 0 || s.ParentWarmUpInitialShare > 1:
-		return fmt.Errorf("indigospool: initial warm-up share of caches (%v) or parents (%v) is not between 0 and 1",
+		return fmt.Errorf("indigospool: a cold share is not within 0 and 1: %v of caches, %v of parents",
 			s.WarmUpInitialShare, s.ParentWarmUpInitialShare)
 	case s.ParentKind != "" && s.ParentKind == s.OriginKind:
 		return fmt.Errorf("indigospool: parents and origin have the same kind %q", s.ParentKind)
@@ -72,7 +72,7 @@
 	named := map[string]bool{}
 	for _, class := range s.Classes {
 		if named[class.Name] {
-			return fmt.Errorf("indigospool: duplicate class %q", class.Name)
+			return fmt.Errorf("indigospool: class %q is named twice", class.Name)
 		}
 		named[class.Name] = true
 	}
