--- a/admission_test.go
+++ b/admission_test.go
@@ -49,19 +49,19 @@
 	}
 }
 
-// TestChanceDoesNotLowerLimit: where sizes are not stated, one in five that take long
+// TestOccasionalSlowTransfersDoNotLowerLimit: where sizes are not stated, one in five that take long
 // are large ones, and as they come by chance they do not lower the limit; a lasting shortage
 // still does. It guards against a link that is taken to be full and is not.
-func TestChanceDoesNotLowerLimit(t *testing.T) {
+func TestOccasionalSlowTransfersDoNotLowerLimit(t *testing.T) {
 	rig, rng := newRig(t, testSettings()), rand.New(rand.NewSource(5))
-	least := initialLimit
+	lowest := initialLimit
 	for range 5000 {
 		rig.now += 5
 		rig.router.adjustLimit(&rig.router.link, transfer{slow: rng.Float64() < 0.2, succeeded: true, took: 100})
-		least = min(least, rig.router.link.limit)
+		lowest = min(lowest, rig.router.link.limit)
 	}
-	if least < initialLimit*0.9 {
-		t.Errorf("the limit came down to %v by chance", least)
+	if lowest < initialLimit*0.9 {
+		t.Errorf("the limit came down to %v by chance", lowest)
 	}
 	for range 400 {
 		rig.now += 25
@@ -72,11 +72,11 @@
 	}
 }
 
-// TestFarSourceDoesNotLowerLimit: fills that wait long for a source and then come at once do
+// TestDistantSourceDoesNotLowerLimit: fills that wait long for a source and then come at once do
 // not lower the link's limit, as long as the wait is within the latency objective; one that takes
 // more than all of it counts, and so does a slow transfer. It guards against few fills at once
 // where each waits for a far source; it relieves a source less that is merely slow.
-func TestFarSourceDoesNotLowerLimit(t *testing.T) {
+func TestDistantSourceDoesNotLowerLimit(t *testing.T) {
 	for _, test := range []struct {
 		took, waited Millis // the aim of a page of 500 KB is 450
 		full         bool
@@ -100,9 +100,9 @@
 	}
 }
 
-// TestStalled: answers that wait for their clients take up no capacity of a cache, and don't make
+// TestStalledTransfersUseNoCapacity: answers that wait for their clients take up no capacity of a cache, and don't make
 // it look silent; once they go on they do again.
-func TestStalled(t *testing.T) {
+func TestStalledTransfersUseNoCapacity(t *testing.T) {
 	for _, stalled := range []bool{false, true} {
 		settings := testSettings()
 		router, err := New(settings, 1)
@@ -111,7 +111,7 @@
 		}
 		now := Millis(1000)
 		router.Handle(now, Members{Full: true, Rows: []Member{{ID: "b", Zone: settings.Zone, Kind: "box", Size: 1}, {ID: "o", Kind: settings.OriginKind}}}, nil)
-		ask := func(id string) (sent bool) {
+		request := func(id string) (sent bool) {
 			for _, a := range router.Handle(now, Request{ID: id, Class: settings.Classes[0].Name, Object: "o", Deadline: now + 60000}, nil) {
 				if send, ok := a.(Send); ok && send.ID == id && send.Cache == "b" {
 					sent = true
@@ -121,7 +121,7 @@
 		}
 		for i := range int(initialLimit) {
 			id := fmt.Sprint("slow", i)
-			if !ask(id) {
+			if !request(id) {
 				t.Fatal("not sent", i)
 			}
 			router.Handle(now, Started{ID: id, Cache: "b"}, nil)
@@ -134,7 +134,7 @@
 			now += 25
 			router.Handle(now, Timer{}, nil)
 		}
-		if got := ask("still"); got != stalled || router.members["b"].ejected == stalled {
+		if got := request("still"); got != stalled || router.members["b"].ejected == stalled {
 			t.Errorf("stalled %v: sent %v, ejected %v", stalled, got, router.members["b"].ejected)
 		}
 		for i := range int(initialLimit) {
--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// TestEndpointListsOfAllKinds: long lists, none, one hub, a router alone and routers
+// TestUnusualEndpointLists: long lists, none, one hub, a router alone and routers
 // that were not counted all leave a router that answers every request.
-func TestEndpointListsOfAllKinds(t *testing.T) {
+func TestUnusualEndpointLists(t *testing.T) {
 	var many []Member
 	for i := range 400 {
 		many = append(many, row(fmt.Sprint("e", i), fmt.Sprint("z", i%40), "box"), row(fmt.Sprint("p", i), "hub", "parent"))
@@ -64,12 +64,12 @@
 		"no parent":    {row("e1", "z1", "box"), row("o1", "hub", "origin")},
 		"all draining": {{ID: "e1", Zone: "z1", Kind: "box", State: Draining}},
 	} {
-		for _, seats := range [][]int{{0, 1}, {0, 0}, nil} {
+		for _, routersByZone := range [][]int{{0, 1}, {0, 0}, nil} {
 			settings := testSettings()
-			settings.RoutersByZone = seats
+			settings.RoutersByZone = routersByZone
 			rig := newRig(t, settings, rows...)
 			open := map[string]bool{}
-			book := func(actions []Action) {
+			removeAnswered := func(actions []Action) {
 				for _, a := range actions {
 					switch a := a.(type) {
 					case Refuse:
@@ -85,24 +85,24 @@
 				open[id] = true
 				actions = append(actions, more...)
 			}
-			book(actions)
+			removeAnswered(actions)
 			for range 2 { // answers of every kind, then again, as lost ones that come late
 				for i, a := range sends(actions) {
 					outcome := Outcome{ID: a.ID, Cache: a.Cache, Result: Result(i % 9), Took: 1, Last: i%9 == 0}
 					if outcome.Last {
 						delete(open, a.ID)
 					}
-					book(rig.handle(outcome))
+					removeAnswered(rig.handle(outcome))
 				}
 			}
 			for _, a := range rig.router.deadlineTimers { // every deadline comes
 				rig.now = max(rig.now, a.Deadline)
 			}
 			for token := int64(1); token <= rig.router.lastTimerToken; token++ {
-				book(rig.handle(Timer{Token: token}))
+				removeAnswered(rig.handle(Timer{Token: token}))
 			}
 			if len(open) > 0 {
-				t.Errorf("%s, seats %v: %d requests without an answer", name, seats, len(open))
+				t.Errorf("%s, seats %v: %d requests without an answer", name, routersByZone, len(open))
 			}
 		}
 	}
--- a/fillsource_test.go
+++ b/fillsource_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestSourceFollowsObject(t *testing.T) {
+func TestSourceDependsOnObject(t *testing.T) {
 	a, b := newRig(t, testSettings()), newRig(t, testSettings())
 	used := map[string]bool{}
 	for i := range 20 {
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -43,24 +43,24 @@
 	weight   []float64 // of each router's traffic
 	rows     []Member
 	sendTime Millis              // sending time of each request
-	arrived  map[string][]Millis // when attempts reached a member, as cache or as source
+	arrivals map[string][]Millis // when attempts reached a member, as cache or as source
 	requests int
 }
 
-const fleetSize = 4.0 // transfers that a member's link bears
+const memberCapacity = 4.0 // transfers that a member's link bears
 
 func newFleet(t *testing.T, routers int, seed int64) *fleet {
 	settings := testSettings()
 	settings.Routers, settings.RoutersByZone, settings.SizeIsCapacity = routers, []int{0, routers}, true
-	fleet := &fleet{t: t, settings: settings, rng: rand.New(rand.NewSource(seed)), now: 1000, sendTime: 100, arrived: map[string][]Millis{}}
+	fleet := &fleet{t: t, settings: settings, rng: rand.New(rand.NewSource(seed)), now: 1000, sendTime: 100, arrivals: map[string][]Millis{}}
 	for i := range 10 {
 		m := row(fmt.Sprint("e", i), "z1", "box")
-		m.Size = fleetSize
+		m.Size = memberCapacity
 		fleet.rows = append(fleet.rows, m)
 	}
 	for i := range 4 {
 		m := row(fmt.Sprint("p", i), "hub", "parent")
-		m.Size = fleetSize
+		m.Size = memberCapacity
 		fleet.rows = append(fleet.rows, m)
 	}
 	fleet.rows = append(fleet.rows, row("o1", "hub", "origin"))
@@ -81,7 +81,7 @@
 	f.handle(router, Members{Full: true, Rows: f.rows})
 }
 
-func (f *fleet) after(d Millis, g func()) { heap.Push(&f.queue, scheduledCall{f.now + d, g}) }
+func (f *fleet) schedule(d Millis, g func()) { heap.Push(&f.queue, scheduledCall{f.now + d, g}) }
 
 // handle gives a router an event, and plays its actions: a cache lacks three in ten, and
 // what it is asked for takes its time.
@@ -89,9 +89,9 @@
 	for _, a := range router.Handle(f.now, ev, nil) {
 		switch a := a.(type) {
 		case Wake:
-			f.after(a.In, func() { f.handle(router, Timer{Token: a.Token}) })
+			f.schedule(a.In, func() { f.handle(router, Timer{Token: a.Token}) })
 		case Send:
-			f.arrived[a.Cache] = append(f.arrived[a.Cache], f.now)
+			f.arrivals[a.Cache] = append(f.arrivals[a.Cache], f.now)
 			try := -1
 			if request := router.requests[a.ID]; request != nil {
 				try = len(request.attempts) - 1
@@ -99,12 +99,12 @@
 			outcome := Outcome{ID: a.ID, Cache: a.Cache, Attempt: try, Result: OK, Note: NoteHit, Last: true}
 			took := f.sendTime * (0.5 + f.rng.Float64())
 			if a.Source != a.Cache {
-				f.arrived[a.Source] = append(f.arrived[a.Source], f.now)
+				f.arrivals[a.Source] = append(f.arrivals[a.Source], f.now)
 				outcome.Note = NoteFilled
 			} else if f.rng.Float64() < 0.3 {
 				outcome.Result, outcome.Note, outcome.Last, took = Miss, NoteNone, false, 2
 			}
-			f.after(took, func() { outcome.Took = took; f.handle(router, outcome) })
+			f.schedule(took, func() { outcome.Took = took; f.handle(router, outcome) })
 		}
 	}
 }
@@ -115,7 +115,7 @@
 	for _, w := range f.weight {
 		sum += w
 	}
-	rate := load * 10 * fleetSize / f.sendTime // requests a millisecond
+	rate := load * 10 * memberCapacity / f.sendTime // requests a millisecond
 	var next func()
 	next = func() {
 		x, i := f.rng.Float64()*sum, 0
@@ -125,7 +125,7 @@
 		f.requests++
 		f.handle(f.routers[i], Request{ID: fmt.Sprint("q", f.requests), Class: "page", Object: fmt.Sprint("o", f.rng.Intn(3000)),
 			KB: f.sendTime * f.settings.FlowKBPerMs, Deadline: f.now + 3000})
-		f.after(f.rng.ExpFloat64()/rate, next)
+		f.schedule(f.rng.ExpFloat64()/rate, next)
 	}
 	end := f.now + span
 	next()
@@ -148,7 +148,7 @@
 func TestFleetSlowStart(t *testing.T) {
 	for _, routers := range []int{3, 30, 300} {
 		for seed := range int64(6) {
-			gathered := seed >= 3
+			queued := seed >= 3
 			t.Run(fmt.Sprint(routers, "/", seed), func(t *testing.T) {
 				t.Parallel()
 				fleet := newFleet(t, routers, seed)
@@ -157,7 +157,7 @@
 				for _, i := range []int{2, 11} {
 					fleet.rows[i].ReadyAt = begin
 				}
-				fleet.arrived = map[string][]Millis{}
+				fleet.arrivals = map[string][]Millis{}
 				for i, router := range fleet.routers {
 					if i%3 == 0 {
 						fleet.startRouter(i)
@@ -166,7 +166,7 @@
 					}
 				}
 				span := 9000.0
-				if gathered {
+				if queued {
 					for _, router := range fleet.routers {
 						router.link.limit, router.link.loweredAt = 0, math.MaxFloat64
 					}
@@ -187,37 +187,37 @@
 
 // slowStartRule is what a member that warms up can bear.
 type slowStartRule struct {
-	from     float64 // share of its capacity at first
-	coldTime Millis
-	fall     float64 // it fails at this multiple of its present capacity
+	initialShare   float64 // share of its capacity at first
+	warmUpTime     Millis
+	overloadFactor float64 // it fails at this multiple of its present capacity
 }
 
 // checkSlowStart checks that a member that started at begin was never sent more attempts within
 // the fall time than it bears and what is chance, and a twentieth of that at least in all.
 func (f *fleet) checkSlowStart(id string, begin Millis, rule slowStartRule) {
-	const least = 0.05
-	fallTime := f.settings.OverloadTime
+	const minUse = 0.05
+	overloadTime := f.settings.OverloadTime
 	allowedAfter := func(span Millis) float64 {
-		return rule.fall * fleetSize * (rule.from + (1-rule.from)*span/rule.coldTime) * fallTime / f.sendTime
+		return rule.overloadFactor * memberCapacity * (rule.initialShare + (1-rule.initialShare)*span/rule.warmUpTime) * overloadTime / f.sendTime
 	}
-	arrived := f.arrived[id]
+	arrived := f.arrivals[id]
 	for i, at := range arrived {
 		allowed := allowedAfter(at - begin)
 		attempts := 0.0
-		for j := i; j < len(arrived) && arrived[j] < at+fallTime; j++ {
+		for j := i; j < len(arrived) && arrived[j] < at+overloadTime; j++ {
 			attempts++
 		}
 		if attempts > allowed+2*math.Sqrt(allowed)+2 {
-			f.t.Errorf("%s: %v attempts within %v ms, %.0f ms after the start; %.1f are allowed", id, attempts, fallTime, at-begin, allowed)
+			f.t.Errorf("%s: %v attempts within %v ms, %.0f ms after the start; %.1f are allowed", id, attempts, overloadTime, at-begin, allowed)
 			break
 		}
 	}
 	allowed := 0.0
-	for span := 0.0; span < 9000; span += fallTime {
+	for span := 0.0; span < 9000; span += overloadTime {
 		allowed += allowedAfter(span)
 	}
 	used := float64(len(arrived))
-	if used < least*allowed {
+	if used < minUse*allowed {
 		f.t.Errorf("%s: %v attempts in 9 s, of %.0f that are allowed", id, used, allowed)
 	}
 	f.t.Logf("%s: %v of %.0f", id, used, allowed)
--- a/inspect_test.go
+++ b/inspect_test.go
@@ -5,26 +5,26 @@
 	"testing"
 )
 
-// TestLooks: a choice reports every member that it looked at, in that order, and the last one is
+// TestCandidates: a choice reports every member that it looked at, in that order, and the last one is
 // the member that was taken.
-func TestLooks(t *testing.T) {
+func TestCandidates(t *testing.T) {
 	rig := newRig(t, testSettings())
 	rig.router.eject(rig.router.members["e1"])
 	rig.router.eject(rig.router.members["e2"])
-	var looks []Candidate
-	rig.router.Explain(func(look Candidate) { looks = append(looks, look) })
+	var candidates []Candidate
+	rig.router.Explain(func(look Candidate) { candidates = append(candidates, look) })
 	reasons := map[string]Reason{}
 	for range 40 { // so many that each ejected cache comes first for some
-		looks = nil
+		candidates = nil
 		id, actions := rig.request("page", string(rune('a'+rig.requests)), 0)
 		send := rig.onlySend(actions)
-		for _, look := range looks {
+		for _, look := range candidates {
 			if look.Request != id || look.AsSource || look.Pass != 0 {
 				t.Fatalf("%+v", look)
 			}
 			reasons[look.Member] = look.Reason
 		}
-		if last := looks[len(looks)-1]; last.Member != send.Cache || last.Reason != ReasonAccepted {
+		if last := candidates[len(candidates)-1]; last.Member != send.Cache || last.Reason != ReasonAccepted {
 			t.Fatalf("sent to %s, the last look is %+v", send.Cache, last)
 		}
 		rig.handle(Outcome{ID: id, Cache: send.Cache, Result: OK, Took: 1, Last: true, Note: NoteHit})
@@ -32,16 +32,16 @@
 	if reasons["e1"] != ReasonEjected || reasons["e2"] != ReasonEjected || reasons["e3"] != ReasonAccepted {
 		t.Errorf("reasons %v", reasons)
 	}
-	looks = nil
+	candidates = nil
 	rig.router.Explain(nil)
 	rig.request("page", "x", 0)
-	if len(looks) > 0 {
-		t.Errorf("looks after the end: %v", looks)
+	if len(candidates) > 0 {
+		t.Errorf("looks after the end: %v", candidates)
 	}
 }
 
-// TestLookOfFullLink: what concerns the request as such names no member.
-func TestLookOfFullLink(t *testing.T) {
+// TestCandidateWithoutMember: what concerns the request as such names no member.
+func TestCandidateWithoutMember(t *testing.T) {
 	rig := newRig(t, testSettings())
 	id, actions := rig.request("video", "x", 0)
 	send := rig.onlySend(actions)
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestBeliefs: what is known of members and of the link is reported as it is.
-func TestBeliefs(t *testing.T) {
+// TestStatuses: what is known of members and of the link is reported as it is.
+func TestStatuses(t *testing.T) {
 	rig := newRig(t, testSettings())
 	_, send, _ := rig.requestFill("page", "x", 0)
 	source := rig.router.members[send.Source]
--- a/outlier_test.go
+++ b/outlier_test.go
@@ -17,8 +17,8 @@
 		{"hangs", nil},
 	} {
 		rig := newRig(t, testSettings())
-		var held []string
-		phase := func(n int, broken bool) (hits int) {
+		var unanswered []string
+		run := func(n int, broken bool) (hits int) {
 			for i := range n {
 				id, actions := rig.request("page", fmt.Sprint("o", i%30), 0)
 				for k := 0; len(sends(actions)) > 0; k++ {
@@ -27,7 +27,7 @@
 					if send.Cache == "e2" {
 						hits++
 						if broken && test.reply == nil {
-							held = append(held, id)
+							unanswered = append(unanswered, id)
 							break
 						}
 						if broken {
@@ -41,16 +41,16 @@
 			}
 			return hits
 		}
-		phase(100, false)
-		if early, later := phase(60, true), phase(120, true); early == 0 || later > 10 {
+		run(100, false)
+		if early, later := run(60, true), run(120, true); early == 0 || later > 10 {
 			t.Errorf("%s: %d then %d attempts at the broken cache", test.name, early, later)
 		}
-		for _, id := range held {
+		for _, id := range unanswered {
 			rig.handle(Outcome{ID: id, Cache: "e2", Result: TimedOut, Last: true})
 		}
-		phase(200, false)
-		phase(400, false)
-		if back := phase(100, false); back < 20 {
+		run(200, false)
+		run(400, false)
+		if back := run(100, false); back < 20 {
 			t.Errorf("%s: only %d attempts after the repair", test.name, back)
 		}
 	}
@@ -84,9 +84,9 @@
 	t.Errorf("still ejected after 4 s of good answers: %+v", member)
 }
 
-// TestResetsAmongAnswersEjectNobody: connections that break by themselves do not eject a cache
+// TestOccasionalResetsEjectNoMember: connections that break by themselves do not eject a cache
 // that answers on others; one that resets all it has, and then refuses, is one at once.
-func TestResetsAmongAnswersEjectNobody(t *testing.T) {
+func TestOccasionalResetsEjectNoMember(t *testing.T) {
 	rig := newRig(t, testSettings())
 	for i := range 300 {
 		rig.wait(25)
@@ -105,14 +105,14 @@
 			t.Errorf("%s is ejected", member.ID)
 		}
 	}
-	var out []Send
+	var outstanding []Send
 	for i := range 60 {
 		_, actions := rig.request("page", fmt.Sprint("c", i), 0)
-		out = append(out, sends(actions)...)
+		outstanding = append(outstanding, sends(actions)...)
 	}
 	rig.now += 5
-	dead := out[0].Cache
-	for _, send := range out {
+	dead := outstanding[0].Cache
+	for _, send := range outstanding {
 		if send.Cache == dead {
 			rig.handle(Outcome{ID: send.ID, Cache: dead, Result: Reset})
 		}
@@ -122,10 +122,10 @@
 	}
 }
 
-// TestThinTrafficEjectsNobody: a router that asks a cache now and then hears nothing in
+// TestLightTrafficEjectsNoMember: a router that asks a cache now and then hears nothing in
 // between; a large answer that takes its time right after is no silence. It was: on a day
 // without a fault each router ejected 14 of 18 members.
-func TestThinTrafficEjectsNobody(t *testing.T) {
+func TestLightTrafficEjectsNoMember(t *testing.T) {
 	rig := newRig(t, testSettings(), baseRows()...)
 	q, actions := rig.request("video", "o1", 0)
 	send := rig.onlySend(actions)
@@ -161,10 +161,10 @@
 	}
 }
 
-// TestInvalidRequestEjectsNobody: a request that two caches find fault with, with no source involved,
+// TestInvalidRequestsEjectNoMember: a request that two caches find fault with, with no source involved,
 // is ended, and ejects neither, however many come; one cache that fails what others serve
 // is still ejected.
-func TestInvalidRequestEjectsNobody(t *testing.T) {
+func TestInvalidRequestsEjectNoMember(t *testing.T) {
 	rig := newRig(t, testSettings())
 	for range 30 {
 		id, actions := rig.request("page", "nothing fits it", 0)
@@ -202,9 +202,9 @@
 	}
 }
 
-// TestBreakBehindTarget: a fill that breaks while its target makes progress is the source's fault;
+// TestFillTimeoutBlamesSource: a fill that breaks while its target makes progress is the source's fault;
 // where both have made progress since, it is nobody's.
-func TestBreakBehindTarget(t *testing.T) {
+func TestFillTimeoutBlamesSource(t *testing.T) {
 	for _, progress := range []bool{false, true} {
 		rig := newRig(t, testSettings())
 		id, send, attempt := rig.requestFill("page", "x", 0)
--- a/parent_check_test.go
+++ b/parent_check_test.go
@@ -30,12 +30,12 @@
 				rig.router.eject(rig.router.members["o1"])
 			}
 			rig.wait(initialCheckBackoff + tickInterval) // until health checks are due
-			asked := map[string]int{}
+			fills := map[string]int{}
 			for i := range 200 {
 				rig.router.link.limit = c.linkLimit
 				id, send, attempt := rig.requestFill("page", fmt.Sprint("x", i), 0)
 				source := rig.router.members[send.Source]
-				asked[source.ID]++
+				fills[source.ID]++
 				if source.ejected && source.role == parent && !source.checking {
 					t.Fatalf("%s is ejected and asked, and that is no health check", source.ID)
 				}
@@ -43,7 +43,7 @@
 				rig.wait(50)
 			}
 			if back := !first.ejected && !second.ejected; back != c.back {
-				t.Errorf("after 10 s in which all fills came well both parents are back: %v, want %v; asked %v", back, c.back, asked)
+				t.Errorf("after 10 s in which all fills came well both parents are back: %v, want %v; asked %v", back, c.back, fills)
 			}
 		})
 	}
--- a/rangesplit_test.go
+++ b/rangesplit_test.go
@@ -100,9 +100,9 @@
 	}
 }
 
-// TestFirstRangesNeedEvidence: the more routers share a location's caches, the more requests
+// TestFirstWindowGrowsWithRouters: the more routers share a location's caches, the more requests
 // each sees before it draws ranges of its own.
-func TestFirstRangesNeedEvidence(t *testing.T) {
+func TestFirstWindowGrowsWithRouters(t *testing.T) {
 	for _, test := range []struct{ routers, requests int }{{1, 128}, {2, 128}, {20, 1280}} {
 		settings := testSettings()
 		settings.Routers, settings.Zones, settings.RoutersByZone = test.routers, []string{settings.Zone}, []int{test.routers}
--- a/ranking_test.go
+++ b/ranking_test.go
@@ -20,16 +20,16 @@
 			list = append(list, member)
 		}
 		hash := rapid.Uint64().Draw(t, "hash")
-		plain, weighty := slices.Clone(list), slices.Clone(list)
+		plain, weighted := slices.Clone(list), slices.Clone(list)
 		slices.SortFunc(plain, func(a, b *member) int { return cmp.Compare(mix(hash^b.hash), mix(hash^a.hash)) })
 		key := func(member *member) float64 {
 			return math.Log(max(hashFraction(hash^member.hash), 1e-18)) / router.capacity(member)
 		}
-		slices.SortFunc(weighty, func(a, b *member) int { return cmp.Compare(key(b), key(a)) })
+		slices.SortFunc(weighted, func(a, b *member) int { return cmp.Compare(key(b), key(a)) })
 		for name, c := range map[string]struct {
 			got  *ranking
 			want []*member
-		}{"plain": {byRendezvous(list, hash), plain}, "weighed": {router.byWeightedRendezvous(list, hash), weighty}} {
+		}{"plain": {byRendezvous(list, hash), plain}, "weighed": {router.byWeightedRendezvous(list, hash), weighted}} {
 			for range 2 { // the second time all are in order already
 				if got := slices.Collect(c.got.members); !slices.Equal(got, c.want) {
 					t.Fatalf("%s: not in the order of a sort", name)
--- a/request_test.go
+++ b/request_test.go
@@ -65,11 +65,11 @@
 	}
 }
 
-// TestRejectionPromises: a rejection tells a client that a retry is harmless. A keyed write of which
+// TestRejectionOnlyIfRetryIsSafe: a rejection tells a client that a retry is harmless. A keyed write of which
 // an attempt may have run is harmless to retry only within the window that the caches remember
 // its key for, and no client is held to that: such a request fails. Seen as an effect that
 // happened twice, the client having come back as advised, past the window.
-func TestRejectionPromises(t *testing.T) {
+func TestRejectionOnlyIfRetryIsSafe(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		class  string
--- a/retry_test.go
+++ b/retry_test.go
@@ -58,13 +58,13 @@
 	settings.DirectAttempts = false
 	rig := newRig(t, settings, row("e1", "z1", "box"), row("e2", "z1", "box"), row("p1", "hub", "parent"), row("o1", "hub", "origin"))
 	id, a, n := rig.requestFill("page", "x", 0)
-	turned := map[string]Millis{}
+	lastAttempt := map[string]Millis{}
 	times := map[string][]Millis{}
 	ended := false
 	actions := []Action(nil)
 	for began := rig.now; rig.now < began+1500 && !ended; {
-		times[a.Cache] = append(times[a.Cache], rig.now-turned[a.Cache])
-		turned[a.Cache] = rig.now
+		times[a.Cache] = append(times[a.Cache], rig.now-lastAttempt[a.Cache])
+		lastAttempt[a.Cache] = rig.now
 		for actions = rig.handle(Outcome{ID: id, Attempt: n, Cache: a.Cache, Result: Rejected, Took: 0.1, Note: NoteNoCapacity}); len(sends(actions)) == 0; actions = rig.wait(5) {
 			if k, _ := finalAnswers(actions); k > 0 || rig.now >= began+1500 {
 				ended = true
@@ -175,10 +175,10 @@
 			t.Run(fmt.Sprint(class, "/", shortage), func(t *testing.T) {
 				rig := newRig(t, testSettings())
 				id, actions := rig.request(class, "x", 0)
-				ends, sent := rig.now+shortage, map[Millis]int{}
-				for attempt, g0 := 0, rig.now; rig.now < g0+2900; {
+				shortageEnd, sent := rig.now+shortage, map[Millis]int{}
+				for attempt, arrived := 0, rig.now; rig.now < arrived+2900; {
 					if count, _ := finalAnswers(actions); count > 0 {
-						t.Fatalf("a final answer %.0f ms after the request: %v", rig.now-g0, actions)
+						t.Fatalf("a final answer %.0f ms after the request: %v", rig.now-arrived, actions)
 					}
 					if len(sends(actions)) == 0 {
 						actions = rig.wait(tickInterval)
@@ -186,16 +186,16 @@
 					}
 					send := rig.onlySend(actions)
 					if sent[rig.now]++; sent[rig.now] > 1 {
-						t.Fatalf("%d sends at once, %.0f ms after the request", sent[rig.now], rig.now-g0)
+						t.Fatalf("%d sends at once, %.0f ms after the request", sent[rig.now], rig.now-arrived)
 					}
 					result := LocalFailure
-					if rig.now >= ends {
+					if rig.now >= shortageEnd {
 						result = OK
 					}
 					actions = rig.handle(Outcome{ID: id, Cache: send.Cache, Attempt: attempt, Result: result, Last: result == OK})
 					attempt++
 					if result == OK {
-						if late := rig.now - ends; late > 2*maxLocalBackoff {
+						if late := rig.now - shortageEnd; late > 2*maxLocalBackoff {
 							t.Errorf("served %.0f ms after the shortage", late)
 						}
 						if attempt > 60 {
@@ -241,9 +241,9 @@
 	t.Errorf("eight attempts, all at %s", first)
 }
 
-// TestKeyIsRememberedByGroup: a request with an idempotency key that may have run goes on only to
+// TestKeyScope: a request with an idempotency key that may have run goes on only to
 // members of the group that remembers the key, whatever the group is.
-func TestKeyIsRememberedByGroup(t *testing.T) {
+func TestKeyScope(t *testing.T) {
 	executed := &member{Member: Member{ID: "a", Zone: "z1", Cell: 1}}
 	sameCell := &member{Member: Member{ID: "b", Zone: "z1", Cell: 1}}
 	otherCell := &member{Member: Member{ID: "c", Zone: "z1", Cell: 2}}
--- a/rig_test.go
+++ b/rig_test.go
@@ -68,11 +68,11 @@
 func (g *testRig) request(class, object string, part int) (string, []Action) {
 	g.requests++
 	id := fmt.Sprint("q", g.requests)
-	dead := 3000.0
+	timeout := 3000.0
 	if c := g.router.classes[class]; c != nil {
-		dead = c.Deadline
+		timeout = c.Deadline
 	}
-	return id, g.handle(Request{ID: id, Class: class, Object: object, Part: part, KB: 500, Deadline: g.now + dead})
+	return id, g.handle(Request{ID: id, Class: class, Object: object, Part: part, KB: 500, Deadline: g.now + timeout})
 }
 
 func sends(actions []Action) (out []Send) {
--- a/scale_test.go
+++ b/scale_test.go
@@ -15,9 +15,9 @@
 const (
 	smallFleet, largeFleet = 200, 3200
 
-	cpuTimes, cpuPlus, cpuPerThousand          = 1.4, 0.02, 0.03 // s
-	memoryTimes, memoryPlus, memoryPerThousand = 1.5, 8.0, 4.0   // MB
-	servedTimes                                = 0.85
+	cpuFactor, cpuAllowance, cpuPerThousand          = 1.4, 0.02, 0.03 // s
+	memoryFactor, memoryAllowance, memoryPerThousand = 1.5, 8.0, 4.0   // MB
+	servedFactor                                     = 0.85
 )
 
 // scaleScenario is a router's day among many caches that answer at once or after a fill.
@@ -63,17 +63,17 @@
 	return last
 }
 
-func (d *scaleScenario) after(span Millis, do func()) {
+func (d *scaleScenario) schedule(span Millis, do func()) {
 	d.queue.scheduled++
 	heap.Push(&d.queue, scaleEvent{d.now + span, d.queue.scheduled, do})
 }
 
 const (
-	scaleSpan    = Millis(60000)
-	scaleGap     = Millis(50)   // between two requests
-	scaleChange  = Millis(5000) // between two changes of the list
-	scaleObjects = 400
-	scaleParts   = 8
+	scaleDuration        = Millis(60000)
+	scaleRequestInterval = Millis(50)   // between two requests
+	scaleUpdateInterval  = Millis(5000) // between two changes of the list
+	scaleObjects         = 400
+	scaleParts           = 8
 )
 
 func newScaleScenario(t testing.TB, fleet int) *scaleScenario {
@@ -113,7 +113,7 @@
 	var request, change func()
 	request = func() {
 		d.sendRequest()
-		d.after(scaleGap, request)
+		d.schedule(scaleRequestInterval, request)
 	}
 	change = func() {
 		for range len(d.caches) / smallFleet {
@@ -123,13 +123,13 @@
 			d.caches[i] = d.newCache(d.now)
 			d.handle(Members{Rows: []Member{gone, d.caches[i]}})
 		}
-		d.after(scaleChange, change)
+		d.schedule(scaleUpdateInterval, change)
 	}
-	d.after(scaleGap, request)
-	d.after(scaleChange, change)
+	d.schedule(scaleRequestInterval, request)
+	d.schedule(scaleUpdateInterval, change)
 	for d.queue.Len() > 0 {
 		next := heap.Pop(&d.queue).(scaleEvent)
-		if next.at > scaleSpan {
+		if next.at > scaleDuration {
 			return
 		}
 		d.now = next.at
@@ -158,9 +158,9 @@
 		case Send:
 			d.answer(act)
 		case Wake:
-			d.after(act.In, func() { d.handle(Timer{Token: act.Token}) })
+			d.schedule(act.In, func() { d.handle(Timer{Token: act.Token}) })
 		case Cancel:
-			d.after(0, func() { d.handle(Outcome{ID: act.ID, Attempt: act.Attempt, Result: Cancelled}) })
+			d.schedule(0, func() { d.handle(Outcome{ID: act.ID, Attempt: act.Attempt, Result: Cancelled}) })
 		}
 	}
 	d.actions = actions
@@ -171,15 +171,15 @@
 	request := d.router.requests[send.ID]
 	attempt, sent := len(request.attempts)-1, d.now
 	took, result := 5+20*d.rng.Float64(), OK
-	place := fmt.Sprintf("%s/%s/%d", send.Cache, request.Object, request.Part)
+	key := fmt.Sprintf("%s/%s/%d", send.Cache, request.Object, request.Part)
 	switch {
 	case send.Source != send.Cache:
 		took += 40
-		d.cached[place] = true
-	case !d.cached[place] && request.class.Name != "note":
+		d.cached[key] = true
+	case !d.cached[key] && request.class.Name != "note":
 		result = Miss
 	}
-	d.after(took, func() {
+	d.schedule(took, func() {
 		if result == OK {
 			d.served++
 		}
@@ -206,13 +206,13 @@
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	from := userTime(t)
-	day := newScaleScenario(t, fleet)
-	day.run()
+	scenario := newScaleScenario(t, fleet)
+	scenario.run()
 	cpu := userTime(t) - from
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	runtime.KeepAlive(day)
-	return resources{cpu, (float64(after.HeapAlloc) - float64(before.HeapAlloc)) / (1 << 20), float64(day.served) / float64(day.requests)}
+	runtime.KeepAlive(scenario)
+	return resources{cpu, (float64(after.HeapAlloc) - float64(before.HeapAlloc)) / (1 << 20), float64(scenario.served) / float64(scenario.requests)}
 }
 
 // TestScale: the same stream of requests, ticks and changes over 200 and over 3,200 caches.
@@ -225,13 +225,13 @@
 	}
 	t.Logf("%d caches: %+v; %d caches: %+v", smallFleet, small, largeFleet, large)
 	thousands := float64(largeFleet) / 1000
-	if most := cpuTimes*small.cpu + cpuPlus + cpuPerThousand*thousands; large.cpu > most {
+	if most := cpuFactor*small.cpu + cpuAllowance + cpuPerThousand*thousands; large.cpu > most {
 		t.Errorf("CPU %.3f s, at most %.3f s", large.cpu, most)
 	}
-	if most := memoryTimes*small.memory + memoryPlus + memoryPerThousand*thousands; large.memory > most {
+	if most := memoryFactor*small.memory + memoryAllowance + memoryPerThousand*thousands; large.memory > most {
 		t.Errorf("memory %.1f MB, at most %.1f MB", large.memory, most)
 	}
-	if least := servedTimes * small.served; large.served < least {
+	if least := servedFactor * small.served; large.served < least {
 		t.Errorf("served %.3f, at least %.3f", large.served, least)
 	}
 }
--- a/settings_test.go
+++ b/settings_test.go
@@ -30,7 +30,7 @@
 	if len(sends(actions)) != 1 {
 		t.Fatalf("%+v", actions)
 	}
-	hand := sends(actions)[0]
+	pending := sends(actions)[0]
 	rig.now += 100
 	next := settings
 	next.Classes = append([]Class{{Name: "new", LatencyObjective: 100, Deadline: 1000, PriorityWeight: 1}}, settings.Classes...)
@@ -55,7 +55,7 @@
 	if w := rig.router.warmUpShare(rig.router.members["e2"]); w > 0.21 {
 		t.Errorf("the cold member is warm by %v", w)
 	}
-	actions = rig.handle(Outcome{ID: hand.ID, Cache: hand.Cache, Result: Reset})
+	actions = rig.handle(Outcome{ID: pending.ID, Cache: pending.Cache, Result: Reset})
 	if len(sends(actions)) != 0 || len(actions) != 1 {
 		t.Errorf("a single-shot request in hand was sent again after its class had changed: %+v", actions)
 	}
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -9,7 +9,7 @@
 func TestSlowStartBudget(t *testing.T) {
 	for _, id := range []string{"e2", "p2"} {
 		rig := newRig(t, testSettings())
-		ask := func(n int) (work float64) {
+		sendTimeAt := func(n int) (work float64) {
 			for i := range n {
 				q, send, n := rig.requestFill("page", fmt.Sprint("o", rig.requests, i), 0)
 				if send.Cache == id || send.Source == id {
@@ -20,11 +20,11 @@
 			}
 			return work
 		}
-		warm := ask(500) / 10000
+		warm := sendTimeAt(500) / 10000
 		m := rig.router.members[id].Member
 		m.ReadyAt = rig.now
 		rig.handle(Members{Rows: []Member{m}})
-		if cold := ask(100) / 2000; cold > warm*0.5 || cold == 0 {
+		if cold := sendTimeAt(100) / 2000; cold > warm*0.5 || cold == 0 {
 			t.Errorf("%s: %v a ms cold, %v warm", id, cold, warm)
 		}
 	}
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestTypicalRateIsWhatWasServed: the load that a warm cache is seen to bear is
+// TestTypicalRateCountsServedRequests: the load that a warm cache is seen to bear is
 // what it served, not what was thrown at it in an overload.
-func TestTypicalRateIsWhatWasServed(t *testing.T) {
+func TestTypicalRateCountsServedRequests(t *testing.T) {
 	rig := newRig(t, testSettings())
 	for i := range 300 {
 		id, actions := rig.request("page", fmt.Sprint("w", i), 0)
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -130,7 +130,7 @@
 	}
 	now := Millis(1000)
 	router.Handle(now, Members{Full: true, Rows: []Member{{ID: "b", Zone: settings.Zone, Kind: "box", Size: 50, ReadyAt: now}, {ID: "o", Kind: settings.OriginKind}}}, nil)
-	ask := func(i int) (cold bool) {
+	requestIsSentToCold := func(i int) (cold bool) {
 		id := fmt.Sprint("q", i)
 		actions := router.Handle(now, Request{ID: id, Class: settings.Classes[0].Name, Object: fmt.Sprint("o", i), Deadline: now + 900}, nil)
 		router.Handle(now, Gone{ID: id}, nil)
@@ -142,27 +142,27 @@
 		}
 		return cold
 	}
-	given := func(from int) (n int) {
+	sentToCold := func(from int) (n int) {
 		for i := range 40 {
 			now += 20
-			if ask(from + i) {
+			if requestIsSentToCold(from + i) {
 				n++
 			}
 		}
 		return n
 	}
-	if n := given(0); n == 0 {
+	if n := sentToCold(0); n == 0 {
 		t.Fatal("a cold cache is never asked")
 	}
-	for router.members["b"].tokens > 0 && ask(1000+int(router.members["b"].tokens*1e6)) {
+	for router.members["b"].tokens > 0 && requestIsSentToCold(1000+int(router.members["b"].tokens*1e6)) {
 	}
 	router.Handle(now, Retired{On: true}, nil)
 	memory := router.Memory()
-	if n := given(100); n > 0 {
+	if n := sentToCold(100); n > 0 {
 		t.Errorf("%d more by one that is closing", n)
 	}
 	router.Handle(now, Retired{}, nil)
-	if n := given(200); n == 0 {
+	if n := sentToCold(200); n == 0 {
 		t.Error("none by one whose successor never came up")
 	}
 	successor, _ := New(settings, 1)
