--- a/admission_test.go
+++ b/admission_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestFirstRequestsGoBeforeClientRetries: a client's retry has lost most of its
-// weight, so it is queued behind a first request. It guards against retries that crowd
-// out what could still be on time.
+// TestFirstRequestsGoBeforeClientRetries checks that a client's retry, which has a reduced priority
+// weight, is queued behind a first request. Otherwise retries could displace requests that can still
+// be answered in time.
 func TestFirstRequestsGoBeforeClientRetries(t *testing.T) {
 	rig := newRig(t, testSettings())
 	rig.router.link.limit = 0
@@ -20,18 +20,18 @@
 	}
 	rig.router.link.limit = 1
 	if s := sends(rig.wait(tickInterval)); len(s) != 1 || s[0].ID != "false" {
-		t.Errorf("with a limit of one, sent %v", s)
+		t.Errorf("with a limit of one: attempts %v, want one for the first request", s)
 	}
 }
 
-// TestMinLimitIsShared: the fills of all routers of a location meet on one
-// link. Where they are many, one may fill for a part of the time only, else
-// twice their number is out when the link bears ten. It guards against full
-// links, whatever fills them; it may hold fills back for chance in few figures.
+// TestMinLimitIsShared checks the lower bound of the link's limit. The fills of all routers of a zone
+// share one link. If each of many routers kept minLimit fills in flight, they would overload a link
+// that can carry ten. With many routers, each may therefore have a fill in flight only part of the
+// time.
 func TestMinLimitIsShared(t *testing.T) {
 	for _, test := range []struct {
 		routers int
-		most    float64 // limit left in a lasting shortage
+		limit   float64 // limit of each router after a long shortage
 	}{{1, minLimit}, {2, minLimit}, {20, minSharedLimit / 20}} {
 		settings := testSettings()
 		settings.RoutersByZone = []int{0, test.routers}
@@ -40,18 +40,18 @@
 			rig.wait(200)
 			rig.router.adjustLimit(&rig.router.link, transfer{slow: true, succeeded: true, took: 1000, sizeStated: true})
 		}
-		if limit := rig.router.link.limit; limit != test.most {
-			t.Errorf("%d routers: each keeps a limit of %v fills", test.routers, limit)
+		if limit := rig.router.link.limit; limit != test.limit {
+			t.Errorf("%d routers: limit of %v fills per router, want %v", test.routers, limit, test.limit)
 		}
-		if test.most < 1 && (rig.router.link.available(rig.now) || !rig.router.link.available(rig.now+20000)) {
-			t.Error("a limit below one is not a part of the time")
+		if test.limit < 1 && (rig.router.link.available(rig.now) || !rig.router.link.available(rig.now+20000)) {
+			t.Error("a limit below 1 does not allow a fill part of the time")
 		}
 	}
 }
 
-// TestOccasionalSlowTransfersDoNotLowerLimit: where sizes are not stated, one in five that take long
-// are large ones, and as they come by chance they do not lower the limit; a lasting shortage
-// still does. It guards against a link that is taken to be full and is not.
+// TestOccasionalSlowTransfersDoNotLowerLimit checks that a random fifth of slow transfers does not
+// lower the limit if sizes are not stated: they are large answers, not a sign of congestion. A long
+// shortage still lowers the limit.
 func TestOccasionalSlowTransfersDoNotLowerLimit(t *testing.T) {
 	rig, rng := newRig(t, testSettings()), rand.New(rand.NewSource(5))
 	lowest := initialLimit
@@ -61,25 +61,25 @@
 		lowest = min(lowest, rig.router.link.limit)
 	}
 	if lowest < initialLimit*0.9 {
-		t.Errorf("the limit came down to %v by chance", lowest)
+		t.Errorf("limit fell to %v without a shortage", lowest)
 	}
 	for range 400 {
 		rig.now += 25
 		rig.router.adjustLimit(&rig.router.link, transfer{slow: true, succeeded: true, took: 1000})
 	}
 	if rig.router.link.limit > minLimit+1 {
-		t.Errorf("the limit is %v in a lasting shortage", rig.router.link.limit)
+		t.Errorf("limit is %v after a long shortage, want at most %v", rig.router.link.limit, minLimit+1)
 	}
 }
 
-// TestDistantSourceDoesNotLowerLimit: fills that wait long for a source and then come at once do
-// not lower the link's limit, as long as the wait is within the latency objective; one that takes
-// more than all of it counts, and so does a slow transfer. It guards against few fills at once
-// where each waits for a far source; it relieves a source less that is merely slow.
+// TestDistantSourceDoesNotLowerLimit checks that fills that wait long for a source and are then
+// transferred quickly do not lower the link's limit while the wait is within the latency objective.
+// Longer waits and slow transfers do. Otherwise only a few fills would be in flight where the sources
+// are distant.
 func TestDistantSourceDoesNotLowerLimit(t *testing.T) {
 	for _, test := range []struct {
-		took, waited Millis // the aim of a page of 500 KB is 450
-		full         bool
+		took, waited Millis // the latency objective of a page of 500 KB is 450 ms
+		lowered      bool
 	}{{400, 350, false}, {400, 20, true}, {600, 500, true}} {
 		rig := newRig(t, testSettings())
 		for i := range 400 {
@@ -94,14 +94,16 @@
 				rig.handle(Outcome{ID: id, Attempt: 1, Cache: send.Cache, Result: OK, Note: NoteFilled, Took: test.took, Waited: test.waited, Last: true})
 			}
 		}
-		if full := rig.router.link.limit < initialLimit; full != test.full {
-			t.Errorf("took %v, of it %v for the source: limit %v", test.took, test.waited, rig.router.link.limit)
+		if lowered := rig.router.link.limit < initialLimit; lowered != test.lowered {
+			t.Errorf("fills of %v ms with a wait of %v ms for the source: limit %v, lowered %v, want %v",
+				test.took, test.waited, rig.router.link.limit, lowered, test.lowered)
 		}
 	}
 }
 
-// TestStalledTransfersUseNoCapacity: answers that wait for their clients take up no capacity of a cache, and don't make
-// it look silent; once they go on they do again.
+// TestStalledTransfersUseNoCapacity checks that answers that wait for their clients don't count
+// against a cache's concurrency limit and don't make the cache silent, and that they count again when
+// they resume.
 func TestStalledTransfersUseNoCapacity(t *testing.T) {
 	for _, stalled := range []bool{false, true} {
 		settings := testSettings()
@@ -122,12 +124,12 @@
 		for i := range int(initialLimit) {
 			id := fmt.Sprint("slow", i)
 			if !request(id) {
-				t.Fatal("not sent", i)
+				t.Fatalf("request %d is not sent", i)
 			}
 			router.Handle(now, Started{ID: id, Cache: "b"}, nil)
 			if stalled {
 				router.Handle(now, Stalled{ID: id, On: true}, nil)
-				router.Handle(now, Stalled{ID: id, On: true}, nil) // said twice counts once
+				router.Handle(now, Stalled{ID: id, On: true}, nil) // a repeated event has no effect
 			}
 		}
 		for range 200 {
--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -23,7 +23,7 @@
 	rig := newRig(t, testSettings())
 	rig.handle(Members{Full: true, Rows: []Member{row("e1", "z1", "box"), row("o1", "hub", "origin")}})
 	if _, send, _ := rig.requestFill("page", "x", 0); send.Cache != "e1" || send.Source != "o1" {
-		t.Error("a member missing from a full list is still used")
+		t.Error("a member that is missing from a snapshot is still used")
 	}
 }
 
@@ -40,18 +40,18 @@
 	}
 	router, _ := New(settings, 1)
 	if watches(router.Handle(0, Members{Full: true, Rows: baseRows()}, nil)) != 1 {
-		t.Error("the first list is not followed by a subscription")
+		t.Error("no subscription after the first list")
 	}
 	if watches(router.Handle(1, Members{Lost: true}, nil)) != 0 || len(router.byRole[edge]) != 3 {
-		t.Error("a failed call is repeated at once, or the list was lost with it")
+		t.Error("a failed call to discovery is repeated immediately, or has changed the list")
 	}
 	if watches(router.Handle(1500, Timer{}, nil)) != 1 || watches(router.Handle(3000, Timer{}, nil)) != 0 {
-		t.Error("a lost subscription is not asked for again, once")
+		t.Error("a lost subscription is not renewed exactly once")
 	}
 }
 
-// TestUnusualEndpointLists: long lists, none, one hub, a router alone and routers
-// that were not counted all leave a router that answers every request.
+// TestUnusualEndpointLists checks that every request gets a final answer with long, empty and
+// incomplete endpoint lists, with a single router, and with an unknown number of routers.
 func TestUnusualEndpointLists(t *testing.T) {
 	var many []Member
 	for i := range 400 {
@@ -86,7 +86,7 @@
 				actions = append(actions, more...)
 			}
 			removeAnswered(actions)
-			for range 2 { // answers of every kind, then again, as lost ones that come late
+			for range 2 { // outcomes with every result, then the same ones again as late duplicates
 				for i, a := range sends(actions) {
 					outcome := Outcome{ID: a.ID, Cache: a.Cache, Result: Result(i % 9), Took: 1, Last: i%9 == 0}
 					if outcome.Last {
@@ -95,14 +95,14 @@
 					removeAnswered(rig.handle(outcome))
 				}
 			}
-			for _, a := range rig.router.deadlineTimers { // every deadline comes
+			for _, a := range rig.router.deadlineTimers { // until after the last deadline
 				rig.now = max(rig.now, a.Deadline)
 			}
 			for token := int64(1); token <= rig.router.lastTimerToken; token++ {
 				removeAnswered(rig.handle(Timer{Token: token}))
 			}
 			if len(open) > 0 {
-				t.Errorf("%s, seats %v: %d requests without an answer", name, routersByZone, len(open))
+				t.Errorf("%s, routers by zone %v: %d requests without an answer", name, routersByZone, len(open))
 			}
 		}
 	}
--- a/fillsource_test.go
+++ b/fillsource_test.go
@@ -12,12 +12,12 @@
 		_, x, _ := a.requestFill("page", fmt.Sprint("o", i), 0)
 		_, y, _ := b.requestFill("page", fmt.Sprint("o", i), 0)
 		if x.Source != y.Source || x.Cache != y.Cache {
-			t.Fatal("two routers differ")
+			t.Fatal("two routers chose different targets or sources")
 		}
 		used[x.Source] = true
 	}
 	if !used["p1"] || !used["p2"] || used["o1"] {
-		t.Errorf("sources %v", used)
+		t.Errorf("sources used: %v, want both parents and not the origin", used)
 	}
 	rig := newRig(t, testSettings(), row("e1", "z1", "box"), row("o1", "hub", "origin"))
 	if _, send, _ := rig.requestFill("page", "x", 0); send.Source != "o1" {
@@ -25,7 +25,8 @@
 	}
 }
 
-// TestFailedFillTriesAnotherSource: the source is blamed, not the cache.
+// TestFailedFillTriesAnotherSource checks that a failed fill is retried from another source, and that
+// the fault is attributed to the first source, not to the cache.
 func TestFailedFillTriesAnotherSource(t *testing.T) {
 	rig := newRig(t, testSettings())
 	id, a, n := rig.requestFill("page", "x", 0)
@@ -34,12 +35,12 @@
 		t.Errorf("filled from %s again", b.Source)
 	}
 	if rig.router.members[a.Cache].faultShare > 0 || rig.router.members[a.Source].faultShare == 0 {
-		t.Error("the wrong member was blamed")
+		t.Error("the fault was not attributed to the source alone")
 	}
 }
 
-// TestFillFromSibling: after a range has moved, its new cache is first filled from the one before,
-// once for each request, and only while that may still hold copies.
+// TestFillFromSibling checks that, after a range has moved, its new cache is first filled from the
+// previous one, once per request, and only while that may still have copies.
 func TestFillFromSibling(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -69,7 +70,7 @@
 			send = rig.onlySend(rig.handle(Outcome{ID: id, Cache: send.Cache, Result: Miss}))
 			sibling := send.Source == caches[0].ID && send.Held
 			if send.Cache != caches[1].ID || sibling != test.sibling {
-				t.Fatalf("%+v, want a sibling: %v", send, test.sibling)
+				t.Fatalf("%+v, want a sibling as the source: %v", send, test.sibling)
 			}
 			if !sibling {
 				return
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -8,9 +8,7 @@
 	"testing"
 )
 
-// The fleet: many routers in one simulated time, each with its own part of an uneven
-// traffic, before the same caches and parents. They share nothing.
-
+// scheduledCall is an entry of the event queue of a fleet.
 type scheduledCall struct {
 	at   Millis
 	call func()
@@ -33,6 +31,8 @@
 	return call
 }
 
+// fleet simulates many independent routers in front of the same caches and parents. Each router
+// receives a different share of the traffic.
 type fleet struct {
 	t        *testing.T
 	settings Settings
@@ -40,14 +40,14 @@
 	now      Millis
 	queue    callQueue
 	routers  []*Router
-	weight   []float64 // of each router's traffic
+	weight   []float64 // traffic of each router, relative to the others
 	rows     []Member
-	sendTime Millis              // sending time of each request
-	arrivals map[string][]Millis // when attempts reached a member, as cache or as source
+	sendTime Millis              // send time of each answer
+	arrivals map[string][]Millis // times of the attempts at each member, as the target or as the source
 	requests int
 }
 
-const memberCapacity = 4.0 // transfers that a member's link bears
+const memberCapacity = 4.0 // concurrent transfers that a member can serve
 
 func newFleet(t *testing.T, routers int, seed int64) *fleet {
 	settings := testSettings()
@@ -71,7 +71,7 @@
 	return fleet
 }
 
-// startRouter puts a new router in the place of the one there is.
+// startRouter replaces a router by a new one.
 func (f *fleet) startRouter(i int) {
 	router, err := New(f.settings, f.rng.Uint64())
 	if err != nil {
@@ -83,8 +83,8 @@
 
 func (f *fleet) schedule(d Millis, g func()) { heap.Push(&f.queue, scheduledCall{f.now + d, g}) }
 
-// handle gives a router an event, and plays its actions: a cache lacks three in ten, and
-// what it is asked for takes its time.
+// handle passes an event to a router and simulates its actions. Three in ten lookups miss; other
+// attempts take 0.5 to 1.5 times the send time.
 func (f *fleet) handle(router *Router, ev Event) {
 	for _, a := range router.Handle(f.now, ev, nil) {
 		switch a := a.(type) {
@@ -109,13 +109,13 @@
 	}
 }
 
-// run plays so long a time at a load of all caches' capacity.
+// run simulates a period. The load is a fraction of the capacity of all caches.
 func (f *fleet) run(span Millis, load float64) {
 	sum := 0.0
 	for _, w := range f.weight {
 		sum += w
 	}
-	rate := load * 10 * memberCapacity / f.sendTime // requests a millisecond
+	rate := load * 10 * memberCapacity / f.sendTime // requests per millisecond
 	var next func()
 	next = func() {
 		x, i := f.rng.Float64()*sum, 0
@@ -136,15 +136,14 @@
 	}
 	f.now = end
 	f.queue = nil
-	for _, router := range f.routers { // the ticks go on with the next run
+	for _, router := range f.routers { // so that the next run starts the ticks again
 		router.started = false
 	}
 }
 
-// TestFleetSlowStart: a cache and a parent come back cold, while a third of the
-// routers is new too, also with requests that have gathered behind a full link. All together
-// never send them more in the rule's time than it allows and what is chance, and yet some
-// from the start.
+// TestFleetSlowStart restarts a cache, a parent and a third of the routers, in some cases while
+// requests are queued because the link is at its limit. All routers together must not overload the
+// restarted members, but must send them some requests from the start.
 func TestFleetSlowStart(t *testing.T) {
 	for _, routers := range []int{3, 30, 300} {
 		for seed := range int64(6) {
@@ -185,15 +184,16 @@
 	}
 }
 
-// slowStartRule is what a member that warms up can bear.
+// slowStartRule is the load that a member can take while it warms up.
 type slowStartRule struct {
-	initialShare   float64 // share of its capacity at first
+	initialShare   float64 // share of its capacity that it has at its start
 	warmUpTime     Millis
 	overloadFactor float64 // it fails at this multiple of its present capacity
 }
 
-// checkSlowStart checks that a member that started at begin was never sent more attempts within
-// the fall time than it bears and what is chance, and a twentieth of that at least in all.
+// checkSlowStart checks the attempts at a member that started at begin: within any period of
+// Settings.OverloadTime at most as many as the rule allows, plus random variation, and over all at
+// least minUse of those allowed.
 func (f *fleet) checkSlowStart(id string, begin Millis, rule slowStartRule) {
 	const minUse = 0.05
 	overloadTime := f.settings.OverloadTime
@@ -218,7 +218,7 @@
 	}
 	used := float64(len(arrived))
 	if used < minUse*allowed {
-		f.t.Errorf("%s: %v attempts in 9 s, of %.0f that are allowed", id, used, allowed)
+		f.t.Errorf("%s: %v attempts in 9 s, want at least %v of the %.0f that are allowed", id, used, minUse, allowed)
 	}
-	f.t.Logf("%s: %v of %.0f", id, used, allowed)
+	f.t.Logf("%s: %v attempts, %.0f allowed", id, used, allowed)
 }
--- a/fuzz_test.go
+++ b/fuzz_test.go
@@ -5,9 +5,8 @@
 	"testing"
 )
 
-// FuzzInvariants feeds legal and odd event sequences and checks what can be
-// seen from the actions. It models no servers: outcomes are picked by the
-// input.
+// FuzzInvariants passes valid and unexpected sequences of events to a router and checks invariants of
+// its actions. Servers are not simulated: the input determines the outcomes.
 func FuzzInvariants(f *testing.F) {
 	for _, seed := range [][]byte{
 		{0, 1, 2, 3, 4, 5, 6, 7, 8, 9},
@@ -20,7 +19,7 @@
 	f.Fuzz(func(t *testing.T, in []byte) { newInvariantChecker(t, testSettings()).run(in) })
 }
 
-// TestInvariantsOverSettings runs the same checks under other settings.
+// TestInvariantsOverSettings runs the checks of FuzzInvariants with other settings.
 func TestInvariantsOverSettings(t *testing.T) {
 	in := make([]byte, 3000)
 	h := uint64(1)
@@ -46,7 +45,7 @@
 	}
 }
 
-// invariantChecker follows a router's actions and knows which events it was given.
+// invariantChecker passes events to a router and checks its actions against them.
 type invariantChecker struct {
 	t                *testing.T
 	settings         Settings
@@ -54,8 +53,8 @@
 	now              Millis
 	requests         map[string]*checkedRequest
 	ids              []string
-	unavailableSince map[string]Millis // when a member was heard to be draining or gone
-	purgedAt         map[string]Millis // when the last purge of an object was made
+	unavailableSince map[string]Millis // time of the update that reported a member as draining or removed
+	purgedAt         map[string]Millis // time of the last purge of an object
 	wakes            []pendingTimer
 }
 
@@ -69,7 +68,7 @@
 	attempts, outstanding int
 	sends                 map[int]Send
 	ended                 bool
-	mayHaveRun            bool // an attempt may have run
+	mayHaveRun            bool // whether an attempt may have run
 	effect                Idempotency
 }
 
@@ -89,7 +88,7 @@
 		switch a := a.(type) {
 		case Wake:
 			if a.In < 0 {
-				w.t.Fatal("a wake in the past")
+				w.t.Fatalf("wake in the past: %+v", a)
 			}
 			w.wakes = append(w.wakes, pendingTimer{w.now + a.In, a.Token})
 		case Refuse:
@@ -100,7 +99,7 @@
 			w.checkSend(a)
 		case Cancel:
 			if request := w.requests[a.ID]; !w.settings.CanCancel || request == nil || a.Attempt >= request.attempts {
-				w.t.Fatalf("cancel of %v", a)
+				w.t.Fatalf("unexpected cancel: %+v", a)
 			}
 		}
 	}
@@ -109,10 +108,10 @@
 func (w *invariantChecker) checkFinalAnswer(id string, refused bool) {
 	request := w.requests[id]
 	if request == nil || request.ended {
-		w.t.Fatalf("a second final answer for %s", id)
+		w.t.Fatalf("final answer for %s, which is unknown or has one already", id)
 	}
 	if refused && request.mayHaveRun && request.effect == NonIdempotent {
-		w.t.Fatalf("%s is refused though it may have run", id)
+		w.t.Fatalf("%s is rejected although it may have run", id)
 	}
 	request.ended = true
 }
@@ -121,34 +120,34 @@
 	request := w.requests[send.ID]
 	switch {
 	case request == nil || request.ended:
-		w.t.Fatalf("a send after the end: %v", send)
+		w.t.Fatalf("attempt after the end of the request: %+v", send)
 	case request.outstanding > 0:
-		w.t.Fatalf("two attempts out: %v", send)
+		w.t.Fatalf("two attempts in flight: %+v", send)
 	case request.attempts >= w.settings.MaxAttempts:
-		w.t.Fatalf("too many attempts: %v", send)
+		w.t.Fatalf("more than %d attempts: %+v", w.settings.MaxAttempts, send)
 	case send.Age <= 0 || send.Source == "" || send.Timeout < 0:
-		w.t.Fatalf("a malformed send: %+v", send)
+		w.t.Fatalf("malformed Send: %+v", send)
 	case request.effect == NonIdempotent && request.mayHaveRun:
-		w.t.Fatalf("%s is sent again though it may have run", send.ID)
+		w.t.Fatalf("%s is retried although it may have run", send.ID)
 	}
 	for _, id := range []string{send.Cache, send.Source} {
 		if at, ok := w.unavailableSince[id]; ok && w.now > at+w.settings.DrainGrace {
-			w.t.Fatalf("%s is used %v after its drain", id, w.now-at)
+			w.t.Fatalf("%s is used %v ms after it was reported as unavailable", id, w.now-at)
 		}
 	}
 	if at, ok := w.purgedAt[request.Object]; ok && w.now < at+w.settings.PurgeTime && send.Age > max(w.now-at, minCopyAge) {
-		w.t.Fatalf("age %v allows a copy from before the purge %v ago", send.Age, w.now-at)
+		w.t.Fatalf("maximum age %v ms accepts a copy from before the purge %v ms ago", send.Age, w.now-at)
 	}
 	member := w.router.members[send.Cache]
 	if member == nil || member.role == otherZone || member.role != edge && !w.settings.DirectAttempts {
-		w.t.Fatalf("sent to %s, which takes no attempts", send.Cache)
+		w.t.Fatalf("attempt at %s, which takes none", send.Cache)
 	}
 	request.sends[request.attempts] = send
 	request.attempts, request.outstanding = request.attempts+1, request.outstanding+1
 	request.mayHaveRun = true
 }
 
-// run turns each byte, or a few, into an event.
+// run converts each byte of the input to an event, then checks that every request is answered.
 func (w *invariantChecker) run(in []byte) {
 	classes := []string{"video", "page", "save", "once", "keyed"}
 	for i, code := range in {
@@ -175,7 +174,7 @@
 			object := fmt.Sprint("o", arg%4)
 			w.purgedAt[object] = max(w.purgedAt[object], w.now-float64(arg))
 			w.handle(Purge{Object: object, Age: float64(arg)})
-		case 10: // odd: nothing of this is known
+		case 10: // events about unknown requests, timers and members
 			w.handle(Outcome{ID: fmt.Sprint("q", arg), Attempt: arg + 50, Result: Errored})
 			w.handle(Timer{Token: 1 << 60})
 			w.handle(Members{Lost: true})
@@ -194,7 +193,7 @@
 	}
 }
 
-// changeEndpoint changes one endpoint, in some events several times over.
+// changeEndpoint changes the state of one endpoint, for some arguments several times in one update.
 func (w *invariantChecker) changeEndpoint(arg int) {
 	row := baseRows()[arg%7]
 	row.State = State(arg % 3)
@@ -205,7 +204,7 @@
 		w.unavailableSince[row.ID] = w.now
 	}
 	rows := []Member{row}
-	if arg > 13 { // a burst: it drains, goes and is back, new, in one event
+	if arg > 13 { // the endpoint drains, is removed and is restarted in one update
 		rows = rows[:0]
 		for _, state := range []State{Draining, Removed, Serving} {
 			row.State, row.ReadyAt = state, w.now
@@ -216,7 +215,7 @@
 	w.handle(Members{Rows: rows})
 }
 
-// finishAttempt ends the oldest open attempt of some request.
+// finishAttempt ends the first outstanding attempt of a request that arg selects.
 func (w *invariantChecker) finishAttempt(arg int, res Result) {
 	for offset := range w.ids {
 		request := w.requests[w.ids[(arg+offset)%len(w.ids)]]
@@ -236,7 +235,7 @@
 	}
 }
 
-// advanceTime lets time go by with the wakes that were asked for.
+// advanceTime advances the time and delivers the timers that come due.
 func (w *invariantChecker) advanceTime(span Millis) {
 	for end := w.now + span; ; {
 		next := -1
--- a/inspect_test.go
+++ b/inspect_test.go
@@ -5,27 +5,27 @@
 	"testing"
 )
 
-// TestCandidates: a choice reports every member that it looked at, in that order, and the last one is
-// the member that was taken.
+// TestCandidates checks that every considered member is reported in the order of consideration, and
+// that the last one is the chosen member.
 func TestCandidates(t *testing.T) {
 	rig := newRig(t, testSettings())
 	rig.router.eject(rig.router.members["e1"])
 	rig.router.eject(rig.router.members["e2"])
 	var candidates []Candidate
-	rig.router.Explain(func(look Candidate) { candidates = append(candidates, look) })
+	rig.router.Explain(func(candidate Candidate) { candidates = append(candidates, candidate) })
 	reasons := map[string]Reason{}
-	for range 40 { // so many that each ejected cache comes first for some
+	for range 40 { // enough that each ejected cache is the first choice for some of the objects
 		candidates = nil
 		id, actions := rig.request("page", string(rune('a'+rig.requests)), 0)
 		send := rig.onlySend(actions)
-		for _, look := range candidates {
-			if look.Request != id || look.AsSource || look.Pass != 0 {
-				t.Fatalf("%+v", look)
+		for _, candidate := range candidates {
+			if candidate.Request != id || candidate.AsSource || candidate.Pass != 0 {
+				t.Fatalf("%+v", candidate)
 			}
-			reasons[look.Member] = look.Reason
+			reasons[candidate.Member] = candidate.Reason
 		}
 		if last := candidates[len(candidates)-1]; last.Member != send.Cache || last.Reason != ReasonAccepted {
-			t.Fatalf("sent to %s, the last look is %+v", send.Cache, last)
+			t.Fatalf("sent to %s, the last candidate is %+v", send.Cache, last)
 		}
 		rig.handle(Outcome{ID: id, Cache: send.Cache, Result: OK, Took: 1, Last: true, Note: NoteHit})
 	}
@@ -36,25 +36,26 @@
 	rig.router.Explain(nil)
 	rig.request("page", "x", 0)
 	if len(candidates) > 0 {
-		t.Errorf("looks after the end: %v", candidates)
+		t.Errorf("candidates reported after the function was removed: %v", candidates)
 	}
 }
 
-// TestCandidateWithoutMember: what concerns the request as such names no member.
+// TestCandidateWithoutMember checks that a reason that concerns the request itself is reported without
+// a member.
 func TestCandidateWithoutMember(t *testing.T) {
 	rig := newRig(t, testSettings())
 	id, actions := rig.request("video", "x", 0)
 	send := rig.onlySend(actions)
 	rig.router.link.limit = 0
-	var looks []Candidate
-	rig.router.Explain(func(look Candidate) { looks = append(looks, look) })
+	var candidates []Candidate
+	rig.router.Explain(func(candidate Candidate) { candidates = append(candidates, candidate) })
 	rig.handle(Outcome{ID: id, Cache: send.Cache, Result: Miss})
-	if !slices.Contains(looks, Candidate{Request: id, AsSource: true, Reason: ReasonLinkAtLimit}) {
-		t.Errorf("looks %+v", looks)
+	if !slices.Contains(candidates, Candidate{Request: id, AsSource: true, Reason: ReasonLinkAtLimit}) {
+		t.Errorf("candidates %+v", candidates)
 	}
 }
 
-// TestStatuses: what is known of members and of the link is reported as it is.
+// TestStatuses checks the reported status of members and of the link.
 func TestStatuses(t *testing.T) {
 	rig := newRig(t, testSettings())
 	_, send, _ := rig.requestFill("page", "x", 0)
--- a/outlier_test.go
+++ b/outlier_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// TestEjection: whatever the fault looks like, a member that does not serve is ejected, gets
-// single health checks, and returns.
+// TestEjection checks for several kinds of faults that a member that does not serve is ejected,
+// receives single health checks, and returns after its repair.
 func TestEjection(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		reply *Outcome // nil: silence
+		reply *Outcome // nil: no answer
 	}{
 		{"refuses connections", &Outcome{Result: ConnectFailed, Took: 1}},
 		{"fails fast", &Outcome{Result: Errored, Took: 1}},
@@ -56,10 +56,9 @@
 	}
 }
 
-// TestHealthChecksThatMiss: an ejected cache that answers its health checks returns within a second
-// or two, though it holds no copy of what is asked. It guards against a cache that stays out
-// for long after a passing fault, for having few copies; it may take back one that
-// answers looks and fails fills a little early.
+// TestHealthChecksThatMiss checks that an ejected cache that answers its health checks with misses
+// returns within 4 s. Otherwise a cache would stay ejected for long after a short fault, because it has
+// few copies. A cache that answers lookups but fails fills may return too early.
 func TestHealthChecksThatMiss(t *testing.T) {
 	rig := newRig(t, testSettings())
 	member := rig.router.members["e1"]
@@ -84,8 +83,8 @@
 	t.Errorf("still ejected after 4 s of good answers: %+v", member)
 }
 
-// TestOccasionalResetsEjectNoMember: connections that break by themselves do not eject a cache
-// that answers on others; one that resets all it has, and then refuses, is one at once.
+// TestOccasionalResetsEjectNoMember checks that single broken connections do not eject a cache that
+// answers on others, and that a cache that resets all its connections is ejected.
 func TestOccasionalResetsEjectNoMember(t *testing.T) {
 	rig := newRig(t, testSettings())
 	for i := range 300 {
@@ -118,13 +117,13 @@
 		}
 	}
 	if !rig.router.members[dead].ejected {
-		t.Errorf("%s reset all that it had, and is not ejected", dead)
+		t.Errorf("%s reset all its connections and is not ejected", dead)
 	}
 }
 
-// TestLightTrafficEjectsNoMember: a router that asks a cache now and then hears nothing in
-// between; a large answer that takes its time right after is no silence. It was: on a day
-// without a fault each router ejected 14 of 18 members.
+// TestLightTrafficEjectsNoMember checks that a long answer after a period without requests does not
+// count as silence. When the idle period counted, each router ejected 14 of 18 members on a day
+// without a fault.
 func TestLightTrafficEjectsNoMember(t *testing.T) {
 	rig := newRig(t, testSettings(), baseRows()...)
 	q, actions := rig.request("video", "o1", 0)
@@ -135,15 +134,16 @@
 	send = rig.onlySend(actions)
 	rig.wait(1200)
 	if member := rig.router.members[send.Cache]; member.ejected {
-		t.Errorf("after %v ms of waiting", 1200)
+		t.Errorf("%s is ejected after %v ms", member.ID, 1200)
 	}
 	rig.wait(6000)
 	if member := rig.router.members[send.Cache]; !member.ejected {
-		t.Error("a cache that says nothing at all is not ejected")
+		t.Error("a cache that never answers is not ejected")
 	}
 }
 
-// TestSilenceEndsWithProgress: a cache ejected for silence alone returns with the first answer.
+// TestSilenceEndsWithProgress checks that a cache that was ejected only for its silence returns with
+// its first answer.
 func TestSilenceEndsWithProgress(t *testing.T) {
 	settings := testSettings()
 	settings.CanCancel = false
@@ -157,13 +157,13 @@
 	}
 	rig.handle(Outcome{ID: q, Cache: first.Cache, Result: OK, Took: 8000, Last: true})
 	if member.ejected {
-		t.Error("it answers, and is still ejected")
+		t.Error("the cache has answered and is still ejected")
 	}
 }
 
-// TestInvalidRequestsEjectNoMember: a request that two caches find fault with, with no source involved,
-// is ended, and ejects neither, however many come; one cache that fails what others serve
-// is still ejected.
+// TestInvalidRequestsEjectNoMember checks that a request that two caches answer with an error, without
+// a source involved, ends and ejects neither, even if there are many such requests. A single cache that
+// fails requests that others serve is still ejected.
 func TestInvalidRequestsEjectNoMember(t *testing.T) {
 	rig := newRig(t, testSettings())
 	for range 30 {
@@ -172,11 +172,11 @@
 		actions = rig.handle(Outcome{ID: id, Cache: first.Cache, Result: Errored})
 		second := sends(actions)
 		if len(second) != 1 || second[0].Cache == first.Cache {
-			t.Fatalf("after one error: %+v", actions)
+			t.Fatalf("after one error: %+v, want an attempt at another cache", actions)
 		}
 		actions = rig.handle(Outcome{ID: id, Attempt: 1, Cache: second[0].Cache, Result: Errored})
 		if len(actions) != 1 || actions[0] != Action(Refuse{ID: id, After: rejectionRetryAfter}) {
-			t.Fatalf("after two: %+v", actions)
+			t.Fatalf("after two errors: %+v, want a rejection", actions)
 		}
 	}
 	for _, member := range rig.router.members {
@@ -198,12 +198,12 @@
 		}
 	}
 	if !rig.router.members[bad].ejected {
-		t.Errorf("%s fails all that others serve, and is not ejected", bad)
+		t.Errorf("%s fails all requests that others serve and is not ejected", bad)
 	}
 }
 
-// TestFillTimeoutBlamesSource: a fill that breaks while its target makes progress is the source's fault;
-// where both have made progress since, it is nobody's.
+// TestFillTimeoutBlamesSource checks that a fill that times out while its target makes progress is
+// attributed to the source, and to no member if both have made progress.
 func TestFillTimeoutBlamesSource(t *testing.T) {
 	for _, progress := range []bool{false, true} {
 		rig := newRig(t, testSettings())
--- a/parent_check_test.go
+++ b/parent_check_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// TestFillsCheckEjectedParents: where caches are asked first for what they hold, every fill follows
-// a look that missed, and no member has failed such a request: it may be the health check of an
-// ejected parent while the location's link shows no shortage, or while an origin is ejected. Seen
-// as parents that some late answers had ejected, and that stayed out for the rest of the day at two
-// routers of three, while the origin had their fills and stopped.
+// TestFillsCheckEjectedParents checks that a request whose lookup has missed may be the health check
+// of an ejected parent, while the link is not short or an origin is ejected. Most fills follow such a
+// lookup. When they were not used as health checks, parents that had been ejected for a few late
+// answers stayed ejected for the rest of the day at two of three routers, and the origin failed under
+// the fills that the parents no longer served.
 func TestFillsCheckEjectedParents(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -37,13 +37,13 @@
 				source := rig.router.members[send.Source]
 				fills[source.ID]++
 				if source.ejected && source.role == parent && !source.checking {
-					t.Fatalf("%s is ejected and asked, and that is no health check", source.ID)
+					t.Fatalf("%s is ejected and receives a fill that is not a health check", source.ID)
 				}
 				rig.handle(Outcome{ID: id, Cache: send.Cache, Attempt: attempt, Result: OK, Note: NoteFilled, Last: true, Took: 50})
 				rig.wait(50)
 			}
 			if back := !first.ejected && !second.ejected; back != c.back {
-				t.Errorf("after 10 s in which all fills came well both parents are back: %v, want %v; asked %v", back, c.back, fills)
+				t.Errorf("after 10 s of successful fills both parents have returned: %v, want %v; fills by source: %v", back, c.back, fills)
 			}
 		})
 	}
--- a/rangesplit_test.go
+++ b/rangesplit_test.go
@@ -36,22 +36,22 @@
 		from := 0
 		for _, to := range points {
 			if to < from {
-				t.Fatalf("points %v go back", points)
+				t.Fatalf("split points %v are not in ascending order", points)
 			}
 			share := 0.0
 			for _, c := range cost[from:to] {
 				share += c
 			}
 			if d := share - sum/float64(n); d > most+1e-9 || d < -most-1e-9 {
-				t.Fatalf("cost %v in %d: share %v off by more than an index", cost, n, share)
+				t.Fatalf("cost %v in %d ranges: share %v is off by more than the cost of one index", cost, n, share)
 			}
 			from = to
 		}
 	}
 }
 
-// TestRanges checks that parts of all objects go by contiguous ranges once a
-// window has closed, by a hash before, and that an unchanged load moves none.
+// TestRanges checks that parts are placed by a hash until the first window closes, and then by
+// contiguous ranges that are the same for all objects and don't move while the load is unchanged.
 func TestRanges(t *testing.T) {
 	rig := newRig(t, testSettings())
 	serve := func(object string, part int) string {
@@ -65,7 +65,7 @@
 		first[serve("a", x)] = true
 	}
 	if len(first) < 2 {
-		t.Error("before a window closes, parts should be hashed over caches")
+		t.Error("before the first window closes, all parts go to the same cache")
 	}
 	for i := range 400 {
 		serve(fmt.Sprint("o", i/12), i%12)
@@ -84,7 +84,7 @@
 		c := serve("b", x)
 		i := slices.IndexFunc(rig.router.byRole[edge], func(member *member) bool { return member.ID == c })
 		if i < at {
-			t.Fatalf("part %d goes back to %s", x, c)
+			t.Fatalf("part %d goes to %s, which precedes the cache of the part before", x, c)
 		}
 		at = i
 		if other := serve("c", x); other != c {
@@ -92,16 +92,16 @@
 		}
 	}
 	if at != 2 {
-		t.Errorf("the last range is of cache %d", at)
+		t.Errorf("the last range belongs to cache %d, want 2", at)
 	}
 	rig.handle(Members{Rows: []Member{{ID: "e2", Zone: "z1", Kind: "box", State: Removed}}})
 	if len(rig.router.layout.splits) != 1 {
-		t.Errorf("after a loss: splits %v", rig.router.layout.splits)
+		t.Errorf("after the removal of a cache: splits %v, want one", rig.router.layout.splits)
 	}
 }
 
-// TestFirstWindowGrowsWithRouters: the more routers share a location's caches, the more requests
-// each sees before it draws ranges of its own.
+// TestFirstWindowGrowsWithRouters checks that a router computes its first ranges from more requests if
+// more routers share the caches of the zone.
 func TestFirstWindowGrowsWithRouters(t *testing.T) {
 	for _, test := range []struct{ routers, requests int }{{1, 128}, {2, 128}, {20, 1280}} {
 		settings := testSettings()
@@ -113,7 +113,7 @@
 				break
 			}
 			rig.request("video", "o"+strconv.Itoa(i%7), i%9)
-			rig.wait(50) // windows come due meanwhile
+			rig.wait(50) // longer than windowSpan in total
 		}
 		if !rig.router.layout.ranged {
 			t.Errorf("%d routers: no ranges after %d requests", test.routers, test.requests)
@@ -121,12 +121,12 @@
 	}
 }
 
-// TestReportedRanges: the ranges that are reported are those that parts go by, and there are none
-// before the first window has closed.
+// TestReportedRanges checks that Ranges returns the ranges by which parts are placed, and nil before
+// the first window has closed.
 func TestReportedRanges(t *testing.T) {
 	rig := newRig(t, testSettings())
 	if ranges := rig.router.Ranges(); ranges != nil {
-		t.Errorf("before a window closes: %v", ranges)
+		t.Errorf("before the first window closes: %v, want nil", ranges)
 	}
 	caches := rig.router.byRole[edge]
 	rig.router.layout = layout{caches: caches, splits: []int{2, 5}, ranged: true}
--- a/ranking_test.go
+++ b/ranking_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestRanking: members found one by one stand in the order of a sort of the whole list.
+// TestRanking checks that the lazy ranking yields members in the same order as a sort of the list.
 func TestRanking(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		router := &Router{settings: Settings{SizeIsCapacity: true}}
@@ -29,10 +29,10 @@
 		for name, c := range map[string]struct {
 			got  *ranking
 			want []*member
-		}{"plain": {byRendezvous(list, hash), plain}, "weighed": {router.byWeightedRendezvous(list, hash), weighted}} {
-			for range 2 { // the second time all are in order already
+		}{"unweighted": {byRendezvous(list, hash), plain}, "weighted": {router.byWeightedRendezvous(list, hash), weighted}} {
+			for range 2 { // the second iteration uses the members already found
 				if got := slices.Collect(c.got.members); !slices.Equal(got, c.want) {
-					t.Fatalf("%s: not in the order of a sort", name)
+					t.Fatalf("%s: order differs from that of a sort", name)
 				}
 			}
 		}
--- a/request_test.go
+++ b/request_test.go
@@ -2,8 +2,7 @@
 
 import "testing"
 
-// TestOneFinalAnswer covers the paths on which an answer could be lost or
-// given twice.
+// TestOneFinalAnswer covers the paths on which a final answer could be lost or repeated.
 func TestOneFinalAnswer(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -49,33 +48,32 @@
 		ended := false
 		for _, a := range actions {
 			if _, ok := a.(Send); ok && ended {
-				t.Errorf("%s: a send after the end", test.name)
+				t.Errorf("%s: attempt after the end of the request", test.name)
 			}
 			if _, ok := a.(Refuse); ok {
 				ended = true
 			}
 		}
 		if len(rig.router.requests) != 0 && test.want == 0 {
-			t.Errorf("%s: the request is still in hand", test.name)
+			t.Errorf("%s: the router still holds the request", test.name)
 		}
 	}
 	rig := newRig(t, testSettings())
 	if n, _ := finalAnswers(rig.handle(Request{ID: "u", Class: "unheard", Deadline: 9000})); n != 1 {
-		t.Error("an unknown class gets no answer")
+		t.Error("a request of an unknown class gets no final answer")
 	}
 }
 
-// TestRejectionOnlyIfRetryIsSafe: a rejection tells a client that a retry is harmless. A keyed write of which
-// an attempt may have run is harmless to retry only within the window that the caches remember
-// its key for, and no client is held to that: such a request fails. Seen as an effect that
-// happened twice, the client having come back as advised, past the window.
+// TestRejectionOnlyIfRetryIsSafe checks that a request is rejected only if the client can retry it
+// safely. A write with an idempotency key that may have run must fail instead: caches remember the key
+// for a limited time, and a client that was rejected and retried after that executed a write twice.
 func TestRejectionOnlyIfRetryIsSafe(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		class  string
 		result Result
-		after  Millis // each attempt's outcome comes so long after it
-		refuse bool   // at the deadline, or when no attempt is left
+		after  Millis // time from each attempt to its outcome
+		refuse bool   // whether the final answer is a rejection
 	}{
 		{"keyed, answers lost", "save", TimedOut, 901, false},
 		{"keyed, connections reset at once", "save", Reset, 1, false},
--- a/retry_test.go
+++ b/retry_test.go
@@ -34,25 +34,25 @@
 			t.Errorf("%s after %v: %d sends, want %d", test.class, test.result, got, test.sends)
 		}
 		if n, fail := finalAnswers(actions); test.sends == 0 && (n != 1 || fail != test.fail) {
-			t.Errorf("%s after %v: finals %d fail %v", test.class, test.result, n, fail)
+			t.Errorf("%s after %v: %d final answers, failure %v", test.class, test.result, n, fail)
 		}
 	}
 	cell := map[string]int{"e1": 1, "e2": 2, "e3": 2}
-	for i := range 20 { // a keyed request that may have run stays in its cell
+	for i := range 20 { // a request whose key is remembered in the cell stays in the cell after it may have run
 		rig := newRig(t, testSettings(), cells...)
 		id, actions := rig.request("keyed", fmt.Sprint("x", i), 0)
 		a := rig.onlySend(actions)
 		for _, b := range sends(rig.handle(Outcome{ID: id, Cache: a.Cache, Result: Reset, Took: 1})) {
 			if cell[b.Cache] != cell[a.Cache] || cell[b.Cache] == 0 {
-				t.Fatalf("from %s a keyed request went on to %s", a.Cache, b.Cache)
+				t.Fatalf("a request that may have run at %s was retried at %s, in another cell", a.Cache, b.Cache)
 			}
 		}
 	}
 }
 
-// TestBackoffAfterRejection: a cache that rejects fills at once, where no other can be asked, is
-// asked again after a backoff, and not with all the attempts that there are within a moment. One
-// that has not rejected the request is asked at once.
+// TestBackoffAfterRejection checks that a cache that rejects fills, where no other can be asked, gets
+// the next attempt after a backoff. Otherwise a request would use up all its attempts within
+// milliseconds. A cache that has not rejected the request is asked without backoff.
 func TestBackoffAfterRejection(t *testing.T) {
 	settings := testSettings()
 	settings.DirectAttempts = false
@@ -80,7 +80,7 @@
 		}
 	}
 	if len(times) != 2 {
-		t.Fatalf("%v: both are to be asked", times)
+		t.Fatalf("attempts %v, want some at both caches", times)
 	}
 	again := 0
 	for id, list := range times {
@@ -94,13 +94,13 @@
 		}
 	}
 	if again == 0 {
-		t.Error("none is asked again")
+		t.Error("no cache is asked again")
 	}
 }
 
-// TestBackoffFromShortage: a write that the origin rejects is not retried at once but
-// spread over its time, at different times by request; and a shortage behind all sources
-// lowers the limit for fills.
+// TestBackoffFromShortage checks that the retries of a write that the origin rejects are spread over
+// the time to its deadline, at different times for different requests, and that a shortage at the
+// origin lowers the limit of the link.
 func TestBackoffFromShortage(t *testing.T) {
 	rig := newRig(t, testSettings())
 	var first []Millis
@@ -118,11 +118,11 @@
 			actions = rig.wait(tickInterval)
 		}
 		if n < 3 || n > 6 || last-begin < 1000 {
-			t.Errorf("%d attempts, the last after %v ms", n, last-begin)
+			t.Errorf("%d attempts, the last after %v ms; want 3 to 6, the last after at least 1000 ms", n, last-begin)
 		}
 	}
 	if len(first) != 2 || first[0] == first[1] || min(first[0], first[1]) < 50 {
-		t.Errorf("the second attempts come after %v", first)
+		t.Errorf("the second attempts follow after %v ms", first)
 	}
 	before := rig.router.link.limit
 	for i := range 40 {
@@ -133,12 +133,13 @@
 			return
 		}
 	}
-	t.Errorf("the limit for fills is %v still, %v before", rig.router.link.limit, before)
+	t.Errorf("limit of the link is %v, want less than half of %v", rig.router.link.limit, before)
 }
 
-// TestRetryReserve: what is left at last of the retry budget is for the classes that earn most.
-// Seen in an overload in which reads spent it: a third of the writes that the origin had turned
-// away were refused with up to 2.9 s of their 3 s left, since no retry was to be had.
+// TestRetryReserve checks that the last tokens of the retry budget are reserved for the classes of the
+// highest priority weight. Without the reserve, reads used up the budget in an overload, and a third of
+// the writes that the origin had rejected were not retried, with up to 2.9 s left to their deadlines of
+// 3 s.
 func TestRetryReserve(t *testing.T) {
 	for _, test := range []struct {
 		class   string
@@ -160,15 +161,15 @@
 			rig.router.retryTokens = test.budget
 			actions = rig.handle(Outcome{ID: id, Cache: first.Cache, Result: ConnectFailed, Took: 1})
 			if again := len(sends(actions)) == 1; again != test.retries {
-				t.Errorf("sent again %v, want %v: %v", again, test.retries, actions)
+				t.Errorf("retried %v, want %v: %v", again, test.retries, actions)
 			}
 		})
 	}
 }
 
-// TestLocalFailure: a machine without descriptors, ports or buffers for a moment costs requests
-// neither their attempts nor their answers. Seen with Moot in place of it: six sends to one cache
-// at one millisecond, and then a refusal with 3,000 ms left.
+// TestLocalFailure checks that a request survives a period in which the machine has no descriptors,
+// ports or buffers. When this was reported as NotSent, a request used up six attempts within 1 ms and
+// was rejected with 3,000 ms left to its deadline.
 func TestLocalFailure(t *testing.T) {
 	for _, class := range []string{"page", "save", "once", "keyed"} {
 		for _, shortage := range []Millis{1, 50, 2000} {
@@ -186,7 +187,7 @@
 					}
 					send := rig.onlySend(actions)
 					if sent[rig.now]++; sent[rig.now] > 1 {
-						t.Fatalf("%d sends at once, %.0f ms after the request", sent[rig.now], rig.now-arrived)
+						t.Fatalf("%d attempts at the same time, %.0f ms after the request", sent[rig.now], rig.now-arrived)
 					}
 					result := LocalFailure
 					if rig.now >= shortageEnd {
@@ -204,13 +205,14 @@
 						return
 					}
 				}
-				t.Error("never served")
+				t.Error("the request is not served")
 			})
 		}
 	}
 }
 
-// TestLocalFailureUsesNoBudget: of a member's and the link's limits, of budgets and of its record.
+// TestLocalFailureUsesNoBudget checks that an attempt that ends with LocalFailure leaves the counts in
+// flight, the retry budget and the fault shares of the members unchanged.
 func TestLocalFailureUsesNoBudget(t *testing.T) {
 	rig := newRig(t, testSettings())
 	id, send, attempt := rig.requestFill("page", "x", 0)
@@ -224,7 +226,8 @@
 	}
 }
 
-// TestLocalFailureRetriesElsewhere: want of a route or of a port may concern one member only.
+// TestLocalFailureRetriesElsewhere checks that a request goes to another member after repeated local
+// failures, since a missing route or port may concern one member only.
 func TestLocalFailureRetriesElsewhere(t *testing.T) {
 	rig := newRig(t, testSettings())
 	id, actions := rig.request("page", "x", 0)
@@ -238,11 +241,11 @@
 		}
 		actions = rig.handle(Outcome{ID: id, Cache: first, Attempt: attempt, Result: LocalFailure})
 	}
-	t.Errorf("eight attempts, all at %s", first)
+	t.Errorf("eight attempts, all of them at %s", first)
 }
 
-// TestKeyScope: a request with an idempotency key that may have run goes on only to
-// members of the group that remembers the key, whatever the group is.
+// TestKeyScope checks for each scope that a request with an idempotency key that may have run is only
+// sent to members that remember the key.
 func TestKeyScope(t *testing.T) {
 	executed := &member{Member: Member{ID: "a", Zone: "z1", Cell: 1}}
 	sameCell := &member{Member: Member{ID: "b", Zone: "z1", Cell: 1}}
@@ -250,7 +253,7 @@
 	otherZone := &member{Member: Member{ID: "d", Zone: "z2", Cell: 1}}
 	for _, test := range []struct {
 		group Scope
-		want  [4]bool // in the order above
+		want  [4]bool // in the order of the members above
 	}{
 		{ScopeNone, [4]bool{true, false, false, false}},
 		{ScopeCell, [4]bool{true, true, false, false}},
@@ -263,7 +266,7 @@
 			got[i] = request.mayRunAt(member)
 		}
 		if got != test.want {
-			t.Errorf("group %d: %v, want %v", test.group, got, test.want)
+			t.Errorf("scope %d: %v, want %v", test.group, got, test.want)
 		}
 	}
 }
--- a/rig_test.go
+++ b/rig_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// testRig drives a router by hand.
+// testRig is a router with a settable clock.
 type testRig struct {
 	t        *testing.T
 	router   *Router
@@ -55,7 +55,7 @@
 
 func (g *testRig) handle(ev Event) []Action { return g.router.Handle(g.now, ev, nil) }
 
-// wait lets time pass, with the ticks that the router asked for.
+// wait advances the time and delivers the ticks that are due.
 func (g *testRig) wait(d Millis) (actions []Action) {
 	for end := g.now + d; g.now < end; {
 		g.now = min(g.now+tickInterval, end)
@@ -64,7 +64,7 @@
 	return actions
 }
 
-// request makes a request and returns its id and what the router did.
+// request makes a request and returns its id and the router's actions.
 func (g *testRig) request(class, object string, part int) (string, []Action) {
 	g.requests++
 	id := fmt.Sprint("q", g.requests)
@@ -100,13 +100,13 @@
 	g.t.Helper()
 	s := sends(actions)
 	if len(s) != 1 {
-		g.t.Fatalf("%d sends, want 1: %v", len(s), actions)
+		g.t.Fatalf("%d attempts, want 1: %v", len(s), actions)
 	}
 	return s[0]
 }
 
-// requestFill makes a request whose lookups all miss, and returns the attempt that names
-// a source outside the caches, and its number.
+// requestFill makes a request whose lookups all miss, and returns its id, its first attempt with a
+// source that is not a cache, and the number of that attempt.
 func (g *testRig) requestFill(class, object string, part int) (string, Send, int) {
 	g.t.Helper()
 	id, actions := g.request(class, object, part)
@@ -117,6 +117,6 @@
 		}
 		actions = g.handle(Outcome{ID: id, Attempt: n, Cache: send.Cache, Result: Miss, Took: 1})
 	}
-	g.t.Fatal("no fill")
+	g.t.Fatal("no fill after six lookups")
 	return "", Send{}, 0
 }
--- a/scale_test.go
+++ b/scale_test.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// What a router needs may grow only so far between a fleet of 200 caches and one of 3,200,
-// at the same traffic, limits and cache capacity in all.
+// The resources of a router may grow by these bounds from a fleet of 200 caches to one of 3,200 at the
+// same traffic, limits and total cache capacity.
 const (
 	smallFleet, largeFleet = 200, 3200
 
@@ -20,16 +20,16 @@
 	servedFactor                                     = 0.85
 )
 
-// scaleScenario is a router's day among many caches that answer at once or after a fill.
+// scaleScenario simulates a router in front of many caches, which answer immediately or after a fill.
 type scaleScenario struct {
 	router   *Router
 	rng      *rand.Rand
 	caches   []Member
 	size     float64
-	started  int // caches so far
+	started  int // number of caches started so far
 	now      Millis
 	queue    scaleQueue
-	cached   map[string]bool // object and part at a cache
+	cached   map[string]bool // copies by cache, object and part
 	actions  []Action
 	requests int
 	served   int
@@ -71,7 +71,7 @@
 const (
 	scaleDuration        = Millis(60000)
 	scaleRequestInterval = Millis(50)   // between two requests
-	scaleUpdateInterval  = Millis(5000) // between two changes of the list
+	scaleUpdateInterval  = Millis(5000) // between two updates of the endpoint list
 	scaleObjects         = 400
 	scaleParts           = 8
 )
@@ -107,8 +107,8 @@
 	return Member{ID: fmt.Sprintf("s-%08x", d.started), Zone: "near", Kind: "box", Cell: d.started % 16, Size: d.size, ReadyAt: ready}
 }
 
-// run plays the day: requests in an even stream, and each 5 s one cache of 200 replaced,
-// notified one by one.
+// run simulates scaleDuration: requests at a constant rate, and every scaleUpdateInterval one of 200
+// caches replaced, each with its own update.
 func (d *scaleScenario) run() {
 	var request, change func()
 	request = func() {
@@ -152,7 +152,7 @@
 
 func (d *scaleScenario) handle(ev Event) {
 	actions := d.router.Handle(d.now, ev, d.actions[:0])
-	d.actions = nil // events handled meanwhile have room of their own
+	d.actions = nil // nested calls allocate their own slice
 	for _, act := range actions {
 		switch act := act.(type) {
 		case Send:
@@ -166,7 +166,7 @@
 	d.actions = actions
 }
 
-// answer answers an attempt: a look is a hit where the object was filled before.
+// answer answers an attempt. A lookup is a hit if the part was filled before.
 func (d *scaleScenario) answer(send Send) {
 	request := d.router.requests[send.ID]
 	attempt, sent := len(request.attempts)-1, d.now
@@ -187,7 +187,7 @@
 	})
 }
 
-// userTime is the process's, in seconds.
+// userTime returns the user CPU time of the process in seconds.
 func userTime(t testing.TB) float64 {
 	t.Helper()
 	var usage unix.Rusage
@@ -197,7 +197,8 @@
 	return float64(usage.Utime.Sec) + float64(usage.Utime.Usec)/1e6
 }
 
-// resources is what a router took for a day.
+// resources holds the user CPU time of a run in s, the memory in use after it in MB, and the share of
+// requests served.
 type resources struct{ cpu, memory, served float64 }
 
 func runScaleScenario(t testing.TB, fleet int) resources {
@@ -215,8 +216,8 @@
 	return resources{cpu, (float64(after.HeapAlloc) - float64(before.HeapAlloc)) / (1 << 20), float64(scenario.served) / float64(scenario.requests)}
 }
 
-// TestScale: the same stream of requests, ticks and changes over 200 and over 3,200 caches.
-// Of CPU the least of a few plays counts, since other work on the machine only adds to it.
+// TestScale compares the same stream of requests, ticks and updates over 200 and over 3,200 caches. It
+// uses the lowest CPU time of three runs, since other load on the machine only adds to it.
 func TestScale(t *testing.T) {
 	small, large := runScaleScenario(t, smallFleet), runScaleScenario(t, largeFleet)
 	for range 2 {
@@ -226,12 +227,12 @@
 	t.Logf("%d caches: %+v; %d caches: %+v", smallFleet, small, largeFleet, large)
 	thousands := float64(largeFleet) / 1000
 	if most := cpuFactor*small.cpu + cpuAllowance + cpuPerThousand*thousands; large.cpu > most {
-		t.Errorf("CPU %.3f s, at most %.3f s", large.cpu, most)
+		t.Errorf("CPU time %.3f s, want at most %.3f s", large.cpu, most)
 	}
 	if most := memoryFactor*small.memory + memoryAllowance + memoryPerThousand*thousands; large.memory > most {
-		t.Errorf("memory %.1f MB, at most %.1f MB", large.memory, most)
+		t.Errorf("memory %.1f MB, want at most %.1f MB", large.memory, most)
 	}
 	if least := servedFactor * small.served; large.served < least {
-		t.Errorf("served %.3f, at least %.3f", large.served, least)
+		t.Errorf("share of requests served %.3f, want at least %.3f", large.served, least)
 	}
 }
--- a/settings_test.go
+++ b/settings_test.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// TestSettingsChange: other settings change what is asked for from now on, and nothing that was
-// learned or promised: purges, members that warm up, requests in hand.
+// TestSettingsChange checks that new settings apply from then on and leave the state as it is: purges,
+// members that warm up, and requests that have already arrived.
 func TestSettingsChange(t *testing.T) {
 	settings := testSettings()
 	cold := row("e2", "z1", "box")
@@ -39,25 +39,25 @@
 			next.Classes[i].Idempotency = Idempotent
 		}
 	}
-	next.Zone, next.RouterIndex = "elsewhere", 9 // a router's own: they stay
+	next.Zone, next.RouterIndex = "elsewhere", 9 // these are ignored
 	next.WarmUpTime, next.MaxAttempts = 2*settings.WarmUpTime, 0
 	rig.handle(SettingsChanged{next})
 	if rig.router.settings.Zone != "z1" || rig.router.settings.RouterIndex != 0 || rig.router.settings.MaxAttempts != 4 {
-		t.Errorf("zone %q, me %d, attempts %d", rig.router.settings.Zone, rig.router.settings.RouterIndex, rig.router.settings.MaxAttempts)
+		t.Errorf("zone %q, router index %d, maximum of %d attempts", rig.router.settings.Zone, rig.router.settings.RouterIndex, rig.router.settings.MaxAttempts)
 	}
 	if _, actions := rig.request("new", "x", 0); len(sends(actions)) != 1 {
-		t.Errorf("the new class is not taken: %+v", actions)
+		t.Errorf("no attempt for a request of the new class: %+v", actions)
 	}
 	_, actions = rig.request("page", "a", 0)
 	if got := sends(actions); len(got) != 1 || got[0].Age >= 101 {
-		t.Errorf("the purge is forgotten: %+v", got)
+		t.Errorf("the purge is no longer considered: %+v", got)
 	}
 	if w := rig.router.warmUpShare(rig.router.members["e2"]); w > 0.21 {
-		t.Errorf("the cold member is warm by %v", w)
+		t.Errorf("warm-up share of the cold member is %v", w)
 	}
 	actions = rig.handle(Outcome{ID: pending.ID, Cache: pending.Cache, Result: Reset})
 	if len(sends(actions)) != 0 || len(actions) != 1 {
-		t.Errorf("a single-shot request in hand was sent again after its class had changed: %+v", actions)
+		t.Errorf("a request that is not idempotent was retried after its class had changed: %+v", actions)
 	}
 	if _, ok := actions[0].(Fail); !ok {
 		t.Errorf("%+v", actions)
@@ -65,11 +65,11 @@
 	before := len(rig.router.classes)
 	rig.handle(SettingsChanged{Settings{}})
 	if len(rig.router.classes) != before {
-		t.Error("settings that contradict themselves were taken")
+		t.Error("invalid settings were applied")
 	}
 	settings.ParentKind, settings.OriginKind = "box", "origin"
 	rig.handle(SettingsChanged{settings})
 	if len(rig.router.byRole[parent]) != 2 || len(rig.router.byRole[edge]) != 0 {
-		t.Errorf("roles by the old kinds: %d parents, %d edges", len(rig.router.byRole[parent]), len(rig.router.byRole[edge]))
+		t.Errorf("roles of the previous kinds: %d parents, %d caches", len(rig.router.byRole[parent]), len(rig.router.byRole[edge]))
 	}
 }
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// TestSlowStartBudget holds a just started member to its share of what it can bear.
+// TestSlowStartBudget checks that a member that has just started receives less than half of the load
+// of a warm one, but not nothing.
 func TestSlowStartBudget(t *testing.T) {
 	for _, id := range []string{"e2", "p2"} {
 		rig := newRig(t, testSettings())
@@ -25,14 +26,13 @@
 		m.ReadyAt = rig.now
 		rig.handle(Members{Rows: []Member{m}})
 		if cold := sendTimeAt(100) / 2000; cold > warm*0.5 || cold == 0 {
-			t.Errorf("%s: %v a ms cold, %v warm", id, cold, warm)
+			t.Errorf("%s: load %v while cold, %v while warm", id, cold, warm)
 		}
 	}
 }
 
-// TestQueuedRequestsDoNotFloodColdCache guards against bursts at a cold cache:
-// requests that waited for the link must not all hold a place at it. It should
-// cover any wait that ends for many at once.
+// TestQueuedRequestsDoNotFloodColdCache checks that requests that are queued for the link are not all
+// sent to a cold cache when the link becomes available.
 func TestQueuedRequestsDoNotFloodColdCache(t *testing.T) {
 	rig := newRig(t, testSettings())
 	for i := range 300 {
@@ -59,12 +59,12 @@
 		}
 	}
 	if cold > 2 {
-		t.Errorf("%d attempts at a cold cache at once", cold)
+		t.Errorf("%d attempts at a cold cache at the same time", cold)
 	}
 }
 
-// TestTypicalRateCountsServedRequests: the load that a warm cache is seen to bear is
-// what it served, not what was thrown at it in an overload.
+// TestTypicalRateCountsServedRequests checks that the measured load of warm caches counts only
+// requests that they served, not those that they rejected in an overload.
 func TestTypicalRateCountsServedRequests(t *testing.T) {
 	rig := newRig(t, testSettings())
 	for i := range 300 {
@@ -75,13 +75,13 @@
 		rig.wait(20)
 	}
 	if rig.router.typicalRate[edge] > 0 {
-		t.Errorf("caches that served nothing are thought to bear %v", rig.router.typicalRate[edge])
+		t.Errorf("typical rate is %v, but the caches have served nothing", rig.router.typicalRate[edge])
 	}
 }
 
-// TestQueuedRequestsNeedSlowStartBudget: a request that arrives may go beyond a cold member's budget;
-// one that was queued may not. Many routers let go at once what had gathered: seen as a parent
-// that was asked for 4.6 times what it could give.
+// TestQueuedRequestsNeedSlowStartBudget checks that a new request may overdraw the token bucket of a
+// cold member and that a request that was queued may not. When many routers released their queued
+// requests at the same time, a parent received 4.6 times the load that it could serve.
 func TestQueuedRequestsNeedSlowStartBudget(t *testing.T) {
 	rig := newRig(t, testSettings())
 	member := rig.router.members["e2"]
@@ -97,10 +97,10 @@
 		}
 		taken++
 		if request.wasQueued = true; rig.router.unavailableReason(member, request) != ReasonSlowStartExhausted {
-			t.Fatalf("%s was queued, and goes beyond the budget", request.Object)
+			t.Fatalf("request for %s was queued and overdraws the bucket", request.Object)
 		}
 	}
-	if taken < 10 || taken > 80 { // a third are its own, and a half of 0.6 of these
-		t.Errorf("%d of 400 go beyond the budget", taken)
+	if taken < 10 || taken > 80 { // it is the first choice for a third of them, of which it accepts half of 0.6
+		t.Errorf("%d of 400 requests overdraw the bucket, want 10 to 80", taken)
 	}
 }
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -9,7 +9,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// trainedRouter is a router that has learned from many events and has nothing in hand.
+// trainedRouter returns a router that has learned from many events and has no requests.
 func trainedRouter(t *testing.T, seed uint64, steps int) (*Router, Millis) {
 	t.Helper()
 	settings := testSettings()
@@ -64,8 +64,8 @@
 	return router, now
 }
 
-// TestSnapshotRoundTrip: a successor that restores what was learned knows the same, and decides the same of
-// what comes from then on, one request after another.
+// TestSnapshotRoundTrip checks that a successor that restores a snapshot has the same learned state as
+// its predecessor and makes the same decisions from then on.
 func TestSnapshotRoundTrip(t *testing.T) {
 	for seed := range uint64(60) {
 		predecessor, now := trainedRouter(t, seed, 300)
@@ -77,12 +77,12 @@
 		successor.Handle(now, Recalled{memory}, nil)
 		got := successor.Memory()
 		if got.At = memory.At; !reflect.DeepEqual(got, memory) {
-			t.Fatalf("seed %d: knows\n%+v, not\n%+v", seed, got, memory)
+			t.Fatalf("seed %d: learned state\n%+v, want\n%+v", seed, got, memory)
 		}
 		if !reflect.DeepEqual(predecessor.Ranges(), successor.Ranges()) {
-			t.Fatalf("seed %d: ranges %v, not %v", seed, successor.Ranges(), predecessor.Ranges())
+			t.Fatalf("seed %d: ranges %v, want %v", seed, successor.Ranges(), predecessor.Ranges())
 		}
-		for _, known := range predecessor.members { // health checks and attempts in flight are the predecessor's
+		for _, known := range predecessor.members { // health checks and attempts in flight are not part of a snapshot
 			known.checking, known.inFlight, known.pendingTime, known.overdue = false, 0, 0, 0
 		}
 		predecessor.link.inFlight, predecessor.arrivals, predecessor.lastTimerToken, successor.lastTimerToken = 0, nil, 0, 0
@@ -97,7 +97,7 @@
 			for n := range 8 {
 				want, got := predecessor.Handle(now, ev, nil), successor.Handle(now, ev, nil)
 				if !reflect.DeepEqual(want, got) {
-					t.Fatalf("seed %d, step %d.%d: %+v gives %+v, and %+v to the one that had learned it", seed, i, n, ev, got, want)
+					t.Fatalf("seed %d, step %d.%d: %+v gives %+v at the successor, %+v at the predecessor", seed, i, n, ev, got, want)
 				}
 				var send *Send
 				for _, act := range want {
@@ -119,8 +119,8 @@
 	}
 }
 
-// TestSuccessorSpendsSlowStartBudget: a slow-start budget is spent once: the closing router spends
-// nothing more, and goes on where its successor never came up.
+// TestSuccessorSpendsSlowStartBudget checks that a slow-start budget is used only once: a router with a
+// successor uses no tokens, and uses them again if the successor did not start.
 func TestSuccessorSpendsSlowStartBudget(t *testing.T) {
 	settings := testSettings()
 	settings.SizeIsCapacity = true
@@ -152,33 +152,33 @@
 		return n
 	}
 	if n := sentToCold(0); n == 0 {
-		t.Fatal("a cold cache is never asked")
+		t.Fatal("no request is sent to a cold cache")
 	}
 	for router.members["b"].tokens > 0 && requestIsSentToCold(1000+int(router.members["b"].tokens*1e6)) {
 	}
 	router.Handle(now, Retired{On: true}, nil)
 	memory := router.Memory()
 	if n := sentToCold(100); n > 0 {
-		t.Errorf("%d more by one that is closing", n)
+		t.Errorf("a router with a successor sent %d requests to a cold cache", n)
 	}
 	router.Handle(now, Retired{}, nil)
 	if n := sentToCold(200); n == 0 {
-		t.Error("none by one whose successor never came up")
+		t.Error("a router whose successor did not start sends nothing to a cold cache")
 	}
 	successor, _ := New(settings, 1)
 	successor.Handle(now, Recalled{memory}, nil)
 	successor.Handle(now, Members{Full: true, Rows: []Member{memory.Members[0].Member, memory.Members[1].Member}}, nil)
 	if tokens := successor.members["b"].tokens; tokens != memory.Members[0].Tokens || successor.members["b"].ReadyAt != 1000 {
-		t.Errorf("the successor has %v, the snapshot %v", tokens, memory.Members[0].Tokens)
+		t.Errorf("the successor has %v tokens, the snapshot %v", tokens, memory.Members[0].Tokens)
 	}
 	successor.Handle(now, Recalled{&Memory{Members: []MemberMemory{{Member: Member{ID: "x"}}}}}, nil)
 	if successor.members["x"] != nil {
-		t.Error("a memory was restored by one that has begun")
+		t.Error("a router that already has members restored a snapshot")
 	}
 }
 
-// TestStoredFieldNames guards the snapshots of earlier versions: the CBOR names of all fields stay, so
-// that a successor can restore what a predecessor of another version has stored.
+// TestStoredFieldNames checks the CBOR names of all fields: a successor must be able to restore the
+// snapshot of a predecessor of another version.
 func TestStoredFieldNames(t *testing.T) {
 	limit := map[string]any{"Room": 1.5, "Tardy": 2.5, "Cut": 3.5, "Next": 4.5}
 	layout := map[string]any{"Edges": []any{"b"}, "Splits": []any{uint64(7)}, "Ranged": true}
