--- a/rangesplit.go
+++ b/rangesplit.go
@@ -116,8 +116,8 @@
 	return float64(r.windowRequests) >= firstWindowPartRequests*max(r.settings.sharingRouters(edge)/2, 1)
 }
 
-// closeWindow adds the open window to the discounted sum and updates the layout. It does nothing if
-// the window is empty or is the first one and not done.
+// closeWindow adds the open window to the discounted sum, updates the layout and opens a new window. A
+// window that is empty, or the first one while it has too few requests, stays open.
 func (r *Router) closeWindow() {
 	r.windowOpenedAt = r.now
 	if r.windowRequests == 0 || r.totalCost == nil && !r.firstWindowDone() {
