--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -23,7 +23,7 @@
 	rig := newRig(t, testSettings())
 	rig.handle(Members{Full: true, Rows: []Member{row("e1", "z1", "box"), row("o1", "hub", "origin")}})
 	if _, send, _ := rig.requestFill("page", "x", 0); send.Cache != "e1" || send.Source != "o1" {
-		t.Error("a member missing from a full list is still used")
+		t.Error("a member that is missing from a snapshot is still used")
 	}
 }
 
@@ -40,19 +40,19 @@
 	}
 	router, _ := New(settings, 1)
 	if watches(router.Handle(0, Members{Full: true, Rows: baseRows()}, nil)) != 1 {
-		t.Error("the first list is not followed by a subscription")
+		t.Error("no subscription after the first list")
 	}
 	if watches(router.Handle(1, Members{Lost: true}, nil)) != 0 || len(router.byRole[edge]) != 3 {
-		t.Error("a failed call is repeated at once, or the list was lost with it")
+		t.Error("a failed call to discovery is repeated immediately, or has changed the list")
 	}
 	if watches(router.Handle(1500, Timer{}, nil)) != 1 || watches(router.Handle(3000, Timer{}, nil)) != 0 {
-		t.Error("a lost subscription is not asked for again, once")
+		t.Error("a lost subscription is not renewed exactly once")
 	}
 }
 
-// TestEndpointListsOfAllKinds: long lists, none, one hub, a router alone and routers
-// that were not counted all leave a router that answers every request.
-func TestEndpointListsOfAllKinds(t *testing.T) {
+// TestUnusualEndpointLists checks that every request gets a final answer with long, empty and
+// incomplete endpoint lists, with a single router, and with an unknown number of routers.
+func TestUnusualEndpointLists(t *testing.T) {
 	var many []Member
 	for i := range 400 {
 		many = append(many, row(fmt.Sprint("e", i), fmt.Sprint("z", i%40), "box"), row(fmt.Sprint("p", i), "hub", "parent"))
@@ -64,12 +64,12 @@
 		"no parent":    {row("e1", "z1", "box"), row("o1", "hub", "origin")},
 		"all draining": {{ID: "e1", Zone: "z1", Kind: "box", State: Draining}},
 	} {
-		for _, seats := range [][]int{{0, 1}, {0, 0}, nil} {
+		for _, routersByZone := range [][]int{{0, 1}, {0, 0}, nil} {
 			settings := testSettings()
-			settings.RoutersByZone = seats
+			settings.RoutersByZone = routersByZone
 			rig := newRig(t, settings, rows...)
 			open := map[string]bool{}
-			book := func(actions []Action) {
+			removeAnswered := func(actions []Action) {
 				for _, a := range actions {
 					switch a := a.(type) {
 					case Refuse:
@@ -85,24 +85,24 @@
 				open[id] = true
 				actions = append(actions, more...)
 			}
-			book(actions)
-			for range 2 { // answers of every kind, then again, as lost ones that come late
+			removeAnswered(actions)
+			for range 2 { // outcomes with every result, then the same ones again as late duplicates
 				for i, a := range sends(actions) {
 					outcome := Outcome{ID: a.ID, Cache: a.Cache, Result: Result(i % 9), Took: 1, Last: i%9 == 0}
 					if outcome.Last {
 						delete(open, a.ID)
 					}
-					book(rig.handle(outcome))
+					removeAnswered(rig.handle(outcome))
 				}
 			}
-			for _, a := range rig.router.deadlineTimers { // every deadline comes
+			for _, a := range rig.router.deadlineTimers { // until after the last deadline
 				rig.now = max(rig.now, a.Deadline)
 			}
 			for token := int64(1); token <= rig.router.lastTimerToken; token++ {
-				book(rig.handle(Timer{Token: token}))
+				removeAnswered(rig.handle(Timer{Token: token}))
 			}
 			if len(open) > 0 {
-				t.Errorf("%s, seats %v: %d requests without an answer", name, seats, len(open))
+				t.Errorf("%s, routers by zone %v: %d requests without an answer", name, routersByZone, len(open))
 			}
 		}
 	}
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -8,9 +8,7 @@
 	"testing"
 )
 
-// The fleet: many routers in one simulated time, each with its own part of an uneven
-// traffic, before the same caches and parents. They share nothing.
-
+// scheduledCall is an entry of the event queue of a fleet.
 type scheduledCall struct {
 	at   Millis
 	call func()
@@ -33,6 +31,8 @@
 	return call
 }
 
+// fleet simulates many independent routers in front of the same caches and parents. Each router
+// receives a different share of the traffic.
 type fleet struct {
 	t        *testing.T
 	settings Settings
@@ -40,27 +40,27 @@
 	now      Millis
 	queue    callQueue
 	routers  []*Router
-	weight   []float64 // of each router's traffic
+	weight   []float64 // traffic of each router, relative to the others
 	rows     []Member
-	sendTime Millis              // sending time of each request
-	arrived  map[string][]Millis // when attempts reached a member, as cache or as source
+	sendTime Millis              // send time of each answer
+	arrivals map[string][]Millis // times of the attempts at each member, as the target or as the source
 	requests int
 }
 
-const fleetSize = 4.0 // transfers that a member's link bears
+const memberCapacity = 4.0 // concurrent transfers that a member can serve
 
 func newFleet(t *testing.T, routers int, seed int64) *fleet {
 	settings := testSettings()
 	settings.Routers, settings.RoutersByZone, settings.SizeIsCapacity = routers, []int{0, routers}, true
-	fleet := &fleet{t: t, settings: settings, rng: rand.New(rand.NewSource(seed)), now: 1000, sendTime: 100, arrived: map[string][]Millis{}}
+	fleet := &fleet{t: t, settings: settings, rng: rand.New(rand.NewSource(seed)), now: 1000, sendTime: 100, arrivals: map[string][]Millis{}}
 	for i := range 10 {
 		m := row(fmt.Sprint("e", i), "z1", "box")
-		m.Size = fleetSize
+		m.Size = memberCapacity
 		fleet.rows = append(fleet.rows, m)
 	}
 	for i := range 4 {
 		m := row(fmt.Sprint("p", i), "hub", "parent")
-		m.Size = fleetSize
+		m.Size = memberCapacity
 		fleet.rows = append(fleet.rows, m)
 	}
 	fleet.rows = append(fleet.rows, row("o1", "hub", "origin"))
@@ -71,7 +71,7 @@
 	return fleet
 }
 
-// startRouter puts a new router in the place of the one there is.
+// startRouter replaces a router by a new one.
 func (f *fleet) startRouter(i int) {
 	router, err := New(f.settings, f.rng.Uint64())
 	if err != nil {
@@ -81,17 +81,17 @@
 	f.handle(router, Members{Full: true, Rows: f.rows})
 }
 
-func (f *fleet) after(d Millis, g func()) { heap.Push(&f.queue, scheduledCall{f.now + d, g}) }
+func (f *fleet) schedule(d Millis, g func()) { heap.Push(&f.queue, scheduledCall{f.now + d, g}) }
 
-// handle gives a router an event, and plays its actions: a cache lacks three in ten, and
-// what it is asked for takes its time.
+// handle passes an event to a router and simulates its actions. Three in ten lookups miss; other
+// attempts take 0.5 to 1.5 times the send time.
 func (f *fleet) handle(router *Router, ev Event) {
 	for _, a := range router.Handle(f.now, ev, nil) {
 		switch a := a.(type) {
 		case Wake:
-			f.after(a.In, func() { f.handle(router, Timer{Token: a.Token}) })
+			f.schedule(a.In, func() { f.handle(router, Timer{Token: a.Token}) })
 		case Send:
-			f.arrived[a.Cache] = append(f.arrived[a.Cache], f.now)
+			f.arrivals[a.Cache] = append(f.arrivals[a.Cache], f.now)
 			try := -1
 			if request := router.requests[a.ID]; request != nil {
 				try = len(request.attempts) - 1
@@ -99,23 +99,23 @@
 			outcome := Outcome{ID: a.ID, Cache: a.Cache, Attempt: try, Result: OK, Note: NoteHit, Last: true}
 			took := f.sendTime * (0.5 + f.rng.Float64())
 			if a.Source != a.Cache {
-				f.arrived[a.Source] = append(f.arrived[a.Source], f.now)
+				f.arrivals[a.Source] = append(f.arrivals[a.Source], f.now)
 				outcome.Note = NoteFilled
 			} else if f.rng.Float64() < 0.3 {
 				outcome.Result, outcome.Note, outcome.Last, took = Miss, NoteNone, false, 2
 			}
-			f.after(took, func() { outcome.Took = took; f.handle(router, outcome) })
+			f.schedule(took, func() { outcome.Took = took; f.handle(router, outcome) })
 		}
 	}
 }
 
-// run plays so long a time at a load of all caches' capacity.
+// run simulates a period. The load is a fraction of the capacity of all caches.
 func (f *fleet) run(span Millis, load float64) {
 	sum := 0.0
 	for _, w := range f.weight {
 		sum += w
 	}
-	rate := load * 10 * fleetSize / f.sendTime // requests a millisecond
+	rate := load * 10 * memberCapacity / f.sendTime // requests per millisecond
 	var next func()
 	next = func() {
 		x, i := f.rng.Float64()*sum, 0
@@ -125,7 +125,7 @@
 		f.requests++
 		f.handle(f.routers[i], Request{ID: fmt.Sprint("q", f.requests), Class: "page", Object: fmt.Sprint("o", f.rng.Intn(3000)),
 			KB: f.sendTime * f.settings.FlowKBPerMs, Deadline: f.now + 3000})
-		f.after(f.rng.ExpFloat64()/rate, next)
+		f.schedule(f.rng.ExpFloat64()/rate, next)
 	}
 	end := f.now + span
 	next()
@@ -136,19 +136,18 @@
 	}
 	f.now = end
 	f.queue = nil
-	for _, router := range f.routers { // the ticks go on with the next run
+	for _, router := range f.routers { // so that the next run starts the ticks again
 		router.started = false
 	}
 }
 
-// TestFleetSlowStart: a cache and a parent come back cold, while a third of the
-// routers is new too, also with requests that have gathered behind a full link. All together
-// never send them more in the rule's time than it allows and what is chance, and yet some
-// from the start.
+// TestFleetSlowStart restarts a cache, a parent and a third of the routers, in some cases while
+// requests are queued because the link is at its limit. All routers together must not overload the
+// restarted members, but must send them some requests from the start.
 func TestFleetSlowStart(t *testing.T) {
 	for _, routers := range []int{3, 30, 300} {
 		for seed := range int64(6) {
-			gathered := seed >= 3
+			queued := seed >= 3
 			t.Run(fmt.Sprint(routers, "/", seed), func(t *testing.T) {
 				t.Parallel()
 				fleet := newFleet(t, routers, seed)
@@ -157,7 +156,7 @@
 				for _, i := range []int{2, 11} {
 					fleet.rows[i].ReadyAt = begin
 				}
-				fleet.arrived = map[string][]Millis{}
+				fleet.arrivals = map[string][]Millis{}
 				for i, router := range fleet.routers {
 					if i%3 == 0 {
 						fleet.startRouter(i)
@@ -166,9 +165,9 @@
 					}
 				}
 				span := 9000.0
-				if gathered {
+				if queued {
 					for _, router := range fleet.routers {
-						router.link.limit, router.link.lowered = 0, math.MaxFloat64
+						router.link.limit, router.link.loweredAt = 0, math.MaxFloat64
 					}
 					fleet.run(2500, 4)
 					for _, router := range fleet.routers {
@@ -185,40 +184,41 @@
 	}
 }
 
-// slowStartRule is what a member that warms up can bear.
+// slowStartRule is the load that a member can take while it warms up.
 type slowStartRule struct {
-	from     float64 // share of its capacity at first
-	coldTime Millis
-	fall     float64 // it fails at this multiple of its present capacity
+	initialShare   float64 // share of its capacity that it has at its start
+	warmUpTime     Millis
+	overloadFactor float64 // it fails at this multiple of its present capacity
 }
 
-// checkSlowStart checks that a member that started at begin was never sent more attempts within
-// the fall time than it bears and what is chance, and a twentieth of that at least in all.
+// checkSlowStart checks the attempts at a member that started at begin: within any period of
+// Settings.OverloadTime at most as many as the rule allows, plus random variation, and over all at
+// least minUse of those allowed.
 func (f *fleet) checkSlowStart(id string, begin Millis, rule slowStartRule) {
-	const least = 0.05
-	fallTime := f.settings.OverloadTime
+	const minUse = 0.05
+	overloadTime := f.settings.OverloadTime
 	allowedAfter := func(span Millis) float64 {
-		return rule.fall * fleetSize * (rule.from + (1-rule.from)*span/rule.coldTime) * fallTime / f.sendTime
+		return rule.overloadFactor * memberCapacity * (rule.initialShare + (1-rule.initialShare)*span/rule.warmUpTime) * overloadTime / f.sendTime
 	}
-	arrived := f.arrived[id]
+	arrived := f.arrivals[id]
 	for i, at := range arrived {
 		allowed := allowedAfter(at - begin)
 		attempts := 0.0
-		for j := i; j < len(arrived) && arrived[j] < at+fallTime; j++ {
+		for j := i; j < len(arrived) && arrived[j] < at+overloadTime; j++ {
 			attempts++
 		}
 		if attempts > allowed+2*math.Sqrt(allowed)+2 {
-			f.t.Errorf("%s: %v attempts within %v ms, %.0f ms after the start; %.1f are allowed", id, attempts, fallTime, at-begin, allowed)
+			f.t.Errorf("%s: %v attempts within %v ms, %.0f ms after the start; %.1f are allowed", id, attempts, overloadTime, at-begin, allowed)
 			break
 		}
 	}
 	allowed := 0.0
-	for span := 0.0; span < 9000; span += fallTime {
+	for span := 0.0; span < 9000; span += overloadTime {
 		allowed += allowedAfter(span)
 	}
 	used := float64(len(arrived))
-	if used < least*allowed {
-		f.t.Errorf("%s: %v attempts in 9 s, of %.0f that are allowed", id, used, allowed)
+	if used < minUse*allowed {
+		f.t.Errorf("%s: %v attempts in 9 s, want at least %v of the %.0f that are allowed", id, used, minUse, allowed)
 	}
-	f.t.Logf("%s: %v of %.0f", id, used, allowed)
+	f.t.Logf("%s: %v attempts, %.0f allowed", id, used, allowed)
 }
--- a/internal/protocol/simwire/settings.go
+++ b/internal/protocol/simwire/settings.go
@@ -7,172 +7,178 @@
 	spool "indigospool"
 )
 
-// at returns a list's element, or the zero value past its end.
-func at[T any](list []T, i int) (v T) {
+// elementAt returns the element of a list at an index, or the zero value if there is none.
+func elementAt[T any](list []T, i int) (v T) {
 	if i >= 0 && i < len(list) {
 		v = list[i]
 	}
 	return v
 }
 
-type bornFields struct {
-	Seed uint64          `json:"init_seed"`
-	Boot json.RawMessage `json:"boot_info"`
+// startFields is the wire form of Start.
+type startFields struct {
+	Seed     uint64          `json:"init_seed"`
+	Settings json.RawMessage `json:"boot_info"`
 }
 
-// Settings is all that an instance is told at its start: what the module goes by, and
-// what only those on sockets need.
+// Settings are the settings of an instance: those of the module, and those that only a router with
+// real connections uses.
 type Settings struct {
 	Module         spool.Settings
-	Kinds          []string
-	ConnectTimeout float64 // ms
-	ConnIdle       float64 // ms after which members close idle connections; 0: not told
-	Streams        int     // attempts that a connection to a member carries at once; 0: not told
+	Kinds          []string // kinds of members
+	ConnectTimeout float64  // in ms
+	ConnIdle       float64  // time in ms after which members close idle connections; 0: not specified
+	Streams        int      // concurrent attempts per connection to a member; 0: not specified
 }
 
-type boot struct {
+// settingsMessage is the wire form of Settings.
+type settingsMessage struct {
 	Classes []struct {
-		Aim         float64 `json:"aim"`
-		AimStretch  float64 `json:"aim_stretch"`
-		Gain        float64 `json:"gain"`
-		GiveUp      float64 `json:"give_up"`
-		Group       string  `json:"group"`
-		Idempotency string  `json:"idempotency"`
-		LateWorth   float64 `json:"late_worth"`
-		Name        string  `json:"name"`
-		Stream      bool    `json:"stream"`
-		Window      float64 `json:"window"`
+		LatencyObjective     float64 `json:"aim"`
+		ObjectivePerSendTime float64 `json:"aim_stretch"`
+		PriorityWeight       float64 `json:"gain"`
+		Deadline             float64 `json:"give_up"`
+		KeyScope             string  `json:"group"`
+		Idempotency          string  `json:"idempotency"`
+		LateWeightShare      float64 `json:"late_worth"`
+		Name                 string  `json:"name"`
+		Streamed             bool    `json:"stream"`
+		KeyWindow            float64 `json:"window"`
 	} `json:"classes"`
-	Discovery string `json:"discovery"`
-	Family    family `json:"family_info"`
+	Discovery string         `json:"discovery"`
+	Family    familySettings `json:"family_info"`
 	Feedback  struct {
-		How   string   `json:"how"`
+		Kind  string   `json:"how"`
 		Names []string `json:"names"`
 	} `json:"feedback"`
 	Kinds  []string `json:"kinds"`
 	Limits struct {
-		Cancel        bool    `json:"cancel"`
-		ConnIdle      float64 `json:"conn_idle"`
-		ConnTimeout   float64 `json:"connect_timeout"`
-		MaxAttempts   int     `json:"max_attempts"`
-		MaxRetryAfter float64 `json:"max_retry_after"`
-		MostHeld      int     `json:"most_held"`
-		Multiplex     int     `json:"multiplex"`
-		Probing       bool    `json:"probing"`
-		RetryAfter    bool    `json:"retry_after"`
-		SecondCopies  bool    `json:"second_copies"`
+		CanCancel      bool    `json:"cancel"`
+		ConnIdle       float64 `json:"conn_idle"`
+		ConnectTimeout float64 `json:"connect_timeout"`
+		MaxAttempts    int     `json:"max_attempts"`
+		MaxRetryAfter  float64 `json:"max_retry_after"`
+		MaxRequests    int     `json:"most_held"`
+		Streams        int     `json:"multiplex"`
+		CanProbe       bool    `json:"probing"`
+		RetryAfter     bool    `json:"retry_after"`
+		HedgedRequests bool    `json:"second_copies"`
 	} `json:"limits"`
-	Localities []string `json:"localities"`
-	Me         int      `json:"me"`
-	Instances  int      `json:"n_instances"`
-	Rules      struct {
-		AnswerSlack    float64 `json:"answer_slack"`
-		Cold           float64 `json:"cold"`
-		ColdFrom       float64 `json:"cold_from"`
-		DrainGrace     float64 `json:"drain_grace"`
-		MustAskIn      float64 `json:"must_ask_in"`
-		OverloadFactor float64 `json:"overload_factor"`
-		OverloadFor    float64 `json:"overload_for"`
+	Zones       []string `json:"localities"`
+	RouterIndex int      `json:"me"`
+	Routers     int      `json:"n_instances"`
+	Rules       struct {
+		AnswerSlack        float64 `json:"answer_slack"`
+		WarmUpTime         float64 `json:"cold"`
+		WarmUpInitialShare float64 `json:"cold_from"`
+		DrainGrace         float64 `json:"drain_grace"`
+		PollInterval       float64 `json:"must_ask_in"`
+		OverloadFactor     float64 `json:"overload_factor"`
+		OverloadTime       float64 `json:"overload_for"`
 	} `json:"rules"`
-	Tick       float64 `json:"tick"`
-	WeightKind string  `json:"weight_kind"`
-	Zone       string  `json:"zone"`
+	TimerResolution float64 `json:"tick"`
+	WeightKind      string  `json:"weight_kind"`
+	Zone            string  `json:"zone"`
 }
 
-type family struct {
-	Lifetime    []float64 `json:"lifetime_by_class"`
-	OlderBy     []float64 `json:"older_by"`
-	InParts     []bool    `json:"in_parts"`
-	StaleEarns  []float64 `json:"stale_earns"`
-	ClassWrite  []bool    `json:"class_write"`
-	PassThrough bool      `json:"pass_through_ok"`
-	StreamKB    float64   `json:"stream_kb_per_s"`
-	Joins       bool      `json:"joins"`
-	OriginLimit float64   `json:"origin_limit_factor"`
-	MasterKind  *int      `json:"master_kind"`
-	ParentFrom  float64   `json:"parent_starts_at"`
-	ParentCold  float64   `json:"parent_cold"`
-	UpperFall   float64   `json:"upper_fall_multiple"`
-	UpperKind   *int      `json:"upper_kind"`
-	PurgeTakes  float64   `json:"purge_takes"`
-	PurgeSlack  float64   `json:"purge_slack"`
-	Neighbours  string    `json:"neighbours"`
-	Detail      string    `json:"detail"`
-	Seats       []int     `json:"seats_by_zone"`
-	HomeHub     []int     `json:"home_hub"`
-	LinkIn      []float64 `json:"link_in_kb_per_s"`
+// familySettings are the settings of the cache hierarchy. Lists are in the order of the classes
+// or of the zones.
+type familySettings struct {
+	Fresh                    []float64 `json:"lifetime_by_class"`
+	Grace                    []float64 `json:"older_by"`
+	InParts                  []bool    `json:"in_parts"`
+	StaleWeightShare         []float64 `json:"stale_earns"`
+	Write                    []bool    `json:"class_write"`
+	DirectAttempts           bool      `json:"pass_through_ok"`
+	FlowKBPerSecond          float64   `json:"stream_kb_per_s"`
+	JoinFills                bool      `json:"joins"`
+	OriginOverloadFactor     float64   `json:"origin_limit_factor"`
+	OriginKind               *int      `json:"master_kind"`
+	ParentWarmUpInitialShare float64   `json:"parent_starts_at"`
+	ParentWarmUpTime         float64   `json:"parent_cold"`
+	ParentOverloadFactor     float64   `json:"upper_fall_multiple"`
+	ParentKind               *int      `json:"upper_kind"`
+	PurgeTime                float64   `json:"purge_takes"`
+	PurgeSlack               float64   `json:"purge_slack"`
+	SiblingScope             string    `json:"neighbours"`
+	Detail                   string    `json:"detail"`
+	RoutersByZone            []int     `json:"seats_by_zone"`
+	HubOfZone                []int     `json:"home_hub"`
+	LinkKBPerSecond          []float64 `json:"link_in_kb_per_s"`
 }
 
-func parseBorn(raw json.RawMessage) (any, error) {
-	var f bornFields
+// parseStart parses the fields of the event that starts an instance.
+func parseStart(raw json.RawMessage) (any, error) {
+	var f startFields
 	if err := json.Unmarshal(raw, &f); err != nil {
 		return nil, err
 	}
-	if f.Boot == nil {
+	if f.Settings == nil {
 		return nil, fmt.Errorf("no boot_info")
 	}
-	s, err := ParseSettings(f.Boot)
-	return Born{Seed: f.Seed, Settings: s.Module}, err
+	s, err := ParseSettings(f.Settings)
+	return Start{Seed: f.Seed, Settings: s.Module}, err
 }
 
-// ParseSettings reads the object of settings, of an instance's first message as of a
-// router's configuration. Whether they contradict themselves is the module's to say.
+// ParseSettings parses the settings object of an instance's first message or of a router's
+// configuration. It does not validate the values; see spool.Settings.Valid.
 func ParseSettings(raw json.RawMessage) (out Settings, err error) {
-	var b boot
-	if err := json.Unmarshal(raw, &b); err != nil {
+	var message settingsMessage
+	if err := json.Unmarshal(raw, &message); err != nil {
 		return out, err
 	}
-	out = Settings{Kinds: b.Kinds, ConnectTimeout: b.Limits.ConnTimeout, ConnIdle: b.Limits.ConnIdle,
-		Streams: b.Limits.Multiplex}
-	out.Module, err = module(&b)
+	out = Settings{Kinds: message.Kinds, ConnectTimeout: message.Limits.ConnectTimeout, ConnIdle: message.Limits.ConnIdle,
+		Streams: message.Limits.Streams}
+	out.Module, err = moduleSettings(&message)
 	return out, err
 }
 
-func module(b *boot) (spool.Settings, error) {
-	fam := &b.Family
+// moduleSettings converts the settings of the module from their wire form.
+func moduleSettings(message *settingsMessage) (spool.Settings, error) {
+	family := &message.Family
 	s := spool.Settings{
-		RouterIndex: b.Me, Routers: b.Instances, Zone: b.Zone, Zones: b.Localities,
-		RoutersByZone: fam.Seats, HubOfZone: fam.HomeHub, LinkCapacity: map[string]float64{},
-		TimerResolution: b.Tick, AnswerSlack: b.Rules.AnswerSlack, DrainGrace: b.Rules.DrainGrace,
-		WarmUpInitialShare: b.Rules.ColdFrom, WarmUpTime: b.Rules.Cold,
-		OverloadFactor: b.Rules.OverloadFactor, OverloadTime: b.Rules.OverloadFor,
-		ParentWarmUpInitialShare: fam.ParentFrom, ParentWarmUpTime: fam.ParentCold, ParentOverloadFactor: fam.UpperFall,
-		OriginOverloadFactor: fam.OriginLimit, PurgeTime: fam.PurgeTakes, PurgeSlack: fam.PurgeSlack,
-		DirectAttempts: fam.PassThrough, JoinFills: fam.Joins, FlowKBPerMs: fam.StreamKB / 1000,
-		SizeIsCapacity: b.WeightKind == "nominal" || b.WeightKind == "rough",
-		MaxAttempts:    b.Limits.MaxAttempts, MaxRequests: b.Limits.MostHeld,
-		HedgedRequests: b.Limits.SecondCopies, CanCancel: b.Limits.Cancel, CanProbe: b.Limits.Probing,
-		WatchRequired: b.Discovery == "on_request", PollInterval: b.Rules.MustAskIn,
-		LoadMetrics: b.Feedback.Names,
+		RouterIndex: message.RouterIndex, Routers: message.Routers, Zone: message.Zone, Zones: message.Zones,
+		RoutersByZone: family.RoutersByZone, HubOfZone: family.HubOfZone, LinkCapacity: map[string]float64{},
+		TimerResolution: message.TimerResolution, AnswerSlack: message.Rules.AnswerSlack, DrainGrace: message.Rules.DrainGrace,
+		WarmUpInitialShare: message.Rules.WarmUpInitialShare, WarmUpTime: message.Rules.WarmUpTime,
+		OverloadFactor: message.Rules.OverloadFactor, OverloadTime: message.Rules.OverloadTime,
+		ParentWarmUpInitialShare: family.ParentWarmUpInitialShare, ParentWarmUpTime: family.ParentWarmUpTime, ParentOverloadFactor: family.ParentOverloadFactor,
+		OriginOverloadFactor: family.OriginOverloadFactor, PurgeTime: family.PurgeTime, PurgeSlack: family.PurgeSlack,
+		DirectAttempts: family.DirectAttempts, JoinFills: family.JoinFills, FlowKBPerMs: family.FlowKBPerSecond / 1000,
+		SizeIsCapacity: message.WeightKind == "nominal" || message.WeightKind == "rough",
+		MaxAttempts:    message.Limits.MaxAttempts, MaxRequests: message.Limits.MaxRequests,
+		HedgedRequests: message.Limits.HedgedRequests, CanCancel: message.Limits.CanCancel, CanProbe: message.Limits.CanProbe,
+		WatchRequired: message.Discovery == "on_request", PollInterval: message.Rules.PollInterval,
+		LoadMetrics: message.Feedback.Names,
 	}
-	if b.Limits.RetryAfter {
-		s.MaxRetryAfter = b.Limits.MaxRetryAfter
+	if message.Limits.RetryAfter {
+		s.MaxRetryAfter = message.Limits.MaxRetryAfter
 	}
-	if fam.UpperKind != nil {
-		s.ParentKind = at(b.Kinds, *fam.UpperKind)
+	if family.ParentKind != nil {
+		s.ParentKind = elementAt(message.Kinds, *family.ParentKind)
 	}
-	if fam.MasterKind != nil {
-		s.OriginKind = at(b.Kinds, *fam.MasterKind)
+	if family.OriginKind != nil {
+		s.OriginKind = elementAt(message.Kinds, *family.OriginKind)
 	}
-	for i, z := range b.Localities {
-		s.LinkCapacity[z] = at(fam.LinkIn, i) / 1000
+	for i, z := range message.Zones {
+		s.LinkCapacity[z] = elementAt(family.LinkKBPerSecond, i) / 1000
 	}
 	var err error
-	if s.SiblingScope, err = pick(scopes, fam.Neighbours, "neighbours"); err != nil {
+	if s.SiblingScope, err = lookUp(scopes, family.SiblingScope, "neighbours"); err != nil {
 		return s, err
 	}
-	if s.Detail, err = pick(details, fam.Detail, "detail"); err != nil {
+	if s.Detail, err = lookUp(details, family.Detail, "detail"); err != nil {
 		return s, err
 	}
-	for i, c := range b.Classes {
-		k := spool.Class{Name: c.Name, LatencyObjective: c.Aim, ObjectivePerSendTime: c.AimStretch, Deadline: c.GiveUp,
-			PriorityWeight: c.Gain, LateWeightShare: c.LateWorth, KeyWindow: c.Window, Streamed: c.Stream,
-			InParts: at(fam.InParts, i), Write: at(fam.ClassWrite, i),
-			Fresh: at(fam.Lifetime, i), Grace: at(fam.OlderBy, i), StaleWeightShare: at(fam.StaleEarns, i)}
-		if k.Idempotency, err = pick(effects, c.Idempotency, "idempotency"); err != nil {
+	for i, c := range message.Classes {
+		k := spool.Class{Name: c.Name, LatencyObjective: c.LatencyObjective, ObjectivePerSendTime: c.ObjectivePerSendTime, Deadline: c.Deadline,
+			PriorityWeight: c.PriorityWeight, LateWeightShare: c.LateWeightShare, KeyWindow: c.KeyWindow, Streamed: c.Streamed,
+			InParts: elementAt(family.InParts, i), Write: elementAt(family.Write, i),
+			Fresh: elementAt(family.Fresh, i), Grace: elementAt(family.Grace, i), StaleWeightShare: elementAt(family.StaleWeightShare, i)}
+		if k.Idempotency, err = lookUp(idempotencies, c.Idempotency, "idempotency"); err != nil {
 			return s, fmt.Errorf("class %.40q: %w", c.Name, err)
 		}
-		if k.KeyScope, err = pick(scopes, c.Group, "group"); err != nil {
+		if k.KeyScope, err = lookUp(scopes, c.KeyScope, "group"); err != nil {
 			return s, fmt.Errorf("class %.40q: %w", c.Name, err)
 		}
 		s.Classes = append(s.Classes, k)
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -5,9 +5,11 @@
 	"math/rand/v2"
 	"reflect"
 	"testing"
+
+	"github.com/fxamacker/cbor/v2"
 )
 
-// trainedRouter is a router that has learned from many events and has nothing in hand.
+// trainedRouter returns a router that has learned from many events and has no requests.
 func trainedRouter(t *testing.T, seed uint64, steps int) (*Router, Millis) {
 	t.Helper()
 	settings := testSettings()
@@ -62,8 +64,8 @@
 	return router, now
 }
 
-// TestSnapshotRoundTrip: a successor that restores what was learned knows the same, and decides the same of
-// what comes from then on, one request after another.
+// TestSnapshotRoundTrip checks that a successor that restores a snapshot has the same learned state as
+// its predecessor and makes the same decisions from then on.
 func TestSnapshotRoundTrip(t *testing.T) {
 	for seed := range uint64(60) {
 		predecessor, now := trainedRouter(t, seed, 300)
@@ -75,12 +77,12 @@
 		successor.Handle(now, Recalled{memory}, nil)
 		got := successor.Memory()
 		if got.At = memory.At; !reflect.DeepEqual(got, memory) {
-			t.Fatalf("seed %d: knows\n%+v, not\n%+v", seed, got, memory)
+			t.Fatalf("seed %d: learned state\n%+v, want\n%+v", seed, got, memory)
 		}
 		if !reflect.DeepEqual(predecessor.Ranges(), successor.Ranges()) {
-			t.Fatalf("seed %d: ranges %v, not %v", seed, successor.Ranges(), predecessor.Ranges())
+			t.Fatalf("seed %d: ranges %v, want %v", seed, successor.Ranges(), predecessor.Ranges())
 		}
-		for _, known := range predecessor.members { // health checks and attempts in flight are the predecessor's
+		for _, known := range predecessor.members { // health checks and attempts in flight are not part of a snapshot
 			known.checking, known.inFlight, known.pendingTime, known.overdue = false, 0, 0, 0
 		}
 		predecessor.link.inFlight, predecessor.arrivals, predecessor.lastTimerToken, successor.lastTimerToken = 0, nil, 0, 0
@@ -95,7 +97,7 @@
 			for n := range 8 {
 				want, got := predecessor.Handle(now, ev, nil), successor.Handle(now, ev, nil)
 				if !reflect.DeepEqual(want, got) {
-					t.Fatalf("seed %d, step %d.%d: %+v gives %+v, and %+v to the one that had learned it", seed, i, n, ev, got, want)
+					t.Fatalf("seed %d, step %d.%d: %+v gives %+v at the successor, %+v at the predecessor", seed, i, n, ev, got, want)
 				}
 				var send *Send
 				for _, act := range want {
@@ -117,8 +119,8 @@
 	}
 }
 
-// TestSuccessorSpendsSlowStartBudget: a slow-start budget is spent once: the closing router spends
-// nothing more, and goes on where its successor never came up.
+// TestSuccessorSpendsSlowStartBudget checks that a slow-start budget is used only once: a router with a
+// successor uses no tokens, and uses them again if the successor did not start.
 func TestSuccessorSpendsSlowStartBudget(t *testing.T) {
 	settings := testSettings()
 	settings.SizeIsCapacity = true
@@ -128,7 +130,7 @@
 	}
 	now := Millis(1000)
 	router.Handle(now, Members{Full: true, Rows: []Member{{ID: "b", Zone: settings.Zone, Kind: "box", Size: 50, ReadyAt: now}, {ID: "o", Kind: settings.OriginKind}}}, nil)
-	ask := func(i int) (cold bool) {
+	requestIsSentToCold := func(i int) (cold bool) {
 		id := fmt.Sprint("q", i)
 		actions := router.Handle(now, Request{ID: id, Class: settings.Classes[0].Name, Object: fmt.Sprint("o", i), Deadline: now + 900}, nil)
 		router.Handle(now, Gone{ID: id}, nil)
@@ -140,37 +142,91 @@
 		}
 		return cold
 	}
-	given := func(from int) (n int) {
+	sentToCold := func(from int) (n int) {
 		for i := range 40 {
 			now += 20
-			if ask(from + i) {
+			if requestIsSentToCold(from + i) {
 				n++
 			}
 		}
 		return n
 	}
-	if n := given(0); n == 0 {
-		t.Fatal("a cold cache is never asked")
+	if n := sentToCold(0); n == 0 {
+		t.Fatal("no request is sent to a cold cache")
 	}
-	for router.members["b"].tokens > 0 && ask(1000+int(router.members["b"].tokens*1e6)) {
+	for router.members["b"].tokens > 0 && requestIsSentToCold(1000+int(router.members["b"].tokens*1e6)) {
 	}
 	router.Handle(now, Retired{On: true}, nil)
 	memory := router.Memory()
-	if n := given(100); n > 0 {
-		t.Errorf("%d more by one that is closing", n)
+	if n := sentToCold(100); n > 0 {
+		t.Errorf("a router with a successor sent %d requests to a cold cache", n)
 	}
 	router.Handle(now, Retired{}, nil)
-	if n := given(200); n == 0 {
-		t.Error("none by one whose successor never came up")
+	if n := sentToCold(200); n == 0 {
+		t.Error("a router whose successor did not start sends nothing to a cold cache")
 	}
 	successor, _ := New(settings, 1)
 	successor.Handle(now, Recalled{memory}, nil)
 	successor.Handle(now, Members{Full: true, Rows: []Member{memory.Members[0].Member, memory.Members[1].Member}}, nil)
 	if tokens := successor.members["b"].tokens; tokens != memory.Members[0].Tokens || successor.members["b"].ReadyAt != 1000 {
-		t.Errorf("the successor has %v, the snapshot %v", tokens, memory.Members[0].Tokens)
+		t.Errorf("the successor has %v tokens, the snapshot %v", tokens, memory.Members[0].Tokens)
 	}
 	successor.Handle(now, Recalled{&Memory{Members: []MemberMemory{{Member: Member{ID: "x"}}}}}, nil)
 	if successor.members["x"] != nil {
-		t.Error("a memory was restored by one that has begun")
+		t.Error("a router that already has members restored a snapshot")
+	}
+}
+
+// TestStoredFieldNames checks the CBOR names of all fields: a successor must be able to restore the
+// snapshot of a predecessor of another version.
+func TestStoredFieldNames(t *testing.T) {
+	limit := map[string]any{"Room": 1.5, "Tardy": 2.5, "Cut": 3.5, "Next": 4.5}
+	layout := map[string]any{"Edges": []any{"b"}, "Splits": []any{uint64(7)}, "Ranged": true}
+	stored := map[string]any{
+		"At": 1.25, "Turned": 2.25, "Typical": []any{3.25}, "Retries": 4.25, "Mean": 5.25, "Pace": 6.25, "LastSec": 7.25,
+		"Window": []any{8.25}, "Total": []any{9.25}, "Seen": uint64(10), "Opened": 11.25, "Moved": 12.25,
+		"Purges": map[any]any{"o": 13.25}, "Groups": map[any]any{uint64(3): 14.25},
+		"Link": limit, "Layout": layout, "Prior": layout,
+		"Members": []any{map[string]any{
+			"ID": "b", "Zone": "z1", "Kind": "box", "Cell": uint64(2), "State": uint64(1), "Size": 15.25, "ReadyAt": 16.25,
+			"Gate": limit, "Gone": true, "Suspect": true, "Good": 17.25, "Gap": 18.25, "Faults": 19.25, "Judged": uint64(20),
+			"Wins": uint64(21), "TrialAt": 22.25, "Backoff": 23.25, "Work": 24.25, "Rate": 25.25, "Tokens": 26.25, "Topped": 27.25,
+		}},
+		"Classes": []any{map[string]any{"Name": "page", "Mean": 28.25, "Took": 29.25}},
+		"Objects": []any{[]any{map[string]any{"Name": "o", "First": 30.25, "Parts": 31.25}}, []any{}},
+	}
+	encoded, err := cbor.Marshal(stored)
+	if err != nil {
+		t.Fatal(err)
+	}
+	wantLimit := GateMemory{Room: 1.5, Tardy: 2.5, Cut: 3.5, Next: 4.5}
+	wantLayout := LayoutMemory{Edges: []string{"b"}, Splits: []int{7}, Ranged: true}
+	want := Memory{
+		At: 1.25, ObjectDepthsRotatedAt: 2.25, Typical: []Millis{3.25}, RetryTokens: 4.25, Mean: 5.25, FillTimeRatio: 6.25, LastCleanup: 7.25,
+		WindowCost: []float64{8.25}, Total: []float64{9.25}, WindowRequests: 10, WindowOpenedAt: 11.25, LayoutChangedAt: 12.25,
+		Purges: map[string]Millis{"o": 13.25}, Groups: map[int]Millis{3: 14.25},
+		Link: wantLimit, Layout: wantLayout, PriorLayout: wantLayout,
+		Members: []MemberMemory{{
+			Member: Member{ID: "b", Zone: "z1", Kind: "box", Cell: 2, State: Draining, Size: 15.25, ReadyAt: 16.25},
+			Gate:   wantLimit, Gone: true, Ejected: true, LastProgress: 17.25, ProgressGap: 18.25, Faults: 19.25, Outcomes: 20,
+			GoodChecks: 21, NextCheck: 22.25, CheckBackoff: 23.25, ServedTime: 24.25, ServedRate: 25.25, Tokens: 26.25, Refilled: 27.25,
+		}},
+		Classes: []ClassMemory{{Name: "page", MeanSendTime: 28.25, HitTime: 29.25}},
+		Objects: [2][]ObjectMemory{{{Name: "o", First: 30.25, Parts: 31.25}}, {}},
+	}
+	var got Memory
+	if err := cbor.Unmarshal(encoded, &got); err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("decoded %+v, want %+v; error %v", got, want, err)
+	}
+	reencoded, err := cbor.Marshal(want)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var asStored, asEncoded map[string]any
+	if err := cbor.Unmarshal(encoded, &asStored); err != nil {
+		t.Fatal(err)
+	}
+	if err := cbor.Unmarshal(reencoded, &asEncoded); err != nil || !reflect.DeepEqual(asEncoded, asStored) {
+		t.Errorf("encoded %v, want %v; error %v", asEncoded, asStored, err)
 	}
 }
