--- a/internal/eventloop/buffer.go
+++ b/internal/eventloop/buffer.go
@@ -23,8 +23,8 @@
 
 var defaultClasses = [...]int{1 << 10, 4 << 10, 16 << 10, 64 << 10, 256 << 10}
 
-// Lend returns an empty buffer with a capacity of at least n bytes, to be given back.
-func (p *Buffers) Lend(n int) []byte {
+// Get returns an empty buffer with a capacity of at least n bytes, to be given back.
+func (p *Buffers) Get(n int) []byte {
 	if p.unused == nil {
 		p.init()
 	}
@@ -46,8 +46,8 @@
 	return p.allocate(n)
 }
 
-// GiveBack ends a loan; the caller must not use b any more. A nil b is ignored.
-func (p *Buffers) GiveBack(b []byte) {
+// Put ends a loan; the caller must not use b any more. A nil b is ignored.
+func (p *Buffers) Put(b []byte) {
 	if cap(b) == 0 {
 		return
 	}
--- a/internal/eventloop/buffer_test.go
+++ b/internal/eventloop/buffer_test.go
@@ -28,7 +28,7 @@
 			for range 2 {
 				var lent [][]byte
 				for _, n := range c.lend {
-					b := pool.Lend(n)
+					b := pool.Get(n)
 					if len(b) != 0 || cap(b) < n {
 						t.Errorf("lent %d of %d bytes for %d", len(b), cap(b), n)
 					}
@@ -38,7 +38,7 @@
 					t.Errorf("%d bytes lent, %d allocated; want %d, %d", pool.Used, allocated, c.used, c.again)
 				}
 				for _, b := range lent {
-					pool.GiveBack(b)
+					pool.Put(b)
 				}
 				if pool.Used != 0 || allocated != c.kept {
 					t.Errorf("%d bytes lent, %d kept; want 0, %d", pool.Used, allocated, c.kept)
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -47,7 +47,7 @@
 
 // socket makes a socket, again where the call was interrupted.
 func socket(calls Syscalls, family int) (fd int, err error) {
-	for range interruptedAttempts {
+	for range maxInterrupted {
 		fd, err = calls.Socket(family)
 		if err != unix.EINTR {
 			break
@@ -59,7 +59,7 @@
 // connect begins to connect a socket. The call that it makes again after an interruption
 // finds whether the connection has been begun or made.
 func connect(calls Syscalls, fd int, to unix.Sockaddr) (inProgress bool, err error) {
-	for range interruptedAttempts {
+	for range maxInterrupted {
 		err = calls.Connect(fd, to)
 		switch err {
 		case nil, unix.EISCONN:
--- a/internal/eventloop/io.go
+++ b/internal/eventloop/io.go
@@ -12,9 +12,9 @@
 func (l *Loop) Intercept(calls Syscalls) { l.calls = calls }
 
 const (
-	interruptedAttempts = 4    // of a call that is interrupted, before it is left for later
-	firstSuspension     = 2.0  // ms, until a call for which the kernel lacked memory is made again;
-	longestSuspension   = 16.0 // ms, up to which that is doubled while the shortage lasts
+	maxInterrupted = 4    // of a call that is interrupted, before it is left for later
+	minSuspension  = 2.0  // ms, until a call for which the kernel lacked memory is made again;
+	maxSuspension  = 16.0 // ms, up to which that is doubled while the shortage lasts
 )
 
 // Read reads from a non-blocking descriptor.
@@ -81,7 +81,7 @@
 	switch {
 	case err == unix.EAGAIN || !Retryable(err):
 		return false
-	case err == unix.EINTR && attempt < interruptedAttempts:
+	case err == unix.EINTR && attempt < maxInterrupted:
 		return true
 	}
 	l.suspend(fd)
@@ -107,9 +107,9 @@
 	if l.resumeTimer.Armed() {
 		return
 	}
-	l.suspendFor = min(2*l.suspendFor, longestSuspension)
-	if l.now-l.resumedAt > longestSuspension { // the shortage before is over
-		l.suspendFor = firstSuspension
+	l.suspendFor = min(2*l.suspendFor, maxSuspension)
+	if l.now-l.resumedAt > maxSuspension { // the shortage before is over
+		l.suspendFor = minSuspension
 	}
 	l.Arm(&l.resumeTimer, l.suspendFor)
 }
@@ -151,7 +151,7 @@
 		return n, err
 	}
 	l.interruptedWaits++
-	if l.interruptedWaits > interruptedAttempts {
+	if l.interruptedWaits > maxInterrupted {
 		time.Sleep(time.Millisecond)
 	}
 	return 0, nil
--- a/internal/eventloop/io_test.go
+++ b/internal/eventloop/io_test.go
@@ -44,7 +44,7 @@
 					t.Errorf("%d turns in 50 ms, %d calls", turns, calls.calls)
 				}
 				calls.read, calls.write = nil, nil
-				turnFor(t, l, 2*longestSuspension)
+				turnFor(t, l, 2*maxSuspension)
 				n, _ := unix.Read(theirs, buf[:])
 				if got != "pong" || n != 4 {
 					t.Errorf("read %q, peer %d bytes", got, n)
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	acceptFailures = 16     // in a row that concern one connection each, before accepting pauses
-	acceptPause    = 20.0   // ms without accepting after a shortage or that many failures
-	makeRoomPause  = 1000.0 // ms until MakeRoom is called again after a call that did not help
+	maxAcceptFailures = 16     // in a row that concern one connection each, before accepting pauses
+	acceptPause       = 20.0   // ms without accepting after a shortage or that many failures
+	makeRoomPause     = 1000.0 // ms until MakeRoom is called again after a call that did not help
 )
 
 // A Listener accepts the connections of a listening socket, a bounded number in each turn of
@@ -31,7 +31,7 @@
 	fd           int
 	failures     int
 	waitingSince Millis // see Since; 0: the kernel's queue was found empty
-	noRoomBefore Millis // MakeRoom is not called before
+	nextMakeRoom Millis // MakeRoom is not called before
 	resumeTimer  Timer
 }
 
@@ -71,7 +71,7 @@
 		if err == nil {
 			ln.failures = 0
 			if madeRoom { // and it helped
-				ln.noRoomBefore = 0
+				ln.nextMakeRoom = 0
 			}
 			ln.Take(fd)
 			continue
@@ -81,7 +81,7 @@
 			return
 		}
 		ln.failures++
-		if concernsOneConnection(err) && ln.failures < acceptFailures {
+		if concernsOneConnection(err) && ln.failures < maxAcceptFailures {
 			continue
 		}
 		if !madeRoom && ln.makeRoom(err) {
@@ -97,13 +97,13 @@
 // that did not help, as in a shortage of the whole machine, it is not done again for a while.
 func (ln *Listener) makeRoom(err error) bool {
 	noDescriptor := err == unix.EMFILE || err == unix.ENFILE
-	if !noDescriptor || ln.MakeRoom == nil || ln.loop.Now() < ln.noRoomBefore {
+	if !noDescriptor || ln.MakeRoom == nil || ln.loop.Now() < ln.nextMakeRoom {
 		return false
 	}
 	if !ln.MakeRoom() {
 		return false
 	}
-	ln.noRoomBefore = ln.loop.Now() + makeRoomPause
+	ln.nextMakeRoom = ln.loop.Now() + makeRoomPause
 	return true
 }
 
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -10,8 +10,8 @@
 
 const (
 	defaultMaxPosted = 4096
-	firstEvents      = 512  // that one poll can return; doubled while polls return as many
-	mostEvents       = 8192 // from which on it is not doubled any more
+	minEvents        = 512  // that one poll can return; doubled while polls return as many
+	maxEvents        = 8192 // from which on it is not doubled any more
 	slowTurn         = 5    // ms, from which on the time of a turn counts as Slow
 	lagDecay         = 0.99 // of Lag, each turn
 )
@@ -45,7 +45,7 @@
 	since            Millis // see Since
 	turns            uint64
 	lag              Millis // see Lag
-	slowTotal        Millis // see Slow
+	slowTime         Millis // see Slow
 	afterTurn        func() (more bool)
 	moreAfterTurn    bool     // afterTurn has more to do: the next turn does not wait
 	calls            Syscalls // nil: the kernel's, directly
@@ -78,7 +78,7 @@
 		unix.Close(epfd)
 		return nil, fmt.Errorf("eventloop: eventfd: %w", err)
 	}
-	l := &Loop{epfd: epfd, wakefd: wakefd, events: make([]unix.EpollEvent, firstEvents), maxPosted: maxPosted}
+	l := &Loop{epfd: epfd, wakefd: wakefd, events: make([]unix.EpollEvent, minEvents), maxPosted: maxPosted}
 	l.now = Clock()
 	l.lastPoll, l.since = l.now, l.now
 	l.resumeTimer.F = l.resume
@@ -102,7 +102,7 @@
 
 // SlowTime is how many milliseconds turns have taken in all, beyond 5 ms each: time in which peers
 // waited for the loop, and not the loop for them.
-func (l *Loop) SlowTime() Millis { return l.slowTotal }
+func (l *Loop) SlowTime() Millis { return l.slowTime }
 
 // AfterEachTurn has f called at the end of each turn, after handlers, posted calls and timers.
 // While it returns true there is more to do: the next turn does not wait for events.
@@ -221,9 +221,9 @@
 		return fmt.Errorf("eventloop: epoll_wait: %w", err)
 	}
 	l.now = Clock()
-	l.notePoll(began, l.interruptedWaits > 0)
+	l.recordPoll(began, l.interruptedWaits > 0)
 	l.turns++
-	if l.handOut(l.events[:n]) {
+	if l.dispatch(l.events[:n]) {
 		l.runPosted()
 	}
 	l.runTimers()
@@ -231,9 +231,9 @@
 		l.moreAfterTurn = l.afterTurn()
 	}
 	took := Clock() - l.now
-	l.slowTotal += max(took-slowTurn, 0)
+	l.slowTime += max(took-slowTurn, 0)
 	l.lag = max(took, l.lag*lagDecay)
-	if n == len(l.events) && n < mostEvents {
+	if n == len(l.events) && n < maxEvents {
 		l.events = make([]unix.EpollEvent, 2*n)
 	}
 	return nil
@@ -251,9 +251,9 @@
 	return max(int(l.timers.list[0].heapKey-Clock()+0.999), 0)
 }
 
-// handOut calls the handlers of events, prioritized descriptors' first, and reports whether
+// dispatch calls the handlers of events, prioritized descriptors' first, and reports whether
 // calls were posted.
-func (l *Loop) handOut(events []unix.EpollEvent) (posted bool) {
+func (l *Loop) dispatch(events []unix.EpollEvent) (posted bool) {
 	for _, prioritized := range [...]bool{true, false} {
 		for i := range events {
 			event := &events[i]
--- a/internal/eventloop/queue.go
+++ b/internal/eventloop/queue.go
@@ -31,8 +31,8 @@
 		waiting := copy(q.buf, q.buf[q.off:])
 		q.buf = q.buf[:waiting]
 	} else {
-		larger := append(p.Lend(q.Len()+n), q.buf[q.off:]...)
-		p.GiveBack(q.buf)
+		larger := append(p.Get(q.Len()+n), q.buf[q.off:]...)
+		p.Put(q.buf)
 		q.buf = larger
 	}
 	q.off = 0
@@ -55,6 +55,6 @@
 
 // Drop discards what waits and gives the memory back.
 func (q *Queue) Drop(p *Buffers) {
-	p.GiveBack(q.buf)
+	p.Put(q.buf)
 	q.buf, q.off = nil, 0
 }
--- a/internal/eventloop/since.go
+++ b/internal/eventloop/since.go
@@ -18,9 +18,9 @@
 	return wait
 }
 
-// notePoll sets the times that Since is computed from, after a poll that began at began. An
+// recordPoll sets the times that Since is computed from, after a poll that began at began. An
 // interrupted poll has looked at nothing: the process may have been stopped meanwhile.
-func (l *Loop) notePoll(began Millis, interrupted bool) {
+func (l *Loop) recordPoll(began Millis, interrupted bool) {
 	unwatched := began - l.lastPoll // time between two polls
 	l.since = l.lastPoll
 	switch {
--- a/internal/proxy/engine/core.go
+++ b/internal/proxy/engine/core.go
@@ -25,7 +25,7 @@
 	router   *spool.Router
 	module   spool.Settings
 	routes   []route
-	members  map[string]*known
+	members  map[string]*listedMember
 	rev      int64
 }
 
@@ -36,8 +36,8 @@
 	SettingsChanged(now spool.Millis, s *config.Settings, acts []spool.Action)
 }
 
-// known is what the core keeps of a listed member.
-type known struct {
+// listedMember is what the core keeps of a listed member.
+type listedMember struct {
 	spool.Member
 	address string
 	start   int64 // which start of it; 0: not told
@@ -45,7 +45,7 @@
 
 // New makes a core from checked settings.
 func New(s *config.Settings, seed uint64) (*Core, error) {
-	c := &Core{Settings: s, members: map[string]*known{}}
+	c := &Core{Settings: s, members: map[string]*listedMember{}}
 	var err error
 	if c.module, err = ModuleSettings(s); err != nil {
 		return nil, err
@@ -53,7 +53,7 @@
 	if c.router, err = spool.New(c.module, seed); err != nil {
 		return nil, err
 	}
-	if c.routes, err = compileAll(s); err != nil {
+	if c.routes, err = compileRoutes(s); err != nil {
 		return nil, err
 	}
 	return c, nil
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Core{module: m, router: r, members: map[string]*known{}}, nil
+	return &Core{module: m, router: r, members: map[string]*listedMember{}}, nil
 }
 
 // ChangeModuleSettings goes by other settings of the module from now on, as Resettle does.
@@ -78,7 +78,7 @@
 	return c.Handle(now, spool.SettingsChanged{Settings: m}, dst), nil
 }
 
-func compileAll(s *config.Settings) (list []route, err error) {
+func compileRoutes(s *config.Settings) (list []route, err error) {
 	for i := range s.Routes {
 		r, err := compile(s, &s.Routes[i])
 		if err != nil {
@@ -100,7 +100,7 @@
 	if err != nil {
 		return dst, err
 	}
-	routes, err := compileAll(s)
+	routes, err := compileRoutes(s)
 	if err != nil {
 		return dst, err
 	}
@@ -113,7 +113,7 @@
 	return dst, nil
 }
 
-var effects = map[string]spool.Idempotency{"free": spool.Idempotent, "guarded": spool.IdempotentByKey, "single-shot": spool.NonIdempotent}
+var idempotencies = map[string]spool.Idempotency{"free": spool.Idempotent, "guarded": spool.IdempotentByKey, "single-shot": spool.NonIdempotent}
 var scopes = map[string]spool.Scope{"nowhere": spool.ScopeNone, "off": spool.ScopeNone, "cell": spool.ScopeCell,
 	"zone": spool.ScopeZone, "location": spool.ScopeZone, "all": spool.ScopeAll, "any": spool.ScopeAll}
 var details = map[string]spool.Detail{"off": spool.DetailOff, "hit": spool.DetailHit, "all": spool.DetailAll}
@@ -152,7 +152,7 @@
 	}
 	for _, k := range s.Classes {
 		m.Classes = append(m.Classes, spool.Class{Name: k.Name, LatencyObjective: k.Aim, ObjectivePerSendTime: k.AimStretch,
-			Deadline: k.Deadline, PriorityWeight: k.Worth, LateWeightShare: k.LateWorth, Idempotency: effects[k.Effect],
+			Deadline: k.Deadline, PriorityWeight: k.Worth, LateWeightShare: k.LateWorth, Idempotency: idempotencies[k.Effect],
 			KeyScope: scopes[k.Group], KeyWindow: k.Window, Streamed: true, InParts: k.Parts, Write: k.Write,
 			Fresh: k.Fresh, Grace: k.Grace, StaleWeightShare: k.StaleWorth})
 	}
@@ -225,12 +225,12 @@
 
 // The turndowns.
 var (
-	ErrNoRoute  = &Rejection{404, "no-route", "no route fits the path"}
-	ErrMethod   = &Rejection{405, "bad-method", "the route does not take the method"}
-	ErrKey      = &Rejection{400, "no-idempotency-key", "a write to this route needs an Idempotency-Key: add the field, with a value of its own for each write and the same one for its repeats"}
-	ErrPart     = &Rejection{400, "bad-part", "the part in the path is no whole number: write one, from 0"}
-	ErrRange    = &Rejection{416, "bad-range", "the range does not begin at a part: begin it at a multiple of the part's size"}
-	ErrDeadline = &Rejection{400, "bad-deadline", "the deadline is no positive number of milliseconds: write one, or leave the field out"}
+	ErrNoRoute        = &Rejection{404, "no-route", "no route fits the path"}
+	ErrMethod         = &Rejection{405, "bad-method", "the route does not take the method"}
+	ErrIdempotencyKey = &Rejection{400, "no-idempotency-key", "a write to this route needs an Idempotency-Key: add the field, with a value of its own for each write and the same one for its repeats"}
+	ErrPart           = &Rejection{400, "bad-part", "the part in the path is no whole number: write one, from 0"}
+	ErrRange          = &Rejection{416, "bad-range", "the range does not begin at a part: begin it at a multiple of the part's size"}
+	ErrDeadline       = &Rejection{400, "bad-deadline", "the deadline is no positive number of milliseconds: write one, or leave the field out"}
 )
 
 // Classify turns a request's head into the module's request: the id and the
@@ -245,7 +245,7 @@
 		if !r.match(path, &m) {
 			continue
 		}
-		if fits = true; !r.takes(h.Method, write) {
+		if fits = true; !r.accepts(h.Method, write) {
 			continue
 		}
 		q := spool.Request{ID: id, Class: r.class, KB: r.kb, Write: write, Part: m.part, Group: m.group}
@@ -259,8 +259,8 @@
 			}
 			q.Part = part
 		}
-		if write && r.guarded && len(h.Get("idempotency-key")) == 0 {
-			return q, ErrKey
+		if write && r.idempotentByKey && len(h.Get("idempotency-key")) == 0 {
+			return q, ErrIdempotencyKey
 		}
 		q.Object = string(path[:m.object])
 		q.Deadline = now + r.deadline
@@ -285,8 +285,8 @@
 	return spool.Request{}, ErrNoRoute
 }
 
-// Guarded tells of a class whether its requests carry a key that drops repeats.
-func (c *Core) Guarded(class string) bool {
+// IdempotentByKey tells of a class whether its requests carry a key that drops repeats.
+func (c *Core) IdempotentByKey(class string) bool {
 	for i := range c.module.Classes {
 		if c.module.Classes[i].Name == class {
 			return c.module.Classes[i].Idempotency == spool.IdempotentByKey
--- a/internal/proxy/engine/core_test.go
+++ b/internal/proxy/engine/core_test.go
@@ -71,7 +71,7 @@
 		{"GET /r/f HTTP/1.1\r\nRange: bytes=1-2\r\n", ErrRange, "", "", 0, 0, 0, 0},
 		{"GET /r/f HTTP/1.1\r\nRange: bytes=-2\r\n", ErrRange, "", "", 0, 0, 0, 0},
 		{"POST /o/1 HTTP/1.1\r\nIdempotency-Key: k\r\n", nil, "order", "/o/1", 0, -1, 0, 3000},
-		{"POST /o/1 HTTP/1.1\r\n", ErrKey, "", "", 0, 0, 0, 0},
+		{"POST /o/1 HTTP/1.1\r\n", ErrIdempotencyKey, "", "", 0, 0, 0, 0},
 		{"GET /o/1 HTTP/1.1\r\n", ErrMethod, "", "", 0, 0, 0, 0},
 		{"DELETE /s/7/a HTTP/1.1\r\n", ErrMethod, "", "", 0, 0, 0, 0},
 		{"GET /x/a/b/c HTTP/1.1\r\n", nil, "still", "/x/a/b/c", 0, -1, 0, 3000},
--- a/internal/proxy/engine/memory.go
+++ b/internal/proxy/engine/memory.go
@@ -10,12 +10,12 @@
 // with starts and addresses, and the module's own.
 type LearnedState struct {
 	Rev     int64
-	Members []Known // in the order of ids
+	Members []ListedMember // in the order of ids
 	Module  *spool.Memory
 }
 
-// Known is a listed member.
-type Known struct {
+// ListedMember is a listed member.
+type ListedMember struct {
 	spool.Member
 	Address string
 	Start   int64
@@ -25,7 +25,7 @@
 func (c *Core) LearnedState() *LearnedState {
 	m := &LearnedState{Rev: c.rev, Module: c.router.Memory()}
 	for _, k := range c.members {
-		m.Members = append(m.Members, Known{Member: k.Member, Address: k.address, Start: k.start})
+		m.Members = append(m.Members, ListedMember{Member: k.Member, Address: k.address, Start: k.start})
 	}
 	sort.Slice(m.Members, func(i, j int) bool { return m.Members[i].ID < m.Members[j].ID })
 	return m
@@ -35,7 +35,7 @@
 func (c *Core) Restore(now spool.Millis, m *LearnedState, dst []spool.Action) []spool.Action {
 	c.rev = m.Rev
 	for _, k := range m.Members {
-		c.members[k.ID] = &known{Member: k.Member, address: k.Address, start: k.Start}
+		c.members[k.ID] = &listedMember{Member: k.Member, address: k.Address, start: k.Start}
 	}
 	return c.Handle(now, spool.Recalled{Memory: m.Module}, dst)
 }
--- a/internal/proxy/engine/news.go
+++ b/internal/proxy/engine/news.go
@@ -95,7 +95,7 @@
 			a.Gap = true
 		default:
 			c.rev = n.Rev
-			a.Events = append(a.Events, c.list(now, n))
+			a.Events = append(a.Events, c.membersEvent(now, n))
 		}
 	}
 	if p := n.Purge; p != nil {
@@ -104,12 +104,12 @@
 	return a
 }
 
-// list is the event of a list's rows.
-func (c *Core) list(now spool.Millis, n *Update) spool.Members {
+// membersEvent is the event of a membersEvent's rows.
+func (c *Core) membersEvent(now spool.Millis, n *Update) spool.Members {
 	ev := spool.Members{Full: n.Kind == "full"}
 	for _, r := range n.Members {
 		old := c.members[r.ID]
-		k := &known{address: r.Address, start: r.Start}
+		k := &listedMember{address: r.Address, start: r.Start}
 		k.Member = spool.Member{ID: r.ID, Zone: r.Zone, Kind: r.Kind, Cell: r.Cell, State: states[r.State], Size: r.Size}
 		if k.Kind == "" {
 			k.Kind = "box"
@@ -153,13 +153,13 @@
 	n := &Update{Rev: number, Kind: "step", Members: rows(members)}
 	for i := range n.Members {
 		if fresh {
-			n.Members[i].UptimeMillis = justNow
+			n.Members[i].UptimeMillis = justStarted
 		}
 	}
 	return n
 }
 
-const justNow = 0.001 // ms: 0 would mean long ago
+const justStarted = 0.001 // ms: 0 would mean long ago
 
 func rows(members []config.Member) (out []Row) {
 	for _, m := range members {
--- a/internal/proxy/engine/route.go
+++ b/internal/proxy/engine/route.go
@@ -27,16 +27,16 @@
 
 // route is a compiled pattern.
 type route struct {
-	segs       []segment
-	class      string
-	methods    [][]byte
-	write      bool // takes writes where no methods are named
-	guarded    bool
-	kb         float64
-	deadline   float64
-	ranges     bool
-	rangeBytes int64
-	named      bool // the pattern names an object
+	segs            []segment
+	class           string
+	methods         [][]byte
+	write           bool // takes writes where no methods are named
+	idempotentByKey bool
+	kb              float64
+	deadline        float64
+	ranges          bool
+	rangeBytes      int64
+	hasObject       bool // the pattern names an object
 
 	deadlineField, sizeField, retryField string
 }
@@ -58,7 +58,7 @@
 		retryField: strings.ToLower(s.Router.RetryHeader)}
 	for i := range s.Classes {
 		if c := &s.Classes[i]; c.Name == r.Class {
-			out.write, out.deadline, out.guarded = c.Write, c.Deadline, c.Effect == "guarded"
+			out.write, out.deadline, out.idempotentByKey = c.Write, c.Deadline, c.Effect == "guarded"
 		}
 	}
 	for _, m := range r.Methods {
@@ -68,7 +68,7 @@
 		k := segment{kind: segText, text: []byte(seg)}
 		switch {
 		case seg == "{object}":
-			k.kind, out.named = segObject, true
+			k.kind, out.hasObject = segObject, true
 		case seg == "{group}" && !r.NoGroup:
 			k.kind = segGroup
 		case seg == "{part}":
@@ -83,7 +83,7 @@
 	return out, nil
 }
 
-func (r *route) takes(method []byte, write bool) bool {
+func (r *route) accepts(method []byte, write bool) bool {
 	if len(r.methods) == 0 {
 		if r.write {
 			return write && string(method) != "CONNECT"
@@ -133,22 +133,22 @@
 		case segObject:
 			m.object = end
 		case segGroup:
-			m.group = groupOf(text)
+			m.group = groupNumber(text)
 		case segPart:
-			m.part, m.badPart = whole(text)
+			m.part, m.badPart = parseNumber(text)
 		}
 		at = end + 1
 	}
 	if at != len(path)+1 {
 		return false
 	}
-	if !r.named {
+	if !r.hasObject {
 		m.object = len(path)
 	}
 	return true
 }
 
-func whole(b []byte) (n int, bad bool) {
+func parseNumber(b []byte) (n int, bad bool) {
 	if len(b) == 0 || len(b) > 9 {
 		return 0, true
 	}
@@ -161,9 +161,9 @@
 	return n, false
 }
 
-// groupOf is the number of a group: itself where it is one, else a hash.
-func groupOf(text []byte) int {
-	if n, bad := whole(text); !bad {
+// groupNumber is the number of a group: itself where it is one, else a hash.
+func groupNumber(text []byte) int {
+	if n, bad := parseNumber(text); !bad {
 		return n
 	}
 	h := uint32(2166136261)
@@ -174,7 +174,7 @@
 }
 
 // GroupNumber is the number by which the module knows a group named in a path.
-func GroupNumber(text string) int { return groupOf([]byte(text)) }
+func GroupNumber(text string) int { return groupNumber([]byte(text)) }
 
 // Parse reads a request head, with the limits of the settings.
 func (c *Core) Parse(buf []byte, h *http1.Head) (int, error) {
--- a/internal/proxy/engine/target.go
+++ b/internal/proxy/engine/target.go
@@ -33,7 +33,7 @@
 			continue
 		}
 		t = HTTPRequest{Method: r.method(q.Write), Path: string(path)}
-		if t.Method == "" || !c.leads(i, []byte(t.Method), path, q) {
+		if t.Method == "" || !c.routesTo(i, []byte(t.Method), path, q) {
 			continue
 		}
 		add := func(name, value string) { t.Fields = append(t.Fields, [2]string{name, value}) }
@@ -57,16 +57,16 @@
 
 // path is the path by which a route would be taken for a request; nil: by none.
 func (r *route) path(q *spool.Request) []byte {
-	if !r.named {
+	if !r.hasObject {
 		return []byte(q.Object)
 	}
 	out := []byte(q.Object)
-	behind := false
+	afterObject := false
 	for _, seg := range r.segs {
 		switch {
 		case seg.kind == segObject:
-			behind = true
-		case !behind: // stands in the object's name
+			afterObject = true
+		case !afterObject: // stands in the object's name
 		case seg.kind == segText:
 			out = append(append(out, '/'), seg.text...)
 		case seg.kind == segPart:
@@ -96,15 +96,15 @@
 	return ""
 }
 
-// leads reports whether a path is taken by the i-th route, as the request was.
-func (c *Core) leads(i int, method, path []byte, q *spool.Request) bool {
+// routesTo reports whether a path is taken by the i-th route, as the request was.
+func (c *Core) routesTo(i int, method, path []byte, q *spool.Request) bool {
 	if bytes.ContainsAny(path, " ?#") {
 		return false
 	}
 	for n := range c.routes[:i+1] {
 		r := &c.routes[n]
 		var m match
-		if !r.match(path, &m) || !r.takes(method, isWrite(method)) {
+		if !r.match(path, &m) || !r.accepts(method, isWrite(method)) {
 			continue
 		}
 		return n == i && !m.badPart && string(path[:m.object]) == q.Object && (m.group == q.Group || q.Group == AnyGroup) && (r.ranges || m.part == q.Part)
--- a/internal/proxy/learnedstate/learnedstate_test.go
+++ b/internal/proxy/learnedstate/learnedstate_test.go
@@ -27,7 +27,7 @@
 	for range rapid.IntRange(1, 4).Draw(t, "members") {
 		id := name.Draw(t, "id")
 		row := spool.Member{ID: id, Zone: name.Draw(t, "zone"), Kind: "box", State: spool.Draining, Size: number.Draw(t, "size"), ReadyAt: number.Draw(t, "ready")}
-		state.Members = append(state.Members, engine.Known{Member: row, Address: name.Draw(t, "address"), Start: rapid.Int64().Draw(t, "start")})
+		state.Members = append(state.Members, engine.ListedMember{Member: row, Address: name.Draw(t, "address"), Start: rapid.Int64().Draw(t, "start")})
 		module.Members = append(module.Members, spool.MemberMemory{Member: row, Gate: gateMemory(t), Gone: rapid.Bool().Draw(t, "gone"), Faults: number.Draw(t, "faults"), Tokens: number.Draw(t, "tokens")})
 		module.Objects[0] = append(module.Objects[0], spool.ObjectMemory{Name: id, First: number.Draw(t, "first")})
 		module.Typical = append(module.Typical, number.Draw(t, "typical"))
--- a/internal/proxy/limits/admission.go
+++ b/internal/proxy/limits/admission.go
@@ -18,11 +18,11 @@
 
 // How fast the limit moves in an interval.
 const (
-	admissionMostCut   = 0.5  // it falls to no less than this part
-	admissionLeastCut  = 0.9  // and at least to this one, once there is an overload
-	admissionGrowth    = 1.05 // it grows by this factor, and by one request
-	admissionInUse     = 0.8  // part of the limit that has to be in flight for it to grow
-	queueingIsOverload = 1.1  // least relative wait where most requests wait for too long
+	minCutFactor        = 0.5  // it falls to no less than this part
+	maxCutFactor        = 0.9  // and at least to this one, once there is an overload
+	growthFactor        = 1.05 // it grows by this factor, and by one request
+	growthMinUse        = 0.8  // part of the limit that has to be in flight for it to grow
+	minQueueingOverload = 1.1  // least relative wait where most requests wait for too long
 )
 
 // Admission is a limit on the requests in flight that adapts to two waits: of ready bytes for
@@ -48,17 +48,17 @@
 
 	// Of the present interval:
 	intervalEnds  float64
-	leastWait     float64 // ms; below 0: none was observed
+	minWait       float64 // ms; below 0: none was observed
 	queueingSum   float64 // sum of the parts of their time that requests waited
 	queued        int     // how many requests that is the sum of
 	queuedTooLong int     // how many of them waited for more than Part
-	mostInFlight  int
+	maxInFlight   int
 }
 
 // NewAdmission makes an Admission whose limit is Most until there is an overload.
 func NewAdmission(settings AdmissionSettings) *Admission {
 	settings = settings.normalized()
-	return &Admission{settings: settings, limit: float64(settings.MaxInFlight), leastWait: -1}
+	return &Admission{settings: settings, limit: float64(settings.MaxInFlight), minWait: -1}
 }
 
 // Adopt changes the settings. What was learned stays.
@@ -83,15 +83,15 @@
 
 // ObserveWait records how long ready bytes had to wait for the router, in ms.
 func (a *Admission) ObserveWait(ms float64) {
-	if a.leastWait < 0 || ms < a.leastWait {
-		a.leastWait = ms
+	if a.minWait < 0 || ms < a.minWait {
+		a.minWait = ms
 	}
 }
 
 // Tick records how many requests are in flight, and adapts the limit at the end of each
 // interval. It has to be called at least once an interval.
 func (a *Admission) Tick(now float64, inFlight int) {
-	a.mostInFlight = max(a.mostInFlight, inFlight)
+	a.maxInFlight = max(a.maxInFlight, inFlight)
 	if now < a.intervalEnds {
 		return
 	}
@@ -99,34 +99,34 @@
 		a.adapt()
 	}
 	a.intervalEnds = now + a.settings.Interval
-	a.leastWait = -1
-	a.mostInFlight = inFlight
+	a.minWait = -1
+	a.maxInFlight = inFlight
 	a.queueingSum, a.queued, a.queuedTooLong = 0, 0, 0
 }
 
 // adapt moves the limit by what was observed in the interval.
 func (a *Admission) adapt() {
-	a.LastWait = max(a.leastWait, 0)
+	a.LastWait = max(a.minWait, 0)
 	wait := a.relativeWait()
 	a.overloaded = wait > 1
-	used := float64(a.mostInFlight)
+	used := float64(a.maxInFlight)
 	switch {
 	case a.overloaded:
-		cut := min(max(1/wait, admissionMostCut), admissionLeastCut)
+		cut := min(max(1/wait, minCutFactor), maxCutFactor)
 		a.limit = max(min(a.limit, used)*cut, float64(a.settings.MinInFlight))
-	case used >= admissionInUse*a.limit:
-		a.limit = min(a.limit*admissionGrowth+1, float64(a.settings.MaxInFlight))
+	case used >= growthMinUse*a.limit:
+		a.limit = min(a.limit*growthFactor+1, float64(a.settings.MaxInFlight))
 	}
 }
 
 // relativeWait is the longer of the interval's two waits, each as a multiple of its target:
 // above 1 the router is overloaded.
 func (a *Admission) relativeWait() float64 {
-	wait := a.leastWait / a.settings.Target
+	wait := a.minWait / a.settings.Target
 	mostTooLong := 2*a.queuedTooLong > a.queued
 	if a.settings.QueueingShare > 0 && mostTooLong {
 		meanPart := a.queueingSum / float64(a.queued)
-		wait = max(wait, meanPart/a.settings.QueueingShare, queueingIsOverload)
+		wait = max(wait, meanPart/a.settings.QueueingShare, minQueueingOverload)
 	}
 	return wait
 }
--- a/internal/proxy/limits/backoff.go
+++ b/internal/proxy/limits/backoff.go
@@ -6,9 +6,9 @@
 // once do not try in step, and try less often the longer it is away. Chance is drawn from a
 // seed. Times are in milliseconds.
 type Backoff struct {
-	First float64 // the first attempt after a loss follows at a random time within this
-	Base  float64 // wait before the second, plus or minus half of it; doubled for each later one
-	Most  float64 // longest wait
+	FirstWithin float64 // the first attempt after a loss follows at a random time within this
+	Base        float64 // wait before the second, plus or minus half of it; doubled for each later one
+	Max         float64 // longest wait
 
 	random   *rand.Rand
 	attempts int // since the loss
@@ -16,18 +16,18 @@
 
 // NewBackoff makes a Backoff that has lost nothing; times are in milliseconds.
 func NewBackoff(first, base, most float64, seed uint64) *Backoff {
-	return &Backoff{First: first, Base: base, Most: most, random: rand.New(rand.NewPCG(seed, 0x5eed))}
+	return &Backoff{FirstWithin: first, Base: base, Max: most, random: rand.New(rand.NewPCG(seed, 0x5eed))}
 }
 
 // Next returns how long to wait before the next attempt, in milliseconds.
 func (b *Backoff) Next() float64 {
 	b.attempts++
 	if b.attempts == 1 {
-		return b.First * b.random.Float64()
+		return b.FirstWithin * b.random.Float64()
 	}
 	doublings := min(b.attempts-2, 30)
-	wait := min(b.Base*float64(uint64(1)<<doublings), b.Most)
-	return min(wait*(0.5+b.random.Float64()), b.Most)
+	wait := min(b.Base*float64(uint64(1)<<doublings), b.Max)
+	return min(wait*(0.5+b.random.Float64()), b.Max)
 }
 
 // Reset records that an attempt succeeded: the next Next is again the first after a loss.
--- a/internal/proxy/limits/budget.go
+++ b/internal/proxy/limits/budget.go
@@ -10,11 +10,11 @@
 	Answers                 // answers, and not yet written
 	Requests                // state of requests in flight
 	Bodies                  // bodies of writes
-	kinds
+	numKinds
 )
 
 // kindNames are keys of the state that a router reports.
-var kindNames = [kinds]string{"connections", "heads", "answers", "requests", "bodies"}
+var kindNames = [numKinds]string{"connections", "heads", "answers", "requests", "bodies"}
 
 // String returns the kind's key in the state that a router reports.
 func (k Kind) String() string { return kindNames[k] }
@@ -27,7 +27,7 @@
 )
 
 const (
-	roomShare      = 256      // one answer may use this part of what is free
+	roomDivisor    = 256      // one answer may use this part of what is free
 	minRoom        = 16 << 10 // bytes that one read is worth
 	maxUnaccounted = 24 << 20 // bytes, see UnaccountedMemory
 )
@@ -37,7 +37,7 @@
 	Total int64 // 0: no limit
 	Peak  int64 // the most that was ever used
 
-	used [kinds]int64
+	used [numKinds]int64
 	sum  int64 // of used
 }
 
@@ -86,7 +86,7 @@
 		return most
 	}
 	free := shedAbove*float64(b.Total) - float64(b.sum)
-	return min(max(int(free/roomShare), minRoom), most)
+	return min(max(int(free/roomDivisor), minRoom), most)
 }
 
 // UnaccountedMemory is the part of a process's memory, of total bytes, that no Budget accounts
--- a/internal/proxy/limits/budget_test.go
+++ b/internal/proxy/limits/budget_test.go
@@ -22,7 +22,7 @@
 				}
 			}
 		}
-		if answers <= roomShare && budget.Full() || float64(budget.Used()) > shedAbove*float64(total)+float64(answers*minRoom) {
+		if answers <= roomDivisor && budget.Full() || float64(budget.Used()) > shedAbove*float64(total)+float64(answers*minRoom) {
 			t.Fatalf("%d answers fill %d of %d", answers, budget.Used(), total)
 		}
 	})
--- a/internal/proxy/limits/cause.go
+++ b/internal/proxy/limits/cause.go
@@ -16,11 +16,11 @@
 	PerAddress           // as many connections of one client address as allowed
 	Descriptors          // as many connections as there are descriptors for
 	PoorReputation       // its address has wasted the capacity that it had
-	causes
+	numCauses
 )
 
 // causeNames stand in logs and counters, which pages name: they do not follow the constants.
-var causeNames = [causes]string{
+var causeNames = [numCauses]string{
 	None:           "none",
 	SlowHead:       "slow-head",
 	SlowBody:       "slow-body",
@@ -38,7 +38,7 @@
 func (c Cause) String() string { return causeNames[c] }
 
 // Counts counts events by cause.
-type Counts [causes]uint64
+type Counts [numCauses]uint64
 
 // Map returns the counts that are not zero, by the names of their causes.
 func (c *Counts) Map() map[string]uint64 {
--- a/internal/proxy/limits/clientactivity.go
+++ b/internal/proxy/limits/clientactivity.go
@@ -3,7 +3,7 @@
 // After these times, in ms, a client's connection is closed.
 const (
 	silentTimeout  = 2200 // it has not sent a whole message yet
-	partTimeout    = 2200 // a message has begun, and no more bytes of it come
+	partialTimeout = 2200 // a message has begun, and no more bytes of it come
 	messageTimeout = 8000 // a message has begun, and is still incomplete although bytes come
 	idleTimeout    = 6000 // it has no open request: clients close theirs earlier
 	unreadTimeout  = 2500 // it reads nothing of an answer
@@ -41,7 +41,7 @@
 
 // messageOverdue reports whether an incomplete message takes too long.
 func (c *ClientActivity) messageOverdue(now float64) bool {
-	return c.LastPartial > 0 && (now-c.LastPartial > partTimeout || now-c.PartialBegan > messageTimeout)
+	return c.LastPartial > 0 && (now-c.LastPartial > partialTimeout || now-c.PartialBegan > messageTimeout)
 }
 
 // NotReading reports whether a connection reads nothing of what waits for it.
--- a/internal/proxy/limits/drr.go
+++ b/internal/proxy/limits/drr.go
@@ -2,7 +2,7 @@
 
 const (
 	minClassWeight = 0.01
-	queueKeepsHead = 64 // served entries that a queue keeps at its head before it is compacted
+	compactAfter   = 64 // served entries that a queue keeps at its head before it is compacted
 )
 
 // DRR is deficit round robin (Shreedhar and Varghese, 1995) over classes, and round robin over
@@ -31,7 +31,7 @@
 	var none T
 	c.queue[c.head] = none
 	c.head++
-	if c.head > queueKeepsHead && c.head*2 > len(c.queue) {
+	if c.head > compactAfter && c.head*2 > len(c.queue) {
 		left := copy(c.queue, c.queue[c.head:])
 		c.queue = c.queue[:left]
 		c.head = 0
--- a/internal/proxy/limits/readpause.go
+++ b/internal/proxy/limits/readpause.go
@@ -4,12 +4,12 @@
 type ReadPauseSettings struct {
 	Share    float64 // of the router's time
 	Interval float64 // ms over which that is measured
-	Most     float64 // longest pause, in ms
+	MaxPause float64 // longest pause, in ms
 }
 
 // DefaultReadPause returns the settings that routers use.
 func DefaultReadPause() ReadPauseSettings {
-	return ReadPauseSettings{Share: 0.015, Interval: 100, Most: 200}
+	return ReadPauseSettings{Share: 0.015, Interval: 100, MaxPause: 200}
 }
 
 // ReadPause is for how long a connection whose request was rejected is not read again. A
@@ -43,7 +43,7 @@
 	share := p.cost / elapsed
 	switch {
 	case share > p.settings.Share:
-		p.pause = min(max(2*p.pause, shortest), p.settings.Most)
+		p.pause = min(max(2*p.pause, shortest), p.settings.MaxPause)
 	case share < p.settings.Share/2:
 		p.pause /= 2
 		if p.pause < shortest {
--- a/internal/proxy/limits/readpause_test.go
+++ b/internal/proxy/limits/readpause_test.go
@@ -9,7 +9,7 @@
 func TestReadPause(t *testing.T) {
 	const cost, connections = 0.01, 1500 // ms a rejection
 	for _, rate := range []float64{0.5, 10, 100} {
-		pause := NewReadPause(ReadPauseSettings{Share: 0.05, Interval: 100, Most: 200})
+		pause := NewReadPause(ReadPauseSettings{Share: 0.05, Interval: 100, MaxPause: 200})
 		var readAgain []float64 // when each connection is read again, in order
 		spent, now := 0.0, 0.0
 		for ; now < 20000; now++ {
--- a/internal/proxy/limits/reputation.go
+++ b/internal/proxy/limits/reputation.go
@@ -9,17 +9,17 @@
 
 // ReputationSettings say when a client address is of poor reputation.
 type ReputationSettings struct {
-	Half      float64 // half-life of what is recorded, in ms
-	Least     float64 // bad outcomes, after their decay, below which an address is never poor
-	Weight    float64 // good outcomes that outweigh a bad one
-	Most      int     // requests that all poor addresses together may have in flight
-	Addresses int     // that are remembered, in each of two generations
+	HalfLife    float64 // half-life of what is recorded, in ms
+	MinBad      float64 // bad outcomes, after their decay, below which an address is never poor
+	BadWeight   float64 // good outcomes that outweigh a bad one
+	MaxInFlight int     // requests that all poor addresses together may have in flight
+	Addresses   int     // that are remembered, in each of two generations
 }
 
 // DefaultReputation returns the settings that routers use, with so many requests in flight for
 // all poor addresses: one bad outcome in five makes an address poor, from the third on.
 func DefaultReputation(most int) ReputationSettings {
-	return ReputationSettings{Half: 60000, Least: 2.5, Weight: 4, Most: most, Addresses: 16384}
+	return ReputationSettings{HalfLife: 60000, MinBad: 2.5, BadWeight: 4, MaxInFlight: most, Addresses: 16384}
 }
 
 // forgottenBelow is how many bad outcomes, after their decay, are not remembered any more.
@@ -109,18 +109,18 @@
 // Poor reports whether the address is of poor reputation.
 func (r *Reputation) Poor(address string, now float64) bool {
 	known := r.decayed(address, now)
-	return known != nil && known.bad >= r.settings.Least && known.bad*r.settings.Weight > known.good
+	return known != nil && known.bad >= r.settings.MinBad && known.bad*r.settings.BadWeight > known.good
 }
 
 // Any reports whether anything bad is known of any address.
 func (r *Reputation) Any() bool { return len(r.recent)+len(r.older) > 0 }
 
 // HasCapacity reports whether poor addresses may have one more request in flight.
-func (r *Reputation) HasCapacity() bool { return r.reserved < r.settings.Most }
+func (r *Reputation) HasCapacity() bool { return r.reserved < r.settings.MaxInFlight }
 
 // Excess is how many more requests poor addresses have in flight than they may; it is negative
 // while they have fewer.
-func (r *Reputation) Excess() int { return r.reserved - r.settings.Most }
+func (r *Reputation) Excess() int { return r.reserved - r.settings.MaxInFlight }
 
 // Reserve records that a request of a poor address is in flight, or that the address of one
 // that is has become poor.
@@ -141,7 +141,7 @@
 		r.recent[address] = known
 	}
 	if elapsed := now - known.at; elapsed > 0 {
-		factor := math.Exp2(-elapsed / r.settings.Half)
+		factor := math.Exp2(-elapsed / r.settings.HalfLife)
 		known.good *= factor
 		known.bad *= factor
 		known.at = now
--- a/internal/proxy/limits/reputation_test.go
+++ b/internal/proxy/limits/reputation_test.go
@@ -13,7 +13,7 @@
 // no more than so many addresses are remembered. A successor that restores the records judges
 // as the predecessor did.
 func TestReputation(t *testing.T) {
-	settings := ReputationSettings{Half: 60000, Least: 1.5, Weight: 10, Most: 4, Addresses: 64}
+	settings := ReputationSettings{HalfLife: 60000, MinBad: 1.5, BadWeight: 10, MaxInFlight: 4, Addresses: 64}
 	rapid.Check(t, func(t *rapid.T) {
 		reputation := NewReputation(settings)
 		now, ends := 0.0, rapid.IntRange(30, 300).Draw(t, "ends")
