--- a/internal/proxy/engine/core.go
+++ b/internal/proxy/engine/core.go
@@ -1,11 +1,11 @@
-// Package engine is the one way to the decisions: settings become indigospool.Settings, a
-// request's method, target and headers become an indigospool.Request, rows of the endpoint
-// list become Members. Router, tools and tests all go through it, so that no two of them
-// can decide the same thing differently.
+// Package engine is the only entry to the decision module. It converts settings into
+// indigospool.Settings, the method, target and headers of a request into an
+// indigospool.Request, and rows of the endpoint list into Members. The router, the tools and
+// the tests all use it, so that they cannot decide the same input differently.
 //
-// It does no I/O and has no clock; every decision is made by indigospool.Router. It owns
-// bookkeeping only: the addresses of endpoints, which start of an endpoint a list speaks
-// of, and the compiled routes (route.go).
+// It does no I/O and has no clock; indigospool.Router makes every decision. The package keeps
+// only the addresses of endpoints, their start numbers (which tell a restarted endpoint from
+// one that kept running), and the compiled routes (route.go).
 package engine
 
 import (
@@ -17,11 +17,11 @@
 	"indigospool/internal/protocol/http1"
 )
 
-// Core holds a Router and what is needed to speak to it. Like the Router it is
-// not safe for concurrent use.
+// Core holds an indigospool.Router with its settings, the routes and the listed members. Like
+// the Router, it is not safe for concurrent use.
 type Core struct {
 	Settings *config.Settings
-	Recorder Recorder // hears of all that the module is told; nil: nobody
+	Recorder Recorder // is called with each event and its actions; may be nil
 	router   *spool.Router
 	module   spool.Settings
 	routes   []route
@@ -29,21 +29,21 @@
 	rev      int64
 }
 
-// Recorder hears what the module is told and what it answers. It keeps neither
-// the actions nor what they point to, and never waits.
+// Recorder receives the events given to the module and the actions it returns. It must not
+// block, and must not keep the actions or anything that they point to.
 type Recorder interface {
 	Handled(now spool.Millis, ev spool.Event, acts []spool.Action)
 	SettingsChanged(now spool.Millis, s *config.Settings, acts []spool.Action)
 }
 
-// listedMember is what the core keeps of a listed member.
+// listedMember is a member of the endpoint list. It is kept after removal until Forget.
 type listedMember struct {
 	spool.Member
 	address string
-	start   int64 // which start of it; 0: not told
+	start   int64 // number of its current start; 0: unknown
 }
 
-// New makes a core from checked settings.
+// New returns a Core for settings that were validated before.
 func New(s *config.Settings, seed uint64) (*Core, error) {
 	c := &Core{Settings: s, members: map[string]*listedMember{}}
 	var err error
@@ -59,8 +59,8 @@
 	return c, nil
 }
 
-// NewFromModule makes a core from the module's own settings, for those who bring requests
-// of the module's form and have no use for routes.
+// NewFromModule returns a Core for settings of the module, without routes: the caller makes
+// each spool.Request itself and does not call Classify.
 func NewFromModule(m spool.Settings, seed uint64) (*Core, error) {
 	r, err := spool.New(m, seed)
 	if err != nil {
@@ -69,7 +69,8 @@
 	return &Core{module: m, router: r, members: map[string]*listedMember{}}, nil
 }
 
-// ChangeModuleSettings goes by other settings of the module from now on, as Resettle does.
+// ChangeModuleSettings replaces the settings of a Core that NewFromModule returned, as
+// ChangeSettings does.
 func (c *Core) ChangeModuleSettings(now spool.Millis, m spool.Settings, dst []spool.Action) ([]spool.Action, error) {
 	if err := m.Valid(); err != nil {
 		return dst, err
@@ -89,9 +90,9 @@
 	return list, nil
 }
 
-// ChangeSettings goes by other checked settings from now on; members come by Apply.
-// What the module has learned, and what it holds, stays. On an error nothing
-// has changed.
+// ChangeSettings replaces the settings and the routes, and appends the module's actions to
+// dst. The members are not changed; see Apply. The module keeps what it has learned and its
+// requests in flight. If ChangeSettings returns an error, nothing has changed.
 func (c *Core) ChangeSettings(now spool.Millis, s *config.Settings, dst []spool.Action) ([]spool.Action, error) {
 	m, err := ModuleSettings(s)
 	if err == nil {
@@ -119,9 +120,9 @@
 var details = map[string]spool.Detail{"off": spool.DetailOff, "hit": spool.DetailHit, "all": spool.DetailAll}
 var states = map[string]spool.State{"serving": spool.Serving, "draining": spool.Draining, "removed": spool.Removed}
 
-// ModuleSettings is what the decision module is told of the settings. Every class
-// counts as streamed, since the edge passes each answer on as it comes: its
-// first byte makes the attempt the client's.
+// ModuleSettings converts settings into those of the decision module. Every class is marked
+// as streamed, because the router forwards an answer while it arrives: the attempt that
+// delivers the first byte is the one that answers the client.
 func ModuleSettings(s *config.Settings) (spool.Settings, error) {
 	m := spool.Settings{
 		RouterIndex: s.Router.Me, Routers: s.Router.Of, Zone: s.Router.Zone, LinkCapacity: map[string]float64{},
@@ -136,31 +137,31 @@
 		MaxAttempts: s.Limits.Attempts, MaxRequests: s.Limits.Held, MaxRetryAfter: s.Limits.RetryAfter,
 		HedgedRequests: s.Limits.SecondCopies, CanCancel: !s.Limits.NoCancel, LoadMetrics: s.Fill.Feedback,
 	}
-	place := map[string]int{}
+	zoneIndex := map[string]int{}
 	for i, z := range s.Zones {
-		place[z.Name] = i
+		zoneIndex[z.Name] = i
 		m.Zones = append(m.Zones, z.Name)
 		m.RoutersByZone = append(m.RoutersByZone, z.Routers)
 		m.LinkCapacity[z.Name] = z.LinkIn
 	}
 	for _, z := range s.Zones {
-		hub := place[z.Name]
-		if at, ok := place[z.Hub]; ok {
-			hub = at
+		hub := zoneIndex[z.Name] // a zone without a hub is its own
+		if i, ok := zoneIndex[z.Hub]; ok {
+			hub = i
 		}
 		m.HubOfZone = append(m.HubOfZone, hub)
 	}
-	for _, k := range s.Classes {
-		m.Classes = append(m.Classes, spool.Class{Name: k.Name, LatencyObjective: k.Aim, ObjectivePerSendTime: k.AimStretch,
-			Deadline: k.Deadline, PriorityWeight: k.Worth, LateWeightShare: k.LateWorth, Idempotency: idempotencies[k.Effect],
-			KeyScope: scopes[k.Group], KeyWindow: k.Window, Streamed: true, InParts: k.Parts, Write: k.Write,
-			Fresh: k.Fresh, Grace: k.Grace, StaleWeightShare: k.StaleWorth})
+	for _, class := range s.Classes {
+		m.Classes = append(m.Classes, spool.Class{Name: class.Name, LatencyObjective: class.Aim, ObjectivePerSendTime: class.AimStretch,
+			Deadline: class.Deadline, PriorityWeight: class.Worth, LateWeightShare: class.LateWorth, Idempotency: idempotencies[class.Effect],
+			KeyScope: scopes[class.Group], KeyWindow: class.Window, Streamed: true, InParts: class.Parts, Write: class.Write,
+			Fresh: class.Fresh, Grace: class.Grace, StaleWeightShare: class.StaleWorth})
 	}
 	return m, nil
 }
 
-// Handle gives the module an event at a time of the caller's clock and appends
-// its actions.
+// Handle passes an event to the module and appends the module's actions to dst. The time now
+// is read from the caller's clock.
 func (c *Core) Handle(now spool.Millis, ev spool.Event, dst []spool.Action) []spool.Action {
 	n := len(dst)
 	dst = c.router.Handle(now, ev, dst)
@@ -170,17 +171,18 @@
 	return dst
 }
 
-// Explain has f hear of what each choice of the module looks at, while it is made;
-// nil ends that.
+// Explain has f called with each candidate that the module considers, during the decision. A
+// nil f ends this.
 func (c *Core) Explain(f func(spool.Candidate)) { c.router.Explain(f) }
 
-// Ranges are the caches' ranges of part indices.
+// Ranges returns the caches' ranges of part indices.
 func (c *Core) Ranges() []spool.Range { return c.router.Ranges() }
 
-// Statuses is what the module holds of each member, and of the location's link.
+// Statuses returns the state of each member as the module sees it, by id, and that of the link
+// over which fills enter the router's zone.
 func (c *Core) Statuses() (map[string]spool.Status, spool.Status) { return c.router.Statuses() }
 
-// Address is where a member is reached; empty when it was never listed with one.
+// Address returns the network address of a member, or "" if it was never listed with one.
 func (c *Core) Address(id string) string {
 	if m := c.members[id]; m != nil {
 		return m.address
@@ -188,7 +190,7 @@
 	return ""
 }
 
-// Member is the last row that was listed of a member.
+// Member returns the latest listed row of a member.
 func (c *Core) Member(id string) (spool.Member, bool) {
 	m := c.members[id]
 	if m == nil {
@@ -197,55 +199,57 @@
 	return m.Member, true
 }
 
-// Members are the ids of all that were listed, with their rows.
+// Members calls each for every listed member with its latest row, in no particular order.
+// Removed members are included until Forget.
 func (c *Core) Members(each func(m spool.Member, address string)) {
 	for _, m := range c.members {
 		each(m.Member, m.address)
 	}
 }
 
-// Forget drops what is kept of a member that was removed. It does nothing to others.
+// Forget deletes a removed member. It has no effect on members in other states.
 func (c *Core) Forget(id string) {
 	if m := c.members[id]; m != nil && m.State == spool.Removed {
 		delete(c.members, id)
 	}
 }
 
-// Rev is the version of the list that the router goes by.
+// Rev returns the revision of the endpoint list in use.
 func (c *Core) Rev() int64 { return c.rev }
 
-// A Rejection is a request that no class fits.
+// Rejection is the error of a request that Classify cannot assign to a class.
 type Rejection struct {
-	Status  int
-	Detail  string // as a Cache-Status detail and in the access log
-	Message string // with the remedy
+	Status  int    // HTTP status of the answer
+	Detail  string // detail parameter of Cache-Status and word of the access log
+	Message string // cause and remedy, for the client
 }
 
-func (t *Rejection) Error() string { return fmt.Sprintf("core: %s (status %d)", t.Message, t.Status) }
+func (r *Rejection) Error() string { return fmt.Sprintf("engine: %s (status %d)", r.Message, r.Status) }
 
-// The turndowns.
+// The errors that Classify returns.
 var (
 	ErrNoRoute        = &Rejection{404, "no-route", "no route fits the path"}
 	ErrMethod         = &Rejection{405, "bad-method", "the route does not take the method"}
-	ErrIdempotencyKey = &Rejection{400, "no-idempotency-key", "a write to this route needs an Idempotency-Key: add the field, with a value of its own for each write and the same one for its repeats"}
-	ErrPart           = &Rejection{400, "bad-part", "the part in the path is no whole number: write one, from 0"}
-	ErrRange          = &Rejection{416, "bad-range", "the range does not begin at a part: begin it at a multiple of the part's size"}
-	ErrDeadline       = &Rejection{400, "bad-deadline", "the deadline is no positive number of milliseconds: write one, or leave the field out"}
+	ErrIdempotencyKey = &Rejection{400, "no-idempotency-key", "a write to this route needs an Idempotency-Key: add the field, with a different value for each write and the same value for its retries"}
+	ErrPart           = &Rejection{400, "bad-part", "the part in the path is not a whole number: write one, from 0"}
+	ErrRange          = &Rejection{416, "bad-range", "the range does not begin at a part: begin it at a multiple of the part size"}
+	ErrDeadline       = &Rejection{400, "bad-deadline", "the deadline is not a positive number of milliseconds: send one, or omit the field"}
 )
 
-// Classify turns a request's head into the module's request: the id and the
-// time are the caller's. It allocates the object's name and nothing else.
+// Classify converts a request head into a request of the module, with the caller's id and
+// time. The first route that matches the path and accepts the method decides. An error is a
+// *Rejection. Classify allocates only the object's name.
 func (c *Core) Classify(id string, now spool.Millis, h *http1.Head) (spool.Request, error) {
 	path := h.Path()
 	write := isWrite(h.Method)
-	fits := false
+	pathMatched := false
 	for i := range c.routes {
 		r := &c.routes[i]
 		var m match
 		if !r.match(path, &m) {
 			continue
 		}
-		if fits = true; !r.accepts(h.Method, write) {
+		if pathMatched = true; !r.accepts(h.Method, write) {
 			continue
 		}
 		q := spool.Request{ID: id, Class: r.class, KB: r.kb, Write: write, Part: m.part, Group: m.group}
@@ -279,13 +283,14 @@
 		q.Retry = h.Has(r.retryField)
 		return q, nil
 	}
-	if fits {
+	if pathMatched {
 		return spool.Request{}, ErrMethod
 	}
 	return spool.Request{}, ErrNoRoute
 }
 
-// IdempotentByKey tells of a class whether its requests carry a key that drops repeats.
+// IdempotentByKey reports whether requests of a class carry an idempotency key, by which
+// repeats of a request are recognized and dropped.
 func (c *Core) IdempotentByKey(class string) bool {
 	for i := range c.module.Classes {
 		if c.module.Classes[i].Name == class {
@@ -303,9 +308,10 @@
 	return true
 }
 
-// rangePart is the part that a Range's first byte stands in: parts are n bytes
-// each. No Range means the first part.
-func rangePart(v []byte, n int64) (int, error) {
+// rangePart returns the part at which a Range header begins, for parts of partBytes each. An
+// empty header means part 0. A range that begins inside a part, or is not a byte range with a
+// first position, is an ErrRange.
+func rangePart(v []byte, partBytes int64) (int, error) {
 	if len(v) == 0 {
 		return 0, nil
 	}
@@ -323,8 +329,8 @@
 		}
 		first, digits = first*10+int64(b-'0'), digits+1
 	}
-	if digits == 0 || first%n != 0 {
+	if digits == 0 || first%partBytes != 0 {
 		return 0, ErrRange
 	}
-	return int(min(first/n, 1<<30)), nil
+	return int(min(first/partBytes, 1<<30)), nil
 }
--- a/internal/proxy/engine/core_test.go
+++ b/internal/proxy/engine/core_test.go
@@ -12,7 +12,7 @@
 	"indigospool/internal/protocol/http1"
 )
 
-const text = `
+const testSettings = `
 (router (zone z) (deadline-header "X-Within"))
 (fill (range-kb 64))
 (class still (deadline 3000)) (class film (parts) (deadline 6000))
@@ -26,9 +26,9 @@
 (member b2 (zone z) (address "127.0.0.1:2"))
 `
 
-func load(t testing.TB) *Core {
+func newCore(t testing.TB) *Core {
 	var s config.Settings
-	if err := config.Read("t.edn", text, &s); err != nil {
+	if err := config.Read("t.edn", testSettings, &s); err != nil {
 		t.Fatal(err)
 	}
 	c, err := New(&s, 1)
@@ -46,8 +46,10 @@
 	return &h
 }
 
+// TestClassify checks how paths, methods and header fields are converted into requests or
+// rejected.
 func TestClassify(t *testing.T) {
-	c := load(t)
+	c := newCore(t)
 	for _, k := range []struct {
 		msg    string
 		err    error
@@ -89,9 +91,12 @@
 	}
 }
 
-// One start told twice with other times up is one start; another number is a new one.
-func TestStartsAreKept(t *testing.T) {
-	c := load(t)
+// TestMemberStarts guards against a member that counts as restarted each time its uptime is
+// reported: two reports of one start number with different uptimes keep the first ReadyAt, and
+// only another number is a new start. It also checks updates that are outdated or follow a gap,
+// and members missing from a snapshot.
+func TestMemberStarts(t *testing.T) {
+	c := newCore(t)
 	apply := func(now float64, line string) ApplyResult {
 		n, err := ParseUpdate([]byte(line))
 		if err != nil {
@@ -101,30 +106,32 @@
 	}
 	row := func(a ApplyResult) spool.Member { return a.Events[0].(spool.Members).Rows[0] }
 	if m := row(apply(1000, `{"rev":1,"how":"full","members":[{"id":"b","start":1}]}`)); m.ReadyAt != 0 {
-		t.Fatalf("a member that is up for long is ready at %v", m.ReadyAt)
+		t.Fatalf("a member without an uptime is ready at %v, want 0", m.ReadyAt)
 	}
 	first := row(apply(5000, `{"rev":2,"how":"delta","members":[{"id":"b","start":2,"up_ms":300}]}`))
 	if first.ReadyAt != 4700 {
-		t.Fatalf("ready at %v", first.ReadyAt)
+		t.Fatalf("a new start is ready at %v, want 4700", first.ReadyAt)
 	}
 	if again := row(apply(6000, `{"rev":3,"how":"full","members":[{"id":"b","start":2,"up_ms":1290}]}`)); again.ReadyAt != 4700 {
-		t.Fatalf("the same start is now at %v", again.ReadyAt)
+		t.Fatalf("the same start, reported again, is ready at %v, want 4700", again.ReadyAt)
 	}
 	if a := apply(6000, `{"rev":2,"how":"full","members":[{"id":"b","start":1}],"purge":{"object":"o"}}`); !a.Outdated || len(a.Events) != 1 {
-		t.Fatalf("an older version gave %+v", a)
+		t.Fatalf("an outdated snapshot with a purge gave %+v, want only the purge", a)
 	}
 	if a := apply(6000, `{"rev":7,"how":"delta","members":[{"id":"c"}]}`); !a.Gap || len(a.Events) != 0 {
-		t.Fatalf("a gap gave %+v", a)
+		t.Fatalf("a delta after a gap gave %+v, want no events", a)
 	}
 	if a := apply(7000, `{"rev":8,"how":"full","members":[]}`); len(a.Events) != 1 {
-		t.Fatalf("%+v", a)
+		t.Fatalf("an empty snapshot gave %+v, want one event", a)
 	}
 	if m, _ := c.Member("b"); m.State != spool.Removed {
-		t.Fatalf("missing from a full list, yet %v", m.State)
+		t.Fatalf("a member missing from a snapshot is in state %v, want removed", m.State)
 	}
 }
 
-func TestNewsFaults(t *testing.T) {
+// TestParseUpdateInvalid checks that ParseUpdate rejects malformed lines, unknown values,
+// duplicates, negative numbers and control characters.
+func TestParseUpdateInvalid(t *testing.T) {
 	for _, line := range []string{``, `{"rev":1`, `[]`, `{"rev":1}`, `{"rev":1,"how":"some","members":[]}`,
 		`{"rev":1,"members":[{"id":"a"}]}`, `{"rev":1,"how":"full","members":[{"zone":"a"}]}`,
 		`{"rev":1,"how":"full","members":[{"id":"a"},{"id":"a"}]}`,
@@ -132,15 +139,15 @@
 		`{"rev":1,"how":"full","members":[{"id":"a","up_ms":-4}]}`,
 		`{"rev":1,"how":"full","members":[{"id":"a\n"}]}`, `{"rev":1,"how":"full","members":[{"id":"a","zone":"\u001b[31m"}]}`, `{"rev":1,"purge":{"age_ms":-1}}`} {
 		if n, err := ParseUpdate([]byte(line)); err == nil {
-			t.Errorf("%s was taken as %+v", line, n)
+			t.Errorf("%s was accepted as %+v", line, n)
 		}
 	}
 }
 
-// The core asks the module and does what it says: a request for a listed cache
-// gives a Send there, with an address to go to.
-func TestDecisionHasAddress(t *testing.T) {
-	c := load(t)
+// TestSendHasAddress checks that a request leads to a Send to a listed cache, and that the Core
+// knows the cache's address.
+func TestSendHasAddress(t *testing.T) {
+	c := newCore(t)
 	for _, ev := range c.Apply(1, UpdateFromSettings(c.Settings)).Events {
 		c.Handle(1, ev, nil)
 	}
@@ -156,16 +163,16 @@
 			return
 		}
 	}
-	t.Fatal("no attempt was made")
+	t.Fatal("the module sent no attempt")
 }
 
-// A clock that steps, in either direction, gives each request its one final
-// answer all the same: the module's time only goes forward.
+// TestClockSteps checks that each request gets exactly one final action when the caller's clock
+// steps forward or back by up to an hour: the module's own time only goes forward.
 func TestClockSteps(t *testing.T) {
-	c := load(t)
+	c := newCore(t)
 	timers := map[int64]float64{}
 	finals := map[string]int{}
-	carry := func(acts []spool.Action, now float64) {
+	record := func(acts []spool.Action, now float64) {
 		for _, a := range acts {
 			switch a := a.(type) {
 			case spool.Wake:
@@ -179,7 +186,7 @@
 	}
 	now := 1000.0
 	for _, ev := range c.Apply(now, UpdateFromSettings(c.Settings)).Events {
-		carry(c.Handle(now, ev, nil), now)
+		record(c.Handle(now, ev, nil), now)
 	}
 	ids := 0
 	for _, step := range []float64{0, -900, 50, 3_600_000, -3_600_000, 20, 5000, 5000, 5000} {
@@ -189,68 +196,69 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		carry(c.Handle(now, q, nil), now)
+		record(c.Handle(now, q, nil), now)
 		for token, due := range timers {
 			if due <= now {
 				delete(timers, token)
-				carry(c.Handle(now, spool.Timer{Token: token}, nil), now)
+				record(c.Handle(now, spool.Timer{Token: token}, nil), now)
 			}
 		}
 	}
-	for turn := 0; len(finals) < ids && turn < 1000; turn++ {
+	for round := 0; len(finals) < ids && round < 1000; round++ {
 		for token, due := range timers {
 			now = max(now, due)
 			delete(timers, token)
-			carry(c.Handle(now, spool.Timer{Token: token}, nil), now)
+			record(c.Handle(now, spool.Timer{Token: token}, nil), now)
 		}
 	}
 	if len(finals) != ids {
-		t.Fatalf("%d of %d requests have a final answer: %v", len(finals), ids, finals)
+		t.Fatalf("%d of %d requests have a final action: %v", len(finals), ids, finals)
 	}
 	for id, n := range finals {
 		if n != 1 {
-			t.Errorf("%s has %d final answers", id, n)
+			t.Errorf("%s has %d final actions", id, n)
 		}
 	}
 }
 
-// Settings change under a core; its members, its list's version and its routes
-// follow, and what can't be taken changes nothing.
-func TestResettle(t *testing.T) {
-	c := load(t)
+// TestChangeSettings checks that new routes replace the old ones, that invalid settings change
+// nothing, and that members of a configuration version are applied with its number.
+func TestChangeSettings(t *testing.T) {
+	c := newCore(t)
 	for _, ev := range c.Apply(10, UpdateFromSettings(c.Settings)).Events {
 		c.Handle(10, ev, nil)
 	}
 	next := &config.Settings{}
-	if err := config.Read("n.edn", strings.Replace(text, `"/x/*"`, `"/y/*"`, 1), next); err != nil {
+	if err := config.Read("n.edn", strings.Replace(testSettings, `"/x/*"`, `"/y/*"`, 1), next); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := c.ChangeSettings(20, next, nil); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := c.Classify("q", 30, head(t, c, "GET /y/a HTTP/1.1\r\n")); err != nil {
-		t.Errorf("the new route: %v", err)
+		t.Errorf("a path of the new route: %v", err)
 	}
 	if _, err := c.Classify("q", 30, head(t, c, "GET /x/a HTTP/1.1\r\n")); err != ErrNoRoute {
-		t.Errorf("the old route: %v", err)
+		t.Errorf("a path of the old route: %v, want ErrNoRoute", err)
 	}
 	bad := *next
 	bad.Classes = nil
 	if _, err := c.ChangeSettings(40, &bad, nil); err == nil || len(c.Settings.Classes) == 0 {
-		t.Errorf("settings without a class: %v", err)
+		t.Errorf("settings without a class: %v, want an error and the old settings", err)
 	}
 	for _, ev := range c.Apply(50, UpdateFromVersion(7, []config.Member{{ID: "b3", Zone: "z", Kind: "box", State: "serving"}}, true)).Events {
 		c.Handle(50, ev, nil)
 	}
 	if m, ok := c.Member("b3"); !ok || m.ReadyAt <= 0 || c.Rev() != 7 {
-		t.Errorf("a member that came with a version: %+v, list %d", m, c.Rev())
+		t.Errorf("a member of version 7 that has just started: %+v, list revision %d", m, c.Rev())
 	}
 }
 
-// What a request was made of can be made again: Classify of Target is the request,
-// for generated requests of every route; what no route leads to is told.
-func TestTarget(t *testing.T) {
-	c := load(t)
+// TestHTTPRequestRoundTrip checks that Classify converts the result of HTTPRequest into the same
+// request, for random requests of every route, and that a request to which no route leads is an
+// error.
+func TestHTTPRequestRoundTrip(t *testing.T) {
+	c := newCore(t)
 	rapid.Check(t, func(t *rapid.T) {
 		path := rapid.SampledFrom([]string{"/s/%d/a%d", "/v/%d/f%d/PART", "/r/x%d%d", "/o/y%d%d", "/x/%d/%d/z"}).Draw(t, "path")
 		path = fmt.Sprintf(path, rapid.IntRange(0, 99).Draw(t, "group"), rapid.IntRange(0, 9).Draw(t, "object"))
@@ -280,12 +288,12 @@
 		if err != nil {
 			t.Fatal(msg, err)
 		}
-		target, err := c.HTTPRequest(1000, &q)
+		request, err := c.HTTPRequest(1000, &q)
 		if err != nil {
 			t.Fatal(msg, err)
 		}
-		again := target.Method + " " + target.Path + " HTTP/1.1\r\nHost: h\r\nIdempotency-Key: k\r\n"
-		for _, f := range target.Fields {
+		again := request.Method + " " + request.Path + " HTTP/1.1\r\nHost: h\r\nIdempotency-Key: k\r\n"
+		for _, f := range request.Fields {
 			again += f[0] + ": " + f[1] + "\r\n"
 		}
 		var h2 http1.Head
@@ -293,12 +301,12 @@
 			t.Fatal(again, n, err)
 		}
 		if q2, err := c.Classify("q", 1000, &h2); err != nil || q2 != q {
-			t.Fatalf("%q became %q: %+v is not %+v (%v)", msg, again, q2, q, err)
+			t.Fatalf("%q became %q, which is classified as %+v, want %+v (error: %v)", msg, again, q2, q, err)
 		}
 	})
 	for _, q := range []spool.Request{{Class: "still", Object: "/nowhere/1"}, {Class: "none", Object: "/s/1/a"}, {Class: "still", Object: "/s/1/a b", Group: 1}} {
 		if got, err := c.HTTPRequest(1, &q); err == nil {
-			t.Errorf("%+v became %+v", q, got)
+			t.Errorf("%+v became %+v, want an error", q, got)
 		}
 	}
 }
--- a/internal/proxy/engine/memory.go
+++ b/internal/proxy/engine/memory.go
@@ -6,36 +6,38 @@
 	spool "indigospool"
 )
 
-// LearnedState is what a core has learned, for its successor: the list as it was told,
-// with starts and addresses, and the module's own.
+// LearnedState is a snapshot of what a Core has learned, which a successor restores: the
+// endpoint list and the module's learned state. Package learnedstate encodes it under its
+// field names.
 type LearnedState struct {
-	Rev     int64
-	Members []ListedMember // in the order of ids
+	Rev     int64          // of the endpoint list
+	Members []ListedMember // sorted by id
 	Module  *spool.Memory
 }
 
-// ListedMember is a listed member.
+// ListedMember is a member of the endpoint list.
 type ListedMember struct {
 	spool.Member
 	Address string
-	Start   int64
+	Start   int64 // number of its current start; 0: unknown
 }
 
-// LearnedState is a copy of what was learned.
+// LearnedState returns a copy of the learned state.
 func (c *Core) LearnedState() *LearnedState {
-	m := &LearnedState{Rev: c.rev, Module: c.router.Memory()}
-	for _, k := range c.members {
-		m.Members = append(m.Members, ListedMember{Member: k.Member, Address: k.address, Start: k.start})
+	state := &LearnedState{Rev: c.rev, Module: c.router.Memory()}
+	for _, m := range c.members {
+		state.Members = append(state.Members, ListedMember{Member: m.Member, Address: m.address, Start: m.start})
 	}
-	sort.Slice(m.Members, func(i, j int) bool { return m.Members[i].ID < m.Members[j].ID })
-	return m
+	sort.Slice(state.Members, func(i, j int) bool { return state.Members[i].ID < state.Members[j].ID })
+	return state
 }
 
-// Restore goes on from a predecessor's memory. It comes before any news.
-func (c *Core) Restore(now spool.Millis, m *LearnedState, dst []spool.Action) []spool.Action {
-	c.rev = m.Rev
-	for _, k := range m.Members {
-		c.members[k.ID] = &listedMember{Member: k.Member, address: k.Address, start: k.Start}
+// Restore takes over the state that a predecessor learned, and appends the module's actions
+// to dst. It must be called before Apply.
+func (c *Core) Restore(now spool.Millis, state *LearnedState, dst []spool.Action) []spool.Action {
+	c.rev = state.Rev
+	for _, m := range state.Members {
+		c.members[m.ID] = &listedMember{Member: m.Member, address: m.Address, start: m.Start}
 	}
-	return c.Handle(now, spool.Recalled{Memory: m.Module}, dst)
+	return c.Handle(now, spool.Recalled{Memory: state.Module}, dst)
 }
--- a/internal/proxy/engine/route.go
+++ b/internal/proxy/engine/route.go
@@ -9,49 +9,50 @@
 	"indigospool/internal/protocol/http1"
 )
 
+// segKind is the kind of a path segment in a pattern.
 type segKind uint8
 
 const (
-	segText segKind = iota
-	segAny
-	segObject
-	segGroup
-	segPart
-	segRest
+	segText   segKind = iota // literal text
+	segAny                   // another {name}, or {group} in a route without groups: any text
+	segObject                // {object}: the object's name ends with this segment
+	segGroup                 // {group}
+	segPart                  // {part}
+	segRest                  // *: the rest of the path
 )
 
 type segment struct {
 	kind segKind
-	text []byte
+	text []byte // of segText
 }
 
-// route is a compiled pattern.
+// route is a compiled config.Route.
 type route struct {
 	segs            []segment
 	class           string
 	methods         [][]byte
-	write           bool // takes writes where no methods are named
-	idempotentByKey bool
-	kb              float64
-	deadline        float64
-	ranges          bool
-	rangeBytes      int64
-	hasObject       bool // the pattern names an object
+	write           bool    // the class is of writes
+	idempotentByKey bool    // writes need an Idempotency-Key
+	kb              float64 // size of an object or part
+	deadline        float64 // ms after the arrival of the request
+	ranges          bool    // the Range header selects the part
+	rangeBytes      int64   // size of a part that Range selects
+	hasObject       bool    // the pattern contains {object}; without it the whole path is the object
 
-	deadlineField, sizeField, retryField string
+	deadlineField, sizeField, retryField string // header names in lower case; empty: not used
 }
 
-// match is what a path was found to name.
+// match is the result of matching a path with a pattern.
 type match struct {
-	object  int // length of the path up to the end of the object
+	object  int // length of the object's name, which begins the path
 	group   int // -1: none
 	part    int
-	badPart bool
+	badPart bool // the segment of {part} is not a number
 }
 
 func compile(s *config.Settings, r *config.Route) (route, error) {
-	if what := config.CheckPattern(r.Pattern); what != "" || !strings.HasPrefix(r.Pattern, "/") {
-		return route{}, fmt.Errorf("core: pattern %q: %s", r.Pattern, what)
+	if fault := config.CheckPattern(r.Pattern); fault != "" || !strings.HasPrefix(r.Pattern, "/") {
+		return route{}, fmt.Errorf("engine: pattern %q: %s", r.Pattern, fault)
 	}
 	out := route{class: r.Class, kb: r.KB, ranges: r.Ranges, rangeBytes: int64(s.Fill.RangeKB) * 1024,
 		deadlineField: strings.ToLower(s.Router.DeadlineHeader), sizeField: strings.ToLower(s.Router.SizeHeader),
@@ -83,6 +84,9 @@
 	return out, nil
 }
 
+// accepts reports whether the route accepts a method; write is isWrite of that method. If no
+// methods are configured, a route of writes accepts every write but CONNECT, and any other
+// route accepts GET and HEAD.
 func (r *route) accepts(method []byte, write bool) bool {
 	if len(r.methods) == 0 {
 		if r.write {
@@ -98,7 +102,8 @@
 	return false
 }
 
-// match compares a path, without its query, with the pattern.
+// match reports whether the path of target, without the query, matches the pattern, and sets m
+// to what the segments contain.
 func (r *route) match(target []byte, m *match) bool {
 	*m = match{group: -1}
 	path := target
@@ -148,6 +153,7 @@
 	return true
 }
 
+// parseNumber parses a decimal number of one to nine digits.
 func parseNumber(b []byte) (n int, bad bool) {
 	if len(b) == 0 || len(b) > 9 {
 		return 0, true
@@ -161,7 +167,8 @@
 	return n, false
 }
 
-// groupNumber is the number of a group: itself where it is one, else a hash.
+// groupNumber returns the number by which the module knows a group: that in the text, or else
+// 30 bits of the text's FNV-1a hash plus 1<<30, which no number of nine digits reaches.
 func groupNumber(text []byte) int {
 	if n, bad := parseNumber(text); !bad {
 		return n
@@ -173,10 +180,10 @@
 	return int(h>>1) | 1<<30
 }
 
-// GroupNumber is the number by which the module knows a group named in a path.
+// GroupNumber returns the number by which the module knows a group named in a path.
 func GroupNumber(text string) int { return groupNumber([]byte(text)) }
 
-// Parse reads a request head, with the limits of the settings.
+// Parse parses a request head within the limits of the settings; see http1.ParseRequest.
 func (c *Core) Parse(buf []byte, h *http1.Head) (int, error) {
 	l := &c.Settings.Limits
 	return http1.ParseRequest(buf, h, http1.Limits{Line: l.Line, Head: l.Head, Fields: l.Fields})
--- a/internal/proxy/engine/target.go
+++ b/internal/proxy/engine/target.go
@@ -8,21 +8,21 @@
 	spool "indigospool"
 )
 
-// AnyGroup is the group of a request whose group is not known; see Target.
+// AnyGroup is the group of a request whose group is unknown; see Core.HTTPRequest.
 const AnyGroup = -2
 
-// HTTPRequest is how a request stands in HTTP.
+// HTTPRequest is the HTTP form of a spool.Request.
 type HTTPRequest struct {
 	Method string
 	Path   string
-	Fields [][2]string
+	Fields [][2]string // name and value of each header field
 }
 
-// HTTPRequest is the other way of Classify: a message that is classified as the request
-// was at the time now, with the same class, object, part, group and size. What
-// stood in segments that nothing is taken of is lost: x stands there. An error says
-// that no route leads to it.
-func (c *Core) HTTPRequest(now spool.Millis, q *spool.Request) (t HTTPRequest, err error) {
+// HTTPRequest returns an HTTP request that Classify, at the time now, converts into a request
+// with the class, object, part, group, size, deadline and retry flag of q. It is the inverse of
+// Classify, except that a path segment whose text is not in q becomes "x". HTTPRequest returns
+// an error if no route leads to q.
+func (c *Core) HTTPRequest(now spool.Millis, q *spool.Request) (h HTTPRequest, err error) {
 	for i := range c.routes {
 		r := &c.routes[i]
 		if r.class != q.Class {
@@ -32,11 +32,11 @@
 		if path == nil {
 			continue
 		}
-		t = HTTPRequest{Method: r.method(q.Write), Path: string(path)}
-		if t.Method == "" || !c.routesTo(i, []byte(t.Method), path, q) {
+		h = HTTPRequest{Method: r.method(q.Write), Path: string(path)}
+		if h.Method == "" || !c.routesTo(i, []byte(h.Method), path, q) {
 			continue
 		}
-		add := func(name, value string) { t.Fields = append(t.Fields, [2]string{name, value}) }
+		add := func(name, value string) { h.Fields = append(h.Fields, [2]string{name, value}) }
 		if r.ranges {
 			from := int64(q.Part) * r.rangeBytes
 			add("Range", fmt.Sprintf("bytes=%d-%d", from, from+r.rangeBytes-1))
@@ -50,12 +50,12 @@
 		if q.Retry && r.retryField != "" {
 			add(c.Settings.Router.RetryHeader, "1")
 		}
-		return t, nil
+		return h, nil
 	}
-	return HTTPRequest{}, fmt.Errorf("core: no route of class %q leads to object %q part %d; are these the settings of the router that took it?", q.Class, q.Object, q.Part)
+	return HTTPRequest{}, fmt.Errorf("engine: no route of class %q leads to object %q part %d; use the settings of the router that received the request", q.Class, q.Object, q.Part)
 }
 
-// path is the path by which a route would be taken for a request; nil: by none.
+// path returns the path that the route's pattern gives for q.
 func (r *route) path(q *spool.Request) []byte {
 	if !r.hasObject {
 		return []byte(q.Object)
@@ -66,7 +66,7 @@
 		switch {
 		case seg.kind == segObject:
 			afterObject = true
-		case !afterObject: // stands in the object's name
+		case !afterObject: // part of the object's name
 		case seg.kind == segText:
 			out = append(append(out, '/'), seg.text...)
 		case seg.kind == segPart:
@@ -80,7 +80,8 @@
 	return out
 }
 
-// method is one that the route takes.
+// method returns a method that the route accepts for a write or for a read, or "" if it
+// accepts none.
 func (r *route) method(write bool) string {
 	if len(r.methods) == 0 {
 		if r.write != write {
@@ -96,7 +97,8 @@
 	return ""
 }
 
-// routesTo reports whether a path is taken by the i-th route, as the request was.
+// routesTo reports whether Classify assigns a path to the i-th route, and finds the object, the
+// group and the part of q in it.
 func (c *Core) routesTo(i int, method, path []byte, q *spool.Request) bool {
 	if bytes.ContainsAny(path, " ?#") {
 		return false
