--- a/internal/proxy/limits/admission.go
+++ b/internal/proxy/limits/admission.go
@@ -3,41 +3,41 @@
 // AdmissionSettings bound the requests in flight.
 type AdmissionSettings struct {
 	Target        float64 // ms that ready bytes may wait for the router
-	QueueingShare float64 // part of its time until the deadline that a request may wait for its first attempt; 0: all of it
-	Interval      float64 // ms over which the shortest wait counts
-	MinInFlight   int     // requests in flight that are always allowed
-	MaxInFlight   int     // requests in flight that are never exceeded
-	Headroom      float64 // part of the limit that only requests of the highest rank may use
+	QueueingShare float64 // share of its time until the deadline that a request may wait for its first attempt; 0: all
+	Interval      float64 // ms over which waits are measured
+	MinInFlight   int     // the limit never falls below this
+	MaxInFlight   int     // the limit never rises above this
+	Headroom      float64 // share of the limit that is reserved for requests of the highest rank
 }
 
-// normalized returns the settings with a Least between 1 and Most.
+// normalized returns the settings with MinInFlight between 1 and MaxInFlight.
 func (s AdmissionSettings) normalized() AdmissionSettings {
 	s.MinInFlight = max(min(s.MinInFlight, s.MaxInFlight), 1)
 	return s
 }
 
-// How fast the limit moves in an interval.
+// Changes of the limit in one interval.
 const (
-	minCutFactor        = 0.5  // it falls to no less than this part
-	maxCutFactor        = 0.9  // and at least to this one, once there is an overload
-	growthFactor        = 1.05 // it grows by this factor, and by one request
-	growthMinUse        = 0.8  // part of the limit that has to be in flight for it to grow
-	minQueueingOverload = 1.1  // least relative wait where most requests wait for too long
+	minCutFactor        = 0.5  // in an overload, the limit falls at most to this share
+	maxCutFactor        = 0.9  // and at least to this share
+	growthFactor        = 1.05 // otherwise it grows by this factor and by one request
+	growthMinUse        = 0.8  // if at least this share of it was in flight
+	minQueueingOverload = 1.1  // relative wait that counts at least if most requests queue for too long
 )
 
-// Admission is a limit on the requests in flight that adapts to two waits: of ready bytes for
-// the router's own time, and of requests for their first attempt, while the decision module
-// has no capacity for them.
+// Admission is a limit on the requests in flight that adapts to two waits: that of ready bytes
+// for the router's event loop, and that of requests for their first attempt, while the decision
+// module has no capacity for them.
 //
-// Of the first, as in CoDel (RFC 8289), the shortest in an interval counts: a burst is no
-// overload, a queue that never empties is. The second is not one queue in order, so there
-// most requests have to wait for too long: one cache whose requests do while others' do not
-// gets nobody rejected. A request that has waited for so long is answered at the last moment
-// or late, and a standing queue costs all requests that time.
+// Of the first wait the minimum in an interval counts, as in CoDel (RFC 8289): a burst is not an
+// overload, but a queue that never empties is. The second wait has no single queue in order, so
+// it counts only if more than half of the requests wait for too long: one overloaded cache among
+// idle ones causes no rejections. A request that has waited for that long is answered just
+// before its deadline or late, and a standing queue adds that time to every request.
 //
-// While either wait is above its target the limit falls by the ratio of target and wait, by a
-// tenth to a half an interval, starting from what is in flight. Otherwise, if the limit is in
-// use, it grows by a twentieth and one an interval.
+// While either wait is above its target, each interval cuts the limit by the ratio of target to
+// wait, by a tenth to a half, starting from the requests in flight if those are fewer.
+// Otherwise, if the limit is in use, it grows by a twentieth and one request.
 type Admission struct {
 	// LastWait is the shortest wait of ready bytes in the last interval, in ms.
 	LastWait float64
@@ -46,50 +46,50 @@
 	limit      float64
 	overloaded bool
 
-	// Of the present interval:
+	// Of the current interval:
 	intervalEnds  float64
 	minWait       float64 // ms; below 0: none was observed
-	queueingSum   float64 // sum of the parts of their time that requests waited
-	queued        int     // how many requests that is the sum of
-	queuedTooLong int     // how many of them waited for more than Part
+	queueingSum   float64 // sum of the shares observed by ObserveQueueing
+	queued        int     // number of these observations
+	queuedTooLong int     // number of those above QueueingShare
 	maxInFlight   int
 }
 
-// NewAdmission makes an Admission whose limit is Most until there is an overload.
+// NewAdmission returns an Admission whose limit is MaxInFlight until there is an overload.
 func NewAdmission(settings AdmissionSettings) *Admission {
 	settings = settings.normalized()
 	return &Admission{settings: settings, limit: float64(settings.MaxInFlight), minWait: -1}
 }
 
-// Adopt changes the settings. What was learned stays.
+// Adopt replaces the settings and keeps the limit within their bounds.
 func (a *Admission) Adopt(settings AdmissionSettings) {
 	settings = settings.normalized()
-	if a.limit >= float64(a.settings.MaxInFlight) { // there was no overload
+	if a.limit >= float64(a.settings.MaxInFlight) { // no overload so far
 		a.limit = float64(settings.MaxInFlight)
 	}
 	a.settings = settings
 	a.limit = min(a.limit, float64(settings.MaxInFlight))
 }
 
-// ObserveQueueing records which part of its time until the deadline a request has waited for
-// its first attempt, from 0 to 1.
-func (a *Admission) ObserveQueueing(part float64) {
-	a.queueingSum += part
+// ObserveQueueing records the share of its time until the deadline, from 0 to 1, that a request
+// has waited for its first attempt.
+func (a *Admission) ObserveQueueing(share float64) {
+	a.queueingSum += share
 	a.queued++
-	if part > a.settings.QueueingShare {
+	if share > a.settings.QueueingShare {
 		a.queuedTooLong++
 	}
 }
 
-// ObserveWait records how long ready bytes had to wait for the router, in ms.
+// ObserveWait records how long, in ms, ready bytes have waited for the router.
 func (a *Admission) ObserveWait(ms float64) {
 	if a.minWait < 0 || ms < a.minWait {
 		a.minWait = ms
 	}
 }
 
-// Tick records how many requests are in flight, and adapts the limit at the end of each
-// interval. It has to be called at least once an interval.
+// Tick records the number of requests in flight, and adapts the limit at the end of each
+// interval. It must be called at least once per interval.
 func (a *Admission) Tick(now float64, inFlight int) {
 	a.maxInFlight = max(a.maxInFlight, inFlight)
 	if now < a.intervalEnds {
@@ -104,7 +104,7 @@
 	a.queueingSum, a.queued, a.queuedTooLong = 0, 0, 0
 }
 
-// adapt moves the limit by what was observed in the interval.
+// adapt changes the limit by the observations of the interval.
 func (a *Admission) adapt() {
 	a.LastWait = max(a.minWait, 0)
 	wait := a.relativeWait()
@@ -119,26 +119,27 @@
 	}
 }
 
-// relativeWait is the longer of the interval's two waits, each as a multiple of its target:
-// above 1 the router is overloaded.
+// relativeWait returns the larger of the interval's two waits, each divided by its target.
+// Above 1 the router is overloaded.
 func (a *Admission) relativeWait() float64 {
 	wait := a.minWait / a.settings.Target
 	mostTooLong := 2*a.queuedTooLong > a.queued
 	if a.settings.QueueingShare > 0 && mostTooLong {
-		meanPart := a.queueingSum / float64(a.queued)
-		wait = max(wait, meanPart/a.settings.QueueingShare, minQueueingOverload)
+		meanShare := a.queueingSum / float64(a.queued)
+		wait = max(wait, meanShare/a.settings.QueueingShare, minQueueingOverload)
 	}
 	return wait
 }
 
-// Overloaded reports whether the router was found overloaded in the last interval.
+// Overloaded reports whether the router was overloaded in the last interval.
 func (a *Admission) Overloaded() bool { return a.overloaded }
 
-// Limit is how many requests may be in flight.
+// Limit returns how many requests may be in flight.
 func (a *Admission) Limit() int { return int(a.limit) }
 
-// Admit reports whether one more request is admitted while inFlight are. rank is its priority
-// among those of all classes, from 0 to 1: the limit for rank 0 is lower by the headroom.
+// Admit reports whether one more request is admitted when inFlight requests are in flight. rank
+// is the priority of its class among all classes, from 0 to 1; once the limit is below
+// MaxInFlight, that of rank 0 is lower by the headroom.
 func (a *Admission) Admit(inFlight int, rank float64) bool {
 	limit := a.limit
 	if limit < float64(a.settings.MaxInFlight) {
--- a/internal/proxy/limits/admission_test.go
+++ b/internal/proxy/limits/admission_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// TestAdmissionAdapts: a queue in simulated time gets up to four times what it can serve. The
-// limit finds a value at which the wait stays short and the server is busy, and recovers
-// after.
+// TestAdmissionAdapts offers a simulated server up to four times the load that it can serve. In
+// an overload the limit must keep the wait short and the server busy; without one nothing is
+// rejected; and the limit must recover afterwards.
 func TestAdmissionAdapts(t *testing.T) {
 	for _, load := range []float64{0.5, 0.9, 1.5, 2, 4} {
 		admission := NewAdmission(AdmissionSettings{Target: 5, Interval: 100, MinInFlight: 8, MaxInFlight: 20000, Headroom: 0.2})
 		random := rand.New(rand.NewPCG(1, uint64(load*10)))
-		const work = 0.1 // ms of work a request; 10 requests a ms are what the server can do
-		now, busy, held := 0.0, 0.0, 20.0
-		var ends []float64 // of those in hand
+		const work = 0.1                  // ms per request: the server can serve 10 requests per ms
+		now, busy, held := 0.0, 0.0, 20.0 // busy: when the server is free again; held: ms for which a served request stays in flight
+		var ends []float64                // of the requests in flight
 		served, rejected, waits := 0, 0, []float64{}
 		for now < 60000 {
 			now += random.ExpFloat64() * work / load
@@ -24,7 +24,7 @@
 			admission.Tick(now, len(ends))
 			if !admission.Admit(len(ends), 1) {
 				rejected++
-				busy = max(busy, now) + work*0.02 // a rejection is cheap, and not free
+				busy = max(busy, now) + work*0.02 // a rejection costs 2 % of a request
 				continue
 			}
 			wait := max(busy-now, 0)
@@ -42,31 +42,31 @@
 		}
 		share := float64(served) * work / 40000
 		if load > 1 && (share < 0.85 || sum/float64(len(waits)) > 60) || load < 1 && rejected > 0 {
-			t.Errorf("load %v: %.2f of the time at work, %.1f ms of wait, %d rejected, limit %d", load, share, sum/float64(len(waits)), rejected, admission.Limit())
+			t.Errorf("load %v: busy for %.2f of the time, mean wait %.1f ms, %d rejected, limit %d", load, share, sum/float64(len(waits)), rejected, admission.Limit())
 		}
-		for range 200 { // calm again
+		for range 200 { // no load
 			now += 100
 			admission.ObserveWait(0)
 			admission.Tick(now, admission.Limit())
 		}
 		if admission.Limit() < 20000 || admission.Overloaded() {
-			t.Errorf("load %v: the limit stays at %d", load, admission.Limit())
+			t.Errorf("load %v: the limit stays at %d after the load", load, admission.Limit())
 		}
 	}
 }
 
-// TestAdmissionQueueing: a module that has capacity for few requests at a time lets the others
-// wait until they are nearly late. Without a limit on that wait all answers come late, with it
-// most capacity is used in time. With as many requests for another, idle cache beside it none
-// is rejected.
+// TestAdmissionQueueing offers a cache with capacity for 64 requests at a time four times its
+// load, so that the module lets requests wait until just before their deadline. Without a limit
+// on that wait most answers come late; with one most capacity serves requests in time. With
+// about as many requests for another, idle cache none is rejected.
 func TestAdmissionQueueing(t *testing.T) {
-	run := func(part float64, beside bool) (good, late, rejected int) {
-		admission := NewAdmission(AdmissionSettings{Target: 20, QueueingShare: part, Interval: 100, MinInFlight: 64, MaxInFlight: 20000, Headroom: 0.2})
+	run := func(share float64, idleCache bool) (good, late, rejected int) {
+		admission := NewAdmission(AdmissionSettings{Target: 20, QueueingShare: share, Interval: 100, MinInFlight: 64, MaxInFlight: 20000, Headroom: 0.2})
 		random := rand.New(rand.NewPCG(7, 7))
-		const capacity, takes, deadline = 64, 25.0, 500.0 // 2.56 requests a ms
-		var queue []float64                               // when they came
-		var busy []float64                                // when each is free again
-		other := []float64{}
+		const capacity, takes, deadline = 64, 25.0, 500.0 // ms; 2.56 requests per ms
+		var queue []float64                               // arrivals of the waiting requests
+		var busy []float64                                // ends of the requests in service
+		other := []float64{}                              // ends of the requests for the idle cache
 		arrives := 0.0
 		for now := 0.0; now < 30000; now++ {
 			for len(busy) > 0 && busy[0] <= now {
@@ -84,7 +84,7 @@
 				queue = append(queue, arrives)
 			}
 			for range 3 {
-				if beside {
+				if idleCache {
 					admission.ObserveQueueing(0)
 					other = append(other, now+10)
 				}
@@ -109,22 +109,22 @@
 	}
 	good, late, rejected := run(0.25, false)
 	if full := int(25000 * 64 / 25.0); good < full*9/10 || rejected == 0 {
-		t.Errorf("%d of %d good, %d late, %d rejected", good, full, late, rejected)
+		t.Errorf("%d of %d in time, %d late, %d rejected", good, full, late, rejected)
 	}
 	if g, l, r := run(0, false); g > good/2 {
-		t.Errorf("without it %d are good, %d late, %d rejected: this shows nothing", g, l, r)
+		t.Errorf("without a limit on the wait %d are in time, %d late, %d rejected: the test shows no difference", g, l, r)
 	}
 	if _, _, r := run(0.25, true); r > 0 {
-		t.Errorf("%d were rejected for one cache of two", r)
+		t.Errorf("%d were rejected although one of the two caches is idle", r)
 	}
 }
 
-// TestAdmissionRank: requests of the highest rank are admitted when those of the lowest are
-// not; the least number is always allowed.
+// TestAdmissionRank checks that requests of the highest rank are admitted when those of the
+// lowest are not, and that MinInFlight requests are always admitted.
 func TestAdmissionRank(t *testing.T) {
 	admission := NewAdmission(AdmissionSettings{Target: 5, Interval: 100, MinInFlight: 10, MaxInFlight: 1000, Headroom: 0.3})
 	if !admission.Admit(999, 0) || admission.Admit(1000, 1) {
-		t.Error("without overload the limit is not the most")
+		t.Error("without overload the limit is not MaxInFlight")
 	}
 	for now := 0.0; now < 3000; now += 100 {
 		admission.ObserveWait(50)
@@ -135,6 +135,6 @@
 		t.Errorf("limit %d", limit)
 	}
 	if !admission.Admit(9, 0) {
-		t.Error("below the least number one was rejected")
+		t.Error("a request below MinInFlight was rejected")
 	}
 }
--- a/internal/proxy/limits/backoff.go
+++ b/internal/proxy/limits/backoff.go
@@ -2,21 +2,21 @@
 
 import "math/rand/v2"
 
-// Backoff spaces out attempts to reach a lost service, so that many processes that lost it at
-// once do not try in step, and try less often the longer it is away. Chance is drawn from a
-// seed. Times are in milliseconds.
+// Backoff computes the waits between attempts to reconnect to a lost service: exponential, with
+// random jitter from a seed, so that many processes that lost it at once do not retry at the
+// same time. Times are in milliseconds.
 type Backoff struct {
-	FirstWithin float64 // the first attempt after a loss follows at a random time within this
-	Base        float64 // wait before the second, plus or minus half of it; doubled for each later one
-	Max         float64 // longest wait
+	FirstWithin float64 // bound of the wait before the first attempt, which is uniform from 0
+	Base        float64 // wait before the second attempt, plus or minus half of it; doubled for each later one
+	Max         float64 // bound of each wait
 
 	random   *rand.Rand
-	attempts int // since the loss
+	attempts int // since the service was lost
 }
 
-// NewBackoff makes a Backoff that has lost nothing; times are in milliseconds.
-func NewBackoff(first, base, most float64, seed uint64) *Backoff {
-	return &Backoff{FirstWithin: first, Base: base, Max: most, random: rand.New(rand.NewPCG(seed, 0x5eed))}
+// NewBackoff returns a Backoff; times are in milliseconds.
+func NewBackoff(firstWithin, base, maxWait float64, seed uint64) *Backoff {
+	return &Backoff{FirstWithin: firstWithin, Base: base, Max: maxWait, random: rand.New(rand.NewPCG(seed, 0x5eed))}
 }
 
 // Next returns how long to wait before the next attempt, in milliseconds.
@@ -30,5 +30,6 @@
 	return min(wait*(0.5+b.random.Float64()), b.Max)
 }
 
-// Reset records that an attempt succeeded: the next Next is again the first after a loss.
+// Reset records that an attempt succeeded: the next call of Next is again the first after a
+// loss.
 func (b *Backoff) Reset() { b.attempts = 0 }
--- a/internal/proxy/limits/backoff_test.go
+++ b/internal/proxy/limits/backoff_test.go
@@ -4,27 +4,27 @@
 	"testing"
 )
 
-// TestBackoff: after a common loss processes try again at different times, at first soon and
-// then less often, and never wait longer than Most.
+// TestBackoff checks that processes which lose a service together reconnect at different times,
+// soon at first and then less often, and never wait longer than Max.
 func TestBackoff(t *testing.T) {
 	first := map[float64]bool{}
 	for seed := range uint64(100) {
 		backoff := NewBackoff(250, 150, 500, seed)
 		in := backoff.Next()
 		if first[in] = true; in < 0 || in >= 250 {
-			t.Errorf("seed %d: first after %v", seed, in)
+			t.Errorf("seed %d: first wait %v ms", seed, in)
 		}
 		last := 0.0
 		for range 80 {
 			if last = backoff.Next(); last < 75 || last > 500 {
-				t.Fatalf("seed %d: then after %v", seed, last)
+				t.Fatalf("seed %d: later wait %v ms", seed, last)
 			}
 		}
 		if last < 250 {
-			t.Errorf("seed %d: at last after %v", seed, last)
+			t.Errorf("seed %d: last wait %v ms", seed, last)
 		}
 		if backoff.Reset(); backoff.Next() >= 250 {
-			t.Errorf("seed %d: after a success it does not begin anew", seed)
+			t.Errorf("seed %d: Reset does not restart the waits", seed)
 		}
 	}
 	if len(first) < 90 {
--- a/internal/proxy/limits/budget.go
+++ b/internal/proxy/limits/budget.go
@@ -1,54 +1,55 @@
 package limits
 
-// Kind is what memory is used for.
+// Kind is a use of memory.
 type Kind uint8
 
-// The kinds.
+// The kinds of use.
 const (
 	Connections Kind = iota // state of clients' and members' connections
-	Heads                   // bytes that were read, and not yet parsed
-	Answers                 // answers, and not yet written
+	Heads                   // bytes read and not parsed yet
+	Answers                 // bytes of answers not written yet
 	Requests                // state of requests in flight
 	Bodies                  // bodies of writes
 	numKinds
 )
 
-// kindNames are keys of the state that a router reports.
+// kindNames are keys in the state that a router reports, and stay if the constants are renamed.
 var kindNames = [numKinds]string{"connections", "heads", "answers", "requests", "bodies"}
 
 // String returns the kind's key in the state that a router reports.
 func (k Kind) String() string { return kindNames[k] }
 
-// Levels of use, as parts of the total.
+// Levels of use, as shares of the total.
 const (
-	shedAbove         = 0.90 // from here idle connections are closed, and no request is admitted
-	shedRequestsAbove = 0.95 // from here requests in flight are shed too
-	shedDownTo        = 0.80 // and both go on down to here
+	shedAbove         = 0.90 // from here on idle connections are closed and no request is admitted
+	shedRequestsAbove = 0.95 // from here on requests in flight are shed too
+	shedDownTo        = 0.80 // closing and shedding free memory down to this level
 )
 
 const (
-	roomDivisor    = 256      // one answer may use this part of what is free
-	minRoom        = 16 << 10 // bytes that one read is worth
+	roomDivisor    = 256      // one answer may use the free memory divided by this
+	minRoom        = 16 << 10 // bytes; one read of a member's connection
 	maxUnaccounted = 24 << 20 // bytes, see UnaccountedMemory
 )
 
-// Budget is the memory that a process accounts for, in bytes.
+// Budget accounts for the memory that a process uses for its connections and requests, in
+// bytes.
 type Budget struct {
 	Total int64 // 0: no limit
-	Peak  int64 // the most that was ever used
+	Peak  int64 // largest use so far
 
 	used [numKinds]int64
 	sum  int64 // of used
 }
 
-// Add accounts for n more bytes; a negative n gives them back.
+// Add adds n bytes to the use of a kind; a negative n frees bytes.
 func (b *Budget) Add(kind Kind, n int64) {
 	b.used[kind] += n
 	b.sum += n
 	b.Peak = max(b.Peak, b.sum)
 }
 
-// Used is how many bytes are in use.
+// Used returns the bytes in use.
 func (b *Budget) Used() int64 { return b.sum }
 
 // Map returns the bytes in use, by the names of their kinds.
@@ -60,11 +61,11 @@
 	return byName
 }
 
-// Full reports that no more requests can be admitted.
+// Full reports whether too much memory is in use to admit more requests.
 func (b *Budget) Full() bool { return b.Total > 0 && float64(b.sum) >= shedAbove*float64(b.Total) }
 
-// Excess is how many bytes have to be given back, by closing idle connections and by shedding
-// requests.
+// Excess returns how many bytes are to be freed by closing idle connections, and how many of
+// them may be freed by shedding requests if that is not enough.
 func (b *Budget) Excess() (idle, requests int64) {
 	if !b.Full() {
 		return 0, 0
@@ -76,19 +77,20 @@
 	return idle, requests
 }
 
-// Room is how many bytes one answer may have waiting for its client: a fixed part of what is
-// free, at most most and at least what one read is worth. The more answers wait, the less is
-// left for each (the dynamic thresholds of shared-memory switches, Choudhury and Hahne 1998):
-// some hundreds that are not read cannot use up what the next needs, and one alone has all
-// that it may. Thousands use the minimum each, and reach the limit.
-func (b *Budget) Room(most int) int {
+// Room returns how many bytes of one answer may be buffered for its client: a fixed share of the
+// free memory, at most limit and at least one read. These are the dynamic thresholds of
+// shared-memory switches (Choudhury and Hahne, 1998): the more answers are buffered, the less
+// each may use, so that some hundreds of unread answers leave memory for the next, while a
+// single answer may use the whole limit. Thousands of answers, with the minimum each, can still
+// fill the budget.
+func (b *Budget) Room(limit int) int {
 	if b.Total <= 0 {
-		return most
+		return limit
 	}
 	free := shedAbove*float64(b.Total) - float64(b.sum)
-	return min(max(int(free/roomDivisor), minRoom), most)
+	return min(max(int(free/roomDivisor), minRoom), limit)
 }
 
-// UnaccountedMemory is the part of a process's memory, of total bytes, that no Budget accounts
-// for: its program, the runtime, logs and queues. It is at most three quarters of the total.
+// UnaccountedMemory returns how much of a process's total bytes of memory no Budget accounts
+// for: program, runtime, logs and queues. It is at most three quarters of the total.
 func UnaccountedMemory(total int64) int64 { return min(maxUnaccounted, total*3/4) }
--- a/internal/proxy/limits/budget_test.go
+++ b/internal/proxy/limits/budget_test.go
@@ -6,15 +6,16 @@
 	"pgregory.net/rapid"
 )
 
-// TestBudgetRoom: hundreds of answers that wait stay below the limit of the budget together,
-// thousands exceed it by their minimum at most, and one alone has all that it may.
+// TestBudgetRoom checks that hundreds of waiting answers together stay below the limit of the
+// budget, that thousands exceed it at most by the minimum of each, and that a single answer may
+// use its whole limit.
 func TestBudgetRoom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.Int64Range(8<<20, 1<<30).Draw(t, "total")
 		answers := rapid.Int64Range(1, total/(64<<10)).Draw(t, "answers")
 		budget := Budget{Total: total}
 		held := make([]int64, answers)
-		for round := 0; round < 20; round++ { // each uses what it may, again and again
+		for round := 0; round < 20; round++ { // each answer uses all its room, repeatedly
 			for i := range held {
 				if room := int64(budget.Room(256 << 10)); room > held[i] {
 					budget.Add(Answers, room-held[i])
--- a/internal/proxy/limits/cause.go
+++ b/internal/proxy/limits/cause.go
@@ -1,6 +1,6 @@
 package limits
 
-// Cause says why a connection was cut, or a request rejected or shed.
+// Cause is the reason why a connection was closed, or a request rejected or shed.
 type Cause uint8
 
 // The causes.
@@ -11,15 +11,16 @@
 	SlowReader           // a client read its answer too slowly
 	SlowMember           // a member sent its answer too slowly
 	Overload             // as many requests are in flight as the router can serve now
-	RetryLimit           // too many retries, of this client or of all
+	RetryLimit           // too many retries, by this client address or by all clients
 	Memory               // the memory budget is used up
-	PerAddress           // as many connections of one client address as allowed
-	Descriptors          // as many connections as there are descriptors for
-	PoorReputation       // its address has wasted the capacity that it had
+	PerAddress           // too many connections of one client address
+	Descriptors          // no file descriptor is left for another connection
+	PoorReputation       // the client address has wasted the capacity given to it
 	numCauses
 )
 
-// causeNames stand in logs and counters, which pages name: they do not follow the constants.
+// causeNames are used in logs and counters, and documented there: they stay if the constants are
+// renamed.
 var causeNames = [numCauses]string{
 	None:           "none",
 	SlowHead:       "slow-head",
--- a/internal/proxy/limits/clientactivity.go
+++ b/internal/proxy/limits/clientactivity.go
@@ -1,30 +1,29 @@
 package limits
 
-// After these times, in ms, a client's connection is closed.
+// Timeouts after which a client's connection is closed, in ms.
 const (
-	silentTimeout  = 2200 // it has not sent a whole message yet
-	partialTimeout = 2200 // a message has begun, and no more bytes of it come
-	messageTimeout = 8000 // a message has begun, and is still incomplete although bytes come
-	idleTimeout    = 6000 // it has no open request: clients close theirs earlier
-	unreadTimeout  = 2500 // it reads nothing of an answer
-	lingerTimeout  = 1000 // it was shut down, and its client does not close it
+	silentTimeout  = 2200 // from accept until the first message begins
+	partialTimeout = 2200 // without further bytes of an incomplete message
+	messageTimeout = 8000 // from the beginning of a message to its end
+	idleTimeout    = 6000 // without an open request; clients close idle connections earlier
+	unreadTimeout  = 2500 // during which the client reads nothing of an answer
+	lingerTimeout  = 1000 // from shutdown until the client closes its side
 )
 
-// ClientActivity is what is known of a client's connection. Times are on the caller's clock,
+// ClientActivity describes the state of a client's connection. Times are on the caller's clock,
 // in milliseconds.
 type ClientActivity struct {
-	AcceptedAt   float64 // when it was accepted
-	LastUsed     float64 // when it last sent a whole message or was answered
+	AcceptedAt   float64
+	LastUsed     float64 // when the last whole message came or the last answer was written
 	LastPartial  float64 // when the last bytes of an incomplete message came; 0: there is none
 	PartialBegan float64 // when that message began
-	ShutdownAt   float64 // since when nothing more is written to it; 0: it is not shut down
-	StalledSince float64 // since when it has read nothing of what waits for it; 0: nothing waits
-	OpenRequests int     // its open requests
-	Messages     int     // whole messages so far
+	ShutdownAt   float64 // when the write side was shut down; 0: it is open
+	StalledSince float64 // since when the client has read none of the bytes waiting for it; 0: none wait
+	OpenRequests int
+	Messages     int // whole messages so far
 }
 
-// Expired reports whether a connection is to be closed now: it sends nothing or half a
-// message, does not read its answer, or was not used for long.
+// Expired reports whether the connection is to be closed because one of the timeouts is over.
 func (c *ClientActivity) Expired(now float64) bool {
 	switch {
 	case c.ShutdownAt > 0:
@@ -39,20 +38,20 @@
 	return c.LastPartial == 0 && now-c.LastUsed > idleTimeout
 }
 
-// messageOverdue reports whether an incomplete message takes too long.
+// messageOverdue reports whether an incomplete message has taken too long.
 func (c *ClientActivity) messageOverdue(now float64) bool {
 	return c.LastPartial > 0 && (now-c.LastPartial > partialTimeout || now-c.PartialBegan > messageTimeout)
 }
 
-// NotReading reports whether a connection reads nothing of what waits for it.
+// NotReading reports whether the client has read nothing of a waiting answer for too long.
 func (c *ClientActivity) NotReading(now float64) bool {
 	return c.StalledSince > 0 && now-c.StalledSince > unreadTimeout
 }
 
-// ClosesBefore reports whether c is closed before other where a descriptor is needed for
-// another connection: never one with an open request; of the others one that is shut down
-// already, then one that never sent a message, then the one that was unused for longest. A
-// nil other stands for none.
+// ClosesBefore reports whether c is closed rather than other to free a descriptor for a new
+// connection. Connections with open requests are never closed for that; those that are shut
+// down come first, then those that never sent a message, then the longest unused. If other is
+// nil, c is closed unless it has open requests.
 func (c *ClientActivity) ClosesBefore(other *ClientActivity) bool {
 	switch {
 	case c.OpenRequests > 0:
--- a/internal/proxy/limits/clientactivity_test.go
+++ b/internal/proxy/limits/clientactivity_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// TestClientActivityLingering: a message that comes in pieces is waited for, within a bound; a
-// connection that was shut down is read for a while, and is the first to be closed.
+// TestClientActivityLingering checks the timeouts of an incomplete message and of a connection
+// that was shut down, which is also the first to be closed for another.
 func TestClientActivityLingering(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -13,17 +13,17 @@
 		now  float64
 		over bool
 	}{
-		{"bytes came lately", ClientActivity{PartialBegan: 1, LastPartial: 3000}, 5000, false},
-		{"none for long", ClientActivity{PartialBegan: 1, LastPartial: 3000}, 5300, true},
-		{"for too long in all", ClientActivity{PartialBegan: 1, LastPartial: 8900}, 9000, true},
+		{"bytes came recently", ClientActivity{PartialBegan: 1, LastPartial: 3000}, 5000, false},
+		{"no bytes for too long", ClientActivity{PartialBegan: 1, LastPartial: 3000}, 5300, true},
+		{"too long in total", ClientActivity{PartialBegan: 1, LastPartial: 8900}, 9000, true},
 		{"shut", ClientActivity{Messages: 1, ShutdownAt: 100}, 1000, false},
-		{"shut, and the client stays", ClientActivity{Messages: 1, ShutdownAt: 100}, 1101, true},
+		{"shut, and the client does not close", ClientActivity{Messages: 1, ShutdownAt: 100}, 1101, true},
 	} {
 		if got := c.v.Expired(c.now); got != c.over {
-			t.Errorf("%s: %v", c.name, got)
+			t.Errorf("%s: expired is %v", c.name, got)
 		}
 	}
 	if shut, silent := (&ClientActivity{Messages: 3, LastUsed: 900, ShutdownAt: 950}), (&ClientActivity{AcceptedAt: 1}); !shut.ClosesBefore(silent) || silent.ClosesBefore(shut) {
-		t.Error("one that was shut down is not closed first")
+		t.Error("a connection that was shut down is not closed first")
 	}
 }
--- a/internal/proxy/limits/drr.go
+++ b/internal/proxy/limits/drr.go
@@ -2,30 +2,30 @@
 
 const (
 	minClassWeight = 0.01
-	compactAfter   = 64 // served entries that a queue keeps at its head before it is compacted
+	compactAfter   = 64 // served entries at the head of a queue before it is compacted
 )
 
-// DRR is deficit round robin (Shreedhar and Varghese, 1995) over classes, and round robin over
-// the ready connections within each: a class moves bytes in proportion to its weight while it
-// has any to move, so that a small answer waits for one quantum of a large one and not for all
-// of it. Each step costs O(1).
+// DRR is a scheduler by deficit round robin (Shreedhar and Varghese, 1995) over classes, and by
+// round robin over the ready connections of each class. Classes with bytes to move share the
+// throughput in proportion to their weights, and a small answer waits for one quantum of a large
+// one rather than for all of it. Each step takes O(1).
 type DRR[T comparable] struct {
-	quantum  int
+	quantum  int // bytes
 	classes  []drrClass[T]
-	ring     []int // classes with ready connections, the present one first
-	credited bool  // the present class was given its quantum
-	ready    int
+	ring     []int // classes with ready connections, the current one first
+	credited bool  // the current class has received its quantum
+	ready    int   // ready connections of all classes
 }
 
 type drrClass[T comparable] struct {
 	weight  float64
-	deficit float64 // bytes that it may still move in this round
+	deficit float64 // bytes that the class may still move in this round
 	queue   []T     // ready connections, from head on
 	head    int
 	inRing  bool
 }
 
-// pop takes the first ready connection, of which there must be one.
+// pop removes and returns the first ready connection. There must be one.
 func (c *drrClass[T]) pop() T {
 	first := c.queue[c.head]
 	var none T
@@ -39,8 +39,8 @@
 	return first
 }
 
-// NewDRR makes a scheduler of classes with the weights; a class of weight 1 moves quantum
-// bytes a round. Weights below a hundredth count as that.
+// NewDRR returns a scheduler of one class for each weight. A class of weight 1 moves quantum
+// bytes per round. Weights below 0.01 count as 0.01.
 func NewDRR[T comparable](quantum int, weights []float64) *DRR[T] {
 	d := &DRR[T]{quantum: max(quantum, 1)}
 	for _, weight := range weights {
@@ -49,11 +49,11 @@
 	return d
 }
 
-// Len is how many connections are ready.
+// Len returns how many connections are ready.
 func (d *DRR[T]) Len() int { return d.ready }
 
-// Push makes a connection ready. It must not be ready already. A class that is not known
-// counts as the last.
+// Push makes a connection ready. It must not be ready already. An unknown class stands for the
+// last one.
 func (d *DRR[T]) Push(class int, connection T) {
 	if class < 0 || class >= len(d.classes) {
 		class = len(d.classes) - 1
@@ -68,9 +68,9 @@
 	}
 }
 
-// Next returns the connection whose turn it is, which is no longer ready, and how many bytes
-// it may move now. Used must be called for it before the next Next. ok is false where none is
-// ready.
+// Next removes and returns the ready connection whose turn it is, its class, and how many bytes
+// it may move now. The caller must call Used for it before it calls Next again. ok is false if
+// no connection is ready.
 func (d *DRR[T]) Next() (connection T, class, room int, ok bool) {
 	for len(d.ring) > 0 {
 		class = d.ring[0]
@@ -79,7 +79,7 @@
 			d.credited = true
 			c.deficit += c.weight * float64(d.quantum)
 		}
-		if c.head >= len(c.queue) { // all are served: an idle class saves nothing up
+		if c.head >= len(c.queue) { // an idle class keeps no deficit
 			c.inRing = false
 			c.deficit = 0
 			c.queue, c.head = c.queue[:0], 0
@@ -96,8 +96,8 @@
 	return connection, 0, 0, false
 }
 
-// Used records how many bytes the connection that Next returned has moved, and whether it is
-// ready for more.
+// Used records that the connection which Next returned has moved n bytes, and whether it is
+// ready to move more.
 func (d *DRR[T]) Used(class int, connection T, n int, more bool) {
 	c := &d.classes[class]
 	c.deficit -= float64(n)
--- a/internal/proxy/limits/drr_test.go
+++ b/internal/proxy/limits/drr_test.go
@@ -7,8 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestDRR: bytes are shared by weight among classes that have any to move, and evenly within a
-// class; none is skipped, and a class that comes back has saved nothing up.
+// TestDRR checks that classes share the bytes by weight, and the connections of a class evenly.
 func TestDRR(t *testing.T) {
 	const quantum = 1000
 	drr := NewDRR[int](quantum, []float64{4, 1})
@@ -33,8 +32,8 @@
 	}
 }
 
-// TestDRRServesAll: whatever comes and goes, each ready connection is served in its turn, at
-// most a round of the others' quanta later, and none is served that is not ready.
+// TestDRRServesAll checks, for random arrivals, that each ready connection is served within a
+// bounded number of turns, and that no other connection is served.
 func TestDRRServesAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.Float64Range(0.1, 8), 1, 4).Draw(t, "weights")
@@ -67,7 +66,7 @@
 			for other := range ready {
 				waits[other]++
 				if float64(waits[other]) > 20*sum*float64(len(class)+1) {
-					t.Fatalf("%d waits for ever", other)
+					t.Fatalf("connection %d was not served in its turn", other)
 				}
 			}
 		}
@@ -77,8 +76,8 @@
 	})
 }
 
-// TestDRRSmallBehindLarge: a small answer behind any number of large ones of another class
-// waits for a quantum of each class, and not for theirs.
+// TestDRRSmallBehindLarge checks that a small answer waits for at most a quantum of each class,
+// however many large answers of another class are ready.
 func TestDRRSmallBehindLarge(t *testing.T) {
 	drr := NewDRR[int](64<<10, []float64{1, 1})
 	for i := range 1000 {
@@ -95,7 +94,7 @@
 	for {
 		connection, class, room, ok := drr.Next()
 		if !ok {
-			t.Fatal("nobody is ready")
+			t.Fatal("no connection is ready")
 		}
 		if connection == -1 {
 			break
--- a/internal/proxy/limits/flow.go
+++ b/internal/proxy/limits/flow.go
@@ -2,28 +2,28 @@
 
 import "math"
 
-// MinRate is the rate at which a peer has to move bytes while the router waits for it.
+// MinRate is the minimum rate at which a peer must move bytes while the router waits for it.
 type MinRate struct {
-	Rate  float64 // bytes a ms; 0: none is asked for
-	Grace float64 // ms of delay that a peer may run up beyond what its bytes pay for
-	Step  float64 // most ms charged between two checks: a longer gap is the router's own; 0: no limit
+	Rate  float64 // bytes per ms; 0: no minimum
+	Grace float64 // ms by which a peer may fall behind the minimum rate
+	Step  float64 // ms charged at most between two checks, as the router itself causes longer gaps; 0: no limit
 }
 
-// Flow is one direction of one connection, measured as a token bucket of time: each ms in which
-// the router waits for the peer costs one, each byte pays for the time that it may take at the
-// minimum rate, and Grace is the most that can be saved. A peer that moves the minimum rate
-// over each span of Grace is never found slow, however it spreads its bytes; one below it is,
-// at the latest when Grace and what it paid for are used up. While the router waits for
-// somebody else nothing is charged. The zero Flow is new.
+// Flow measures one direction of a connection by a token bucket of time. Each ms in which the
+// router waits for the peer takes one ms from the bucket, each byte moved returns the time that
+// it takes at the minimum rate, and the bucket holds at most Grace. A peer that keeps the
+// minimum rate over every span of Grace is never slow, however it spreads its bytes; a slower
+// one is slow at the latest when the bucket is empty. Nothing is charged while the router waits
+// for something else. The zero Flow has a full bucket.
 //
 // Times are in milliseconds on the caller's clock.
 type Flow struct {
-	owed       float64 // ms of the grace that are used up
+	owed       float64 // ms taken from the bucket and not returned
 	lastCharge float64
 	waiting    bool
 }
 
-// StartWaiting records that from now on the router waits for the peer.
+// StartWaiting records that the router waits for the peer from now on.
 func (f *Flow) StartWaiting(now float64) {
 	if !f.waiting {
 		f.waiting = true
@@ -31,8 +31,8 @@
 	}
 }
 
-// StopWaiting records that from now on the router does not wait for the peer, but for the
-// other side or for itself.
+// StopWaiting records that the router does not wait for the peer from now on, but for the other
+// side or for its own work.
 func (f *Flow) StopWaiting(now float64, limit *MinRate) {
 	f.charge(now, limit)
 	f.waiting = false
@@ -41,7 +41,7 @@
 // Waiting reports whether the router waits for the peer.
 func (f *Flow) Waiting() bool { return f.waiting }
 
-// Moved records that the peer read, or sent, n bytes.
+// Moved records that the peer has read or sent n bytes.
 func (f *Flow) Moved(now float64, n int, limit *MinRate) {
 	f.charge(now, limit)
 	if limit.Rate > 0 {
@@ -49,14 +49,15 @@
 	}
 }
 
-// Slow reports whether the peer has run up more than its grace. It has to be called at least
-// every Step while the router waits for the peer.
+// Slow reports whether the peer is behind the minimum rate by more than Grace. It must be called
+// at least every Step while the router waits for the peer.
 func (f *Flow) Slow(now float64, limit *MinRate) bool {
 	f.charge(now, limit)
 	return limit.Rate > 0 && f.owed > limit.Grace
 }
 
-// Due is in how many ms the peer will be slow if nothing moves.
+// Due returns in how many ms the peer will be slow if it moves nothing, or +Inf if the router
+// does not wait for it.
 func (f *Flow) Due(limit *MinRate) float64 {
 	if !f.waiting || limit.Rate <= 0 {
 		return math.Inf(1)
@@ -64,7 +65,7 @@
 	return max(limit.Grace-f.owed, 0)
 }
 
-// charge charges the peer for the time since the last charge, if the router waited for it.
+// charge takes the time since the last charge from the bucket if the router waited for the peer.
 func (f *Flow) charge(now float64, limit *MinRate) {
 	if f.waiting && now > f.lastCharge {
 		spent := now - f.lastCharge
--- a/internal/proxy/limits/flow_test.go
+++ b/internal/proxy/limits/flow_test.go
@@ -9,22 +9,21 @@
 
 var testRate = MinRate{Rate: 8, Grace: 4000, Step: 500}
 
-// TestFlowAtMinRateNeverSlow: a peer that moves the minimum rate over each span is never cut,
-// whatever the other side and the router do meanwhile, and however it spreads its bytes within
-// the span.
+// TestFlowAtMinRateNeverSlow checks that a peer which keeps the minimum rate is never found slow,
+// however it spreads its bytes, and whatever delays the other side and the router cause.
 func TestFlowAtMinRateNeverSlow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var flow Flow
-		now, debt := 0.0, 0.0 // ms of its own delay since its bytes last paid for it
+		now, debt := 0.0, 0.0 // debt: ms for which the peer has not yet moved bytes
 		flow.StartWaiting(now)
 		waited := true
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
-			case 0: // the other side, or the router, holds things up for as long as it likes
+			case 0: // the other side or the router causes a delay of any length
 				flow.StopWaiting(now, &testRate)
 				now += rapid.Float64Range(0, 60000).Draw(t, "other")
 				waited = false
-			case 1: // the router does not check for a while: charged is a step at most
+			case 1: // the router does not check for a while: it charges at most Step
 				if waited {
 					debt += testRate.Step
 				}
@@ -38,20 +37,20 @@
 				now += d
 				debt += d
 			}
-			if debt > testRate.Grace-testRate.Step-1 { // it keeps the rate: it moves what it owes for
+			if debt > testRate.Grace-testRate.Step-1 { // the peer moves the bytes for all of its debt
 				n := int(math.Ceil(debt * testRate.Rate))
 				flow.Moved(now, n, &testRate)
 				debt = 0
 			}
 			if flow.Slow(now, &testRate) {
-				t.Fatalf("cut at %v with %v ms of its own", now, debt)
+				t.Fatalf("slow at %v with a debt of %v ms", now, debt)
 			}
 		}
 	})
 }
 
-// TestFlowBelowMinRateIsSlow: a peer that keeps below the rate is found slow, and not before
-// its grace is used up; one byte a second is no way out.
+// TestFlowBelowMinRateIsSlow checks that a peer below the minimum rate is found slow, even if it
+// moves a few bytes at a time, but not before its grace is over.
 func TestFlowBelowMinRateIsSlow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0, 0.8).Draw(t, "share") * testRate.Rate
@@ -73,11 +72,12 @@
 				return
 			}
 		}
-		t.Fatalf("%v bytes a ms every %v ms was never found slow", rate, gap)
+		t.Fatalf("a peer of %v bytes per ms, every %v ms, was never found slow", rate, gap)
 	})
 }
 
-// TestFlowBurstsAtMinRate: reading in bursts at just the minimum rate is allowed.
+// TestFlowBurstsAtMinRate checks that a peer may move bytes in bursts at just the minimum rate,
+// and that a flow is not slow while the router does not wait or sets no rate.
 func TestFlowBurstsAtMinRate(t *testing.T) {
 	var flow Flow
 	flow.StartWaiting(0)
@@ -93,7 +93,7 @@
 		t.Error(d)
 	}
 	if flow = (Flow{}); flow.Slow(1e9, &testRate) || !math.IsInf(flow.Due(&testRate), 1) || flow.Slow(1e9, &MinRate{}) {
-		t.Error("a flow that nobody waits for is slow")
+		t.Error("a flow for which the router does not wait is slow")
 	}
 }
 
--- a/internal/proxy/limits/jitter.go
+++ b/internal/proxy/limits/jitter.go
@@ -2,21 +2,21 @@
 
 import "math/rand/v2"
 
-// Jitter spreads the times at which rejected clients are asked to come again, so that those
-// who were rejected together do not return together.
+// Jitter adds random time to the Retry-After of rejected clients, so that clients which were
+// rejected at the same time do not retry at the same time.
 type Jitter struct {
-	Part float64 // most that is added, as a part of the wait
+	Part float64 // longest added time, as a share of the wait
 
 	random *rand.Rand
 }
 
-// NewJitter makes a Jitter that draws from a seed.
+// NewJitter returns a Jitter whose random numbers come from a seed.
 func NewJitter(seed uint64, part float64) *Jitter {
 	return &Jitter{Part: part, random: rand.New(rand.NewPCG(seed, 0x1177e4))}
 }
 
-// After turns a wait in ms into a Retry-After in whole seconds: no less than the wait, and
-// more by up to Part of it, or by up to one second. A wait of 0 stays 0.
+// After converts a wait in ms into a Retry-After in whole seconds. It adds up to Part of the
+// wait, or up to one second if that is longer, and rounds up. A wait of 0 stays 0.
 func (j *Jitter) After(ms float64) int64 {
 	if ms <= 0 {
 		return 0
--- a/internal/proxy/limits/jitter_test.go
+++ b/internal/proxy/limits/jitter_test.go
@@ -4,7 +4,8 @@
 	"testing"
 )
 
-// TestJitter: waits are spread between the wait and half as much more, the same for a seed.
+// TestJitter checks that a wait of 4 s with half of it as jitter becomes 4 to 6 s, and that the
+// values depend only on the seed.
 func TestJitter(t *testing.T) {
 	jitter, same := NewJitter(7, 0.5), NewJitter(7, 0.5)
 	seen := map[int64]int{}
--- a/internal/proxy/limits/massslowness.go
+++ b/internal/proxy/limits/massslowness.go
@@ -1,21 +1,22 @@
 package limits
 
-// MassSlowness keeps members from being cut for what is the router's own fault, as the panic
-// threshold of outlier detection does: if most of the members at work are found slow within a
-// short time, the cause is nearer to the router than to them, and none is cut.
+// MassSlowness keeps the router from disconnecting members for a fault of its own, as the panic
+// threshold of outlier detection does: if most of the active members are slow within a short
+// time, the cause is probably the router or its network, and no member is disconnected. A member
+// is active if it was observed, good or slow, within the window.
 //
 // Times are in milliseconds on the caller's clock.
 type MassSlowness struct {
-	Window     float64 // ms for which a finding counts
-	Share      float64 // part of the members at work above which slow ones are not cut
-	MinWorking int     // members at work below which a slow one is always cut
-	Spared     uint64  // cuts that were not made
+	Window     float64 // ms for which an observation counts
+	Share      float64 // share of slow members among the active above which none is disconnected
+	MinWorking int     // active members below which a slow one is always disconnected
+	Spared     uint64  // slow members that were not disconnected
 
-	lastGood map[string]float64 // by member
+	lastGood map[string]float64 // time of the last observation, by member
 	lastSlow map[string]float64
 }
 
-// ObserveGood records that a member moved bytes at the minimum rate or more.
+// ObserveGood records that a member moved bytes at least at the minimum rate.
 func (s *MassSlowness) ObserveGood(member string, now float64) {
 	if s.lastGood == nil {
 		s.lastGood = map[string]float64{}
@@ -23,8 +24,8 @@
 	s.lastGood[member] = now
 }
 
-// ObserveSlow records that a member was found slow. All that are found slow at a time have to
-// be recorded before MayCut is asked about one.
+// ObserveSlow records that a member is slow. All members that are slow at the same time must be
+// recorded before MayCut is called for the first of them.
 func (s *MassSlowness) ObserveSlow(member string, now float64) {
 	if s.lastSlow == nil {
 		s.lastSlow = map[string]float64{}
@@ -32,7 +33,7 @@
 	s.lastSlow[member] = now
 }
 
-// MayCut reports whether a member that was found slow may be cut.
+// MayCut records that a member is slow and reports whether it may be disconnected.
 func (s *MassSlowness) MayCut(member string, now float64) bool {
 	s.ObserveSlow(member, now)
 	slow, working := s.count(now)
@@ -43,7 +44,7 @@
 	return true
 }
 
-// count forgets what is older than Span, and counts the members found slow and those at work.
+// count deletes observations older than Window and counts the slow and the active members.
 func (s *MassSlowness) count(now float64) (slow, working int) {
 	forgetOlder(s.lastSlow, now, s.Window)
 	forgetOlder(s.lastGood, now, s.Window)
@@ -57,11 +58,11 @@
 	return slow, working
 }
 
-// forgetOlder deletes the findings that are older than span.
-func forgetOlder(found map[string]float64, now, span float64) {
-	for member, at := range found {
-		if now-at > span {
-			delete(found, member)
+// forgetOlder deletes the observations that are older than window.
+func forgetOlder(observed map[string]float64, now, window float64) {
+	for member, at := range observed {
+		if now-at > window {
+			delete(observed, member)
 		}
 	}
 }
--- a/internal/proxy/limits/massslowness_test.go
+++ b/internal/proxy/limits/massslowness_test.go
@@ -4,33 +4,33 @@
 	"testing"
 )
 
-// TestMassSlowness: one slow member is cut; where most are slow at once none is, and once the
-// others are good again the one is.
+// TestMassSlowness checks that a slow member may be disconnected unless most members are slow at
+// the same time, and may be again once the others are good.
 func TestMassSlowness(t *testing.T) {
 	slowness := MassSlowness{Window: 5000, Share: 0.5, MinWorking: 3}
 	for _, member := range []string{"a", "b", "c", "d"} {
 		slowness.ObserveGood(member, 1000)
 	}
 	if !slowness.MayCut("a", 1200) || !slowness.MayCut("b", 1300) {
-		t.Error("two of four were not cut")
+		t.Error("two slow members of four were not disconnected")
 	}
 	if slowness.MayCut("c", 1400) || slowness.MayCut("d", 1500) || slowness.Spared != 2 {
-		t.Errorf("three of four were cut (%d spared)", slowness.Spared)
+		t.Errorf("a third slow member of four was disconnected (%d spared)", slowness.Spared)
 	}
 	all := MassSlowness{Window: 5000, Share: 0.5, MinWorking: 2}
-	for _, member := range []string{"a", "b", "c"} { // all are recorded first: none of them is cut
+	for _, member := range []string{"a", "b", "c"} { // all are recorded before MayCut is called
 		all.ObserveSlow(member, 1000)
 	}
 	if all.MayCut("a", 1000) || all.MayCut("b", 1000) {
-		t.Error("all three are slow, and one was cut")
+		t.Error("all three members are slow, and one was disconnected")
 	}
 	slowness.ObserveGood("a", 9000)
 	slowness.ObserveGood("b", 9000)
 	if !slowness.MayCut("c", 9100) {
-		t.Error("one of three, once the others are good, was not cut")
+		t.Error("one slow member of three was not disconnected once the others were good")
 	}
 	single := MassSlowness{Window: 5000, Share: 0.5, MinWorking: 3}
 	if !single.MayCut("a", 1) || !single.MayCut("a", 2) {
-		t.Error("the only member at work was not cut")
+		t.Error("the only active member was not disconnected")
 	}
 }
--- a/internal/proxy/limits/quota_test.go
+++ b/internal/proxy/limits/quota_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// TestConnectionQuota: clients and members both have connections, however few there are; of
-// clients' connections those are closed that say nothing, say half or read nothing.
+// TestConnectionQuota checks that clients and members both get descriptors, however few there
+// are, which client connections expire, and in which order they are closed for others.
 func TestConnectionQuota(t *testing.T) {
 	for _, descriptors := range []int{32, 256, 1024} {
 		quota := NewConnectionQuota(descriptors)
@@ -13,7 +13,7 @@
 			t.Errorf("%d descriptors: %+v", descriptors, quota)
 		}
 		if each := quota.PerMember(4); each < 1 || each*4 > max(quota.Members, 8) {
-			t.Errorf("%d descriptors: %d to a member of 4", descriptors, each)
+			t.Errorf("%d descriptors: %d connections to each of 4 members", descriptors, each)
 		}
 	}
 	now := 100000.0
@@ -22,13 +22,13 @@
 		v       ClientActivity
 		expired bool
 	}{
-		{"just came", ClientActivity{AcceptedAt: now - 1000}, false},
-		{"says nothing", ClientActivity{AcceptedAt: now - 2500}, true},
-		{"says half", ClientActivity{AcceptedAt: now - 9000, LastUsed: now - 3000, LastPartial: now - 2500, Messages: 3, OpenRequests: 1}, true},
+		{"just accepted", ClientActivity{AcceptedAt: now - 1000}, false},
+		{"sends nothing", ClientActivity{AcceptedAt: now - 2500}, true},
+		{"sends an incomplete message", ClientActivity{AcceptedAt: now - 9000, LastUsed: now - 3000, LastPartial: now - 2500, Messages: 3, OpenRequests: 1}, true},
 		{"waits for an answer", ClientActivity{AcceptedAt: now - 9000, LastUsed: now - 9000, Messages: 3, OpenRequests: 1}, false},
-		{"takes no answer", ClientActivity{AcceptedAt: now - 9000, LastUsed: now, StalledSince: now - 3000, Messages: 3, OpenRequests: 1}, true},
+		{"does not read the answer", ClientActivity{AcceptedAt: now - 9000, LastUsed: now, StalledSince: now - 3000, Messages: 3, OpenRequests: 1}, true},
 		{"between two requests", ClientActivity{AcceptedAt: now - 9000, LastUsed: now - 3900, Messages: 3}, false},
-		{"asked once and stays", ClientActivity{AcceptedAt: now - 9000, LastUsed: now - 8000, Messages: 1}, true},
+		{"idle after one request", ClientActivity{AcceptedAt: now - 9000, LastUsed: now - 8000, Messages: 1}, true},
 	} {
 		if c.v.Expired(now) != c.expired {
 			t.Errorf("%s: expired is %v", c.name, !c.expired)
@@ -37,6 +37,6 @@
 	busy, silent := &ClientActivity{OpenRequests: 1, Messages: 9}, &ClientActivity{AcceptedAt: 500}
 	early, late := &ClientActivity{LastUsed: 100, Messages: 2}, &ClientActivity{LastUsed: 200, Messages: 2}
 	if busy.ClosesBefore(nil) || !silent.ClosesBefore(early) || early.ClosesBefore(silent) || !early.ClosesBefore(late) || late.ClosesBefore(early) || !late.ClosesBefore(busy) {
-		t.Error("the wrong one is closed")
+		t.Error("ClosesBefore gives a wrong order")
 	}
 }
--- a/internal/proxy/limits/readpause_test.go
+++ b/internal/proxy/limits/readpause_test.go
@@ -4,16 +4,16 @@
 	"testing"
 )
 
-// TestReadPause: rejections take about their share of the time, however many clients retry at
-// once; where few do there is no pause, and a pause ends with its reason.
+// TestReadPause checks that rejections take about their share of the time, however many clients
+// retry at once, that few rejections cause no pause, and that a pause ends when rejections end.
 func TestReadPause(t *testing.T) {
-	const cost, connections = 0.01, 1500 // ms a rejection
+	const cost, connections = 0.01, 1500 // cost: ms per rejection
 	for _, rate := range []float64{0.5, 10, 100} {
 		pause := NewReadPause(ReadPauseSettings{Share: 0.05, Interval: 100, MaxPause: 200})
 		var readAgain []float64 // when each connection is read again, in order
 		spent, now := 0.0, 0.0
 		for ; now < 20000; now++ {
-			for range int(rate) + 1 { // that ask, of those that are read
+			for range int(rate) + 1 { // requests on connections that are read
 				for len(readAgain) > 0 && readAgain[0] <= now {
 					readAgain = readAgain[1:]
 				}
@@ -32,14 +32,14 @@
 		}
 		share := spent / 15000
 		if share > 0.12 || rate < 1 && pause.Duration() > 0 || rate > 50 && (pause.Duration() == 0 || share < 0.02) {
-			t.Errorf("%v a ms: %.3f of the time, paused for %v ms", rate, share, pause.Duration())
+			t.Errorf("%v requests per ms: rejections take %.3f of the time, pause of %v ms", rate, share, pause.Duration())
 		}
 		for range 12 {
 			now += 100
 			pause.Tick(now)
 		}
 		if pause.Duration() > 0 {
-			t.Errorf("%v a ms: still paused for %v ms, for nothing", rate, pause.Duration())
+			t.Errorf("%v requests per ms: still a pause of %v ms without rejections", rate, pause.Duration())
 		}
 	}
 }
--- a/internal/proxy/limits/reputation.go
+++ b/internal/proxy/limits/reputation.go
@@ -7,61 +7,61 @@
 	"slices"
 )
 
-// ReputationSettings say when a client address is of poor reputation.
+// ReputationSettings define when a client address has a poor reputation.
 type ReputationSettings struct {
-	HalfLife    float64 // half-life of what is recorded, in ms
-	MinBad      float64 // bad outcomes, after their decay, below which an address is never poor
-	BadWeight   float64 // good outcomes that outweigh a bad one
+	HalfLife    float64 // ms in which counts of outcomes decay to half
+	MinBad      float64 // decayed count of bad outcomes below which an address is never poor
+	BadWeight   float64 // good outcomes that make up for one bad outcome
 	MaxInFlight int     // requests that all poor addresses together may have in flight
-	Addresses   int     // that are remembered, in each of two generations
+	Addresses   int     // kept in each of two generations
 }
 
-// DefaultReputation returns the settings that routers use, with so many requests in flight for
-// all poor addresses: one bad outcome in five makes an address poor, from the third on.
-func DefaultReputation(most int) ReputationSettings {
-	return ReputationSettings{HalfLife: 60000, MinBad: 2.5, BadWeight: 4, MaxInFlight: most, Addresses: 16384}
+// DefaultReputation returns the settings that routers use: an address is poor from the third bad
+// outcome on if at least one outcome in five is bad.
+func DefaultReputation(maxInFlight int) ReputationSettings {
+	return ReputationSettings{HalfLife: 60000, MinBad: 2.5, BadWeight: 4, MaxInFlight: maxInFlight, Addresses: 16384}
 }
 
-// forgottenBelow is how many bad outcomes, after their decay, are not remembered any more.
+// forgottenBelow is the decayed count of bad outcomes below which an address is forgotten.
 const forgottenBelow = 0.01
 
-// Reputation is what client addresses have done with the capacity that they were given. A bad
-// outcome is an answer that was not read, or a request that never became complete: others
-// could have used its capacity. An address is poor while its bad outcomes outweigh its good
-// ones, and all poor ones together share little capacity: the first wave of clients that ask
-// and do not read may cost the others something, and the second does not. A client that only
-// reads slowly, behind a thin link, has good outcomes and is never poor.
+// Reputation records how client addresses have used the capacity given to them. A bad outcome is
+// an answer that was not read or a request that never became complete: its capacity was lost to
+// others. An address is poor while its bad outcomes outweigh the good ones. All poor addresses
+// share a small capacity, so that clients which send requests and do not read the answers can
+// harm others once, but not again. A client that reads slowly, over a slow link, has good
+// outcomes and is never poor.
 //
 // Times are in milliseconds on the caller's clock.
 type Reputation struct {
 	settings ReputationSettings
 	recent   map[string]*outcomes // by address
-	older    map[string]*outcomes // the generation before, which the next one replaces
+	older    map[string]*outcomes // the previous generation, dropped when recent is full
 	reserved int                  // requests of poor addresses in flight
 }
 
-// outcomes are counts of requests that have decayed until a time.
+// outcomes counts the outcomes of an address, decayed until the time at.
 type outcomes struct{ good, bad, at float64 }
 
-// NewReputation makes a Reputation in which no address is poor.
+// NewReputation returns a Reputation in which no address is poor.
 func NewReputation(settings ReputationSettings) *Reputation {
 	return &Reputation{settings: settings, recent: map[string]*outcomes{}}
 }
 
-// AddressRecord is what is known of an address, for the router that replaces this one. Its
-// field names are keys of what a hot restart hands over.
+// AddressRecord holds the outcomes of an address, for the successor of this router in a hot
+// restart. It is encoded as JSON under its field names.
 type AddressRecord struct {
 	Address string
-	Good    float64 // outcomes, after their decay
+	Good    float64 // decayed count
 	Bad     float64
 }
 
-// valid reports whether a record can have come from Records.
+// valid reports whether the counts are possible ones: finite, and with a bad outcome.
 func (r AddressRecord) valid() bool {
 	return r.Bad > 0 && r.Good >= 0 && !math.IsInf(r.Bad+r.Good, 0)
 }
 
-// Records returns what is known of all addresses, the worst first.
+// Records returns the records of all addresses, those with the most bad outcomes first.
 func (r *Reputation) Records(now float64) (records []AddressRecord) {
 	for _, generation := range []map[string]*outcomes{r.older, r.recent} {
 		for _, address := range slices.Sorted(maps.Keys(generation)) {
@@ -74,7 +74,8 @@
 	return records
 }
 
-// Restore takes over what the router before this one knew. Invalid records are ignored.
+// Restore adds the records of a predecessor, up to the number of addresses that are kept. It
+// ignores invalid ones.
 func (r *Reputation) Restore(records []AddressRecord, now float64) {
 	for _, record := range records {
 		if record.valid() && len(r.recent) < r.settings.Addresses {
@@ -83,10 +84,10 @@
 	}
 }
 
-// Adopt changes the settings. What is known of addresses stays.
+// Adopt replaces the settings and keeps the outcomes.
 func (r *Reputation) Adopt(settings ReputationSettings) { r.settings = settings }
 
-// AddGood records a good outcome of an address. Addresses without a bad one are not remembered.
+// AddGood records a good outcome of an address. Addresses without bad outcomes are not kept.
 func (r *Reputation) AddGood(address string, now float64) {
 	if known := r.decayed(address, now); known != nil {
 		known.good++
@@ -106,30 +107,30 @@
 	known.bad++
 }
 
-// Poor reports whether the address is of poor reputation.
+// Poor reports whether the address has a poor reputation.
 func (r *Reputation) Poor(address string, now float64) bool {
 	known := r.decayed(address, now)
 	return known != nil && known.bad >= r.settings.MinBad && known.bad*r.settings.BadWeight > known.good
 }
 
-// Any reports whether anything bad is known of any address.
+// Any reports whether any address has a bad outcome.
 func (r *Reputation) Any() bool { return len(r.recent)+len(r.older) > 0 }
 
-// HasCapacity reports whether poor addresses may have one more request in flight.
+// HasCapacity reports whether one more request of a poor address may be in flight.
 func (r *Reputation) HasCapacity() bool { return r.reserved < r.settings.MaxInFlight }
 
-// Excess is how many more requests poor addresses have in flight than they may; it is negative
-// while they have fewer.
+// Excess returns by how many the requests of poor addresses in flight exceed MaxInFlight; it is
+// negative while there are fewer.
 func (r *Reputation) Excess() int { return r.reserved - r.settings.MaxInFlight }
 
-// Reserve records that a request of a poor address is in flight, or that the address of one
-// that is has become poor.
+// Reserve records one more request of a poor address in flight: a new one, or one whose address
+// has become poor.
 func (r *Reputation) Reserve() { r.reserved++ }
 
-// Release records that a request for which Reserve was called is over.
+// Release records the end of a request for which Reserve was called.
 func (r *Reputation) Release() { r.reserved-- }
 
-// decayed returns what is known of the address, decayed until now, or nil.
+// decayed returns the outcomes of the address, decayed until now, or nil if there are none.
 func (r *Reputation) decayed(address string, now float64) *outcomes {
 	known := r.recent[address]
 	if known == nil {
@@ -137,7 +138,7 @@
 		if known == nil {
 			return nil
 		}
-		delete(r.older, address) // met again: it is not forgotten with its generation
+		delete(r.older, address) // seen again: it survives its generation
 		r.recent[address] = known
 	}
 	if elapsed := now - known.at; elapsed > 0 {
--- a/internal/proxy/limits/reputation_test.go
+++ b/internal/proxy/limits/reputation_test.go
@@ -8,10 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestReputation: an address whose outcomes are good is never poor, however slow and uneven
-// they are; one that wastes more than a tenth of its capacity is, and is forgiven in time; and
-// no more than so many addresses are remembered. A successor that restores the records judges
-// as the predecessor did.
+// TestReputation checks that an address with good outcomes is never poor, that one with more
+// than a tenth of bad outcomes is, until these have decayed, that the number of addresses is
+// bounded, and that a successor which restores the records classifies addresses alike.
 func TestReputation(t *testing.T) {
 	settings := ReputationSettings{HalfLife: 60000, MinBad: 1.5, BadWeight: 10, MaxInFlight: 4, Addresses: 64}
 	rapid.Check(t, func(t *rapid.T) {
@@ -26,32 +25,32 @@
 			} else {
 				reputation.AddGood("wasteful", now)
 			}
-			if i%40 == 0 { // one in forty, as where a line breaks now and then
+			if i%40 == 0 { // one in forty, as with occasional network failures
 				reputation.AddBad("mostly good", now)
 			} else {
 				reputation.AddGood("mostly good", now)
 			}
 			reputation.AddBad(fmt.Sprint("passing ", i), now)
 			if reputation.Poor("good", now) || reputation.Poor("unknown", now) || i > 20 && reputation.Poor("mostly good", now) {
-				t.Fatalf("a good one is poor at %v", now)
+				t.Fatalf("a good address is poor at %v", now)
 			}
 			if n := len(reputation.recent) + len(reputation.older); n > 2*64 {
-				t.Fatalf("%d are remembered", n)
+				t.Fatalf("%d addresses are kept, want at most 128", n)
 			}
 		}
 		if reputation.AddBad("wasteful", now); now < 60000 && !reputation.Poor("wasteful", now) {
-			t.Fatalf("one in %d of its requests was wasted, and it is not poor", wasted)
+			t.Fatalf("an address with one bad outcome in %d is not poor", wasted)
 		}
 		if reputation.Poor("wasteful", now+10*60000) {
-			t.Fatal("it is not forgiven in ten half-lives")
+			t.Fatal("an address is still poor after ten half-lives")
 		}
 	})
 	checkRestored(t, settings)
 	checkReserved(t, settings)
 }
 
-// checkRestored restores a reputation's records, and some that are invalid, and checks that
-// both judge all addresses alike.
+// checkRestored restores a Reputation's records, and some invalid ones, and checks that both
+// classify all addresses alike.
 func checkRestored(t *testing.T, settings ReputationSettings) {
 	t.Helper()
 	reputation := NewReputation(settings)
@@ -65,11 +64,11 @@
 	next.Restore(append(reputation.Records(200), AddressRecord{"nan", math.NaN(), 1}, AddressRecord{"inf", 0, math.Inf(1)}, AddressRecord{"below", -1, 1}), 7000)
 	for i := range 30 {
 		if address := fmt.Sprint(i); reputation.Poor(address, 200) != next.Poor(address, 7000) || reputation.Poor(address, 200) != (i%5 >= 2) {
-			t.Errorf("%s: %v before, %v after", address, reputation.Poor(address, 200), next.Poor(address, 7000))
+			t.Errorf("address %s: poor is %v before, %v after", address, reputation.Poor(address, 200), next.Poor(address, 7000))
 		}
 	}
 	if len(next.Records(7000)) != len(reputation.Records(200)) {
-		t.Errorf("%d known, of %d", len(next.Records(7000)), len(reputation.Records(200)))
+		t.Errorf("%d records after the restore, want %d", len(next.Records(7000)), len(reputation.Records(200)))
 	}
 }
 
--- a/internal/proxy/limits/retrybudget.go
+++ b/internal/proxy/limits/retrybudget.go
@@ -1,30 +1,30 @@
 package limits
 
-// RetryBudgetSettings bound the retries that clients make. A budget gains its share of a retry
-// with each first attempt, up to its burst, and each retry costs one.
+// RetryBudgetSettings bound the retries of clients. Each first attempt adds the share to a
+// budget, up to the burst, and each retry takes 1 from it.
 type RetryBudgetSettings struct {
-	Share        float64 // of all clients' budget
+	Share        float64 // of the budget of all clients
 	Burst        float64
 	AddressShare float64 // of the budget of one client address
 	AddressBurst float64
-	Addresses    int // that are remembered, in each of two generations
+	Addresses    int // kept in each of two generations
 }
 
-// RetryBudget keeps clients' retries from amplifying an overload. All clients' budget counts
-// only while the router is overloaded; that of one address counts always.
+// RetryBudget keeps the retries of clients from amplifying an overload. The budget of one address
+// always applies; that of all clients applies only while the router is overloaded.
 type RetryBudget struct {
 	settings RetryBudgetSettings
 	all      float64             // retries left to all clients
 	recent   map[string]*float64 // retries left, by address
-	older    map[string]*float64 // the generation before, which the next one replaces
+	older    map[string]*float64 // the previous generation, dropped when recent is full
 }
 
-// NewRetryBudget makes full budgets.
+// NewRetryBudget returns a RetryBudget whose budgets are full.
 func NewRetryBudget(settings RetryBudgetSettings) *RetryBudget {
 	return &RetryBudget{settings: settings, all: settings.Burst, recent: map[string]*float64{}}
 }
 
-// Admit reports whether a request is admitted, and charges the budgets.
+// Admit reports whether a request is admitted, and updates the budgets.
 func (r *RetryBudget) Admit(address string, retry, overloaded bool) bool {
 	left := r.ofAddress(address)
 	if !retry {
@@ -40,7 +40,7 @@
 	return true
 }
 
-// ofAddress returns the budget of one address, a full one if it is not remembered.
+// ofAddress returns the budget of an address, a full one if the address is not kept.
 func (r *RetryBudget) ofAddress(address string) *float64 {
 	if left := r.recent[address]; left != nil {
 		return left
--- a/internal/proxy/limits/shedding.go
+++ b/internal/proxy/limits/shedding.go
@@ -5,26 +5,26 @@
 	"slices"
 )
 
-// After these times, in ms, something may be given up for others.
+// Times in ms after which connections and answers may be shed for others.
 const (
-	idleAfter          = 200  // an unused connection: the request of a new one may be on its way
-	stalledAnswerAfter = 1000 // an answer that waits for its client
-	stalledAfter       = 2000 // a client that reads nothing: that counts as a bad outcome
+	idleAfter          = 200  // a connection is unused; before that its first request may be on its way
+	stalledAnswerAfter = 1000 // an answer waits for its client
+	stalledAfter       = 2000 // a client reads nothing, which counts as a bad outcome
 )
 
 // ShedCandidate is a request that uses memory and may be shed.
 type ShedCandidate struct {
-	Index      int     // the caller's
-	Bytes      int64   // that are free again once it is shed
-	Weight     float64 // priority weight of its answer now: less once it is late
-	BytesLeft  float64 // bytes that are still to be moved, or a guess
-	Begun      bool    // its client has part of the answer: it can only be cut
-	Idempotent bool    // a retry is surely harmless; others are not shed
+	Index      int     // set by the caller to identify the request
+	Bytes      int64   // freed when the request is shed
+	Weight     float64 // priority weight of the answer now, which falls once it is late
+	BytesLeft  float64 // bytes still to be moved, possibly an estimate
+	Begun      bool    // the client has part of the answer, so the answer can only be truncated
+	Idempotent bool    // the client may retry without harm; others are not shed
 }
 
-// ShedOrder sorts candidates by what is shed first: those whose answer has not begun before
-// those whose has, and among them the least weight for the bytes still to be moved. It leaves
-// out those whose retry may do harm. The list's memory is used for the result.
+// ShedOrder sorts candidates by the order in which they are shed: answers that have not begun
+// first, and in each group those with the least weight per byte still to be moved. It removes
+// candidates that are not idempotent or free no memory. It reuses the memory of list.
 func ShedOrder(list []ShedCandidate) []ShedCandidate {
 	list = slices.DeleteFunc(list, func(c ShedCandidate) bool { return !c.Idempotent || c.Bytes <= 0 })
 	slices.SortStableFunc(list, func(a, b ShedCandidate) int {
@@ -39,7 +39,7 @@
 	return list
 }
 
-// Shed returns the first candidates in ShedOrder that together give back need bytes, or all.
+// Shed returns the first candidates in ShedOrder that together free need bytes, or all of them.
 func Shed(list []ShedCandidate, need int64) []ShedCandidate {
 	list = ShedOrder(list)
 	for i := range list {
@@ -51,16 +51,16 @@
 	return list
 }
 
-// MayCloseIdle reports whether a connection that was unused for so long, in ms, may be closed
+// MayCloseIdle reports whether a connection that has been unused for the given ms may be closed
 // for others.
 func MayCloseIdle(ms float64) bool { return ms >= idleAfter }
 
-// IsStalled reports whether a client that has read nothing of what waits for it for so long,
-// in ms, wastes its capacity.
+// IsStalled reports whether a client that has read none of the bytes waiting for it for the
+// given ms wastes its capacity.
 func IsStalled(ms float64) bool { return ms >= stalledAfter }
 
-// LongStalled returns the indexes of those answers that are given up for others, the longest
-// stalled first, by how long each has waited for its client, in ms.
+// LongStalled returns the indexes of the answers that may be shed for others, the longest
+// stalled first. waits holds how long each answer has waited for its client, in ms.
 func LongStalled(waits []float64) (indexes []int) {
 	for i, wait := range waits {
 		if wait >= stalledAnswerAfter {
--- a/internal/proxy/limits/shedding_test.go
+++ b/internal/proxy/limits/shedding_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// TestShed: idle connections are closed before requests are shed; answers that have begun go
-// last, the least weight for its bytes first, and what may do harm when it is retried never.
+// TestShed checks that idle connections are closed before requests are shed, that requests are
+// shed by weight per byte with answers that have begun last, and that non-idempotent ones never
+// are.
 func TestShed(t *testing.T) {
 	budget := Budget{Total: 1000}
 	budget.Add(Answers, 899)
@@ -32,7 +33,7 @@
 	want := []int{2, 3, 1, 0}
 	for i, candidate := range ShedOrder(append([]ShedCandidate(nil), list...)) {
 		if candidate.Index != want[i] {
-			t.Errorf("position %d is of %d, not %d", i, candidate.Index, want[i])
+			t.Errorf("position %d has candidate %d, want %d", i, candidate.Index, want[i])
 		}
 	}
 	if got := Shed(append([]ShedCandidate(nil), list...), 150); len(got) != 2 {
@@ -43,8 +44,8 @@
 	}
 }
 
-// TestLongStalled: answers that have waited for their clients for a second are given up, the
-// longest first.
+// TestLongStalled checks that answers which have waited for their clients for a second are
+// returned, the longest stalled first.
 func TestLongStalled(t *testing.T) {
 	if got := fmt.Sprint(LongStalled([]float64{999, 1000, 5000, 0, 2000})); got != "[2 4 1]" || len(LongStalled(nil)) != 0 {
 		t.Error(got)
--- a/internal/proxy/limits/unread.go
+++ b/internal/proxy/limits/unread.go
@@ -5,29 +5,32 @@
 	"slices"
 )
 
-// minSocketBytes gives a client that is 50 ms away 2.5 MB a second.
+// minSocketBytes is the smallest socket buffer. It allows a client with a round trip of 50 ms to
+// receive 2.5 MB per second.
 const minSocketBytes = 128 << 10
 
-// Unread is what the kernel holds of answers for a client: written, and not read by it.
+// Unread describes the bytes of answers that the kernel holds for a client: written by the
+// router, and not read by the client.
 type Unread struct {
-	Index      int     // the caller's
-	Bytes      int64   // that the kernel holds
-	StalledFor float64 // ms since the client has read any
+	Index      int // set by the caller to identify the client
+	Bytes      int64
+	StalledFor float64 // ms since the client last read any
 }
 
-// UnreadAccount accounts for what the kernel holds for clients, which is no part of the
-// process's memory and of its Budget.
+// UnreadAccount accounts for the bytes that the kernel holds for clients. They are not part of
+// the process's memory, nor of its Budget.
 type UnreadAccount struct {
 	Total int64   // bytes for all clients together; 0: no limit
-	Idle  float64 // ms after which a client that reads nothing is cut in any case
+	Idle  float64 // ms after which a client that reads nothing is always disconnected
 	Held  int64   // bytes at the last Update
 	Peak  int64   // most bytes at any Update
 }
 
-// Update records what is held for each client now, and returns the clients to be cut: those
-// that read nothing for Idle, and past 0.90 of Total those that are stalled (IsStalled), the
-// most bytes for the longest time first, until 0.80 is left. Clients that read something,
-// however little, are left to the minimum rate. The list's memory is used up.
+// Update records the bytes held for each client now, and returns the clients to be disconnected:
+// those that have read nothing for Idle and, if more than 0.90 of Total is held, stalled ones
+// (see IsStalled) until 0.80 is left, those with the largest product of bytes and time first.
+// Clients that read anything are subject only to the minimum rate. Update reuses the memory of
+// list.
 func (a *UnreadAccount) Update(list []Unread) (cut []Unread) {
 	a.Held = 0
 	for _, client := range list {
@@ -58,7 +61,7 @@
 	return cut
 }
 
-// stalled returns the clients that read nothing, the most bytes for the longest time first.
+// stalled returns the stalled clients, those with the largest product of bytes and time first.
 func stalled(list []Unread) []Unread {
 	list = slices.DeleteFunc(list, func(client Unread) bool { return !IsStalled(client.StalledFor) })
 	slices.SortStableFunc(list, func(a, b Unread) int {
@@ -67,13 +70,13 @@
 	return list
 }
 
-// Room is how many bytes the kernel may hold for a new connection: a part of what is free, as
-// by Budget.Room, at most most and at least 128 KiB. A most below that is returned as it is,
-// so that 0 stays no limit.
-func (a *UnreadAccount) Room(most int) int {
-	if most <= minSocketBytes {
-		return most
+// Room returns how many bytes the kernel may hold for a new connection: a share of the free
+// bytes as by Budget.Room, at most limit and at least 128 KiB. A smaller limit is returned
+// unchanged, so that 0 still means no limit.
+func (a *UnreadAccount) Room(limit int) int {
+	if limit <= minSocketBytes {
+		return limit
 	}
 	budget := Budget{Total: a.Total, sum: a.Held}
-	return max(budget.Room(most), minSocketBytes)
+	return max(budget.Room(limit), minSocketBytes)
 }
--- a/internal/proxy/limits/unread_test.go
+++ b/internal/proxy/limits/unread_test.go
@@ -6,9 +6,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestUnreadAccount: a client that reads something is never cut before it idles, one that
-// idles always is, and past the limit it comes down to 0.80 unless only clients that read are
-// left.
+// TestUnreadAccount checks that only stalled clients are disconnected, that those which read
+// nothing for Idle always are, and that above the limit the held bytes come down to 0.80 of
+// Total unless only clients that read are left.
 func TestUnreadAccount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		account := UnreadAccount{Total: 1 << 20, Idle: 20_000}
@@ -21,7 +21,7 @@
 		gone, left, moving := map[int]bool{}, account.Held, int64(0)
 		for _, client := range cut {
 			if gone[client.Index] {
-				t.Fatalf("%d is cut twice", client.Index)
+				t.Fatalf("client %d is returned twice", client.Index)
 			}
 			gone[client.Index] = true
 			left -= client.Bytes
@@ -29,24 +29,24 @@
 		for _, client := range all {
 			switch {
 			case client.Bytes == 0 && gone[client.Index]:
-				t.Fatalf("%+v is cut, and holds nothing", client)
+				t.Fatalf("%+v is disconnected although the kernel holds nothing for it", client)
 			case client.Bytes > 0 && client.StalledFor >= account.Idle && !gone[client.Index]:
-				t.Fatalf("%+v is left", client)
+				t.Fatalf("%+v is idle and not disconnected", client)
 			case !IsStalled(client.StalledFor) && gone[client.Index]:
-				t.Fatalf("%+v reads something, and is cut", client)
+				t.Fatalf("%+v is disconnected although it is not stalled", client)
 			case !IsStalled(client.StalledFor):
 				moving += client.Bytes
 			case account.Held < 900<<10 && client.StalledFor < account.Idle && gone[client.Index]:
-				t.Fatalf("%+v is cut although the kernel may hold it", client)
+				t.Fatalf("%+v is disconnected although the limit is not reached", client)
 			}
 		}
 		if left > max(moving, 922<<10) {
-			t.Fatalf("%d bytes are left, %d of them of clients that read some", left, moving)
+			t.Fatalf("%d bytes are left, %d of them for clients that are not stalled", left, moving)
 		}
 	})
 	free := UnreadAccount{}
 	if cut := free.Update([]Unread{{Bytes: 1 << 40, StalledFor: -1}}); len(cut) > 0 || free.Room(0) != 0 || free.Room(512<<10) != 512<<10 {
-		t.Error("no limit is set, and one is kept")
+		t.Error("an account without a limit enforces one")
 	}
 	big := UnreadAccount{Total: 160 << 20, Held: 48 << 20}
 	if n := big.Room(512 << 10); n != 384<<10 {
