--- a/internal/proxy/limits/jitter.go
+++ b/internal/proxy/limits/jitter.go
@@ -5,22 +5,22 @@
 // Jitter adds random time to the Retry-After of rejected clients, so that clients which were
 // rejected at the same time do not retry at the same time.
 type Jitter struct {
-	Part float64 // longest added time, as a share of the wait
+	Share float64 // longest added time, as a share of the wait
 
 	random *rand.Rand
 }
 
 // NewJitter returns a Jitter whose random numbers come from a seed.
 func NewJitter(seed uint64, part float64) *Jitter {
-	return &Jitter{Part: part, random: rand.New(rand.NewPCG(seed, 0x1177e4))}
+	return &Jitter{Share: part, random: rand.New(rand.NewPCG(seed, 0x1177e4))}
 }
 
-// After converts a wait in ms into a Retry-After in whole seconds. It adds up to Part of the
+// After converts a wait in ms into a Retry-After in whole seconds. It adds up to Share of the
 // wait, or up to one second if that is longer, and rounds up. A wait of 0 stays 0.
 func (j *Jitter) After(ms float64) int64 {
 	if ms <= 0 {
 		return 0
 	}
-	added := j.random.Float64() * max(ms*j.Part, 1000)
+	added := j.random.Float64() * max(ms*j.Share, 1000)
 	return int64((ms + 999 + added) / 1000)
 }
