--- a/internal/eventloop/buffer.go
+++ b/internal/eventloop/buffer.go
@@ -1,20 +1,20 @@
 package eventloop
 
-// Buffers is a pool of buffers by size class that keeps a bounded part of what is given back
-// for use again. It belongs to one loop's goroutine. Set its fields before the first Lend.
+// Buffers is a pool of buffers in size classes, which keeps a bounded number of unused bytes. It
+// is not safe for concurrent use. Its fields must be set before the first Get.
 type Buffers struct {
-	// Keep is the most bytes kept unused, of all classes together.
+	// Keep bounds the unused bytes that the pool keeps, in all classes together.
 	Keep int
-	// Used is how many bytes are lent now.
+	// Used is how many bytes of buffers are in use.
 	Used int
-	// Classes are the size classes in bytes, the smallest first; nil stands for 1, 4, 16, 64
-	// and 256 KiB. What is larger than the last is allocated for each loan and never kept.
+	// Classes are the size classes in bytes, in increasing order; nil stands for 1, 4, 16, 64
+	// and 256 KiB. Larger buffers are allocated by each Get and never kept.
 	Classes []int
-	// MayKeep, unless it is nil, decides instead of Keep whether a buffer that is given back
-	// is kept, by the bytes of its class that would then be unused.
+	// MayKeep, unless it is nil, decides instead of Keep whether Put keeps a buffer. Its
+	// argument is how many bytes of the buffer's class would then be unused.
 	MayKeep func(classBytes int) bool
-	// Allocated, unless it is nil, is called with the bytes of each buffer that is allocated,
-	// and with their negative for each that is given back and not kept.
+	// Allocated, unless it is nil, is called with the size of each buffer that is allocated,
+	// and with the negative size of each that Put does not keep.
 	Allocated func(bytes int)
 
 	unusedBytes int
@@ -23,7 +23,8 @@
 
 var defaultClasses = [...]int{1 << 10, 4 << 10, 16 << 10, 64 << 10, 256 << 10}
 
-// Get returns an empty buffer with a capacity of at least n bytes, to be given back.
+// Get returns an empty buffer with a capacity of at least n bytes. The caller must return it by
+// Put.
 func (p *Buffers) Get(n int) []byte {
 	if p.unused == nil {
 		p.init()
@@ -46,7 +47,7 @@
 	return p.allocate(n)
 }
 
-// Put ends a loan; the caller must not use b any more. A nil b is ignored.
+// Put returns a buffer to the pool; the caller must not use b any more. A nil b is ignored.
 func (p *Buffers) Put(b []byte) {
 	if cap(b) == 0 {
 		return
@@ -78,7 +79,7 @@
 	return make([]byte, 0, n)
 }
 
-// mayKeep reports whether one more unused buffer of a class is kept.
+// mayKeep reports whether the pool keeps one more unused buffer of a class.
 func (p *Buffers) mayKeep(class int) bool {
 	size := p.Classes[class]
 	if p.MayKeep != nil {
--- a/internal/eventloop/buffer_test.go
+++ b/internal/eventloop/buffer_test.go
@@ -2,18 +2,18 @@
 
 import "testing"
 
-// TestBuffersKeepWithinBounds: buffers that are given back are kept within Keep, or as MayKeep
-// decides, and Allocated hears of what was allocated and dropped.
+// TestBuffersKeepWithinBounds checks that Put keeps buffers within Keep, or as MayKeep decides,
+// and that Allocated is called for those that are allocated and dropped.
 func TestBuffersKeepWithinBounds(t *testing.T) {
 	allocated := 0
 	count := func(bytes int) { allocated += bytes }
 	for _, c := range []struct {
 		name  string
 		pool  Buffers
-		lend  []int
-		used  int // while all are lent
-		kept  int // after all are given back
-		again int // allocated when all are lent again
+		sizes []int // passed to Get
+		used  int   // while all are in use
+		kept  int   // after Put of all
+		again int   // allocated when all are in use again
 	}{
 		{"default classes", Buffers{Keep: 8 << 10}, []int{1, 1 << 10, 4 << 10, 5 << 10}, 22 << 10, 6 << 10, 22 << 10},
 		{"beyond the last class", Buffers{Keep: 1 << 20}, []int{300 << 10}, 300 << 10, 0, 300 << 10},
@@ -26,22 +26,22 @@
 			pool := &c.pool
 			pool.Allocated = count
 			for range 2 {
-				var lent [][]byte
-				for _, n := range c.lend {
+				var buffers [][]byte
+				for _, n := range c.sizes {
 					b := pool.Get(n)
 					if len(b) != 0 || cap(b) < n {
-						t.Errorf("lent %d of %d bytes for %d", len(b), cap(b), n)
+						t.Errorf("length %d and capacity %d for a Get of %d", len(b), cap(b), n)
 					}
-					lent = append(lent, b)
+					buffers = append(buffers, b)
 				}
 				if pool.Used != c.used || allocated != c.again {
-					t.Errorf("%d bytes lent, %d allocated; want %d, %d", pool.Used, allocated, c.used, c.again)
+					t.Errorf("%d bytes in use, %d allocated; want %d, %d", pool.Used, allocated, c.used, c.again)
 				}
-				for _, b := range lent {
+				for _, b := range buffers {
 					pool.Put(b)
 				}
 				if pool.Used != 0 || allocated != c.kept {
-					t.Errorf("%d bytes lent, %d kept; want 0, %d", pool.Used, allocated, c.kept)
+					t.Errorf("%d bytes in use, %d kept; want 0, %d", pool.Used, allocated, c.kept)
 				}
 			}
 		})
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -7,10 +7,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Dial begins to connect to address, an IP address and port, without waiting. While inProgress,
-// fd is not connected yet: it becomes writable once it is, or has failed. The caller closes fd.
-// An error for which IsLocalShortage holds is due to this machine and says nothing about the
-// peer. Errors wrap the system's error number.
+// Dial begins to connect to address, an IP address and port, without blocking. If inProgress is
+// true, fd becomes writable when the connection is made or has failed. The caller must close fd.
+// An error for which IsLocalShortage returns true is due to this machine, not to the peer.
+// Errors wrap the system's error number.
 func (l *Loop) Dial(address string) (fd int, inProgress bool, err error) {
 	var calls Syscalls = Kernel
 	if l.calls != nil {
@@ -45,7 +45,7 @@
 	return fd, inProgress, nil
 }
 
-// socket makes a socket, again where the call was interrupted.
+// socket creates a socket, and repeats the call if it is interrupted.
 func socket(calls Syscalls, family int) (fd int, err error) {
 	for range maxInterrupted {
 		fd, err = calls.Socket(family)
@@ -56,8 +56,8 @@
 	return fd, err
 }
 
-// connect begins to connect a socket. The call that it makes again after an interruption
-// finds whether the connection has been begun or made.
+// connect begins to connect a socket, and repeats the call if it is interrupted: the repeated
+// call returns whether the connection is in progress or made.
 func connect(calls Syscalls, fd int, to unix.Sockaddr) (inProgress bool, err error) {
 	for range maxInterrupted {
 		err = calls.Connect(fd, to)
--- a/internal/eventloop/dial_test.go
+++ b/internal/eventloop/dial_test.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestDialFails: Dial returns the cause that a system call gave, after calls that were
-// interrupted were made again.
+// TestDialFails checks that Dial returns the error of a failed system call, and repeats calls
+// that are interrupted.
 func TestDialFails(t *testing.T) {
 	listener, address, err := Listen("127.0.0.1:0")
 	if err != nil {
--- a/internal/eventloop/errors.go
+++ b/internal/eventloop/errors.go
@@ -6,9 +6,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Retryable reports that a call on a connection can be made again later: the connection is
-// intact, and the call has moved no bytes. If it was made through a Loop, the descriptor's
-// handler is called when to make it again.
+// Retryable reports whether a failed call on a connection can be made again later: the
+// connection is intact, and the call has moved no bytes. If the call was made through a Loop,
+// the Loop calls the descriptor's handler when it is time to make it again.
 func Retryable(err error) bool {
 	errno, ok := errnoOf(err)
 	if !ok {
@@ -21,13 +21,13 @@
 	return false
 }
 
-// NotReady reports that a call found its descriptor not ready: all that the loop has reported
-// of it is dealt with. Of the errors for which Later holds, it is the ordinary one. err must
-// be as Read, Write or WriteTwo returned it, not wrapped.
+// NotReady reports whether a call failed because its descriptor was not ready, which is the
+// usual case of a Retryable error: everything that the loop has reported of the descriptor is
+// handled. err must be the unwrapped error of Read, Write or WriteTwo.
 func NotReady(err error) bool { return err == unix.EAGAIN }
 
-// Broken reports that a connection has ended, by its peer or by the network between. It holds
-// for wrapped errors too.
+// Broken reports whether an error, also a wrapped one, means that a connection was ended by its
+// peer or by the network.
 func Broken(err error) bool {
 	errno, ok := errnoOf(err)
 	if !ok {
@@ -41,10 +41,10 @@
 	return false
 }
 
-// IsLocalShortage reports that accept, socket, connect or the watch of a descriptor failed
-// because this process or machine lacks something that may be available again soon:
-// descriptors, memory, ports, epoll watches, a route, a firewall's permission. It says nothing
-// about the peer. It holds for wrapped errors too.
+// IsLocalShortage reports whether accept, socket, connect or Add failed, with a plain or wrapped
+// error, because this process or machine lacks something that may be available again soon:
+// descriptors, memory, ports, epoll watches, a route or a firewall's permission. Such an error
+// says nothing about the peer.
 func IsLocalShortage(err error) bool {
 	errno, ok := errnoOf(err)
 	if !ok {
@@ -58,8 +58,8 @@
 	return false
 }
 
-// errnoOf returns the system's error number in err. The plain number, which every call on a
-// connection returns, is found without a search of wrapped errors.
+// errnoOf returns the system's error number in err. Calls on a connection return it unwrapped,
+// so that case comes first and is fast.
 func errnoOf(err error) (unix.Errno, bool) {
 	if errno, ok := err.(unix.Errno); ok {
 		return errno, true
@@ -69,8 +69,9 @@
 	return errno, ok
 }
 
-// concernsOneConnection reports an error of accept that concerns only the connection that
-// would have been accepted, as accept(2) lists them, or only this call: the next may succeed.
+// concernsOneConnection reports whether an error of accept concerns only the connection that
+// would have been accepted (accept(2) lists these errors) or only this call, so that the next
+// call may succeed.
 func concernsOneConnection(err error) bool {
 	errno, _ := errnoOf(err)
 	switch errno {
--- a/internal/eventloop/errors_test.go
+++ b/internal/eventloop/errors_test.go
@@ -8,20 +8,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestErrorClasses: which errors are for later, which end a connection and which are this
-// machine's own, plain and wrapped.
+// TestErrorClasses checks the classes of system errors, plain and wrapped.
 func TestErrorClasses(t *testing.T) {
-	const later, broken, shortage = 1, 2, 4
+	const retryable, broken, shortage = 1, 2, 4
 	for err, want := range map[error]int{
 		nil: 0, os.ErrInvalid: 0, unix.EBADF: 0,
-		unix.EAGAIN: later | shortage, unix.EINTR: later | shortage, unix.ENOBUFS: later | shortage, unix.ENOMEM: later | shortage,
+		unix.EAGAIN: retryable | shortage, unix.EINTR: retryable | shortage, unix.ENOBUFS: retryable | shortage, unix.ENOMEM: retryable | shortage,
 		unix.ECONNRESET: broken, unix.EPIPE: broken, unix.ETIMEDOUT: broken, unix.EHOSTUNREACH: broken, unix.ECONNREFUSED: broken,
 		unix.ENETUNREACH: broken | shortage, unix.ECONNABORTED: broken | shortage,
 		unix.EMFILE: shortage, unix.ENFILE: shortage, unix.EADDRNOTAVAIL: shortage, unix.EPERM: shortage, unix.ENOSPC: shortage,
 	} {
 		for _, err := range []error{err, fmt.Errorf("wrapped: %w", err)} {
 			got := 0
-			for bit, holds := range map[int]bool{later: Retryable(err), broken: Broken(err), shortage: IsLocalShortage(err)} {
+			for bit, holds := range map[int]bool{retryable: Retryable(err), broken: Broken(err), shortage: IsLocalShortage(err)} {
 				if holds {
 					got |= bit
 				}
--- a/internal/eventloop/io.go
+++ b/internal/eventloop/io.go
@@ -7,24 +7,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// Intercept has the loop's system calls on sockets made by calls; nil has them made by the
-// kernel directly. Call it before Run, or on the loop's goroutine.
+// Intercept makes calls handle the loop's system calls on sockets; nil stands for Kernel. It
+// must be called before Run or on the loop's goroutine.
 func (l *Loop) Intercept(calls Syscalls) { l.calls = calls }
 
 const (
-	maxInterrupted = 4    // of a call that is interrupted, before it is left for later
-	minSuspension  = 2.0  // ms, until a call for which the kernel lacked memory is made again;
-	maxSuspension  = 16.0 // ms, up to which that is doubled while the shortage lasts
+	maxInterrupted = 4    // attempts at a call that is interrupted, before it is made later
+	minSuspension  = 2.0  // ms for which a descriptor is suspended at first; doubled while the shortage lasts
+	maxSuspension  = 16.0 // ms
 )
 
 // Read reads from a non-blocking descriptor.
 //
-// After an error for which Later holds, a watched descriptor's handler is called when to read
-// again: after EAGAIN when the descriptor is ready, and where it is ready but the call could
-// not be made, after a short wait, so that a lasting shortage does not keep the loop spinning.
-// The same holds for Write and WriteTwo, whose callers Want Write of the descriptor then.
+// After a Retryable error the loop calls the handler of a watched descriptor when it is time to
+// read again. After EAGAIN that is when the descriptor is ready. After other errors, such as a
+// lack of kernel memory, the descriptor is ready already, and the handler is called after a
+// short wait, so that the loop does not spin during a lasting shortage. The same applies to
+// Write and WriteTwo, if the caller uses Want to wait for Write.
 //
-// Errors are the system's own numbers, unwrapped, so that the hot path allocates nothing.
+// Errors are the system's error numbers, unwrapped, so that Read does not allocate.
 func (l *Loop) Read(fd int, b []byte) (int, error) {
 	for attempt := 1; ; attempt++ {
 		n, err := l.read(fd, b)
@@ -41,7 +42,7 @@
 	return l.calls.Read(fd, b)
 }
 
-// Write writes to a non-blocking descriptor; see Read for what follows an error.
+// Write writes to a non-blocking descriptor; see Read for errors.
 func (l *Loop) Write(fd int, b []byte) (int, error) {
 	for attempt := 1; ; attempt++ {
 		n, err := l.write(fd, b)
@@ -58,7 +59,7 @@
 	return l.calls.Write(fd, b)
 }
 
-// WriteTwo writes two pieces in one call; see Read for what follows an error.
+// WriteTwo writes two slices in one system call; see Read for errors.
 func (l *Loop) WriteTwo(fd int, first, second []byte) (int, error) {
 	for attempt := 1; ; attempt++ {
 		n, err := l.writeTwo(fd, first, second)
@@ -75,8 +76,8 @@
 	return l.calls.WriteTwo(fd, first, second)
 }
 
-// retryNow reports that a failed call is to be made again at once. If it is to be made later
-// although its descriptor is ready, the descriptor is suspended.
+// retryNow reports whether a failed call is to be made again at once. It suspends the descriptor
+// if the call is to be made later although the descriptor is ready.
 func (l *Loop) retryNow(fd, attempt int, err error) bool {
 	switch {
 	case err == unix.EAGAIN || !Retryable(err):
@@ -88,14 +89,14 @@
 	return false
 }
 
-// suspension is a watched descriptor that is out of epoll for a while.
+// suspension is a watched descriptor that was removed from epoll for a short time.
 type suspension struct {
 	fd         int
 	generation uint32
 }
 
-// suspend takes a watched descriptor out of epoll for a short while, errors and hang-ups
-// included. Its handler notices only the delay.
+// suspend removes a watched descriptor from epoll for a short time, also for errors and
+// hang-ups. For the handler its events are only delayed.
 func (l *Loop) suspend(fd int) {
 	if fd < 0 || fd >= len(l.slots) || l.slots[fd].handler == nil || l.slots[fd].suspended {
 		return
@@ -108,13 +109,13 @@
 		return
 	}
 	l.suspendFor = min(2*l.suspendFor, maxSuspension)
-	if l.now-l.resumedAt > maxSuspension { // the shortage before is over
+	if l.now-l.resumedAt > maxSuspension { // the previous shortage is over
 		l.suspendFor = minSuspension
 	}
 	l.Arm(&l.resumeTimer, l.suspendFor)
 }
 
-// resume watches the suspended descriptors again. Those that epoll cannot take yet stay
+// resume adds the suspended descriptors to epoll again. Those for which that fails stay
 // suspended.
 func (l *Loop) resume() {
 	left := l.suspended[:0]
@@ -122,7 +123,7 @@
 	for _, entry := range l.suspended {
 		s := &l.slots[entry.fd]
 		if s.generation != entry.generation || !s.suspended {
-			continue // removed meanwhile
+			continue // removed since
 		}
 		event := s.event(entry.fd)
 		if err := unix.EpollCtl(l.epfd, unix.EPOLL_CTL_ADD, entry.fd, &event); err != nil {
@@ -137,9 +138,9 @@
 	}
 }
 
-// poll waits for events, for timeout ms at most; -1 is without limit. An interrupted wait
-// returns none. Where waits are interrupted time after time, it sleeps between them, so that
-// the loop does not spin.
+// poll waits for events, for at most timeout ms; -1 is without limit. An interrupted wait
+// returns no events. If waits are interrupted repeatedly, poll sleeps after each, so that the
+// loop does not spin.
 func (l *Loop) poll(timeout int) (n int, err error) {
 	if l.calls == nil {
 		n, err = Kernel.Wait(l.epfd, l.events, timeout)
@@ -157,7 +158,7 @@
 	return 0, nil
 }
 
-// Idle reports that a stream socket has neither bytes to be read, nor an end, nor an error.
+// Idle reports whether a stream socket has nothing to be read: no bytes, no end and no error.
 func Idle(fd int) bool {
 	var b [1]byte
 	for {
--- a/internal/eventloop/io_test.go
+++ b/internal/eventloop/io_test.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestReadWriteRetried: a read or write that is interrupted, or for which the kernel lacks
-// memory, is made again: the bytes arrive, and the loop does not spin while the shortage lasts.
+// TestReadWriteRetried checks that a read or write is repeated if it is interrupted or the kernel
+// lacks memory, once or for 50 ms: the bytes arrive, and the loop does not spin meanwhile.
 func TestReadWriteRetried(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.EINTR, unix.ENOBUFS, unix.ENOMEM, unix.EAGAIN} {
 		for _, span := range []string{"one call", "50 ms"} {
@@ -41,25 +41,25 @@
 					calls.read, calls.write = failAlways(errno), failAlways(errno)
 				}
 				if turns := turnFor(t, l, 50); turns > 30 && errno != unix.EAGAIN {
-					t.Errorf("%d turns in 50 ms, %d calls", turns, calls.calls)
+					t.Errorf("%d turns in 50 ms, want at most 30; %d calls", turns, calls.calls)
 				}
 				calls.read, calls.write = nil, nil
 				turnFor(t, l, 2*maxSuspension)
 				n, _ := unix.Read(theirs, buf[:])
 				if got != "pong" || n != 4 {
-					t.Errorf("read %q, peer %d bytes", got, n)
+					t.Errorf("read %q, and the peer %d bytes; want \"pong\" and 4", got, n)
 				}
 			})
 		}
 	}
 }
 
-// TestRemovedWhileSuspended: a descriptor that is suspended may be removed, and its number
-// used anew, meanwhile.
+// TestRemovedWhileSuspended guards against events for the wrong handler: a suspended descriptor
+// is removed, and its number is watched again before the suspension ends.
 func TestRemovedWhileSuspended(t *testing.T) {
 	l := newLoop(t, &failingCalls{read: failAlways(unix.ENOBUFS)})
 	ours, theirs := socketPair(t)
-	heard := 0
+	events := 0
 	var buf [1]byte
 	l.Add(ours, Read, onReady(func(Ready) {
 		l.Read(ours, buf[:])
@@ -67,22 +67,22 @@
 	}))
 	unix.Write(theirs, []byte("x"))
 	l.turn()
-	if err := l.Add(ours, 0, onReady(func(Ready) { heard++ })); err != nil {
+	if err := l.Add(ours, 0, onReady(func(Ready) { events++ })); err != nil {
 		t.Fatal(err)
 	}
 	turnFor(t, l, 10)
-	if heard != 0 {
-		t.Errorf("the next owner heard %d events that it did not want", heard)
+	if events != 0 {
+		t.Errorf("the new handler got %d events that it did not want", events)
 	}
 	l.Want(ours, Read)
 	turnFor(t, l, 1)
-	if heard == 0 {
-		t.Error("the next owner hears nothing")
+	if events == 0 {
+		t.Error("the new handler got no events")
 	}
 }
 
-// TestWaitInterrupted: the loop does not spin while its waits are interrupted, and misses
-// nothing afterwards.
+// TestWaitInterrupted checks that the loop does not spin while its waits are interrupted, and
+// handles events afterwards.
 func TestWaitInterrupted(t *testing.T) {
 	l := newLoop(t, &failingCalls{wait: failAlways(unix.EINTR)})
 	if turns := turnFor(t, l, 50); turns > 100 {
@@ -90,19 +90,19 @@
 	}
 	l.Intercept(nil)
 	ours, theirs := socketPair(t)
-	heard := 0
+	events := 0
 	l.Add(ours, Read, onReady(func(Ready) {
-		heard++
+		events++
 		l.Remove(ours)
 	}))
 	unix.Write(theirs, []byte("x"))
 	turnFor(t, l, 5)
-	if heard != 1 {
-		t.Errorf("heard %d times after the interruptions", heard)
+	if events != 1 {
+		t.Errorf("%d events after the interruptions, want 1", events)
 	}
 }
 
-// BenchmarkReadWrite compares a message through the loop with the kernel's own calls.
+// BenchmarkReadWrite compares a message through the loop with the kernel's calls alone.
 func BenchmarkReadWrite(b *testing.B) {
 	ours, theirs := socketPair(b)
 	message, buf := make([]byte, 64), make([]byte, 4096)
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	maxAcceptFailures = 16     // in a row that concern one connection each, before accepting pauses
-	acceptPause       = 20.0   // ms without accepting after a shortage or that many failures
-	makeRoomPause     = 1000.0 // ms until MakeRoom is called again after a call that did not help
+	maxAcceptFailures = 16     // consecutive failures of single connections before the listener pauses
+	acceptPause       = 20.0   // ms
+	makeRoomPause     = 1000.0 // ms until the next call of MakeRoom after one that did not help
 )
 
 // A Listener accepts the connections of a listening socket, a bounded number in each turn of
-// its loop. In a shortage, and where calls fail time after time, it pauses: clients wait in
-// the kernel's queue, and the loop does not spin.
+// its loop. In a shortage, or if accept fails repeatedly, it pauses: connections wait in the
+// kernel's queue, and the loop does not spin.
 type Listener struct {
-	// PerTurn is the most calls of accept in one turn.
+	// PerTurn bounds the calls of accept in one turn.
 	PerTurn int
-	// Take is called with each connection's descriptor, which it has to close in the end.
+	// Take is called with the descriptor of each connection. The callee must close it.
 	Take func(fd int)
-	// MakeRoom, unless it is nil, is called where the process or the machine is out of
-	// descriptors. It closes one that can be spared, and returns false if there is none.
+	// MakeRoom, unless it is nil, is called if the process or the machine is out of
+	// descriptors. It closes one that is not needed, or returns false if there is none.
 	MakeRoom func() bool
 	// Pauses counts how often accepting has paused.
 	Pauses uint64
@@ -30,13 +30,13 @@
 	loop         *Loop
 	fd           int
 	failures     int
-	waitingSince Millis // see Since; 0: the kernel's queue was found empty
-	nextMakeRoom Millis // MakeRoom is not called before
+	waitingSince Millis // see EarliestArrival; 0: the kernel's queue was empty
+	nextMakeRoom Millis // when MakeRoom may be called again
 	resumeTimer  Timer
 }
 
-// Start begins to accept the connections of a listening socket, which stays the caller's to
-// close after Stop.
+// Start begins to accept the connections of a listening socket. The caller must close the socket
+// after Stop.
 func (ln *Listener) Start(l *Loop, fd int) error {
 	ln.loop = l
 	ln.fd = fd
@@ -54,10 +54,10 @@
 	ln.fd = -1
 }
 
-// OnReady is called by the loop.
+// OnReady implements Handler.
 func (ln *Listener) OnReady(Ready) { ln.Accept() }
 
-// Accept accepts connections that wait, with at most PerTurn calls.
+// Accept accepts waiting connections, with at most PerTurn calls of accept.
 func (ln *Listener) Accept() {
 	madeRoom := false
 	if ln.waitingSince == 0 && ln.loop != nil {
@@ -70,7 +70,7 @@
 		fd, err := ln.loop.accept(ln.fd)
 		if err == nil {
 			ln.failures = 0
-			if madeRoom { // and it helped
+			if madeRoom { // MakeRoom helped, and may be called again at once
 				ln.nextMakeRoom = 0
 			}
 			ln.Take(fd)
@@ -93,8 +93,9 @@
 	}
 }
 
-// makeRoom has a descriptor closed after an error of accept that says that none is left. Where
-// that did not help, as in a shortage of the whole machine, it is not done again for a while.
+// makeRoom calls MakeRoom after an error of accept that means that no descriptor is left. If the
+// previous call did not help, as in a shortage of the whole machine, it waits for makeRoomPause
+// before the next.
 func (ln *Listener) makeRoom(err error) bool {
 	noDescriptor := err == unix.EMFILE || err == unix.ENFILE
 	if !noDescriptor || ln.MakeRoom == nil || ln.loop.Now() < ln.nextMakeRoom {
@@ -121,12 +122,12 @@
 	return l.calls.Accept(listener)
 }
 
-// Listen makes a non-blocking listening TCP socket at address, as net.Listen parses it, and
-// returns its descriptor, which the caller closes, and the address that it is bound to.
+// Listen creates a non-blocking listening TCP socket at address, as net.Listen parses it, and
+// returns its descriptor, which the caller must close, and the address that it is bound to.
 func Listen(address string) (fd int, bound string, err error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
-		return -1, "", err // names the operation and the address already
+		return -1, "", err // contains the operation and the address
 	}
 	defer ln.Close()
 	file, err := ln.(*net.TCPListener).File()
--- a/internal/eventloop/listener_test.go
+++ b/internal/eventloop/listener_test.go
@@ -7,8 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestListenerSurvivesAcceptErrors: whatever accept fails with, and for how long, the loop does
-// not spin, and all connections are accepted once it succeeds.
+// TestListenerSurvivesAcceptErrors checks for each error of accept, once or for 100 ms, that the
+// loop does not spin, that MakeRoom is called only when descriptors run out, and that all
+// connections are accepted once accept succeeds.
 func TestListenerSurvivesAcceptErrors(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.EPERM, unix.ENETUNREACH,
 		unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EINVAL, unix.ETIMEDOUT} {
@@ -39,15 +40,15 @@
 					defer unix.Close(client)
 				}
 				if turns := turnFor(t, l, 100); turns > 50 || calls.calls > 200 {
-					t.Errorf("%d turns and %d calls in 100 ms", turns, calls.calls)
+					t.Errorf("%d turns and %d calls in 100 ms, want at most 50 and 200", turns, calls.calls)
 				}
 				if room > 1 || room == 1 && errno != unix.EMFILE && errno != unix.ENFILE {
-					t.Errorf("room was asked for %d times", room)
+					t.Errorf("MakeRoom was called %d times", room)
 				}
 				calls.accept = nil
 				turnFor(t, l, 30)
 				if taken != 10 {
-					t.Errorf("%d connections taken of 10", taken)
+					t.Errorf("%d connections of 10 were accepted", taken)
 				}
 			})
 		}
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -10,61 +10,62 @@
 
 const (
 	defaultMaxPosted = 4096
-	minEvents        = 512  // that one poll can return; doubled while polls return as many
-	maxEvents        = 8192 // from which on it is not doubled any more
-	slowTurn         = 5    // ms, from which on the time of a turn counts as Slow
-	lagDecay         = 0.99 // of Lag, each turn
+	minEvents        = 512 // events that a poll can return at first; doubled after a poll that returns as many
+	maxEvents        = 8192
+	slowTurn         = 5    // ms; the time of a turn beyond this counts for SlowTime
+	lagDecay         = 0.99 // factor of Lag in each turn
 )
 
-// slot is a descriptor that is, or was, watched.
+// slot is the state of a descriptor that is or was watched.
 type slot struct {
-	handler     Handler // nil: it is not watched
-	generation  uint32  // of the watch: events of an earlier watch of the same number are dropped
+	handler     Handler // nil: the descriptor is not watched
+	generation  uint32  // of the watch; events of an earlier watch of the same descriptor are dropped
 	interest    Interest
 	prioritized bool
-	suspended   bool // not in epoll for a while, see suspend
+	suspended   bool // temporarily removed from epoll, see suspend
 }
 
-// event is the epoll event by which the slot's descriptor is watched.
+// event returns the epoll event by which the slot's descriptor is watched.
 func (s *slot) event(fd int) unix.EpollEvent {
 	return unix.EpollEvent{Events: uint32(s.interest), Fd: int32(fd), Pad: s.tag()}
 }
 
-// tag marks the events of the present watch. It is never negative, as that of wakefd is.
+// tag returns the mark of the current watch in epoll events. It is never negative; the mark of
+// wakefd is.
 func (s *slot) tag() int32 { return int32(s.generation & 0x7fffffff) }
 
-// Loop is one event loop. The zero value is not usable; see New.
+// Loop is an event loop. The zero value is not usable; see New.
 type Loop struct {
 	epfd             int
-	wakefd           int    // an eventfd by which other threads end the wait of a poll
+	wakefd           int    // an eventfd by which other threads wake the loop from a poll
 	slots            []slot // by descriptor
 	events           []unix.EpollEvent
-	now              Millis // when the present turn began
+	now              Millis // when the current turn began
 	timers           timerHeap
-	lastPoll         Millis // what the last poll did not report happened later
-	since            Millis // see Since
+	lastPoll         Millis // events that the last poll did not report happened after this time
+	since            Millis // see EarliestArrival
 	turns            uint64
 	lag              Millis // see Lag
-	slowTime         Millis // see Slow
+	slowTime         Millis // see SlowTime
 	afterTurn        func() (more bool)
 	moreAfterTurn    bool     // afterTurn has more to do: the next turn does not wait
-	calls            Syscalls // nil: the kernel's, directly
-	interruptedWaits int      // in a row
+	calls            Syscalls // nil: Kernel, called directly
+	interruptedWaits int      // consecutive
 	suspended        []suspension
 	resumeTimer      Timer
 	suspendFor       Millis // how long descriptors are suspended
-	resumedAt        Millis // when they were last watched again
+	resumedAt        Millis // when resume last ran
 
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards the fields below
 	posted    []func()
-	spare     []func() // the memory of the posted calls that ran last
+	spare     []func() // the memory of the previous posted calls, for reuse
 	maxPosted int
 	stopped   bool
 	closed    bool
 }
 
-// New makes a loop whose queue of posted calls holds at most maxPosted; 0 means 4096. Run
-// closes it.
+// New returns a loop whose queue holds at most maxPosted posted calls; 0 means 4096. Run closes
+// the loop.
 func New(maxPosted int) (*Loop, error) {
 	if maxPosted <= 0 {
 		maxPosted = defaultMaxPosted
@@ -91,28 +92,29 @@
 	return l, nil
 }
 
-// Now is the time at which the present turn began.
+// Now returns the time at which the current turn began.
 func (l *Loop) Now() Millis { return l.now }
 
-// Turns counts the turns so far.
+// Turns returns the number of turns so far.
 func (l *Loop) Turns() uint64 { return l.turns }
 
-// Lag is a decaying maximum of how long turns took, in milliseconds.
+// Lag returns a decaying maximum of the time of turns, in milliseconds.
 func (l *Loop) Lag() Millis { return l.lag }
 
-// SlowTime is how many milliseconds turns have taken in all, beyond 5 ms each: time in which peers
-// waited for the loop, and not the loop for them.
+// SlowTime returns the total time of turns beyond 5 ms each, in milliseconds. In that time peers
+// waited for the loop, not the loop for them.
 func (l *Loop) SlowTime() Millis { return l.slowTime }
 
-// AfterEachTurn has f called at the end of each turn, after handlers, posted calls and timers.
-// While it returns true there is more to do: the next turn does not wait for events.
+// AfterEachTurn sets a function that the loop calls at the end of each turn, after handlers,
+// posted calls and timers. If f returns true it has more to do, and the next turn does not wait
+// for events.
 func (l *Loop) AfterEachTurn(f func() (more bool)) { l.afterTurn = f }
 
-// Took is how long the present turn has taken so far, in milliseconds.
+// Took returns how long the current turn has taken so far, in milliseconds.
 func (l *Loop) Took() Millis { return Clock() - l.now }
 
-// Add begins to watch a descriptor, which stays the caller's to close. An error for which
-// IsLocalShortage holds means that no more descriptors can be watched now.
+// Add begins to watch a descriptor, which the caller must close after Remove. An error for which
+// IsLocalShortage returns true means that no more descriptors can be watched now.
 func (l *Loop) Add(fd int, want Interest, h Handler) error {
 	if fd < 0 {
 		return fmt.Errorf("eventloop: cannot watch descriptor %d", fd)
@@ -134,11 +136,11 @@
 	return nil
 }
 
-// Prioritize has a watched descriptor's events handed out before those of others in each
-// turn, so that the end of a client's connection is known before work for it is begun.
+// Prioritize makes the loop handle a watched descriptor's events before those of others in each
+// turn, so that the end of a client's connection is known before work for that client begins.
 func (l *Loop) Prioritize(fd int) { l.slots[fd].prioritized = true }
 
-// Want changes the events that are wanted of a watched descriptor. It makes no system call if
+// Want changes the events that are reported of a watched descriptor. It makes no system call if
 // nothing changes.
 func (l *Loop) Want(fd int, want Interest) error {
 	if fd < 0 || fd >= len(l.slots) || l.slots[fd].handler == nil {
@@ -161,18 +163,18 @@
 	return nil
 }
 
-// Remove ends the watch; events of this turn that still name the descriptor are dropped. Call
-// it before the descriptor is closed. It does nothing to one that is not watched.
+// Remove ends the watch of a descriptor and drops its remaining events of this turn. It must be
+// called before the descriptor is closed. It has no effect on a descriptor that is not watched.
 func (l *Loop) Remove(fd int) {
 	if fd < 0 || fd >= len(l.slots) || l.slots[fd].handler == nil {
 		return
 	}
 	l.slots[fd].handler = nil
 	l.slots[fd].generation++
-	unix.EpollCtl(l.epfd, unix.EPOLL_CTL_DEL, fd, nil) // a closed descriptor is gone already
+	unix.EpollCtl(l.epfd, unix.EPOLL_CTL_DEL, fd, nil) // fails harmlessly if fd is closed
 }
 
-// Stop ends Run after the present turn, from any goroutine.
+// Stop ends Run after the current turn. It may be called from any goroutine.
 func (l *Loop) Stop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -182,8 +184,8 @@
 	}
 }
 
-// Run turns the loop until Stop, on a thread of its own, and then closes the loop. It returns
-// an error only if epoll itself fails.
+// Run runs the loop until Stop, locked to one thread, and then closes it. It returns an error
+// only if epoll itself fails.
 func (l *Loop) Run() error {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -211,7 +213,7 @@
 	}
 }
 
-// turn waits for events until the next timer is due, and then runs handlers, posted calls,
+// turn waits for events, until the next timer is due, and then runs handlers, posted calls,
 // timers and afterTurn, in this order.
 func (l *Loop) turn() error {
 	wait := l.untilTimer()
@@ -239,8 +241,8 @@
 	return nil
 }
 
-// untilTimer is how long a poll may wait before a timer is due or afterTurn has more to do, in
-// whole ms, rounded up so that the timer is due when the wait ends; -1 is without limit.
+// untilTimer returns how long a poll may wait before a timer is due or afterTurn has more to do,
+// in whole ms, rounded up so that the timer is due when the wait ends; -1 is without limit.
 func (l *Loop) untilTimer() int {
 	if l.moreAfterTurn {
 		return 0
@@ -251,8 +253,8 @@
 	return max(int(l.timers.list[0].heapKey-Clock()+0.999), 0)
 }
 
-// dispatch calls the handlers of events, prioritized descriptors' first, and reports whether
-// calls were posted.
+// dispatch calls the handlers of events, those of prioritized descriptors first, and reports
+// whether calls were posted.
 func (l *Loop) dispatch(events []unix.EpollEvent) (posted bool) {
 	for _, prioritized := range [...]bool{true, false} {
 		for i := range events {
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// startLoop makes a loop that runs on a goroutine of its own until the test ends.
+// startLoop returns a loop that runs on a goroutine of its own until the test ends.
 func startLoop(t testing.TB) *Loop {
 	l, err := New(64)
 	if err != nil {
@@ -29,7 +29,7 @@
 
 func (f onReady) OnReady(r Ready) { f(r) }
 
-// TestReadiness: data and the peer's half-close are reported.
+// TestReadiness checks that data and the peer's half-close are reported.
 func TestReadiness(t *testing.T) {
 	l := startLoop(t)
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestRemovedInSameTurn: a handler that closes another's descriptor in the same turn must
-// keep that other's event from the next owner of the number.
+// TestRemovedInSameTurn guards against events for a reused descriptor: a handler removes another
+// descriptor with an event in the same turn, and that event must be dropped.
 func TestRemovedInSameTurn(t *testing.T) {
 	l, err := New(0)
 	if err != nil {
@@ -89,11 +89,11 @@
 		t.Fatal(err)
 	}
 	if calls != 1 {
-		t.Fatalf("%d handlers were called, want only the first", calls)
+		t.Fatalf("%d handlers were called, want 1", calls)
 	}
 }
 
-// TestPostBounds: Post refuses calls beyond its bound, and after Stop.
+// TestPostBounds checks that Post returns an error when the queue is full, and after Stop.
 func TestPostBounds(t *testing.T) {
 	l, err := New(2)
 	if err != nil {
@@ -110,16 +110,16 @@
 	}
 	l.turn()
 	if ran != 2 {
-		t.Fatalf("%d posted calls ran", ran)
+		t.Fatalf("%d posted calls ran, want 2", ran)
 	}
 	l.Stop()
 	if err := l.Post(func() {}); err != ErrStopped {
-		t.Fatalf("after Stop: %v", err)
+		t.Fatalf("post after Stop: %v, want ErrStopped", err)
 	}
 	l.Run()
 }
 
-// TestPostFromMany: calls that several goroutines post all run.
+// TestPostFromMany checks that all calls posted by several goroutines run.
 func TestPostFromMany(t *testing.T) {
 	l := startLoop(t)
 	var wg sync.WaitGroup
--- a/internal/eventloop/post.go
+++ b/internal/eventloop/post.go
@@ -14,8 +14,8 @@
 // ErrStopped is returned by Post after Stop.
 var ErrStopped = errors.New("eventloop: stopped")
 
-// Post queues f to be called by the loop's goroutine in its next turn. It may be called from
-// any goroutine and never blocks; it returns ErrFull or ErrStopped where f will not be called.
+// Post queues f to be called on the loop's goroutine in its next turn. It may be called from any
+// goroutine and never blocks. If it returns an error, ErrFull or ErrStopped, f is not called.
 func (l *Loop) Post(f func()) error {
 	l.mu.Lock()
 	if l.stopped {
@@ -35,14 +35,14 @@
 	return nil
 }
 
-// wake ends the wait of the loop's poll. A failed write means that the eventfd's counter is
-// full, which wakes the loop too.
+// wake makes the loop's poll return. A failed write means that the eventfd's counter is at its
+// maximum, and then poll returns too.
 func (l *Loop) wake() {
 	one := [8]byte{1}
 	unix.Write(l.wakefd, one[:])
 }
 
-// runPosted runs what was posted before it began; what these calls post runs in the next turn.
+// runPosted runs the calls posted so far; what these post runs in the next turn.
 func (l *Loop) runPosted() {
 	var count [8]byte
 	unix.Read(l.wakefd, count[:])
@@ -55,9 +55,9 @@
 	}
 }
 
-// Call runs f on the loop's goroutine and waits until it has run, for limit at most: after
-// that it returns an error, and f may still run later. It returns ErrFull or ErrStopped as
-// Post does, and must not be called on the loop's own goroutine.
+// Call runs f on the loop's goroutine and waits until it has run. After limit it returns an
+// error, and f may still run later. It returns the errors of Post. Call must not be called on
+// the loop's own goroutine.
 func (l *Loop) Call(limit time.Duration, f func()) error {
 	done := make(chan struct{})
 	err := l.Post(func() {
--- a/internal/eventloop/queue.go
+++ b/internal/eventloop/queue.go
@@ -1,19 +1,20 @@
 package eventloop
 
-// Queue holds bytes that wait to be written or parsed. Its memory is lent by Buffers while any
-// wait; the zero Queue is empty.
+// Queue is a queue of bytes that wait to be written or parsed. Its memory comes from Buffers and
+// is returned when the queue is empty. The zero Queue is empty. All calls must use the same
+// Buffers.
 type Queue struct {
 	buf []byte
-	off int // bytes at the start of buf that were taken
+	off int // bytes at the start of buf that were removed
 }
 
-// Len is how many bytes wait.
+// Len returns how many bytes are queued.
 func (q *Queue) Len() int { return len(q.buf) - q.off }
 
-// Cap is how many bytes of memory are lent to the queue.
+// Cap returns the size of the queue's memory in bytes.
 func (q *Queue) Cap() int { return cap(q.buf) }
 
-// Bytes returns what waits; it is valid until the next call.
+// Bytes returns the queued bytes; the slice is valid until the next call that changes the queue.
 func (q *Queue) Bytes() []byte { return q.buf[q.off:] }
 
 // Add appends a copy of b.
@@ -38,11 +39,11 @@
 	q.off = 0
 }
 
-// Room returns the unused end of the memory, for a read of up to its length. The caller
-// reports by Filled how much was read.
+// Room returns the unused end of the memory, for the caller to read into. The caller then calls
+// Filled with the number of bytes read.
 func (q *Queue) Room() []byte { return q.buf[len(q.buf):cap(q.buf)] }
 
-// Filled counts n bytes of Room as waiting.
+// Filled appends the first n bytes of Room to the queue.
 func (q *Queue) Filled(n int) { q.buf = q.buf[:len(q.buf)+n] }
 
 // Take removes the first n bytes.
@@ -53,7 +54,7 @@
 	}
 }
 
-// Drop discards what waits and gives the memory back.
+// Drop removes all bytes and returns the memory.
 func (q *Queue) Drop(p *Buffers) {
 	p.Put(q.buf)
 	q.buf, q.off = nil, 0
--- a/internal/eventloop/since_test.go
+++ b/internal/eventloop/since_test.go
@@ -7,9 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestSinceBoundsArrival: events during a slow turn may have happened since that turn's own
-// poll; events while the loop waits happened when the wait ended.
-func TestSinceBoundsArrival(t *testing.T) {
+// TestEarliestArrival checks that events during a slow turn may have happened from that turn's
+// poll on, and that events during a wait happened when the wait ended.
+func TestEarliestArrival(t *testing.T) {
 	l, err := New(0)
 	if err != nil {
 		t.Fatal(err)
@@ -35,7 +35,7 @@
 	}
 	const span = 60 * time.Millisecond
 
-	l.Post(func() { // a slow turn, at whose end bytes arrive
+	l.Post(func() { // a slow turn, with bytes that arrive at its end
 		time.Sleep(span)
 		unix.Write(pair[1], []byte("x"))
 	})
@@ -43,7 +43,7 @@
 	polled := l.Now()
 	turn()
 	if since > polled || since < polled-slowTurn {
-		t.Errorf("after a slow turn: %v ms after its poll", since-polled)
+		t.Errorf("after a slow turn: EarliestArrival is %v ms after that turn's poll, want -5 to 0", since-polled)
 	}
 
 	waits := func(wait time.Duration) {
@@ -59,7 +59,7 @@
 			}
 		}
 		if early := <-sent - since; early > slowTurn {
-			t.Errorf("in a wait: %v ms before the bytes arrived", early)
+			t.Errorf("in a wait: EarliestArrival is %v ms before the bytes arrived", early)
 		}
 	}
 	waits(span)
--- a/internal/eventloop/syscalls.go
+++ b/internal/eventloop/syscalls.go
@@ -6,31 +6,31 @@
 	"golang.org/x/sys/unix"
 )
 
-// Syscalls are the system calls that a loop makes on sockets; tests and fault injection
-// replace them. Errors are the system's error numbers, unwrapped: the loop compares them.
+// Syscalls are the system calls that a loop makes on sockets. Tests and fault injection replace
+// them. Errors must be the system's error numbers, unwrapped, because the loop compares them.
 type Syscalls interface {
 	// Accept accepts a connection, non-blocking and close-on-exec.
 	Accept(listener int) (fd int, err error)
-	// Socket makes a stream socket, non-blocking and close-on-exec.
+	// Socket creates a stream socket, non-blocking and close-on-exec.
 	Socket(family int) (fd int, err error)
 	// Connect begins to connect a socket.
 	Connect(fd int, to unix.Sockaddr) error
-	// Read reads up to len(b) bytes; 0 and no error is the peer's end.
+	// Read reads up to len(b) bytes; 0 without an error means that the peer has closed its side.
 	Read(fd int, b []byte) (int, error)
-	// Write writes b, or the beginning of it.
+	// Write writes b or its beginning.
 	Write(fd int, b []byte) (int, error)
-	// WriteTwo writes two pieces in one call, or the beginning of them.
+	// WriteTwo writes two slices, or the beginning of both together, in one call.
 	WriteTwo(fd int, first, second []byte) (int, error)
-	// Wait waits for events, for timeout milliseconds at most; -1 is without limit.
+	// Wait waits for events, for at most timeout milliseconds; -1 is without limit.
 	Wait(epoll int, events []unix.EpollEvent, timeout int) (int, error)
 }
 
-// Kernel makes the real calls. It has no state.
+// Kernel makes the kernel's system calls.
 var Kernel KernelCalls
 
-// KernelCalls are the kernel's own system calls, for wrappers to embed. Calls on
-// non-blocking descriptors return at once, so they are raw: to announce a call that may block
-// to Go's scheduler costs more than a small read.
+// KernelCalls makes the kernel's system calls; wrappers embed it. Calls on non-blocking
+// descriptors are raw: they return at once, and telling Go's scheduler of a call that may block
+// costs more than a small read.
 type KernelCalls struct{}
 
 var _ Syscalls = Kernel
@@ -64,7 +64,7 @@
 	return int(n), nil
 }
 
-// Write is send(2). A socket whose peer is gone gives EPIPE, and no signal.
+// Write is send(2). If the peer has closed the connection it returns EPIPE, without a signal.
 func (KernelCalls) Write(fd int, b []byte) (int, error) {
 	if len(b) == 0 {
 		return 0, nil
@@ -77,7 +77,7 @@
 	return int(n), nil
 }
 
-// WriteTwo is sendmsg(2). It allocates nothing.
+// WriteTwo is sendmsg(2). It does not allocate.
 func (k KernelCalls) WriteTwo(fd int, first, second []byte) (int, error) {
 	if len(first) == 0 {
 		return k.Write(fd, second)
@@ -99,8 +99,8 @@
 	return int(n), nil
 }
 
-// Wait is epoll_pwait(2). It first polls by a raw call, and only if nothing is ready does it
-// make the call that may block, which it announces to Go's scheduler.
+// Wait is epoll_pwait(2). It first polls by a raw call. Only if nothing is ready does it make
+// the call that may block, through Go's scheduler.
 func (KernelCalls) Wait(epoll int, events []unix.EpollEvent, timeout int) (int, error) {
 	n, _, errno := unix.RawSyscall6(unix.SYS_EPOLL_PWAIT, uintptr(epoll), uintptr(unsafe.Pointer(&events[0])),
 		uintptr(len(events)), 0, 0, 0)
--- a/internal/eventloop/syscalls_test.go
+++ b/internal/eventloop/syscalls_test.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// failingCalls fails chosen system calls; where a function is nil or returns nil, the kernel
-// makes the call. calls counts those for which a function was asked.
+// failingCalls makes system calls fail with the errors that its functions return. If a function
+// is nil or returns nil, the kernel makes the call. calls counts the calls of these functions.
 type failingCalls struct {
 	KernelCalls
 	accept, socket, connect, read, write, wait func() error
@@ -64,10 +64,10 @@
 	return f.KernelCalls.Wait(epoll, events, timeout)
 }
 
-// failAlways fails every call with err.
+// failAlways returns a function that fails every call with err.
 func failAlways(err error) func() error { return func() error { return err } }
 
-// failTimes fails the first n calls with err.
+// failTimes returns a function that fails the first n calls with err.
 func failTimes(n int, err error) func() error {
 	return func() error {
 		if n == 0 {
@@ -78,7 +78,7 @@
 	}
 }
 
-// turnFor has the loop turn for a span of ms, and returns how many turns that made.
+// turnFor runs the loop for span ms, and returns the number of turns.
 func turnFor(t *testing.T, l *Loop, span Millis) uint64 {
 	t.Helper()
 	before, over := l.Turns(), false
@@ -91,7 +91,7 @@
 	return l.Turns() - before
 }
 
-// newLoop makes a loop that the test turns by hand, with its system calls made by calls.
+// newLoop returns a loop that uses calls, and whose turns the test runs itself.
 func newLoop(t testing.TB, calls Syscalls) *Loop {
 	t.Helper()
 	l, err := New(0)
@@ -103,7 +103,7 @@
 	return l
 }
 
-// socketPair makes two connected stream sockets, closed when the test ends.
+// socketPair returns two connected stream sockets, which are closed when the test ends.
 func socketPair(t testing.TB) (ours, theirs int) {
 	t.Helper()
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -1,28 +1,28 @@
 package eventloop
 
-// A Timer calls its function once when it is due. The zero value is idle. It can be armed
-// again after it was due or disarmed. Set F before arming.
+// A Timer calls its function once when it is due. The zero value is not armed. A Timer can be
+// armed again after it was due or disarmed. F must be set before.
 //
-// Arming for later and disarming are cheap: the timer keeps its position in the heap, and is
-// examined again when that position comes up. Most timers are timeouts that are postponed all
-// the time and seldom reached.
+// Moving a timer to a later time and disarming it are cheap, because most timers are timeouts
+// that are often postponed and seldom reached: the timer keeps its position in the heap, and the
+// loop examines it again when that position comes first.
 type Timer struct {
 	// F is called on the loop's goroutine.
 	F        func()
-	heapKey  Millis // what the heap sorts it by; never after due while it is armed
+	heapKey  Millis // by which the heap is sorted; not after due while the timer is armed
 	due      Millis // when F is to be called
-	seq      uint64 // order of arming, among equal heapKeys
-	position int    // in the heap, from 1; 0: it is not in it
+	seq      uint64 // order of arming, for equal heapKeys
+	position int    // in the heap, from 1; 0: not in the heap
 	armed    bool
 }
 
-// Armed reports whether the timer waits to be due.
+// Armed reports whether the timer is armed.
 func (t *Timer) Armed() bool { return t.armed }
 
-// Arm makes the timer due after in milliseconds, counted from the beginning of the present
-// turn; a timer that is armed already is moved. A negative in counts as 0.
-func (l *Loop) Arm(t *Timer, in Millis) {
-	t.due = l.now + max(in, 0)
+// Arm makes the timer due delay milliseconds after the beginning of the current turn. It moves a
+// timer that is armed already. A negative delay counts as 0.
+func (l *Loop) Arm(t *Timer, delay Millis) {
+	t.due = l.now + max(delay, 0)
 	if !t.armed {
 		t.armed = true
 		l.timers.armedCount++
@@ -40,8 +40,8 @@
 	l.timers.push(t)
 }
 
-// Disarm stops a timer; it does nothing to one that is not armed. The loop may keep a
-// reference to the timer until it would have been due; see Forget.
+// Disarm stops a timer. It has no effect on one that is not armed. The loop may keep a reference
+// to the timer until it would have been due; see Forget.
 func (l *Loop) Disarm(t *Timer) {
 	if t.armed {
 		t.armed = false
@@ -49,7 +49,8 @@
 	}
 }
 
-// Forget disarms a timer that will not be used again, and drops the loop's reference to it.
+// Forget disarms a timer and removes the loop's reference to it. It is for timers that are not
+// used again.
 func (l *Loop) Forget(t *Timer) {
 	l.Disarm(t)
 	if t.position > 0 {
@@ -57,11 +58,11 @@
 	}
 }
 
-// AfterFunc calls f once after in milliseconds. It allocates: use a Timer of your own on hot
-// paths.
-func (l *Loop) AfterFunc(in Millis, f func()) *Timer {
+// AfterFunc calls f once, delay milliseconds after the beginning of the current turn. It
+// allocates a Timer; hot paths should reuse their own.
+func (l *Loop) AfterFunc(delay Millis, f func()) *Timer {
 	t := &Timer{F: f}
-	l.Arm(t, in)
+	l.Arm(t, delay)
 	return t
 }
 
@@ -76,11 +77,12 @@
 	return func() { l.Forget(t) }
 }
 
-// Timers is how many timers are armed.
+// Timers returns how many timers are armed.
 func (l *Loop) Timers() int { return l.timers.armedCount }
 
-// runTimers runs the timers that are due at the time of the turn. What these arm waits for the
-// next turn, so that a timer that arms itself for now cannot keep the loop from its events.
+// runTimers runs the timers that are due at the time of the turn. Timers armed meanwhile wait
+// for the next turn, so that a timer which arms itself for now cannot keep the loop from its
+// events.
 func (l *Loop) runTimers() {
 	lastSeq := l.timers.seq
 	for len(l.timers.list) > 0 {
@@ -101,9 +103,9 @@
 	}
 }
 
-// timerHeap is a four-way heap by heapKey, equal keys in the order of arming. It is its own
-// code because container/heap costs an interface call for each comparison; four children to a
-// node keep it shallow, as most changes are an arming, which goes up.
+// timerHeap is a heap with four children per node, sorted by heapKey and then by the order of
+// arming. container/heap would cost an interface call for each comparison. Four children keep
+// the heap shallow, which suits arming, the most frequent change: it moves a timer up.
 type timerHeap struct {
 	list       []*Timer
 	seq        uint64
--- a/internal/eventloop/timer_test.go
+++ b/internal/eventloop/timer_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestTimersAgainstModel: whatever is armed, moved and disarmed, timers run when they are due
-// and not before.
+// TestTimersAgainstModel checks for random sequences of Arm, Disarm and Forget that timers run
+// when they are due, and not earlier.
 func TestTimersAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := &Loop{}
@@ -54,7 +54,7 @@
 	})
 }
 
-// TestTimersRunInOrder: timers run in the order in which they are due.
+// TestTimersRunInOrder checks that timers run in the order in which they are due.
 func TestTimersRunInOrder(t *testing.T) {
 	l := startLoop(t)
 	got := make(chan int, 3)
@@ -65,7 +65,7 @@
 	})
 	for _, want := range []int{10, 20, 30} {
 		if in := <-got; in != want {
-			t.Fatalf("timer of %d ms came due before that of %d ms", in, want)
+			t.Fatalf("timer of %d ms ran before that of %d ms", in, want)
 		}
 	}
 }
--- a/internal/proxy/limits/jitter.go
+++ b/internal/proxy/limits/jitter.go
@@ -11,8 +11,8 @@
 }
 
 // NewJitter returns a Jitter whose random numbers come from a seed.
-func NewJitter(seed uint64, part float64) *Jitter {
-	return &Jitter{Share: part, random: rand.New(rand.NewPCG(seed, 0x1177e4))}
+func NewJitter(seed uint64, share float64) *Jitter {
+	return &Jitter{Share: share, random: rand.New(rand.NewPCG(seed, 0x1177e4))}
 }
 
 // After converts a wait in ms into a Retry-After in whole seconds. It adds up to Share of the
