--- a/internal/proxy/hotrestart/hotrestart_test.go
+++ b/internal/proxy/hotrestart/hotrestart_test.go
@@ -16,8 +16,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// predecessor offers a listener, learned state and a configuration version, and notes what
-// its Server calls back with.
+// predecessor is a process that hands over a listener, learned state and a configuration
+// version, and records the callbacks of its Server.
 type predecessor struct {
 	t        *testing.T
 	path     string
@@ -78,9 +78,9 @@
 	p.t.Fatalf("no %s in 5 s; failures %v, warnings %v", what, p.failures, p.warnings)
 }
 
-// A whole hot restart: sockets that accept, learned state and configuration version over
-// many messages, connections with notes between them in their order, configuration versions
-// the other way, and the end.
+// TestTakeOver checks a complete hot restart: the listening socket, learned state and
+// configuration version of many messages, connections and notes in order, configuration versions
+// in the other direction, and the end.
 func TestTakeOver(t *testing.T) {
 	p := newPredecessor(t, 5*time.Second)
 	successor, err := TakeOver(p.path)
@@ -98,7 +98,7 @@
 	}
 	defer listener.Close()
 	if listener.Addr().String() != p.listener.Addr().String() {
-		t.Errorf("it listens at %v, not at %v", listener.Addr(), p.listener.Addr())
+		t.Errorf("the successor listens at %v, want %v", listener.Addr(), p.listener.Addr())
 	}
 	events, ended := make(chan string, 1000), make(chan bool)
 	err = successor.Ready(func(fd int) {
@@ -119,7 +119,7 @@
 	p.await("call of OnServing", func() bool { return p.sender != nil })
 	const conns = 200
 	var clients []net.Conn
-	for i := range conns { // each is accepted here, and answered there
+	for i := range conns { // the predecessor accepts each, and the successor answers it
 		c, err := net.Dial("tcp", p.listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -135,10 +135,10 @@
 		raw.Close()
 		accepted.Close()
 		if err != nil || !p.sender.SendConn(fd) {
-			t.Fatal(err, "a connection is not queued")
+			t.Fatal(err, "a connection was not queued")
 		}
 		if i == conns/2 && !p.sender.SendNote(map[string]int{"half": i}) {
-			t.Fatal("a note is not queued")
+			t.Fatal("a note was not queued")
 		}
 	}
 	for i, c := range clients {
@@ -153,7 +153,7 @@
 			want = `note {"half":100}`
 		}
 		if got := <-events; got != want {
-			t.Errorf("event %d is %q, not %q", i, got, want)
+			t.Errorf("event %d is %q, want %q", i, got, want)
 		}
 	}
 	for _, v := range []string{"small", strings.Repeat("large ", 40000)} {
@@ -168,32 +168,33 @@
 	select {
 	case <-ended:
 	case <-time.After(5 * time.Second):
-		t.Fatal("onEnd is not called")
+		t.Fatal("onEnd was not called within 5 s")
 	}
 	if p.sender.Sent != conns || p.sender.SendConn(0) || p.sender.SendNote(1) {
-		t.Errorf("%d sent, and one more after the end", p.sender.Sent)
+		t.Errorf("%d connections sent, want 200 and none after Close", p.sender.Sent)
 	}
-	if _, err := TakeOver(p.path); !errors.Is(err, ErrNoPredecessor) { // the path is the successor's to listen at
-		t.Errorf("TakeOver from one that has left: %v", err)
+	if _, err := TakeOver(p.path); !errors.Is(err, ErrNoPredecessor) { // the successor may listen at the path
+		t.Errorf("TakeOver from a predecessor that has ended: %v, want ErrNoPredecessor", err)
 	}
 }
 
-// A successor that crashes at any moment, is silent or sends malformed messages leaves the
-// predecessor listening; OnFailure is called where it had got the handover.
+// TestSuccessorFails checks that the predecessor keeps listening for the next successor when one
+// crashes at any point, sends nothing or sends malformed messages, and that OnFailure is called
+// if the failed one had received the handover.
 func TestSuccessorFails(t *testing.T) {
 	hello := message(messageHello, []byte{Version})
 	for _, c := range []struct {
 		name   string
 		behave func(c *net.UnixConn)
-		failed bool // OnFailure is due
+		failed bool // OnFailure must be called
 	}{
-		{"says nothing", func(c *net.UnixConn) {}, false},
-		{"speaks another version", func(c *net.UnixConn) { c.Write(message(messageHello, []byte{Version + 1})) }, false},
-		{"says something else", func(c *net.UnixConn) { c.Write([]byte("GET / HTTP/1.1")) }, false},
+		{"sends nothing", func(c *net.UnixConn) {}, false},
+		{"sends another version", func(c *net.UnixConn) { c.Write(message(messageHello, []byte{Version + 1})) }, false},
+		{"sends another protocol", func(c *net.UnixConn) { c.Write([]byte("GET / HTTP/1.1")) }, false},
 		{"reads nothing", func(c *net.UnixConn) { c.Write(hello) }, true},
-		{"reads half", func(c *net.UnixConn) { c.Write(hello); c.Read(make([]byte, 10)); receive(c) }, true},
+		{"reads part of the handover", func(c *net.UnixConn) { c.Write(hello); c.Read(make([]byte, 10)); receive(c) }, true},
 		{"does not become ready", func(c *net.UnixConn) { c.Write(hello); readAndDrop(c, 300*time.Millisecond) }, true},
-		{"is not ready but says so otherwise", func(c *net.UnixConn) { c.Write(hello); go readAndDrop(c, time.Second); c.Write([]byte("ready")) }, true},
+		{"sends a malformed ready", func(c *net.UnixConn) { c.Write(hello); go readAndDrop(c, time.Second); c.Write([]byte("ready")) }, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := newPredecessor(t, 100*time.Millisecond)
@@ -206,11 +207,11 @@
 			p.await("warning", func() bool { return len(p.warnings) == 1 && (len(p.failures) == 1) == c.failed })
 			successor, err := TakeOver(p.path)
 			if err != nil || !bytes.Equal(successor.LearnedState, p.handover.LearnedState) {
-				t.Fatal("the next successor gets no handover:", err)
+				t.Fatal("the next successor got no handover:", err)
 			}
 			successor.Abort()
 			p.await("second warning", func() bool { return len(p.warnings) == 2 && p.sender == nil })
-			if c, err := net.Dial("tcp", p.listener.Addr().String()); err != nil { // the listener lives on
+			if c, err := net.Dial("tcp", p.listener.Addr().String()); err != nil { // the listener is open
 				t.Error(err)
 			} else {
 				c.Close()
@@ -219,7 +220,7 @@
 	}
 }
 
-// readAndDrop reads messages until the span is over.
+// readAndDrop reads messages for the given time and discards them.
 func readAndDrop(conn *net.UnixConn, span time.Duration) {
 	conn.SetReadDeadline(time.Now().Add(span))
 	for {
@@ -231,8 +232,9 @@
 	}
 }
 
-// Connections that are queued for a successor that has crashed are closed, and soon none is
-// queued any more: clients see an end and no silence.
+// TestSuccessorCrashesAfterReady guards against clients that wait for an answer which no process
+// will send: connections queued for a successor that has crashed must be closed, and SendConn
+// must soon accept no more.
 func TestSuccessorCrashesAfterReady(t *testing.T) {
 	p := newPredecessor(t, 5*time.Second)
 	successor, err := TakeOver(p.path)
@@ -258,27 +260,27 @@
 		queued++
 		unix.SetsockoptTimeval(pair[1], unix.SOL_SOCKET, unix.SO_RCVTIMEO, &unix.Timeval{Sec: 5})
 		if n, err := unix.Read(pair[1], make([]byte, 1)); n != 0 || err != nil {
-			t.Fatalf("connection %d: %d bytes, %v, where its end was due", queued, n, err)
+			t.Fatalf("connection %d: read %d bytes, %v, want the end of the connection", queued, n, err)
 		}
 		unix.Close(pair[1])
 	}
 	if queued == 200 {
-		t.Error("200 connections were queued for a successor that is gone")
+		t.Error("200 connections were queued for a successor that has crashed")
 	}
 	p.sender.Close()
 }
 
-// A predecessor that is gone or breaks off is an error of TakeOver; a socket that was left
-// behind is replaced, and a file that is none is not.
+// TestPredecessorFails checks that TakeOver returns an error if the predecessor has ended or fails
+// during the handover, and that Listen replaces a stale socket but no other file.
 func TestPredecessorFails(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "handover")
 	if _, err := TakeOver(path); !errors.Is(err, ErrNoPredecessor) {
 		t.Errorf("no predecessor: %v", err)
 	}
 	for name, messages := range map[string][][]byte{
-		"refuses":                 {message(messageRefuse, []byte("drains already"))},
-		"breaks off":              {message(messageSockets, nil), message(messageLearnedState, []byte("half"))},
-		"speaks another protocol": {[]byte("HTTP/1.1 200 OK")},
+		"rejects":               {message(messageRefuse, []byte("drains already"))},
+		"ends early":            {message(messageSockets, nil), message(messageLearnedState, []byte("half"))},
+		"uses another protocol": {[]byte("HTTP/1.1 200 OK")},
 	} {
 		listener, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
 		if err != nil {
@@ -314,15 +316,15 @@
 		t.Fatal("a stale socket:", err)
 	}
 	if _, err := TakeOver(path); err == nil || !strings.Contains(err.Error(), "not now") {
-		t.Errorf("one that refuses: %v", err)
+		t.Errorf("a predecessor that rejects: %v", err)
 	}
 	s.Close()
 	file := filepath.Join(t.TempDir(), "precious")
 	os.WriteFile(file, []byte("x"), 0o600)
 	if _, err := Listen(Options{Path: file}); err == nil || !strings.Contains(err.Error(), "name a path") {
-		t.Errorf("a file in the way: %v", err)
+		t.Errorf("Listen at the path of a file: %v", err)
 	}
 	if b, err := os.ReadFile(file); string(b) != "x" {
-		t.Errorf("the file is gone: %v", err)
+		t.Errorf("Listen changed or removed the file: %v", err)
 	}
 }
--- a/internal/proxy/hotrestart/predecessor.go
+++ b/internal/proxy/hotrestart/predecessor.go
@@ -10,42 +10,43 @@
 	"golang.org/x/sys/unix"
 )
 
-// Handover is what a predecessor gives first. The descriptors stay the predecessor's: the
-// successor gets duplicates.
+// Handover is what a predecessor sends before the successor serves. The predecessor keeps its
+// descriptors: the successor receives duplicates.
 type Handover struct {
 	Listener      int    // descriptor of the listening socket; 0: none
 	Admin         int    // descriptor of the admin listener; 0: none
 	LearnedState  []byte // by package learnedstate
 	Clients       []byte // what is known of clients, as JSON
-	ConfigVersion []byte // the configuration version in force; nil: that of the file
+	ConfigVersion []byte // the configuration version in use; nil: that of the file
 }
 
-// Options are a predecessor's. Its functions are called one at a time, on goroutines of
+// Options are the options of Listen. The functions are called one at a time, on goroutines of
 // this package.
 type Options struct {
-	// Path is that of the Unix socket. A socket that an ended process left there is
-	// replaced; any other file is an error of Listen.
+	// Path is the path of the Unix socket. Listen replaces a socket that an ended process left
+	// there, and returns an error for any other file.
 	Path string
 	// ReadyTimeout is how long a successor may take from the complete handover to Ready.
 	ReadyTimeout time.Duration
-	// Prepare gathers the handover: a successor has connected. An error refuses it.
+	// Prepare returns the handover for a successor that has connected. An error rejects the
+	// successor.
 	Prepare func() (*Handover, error)
-	// OnServing is called once the successor serves; the sender passes it connections.
+	// OnServing is called once the successor serves, with the sender to it.
 	OnServing func(sender *Sender)
-	// OnFailure is called where the successor failed, or took too long, after Prepare had
-	// succeeded: this process goes on serving.
+	// OnFailure is called if the successor fails, or takes too long, after a successful
+	// Prepare: this process must continue to serve.
 	OnFailure func(err error)
-	// OnConfigVersion is called after OnServing, when the successor goes by another
-	// configuration version. nil ends the reading at the first.
+	// OnConfigVersion is called after OnServing with each configuration version that the
+	// successor switches to. If it is nil, reading from the successor ends at the first.
 	OnConfigVersion func(version []byte)
-	// OnNote is called after OnServing for each of the successor's notes. nil ends the
-	// reading at the first.
+	// OnNote is called after OnServing with each note of the successor. If it is nil, reading
+	// from the successor ends at the first.
 	OnNote func(json []byte)
-	// Warn takes messages for the operator; nil: they are dropped.
+	// Warn receives warnings for the operator. If it is nil they are dropped.
 	Warn func(text string)
 }
 
-// Server is the predecessor's end: it waits for successors until one serves.
+// Server is the predecessor's side: it waits for successors until one serves.
 type Server struct {
 	options  Options
 	listener *net.UnixListener
@@ -65,7 +66,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("hot restart: %w; name a path in a folder that the router may write to", err)
 	}
-	listener.SetUnlinkOnClose(false) // by then it may be the successor's
+	listener.SetUnlinkOnClose(false) // the path may be the successor's by then
 	if err := os.Chmod(options.Path, 0o600); err != nil {
 		listener.Close()
 		return nil, fmt.Errorf("hot restart: %w", err)
@@ -76,8 +77,8 @@
 	return s, nil
 }
 
-// Close stops waiting. A handover in progress is broken off; what a successor that serves
-// was given stays with it.
+// Close stops waiting for successors and ends a handover in progress. It does not affect a
+// successor that serves.
 func (s *Server) Close() {
 	select {
 	case <-s.closed:
@@ -110,7 +111,7 @@
 	}
 }
 
-// handOver gives a successor the handover, and reports whether it serves.
+// handOver sends a successor the handover, and reports whether the successor serves.
 func (s *Server) handOver(conn *net.UnixConn) (serving bool, err error) {
 	if err := checkSameUser(conn); err != nil {
 		return false, err
@@ -128,18 +129,18 @@
 		err = s.awaitReady(conn)
 	}
 	if err != nil {
-		err = fmt.Errorf("hot restart: the successor does not serve, this process goes on: %w", err)
+		err = fmt.Errorf("hot restart: successor failed, this process continues to serve: %w", err)
 		s.options.OnFailure(err)
 		return false, err
 	}
-	s.listener.Close() // the path is the successor's to listen at
+	s.listener.Close() // the successor listens at the path from now on
 	sender := newSender(conn)
 	s.options.OnServing(sender)
 	go s.receiveFromSuccessor(conn)
 	return true, nil
 }
 
-// readHello reads a successor's first message, and refuses one of another version.
+// readHello reads a successor's first message, and rejects another protocol version.
 func readHello(conn *net.UnixConn) error {
 	conn.SetDeadline(time.Now().Add(messageTimeout))
 	buf := make([]byte, 256)
@@ -148,8 +149,8 @@
 		return fmt.Errorf("hot restart: read the successor's hello: %w", err)
 	}
 	if n != 2 || messageKind(buf[0]) != messageHello || buf[1] != Version {
-		conn.Write(message(messageRefuse, fmt.Appendf(nil, "this process speaks version %d", Version)))
-		return fmt.Errorf("hot restart: the successor speaks another version: %q", buf[:n])
+		conn.Write(message(messageRefuse, fmt.Appendf(nil, "this process uses protocol version %d", Version)))
+		return fmt.Errorf("hot restart: the successor's hello is malformed or of another protocol version: %q", buf[:n])
 	}
 	return nil
 }
@@ -182,7 +183,7 @@
 	return err
 }
 
-// awaitReady waits until the successor says that it serves; Close breaks it off.
+// awaitReady waits until the successor reports that it serves; Close ends the wait.
 func (s *Server) awaitReady(conn *net.UnixConn) error {
 	conn.SetDeadline(time.Now().Add(s.options.ReadyTimeout))
 	answered := make(chan struct{})
@@ -200,13 +201,13 @@
 		return err
 	}
 	if n != 1 || messageKind(buf[0]) != messageReady {
-		return fmt.Errorf("it sent %q", buf[:n])
+		return fmt.Errorf("it sent %q instead of ready", buf[:n])
 	}
 	conn.SetDeadline(time.Time{})
 	return nil
 }
 
-// receiveFromSuccessor takes the messages of a successor that serves, until the connection
+// receiveFromSuccessor handles the messages of a successor that serves, until the connection
 // ends.
 func (s *Server) receiveFromSuccessor(conn *net.UnixConn) {
 	buf := make([]byte, maxPartBytes+1)
--- a/internal/proxy/hotrestart/protocol.go
+++ b/internal/proxy/hotrestart/protocol.go
@@ -10,41 +10,41 @@
 	"golang.org/x/sys/unix"
 )
 
-// Version is that of the protocol; predecessor and successor must have the same.
+// Version is the version of the protocol, which predecessor and successor must share.
 const Version = 2
 
-// messageKind is the first byte of a message. Messages keep their boundaries
+// messageKind is the first byte of a message. The socket keeps message boundaries
 // (SOCK_SEQPACKET).
 type messageKind byte
 
 const (
 	messageHello         messageKind = 'h' // successor: protocol version
 	messageRefuse        messageKind = 'x' // predecessor: the reason
-	messageSockets       messageKind = 's' // predecessor: a byte for each descriptor that comes along (socketListener, socketAdmin)
+	messageSockets       messageKind = 's' // predecessor: listening sockets, and a byte for each (socketListener, socketAdmin)
 	messageLearnedState  messageKind = 'm' // predecessor: part of the learned state
 	messageClients       messageKind = 'p' // predecessor: part of what is known of clients
 	messageConfigVersion messageKind = 'v' // both: part of a configuration version
-	messageComplete      messageKind = 'w' // predecessor: the handover is complete; both, later: the configuration version is
+	messageComplete      messageKind = 'w' // predecessor: end of the handover; successor, after ready: end of a configuration version
 	messageReady         messageKind = 'r' // successor: it serves
 	messageNote          messageKind = 'n' // both: a note, as JSON
 	messageConnections   messageKind = 'c' // predecessor: connections between requests
 )
 
-// What a descriptor in messageSockets is.
+// Uses of the descriptors in messageSockets.
 const (
 	socketListener = 'l'
 	socketAdmin    = 'a'
 )
 
 const (
-	maxPartBytes   = 48 << 10         // payload of a message; a datagram must fit the socket's buffer
-	maxDescriptors = 64               // in a message; the kernel takes 253
-	maxTotalBytes  = 256 << 20        // of a handover, or a configuration version: bounds memory against a faulty peer
-	sendQueueLen   = 8192             // descriptors and notes that wait to be sent
-	messageTimeout = 10 * time.Second // for each message until the handover is complete
+	maxPartBytes   = 48 << 10         // payload of a message, which must fit the socket's buffer
+	maxDescriptors = 64               // per message; the kernel allows 253
+	maxTotalBytes  = 256 << 20        // of a handover or configuration version; bounds memory against a faulty peer
+	sendQueueLen   = 8192             // descriptors and notes
+	messageTimeout = 10 * time.Second // for each message of the handover, and each sent after it
 )
 
-// String names the kind in errors.
+// String returns the name of the kind for errors.
 func (k messageKind) String() string {
 	switch k {
 	case messageHello:
@@ -71,12 +71,12 @@
 	return fmt.Sprintf("unknown kind %q", byte(k))
 }
 
-// message is a message's bytes.
+// message returns the bytes of a message.
 func message(kind messageKind, payload []byte) []byte {
 	return append([]byte{byte(kind)}, payload...)
 }
 
-// writeParts sends a payload as messages of one kind.
+// writeParts sends a payload in as many messages of one kind as needed.
 func writeParts(conn *net.UnixConn, kind messageKind, payload []byte) error {
 	for len(payload) > 0 {
 		n := min(len(payload), maxPartBytes)
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// receive reads a message and the descriptors that come with it, which are the caller's.
+// receive reads a message and its descriptors, which the caller must close.
 func receive(conn *net.UnixConn) (kind messageKind, payload []byte, descriptors []int, err error) {
 	buf := make([]byte, maxPartBytes+1)
 	oob := make([]byte, unix.CmsgSpace(4*maxDescriptors))
@@ -102,12 +102,12 @@
 	}
 	if n == 0 || flags&(unix.MSG_TRUNC|unix.MSG_CTRUNC) != 0 {
 		closeAll(descriptors)
-		return 0, nil, nil, errors.New("an empty or truncated message")
+		return 0, nil, nil, errors.New("empty or truncated message")
 	}
 	return messageKind(buf[0]), buf[1:n], descriptors, nil
 }
 
-// parseDescriptors takes the descriptors out of a message's control data.
+// parseDescriptors returns the descriptors in a message's control data, set to close on exec.
 func parseDescriptors(oob []byte) (descriptors []int, err error) {
 	if len(oob) == 0 {
 		return nil, nil
@@ -135,8 +135,8 @@
 	}
 }
 
-// checkSameUser refuses a peer process of another user: descriptors and learned state are
-// for this router's own user alone.
+// checkSameUser returns an error for a peer process of another user, which must not get
+// descriptors and learned state.
 func checkSameUser(conn *net.UnixConn) error {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -151,7 +151,7 @@
 		return fmt.Errorf("hot restart: identify the peer: %w", errors.Join(err, peerErr))
 	}
 	if int(peer.Uid) != os.Getuid() {
-		return fmt.Errorf("hot restart: process %d of user %d is rejected; only this process's user may take over", peer.Pid, peer.Uid)
+		return fmt.Errorf("hot restart: rejected process %d of user %d: peers must run as the user of this process", peer.Pid, peer.Uid)
 	}
 	return nil
 }
--- a/internal/proxy/hotrestart/protocol_test.go
+++ b/internal/proxy/hotrestart/protocol_test.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// Each kind of message has a name of its own in errors.
+// TestMessageKindString checks that each kind of message has a different name.
 func TestMessageKindString(t *testing.T) {
 	seen := map[string]bool{}
 	for _, kind := range []messageKind{messageHello, messageRefuse, messageSockets, messageLearnedState, messageClients,
 		messageConfigVersion, messageComplete, messageReady, messageNote, messageConnections} {
 		name := kind.String()
 		if seen[name] || strings.HasPrefix(name, "unknown") {
-			t.Errorf("kind %q is called %q", byte(kind), name)
+			t.Errorf("kind %q has the name %q", byte(kind), name)
 		}
 		seen[name] = true
 	}
 	if got := messageKind('?').String(); got != `unknown kind '?'` {
-		t.Errorf("a kind that is none is called %s", got)
+		t.Errorf("an unknown kind has the name %s", got)
 	}
 }
 
-// A successor's notes reach the predecessor in their order, as JSON; one that can't be
-// encoded is an error, and the connection goes on.
+// TestSuccessorSendsNotes checks that the predecessor receives a successor's notes in order, as
+// JSON, and that a note which cannot be encoded is an error that does not end the connection.
 func TestSuccessorSendsNotes(t *testing.T) {
 	p := newPredecessor(t, 5*time.Second)
 	successor, err := TakeOver(p.path)
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	if err := successor.SendNote(func() {}); err == nil || !strings.Contains(err.Error(), "encode a note") {
-		t.Errorf("a note that is no JSON: %v", err)
+		t.Errorf("a note that cannot be encoded: %v", err)
 	}
 	for _, note := range []string{"first", "second"} {
 		if err := successor.SendNote(note); err != nil {
--- a/internal/proxy/hotrestart/sender.go
+++ b/internal/proxy/hotrestart/sender.go
@@ -9,16 +9,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// Sender passes connections and notes to a successor that serves. It is safe for
-// concurrent use, and only Close waits.
+// Sender passes connections and notes to a successor that serves. It is safe for concurrent use.
+// Only Close blocks.
 type Sender struct {
 	conn   *net.UnixConn
-	queue  chan any // int: a descriptor, which is the sender's; []byte: a note's message
+	queue  chan any // int: a descriptor, owned by the sender; []byte: the message of a note
 	ended  chan struct{}
 	mu     sync.Mutex
-	closed bool // by Close, or since the successor is gone: nothing more is queued
+	closed bool // nothing more is queued: Close was called, or the successor has ended
 
-	// Sent counts the connections that were passed; to be read after Close.
+	// Sent counts the connections that were passed on. It may be read after Close.
 	Sent int
 }
 
@@ -28,12 +28,12 @@
 	return s
 }
 
-// SendConn passes a connection's descriptor on, and closes it here. false: it can't be
-// passed any more, and stays the caller's. It never waits.
+// SendConn queues a connection's descriptor to be passed on and then closed here. If it returns
+// false, the descriptor cannot be passed on and the caller still owns it. SendConn never blocks.
 func (s *Sender) SendConn(fd int) bool { return s.enqueue(fd) }
 
-// SendNote passes a value on as JSON; after the connections that were passed before it.
-// false: it is not sent. It never waits.
+// SendNote queues a value to be sent as JSON, after the connections that were queued before. It
+// returns false if the value cannot be sent. SendNote never blocks.
 func (s *Sender) SendNote(note any) bool {
 	payload, err := json.Marshal(note)
 	if err != nil || len(payload) >= maxPartBytes {
@@ -56,7 +56,7 @@
 	}
 }
 
-// Close sends what is queued, and ends the connection to the successor.
+// Close sends what is queued and closes the connection to the successor.
 func (s *Sender) Close() {
 	s.closeQueue()
 	<-s.ended
@@ -71,8 +71,8 @@
 	}
 }
 
-// sendQueued sends until the queue is closed: descriptors in batches, and each note after
-// the descriptors that were queued before it.
+// sendQueued sends the queue until it is closed: descriptors in batches, and each note after the
+// descriptors that were queued before it.
 func (s *Sender) sendQueued() {
 	defer close(s.ended)
 	defer s.conn.Close()
@@ -95,8 +95,9 @@
 	s.sendConns(pending)
 }
 
-// sendConns passes descriptors on, and closes them here. Those that could not be passed end:
-// there is nobody to serve them, and their clients see an end and no silence.
+// sendConns passes descriptors on and closes them here. If that fails, this closes the
+// connections themselves: no process serves them, and their clients see the end at once instead
+// of waiting for an answer.
 func (s *Sender) sendConns(descriptors []int) {
 	if len(descriptors) == 0 {
 		return
--- a/internal/proxy/hotrestart/successor.go
+++ b/internal/proxy/hotrestart/successor.go
@@ -11,24 +11,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrNoPredecessor says that no process listens at the path: the router starts without learned state.
+// ErrNoPredecessor means that no process listens at the path, so that the router starts without
+// learned state.
 var ErrNoPredecessor = errors.New("hot restart: no predecessor to take over from")
 
-// Inherited is the successor's end: what it was given, and its connection to the
-// predecessor. The descriptors are the caller's, who sets one that it has taken to 0.
+// Inherited is the successor's side: what it has received, and its connection to the
+// predecessor. The caller owns the descriptors, and sets each that it uses to 0 so that Abort
+// does not close it.
 type Inherited struct {
 	Listener      int    // descriptor of the listening socket; 0: none
 	Admin         int    // descriptor of the admin listener; 0: none
 	LearnedState  []byte // by package learnedstate
 	Clients       []byte // what is known of clients, as JSON
-	ConfigVersion []byte // the configuration version in force; nil: that of the file
+	ConfigVersion []byte // the configuration version in use; nil: that of the file
 
 	conn    *net.UnixConn
-	writeMu sync.Mutex // of what is sent after Ready: the messages of a version stay together
+	writeMu sync.Mutex // guards writes after Ready, so that the messages of a version stay together
 }
 
-// TakeOver takes over from the process that listens at a path; ErrNoPredecessor where none
-// does. Until Ready the predecessor goes on serving, and after Abort or an error too.
+// TakeOver receives the handover of the process that listens at a path. It returns
+// ErrNoPredecessor if there is none. The predecessor serves until Ready, and continues to do so
+// after Abort or an error.
 func TakeOver(path string) (*Inherited, error) {
 	conn, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if errors.Is(err, unix.ENOENT) || errors.Is(err, unix.ECONNREFUSED) {
@@ -45,7 +48,7 @@
 	return in, nil
 }
 
-// readHandover asks for the handover, and reads it.
+// readHandover requests the handover and reads it.
 func (in *Inherited) readHandover() error {
 	if err := checkSameUser(in.conn); err != nil {
 		return err
@@ -59,11 +62,11 @@
 		in.conn.SetDeadline(time.Now().Add(messageTimeout))
 		kind, payload, descriptors, err := receive(in.conn)
 		if err != nil {
-			return fmt.Errorf("hot restart: the predecessor broke off: %w", err)
+			return fmt.Errorf("hot restart: read the handover: %w", err)
 		}
 		switch kind {
 		case messageRefuse:
-			return fmt.Errorf("hot restart: the predecessor refuses: %.200q", payload)
+			return fmt.Errorf("hot restart: the predecessor rejected the handover: %.200q", payload)
 		case messageSockets:
 			in.takeSockets(payload, descriptors)
 		case messageLearnedState:
@@ -77,7 +80,7 @@
 			in.conn.SetDeadline(time.Time{})
 			return nil
 		default:
-			return fmt.Errorf("hot restart: the predecessor sent a message of %v: %.40q", kind, payload)
+			return fmt.Errorf("hot restart: the predecessor sent an unexpected message of kind %v: %.40q", kind, payload)
 		}
 		if len(learnedState)+len(clients)+len(configVersion) > maxTotalBytes {
 			return fmt.Errorf("hot restart: the predecessor sent more than %d MB", maxTotalBytes>>20)
@@ -85,7 +88,7 @@
 	}
 }
 
-// takeSockets takes the descriptors by their names; those of an unknown name are closed.
+// takeSockets stores the descriptors by their names, and closes those with an unknown name.
 func (in *Inherited) takeSockets(names []byte, descriptors []int) {
 	for i, name := range names {
 		if i >= len(descriptors) {
@@ -102,9 +105,9 @@
 	}
 }
 
-// Ready tells the predecessor that this process serves. From then on, on a goroutine of its
-// own, onConn is called for each connection that is passed on, onNote for each note, and
-// onEnd once the predecessor has ended.
+// Ready tells the predecessor that this process serves. From then on onConn is called with each
+// connection that the predecessor passes on, onNote with each note, and onEnd when the
+// predecessor has closed the connection, all on one new goroutine.
 func (in *Inherited) Ready(onConn func(fd int), onNote func(json []byte), onEnd func()) error {
 	if _, err := in.conn.Write(message(messageReady, nil)); err != nil {
 		return fmt.Errorf("hot restart: tell the predecessor that this process serves: %w", err)
@@ -131,8 +134,8 @@
 }
 
 // SendConfigVersion sends the predecessor, after Ready, the configuration version that this
-// process goes by now: while it drains, the predecessor follows no control plane, and has to
-// know which endpoints drain.
+// process uses now. The predecessor needs it to know which endpoints are draining, because it
+// follows no control plane while it drains itself.
 func (in *Inherited) SendConfigVersion(version []byte) error {
 	in.writeMu.Lock()
 	defer in.writeMu.Unlock()
@@ -146,8 +149,8 @@
 	return nil
 }
 
-// SendNote sends the predecessor, after Ready, a value as JSON: what came to this process
-// only, such as a purge.
+// SendNote sends the predecessor, after Ready, a value as JSON. Notes contain what only this
+// process has received, such as a purge.
 func (in *Inherited) SendNote(note any) error {
 	payload, err := json.Marshal(note)
 	if err != nil {
@@ -162,7 +165,7 @@
 	return nil
 }
 
-// Abort gives up taking over: the predecessor goes on serving.
+// Abort ends the handover before Ready: the predecessor continues to serve.
 func (in *Inherited) Abort() {
 	for _, fd := range []int{in.Listener, in.Admin} {
 		if fd > 0 {
