--- a/internal/proxy/asynclog/asynclog.go
+++ b/internal/proxy/asynclog/asynclog.go
@@ -1,12 +1,12 @@
 // Package asynclog puts a bounded queue between a logger and its output, so that an event loop
-// that logs never waits for whoever reads the log.
+// which logs is never blocked by a slow output.
 //
-// A Queue owns its waiting lines and one goroutine that writes them; the output stays the
-// caller's to close after Close. When the queue is full, lines are dropped and counted, and the
-// count is written to the log as soon as the output moves again.
+// A Queue owns its lines and one goroutine that writes them to the output. The caller owns the
+// output, and closes it after Close. When the queue is full, lines are dropped and counted; the
+// count is logged once the output accepts lines again.
 //
-// Where to go next: internal/proxy/httpfront (log.go) and cmd/spool-router make their loggers
-// on it.
+// Where to go next: internal/proxy/httpfront (log.go) and cmd/spool-router, which use it for
+// their loggers.
 package asynclog
 
 import (
@@ -16,8 +16,7 @@
 	"sync/atomic"
 )
 
-// Queue is a bounded queue of lines that wait to be written. It is a zapcore.WriteSyncer, and
-// may be used from any goroutine.
+// Queue is a bounded queue of log lines. It is a zapcore.WriteSyncer and safe for concurrent use.
 type Queue struct {
 	lines    chan []byte
 	output   io.Writer
@@ -26,8 +25,8 @@
 	closing  sync.Once
 }
 
-// New returns a Queue of so many lines in front of output. Errors of the output are ignored:
-// there is nowhere else to log them.
+// New returns a Queue of at most the given number of lines for output. It ignores errors of
+// output, because there is no other place to log them.
 func New(output io.Writer, lines int) *Queue {
 	q := &Queue{lines: make(chan []byte, max(lines, 1)), output: output, finished: make(chan struct{})}
 	go q.run()
@@ -45,27 +44,27 @@
 	return len(line), nil
 }
 
-// Sync does nothing and returns nil; Close is what waits.
+// Sync does nothing and returns nil. Close waits for the output.
 func (q *Queue) Sync() error { return nil }
 
-// Dropped is how many lines were dropped.
+// Dropped returns how many lines were dropped.
 func (q *Queue) Dropped() uint64 { return q.dropped.Load() }
 
-// Close writes what is queued and ends the queue. It waits for the output, also for one that
-// does not move.
+// Close writes the queued lines and ends the queue. It waits for the output, even if that blocks
+// forever; see CloseNoWait.
 func (q *Queue) Close() {
 	q.CloseNoWait()
 	<-q.finished
 }
 
-// CloseNoWait ends the queue as Close does, without waiting; see Done.
+// CloseNoWait is like Close but does not wait. Done reports when the lines are written.
 func (q *Queue) CloseNoWait() { q.closing.Do(func() { close(q.lines) }) }
 
-// Done returns a channel that is closed when all is written after Close or CloseNoWait.
+// Done returns a channel that is closed when all lines are written after Close or CloseNoWait.
 func (q *Queue) Done() <-chan struct{} { return q.finished }
 
-// run writes the queued lines, and after each the number of lines dropped since the last such
-// number.
+// run writes the queued lines. After a line it also logs how many were dropped since the last
+// such report, if any were.
 func (q *Queue) run() {
 	defer close(q.finished)
 	var reported uint64
--- a/internal/proxy/asynclog/asynclog_test.go
+++ b/internal/proxy/asynclog/asynclog_test.go
@@ -7,21 +7,22 @@
 	"time"
 )
 
-// stuckWriter does not write before move is closed.
-type stuckWriter struct {
-	move chan struct{}
+// blockedWriter blocks until unblock is closed.
+type blockedWriter struct {
+	unblock chan struct{}
 	bytes.Buffer
 }
 
-func (s *stuckWriter) Write(b []byte) (int, error) {
-	<-s.move
-	return s.Buffer.Write(b)
+func (w *blockedWriter) Write(b []byte) (int, error) {
+	<-w.unblock
+	return w.Buffer.Write(b)
 }
 
-// TestStuckWriterBlocksNobody: an output that does not move blocks no logger; lines past
-// the bound are dropped, and their number is logged once it moves.
-func TestStuckWriterBlocksNobody(t *testing.T) {
-	output := &stuckWriter{move: make(chan struct{})}
+// TestBlockedOutput guards against a logger that is blocked by its output: while the output
+// blocks, Write returns, and lines beyond the bound of the queue are dropped. Once the output
+// continues, their number is logged.
+func TestBlockedOutput(t *testing.T) {
+	output := &blockedWriter{unblock: make(chan struct{})}
 	queue := New(output, 4)
 	written := make(chan struct{})
 	go func() {
@@ -33,9 +34,9 @@
 	select {
 	case <-written:
 	case <-time.After(5 * time.Second):
-		t.Fatal("a line waits for the writer")
+		t.Fatal("Write is blocked by the output")
 	}
-	close(output.move)
+	close(output.unblock)
 	queue.Close()
 	got := output.String()
 	if n := strings.Count(got, "line\n"); n < 4 || n > 6 || !strings.Contains(got, `"dropped":`) || int(queue.Dropped())+n != 100 {
--- a/internal/proxy/learnedstate/learnedstate.go
+++ b/internal/proxy/learnedstate/learnedstate.go
@@ -1,10 +1,10 @@
-// Package learnedstate encodes what a router has learned (latencies, capacities, outliers,
-// purges) for the process that replaces it, and for the journal, with a version and a
-// checksum: what is corrupt or of another version is rejected as a whole.
+// Package learnedstate encodes snapshots of what a router has learned (latencies, capacities,
+// outliers, purges) for its successor in a hot restart and for the journal. A snapshot has a
+// version and a checksum; one that is corrupt or of another version is rejected as a whole.
 //
-// It is a codec: it holds no state and decides nothing. Package hotrestart carries the bytes
-// to a successor, package journal keeps them in records, and package engine and the root
-// module take the state and restore it.
+// The package is a codec and keeps no state. Package hotrestart sends snapshots to a successor,
+// package journal stores them in records, and package engine and the root module create and
+// restore the state.
 package learnedstate
 
 import (
@@ -19,15 +19,16 @@
 	"indigospool/internal/proxy/engine"
 )
 
-// Version is that of the encoding. A successor that reads another one starts without learned state.
+// Version is the version of the encoding. A successor that reads another version starts without
+// learned state.
 const Version = 1
 
-// A snapshot is a header, and the state as CBOR behind it:
+// A snapshot is a header followed by the state in CBOR. The header, in little endian:
 //
 //	0  magic "SPOOLM"
-//	6  version (2 bytes, little endian as all of the header)
+//	6  version (2 bytes)
 //	8  length of the CBOR (4 bytes)
-//	12 its CRC-32C (4 bytes)
+//	12 CRC-32C of the CBOR (4 bytes)
 const (
 	magic       = "SPOOLM"
 	versionAt   = len(magic)
@@ -38,23 +39,23 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// ErrCorrupt says that the bytes are not a complete snapshot, as it was encoded.
+// ErrCorrupt means that a snapshot is corrupt or incomplete.
 var ErrCorrupt = errors.New("learned state: corrupt or incomplete")
 
-// ErrVersion says that the snapshot is of another version of the encoding.
+// ErrVersion means that a snapshot has another version of the encoding.
 var ErrVersion = errors.New("learned state: of another version")
 
 // Encode encodes an engine's learned state.
 func Encode(state *engine.LearnedState) ([]byte, error) { return encode(state) }
 
-// Decode decodes an engine's learned state. The error is an ErrCorrupt or ErrVersion; the
-// state is then not to be used.
+// Decode decodes an engine's learned state. Its errors wrap ErrCorrupt or ErrVersion; the state
+// must not be used then.
 func Decode(snapshot []byte) (*engine.LearnedState, error) {
 	state := &engine.LearnedState{}
 	return state, decode(snapshot, state)
 }
 
-// EncodeModule encodes the decision module's learned state, as journals keep it.
+// EncodeModule encodes the decision module's learned state, as journals store it.
 func EncodeModule(state *spool.Memory) ([]byte, error) { return encode(state) }
 
 // DecodeModule decodes the decision module's learned state, with the errors of Decode.
@@ -81,7 +82,7 @@
 		return ErrCorrupt
 	}
 	if version := binary.LittleEndian.Uint16(snapshot[versionAt:]); version != Version {
-		return fmt.Errorf("%w: %d, this program reads %d", ErrVersion, version, Version)
+		return fmt.Errorf("%w: got %d, want %d", ErrVersion, version, Version)
 	}
 	body := snapshot[headerBytes:]
 	if int(binary.LittleEndian.Uint32(snapshot[lengthAt:])) != len(body) {
--- a/internal/proxy/learnedstate/learnedstate_test.go
+++ b/internal/proxy/learnedstate/learnedstate_test.go
@@ -12,13 +12,13 @@
 	"indigospool/internal/proxy/engine"
 )
 
-// gateMemory is a random concurrency limit.
+// gateMemory returns a random concurrency limit.
 func gateMemory(t *rapid.T) spool.GateMemory {
 	number := rapid.Float64Range(-1e9, 1e9)
 	return spool.GateMemory{Room: number.Draw(t, "room"), Tardy: number.Draw(t, "tardy"), Cut: number.Draw(t, "cut"), Next: number.Draw(t, "next")}
 }
 
-// learnedStates are random states, each field of which must survive.
+// learnedStates generates random states, with each field set.
 var learnedStates = rapid.Custom(func(t *rapid.T) *engine.LearnedState {
 	number := rapid.OneOf(rapid.Float64Range(-1e12, 1e12), rapid.Just(math.Pi), rapid.Just(0.1))
 	name := rapid.StringN(1, 9, 40)
@@ -39,7 +39,7 @@
 	return state
 })
 
-// A state is decoded as it was encoded, to the last bit.
+// TestEncodeDecodeRoundTrip checks that decoding returns the encoded state without any change.
 func TestEncodeDecodeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := learnedStates.Draw(t, "state")
@@ -49,12 +49,13 @@
 		}
 		got, err := Decode(snapshot)
 		if err != nil || !reflect.DeepEqual(got, want) {
-			t.Fatalf("%v:\n%+v\n%+v", err, got, want)
+			t.Fatalf("error %v, got\n%+v\nwant\n%+v", err, got, want)
 		}
 	})
 }
 
-// A snapshot that is truncated, changed or of another version is rejected.
+// TestDecodeRejectsCorruptOrOtherVersion checks that Decode returns ErrCorrupt or ErrVersion for a
+// snapshot that is truncated, changed in any byte, too long or of another version.
 func TestDecodeRejectsCorruptOrOtherVersion(t *testing.T) {
 	snapshot, err := Encode(learnedStates.Example(1))
 	if err != nil {
@@ -62,12 +63,12 @@
 	}
 	for i := range snapshot {
 		if _, err := Decode(snapshot[:i]); !errors.Is(err, ErrCorrupt) {
-			t.Fatalf("%d bytes: %v", i, err)
+			t.Fatalf("truncated to %d bytes: %v, want ErrCorrupt", i, err)
 		}
 		changed := append([]byte(nil), snapshot...)
 		changed[i] ^= 0x41
 		if _, err := Decode(changed); !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrVersion) {
-			t.Fatalf("byte %d changed: %v", i, err)
+			t.Fatalf("byte %d changed: %v, want ErrCorrupt or ErrVersion", i, err)
 		}
 	}
 	if _, err := Decode(append(snapshot, 0)); !errors.Is(err, ErrCorrupt) {
--- a/internal/proxy/unixclock/unixclock_test.go
+++ b/internal/proxy/unixclock/unixclock_test.go
@@ -9,11 +9,12 @@
 
 const start = 1.76e12 // a Unix time in ms
 
-// TestAge: ages by the latest evidence, and never from before the clock was current.
+// TestAge checks that ages follow the latest observed time, and that events which arrive after
+// MarkCurrent are never older than that call.
 func TestAge(t *testing.T) {
 	var clock Clock
 	if age := clock.Age(start, 50); age != 0 {
-		t.Errorf("without evidence: %v", age)
+		t.Errorf("without an observed time: %v, want 0", age)
 	}
 	clock.Observe(start, 100)
 	for _, c := range []struct{ unix, now, want Millis }{
@@ -23,20 +24,20 @@
 			t.Errorf("Age(%v, %v) = %v, want %v", c.unix, c.now, age, c.want)
 		}
 	}
-	clock.Observe(start+500, 200) // 400 ms sooner than by the estimate
+	clock.Observe(start+500, 200) // 400 ms ahead of the estimate
 	clock.Observe(start-3.6e6, 250)
 	if age := clock.Age(start, 300); age != 600 {
-		t.Errorf("after evidence ahead and behind: %v, want 600", age)
+		t.Errorf("after times ahead of and behind the estimate: %v, want 600", age)
 	}
 	clock.MarkCurrent(1000)
 	clock.Observe(start+3.6e6, 1100) // a time that is wrong by an hour
 	if age := clock.Age(start+1000, 1200); age != 200 {
-		t.Errorf("arrived 200 ms after the clock was current: %v old", age)
+		t.Errorf("arrived 200 ms after MarkCurrent: %v ms old, want 200", age)
 	}
 }
 
-// TestAgeNeverOverstated: for any delays on the way an age never exceeds the true one, and it is
-// short of it by no more than the least delay of anything observed.
+// TestAgeNeverOverstated checks for random delays that an age never exceeds the true one, and
+// that it falls short of it by at most the smallest delay observed.
 func TestAgeNeverOverstated(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var clock Clock
@@ -52,7 +53,7 @@
 			least = min(least, start+now-made)
 			clock.Observe(made, now)
 			if age := clock.Age(made, now); age > start+now-made+0.01 || !clock.current && age < start+now-made-least-0.01 {
-				t.Fatalf("%v ms old for %v", age, start+now-made)
+				t.Fatalf("%v ms old, but the true age is %v ms", age, start+now-made)
 			}
 		}
 	})
--- a/internal/wallclock/wallclock_test.go
+++ b/internal/wallclock/wallclock_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestStep: a step moves Now by as much, and Now has no monotonic reading.
+// TestStep checks that a step moves Now by the same duration, and that Now has no monotonic
+// reading.
 func TestStep(t *testing.T) {
 	for _, by := range []time.Duration{3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
 		before := Now()
@@ -17,10 +18,10 @@
 			t.Errorf("a step of %v moved the clock by %v", by, after.Sub(before))
 		}
 		if strings.Contains(after.String(), "m=") {
-			t.Errorf("%v has a monotonic reading, which a step doesn't move", after)
+			t.Errorf("%v has a monotonic reading, which a step does not move", after)
 		}
 	}
 	if off := time.Since(Now()); off < -time.Second || off > time.Second {
-		t.Errorf("after all steps were taken back the clock is %v off", off)
+		t.Errorf("after all steps were reversed the clock is off by %v", off)
 	}
 }
