--- a/internal/proxy/learnedstate/learnedstate.go
+++ b/internal/proxy/learnedstate/learnedstate.go
@@ -30,11 +30,11 @@
 //	8  length of the CBOR (4 bytes)
 //	12 CRC-32C of the CBOR (4 bytes)
 const (
-	magic       = "SPOOLM"
-	versionAt   = len(magic)
-	lengthAt    = versionAt + 2
-	checksumAt  = lengthAt + 4
-	headerBytes = checksumAt + 4
+	magic          = "SPOOLM"
+	versionOffset  = len(magic)
+	lengthOffset   = versionOffset + 2
+	checksumOffset = lengthOffset + 4
+	headerBytes    = checksumOffset + 4
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -78,17 +78,17 @@
 }
 
 func decode(snapshot []byte, state any) error {
-	if len(snapshot) < headerBytes || string(snapshot[:versionAt]) != magic {
+	if len(snapshot) < headerBytes || string(snapshot[:versionOffset]) != magic {
 		return ErrCorrupt
 	}
-	if version := binary.LittleEndian.Uint16(snapshot[versionAt:]); version != Version {
+	if version := binary.LittleEndian.Uint16(snapshot[versionOffset:]); version != Version {
 		return fmt.Errorf("%w: got %d, want %d", ErrVersion, version, Version)
 	}
 	body := snapshot[headerBytes:]
-	if int(binary.LittleEndian.Uint32(snapshot[lengthAt:])) != len(body) {
+	if int(binary.LittleEndian.Uint32(snapshot[lengthOffset:])) != len(body) {
 		return ErrCorrupt
 	}
-	if binary.LittleEndian.Uint32(snapshot[checksumAt:]) != crc32.Checksum(body, castagnoli) {
+	if binary.LittleEndian.Uint32(snapshot[checksumOffset:]) != crc32.Checksum(body, castagnoli) {
 		return ErrCorrupt
 	}
 	if err := cbor.Unmarshal(body, state); err != nil {
--- a/internal/proxy/learnedstate/learnedstate_test.go
+++ b/internal/proxy/learnedstate/learnedstate_test.go
@@ -74,7 +74,7 @@
 	if _, err := Decode(append(snapshot, 0)); !errors.Is(err, ErrCorrupt) {
 		t.Error(err)
 	}
-	snapshot[versionAt]++
+	snapshot[versionOffset]++
 	if _, err := Decode(snapshot); !errors.Is(err, ErrVersion) {
 		t.Error(err)
 	}
