--- a/internal/proxy/engine/core.go
+++ b/internal/proxy/engine/core.go
@@ -20,8 +20,8 @@
 // Core holds an indigospool.Router with its settings, the routes and the listed members. Like
 // the Router, it is not safe for concurrent use.
 type Core struct {
-	Settings *config.Settings
-	Recorder Recorder // is called with each event and its actions; may be nil
+	Settings *config.Settings // nil after NewFromModule
+	Recorder Recorder         // is called with each event and its actions; may be nil
 	router   *spool.Router
 	module   spool.Settings
 	routes   []route
@@ -300,6 +300,7 @@
 	return false
 }
 
+// isWrite reports whether a method is not one of the safe methods of RFC 9110.
 func isWrite(method []byte) bool {
 	switch string(method) {
 	case "GET", "HEAD", "OPTIONS", "TRACE":
--- a/internal/proxy/engine/news.go
+++ b/internal/proxy/engine/news.go
@@ -149,7 +149,7 @@
 }
 
 // UpdateFromVersion returns an update with the members of a configuration version that differ
-// from those of the version before. fresh reports that these members have just started.
+// from those of the previous version. If fresh is true, these members have just started.
 func UpdateFromVersion(number int64, members []config.Member, fresh bool) *Update {
 	u := &Update{Rev: number, Kind: "step", Members: rows(members)}
 	for i := range u.Members {
--- a/internal/proxy/limits/admission.go
+++ b/internal/proxy/limits/admission.go
@@ -18,11 +18,11 @@
 
 // Changes of the limit in one interval.
 const (
-	minCutFactor        = 0.5  // in an overload, the limit falls at most to this share
-	maxCutFactor        = 0.9  // and at least to this share
-	growthFactor        = 1.05 // otherwise it grows by this factor and by one request
-	growthMinUse        = 0.8  // if at least this share of it was in flight
-	minQueueingOverload = 1.1  // relative wait that counts at least if most requests queue for too long
+	minCutFactor        = 0.5  // smallest factor by which an overload cuts the limit
+	maxCutFactor        = 0.9  // largest factor by which an overload cuts the limit
+	growthFactor        = 1.05 // without an overload the limit grows by this factor and by one request
+	growthMinUse        = 0.8  // share of the limit that must have been in flight for it to grow
+	minQueueingOverload = 1.1  // smallest relative wait if most requests queue for too long
 )
 
 // Admission is a limit on the requests in flight that adapts to two waits: that of ready bytes
--- a/internal/proxy/limits/reputation.go
+++ b/internal/proxy/limits/reputation.go
@@ -17,7 +17,7 @@
 }
 
 // DefaultReputation returns the settings that routers use: an address is poor from the third bad
-// outcome on if at least one outcome in five is bad.
+// outcome on if more than one outcome in five is bad.
 func DefaultReputation(maxInFlight int) ReputationSettings {
 	return ReputationSettings{HalfLife: 60000, MinBad: 2.5, BadWeight: 4, MaxInFlight: maxInFlight, Addresses: 16384}
 }
