--- a/internal/proxy/engine/route.go
+++ b/internal/proxy/engine/route.go
@@ -9,56 +9,57 @@
 	"indigospool/internal/protocol/http1"
 )
 
+// segKind is the kind of a path segment in a pattern.
 type segKind uint8
 
 const (
-	segText segKind = iota
-	segAny
-	segObject
-	segGroup
-	segPart
-	segRest
+	segText   segKind = iota // literal text
+	segAny                   // another {name}, or {group} in a route without groups: any text
+	segObject                // {object}: the object's name ends with this segment
+	segGroup                 // {group}
+	segPart                  // {part}
+	segRest                  // *: the rest of the path
 )
 
 type segment struct {
 	kind segKind
-	text []byte
+	text []byte // of segText
 }
 
-// route is a compiled pattern.
+// route is a compiled config.Route.
 type route struct {
-	segs       []segment
-	class      string
-	methods    [][]byte
-	write      bool // takes writes where no methods are named
-	guarded    bool
-	kb         float64
-	deadline   float64
-	ranges     bool
-	rangeBytes int64
-	named      bool // the pattern names an object
+	segs            []segment
+	class           string
+	methods         [][]byte
+	write           bool    // the class is of writes
+	idempotentByKey bool    // writes need an Idempotency-Key
+	kb              float64 // size of an object or part
+	deadline        float64 // ms after the arrival of the request
+	ranges          bool    // the Range header selects the part
+	rangeBytes      int64   // size of a part that Range selects
+	hasObject       bool    // the pattern contains {object}; without it the whole path is the object
 
-	deadlineField, sizeField, retryField string
+	deadlineField, sizeField, retryField string // header names in lower case; empty: not used
 }
 
-// match is what a path was found to name.
+// match is the result of matching a path with a pattern.
 type match struct {
-	object  int // length of the path up to the end of the object
+	object  int // length of the object's name, which begins the path
 	group   int // -1: none
 	part    int
-	badPart bool
+	badPart bool // the segment of {part} is not a number
 }
 
 func compile(s *config.Settings, r *config.Route) (route, error) {
-	if what := config.CheckPattern(r.Pattern); what != "" || !strings.HasPrefix(r.Pattern, "/") {
-		return route{}, fmt.Errorf("core: pattern %q: %s", r.Pattern, what)
+	if fault := config.CheckPattern(r.Pattern); fault != "" || !strings.HasPrefix(r.Pattern, "/") {
+		return route{}, fmt.Errorf("engine: pattern %q: %s", r.Pattern, fault)
 	}
 	out := route{class: r.Class, kb: r.KB, ranges: r.Ranges, rangeBytes: int64(s.Fill.RangeKB) * 1024,
 		deadlineField: strings.ToLower(s.Router.DeadlineHeader), sizeField: strings.ToLower(s.Router.SizeHeader),
 		retryField: strings.ToLower(s.Router.RetryHeader)}
 	for i := range s.Classes {
 		if c := &s.Classes[i]; c.Name == r.Class {
-			out.write, out.deadline, out.guarded = c.Write, c.Deadline, c.Effect == "guarded"
+			out.write, out.deadline, out.idempotentByKey = c.Write, c.Deadline, c.Effect == "guarded"
 		}
 	}
 	for _, m := range r.Methods {
@@ -68,7 +69,7 @@
 		k := segment{kind: segText, text: []byte(seg)}
 		switch {
 		case seg == "{object}":
-			k.kind, out.named = segObject, true
+			k.kind, out.hasObject = segObject, true
 		case seg == "{group}" && !r.NoGroup:
 			k.kind = segGroup
 		case seg == "{part}":
@@ -83,7 +84,10 @@
 	return out, nil
 }
 
-func (r *route) takes(method []byte, write bool) bool {
+// accepts reports whether the route accepts a method; write is isWrite of that method. If no
+// methods are configured, a route of writes accepts every write but CONNECT, and any other
+// route accepts GET and HEAD.
+func (r *route) accepts(method []byte, write bool) bool {
 	if len(r.methods) == 0 {
 		if r.write {
 			return write && string(method) != "CONNECT"
@@ -98,7 +102,8 @@
 	return false
 }
 
-// match compares a path, without its query, with the pattern.
+// match reports whether the path of target, without the query, matches the pattern, and sets m
+// to what the segments contain.
 func (r *route) match(target []byte, m *match) bool {
 	*m = match{group: -1}
 	path := target
@@ -133,22 +138,23 @@
 		case segObject:
 			m.object = end
 		case segGroup:
-			m.group = groupOf(text)
+			m.group = groupNumber(text)
 		case segPart:
-			m.part, m.badPart = whole(text)
+			m.part, m.badPart = parseNumber(text)
 		}
 		at = end + 1
 	}
 	if at != len(path)+1 {
 		return false
 	}
-	if !r.named {
+	if !r.hasObject {
 		m.object = len(path)
 	}
 	return true
 }
 
-func whole(b []byte) (n int, bad bool) {
+// parseNumber parses a decimal number of one to nine digits.
+func parseNumber(b []byte) (n int, bad bool) {
 	if len(b) == 0 || len(b) > 9 {
 		return 0, true
 	}
@@ -161,9 +167,10 @@
 	return n, false
 }
 
-// groupOf is the number of a group: itself where it is one, else a hash.
-func groupOf(text []byte) int {
-	if n, bad := whole(text); !bad {
+// groupNumber returns the number by which the module knows a group: that in the text, or else
+// 30 bits of the text's FNV-1a hash plus 1<<30, which no number of nine digits reaches.
+func groupNumber(text []byte) int {
+	if n, bad := parseNumber(text); !bad {
 		return n
 	}
 	h := uint32(2166136261)
@@ -173,10 +180,10 @@
 	return int(h>>1) | 1<<30
 }
 
-// GroupNumber is the number by which the module knows a group named in a path.
-func GroupNumber(text string) int { return groupOf([]byte(text)) }
+// GroupNumber returns the number by which the module knows a group named in a path.
+func GroupNumber(text string) int { return groupNumber([]byte(text)) }
 
-// Parse reads a request head, with the limits of the settings.
+// Parse parses a request head within the limits of the settings; see http1.ParseRequest.
 func (c *Core) Parse(buf []byte, h *http1.Head) (int, error) {
 	l := &c.Settings.Limits
 	return http1.ParseRequest(buf, h, http1.Limits{Line: l.Line, Head: l.Head, Fields: l.Fields})
--- a/internal/proxy/limits/cause.go
+++ b/internal/proxy/limits/cause.go
@@ -1,6 +1,6 @@
 package limits
 
-// Cause says why a connection was cut, or a request rejected or shed.
+// Cause is the reason why a connection was closed, or a request rejected or shed.
 type Cause uint8
 
 // The causes.
@@ -11,16 +11,17 @@
 	SlowReader           // a client read its answer too slowly
 	SlowMember           // a member sent its answer too slowly
 	Overload             // as many requests are in flight as the router can serve now
-	RetryLimit           // too many retries, of this client or of all
+	RetryLimit           // too many retries, by this client address or by all clients
 	Memory               // the memory budget is used up
-	PerAddress           // as many connections of one client address as allowed
-	Descriptors          // as many connections as there are descriptors for
-	PoorReputation       // its address has wasted the capacity that it had
-	causes
+	PerAddress           // too many connections of one client address
+	Descriptors          // no file descriptor is left for another connection
+	PoorReputation       // the client address has wasted the capacity given to it
+	numCauses
 )
 
-// causeNames stand in logs and counters, which pages name: they do not follow the constants.
-var causeNames = [causes]string{
+// causeNames are used in logs and counters, and documented there: they stay if the constants are
+// renamed.
+var causeNames = [numCauses]string{
 	None:           "none",
 	SlowHead:       "slow-head",
 	SlowBody:       "slow-body",
@@ -38,7 +39,7 @@
 func (c Cause) String() string { return causeNames[c] }
 
 // Counts counts events by cause.
-type Counts [causes]uint64
+type Counts [numCauses]uint64
 
 // Map returns the counts that are not zero, by the names of their causes.
 func (c *Counts) Map() map[string]uint64 {
