--- a/internal/protocol/discovery/decoder.go
+++ b/internal/protocol/discovery/decoder.go
@@ -13,15 +13,15 @@
 
 // A frame is its length, an event's number, a kind and a payload, all numbers big-endian.
 const (
-	lengthBytes       = 4
-	numberBytes       = 8
-	headBytes         = lengthBytes + numberBytes + 1
-	endpointBytes     = 27
-	objectPurgeBytes  = 16
-	groupPurgeBytes   = 10
-	maxEndpoints      = 20000
-	maxFrameBytes     = headBytes + endpointBytes*maxEndpoints
-	keptCapacityBytes = 64 << 10 // of the buffer of a Decoder, between frames
+	lengthBytes      = 4
+	numberBytes      = 8
+	headerBytes      = lengthBytes + numberBytes + 1
+	endpointBytes    = 27
+	objectPurgeBytes = 16
+	groupPurgeBytes  = 10
+	maxEndpoints     = 20000
+	maxFrameBytes    = headerBytes + endpointBytes*maxEndpoints
+	maxRetainedBytes = 64 << 10 // of the buffer of a Decoder, between frames
 )
 
 // frameKind is the kind of a frame.
@@ -78,8 +78,8 @@
 	for len(d.buffer)-used >= lengthBytes {
 		rest := d.buffer[used:]
 		size := int64(binary.BigEndian.Uint32(rest)) + lengthBytes
-		if size < headBytes || size > maxFrameBytes {
-			return fmt.Errorf("%w: a frame of %d bytes after event %d, want %d to %d", ErrStreamUnusable, size, d.LastNumber, headBytes, maxFrameBytes)
+		if size < headerBytes || size > maxFrameBytes {
+			return fmt.Errorf("%w: a frame of %d bytes after event %d, want %d to %d", ErrStreamUnusable, size, d.LastNumber, headerBytes, maxFrameBytes)
 		}
 		if int64(len(rest)) < size {
 			return nil
@@ -100,7 +100,7 @@
 // discard drops what has been used, and the capacity that a long list took once all is used.
 func (d *Decoder) discard(used int) {
 	d.buffer = d.buffer[:copy(d.buffer, d.buffer[used:])]
-	if len(d.buffer) == 0 && cap(d.buffer) > keptCapacityBytes {
+	if len(d.buffer) == 0 && cap(d.buffer) > maxRetainedBytes {
 		d.buffer = nil
 	}
 }
--- a/internal/protocol/resp/resp.go
+++ b/internal/protocol/resp/resp.go
@@ -21,17 +21,17 @@
 const MaxBodyBytes = 240000
 
 const (
-	minStrings      = 2 // of an answer
-	maxStrings      = 4
-	maxLineBytes    = 16 // of a count or a length, with its end
-	maxIDBytes      = 64
-	maxWordBytes    = 16
-	maxFieldsBytes  = 4096
-	arrayMark       = '*'
-	stringMark      = '$'
-	lineEnd         = "\r\n"
-	lineEndBytes    = len(lineEnd)
-	shortestLineEnd = 3 // where the last byte of the shortest line is: a mark, a digit, \r and \n
+	minStrings       = 2 // of an answer
+	maxStrings       = 4
+	maxLineBytes     = 16 // of a count or a length, with its end
+	maxIDBytes       = 64
+	maxWordBytes     = 16
+	maxFieldsBytes   = 4096
+	arrayPrefix      = '*'
+	bulkStringPrefix = '$'
+	lineEnd          = "\r\n"
+	lineEndBytes     = len(lineEnd)
+	minLineEnd       = 3 // where the last byte of the shortest line is: a mark, a digit, \r and \n
 )
 
 // Answer is one answer. Its strings are parts of the bytes that were read.
@@ -46,8 +46,8 @@
 // 0 says that more bytes are needed: want in all, as far as that is known. An error wraps
 // ErrMalformed.
 func ReadAnswer(data []byte) (answer Answer, size, want int, err error) {
-	count, at, err := readLine(data, 0, arrayMark)
-	if err != nil || at == 0 {
+	count, offset, err := readLine(data, 0, arrayPrefix)
+	if err != nil || offset == 0 {
 		return answer, 0, len(data) + 1, err
 	}
 	if count < minStrings || count > maxStrings {
@@ -63,7 +63,7 @@
 		{&answer.Body, MaxBodyBytes},
 	}
 	for i, part := range strings[:count] {
-		length, from, err := readLine(data, at, stringMark)
+		length, from, err := readLine(data, offset, bulkStringPrefix)
 		if err != nil || from == 0 {
 			return Answer{}, 0, len(data) + 1, err
 		}
@@ -71,25 +71,25 @@
 			return Answer{}, 0, 0, fmt.Errorf("%w: string %d has %d bytes, want at most %d", ErrMalformed, i, length, part.max)
 		}
 		end := from + length
-		at = end + lineEndBytes
-		present := data[min(end, len(data)):min(at, len(data))]
+		offset = end + lineEndBytes
+		present := data[min(end, len(data)):min(offset, len(data))]
 		if string(present) != lineEnd[:len(present)] {
 			return Answer{}, 0, 0, fmt.Errorf("%w: string %d does not end after %d bytes", ErrMalformed, i, length)
 		}
-		if len(data) < at {
-			return Answer{}, 0, at, nil
+		if len(data) < offset {
+			return Answer{}, 0, offset, nil
 		}
 		*part.target = data[from:end]
 	}
-	return answer, at, 0, nil
+	return answer, offset, 0, nil
 }
 
-// readLine reads a line of a mark and a number at data[from:]. next is where the line ends,
+// readLine reads a line of a prefix and a number at data[from:]. next is where the line ends,
 // and 0 where it is not complete.
-func readLine(data []byte, from int, mark byte) (number, next int, err error) {
+func readLine(data []byte, from int, prefix byte) (number, next int, err error) {
 	line := data[min(from, len(data)):]
-	if len(line) > 0 && line[0] != mark {
-		return 0, 0, fmt.Errorf("%w: %q, want %q", ErrMalformed, line[0], mark)
+	if len(line) > 0 && line[0] != prefix {
+		return 0, 0, fmt.Errorf("%w: %q, want %q", ErrMalformed, line[0], prefix)
 	}
 	end := bytes.IndexByte(line[:min(len(line), maxLineBytes)], '\n')
 	if end < 0 {
@@ -98,7 +98,7 @@
 		}
 		return 0, 0, nil
 	}
-	if end < shortestLineEnd || line[end-1] != '\r' {
+	if end < minLineEnd || line[end-1] != '\r' {
 		return 0, 0, fmt.Errorf("%w: a line without its number", ErrMalformed)
 	}
 	digits := line[1 : end-1]
@@ -133,14 +133,14 @@
 
 // AppendArray appends an array of bulk strings to dst.
 func AppendArray(dst []byte, strings ...[]byte) []byte {
-	dst = appendLine(dst, arrayMark, len(strings))
+	dst = appendLine(dst, arrayPrefix, len(strings))
 	for _, text := range strings {
-		dst = appendLine(dst, stringMark, len(text))
+		dst = appendLine(dst, bulkStringPrefix, len(text))
 		dst = append(append(dst, text...), lineEnd...)
 	}
 	return dst
 }
 
-func appendLine(dst []byte, mark byte, number int) []byte {
-	return append(strconv.AppendInt(append(dst, mark), int64(number), 10), lineEnd...)
+func appendLine(dst []byte, prefix byte, number int) []byte {
+	return append(strconv.AppendInt(append(dst, prefix), int64(number), 10), lineEnd...)
 }
--- a/internal/protocol/thriftrpc/codec.go
+++ b/internal/protocol/thriftrpc/codec.go
@@ -107,7 +107,7 @@
 
 // parseArguments reads the arguments of a call; those that its method does not have are skipped.
 func (c *Codec) parseArguments(call *Call) error {
-	namesCall := false
+	hasSequence := false
 	for {
 		_, fieldType, id, err := c.reader.ReadFieldBegin(ctx)
 		if err != nil {
@@ -123,7 +123,7 @@
 			call.Body, err = c.reader.ReadBinary(ctx)
 		case call.Method == MethodForget && id == 1 && fieldType == thrift.I32:
 			call.CancelledSeq, err = c.reader.ReadI32(ctx)
-			namesCall = true
+			hasSequence = true
 		default:
 			err = c.reader.Skip(ctx, fieldType)
 		}
@@ -131,7 +131,7 @@
 			return fmt.Errorf("%w: argument %d of %.20q: %w", ErrMalformed, id, call.Name, err)
 		}
 	}
-	if call.Method == MethodForget && !namesCall {
+	if call.Method == MethodForget && !hasSequence {
 		return fmt.Errorf("%w: forget names no call", ErrMalformed)
 	}
 	return nil
--- a/internal/proxy/platform/answer.go
+++ b/internal/proxy/platform/answer.go
@@ -60,10 +60,10 @@
 
 // answerFields are the fields of an answer that the router uses.
 type answerFields struct {
-	note   spool.Note
-	waited float64 // ms that the attempt was queued at the member; 0: not said
-	tagged bool    // it has the entity's tag
-	issued bool    // it has the time of issue
+	note         spool.Note
+	queuedFor    float64 // ms that the attempt was queued at the member; 0: not said
+	hasTag       bool    // it has the entity's tag
+	hasIssueTime bool    // it has the time of issue
 }
 
 // parseAnswerFields reads a list of fields; false: it is malformed.
@@ -74,12 +74,12 @@
 		case "how":
 			fields.note = noteOf(value)
 		case "delay":
-			fields.waited, _ = strconv.ParseFloat(string(value), 64)
+			fields.queuedFor, _ = strconv.ParseFloat(string(value), 64)
 		case "entity":
-			fields.tagged = len(value) > 0
+			fields.hasTag = len(value) > 0
 		case "issued":
 			_, err := strconv.ParseInt(string(value), 10, 64)
-			fields.issued = err == nil
+			fields.hasIssueTime = err == nil
 		}
 		return true
 	})
@@ -160,16 +160,16 @@
 	}
 	attempt := c.awaiting[index]
 	req := attempt.request
-	result, known := resultOf(answer.Word)
-	fields, readable := parseAnswerFields(answer.Fields)
+	result, wordKnown := resultOf(answer.Word)
+	fields, fieldsValid := parseAnswerFields(answer.Fields)
 	notModified := string(answer.Word) == wordNotModified
 	if result == spool.Errored || result == spool.NotSent {
 		server.log.Debug("answer without an object", zap.String("member", c.pool.id), zap.ByteString("word", answer.Word),
 			zap.ByteString("fields", answer.Fields), zap.Any("request", req.Request), zap.Any("send", attempt.decision))
 	}
-	unversioned := result == spool.OK && !req.write && (!fields.tagged || !fields.issued)
-	noCopy := notModified && (req.ClientTag == "" || len(answer.Body) > 0)
-	if !known || !readable || unversioned || noCopy {
+	unversioned := result == spool.OK && !req.write && (!fields.hasTag || !fields.hasIssueTime)
+	unexpectedNotModified := notModified && (req.ClientTag == "" || len(answer.Body) > 0)
+	if !wordKnown || !fieldsValid || unversioned || unexpectedNotModified {
 		server.counts.Malformed++
 		server.log.Debug("malformed answer", zap.String("member", c.pool.id), zap.ByteString("word", answer.Word),
 			zap.ByteString("fields", answer.Fields))
@@ -177,7 +177,7 @@
 		return
 	}
 	if result != spool.OK || req.client == nil {
-		attempt.finish(result, fields.note, fields.waited)
+		attempt.finish(result, fields.note, fields.queuedFor)
 		return
 	}
 	server.counts.Served++
@@ -188,7 +188,7 @@
 	delete(client.open, req.sequence)
 	req.client = nil
 	client.queue(server.codec.Served(req.sequence, answer.Body, notModified))
-	attempt.finish(result, fields.note, fields.waited)
+	attempt.finish(result, fields.note, fields.queuedFor)
 	client.flush()
 }
 
--- a/internal/proxy/platform/attempt.go
+++ b/internal/proxy/platform/attempt.go
@@ -61,7 +61,7 @@
 func (a *attempt) assign(p *pool) {
 	a.pool = p
 	p.inFlight++
-	if idle := a.request.forgottenAfter; idle > 0 {
+	if idle := a.request.staleAfter; idle > 0 {
 		p.closeIdleFor(idle)
 	}
 	conn, failure := p.pick(a.request.ID)
@@ -152,9 +152,9 @@
 	}
 }
 
-// finish dispatches the outcome of the attempt, once. waited is how long the member says
+// finish dispatches the outcome of the attempt, once. queuedFor is how long the member says
 // that it had the attempt queue, in ms.
-func (a *attempt) finish(result spool.Result, note spool.Note, waited float64) {
+func (a *attempt) finish(result spool.Result, note spool.Note, queuedFor float64) {
 	if a.finished {
 		return
 	}
@@ -167,10 +167,10 @@
 	}
 	req.inFlight = nil
 	server.counts.Outcomes[result]++
-	a.logOutcome(result, note, waited)
+	a.logOutcome(result, note, queuedFor)
 	last := req.client == nil
 	if last {
-		server.endForClient(req)
+		server.detachClient(req)
 	}
 	server.dispatch(spool.Outcome{
 		ID:      req.ID,
@@ -180,18 +180,18 @@
 		Took:    server.loop.Now() - a.decidedAt,
 		Last:    last,
 		Note:    note,
-		Waited:  waited,
+		Waited:  queuedFor,
 	})
 }
 
-func (a *attempt) logOutcome(result spool.Result, note spool.Note, waited float64) {
+func (a *attempt) logOutcome(result spool.Result, note spool.Note, queuedFor float64) {
 	server, req := a.server, a.request
 	server.trace("attempt finished", req, zap.Int("attempt", a.number), zap.Int("result", int(result)),
 		zap.Int("note", int(note)), zap.Bool("written", a.written))
 	if a.decision.Source != a.decision.Cache {
 		server.log.Debug("fill", zap.String("member", a.decision.Cache), zap.String("source", a.decision.Source),
 			zap.String("class", req.Class), zap.Int("result", int(result)), zap.Int("note", int(note)),
-			zap.Float64("took", server.loop.Now()-a.decidedAt), zap.Float64("waited", waited),
+			zap.Float64("took", server.loop.Now()-a.decidedAt), zap.Float64("waited", queuedFor),
 			zap.Float64("left", req.deadline-server.loop.Now()))
 	}
 }
--- a/internal/proxy/platform/client.go
+++ b/internal/proxy/platform/client.go
@@ -22,12 +22,12 @@
 	closed       bool
 
 	// From these two the time of a request is counted, see Server.startRequest.
-	emptiedAt   float64 // when a read last found nothing more
+	allReadAt   float64 // when a read last found nothing more
 	unreadSince float64 // since when bytes may have come that no read has reached; 0: none may
 
-	largeRead   bool            // so much came at once that the kernel may have held back more
-	settledAt   float64         // by when that has come, if nothing comes before
-	settleTimer eventloop.Timer // starts what is pending
+	largeRead     bool            // so much came at once that the kernel may have held back more
+	moreDataUntil float64         // by when that has come, if nothing comes before
+	pendingTimer  eventloop.Timer // starts what is pending
 }
 
 // pendingCall is a call of serve that waits until all that came behind it has been read.
@@ -58,14 +58,14 @@
 // openCalls is the number of calls without their final answer.
 func (c *client) openCalls() int { return len(c.open) + len(c.pending) }
 
-// owesAnswer reports whether an answer to the client, or a part of one, is still to be written.
-func (c *client) owesAnswer() bool { return c.openCalls() > 0 || c.output.Len() > 0 }
+// answerPending reports whether an answer to the client, or a part of one, is still to be written.
+func (c *client) answerPending() bool { return c.openCalls() > 0 || c.output.Len() > 0 }
 
 // abandon tells the router that the client has given up a request.
 func (c *client) abandon(req *request) {
 	c.server.counts.Abandoned++
 	c.server.trace("abandoned", req)
-	c.server.endForClient(req)
+	c.server.detachClient(req)
 	c.server.dispatch(spool.Gone{ID: req.ID})
 }
 
@@ -88,7 +88,7 @@
 	server.counts.Closed++
 	server.counts.Abandoned += uint64(len(c.pending))
 	c.pending = nil
-	server.loop.Forget(&c.settleTimer)
+	server.loop.Forget(&c.pendingTimer)
 	server.loop.Remove(c.fd)
 	closeFD(c.fd)
 	delete(server.clients, c)
--- a/internal/proxy/platform/client_input.go
+++ b/internal/proxy/platform/client_input.go
@@ -13,14 +13,14 @@
 const (
 	maxReadPerTurn = 256 << 10 // bytes that one turn of the loop reads of one client
 	largeReadBytes = 64 << 10  // bytes in one turn, above which the kernel may have held back more at the client's side
-	settleDelay    = 5.0       // ms in which that comes
+	moreDataDelay  = 5.0       // ms in which that comes
 	maxPendingTime = 100.0     // ms that a call waits for what comes behind it
-	longTurn       = 30.0      // ms into a turn, from which on clients are read again before anything is started
+	longTurnTime   = 30.0      // ms into a turn, from which on clients are read again before anything is started
 )
 
 // inLongTurn reports whether the present turn of the loop began so long ago that clients may
 // have closed or given up since.
-func (s *Server) inLongTurn() bool { return eventloop.Clock()-s.loop.Now() > longTurn }
+func (s *Server) inLongTurn() bool { return eventloop.Clock()-s.loop.Now() > longTurnTime }
 
 // receive reads what has come. What gives up a request or ends the connection takes effect
 // at once. Calls are kept until startPending, so that a call that is given up behind others,
@@ -29,14 +29,14 @@
 	server := c.server
 	arrivedAfter := c.unreadSince
 	if arrivedAfter == 0 {
-		arrivedAfter = max(server.loop.EarliestArrival(), c.emptiedAt)
+		arrivedAfter = max(server.loop.EarliestArrival(), c.allReadAt)
 	}
 	for left := maxReadPerTurn; left > 0; {
 		startedAt := eventloop.Clock()
 		size, err := server.loop.Read(c.fd, server.readBuffer)
 		switch {
 		case err == unix.EAGAIN:
-			c.noteEmptied(startedAt, maxReadPerTurn-left)
+			c.noteAllRead(startedAt, maxReadPerTurn-left)
 			return
 		case eventloop.Retryable(err):
 			c.unreadSince = arrivedAfter
@@ -51,32 +51,32 @@
 		}
 		left -= size
 		if size < len(server.readBuffer) && !server.inLongTurn() { // in a long turn, an end that has come is read as well
-			c.noteEmptied(startedAt, maxReadPerTurn-left)
+			c.noteAllRead(startedAt, maxReadPerTurn-left)
 			return
 		}
 	}
 	c.unreadSince = arrivedAfter
 }
 
-// noteEmptied notes that a read that began at startedAt has left nothing unread, after so
+// noteAllRead notes that a read that began at startedAt has left nothing unread, after so
 // many bytes in this turn.
-func (c *client) noteEmptied(startedAt float64, size int) {
-	c.emptiedAt = startedAt
+func (c *client) noteAllRead(startedAt float64, size int) {
+	c.allReadAt = startedAt
 	c.unreadSince = 0
 	c.largeRead = c.largeRead || size > largeReadBytes
 	if c.largeRead {
-		c.settledAt = startedAt + settleDelay
+		c.moreDataUntil = startedAt + moreDataDelay
 	}
 }
 
 // receiveInLongTurn reads what the client has sent since the turn began, where that is long ago.
 func (c *client) receiveInLongTurn() {
-	if c.closed || c.activity.ShutdownAt > 0 || !c.server.inLongTurn() || eventloop.Clock()-c.emptiedAt < longTurn {
+	if c.closed || c.activity.ShutdownAt > 0 || !c.server.inLongTurn() || eventloop.Clock()-c.allReadAt < longTurnTime {
 		return
 	}
 	c.receive()
 	if !c.closed && (len(c.pending) > 0 || c.output.Len() > 0) {
-		c.server.loop.Arm(&c.settleTimer, 0)
+		c.server.loop.Arm(&c.pendingTimer, 0)
 	}
 }
 
@@ -111,12 +111,12 @@
 	} else if rest > 0 {
 		c.input.Add(&server.buffers, data[used:])
 	}
-	c.noteProgress(used, rest)
+	c.updateActivity(used, rest)
 }
 
-// noteProgress notes what the limits go by, after a read that completed messages of so many
+// updateActivity notes what the limits go by, after a read that completed messages of so many
 // bytes and left so many of the next one.
-func (c *client) noteProgress(used, rest int) {
+func (c *client) updateActivity(used, rest int) {
 	server := c.server
 	if used > 0 {
 		c.activity.LastUsed = server.loop.Now()
@@ -198,8 +198,8 @@
 	for !c.closed && len(c.pending) > 0 {
 		call := c.pending[0]
 		now := eventloop.Clock()
-		if c.expectsMore(now) && now-call.readAt < maxPendingTime {
-			c.server.loop.Arm(&c.settleTimer, settleDelay)
+		if c.expectsMoreData(now) && now-call.readAt < maxPendingTime {
+			c.server.loop.Arm(&c.pendingTimer, moreDataDelay)
 			break
 		}
 		c.pending = c.pending[1:]
@@ -211,13 +211,13 @@
 	c.flush()
 }
 
-// expectsMore reports whether more is to come behind the calls that were read: it was not
+// expectsMoreData reports whether more is to come behind the calls that were read: it was not
 // read yet, or the kernel may have held it back. At the end of a drain nothing is waited for.
-func (c *client) expectsMore(now float64) bool {
+func (c *client) expectsMoreData(now float64) bool {
 	if c.server.drainStarted > 0 && now >= c.server.lastAnswerBy {
 		return false
 	}
-	return c.unreadSince > 0 || c.largeRead && (c.settledAt > now || c.input.Len() > 0)
+	return c.unreadSince > 0 || c.largeRead && (c.moreDataUntil > now || c.input.Len() > 0)
 }
 
 // startCall starts a request, or answers that its fields cannot be used.
--- a/internal/proxy/platform/client_output.go
+++ b/internal/proxy/platform/client_output.go
@@ -7,7 +7,7 @@
 
 // answer sends a request's final answer.
 func (c *client) answer(req *request, frame []byte) {
-	c.server.endForClient(req)
+	c.server.detachClient(req)
 	c.queue(frame)
 	c.flush()
 }
--- a/internal/proxy/platform/config.go
+++ b/internal/proxy/platform/config.go
@@ -70,7 +70,7 @@
 // another way than its author meant: a write without its idempotency is not one that may be
 // retried freely.
 func (c *Config) check() error {
-	var written struct {
+	var raw struct {
 		Classes []struct {
 			Name, Idempotency string
 		}
@@ -78,30 +78,30 @@
 			MaxAttempts *float64 `json:"max_attempts"`
 		}
 	}
-	if err := json.Unmarshal(c.Settings, &written); err != nil {
+	if err := json.Unmarshal(c.Settings, &raw); err != nil {
 		return err
 	}
-	maxAttempts := written.Limits.MaxAttempts
+	maxAttempts := raw.Limits.MaxAttempts
 	if maxAttempts == nil || *maxAttempts < 1 {
 		return errors.New("limits: max_attempts is missing or under 1")
 	}
 	for i, class := range c.settings.Module.Classes {
-		fault := ""
+		problem := ""
 		switch {
 		case class.Name == "":
-			fault = "name is missing"
-		case written.Classes[i].Idempotency == "":
-			fault = "idempotency is missing: free, guarded or single_shot"
+			problem = "name is missing"
+		case raw.Classes[i].Idempotency == "":
+			problem = "idempotency is missing: free, guarded or single_shot"
 		case class.Deadline <= 0:
-			fault = fmt.Sprintf("give_up is %v; it has to be above 0", class.Deadline)
+			problem = fmt.Sprintf("give_up is %v; it has to be above 0", class.Deadline)
 		case class.LatencyObjective < 0 || class.PriorityWeight < 0 || class.LateWeightShare < 0:
-			fault = "aim, gain or late_worth is negative"
+			problem = "aim, gain or late_worth is negative"
 		case class.Idempotency == spool.IdempotentByKey && class.KeyWindow <= 0:
-			fault = fmt.Sprintf("window is %v; a guarded class needs one above 0", class.KeyWindow)
+			problem = fmt.Sprintf("window is %v; a guarded class needs one above 0", class.KeyWindow)
 		default:
 			continue
 		}
-		return fmt.Errorf("classes[%d] %.40q: %s", i, class.Name, fault)
+		return fmt.Errorf("classes[%d] %.40q: %s", i, class.Name, problem)
 	}
 	return nil
 }
--- a/internal/proxy/platform/connection.go
+++ b/internal/proxy/platform/connection.go
@@ -78,7 +78,7 @@
 		if !c.writeOutput() {
 			return
 		}
-		c.awaitAnswer()
+		c.noteFrameWritten()
 		if len(c.queued) == 0 {
 			if c.closing && len(c.awaiting) == 0 { // what it was dialled for has been given up meanwhile
 				c.close()
@@ -124,8 +124,8 @@
 	return true
 }
 
-// awaitAnswer notes that the kernel has taken all of the frame that was being written.
-func (c *memberConn) awaitAnswer() {
+// noteFrameWritten notes that the kernel has taken all of the frame that was being written.
+func (c *memberConn) noteFrameWritten() {
 	attempt := c.writing
 	if attempt == nil {
 		return
@@ -230,7 +230,7 @@
 		return
 	}
 	if result == spool.Reset {
-		c.closeLikelyForgotten()
+		c.closeLikelyStale()
 	}
 	awaiting := slices.Clone(c.awaiting)
 	unsent := slices.Clone(c.queued)
@@ -249,18 +249,18 @@
 	}
 }
 
-// closeLikelyForgotten looks at a connection that the member has ended. Where nothing was
+// closeLikelyStale looks at a connection that the member has ended. Where nothing was
 // read from it since it was idle, the member may have forgotten it, and others that were idle
 // as long: these are closed, here and at the members to which the attempts on it are retried,
 // so that no request spends its attempts on them.
-func (c *memberConn) closeLikelyForgotten() {
-	if c.idleBefore < minForgetAfter || len(c.awaiting) == 0 || c.lastRead > c.awaiting[0].writtenAt {
+func (c *memberConn) closeLikelyStale() {
+	if c.idleBefore < minStaleIdle || len(c.awaiting) == 0 || c.lastRead > c.awaiting[0].writtenAt {
 		return
 	}
-	idle := c.idleBefore * forgetMargin
+	idle := c.idleBefore * staleIdleFactor
 	for _, a := range c.awaiting {
-		if a.request.forgottenAfter == 0 || idle < a.request.forgottenAfter {
-			a.request.forgottenAfter = idle
+		if a.request.staleAfter == 0 || idle < a.request.staleAfter {
+			a.request.staleAfter = idle
 		}
 	}
 	c.pool.closeIdleFor(idle)
--- a/internal/proxy/platform/discovery_events.go
+++ b/internal/proxy/platform/discovery_events.go
@@ -7,8 +7,8 @@
 	"indigospool/internal/proxy/engine"
 )
 
-// leastUptime is the least age of a member's late start, in ms: 0 would mean long ago.
-const leastUptime = 0.001
+// minUptime is the least age of a member's late start, in ms: 0 would mean long ago.
+const minUptime = 0.001
 
 // memberState is the engine's name of an endpoint's state.
 func memberState(state discovery.State) string {
@@ -27,7 +27,7 @@
 // first: the last ones say how old the others are.
 func (s *Server) applyEvents(events []discovery.Event) {
 	for i := range events {
-		s.observeTimes(&events[i])
+		s.observeTimestamps(&events[i])
 	}
 	for _, event := range events {
 		s.applyEvent(event)
@@ -38,9 +38,9 @@
 // platform's own times alone: the wall clock of this machine may be wrong by any amount.
 func (s *Server) applyEvent(event discovery.Event) {
 	s.counts.Events++
-	s.observeTimes(&event)
+	s.observeTimestamps(&event)
 	if event.Kind != discovery.Purge {
-		s.applyList(&event)
+		s.applyEndpointList(&event)
 		return
 	}
 	age := s.platformTime.Age(float64(event.PurgedAt), s.loop.Now())
@@ -48,8 +48,8 @@
 	s.cancelPurged(event.Object, event.Group)
 }
 
-// applyList has the router handle a snapshot or a delta of the endpoint list.
-func (s *Server) applyList(event *discovery.Event) {
+// applyEndpointList has the router handle a snapshot or a delta of the endpoint list.
+func (s *Server) applyEndpointList(event *discovery.Event) {
 	now := s.loop.Now()
 	update := engine.Update{Rev: int64(event.Number), Kind: "step"}
 	if event.Kind == discovery.Snapshot {
@@ -82,14 +82,14 @@
 		Start:   endpoint.StartedAt,
 	}
 	if endpoint.StartedAt > 0 {
-		row.UptimeMillis = max(s.platformTime.Age(float64(endpoint.StartedAt), now), leastUptime)
+		row.UptimeMillis = max(s.platformTime.Age(float64(endpoint.StartedAt), now), minUptime)
 	}
 	return row
 }
 
-// observeTimes shows the times in an event to the clock of the platform. They may lie behind
+// observeTimestamps shows the times in an event to the clock of the platform. They may lie behind
 // the beginning of the loop's turn in which the event is read.
-func (s *Server) observeTimes(event *discovery.Event) {
+func (s *Server) observeTimestamps(event *discovery.Event) {
 	now := eventloop.Clock()
 	if event.Kind == discovery.Purge {
 		s.platformTime.Observe(float64(event.PurgedAt), now)
--- a/internal/proxy/platform/drain.go
+++ b/internal/proxy/platform/drain.go
@@ -10,15 +10,15 @@
 // more later, which is soon where deadlines are short. Clients go on sending on the
 // connections they have, until these end. Times are in ms.
 const (
-	killDelay        = 700.0  // from the longest deadline to the kill
-	maxDrainDeadline = 3000.0 // what counts of a deadline at most
-	drainIdleAfter   = 900.0  // for which clients may still come at least, where deadlines allow it
-	drainClosing     = 280.0  // before the kill, from when on connections at rest are closed
-	drainEarliest    = 610.0  // no connection is closed before: clients come for 400, and ask for 200 more
-	drainMargin      = 120.0  // before the kill, by when the last answer has been written
-	drainLinger      = 40.0   // after that, for which clients may read it and close
-	drainIdle        = 20.0   // without a message or an answer, after which a connection is at rest
-	drainInterval    = 10.0   // between looks
+	killGracePeriod     = 700.0  // from the longest deadline to the kill
+	maxDrainDeadline    = 3000.0 // what counts of a deadline at most
+	idleCloseDelay      = 900.0  // for which clients may still come at least, where deadlines allow it
+	idleCloseBeforeKill = 280.0  // before the kill, from when on connections at rest are closed
+	minIdleCloseDelay   = 610.0  // no connection is closed before: clients come for 400, and ask for 200 more
+	answerMargin        = 120.0  // before the kill, by when the last answer has been written
+	drainLinger         = 40.0   // after that, for which clients may read it and close
+	drainIdleTime       = 20.0   // without a message or an answer, after which a connection is at rest
+	drainTickInterval   = 10.0   // between looks
 )
 
 // Drain has the server finish the requests in flight and those that still come, and then
@@ -38,12 +38,12 @@
 		longest = max(longest, class.Deadline)
 	}
 	s.drainStarted = s.loop.Now()
-	kill := s.drainStarted + min(longest, maxDrainDeadline) + killDelay
-	s.lastAnswerBy = kill - drainMargin
-	closing := max(kill-drainClosing, s.drainStarted+drainEarliest)
-	s.closeIdleFrom = min(s.drainStarted+drainIdleAfter, closing, s.lastAnswerBy)
+	kill := s.drainStarted + min(longest, maxDrainDeadline) + killGracePeriod
+	s.lastAnswerBy = kill - answerMargin
+	latestIdleClose := max(kill-idleCloseBeforeKill, s.drainStarted+minIdleCloseDelay)
+	s.closeIdleFrom = min(s.drainStarted+idleCloseDelay, latestIdleClose, s.lastAnswerBy)
 	s.log.Info("draining", zap.Int("open", len(s.requests)), zap.Float64("within", s.lastAnswerBy-s.drainStarted))
-	s.loop.Ticker(drainInterval, s.drainTick)
+	s.loop.Ticker(drainTickInterval, s.drainTick)
 }
 
 // drainTick goes on with a drain. Connections that wait in the listener's queue are still
@@ -68,13 +68,13 @@
 			c.receive()
 			c.startPending()
 		}
-		atRest := c.input.Len() == 0 && now-c.activity.LastUsed > drainIdle // one that has just been answered may ask again
-		if !c.closed && !c.owesAnswer() && (final || atRest) && eventloop.Idle(c.fd) {
+		idle := c.input.Len() == 0 && now-c.activity.LastUsed > drainIdleTime // one that has just been answered may ask again
+		if !c.closed && !c.answerPending() && (final || idle) && eventloop.Idle(c.fd) {
 			c.shutdownWrite()
 		}
 	}
 	finished := len(s.clients) == 0 && len(s.requests) == 0
-	if finished || now > s.lastAnswerBy+drainLinger && !s.owesAnswers() {
+	if finished || now > s.lastAnswerBy+drainLinger && !s.anyAnswerPending() {
 		s.loop.Stop()
 	}
 }
@@ -90,11 +90,11 @@
 	}
 }
 
-// owesAnswers reports whether a client still waits for an answer, or for the rest of one: to end
+// anyAnswerPending reports whether a client still waits for an answer, or for the rest of one: to end
 // then would lose it, while the kill that is due may come later than expected.
-func (s *Server) owesAnswers() bool {
+func (s *Server) anyAnswerPending() bool {
 	for c := range s.clients {
-		if !c.closed && c.owesAnswer() {
+		if !c.closed && c.answerPending() {
 			return true
 		}
 	}
--- a/internal/proxy/platform/drain_test.go
+++ b/internal/proxy/platform/drain_test.go
@@ -307,7 +307,7 @@
 			t.Errorf("request %d: %+v", i+1, result)
 		}
 	}
-	if d := time.Since(at); d > (maxDrainDeadline+killDelay)*time.Millisecond {
+	if d := time.Since(at); d > (maxDrainDeadline+killGracePeriod)*time.Millisecond {
 		t.Errorf("the last answer came %v after the signal", d)
 	}
 	client.Close()
--- a/internal/proxy/platform/listener.go
+++ b/internal/proxy/platform/listener.go
@@ -38,8 +38,8 @@
 	}
 	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	client := &client{server: server, fd: fd, open: map[int32]*request{}, activity: limits.ClientActivity{AcceptedAt: server.loop.Now()}}
-	client.settleTimer.F = client.startPending
-	client.emptiedAt = eventloop.Clock()
+	client.pendingTimer.F = client.startPending
+	client.allReadAt = eventloop.Clock()
 	if !eventloop.Idle(fd) { // it may have waited in the listener's queue
 		client.unreadSince = ln.EarliestArrival()
 	}
@@ -65,25 +65,25 @@
 // closeIdleClient closes the client's connection that yields first to a new one, and
 // reports whether there was one.
 func (s *Server) closeIdleClient() bool {
-	var idlest *client
+	var first *client
 	for candidate := range s.clients {
 		if candidate.output.Len() > 0 {
 			continue // an answer is under way
 		}
 		candidate.activity.OpenRequests = candidate.openCalls()
 		var other *limits.ClientActivity
-		if idlest != nil {
-			other = &idlest.activity
+		if first != nil {
+			other = &first.activity
 		}
 		// What has been sent meanwhile counts as accepted, and is owed an answer.
 		if candidate.activity.ClosesBefore(other) && eventloop.Idle(candidate.fd) {
-			idlest = candidate
+			first = candidate
 		}
 	}
-	if idlest == nil {
+	if first == nil {
 		return false
 	}
-	idlest.close()
+	first.close()
 	return true
 }
 
--- a/internal/proxy/platform/pool.go
+++ b/internal/proxy/platform/pool.go
@@ -82,15 +82,15 @@
 func (p *pool) maxPerConnection() int { return max(p.server.config.settings.Streams, 1) }
 
 const (
-	minForgetAfter = 100 // ms; the shortest idle time after which a member may have forgotten a connection
-	forgetMargin   = 0.8 // of the idle time after which one was forgotten: others may be by then
+	minStaleIdle    = 100 // ms; the shortest idle time after which a member may have forgotten a connection
+	staleIdleFactor = 0.8 // of the idle time after which one was forgotten: others may be by then
 )
 
-// closeIdleFor closes the connections that have been idle for span ms or longer.
-func (p *pool) closeIdleFor(span float64) {
+// closeIdleFor closes the connections that have been idle for minIdle ms or longer.
+func (p *pool) closeIdleFor(minIdle float64) {
 	now := p.server.loop.Now()
 	for _, c := range slices.Clone(p.connections) {
-		if c.idle() && now-c.lastUsed >= span {
+		if c.idle() && now-c.lastUsed >= minIdle {
 			c.close()
 		}
 	}
@@ -99,18 +99,18 @@
 // closeIdleMemberConn closes the connection to any member that has been idle longest, and
 // reports whether there was one.
 func (s *Server) closeIdleMemberConn() bool {
-	var idlest *memberConn
+	var longestIdle *memberConn
 	for _, pool := range s.pools {
 		for _, conn := range pool.connections {
-			if conn.idle() && (idlest == nil || conn.lastUsed < idlest.lastUsed) {
-				idlest = conn
+			if conn.idle() && (longestIdle == nil || conn.lastUsed < longestIdle.lastUsed) {
+				longestIdle = conn
 			}
 		}
 	}
-	if idlest == nil {
+	if longestIdle == nil {
 		return false
 	}
-	idlest.close()
+	longestIdle.close()
 	return true
 }
 
@@ -142,10 +142,10 @@
 func (p *pool) dialFailed(err error) spool.Result {
 	server := p.server
 	server.counts.FailedDials++
-	times := server.counts.FailedDials
-	if times&(times-1) == 0 { // the 1st, 2nd, 4th, 8th...
+	failures := server.counts.FailedDials
+	if failures&(failures-1) == 0 { // the 1st, 2nd, 4th, 8th...
 		server.log.Warn("dial of member failed", zap.String("member", p.id), zap.String("address", p.address),
-			zap.Uint64("times", times), zap.Error(err))
+			zap.Uint64("times", failures), zap.Error(err))
 	}
 	if eventloop.IsLocalShortage(err) {
 		return spool.LocalFailure
--- a/internal/proxy/platform/reload.go
+++ b/internal/proxy/platform/reload.go
@@ -11,27 +11,27 @@
 )
 
 const (
-	reloadAttempts = 30  // to read a file that cannot be read
-	reloadPause    = 100 // ms between two
+	reloadAttempts   = 30  // to read a file that cannot be read
+	reloadRetryDelay = 100 // ms between two
 )
 
 // Reload reads the configuration file again and applies it, or keeps the one in use and logs
 // what is wrong. It may be called from any goroutine.
 func (s *Server) Reload() {
-	s.loop.Post(func() { s.reloadRetrying(reloadAttempts) })
+	s.loop.Post(func() { s.reloadWithRetries(reloadAttempts) })
 }
 
-// reloadRetrying reloads, with so many attempts left. A file that cannot be read is retried,
+// reloadWithRetries reloads, with so many attempts left. A file that cannot be read is retried,
 // as that may pass; one that is invalid is not.
-func (s *Server) reloadRetrying(attempts int) {
+func (s *Server) reloadWithRetries(attempts int) {
 	err := s.reload()
 	if err == nil {
 		return
 	}
 	s.log.Error("configuration rejected, the one in use is kept", zap.Error(err))
-	var unread *os.PathError
-	if errors.As(err, &unread) && attempts > 1 {
-		s.loop.AfterFunc(reloadPause, func() { s.reloadRetrying(attempts - 1) })
+	var pathErr *os.PathError
+	if errors.As(err, &pathErr) && attempts > 1 {
+		s.loop.AfterFunc(reloadRetryDelay, func() { s.reloadWithRetries(attempts - 1) })
 	}
 }
 
@@ -52,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	moved := config.DiscoveryAddress != s.config.DiscoveryAddress
+	addressChanged := config.DiscoveryAddress != s.config.DiscoveryAddress
 	s.config = config
 	s.stream.decoder = decoder
 	s.indexClasses()
@@ -60,7 +60,7 @@
 		s.execute(action)
 	}
 	s.applyEvents(known)
-	if moved {
+	if addressChanged {
 		s.stream.reconnect()
 	}
 	s.log.Info("configuration applied", zap.String("feed", config.DiscoveryAddress), zap.Uint64("last", decoder.LastNumber))
--- a/internal/proxy/platform/request.go
+++ b/internal/proxy/platform/request.go
@@ -19,8 +19,8 @@
 	inFlight *attempt
 
 	// A member has ended a connection that was idle so long, in ms; 0: none has.
-	forgottenAfter float64
-	timer          eventloop.Timer // that the router has asked for
+	staleAfter float64
+	timer      eventloop.Timer // that the router has asked for
 }
 
 // startRequest hands a client's request to the router. Its time counts from the earliest
@@ -35,7 +35,7 @@
 		write:    s.classes[call.Class].Write,
 	}
 	if s.drainStarted > 0 {
-		req.deadline = min(req.deadline, s.lastAnswerBy-drainInterval)
+		req.deadline = min(req.deadline, s.lastAnswerBy-drainTickInterval)
 	}
 	s.requests[call.ID] = req
 	client.open[sequence] = req
@@ -61,9 +61,9 @@
 	}
 }
 
-// endForClient ends a request towards its client. It is removed once it has no attempt in
+// detachClient ends a request towards its client. It is removed once it has no attempt in
 // flight.
-func (s *Server) endForClient(req *request) {
+func (s *Server) detachClient(req *request) {
 	if req.client != nil {
 		delete(req.client.open, req.sequence)
 		req.client = nil
--- a/internal/proxy/platform/server.go
+++ b/internal/proxy/platform/server.go
@@ -129,7 +129,7 @@
 		case !c.activity.Expired(now):
 		case c.activity.ShutdownAt > 0 || c.activity.NotReading(now):
 			c.close()
-		case !c.owesAnswer() && eventloop.Idle(c.fd):
+		case !c.answerPending() && eventloop.Idle(c.fd):
 			c.shutdownWrite()
 		}
 	}
