--- a/internal/protocol/discovery/decoder_test.go
+++ b/internal/protocol/discovery/decoder_test.go
@@ -24,14 +24,14 @@
 	purge := frame(2, objectPurgeFrame, 0x7f, 0x3a, 0x9c, 0x21, 0xe0, 0xb4, 0xd6, 0x55, 0, 0, 0, 0, 0, 0, 0, 9)
 	group := frame(3, groupPurgeFrame, 0, 17, 0, 0, 0, 0, 0, 0, 0, 8)
 	var got []Event
-	r := newDecoder()
+	decoder := newDecoder()
 	all := append(append(append(frame(1, snapshotFrame, row...), frame(1, upToDateFrame)...), purge...), append(purge, group...)...)
-	if err := r.Decode(all, func(e Event) { got = append(got, e) }); err != nil {
+	if err := decoder.Decode(all, func(e Event) { got = append(got, e) }); err != nil {
 		t.Fatal(err)
 	}
 	want := []Event{{Number: 1, Kind: Snapshot, Endpoints: []Endpoint{{ID: "s-00c41f7a", Address: "10.1.0.9:5050", Zone: "b", Kind: "box", Cell: 2,
 		State: Draining, Weight: 4, StartedAt: 0x019a00000005}}}, {Number: 2, Object: "7f3a9c21e0b4d655", PurgedAt: 9}, {Number: 3, Group: 17, PurgedAt: 8}}
-	if !reflect.DeepEqual(got, want) || r.LastNumber != 3 {
+	if !reflect.DeepEqual(got, want) || decoder.LastNumber != 3 {
 		t.Errorf("got %+v", got)
 	}
 	for name, b := range map[string][]byte{
@@ -39,10 +39,10 @@
 		"a lying length": {0xff, 0xff, 0xff, 0xff}, "no room for a head": {0, 0, 0, 3}, "an unknown kind": frame(4, 9),
 		"an unknown state": frame(4, deltaFrame, append(append([]byte{}, row[:10]...), append([]byte{7}, row[11:]...)...)...),
 	} {
-		r := newDecoder()
-		r.LastNumber = 3
-		if err := r.Decode(b, func(e Event) { t.Errorf("%s: told %+v", name, e) }); !errors.Is(err, ErrStreamUnusable) || r.LastNumber != 3 {
-			t.Errorf("%s: %v, last %d", name, err, r.LastNumber)
+		decoder := newDecoder()
+		decoder.LastNumber = 3
+		if err := decoder.Decode(b, func(e Event) { t.Errorf("%s: told %+v", name, e) }); !errors.Is(err, ErrStreamUnusable) || decoder.LastNumber != 3 {
+			t.Errorf("%s: %v, last %d", name, err, decoder.LastNumber)
 		}
 	}
 }
--- a/internal/protocol/discovery/scale_test.go
+++ b/internal/protocol/discovery/scale_test.go
@@ -18,11 +18,11 @@
 	memoryTimes, memoryPlus, memoryPerThousand = 1.5, 8.0, 4.0    // MB
 )
 
-// needs is what a reader took for a day.
-type needs struct{ bytes, cpu, memory float64 }
+// resourceUse is what a reader took for a day.
+type resourceUse struct{ bytes, cpu, memory float64 }
 
-// day is the frames of one: a whole list and ten minutes of changes, one replacement each.
-func day(rows int) (all []byte) {
+// eventStream is the frames of one: a whole list and ten minutes of changes, one replacement each.
+func eventStream(rows int) (all []byte) {
 	next := uint32(0)
 	add := func(state byte, id uint32) []byte {
 		one := append([]byte{}, row...)
@@ -43,29 +43,29 @@
 	return all
 }
 
-func read(t *testing.T, rows int) (result needs) {
+func measure(t *testing.T, rows int) (result resourceUse) {
 	t.Helper()
 	const chunk = 64 << 10 // as the router reads
-	stream := day(rows)
+	stream := eventStream(rows)
 	result.bytes = float64(len(stream)) / 1024
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	from := userTime(t)
-	r, told := newDecoder(), 0
+	decoder, endpoints := newDecoder(), 0
 	for rest := stream; len(rest) > 0; rest = rest[min(chunk, len(rest)):] {
-		if err := r.Decode(rest[:min(chunk, len(rest))], func(e Event) { told += len(e.Endpoints) }); err != nil {
+		if err := decoder.Decode(rest[:min(chunk, len(rest))], func(e Event) { endpoints += len(e.Endpoints) }); err != nil {
 			t.Fatal(err)
 		}
 	}
 	result.cpu = userTime(t) - from
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	runtime.KeepAlive(r)
+	runtime.KeepAlive(decoder)
 	runtime.KeepAlive(stream)
 	result.memory = (float64(after.HeapAlloc) - float64(before.HeapAlloc)) / (1 << 20)
-	if want := rows + 2*600*rows/smallList; told != want {
-		t.Fatalf("%d rows were told, want %d", told, want)
+	if want := rows + 2*600*rows/smallList; endpoints != want {
+		t.Fatalf("%d rows were told, want %d", endpoints, want)
 	}
 	return result
 }
@@ -81,9 +81,9 @@
 }
 
 func TestScale(t *testing.T) {
-	small, large := read(t, smallList), read(t, largeList)
+	small, large := measure(t, smallList), measure(t, largeList)
 	for range 2 {
-		small.cpu, large.cpu = min(small.cpu, read(t, smallList).cpu), min(large.cpu, read(t, largeList).cpu)
+		small.cpu, large.cpu = min(small.cpu, measure(t, smallList).cpu), min(large.cpu, measure(t, largeList).cpu)
 	}
 	t.Logf("%d endpoints: %+v; %d endpoints: %+v", smallList, small, largeList, large)
 	thousands := float64(largeList) / 1000
@@ -95,8 +95,8 @@
 		{"s of CPU", small.cpu, large.cpu, cpuTimes, cpuPlus, cpuPerThousand},
 		{"MB of memory", small.memory, large.memory, memoryTimes, memoryPlus, memoryPerThousand},
 	} {
-		if most := c.times*c.small + c.plus + c.thousand*thousands; c.large > most {
-			t.Errorf("%.3f %s, at most %.3f", c.large, c.what, most)
+		if limit := c.times*c.small + c.plus + c.thousand*thousands; c.large > limit {
+			t.Errorf("%.3f %s, at most %.3f", c.large, c.what, limit)
 		}
 	}
 }
--- a/internal/protocol/resp/resp_test.go
+++ b/internal/protocol/resp/resp_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-func word(t *rapid.T, name string, most int) []byte {
-	return rapid.SliceOfN(rapid.Byte(), 0, most).Draw(t, name)
+func drawBytes(t *rapid.T, name string, maxBytes int) []byte {
+	return rapid.SliceOfN(rapid.Byte(), 0, maxBytes).Draw(t, name)
 }
 
 // TestAnswersSplitAnywhere: answers come out the same however their bytes are split, and none comes
@@ -19,7 +19,7 @@
 		var all []byte
 		var want []Answer
 		for range rapid.IntRange(1, 4).Draw(t, "answers") {
-			a := Answer{word(t, "id", 64), word(t, "word", 16), word(t, "fields", 200), word(t, "body", 3000)}
+			a := Answer{drawBytes(t, "id", 64), drawBytes(t, "word", 16), drawBytes(t, "fields", 200), drawBytes(t, "body", 3000)}
 			want = append(want, a)
 			all = AppendArray(all, a.ID, a.Word, a.Fields, a.Body)
 		}
--- a/internal/proxy/platform/answer_test.go
+++ b/internal/proxy/platform/answer_test.go
@@ -7,9 +7,9 @@
 	"indigospool/internal/protocol/discovery"
 )
 
-// TestWordsOfAnswers: each word, each 'how' and each state of the platform has its own
+// TestAnswerWords: each word, each 'how' and each state of the platform has its own
 // meaning to the router, and unknown ones have none.
-func TestWordsOfAnswers(t *testing.T) {
+func TestAnswerWords(t *testing.T) {
 	for word, want := range map[string]spool.Result{"HIT": spool.OK, "VALID": spool.OK, "NONE": spool.Miss,
 		"SHED": spool.Rejected, "FAULT": spool.Errored, "LATE": spool.NotSent} {
 		if got, known := resultOf([]byte(word)); got != want || !known {
--- a/internal/proxy/platform/client_test.go
+++ b/internal/proxy/platform/client_test.go
@@ -24,7 +24,7 @@
 	if result := harness.roundTrip(f, nil); result.Word != "served" || string(result.Body) != "bytes of "+key || !result.Good || len(result.Fields) > 0 {
 		t.Fatalf("answered %+v", result)
 	}
-	looks, fills := 0, 0
+	lookups, fills := 0, 0
 	for _, p := range harness.members {
 		for _, request := range p.Seen() {
 			if request.ID != f["id"] || request.Fields["class"] != "clip" || request.Fields["key"] != key || request.Fields["part"] != "3" || request.Fields["wait"] == "0" {
@@ -33,12 +33,12 @@
 			if request.Fields["miss"] == "s-000000a1" {
 				fills++
 			} else {
-				looks++
+				lookups++
 			}
 		}
 	}
-	if looks != 1 || fills != 1 {
-		t.Errorf("%d looks and %d fills", looks, fills)
+	if lookups != 1 || fills != 1 {
+		t.Errorf("%d looks and %d fills", lookups, fills)
 	}
 	once := "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 	body := bytes.Repeat([]byte{0, 0xff}, 24000)
@@ -76,15 +76,15 @@
 	call := func(seq int32, f map[string]string) []byte { return testserver.PlatformCall("serve", seq, f, nil) }
 	length := func(n uint32) []byte { return binary.BigEndian.AppendUint32(nil, n) }
 	without := func(name string) map[string]string { f := readFields(key); delete(f, name); return f }
-	var flood, withdrawn []byte
+	var flood, cancelled []byte
 	for i := range int32(300) {
 		flood = append(flood, call(i+1, readFields(key))...)
-		withdrawn = append(append(withdrawn, call(2*i+1, readFields(key))...), testserver.PlatformForget(2*i+2, 2*i+1)...)
+		cancelled = append(append(cancelled, call(2*i+1, readFields(key))...), testserver.PlatformForget(2*i+2, 2*i+1)...)
 	}
 	for _, test := range []struct {
-		name   string
-		bytes  []byte
-		silent bool // it is owed nothing but, in the end, a close
+		name       string
+		bytes      []byte
+		mayTimeOut bool // it is owed nothing but, in the end, a close
 	}{
 		{"noise", []byte("GET / HTTP/1.1\r\n\r\n"), false},
 		{"nothing", nil, false},
@@ -110,17 +110,17 @@
 		{"a body in a read", testserver.PlatformCall("serve", 1, readFields(key), []byte("x")), false},
 		{"two under one number", append(call(1, readFields(key)), call(1, readFields(key))...), false},
 		{"300 at once", flood, false},
-		{"300 withdrawn", withdrawn, true},
+		{"300 withdrawn", cancelled, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			b := harness.dial()
-			go b.Write(test.bytes)
-			result, err := b.Result(3 * time.Second)
+			client := harness.dial()
+			go client.Write(test.bytes)
+			result, err := client.Result(3 * time.Second)
 			if err == nil && result.Word == "served" {
 				t.Errorf("answered %+v", result)
 			}
-			if ne, ok := err.(net.Error); ok && ne.Timeout() && !test.silent {
+			if netErr, ok := err.(net.Error); ok && netErr.Timeout() && !test.mayTimeOut {
 				t.Error("neither answered nor closed")
 			}
 		})
@@ -146,16 +146,16 @@
 		harness.roundTrip(readFields(key), nil)
 	}
 	before := asked()
-	var b []byte
+	var calls []byte
 	for i := range int32(20) {
-		b = append(append(b, testserver.PlatformCall("serve", 2*i+1, readFields(key), nil)...), testserver.PlatformForget(2*i+2, 2*i+1)...)
+		calls = append(append(calls, testserver.PlatformCall("serve", 2*i+1, readFields(key), nil)...), testserver.PlatformForget(2*i+2, 2*i+1)...)
 	}
 	client := harness.dial()
-	client.Write(b) // one segment, and so one read, on loopback
+	client.Write(calls) // one segment, and so one read, on loopback
 	if _, err := client.Write(testserver.PlatformCall("isWell", 100, nil, nil)); err != nil {
 		t.Fatal(err)
 	}
-	if result, err := client.Result(waitLimit); err != nil || result.Seq != 100 {
+	if result, err := client.Result(waitTimeout); err != nil || result.Seq != 100 {
 		t.Fatalf("%+v %v", result, err)
 	}
 	harness.roundTrip(readFields(key), nil) // behind them on the same connection to a cache
@@ -179,7 +179,7 @@
 		t.Errorf("the second: %+v", result)
 	}
 	answer()
-	if result, err := client.Result(waitLimit); err != nil || result.Word != "served" || string(result.Body) != "first" {
+	if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" || string(result.Body) != "first" {
 		t.Errorf("the first: %+v %v", result, err)
 	}
 }
@@ -190,15 +190,15 @@
 	t.Parallel()
 	harness := newHarness(t, nil)
 	client, half := harness.dial(), harness.dial()
-	b := testserver.PlatformCall("serve", 1, readFields(key), nil)
-	half.Write(b[:len(b)/2])
-	for i := range b {
-		if _, err := client.Write(b[i : i+1]); err != nil {
+	call := testserver.PlatformCall("serve", 1, readFields(key), nil)
+	half.Write(call[:len(call)/2])
+	for i := range call {
+		if _, err := client.Write(call[i : i+1]); err != nil {
 			t.Fatalf("after %d bytes: %v", i, err)
 		}
-		time.Sleep(3 * time.Second / time.Duration(len(b)))
+		time.Sleep(3 * time.Second / time.Duration(len(call)))
 	}
-	if result, err := client.Result(waitLimit); err != nil || result.Word != "served" {
+	if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" {
 		t.Errorf("%+v %v", result, err)
 	}
 	if _, err := half.Result(time.Second); err != io.EOF {
@@ -206,19 +206,19 @@
 	}
 }
 
-// TestCloseBehindCalls: a client sends calls and closes, and the loop hears of all that
+// TestCloseAfterCalls: a client sends calls and closes, and the loop hears of all that
 // in one turn: nothing is begun. The same for calls that are given up behind a first
 // buffer full of them.
-func TestCloseBehindCalls(t *testing.T) {
+func TestCloseAfterCalls(t *testing.T) {
 	harness := newHarness(t, nil)
-	save := func() map[string]string {
+	writeWithKey := func() map[string]string {
 		return readFields(key, "class", "note", "once", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
 	}
 	for range 4 { // so that there are connections on which an attempt would go out at once
 		harness.roundTrip(readFields(key), nil)
-		harness.roundTrip(save(), nil)
+		harness.roundTrip(writeWithKey(), nil)
 	}
-	for name, write := range map[string]func(client *testserver.PlatformClient){
+	for name, send := range map[string]func(client *testserver.PlatformClient){
 		"closed": func(client *testserver.PlatformClient) {
 			for i := range int32(5) {
 				client.Write(testserver.PlatformCall("serve", i+1, readFields(key), nil))
@@ -227,7 +227,7 @@
 		},
 		"given up": func(client *testserver.PlatformClient) {
 			for i := range int32(3) {
-				client.Write(testserver.PlatformCall("serve", i+1, save(), make([]byte, 40000)))
+				client.Write(testserver.PlatformCall("serve", i+1, writeWithKey(), make([]byte, 40000)))
 			}
 			for i := range int32(3) {
 				client.Write(testserver.PlatformForget(i+4, i+1))
@@ -237,11 +237,11 @@
 		client, before := harness.dial(), harness.requestsSent()
 		harness.waitTurn()
 		release := harness.blockLoop()
-		write(client)
+		send(client)
 		time.Sleep(20 * time.Millisecond) // for loopback
 		release()
 		harness.waitTurn()
-		harness.roundTrip(save(), nil) // behind them on the same connections
+		harness.roundTrip(writeWithKey(), nil) // behind them on the same connections
 		harness.roundTrip(readFields(key), nil)
 		if n := harness.requestsSent() - before - 2; n != 0 {
 			t.Errorf("%s: %d attempts", name, n)
@@ -249,9 +249,9 @@
 	}
 }
 
-// TestCloseBehindManyCalls: what ends calls stands behind more of them than one read takes.
-func TestCloseBehindManyCalls(t *testing.T) {
-	for name, leave := range map[string]func(client *testserver.PlatformClient){
+// TestCloseAfterManyCalls: what ends calls stands behind more of them than one read takes.
+func TestCloseAfterManyCalls(t *testing.T) {
+	for name, finish := range map[string]func(client *testserver.PlatformClient){
 		"closed":  func(client *testserver.PlatformClient) { client.Close() },
 		"refused": func(client *testserver.PlatformClient) { client.Write([]byte{0xff, 0xff, 0xff, 0xff}) },
 		"given up": func(client *testserver.PlatformClient) {
@@ -268,17 +268,17 @@
 			client := harness.dial()
 			harness.waitTurn()
 			release := harness.blockLoop()
-			left := make(chan struct{})
+			finished := make(chan struct{})
 			go func() { // into the kernel, which holds more of it back than it passes on
 				for i := range int32(32) {
 					client.Write(testserver.PlatformCall("serve", i+1, writeFields(), make([]byte, 40000)))
 				}
-				leave(client)
-				close(left)
+				finish(client)
+				close(finished)
 			}()
 			select {
-			case <-left:
-			case <-time.After(waitLimit):
+			case <-finished:
+			case <-time.After(waitTimeout):
 				t.Error("the kernel does not take so much")
 			}
 			release()
@@ -301,24 +301,24 @@
 		client.Ask(readFields(key), nil)
 	}
 	harness.waitUntil("all are in hand", func() (all bool) {
-		harness.server.loop.Call(waitLimit, func() { all = len(harness.server.requests) == 32 })
+		harness.server.loop.Call(waitTimeout, func() { all = len(harness.server.requests) == 32 })
 		return all
 	})
 	client.Close()
 	harness.waitUntil("none is in hand", func() (none bool) {
-		harness.server.loop.Call(waitLimit, func() { none = len(harness.server.requests) == 0 })
+		harness.server.loop.Call(waitTimeout, func() { none = len(harness.server.requests) == 0 })
 		return none
 	})
-	harness.server.loop.Call(waitLimit, func() {
+	harness.server.loop.Call(waitTimeout, func() {
 		if s := harness.server.counts; s.Attempts-s.Outcomes[spool.NotSent] > 32+s.Outcomes[spool.Miss] {
 			t.Errorf("%d attempts, %d of them not sent, for 32 requests", s.Attempts, s.Outcomes[spool.NotSent])
 		}
 	})
 }
 
-// TestPartialCallBehindCompleteCall: what comes of the second by halves takes no answer from the
+// TestPartialCallAfterCompleteCall: what comes of the second by halves takes no answer from the
 // first.
-func TestPartialCallBehindCompleteCall(t *testing.T) {
+func TestPartialCallAfterCompleteCall(t *testing.T) {
 	t.Parallel()
 	slow := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
 		if !request.Stop && request.Fields["key"] == key {
@@ -330,10 +330,10 @@
 	client.Ask(readFields(key, "wait", "3000"), nil)
 	half := testserver.PlatformCall("serve", 2, readFields(key), nil)
 	client.Write(half[:len(half)/2])
-	if result, err := client.Result(waitLimit); err != nil || result.Seq != 1 {
+	if result, err := client.Result(waitTimeout); err != nil || result.Seq != 1 {
 		t.Errorf("the complete call: %+v %v", result, err)
 	}
-	if _, err := client.Result(waitLimit); err != io.EOF {
+	if _, err := client.Result(waitTimeout); err != io.EOF {
 		t.Errorf("then %v; an end is wanted", err)
 	}
 }
@@ -349,20 +349,20 @@
 		return client
 	}
 	room := func() (left int) {
-		harness.server.loop.Call(waitLimit, func() { left = harness.server.maxBufferedBytes() - harness.server.unsentBytes })
+		harness.server.loop.Call(waitTimeout, func() { left = harness.server.maxBufferedBytes() - harness.server.unsentBytes })
 		return left
 	}
-	harness.server.loop.Call(waitLimit, func() { harness.server.config.Limits.MemoryMB = minMemoryMB })
-	never, other := slow(), slow()
+	harness.server.loop.Call(waitTimeout, func() { harness.server.config.Limits.MemoryMB = minMemoryMB })
+	notReading, other := slow(), slow()
 	for i := 0; room() > 300000 && i < 60; i++ { // one by one, until the next answer would be too much
 		if i == 30 {
-			never = slow()
+			notReading = slow()
 		}
 		served := uint64(0)
-		harness.server.loop.Call(waitLimit, func() { served = harness.server.counts.Served })
-		never.Ask(readFields(key), nil)
+		harness.server.loop.Call(waitTimeout, func() { served = harness.server.counts.Served })
+		notReading.Ask(readFields(key), nil)
 		harness.waitUntil("it is served", func() (yes bool) {
-			harness.server.loop.Call(waitLimit, func() { yes = harness.server.counts.Served > served })
+			harness.server.loop.Call(waitTimeout, func() { yes = harness.server.counts.Served > served })
 			return yes
 		})
 	}
@@ -375,7 +375,7 @@
 	}
 	time.Sleep(200 * time.Millisecond)
 	for i := range asked {
-		if result, err := other.Result(waitLimit); err != nil || result.Word != "served" {
+		if result, err := other.Result(waitTimeout); err != nil || result.Word != "served" {
 			t.Fatalf("answer %d: %s %v", i, result.Word, err)
 		}
 	}
@@ -397,7 +397,7 @@
 	ask := func() {
 		t.Helper()
 		worker.Ask(readFields(key), nil)
-		if result, err := worker.Result(waitLimit); err != nil || result.Word != "served" {
+		if result, err := worker.Result(waitTimeout); err != nil || result.Word != "served" {
 			t.Fatalf("%+v %v", result, err)
 		}
 	}
@@ -425,7 +425,7 @@
 	if d := time.Since(begin); d > 900*time.Millisecond {
 		t.Errorf("found after %v", d)
 	}
-	harness.server.loop.Call(waitLimit, func() {
+	harness.server.loop.Call(waitTimeout, func() {
 		if n := len(harness.server.clients); n > harness.server.connectionLimits.Clients {
 			t.Errorf("%d clients, %d places", n, harness.server.connectionLimits.Clients)
 		}
--- a/internal/proxy/platform/clock_test.go
+++ b/internal/proxy/platform/clock_test.go
@@ -44,15 +44,15 @@
 }
 
 // addKnown puts events behind the first one that the configuration brings along.
-func (w *testHarness) addKnown(events ...map[string]any) {
-	w.t.Helper()
-	raw, err := os.ReadFile(w.configFile)
+func (h *testHarness) addKnown(events ...map[string]any) {
+	h.t.Helper()
+	raw, err := os.ReadFile(h.configFile)
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	var config map[string]any
 	if err := json.Unmarshal(raw, &config); err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	known := config["known"].(map[string]any)
 	for _, event := range events {
@@ -60,25 +60,25 @@
 		known["n"] = event["n"]
 	}
 	if raw, err = json.Marshal(config); err == nil {
-		err = os.WriteFile(w.configFile, raw, 0o600)
+		err = os.WriteFile(h.configFile, raw, 0o600)
 	}
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 }
 
-// agesInRouter is how old the router takes things to be: a group's purge, a member's start.
-func (w *testHarness) agesInRouter(group int, id string) (purge, start float64) {
-	w.t.Helper()
-	w.server.loop.Call(waitLimit, func() {
-		memory := w.server.engine.LearnedState()
+// routerAges is how old the router takes things to be: a group's purge, a member's start.
+func (h *testHarness) routerAges(group int, id string) (purge, start float64) {
+	h.t.Helper()
+	h.server.loop.Call(waitTimeout, func() {
+		memory := h.server.engine.LearnedState()
 		if at, ok := memory.Module.Groups[group]; ok {
-			purge = w.server.loop.Now() - at
+			purge = h.server.loop.Now() - at
 		} else {
 			purge = -1
 		}
-		member, _ := w.server.engine.Member(id)
-		start = w.server.loop.Now() - member.ReadyAt
+		member, _ := h.server.engine.Member(id)
+		start = h.server.loop.Now() - member.ReadyAt
 	})
 	return purge, start
 }
@@ -107,7 +107,7 @@
 			check := func(what string, group int, id string, want time.Duration) {
 				t.Helper()
 				most := float64(want+time.Since(began))/1e6 + slack
-				purge, start := harness.agesInRouter(group, id)
+				purge, start := harness.routerAges(group, id)
 				for _, age := range []float64{purge, start} {
 					if age < float64(want)/1e6-slack || age > most {
 						t.Errorf("%s: a purge %.0f ms old and a start %.0f ms ago, want %v", what, purge, start, want)
@@ -121,7 +121,7 @@
 			harness.sendDiscovery(groupPurge(5, 23, platform.ago(0)))
 			harness.sendDiscovery(testserver.PlatformFrame(6, 2, startedAt(0xca, c2, platform.ago(0))))
 			harness.waitUntil("the list has the member", func() (found bool) {
-				harness.server.loop.Call(waitLimit, func() { _, found = harness.server.engine.Member("s-000000ca") })
+				harness.server.loop.Call(waitTimeout, func() { _, found = harness.server.engine.Member("s-000000ca") })
 				return found
 			})
 			began = time.Now()
@@ -142,8 +142,8 @@
 	harness.waitTurn()
 	time.Sleep(200 * time.Millisecond)
 	harness.sendDiscovery(groupPurge(3, 22, platform.ago(0)))
-	harness.waitUntil("the purge is delivered", func() bool { age, _ := harness.agesInRouter(22, ""); return age >= 0 })
-	if age, _ := harness.agesInRouter(22, ""); age > 700 {
+	harness.waitUntil("the purge is delivered", func() bool { age, _ := harness.routerAges(22, ""); return age >= 0 })
+	if age, _ := harness.routerAges(22, ""); age > 700 {
 		t.Errorf("a purge made now is taken as %.0f ms old", age)
 	}
 }
@@ -156,12 +156,12 @@
 	platform := newPlatformClock(time.Hour)
 	harness := newHarness(t, nil)
 	made := platform.ago(0)
-	harness.server.loop.Call(waitLimit, func() {
+	harness.server.loop.Call(waitTimeout, func() {
 		time.Sleep(turn)
 		harness.server.applyEvent(discovery.Event{Number: 2, Group: 21, PurgedAt: platform.ago(0)})
 	})
 	var age float64
-	harness.server.loop.Call(waitLimit, func() {
+	harness.server.loop.Call(waitTimeout, func() {
 		harness.server.applyEvent(discovery.Event{Number: 3, Group: 22, PurgedAt: made})
 		age = harness.server.loop.Now() - harness.server.engine.LearnedState().Module.Groups[22]
 	})
--- a/internal/proxy/platform/deadline_test.go
+++ b/internal/proxy/platform/deadline_test.go
@@ -15,7 +15,7 @@
 // less time; one that comes to an idle loop, or in its first bytes long before its last,
 // has all of it.
 func TestDeadlineCountsTimeInLongTurn(t *testing.T) {
-	for name, play := range map[string]func(harness *testHarness) (sent time.Time){
+	for name, send := range map[string]func(harness *testHarness) (sent time.Time){
 		"busy loop": func(harness *testHarness) time.Time {
 			client := harness.dial()
 			harness.waitTurn()
@@ -56,7 +56,7 @@
 			t.Parallel()
 			rec := &recorder{answer: answerHit}
 			harness := newHarness(t, rec.handlers())
-			sent := play(harness)
+			sent := send(harness)
 			harness.waitUntil("a cache is asked", func() bool { return len(rec.requests()) > 0 })
 			first := rec.requests()[0]
 			wait, _ := strconv.Atoi(first.Fields["wait"])
@@ -80,21 +80,21 @@
 // answered, and cost the caches no trust: the others are served meanwhile and afterwards.
 func TestAlmostNoTimeLeft(t *testing.T) {
 	t.Parallel()
-	curt := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
+	ignoreShortWaits := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
 		if wait, _ := strconv.Atoi(request.Fields["wait"]); wait > 30 {
 			answerHit(conn, request)
 		}
 	}
-	harness := newHarness(t, map[string]handler{"s-000000c1": curt, "s-000000c2": curt, "s-000000a1": curt})
+	harness := newHarness(t, map[string]handler{"s-000000c1": ignoreShortWaits, "s-000000c2": ignoreShortWaits, "s-000000a1": ignoreShortWaits})
 	harness.openConnections()
-	hasty, usual := harness.dial(), harness.dial()
+	short, normal := harness.dial(), harness.dial()
 	const asked = 150
 	sent := map[int32]time.Time{}
 	var answered sync.WaitGroup
 	var mu sync.Mutex
 	answered.Go(func() {
 		for range asked {
-			result, err := hasty.Result(waitLimit)
+			result, err := short.Result(waitTimeout)
 			if err != nil {
 				t.Errorf("one with little time: %v", err)
 				return
@@ -112,20 +112,20 @@
 			fields = writeFields("wait", fmt.Sprint(1+i%30))
 		}
 		mu.Lock()
-		seq, _ := hasty.Ask(fields, nil)
+		seq, _ := short.Ask(fields, nil)
 		sent[seq] = time.Now()
 		mu.Unlock()
-		usual.Ask(readFields(fmt.Sprintf("%016x", i)), nil)
-		usual.Ask(writeFields(), nil)
+		normal.Ask(readFields(fmt.Sprintf("%016x", i)), nil)
+		normal.Ask(writeFields(), nil)
 		for range 2 {
-			if result, err := usual.Result(waitLimit); err != nil || result.Word != "served" {
+			if result, err := normal.Result(waitTimeout); err != nil || result.Word != "served" {
 				t.Errorf("a usual one: %+v %v", result, err)
 			}
 		}
 		time.Sleep(2 * time.Millisecond) // 32 may be open at once
 	}
 	answered.Wait()
-	harness.server.loop.Call(waitLimit, func() {
+	harness.server.loop.Call(waitTimeout, func() {
 		members, _ := harness.server.engine.Statuses()
 		for id, b := range members {
 			if b.Ejected || b.InFlight != 0 {
@@ -183,8 +183,8 @@
 // TestAnswerTimeoutAndForgetInOneTurn: a client's forget, or the end of its time, in the turn of the cache's answer:
 // one final answer at most, and nothing is left behind. 200 at once.
 func TestAnswerTimeoutAndForgetInOneTurn(t *testing.T) {
-	for _, late := range []bool{false, true} {
-		t.Run(fmt.Sprint(late), func(t *testing.T) {
+	for _, timeOut := range []bool{false, true} {
+		t.Run(fmt.Sprint(timeOut), func(t *testing.T) {
 			t.Parallel()
 			answers := make(chan func(), 400)
 			wait := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
@@ -209,12 +209,12 @@
 			}
 			for _, client := range clients {
 				for i := range int32(25) {
-					if !late {
+					if !timeOut {
 						client.Write(testserver.PlatformForget(100+i, 1+i))
 					}
 				}
 			}
-			if late {
+			if timeOut {
 				time.Sleep(800 * time.Millisecond)
 			}
 			time.Sleep(20 * time.Millisecond)
@@ -232,7 +232,7 @@
 					}
 					seen[result.Seq] = true
 				}
-				if late && len(seen) != 25 {
+				if timeOut && len(seen) != 25 {
 					t.Errorf("%d of 25 answered", len(seen))
 				}
 			}
@@ -242,15 +242,15 @@
 }
 
 // checkNothingInFlight fails where the router has requests, unsent bytes or recorded attempts.
-func (w *testHarness) checkNothingInFlight() {
-	w.t.Helper()
-	w.server.loop.Call(waitLimit, func() {
-		if len(w.server.requests) > 0 || w.server.unsentBytes > 0 {
-			w.t.Errorf("%d requests and %d bytes are left", len(w.server.requests), w.server.unsentBytes)
+func (h *testHarness) checkNothingInFlight() {
+	h.t.Helper()
+	h.server.loop.Call(waitTimeout, func() {
+		if len(h.server.requests) > 0 || h.server.unsentBytes > 0 {
+			h.t.Errorf("%d requests and %d bytes are left", len(h.server.requests), h.server.unsentBytes)
 		}
-		for id, held := range beliefs(w.server) {
+		for id, held := range inFlightByMember(h.server) {
 			if held != 0 {
-				w.t.Errorf("%v attempts are recorded as in flight at %s", held, id)
+				h.t.Errorf("%v attempts are recorded as in flight at %s", held, id)
 			}
 		}
 	})
--- a/internal/proxy/platform/discovery_test.go
+++ b/internal/proxy/platform/discovery_test.go
@@ -21,19 +21,19 @@
 // discoveryServer is a discovery server of a test's own: serve gets each connection and closes it by returning.
 type discoveryServer struct {
 	*testserver.PlatformFeed
-	asked atomic.Int64 // connections so far
-	open  atomic.Int64
-	last  atomic.Uint64 // number that the last connection began with
+	connections atomic.Int64 // connections so far
+	open        atomic.Int64
+	resumedFrom atomic.Uint64 // number that the last connection began with
 }
 
 func newDiscoveryServer(t *testing.T, serve func(c net.Conn, nth int64)) *discoveryServer {
 	t.Helper()
 	fake := &discoveryServer{}
 	feed, err := testserver.NewPlatformFeed(func(c net.Conn, last uint64) {
-		fake.last.Store(last)
+		fake.resumedFrom.Store(last)
 		fake.open.Add(1)
 		defer fake.open.Add(-1)
-		serve(c, fake.asked.Add(1))
+		serve(c, fake.connections.Add(1))
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -62,22 +62,22 @@
 	}
 }
 
-// manyRows is a list's payload: rows of members that nobody asks, and one that is there.
-func manyRows(count int, id uint32, address string) (rows []byte) {
+// manyEndpoints is a list's payload: rows of members that nobody asks, and one that is there.
+func manyEndpoints(count int, id uint32, address string) (rows []byte) {
 	for i := range uint32(count) {
 		rows = append(rows, endpointRecord(0x10000+i, "127.0.0.1:9", 1, 0, 0)...)
 	}
 	return append(rows, endpointRecord(id, address, 0, 0, 0)...)
 }
 
-func (w *testHarness) hasMember(id string) (found bool) {
-	w.server.loop.Call(waitLimit, func() { _, found = w.server.engine.Member(id) })
+func (h *testHarness) hasMember(id string) (found bool) {
+	h.server.loop.Call(waitTimeout, func() { _, found = h.server.engine.Member(id) })
 	return found
 }
 
 // serveContinuously sends one request after another until the returned function is called,
 // which reports all that were not served.
-func (w *testHarness) serveContinuously() (end func()) {
+func (h *testHarness) serveContinuously() (end func()) {
 	stop, done := make(chan struct{}), make(chan []string, 1)
 	go func() {
 		var bad []string
@@ -88,23 +88,23 @@
 				return
 			case <-time.After(20 * time.Millisecond):
 			}
-			client, err := testserver.DialPlatform(w.address)
+			client, err := testserver.DialPlatform(h.address)
 			if err != nil {
 				bad = append(bad, err.Error())
 				continue
 			}
 			client.Ask(readFields(fmt.Sprintf("%016x", i)), nil)
-			if result, err := client.Result(waitLimit); err != nil || result.Word != "served" {
+			if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" {
 				bad = append(bad, fmt.Sprintf("request %d: %+v %v", i, result, err))
 			}
 			client.Close()
 		}
 	}()
 	return func() {
-		w.t.Helper()
+		h.t.Helper()
 		close(stop)
 		if bad := <-done; len(bad) > 0 {
-			w.t.Errorf("%d were not served, the first: %s", len(bad), bad[0])
+			h.t.Errorf("%d were not served, the first: %s", len(bad), bad[0])
 		}
 	}
 }
@@ -113,21 +113,21 @@
 // waited for, though it is asked again meanwhile.
 func TestDiscoveryAnswersLate(t *testing.T) {
 	t.Parallel()
-	for _, late := range []time.Duration{2500 * time.Millisecond, 5 * time.Second} {
-		t.Run(fmt.Sprint(late), func(t *testing.T) {
+	for _, delay := range []time.Duration{2500 * time.Millisecond, 5 * time.Second} {
+		t.Run(fmt.Sprint(delay), func(t *testing.T) {
 			t.Parallel()
 			fake := newDiscoveryServer(t, func(c net.Conn, _ int64) {
-				time.Sleep(late)
+				time.Sleep(delay)
 				if _, err := c.Write(testserver.PlatformFrame(2, 2, endpointRecord(0xc9, "127.0.0.1:9", 1, 0, 0))); err == nil {
 					writeHeartbeats(c, 2)
 				}
 			})
 			harness := newHarnessAt(t, fake)
 			end := harness.serveContinuously()
-			time.Sleep(late)
+			time.Sleep(delay)
 			harness.waitUntil("its list is there", func() bool { return harness.hasMember("s-000000c9") })
 			end()
-			if n := fake.asked.Load(); n > int64(late/(streamSilence*time.Millisecond))+2 {
+			if n := fake.connections.Load(); n > int64(delay/(streamSilence*time.Millisecond))+2 {
 				t.Errorf("it was asked %d times", n)
 			}
 			harness.waitUntil("one connection is left", func() bool { return fake.open.Load() == 1 })
@@ -151,7 +151,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			fake := newDiscoveryServer(t, func(conn net.Conn, _ int64) {
-				frame := testserver.PlatformFrame(2, 2, manyRows(test.rows, 0xc9, "127.0.0.1:9"))
+				frame := testserver.PlatformFrame(2, 2, manyEndpoints(test.rows, 0xc9, "127.0.0.1:9"))
 				for len(frame) > 0 {
 					piece := frame[:min(test.piece, len(frame))]
 					if _, err := conn.Write(piece); err != nil {
@@ -166,7 +166,7 @@
 			end := harness.serveContinuously()
 			harness.waitUntil("the list is there", func() bool { return harness.hasMember("s-000000c9") })
 			end()
-			if n := fake.asked.Load(); n != 1 {
+			if n := fake.connections.Load(); n != 1 {
 				t.Errorf("it was asked %d times", n)
 			}
 		})
@@ -178,13 +178,13 @@
 func TestDiscoveryOverloaded(t *testing.T) {
 	t.Parallel()
 	const span = 3 * time.Second
-	for name, word := range map[string][]byte{"without a word": nil, "after a word": testserver.PlatformFrame(1, 0, nil)} {
+	for name, frame := range map[string][]byte{"without a word": nil, "after a word": testserver.PlatformFrame(1, 0, nil)} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var room atomic.Bool
+			var accepting atomic.Bool
 			fake := newDiscoveryServer(t, func(c net.Conn, _ int64) {
-				if !room.Load() {
-					c.Write(word)
+				if !accepting.Load() {
+					c.Write(frame)
 					return
 				}
 				c.Write(testserver.PlatformFrame(2, 2, endpointRecord(0xc9, "127.0.0.1:9", 1, 0, 0)))
@@ -193,10 +193,10 @@
 			harness := newHarnessAt(t, fake)
 			end := harness.serveContinuously()
 			time.Sleep(span)
-			if n := fake.asked.Load(); n < 4 || n > 16 {
+			if n := fake.connections.Load(); n < 4 || n > 16 {
 				t.Errorf("asked %d times in %v", n, span)
 			}
-			room.Store(true)
+			accepting.Store(true)
 			at := time.Now()
 			harness.waitUntil("the list is there", func() bool { return harness.hasMember("s-000000c9") })
 			if took := time.Since(at); took > 700*time.Millisecond {
@@ -207,11 +207,11 @@
 	}
 }
 
-// newPurges is a discovery whose events are purges of groups of their own number, up to
+// newPurgeServer is a discovery whose events are purges of groups of their own number, up to
 // the newest.
-func newPurges(t *testing.T, newest *atomic.Uint64) (fake *discoveryServer) {
+func newPurgeServer(t *testing.T, newest *atomic.Uint64) (fake *discoveryServer) {
 	fake = newDiscoveryServer(t, func(c net.Conn, _ int64) {
-		for n := fake.last.Load(); ; time.Sleep(20 * time.Millisecond) {
+		for n := fake.resumedFrom.Load(); ; time.Sleep(20 * time.Millisecond) {
 			for ; n < newest.Load(); n++ {
 				c.Write(groupPurge(n+1, uint16(n+1), time.Now().UnixMilli()))
 			}
@@ -225,18 +225,18 @@
 
 // checkDeliveredOnce waits for the last event of newPurges, and fails unless each was
 // delivered once.
-func (w *testHarness) checkDeliveredOnce(last uint64) {
-	w.t.Helper()
-	w.waitUntil("the last event is delivered", func() (told bool) {
-		w.server.loop.Call(waitLimit, func() { told = w.server.stream.decoder.LastNumber == last })
+func (h *testHarness) checkDeliveredOnce(last uint64) {
+	h.t.Helper()
+	h.waitUntil("the last event is delivered", func() (told bool) {
+		h.server.loop.Call(waitTimeout, func() { told = h.server.stream.decoder.LastNumber == last })
 		return told
 	})
-	w.server.loop.Call(waitLimit, func() {
-		if events := w.server.counts.Events; events != last {
-			w.t.Errorf("%d events were delivered, want %d", events, last)
+	h.server.loop.Call(waitTimeout, func() {
+		if events := h.server.counts.Events; events != last {
+			h.t.Errorf("%d events were delivered, want %d", events, last)
 		}
-		if groups := w.server.engine.LearnedState().Module.Groups; len(groups) != int(last)-1 {
-			w.t.Errorf("purges of %d groups are known, want %d", len(groups), last-1)
+		if groups := h.server.engine.LearnedState().Module.Groups; len(groups) != int(last)-1 {
+			h.t.Errorf("purges of %d groups are known, want %d", len(groups), last-1)
 		}
 	})
 }
@@ -256,7 +256,7 @@
 			t.Parallel()
 			var newest atomic.Uint64
 			newest.Store(2)
-			fake := newPurges(t, &newest)
+			fake := newPurgeServer(t, &newest)
 			harness := newHarnessAt(t, fake)
 			harness.checkDeliveredOnce(2)
 			faults := harness.planFaults(plan)
@@ -273,7 +273,7 @@
 			if failed == 0 {
 				t.Error("no call failed")
 			}
-			if n := fake.asked.Load(); n > 15 {
+			if n := fake.connections.Load(); n > 15 {
 				t.Errorf("it was asked %d times", n)
 			}
 		})
@@ -285,7 +285,7 @@
 // twice.
 func TestConfigurationsInQuickSuccession(t *testing.T) {
 	t.Parallel()
-	for name, moves := range map[string][]int{"not moved": {0, 0}, "moved once": {0, 1}, "moved twice": {1, 2}, "there and back": {1, 0},
+	for name, indexes := range map[string][]int{"not moved": {0, 0}, "moved once": {0, 1}, "moved twice": {1, 2}, "there and back": {1, 0},
 		"many times": {1, 2, 0, 1, 2, 0, 1}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -293,25 +293,25 @@
 			newest.Store(1)
 			var feeds []*discoveryServer
 			for range 3 {
-				feeds = append(feeds, newPurges(t, &newest))
+				feeds = append(feeds, newPurgeServer(t, &newest))
 			}
 			harness := newHarnessAt(t, feeds[0])
 			end := harness.serveContinuously()
-			harness.waitUntil("the first discovery server is asked", func() bool { return feeds[0].asked.Load() == 1 })
+			harness.waitUntil("the first discovery server is asked", func() bool { return feeds[0].connections.Load() == 1 })
 			newest.Store(3)
-			for _, move := range moves {
+			for _, move := range indexes {
 				harness.writeConfig(feeds[move].Addr)
 				harness.server.Reload()
 				time.Sleep(40 * time.Millisecond)
 				newest.Add(1)
 			}
-			holds := feeds[moves[len(moves)-1]]
+			last := feeds[indexes[len(indexes)-1]]
 			harness.waitUntil("the last one holds", func() bool {
 				open := int64(0)
 				for _, fake := range feeds {
 					open += fake.open.Load()
 				}
-				return open == 1 && holds.open.Load() == 1
+				return open == 1 && last.open.Load() == 1
 			})
 			harness.checkDeliveredOnce(newest.Add(1))
 			end()
@@ -322,7 +322,7 @@
 // TestLongEndpointList: what a decoder holds of half a frame is given back once it is complete.
 func TestLongEndpointList(t *testing.T) {
 	t.Parallel()
-	rows := manyRows(3200, 0xc9, "127.0.0.1:9")
+	rows := manyEndpoints(3200, 0xc9, "127.0.0.1:9")
 	binary.BigEndian.PutUint32(rows, 0x20000)
 	fake := newDiscoveryServer(t, func(c net.Conn, _ int64) {
 		c.Write(testserver.PlatformFrame(2, 1, rows))
@@ -341,13 +341,13 @@
 	return float64(usage.Utime.Sec) + float64(usage.Utime.Usec)/1e6
 }
 
-// TestManyDeltasOfALongList: what changes of the list cost a router grows only so far from
+// TestDeltaCostOfLongEndpointList: what changes of the list cost a router grows only so far from
 // 200 to 3,200 caches, of which one in 200 is replaced each 5 s for two minutes.
-func TestManyDeltasOfALongList(t *testing.T) {
+func TestDeltaCostOfLongEndpointList(t *testing.T) {
 	cost := func(caches int) (cpu, memory float64) {
 		harness := newHarness(t, nil)
 		before := heapMB()
-		harness.server.loop.Call(waitLimit, func() {
+		harness.server.loop.Call(waitTimeout, func() {
 			number := harness.server.stream.decoder.LastNumber
 			next := 0
 			row := func(i int, state discovery.State) discovery.Endpoint {
@@ -425,7 +425,7 @@
 	harness.waitUntil("the discovery server is asked", func() bool { return harness.discoveryWrites.Load() != nil })
 	harness.discovery.Close()
 	var dials atomic.Int64
-	harness.server.loop.Call(waitLimit, func() {
+	harness.server.loop.Call(waitTimeout, func() {
 		harness.server.stream.dial = func(address string) (int, bool, error) { dials.Add(1); return harness.server.loop.Dial(address) }
 	})
 	harness.sendDiscovery(nil)
--- a/internal/proxy/platform/drain_test.go
+++ b/internal/proxy/platform/drain_test.go
@@ -27,46 +27,46 @@
 	answer := <-hold
 	harness.server.Drain()
 	harness.waitUntil("isWell is not good", func() bool { good, err := harness.dial().Well(); return !good && err == nil })
-	d := harness.dial()
-	d.Ask(readFields(key), nil)
+	later := harness.dial()
+	later.Ask(readFields(key), nil)
 	(<-hold)()
-	if result, err := d.Result(waitLimit); err != nil || result.Word != "served" {
+	if result, err := later.Result(waitTimeout); err != nil || result.Word != "served" {
 		t.Errorf("one that came after: %+v %v", result, err)
 	}
 	answer()
-	if result, err := client.Result(waitLimit); err != nil || result.Word != "served" {
+	if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" {
 		t.Errorf("one that came before: %+v %v", result, err)
 	}
 	select {
-	case err := <-harness.served:
-		if harness.served <- err; err != nil {
+	case err := <-harness.serveErr:
+		if harness.serveErr <- err; err != nil {
 			t.Error(err)
 		}
-	case <-time.After(waitLimit):
+	case <-time.After(waitTimeout):
 		t.Error("it does not end")
 	}
 }
 
 // waitStopped waits until a router that drains has stopped.
-func (w *testHarness) waitStopped() {
-	w.t.Helper()
+func (h *testHarness) waitStopped() {
+	h.t.Helper()
 	select {
-	case err := <-w.served:
-		if w.served <- err; err != nil {
-			w.t.Error(err)
+	case err := <-h.serveErr:
+		if h.serveErr <- err; err != nil {
+			h.t.Error(err)
 		}
-	case <-time.After(waitLimit):
-		w.t.Error("it does not end")
+	case <-time.After(waitTimeout):
+		h.t.Error("it does not end")
 	}
 }
 
-// TestDrainMoments: what has come in the very moment of SIGTERM is answered, once, and the
+// TestDrainRaces: what has come in the very moment of SIGTERM is answered, once, and the
 // router ends; a second signal and a new configuration change nothing.
-func TestDrainMoments(t *testing.T) {
+func TestDrainRaces(t *testing.T) {
 	call := testserver.PlatformCall("serve", 1, readFields(key), nil)
 	for _, test := range []struct {
 		name string
-		play func(harness *testHarness, client *testserver.PlatformClient)
+		run  func(harness *testHarness, client *testserver.PlatformClient)
 		word string
 	}{
 		{"between accept and first read", func(harness *testHarness, client *testserver.PlatformClient) {
@@ -104,11 +104,11 @@
 			}
 			harness := newHarness(t, map[string]handler{"s-000000c1": on, "s-000000c2": on, "s-000000a1": on})
 			client := harness.dial()
-			test.play(harness, client)
-			if result, err := client.Result(waitLimit); err != nil || result.Word != test.word {
+			test.run(harness, client)
+			if result, err := client.Result(waitTimeout); err != nil || result.Word != test.word {
 				t.Errorf("%+v %v", result, err)
 			}
-			if _, err := client.Result(waitLimit); err != io.EOF {
+			if _, err := client.Result(waitTimeout); err != io.EOF {
 				t.Errorf("then %v; an end is wanted", err)
 			}
 			client.Close()
@@ -127,13 +127,13 @@
 		client.Ask(readFields(key), nil)
 	}
 	harness.waitUntil("something waits", func() (yes bool) {
-		harness.server.loop.Call(waitLimit, func() { yes = harness.server.unsentBytes > 0 })
+		harness.server.loop.Call(waitTimeout, func() { yes = harness.server.unsentBytes > 0 })
 		return yes
 	})
 	harness.server.Drain()
 	time.Sleep(1500 * time.Millisecond)
 	for i := range 30 {
-		if result, err := client.Result(waitLimit); err != nil || result.Word != "served" || len(result.Body) != 240000 {
+		if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" || len(result.Body) != 240000 {
 			t.Fatalf("answer %d: %s of %d bytes, %v", i, result.Word, len(result.Body), err)
 		}
 	}
@@ -151,13 +151,13 @@
 	client.Ask(readFields(key), nil)
 	harness.waitUntil("it is answered", func() bool {
 		n := -1
-		harness.server.loop.Call(waitLimit, func() { n = len(harness.server.requests) + harness.server.unsentBytes })
+		harness.server.loop.Call(waitTimeout, func() { n = len(harness.server.requests) + harness.server.unsentBytes })
 		return n == 0 && harness.requestsSent() > 0
 	})
 	before := harness.requestsSent()
 	harness.server.Drain()
 	shut := func() (yes bool) {
-		harness.server.loop.Call(waitLimit, func() {
+		harness.server.loop.Call(waitTimeout, func() {
 			for c := range harness.server.clients {
 				yes = c.activity.ShutdownAt > 0
 			}
@@ -169,10 +169,10 @@
 		t.Fatal(err)
 	}
 	time.Sleep(50 * time.Millisecond)
-	if result, err := client.Result(waitLimit); err != nil || result.Word != "served" || len(result.Body) != 200000 {
+	if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" || len(result.Body) != 200000 {
 		t.Errorf("%s of %d bytes, %v", result.Word, len(result.Body), err)
 	}
-	if _, err := client.Result(waitLimit); err != io.EOF {
+	if _, err := client.Result(waitTimeout); err != io.EOF {
 		t.Errorf("then %v; an end is wanted", err)
 	}
 	client.Close()
@@ -189,24 +189,24 @@
 	for _, deadline := range []time.Duration{60 * time.Millisecond, 200 * time.Millisecond, time.Second} {
 		t.Run(deadline.String(), func(t *testing.T) {
 			t.Parallel()
-			drainInTime(t, deadline)
+			testDrainWithDeadline(t, deadline)
 		})
 	}
 }
 
-// owedAnswers are the times of requests that have no answer yet, by client and number.
-type owedAnswers struct {
+// pendingAnswers are the times of requests that have no answer yet, by client and number.
+type pendingAnswers struct {
 	mutex  sync.Mutex
 	sentAt map[string]time.Time
 }
 
-func (o *owedAnswers) sent(client int, seq int32) {
+func (o *pendingAnswers) sent(client int, seq int32) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.sentAt[fmt.Sprint(client, " ", seq)] = time.Now()
 }
 
-func (o *owedAnswers) answered(client int, seq int32) {
+func (o *pendingAnswers) answered(client int, seq int32) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	delete(o.sentAt, fmt.Sprint(client, " ", seq))
@@ -214,14 +214,14 @@
 
 // sendUntilClosed has one client send requests in a pause of each other until its connection
 // ends, or 199 are sent, and waits for their answers; it calls afterFive behind the fifth.
-func (o *owedAnswers) sendUntilClosed(client *testserver.PlatformClient, number int, pause time.Duration, wait string, afterFive func()) {
+func (o *pendingAnswers) sendUntilClosed(client *testserver.PlatformClient, number int, pause time.Duration, wait string, afterFive func()) {
 	reading := sync.WaitGroup{}
 	defer reading.Wait()
 	closed := make(chan struct{})
 	reading.Go(func() {
 		defer close(closed)
 		for {
-			result, err := client.Result(waitLimit)
+			result, err := client.Result(waitTimeout)
 			if err != nil {
 				return
 			}
@@ -246,23 +246,23 @@
 	}
 }
 
-func drainInTime(t *testing.T, deadline time.Duration) {
+func testDrainWithDeadline(t *testing.T, deadline time.Duration) {
 	wait := fmt.Sprint(deadline.Milliseconds())
 	harness := newHarnessWith(t, (&recorder{}).handlers(), `"give_up":3000`, `"give_up":`+wait, `"aim":400`, `"aim":100`)
-	owed := owedAnswers{sentAt: map[string]time.Time{}}
+	pending := pendingAnswers{sentAt: map[string]time.Time{}}
 	var clients sync.WaitGroup
-	begun := make(chan struct{})
+	started := make(chan struct{})
 	for i := range 8 {
 		client := harness.dial()
 		afterFive := func() {}
 		if i == 0 {
-			afterFive = func() { close(begun) }
+			afterFive = func() { close(started) }
 		}
 		clients.Go(func() {
-			owed.sendUntilClosed(client, i, deadline/12+time.Duration(5*i)*time.Millisecond, wait, afterFive)
+			pending.sendUntilClosed(client, i, deadline/12+time.Duration(5*i)*time.Millisecond, wait, afterFive)
 		})
 	}
-	<-begun
+	<-started
 	signalled := time.Now()
 	harness.server.Drain()
 	harness.waitStopped()
@@ -271,18 +271,18 @@
 	if took := stopped.Sub(signalled); took > deadline+700*time.Millisecond {
 		t.Errorf("it ended %v after the signal; deadlines are %v", took, deadline)
 	}
-	for name, sent := range owed.sentAt {
+	for name, sent := range pending.sentAt {
 		if before := stopped.Sub(sent); before > 50*time.Millisecond {
 			t.Errorf("request %s, sent %v before the end, has no answer", name, before)
 		}
 	}
 }
 
-// TestDrainAnswersRequestsBeyondTheKill: a request that came before the shutdown may have a
+// TestDrainAnswersRequestsWithLateDeadlines: a request that came before the shutdown may have a
 // deadline that lies beyond the kill. The router that ends in time has answered it first. Seen on
 // the bench as 'the node that took request a313cd3d ended its client's connection with no whole
 // answer', 14 times in one shutdown.
-func TestDrainAnswersRequestsBeyondTheKill(t *testing.T) {
+func TestDrainAnswersRequestsWithLateDeadlines(t *testing.T) {
 	t.Parallel()
 	harness := newHarnessWith(t, (&recorder{}).handlers(), `"give_up":3000`, `"give_up":9000`)
 	client := harness.dial()
@@ -293,21 +293,21 @@
 		}
 	}
 	harness.waitUntil("they are in flight", func() (all bool) {
-		harness.server.loop.Call(waitLimit, func() { all = len(harness.server.requests) == requests })
+		harness.server.loop.Call(waitTimeout, func() { all = len(harness.server.requests) == requests })
 		return all
 	})
-	at := time.Now()
+	signalled := time.Now()
 	harness.server.Drain()
 	for i := range requests {
-		result, err := client.Result(waitLimit)
+		result, err := client.Result(waitTimeout)
 		if err != nil {
-			t.Fatalf("request %d of %d, %v after the signal: %v", i+1, requests, time.Since(at), err)
+			t.Fatalf("request %d of %d, %v after the signal: %v", i+1, requests, time.Since(signalled), err)
 		}
 		if result.Word != "refused" && result.Word != "failed" {
 			t.Errorf("request %d: %+v", i+1, result)
 		}
 	}
-	if d := time.Since(at); d > (maxDrainDeadline+killGracePeriod)*time.Millisecond {
+	if d := time.Since(signalled); d > (maxDrainDeadline+killGracePeriod)*time.Millisecond {
 		t.Errorf("the last answer came %v after the signal", d)
 	}
 	client.Close()
--- a/internal/proxy/platform/during_dial_test.go
+++ b/internal/proxy/platform/during_dial_test.go
@@ -64,7 +64,7 @@
 // acceptRequest accepts one connection, and reads its first request.
 func (m *slowMember) acceptRequest(t *testing.T) (conn net.Conn, first []byte) {
 	t.Helper()
-	if k, _ := unix.Poll([]unix.PollFd{{Fd: int32(m.fd), Events: unix.POLLIN}}, int(waitLimit.Milliseconds())); k <= 0 {
+	if k, _ := unix.Poll([]unix.PollFd{{Fd: int32(m.fd), Events: unix.POLLIN}}, int(waitTimeout.Milliseconds())); k <= 0 {
 		t.Fatal("nobody connects")
 	}
 	fd, _, err := unix.Accept(m.fd)
@@ -132,7 +132,7 @@
 	harness.changeMember(3, 0xa1, harness.members["s-000000a1"].Addr, 1, 1, 2)
 	client := harness.dial()
 	client.Ask(readFields(key, "class", "note", "once", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", "wait", "9000"), []byte("x"))
-	began := time.Now()
+	start := time.Now()
 	for i := range 2 { // neither is answered; each is given up after 0.45 of the window
 		if _, b := slow.acceptRequest(t); len(b) == 0 {
 
@@ -140,11 +140,11 @@
 		}
 	}
 	slow.fillBacklog(t)
-	time.Sleep(time.Until(began.Add(2500 * time.Millisecond)))
+	time.Sleep(time.Until(start.Add(2500 * time.Millisecond)))
 	if n := slow.countRequests(t, time.Second); n != 0 {
 		t.Errorf("%d attempts came after the window", n)
 	}
-	if result, err := client.Result(waitLimit); err != nil || result.Word != "failed" {
+	if result, err := client.Result(waitTimeout); err != nil || result.Word != "failed" {
 		t.Errorf("%+v %v", result, err)
 	}
 }
@@ -168,7 +168,7 @@
 			if n := slow.countRequests(t, 1500*time.Millisecond); n != 0 {
 				t.Errorf("%d attempts came", n)
 			}
-			if result, err := client.Result(waitLimit); err != nil || result.Word != "served" {
+			if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" {
 				t.Errorf("%+v %v", result, err)
 			}
 		})
@@ -190,10 +190,10 @@
 	client.Ask(readFields(key), nil)
 	harness.waitTurn()
 	time.Sleep(100 * time.Millisecond)
-	at := time.Now()
+	purgedAt := time.Now()
 	var b []byte
 	b = binary.BigEndian.AppendUint16(b, 17) // the group of clip's objects
-	b = binary.BigEndian.AppendUint64(b, uint64(at.UnixMilli()))
+	b = binary.BigEndian.AppendUint64(b, uint64(purgedAt.UnixMilli()))
 	harness.sendDiscovery(testserver.PlatformFrame(5, 4, b))
 	time.Sleep(300 * time.Millisecond)
 	slow.acceptBacklog(t)
@@ -204,8 +204,8 @@
 	_, rest, ok := strings.Cut(string(first), "within=")
 	within, _, _ := strings.Cut(rest, "\r")
 	within, _, _ = strings.Cut(within, ",")
-	if ms, err := strconv.Atoi(within); !ok || err != nil || ms > int(time.Since(at).Milliseconds()) {
-		t.Errorf("%v ms after the purge it asks %q", time.Since(at).Milliseconds(), first)
+	if ms, err := strconv.Atoi(within); !ok || err != nil || ms > int(time.Since(purgedAt).Milliseconds()) {
+		t.Errorf("%v ms after the purge it asks %q", time.Since(purgedAt).Milliseconds(), first)
 	}
 }
 
@@ -222,13 +222,13 @@
 	harness.dial().Ask(readFields(key), nil)
 	harness.waitTurn()
 	harness.changeMember(5, 0xd1, slow.address, 2, 0, 0)
-	harness.server.loop.Call(waitLimit, func() {
+	harness.server.loop.Call(waitTimeout, func() {
 		for _, r := range harness.server.requests {
 			r.inFlight.abandon(spool.Cancelled)
 		}
 	})
 	conns := func() (n int) {
-		harness.server.loop.Call(waitLimit, func() { n = harness.server.memberConnections })
+		harness.server.loop.Call(waitTimeout, func() { n = harness.server.memberConnections })
 		return n
 	}
 	slow.acceptBacklog(t)
@@ -255,7 +255,7 @@
 			closes.Ask(readFields(key), nil)
 			seq, _ := forgets.Ask(readFields(key), nil)
 			harness.waitUntil("both are taken", func() (all bool) {
-				harness.server.loop.Call(waitLimit, func() { all = len(harness.server.requests) == 2 })
+				harness.server.loop.Call(waitTimeout, func() { all = len(harness.server.requests) == 2 })
 				return all
 			})
 			closes.Close()
--- a/internal/proxy/platform/faults_test.go
+++ b/internal/proxy/platform/faults_test.go
@@ -16,20 +16,20 @@
 )
 
 // planFaults has the router's system calls fail by a plan, from now on.
-func (w *testHarness) planFaults(plan string) (calls *faultinject.Syscalls) {
-	w.t.Helper()
-	w.server.loop.Call(waitLimit, func() { calls = w.injectFaults(plan) })
+func (h *testHarness) planFaults(plan string) (calls *faultinject.Syscalls) {
+	h.t.Helper()
+	h.server.loop.Call(waitTimeout, func() { calls = h.injectFaults(plan) })
 	return calls
 }
 
 // injectFaults is planFaults, called on the loop.
-func (w *testHarness) injectFaults(plan string) *faultinject.Syscalls {
+func (h *testHarness) injectFaults(plan string) *faultinject.Syscalls {
 	parsed, err := faultinject.Parse(plan)
 	if err != nil {
-		w.t.Error(err)
+		h.t.Error(err)
 	}
 	calls := faultinject.New(parsed, 1, faultinject.Since())
-	w.server.loop.Intercept(calls)
+	h.server.loop.Intercept(calls)
 	return calls
 }
 
@@ -57,7 +57,7 @@
 					client.Ask(writeFields(), make([]byte, 30000))
 				}
 				for i := range asked {
-					if result, err := client.Result(waitLimit); err != nil || result.Word != "served" {
+					if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" {
 						t.Fatalf("answer %d: %s %v", i, result.Word, err)
 					}
 				}
@@ -87,7 +87,7 @@
 			client := harness.dial()
 			client.Ask(readFields(key), nil)
 			go func() {
-				result, _ := client.Result(waitLimit)
+				result, _ := client.Result(waitTimeout)
 				done <- result
 			}()
 			release()
@@ -98,13 +98,13 @@
 				client := harness.dial()
 				client.Ask(readFields(key), nil)
 				if call == "write" {
-					client.Result(waitLimit)
+					client.Result(waitTimeout)
 				}
 				s := harness.planFaults(call + ":" + errno + ":1x")
 				if call == "write" {
 					client.Ask(readFields(key), nil)
 				}
-				if result, err := client.Result(waitLimit); err != nil || result.Word != "served" {
+				if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" {
 					t.Errorf("%s: %+v %v", call, result, err)
 				}
 				if _, failed := s.Counts(faultinject.Call(call)); call == "write" && failed != 1 {
@@ -127,7 +127,7 @@
 			began := time.Now()
 			client := harness.dial()
 			client.Ask(readFields(key), nil)
-			if result, err := client.Result(waitLimit); err != nil || result.Word != "served" {
+			if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" {
 				t.Fatalf("%+v %v", result, err)
 			}
 			if d := time.Since(began); d > time.Second {
@@ -166,7 +166,7 @@
 						}
 						busy.Go(func() {
 							for range each {
-								if result, err := client.Result(waitLimit); err != nil || result.Word != "served" {
+								if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" {
 									t.Errorf("%+v %v", result, err)
 									return
 								}
@@ -218,14 +218,14 @@
 			harness := newHarness(t, rec.handlers())
 			harness.openConnections()
 			before := len(rec.requests())
-			harness.server.loop.Call(waitLimit, func() { harness.server.loop.Intercept(&stallingSyscalls{span: span}) })
+			harness.server.loop.Call(waitTimeout, func() { harness.server.loop.Intercept(&stallingSyscalls{span: span}) })
 			client := harness.dial()
 			sent := time.Now()
 			for range 2 {
 				client.Ask(readFields(key, "wait", "2000"), nil)
 			}
 			for range 2 {
-				if result, err := client.Result(waitLimit); err != nil || result.Word != "served" {
+				if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" {
 					t.Fatalf("%+v %v", result, err)
 				}
 			}
--- a/internal/proxy/platform/harness_test.go
+++ b/internal/proxy/platform/harness_test.go
@@ -19,7 +19,7 @@
 	"indigospool/internal/testbed/testserver"
 )
 
-const waitLimit = 5 * time.Second // in which what is wanted comes; the rules' own spans are in the code
+const waitTimeout = 5 * time.Second // in which what is wanted comes; the rules' own spans are in the code
 
 // testHarness is a router among fake members and a fake discovery server.
 type testHarness struct {
@@ -33,7 +33,7 @@
 	lastResumed          atomic.Uint64               // number that the feed's last connection began with
 	discoveryConnections atomic.Int64                // connections of the feed
 	discoveryWrites      atomic.Pointer[chan []byte] // what the feed's last connection writes next; nil: it breaks off
-	served               chan error
+	serveErr             chan error
 }
 
 // newHarness starts a router whose caches c1, c2 and origin a1 do as handlers say; nil:
@@ -44,10 +44,10 @@
 
 // newHarnessWith starts a router by settings in which each old text is replaced by a new
 // one.
-func newHarnessWith(t *testing.T, handlers map[string]handler, oldnew ...string) *testHarness {
+func newHarnessWith(t *testing.T, handlers map[string]handler, replacements ...string) *testHarness {
 	t.Helper()
 	harness := prepareHarness(t, handlers)
-	harness.settings = strings.NewReplacer(oldnew...).Replace(testSettings)
+	harness.settings = strings.NewReplacer(replacements...).Replace(testSettings)
 	harness.writeConfig(harness.discovery.Addr)
 	harness.start(zap.NewNop())
 	return harness
@@ -56,7 +56,7 @@
 // prepareHarness starts the fakes, and writes a configuration that names them.
 func prepareHarness(t *testing.T, handlers map[string]handler) *testHarness {
 	t.Helper()
-	harness := &testHarness{t: t, settings: testSettings, members: map[string]*testserver.PlatformCache{}, served: make(chan error, 1)}
+	harness := &testHarness{t: t, settings: testSettings, members: map[string]*testserver.PlatformCache{}, serveErr: make(chan error, 1)}
 	for _, id := range []string{"s-000000c1", "s-000000c2", "s-000000a1"} {
 		handler := handlers[id]
 		if handler == nil {
@@ -76,52 +76,52 @@
 }
 
 // start opens the router and serves until the test's end.
-func (w *testHarness) start(log *zap.Logger) {
-	w.t.Helper()
-	server, err := Open(w.configFile, "127.0.0.1:0", log)
+func (h *testHarness) start(log *zap.Logger) {
+	h.t.Helper()
+	server, err := Open(h.configFile, "127.0.0.1:0", log)
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	w.server, w.address = server, server.Addr()
-	go func() { w.served <- server.Serve() }()
-	w.t.Cleanup(func() {
+	h.server, h.address = server, server.Addr()
+	go func() { h.serveErr <- server.Serve() }()
+	h.t.Cleanup(func() {
 		server.loop.Stop()
 		select {
-		case <-w.served:
-		case <-time.After(waitLimit):
-			w.t.Error("the router does not stop")
+		case <-h.serveErr:
+		case <-time.After(waitTimeout):
+			h.t.Error("the router does not stop")
 		}
 	})
 }
 
-func (w *testHarness) newDiscovery() *testserver.PlatformFeed {
+func (h *testHarness) newDiscovery() *testserver.PlatformFeed {
 	server, err := testserver.NewPlatformFeed(func(conn net.Conn, last uint64) {
-		tell := make(chan []byte, 64)
-		w.discoveryWrites.Store(&tell)
-		w.lastResumed.Store(last)
-		w.discoveryConnections.Add(1)
+		writes := make(chan []byte, 64)
+		h.discoveryWrites.Store(&writes)
+		h.lastResumed.Store(last)
+		h.discoveryConnections.Add(1)
 		for {
 			select {
-			case b := <-tell:
+			case b := <-writes:
 				if b == nil {
 					return
 				}
 				conn.Write(b)
-			case <-w.t.Context().Done():
+			case <-h.t.Context().Done():
 				return
 			}
 		}
 	})
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	w.t.Cleanup(server.Close)
+	h.t.Cleanup(server.Close)
 	return server
 }
 
 // sendDiscovery has the last connection of the discovery server write bytes; nil: it is
 // closed.
-func (w *testHarness) sendDiscovery(b []byte) { *w.discoveryWrites.Load() <- b }
+func (h *testHarness) sendDiscovery(b []byte) { *h.discoveryWrites.Load() <- b }
 
 const testSettings = `{"classes":[
  {"name":"clip","aim":400,"aim_stretch":1.5,"give_up":3000,"gain":2,"late_worth":0.1,"idempotency":"free"},
@@ -134,72 +134,72 @@
 
 // writeConfig writes the configuration with a discovery server's address, atomically as
 // deployments do.
-func (w *testHarness) writeConfig(feed string) {
-	w.t.Helper()
+func (h *testHarness) writeConfig(feed string) {
+	h.t.Helper()
 	type row map[string]any
 	var rows []row
-	for id, p := range w.members {
+	for id, p := range h.members {
 		r := row{"name": id, "address": p.Addr, "zone": "near", "type": "box", "group": 0, "status": "ready", "weight": 4, "since_ms": 0}
 		if id == "s-000000a1" {
 			r["zone"], r["type"] = "hub", "origin"
 		}
 		rows = append(rows, r)
 	}
-	c := map[string]any{"name": "n1", "listen": "127.0.0.1:0", "seed": "1f", "feed": feed, "settings": json.RawMessage(w.settings),
+	c := map[string]any{"name": "n1", "listen": "127.0.0.1:0", "seed": "1f", "feed": feed, "settings": json.RawMessage(h.settings),
 		"limits": row{"cores": 1, "memory_mb": 64, "sockets": 256},
 		"known":  row{"n": 1, "events": []row{{"n": 1, "members": row{"index": 1, "snapshot": true, "endpoints": rows}}}}}
 	b, err := json.Marshal(c)
 	if err == nil {
-		err = os.WriteFile(w.configFile+".new", b, 0o600)
+		err = os.WriteFile(h.configFile+".new", b, 0o600)
 	}
 	if err == nil {
-		err = os.Rename(w.configFile+".new", w.configFile)
+		err = os.Rename(h.configFile+".new", h.configFile)
 	}
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 }
 
-func (w *testHarness) dial() *testserver.PlatformClient {
-	w.t.Helper()
-	client, err := testserver.DialPlatform(w.address)
+func (h *testHarness) dial() *testserver.PlatformClient {
+	h.t.Helper()
+	client, err := testserver.DialPlatform(h.address)
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { client.Close() })
+	h.t.Cleanup(func() { client.Close() })
 	return client
 }
 
 // roundTrip makes one request on a connection of its own and returns the answer.
-func (w *testHarness) roundTrip(f map[string]string, body []byte) testserver.PlatformResult {
-	w.t.Helper()
-	client := w.dial()
+func (h *testHarness) roundTrip(f map[string]string, body []byte) testserver.PlatformResult {
+	h.t.Helper()
+	client := h.dial()
 	defer client.Close()
 	if _, err := client.Ask(f, body); err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	result, err := client.Result(waitLimit)
+	result, err := client.Result(waitTimeout)
 	if err != nil {
-		w.t.Fatalf("%v: %v", f, err)
+		h.t.Fatalf("%v: %v", f, err)
 	}
 	return result
 }
 
-func (w *testHarness) waitUntil(what string, f func() bool) {
-	w.t.Helper()
-	for end := time.Now().Add(waitLimit); !f(); time.Sleep(5 * time.Millisecond) {
+func (h *testHarness) waitUntil(what string, f func() bool) {
+	h.t.Helper()
+	for end := time.Now().Add(waitTimeout); !f(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			w.t.Fatalf("not within %v: %s", waitLimit, what)
+			h.t.Fatalf("not within %v: %s", waitTimeout, what)
 		}
 	}
 }
 
 // waitTurn waits until the router's loop has turned so often, with what had come by now.
-func (w *testHarness) waitTurn() {
-	w.t.Helper()
+func (h *testHarness) waitTurn() {
+	h.t.Helper()
 	for range 3 {
-		if err := w.server.loop.Call(waitLimit, func() {}); err != nil {
-			w.t.Fatal(err)
+		if err := h.server.loop.Call(waitTimeout, func() {}); err != nil {
+			h.t.Fatal(err)
 		}
 	}
 }
@@ -209,37 +209,37 @@
 
 // blockLoop keeps the router's loop busy until the returned function is called, so that
 // what comes meanwhile reaches it in one turn.
-func (w *testHarness) blockLoop() (release func()) {
-	w.t.Helper()
-	in, out := make(chan struct{}), make(chan struct{})
-	if err := w.server.loop.Post(func() { close(in); <-out }); err != nil {
-		w.t.Fatal(err)
+func (h *testHarness) blockLoop() (release func()) {
+	h.t.Helper()
+	entered, released := make(chan struct{}), make(chan struct{})
+	if err := h.server.loop.Post(func() { close(entered); <-released }); err != nil {
+		h.t.Fatal(err)
 	}
-	<-in
-	return func() { close(out) }
+	<-entered
+	return func() { close(released) }
 }
 
 // blockLoopThen is blockLoop, with a call on the loop behind it in the same turn.
-func (w *testHarness) blockLoopThen(then func()) (release func()) {
-	w.t.Helper()
-	in, out := make(chan struct{}), make(chan struct{})
-	if err := w.server.loop.Post(func() { close(in); <-out; then() }); err != nil {
-		w.t.Fatal(err)
+func (h *testHarness) blockLoopThen(then func()) (release func()) {
+	h.t.Helper()
+	entered, released := make(chan struct{}), make(chan struct{})
+	if err := h.server.loop.Post(func() { close(entered); <-released; then() }); err != nil {
+		h.t.Fatal(err)
 	}
-	<-in
-	return func() { close(out) }
+	<-entered
+	return func() { close(released) }
 }
 
 // changeMember has the router know a member at an address of its own, by one delta of the
 // discovery stream.
-func (w *testHarness) changeMember(n uint64, id uint32, address string, state, zone, kind byte) {
-	w.waitUntil("the discovery server is asked", func() bool { return w.discoveryWrites.Load() != nil })
-	w.sendDiscovery(testserver.PlatformFrame(n, 2, endpointRecord(id, address, state, zone, kind)))
-	w.waitTurn()
-	w.waitUntil("the list has the member", func() bool {
+func (h *testHarness) changeMember(n uint64, id uint32, address string, state, zone, kind byte) {
+	h.waitUntil("the discovery server is asked", func() bool { return h.discoveryWrites.Load() != nil })
+	h.sendDiscovery(testserver.PlatformFrame(n, 2, endpointRecord(id, address, state, zone, kind)))
+	h.waitTurn()
+	h.waitUntil("the list has the member", func() bool {
 		found := false
-		w.server.loop.Call(waitLimit, func() {
-			m, ok := w.server.engine.Member(fmt.Sprintf("s-%08x", id))
+		h.server.loop.Call(waitTimeout, func() {
+			m, ok := h.server.engine.Member(fmt.Sprintf("s-%08x", id))
 			found = ok && m.State == spool.State(state) || !ok && state == 2
 		})
 		return found
@@ -247,17 +247,17 @@
 }
 
 // openConnections opens connections to members, on which an attempt is written at once.
-func (w *testHarness) openConnections() {
-	w.t.Helper()
+func (h *testHarness) openConnections() {
+	h.t.Helper()
 	for i := range 16 {
-		w.roundTrip(readFields(fmt.Sprintf("%016x", i)), nil)
-		w.roundTrip(writeFields(), nil)
+		h.roundTrip(readFields(fmt.Sprintf("%016x", i)), nil)
+		h.roundTrip(writeFields(), nil)
 	}
 }
 
 // requestsSent counts the attempts that reached members.
-func (w *testHarness) requestsSent() (n int) {
-	for _, p := range w.members {
+func (h *testHarness) requestsSent() (n int) {
+	for _, p := range h.members {
 		for _, request := range p.Seen() {
 			if !request.Stop {
 				n++
@@ -293,13 +293,13 @@
 	}
 }
 
-var ids atomic.Uint64
+var lastID atomic.Uint64
 
 const key = "7f3a9c21e0b4d655"
 
 // readFields is a read with an id of its own; changes are pairs of field and value.
 func readFields(key string, changes ...string) map[string]string {
-	f := map[string]string{"class": "clip", "id": fmt.Sprintf("%016x", ids.Add(1)), "wait": "2000", "key": key, "slice": "3", "set": "17"}
+	f := map[string]string{"class": "clip", "id": fmt.Sprintf("%016x", lastID.Add(1)), "wait": "2000", "key": key, "slice": "3", "set": "17"}
 	for i := 0; i < len(changes); i += 2 {
 		f[changes[i]] = changes[i+1]
 	}
@@ -309,7 +309,7 @@
 // writeFields is a write with an idempotency key, which any router may send to the origin
 // only.
 func writeFields(changes ...string) map[string]string {
-	return readFields(key, append([]string{"class", "note", "once", fmt.Sprintf("%032x", ids.Add(1))}, changes...)...)
+	return readFields(key, append([]string{"class", "note", "once", fmt.Sprintf("%032x", lastID.Add(1))}, changes...)...)
 }
 
 // endpointRecord is a member as frames have it.
@@ -359,7 +359,7 @@
 	return map[string]handler{"s-000000c1": rec.handle, "s-000000c2": rec.handle, "s-000000a1": rec.handle}
 }
 
-func beliefs(server *Server) map[string]float64 {
+func inFlightByMember(server *Server) map[string]float64 {
 	out := map[string]float64{}
 	members, _ := server.engine.Statuses()
 	for id, b := range members {
--- a/internal/proxy/platform/member_test.go
+++ b/internal/proxy/platform/member_test.go
@@ -16,32 +16,32 @@
 // while; a request finds a fresh one before its attempts are spent.
 func TestConnectionsClosedByIdleMember(t *testing.T) {
 	t.Parallel()
-	const forgets = 200 * time.Millisecond
+	const memberIdleTimeout = 200 * time.Millisecond
 	var mu sync.Mutex
-	last, held := map[*testserver.PlatformConn]time.Time{}, true
-	on := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
+	lastRequest, delayed := map[*testserver.PlatformConn]time.Time{}, true
+	handle := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
 		mu.Lock()
 		defer mu.Unlock()
-		before, known := last[conn]
-		last[conn] = time.Now()
+		before, known := lastRequest[conn]
+		lastRequest[conn] = time.Now()
 		switch {
 		case request.Stop:
-		case known && time.Since(before) > forgets:
+		case known && time.Since(before) > memberIdleTimeout:
 			conn.Reset()
-		case held: // so that each gets a connection of its own
+		case delayed: // so that each gets a connection of its own
 			time.AfterFunc(150*time.Millisecond, func() { answerHit(conn, request) })
 		default:
 			answerHit(conn, request)
 		}
 	}
-	harness := newHarness(t, map[string]handler{"s-000000c1": on, "s-000000c2": on, "s-000000a1": on})
-	ask := func(count int, what func(i int) map[string]string) {
+	harness := newHarness(t, map[string]handler{"s-000000c1": handle, "s-000000c2": handle, "s-000000a1": handle})
+	requestAll := func(count int, what func(i int) map[string]string) {
 		client := harness.dial()
 		for i := range count {
 			client.Ask(what(i), nil)
 		}
 		for range count {
-			if result, err := client.Result(waitLimit); err != nil || result.Word != "served" {
+			if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" {
 				t.Errorf("%+v %v", result, err)
 			}
 		}
@@ -52,20 +52,20 @@
 		}
 		return readFields(fmt.Sprintf("%016x", i), "wait", "2500")
 	}
-	ask(32, mixed)
+	requestAll(32, mixed)
 	mu.Lock()
-	held = false
+	delayed = false
 	mu.Unlock()
 	conns := 0
-	harness.server.loop.Call(waitLimit, func() { conns = harness.server.memberConnections })
-	time.Sleep(forgets + 100*time.Millisecond)
+	harness.server.loop.Call(waitTimeout, func() { conns = harness.server.memberConnections })
+	time.Sleep(memberIdleTimeout + 100*time.Millisecond)
 	before := harness.requestsSent()
-	ask(1, func(int) map[string]string { return writeFields("wait", "2500") })
-	ask(1, func(int) map[string]string { return readFields(key, "wait", "2500") })
+	requestAll(1, func(int) map[string]string { return writeFields("wait", "2500") })
+	requestAll(1, func(int) map[string]string { return readFields(key, "wait", "2500") })
 	if n := harness.requestsSent() - before; n > 4 {
 		t.Errorf("%d attempts for two requests, over %d connections that were forgotten", n, conns)
 	}
-	ask(16, mixed)
+	requestAll(16, mixed)
 }
 
 // TestMalformedAnswers: nothing spoilt is passed on, the connection is closed, and the request is
@@ -86,12 +86,12 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			var spoilt atomic.Int64
+			var requests atomic.Int64
 			bad := func(pc *testserver.PlatformConn, request testserver.PlatformRequest) {
 				if request.Stop {
 					return
 				}
-				if spoilt.Add(1) > 1 { // only the first of all answers is bad
+				if requests.Add(1) > 1 { // only the first of all answers is bad
 					answerHit(pc, request)
 					return
 				}
@@ -104,7 +104,7 @@
 			if result := harness.roundTrip(readFields(key), nil); result.Word != "served" || string(result.Body) != "bytes of "+key {
 				t.Errorf("answered %+v", result)
 			}
-			if n := spoilt.Load(); n != 2 {
+			if n := requests.Load(); n != 2 {
 				t.Errorf("%d attempts, want 2", n)
 			}
 		})
@@ -114,14 +114,14 @@
 // TestUnmatchedAnswersAreDropped: a second copy and an unknown id are dropped, and the
 // connection is kept.
 func TestUnmatchedAnswersAreDropped(t *testing.T) {
-	twice := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
+	answerTwice := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
 		if !request.Stop {
 			conn.Hit("ffffffffffffffff", []byte("nobody's"))
 			conn.Hit(request.ID, []byte("good"))
 			conn.Hit(request.ID, []byte("once more"))
 		}
 	}
-	harness := newHarness(t, map[string]handler{"s-000000c1": twice, "s-000000c2": twice})
+	harness := newHarness(t, map[string]handler{"s-000000c1": answerTwice, "s-000000c2": answerTwice})
 	for range 20 {
 		if result := harness.roundTrip(readFields(key), nil); result.Word != "served" || string(result.Body) != "good" {
 			t.Fatalf("%+v", result)
@@ -132,9 +132,9 @@
 	}
 }
 
-// TestErrorsOfOneObjectSpareOthers: a request that two caches answer with an error is ended, and what
+// TestObjectErrorsDoNotAffectOthers: a request that two caches answer with an error is ended, and what
 // others ask of these caches goes on.
-func TestErrorsOfOneObjectSpareOthers(t *testing.T) {
+func TestObjectErrorsDoNotAffectOthers(t *testing.T) {
 	fault := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
 		if request.Fields["key"] == "0000000000000bad" {
 			conn.Answer(request.ID, "FAULT", "-", nil)
@@ -165,10 +165,10 @@
 	harness.waitUntil("the first connection", func() bool { return harness.discoveryConnections.Load() == 1 })
 	harness.sendDiscovery(testserver.PlatformFrame(2, 2, append(endpointRecord(0xc1, c1.Addr, 2, 0, 0), endpointRecord(0xc9, c1.Addr, 0, 0, 0)...)))
 	harness.waitUntil("the new one is asked", func() bool {
-		harness.roundTrip(readFields(fmt.Sprintf("%016x", ids.Load())), nil)
+		harness.roundTrip(readFields(fmt.Sprintf("%016x", lastID.Load())), nil)
 		return c1.Conns() > before
 	})
-	harness.server.loop.Call(waitLimit, func() {
+	harness.server.loop.Call(waitTimeout, func() {
 		if _, ok := harness.server.engine.Member("s-000000c1"); ok || harness.server.pools["s-000000c1"] != nil {
 			t.Error("something is kept of a cache that is gone")
 		}
@@ -178,8 +178,8 @@
 // TestMemberMovesToAnotherAddress: a cache that comes back under its id at another address is asked
 // there, though connections to the first are still busy.
 func TestMemberMovesToAnotherAddress(t *testing.T) {
-	never := func(*testserver.PlatformConn, testserver.PlatformRequest) {}
-	harness := newHarness(t, map[string]handler{"s-000000c1": never})
+	noAnswer := func(*testserver.PlatformConn, testserver.PlatformRequest) {}
+	harness := newHarness(t, map[string]handler{"s-000000c1": noAnswer})
 	other, err := testserver.NewPlatformCache("127.0.0.1:0", answerHit)
 	if err != nil {
 		t.Fatal(err)
@@ -193,16 +193,16 @@
 	harness.waitUntil("the discovery server is asked", func() bool { return harness.discoveryConnections.Load() == 1 })
 	harness.sendDiscovery(testserver.PlatformFrame(2, 2, endpointRecord(0xc1, other.Addr, 0, 0, 0)))
 	harness.waitUntil("it is asked at its new address", func() bool {
-		harness.roundTrip(readFields(fmt.Sprintf("%016x", ids.Load())), nil)
+		harness.roundTrip(readFields(fmt.Sprintf("%016x", lastID.Load())), nil)
 		return len(other.Seen()) > 0
 	})
 }
 
-// TestBookkeepingAgreesWithRouter: what the module holds of each member is what is open there, through
+// TestInFlightCountsMatchRouter: what the module holds of each member is what is open there, through
 // resets, time-outs, withdrawals and spoilt answers; and nothing is left in the end.
-func TestBookkeepingAgreesWithRouter(t *testing.T) {
+func TestInFlightCountsMatchRouter(t *testing.T) {
 	var n atomic.Int64
-	rough := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
+	unreliable := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
 		if request.Stop {
 			return
 		}
@@ -217,7 +217,7 @@
 			conn.Done(request.ID)
 		}
 	}
-	harness := newHarness(t, map[string]handler{"s-000000c1": rough, "s-000000c2": rough, "s-000000a1": rough})
+	harness := newHarness(t, map[string]handler{"s-000000c1": unreliable, "s-000000c2": unreliable, "s-000000a1": unreliable})
 	client := harness.dial()
 	for i := range 30 {
 		seq, err := client.Ask(readFields(fmt.Sprintf("%016x", i), "wait", "400"), nil)
@@ -230,7 +230,7 @@
 		time.Sleep(2 * time.Millisecond)
 	}
 	harness.waitUntil("nothing is open", func() (none bool) {
-		harness.server.loop.Call(waitLimit, func() {
+		harness.server.loop.Call(waitTimeout, func() {
 			held, out := 0.0, 0
 			members, link := harness.server.engine.Statuses()
 			for id, b := range members {
@@ -262,7 +262,7 @@
 			t.Errorf("%d: %+v", i, result)
 		}
 	}
-	harness.server.loop.Call(waitLimit, func() {
+	harness.server.loop.Call(waitTimeout, func() {
 		if members, _ := harness.server.engine.Statuses(); !members["s-000000c1"].Ejected {
 			t.Errorf("a cache that refuses connections is no suspect: %+v", members["s-000000c1"])
 		}
@@ -310,14 +310,14 @@
 	if len(times) != 20 {
 		t.Errorf("%d keys for 20 writes", len(times))
 	}
-	again := 0
+	attempts := 0
 	for _, request := range harness.members["s-000000a1"].Seen() {
 		if !request.Stop && request.Fields["once"] != "" {
-			again++
+			attempts++
 		}
 	}
-	if again != 30 {
-		t.Errorf("%d attempts for 20 writes, of which ten were reset once", again)
+	if attempts != 30 {
+		t.Errorf("%d attempts for 20 writes, of which ten were reset once", attempts)
 	}
 }
 
--- a/internal/proxy/platform/reload_test.go
+++ b/internal/proxy/platform/reload_test.go
@@ -51,7 +51,7 @@
 			client.Ask(writeFields(), nil)
 		}
 		harness.waitUntil("they are taken", func() (all bool) {
-			harness.server.loop.Call(waitLimit, func() { all = len(harness.server.requests) == 20 })
+			harness.server.loop.Call(waitTimeout, func() { all = len(harness.server.requests) == 20 })
 			return all
 		})
 		first, second := harness.newDiscovery(), harness.newDiscovery()
@@ -64,7 +64,7 @@
 		harness.server.Reload()
 		harness.waitTurn()
 		for range 20 {
-			if result, err := client.Result(waitLimit); err != nil || result.Word != "served" {
+			if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" {
 				t.Errorf("round %d: %+v %v", round, result, err)
 			}
 		}
@@ -72,7 +72,7 @@
 			t.Errorf("round %d, afterwards: %+v", round, result)
 		}
 		feed := ""
-		harness.server.loop.Call(waitLimit, func() { feed = harness.server.config.DiscoveryAddress })
+		harness.server.loop.Call(waitTimeout, func() { feed = harness.server.config.DiscoveryAddress })
 		if feed != second.Addr {
 			t.Errorf("round %d: the feed is %s, not %s", round, feed, second.Addr)
 		}
@@ -80,14 +80,14 @@
 	harness.waitUntil("the last feed is asked", func() bool { return harness.discoveryConnections.Load() >= 2 && harness.lastResumed.Load() == 1 })
 }
 
-// TestReloadWhileFilesFail: a file that cannot be read for a moment is read a moment later.
-func TestReloadWhileFilesFail(t *testing.T) {
+// TestReloadRetriesReadErrors: a file that cannot be read for a moment is read a moment later.
+func TestReloadRetriesReadErrors(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ENFILE, unix.EMFILE, unix.EIO, unix.ENOMEM} {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
 			t.Parallel()
 			harness := newHarness(t, nil)
 			left := 3
-			harness.server.loop.Call(waitLimit, func() {
+			harness.server.loop.Call(waitTimeout, func() {
 				harness.server.readConfig = func(file string) (*Config, error) {
 					if left--; left >= 0 {
 						return nil, &os.PathError{Op: "open", Path: file, Err: errno}
@@ -99,7 +99,7 @@
 			harness.writeConfig(second.Addr)
 			harness.server.Reload()
 			harness.waitUntil("the new file holds", func() (yes bool) {
-				harness.server.loop.Call(waitLimit, func() { yes = harness.server.config.DiscoveryAddress == second.Addr })
+				harness.server.loop.Call(waitTimeout, func() { yes = harness.server.config.DiscoveryAddress == second.Addr })
 				return yes
 			})
 		})
@@ -122,7 +122,7 @@
 	harness.server.Reload()
 	harness.waitTurn()
 	answer()
-	if result, err := client.Result(waitLimit); err != nil || result.Word != "served" {
+	if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" {
 		t.Errorf("%+v %v", result, err)
 	}
 	if result := harness.roundTrip(readFields(key), nil); result.Word != "failed" {
--- a/internal/proxy/platform/run_test.go
+++ b/internal/proxy/platform/run_test.go
@@ -68,7 +68,7 @@
 		if err != nil {
 			t.Errorf("it ended with %v: %s", err, log.Bytes())
 		}
-	case <-time.After(waitLimit):
+	case <-time.After(waitTimeout):
 		t.Errorf("it does not end: %s", log.Bytes())
 	}
 }
