--- a/internal/proxy/platform/answer.go
+++ b/internal/proxy/platform/answer.go
@@ -11,7 +11,7 @@
 	"indigospool/internal/protocol/resp"
 )
 
-// resultOf is the result that an answer's word stands for; false: the word is unknown.
+// resultOf returns the result for the word of an answer, and false if the word is unknown.
 func resultOf(word []byte) (result spool.Result, known bool) {
 	switch string(word) {
 	case "HIT", wordNotModified:
@@ -28,10 +28,10 @@
 	return 0, false
 }
 
-// wordNotModified answers that the client's own copy is current.
+// wordNotModified is the word of an answer that says that the client's own copy is current.
 const wordNotModified = "VALID"
 
-// noteOf is what the field 'how' of an answer says; unknown values say nothing.
+// noteOf returns the note for the field 'how' of an answer, or NoteNone if it is unknown.
 func noteOf(how []byte) spool.Note {
 	switch string(how) {
 	case "cached":
@@ -61,12 +61,12 @@
 // answerFields are the fields of an answer that the router uses.
 type answerFields struct {
 	note         spool.Note
-	queuedFor    float64 // ms that the attempt was queued at the member; 0: not said
-	hasTag       bool    // it has the entity's tag
-	hasIssueTime bool    // it has the time of issue
+	queuedFor    float64 // ms for which the attempt was queued at the member; 0 if not given
+	hasTag       bool    // the field 'entity', the object's entity tag, is set
+	hasIssueTime bool    // the field 'issued', the time of issue, is a number
 }
 
-// parseAnswerFields reads a list of fields; false: it is malformed.
+// parseAnswerFields parses a list of fields. It returns false if the list is malformed.
 func parseAnswerFields(list []byte) (fields answerFields, ok bool) {
 	fields.note = spool.NoteNone
 	ok = resp.EachField(list, func(name, value []byte) bool {
@@ -86,10 +86,10 @@
 	return fields, ok
 }
 
-// read takes what the member has sent, and handles each complete answer.
+// read reads the available data and handles each complete answer in it.
 func (c *memberConn) read() {
 	server := c.pool.server
-	partial := c.input.Len() > 0 // of an answer, from earlier reads
+	partial := c.input.Len() > 0 // input has the first part of an answer
 	buffer := server.readBuffer
 	if partial {
 		buffer = c.input.Room()
@@ -117,8 +117,9 @@
 	}
 }
 
-// handleAnswers handles the complete answers in data and keeps the rest in input, where
-// data is if buffered is set. False: an answer was malformed, and the connection is closed.
+// handleAnswers handles the complete answers in data and keeps the rest in input. buffered
+// says that data is input's own memory. It returns false if an answer was malformed, in which
+// case it has closed the connection.
 func (c *memberConn) handleAnswers(data []byte, buffered bool) bool {
 	server := c.pool.server
 	consumed := 0
@@ -149,12 +150,12 @@
 	return true
 }
 
-// handleAnswer finishes the attempt that an answer belongs to and, if the answer is the
-// object, answers the client.
+// handleAnswer finishes the attempt that an answer belongs to. If the answer has the object, or
+// says that the client's copy is current, handleAnswer also answers the client.
 func (c *memberConn) handleAnswer(answer resp.Answer) {
 	server := c.pool.server
 	index := slices.IndexFunc(c.awaiting, func(waiting *attempt) bool { return waiting.request.ID == string(answer.ID) })
-	if index < 0 { // a second copy, or nobody's: what follows can be read all the same
+	if index < 0 { // a duplicate or an unknown id; the connection can still be used
 		server.counts.Unmatched++
 		return
 	}
@@ -192,9 +193,10 @@
 	client.flush()
 }
 
-// failMalformed closes a connection on which an answer cannot be used: that of a, or nil
-// where it is unknown whose it is. The attempt ends as an error: it ran, and the member is
-// alive. The others that share the connection are cancelled.
+// failMalformed closes the connection because the answer to a is malformed; a is nil if the
+// answer could not be read far enough to tell its attempt, and the oldest one is assumed. That
+// attempt finishes with Errored, since it was executed and the member is alive. The others on
+// the connection are cancelled.
 func (c *memberConn) failMalformed(a *attempt) {
 	if a == nil && len(c.awaiting) > 0 {
 		a = c.awaiting[0]
--- a/internal/proxy/platform/attempt.go
+++ b/internal/proxy/platform/attempt.go
@@ -12,28 +12,28 @@
 	"indigospool/internal/protocol/resp"
 )
 
-// attempt is one attempt of a request at one member. It is in flight from the router's
-// decision until its outcome has been dispatched. Times are on the loop's clock, in ms.
+// attempt is one attempt to serve a request at one member. It is in flight from the router's
+// decision until its outcome is dispatched. Times are on the loop's clock, in ms.
 type attempt struct {
 	server    *Server
 	request   *request
 	number    int // from 0, within the request
 	decision  spool.Send
 	decidedAt float64
-	startBy   float64 // no byte of it is written after this; 0: no bound
+	startBy   float64 // the latest time at which writing may begin; 0 for no limit
 	deadline  float64
-	timer     eventloop.Timer // runs out at the deadline
-	pool      *pool           // nil until it has been counted in one
-	conn      *memberConn     // nil while it has none
-	written   bool            // the kernel has taken all of its frame
+	timer     eventloop.Timer // expires at the deadline
+	pool      *pool           // the pool that counts the attempt as in flight; nil before
+	conn      *memberConn     // nil if the attempt is not on a connection
+	written   bool            // the kernel has accepted the whole frame
 	writtenAt float64
-	finished  bool // its outcome has been dispatched
+	finished  bool // the outcome was dispatched
 }
 
-// minTimeLeft is the least time, in ms, with which an attempt is started.
+// minTimeLeft is the least time until the deadline, in ms, with which an attempt is started.
 const minTimeLeft = 1
 
-// startAttempt begins the attempt that the router has decided on.
+// startAttempt starts the attempt that the router has decided on.
 func (s *Server) startAttempt(req *request, decision spool.Send) {
 	now := s.loop.Now()
 	attempt := &attempt{server: s, request: req, number: req.attempts, decision: decision, decidedAt: now, deadline: req.deadline}
@@ -57,7 +57,7 @@
 	attempt.assign(s.poolOf(decision.Cache))
 }
 
-// assign queues the attempt on a connection of the pool, or finishes it where there is none.
+// assign queues the attempt on a connection of the pool, or finishes it if there is none.
 func (a *attempt) assign(p *pool) {
 	a.pool = p
 	p.inFlight++
@@ -77,9 +77,9 @@
 	}
 }
 
-// mustNotStart reports whether no byte of the attempt may be written, or not any more: its
-// client has closed or given up, its member or source serves no more, or its time is over.
-// It is asked again before each write, as a connection may come up long after the decision.
+// mustNotStart reports whether the attempt must not be written: its client has closed or given
+// up, its member or source is no longer serving, or its time is over. It is checked again right
+// before the frame is encoded, since a connection may be established long after the decision.
 func (a *attempt) mustNotStart() bool {
 	now := eventloop.Clock()
 	switch {
@@ -99,8 +99,9 @@
 	return ok && member.State == spool.Serving
 }
 
-// cancelPurged finishes the attempts for an object, or for a group, of which nothing has
-// been written: the age of copies that they would accept was decided before the purge.
+// cancelPurged finishes the attempts for an object, or for a group if object is empty, that
+// have not been written at all: the age of the copies that they accept was decided before the
+// purge.
 func (s *Server) cancelPurged(object string, group int) {
 	var unwritten []*attempt
 	for _, req := range s.requests {
@@ -116,19 +117,20 @@
 	}
 }
 
-// abandon ends the wait for an attempt with a result: nothing of it is accepted any more.
+// abandon finishes the attempt with a result without waiting for its answer, and cancels it at
+// the member. An answer that arrives later is ignored.
 func (a *attempt) abandon(result spool.Result) {
 	if a.finished {
 		return
 	}
 	if result == spool.TimedOut && !a.written {
-		result = spool.ConnectFailed // nothing of it can have run
+		result = spool.ConnectFailed // the member cannot have executed it
 	}
 	if conn := a.conn; conn != nil {
 		partial := conn.writing == a
 		a.detach()
 		switch {
-		case partial: // the rest of the frame would have to follow
+		case partial: // the connection is useless without the rest of the frame
 			conn.fail(spool.Cancelled)
 		case a.written:
 			conn.cancel(a)
@@ -137,7 +139,7 @@
 	a.finish(result, spool.NoteNone, 0)
 }
 
-// detach takes the attempt off its connection, if it has one.
+// detach removes the attempt from its connection, if it has one.
 func (a *attempt) detach() {
 	conn := a.conn
 	if conn == nil {
@@ -152,8 +154,8 @@
 	}
 }
 
-// finish dispatches the outcome of the attempt, once. queuedFor is how long the member says
-// that it had the attempt queue, in ms.
+// finish dispatches the outcome of the attempt, unless that was done before. queuedFor is the
+// time in ms for which the member reports that the attempt was queued there.
 func (a *attempt) finish(result spool.Result, note spool.Note, queuedFor float64) {
 	if a.finished {
 		return
@@ -196,8 +198,7 @@
 	}
 }
 
-// encode is the attempt's frame as it is written at now: the time left that it names is
-// counted from then.
+// encode returns the attempt's frame. Its wait field is the time from now to the deadline.
 func (a *attempt) encode(now float64) []byte {
 	decision, req := &a.decision, a.request
 	fields := append([]byte("class="), req.Class...)
@@ -213,7 +214,7 @@
 	if decision.Keep > 0 {
 		fields = strconv.AppendInt(append(fields, ",prio="...), int64(decision.Keep), 10)
 	}
-	if decision.Age > 0 { // never rounded to 0, which would mean the default
+	if decision.Age > 0 { // not rounded down to 0, which would mean the default
 		fields = strconv.AppendInt(append(fields, ",within="...), int64(max(min(decision.Age, math.MaxInt32), 1)), 10)
 	}
 	fields = appendFlags(fields, decision)
@@ -223,7 +224,7 @@
 	return resp.AppendArray(nil, []byte("REQ"), []byte(req.ID), fields, req.Body)
 }
 
-// appendFlags appends the field of flags, if any is set.
+// appendFlags appends the field f with the flags that are set, if any.
 func appendFlags(fields []byte, decision *spool.Send) []byte {
 	separator := ",f="
 	for _, flag := range []struct {
--- a/internal/proxy/platform/client.go
+++ b/internal/proxy/platform/client.go
@@ -9,38 +9,38 @@
 	"indigospool/internal/proxy/limits"
 )
 
-// client is a client's connection. Times are on the loop's clock, in ms.
+// client is a connection from a client. Times are on the loop's clock, in ms.
 type client struct {
 	server       *Server
 	fd           int
-	input        eventloop.Queue // of a message that has come in part
+	input        eventloop.Queue // the first part of an incomplete message
 	output       eventloop.Queue
-	open         map[int32]*request // requests without their final answer, by sequence number
-	pending      []pendingCall      // calls that were read, and are not started
-	lastSequence int32              // of the last call of serve
+	open         map[int32]*request // started requests without a final answer, by sequence number
+	pending      []pendingCall      // calls that were read but not started
+	lastSequence int32              // sequence number of the last call of serve
 	activity     limits.ClientActivity
 	closed       bool
 
-	// From these two the time of a request is counted, see Server.startRequest.
-	allReadAt   float64 // when a read last found nothing more
-	unreadSince float64 // since when bytes may have come that no read has reached; 0: none may
+	// The deadline of a request is counted from these times, see Server.startRequest.
+	allReadAt   float64 // start of the last read that left nothing unread
+	unreadSince float64 // earliest arrival of bytes that may be unread; 0 if there are none
 
-	largeRead     bool            // so much came at once that the kernel may have held back more
-	moreDataUntil float64         // by when that has come, if nothing comes before
-	pendingTimer  eventloop.Timer // starts what is pending
+	largeRead     bool            // so much data arrived at once that the kernel may have held back more
+	moreDataUntil float64         // after a large read, the time until which more data is expected
+	pendingTimer  eventloop.Timer // starts the pending calls
 }
 
-// pendingCall is a call of serve that waits until all that came behind it has been read.
+// pendingCall is a call of serve that waits until the data that follows it has been read.
 type pendingCall struct {
 	thriftrpc.Call
-	arrivedAfter float64 // the earliest moment at which its last byte may have come
+	arrivedAfter float64 // the earliest time at which its last byte may have arrived
 	readAt       float64
 }
 
 // OnReady implements eventloop.Handler.
 func (c *client) OnReady(ready eventloop.Ready) {
 	switch {
-	case ready.Ended(): // whatever it has sent before: nobody waits for an answer to it
+	case ready.Ended(): // the client no longer waits for answers, so unread data does not matter
 		c.close()
 		return
 	case c.activity.ShutdownAt > 0:
@@ -55,7 +55,7 @@
 	}
 }
 
-// openCalls is the number of calls without their final answer.
+// openCalls returns the number of calls without a final answer.
 func (c *client) openCalls() int { return len(c.open) + len(c.pending) }
 
 // answerPending reports whether an answer to the client, or a part of one, is still to be written.
@@ -69,16 +69,16 @@
 	c.server.dispatch(spool.Gone{ID: req.ID})
 }
 
-// shutdownWrite ends a connection at rest from this side. What its client sends at that
-// moment is read and discarded, so that the kernel resets nothing and the client knows to
-// send it again elsewhere. The connection is closed when the client closes it, or when it
-// overstays.
+// shutdownWrite shuts down an idle connection for writing. Data that the client still sends is
+// read and discarded: the kernel then does not reset the connection, and the client knows to
+// send its requests again elsewhere. The connection is closed when the client closes it or
+// when it expires.
 func (c *client) shutdownWrite() {
 	c.activity.ShutdownAt = c.server.loop.Now()
 	unix.Shutdown(c.fd, unix.SHUT_WR)
 }
 
-// close ends the connection, and abandons what is open on it.
+// close closes the connection and abandons its open requests.
 func (c *client) close() {
 	if c.closed {
 		return
@@ -98,7 +98,7 @@
 	abandoned := make([]*request, 0, len(c.open))
 	for _, req := range c.open {
 		abandoned = append(abandoned, req)
-		req.client = nil // no attempt starts for any of them while the router handles the first
+		req.client = nil // while the router handles the first, no attempt may start for the others
 	}
 	for _, req := range abandoned {
 		c.abandon(req)
--- a/internal/proxy/platform/client_input.go
+++ b/internal/proxy/platform/client_input.go
@@ -11,20 +11,21 @@
 )
 
 const (
-	maxReadPerTurn = 256 << 10 // bytes that one turn of the loop reads of one client
-	largeReadBytes = 64 << 10  // bytes in one turn, above which the kernel may have held back more at the client's side
-	moreDataDelay  = 5.0       // ms in which that comes
-	maxPendingTime = 100.0     // ms that a call waits for what comes behind it
-	longTurnTime   = 30.0      // ms into a turn, from which on clients are read again before anything is started
+	maxReadPerTurn = 256 << 10 // bytes read from one client in one turn of the loop
+	largeReadBytes = 64 << 10  // bytes in one turn, above which the client's kernel may hold back more
+	moreDataDelay  = 5.0       // ms within which data that was held back arrives
+	maxPendingTime = 100.0     // ms that a call waits for the data that follows it
+	longTurnTime   = 30.0      // ms into a turn, after which clients are read again before an attempt is written
 )
 
-// inLongTurn reports whether the present turn of the loop began so long ago that clients may
-// have closed or given up since.
+// inLongTurn reports whether the current turn of the loop began so long ago that clients may
+// have closed their connections or given up requests since.
 func (s *Server) inLongTurn() bool { return eventloop.Clock()-s.loop.Now() > longTurnTime }
 
-// receive reads what has come. What gives up a request or ends the connection takes effect
-// at once. Calls are kept until startPending, so that a call that is given up behind others,
-// however many, is not started, and a malformed message drops the calls that came with it.
+// receive reads and parses the available data. Calls of forget and the end of the connection
+// take effect at once. Calls of serve are kept until startPending, so that a call is not
+// started if it is followed by its cancellation, however many calls are in between, and a
+// malformed message drops the calls that arrived with it.
 func (c *client) receive() {
 	server := c.server
 	arrivedAfter := c.unreadSince
@@ -50,7 +51,7 @@
 			return
 		}
 		left -= size
-		if size < len(server.readBuffer) && !server.inLongTurn() { // in a long turn, an end that has come is read as well
+		if size < len(server.readBuffer) && !server.inLongTurn() { // in a long turn, read on to see an end of the stream
 			c.noteAllRead(startedAt, maxReadPerTurn-left)
 			return
 		}
@@ -58,8 +59,8 @@
 	c.unreadSince = arrivedAfter
 }
 
-// noteAllRead notes that a read that began at startedAt has left nothing unread, after so
-// many bytes in this turn.
+// noteAllRead records that a read that began at startedAt left nothing unread. size is the
+// number of bytes read in this turn.
 func (c *client) noteAllRead(startedAt float64, size int) {
 	c.allReadAt = startedAt
 	c.unreadSince = 0
@@ -69,7 +70,7 @@
 	}
 }
 
-// receiveInLongTurn reads what the client has sent since the turn began, where that is long ago.
+// receiveInLongTurn reads what the client has sent since a long turn began.
 func (c *client) receiveInLongTurn() {
 	if c.closed || c.activity.ShutdownAt > 0 || !c.server.inLongTurn() || eventloop.Clock()-c.allReadAt < longTurnTime {
 		return
@@ -80,7 +81,7 @@
 	}
 }
 
-// discardInput reads what comes after shutdownWrite.
+// discardInput reads and discards data that arrives after shutdownWrite.
 func (c *client) discardInput() {
 	size, err := c.server.loop.Read(c.fd, c.server.readBuffer)
 	if !eventloop.Retryable(err) && (err != nil || size == 0) {
@@ -88,7 +89,8 @@
 	}
 }
 
-// parse handles each complete message in what has come, and keeps the rest in input.
+// parse handles the complete messages in the buffered input and data, and keeps the rest in
+// input.
 func (c *client) parse(data []byte, arrivedAfter float64) {
 	server := c.server
 	buffered := c.input.Len() > 0
@@ -114,8 +116,8 @@
 	c.updateActivity(used, rest)
 }
 
-// updateActivity notes what the limits go by, after a read that completed messages of so many
-// bytes and left so many of the next one.
+// updateActivity updates the times by which connections expire, after a read that completed
+// messages of used bytes and left rest bytes of an incomplete one. It enforces the memory limit.
 func (c *client) updateActivity(used, rest int) {
 	server := c.server
 	if used > 0 {
@@ -134,7 +136,7 @@
 	}
 }
 
-// handleMessages handles all complete frames, and returns how many bytes they take.
+// handleMessages handles all complete frames in data and returns their size.
 func (c *client) handleMessages(data []byte, arrivedAfter float64) (used int, err error) {
 	for !c.closed {
 		payload, size, err := thriftrpc.SplitFrame(data[used:])
@@ -154,8 +156,8 @@
 	return used, nil
 }
 
-// handleCall handles one message. Its error is a breach of the rules of a connection:
-// sequence numbers rise, and the number of open calls is bounded.
+// handleCall handles one message. It returns an error if the message violates a rule of the
+// connection: sequence numbers increase, and the number of open calls is limited.
 func (c *client) handleCall(call *thriftrpc.Call, arrivedAfter float64) error {
 	server := c.server
 	switch call.Method {
@@ -179,7 +181,8 @@
 	return nil
 }
 
-// cancelCall gives up a call; one that is still pending never reaches the router.
+// cancelCall cancels a call for the client. A pending call is dropped and never reaches the
+// router.
 func (c *client) cancelCall(seq int32) {
 	if req := c.open[seq]; req != nil {
 		c.abandon(req)
@@ -192,8 +195,7 @@
 	}
 }
 
-// startPending starts the calls that were read, once nothing is left behind them that could
-// give them up.
+// startPending starts the pending calls, unless more data is expected that may cancel them.
 func (c *client) startPending() {
 	for !c.closed && len(c.pending) > 0 {
 		call := c.pending[0]
@@ -211,8 +213,9 @@
 	c.flush()
 }
 
-// expectsMoreData reports whether more is to come behind the calls that were read: it was not
-// read yet, or the kernel may have held it back. At the end of a drain nothing is waited for.
+// expectsMoreData reports whether more data may follow the pending calls: data that has not
+// been read yet, or that the client's kernel may have held back. At the end of a drain there
+// is no time to wait for it.
 func (c *client) expectsMoreData(now float64) bool {
 	if c.server.drainStarted > 0 && now >= c.server.lastAnswerBy {
 		return false
@@ -220,7 +223,7 @@
 	return c.unreadSince > 0 || c.largeRead && (c.moreDataUntil > now || c.input.Len() > 0)
 }
 
-// startCall starts a request, or answers that its fields cannot be used.
+// startCall starts a request, or answers Broken if its fields are invalid.
 func (c *client) startCall(call *pendingCall) {
 	server := c.server
 	request, err := thriftrpc.ParseRequest(&call.Call, server.class)
--- a/internal/proxy/platform/client_output.go
+++ b/internal/proxy/platform/client_output.go
@@ -12,7 +12,7 @@
 	c.flush()
 }
 
-// queue adds a frame to what is to be written. The next flush writes it.
+// queue adds a frame to the output. The next flush writes it.
 func (c *client) queue(frame []byte) {
 	if c.closed {
 		return
@@ -27,8 +27,8 @@
 	c.activity.LastUsed = now
 }
 
-// flush writes as much as the kernel takes. Where too much is left unsent for all clients,
-// the one for which most is buffered is closed.
+// flush writes as much of the output as the kernel accepts. If more than the limit remains
+// unsent for all clients together, it closes the client with the most buffered bytes.
 func (c *client) flush() {
 	server := c.server
 	for !c.closed && c.output.Len() > 0 {
@@ -60,16 +60,16 @@
 	}
 }
 
-// bufferedBytes is how much is kept for the client: answers, and a message that has come in part.
+// bufferedBytes returns the size of the client's unsent answers and incomplete message.
 func (c *client) bufferedBytes() int { return c.input.Len() + c.output.Len() }
 
-// maxBufferedBytes bounds what is kept for all clients together.
+// maxBufferedBytes returns the limit of the bytes buffered for all clients together.
 func (s *Server) maxBufferedBytes() int {
 	return limits.WaitingBytes(int(s.config.Limits.MemoryMB * (1 << 20)))
 }
 
-// closeLargestBuffer closes the client for which most is buffered, where the sum for all
-// clients is over the bound.
+// closeLargestBuffer closes the client with the most buffered bytes if the sum for all clients
+// is over the limit.
 func (s *Server) closeLargestBuffer() {
 	var largest *client
 	total := 0
--- a/internal/proxy/platform/connection.go
+++ b/internal/proxy/platform/connection.go
@@ -11,37 +11,37 @@
 	"indigospool/internal/protocol/resp"
 )
 
-// memberConn is one connection to a member. Attempts go through queued, writing and
-// awaiting, in this order. Times are on the loop's clock, in ms.
+// memberConn is a connection to a member. Attempts move from queued to writing to awaiting.
+// Times are on the loop's clock, in ms.
 type memberConn struct {
 	pool      *pool
 	fd        int
 	connected bool
 	closed    bool
-	closing   bool // no new attempt goes to it
+	closing   bool // takes no new attempts, and is closed after the last one
 	input     eventloop.Queue
 	output    eventloop.Queue
 
-	queued     []*attempt // nothing of them is written
-	writing    *attempt   // its frame is in output, and not completely written
-	awaiting   []*attempt // completely written, and not answered
-	encodedAt  float64    // when the frame of writing was made
-	frameBytes int
-	frameTimer eventloop.Timer // runs out when the rest of that frame would come too late
+	queued     []*attempt      // not written at all
+	writing    *attempt        // its frame is in output, not or partially written
+	awaiting   []*attempt      // completely written, waiting for their answers
+	encodedAt  float64         // when the frame of writing was encoded
+	frameBytes int             // size of that frame
+	frameTimer eventloop.Timer // expires maxFrameDelay after encodedAt
 
 	lastUsed   float64 // when it was last written to or read from
 	lastRead   float64
-	idleBefore float64 // how long it was not used before what is awaiting on it; 0: it is new
+	idleBefore float64 // idle time before the oldest attempt in awaiting; 0 if the connection was new
 
-	written      int       // attempts
-	recent       [4]string // ids of the requests written last: second copies of their answers may yet come
+	written      int       // number of attempts written
+	recent       [4]string // ids of the requests written last; duplicate answers to them may still arrive
 	connectTimer eventloop.Timer
 }
 
-// load is the number of attempts that share the connection.
+// load returns the number of attempts that are queued or awaiting an answer.
 func (c *memberConn) load() int { return len(c.awaiting) + len(c.queued) }
 
-// idle reports whether the connection is up and has no attempt.
+// idle reports whether the connection is established and has no attempt.
 func (c *memberConn) idle() bool { return c.connected && c.load() == 0 }
 
 // OnReady implements eventloop.Handler.
@@ -67,8 +67,8 @@
 	}
 }
 
-// flush writes what is queued, one attempt after another, so that it is known of each
-// whether any of it, or all of it, has been written.
+// flush writes the queued attempts. It passes one frame at a time to the kernel, so that it is
+// known for each attempt whether its frame was written not at all, in part or completely.
 func (c *memberConn) flush() {
 	server := c.pool.server
 	if c.abandonOverdueFrame() {
@@ -80,7 +80,7 @@
 		}
 		c.noteFrameWritten()
 		if len(c.queued) == 0 {
-			if c.closing && len(c.awaiting) == 0 { // what it was dialled for has been given up meanwhile
+			if c.closing && len(c.awaiting) == 0 { // the attempts for which it was dialled have been abandoned
 				c.close()
 				return
 			}
@@ -91,7 +91,7 @@
 		if client := next.request.client; client != nil && server.inLongTurn() {
 			client.receiveInLongTurn()
 			if c.closed || c.writing != nil || c.output.Len() > 0 || len(c.queued) == 0 || c.queued[0] != next {
-				continue // what the client has sent changes what there is to do here
+				continue // messages of the client have changed the connection's state
 			}
 		}
 		c.queued = slices.Delete(c.queued, 0, 1)
@@ -103,8 +103,8 @@
 	}
 }
 
-// writeOutput writes until output is empty. False: the kernel takes no more for now, or
-// the connection has ended.
+// writeOutput writes until output is empty. It returns false if the kernel accepts no more for
+// now or the connection has failed.
 func (c *memberConn) writeOutput() bool {
 	server := c.pool.server
 	for c.output.Len() > 0 {
@@ -124,7 +124,8 @@
 	return true
 }
 
-// noteFrameWritten notes that the kernel has taken all of the frame that was being written.
+// noteFrameWritten records that the kernel has accepted the whole frame of writing, if there is
+// one, and moves the attempt to awaiting.
 func (c *memberConn) noteFrameWritten() {
 	attempt := c.writing
 	if attempt == nil {
@@ -141,7 +142,7 @@
 	c.awaiting = append(c.awaiting, attempt)
 }
 
-// encode puts the frame of an attempt into output.
+// encode puts the frame of an attempt into output and makes it the one being written.
 func (c *memberConn) encode(attempt *attempt) {
 	server := c.pool.server
 	now := server.loop.Now()
@@ -159,8 +160,8 @@
 	c.output.Add(&server.buffers, frame)
 }
 
-// requeueUnsent puts an attempt back into the queue of whose frame the kernel has taken
-// nothing: it is encoded anew later, with the time left by then, if it may still start.
+// requeueUnsent moves the attempt being written back to the queue if the kernel has accepted
+// nothing of its frame. It is encoded again later with the time then left, if it may still start.
 func (c *memberConn) requeueUnsent() {
 	if c.writing == nil || c.output.Len() < c.frameBytes {
 		return
@@ -170,11 +171,11 @@
 	c.writing = nil
 }
 
-// maxFrameDelay is how long after a frame was encoded its last byte may be written, in ms:
-// the time left that it names is too long by at most this.
+// maxFrameDelay is the longest time, in ms, from the encoding of a frame to the writing of its
+// last byte. It bounds the error of the frame's wait field, which counts from the encoding.
 const maxFrameDelay = 80
 
-// armFrameTimer bounds the time in which the rest of a partially written frame may follow.
+// armFrameTimer limits the time for writing the rest of a partially written frame.
 func (c *memberConn) armFrameTimer() {
 	loop := c.pool.server.loop
 	if c.writing != nil && !c.frameTimer.Armed() {
@@ -182,9 +183,9 @@
 	}
 }
 
-// abandonOverdueFrame gives up an attempt whose frame was written in part, where the time
-// left that it names is too long by now. The connection is closed with it, as the member
-// has a part of the frame. It reports whether there was such an attempt.
+// abandonOverdueFrame abandons the attempt being written if its frame was encoded more than
+// maxFrameDelay ago, since its wait field is then too long. This closes the connection, because
+// the member has part of the frame. It reports whether there was such an attempt.
 func (c *memberConn) abandonOverdueFrame() bool {
 	a := c.writing
 	if c.closed || a == nil || eventloop.Clock()-c.encodedAt < maxFrameDelay {
@@ -194,11 +195,11 @@
 	return true
 }
 
-// cancel gives up an attempt that was written and has been detached, by STOP or by closing
-// the connection. A connection on which nothing came since the write is not trusted with
-// another attempt: its member may have failed. Where the request is to be retried, a STOP that
-// may never arrive is not enough: a connection that the attempt had alone, or that has been
-// silent since, is closed.
+// cancel cancels an attempt that was written and has been detached, by sending STOP or by
+// closing the connection. If nothing was read since the write, the member may have failed, and
+// the connection takes no more attempts. If the request is going to be retried, STOP is not
+// enough, as it may never arrive: the connection is closed if nothing was read since the write
+// or if the attempt was the only one on it.
 func (c *memberConn) cancel(attempt *attempt) {
 	if c.closed {
 		return
@@ -215,7 +216,7 @@
 	switch {
 	case alone && (retried || c.closing):
 		c.close()
-	case retried && silent, c.writing != nil: // behind a part of another frame, STOP would come late
+	case retried && silent, c.writing != nil: // STOP would be delayed by the rest of another frame
 		c.fail(spool.Cancelled)
 	default:
 		c.output.Add(&server.buffers, resp.AppendArray(nil, []byte("STOP"), []byte(attempt.request.ID)))
@@ -223,8 +224,8 @@
 	}
 }
 
-// fail closes the connection and finishes all attempts on it: those written completely with
-// result, the others with ConnectFailed, as they cannot have run.
+// fail closes the connection and finishes all its attempts: the completely written ones with
+// result, the others with ConnectFailed, since the member cannot have executed them.
 func (c *memberConn) fail(result spool.Result) {
 	if c.closed {
 		return
@@ -249,10 +250,10 @@
 	}
 }
 
-// closeLikelyStale looks at a connection that the member has ended. Where nothing was
-// read from it since it was idle, the member may have forgotten it, and others that were idle
-// as long: these are closed, here and at the members to which the attempts on it are retried,
-// so that no request spends its attempts on them.
+// closeLikelyStale is called when the member has closed the connection. If nothing was read
+// since it was idle, the member has probably dropped it for being idle, and with it others that
+// have been idle for as long. These are closed, here and at the members where the requests are
+// retried, so that no request spends its attempts on stale connections.
 func (c *memberConn) closeLikelyStale() {
 	if c.idleBefore < minStaleIdle || len(c.awaiting) == 0 || c.lastRead > c.awaiting[0].writtenAt {
 		return
@@ -266,7 +267,7 @@
 	c.pool.closeIdleFor(idle)
 }
 
-// close ends the connection and returns its buffers. It has no attempts by now.
+// close closes the connection and releases its buffers. No attempt may be left on it.
 func (c *memberConn) close() {
 	if c.closed {
 		return
--- a/internal/proxy/platform/counts.go
+++ b/internal/proxy/platform/counts.go
@@ -6,55 +6,55 @@
 	spool "indigospool"
 )
 
-// Counts is what has passed since the start.
+// Counts are the server's counters since the start.
 type Counts struct {
 	Requests    uint64 // valid calls of serve
-	Invalid     uint64 // malformed messages, and calls of serve that cannot be used
-	Served      uint64 // answered with an object, or that the client's copy is current
-	NotModified uint64 // of these, the ones whose copy is current
-	Rejected    uint64 // answered Throttled
-	Failed      uint64 // answered Broken by the router's decision
-	Abandoned   uint64 // given up by the client, by forget or by closing
+	Invalid     uint64 // malformed messages, calls of unknown methods and invalid calls of serve
+	Served      uint64 // requests answered with an object or as not modified
+	NotModified uint64 // of these, the requests answered as not modified
+	Rejected    uint64 // requests answered with Throttled
+	Failed      uint64 // requests answered with Broken by the router's decision
+	Abandoned   uint64 // requests given up by the client, by calling forget or by closing
 
 	Attempts uint64
-	Outcomes [int(spool.LocalFailure) + 1]uint64 // of attempts, by spool.Result
-	// PassedOver counts members that were looked at and not chosen, by spool.Reason.
+	Outcomes [int(spool.LocalFailure) + 1]uint64 // finished attempts, by spool.Result
+	// PassedOver counts members that the router considered and did not choose, by spool.Reason.
 	PassedOver [int(spool.NoMember) + 1]uint64
 
-	Malformed uint64 // answers that cannot be used
-	Unmatched uint64 // answers to no attempt that is in flight
+	Malformed uint64 // malformed answers from members
+	Unmatched uint64 // answers that match no attempt in flight
 
-	Dials        uint64 // connections to members that were begun, or tried to
+	Dials        uint64 // dials of members
 	NoConnection uint64 // attempts for which there was no connection
-	FailedDials  uint64 // connections that could not be begun
-	Accepted     uint64 // clients' connections
-	Closed       uint64 // of these, the ones that have ended
+	FailedDials  uint64 // of these, the dials that failed at once
+	Accepted     uint64 // client connections accepted
+	Closed       uint64 // of these, the connections that have been closed
 	Events       uint64 // discovery events
 }
 
-// LogCounts logs what has passed since the start and what is in flight, once each interval
-// (in ms) until the server stops: what the router has recorded for each member that has
-// something, beside the attempts in flight on the sockets. docs/operating.md names the keys.
+// LogCounts logs the counters and the numbers in flight every interval ms until the server
+// stops. Each line has the router's status of every member that is in use or ejected, with
+// the attempts in flight on its connections. docs/operating.md describes the keys.
 func (s *Server) LogCounts(interval float64) {
 	s.engine.Explain(func(look spool.Candidate) { s.counts.PassedOver[look.Reason]++ })
 	s.loop.Ticker(interval, s.logCounts)
 }
 
-// memberCounts is one member in the line of counts.
+// memberCounts is the entry of one member in a log line.
 type memberCounts struct {
 	spool.Status
-	Out int `json:"out"` // attempts in flight
+	Out int `json:"out"` // attempts in flight on the pool's connections
 }
 
 func (s *Server) logCounts() {
 	counts := &s.counts
 	members, link := s.engine.Statuses()
 	logged := map[string]memberCounts{}
-	for id, belief := range members {
+	for id, status := range members {
 		if pool := s.pools[id]; pool != nil {
-			logged[id] = memberCounts{belief, pool.inFlight}
-		} else if belief.Ejected || belief.InFlight > 0 {
-			logged[id] = memberCounts{Status: belief}
+			logged[id] = memberCounts{status, pool.inFlight}
+		} else if status.Ejected || status.InFlight > 0 {
+			logged[id] = memberCounts{Status: status}
 		}
 	}
 	s.log.Info("second",
--- a/internal/proxy/platform/discovery_events.go
+++ b/internal/proxy/platform/discovery_events.go
@@ -7,10 +7,11 @@
 	"indigospool/internal/proxy/engine"
 )
 
-// minUptime is the least age of a member's late start, in ms: 0 would mean long ago.
+// minUptime is the least uptime, in ms, of a member with a known start time; 0 would mean that
+// it started long ago.
 const minUptime = 0.001
 
-// memberState is the engine's name of an endpoint's state.
+// memberState returns the engine's name for an endpoint state.
 func memberState(state discovery.State) string {
 	switch state {
 	case discovery.Ready:
@@ -23,8 +24,8 @@
 	return ""
 }
 
-// applyEvents applies the events of a configuration. The times of all of them are observed
-// first: the last ones say how old the others are.
+// applyEvents applies the events in a configuration. It observes the timestamps of all events
+// first, since the age of an event is computed from the latest timestamp.
 func (s *Server) applyEvents(events []discovery.Event) {
 	for i := range events {
 		s.observeTimestamps(&events[i])
@@ -34,8 +35,8 @@
 	}
 }
 
-// applyEvent has the router handle a discovery event. The age of what it says goes by the
-// platform's own times alone: the wall clock of this machine may be wrong by any amount.
+// applyEvent passes a discovery event to the router. Ages are computed from the platform's own
+// timestamps only, because this machine's wall clock may be wrong by any amount.
 func (s *Server) applyEvent(event discovery.Event) {
 	s.counts.Events++
 	s.observeTimestamps(&event)
@@ -48,7 +49,7 @@
 	s.cancelPurged(event.Object, event.Group)
 }
 
-// applyEndpointList has the router handle a snapshot or a delta of the endpoint list.
+// applyEndpointList applies a snapshot or a delta of the endpoint list.
 func (s *Server) applyEndpointList(event *discovery.Event) {
 	now := s.loop.Now()
 	update := engine.Update{Rev: int64(event.Number), Kind: "step"}
@@ -64,12 +65,12 @@
 	for _, endpoint := range event.Endpoints {
 		s.memberChanged(endpoint.ID)
 	}
-	if event.Kind == discovery.Snapshot { // members that it does not name are removed
+	if event.Kind == discovery.Snapshot { // it also removes the members that it does not list
 		s.engine.Members(func(member spool.Member, _ string) { s.memberChanged(member.ID) })
 	}
 }
 
-// engineRow is an endpoint in the engine's form.
+// engineRow converts an endpoint to the engine's form.
 func (s *Server) engineRow(endpoint *discovery.Endpoint, now float64) engine.Row {
 	row := engine.Row{
 		ID:      endpoint.ID,
@@ -87,8 +88,8 @@
 	return row
 }
 
-// observeTimestamps shows the times in an event to the clock of the platform. They may lie behind
-// the beginning of the loop's turn in which the event is read.
+// observeTimestamps passes the timestamps in an event to platformTime. It uses the current time
+// rather than loop.Now: the event may have been made after the loop's turn began.
 func (s *Server) observeTimestamps(event *discovery.Event) {
 	now := eventloop.Clock()
 	if event.Kind == discovery.Purge {
@@ -101,8 +102,8 @@
 	}
 }
 
-// memberChanged closes the pool of a member that is not serving any more or has another
-// address, and has the engine forget one that was removed.
+// memberChanged closes the pool of a member that is no longer serving or has another address,
+// and makes the engine forget a member that was removed.
 func (s *Server) memberChanged(id string) {
 	p := s.pools[id]
 	if p != nil && (!s.serving(id) || s.engine.Address(id) != p.address) {
--- a/internal/proxy/platform/discovery_stream.go
+++ b/internal/proxy/platform/discovery_stream.go
@@ -8,14 +8,14 @@
 	"indigospool/internal/proxy/limits"
 )
 
-// discoveryStream follows the discovery server of the configuration, over one connection after
-// another. Where the server takes long until its first byte, an earlier connection is kept
-// beside the one that was begun after it, and the first to send something is followed.
+// discoveryStream receives events from the discovery server in the configuration, and
+// reconnects after failures. If the server is slow to send its first byte, the stream keeps
+// that connection while it dials another one, and then uses whichever sends data first.
 type discoveryStream struct {
 	server   *Server
 	decoder  discovery.Decoder
-	current  *discoveryConn // the one begun last, or the one that has sent something; nil in a pause
-	previous *discoveryConn // an earlier one that has not sent anything yet; nil: none
+	current  *discoveryConn // the connection in use, or the one dialled last; nil during a backoff
+	previous *discoveryConn // an earlier connection that has not sent anything yet; nil if there is none
 	timer    eventloop.Timer
 	backoff  *limits.Backoff
 	dial     func(address string) (fd int, inProgress bool, err error)
@@ -25,44 +25,45 @@
 type discoveryConn struct {
 	stream    *discoveryStream
 	fd        int
-	request   []byte // what is still to be written of the first message
+	request   []byte // the unwritten part of the first message
 	startedAt eventloop.Millis
-	alive     bool // it has sent something
+	alive     bool // it has sent data
 }
 
-// The discovery server sends something each second; a connection that is silent for longer
-// is closed. The next one is begun within 2 s of a break and 4 s of a silence, and no later
-// than half a second after the server has come back. All routers lose it at the same moment,
-// and must not come back in step. Times are in ms.
+// The timing of reconnects, in ms. The discovery server sends at least one frame per second.
+// The next connection must be dialled within 2 s after a connection is closed, within 4 s after
+// the server falls silent, and within 500 ms after the server is reachable again. The backoff
+// is randomized because all routers lose the server at the same time and must not reconnect
+// together.
 const (
-	streamSilence    = 1800  // without a byte
-	firstPause       = 250   // at most, before the first attempt after a break
-	basePause        = 150   // before the second attempt
-	maxPause         = 500   // between two attempts
-	stableAfter      = 1000  // of a connection, after which the backoff starts over
-	firstByteTimeout = 10000 // for which a first byte is awaited, while other connections are begun
+	silenceTimeout   = 1800  // the longest time without data
+	maxFirstDelay    = 250   // before the first attempt after a connection is closed; a random part of it
+	baseDelay        = 150   // before the second attempt, on average; doubled for each later one
+	maxDelay         = 500   // between two attempts
+	stableAfter      = 1000  // the age at which a connection that sends data resets the backoff
+	firstByteTimeout = 10000 // for the first byte, while other connections are dialled
 )
 
-// init prepares the stream by the server's configuration. reconnect starts it.
+// init prepares the stream from the server's configuration. reconnect starts it.
 func (d *discoveryStream) init(s *Server) {
 	d.server = s
 	d.decoder = discovery.Decoder{Zones: s.config.settings.Module.Zones, Kinds: s.config.settings.Kinds}
 	d.dial = s.loop.Dial
-	d.backoff = limits.NewBackoff(firstPause, basePause, maxPause, s.config.seed)
+	d.backoff = limits.NewBackoff(maxFirstDelay, baseDelay, maxDelay, s.config.seed)
 	d.timer.F = d.onTimer
 }
 
-// reconnect begins to follow the server of the configuration, in place of any other.
+// reconnect closes all connections and dials the discovery server in the configuration.
 func (d *discoveryStream) reconnect() {
 	d.closeConn(&d.previous)
 	d.closeConn(&d.current)
 	d.dialNext()
 }
 
-// dialNext begins another connection. Where that fails, the timer runs out after a pause.
+// dialNext dials another connection. If that fails, it sets the timer to try again.
 func (d *discoveryStream) dialNext() {
 	loop := d.server.loop
-	loop.Arm(&d.timer, streamSilence)
+	loop.Arm(&d.timer, silenceTimeout)
 	fd, _, err := d.dial(d.server.config.DiscoveryAddress)
 	if err != nil {
 		loop.Arm(&d.timer, d.backoff.Next())
@@ -77,10 +78,10 @@
 	d.current = c
 }
 
-// onTimer begins another connection after a silence, or after the pause that follows a break.
+// onTimer dials another connection, after silenceTimeout or after a backoff.
 func (d *discoveryStream) onTimer() {
 	if c := d.current; c != nil {
-		d.server.log.Warn("discovery stream is silent", zap.String("feed", d.server.config.DiscoveryAddress),
+		d.server.log.Warn("no data from the discovery server, connecting again", zap.String("feed", d.server.config.DiscoveryAddress),
 			zap.Uint64("last", d.decoder.LastNumber))
 		if d.previous != nil && d.server.loop.Now()-d.previous.startedAt > firstByteTimeout {
 			d.closeConn(&d.previous)
@@ -94,7 +95,7 @@
 	d.dialNext()
 }
 
-// closeConn closes a connection, if there is one.
+// closeConn closes a connection, if there is one, and sets it to nil.
 func (d *discoveryStream) closeConn(conn **discoveryConn) {
 	c := *conn
 	if c == nil {
@@ -105,8 +106,8 @@
 	*conn = nil
 }
 
-// connEnded closes a connection that has ended, and has another one begun after a pause
-// where it was the current one.
+// connEnded closes a connection that has ended or failed. If it was the current one, connEnded
+// sets the timer to dial another one.
 func (d *discoveryStream) connEnded(c *discoveryConn) {
 	if c == d.previous {
 		d.closeConn(&d.previous)
@@ -116,7 +117,7 @@
 	d.server.loop.Arm(&d.timer, d.backoff.Next())
 }
 
-// connAlive makes a connection that has sent something the only one.
+// connAlive makes a connection that has sent data the current one and closes any other.
 func (d *discoveryStream) connAlive(c *discoveryConn) {
 	loop := d.server.loop
 	if c == d.previous {
@@ -129,7 +130,7 @@
 	if loop.Now()-c.startedAt >= stableAfter {
 		d.backoff.Reset()
 	}
-	loop.Arm(&d.timer, streamSilence)
+	loop.Arm(&d.timer, silenceTimeout)
 }
 
 // OnReady implements eventloop.Handler.
@@ -142,7 +143,8 @@
 	}
 }
 
-// writeRequest writes what is left of the first message. False: the connection has ended.
+// writeRequest writes the rest of the first message. It returns false if the connection has
+// failed.
 func (c *discoveryConn) writeRequest() bool {
 	loop := c.stream.server.loop
 	size, err := loop.Write(c.fd, c.request)
@@ -160,7 +162,7 @@
 	return true
 }
 
-// read applies the events in what has come.
+// read reads the available data and applies the events in it.
 func (c *discoveryConn) read() {
 	stream, server := c.stream, c.stream.server
 	size, err := server.loop.Read(c.fd, server.readBuffer)
@@ -174,7 +176,7 @@
 	stream.connAlive(c)
 	upToDate := stream.decoder.UpToDate
 	if err := stream.decoder.Decode(server.readBuffer[:size], server.applyEvent); err != nil {
-		server.log.Warn("discovery stream ended", zap.Error(err))
+		server.log.Warn("discovery stream unusable, reconnecting", zap.Error(err))
 		stream.connEnded(c)
 		return
 	}
--- a/internal/proxy/platform/discovery_test.go
+++ b/internal/proxy/platform/discovery_test.go
@@ -127,7 +127,7 @@
 			time.Sleep(delay)
 			harness.waitUntil("its list is there", func() bool { return harness.hasMember("s-000000c9") })
 			end()
-			if n := fake.connections.Load(); n > int64(delay/(streamSilence*time.Millisecond))+2 {
+			if n := fake.connections.Load(); n > int64(delay/(silenceTimeout*time.Millisecond))+2 {
 				t.Errorf("it was asked %d times", n)
 			}
 			harness.waitUntil("one connection is left", func() bool { return fake.open.Load() == 1 })
--- a/internal/proxy/platform/dispatch.go
+++ b/internal/proxy/platform/dispatch.go
@@ -8,8 +8,8 @@
 	spool "indigospool"
 )
 
-// dispatch has the router handle an event, and executes its actions. Events that these bring
-// about are handled after it, in order.
+// dispatch passes an event to the router and executes the actions that it returns. Events
+// that the actions cause are queued and handled afterwards, in order.
 func (s *Server) dispatch(event spool.Event) {
 	s.pendingEvents = append(s.pendingEvents, event)
 	if s.dispatching {
@@ -31,7 +31,7 @@
 	s.dispatching = false
 }
 
-// execute carries out one action. One for a request that has ended meanwhile does nothing.
+// execute carries out one action. It ignores actions for requests that have ended.
 func (s *Server) execute(action spool.Action) {
 	switch a := action.(type) {
 	case spool.Send:
@@ -59,8 +59,8 @@
 	}
 }
 
-// setTimer sets a timer that the router has asked for: its tick, the one of the request that
-// it handles now, or another one.
+// setTimer arms a timer for the router: its periodic tick (token 0), the timer of the request
+// whose arrival is being handled, or a separate one.
 func (s *Server) setTimer(wake spool.Wake) {
 	token := wake.Token
 	if token == 0 {
--- a/internal/proxy/platform/drain.go
+++ b/internal/proxy/platform/drain.go
@@ -6,23 +6,24 @@
 	"indigospool/internal/eventloop"
 )
 
-// After SIGTERM the platform may kill a router the longest deadline of a class and a bit
-// more later, which is soon where deadlines are short. Clients go on sending on the
-// connections they have, until these end. Times are in ms.
+// The times of a drain, in ms. The platform may kill a router with SIGKILL as soon as the
+// longest deadline of a class plus killGracePeriod has passed since SIGTERM, which is soon if
+// the deadlines are short. Clients continue to send requests on their connections until the
+// router closes them.
 const (
-	killGracePeriod     = 700.0  // from the longest deadline to the kill
-	maxDrainDeadline    = 3000.0 // what counts of a deadline at most
-	idleCloseDelay      = 900.0  // for which clients may still come at least, where deadlines allow it
-	idleCloseBeforeKill = 280.0  // before the kill, from when on connections at rest are closed
-	minIdleCloseDelay   = 610.0  // no connection is closed before: clients come for 400, and ask for 200 more
-	answerMargin        = 120.0  // before the kill, by when the last answer has been written
-	drainLinger         = 40.0   // after that, for which clients may read it and close
-	drainIdleTime       = 20.0   // without a message or an answer, after which a connection is at rest
-	drainTickInterval   = 10.0   // between looks
+	killGracePeriod     = 700.0
+	maxDrainDeadline    = 3000.0 // longer deadlines do not delay the kill further
+	idleCloseDelay      = 900.0  // after SIGTERM, when the server starts to close idle connections
+	idleCloseBeforeKill = 280.0  // before the kill, when it starts to do so at the latest
+	minIdleCloseDelay   = 610.0  // but no earlier: clients connect for 400 ms after SIGTERM and send for 200 ms more
+	answerMargin        = 120.0  // before the kill; the last answer is written by then
+	drainLinger         = 40.0   // after the last answer, for clients to read it and close
+	drainIdleTime       = 20.0   // a connection is idle after this time without a message or an answer
+	drainTickInterval   = 10.0
 )
 
-// Drain has the server finish the requests in flight and those that still come, and then
-// stop. It may be called from any goroutine; a second call changes nothing.
+// Drain makes the server finish all requests, including those that still arrive, and then
+// stop. It may be called from any goroutine; a second call has no effect.
 func (s *Server) Drain() {
 	s.loop.Post(func() {
 		if s.drainStarted == 0 {
@@ -31,7 +32,7 @@
 	})
 }
 
-// drain sets the times of the drain, and begins it.
+// drain computes the times of the drain and starts it.
 func (s *Server) drain() {
 	longest := 0.0
 	for _, class := range s.classes {
@@ -46,10 +47,10 @@
 	s.loop.Ticker(drainTickInterval, s.drainTick)
 }
 
-// drainTick goes on with a drain. Connections that wait in the listener's queue are still
-// accepted; those at rest are shut down and read until their clients close. The server stops
-// once no client is left, or when there is no more time. A request that comes shortly before
-// gets what time there is.
+// drainTick advances a drain. It accepts the connections left in the listener's backlog and
+// stops listening. It shuts down idle connections for writing and keeps reading them until
+// their clients close. It stops the server once no client is left, or when the time is over.
+// A request that arrives late in the drain has only the remaining time for its answer.
 func (s *Server) drainTick() {
 	now := s.loop.Now()
 	if now < s.closeIdleFrom {
@@ -64,11 +65,11 @@
 		if c.activity.ShutdownAt > 0 {
 			continue
 		}
-		if final { // what has come by now is answered
+		if final { // requests that have arrived by now are answered
 			c.receive()
 			c.startPending()
 		}
-		idle := c.input.Len() == 0 && now-c.activity.LastUsed > drainIdleTime // one that has just been answered may ask again
+		idle := c.input.Len() == 0 && now-c.activity.LastUsed > drainIdleTime // a client may send again right after an answer
 		if !c.closed && !c.answerPending() && (final || idle) && eventloop.Idle(c.fd) {
 			c.shutdownWrite()
 		}
@@ -79,8 +80,8 @@
 	}
 }
 
-// answerInFlight has the router give each request in flight its final answer now, as at its
-// deadline: one that came before the drain may have a deadline beyond the kill.
+// answerInFlight makes the router answer each request in flight now, as if its deadline had
+// passed: requests that arrived before the drain may have deadlines after the kill.
 func (s *Server) answerInFlight() {
 	for _, req := range s.requests {
 		if req.client != nil && req.timer.Armed() {
@@ -90,8 +91,8 @@
 	}
 }
 
-// anyAnswerPending reports whether a client still waits for an answer, or for the rest of one: to end
-// then would lose it, while the kill that is due may come later than expected.
+// anyAnswerPending reports whether any client still waits for an answer or the rest of one.
+// The server does not stop then, since the kill may come later than expected.
 func (s *Server) anyAnswerPending() bool {
 	for c := range s.clients {
 		if !c.closed && c.answerPending() {
--- a/internal/proxy/platform/listener.go
+++ b/internal/proxy/platform/listener.go
@@ -7,10 +7,10 @@
 	"indigospool/internal/proxy/limits"
 )
 
-// acceptsPerTurn is how many connections one turn of the loop accepts at most.
+// acceptsPerTurn is the largest number of connections accepted in one turn of the loop.
 const acceptsPerTurn = 64
 
-// listener accepts clients' connections.
+// listener accepts connections from clients.
 type listener struct {
 	eventloop.Listener
 	server  *Server
@@ -28,7 +28,8 @@
 	return ln, ln.Start(server.loop, fd)
 }
 
-// acceptClient serves a new connection, if there is or can be made room for it.
+// acceptClient starts to serve a new connection. At the connection limit it closes an idle
+// connection first, or the new one if no connection is idle.
 func (ln *listener) acceptClient(fd int) {
 	server := ln.server
 	server.counts.Accepted++
@@ -40,7 +41,7 @@
 	client := &client{server: server, fd: fd, open: map[int32]*request{}, activity: limits.ClientActivity{AcceptedAt: server.loop.Now()}}
 	client.pendingTimer.F = client.startPending
 	client.allReadAt = eventloop.Clock()
-	if !eventloop.Idle(fd) { // it may have waited in the listener's queue
+	if !eventloop.Idle(fd) { // its data may have arrived while it waited in the backlog
 		client.unreadSince = ln.EarliestArrival()
 	}
 	if err := server.loop.Add(fd, eventloop.Read, client); err != nil {
@@ -51,7 +52,7 @@
 	server.clients[client] = struct{}{}
 }
 
-// close accepts the connections that wait in the queue, and ends listening.
+// close accepts the connections in the backlog and stops listening.
 func (ln *listener) close() {
 	if ln.fd < 0 {
 		return
@@ -62,20 +63,20 @@
 	ln.fd = -1
 }
 
-// closeIdleClient closes the client's connection that yields first to a new one, and
-// reports whether there was one.
+// closeIdleClient closes the client connection that comes first by ClientActivity.ClosesBefore,
+// to make room for another one. It reports whether there was one.
 func (s *Server) closeIdleClient() bool {
 	var first *client
 	for candidate := range s.clients {
 		if candidate.output.Len() > 0 {
-			continue // an answer is under way
+			continue // an answer is being written
 		}
 		candidate.activity.OpenRequests = candidate.openCalls()
 		var other *limits.ClientActivity
 		if first != nil {
 			other = &first.activity
 		}
-		// What has been sent meanwhile counts as accepted, and is owed an answer.
+		// A request that has arrived but is unread must be answered too.
 		if candidate.activity.ClosesBefore(other) && eventloop.Idle(candidate.fd) {
 			first = candidate
 		}
--- a/internal/proxy/platform/pool.go
+++ b/internal/proxy/platform/pool.go
@@ -10,17 +10,17 @@
 	"indigospool/internal/proxy/limits"
 )
 
-// pool holds the connections to one member. It belongs to the member's id: another member
-// may get its address later.
+// pool holds the connections to one member. It is keyed by the member's id, not by its
+// address, which another member may get later.
 type pool struct {
 	server      *Server
 	id          string
 	address     string
 	connections []*memberConn
-	inFlight    int // attempts that were assigned to it and are not finished
+	inFlight    int // attempts assigned to the pool that are not finished
 }
 
-// poolOf is the pool of a member, created on first use.
+// poolOf returns the pool of a member, creating it on first use.
 func (s *Server) poolOf(id string) *pool {
 	p := s.pools[id]
 	if p == nil {
@@ -30,9 +30,10 @@
 	return p
 }
 
-// pick chooses the connection for another attempt of a request: an idle one, else a new one,
-// else the one with the fewest attempts. Where there is none it returns nil and how the attempt
-// ends. One request to a connection is the aim, since one malformed answer ends all that share it.
+// pick chooses the connection for an attempt of a request: an idle one, else a new one, else
+// the one with the fewest attempts. If there is none, it returns nil and the result of the
+// attempt. It prefers one request per connection, since a malformed answer ends all attempts
+// on its connection.
 func (p *pool) pick(requestID string) (conn *memberConn, failure spool.Result) {
 	idle, leastLoaded := p.candidates(requestID)
 	if idle != nil {
@@ -48,8 +49,8 @@
 	return leastLoaded, failure
 }
 
-// candidates are the idle connection that was used last and the busy one with the fewest
-// attempts, of those that take an attempt of the request; nil where there is none.
+// candidates returns, of the connections that may carry an attempt of the request, the idle
+// one that was used last and the busy one with the fewest attempts; nil if there is none.
 func (p *pool) candidates(requestID string) (idle, leastLoaded *memberConn) {
 	for _, conn := range p.connections {
 		load := conn.load()
@@ -68,8 +69,8 @@
 	return idle, leastLoaded
 }
 
-// mayGrow reports whether the limits allow one more connection. It closes an idle one of
-// some member for that if need be.
+// mayGrow reports whether the limits allow one more connection. At the limit for all members
+// it closes an idle connection of any member to make room.
 func (p *pool) mayGrow() bool {
 	server := p.server
 	if len(p.connections) >= server.connectionLimits.PerMember(len(server.pools)) {
@@ -78,15 +79,15 @@
 	return server.memberConnections < server.connectionLimits.Members || server.closeIdleMemberConn()
 }
 
-// maxPerConnection is how many attempts may share a connection.
+// maxPerConnection returns the number of attempts that may share a connection.
 func (p *pool) maxPerConnection() int { return max(p.server.config.settings.Streams, 1) }
 
 const (
-	minStaleIdle    = 100 // ms; the shortest idle time after which a member may have forgotten a connection
-	staleIdleFactor = 0.8 // of the idle time after which one was forgotten: others may be by then
+	minStaleIdle    = 100 // ms; a connection that was idle for less does not count as stale
+	staleIdleFactor = 0.8 // once a connection was stale, those idle for this part of its idle time are treated as stale
 )
 
-// closeIdleFor closes the connections that have been idle for minIdle ms or longer.
+// closeIdleFor closes the connections that have been idle for at least minIdle ms.
 func (p *pool) closeIdleFor(minIdle float64) {
 	now := p.server.loop.Now()
 	for _, c := range slices.Clone(p.connections) {
@@ -96,7 +97,7 @@
 	}
 }
 
-// closeIdleMemberConn closes the connection to any member that has been idle longest, and
+// closeIdleMemberConn closes the connection that has been idle longest, of all members, and
 // reports whether there was one.
 func (s *Server) closeIdleMemberConn() bool {
 	var longestIdle *memberConn
@@ -114,8 +115,8 @@
 	return true
 }
 
-// dial begins another connection. Where that fails it returns nil and how the attempt ends
-// that it was for.
+// dial starts another connection. If that fails at once, it returns nil and the result of the
+// attempt that needed the connection.
 func (p *pool) dial() (conn *memberConn, failure spool.Result) {
 	server := p.server
 	server.counts.Dials++
@@ -138,7 +139,8 @@
 	return conn, 0
 }
 
-// dialFailed logs that a connection could not be begun, and returns whose fault that was.
+// dialFailed logs a dial that failed at once, and returns LocalFailure if this machine lacks a
+// resource, else ConnectFailed.
 func (p *pool) dialFailed(err error) spool.Result {
 	server := p.server
 	server.counts.FailedDials++
@@ -153,8 +155,8 @@
 	return spool.ConnectFailed
 }
 
-// close ends the pool of a member that is draining, was removed or has another address. Its
-// connections are closed once no attempt is on them; later attempts get a new pool.
+// close removes the pool of a member that is draining, was removed or has another address. Its
+// connections are closed once no attempt is on them. Later attempts use a new pool.
 func (p *pool) close() {
 	delete(p.server.pools, p.id)
 	for _, c := range slices.Clone(p.connections) {
@@ -165,7 +167,7 @@
 	}
 }
 
-// cleanUp closes the connections that the member would soon close as idle.
+// cleanUp closes the connections that the member would soon close because they are idle.
 func (p *pool) cleanUp(now float64) {
 	for _, c := range slices.Clone(p.connections) {
 		if c.idle() && limits.MemberIdleExpired(now-c.lastUsed, p.server.config.settings.ConnIdle) {
--- a/internal/proxy/platform/reload.go
+++ b/internal/proxy/platform/reload.go
@@ -11,31 +11,32 @@
 )
 
 const (
-	reloadAttempts   = 30  // to read a file that cannot be read
-	reloadRetryDelay = 100 // ms between two
+	reloadAttempts   = 30
+	reloadRetryDelay = 100 // ms
 )
 
-// Reload reads the configuration file again and applies it, or keeps the one in use and logs
-// what is wrong. It may be called from any goroutine.
+// Reload reads the configuration file again and applies it. If the file cannot be read or is
+// invalid, Reload logs the error and keeps the current configuration. It may be called from
+// any goroutine.
 func (s *Server) Reload() {
 	s.loop.Post(func() { s.reloadWithRetries(reloadAttempts) })
 }
 
-// reloadWithRetries reloads, with so many attempts left. A file that cannot be read is retried,
-// as that may pass; one that is invalid is not.
+// reloadWithRetries reloads the configuration, with at most the given number of attempts. It
+// retries only errors of reading the file, which may be temporary, not an invalid file.
 func (s *Server) reloadWithRetries(attempts int) {
 	err := s.reload()
 	if err == nil {
 		return
 	}
-	s.log.Error("configuration rejected, the one in use is kept", zap.Error(err))
+	s.log.Error("configuration not loaded, keeping the current one", zap.Error(err))
 	var pathErr *os.PathError
 	if errors.As(err, &pathErr) && attempts > 1 {
 		s.loop.AfterFunc(reloadRetryDelay, func() { s.reloadWithRetries(attempts - 1) })
 	}
 }
 
-// reload reads and checks the configuration, and applies it only if all of it is valid.
+// reload reads and validates the configuration, and applies it only if all of it is valid.
 func (s *Server) reload() error {
 	config, err := s.readConfig(s.configFile)
 	if err != nil {
@@ -56,7 +57,7 @@
 	s.config = config
 	s.stream.decoder = decoder
 	s.indexClasses()
-	for _, action := range slices.Clone(s.actions) { // executing may dispatch, which reuses s.actions
+	for _, action := range slices.Clone(s.actions) { // execute may call dispatch, which reuses s.actions
 		s.execute(action)
 	}
 	s.applyEvents(known)
@@ -67,7 +68,7 @@
 	return nil
 }
 
-// decodeKnown returns the events that a configuration brings along, past those decoded already.
+// decodeKnown returns the discovery events in a configuration that decoder has not seen yet.
 func decodeKnown(decoder *discovery.Decoder, config *Config) (known []discovery.Event, err error) {
 	err = decoder.DecodeKnown(config.KnownEvents, func(event discovery.Event) { known = append(known, event) })
 	return known, err
--- a/internal/proxy/platform/request.go
+++ b/internal/proxy/platform/request.go
@@ -11,21 +11,22 @@
 // request is a client's request in flight. Times are on the loop's clock, in ms.
 type request struct {
 	thriftrpc.Request
-	client   *client // nil once it has its final answer or was given up
-	sequence int32   // of the call
-	deadline float64 // when its client stops waiting
-	write    bool    // as its class was when it came: a reload may change that
-	attempts int     // started so far
+	client   *client // nil once the final answer was sent or the client has given up
+	sequence int32   // the sequence number of the call
+	deadline float64 // when the client stops waiting
+	write    bool    // whether the class was for writes on arrival; a reload may change the class
+	attempts int     // number of attempts started
 	inFlight *attempt
 
-	// A member has ended a connection that was idle so long, in ms; 0: none has.
+	// staleAfter is the shortest idle time, in ms, after which a member is likely to have
+	// dropped a connection that an attempt of this request used; 0 if none has.
 	staleAfter float64
-	timer      eventloop.Timer // that the router has asked for
+	timer      eventloop.Timer // set by the router
 }
 
-// startRequest hands a client's request to the router. Its time counts from the earliest
-// moment at which its last byte may have come: it may have lain unread for a long turn of
-// the loop.
+// startRequest passes a client's request to the router. The deadline counts from arrivedAfter,
+// the earliest time at which the last byte may have arrived, since the request may have been
+// unread during a long turn of the loop.
 func (s *Server) startRequest(client *client, sequence int32, call thriftrpc.Request, arrivedAfter float64) {
 	req := &request{
 		Request:  call,
@@ -61,8 +62,7 @@
 	}
 }
 
-// detachClient ends a request towards its client. It is removed once it has no attempt in
-// flight.
+// detachClient ends a request for its client, and removes it unless an attempt is in flight.
 func (s *Server) detachClient(req *request) {
 	if req.client != nil {
 		delete(req.client.open, req.sequence)
--- a/internal/proxy/platform/server.go
+++ b/internal/proxy/platform/server.go
@@ -13,8 +13,8 @@
 	"indigospool/internal/proxy/unixclock"
 )
 
-// Server is one router on the platform. All of it belongs to its loop's goroutine, except
-// for the methods that say otherwise. Times are on the loop's clock, in ms.
+// Server is a router on the platform. It may be used only on the event loop's goroutine,
+// except for methods whose comment says otherwise. Times are on the loop's clock, in ms.
 type Server struct {
 	loop       *eventloop.Loop
 	config     *Config
@@ -24,40 +24,40 @@
 	counts     Counts
 
 	engine        *engine.Core
-	classes       map[string]*spool.Class // of the settings, by name
-	pendingEvents []spool.Event           // that the router has not handled yet
-	actions       []spool.Action          // of the event that is being handled
+	classes       map[string]*spool.Class // the classes in the settings, by name
+	pendingEvents []spool.Event           // events that the router has not handled yet
+	actions       []spool.Action          // the router's actions for the event being handled
 	dispatching   bool
-	arriving      *request // that the event being handled begins: the next timer is its own
+	arriving      *request // the request that the event being handled starts, if any; it gets the next timer
 	tickTimer     eventloop.Timer
 
 	listener          *listener
 	codec             *thriftrpc.Codec
 	clients           map[*client]struct{}
-	requests          map[string]*request // in flight, by id
-	pools             map[string]*pool    // by the member's id
+	requests          map[string]*request // requests in flight, by id
+	pools             map[string]*pool    // by member id
 	connectionLimits  limits.ConnectionQuota
-	memberConnections int // open, or being dialled
+	memberConnections int // member connections that are open or being dialled
 	buffers           eventloop.Buffers
-	readBuffer        []byte // of one read; nothing keeps it
-	unsentBytes       int    // in the clients' output
+	readBuffer        []byte // reused by every read; no reference to it may be kept
+	unsentBytes       int    // bytes in the output queues of all clients
 
 	stream       discoveryStream
-	platformTime unixclock.Clock // the platform's time, by the times in discovery events
+	platformTime unixclock.Clock // the platform's time, estimated from timestamps in discovery events
 
-	drainStarted  float64 // 0: it is not draining
-	closeIdleFrom float64 // from when on connections at rest are closed
-	lastAnswerBy  float64 // when the last answer is to have been written
+	drainStarted  float64 // 0 if the server is not draining
+	closeIdleFrom float64 // the time from which idle client connections are closed while draining
+	lastAnswerBy  float64 // the time by which the last answer must be written while draining
 }
 
 const (
-	cleanUpInterval = 200      // ms between looks at connections that overstay
-	readBufferBytes = 64 << 10 // that one read takes at most
+	cleanUpInterval = 200      // ms
+	readBufferBytes = 64 << 10 // the most that one read returns
 )
 
-// Open reads the configuration file and listens at address, or at the configuration's own
-// where address is empty. Serve runs the server. An error says what could not be used: the
-// file, its settings, the endpoint list in it, or the address.
+// Open reads the configuration file and listens at address, or at the address in the
+// configuration if address is empty. Serve runs the server. An error names what could not be
+// used: the file, its settings, its endpoint list, or the address.
 func Open(configFile, address string, log *zap.Logger) (*Server, error) {
 	config, err := ReadConfig(configFile)
 	if err != nil {
@@ -101,7 +101,7 @@
 	return server, nil
 }
 
-// indexClasses has class answer by the settings as they are now.
+// indexClasses rebuilds the index of classes by name from the current settings.
 func (s *Server) indexClasses() {
 	s.classes = map[string]*spool.Class{}
 	for i := range s.config.settings.Module.Classes {
@@ -110,17 +110,17 @@
 	}
 }
 
-// class is the settings of a class; nil: there is no such class.
+// class returns the settings of the named class, or nil if there is none.
 func (s *Server) class(name string) *spool.Class { return s.classes[name] }
 
-// Addr is the address and port at which the server listens.
+// Addr returns the address and port at which the server listens.
 func (s *Server) Addr() string { return s.listener.address }
 
-// Serve runs the server until it has drained. An error is one of the event loop.
+// Serve runs the server until it has drained. It returns the error of the event loop, if any.
 func (s *Server) Serve() error { return s.loop.Run() }
 
-// cleanUp closes connections that overstay. One that is owed an answer is not shut down
-// before it has that, whatever else it does, unless it takes nothing of what waits for it.
+// cleanUp closes expired connections. A client connection with a pending answer is kept until
+// the answer is written, unless the client has stopped reading.
 func (s *Server) cleanUp() {
 	now := s.loop.Now()
 	for c := range s.clients {
