--- a/internal/protocol/resp/resp.go
+++ b/internal/protocol/resp/resp.go
@@ -1,9 +1,9 @@
-// Package resp is the protocol between routers and caches on the platform, as bytes in
-// memory: RESP arrays of bulk strings. It reads answers and writes requests. Every length is
-// bounded before room is made for what it announces.
+// Package resp encodes requests and decodes answers of the protocol between routers and caches
+// on the platform: RESP arrays of bulk strings. It checks every announced length against a
+// limit before callers buffer data for it.
 //
-// It does no I/O and keeps nothing between calls. What an answer means for a request is
-// decided in internal/proxy/platform (answer.go); docs/platform.md has the protocol's rules.
+// It does no I/O and keeps no state between calls. internal/proxy/platform (answer.go)
+// interprets answers; docs/platform.md has the rules of the protocol.
 package resp
 
 import (
@@ -13,17 +13,17 @@
 	"strconv"
 )
 
-// ErrMalformed is what a connection is closed for: where one answer ends and the next begins
-// is no longer known.
+// ErrMalformed is the error for a malformed answer. The connection must be closed, because the
+// start of the next answer is unknown.
 var ErrMalformed = errors.New("resp: malformed answer")
 
-// MaxBodyBytes bounds the body of an answer.
+// MaxBodyBytes is the largest size of the body of an answer.
 const MaxBodyBytes = 240000
 
 const (
-	minStrings       = 2 // of an answer
+	minStrings       = 2 // strings in an answer
 	maxStrings       = 4
-	maxLineBytes     = 16 // of a count or a length, with its end
+	maxLineBytes     = 16 // line with a count or a length, including the line end
 	maxIDBytes       = 64
 	maxWordBytes     = 16
 	maxFieldsBytes   = 4096
@@ -31,27 +31,26 @@
 	bulkStringPrefix = '$'
 	lineEnd          = "\r\n"
 	lineEndBytes     = len(lineEnd)
-	minLineEnd       = 3 // where the last byte of the shortest line is: a mark, a digit, \r and \n
+	minLineEnd       = 3 // offset of \n in the shortest line: prefix, digit, \r, \n
 )
 
-// Answer is one answer. Its strings are parts of the bytes that were read.
+// Answer is one answer. Its fields are slices of the data that was parsed.
 type Answer struct {
-	ID     []byte // of the request
-	Word   []byte // what became of it
-	Fields []byte // names and values, see EachField
+	ID     []byte // id of the request
+	Word   []byte // result, such as HIT
+	Fields []byte // list of names and values, see EachField
 	Body   []byte
 }
 
-// ReadAnswer finds the first complete answer in data, and how many bytes it takes. A size of
-// 0 says that more bytes are needed: want in all, as far as that is known. An error wraps
-// ErrMalformed.
+// ReadAnswer parses the first answer in data and returns its size. A size of 0 means that the
+// answer is incomplete; want is then a lower bound of its size. The error wraps ErrMalformed.
 func ReadAnswer(data []byte) (answer Answer, size, want int, err error) {
 	count, offset, err := readLine(data, 0, arrayPrefix)
 	if err != nil || offset == 0 {
 		return answer, 0, len(data) + 1, err
 	}
 	if count < minStrings || count > maxStrings {
-		return answer, 0, 0, fmt.Errorf("%w: an array of %d strings, want %d to %d", ErrMalformed, count, minStrings, maxStrings)
+		return answer, 0, 0, fmt.Errorf("%w: array of %d strings, want %d to %d", ErrMalformed, count, minStrings, maxStrings)
 	}
 	strings := [maxStrings]struct {
 		target *[]byte
@@ -84,8 +83,8 @@
 	return answer, offset, 0, nil
 }
 
-// readLine reads a line of a prefix and a number at data[from:]. next is where the line ends,
-// and 0 where it is not complete.
+// readLine parses a line at data[from:] that consists of prefix and a number. next is the offset
+// after the line, or 0 if the line is incomplete.
 func readLine(data []byte, from int, prefix byte) (number, next int, err error) {
 	line := data[min(from, len(data)):]
 	if len(line) > 0 && line[0] != prefix {
@@ -94,25 +93,25 @@
 	end := bytes.IndexByte(line[:min(len(line), maxLineBytes)], '\n')
 	if end < 0 {
 		if len(line) >= maxLineBytes {
-			return 0, 0, fmt.Errorf("%w: a line of over %d bytes", ErrMalformed, maxLineBytes)
+			return 0, 0, fmt.Errorf("%w: line of more than %d bytes", ErrMalformed, maxLineBytes)
 		}
 		return 0, 0, nil
 	}
 	if end < minLineEnd || line[end-1] != '\r' {
-		return 0, 0, fmt.Errorf("%w: a line without its number", ErrMalformed)
+		return 0, 0, fmt.Errorf("%w: line without a number or without \\r\\n", ErrMalformed)
 	}
 	digits := line[1 : end-1]
 	for _, digit := range digits {
 		if digit < '0' || digit > '9' {
-			return 0, 0, fmt.Errorf("%w: %.12q is no length", ErrMalformed, digits)
+			return 0, 0, fmt.Errorf("%w: %.12q is not a number", ErrMalformed, digits)
 		}
 		number = number*10 + int(digit-'0')
 	}
 	return number, from + end + 1, nil
 }
 
-// EachField calls f with each name and value of a list of fields, until f returns false. It
-// reports whether the list is well formed, as far as it was read. "-" is the empty list.
+// EachField calls f with each name and value in a list of fields until f returns false. It
+// reports whether the part of the list that it parsed is well-formed. "-" is the empty list.
 func EachField(list []byte, f func(name, value []byte) bool) bool {
 	if len(list) == 0 || len(list) == 1 && list[0] == '-' {
 		return true
--- a/internal/protocol/resp/resp_test.go
+++ b/internal/protocol/resp/resp_test.go
@@ -12,8 +12,8 @@
 	return rapid.SliceOfN(rapid.Byte(), 0, maxBytes).Draw(t, name)
 }
 
-// TestAnswersSplitAnywhere: answers come out the same however their bytes are split, and none comes
-// before it is whole.
+// TestAnswersSplitAnywhere checks that answers are parsed correctly however the stream is split
+// into reads, and that no answer is returned before it is complete.
 func TestAnswersSplitAnywhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []byte
@@ -35,7 +35,7 @@
 				}
 				if size == 0 {
 					if more <= len(buf) {
-						t.Fatalf("%d bytes are there, and %d are wanted", len(buf), more)
+						t.Fatalf("an incomplete answer of %d bytes, but only %d are wanted", len(buf), more)
 					}
 					break
 				}
@@ -44,18 +44,19 @@
 			}
 		}
 		if len(got) != len(want) {
-			t.Fatalf("%d answers of %d", len(got), len(want))
+			t.Fatalf("%d answers were parsed, want %d", len(got), len(want))
 		}
 		for i := range want {
 			if !bytes.Equal(got[i].Body, want[i].Body) || !bytes.Equal(got[i].ID, want[i].ID) ||
 				!bytes.Equal(got[i].Fields, want[i].Fields) || !bytes.Equal(got[i].Word, want[i].Word) {
-				t.Fatalf("answer %d is another", i)
+				t.Fatalf("answer %d differs from the one that was sent", i)
 			}
 		}
 	})
 }
 
-// FuzzRead: whatever comes, no more is wanted than the bounds allow.
+// FuzzRead checks that any input is parsed or rejected with ErrMalformed, and that never more
+// bytes are wanted than the limits allow.
 func FuzzRead(f *testing.F) {
 	f.Add(AppendArray(nil, []byte("id"), []byte("HIT"), []byte("-"), []byte("x")))
 	f.Add([]byte("*4\r\n$16\r\n"))
@@ -67,9 +68,9 @@
 		case err != nil && !errors.Is(err, ErrMalformed):
 			t.Fatal(err)
 		case err == nil && size == 0 && (want <= len(b) || want > len(b)+MaxBodyBytes+4096+200):
-			t.Fatalf("%d bytes are there, and %d are wanted", len(b), want)
+			t.Fatalf("an incomplete answer of %d bytes, and %d are wanted", len(b), want)
 		case size > len(b) || len(a.Body) > MaxBodyBytes:
-			t.Fatalf("an answer of %d bytes out of %d", size, len(b))
+			t.Fatalf("an answer of %d bytes was parsed from %d bytes", size, len(b))
 		}
 		EachField(a.Fields, func(name, _ []byte) bool {
 			if len(name) == 0 {
--- a/internal/protocol/thriftrpc/answer_test.go
+++ b/internal/protocol/thriftrpc/answer_test.go
@@ -9,7 +9,8 @@
 	spool "indigospool"
 )
 
-// TestAnswerBytes: answers have the bytes that clients in the field read.
+// TestAnswerBytes checks the encoding of answers byte for byte, since deployed clients depend
+// on it.
 func TestAnswerBytes(t *testing.T) {
 	codec := NewCodec()
 	for _, test := range []struct {
@@ -40,7 +41,7 @@
 	}
 }
 
-// TestMethods: messages name the methods of the service, and only forget is sent one way.
+// TestMethods checks the names of the methods, and that only forget may be sent one way.
 func TestMethods(t *testing.T) {
 	const call, oneWay = 1, 4
 	for _, c := range []struct {
@@ -61,12 +62,13 @@
 	}
 }
 
-// TestFieldError: an unusable field is named, with its value and what would be accepted.
+// TestFieldError checks that the error for an invalid field has its name, its value and the
+// valid values.
 func TestFieldError(t *testing.T) {
 	call := Call{Fields: map[string]string{"id": "9b1f03aa5c7e2d41", "class": "r", "key": "x"}}
 	_, err := ParseRequest(&call, func(string) *spool.Class { return &spool.Class{Deadline: 1000} })
-	var fault *FieldError
-	if !errors.As(err, &fault) || fault.Field != "key" || err.Error() != `thriftrpc: field key is "x", want 16 hex digits` {
+	var fieldErr *FieldError
+	if !errors.As(err, &fieldErr) || fieldErr.Field != "key" || err.Error() != `thriftrpc: field key is "x", want 16 hex digits` {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/protocol/thriftrpc/codec.go
+++ b/internal/protocol/thriftrpc/codec.go
@@ -8,12 +8,12 @@
 	"github.com/apache/thrift/lib/go/thrift"
 )
 
-// Method is what a message calls.
+// Method is a method of the service Front.
 type Method int
 
 // The methods of the service Front.
 const (
-	MethodUnknown Method = iota // any other name: answered by an application exception
+	MethodUnknown Method = iota // any other name; answered with an application exception
 	MethodServe
 	MethodForget
 	MethodIsWell
@@ -32,25 +32,26 @@
 	return "unknown"
 }
 
-// Call is one message of a client.
+// Call is a message from a client.
 type Call struct {
 	Method       Method
-	Name         string // of the method, as sent
+	Name         string // name of the method, as sent
 	Seq          int32
-	Fields       map[string]string // of MethodServe
-	Body         []byte            // of MethodServe; its own memory
-	CancelledSeq int32             // of MethodForget: the call that is given up
+	Fields       map[string]string // for MethodServe
+	Body         []byte            // for MethodServe
+	CancelledSeq int32             // for MethodForget: sequence number of the cancelled call
 }
 
-// Codec reads and writes messages. It is not safe for concurrent use. The bytes that it
-// returns are valid until its next call; a Call has its own memory.
+// Codec parses calls and encodes answers. It is not safe for concurrent use. An encoded answer
+// is valid until the next call of a method. A Call shares no memory with the payload or the
+// Codec.
 type Codec struct {
 	input, output thrift.TMemoryBuffer
-	reader        *thrift.TBinaryProtocol // of input
-	writer        *thrift.TBinaryProtocol // to output
+	reader        *thrift.TBinaryProtocol // reads from input
+	writer        *thrift.TBinaryProtocol // writes to output
 }
 
-// NewCodec returns a codec with the bounds of the protocol.
+// NewCodec returns a Codec that enforces the limits of the protocol.
 func NewCodec() *Codec {
 	codec := &Codec{}
 	config := &thrift.TConfiguration{
@@ -67,15 +68,15 @@
 	return codec
 }
 
-var ctx = context.Background() // the library asks for one; nothing here waits
+var ctx = context.Background() // required by the library; no operation here blocks
 
-// Parse reads the payload of one frame. An error wraps ErrMalformed: the rest of the
-// connection cannot be trusted either.
+// Parse parses the payload of one frame. The error wraps ErrMalformed; the connection must then
+// be closed, because the rest of its data cannot be trusted either.
 func (c *Codec) Parse(payload []byte) (call Call, err error) {
 	*c.input.Buffer = *bytes.NewBuffer(payload)
 	name, kind, seq, err := c.reader.ReadMessageBegin(ctx)
 	if err != nil {
-		return call, fmt.Errorf("%w: head: %w", ErrMalformed, err)
+		return call, fmt.Errorf("%w: message header: %w", ErrMalformed, err)
 	}
 	call.Name = name
 	call.Seq = seq
@@ -87,12 +88,12 @@
 		return call, err
 	}
 	if rest := c.input.Len(); rest > 0 {
-		return call, fmt.Errorf("%w: %d bytes after the end of %.20q", ErrMalformed, rest, name)
+		return call, fmt.Errorf("%w: %d bytes after the end of call %.20q", ErrMalformed, rest, name)
 	}
 	return call, nil
 }
 
-// methodOf is the method of a message. Only forget may be sent one way.
+// methodOf returns the method of a message. Only forget may be sent one way.
 func methodOf(name string, kind thrift.TMessageType) Method {
 	switch {
 	case name == MethodServe.String() && kind == thrift.CALL:
@@ -105,7 +106,7 @@
 	return MethodUnknown
 }
 
-// parseArguments reads the arguments of a call; those that its method does not have are skipped.
+// parseArguments reads the arguments of a call, skipping those that its method does not have.
 func (c *Codec) parseArguments(call *Call) error {
 	hasSequence := false
 	for {
@@ -132,7 +133,7 @@
 		}
 	}
 	if call.Method == MethodForget && !hasSequence {
-		return fmt.Errorf("%w: forget names no call", ErrMalformed)
+		return fmt.Errorf("%w: forget without the sequence number of a call", ErrMalformed)
 	}
 	return nil
 }
@@ -144,7 +145,7 @@
 		return nil, err
 	}
 	if size > 0 && (keyType != thrift.STRING || valueType != thrift.STRING) {
-		return nil, fmt.Errorf("a map from type %d to type %d, want strings", keyType, valueType)
+		return nil, fmt.Errorf("map from type %d to type %d, want strings", keyType, valueType)
 	}
 	fields := make(map[string]string, size)
 	for range size {
--- a/internal/protocol/thriftrpc/codec_test.go
+++ b/internal/protocol/thriftrpc/codec_test.go
@@ -10,7 +10,7 @@
 	spool "indigospool"
 )
 
-// serve writes a call of serve by the codec's own writer.
+// serve encodes a call of serve with the codec's writer.
 func serve(c *Codec, seq int32, fields []string, body []byte) []byte {
 	c.begin("serve", 1, seq)
 	c.writeFields(1, fields)
@@ -20,7 +20,8 @@
 	return bytes.Clone(c.end())
 }
 
-// TestFramesSplitAnywhere: calls come out the same however their bytes are split.
+// TestFramesSplitAnywhere checks that calls are parsed correctly however the stream is split
+// into reads.
 func TestFramesSplitAnywhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		codec := NewCodec()
@@ -53,12 +54,13 @@
 			}
 		}
 		if got != calls {
-			t.Fatalf("%d calls of %d", got, calls)
+			t.Fatalf("%d calls were parsed, want %d", got, calls)
 		}
 	})
 }
 
-// FuzzParse: whatever comes is a call or unreadable, and takes no memory beyond itself.
+// FuzzParse checks that any input is either parsed or rejected with ErrMalformed, and that a
+// parsed call is not larger than its input.
 func FuzzParse(f *testing.F) {
 	codec := NewCodec()
 	f.Add(serve(codec, 1, []string{"id", "9b1f03aa5c7e2d41"}, []byte("body")))
@@ -67,7 +69,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		p, size, err := SplitFrame(data)
 		if err != nil && !errors.Is(err, ErrMalformed) || size > len(data) {
-			t.Fatalf("%d bytes of %d: %v", size, len(data), err)
+			t.Fatalf("a frame of %d bytes was found in %d bytes: %v", size, len(data), err)
 		}
 		if size == 0 {
 			return
@@ -81,7 +83,7 @@
 			n += len(k) + len(v)
 		}
 		if n > len(data) {
-			t.Fatalf("%d bytes out of %d", n, len(data))
+			t.Fatalf("a call of %d bytes was parsed from %d bytes", n, len(data))
 		}
 		ParseRequest(&call, func(string) *spool.Class { return &spool.Class{Deadline: 1000} })
 	})
--- a/internal/protocol/thriftrpc/doc.go
+++ b/internal/protocol/thriftrpc/doc.go
@@ -1,9 +1,9 @@
-// Package thriftrpc is the protocol between clients and the router on the platform, as bytes
-// in memory: frames of Thrift's framed transport, and messages of the service Front in the
-// strict binary protocol. Every field of a request is checked before anything else sees it.
+// Package thriftrpc encodes and decodes the protocol between clients and the router on the
+// platform: Thrift's framed transport, with messages of the service Front in the strict binary
+// protocol. It validates every field of a request.
 //
-// It does no I/O, keeps nothing between messages and decides nothing. SplitFrame finds a
-// frame, Codec.Parse reads a call, ParseRequest checks its fields, and Codec's other methods
-// write the answers. Their caller is internal/proxy/platform (client_input.go); the rules of
-// the protocol are in docs/platform.md.
+// It does no I/O, keeps no state between messages and makes no decisions. SplitFrame finds a
+// frame, Codec.Parse parses a call, ParseRequest validates its fields, and the other methods
+// of Codec encode answers. Its user is internal/proxy/platform (client_input.go);
+// docs/platform.md has the rules of the protocol.
 package thriftrpc
--- a/internal/protocol/thriftrpc/frame.go
+++ b/internal/protocol/thriftrpc/frame.go
@@ -6,35 +6,36 @@
 	"fmt"
 )
 
-// The bounds of the protocol.
+// The limits of the protocol.
 const (
-	MaxWriteBytes = 48000                            // of the body of a write
-	MaxFrameBytes = MaxWriteBytes + maxEnvelopeBytes // of a frame without its length
-	MaxOpenCalls  = 32                               // calls of serve without an answer, of a connection
+	MaxWriteBytes = 48000                            // body of a write
+	MaxFrameBytes = MaxWriteBytes + maxEnvelopeBytes // frame without its length prefix
+	MaxOpenCalls  = 32                               // unanswered calls of serve on one connection
 
-	maxEnvelopeBytes = 8192 // of a message without its body
-	maxFields        = 64   // of a request
+	maxEnvelopeBytes = 8192 // message without its body
+	maxFields        = 64   // fields of a request
 	lengthBytes      = 4
 )
 
-// The errors for which a connection is closed: who breaks these rules cannot tell answers apart.
+// The errors for which a connection is closed. After them, answers could not be matched to
+// calls reliably.
 var (
 	ErrMalformed   = errors.New("thriftrpc: malformed message")
-	ErrSequence    = errors.New("thriftrpc: sequence number of a call does not rise")
-	ErrTooManyOpen = fmt.Errorf("thriftrpc: over %d calls open on a connection", MaxOpenCalls)
+	ErrSequence    = errors.New("thriftrpc: sequence number of a call does not increase")
+	ErrTooManyOpen = fmt.Errorf("thriftrpc: more than %d calls open on a connection", MaxOpenCalls)
 )
 
-// SplitFrame finds the first complete frame in data: its payload, and how many bytes it takes
-// with its length. A size of 0 says that more bytes are needed. The length is checked before
-// the payload is there, so that no room is made for what would be rejected. An error wraps
-// ErrMalformed.
+// SplitFrame finds the first complete frame in data. It returns the payload and the size of the
+// frame including its length prefix; a size of 0 means that more bytes are needed. It checks
+// the length before the payload has arrived, so that callers do not buffer frames that are too
+// long. The error wraps ErrMalformed.
 func SplitFrame(data []byte) (payload []byte, size int, err error) {
 	if len(data) < lengthBytes {
 		return nil, 0, nil
 	}
 	length := int32(binary.BigEndian.Uint32(data))
 	if length <= 0 || length > MaxFrameBytes {
-		return nil, 0, fmt.Errorf("%w: a frame of %d bytes, want 1 to %d", ErrMalformed, length, MaxFrameBytes)
+		return nil, 0, fmt.Errorf("%w: frame of %d bytes, want 1 to %d", ErrMalformed, length, MaxFrameBytes)
 	}
 	size = lengthBytes + int(length)
 	if len(data) < size {
--- a/internal/protocol/thriftrpc/request.go
+++ b/internal/protocol/thriftrpc/request.go
@@ -8,17 +8,17 @@
 	spool "indigospool"
 )
 
-// Request is a call of serve whose fields were checked.
+// Request is a call of serve with valid fields.
 type Request struct {
 	ID             string // 16 hex digits
 	Class          string
-	IdempotencyKey string // 32 hex digits for the classes that have one, else ""
-	Key            string // of the object, 16 hex digits
-	ClientTag      string // of the client's own copy; "": it has none
-	TimeLeft       float64
-	Retry          bool // the client has sent the request before
-	Part           int  // of the object, from 0
-	Group          int  // of objects that are purged together
+	IdempotencyKey string  // 32 hex digits for classes with idempotency keys, else empty
+	Key            string  // key of the object, 16 hex digits
+	ClientTag      string  // entity tag of the client's own copy; empty if it has none
+	TimeLeft       float64 // ms until the client's deadline
+	Retry          bool    // the client has sent the request before
+	Part           int     // part of the object, from 0
+	Group          int     // group of objects that are purged together
 	Body           []byte
 }
 
@@ -30,25 +30,25 @@
 	maxGroup             = 255
 )
 
-// ErrDuplicateID is the error for a request whose id another open request has. Its call is
-// answered by Codec.Failed, and the connection is kept.
-var ErrDuplicateID = errors.New("thriftrpc: a request with this id is open")
+// ErrDuplicateID is the error for a request with the id of another open request. The call is
+// answered with Codec.Failed, and the connection stays open.
+var ErrDuplicateID = errors.New("thriftrpc: a request with this id is already open")
 
-// FieldError says which field of a request cannot be used. Its call is answered by
-// Codec.Failed, and the connection is kept.
+// FieldError reports an invalid field of a request. The call is answered with Codec.Failed, and
+// the connection stays open.
 type FieldError struct {
-	Field string // its name in the protocol
+	Field string // name in the protocol
 	Value string
-	Want  string // what would be accepted
+	Want  string // description of the valid values
 }
 
-// Error names the field, its value and what would be accepted.
+// Error returns a message with the field, its value and the valid values.
 func (e *FieldError) Error() string {
 	return fmt.Sprintf("thriftrpc: field %s is %.40q, want %s", e.Field, e.Value, e.Want)
 }
 
-// ParseRequest checks the fields of a call of serve by the settings of its class, which
-// class returns; nil: there is no such class. The error is a *FieldError.
+// ParseRequest validates the fields of a call of serve. class returns the settings of the named
+// class, or nil if there is none. The error is a *FieldError.
 func ParseRequest(call *Call, class func(name string) *spool.Class) (Request, error) {
 	fields := call.Fields
 	request := Request{
@@ -65,7 +65,7 @@
 		return request, &FieldError{field, fields[field], want}
 	}
 	if size := len(request.Body); size > MaxWriteBytes || size > 0 && !settings.Write {
-		return request, &FieldError{"body", fmt.Sprintf("%d bytes", size), fmt.Sprintf("at most %d, and only of writes", MaxWriteBytes)}
+		return request, &FieldError{"body", fmt.Sprintf("%d bytes", size), fmt.Sprintf("at most %d bytes, and only in writes", MaxWriteBytes)}
 	}
 	wait, err := strconv.ParseUint(fields["wait"], 10, 31)
 	if err != nil || wait == 0 || float64(wait) > settings.Deadline+1 {
@@ -82,7 +82,8 @@
 	return request, nil
 }
 
-// check returns the first text field that cannot be used and what would be accepted, or "".
+// check returns the first invalid text field and a description of its valid values, or empty
+// strings.
 func (r *Request) check(retry string, class *spool.Class) (field, want string) {
 	switch {
 	case !isHex(r.ID, idDigits):
@@ -103,17 +104,17 @@
 	return "", ""
 }
 
-// parseNumber reads a whole number from 0 to most; a field that is absent is 0.
-func parseNumber(fields map[string]string, name string, most uint64) (number int, ok bool) {
+// parseNumber parses an integer from 0 to limit; a missing field is 0.
+func parseNumber(fields map[string]string, name string, limit uint64) (number int, ok bool) {
 	text, present := fields[name]
 	if !present {
 		return 0, true
 	}
 	value, err := strconv.ParseUint(text, 10, 31)
-	return int(value), err == nil && value <= most
+	return int(value), err == nil && value <= limit
 }
 
-// isHex reports whether text is so many hex digits, in lower case.
+// isHex reports whether text has the given number of hex digits, in lower case.
 func isHex(text string, digits int) bool {
 	if len(text) != digits {
 		return false
@@ -126,7 +127,7 @@
 	return true
 }
 
-// isTag reports whether text can stand in a list of fields, or is empty.
+// isTag reports whether text is empty or valid as a tag in a list of fields.
 func isTag(text string) bool {
 	for _, b := range []byte(text) {
 		digit := b >= '0' && b <= '9'
