--- a/internal/protocol/discovery/decoder.go
+++ b/internal/protocol/discovery/decoder.go
@@ -7,11 +7,12 @@
 	"net/netip"
 )
 
-// ErrStreamUnusable says that a connection is to be closed: the rest of it cannot be read,
-// or events are missing.
+// ErrStreamUnusable is the error for malformed data or missing events. The connection must be
+// closed.
 var ErrStreamUnusable = errors.New("discovery: stream unusable")
 
-// A frame is its length, an event's number, a kind and a payload, all numbers big-endian.
+// A frame consists of its length, an event number, a kind and a payload. Integers are
+// big-endian.
 const (
 	lengthBytes      = 4
 	numberBytes      = 8
@@ -21,21 +22,21 @@
 	groupPurgeBytes  = 10
 	maxEndpoints     = 20000
 	maxFrameBytes    = headerBytes + endpointBytes*maxEndpoints
-	maxRetainedBytes = 64 << 10 // of the buffer of a Decoder, between frames
+	maxRetainedBytes = 64 << 10 // capacity of a Decoder's buffer that is kept between frames
 )
 
 // frameKind is the kind of a frame.
 type frameKind uint8
 
 const (
-	upToDateFrame frameKind = iota // there is no event after the number
+	upToDateFrame frameKind = iota // the event with this number is the latest
 	snapshotFrame
 	deltaFrame
 	objectPurgeFrame
 	groupPurgeFrame
 )
 
-// String returns the kind in words.
+// String returns the name of the kind.
 func (k frameKind) String() string {
 	switch k {
 	case upToDateFrame:
@@ -52,25 +53,25 @@
 	return fmt.Sprintf("unknown kind %d", uint8(k))
 }
 
-// Decoder reads the connections to the discovery server, one after another.
+// Decoder decodes the data from a discovery server, over successive connections.
 type Decoder struct {
-	Zones, Kinds []string // the names of what frames number, by the settings
-	LastNumber   uint64   // of the last event; 0: there was none
-	UpToDate     uint64   // frames so far that said that there is no later event
+	Zones, Kinds []string // names from the settings, indexed by the numbers in frames
+	LastNumber   uint64   // number of the last event; 0 if there was none
+	UpToDate     uint64   // count of frames that said that LastNumber is the latest event
 
-	buffer []byte // a frame that has come in part
+	buffer []byte // the first part of an incomplete frame
 }
 
-// Resume starts on a new connection: a frame that has come in part is dropped. It returns
-// what to write first, which asks for the events after the last one.
+// Resume starts decoding a new connection and drops an incomplete frame. It returns the message
+// to write first, which requests the events after the last one.
 func (d *Decoder) Resume() []byte {
 	d.buffer = d.buffer[:0]
 	return binary.BigEndian.AppendUint64(nil, d.LastNumber)
 }
 
-// Decode adds bytes of the connection and calls apply with each new event. A frame is used
-// as a whole or not at all, and an event only after the one before it. On an error, which
-// wraps ErrStreamUnusable, the connection is to be closed; events before it count.
+// Decode decodes data from the connection and calls apply with each new event. A frame is
+// applied completely or not at all. The error wraps ErrStreamUnusable; the connection must then
+// be closed, but the events before the error have been applied.
 func (d *Decoder) Decode(data []byte, apply func(Event)) error {
 	d.buffer = append(d.buffer, data...)
 	used := 0
@@ -79,7 +80,7 @@
 		rest := d.buffer[used:]
 		size := int64(binary.BigEndian.Uint32(rest)) + lengthBytes
 		if size < headerBytes || size > maxFrameBytes {
-			return fmt.Errorf("%w: a frame of %d bytes after event %d, want %d to %d", ErrStreamUnusable, size, d.LastNumber, headerBytes, maxFrameBytes)
+			return fmt.Errorf("%w: frame of %d bytes after event %d, want %d to %d", ErrStreamUnusable, size, d.LastNumber, headerBytes, maxFrameBytes)
 		}
 		if int64(len(rest)) < size {
 			return nil
@@ -97,7 +98,8 @@
 	return nil
 }
 
-// discard drops what has been used, and the capacity that a long list took once all is used.
+// discard drops the first used bytes of the buffer. Once the buffer is empty, it frees a
+// capacity over maxRetainedBytes, such as a long endpoint list needs.
 func (d *Decoder) discard(used int) {
 	d.buffer = d.buffer[:copy(d.buffer, d.buffer[used:])]
 	if len(d.buffer) == 0 && cap(d.buffer) > maxRetainedBytes {
@@ -105,24 +107,24 @@
 	}
 }
 
-// decodeFrame reads what follows a frame's length; nil: it has no new event.
+// decodeFrame decodes a frame without its length. The event is nil if the frame has no new one.
 func (d *Decoder) decodeFrame(data []byte) (*Event, error) {
 	number := binary.BigEndian.Uint64(data)
 	kind := frameKind(data[numberBytes])
 	payload := data[numberBytes+1:]
 	switch {
 	case kind > groupPurgeFrame:
-		return nil, fmt.Errorf("%w: event %d is of %v", ErrStreamUnusable, number, kind)
+		return nil, fmt.Errorf("%w: event %d has %v", ErrStreamUnusable, number, kind)
 	case kind == upToDateFrame && number == d.LastNumber:
 		d.UpToDate++
 		return nil, nil
 	case number <= d.LastNumber:
 		return nil, nil
 	case kind == upToDateFrame, number != d.LastNumber+1 && kind != snapshotFrame:
-		return nil, fmt.Errorf("%w: event %d follows %d", ErrStreamUnusable, number, d.LastNumber)
+		return nil, fmt.Errorf("%w: events are missing, got number %d after %d", ErrStreamUnusable, number, d.LastNumber)
 	}
 	if !payloadFits(kind, len(payload)) {
-		return nil, fmt.Errorf("%w: event %d, %v, has %d bytes", ErrStreamUnusable, number, kind, len(payload))
+		return nil, fmt.Errorf("%w: event %d: %v with a payload of %d bytes", ErrStreamUnusable, number, kind, len(payload))
 	}
 	event := &Event{Number: number}
 	switch kind {
@@ -150,7 +152,7 @@
 	return event, nil
 }
 
-// payloadFits reports whether a frame of a kind with an event may have a payload of so many bytes.
+// payloadFits reports whether size is a valid payload size for a frame kind with an event.
 func payloadFits(kind frameKind, size int) bool {
 	switch kind {
 	case objectPurgeFrame:
@@ -161,12 +163,12 @@
 	return size%endpointBytes == 0
 }
 
-// decodeEndpoint reads one endpoint of a list: id, address, port, state, zone, kind, cell,
-// weight in thousandths, and time of its late start.
+// decodeEndpoint decodes one endpoint of a list: id, address, port, state, zone, kind, cell,
+// weight in thousandths, and start time.
 func (d *Decoder) decodeEndpoint(data []byte) (Endpoint, error) {
 	state, zone, kind := State(data[10]), int(data[11]), int(data[12])
 	if state > Removed || zone >= len(d.Zones) || kind >= len(d.Kinds) {
-		return Endpoint{}, fmt.Errorf("an endpoint has state %d, zone %d, kind %d", state, zone, kind)
+		return Endpoint{}, fmt.Errorf("endpoint with unknown state %d, zone %d or kind %d", state, zone, kind)
 	}
 	ip := netip.AddrFrom4([4]byte(data[4:8]))
 	return Endpoint{
--- a/internal/protocol/discovery/decoder_test.go
+++ b/internal/protocol/discovery/decoder_test.go
@@ -35,27 +35,27 @@
 		t.Errorf("got %+v", got)
 	}
 	for name, b := range map[string][]byte{
-		"a gap": frame(5, groupPurgeFrame, 0, 17, 0, 0, 0, 0, 0, 0, 0, 8), "news that was missed": frame(4, upToDateFrame), "half a row": frame(4, deltaFrame, row[1:]...),
-		"a lying length": {0xff, 0xff, 0xff, 0xff}, "no room for a head": {0, 0, 0, 3}, "an unknown kind": frame(4, 9),
+		"a gap": frame(5, groupPurgeFrame, 0, 17, 0, 0, 0, 0, 0, 0, 0, 8), "up to date with a later event": frame(4, upToDateFrame), "a truncated endpoint": frame(4, deltaFrame, row[1:]...),
+		"a length that is too large": {0xff, 0xff, 0xff, 0xff}, "a length that is too small": {0, 0, 0, 3}, "an unknown kind": frame(4, 9),
 		"an unknown state": frame(4, deltaFrame, append(append([]byte{}, row[:10]...), append([]byte{7}, row[11:]...)...)...),
 	} {
 		decoder := newDecoder()
 		decoder.LastNumber = 3
-		if err := decoder.Decode(b, func(e Event) { t.Errorf("%s: told %+v", name, e) }); !errors.Is(err, ErrStreamUnusable) || decoder.LastNumber != 3 {
+		if err := decoder.Decode(b, func(e Event) { t.Errorf("%s: delivered %+v", name, e) }); !errors.Is(err, ErrStreamUnusable) || decoder.LastNumber != 3 {
 			t.Errorf("%s: %v, last %d", name, err, decoder.LastNumber)
 		}
 	}
 }
 
-// TestReconnects: over any number of connections that break anywhere, and repeat anything,
-// each event comes once and in order.
+// TestReconnects checks that each event is delivered once and in order over any number of
+// connections that end anywhere and repeat events.
 func TestReconnects(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		decoder, last := newDecoder(), uint64(0)
 		for range rapid.IntRange(1, 20).Draw(t, "connections") {
 			from := binary.BigEndian.Uint64(decoder.Resume())
 			if from != last {
-				t.Fatalf("asked from %d, want %d", from, last)
+				t.Fatalf("resumed from event %d, want %d", from, last)
 			}
 			var stream []byte
 			for n := from + 1; n < from+4; n++ {
@@ -69,7 +69,7 @@
 				k := rapid.IntRange(1, len(stream)).Draw(t, "read")
 				if err := decoder.Decode(stream[:k], func(e Event) {
 					if e.Number != last+1 {
-						t.Fatalf("%d follows %d", e.Number, last)
+						t.Fatalf("event %d was delivered after event %d", e.Number, last)
 					}
 					last = e.Number
 				}); err != nil {
--- a/internal/protocol/discovery/doc.go
+++ b/internal/protocol/discovery/doc.go
@@ -1,8 +1,8 @@
-// Package discovery is the platform's discovery stream as bytes in memory: its frames, and
-// the events that a configuration brings along, become changes of the endpoint list and
-// purges, each once and in the order of their numbers.
+// Package discovery decodes the platform's discovery stream and the events that a configuration
+// already contains. The events are updates of the endpoint list and purges. Each is delivered
+// once, in the order of the event numbers.
 //
-// It does no I/O and has no clock. Decoder owns the number of the last event, drops repeats
-// and reports gaps; internal/proxy/platform (discovery_stream.go) connects, and resumes from
-// that number. docs/platform.md has the rules of the stream.
+// It does no I/O and has no clock. Decoder keeps the number of the last event, drops repeated
+// events and reports gaps. internal/proxy/platform (discovery_stream.go) connects to the server
+// and resumes after that number. docs/platform.md has the rules of the stream.
 package discovery
--- a/internal/protocol/discovery/event.go
+++ b/internal/protocol/discovery/event.go
@@ -1,16 +1,16 @@
 package discovery
 
-// Kind is what an event is about.
+// Kind is the kind of an event.
 type Kind uint8
 
-// The kinds of an event.
+// The kinds of events.
 const (
-	Purge    Kind = iota // of an object or of a group
-	Snapshot             // the complete endpoint list: endpoints that it lacks are removed
+	Purge    Kind = iota // purge of an object or a group
+	Snapshot             // complete endpoint list; endpoints that are not in it are removed
 	Delta                // changes of the endpoint list
 )
 
-// String returns the kind in a word.
+// String returns the name of the kind.
 func (k Kind) String() string {
 	switch k {
 	case Purge:
@@ -26,14 +26,14 @@
 // State is the state of an endpoint.
 type State uint8
 
-// The states of an endpoint, as frames number them.
+// The states of an endpoint, with their numbers in frames.
 const (
 	Ready State = iota
 	Draining
 	Removed
 )
 
-// String returns the state's name in a configuration.
+// String returns the name of the state in a configuration.
 func (s State) String() string {
 	switch s {
 	case Ready:
@@ -46,7 +46,7 @@
 	return "unknown"
 }
 
-// parseState is the state with a name; false: there is none.
+// parseState returns the state with a name, and false if there is none.
 func parseState(name string) (state State, ok bool) {
 	for state = Ready; state <= Removed; state++ {
 		if state.String() == name {
@@ -59,21 +59,21 @@
 // Endpoint is one cache, parent or origin.
 type Endpoint struct {
 	ID        string
-	Address   string // with a port
+	Address   string // address and port
 	Zone      string
 	Kind      string
-	Cell      int // the group that it belongs to
+	Cell      int // the group of endpoints that it belongs to
 	State     State
 	Weight    float64
-	StartedAt int64 // Unix ms of a late start; 0: it has run for long
+	StartedAt int64 // start time in Unix ms; 0 if it started long ago
 }
 
-// Event is one numbered event.
+// Event is a numbered event.
 type Event struct {
 	Number    uint64
 	Kind      Kind
-	Endpoints []Endpoint // of a Snapshot or a Delta
-	Object    string     // of a Purge: its key; "": the group is purged
-	Group     int        // of a Purge without an object
-	PurgedAt  int64      // of a Purge, in Unix ms
+	Endpoints []Endpoint // for Snapshot and Delta
+	Object    string     // for Purge: key of the object; empty if a group is purged
+	Group     int        // for Purge without an object
+	PurgedAt  int64      // for Purge, in Unix ms
 }
--- a/internal/protocol/discovery/event_test.go
+++ b/internal/protocol/discovery/event_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// TestNames: states have the names of the configuration, kinds words for logs.
+// TestNames checks the names of states, which are those of the configuration, and of kinds,
+// which are for logs.
 func TestNames(t *testing.T) {
 	for name, want := range map[string]State{"ready": Ready, "draining": Draining, "gone": Removed} {
 		if got, ok := parseState(name); got != want || !ok || want.String() != name {
@@ -10,7 +11,7 @@
 		}
 	}
 	if _, ok := parseState("unknown"); ok || (Removed+1).String() != "unknown" {
-		t.Error("an unknown state is taken")
+		t.Error("an unknown state is accepted")
 	}
 	for want, kind := range map[string]Kind{"purge": Purge, "snapshot": Snapshot, "delta": Delta, "unknown": Delta + 1} {
 		if got := kind.String(); got != want {
--- a/internal/protocol/discovery/known.go
+++ b/internal/protocol/discovery/known.go
@@ -8,7 +8,7 @@
 	"regexp"
 )
 
-// knownEvent is an event in a configuration: of members, or a purge.
+// knownEvent is an event in a configuration: an update of the endpoint list or a purge.
 type knownEvent struct {
 	N       uint64 `json:"n"`
 	Members *struct {
@@ -35,25 +35,25 @@
 
 var endpointID = regexp.MustCompile(`^[A-Za-z0-9_.:-]{1,64}$`)
 
-// DecodeKnown reads the events that a configuration brings along, in JSON, and calls apply
-// with those after the last one: with all of them or, on an error, with none.
+// DecodeKnown decodes the JSON events in a configuration and calls apply with those that come
+// after LastNumber. On an error it applies none of them.
 func (d *Decoder) DecodeKnown(raw []byte, apply func(Event)) error {
 	var known struct {
 		N      uint64       `json:"n"`
 		Events []knownEvent `json:"events"`
 	}
 	if err := json.Unmarshal(raw, &known); err != nil {
-		return fmt.Errorf("discovery: known: %w", err)
+		return fmt.Errorf("discovery: known events: %w", err)
 	}
 	var events []Event
 	for i := range known.Events {
 		if known.Events[i].N <= d.LastNumber {
 			continue
 		}
-		first := d.LastNumber == 0 && len(events) == 0 // there is no list that it could change
+		first := d.LastNumber == 0 && len(events) == 0 // there is no earlier list to change
 		event, err := known.Events[i].decode(first)
 		if err != nil {
-			return fmt.Errorf("discovery: known: event %d: %w", known.Events[i].N, err)
+			return fmt.Errorf("discovery: known event %d: %w", known.Events[i].N, err)
 		}
 		events = append(events, event)
 	}
@@ -65,7 +65,8 @@
 	return nil
 }
 
-// decode returns the event; first has changes of the list be the complete list.
+// decode returns the event. first says that no list precedes it, so that a delta is taken as a
+// snapshot.
 func (k *knownEvent) decode(first bool) (Event, error) {
 	event := Event{Number: k.N}
 	switch {
@@ -94,7 +95,7 @@
 func (k *knownEndpoint) decode() (Endpoint, error) {
 	state, ok := parseState(k.Status)
 	if _, err := netip.ParseAddrPort(k.Address); err != nil || !ok || !endpointID.MatchString(k.Name) {
-		return Endpoint{}, fmt.Errorf("endpoint %.40q at %.40q is %.20q", k.Name, k.Address, k.Status)
+		return Endpoint{}, fmt.Errorf("invalid endpoint: name %.40q, address %.40q, status %.20q", k.Name, k.Address, k.Status)
 	}
 	return Endpoint{
 		ID:        k.Name,
--- a/internal/protocol/discovery/known_test.go
+++ b/internal/protocol/discovery/known_test.go
@@ -13,7 +13,7 @@
 			t.Errorf("%+v", e)
 		}
 	}
-	for range 2 { // the second time all of it is old
+	for range 2 { // the second time there are no new events
 		if err := decoder.DecodeKnown([]byte(doc), count); err != nil || events != 3 || decoder.LastNumber != 3 {
 			t.Fatalf("%v, %d events, last %d", err, events, decoder.LastNumber)
 		}
@@ -21,8 +21,8 @@
 	for _, bad := range []string{"", "[]", `{"n":9,"events":[{"n":8,"purge":{"group":1}},{"n":9}]}`,
 		`{"n":9,"events":[{"n":9,"members":{"endpoints":[{"name":"a b","address":"10.1.0.9:5050","status":"ready"}]}}]}`,
 		`{"n":9,"events":[{"n":9,"members":{"endpoints":[{"name":"a","address":"there","status":"ready"}]}}]}`} {
-		if err := decoder.DecodeKnown([]byte(bad), func(e Event) { t.Errorf("%s: told %+v", bad, e) }); err == nil || decoder.LastNumber != 3 {
-			t.Errorf("%s: taken, last %d", bad, decoder.LastNumber)
+		if err := decoder.DecodeKnown([]byte(bad), func(e Event) { t.Errorf("%s: delivered %+v", bad, e) }); err == nil || decoder.LastNumber != 3 {
+			t.Errorf("%s: accepted, or the last event is %d instead of 3", bad, decoder.LastNumber)
 		}
 	}
 }
--- a/internal/protocol/discovery/scale_test.go
+++ b/internal/protocol/discovery/scale_test.go
@@ -8,8 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// What a router needs may grow only so far between lists of 200 and of 3,200 endpoints, with
-// one of 200 replaced each second.
+// The limits on the growth of a decoder's resource use from lists of 200 to lists of 3,200
+// endpoints, of which one in 200 is replaced every second: the use for the large list may be
+// Times the use for the small list, plus Plus, plus PerThousand for each 1,000 endpoints.
 const (
 	smallList, largeList = 200, 3200
 
@@ -18,10 +19,11 @@
 	memoryTimes, memoryPlus, memoryPerThousand = 1.5, 8.0, 4.0    // MB
 )
 
-// resourceUse is what a reader took for a day.
+// resourceUse is the size of an event stream, and the CPU time and memory for decoding it.
 type resourceUse struct{ bytes, cpu, memory float64 }
 
-// eventStream is the frames of one: a whole list and ten minutes of changes, one replacement each.
+// eventStream returns the frames of a snapshot and of ten minutes of deltas, each of which
+// replaces one endpoint.
 func eventStream(rows int) (all []byte) {
 	next := uint32(0)
 	add := func(state byte, id uint32) []byte {
@@ -45,7 +47,7 @@
 
 func measure(t *testing.T, rows int) (result resourceUse) {
 	t.Helper()
-	const chunk = 64 << 10 // as the router reads
+	const chunk = 64 << 10 // the size of the router's reads
 	stream := eventStream(rows)
 	result.bytes = float64(len(stream)) / 1024
 	var before, after runtime.MemStats
@@ -65,12 +67,12 @@
 	runtime.KeepAlive(stream)
 	result.memory = (float64(after.HeapAlloc) - float64(before.HeapAlloc)) / (1 << 20)
 	if want := rows + 2*600*rows/smallList; endpoints != want {
-		t.Fatalf("%d rows were told, want %d", endpoints, want)
+		t.Fatalf("%d endpoints were delivered, want %d", endpoints, want)
 	}
 	return result
 }
 
-// userTime is the process's, in seconds.
+// userTime returns the CPU time of the process in user mode, in seconds.
 func userTime(t *testing.T) float64 {
 	t.Helper()
 	var usage unix.Rusage
