--- a/internal/proxy/platform/answer_test.go
+++ b/internal/proxy/platform/answer_test.go
@@ -7,8 +7,8 @@
 	"indigospool/internal/protocol/discovery"
 )
 
-// TestAnswerWords: each word, each 'how' and each state of the platform has its own
-// meaning to the router, and unknown ones have none.
+// TestAnswerWords checks the results for the words of answers, the notes for their 'how' fields
+// and the names of member states, and that unknown ones are not recognized.
 func TestAnswerWords(t *testing.T) {
 	for word, want := range map[string]spool.Result{"HIT": spool.OK, "VALID": spool.OK, "NONE": spool.Miss,
 		"SHED": spool.Rejected, "FAULT": spool.Errored, "LATE": spool.NotSent} {
@@ -18,7 +18,7 @@
 	}
 	for _, word := range []string{"", "HOT", "hit"} {
 		if _, known := resultOf([]byte(word)); known {
-			t.Errorf("%q is known", word)
+			t.Errorf("the word %q is accepted", word)
 		}
 	}
 	for how, want := range map[string]spool.Note{"cached": spool.NoteHit, "fetched": spool.NoteFilled,
--- a/internal/proxy/platform/client_test.go
+++ b/internal/proxy/platform/client_test.go
@@ -13,8 +13,8 @@
 	"indigospool/internal/testbed/testserver"
 )
 
-// TestReadAndWriteAreServed: what a client asks reaches caches unchanged, a look comes before a fill,
-// and the bytes come back complete.
+// TestReadAndWriteAreServed checks that requests reach members unchanged, that the router looks
+// for a cached copy before it requests a fill, and that bodies arrive complete.
 func TestReadAndWriteAreServed(t *testing.T) {
 	harness := newHarness(t, map[string]handler{"s-000000c1": answerMiss, "s-000000c2": answerMiss})
 	if good, err := harness.dial().Well(); !good || err != nil {
@@ -28,7 +28,7 @@
 	for _, p := range harness.members {
 		for _, request := range p.Seen() {
 			if request.ID != f["id"] || request.Fields["class"] != "clip" || request.Fields["key"] != key || request.Fields["part"] != "3" || request.Fields["wait"] == "0" {
-				t.Errorf("a cache was asked %+v", request)
+				t.Errorf("a member received %+v", request)
 			}
 			if request.Fields["miss"] == "s-000000a1" {
 				fills++
@@ -38,7 +38,7 @@
 		}
 	}
 	if lookups != 1 || fills != 1 {
-		t.Errorf("%d looks and %d fills", lookups, fills)
+		t.Errorf("%d lookups and %d fills, want 1 of each", lookups, fills)
 	}
 	once := "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 	body := bytes.Repeat([]byte{0, 0xff}, 24000)
@@ -46,11 +46,12 @@
 		t.Fatalf("a write: %+v", result)
 	}
 	if s := harness.members["s-000000a1"].Seen(); len(s) != 1 || s[0].Fields["once"] != once || !bytes.Equal(s[0].Body, body) {
-		t.Errorf("the origin was asked %d times, or otherwise than meant", len(s))
+		t.Errorf("the origin received %d requests, or one that differs from the write", len(s))
 	}
 }
 
-// TestNotModified: VALID becomes current, only for a client that named its copy.
+// TestNotModified checks that VALID is passed on as not modified, but only to a client that sent
+// the tag of its copy.
 func TestNotModified(t *testing.T) {
 	valid := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
 		conn.Answer(request.ID, "VALID", fmt.Sprintf("how=cached,entity=x,issued=%d", time.Now().UnixMilli()), nil)
@@ -60,12 +61,12 @@
 		t.Errorf("%+v", result)
 	}
 	if result := harness.roundTrip(readFields(key), nil); result.Word == "served" {
-		t.Errorf("a client without a copy was answered that it is current: %+v", result)
+		t.Errorf("a client without a copy was answered: %+v", result)
 	}
 }
 
-// TestMalformedClients: each is answered with something other than 'served' or closed within
-// 3 s, and the usual ones are served meanwhile.
+// TestMalformedClients checks that invalid requests are not served but answered otherwise, or
+// their connections closed, within 3 s, and that valid requests are served meanwhile.
 func TestMalformedClients(t *testing.T) {
 	slow := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
 		if !request.Stop {
@@ -84,17 +85,17 @@
 	for _, test := range []struct {
 		name       string
 		bytes      []byte
-		mayTimeOut bool // it is owed nothing but, in the end, a close
+		mayTimeOut bool // no answer is due, and the connection is closed only after a timeout
 	}{
-		{"noise", []byte("GET / HTTP/1.1\r\n\r\n"), false},
+		{"another protocol", []byte("GET / HTTP/1.1\r\n\r\n"), false},
 		{"nothing", nil, false},
 		{"half a request", call(1, readFields(key))[:40], false},
 		{"a huge length", append(length(2147483632), make([]byte, 4096)...), false},
 		{"a negative length", length(0xffc00000), false},
 		{"60 MB", append(length(60000000), make([]byte, 1<<20)...), false},
 		{"a length of 0", length(0), false},
-		{"not strict", append(length(12), 0, 0, 0, 5, 's', 'e', 'r', 'v', 'e', 1, 0, 0), false},
-		{"another name", testserver.PlatformCall("drop", 1, nil, nil), false},
+		{"not in the strict protocol", append(length(12), 0, 0, 0, 5, 's', 'e', 'r', 'v', 'e', 1, 0, 0), false},
+		{"an unknown method", testserver.PlatformCall("drop", 1, nil, nil), false},
 		{"no id", call(1, without("id")), false},
 		{"a long id", call(1, readFields(key, "id", "00000000000000001")), false},
 		{"no key", call(1, without("key")), false},
@@ -108,9 +109,9 @@
 		{"a set of 256", call(1, readFields(key, "set", "256")), false},
 		{"a keyed class without once", call(1, readFields(key, "class", "note")), false},
 		{"a body in a read", testserver.PlatformCall("serve", 1, readFields(key), []byte("x")), false},
-		{"two under one number", append(call(1, readFields(key)), call(1, readFields(key))...), false},
+		{"a repeated sequence number", append(call(1, readFields(key)), call(1, readFields(key))...), false},
 		{"300 at once", flood, false},
-		{"300 withdrawn", cancelled, true},
+		{"300 cancelled", cancelled, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
@@ -125,7 +126,7 @@
 			}
 		})
 	}
-	t.Run("usual", func(t *testing.T) {
+	t.Run("valid", func(t *testing.T) {
 		t.Parallel()
 		for range 10 {
 			if result := harness.roundTrip(readFields(key), nil); result.Word != "served" {
@@ -135,14 +136,14 @@
 	})
 }
 
-// TestForgottenCallsAreNotStarted: a call that is given up in the read that it came with costs
-// no cache anything; it did: bursts of 200 made attempts of all.
+// TestForgottenCallsAreNotStarted checks that a call that is cancelled by data of the same read
+// starts no attempt. Bursts of 200 such calls once started an attempt each.
 func TestForgottenCallsAreNotStarted(t *testing.T) {
 	harness := newHarness(t, nil)
 	asked := func() int {
 		return len(harness.members["s-000000c1"].Seen()) + len(harness.members["s-000000c2"].Seen())
 	}
-	for range 4 { // so that there is a connection on which an attempt would go out at once
+	for range 4 { // open connections on which an attempt would be written at once
 		harness.roundTrip(readFields(key), nil)
 	}
 	before := asked()
@@ -158,13 +159,14 @@
 	if result, err := client.Result(waitTimeout); err != nil || result.Seq != 100 {
 		t.Fatalf("%+v %v", result, err)
 	}
-	harness.roundTrip(readFields(key), nil) // behind them on the same connection to a cache
+	harness.roundTrip(readFields(key), nil) // follows any attempts for them on the same connection
 	if n := asked() - before - 1; n != 0 {
-		t.Errorf("caches were asked %d times", n)
+		t.Errorf("caches received %d requests for cancelled calls", n)
 	}
 }
 
-// TestDuplicateRequestID: the second is failed, the first is answered.
+// TestDuplicateRequestID checks that a request with the id of an open request fails, and that
+// the open one is answered.
 func TestDuplicateRequestID(t *testing.T) {
 	hold := make(chan func(), 4)
 	wait := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
@@ -176,16 +178,17 @@
 	client.Ask(f, nil)
 	answer := <-hold
 	if result := harness.roundTrip(readFields("0000000000000001", "id", f["id"]), nil); result.Word != "failed" {
-		t.Errorf("the second: %+v", result)
+		t.Errorf("the second request: %+v", result)
 	}
 	answer()
 	if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" || string(result.Body) != "first" {
-		t.Errorf("the first: %+v %v", result, err)
+		t.Errorf("the first request: %+v %v", result, err)
 	}
 }
 
-// TestSlowClientWrite: a call that comes by and by is taken, and what stops in the middle is
-// closed; 2.2 s after its beginning the first was closed too.
+// TestSlowClientWrite checks that a call whose bytes arrive slowly is served, and that the
+// connection of a call that stops in the middle is closed. The slow one was once closed too,
+// 2.2 s after its first byte.
 func TestSlowClientWrite(t *testing.T) {
 	t.Parallel()
 	harness := newHarness(t, nil)
@@ -202,19 +205,19 @@
 		t.Errorf("%+v %v", result, err)
 	}
 	if _, err := half.Result(time.Second); err != io.EOF {
-		t.Errorf("half a call: %v; an end is wanted", err)
+		t.Errorf("after half a call: error %v, want EOF", err)
 	}
 }
 
-// TestCloseAfterCalls: a client sends calls and closes, and the loop hears of all that
-// in one turn: nothing is begun. The same for calls that are given up behind a first
-// buffer full of them.
+// TestCloseAfterCalls checks that no attempt starts for calls if the loop reads them in the same
+// turn as the close of the connection, or as their cancellation after more than one buffer of
+// calls.
 func TestCloseAfterCalls(t *testing.T) {
 	harness := newHarness(t, nil)
 	writeWithKey := func() map[string]string {
 		return readFields(key, "class", "note", "once", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
 	}
-	for range 4 { // so that there are connections on which an attempt would go out at once
+	for range 4 { // open connections on which an attempt would be written at once
 		harness.roundTrip(readFields(key), nil)
 		harness.roundTrip(writeWithKey(), nil)
 	}
@@ -225,7 +228,7 @@
 			}
 			client.Close()
 		},
-		"given up": func(client *testserver.PlatformClient) {
+		"cancelled": func(client *testserver.PlatformClient) {
 			for i := range int32(3) {
 				client.Write(testserver.PlatformCall("serve", i+1, writeWithKey(), make([]byte, 40000)))
 			}
@@ -241,7 +244,7 @@
 		time.Sleep(20 * time.Millisecond) // for loopback
 		release()
 		harness.waitTurn()
-		harness.roundTrip(writeWithKey(), nil) // behind them on the same connections
+		harness.roundTrip(writeWithKey(), nil) // follows any attempts for them on the same connections
 		harness.roundTrip(readFields(key), nil)
 		if n := harness.requestsSent() - before - 2; n != 0 {
 			t.Errorf("%s: %d attempts", name, n)
@@ -249,12 +252,13 @@
 	}
 }
 
-// TestCloseAfterManyCalls: what ends calls stands behind more of them than one read takes.
+// TestCloseAfterManyCalls is like TestCloseAfterCalls, with more calls before the close, the
+// malformed message or the cancellations than one read returns.
 func TestCloseAfterManyCalls(t *testing.T) {
 	for name, finish := range map[string]func(client *testserver.PlatformClient){
-		"closed":  func(client *testserver.PlatformClient) { client.Close() },
-		"refused": func(client *testserver.PlatformClient) { client.Write([]byte{0xff, 0xff, 0xff, 0xff}) },
-		"given up": func(client *testserver.PlatformClient) {
+		"closed":    func(client *testserver.PlatformClient) { client.Close() },
+		"malformed": func(client *testserver.PlatformClient) { client.Write([]byte{0xff, 0xff, 0xff, 0xff}) },
+		"cancelled": func(client *testserver.PlatformClient) {
 			for i := range int32(32) {
 				client.Write(testserver.PlatformForget(i+100, i+1))
 			}
@@ -269,7 +273,7 @@
 			harness.waitTurn()
 			release := harness.blockLoop()
 			finished := make(chan struct{})
-			go func() { // into the kernel, which holds more of it back than it passes on
+			go func() { // the kernel buffers it, most of it on the client's side
 				for i := range int32(32) {
 					client.Write(testserver.PlatformCall("serve", i+1, writeFields(), make([]byte, 40000)))
 				}
@@ -279,20 +283,20 @@
 			select {
 			case <-finished:
 			case <-time.After(waitTimeout):
-				t.Error("the kernel does not take so much")
+				t.Error("the kernel does not buffer the calls")
 			}
 			release()
 			time.Sleep(200 * time.Millisecond)
 			harness.waitTurn()
 			if n := harness.requestsSent() - before; n != 0 {
-				t.Errorf("%d attempts for calls that were over before the first was read", n)
+				t.Errorf("%d attempts for calls that had ended before the first was read", n)
 			}
 		})
 	}
 }
 
-// TestClientCloseStartsNothing: when a connection with waiting requests ends, none of them is
-// begun in the place that another leaves.
+// TestClientCloseStartsNothing checks that when a connection with queued requests is closed, no
+// queued request starts in the capacity that another one frees.
 func TestClientCloseStartsNothing(t *testing.T) {
 	never := func(*testserver.PlatformConn, testserver.PlatformRequest) {}
 	harness := newHarness(t, map[string]handler{"s-000000c1": never, "s-000000c2": never})
@@ -300,12 +304,12 @@
 	for range 32 {
 		client.Ask(readFields(key), nil)
 	}
-	harness.waitUntil("all are in hand", func() (all bool) {
+	harness.waitUntil("all requests are in flight", func() (all bool) {
 		harness.server.loop.Call(waitTimeout, func() { all = len(harness.server.requests) == 32 })
 		return all
 	})
 	client.Close()
-	harness.waitUntil("none is in hand", func() (none bool) {
+	harness.waitUntil("no request is in flight", func() (none bool) {
 		harness.server.loop.Call(waitTimeout, func() { none = len(harness.server.requests) == 0 })
 		return none
 	})
@@ -316,8 +320,8 @@
 	})
 }
 
-// TestPartialCallAfterCompleteCall: what comes of the second by halves takes no answer from the
-// first.
+// TestPartialCallAfterCompleteCall checks that a call that stops in the middle does not cost the
+// complete call before it its answer.
 func TestPartialCallAfterCompleteCall(t *testing.T) {
 	t.Parallel()
 	slow := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
@@ -334,12 +338,12 @@
 		t.Errorf("the complete call: %+v %v", result, err)
 	}
 	if _, err := client.Result(waitTimeout); err != io.EOF {
-		t.Errorf("then %v; an end is wanted", err)
+		t.Errorf("after the answer: error %v, want EOF", err)
 	}
 }
 
-// TestMemoryLimitClosesLargestClient: what waits for a client that takes no answers closes that one, and not
-// another that is slow for a moment.
+// TestMemoryLimitClosesLargestClient checks that at the memory limit the client that reads no
+// answers is closed, and not another one that is slow for a moment.
 func TestMemoryLimitClosesLargestClient(t *testing.T) {
 	t.Parallel()
 	harness := newHarness(t, map[string]handler{"s-000000c1": answerLarge(240000), "s-000000c2": answerLarge(240000)})
@@ -354,20 +358,20 @@
 	}
 	harness.server.loop.Call(waitTimeout, func() { harness.server.config.Limits.MemoryMB = minMemoryMB })
 	notReading, other := slow(), slow()
-	for i := 0; room() > 300000 && i < 60; i++ { // one by one, until the next answer would be too much
+	for i := 0; room() > 300000 && i < 60; i++ { // one by one, until the next answer would exceed the limit
 		if i == 30 {
 			notReading = slow()
 		}
 		served := uint64(0)
 		harness.server.loop.Call(waitTimeout, func() { served = harness.server.counts.Served })
 		notReading.Ask(readFields(key), nil)
-		harness.waitUntil("it is served", func() (yes bool) {
+		harness.waitUntil("the request is served", func() (yes bool) {
 			harness.server.loop.Call(waitTimeout, func() { yes = harness.server.counts.Served > served })
 			return yes
 		})
 	}
 	if left := room(); left > 300000 {
-		t.Fatalf("%d bytes may still wait", left)
+		t.Fatalf("%d bytes are left below the limit", left)
 	}
 	const asked = 24
 	for range asked {
@@ -380,16 +384,17 @@
 		}
 	}
 	if left := room(); left < 0 {
-		t.Errorf("%d bytes too much wait", -left)
+		t.Errorf("unsent answers exceed the limit by %d bytes", -left)
 	}
 }
 
-// TestClientLimitWhileDiscoveryIsDown: idle clients take all places there are while
-// discovery refuses; a client that works is served, and discovery is found when it is back.
+// TestClientLimitWhileDiscoveryIsDown checks that, while idle clients use all connections and
+// the discovery server refuses them, active clients are served and the router connects to the
+// discovery server once it is back.
 func TestClientLimitWhileDiscoveryIsDown(t *testing.T) {
 	t.Parallel()
 	harness := newHarnessWith(t, nil)
-	harness.waitUntil("the discovery server is asked", func() bool { return harness.discoveryWrites.Load() != nil })
+	harness.waitUntil("the router has connected to the discovery server", func() bool { return harness.discoveryWrites.Load() != nil })
 	address := harness.discovery.Addr
 	harness.discovery.Close()
 	harness.sendDiscovery(nil)
@@ -402,7 +407,7 @@
 		}
 	}
 	ask()
-	for range 300 { // more than the configuration's descriptors
+	for range 300 { // more than the descriptor limit in the configuration
 		c, err := net.Dial("tcp", harness.address)
 		if err != nil {
 			t.Fatal(err)
@@ -421,13 +426,13 @@
 	}
 	t.Cleanup(again.Close)
 	begin := time.Now()
-	harness.waitUntil("the discovery server is found again", func() bool { return harness.discoveryConnections.Load() > before })
+	harness.waitUntil("the router has connected to the discovery server again", func() bool { return harness.discoveryConnections.Load() > before })
 	if d := time.Since(begin); d > 900*time.Millisecond {
-		t.Errorf("found after %v", d)
+		t.Errorf("connected after %v", d)
 	}
 	harness.server.loop.Call(waitTimeout, func() {
 		if n := len(harness.server.clients); n > harness.server.connectionLimits.Clients {
-			t.Errorf("%d clients, %d places", n, harness.server.connectionLimits.Clients)
+			t.Errorf("%d clients, limit %d", n, harness.server.connectionLimits.Clients)
 		}
 	})
 }
--- a/internal/proxy/platform/clock_test.go
+++ b/internal/proxy/platform/clock_test.go
@@ -17,8 +17,8 @@
 	"indigospool/internal/testbed/testserver"
 )
 
-// platformClock is the time that the platform stamps its events with. It runs evenly; the
-// wall clock of this process is ahead of it by a step.
+// platformClock is the clock for the timestamps of the platform's events. It runs steadily, and
+// this process's wall clock is ahead of it by a fixed step.
 type platformClock struct{ base, began time.Time }
 
 func newPlatformClock(step time.Duration) platformClock {
@@ -30,20 +30,20 @@
 	return p.base.Add(time.Since(p.began) - span).UnixMilli()
 }
 
-// groupPurge is the frame of a purge of a group, made at a Unix time.
+// groupPurge returns the frame of a group purge with a Unix time in ms.
 func groupPurge(n uint64, group uint16, at int64) []byte {
 	payload := binary.BigEndian.AppendUint16(nil, group)
 	return testserver.PlatformFrame(n, 4, binary.BigEndian.AppendUint64(payload, uint64(at)))
 }
 
-// startedAt is a member's row with the Unix time of its late start.
+// startedAt returns the record of a member with a start time, in Unix ms.
 func startedAt(id uint32, address string, at int64) []byte {
 	row := endpointRecord(id, address, 0, 0, 0)
 	binary.BigEndian.PutUint64(row[len(row)-8:], uint64(at))
 	return row
 }
 
-// addKnown puts events behind the first one that the configuration brings along.
+// addKnown appends events to the known events in the configuration.
 func (h *testHarness) addKnown(events ...map[string]any) {
 	h.t.Helper()
 	raw, err := os.ReadFile(h.configFile)
@@ -67,7 +67,8 @@
 	}
 }
 
-// routerAges is how old the router takes things to be: a group's purge, a member's start.
+// routerAges returns the ages, in ms, that the router has recorded for the purge of a group (-1
+// if there is none) and for the start of a member.
 func (h *testHarness) routerAges(group int, id string) (purge, start float64) {
 	h.t.Helper()
 	h.server.loop.Call(waitTimeout, func() {
@@ -83,11 +84,11 @@
 	return purge, start
 }
 
-// TestWallClockSteps: whatever step the wall clock of this process has taken, a purge and a
-// cache's start are as old as the platform's own times say, and never older.
+// TestWallClockSteps checks that the ages of purges and of member starts are computed from the
+// platform's timestamps, whatever the error of this process's wall clock.
 func TestWallClockSteps(t *testing.T) {
 	const (
-		slack  = 150.0 // ms between an event's time, its way here and the look at it
+		slack  = 150.0 // ms from the timestamp of an event to the check of its age
 		oldAge = 4 * time.Second
 	)
 	for _, step := range []time.Duration{0, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
@@ -115,12 +116,12 @@
 					}
 				}
 			}
-			check("known at the start", 21, "s-000000c9", oldAge)
-			harness.waitUntil("the discovery server is asked", func() bool { return harness.discoveryConnections.Load() == 1 })
+			check("in the configuration", 21, "s-000000c9", oldAge)
+			harness.waitUntil("the router has connected to the discovery server", func() bool { return harness.discoveryConnections.Load() == 1 })
 			harness.sendDiscovery(testserver.PlatformFrame(4, 0, nil))
 			harness.sendDiscovery(groupPurge(5, 23, platform.ago(0)))
 			harness.sendDiscovery(testserver.PlatformFrame(6, 2, startedAt(0xca, c2, platform.ago(0))))
-			harness.waitUntil("the list has the member", func() (found bool) {
+			harness.waitUntil("the router has the member", func() (found bool) {
 				harness.server.loop.Call(waitTimeout, func() { _, found = harness.server.engine.Member("s-000000ca") })
 				return found
 			})
@@ -130,13 +131,13 @@
 	}
 }
 
-// TestEventTimesInTheFuture: times that lie in the future make nothing that is delivered
-// on the stream older than the time since the last frame without an event.
+// TestEventTimesInTheFuture checks that after a timestamp in the future no event on the stream is
+// taken as older than the time since the last up-to-date frame.
 func TestEventTimesInTheFuture(t *testing.T) {
 	t.Parallel()
 	platform := newPlatformClock(0)
 	harness := newHarness(t, nil)
-	harness.waitUntil("the discovery server is asked", func() bool { return harness.discoveryConnections.Load() == 1 })
+	harness.waitUntil("the router has connected to the discovery server", func() bool { return harness.discoveryConnections.Load() == 1 })
 	harness.sendDiscovery(groupPurge(2, 21, platform.ago(-time.Hour)))
 	harness.sendDiscovery(testserver.PlatformFrame(2, 0, nil))
 	harness.waitTurn()
@@ -148,8 +149,8 @@
 	}
 }
 
-// TestEventTimesReadInALongTurn: an event that is read late in a turn of the loop makes nothing
-// older that comes afterwards.
+// TestEventTimesReadInALongTurn checks that an event that is read late in a turn of the loop does
+// not make later events appear older.
 func TestEventTimesReadInALongTurn(t *testing.T) {
 	t.Parallel()
 	const turn = 200 * time.Millisecond
@@ -170,8 +171,8 @@
 	}
 }
 
-// TestNoWallClock: nothing between the discovery stream and the decisions reads the wall clock, so that
-// its steps between events change nothing either.
+// TestNoWallClock checks that no code between the discovery stream and the routing decisions
+// reads the wall clock, so that its steps between events have no effect.
 func TestNoWallClock(t *testing.T) {
 	for _, directory := range []string{".", "../../protocol/discovery", "../unixclock", "../../protocol/thriftrpc",
 		"../../protocol/resp", "../../protocol/simwire", "../engine", "../limits", "../../.."} {
--- a/internal/proxy/platform/deadline_test.go
+++ b/internal/proxy/platform/deadline_test.go
@@ -11,9 +11,8 @@
 	"indigospool/internal/testbed/testserver"
 )
 
-// TestDeadlineCountsTimeInLongTurn: a request that lay unread while the loop was busy has so much
-// less time; one that comes to an idle loop, or in its first bytes long before its last,
-// has all of it.
+// TestDeadlineCountsTimeInLongTurn checks that the deadline of a request includes the time for
+// which it was unread while the loop was busy, but not time before its last byte was sent.
 func TestDeadlineCountsTimeInLongTurn(t *testing.T) {
 	for name, send := range map[string]func(harness *testHarness) (sent time.Time){
 		"busy loop": func(harness *testHarness) time.Time {
@@ -42,7 +41,7 @@
 			client.Ask(readFields(key, "wait", "2000"), nil)
 			return sent
 		},
-		"its first half came long ago": func(harness *testHarness) time.Time {
+		"first half sent long before the second": func(harness *testHarness) time.Time {
 			client := harness.dial()
 			frame := testserver.PlatformCall("serve", 1, readFields(key, "wait", "2000"), nil)
 			client.Write(frame[:len(frame)/2])
@@ -57,27 +56,27 @@
 			rec := &recorder{answer: answerHit}
 			harness := newHarness(t, rec.handlers())
 			sent := send(harness)
-			harness.waitUntil("a cache is asked", func() bool { return len(rec.requests()) > 0 })
+			harness.waitUntil("a cache has received a request", func() bool { return len(rec.requests()) > 0 })
 			first := rec.requests()[0]
 			wait, _ := strconv.Atoi(first.Fields["wait"])
 			left := 2*time.Second - first.arrivedAt.Sub(sent)
 			passed := time.Duration(wait) * time.Millisecond
 			if passed > left+deadlineSlack {
-				t.Errorf("a wait of %v was passed on where the client had %v left", passed, left)
+				t.Errorf("the attempt has %v, longer than the %v that the client had left", passed, left)
 			}
 			if passed < left-deadlineSlack {
-				t.Errorf("a wait of %v was passed on where the client had %v left: time was taken from it", passed, left)
+				t.Errorf("the attempt has %v, shorter than the %v that the client had left", passed, left)
 			}
 		})
 	}
 }
 
-// The stricter terms: what a client is owed however late the loop, the kernel or a cache is.
+// deadlineSlack is the tolerance for deadlines and answer times.
+const deadlineSlack = 150 * time.Millisecond
 
-const deadlineSlack = 150 * time.Millisecond // by which a deadline that is passed on may be late
-
-// TestAlmostNoTimeLeft: requests with 1 to 30 ms left, which caches drop without an answer, are
-// answered, and cost the caches no trust: the others are served meanwhile and afterwards.
+// TestAlmostNoTimeLeft checks that requests with 1 to 30 ms left, which caches drop without an
+// answer, are answered by the router, that they do not get the caches ejected, and that other
+// requests are served meanwhile.
 func TestAlmostNoTimeLeft(t *testing.T) {
 	t.Parallel()
 	ignoreShortWaits := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
@@ -96,7 +95,7 @@
 		for range asked {
 			result, err := short.Result(waitTimeout)
 			if err != nil {
-				t.Errorf("one with little time: %v", err)
+				t.Errorf("a request with little time: %v", err)
 				return
 			}
 			mu.Lock()
@@ -119,34 +118,34 @@
 		normal.Ask(writeFields(), nil)
 		for range 2 {
 			if result, err := normal.Result(waitTimeout); err != nil || result.Word != "served" {
-				t.Errorf("a usual one: %+v %v", result, err)
+				t.Errorf("a request with enough time: %+v %v", result, err)
 			}
 		}
-		time.Sleep(2 * time.Millisecond) // 32 may be open at once
+		time.Sleep(2 * time.Millisecond) // at most 32 calls may be open at once
 	}
 	answered.Wait()
 	harness.server.loop.Call(waitTimeout, func() {
 		members, _ := harness.server.engine.Statuses()
 		for id, b := range members {
 			if b.Ejected || b.InFlight != 0 {
-				t.Errorf("%s is held for suspect, or for busy: %+v", id, b)
+				t.Errorf("%s is ejected or has attempts in flight: %+v", id, b)
 			}
 		}
 	})
 }
 
-// TestNothingStartsAfterClientCloses: a client closes or gives up while the loop is busy, and
-// a repeat for it is due in that same turn.
+// TestNothingStartsAfterClientCloses checks that a retry does not start if it is due in the same
+// turn of the loop in which the client's close or cancellation arrives.
 func TestNothingStartsAfterClientCloses(t *testing.T) {
 	for name, leave := range map[string]func(client *testserver.PlatformClient, seq int32){
 		"closes": func(client *testserver.PlatformClient, _ int32) { client.Close() },
 		"resets": func(client *testserver.PlatformClient, _ int32) {
 			(&testserver.PlatformConn{Conn: client.Conn}).Reset()
 		},
-		"gives up": func(client *testserver.PlatformClient, seq int32) {
+		"cancels": func(client *testserver.PlatformClient, seq int32) {
 			client.Write(testserver.PlatformForget(seq+1, seq))
 		},
-		"gives up and asks": func(client *testserver.PlatformClient, seq int32) {
+		"cancels and calls isWell": func(client *testserver.PlatformClient, seq int32) {
 			client.Write(testserver.PlatformForget(100, seq))
 			client.Well()
 		},
@@ -174,14 +173,15 @@
 			harness.waitTurn()
 			time.Sleep(50 * time.Millisecond) // for loopback
 			if n := harness.requestsSent() - before; n != 1 {
-				t.Errorf("%d attempts, the last of them 0.3 s after the client had left", n)
+				t.Errorf("%d attempts, want only the one before the client closed or cancelled", n)
 			}
 		})
 	}
 }
 
-// TestAnswerTimeoutAndForgetInOneTurn: a client's forget, or the end of its time, in the turn of the cache's answer:
-// one final answer at most, and nothing is left behind. 200 at once.
+// TestAnswerTimeoutAndForgetInOneTurn checks 200 requests whose cancellation or timeout is
+// handled in the same turn of the loop as the cache's answer: each gets at most one final answer,
+// and nothing is left in flight.
 func TestAnswerTimeoutAndForgetInOneTurn(t *testing.T) {
 	for _, timeOut := range []bool{false, true} {
 		t.Run(fmt.Sprint(timeOut), func(t *testing.T) {
@@ -201,7 +201,7 @@
 					client.Ask(readFields(key, "wait", "700"), nil)
 				}
 			}
-			harness.waitUntil("as many are in flight as the limits admit", func() bool { return len(answers) >= 50 })
+			harness.waitUntil("50 attempts are in flight", func() bool { return len(answers) >= 50 })
 			harness.waitTurn()
 			release := harness.blockLoop()
 			for range len(answers) {
@@ -228,12 +228,12 @@
 						break
 					}
 					if seen[result.Seq] {
-						t.Fatalf("two answers to %d", result.Seq)
+						t.Fatalf("two answers to call %d", result.Seq)
 					}
 					seen[result.Seq] = true
 				}
 				if timeOut && len(seen) != 25 {
-					t.Errorf("%d of 25 answered", len(seen))
+					t.Errorf("%d of 25 calls were answered", len(seen))
 				}
 			}
 			harness.checkNothingInFlight()
@@ -241,12 +241,12 @@
 	}
 }
 
-// checkNothingInFlight fails where the router has requests, unsent bytes or recorded attempts.
+// checkNothingInFlight checks that the router has no requests, unsent bytes or attempts in flight.
 func (h *testHarness) checkNothingInFlight() {
 	h.t.Helper()
 	h.server.loop.Call(waitTimeout, func() {
 		if len(h.server.requests) > 0 || h.server.unsentBytes > 0 {
-			h.t.Errorf("%d requests and %d bytes are left", len(h.server.requests), h.server.unsentBytes)
+			h.t.Errorf("%d requests and %d unsent bytes are left", len(h.server.requests), h.server.unsentBytes)
 		}
 		for id, held := range inFlightByMember(h.server) {
 			if held != 0 {
--- a/internal/proxy/platform/discovery_test.go
+++ b/internal/proxy/platform/discovery_test.go
@@ -18,12 +18,13 @@
 	"indigospool/internal/testbed/testserver"
 )
 
-// discoveryServer is a discovery server of a test's own: serve gets each connection and closes it by returning.
+// discoveryServer is a fake discovery server. It calls the test's function for each connection
+// and closes the connection when the function returns.
 type discoveryServer struct {
 	*testserver.PlatformFeed
-	connections atomic.Int64 // connections so far
+	connections atomic.Int64 // number of connections so far
 	open        atomic.Int64
-	resumedFrom atomic.Uint64 // number that the last connection began with
+	resumedFrom atomic.Uint64 // event number with which the last connection began
 }
 
 func newDiscoveryServer(t *testing.T, serve func(c net.Conn, nth int64)) *discoveryServer {
@@ -43,7 +44,7 @@
 	return fake
 }
 
-// newHarnessAt starts a router that follows a discovery server of the test's own.
+// newHarnessAt starts a router that connects to the given discovery server.
 func newHarnessAt(t *testing.T, fake *discoveryServer) *testHarness {
 	t.Helper()
 	harness := prepareHarness(t, nil)
@@ -52,7 +53,7 @@
 	return harness
 }
 
-// writeHeartbeats writes an empty frame each quarter of a second until the connection ends.
+// writeHeartbeats writes an up-to-date frame every 250 ms until the connection is closed.
 func writeHeartbeats(c net.Conn, n uint64) {
 	for {
 		if _, err := c.Write(testserver.PlatformFrame(n, 0, nil)); err != nil {
@@ -62,7 +63,8 @@
 	}
 }
 
-// manyEndpoints is a list's payload: rows of members that nobody asks, and one that is there.
+// manyEndpoints returns the payload of an endpoint list: count draining members and a serving
+// one with the given id and address.
 func manyEndpoints(count int, id uint32, address string) (rows []byte) {
 	for i := range uint32(count) {
 		rows = append(rows, endpointRecord(0x10000+i, "127.0.0.1:9", 1, 0, 0)...)
@@ -76,7 +78,7 @@
 }
 
 // serveContinuously sends one request after another until the returned function is called,
-// which reports all that were not served.
+// which reports the requests that were not served.
 func (h *testHarness) serveContinuously() (end func()) {
 	stop, done := make(chan struct{}), make(chan []string, 1)
 	go func() {
@@ -104,13 +106,13 @@
 		h.t.Helper()
 		close(stop)
 		if bad := <-done; len(bad) > 0 {
-			h.t.Errorf("%d were not served, the first: %s", len(bad), bad[0])
+			h.t.Errorf("%d requests were not served, the first: %s", len(bad), bad[0])
 		}
 	}
 }
 
-// TestDiscoveryAnswersLate: discovery whose first byte comes long after it was dialled is
-// waited for, though it is asked again meanwhile.
+// TestDiscoveryAnswersLate checks that the router waits for a discovery server that sends its
+// first byte late, although it dials more connections meanwhile.
 func TestDiscoveryAnswersLate(t *testing.T) {
 	t.Parallel()
 	for _, delay := range []time.Duration{2500 * time.Millisecond, 5 * time.Second} {
@@ -125,18 +127,18 @@
 			harness := newHarnessAt(t, fake)
 			end := harness.serveContinuously()
 			time.Sleep(delay)
-			harness.waitUntil("its list is there", func() bool { return harness.hasMember("s-000000c9") })
+			harness.waitUntil("the router has applied the list", func() bool { return harness.hasMember("s-000000c9") })
 			end()
 			if n := fake.connections.Load(); n > int64(delay/(silenceTimeout*time.Millisecond))+2 {
-				t.Errorf("it was asked %d times", n)
+				t.Errorf("the router connected %d times", n)
 			}
-			harness.waitUntil("one connection is left", func() bool { return fake.open.Load() == 1 })
+			harness.waitUntil("only one connection is open", func() bool { return fake.open.Load() == 1 })
 		})
 	}
 }
 
-// TestDiscoveryInSmallPieces: a list that comes slowly and in small pieces is taken once it
-// is complete, from one connection.
+// TestDiscoveryInSmallPieces checks that a list that arrives slowly and in small pieces is
+// applied once it is complete, over a single connection.
 func TestDiscoveryInSmallPieces(t *testing.T) {
 	t.Parallel()
 	for _, test := range []struct {
@@ -144,9 +146,9 @@
 		rows, piece int
 		pause       time.Duration
 	}{
-		{"3,200 rows within 4 s", 3200, 1024, 45 * time.Millisecond},
+		{"3,200 endpoints within 4 s", 3200, 1024, 45 * time.Millisecond},
 		{"byte by byte", 2, 1, 15 * time.Millisecond},
-		{"a piece each 1.5 s", 2, 30, 1500 * time.Millisecond},
+		{"a piece every 1.5 s", 2, 30, 1500 * time.Millisecond},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
@@ -164,21 +166,22 @@
 			})
 			harness := newHarnessAt(t, fake)
 			end := harness.serveContinuously()
-			harness.waitUntil("the list is there", func() bool { return harness.hasMember("s-000000c9") })
+			harness.waitUntil("the router has applied the list", func() bool { return harness.hasMember("s-000000c9") })
 			end()
 			if n := fake.connections.Load(); n != 1 {
-				t.Errorf("it was asked %d times", n)
+				t.Errorf("the router connected %d times, want 1", n)
 			}
 		})
 	}
 }
 
-// TestDiscoveryOverloaded: discovery that takes connections and ends them, with or without a
-// word, is asked again and again, but not without a pause; once it has room the rest comes.
+// TestDiscoveryOverloaded checks that the router backs off from a discovery server that accepts
+// and closes connections, with or without sending a frame, and that it gets the list soon after
+// the server has recovered.
 func TestDiscoveryOverloaded(t *testing.T) {
 	t.Parallel()
 	const span = 3 * time.Second
-	for name, frame := range map[string][]byte{"without a word": nil, "after a word": testserver.PlatformFrame(1, 0, nil)} {
+	for name, frame := range map[string][]byte{"without a frame": nil, "after a frame": testserver.PlatformFrame(1, 0, nil)} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var accepting atomic.Bool
@@ -194,21 +197,21 @@
 			end := harness.serveContinuously()
 			time.Sleep(span)
 			if n := fake.connections.Load(); n < 4 || n > 16 {
-				t.Errorf("asked %d times in %v", n, span)
+				t.Errorf("the router connected %d times in %v, want 4 to 16", n, span)
 			}
 			accepting.Store(true)
 			at := time.Now()
-			harness.waitUntil("the list is there", func() bool { return harness.hasMember("s-000000c9") })
+			harness.waitUntil("the router has applied the list", func() bool { return harness.hasMember("s-000000c9") })
 			if took := time.Since(at); took > 700*time.Millisecond {
-				t.Errorf("the list came %v after there was room", took)
+				t.Errorf("the list was applied %v after the server had recovered", took)
 			}
 			end()
 		})
 	}
 }
 
-// newPurgeServer is a discovery whose events are purges of groups of their own number, up to
-// the newest.
+// newPurgeServer starts a discovery server that sends the events up to the number newest. Each
+// event is a purge of the group with the event's number.
 func newPurgeServer(t *testing.T, newest *atomic.Uint64) (fake *discoveryServer) {
 	fake = newDiscoveryServer(t, func(c net.Conn, _ int64) {
 		for n := fake.resumedFrom.Load(); ; time.Sleep(20 * time.Millisecond) {
@@ -223,13 +226,13 @@
 	return fake
 }
 
-// checkDeliveredOnce waits for the last event of newPurges, and fails unless each was
+// checkDeliveredOnce waits for the last event of a purge server and checks that each event was
 // delivered once.
 func (h *testHarness) checkDeliveredOnce(last uint64) {
 	h.t.Helper()
-	h.waitUntil("the last event is delivered", func() (told bool) {
-		h.server.loop.Call(waitTimeout, func() { told = h.server.stream.decoder.LastNumber == last })
-		return told
+	h.waitUntil("the last event is delivered", func() (delivered bool) {
+		h.server.loop.Call(waitTimeout, func() { delivered = h.server.stream.decoder.LastNumber == last })
+		return delivered
 	})
 	h.server.loop.Call(waitTimeout, func() {
 		if events := h.server.counts.Events; events != last {
@@ -241,8 +244,8 @@
 	})
 }
 
-// TestDiscoveryWhileSystemCallsFail: whatever system calls say, each event is delivered once, and
-// discovery is dialled with pauses.
+// TestDiscoveryWhileSystemCallsFail checks that each event is delivered once while system calls
+// fail, and that the router backs off between dials of the discovery server.
 func TestDiscoveryWhileSystemCallsFail(t *testing.T) {
 	t.Parallel()
 	for _, plan := range []string{
@@ -271,18 +274,18 @@
 				failed += int(n)
 			}
 			if failed == 0 {
-				t.Error("no call failed")
+				t.Error("no system call failed")
 			}
 			if n := fake.connections.Load(); n > 15 {
-				t.Errorf("it was asked %d times", n)
+				t.Errorf("the router connected %d times, want at most 15", n)
 			}
 		})
 	}
 }
 
-// TestConfigurationsInQuickSuccession: two or more SIGHUPs within 100 ms, with and without a
-// moved discovery: the last one holds, one connection is left, and no event is lost or delivered
-// twice.
+// TestConfigurationsInQuickSuccession checks two or more reloads within 100 ms, with and without
+// a change of the discovery address: the last configuration is applied, one connection remains,
+// and no event is lost or delivered twice.
 func TestConfigurationsInQuickSuccession(t *testing.T) {
 	t.Parallel()
 	for name, indexes := range map[string][]int{"not moved": {0, 0}, "moved once": {0, 1}, "moved twice": {1, 2}, "there and back": {1, 0},
@@ -297,7 +300,7 @@
 			}
 			harness := newHarnessAt(t, feeds[0])
 			end := harness.serveContinuously()
-			harness.waitUntil("the first discovery server is asked", func() bool { return feeds[0].connections.Load() == 1 })
+			harness.waitUntil("the router has connected to the first discovery server", func() bool { return feeds[0].connections.Load() == 1 })
 			newest.Store(3)
 			for _, move := range indexes {
 				harness.writeConfig(feeds[move].Addr)
@@ -306,7 +309,7 @@
 				newest.Add(1)
 			}
 			last := feeds[indexes[len(indexes)-1]]
-			harness.waitUntil("the last one holds", func() bool {
+			harness.waitUntil("only the last discovery server has a connection", func() bool {
 				open := int64(0)
 				for _, fake := range feeds {
 					open += fake.open.Load()
@@ -319,7 +322,8 @@
 	}
 }
 
-// TestLongEndpointList: what a decoder holds of half a frame is given back once it is complete.
+// TestLongEndpointList checks that a snapshot of 3,200 endpoints, which arrives in several reads,
+// is applied completely.
 func TestLongEndpointList(t *testing.T) {
 	t.Parallel()
 	rows := manyEndpoints(3200, 0xc9, "127.0.0.1:9")
@@ -329,7 +333,7 @@
 		writeHeartbeats(c, 2)
 	})
 	harness := newHarnessAt(t, fake)
-	harness.waitUntil("the list is there", func() bool { return harness.hasMember("s-000000c9") && harness.hasMember("s-00020000") })
+	harness.waitUntil("the router has applied the list", func() bool { return harness.hasMember("s-000000c9") && harness.hasMember("s-00020000") })
 }
 
 func userTime(t *testing.T) float64 {
@@ -341,8 +345,8 @@
 	return float64(usage.Utime.Sec) + float64(usage.Utime.Usec)/1e6
 }
 
-// TestDeltaCostOfLongEndpointList: what changes of the list cost a router grows only so far from
-// 200 to 3,200 caches, of which one in 200 is replaced each 5 s for two minutes.
+// TestDeltaCostOfLongEndpointList limits the growth of the CPU time and memory for endpoint list
+// updates from 200 to 3,200 caches, of which one in 200 is replaced every 5 s for two minutes.
 func TestDeltaCostOfLongEndpointList(t *testing.T) {
 	cost := func(caches int) (cpu, memory float64) {
 		harness := newHarness(t, nil)
@@ -367,7 +371,7 @@
 			members := 0
 			harness.server.engine.Members(func(spool.Member, string) { members++ })
 			if members != caches {
-				t.Errorf("%d members are known, want %d", members, caches)
+				t.Errorf("the router has %d members, want %d", members, caches)
 			}
 		})
 		memory = heapMB() - before
@@ -385,7 +389,7 @@
 	}
 }
 
-// heapMB is what is held of the heap.
+// heapMB returns the size of the live heap in MiB.
 func heapMB() float64 {
 	runtime.GC()
 	var memory runtime.MemStats
@@ -393,36 +397,38 @@
 	return float64(memory.HeapAlloc) / (1 << 20)
 }
 
-// TestDiscoveryStreamResumes: what breaks off is asked for again from the last number, repeats and halves
-// change nothing, and silence is noticed.
+// TestDiscoveryStreamResumes checks that the router reconnects and resumes after the last event
+// when the connection is closed, events are missing, a frame is malformed or the server is
+// silent, and that repeated events and incomplete frames have no effect.
 func TestDiscoveryStreamResumes(t *testing.T) {
 	harness := newHarness(t, nil)
 	purge := func(n uint64) []byte { return testserver.PlatformFrame(n, 4, []byte{0, 17, 0, 0, 1, 0x9a, 0, 0, 0, 0}) }
-	harness.waitUntil("the first connection", func() bool { return harness.discoveryConnections.Load() == 1 })
+	harness.waitUntil("the router has connected to the discovery server", func() bool { return harness.discoveryConnections.Load() == 1 })
 	harness.sendDiscovery(purge(2))
 	harness.sendDiscovery(purge(2))
 	harness.sendDiscovery(purge(3)[:9])
 	harness.sendDiscovery(nil)
-	harness.waitUntil("asked again", func() bool { return harness.discoveryConnections.Load() == 2 })
+	harness.waitUntil("the router has reconnected", func() bool { return harness.discoveryConnections.Load() == 2 })
 	if n := harness.lastResumed.Load(); n != 2 {
-		t.Fatalf("asked from %d, want 2", n)
+		t.Fatalf("resumed from event %d, want 2", n)
 	}
 	harness.sendDiscovery(purge(5)) // 3 and 4 are missing
-	harness.waitUntil("asked again after a gap", func() bool { return harness.discoveryConnections.Load() == 3 })
+	harness.waitUntil("the router has reconnected after a gap", func() bool { return harness.discoveryConnections.Load() == 3 })
 	harness.sendDiscovery([]byte{0xff, 0xff, 0xff, 0xff})
-	harness.waitUntil("asked again after a lying length", func() bool { return harness.discoveryConnections.Load() == 4 })
+	harness.waitUntil("the router has reconnected after a length that is too large", func() bool { return harness.discoveryConnections.Load() == 4 })
 	harness.sendDiscovery(purge(3))
-	harness.waitUntil("asked again after silence", func() bool { return harness.discoveryConnections.Load() == 5 })
+	harness.waitUntil("the router has reconnected after a silence", func() bool { return harness.discoveryConnections.Load() == 5 })
 	if n := harness.lastResumed.Load(); n != 3 {
-		t.Fatalf("asked from %d, want 3", n)
+		t.Fatalf("resumed from event %d, want 3", n)
 	}
 }
 
-// TestDiscoveryConnectionRefused: a discovery server that refuses is dialled again soon, and not by all at once.
+// TestDiscoveryConnectionRefused checks how often the router dials a discovery server that
+// refuses connections.
 func TestDiscoveryConnectionRefused(t *testing.T) {
 	t.Parallel()
 	harness := newHarness(t, nil)
-	harness.waitUntil("the discovery server is asked", func() bool { return harness.discoveryWrites.Load() != nil })
+	harness.waitUntil("the router has connected to the discovery server", func() bool { return harness.discoveryWrites.Load() != nil })
 	harness.discovery.Close()
 	var dials atomic.Int64
 	harness.server.loop.Call(waitTimeout, func() {
@@ -431,6 +437,6 @@
 	harness.sendDiscovery(nil)
 	time.Sleep(3 * time.Second)
 	if n := dials.Load(); n < 6 || n > 12 {
-		t.Errorf("%d tries in 3 s", n)
+		t.Errorf("%d dials in 3 s, want 6 to 12", n)
 	}
 }
--- a/internal/proxy/platform/drain_test.go
+++ b/internal/proxy/platform/drain_test.go
@@ -11,8 +11,8 @@
 	"indigospool/internal/testbed/testserver"
 )
 
-// TestDrain: what was taken is answered, what still comes is too, isWell is no longer
-// good, and then the router ends.
+// TestDrain checks that a draining router answers requests that arrived before and after the
+// signal, that isWell is no longer good, and that the router then stops.
 func TestDrain(t *testing.T) {
 	hold := make(chan func(), 4)
 	wait := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
@@ -31,11 +31,11 @@
 	later.Ask(readFields(key), nil)
 	(<-hold)()
 	if result, err := later.Result(waitTimeout); err != nil || result.Word != "served" {
-		t.Errorf("one that came after: %+v %v", result, err)
+		t.Errorf("a request after the signal: %+v %v", result, err)
 	}
 	answer()
 	if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" {
-		t.Errorf("one that came before: %+v %v", result, err)
+		t.Errorf("a request before the signal: %+v %v", result, err)
 	}
 	select {
 	case err := <-harness.serveErr:
@@ -43,11 +43,11 @@
 			t.Error(err)
 		}
 	case <-time.After(waitTimeout):
-		t.Error("it does not end")
+		t.Error("the router did not stop")
 	}
 }
 
-// waitStopped waits until a router that drains has stopped.
+// waitStopped waits until a draining router has stopped.
 func (h *testHarness) waitStopped() {
 	h.t.Helper()
 	select {
@@ -56,12 +56,12 @@
 			h.t.Error(err)
 		}
 	case <-time.After(waitTimeout):
-		h.t.Error("it does not end")
+		h.t.Error("the router did not stop")
 	}
 }
 
-// TestDrainRaces: what has come in the very moment of SIGTERM is answered, once, and the
-// router ends; a second signal and a new configuration change nothing.
+// TestDrainRaces checks that a request that arrives at the same time as SIGTERM is answered once
+// and that the router then stops, also with a second signal and a reload in between.
 func TestDrainRaces(t *testing.T) {
 	call := testserver.PlatformCall("serve", 1, readFields(key), nil)
 	for _, test := range []struct {
@@ -69,27 +69,27 @@
 		run  func(harness *testHarness, client *testserver.PlatformClient)
 		word string
 	}{
-		{"between accept and first read", func(harness *testHarness, client *testserver.PlatformClient) {
+		{"signal between accept and first read", func(harness *testHarness, client *testserver.PlatformClient) {
 			release := harness.blockLoop()
 			client.Write(call)
 			harness.server.Drain()
 			time.Sleep(10 * time.Millisecond)
 			release()
 		}, "served"},
-		{"half a request read", func(harness *testHarness, client *testserver.PlatformClient) {
+		{"signal after half a request", func(harness *testHarness, client *testserver.PlatformClient) {
 			client.Write(call[:30])
 			harness.waitTurn()
 			harness.server.Drain()
-			time.Sleep(1200 * time.Millisecond) // past the least time of a drain
+			time.Sleep(1200 * time.Millisecond) // longer than the minimum duration of a drain
 			client.Write(call[30:])
 		}, "served"},
-		{"two signals, and another configuration between", func(harness *testHarness, client *testserver.PlatformClient) {
+		{"reload between two signals", func(harness *testHarness, client *testserver.PlatformClient) {
 			harness.server.Drain()
 			harness.server.Reload()
 			harness.server.Drain()
 			client.Write(call)
 		}, "served"},
-		{"an attempt out to a cache that hangs", func(harness *testHarness, client *testserver.PlatformClient) {
+		{"attempt in flight at a cache that hangs", func(harness *testHarness, client *testserver.PlatformClient) {
 			client.Write(testserver.PlatformCall("serve", 1, readFields("00000000000000aa"), nil))
 			harness.waitTurn()
 			harness.server.Drain()
@@ -109,7 +109,7 @@
 				t.Errorf("%+v %v", result, err)
 			}
 			if _, err := client.Result(waitTimeout); err != io.EOF {
-				t.Errorf("then %v; an end is wanted", err)
+				t.Errorf("after the answer: error %v, want EOF", err)
 			}
 			client.Close()
 			harness.waitStopped()
@@ -117,16 +117,17 @@
 	}
 }
 
-// TestDrainWithPartialAnswer: its client reads slowly, and gets all of it.
+// TestDrainWithPartialAnswer checks that a client that reads slowly gets all its answers from a
+// draining router.
 func TestDrainWithPartialAnswer(t *testing.T) {
 	t.Parallel()
 	harness := newHarness(t, map[string]handler{"s-000000c1": answerLarge(240000), "s-000000c2": answerLarge(240000)})
 	client := harness.dial()
 	client.Conn.(*net.TCPConn).SetReadBuffer(64 << 10)
-	for range 30 { // more than the kernel holds
+	for range 30 { // more than the kernel buffers
 		client.Ask(readFields(key), nil)
 	}
-	harness.waitUntil("something waits", func() (yes bool) {
+	harness.waitUntil("answers are unsent", func() (yes bool) {
 		harness.server.loop.Call(waitTimeout, func() { yes = harness.server.unsentBytes > 0 })
 		return yes
 	})
@@ -141,15 +142,15 @@
 	harness.waitStopped()
 }
 
-// TestDrainResetsNoConnection: a router that has drained shuts connections at rest and reads
-// on: a request that comes in that moment is not sent on, and an answer that its client
-// has not read yet is not lost by a reset.
+// TestDrainResetsNoConnection checks that a draining router shuts down idle connections for
+// writing but still reads them: a request that arrives then starts no attempt, and an answer that
+// the client has not read yet is not lost by a reset.
 func TestDrainResetsNoConnection(t *testing.T) {
 	t.Parallel()
 	harness := newHarness(t, map[string]handler{"s-000000c1": answerLarge(200000), "s-000000c2": answerLarge(200000)})
 	client := harness.dial()
 	client.Ask(readFields(key), nil)
-	harness.waitUntil("it is answered", func() bool {
+	harness.waitUntil("the request is answered", func() bool {
 		n := -1
 		harness.server.loop.Call(waitTimeout, func() { n = len(harness.server.requests) + harness.server.unsentBytes })
 		return n == 0 && harness.requestsSent() > 0
@@ -164,7 +165,7 @@
 		})
 		return yes
 	}
-	harness.waitUntil("it is shut", shut)
+	harness.waitUntil("the connection is shut down for writing", shut)
 	if _, err := client.Ask(readFields(key), nil); err != nil {
 		t.Fatal(err)
 	}
@@ -173,7 +174,7 @@
 		t.Errorf("%s of %d bytes, %v", result.Word, len(result.Body), err)
 	}
 	if _, err := client.Result(waitTimeout); err != io.EOF {
-		t.Errorf("then %v; an end is wanted", err)
+		t.Errorf("after the answer: error %v, want EOF", err)
 	}
 	client.Close()
 	harness.waitStopped()
@@ -182,9 +183,9 @@
 	}
 }
 
-// TestDrainMeetsDeadlines: caches hang through the whole of a shutdown, deadlines are short, and
-// clients go on sending on their connections: each request that was sent before the
-// connection's end has its answer, and the router is gone in time.
+// TestDrainMeetsDeadlines checks a drain while all caches hang, deadlines are short and clients
+// continue to send requests: each request that was sent before its connection was closed is
+// answered, and the router stops before it would be killed.
 func TestDrainMeetsDeadlines(t *testing.T) {
 	for _, deadline := range []time.Duration{60 * time.Millisecond, 200 * time.Millisecond, time.Second} {
 		t.Run(deadline.String(), func(t *testing.T) {
@@ -194,7 +195,8 @@
 	}
 }
 
-// pendingAnswers are the times of requests that have no answer yet, by client and number.
+// pendingAnswers has the send times of the requests without an answer, by client and sequence
+// number.
 type pendingAnswers struct {
 	mutex  sync.Mutex
 	sentAt map[string]time.Time
@@ -212,8 +214,8 @@
 	delete(o.sentAt, fmt.Sprint(client, " ", seq))
 }
 
-// sendUntilClosed has one client send requests in a pause of each other until its connection
-// ends, or 199 are sent, and waits for their answers; it calls afterFive behind the fifth.
+// sendUntilClosed sends requests from one client, with a pause before each, until the connection
+// is closed or 199 are sent, and reads the answers. It calls afterFive after the fifth request.
 func (o *pendingAnswers) sendUntilClosed(client *testserver.PlatformClient, number int, pause time.Duration, wait string, afterFive func()) {
 	reading := sync.WaitGroup{}
 	defer reading.Wait()
@@ -269,19 +271,18 @@
 	stopped := time.Now()
 	clients.Wait()
 	if took := stopped.Sub(signalled); took > deadline+700*time.Millisecond {
-		t.Errorf("it ended %v after the signal; deadlines are %v", took, deadline)
+		t.Errorf("the router stopped %v after the signal, with deadlines of %v", took, deadline)
 	}
 	for name, sent := range pending.sentAt {
 		if before := stopped.Sub(sent); before > 50*time.Millisecond {
-			t.Errorf("request %s, sent %v before the end, has no answer", name, before)
+			t.Errorf("request %s, sent %v before the router stopped, has no answer", name, before)
 		}
 	}
 }
 
-// TestDrainAnswersRequestsWithLateDeadlines: a request that came before the shutdown may have a
-// deadline that lies beyond the kill. The router that ends in time has answered it first. Seen on
-// the bench as 'the node that took request a313cd3d ended its client's connection with no whole
-// answer', 14 times in one shutdown.
+// TestDrainAnswersRequestsWithLateDeadlines checks that a draining router answers requests whose
+// deadlines are after the kill before it stops. In a benchmark, a router once closed the
+// connections of 14 such requests in one shutdown without answering them.
 func TestDrainAnswersRequestsWithLateDeadlines(t *testing.T) {
 	t.Parallel()
 	harness := newHarnessWith(t, (&recorder{}).handlers(), `"give_up":3000`, `"give_up":9000`)
@@ -292,7 +293,7 @@
 			t.Fatal(err)
 		}
 	}
-	harness.waitUntil("they are in flight", func() (all bool) {
+	harness.waitUntil("all requests are in flight", func() (all bool) {
 		harness.server.loop.Call(waitTimeout, func() { all = len(harness.server.requests) == requests })
 		return all
 	})
@@ -308,7 +309,7 @@
 		}
 	}
 	if d := time.Since(signalled); d > (maxDrainDeadline+killGracePeriod)*time.Millisecond {
-		t.Errorf("the last answer came %v after the signal", d)
+		t.Errorf("the last answer arrived %v after the signal", d)
 	}
 	client.Close()
 	harness.waitStopped()
--- a/internal/proxy/platform/during_dial_test.go
+++ b/internal/proxy/platform/during_dial_test.go
@@ -17,9 +17,8 @@
 	"indigospool/internal/testbed/testserver"
 )
 
-// slowMember is an address at which connections come up only once they are accepted: its
-// backlog is full, and the kernel drops what connects. A client's kernel tries again after
-// 1 s.
+// slowMember is a listener whose backlog is full, so that the kernel drops new connection
+// requests until connections are accepted. A client's kernel retries after 1 s.
 type slowMember struct {
 	fd      int
 	address string
@@ -58,14 +57,15 @@
 		m.queued = append(m.queued, c)
 		t.Cleanup(func() { c.Close() })
 	}
-	t.Fatal("the queue never fills")
+	t.Fatal("the backlog does not fill")
 }
 
-// acceptRequest accepts one connection, and reads its first request.
+// acceptRequest accepts one connection and reads its first request, which is empty if none
+// arrives within 500 ms.
 func (m *slowMember) acceptRequest(t *testing.T) (conn net.Conn, first []byte) {
 	t.Helper()
 	if k, _ := unix.Poll([]unix.PollFd{{Fd: int32(m.fd), Events: unix.POLLIN}}, int(waitTimeout.Milliseconds())); k <= 0 {
-		t.Fatal("nobody connects")
+		t.Fatal("no connection arrived")
 	}
 	fd, _, err := unix.Accept(m.fd)
 	if err != nil {
@@ -95,8 +95,8 @@
 	}
 }
 
-// countRequests accepts all connections for a while, and returns how many of them brought a
-// request.
+// countRequests accepts connections for the given time and returns on how many of them a request
+// arrived.
 func (m *slowMember) countRequests(t *testing.T, span time.Duration) (requests int) {
 	t.Helper()
 	end := time.Now().Add(span)
@@ -121,9 +121,9 @@
 	return requests
 }
 
-// TestRetryAfterIdempotencyWindow: a keyed write may have run, and the connection for its repeat
-// comes up when the window is over: it does not leave any more. Seen as 'sent again
-// outside its group or window'.
+// TestRetryAfterIdempotencyWindow checks that a write with an idempotency key, which may have
+// been executed, is not retried if the connection for the retry is established only after the
+// key's window has ended. Such a retry was once sent.
 func TestRetryAfterIdempotencyWindow(t *testing.T) {
 	t.Parallel()
 	slow := newSlowMember(t)
@@ -133,24 +133,25 @@
 	client := harness.dial()
 	client.Ask(readFields(key, "class", "note", "once", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", "wait", "9000"), []byte("x"))
 	start := time.Now()
-	for i := range 2 { // neither is answered; each is given up after 0.45 of the window
+	for i := range 2 { // neither is answered; each is abandoned after 0.45 of the window
 		if _, b := slow.acceptRequest(t); len(b) == 0 {
 
-			t.Fatalf("attempt %d did not come", i)
+			t.Fatalf("attempt %d did not arrive", i)
 		}
 	}
 	slow.fillBacklog(t)
 	time.Sleep(time.Until(start.Add(2500 * time.Millisecond)))
 	if n := slow.countRequests(t, time.Second); n != 0 {
-		t.Errorf("%d attempts came after the window", n)
+		t.Errorf("%d attempts arrived after the window", n)
 	}
 	if result, err := client.Result(waitTimeout); err != nil || result.Word != "failed" {
 		t.Errorf("%+v %v", result, err)
 	}
 }
 
-// TestMemberDrainsDuringDial: a member drains, or the source of a fill is,
-// before the connection to it has come up.
+// TestMemberDrainsDuringDial checks that no attempt is sent to a member that starts to drain or
+// is removed before the connection to it is established, and that another member serves the
+// request.
 func TestMemberDrainsDuringDial(t *testing.T) {
 	for _, state := range []byte{1, 2} {
 		t.Run(fmt.Sprint(state), func(t *testing.T) {
@@ -166,7 +167,7 @@
 			harness.waitTurn()
 			harness.changeMember(5, 0xd1, slow.address, state, 0, 0)
 			if n := slow.countRequests(t, 1500*time.Millisecond); n != 0 {
-				t.Errorf("%d attempts came", n)
+				t.Errorf("%d attempts arrived, want 0", n)
 			}
 			if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" {
 				t.Errorf("%+v %v", result, err)
@@ -175,9 +176,8 @@
 	}
 }
 
-// TestPurgeDuringDial: an attempt that waits for its connection asks for no copy
-// from before a purge that was told meanwhile. Who gave up what a connection was dialled
-// for leaves no connection behind, once its member has gone.
+// TestPurgeDuringDial checks that an attempt that waits for its connection accepts no copy from
+// before a purge that arrives meanwhile.
 func TestPurgeDuringDial(t *testing.T) {
 	t.Parallel()
 	slow := newSlowMember(t)
@@ -198,19 +198,19 @@
 	time.Sleep(300 * time.Millisecond)
 	slow.acceptBacklog(t)
 	var first []byte
-	for len(first) == 0 { // what was dialled for the first try brings nothing any more
+	for len(first) == 0 { // the connection for the first attempt carries no request any more
 		_, first = slow.acceptRequest(t)
 	}
 	_, rest, ok := strings.Cut(string(first), "within=")
 	within, _, _ := strings.Cut(rest, "\r")
 	within, _, _ = strings.Cut(within, ",")
 	if ms, err := strconv.Atoi(within); !ok || err != nil || ms > int(time.Since(purgedAt).Milliseconds()) {
-		t.Errorf("%v ms after the purge it asks %q", time.Since(purgedAt).Milliseconds(), first)
+		t.Errorf("%v ms after the purge the router sent %q", time.Since(purgedAt).Milliseconds(), first)
 	}
 }
 
-// TestDialOfRemovedMember: what a connection was dialled for is given up, its member
-// goes, and then it comes up: it is not kept.
+// TestDialOfRemovedMember checks that a connection is closed if it is established after its
+// attempt was abandoned and its member was removed.
 func TestDialOfRemovedMember(t *testing.T) {
 	t.Parallel()
 	slow := newSlowMember(t)
@@ -232,15 +232,15 @@
 		return n
 	}
 	slow.acceptBacklog(t)
-	harness.waitUntil("the connection has come up and is closed", func() bool { return conns() <= 1 }) // 1: to the origin
+	harness.waitUntil("the connection has been established and closed", func() bool { return conns() <= 1 }) // 1: to the origin
 	time.Sleep(1200 * time.Millisecond)
 	if n := conns(); n > 1 {
 		t.Errorf("%d connections are left", n)
 	}
 }
 
-// TestClientClosesDuringDial: attempts that wait for a connection to a member are not
-// made for a client that has left, whether or not attempts are called off.
+// TestClientClosesDuringDial checks that attempts that wait for a connection are not sent after
+// their client has closed or cancelled, whether or not the router may cancel attempts.
 func TestClientClosesDuringDial(t *testing.T) {
 	for _, cancels := range []string{"true", "false"} {
 		t.Run(cancels, func(t *testing.T) {
@@ -254,7 +254,7 @@
 			closes, forgets := harness.dial(), harness.dial()
 			closes.Ask(readFields(key), nil)
 			seq, _ := forgets.Ask(readFields(key), nil)
-			harness.waitUntil("both are taken", func() (all bool) {
+			harness.waitUntil("both requests are in flight", func() (all bool) {
 				harness.server.loop.Call(waitTimeout, func() { all = len(harness.server.requests) == 2 })
 				return all
 			})
@@ -262,7 +262,7 @@
 			forgets.Write(testserver.PlatformForget(seq+1, seq))
 			harness.waitTurn()
 			if n := slow.countRequests(t, 1500*time.Millisecond); n != 0 {
-				t.Errorf("%d attempts came", n)
+				t.Errorf("%d attempts arrived, want 0", n)
 			}
 		})
 	}
--- a/internal/proxy/platform/faults_test.go
+++ b/internal/proxy/platform/faults_test.go
@@ -15,14 +15,14 @@
 	"indigospool/internal/testbed/testserver"
 )
 
-// planFaults has the router's system calls fail by a plan, from now on.
+// planFaults makes the router's system calls fail according to a plan.
 func (h *testHarness) planFaults(plan string) (calls *faultinject.Syscalls) {
 	h.t.Helper()
 	h.server.loop.Call(waitTimeout, func() { calls = h.injectFaults(plan) })
 	return calls
 }
 
-// injectFaults is planFaults, called on the loop.
+// injectFaults does the same as planFaults. It must be called on the loop.
 func (h *testHarness) injectFaults(plan string) *faultinject.Syscalls {
 	parsed, err := faultinject.Parse(plan)
 	if err != nil {
@@ -33,8 +33,8 @@
 	return calls
 }
 
-// TestInterruptedSystemCallsLoseNothing: reads and writes that fail for a moment cost no request
-// its answer, and no cache a second attempt.
+// TestInterruptedSystemCallsLoseNothing checks that temporary failures of reads and writes neither
+// lose answers nor cause additional attempts.
 func TestInterruptedSystemCallsLoseNothing(t *testing.T) {
 	for _, plan := range []string{
 		"read:EINTR:0.3; write:EINTR:0.3; wait:EINTR:0.3",
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestBrokenConnections: what the kernel says of a connection that was lost between is told
-// as its end, and the request is served over another.
+// TestBrokenConnections checks that any error that the kernel reports for a lost connection ends
+// the connection, and that the request is served over another one.
 func TestBrokenConnections(t *testing.T) {
 	for _, errno := range []string{"ETIMEDOUT", "EHOSTUNREACH", "ENETUNREACH", "ECONNRESET", "EPIPE"} {
 		t.Run(errno, func(t *testing.T) {
@@ -94,7 +94,7 @@
 			if result := <-done; result.Word != "served" {
 				t.Fatalf("%+v", result)
 			}
-			for _, call := range []string{"write", "connect"} { // of a router's connection to a cache
+			for _, call := range []string{"write", "connect"} { // on the router's connection to a cache
 				client := harness.dial()
 				client.Ask(readFields(key), nil)
 				if call == "write" {
@@ -115,8 +115,8 @@
 	}
 }
 
-// TestAcceptErrors: whatever accept says for a while, the loop does not turn for it, and
-// who waits in the queue is served afterwards.
+// TestAcceptErrors checks that the loop does not spin while accept fails, and that clients in the
+// backlog are served afterwards.
 func TestAcceptErrors(t *testing.T) {
 	for _, errno := range []string{"ENFILE", "EMFILE", "ENOBUFS", "ENOMEM", "EPERM", "ECONNABORTED", "EINTR", "EPROTO", "EINVAL"} {
 		t.Run(errno, func(t *testing.T) {
@@ -141,8 +141,8 @@
 	}
 }
 
-// TestLocalFailures: a connection that cannot be begun on this machine for a moment refuses
-// nobody who has time left.
+// TestLocalFailures checks that no request with time left fails because this machine lacks the
+// resources for new connections for a moment.
 func TestLocalFailures(t *testing.T) {
 	calls := map[string][]string{
 		"socket":  {"ENFILE", "EMFILE", "ENOBUFS", "ENOMEM"},
@@ -156,7 +156,7 @@
 					t.Parallel()
 					harness := newHarness(t, nil)
 					var calls *faultinject.Syscalls
-					release := harness.blockLoopThen(func() { calls = harness.injectFaults(plan) }) // all is asked in that moment
+					release := harness.blockLoopThen(func() { calls = harness.injectFaults(plan) }) // all requests arrive in the turn after the injection
 					const clients, each = 4, 25
 					var busy sync.WaitGroup
 					for range clients {
@@ -180,7 +180,7 @@
 						t.Errorf("no %s failed", call)
 					}
 					if most := 100 * 40; failed > most {
-						t.Errorf("%d of %d calls of %s failed: it does not back off", failed, made, call)
+						t.Errorf("%d of %d calls of %s failed, so the router does not back off", failed, made, call)
 					}
 				})
 			}
@@ -188,8 +188,8 @@
 	}
 }
 
-// stallingSyscalls takes only the first bytes of the first attempt that is written, and
-// nothing more on its connection for a while.
+// stallingSyscalls writes only the first bytes of the first attempt, and then nothing more on its
+// connection for the time span.
 type stallingSyscalls struct {
 	eventloop.KernelCalls
 	fd    int
@@ -208,8 +208,9 @@
 	return h.KernelCalls.Write(fd, b)
 }
 
-// TestPartiallyWrittenFrame: the rest of an attempt leaves while the deadline that it names still
-// holds, or not at all; and a request that shared the connection is served too.
+// TestPartiallyWrittenFrame checks that the rest of a partially written attempt is written only
+// while the time left in its frame is still correct, and that another request on the same
+// connection is served as well.
 func TestPartiallyWrittenFrame(t *testing.T) {
 	for _, span := range []time.Duration{40 * time.Millisecond, 600 * time.Millisecond} {
 		t.Run(span.String(), func(t *testing.T) {
@@ -234,7 +235,7 @@
 				wait, _ := strconv.Atoi(a.Fields["wait"])
 				passed, left := time.Duration(wait)*time.Millisecond, 2*time.Second-a.arrivedAt.Sub(sent)
 				if passed > left+deadlineSlack {
-					t.Errorf("a wait of %v was passed on where the client had %v left", passed, left)
+					t.Errorf("the attempt has %v, longer than the %v that the client had left", passed, left)
 				}
 			}
 		})
--- a/internal/proxy/platform/harness_test.go
+++ b/internal/proxy/platform/harness_test.go
@@ -19,9 +19,9 @@
 	"indigospool/internal/testbed/testserver"
 )
 
-const waitTimeout = 5 * time.Second // in which what is wanted comes; the rules' own spans are in the code
+const waitTimeout = 5 * time.Second // for expected events that have no deadline of their own
 
-// testHarness is a router among fake members and a fake discovery server.
+// testHarness is a router with fake members and a fake discovery server.
 type testHarness struct {
 	t                    *testing.T
 	server               *Server
@@ -30,20 +30,20 @@
 	members              map[string]*testserver.PlatformCache
 	discovery            *testserver.PlatformFeed
 	settings             string
-	lastResumed          atomic.Uint64               // number that the feed's last connection began with
-	discoveryConnections atomic.Int64                // connections of the feed
-	discoveryWrites      atomic.Pointer[chan []byte] // what the feed's last connection writes next; nil: it breaks off
+	lastResumed          atomic.Uint64               // event number with which the last discovery connection began
+	discoveryConnections atomic.Int64                // connections to the discovery server so far
+	discoveryWrites      atomic.Pointer[chan []byte] // data for the last discovery connection to write; nil closes it
 	serveErr             chan error
 }
 
-// newHarness starts a router whose caches c1, c2 and origin a1 do as handlers say; nil:
-// answerHit.
+// newHarness starts a router with the caches c1 and c2 and the origin a1. handlers has their
+// handlers by member id; the default is answerHit.
 func newHarness(t *testing.T, handlers map[string]handler) *testHarness {
 	return newHarnessWith(t, handlers)
 }
 
-// newHarnessWith starts a router by settings in which each old text is replaced by a new
-// one.
+// newHarnessWith starts a router with settings in which strings are replaced. replacements are
+// alternating old and new strings.
 func newHarnessWith(t *testing.T, handlers map[string]handler, replacements ...string) *testHarness {
 	t.Helper()
 	harness := prepareHarness(t, handlers)
@@ -53,7 +53,7 @@
 	return harness
 }
 
-// prepareHarness starts the fakes, and writes a configuration that names them.
+// prepareHarness starts the fake servers and writes a configuration with their addresses.
 func prepareHarness(t *testing.T, handlers map[string]handler) *testHarness {
 	t.Helper()
 	harness := &testHarness{t: t, settings: testSettings, members: map[string]*testserver.PlatformCache{}, serveErr: make(chan error, 1)}
@@ -75,7 +75,7 @@
 	return harness
 }
 
-// start opens the router and serves until the test's end.
+// start opens the router and serves until the end of the test.
 func (h *testHarness) start(log *zap.Logger) {
 	h.t.Helper()
 	server, err := Open(h.configFile, "127.0.0.1:0", log)
@@ -89,7 +89,7 @@
 		select {
 		case <-h.serveErr:
 		case <-time.After(waitTimeout):
-			h.t.Error("the router does not stop")
+			h.t.Error("the router did not stop")
 		}
 	})
 }
@@ -119,8 +119,8 @@
 	return server
 }
 
-// sendDiscovery has the last connection of the discovery server write bytes; nil: it is
-// closed.
+// sendDiscovery makes the last connection of the discovery server write b, or closes it if b is
+// nil.
 func (h *testHarness) sendDiscovery(b []byte) { *h.discoveryWrites.Load() <- b }
 
 const testSettings = `{"classes":[
@@ -132,8 +132,8 @@
  "family_info":{"in_parts":[true,false],"class_write":[false,true],"lifetime_by_class":[0,0],"older_by":[0,0],
   "upper_kind":1,"master_kind":2,"pass_through_ok":true,"purge_takes":6000,"purge_slack":500,"detail":"all","stream_kb_per_s":4000}}`
 
-// writeConfig writes the configuration with a discovery server's address, atomically as
-// deployments do.
+// writeConfig writes the configuration with the address of a discovery server. It replaces the
+// file atomically, as deployments do.
 func (h *testHarness) writeConfig(feed string) {
 	h.t.Helper()
 	type row map[string]any
@@ -170,7 +170,7 @@
 	return client
 }
 
-// roundTrip makes one request on a connection of its own and returns the answer.
+// roundTrip sends a request on a new connection and returns the answer.
 func (h *testHarness) roundTrip(f map[string]string, body []byte) testserver.PlatformResult {
 	h.t.Helper()
 	client := h.dial()
@@ -189,12 +189,12 @@
 	h.t.Helper()
 	for end := time.Now().Add(waitTimeout); !f(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			h.t.Fatalf("not within %v: %s", waitTimeout, what)
+			h.t.Fatalf("timed out after %v waiting until %s", waitTimeout, what)
 		}
 	}
 }
 
-// waitTurn waits until the router's loop has turned so often, with what had come by now.
+// waitTurn waits until the router's loop has handled everything that had arrived before.
 func (h *testHarness) waitTurn() {
 	h.t.Helper()
 	for range 3 {
@@ -204,11 +204,11 @@
 	}
 }
 
-// The narrow moments: what arrives in the very instant in which something ends. Each is
-// forced, by stand-ins that hold back until told, or by holding up the loop.
+// Tests force race conditions, such as data that arrives while a connection is closed, by fake
+// members that delay their answers or by blocking the router's loop.
 
-// blockLoop keeps the router's loop busy until the returned function is called, so that
-// what comes meanwhile reaches it in one turn.
+// blockLoop blocks the router's loop until the returned function is called, so that everything
+// that arrives meanwhile is handled in one turn.
 func (h *testHarness) blockLoop() (release func()) {
 	h.t.Helper()
 	entered, released := make(chan struct{}), make(chan struct{})
@@ -219,7 +219,7 @@
 	return func() { close(released) }
 }
 
-// blockLoopThen is blockLoop, with a call on the loop behind it in the same turn.
+// blockLoopThen is like blockLoop, and calls then on the loop in the same turn after release.
 func (h *testHarness) blockLoopThen(then func()) (release func()) {
 	h.t.Helper()
 	entered, released := make(chan struct{}), make(chan struct{})
@@ -230,13 +230,13 @@
 	return func() { close(released) }
 }
 
-// changeMember has the router know a member at an address of its own, by one delta of the
-// discovery stream.
+// changeMember sets the address and the state of a member by a delta on the discovery stream,
+// and waits until the router has applied it.
 func (h *testHarness) changeMember(n uint64, id uint32, address string, state, zone, kind byte) {
-	h.waitUntil("the discovery server is asked", func() bool { return h.discoveryWrites.Load() != nil })
+	h.waitUntil("the router has connected to the discovery server", func() bool { return h.discoveryWrites.Load() != nil })
 	h.sendDiscovery(testserver.PlatformFrame(n, 2, endpointRecord(id, address, state, zone, kind)))
 	h.waitTurn()
-	h.waitUntil("the list has the member", func() bool {
+	h.waitUntil("the router has applied the change of the member", func() bool {
 		found := false
 		h.server.loop.Call(waitTimeout, func() {
 			m, ok := h.server.engine.Member(fmt.Sprintf("s-%08x", id))
@@ -246,7 +246,8 @@
 	})
 }
 
-// openConnections opens connections to members, on which an attempt is written at once.
+// openConnections makes the router connect to the members, so that later attempts are written
+// at once.
 func (h *testHarness) openConnections() {
 	h.t.Helper()
 	for i := range 16 {
@@ -255,7 +256,7 @@
 	}
 }
 
-// requestsSent counts the attempts that reached members.
+// requestsSent returns the number of attempts that reached members.
 func (h *testHarness) requestsSent() (n int) {
 	for _, p := range h.members {
 		for _, request := range p.Seen() {
@@ -269,7 +270,7 @@
 
 type handler = func(c *testserver.PlatformConn, q testserver.PlatformRequest)
 
-// answerHit answers reads with the object's key as bytes, and writes at the origin.
+// answerHit answers every request with HIT and a body that contains the object's key.
 func answerHit(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
 	if !request.Stop {
 		conn.Hit(request.ID, []byte("bytes of "+request.Fields["key"]))
@@ -284,7 +285,7 @@
 	}
 }
 
-// answerLarge answers with so many bytes.
+// answerLarge returns a handler that answers with a body of n bytes.
 func answerLarge(n int) handler {
 	return func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
 		if !request.Stop {
@@ -297,7 +298,8 @@
 
 const key = "7f3a9c21e0b4d655"
 
-// readFields is a read with an id of its own; changes are pairs of field and value.
+// readFields returns the fields of a read with a new id. changes are alternating names and
+// values that replace the defaults.
 func readFields(key string, changes ...string) map[string]string {
 	f := map[string]string{"class": "clip", "id": fmt.Sprintf("%016x", lastID.Add(1)), "wait": "2000", "key": key, "slice": "3", "set": "17"}
 	for i := 0; i < len(changes); i += 2 {
@@ -306,13 +308,13 @@
 	return f
 }
 
-// writeFields is a write with an idempotency key, which any router may send to the origin
-// only.
+// writeFields returns the fields of a write with a new idempotency key. Routers send writes only
+// to the origin.
 func writeFields(changes ...string) map[string]string {
 	return readFields(key, append([]string{"class", "note", "once", fmt.Sprintf("%032x", lastID.Add(1))}, changes...)...)
 }
 
-// endpointRecord is a member as frames have it.
+// endpointRecord encodes a member as in a discovery frame.
 func endpointRecord(id uint32, address string, state, zone, kind byte) []byte {
 	a := net.TCPAddr{}
 	if r, err := net.ResolveTCPAddr("tcp", address); err == nil {
@@ -324,13 +326,14 @@
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint32(b, 4000), 0)
 }
 
-// arrival is a request as a cache read it.
+// arrival is a request that a member received.
 type arrival struct {
 	testserver.PlatformRequest
 	arrivedAt time.Time
 }
 
-// recorder collects what caches read, and answers as answer says; nil: never.
+// recorder records the requests that members receive. It calls answer for each, or leaves them
+// unanswered if answer is nil.
 type recorder struct {
 	mutex    sync.Mutex
 	arrivals []arrival
--- a/internal/proxy/platform/member_test.go
+++ b/internal/proxy/platform/member_test.go
@@ -12,8 +12,8 @@
 	"indigospool/internal/testbed/testserver"
 )
 
-// TestConnectionsClosedByIdleMember: caches reset what comes on a connection that was idle for a
-// while; a request finds a fresh one before its attempts are spent.
+// TestConnectionsClosedByIdleMember checks that, when members reset requests on connections that
+// were idle for a while, a request reaches a new connection before its attempts are used up.
 func TestConnectionsClosedByIdleMember(t *testing.T) {
 	t.Parallel()
 	const memberIdleTimeout = 200 * time.Millisecond
@@ -28,7 +28,7 @@
 		case request.Stop:
 		case known && time.Since(before) > memberIdleTimeout:
 			conn.Reset()
-		case delayed: // so that each gets a connection of its own
+		case delayed: // so that each request gets its own connection
 			time.AfterFunc(150*time.Millisecond, func() { answerHit(conn, request) })
 		default:
 			answerHit(conn, request)
@@ -63,17 +63,17 @@
 	requestAll(1, func(int) map[string]string { return writeFields("wait", "2500") })
 	requestAll(1, func(int) map[string]string { return readFields(key, "wait", "2500") })
 	if n := harness.requestsSent() - before; n > 4 {
-		t.Errorf("%d attempts for two requests, over %d connections that were forgotten", n, conns)
+		t.Errorf("%d attempts for two requests, with %d stale connections", n, conns)
 	}
 	requestAll(16, mixed)
 }
 
-// TestMalformedAnswers: nothing spoilt is passed on, the connection is closed, and the request is
-// served by another member.
+// TestMalformedAnswers checks that a malformed answer is not passed on, that its connection is
+// closed, and that another member serves the request.
 func TestMalformedAnswers(t *testing.T) {
 	now := fmt.Sprint(time.Now().UnixMilli())
 	for _, test := range []struct{ name, bytes string }{
-		{"noise", "\x00\x17noise\r\n"},
+		{"random bytes", "\x00\x17noise\r\n"},
 		{"an endless line", "*" + strings.Repeat("1", 4096)},
 		{"3 GB", "*4\r\n$16\r\nID\r\n$3\r\nHIT\r\n$1\r\n-\r\n$3000000000\r\nxxxxxxxx"},
 		{"a length that does not fit", "*4\r\n$16\r\nID\r\n$3\r\nHIT\r\n$1\r\n-\r\n$4\r\nlonger than that\r\n"},
@@ -91,7 +91,7 @@
 				if request.Stop {
 					return
 				}
-				if requests.Add(1) > 1 { // only the first of all answers is bad
+				if requests.Add(1) > 1 { // only the first answer is malformed
 					answerHit(pc, request)
 					return
 				}
@@ -111,8 +111,8 @@
 	}
 }
 
-// TestUnmatchedAnswersAreDropped: a second copy and an unknown id are dropped, and the
-// connection is kept.
+// TestUnmatchedAnswersAreDropped checks that duplicate answers and answers with unknown ids are
+// dropped, and that the connection is kept.
 func TestUnmatchedAnswersAreDropped(t *testing.T) {
 	answerTwice := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
 		if !request.Stop {
@@ -128,12 +128,12 @@
 		}
 	}
 	if n := harness.members["s-000000c1"].Conns() + harness.members["s-000000c2"].Conns(); n > 2 {
-		t.Errorf("%d connections for requests one after another", n)
+		t.Errorf("%d connections for sequential requests, want at most 2", n)
 	}
 }
 
-// TestObjectErrorsDoNotAffectOthers: a request that two caches answer with an error is ended, and what
-// others ask of these caches goes on.
+// TestObjectErrorsDoNotAffectOthers checks that a request fails that both caches answer with an
+// error, and that the caches still serve other objects.
 func TestObjectErrorsDoNotAffectOthers(t *testing.T) {
 	fault := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
 		if request.Fields["key"] == "0000000000000bad" {
@@ -153,8 +153,8 @@
 	}
 }
 
-// TestAddressReuse: a new cache at the address of one that is gone gets connections of
-// its own, and nothing is kept of the other.
+// TestAddressReuse checks that a new cache at the address of a removed one gets new connections,
+// and that no state of the removed one is kept.
 func TestAddressReuse(t *testing.T) {
 	harness := newHarness(t, nil)
 	c1 := harness.members["s-000000c1"]
@@ -162,21 +162,21 @@
 		harness.roundTrip(readFields(fmt.Sprintf("%016x", i)), nil)
 	}
 	before := c1.Conns()
-	harness.waitUntil("the first connection", func() bool { return harness.discoveryConnections.Load() == 1 })
+	harness.waitUntil("the router has connected to the discovery server", func() bool { return harness.discoveryConnections.Load() == 1 })
 	harness.sendDiscovery(testserver.PlatformFrame(2, 2, append(endpointRecord(0xc1, c1.Addr, 2, 0, 0), endpointRecord(0xc9, c1.Addr, 0, 0, 0)...)))
-	harness.waitUntil("the new one is asked", func() bool {
+	harness.waitUntil("the new cache gets a connection", func() bool {
 		harness.roundTrip(readFields(fmt.Sprintf("%016x", lastID.Load())), nil)
 		return c1.Conns() > before
 	})
 	harness.server.loop.Call(waitTimeout, func() {
 		if _, ok := harness.server.engine.Member("s-000000c1"); ok || harness.server.pools["s-000000c1"] != nil {
-			t.Error("something is kept of a cache that is gone")
+			t.Error("state of a removed cache is kept")
 		}
 	})
 }
 
-// TestMemberMovesToAnotherAddress: a cache that comes back under its id at another address is asked
-// there, though connections to the first are still busy.
+// TestMemberMovesToAnotherAddress checks that a cache that returns with its id at another address
+// gets requests there, although connections to the old address are still busy.
 func TestMemberMovesToAnotherAddress(t *testing.T) {
 	noAnswer := func(*testserver.PlatformConn, testserver.PlatformRequest) {}
 	harness := newHarness(t, map[string]handler{"s-000000c1": noAnswer})
@@ -189,17 +189,18 @@
 	for i := range 8 {
 		busy.Ask(readFields(fmt.Sprintf("%016x", i)), nil)
 	}
-	harness.waitUntil("the first is busy", func() bool { return harness.members["s-000000c1"].Open() > 0 })
-	harness.waitUntil("the discovery server is asked", func() bool { return harness.discoveryConnections.Load() == 1 })
+	harness.waitUntil("the old address is busy", func() bool { return harness.members["s-000000c1"].Open() > 0 })
+	harness.waitUntil("the router has connected to the discovery server", func() bool { return harness.discoveryConnections.Load() == 1 })
 	harness.sendDiscovery(testserver.PlatformFrame(2, 2, endpointRecord(0xc1, other.Addr, 0, 0, 0)))
-	harness.waitUntil("it is asked at its new address", func() bool {
+	harness.waitUntil("the new address gets a request", func() bool {
 		harness.roundTrip(readFields(fmt.Sprintf("%016x", lastID.Load())), nil)
 		return len(other.Seen()) > 0
 	})
 }
 
-// TestInFlightCountsMatchRouter: what the module holds of each member is what is open there, through
-// resets, time-outs, withdrawals and spoilt answers; and nothing is left in the end.
+// TestInFlightCountsMatchRouter checks that the router's count of attempts in flight at each
+// member matches the pool's through resets, timeouts, cancellations and malformed answers, and
+// that all counts return to 0.
 func TestInFlightCountsMatchRouter(t *testing.T) {
 	var n atomic.Int64
 	unreliable := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
@@ -211,7 +212,7 @@
 			conn.Reset()
 		case 1:
 			conn.Write([]byte("*9\r\n"))
-		case 2, 3: // never
+		case 2, 3: // no answer
 		default:
 			conn.Hit(request.ID, []byte("good"))
 			conn.Done(request.ID)
@@ -229,14 +230,14 @@
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
-	harness.waitUntil("nothing is open", func() (none bool) {
+	harness.waitUntil("nothing is in flight", func() (none bool) {
 		harness.server.loop.Call(waitTimeout, func() {
 			held, out := 0.0, 0
 			members, link := harness.server.engine.Statuses()
 			for id, b := range members {
 				held += b.InFlight
 				if p := harness.server.pools[id]; p != nil && float64(p.inFlight) != b.InFlight || p == nil && b.InFlight != 0 {
-					t.Errorf("%s: the module holds %v", id, b.InFlight)
+					t.Errorf("%s: the router counts %v in flight", id, b.InFlight)
 				}
 			}
 			held += link.InFlight
@@ -248,12 +249,12 @@
 		return none
 	})
 	for id, p := range harness.members {
-		harness.waitUntil("the stand-ins have nothing open: "+id, func() bool { return p.Open() == 0 })
+		harness.waitUntil("the fake member has nothing open: "+id, func() bool { return p.Open() == 0 })
 	}
 }
 
-// TestRefusedConnections: a cache that has died refuses connections, which the kernel
-// may tell at once; the module hears of it, and what the cache had is asked elsewhere.
+// TestRefusedConnections checks that the router ejects a cache that refuses connections, which
+// the kernel may report at once, and that other caches serve its requests.
 func TestRefusedConnections(t *testing.T) {
 	harness := newHarness(t, nil)
 	harness.members["s-000000c1"].Close()
@@ -264,17 +265,16 @@
 	}
 	harness.server.loop.Call(waitTimeout, func() {
 		if members, _ := harness.server.engine.Statuses(); !members["s-000000c1"].Ejected {
-			t.Errorf("a cache that refuses connections is no suspect: %+v", members["s-000000c1"])
+			t.Errorf("a cache that refuses connections is not ejected: %+v", members["s-000000c1"])
 		}
 		if n := harness.server.counts.Outcomes[spool.NotSent]; n > 0 {
-			t.Errorf("%d attempts are said to have been moot", n)
+			t.Errorf("%d attempts are reported as not sent, want 0", n)
 		}
 	})
 }
 
-// TestIdempotentWritesUnderResets: a write whose connection breaks after it was read may have
-// run; it is sent again under the same key, to where its repeats are dropped, within the
-// window.
+// TestIdempotentWritesUnderResets checks that a write whose connection is reset, and which may
+// therefore have been executed, is retried with the same idempotency key within the key's window.
 func TestIdempotentWritesUnderResets(t *testing.T) {
 	var mu sync.Mutex
 	first, times := map[string]time.Time{}, map[string]int{}
@@ -289,9 +289,9 @@
 		if first[once].IsZero() {
 			first[once] = time.Now()
 		} else if d := time.Since(first[once]); d > 2050*time.Millisecond {
-			t.Errorf("%s: sent again after %v, when the key is forgotten", once, d)
+			t.Errorf("%s: retried after %v, when the key has expired", once, d)
 		}
-		if len(first)%2 == 0 && times[once] == 1 { // it ran, and nobody hears of it
+		if len(first)%2 == 0 && times[once] == 1 { // executed, but the answer is lost
 			conn.Reset()
 			return
 		}
@@ -317,13 +317,13 @@
 		}
 	}
 	if attempts != 30 {
-		t.Errorf("%d attempts for 20 writes, of which ten were reset once", attempts)
+		t.Errorf("%d attempts for 20 writes of which ten were reset once, want 30", attempts)
 	}
 }
 
-// TestRetryClosesSilentConnection: where a first attempt is given up to be made again, its
-// connection is closed: a word into a connection on which nothing came may never arrive.
-// Seen as 'a second copy, not given up' after a fresh connection had fallen silent.
+// TestRetryClosesSilentConnection checks that the connection of an attempt that is abandoned for
+// a retry is closed, since STOP may never arrive on a connection on which nothing was received.
+// The first attempt was once not cancelled after a new connection had fallen silent.
 func TestRetryClosesSilentConnection(t *testing.T) {
 	t.Parallel()
 	slow := newSlowMember(t)
@@ -336,6 +336,6 @@
 	b := make([]byte, 64)
 	first.SetReadDeadline(time.Now().Add(time.Second))
 	if k, err := first.Read(b); k != 0 || err == nil {
-		t.Errorf("the first connection had %q, %v; an end is wanted", b[:k], err)
+		t.Errorf("the first connection received %q, error %v; want it closed", b[:k], err)
 	}
 }
--- a/internal/proxy/platform/reload_test.go
+++ b/internal/proxy/platform/reload_test.go
@@ -12,29 +12,30 @@
 	"indigospool/internal/testbed/testserver"
 )
 
-// TestReload: the feed of the new file is asked from the last number, and a broken file
-// changes nothing.
+// TestReload checks that the router resumes at the discovery server of the new file after the
+// last event, and that an invalid file has no effect.
 func TestReload(t *testing.T) {
 	harness := newHarness(t, nil)
-	harness.waitUntil("the first connection", func() bool { return harness.discoveryConnections.Load() == 1 })
+	harness.waitUntil("the router has connected to the discovery server", func() bool { return harness.discoveryConnections.Load() == 1 })
 	os.WriteFile(harness.configFile, []byte(`{"name":`), 0o600)
 	harness.server.Reload()
 	if result := harness.roundTrip(readFields(key), nil); result.Word != "served" {
-		t.Fatalf("after a broken file: %+v", result)
+		t.Fatalf("after an invalid file: %+v", result)
 	}
 	harness.writeConfig(harness.newDiscovery().Addr)
 	harness.server.Reload()
-	harness.waitUntil("the new feed is asked", func() bool { return harness.discoveryConnections.Load() == 2 })
+	harness.waitUntil("the router has connected to the new discovery server", func() bool { return harness.discoveryConnections.Load() == 2 })
 	if n := harness.lastResumed.Load(); n != 1 {
-		t.Errorf("asked from %d, want 1", n)
+		t.Errorf("resumed from event %d, want 1", n)
 	}
 	if result := harness.roundTrip(readFields(key), nil); result.Word != "served" {
 		t.Errorf("after a new file: %+v", result)
 	}
 }
 
-// TestReloadTwice: of two reloads in quick succession the second file holds, requests in
-// hand are answered, and its feed is asked from the last number.
+// TestReloadTwice checks that, of two reloads in quick succession, the second file is applied,
+// that requests in flight are answered, and that the router resumes at the second discovery
+// server after the last event.
 func TestReloadTwice(t *testing.T) {
 	t.Parallel()
 	slow := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
@@ -43,14 +44,14 @@
 		}
 	}
 	harness := newHarness(t, map[string]handler{"s-000000c1": slow, "s-000000c2": slow, "s-000000a1": slow})
-	harness.waitUntil("the first discovery server is asked", func() bool { return harness.discoveryConnections.Load() == 1 })
+	harness.waitUntil("the router has connected to the first discovery server", func() bool { return harness.discoveryConnections.Load() == 1 })
 	for round := range 5 {
 		client := harness.dial()
 		for range 10 {
 			client.Ask(readFields(key), nil)
 			client.Ask(writeFields(), nil)
 		}
-		harness.waitUntil("they are taken", func() (all bool) {
+		harness.waitUntil("all requests are in flight", func() (all bool) {
 			harness.server.loop.Call(waitTimeout, func() { all = len(harness.server.requests) == 20 })
 			return all
 		})
@@ -74,13 +75,13 @@
 		feed := ""
 		harness.server.loop.Call(waitTimeout, func() { feed = harness.server.config.DiscoveryAddress })
 		if feed != second.Addr {
-			t.Errorf("round %d: the feed is %s, not %s", round, feed, second.Addr)
+			t.Errorf("round %d: the discovery address is %s, want %s", round, feed, second.Addr)
 		}
 	}
-	harness.waitUntil("the last feed is asked", func() bool { return harness.discoveryConnections.Load() >= 2 && harness.lastResumed.Load() == 1 })
+	harness.waitUntil("the router has connected to the last discovery server", func() bool { return harness.discoveryConnections.Load() >= 2 && harness.lastResumed.Load() == 1 })
 }
 
-// TestReloadRetriesReadErrors: a file that cannot be read for a moment is read a moment later.
+// TestReloadRetriesReadErrors checks that a file that cannot be read for a moment is read again.
 func TestReloadRetriesReadErrors(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ENFILE, unix.EMFILE, unix.EIO, unix.ENOMEM} {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
@@ -98,7 +99,7 @@
 			second := harness.newDiscovery()
 			harness.writeConfig(second.Addr)
 			harness.server.Reload()
-			harness.waitUntil("the new file holds", func() (yes bool) {
+			harness.waitUntil("the new file is applied", func() (yes bool) {
 				harness.server.loop.Call(waitTimeout, func() { yes = harness.server.config.DiscoveryAddress == second.Addr })
 				return yes
 			})
@@ -106,8 +107,8 @@
 	}
 }
 
-// TestReloadRemovesClassInUse: a class goes with a new configuration while a request of it is
-// out; the answer comes to its client. The router ended with a nil pointer.
+// TestReloadRemovesClassInUse checks that a request in flight is answered after a reload has
+// removed its class. The router once crashed with a nil pointer dereference.
 func TestReloadRemovesClassInUse(t *testing.T) {
 	answers := make(chan func(), 4)
 	wait := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
@@ -126,12 +127,12 @@
 		t.Errorf("%+v %v", result, err)
 	}
 	if result := harness.roundTrip(readFields(key), nil); result.Word != "failed" {
-		t.Errorf("a class that is gone: %+v", result)
+		t.Errorf("a request of a removed class: %+v", result)
 	}
 }
 
-// TestInvalidConfiguration: the field and the reason are named, nothing listens, and a
-// reload keeps what there was.
+// TestInvalidConfiguration checks that the error for an invalid configuration names the field and
+// the reason, that Open fails, and that a reload keeps the current configuration.
 func TestInvalidConfiguration(t *testing.T) {
 	harness := newHarness(t, nil)
 	for _, test := range []struct{ old, new, want string }{
@@ -148,9 +149,9 @@
 		server, err := Open(harness.configFile, "127.0.0.1:0", zap.NewNop())
 		if err == nil {
 			server.listener.close()
-			t.Errorf("%s is taken", test.new)
+			t.Errorf("%s is accepted", test.new)
 		} else if !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%v; wanted is %q, in one line", err, test.want)
+			t.Errorf("error %v, want a single line with %q", err, test.want)
 		}
 		harness.server.Reload()
 		harness.waitTurn()
--- a/internal/proxy/platform/run_test.go
+++ b/internal/proxy/platform/run_test.go
@@ -13,8 +13,8 @@
 	"indigospool/internal/testbed/testserver"
 )
 
-// TestDeployedCommandLine: the very line that the platform starts serves among the stand-ins, takes
-// SIGHUP without an end, and leaves with 0 after SIGTERM.
+// TestDeployedCommandLine runs the command line in the deploy file with fake members. It checks
+// that the program serves requests, survives SIGHUP, and exits with status 0 after SIGTERM.
 func TestDeployedCommandLine(t *testing.T) {
 	deploy, err := os.ReadFile("../../../deploy/balancer.toml")
 	if err != nil {
@@ -29,7 +29,7 @@
 		t.Fatalf("%v: %s", err, out)
 	}
 	harness := prepareHarness(t, nil)
-	// The platform names the address before the start: one that was free a moment ago.
+	// The platform passes the address in the environment; use one that was free a moment ago.
 	free, err := testserver.NewPlatformCache("127.0.0.1:0", answerHit)
 	if err != nil {
 		t.Fatal(err)
@@ -47,7 +47,7 @@
 	go func() { ended <- run.Wait() }()
 	defer run.Process.Kill()
 	var client *testserver.PlatformClient
-	harness.waitUntil("it listens", func() bool { client, err = testserver.DialPlatform(harness.address); return err == nil })
+	harness.waitUntil("the program listens", func() bool { client, err = testserver.DialPlatform(harness.address); return err == nil })
 	defer client.Close()
 	if good, err := client.Well(); !good || err != nil {
 		t.Fatalf("isWell: %v %v", good, err)
@@ -66,9 +66,9 @@
 	select {
 	case err := <-ended:
 		if err != nil {
-			t.Errorf("it ended with %v: %s", err, log.Bytes())
+			t.Errorf("the program ended with %v: %s", err, log.Bytes())
 		}
 	case <-time.After(waitTimeout):
-		t.Errorf("it does not end: %s", log.Bytes())
+		t.Errorf("the program did not end: %s", log.Bytes())
 	}
 }
