--- a/internal/proxy/platform/pool.go
+++ b/internal/proxy/platform/pool.go
@@ -145,7 +145,7 @@
 	server := p.server
 	server.counts.FailedDials++
 	failures := server.counts.FailedDials
-	if failures&(failures-1) == 0 { // the 1st, 2nd, 4th, 8th...
+	if failures&(failures-1) == 0 { // log only the 1st, 2nd, 4th, 8th... failure
 		server.log.Warn("dial of member failed", zap.String("member", p.id), zap.String("address", p.address),
 			zap.Uint64("times", failures), zap.Error(err))
 	}
