--- a/internal/protocol/discovery/decoder.go
+++ b/internal/protocol/discovery/decoder.go
@@ -55,9 +55,9 @@
 
 // Decoder decodes the data from a discovery server, over successive connections.
 type Decoder struct {
-	Zones, Kinds []string // names from the settings, indexed by the numbers in frames
-	LastNumber   uint64   // number of the last event; 0 if there was none
-	UpToDate     uint64   // count of frames that said that LastNumber is the latest event
+	Zones, Kinds   []string // names from the settings, indexed by the numbers in frames
+	LastNumber     uint64   // number of the last event; 0 if there was none
+	UpToDateFrames uint64   // count of frames that said that LastNumber is the latest event
 
 	buffer []byte // the first part of an incomplete frame
 }
@@ -116,7 +116,7 @@
 	case kind > groupPurgeFrame:
 		return nil, fmt.Errorf("%w: event %d has %v", ErrStreamUnusable, number, kind)
 	case kind == upToDateFrame && number == d.LastNumber:
-		d.UpToDate++
+		d.UpToDateFrames++
 		return nil, nil
 	case number <= d.LastNumber:
 		return nil, nil
--- a/internal/proxy/platform/client_test.go
+++ b/internal/proxy/platform/client_test.go
@@ -140,13 +140,13 @@
 // starts no attempt. Bursts of 200 such calls once started an attempt each.
 func TestForgottenCallsAreNotStarted(t *testing.T) {
 	harness := newHarness(t, nil)
-	asked := func() int {
+	attempts := func() int {
 		return len(harness.members["s-000000c1"].Seen()) + len(harness.members["s-000000c2"].Seen())
 	}
 	for range 4 { // open connections on which an attempt would be written at once
 		harness.roundTrip(readFields(key), nil)
 	}
-	before := asked()
+	before := attempts()
 	var calls []byte
 	for i := range int32(20) {
 		calls = append(append(calls, testserver.PlatformCall("serve", 2*i+1, readFields(key), nil)...), testserver.PlatformForget(2*i+2, 2*i+1)...)
@@ -160,7 +160,7 @@
 		t.Fatalf("%+v %v", result, err)
 	}
 	harness.roundTrip(readFields(key), nil) // follows any attempts for them on the same connection
-	if n := asked() - before - 1; n != 0 {
+	if n := attempts() - before - 1; n != 0 {
 		t.Errorf("caches received %d requests for cancelled calls", n)
 	}
 }
@@ -373,12 +373,12 @@
 	if left := room(); left > 300000 {
 		t.Fatalf("%d bytes are left below the limit", left)
 	}
-	const asked = 24
-	for range asked {
+	const requests = 24
+	for range requests {
 		other.Ask(readFields(key), nil)
 	}
 	time.Sleep(200 * time.Millisecond)
-	for i := range asked {
+	for i := range requests {
 		if result, err := other.Result(waitTimeout); err != nil || result.Word != "served" {
 			t.Fatalf("answer %d: %s %v", i, result.Word, err)
 		}
--- a/internal/proxy/platform/clock_test.go
+++ b/internal/proxy/platform/clock_test.go
@@ -107,10 +107,10 @@
 			began := time.Now()
 			check := func(what string, group int, id string, want time.Duration) {
 				t.Helper()
-				most := float64(want+time.Since(began))/1e6 + slack
+				maxAge := float64(want+time.Since(began))/1e6 + slack
 				purge, start := harness.routerAges(group, id)
 				for _, age := range []float64{purge, start} {
-					if age < float64(want)/1e6-slack || age > most {
+					if age < float64(want)/1e6-slack || age > maxAge {
 						t.Errorf("%s: a purge %.0f ms old and a start %.0f ms ago, want %v", what, purge, start, want)
 						return
 					}
@@ -166,8 +166,8 @@
 		harness.server.applyEvent(discovery.Event{Number: 3, Group: 22, PurgedAt: made})
 		age = harness.server.loop.Now() - harness.server.engine.LearnedState().Module.Groups[22]
 	})
-	if most := float64(platform.ago(0)-made) + 1; age > most || age < float64(turn.Milliseconds())-1 {
-		t.Errorf("a purge made %.0f ms ago is taken as %.0f ms old", most, age)
+	if maxAge := float64(platform.ago(0)-made) + 1; age > maxAge || age < float64(turn.Milliseconds())-1 {
+		t.Errorf("a purge made %.0f ms ago is taken as %.0f ms old", maxAge, age)
 	}
 }
 
--- a/internal/proxy/platform/deadline_test.go
+++ b/internal/proxy/platform/deadline_test.go
@@ -87,12 +87,12 @@
 	harness := newHarness(t, map[string]handler{"s-000000c1": ignoreShortWaits, "s-000000c2": ignoreShortWaits, "s-000000a1": ignoreShortWaits})
 	harness.openConnections()
 	short, normal := harness.dial(), harness.dial()
-	const asked = 150
+	const requests = 150
 	sent := map[int32]time.Time{}
 	var answered sync.WaitGroup
 	var mu sync.Mutex
 	answered.Go(func() {
-		for range asked {
+		for range requests {
 			result, err := short.Result(waitTimeout)
 			if err != nil {
 				t.Errorf("a request with little time: %v", err)
@@ -105,7 +105,7 @@
 			mu.Unlock()
 		}
 	})
-	for i := range asked {
+	for i := range requests {
 		fields := readFields(fmt.Sprintf("%016x", i), "wait", fmt.Sprint(1+i%30))
 		if i%3 == 0 {
 			fields = writeFields("wait", fmt.Sprint(1+i%30))
@@ -248,9 +248,9 @@
 		if len(h.server.requests) > 0 || h.server.unsentBytes > 0 {
 			h.t.Errorf("%d requests and %d unsent bytes are left", len(h.server.requests), h.server.unsentBytes)
 		}
-		for id, held := range inFlightByMember(h.server) {
-			if held != 0 {
-				h.t.Errorf("%v attempts are recorded as in flight at %s", held, id)
+		for id, inFlight := range inFlightByMember(h.server) {
+			if inFlight != 0 {
+				h.t.Errorf("%v attempts are recorded as in flight at %s", inFlight, id)
 			}
 		}
 	})
--- a/internal/proxy/platform/discovery_events.go
+++ b/internal/proxy/platform/discovery_events.go
@@ -57,7 +57,7 @@
 		update.Kind = "full"
 	}
 	for i := range event.Endpoints {
-		update.Members = append(update.Members, s.engineRow(&event.Endpoints[i], now))
+		update.Members = append(update.Members, s.memberRow(&event.Endpoints[i], now))
 	}
 	for _, e := range s.engine.Apply(now, &update).Events {
 		s.dispatch(e)
@@ -70,8 +70,8 @@
 	}
 }
 
-// engineRow converts an endpoint to the engine's form.
-func (s *Server) engineRow(endpoint *discovery.Endpoint, now float64) engine.Row {
+// memberRow converts an endpoint to the engine's form.
+func (s *Server) memberRow(endpoint *discovery.Endpoint, now float64) engine.Row {
 	row := engine.Row{
 		ID:      endpoint.ID,
 		Zone:    endpoint.Zone,
--- a/internal/proxy/platform/discovery_stream.go
+++ b/internal/proxy/platform/discovery_stream.go
@@ -174,13 +174,13 @@
 		return
 	}
 	stream.connAlive(c)
-	upToDate := stream.decoder.UpToDate
+	upToDate := stream.decoder.UpToDateFrames
 	if err := stream.decoder.Decode(server.readBuffer[:size], server.applyEvent); err != nil {
 		server.log.Warn("discovery stream unusable, reconnecting", zap.Error(err))
 		stream.connEnded(c)
 		return
 	}
-	if stream.decoder.UpToDate > upToDate {
+	if stream.decoder.UpToDateFrames > upToDate {
 		server.platformTime.MarkCurrent(eventloop.Clock())
 	}
 }
--- a/internal/proxy/platform/discovery_test.go
+++ b/internal/proxy/platform/discovery_test.go
@@ -381,11 +381,11 @@
 	small, smallMB := cost(200)
 	large, largeMB := cost(3200)
 	t.Logf("200 caches: %.3f s, %.2f MB; 3,200 caches: %.3f s, %.2f MB", small, smallMB, large, largeMB)
-	if most := 1.4*small + 0.02 + 0.03*3.2; large > most {
-		t.Errorf("%.3f s, at most %.3f s", large, most)
+	if limit := 1.4*small + 0.02 + 0.03*3.2; large > limit {
+		t.Errorf("%.3f s, at most %.3f s", large, limit)
 	}
-	if most := 1.5*smallMB + 8 + 4*3.2; largeMB > most {
-		t.Errorf("%.2f MB, at most %.2f MB", largeMB, most)
+	if limit := 1.5*smallMB + 8 + 4*3.2; largeMB > limit {
+		t.Errorf("%.2f MB, at most %.2f MB", largeMB, limit)
 	}
 }
 
--- a/internal/proxy/platform/faults_test.go
+++ b/internal/proxy/platform/faults_test.go
@@ -49,21 +49,21 @@
 			harness.openConnections()
 			before := harness.requestsSent()
 			calls := harness.planFaults(plan)
-			const asked = 30
+			const requests = 30
 			for range 4 {
 				client := harness.dial()
-				for range asked / 2 {
+				for range requests / 2 {
 					client.Ask(readFields(key), nil)
 					client.Ask(writeFields(), make([]byte, 30000))
 				}
-				for i := range asked {
+				for i := range requests {
 					if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" {
 						t.Fatalf("answer %d: %s %v", i, result.Word, err)
 					}
 				}
 			}
-			if n := harness.requestsSent() - before; n != 4*asked {
-				t.Errorf("%d attempts for %d requests", n, 4*asked)
+			if n := harness.requestsSent() - before; n != 4*requests {
+				t.Errorf("%d attempts for %d requests", n, 4*requests)
 			}
 			for _, call := range []faultinject.Call{faultinject.Read, faultinject.Write} {
 				if _, failed := calls.Counts(call); failed == 0 {
@@ -179,7 +179,7 @@
 					if failed == 0 {
 						t.Errorf("no %s failed", call)
 					}
-					if most := 100 * 40; failed > most {
+					if limit := 100 * 40; failed > limit {
 						t.Errorf("%d of %d calls of %s failed, so the router does not back off", failed, made, call)
 					}
 				})
--- a/internal/proxy/platform/harness_test.go
+++ b/internal/proxy/platform/harness_test.go
@@ -363,10 +363,10 @@
 }
 
 func inFlightByMember(server *Server) map[string]float64 {
-	out := map[string]float64{}
+	counts := map[string]float64{}
 	members, _ := server.engine.Statuses()
 	for id, b := range members {
-		out[id] = b.InFlight
+		counts[id] = b.InFlight
 	}
-	return out
+	return counts
 }
--- a/internal/proxy/platform/member_test.go
+++ b/internal/proxy/platform/member_test.go
@@ -232,19 +232,19 @@
 	}
 	harness.waitUntil("nothing is in flight", func() (none bool) {
 		harness.server.loop.Call(waitTimeout, func() {
-			held, out := 0.0, 0
+			routerInFlight, poolInFlight := 0.0, 0
 			members, link := harness.server.engine.Statuses()
 			for id, b := range members {
-				held += b.InFlight
+				routerInFlight += b.InFlight
 				if p := harness.server.pools[id]; p != nil && float64(p.inFlight) != b.InFlight || p == nil && b.InFlight != 0 {
 					t.Errorf("%s: the router counts %v in flight", id, b.InFlight)
 				}
 			}
-			held += link.InFlight
+			routerInFlight += link.InFlight
 			for _, p := range harness.server.pools {
-				out += p.inFlight
+				poolInFlight += p.inFlight
 			}
-			none = held == 0 && out == 0 && len(harness.server.requests) == 0
+			none = routerInFlight == 0 && poolInFlight == 0 && len(harness.server.requests) == 0
 		})
 		return none
 	})
