--- a/cmd/spool-fleet/main.go
+++ b/cmd/spool-fleet/main.go
@@ -18,24 +18,24 @@
 
 func main() {
 	root := &cobra.Command{Use: "spool-fleet", Short: "Judges lists of members before routers get them"}
-	var o endpointcheck.Options
+	var options endpointcheck.Options
 	var against string
 	var asJSON, rehearse bool
 	var loadFile string
-	var ro endpointcheck.RehearseOptions
+	var rehearseOptions endpointcheck.RehearseOptions
 	check := &cobra.Command{Use: "check LIST", Short: "What a list would do; exit 1 where routers would refuse it", Args: cobra.ExactArgs(1),
 		Long: "Judges a list (a file of settings, or a folder of them) by the checks that routers make and,\n" +
 			"against an old one, tells which objects, parts and fills would go elsewhere, as the module of\n" +
 			"a router in each zone decides when it is asked before and after the change.",
 		Example: "  spool-fleet check new.edn --against old.edn\n  spool-fleet check new.edn --against old.edn --rehearse --rate 310",
 		RunE: func(_ *cobra.Command, args []string) error {
-			list, err := read(args[0])
+			list, err := readSources(args[0])
 			if err != nil {
 				return err
 			}
 			var old []config.Source
 			if against != "" {
-				if old, err = read(against); err != nil {
+				if old, err = readSources(against); err != nil {
 					return err
 				}
 			}
@@ -43,51 +43,51 @@
 				if against == "" {
 					return errors.New("--rehearse plays a change: give the list that routers have now with --against")
 				}
-				ro.Seed, ro.KB = o.Seed, o.KB
+				rehearseOptions.Seed, rehearseOptions.KB = options.Seed, options.KB
 				if loadFile != "" {
-					ro.Load = &loadgen.Script{}
-					if err := config.ReadFile(loadFile, ro.Load); err != nil {
+					rehearseOptions.Load = &loadgen.Script{}
+					if err := config.ReadFile(loadFile, rehearseOptions.Load); err != nil {
 						return &cli.FoundError{Err: err}
 					}
 				}
-				o.Rehearse = &ro
+				options.Rehearse = &rehearseOptions
 			}
-			r, err := endpointcheck.Check(list, old, o)
+			report, err := endpointcheck.Check(list, old, options)
 			if err != nil {
 				return err
 			}
-			if err := cli.Tell(asJSON, r, func(w io.Writer) {
-				r.Text(w)
-				if len(r.Reasons) == 0 {
+			if err := cli.Tell(asJSON, report, func(w io.Writer) {
+				report.Text(w)
+				if len(report.Reasons) == 0 {
 					fmt.Fprintf(w, "%s: passes the checks\n", args[0])
 				}
 			}); err != nil {
 				return err
 			}
-			if len(r.Reasons) > 0 || r.Rehearsal != nil && !r.Rehearsal.OK() {
+			if len(report.Reasons) > 0 || report.Rehearsal != nil && !report.Rehearsal.OK() {
 				return cli.ErrFound
 			}
 			return nil
 		}}
-	f := check.Flags()
-	f.StringVar(&against, "against", "", "the list that routers have now")
-	f.IntVar(&o.Objects, "objects", 1000, "objects of each class to ask for, in each zone")
-	f.Float64Var(&o.Parts, "parts", 8, "mean parts of an object of a class in parts")
-	f.Float64Var(&o.KB, "kb", 100, "size of an object or part whose route states none")
-	f.Uint64Var(&o.Seed, "seed", 1, "seed of what is asked for")
-	f.BoolVar(&rehearse, "rehearse", false, "play the change under load, by all routers in simulated time; exit 1 where it pushes a member or a link over")
-	f.StringVar(&loadFile, "load", "", "of --rehearse: a load (as of spool-load), instead of one made from the routes")
-	f.Float64Var(&ro.Rate, "rate", 0, "of --rehearse: requests a second of all routers (default: the load's, or 5 a router)")
-	f.Float64Var(&ro.Before, "before", 60000, "of --rehearse: ms before the change")
-	f.Float64Var(&ro.After, "after", 60000, "of --rehearse: ms after it")
-	f.Float64Var(&ro.Lag, "lag", 1000, "of --rehearse: ms within which all routers hear of it")
-	f.Float64Var(&ro.Capacity, "capacity", 50, "of --rehearse: transfers at once that a member bears, where sizes are no capacities")
-	f.BoolVar(&asJSON, "json", false, "print it as JSON")
+	flags := check.Flags()
+	flags.StringVar(&against, "against", "", "the list that routers have now")
+	flags.IntVar(&options.Objects, "objects", 1000, "objects of each class to ask for, in each zone")
+	flags.Float64Var(&options.Parts, "parts", 8, "mean parts of an object of a class in parts")
+	flags.Float64Var(&options.KB, "kb", 100, "size of an object or part whose route states none")
+	flags.Uint64Var(&options.Seed, "seed", 1, "seed of what is asked for")
+	flags.BoolVar(&rehearse, "rehearse", false, "play the change under load, by all routers in simulated time; exit 1 where it pushes a member or a link over")
+	flags.StringVar(&loadFile, "load", "", "of --rehearse: a load (as of spool-load), instead of one made from the routes")
+	flags.Float64Var(&rehearseOptions.Rate, "rate", 0, "of --rehearse: requests a second of all routers (default: the load's, or 5 a router)")
+	flags.Float64Var(&rehearseOptions.BeforeMillis, "before", 60000, "of --rehearse: ms before the change")
+	flags.Float64Var(&rehearseOptions.AfterMillis, "after", 60000, "of --rehearse: ms after it")
+	flags.Float64Var(&rehearseOptions.LagMillis, "lag", 1000, "of --rehearse: ms within which all routers hear of it")
+	flags.Float64Var(&rehearseOptions.Capacity, "capacity", 50, "of --rehearse: transfers at once that a member bears, where sizes are no capacities")
+	flags.BoolVar(&asJSON, "json", false, "print it as JSON")
 	root.AddCommand(check)
 	cli.Main(root)
 }
 
-func read(path string) ([]config.Source, error) {
+func readSources(path string) ([]config.Source, error) {
 	if st, err := os.Stat(path); err == nil && st.IsDir() {
 		return service.ReadFolder(path)
 	}
--- a/internal/controlplane/configstore/errors.go
+++ b/internal/controlplane/configstore/errors.go
@@ -54,9 +54,9 @@
 // Unwrap is the cause.
 func (f *FaultError) Unwrap() error { return f.Err }
 
-// isMisplaced reports whether an error of opening is one of the settings: the path
+// isInvalidPath reports whether an error of opening is one of the settings: the path
 // names no place where this process may have a store.
-func isMisplaced(err error) bool {
+func isInvalidPath(err error) bool {
 	for _, cause := range []error{os.ErrPermission, os.ErrNotExist, syscall.ENOTDIR, syscall.EISDIR} {
 		if errors.Is(err, cause) {
 			return true
--- a/internal/controlplane/configstore/fault_test.go
+++ b/internal/controlplane/configstore/fault_test.go
@@ -144,7 +144,7 @@
 	}
 }
 
-func seeded(t *testing.T) string {
+func createStore(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "good.db")
 	store, err := Open(path)
@@ -180,7 +180,7 @@
 // What fails while the store is opened costs nothing that was acknowledged.
 func TestFaultWhileOpening(t *testing.T) {
 	eachFault(t, func(t *testing.T, operation string, times int, disk *failingDisk) {
-		path := seeded(t)
+		path := createStore(t)
 		disk.remaining[operation] = times
 		store, err := OpenWith(disk, path, 8)
 		if store == nil {
@@ -206,7 +206,7 @@
 // killed in between.
 func TestFaultWhileWriting(t *testing.T) {
 	eachFault(t, func(t *testing.T, operation string, times int, disk *failingDisk) {
-		path := seeded(t)
+		path := createStore(t)
 		store, err := OpenWith(disk, path, 8)
 		if err != nil {
 			t.Fatal(err)
@@ -242,7 +242,7 @@
 
 // While nothing can be written, what is stored can be read.
 func TestReadableWhileDeviceFull(t *testing.T) {
-	path := seeded(t)
+	path := createStore(t)
 	disk := &failingDisk{errno: syscall.ENOSPC, remaining: map[string]int{"create": -1}}
 	store, err := OpenWith(disk, path, 8)
 	if store == nil || !errors.Is(err, syscall.ENOSPC) {
@@ -266,7 +266,7 @@
 // A device that the kernel reports as full: bbolt's writes fail in the middle of a
 // transaction.
 func TestDeviceIsFull(t *testing.T) {
-	path := seeded(t)
+	path := createStore(t)
 	store, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
@@ -294,7 +294,7 @@
 
 // A folder that stands where the new file is written costs nothing.
 func TestFreshCopyIsImpossible(t *testing.T) {
-	path := seeded(t)
+	path := createStore(t)
 	if err := os.MkdirAll(filepath.Join(path+".new", "taken"), 0o755); err != nil {
 		t.Fatal(err)
 	}
@@ -317,7 +317,7 @@
 // A store that could not be reacquired at once is reacquired by what is stored next,
 // with all that was put meanwhile.
 func TestReacquiredLater(t *testing.T) {
-	path := seeded(t)
+	path := createStore(t)
 	disk := &failingDisk{errno: syscall.EIO, remaining: map[string]int{}}
 	store, err := OpenWith(disk, path, 8)
 	if err != nil {
--- a/internal/controlplane/configstore/file.go
+++ b/internal/controlplane/configstore/file.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	lockRetry = 20 * time.Millisecond // between attempts to lock the file
-	lockWait  = 2 * time.Second       // for a process that is about to end
+	lockRetryInterval = 20 * time.Millisecond // between attempts to lock the file
+	lockTimeout       = 2 * time.Second       // for a process that is about to end
 )
 
 // lock takes the lock by which a store has one process, as bbolt does.
@@ -30,7 +30,7 @@
 		case time.Now().After(deadline):
 			return fmt.Errorf("configstore: lock %s: %w", file.Name(), ErrInUse)
 		default:
-			time.Sleep(lockRetry)
+			time.Sleep(lockRetryInterval)
 		}
 	}
 }
--- a/internal/controlplane/configstore/image.go
+++ b/internal/controlplane/configstore/image.go
@@ -16,16 +16,16 @@
 	metaBucket     = []byte("meta")
 	statesBucket   = []byte("states")
 	stateKey       = []byte("state") // in the states bucket: a service's state
-	formKey        = []byte("form")  // in the meta bucket: formNumber
+	formatKey      = []byte("form")  // in the meta bucket: formNumber
 )
 
 const (
-	formNumber = 1    // of what stands in the buckets
-	maxEntries = 1000 // of versions; a store never held so many
+	formatVersion = 1    // of what stands in the buckets
+	maxEntries    = 1000 // of versions; a store never held so many
 )
 
-// contents is all that a store holds.
-type contents struct {
+// storeContents is all that a store holds.
+type storeContents struct {
 	versions []entry
 	state    []byte // with its checksum; nil: none
 }
@@ -37,7 +37,7 @@
 type image struct {
 	file     *os.File
 	db       *bbolt.DB
-	contents contents
+	contents storeContents
 }
 
 func (i *image) close() {
@@ -45,7 +45,7 @@
 	i.file.Close()
 }
 
-func memoryFile() (*os.File, error) {
+func createMemoryFile() (*os.File, error) {
 	fd, err := unix.MemfdCreate("configstore", unix.MFD_CLOEXEC)
 	if err != nil {
 		return nil, os.NewSyscallError("memfd_create", err)
@@ -59,7 +59,7 @@
 	if len(content) == 0 {
 		return nil, errors.New("the file is empty")
 	}
-	file, err := memoryFile()
+	file, err := createMemoryFile()
 	if err != nil {
 		return nil, err
 	}
@@ -85,9 +85,9 @@
 	return err
 }
 
-// imageOf is the file, as bytes, of a store with these contents.
-func imageOf(held contents) ([]byte, error) {
-	file, err := memoryFile()
+// encodeImage is the file, as bytes, of a store with these contents.
+func encodeImage(held storeContents) ([]byte, error) {
+	file, err := createMemoryFile()
 	if err != nil {
 		return nil, err
 	}
@@ -110,14 +110,14 @@
 }
 
 // readContents reads and checks every entry.
-func readContents(db *bbolt.DB) (held contents, err error) {
+func readContents(db *bbolt.DB) (held storeContents, err error) {
 	err = db.View(func(tx *bbolt.Tx) error {
 		meta, versions, states := tx.Bucket(metaBucket), tx.Bucket(versionsBucket), tx.Bucket(statesBucket)
 		if meta == nil || versions == nil || states == nil {
 			return errors.New("its buckets are missing")
 		}
-		if form := meta.Get(formKey); len(form) != 1 || form[0] != formNumber {
-			return fmt.Errorf("form %v, where %d is known", form, formNumber)
+		if form := meta.Get(formatKey); len(form) != 1 || form[0] != formatVersion {
+			return fmt.Errorf("form %v, where %d is known", form, formatVersion)
 		}
 		if stored := states.Get(stateKey); stored != nil {
 			if _, err := verify(stateKey, stored); err != nil {
@@ -140,7 +140,7 @@
 }
 
 // writeContents writes the contents of a new store.
-func writeContents(tx *bbolt.Tx, held contents) error {
+func writeContents(tx *bbolt.Tx, held storeContents) error {
 	versions, err := tx.CreateBucketIfNotExists(versionsBucket)
 	if err != nil {
 		return err
@@ -163,5 +163,5 @@
 	if err != nil {
 		return err
 	}
-	return meta.Put(formKey, []byte{formNumber})
+	return meta.Put(formatKey, []byte{formatVersion})
 }
--- a/internal/controlplane/configstore/store.go
+++ b/internal/controlplane/configstore/store.go
@@ -27,8 +27,8 @@
 )
 
 const (
-	defaultLimit = 8  // versions that are kept
-	maxDeferred  = 64 // versions that are put while the lock is released
+	defaultMaxVersions = 8  // versions that are kept
+	maxDeferred        = 64 // versions that are put while the lock is released
 )
 
 // Store is an open store. Its methods are safe for concurrent use.
@@ -37,10 +37,10 @@
 // operation that writes first tries to write the complete file anew. Where it can't be
 // read either, all operations fail with a FaultError until it can.
 type Store struct {
-	path      string
-	limit     int // versions that are kept
-	files     FileSystem
-	bootClock func() bootReading
+	path        string
+	maxVersions int // versions that are kept
+	files       FileSystem
+	bootClock   func() bootReading
 
 	mu           sync.RWMutex // locked for writing while the file changes hands
 	db           *bbolt.DB    // the file, or an image of it in memory; nil: neither
@@ -64,22 +64,22 @@
 // DamagedError the store that is returned is a new one; with a FaultError it is the
 // one that is there, as far as it can be read for now. No store is returned where
 // another process has it open (ErrInUse), or the path is not one for a store.
-func Open(path string) (*Store, error) { return OpenWithLimit(path, defaultLimit) }
+func Open(path string) (*Store, error) { return OpenWithLimit(path, defaultMaxVersions) }
 
 // OpenWithLimit is Open for a store that keeps limit versions.
 func OpenWithLimit(path string, limit int) (*Store, error) { return OpenWith(Disk{}, path, limit) }
 
 // OpenWith is OpenWithLimit by the operations of a file system.
 func OpenWith(files FileSystem, path string, limit int) (*Store, error) {
-	s := &Store{path: path, limit: max(limit, 1), files: files, bootClock: readBootClock}
-	err := s.load(lockWait)
+	s := &Store{path: path, maxVersions: max(limit, 1), files: files, bootClock: readBootClock}
+	err := s.load(lockTimeout)
 	if err == nil {
 		return s, nil
 	}
 	var fault *FaultError
 	isFault := errors.As(err, &fault)
 	isServing := s.db != nil && s.file != nil
-	if isFault && (isServing || !isMisplaced(err)) {
+	if isFault && (isServing || !isInvalidPath(err)) {
 		return s, err
 	}
 	var damaged *DamagedError
@@ -152,7 +152,7 @@
 
 // serveEmpty serves an empty store from memory, without a file.
 func (s *Store) serveEmpty() error {
-	content, err := imageOf(contents{})
+	content, err := encodeImage(storeContents{})
 	if err != nil {
 		return &FaultError{"check", s.path, err}
 	}
@@ -171,7 +171,7 @@
 // rewrite writes what is served from memory into a new file, which takes the place of
 // the store's and serves from then on.
 func (s *Store) rewrite() error {
-	content, err := imageOf(s.memory.contents)
+	content, err := encodeImage(s.memory.contents)
 	if err != nil {
 		return s.recordFault(&FaultError{"copy", s.path, err})
 	}
--- a/internal/controlplane/configstore/versions.go
+++ b/internal/controlplane/configstore/versions.go
@@ -48,16 +48,16 @@
 	})
 }
 
-// trim removes the oldest versions past the limit, but none of needed.
-func (s *Store) trim(versions *bbolt.Bucket, needed []configversion.Version) error {
+// trim removes the oldest versions past the limit, but none of retained.
+func (s *Store) trim(versions *bbolt.Bucket, retained []configversion.Version) error {
 	neededKeys := map[string]bool{}
-	for _, version := range needed {
+	for _, version := range retained {
 		neededKeys[string(versionKey(version.Number))] = true
 	}
 	cursor := versions.Cursor()
 	count := versions.Stats().KeyN
 	var removed [][]byte
-	for key, _ := cursor.First(); key != nil && count > s.limit; key, _ = cursor.Next() {
+	for key, _ := cursor.First(); key != nil && count > s.maxVersions; key, _ = cursor.Next() {
 		if neededKeys[string(key)] {
 			continue
 		}
@@ -75,7 +75,7 @@
 // SaveState stores a service's state, and in the same transaction the versions that it
 // refers to, unless they are stored already; these are kept as long as a state
 // names them. A state that could not be written is reported by a FaultError.
-func (s *Store) SaveState(text []byte, referred []configversion.Version, now time.Time) error {
+func (s *Store) SaveState(text []byte, referenced []configversion.Version, now time.Time) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.makeWritable(); err != nil {
@@ -83,7 +83,7 @@
 	}
 	return s.commit(func(tx *bbolt.Tx) error {
 		versions := tx.Bucket(versionsBucket)
-		for _, version := range referred {
+		for _, version := range referenced {
 			if version.Number <= 0 || isStored(versions, version) {
 				continue
 			}
@@ -98,7 +98,7 @@
 		if err := tx.Bucket(statesBucket).Put(stateKey, addChecksum(stateKey, text)); err != nil {
 			return err
 		}
-		return s.trim(versions, referred)
+		return s.trim(versions, referenced)
 	})
 }
 
@@ -163,7 +163,7 @@
 // History is the stored versions in the order of their numbers, with their ages in
 // milliseconds by the wall clock, never below 0.
 func (s *Store) History(now time.Time) ([]configversion.StoredVersion, error) {
-	history, headers, err := s.all()
+	history, headers, err := s.allVersions()
 	for i := range history {
 		age := wallclock.At(now).Sub(headers[i].Stored)
 		history[i].Age = max(millis(age), 0)
@@ -171,8 +171,8 @@
 	return history, err
 }
 
-// all is the stored versions in the order of their numbers, without their ages.
-func (s *Store) all() (list []configversion.StoredVersion, headers []header, err error) {
+// allVersions is the stored versions in the order of their numbers, without their ages.
+func (s *Store) allVersions() (list []configversion.StoredVersion, headers []header, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
 		return tx.Bucket(versionsBucket).ForEach(func(key, value []byte) error {
 			version, stored, err := decodeVersion(key, value)
@@ -187,7 +187,7 @@
 // Restored is the event with which a router's machine begins. The wall clock counts
 // for the ages in it only where no other clock shows them.
 func (s *Store) Restored(now time.Time) configversion.Restored {
-	list, headers, err := s.all()
+	list, headers, err := s.allVersions()
 	if err == nil && len(list) == 0 {
 		err = ErrNoVersion
 	}
--- a/internal/controlplane/configversion/check.go
+++ b/internal/controlplane/configversion/check.go
@@ -181,10 +181,10 @@
 	if now.Loosen {
 		return
 	}
-	for _, figure := range []struct {
-		name     string
-		was, is  float64
-		loosened bool
+	for _, setting := range []struct {
+		name               string
+		oldValue, newValue float64
+		loosened           bool
 	}{
 		{"drain-grace", old.DrainGrace, now.DrainGrace, now.DrainGrace > old.DrainGrace},
 		{"purge-slack", old.PurgeSlack, now.PurgeSlack, now.PurgeSlack > old.PurgeSlack},
@@ -195,8 +195,8 @@
 		{"parent-cold-from", old.ParentColdFrom, now.ParentColdFrom, now.ParentColdFrom > old.ParentColdFrom},
 		{"parent-fall", old.ParentFall, now.ParentFall, now.ParentFall > old.ParentFall},
 	} {
-		if figure.loosened {
-			c.reject("rules/"+figure.name, fmt.Sprintf("loosened from %v to %v", figure.was, figure.is),
+		if setting.loosened {
+			c.reject("rules/"+setting.name, fmt.Sprintf("loosened from %v to %v", setting.oldValue, setting.newValue),
 				"a rule's figure is loosened only by a version that says (rules (loosen true))")
 		}
 	}
--- a/internal/controlplane/configversion/diff.go
+++ b/internal/controlplane/configversion/diff.go
@@ -87,9 +87,9 @@
 
 func compareIDs(a, b config.Member) int { return strings.Compare(a.ID, b.ID) }
 
-// takesAway reports whether a member takes nothing new by the new list that did
+// withdrawsMember reports whether a member takes nothing new by the new list that did
 // by the old one, or has started anew.
-func takesAway(old, new []config.Member) bool {
+func withdrawsMember(old, new []config.Member) bool {
 	newByID := map[string]config.Member{}
 	for _, member := range new {
 		newByID[member.ID] = member
--- a/internal/controlplane/configversion/machine.go
+++ b/internal/controlplane/configversion/machine.go
@@ -126,7 +126,7 @@
 	return actions
 }
 
-func (m *Machine) do(action Action) { m.actions = append(m.actions, action) }
+func (m *Machine) emit(action Action) { m.actions = append(m.actions, action) }
 
 // renewLease records a sign of life of a service, and reports whether it holds the
 // lease: another one gets it once the holder has been silent for its span.
@@ -137,7 +137,7 @@
 		return false
 	}
 	if m.leaseHolder != service && m.leaseHolder != "" {
-		m.do(Warn{fmt.Sprintf("service %s is in charge now; %s was silent for %.0f s", service, m.leaseHolder, silence/1000)})
+		m.emit(Warn{fmt.Sprintf("service %s is in charge now; %s was silent for %.0f s", service, m.leaseHolder, silence/1000)})
 	}
 	m.leaseHolder = service
 	m.leaseRenewedAt = m.now
@@ -154,7 +154,7 @@
 		silence := (m.now - m.leaseRenewedAt) / 1000
 		reason := Reason{"", fmt.Sprintf("service %s is in charge, heard of %.1f s ago", m.leaseHolder, silence),
 			"let one service speak; another is believed when that one is silent"}
-		m.do(Nack{event.Service, version.Number, []Reason{reason}})
+		m.emit(Nack{event.Service, version.Number, []Reason{reason}})
 		return
 	}
 	if reason, ok := m.checkEnvelope(version); !ok {
@@ -165,7 +165,7 @@
 	if identityOf(version) == newest { // the same again, as after a reconnect
 		if m.candidate == nil || m.candidate.accepted {
 			m.confirmedAt = m.now
-			m.do(Ack{event.Service, version.Number})
+			m.emit(Ack{event.Service, version.Number})
 		}
 		return
 	}
@@ -187,7 +187,7 @@
 	}
 	m.candidate = &candidate{version: version, settings: settings, service: event.Service, storing: true}
 	m.record(version, StateOffered, event.Service, nil)
-	m.do(Store{version})
+	m.emit(Store{version})
 }
 
 // reject answers an offer with reasons. What is remembered of a version with that number
@@ -197,7 +197,7 @@
 	if known == nil || known.State == StateRejected {
 		m.record(event.Version, StateRejected, event.Service, reasons)
 	}
-	m.do(Nack{event.Service, event.Version.Number, reasons})
+	m.emit(Nack{event.Service, event.Version.Number, reasons})
 }
 
 // newest is the highest version that was accepted or is being stored.
@@ -270,8 +270,8 @@
 			"see the router's disk; the version may be offered again"}
 		m.candidate = nil
 		m.record(stored.version, StateRejected, stored.service, []Reason{reason})
-		m.do(Nack{stored.service, stored.version.Number, []Reason{reason}})
-		m.do(Warn{"configuration: " + reason.String()})
+		m.emit(Nack{stored.service, stored.version.Number, []Reason{reason}})
+		m.emit(Warn{"configuration: " + reason.String()})
 		return
 	}
 	stored.accepted = true
@@ -280,11 +280,11 @@
 	stored.activateAt = m.now
 	// the first is activated at once, and one that takes members away: their grace
 	// runs. Others are not activated by all routers together.
-	if m.running.Number != 0 && !takesAway(m.runningSettings.Members, stored.settings.Members) {
+	if m.running.Number != 0 && !withdrawsMember(m.runningSettings.Members, stored.settings.Members) {
 		stored.activateAt += m.random.Float64() * m.settings.Jitter
 	}
 	m.record(stored.version, StateAccepted, stored.service, nil)
-	m.do(Ack{stored.service, stored.version.Number})
+	m.emit(Ack{stored.service, stored.version.Number})
 }
 
 // never is the span until what is not due at any time.
@@ -296,7 +296,7 @@
 	next = min(next, m.requestOfferIfDue())
 	next = min(next, m.warnIfUnconfirmed())
 	if next != never {
-		m.do(Wake{next})
+		m.emit(Wake{next})
 	}
 }
 
@@ -316,7 +316,7 @@
 	m.runningSettings = due.settings
 	m.candidate = nil
 	m.record(due.version, StateRunning, due.service, nil)
-	m.do(Activate{Version: due.version, Settings: due.settings})
+	m.emit(Activate{Version: due.version, Settings: due.settings})
 	return never
 }
 
@@ -329,7 +329,7 @@
 	if left := m.leaseRenewedAt + m.settings.Lease - m.now; left > 0 {
 		return left
 	}
-	m.do(RequestOffer{m.waitingService})
+	m.emit(RequestOffer{m.waitingService})
 	m.waitingService = ""
 	return never
 }
@@ -347,14 +347,14 @@
 	age := m.now - m.confirmedAt
 	if age >= limit {
 		if !m.warned {
-			m.do(Warn{fmt.Sprintf("configuration %d runs on though no service has confirmed it for %.0f s",
+			m.emit(Warn{fmt.Sprintf("configuration %d runs on though no service has confirmed it for %.0f s",
 				m.running.Number, age/1000)})
 		}
 		m.warned = true
 		return never
 	}
 	if m.warned {
-		m.do(Warn{fmt.Sprintf("configuration %d is confirmed again", m.running.Number)})
+		m.emit(Warn{fmt.Sprintf("configuration %d is confirmed again", m.running.Number)})
 	}
 	m.warned = false
 	return limit - age
--- a/internal/controlplane/configversion/machine_test.go
+++ b/internal/controlplane/configversion/machine_test.go
@@ -30,10 +30,12 @@
 	return []byte(text.String())
 }
 
-var good = body("sss", "ssss", "")
+var validBody = body("sss", "ssss", "")
 
-// replaceInGood is the good configuration with the first occurrence of old replaced.
-func replaceInGood(old, new string) []byte { return []byte(strings.Replace(string(good), old, new, 1)) }
+// replaceInValid is the good configuration with the first occurrence of old replaced.
+func replaceInValid(old, new string) []byte {
+	return []byte(strings.Replace(string(validBody), old, new, 1))
+}
 
 // machineTest is a machine with its time, and the actions that the last event led to.
 type machineTest struct {
@@ -64,7 +66,7 @@
 	return s
 }
 
-func (s *machineTest) pass(span Millis) *machineTest {
+func (s *machineTest) advance(span Millis) *machineTest {
 	s.now += span
 	return s.handle(Tick{})
 }
@@ -104,7 +106,7 @@
 
 func TestActivatedOnceStored(t *testing.T) {
 	test := newMachineTest(t)
-	test.handle(Offered{"a", New(1, good)})
+	test.handle(Offered{"a", New(1, validBody)})
 	if hasAction[Ack](test, nil) || hasAction[Activate](test, nil) || !hasAction[Store](test, nil) {
 		t.Fatalf("before it is on disk: %+v", test.actions)
 	}
@@ -114,21 +116,21 @@
 	if len(wakes) == 0 || wakes[len(wakes)-1].(Wake).After > 1000 {
 		t.Errorf("it is woken by %+v, want at last to activate the second", wakes)
 	}
-	test.pass(1001).wantRunning(2)
+	test.advance(1001).wantRunning(2)
 }
 
 func TestNumbersAndChecksums(t *testing.T) {
 	test := newMachineTest(t)
-	test.offer("a", New(5, good)).wantAccepted(5)
-	test.offer("a", New(5, good)).wantAccepted(5) // repeated
+	test.offer("a", New(5, validBody)).wantAccepted(5)
+	test.offer("a", New(5, validBody)).wantAccepted(5) // repeated
 	test.offer("a", New(5, body("ss", "ssss", ""))).wantRejected("accepted with other content")
-	test.offer("a", New(4, good)).wantRejected("older than 5")
-	test.offer("a", New(0, good)).wantRejected("numbers are above 0")
-	bad := New(6, good)
+	test.offer("a", New(4, validBody)).wantRejected("older than 5")
+	test.offer("a", New(0, validBody)).wantRejected("numbers are above 0")
+	bad := New(6, validBody)
 	bad.Sum = strings.Repeat("0", 64)
 	test.offer("a", bad).wantRejected("checksum").wantRunning(5)
 	test.offer("a", New(6, body("ss", "ssss", ""))).wantAccepted(6) // a rejected number may be offered again, with its content intact
-	test.offer("a", New(7, good)).wantAccepted(7)                   // back to the old content by a new number
+	test.offer("a", New(7, validBody)).wantAccepted(7)              // back to the old content by a new number
 	if got := test.machine.HighestAccepted(); got != 7 {
 		t.Errorf("highest accepted %d", got)
 	}
@@ -137,18 +139,18 @@
 // Two services that disagree: the lease holder stays so while it gives signs of life;
 // the router does not flap between them.
 func TestSplitBrain(t *testing.T) {
-	test := newMachineTest(t).offer("a", New(1, good)).wantRunning(1)
+	test := newMachineTest(t).offer("a", New(1, validBody)).wantRunning(1)
 	for n := int64(2); n < 20; n++ {
 		test.offer("b", New(n, body("ss", "ssss", ""))).wantRejected("service a is in charge")
 		test.handle(Heartbeat{"a"})
-		test.pass(1000).wantRunning(1)
+		test.advance(1000).wantRunning(1)
 	}
-	test.handle(Disconnected{"a"}).pass(28000)
+	test.handle(Disconnected{"a"}).advance(28000)
 	test.offer("b", New(30, body("ss", "ssss", ""))).wantRejected("in charge")
 	if hasAction[RequestOffer](test, nil) {
 		t.Error("an offer is requested of the other service while one holds the lease")
 	}
-	test.pass(2000)
+	test.advance(2000)
 	if !hasAction(test, func(a RequestOffer) bool { return a.Service == "b" }) {
 		t.Errorf("no offer is requested of the service that was rejected: %+v", test.actions)
 	}
@@ -161,10 +163,10 @@
 // A service gone for minutes: the last known good version runs on, with one warning,
 // and one message when it is confirmed again.
 func TestWarnsOnceWhileServiceIsGone(t *testing.T) {
-	test := newMachineTest(t).offer("a", New(1, good)).handle(Disconnected{"a"})
+	test := newMachineTest(t).offer("a", New(1, validBody)).handle(Disconnected{"a"})
 	warned := 0
 	for range 300 {
-		test.pass(1000).wantRunning(1)
+		test.advance(1000).wantRunning(1)
 		if hasAction[Warn](test, nil) {
 			warned++
 		}
@@ -172,25 +174,25 @@
 	if warned != 1 {
 		t.Errorf("%d warnings in five minutes, want one", warned)
 	}
-	test.offer("a", New(1, good)).wantAccepted(1)
+	test.offer("a", New(1, validBody)).wantAccepted(1)
 	if !hasAction(test, func(w Warn) bool { return strings.Contains(w.Text, "confirmed again") }) {
 		t.Errorf("%+v", test.actions)
 	}
 }
 
 func TestDiskFails(t *testing.T) {
-	test := newMachineTest(t).offer("a", New(1, good))
+	test := newMachineTest(t).offer("a", New(1, validBody))
 	test.handle(Offered{"a", New(2, body("ss", "ssss", ""))})
 	test.handle(Stored{2, errors.New("no space")}).wantRejected("could not be stored: no space").wantRunning(1)
 	test.offer("a", New(2, body("ss", "ssss", ""))).wantAccepted(2)
 	// one that is superseded while it is being stored is never activated
-	test.pass(2000).wantRunning(2)
-	test.handle(Offered{"a", New(3, good)}).handle(Offered{"a", New(4, body("ssss", "ssss", ""))})
+	test.advance(2000).wantRunning(2)
+	test.handle(Offered{"a", New(3, validBody)}).handle(Offered{"a", New(4, body("ssss", "ssss", ""))})
 	test.handle(Stored{Number: 3})
 	if hasAction[Ack](test, nil) {
 		t.Error("a superseded version is accepted")
 	}
-	test.handle(Stored{Number: 4}).wantAccepted(4).pass(2000).wantRunning(4)
+	test.handle(Stored{Number: 4}).wantAccepted(4).advance(2000).wantRunning(4)
 }
 
 // Activations of one version are spread over the routers, by their seeds; but one that
@@ -199,9 +201,9 @@
 	activations := map[int]int{}
 	for seed := range 300 {
 		test := &machineTest{t: t, machine: NewMachine(MachineSettings{}, uint64(seed))}
-		test.offer("a", New(1, good)).offer("a", New(2, body("ssss", "ssss", "")))
+		test.offer("a", New(1, validBody)).offer("a", New(2, body("ssss", "ssss", "")))
 		for test.machine.Running() != 2 && test.now < 10000 {
-			test.pass(10)
+			test.advance(10)
 		}
 		activations[int(test.now/100)]++
 	}
@@ -211,7 +213,7 @@
 		}
 	}
 	for _, away := range []string{"ss", "sds"} {
-		newMachineTest(t).offer("a", New(1, good)).offer("a", New(2, body(away, "ssss", ""))).wantAccepted(2).wantRunning(2)
+		newMachineTest(t).offer("a", New(1, validBody)).offer("a", New(2, body(away, "ssss", ""))).wantAccepted(2).wantRunning(2)
 	}
 }
 
@@ -228,21 +230,21 @@
 		t.Fatal(err)
 	}
 	test := &machineTest{t: t, machine: NewMachine(MachineSettings{Local: local}, 1)}
-	test.offer("a", New(1, good)).wantRunning(1)
+	test.offer("a", New(1, validBody)).wantRunning(1)
 	if !hasAction(test, func(activate Activate) bool {
 		router := activate.Settings.Router
 		return router.Name == "r7" && router.Me == 3 && router.Of == 4 && activate.Settings.Control.Lease == 777 && len(activate.Settings.Members) == 7
 	}) {
 		t.Errorf("%+v", test.actions)
 	}
-	test.offer("a", New(2, replaceInGood("(of 4)", "(of 3)"))).wantRejected("router number 3 of 3")
-	test.offer("a", New(3, []byte(strings.NewReplacer("(zone z)", "(zone y)", "(zone z ", "(zone y ").Replace(string(good))))).
+	test.offer("a", New(2, replaceInValid("(of 4)", "(of 3)"))).wantRejected("router number 3 of 3")
+	test.offer("a", New(3, []byte(strings.NewReplacer("(zone z)", "(zone y)", "(zone z ", "(zone y ").Replace(string(validBody))))).
 		wantRejected(`"z" is no zone`)
 	test.wantRunning(1)
 }
 
-// guarantee is a machine with its disk, of which each action is checked.
-type guarantee struct {
+// invariantChecker is a machine with its disk, of which each action is checked.
+type invariantChecker struct {
 	t               *rapid.T
 	machine         *Machine
 	now             Millis
@@ -251,7 +253,7 @@
 	running         int64
 }
 
-func (g *guarantee) handle(event Event) {
+func (g *invariantChecker) handle(event Event) {
 	for _, action := range g.machine.Handle(g.now, event, nil) {
 		switch action := action.(type) {
 		case Store:
@@ -269,7 +271,7 @@
 	}
 }
 
-func (g *guarantee) checkActivated(version Version) {
+func (g *invariantChecker) checkActivated(version Version) {
 	if version.Number < g.highestAccepted || version.Number < g.running {
 		g.t.Fatalf("version %d is activated after %d was accepted and %d run", version.Number, g.highestAccepted, g.running)
 	}
@@ -288,45 +290,45 @@
 // For any sequence of offers, lost streams, restarts and damage: a router runs only
 // versions that passed every check, and never one older than the last accepted.
 func TestGuarantee(t *testing.T) {
-	bodies := [][]byte{good, body("ss", "ssss", ""), body("ssss", "sss", ""), body("ddd", "ssss", ""), []byte("(oops"),
+	bodies := [][]byte{validBody, body("ss", "ssss", ""), body("ssss", "sss", ""), body("ddd", "ssss", ""), []byte("(oops"),
 		body("sss", "ssss", "(rules (drain-grace 9000))"), body("s", "s", "")}
 	rapid.Check(t, func(t *rapid.T) {
-		model := &guarantee{t: t, machine: NewMachine(MachineSettings{}, 3)}
+		checker := &invariantChecker{t: t, machine: NewMachine(MachineSettings{}, 3)}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			model.now += float64(rapid.IntRange(0, 40000).Draw(t, "pass"))
+			checker.now += float64(rapid.IntRange(0, 40000).Draw(t, "pass"))
 			switch rapid.IntRange(0, 6).Draw(t, "op") {
 			case 0, 1, 2:
 				version := New(int64(rapid.IntRange(0, 12).Draw(t, "number")), bodies[rapid.IntRange(0, len(bodies)-1).Draw(t, "body")])
 				if rapid.IntRange(0, 9).Draw(t, "damage") == 0 {
 					version.Body = append(slices.Clone(version.Body), '!')
 				}
-				model.handle(Offered{rapid.SampledFrom([]string{"a", "a", "a", "b"}).Draw(t, "service"), version})
+				checker.handle(Offered{rapid.SampledFrom([]string{"a", "a", "a", "b"}).Draw(t, "service"), version})
 			case 3:
-				model.handle(Disconnected{"a"})
+				checker.handle(Disconnected{"a"})
 			case 4:
-				if model.writing != nil {
+				if checker.writing != nil {
 					if rapid.Bool().Draw(t, "disk works") {
-						model.disk = model.writing
-						model.handle(Stored{Number: model.writing.Number})
+						checker.disk = checker.writing
+						checker.handle(Stored{Number: checker.writing.Number})
 					} else {
-						model.handle(Stored{model.writing.Number, errors.New("full")})
+						checker.handle(Stored{checker.writing.Number, errors.New("full")})
 					}
-					model.writing = nil
+					checker.writing = nil
 				}
 			case 5:
-				model.handle(Tick{})
+				checker.handle(Tick{})
 			case 6: // killed, at whatever point, and started again
-				if model.writing != nil && rapid.Bool().Draw(t, "the write was complete") {
-					model.disk = model.writing // on disk, and the machine was never notified
+				if checker.writing != nil && rapid.Bool().Draw(t, "the write was complete") {
+					checker.disk = checker.writing // on disk, and the machine was never notified
 				}
-				model.writing = nil
-				model.machine = NewMachine(MachineSettings{}, 4)
-				model.running = 0
-				if model.disk == nil || rapid.IntRange(0, 5).Draw(t, "store damaged") == 0 {
-					model.disk, model.highestAccepted = nil, 0 // quarantined: nothing is known of what was accepted
-					model.handle(Restored{Err: errors.New("damaged")})
+				checker.writing = nil
+				checker.machine = NewMachine(MachineSettings{}, 4)
+				checker.running = 0
+				if checker.disk == nil || rapid.IntRange(0, 5).Draw(t, "store damaged") == 0 {
+					checker.disk, checker.highestAccepted = nil, 0 // quarantined: nothing is known of what was accepted
+					checker.handle(Restored{Err: errors.New("damaged")})
 				} else {
-					model.handle(Restored{Version: *model.disk, Age: float64(rapid.IntRange(0, 1e6).Draw(t, "age"))})
+					checker.handle(Restored{Version: *checker.disk, Age: float64(rapid.IntRange(0, 1e6).Draw(t, "age"))})
 				}
 			}
 		}
--- a/internal/controlplane/configversion/record_test.go
+++ b/internal/controlplane/configversion/record_test.go
@@ -13,7 +13,7 @@
 	if age := test.machine.Age(1000); age != 0 || test.machine.Accepted().Number != 0 || test.machine.LeaseHolder() != "" {
 		t.Errorf("before the first version: age %v, accepted %d", age, test.machine.Accepted().Number)
 	}
-	test.offer("a", New(1, good)).offer("a", New(2, body("ssss", "ssss", "")))
+	test.offer("a", New(1, validBody)).offer("a", New(2, body("ssss", "ssss", "")))
 	test.offer("a", New(3, []byte("(oops")))
 	if test.machine.Accepted().Number != 2 || test.machine.LeaseHolder() != "a" {
 		t.Errorf("accepted %d, by %q", test.machine.Accepted().Number, test.machine.LeaseHolder())
@@ -25,7 +25,7 @@
 	if want := []string{"running", "accepted", "refused"}; !slices.Equal(states, want) {
 		t.Errorf("states %v, want %v", states, want)
 	}
-	test.pass(2000).wantRunning(2)
+	test.advance(2000).wantRunning(2)
 	if first := test.machine.Records()[0]; first.State.String() != "superseded" || first.ChangedAt != 2000 {
 		t.Errorf("%+v", first)
 	}
@@ -36,10 +36,10 @@
 
 // The oldest records are forgotten past the limit, but not that of the running version.
 func TestRecordsAreLimited(t *testing.T) {
-	test := &machineTest{t: t, machine: NewMachine(MachineSettings{MaxRecords: 3, MaxBytes: len(good) + 1000}, 1)}
-	test.offer("a", New(1, good))
+	test := &machineTest{t: t, machine: NewMachine(MachineSettings{MaxRecords: 3, MaxBytes: len(validBody) + 1000}, 1)}
+	test.offer("a", New(1, validBody))
 	for number := int64(2); number <= 6; number++ {
-		test.offer("a", New(number, []byte(strings.Repeat(" ", len(good)+1001)))).wantRejected("bytes, where")
+		test.offer("a", New(number, []byte(strings.Repeat(" ", len(validBody)+1001)))).wantRejected("bytes, where")
 	}
 	var numbers []int64
 	for _, record := range test.machine.Records() {
--- a/internal/controlplane/configversion/restore.go
+++ b/internal/controlplane/configversion/restore.go
@@ -14,14 +14,14 @@
 	}
 	m.restored = true
 	if event.Err != nil {
-		m.do(Warn{fmt.Sprintf("no last good configuration: %v; waiting for the service", event.Err)})
+		m.emit(Warn{fmt.Sprintf("no last good configuration: %v; waiting for the service", event.Err)})
 		return
 	}
 	version := event.Version
 	settings, reasons := m.parseAndCheck(nil, version)
 	if len(reasons) > 0 {
 		m.accepted = identity{max(m.accepted.number, version.Number), version.Sum}
-		m.do(Warn{fmt.Sprintf("the stored configuration %d does not pass the checks: %s; waiting for the service",
+		m.emit(Warn{fmt.Sprintf("the stored configuration %d does not pass the checks: %s; waiting for the service",
 			version.Number, reasons[0])})
 		return
 	}
@@ -32,9 +32,9 @@
 	m.record(version, StateRunning, "", nil)
 	isStale := event.Age >= m.settings.StaleAfter
 	if isStale {
-		m.do(Warn{fmt.Sprintf("configuration %d is stale: it was stored %.0f s ago", version.Number, event.Age/1000)})
+		m.emit(Warn{fmt.Sprintf("configuration %d is stale: it was stored %.0f s ago", version.Number, event.Age/1000)})
 	}
-	m.do(Activate{version, settings, isStale, m.listedFor(event, settings)})
+	m.emit(Activate{version, settings, isStale, m.listedFor(event, settings)})
 }
 
 // memberStart is one start of a member: another start number or address came back empty.
@@ -59,22 +59,22 @@
 func (m *Machine) listedFor(event Restored, settings *config.Settings) map[string]Millis {
 	spans := map[string]Millis{}
 	oldestAge := Millis(0) // of the oldest version in a row that has the member as it is now
-	unexplained := startsOf(settings.Members)
-	for i := len(event.Earlier) - 1; i >= 0 && len(unexplained) > 0; i-- {
+	unresolved := startsOf(settings.Members)
+	for i := len(event.Earlier) - 1; i >= 0 && len(unresolved) > 0; i-- {
 		earlier := &config.Settings{}
 		if config.ReadVersion("stored", string(event.Earlier[i].Version.Body), m.settings.Local, earlier) != nil {
 			break // one that can't be read says nothing of who was there
 		}
 		present := startsOf(earlier.Members)
-		for member := range unexplained {
+		for member := range unresolved {
 			if !present[member] {
 				spans[member.id] = oldestAge
-				delete(unexplained, member)
+				delete(unresolved, member)
 			}
 		}
 		oldestAge = max(event.Earlier[i].Age-event.Age, 0)
 	}
-	for member := range unexplained {
+	for member := range unresolved {
 		if member.start > 1 { // it has started anew some time: at the latest when the oldest was stored
 			spans[member.id] = oldestAge
 		}
--- a/internal/controlplane/configversion/restore_test.go
+++ b/internal/controlplane/configversion/restore_test.go
@@ -7,17 +7,17 @@
 )
 
 func TestRestart(t *testing.T) {
-	version := New(7, good)
+	version := New(7, validBody)
 	test := newMachineTest(t).handle(Restored{Version: version, Age: 5000})
 	if !hasAction(test, func(u Activate) bool { return u.Version.Number == 7 && !u.Stale }) {
 		t.Fatalf("%+v", test.actions)
 	}
-	test.offer("a", New(6, good)).wantRejected("older than 7") // a service that came back with an old state
-	test.pass(60000)
+	test.offer("a", New(6, validBody)).wantRejected("older than 7") // a service that came back with an old state
+	test.advance(60000)
 	if !hasAction(test, func(w Warn) bool { return strings.Contains(w.Text, "no service has confirmed it") }) || test.machine.Running() != 7 {
 		t.Errorf("%+v", test.actions)
 	}
-	test.offer("a", New(8, good)).wantAccepted(8)
+	test.offer("a", New(8, validBody)).wantAccepted(8)
 
 	test = newMachineTest(t).handle(Restored{Version: version, Age: 700000})
 	if !hasAction(test, func(u Activate) bool { return u.Stale }) {
@@ -27,23 +27,23 @@
 	if !hasAction[Warn](test, nil) || hasAction[Activate](test, nil) {
 		t.Errorf("%+v", test.actions)
 	}
-	test.offer("a", New(1, good)).wantRunning(1)
+	test.offer("a", New(1, validBody)).wantRunning(1)
 	test = newMachineTest(t).handle(Restored{Version: New(9, body("ddd", "ssss", ""))})
 	if hasAction[Activate](test, nil) {
 		t.Error("what does not pass the checks is run after a restart")
 	}
-	test.offer("a", New(8, good)).wantRejected("older than 9")
+	test.offer("a", New(8, validBody)).wantRejected("older than 9")
 }
 
 // After a restart, members that came with one of the last versions are known to
 // be young; those that were in the oldest are not.
-func TestUpAfterRestart(t *testing.T) {
+func TestListedForAfterRestart(t *testing.T) {
 	with := func(n int, members string) Version {
 		return New(int64(n), append(body("ss", "ssss", ""), members...))
 	}
 	const old = `(member old (zone z) (start 3) (address "127.0.0.1:3"))`
 	const late, anew = `(member late (zone z) (address "127.0.0.1:1"))`, `(member anew (zone z) (start 2) (address "127.0.0.1:2"))`
-	ages := func(step float64) Restored {
+	restoredAfter := func(step float64) Restored {
 		return Restored{Version: with(5, old+late+anew), Age: 100 + step, Earlier: []StoredVersion{
 			{with(2, old), 9000 + step},
 			{with(3, old+strings.Replace(anew, "start 2", "start 1", 1)), 5000 + step},
@@ -51,7 +51,7 @@
 	}
 	// Ages are by the wall clock, which may have been stepped since.
 	for _, step := range []float64{0, 3000, -3000, 3.6e6, -3.6e6} {
-		test := newMachineTest(t).handle(ages(step))
+		test := newMachineTest(t).handle(restoredAfter(step))
 		if !hasAction(test, func(u Activate) bool {
 			return len(u.ListedFor) == 3 && u.ListedFor["late"] == 600 && u.ListedFor["anew"] == 600 && u.ListedFor["old"] == 8900
 		}) {
@@ -59,7 +59,7 @@
 		}
 	}
 	// A version that seems to be younger than the one after it says nothing of its age.
-	back := ages(0)
+	back := restoredAfter(0)
 	back.Earlier[2].Age = -3.6e6
 	if test := newMachineTest(t).handle(back); !hasAction(test, func(u Activate) bool {
 		return u.ListedFor["late"] == 0 && u.ListedFor["anew"] == 0 && u.ListedFor["old"] == 8900
--- a/internal/controlplane/endpointcheck/listcheck.go
+++ b/internal/controlplane/endpointcheck/listcheck.go
@@ -31,7 +31,7 @@
 	Rehearse *RehearseOptions // play the change under load too; nil: don't
 }
 
-func (o Options) filled() Options {
+func (o Options) withDefaults() Options {
 	if o.Objects <= 0 {
 		o.Objects = 1000
 	}
@@ -46,15 +46,15 @@
 
 // Zone is what the change does to the requests of one zone's routers.
 type Zone struct {
-	Zone    string  `json:"zone"`
-	Asked   int     `json:"asked"`     // objects and parts
-	Moved   float64 `json:"moved"`     // share that goes to another cache, once all are warm
-	Parents float64 `json:"parents"`   // share of fills that goes to another parent, once all are warm
-	MB      float64 `json:"refill_mb"` // of what moved, of what was asked
-	LinkSec float64 `json:"link_s"`    // that takes the zone's link so long; 0: the link is not told
-	Refused int     `json:"refused"`   // of the requests at once after the change
-	Past    int     `json:"past"`      // and those that went past the caches
-	Members []Share `json:"members"`
+	Zone        string  `json:"zone"`
+	Requests    int     `json:"asked"`     // objects and parts
+	CacheMoved  float64 `json:"moved"`     // share that goes to another cache, once all are warm
+	ParentMoved float64 `json:"parents"`   // share of fills that goes to another parent, once all are warm
+	RefillMB    float64 `json:"refill_mb"` // of what moved, of what was asked
+	LinkSeconds float64 `json:"link_s"`    // that takes the zone's link so long; 0: the link is not told
+	Rejected    int     `json:"refused"`   // of the requests at once after the change
+	Bypassed    int     `json:"past"`      // and those that went past the caches
+	Members     []Share `json:"members"`
 }
 
 // Share is what a member is given of the requests, or of the fills.
@@ -77,8 +77,8 @@
 
 // Check judges a list, and against an old one what it would do. old may be empty.
 func Check(list, old []config.Source, o Options) (*Report, error) {
-	o = o.filled()
-	rep := &Report{}
+	o = o.withDefaults()
+	report := &Report{}
 	var before []byte
 	if len(old) > 0 {
 		b, reasons := service.Validate(old, nil, service.NoLimits())
@@ -89,122 +89,122 @@
 	}
 	after, reasons := service.Validate(list, before, o.Limits)
 	for _, r := range reasons {
-		rep.Reasons = append(rep.Reasons, r.String())
+		report.Reasons = append(report.Reasons, r.String())
 	}
 	if after == nil || before == nil {
-		return rep, nil
+		return report, nil
 	}
-	var was, is config.Settings
-	if err := errors.Join(config.ReadVersion("old", string(before), nil, &was), config.ReadVersion("new", string(after), nil, &is)); err != nil {
+	var oldSettings, newSettings config.Settings
+	if err := errors.Join(config.ReadVersion("old", string(before), nil, &oldSettings), config.ReadVersion("new", string(after), nil, &newSettings)); err != nil {
 		return nil, err
 	}
-	for _, s := range configversion.Diff(was.Members, is.Members) {
+	for _, s := range configversion.Diff(oldSettings.Members, newSettings.Members) {
 		line := s.Kind.String() + ":"
 		for _, m := range s.Members {
 			line += " " + m.ID
 		}
-		rep.Steps = append(rep.Steps, line)
+		report.Steps = append(report.Steps, line)
 	}
-	for _, z := range was.Zones {
+	for _, z := range oldSettings.Zones {
 		if z.Routers == 0 {
 			continue
 		}
-		one, err := tryZone(string(before), string(after), z.Name, o)
+		comparison, err := compareZone(string(before), string(after), z.Name, o)
 		if err != nil {
 			return nil, err
 		}
-		rep.Zones = append(rep.Zones, *one)
+		report.Zones = append(report.Zones, *comparison)
 	}
 	if o.Rehearse != nil {
 		var err error
-		if rep.Rehearsal, err = Rehearse(string(before), string(after), *o.Rehearse); err != nil {
+		if report.Rehearsal, err = Rehearse(string(before), string(after), *o.Rehearse); err != nil {
 			return nil, err
 		}
 	}
-	return rep, nil
+	return report, nil
 }
 
-// thing is an object, or a part of one.
-type thing struct {
+// sampleRequest is an object, or a part of one.
+type sampleRequest struct {
 	class, object string
 	part          int
-	kb            float64
+	sizeKB        float64
 }
 
-// tryZone asks a zone's router for the same things before the change, at once
+// compareZone asks a zone's router for the same things before the change, at once
 // after it, and when all who are new are warm.
-func tryZone(before, after, zone string, o Options) (*Zone, error) {
-	own := &config.Settings{}
-	if err := config.Read("own", fmt.Sprintf(`(router (zone %q)) (control (services "127.0.0.1:1") (start wait))`, zone), own); err != nil {
+func compareZone(before, after, zone string, o Options) (*Zone, error) {
+	local := &config.Settings{}
+	if err := config.Read("own", fmt.Sprintf(`(router (zone %q)) (control (services "127.0.0.1:1") (start wait))`, zone), local); err != nil {
 		return nil, err
 	}
 	var was, is config.Settings
-	if err := errors.Join(config.ReadVersion("old", before, own, &was), config.ReadVersion("new", after, own, &is)); err != nil {
+	if err := errors.Join(config.ReadVersion("old", before, local, &was), config.ReadVersion("new", after, local, &is)); err != nil {
 		return nil, err
 	}
-	a, err := NewSimulatedRouter(&was, o.Seed)
+	router, err := NewSimulatedRouter(&was, o.Seed)
 	if err != nil {
 		return nil, err
 	}
-	a.Apply(engine.UpdateFromSettings(&was))
-	things := draw(&was, o)
-	if len(things) == 0 {
+	router.Apply(engine.UpdateFromSettings(&was))
+	samples := drawSamples(&was, o)
+	if len(samples) == 0 {
 		return &Zone{Zone: zone}, nil
 	}
-	a.all(things) // so that ranges form
-	a.Advance(6000)
-	a.all(things)
-	a.Advance(25000) // and what moved with them is settled
-	first := a.all(things)
+	router.routeAll(samples) // so that ranges form
+	router.Advance(6000)
+	router.routeAll(samples)
+	router.Advance(25000) // and what moved with them is settled
+	placedBefore := router.routeAll(samples)
 	for _, s := range configversion.Diff(was.Members, is.Members) {
-		a.Apply(engine.UpdateFromVersion(1, s.Members, s.Kind == configversion.DeltaStarts))
+		router.Apply(engine.UpdateFromVersion(1, s.Members, s.Kind == configversion.DeltaStarts))
 	}
-	if _, err := a.c.ChangeSettings(a.now, &is, nil); err != nil {
+	if _, err := router.core.ChangeSettings(router.now, &is, nil); err != nil {
 		return nil, err
 	}
-	second := a.all(things)
-	a.Advance(max(is.Rules.ColdTime, is.Rules.ParentColdTime) + 25000)
-	third := a.all(things)
-	return compare(zone, &is, things, first, second, third), nil
+	placedAtOnce := router.routeAll(samples)
+	router.Advance(max(is.Rules.ColdTime, is.Rules.ParentColdTime) + 25000)
+	placedWarm := router.routeAll(samples)
+	return summarize(zone, &is, samples, placedBefore, placedAtOnce, placedWarm), nil
 }
 
-func draw(s *config.Settings, o Options) (out []thing) {
-	rng := rand.New(rand.NewPCG(o.Seed, 0x115c))
-	kb := map[string]float64{}
+func drawSamples(s *config.Settings, o Options) (samples []sampleRequest) {
+	random := rand.New(rand.NewPCG(o.Seed, 0x115c))
+	classKB := map[string]float64{}
 	for _, r := range s.Routes {
-		kb[r.Class] = r.KB
+		classKB[r.Class] = r.KB
 	}
 	for _, k := range s.Classes {
 		if k.Write {
 			continue
 		}
-		size := kb[k.Name]
+		size := classKB[k.Name]
 		if size <= 0 {
 			size = o.KB
 		}
 		for i := range o.Objects {
-			t := thing{k.Name, fmt.Sprintf("/%s/%d", k.Name, i), 0, size}
-			for out = append(out, t); k.Parts && rng.Float64() < 1-1/o.Parts; out = append(out, t) {
-				t.part++
+			sample := sampleRequest{k.Name, fmt.Sprintf("/%s/%d", k.Name, i), 0, size}
+			for samples = append(samples, sample); k.Parts && random.Float64() < 1-1/o.Parts; samples = append(samples, sample) {
+				sample.part++
 			}
 		}
 	}
-	return out
+	return samples
 }
 
-func (a *SimulatedRouter) all(things []thing) []Placement {
-	out := make([]Placement, len(things))
-	for i, t := range things {
-		out[i] = a.Route(spool.Request{Class: t.class, Object: t.object, Part: t.part, KB: t.kb})
+func (r *SimulatedRouter) routeAll(samples []sampleRequest) []Placement {
+	placements := make([]Placement, len(samples))
+	for i, t := range samples {
+		placements[i] = r.Route(spool.Request{Class: t.class, Object: t.object, Part: t.part, KB: t.sizeKB})
 	}
-	return out
+	return placements
 }
 
-func compare(zone string, s *config.Settings, things []thing, first, second, third []Placement) *Zone {
-	z := &Zone{Zone: zone, Asked: len(things)}
-	kind := map[string]string{}
+func summarize(zone string, s *config.Settings, samples []sampleRequest, before, atOnce, warm []Placement) *Zone {
+	z := &Zone{Zone: zone, Requests: len(samples)}
+	kinds := map[string]string{}
 	for _, m := range s.Members {
-		kind[m.ID] = m.Kind
+		kinds[m.ID] = m.Kind
 	}
 	type key struct{ member, role string }
 	shares := map[key]*Share{}
@@ -221,31 +221,31 @@
 			}
 		}
 	}
-	count(first, func(s *Share, x float64) { s.Before += x })
-	count(second, func(s *Share, x float64) { s.AtOnce += x })
-	count(third, func(s *Share, x float64) { s.Warm += x })
-	for i := range things {
-		if first[i].Cache != third[i].Cache {
-			z.Moved += 1 / float64(len(things))
-			z.MB += things[i].kb / 1024
+	count(before, func(s *Share, x float64) { s.Before += x })
+	count(atOnce, func(s *Share, x float64) { s.AtOnce += x })
+	count(warm, func(s *Share, x float64) { s.Warm += x })
+	for i := range samples {
+		if before[i].Cache != warm[i].Cache {
+			z.CacheMoved += 1 / float64(len(samples))
+			z.RefillMB += samples[i].sizeKB / 1024
 		}
-		if first[i].Source != third[i].Source {
-			z.Parents += 1 / float64(len(things))
+		if before[i].Source != warm[i].Source {
+			z.ParentMoved += 1 / float64(len(samples))
 		}
-		switch k := kind[second[i].Cache]; {
-		case second[i].Cache == "":
-			z.Refused++
+		switch k := kinds[atOnce[i].Cache]; {
+		case atOnce[i].Cache == "":
+			z.Rejected++
 		case k == s.Fill.ParentKind || k == s.Fill.OriginKind:
-			z.Past++
+			z.Bypassed++
 		}
 	}
 	for _, one := range s.Zones {
 		if one.Name == zone && one.LinkIn > 0 {
-			z.LinkSec = z.MB * 1024 / one.LinkIn / 1000
+			z.LinkSeconds = z.RefillMB * 1024 / one.LinkIn / 1000
 		}
 	}
-	for _, sh := range shares {
-		z.Members = append(z.Members, *sh)
+	for _, share := range shares {
+		z.Members = append(z.Members, *share)
 	}
 	sort.Slice(z.Members, func(i, j int) bool {
 		a, b := z.Members[i], z.Members[j]
@@ -256,19 +256,19 @@
 
 // Text writes a report for reading.
 func (r *Report) Text(w io.Writer) {
-	for _, one := range r.Reasons {
-		fmt.Fprintf(w, "refused: %s\n", one)
+	for _, reason := range r.Reasons {
+		fmt.Fprintf(w, "refused: %s\n", reason)
 	}
 	for _, s := range r.Steps {
 		fmt.Fprintf(w, "step: %s\n", s)
 	}
 	for _, z := range r.Zones {
 		fmt.Fprintf(w, "zone %s: of %d objects and parts %.1f %% go to another cache, %.1f %% of fills to another parent; %.1f MB to fill anew",
-			z.Zone, z.Asked, 100*z.Moved, 100*z.Parents, z.MB)
-		if z.LinkSec > 0 {
-			fmt.Fprintf(w, ", %.0f s of the zone's link", z.LinkSec)
+			z.Zone, z.Requests, 100*z.CacheMoved, 100*z.ParentMoved, z.RefillMB)
+		if z.LinkSeconds > 0 {
+			fmt.Fprintf(w, ", %.0f s of the zone's link", z.LinkSeconds)
 		}
-		fmt.Fprintf(w, "; at once %d refused or waiting, %d past the caches\n", z.Refused, z.Past)
+		fmt.Fprintf(w, "; at once %d refused or waiting, %d past the caches\n", z.Rejected, z.Bypassed)
 		t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 		for _, m := range z.Members {
 			fmt.Fprintf(t, "  %s\t%s\tbefore %.1f %%\tat once %.1f %%\twarm %.1f %%\n", m.Role, m.Member, 100*m.Before, 100*m.AtOnce, 100*m.Warm)
--- a/internal/controlplane/endpointcheck/listcheck_test.go
+++ b/internal/controlplane/endpointcheck/listcheck_test.go
@@ -8,7 +8,7 @@
 	"indigospool/internal/config"
 )
 
-const list = `(router (of 6)) (zone n (hub h) (routers 3) (link 20)) (zone s (hub h) (routers 3)) (zone h (hub h))
+const validList = `(router (of 6)) (zone n (hub h) (routers 3) (link 20)) (zone s (hub h) (routers 3)) (zone h (hub h))
 (fill (direct) (sizes) (siblings location) (flow 4))
 (class still) (class film (parts) (deadline 6000)) (class order (write))
 (route "/s/{object}" (class still)) (route "/v/{object}/{part}" (class film)) (route "/o/{object}" (class order))
@@ -43,12 +43,12 @@
 }
 
 func TestNothingChanged(t *testing.T) {
-	r := check(t, "; said otherwise\n"+list, list)
+	r := check(t, "; said otherwise\n"+validList, validList)
 	if len(r.Reasons)+len(r.Steps) != 0 || len(r.Zones) != 2 {
 		t.Fatalf("%+v", r)
 	}
 	for _, z := range r.Zones {
-		if z.Moved != 0 || z.Parents != 0 || z.MB != 0 || z.Asked < 400 || z.Refused > 0 {
+		if z.CacheMoved != 0 || z.ParentMoved != 0 || z.RefillMB != 0 || z.Requests < 400 || z.Rejected > 0 {
 			t.Errorf("%+v", z)
 		}
 	}
@@ -56,14 +56,14 @@
 
 // A drained parent moves its own fills and no others, in both zones; caches keep theirs.
 func TestParentDrains(t *testing.T) {
-	r := check(t, strings.Replace(list, "(member p2 ", "(member p2 (state draining) ", 1), list)
+	r := check(t, strings.Replace(validList, "(member p2 ", "(member p2 (state draining) ", 1), validList)
 	if len(r.Steps) != 1 || r.Steps[0] != "drains: p2" {
 		t.Errorf("%v", r.Steps)
 	}
 	for _, z := range r.Zones {
 		p2 := z.share("source", "p2")
-		if z.Moved != 0 || p2.Before < 0.2 || p2.AtOnce != 0 || p2.Warm != 0 || math.Abs(z.Parents-p2.Before) > 0.02 {
-			t.Errorf("%s: moved %v, fills %v, %+v", z.Zone, z.Moved, z.Parents, p2)
+		if z.CacheMoved != 0 || p2.Before < 0.2 || p2.AtOnce != 0 || p2.Warm != 0 || math.Abs(z.ParentMoved-p2.Before) > 0.02 {
+			t.Errorf("%s: moved %v, fills %v, %+v", z.Zone, z.CacheMoved, z.ParentMoved, p2)
 		}
 	}
 }
@@ -71,27 +71,27 @@
 // A new cache is given little at once, and its share when it is warm; the other
 // zone does not notice.
 func TestNewCache(t *testing.T) {
-	r := check(t, list+`(member n4 (zone n) (size 10) (address "127.0.0.1:9"))`, list)
+	r := check(t, validList+`(member n4 (zone n) (size 10) (address "127.0.0.1:9"))`, validList)
 	n, s := r.Zones[0], r.Zones[1]
 	n4 := n.share("cache", "n4")
-	if n4.Before != 0 || n4.AtOnce >= n4.Warm || n4.Warm < 0.15 || n.Moved < n4.Warm || n.LinkSec <= 0 {
+	if n4.Before != 0 || n4.AtOnce >= n4.Warm || n4.Warm < 0.15 || n.CacheMoved < n4.Warm || n.LinkSeconds <= 0 {
 		t.Errorf("%+v: %+v", n4, n)
 	}
-	if s.Moved != 0 || s.LinkSec != 0 {
+	if s.CacheMoved != 0 || s.LinkSeconds != 0 {
 		t.Errorf("the other zone: %+v", s)
 	}
 }
 
 func TestRefusedList(t *testing.T) {
-	r := check(t, strings.Replace(list, "(routers 3))", "(routers 9))", 1), "")
+	r := check(t, strings.Replace(validList, "(routers 3))", "(routers 9))", 1), "")
 	if len(r.Reasons) != 1 || !strings.Contains(r.Reasons[0], "raise (of n)") || len(r.Zones) > 0 {
 		t.Errorf("%+v", r)
 	}
-	r = check(t, strings.Replace(list, "(class still)", "(class still (aim 0))", 1), list)
+	r = check(t, strings.Replace(validList, "(class still)", "(class still (aim 0))", 1), validList)
 	if len(r.Reasons) == 0 || !strings.Contains(r.Reasons[0], "new.edn:3:") {
 		t.Errorf("%+v", r)
 	}
-	if _, err := Check([]config.Source{{File: "n", Text: list}}, []config.Source{{File: "old.edn", Text: "(router"}}, Options{}); err == nil ||
+	if _, err := Check([]config.Source{{File: "n", Text: validList}}, []config.Source{{File: "old.edn", Text: "(router"}}, Options{}); err == nil ||
 		!strings.Contains(err.Error(), "the old list does not stand by itself") {
 		t.Errorf("an old list that can't be read: %v", err)
 	}
--- a/internal/controlplane/rollout/comparison.go
+++ b/internal/controlplane/rollout/comparison.go
@@ -44,28 +44,28 @@
 	}
 }
 
-// serviceChange is how service has changed at several routers: each one's own change
+// inTimeChange is how service has changed at several routers: each one's own change
 // weighs by its requests since.
-type serviceChange struct{ weightedDrop, requests, requestsBefore float64 }
+type inTimeChange struct{ weightedDrop, requests, requestsBefore float64 }
 
-func (c *serviceChange) add(router *routerState) {
+func (c *inTimeChange) add(router *routerState) {
 	drop := router.before.inTimeShare() - router.since.inTimeShare()
 	c.weightedDrop += drop * router.since.requests
 	c.requests += router.since.requests
 	c.requestsBefore += router.before.requests
 }
 
-func (c *serviceChange) drop() float64 { return c.weightedDrop / max(c.requests, 1) }
+func (c *inTimeChange) drop() float64 { return c.weightedDrop / max(c.requests, 1) }
 
-// serviceDropped reports whether, and how, service at the routers that run the version
+// inTimeShareDropped reports whether, and how, service at the routers that run the version
 // has fallen against what it was before by more than it has at those outside of the
 // stage: zones differ, and what befalls all of them is not the version's doing.
-func (r *Rollout) serviceDropped(stage []string) (reason string, dropped bool) {
+func (r *Rollout) inTimeShareDropped(stage []string) (reason string, dropped bool) {
 	inStage := map[string]bool{}
 	for _, name := range stage {
 		inStage[name] = true
 	}
-	var atStage, atOthers serviceChange
+	var atStage, atOthers inTimeChange
 	for name, router := range r.routers {
 		if !router.connected || router.before.requests == 0 || router.since.requests == 0 {
 			continue
@@ -77,11 +77,11 @@
 			atOthers.add(router)
 		}
 	}
-	fewest := min(atStage.requests, atStage.requestsBefore, atOthers.requests, atOthers.requestsBefore)
-	if fewest < r.settings.MinRequests {
+	minRequests := min(atStage.requests, atStage.requestsBefore, atOthers.requests, atOthers.requestsBefore)
+	if minRequests < r.settings.MinRequests {
 		return "", false
 	}
-	if atStage.drop()-max(atOthers.drop(), 0) <= r.settings.MaxServiceDrop {
+	if atStage.drop()-max(atOthers.drop(), 0) <= r.settings.MaxInTimeDrop {
 		return "", false
 	}
 	return fmt.Sprintf("service in time at routers that run it is %.1f points of a hundred less than before, at the others %.1f",
--- a/internal/controlplane/rollout/rollout.go
+++ b/internal/controlplane/rollout/rollout.go
@@ -129,12 +129,12 @@
 	case LoadReport:
 		r.loadReport(event)
 	}
-	r.judge()
+	r.evaluate()
 	actions, r.actions = r.actions, nil
 	return actions
 }
 
-func (r *Rollout) do(action any) { r.actions = append(r.actions, action) }
+func (r *Rollout) emit(action any) { r.actions = append(r.actions, action) }
 
 // inProgress reports whether a version is being rolled out.
 func (r *Rollout) inProgress() bool { return r.state.Next.Number > 0 }
@@ -157,8 +157,8 @@
 	r.order.invalidate()
 	if event.Running > r.state.LastNumber {
 		r.state.LastNumber = event.Running
-		r.do(NumberAhead{event.Router, event.Running})
-		r.do(Persist{r.state})
+		r.emit(NumberAhead{event.Router, event.Running})
+		r.emit(Persist{r.state})
 	}
 	r.offer(event.Router)
 }
@@ -182,9 +182,9 @@
 	r.state.HaltReason = ""
 	if r.state.Base.Number == 0 || event.Force {
 		r.setBase(version)
-		r.do(Persist{r.state})
+		r.emit(Persist{r.state})
 		r.offerAll()
-		r.do(Completed{version.Number})
+		r.emit(Completed{version.Number})
 		return
 	}
 	r.state.Next = version
@@ -205,8 +205,8 @@
 	r.lastAccepted = r.now
 	r.stageBegan = r.now
 	r.order.invalidate()
-	r.do(Persist{r.state})
-	r.do(StageStarted{r.state.Next.Number, stage, len(r.stageRouters())})
+	r.emit(Persist{r.state})
+	r.emit(StageStarted{r.state.Next.Number, stage, len(r.stageRouters())})
 	r.offerAll()
 }
 
@@ -235,7 +235,7 @@
 		return
 	}
 	router.offered = version.Number
-	r.do(Offer{name, version})
+	r.emit(Offer{name, version})
 }
 
 // reoffer offers the base to those who rejected it a while ago: a full disk, or another
@@ -251,13 +251,13 @@
 	}
 }
 
-// answers are what the routers of a stage have made of its version.
-type answers struct {
+// stageResponses are what the routers of a stage have made of its version.
+type stageResponses struct {
 	accepted, rejected int
 	firstRejection     string // which router rejected the version, and why
 }
 
-func (r *Rollout) answers(stage []string) (result answers) {
+func (r *Rollout) countResponses(stage []string) (result stageResponses) {
 	number := r.state.Next.Number
 	for _, name := range stage {
 		router := r.routers[name]
@@ -278,8 +278,8 @@
 	return result
 }
 
-// judge halts a rollout, or goes on to its next stage.
-func (r *Rollout) judge() {
+// evaluate halts a rollout, or goes on to its next stage.
+func (r *Rollout) evaluate() {
 	if !r.inProgress() {
 		return
 	}
@@ -287,23 +287,23 @@
 	if len(stage) == 0 {
 		return // the stage waits for a router
 	}
-	result := r.answers(stage)
+	result := r.countResponses(stage)
 	total := float64(len(stage))
-	silent := float64(len(stage) - result.rejected - result.accepted)
+	unanswered := float64(len(stage) - result.rejected - result.accepted)
 	if float64(result.rejected) > r.settings.MaxRejectedShare*total {
 		r.halt(fmt.Sprintf("%d of %d routers refuse it; %s", result.rejected, len(stage), result.firstRejection))
 		return
 	}
-	tooManySilent := silent > r.settings.MaxSilentShare*total
-	if tooManySilent && r.now-r.stageBegan >= r.settings.AnswerTimeout {
-		r.halt(fmt.Sprintf("%.0f of %d routers have not answered in %.0f s", silent, len(stage), r.settings.AnswerTimeout/1000))
+	tooManyUnanswered := unanswered > r.settings.MaxSilentShare*total
+	if tooManyUnanswered && r.now-r.stageBegan >= r.settings.AnswerTimeout {
+		r.halt(fmt.Sprintf("%.0f of %d routers have not answered in %.0f s", unanswered, len(stage), r.settings.AnswerTimeout/1000))
 		return
 	}
-	if reason, dropped := r.serviceDropped(stage); dropped {
+	if reason, dropped := r.inTimeShareDropped(stage); dropped {
 		r.halt(reason)
 		return
 	}
-	if !tooManySilent && r.now-r.lastAccepted >= r.settings.MinStageTime {
+	if !tooManyUnanswered && r.now-r.lastAccepted >= r.settings.MinStageTime {
 		r.completeStage()
 	}
 }
@@ -317,8 +317,8 @@
 	number := r.state.Next.Number
 	r.setBase(r.state.Next)
 	r.restartComparison()
-	r.do(Persist{r.state})
-	r.do(Completed{number})
+	r.emit(Persist{r.state})
+	r.emit(Completed{number})
 }
 
 // halt stops a rollout: the old content is offered to all under a new number,
@@ -329,7 +329,7 @@
 	r.state.LastNumber++
 	r.setBase(configversion.New(r.state.LastNumber, r.state.Base.Body))
 	r.state.HaltReason = reason
-	r.do(Halted{number, reason})
-	r.do(Persist{r.state})
+	r.emit(Halted{number, reason})
+	r.emit(Persist{r.state})
 	r.offerAll()
 }
--- a/internal/controlplane/rollout/rollout_test.go
+++ b/internal/controlplane/rollout/rollout_test.go
@@ -26,24 +26,24 @@
 	return []byte(text.String())
 }
 
-var good = body("sss", "")
+var validBody = body("sss", "")
 
 // simulation is a rollout with routers' machines behind it, all in one.
 type simulation struct {
-	t         rapid.TB
-	rollout   *Rollout
-	now       configversion.Millis
-	routers   map[string]*configversion.Machine
-	served    func(router string, running int64) float64
-	actions   []any
-	persisted State
-	reject    map[string]bool
-	silent    map[string]bool
+	t           rapid.TB
+	rollout     *Rollout
+	now         configversion.Millis
+	routers     map[string]*configversion.Machine
+	inTimeShare func(router string, running int64) float64
+	actions     []any
+	persisted   State
+	reject      map[string]bool
+	silent      map[string]bool
 }
 
 func newSimulation(t rapid.TB, routers int) *simulation {
 	s := &simulation{t: t, rollout: New(Settings{}, State{}), routers: map[string]*configversion.Machine{},
-		served: func(string, int64) float64 { return 0.99 }, reject: map[string]bool{}, silent: map[string]bool{}}
+		inTimeShare: func(string, int64) float64 { return 0.99 }, reject: map[string]bool{}, silent: map[string]bool{}}
 	for i := range routers {
 		id := fmt.Sprintf("r%03d", i)
 		s.routers[id] = configversion.NewMachine(configversion.MachineSettings{}, uint64(i))
@@ -105,12 +105,12 @@
 	return answers
 }
 
-func (s *simulation) pass(span configversion.Millis) {
+func (s *simulation) advance(span configversion.Millis) {
 	for end := s.now + span; s.now < end; {
 		s.now += 1000
 		for id, machine := range s.routers {
 			machine.Handle(s.now, configversion.Heartbeat{Service: "svc"}, nil)
-			s.handle(LoadReport{id, 1000 * s.served(id, machine.Running()), 1000})
+			s.handle(LoadReport{id, 1000 * s.inTimeShare(id, machine.Running()), 1000})
 		}
 		s.handle(Tick{})
 	}
@@ -124,7 +124,7 @@
 	return n
 }
 
-func actionsOf[T any](s *simulation) (out []T) {
+func actionsOfType[T any](s *simulation) (out []T) {
 	for _, a := range s.actions {
 		if t, ok := a.(T); ok {
 			out = append(out, t)
@@ -135,40 +135,40 @@
 
 func TestStages(t *testing.T) {
 	sim := newSimulation(t, 50)
-	sim.handle(Push{Body: good})
-	sim.pass(2000)
+	sim.handle(Push{Body: validBody})
+	sim.advance(2000)
 	if sim.running()[1] != 50 {
 		t.Fatalf("the first version: %v", sim.running())
 	}
 	sim.handle(Push{Body: body("ssss", "")})
 	for _, want := range []int{1, 5, 50} {
-		sim.pass(5000)
+		sim.advance(5000)
 		if got := sim.running()[2]; got != want {
 			t.Fatalf("after %v: %d routers run the second, want %d", sim.now, got, want)
 		}
-		sim.pass(28000)
+		sim.advance(28000)
 	}
-	if f := actionsOf[Completed](sim); len(f) != 2 || f[1].Number != 2 {
+	if f := actionsOfType[Completed](sim); len(f) != 2 || f[1].Number != 2 {
 		t.Errorf("finished: %v", f)
 	}
 }
 
 func TestHaltedByRejection(t *testing.T) {
 	sim := newSimulation(t, 50)
-	sim.handle(Push{Body: good})
-	sim.pass(2000)
+	sim.handle(Push{Body: validBody})
+	sim.advance(2000)
 	for i := range 50 { // not in the first stage's one, surely in the second's five: all but one
 		id := fmt.Sprintf("r%03d", i)
 		sim.reject[id] = true
 	}
 	sim.handle(Push{Body: body("ssss", "")})
-	h := actionsOf[Halted](sim)
+	h := actionsOfType[Halted](sim)
 	if len(h) != 1 || h[0].Number != 2 || !strings.Contains(h[0].Reason, "its disk is full") {
 		t.Fatalf("halted: %+v", h)
 	}
 	clear(sim.reject)
 	sim.handle(Push{Body: body("ssss", "")})
-	sim.pass(120000)
+	sim.advance(120000)
 	if got := sim.running()[sim.persisted.LastNumber]; got != 50 {
 		t.Errorf("a version after that: %v", sim.running())
 	}
@@ -177,17 +177,17 @@
 // A version that the routers' own checks reject goes no further than one router.
 func TestInvalidVersionStopsAtOneRouter(t *testing.T) {
 	sim := newSimulation(t, 50)
-	sim.handle(Push{Body: good})
-	sim.pass(2000)
+	sim.handle(Push{Body: validBody})
+	sim.advance(2000)
 	sim.handle(Push{Body: body("ddd", "")})
-	sim.pass(60000)
+	sim.advance(60000)
 	offered := 0
-	for _, o := range actionsOf[Offer](sim) {
+	for _, o := range actionsOfType[Offer](sim) {
 		if o.Version.Number == 2 {
 			offered++
 		}
 	}
-	h := actionsOf[Halted](sim)
+	h := actionsOfType[Halted](sim)
 	if offered != 1 || len(h) != 1 || !strings.Contains(h[0].Reason, "none of its 3 caches is serving") {
 		t.Errorf("offered to %d, halted %+v", offered, h)
 	}
@@ -200,23 +200,23 @@
 // stage, and they get the old content under a new number.
 func TestHaltedByServiceDrop(t *testing.T) {
 	sim := newSimulation(t, 50)
-	sim.handle(Push{Body: good})
-	sim.pass(2000)
-	sim.served = func(_ string, running int64) float64 {
+	sim.handle(Push{Body: validBody})
+	sim.advance(2000)
+	sim.inTimeShare = func(_ string, running int64) float64 {
 		if running == 2 {
 			return 0.8
 		}
 		return 0.99
 	}
 	sim.handle(Push{Body: body("ssss", "")})
-	sim.pass(60000)
-	if h := actionsOf[Halted](sim); len(h) != 1 || !strings.Contains(h[0].Reason, "is 19.0 points of a hundred less than before, at the others 0.0") {
+	sim.advance(60000)
+	if h := actionsOfType[Halted](sim); len(h) != 1 || !strings.Contains(h[0].Reason, "is 19.0 points of a hundred less than before, at the others 0.0") {
 		t.Fatalf("halted: %+v", h)
 	}
 	if n := sim.running(); n[3] != 50 {
 		t.Errorf("running: %v", n)
 	}
-	if string(sim.persisted.Base.Body) != string(good) {
+	if string(sim.persisted.Base.Body) != string(validBody) {
 		t.Error("the old content is not what all are offered")
 	}
 }
@@ -224,16 +224,16 @@
 // A drop at all routers, and one from before the rollout, is not caused by the version.
 func TestNotHaltedWhenAllRoutersDrop(t *testing.T) {
 	sim := newSimulation(t, 50)
-	sim.served = func(id string, _ int64) float64 { // some zones are worse off than others
+	sim.inTimeShare = func(id string, _ int64) float64 { // some zones are worse off than others
 		return map[bool]float64{true: 0.6, false: 0.99}[id < "r025"]
 	}
-	sim.handle(Push{Body: good})
-	sim.pass(20000)
-	usual := sim.served
-	sim.served = func(id string, n int64) float64 { return usual(id, n) - 0.2 }
+	sim.handle(Push{Body: validBody})
+	sim.advance(20000)
+	usual := sim.inTimeShare
+	sim.inTimeShare = func(id string, n int64) float64 { return usual(id, n) - 0.2 }
 	sim.handle(Push{Body: body("ssss", "")})
-	sim.pass(120000)
-	if h := actionsOf[Halted](sim); len(h) != 0 || sim.running()[2] != 50 {
+	sim.advance(120000)
+	if h := actionsOfType[Halted](sim); len(h) != 0 || sim.running()[2] != 50 {
 		t.Errorf("halted: %+v; %v", h, sim.running())
 	}
 }
@@ -242,19 +242,19 @@
 func TestStateLost(t *testing.T) {
 	sim := newSimulation(t, 6)
 	for range 4 {
-		sim.handle(Push{Body: good, Force: true})
+		sim.handle(Push{Body: validBody, Force: true})
 		sim.handle(Push{Body: body("ssss", ""), Force: true})
 	}
-	sim.pass(2000)
+	sim.advance(2000)
 	sim.rollout, sim.persisted = New(Settings{}, State{}), State{}
 	for id, m := range sim.routers {
 		sim.handle(Connected{id, m.HighestAccepted()})
 	}
-	if a := actionsOf[NumberAhead](sim); len(a) != 1 || a[0].Number != 8 {
+	if a := actionsOfType[NumberAhead](sim); len(a) != 1 || a[0].Number != 8 {
 		t.Errorf("%+v", a)
 	}
-	sim.handle(Push{Body: good, Force: true})
-	sim.pass(2000)
+	sim.handle(Push{Body: validBody, Force: true})
+	sim.advance(2000)
 	if sim.running()[9] != 6 {
 		t.Errorf("%v", sim.running())
 	}
@@ -262,27 +262,27 @@
 
 func TestHaltedByHand(t *testing.T) {
 	sim := newSimulation(t, 50)
-	sim.handle(Push{Body: good})
+	sim.handle(Push{Body: validBody})
 	sim.handle(Halt{"nothing is under way"})
 	sim.handle(Push{Body: body("ssss", "")})
-	sim.pass(2000)
+	sim.advance(2000)
 	sim.handle(Halt{"by hand"})
-	sim.pass(2000)
-	if h := actionsOf[Halted](sim); len(h) != 1 || sim.running()[3] != 50 || string(sim.persisted.Base.Body) != string(good) {
+	sim.advance(2000)
+	if h := actionsOfType[Halted](sim); len(h) != 1 || sim.running()[3] != 50 || string(sim.persisted.Base.Body) != string(validBody) {
 		t.Errorf("%+v, %v", h, sim.running())
 	}
 }
 
 func TestHaltedByAnswerTimeout(t *testing.T) {
 	sim := newSimulation(t, 50)
-	sim.handle(Push{Body: good})
-	sim.pass(2000)
+	sim.handle(Push{Body: validBody})
+	sim.advance(2000)
 	for id := range sim.routers {
 		sim.silent[id] = true
 	}
 	sim.handle(Push{Body: body("ssss", "")})
-	sim.pass(130000)
-	if h := actionsOf[Halted](sim); len(h) != 1 || !strings.Contains(h[0].Reason, "have not answered") {
+	sim.advance(130000)
+	if h := actionsOfType[Halted](sim); len(h) != 1 || !strings.Contains(h[0].Reason, "have not answered") {
 		t.Errorf("halted: %+v", h)
 	}
 }
@@ -293,13 +293,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation(t, 6)
 		contents := map[int64]string{}
-		bodies := [][]byte{good, body("ssss", ""), body("ss", ""), body("ddd", "")}
+		bodies := [][]byte{validBody, body("ssss", ""), body("ss", ""), body("ddd", "")}
 		for range rapid.IntRange(1, 8).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "op") {
 			case 0, 1:
 				sim.handle(Push{Body: bodies[rapid.IntRange(0, 3).Draw(t, "body")], Force: rapid.IntRange(0, 5).Draw(t, "force") == 0})
 			case 2:
-				sim.pass(float64(rapid.IntRange(1, 12).Draw(t, "pass")) * 1000)
+				sim.advance(float64(rapid.IntRange(1, 12).Draw(t, "pass")) * 1000)
 			case 3:
 				sim.rollout = New(Settings{}, sim.persisted)
 				for id, m := range sim.routers {
@@ -307,14 +307,14 @@
 				}
 			}
 		}
-		for _, o := range actionsOf[Offer](sim) {
+		for _, o := range actionsOfType[Offer](sim) {
 			if was, ok := contents[o.Version.Number]; ok && was != o.Version.Sum {
 				t.Fatalf("number %d was given to two contents", o.Version.Number)
 			}
 			contents[o.Version.Number] = o.Version.Sum
 		}
-		sim.handle(Push{Body: good, Force: true})
-		sim.pass(3000)
+		sim.handle(Push{Body: validBody, Force: true})
+		sim.advance(3000)
 		if n := sim.running(); n[sim.persisted.LastNumber] != 6 {
 			t.Fatalf("not all run the same after a forced push of %d: %v", sim.persisted.LastNumber, n)
 		}
@@ -324,15 +324,15 @@
 // A router whose disk was full for a while comes to run what the others run.
 func TestReoffered(t *testing.T) {
 	sim := newSimulation(t, 6)
-	sim.handle(Push{Body: good})
+	sim.handle(Push{Body: validBody})
 	sim.reject["r003"] = true
 	sim.handle(Push{Body: body("ssss", ""), Force: true})
-	sim.pass(10000)
+	sim.advance(10000)
 	if n := sim.running(); n[2] != 5 {
 		t.Fatalf("%v", n)
 	}
 	clear(sim.reject)
-	sim.pass(65000)
+	sim.advance(65000)
 	if n := sim.running(); n[2] != 6 {
 		t.Errorf("%v", n)
 	}
@@ -341,10 +341,10 @@
 // Not always the same routers go first.
 func TestFirstRoutersVary(t *testing.T) {
 	sim := newSimulation(t, 50)
-	sim.handle(Push{Body: good})
+	sim.handle(Push{Body: validBody})
 	first := map[string]bool{}
 	for i := range 12 {
-		sim.pass(2000)
+		sim.advance(2000)
 		before := len(sim.actions)
 		sim.handle(Push{Body: body("sss", fmt.Sprintf("; %d", i))})
 		if k := slices.IndexFunc(sim.actions[before:], func(a any) bool { _, ok := a.(Offer); return ok }); k >= 0 {
--- a/internal/controlplane/rollout/settings.go
+++ b/internal/controlplane/rollout/settings.go
@@ -20,10 +20,10 @@
 	// MaxSilentShare is the share of a stage's routers that may stay without an answer.
 	// Default 0.05.
 	MaxSilentShare float64
-	// MaxServiceDrop is by how much the share of requests served in time may fall at
+	// MaxInTimeDrop is by how much the share of requests served in time may fall at
 	// routers that run the version, against the others; it is halted above that.
 	// Default 0.05.
-	MaxServiceDrop float64
+	MaxInTimeDrop float64
 	// ReofferAfter is when a router that rejected what all routers run is offered it again.
 	// Default 60000 ms.
 	ReofferAfter configversion.Millis
@@ -46,8 +46,8 @@
 	if s.MaxSilentShare <= 0 {
 		s.MaxSilentShare = 0.05
 	}
-	if s.MaxServiceDrop <= 0 {
-		s.MaxServiceDrop = 0.05
+	if s.MaxInTimeDrop <= 0 {
+		s.MaxInTimeDrop = 0.05
 	}
 	if s.ReofferAfter <= 0 {
 		s.ReofferAfter = 60000
--- a/internal/controlplane/service/admin_test.go
+++ b/internal/controlplane/service/admin_test.go
@@ -28,7 +28,7 @@
 		}
 		return result
 	}
-	eventually(t, "the stream", func() bool { return len(service.View().Routers) == 1 })
+	waitFor(t, "the stream", func() bool { return len(service.View().Routers) == 1 })
 	if result := push("/push?now&name=a.edn", string(settingsText(3, "")), 200); result.Number != 1 || !result.Created {
 		t.Errorf("%+v", result)
 	}
@@ -49,11 +49,11 @@
 	if result = push("/push?now&unchecked", "(oops", 200); result.Number != 3 {
 		t.Errorf("%+v", result)
 	}
-	eventually(t, "the rejection", func() bool { router := service.View().Routers[0]; return router.Rejected == 3 && router.Running == 2 })
+	waitFor(t, "the rejection", func() bool { router := service.View().Routers[0]; return router.Rejected == 3 && router.Running == 2 })
 	if result = push("/rollback?to=1&now", "", 200); result.Number != 4 {
 		t.Errorf("%+v", result)
 	}
-	eventually(t, "the old content", allRunning([]*testRouter{router}, 4))
+	waitFor(t, "the old content", allRunning([]*testRouter{router}, 4))
 	push("/rollback?to=99", "", 404)
 	push("/rollback", "", 400)
 	if code, body := adminRequest(t, service, "GET", "/version?number=4", ""); code != 200 || !bytes.Equal(body, canonical(t, 3, "")) {
--- a/internal/controlplane/service/agent_test.go
+++ b/internal/controlplane/service/agent_test.go
@@ -33,7 +33,7 @@
 				defer store.Close()
 				router := startRouter(t, false, "r", 1, store, addr)
 				server.PushUnchecked(settingsText(3, ""), true)
-				eventually(t, "version 1", allRunning([]*testRouter{router}, 1))
+				waitFor(t, "version 1", allRunning([]*testRouter{router}, 1))
 				files.setFault(errno)
 				server.PushUnchecked(settingsText(4, ""), false)
 				time.Sleep(500 * time.Millisecond)
@@ -45,8 +45,8 @@
 					t.Errorf("%+v", status)
 				}
 				files.setFault(nil)
-				eventually(t, "version 2", allRunning([]*testRouter{router}, 2))
-				eventually(t, "its acknowledgement", func() bool { return server.Status().Routers[0].Running == 2 })
+				waitFor(t, "version 2", allRunning([]*testRouter{router}, 2))
+				waitFor(t, "its acknowledgement", func() bool { return server.Status().Routers[0].Running == 2 })
 				if status := router.Status(); status.NotStored != 0 || status.StoreFault != nil {
 					t.Errorf("%+v", status)
 				}
@@ -70,16 +70,16 @@
 	defer store.Close()
 	router := startRouterWith(t, AgentConfig{Router: "r", Services: []string{addr}, Store: store, StoreTimeout: 200 * time.Millisecond, Machine: configversion.MachineSettings{Jitter: 50}})
 	server.PushUnchecked(settingsText(3, ""), true)
-	eventually(t, "version 1", allRunning([]*testRouter{router}, 1))
+	waitFor(t, "version 1", allRunning([]*testRouter{router}, 1))
 	files.setFault(syscall.ENOSPC)
 	server.PushUnchecked(settingsText(4, ""), true)
-	eventually(t, "the rejection", func() bool {
+	waitFor(t, "the rejection", func() bool {
 		status := server.Status().Routers[0]
 		return status.Rejected == 2 && len(status.Reasons) == 1 && strings.Contains(status.Reasons[0], "no space left")
 	})
 	files.setFault(nil)
 	server.PushUnchecked(settingsText(4, ""), true)
-	eventually(t, "version 3", allRunning([]*testRouter{router}, 3))
+	waitFor(t, "version 3", allRunning([]*testRouter{router}, 3))
 }
 
 // A router that has nothing to run does not wait for its disk: it runs what is
@@ -108,7 +108,7 @@
 		t.Errorf("%+v", status)
 	}
 	files.setFault(nil)
-	eventually(t, "the stored version", allRunning([]*testRouter{alone}, 1))
+	waitFor(t, "the stored version", allRunning([]*testRouter{alone}, 1))
 	alone.Close()
 
 	files.setFault(syscall.ENOSPC)
@@ -118,13 +118,13 @@
 	}
 	defer emptyStore.Close()
 	router := startRouter(t, false, "r", 1, emptyStore, addr)
-	eventually(t, "the version", allRunning([]*testRouter{router}, 1))
+	waitFor(t, "the version", allRunning([]*testRouter{router}, 1))
 	time.Sleep(100 * time.Millisecond)
 	if status := server.Status().Routers[0]; status.Running != 0 {
 		t.Errorf("acknowledged before it is stored: %+v", status)
 	}
 	files.setFault(nil)
-	eventually(t, "its acknowledgement", func() bool { return server.Status().Routers[0].Running == 1 })
+	waitFor(t, "its acknowledgement", func() bool { return server.Status().Routers[0].Running == 1 })
 	if v, _, err := emptyStore.Last(); err != nil || v.Number != 1 {
 		t.Errorf("stored: %d, %v", v.Number, err)
 	}
@@ -143,10 +143,10 @@
 		}
 		router := startRouter(t, full, "r", 1, store, addr)
 		server.PushUnchecked(settingsText(3, ""), true)
-		eventually(t, "version 1", allRunning([]*testRouter{router}, 1))
+		waitFor(t, "version 1", allRunning([]*testRouter{router}, 1))
 		past := stateStore.get()
 		server.PushUnchecked(settingsText(4, ""), true)
-		eventually(t, "version 2", allRunning([]*testRouter{router}, 2))
+		waitFor(t, "version 2", allRunning([]*testRouter{router}, 2))
 		router.Close()
 		store.Close()
 		server.Stop()
@@ -160,7 +160,7 @@
 		}
 		server, _ = startServer(t, addr, &memoryStateStore{state: past}, 50)
 		server.PushUnchecked(settingsText(5, ""), true) // it believes that this is number 2
-		eventually(t, "the rejection", func() bool {
+		waitFor(t, "the rejection", func() bool {
 			status := server.Status().Routers
 			return len(status) == 1 && status[0].Rejected == 2 && strings.Contains(strings.Join(status[0].Reasons, " "), "other content")
 		})
@@ -168,7 +168,7 @@
 			t.Errorf("runs %d", n)
 		}
 		server.PushUnchecked(settingsText(5, ""), true)
-		eventually(t, "the next number", allRunning([]*testRouter{router}, 3))
+		waitFor(t, "the next number", allRunning([]*testRouter{router}, 3))
 	})
 }
 
@@ -191,17 +191,17 @@
 	lease := 3 * time.Second
 	router := startRouterWith(t, AgentConfig{Router: "r", Services: []string{firstAddr, listener.Addr().String()}, HeartbeatInterval: 50 * time.Millisecond,
 		Machine: configversion.MachineSettings{Jitter: 50, Lease: float64(lease.Milliseconds())}})
-	eventually(t, "version 1 of the first", allRunning([]*testRouter{router}, 1))
+	waitFor(t, "version 1 of the first", allRunning([]*testRouter{router}, 1))
 	first.Stop()
 	stoppedAt := time.Now()
-	eventually(t, "the rejection at the other", func() bool { status := second.Status().Routers; return len(status) == 1 && status[0].Rejected == 20 })
+	waitFor(t, "the rejection at the other", func() bool { status := second.Status().Routers; return len(status) == 1 && status[0].Rejected == 20 })
 	if n, _ := router.Running(); n != 1 {
 		t.Errorf("flapped to %d while the first was silent for less than its lease", n)
 	}
 	if status := second.Status().Routers; !strings.Contains(strings.Join(status[0].Reasons, " "), "is in charge") {
 		t.Errorf("the other has the reasons %q", status[0].Reasons)
 	}
-	eventually(t, "the other in charge", allRunning([]*testRouter{router}, 20))
+	waitFor(t, "the other in charge", allRunning([]*testRouter{router}, 20))
 	if took := time.Since(stoppedAt); took < lease*9/10 {
 		t.Errorf("the other was believed after %v", took)
 	}
@@ -225,7 +225,7 @@
 		}
 		server.PushUnchecked(settingsText(3, ""), true)
 		router, store := start(path, 3.6e6)
-		eventually(t, "version 1", allRunning([]*testRouter{router}, 1))
+		waitFor(t, "version 1", allRunning([]*testRouter{router}, 1))
 		router.Close()
 		store.Close()
 		stored, err := os.ReadFile(path)
@@ -235,7 +235,7 @@
 		os.WriteFile(before, stored, 0o600)
 		router, store = start(path, 3.6e6)
 		server.PushUnchecked(settingsText(4, ""), true)
-		eventually(t, "the acknowledgement of version 2", func() bool { return server.Status().Routers[0].Running == 2 })
+		waitFor(t, "the acknowledgement of version 2", func() bool { return server.Status().Routers[0].Running == 2 })
 		if n, _ := router.Running(); n != 1 {
 			t.Fatalf("version %d is in use before its time", n)
 		}
@@ -254,6 +254,6 @@
 		if n, _ := router.Running(); n != 1 {
 			t.Errorf("killed before the disk: runs %d", n)
 		}
-		eventually(t, "version 2, offered again", allRunning([]*testRouter{router}, 2))
+		waitFor(t, "version 2, offered again", allRunning([]*testRouter{router}, 2))
 	})
 }
--- a/internal/controlplane/service/agentstream.go
+++ b/internal/controlplane/service/agentstream.go
@@ -69,7 +69,7 @@
 // that double, each by chance of the seed: a fleet that lost its service does not come
 // back at once.
 func (a *Agent) followServices() {
-	chance := rand.New(rand.NewPCG(a.cfg.Seed, 0xa9e7))
+	random := rand.New(rand.NewPCG(a.cfg.Seed, 0xa9e7))
 	backoff := a.cfg.Backoff
 	next := 0
 	for a.ctx.Err() == nil {
@@ -92,7 +92,7 @@
 		a.mu.Unlock()
 		a.cfg.Warn(fmt.Sprintf("stream of control service %s ended: %v", address, err))
 		select {
-		case <-time.After(time.Duration(float64(backoff) * (0.5 + chance.Float64()))):
+		case <-time.After(time.Duration(float64(backoff) * (0.5 + random.Float64()))):
 		case <-a.ctx.Done():
 		}
 		backoff = min(2*backoff, maxBackoffFactor*a.cfg.Backoff)
--- a/internal/controlplane/service/certificates_test.go
+++ b/internal/controlplane/service/certificates_test.go
@@ -101,7 +101,7 @@
 		router := &testRouter{}
 		router.Agent = StartAgent(AgentConfig{Router: strings.TrimSuffix(filepath.Base(certificates.Cert), ".pem"), Services: []string{listener.Addr().String()}, Backoff: 20 * time.Millisecond,
 			DialOptions: []grpc.DialOption{grpc.WithTransportCredentials(certificates.ClientCredentials(service))},
-			OnActivate:  func(configversion.Activate) { router.uses.Add(1) },
+			OnActivate:  func(configversion.Activate) { router.activations.Add(1) },
 			Warn:        router.warn})
 		t.Cleanup(router.Close)
 		return router
@@ -116,7 +116,7 @@
 		}
 	}
 	router := connect(good.certificateFiles(dir, "r1", "r1", time.Hour), "control.example.org")
-	eventually(t, "a router with a good certificate", allRunning([]*testRouter{router}, 1))
+	waitFor(t, "a router with a good certificate", allRunning([]*testRouter{router}, 1))
 	for _, c := range []struct {
 		name, want string
 		files      *CertificateFiles
@@ -127,8 +127,8 @@
 		{"wrong authority", "signed by unknown authority", other.certificateFiles(dir, "r4", "r4", time.Hour), "control.example.org"},
 	} {
 		bad := connect(c.files, c.service)
-		eventually(t, c.name, warned(bad, c.want))
-		if n := bad.uses.Load(); n > 0 {
+		waitFor(t, c.name, warned(bad, c.want))
+		if n := bad.activations.Load(); n > 0 {
 			t.Errorf("%s: a version came through", c.name)
 		}
 		bad.Close()
@@ -136,15 +136,15 @@
 	// a good certificate speaks for its own router only
 	impostor := startRouterWith(t, AgentConfig{Router: "r9", Services: []string{listener.Addr().String()},
 		DialOptions: []grpc.DialOption{grpc.WithTransportCredentials(good.certificateFiles(dir, "r1", "r1", time.Hour).ClientCredentials("control.example.org"))}})
-	eventually(t, "another router's name", warned(impostor, `does not speak for router "r9"`))
+	waitFor(t, "another router's name", warned(impostor, `does not speak for router "r9"`))
 	impostor.Close()
 	// the expired router gets a new certificate, and comes in without a restart
 	renewed := good.certificateFiles(dir, "r5", "r5", -time.Hour)
 	renewedRouter := connect(renewed, "control.example.org")
-	eventually(t, "its rejection", warned(renewedRouter, `certificate of "r5"`))
+	waitFor(t, "its rejection", warned(renewedRouter, `certificate of "r5"`))
 	time.Sleep(20 * time.Millisecond) // another time of change
 	good.issue(renewed, "r5", time.Hour)
-	eventually(t, "the renewed router", allRunning([]*testRouter{renewedRouter}, 1))
+	waitFor(t, "the renewed router", allRunning([]*testRouter{renewedRouter}, 1))
 }
 
 // Files that can't be read leave the certificates read before in force.
--- a/internal/controlplane/service/delta_test.go
+++ b/internal/controlplane/service/delta_test.go
@@ -47,13 +47,13 @@
 	router := startRouter(t, false, "r", 1, nil, listener.Addr().String())
 	first, second := canonical(t, 300, ""), canonical(t, 301, "")
 	server.PushUnchecked(first, true)
-	eventually(t, "version 1", allRunning([]*testRouter{router}, 1))
+	waitFor(t, "version 1", allRunning([]*testRouter{router}, 1))
 	complete := sent.sent.Swap(0)
 	if complete < int64(len(first)) {
 		t.Fatalf("%d bytes were sent of a version of %d", complete, len(first))
 	}
 	server.PushUnchecked(second, true)
-	eventually(t, "version 2", allRunning([]*testRouter{router}, 2))
+	waitFor(t, "version 2", allRunning([]*testRouter{router}, 2))
 	if n := sent.sent.Swap(0); n > 400 {
 		t.Errorf("one more member took %d bytes; the complete settings take %d", n, len(second))
 	}
@@ -65,12 +65,12 @@
 		status.cancel(errors.New("cut by the test"))
 	}
 	server.mu.Unlock()
-	eventually(t, "the stream again", func() bool {
+	waitFor(t, "the stream again", func() bool {
 		status := server.Status().Routers
 		return len(status) == 1 && status[0].Connected && router.streaming()
 	})
 	server.PushUnchecked(canonical(t, 300, ""), true)
-	eventually(t, "version 3", allRunning([]*testRouter{router}, 3))
+	waitFor(t, "version 3", allRunning([]*testRouter{router}, 3))
 	if n := sent.sent.Swap(0); n > 800 {
 		t.Errorf("after a reconnect, one member less took %d bytes", n)
 	}
@@ -83,9 +83,9 @@
 	server, addr := startServer(t, "127.0.0.1:0", stateStore, 50)
 	router := startRouter(t, false, "r", 1, nil, addr)
 	server.PushUnchecked(canonical(t, 30, ""), true)
-	eventually(t, "version 1", allRunning([]*testRouter{router}, 1))
+	waitFor(t, "version 1", allRunning([]*testRouter{router}, 1))
 	server.PushUnchecked(canonical(t, 31, ""), true)
-	eventually(t, "version 2", allRunning([]*testRouter{router}, 2))
+	waitFor(t, "version 2", allRunning([]*testRouter{router}, 2))
 	mismatched := &mismatchedServer{first: canonical(t, 31, ""), next: configversion.New(3, canonical(t, 32, ""))}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -96,7 +96,7 @@
 	go grpcServer.Serve(listener)
 	defer grpcServer.Stop()
 	router = startRouter(t, false, "r", 1, nil, listener.Addr().String())
-	eventually(t, "the complete settings, in the second stream", allRunning([]*testRouter{router}, 3))
+	waitFor(t, "the complete settings, in the second stream", allRunning([]*testRouter{router}, 3))
 	if n := mismatched.streams.Load(); n != 2 {
 		t.Errorf("%d streams, want 2", n)
 	}
--- a/internal/controlplane/service/folder_test.go
+++ b/internal/controlplane/service/folder_test.go
@@ -34,7 +34,7 @@
 		t.Errorf("read again after %v", delay)
 	}
 	files.setFault(nil)
-	eventually(t, "the service", func() bool { return service.View().StateFault == "" })
+	waitFor(t, "the service", func() bool { return service.View().StateFault == "" })
 	service.offerFolder()
 	if v := service.View(); v.Last != 2 {
 		t.Errorf("the folder's content was not offered: %+v", v)
@@ -63,17 +63,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the folder's first version", func() bool { return service.View().Base == 1 })
+	waitFor(t, "the folder's first version", func() bool { return service.View().Base == 1 })
 	write("20-members.edn", text[firstMember:]+"(member oops (zone nowhere) (address \"127.0.0.1:1\"))")
-	eventually(t, "the fault with its file", func() bool {
+	waitFor(t, "the fault with its file", func() bool {
 		return len(logs.Filter(func(e observer.LoggedEntry) bool {
 			return strings.Contains(e.Message, "20-members.edn:4:") && strings.Contains(e.Message, `"nowhere" is no zone`)
 		}).All()) == 1
 	})
 	write("20-members.edn", text[firstMember:]+"(member more (zone z) (address \"127.0.0.1:1\"))")
-	eventually(t, "the second", func() bool { return service.View().Last == 2 })
+	waitFor(t, "the second", func() bool { return service.View().Last == 2 })
 	service.Halt("by the test") // no router is there: it is in its first stage
-	eventually(t, "the old content as a third", func() bool { v := service.View(); return v.Base == 3 && v.Next == 0 })
+	waitFor(t, "the old content as a third", func() bool { v := service.View(); return v.Base == 3 && v.Next == 0 })
 	service.Close()
 	if service, err = startService(dir, fmt.Sprintf("(folder %q)", folder), zap.NewNop()); err != nil {
 		t.Fatal(err)
@@ -84,5 +84,5 @@
 		t.Errorf("a halted content came back by itself: %+v", v)
 	}
 	write("30-more.edn", "(limits (held 777))")
-	eventually(t, "the next change", func() bool { return service.View().Last == 4 })
+	waitFor(t, "the next change", func() bool { return service.View().Last == 4 })
 }
--- a/internal/controlplane/service/harness_test.go
+++ b/internal/controlplane/service/harness_test.go
@@ -167,9 +167,9 @@
 // testRouter is an agent that counts the versions it is to run and its warnings.
 type testRouter struct {
 	*Agent
-	uses     atomic.Int64
-	mu       sync.Mutex
-	warnings []string
+	activations atomic.Int64
+	mu          sync.Mutex
+	warnings    []string
 }
 
 // startRouter starts an agent; full selects the state-of-the-world protocol.
@@ -184,15 +184,15 @@
 	if cfg.DialOptions == nil {
 		cfg.DialOptions = []grpc.DialOption{grpc.WithTransportCredentials(insecure.NewCredentials())}
 	}
-	cfg.OnActivate = func(configversion.Activate) { router.uses.Add(1) }
+	cfg.OnActivate = func(configversion.Activate) { router.activations.Add(1) }
 	cfg.Warn = router.warn
 	router.Agent = StartAgent(cfg)
 	t.Cleanup(router.Close)
 	return router
 }
 
-// eventually waits for a condition, 15 s at the longest.
-func eventually(t testing.TB, what string, ok func() bool) {
+// waitFor waits for a condition, 15 s at the longest.
+func waitFor(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for range 1500 {
 		if ok() {
--- a/internal/controlplane/service/server.go
+++ b/internal/controlplane/service/server.go
@@ -263,8 +263,8 @@
 		return 0, false, &RejectedError{reasons}
 	}
 	sameContent := newest.Number > 0 && newest.Sum == configversion.Checksum(body)
-	hastens := immediate && state.Next.Number > 0 // the version is in its stages, and is to go to all
-	if sameContent && !hastens {
+	skipsStages := immediate && state.Next.Number > 0 // the version is in its stages, and is to go to all
+	if sameContent && !skipsStages {
 		return newest.Number, false, nil
 	}
 	number, err = s.pushLocked(body, immediate)
--- a/internal/controlplane/service/service.go
+++ b/internal/controlplane/service/service.go
@@ -84,7 +84,7 @@
 // openStore opens the store of a service. One that was damaged is logged and begun
 // anew; one that can't be written for now is logged.
 func openStore(files configstore.FileSystem, section *ServiceSection, log *zap.Logger) (*configstore.Store, error) {
-	store, err := configstore.OpenWith(files, section.Store, section.Keep)
+	store, err := configstore.OpenWith(files, section.Store, section.MaxVersions)
 	var damaged *configstore.DamagedError
 	var fault *configstore.FaultError
 	switch {
@@ -123,7 +123,7 @@
 		return err
 	}
 	s.workers.Go(func() error {
-		renewStore(s.ctx, s.store)
+		recoverStore(s.ctx, s.store)
 		return nil
 	})
 	s.workers.Go(func() error { return s.Server.Serve(s.routerListener) })
--- a/internal/controlplane/service/service_test.go
+++ b/internal/controlplane/service/service_test.go
@@ -70,7 +70,7 @@
 // given to two contents, none goes back, and it is known as the same service.
 func TestServiceKilled(t *testing.T) {
 	dir := t.TempDir()
-	chance := rand.New(rand.NewPCG(1, 2))
+	random := rand.New(rand.NewPCG(1, 2))
 	sums := map[int64]string{}
 	var last int64
 	name := ""
@@ -97,10 +97,10 @@
 			sums[number], last = sum, number
 			return true
 		}
-		for range 1 + chance.IntN(15) {
+		for range 1 + random.IntN(15) {
 			readVersion()
 		}
-		time.Sleep(time.Duration(chance.IntN(4000)) * time.Microsecond)
+		time.Sleep(time.Duration(random.IntN(4000)) * time.Microsecond)
 		cmd.Process.Kill()
 		for readVersion() {
 		}
@@ -139,7 +139,7 @@
 	}
 	defer store.Close()
 	router := startRouter(t, false, "r", 1, store, service.Addr())
-	eventually(t, "the last version", allRunning([]*testRouter{router}, last))
+	waitFor(t, "the last version", allRunning([]*testRouter{router}, last))
 	router.Close()
 	service.Close()
 	path := filepath.Join(dir, "svc.db")
@@ -162,12 +162,12 @@
 		t.Errorf("logged: %+v", logs.All())
 	}
 	router = startRouter(t, false, "r", 2, store, service.Addr())
-	eventually(t, "the number of the router", func() bool { return service.View().Last == last })
+	waitFor(t, "the number of the router", func() bool { return service.View().Last == last })
 	n, err := service.PushUnchecked(settingsText(4, ""), true)
 	if err != nil || n != last+1 {
 		t.Fatal(n, err)
 	}
-	eventually(t, "the next number", allRunning([]*testRouter{router}, last+1))
+	waitFor(t, "the next number", allRunning([]*testRouter{router}, last+1))
 }
 
 // A service as a program runs it, with certificates.
@@ -186,7 +186,7 @@
 	plain := startRouter(t, false, "plain", 1, nil, service.Addr())
 	router := startRouterWith(t, AgentConfig{Router: "r", Services: []string{service.Addr()},
 		DialOptions: []grpc.DialOption{grpc.WithTransportCredentials(authority.certificateFiles(dir, "r", "r", time.Hour).ClientCredentials("control"))}})
-	eventually(t, "the version over TLS", allRunning([]*testRouter{router}, 1))
+	waitFor(t, "the version over TLS", allRunning([]*testRouter{router}, 1))
 	if n, _ := plain.Running(); n != 0 {
 		t.Error("a router without a certificate got a version")
 	}
--- a/internal/controlplane/service/settings.go
+++ b/internal/controlplane/service/settings.go
@@ -20,40 +20,40 @@
 
 // ServiceSection is (service ...): the listeners, the store and the limits of a service.
 type ServiceSection struct {
-	Place       config.Place
-	Name        string  `edn:"name" def:"control"`
-	Listen      string  `edn:"listen" def:"127.0.0.1:9900"`         // for routers, host:port
-	Admin       string  `edn:"admin" def:"127.0.0.1:9901"`          // for operators: a loopback address, or the path of a Unix socket
-	Store       string  `edn:"store,required"`                      // file of its state
-	Folder      string  `edn:"folder"`                              // of settings, *.edn; what changes there is offered; empty: only what is pushed
-	Keep        int     `edn:"keep" def:"64" min:"2" max:"900"`     // stored versions
-	Streams     int     `edn:"streams" def:"4000" min:"1"`          // open at once
-	PerSecond   float64 `edn:"per-second" def:"200" min:"0.1"`      // streams admitted in a second; others wait or come back
-	Reports     float64 `edn:"reports" def:"10000" min:"100"`       // how often routers report load
-	MaxBytes    int     `edn:"max-bytes" def:"16777216" min:"1024"` // of a pushed text
-	Cert        string  `edn:"cert"`                                // PEM files; all three, or none
-	Key         string  `edn:"key"`
-	Authorities string  `edn:"authorities"`
-	Log         string  `edn:"log" def:"stderr"` // stderr, stdout, none or a file
+	Place            config.Place
+	Name             string  `edn:"name" def:"control"`
+	Listen           string  `edn:"listen" def:"127.0.0.1:9900"`         // for routers, host:port
+	Admin            string  `edn:"admin" def:"127.0.0.1:9901"`          // for operators: a loopback address, or the path of a Unix socket
+	Store            string  `edn:"store,required"`                      // file of its state
+	Folder           string  `edn:"folder"`                              // of settings, *.edn; what changes there is offered; empty: only what is pushed
+	MaxVersions      int     `edn:"keep" def:"64" min:"2" max:"900"`     // stored versions
+	MaxStreams       int     `edn:"streams" def:"4000" min:"1"`          // open at once
+	StreamsPerSecond float64 `edn:"per-second" def:"200" min:"0.1"`      // streams admitted in a second; others wait or come back
+	ReportInterval   float64 `edn:"reports" def:"10000" min:"100"`       // how often routers report load
+	MaxBytes         int     `edn:"max-bytes" def:"16777216" min:"1024"` // of a pushed text
+	Cert             string  `edn:"cert"`                                // PEM files; all three, or none
+	Key              string  `edn:"key"`
+	Authorities      string  `edn:"authorities"`
+	Log              string  `edn:"log" def:"stderr"` // stderr, stdout, none or a file
 }
 
 // RolloutSection is (rollout ...): see rollout.Settings.
 type RolloutSection struct {
-	Stages   []float64 `edn:"stages" min:"0" max:"1"` // default 0 0.1 1: one router, a tenth, all
-	Hold     float64   `edn:"hold" def:"30000" min:"0"`
-	Patience float64   `edn:"patience" def:"120000" min:"1"`
-	Refused  float64   `edn:"refused" min:"0" max:"1"`
-	Silent   float64   `edn:"silent" def:"0.05" min:"0" max:"1"`
-	Fall     float64   `edn:"fall" def:"0.05" min:"0.001" max:"1"`
-	Asked    float64   `edn:"asked" def:"200" min:"1"`
+	Stages           []float64 `edn:"stages" min:"0" max:"1"` // default 0 0.1 1: one router, a tenth, all
+	MinStageTime     float64   `edn:"hold" def:"30000" min:"0"`
+	AnswerTimeout    float64   `edn:"patience" def:"120000" min:"1"`
+	MaxRejectedShare float64   `edn:"refused" min:"0" max:"1"`
+	MaxSilentShare   float64   `edn:"silent" def:"0.05" min:"0" max:"1"`
+	MaxInTimeDrop    float64   `edn:"fall" def:"0.05" min:"0.001" max:"1"`
+	MinRequests      float64   `edn:"asked" def:"200" min:"1"`
 }
 
 // ChecksSection is (checks ...): see configversion.CheckLimits.
 type ChecksSection struct {
-	ParentChurn float64 `edn:"parent-churn" def:"0.5" min:"0.01" max:"1"`
-	BoxChurn    float64 `edn:"box-churn" def:"0.67" min:"0.01" max:"1"`
-	MaxSize     float64 `edn:"max-size" def:"1000000" min:"1"`
-	MaxLink     float64 `edn:"max-link" def:"1000000" min:"1"`
+	ParentChurn     float64 `edn:"parent-churn" def:"0.5" min:"0.01" max:"1"`
+	CacheChurn      float64 `edn:"box-churn" def:"0.67" min:"0.01" max:"1"`
+	MaxCapacity     float64 `edn:"max-size" def:"1000000" min:"1"`
+	MaxLinkCapacity float64 `edn:"max-link" def:"1000000" min:"1"`
 }
 
 // Check adds a fault for each setting that contradicts another, and for listeners that
@@ -117,9 +117,9 @@
 		Rollout:          s.Rollout.settings(),
 		State:            state,
 		Store:            stateStore,
-		StreamsPerSecond: s.Service.PerSecond,
-		MaxStreams:       s.Service.Streams,
-		ReportInterval:   time.Duration(s.Service.Reports * float64(time.Millisecond)),
+		StreamsPerSecond: s.Service.StreamsPerSecond,
+		MaxStreams:       s.Service.MaxStreams,
+		ReportInterval:   time.Duration(s.Service.ReportInterval * float64(time.Millisecond)),
 		Limits:           s.Checks.limits(),
 	}
 }
@@ -127,15 +127,15 @@
 func (r RolloutSection) settings() rollout.Settings {
 	return rollout.Settings{
 		Stages:           r.Stages,
-		MinStageTime:     r.Hold,
-		AnswerTimeout:    r.Patience,
-		MaxRejectedShare: r.Refused,
-		MaxSilentShare:   r.Silent,
-		MaxServiceDrop:   r.Fall,
-		MinRequests:      r.Asked,
+		MinStageTime:     r.MinStageTime,
+		AnswerTimeout:    r.AnswerTimeout,
+		MaxRejectedShare: r.MaxRejectedShare,
+		MaxSilentShare:   r.MaxSilentShare,
+		MaxInTimeDrop:    r.MaxInTimeDrop,
+		MinRequests:      r.MinRequests,
 	}
 }
 
 func (c ChecksSection) limits() configversion.CheckLimits {
-	return configversion.CheckLimits{ParentChurn: c.ParentChurn, CacheChurn: c.BoxChurn, MaxCapacity: c.MaxSize, MaxLinkCapacity: c.MaxLink}
+	return configversion.CheckLimits{ParentChurn: c.ParentChurn, CacheChurn: c.CacheChurn, MaxCapacity: c.MaxCapacity, MaxLinkCapacity: c.MaxLinkCapacity}
 }
--- a/internal/controlplane/service/storefault.go
+++ b/internal/controlplane/service/storefault.go
@@ -61,8 +61,8 @@
 // follow.
 func (s *Server) suspend(err error, actions []any) {
 	deferred := slices.DeleteFunc(slices.Clone(actions), func(action any) bool {
-		_, keeps := action.(rollout.Persist)
-		return keeps // the complete state is persisted before the others
+		_, isPersist := action.(rollout.Persist)
+		return isPersist // the complete state is persisted before the others
 	})
 	now := time.Now()
 	s.persistFault = &persistFault{
@@ -133,9 +133,9 @@
 	return float64(time.Since(t).Microseconds()) / 1000
 }
 
-// renewStore tries, after a fault of a store's file, to have it written anew, until the
+// recoverStore tries, after a fault of a store's file, to have it written anew, until the
 // context ends.
-func renewStore(ctx context.Context, store *configstore.Store) {
+func recoverStore(ctx context.Context, store *configstore.Store) {
 	for delay := firstRetryDelay; ; {
 		select {
 		case <-time.After(delay):
--- a/internal/controlplane/service/storefault_test.go
+++ b/internal/controlplane/service/storefault_test.go
@@ -64,13 +64,13 @@
 		}
 	}
 	router := startRouter(t, false, "r", 1, nil, service.Addr())
-	eventually(t, "the stream", func() bool { return len(service.View().Routers) == 1 })
+	waitFor(t, "the stream", func() bool { return len(service.View().Routers) == 1 })
 	mustPost("/push?now", text(1))
 	mustPost("/push?now", text(2))
-	eventually(t, "version 2", allRunning([]*testRouter{router}, 2))
+	waitFor(t, "version 2", allRunning([]*testRouter{router}, 2))
 	if step == "/halt" {
 		mustPost("/push", text(3))
-		eventually(t, "version 3", allRunning([]*testRouter{router}, 3))
+		waitFor(t, "version 3", allRunning([]*testRouter{router}, 3))
 	}
 	before, lastOffered := service.View(), highest()
 
@@ -102,14 +102,14 @@
 	}
 
 	files.setFault(nil)
-	eventually(t, "the service", func() bool { return service.View().StateFault == "" })
+	waitFor(t, "the service", func() bool { return service.View().StateFault == "" })
 	service.mu.Lock()
 	decided := service.rollout.State()
 	service.mu.Unlock()
 	if persisted, err := service.stateStore.load(); err != nil || persisted.LastNumber != decided.LastNumber || persisted.Base.Sum != decided.Base.Sum || persisted.Next.Sum != decided.Next.Sum {
 		t.Errorf("%+v is persisted, %+v was decided: %v", persisted, decided, err)
 	}
-	eventually(t, "what was asked for, everywhere", func() bool {
+	waitFor(t, "what was asked for, everywhere", func() bool {
 		v := service.View()
 		return v.Next == 0 && v.Base > before.Base && allRunning([]*testRouter{router, other}, v.Base)()
 	})
@@ -117,7 +117,7 @@
 		t.Errorf("halted for want of answers to what was not sent: %s", v.Halted)
 	}
 	mustPost("/push?now", text(5))
-	eventually(t, "the newest everywhere", func() bool { return allRunning([]*testRouter{router, other}, service.View().Base)() })
+	waitFor(t, "the newest everywhere", func() bool { return allRunning([]*testRouter{router, other}, service.View().Base)() })
 	checkAfterKill(t, copied, before)
 }
 
@@ -148,7 +148,7 @@
 	if _, err := server.PushUnchecked(settingsText(3, ""), true); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "version 1", allRunning([]*testRouter{router}, 1))
+	waitFor(t, "version 1", allRunning([]*testRouter{router}, 1))
 	stateStore.setFault(syscall.ENOSPC)
 	if _, err := server.PushUnchecked(settingsText(4, ""), true); err == nil {
 		t.Error("acknowledged")
@@ -161,10 +161,10 @@
 	began := rolloutTime()
 	time.Sleep(500 * time.Millisecond)
 	stateStore.setFault(nil)
-	eventually(t, "the state", func() bool { return server.Status().PersistError == nil })
+	waitFor(t, "the state", func() bool { return server.Status().PersistError == nil })
 	if passed := rolloutTime() - began; passed >= 500 {
 		t.Errorf("%v ms of a rollout's answer timeout have passed while nothing could be offered", passed)
 	}
-	eventually(t, "a push", func() bool { _, err := server.PushUnchecked(settingsText(5, ""), true); return err == nil })
-	eventually(t, "the newest", func() bool { n, _ := router.Running(); return n == stateStore.get().Base.Number })
+	waitFor(t, "a push", func() bool { _, err := server.PushUnchecked(settingsText(5, ""), true); return err == nil })
+	waitFor(t, "the newest", func() bool { n, _ := router.Running(); return n == stateStore.get().Base.Number })
 }
--- a/internal/controlplane/service/stream_test.go
+++ b/internal/controlplane/service/stream_test.go
@@ -18,19 +18,19 @@
 		for i := range 8 {
 			routers = append(routers, startRouter(t, full, fmt.Sprint("r", i), uint64(i), nil, addr))
 		}
-		eventually(t, "the streams", func() bool { return len(server.Status().Routers) == 8 })
+		waitFor(t, "the streams", func() bool { return len(server.Status().Routers) == 8 })
 		if n, err := server.PushUnchecked(settingsText(3, ""), false); n != 1 || err != nil {
 			t.Fatal(n, err)
 		}
-		eventually(t, "the first version everywhere", allRunning(routers, 1))
+		waitFor(t, "the first version everywhere", allRunning(routers, 1))
 		server.PushUnchecked(settingsText(4, ""), false)
-		eventually(t, "the second by stages", allRunning(routers, 2))
+		waitFor(t, "the second by stages", allRunning(routers, 2))
 		server.PushUnchecked(settingsText(3, "(zone y (routers 1))"), false) // a zone with routers and without a cache
-		eventually(t, "the halt", func() bool { return stateStore.get().HaltReason != "" })
+		waitFor(t, "the halt", func() bool { return stateStore.get().HaltReason != "" })
 		if !strings.Contains(stateStore.get().HaltReason, "1 of 1 routers refuse it") || !strings.Contains(stateStore.get().HaltReason, "zone/y: no cache is listed there") {
 			t.Errorf("halted: %q", stateStore.get().HaltReason)
 		}
-		eventually(t, "the old content under a new number", allRunning(routers, 4))
+		waitFor(t, "the old content under a new number", allRunning(routers, 4))
 		rejecting := 0
 		for _, router := range server.Status().Routers {
 			if router.Rejected == 3 {
@@ -46,11 +46,11 @@
 			t.Error("the last good version does not run on without its service")
 		}
 		server, _ = startServer(t, addr, stateStore, 100)
-		eventually(t, "the streams again", func() bool { return len(server.Status().Routers) == 8 })
+		waitFor(t, "the streams again", func() bool { return len(server.Status().Routers) == 8 })
 		server.PushUnchecked(settingsText(5, ""), true)
-		eventually(t, "the fleet to be level", allRunning(routers, 5))
+		waitFor(t, "the fleet to be level", allRunning(routers, 5))
 		for _, router := range routers {
-			if n := router.uses.Load(); n != 4 {
+			if n := router.activations.Load(); n != 4 {
 				t.Errorf("%d versions were used, want 4: 1, 2, 4 and 5", n)
 			}
 		}
@@ -63,7 +63,7 @@
 		stateStore := &memoryStateStore{err: errors.New("no space left")}
 		server, addr := startServer(t, "127.0.0.1:0", stateStore, 50)
 		router := startRouter(t, full, "r", 1, nil, addr)
-		eventually(t, "the stream", func() bool { return len(server.Status().Routers) == 1 })
+		waitFor(t, "the stream", func() bool { return len(server.Status().Routers) == 1 })
 		if _, err := server.PushUnchecked(settingsText(3, ""), true); err == nil || !strings.Contains(err.Error(), "no space left") {
 			t.Errorf("push: %v", err)
 		}
@@ -81,7 +81,7 @@
 		server, addr := startServer(t, "127.0.0.1:0", stateStore, 50)
 		router := startRouter(t, full, "r", 1, nil, "127.0.0.1:1", addr)
 		server.PushUnchecked(settingsText(3, "; "+strings.Repeat("x", 5<<20)), true)
-		eventually(t, "5 MB by the second service", allRunning([]*testRouter{router}, 1))
+		waitFor(t, "5 MB by the second service", allRunning([]*testRouter{router}, 1))
 	})
 }
 
@@ -95,7 +95,7 @@
 		for i := range 60 {
 			routers = append(routers, startRouter(t, full, fmt.Sprint("r", i), uint64(i), nil, addr))
 		}
-		eventually(t, "all on version 1", allRunning(routers, 1))
+		waitFor(t, "all on version 1", allRunning(routers, 1))
 		server.Stop()
 		listener, err := net.Listen("tcp", addr)
 		for err != nil {
@@ -106,7 +106,7 @@
 		go slow.Serve(listener)
 		defer slow.Stop()
 		slow.PushUnchecked(settingsText(4, ""), true)
-		eventually(t, "the fleet level again", allRunning(routers, 2))
+		waitFor(t, "the fleet level again", allRunning(routers, 2))
 	})
 }
 
@@ -118,14 +118,14 @@
 		server, addr := startServer(t, "127.0.0.1:0", stateStore, 50)
 		router := startRouter(t, full, "r", 1, nil, addr)
 		server.PushUnchecked(settingsText(3, ""), true)
-		eventually(t, "version 1", allRunning([]*testRouter{router}, 1))
+		waitFor(t, "version 1", allRunning([]*testRouter{router}, 1))
 		server.PushUnchecked(settingsText(3, "; "+strings.Repeat("x", 33<<20)), true)
-		eventually(t, "the rejection", func() bool { return router.warned("larger than max") })
+		waitFor(t, "the rejection", func() bool { return router.warned("larger than max") })
 		if n, _ := router.Running(); n != 1 {
 			t.Fatalf("runs %d", n)
 		}
 		server.PushUnchecked(settingsText(4, ""), true)
-		eventually(t, "the next", allRunning([]*testRouter{router}, 3))
+		waitFor(t, "the next", allRunning([]*testRouter{router}, 3))
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -133,7 +133,7 @@
 		defer listener.Close()
 		go relaySlowly(listener, addr)
 		slow := startRouter(t, full, "slow", 2, nil, listener.Addr().String())
-		eventually(t, "a version that drips", allRunning([]*testRouter{slow}, 3))
+		waitFor(t, "a version that drips", allRunning([]*testRouter{slow}, 3))
 	})
 }
 
@@ -179,7 +179,7 @@
 			routers = append(routers, startRouter(t, full, fmt.Sprint("r", i), uint64(i), nil, addr))
 		}
 		server.PushUnchecked(settingsText(3, ""), true)
-		eventually(t, "version 1", allRunning(routers, 1))
+		waitFor(t, "version 1", allRunning(routers, 1))
 		for i := range 8 {
 			server.Stop()
 			time.Sleep(20 * time.Millisecond)
@@ -190,11 +190,11 @@
 			time.Sleep(30 * time.Millisecond)
 		}
 		for _, router := range routers {
-			if n := router.uses.Load(); n != 1 {
+			if n := router.activations.Load(); n != 1 {
 				t.Errorf("version 1 was used %d times", n)
 			}
 		}
 		server.PushUnchecked(settingsText(4, ""), true)
-		eventually(t, "version 2", allRunning(routers, 2))
+		waitFor(t, "version 2", allRunning(routers, 2))
 	})
 }
