--- a/internal/controlplane/configversion/check.go
+++ b/internal/controlplane/configversion/check.go
@@ -8,16 +8,16 @@
 	"indigospool/internal/config"
 )
 
-// CheckLimits bound what one version may change or state. Zero fields mean the
-// defaults.
+// CheckLimits limits what a version may state, and how much it may change. Zero fields
+// are set to the defaults.
 type CheckLimits struct {
-	ParentChurn     float64 // share of the parents that may come or go at once; default 0.5
-	CacheChurn      float64 // share of a zone's caches that may go at once; default 0.67
+	ParentChurn     float64 // share of the parents that may be added or removed at once; default 0.5
+	CacheChurn      float64 // share of a zone's caches that may be removed at once; default 0.67
 	MaxCapacity     float64 // of a member; default 1e6
-	MaxLinkCapacity float64 // of a zone, in KB a ms; default 1e6
+	MaxLinkCapacity float64 // of a zone, in KB per ms; default 1e6
 }
 
-// withDefaults has the defaults in place of zero fields.
+// withDefaults returns the limits with defaults for zero fields.
 func (l CheckLimits) withDefaults() CheckLimits {
 	l.ParentChurn = positiveOr(l.ParentChurn, 0.5)
 	l.CacheChurn = positiveOr(l.CacheChurn, 0.67)
@@ -26,9 +26,9 @@
 	return l
 }
 
-// Check makes the semantic checks of a version that the schema can't: against
-// itself, and against the version before it, nil where there is none. It returns every
-// reason to reject it; none means that it passes.
+// Check performs the semantic checks that the schema can't express: the consistency of
+// the settings, and the changes from old, the version before, which may be nil. It
+// returns all reasons to reject the version; no reasons mean that it passes.
 func Check(old, settings *config.Settings, limits CheckLimits) []Reason {
 	c := &checker{old: old, settings: settings, limits: limits.withDefaults()}
 	c.checkMembers()
@@ -47,7 +47,7 @@
 	return c.reasons
 }
 
-// Words of the settings.
+// Values in the settings.
 const (
 	stateServing  = "serving"
 	stateDraining = "draining"
@@ -75,7 +75,8 @@
 	}
 }
 
-// checkZones checks each zone, and that none with routers is left without a cache.
+// checkZones checks each zone's link, that every zone with routers has a serving cache,
+// and the number of routers.
 func (c *checker) checkZones() {
 	serving := map[string]int{} // caches, by zone
 	listed := map[string]int{}
@@ -92,7 +93,7 @@
 	for _, zone := range c.settings.Zones {
 		routers += zone.Routers
 		if zone.LinkIn < 0 || zone.LinkIn > c.limits.MaxLinkCapacity {
-			c.reject("zone/"+zone.Name+"/link", fmt.Sprintf("link of %v KB a ms", zone.LinkIn),
+			c.reject("zone/"+zone.Name+"/link", fmt.Sprintf("link of %v KB per ms", zone.LinkIn),
 				fmt.Sprintf("it must be from 0 to %v", c.limits.MaxLinkCapacity))
 		}
 		if zone.Routers <= 0 || serving[zone.Name] > 0 || c.settings.Router.List != "" {
@@ -105,18 +106,18 @@
 		c.reject("zone/"+zone.Name, what, "keep one cache serving, or set (routers 0)")
 	}
 	if routers > c.settings.Router.Of {
-		c.reject("router/of", fmt.Sprintf("the zones have %d routers, there are %d in all", routers, c.settings.Router.Of),
+		c.reject("router/of", fmt.Sprintf("the zones have %d routers, but the total is %d", routers, c.settings.Router.Of),
 			"raise (of n)")
 	}
 }
 
-// isCache reports whether a member is neither a parent nor the origin.
+// isCache reports whether a member is neither a parent nor an origin.
 func isCache(settings *config.Settings, member config.Member) bool {
 	return member.Kind != settings.Fill.ParentKind && member.Kind != settings.Fill.OriginKind
 }
 
-// checkFillSources checks what can be filled from: where parents, or origins, are
-// listed, one must serve.
+// checkFillSources checks that at least one parent serves if parents are listed, and at
+// least one origin if origins are listed.
 func (c *checker) checkFillSources() {
 	fill := c.settings.Fill
 	for _, source := range []struct{ kind, role string }{{fill.ParentKind, "parent"}, {fill.OriginKind, "origin"}} {
@@ -133,13 +134,13 @@
 		}
 		if len(states) > 0 && serving == 0 {
 			c.reject("member/"+source.kind,
-				fmt.Sprintf("every %s is a fill source that takes nothing: %s", source.role, strings.Join(states, ", ")),
+				fmt.Sprintf("no %s is serving, so that none can be filled from: %s", source.role, strings.Join(states, ", ")),
 				"keep one serving, or list none")
 		}
 	}
 }
 
-// checkFillFrom checks the fill sources that members name.
+// checkFillFrom checks the fill sources that members name explicitly.
 func (c *checker) checkFillFrom() {
 	states := map[string]string{}
 	for _, member := range c.settings.Members {
@@ -161,21 +162,21 @@
 	}
 }
 
-// checkRules checks the figures of the rules against each other.
+// checkRules checks settings in the rules section against each other.
 func (c *checker) checkRules() {
 	rules := c.settings.Rules
 	if rules.FallFactor*rules.ColdFrom > 1e3 || rules.ParentFall*rules.ParentColdFrom > 1e3 {
-		c.reject("rules", "a cold member could be given a thousand times its capacity", "lower fall-factor or cold-from")
+		c.reject("rules", "a cold member could receive a thousand times its capacity", "lower fall-factor or cold-from")
 	}
 	if rules.PurgeTakes < rules.PurgeSlack {
 		c.reject("rules/purge-takes",
-			fmt.Sprintf("copies are gone %v ms after a purge, heeded after %v", rules.PurgeTakes, rules.PurgeSlack),
-			"purge-takes is the longer span")
+			fmt.Sprintf("purged copies are gone after %v ms, but purges take effect only after %v ms", rules.PurgeTakes, rules.PurgeSlack),
+			"purge-takes must not be below purge-slack")
 	}
 }
 
-// checkLoosenedRules checks that a version does not loosen a figure of the rules under
-// requests that run by it.
+// checkLoosenedRules checks that a version does not loosen a rule that requests in
+// flight depend on.
 func (c *checker) checkLoosenedRules() {
 	old, now := c.old.Rules, c.settings.Rules
 	if now.Loosen {
@@ -197,13 +198,13 @@
 	} {
 		if setting.loosened {
 			c.reject("rules/"+setting.name, fmt.Sprintf("loosened from %v to %v", setting.oldValue, setting.newValue),
-				"a rule's figure is loosened only by a version that says (rules (loosen true))")
+				"a version that loosens a rule must have (rules (loosen true))")
 		}
 	}
 }
 
-// checkClasses checks that a version does not change what a request's class may do under
-// requests that run by it.
+// checkClasses checks that a version does not change the effect of a class, on which
+// the retries of requests in flight depend.
 func (c *checker) checkClasses() {
 	if c.settings.Rules.Loosen {
 		return
@@ -216,8 +217,8 @@
 		old, known := oldClasses[class.Name]
 		if known && old.Effect != class.Effect && old.Effect != effectFree {
 			c.reject("class/"+class.Name+"/effect",
-				fmt.Sprintf("changed from %s to %s, so that repeats are treated otherwise", old.Effect, class.Effect),
-				"give the class another name, or say (rules (loosen true))")
+				fmt.Sprintf("changed from %s to %s, so that retries would be handled differently", old.Effect, class.Effect),
+				"give the class another name, or set (rules (loosen true))")
 		}
 	}
 }
--- a/internal/controlplane/configversion/check_test.go
+++ b/internal/controlplane/configversion/check_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Each rejection names the path and the remedy; a good version follows a bad one.
+// Each rejection names the path and a remedy, and a valid version is accepted after it.
 func TestSemanticChecks(t *testing.T) {
 	for _, row := range []struct {
 		name string
@@ -14,24 +14,24 @@
 		want string // of a reason; empty: accepted
 	}{
 		{"no cache left", body("ddd", "ssss", ""), "zone/z: none of its 3 caches is serving"},
-		{"no parent serves", body("sss", "dddd", ""), "every parent is a fill source that takes nothing: p0 is draining"},
-		{"parents change too fast", body("sss", "s-ss----ssss", ""), "parents come or go at once"},
-		{"caches go too fast", body("--s", "ssss", ""), ""},
+		{"no parent serves", body("sss", "dddd", ""), "no parent is serving, so that none can be filled from: p0 is draining"},
+		{"too many parents change at once", body("sss", "s-ss----ssss", ""), "parents are added or removed at once"},
+		{"caches removed within the limit", body("--s", "ssss", ""), ""},
 		{"unknown class", replaceInValid("(class c))", "(class d))"), `class "d" is not given`},
 		{"negative capacity", replaceInValid("(state serving)", "(state serving) (size -1)"), "member/size: "},
-		{"absurd capacity", replaceInValid("(state serving)", "(state serving) (size 1e9)"), "member/b0/size: capacity 1e+09"},
-		{"loosened", body("sss", "ssss", "(rules (drain-grace 5000))"), "rules/drain-grace: loosened from 500 to 5000"},
+		{"capacity above the limit", replaceInValid("(state serving)", "(state serving) (size 1e9)"), "member/b0/size: capacity 1e+09"},
+		{"loosened rule", body("sss", "ssss", "(rules (drain-grace 5000))"), "rules/drain-grace: loosened from 500 to 5000"},
 		{"drained source", body("ssd", "ssss", ""), ""},
 		{"drained source named", []byte(strings.Replace(string(body("ssd", "ssss", "")), "(member b0", "(member b0 (fill-from b2)", 1)), `member/b0/fill-from: source "b2" is draining`},
 		{"not settings", []byte("(router"), "a list is never closed"},
-		{"absurd link", replaceInValid("(hub h))", "(hub h) (link 1e9))"), "zone/z/link: link of 1e+09 KB a ms"},
+		{"link above the limit", replaceInValid("(hub h))", "(hub h) (link 1e9))"), "zone/z/link: link of 1e+09 KB per ms"},
 		{"no cache listed", body("", "ssss", ""), "zone/z: no cache is listed there, though it has routers"},
 		{"unlisted source named", replaceInValid("(member b0", "(member b0 (fill-from b9)"), `source "b9" is not listed`},
-		{"a thousand times the capacity", body("sss", "ssss", "(rules (fall-factor 6000) (loosen true))"), "rules: a cold member could be given"},
-		{"copies gone before purges are heeded", body("sss", "ssss", "(rules (purge-takes 100) (loosen true))"), "rules/purge-takes: copies are gone 100 ms"},
-		{"loosened on purpose", body("sss", "ssss", "(rules (drain-grace 5000) (loosen true))"), ""},
-		{"no parents any more", body("sss", "", ""), "4 of 4 parents come or go at once"},
-		{"routers", replaceInValid("(of 4)", "(of 2)"), "the zones have 4 routers, there are 2"},
+		{"a thousand times the capacity", body("sss", "ssss", "(rules (fall-factor 6000) (loosen true))"), "rules: a cold member could receive"},
+		{"copies gone before purges take effect", body("sss", "ssss", "(rules (purge-takes 100) (loosen true))"), "rules/purge-takes: purged copies are gone after 100 ms"},
+		{"loosening allowed", body("sss", "ssss", "(rules (drain-grace 5000) (loosen true))"), ""},
+		{"all parents removed", body("sss", "", ""), "4 of 4 parents are added or removed at once"},
+		{"routers", replaceInValid("(of 4)", "(of 2)"), "the zones have 4 routers, but the total is 2"},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			test := newMachineTest(t).offer("a", New(1, validBody)).wantRunning(1)
--- a/internal/controlplane/configversion/churn.go
+++ b/internal/controlplane/configversion/churn.go
@@ -7,8 +7,9 @@
 	"indigospool/internal/config"
 )
 
-// checkParentChurn bounds how many parents come and go at once: fills follow a hash over
-// the parents, so a new list of them sends a wave of misses to the origin.
+// checkParentChurn limits how many parents are added or removed at once. Fills are
+// distributed by a hash over the parents, so a change of that list sends a burst of
+// misses to the origin.
 func (c *checker) checkParentChurn() {
 	before, after := servingParents(c.old), servingParents(c.settings)
 	if len(before) == 0 {
@@ -17,12 +18,12 @@
 	changed := countMissing(before, after) + countMissing(after, before)
 	if changed > 1 && float64(changed) > c.limits.ParentChurn*float64(len(before)) {
 		c.reject("member/"+c.settings.Fill.ParentKind,
-			fmt.Sprintf("%d of %d parents come or go at once", changed, len(before)),
-			fmt.Sprintf("change at most %.0f %% in one version, and let fills settle", 100*c.limits.ParentChurn))
+			fmt.Sprintf("%d of %d parents are added or removed at once", changed, len(before)),
+			fmt.Sprintf("change at most %.0f %% in one version, and wait until the parents are warm", 100*c.limits.ParentChurn))
 	}
 }
 
-// checkCacheChurn bounds how many of a zone's caches go at once.
+// checkCacheChurn limits how many caches of a zone are removed at once.
 func (c *checker) checkCacheChurn() {
 	before, after := servingCaches(c.old), servingCaches(c.settings)
 	var zones []string
@@ -33,17 +34,17 @@
 	for _, zone := range zones {
 		removed, total := countMissing(before[zone], after[zone]), len(before[zone])
 		if removed > 1 && float64(removed) > c.limits.CacheChurn*float64(total) {
-			c.reject("zone/"+zone, fmt.Sprintf("%d of %d caches go at once", removed, total),
-				fmt.Sprintf("take out at most %.0f %% in one version", 100*c.limits.CacheChurn))
+			c.reject("zone/"+zone, fmt.Sprintf("%d of %d caches are removed at once", removed, total),
+				fmt.Sprintf("remove at most %.0f %% in one version", 100*c.limits.CacheChurn))
 		}
 	}
 }
 
-// idSet holds members by their ids.
+// idSet is a set of member ids.
 type idSet map[string]bool
 
-// servingParents are the parents that serve, of all zones. A kind that is both the
-// parents' and the origins' is the origins'.
+// servingParents returns the serving parents of all zones. If parents and origins have
+// the same kind, members of that kind are origins.
 func servingParents(settings *config.Settings) idSet {
 	parents := idSet{}
 	for _, member := range settings.Members {
@@ -55,7 +56,7 @@
 	return parents
 }
 
-// servingCaches are the caches that serve, by zone.
+// servingCaches returns the serving caches by zone.
 func servingCaches(settings *config.Settings) map[string]idSet {
 	zones := map[string]idSet{}
 	for _, member := range settings.Members {
@@ -70,7 +71,7 @@
 	return zones
 }
 
-// countMissing is how many of before are not in after.
+// countMissing returns how many ids of before are not in after.
 func countMissing(before, after idSet) (count int) {
 	for id := range before {
 		if !after[id] {
--- a/internal/controlplane/configversion/diff.go
+++ b/internal/controlplane/configversion/diff.go
@@ -7,11 +7,11 @@
 	"indigospool/internal/config"
 )
 
-// DeltaKind is what a Delta does to its members.
+// DeltaKind is the kind of change that a Delta makes.
 type DeltaKind int
 
-// The kinds, in the order in which they are applied. Removals also come before starts
-// where a member has started anew.
+// The kinds, in the order in which they are applied. For a member that was restarted, a
+// removal is also applied before its start.
 const (
 	DeltaDrains DeltaKind = iota
 	DeltaStarts
@@ -21,21 +21,22 @@
 
 var deltaKindNames = [...]string{DeltaDrains: "drains", DeltaStarts: "starts", DeltaChanges: "changes", DeltaRemovals: "removals"}
 
-// String is the kind in lower case, as operators are shown it.
+// String returns the kind in lower case, as shown to operators.
 func (k DeltaKind) String() string { return deltaKindNames[k] }
 
-// Delta is one change of the list of members, to be applied before the next.
+// Delta is one change of the member list. Deltas are applied in order.
 type Delta struct {
 	Kind    DeltaKind
 	Members []config.Member
 }
 
-// Diff is what has changed from one list to another, in the order in which it is
-// applied: drains come first, so that nothing new goes to who leaves; then new
-// members, new starts and changes, so that there is somebody to take over;
-// removals last. A member with another start number came back empty: it is
-// removed before it is started. A snapshot of the list would do the same at
-// once, but could not say that a start is new where the number was reused.
+// Diff returns the changes from one member list to another, in the order in which they
+// must be applied: drains first, so that leaving members get no new requests; then
+// added and restarted members and other changes, so that there is capacity to take
+// over; removals last. A member with another start number or address has lost its
+// content, so it is removed before it is started again. Replacing the list by a
+// snapshot would be simpler, but could not express that a start is new if the start
+// number was reused.
 func Diff(old, new []config.Member) []Delta {
 	oldByID := map[string]config.Member{}
 	for _, member := range old {
@@ -46,7 +47,7 @@
 	for _, member := range new {
 		listed[member.ID] = true
 		before, known := oldByID[member.ID]
-		member.Place, before.Place = config.Place{}, config.Place{} // where they stand in their files
+		member.Place, before.Place = config.Place{}, config.Place{} // positions in the settings files are irrelevant
 		isRestart := before.Start != member.Start || before.Address != member.Address
 		switch {
 		case member.State == stateRemoved:
@@ -87,8 +88,8 @@
 
 func compareIDs(a, b config.Member) int { return strings.Compare(a.ID, b.ID) }
 
-// withdrawsMember reports whether a member takes nothing new by the new list that did
-// by the old one, or has started anew.
+// withdrawsMember reports whether some member that serves by the old list no longer
+// serves by the new one, or was restarted.
 func withdrawsMember(old, new []config.Member) bool {
 	newByID := map[string]config.Member{}
 	for _, member := range new {
@@ -106,14 +107,14 @@
 	return false
 }
 
-// isSame compares what routers go by, and not where members stand in their files.
+// isSame compares the fields that routers use, not the positions in the settings files.
 func isSame(a, b config.Member) bool {
 	return a.ID == b.ID && a.Zone == b.Zone && a.Kind == b.Kind && a.Cell == b.Cell && a.Size == b.Size &&
 		a.Address == b.Address && a.State == b.State && a.Start == b.Start
 }
 
-// ApplyDeltas is the list after changes, by id: what a router goes by that has applied
-// them all. Members that were removed are left out.
+// ApplyDeltas returns the list, sorted by id, that a router has after applying all
+// deltas to old. Removed members are left out.
 func ApplyDeltas(old []config.Member, deltas []Delta) []config.Member {
 	byID := map[string]config.Member{}
 	for _, member := range old {
--- a/internal/controlplane/configversion/diff_test.go
+++ b/internal/controlplane/configversion/diff_test.go
@@ -10,8 +10,8 @@
 	"indigospool/internal/config"
 )
 
-// Whatever two lists are, the deltas lead from one to the other, drains first,
-// and a member that came back empty is removed before it starts.
+// For any two lists, applying the deltas to one gives the other; drains come first, and
+// a restarted member is removed before it is started.
 func TestDiff(t *testing.T) {
 	member := rapid.Custom(func(t *rapid.T) config.Member {
 		return config.Member{Zone: "z", Kind: "box", Size: float64(rapid.IntRange(1, 2).Draw(t, "size")), Address: "127.0.0.1:1",
@@ -47,7 +47,7 @@
 		for _, delta := range deltas {
 			for _, member := range delta.Members {
 				if before, known := last[member.ID]; known && before.State == "serving" && member.State == "serving" && before.Start != member.Start {
-					t.Fatalf("%s came back empty and was never removed: %+v", member.ID, deltas)
+					t.Fatalf("%s was restarted without being removed: %+v", member.ID, deltas)
 				}
 				last[member.ID] = member
 			}
--- a/internal/controlplane/configversion/events.go
+++ b/internal/controlplane/configversion/events.go
@@ -2,45 +2,44 @@
 
 import "indigospool/internal/config"
 
-// Event is what a Machine is notified of.
+// Event is an input of a Machine.
 type Event interface{ event() }
 
-// Offered is a version that a service sends.
+// Offered reports that a service offers a version.
 type Offered struct {
-	Service string // its name and epoch, unlike any other service's
+	Service string // name and epoch, unique to the service
 	Version Version
 }
 
-// Heartbeat is any other sign of life of a service.
+// Heartbeat reports any other sign of life of a service.
 type Heartbeat struct{ Service string }
 
-// Disconnected says that the stream of a service has ended.
+// Disconnected reports that a service's stream has ended.
 type Disconnected struct{ Service string }
 
-// Stored says that a version is on disk, or why it is not.
+// Stored reports that a version is on disk, or why it could not be stored.
 type Stored struct {
 	Number int64
-	Err    error // nil: it is on disk
+	Err    error // nil: the version is on disk
 }
 
-// Restored is what the disk held at the start: the last known good version and how
-// long ago it was stored, and those before it, the newest last; or why there is
-// none.
+// Restored reports what the disk held at the start: the last known good version and its
+// age, and the versions before it, or why there is no version.
 type Restored struct {
 	Version Version
-	Age     Millis // by the wall clock, as that of those before: negative after a step back
-	Earlier []StoredVersion
-	Err     error // nil: there is a version
+	Age     Millis          // by the wall clock, as the ages in Earlier; may be negative if the clock was set back
+	Earlier []StoredVersion // oldest first
+	Err     error           // nil: Version is valid
 }
 
-// StoredVersion is a version that was stored so long ago.
+// StoredVersion is a stored version and the time since it was stored.
 type StoredVersion struct {
 	Version Version
 	Age     Millis
 }
 
-// Tick says that time has passed; it may come at any time, and comes at the latest when
-// the last Wake is due.
+// Tick reports that time has passed. It must come no later than the last Wake asks for,
+// and may come at any time.
 type Tick struct{}
 
 func (Offered) event()      {}
@@ -50,7 +49,7 @@
 func (Restored) event()     {}
 func (Tick) event()         {}
 
-// Action is what a Machine wants done.
+// Action is something that a Machine wants the caller to do.
 type Action interface{ action() }
 
 // Ack tells a service that a version is accepted and stored.
@@ -59,21 +58,21 @@
 	Number  int64
 }
 
-// Nack tells a service that a version is rejected, and every reason.
+// Nack tells a service that a version is rejected, with all reasons.
 type Nack struct {
 	Service string
 	Number  int64
 	Reasons []Reason
 }
 
-// Store asks for a version to be put on disk; Stored is the answer.
+// Store writes a version to disk. The caller answers with Stored.
 type Store struct{ Version Version }
 
-// Activate has the router run a version from now on. Stale says that it was restored
-// so old that much may have changed: it is run all the same, since a router that
-// serves nothing helps nobody, and members that are gone are detected as any
-// that fail are. ListedFor is for how long members have been listed under their present
-// start, where that is known to be short.
+// Activate makes the router run a version. Stale is set for a restored version that is
+// older than StaleAfter: it is run nevertheless, since a router without a configuration
+// serves nothing, and members that no longer exist are detected like failed ones.
+// ListedFor is how long members have been listed under their present start, as far as
+// that is known to be short.
 type Activate struct {
 	Version   Version
 	Settings  *config.Settings
@@ -81,14 +80,14 @@
 	ListedFor map[string]Millis
 }
 
-// Wake asks for a Tick after a while; it takes the place of any before it.
+// Wake requests a Tick after the given time. It replaces any earlier Wake.
 type Wake struct{ After Millis }
 
-// RequestOffer has a service offer its version again: it was rejected while another
-// service held the lease, which has run out since.
+// RequestOffer asks a service to offer its version again: its offer was rejected while
+// another service held the lease, which has expired since.
 type RequestOffer struct{ Service string }
 
-// Warn is for the operator.
+// Warn is a message for the operator.
 type Warn struct{ Text string }
 
 func (Ack) action()          {}
--- a/internal/controlplane/configversion/machine.go
+++ b/internal/controlplane/configversion/machine.go
@@ -1,24 +1,24 @@
-// Package configversion decides about versions of a router's configuration: which one
-// that a control service offers is accepted and which rejected, and why; when an
-// accepted one is activated; what is run after a restart, and which service is believed
-// when two disagree. It is a state machine without I/O: events go in, actions come
-// out, time is the caller's and chance comes from a seed.
+// Package configversion decides which versions of its configuration a router runs: it
+// accepts or rejects the versions that a control service offers, decides when an
+// accepted version is activated and what runs after a restart, and selects the service
+// to follow when two disagree. It is a state machine without I/O: it takes events and
+// returns actions; the caller supplies the time and a seed for random choices.
 //
-// The package owns, for each router, the running version, the candidate on its way to
-// be run, the lease of the service that is believed, and what is remembered of earlier
-// versions. It never speaks to a service, a disk or a router: streams are those of
-// internal/controlplane/service, the disk that of internal/controlplane/configstore
-// (docs/control.md), and what a version's members mean for requests is the decision
-// module's. How a service brings a version to its routers is
-// internal/controlplane/rollout.
+// For each router, the package tracks the running version, the candidate that is about
+// to run, the lease of the service that the router follows, and records of earlier
+// versions. It has no connection to services, disks or routers:
+// internal/controlplane/service handles the streams and
+// internal/controlplane/configstore the disk (docs/control.md), and the decision module
+// defines what a version's members mean for requests. How a service rolls a version out
+// to its routers is decided by internal/controlplane/rollout.
 //
-// The machine is in machine.go and restore.go, its events and actions in events.go, the
-// semantic checks of a version in check.go, the order in which changes of members are
-// applied in diff.go.
+// The machine is in machine.go and restore.go, its events and actions are in events.go,
+// the semantic checks of a version in check.go and churn.go, and the order in which
+// member changes are applied in diff.go.
 //
-// The guarantee, for any sequence of offers, lost streams, restarts and damage: a
-// router runs only versions that passed every check, and never one with a lower number
-// than the last it accepted. A rollback is a new number with old content.
+// Guarantee: for any sequence of offers, lost streams, restarts and corrupt data, a
+// router only runs versions that passed every check, and never one with a lower number
+// than the last version it accepted. A rollback is a new number with old content.
 package configversion
 
 import (
@@ -30,7 +30,7 @@
 	"indigospool/internal/config"
 )
 
-// identity is which version it is: a number is never given to two contents.
+// identity identifies a version. A number is never assigned to two different contents.
 type identity struct {
 	number int64
 	sum    string
@@ -38,17 +38,17 @@
 
 func identityOf(version Version) identity { return identity{version.Number, version.Sum} }
 
-// candidate is a version on its way to be run.
+// candidate is an offered version that passed the checks but is not running yet.
 type candidate struct {
 	version    Version
 	settings   *config.Settings
 	service    string
 	storing    bool
 	accepted   bool
-	activateAt Millis // once it is accepted
+	activateAt Millis // set when it is accepted
 }
 
-// Machine is one router's view of its versions. It is not safe for concurrent use.
+// Machine decides about the versions of one router. It is not safe for concurrent use.
 type Machine struct {
 	settings MachineSettings
 	random   *rand.Rand
@@ -59,18 +59,18 @@
 	runningSettings *config.Settings
 	confirmedAt     Millis // when the running version was last known to be the newest
 	candidate       *candidate
-	accepted        identity // the highest ever accepted
-	restored        bool     // Restored was handled
-	warned          bool     // that the running version is not confirmed
+	accepted        identity // highest version ever accepted
+	restored        bool     // a Restored event was handled
+	warned          bool     // the operator was warned that the running version is unconfirmed
 	records         map[int64]*Record
 
-	leaseHolder    string // the service that is believed; empty: none yet
-	leaseRenewedAt Millis // its last sign of life
-	waitingService string // one whose offer was rejected since it does not hold the lease
+	leaseHolder    string // the service that is followed; empty: none yet
+	leaseRenewedAt Millis // time of the holder's last message
+	waitingService string // service whose offer was rejected because another one holds the lease
 }
 
-// NewMachine makes a machine that runs nothing yet. Machines with other seeds activate
-// a version at other times.
+// NewMachine returns a machine that runs no version yet. The seed determines the
+// activation jitter, so routers should have different seeds.
 func NewMachine(settings MachineSettings, seed uint64) *Machine {
 	return &Machine{
 		settings: settings.withDefaults(),
@@ -79,13 +79,13 @@
 	}
 }
 
-// Running is the number of the version that is run, 0 before the first.
+// Running returns the number of the running version, or 0 if there is none.
 func (m *Machine) Running() int64 { return m.running.Number }
 
-// HighestAccepted is the highest number that was ever accepted.
+// HighestAccepted returns the highest version number that was ever accepted.
 func (m *Machine) HighestAccepted() int64 { return m.accepted.number }
 
-// Accepted is the newest version that was accepted and is known with its body.
+// Accepted returns the newest accepted version whose body is known.
 func (m *Machine) Accepted() Version {
 	if m.candidate != nil && m.candidate.accepted {
 		return m.candidate.version
@@ -93,7 +93,7 @@
 	return m.running
 }
 
-// Age is how long ago the running version was last known to be the newest.
+// Age returns how long ago the running version was last known to be the newest.
 func (m *Machine) Age(now Millis) Millis {
 	if m.running.Number == 0 {
 		return 0
@@ -101,11 +101,11 @@
 	return max(now-m.confirmedAt, 0)
 }
 
-// LeaseHolder is the service that is believed, or "".
+// LeaseHolder returns the service that the router follows, or "".
 func (m *Machine) LeaseHolder() string { return m.leaseHolder }
 
-// Handle takes one event at the time now, and appends the actions that are to be done,
-// in their order, to actions.
+// Handle processes an event at time now. It appends the resulting actions to actions,
+// in the order in which they must be executed.
 func (m *Machine) Handle(now Millis, event Event, actions []Action) []Action {
 	m.now = max(now, m.now)
 	m.actions = actions
@@ -117,7 +117,7 @@
 	case Heartbeat:
 		m.renewLease(event.Service)
 	case Disconnected:
-		// a lost stream alone changes nothing: the lease does, when it has run out
+		// losing the stream has no effect by itself; the service keeps its lease until it expires
 	case Stored:
 		m.stored(event)
 	}
@@ -128,8 +128,9 @@
 
 func (m *Machine) emit(action Action) { m.actions = append(m.actions, action) }
 
-// renewLease records a sign of life of a service, and reports whether it holds the
-// lease: another one gets it once the holder has been silent for its span.
+// renewLease records a sign of life from a service and reports whether that service
+// holds the lease. Another service obtains the lease when the holder has been silent
+// for the lease duration.
 func (m *Machine) renewLease(service string) bool {
 	silence := m.now - m.leaseRenewedAt
 	isHeld := m.leaseHolder != "" && silence < m.settings.Lease
@@ -137,7 +138,7 @@
 		return false
 	}
 	if m.leaseHolder != service && m.leaseHolder != "" {
-		m.emit(Warn{fmt.Sprintf("service %s is in charge now; %s was silent for %.0f s", service, m.leaseHolder, silence/1000)})
+		m.emit(Warn{fmt.Sprintf("service %s is in charge now: %s was silent for %.0f s", service, m.leaseHolder, silence/1000)})
 	}
 	m.leaseHolder = service
 	m.leaseRenewedAt = m.now
@@ -145,15 +146,15 @@
 	return true
 }
 
-// offered judges a version. What is rejected is rejected with every reason, and
-// changes nothing.
+// offered checks an offered version. A rejected version changes nothing; the NACK has
+// all reasons.
 func (m *Machine) offered(event Offered) {
 	version := event.Version
 	if !m.renewLease(event.Service) {
 		m.waitingService = event.Service
 		silence := (m.now - m.leaseRenewedAt) / 1000
-		reason := Reason{"", fmt.Sprintf("service %s is in charge, heard of %.1f s ago", m.leaseHolder, silence),
-			"let one service speak; another is believed when that one is silent"}
+		reason := Reason{"", fmt.Sprintf("service %s is in charge; its last message came %.1f s ago", m.leaseHolder, silence),
+			"run one service at a time; another one takes over once this one is silent for its lease"}
 		m.emit(Nack{event.Service, version.Number, []Reason{reason}})
 		return
 	}
@@ -162,7 +163,7 @@
 		return
 	}
 	newest := m.newest()
-	if identityOf(version) == newest { // the same again, as after a reconnect
+	if identityOf(version) == newest { // offered again, for example after a reconnect
 		if m.candidate == nil || m.candidate.accepted {
 			m.confirmedAt = m.now
 			m.emit(Ack{event.Service, version.Number})
@@ -190,8 +191,8 @@
 	m.emit(Store{version})
 }
 
-// reject answers an offer with reasons. What is remembered of a version with that number
-// that was good stays.
+// reject answers an offer with a NACK. It does not overwrite the record of a version
+// with the same number that passed the checks.
 func (m *Machine) reject(event Offered, reasons ...Reason) {
 	known := m.records[event.Version.Number]
 	if known == nil || known.State == StateRejected {
@@ -200,7 +201,7 @@
 	m.emit(Nack{event.Service, event.Version.Number, reasons})
 }
 
-// newest is the highest version that was accepted or is being stored.
+// newest returns the highest version that is accepted or being stored.
 func (m *Machine) newest() identity {
 	if m.candidate != nil && m.candidate.version.Number > m.accepted.number {
 		return identityOf(m.candidate.version)
@@ -208,23 +209,23 @@
 	return m.accepted
 }
 
-// checkEnvelope checks what is known of a version without reading its body.
+// checkEnvelope checks a version's number, size and checksum, without parsing its body.
 func (m *Machine) checkEnvelope(version Version) (Reason, bool) {
 	if version.Number <= 0 {
 		return Reason{"", fmt.Sprintf("number %d", version.Number), "numbers are above 0"}, false
 	}
 	if size := len(version.Body); size > m.settings.MaxBytes {
-		return Reason{"", fmt.Sprintf("%d bytes, where %d are taken", size, m.settings.MaxBytes),
-			"make it smaller, or raise the limit"}, false
+		return Reason{"", fmt.Sprintf("%d bytes, above the limit of %d", size, m.settings.MaxBytes),
+			"make it smaller or raise the limit"}, false
 	}
 	if sum := Checksum(version.Body); sum != version.Sum {
-		return Reason{"", fmt.Sprintf("its checksum is %.12s, it states %.12s", sum, version.Sum), "send it again"}, false
+		return Reason{"", fmt.Sprintf("its checksum is %.12s, but it states %.12s", sum, version.Sum), "send it again"}, false
 	}
 	return Reason{}, true
 }
 
-// checkNumber checks a version's number against that of the newest one, whose content
-// is another.
+// checkNumber checks a version's number against that of the newest version, which has
+// different content.
 func checkNumber(number, newest int64) (Reason, bool) {
 	switch {
 	case number == newest:
@@ -232,13 +233,13 @@
 			"give the new content a new number"}, false
 	case number < newest:
 		return Reason{"", fmt.Sprintf("number %d is older than %d, which was accepted", number, newest),
-			"to go back, offer the old content under a new number"}, false
+			"to roll back, offer the old content under a new number"}, false
 	}
 	return Reason{}, true
 }
 
-// parseAndCheck reads a version and makes every check of it, against the settings of
-// the version before it.
+// parseAndCheck parses a version and runs all semantic checks on it against base, the
+// settings of the version before it.
 func (m *Machine) parseAndCheck(base *config.Settings, version Version) (*config.Settings, []Reason) {
 	settings := &config.Settings{}
 	name := fmt.Sprintf("version-%d", version.Number)
@@ -258,16 +259,17 @@
 	return nil, reasons
 }
 
-// stored accepts the candidate that is on disk, or rejects one that could not be stored.
+// stored accepts the candidate once it is on disk, or rejects it if it could not be
+// stored.
 func (m *Machine) stored(event Stored) {
 	stored := m.candidate
 	if stored == nil || !stored.storing || stored.version.Number != event.Number {
-		return // superseded meanwhile; what is newer is on its way to the disk
+		return // superseded by a newer version, which is being stored
 	}
 	stored.storing = false
 	if event.Err != nil {
 		reason := Reason{"", fmt.Sprintf("it could not be stored: %v", event.Err),
-			"see the router's disk; the version may be offered again"}
+			"check the router's disk; the version may be offered again"}
 		m.candidate = nil
 		m.record(stored.version, StateRejected, stored.service, []Reason{reason})
 		m.emit(Nack{stored.service, stored.version.Number, []Reason{reason}})
@@ -278,8 +280,9 @@
 	m.accepted = identityOf(stored.version)
 	m.confirmedAt = m.now
 	stored.activateAt = m.now
-	// the first is activated at once, and one that takes members away: their grace
-	// runs. Others are not activated by all routers together.
+	// The first version is activated immediately, and so is one that withdraws members,
+	// since their grace period is running. For others a random delay keeps the routers from
+	// activating at the same moment.
 	if m.running.Number != 0 && !withdrawsMember(m.runningSettings.Members, stored.settings.Members) {
 		stored.activateAt += m.random.Float64() * m.settings.Jitter
 	}
@@ -287,10 +290,10 @@
 	m.emit(Ack{stored.service, stored.version.Number})
 }
 
-// never is the span until what is not due at any time.
+// never is the delay of something that is not scheduled.
 const never Millis = math.MaxFloat64
 
-// advance does what time has made due, and asks to be woken for what is due next.
+// advance does everything that is due and requests a wake-up for whatever is due next.
 func (m *Machine) advance() {
 	next := m.activateIfDue()
 	next = min(next, m.requestOfferIfDue())
@@ -300,7 +303,8 @@
 	}
 }
 
-// activateIfDue activates an accepted candidate; else it returns the span until then.
+// activateIfDue activates an accepted candidate whose time has come. Otherwise it
+// returns the delay until then.
 func (m *Machine) activateIfDue() (next Millis) {
 	due := m.candidate
 	if due == nil || !due.accepted {
@@ -320,8 +324,8 @@
 	return never
 }
 
-// requestOfferIfDue has the service that waits offer again once the lease has run out;
-// else it returns the span until then.
+// requestOfferIfDue asks the waiting service to offer its version again once the lease
+// has expired. Otherwise it returns the delay until then.
 func (m *Machine) requestOfferIfDue() (next Millis) {
 	if m.waitingService == "" {
 		return never
@@ -335,7 +339,8 @@
 }
 
 // warnIfUnconfirmed warns once when no service has confirmed the running version for
-// long, and when one does again; it returns the span until such a warning is due.
+// UnconfirmedAfter, and reports once when it is confirmed again. It returns the delay
+// until the warning is due.
 func (m *Machine) warnIfUnconfirmed() (next Millis) {
 	limit := m.settings.UnconfirmedAfter
 	if m.leaseHolder != "" && m.now-m.leaseRenewedAt < limit {
@@ -347,7 +352,7 @@
 	age := m.now - m.confirmedAt
 	if age >= limit {
 		if !m.warned {
-			m.emit(Warn{fmt.Sprintf("configuration %d runs on though no service has confirmed it for %.0f s",
+			m.emit(Warn{fmt.Sprintf("configuration %d is still running, but no service has confirmed it for %.0f s",
 				m.running.Number, age/1000)})
 		}
 		m.warned = true
--- a/internal/controlplane/configversion/machine_test.go
+++ b/internal/controlplane/configversion/machine_test.go
@@ -12,8 +12,8 @@
 	"indigospool/internal/config"
 )
 
-// body is a valid configuration whose members' states follow from the letters:
-// s serving, d draining, - not listed.
+// body returns a valid configuration. Each letter gives a member's state: s serving, d
+// draining, - not listed.
 func body(caches, parents, extra string) []byte {
 	var text strings.Builder
 	fmt.Fprintf(&text, "(router (zone z) (of 4)) (zone z (routers 4) (hub h)) (zone h)\n(class c) (route \"/c/{object}\" (class c))\n%s\n", extra)
@@ -32,12 +32,13 @@
 
 var validBody = body("sss", "ssss", "")
 
-// replaceInValid is the good configuration with the first occurrence of old replaced.
+// replaceInValid returns the valid configuration with the first occurrence of old
+// replaced.
 func replaceInValid(old, new string) []byte {
 	return []byte(strings.Replace(string(validBody), old, new, 1))
 }
 
-// machineTest is a machine with its time, and the actions that the last event led to.
+// machineTest is a machine with its clock and the actions of the last event.
 type machineTest struct {
 	t       testing.TB
 	machine *Machine
@@ -54,7 +55,7 @@
 	return s
 }
 
-// offer offers a version and has the disk take it.
+// offer offers a version and reports it as stored.
 func (s *machineTest) offer(service string, version Version) *machineTest {
 	s.handle(Offered{service, version})
 	for _, action := range s.actions {
@@ -71,8 +72,8 @@
 	return s.handle(Tick{})
 }
 
-// hasAction reports whether the last event led to an action of a type that fulfils a
-// condition; nil: any of the type.
+// hasAction reports whether the last event led to an action of type T that satisfies
+// the condition; a nil condition accepts any.
 func hasAction[T Action](test *machineTest, condition func(T) bool) bool {
 	return slices.ContainsFunc(test.actions, func(action Action) bool {
 		typed, is := action.(T)
@@ -108,13 +109,13 @@
 	test := newMachineTest(t)
 	test.handle(Offered{"a", New(1, validBody)})
 	if hasAction[Ack](test, nil) || hasAction[Activate](test, nil) || !hasAction[Store](test, nil) {
-		t.Fatalf("before it is on disk: %+v", test.actions)
+		t.Fatalf("before the version is stored: %+v", test.actions)
 	}
-	test.handle(Stored{Number: 1}).wantAccepted(1).wantRunning(1) // the first at once
+	test.handle(Stored{Number: 1}).wantAccepted(1).wantRunning(1) // the first version is activated immediately
 	test.offer("a", New(2, body("sssd", "ssss", ""))).wantAccepted(2).wantRunning(1)
 	wakes := slices.DeleteFunc(slices.Clone(test.actions), func(a Action) bool { _, is := a.(Wake); return !is })
 	if len(wakes) == 0 || wakes[len(wakes)-1].(Wake).After > 1000 {
-		t.Errorf("it is woken by %+v, want at last to activate the second", wakes)
+		t.Errorf("wake-ups %+v, want the last one within 1000 ms, for the activation of version 2", wakes)
 	}
 	test.advance(1001).wantRunning(2)
 }
@@ -129,15 +130,15 @@
 	bad := New(6, validBody)
 	bad.Sum = strings.Repeat("0", 64)
 	test.offer("a", bad).wantRejected("checksum").wantRunning(5)
-	test.offer("a", New(6, body("ss", "ssss", ""))).wantAccepted(6) // a rejected number may be offered again, with its content intact
-	test.offer("a", New(7, validBody)).wantAccepted(7)              // back to the old content by a new number
+	test.offer("a", New(6, body("ss", "ssss", ""))).wantAccepted(6) // a rejected number may be offered again with other content
+	test.offer("a", New(7, validBody)).wantAccepted(7)              // rollback: old content under a new number
 	if got := test.machine.HighestAccepted(); got != 7 {
 		t.Errorf("highest accepted %d", got)
 	}
 }
 
-// Two services that disagree: the lease holder stays so while it gives signs of life;
-// the router does not flap between them.
+// Of two services that disagree, the lease holder is followed as long as it shows signs
+// of life; the router does not switch back and forth.
 func TestSplitBrain(t *testing.T) {
 	test := newMachineTest(t).offer("a", New(1, validBody)).wantRunning(1)
 	for n := int64(2); n < 20; n++ {
@@ -148,20 +149,20 @@
 	test.handle(Disconnected{"a"}).advance(28000)
 	test.offer("b", New(30, body("ss", "ssss", ""))).wantRejected("in charge")
 	if hasAction[RequestOffer](test, nil) {
-		t.Error("an offer is requested of the other service while one holds the lease")
+		t.Error("an offer is requested from the other service while the lease is held")
 	}
 	test.advance(2000)
 	if !hasAction(test, func(a RequestOffer) bool { return a.Service == "b" }) {
-		t.Errorf("no offer is requested of the service that was rejected: %+v", test.actions)
+		t.Errorf("no offer is requested from the rejected service: %+v", test.actions)
 	}
 	test.offer("b", New(31, body("ss", "ssss", ""))).wantAccepted(31)
 	if !hasAction(test, func(w Warn) bool { return strings.Contains(w.Text, "service b is in charge now") }) {
-		t.Errorf("the operator is not warned of the change of services: %+v", test.actions)
+		t.Errorf("no warning about the change of services: %+v", test.actions)
 	}
 }
 
-// A service gone for minutes: the last known good version runs on, with one warning,
-// and one message when it is confirmed again.
+// While the service is gone for minutes, the last known good version keeps running with
+// one warning, and one message reports that it is confirmed again.
 func TestWarnsOnceWhileServiceIsGone(t *testing.T) {
 	test := newMachineTest(t).offer("a", New(1, validBody)).handle(Disconnected{"a"})
 	warned := 0
@@ -185,18 +186,19 @@
 	test.handle(Offered{"a", New(2, body("ss", "ssss", ""))})
 	test.handle(Stored{2, errors.New("no space")}).wantRejected("could not be stored: no space").wantRunning(1)
 	test.offer("a", New(2, body("ss", "ssss", ""))).wantAccepted(2)
-	// one that is superseded while it is being stored is never activated
+	// a version that is superseded while it is being stored is never activated
 	test.advance(2000).wantRunning(2)
 	test.handle(Offered{"a", New(3, validBody)}).handle(Offered{"a", New(4, body("ssss", "ssss", ""))})
 	test.handle(Stored{Number: 3})
 	if hasAction[Ack](test, nil) {
-		t.Error("a superseded version is accepted")
+		t.Error("a superseded version was accepted")
 	}
 	test.handle(Stored{Number: 4}).wantAccepted(4).advance(2000).wantRunning(4)
 }
 
-// Activations of one version are spread over the routers, by their seeds; but one that
-// takes a member away is activated at once, since a grace runs.
+// Activations of one version are spread over the routers by their seeds. A version that
+// withdraws a member is activated immediately, since the member's grace period is
+// running.
 func TestActivationJitter(t *testing.T) {
 	activations := map[int]int{}
 	for seed := range 300 {
@@ -209,7 +211,7 @@
 	}
 	for tenth := range 10 {
 		if activations[tenth] < 12 || activations[tenth] > 55 {
-			t.Errorf("%d of 300 routers in tenth %d of the spread", activations[tenth], tenth)
+			t.Errorf("%d of 300 routers activate in tenth %d of the jitter", activations[tenth], tenth)
 		}
 	}
 	for _, away := range []string{"ss", "sds"} {
@@ -217,13 +219,13 @@
 	}
 }
 
-// A version is joined with the router's local settings, and is rejected where it leaves
-// this router out.
+// A version is merged with the router's local settings, and is rejected if it does not
+// include this router.
 func TestLocalSettings(t *testing.T) {
 	local := &config.Settings{}
 	if err := config.Read("own", `(router (name r7) (me 3) (of 1) (zone z) (list "127.0.0.1:7"))
 		(class c) (route "/c/{object}" (class c)) (control (services "127.0.0.1:9"))`, local); err == nil {
-		t.Fatal("a file whose (me) is not below its (of) is good only while it waits for a version")
+		t.Fatal("a file whose (me) is not below its (of) is accepted though it does not wait for a version")
 	}
 	if err := config.Read("own", `(router (name r7) (me 3) (of 9) (zone z))
 		(control (services "127.0.0.1:9") (start wait) (lease 777))`, local); err != nil {
@@ -243,7 +245,7 @@
 	test.wantRunning(1)
 }
 
-// invariantChecker is a machine with its disk, of which each action is checked.
+// invariantChecker runs a machine with a simulated disk and checks each action.
 type invariantChecker struct {
 	t               *rapid.T
 	machine         *Machine
@@ -261,7 +263,7 @@
 			g.writing = &version
 		case Ack:
 			if g.disk == nil || g.disk.Number != action.Number {
-				g.t.Fatalf("version %d is accepted and not on disk", action.Number)
+				g.t.Fatalf("version %d is accepted but not on disk", action.Number)
 			}
 			g.highestAccepted = max(g.highestAccepted, action.Number)
 		case Activate:
@@ -273,10 +275,10 @@
 
 func (g *invariantChecker) checkActivated(version Version) {
 	if version.Number < g.highestAccepted || version.Number < g.running {
-		g.t.Fatalf("version %d is activated after %d was accepted and %d run", version.Number, g.highestAccepted, g.running)
+		g.t.Fatalf("version %d is activated after version %d was accepted and version %d ran", version.Number, g.highestAccepted, g.running)
 	}
 	if Checksum(version.Body) != version.Sum {
-		g.t.Fatal("a damaged version is activated")
+		g.t.Fatal("a corrupt version is activated")
 	}
 	settings := &config.Settings{}
 	if err := config.Read("x", string(version.Body), settings); err != nil {
@@ -287,8 +289,8 @@
 	}
 }
 
-// For any sequence of offers, lost streams, restarts and damage: a router runs only
-// versions that passed every check, and never one older than the last accepted.
+// For any sequence of offers, lost streams, restarts and corrupt data, a router only
+// runs versions that passed every check, and never one older than the last accepted.
 func TestGuarantee(t *testing.T) {
 	bodies := [][]byte{validBody, body("ss", "ssss", ""), body("ssss", "sss", ""), body("ddd", "ssss", ""), []byte("(oops"),
 		body("sss", "ssss", "(rules (drain-grace 9000))"), body("s", "s", "")}
@@ -317,15 +319,15 @@
 				}
 			case 5:
 				checker.handle(Tick{})
-			case 6: // killed, at whatever point, and started again
+			case 6: // killed at any point and restarted
 				if checker.writing != nil && rapid.Bool().Draw(t, "the write was complete") {
-					checker.disk = checker.writing // on disk, and the machine was never notified
+					checker.disk = checker.writing // on disk, but the machine was not notified
 				}
 				checker.writing = nil
 				checker.machine = NewMachine(MachineSettings{}, 4)
 				checker.running = 0
 				if checker.disk == nil || rapid.IntRange(0, 5).Draw(t, "store damaged") == 0 {
-					checker.disk, checker.highestAccepted = nil, 0 // quarantined: nothing is known of what was accepted
+					checker.disk, checker.highestAccepted = nil, 0 // quarantined: what was accepted is unknown
 					checker.handle(Restored{Err: errors.New("damaged")})
 				} else {
 					checker.handle(Restored{Version: *checker.disk, Age: float64(rapid.IntRange(0, 1e6).Draw(t, "age"))})
--- a/internal/controlplane/configversion/record.go
+++ b/internal/controlplane/configversion/record.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// State is how far a version has come at this router.
+// State is a version's state at this router.
 type State int
 
-// The states.
+// States of a version.
 const (
-	StateOffered    State = iota // checked and good, and not yet on disk
-	StateAccepted                // on disk, and not yet activated
+	StateOffered    State = iota // passed the checks, not stored yet
+	StateAccepted                // stored, not activated yet
 	StateRunning                 // activated
-	StateSuperseded              // replaced before or after it was activated
-	StateRejected                // by a check, or since it could not be stored
+	StateSuperseded              // replaced by a newer version, before or after its activation
+	StateRejected                // failed a check, or could not be stored
 )
 
-// stateNames are shown in a router's /state, so they keep their words.
+// stateNames are part of the output of a router's /state and must not change.
 var stateNames = [...]string{
 	StateOffered:    "offered",
 	StateAccepted:   "accepted",
@@ -26,20 +26,20 @@
 	StateRejected:   "refused",
 }
 
-// String is the state as a router's /state shows it.
+// String returns the state as a router's /state shows it.
 func (s State) String() string { return stateNames[s] }
 
-// Record is what is remembered of a version.
+// Record is what the machine remembers about a version.
 type Record struct {
 	Number    int64
 	Sum       string // SHA-256 of its body, in hex
 	State     State
-	Service   string   // that offered it; empty: it was restored from disk
-	ChangedAt Millis   // when State changed last
+	Service   string   // that offered it; empty: restored from disk
+	ChangedAt Millis   // when State last changed
 	Reasons   []Reason // why it was rejected
 }
 
-// Records are the versions that are remembered, by number.
+// Records returns the remembered versions, sorted by number.
 func (m *Machine) Records() []Record {
 	list := make([]Record, 0, len(m.records))
 	for _, record := range m.records {
@@ -49,8 +49,8 @@
 	return list
 }
 
-// record remembers a version's state, and forgets the lowest numbers past the limit,
-// but neither the running version nor the candidate.
+// record stores a version's state. Above MaxRecords it removes the records with the
+// lowest numbers, except those of the running version and the candidate.
 func (m *Machine) record(version Version, state State, service string, reasons []Reason) {
 	m.records[version.Number] = &Record{version.Number, version.Sum, state, service, m.now, reasons}
 	for len(m.records) > m.settings.MaxRecords {
--- a/internal/controlplane/configversion/record_test.go
+++ b/internal/controlplane/configversion/record_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// What operators are shown of a machine follows its versions.
+// The status shown to operators follows the machine's versions.
 func TestStatusFollowsVersions(t *testing.T) {
 	test := newMachineTest(t)
 	if age := test.machine.Age(1000); age != 0 || test.machine.Accepted().Number != 0 || test.machine.LeaseHolder() != "" {
@@ -34,12 +34,12 @@
 	}
 }
 
-// The oldest records are forgotten past the limit, but not that of the running version.
+// Above the limit the oldest records are removed, but not that of the running version.
 func TestRecordsAreLimited(t *testing.T) {
 	test := &machineTest{t: t, machine: NewMachine(MachineSettings{MaxRecords: 3, MaxBytes: len(validBody) + 1000}, 1)}
 	test.offer("a", New(1, validBody))
 	for number := int64(2); number <= 6; number++ {
-		test.offer("a", New(number, []byte(strings.Repeat(" ", len(validBody)+1001)))).wantRejected("bytes, where")
+		test.offer("a", New(number, []byte(strings.Repeat(" ", len(validBody)+1001)))).wantRejected("bytes, above the limit of")
 	}
 	var numbers []int64
 	for _, record := range test.machine.Records() {
@@ -50,7 +50,7 @@
 	}
 }
 
-// A process hands its version to the one that takes over in this form.
+// A hot restart passes the version to the successor in this form.
 func TestVersionJSON(t *testing.T) {
 	text, err := json.Marshal(Version{Number: 7, Sum: "ab", Body: []byte("(x)")})
 	if err != nil {
--- a/internal/controlplane/configversion/restore.go
+++ b/internal/controlplane/configversion/restore.go
@@ -6,22 +6,23 @@
 	"indigospool/internal/config"
 )
 
-// restore begins with what the disk held. It passed its checks when it was
-// accepted; they are made again, since the program may be another one now.
+// restore activates the version found on disk at the start. The version passed the
+// checks when it was accepted; they are repeated because the program may have changed
+// since.
 func (m *Machine) restore(event Restored) {
 	if m.restored || m.running.Number != 0 || m.candidate != nil {
 		return
 	}
 	m.restored = true
 	if event.Err != nil {
-		m.emit(Warn{fmt.Sprintf("no last good configuration: %v; waiting for the service", event.Err)})
+		m.emit(Warn{fmt.Sprintf("no last good configuration: %v; waiting for a service", event.Err)})
 		return
 	}
 	version := event.Version
 	settings, reasons := m.parseAndCheck(nil, version)
 	if len(reasons) > 0 {
 		m.accepted = identity{max(m.accepted.number, version.Number), version.Sum}
-		m.emit(Warn{fmt.Sprintf("the stored configuration %d does not pass the checks: %s; waiting for the service",
+		m.emit(Warn{fmt.Sprintf("the stored configuration %d does not pass the checks: %s; waiting for a service",
 			version.Number, reasons[0])})
 		return
 	}
@@ -37,7 +38,8 @@
 	m.emit(Activate{version, settings, isStale, m.listedFor(event, settings)})
 }
 
-// memberStart is one start of a member: another start number or address came back empty.
+// memberStart identifies one start of a member. A member with another start number or
+// address has been restarted and begins with an empty cache.
 type memberStart struct {
 	id      string
 	start   int
@@ -52,18 +54,19 @@
 	return starts
 }
 
-// listedFor is, for members that came with one of the last versions, for how long they
-// have been listed at least: a router that starts again must not take them for warmed up.
-// Stored times are hints, since the wall clock may have been stepped after the last
-// one: that counts as now, and the others go by their distance from it.
+// listedFor returns, for members that were added or restarted by one of the stored
+// versions, how long they have been listed at least, so that a restarted router does
+// not assume that they are warm. Stored times are unreliable, since the wall clock may
+// have been stepped after the last version was stored: that version is taken as stored
+// now, and the ages of the others are relative to it.
 func (m *Machine) listedFor(event Restored, settings *config.Settings) map[string]Millis {
 	spans := map[string]Millis{}
-	oldestAge := Millis(0) // of the oldest version in a row that has the member as it is now
+	oldestAge := Millis(0) // of the oldest version in an unbroken sequence that lists the member as it is now
 	unresolved := startsOf(settings.Members)
 	for i := len(event.Earlier) - 1; i >= 0 && len(unresolved) > 0; i-- {
 		earlier := &config.Settings{}
 		if config.ReadVersion("stored", string(event.Earlier[i].Version.Body), m.settings.Local, earlier) != nil {
-			break // one that can't be read says nothing of who was there
+			break // an unreadable version does not tell which members were listed
 		}
 		present := startsOf(earlier.Members)
 		for member := range unresolved {
@@ -75,7 +78,7 @@
 		oldestAge = max(event.Earlier[i].Age-event.Age, 0)
 	}
 	for member := range unresolved {
-		if member.start > 1 { // it has started anew some time: at the latest when the oldest was stored
+		if member.start > 1 { // it was restarted at some time, no later than the oldest version was stored
 			spans[member.id] = oldestAge
 		}
 	}
--- a/internal/controlplane/configversion/restore_test.go
+++ b/internal/controlplane/configversion/restore_test.go
@@ -12,7 +12,7 @@
 	if !hasAction(test, func(u Activate) bool { return u.Version.Number == 7 && !u.Stale }) {
 		t.Fatalf("%+v", test.actions)
 	}
-	test.offer("a", New(6, validBody)).wantRejected("older than 7") // a service that came back with an old state
+	test.offer("a", New(6, validBody)).wantRejected("older than 7") // from a service that lost its latest state
 	test.advance(60000)
 	if !hasAction(test, func(w Warn) bool { return strings.Contains(w.Text, "no service has confirmed it") }) || test.machine.Running() != 7 {
 		t.Errorf("%+v", test.actions)
@@ -21,7 +21,7 @@
 
 	test = newMachineTest(t).handle(Restored{Version: version, Age: 700000})
 	if !hasAction(test, func(u Activate) bool { return u.Stale }) {
-		t.Errorf("an old list is not reported as stale: %+v", test.actions)
+		t.Errorf("an old version is not reported as stale: %+v", test.actions)
 	}
 	test = newMachineTest(t).handle(Restored{Err: errors.New("damaged")})
 	if !hasAction[Warn](test, nil) || hasAction[Activate](test, nil) {
@@ -30,13 +30,13 @@
 	test.offer("a", New(1, validBody)).wantRunning(1)
 	test = newMachineTest(t).handle(Restored{Version: New(9, body("ddd", "ssss", ""))})
 	if hasAction[Activate](test, nil) {
-		t.Error("what does not pass the checks is run after a restart")
+		t.Error("a version that fails the checks is run after a restart")
 	}
 	test.offer("a", New(8, validBody)).wantRejected("older than 9")
 }
 
-// After a restart, members that came with one of the last versions are known to
-// be young; those that were in the oldest are not.
+// After a restart, members that were added or restarted by one of the stored versions
+// are known to be recent; members of the oldest stored version are not.
 func TestListedForAfterRestart(t *testing.T) {
 	with := func(n int, members string) Version {
 		return New(int64(n), append(body("ss", "ssss", ""), members...))
@@ -49,26 +49,26 @@
 			{with(3, old+strings.Replace(anew, "start 2", "start 1", 1)), 5000 + step},
 			{with(4, old+late+anew), 700 + step}}}
 	}
-	// Ages are by the wall clock, which may have been stepped since.
+	// Ages are based on the wall clock, which may have been stepped.
 	for _, step := range []float64{0, 3000, -3000, 3.6e6, -3.6e6} {
 		test := newMachineTest(t).handle(restoredAfter(step))
 		if !hasAction(test, func(u Activate) bool {
 			return len(u.ListedFor) == 3 && u.ListedFor["late"] == 600 && u.ListedFor["anew"] == 600 && u.ListedFor["old"] == 8900
 		}) {
-			t.Errorf("a step of %v ms: up %v", step, listedForOf(test))
+			t.Errorf("a step of %v ms: listed for %v", step, listedForOf(test))
 		}
 	}
-	// A version that seems to be younger than the one after it says nothing of its age.
+	// The age of a version that appears younger than its successor is not used.
 	back := restoredAfter(0)
 	back.Earlier[2].Age = -3.6e6
 	if test := newMachineTest(t).handle(back); !hasAction(test, func(u Activate) bool {
 		return u.ListedFor["late"] == 0 && u.ListedFor["anew"] == 0 && u.ListedFor["old"] == 8900
 	}) {
-		t.Errorf("stepped back between two versions: up %v", listedForOf(test))
+		t.Errorf("clock set back between two versions: listed for %v", listedForOf(test))
 	}
 }
 
-// listedForOf is for how long members have been listed, by the version that is used.
+// listedForOf returns ListedFor of the activated version.
 func listedForOf(test *machineTest) map[string]Millis {
 	for _, action := range test.actions {
 		if activate, ok := action.(Activate); ok {
--- a/internal/controlplane/configversion/settings.go
+++ b/internal/controlplane/configversion/settings.go
@@ -2,32 +2,32 @@
 
 import "indigospool/internal/config"
 
-// MachineSettings are the figures of a Machine. Zero fields mean the defaults.
+// MachineSettings configures a Machine. Zero fields are set to the defaults.
 type MachineSettings struct {
-	// Local is the router's own file: its part goes before a version's. Nil where the
-	// machine is no router's in particular.
+	// Local is the router's own settings file, which takes precedence over a version. It is
+	// nil if the machine does not belong to a particular router.
 	Local *config.Settings
-	// Limits bound what one version may change or state.
+	// Limits are the limits of the semantic checks.
 	Limits CheckLimits
-	// MaxBytes is the size above which a version is rejected. Default 16 MiB.
+	// MaxBytes is the size limit of a version. Default 16 MiB.
 	MaxBytes int
-	// Jitter is within which time, by chance, an accepted version is activated, so that
-	// not all routers do so at once. Default 1000 ms.
+	// Jitter is the upper limit of the random delay before an accepted version is activated,
+	// so that the routers don't activate it at the same moment. Default 1000 ms.
 	Jitter Millis
-	// Lease is how long a service must be silent before another one is believed. Default
-	// 30000 ms.
+	// Lease is how long a service must be silent before the router follows another one.
+	// Default 30000 ms.
 	Lease Millis
-	// UnconfirmedAfter is from which age on the operator is warned of the running version.
-	// Default 60000 ms.
+	// UnconfirmedAfter is the age of the running version from which on the operator is
+	// warned. Default 60000 ms.
 	UnconfirmedAfter Millis
-	// StaleAfter is from which age on a restored version is reported as stale. Default
+	// StaleAfter is the age from which on a restored version is reported as stale. Default
 	// 600000 ms.
 	StaleAfter Millis
 	// MaxRecords is how many versions are remembered for status. Default 32.
 	MaxRecords int
 }
 
-// withDefaults has the defaults in place of zero fields.
+// withDefaults returns the settings with defaults for zero fields.
 func (s MachineSettings) withDefaults() MachineSettings {
 	s.Jitter = positiveOr(s.Jitter, 1000)
 	s.Lease = positiveOr(s.Lease, 30000)
@@ -43,7 +43,7 @@
 	return s
 }
 
-// positiveOr is value, or the default where it is not above 0.
+// positiveOr returns value if it is above 0, else the default.
 func positiveOr(value, byDefault float64) float64 {
 	if value <= 0 {
 		return byDefault
