--- a/internal/controlplane/rollout/rollout_test.go
+++ b/internal/controlplane/rollout/rollout_test.go
@@ -198,7 +198,7 @@
 
 // Service drops at the routers that run the version: it is halted in its second
 // stage, and they get the old content under a new number.
-func TestHaltedByServiceDrop(t *testing.T) {
+func TestHaltedByInTimeDrop(t *testing.T) {
 	sim := newSimulation(t, 50)
 	sim.handle(Push{Body: validBody})
 	sim.advance(2000)
