--- a/internal/controlplane/rollout/comparison.go
+++ b/internal/controlplane/rollout/comparison.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// requestCounts are a router's requests, and those of them that were served in time.
+// requestCounts counts requests, and those of them that were served in time.
 type requestCounts struct{ inTime, requests float64 }
 
-// inTimeShare is 0 where there were no requests.
+// inTimeShare returns the share of requests served in time, or 0 without requests.
 func (c requestCounts) inTimeShare() float64 { return c.inTime / max(c.requests, 1) }
 
 func (c *requestCounts) add(other requestCounts) {
@@ -13,18 +13,18 @@
 	c.requests += other.requests
 }
 
-// decay makes what was counted before weigh less than what comes.
+// decay reduces the weight of the counts so far.
 func (c *requestCounts) decay(factor float64) {
 	c.inTime *= factor
 	c.requests *= factor
 }
 
-// decayPerReport is what is left, at each report, of the counts before it: service of
-// late is that of about the last ten reports.
+// decayPerReport is the factor applied to the earlier counts at each load report, so
+// that about the last ten reports determine the in-time share.
 const decayPerReport = 0.9
 
-// loadReport counts a router's requests: for the rollout under way, or as the usual
-// service that the next one is compared with.
+// loadReport adds a router's requests to the counts of the rollout in progress or,
+// between rollouts, to the baseline of the next one.
 func (r *Rollout) loadReport(report LoadReport) {
 	router := r.router(report.Router)
 	counts := requestCounts{max(report.InTime, 0), max(report.Requests, 0)}
@@ -36,7 +36,8 @@
 	router.before.add(counts)
 }
 
-// restartComparison has service counted anew: what was counted is of before.
+// restartComparison adds the counts since the rollout began to the baseline, and resets
+// them.
 func (r *Rollout) restartComparison() {
 	for _, router := range r.routers {
 		router.before.add(router.since)
@@ -44,8 +45,8 @@
 	}
 }
 
-// inTimeChange is how service has changed at several routers: each one's own change
-// weighs by its requests since.
+// inTimeChange aggregates the change of the in-time share over routers, weighted by
+// their requests since the rollout began.
 type inTimeChange struct{ weightedDrop, requests, requestsBefore float64 }
 
 func (c *inTimeChange) add(router *routerState) {
@@ -57,9 +58,10 @@
 
 func (c *inTimeChange) drop() float64 { return c.weightedDrop / max(c.requests, 1) }
 
-// inTimeShareDropped reports whether, and how, service at the routers that run the version
-// has fallen against what it was before by more than it has at those outside of the
-// stage: zones differ, and what befalls all of them is not the version's doing.
+// inTimeShareDropped reports whether the in-time share of the stage's routers that run
+// the version dropped by more than MaxInTimeDrop, and why. Each router is compared with
+// its own baseline, since zones differ, and the drop at routers outside of the stage is
+// subtracted, since the version does not cause it.
 func (r *Rollout) inTimeShareDropped(stage []string) (reason string, dropped bool) {
 	inStage := map[string]bool{}
 	for _, name := range stage {
@@ -84,6 +86,6 @@
 	if atStage.drop()-max(atOthers.drop(), 0) <= r.settings.MaxInTimeDrop {
 		return "", false
 	}
-	return fmt.Sprintf("service in time at routers that run it is %.1f points of a hundred less than before, at the others %.1f",
+	return fmt.Sprintf("the share of requests served in time fell by %.1f percentage points at routers that run it, and by %.1f at the others",
 		100*atStage.drop(), 100*atOthers.drop()), true
 }
--- a/internal/controlplane/rollout/events.go
+++ b/internal/controlplane/rollout/events.go
@@ -2,70 +2,73 @@
 
 import "indigospool/internal/controlplane/configversion"
 
-// Events, which Rollout.Handle takes.
+// Events, the input of Rollout.Handle.
 type (
-	// Push begins the rollout of a body. Force takes it to all routers at once.
+	// Push starts the rollout of a body. With Force it goes to all routers at once.
 	Push struct {
 		Body  []byte
 		Force bool
 	}
-	// Connected says that a router's stream has begun, and which version it runs.
+	// Connected reports that a router's stream has begun, and which version the router
+	// runs.
 	Connected struct {
 		Router  string
 		Running int64
 	}
-	// Disconnected says that a router's stream has ended.
+	// Disconnected reports that a router's stream has ended.
 	Disconnected struct{ Router string }
-	// Acked says that a router has accepted a version.
+	// Acked reports that a router accepted a version.
 	Acked struct {
 		Router string
 		Number int64
 	}
-	// Nacked says that a router has rejected a version, and why.
+	// Nacked reports that a router rejected a version, and why.
 	Nacked struct {
 		Router  string
 		Number  int64
 		Reasons []string
 	}
-	// LoadReport is how many requests a router had since its last report, and how
-	// many of them it served in time.
+	// LoadReport has the number of requests at a router since its last report, and how
+	// many of them were served in time.
 	LoadReport struct {
 		Router           string
 		InTime, Requests float64
 	}
-	// Halt stops the rollout under way by hand, if there is one.
+	// Halt stops the rollout in progress, if there is one, on behalf of an operator.
 	Halt struct{ Reason string }
-	// Tick says that time has passed.
+	// Tick reports that time has passed.
 	Tick struct{}
 )
 
-// Actions, which Rollout.Handle wants done.
+// Actions, the output of Rollout.Handle.
 type (
-	// Offer sends a version to a router that has a stream.
+	// Offer sends a version to a connected router.
 	Offer struct {
 		Router  string
 		Version configversion.Version
 	}
-	// Halted says that a rollout was stopped, and why. The old content follows
-	// under a new number.
+	// Halted reports that a rollout was stopped, and why. The old content follows under
+	// a new number.
 	Halted struct {
 		Number int64
 		Reason string
 	}
-	// StageStarted says that a stage, counted from 0, has begun with so many routers.
+	// StageStarted reports that a stage, counted from 0, has begun, with its number of
+	// routers.
 	StageStarted struct {
 		Number  int64
 		Stage   int
 		Routers int
 	}
-	// NumberAhead says that a router has accepted a number that this service never
-	// gave, as after a state was lost: later numbers are above it.
+	// NumberAhead reports that a router has accepted a number that this service never
+	// assigned, for example because the service lost its state. Later numbers are
+	// higher.
 	NumberAhead struct {
 		Router string
 		Number int64
 	}
-	// Completed says that a version is what all routers are offered.
+	// Completed reports that a version is now offered to all routers.
 	Completed struct{ Number int64 }
-	// Persist asks for the state to be put on disk before any Offer after it is sent.
+	// Persist writes the state to disk. Offers that follow must wait until it is there.
 	Persist struct{ State State }
 )
--- a/internal/controlplane/rollout/json_test.go
+++ b/internal/controlplane/rollout/json_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Operators and older clients read a router's status by these keys.
+// Operators and older clients rely on these keys of a router's status.
 func TestRouterStatusJSON(t *testing.T) {
 	text, err := json.Marshal(RouterStatus{"r1", true, 4, 5, []string{"its disk is full"}, 0.5})
 	if err != nil {
--- a/internal/controlplane/rollout/rollout.go
+++ b/internal/controlplane/rollout/rollout.go
@@ -1,15 +1,16 @@
-// Package rollout decides how a control service brings a version of the configuration
-// to its routers: in stages, and so that a version that routers reject, or that makes
-// their service worse, goes no further. It is a state machine without I/O: events go
-// in, actions come out, and time is the caller's.
+// Package rollout decides how a control service rolls a version of the configuration
+// out to its routers: in stages, halting the rollout if routers reject the version or
+// if the share of requests that they serve in time drops. It is a state machine without
+// I/O: it takes events and returns actions; the caller supplies the time.
 //
-// The package owns the numbers of versions, the stage under way and what is known of
-// each router; State is what of this must survive a crash. Versions themselves, and what
-// a router makes of one that it is offered, are internal/controlplane/configversion's;
-// streams and the service's disk are internal/controlplane/service's (docs/control.md).
+// The package assigns version numbers and tracks the current stage and the status of
+// each router. State is the part that must survive a crash. The contents of versions,
+// and a router's decision to accept one, belong to internal/controlplane/configversion;
+// streams and the service's disk to internal/controlplane/service (docs/control.md).
 //
-// The machine is in rollout.go, its events and actions in events.go, who belongs to a
-// stage in stage.go, the comparison of service in comparison.go.
+// The machine is in rollout.go, its events and actions are in events.go, the selection
+// of a stage's routers is in stage.go, and the comparison of the in-time shares in
+// comparison.go.
 package rollout
 
 import (
@@ -20,51 +21,53 @@
 	"indigospool/internal/controlplane/configversion"
 )
 
-// State is what a service must not forget: numbers are never given twice.
+// State is the persistent state of a rollout. A lost state could assign a number twice.
 type State struct {
-	LastNumber int64                 // highest number ever given
-	Base       configversion.Version // what all routers are offered; Number 0: none yet
-	Next       configversion.Version // being rolled out; Number 0: none
-	Stage      int                   // of Next, from 0
-	HaltReason string                // why the last rollout was halted; empty: it was not
+	LastNumber int64                 // highest number ever assigned
+	Base       configversion.Version // version for all routers; Number 0: none yet
+	Next       configversion.Version // version being rolled out; Number 0: none
+	Stage      int                   // stage of Next, counted from 0
+	HaltReason string                // why the last rollout was halted; empty: not halted
 }
 
-// RouterStatus is what is known of one router. Its JSON is that of the service's status.
+// RouterStatus is the status of one router. It is encoded as JSON in the service's
+// status.
 type RouterStatus struct {
 	Router      string
-	Connected   bool     `json:"Joined"` // it has a stream
-	Running     int64    // number of the version that it accepted last
-	Rejected    int64    `json:"Refused"` // number of the version that it rejected, and has not accepted since
+	Connected   bool     `json:"Joined"` // has an open stream
+	Running     int64    // number of the last accepted version
+	Rejected    int64    `json:"Refused"` // number of the rejected version, unless accepted since
 	Reasons     []string // of the rejection
-	InTimeShare float64  `json:"Served"` // share of its requests of late that were served in time; -1: not reported
+	InTimeShare float64  `json:"Served"` // share of its recent requests that were served in time; -1: not reported
 }
 
-// routerState is a router as the service knows it.
+// routerState is what the service knows about a router.
 type routerState struct {
 	connected  bool
-	offered    int64
-	running    int64 // last accepted
-	rejected   int64
+	offered    int64                // number of the version last offered on the present stream; 0: none
+	running    int64                // number of the last accepted version
+	rejected   int64                // number of the rejected version; 0: none
 	reasons    []string             // of the rejection
-	rejectedAt configversion.Millis // or when it was offered again since
-	before     requestCounts        // of late, when the present rollout began
-	since      requestCounts        // since then
+	rejectedAt configversion.Millis // or when it was last offered again
+	before     requestCounts        // recent counts, from before the current rollout
+	since      requestCounts        // counts since the current rollout began
 }
 
-// Rollout brings versions to routers in stages, and halts by itself. It does no I/O, and
-// is not safe for concurrent use.
+// Rollout rolls versions out to routers in stages. It performs no I/O and is not safe
+// for concurrent use.
 type Rollout struct {
 	settings     Settings
 	state        State
 	now          configversion.Millis
-	lastAccepted configversion.Millis // when the stage's last router accepted, or the stage began
+	lastAccepted configversion.Millis // when a router last accepted the version, or the stage began
 	stageBegan   configversion.Millis
 	routers      map[string]*routerState
 	order        stageOrder
 	actions      []any
 }
 
-// New goes on from a state; the zero state is a new service's.
+// New returns a rollout that resumes from a state. A new service begins with the zero
+// state.
 func New(settings Settings, state State) *Rollout {
 	return &Rollout{
 		settings: settings.withDefaults(),
@@ -74,10 +77,10 @@
 	}
 }
 
-// State is what must not be forgotten.
+// State returns the state that must be persisted.
 func (r *Rollout) State() State { return r.state }
 
-// Status lists the routers by name.
+// Status returns the status of all routers, sorted by name.
 func (r *Rollout) Status() []RouterStatus {
 	var list []RouterStatus
 	for name, router := range r.routers {
@@ -100,8 +103,8 @@
 	return list
 }
 
-// Handle takes one of the events of this package at the time now, and appends the
-// actions that are to be done, in their order, to actions.
+// Handle processes one of this package's events at time now. It appends the resulting
+// actions to actions, in the order in which they must be executed.
 func (r *Rollout) Handle(now configversion.Millis, event any, actions []any) []any {
 	r.now = max(now, r.now)
 	r.actions = actions
@@ -139,7 +142,7 @@
 // inProgress reports whether a version is being rolled out.
 func (r *Rollout) inProgress() bool { return r.state.Next.Number > 0 }
 
-// router is what is known of a router, which may be a new one.
+// router returns the state of a router, which is created if the router is new.
 func (r *Rollout) router(name string) *routerState {
 	router := r.routers[name]
 	if router == nil {
@@ -174,8 +177,9 @@
 	}
 }
 
-// push gives a body a number. One that is being rolled out is superseded: who has it
-// is offered the new one first.
+// push assigns the next number to a body and starts its rollout. It supersedes a
+// rollout in progress: a router that already runs that version keeps it until the stage
+// in which it is offered the new one.
 func (r *Rollout) push(event Push) {
 	r.state.LastNumber++
 	version := configversion.New(r.state.LastNumber, event.Body)
@@ -193,7 +197,8 @@
 	r.beginStage(0)
 }
 
-// setBase has a version be what all routers are offered, and ends a rollout under way.
+// setBase makes a version the one that all routers are offered, and ends the rollout in
+// progress.
 func (r *Rollout) setBase(version configversion.Version) {
 	r.state.Base = version
 	r.state.Next = configversion.Version{}
@@ -221,8 +226,8 @@
 	}
 }
 
-// offer sends a router the version that is meant for it, unless it has been sent or is
-// run already.
+// offer offers a router the version intended for it, unless that version was already
+// offered on the present stream or is running.
 func (r *Rollout) offer(name string) {
 	router := r.routers[name]
 	version := r.state.Base
@@ -238,8 +243,9 @@
 	r.emit(Offer{name, version})
 }
 
-// reoffer offers the base to those who rejected it a while ago: a full disk, or another
-// service that held the lease, may be of the past.
+// reoffer repeats the offer of the base version to routers that rejected it at least
+// ReofferAfter ago: the cause, such as a full disk or another service's lease, may have
+// gone.
 func (r *Rollout) reoffer() {
 	for name, router := range r.routers {
 		hasRejectedBase := router.rejected > 0 && router.rejected == r.state.Base.Number && router.running < router.rejected
@@ -251,10 +257,10 @@
 	}
 }
 
-// stageResponses are what the routers of a stage have made of its version.
+// stageResponses counts the responses of a stage's routers to its version.
 type stageResponses struct {
 	accepted, rejected int
-	firstRejection     string // which router rejected the version, and why
+	firstRejection     string // the first rejecting router by name, and its reason
 }
 
 func (r *Rollout) countResponses(stage []string) (result stageResponses) {
@@ -267,7 +273,7 @@
 			if result.firstRejection != "" {
 				continue
 			}
-			result.firstRejection = name + " refuses it"
+			result.firstRejection = name + " rejected it"
 			if len(router.reasons) > 0 {
 				result.firstRejection += ": " + router.reasons[0]
 			}
@@ -278,25 +284,26 @@
 	return result
 }
 
-// evaluate halts a rollout, or goes on to its next stage.
+// evaluate halts the rollout if the version causes problems, or completes the stage
+// once its conditions are met.
 func (r *Rollout) evaluate() {
 	if !r.inProgress() {
 		return
 	}
 	stage := r.stageRouters()
 	if len(stage) == 0 {
-		return // the stage waits for a router
+		return // wait for a router to connect
 	}
 	result := r.countResponses(stage)
 	total := float64(len(stage))
 	unanswered := float64(len(stage) - result.rejected - result.accepted)
 	if float64(result.rejected) > r.settings.MaxRejectedShare*total {
-		r.halt(fmt.Sprintf("%d of %d routers refuse it; %s", result.rejected, len(stage), result.firstRejection))
+		r.halt(fmt.Sprintf("%d of %d routers rejected it; %s", result.rejected, len(stage), result.firstRejection))
 		return
 	}
 	tooManyUnanswered := unanswered > r.settings.MaxSilentShare*total
 	if tooManyUnanswered && r.now-r.stageBegan >= r.settings.AnswerTimeout {
-		r.halt(fmt.Sprintf("%.0f of %d routers have not answered in %.0f s", unanswered, len(stage), r.settings.AnswerTimeout/1000))
+		r.halt(fmt.Sprintf("%.0f of %d routers have not answered within %.0f s", unanswered, len(stage), r.settings.AnswerTimeout/1000))
 		return
 	}
 	if reason, dropped := r.inTimeShareDropped(stage); dropped {
@@ -308,7 +315,7 @@
 	}
 }
 
-// completeStage goes on to the next stage, or ends the rollout.
+// completeStage starts the next stage, or completes the rollout after the last one.
 func (r *Rollout) completeStage() {
 	if r.state.Stage+1 < len(r.settings.Stages) {
 		r.beginStage(r.state.Stage + 1)
@@ -321,8 +328,8 @@
 	r.emit(Completed{number})
 }
 
-// halt stops a rollout: the old content is offered to all under a new number,
-// since a router never takes a lower one.
+// halt stops the rollout. The old content is offered to all routers under a new number,
+// since routers never accept a lower one.
 func (r *Rollout) halt(reason string) {
 	number := r.state.Next.Number
 	r.restartComparison()
--- a/internal/controlplane/rollout/rollout_test.go
+++ b/internal/controlplane/rollout/rollout_test.go
@@ -11,8 +11,8 @@
 	"indigospool/internal/controlplane/configversion"
 )
 
-// body is a valid configuration with one cache in zone z for each letter, s serving or
-// d draining, and four parents.
+// body returns a valid configuration with four parents and, for each letter, one cache
+// in zone z: s serving, d draining.
 func body(caches, extra string) []byte {
 	var text strings.Builder
 	fmt.Fprintf(&text, "(router (zone z) (of 4)) (zone z (routers 4) (hub h)) (zone h)\n(class c) (route \"/c/{object}\" (class c))\n%s\n", extra)
@@ -28,7 +28,7 @@
 
 var validBody = body("sss", "")
 
-// simulation is a rollout with routers' machines behind it, all in one.
+// simulation is a rollout together with the machines of its routers.
 type simulation struct {
 	t           rapid.TB
 	rollout     *Rollout
@@ -61,7 +61,7 @@
 			switch action := action.(type) {
 			case Persist:
 				if action.State.LastNumber < s.persisted.LastNumber {
-					s.t.Fatalf("the last number went back from %d to %d", s.persisted.LastNumber, action.State.LastNumber)
+					s.t.Fatalf("the last number decreased from %d to %d", s.persisted.LastNumber, action.State.LastNumber)
 				}
 				s.persisted = action.State
 			case Offer:
@@ -74,7 +74,7 @@
 	}
 }
 
-// router is what a router's machine answers to an offer.
+// router returns the events by which a router's machine answers an offer.
 func (s *simulation) router(offer Offer) (answers []any) {
 	machine := s.routers[offer.Router]
 	if s.silent[offer.Router] {
@@ -138,18 +138,18 @@
 	sim.handle(Push{Body: validBody})
 	sim.advance(2000)
 	if sim.running()[1] != 50 {
-		t.Fatalf("the first version: %v", sim.running())
+		t.Fatalf("after the first version: %v", sim.running())
 	}
 	sim.handle(Push{Body: body("ssss", "")})
 	for _, want := range []int{1, 5, 50} {
 		sim.advance(5000)
 		if got := sim.running()[2]; got != want {
-			t.Fatalf("after %v: %d routers run the second, want %d", sim.now, got, want)
+			t.Fatalf("after %v ms: %d routers run version 2, want %d", sim.now, got, want)
 		}
 		sim.advance(28000)
 	}
 	if f := actionsOfType[Completed](sim); len(f) != 2 || f[1].Number != 2 {
-		t.Errorf("finished: %v", f)
+		t.Errorf("completed: %v", f)
 	}
 }
 
@@ -157,7 +157,7 @@
 	sim := newSimulation(t, 50)
 	sim.handle(Push{Body: validBody})
 	sim.advance(2000)
-	for i := range 50 { // not in the first stage's one, surely in the second's five: all but one
+	for i := range 50 { // whichever router the first stage selects
 		id := fmt.Sprintf("r%03d", i)
 		sim.reject[id] = true
 	}
@@ -170,11 +170,11 @@
 	sim.handle(Push{Body: body("ssss", "")})
 	sim.advance(120000)
 	if got := sim.running()[sim.persisted.LastNumber]; got != 50 {
-		t.Errorf("a version after that: %v", sim.running())
+		t.Errorf("the version pushed after that: %v", sim.running())
 	}
 }
 
-// A version that the routers' own checks reject goes no further than one router.
+// A version that the routers' own checks reject is offered to one router only.
 func TestInvalidVersionStopsAtOneRouter(t *testing.T) {
 	sim := newSimulation(t, 50)
 	sim.handle(Push{Body: validBody})
@@ -196,8 +196,8 @@
 	}
 }
 
-// Service drops at the routers that run the version: it is halted in its second
-// stage, and they get the old content under a new number.
+// If the in-time share drops at the routers that run the version, the rollout is halted
+// in its second stage, and they get the old content under a new number.
 func TestHaltedByInTimeDrop(t *testing.T) {
 	sim := newSimulation(t, 50)
 	sim.handle(Push{Body: validBody})
@@ -210,21 +210,22 @@
 	}
 	sim.handle(Push{Body: body("ssss", "")})
 	sim.advance(60000)
-	if h := actionsOfType[Halted](sim); len(h) != 1 || !strings.Contains(h[0].Reason, "is 19.0 points of a hundred less than before, at the others 0.0") {
+	if h := actionsOfType[Halted](sim); len(h) != 1 || !strings.Contains(h[0].Reason, "fell by 19.0 percentage points at routers that run it, and by 0.0 at the others") {
 		t.Fatalf("halted: %+v", h)
 	}
 	if n := sim.running(); n[3] != 50 {
 		t.Errorf("running: %v", n)
 	}
 	if string(sim.persisted.Base.Body) != string(validBody) {
-		t.Error("the old content is not what all are offered")
+		t.Error("the base version does not have the old content")
 	}
 }
 
-// A drop at all routers, and one from before the rollout, is not caused by the version.
+// Neither a drop at all routers nor a low in-time share from before the rollout halts
+// it.
 func TestNotHaltedWhenAllRoutersDrop(t *testing.T) {
 	sim := newSimulation(t, 50)
-	sim.inTimeShare = func(id string, _ int64) float64 { // some zones are worse off than others
+	sim.inTimeShare = func(id string, _ int64) float64 { // half of the routers have a low in-time share
 		return map[bool]float64{true: 0.6, false: 0.99}[id < "r025"]
 	}
 	sim.handle(Push{Body: validBody})
@@ -238,7 +239,7 @@
 	}
 }
 
-// A service that lost its state gives numbers above those that its routers know.
+// A service that lost its state assigns numbers above those that its routers know.
 func TestStateLost(t *testing.T) {
 	sim := newSimulation(t, 6)
 	for range 4 {
@@ -263,7 +264,7 @@
 func TestHaltedByHand(t *testing.T) {
 	sim := newSimulation(t, 50)
 	sim.handle(Push{Body: validBody})
-	sim.handle(Halt{"nothing is under way"})
+	sim.handle(Halt{"no rollout in progress"})
 	sim.handle(Push{Body: body("ssss", "")})
 	sim.advance(2000)
 	sim.handle(Halt{"by hand"})
@@ -287,8 +288,8 @@
 	}
 }
 
-// A service killed at any moment goes on from what it persisted: no number is given
-// twice, and all routers come to run the same version.
+// A service killed at any moment continues from its persisted state: it assigns no
+// number twice, and all routers end up with the same version.
 func TestServiceRestarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation(t, 6)
@@ -309,19 +310,19 @@
 		}
 		for _, o := range actionsOfType[Offer](sim) {
 			if was, ok := contents[o.Version.Number]; ok && was != o.Version.Sum {
-				t.Fatalf("number %d was given to two contents", o.Version.Number)
+				t.Fatalf("number %d was assigned to two contents", o.Version.Number)
 			}
 			contents[o.Version.Number] = o.Version.Sum
 		}
 		sim.handle(Push{Body: validBody, Force: true})
 		sim.advance(3000)
 		if n := sim.running(); n[sim.persisted.LastNumber] != 6 {
-			t.Fatalf("not all run the same after a forced push of %d: %v", sim.persisted.LastNumber, n)
+			t.Fatalf("not all routers run version %d after a forced push: %v", sim.persisted.LastNumber, n)
 		}
 	})
 }
 
-// A router whose disk was full for a while comes to run what the others run.
+// A router that rejected a version because its disk was full gets that version later.
 func TestReoffered(t *testing.T) {
 	sim := newSimulation(t, 6)
 	sim.handle(Push{Body: validBody})
@@ -338,7 +339,7 @@
 	}
 }
 
-// Not always the same routers go first.
+// The first stage does not always select the same routers.
 func TestFirstRoutersVary(t *testing.T) {
 	sim := newSimulation(t, 50)
 	sim.handle(Push{Body: validBody})
--- a/internal/controlplane/rollout/settings.go
+++ b/internal/controlplane/rollout/settings.go
@@ -2,37 +2,35 @@
 
 import "indigospool/internal/controlplane/configversion"
 
-// Settings are how a service brings a version to its routers. Zero
-// fields mean the defaults.
+// Settings configures rollouts. Zero fields are set to the defaults.
 type Settings struct {
-	// Stages are shares of the routers, in rising order; a share too small for one router
-	// means one. Default 0, 0.1, 1.
+	// Stages are the stages' shares of the routers, in ascending order. A stage has at least
+	// one router. Default 0, 0.1, 1.
 	Stages []float64
-	// MinStageTime is how long a stage lasts at least after its last router has accepted.
+	// MinStageTime is the minimum time from the last acceptance in a stage to the next stage.
 	// Default 30000 ms.
 	MinStageTime configversion.Millis
-	// AnswerTimeout is how long after its begin a stage is halted when more routers than
-	// MaxSilentShare have not answered. Default 120000 ms.
+	// AnswerTimeout is how long a stage may take until all its routers but MaxSilentShare
+	// have answered; after that the rollout is halted. Default 120000 ms.
 	AnswerTimeout configversion.Millis
-	// MaxRejectedShare is the share of a stage's routers that may reject the version; it is
-	// halted above that. Default 0: none.
+	// MaxRejectedShare is the share of a stage's routers that may reject the version; above
+	// it, the rollout is halted. Default 0: none.
 	MaxRejectedShare float64
-	// MaxSilentShare is the share of a stage's routers that may stay without an answer.
-	// Default 0.05.
+	// MaxSilentShare is the share of a stage's routers that need not answer. Default 0.05.
 	MaxSilentShare float64
-	// MaxInTimeDrop is by how much the share of requests served in time may fall at
-	// routers that run the version, against the others; it is halted above that.
-	// Default 0.05.
+	// MaxInTimeDrop is how much the share of requests served in time may drop at routers that
+	// run the version, compared with the others; above it, the rollout is halted. Default
+	// 0.05.
 	MaxInTimeDrop float64
-	// ReofferAfter is when a router that rejected what all routers run is offered it again.
-	// Default 60000 ms.
+	// ReofferAfter is the time after which a router that rejected the version of all routers
+	// is offered it again. Default 60000 ms.
 	ReofferAfter configversion.Millis
-	// MinRequests is how many requests such a comparison needs on either side, before the
-	// rollout and since. Default 200.
+	// MinRequests is the number of requests that this comparison needs on both sides, before
+	// the rollout and since it began. Default 200.
 	MinRequests float64
 }
 
-// withDefaults has the defaults in place of zero fields.
+// withDefaults returns the settings with defaults for zero fields.
 func (s Settings) withDefaults() Settings {
 	if len(s.Stages) == 0 {
 		s.Stages = []float64{0, 0.1, 1}
--- a/internal/controlplane/rollout/stage.go
+++ b/internal/controlplane/rollout/stage.go
@@ -8,30 +8,31 @@
 	"sort"
 )
 
-// stageOrder is the order in which routers come into a version's stages: another for
-// each version, so that not always the same ones are first.
+// stageOrder is the order in which routers enter the stages of a version. It differs
+// from version to version, so that the first stage does not always consist of the same
+// routers.
 type stageOrder struct {
 	version   int64
-	positions map[string]float64 // by router, from 0 to 1, as far as they were asked for
-	limit     float64            // routers at most at this position are in the stage; NaN: to be computed anew
+	positions map[string]float64 // by router, from 0 to 1; computed on demand
+	limit     float64            // routers up to this position are in the stage; NaN: must be recomputed
 }
 
 func newStageOrder(version int64) stageOrder {
 	return stageOrder{version: version, positions: map[string]float64{}, limit: math.NaN()}
 }
 
-// invalidate has the limit computed anew, since the stage or the routers with a stream
-// have changed.
+// invalidate discards the limit, because the stage or the set of connected routers
+// changed.
 func (o *stageOrder) invalidate() { o.limit = math.NaN() }
 
-// position is where a router stands in the order, from 0 to 1.
+// position returns a router's position in the order, from 0 to 1.
 func (o *stageOrder) position(name string) float64 {
 	if known, ok := o.positions[name]; ok {
 		return known
 	}
 	hash := fnv.New64a()
 	fmt.Fprintf(hash, "%d/%s", o.version, name)
-	mixed := hash.Sum64() // mixed as MurmurHash3 ends: names that differ in one letter land far apart
+	mixed := hash.Sum64() // as in MurmurHash3's finalizer, so that similar names get distant positions
 	mixed ^= mixed >> 33
 	mixed *= 0xff51afd7ed558ccd
 	mixed ^= mixed >> 33
@@ -40,8 +41,9 @@
 	return position
 }
 
-// isIncluded reports whether a router is in the present stage, or in one before:
-// the stage's share of the routers with a stream, those that stand first.
+// isIncluded reports whether a router belongs to the current stage or an earlier one. A
+// stage has the first routers in the order, as many as its share of the connected
+// routers.
 func (r *Rollout) isIncluded(name string) bool {
 	last := len(r.settings.Stages) - 1
 	share := r.settings.Stages[min(r.state.Stage, last)]
@@ -54,8 +56,8 @@
 	return r.order.position(name) <= r.order.limit
 }
 
-// stageLimit is the position of the last router of a stage; -1 where no router has a
-// stream.
+// stageLimit returns the position of the last router of a stage with the given share,
+// or -1 if no router is connected.
 func (r *Rollout) stageLimit(share float64) float64 {
 	var positions []float64
 	for name, router := range r.routers {
@@ -71,7 +73,7 @@
 	return positions[count-1]
 }
 
-// stageRouters are the routers with a stream that are in the present stage, by name.
+// stageRouters returns the names of the connected routers of the current stage, sorted.
 func (r *Rollout) stageRouters() (names []string) {
 	for name, router := range r.routers {
 		if router.connected && r.isIncluded(name) {
--- a/internal/controlplane/service/stream_test.go
+++ b/internal/controlplane/service/stream_test.go
@@ -27,7 +27,7 @@
 		waitFor(t, "the second by stages", allRunning(routers, 2))
 		server.PushUnchecked(settingsText(3, "(zone y (routers 1))"), false) // a zone with routers and without a cache
 		waitFor(t, "the halt", func() bool { return stateStore.get().HaltReason != "" })
-		if !strings.Contains(stateStore.get().HaltReason, "1 of 1 routers refuse it") || !strings.Contains(stateStore.get().HaltReason, "zone/y: no cache is listed there") {
+		if !strings.Contains(stateStore.get().HaltReason, "1 of 1 routers rejected it") || !strings.Contains(stateStore.get().HaltReason, "zone/y: no cache is listed there") {
 			t.Errorf("halted: %q", stateStore.get().HaltReason)
 		}
 		waitFor(t, "the old content under a new number", allRunning(routers, 4))
