--- a/internal/controlplane/configstore/age.go
+++ b/internal/controlplane/configstore/age.go
@@ -11,14 +11,14 @@
 	"indigospool/internal/wallclock"
 )
 
-// bootReading is one of the machine's clock since it was booted, which nobody steps. It
-// compares with readings of the same boot only.
+// bootReading is a reading of the machine's boot-time clock, which is not affected by
+// steps of the wall clock. Readings are comparable only within the same boot.
 type bootReading struct {
-	Boot string        `json:"boot,omitempty"` // the kernel's id of the boot; empty: there is no reading
-	Up   time.Duration `json:"up,omitempty"`
+	Boot string        `json:"boot,omitempty"` // the kernel's boot id; empty: no reading
+	Up   time.Duration `json:"up,omitempty"`   // time since the boot
 }
 
-// readBootClock reads the machine's clock.
+// readBootClock reads the boot-time clock.
 func readBootClock() bootReading {
 	id, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
@@ -31,18 +31,18 @@
 	return bootReading{strings.TrimSpace(string(id)), time.Duration(up.Nano())}
 }
 
-// bootReadingAt is the reading at a moment of this process.
+// bootReadingAt returns the reading at an earlier moment of this process.
 func (s *Store) bootReadingAt(moment time.Time) bootReading {
 	reading := s.bootClock()
-	if moment != moment.Round(0) { // it has a reading of the monotonic clock
+	if moment != moment.Round(0) { // moment has a monotonic clock reading
 		reading.Up -= time.Since(moment)
 	}
 	return reading
 }
 
-// timeUntil is how much later another header was stored. Where no clock was
-// kept with them it is by the wall clock; where the machine was booted in between, it
-// is at least what had passed since then.
+// timeUntil returns the time between the storing of h and of a later header. Without a
+// boot clock in either of them, the wall clock is used. If the machine was rebooted in
+// between, the result is the time since that boot, a lower bound.
 func (h header) timeUntil(later header) time.Duration {
 	switch {
 	case h.Boot == "" || later.Boot == "":
@@ -53,9 +53,10 @@
 	return max(later.Up-h.Up, 0)
 }
 
-// ages are how long ago versions were stored, in their order: the last one's by the
-// wall clock where the machine was booted since, as a hint; those before it by their
-// distances, which no step of the wall clock changes.
+// ages returns how long ago versions were stored, given their headers in order. If the
+// machine was rebooted since the last version was stored, that version's age comes from
+// the wall clock and is only an estimate. The ages of earlier versions add the times
+// between them, which steps of the wall clock don't affect.
 func (s *Store) ages(headers []header, now time.Time) []configversion.Millis {
 	ages := make([]configversion.Millis, len(headers))
 	wall := wallclock.At(now)
--- a/internal/controlplane/configstore/age_test.go
+++ b/internal/controlplane/configstore/age_test.go
@@ -7,23 +7,24 @@
 	"time"
 )
 
-// Steps of the wall clock, between versions and before a restart, change no age. After
-// a boot, ages before the newest are at least what the machine's clocks can show.
+// Steps of the wall clock, between versions or before a restart, do not change ages.
+// After a reboot, the ages of earlier versions are the lower bounds that the boot
+// clocks give.
 func TestStoredTimesAreHints(t *testing.T) {
 	hour := time.Hour
 	for _, test := range []struct {
-		steps  [3]time.Duration // of the wall clock, before versions 2 and 3 and the restart
-		booted int              // before this version, 4: the restart; 0: never
-		want   [3]float64       // s, of versions 1, 2 and 3
+		steps  [3]time.Duration // of the wall clock, before version 2, version 3 and the restart
+		booted int              // rebooted before this version; 4: before the restart; 0: never
+		want   [3]float64       // ages of versions 1, 2 and 3, in seconds
 	}{
 		{want: [3]float64{6, 5, 3}},
 		{steps: [3]time.Duration{hour, 0, 0}, want: [3]float64{6, 5, 3}},
 		{steps: [3]time.Duration{0, hour, -3 * time.Second}, want: [3]float64{6, 5, 3}},
 		{steps: [3]time.Duration{-hour, 3 * time.Second, hour}, want: [3]float64{6, 5, 3}},
 		{steps: [3]time.Duration{0, 0, -hour}, want: [3]float64{6, 5, 3}},
-		{booted: 3, steps: [3]time.Duration{0, hour, 0}, want: [3]float64{5, 4, 3}},          // 1 s after the boot
-		{booted: 4, steps: [3]time.Duration{hour, 0, 0}, want: [3]float64{6, 5, 3}},          // the last by the wall clock
-		{booted: 4, steps: [3]time.Duration{0, 0, hour}, want: [3]float64{3606, 3605, 3603}}, // as a hint: distances hold
+		{booted: 3, steps: [3]time.Duration{0, hour, 0}, want: [3]float64{5, 4, 3}},          // version 3 is stored 1 s after the boot
+		{booted: 4, steps: [3]time.Duration{hour, 0, 0}, want: [3]float64{6, 5, 3}},          // the last age by the wall clock
+		{booted: 4, steps: [3]time.Duration{0, 0, hour}, want: [3]float64{3606, 3605, 3603}}, // a wrong estimate of the last age; the intervals are right
 	} {
 		t.Run(fmt.Sprint(test.steps, test.booted), func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "good.db")
--- a/internal/controlplane/configstore/entry.go
+++ b/internal/controlplane/configstore/entry.go
@@ -13,42 +13,44 @@
 	"indigospool/internal/wallclock"
 )
 
-// An entry of a version has the key versionKey and the value
+// A version's entry has the key versionKey and the value
 //
 //	checksum of key and rest (32 bytes) | length of header (4 bytes, big endian) | header (JSON) | body
 //
-// and the state of a service has stateKey and the value: checksum (32 bytes) | text.
+// The state of a service has the key stateKey and the value
+//
+//	checksum of key and rest (32 bytes) | text
 
 const (
 	keySize          = 8 // of a version's key
 	headerLengthSize = 4
 )
 
-// header stands before a version's body.
+// header precedes a version's body in its entry.
 type header struct {
 	Sum    string    `json:"sum"`
-	Stored time.Time `json:"stored"` // the wall clock: the store outlives the machine's other clocks
+	Stored time.Time `json:"stored"` // by the wall clock, since the store outlives other clocks of the machine
 	bootReading
 }
 
 var errEntryTooShort = errors.New("configstore: an entry is too short")
 
-// versionKey is the key of a version: keys have the order of the numbers.
+// versionKey returns the key of a version. Keys sort in the order of the numbers.
 func versionKey(number int64) []byte { return binary.BigEndian.AppendUint64(nil, uint64(number)) }
 
-// checksum is that of an entry with its key: a version's own sum covers
-// its body only, and a damaged number is as bad as a damaged body.
+// checksum returns the checksum of an entry including its key. A version's own checksum
+// covers only its body, but a corrupt number is as harmful as a corrupt body.
 func checksum(key, rest []byte) [sha256.Size]byte {
 	return sha256.Sum256(append(slices.Clone(key), rest...))
 }
 
-// addChecksum is the value of an entry.
+// addChecksum returns the value of an entry: the checksum followed by rest.
 func addChecksum(key, rest []byte) []byte {
 	sum := checksum(key, rest)
 	return append(sum[:], rest...)
 }
 
-// verify checks an entry's checksum and takes it off.
+// verify checks an entry's checksum and returns the value without it.
 func verify(key, value []byte) ([]byte, error) {
 	if len(value) < sha256.Size {
 		return nil, errEntryTooShort
@@ -60,7 +62,7 @@
 	return rest, nil
 }
 
-// encodeVersion is the value of a version's entry that is stored now.
+// encodeVersion returns the value of a version's entry, stored at time now.
 func (s *Store) encodeVersion(version configversion.Version, now time.Time) ([]byte, error) {
 	text, err := json.Marshal(header{version.Sum, wallclock.At(now), s.bootReadingAt(now)})
 	if err != nil {
@@ -72,7 +74,7 @@
 	return addChecksum(versionKey(version.Number), rest), nil
 }
 
-// decodeVersion checks a version's entry and reads it.
+// decodeVersion checks and decodes a version's entry.
 func decodeVersion(key, value []byte) (version configversion.Version, stored header, err error) {
 	rest, err := verify(key, value)
 	if err != nil {
@@ -95,7 +97,7 @@
 		Body:   append([]byte(nil), rest[length:]...),
 	}
 	if configversion.Checksum(version.Body) != version.Sum {
-		return configversion.Version{}, stored, fmt.Errorf("configstore: version %d does not match its sum", version.Number)
+		return configversion.Version{}, stored, fmt.Errorf("configstore: version %d does not match its checksum", version.Number)
 	}
 	return version, stored, nil
 }
--- a/internal/controlplane/configstore/fault_test.go
+++ b/internal/controlplane/configstore/fault_test.go
@@ -16,11 +16,11 @@
 	"indigospool/internal/controlplane/configversion"
 )
 
-// failingDisk is a file system of which operations fail for so many calls each.
+// failingDisk is a file system in which operations fail a given number of times.
 type failingDisk struct {
 	Disk
 	errno     syscall.Errno
-	remaining map[string]int // failures to come, by operation
+	remaining map[string]int // failures still to come, by operation
 }
 
 func (f *failingDisk) fails(operation, path string) error {
@@ -56,7 +56,7 @@
 	return f.Disk.Read(file)
 }
 
-// Write writes half of what it is given where it fails.
+// Write writes only half of the content when it fails.
 func (f *failingDisk) Write(file *os.File, content []byte) error {
 	if err := f.fails("write", file.Name()); err != nil {
 		f.Disk.Write(file, content[:len(content)/2])
@@ -86,15 +86,15 @@
 	return f.Disk.SyncFolder(path)
 }
 
-// Commit has the pages written where only the sync of them fails: nobody knows
-// whether the disk has them.
+// Commit writes the pages if only their sync fails: in that case it is unknown whether
+// they are on disk.
 func (f *failingDisk) Commit(tx *bbolt.Tx) error {
 	if err := f.fails("commit", tx.DB().Path()); err != nil {
 		tx.Rollback()
 		return err
 	}
 	if err := f.fails("page", tx.DB().Path()); err != nil {
-		panic(err) // as a page that can't be read is
+		panic(err) // as bbolt does for an unreadable page
 	}
 	if err := f.fails("commit sync", tx.DB().Path()); err != nil {
 		f.Disk.Commit(tx)
@@ -105,8 +105,8 @@
 
 var operations = []string{"open", "create", "stat", "read", "write", "sync", "rename", "sync folder", "commit", "commit sync", "page"}
 
-// eachFault runs a test with each operation failing by each errno, once and for a
-// while.
+// eachFault runs a test with each operation failing with each errno, once and five
+// times.
 func eachFault(t *testing.T, test func(t *testing.T, operation string, times int, disk *failingDisk)) {
 	for _, operation := range operations {
 		for _, errno := range []syscall.Errno{syscall.EIO, syscall.ENOSPC} {
@@ -115,7 +115,7 @@
 					disk := &failingDisk{errno: errno, remaining: map[string]int{}}
 					test(t, operation, times, disk)
 					if disk.remaining[operation] != 0 {
-						t.Errorf("it failed %d times less", disk.remaining[operation])
+						t.Errorf("%d of the failures did not occur", disk.remaining[operation])
 					}
 				})
 			}
@@ -123,27 +123,28 @@
 	}
 }
 
-// checkAcknowledged checks that a store has what was acknowledged, and that nothing was
-// quarantined.
+// checkAcknowledged checks that a store has everything that was acknowledged, and that
+// no file was quarantined.
 func checkAcknowledged(t *testing.T, path string, acknowledged int64, text string) {
 	t.Helper()
-	os.WriteFile(path+".new", []byte("half of a copy"), 0o600) // of a process that was killed
+	os.WriteFile(path+".new", []byte("half of a copy"), 0o600) // left behind by a killed process
 	store, err := Open(path)
 	if err != nil {
-		t.Fatalf("opened again: %v", err)
+		t.Fatalf("reopen: %v", err)
 	}
 	defer store.Close()
 	if v, _, err := store.Last(); err != nil || v.Number < acknowledged || string(v.Body) != string(version(v.Number).Body) {
-		t.Errorf("the store has version %d, %d was acknowledged: %v", v.Number, acknowledged, err)
+		t.Errorf("the store has version %d, but %d was acknowledged: %v", v.Number, acknowledged, err)
 	}
 	if state, err := store.State(); err != nil || string(state) != text {
-		t.Errorf("the store has the state %q, %q was acknowledged: %v", state, text, err)
+		t.Errorf("the store has state %q, but %q was acknowledged: %v", state, text, err)
 	}
 	if quarantined, _ := filepath.Glob(path + ".damaged*"); len(quarantined) > 0 {
 		t.Errorf("quarantined: %v", quarantined)
 	}
 }
 
+// createStore creates a store with version 1 and a state, and returns its path.
 func createStore(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "good.db")
@@ -161,7 +162,8 @@
 	return path
 }
 
-// retry repeats an operation until it succeeds; each failure has to be a FaultError.
+// retry repeats an operation until it succeeds. Each failure must be a complete
+// FaultError.
 func retry(t *testing.T, what string, operation func() error) {
 	t.Helper()
 	var err error
@@ -171,13 +173,13 @@
 		}
 		var fault *FaultError
 		if !errors.As(err, &fault) || fault.Op == "" || fault.Path == "" || fault.Err == nil {
-			t.Fatalf("%s: %v is no complete FaultError", what, err)
+			t.Fatalf("%s: %v is not a complete FaultError", what, err)
 		}
 	}
-	t.Fatalf("%s does not come back: %v", what, err)
+	t.Fatalf("%s still fails: %v", what, err)
 }
 
-// What fails while the store is opened costs nothing that was acknowledged.
+// A fault while the store is opened loses nothing that was acknowledged.
 func TestFaultWhileOpening(t *testing.T) {
 	eachFault(t, func(t *testing.T, operation string, times int, disk *failingDisk) {
 		path := createStore(t)
@@ -201,9 +203,9 @@
 	})
 }
 
-// What fails while the store is written costs nothing that was acknowledged; what was
-// not is rejected with a typed error until it is stored, also where the process is
-// killed in between.
+// A fault while the store is written loses nothing that was acknowledged. An unwritten
+// version is reported by a FaultError until it is stored. A process killed in between
+// leaves a valid store.
 func TestFaultWhileWriting(t *testing.T) {
 	eachFault(t, func(t *testing.T, operation string, times int, disk *failingDisk) {
 		path := createStore(t)
@@ -211,15 +213,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		disk.remaining["commit"] = 1 // the others are needed to come back from it
+		disk.remaining["commit"] = 1 // the other operations are used in recovering from it
 		disk.remaining[operation] = times
 		if err := store.Put(version(2), time.Now()); err == nil {
-			t.Fatal("a version that was not written is acknowledged")
+			t.Fatal("a version that was not written was acknowledged")
 		}
 		if since, fault := store.Fault(); fault == nil || time.Since(since) > time.Minute {
 			t.Errorf("since %v: %v", since, fault)
 		}
-		copied, err := os.ReadFile(path) // as a kill would leave it
+		copied, err := os.ReadFile(path) // the state after a kill
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -228,7 +230,7 @@
 			return store.SaveState([]byte("state 2"), []configversion.Version{version(2)}, time.Now())
 		})
 		if _, fault := store.Fault(); fault != nil {
-			t.Errorf("a fault after a write: %v", fault)
+			t.Errorf("fault after a successful write: %v", fault)
 		}
 		store.Close()
 		checkAcknowledged(t, path, 2, "state 2")
@@ -240,7 +242,7 @@
 	})
 }
 
-// While nothing can be written, what is stored can be read.
+// While nothing can be written, the stored content remains readable.
 func TestReadableWhileDeviceFull(t *testing.T) {
 	path := createStore(t)
 	disk := &failingDisk{errno: syscall.ENOSPC, remaining: map[string]int{"create": -1}}
@@ -263,7 +265,7 @@
 	checkAcknowledged(t, path, 2, "state 1")
 }
 
-// A device that the kernel reports as full: bbolt's writes fail in the middle of a
+// On a device that the kernel reports as full, bbolt's writes fail in the middle of a
 // transaction.
 func TestDeviceIsFull(t *testing.T) {
 	path := createStore(t)
@@ -271,7 +273,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for n := int64(2); n <= 12; n++ { // pages are free, and the file need not grow
+	for n := int64(2); n <= 12; n++ { // creates free pages, so that the file need not grow
 		if err := store.Put(version(n), time.Now()); err != nil {
 			t.Fatal(err)
 		}
@@ -292,7 +294,7 @@
 	checkAcknowledged(t, path, 13, "state 1")
 }
 
-// A folder that stands where the new file is written costs nothing.
+// A folder at the path of the temporary file prevents the rewrite, but loses nothing.
 func TestFreshCopyIsImpossible(t *testing.T) {
 	path := createStore(t)
 	if err := os.MkdirAll(filepath.Join(path+".new", "taken"), 0o755); err != nil {
@@ -301,7 +303,7 @@
 	store, err := Open(path)
 	var damaged *DamagedError
 	if errors.As(err, &damaged) {
-		t.Errorf("called damaged: %v", err)
+		t.Errorf("reported as damaged: %v", err)
 	}
 	if store == nil {
 		t.Fatal(err)
@@ -314,8 +316,8 @@
 	checkAcknowledged(t, path, 1, "state 1")
 }
 
-// A store that could not be reacquired at once is reacquired by what is stored next,
-// with all that was put meanwhile.
+// If a store can't be reacquired at once, the next write reacquires it and stores
+// everything that was put meanwhile.
 func TestReacquiredLater(t *testing.T) {
 	path := createStore(t)
 	disk := &failingDisk{errno: syscall.EIO, remaining: map[string]int{}}
--- a/internal/controlplane/configstore/file.go
+++ b/internal/controlplane/configstore/file.go
@@ -13,10 +13,11 @@
 
 const (
 	lockRetryInterval = 20 * time.Millisecond // between attempts to lock the file
-	lockTimeout       = 2 * time.Second       // for a process that is about to end
+	lockTimeout       = 2 * time.Second       // time for a process that is ending to release the lock
 )
 
-// lock takes the lock by which a store has one process, as bbolt does.
+// lock takes the flock that makes one process at a time the owner of a store; bbolt
+// uses the same lock.
 func lock(file *os.File, wait time.Duration) error {
 	deadline := time.Now().Add(wait)
 	for {
@@ -35,7 +36,7 @@
 	}
 }
 
-// openAndLock opens the store's file and takes its lock; nil where there is none.
+// openAndLock opens the store's file and locks it. It returns nil if there is no file.
 func (s *Store) openAndLock(wait time.Duration) (*os.File, error) {
 	for {
 		file, err := s.files.OpenFile(s.path, os.O_RDWR, 0)
@@ -57,11 +58,11 @@
 		if current {
 			return file, nil
 		}
-		file.Close() // whoever had the lock has put another file in its place
+		file.Close() // the previous lock holder has replaced the file
 	}
 }
 
-// isCurrent reports whether an open file is the one that stands at the store's path.
+// isCurrent reports whether an open file is the one at the store's path.
 func (s *Store) isCurrent(file *os.File) (bool, error) {
 	current, err := s.files.Stat(s.path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -74,12 +75,12 @@
 	return err == nil && os.SameFile(current, opened), err
 }
 
-// replaceFile writes a complete new file in the place of the store's, and opens it. The
-// file is returned, locked, once it stands there, also with an error: from then on
-// its lock is the store's.
+// replaceFile writes a complete new file, renames it to the store's path and opens it.
+// Once it is renamed, the locked file is returned even with an error: from then on its
+// lock is the store's lock.
 func (s *Store) replaceFile(content []byte) (*os.File, *bbolt.DB, error) {
 	temporary := s.path + ".new"
-	s.files.Remove(temporary) // of an opening that was interrupted
+	s.files.Remove(temporary) // left behind by an interrupted opening
 	file, err := s.files.OpenFile(temporary, os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
 		return nil, nil, &FaultError{"create", temporary, err}
@@ -90,7 +91,7 @@
 		return nil, nil, err
 	}
 	if err := s.files.SyncFolder(filepath.Dir(s.path)); err != nil {
-		return file, nil, &FaultError{"sync the folder of", s.path, err}
+		return file, nil, &FaultError{"sync folder of", s.path, err}
 	}
 	db, err := openDatabase(file)
 	if err != nil {
@@ -99,8 +100,8 @@
 	return file, db, nil
 }
 
-// writeAndRename locks and writes a temporary file, and gives it the store's name once
-// its content is on the disk.
+// writeAndRename locks, writes and syncs a temporary file, and then renames it to the
+// store's path.
 func (s *Store) writeAndRename(file *os.File, content []byte) error {
 	if err := lock(file, 0); err != nil {
 		return err
@@ -111,7 +112,7 @@
 	if err := s.files.Sync(file); err != nil {
 		return &FaultError{"sync", file.Name(), err}
 	}
-	if s.file == nil { // there was none to lock: one that stands there now is another process's
+	if s.file == nil { // no file was locked: an existing one belongs to another process
 		if _, err := s.files.Stat(s.path); err == nil {
 			return &FaultError{"create", s.path, os.ErrExist}
 		}
@@ -122,7 +123,7 @@
 	return nil
 }
 
-// openDatabase has bbolt use a file that is open already.
+// openDatabase makes bbolt use a file that is already open.
 func openDatabase(file *os.File) (*bbolt.DB, error) {
 	return bbolt.Open(file.Name(), 0o600, &bbolt.Options{
 		Timeout:  time.Second,
@@ -130,7 +131,7 @@
 	})
 }
 
-// closeIgnoringPanic closes a database that may be beyond closing.
+// closeIgnoringPanic closes a database that may be too damaged to be closed.
 func closeIgnoringPanic(db *bbolt.DB) {
 	defer func() { recover() }()
 	db.Close()
--- a/internal/controlplane/configstore/filesystem.go
+++ b/internal/controlplane/configstore/filesystem.go
@@ -7,30 +7,30 @@
 	"go.etcd.io/bbolt"
 )
 
-// FileSystem makes the file operations of a store, so that tests and fault injection can
-// have each of them fail.
+// FileSystem has the file operations of a store, so that tests and fault injection can
+// make each of them fail.
 type FileSystem interface {
-	// OpenFile opens a file as os.OpenFile does.
+	// OpenFile opens a file like os.OpenFile.
 	OpenFile(path string, flag int, mode os.FileMode) (*os.File, error)
-	// Stat describes the file at a path as os.Stat does.
+	// Stat describes the file at a path like os.Stat.
 	Stat(path string) (os.FileInfo, error)
-	// Read is the rest of an open file, up to its end.
+	// Read returns the rest of an open file.
 	Read(file *os.File) ([]byte, error)
 	// Write writes all of content.
 	Write(file *os.File, content []byte) error
-	// Sync returns once what was written to a file is on the disk.
+	// Sync returns once the content of a file is on disk.
 	Sync(file *os.File) error
-	// Rename puts a file in the place of another in one step.
+	// Rename renames a file and atomically replaces an existing one.
 	Rename(from, to string) error
 	// Remove deletes a file.
 	Remove(path string) error
-	// SyncFolder returns once the names in a folder are on the disk.
+	// SyncFolder returns once the entries of a folder are on disk.
 	SyncFolder(path string) error
-	// Commit writes a transaction's pages in place, and syncs them.
+	// Commit writes a transaction's pages to its file and syncs it.
 	Commit(transaction *bbolt.Tx) error
 }
 
-// Disk is the operating system's FileSystem.
+// Disk is the FileSystem of the operating system.
 type Disk struct{}
 
 // OpenFile implements FileSystem.
--- a/internal/controlplane/configstore/format_test.go
+++ b/internal/controlplane/configstore/format_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// A store that was written at commit fccb504, with three versions and a service's
-// state, is read, keeps its times, and takes what comes.
+// A store written at commit fccb504, with three versions and a service's state, is read
+// with its times, and takes further versions.
 func TestReadsStoreOfEarlierRelease(t *testing.T) {
 	compressed, err := os.Open(filepath.Join("testdata", "fccb504.db.gz"))
 	if err != nil {
--- a/internal/controlplane/configstore/image.go
+++ b/internal/controlplane/configstore/image.go
@@ -10,30 +10,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// Names in the file. They are part of the stored form, and stay.
+// Names in the file. They are part of the stored format and must not change.
 var (
-	versionsBucket = []byte("versions") // entries of versions by their numbers
+	versionsBucket = []byte("versions") // versions by number
 	metaBucket     = []byte("meta")
 	statesBucket   = []byte("states")
-	stateKey       = []byte("state") // in the states bucket: a service's state
-	formatKey      = []byte("form")  // in the meta bucket: formNumber
+	stateKey       = []byte("state") // in the states bucket: state of a service
+	formatKey      = []byte("form")  // in the meta bucket: formatVersion
 )
 
 const (
-	formatVersion = 1    // of what stands in the buckets
-	maxEntries    = 1000 // of versions; a store never held so many
+	formatVersion = 1    // of the content of the buckets
+	maxEntries    = 1000 // of versions; more than any limit allows
 )
 
-// storeContents is all that a store holds.
+// storeContents is the complete content of a store.
 type storeContents struct {
 	versions []entry
 	state    []byte // with its checksum; nil: none
 }
 
-// entry is a version as it is stored.
+// entry is a version's key and value in the file.
 type entry struct{ key, value []byte }
 
-// image is a store in memory, in the form of a file.
+// image is a store in memory, in the format of a file.
 type image struct {
 	file     *os.File
 	db       *bbolt.DB
@@ -53,8 +53,8 @@
 	return os.NewFile(uintptr(fd), "store in memory"), nil
 }
 
-// readImage checks everything that a store's file holds, without the file: what
-// fails here is damage, unless the error has an errno.
+// readImage checks everything that a store's file contains, using a copy in memory. An
+// error means that the content is corrupt, unless the error has an errno.
 func readImage(content []byte) (*image, error) {
 	if len(content) == 0 {
 		return nil, errors.New("the file is empty")
@@ -72,7 +72,7 @@
 	return loaded, nil
 }
 
-// load writes content into the image's file and reads it back by bbolt.
+// load writes content to the image's file and reads it through bbolt.
 func (i *image) load(content []byte) error {
 	if _, err := i.file.Write(content); err != nil {
 		return err
@@ -85,7 +85,7 @@
 	return err
 }
 
-// encodeImage is the file, as bytes, of a store with these contents.
+// encodeImage returns the bytes of a store's file with these contents.
 func encodeImage(held storeContents) ([]byte, error) {
 	file, err := createMemoryFile()
 	if err != nil {
@@ -109,15 +109,15 @@
 	return content, err
 }
 
-// readContents reads and checks every entry.
+// readContents reads and checks all entries.
 func readContents(db *bbolt.DB) (held storeContents, err error) {
 	err = db.View(func(tx *bbolt.Tx) error {
 		meta, versions, states := tx.Bucket(metaBucket), tx.Bucket(versionsBucket), tx.Bucket(statesBucket)
 		if meta == nil || versions == nil || states == nil {
-			return errors.New("its buckets are missing")
+			return errors.New("buckets are missing")
 		}
 		if form := meta.Get(formatKey); len(form) != 1 || form[0] != formatVersion {
-			return fmt.Errorf("form %v, where %d is known", form, formatVersion)
+			return fmt.Errorf("format version %v, want %d", form, formatVersion)
 		}
 		if stored := states.Get(stateKey); stored != nil {
 			if _, err := verify(stateKey, stored); err != nil {
@@ -130,7 +130,7 @@
 				return err
 			}
 			if len(held.versions) > maxEntries {
-				return errors.New("more entries than were ever stored")
+				return fmt.Errorf("more than %d versions", maxEntries)
 			}
 			held.versions = append(held.versions, entry{slices.Clone(key), slices.Clone(value)})
 			return nil
@@ -139,7 +139,7 @@
 	return held, err
 }
 
-// writeContents writes the contents of a new store.
+// writeContents writes the contents to a new store.
 func writeContents(tx *bbolt.Tx, held storeContents) error {
 	versions, err := tx.CreateBucketIfNotExists(versionsBucket)
 	if err != nil {
--- a/internal/controlplane/configstore/store.go
+++ b/internal/controlplane/configstore/store.go
@@ -1,17 +1,17 @@
-// Package configstore keeps the last known good versions of a router's configuration on
-// disk, in an embedded store (bbolt), and a control service's state. What is put there
-// is there completely or not at all, whatever byte a crash interrupts, and its checksum
-// is verified when it is read. A store that is damaged is quarantined under another
-// name, never repaired and never deleted.
+// Package configstore stores the last known good versions of a router's configuration,
+// and the state of a control service, in an embedded database file (bbolt). Writes are
+// atomic even if a crash interrupts them at any byte, and checksums are verified on
+// reading. A corrupt file is quarantined under another name, never repaired and never
+// deleted.
 //
-// The package owns the store's file, its lock and its form. It decides nothing about
-// versions: internal/controlplane/configversion does. Its methods wait for the disk, and
-// so are called from goroutines beside the event loop only: by the agent and the service
+// The package handles the file, its lock and its format. Decisions about versions are
+// made by internal/controlplane/configversion. All methods may block on disk I/O, so
+// they must not be called on the event loop; the callers are the agent and the service
 // of internal/controlplane/service.
 //
-// Opening, faults and the lock are in store.go and file.go, what is stored and read in
-// versions.go, the stored form in image.go and entry.go, transactions in transaction.go,
-// the ages of versions in age.go.
+// Opening, faults and the lock are in store.go and file.go, reading and writing of
+// versions in versions.go, the stored format in image.go and entry.go, transactions in
+// transaction.go, and the ages of versions in age.go.
 package configstore
 
 import (
@@ -27,49 +27,49 @@
 )
 
 const (
-	defaultMaxVersions = 8  // versions that are kept
-	maxDeferred        = 64 // versions that are put while the lock is released
+	defaultMaxVersions = 8  // stored versions
+	maxDeferred        = 64 // versions put while the lock is released
 )
 
 // Store is an open store. Its methods are safe for concurrent use.
 //
-// Where its file can't be written for now, it is read from memory, and each
-// operation that writes first tries to write the complete file anew. Where it can't be
-// read either, all operations fail with a FaultError until it can.
+// While the file can't be written, the store serves reads from memory, and each write
+// first tries to rewrite the complete file. While the file can't be read either, all
+// operations fail with a FaultError.
 type Store struct {
 	path        string
-	maxVersions int // versions that are kept
+	maxVersions int // stored versions
 	files       FileSystem
 	bootClock   func() bootReading
 
-	mu           sync.RWMutex // locked for writing while the file changes hands
-	db           *bbolt.DB    // the file, or an image of it in memory; nil: neither
-	file         *os.File     // with its lock; nil: there is none
-	memory       *image       // what db is of, while the file can't be written
-	lockReleased bool         // the file is another process's
-	reacquiring  bool         // and is to be locked again
+	mu           sync.RWMutex // held exclusively for writes and while the file is replaced or closed
+	db           *bbolt.DB    // of the file or of its image in memory; nil: neither is available
+	file         *os.File     // the locked file; nil: there is none
+	memory       *image       // the image that db uses while the file can't be written; nil: db uses the file
+	lockReleased bool         // ReleaseLock gave the file to another process
+	reacquiring  bool         // ReacquireLock was called, but has not succeeded yet
 	deferred     []deferredVersion
-	fault        error     // why the file can't be read or written for now
+	fault        error     // why the file can't be read or written; nil: it can
 	faultSince   time.Time // when fault was first recorded
 	closed       bool
 }
 
-// deferredVersion was put while the lock was released.
+// deferredVersion is a version that was put while the lock was released.
 type deferredVersion struct {
 	version configversion.Version
 	put     time.Time
 }
 
-// Open opens the store at path, and makes it where there is none. With a
-// DamagedError the store that is returned is a new one; with a FaultError it is the
-// one that is there, as far as it can be read for now. No store is returned where
-// another process has it open (ErrInUse), or the path is not one for a store.
+// Open opens the store at path, or creates it. With a DamagedError it returns a new,
+// empty store; with a FaultError it returns the existing store, as far as it can be
+// read for now. It returns no store if another process has the file open (ErrInUse), or
+// if path can't hold a store.
 func Open(path string) (*Store, error) { return OpenWithLimit(path, defaultMaxVersions) }
 
-// OpenWithLimit is Open for a store that keeps limit versions.
+// OpenWithLimit is like Open, for a store that keeps limit versions.
 func OpenWithLimit(path string, limit int) (*Store, error) { return OpenWith(Disk{}, path, limit) }
 
-// OpenWith is OpenWithLimit by the operations of a file system.
+// OpenWith is like OpenWithLimit, with the operations of the given file system.
 func OpenWith(files FileSystem, path string, limit int) (*Store, error) {
 	s := &Store{path: path, maxVersions: max(limit, 1), files: files, bootClock: readBootClock}
 	err := s.load(lockTimeout)
@@ -88,19 +88,19 @@
 	}
 	s.closeFile()
 	if isFault {
-		return nil, fmt.Errorf("configstore: %s can't be a store: %w", path, fault.Err)
+		return nil, fmt.Errorf("configstore: no store can be opened at %s: %w", path, fault.Err)
 	}
 	return nil, err
 }
 
-// Path is where the store's file is.
+// Path returns the path of the store's file.
 func (s *Store) Path() string { return s.path }
 
-// load opens the store's file, checks every entry of it, and writes them anew into a
-// file of its own that takes its place: so a page that is damaged where nobody
-// looked, as in the list of free ones, can't harm what is stored later. Content that
-// was read completely and fails its checks is quarantined. Where the new file can't be
-// written, the old one stays, and is served from memory.
+// load opens the store's file, checks every entry and rewrites them into a new file
+// that replaces it. Thus a corrupt page that the check does not reach, for example in
+// bbolt's list of free pages, can't damage versions stored later. A file that was read
+// completely but fails its checks is quarantined. If the new file can't be written, the
+// old one stays, and the store is served from memory.
 func (s *Store) load(wait time.Duration) error {
 	err := s.read(wait)
 	var damaged *DamagedError
@@ -117,7 +117,7 @@
 	return rewriteErr
 }
 
-// read reads the store's file into memory and serves it from there.
+// read reads the store's file into memory and serves the store from there.
 func (s *Store) read(wait time.Duration) error {
 	file, err := s.openAndLock(wait)
 	if err != nil {
@@ -142,7 +142,7 @@
 	}
 	quarantine := fmt.Sprintf("%s.damaged-%d", s.path, time.Now().UnixNano())
 	if err := s.files.Rename(s.path, quarantine); err != nil {
-		return &FaultError{"quarantine the damaged", s.path, err}
+		return &FaultError{"quarantine damaged file", s.path, err}
 	}
 	if err := s.serveEmpty(); err != nil {
 		return err
@@ -168,8 +168,8 @@
 	s.file, s.memory, s.db = file, memory, memory.db
 }
 
-// rewrite writes what is served from memory into a new file, which takes the place of
-// the store's and serves from then on.
+// rewrite writes the content served from memory to a new file, which replaces the
+// store's file. From then on the store is served from that file.
 func (s *Store) rewrite() error {
 	content, err := encodeImage(s.memory.contents)
 	if err != nil {
@@ -191,7 +191,7 @@
 	return nil
 }
 
-// recordFault records why the file can't be read or written for now, and returns it.
+// recordFault records why the file can't be read or written, and returns the error.
 func (s *Store) recordFault(err error) error {
 	if s.fault == nil {
 		s.faultSince = time.Now()
@@ -200,17 +200,16 @@
 	return err
 }
 
-// Fault is why the store's file can't be read or written for now, and since when;
-// nil: it can.
+// Fault returns why the store's file can't be read or written, and since when; the
+// error is nil if there is no fault.
 func (s *Store) Fault() (since time.Time, err error) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.faultSince, s.fault
 }
 
-// Recover tries again, after a fault, to have the file read and written anew. It does
-// nothing where there is none. It fails with a FaultError, or with ErrClosed,
-// ErrLockReleased or a DamagedError.
+// Recover tries to read and rewrite the file after a fault. Without a fault it does
+// nothing. It fails with a FaultError, ErrClosed, ErrLockReleased or a DamagedError.
 func (s *Store) Recover() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -220,9 +219,9 @@
 	return s.makeWritable()
 }
 
-// makeWritable makes the file such that it can be written: after a fault it is read
-// again, and its pages are not trusted but written anew. Then what was deferred is
-// stored.
+// makeWritable prepares the file for writing: after a fault it reads the file again if
+// necessary and rewrites it completely, since its pages can't be trusted. Then it
+// stores the deferred versions.
 func (s *Store) makeWritable() error {
 	switch {
 	case s.closed:
@@ -235,7 +234,7 @@
 			return err
 		}
 		s.lockReleased, s.reacquiring = false, false
-		if err != nil && s.memory == nil { // damage was quarantined, and the new store takes what comes
+		if err != nil && s.memory == nil { // the corrupt file was quarantined; the new store is writable
 			return errors.Join(err, s.putDeferred())
 		}
 		if err != nil {
@@ -249,7 +248,7 @@
 	return s.putDeferred()
 }
 
-// putDeferred stores what was put while the lock was released.
+// putDeferred stores the versions that were put while the lock was released.
 func (s *Store) putDeferred() error {
 	for len(s.deferred) > 0 {
 		oldest := s.deferred[0]
@@ -262,7 +261,7 @@
 	return nil
 }
 
-// Close closes the store: its operations fail with ErrClosed from then on.
+// Close closes the store. Later operations fail with ErrClosed.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -270,7 +269,7 @@
 	return s.closeFile()
 }
 
-// closeFile closes the file, and what is of it in memory.
+// closeFile closes the file and its image in memory.
 func (s *Store) closeFile() (err error) {
 	switch {
 	case s.memory != nil:
@@ -279,15 +278,15 @@
 		err = s.db.Close()
 	}
 	if s.file != nil {
-		s.file.Close() // bbolt has closed it already where it used it
+		s.file.Close() // already closed by bbolt if db used it
 	}
 	s.db, s.memory, s.file = nil, nil, nil
 	return err
 }
 
-// ReleaseLock closes the file, so that a process that takes over can open it. What is put
-// from then on stays in memory, and survives no crash until ReacquireLock; the rest fails
-// with ErrLockReleased.
+// ReleaseLock closes the file, so that a successor process can open it. Versions put
+// after that stay in memory until ReacquireLock, and are lost in a crash; other
+// operations fail with ErrLockReleased.
 func (s *Store) ReleaseLock() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -298,9 +297,9 @@
 	return s.closeFile()
 }
 
-// ReacquireLock opens the file again, and stores what was put meanwhile. It fails with
-// ErrInUse as long as the other process has it, and may be retried; so does each
-// operation that writes, from then on.
+// ReacquireLock opens the file again and stores the versions that were put meanwhile.
+// While the other process has the file open, it fails with ErrInUse and may be retried;
+// from the first call on, each write retries it as well.
 func (s *Store) ReacquireLock() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlplane/configstore/store_test.go
+++ b/internal/controlplane/configstore/store_test.go
@@ -18,7 +18,7 @@
 
 const writerEnv = "CONFIGSTORE_WRITES_TO"
 
-// The test binary is also the writer that is killed.
+// The test binary is also the writer process that is killed.
 func TestMain(m *testing.M) {
 	path := os.Getenv(writerEnv)
 	if path == "" {
@@ -38,7 +38,7 @@
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
-		fmt.Println(n) // it is stored: it must never be lost from here on
+		fmt.Println(n) // stored: must not be lost from here on
 	}
 }
 
@@ -64,7 +64,7 @@
 	bad := version(21)
 	bad.Body = []byte("other")
 	if store.Put(bad, at) == nil {
-		t.Error("a version that does not match its sum was stored")
+		t.Error("a version that does not match its checksum was stored")
 	}
 	store.Close()
 	if store, err = Open(path); err != nil {
@@ -76,12 +76,12 @@
 		t.Errorf("restored %d of age %v, %v", r.Version.Number, r.Age, r.Err)
 	}
 	if r := store.Restored(at.Add(-time.Hour)); r.Age != 0 {
-		t.Errorf("with the clock set back: age %v", r.Age)
+		t.Errorf("clock set back: age %v", r.Age)
 	}
 }
 
-// Killed at any moment of its writing, the store has every version that it
-// said was stored.
+// A process killed at any moment while it writes leaves a store with every version that
+// it reported as stored.
 func TestKilledWhileWriting(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "good.db")
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -102,7 +102,7 @@
 		}
 		time.Sleep(time.Duration(rng.IntN(3000)) * time.Microsecond)
 		cmd.Process.Kill()
-		for lines.Scan() { // written before it was killed
+		for lines.Scan() { // printed before it was killed
 			acknowledged, _ = strconv.ParseInt(lines.Text(), 10, 64)
 		}
 		cmd.Wait()
@@ -113,7 +113,7 @@
 		v, _, err := store.Last()
 		store.Close()
 		if err != nil || v.Number < acknowledged || string(v.Body) != string(version(v.Number).Body) {
-			t.Fatalf("the store has version %d, said to hold %d: %v", v.Number, acknowledged, err)
+			t.Fatalf("the store has version %d, but %d was reported as stored: %v", v.Number, acknowledged, err)
 		}
 	}
 	if acknowledged < 15 {
@@ -121,8 +121,8 @@
 	}
 }
 
-// Truncated at any byte, or with any byte changed, a store gives a version that is
-// complete or reports that it is damaged and is quarantined; never something else.
+// A store file that is truncated at any byte, or has any bytes changed, either yields a
+// complete version or is reported as damaged and quarantined.
 func TestDamagedFile(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "good.db")
@@ -156,16 +156,16 @@
 		if errors.As(err, &damaged) {
 			quarantined++
 			if kept, readErr := os.ReadFile(damaged.Quarantine); readErr != nil || len(kept) != len(content) {
-				t.Fatalf("what was quarantined is gone: %v", readErr)
+				t.Fatalf("the quarantined file is lost: %v", readErr)
 			}
 			if putErr := store.Put(version(9), time.Now()); putErr != nil {
-				t.Fatalf("the new store does not take a version: %v", putErr)
+				t.Fatalf("the new store does not accept a version: %v", putErr)
 			}
 		} else if err != nil {
 			t.Fatalf("damage %d: %v", i, err)
 		}
 		if v, _, err := store.Last(); err == nil && string(v.Body) != string(version(v.Number).Body) {
-			t.Fatalf("damage %d: another body for version %d", i, v.Number)
+			t.Fatalf("damage %d: wrong body of version %d", i, v.Number)
 		}
 		closeIgnoringPanic(store.db)
 	}
@@ -189,8 +189,9 @@
 	}
 }
 
-// Once its lock is released, another process can open a store; what is put meanwhile is
-// there once it is reacquired, and not before the other has closed it.
+// While the lock is released, another process can open the store. Reacquiring fails
+// until the other process has closed the file; then the versions put meanwhile are
+// stored.
 func TestReleaseLock(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "good.db")
 	store, err := Open(path)
@@ -209,15 +210,15 @@
 	}
 	other, err := Open(path)
 	if err != nil {
-		t.Fatal("the one that takes over:", err)
+		t.Fatal("successor:", err)
 	}
 	put(store, 3)
 	put(other, 2)
 	if _, _, err := store.Last(); !errors.Is(err, ErrLockReleased) {
-		t.Errorf("reading without the lock: %v", err)
+		t.Errorf("read without the lock: %v", err)
 	}
 	if err := store.ReacquireLock(); err == nil {
-		t.Fatal("it was reacquired while another has it")
+		t.Fatal("the lock was reacquired while another process holds it")
 	}
 	other.Close()
 	if err := store.ReacquireLock(); err != nil {
--- a/internal/controlplane/configstore/transaction.go
+++ b/internal/controlplane/configstore/transaction.go
@@ -11,13 +11,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// pageFaultError is a panic of bbolt: a page of its file could not be read, or points
-// past the file's end, which is a fault of memory there.
+// pageFaultError is a panic of bbolt. It panics when a page of its memory-mapped file
+// can't be read, or lies past the end of the file, both of which are memory faults.
 type pageFaultError struct{ panicked any }
 
 func (p *pageFaultError) Error() string { return fmt.Sprint(p.panicked) }
 
-// catchPageFault calls an operation of bbolt, and makes a panic of it a pageFaultError.
+// catchPageFault calls an operation of bbolt and converts a panic into a
+// pageFaultError.
 func catchPageFault(operation func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -28,7 +29,7 @@
 	return operation()
 }
 
-// view runs a transaction that reads.
+// view runs a read transaction.
 func (s *Store) view(read func(*bbolt.Tx) error) error {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -43,7 +44,7 @@
 	return err
 }
 
-// unavailable is why there is nothing to read from.
+// unavailable returns the reason why the store can't be read.
 func (s *Store) unavailable() error {
 	switch {
 	case s.closed:
@@ -54,14 +55,14 @@
 	return s.fault
 }
 
-// commit runs a transaction that writes. After one that fails, the file is read
-// again, and written anew before the next.
+// commit runs a write transaction. If writing the file fails, the file is read again,
+// and is rewritten before the next write.
 func (s *Store) commit(write func(*bbolt.Tx) error) error {
 	var tx *bbolt.Tx
-	var failed bool // in writing the file, not in what was to be written
+	var failed bool // writing the file failed, not the write function
 	err := catchPageFault(func() (err error) {
 		if tx, err = s.db.Begin(true); err != nil {
-			return &FaultError{"begin to write", s.path, err}
+			return &FaultError{"begin transaction on", s.path, err}
 		}
 		if err := write(tx); err != nil {
 			tx.Rollback()
@@ -85,8 +86,9 @@
 	return err
 }
 
-// abandon closes the file with a transaction that failed. Where bbolt can't end that,
-// it could not be closed either: then its memory stays, and only the lock goes.
+// abandon closes the file after a failed transaction. If bbolt can't end that
+// transaction, the database can't be closed either: its memory is leaked, and only the
+// lock is released.
 func (s *Store) abandon(tx *bbolt.Tx) {
 	db, file := s.db, s.file
 	s.db, s.file = nil, nil
@@ -95,7 +97,7 @@
 	}
 }
 
-// rollbackAndClose reports whether bbolt could end a transaction, and so close the file.
+// rollbackAndClose reports whether bbolt could end the transaction and close the file.
 func rollbackAndClose(db *bbolt.DB, tx *bbolt.Tx) (closed bool) {
 	defer func() {
 		if recover() != nil {
@@ -114,7 +116,7 @@
 	file.Close()
 }
 
-// reread records a fault, and serves what the file holds from memory.
+// reread records a fault and serves the current content of the file from memory.
 func (s *Store) reread(fault error) {
 	s.recordFault(fault)
 	if err := s.read(0); err != nil {
--- a/internal/controlplane/configstore/versions.go
+++ b/internal/controlplane/configstore/versions.go
@@ -11,19 +11,19 @@
 	"indigospool/internal/wallclock"
 )
 
-// Put stores a version; when it returns without an error, the version survives
-// any crash. The oldest versions past the store's limit are removed. A version that
-// could not be written is reported by a FaultError.
+// Put stores a version, which survives any crash once Put has returned nil. The oldest
+// versions above the store's limit are removed. If the version could not be written,
+// the error is a FaultError.
 func (s *Store) Put(version configversion.Version, now time.Time) error {
 	if version.Number <= 0 || configversion.Checksum(version.Body) != version.Sum {
-		return fmt.Errorf("configstore: version %d does not match its sum, and is not stored", version.Number)
+		return fmt.Errorf("configstore: version %d is not stored: it does not match its checksum", version.Number)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lockReleased && !s.reacquiring {
 		s.deferred = append(s.deferred, deferredVersion{version, now})
 		if len(s.deferred) > maxDeferred {
-			s.deferred = s.deferred[1:] // the oldest, as trim has it
+			s.deferred = s.deferred[1:] // the oldest, as in trim
 		}
 		return nil
 	}
@@ -33,7 +33,7 @@
 	return s.putLocked(version, now)
 }
 
-// putLocked stores a version in a file that can be written.
+// putLocked stores a version in a writable file.
 func (s *Store) putLocked(version configversion.Version, now time.Time) error {
 	value, err := s.encodeVersion(version, now)
 	if err != nil {
@@ -48,7 +48,7 @@
 	})
 }
 
-// trim removes the oldest versions past the limit, but none of retained.
+// trim removes the oldest versions above the limit, except those in retained.
 func (s *Store) trim(versions *bbolt.Bucket, retained []configversion.Version) error {
 	neededKeys := map[string]bool{}
 	for _, version := range retained {
@@ -72,9 +72,9 @@
 	return nil
 }
 
-// SaveState stores a service's state, and in the same transaction the versions that it
-// refers to, unless they are stored already; these are kept as long as a state
-// names them. A state that could not be written is reported by a FaultError.
+// SaveState stores a service's state and, in the same transaction, the versions that it
+// references, unless they are stored already. Referenced versions are not removed. If
+// the state could not be written, the error is a FaultError.
 func (s *Store) SaveState(text []byte, referenced []configversion.Version, now time.Time) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,7 +113,7 @@
 	return err == nil && stored.Sum == version.Sum
 }
 
-// State is what SaveState stored last, nil where it never did.
+// State returns the state last stored by SaveState, or nil if there is none.
 func (s *Store) State() (text []byte, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
 		stored := tx.Bucket(statesBucket).Get(stateKey)
@@ -127,8 +127,8 @@
 	return text, err
 }
 
-// Version is a stored version by its number, and when it was stored by the wall clock;
-// ErrNoVersion where there is none.
+// Version returns the stored version with the given number and the wall-clock time when
+// it was stored, or ErrNoVersion.
 func (s *Store) Version(number int64) (version configversion.Version, storedAt time.Time, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
 		key := versionKey(number)
@@ -144,8 +144,8 @@
 	return version, storedAt, err
 }
 
-// Last is the stored version with the highest number, and when it was stored by the wall
-// clock; ErrNoVersion where there is none.
+// Last returns the stored version with the highest number and the wall-clock time when
+// it was stored, or ErrNoVersion.
 func (s *Store) Last() (version configversion.Version, storedAt time.Time, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
 		key, value := tx.Bucket(versionsBucket).Cursor().Last()
@@ -160,8 +160,8 @@
 	return version, storedAt, err
 }
 
-// History is the stored versions in the order of their numbers, with their ages in
-// milliseconds by the wall clock, never below 0.
+// History returns the stored versions in the order of their numbers, with their ages by
+// the wall clock in milliseconds, never below 0.
 func (s *Store) History(now time.Time) ([]configversion.StoredVersion, error) {
 	history, headers, err := s.allVersions()
 	for i := range history {
@@ -171,7 +171,7 @@
 	return history, err
 }
 
-// allVersions is the stored versions in the order of their numbers, without their ages.
+// allVersions returns the stored versions in the order of their numbers, without ages.
 func (s *Store) allVersions() (list []configversion.StoredVersion, headers []header, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
 		return tx.Bucket(versionsBucket).ForEach(func(key, value []byte) error {
@@ -184,8 +184,8 @@
 	return list, headers, err
 }
 
-// Restored is the event with which a router's machine begins. The wall clock counts
-// for the ages in it only where no other clock shows them.
+// Restored returns the event with which a router's machine starts. Its ages use the
+// wall clock only where no other clock is available.
 func (s *Store) Restored(now time.Time) configversion.Restored {
 	list, headers, err := s.allVersions()
 	if err == nil && len(list) == 0 {
