--- a/internal/controlplane/configstore/age_test.go
+++ b/internal/controlplane/configstore/age_test.go
@@ -10,7 +10,7 @@
 // Steps of the wall clock, between versions or before a restart, do not change ages.
 // After a reboot, the ages of earlier versions are the lower bounds that the boot
 // clocks give.
-func TestStoredTimesAreHints(t *testing.T) {
+func TestAgesIgnoreClockSteps(t *testing.T) {
 	hour := time.Hour
 	for _, test := range []struct {
 		steps  [3]time.Duration // of the wall clock, before version 2, version 3 and the restart
--- a/internal/controlplane/configstore/fault_test.go
+++ b/internal/controlplane/configstore/fault_test.go
@@ -295,7 +295,7 @@
 }
 
 // A folder at the path of the temporary file prevents the rewrite, but loses nothing.
-func TestFreshCopyIsImpossible(t *testing.T) {
+func TestTemporaryPathIsFolder(t *testing.T) {
 	path := createStore(t)
 	if err := os.MkdirAll(filepath.Join(path+".new", "taken"), 0o755); err != nil {
 		t.Fatal(err)
--- a/internal/controlplane/service/agentstream.go
+++ b/internal/controlplane/service/agentstream.go
@@ -46,9 +46,9 @@
 
 var (
 	// errReoffer ends a stream so that its service offers its version again.
-	errReoffer = errors.New("control: the service in charge is silent; this one is asked again")
-	errSilent  = errors.New("the service said nothing")
-	errUnread  = errors.New("the service takes no answers")
+	errReoffer       = errors.New("control: the service in charge is silent; this one is asked again")
+	errSilent        = errors.New("the service said nothing")
+	errRepliesUnread = errors.New("the service takes no answers")
 )
 
 // reply has a version acknowledged on the present stream, or rejected with every
@@ -214,7 +214,7 @@
 		select {
 		case r, open := <-replies:
 			if !open {
-				return errUnread
+				return errRepliesUnread
 			}
 			if err := stream.reply(r); err != nil {
 				return err
