--- a/internal/controlplane/service/server.go
+++ b/internal/controlplane/service/server.go
@@ -18,37 +18,37 @@
 	"indigospool/internal/wallclock"
 )
 
-// StateStore persists what a service must not forget.
+// StateStore persists the state of a service.
 type StateStore interface {
-	// Save returns once the state would survive a crash, or why it would not.
+	// Save returns nil once the state is persisted such that it survives a crash.
 	Save(rollout.State) error
 }
 
-// ServerConfig is what a Server is made of. Zero fields mean the defaults.
+// ServerConfig configures a Server. Zero fields are set to the defaults.
 type ServerConfig struct {
-	// Name identifies the service and its epoch to routers; no other service has it.
+	// Name identifies the service and its epoch to routers. It must be unique.
 	Name string
-	// Rollout has the figures of staged rollouts.
+	// Rollout configures staged rollouts.
 	Rollout rollout.Settings
-	// State is the persisted state to begin with.
+	// State is the persisted state to start from.
 	State rollout.State
-	// Store persists the state; nil: it is forgotten when the service ends.
+	// Store persists the state; nil: the state is lost when the service ends.
 	Store StateStore
-	// StreamsPerSecond bounds the streams admitted in a second; others wait up to
+	// StreamsPerSecond limits the rate at which streams are admitted; others wait up to
 	// maxAdmissionDelay or are rejected. Default 200.
 	StreamsPerSecond float64
-	// MaxStreams bounds the open streams; more are rejected. Default 4000.
+	// MaxStreams limits the number of open streams; more are rejected. Default 4000.
 	MaxStreams int
-	// TickInterval is how often the rollout's time passes. Default 250 ms.
+	// TickInterval is the interval of the rollout's ticks. Default 250 ms.
 	TickInterval time.Duration
-	// ReportInterval is how often routers are asked to report load. Default 10 s.
+	// ReportInterval is the interval at which routers report load. Default 10 s.
 	ReportInterval time.Duration
-	// Limits bound what one version may change.
+	// Limits limit what one version may change.
 	Limits configversion.CheckLimits
 	// OnSend is called before a version is written to a router's stream; may be nil.
 	OnSend func(router string, v configversion.Version)
-	// OnEvent is called with each event's text as it happens; may be nil. Status has
-	// the last events in any case.
+	// OnEvent is called with the text of each event; may be nil. Status always has the
+	// last events.
 	OnEvent func(text string)
 }
 
@@ -68,11 +68,11 @@
 	return c
 }
 
-// maxEvents is how many events Status remembers.
+// maxEvents is how many events Status has.
 const maxEvents = 100
 
-// Server is a control service: it serves versions to routers' streams and carries
-// out the actions of the rollout. Its methods may be called from any goroutine.
+// Server is a control service: it sends versions to routers over their streams and
+// executes the actions of the rollout. Its methods may be called from any goroutine.
 type Server struct {
 	discovery.UnimplementedAggregatedDiscoveryServiceServer
 	load.UnimplementedLoadReportingServiceServer
@@ -88,14 +88,14 @@
 	rollout      *rollout.Rollout
 	streams      map[string]*routerStream // by router
 	events       []string                 // the last maxEvents
-	nextStreamAt time.Time                // earliest admission of the next stream
+	nextStreamAt time.Time                // earliest time to admit the next stream
 	persisted    rollout.State            // the last state that was persisted
-	persistFault *persistFault            // the state can't be persisted for now; nil: it can
-	pausedFor    configversion.Millis     // for how long the rollout's clock has been paused in all
+	persistFault *persistFault            // why the state can't be persisted; nil: it can
+	pausedFor    configversion.Millis     // total time for which the rollout's clock was paused
 }
 
-// NewServer makes a service; options are gRPC's, as credentials. Its clock runs from
-// now on, until Stop.
+// NewServer returns a service; options are gRPC options such as credentials. Its clock
+// runs from now on, until Stop.
 func NewServer(cfg ServerConfig, options ...grpc.ServerOption) *Server {
 	options = append([]grpc.ServerOption{
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second}),
@@ -116,17 +116,18 @@
 	return s
 }
 
-// Serve serves routers until Stop; the error is gRPC's.
+// Serve serves routers until Stop. It returns gRPC's error.
 func (s *Server) Serve(listener net.Listener) error { return s.grpc.Serve(listener) }
 
-// Stop ends the service and its streams at once. It may be called again.
+// Stop stops the service and closes its streams immediately. It may be called
+// repeatedly.
 func (s *Server) Stop() {
 	s.cancel()
 	s.grpc.Stop()
 	s.ticking.Wait()
 }
 
-// runTicks has the rollout's time pass until the server is stopped.
+// runTicks calls tick at each TickInterval until the server is stopped.
 func (s *Server) runTicks() {
 	ticker := time.NewTicker(s.cfg.TickInterval)
 	defer ticker.Stop()
@@ -140,8 +141,8 @@
 	}
 }
 
-// tick has the rollout's time pass or, while the state can't be persisted, tries that
-// again.
+// tick advances the rollout's time or, while the state can't be persisted, retries
+// that.
 func (s *Server) tick() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -167,8 +168,8 @@
 	s.execute(s.rollout.Handle(s.rolloutNow(), event, nil))
 }
 
-// execute executes the rollout's actions in their order: what follows a Persist is done
-// only once that state is persisted.
+// execute executes the rollout's actions in order. Actions that follow a Persist are
+// executed only once that state is persisted.
 func (s *Server) execute(actions []any) {
 	for i, action := range actions {
 		switch action := action.(type) {
@@ -188,11 +189,11 @@
 		case rollout.Halted:
 			s.recordEvent("version %d halted: %s", action.Number, action.Reason)
 		case rollout.NumberAhead:
-			s.recordEvent("router %s has accepted version %d, which this service never gave; numbers go on from there", action.Router, action.Number)
+			s.recordEvent("router %s has accepted version %d, which this service never assigned; numbering continues above it", action.Router, action.Number)
 		case rollout.StageStarted:
 			s.recordEvent("version %d: stage %d, %d routers", action.Number, action.Stage+1, action.Routers)
 		case rollout.Completed:
-			s.recordEvent("version %d is everybody's", action.Number)
+			s.recordEvent("version %d is offered to all routers", action.Number)
 		}
 	}
 }
@@ -208,21 +209,21 @@
 	}
 }
 
-// RejectedError says why a text of settings was not made a version.
+// RejectedError reports why settings were not made a version.
 type RejectedError struct{ Reasons []configversion.Reason }
 
-// Error has one reason a line.
+// Error returns a message with one reason per line.
 func (e *RejectedError) Error() string {
-	text := "control: not made a version"
+	text := "control: settings rejected"
 	for _, reason := range e.Reasons {
 		text += "\n" + reason.String()
 	}
 	return text
 }
 
-// PushUnchecked begins the rollout of a body as it is, and returns its number. It makes
-// no checks but the routers'; see PushSources. immediate has it go to all routers at
-// once, without stages. Where the state can't be persisted, the error is a
+// PushUnchecked starts the rollout of a body and returns its number. Unlike PushSources
+// it does not check the body; routers still do. With immediate it goes to all routers
+// at once, without stages. If the state can't be persisted, the error is a
 // *PersistError.
 func (s *Server) PushUnchecked(body []byte, immediate bool) (int64, error) {
 	s.mu.Lock()
@@ -242,11 +243,11 @@
 	return max(state.Next.Number, state.Base.Number), nil
 }
 
-// PushSources checks settings, makes them canonical and begins their rollout; immediate
-// has them go to all routers at once, without stages. What does not pass the checks is
-// rejected with every reason, a *RejectedError; where the state can't be persisted, the
-// error is a *PersistError. The same content as the newest version's is not pushed
-// again: its number is returned, and created is false.
+// PushSources checks settings, converts them to their canonical form and starts their
+// rollout; with immediate they go to all routers at once, without stages. If the checks
+// fail, the error is a *RejectedError with all reasons; if the state can't be
+// persisted, it is a *PersistError. Settings with the same content as the newest
+// version are not pushed again: its number is returned, and created is false.
 func (s *Server) PushSources(sources []config.Source, immediate bool) (number int64, created bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -263,7 +264,7 @@
 		return 0, false, &RejectedError{reasons}
 	}
 	sameContent := newest.Number > 0 && newest.Sum == configversion.Checksum(body)
-	skipsStages := immediate && state.Next.Number > 0 // the version is in its stages, and is to go to all
+	skipsStages := immediate && state.Next.Number > 0 // of the newest version, which is still being rolled out
 	if sameContent && !skipsStages {
 		return newest.Number, false, nil
 	}
@@ -271,9 +272,9 @@
 	return number, err == nil, err
 }
 
-// Halt stops the rollout under way, if any; the old content goes to all routers under a
-// new number. why is for operators. Where the state can't be persisted, the error is a
-// *PersistError.
+// Halt stops the rollout in progress, if any, and offers the old content to all routers
+// under a new number. why is shown to operators. If the state can't be persisted, the
+// error is a *PersistError.
 func (s *Server) Halt(why string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -284,16 +285,17 @@
 	return s.persistError(true)
 }
 
-// Status is what a service knows.
+// Status is the status of a service.
 type Status struct {
-	Service      string        // its name and epoch
-	State        rollout.State // as it was persisted last
+	Service      string        // name and epoch
+	State        rollout.State // as last persisted
 	Routers      []rollout.RouterStatus
 	Events       []string      // the last events, each with its time of day (UTC)
-	PersistError *PersistError // the state can't be persisted for now; nil: it can
+	PersistError *PersistError // why the state can't be persisted; nil: it can
 }
 
-// Status returns which version each router runs, what it rejected and why.
+// Status returns the service's status, including which version each router runs, and
+// what it rejected and why.
 func (s *Server) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlplane/service/service.go
+++ b/internal/controlplane/service/service.go
@@ -31,22 +31,22 @@
 	adminListener  net.Listener
 	adminServer    *http.Server
 
-	ctx       context.Context // ends at Close
+	ctx       context.Context // canceled by Close
 	cancel    context.CancelFunc
 	workers   errgroup.Group
 	closeOnce sync.Once
 
-	lastFolderMessage string // logged last of the folder: each message is logged once
+	lastFolderMessage string // last message about the folder, which is not logged again
 }
 
-// Start starts a service from its store and listens. onSend is ServerConfig.OnSend. The
-// error is a *configstore.FaultError where the store can't be read or written for now,
-// and a later Start may succeed.
+// Start starts a service from its store and opens its listeners. onSend is
+// ServerConfig.OnSend. If the store can't be read or written, the error is a
+// *configstore.FaultError, and Start may be retried.
 func Start(settings *Settings, log *zap.Logger, onSend func(router string, v configversion.Version)) (*Service, error) {
 	return StartWithFiles(configstore.Disk{}, settings, log, onSend)
 }
 
-// StartWithFiles is Start by the operations of a file system, for fault injection.
+// StartWithFiles is like Start, with the operations of the given file system.
 func StartWithFiles(files configstore.FileSystem, settings *Settings, log *zap.Logger, onSend func(router string, v configversion.Version)) (*Service, error) {
 	store, err := openStore(files, &settings.Service, log)
 	if err != nil {
@@ -81,26 +81,26 @@
 	return s, nil
 }
 
-// openStore opens the store of a service. One that was damaged is logged and begun
-// anew; one that can't be written for now is logged.
+// openStore opens the store of a service. If the file is damaged, it logs that and
+// returns the new store; if the file can't be read or written, it logs that.
 func openStore(files configstore.FileSystem, section *ServiceSection, log *zap.Logger) (*configstore.Store, error) {
 	store, err := configstore.OpenWith(files, section.Store, section.MaxVersions)
 	var damaged *configstore.DamagedError
 	var fault *configstore.FaultError
 	switch {
 	case errors.As(err, &damaged):
-		// numbers go on above what routers say that they have accepted
-		log.Error("the store was damaged; push the settings anew", zap.String("store", damaged.Path),
+		// numbers continue above those that routers report as accepted
+		log.Error("the store was damaged and is empty now; push the settings again", zap.String("store", damaged.Path),
 			zap.String("set_aside", damaged.Quarantine), zap.Error(damaged.Err))
 	case errors.As(err, &fault):
-		log.Error("the store can't be written, or not be read, for now", zap.Error(err))
+		log.Error("the store can't be read or written for now", zap.Error(err))
 	case err != nil:
 		return nil, err
 	}
 	return store, nil
 }
 
-// grpcOptions has the credentials of a service that has certificates.
+// grpcOptions returns the credentials of a service that has certificates.
 func grpcOptions(section *ServiceSection, log *zap.Logger) ([]grpc.ServerOption, error) {
 	if section.Cert == "" {
 		return nil, nil
@@ -117,7 +117,7 @@
 	return []grpc.ServerOption{grpc.Creds(certificates.ServerCredentials())}, nil
 }
 
-// run listens and starts the goroutines that end at Close.
+// run opens the listeners and starts the goroutines, which end at Close.
 func (s *Service) run() error {
 	if err := s.listen(); err != nil {
 		return err
@@ -147,7 +147,7 @@
 	section := &s.settings.Service
 	s.routerListener, err = net.Listen("tcp", section.Listen)
 	if err != nil {
-		return fmt.Errorf("control: listen %s: %w; is the address free, and one of this machine?", section.Listen, err)
+		return fmt.Errorf("control: listen %s: %w; is it a free address of this machine?", section.Listen, err)
 	}
 	network := "tcp"
 	if isSocketPath(section.Admin) {
@@ -162,10 +162,10 @@
 	return nil
 }
 
-// isSocketPath reports whether an address for operators is a Unix socket's path.
+// isSocketPath reports whether an operators' address is the path of a Unix socket.
 func isSocketPath(address string) bool { return strings.HasPrefix(address, "/") }
 
-// removeSocket removes the socket that an earlier process may have left.
+// removeSocket removes a socket left behind by an earlier process.
 func removeSocket(path string) {
 	info, err := os.Stat(path)
 	if err == nil && info.Mode()&os.ModeSocket != 0 {
@@ -173,14 +173,14 @@
 	}
 }
 
-// Addr is the address at which routers reach the service, as host:port.
+// Addr returns the address of the listener for routers, as host:port.
 func (s *Service) Addr() string { return s.routerListener.Addr().String() }
 
-// AdminAddr is the address at which operators reach the service: host:port or a Unix
-// socket's path.
+// AdminAddr returns the address of the listener for operators: host:port or the path of
+// a Unix socket.
 func (s *Service) AdminAddr() string { return s.adminListener.Addr().String() }
 
-// Close ends the service and closes its store. It may be called again.
+// Close stops the service and closes its store. It may be called repeatedly.
 func (s *Service) Close() {
 	s.closeOnce.Do(func() {
 		s.cancel()
@@ -193,7 +193,7 @@
 				listener.Close()
 			}
 		}
-		_ = s.workers.Wait() // of Serve: that it was stopped
+		_ = s.workers.Wait() // only the errors of stopped listeners
 		s.store.Close()
 	})
 }
--- a/internal/controlplane/service/statestore.go
+++ b/internal/controlplane/service/statestore.go
@@ -13,8 +13,8 @@
 	"indigospool/internal/controlplane/rollout"
 )
 
-// storedState is a service's state as the store has it; the versions stand beside it.
-// Its JSON is read by later releases.
+// storedState is a service's state in the store, which has the versions separately.
+// Later releases must be able to read its JSON.
 type storedState struct {
 	ID     string `json:"id"`
 	Last   int64  `json:"last"`
@@ -22,21 +22,21 @@
 	Next   int64  `json:"next,omitempty"`
 	Stage  int    `json:"stage,omitempty"`
 	Halted string `json:"halted,omitempty"`
-	Folder string `json:"folder,omitempty"` // checksum of what the folder held when it was last offered
+	Folder string `json:"folder,omitempty"` // checksum of the folder's content that was last offered
 }
 
 // diskStateStore persists a rollout's state in a store on disk.
 type diskStateStore struct {
 	store *configstore.Store
-	id    string // of the service's epoch
+	id    string // identifies the service's epoch
 
 	mu        sync.Mutex
 	folderSum string
 }
 
-// swapFolderSum reports whether a content of the folder was offered before: it is
-// offered once, also where its rollout was halted, or rolled back since. The checksum
-// is persisted with the next state.
+// swapFolderSum records the checksum of the folder's content, and reports whether it is
+// the one last offered. The same content is offered only once, even if its rollout was
+// halted or rolled back since. The checksum is persisted with the next state.
 func (d *diskStateStore) swapFolderSum(sum string) (previous string, known bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -64,8 +64,8 @@
 	return d.store.SaveState(text, []configversion.Version{state.Base, state.Next}, time.Now())
 }
 
-// load reads the persisted state and the service's id, which stays the same over all
-// restarts with this store, so that routers know the service again. An empty store gets
+// load reads the persisted state and the service's id. The id stays the same over all
+// restarts with this store, so that routers recognize the service. An empty store gets
 // a new id.
 func (d *diskStateStore) load() (rollout.State, error) {
 	text, err := d.store.State()
@@ -80,7 +80,7 @@
 	}
 	var stored storedState
 	if err := json.Unmarshal(text, &stored); err != nil {
-		return rollout.State{}, fmt.Errorf("control: the stored state: %w", err)
+		return rollout.State{}, fmt.Errorf("control: decode the stored state: %w", err)
 	}
 	d.id = stored.ID
 	d.folderSum = stored.Folder
@@ -92,7 +92,7 @@
 	return state, err
 }
 
-// version reads a version of the stored state; number 0 is none.
+// version reads a version of the stored state. Number 0 is the zero Version.
 func (d *diskStateStore) version(number int64) (configversion.Version, error) {
 	if number == 0 {
 		return configversion.Version{}, nil
--- a/internal/controlplane/service/storefault.go
+++ b/internal/controlplane/service/storefault.go
@@ -14,55 +14,57 @@
 	"indigospool/internal/controlplane/rollout"
 )
 
-// PersistError says that a service's state can't be persisted for now, so that nothing
-// is offered or accepted. The service recovers by itself.
+// PersistError reports that a service's state can't be persisted, so that nothing is
+// offered or accepted. The service retries by itself.
 type PersistError struct {
 	Since  time.Time
-	Queued bool // what was asked for is accepted, and is carried out once the state is persisted
+	Queued bool // the request is accepted, and is executed once the state is persisted
 	Err    error
 }
 
-// Error says since when, why, and what becomes of the request.
+// Error returns a message with the start, the cause and the effect on the request.
 func (e *PersistError) Error() string {
-	then := "nothing is taken in or offered until it can; try again"
+	then := "nothing is accepted or offered until then; retry later"
 	if e.Queued {
-		then = "what was asked for is carried out once it can, and is lost if the service ends before"
+		then = "the request is executed once it is, and is lost if the service ends before"
 	}
-	return fmt.Sprintf("control: the state can't be kept since %s, for %v: %v; %s", e.Since.UTC().Format(time.TimeOnly),
+	return fmt.Sprintf("control: the state can't be persisted since %s, for %v: %v; %s", e.Since.UTC().Format(time.TimeOnly),
 		time.Since(e.Since).Round(time.Millisecond), e.Err, then)
 }
 
 // Unwrap returns the store's error.
 func (e *PersistError) Unwrap() error { return e.Err }
 
-// GRPCStatus is what a router's stream ends with: unavailable, which has it come back.
+// GRPCStatus returns the status that ends a router's stream: Unavailable, so that the
+// router reconnects.
 func (e *PersistError) GRPCStatus() *status.Status { return status.New(codes.Unavailable, e.Error()) }
 
-// Delays between attempts to persist a state, or to store a version: they double from
-// the first to the longest.
+// Delays between attempts to persist a state or to store a version. They double from the
+// first to the maximum.
 const (
 	firstRetryDelay = 50 * time.Millisecond
 	maxRetryDelay   = 2 * time.Second
 )
 
-// persistFault is what a server defers while its state can't be persisted. The rollout's
-// clock is paused meanwhile: nobody can answer what is not sent.
+// persistFault is what a server defers while its state can't be persisted. Meanwhile
+// the rollout's clock is paused, because routers can't answer versions that are not
+// sent.
 type persistFault struct {
 	since           time.Time
 	err             error
-	rolloutTime     configversion.Millis // at which the rollout's clock is paused
+	rolloutTime     configversion.Millis // time at which the rollout's clock was paused
 	retryAt         time.Time
 	backoff         time.Duration
-	deferredActions []any // actions that follow the failed Persist
-	deferredEvents  []any // of streams, for the rollout
+	deferredActions []any // actions after the failed Persist
+	deferredEvents  []any // events of streams, for the rollout
 }
 
-// suspend books that the state could not be persisted, and defers the actions that
+// suspend records that the state could not be persisted, and defers the actions that
 // follow.
 func (s *Server) suspend(err error, actions []any) {
 	deferred := slices.DeleteFunc(slices.Clone(actions), func(action any) bool {
 		_, isPersist := action.(rollout.Persist)
-		return isPersist // the complete state is persisted before the others
+		return isPersist // recovery persists the complete state before the other actions
 	})
 	now := time.Now()
 	s.persistFault = &persistFault{
@@ -73,11 +75,11 @@
 		backoff:         firstRetryDelay,
 		deferredActions: deferred,
 	}
-	s.recordEvent("the state can't be kept, and nothing is offered until it can: %v", err)
+	s.recordEvent("the state can't be persisted; nothing is offered until it can: %v", err)
 }
 
-// persistError is why nothing is accepted, nil where all is well. queued says that the
-// request is among what is deferred.
+// persistError returns why nothing is accepted, or nil if the state can be persisted.
+// queued reports that the request was deferred.
 func (s *Server) persistError(queued bool) error {
 	if s.persistFault == nil {
 		return nil
@@ -85,23 +87,23 @@
 	return &PersistError{Since: s.persistFault.since, Queued: queued, Err: s.persistFault.err}
 }
 
-// deferEvent has the rollout handle an event once the state is persisted again. Each
-// stream ends once, so its end is always deferred; load reports are only counts, and
-// time is paused: both are dropped.
+// deferEvent queues an event for the rollout until the state is persisted again. The
+// end of a stream is always queued, since each stream ends only once. Load reports are
+// only counts, and ticks are irrelevant while time is paused: both are dropped.
 func (s *Server) deferEvent(event any) {
 	events := &s.persistFault.deferredEvents
 	switch event.(type) {
 	case rollout.Disconnected:
 		*events = append(*events, event)
 	case rollout.Acked, rollout.Nacked:
-		if len(*events) < 4*s.cfg.MaxStreams { // routers may answer without end
+		if len(*events) < 4*s.cfg.MaxStreams { // bounds memory: routers may send any number of answers
 			*events = append(*events, event)
 		}
 	}
 }
 
-// retryPersist tries again to persist the state, the whole of what the rollout says
-// now, and then does what was deferred.
+// retryPersist tries again to persist the rollout's current state. When that succeeds,
+// it processes everything deferred.
 func (s *Server) retryPersist() {
 	fault := s.persistFault
 	if time.Now().Before(fault.retryAt) {
@@ -117,14 +119,14 @@
 	s.persisted = state
 	s.persistFault = nil
 	s.pausedFor = s.uptime() - fault.rolloutTime
-	s.recordEvent("the state is kept again after %v", time.Since(fault.since).Round(time.Millisecond))
+	s.recordEvent("the state is persisted again after %v", time.Since(fault.since).Round(time.Millisecond))
 	s.execute(fault.deferredActions)
 	for _, event := range fault.deferredEvents {
 		s.handleLocked(event)
 	}
 }
 
-// rolloutNow is the time of the rollout's clock, which is paused during faults.
+// rolloutNow returns the time of the rollout's clock, which is paused during faults.
 func (s *Server) rolloutNow() configversion.Millis { return s.uptime() - s.pausedFor }
 
 func (s *Server) uptime() configversion.Millis { return millisSince(s.started) }
@@ -133,7 +135,7 @@
 	return float64(time.Since(t).Microseconds()) / 1000
 }
 
-// recoverStore tries, after a fault of a store's file, to have it written anew, until the
+// recoverStore retries to read and rewrite a store's file after a fault, until the
 // context ends.
 func recoverStore(ctx context.Context, store *configstore.Store) {
 	for delay := firstRetryDelay; ; {
--- a/internal/controlplane/service/stream.go
+++ b/internal/controlplane/service/stream.go
@@ -16,54 +16,54 @@
 	"indigospool/internal/controlplane/rollout"
 )
 
-// serverStream is a router's stream as the server sees it, by either protocol. One
-// goroutine sends, another receives.
+// serverStream is a router's stream at the server, in either protocol. One goroutine
+// sends, another receives.
 type serverStream interface {
-	// hello receives the first request.
+	// hello receives the stream's first request.
 	hello() (helloRequest, error)
 	// send sends a version.
 	send(v configversion.Version, service string) error
-	// recv receives the next response; known is false of one to nothing that is waited for.
+	// recv receives the next response. known is false if it has a stale or unknown nonce.
 	recv() (response versionResponse, known bool, err error)
 }
 
-// helloRequest is what a router says when its stream begins.
+// helloRequest is the content of a stream's first request.
 type helloRequest struct {
 	router   string
-	accepted int64 // number of the version that it has accepted; 0: none
+	accepted int64 // number of the version that the router has accepted; 0: none
 }
 
-// versionResponse is a router's ACK or NACK of a version that it was sent.
+// versionResponse is a router's ACK or NACK of a version.
 type versionResponse struct {
 	number  int64
-	reasons []string // nil: accepted
+	reasons []string // of a NACK; nil: an ACK
 }
 
-// routerStream is a stream as the server books it.
+// routerStream is an open stream in the server's table.
 type routerStream struct {
 	router   string
-	versions chan configversion.Version // of one: a newer version replaces an older one that was not sent yet
+	versions chan configversion.Version // capacity 1: a newer version replaces an unsent one
 	cancel   context.CancelCauseFunc
 }
 
-// offer has a version sent, in place of one that was not sent yet. Only one goroutine
-// at a time may call it: the server's lock is held.
+// offer queues a version for sending. It replaces a version that was not sent yet. The
+// caller must hold the server's lock, so that there is only one sender.
 func (r *routerStream) offer(v configversion.Version) {
 	select {
-	case <-r.versions: // not sent yet, and superseded
+	case <-r.versions: // remove the unsent version
 	default:
 	}
 	r.versions <- v
 }
 
-var errStreamReplaced = errors.New("control: the router has begun another stream")
+var errStreamReplaced = errors.New("control: the router has opened another stream")
 
-// maxAdmissionDelay is how long a new stream may wait for its admission. A router that
-// would wait longer is better off with another service, or later.
+// maxAdmissionDelay is the longest time that a new stream waits for admission. Instead
+// of waiting longer, a router should try another service or come back later.
 const maxAdmissionDelay = 2 * time.Second
 
-// admitStream has streams begin no faster than the service can take: it waits for the
-// stream's turn, or returns an error that has the router come back later.
+// admitStream limits the rate of new streams: it waits until the stream may be
+// admitted, or returns an error that makes the router come back later.
 func (s *Server) admitStream(ctx context.Context) error {
 	wait, err := s.reserveAdmission(time.Now())
 	if err != nil {
@@ -85,23 +85,24 @@
 	}
 	wait = s.nextStreamAt.Sub(now)
 	if wait > maxAdmissionDelay || len(s.streams) >= s.cfg.MaxStreams {
-		return 0, status.Error(codes.ResourceExhausted, "control: too many streams begin at once; come back later")
+		return 0, status.Error(codes.ResourceExhausted, "control: too many new or open streams; retry later")
 	}
 	s.nextStreamAt = s.nextStreamAt.Add(time.Duration(float64(time.Second) / s.cfg.StreamsPerSecond))
 	return wait, nil
 }
 
-// StreamAggregatedResources serves a router's stream by state of the world.
+// StreamAggregatedResources serves a router's stream in the state-of-the-world
+// protocol.
 func (s *Server) StreamAggregatedResources(stream grpc.BidiStreamingServer[discovery.DiscoveryRequest, discovery.DiscoveryResponse]) error {
 	return s.serveStream(stream.Context(), &sotwServerStream{stream: stream, snapshots: &s.snapshots})
 }
 
-// DeltaAggregatedResources serves a router's stream by the incremental protocol.
+// DeltaAggregatedResources serves a router's stream in the incremental protocol.
 func (s *Server) DeltaAggregatedResources(stream grpc.BidiStreamingServer[discovery.DeltaDiscoveryRequest, discovery.DeltaDiscoveryResponse]) error {
 	return s.serveStream(stream.Context(), &deltaServerStream{stream: stream, snapshots: &s.snapshots})
 }
 
-// serveStream serves a router's stream to its end.
+// serveStream serves a router's stream until it ends.
 func (s *Server) serveStream(ctx context.Context, peer serverStream) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -123,8 +124,8 @@
 		return err
 	}
 	defer s.removeStream(stream)
-	// The group's first error ends its context. The group is not waited for: gRPC
-	// releases calls to send and recv only when this function returns.
+	// The group's first error cancels its context. Waiting for the group would deadlock:
+	// gRPC unblocks its calls to send and recv only when this function returns.
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return s.sendVersions(ctx, stream, peer) })
 	group.Go(func() error { return s.receiveResponses(stream.router, peer) })
@@ -135,7 +136,7 @@
 	return nil
 }
 
-// addStream books a stream, in place of the router's stream before it. Where the state
+// addStream registers a stream and cancels the router's previous one. If the state
 // can't be persisted, the error is a *PersistError.
 func (s *Server) addStream(stream *routerStream, accepted int64) error {
 	s.mu.Lock()
@@ -151,7 +152,7 @@
 	return nil
 }
 
-// removeStream removes a stream that has ended, unless another has replaced it.
+// removeStream unregisters a stream that has ended, unless another one has replaced it.
 func (s *Server) removeStream(stream *routerStream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -162,7 +163,7 @@
 	s.handleLocked(rollout.Disconnected{Router: stream.router})
 }
 
-// sendVersions sends what is offered to a router, until the context ends.
+// sendVersions sends the versions offered to a router, until the context ends.
 func (s *Server) sendVersions(ctx context.Context, stream *routerStream, peer serverStream) error {
 	for {
 		select {
@@ -186,7 +187,7 @@
 		switch {
 		case err != nil:
 			return err
-		case !known: // to a response that was superseded, or to none: xDS has such be ignored
+		case !known: // stale or unknown nonce: ignored, as xDS requires
 		case response.reasons != nil:
 			s.handle(rollout.Nacked{Router: router, Number: response.number, Reasons: response.reasons})
 		default:
