--- a/internal/controlplane/service/admin.go
+++ b/internal/controlplane/service/admin.go
@@ -14,7 +14,7 @@
 	"indigospool/internal/controlplane/rollout"
 )
 
-// adminHandler serves operators' requests; see docs/control.md.
+// adminHandler returns the handler of operators' requests; see docs/control.md.
 func (s *Service) adminHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /push", s.handlePush)
@@ -26,12 +26,12 @@
 	return mux
 }
 
-// PushResult is what became of a push, a rollback or a halt.
+// PushResult is the result of a push, a rollback or a halt.
 type PushResult struct {
 	Number  int64    `json:"number,omitempty"`
-	Created bool     `json:"fresh"`             // false: the newest version has that content already
+	Created bool     `json:"fresh"`             // false: the newest version already has that content
 	Reasons []string `json:"reasons,omitempty"` // why it was rejected
-	Error   string   `json:"error,omitempty"`   // why it could not be done
+	Error   string   `json:"error,omitempty"`   // why the request failed
 }
 
 func writeJSON(response http.ResponseWriter, status int, v any) {
@@ -60,9 +60,9 @@
 	}
 }
 
-// handlePush takes a text of settings. ?now has it go to all routers at once, ?unchecked
-// has it go out though it does not pass the service's checks: the routers make theirs.
-// ?name is what faults call it by.
+// handlePush pushes a text of settings. With ?now it goes to all routers at once; with
+// ?unchecked the service's checks are skipped, but not those of the routers. ?name is
+// the file name in reported faults.
 func (s *Service) handlePush(response http.ResponseWriter, request *http.Request) {
 	limit := int64(s.settings.Service.MaxBytes)
 	body, err := io.ReadAll(http.MaxBytesReader(response, request.Body, limit))
@@ -85,8 +85,8 @@
 	writePushResult(response, number, created, err)
 }
 
-// versionErrorStatus is the HTTP status for a version that is not stored, or can't be
-// read for now.
+// versionErrorStatus returns the HTTP status for a version that is not stored or can't
+// be read.
 func versionErrorStatus(err error) int {
 	if errors.Is(err, configstore.ErrNoVersion) {
 		return http.StatusNotFound
@@ -94,18 +94,18 @@
 	return http.StatusServiceUnavailable
 }
 
-// handleRollback gives the content of an earlier version (?to) a new number.
+// handleRollback pushes the content of an earlier version (?to) under a new number.
 func (s *Service) handleRollback(response http.ResponseWriter, request *http.Request) {
 	query := request.URL.Query()
 	to, err := strconv.ParseInt(query.Get("to"), 10, 64)
 	if err != nil {
-		writeError(response, http.StatusBadRequest, "rollback wants ?to=NUMBER")
+		writeError(response, http.StatusBadRequest, "rollback requires ?to=NUMBER")
 		return
 	}
 	version, _, err := s.store.Version(to)
 	if err != nil {
 		writeError(response, versionErrorStatus(err),
-			fmt.Sprintf("version %d is not kept, or can't be read: %v; see spool-control versions", to, err))
+			fmt.Sprintf("version %d is not stored or can't be read: %v; see spool-control versions", to, err))
 		return
 	}
 	number, err := s.PushUnchecked(version.Body, query.Has("now"))
@@ -117,22 +117,22 @@
 	writePushResult(response, s.Status().State.Base.Number, true, err)
 }
 
-// StatusView is Status as operators see it, without the versions' bodies.
+// StatusView is Status as shown to operators, without the bodies of versions.
 type StatusView struct {
 	Service         string                 `json:"service"`
-	Last            int64                  `json:"last"`           // the highest number given
-	Base            int64                  `json:"base"`           // the version of all routers
-	Next            int64                  `json:"next,omitempty"` // the version in its stages
+	Last            int64                  `json:"last"`           // highest number assigned
+	Base            int64                  `json:"base"`           // version for all routers
+	Next            int64                  `json:"next,omitempty"` // version being rolled out
 	Stage           int                    `json:"stage,omitempty"`
 	Halted          string                 `json:"halted,omitempty"` // why the last rollout was halted
 	Routers         []rollout.RouterStatus `json:"routers"`
 	Events          []string               `json:"events"`
-	StateFault      string                 `json:"unkept,omitempty"`       // why the state can't be persisted for now
+	StateFault      string                 `json:"unkept,omitempty"`       // why the state can't be persisted
 	StateFaultSince string                 `json:"unkept_since,omitempty"` // RFC 3339
 	StateFaultMs    float64                `json:"unkept_ms,omitempty"`
 }
 
-// View returns what operators are shown.
+// View returns the status as shown to operators.
 func (s *Service) View() StatusView {
 	status := s.Status()
 	view := StatusView{
@@ -161,7 +161,7 @@
 	writeJSON(response, http.StatusOK, s.View())
 }
 
-// VersionView is a stored version as operators see it.
+// VersionView is a stored version as shown to operators.
 type VersionView struct {
 	Number int64   `json:"number"`
 	Sum    string  `json:"sum"` // SHA-256, in hex
@@ -190,12 +190,12 @@
 func (s *Service) handleVersion(response http.ResponseWriter, request *http.Request) {
 	number, err := strconv.ParseInt(request.URL.Query().Get("number"), 10, 64)
 	if err != nil {
-		http.Error(response, "version wants ?number=N", http.StatusBadRequest)
+		http.Error(response, "version requires ?number=N", http.StatusBadRequest)
 		return
 	}
 	version, _, err := s.store.Version(number)
 	if err != nil {
-		http.Error(response, fmt.Sprintf("version %d is not kept: %v", number, err), versionErrorStatus(err))
+		http.Error(response, fmt.Sprintf("version %d is not stored or can't be read: %v", number, err), versionErrorStatus(err))
 		return
 	}
 	response.Header().Set("Content-Type", "text/plain; charset=utf-8")
--- a/internal/controlplane/service/adminclient.go
+++ b/internal/controlplane/service/adminclient.go
@@ -13,20 +13,21 @@
 	"time"
 )
 
-// adminTimeout bounds an operator's request, its answer included.
+// adminTimeout limits the duration of an operator's request, including the response.
 const adminTimeout = 30 * time.Second
 
-// PushRejectedError is a service's rejection of a text, as operators receive it.
+// PushRejectedError reports at the client that a service rejected settings.
 type PushRejectedError struct{ Reasons []string }
 
-// Error has one reason a line.
+// Error returns a message with one reason per line.
 func (e *PushRejectedError) Error() string {
-	return "refused, nothing has changed:\n" + strings.Join(e.Reasons, "\n")
+	return "rejected, nothing has changed:\n" + strings.Join(e.Reasons, "\n")
 }
 
-// AdminCall sends a request to a service's listener for operators, at host:port or at a
-// Unix socket's path, and returns the body of its answer. What the service does not make
-// a version is a *PushRejectedError; any other answer than 200 is an error too.
+// AdminCall sends a request to a service's listener for operators, at host:port or the
+// path of a Unix socket, and returns the response body. If the service rejects the
+// settings, the error is a *PushRejectedError; any other status than 200 is an error
+// too.
 func AdminCall(ctx context.Context, admin, method, path string, body []byte) ([]byte, error) {
 	network, base := "tcp", "http://"+admin
 	if isSocketPath(admin) {
@@ -43,12 +44,12 @@
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		return nil, fmt.Errorf("control: %w; does spool-control serve run, and is this its (admin ...)?", err)
+		return nil, fmt.Errorf("control: %w; is spool-control serve running, and is this its (admin ...) address?", err)
 	}
 	defer response.Body.Close()
 	answer, err := io.ReadAll(response.Body)
 	if err != nil {
-		return nil, fmt.Errorf("control: %s %s: reading the answer of %s: %w", method, path, admin, err)
+		return nil, fmt.Errorf("control: %s %s: read response of %s: %w", method, path, admin, err)
 	}
 	switch response.StatusCode {
 	case http.StatusOK:
@@ -64,11 +65,11 @@
 	if json.Unmarshal(answer, &result) == nil && result.Error != "" {
 		return nil, fmt.Errorf("control: %s", result.Error)
 	}
-	return nil, fmt.Errorf("control: the service answers %s: %s", response.Status, bytes.TrimSpace(answer))
+	return nil, fmt.Errorf("control: unexpected response %s: %s", response.Status, bytes.TrimSpace(answer))
 }
 
-// AdminPush pushes settings to a service, and returns their number. immediate has them go
-// to all routers at once. Errors are as AdminCall's.
+// AdminPush pushes settings to a service and returns their number. With immediate they
+// go to all routers at once. Errors are those of AdminCall.
 func AdminPush(ctx context.Context, admin string, text []byte, immediate bool) (int64, error) {
 	query := url.Values{}
 	if immediate {
@@ -82,16 +83,16 @@
 	return result.Number, err
 }
 
-// ParsePushResult reads the answer to a push, a rollback or a halt.
+// ParsePushResult parses the response to a push, a rollback or a halt.
 func ParsePushResult(answer []byte) (PushResult, error) {
 	var result PushResult
 	if err := json.Unmarshal(answer, &result); err != nil {
-		return PushResult{}, fmt.Errorf("control: the answer to a push is malformed: %w", err)
+		return PushResult{}, fmt.Errorf("control: malformed response to a push: %w", err)
 	}
 	return result, nil
 }
 
-// AdminStatus returns a service's status. Errors are as AdminCall's.
+// AdminStatus returns a service's status. Errors are those of AdminCall.
 func AdminStatus(ctx context.Context, admin string) (StatusView, error) {
 	var view StatusView
 	answer, err := AdminCall(ctx, admin, "GET", "/status", nil)
@@ -99,7 +100,7 @@
 		return view, err
 	}
 	if err := json.Unmarshal(answer, &view); err != nil {
-		return view, fmt.Errorf("control: the status of %s is malformed: %w", admin, err)
+		return view, fmt.Errorf("control: malformed status of %s: %w", admin, err)
 	}
 	return view, nil
 }
--- a/internal/controlplane/service/agent.go
+++ b/internal/controlplane/service/agent.go
@@ -11,49 +11,51 @@
 	"indigospool/internal/controlplane/configversion"
 )
 
-// AgentConfig is what an Agent is made of. Zero fields mean the defaults.
+// AgentConfig configures an Agent. Zero fields are set to the defaults.
 type AgentConfig struct {
-	// Router is the router's id, under which services know it.
+	// Router is the router's id.
 	Router string
-	// Services are addresses, at least one: the first that answers is followed, the others
-	// are for when it is gone.
+	// Services are the addresses of at least one service. The agent follows the first one
+	// that answers, and falls back to the others.
 	Services []string
-	// Machine has the figures of the machine that decides about versions.
+	// Machine configures the state machine that decides about versions.
 	Machine configversion.MachineSettings
-	// Seed is what delays between attempts and the machine's chances come from.
+	// Seed is the seed of the reconnect delays and of the machine.
 	Seed uint64
-	// Store has versions on disk; nil: nothing is stored.
+	// Store stores versions on disk; nil: nothing is stored.
 	Store *configstore.Store
-	// Initial is the version to begin with where nothing is stored; Number 0: none.
+	// Initial is the version to run if none is stored or can be read; Number 0: none.
 	Initial configversion.Version
-	// Deferred has the agent call no service until Connect.
+	// Deferred delays connecting to a service until Connect is called.
 	Deferred bool
-	// Backoff is the first delay before a service is called again; it doubles to
-	// maxBackoffFactor times. Default 250 ms.
+	// Backoff is the initial delay between connection attempts. It doubles up to
+	// maxBackoffFactor times this value. Default 250 ms.
 	Backoff time.Duration
-	// SilenceTimeout ends a stream that begins and says nothing. Default 30 s.
+	// SilenceTimeout is how long a new stream may take to deliver its first version.
+	// Default 30 s.
 	SilenceTimeout time.Duration
-	// HeartbeatInterval is how often an open stream counts as a sign of life of its
-	// service. Default 5 s.
+	// HeartbeatInterval is the interval at which an open stream counts as a sign of life of
+	// its service. Default 5 s.
 	HeartbeatInterval time.Duration
-	// DialOptions are gRPC's, as credentials.
+	// DialOptions are gRPC options such as credentials.
 	DialOptions []grpc.DialOption
-	// StateOfTheWorld selects that protocol in place of the incremental one.
+	// StateOfTheWorld selects the state-of-the-world protocol instead of the incremental one.
 	StateOfTheWorld bool
-	// MaxBytes bounds a message. Default 32 MB.
+	// MaxBytes limits the size of a message. Default 32 MiB.
 	MaxBytes int
-	// StoreTimeout has a version rejected that can't be stored for so long. Default 30 s.
+	// StoreTimeout is how long storing a version is retried before the version is rejected.
+	// Default 30 s.
 	StoreTimeout time.Duration
-	// ReportInterval is the shortest time between load reports.
+	// ReportInterval is the minimum interval of load reports.
 	ReportInterval time.Duration
-	// LoadCounts counts the requests to be reported; nil: nothing is reported. It may
+	// LoadCounts returns the request counts to report; nil: nothing is reported. It may
 	// block.
 	LoadCounts func() (LoadCounts, error)
 
-	// OnActivate is called for a version that is to be run, from one of the agent's goroutines
-	// and in order. It must not call the agent.
+	// OnActivate is called with each version to run, in order, from one of the agent's
+	// goroutines. It must not call the agent.
 	OnActivate func(configversion.Activate)
-	// Warn is called with what operators should know; may be nil.
+	// Warn is called with messages for operators; may be nil.
 	Warn func(text string)
 }
 
@@ -80,7 +82,7 @@
 }
 
 // Agent follows control services for one router. Its methods may be called from any
-// goroutine, but not from AgentConfig.Use.
+// goroutine, but not from AgentConfig.OnActivate.
 type Agent struct {
 	cfg         AgentConfig
 	started     time.Time // origin of the machine's clock
@@ -88,23 +90,23 @@
 	cancel      context.CancelFunc
 	workers     sync.WaitGroup
 	connectOnce sync.Once
-	storeFailed chan struct{} // of one: a version could not be stored
+	storeFailed chan struct{} // capacity 1; signals that a version could not be stored
 
 	mu              sync.Mutex
 	machine         *configversion.Machine
-	wakeTimer       *time.Timer             // of the machine's last Wake; nil: there was none
+	wakeTimer       *time.Timer             // for the machine's last Wake; nil: there was none
 	streamState     string                  // for status
-	streamService   string                  // the service at the other end of the present stream
-	cancelStream    context.CancelCauseFunc // ends the present stream; nil: there is none
-	replies         chan reply              // of the present stream; nil: there is none
-	nonces          map[int64]string        // of versions offered on the present stream, by number
-	requestComplete bool                    // the next stream asks for everything
-	pending         *pendingVersion         // accepted and not stored yet; nil: there is none
-	unstored        configversion.Version   // used without being stored, since there was none to run; Number 0: none
+	streamService   string                  // the service at the other end of the current stream
+	cancelStream    context.CancelCauseFunc // cancels the current stream; nil: there is none
+	replies         chan reply              // of the current stream; nil: there is none
+	nonces          map[int64]string        // of versions offered on the current stream, by number
+	requestComplete bool                    // the next stream requests the complete settings
+	pending         *pendingVersion         // passed the checks, not stored yet; nil: there is none
+	unstored        configversion.Version   // runs without being stored, since no other version was available; Number 0: none
 	restoring       bool                    // the last good version could not be read yet
 }
 
-// StartAgent starts an agent: it runs the last good version first, and then follows the
+// StartAgent starts an agent. It first runs the last good version and then follows the
 // services.
 func StartAgent(cfg AgentConfig) *Agent {
 	a := &Agent{
@@ -125,19 +127,20 @@
 	return a
 }
 
-// Connect has an agent that was deferred call its services.
+// Connect makes a deferred agent connect to its services.
 func (a *Agent) Connect() {
 	a.connectOnce.Do(func() { a.workers.Go(a.followServices) })
 }
 
-// Accepted returns the newest version that passed the checks and is stored.
+// Accepted returns the newest version that passed the checks and was stored.
 func (a *Agent) Accepted() configversion.Version {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.machine.Accepted()
 }
 
-// Close ends the agent and waits for its goroutines; what the router runs stays as it is.
+// Close stops the agent and waits for its goroutines. The router keeps its running
+// version.
 func (a *Agent) Close() {
 	a.cancel()
 	a.workers.Wait()
@@ -148,27 +151,27 @@
 	}
 }
 
-// Running returns the number of the version in use, and the remembered versions.
+// Running returns the number of the running version, and the remembered versions.
 func (a *Agent) Running() (int64, []configversion.Record) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.machine.Running(), a.machine.Records()
 }
 
-// AgentStatus is what an agent knows, for operators.
+// AgentStatus is the status of an agent, for operators.
 type AgentStatus struct {
 	Running, Accepted int64  // numbers of versions; 0: none
-	Service           string // in charge
+	Service           string // that is followed
 	StreamState       string
-	Age               configversion.Millis // of the last sign of life of the service in charge
+	Age               configversion.Millis // since the running version was last known to be the newest
 	Versions          []configversion.Record
 	NotStored         int64     // number of a version that could not be stored yet; 0: none
-	StoreFault        error     // why the store can't be read or written for now; nil: it can
-	StoreFaultSince   time.Time // since when
+	StoreFault        error     // why the store can't be read or written; nil: it can
+	StoreFaultSince   time.Time // start of StoreFault
 }
 
-// Status returns what runs, who is in charge, how old its last sign of life is, and
-// what became of the last versions.
+// Status returns the running version and its age, the service that is followed, and the
+// remembered versions.
 func (a *Agent) Status() AgentStatus {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -190,18 +193,18 @@
 	return status
 }
 
-// now is the time of the machine's clock.
+// now returns the time of the machine's clock.
 func (a *Agent) now() configversion.Millis { return millisSince(a.started) }
 
-// handle passes an event to the machine and executes its actions. Storing waits
-// for the disk, which is why the agent is not on the router's event loop.
+// handle passes an event to the machine and executes its actions. Storing a version
+// blocks on disk I/O, which is why the agent does not run on the router's event loop.
 func (a *Agent) handle(event configversion.Event) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.handleLocked(event)
 }
 
-// handleLocked handles events and those that follow from their actions.
+// handleLocked handles events and the events that result from their actions.
 func (a *Agent) handleLocked(events ...configversion.Event) {
 	for len(events) > 0 {
 		event := events[0]
@@ -212,7 +215,7 @@
 	}
 }
 
-// execute executes an action and returns the events that follow from it.
+// execute executes an action and returns the resulting events.
 func (a *Agent) execute(action configversion.Action) []configversion.Event {
 	switch action := action.(type) {
 	case configversion.Store:
--- a/internal/controlplane/service/agentstore.go
+++ b/internal/controlplane/service/agentstore.go
@@ -9,14 +9,14 @@
 	"indigospool/internal/controlplane/configversion"
 )
 
-// pendingVersion is a version that could not be stored yet, and to which nothing is
-// replied until it is.
+// pendingVersion is a version that could not be stored yet. The service gets no reply
+// to it until it is stored or rejected.
 type pendingVersion struct {
 	version configversion.Version
 	since   time.Time
 }
 
-// restore begins with the last good version, as far as it can be read for now.
+// restore starts with the last good version, if it can be read.
 func (a *Agent) restore() {
 	found := configversion.Restored{Err: configstore.ErrNoVersion}
 	if a.cfg.Store != nil {
@@ -25,7 +25,7 @@
 	var fault *configstore.FaultError
 	a.restoring = errors.As(found.Err, &fault)
 	if a.restoring {
-		a.cfg.Warn(fmt.Sprintf("the last good configuration can't be read for now, and is tried again: %v", fault))
+		a.cfg.Warn(fmt.Sprintf("the last good configuration can't be read for now; retrying: %v", fault))
 	}
 	empty := errors.Is(found.Err, configstore.ErrNoVersion)
 	switch {
@@ -36,20 +36,20 @@
 	}
 }
 
-// storeVersion stores a version, and returns the machine's events of that. Where it
-// fails it is tried again, and there is no event until then; but a router that has
-// nothing to run does not wait for its disk: it runs the version, and acknowledges it
-// once it is stored.
+// storeVersion stores a version and returns the resulting events. If that fails, it is
+// retried later and there is no event until then. But a router without a running
+// version does not wait for its disk: it runs the version, and acknowledges it once it
+// is stored.
 func (a *Agent) storeVersion(version configversion.Version) []configversion.Event {
 	if a.cfg.Store == nil {
 		return []configversion.Event{configversion.Stored{Number: version.Number}}
 	}
-	a.pending = nil // an older one is superseded
+	a.pending = nil // superseded by this version
 	err := a.cfg.Store.Put(version, time.Now())
 	if err == nil {
 		return a.versionStored(version)
 	}
-	a.cfg.Warn(fmt.Sprintf("configuration %d can't be stored for now, and is tried again: %v", version.Number, err))
+	a.cfg.Warn(fmt.Sprintf("configuration %d can't be stored for now; retrying: %v", version.Number, err))
 	select {
 	case a.storeFailed <- struct{}{}:
 	default:
@@ -62,8 +62,9 @@
 	return nil
 }
 
-// versionStored returns the machine's events of a version that was stored. Where the
-// store could not be read until now, it may have a newer one, which was acknowledged.
+// versionStored returns the events that result from storing a version. If the store
+// could not be read until now, it may contain a newer version that was acknowledged
+// before.
 func (a *Agent) versionStored(version configversion.Version) []configversion.Event {
 	a.pending, a.unstored = nil, configversion.Version{}
 	stored := []configversion.Event{configversion.Stored{Number: version.Number}}
@@ -79,14 +80,14 @@
 	return []configversion.Event{configversion.Stored{Number: version.Number, Err: err}, a.cfg.Store.Restored(time.Now())}
 }
 
-// acknowledge acknowledges a version, unless it is used without being stored.
+// acknowledge acknowledges a version, unless it runs without being stored.
 func (a *Agent) acknowledge(number int64) {
 	if number != a.unstored.Number {
 		a.reply(number, nil)
 	}
 }
 
-// acknowledgedNumber is the highest number that was acknowledged.
+// acknowledgedNumber returns the highest acknowledged number.
 func (a *Agent) acknowledgedNumber() int64 {
 	if a.unstored.Number > 0 {
 		return 0
@@ -94,8 +95,8 @@
 	return a.machine.HighestAccepted()
 }
 
-// retryStoreLoop tries again what the store could not take or give, with backoff, until
-// the agent is closed.
+// retryStoreLoop retries failed reads and writes of the store with backoff, until the
+// agent is closed.
 func (a *Agent) retryStoreLoop() {
 	delay := firstRetryDelay
 	for {
@@ -114,7 +115,7 @@
 	}
 }
 
-// retryStore reports whether nothing is left to be tried again.
+// retryStore retries what failed, and reports whether nothing is left to retry.
 func (a *Agent) retryStore() (done bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -130,8 +131,8 @@
 	return fault == nil || a.cfg.Store.Recover() == nil
 }
 
-// retryPending tries again to store the version that waits for it. After
-// AgentConfig.StoreTimeout the version is rejected.
+// retryPending retries to store the pending version, and rejects it after
+// AgentConfig.StoreTimeout.
 func (a *Agent) retryPending() (done bool) {
 	version, since := a.pending.version, a.pending.since
 	err := a.cfg.Store.Put(version, time.Now())
@@ -146,7 +147,7 @@
 	return false
 }
 
-// retryUnstored tries again to store the version that is used without being stored, and
+// retryUnstored retries to store the version that runs without being stored, and then
 // acknowledges it.
 func (a *Agent) retryUnstored() (done bool) {
 	version := a.unstored
@@ -160,7 +161,7 @@
 	return true
 }
 
-// retryRestore tries again to read the last good version.
+// retryRestore retries to read the last good version.
 func (a *Agent) retryRestore() (done bool) {
 	if a.cfg.Store.Recover() != nil {
 		return false
--- a/internal/controlplane/service/agentstream.go
+++ b/internal/controlplane/service/agentstream.go
@@ -14,45 +14,45 @@
 	"google.golang.org/grpc/keepalive"
 )
 
-// clientStream is a service's stream as an agent sees it, by either protocol. One
-// goroutine receives, another replies.
+// clientStream is a service's stream at the agent, in either protocol. One goroutine
+// receives, another sends replies.
 type clientStream interface {
 	hello(router string, accepted int64) error
 	recv() (offeredVersion, error)
 	reply(r reply) error
 }
 
-// offeredVersion is a version as a router receives it, and where it can't be read, why.
+// offeredVersion is a version as received by a router.
 type offeredVersion struct {
-	service string // its name and epoch; may be empty
+	service string // name and epoch; may be empty
 	version configversion.Version
 	nonce   string
-	fault   error
+	fault   error // why the version can't be decoded
 }
 
-// reply is an ACK or a NACK of a version, to be written to the stream.
+// reply is an ACK or a NACK of a version, to be sent on the stream.
 type reply struct {
 	nonce            string
-	number, accepted int64                  // the version's number, and the highest that was acknowledged
-	reasons          []configversion.Reason // none: an ACK
+	number, accepted int64                  // the version's number, and the highest acknowledged one
+	reasons          []configversion.Reason // of a NACK; none: an ACK
 }
 
-// maxReplies is how many replies wait for a stream. A service that leaves more unread
-// is not followed any longer.
+// maxReplies is how many replies may wait to be sent. The agent leaves a service that
+// reads its replies more slowly.
 const maxReplies = 16
 
-// maxBackoffFactor is how many times AgentConfig.Backoff the longest delay is.
+// maxBackoffFactor is the ratio of the longest reconnect delay to AgentConfig.Backoff.
 const maxBackoffFactor = 64
 
 var (
-	// errReoffer ends a stream so that its service offers its version again.
-	errReoffer       = errors.New("control: the service in charge is silent; this one is asked again")
-	errSilent        = errors.New("the service said nothing")
-	errRepliesUnread = errors.New("the service takes no answers")
+	// errReoffer closes a stream so that its service offers its version again.
+	errReoffer       = errors.New("control: the service in charge is silent; reconnecting to this one")
+	errSilent        = errors.New("no version received within the silence timeout")
+	errRepliesUnread = errors.New("the service does not read replies")
 )
 
-// reply has a version acknowledged on the present stream, or rejected with every
-// reason. A service that reads no replies is left.
+// reply queues an ACK or, with reasons, a NACK on the current stream. The stream of a
+// service that reads no replies is closed.
 func (a *Agent) reply(number int64, reasons []configversion.Reason) {
 	if a.replies == nil {
 		return
@@ -65,9 +65,9 @@
 	}
 }
 
-// followServices keeps a stream until the agent is closed, with delays between attempts
-// that double, each by chance of the seed: a fleet that lost its service does not come
-// back at once.
+// followServices keeps a stream open until the agent is closed. The delays between
+// attempts double and are randomized by the seed, so that a fleet that lost its service
+// does not reconnect all at once.
 func (a *Agent) followServices() {
 	random := rand.New(rand.NewPCG(a.cfg.Seed, 0xa9e7))
 	backoff := a.cfg.Backoff
@@ -82,7 +82,7 @@
 			a.handle(configversion.Disconnected{Service: service})
 		}
 		if received > 0 {
-			backoff = a.cfg.Backoff // and the one that spoke is called again first
+			backoff = a.cfg.Backoff // and try the same service first
 		} else {
 			next++
 		}
@@ -99,8 +99,8 @@
 	}
 }
 
-// follow follows one service until its stream ends, and returns how many versions
-// came, from whom, and why the stream ended.
+// follow follows one service until its stream ends. It returns the number of versions
+// received, the service's name and the cause of the end.
 func (a *Agent) follow(address string) (received int, service string, err error) {
 	conn, err := a.dial(address)
 	if err != nil {
@@ -109,7 +109,7 @@
 	defer conn.Close()
 	ctx, cancel := context.WithCancelCause(a.ctx)
 	group, ctx := errgroup.WithContext(ctx)
-	defer group.Wait() // after the cancel
+	defer group.Wait() // runs after cancel
 	defer cancel(nil)
 	silence := time.AfterFunc(a.cfg.SilenceTimeout, func() { cancel(errSilent) })
 	defer silence.Stop()
@@ -144,7 +144,7 @@
 			a.mu.Unlock()
 			group.Go(func() error { return a.sendHeartbeats(ctx, service) })
 			if a.cfg.LoadCounts != nil {
-				// not in the group: its count may wait for a router that waits for this agent
+				// not in the group: LoadCounts may wait for a router that waits for this agent
 				go a.runLoadReports(ctx, conn, address)
 			}
 		}
@@ -159,7 +159,7 @@
 	}, a.cfg.DialOptions...)...)
 }
 
-// openStream opens a stream by the protocol of the settings.
+// openStream opens a stream in the configured protocol.
 func (a *Agent) openStream(ctx context.Context, conn *grpc.ClientConn) (clientStream, error) {
 	client := discovery.NewAggregatedDiscoveryServiceClient(conn)
 	if a.cfg.StateOfTheWorld {
@@ -176,8 +176,8 @@
 	return delta, err
 }
 
-// attach makes a stream the present one, and returns the number that its first request
-// names.
+// attach makes a stream the current one, and returns the version number for its first
+// request.
 func (a *Agent) attach(replies chan reply, cancel context.CancelCauseFunc) (accepted int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -194,21 +194,21 @@
 	a.replies, a.cancelStream = nil, nil
 }
 
-// handleOffer passes an offered version to the machine, or rejects one that can't be
-// read.
+// handleOffer passes an offered version to the machine, or rejects a version that could
+// not be decoded.
 func (a *Agent) handleOffer(service string, offered offeredVersion) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	number := offered.version.Number
 	a.nonces[number] = offered.nonce
 	if offered.fault != nil {
-		a.reply(number, []configversion.Reason{{What: offered.fault.Error(), Remedy: "send resources of the type, with number:sum"}})
+		a.reply(number, []configversion.Reason{{What: offered.fault.Error(), Remedy: "send resources of the expected type, with version number:checksum"}})
 		return
 	}
 	a.handleLocked(configversion.Offered{Service: service, Version: offered.version})
 }
 
-// sendReplies writes replies to the stream, until the context ends.
+// sendReplies sends replies on the stream, until the context ends.
 func sendReplies(ctx context.Context, stream clientStream, replies <-chan reply) error {
 	for {
 		select {
@@ -225,8 +225,9 @@
 	}
 }
 
-// sendHeartbeats counts an open stream as a sign of life of its service, since the
-// connection answers pings, until the context ends.
+// sendHeartbeats reports the open stream as a sign of life of its service until the
+// context ends: gRPC keepalive closes the stream of a service that does not answer
+// pings.
 func (a *Agent) sendHeartbeats(ctx context.Context, service string) error {
 	ticker := time.NewTicker(a.cfg.HeartbeatInterval)
 	defer ticker.Stop()
@@ -244,6 +245,6 @@
 func (a *Agent) runLoadReports(ctx context.Context, conn *grpc.ClientConn, address string) {
 	err := a.reportLoad(ctx, conn)
 	if err != nil && ctx.Err() == nil {
-		a.cfg.Warn(fmt.Sprintf("service is not reported to %s: %v", address, err))
+		a.cfg.Warn(fmt.Sprintf("load reports to %s ended: %v", address, err))
 	}
 }
--- a/internal/controlplane/service/canonical.go
+++ b/internal/controlplane/service/canonical.go
@@ -11,9 +11,9 @@
 	"indigospool/internal/controlplane/configversion"
 )
 
-// Canonical is the text of settings that versions are made of: in the order of
-// the schema, members by id, so that a change of one member is one piece; what
-// is each router's own is left out.
+// Canonical returns the canonical text of settings, from which versions are made:
+// sections in the order of the schema and members sorted by id, so that a change of one
+// member changes one piece. Settings that are specific to a router are left out.
 func Canonical(settings *config.Settings) []byte {
 	canonical := *settings
 	defaults := config.Defaults()
@@ -28,7 +28,7 @@
 	return []byte(config.Print(&canonical))
 }
 
-// printedID is an id as the canonical text has it, which may be quoted.
+// printedID returns an id as it appears in the canonical text, possibly quoted.
 func printedID(id string) string {
 	type member struct {
 		ID string `edn:"@,required"`
@@ -39,9 +39,9 @@
 	return strings.TrimSuffix(strings.TrimPrefix(text, "(member "), ")\n")
 }
 
-// Validate reads a text of settings and makes the checks that hold at every
-// router, against the version before it where there is one: the canonical text,
-// or every reason against it.
+// Validate parses settings and performs the checks that hold for every router,
+// including the checks against the version before, if there is one. It returns the
+// canonical text, and all reasons to reject the settings.
 func Validate(sources []config.Source, before []byte, limits configversion.CheckLimits) (body []byte, reasons []configversion.Reason) {
 	settings := &config.Settings{}
 	if err := config.ReadSources(sources, nil, settings); err != nil {
@@ -50,8 +50,8 @@
 	return Canonical(settings), configversion.Check(readPrevious(before), settings, limits)
 }
 
-// readPrevious reads the version before, nil where there is none or it was pushed
-// unchecked and can't be read.
+// readPrevious parses the version before. It returns nil if there is none, or if it
+// can't be parsed because it was pushed unchecked.
 func readPrevious(body []byte) *config.Settings {
 	if len(body) == 0 {
 		return nil
@@ -63,7 +63,7 @@
 	return previous
 }
 
-// settingsReasons turns faults of settings into reasons, with their places.
+// settingsReasons converts faults of settings to reasons, with their positions.
 func settingsReasons(err error) []configversion.Reason {
 	var faults config.Faults
 	if !errors.As(err, &faults) {
@@ -76,7 +76,7 @@
 	return reasons
 }
 
-// NoLimits returns limits that bound no change, for checks of settings by themselves.
+// NoLimits returns limits that allow any change, for checking settings by themselves.
 func NoLimits() configversion.CheckLimits {
 	return configversion.CheckLimits{ParentChurn: 1, CacheChurn: 1}
 }
--- a/internal/controlplane/service/certificates.go
+++ b/internal/controlplane/service/certificates.go
@@ -17,18 +17,18 @@
 	"google.golang.org/grpc/status"
 )
 
-// CertificateFiles are the PEM files of one side's certificate, its key, and the
-// authorities that the other side's certificate must come from. They are read again
-// when they change, without a restart; a change that can't be read leaves the last
-// good ones in force. Its methods may be called from any goroutine.
+// CertificateFiles are the PEM files with a side's certificate, its key, and the
+// authorities that must have signed the other side's certificate. Changed files are
+// reloaded without a restart; if that fails, the last valid ones stay in use. Methods
+// may be called from any goroutine.
 type CertificateFiles struct {
 	Cert, Key, Authorities string
-	// Warn is called for files that can't be read and, at a service, for routers whose
+	// Warn is called when files can't be read and, at a service, when a router's
 	// certificate is rejected; may be nil.
 	Warn func(text string)
 
 	mu        sync.Mutex
-	loaded    *loadedCertificates // nil: nothing was read yet
+	loaded    *loadedCertificates // nil: not loaded yet
 	checkedAt time.Time
 }
 
@@ -38,9 +38,9 @@
 	modTimes    [3]time.Time
 }
 
-const recheckInterval = time.Second // files are looked at no more often
+const recheckInterval = time.Second // minimum time between checks for changed files
 
-// Load reads the files, or says which of them is wrong and why.
+// Load reads the files. An error names the invalid file and the cause.
 func (c *CertificateFiles) Load() error {
 	_, err := c.current(true)
 	return err
@@ -57,8 +57,8 @@
 	return times, nil
 }
 
-// current returns the certificates in force. strict has it look at the files now, and
-// return an error where they can't be read, instead of a warning.
+// current returns the certificates in use. With strict it checks the files immediately
+// and returns an error if they can't be read, instead of warning.
 func (c *CertificateFiles) current(strict bool) (*loadedCertificates, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,12 +73,12 @@
 	case err != nil && (strict || c.loaded == nil):
 		return nil, err
 	case err != nil && c.Warn != nil:
-		c.Warn(fmt.Sprintf("%v; the keys read before stay in force", err))
+		c.Warn(fmt.Sprintf("%v; the certificates read before stay in force", err))
 	}
 	return c.loaded, nil
 }
 
-// readChanged reads the files if they have changed, and returns nil if not.
+// readChanged reads the files if they have changed; otherwise it returns nil.
 func (c *CertificateFiles) readChanged() (*loadedCertificates, error) {
 	modTimes, err := c.modTimes()
 	if err != nil {
@@ -97,24 +97,24 @@
 	}
 	authorities := x509.NewCertPool()
 	if !authorities.AppendCertsFromPEM(pem) {
-		return nil, fmt.Errorf("control: %s holds no certificate of an authority", c.Authorities)
+		return nil, fmt.Errorf("control: %s contains no certificate of an authority", c.Authorities)
 	}
 	return &loadedCertificates{certificate: certificate, authorities: authorities, modTimes: modTimes}, nil
 }
 
-// verify checks the other side's chain with the authorities in force. An empty name is
-// not checked.
+// verify verifies the other side's certificate chain with the current authorities. An
+// empty name is not checked.
 func (c *CertificateFiles) verify(chain [][]byte, name string, usage x509.ExtKeyUsage) error {
 	loaded, err := c.current(false)
 	if err != nil {
 		return err
 	}
 	if len(chain) == 0 {
-		return errors.New("control: the other side shows no certificate")
+		return errors.New("control: the other side presented no certificate")
 	}
 	leaf, err := x509.ParseCertificate(chain[0])
 	if err != nil {
-		return fmt.Errorf("control: the other side's certificate: %w", err)
+		return fmt.Errorf("control: parse the other side's certificate: %w", err)
 	}
 	intermediates := x509.NewCertPool()
 	for _, der := range chain[1:] {
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// certificate is the one to show to the other side.
+// certificate returns the certificate to present to the other side.
 func (c *CertificateFiles) certificate() (*tls.Certificate, error) {
 	loaded, err := c.current(false)
 	if err != nil {
@@ -143,30 +143,31 @@
 	return &loaded.certificate, nil
 }
 
-// ServerCredentials are a service's credentials: routers must show a certificate.
+// ServerCredentials returns the credentials of a service, which requires a certificate
+// from routers.
 func (c *CertificateFiles) ServerCredentials() credentials.TransportCredentials {
 	return credentials.NewTLS(&tls.Config{
 		MinVersion: tls.VersionTLS13,
-		ClientAuth: tls.RequireAnyClientCert, // which is verified below, with the authorities in force
+		ClientAuth: tls.RequireAnyClientCert, // verified below with the current authorities
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 			return c.certificate()
 		},
 		VerifyPeerCertificate: func(chain [][]byte, _ [][]*x509.Certificate) error {
 			err := c.verify(chain, "", x509.ExtKeyUsageClientAuth)
 			if err != nil && c.Warn != nil {
-				c.Warn(fmt.Sprintf("a router was turned away: %v", err))
+				c.Warn(fmt.Sprintf("rejected a router's connection: %v", err))
 			}
 			return err
 		},
 	})
 }
 
-// ClientCredentials are a router's credentials for a service of the given name.
+// ClientCredentials returns a router's credentials for a service of the given name.
 func (c *CertificateFiles) ClientCredentials(service string) credentials.TransportCredentials {
 	return credentials.NewTLS(&tls.Config{
 		MinVersion:         tls.VersionTLS13,
 		ServerName:         service,
-		InsecureSkipVerify: true, // the chain and the name are verified below, with the authorities in force
+		InsecureSkipVerify: true, // chain and name are verified below with the current authorities
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			return c.certificate()
 		},
@@ -176,8 +177,9 @@
 	})
 }
 
-// checkCertificateName checks that a router's certificate, where the channel has one, is
-// its own: whoever holds one router's key must not speak for others.
+// checkCertificateName checks that a router's certificate, if the connection has one,
+// was issued to that router: the key of one router must not authorize requests for
+// others.
 func checkCertificateName(ctx context.Context, router string) error {
 	peer, ok := grpcpeer.FromContext(ctx)
 	if !ok {
@@ -191,6 +193,6 @@
 	if leaf.Subject.CommonName == router || slices.Contains(leaf.DNSNames, router) {
 		return nil
 	}
-	return status.Errorf(codes.PermissionDenied, "control: a certificate of %q, with names %q, does not speak for router %q",
+	return status.Errorf(codes.PermissionDenied, "control: the certificate of %q, with names %q, is not valid for router %q",
 		leaf.Subject.CommonName, leaf.DNSNames, router)
 }
--- a/internal/controlplane/service/certificates_test.go
+++ b/internal/controlplane/service/certificates_test.go
@@ -136,7 +136,7 @@
 	// a good certificate speaks for its own router only
 	impostor := startRouterWith(t, AgentConfig{Router: "r9", Services: []string{listener.Addr().String()},
 		DialOptions: []grpc.DialOption{grpc.WithTransportCredentials(good.certificateFiles(dir, "r1", "r1", time.Hour).ClientCredentials("control.example.org"))}})
-	waitFor(t, "another router's name", warned(impostor, `does not speak for router "r9"`))
+	waitFor(t, "another router's name", warned(impostor, `is not valid for router "r9"`))
 	impostor.Close()
 	// the expired router gets a new certificate, and comes in without a restart
 	renewed := good.certificateFiles(dir, "r5", "r5", -time.Hour)
--- a/internal/controlplane/service/delta.go
+++ b/internal/controlplane/service/delta.go
@@ -11,25 +11,25 @@
 	"google.golang.org/grpc"
 )
 
-// The incremental protocol sends what differs from the pieces that a router has
-// accepted. Both sides know which these are from the protocol alone: those named
-// when the stream began, and then those of the last version acknowledged on it.
-// The next version is sent only once there is a response to the one before, so that
-// the two never disagree; if they did all the same, the checksum would show it, and
-// the router begins its stream anew with nothing.
-
-// deltaServerStream is a router's stream by the incremental protocol.
+// The incremental protocol sends only the differences from the pieces that a router has
+// accepted. Both sides know these from the protocol: initially the pieces named in the
+// stream's first request, then those of the last version acknowledged on the stream. The
+// next version is sent only after the response to the previous one, so that both sides
+// agree. If they disagree nevertheless, the checksum of the assembled settings does not
+// match, and the router opens a new stream that requests the complete settings.
+
+// deltaServerStream is a router's stream in the incremental protocol.
 type deltaServerStream struct {
 	stream    grpc.BidiStreamingServer[discovery.DeltaDiscoveryRequest, discovery.DeltaDiscoveryResponse]
 	snapshots *snapshotCache
 	nonces    sentNonces
-	idle      chan struct{} // of one: no version is on its way
+	idle      chan struct{} // capacity 1; has a value while no version awaits its response
 
 	mu               sync.Mutex
-	accepted         *versionSnapshot  // by the router, where it is a cached snapshot
-	acceptedVersions map[string]string // and else the versions of its pieces
-	pending          *versionSnapshot  // on its way
-	pendingNonce     string            // empty: none is on its way
+	accepted         *versionSnapshot  // what the router has accepted, if that is a cached snapshot
+	acceptedVersions map[string]string // otherwise the versions of the pieces it has
+	pending          *versionSnapshot  // sent, without a response yet
+	pendingNonce     string            // empty: none is pending
 }
 
 func (d *deltaServerStream) hello() (helloRequest, error) {
@@ -61,8 +61,8 @@
 	return d.stream.Send(d.response(v, snapshot, service))
 }
 
-// response makes the response that leads a router to a version, and books that it is on
-// its way.
+// response returns the response that updates a router to a version, and marks the
+// version as pending.
 func (d *deltaServerStream) response(v configversion.Version, snapshot *versionSnapshot, service string) *discovery.DeltaDiscoveryResponse {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -99,15 +99,15 @@
 	return versionResponse{number: number, reasons: reasons}, true, nil
 }
 
-// errStateMismatch ends a stream whose two sides disagree about what a router has.
-var errStateMismatch = errors.New("control: what came does not fit what was there; the stream begins anew with the whole")
+// errStateMismatch closes a stream whose two sides disagree about the router's pieces.
+var errStateMismatch = errors.New("control: the delta does not match the accepted settings; reconnecting for the complete settings")
 
-// deltaClientStream is a service's stream by the incremental protocol.
+// deltaClientStream is a service's stream in the incremental protocol.
 type deltaClientStream struct {
 	stream grpc.BidiStreamingClient[discovery.DeltaDiscoveryRequest, discovery.DeltaDiscoveryResponse]
 
 	mu       sync.Mutex
-	accepted map[string]string            // pieces of the version that was acknowledged last
+	accepted map[string]string            // pieces of the last acknowledged version
 	pending  map[string]map[string]string // pieces of offered versions, by nonce
 }
 
@@ -132,7 +132,7 @@
 		return offered, nil
 	}
 	if offered.version.Number == 0 || response.GetTypeUrl() != SettingsType {
-		offered.fault = fmt.Errorf("control: a response of type %.80q with version %d", response.GetTypeUrl(), offered.version.Number)
+		offered.fault = fmt.Errorf("control: response has type %.80q and version %d", response.GetTypeUrl(), offered.version.Number)
 		return offered, nil
 	}
 	d.mu.Lock()
@@ -144,13 +144,14 @@
 	}
 	offered.version.Body = joinPieces(pieces)
 	if configversion.Checksum(offered.version.Body) != offered.version.Sum && len(d.accepted) > 0 {
-		return offered, errStateMismatch // complete settings that are wrong are for the machine to reject
+		return offered, errStateMismatch // wrong complete settings are rejected by the machine instead
 	}
 	d.pending[offered.nonce] = pieces
 	return offered, nil
 }
 
-// applyDelta returns the pieces to which a response leads from those accepted.
+// applyDelta returns the pieces that result from applying a response to the accepted
+// ones.
 func applyDelta(accepted map[string]string, response *discovery.DeltaDiscoveryResponse) (map[string]string, error) {
 	pieces := map[string]string{}
 	maps.Copy(pieces, accepted)
@@ -180,8 +181,8 @@
 	})
 }
 
-// acceptPending books the pieces of an offered version as accepted, if the reply
-// accepts it.
+// acceptPending makes the pieces of an offered version the accepted ones if the reply
+// is an ACK.
 func (d *deltaClientStream) acceptPending(r reply) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/controlplane/service/folder.go
+++ b/internal/controlplane/service/folder.go
@@ -18,9 +18,9 @@
 	"indigospool/internal/controlplane/configversion"
 )
 
-// ReadFolder reads the files *.edn of a folder in the order of their names: they
-// are one text. Those whose names begin with a dot are left out. A folder without such
-// a file is an error.
+// ReadFolder reads the files *.edn of a folder, in the order of their names, as the
+// sources of one text. Files whose names begin with a dot are ignored. A folder without
+// such files is an error.
 func ReadFolder(dir string) (sources []config.Source, err error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -34,7 +34,7 @@
 		path := filepath.Join(dir, entry.Name())
 		text, err := os.ReadFile(path)
 		if errors.Is(err, fs.ErrNotExist) {
-			continue // removed since; the watcher has an event of that too
+			continue // removed meanwhile; the watcher gets an event for that too
 		}
 		if err != nil {
 			return nil, fmt.Errorf("control: %w", err)
@@ -48,11 +48,11 @@
 }
 
 const (
-	folderSettleTime   = 300 * time.Millisecond // files change in bursts
-	folderPollInterval = 30 * time.Second       // some file systems send no events
+	folderSettleTime   = 300 * time.Millisecond // file changes come in bursts
+	folderPollInterval = 30 * time.Second       // some file systems deliver no events
 )
 
-// folderWatcher watches a folder by the file system's events and by polling.
+// folderWatcher watches a folder through file system events and by polling.
 type folderWatcher struct{ watcher *fsnotify.Watcher }
 
 func newFolderWatcher(dir string) (*folderWatcher, error) {
@@ -67,8 +67,8 @@
 	return &folderWatcher{watcher}, nil
 }
 
-// run calls changed once at the start, after each change, and after the delay that it
-// returned last, until the context ends.
+// run calls changed at the start, after each change, and whenever the delay that
+// changed last returned has passed, until the context ends.
 func (f *folderWatcher) run(ctx context.Context, changed func() time.Duration) {
 	defer f.watcher.Close()
 	timer := time.NewTimer(0)
@@ -79,7 +79,7 @@
 			timer.Reset(changed())
 		case <-f.watcher.Events:
 			timer.Reset(folderSettleTime)
-		case <-f.watcher.Errors: // events were lost
+		case <-f.watcher.Errors: // events may have been lost
 			timer.Reset(folderSettleTime)
 		case <-ctx.Done():
 			return
@@ -87,8 +87,8 @@
 	}
 }
 
-// offerFolder offers what the folder holds, and returns the delay after which it is to be
-// read again. It is called from one goroutine.
+// offerFolder pushes the folder's content if it has changed, and returns the delay
+// until the folder must be read again. It must be called from one goroutine only.
 func (s *Service) offerFolder() time.Duration {
 	sources, err := ReadFolder(s.settings.Service.Folder)
 	if err != nil {
@@ -118,7 +118,7 @@
 	return folderPollInterval
 }
 
-// logFolder logs what became of the folder's content, unless it was logged last.
+// logFolder logs a message about the folder, unless it repeats the last one.
 func (s *Service) logFolder(log func(string, ...zap.Field), message string) {
 	if message != s.lastFolderMessage {
 		log(message)
--- a/internal/controlplane/service/loadreport.go
+++ b/internal/controlplane/service/loadreport.go
@@ -15,20 +15,21 @@
 	"indigospool/internal/controlplane/rollout"
 )
 
-// Load reports go by Envoy's load reporting service: one cluster, named requests,
-// whose one locality counts the requests issued and those served in time.
+// loadCluster is the name of the only cluster in the load reports, which use Envoy's load
+// reporting service. Its only locality has the requests issued and those served in time.
 const loadCluster = "requests"
 
-// minReportInterval bounds how often an agent reports, whatever the service asks for.
+// minReportInterval limits how often an agent reports load, whatever the service
+// requests.
 const minReportInterval = 10 * time.Millisecond
 
-// LoadCounts counts a router's requests since it began.
+// LoadCounts has the counts of a router's requests since it started.
 type LoadCounts struct {
 	Issued    uint64 // by clients
 	Succeeded uint64 // served in time
 }
 
-// StreamLoadStats takes a router's load reports.
+// StreamLoadStats receives a router's load reports.
 func (s *Server) StreamLoadStats(stream grpc.BidiStreamingServer[load.LoadStatsRequest, load.LoadStatsResponse]) error {
 	first, err := stream.Recv()
 	if err != nil {
@@ -36,7 +37,7 @@
 	}
 	router := first.GetNode().GetId()
 	if router == "" {
-		return status.Error(codes.InvalidArgument, "control: the first report names no node id")
+		return status.Error(codes.InvalidArgument, "control: the first load report has no node id")
 	}
 	if err := checkCertificateName(stream.Context(), router); err != nil {
 		return err
@@ -66,8 +67,8 @@
 	}
 }
 
-// reportLoad reports load over a connection, at the service's interval or the
-// agent's, whichever is longer, until the context ends.
+// reportLoad sends load reports over a connection until the context ends. The interval
+// is the service's or the agent's, whichever is longer.
 func (a *Agent) reportLoad(ctx context.Context, conn *grpc.ClientConn) error {
 	stream, err := load.NewLoadReportingServiceClient(conn).StreamLoadStats(ctx)
 	if err != nil {
@@ -94,11 +95,11 @@
 		}
 		counts, err := a.cfg.LoadCounts()
 		if err != nil {
-			return fmt.Errorf("control: service can't be counted: %w", err)
+			return fmt.Errorf("control: read request counts for the load report: %w", err)
 		}
 		now := time.Now()
 		if counts.Issued < last.Issued || counts.Succeeded < last.Succeeded {
-			last = LoadCounts{} // the counters began anew
+			last = LoadCounts{} // the counters were reset
 		}
 		if err := stream.Send(loadReport(counts, last, now.Sub(began))); err != nil {
 			return err
@@ -107,7 +108,7 @@
 	}
 }
 
-// loadReport is what was counted between two counts.
+// loadReport returns a report of the requests between two readings of the counters.
 func loadReport(counts, last LoadCounts, interval time.Duration) *load.LoadStatsRequest {
 	issued, succeeded := counts.Issued-last.Issued, counts.Succeeded-last.Succeeded
 	return &load.LoadStatsRequest{ClusterStats: []*endpoint.ClusterStats{{
--- a/internal/controlplane/service/pieces.go
+++ b/internal/controlplane/service/pieces.go
@@ -10,15 +10,15 @@
 	"strings"
 )
 
-// singlePiece is the name of the one piece of a text that can't be split.
+// singlePiece is the name of the only piece of a text that can't be split.
 const singlePiece = "settings"
 
-// pieceOrder is the order of the sections in a canonical text; members follow.
+// pieceOrder is the order of the sections in a canonical text, before the members.
 var pieceOrder = [...]string{"router", "limits", "rules", "fill", "zone", "class", "route", "control"}
 
-// splitPieces splits a canonical text of settings into pieces by name: one for each
-// section, and one for each member, as member/b1. A text that joinPieces would not
-// give again, as one that is no settings at all, is one piece.
+// splitPieces splits a canonical text of settings into named pieces: one for each
+// section, and one for each member, such as member/b1. A text that joinPieces would not
+// reproduce, for example because it is not a text of settings, becomes a single piece.
 func splitPieces(body []byte) map[string]string {
 	pieces := map[string]string{}
 	rest := string(body)
@@ -39,8 +39,8 @@
 	return pieces
 }
 
-// pieceName is the name of the piece to which a form of a canonical text belongs: its
-// head and, of a member, its id too.
+// pieceName returns the name of the piece to which a form of a canonical text belongs:
+// the form's head and, for a member, its id.
 func pieceName(form string) string {
 	firstLine, _, _ := strings.Cut(form[1:], "\n")
 	head, id, _ := strings.Cut(strings.TrimRight(firstLine, ")"), " ")
@@ -50,7 +50,7 @@
 	return head
 }
 
-// joinPieces joins pieces to a text again.
+// joinPieces returns the text that consists of the pieces.
 func joinPieces(pieces map[string]string) []byte {
 	names := slices.Collect(maps.Keys(pieces))
 	sort.Slice(names, func(i, j int) bool {
@@ -67,7 +67,7 @@
 	return body.Bytes()
 }
 
-// pieceRank is the place of a piece's kind in the text. Sections that are not known to
+// pieceRank returns the position of a piece's kind in the text. Sections unknown to
 // this release come first.
 func pieceRank(name string) int {
 	if strings.HasPrefix(name, "member/") {
@@ -76,7 +76,7 @@
 	return slices.Index(pieceOrder[:], name)
 }
 
-// pieceVersion is the version of a piece: it follows from its content.
+// pieceVersion returns the version of a piece, a hash of its content.
 func pieceVersion(text string) string {
 	sum := sha256.Sum256([]byte(text))
 	return hex.EncodeToString(sum[:8])
--- a/internal/controlplane/service/resource.go
+++ b/internal/controlplane/service/resource.go
@@ -17,21 +17,21 @@
 	"google.golang.org/protobuf/types/known/wrapperspb"
 )
 
-// SettingsType is the type of the resources: a message with the field
+// SettingsType is the type URL of the resources: a message with the field
 //
 //	bytes body = 1; // settings as S-expressions, or a piece of them
 //
-// which is the form of google.protobuf.BytesValue. State of the world has one
-// resource, the complete settings; the incremental protocol has pieces, see splitPieces.
+// which has the encoding of google.protobuf.BytesValue. The state-of-the-world protocol
+// has one resource, the complete settings; the incremental protocol has one for each
+// piece, see splitPieces.
 const SettingsType = "type.googleapis.com/indigospool.v1.Settings"
 
-// versionInfo is a version's number and checksum, as version_info has it.
+// versionInfo returns a version's number and checksum in the format of version_info.
 func versionInfo(v configversion.Version) string {
 	return strconv.FormatInt(v.Number, 10) + ":" + v.Sum
 }
 
-// parseVersionInfo reads a number and, where it is given, a checksum. An empty text is
-// number 0.
+// parseVersionInfo parses a number and an optional checksum. An empty text is number 0.
 func parseVersionInfo(text string) (number int64, sum string, err error) {
 	if text == "" {
 		return 0, "", nil
@@ -39,15 +39,15 @@
 	digits, sum, _ := strings.Cut(text, ":")
 	number, err = strconv.ParseInt(digits, 10, 64)
 	if err != nil || number < 0 {
-		return 0, "", fmt.Errorf("control: version_info %.60q is no number:sum", text)
+		return 0, "", fmt.Errorf("control: version_info %.60q does not have the format number:checksum", text)
 	}
 	return number, sum, nil
 }
 
 func controlPlane(service string) *core.ControlPlane { return &core.ControlPlane{Identifier: service} }
 
-// routerNode names a router and, for a protocol whose first request has no version,
-// the number that it has accepted.
+// routerNode returns a router's node. The accepted number is in its metadata, since the
+// first request of the incremental protocol has no version field.
 func routerNode(router string, accepted int64) *core.Node {
 	node := &core.Node{Id: router}
 	if accepted > 0 {
@@ -57,7 +57,7 @@
 	return node
 }
 
-// acceptedNumber is the number in a node's metadata, 0 where there is none.
+// acceptedNumber returns the accepted number from a node's metadata, or 0.
 func acceptedNumber(node *core.Node) int64 {
 	number, err := strconv.ParseInt(node.GetMetadata().GetFields()["accepted"].GetStringValue(), 10, 64)
 	if err != nil || number < 0 {
@@ -76,17 +76,17 @@
 
 func unmarshalResource(resource *anypb.Any) ([]byte, error) {
 	if url := resource.GetTypeUrl(); url != SettingsType {
-		return nil, fmt.Errorf("control: a resource of type %.80q, where %s is wanted", url, SettingsType)
+		return nil, fmt.Errorf("control: resource has type %.80q, want %s", url, SettingsType)
 	}
 	var body wrapperspb.BytesValue
 	if err := proto.Unmarshal(resource.GetValue(), &body); err != nil {
-		return nil, fmt.Errorf("control: the resource is malformed: %w", err)
+		return nil, fmt.Errorf("control: malformed resource: %w", err)
 	}
 	return body.Value, nil
 }
 
-// errorDetail is the error_detail of a NACK: one reason a line. No reasons are an ACK,
-// which has none.
+// errorDetail returns the error_detail of a NACK, with one reason per line, or nil for
+// an ACK, which has no reasons.
 func errorDetail(reasons []configversion.Reason) *rpc.Status {
 	if len(reasons) == 0 {
 		return nil
@@ -98,7 +98,7 @@
 	return &rpc.Status{Code: int32(codes.InvalidArgument), Message: strings.Join(lines, "\n")}
 }
 
-// reasonLines are the reasons of an error_detail, nil of an ACK.
+// reasonLines returns the reasons in an error_detail, or nil for an ACK.
 func reasonLines(detail *rpc.Status) []string {
 	if detail == nil {
 		return nil
@@ -106,14 +106,14 @@
 	return strings.Split(detail.GetMessage(), "\n")
 }
 
-// checkFirstRequest returns the status with which a stream ends whose first request
-// names no router or another type.
+// checkFirstRequest returns the status error for a stream whose first request has no
+// node id or requests another type.
 func checkFirstRequest(router, typeURL string) error {
 	if router == "" {
-		return status.Error(codes.InvalidArgument, "control: the first request names no node id")
+		return status.Error(codes.InvalidArgument, "control: the first request has no node id")
 	}
 	if typeURL != SettingsType {
-		return status.Errorf(codes.InvalidArgument, "control: type %.80q is not served; %s is", typeURL, SettingsType)
+		return status.Errorf(codes.InvalidArgument, "control: type %.80q is not supported, want %s", typeURL, SettingsType)
 	}
 	return nil
 }
@@ -121,15 +121,15 @@
 // maxNonces is how many nonces of a stream are remembered.
 const maxNonces = 8
 
-// sentNonces remembers which version went out with which nonce: the last few, since
-// a response to an older one is to be ignored.
+// sentNonces maps the last nonces of a stream to versions. Responses to older nonces
+// must be ignored.
 type sentNonces struct {
 	mu      sync.Mutex
 	last    int
 	numbers map[string]int64 // versions by nonce
 }
 
-// next makes the nonce of a version that is about to be sent.
+// next returns the nonce for a version that is about to be sent.
 func (s *sentNonces) next(number int64) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,7 +143,7 @@
 	return nonce
 }
 
-// number is the version that went out with a nonce.
+// number returns the number of the version that was sent with a nonce.
 func (s *sentNonces) number(nonce string) (number int64, known bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlplane/service/settings.go
+++ b/internal/controlplane/service/settings.go
@@ -11,35 +11,36 @@
 )
 
 // Settings is the settings file of a control service. Times are in milliseconds, shares
-// from 0 to 1.
+// are from 0 to 1.
 type Settings struct {
 	Service ServiceSection `edn:"service,required"`
 	Rollout RolloutSection `edn:"rollout"`
 	Checks  ChecksSection  `edn:"checks"`
 }
 
-// ServiceSection is (service ...): the listeners, the store and the limits of a service.
+// ServiceSection is (service ...): the listeners, the store and the limits of a
+// service.
 type ServiceSection struct {
 	Place            config.Place
 	Name             string  `edn:"name" def:"control"`
 	Listen           string  `edn:"listen" def:"127.0.0.1:9900"`         // for routers, host:port
 	Admin            string  `edn:"admin" def:"127.0.0.1:9901"`          // for operators: a loopback address, or the path of a Unix socket
-	Store            string  `edn:"store,required"`                      // file of its state
-	Folder           string  `edn:"folder"`                              // of settings, *.edn; what changes there is offered; empty: only what is pushed
+	Store            string  `edn:"store,required"`                      // file with the service's state
+	Folder           string  `edn:"folder"`                              // with settings, *.edn; changes are pushed; empty: none is watched
 	MaxVersions      int     `edn:"keep" def:"64" min:"2" max:"900"`     // stored versions
-	MaxStreams       int     `edn:"streams" def:"4000" min:"1"`          // open at once
-	StreamsPerSecond float64 `edn:"per-second" def:"200" min:"0.1"`      // streams admitted in a second; others wait or come back
-	ReportInterval   float64 `edn:"reports" def:"10000" min:"100"`       // how often routers report load
-	MaxBytes         int     `edn:"max-bytes" def:"16777216" min:"1024"` // of a pushed text
-	Cert             string  `edn:"cert"`                                // PEM files; all three, or none
+	MaxStreams       int     `edn:"streams" def:"4000" min:"1"`          // open streams
+	StreamsPerSecond float64 `edn:"per-second" def:"200" min:"0.1"`      // rate at which streams are admitted; others wait or are rejected
+	ReportInterval   float64 `edn:"reports" def:"10000" min:"100"`       // interval of the routers' load reports
+	MaxBytes         int     `edn:"max-bytes" def:"16777216" min:"1024"` // of pushed settings
+	Cert             string  `edn:"cert"`                                // PEM files; all three or none
 	Key              string  `edn:"key"`
 	Authorities      string  `edn:"authorities"`
 	Log              string  `edn:"log" def:"stderr"` // stderr, stdout, none or a file
 }
 
-// RolloutSection is (rollout ...): see rollout.Settings.
+// RolloutSection is (rollout ...), see rollout.Settings.
 type RolloutSection struct {
-	Stages           []float64 `edn:"stages" min:"0" max:"1"` // default 0 0.1 1: one router, a tenth, all
+	Stages           []float64 `edn:"stages" min:"0" max:"1"` // default 0 0.1 1: one router, a tenth of them, all
 	MinStageTime     float64   `edn:"hold" def:"30000" min:"0"`
 	AnswerTimeout    float64   `edn:"patience" def:"120000" min:"1"`
 	MaxRejectedShare float64   `edn:"refused" min:"0" max:"1"`
@@ -48,7 +49,7 @@
 	MinRequests      float64   `edn:"asked" def:"200" min:"1"`
 }
 
-// ChecksSection is (checks ...): see configversion.CheckLimits.
+// ChecksSection is (checks ...), see configversion.CheckLimits.
 type ChecksSection struct {
 	ParentChurn     float64 `edn:"parent-churn" def:"0.5" min:"0.01" max:"1"`
 	CacheChurn      float64 `edn:"box-churn" def:"0.67" min:"0.01" max:"1"`
@@ -56,8 +57,8 @@
 	MaxLinkCapacity float64 `edn:"max-link" def:"1000000" min:"1"`
 }
 
-// Check adds a fault for each setting that contradicts another, and for listeners that
-// would be open to others without a certificate.
+// Check adds a fault for each contradiction between settings, and for listeners that
+// would be reachable from other machines without a certificate.
 func (s *Settings) Check(faults *config.Faults) {
 	s.Service.check(faults)
 	s.Rollout.check(faults, s.Service.Place.Pos)
@@ -66,10 +67,10 @@
 func (s *ServiceSection) check(faults *config.Faults) {
 	host, _, err := net.SplitHostPort(s.Listen)
 	if err != nil {
-		addFault(faults, s.Place.Of("listen"), "service/listen", fmt.Sprintf("%q is no address", s.Listen), "write host:port")
+		addFault(faults, s.Place.Of("listen"), "service/listen", fmt.Sprintf("%q is not an address", s.Listen), "write host:port")
 	} else if s.Cert == "" && !isLoopback(host) {
 		addFault(faults, s.Place.Of("listen"), "service/listen", fmt.Sprintf("%q is not a loopback address, and there is no certificate", s.Listen),
-			"give (cert FILE) (key FILE) (authorities FILE): versions say where requests go")
+			"set (cert FILE) (key FILE) (authorities FILE), since versions determine where requests go")
 	}
 	if !isSocketPath(s.Admin) {
 		host, _, err := net.SplitHostPort(s.Admin)
@@ -85,19 +86,19 @@
 		}
 	}
 	if given != 0 && given != 3 {
-		addFault(faults, s.Place.Pos, "service/cert", "cert, key and authorities are not all given", "give all three, or none")
+		addFault(faults, s.Place.Pos, "service/cert", "cert, key and authorities are not all given", "set all three or none")
 	}
 }
 
-// check reports faults at pos, since the section has no place of its own.
+// check reports faults at pos, since the section has no position of its own.
 func (r *RolloutSection) check(faults *config.Faults, pos config.Pos) {
 	for i := 1; i < len(r.Stages); i++ {
 		if r.Stages[i] <= r.Stages[i-1] {
-			addFault(faults, pos, "rollout/stages", fmt.Sprintf("%v does not rise", r.Stages), "give rising shares, the last 1")
+			addFault(faults, pos, "rollout/stages", fmt.Sprintf("%v is not ascending", r.Stages), "set ascending shares, the last one 1")
 		}
 	}
 	if n := len(r.Stages); n > 0 && r.Stages[n-1] != 1 {
-		addFault(faults, pos, "rollout/stages", fmt.Sprintf("the last of %v is not 1", r.Stages), "end with 1: all routers")
+		addFault(faults, pos, "rollout/stages", fmt.Sprintf("the last of %v is not 1", r.Stages), "end with 1, which means all routers")
 	}
 }
 
@@ -110,7 +111,7 @@
 	return host == "localhost" || ip != nil && ip.IsLoopback()
 }
 
-// serverConfig is the configuration of the server that these settings describe.
+// serverConfig returns the server's configuration according to these settings.
 func (s *Settings) serverConfig(stateStore *diskStateStore, state rollout.State) ServerConfig {
 	return ServerConfig{
 		Name:             s.Service.Name + "/" + stateStore.id,
--- a/internal/controlplane/service/settings_test.go
+++ b/internal/controlplane/service/settings_test.go
@@ -8,14 +8,14 @@
 	"indigospool/internal/config"
 )
 
-// Settings of a service that can't be right are faults with their place.
+// Invalid settings of a service are reported as faults.
 func TestInvalidServiceSettings(t *testing.T) {
 	for text, want := range map[string]string{
 		`(service (store x) (listen "10.0.0.1:9900"))`:              "is not a loopback address, and there is no certificate",
 		`(service (store x) (admin "0.0.0.0:9901"))`:                "the listener for operators has no password",
 		`(service (store x) (cert a))`:                              "cert, key and authorities are not all given",
 		`(service (store x)) (rollout (stages 0 0.5))`:              "is not 1",
-		`(service (store x)) (rollout (stages 0.5 0.2 1))`:          "does not rise",
+		`(service (store x)) (rollout (stages 0.5 0.2 1))`:          "is not ascending",
 		`(service (listen "127.0.0.1:1"))`:                          "service/store: not given",
 		`(service (store x)) (rollout (stages 0 2))`:                "it must be from 0 to 1",
 		`(service (store x)) (checks (parent-churn 0))`:             "it must be from 0.01 to 1",
--- a/internal/controlplane/service/snapshots.go
+++ b/internal/controlplane/service/snapshots.go
@@ -10,36 +10,36 @@
 	"google.golang.org/protobuf/types/known/anypb"
 )
 
-// versionSnapshot is a version's content as both protocols send it, made once for all
-// streams: complete, and in pieces.
+// versionSnapshot is a version's content as sent by both protocols, complete and in
+// pieces. It is computed once for all streams.
 type versionSnapshot struct {
 	sum       string
 	complete  *anypb.Any
 	pieces    map[string]string
-	versions  map[string]string // of the pieces
+	versions  map[string]string // of the pieces, by name
 	resources map[string]*discovery.Resource
 
 	mu     sync.Mutex
-	deltas map[*versionSnapshot]*snapshotDelta // from snapshots that many routers have
+	deltas map[*versionSnapshot]*snapshotDelta // from other cached snapshots
 }
 
-// snapshotDelta is what leads from some pieces to a snapshot.
+// snapshotDelta is the difference from a set of pieces to a snapshot.
 type snapshotDelta struct {
-	resources []*discovery.Resource // in the order of their names
+	resources []*discovery.Resource // sorted by name
 	removed   []string
 }
 
-// maxSnapshots is how many snapshots are cached: the versions that routers of a fleet
-// may have, during a rollout and the one before.
+// maxSnapshots is how many snapshots are cached: enough for the versions that a fleet's
+// routers may have during a rollout and the one before.
 const maxSnapshots = 8
 
-// snapshotCache caches the last snapshots.
+// snapshotCache caches the most recent snapshots.
 type snapshotCache struct {
 	mu     sync.Mutex
 	recent []*versionSnapshot // the newest last
 }
 
-// snapshot returns a version's snapshot.
+// snapshot returns a version's snapshot, and caches it.
 func (c *snapshotCache) snapshot(v configversion.Version) (*versionSnapshot, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,7 +87,7 @@
 	return snapshot, nil
 }
 
-// find returns the cached snapshot with just these pieces, nil where there is none.
+// find returns the cached snapshot with exactly these versions of pieces, or nil.
 func (c *snapshotCache) find(versions map[string]string) *versionSnapshot {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -105,8 +105,8 @@
 	delete(s.deltas, other)
 }
 
-// deltaFrom returns what leads to the snapshot from what a router has: a cached
-// snapshot or, where base is nil, pieces of these versions.
+// deltaFrom returns the difference from what a router has to the snapshot. The router
+// has the cached snapshot base or, if base is nil, pieces with these versions.
 func (s *versionSnapshot) deltaFrom(base *versionSnapshot, versions map[string]string) *snapshotDelta {
 	if base == nil {
 		return s.computeDelta(versions)
--- a/internal/controlplane/service/sotw.go
+++ b/internal/controlplane/service/sotw.go
@@ -13,7 +13,7 @@
 	"google.golang.org/protobuf/types/known/anypb"
 )
 
-// sotwServerStream is a router's stream by the state-of-the-world protocol.
+// sotwServerStream is a router's stream in the state-of-the-world protocol.
 type sotwServerStream struct {
 	stream    grpc.BidiStreamingServer[discovery.DiscoveryRequest, discovery.DiscoveryResponse]
 	snapshots *snapshotCache
@@ -62,7 +62,7 @@
 	return versionResponse{number: number, reasons: reasonLines(request.GetErrorDetail())}, true, nil
 }
 
-// sotwClientStream is a service's stream by the state-of-the-world protocol.
+// sotwClientStream is a service's stream in the state-of-the-world protocol.
 type sotwClientStream struct {
 	stream grpc.BidiStreamingClient[discovery.DiscoveryRequest, discovery.DiscoveryResponse]
 }
@@ -88,9 +88,9 @@
 	resources := response.GetResources()
 	switch {
 	case response.GetTypeUrl() != SettingsType || len(resources) != 1:
-		offered.fault = fmt.Errorf("control: %d resources of type %.80q, where one of %s is wanted", len(resources), response.GetTypeUrl(), SettingsType)
+		offered.fault = fmt.Errorf("control: response has %d resources of type %.80q, want one of type %s", len(resources), response.GetTypeUrl(), SettingsType)
 	case offered.version.Number == 0:
-		offered.fault = errors.New("control: a response without a version")
+		offered.fault = errors.New("control: response has no version")
 	default:
 		offered.version.Body, offered.fault = unmarshalResource(resources[0])
 	}
@@ -100,7 +100,7 @@
 func (s *sotwClientStream) reply(r reply) error {
 	number := r.number
 	if len(r.reasons) > 0 {
-		number = r.accepted // a NACK names the version that stays in force
+		number = r.accepted // a NACK names the version that stays in use
 	}
 	return s.stream.Send(&discovery.DiscoveryRequest{
 		VersionInfo:   strconv.FormatInt(number, 10),
