--- a/internal/controlplane/endpointcheck/listcheck.go
+++ b/internal/controlplane/endpointcheck/listcheck.go
@@ -138,16 +138,16 @@
 	if err := config.Read("own", fmt.Sprintf(`(router (zone %q)) (control (services "127.0.0.1:1") (start wait))`, zone), local); err != nil {
 		return nil, err
 	}
-	var was, is config.Settings
-	if err := errors.Join(config.ReadVersion("old", before, local, &was), config.ReadVersion("new", after, local, &is)); err != nil {
+	var oldSettings, newSettings config.Settings
+	if err := errors.Join(config.ReadVersion("old", before, local, &oldSettings), config.ReadVersion("new", after, local, &newSettings)); err != nil {
 		return nil, err
 	}
-	router, err := NewSimulatedRouter(&was, o.Seed)
+	router, err := NewSimulatedRouter(&oldSettings, o.Seed)
 	if err != nil {
 		return nil, err
 	}
-	router.Apply(engine.UpdateFromSettings(&was))
-	samples := drawSamples(&was, o)
+	router.Apply(engine.UpdateFromSettings(&oldSettings))
+	samples := drawSamples(&oldSettings, o)
 	if len(samples) == 0 {
 		return &Zone{Zone: zone}, nil
 	}
@@ -156,16 +156,16 @@
 	router.routeAll(samples)
 	router.Advance(25000) // and what moved with them is settled
 	placedBefore := router.routeAll(samples)
-	for _, s := range configversion.Diff(was.Members, is.Members) {
+	for _, s := range configversion.Diff(oldSettings.Members, newSettings.Members) {
 		router.Apply(engine.UpdateFromVersion(1, s.Members, s.Kind == configversion.DeltaStarts))
 	}
-	if _, err := router.core.ChangeSettings(router.now, &is, nil); err != nil {
+	if _, err := router.core.ChangeSettings(router.now, &newSettings, nil); err != nil {
 		return nil, err
 	}
 	placedAtOnce := router.routeAll(samples)
-	router.Advance(max(is.Rules.ColdTime, is.Rules.ParentColdTime) + 25000)
+	router.Advance(max(newSettings.Rules.ColdTime, newSettings.Rules.ParentColdTime) + 25000)
 	placedWarm := router.routeAll(samples)
-	return summarize(zone, &is, samples, placedBefore, placedAtOnce, placedWarm), nil
+	return summarize(zone, &newSettings, samples, placedBefore, placedAtOnce, placedWarm), nil
 }
 
 func drawSamples(s *config.Settings, o Options) (samples []sampleRequest) {
@@ -239,9 +239,9 @@
 			z.Bypassed++
 		}
 	}
-	for _, one := range s.Zones {
-		if one.Name == zone && one.LinkIn > 0 {
-			z.LinkSeconds = z.RefillMB * 1024 / one.LinkIn / 1000
+	for _, zoneSettings := range s.Zones {
+		if zoneSettings.Name == zone && zoneSettings.LinkIn > 0 {
+			z.LinkSeconds = z.RefillMB * 1024 / zoneSettings.LinkIn / 1000
 		}
 	}
 	for _, share := range shares {
--- a/internal/controlplane/endpointcheck/rehearse.go
+++ b/internal/controlplane/endpointcheck/rehearse.go
@@ -105,11 +105,11 @@
 // a core of its own, before cache models that they share.
 func Rehearse(before, after string, o RehearseOptions) (*Rehearsal, error) {
 	o = o.withDefaults()
-	var was, is config.Settings
-	if err := errors.Join(config.ReadVersion("old", before, nil, &was), config.ReadVersion("new", after, nil, &is)); err != nil {
+	var oldSettings, newSettings config.Settings
+	if err := errors.Join(config.ReadVersion("old", before, nil, &oldSettings), config.ReadVersion("new", after, nil, &newSettings)); err != nil {
 		return nil, err
 	}
-	p := &rehearsalRun{options: o, oldSettings: &was, newSettings: &is, result: &Rehearsal{}, usage: map[string]map[int]whatif.Spent{}, linkKB: map[string]map[int]float64{},
+	p := &rehearsalRun{options: o, oldSettings: &oldSettings, newSettings: &newSettings, result: &Rehearsal{}, usage: map[string]map[int]whatif.Spent{}, linkKB: map[string]map[int]float64{},
 		random: rand.New(rand.NewPCG(o.Seed, 0x4e4ea)), startedAt: map[string]float64{}}
 	if err := p.addRouters(before); err != nil {
 		return nil, err
@@ -135,13 +135,13 @@
 	usage                    map[string]map[int]whatif.Spent
 	linkKB                   map[string]map[int]float64 // KB that startedAt into a zone, by second
 	startedAt                map[string]float64         // when new members started
-	outcomes                 [3]struct{ n, inTime, refused int64 }
+	outcomes                 [3]struct{ requests, inTime, rejected int64 }
 	classes                  map[string]config.Class
 }
 
 func (p *rehearsalRun) addRouters(before string) error {
 	s := p.oldSettings
-	opt := whatif.BoxOptions{Flow: s.Fill.FlowKB, Capacity: p.options.Capacity, Sizes: s.Fill.Sizes, ParentKind: s.Fill.ParentKind, OriginKind: s.Fill.OriginKind,
+	options := whatif.BoxOptions{Flow: s.Fill.FlowKB, Capacity: p.options.Capacity, Sizes: s.Fill.Sizes, ParentKind: s.Fill.ParentKind, OriginKind: s.Fill.OriginKind,
 		ColdFrom: s.Rules.ColdFrom, ColdTime: s.Rules.ColdTime, Fall: s.Rules.FallFactor, FallTime: s.Rules.FallTime,
 		ParentColdFrom: s.Rules.ParentColdFrom, ParentColdTime: s.Rules.ParentColdTime, ParentFall: s.Rules.ParentFall}
 	if !s.Fill.Sizes {
@@ -150,7 +150,7 @@
 	if s.Fill.FlowKB <= 0 {
 		p.result.Assumptions = append(p.result.Assumptions, "a transfer goes at 4 KB a ms (no (fill (flow n)))")
 	}
-	p.members = whatif.NewBoxes(opt)
+	p.members = whatif.NewBoxes(options)
 	p.members.Second = func(id string, second int, spent *whatif.Spent) {
 		if p.usage[id] == nil {
 			p.usage[id] = map[int]whatif.Spent{}
@@ -158,26 +158,26 @@
 		p.usage[id][second] = *spent
 	}
 	p.sim = &whatif.Sim{Now: startTime}
-	me := 0
+	number := 0
 	for _, z := range s.Zones {
 		for i := range z.Routers {
-			own := &config.Settings{}
-			if err := config.Read("own", fmt.Sprintf(`(router (name %q) (zone %q)) (control (services "127.0.0.1:1") (start wait))`, fmt.Sprintf("%s-%d", z.Name, i+1), z.Name), own); err != nil {
+			local := &config.Settings{}
+			if err := config.Read("own", fmt.Sprintf(`(router (name %q) (zone %q)) (control (services "127.0.0.1:1") (start wait))`, fmt.Sprintf("%s-%d", z.Name, i+1), z.Name), local); err != nil {
 				return err
 			}
-			own.Router.Me = me
-			me++
-			mine := &config.Settings{}
-			if err := config.ReadVersion("old", before, own, mine); err != nil {
+			local.Router.Me = number
+			number++
+			settings := &config.Settings{}
+			if err := config.ReadVersion("old", before, local, settings); err != nil {
 				return err
 			}
-			c, err := engine.New(mine, p.options.Seed)
+			core, err := engine.New(settings, p.options.Seed)
 			if err != nil {
 				return err
 			}
-			r := p.sim.Add(own.Router.Name, c, p.members)
+			r := p.sim.Add(local.Router.Name, core, p.members)
 			p.zones = append(p.zones, z.Name)
-			for _, ev := range c.Apply(p.sim.Now, engine.UpdateFromSettings(mine)).Events {
+			for _, ev := range core.Apply(p.sim.Now, engine.UpdateFromSettings(settings)).Events {
 				p.sim.Tell(r, ev)
 			}
 		}
@@ -229,26 +229,26 @@
 
 // loadPath is a pattern as a load's path; empty where it can't be one.
 func loadPath(pattern string) string {
-	segs := strings.Split(pattern, "/")
+	segments := strings.Split(pattern, "/")
 	object := false
-	for i, seg := range segs {
+	for i, segment := range segments {
 		switch {
-		case seg == "{object}" || seg == "*":
-			segs[i], object = "{object}", true
-		case seg == "{group}" || seg == "{part}":
-		case strings.HasPrefix(seg, "{"):
-			segs[i] = "x"
+		case segment == "{object}" || segment == "*":
+			segments[i], object = "{object}", true
+		case segment == "{group}" || segment == "{part}":
+		case strings.HasPrefix(segment, "{"):
+			segments[i] = "x"
 		}
 	}
 	if !object {
 		return ""
 	}
-	return strings.Join(segs, "/")
+	return strings.Join(segments, "/")
 }
 
 func (p *rehearsalRun) run() error {
 	change := startTime + p.options.BeforeMillis
-	part := func(t float64) int {
+	phaseOf := func(t float64) int {
 		switch {
 		case t < change-beforeWindow || t >= change+p.options.AfterMillis-firstWindow/2: // still filling, or too late to be answered
 			return -1
@@ -261,24 +261,24 @@
 	}
 	p.sim.Watch = whatif.Watcher{
 		Over: func(_ *whatif.Router, h *whatif.Held) {
-			i := part(h.Came)
-			if i < 0 {
+			phase := phaseOf(h.Came)
+			if phase < 0 {
 				return
 			}
-			k := &p.outcomes[i]
-			k.n++
+			k := &p.outcomes[phase]
+			k.requests++
 			switch h.End {
 			case whatif.Served:
-				aim := p.classes[h.Q.Class]
-				within := aim.Aim
+				class := p.classes[h.Q.Class]
+				limit := class.Aim
 				if p.oldSettings.Fill.FlowKB > 0 {
-					within += aim.AimStretch * h.Q.KB / p.oldSettings.Fill.FlowKB
+					limit += class.AimStretch * h.Q.KB / p.oldSettings.Fill.FlowKB
 				}
-				if h.Over-h.Came <= within {
+				if h.Over-h.Came <= limit {
 					k.inTime++
 				}
 			case whatif.Refused, whatif.Failed:
-				k.refused++
+				k.rejected++
 			}
 		},
 		Ended: func(r *whatif.Router, h *whatif.Held, t *whatif.Try) {
@@ -292,17 +292,17 @@
 		},
 	}
 	p.sim.At(change, func() { p.applyChange(change) })
-	draw := loadgen.NewSessions(p.load)
+	sessions := loadgen.NewSessions(p.load)
 	var head http1.Head
 	for n := 0; ; {
-		session, ok := draw.Next()
+		session, ok := sessions.Next()
 		if !ok {
 			break
 		}
 		r := p.sim.Routers()[p.random.IntN(len(p.zones))]
-		for _, one := range session {
+		for _, request := range session {
 			n++
-			at, id, path := startTime+one.Due, fmt.Sprint("q", n), one.Path
+			at, id, path := startTime+request.Due, fmt.Sprint("q", n), request.Path
 			if at > change+p.options.AfterMillis {
 				break
 			}
@@ -366,9 +366,9 @@
 func (p *rehearsalRun) buildResult(change float64) {
 	p.result.Events = p.sim.Events
 	for i, a := range []*Outcomes{&p.result.Before, &p.result.First, &p.result.After} {
-		k := p.outcomes[i]
-		if a.Requests = k.n; k.n > 0 {
-			a.InTime, a.Rejected = float64(k.inTime)/float64(k.n), float64(k.refused)/float64(k.n)
+		count := p.outcomes[i]
+		if a.Requests = count.requests; count.requests > 0 {
+			a.InTime, a.Rejected = float64(count.inTime)/float64(count.requests), float64(count.rejected)/float64(count.requests)
 		}
 	}
 	roles := map[string]string{}
@@ -392,8 +392,8 @@
 			continue // nobody says what an origin bears
 		}
 		one := p.utilization(id, change, window, func(sec int) (used, can, kb float64) {
-			s, seen := p.usage[id][sec]
-			if !seen {
+			s, known := p.usage[id][sec]
+			if !known {
 				return 0, 1, 0
 			}
 			return s.Work, s.Capacity, s.KB
@@ -406,13 +406,13 @@
 					one.InitialCapacity = m.Size
 				}
 			}
-			from := p.oldSettings.Rules.ColdFrom
+			coldShare := p.oldSettings.Rules.ColdFrom
 			if role == "parent" {
-				from, one.WarmAfter = p.oldSettings.Rules.ParentColdFrom, p.oldSettings.Rules.ParentColdTime/1000
+				coldShare, one.WarmAfter = p.oldSettings.Rules.ParentColdFrom, p.oldSettings.Rules.ParentColdTime/1000
 			}
-			one.InitialCapacity *= from
-			if fell := p.members.Fell(id); fell > 0 {
-				one.FailedAfter = (fell - at) / 1000
+			one.InitialCapacity *= coldShare
+			if failedAt := p.members.Fell(id); failedAt > 0 {
+				one.FailedAfter = (failedAt - at) / 1000
 			}
 		}
 		p.result.Utilization = append(p.result.Utilization, one)
@@ -436,34 +436,34 @@
 
 // utilization measures what was used of what there is, over windows of whole seconds.
 func (p *rehearsalRun) utilization(name string, change float64, window int, at func(sec int) (used, can, kb float64)) Utilization {
-	one := Utilization{Name: name}
-	mid, end := int(change/1000), int((change+p.options.AfterMillis)/1000)
-	used, can, rate := 0.0, 0.0, 0.0
-	for sec := mid - beforeWindow/1000; sec < mid; sec++ {
+	result := Utilization{Name: name}
+	changeSecond, endSecond := int(change/1000), int((change+p.options.AfterMillis)/1000)
+	used, capacity, rate := 0.0, 0.0, 0.0
+	for sec := changeSecond - beforeWindow/1000; sec < changeSecond; sec++ {
 		u, c, kb := at(sec)
-		used, can, rate = used+u, can+c, rate+kb
+		used, capacity, rate = used+u, capacity+c, rate+kb
 	}
-	if can > 0 {
-		one.Before = used / can
+	if capacity > 0 {
+		result.Before = used / capacity
 	}
 	rate /= beforeWindow / 1000
-	for sec := mid; sec < end; sec++ {
+	for sec := changeSecond; sec < endSecond; sec++ {
 		u, c, kb := at(sec)
-		one.RefillMB += (kb - rate) / 1024
+		result.RefillMB += (kb - rate) / 1024
 		if u > c {
-			one.OverloadedSeconds++
+			result.OverloadedSeconds++
 		}
 		u, c = 0, 0
-		for i := max(sec-window+1, mid); i <= sec; i++ {
+		for i := max(sec-window+1, changeSecond); i <= sec; i++ {
 			du, dc, _ := at(i)
 			u, c = u+du, c+dc
 		}
-		if sec-mid+1 >= window && c > 0 && u/c > one.Peak {
-			one.Peak, one.PeakAt = u/c, float64(sec-mid+1)
+		if sec-changeSecond+1 >= window && c > 0 && u/c > result.Peak {
+			result.Peak, result.PeakAt = u/c, float64(sec-changeSecond+1)
 		}
 	}
-	one.RefillMB = max(one.RefillMB, 0)
-	return one
+	result.RefillMB = max(result.RefillMB, 0)
+	return result
 }
 
 // Text writes a rehearsal for reading.
@@ -473,11 +473,11 @@
 	for _, a := range r.Assumptions {
 		fmt.Fprintf(w, "  assumed: %s\n", a)
 	}
-	links, most := 0, 0.0
+	hiddenLinks, maxPeak := 0, 0.0
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	for _, p := range r.Utilization {
 		if p.Role == "link" && p.Peak < minShownLinkUse && !p.Overloaded() {
-			links, most = links+1, max(most, p.Peak)
+			hiddenLinks, maxPeak = hiddenLinks+1, max(maxPeak, p.Peak)
 			continue
 		}
 		if p.Role == "cache" && !p.New && !p.Overloaded() {
@@ -495,7 +495,7 @@
 		fmt.Fprintln(t)
 	}
 	t.Flush()
-	if links > 0 {
-		fmt.Fprintf(w, "  the other links (%d) are used to %.2f at most\n", links, most)
+	if hiddenLinks > 0 {
+		fmt.Fprintf(w, "  the other links (%d) are used to %.2f at most\n", hiddenLinks, maxPeak)
 	}
 }
