--- a/cmd/spool-fleet/main.go
+++ b/cmd/spool-fleet/main.go
@@ -1,4 +1,4 @@
-// Spool-fleet judges lists of members before routers get them.
+// Spool-fleet checks endpoint lists before routers use them.
 package main
 
 import (
@@ -17,16 +17,16 @@
 )
 
 func main() {
-	root := &cobra.Command{Use: "spool-fleet", Short: "Judges lists of members before routers get them"}
+	root := &cobra.Command{Use: "spool-fleet", Short: "Checks endpoint lists before routers use them"}
 	var options endpointcheck.Options
 	var against string
 	var asJSON, rehearse bool
 	var loadFile string
 	var rehearseOptions endpointcheck.RehearseOptions
-	check := &cobra.Command{Use: "check LIST", Short: "What a list would do; exit 1 where routers would refuse it", Args: cobra.ExactArgs(1),
-		Long: "Judges a list (a file of settings, or a folder of them) by the checks that routers make and,\n" +
-			"against an old one, tells which objects, parts and fills would go elsewhere, as the module of\n" +
-			"a router in each zone decides when it is asked before and after the change.",
+	check := &cobra.Command{Use: "check LIST", Short: "Report the effects of a list; exit 1 if routers would reject it", Args: cobra.ExactArgs(1),
+		Long: "Checks a list (a file of settings, or a folder of them) like a router does. With --against it\n" +
+			"also reports which objects, parts and fills would move to other members, by sending the same\n" +
+			"requests to the decision module of a router in each zone before and after the change.",
 		Example: "  spool-fleet check new.edn --against old.edn\n  spool-fleet check new.edn --against old.edn --rehearse --rate 310",
 		RunE: func(_ *cobra.Command, args []string) error {
 			list, err := readSources(args[0])
@@ -41,7 +41,7 @@
 			}
 			if rehearse || loadFile != "" {
 				if against == "" {
-					return errors.New("--rehearse plays a change: give the list that routers have now with --against")
+					return errors.New("--rehearse simulates a change: set the present list with --against")
 				}
 				rehearseOptions.Seed, rehearseOptions.KB = options.Seed, options.KB
 				if loadFile != "" {
@@ -70,19 +70,19 @@
 			return nil
 		}}
 	flags := check.Flags()
-	flags.StringVar(&against, "against", "", "the list that routers have now")
-	flags.IntVar(&options.Objects, "objects", 1000, "objects of each class to ask for, in each zone")
-	flags.Float64Var(&options.Parts, "parts", 8, "mean parts of an object of a class in parts")
-	flags.Float64Var(&options.KB, "kb", 100, "size of an object or part whose route states none")
-	flags.Uint64Var(&options.Seed, "seed", 1, "seed of what is asked for")
-	flags.BoolVar(&rehearse, "rehearse", false, "play the change under load, by all routers in simulated time; exit 1 where it pushes a member or a link over")
-	flags.StringVar(&loadFile, "load", "", "of --rehearse: a load (as of spool-load), instead of one made from the routes")
-	flags.Float64Var(&rehearseOptions.Rate, "rate", 0, "of --rehearse: requests a second of all routers (default: the load's, or 5 a router)")
-	flags.Float64Var(&rehearseOptions.BeforeMillis, "before", 60000, "of --rehearse: ms before the change")
-	flags.Float64Var(&rehearseOptions.AfterMillis, "after", 60000, "of --rehearse: ms after it")
-	flags.Float64Var(&rehearseOptions.LagMillis, "lag", 1000, "of --rehearse: ms within which all routers hear of it")
-	flags.Float64Var(&rehearseOptions.Capacity, "capacity", 50, "of --rehearse: transfers at once that a member bears, where sizes are no capacities")
-	flags.BoolVar(&asJSON, "json", false, "print it as JSON")
+	flags.StringVar(&against, "against", "", "the list that routers use at present")
+	flags.IntVar(&options.Objects, "objects", 1000, "objects of each class to request, in each zone")
+	flags.Float64Var(&options.Parts, "parts", 8, "mean number of parts of an object, in classes with parts")
+	flags.Float64Var(&options.KB, "kb", 100, "size of an object or part if its route has none, in KB")
+	flags.Uint64Var(&options.Seed, "seed", 1, "seed of the requests")
+	flags.BoolVar(&rehearse, "rehearse", false, "simulate the change under load with all routers; exit 1 if it overloads a member or a link")
+	flags.StringVar(&loadFile, "load", "", "of --rehearse: a load as of spool-load, instead of one generated from the routes")
+	flags.Float64Var(&rehearseOptions.Rate, "rate", 0, "of --rehearse: requests per second at all routers (default: the load's rate, or 5 per router)")
+	flags.Float64Var(&rehearseOptions.BeforeMillis, "before", 60000, "of --rehearse: time before the change, in ms")
+	flags.Float64Var(&rehearseOptions.AfterMillis, "after", 60000, "of --rehearse: time after the change, in ms")
+	flags.Float64Var(&rehearseOptions.LagMillis, "lag", 1000, "of --rehearse: time within which all routers apply the change, in ms")
+	flags.Float64Var(&rehearseOptions.Capacity, "capacity", 50, "of --rehearse: concurrent transfers of a member, if sizes are not capacities")
+	flags.BoolVar(&asJSON, "json", false, "print the report as JSON")
 	root.AddCommand(check)
 	cli.Main(root)
 }
--- a/internal/controlplane/endpointcheck/asker.go
+++ b/internal/controlplane/endpointcheck/asker.go
@@ -8,9 +8,9 @@
 	"indigospool/internal/proxy/engine"
 )
 
-// SimulatedRouter is a router that is asked for one thing after another: caches lack it, and
-// each fill succeeds at once, so that where it goes depends on the list alone, and
-// on what was asked before.
+// SimulatedRouter is a router that handles one request at a time. Its caches never have
+// the requested object, and every fill succeeds, so that the placement of a request
+// depends only on the endpoint list and on earlier requests.
 type SimulatedRouter struct {
 	core     *engine.Core
 	now      float64
@@ -18,34 +18,36 @@
 	actions  []spool.Action
 }
 
-// Placement is where a thing went: the cache that was asked first, and the source that
-// it was filled from. Empty: it was refused, or had to wait.
+// Placement is where a request went: the first cache, and the source of the fill. Both
+// are empty if the request was rejected or had to wait.
 type Placement struct{ Cache, Source string }
 
-// NewSimulatedRouter makes a router of settings, without members: they come with Tell.
+// NewSimulatedRouter returns a router with these settings and without members, which
+// Apply adds.
 func NewSimulatedRouter(settings *config.Settings, seed uint64) (*SimulatedRouter, error) {
 	core, err := engine.New(settings, seed)
 	return &SimulatedRouter{core: core, now: 1e6}, err
 }
 
-// Core is the router's.
+// Core returns the router's core.
 func (r *SimulatedRouter) Core() *engine.Core { return r.core }
 
-// Apply tells it news of members or purges.
+// Apply applies an update of the endpoint list, or a purge.
 func (r *SimulatedRouter) Apply(update *engine.Update) {
 	for _, event := range r.core.Apply(r.now, update).Events {
 		r.core.Handle(r.now, event, nil)
 	}
 }
 
-// Advance lets time pass, with the module's beats.
+// Advance lets the given time pass, with timer events for the decision module.
 func (r *SimulatedRouter) Advance(millis float64) {
 	for end := r.now + millis; r.now < end; r.now += 25 {
 		r.actions = r.core.Handle(r.now, spool.Timer{}, r.actions[:0])
 	}
 }
 
-// Route asks for r thing. Of the request the name and the deadline are the asker's.
+// Route handles a request and returns its placement. It sets the request's ID and
+// deadline.
 func (r *SimulatedRouter) Route(request spool.Request) (placement Placement) {
 	r.requests++
 	r.now += 2
@@ -65,7 +67,9 @@
 			placement.Cache = send.Cache
 		}
 		result := spool.OK
-		if send.Source == send.Cache && placement.Source == "" && !request.Write || send.Held { // of a cache that held it before: only what comes from a parent is told
+		// Caches and siblings have no copies: an attempt without a fill misses, and so does one
+		// that only takes a copy that a sibling holds. The placement has the parent instead.
+		if send.Source == send.Cache && placement.Source == "" && !request.Write || send.Held {
 			result = spool.Miss
 		} else {
 			placement.Source = send.Source
--- a/internal/controlplane/endpointcheck/listcheck.go
+++ b/internal/controlplane/endpointcheck/listcheck.go
@@ -1,8 +1,8 @@
-// Package endpointcheck reports what a new endpoint list would do before it is used:
-// whether it passes the checks that routers make, and which objects, parts and fills would
-// go elsewhere. It gives the decision module of a router in each zone, through
-// internal/proxy/engine, the same requests before and after the change, and computes no
-// placement itself. It owns no state; the checks are configversion.Check.
+// Package endpointcheck reports the effects of a new endpoint list before it is used:
+// whether it passes the routers' checks, and which objects, parts and fills would move
+// to other members. It sends the same requests to the decision module of a router in
+// each zone, through internal/proxy/engine, before and after the change, and computes
+// no placement itself. It has no state; the checks are those of configversion.Check.
 package endpointcheck
 
 import (
@@ -20,15 +20,15 @@
 	"indigospool/internal/proxy/engine"
 )
 
-// Options are how the change is tried. Zero fields mean the defaults.
+// Options configures Check. Zero fields are set to the defaults.
 type Options struct {
-	Objects int     // asked for in each zone, of each class; default 1000
-	Parts   float64 // mean parts of an object of a class in parts; default 8
-	KB      float64 // of an object or part whose route states no size; default 100
+	Objects int     // requested in each zone, per class; default 1000
+	Parts   float64 // mean number of parts of an object, in classes with parts; default 8
+	KB      float64 // size of an object or part if its route has none; default 100
 	Seed    uint64
 	Limits  configversion.CheckLimits
 
-	Rehearse *RehearseOptions // play the change under load too; nil: don't
+	Rehearse *RehearseOptions // also simulate the change under load; nil: don't
 }
 
 func (o Options) withDefaults() Options {
@@ -44,38 +44,39 @@
 	return o
 }
 
-// Zone is what the change does to the requests of one zone's routers.
+// Zone has the effects of the change on the requests of one zone's routers.
 type Zone struct {
 	Zone        string  `json:"zone"`
-	Requests    int     `json:"asked"`     // objects and parts
-	CacheMoved  float64 `json:"moved"`     // share that goes to another cache, once all are warm
-	ParentMoved float64 `json:"parents"`   // share of fills that goes to another parent, once all are warm
-	RefillMB    float64 `json:"refill_mb"` // of what moved, of what was asked
-	LinkSeconds float64 `json:"link_s"`    // that takes the zone's link so long; 0: the link is not told
-	Rejected    int     `json:"refused"`   // of the requests at once after the change
-	Bypassed    int     `json:"past"`      // and those that went past the caches
+	Requests    int     `json:"asked"`     // objects and parts requested
+	CacheMoved  float64 `json:"moved"`     // share of requests that moved to another cache, once all caches are warm
+	ParentMoved float64 `json:"parents"`   // share of fills that moved to another source, once all members are warm
+	RefillMB    float64 `json:"refill_mb"` // size of the requested objects that moved
+	LinkSeconds float64 `json:"link_s"`    // time to transfer RefillMB over the zone's link; 0: link capacity unknown
+	Rejected    int     `json:"refused"`   // requests rejected or waiting immediately after the change
+	Bypassed    int     `json:"past"`      // requests that bypassed the caches immediately after the change
 	Members     []Share `json:"members"`
 }
 
-// Share is what a member is given of the requests, or of the fills.
+// Share is a member's share of the requests, or of the fills.
 type Share struct {
 	Member string  `json:"member"`
 	Role   string  `json:"role"` // cache or source
 	Before float64 `json:"before"`
-	AtOnce float64 `json:"at_once"` // just after the change, within its cold budget where it is new
-	Warm   float64 `json:"warm"`
+	AtOnce float64 `json:"at_once"` // immediately after the change, limited by slow start if the member is new
+	Warm   float64 `json:"warm"`    // once all members are warm
 }
 
-// Report is what a list would do.
+// Report has the effects of a list.
 type Report struct {
-	Reasons []string `json:"reasons,omitempty"` // against it: routers would refuse it
-	Steps   []string `json:"steps,omitempty"`   // in which it would be told
+	Reasons []string `json:"reasons,omitempty"` // why routers would reject the list
+	Steps   []string `json:"steps,omitempty"`   // in which routers would apply the list
 	Zones   []Zone   `json:"zones,omitempty"`
 
 	Rehearsal *Rehearsal `json:"rehearsal,omitempty"`
 }
 
-// Check judges a list, and against an old one what it would do. old may be empty.
+// Check checks a list and, if old is not empty, reports the effects of changing from
+// old to it.
 func Check(list, old []config.Source, o Options) (*Report, error) {
 	o = o.withDefaults()
 	report := &Report{}
@@ -83,7 +84,7 @@
 	if len(old) > 0 {
 		b, reasons := service.Validate(old, nil, service.NoLimits())
 		if len(reasons) > 0 {
-			return nil, fmt.Errorf("listcheck: the old list does not stand by itself: %s", reasons[0])
+			return nil, fmt.Errorf("listcheck: the old list is invalid by itself: %s", reasons[0])
 		}
 		before = b
 	}
@@ -124,15 +125,15 @@
 	return report, nil
 }
 
-// sampleRequest is an object, or a part of one.
+// sampleRequest is a request for an object or a part.
 type sampleRequest struct {
 	class, object string
 	part          int
 	sizeKB        float64
 }
 
-// compareZone asks a zone's router for the same things before the change, at once
-// after it, and when all who are new are warm.
+// compareZone sends the same requests to a router of the zone before the change,
+// immediately after it, and once all new members are warm.
 func compareZone(before, after, zone string, o Options) (*Zone, error) {
 	local := &config.Settings{}
 	if err := config.Read("own", fmt.Sprintf(`(router (zone %q)) (control (services "127.0.0.1:1") (start wait))`, zone), local); err != nil {
@@ -151,10 +152,10 @@
 	if len(samples) == 0 {
 		return &Zone{Zone: zone}, nil
 	}
-	router.routeAll(samples) // so that ranges form
+	router.routeAll(samples) // lets the ranges form
 	router.Advance(6000)
 	router.routeAll(samples)
-	router.Advance(25000) // and what moved with them is settled
+	router.Advance(25000) // lets the objects that moved with the ranges settle
 	placedBefore := router.routeAll(samples)
 	for _, s := range configversion.Diff(oldSettings.Members, newSettings.Members) {
 		router.Apply(engine.UpdateFromVersion(1, s.Members, s.Kind == configversion.DeltaStarts))
@@ -168,6 +169,8 @@
 	return summarize(zone, &newSettings, samples, placedBefore, placedAtOnce, placedWarm), nil
 }
 
+// drawSamples returns requests for o.Objects objects of each class without writes, with
+// a random number of parts in classes with parts.
 func drawSamples(s *config.Settings, o Options) (samples []sampleRequest) {
 	random := rand.New(rand.NewPCG(o.Seed, 0x115c))
 	classKB := map[string]float64{}
@@ -192,6 +195,7 @@
 	return samples
 }
 
+// routeAll routes all samples in order.
 func (r *SimulatedRouter) routeAll(samples []sampleRequest) []Placement {
 	placements := make([]Placement, len(samples))
 	for i, t := range samples {
@@ -200,6 +204,7 @@
 	return placements
 }
 
+// summarize computes the effects on a zone from the placements of the samples.
 func summarize(zone string, s *config.Settings, samples []sampleRequest, before, atOnce, warm []Placement) *Zone {
 	z := &Zone{Zone: zone, Requests: len(samples)}
 	kinds := map[string]string{}
@@ -254,21 +259,21 @@
 	return z
 }
 
-// Text writes a report for reading.
+// Text writes the report as text.
 func (r *Report) Text(w io.Writer) {
 	for _, reason := range r.Reasons {
-		fmt.Fprintf(w, "refused: %s\n", reason)
+		fmt.Fprintf(w, "rejected: %s\n", reason)
 	}
 	for _, s := range r.Steps {
 		fmt.Fprintf(w, "step: %s\n", s)
 	}
 	for _, z := range r.Zones {
-		fmt.Fprintf(w, "zone %s: of %d objects and parts %.1f %% go to another cache, %.1f %% of fills to another parent; %.1f MB to fill anew",
+		fmt.Fprintf(w, "zone %s: of %d objects and parts %.1f %% move to another cache, and %.1f %% of the fills to another source; %.1f MB to refill",
 			z.Zone, z.Requests, 100*z.CacheMoved, 100*z.ParentMoved, z.RefillMB)
 		if z.LinkSeconds > 0 {
-			fmt.Fprintf(w, ", %.0f s of the zone's link", z.LinkSeconds)
+			fmt.Fprintf(w, ", which takes the zone's link %.0f s", z.LinkSeconds)
 		}
-		fmt.Fprintf(w, "; at once %d refused or waiting, %d past the caches\n", z.Rejected, z.Bypassed)
+		fmt.Fprintf(w, "; immediately after the change %d rejected or waiting, %d bypass the caches\n", z.Rejected, z.Bypassed)
 		t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 		for _, m := range z.Members {
 			fmt.Fprintf(t, "  %s\t%s\tbefore %.1f %%\tat once %.1f %%\twarm %.1f %%\n", m.Role, m.Member, 100*m.Before, 100*m.AtOnce, 100*m.Warm)
--- a/internal/controlplane/endpointcheck/listcheck_test.go
+++ b/internal/controlplane/endpointcheck/listcheck_test.go
@@ -43,7 +43,7 @@
 }
 
 func TestNothingChanged(t *testing.T) {
-	r := check(t, "; said otherwise\n"+validList, validList)
+	r := check(t, "; another text\n"+validList, validList)
 	if len(r.Reasons)+len(r.Steps) != 0 || len(r.Zones) != 2 {
 		t.Fatalf("%+v", r)
 	}
@@ -54,7 +54,8 @@
 	}
 }
 
-// A drained parent moves its own fills and no others, in both zones; caches keep theirs.
+// Draining a parent moves its fills and no others, in both zones; caches keep their
+// objects.
 func TestParentDrains(t *testing.T) {
 	r := check(t, strings.Replace(validList, "(member p2 ", "(member p2 (state draining) ", 1), validList)
 	if len(r.Steps) != 1 || r.Steps[0] != "drains: p2" {
@@ -68,8 +69,8 @@
 	}
 }
 
-// A new cache is given little at once, and its share when it is warm; the other
-// zone does not notice.
+// A new cache gets few requests at first, and its full share once it is warm. The other
+// zone is not affected.
 func TestNewCache(t *testing.T) {
 	r := check(t, validList+`(member n4 (zone n) (size 10) (address "127.0.0.1:9"))`, validList)
 	n, s := r.Zones[0], r.Zones[1]
@@ -92,7 +93,7 @@
 		t.Errorf("%+v", r)
 	}
 	if _, err := Check([]config.Source{{File: "n", Text: validList}}, []config.Source{{File: "old.edn", Text: "(router"}}, Options{}); err == nil ||
-		!strings.Contains(err.Error(), "the old list does not stand by itself") {
-		t.Errorf("an old list that can't be read: %v", err)
+		!strings.Contains(err.Error(), "the old list is invalid by itself") {
+		t.Errorf("unreadable old list: %v", err)
 	}
 }
--- a/internal/controlplane/endpointcheck/rehearse.go
+++ b/internal/controlplane/endpointcheck/rehearse.go
@@ -18,16 +18,15 @@
 	"indigospool/internal/testbed/loadgen"
 )
 
-// RehearseOptions are how a change is rehearsed under load. Zero fields mean the
-// defaults.
+// RehearseOptions configures Rehearse. Zero fields are set to the defaults.
 type RehearseOptions struct {
-	Load         *loadgen.Script // whose paths, shares, objects and arrivals count; nil: one made from the routes
-	Rate         float64         // requests a second of all routers; default 5 a router, or the load's
-	BeforeMillis float64         // ms under the old list, in which caches fill; default 60000
-	AfterMillis  float64         // ms under the new one; default 60000
-	LagMillis    float64         // ms within which all routers hear of a change, each at its own moment; default 1000
-	Capacity     float64         // transfers at once that a member bears whose (size) is no capacity; default 50
-	KB           float64         // of an object or part whose route states no size; default 100
+	Load         *loadgen.Script // paths, shares, objects and arrivals; nil: a load is generated from the routes
+	Rate         float64         // requests per second at all routers; default: the rate of Load, or 5 per router
+	BeforeMillis float64         // time with the old list, in which caches fill; default 60000
+	AfterMillis  float64         // time with the new list; default 60000
+	LagMillis    float64         // each router applies the change after a random delay up to this
+	Capacity     float64         // concurrent transfers of a member whose (size) is not a capacity; default 50
+	KB           float64         // size of an object or part if its route has none; default 100
 	Seed         uint64
 }
 
@@ -46,45 +45,45 @@
 	return o
 }
 
-// Utilization is what a member, or a zone's link, is given against what it can take.
+// Utilization compares the load on a member, or on a zone's link, with its capacity.
 type Utilization struct {
 	Name              string  `json:"name"`
 	Role              string  `json:"role"`         // parent, origin, cache or link
-	New               bool    `json:"new"`          // it comes with the change, cold
-	Before            float64 `json:"before"`       // share of its capacity in use before the change
-	Peak              float64 `json:"peak"`         // the highest over a FallTime after it, of the present capacity
-	PeakAt            float64 `json:"at_s"`         // seconds after the change at which that was
-	OverloadedSeconds int     `json:"over_s"`       // seconds in which it was given more than it can take
-	FailedAfter       float64 `json:"fell_s"`       // seconds after the change at which it would have fallen over; 0: it would not
-	RefillMB          float64 `json:"refill_mb"`    // of fills beyond the rate before
-	InitialCapacity   float64 `json:"bears"`        // of a new member: transfers at once that it bears at first
-	WarmAfter         float64 `json:"warm_after_s"` // and when it bears all
+	New               bool    `json:"new"`          // added by the change, and cold
+	Before            float64 `json:"before"`       // utilization before the change, as a share of the capacity
+	Peak              float64 `json:"peak"`         // highest mean utilization over a FallTime after the change, of the capacity at that time
+	PeakAt            float64 `json:"at_s"`         // time of the peak, in seconds after the change
+	OverloadedSeconds int     `json:"over_s"`       // seconds in which the load exceeded the capacity
+	FailedAfter       float64 `json:"fell_s"`       // seconds after the change when it would have failed under overload; 0: never
+	RefillMB          float64 `json:"refill_mb"`    // fills above the rate before the change
+	InitialCapacity   float64 `json:"bears"`        // of a new member: concurrent transfers while it is cold
+	WarmAfter         float64 `json:"warm_after_s"` // of a new member: seconds until it has its full capacity
 }
 
-// Overloaded reports whether the change pushes it over, or beyond what it can take for
-// longer than a FallTime, where it was not before.
+// Overloaded reports whether the change makes it fail, or exceed its capacity on
+// average over a FallTime although it did not before.
 func (p Utilization) Overloaded() bool { return p.FailedAfter > 0 || p.Before <= 1 && p.Peak > 1 }
 
-// Outcomes are what became of the requests of a span.
+// Outcomes has the outcomes of the requests in an interval.
 type Outcomes struct {
 	Requests int64   `json:"requests"`
-	InTime   float64 `json:"in_time"` // share
-	Rejected float64 `json:"refused"`
+	InTime   float64 `json:"in_time"` // share of requests
+	Rejected float64 `json:"refused"` // share of requests, with failed ones
 }
 
-// Rehearsal is a change of a list under load, in simulated time.
+// Rehearsal is the result of simulating a change of a list under load.
 type Rehearsal struct {
 	Routers     int           `json:"routers"`
 	Rate        float64       `json:"rate"`
-	Before      Outcomes      `json:"before"` // in the last seconds before the change
-	First       Outcomes      `json:"first"`  // in the first seconds after it
-	After       Outcomes      `json:"after"`  // from then on
+	Before      Outcomes      `json:"before"` // in the 10 s before the change
+	First       Outcomes      `json:"first"`  // in the first 10 s after it
+	After       Outcomes      `json:"after"`  // after that
 	Utilization []Utilization `json:"pressure"`
-	Assumptions []string      `json:"assumed,omitempty"` // what the list does not say
+	Assumptions []string      `json:"assumed,omitempty"` // about what the list does not specify
 	Events      int64         `json:"events"`
 }
 
-// OK reports that the change pushes nobody over.
+// OK reports whether the change overloads no member and no link.
 func (r *Rehearsal) OK() bool {
 	for i := range r.Utilization {
 		if r.Utilization[i].Overloaded() {
@@ -95,14 +94,14 @@
 }
 
 const (
-	beforeWindow    = 10000 // ms before the change over which what was is measured
-	firstWindow     = 10000 // ms after it that are told apart
-	minShownLinkUse = 0.5   // part of a link's use from which it is shown
-	startTime       = 1e6   // when the rehearsal begins, on its own clock
+	beforeWindow    = 10000 // ms before the change in which the old state is measured
+	firstWindow     = 10000 // ms after the change that are reported separately
+	minShownLinkUse = 0.5   // peak utilization from which a link is shown
+	startTime       = 1e6   // start of the simulated time, ms
 )
 
-// Rehearse plays a change of a list under load: every router of the fleet, each with
-// a core of its own, before cache models that they share.
+// Rehearse simulates a change of a list under load. Each router of the fleet has a core
+// of its own; all of them share the cache models.
 func Rehearse(before, after string, o RehearseOptions) (*Rehearsal, error) {
 	o = o.withDefaults()
 	var oldSettings, newSettings config.Settings
@@ -115,7 +114,7 @@
 		return nil, err
 	}
 	if len(p.sim.Routers()) == 0 {
-		return nil, fmt.Errorf("listcheck: no zone of the old list has (routers n): there is nobody to rehearse")
+		return nil, fmt.Errorf("listcheck: no zone of the old list has (routers n), so that there are no routers to simulate")
 	}
 	if err := p.buildLoad(); err != nil {
 		return nil, err
@@ -123,32 +122,34 @@
 	return p.result, p.run()
 }
 
+// rehearsalRun is a simulation in progress.
 type rehearsalRun struct {
 	options                  RehearseOptions
 	oldSettings, newSettings *config.Settings
 	result                   *Rehearsal
 	sim                      *whatif.Sim
 	members                  *whatif.Boxes
-	zones                    []string // of the routers
+	zones                    []string // of the routers, by router
 	load                     *loadgen.Script
 	random                   *rand.Rand
-	usage                    map[string]map[int]whatif.Spent
-	linkKB                   map[string]map[int]float64 // KB that startedAt into a zone, by second
-	startedAt                map[string]float64         // when new members started
-	outcomes                 [3]struct{ requests, inTime, rejected int64 }
+	usage                    map[string]map[int]whatif.Spent               // load by member and second
+	linkKB                   map[string]map[int]float64                    // KB filled over a zone's link, by zone and second
+	startedAt                map[string]float64                            // start of new members
+	outcomes                 [3]struct{ requests, inTime, rejected int64 } // before, first and after, as in Rehearsal
 	classes                  map[string]config.Class
 }
 
+// addRouters creates the members' models and all routers with the old list.
 func (p *rehearsalRun) addRouters(before string) error {
 	s := p.oldSettings
 	options := whatif.BoxOptions{Flow: s.Fill.FlowKB, Capacity: p.options.Capacity, Sizes: s.Fill.Sizes, ParentKind: s.Fill.ParentKind, OriginKind: s.Fill.OriginKind,
 		ColdFrom: s.Rules.ColdFrom, ColdTime: s.Rules.ColdTime, Fall: s.Rules.FallFactor, FallTime: s.Rules.FallTime,
 		ParentColdFrom: s.Rules.ParentColdFrom, ParentColdTime: s.Rules.ParentColdTime, ParentFall: s.Rules.ParentFall}
 	if !s.Fill.Sizes {
-		p.result.Assumptions = append(p.result.Assumptions, fmt.Sprintf("each member bears %.0f transfers at once (no (fill (sizes)); --capacity)", p.options.Capacity))
+		p.result.Assumptions = append(p.result.Assumptions, fmt.Sprintf("each member has a capacity of %.0f concurrent transfers (no (fill (sizes)); see --capacity)", p.options.Capacity))
 	}
 	if s.Fill.FlowKB <= 0 {
-		p.result.Assumptions = append(p.result.Assumptions, "a transfer goes at 4 KB a ms (no (fill (flow n)))")
+		p.result.Assumptions = append(p.result.Assumptions, "transfers run at 4 KB per ms (no (fill (flow n)))")
 	}
 	p.members = whatif.NewBoxes(options)
 	p.members.Second = func(id string, second int, spent *whatif.Spent) {
@@ -190,7 +191,8 @@
 	return nil
 }
 
-// buildLoad is the load: the caller's, or one of all classes that don't write.
+// buildLoad sets the load: the one of the options, or one generated from the routes of
+// all classes without writes.
 func (p *rehearsalRun) buildLoad() error {
 	rate := p.options.Rate
 	if p.load = p.options.Load; p.load == nil {
@@ -216,8 +218,8 @@
 			}
 		}
 		p.load = &loadgen.Script{}
-		if err := config.Read("made of the routes", b.String(), p.load); err != nil {
-			return fmt.Errorf("listcheck: no load can be made of the routes (give one with --load): %w", err)
+		if err := config.Read("generated from the routes", b.String(), p.load); err != nil {
+			return fmt.Errorf("listcheck: no load can be generated from the routes (set one with --load): %w", err)
 		}
 	} else if rate <= 0 {
 		rate = p.load.Arrivals.Rate
@@ -227,7 +229,8 @@
 	return nil
 }
 
-// loadPath is a pattern as a load's path; empty where it can't be one.
+// loadPath converts a route's pattern to the path of a load, or returns "" if that is
+// not possible.
 func loadPath(pattern string) string {
 	segments := strings.Split(pattern, "/")
 	object := false
@@ -246,11 +249,12 @@
 	return strings.Join(segments, "/")
 }
 
+// run simulates the load and the change, and builds the result.
 func (p *rehearsalRun) run() error {
 	change := startTime + p.options.BeforeMillis
 	phaseOf := func(t float64) int {
 		switch {
-		case t < change-beforeWindow || t >= change+p.options.AfterMillis-firstWindow/2: // still filling, or too late to be answered
+		case t < change-beforeWindow || t >= change+p.options.AfterMillis-firstWindow/2: // caches are still filling, or too late to complete
 			return -1
 		case t < change:
 			return 0
@@ -320,7 +324,7 @@
 				p.sim.Tell(r, q)
 			})
 		}
-		p.sim.RunTo(startTime + session[0].Due) // so that what waits to come stays small
+		p.sim.RunTo(startTime + session[0].Due) // keeps the queue of future requests small
 	}
 	p.sim.RunTo(change + p.options.AfterMillis)
 	p.sim.Finish()
@@ -329,8 +333,8 @@
 	return nil
 }
 
-// applyChange tells each router of the new list, at its own moment, in the steps in which
-// routers tell their modules of a version.
+// applyChange applies the new list at each router after its own random delay, in the
+// same steps in which routers apply a version.
 func (p *rehearsalRun) applyChange(at float64) {
 	steps := configversion.Diff(p.oldSettings.Members, p.newSettings.Members)
 	for _, s := range steps {
@@ -357,12 +361,13 @@
 			own.Router = r.Core.Settings.Router
 			own.Router.Of = p.newSettings.Router.Of
 			if err := p.sim.Resettle(r, &own); err != nil {
-				p.result.Assumptions = append(p.result.Assumptions, fmt.Sprintf("router %s kept its settings: %v", r.Name, err))
+				p.result.Assumptions = append(p.result.Assumptions, fmt.Sprintf("router %s kept its old settings: %v", r.Name, err))
 			}
 		})
 	}
 }
 
+// buildResult fills in the result once the simulation has ended.
 func (p *rehearsalRun) buildResult(change float64) {
 	p.result.Events = p.sim.Events
 	for i, a := range []*Outcomes{&p.result.Before, &p.result.First, &p.result.After} {
@@ -389,7 +394,7 @@
 	window := max(int(p.oldSettings.Rules.FallTime/1000), 1)
 	for id, role := range roles {
 		if role == "origin" && !p.oldSettings.Fill.Sizes {
-			continue // nobody says what an origin bears
+			continue // an origin's capacity is unknown
 		}
 		one := p.utilization(id, change, window, func(sec int) (used, can, kb float64) {
 			s, known := p.usage[id][sec]
@@ -434,7 +439,9 @@
 	})
 }
 
-// utilization measures what was used of what there is, over windows of whole seconds.
+// utilization computes the utilization of a member or link. at returns the load, the
+// capacity and the KB filled in a second; window is the averaging time of the peak, in
+// seconds.
 func (p *rehearsalRun) utilization(name string, change float64, window int, at func(sec int) (used, can, kb float64)) Utilization {
 	result := Utilization{Name: name}
 	changeSecond, endSecond := int(change/1000), int((change+p.options.AfterMillis)/1000)
@@ -466,9 +473,9 @@
 	return result
 }
 
-// Text writes a rehearsal for reading.
+// Text writes the result as text.
 func (r *Rehearsal) Text(w io.Writer) {
-	fmt.Fprintf(w, "rehearsed by %d routers at %.0f requests a second: in time %.1f %% before, %.1f %% in the first 10 s, %.1f %% then; refused %.1f, %.1f, %.1f %%\n",
+	fmt.Fprintf(w, "simulated %d routers at %.0f requests per second: in time %.1f %% before, %.1f %% in the first 10 s, %.1f %% after that; rejected %.1f, %.1f, %.1f %%\n",
 		r.Routers, r.Rate, 100*r.Before.InTime, 100*r.First.InTime, 100*r.After.InTime, 100*r.Before.Rejected, 100*r.First.Rejected, 100*r.After.Rejected)
 	for _, a := range r.Assumptions {
 		fmt.Fprintf(w, "  assumed: %s\n", a)
@@ -483,19 +490,19 @@
 		if p.Role == "cache" && !p.New && !p.Overloaded() {
 			continue
 		}
-		fmt.Fprintf(t, "  %s\t%s\tused before %.2f\tat most %.2f (at %.0f s)\tover for %d s\t%.1f MB more\t", p.Role, p.Name, p.Before, p.Peak, p.PeakAt, p.OverloadedSeconds, p.RefillMB)
+		fmt.Fprintf(t, "  %s\t%s\tutilization before %.2f\tpeak %.2f (at %.0f s)\toverloaded for %d s\t%.1f MB more filled\t", p.Role, p.Name, p.Before, p.Peak, p.PeakAt, p.OverloadedSeconds, p.RefillMB)
 		if p.New {
-			fmt.Fprintf(t, "new: bears %.1f transfers at first, all after %.0f s", p.InitialCapacity, p.WarmAfter)
+			fmt.Fprintf(t, "new: %.1f concurrent transfers while cold, full capacity after %.0f s", p.InitialCapacity, p.WarmAfter)
 		}
 		if p.FailedAfter > 0 {
-			fmt.Fprintf(t, " FALLS OVER after %.1f s", p.FailedAfter)
+			fmt.Fprintf(t, " FAILS after %.1f s", p.FailedAfter)
 		} else if p.Overloaded() {
-			fmt.Fprint(t, " PUSHED beyond what it can take")
+			fmt.Fprint(t, " OVERLOADED")
 		}
 		fmt.Fprintln(t)
 	}
 	t.Flush()
 	if hiddenLinks > 0 {
-		fmt.Fprintf(w, "  the other links (%d) are used to %.2f at most\n", hiddenLinks, maxPeak)
+		fmt.Fprintf(w, "  peak utilization of the other links (%d): %.2f\n", hiddenLinks, maxPeak)
 	}
 }
--- a/internal/controlplane/endpointcheck/rehearse_test.go
+++ b/internal/controlplane/endpointcheck/rehearse_test.go
@@ -34,7 +34,7 @@
 	return Utilization{}
 }
 
-// A list said otherwise pushes nobody, and answers stay as they were.
+// The same list with another text overloads nothing, and the outcomes stay the same.
 func TestRehearseNothing(t *testing.T) {
 	r := rehearse(t, "; the same\n"+validList, validList, RehearseOptions{})
 	if !r.OK() || r.Routers != 6 || r.Before.Requests < 200 || r.First.Requests < 200 || r.After.Requests < 200 ||
@@ -43,8 +43,8 @@
 	}
 }
 
-// With one of two parents gone the other gets its fills; where it can't take them,
-// that is told, and for how long.
+// If a parent drains, the others get its fills. If they lack the capacity, the overload
+// and its duration are reported.
 func TestRehearseParentGone(t *testing.T) {
 	for _, k := range []struct {
 		size   float64
@@ -57,13 +57,13 @@
 			t.Errorf("size %v: OK %v, %+v %+v %+v", k.size, r.OK(), p1, r.of("p2"), p3)
 		}
 		if k.pushed && p1.OverloadedSeconds+r.of("p2").OverloadedSeconds == 0 {
-			t.Errorf("for no time: %+v", r.Utilization)
+			t.Errorf("no overloaded seconds: %+v", r.Utilization)
 		}
 	}
 }
 
-// A new parent is cold: all routers together keep it within what it bears, and it
-// does not fall (whatif's TestBoxesFall has one that does).
+// A new parent is cold: all routers together keep its load within its capacity, and it
+// does not fail (TestBoxesFall of package whatif has a member that does).
 func TestRehearseNewParent(t *testing.T) {
 	r := rehearse(t, validList+`(member p4 (kind parent) (zone h) (size 40) (address "127.0.0.1:9"))`, validList, RehearseOptions{Rate: 120})
 	p4 := r.of("p4")
@@ -72,7 +72,8 @@
 	}
 }
 
-// All caches of a zone are replaced: their copies come again, over the zone's link.
+// All caches of a zone are replaced: their content is filled again over the zone's
+// link.
 func TestRehearseEmptyZone(t *testing.T) {
 	old := strings.ReplaceAll(validList, "(link 20)", "(link 4)")
 	text := old
@@ -95,7 +96,7 @@
 	if r.Rate != 50 || r.Before.Requests != 500 || r.of("p1").Before > 0.001 {
 		t.Errorf("%+v", r)
 	}
-	if _, err := Rehearse(strings.ReplaceAll(strings.ReplaceAll(validList, "(routers 3)", ""), "(of 6)", ""), validList, RehearseOptions{}); err == nil || !strings.Contains(err.Error(), "nobody to rehearse") {
+	if _, err := Rehearse(strings.ReplaceAll(strings.ReplaceAll(validList, "(routers 3)", ""), "(of 6)", ""), validList, RehearseOptions{}); err == nil || !strings.Contains(err.Error(), "no routers to simulate") {
 		t.Error(err)
 	}
 }
