--- a/cmd/spool-control/admin.go
+++ b/cmd/spool-control/admin.go
@@ -16,7 +16,7 @@
 	"indigospool/internal/controlplane/service"
 )
 
-// readSettings reads a text of settings: a file's, a folder's, or standard input's.
+// readSettings reads a text of settings from a file, a folder or, as -, standard input.
 func readSettings(path string) (name string, text []byte, err error) {
 	if path == "-" {
 		text, err = io.ReadAll(os.Stdin)
@@ -31,7 +31,7 @@
 	if err != nil {
 		return "", nil, err
 	}
-	// checked here too, since only here faults have the files' own places
+	// check here as well, because the service can't report faults by file and position
 	if _, reasons := service.Validate(sources, nil, service.NoLimits()); len(reasons) > 0 {
 		return "", nil, &cli.FoundError{Err: &service.RejectedError{Reasons: reasons}}
 	}
@@ -42,12 +42,12 @@
 	return path, text, nil
 }
 
-// adminClient speaks to a service's listener for operators.
+// adminClient sends requests to a service's listener for operators.
 type adminClient struct {
-	admin string // its address, host:port or a Unix socket's path
+	admin string // address: host:port or the path of a Unix socket
 }
 
-// call is service.AdminCall; what is rejected ends the program as something found.
+// call is service.AdminCall; a rejection becomes a *cli.FoundError.
 func (a *adminClient) call(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	answer, err := service.AdminCall(ctx, a.admin, method, path, body)
 	var rejected *service.PushRejectedError
@@ -57,8 +57,8 @@
 	return answer, err
 }
 
-// push sends a request that makes a version, and waits until all routers run it; wait 0
-// is not at all.
+// push sends a request that creates a version, and waits up to wait until all routers
+// run it; 0 means not to wait.
 func (a *adminClient) push(ctx context.Context, path string, body []byte, wait time.Duration) error {
 	answer, err := a.call(ctx, "POST", path, body)
 	if err != nil {
@@ -71,7 +71,7 @@
 	if result.Created {
 		fmt.Printf("version %d\n", result.Number)
 	} else {
-		fmt.Printf("version %d has this content already\n", result.Number)
+		fmt.Printf("version %d already has this content\n", result.Number)
 	}
 	if wait <= 0 {
 		return nil
@@ -79,11 +79,11 @@
 	return a.await(ctx, result.Number, wait)
 }
 
-// pollInterval is how often the status is asked for while a rollout is waited for.
+// pollInterval is how often await polls the service's status.
 const pollInterval = 200 * time.Millisecond
 
-// await waits until all routers run a version. That it was halted, or takes longer, ends
-// the program as something found.
+// await waits until all routers run a version. If the version is halted, or that takes
+// longer than timeout, the error is a *cli.FoundError.
 func (a *adminClient) await(ctx context.Context, number int64, timeout time.Duration) error {
 	for end := time.Now().Add(timeout); time.Now().Before(end); {
 		view, err := service.AdminStatus(ctx, a.admin)
@@ -93,7 +93,7 @@
 		case view.Base >= number && view.Halted != "":
 			return &cli.FoundError{Err: fmt.Errorf("version %d was halted: %s", number, view.Halted)}
 		case view.Base >= number && countBehind(view) == 0:
-			fmt.Printf("version %d is everybody's: %d routers\n", number, len(view.Routers))
+			fmt.Printf("version %d is rolled out: %d routers\n", number, len(view.Routers))
 			return nil
 		}
 		select {
@@ -102,10 +102,10 @@
 			return ctx.Err()
 		}
 	}
-	return &cli.FoundError{Err: fmt.Errorf("version %d is not everybody's after %v; see spool-control status", number, timeout)}
+	return &cli.FoundError{Err: fmt.Errorf("not all routers run version %d after %v; see spool-control status", number, timeout)}
 }
 
-// countBehind counts routers with a stream that don't run everybody's version.
+// countBehind counts the connected routers that do not run the version for all routers.
 func countBehind(view service.StatusView) (count int) {
 	for _, router := range view.Routers {
 		if router.Connected && router.Running < view.Base {
@@ -115,8 +115,8 @@
 	return count
 }
 
-// status prints a service's status. Where not all routers are level, that ends the
-// program as something found.
+// status prints a service's status. If the last rollout was halted or some router is
+// behind, it returns cli.ErrFound.
 func (a *adminClient) status(ctx context.Context, asJSON bool) error {
 	view, err := service.AdminStatus(ctx, a.admin)
 	if err != nil {
@@ -138,20 +138,20 @@
 }
 
 func printStatus(w io.Writer, view service.StatusView) {
-	fmt.Fprintf(w, "service %s: version %d is everybody's", view.Service, view.Base)
+	fmt.Fprintf(w, "service %s: version %d is for all routers", view.Service, view.Base)
 	if view.Next > 0 {
 		fmt.Fprintf(w, ", version %d is in stage %d", view.Next, view.Stage+1)
 	}
 	fmt.Fprintln(w)
 	if view.StateFault != "" {
-		fmt.Fprintf(w, "the state can't be kept since %s, for %v, and nothing is offered meanwhile: %s\n", view.StateFaultSince,
+		fmt.Fprintf(w, "the state can't be persisted since %s, for %v; nothing is offered until it can: %s\n", view.StateFaultSince,
 			wholeSeconds(view.StateFaultMs), view.StateFault)
 	}
 	if view.Halted != "" {
 		fmt.Fprintf(w, "the last rollout was halted: %s\n", view.Halted)
 	}
 	table := newTable(w)
-	fmt.Fprintln(table, "ROUTER\tSTREAM\tACCEPTED\tREFUSED\tIN TIME\tWHY")
+	fmt.Fprintln(table, "ROUTER\tSTREAM\tACCEPTED\tREJECTED\tIN TIME\tREASONS")
 	for _, router := range view.Routers {
 		stream, rejected, inTime, why := "yes", "-", "-", ""
 		if !router.Connected {
@@ -177,7 +177,7 @@
 	}
 	var views []service.VersionView
 	if err := json.Unmarshal(answer, &views); err != nil {
-		return fmt.Errorf("the versions of %s are malformed: %w", a.admin, err)
+		return fmt.Errorf("malformed list of versions from %s: %w", a.admin, err)
 	}
 	table := newTable(os.Stdout)
 	fmt.Fprintln(table, "VERSION\tBYTES\tAGE\tSUM")
--- a/cmd/spool-control/main.go
+++ b/cmd/spool-control/main.go
@@ -1,6 +1,6 @@
-// Spool-control serves numbered versions of a configuration to routers, in
-// stages, and shows which router runs what. Its commands are here; serve.go runs the
-// service, admin.go speaks to one that runs. The service itself is
+// Spool-control serves numbered versions of a configuration to routers, in stages, and
+// shows which router runs which version. The commands are defined here; serve.go runs
+// the service, and admin.go sends requests to a running one. The service itself is
 // internal/controlplane/service.
 package main
 
@@ -17,14 +17,14 @@
 )
 
 func main() {
-	root := &cobra.Command{Use: "spool-control", Short: "Serves versions of a configuration to routers, and shows who runs what"}
+	root := &cobra.Command{Use: "spool-control", Short: "Serves versions of a configuration to routers, and shows which router runs which version"}
 	var client adminClient
 	adminCommands := []*cobra.Command{
 		pushCommand(&client), rollbackCommand(&client), haltCommand(&client),
 		statusCommand(&client), versionsCommand(&client), showCommand(&client),
 	}
 	for _, command := range adminCommands {
-		command.Flags().StringVar(&client.admin, "admin", "127.0.0.1:9901", "where the service listens for operators: host:port, or a Unix socket's path")
+		command.Flags().StringVar(&client.admin, "admin", "127.0.0.1:9901", "address of the service's listener for operators: host:port, or the path of a Unix socket")
 	}
 	root.AddCommand(serveCommand())
 	root.AddCommand(adminCommands...)
@@ -43,24 +43,24 @@
 	return command
 }
 
-// rolloutFlags are those of commands that begin a rollout.
+// rolloutFlags are the flags of commands that start a rollout.
 type rolloutFlags struct {
 	immediate bool
 	wait      time.Duration
 }
 
 func (f *rolloutFlags) add(command *cobra.Command) {
-	command.Flags().BoolVar(&f.immediate, "now", false, "to all routers at once, without stages")
-	command.Flags().DurationVar(&f.wait, "wait", 0, "wait so long until it is everybody's; exit 1 where it is halted or not done")
+	command.Flags().BoolVar(&f.immediate, "now", false, "roll out to all routers at once, without stages")
+	command.Flags().DurationVar(&f.wait, "wait", 0, "wait up to this long until all routers run it; exit 1 if it is halted or takes longer")
 }
 
 func pushCommand(client *adminClient) *cobra.Command {
 	var flags rolloutFlags
 	var unchecked bool
 	command := &cobra.Command{
-		Use: "push FILE", Short: "Check settings and begin their rollout; exit 1 where they are refused", Args: cobra.ExactArgs(1),
-		Long: "Check settings and begin their rollout: one router, a tenth, all. FILE may be a folder, whose\n" +
-			"files *.edn are one text, or - for standard input.",
+		Use: "push FILE", Short: "Check settings and start their rollout; exit 1 if they are rejected", Args: cobra.ExactArgs(1),
+		Long: "Check settings and start their rollout: one router, a tenth, all. FILE may be a folder, whose\n" +
+			"files *.edn form one text, or - for standard input.",
 		Example: "  spool-control push edge.edn\n  spool-control push settings.d --now\n  spool-control push edge.edn --wait 5m",
 		RunE: func(c *cobra.Command, args []string) error {
 			name, text, err := readSettings(args[0])
@@ -74,7 +74,7 @@
 		},
 	}
 	flags.add(command)
-	command.Flags().BoolVar(&unchecked, "unchecked", false, "also what does not pass the service's checks; routers make theirs")
+	command.Flags().BoolVar(&unchecked, "unchecked", false, "skip the service's checks; routers still check the settings")
 	return command
 }
 
@@ -85,7 +85,7 @@
 		Example: "  spool-control rollback 17 --now",
 		RunE: func(c *cobra.Command, args []string) error {
 			if _, err := strconv.ParseInt(args[0], 10, 64); err != nil {
-				return fmt.Errorf("%q is no version's number; see spool-control versions", args[0])
+				return fmt.Errorf("%q is not a version number; see spool-control versions", args[0])
 			}
 			query := url.Values{"to": {args[0]}}
 			setFlag(query, "now", flags.immediate)
@@ -98,7 +98,7 @@
 
 func haltCommand(client *adminClient) *cobra.Command {
 	return &cobra.Command{
-		Use: "halt", Short: "Stop the rollout under way; the old content goes to all", Args: cobra.NoArgs, Example: "  spool-control halt",
+		Use: "halt", Short: "Stop the rollout in progress; all routers get the old content", Args: cobra.NoArgs, Example: "  spool-control halt",
 		RunE: func(c *cobra.Command, _ []string) error { return client.push(c.Context(), "/halt", nil, 0) },
 	}
 }
@@ -106,24 +106,24 @@
 func statusCommand(client *adminClient) *cobra.Command {
 	var asJSON bool
 	command := &cobra.Command{
-		Use: "status", Short: "Which version each router runs, what it refused and why; exit 1 where not all are level", Args: cobra.NoArgs,
+		Use: "status", Short: "Show which version each router runs, and what it rejected and why; exit 1 if not all run the same version", Args: cobra.NoArgs,
 		Example: "  spool-control status\n  spool-control status --json",
 		RunE:    func(c *cobra.Command, _ []string) error { return client.status(c.Context(), asJSON) },
 	}
-	command.Flags().BoolVar(&asJSON, "json", false, "print it as JSON")
+	command.Flags().BoolVar(&asJSON, "json", false, "print the status as JSON")
 	return command
 }
 
 func versionsCommand(client *adminClient) *cobra.Command {
 	return &cobra.Command{
-		Use: "versions", Short: "The versions that are kept", Args: cobra.NoArgs, Example: "  spool-control versions",
+		Use: "versions", Short: "List the stored versions", Args: cobra.NoArgs, Example: "  spool-control versions",
 		RunE: func(c *cobra.Command, _ []string) error { return client.versions(c.Context()) },
 	}
 }
 
 func showCommand(client *adminClient) *cobra.Command {
 	return &cobra.Command{
-		Use: "show NUMBER", Short: "The settings of a version", Args: cobra.ExactArgs(1), Example: "  spool-control show 12 > version-12.edn",
+		Use: "show NUMBER", Short: "Print the settings of a version", Args: cobra.ExactArgs(1), Example: "  spool-control show 12 > version-12.edn",
 		RunE: func(c *cobra.Command, args []string) error {
 			settings, err := client.call(c.Context(), "GET", "/version?number="+url.QueryEscape(args[0]), nil)
 			if err == nil {
--- a/cmd/spool-control/serve.go
+++ b/cmd/spool-control/serve.go
@@ -35,18 +35,18 @@
 	defer running.Close()
 	log.Info("serving", zap.String("name", settings.Service.Name), zap.String("address", running.Addr()), zap.String("admin", running.AdminAddr()))
 	<-ctx.Done()
-	log.Info("ended")
+	log.Info("stopped")
 	return nil
 }
 
-// Delays between attempts to start: they double from the first to the longest.
+// Delays between attempts to start. They double from the first to the maximum.
 const (
 	firstStartDelay = 100 * time.Millisecond
 	maxStartDelay   = 5 * time.Second
 )
 
-// start starts the service. Where its store can't be read or written for now, it
-// tries again until the context ends: without its state it must offer nothing.
+// start starts the service. If its store can't be read or written, it retries until the
+// context ends: without its state the service must not offer anything.
 func start(ctx context.Context, settings *service.Settings, log *zap.Logger) (*service.Service, error) {
 	began := time.Now()
 	for delay := firstStartDelay; ; delay = min(2*delay, maxStartDelay) {
@@ -55,7 +55,7 @@
 		if !errors.As(err, &fault) {
 			return running, err
 		}
-		log.Error("not serving yet: the store can't be read or written for now", zap.Duration("for", time.Since(began)), zap.Error(err))
+		log.Error("not serving yet: the store can't be read or written", zap.Duration("for", time.Since(began)), zap.Error(err))
 		select {
 		case <-time.After(delay):
 		case <-ctx.Done():
@@ -64,7 +64,8 @@
 	}
 }
 
-// newLogger logs to stderr, stdout, a file or, as none, nowhere.
+// newLogger returns a logger that writes to stderr, stdout or a file, or discards
+// everything for none.
 func newLogger(where string) (*zap.Logger, error) {
 	if where == "none" {
 		return zap.NewNop(), nil
