--- a/cmd/spool-control/admin.go
+++ b/cmd/spool-control/admin.go
@@ -144,7 +144,7 @@
 	}
 	fmt.Fprintln(w)
 	if view.StateFault != "" {
-		fmt.Fprintf(w, "the state can't be persisted since %s, for %v; nothing is offered until it can: %s\n", view.StateFaultSince,
+		fmt.Fprintf(w, "persisting the state has failed since %s, for %v; nothing is offered until it succeeds: %s\n", view.StateFaultSince,
 			wholeSeconds(view.StateFaultMs), view.StateFault)
 	}
 	if view.Halted != "" {
--- a/internal/controlplane/service/admin_test.go
+++ b/internal/controlplane/service/admin_test.go
@@ -11,7 +11,7 @@
 	"go.uber.org/zap"
 )
 
-// What operators ask for, and what they are answered where it can't be.
+// Operators' requests succeed, or fail with the right status and reasons.
 func TestAdminRequests(t *testing.T) {
 	dir := t.TempDir()
 	service, err := startService(dir, "(max-bytes 100000)", zap.NewNop())
@@ -37,10 +37,10 @@
 	}
 	result := push("/push?name=b.edn", string(settingsText(3, "(zone y (routers 1))\n(limits (held 0))")), 422)
 	if len(result.Reasons) != 1 || !strings.Contains(result.Reasons[0], "b.edn:3:") {
-		t.Errorf("a fault: %+v", result)
+		t.Errorf("settings with a fault: %+v", result)
 	}
 	if result = push("/push", string(settingsText(3, "(zone y (routers 1))")), 422); len(result.Reasons) != 1 || !strings.Contains(result.Reasons[0], "zone/y") {
-		t.Errorf("no sense: %+v", result)
+		t.Errorf("settings that fail a check: %+v", result)
 	}
 	push("/push", strings.Repeat(" ", 100001), 413)
 	if result = push("/push?now", string(settingsText(4, "")), 200); result.Number != 2 {
@@ -67,7 +67,7 @@
 		push("/push", string(settingsText(3, fmt.Sprintf("(limits (held %d))", 100+i))), 200)
 	}
 	if versions, err := service.store.History(time.Now()); err != nil || len(versions) > 6 || versions[0].Version.Number != 4 && service.View().Base == 4 {
-		t.Errorf("%d versions are kept, the first of them %d: %v", len(versions), versions[0].Version.Number, err)
+		t.Errorf("%d versions are stored, the first of them %d: %v", len(versions), versions[0].Version.Number, err)
 	}
 	push("/halt", "", 200)
 	if view := service.View(); view.Next != 0 || view.Halted == "" && view.Last == 13 && view.Base != 13 {
--- a/internal/controlplane/service/agent_test.go
+++ b/internal/controlplane/service/agent_test.go
@@ -15,9 +15,9 @@
 	"indigospool/internal/controlplane/configversion"
 )
 
-// A router whose disk takes no writes for a while: it replies nothing to a version until
-// that is stored, rejects none, and recovers by itself; status says why and since
-// when.
+// While a router's disk can't be written, the router neither acknowledges nor rejects a
+// version until that is stored. It recovers by itself, and its status has the cause and
+// the start of the fault.
 func TestAgentStoreFault(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EIO, syscall.ENOSPC} {
 		for _, onlySync := range []bool{false, true} {
@@ -58,7 +58,7 @@
 	}
 }
 
-// A version that can't be stored for long is rejected with every reason; it is
+// A version that can't be stored within the timeout is rejected with the reason, and is
 // accepted when it is offered again.
 func TestAgentStoreTimeout(t *testing.T) {
 	files := &faultyFiles{}
@@ -82,8 +82,8 @@
 	waitFor(t, "version 3", allRunning([]*testRouter{router}, 3))
 }
 
-// A router that has nothing to run does not wait for its disk: it runs what is
-// offered, and acknowledges it once it is stored. A stored version is run when it can be
+// A router without a running version does not wait for its disk: it runs the offered
+// version and acknowledges it once it is stored. A stored version is run once it can be
 // read.
 func TestAgentStartsDuringStoreFault(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "good.db")
@@ -130,8 +130,8 @@
 	}
 }
 
-// A router that restarts begins with its last good version, without a service,
-// and takes nothing older from one that comes back with its past.
+// A restarted router starts with its last good version, without a service, and rejects
+// older versions from a service that lost its latest state.
 func TestRouterRestart(t *testing.T) {
 	bothProtocols(t, func(t *testing.T, full bool) {
 		stateStore := &memoryStateStore{}
@@ -159,7 +159,7 @@
 			t.Fatalf("after the restart: version %d", n)
 		}
 		server, _ = startServer(t, addr, &memoryStateStore{state: past}, 50)
-		server.PushUnchecked(settingsText(5, ""), true) // it believes that this is number 2
+		server.PushUnchecked(settingsText(5, ""), true) // the service assigns number 2 again
 		waitFor(t, "the rejection", func() bool {
 			status := server.Status().Routers
 			return len(status) == 1 && status[0].Rejected == 2 && strings.Contains(strings.Join(status[0].Reasons, " "), "other content")
@@ -172,8 +172,9 @@
 	})
 }
 
-// Two services that disagree: the one in charge stays so until its lease has ended, also
-// when the stream of one of them breaks, and the routers don't flap.
+// Of two services that disagree, the one in charge stays in charge until its lease has
+// expired, even if the stream of either breaks, and the routers do not switch back and
+// forth.
 func TestTwoServicesDisagree(t *testing.T) {
 	first, firstAddr := startServer(t, "127.0.0.1:0", &memoryStateStore{}, 50)
 	secondState := &memoryStateStore{}
@@ -191,25 +192,25 @@
 	lease := 3 * time.Second
 	router := startRouterWith(t, AgentConfig{Router: "r", Services: []string{firstAddr, listener.Addr().String()}, HeartbeatInterval: 50 * time.Millisecond,
 		Machine: configversion.MachineSettings{Jitter: 50, Lease: float64(lease.Milliseconds())}})
-	waitFor(t, "version 1 of the first", allRunning([]*testRouter{router}, 1))
+	waitFor(t, "version 1 of the first service", allRunning([]*testRouter{router}, 1))
 	first.Stop()
 	stoppedAt := time.Now()
-	waitFor(t, "the rejection at the other", func() bool { status := second.Status().Routers; return len(status) == 1 && status[0].Rejected == 20 })
+	waitFor(t, "the rejection at the second service", func() bool { status := second.Status().Routers; return len(status) == 1 && status[0].Rejected == 20 })
 	if n, _ := router.Running(); n != 1 {
-		t.Errorf("flapped to %d while the first was silent for less than its lease", n)
+		t.Errorf("switched to %d before the first service's lease expired", n)
 	}
 	if status := second.Status().Routers; !strings.Contains(strings.Join(status[0].Reasons, " "), "is in charge") {
-		t.Errorf("the other has the reasons %q", status[0].Reasons)
+		t.Errorf("reasons at the second service: %q", status[0].Reasons)
 	}
-	waitFor(t, "the other in charge", allRunning([]*testRouter{router}, 20))
+	waitFor(t, "the second service in charge", allRunning([]*testRouter{router}, 20))
 	if took := time.Since(stoppedAt); took < lease*9/10 {
-		t.Errorf("the other was believed after %v", took)
+		t.Errorf("the second service was followed after %v", took)
 	}
 }
 
-// A router that is killed between its acknowledgement of a version and its use runs that
-// version; one killed before it was on disk never acknowledged it, and is offered it
-// again.
+// A router killed after it acknowledged a version and before it activated it runs that
+// version after the restart. A router killed before the version was on disk never
+// acknowledged it, and is offered it again.
 func TestRouterKilledBetweenAcceptanceAndUse(t *testing.T) {
 	bothProtocols(t, func(t *testing.T, full bool) {
 		server, addr := startServer(t, "127.0.0.1:0", &memoryStateStore{}, 50)
@@ -237,7 +238,7 @@
 		server.PushUnchecked(settingsText(4, ""), true)
 		waitFor(t, "the acknowledgement of version 2", func() bool { return server.Status().Routers[0].Running == 2 })
 		if n, _ := router.Running(); n != 1 {
-			t.Fatalf("version %d is in use before its time", n)
+			t.Fatalf("version %d is activated too early", n)
 		}
 		router.Close()
 		store.Close()
@@ -245,14 +246,14 @@
 		router, store = start(path, 3.6e6)
 		defer store.Close()
 		if n, _ := router.Running(); n != 2 {
-			t.Errorf("killed between disk and use: runs %d", n)
+			t.Errorf("killed between storing and activation: runs %d", n)
 		}
 		router.Close()
 		server, _ = startServer(t, addr, &memoryStateStore{state: server.Status().State}, 50)
 		router, store = start(before, 50)
 		defer store.Close()
 		if n, _ := router.Running(); n != 1 {
-			t.Errorf("killed before the disk: runs %d", n)
+			t.Errorf("killed before storing: runs %d", n)
 		}
 		waitFor(t, "version 2, offered again", allRunning([]*testRouter{router}, 2))
 	})
--- a/internal/controlplane/service/certificates_test.go
+++ b/internal/controlplane/service/certificates_test.go
@@ -42,7 +42,7 @@
 	return authority
 }
 
-// issue writes a certificate for a name into the files of keys.
+// issue writes a certificate for a name, and its key, to files.
 func (a *testAuthority) issue(files *CertificateFiles, name string, until time.Duration) {
 	a.serial++
 	key, _ := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -72,8 +72,8 @@
 	return files
 }
 
-// Both sides show certificates; expired ones, a wrong name and a wrong
-// authority are each rejected with the reason; new files are used without a
+// Both sides present certificates. An expired certificate, a wrong name and a wrong
+// authority are each rejected with the reason, and renewed files are used without a
 // restart.
 func TestMutualTLS(t *testing.T) {
 	dir := t.TempDir()
@@ -129,25 +129,25 @@
 		bad := connect(c.files, c.service)
 		waitFor(t, c.name, warned(bad, c.want))
 		if n := bad.activations.Load(); n > 0 {
-			t.Errorf("%s: a version came through", c.name)
+			t.Errorf("%s: a version was received", c.name)
 		}
 		bad.Close()
 	}
-	// a good certificate speaks for its own router only
+	// a valid certificate is accepted for its own router only
 	impostor := startRouterWith(t, AgentConfig{Router: "r9", Services: []string{listener.Addr().String()},
 		DialOptions: []grpc.DialOption{grpc.WithTransportCredentials(good.certificateFiles(dir, "r1", "r1", time.Hour).ClientCredentials("control.example.org"))}})
 	waitFor(t, "another router's name", warned(impostor, `is not valid for router "r9"`))
 	impostor.Close()
-	// the expired router gets a new certificate, and comes in without a restart
+	// a router whose expired certificate is renewed connects without a restart
 	renewed := good.certificateFiles(dir, "r5", "r5", -time.Hour)
 	renewedRouter := connect(renewed, "control.example.org")
 	waitFor(t, "its rejection", warned(renewedRouter, `certificate of "r5"`))
-	time.Sleep(20 * time.Millisecond) // another time of change
+	time.Sleep(20 * time.Millisecond) // gives the renewed files another modification time
 	good.issue(renewed, "r5", time.Hour)
 	waitFor(t, "the renewed router", allRunning([]*testRouter{renewedRouter}, 1))
 }
 
-// Files that can't be read leave the certificates read before in force.
+// If changed files can't be read, the certificates read before stay in use.
 func TestUnreadableCertificateFiles(t *testing.T) {
 	dir := t.TempDir()
 	certificates := newAuthority(t, "a").certificateFiles(dir, "x", "x", time.Hour)
--- a/internal/controlplane/service/delta_test.go
+++ b/internal/controlplane/service/delta_test.go
@@ -15,7 +15,7 @@
 	"indigospool/internal/controlplane/configversion"
 )
 
-// byteCounter counts the bytes of what a service sends.
+// byteCounter counts the bytes that a service sends.
 type byteCounter struct {
 	stats.Handler
 	sent atomic.Int64
@@ -33,8 +33,8 @@
 	}
 }
 
-// By the incremental protocol a change of one member costs about that member,
-// also after a reconnect, and what arrives is the version to the byte.
+// In the incremental protocol, changing one member sends about the size of that member,
+// also after a reconnect, and the received version is identical to the byte.
 func TestDeltaSendsOnlyChanges(t *testing.T) {
 	stateStore, sent := &memoryStateStore{}, &byteCounter{}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -50,15 +50,15 @@
 	waitFor(t, "version 1", allRunning([]*testRouter{router}, 1))
 	complete := sent.sent.Swap(0)
 	if complete < int64(len(first)) {
-		t.Fatalf("%d bytes were sent of a version of %d", complete, len(first))
+		t.Fatalf("only %d bytes were sent for a version of %d bytes", complete, len(first))
 	}
 	server.PushUnchecked(second, true)
 	waitFor(t, "version 2", allRunning([]*testRouter{router}, 2))
 	if n := sent.sent.Swap(0); n > 400 {
-		t.Errorf("one more member took %d bytes; the complete settings take %d", n, len(second))
+		t.Errorf("an added member took %d bytes; the complete settings have %d", n, len(second))
 	}
 	if v := router.acceptedVersion(); string(v.Body) != string(second) {
-		t.Errorf("%d bytes arrived of %d", len(v.Body), len(second))
+		t.Errorf("received %d bytes, want %d", len(v.Body), len(second))
 	}
 	server.mu.Lock()
 	for _, status := range server.streams {
@@ -72,12 +72,12 @@
 	server.PushUnchecked(canonical(t, 300, ""), true)
 	waitFor(t, "version 3", allRunning([]*testRouter{router}, 3))
 	if n := sent.sent.Swap(0); n > 800 {
-		t.Errorf("after a reconnect, one member less took %d bytes", n)
+		t.Errorf("after a reconnect, a removed member took %d bytes", n)
 	}
 }
 
-// Where the two sides disagree about what a router has, the checksum shows it, and the
-// complete settings are sent.
+// If the two sides disagree about the router's pieces, the checksum does not match, and
+// the complete settings are sent on a second stream.
 func TestDeltaStateMismatch(t *testing.T) {
 	stateStore := &memoryStateStore{}
 	server, addr := startServer(t, "127.0.0.1:0", stateStore, 50)
@@ -102,7 +102,8 @@
 	}
 }
 
-// mismatchedServer is a service that first takes a router to have what it has not.
+// mismatchedServer is a service that on the first stream assumes that the router has a
+// piece that it was never sent.
 type mismatchedServer struct {
 	discovery.UnimplementedAggregatedDiscoveryServiceServer
 	first   []byte
@@ -123,7 +124,7 @@
 			return err
 		}
 		peer.acceptedVersions = maps.Clone(peer.accepted.versions)
-		peer.acceptedVersions["member/b31"] = pieceVersion(splitPieces(m.next.Body)["member/b31"]) // which the router was never sent
+		peer.acceptedVersions["member/b31"] = pieceVersion(splitPieces(m.next.Body)["member/b31"]) // never sent to the router
 		peer.accepted = nil
 	}
 	if err := peer.send(m.next, "bad"); err != nil {
--- a/internal/controlplane/service/folder_test.go
+++ b/internal/controlplane/service/folder_test.go
@@ -14,8 +14,7 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// A folder's content that could not be offered while nothing can be persisted is offered
-// afterwards.
+// A folder's content that can't be offered during a store fault is offered afterwards.
 func TestFolderDuringStoreFault(t *testing.T) {
 	dir := t.TempDir()
 	folder := filepath.Join(dir, "set")
@@ -28,21 +27,21 @@
 	}
 	files.setFault(syscall.ENOSPC)
 	if _, err := service.PushUnchecked(settingsText(4, ""), true); err == nil {
-		t.Fatal("acknowledged")
+		t.Fatal("a push was acknowledged that was not persisted")
 	}
 	if delay := service.offerFolder(); delay >= folderPollInterval {
-		t.Errorf("read again after %v", delay)
+		t.Errorf("the folder is read again only after %v", delay)
 	}
 	files.setFault(nil)
-	waitFor(t, "the service", func() bool { return service.View().StateFault == "" })
+	waitFor(t, "the service's recovery", func() bool { return service.View().StateFault == "" })
 	service.offerFolder()
 	if v := service.View(); v.Last != 2 {
 		t.Errorf("the folder's content was not offered: %+v", v)
 	}
 }
 
-// What changes in a folder is offered once, also over a restart: a halted
-// content does not come back by itself.
+// A folder's content is offered once, also across a restart: content whose rollout was
+// halted is not offered again.
 func TestFolderIsOfferedOnce(t *testing.T) {
 	dir := t.TempDir()
 	folder := filepath.Join(dir, "set")
@@ -65,14 +64,14 @@
 	}
 	waitFor(t, "the folder's first version", func() bool { return service.View().Base == 1 })
 	write("20-members.edn", text[firstMember:]+"(member oops (zone nowhere) (address \"127.0.0.1:1\"))")
-	waitFor(t, "the fault with its file", func() bool {
+	waitFor(t, "the fault with its file name", func() bool {
 		return len(logs.Filter(func(e observer.LoggedEntry) bool {
 			return strings.Contains(e.Message, "20-members.edn:4:") && strings.Contains(e.Message, `"nowhere" is no zone`)
 		}).All()) == 1
 	})
 	write("20-members.edn", text[firstMember:]+"(member more (zone z) (address \"127.0.0.1:1\"))")
 	waitFor(t, "the second", func() bool { return service.View().Last == 2 })
-	service.Halt("by the test") // no router is there: it is in its first stage
+	service.Halt("by the test") // without routers, the rollout stays in its first stage
 	waitFor(t, "the old content as a third", func() bool { v := service.View(); return v.Base == 3 && v.Next == 0 })
 	service.Close()
 	if service, err = startService(dir, fmt.Sprintf("(folder %q)", folder), zap.NewNop()); err != nil {
@@ -81,7 +80,7 @@
 	defer service.Close()
 	time.Sleep(2 * folderSettleTime)
 	if v := service.View(); v.Last != 3 {
-		t.Errorf("a halted content came back by itself: %+v", v)
+		t.Errorf("halted content was offered again: %+v", v)
 	}
 	write("30-more.edn", "(limits (held 777))")
 	waitFor(t, "the next change", func() bool { return service.View().Last == 4 })
--- a/internal/controlplane/service/harness_test.go
+++ b/internal/controlplane/service/harness_test.go
@@ -25,16 +25,16 @@
 	"indigospool/internal/controlplane/rollout"
 )
 
-// faultyFiles is a file system whose writes fail while it has a fault.
+// faultyFiles is a file system whose writes fail while a fault is set.
 type faultyFiles struct {
 	configstore.Disk
 	mu        sync.Mutex
 	fault     error
-	onlySync  bool // only syncs fail: what was written may last, or not
+	onlySync  bool // writes succeed but syncs fail, so that data may or may not be on disk
 	failReads bool // reads fail too
 }
 
-// setFault has writes fail from now on or, with nil, succeed again.
+// setFault makes writes fail from now on or, with nil, succeed again.
 func (f *faultyFiles) setFault(fault error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -73,7 +73,7 @@
 	}
 }
 
-// startServiceOn starts a service whose stages last at least minStageTime ms.
+// startServiceOn starts a service with a minimum stage time in ms.
 func startServiceOn(t *testing.T, files configstore.FileSystem, store string, minStageTime int, onSend func(string, configversion.Version)) *Service {
 	t.Helper()
 	var settings Settings
@@ -89,7 +89,7 @@
 	return service
 }
 
-// settingsText is a text of settings with some caches, and extra sections.
+// settingsText returns settings with the given number of caches, and extra sections.
 func settingsText(caches int, extra string) []byte {
 	var text strings.Builder
 	text.WriteString(`(router (zone z) (of 400)) (zone z (routers 4)) (class c) (route "/c/{object}" (class c))` + "\n" + extra + "\n")
@@ -99,7 +99,7 @@
 	return []byte(text.String())
 }
 
-// canonical is settingsText as a service makes it canonical.
+// canonical returns the canonical text of settingsText.
 func canonical(t testing.TB, caches int, extra string) []byte {
 	text, reasons := Validate([]config.Source{{File: "test", Text: string(settingsText(caches, extra))}}, nil, NoLimits())
 	if len(reasons) > 0 {
@@ -108,7 +108,7 @@
 	return text
 }
 
-// memoryStateStore has a service's state over its restarts.
+// memoryStateStore keeps a service's state in memory, across restarts of the service.
 type memoryStateStore struct {
 	mu    sync.Mutex
 	state rollout.State
@@ -130,14 +130,14 @@
 	return m.state
 }
 
-// setFault has saving fail from now on or, with nil, succeed again.
+// setFault makes saving fail from now on or, with nil, succeed again.
 func (m *memoryStateStore) setFault(err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.err = err
 }
 
-// startServer starts a server at an address whose stages last at least minStageTime ms.
+// startServer starts a server at an address, with a minimum stage time in ms.
 func startServer(t testing.TB, addr string, store *memoryStateStore, minStageTime float64) (*Server, string) {
 	var listener net.Listener
 	var err error
@@ -158,13 +158,13 @@
 	return server, listener.Addr().String()
 }
 
-// bothProtocols runs a test by both protocols.
+// bothProtocols runs a test with each protocol.
 func bothProtocols(t *testing.T, f func(t *testing.T, full bool)) {
 	t.Run("full", func(t *testing.T) { f(t, true) })
 	t.Run("delta", func(t *testing.T) { f(t, false) })
 }
 
-// testRouter is an agent that counts the versions it is to run and its warnings.
+// testRouter is an agent that records its warnings and counts its activations.
 type testRouter struct {
 	*Agent
 	activations atomic.Int64
@@ -177,7 +177,7 @@
 	return startRouterWith(t, AgentConfig{Router: name, Services: services, Seed: seed, Store: store, StateOfTheWorld: full, Machine: configversion.MachineSettings{Jitter: 50}})
 }
 
-// startRouterWith is startRouter by a configuration, which it completes.
+// startRouterWith is like startRouter, with a configuration that it completes.
 func startRouterWith(t testing.TB, cfg AgentConfig) *testRouter {
 	router := &testRouter{}
 	cfg.Backoff = 20 * time.Millisecond
@@ -191,7 +191,7 @@
 	return router
 }
 
-// waitFor waits for a condition, 15 s at the longest.
+// waitFor waits up to 15 s for a condition.
 func waitFor(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for range 1500 {
@@ -200,10 +200,10 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("waited in vain for %s", what)
+	t.Fatalf("timeout waiting for %s", what)
 }
 
-// allRunning returns a condition: that all routers run a version.
+// allRunning returns a condition that is true once all routers run the given version.
 func allRunning(routers []*testRouter, number int64) func() bool {
 	return func() bool {
 		for _, r := range routers {
@@ -254,7 +254,8 @@
 	return Start(&settings, log, nil)
 }
 
-// adminRequest sends an operator's request, and returns the answer's status and body.
+// adminRequest sends an operator's request, and returns the status and body of the
+// response.
 func adminRequest(t *testing.T, service *Service, method, path, text string) (int, []byte) {
 	t.Helper()
 	request, err := http.NewRequest(method, "http://"+service.AdminAddr()+path, strings.NewReader(text))
--- a/internal/controlplane/service/pieces_test.go
+++ b/internal/controlplane/service/pieces_test.go
@@ -10,12 +10,12 @@
 	"indigospool/internal/config"
 )
 
-// However settings change, pieces put together are the text to the byte, and the
-// pieces that differ lead from one text to the other.
+// For any settings, joining the pieces gives the text to the byte, and the pieces that
+// differ transform one text into the other.
 func TestSplitAndJoinPieces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		drawText := func(name string) []byte {
-			if rapid.IntRange(0, 9).Draw(t, name+" is no settings") == 0 {
+			if rapid.IntRange(0, 9).Draw(t, name+" is not settings") == 0 {
 				return rapid.SliceOfN(rapid.Byte(), 0, 60).Draw(t, name)
 			}
 			var settings config.Settings
@@ -55,7 +55,7 @@
 	})
 }
 
-// A change of one member in canonical settings is one piece.
+// In canonical settings, adding a member adds one piece and changes no other.
 func TestOneMemberIsOnePiece(t *testing.T) {
 	before, after := splitPieces(canonical(t, 12, "")), splitPieces(canonical(t, 13, ""))
 	if len(before) < 12 || len(after) != len(before)+1 {
--- a/internal/controlplane/service/service_test.go
+++ b/internal/controlplane/service/service_test.go
@@ -20,7 +20,7 @@
 	"indigospool/internal/controlplane/configstore"
 )
 
-const childEnv = "CONTROL_TEST_CHILD" // folder of a service that is to be killed
+const childEnv = "CONTROL_TEST_CHILD" // folder of the service in the child process, which is killed
 
 func TestMain(m *testing.M) {
 	if dir := os.Getenv(childEnv); dir != "" {
@@ -32,7 +32,7 @@
 	os.Exit(m.Run())
 }
 
-// childService pushes versions as fast as it can and prints which it has pushed.
+// childService pushes versions continuously and prints each one.
 func childService(dir string) error {
 	service, err := startService(dir, "", zap.NewNop())
 	if err != nil {
@@ -51,7 +51,7 @@
 	}
 }
 
-// startChild starts childService in a process of its own, and returns its output.
+// startChild starts childService in a child process, and returns its output.
 func startChild(t *testing.T, dir string) (*exec.Cmd, *bufio.Scanner) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
@@ -66,8 +66,9 @@
 	return cmd, bufio.NewScanner(stdout)
 }
 
-// Killed at any moment, a service goes on with what it had persisted: no number is
-// given to two contents, none goes back, and it is known as the same service.
+// A service killed at any moment continues from its persisted state: no number is
+// assigned to two contents, numbers do not decrease, and the service keeps its
+// identity.
 func TestServiceKilled(t *testing.T) {
 	dir := t.TempDir()
 	random := rand.New(rand.NewPCG(1, 2))
@@ -84,15 +85,15 @@
 			var sum string
 			if _, err := fmt.Sscan(scanner.Text(), &number, &sum); err != nil || len(sum) != 64 {
 				if !strings.HasPrefix(scanner.Text(), "error") {
-					return false // cut by the kill
+					return false // truncated by the kill
 				}
 				t.Fatal(scanner.Text())
 			}
 			if before, ok := sums[number]; ok && before != sum {
-				t.Fatalf("number %d was given to two contents", number)
+				t.Fatalf("number %d was assigned to two contents", number)
 			}
 			if number <= last {
-				t.Fatalf("number %d was given after %d", number, last)
+				t.Fatalf("number %d was assigned after %d", number, last)
 			}
 			sums[number], last = sum, number
 			return true
@@ -112,7 +113,7 @@
 		view := service.View()
 		service.Close()
 		if view.Last < last || name != "" && view.Service != name {
-			t.Fatalf("after a kill: last number %d, %d was said; service %s, %s before", view.Last, last, view.Service, name)
+			t.Fatalf("after a kill: last number %d, but %d was reported; service %s, but %s before", view.Last, last, view.Service, name)
 		}
 		last, name = view.Last, view.Service
 	}
@@ -121,8 +122,8 @@
 	}
 }
 
-// A damaged store is quarantined and logged; numbers go on above what routers have
-// accepted.
+// A damaged store is quarantined and logged, and numbering continues above what routers
+// have accepted.
 func TestDamagedServiceStore(t *testing.T) {
 	dir := t.TempDir()
 	service, err := startService(dir, "", zap.NewNop())
@@ -170,7 +171,8 @@
 	waitFor(t, "the next number", allRunning([]*testRouter{router}, last+1))
 }
 
-// A service as a program runs it, with certificates.
+// A service requires certificates from its routers, and does not start without its own
+// files.
 func TestServiceWithCertificates(t *testing.T) {
 	dir := t.TempDir()
 	authority := newAuthority(t, "good")
@@ -192,6 +194,6 @@
 	}
 	if _, err := startService(t.TempDir(), `(cert "none.pem") (key "none.key") (authorities "none.ca")`, zap.NewNop()); err == nil ||
 		!strings.Contains(err.Error(), "none.pem") {
-		t.Errorf("files that are not there: %v", err)
+		t.Errorf("missing files: %v", err)
 	}
 }
--- a/internal/controlplane/service/storefault.go
+++ b/internal/controlplane/service/storefault.go
@@ -24,11 +24,11 @@
 
 // Error returns a message with the start, the cause and the effect on the request.
 func (e *PersistError) Error() string {
-	then := "nothing is accepted or offered until then; retry later"
+	then := "nothing is accepted or offered until it succeeds; retry later"
 	if e.Queued {
-		then = "the request is executed once it is, and is lost if the service ends before"
+		then = "the request is executed once it succeeds, and is lost if the service ends before"
 	}
-	return fmt.Sprintf("control: the state can't be persisted since %s, for %v: %v; %s", e.Since.UTC().Format(time.TimeOnly),
+	return fmt.Sprintf("control: persisting the state has failed since %s, for %v: %v; %s", e.Since.UTC().Format(time.TimeOnly),
 		time.Since(e.Since).Round(time.Millisecond), e.Err, then)
 }
 
@@ -75,7 +75,7 @@
 		backoff:         firstRetryDelay,
 		deferredActions: deferred,
 	}
-	s.recordEvent("the state can't be persisted; nothing is offered until it can: %v", err)
+	s.recordEvent("persisting the state failed; nothing is offered until it succeeds: %v", err)
 }
 
 // persistError returns why nothing is accepted, or nil if the state can be persisted.
--- a/internal/controlplane/service/storefault_test.go
+++ b/internal/controlplane/service/storefault_test.go
@@ -20,10 +20,11 @@
 	"indigospool/internal/controlplane/configversion"
 )
 
-// A disk that takes no writes for a while, longer than the answer timeout of a rollout,
-// during a push, a rollback or a halt: nothing is offered or acknowledged that is not
-// persisted, streams and requests are rejected with a typed error, status says since when
-// and why, the service recovers by itself, and a kill loses nothing acknowledged.
+// While the service's disk can't be written, for longer than a rollout's answer
+// timeout, during a push, a rollback or a halt: nothing is offered or acknowledged that
+// is not persisted, streams and requests fail with a typed error, and the status has
+// the cause and the start of the fault. The service recovers by itself, and a kill
+// loses nothing that was acknowledged.
 func TestServiceStoreFault(t *testing.T) {
 	steps := map[string]string{"push": "/push", "push now": "/push?now", "rollback": "/rollback?to=1&now", "halt": "/halt"}
 	for name, path := range steps {
@@ -43,7 +44,7 @@
 	var offered []int64
 	path := filepath.Join(t.TempDir(), "svc.db")
 	minStageTime := 20
-	if step == "/halt" { // there has to be a rollout to stop
+	if step == "/halt" { // needs a rollout in progress
 		minStageTime = 60000
 	}
 	service := startServiceOn(t, files, path, minStageTime, func(_ string, v configversion.Version) {
@@ -94,35 +95,35 @@
 	}
 	view := service.View()
 	if view.StateFault == "" || view.StateFaultSince == "" || view.StateFaultMs < 600 || view.Base != before.Base || view.Next != before.Next || view.Last != before.Last {
-		t.Errorf("status says %+v, it was %+v", view, before)
+		t.Errorf("status is %+v, was %+v", view, before)
 	}
-	copied, err := os.ReadFile(path) // as a kill would leave it
+	copied, err := os.ReadFile(path) // the state after a kill
 	if err != nil {
 		t.Fatal(err)
 	}
 
 	files.setFault(nil)
-	waitFor(t, "the service", func() bool { return service.View().StateFault == "" })
+	waitFor(t, "the service's recovery", func() bool { return service.View().StateFault == "" })
 	service.mu.Lock()
 	decided := service.rollout.State()
 	service.mu.Unlock()
 	if persisted, err := service.stateStore.load(); err != nil || persisted.LastNumber != decided.LastNumber || persisted.Base.Sum != decided.Base.Sum || persisted.Next.Sum != decided.Next.Sum {
 		t.Errorf("%+v is persisted, %+v was decided: %v", persisted, decided, err)
 	}
-	waitFor(t, "what was asked for, everywhere", func() bool {
+	waitFor(t, "the requested version on all routers", func() bool {
 		v := service.View()
 		return v.Next == 0 && v.Base > before.Base && allRunning([]*testRouter{router, other}, v.Base)()
 	})
 	if v := service.View(); v.Halted != "" && step != "/halt" {
-		t.Errorf("halted for want of answers to what was not sent: %s", v.Halted)
+		t.Errorf("halted because of missing answers to versions that were not sent: %s", v.Halted)
 	}
 	mustPost("/push?now", text(5))
-	waitFor(t, "the newest everywhere", func() bool { return allRunning([]*testRouter{router, other}, service.View().Base)() })
+	waitFor(t, "the newest version on all routers", func() bool { return allRunning([]*testRouter{router, other}, service.View().Base)() })
 	checkAfterKill(t, copied, before)
 }
 
-// checkAfterKill checks that a service which starts with a copy of a store, taken at any
-// moment, has what was acknowledged before.
+// checkAfterKill checks that a service started with a copy of a store has everything
+// that was acknowledged before.
 func checkAfterKill(t *testing.T, copied []byte, before StatusView) {
 	t.Helper()
 	killed := filepath.Join(t.TempDir(), "svc.db")
@@ -131,7 +132,7 @@
 	}
 	restarted := startServiceOn(t, configstore.Disk{}, killed, 20, nil)
 	if v := restarted.View(); v.Last < before.Last || v.Base < before.Base || v.Service != before.Service {
-		t.Errorf("after a kill: %+v, %+v was acknowledged", v, before)
+		t.Errorf("after a kill: %+v, but %+v was acknowledged", v, before)
 	}
 	for number := int64(1); number <= before.Last; number++ {
 		if v, _, err := restarted.store.Version(number); err != nil || v.Number != number {
@@ -140,7 +141,8 @@
 	}
 }
 
-// A service whose state could not be persisted for a while recovers by itself.
+// A service recovers by itself from a time in which its state could not be persisted,
+// and the rollout's clock is paused meanwhile.
 func TestServiceRecoversFromStoreFault(t *testing.T) {
 	stateStore := &memoryStateStore{}
 	server, addr := startServer(t, "127.0.0.1:0", stateStore, 50)
@@ -151,7 +153,7 @@
 	waitFor(t, "version 1", allRunning([]*testRouter{router}, 1))
 	stateStore.setFault(syscall.ENOSPC)
 	if _, err := server.PushUnchecked(settingsText(4, ""), true); err == nil {
-		t.Error("acknowledged")
+		t.Error("a push was acknowledged that was not persisted")
 	}
 	rolloutTime := func() configversion.Millis {
 		server.mu.Lock()
@@ -163,7 +165,7 @@
 	stateStore.setFault(nil)
 	waitFor(t, "the state", func() bool { return server.Status().PersistError == nil })
 	if passed := rolloutTime() - began; passed >= 500 {
-		t.Errorf("%v ms of a rollout's answer timeout have passed while nothing could be offered", passed)
+		t.Errorf("the rollout's clock advanced by %v ms while nothing could be offered", passed)
 	}
 	waitFor(t, "a push", func() bool { _, err := server.PushUnchecked(settingsText(5, ""), true); return err == nil })
 	waitFor(t, "the newest", func() bool { n, _ := router.Running(); return n == stateStore.get().Base.Number })
--- a/internal/controlplane/service/stream_test.go
+++ b/internal/controlplane/service/stream_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// Good, bad and repeated versions; then the service stops, and comes back.
+// Valid, invalid and repeated versions are rolled out; then the service stops and
+// returns.
 func TestVersionsByStages(t *testing.T) {
 	bothProtocols(t, func(t *testing.T, full bool) {
 		stateStore := &memoryStateStore{}
@@ -22,10 +23,10 @@
 		if n, err := server.PushUnchecked(settingsText(3, ""), false); n != 1 || err != nil {
 			t.Fatal(n, err)
 		}
-		waitFor(t, "the first version everywhere", allRunning(routers, 1))
+		waitFor(t, "version 1 on all routers", allRunning(routers, 1))
 		server.PushUnchecked(settingsText(4, ""), false)
-		waitFor(t, "the second by stages", allRunning(routers, 2))
-		server.PushUnchecked(settingsText(3, "(zone y (routers 1))"), false) // a zone with routers and without a cache
+		waitFor(t, "version 2 through all stages", allRunning(routers, 2))
+		server.PushUnchecked(settingsText(3, "(zone y (routers 1))"), false) // a zone with routers but without caches
 		waitFor(t, "the halt", func() bool { return stateStore.get().HaltReason != "" })
 		if !strings.Contains(stateStore.get().HaltReason, "1 of 1 routers rejected it") || !strings.Contains(stateStore.get().HaltReason, "zone/y: no cache is listed there") {
 			t.Errorf("halted: %q", stateStore.get().HaltReason)
@@ -43,21 +44,22 @@
 		server.Stop()
 		time.Sleep(100 * time.Millisecond)
 		if !allRunning(routers, 4)() {
-			t.Error("the last good version does not run on without its service")
+			t.Error("the last good version does not keep running without the service")
 		}
 		server, _ = startServer(t, addr, stateStore, 100)
 		waitFor(t, "the streams again", func() bool { return len(server.Status().Routers) == 8 })
 		server.PushUnchecked(settingsText(5, ""), true)
-		waitFor(t, "the fleet to be level", allRunning(routers, 5))
+		waitFor(t, "version 5 on all routers", allRunning(routers, 5))
 		for _, router := range routers {
 			if n := router.activations.Load(); n != 4 {
-				t.Errorf("%d versions were used, want 4: 1, 2, 4 and 5", n)
+				t.Errorf("%d versions were activated, want 4: 1, 2, 4 and 5", n)
 			}
 		}
 	})
 }
 
-// A service whose state can't be persisted offers nothing that it could forget.
+// A service offers nothing while its state can't be persisted, since it could forget
+// that.
 func TestNothingIsOfferedWhenStateIsNotPersisted(t *testing.T) {
 	bothProtocols(t, func(t *testing.T, full bool) {
 		stateStore := &memoryStateStore{err: errors.New("no space left")}
@@ -74,18 +76,19 @@
 	})
 }
 
-// A version of 5 MB comes through; of two services the first one is followed.
+// A version of 5 MB is received, from the second service, since the first does not
+// answer.
 func TestLargeVersionAndSecondService(t *testing.T) {
 	bothProtocols(t, func(t *testing.T, full bool) {
 		stateStore := &memoryStateStore{}
 		server, addr := startServer(t, "127.0.0.1:0", stateStore, 50)
 		router := startRouter(t, full, "r", 1, nil, "127.0.0.1:1", addr)
 		server.PushUnchecked(settingsText(3, "; "+strings.Repeat("x", 5<<20)), true)
-		waitFor(t, "5 MB by the second service", allRunning([]*testRouter{router}, 1))
+		waitFor(t, "5 MB from the second service", allRunning([]*testRouter{router}, 1))
 	})
 }
 
-// Many routers come back at once to a service that takes few streams a second.
+// Many routers reconnect at once to a service that admits few streams per second.
 func TestReconnectingFleet(t *testing.T) {
 	bothProtocols(t, func(t *testing.T, full bool) {
 		stateStore := &memoryStateStore{}
@@ -106,12 +109,12 @@
 		go slow.Serve(listener)
 		defer slow.Stop()
 		slow.PushUnchecked(settingsText(4, ""), true)
-		waitFor(t, "the fleet level again", allRunning(routers, 2))
+		waitFor(t, "version 2 on all routers", allRunning(routers, 2))
 	})
 }
 
-// A version is bounded by the size of a message, and the router goes on with what it
-// has; the service may be slow, and is followed all the same.
+// A version above the message size limit is not received, and the router keeps its
+// version. A slow connection is followed nevertheless.
 func TestOversizedVersionAndSlowService(t *testing.T) {
 	bothProtocols(t, func(t *testing.T, full bool) {
 		stateStore := &memoryStateStore{}
@@ -133,11 +136,11 @@
 		defer listener.Close()
 		go relaySlowly(listener, addr)
 		slow := startRouter(t, full, "slow", 2, nil, listener.Addr().String())
-		waitFor(t, "a version that drips", allRunning([]*testRouter{slow}, 3))
+		waitFor(t, "the version over a slow connection", allRunning([]*testRouter{slow}, 3))
 	})
 }
 
-// relaySlowly passes bytes on a few at a time.
+// relaySlowly relays connections, a few bytes at a time.
 func relaySlowly(listener net.Listener, to string) {
 	for {
 		client, err := listener.Accept()
@@ -168,8 +171,8 @@
 	}
 }
 
-// A service that comes and goes every moment: the routers neither lose what they
-// run nor use anything twice.
+// While a service stops and restarts repeatedly, the routers keep their version and
+// activate nothing twice.
 func TestFlappingService(t *testing.T) {
 	bothProtocols(t, func(t *testing.T, full bool) {
 		stateStore := &memoryStateStore{}
@@ -191,7 +194,7 @@
 		}
 		for _, router := range routers {
 			if n := router.activations.Load(); n != 1 {
-				t.Errorf("version 1 was used %d times", n)
+				t.Errorf("version 1 was activated %d times", n)
 			}
 		}
 		server.PushUnchecked(settingsText(4, ""), true)
