--- a/internal/controlplane/service/agent_test.go
+++ b/internal/controlplane/service/agent_test.go
@@ -211,7 +211,7 @@
 // A router killed after it acknowledged a version and before it activated it runs that
 // version after the restart. A router killed before the version was on disk never
 // acknowledged it, and is offered it again.
-func TestRouterKilledBetweenAcceptanceAndUse(t *testing.T) {
+func TestRouterKilledBeforeActivation(t *testing.T) {
 	bothProtocols(t, func(t *testing.T, full bool) {
 		server, addr := startServer(t, "127.0.0.1:0", &memoryStateStore{}, 50)
 		dir := t.TempDir()
