--- a/internal/controlplane/configstore/image.go
+++ b/internal/controlplane/configstore/image.go
@@ -130,7 +130,7 @@
 				return err
 			}
 			if len(held.versions) > maxEntries {
-				return fmt.Errorf("more than %d versions", maxEntries)
+				return errors.New("more versions than any limit allows")
 			}
 			held.versions = append(held.versions, entry{slices.Clone(key), slices.Clone(value)})
 			return nil
--- a/internal/controlplane/configversion/check.go
+++ b/internal/controlplane/configversion/check.go
@@ -134,7 +134,7 @@
 		}
 		if len(states) > 0 && serving == 0 {
 			c.reject("member/"+source.kind,
-				fmt.Sprintf("no %s is serving, so that none can be filled from: %s", source.role, strings.Join(states, ", ")),
+				fmt.Sprintf("no listed %s is serving: %s", source.role, strings.Join(states, ", ")),
 				"keep one serving, or list none")
 		}
 	}
@@ -170,7 +170,7 @@
 	}
 	if rules.PurgeTakes < rules.PurgeSlack {
 		c.reject("rules/purge-takes",
-			fmt.Sprintf("purged copies are gone after %v ms, but purges take effect only after %v ms", rules.PurgeTakes, rules.PurgeSlack),
+			fmt.Sprintf("purged copies are gone after %v ms, less than the slack of %v ms", rules.PurgeTakes, rules.PurgeSlack),
 			"purge-takes must not be below purge-slack")
 	}
 }
--- a/internal/controlplane/configversion/check_test.go
+++ b/internal/controlplane/configversion/check_test.go
@@ -14,7 +14,7 @@
 		want string // of a reason; empty: accepted
 	}{
 		{"no cache left", body("ddd", "ssss", ""), "zone/z: none of its 3 caches is serving"},
-		{"no parent serves", body("sss", "dddd", ""), "no parent is serving, so that none can be filled from: p0 is draining"},
+		{"no parent serves", body("sss", "dddd", ""), "no listed parent is serving: p0 is draining"},
 		{"too many parents change at once", body("sss", "s-ss----ssss", ""), "parents are added or removed at once"},
 		{"caches removed within the limit", body("--s", "ssss", ""), ""},
 		{"unknown class", replaceInValid("(class c))", "(class d))"), `class "d" is not given`},
@@ -28,7 +28,7 @@
 		{"no cache listed", body("", "ssss", ""), "zone/z: no cache is listed there, though it has routers"},
 		{"unlisted source named", replaceInValid("(member b0", "(member b0 (fill-from b9)"), `source "b9" is not listed`},
 		{"a thousand times the capacity", body("sss", "ssss", "(rules (fall-factor 6000) (loosen true))"), "rules: a cold member could receive"},
-		{"copies gone before purges take effect", body("sss", "ssss", "(rules (purge-takes 100) (loosen true))"), "rules/purge-takes: purged copies are gone after 100 ms"},
+		{"purge time below its slack", body("sss", "ssss", "(rules (purge-takes 100) (loosen true))"), "rules/purge-takes: purged copies are gone after 100 ms"},
 		{"loosening allowed", body("sss", "ssss", "(rules (drain-grace 5000) (loosen true))"), ""},
 		{"all parents removed", body("sss", "", ""), "4 of 4 parents are added or removed at once"},
 		{"routers", replaceInValid("(of 4)", "(of 2)"), "the zones have 4 routers, but the total is 2"},
--- a/internal/controlplane/configversion/churn.go
+++ b/internal/controlplane/configversion/churn.go
@@ -19,7 +19,7 @@
 	if changed > 1 && float64(changed) > c.limits.ParentChurn*float64(len(before)) {
 		c.reject("member/"+c.settings.Fill.ParentKind,
 			fmt.Sprintf("%d of %d parents are added or removed at once", changed, len(before)),
-			fmt.Sprintf("change at most %.0f %% in one version, and wait until the parents are warm", 100*c.limits.ParentChurn))
+			fmt.Sprintf("change at most %.0f %% in one version, and wait until the fills are stable", 100*c.limits.ParentChurn))
 	}
 }
 
--- a/internal/controlplane/configversion/settings.go
+++ b/internal/controlplane/configversion/settings.go
@@ -4,8 +4,8 @@
 
 // MachineSettings configures a Machine. Zero fields are set to the defaults.
 type MachineSettings struct {
-	// Local is the router's own settings file, which takes precedence over a version. It is
-	// nil if the machine does not belong to a particular router.
+	// Local is the router's own settings file, whose router and control sections are used
+	// instead of a version's. It is nil if the machine belongs to no particular router.
 	Local *config.Settings
 	// Limits are the limits of the semantic checks.
 	Limits CheckLimits
--- a/internal/controlplane/rollout/rollout.go
+++ b/internal/controlplane/rollout/rollout.go
@@ -21,7 +21,8 @@
 	"indigospool/internal/controlplane/configversion"
 )
 
-// State is the persistent state of a rollout. A lost state could assign a number twice.
+// State is the persistent state of a rollout. Without it, a restarted service could
+// assign a number twice.
 type State struct {
 	LastNumber int64                 // highest number ever assigned
 	Base       configversion.Version // version for all routers; Number 0: none yet
@@ -48,7 +49,7 @@
 	running    int64                // number of the last accepted version
 	rejected   int64                // number of the rejected version; 0: none
 	reasons    []string             // of the rejection
-	rejectedAt configversion.Millis // or when it was last offered again
+	rejectedAt configversion.Millis // when the version was rejected or last offered again
 	before     requestCounts        // recent counts, from before the current rollout
 	since      requestCounts        // counts since the current rollout began
 }
--- a/internal/controlplane/service/agent.go
+++ b/internal/controlplane/service/agent.go
@@ -22,7 +22,7 @@
 	Machine configversion.MachineSettings
 	// Seed is the seed of the reconnect delays and of the machine.
 	Seed uint64
-	// Store stores versions on disk; nil: nothing is stored.
+	// Store is where versions are stored on disk; nil: nothing is stored.
 	Store *configstore.Store
 	// Initial is the version to run if none is stored or can be read; Number 0: none.
 	Initial configversion.Version
--- a/internal/controlplane/service/server.go
+++ b/internal/controlplane/service/server.go
@@ -43,7 +43,7 @@
 	TickInterval time.Duration
 	// ReportInterval is the interval at which routers report load. Default 10 s.
 	ReportInterval time.Duration
-	// Limits limit what one version may change.
+	// Limits are the limits of the semantic checks.
 	Limits configversion.CheckLimits
 	// OnSend is called before a version is written to a router's stream; may be nil.
 	OnSend func(router string, v configversion.Version)
