--- a/internal/controlplane/configversion/restore_test.go
+++ b/internal/controlplane/configversion/restore_test.go
@@ -42,18 +42,18 @@
 		return New(int64(n), append(body("ss", "ssss", ""), members...))
 	}
 	const old = `(member old (zone z) (start 3) (address "127.0.0.1:3"))`
-	const late, anew = `(member late (zone z) (address "127.0.0.1:1"))`, `(member anew (zone z) (start 2) (address "127.0.0.1:2"))`
+	const added, restarted = `(member added (zone z) (address "127.0.0.1:1"))`, `(member restarted (zone z) (start 2) (address "127.0.0.1:2"))`
 	restoredAfter := func(step float64) Restored {
-		return Restored{Version: with(5, old+late+anew), Age: 100 + step, Earlier: []StoredVersion{
+		return Restored{Version: with(5, old+added+restarted), Age: 100 + step, Earlier: []StoredVersion{
 			{with(2, old), 9000 + step},
-			{with(3, old+strings.Replace(anew, "start 2", "start 1", 1)), 5000 + step},
-			{with(4, old+late+anew), 700 + step}}}
+			{with(3, old+strings.Replace(restarted, "start 2", "start 1", 1)), 5000 + step},
+			{with(4, old+added+restarted), 700 + step}}}
 	}
 	// Ages are based on the wall clock, which may have been stepped.
 	for _, step := range []float64{0, 3000, -3000, 3.6e6, -3.6e6} {
 		test := newMachineTest(t).handle(restoredAfter(step))
 		if !hasAction(test, func(u Activate) bool {
-			return len(u.ListedFor) == 3 && u.ListedFor["late"] == 600 && u.ListedFor["anew"] == 600 && u.ListedFor["old"] == 8900
+			return len(u.ListedFor) == 3 && u.ListedFor["added"] == 600 && u.ListedFor["restarted"] == 600 && u.ListedFor["old"] == 8900
 		}) {
 			t.Errorf("a step of %v ms: listed for %v", step, listedForOf(test))
 		}
@@ -62,7 +62,7 @@
 	back := restoredAfter(0)
 	back.Earlier[2].Age = -3.6e6
 	if test := newMachineTest(t).handle(back); !hasAction(test, func(u Activate) bool {
-		return u.ListedFor["late"] == 0 && u.ListedFor["anew"] == 0 && u.ListedFor["old"] == 8900
+		return u.ListedFor["added"] == 0 && u.ListedFor["restarted"] == 0 && u.ListedFor["old"] == 8900
 	}) {
 		t.Errorf("clock set back between two versions: listed for %v", listedForOf(test))
 	}
--- a/internal/controlplane/endpointcheck/listcheck.go
+++ b/internal/controlplane/endpointcheck/listcheck.go
@@ -49,7 +49,7 @@
 	Zone        string  `json:"zone"`
 	Requests    int     `json:"asked"`     // objects and parts requested
 	CacheMoved  float64 `json:"moved"`     // share of requests that moved to another cache, once all caches are warm
-	ParentMoved float64 `json:"parents"`   // share of fills that moved to another source, once all members are warm
+	SourceMoved float64 `json:"parents"`   // share of fills that moved to another source, once all members are warm
 	RefillMB    float64 `json:"refill_mb"` // size of the requested objects that moved
 	LinkSeconds float64 `json:"link_s"`    // time to transfer RefillMB over the zone's link; 0: link capacity unknown
 	Rejected    int     `json:"refused"`   // requests rejected or waiting immediately after the change
@@ -84,7 +84,7 @@
 	if len(old) > 0 {
 		b, reasons := service.Validate(old, nil, service.NoLimits())
 		if len(reasons) > 0 {
-			return nil, fmt.Errorf("listcheck: the old list is invalid by itself: %s", reasons[0])
+			return nil, fmt.Errorf("endpointcheck: the old list is invalid by itself: %s", reasons[0])
 		}
 		before = b
 	}
@@ -235,7 +235,7 @@
 			z.RefillMB += samples[i].sizeKB / 1024
 		}
 		if before[i].Source != warm[i].Source {
-			z.ParentMoved += 1 / float64(len(samples))
+			z.SourceMoved += 1 / float64(len(samples))
 		}
 		switch k := kinds[atOnce[i].Cache]; {
 		case atOnce[i].Cache == "":
@@ -269,7 +269,7 @@
 	}
 	for _, z := range r.Zones {
 		fmt.Fprintf(w, "zone %s: of %d objects and parts %.1f %% move to another cache, and %.1f %% of the fills to another source; %.1f MB to refill",
-			z.Zone, z.Requests, 100*z.CacheMoved, 100*z.ParentMoved, z.RefillMB)
+			z.Zone, z.Requests, 100*z.CacheMoved, 100*z.SourceMoved, z.RefillMB)
 		if z.LinkSeconds > 0 {
 			fmt.Fprintf(w, ", which takes the zone's link %.0f s", z.LinkSeconds)
 		}
--- a/internal/controlplane/endpointcheck/listcheck_test.go
+++ b/internal/controlplane/endpointcheck/listcheck_test.go
@@ -48,7 +48,7 @@
 		t.Fatalf("%+v", r)
 	}
 	for _, z := range r.Zones {
-		if z.CacheMoved != 0 || z.ParentMoved != 0 || z.RefillMB != 0 || z.Requests < 400 || z.Rejected > 0 {
+		if z.CacheMoved != 0 || z.SourceMoved != 0 || z.RefillMB != 0 || z.Requests < 400 || z.Rejected > 0 {
 			t.Errorf("%+v", z)
 		}
 	}
@@ -63,8 +63,8 @@
 	}
 	for _, z := range r.Zones {
 		p2 := z.share("source", "p2")
-		if z.CacheMoved != 0 || p2.Before < 0.2 || p2.AtOnce != 0 || p2.Warm != 0 || math.Abs(z.ParentMoved-p2.Before) > 0.02 {
-			t.Errorf("%s: moved %v, fills %v, %+v", z.Zone, z.CacheMoved, z.ParentMoved, p2)
+		if z.CacheMoved != 0 || p2.Before < 0.2 || p2.AtOnce != 0 || p2.Warm != 0 || math.Abs(z.SourceMoved-p2.Before) > 0.02 {
+			t.Errorf("%s: moved %v, fills %v, %+v", z.Zone, z.CacheMoved, z.SourceMoved, p2)
 		}
 	}
 }
--- a/internal/controlplane/endpointcheck/rehearse.go
+++ b/internal/controlplane/endpointcheck/rehearse.go
@@ -114,7 +114,7 @@
 		return nil, err
 	}
 	if len(p.sim.Routers()) == 0 {
-		return nil, fmt.Errorf("listcheck: no zone of the old list has (routers n), so that there are no routers to simulate")
+		return nil, fmt.Errorf("endpointcheck: no zone of the old list has (routers n), so that there are no routers to simulate")
 	}
 	if err := p.buildLoad(); err != nil {
 		return nil, err
@@ -219,7 +219,7 @@
 		}
 		p.load = &loadgen.Script{}
 		if err := config.Read("generated from the routes", b.String(), p.load); err != nil {
-			return fmt.Errorf("listcheck: no load can be generated from the routes (set one with --load): %w", err)
+			return fmt.Errorf("endpointcheck: no load can be generated from the routes (set one with --load): %w", err)
 		}
 	} else if rate <= 0 {
 		rate = p.load.Arrivals.Rate
--- a/internal/controlplane/service/admin.go
+++ b/internal/controlplane/service/admin.go
@@ -113,7 +113,7 @@
 }
 
 func (s *Service) handleHalt(response http.ResponseWriter, _ *http.Request) {
-	err := s.Halt("by hand")
+	err := s.Halt("by an operator")
 	writePushResult(response, s.Status().State.Base.Number, true, err)
 }
 
