--- a/cmd/spool-control/admin.go
+++ b/cmd/spool-control/admin.go
@@ -57,8 +57,8 @@
 	return answer, err
 }
 
-// push sends a request that creates a version, and waits up to wait until all routers
-// run it; 0 means not to wait.
+// push sends a request that creates a version, and waits up to wait until all connected
+// routers run it; 0 means not to wait.
 func (a *adminClient) push(ctx context.Context, path string, body []byte, wait time.Duration) error {
 	answer, err := a.call(ctx, "POST", path, body)
 	if err != nil {
@@ -82,8 +82,8 @@
 // pollInterval is how often await polls the service's status.
 const pollInterval = 200 * time.Millisecond
 
-// await waits until all routers run a version. If the version is halted, or that takes
-// longer than timeout, the error is a *cli.FoundError.
+// await waits until all connected routers run a version. If the version is halted, or
+// that takes longer than timeout, the error is a *cli.FoundError.
 func (a *adminClient) await(ctx context.Context, number int64, timeout time.Duration) error {
 	for end := time.Now().Add(timeout); time.Now().Before(end); {
 		view, err := service.AdminStatus(ctx, a.admin)
