--- a/internal/controlplane/service/service_test.go
+++ b/internal/controlplane/service/service_test.go
@@ -20,7 +20,7 @@
 	"indigospool/internal/controlplane/configstore"
 )
 
-const childEnv = "CONTROL_TEST_CHILD" // folder of a service that is to be killed
+const childEnv = "CONTROL_TEST_CHILD" // folder of the service in the child process, which is killed
 
 func TestMain(m *testing.M) {
 	if dir := os.Getenv(childEnv); dir != "" {
@@ -32,7 +32,7 @@
 	os.Exit(m.Run())
 }
 
-// childService pushes versions as fast as it can and prints which it has pushed.
+// childService pushes versions continuously and prints each one.
 func childService(dir string) error {
 	service, err := startService(dir, "", zap.NewNop())
 	if err != nil {
@@ -51,7 +51,7 @@
 	}
 }
 
-// startChild starts childService in a process of its own, and returns its output.
+// startChild starts childService in a child process, and returns its output.
 func startChild(t *testing.T, dir string) (*exec.Cmd, *bufio.Scanner) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
@@ -66,11 +66,12 @@
 	return cmd, bufio.NewScanner(stdout)
 }
 
-// Killed at any moment, a service goes on with what it had persisted: no number is
-// given to two contents, none goes back, and it is known as the same service.
+// A service killed at any moment continues from its persisted state: no number is
+// assigned to two contents, numbers do not decrease, and the service keeps its
+// identity.
 func TestServiceKilled(t *testing.T) {
 	dir := t.TempDir()
-	chance := rand.New(rand.NewPCG(1, 2))
+	random := rand.New(rand.NewPCG(1, 2))
 	sums := map[int64]string{}
 	var last int64
 	name := ""
@@ -84,23 +85,23 @@
 			var sum string
 			if _, err := fmt.Sscan(scanner.Text(), &number, &sum); err != nil || len(sum) != 64 {
 				if !strings.HasPrefix(scanner.Text(), "error") {
-					return false // cut by the kill
+					return false // truncated by the kill
 				}
 				t.Fatal(scanner.Text())
 			}
 			if before, ok := sums[number]; ok && before != sum {
-				t.Fatalf("number %d was given to two contents", number)
+				t.Fatalf("number %d was assigned to two contents", number)
 			}
 			if number <= last {
-				t.Fatalf("number %d was given after %d", number, last)
+				t.Fatalf("number %d was assigned after %d", number, last)
 			}
 			sums[number], last = sum, number
 			return true
 		}
-		for range 1 + chance.IntN(15) {
+		for range 1 + random.IntN(15) {
 			readVersion()
 		}
-		time.Sleep(time.Duration(chance.IntN(4000)) * time.Microsecond)
+		time.Sleep(time.Duration(random.IntN(4000)) * time.Microsecond)
 		cmd.Process.Kill()
 		for readVersion() {
 		}
@@ -112,7 +113,7 @@
 		view := service.View()
 		service.Close()
 		if view.Last < last || name != "" && view.Service != name {
-			t.Fatalf("after a kill: last number %d, %d was said; service %s, %s before", view.Last, last, view.Service, name)
+			t.Fatalf("after a kill: last number %d, but %d was reported; service %s, but %s before", view.Last, last, view.Service, name)
 		}
 		last, name = view.Last, view.Service
 	}
@@ -121,8 +122,8 @@
 	}
 }
 
-// A damaged store is quarantined and logged; numbers go on above what routers have
-// accepted.
+// A damaged store is quarantined and logged, and numbering continues above what routers
+// have accepted.
 func TestDamagedServiceStore(t *testing.T) {
 	dir := t.TempDir()
 	service, err := startService(dir, "", zap.NewNop())
@@ -139,7 +140,7 @@
 	}
 	defer store.Close()
 	router := startRouter(t, false, "r", 1, store, service.Addr())
-	eventually(t, "the last version", allRunning([]*testRouter{router}, last))
+	waitFor(t, "the last version", allRunning([]*testRouter{router}, last))
 	router.Close()
 	service.Close()
 	path := filepath.Join(dir, "svc.db")
@@ -162,15 +163,16 @@
 		t.Errorf("logged: %+v", logs.All())
 	}
 	router = startRouter(t, false, "r", 2, store, service.Addr())
-	eventually(t, "the number of the router", func() bool { return service.View().Last == last })
+	waitFor(t, "the number of the router", func() bool { return service.View().Last == last })
 	n, err := service.PushUnchecked(settingsText(4, ""), true)
 	if err != nil || n != last+1 {
 		t.Fatal(n, err)
 	}
-	eventually(t, "the next number", allRunning([]*testRouter{router}, last+1))
+	waitFor(t, "the next number", allRunning([]*testRouter{router}, last+1))
 }
 
-// A service as a program runs it, with certificates.
+// A service requires certificates from its routers, and does not start without its own
+// files.
 func TestServiceWithCertificates(t *testing.T) {
 	dir := t.TempDir()
 	authority := newAuthority(t, "good")
@@ -186,12 +188,12 @@
 	plain := startRouter(t, false, "plain", 1, nil, service.Addr())
 	router := startRouterWith(t, AgentConfig{Router: "r", Services: []string{service.Addr()},
 		DialOptions: []grpc.DialOption{grpc.WithTransportCredentials(authority.certificateFiles(dir, "r", "r", time.Hour).ClientCredentials("control"))}})
-	eventually(t, "the version over TLS", allRunning([]*testRouter{router}, 1))
+	waitFor(t, "the version over TLS", allRunning([]*testRouter{router}, 1))
 	if n, _ := plain.Running(); n != 0 {
 		t.Error("a router without a certificate got a version")
 	}
 	if _, err := startService(t.TempDir(), `(cert "none.pem") (key "none.key") (authorities "none.ca")`, zap.NewNop()); err == nil ||
 		!strings.Contains(err.Error(), "none.pem") {
-		t.Errorf("files that are not there: %v", err)
+		t.Errorf("missing files: %v", err)
 	}
 }
