--- a/internal/proxy/httpfront/admin.go
+++ b/internal/proxy/httpfront/admin.go
@@ -19,14 +19,14 @@
 // admin serves operators on a loopback address or a Unix socket, by goroutines
 // of its own: PURGE of an object (or of a group by ?group=), /state and /members.
 func (e *Edge) admin() (stop func(), err error) {
-	network, address := "tcp", e.s.Router.Admin
+	network, address := "tcp", e.settings.Router.Admin
 	if strings.HasPrefix(address, "/") {
 		network = "unix"
 		if st, err := os.Stat(address); err == nil && st.Mode()&os.ModeSocket != 0 {
 			os.Remove(address) // of an earlier life
 		}
 	}
-	ln := adminFrom(e.inherited, address)
+	ln := inheritAdmin(e.inherited, address)
 	if ln == nil {
 		if ln, err = net.Listen(network, address); err != nil {
 			return nil, fmt.Errorf("edge: admin listener %s: %w", address, err)
@@ -34,7 +34,7 @@
 	}
 	switch ln := ln.(type) {
 	case *net.TCPListener:
-		if e.s.Router.Handover != "" {
+		if e.settings.Router.Handover != "" {
 			e.adminFile, _ = ln.File()
 		}
 	case *net.UnixListener:
@@ -61,8 +61,8 @@
 	if g := r.URL.Query().Get("group"); g != "" {
 		p = &engine.Purge{Group: engine.GroupNumber(g)}
 	}
-	e.tellPurge(p)
-	if err := e.Query(func(*Stats, *engine.Core) { e.news(&engine.Update{Purge: p}) }); err != nil {
+	e.forwardPurge(p)
+	if err := e.Query(func(*Stats, *engine.Core) { e.applyUpdate(&engine.Update{Purge: p}) }); err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
@@ -81,21 +81,21 @@
 func (e *Edge) adminState(w http.ResponseWriter, _ *http.Request) {
 	out := map[string]any{}
 	err := e.Query(func(s *Stats, c *engine.Core) {
-		out["name"], out["stats"], out["list_rev"], out["lag_ms"] = e.name, *s, c.Rev(), e.l.Lag()
+		out["name"], out["stats"], out["list_rev"], out["lag_ms"] = e.name, *s, c.Rev(), e.loop.Lag()
 		out["version"] = e.version
-		g := e.guard
-		out["limits"] = map[string]any{"cut": g.counts.Map(), "memory": g.mem.Map(), "memory_used": g.mem.Used(), "memory_most": g.mem.Peak,
-			"sockets": g.tails.Held, "sockets_most": g.tails.Peak,
-			"in_hand_limit": g.adm.Limit(), "overloaded": g.adm.Overloaded(), "wait_ms": g.adm.LastWait, "ready": g.turns.Len(), "connections_limit": g.most,
-			"spared": g.jury.Spared, "slow_ms": e.l.SlowTime()}
+		guard := e.guard
+		out["limits"] = map[string]any{"cut": guard.counts.Map(), "memory": guard.memory.Map(), "memory_used": guard.memory.Used(), "memory_most": guard.memory.Peak,
+			"sockets": guard.unread.Held, "sockets_most": guard.unread.Peak,
+			"in_hand_limit": guard.admission.Limit(), "overloaded": guard.admission.Overloaded(), "wait_ms": guard.admission.LastWait, "ready": guard.scheduler.Len(), "connections_limit": guard.maxClients,
+			"spared": guard.massSlowness.Spared, "slow_ms": e.loop.SlowTime()}
 		out["pages"] = len(e.pages)
-		out["draining"], out["timers"] = e.draining, e.l.Timers()
+		out["draining"], out["timers"] = e.draining, e.loop.Timers()
 	})
 	if e.journal != nil {
 		out["journal_lost"] = e.journal.Lost()
 	}
-	if e.versions != nil {
-		out["versions"] = versionsView(e.versions.agent.Status())
+	if e.configClient != nil {
+		out["versions"] = versionsView(e.configClient.agent.Status())
 	}
 	out["list"], out["log_dropped"] = e.listState.Load(), strconv.FormatUint(e.log.Dropped(), 10)
 	reply(w, err, out)
@@ -137,7 +137,7 @@
 		c.Members(func(m spool.Member, address string) {
 			one := row{ID: m.ID, Zone: m.Zone, Kind: m.Kind, State: states[m.State], Address: address}
 			if p := e.pools[address]; p != nil {
-				one.Idle, one.Open, one.Waiting = len(p.idle), len(p.all), len(p.wait)
+				one.Idle, one.Open, one.Waiting = len(p.idle), len(p.connections), len(p.waiting)
 			}
 			rows = append(rows, one)
 		})
--- a/internal/proxy/httpfront/buffer.go
+++ b/internal/proxy/httpfront/buffer.go
@@ -7,7 +7,7 @@
 
 const (
 	maxKeptBytes = 4 << 20 // most unused bytes that are kept of each size class,
-	keptPart     = 32      // and no more than this part of the memory budget
+	maxKeptShare = 32      // and no more than this part of the memory budget
 )
 
 // newBuffers makes the pool for bytes that wait to be written. What it has allocated, lent or
@@ -15,15 +15,15 @@
 func newBuffers(g *guard) eventloop.Buffers {
 	return eventloop.Buffers{
 		Classes:   []int{4 << 10, 16 << 10, 32 << 10, 64 << 10, 128 << 10, 256 << 10, 512 << 10},
-		MayKeep:   func(classBytes int) bool { return classBytes <= g.maxKept() && !g.mem.Full() },
-		Allocated: func(bytes int) { g.mem.Add(limits.Answers, int64(bytes)) },
+		MayKeep:   func(classBytes int) bool { return classBytes <= g.maxKept() && !g.memory.Full() },
+		Allocated: func(bytes int) { g.memory.Add(limits.Answers, int64(bytes)) },
 	}
 }
 
 // maxKept is the most unused bytes that are kept of each size class.
 func (g *guard) maxKept() int {
-	if g.mem.Total > 0 {
-		return min(maxKeptBytes, int(g.mem.Total/keptPart))
+	if g.memory.Total > 0 {
+		return min(maxKeptBytes, int(g.memory.Total/maxKeptShare))
 	}
 	return maxKeptBytes
 }
--- a/internal/proxy/httpfront/client.go
+++ b/internal/proxy/httpfront/client.go
@@ -13,607 +13,607 @@
 	"indigospool/internal/proxy/limits"
 )
 
-// client is a client's connection. Between requests it holds no buffer.
-type client struct {
-	e    *Edge
-	fd   int
-	left []byte          // read, and not yet taken
-	out  eventloop.Queue // answered, and not yet written
-	idle eventloop.Timer
-	cur  *request // in hand; nil between requests
-	part *part    // no connection: it asks for a fragment of a page; nil: it is one
-
-	from           netip.Addr
-	address        string      // from, as text
+// clientConn is a clientConn's connection. Between requests it holds no buffer.
+type clientConn struct {
+	edge      *Edge
+	fd        int
+	unparsed  []byte          // read, and not yet taken
+	output    eventloop.Queue // answered, and not yet written
+	idleTimer eventloop.Timer
+	current   *clientRequest // in hand; nil between requests
+	fragment  *pageFragment  // no connection: it asks for a fragment of a page; nil: it is one
+
+	addr           netip.Addr
+	addrText       string      // from, as text
 	flow           limits.Flow // of what is waited for from it
-	wrote          int64       // bytes that the kernel has taken for it
-	idled          int64       // of them, what it had acknowledged when its time to take some last ended
-	seen           int64       // of them, what it had acknowledged when it was last looked at
-	tailed         bool        // the kernel may hold some of an answer that is whole
-	class          int         // in the scheduler, of its last request
-	before, behind *client     // among those between requests
-	booked         int64       // of the memory budget, for left
+	writtenBytes   int64       // bytes that the kernel has taken for it
+	ackedAtTimeout int64       // of them, what it had acknowledged when its time to take some last ended
+	ackedBytes     int64       // of them, what it had acknowledged when it was last looked at
+	unreadTracked  bool        // the kernel may hold some of an answer that is whole
+	schedulerClass int         // in the scheduler, of its last request
+	prev, next     *clientConn // among those between requests
+	accounted      int64       // of the memory budget, for left
 	queued         bool        // ready to take bytes, and waiting for its turn
-	since          float64     // when it was queued
-	idleAt         float64     // when it began to have nothing in hand
-	movedAt        float64     // when it last took something of what waits for it
-	blamed         bool        // its present request counts as a bad end
+	queuedSince    float64     // when it was queued
+	idleSince      float64     // when it began to have nothing in hand
+	lastProgress   float64     // when it last took something of what waits for it
+	badOutcome     bool        // its present request counts as a bad end
 
-	gone    bool // closed
-	eof     bool // the client sends no more
-	stalled bool // it has taken nothing since the idle timer was armed
-	last    bool // the connection ends with the present answer
-	linger  bool // a fault was answered: what still comes is dropped
-	reading bool // a request has begun to come and is not whole
-	paused  bool // pipelined bytes reached the limit
+	closed           bool // closed
+	eof              bool // the client sends no more
+	noProgress       bool // it has taken nothing since the idle timer was armed
+	closeAfterAnswer bool // the connection ends with the present answer
+	discardInput     bool // a fault was answered: what still comes is dropped
+	receiving        bool // a request has begun to come and is not whole
+	readPaused       bool // pipelined bytes reached the limit
 }
 
 // What is read ahead and answered is bounded by the settings; these are how
 // much is read at once.
-const readSize = 64 << 10
+const readBytes = 64 << 10
 
-func (c *client) OnReady(r eventloop.Ready) {
-	if r.Writable() && c.out.Len() > 0 {
-		if c.out.Len() <= smallWrite {
+func (c *clientConn) OnReady(r eventloop.Ready) {
+	if r.Writable() && c.output.Len() > 0 {
+		if c.output.Len() <= directWriteBytes {
 			c.flush()
 		} else if !c.queued {
-			c.queued, c.since = true, c.e.l.Now()
-			c.e.guard.watch(c, false) // it is the router that it waits for now
-			c.e.guard.ready(c.class, c)
+			c.queued, c.queuedSince = true, c.edge.loop.Now()
+			c.edge.guard.setAwaited(c, false) // it is the router that it waits for now
+			c.edge.guard.enqueue(c.schedulerClass, c)
 		}
 	}
-	if !c.gone && r.Readable() {
+	if !c.closed && r.Readable() {
 		c.read(r)
 	}
 }
 
-func (c *client) read(r eventloop.Ready) {
+func (c *clientConn) read(r eventloop.Ready) {
 	c.readOnce(r)
-	c.book()
+	c.accountInput()
 }
 
-// book books what is read and not yet taken.
-func (c *client) book() {
-	if n := int64(cap(c.left)); n != c.booked {
-		c.e.guard.mem.Add(limits.Heads, n-c.booked)
-		c.booked = n
+// accountInput books what is read and not yet taken.
+func (c *clientConn) accountInput() {
+	if n := int64(cap(c.unparsed)); n != c.accounted {
+		c.edge.guard.memory.Add(limits.Heads, n-c.accounted)
+		c.accounted = n
 	}
 }
 
-// fresh forgets how it was waited for.
-func (c *client) fresh() {
-	delete(c.e.guard.slow, c)
+// resetFlow forgets how it was waited for.
+func (c *clientConn) resetFlow() {
+	delete(c.edge.guard.awaited, c)
 	c.flow = limits.Flow{}
 }
 
-func (c *client) readOnce(r eventloop.Ready) {
-	buf := c.e.scratch[:readSize]
-	n, err := c.e.l.Read(c.fd, buf)
+func (c *clientConn) readOnce(r eventloop.Ready) {
+	buf := c.edge.scratch[:readBytes]
+	n, err := c.edge.loop.Read(c.fd, buf)
 	switch {
 	case eventloop.Retryable(err):
 		if r.Hangup() && eventloop.NotReady(err) {
-			c.lost()
+			c.disconnect()
 		}
 		return
 	case err != nil:
-		c.lost()
+		c.disconnect()
 		return
 	case n == 0:
 		c.onEOF()
 		return
-	case c.linger:
+	case c.discardInput:
 		return
 	}
-	c.e.stats.InBytes += uint64(n)
-	if c.flow.Waiting() && c.out.Len() == 0 {
-		least, _ := c.judgedBy()
-		c.flow.Moved(c.e.guard.now(), n, least)
+	c.edge.stats.InBytes += uint64(n)
+	if c.flow.Waiting() && c.output.Len() == 0 {
+		least, _ := c.minRate()
+		c.flow.Moved(c.edge.guard.peerTime(), n, least)
 	}
 	data := buf[:n]
-	if len(c.left) > 0 || c.cur != nil && c.cur.phase != takingBody {
-		c.left = append(c.left, data...)
-		if c.cur == nil || c.cur.phase == takingBody {
-			c.takeLeft()
+	if len(c.unparsed) > 0 || c.current != nil && c.current.phase != receivingBody {
+		c.unparsed = append(c.unparsed, data...)
+		if c.current == nil || c.current.phase == receivingBody {
+			c.parseUnparsed()
 			return
 		}
-		if len(c.left) >= c.e.s.Limits.Pipelined {
-			c.paused = true
-			c.wants()
+		if len(c.unparsed) >= c.edge.settings.Limits.Pipelined {
+			c.readPaused = true
+			c.updateInterest()
 		}
 		return
 	}
-	rest := c.take(data)
-	if !c.gone && len(rest) > 0 {
-		c.left = append(c.left[:0], rest...)
+	rest := c.parse(data)
+	if !c.closed && len(rest) > 0 {
+		c.unparsed = append(c.unparsed[:0], rest...)
 	}
 }
 
-// takeLeft takes what was read before.
-func (c *client) takeLeft() {
-	if len(c.left) == 0 {
+// parseUnparsed takes what was read before.
+func (c *clientConn) parseUnparsed() {
+	if len(c.unparsed) == 0 {
 		return
 	}
-	data := c.left
-	c.left = nil
-	rest := c.take(data)
-	if c.gone {
+	data := c.unparsed
+	c.unparsed = nil
+	rest := c.parse(data)
+	if c.closed {
 		return
 	}
 	if len(rest) > 0 {
-		c.left = append(data[:0], rest...)
+		c.unparsed = append(data[:0], rest...)
 	}
 	// a head or a body that is coming has limits of its own
-	if c.paused && (c.cur == nil || c.cur.phase == takingBody || len(c.left) < c.e.s.Limits.Pipelined) {
-		c.paused = false
-		c.wants()
+	if c.readPaused && (c.current == nil || c.current.phase == receivingBody || len(c.unparsed) < c.edge.settings.Limits.Pipelined) {
+		c.readPaused = false
+		c.updateInterest()
 	}
 }
 
-// take takes requests from data until one is in hand, and returns what is left.
-func (c *client) take(data []byte) []byte {
-	for len(data) > 0 && !c.gone && !c.linger {
-		if c.cur != nil {
-			if c.cur.phase != takingBody {
+// parse takes requests from data until one is in hand, and returns what is left.
+func (c *clientConn) parse(data []byte) []byte {
+	for len(data) > 0 && !c.closed && !c.discardInput {
+		if c.current != nil {
+			if c.current.phase != receivingBody {
 				return data
 			}
-			n, err := c.cur.takeBody(data)
+			n, err := c.current.receiveBody(data)
 			if data = data[n:]; err != nil {
-				c.fault(err)
+				c.rejectInvalid(err)
 				return nil
 			}
-			if c.cur != nil && c.cur.phase == takingBody {
-				c.e.guard.watch(c, true)
+			if c.current != nil && c.current.phase == receivingBody {
+				c.edge.guard.setAwaited(c, true)
 				return data // more has to come
 			}
 			continue
 		}
-		if c.last {
-			c.linger = true // the connection ends here: what follows is not looked at
+		if c.closeAfterAnswer {
+			c.discardInput = true // the connection ends here: what follows is not looked at
 			return nil
 		}
-		if c.out.Len() > 0 {
+		if c.output.Len() > 0 {
 			return data // a slow client's earlier answer goes first
 		}
-		if !c.reading {
-			c.reading = true
-			c.e.guard.idle.remove(c)
-			c.e.l.Arm(&c.idle, c.e.s.Limits.HeadTime)
+		if !c.receiving {
+			c.receiving = true
+			c.edge.guard.idleClients.remove(c)
+			c.edge.loop.Arm(&c.idleTimer, c.edge.settings.Limits.HeadTime)
 		}
-		n, err := c.e.core.Parse(data, &c.e.head)
+		n, err := c.edge.core.Parse(data, &c.edge.head)
 		if err != nil {
-			c.fault(err)
+			c.rejectInvalid(err)
 			return nil
 		}
 		if n == 0 {
-			c.e.guard.watch(c, true)
+			c.edge.guard.setAwaited(c, true)
 			return data
 		}
 		data = data[n:]
-		c.fresh()
-		c.begin()
+		c.resetFlow()
+		c.startRequest()
 	}
 	return data
 }
 
-// begin takes the request whose head has come.
-func (c *client) begin() {
-	e := c.e
-	h := &e.head
-	e.stats.Requests++
-	r := e.newRequest(c)
-	r.at, r.isHead, r.minor = e.l.Now(), h.IsHead(), h.Minor
-	c.cur = r
-	c.last = c.last || h.Close || e.draining && e.successor == nil
-	q, err := e.core.Classify("", r.at, h)
-	r.q = q
+// startRequest takes the request whose head has come.
+func (c *clientConn) startRequest() {
+	edge := c.edge
+	h := &edge.head
+	edge.stats.Requests++
+	request := edge.newRequest(c)
+	request.receivedAt, request.isHead, request.httpMinor = edge.loop.Now(), h.IsHead(), h.Minor
+	c.current = request
+	c.closeAfterAnswer = c.closeAfterAnswer || h.Close || edge.draining && edge.successor == nil
+	q, err := edge.core.Classify("", request.receivedAt, h)
+	request.spec = q
 	if err != nil {
 		t, ok := err.(*engine.Rejection)
 		if !ok {
 			t = &engine.Rejection{Status: 400, Detail: endMalformed.word(), Message: err.Error()}
 		}
-		r.path = string(clip(h.Target, 256))
+		request.logObject = string(clip(h.Target, 256))
 		c.skipBody(h)
-		r.why, r.turned = endNoRoute, t
-		c.answer(r, t.Status, 0)
+		request.end, request.routeError = endNoRoute, t
+		c.respond(request, t.Status, 0)
 		return
 	}
-	if len(e.reqs) >= e.s.Limits.Held {
+	if len(edge.requests) >= edge.settings.Limits.Held {
 		c.skipBody(h)
-		r.why = endHeld
-		c.answer(r, 503, 1000)
+		request.end = endHeld
+		c.respond(request, 503, 1000)
 		return
 	}
-	if cause := e.guard.admit(c, &r.q); cause != limits.None {
-		e.guard.counts[cause]++
+	if cause := edge.guard.admit(c, &request.spec); cause != limits.None {
+		edge.guard.counts[cause]++
 		c.skipBody(h)
-		r.why = endLimit
-		r.cause = cause
-		e.stats.Refused++
-		began := e.l.Took()
-		c.answer(r, 503, 1000)
-		e.guard.hold.AddCost((e.l.Took() - began) * 1.5) // it was read and looked at, too
-		e.guard.holdBack(c)
+		request.end = endLimit
+		request.limitCause = cause
+		edge.stats.Refused++
+		began := edge.loop.Took()
+		c.respond(request, 503, 1000)
+		edge.guard.readPause.AddCost((edge.loop.Took() - began) * 1.5) // it was read and looked at, too
+		edge.guard.pauseReading(c)
 		return
 	}
-	if e.guard.poor(c) {
-		r.poor = true
-		e.guard.standing.Reserve()
+	if edge.guard.hasPoorReputation(c) {
+		request.poorReputation = true
+		edge.guard.reputation.Reserve()
 	}
-	c.class = e.guard.class(r.q.Class)
-	e.guard.mem.Add(limits.Requests, requestBytes)
-	r.booked = requestBytes
-	if r.asPage(h); r.page == nil {
-		r.compose(h)
+	c.schedulerClass = edge.guard.schedulerClass(request.spec.Class)
+	edge.guard.memory.Add(limits.Requests, requestBytes)
+	request.accounted = requestBytes
+	if request.startPage(h); request.page == nil {
+		request.composeForwardHead(h)
 	}
-	if err := r.body.Start(h, int64(e.s.Limits.Body)); err != nil {
-		c.fault(err)
+	if err := request.body.Start(h, int64(edge.settings.Limits.Body)); err != nil {
+		c.rejectInvalid(err)
 		return
 	}
-	if !r.body.Done() {
-		r.phase = takingBody
+	if !request.body.Done() {
+		request.phase = receivingBody
 		if h.Expect100 {
 			c.write(continueAnswer)
 		}
 		return
 	}
-	r.ask()
+	request.submit()
 }
 
 // skipBody ends the connection after an answer to a request whose body is not read.
-func (c *client) skipBody(h *http1.Head) {
+func (c *clientConn) skipBody(h *http1.Head) {
 	if h.Body != http1.NoBody {
-		c.last, c.linger = true, true
+		c.closeAfterAnswer, c.discardInput = true, true
 	}
 }
 
 // clip returns at most n bytes.
 func clip(b []byte, n int) []byte { return b[:min(len(b), n)] }
 
-// fault answers what is not valid, and ends the connection.
-func (c *client) fault(err error) {
+// rejectInvalid answers what is not valid, and ends the connection.
+func (c *clientConn) rejectInvalid(err error) {
 	f, ok := err.(*http1.ProtocolError)
 	if !ok {
 		f = http1.ErrRequestLine
 	}
-	c.e.stats.Malformed++
-	r := c.cur
-	if r == nil {
-		r = c.e.newRequest(c)
-		r.at, r.minor = c.e.l.Now(), 1
-		c.cur = r
-	}
-	r.why, r.path = endMalformed, f.Message
-	c.last, c.linger = true, true
-	c.left = nil
-	c.answer(r, f.Status, 0)
-}
-
-// answer gives a final answer of the router's own.
-func (c *client) answer(r *request, status int, after float64) {
-	r.status = status
-	if c.part != nil {
-		c.part.failed(r.word())
-		r.finish()
+	c.edge.stats.Malformed++
+	request := c.current
+	if request == nil {
+		request = c.edge.newRequest(c)
+		request.receivedAt, request.httpMinor = c.edge.loop.Now(), 1
+		c.current = request
+	}
+	request.end, request.logObject = endMalformed, f.Message
+	c.closeAfterAnswer, c.discardInput = true, true
+	c.unparsed = nil
+	c.respond(request, f.Status, 0)
+}
+
+// respond gives a final respond of the router's own.
+func (c *clientConn) respond(request *clientRequest, status int, after float64) {
+	request.status = status
+	if c.fragment != nil {
+		c.fragment.fail(request.word())
+		request.finish()
 		return
 	}
-	b := http1.AppendStatus(c.e.hbuf[:0], status)
-	b = http1.AppendFieldString(b, "Via", "1.1 "+c.e.name)
+	b := http1.AppendStatus(c.edge.headBuffer[:0], status)
+	b = http1.AppendFieldString(b, "Via", "1.1 "+c.edge.name)
 	if status == 405 {
 		b = http1.AppendFieldString(b, "Allow", "GET, HEAD")
 	}
 	if after > 0 {
-		b = http1.AppendFieldInt(b, "Retry-After", c.e.guard.jitter.After(after))
+		b = http1.AppendFieldInt(b, "Retry-After", c.edge.guard.jitter.After(after))
 	}
-	b = http1.AppendFieldString(b, "Cache-Status", c.e.name+"; fwd=miss; detail="+r.word())
+	b = http1.AppendFieldString(b, "Cache-Status", c.edge.name+"; fwd=miss; detail="+request.word())
 	text := http1.StatusText(status) + "\n"
-	if r.turned != nil {
-		text = http1.StatusText(status) + ": " + r.turned.Message + "\n"
+	if request.routeError != nil {
+		text = http1.StatusText(status) + ": " + request.routeError.Message + "\n"
 	}
 	b = http1.AppendFieldString(b, "Content-Type", "text/plain")
 	b = http1.AppendFieldInt(b, "Content-Length", int64(len(text)))
-	b = c.appendConnection(b, r)
+	b = c.appendConnection(b, request)
 	b = append(b, "\r\n"...)
-	if !r.isHead && (r.page == nil || !r.page.asked.head) {
+	if !request.isHead && (request.page == nil || !request.page.conditions.head) {
 		b = append(b, text...)
 	}
-	c.e.hbuf = b
-	c.add(b)
-	r.sent += int64(len(text))
-	r.finish()
+	c.edge.headBuffer = b
+	c.buffer(b)
+	request.sentBytes += int64(len(text))
+	request.finish()
 }
 
 // appendConnection says whether the connection persists.
-func (c *client) appendConnection(b []byte, r *request) []byte {
+func (c *clientConn) appendConnection(b []byte, request *clientRequest) []byte {
 	switch {
-	case c.last:
+	case c.closeAfterAnswer:
 		return http1.AppendFieldString(b, "Connection", "close")
-	case r.minor == 0:
+	case request.httpMinor == 0:
 		return http1.AppendFieldString(b, "Connection", "keep-alive")
 	}
 	return b
 }
 
 // write writes what waits and b in one call, and keeps what the socket does not take.
-func (c *client) write(b []byte) {
-	if c.gone {
+func (c *clientConn) write(b []byte) {
+	if c.closed {
 		return
 	}
-	n, err := c.e.l.WriteTwo(c.fd, c.out.Bytes(), b)
+	n, err := c.edge.loop.WriteTwo(c.fd, c.output.Bytes(), b)
 	if eventloop.Retryable(err) {
 		n, err = 0, nil
 	}
 	if err != nil {
-		c.lost()
+		c.disconnect()
 		return
 	}
-	c.e.stats.OutBytes += uint64(n)
-	c.took(n)
-	c.stalled = c.stalled && n == 0
-	if k := min(n, c.out.Len()); k > 0 {
-		c.out.Take(&c.e.buffers, k)
+	c.edge.stats.OutBytes += uint64(n)
+	c.countWritten(n)
+	c.noProgress = c.noProgress && n == 0
+	if k := min(n, c.output.Len()); k > 0 {
+		c.output.Take(&c.edge.buffers, k)
 		n -= k
 	}
 	if b = b[n:]; len(b) > 0 {
-		c.add(b)
-		c.wants()
+		c.buffer(b)
+		c.updateInterest()
 	}
 }
 
-func (c *client) add(b []byte) { c.out.Add(&c.e.buffers, b) }
+func (c *clientConn) buffer(b []byte) { c.output.Add(&c.edge.buffers, b) }
 
 // flush writes what waits. It reports whether all of it went out.
-func (c *client) flush() bool {
-	if c.part != nil {
+func (c *clientConn) flush() bool {
+	if c.fragment != nil {
 		return true
 	}
-	for c.out.Len() > 0 && !c.gone {
-		n, err := c.e.l.Write(c.fd, c.out.Bytes())
+	for c.output.Len() > 0 && !c.closed {
+		n, err := c.edge.loop.Write(c.fd, c.output.Bytes())
 		if eventloop.Retryable(err) {
-			c.wants()
+			c.updateInterest()
 			return false
 		}
 		if err != nil {
-			c.lost()
+			c.disconnect()
 			return false
 		}
-		c.e.stats.OutBytes += uint64(n)
-		c.took(n)
-		c.stalled = false
-		c.out.Take(&c.e.buffers, n)
+		c.edge.stats.OutBytes += uint64(n)
+		c.countWritten(n)
+		c.noProgress = false
+		c.output.Take(&c.edge.buffers, n)
 	}
-	if c.gone {
+	if c.closed {
 		return false
 	}
-	c.flushed()
+	c.onFlushed()
 	return true
 }
 
-// flushed goes on after all that waited was written.
-func (c *client) flushed() {
-	c.wants()
-	if r := c.cur; r != nil && r.phase == relaying {
-		if r.page != nil {
-			r.page.mark()
+// onFlushed goes on after all that waited was written.
+func (c *clientConn) onFlushed() {
+	c.updateInterest()
+	if request := c.current; request != nil && request.phase == relaying {
+		if request.page != nil {
+			request.page.markChanged()
 			return
 		}
-		r.resume()
+		request.resumeReading()
 		return
 	}
-	if c.cur == nil {
-		c.next()
+	if c.current == nil {
+		c.nextRequest()
 	}
 }
 
-// smallWrite is as much as is written at once, without waiting for a turn.
-const smallWrite = 16 << 10
+// directWriteBytes is as much as is written at once, without waiting for a turn.
+const directWriteBytes = 16 << 10
 
-func (c *client) queuedAt() float64 { return c.since }
+func (c *clientConn) queuedAt() float64 { return c.queuedSince }
 
-// move writes what waits, in its turn.
-func (c *client) move(room int) (moved int, more bool) {
+// transfer writes what waits, in its turn.
+func (c *clientConn) transfer(room int) (moved int, more bool) {
 	c.queued = false
-	for c.out.Len() > 0 && !c.gone && moved < room {
-		b := c.out.Bytes()
-		n, err := c.e.l.Write(c.fd, b[:min(len(b), room-moved)])
+	for c.output.Len() > 0 && !c.closed && moved < room {
+		b := c.output.Bytes()
+		n, err := c.edge.loop.Write(c.fd, b[:min(len(b), room-moved)])
 		if eventloop.Retryable(err) {
-			c.wants()
+			c.updateInterest()
 			return moved, false
 		}
 		if err != nil {
-			c.lost()
+			c.disconnect()
 			return moved, false
 		}
-		c.e.stats.OutBytes += uint64(n)
-		c.took(n)
-		c.stalled = false
-		c.out.Take(&c.e.buffers, n)
+		c.edge.stats.OutBytes += uint64(n)
+		c.countWritten(n)
+		c.noProgress = false
+		c.output.Take(&c.edge.buffers, n)
 		moved += n
 	}
 	switch {
-	case c.gone:
+	case c.closed:
 		return moved, false
-	case c.out.Len() > 0:
+	case c.output.Len() > 0:
 		c.queued = true
 		return moved, true
 	}
-	c.flushed()
+	c.onFlushed()
 	return moved, false
 }
 
-// took books that the kernel took bytes for the client.
-func (c *client) took(n int) { c.wrote += int64(n) }
+// countWritten books that the kernel countWritten bytes for the client.
+func (c *clientConn) countWritten(n int) { c.writtenBytes += int64(n) }
 
-// taken is how much the client's own side has acknowledged. The kernel takes megabytes
+// acknowledged is how much the client's own side has acknowledged. The kernel takes megabytes
 // at once, and nothing more until a good part of them is gone: what a steady reader
 // takes can't be seen from writes.
-func (c *client) taken() int64 {
+func (c *clientConn) acknowledged() int64 {
 	queued, err := unix.IoctlGetInt(c.fd, unix.TIOCOUTQ)
 	if err != nil {
-		return c.wrote
+		return c.writtenBytes
 	}
-	return c.wrote - int64(queued)
+	return c.writtenBytes - int64(queued)
 }
 
-// judgedBy is the least rate that the client is held to now, and what it is cut for.
-func (c *client) judgedBy() (*limits.MinRate, limits.Cause) {
-	g := c.e.guard
+// minRate is the least rate that the client is held to now, and what it is cut for.
+func (c *clientConn) minRate() (*limits.MinRate, limits.Cause) {
+	guard := c.edge.guard
 	switch {
-	case c.out.Len() > 0:
-		return &g.reader, limits.SlowReader
-	case c.cur != nil:
-		return &g.body, limits.SlowBody
+	case c.output.Len() > 0:
+		return &guard.readRate, limits.SlowReader
+	case c.current != nil:
+		return &guard.bodyRate, limits.SlowBody
 	}
-	return &g.head, limits.SlowHead
+	return &guard.headRate, limits.SlowHead
 }
 
-// cutSlow ends the connection of a client that is too slow.
-func (c *client) cutSlow(cause limits.Cause) {
-	if c.part != nil {
-		c = c.part.pg.r.c
+// closeSlow ends the connection of a client that is too slow.
+func (c *clientConn) closeSlow(cause limits.Cause) {
+	if c.fragment != nil {
+		c = c.fragment.page.request.client
 	}
-	c.e.guard.bad(c)
+	c.edge.guard.recordBadOutcome(c)
 	if cause == limits.SlowReader {
-		if c.cur != nil {
-			c.cur.why, c.cur.cause = endLimit, cause
+		if c.current != nil {
+			c.current.end, c.current.limitCause = endLimit, cause
 		}
 		c.reset()
 		return
 	}
-	c.fault(errTooSlow)
+	c.rejectInvalid(errTooSlow)
 }
 
-// wants tells the loop what is of interest.
-func (c *client) wants() {
-	if c.gone {
+// updateInterest tells the loop what is of interest.
+func (c *clientConn) updateInterest() {
+	if c.closed {
 		return
 	}
 	want := eventloop.Interest(0)
-	if !c.paused && !c.eof {
+	if !c.readPaused && !c.eof {
 		want |= eventloop.Read
 	}
-	if c.out.Len() > 0 {
+	if c.output.Len() > 0 {
 		want |= eventloop.Write
 		if !c.queued {
-			c.e.guard.watch(c, true)
+			c.edge.guard.setAwaited(c, true)
 		}
-		if !c.idle.Armed() || !c.stalled {
-			c.stalled = true
-			c.e.l.Arm(&c.idle, c.e.s.Limits.WriteIdle)
+		if !c.idleTimer.Armed() || !c.noProgress {
+			c.noProgress = true
+			c.edge.loop.Arm(&c.idleTimer, c.edge.settings.Limits.WriteIdle)
 		}
 	}
-	if c.out.Len() == 0 && !c.coming() {
-		c.e.guard.watch(c, false)
+	if c.output.Len() == 0 && !c.partialRequest() {
+		c.edge.guard.setAwaited(c, false)
 	}
-	c.e.l.Want(c.fd, want)
+	c.edge.loop.Want(c.fd, want)
 }
 
-// coming reports that a request has begun to come, and is not whole.
-func (c *client) coming() bool {
-	return c.cur == nil && c.reading || c.cur != nil && c.cur.phase == takingBody
+// partialRequest reports that a request has begun to come, and is not whole.
+func (c *clientConn) partialRequest() bool {
+	return c.current == nil && c.receiving || c.current != nil && c.current.phase == receivingBody
 }
 
-// done is called when the present answer is whole, written or waiting.
-func (c *client) done() {
-	c.cur, c.reading = nil, false
-	if c.gone || c.part != nil {
+// onAnswered is called when the present answer is whole, written or waiting.
+func (c *clientConn) onAnswered() {
+	c.current, c.receiving = nil, false
+	if c.closed || c.fragment != nil {
 		return
 	}
-	c.fresh()
-	if c.out.Len() > 0 {
+	c.resetFlow()
+	if c.output.Len() > 0 {
 		c.flush() // and then goes on
 		return
 	}
-	c.next()
+	c.nextRequest()
 }
 
-// next goes on to the next request, or ends the connection.
-func (c *client) next() {
+// nextRequest goes on to the nextRequest request, or ends the connection.
+func (c *clientConn) nextRequest() {
 	switch {
-	case c.gone || c.cur != nil:
-	case c.linger:
+	case c.closed || c.current != nil:
+	case c.discardInput:
 		unix.Shutdown(c.fd, unix.SHUT_WR)
-		c.paused = false
-		c.e.l.Arm(&c.idle, c.e.s.Limits.ShutdownLinger)
-		c.wants()
-	case !c.last && c.e.successor != nil && len(c.left) == 0 && c.pass():
-	case c.last || c.e.draining && len(c.left) == 0 || c.eof && len(c.left) == 0:
+		c.readPaused = false
+		c.edge.loop.Arm(&c.idleTimer, c.edge.settings.Limits.ShutdownLinger)
+		c.updateInterest()
+	case !c.closeAfterAnswer && c.edge.successor != nil && len(c.unparsed) == 0 && c.handOver():
+	case c.closeAfterAnswer || c.edge.draining && len(c.unparsed) == 0 || c.eof && len(c.unparsed) == 0:
 		c.close()
 	default:
-		c.e.l.Arm(&c.idle, c.e.s.Limits.ClientIdle)
-		c.stalled = false
-		c.fresh()
-		if len(c.left) > 0 {
-			c.takeLeft()
-		} else if cap(c.left) > 0 {
-			c.left = nil
-		}
-		if !c.gone && c.cur == nil && !c.reading && c.out.Len() == 0 {
-			c.e.guard.idle.add(c, c.e.l.Now())
-			c.e.guard.tail(c)
-		}
-		c.book()
-		if !c.gone && c.cur == nil && c.eof && c.out.Len() == 0 {
+		c.edge.loop.Arm(&c.idleTimer, c.edge.settings.Limits.ClientIdle)
+		c.noProgress = false
+		c.resetFlow()
+		if len(c.unparsed) > 0 {
+			c.parseUnparsed()
+		} else if cap(c.unparsed) > 0 {
+			c.unparsed = nil
+		}
+		if !c.closed && c.current == nil && !c.receiving && c.output.Len() == 0 {
+			c.edge.guard.idleClients.push(c, c.edge.loop.Now())
+			c.edge.guard.trackUnread(c)
+		}
+		c.accountInput()
+		if !c.closed && c.current == nil && c.eof && c.output.Len() == 0 {
 			c.close() // what is left will never be whole
 		}
 	}
 }
 
 // drain ends the connection when nothing is in hand.
-func (c *client) drain() {
-	if c.cur == nil && !c.reading && c.out.Len() == 0 {
-		if !c.pass() {
+func (c *clientConn) drain() {
+	if c.current == nil && !c.receiving && c.output.Len() == 0 {
+		if !c.handOver() {
 			c.close()
 		}
 		return
 	}
-	if c.e.successor != nil { // it goes on there, behind what is in hand
+	if c.edge.successor != nil { // it goes on there, behind what is in hand
 		return
 	}
-	c.last = true
+	c.closeAfterAnswer = true
 }
 
-func (c *client) onEOF() {
+func (c *clientConn) onEOF() {
 	c.eof = true
 	switch {
-	case c.linger || c.cur == nil && c.out.Len() == 0:
+	case c.discardInput || c.current == nil && c.output.Len() == 0:
 		c.close()
-	case c.cur != nil && (c.cur.phase == takingBody || !c.e.s.Limits.HalfClose):
-		c.lost()
+	case c.current != nil && (c.current.phase == receivingBody || !c.edge.settings.Limits.HalfClose):
+		c.disconnect()
 	default:
-		c.wants()
+		c.updateInterest()
 	}
 }
 
-func (c *client) onIdle() {
+func (c *clientConn) onIdleTimer() {
 	switch {
-	case c.gone:
-	case c.linger:
+	case c.closed:
+	case c.discardInput:
 		c.close()
-	case c.out.Len() > 0:
-		if at := c.taken(); at > c.idled { // the kernel takes nothing, and the client does
-			c.idled = at
-			c.e.l.Arm(&c.idle, c.e.s.Limits.WriteIdle)
+	case c.output.Len() > 0:
+		if at := c.acknowledged(); at > c.ackedAtTimeout { // the kernel takes nothing, and the client does
+			c.ackedAtTimeout = at
+			c.edge.loop.Arm(&c.idleTimer, c.edge.settings.Limits.WriteIdle)
 			return
 		}
-		if c.stalled {
-			if c.cur != nil {
-				c.cur.why = endClientSlow
+		if c.noProgress {
+			if c.current != nil {
+				c.current.end = endClientSlow
 			}
-			c.e.guard.bad(c)
+			c.edge.guard.recordBadOutcome(c)
 			c.reset()
 		}
-	case c.cur != nil && c.cur.phase == takingBody, c.cur == nil && c.reading:
-		c.fault(errTooSlow)
-	case c.cur == nil:
-		c.leave()
+	case c.current != nil && c.current.phase == receivingBody, c.current == nil && c.receiving:
+		c.rejectInvalid(errTooSlow)
+	case c.current == nil:
+		c.closeIdle()
 	}
 }
 
-// leave closes a connection that is idle for the router. Where the kernel still holds an
+// closeIdle closes a connection that is idle for the router. Where the kernel still holds an
 // answer that its client does not take, it is reset, and counts as one.
-func (c *client) leave() {
-	if c.taken() < c.wrote {
-		c.e.guard.bad(c)
+func (c *clientConn) closeIdle() {
+	if c.acknowledged() < c.writtenBytes {
+		c.edge.guard.recordBadOutcome(c)
 		c.reset()
 		return
 	}
@@ -624,59 +624,59 @@
 
 // reset ends the connection of a client that takes nothing: what the kernel still holds
 // for it, up to megabytes, is dropped, and not kept until the kernel gives up in turn.
-func (c *client) reset() {
-	if c.part != nil {
-		c = c.part.pg.r.c
+func (c *clientConn) reset() {
+	if c.fragment != nil {
+		c = c.fragment.page.request.client
 	}
-	if !c.gone {
+	if !c.closed {
 		unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	}
-	c.lost()
+	c.disconnect()
 }
 
-// lost ends a connection whose client has gone, or was cut off.
-func (c *client) lost() {
-	if c.gone {
+// disconnect ends a connection whose client has gone, or was cut off.
+func (c *clientConn) disconnect() {
+	if c.closed {
 		return
 	}
-	r := c.cur
+	r := c.current
 	c.close()
 	if r != nil {
 		r.clientGone()
 	}
 }
 
-func (c *client) close() {
+func (c *clientConn) close() {
 	fd := c.fd
 	if !c.detach() {
 		return
 	}
 	unix.Close(fd)
-	if c.e.draining {
-		c.e.checkDrained()
+	if c.edge.draining {
+		c.edge.checkDrained()
 	}
 }
 
 // detach has the router know nothing of the connection any more; its descriptor is
 // the caller's. False: it did so before.
-func (c *client) detach() bool {
-	if c.gone {
+func (c *clientConn) detach() bool {
+	if c.closed {
 		return false
 	}
-	c.gone = true
-	c.e.l.Forget(&c.idle)
-	c.e.l.Remove(c.fd)
-	delete(c.e.clients, c)
-	g := c.e.guard
-	delete(g.slow, c)
-	g.idle.remove(c)
-	if g.addresses[c.from]--; g.addresses[c.from] <= 0 {
-		delete(g.addresses, c.from)
-	}
-	c.left = nil
-	c.book()
-	g.mem.Add(limits.Connections, -clientBytes)
-	c.out.Drop(&c.e.buffers)
+	c.closed = true
+	c.edge.loop.Forget(&c.idleTimer)
+	c.edge.loop.Remove(c.fd)
+	delete(c.edge.clients, c)
+	guard := c.edge.guard
+	delete(guard.awaited, c)
+	guard.idleClients.remove(c)
+	if guard.connectionsOf[c.addr]--; guard.connectionsOf[c.addr] <= 0 {
+		delete(guard.connectionsOf, c.addr)
+	}
+	c.unparsed = nil
+	c.accountInput()
+	guard.memory.Add(limits.Connections, -clientBytes)
+	c.output.Drop(&c.edge.buffers)
 	return true
 }
 
@@ -690,126 +690,126 @@
 type phase uint8
 
 const (
-	takingBody phase = iota + 1
-	asked            // the module has it
-	relaying         // an attempt's answer is on its way to the client
-	over
+	receivingBody  phase = iota + 1
+	awaitingAnswer       // the module has it
+	relaying             // an attempt's answer is on its way to the client
+	finished
 )
 
-// request is a client's request in hand.
-type request struct {
-	e    *Edge
-	c    *client
-	body http1.Body
-	q    spool.Request
-
-	id      string
-	at      float64
-	asked   float64 // when the module got it
-	phase   phase
-	isHead  bool
-	minor   int
-	fwd     []byte // request line and fields, as sent on
-	content []byte // of a write
-	tries   []*try
-	open    int // tries without an outcome
-	winner  *try
-	known   bool // the module has it
-
-	page   *page // that it asks for; nil: its answer is no page
-	vars   *esi.Vars
-	target string
-
-	status int
-	cause  limits.Cause // of what a limit ended
-	booked int64        // of the memory budget
-	sent   int64
-	poor   bool              // it holds a place of those of poor standing
-	turned *engine.Rejection // no class took it; nil: one did
-	why    endWord
-	path   string // of what no class fits
-
-	first [3]try // the memory of its first tries
-	freed bool
+// clientRequest is a client's clientRequest in hand.
+type clientRequest struct {
+	edge   *Edge
+	client *clientConn
+	body   http1.Body
+	spec   spool.Request
+
+	id           string
+	receivedAt   float64
+	submittedAt  float64 // when the module got it
+	phase        phase
+	isHead       bool
+	httpMinor    int
+	forwardHead  []byte // request line and fields, as sent on
+	requestBody  []byte // of a write
+	attempts     []*upstreamAttempt
+	openAttempts int // tries without an outcome
+	winner       *upstreamAttempt
+	inModule     bool // the module has it
+
+	page    *esiPage // that it asks for; nil: its answer is no page
+	esiVars *esi.Vars
+	target  string
+
+	status         int
+	limitCause     limits.Cause // of what a limit ended
+	accounted      int64        // of the memory budget
+	sentBytes      int64
+	poorReputation bool              // it holds a place of those of poor standing
+	routeError     *engine.Rejection // no class took it; nil: one did
+	end            endReason
+	logObject      string // of what no class fits
+
+	firstAttempts [3]upstreamAttempt // the memory of its first tries
+	released      bool
 }
 
 // newRequest is an empty request, in the memory of one that is over if there is any.
-func (e *Edge) newRequest(c *client) *request {
-	n := len(e.free)
+func (e *Edge) newRequest(client *clientConn) *clientRequest {
+	n := len(e.freeRequests)
 	if n == 0 {
-		r := &request{e: e, c: c}
-		r.tries = make([]*try, 0, len(r.first))
-		r.fwd = make([]byte, 0, 512)
-		for i := range r.first {
-			t := &r.first[i]
+		request := &clientRequest{edge: e, client: client}
+		request.attempts = make([]*upstreamAttempt, 0, len(request.firstAttempts))
+		request.forwardHead = make([]byte, 0, 512)
+		for i := range request.firstAttempts {
+			t := &request.firstAttempts[i]
 			t.timer.F = t.timedOut
 		}
-		return r
+		return request
 	}
-	r := e.free[n-1]
-	e.free[n-1] = nil
-	e.free = e.free[:n-1]
-	clear(r.tries)
-	for i := range r.first {
-		t := &r.first[i]
-		*t = try{timer: t.timer} // not armed, and keeps its function
+	request := e.freeRequests[n-1]
+	e.freeRequests[n-1] = nil
+	e.freeRequests = e.freeRequests[:n-1]
+	clear(request.attempts)
+	for i := range request.firstAttempts {
+		t := &request.firstAttempts[i]
+		*t = upstreamAttempt{timer: t.timer} // not armed, and keeps its function
 	}
-	*r = request{e: e, c: c, first: r.first, fwd: r.fwd[:0], content: r.content[:0], tries: r.tries[:0]}
-	return r
+	*request = clientRequest{edge: e, client: client, firstAttempts: request.firstAttempts, forwardHead: request.forwardHead[:0], requestBody: request.requestBody[:0], attempts: request.attempts[:0]}
+	return request
 }
 
-// newTry is the next attempt of the request.
-func (r *request) newTry() *try {
-	var t *try
-	if n := len(r.tries); n < len(r.first) {
-		t = &r.first[n]
+// newAttempt is the next attempt of the request.
+func (r *clientRequest) newAttempt() *upstreamAttempt {
+	var attempt *upstreamAttempt
+	if n := len(r.attempts); n < len(r.firstAttempts) {
+		attempt = &r.firstAttempts[n]
 	} else {
-		t = &try{}
-		t.timer.F = t.timedOut
+		attempt = &upstreamAttempt{}
+		attempt.timer.F = attempt.timedOut
 	}
-	t.r, t.n = r, len(r.tries)
-	r.tries = append(r.tries, t)
-	r.open++
-	return t
+	attempt.request, attempt.number = r, len(r.attempts)
+	r.attempts = append(r.attempts, attempt)
+	r.openAttempts++
+	return attempt
 }
 
-// takeBody takes a write's body, which is held whole so that it can be sent again.
-func (r *request) takeBody(data []byte) (n int, err error) {
+// receiveBody takes a write's body, which is held whole so that it can be sent again.
+func (r *clientRequest) receiveBody(data []byte) (n int, err error) {
 	for n < len(data) && !r.body.Done() {
 		k, content, err := r.body.Next(data[n:])
 		n += k
 		if err != nil {
 			return n, err
 		}
-		had := cap(r.content)
-		r.content = append(r.content, content...)
-		if more := int64(cap(r.content) - had); more > 0 {
-			r.booked += more
-			r.e.guard.mem.Add(limits.Bodies, more)
+		had := cap(r.requestBody)
+		r.requestBody = append(r.requestBody, content...)
+		if more := int64(cap(r.requestBody) - had); more > 0 {
+			r.accounted += more
+			r.edge.guard.memory.Add(limits.Bodies, more)
 		}
 		if k == 0 {
 			break
 		}
 	}
 	if r.body.Done() {
-		r.ask()
+		r.submit()
 	}
 	return n, nil
 }
 
-// compose writes what of the head goes on to caches: all but what is for this
+// composeForwardHead writes what of the head goes on to caches: all but what is for this
 // connection only, framing, and what the router says itself.
-func (r *request) compose(h *http1.Head) {
-	b := http1.AppendRequestLine(r.fwd[:0], h.Method, h.Path())
+func (r *clientRequest) composeForwardHead(h *http1.Head) {
+	b := http1.AppendRequestLine(r.forwardHead[:0], h.Method, h.Path())
 	if h.Host != nil {
 		b = http1.AppendField(b, "Host", h.Host)
 	} else {
-		b = http1.AppendFieldString(b, "Host", r.e.name)
+		b = http1.AppendFieldString(b, "Host", r.edge.name)
 	}
-	b = appendEndToEnd(b, h, ours)
+	b = appendEndToEnd(b, h, isRouterRequestField)
 	b = append(b, "Via: 1.1 "...)
-	b = append(b, r.e.name...)
-	r.fwd = append(b, "\r\n"...)
+	b = append(b, r.edge.name...)
+	r.forwardHead = append(b, "\r\n"...)
 }
 
 // appendEndToEnd appends the fields of a head that are not for one connection
@@ -829,9 +829,9 @@
 	return b
 }
 
-// ours reports fields that a client may not set for the caches, or that are
+// isRouterRequestField reports fields that a client may not set for the caches, or that are
 // written anew.
-func ours(name []byte) bool {
+func isRouterRequestField(name []byte) bool {
 	switch len(name) {
 	case 4:
 		return http1.EqualFold(name, "host")
@@ -847,79 +847,79 @@
 	return false
 }
 
-// ask gives the request to the module.
-func (r *request) ask() {
-	e := r.e
-	r.phase = asked
-	r.id = e.nextID()
-	r.q.ID = r.id
-	r.asked = e.l.Now()
-	r.known = true
-	e.reqs[r.id] = r
-	e.stats.MostHeld = max(e.stats.MostHeld, len(e.reqs))
-	if r.c.part == nil {
-		e.l.Disarm(&r.c.idle)
+// submit gives the request to the module.
+func (r *clientRequest) submit() {
+	edge := r.edge
+	r.phase = awaitingAnswer
+	r.id = edge.nextID()
+	r.spec.ID = r.id
+	r.submittedAt = edge.loop.Now()
+	r.inModule = true
+	edge.requests[r.id] = r
+	edge.stats.MostHeld = max(edge.stats.MostHeld, len(edge.requests))
+	if r.client.fragment == nil {
+		edge.loop.Disarm(&r.client.idleTimer)
 	}
-	e.tell(r.q)
+	edge.dispatch(r.spec)
 }
 
 // clientGone tells the module that nobody waits any more.
-func (r *request) clientGone() {
-	if r.phase == over {
+func (r *clientRequest) clientGone() {
+	if r.phase == finished {
 		return
 	}
-	if r.why == 0 {
-		r.why = endClientGone
+	if r.end == 0 {
+		r.end = endClientGone
 	}
-	r.e.stats.Gone++
-	e, id, w := r.e, r.id, r.winner
-	if !r.known {
+	r.edge.stats.Gone++
+	edge, id, w := r.edge, r.id, r.winner
+	if !r.inModule {
 		r.finish()
 		return
 	}
 	if r.phase != relaying {
 		w = nil
 	}
-	r.phase = over // before the module hears of it: nothing may be answered any more
-	r.e.log.request(r)
-	r.c.cur = nil
+	r.phase = finished // before the module hears of it: nothing may be answered any more
+	r.edge.log.request(r)
+	r.client.current = nil
 	if r.page != nil {
-		r.page.leave()
+		r.page.close()
 	}
-	e.tell(spool.Gone{ID: id})
-	if w != nil && w.r == r && !w.done && !r.freed {
-		w.cut(spool.Cancelled)
+	edge.dispatch(spool.Gone{ID: id})
+	if w != nil && w.request == r && !w.done && !r.released {
+		w.abort(spool.Cancelled)
 	}
-	r.release()
+	r.releaseIfDone()
 }
 
-// refuse is the module's final answer that a repeat is harmless.
-func (r *request) refuse(after float64) {
-	if r.phase != asked {
+// reject is the module's final answer that a repeat is harmless.
+func (r *clientRequest) reject(after float64) {
+	if r.phase != awaitingAnswer {
 		return
 	}
-	r.e.stats.Refused++
-	r.why = endRefused
-	r.c.answer(r, 503, after)
+	r.edge.stats.Refused++
+	r.end = endRefused
+	r.client.respond(r, 503, after)
 }
 
 // fail is the module's final answer that promises nothing.
-func (r *request) fail() {
-	if r.phase != asked {
+func (r *clientRequest) fail() {
+	if r.phase != awaitingAnswer {
 		return
 	}
-	r.e.stats.Failed++
-	r.why = endFailed
+	r.edge.stats.Failed++
+	r.end = endFailed
 	status := 502
-	if r.e.l.Now() >= r.q.Deadline-2*r.e.s.Limits.TimerGrain {
+	if r.edge.loop.Now() >= r.spec.Deadline-2*r.edge.settings.Limits.TimerGrain {
 		status = 504
 	}
-	r.c.answer(r, status, 0)
+	r.client.respond(r, status, 0)
 }
 
-// written reports whether something of the request may have reached a member.
-func (r *request) written() bool {
-	for _, t := range r.tries {
+// anyWritten reports whether something of the request may have reached a member.
+func (r *clientRequest) anyWritten() bool {
+	for _, t := range r.attempts {
 		if t.written {
 			return true
 		}
@@ -928,65 +928,65 @@
 }
 
 // shed gives the request up for want of room: with an answer where it has none yet.
-func (r *request) shed(cause limits.Cause) {
-	c, e, id, known := r.c, r.e, r.id, r.known
-	r.why, r.cause = endLimit, cause
+func (r *clientRequest) shed(cause limits.Cause) {
+	client, edge, id, known := r.client, r.edge, r.id, r.inModule
+	r.end, r.limitCause = endLimit, cause
 	switch r.phase {
-	case takingBody:
-		c.last, c.linger = true, true
-		c.answer(r, 503, 1000)
-	case asked:
-		e.stats.Refused++
-		c.answer(r, 503, 1000)
+	case receivingBody:
+		client.closeAfterAnswer, client.discardInput = true, true
+		client.respond(r, 503, 1000)
+	case awaitingAnswer:
+		edge.stats.Refused++
+		client.respond(r, 503, 1000)
 		if known {
-			e.tell(spool.Gone{ID: id}) // nobody waits for it any more
+			edge.dispatch(spool.Gone{ID: id}) // nobody waits for it any more
 		}
 	case relaying:
-		c.reset()
+		client.reset()
 	}
 }
 
 // finish ends the request for its client; attempts may still be out.
-func (r *request) finish() {
-	if r.phase == over {
+func (r *clientRequest) finish() {
+	if r.phase == finished {
 		return
 	}
-	r.phase = over
-	r.e.log.request(r)
+	r.phase = finished
+	r.edge.log.request(r)
 	if r.page != nil {
-		r.page.leave()
+		r.page.close()
 	}
-	c := r.c
-	if r.why == endServed && !c.blamed && c.part == nil {
-		c.e.guard.standing.AddGood(c.address, c.e.l.Now())
+	client := r.client
+	if r.end == endServed && !client.badOutcome && client.fragment == nil {
+		client.edge.guard.reputation.AddGood(client.addrText, client.edge.loop.Now())
 	}
-	c.blamed = false
-	if c.cur == r {
-		c.done()
+	client.badOutcome = false
+	if client.current == r {
+		client.onAnswered()
 	}
-	r.release()
+	r.releaseIfDone()
 }
 
-// release forgets a request that is over and has nothing out.
-func (r *request) release() {
-	if r.phase != over || r.open > 0 || r.freed {
+// releaseIfDone forgets a request that is over and has nothing out.
+func (r *clientRequest) releaseIfDone() {
+	if r.phase != finished || r.openAttempts > 0 || r.released {
 		return
 	}
-	if r.known {
-		r.known = false
-		delete(r.e.reqs, r.id)
+	if r.inModule {
+		r.inModule = false
+		delete(r.edge.requests, r.id)
 	}
-	r.freed = true
-	if r.poor {
-		r.poor = false
-		r.e.guard.standing.Release()
+	r.released = true
+	if r.poorReputation {
+		r.poorReputation = false
+		r.edge.guard.reputation.Release()
 	}
-	if r.booked > 0 {
-		r.e.guard.mem.Add(limits.Requests, -requestBytes)
-		r.e.guard.mem.Add(limits.Bodies, requestBytes-r.booked)
-		r.booked = 0
+	if r.accounted > 0 {
+		r.edge.guard.memory.Add(limits.Requests, -requestBytes)
+		r.edge.guard.memory.Add(limits.Bodies, requestBytes-r.accounted)
+		r.accounted = 0
 	}
-	if e := r.e; len(e.free) < 1024 && cap(r.content) <= 64<<10 {
-		e.free = append(e.free, r) // it is made empty when it is used again
+	if e := r.edge; len(e.freeRequests) < 1024 && cap(r.requestBody) <= 64<<10 {
+		e.freeRequests = append(e.freeRequests, r) // it is made empty when it is used again
 	}
 }
--- a/internal/proxy/httpfront/clock_test.go
+++ b/internal/proxy/httpfront/clock_test.go
@@ -32,7 +32,7 @@
 			t.Fatal(err)
 		}
 		for i, step := range []time.Duration{-time.Hour, 0, time.Hour} {
-			if m, _ := metaOf(&h, noon.Add(step)); m.Fresh != want[i] {
+			if m, _ := parseMeta(&h, noon.Add(step)); m.Fresh != want[i] {
 				t.Errorf("%q, clock stepped by %v: fresh for %v ms, want %v", fields, step, m.Fresh, want[i])
 			}
 		}
@@ -40,11 +40,11 @@
 }
 
 func TestDatesRunFromStart(t *testing.T) {
-	e := &Edge{started: wallclock.Now(), startedAt: eventloop.Clock() - 5000}
+	edge := &Edge{startedDate: wallclock.Now(), startedAt: eventloop.Clock() - 5000}
 	before := wallclock.Now()
 	for _, step := range []time.Duration{time.Hour, -2 * time.Hour} {
 		wallclock.Step(step)
-		if late := e.date().Sub(before).Seconds(); late < 4.9 || late > 6 {
+		if late := edge.date().Sub(before).Seconds(); late < 4.9 || late > 6 {
 			t.Errorf("stepped by %v: %v s after a start 5 s ago", step, late)
 		}
 	}
@@ -54,8 +54,8 @@
 // Requests in hand while the wall clock is stepped to and fro are served within their time,
 // also those that wait for a member whose connections hang for a moment.
 func TestClockStepsChangeNoWait(t *testing.T) {
-	r := newRig(t, 2, "(connections-per-address 5000)")
-	for _, box := range r.boxes { // shorter than the module waits before it looks elsewhere
+	rig := newRig(t, 2, "(connections-per-address 5000)")
+	for _, box := range rig.boxes { // shorter than the module waits before it looks elsewhere
 		box.Fault(testserver.Fault{Kind: testserver.Hang, For: 100})
 	}
 	stop, stepped := make(chan struct{}), make(chan int)
@@ -75,7 +75,7 @@
 		}
 	}()
 	began := time.Now()
-	r.twoEach()
+	rig.twoEach()
 	took := time.Since(began)
 	close(stop)
 	if n := <-stepped; n < 10 || took > 3*time.Second {
--- a/internal/proxy/httpfront/edge.go
+++ b/internal/proxy/httpfront/edge.go
@@ -49,55 +49,55 @@
 
 // Edge is one router.
 type Edge struct {
-	s    *config.Settings
-	core *engine.Core
-	l    *eventloop.Loop
-	log  *AccessLog
-	name string
-
-	started   time.Time // by the wall clock
-	startedAt eventloop.Millis
-	lfd       int
-	listener  eventloop.Listener
-	addr      string
-	clients   map[*client]struct{}
-	pages     map[*page]struct{}
-	dirty     []*page // that something has come for in this turn
-	reqs      map[string]*request
-	pools     map[string]*pool
-	seq       uint64
-	scratch   []byte
-	acts      []spool.Action
-	queue     []spool.Event
-	telling   bool
-	draining  bool
-	drainT    eventloop.Timer
-	freeWakes []*wake
-	free      []*request
-	buffers   eventloop.Buffers // for bytes that wait to be written
-	hbuf      []byte            // a head that is being written
-	head      http1.Head        // of the request that is being taken
-	stats     Stats
-	probed    func(spool.Probed) // also hears of probes, in tests
-	stopWatch func()
-	stopAdmin func()
-	adminFile *os.File // of its listener, for a successor
-
-	inherited *hotrestart.Inherited // from a predecessor; nil: there was none
-	followed  atomic.Bool           // that knows that this one serves, and has not ended
-	behind    bool                  // as followed, as the loop knows it: it still passes connections on
-	offered   *hotrestart.Server
-	leaving   bool               // a successor has the memory, and does not serve yet
-	since     []engine.Purge     // purges since then
-	successor *hotrestart.Sender // it serves; nil: there is none
-	guard     *guard
-	journal   *journal.Writer // nil: none is kept
-	versions  *Versions
-	version   int64              // in use; 0: the file
-	next      int64              // about to be
-	young     map[string]float64 // members that were listed lately when the router began, and for how long (ms)
-	listState atomic.Value       // string: what is known of the list service
-	adminAddr atomic.Value       // string
+	settings *config.Settings
+	core     *engine.Core
+	loop     *eventloop.Loop
+	log      *AccessLog
+	name     string
+
+	startedDate   time.Time // by the wall clock
+	startedAt     eventloop.Millis
+	listenFD      int
+	listener      eventloop.Listener
+	addr          string
+	clients       map[*clientConn]struct{}
+	pages         map[*esiPage]struct{}
+	changedPages  []*esiPage // that something has come for in this turn
+	requests      map[string]*clientRequest
+	pools         map[string]*connPool
+	requestCount  uint64
+	scratch       []byte
+	actions       []spool.Action
+	pendingEvents []spool.Event
+	dispatching   bool
+	draining      bool
+	drainTimer    eventloop.Timer
+	freeTimers    []*moduleTimer
+	freeRequests  []*clientRequest
+	buffers       eventloop.Buffers // for bytes that wait to be written
+	headBuffer    []byte            // a head that is being written
+	head          http1.Head        // of the request that is being taken
+	stats         Stats
+	observeProbe  func(spool.Probed) // also hears of probes, in tests
+	stopWatch     func()
+	stopAdmin     func()
+	adminFile     *os.File // of its listener, for a successor
+
+	inherited            *hotrestart.Inherited // from a predecessor; nil: there was none
+	predecessorReachable atomic.Bool           // that knows that this one serves, and has not ended
+	predecessorRuns      bool                  // as followed, as the loop knows it: it still passes connections on
+	handoverServer       *hotrestart.Server
+	handingOver          bool               // a successor has the memory, and does not serve yet
+	purgesDuringHandover []engine.Purge     // purges since then
+	successor            *hotrestart.Sender // it serves; nil: there is none
+	guard                *guard
+	journal              *journal.Writer // nil: none is kept
+	configClient         *ConfigClient
+	version              int64              // in use; 0: the file
+	nextVersion          int64              // about to be
+	listedFor            map[string]float64 // members that were listed lately when the router began, and for how long (ms)
+	listState            atomic.Value       // string: what is known of the list service
+	adminAddr            atomic.Value       // string
 }
 
 // New makes a router from checked settings; it listens, and serves once Run is called.
@@ -112,30 +112,30 @@
 	if err != nil {
 		return nil, err
 	}
-	e := &Edge{s: s, core: c, l: l, log: log, name: s.Router.Name, clients: map[*client]struct{}{}, pages: map[*page]struct{}{},
-		reqs: map[string]*request{}, pools: map[string]*pool{}, scratch: make([]byte, 256<<10), started: wallclock.Now(), startedAt: eventloop.Clock()}
-	e.listState.Store("none")
-	e.drainT.F = e.drained
-	e.guard = newGuard(e)
-	e.buffers = newBuffers(e.guard)
-	e.inherited = in
+	edge := &Edge{settings: s, core: c, loop: l, log: log, name: s.Router.Name, clients: map[*clientConn]struct{}{}, pages: map[*esiPage]struct{}{},
+		requests: map[string]*clientRequest{}, pools: map[string]*connPool{}, scratch: make([]byte, 256<<10), startedDate: wallclock.Now(), startedAt: eventloop.Clock()}
+	edge.listState.Store("none")
+	edge.drainTimer.F = edge.onDrainTimeout
+	edge.guard = newGuard(edge)
+	edge.buffers = newBuffers(edge.guard)
+	edge.inherited = in
 	var ok bool
-	if e.lfd, e.addr, ok = inherit(in, s.Router.Listen); ok {
-	} else if e.lfd, e.addr, err = eventloop.Listen(s.Router.Listen); err != nil {
+	if edge.listenFD, edge.addr, ok = inheritListener(in, s.Router.Listen); ok {
+	} else if edge.listenFD, edge.addr, err = eventloop.Listen(s.Router.Listen); err != nil {
 		return nil, fmt.Errorf("edge: listen %s: %w; is the address free, and one of this machine?", s.Router.Listen, err)
 	}
-	e.listener.Take = func(fd int) { e.accepted(fd) }
-	e.listener.MakeRoom = func() bool { return e.guard.closeIdle(limits.Descriptors) }
-	if err := e.keepJournal(); err != nil {
-		unix.Close(e.lfd)
+	edge.listener.Take = func(fd int) { edge.onAccept(fd) }
+	edge.listener.MakeRoom = func() bool { return edge.guard.closeIdle(limits.Descriptors) }
+	if err := edge.openJournal(); err != nil {
+		unix.Close(edge.listenFD)
 		return nil, err
 	}
-	return e, nil
+	return edge, nil
 }
 
-// keepJournal has the core record what the module is told and answers.
-func (e *Edge) keepJournal() error {
-	r := &e.s.Router
+// openJournal has the core record what the module is told and answers.
+func (e *Edge) openJournal() error {
+	r := &e.settings.Router
 	if r.Journal == "" {
 		return nil
 	}
@@ -144,44 +144,44 @@
 	if err != nil {
 		return err
 	}
-	w.Life(journal.Life{Name: e.name, Program: cli.Version(), Wall: wallclock.Now().UnixMilli(), Seed: uint64(r.Seed), Settings: config.Print(e.s)})
+	w.Life(journal.Life{Name: e.name, Program: cli.Version(), Wall: wallclock.Now().UnixMilli(), Seed: uint64(r.Seed), Settings: config.Print(e.settings)})
 	e.journal, e.core.Recorder = w, recorder{e}
 	return nil
 }
 
 // recorder is the journal as the core knows it.
-type recorder struct{ e *Edge }
+type recorder struct{ edge *Edge }
 
 func (r recorder) Handled(now float64, ev spool.Event, acts []spool.Action) {
-	r.e.journal.Handled(now, ev, acts)
+	r.edge.journal.Handled(now, ev, acts)
 }
 
 func (r recorder) SettingsChanged(now float64, s *config.Settings, acts []spool.Action) {
-	r.e.journal.Settings(now, r.e.next, func() string { return config.Print(s) }, acts)
+	r.edge.journal.Settings(now, r.edge.nextVersion, func() string { return config.Print(s) }, acts)
 }
 
-// NewFrom makes a router that begins with a version. The router's own part of
+// NewFromVersion makes a router that begins with a version. The router's own part of
 // the settings is in the version's already.
-func NewFrom(u *configversion.Activate, log *AccessLog) (*Edge, error) {
-	return newFrom(u, nil, log, nil)
+func NewFromVersion(u *configversion.Activate, log *AccessLog) (*Edge, error) {
+	return newFromVersion(u, nil, log, nil)
 }
 
-// newFrom makes a router that begins with a version or, where that is nil, with
+// newFromVersion makes a router that begins with a version or, where that is nil, with
 // settings of its own, and takes over from in unless that is nil.
-func newFrom(u *configversion.Activate, own *config.Settings, log *AccessLog, in *hotrestart.Inherited) (*Edge, error) {
+func newFromVersion(u *configversion.Activate, own *config.Settings, log *AccessLog, in *hotrestart.Inherited) (*Edge, error) {
 	if u == nil {
 		return newEdge(own, log, in)
 	}
 	e, err := newEdge(u.Settings, log, in)
 	if err == nil {
-		e.version, e.young = u.Version.Number, u.ListedFor
+		e.version, e.listedFor = u.Version.Number, u.ListedFor
 	}
 	return e, err
 }
 
 // date is the time of day as it was when the router began, run on by the monotonic clock.
 func (e *Edge) date() time.Time {
-	return e.started.Add(time.Duration((eventloop.Clock() - e.startedAt) * float64(time.Millisecond)))
+	return e.startedDate.Add(time.Duration((eventloop.Clock() - e.startedAt) * float64(time.Millisecond)))
 }
 
 // Addr is where clients reach the router.
@@ -189,32 +189,32 @@
 
 // Run serves until Drain has ended or Stop is called.
 func (e *Edge) Run() error {
-	if err := e.listener.Start(e.l, e.lfd); err != nil {
+	if err := e.listener.Start(e.loop, e.listenFD); err != nil {
 		return err
 	}
-	e.l.AfterEachTurn(e.guard.after)
-	e.l.Arm(&e.guard.sweepT, sweepEvery)
-	e.l.Post(func() { e.remember(); e.begin() })
-	if e.s.Router.List != "" {
-		e.stopWatch = e.watch()
+	e.loop.AfterEachTurn(e.guard.afterTurn)
+	e.loop.Arm(&e.guard.sweepTimer, sweepInterval)
+	e.loop.Post(func() { e.restoreLearnedState(); e.applyInitialMembers() })
+	if e.settings.Router.List != "" {
+		e.stopWatch = e.watchList()
 	}
-	if e.s.Router.Admin != "" {
+	if e.settings.Router.Admin != "" {
 		stop, err := e.admin()
 		if err != nil {
-			e.l.Stop()
-			e.l.Run()
+			e.loop.Stop()
+			e.loop.Run()
 			return err
 		}
 		e.stopAdmin = stop
 	}
-	if err := errors.Join(e.offer(), e.serves()); err != nil {
-		e.l.Stop()
-		e.l.Run()
+	if err := errors.Join(e.offerHandover(), e.announceServing()); err != nil {
+		e.loop.Stop()
+		e.loop.Run()
 		return err
 	}
-	err := e.l.Run()
-	if e.offered != nil {
-		e.offered.Close()
+	err := e.loop.Run()
+	if e.handoverServer != nil {
+		e.handoverServer.Close()
 	}
 	if e.successor != nil {
 		e.successor.Close()
@@ -240,12 +240,12 @@
 		unix.Close(c.fd)
 	}
 	for _, p := range e.pools {
-		for u := range p.all {
+		for u := range p.connections {
 			unix.Close(u.fd)
 		}
 	}
-	if e.lfd >= 0 {
-		unix.Close(e.lfd)
+	if e.listenFD >= 0 {
+		unix.Close(e.listenFD)
 	}
 }
 
@@ -265,13 +265,13 @@
 }
 
 // Stop ends the router at once, from any goroutine.
-func (e *Edge) Stop() { e.l.Stop() }
+func (e *Edge) Stop() { e.loop.Stop() }
 
 // Drain ends the router when what it holds is done, or after the settings'
 // limit: no connection is accepted any more, idle ones are closed, and answers
 // under way are finished. It may be called from any goroutine.
 func (e *Edge) Drain() {
-	e.l.Post(e.drainNow)
+	e.loop.Post(e.drainNow)
 }
 
 func (e *Edge) drainNow() {
@@ -280,9 +280,9 @@
 	}
 	e.draining = true
 	e.listener.Stop()
-	unix.Close(e.lfd)
-	e.lfd = -1
-	e.l.Arm(&e.drainT, e.s.Limits.Drain)
+	unix.Close(e.listenFD)
+	e.listenFD = -1
+	e.loop.Arm(&e.drainTimer, e.settings.Limits.Drain)
 	for c := range e.clients {
 		c.drain()
 	}
@@ -292,44 +292,44 @@
 // checkDrained ends the router when it has drained. While its own predecessor still drains
 // it stays: what that one passes on goes through here to the successor.
 func (e *Edge) checkDrained() {
-	if e.draining && len(e.clients) == 0 && !e.behind {
-		e.l.Stop()
+	if e.draining && len(e.clients) == 0 && !e.predecessorRuns {
+		e.loop.Stop()
 	}
 }
 
-func (e *Edge) drained() { e.l.Stop() }
+func (e *Edge) onDrainTimeout() { e.loop.Stop() }
 
 // Query runs f on the loop with the router's counters and core.
 func (e *Edge) Query(f func(*Stats, *engine.Core)) error {
-	return e.l.Call(5*time.Second, func() {
-		e.stats.Connections, e.stats.Held = uint64(len(e.clients)), len(e.reqs)
+	return e.loop.Call(5*time.Second, func() {
+		e.stats.Connections, e.stats.Held = uint64(len(e.clients)), len(e.requests)
 		e.stats.AcceptPauses, e.stats.Upstreams = e.listener.Pauses, 0
 		for _, p := range e.pools {
-			e.stats.Upstreams += len(p.all)
+			e.stats.Upstreams += len(p.connections)
 		}
 		f(&e.stats, e.core)
 	})
 }
 
-// shortPause is how long, in ms, a probe waits that could not be begun here.
-const shortPause = 50
+// probeRetryInterval is how long, in ms, a probe waits that could not be begun here.
+const probeRetryInterval = 50
 
-// accepted takes a connection from the listener.
-func (e *Edge) accepted(fd int) {
+// onAccept takes a connection from the listener.
+func (e *Edge) onAccept(fd int) {
 	e.stats.Accepted++
 	peer, err := unix.Getpeername(fd)
 	if eventloop.Broken(err) { // it was reset before it was taken
 		unix.Close(fd)
 		return
 	}
-	e.adopt(fd, addressOf(peer), true)
+	e.addClient(fd, addressOf(peer), true)
 }
 
-// writeWhole writes a short answer to a connection that is about to be closed, as far as it
+// writeBeforeClose writes a short answer to a connection that is about to be closed, as far as it
 // can be written at once.
-func (e *Edge) writeWhole(fd int, b []byte) {
+func (e *Edge) writeBeforeClose(fd int, b []byte) {
 	for len(b) > 0 {
-		n, err := e.l.Write(fd, b)
+		n, err := e.loop.Write(fd, b)
 		if err != nil {
 			return
 		}
@@ -337,46 +337,46 @@
 	}
 }
 
-// adopt takes a client's connection, unless as many are there as may be: then it is
+// addClient takes a client's connection, unless as many are there as may be: then it is
 // told so, and closed.
-func (e *Edge) adopt(fd int, from netip.Addr, answer bool) *client {
-	g := e.guard
+func (e *Edge) addClient(fd int, from netip.Addr, answer bool) *clientConn {
+	guard := e.guard
 	cause := limits.None
 	switch {
-	case g.addresses[from] >= e.s.Limits.PerAddress:
+	case guard.connectionsOf[from] >= e.settings.Limits.PerAddress:
 		cause = limits.PerAddress
-	case g.full():
+	case guard.connectionsFull():
 		cause = limits.Descriptors
-	case g.mem.Full() && !g.closeIdle(limits.Memory):
+	case guard.memory.Full() && !guard.closeIdle(limits.Memory):
 		cause = limits.Memory
 	}
-	c := &client{e: e, fd: fd, from: from, address: from.String(), class: len(g.classes)}
-	c.idle.F = c.onIdle
+	client := &clientConn{edge: e, fd: fd, addr: from, addrText: from.String(), schedulerClass: len(guard.classIndex)}
+	client.idleTimer.F = client.onIdleTimer
 	if cause == limits.None {
 		unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-		if n := g.tails.Room(e.s.Limits.SocketKB * 1024); n > 0 {
+		if n := guard.unread.Room(e.settings.Limits.SocketKB * 1024); n > 0 {
 			unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_SNDBUF, n/2) // the kernel doubles it
 		}
-		if err := e.l.Add(fd, eventloop.Read, c); err != nil {
+		if err := e.loop.Add(fd, eventloop.Read, client); err != nil {
 			cause = limits.Descriptors
 		}
 	}
 	if cause != limits.None {
-		g.counts[cause]++
+		guard.counts[cause]++
 		e.stats.Refused++
 		if answer {
-			e.writeWhole(fd, busyAnswer)
-			e.l.Read(fd, e.scratch) // what is unread when it is closed would take the answer from it
+			e.writeBeforeClose(fd, busyAnswer)
+			e.loop.Read(fd, e.scratch) // what is unread when it is closed would take the answer from it
 		}
 		unix.Close(fd)
 		return nil
 	}
-	e.clients[c] = struct{}{}
-	g.addresses[from]++
-	g.mem.Add(limits.Connections, clientBytes)
-	g.idle.add(c, e.l.Now())
-	e.l.Arm(&c.idle, e.s.Limits.ClientIdle)
-	return c
+	e.clients[client] = struct{}{}
+	guard.connectionsOf[from]++
+	guard.memory.Add(limits.Connections, clientBytes)
+	guard.idleClients.push(client, e.loop.Now())
+	e.loop.Arm(&client.idleTimer, e.settings.Limits.ClientIdle)
+	return client
 }
 
 // addressOf is a peer's address, without its port.
@@ -390,75 +390,75 @@
 	return netip.Addr{}
 }
 
-// wake is a timer that the module asked for.
-type wake struct {
-	t     eventloop.Timer
-	e     *Edge
+// moduleTimer is a timer that the module asked for.
+type moduleTimer struct {
+	timer eventloop.Timer
+	edge  *Edge
 	token int64
 }
 
-func (w *wake) due() {
+func (w *moduleTimer) fire() {
 	token := w.token
-	w.e.freeWakes = append(w.e.freeWakes, w)
-	w.e.tell(spool.Timer{Token: token})
+	w.edge.freeTimers = append(w.edge.freeTimers, w)
+	w.edge.dispatch(spool.Timer{Token: token})
 }
 
-func (e *Edge) wakeIn(in float64, token int64) {
-	var w *wake
-	if n := len(e.freeWakes); n > 0 {
-		w, e.freeWakes = e.freeWakes[n-1], e.freeWakes[:n-1]
+func (e *Edge) startTimer(in float64, token int64) {
+	var w *moduleTimer
+	if n := len(e.freeTimers); n > 0 {
+		w, e.freeTimers = e.freeTimers[n-1], e.freeTimers[:n-1]
 	} else {
-		w = &wake{e: e}
-		w.t.F = w.due
+		w = &moduleTimer{edge: e}
+		w.timer.F = w.fire
 	}
 	w.token = token
-	e.l.Arm(&w.t, in)
+	e.loop.Arm(&w.timer, in)
 }
 
-// tell gives the module an event and carries out its actions; events that come
+// dispatch gives the module an event and carries out its actions; events that come
 // of these wait their turn.
-func (e *Edge) tell(ev spool.Event) {
-	if e.telling {
-		e.queue = append(e.queue, ev)
+func (e *Edge) dispatch(ev spool.Event) {
+	if e.dispatching {
+		e.pendingEvents = append(e.pendingEvents, ev)
 		return
 	}
-	e.telling = true
+	e.dispatching = true
 	for {
-		e.acts = e.core.Handle(e.l.Now(), ev, e.acts[:0])
-		for i := range e.acts {
-			e.carryOut(e.acts[i])
+		e.actions = e.core.Handle(e.loop.Now(), ev, e.actions[:0])
+		for i := range e.actions {
+			e.execute(e.actions[i])
 		}
-		clear(e.acts)
-		if len(e.queue) == 0 {
+		clear(e.actions)
+		if len(e.pendingEvents) == 0 {
 			break
 		}
-		ev = e.queue[0]
-		if e.queue = e.queue[1:]; len(e.queue) == 0 {
-			e.queue = nil
+		ev = e.pendingEvents[0]
+		if e.pendingEvents = e.pendingEvents[1:]; len(e.pendingEvents) == 0 {
+			e.pendingEvents = nil
 		}
 	}
-	e.telling = false
+	e.dispatching = false
 }
 
-// carryOut does what the module wants done.
-func (e *Edge) carryOut(a spool.Action) {
+// execute does what the module wants done.
+func (e *Edge) execute(a spool.Action) {
 	switch a := a.(type) {
 	case spool.Send:
-		e.send(&a)
+		e.sendAttempt(&a)
 	case spool.Refuse:
-		if r := e.reqs[a.ID]; r != nil {
-			r.refuse(a.After)
+		if r := e.requests[a.ID]; r != nil {
+			r.reject(a.After)
 		}
 	case spool.Fail:
-		if r := e.reqs[a.ID]; r != nil {
+		if r := e.requests[a.ID]; r != nil {
 			r.fail()
 		}
 	case spool.Cancel:
-		if r := e.reqs[a.ID]; r != nil && a.Attempt < len(r.tries) {
-			r.tries[a.Attempt].cancel()
+		if r := e.requests[a.ID]; r != nil && a.Attempt < len(r.attempts) {
+			r.attempts[a.Attempt].cancel()
 		}
 	case spool.Wake:
-		e.wakeIn(a.In, a.Token)
+		e.startTimer(a.In, a.Token)
 	case spool.Probe:
 		e.probe(a.Cache)
 	case spool.Watch, spool.Fetch:
@@ -469,142 +469,142 @@
 
 // prober is a probe under way: a connection that is made and closed.
 type prober struct {
-	e     *Edge
-	id    string
-	fd    int // -1: it could not be begun yet
-	timer eventloop.Timer
-	until eventloop.Millis
+	edge     *Edge
+	id       string
+	fd       int // -1: it could not be begun yet
+	timer    eventloop.Timer
+	deadline eventloop.Millis
 }
 
 // probe looks whether a member takes connections, within the time for connects.
 func (e *Edge) probe(id string) {
-	p := &prober{e: e, id: id, fd: -1, until: e.l.Now() + e.s.Limits.Connect}
-	p.timer.F = p.due
-	p.begin()
+	p := &prober{edge: e, id: id, fd: -1, deadline: e.loop.Now() + e.settings.Limits.Connect}
+	p.timer.F = p.onTimer
+	p.connect()
 }
 
-// begin begins to connect. What this machine lacks for it is no word about the member: it is
+// connect begins to connect. What this machine lacks for it is no word about the member: it is
 // tried again, as long as the time for connects lasts.
-func (p *prober) begin() {
-	e := p.e
-	fd, _, err := e.l.Dial(e.core.Address(p.id))
+func (p *prober) connect() {
+	edge := p.edge
+	fd, _, err := edge.loop.Dial(edge.core.Address(p.id))
 	if err == nil {
-		if err = e.l.Add(fd, eventloop.Write, p); err != nil {
+		if err = edge.loop.Add(fd, eventloop.Write, p); err != nil {
 			unix.Close(fd)
 		}
 	}
 	switch {
 	case err == nil:
 		p.fd = fd
-		e.l.Arm(&p.timer, p.until-e.l.Now())
+		edge.loop.Arm(&p.timer, p.deadline-edge.loop.Now())
 	case eventloop.IsLocalShortage(err):
-		e.l.Arm(&p.timer, shortPause)
+		edge.loop.Arm(&p.timer, probeRetryInterval)
 	default:
-		p.end(false)
+		p.finish(false)
 	}
 }
 
-func (p *prober) due() {
-	if p.fd < 0 && p.e.l.Now() < p.until {
-		p.begin()
+func (p *prober) onTimer() {
+	if p.fd < 0 && p.edge.loop.Now() < p.deadline {
+		p.connect()
 		return
 	}
-	p.end(false)
+	p.finish(false)
 }
 
-func (e *Edge) heard(p spool.Probed) {
-	if e.probed != nil {
-		e.probed(p)
+func (e *Edge) probeDone(p spool.Probed) {
+	if e.observeProbe != nil {
+		e.observeProbe(p)
 	}
-	e.tell(p)
+	e.dispatch(p)
 }
 
 func (p *prober) OnReady(eventloop.Ready) {
 	soerr, err := unix.GetsockoptInt(p.fd, unix.SOL_SOCKET, unix.SO_ERROR)
-	p.end(err == nil && soerr == 0)
+	p.finish(err == nil && soerr == 0)
 }
 
-func (p *prober) end(ok bool) {
-	p.e.l.Forget(&p.timer)
+func (p *prober) finish(ok bool) {
+	p.edge.loop.Forget(&p.timer)
 	if p.fd >= 0 {
-		p.e.l.Remove(p.fd)
+		p.edge.loop.Remove(p.fd)
 		unix.Close(p.fd)
 	}
-	p.e.heard(spool.Probed{Cache: p.id, OK: ok})
+	p.edge.probeDone(spool.Probed{Cache: p.id, OK: ok})
 }
 
-// news applies a line of the list service, or the settings' members.
-func (e *Edge) news(n *engine.Update) engine.ApplyResult {
-	a := e.core.Apply(e.l.Now(), n)
+// applyUpdate applies a line of the list service, or the settings' members.
+func (e *Edge) applyUpdate(n *engine.Update) engine.ApplyResult {
+	a := e.core.Apply(e.loop.Now(), n)
 	for _, ev := range a.Events {
 		switch ev := ev.(type) {
 		case spool.Members:
-			e.tell(ev)
-			e.leaveDrained()
+			e.dispatch(ev)
+			e.abandonDrained()
 		case spool.Purge:
 			e.stats.Purges++
-			if e.leaving {
-				e.since = append(e.since, engine.Purge{Object: ev.Object, Group: ev.Group, AgeMs: ev.Age})
+			if e.handingOver {
+				e.purgesDuringHandover = append(e.purgesDuringHandover, engine.Purge{Object: ev.Object, Group: ev.Group, AgeMs: ev.Age})
 			}
-			e.tell(ev)
-			e.recall(ev)
-			e.purged(ev)
+			e.dispatch(ev)
+			e.abandonPurged(ev)
+			e.purgePages(ev)
 		}
 	}
 	return a
 }
 
-// leaveDrained closes unused connections to members that take nothing new, and
+// abandonDrained closes unused connections to members that take nothing new, and
 // takes back attempts there that have not been written yet: the wait for a
 // connection must not outlast the grace. The module makes them anew elsewhere.
-func (e *Edge) leaveDrained() {
+func (e *Edge) abandonDrained() {
 	out := func(id string) bool {
 		m, ok := e.core.Member(id)
 		return ok && m.State != spool.Serving
 	}
-	for address, p := range e.pools {
-		if out(p.member) {
-			p.closeIdle()
+	for address, pool := range e.pools {
+		if out(pool.member) {
+			pool.closeIdle()
 		}
-		if len(p.all)+len(p.wait) == 0 && e.core.Address(p.member) != address {
+		if len(pool.connections)+len(pool.waiting) == 0 && e.core.Address(pool.member) != address {
 			delete(e.pools, address) // of an earlier start of the member
 		}
 	}
-	e.takeBack(func(t *try) bool { return out(t.cache) || t.source != t.cache && out(t.source) })
+	e.abandonUnwritten(func(t *upstreamAttempt) bool { return out(t.cache) || t.source != t.cache && out(t.source) })
 }
 
-// recall takes back attempts for what was purged that have not been written
+// abandonPurged takes back attempts for what was purged that have not been written
 // yet: the age that they state was settled before the purge.
-func (e *Edge) recall(p spool.Purge) {
-	e.takeBack(func(t *try) bool {
-		return t.r.q.Object == p.Object || p.Object == "" && t.r.q.Group == p.Group
+func (e *Edge) abandonPurged(p spool.Purge) {
+	e.abandonUnwritten(func(t *upstreamAttempt) bool {
+		return t.request.spec.Object == p.Object || p.Object == "" && t.request.spec.Group == p.Group
 	})
 }
 
-func (e *Edge) takeBack(which func(*try) bool) {
-	var back []*try
-	for _, r := range e.reqs {
-		for _, t := range r.tries {
+func (e *Edge) abandonUnwritten(which func(*upstreamAttempt) bool) {
+	var back []*upstreamAttempt
+	for _, r := range e.requests {
+		for _, t := range r.attempts {
 			if !t.done && !t.written && which(t) {
 				back = append(back, t)
 			}
 		}
 	}
 	for _, t := range back {
-		t.abandon()
-		t.end(spool.NotSent, spool.NoteNone, false)
+		t.detach()
+		t.finish(spool.NotSent, spool.NoteNone, false)
 	}
 }
 
 // nextID names a request: unlike any other of this router's, also of an earlier life.
 func (e *Edge) nextID() string {
-	e.seq++
+	e.requestCount++
 	var b [48]byte
 	id := append(b[:0], e.name...)
 	id = append(id, '-')
 	id = strconv.AppendInt(id, bootMillis, 36)
 	id = append(id, '-')
-	return string(strconv.AppendUint(id, e.seq, 36))
+	return string(strconv.AppendUint(id, e.requestCount, 36))
 }
 
 var bootMillis = int64(eventloop.Clock())
--- a/internal/proxy/httpfront/edge_test.go
+++ b/internal/proxy/httpfront/edge_test.go
@@ -21,8 +21,8 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// rig is a router with stand-ins around it, all in this process.
-type rig struct {
+// testRig is a router with stand-ins around it, all in this process.
+type testRig struct {
 	t       testing.TB
 	e       *Edge
 	tap     *trafficlog.Writer
@@ -65,50 +65,50 @@
 (route "/r/{object}" (class film) (ranges))
 `
 
-func newRig(t testing.TB, boxes int, limits string) *rig {
-	r := &rig{t: t, tap: trafficlog.NewWriter(nil), boxes: map[string]*testserver.Server{}, log: &bytes.Buffer{}, done: make(chan error, 1)}
+func newRig(t testing.TB, boxes int, limits string) *testRig {
+	rig := &testRig{t: t, tap: trafficlog.NewWriter(nil), boxes: map[string]*testserver.Server{}, log: &bytes.Buffer{}, done: make(chan error, 1)}
 	var err error
-	if r.list, err = testserver.StartList(testserver.ListConfig{ID: "list"}, r.tap); err != nil {
+	if rig.list, err = testserver.StartList(testserver.ListConfig{ID: "list"}, rig.tap); err != nil {
 		t.Fatal(err)
 	}
-	r.origin = r.start(testserver.Config{ID: "o", Role: "origin"})
-	r.set("o", "origin", "", "serving", r.origin.Addr())
-	p := r.start(testserver.Config{ID: "p", Role: "parent", Upstream: r.origin.Addr()})
-	r.set("p", "parent", "", "serving", p.Addr())
+	rig.origin = rig.start(testserver.Config{ID: "o", Role: "origin"})
+	rig.set("o", "origin", "", "serving", rig.origin.Addr())
+	p := rig.start(testserver.Config{ID: "p", Role: "parent", Upstream: rig.origin.Addr()})
+	rig.set("p", "parent", "", "serving", p.Addr())
 	for i := range boxes {
 		id := fmt.Sprintf("b%d", i)
-		r.boxes[id] = r.start(testserver.Config{ID: id, Role: "box"})
-		r.set(id, "box", "z", "serving", r.boxes[id].Addr())
+		rig.boxes[id] = rig.start(testserver.Config{ID: id, Role: "box"})
+		rig.set(id, "box", "z", "serving", rig.boxes[id].Addr())
 	}
 	var s config.Settings
-	if err := config.Read("test.edn", fmt.Sprintf(testRouter, r.list.Addr(), limits)+testPages, &s); err != nil {
+	if err := config.Read("test.edn", fmt.Sprintf(testRouter, rig.list.Addr(), limits)+testPages, &s); err != nil {
 		t.Fatal(err)
 	}
-	log := newAccessLog(lockedWriter{&r.logMu, r.log}, 1000, "info")
-	if r.e, err = New(&s, log); err != nil {
+	log := newAccessLog(lockedWriter{&rig.logMu, rig.log}, 1000, "info")
+	if rig.e, err = New(&s, log); err != nil {
 		t.Fatal(err)
 	}
-	go func() { r.done <- r.e.Run() }()
+	go func() { rig.done <- rig.e.Run() }()
 	t.Cleanup(func() {
-		r.stop()
-		for _, b := range r.boxes {
+		rig.stop()
+		for _, b := range rig.boxes {
 			b.Kill()
 		}
 		p.Kill()
-		r.origin.Kill()
-		r.list.Close()
+		rig.origin.Kill()
+		rig.list.Close()
 		log.Close()
 		if t.Failed() {
-			r.logMu.Lock()
-			t.Logf("log:\n%s", r.log.String())
-			r.logMu.Unlock()
+			rig.logMu.Lock()
+			t.Logf("log:\n%s", rig.log.String())
+			rig.logMu.Unlock()
 		}
 	})
-	r.waitFor("the list", func(st *Stats, c *engine.Core) bool { return c.Rev() >= int64(boxes+2) })
-	return r
+	rig.waitFor("the list", func(st *Stats, c *engine.Core) bool { return c.Rev() >= int64(boxes+2) })
+	return rig
 }
 
-func (r *rig) start(c testserver.Config) *testserver.Server {
+func (r *testRig) start(c testserver.Config) *testserver.Server {
 	c.Flow, c.Classes, c.FillWait = 100, testClasses, 1000
 	s, err := testserver.Start(c, r.tap)
 	if err != nil {
@@ -117,11 +117,11 @@
 	return s
 }
 
-func (r *rig) set(id, kind, zone, state, addr string) {
+func (r *testRig) set(id, kind, zone, state, addr string) {
 	r.list.Set(engine.Row{ID: id, Kind: kind, Zone: zone, State: state, Address: addr}, 0)
 }
 
-func (r *rig) stop() {
+func (r *testRig) stop() {
 	if !r.stopped {
 		r.stopped = true
 		r.e.Stop()
@@ -131,7 +131,7 @@
 	}
 }
 
-func (r *rig) waitFor(what string, ok func(*Stats, *engine.Core) bool) {
+func (r *testRig) waitFor(what string, ok func(*Stats, *engine.Core) bool) {
 	r.t.Helper()
 	for range 500 {
 		good := false
@@ -146,7 +146,7 @@
 	r.t.Fatalf("waited in vain for %s", what)
 }
 
-func (r *rig) dial() net.Conn {
+func (r *testRig) dial() net.Conn {
 	c, err := net.Dial("tcp", r.e.Addr())
 	if err != nil {
 		r.t.Fatal(err)
@@ -157,14 +157,14 @@
 }
 
 // talk sends text and reads all that comes until the router closes.
-func (r *rig) talk(text string) string {
+func (r *testRig) talk(text string) string {
 	c := r.dial()
 	io.WriteString(c, text)
 	b, _ := io.ReadAll(c)
 	return string(b)
 }
 
-func (r *rig) get(path string) (*http.Response, []byte, error) {
+func (r *testRig) get(path string) (*http.Response, []byte, error) {
 	req, _ := http.NewRequest("GET", "http://"+r.e.Addr()+path, nil)
 	res, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(req)
 	if err != nil {
@@ -175,7 +175,7 @@
 	return res, b, err
 }
 
-func (r *rig) count(f func(trafficlog.Record) bool) (n int) {
+func (r *testRig) count(f func(trafficlog.Record) bool) (n int) {
 	for _, rec := range r.tap.Records() {
 		if f(rec) {
 			n++
@@ -187,10 +187,10 @@
 // A miss is looked for, filled from the parent, and the second time a hit; the
 // bytes are those of the origin's version.
 func TestFillThenHit(t *testing.T) {
-	r := newRig(t, 3, "")
+	rig := newRig(t, 3, "")
 	for i, want := range []string{"fwd=miss", "hit"} {
 		for _, path := range []string{"/s/7/a.jpg", "/v/7/film/0"} {
-			res, body, err := r.get(path)
+			res, body, err := rig.get(path)
 			if err != nil || res.StatusCode != 200 {
 				t.Fatal(res, err)
 			}
@@ -202,15 +202,15 @@
 			}
 		}
 	}
-	if n := r.count(func(x trafficlog.Record) bool { return x.Ev == trafficlog.Recv && x.Role == "origin" }); n != 2 {
+	if n := rig.count(func(x trafficlog.Record) bool { return x.Ev == trafficlog.Recv && x.Role == "origin" }); n != 2 {
 		t.Errorf("the origin was asked %d times, want 2", n)
 	}
 }
 
 // HEAD has the head of GET and no body; the connection goes on.
 func TestHeadAndKeepAlive(t *testing.T) {
-	r := newRig(t, 2, "")
-	c := r.dial()
+	rig := newRig(t, 2, "")
+	c := rig.dial()
 	br := bufio.NewReader(c)
 	for i, m := range []string{"GET", "HEAD", "GET"} {
 		fmt.Fprintf(c, "%s /s/1/a HTTP/1.1\r\nHost: h\r\n\r\n", m)
@@ -229,8 +229,8 @@
 // Answers come in the order of a pipelined burst; a malformed request in it is
 // answered in its turn, and ends the connection.
 func TestPipelinedBurst(t *testing.T) {
-	r := newRig(t, 2, "")
-	got := r.talk("GET /s/1/a HTTP/1.1\r\nHost: h\r\n\r\nGET /s/1/b HTTP/1.1\r\nHost: h\r\n\r\n" +
+	rig := newRig(t, 2, "")
+	got := rig.talk("GET /s/1/a HTTP/1.1\r\nHost: h\r\n\r\nGET /s/1/b HTTP/1.1\r\nHost: h\r\n\r\n" +
 		"GET /s/1/c HTTP/1.1\r\nHost : h\r\n\r\nGET /s/1/d HTTP/1.1\r\nHost: h\r\n\r\n")
 	br := bufio.NewReader(strings.NewReader(got))
 	for i, want := range []int{200, 200, 400} {
@@ -254,7 +254,7 @@
 }
 
 func TestBadRequests(t *testing.T) {
-	r := newRig(t, 1, "(head-time 300) (body 10)")
+	rig := newRig(t, 1, "(head-time 300) (body 10)")
 	for _, c := range []struct{ name, in, want string }{
 		{"two lengths", "POST /o/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", "400"},
 		{"length and chunked", "POST /o/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "400"},
@@ -271,7 +271,7 @@
 		{"method", "PUT /s/1/a HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n", "405"},
 		{"no key", "POST /o/1 HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n", "400"},
 	} {
-		got := r.talk(c.in)
+		got := rig.talk(c.in)
 		if !strings.HasPrefix(got, "HTTP/1.1 "+c.want) || !strings.Contains(got, "Connection: close\r\n") {
 			t.Errorf("%s: answered %.80q, want %s and the connection closed", c.name, got, c.want)
 		}
@@ -285,19 +285,19 @@
 		{"GET /v/1/a/x", "bad-part", "write one, from 0"},
 		{"PUT /s/1/a", "bad-method", "does not take the method"},
 	} {
-		if got := r.talk(c.in + " HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"); !strings.Contains(got, "detail="+c.detail+"\r\n") || !strings.Contains(got, c.body) {
+		if got := rig.talk(c.in + " HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"); !strings.Contains(got, "detail="+c.detail+"\r\n") || !strings.Contains(got, c.body) {
 			t.Errorf("%s: %q lacks %s or %q", c.in, got, c.detail, c.body)
 		}
 	}
-	if n := r.count(func(x trafficlog.Record) bool { return x.Ev == trafficlog.Ran }); n > 0 {
+	if n := rig.count(func(x trafficlog.Record) bool { return x.Ev == trafficlog.Ran }); n > 0 {
 		t.Errorf("%d of these ran at the origin", n)
 	}
 }
 
 // A write goes to the origin and runs once; the client that waits for 100 gets it.
 func TestWrite(t *testing.T) {
-	r := newRig(t, 1, "")
-	c := r.dial()
+	rig := newRig(t, 1, "")
+	c := rig.dial()
 	fmt.Fprintf(c, "POST /o/1 HTTP/1.1\r\nHost: h\r\nIdempotency-Key: k1\r\nContent-Length: 5\r\nExpect: 100-continue\r\nConnection: close\r\n\r\n")
 	br := bufio.NewReader(c)
 	if line, err := br.ReadString('\n'); err != nil || !strings.Contains(line, " 100 ") {
@@ -310,7 +310,7 @@
 		t.Fatal(res, err)
 	}
 	ran := 0
-	for _, x := range r.tap.Records() {
+	for _, x := range rig.tap.Records() {
 		if x.Ev == trafficlog.Ran {
 			ran++
 			if x.Key != "k1" || x.Bytes != 5 {
@@ -329,16 +329,16 @@
 	for _, kind := range []string{testserver.ResetBody, testserver.Truncated, testserver.Overlong, testserver.Garbage, testserver.TwoLengths,
 		testserver.BothFrames, testserver.BareLF, testserver.BigHead, testserver.FastErrors, testserver.AcceptShut} {
 		t.Run(kind, func(t *testing.T) {
-			r := newRig(t, 2, "")
-			if _, _, err := r.get("/s/1/a"); err != nil { // so that one of them holds it
+			rig := newRig(t, 2, "")
+			if _, _, err := rig.get("/s/1/a"); err != nil { // so that one of them holds it
 				t.Fatal(err)
 			}
-			for _, b := range r.boxes {
+			for _, b := range rig.boxes {
 				b.Fault(testserver.Fault{Kind: kind, For: 60000})
 			}
 			cut := 0
 			for range 5 {
-				res, body, err := r.get("/s/1/a")
+				res, body, err := rig.get("/s/1/a")
 				if res == nil || err != nil {
 					cut++
 				} else if _, ok := testserver.Matches(body, "/s/1/a", 1, 0); res.StatusCode == 200 && (!ok || int64(len(body)) != res.ContentLength) {
@@ -356,34 +356,34 @@
 
 // A client that has gone is told of, and its attempt called back.
 func TestClientGone(t *testing.T) {
-	r := newRig(t, 1, "")
-	for _, b := range r.boxes {
+	rig := newRig(t, 1, "")
+	for _, b := range rig.boxes {
 		b.Fault(testserver.Fault{Kind: testserver.Hang, For: 60000})
 	}
-	c := r.dial()
+	c := rig.dial()
 	io.WriteString(c, "GET /s/1/a HTTP/1.1\r\nHost: h\r\n\r\n")
-	r.waitFor("the attempt", func(s *Stats, _ *engine.Core) bool { return s.Held == 1 })
+	rig.waitFor("the attempt", func(s *Stats, _ *engine.Core) bool { return s.Held == 1 })
 	c.Close()
-	r.waitFor("the end of it", func(s *Stats, _ *engine.Core) bool { return s.Held == 0 && s.Gone == 1 && s.Connections == 0 })
+	rig.waitFor("the end of it", func(s *Stats, _ *engine.Core) bool { return s.Held == 0 && s.Gone == 1 && s.Connections == 0 })
 }
 
 // A slow client stops the reading of its upstream: no more waits than may, and
 // it gets all of it in the end.
 func TestBackpressure(t *testing.T) {
-	r := newRig(t, 1, "(buffer 65536)")
-	c := r.dial().(*net.TCPConn)
+	rig := newRig(t, 1, "(buffer 65536)")
+	c := rig.dial().(*net.TCPConn)
 	c.SetReadBuffer(4096)
 	const path = "/v/1/long/0"
 	for range 2 {
-		if _, _, err := r.get(path); err != nil {
+		if _, _, err := rig.get(path); err != nil {
 			t.Fatal(err)
 		}
 	}
 	io.WriteString(c, "GET "+path+" HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
 	time.Sleep(300 * time.Millisecond)
-	r.e.Query(func(*Stats, *engine.Core) {
-		for cl := range r.e.clients {
-			if n := cl.out.Len(); n > 65536+len(r.e.scratch) {
+	rig.e.Query(func(*Stats, *engine.Core) {
+		for cl := range rig.e.clients {
+			if n := cl.output.Len(); n > 65536+len(rig.e.scratch) {
 				t.Errorf("%d bytes wait for a slow client", n)
 			}
 		}
@@ -404,27 +404,27 @@
 // A box that is told to drain gets nothing new, with requests in flight and
 // with connections idle; what it has in hand is finished.
 func TestDrainedBox(t *testing.T) {
-	r := newRig(t, 2, "")
+	rig := newRig(t, 2, "")
 	for i := range 20 {
-		if _, _, err := r.get(fmt.Sprintf("/s/1/x%d", i)); err != nil {
+		if _, _, err := rig.get(fmt.Sprintf("/s/1/x%d", i)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	before := r.e.core.Rev()
-	r.set("b0", "box", "z", "draining", r.boxes["b0"].Addr())
-	r.waitFor("the drain", func(_ *Stats, c *engine.Core) bool { return c.Rev() > before })
+	before := rig.e.core.Rev()
+	rig.set("b0", "box", "z", "draining", rig.boxes["b0"].Addr())
+	rig.waitFor("the drain", func(_ *Stats, c *engine.Core) bool { return c.Rev() > before })
 	told := trafficlog.Now()
-	r.e.Query(func(*Stats, *engine.Core) {
-		if p := r.e.pools[r.boxes["b0"].Addr()]; p != nil && len(p.idle) > 0 {
+	rig.e.Query(func(*Stats, *engine.Core) {
+		if p := rig.e.pools[rig.boxes["b0"].Addr()]; p != nil && len(p.idle) > 0 {
 			t.Errorf("%d idle connections to a draining box are kept", len(p.idle))
 		}
 	})
 	for i := range 20 {
-		if res, _, err := r.get(fmt.Sprintf("/s/1/x%d", i)); err != nil || res.StatusCode != 200 {
+		if res, _, err := rig.get(fmt.Sprintf("/s/1/x%d", i)); err != nil || res.StatusCode != 200 {
 			t.Fatal(res, err)
 		}
 	}
-	if n := r.count(func(x trafficlog.Record) bool {
+	if n := rig.count(func(x trafficlog.Record) bool {
 		return x.Ev == trafficlog.Recv && (x.Who == "b0" || x.Src == "b0") && x.T > told
 	}); n > 0 {
 		t.Errorf("%d attempts to a box that drains", n)
@@ -433,12 +433,12 @@
 
 // After a purge no older copy answers, though the caches still hold it.
 func TestPurge(t *testing.T) {
-	r := newRig(t, 2, "")
-	r.get("/s/5/a")
-	made := r.origin.Purge("/s/5/a", 5, 0)
-	r.list.Purge("/s/5/a", 5, made)
+	rig := newRig(t, 2, "")
+	rig.get("/s/5/a")
+	made := rig.origin.Purge("/s/5/a", 5, 0)
+	rig.list.Purge("/s/5/a", 5, made)
 	time.Sleep(300 * time.Millisecond)
-	res, body, err := r.get("/s/5/a")
+	res, body, err := rig.get("/s/5/a")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -450,34 +450,34 @@
 // The list's stream is cut in a line, and comes back with an older version: the
 // drain that was told stays in force.
 func TestListCutAndSetBack(t *testing.T) {
-	r := newRig(t, 2, "(list-backoff 20)")
-	r.set("b0", "box", "z", "draining", r.boxes["b0"].Addr())
+	rig := newRig(t, 2, "(list-backoff 20)")
+	rig.set("b0", "box", "z", "draining", rig.boxes["b0"].Addr())
 	drained := func(_ *Stats, c *engine.Core) bool { m, _ := c.Member("b0"); return m.State != 0 }
-	r.waitFor("the drain", drained)
-	r.list.SetBack(2)
-	r.list.Cut("")
-	r.waitFor("the cut", func(*Stats, *engine.Core) bool { return r.e.listState.Load() != "following" })
+	rig.waitFor("the drain", drained)
+	rig.list.SetBack(2)
+	rig.list.Cut("")
+	rig.waitFor("the cut", func(*Stats, *engine.Core) bool { return rig.e.listState.Load() != "following" })
 	time.Sleep(100 * time.Millisecond)
-	r.list.SetBack(0)
-	r.waitFor("the stream", func(*Stats, *engine.Core) bool { return r.e.listState.Load() == "following" })
-	r.waitFor("the drain to hold", drained)
-	r.set("b0", "box", "z", "serving", r.boxes["b0"].Addr())
-	r.list.Cut("") // a router that passed over old news asks for the whole list again
-	r.waitFor("the box to be back", func(_ *Stats, c *engine.Core) bool { m, _ := c.Member("b0"); return m.State == 0 })
+	rig.list.SetBack(0)
+	rig.waitFor("the stream", func(*Stats, *engine.Core) bool { return rig.e.listState.Load() == "following" })
+	rig.waitFor("the drain to hold", drained)
+	rig.set("b0", "box", "z", "serving", rig.boxes["b0"].Addr())
+	rig.list.Cut("") // a router that passed over old news asks for the whole list again
+	rig.waitFor("the box to be back", func(_ *Stats, c *engine.Core) bool { m, _ := c.Member("b0"); return m.State == 0 })
 }
 
 // SIGTERM's drain: what is in hand is answered, idle connections are closed,
 // nothing new is accepted, and Run returns.
 func TestDrain(t *testing.T) {
-	r := newRig(t, 1, "")
-	idle := r.dial()
-	for _, b := range r.boxes {
+	rig := newRig(t, 1, "")
+	idle := rig.dial()
+	for _, b := range rig.boxes {
 		b.Fault(testserver.Fault{Kind: testserver.Hang, For: 300})
 	}
-	busy := r.dial()
+	busy := rig.dial()
 	io.WriteString(busy, "GET /s/1/a HTTP/1.1\r\nHost: h\r\n\r\n")
-	r.waitFor("the request", func(s *Stats, _ *engine.Core) bool { return s.Held == 1 && s.Connections == 2 })
-	r.e.Drain()
+	rig.waitFor("the request", func(s *Stats, _ *engine.Core) bool { return s.Held == 1 && s.Connections == 2 })
+	rig.e.Drain()
 	if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("an idle connection: %v, want its end", err)
 	}
@@ -486,20 +486,20 @@
 		t.Errorf("in hand: %v, %v", res, err)
 	}
 	io.Copy(io.Discard, res.Body)
-	r.stopped = true
-	if err := <-r.done; err != nil {
+	rig.stopped = true
+	if err := <-rig.done; err != nil {
 		t.Error(err)
 	}
-	if _, err := net.DialTimeout("tcp", r.e.Addr(), time.Second); err == nil {
+	if _, err := net.DialTimeout("tcp", rig.e.Addr(), time.Second); err == nil {
 		t.Error("connections are still accepted")
 	}
 }
 
 func TestAdmin(t *testing.T) {
-	r := newRig(t, 1, "")
-	r.get("/s/1/a")
+	rig := newRig(t, 1, "")
+	rig.get("/s/1/a")
 	do := func(method, path string) (int, string) {
-		req, _ := http.NewRequest(method, "http://"+r.e.AdminAddr()+path, nil)
+		req, _ := http.NewRequest(method, "http://"+rig.e.AdminAddr()+path, nil)
 		res, err := http.DefaultClient.Do(req)
 		if err != nil {
 			t.Fatal(err)
@@ -511,7 +511,7 @@
 	if code, _ := do("PURGE", "/s/1/a"); code != 204 {
 		t.Errorf("PURGE: %d", code)
 	}
-	res, _, _ := r.get("/s/1/a")
+	res, _, _ := rig.get("/s/1/a")
 	if cs := res.Header.Get("Cache-Status"); strings.Contains(cs, "b0; hit") || !strings.Contains(cs, "fwd=miss") {
 		t.Errorf("after PURGE: %s", cs)
 	}
@@ -526,22 +526,22 @@
 // A purge that comes while a fill is under way: who asked before may have the
 // old copy, nobody who asks after the grace, and the box does not keep it.
 func TestPurgeDuringFill(t *testing.T) {
-	r := newRig(t, 1, "")
+	rig := newRig(t, 1, "")
 	const path = "/s/5/slow"
-	r.origin.Fault(testserver.Fault{Kind: testserver.Pauses, For: 400, Every: 1000, Length: 400})
+	rig.origin.Fault(testserver.Fault{Kind: testserver.Pauses, For: 400, Every: 1000, Length: 400})
 	first := make(chan string, 1)
 	go func() {
-		res, _, err := r.get(path)
+		res, _, err := rig.get(path)
 		if err != nil {
 			first <- err.Error()
 			return
 		}
 		first <- res.Header.Get("Spool-Copy")
 	}()
-	r.waitFor("the fill", func(s *Stats, _ *engine.Core) bool { return s.Held == 1 })
-	made := r.origin.Purge(path, 5, 0)
-	r.list.Purge(path, 5, made)
-	for _, b := range r.boxes {
+	rig.waitFor("the fill", func(s *Stats, _ *engine.Core) bool { return s.Held == 1 })
+	made := rig.origin.Purge(path, 5, 0)
+	rig.list.Purge(path, 5, made)
+	for _, b := range rig.boxes {
 		b.Purge(path, 5, made)
 	}
 	if v := <-first; !strings.HasPrefix(v, "v=") {
@@ -549,7 +549,7 @@
 	}
 	time.Sleep(300 * time.Millisecond)
 	for range 3 {
-		res, body, err := r.get(path)
+		res, body, err := rig.get(path)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -569,9 +569,9 @@
 		n = most
 		t.Logf("only %d connections: no more descriptors may be open", n)
 	}
-	r := newRig(t, 1, "(client-idle 6000) (connections-per-address 20000)")
-	r.get("/s/1/a")
-	to, _ := net.ResolveTCPAddr("tcp4", r.e.Addr())
+	rig := newRig(t, 1, "(client-idle 6000) (connections-per-address 20000)")
+	rig.get("/s/1/a")
+	to, _ := net.ResolveTCPAddr("tcp4", rig.e.Addr())
 	sa := &unix.SockaddrInet4{Port: to.Port, Addr: [4]byte(to.IP.To4())}
 	for i := range n {
 		fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -583,16 +583,16 @@
 			t.Fatalf("connection %d: %v", i, err)
 		}
 	}
-	r.waitFor("the connections", func(s *Stats, _ *engine.Core) bool { return s.Connections >= uint64(n) })
+	rig.waitFor("the connections", func(s *Stats, _ *engine.Core) bool { return s.Connections >= uint64(n) })
 	for i := range 20 {
-		if res, _, err := r.get(fmt.Sprintf("/s/1/x%d", i)); err != nil || res.StatusCode != 200 {
+		if res, _, err := rig.get(fmt.Sprintf("/s/1/x%d", i)); err != nil || res.StatusCode != 200 {
 			t.Fatal(res, err)
 		}
 	}
 	held := 0
-	r.e.Query(func(*Stats, *engine.Core) {
-		for c := range r.e.clients {
-			held += cap(c.left) + c.out.Cap()
+	rig.e.Query(func(*Stats, *engine.Core) {
+		for c := range rig.e.clients {
+			held += cap(c.unparsed) + c.output.Cap()
 		}
 	})
 	if held > 64<<10 {
@@ -601,7 +601,7 @@
 	for range 40 { // they idle for 6 s
 		time.Sleep(500 * time.Millisecond)
 		left := uint64(1)
-		r.e.Query(func(s *Stats, _ *engine.Core) { left = s.Connections })
+		rig.e.Query(func(s *Stats, _ *engine.Core) { left = s.Connections })
 		if left == 0 {
 			return
 		}
@@ -612,28 +612,28 @@
 // Attempts that wait for a connection when their member drains are decided
 // anew: they do not reach it later.
 func TestDrainWhileConnecting(t *testing.T) {
-	r := newRig(t, 2, "(upstream 1)")
-	for _, b := range r.boxes {
+	rig := newRig(t, 2, "(upstream 1)")
+	for _, b := range rig.boxes {
 		b.Fault(testserver.Fault{Kind: testserver.Hang, For: 800})
 	}
 	var wg sync.WaitGroup
 	for i := range 12 { // one connection a box: the rest wait for it
-		wg.Go(func() { r.get(fmt.Sprintf("/s/1/w%d", i)) })
+		wg.Go(func() { rig.get(fmt.Sprintf("/s/1/w%d", i)) })
 	}
-	r.waitFor("attempts that wait", func(*Stats, *engine.Core) bool {
-		p := r.e.pools[r.boxes["b0"].Addr()]
-		return p != nil && len(p.wait) > 0
+	rig.waitFor("attempts that wait", func(*Stats, *engine.Core) bool {
+		p := rig.e.pools[rig.boxes["b0"].Addr()]
+		return p != nil && len(p.waiting) > 0
 	})
-	r.set("b0", "box", "z", "draining", r.boxes["b0"].Addr())
-	r.waitFor("the drain", func(_ *Stats, c *engine.Core) bool { m, _ := c.Member("b0"); return m.State != 0 })
+	rig.set("b0", "box", "z", "draining", rig.boxes["b0"].Addr())
+	rig.waitFor("the drain", func(_ *Stats, c *engine.Core) bool { m, _ := c.Member("b0"); return m.State != 0 })
 	told := trafficlog.Now()
-	r.e.Query(func(*Stats, *engine.Core) {
-		if p := r.e.pools[r.boxes["b0"].Addr()]; p != nil && len(p.wait) > 0 {
-			t.Errorf("%d attempts still wait for a box that drains", len(p.wait))
+	rig.e.Query(func(*Stats, *engine.Core) {
+		if p := rig.e.pools[rig.boxes["b0"].Addr()]; p != nil && len(p.waiting) > 0 {
+			t.Errorf("%d attempts still wait for a box that drains", len(p.waiting))
 		}
 	})
 	wg.Wait()
-	if n := r.count(func(x trafficlog.Record) bool { return x.Ev == trafficlog.Recv && x.Who == "b0" && x.T > told+50 }); n > 0 {
+	if n := rig.count(func(x trafficlog.Record) bool { return x.Ev == trafficlog.Recv && x.Who == "b0" && x.T > told+50 }); n > 0 {
 		t.Errorf("%d attempts reached the box after it was told to drain", n)
 	}
 }
@@ -641,26 +641,26 @@
 // An attempt that may leave only within a time, and waits for a connection for longer,
 // does not leave.
 func TestLeavesInTimeOrNotAtAll(t *testing.T) {
-	r := newRig(t, 1, "(upstream 1)")
-	r.boxes["b0"].Fault(testserver.Fault{Kind: testserver.Hang, For: 800})
+	rig := newRig(t, 1, "(upstream 1)")
+	rig.boxes["b0"].Fault(testserver.Fault{Kind: testserver.Hang, For: 800})
 	var wg sync.WaitGroup
 	for i := range 3 {
-		wg.Go(func() { r.get(fmt.Sprintf("/s/1/l%d", i)) })
+		wg.Go(func() { rig.get(fmt.Sprintf("/s/1/l%d", i)) })
 	}
-	r.waitFor("attempts that wait", func(*Stats, *engine.Core) bool {
-		p := r.e.pools[r.boxes["b0"].Addr()]
-		return p != nil && len(p.wait) > 0
+	rig.waitFor("attempts that wait", func(*Stats, *engine.Core) bool {
+		p := rig.e.pools[rig.boxes["b0"].Addr()]
+		return p != nil && len(p.waiting) > 0
 	})
-	var bound *try
-	r.e.Query(func(*Stats, *engine.Core) {
-		for id, q := range r.e.reqs {
-			r.e.send(&spool.Send{ID: id, Cache: "b0", Source: "b0", Within: 50})
-			bound = q.tries[len(q.tries)-1]
+	var bound *upstreamAttempt
+	rig.e.Query(func(*Stats, *engine.Core) {
+		for id, q := range rig.e.requests {
+			rig.e.sendAttempt(&spool.Send{ID: id, Cache: "b0", Source: "b0", Within: 50})
+			bound = q.attempts[len(q.attempts)-1]
 			return
 		}
 	})
 	time.Sleep(200 * time.Millisecond)
-	r.e.Query(func(*Stats, *engine.Core) {
+	rig.e.Query(func(*Stats, *engine.Core) {
 		if !bound.done || bound.written {
 			t.Errorf("after its time: done %v, written %v", bound.done, bound.written)
 		}
@@ -671,16 +671,16 @@
 // GETs follow one another on one connection where that is allowed: each gets
 // its own object; one that is given up is passed over; writes never follow.
 func TestPipelinedToMember(t *testing.T) {
-	r := newRig(t, 1, "(upstream 1) (pipeline 8)")
+	rig := newRig(t, 1, "(upstream 1) (pipeline 8)")
 	for i := range 12 {
-		r.get(fmt.Sprintf("/s/1/p%d", i))
+		rig.get(fmt.Sprintf("/s/1/p%d", i))
 	}
-	r.boxes["b0"].Fault(testserver.Fault{Kind: testserver.Pauses, For: 300, Every: 1000, Length: 300})
+	rig.boxes["b0"].Fault(testserver.Fault{Kind: testserver.Pauses, For: 300, Every: 1000, Length: 300})
 	var wg sync.WaitGroup
 	for i := range 12 {
 		wg.Go(func() {
 			path := fmt.Sprintf("/s/1/p%d", i)
-			res, body, err := r.get(path)
+			res, body, err := rig.get(path)
 			if err != nil || res.StatusCode != 200 {
 				t.Errorf("%s: %v, %v", path, res, err)
 			} else if _, ok := testserver.Matches(body, path, 1, 0); !ok {
@@ -689,32 +689,32 @@
 		})
 	}
 	followed := 0
-	leaver := r.dial()
+	leaver := rig.dial()
 	io.WriteString(leaver, "GET /s/1/p3 HTTP/1.1\r\nHost: h\r\n\r\n")
-	r.waitFor("attempts that follow others", func(*Stats, *engine.Core) bool {
-		if p := r.e.pools[r.boxes["b0"].Addr()]; p != nil {
-			for u := range p.all {
-				followed = max(followed, len(u.line))
+	rig.waitFor("attempts that follow others", func(*Stats, *engine.Core) bool {
+		if p := rig.e.pools[rig.boxes["b0"].Addr()]; p != nil {
+			for u := range p.connections {
+				followed = max(followed, len(u.pipelined))
 			}
 		}
 		return followed >= 7
 	})
 	leaver.Close()
 	wg.Wait()
-	if res, _, err := r.get("/s/1/p1"); err != nil || !strings.Contains(res.Header.Get("Cache-Status"), "hit") {
+	if res, _, err := rig.get("/s/1/p1"); err != nil || !strings.Contains(res.Header.Get("Cache-Status"), "hit") {
 		t.Errorf("afterwards: %v, %v", res, err)
 	}
-	r.waitFor("the end of all", func(s *Stats, _ *engine.Core) bool { return s.Held == 0 })
+	rig.waitFor("the end of all", func(s *Stats, _ *engine.Core) bool { return s.Held == 0 })
 }
 
 // A pipelined request whose head is longer than what is read ahead, and comes
 // in two pieces, is read on once it is its turn.
 func TestLongPipelinedHead(t *testing.T) {
-	r := newRig(t, 1, "(pipelined 2048) (head-time 2000)")
-	r.boxes["b0"].Fault(testserver.Fault{Kind: testserver.Pauses, For: 200, Every: 1000, Length: 200})
-	c := r.dial()
+	rig := newRig(t, 1, "(pipelined 2048) (head-time 2000)")
+	rig.boxes["b0"].Fault(testserver.Fault{Kind: testserver.Pauses, For: 200, Every: 1000, Length: 200})
+	c := rig.dial()
 	io.WriteString(c, "GET /s/1/a HTTP/1.1\r\nHost: h\r\n\r\n")
-	r.waitFor("the first", func(s *Stats, _ *engine.Core) bool { return s.Held == 1 })
+	rig.waitFor("the first", func(s *Stats, _ *engine.Core) bool { return s.Held == 1 })
 	io.WriteString(c, "GET /s/1/b HTTP/1.1\r\nHost: h\r\nX-Long: "+strings.Repeat("x", 6000))
 	br := bufio.NewReader(c)
 	for i := range 2 {
@@ -731,10 +731,10 @@
 
 // Parts by Range are copies of their own, answered as partial content.
 func TestRanges(t *testing.T) {
-	r := newRig(t, 2, "")
+	rig := newRig(t, 2, "")
 	for round, want := range []string{"fwd=miss", "hit"} {
 		for part := range 3 {
-			req, _ := http.NewRequest("GET", "http://"+r.e.Addr()+"/r/film", nil)
+			req, _ := http.NewRequest("GET", "http://"+rig.e.Addr()+"/r/film", nil)
 			req.Header.Set("Range", fmt.Sprintf("bytes=%d-%d", part*16384, part*16384+16383))
 			res, err := http.DefaultClient.Do(req)
 			if err != nil {
@@ -781,7 +781,7 @@
 }
 
 // rawMember is a member that does with each connection what the test says.
-func (r *rig) rawMember(serve func(net.Conn)) {
+func (r *testRig) rawMember(serve func(net.Conn)) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		r.t.Fatal(err)
@@ -812,14 +812,14 @@
 // member then resets, the client has the head, and no end that passes for whole.
 func TestHeadBeforeBody(t *testing.T) {
 	for _, framing := range []string{"Content-Length: 10", "Transfer-Encoding: chunked"} {
-		r := newRig(t, 0, "")
+		rig := newRig(t, 0, "")
 		proceed := make(chan struct{})
-		r.rawMember(func(c net.Conn) {
+		rig.rawMember(func(c net.Conn) {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s\r\n\r\n", framing)
 			<-proceed
 			c.(*net.TCPConn).SetLinger(0)
 		})
-		c := r.dial()
+		c := rig.dial()
 		io.WriteString(c, "GET /s/1/a HTTP/1.1\r\nHost: h\r\n\r\n")
 		br := bufio.NewReader(c)
 		c.SetReadDeadline(time.Now().Add(2 * time.Second))
@@ -827,7 +827,7 @@
 			t.Fatalf("%s: no head while the body waits: %v", framing, err)
 		}
 		close(proceed)
-		r.waitFor("the break", func(s *Stats, _ *engine.Core) bool { return s.Broken == 1 })
+		rig.waitFor("the break", func(s *Stats, _ *engine.Core) bool { return s.Broken == 1 })
 		time.Sleep(20 * time.Millisecond) // the client reads only now
 		res, err := http.ReadResponse(br, nil)
 		if err != nil || res.StatusCode != 200 {
@@ -842,12 +842,12 @@
 // To a client of HTTP/1.0 a body without a length ends with the connection: one
 // that broke off is reset, so that its end can't pass for the answer's.
 func TestBrokenToOldClient(t *testing.T) {
-	r := newRig(t, 0, "")
-	r.rawMember(func(c net.Conn) {
+	rig := newRig(t, 0, "")
+	rig.rawMember(func(c net.Conn) {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n")
 		time.Sleep(50 * time.Millisecond)
 	})
-	c := r.dial()
+	c := rig.dial()
 	io.WriteString(c, "GET /s/1/a HTTP/1.0\r\n\r\n")
 	if b, err := io.ReadAll(c); err == nil {
 		t.Errorf("read to a clean end: %q", b)
@@ -856,40 +856,40 @@
 
 // What a box has in hand when it is told to drain is finished there.
 func TestDrainWithRequestInFlight(t *testing.T) {
-	r := newRig(t, 1, "")
-	r.get("/s/1/a")
-	r.boxes["b0"].Fault(testserver.Fault{Kind: testserver.Pauses, For: 400, Every: 1000, Length: 400})
+	rig := newRig(t, 1, "")
+	rig.get("/s/1/a")
+	rig.boxes["b0"].Fault(testserver.Fault{Kind: testserver.Pauses, For: 400, Every: 1000, Length: 400})
 	got := make(chan string, 1)
 	go func() {
-		res, _, err := r.get("/s/1/a")
+		res, _, err := rig.get("/s/1/a")
 		if err != nil {
 			got <- err.Error()
 			return
 		}
 		got <- res.Header.Get("Cache-Status")
 	}()
-	r.waitFor("the attempt", func(s *Stats, _ *engine.Core) bool { return s.Held == 1 })
-	r.set("b0", "box", "z", "draining", r.boxes["b0"].Addr())
-	r.waitFor("the drain", func(_ *Stats, c *engine.Core) bool { m, _ := c.Member("b0"); return m.State != 0 })
+	rig.waitFor("the attempt", func(s *Stats, _ *engine.Core) bool { return s.Held == 1 })
+	rig.set("b0", "box", "z", "draining", rig.boxes["b0"].Addr())
+	rig.waitFor("the drain", func(_ *Stats, c *engine.Core) bool { m, _ := c.Member("b0"); return m.State != 0 })
 	if cs := <-got; cs != `"b0";hit` {
 		t.Errorf("the request in flight got %q", cs)
 	}
-	r.waitFor("its connection's end", func(s *Stats, _ *engine.Core) bool {
-		p := r.e.pools[r.boxes["b0"].Addr()]
-		return p == nil || len(p.all) == 0
+	rig.waitFor("its connection's end", func(s *Stats, _ *engine.Core) bool {
+		p := rig.e.pools[rig.boxes["b0"].Addr()]
+		return p == nil || len(p.connections) == 0
 	})
 }
 
 // A probe says whether a member takes connections.
 func TestProbe(t *testing.T) {
-	r := newRig(t, 1, "")
-	r.set("dead", "box", "z", "serving", "127.0.0.1:1")
-	r.waitFor("the member", func(_ *Stats, c *engine.Core) bool { return c.Address("dead") != "" })
+	rig := newRig(t, 1, "")
+	rig.set("dead", "box", "z", "serving", "127.0.0.1:1")
+	rig.waitFor("the member", func(_ *Stats, c *engine.Core) bool { return c.Address("dead") != "" })
 	for id, want := range map[string]bool{"b0": true, "dead": false, "unknown": false} {
 		got := make(chan bool, 1)
-		r.e.Query(func(*Stats, *engine.Core) {
-			r.e.probed = func(p spool.Probed) { got <- p.OK && p.Cache == id }
-			r.e.probe(id)
+		rig.e.Query(func(*Stats, *engine.Core) {
+			rig.e.observeProbe = func(p spool.Probed) { got <- p.OK && p.Cache == id }
+			rig.e.probe(id)
 		})
 		if ok := <-got; ok != want {
 			t.Errorf("%s: probed %v", id, ok)
@@ -902,25 +902,25 @@
 // next answer, and no request is lost.
 func TestUnaskedBytes(t *testing.T) {
 	for _, unasked := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nxxx", ""} {
-		r := newRig(t, 1, "")
-		if res, _, err := r.get("/s/1/a"); err != nil || res.StatusCode != 200 {
+		rig := newRig(t, 1, "")
+		if res, _, err := rig.get("/s/1/a"); err != nil || res.StatusCode != 200 {
 			t.Fatal(res, err)
 		}
 		var before Stats
-		r.e.Query(func(s *Stats, _ *engine.Core) {
+		rig.e.Query(func(s *Stats, _ *engine.Core) {
 			before = *s
 			n := 0
-			for _, p := range r.e.pools {
-				for _, u := range p.idle { // as if it came from the member, and the loop were busy
+			for _, pool := range rig.e.pools {
+				for _, upstream := range pool.idle { // as if it came from the member, and the loop were busy
 					pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
 					if err != nil {
 						t.Fatal(err)
 					}
 					unix.Write(pair[1], []byte(unasked))
 					unix.Close(pair[1])
-					r.e.l.Remove(u.fd)
-					unix.Close(u.fd)
-					u.fd = pair[0]
+					rig.e.loop.Remove(upstream.fd)
+					unix.Close(upstream.fd)
+					upstream.fd = pair[0]
 					n++
 				}
 			}
@@ -928,11 +928,11 @@
 				t.Error("no connection is kept")
 			}
 		})
-		res, body, err := r.get("/s/1/a")
+		res, body, err := rig.get("/s/1/a")
 		if err != nil || res.StatusCode != 200 || string(body) == "xxx" {
 			t.Errorf("%q: %v %v %.20q", unasked, res, err, body)
 		}
-		r.e.Query(func(s *Stats, _ *engine.Core) {
+		rig.e.Query(func(s *Stats, _ *engine.Core) {
 			if s.Attempts != before.Attempts+1 || s.Reused != before.Reused {
 				t.Errorf("%q: %d attempts, %d on kept connections", unasked, s.Attempts-before.Attempts, s.Reused-before.Reused)
 			}
--- a/internal/proxy/httpfront/guard_test.go
+++ b/internal/proxy/httpfront/guard_test.go
@@ -28,13 +28,13 @@
 )
 
 // cuts are the router's counts by cause.
-func (r *rig) cuts() (out limits.Counts) {
+func (r *testRig) cuts() (out limits.Counts) {
 	r.e.Query(func(*Stats, *engine.Core) { out = r.e.guard.counts })
 	return out
 }
 
 // stills asks for small things one after another, and returns their times, in order.
-func (r *rig) stills(n int) (ms []float64, bad int) {
+func (r *testRig) stills(n int) (ms []float64, bad int) {
 	c := &http.Client{Timeout: 5 * time.Second}
 	defer c.CloseIdleConnections()
 	for i := range n {
@@ -58,11 +58,11 @@
 // Slow readers of large footage are cut, by their own delay; stills beside them, of
 // the same caches and the same pool, are served as ever.
 func TestSlowReaders(t *testing.T) {
-	r := newRig(t, 2, quick+"(buffer 65536)")
-	calm, bad := r.stills(100)
+	rig := newRig(t, 2, quick+"(buffer 65536)")
+	calm, bad := rig.stills(100)
 	var slow []net.Conn
 	for i := range 40 {
-		c := r.dial()
+		c := rig.dial()
 		c.(*net.TCPConn).SetReadBuffer(4096)
 		fmt.Fprintf(c, "GET /v/1/big%d/0 HTTP/1.1\r\nHost: h\r\nSpool-KB: 4000\r\n\r\n", i)
 		slow = append(slow, c)
@@ -74,24 +74,24 @@
 			fmt.Fprintf(c, "GET /v/1/more/%d HTTP/1.1\r\nHost: h\r\n\r\n", 1)
 		}
 	}
-	beside, worse := r.stills(300)
+	beside, worse := rig.stills(300)
 	if bad+worse > 0 || beside[len(beside)*99/100] > 3*calm[len(calm)*99/100]+50 {
 		t.Errorf("%d and %d went wrong; p99 %.1f ms, %.1f ms before", bad, worse, beside[len(beside)*99/100], calm[len(calm)*99/100])
 	}
 	for range 60 {
-		if r.cuts()[limits.SlowReader] == 40 {
+		if rig.cuts()[limits.SlowReader] == 40 {
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	t.Errorf("cut: %v", r.cuts())
+	t.Errorf("cut: %v", rig.cuts())
 }
 
 // One who reads steadily at twice the least rate is not cut, although the kernel takes
 // nothing more for it for long: its buffers hold seconds of that.
 func TestSteadyReader(t *testing.T) {
-	r := newRig(t, 1, "(client-rate 400) (client-grace 700) (buffer 16384)")
-	c := r.dial()
+	rig := newRig(t, 1, "(client-rate 400) (client-grace 700) (buffer 16384)")
+	c := rig.dial()
 	for i := range 150 {
 		fmt.Fprintf(c, "GET /v/1/big/%d HTTP/1.1\r\nHost: h\r\n\r\n", i%10)
 	}
@@ -102,15 +102,15 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	if cut := r.cuts()[limits.SlowReader]; cut > 0 {
+	if cut := rig.cuts()[limits.SlowReader]; cut > 0 {
 		t.Errorf("%d cut", cut)
 	}
 }
 
 // One who reads in bursts at the least rate is not cut.
 func TestBurstyReader(t *testing.T) {
-	r := newRig(t, 1, "(client-rate 2000) (client-grace 1000) (buffer 16384)")
-	c := r.dial()
+	rig := newRig(t, 1, "(client-rate 2000) (client-grace 1000) (buffer 16384)")
+	c := rig.dial()
 	c.(*net.TCPConn).SetReadBuffer(256 << 10)
 	const asked = 40 // of some 50 to 400 KB
 	for i := range asked {
@@ -127,9 +127,9 @@
 		time.Sleep(500 * time.Millisecond)
 	}
 	served := uint64(0)
-	r.e.Query(func(s *Stats, _ *engine.Core) { served = s.Served })
-	if served != asked || got < 5<<20 || r.cuts()[limits.SlowReader] > 0 {
-		t.Errorf("%d of %d answers, %d KB, cut: %v", served, asked, got>>10, r.cuts())
+	rig.e.Query(func(s *Stats, _ *engine.Core) { served = s.Served })
+	if served != asked || got < 5<<20 || rig.cuts()[limits.SlowReader] > 0 {
+		t.Errorf("%d of %d answers, %d KB, cut: %v", served, asked, got>>10, rig.cuts())
 	}
 }
 
@@ -140,11 +140,11 @@
 	var limit unix.Rlimit
 	unix.Getrlimit(unix.RLIMIT_NOFILE, &limit)
 	n = min(n, int(limit.Cur)/3-100)
-	r := newRig(t, 2, quick+"(connections-per-address 5000)")
-	calm, _ := r.stills(100)
+	rig := newRig(t, 2, quick+"(connections-per-address 5000)")
+	calm, _ := rig.stills(100)
 	var list []net.Conn
 	for range n {
-		c, err := net.Dial("tcp4", r.e.Addr())
+		c, err := net.Dial("tcp4", rig.e.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -167,14 +167,14 @@
 			}
 		}
 	}()
-	beside, bad := r.stills(300)
+	beside, bad := rig.stills(300)
 	deadline := time.Now().Add(8 * time.Second)
-	for r.cuts()[limits.SlowHead] < uint64(n) && time.Now().Before(deadline) {
+	for rig.cuts()[limits.SlowHead] < uint64(n) && time.Now().Before(deadline) {
 		time.Sleep(100 * time.Millisecond)
 	}
 	close(stop)
 	wg.Wait()
-	if got := r.cuts()[limits.SlowHead]; got < uint64(n) {
+	if got := rig.cuts()[limits.SlowHead]; got < uint64(n) {
 		t.Errorf("%d of %d were cut", got, n)
 	}
 	if bad > 0 || beside[len(beside)/2] > 5*calm[len(calm)/2]+20 {
@@ -185,13 +185,13 @@
 // A member that sends heads and then a byte a second is cut, and counted; where all
 // of them do, none is, and the router goes on serving what it can.
 func TestTricklingMembers(t *testing.T) {
-	r := newRig(t, 4, quick+"(body-idle 3000)")
+	rig := newRig(t, 4, quick+"(body-idle 3000)")
 	for i := range 80 { // all are at work, and hold copies
-		r.get(fmt.Sprintf("/s/1/w%d", i))
+		rig.get(fmt.Sprintf("/s/1/w%d", i))
 	}
 	trickle := func(ids ...string) {
 		for _, id := range ids {
-			if err := r.boxes[id].Fault(testserver.Fault{Kind: testserver.Trickle, For: 2500}); err != nil {
+			if err := rig.boxes[id].Fault(testserver.Fault{Kind: testserver.Trickle, For: 2500}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -204,7 +204,7 @@
 			go func() {
 				defer wg.Done()
 				c := &http.Client{Timeout: 2500 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
-				res, err := c.Get("http://" + r.e.Addr() + fmt.Sprintf("/s/1/w%d", i))
+				res, err := c.Get("http://" + rig.e.Addr() + fmt.Sprintf("/s/1/w%d", i))
 				if err == nil {
 					_, err = io.Copy(io.Discard, res.Body)
 					res.Body.Close()
@@ -223,19 +223,19 @@
 	}
 	trickle("b0")
 	broken, good := round()
-	if cut := r.cuts()[limits.SlowMember]; cut == 0 || good < 40 {
+	if cut := rig.cuts()[limits.SlowMember]; cut == 0 || good < 40 {
 		t.Errorf("one that trickles: %d cut, %d broken, %d good", cut, broken, good)
 	}
 	time.Sleep(2 * time.Second)
-	before := r.cuts()[limits.SlowMember]
+	before := rig.cuts()[limits.SlowMember]
 	trickle("b0", "b1", "b2", "b3")
 	round()
 	var spared uint64
-	r.e.Query(func(*Stats, *engine.Core) { spared = r.e.guard.jury.Spared })
-	if cut := r.cuts()[limits.SlowMember] - before; cut > 40 || spared == 0 {
+	rig.e.Query(func(*Stats, *engine.Core) { spared = rig.e.guard.massSlowness.Spared })
+	if cut := rig.cuts()[limits.SlowMember] - before; cut > 40 || spared == 0 {
 		t.Errorf("all trickle: %d cut, %d spared", cut, spared)
 	}
-	if res, _, err := r.get("/s/1/after"); err != nil || res.StatusCode != 200 {
+	if res, _, err := rig.get("/s/1/after"); err != nil || res.StatusCode != 200 {
 		t.Errorf("after it: %v %v", res, err)
 	}
 }
@@ -243,40 +243,40 @@
 // With few descriptors idle connections give way, accepting pauses without a spin, and
 // requests are served.
 func TestFewDescriptors(t *testing.T) {
-	r := newRig(t, 2, "(connections-per-address 5000)")
-	r.e.Query(func(*Stats, *engine.Core) { r.e.guard.most = 64 })
+	rig := newRig(t, 2, "(connections-per-address 5000)")
+	rig.e.Query(func(*Stats, *engine.Core) { rig.e.guard.maxClients = 64 })
 	for range 300 {
-		c, err := net.Dial("tcp4", r.e.Addr())
+		c, err := net.Dial("tcp4", rig.e.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
 	}
 	time.Sleep(250 * time.Millisecond) // until they count as idle
-	if _, bad := r.stills(50); bad > 0 {
+	if _, bad := rig.stills(50); bad > 0 {
 		t.Errorf("%d requests went wrong", bad)
 	}
-	r.waitFor("the connections that gave way", func(s *Stats, _ *engine.Core) bool {
-		return s.Connections <= 64 && r.e.guard.counts[limits.Descriptors] >= 200
+	rig.waitFor("the connections that gave way", func(s *Stats, _ *engine.Core) bool {
+		return s.Connections <= 64 && rig.e.guard.counts[limits.Descriptors] >= 200
 	})
 }
 
 // At the edge of the memory budget idle connections go first, then nothing new is
 // taken into hand, and it is given back as soon as there is room.
 func TestMemoryEdge(t *testing.T) {
-	r := newRig(t, 2, "(memory-mb 4) (connections-per-address 5000) (buffer 65536)") // 3 are the program's own
+	rig := newRig(t, 2, "(memory-mb 4) (connections-per-address 5000) (buffer 65536)") // 3 are the program's own
 	var list []net.Conn
 	for range 1200 { // of 1 KB each: past the edge
-		c, err := net.Dial("tcp4", r.e.Addr())
+		c, err := net.Dial("tcp4", rig.e.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
 		list = append(list, c)
 	}
-	r.waitFor("the idle ones to go", func(*Stats, *engine.Core) bool { return r.e.guard.counts[limits.Memory] > 100 })
+	rig.waitFor("the idle ones to go", func(*Stats, *engine.Core) bool { return rig.e.guard.counts[limits.Memory] > 100 })
 	time.Sleep(250 * time.Millisecond) // until all of them count as idle
-	if _, bad := r.stills(50); bad > 0 {
+	if _, bad := rig.stills(50); bad > 0 {
 		t.Errorf("%d requests went wrong", bad)
 	}
 	for _, c := range list {
@@ -284,7 +284,7 @@
 	}
 	var slow []net.Conn
 	for i := range 60 { // who hold answers
-		c := r.dial()
+		c := rig.dial()
 		c.(*net.TCPConn).SetReadBuffer(4096)
 		for range 40 {
 			fmt.Fprintf(c, "GET /v/1/big%d/0 HTTP/1.1\r\nHost: h\r\n\r\n", i)
@@ -293,7 +293,7 @@
 	}
 	most := int64(0)
 	for range 40 {
-		r.e.Query(func(*Stats, *engine.Core) { most = max(most, r.e.guard.mem.Used()) })
+		rig.e.Query(func(*Stats, *engine.Core) { most = max(most, rig.e.guard.memory.Used()) })
 		time.Sleep(20 * time.Millisecond)
 	}
 	if most > 2<<20 {
@@ -302,10 +302,10 @@
 	for _, c := range slow {
 		c.Close()
 	}
-	r.waitFor("the memory to be given back", func(*Stats, *engine.Core) bool {
-		return r.e.guard.mem.Used() < 600<<10 && len(r.e.reqs) == 0
+	rig.waitFor("the memory to be given back", func(*Stats, *engine.Core) bool {
+		return rig.e.guard.memory.Used() < 600<<10 && len(rig.e.requests) == 0
 	})
-	if _, bad := r.stills(20); bad > 0 {
+	if _, bad := rig.stills(20); bad > 0 {
 		t.Errorf("%d requests went wrong after it", bad)
 	}
 }
@@ -313,18 +313,18 @@
 // A limit on requests in hand that was found turns others away at once, with a time
 // to come again; repeats past their budget are turned away too.
 func TestOverloadAnswers(t *testing.T) {
-	r := newRig(t, 1, "(held 40) (overload-least 4) (retry-burst 5)")
-	r.boxes["b0"].Fault(testserver.Fault{Kind: testserver.Hang, For: 1500})
-	r.e.Query(func(*Stats, *engine.Core) {
+	rig := newRig(t, 1, "(held 40) (overload-least 4) (retry-burst 5)")
+	rig.boxes["b0"].Fault(testserver.Fault{Kind: testserver.Hang, For: 1500})
+	rig.e.Query(func(*Stats, *engine.Core) {
 		for i := range 50 { // as if bytes had waited
-			r.e.guard.adm.ObserveWait(500)
-			r.e.guard.adm.Tick(r.e.l.Now()+float64(200*i), 5)
+			rig.e.guard.admission.ObserveWait(500)
+			rig.e.guard.admission.Tick(rig.e.loop.Now()+float64(200*i), 5)
 		}
 	})
 	answers := make(chan string, 30)
 	for i := range 30 {
 		go func() {
-			answers <- r.talk(fmt.Sprintf("GET /s/1/%d HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n", i))
+			answers <- rig.talk(fmt.Sprintf("GET /s/1/%d HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n", i))
 		}()
 	}
 	turned := 0
@@ -342,7 +342,7 @@
 	}
 	repeats := 0
 	for range 12 {
-		if strings.Contains(r.talk("GET /s/1/again HTTP/1.1\r\nHost: h\r\nSpool-Retry: 1\r\nConnection: close\r\n\r\n"), "detail=repeats") {
+		if strings.Contains(rig.talk("GET /s/1/again HTTP/1.1\r\nHost: h\r\nSpool-Retry: 1\r\nConnection: close\r\n\r\n"), "detail=repeats") {
 			repeats++
 		}
 	}
@@ -358,25 +358,25 @@
 	had := testClasses[1].KB
 	testClasses[1].KB = 3000
 	defer func() { testClasses[1].KB = had }()
-	r := newRig(t, 1, "(client-grace 30000)")
-	calm, _ := r.stills(50)
+	rig := newRig(t, 1, "(client-grace 30000)")
+	calm, _ := rig.stills(50)
 	for i := range 100 {
-		c := r.dial()
+		c := rig.dial()
 		c.(*net.TCPConn).SetReadBuffer(4096)
 		fmt.Fprintf(c, "GET /v/1/big%d/0 HTTP/1.1\r\nHost: h\r\n\r\n", i%5)
 	}
-	r.waitFor("the answers that wait", func(*Stats, *engine.Core) bool {
+	rig.waitFor("the answers that wait", func(*Stats, *engine.Core) bool {
 		told := 0
-		for _, p := range r.e.pools {
-			for u := range p.all {
-				if u.told {
+		for _, p := range rig.e.pools {
+			for u := range p.connections {
+				if u.stallReported {
 					told++
 				}
 			}
 		}
 		return told == 100
 	})
-	ms, bad := r.stills(100)
+	ms, bad := rig.stills(100)
 	if bad > 0 || ms[len(ms)/2] > 5*calm[len(calm)/2]+20 {
 		t.Errorf("%d went wrong; p50 %.1f ms, %.1f ms before", bad, ms[len(ms)/2], calm[len(calm)/2])
 	}
@@ -388,11 +388,11 @@
 	had := testClasses[1].KB
 	testClasses[1].KB = 3000
 	defer func() { testClasses[1].KB = had }()
-	r := newRig(t, 1, "(client-grace 60000) (write-idle 60000) (poor-held 8)")
+	rig := newRig(t, 1, "(client-grace 60000) (write-idle 60000) (poor-held 8)")
 	wave := func(n int) (list []net.Conn) {
 		for i := range n {
 			from := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 2, byte(1+i%20))}}
-			c, err := from.Dial("tcp4", r.e.Addr())
+			c, err := from.Dial("tcp4", rig.e.Addr())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -404,9 +404,9 @@
 		return list
 	}
 	first := wave(60)
-	r.waitFor("the addresses to be known", func(*Stats, *engine.Core) bool {
+	rig.waitFor("the addresses to be known", func(*Stats, *engine.Core) bool {
 		for i := range 20 {
-			if !r.e.guard.standing.Poor(fmt.Sprintf("127.0.2.%d", 1+i), r.e.l.Now()) {
+			if !rig.e.guard.reputation.Poor(fmt.Sprintf("127.0.2.%d", 1+i), rig.e.loop.Now()) {
 				return false
 			}
 		}
@@ -415,14 +415,16 @@
 	for _, c := range first {
 		c.Close()
 	}
-	r.waitFor("the first to go", func(*Stats, *engine.Core) bool { return len(r.e.reqs) == 0 && r.e.guard.standing.HasCapacity() })
+	rig.waitFor("the first to go", func(*Stats, *engine.Core) bool {
+		return len(rig.e.requests) == 0 && rig.e.guard.reputation.HasCapacity()
+	})
 	wave(300)
-	if _, bad := r.stills(50); bad > 0 {
+	if _, bad := rig.stills(50); bad > 0 {
 		t.Errorf("%d stills went wrong", bad)
 	}
-	r.waitFor("the others to be turned away", func(*Stats, *engine.Core) bool { return r.e.guard.counts[limits.PoorReputation] >= 292 })
-	r.e.Query(func(*Stats, *engine.Core) {
-		if n := len(r.e.reqs); n > 8 {
+	rig.waitFor("the others to be turned away", func(*Stats, *engine.Core) bool { return rig.e.guard.counts[limits.PoorReputation] >= 292 })
+	rig.e.Query(func(*Stats, *engine.Core) {
+		if n := len(rig.e.requests); n > 8 {
 			t.Errorf("%d requests are in hand, of 8", n)
 		}
 	})
@@ -439,10 +441,10 @@
 		{"(write-idle 60000) (socket-kb 2048)", "past the limit"},
 		{"(write-idle 1500) (socket-kb 2048)", "by write-idle"},
 	} {
-		r := newRig(t, 1, k.limits)
+		rig := newRig(t, 1, k.limits)
 		ask := func(i int) net.Conn {
 			from := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 4, byte(1+i))}}
-			c, err := from.Dial("tcp4", r.e.Addr())
+			c, err := from.Dial("tcp4", rig.e.Addr())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -468,17 +470,17 @@
 			ask(1 + i)
 		}
 		most := int64(0)
-		r.waitFor(k.what+" the kernel to hold answers", func(*Stats, *engine.Core) bool {
-			most = max(most, r.e.guard.tails.Held)
+		rig.waitFor(k.what+" the kernel to hold answers", func(*Stats, *engine.Core) bool {
+			most = max(most, rig.e.guard.unread.Held)
 			return most > 4<<20
 		})
 		if k.what == "past the limit" { // from the start, sockets would have been given less
-			r.e.Query(func(*Stats, *engine.Core) { r.e.guard.tails.Total = 4 << 20 })
+			rig.e.Query(func(*Stats, *engine.Core) { rig.e.guard.unread.Total = 4 << 20 })
 		}
-		r.waitFor(k.what+" those who take nothing to go", func(*Stats, *engine.Core) bool {
-			return r.e.guard.tails.Held < 4<<20 && r.e.guard.counts[limits.SlowReader] > 10
+		rig.waitFor(k.what+" those who take nothing to go", func(*Stats, *engine.Core) bool {
+			return rig.e.guard.unread.Held < 4<<20 && rig.e.guard.counts[limits.SlowReader] > 10
 		})
-		if _, bad := r.stills(50); bad > 0 {
+		if _, bad := rig.stills(50); bad > 0 {
 			t.Errorf("%s: %d stills went wrong", k.what, bad)
 		}
 		if err := <-steady; err != nil {
@@ -493,11 +495,11 @@
 	had := testClasses[1].KB
 	testClasses[1].KB = 3000
 	defer func() { testClasses[1].KB = had }()
-	r := newRig(t, 1, quick+"(socket-kb 64)")
-	c := r.dial()
+	rig := newRig(t, 1, quick+"(socket-kb 64)")
+	c := rig.dial()
 	c.(*net.TCPConn).SetReadBuffer(4096)
 	fmt.Fprintf(c, "GET /v/1/big/0 HTTP/1.1\r\nHost: h\r\n\r\n")
-	r.waitFor("the cut", func(*Stats, *engine.Core) bool { return r.e.guard.counts[limits.SlowReader] == 1 })
+	rig.waitFor("the cut", func(*Stats, *engine.Core) bool { return rig.e.guard.counts[limits.SlowReader] == 1 })
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if _, err := io.Copy(io.Discard, c); !errors.Is(err, unix.ECONNRESET) {
 		t.Errorf("it ended with %v, and not a reset", err)
@@ -530,30 +532,30 @@
 func TestShortOfAnything(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM} {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
-			r := newRig(t, 2, "")
+			rig := newRig(t, 2, "")
 			failing := &twoOfThree{errno: errno}
-			r.e.Query(func(*Stats, *engine.Core) { r.e.l.Intercept(failing) })
+			rig.e.Query(func(*Stats, *engine.Core) { rig.e.loop.Intercept(failing) })
 			var wg sync.WaitGroup
 			for i := range 20 {
 				wg.Add(1)
 				go func() {
 					defer wg.Done()
-					if got := r.talk(fmt.Sprintf("GET /s/1/%d HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n", i)); !strings.HasPrefix(got, "HTTP/1.1 200") {
+					if got := rig.talk(fmt.Sprintf("GET /s/1/%d HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n", i)); !strings.HasPrefix(got, "HTTP/1.1 200") {
 						t.Errorf("%.200q", got)
 					}
 				}()
 			}
 			wg.Wait()
-			r.e.Query(func(s *Stats, _ *engine.Core) {
+			rig.e.Query(func(s *Stats, _ *engine.Core) {
 				if s.AcceptPauses == 0 || s.ConnectWaits == 0 || s.AcceptPauses > 100 {
 					t.Errorf("%d pauses of accepting, %d of connecting: %d and %d calls", s.AcceptPauses, s.ConnectWaits, failing.accepts, failing.sockets)
 				}
 			})
-			r.logMu.Lock()
-			if strings.Contains(r.log.String(), "connect-failed") {
-				t.Errorf("a member is blamed: %s", r.log)
+			rig.logMu.Lock()
+			if strings.Contains(rig.log.String(), "connect-failed") {
+				t.Errorf("a member is blamed: %s", rig.log)
 			}
-			r.logMu.Unlock()
+			rig.logMu.Unlock()
 		})
 	}
 }
@@ -569,20 +571,20 @@
 		if err := config.Read("test.edn", fmt.Sprintf(testRouter, address, "(connections-per-address 5000)"), &s); err != nil {
 			t.Fatal(err)
 		}
-		e, err := New(&s, newAccessLog(os.Stderr, 1000, "info"))
+		edge, err := New(&s, newAccessLog(os.Stderr, 1000, "info"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		go func() { io.Copy(io.Discard, os.Stdin); e.Stop() }()
-		fmt.Println("at " + e.Addr())
-		if err := e.Run(); err != nil {
+		go func() { io.Copy(io.Discard, os.Stdin); edge.Stop() }()
+		fmt.Println("at " + edge.Addr())
+		if err := edge.Run(); err != nil {
 			t.Fatal(err)
 		}
 		return
 	}
-	r := newRig(t, 2, "")
+	rig := newRig(t, 2, "")
 	cmd := exec.Command(os.Args[0], "-test.run", "^TestFewFilesProcess$")
-	cmd.Env = append(os.Environ(), "SPOOL_TEST_FEW_FILES="+r.list.Addr())
+	cmd.Env = append(os.Environ(), "SPOOL_TEST_FEW_FILES="+rig.list.Addr())
 	var log bytes.Buffer
 	cmd.Stderr = &log
 	in, _ := cmd.StdinPipe()
@@ -601,7 +603,7 @@
 		c, _ := strconv.ParseFloat(fields[12], 64)
 		return (a + c) / 100
 	}
-	for _, b := range r.boxes { // so that attempts are out at the same time
+	for _, b := range rig.boxes { // so that attempts are out at the same time
 		b.Fault(testserver.Fault{Kind: testserver.Hang, For: 700})
 	}
 	var wg sync.WaitGroup
@@ -654,22 +656,22 @@
 // While turning away takes too much time, connections that were turned away are read
 // again a little later: what they ask then is answered, and none is forgotten.
 func TestHeldBack(t *testing.T) {
-	r := newRig(t, 1, "(held 1)")
-	r.boxes["b0"].Fault(testserver.Fault{Kind: testserver.Hang, For: 600})
-	in := r.dial() // it takes the one place
+	rig := newRig(t, 1, "(held 1)")
+	rig.boxes["b0"].Fault(testserver.Fault{Kind: testserver.Hang, For: 600})
+	in := rig.dial() // it takes the one place
 	fmt.Fprintf(in, "GET /s/1/in HTTP/1.1\r\nHost: h\r\n\r\n")
-	r.waitFor("the one in hand", func(*Stats, *engine.Core) bool { return len(r.e.reqs) == 1 })
-	r.e.Query(func(*Stats, *engine.Core) {
-		r.e.guard.adm.Adopt(limits.AdmissionSettings{Target: 20, Interval: 100, MinInFlight: 1, MaxInFlight: 1})
-		r.e.s.Limits.Held = 100 // so that it is the limit that refuses
-		for range 4 {           // as if refusing had taken all of the time
-			r.e.guard.hold.AddCost(1e6)
-			r.e.guard.hold.Tick(r.e.l.Now() + 1e5)
+	rig.waitFor("the one in hand", func(*Stats, *engine.Core) bool { return len(rig.e.requests) == 1 })
+	rig.e.Query(func(*Stats, *engine.Core) {
+		rig.e.guard.admission.Adopt(limits.AdmissionSettings{Target: 20, Interval: 100, MinInFlight: 1, MaxInFlight: 1})
+		rig.e.settings.Limits.Held = 100 // so that it is the limit that refuses
+		for range 4 {                    // as if refusing had taken all of the time
+			rig.e.guard.readPause.AddCost(1e6)
+			rig.e.guard.readPause.Tick(rig.e.loop.Now() + 1e5)
 		}
 	})
 	var list []net.Conn
 	for range 20 {
-		c := r.dial()
+		c := rig.dial()
 		defer c.Close()
 		fmt.Fprintf(c, "GET /s/1/out HTTP/1.1\r\nHost: h\r\n\r\n")
 		list = append(list, c)
@@ -689,7 +691,7 @@
 		}
 	}
 	held := 0
-	r.e.Query(func(*Stats, *engine.Core) { held = len(r.e.guard.held) })
+	rig.e.Query(func(*Stats, *engine.Core) { held = len(rig.e.guard.pausedClients) })
 	if held != 20 {
 		t.Errorf("%d of 20 are held back", held)
 	}
--- a/internal/proxy/httpfront/handover.go
+++ b/internal/proxy/httpfront/handover.go
@@ -25,7 +25,7 @@
 // handover path, or an ordinary one where nobody does. What the predecessor has learned is
 // gone on from, unless it can't be read: then the router starts as new.
 func TakeOver(s *config.Settings, log *AccessLog) (*Edge, error) {
-	in, err := predecessor(s)
+	in, err := contactPredecessor(s)
 	if err != nil {
 		return nil, err
 	}
@@ -36,8 +36,8 @@
 	return e, err
 }
 
-// predecessor asks the one that offers at the settings' handover path; nil: nobody does.
-func predecessor(s *config.Settings) (*hotrestart.Inherited, error) {
+// contactPredecessor asks the one that offers at the settings' handover path; nil: nobody does.
+func contactPredecessor(s *config.Settings) (*hotrestart.Inherited, error) {
 	if s.Router.Handover == "" {
 		return nil, nil
 	}
@@ -48,9 +48,9 @@
 	return in, err
 }
 
-// inherit takes the listening socket of a predecessor, where it is at the address
+// inheritListener takes the listening socket of a predecessor, where it is at the address
 // that the settings name.
-func inherit(in *hotrestart.Inherited, address string) (fd int, at string, ok bool) {
+func inheritListener(in *hotrestart.Inherited, address string) (fd int, at string, ok bool) {
 	if in == nil || in.Listener == 0 {
 		return 0, "", false
 	}
@@ -75,8 +75,8 @@
 	return fd, at, true
 }
 
-// remember goes on from the predecessor's memory, on the loop, before any news.
-func (e *Edge) remember() {
+// restoreLearnedState goes on from the predecessor's memory, on the loop, before any news.
+func (e *Edge) restoreLearnedState() {
 	if e.inherited == nil {
 		return
 	}
@@ -85,7 +85,7 @@
 		if err := json.Unmarshal(e.inherited.Clients, &peers); err != nil {
 			e.log.Log.Warn("what the predecessor knew of clients is not used", zap.Error(err))
 		}
-		e.guard.standing.Restore(peers, e.l.Now())
+		e.guard.reputation.Restore(peers, e.loop.Now())
 	}
 	if len(e.inherited.LearnedState) == 0 {
 		return
@@ -95,24 +95,24 @@
 		e.log.Log.Warn("the predecessor's memory is not used: this router starts as new", zap.Error(err))
 		return
 	}
-	acts := e.core.Restore(e.l.Now(), m, nil)
+	acts := e.core.Restore(e.loop.Now(), m, nil)
 	for i := range acts {
-		e.carryOut(acts[i])
+		e.execute(acts[i])
 	}
 	e.log.Log.Info("goes on from its predecessor", zap.Int("members", len(m.Members)), zap.Int("bytes", len(e.inherited.LearnedState)))
 }
 
-// serves tells the predecessor that this router serves, and takes its connections.
-func (e *Edge) serves() error {
+// announceServing tells the predecessor that this router announceServing, and takes its connections.
+func (e *Edge) announceServing() error {
 	if e.inherited == nil {
 		return nil
 	}
-	if err := e.l.Post(func() { e.behind = true }); err != nil {
+	if err := e.loop.Post(func() { e.predecessorRuns = true }); err != nil {
 		return err
 	}
 	err := e.inherited.Ready(func(fd int) {
 		for {
-			err := e.l.Post(func() {
+			err := e.loop.Post(func() {
 				if e.draining { // it has a successor of its own by now, or ends
 					if e.successor == nil || !e.successor.SendConn(fd) {
 						unix.Close(fd)
@@ -126,9 +126,9 @@
 				}
 				unix.SetNonblock(fd, true)
 				e.stats.HandedIn++
-				if c := e.adopt(fd, addressOf(sa), true); c != nil {
-					c.seen, c.idled = -1<<40, -1<<40 // the kernel may still hold the predecessor's answers
-					e.guard.tail(c)
+				if c := e.addClient(fd, addressOf(sa), true); c != nil {
+					c.ackedBytes, c.ackedAtTimeout = -1<<40, -1<<40 // the kernel may still hold the predecessor's answers
+					e.guard.trackUnread(c)
 				}
 			})
 			switch err {
@@ -145,129 +145,129 @@
 		var p engine.Purge
 		if json.Unmarshal(note, &p) == nil {
 			e.Query(func(*Stats, *engine.Core) {
-				e.news(&engine.Update{Purge: &p})
+				e.applyUpdate(&engine.Update{Purge: &p})
 				if e.successor != nil {
 					e.successor.SendNote(&p)
 				}
 			})
 		}
 	}, func() {
-		e.followed.Store(false)
+		e.predecessorReachable.Store(false)
 		e.log.Log.Info("the predecessor has ended")
-		e.l.Post(func() {
-			e.behind = false
+		e.loop.Post(func() {
+			e.predecessorRuns = false
 			e.checkDrained()
 		})
 	})
 	if err == nil {
-		e.followed.Store(true)
-		if e.versions != nil {
-			e.versions.agent.Connect()
+		e.predecessorReachable.Store(true)
+		if e.configClient != nil {
+			e.configClient.agent.Connect()
 		}
 	}
 	return err
 }
 
-// tellVersion has a predecessor that still drains go by a version too: nobody else
+// forwardVersion has a predecessor that still drains go by a version too: nobody else
 // tells it of members that leave.
-func (e *Edge) tellVersion(v configversion.Version) {
-	if !e.followed.Load() { // until this one serves it follows the service itself
+func (e *Edge) forwardVersion(v configversion.Version) {
+	if !e.predecessorReachable.Load() { // until this one serves it follows the service itself
 		return
 	}
 	b, err := json.Marshal(v)
 	if err == nil {
 		err = e.inherited.SendConfigVersion(b)
 	}
-	if err != nil && e.followed.Swap(false) {
+	if err != nil && e.predecessorReachable.Swap(false) {
 		e.log.Log.Warn("the predecessor is not told of a version", zap.Int64("version", v.Number), zap.Error(err))
 	}
 }
 
-// tellPurge has a predecessor that still drains know of a purge that came to this
+// forwardPurge has a predecessor that still drains know of a purge that came to this
 // router only: its requests in hand may get no older copy either.
-func (e *Edge) tellPurge(p *engine.Purge) {
-	if !e.followed.Load() {
+func (e *Edge) forwardPurge(p *engine.Purge) {
+	if !e.predecessorReachable.Load() {
 		return
 	}
-	if err := e.inherited.SendNote(p); err != nil && e.followed.Swap(false) {
+	if err := e.inherited.SendNote(p); err != nil && e.predecessorReachable.Swap(false) {
 		e.log.Log.Warn("the predecessor is not told of a purge", zap.Error(err))
 	}
 }
 
-// heardPurge goes by a purge that came to the successor.
-func (e *Edge) heardPurge(b []byte) {
+// receivePurge goes by a purge that came to the successor.
+func (e *Edge) receivePurge(b []byte) {
 	var p engine.Purge
 	if json.Unmarshal(b, &p) != nil {
 		return
 	}
-	e.Query(func(*Stats, *engine.Core) { e.news(&engine.Update{Purge: &p}) })
-	e.tellPurge(&p)
+	e.Query(func(*Stats, *engine.Core) { e.applyUpdate(&engine.Update{Purge: &p}) })
+	e.forwardPurge(&p)
 }
 
-// heardVersion goes by a version that the successor goes by.
-func (e *Edge) heardVersion(b []byte) {
+// receiveVersion goes by a version that the successor goes by.
+func (e *Edge) receiveVersion(b []byte) {
 	var v configversion.Version
 	err := json.Unmarshal(b, &v)
 	s := &config.Settings{}
 	if err == nil {
-		err = config.ReadVersion("successor", string(v.Body), e.versions.own, s)
+		err = config.ReadVersion("successor", string(v.Body), e.configClient.local, s)
 	}
 	if err != nil {
 		e.log.Log.Warn("the successor's version is not used", zap.Error(err))
 		return
 	}
-	e.l.Post(func() { e.use(configversion.Activate{Version: v, Settings: s}) })
-	e.tellVersion(v) // its own predecessor may still drain, too
+	e.loop.Post(func() { e.activateVersion(configversion.Activate{Version: v, Settings: s}) })
+	e.forwardVersion(v) // its own predecessor may still drain, too
 }
 
-// offer waits for a successor, from now on.
-func (e *Edge) offer() error {
-	path := e.s.Router.Handover
+// offerHandover waits for a successor, from now on.
+func (e *Edge) offerHandover() error {
+	path := e.settings.Router.Handover
 	if path == "" {
 		return nil
 	}
-	srv, err := hotrestart.Listen(hotrestart.Options{Path: path, ReadyTimeout: time.Duration(e.s.Limits.Successor) * time.Millisecond,
+	srv, err := hotrestart.Listen(hotrestart.Options{Path: path, ReadyTimeout: time.Duration(e.settings.Limits.Successor) * time.Millisecond,
 		Prepare: func() (g *hotrestart.Handover, err error) {
-			qerr := e.l.Call(5*time.Second, func() { g, err = e.give() })
-			if err = errors.Join(qerr, err); err == nil && e.versions != nil {
-				if v := e.versions.agent.Accepted(); v.Number > 0 {
+			qerr := e.loop.Call(5*time.Second, func() { g, err = e.prepareHandover() })
+			if err = errors.Join(qerr, err); err == nil && e.configClient != nil {
+				if v := e.configClient.agent.Accepted(); v.Number > 0 {
 					g.ConfigVersion, err = json.Marshal(v)
 				}
-				e.versions.lend()
+				e.configClient.releaseStore()
 			}
 			return g, err
 		},
 		OnServing: func(to *hotrestart.Sender) {
-			if e.versions != nil {
-				e.versions.agent.Close() // the successor follows from now on
+			if e.configClient != nil {
+				e.configClient.agent.Close() // the successor follows from now on
 			}
-			if e.l.Call(5*time.Second, func() { e.leaveTo(to) }) != nil {
+			if e.loop.Call(5*time.Second, func() { e.drainTo(to) }) != nil {
 				to.Close()
 			}
 		},
 		OnFailure: func(error) {
-			e.l.Call(5*time.Second, func() {
-				e.leaving, e.since = false, nil
-				e.tell(spool.Retired{})
+			e.loop.Call(5*time.Second, func() {
+				e.handingOver, e.purgesDuringHandover = false, nil
+				e.dispatch(spool.Retired{})
 			})
-			go e.versions.regain()
+			go e.configClient.reacquireStore()
 		},
 		OnConfigVersion: func(b []byte) {
-			if e.versions != nil {
-				e.heardVersion(b)
+			if e.configClient != nil {
+				e.receiveVersion(b)
 			}
 		},
-		OnNote: e.heardPurge,
+		OnNote: e.receivePurge,
 		Warn:   func(text string) { e.log.Log.Warn(text) }})
 	if err != nil {
 		return err
 	}
-	e.offered = srv
+	e.handoverServer = srv
 	return nil
 }
 
-// give is what a successor gets first. From now on cold budgets are its to spend.
-func (e *Edge) give() (*hotrestart.Handover, error) {
+// prepareHandover is what a successor gets first. From now on cold budgets are its to spend.
+func (e *Edge) prepareHandover() (*hotrestart.Handover, error) {
 	if e.draining {
 		return nil, errors.New("this router drains already")
 	}
@@ -275,13 +275,13 @@
 	if err != nil {
 		return nil, err
 	}
-	peers, err := json.Marshal(e.guard.standing.Records(e.l.Now()))
+	peers, err := json.Marshal(e.guard.reputation.Records(e.loop.Now()))
 	if err != nil {
 		return nil, err
 	}
-	e.leaving, e.since = true, nil
-	e.tell(spool.Retired{On: true})
-	g := &hotrestart.Handover{Listener: e.lfd, LearnedState: b, Clients: peers}
+	e.handingOver, e.purgesDuringHandover = true, nil
+	e.dispatch(spool.Retired{On: true})
+	g := &hotrestart.Handover{Listener: e.listenFD, LearnedState: b, Clients: peers}
 	if e.adminFile != nil {
 		g.Admin = int(e.adminFile.Fd())
 		unix.SetNonblock(g.Admin, true) // Fd has ended that, for the listener too
@@ -290,17 +290,17 @@
 	return g, nil
 }
 
-// leaveTo drains for a successor that serves: nothing is accepted here any more, and
+// drainTo drains for a successor that serves: nothing is accepted here any more, and
 // connections go to it, each once it is between requests.
-func (e *Edge) leaveTo(to *hotrestart.Sender) {
+func (e *Edge) drainTo(to *hotrestart.Sender) {
 	if e.draining {
 		go to.Close()
 		return
 	}
-	for i := range e.since { // what was purged since the memory was taken
-		to.SendNote(&e.since[i])
+	for i := range e.purgesDuringHandover { // what was purged since the memory was taken
+		to.SendNote(&e.purgesDuringHandover[i])
 	}
-	e.leaving, e.since, e.successor = false, nil, to
+	e.handingOver, e.purgesDuringHandover, e.successor = false, nil, to
 	if e.stopAdmin != nil {
 		go e.stopAdmin()
 		e.stopAdmin = nil
@@ -309,30 +309,30 @@
 	e.drainNow()
 }
 
-// pass gives a connection between requests to the successor; false: it stays.
-func (c *client) pass() bool {
-	e := c.e
-	if e.successor == nil || c.gone || c.eof || c.linger || c.cur != nil || len(c.left) > 0 || c.out.Len() > 0 {
+// handOver gives a connection between requests to the successor; false: it stays.
+func (c *clientConn) handOver() bool {
+	edge := c.edge
+	if edge.successor == nil || c.closed || c.eof || c.discardInput || c.current != nil || len(c.unparsed) > 0 || c.output.Len() > 0 {
 		return false
 	}
 	fd := c.fd
 	if !c.detach() {
 		return false
 	}
-	if !e.successor.SendConn(fd) {
+	if !edge.successor.SendConn(fd) {
 		unix.Close(fd)
 	} else {
-		e.stats.HandedOut++
+		edge.stats.HandedOut++
 	}
-	if e.draining {
-		e.checkDrained()
+	if edge.draining {
+		edge.checkDrained()
 	}
 	return true
 }
 
-// adminFrom is the listener that a predecessor's admin listener was, if it is the
+// inheritAdmin is the listener that a predecessor's admin listener was, if it is the
 // one that the settings name.
-func adminFrom(in *hotrestart.Inherited, address string) net.Listener {
+func inheritAdmin(in *hotrestart.Inherited, address string) net.Listener {
 	if in == nil || in.Admin == 0 {
 		return nil
 	}
--- a/internal/proxy/httpfront/handover_test.go
+++ b/internal/proxy/httpfront/handover_test.go
@@ -27,7 +27,7 @@
 
 // relay is routers of a rig that take over from one another.
 type relay struct {
-	*rig
+	*testRig
 	path    string
 	dir     string
 	s       *config.Settings
@@ -38,8 +38,8 @@
 
 func newRelay(t *testing.T, boxes int, limits string) *relay {
 	dir := t.TempDir()
-	r := &relay{rig: newRig(t, boxes, limits), path: filepath.Join(dir, "handover"), dir: filepath.Join(dir, "journal")}
-	r.rig.stop() // the relay has its own routers
+	r := &relay{testRig: newRig(t, boxes, limits), path: filepath.Join(dir, "handover"), dir: filepath.Join(dir, "journal")}
+	r.testRig.stop() // the relay has its own routers
 	r.s = &config.Settings{}
 	text := strings.Replace(fmt.Sprintf(testRouter, r.list.Addr(), limits), "(zone z) (listen", fmt.Sprintf("(zone z) (handover %q) (journal %q) (listen", r.path, r.dir), 1)
 	if err := config.Read("relay.edn", text, r.s); err != nil {
@@ -58,17 +58,17 @@
 // next starts a router, which takes over from the one there is.
 func (r *relay) next() *Edge {
 	r.t.Helper()
-	e, err := TakeOver(r.s, newAccessLog(lockedWriter{&r.logMu, r.log}, 10000, "info"))
+	edge, err := TakeOver(r.s, newAccessLog(lockedWriter{&r.logMu, r.log}, 10000, "info"))
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	r.up++
-	go func() { r.ended <- e.Run() }()
-	if err := e.Ready(); err != nil {
+	go func() { r.ended <- edge.Run() }()
+	if err := edge.Ready(); err != nil {
 		r.t.Fatal(err)
 	}
-	r.current, r.rig.e = e, e
-	return e
+	r.current, r.testRig.e = edge, edge
+	return edge
 }
 
 func (r *relay) wait() bool {
@@ -230,7 +230,7 @@
 	poor := func() (n int) {
 		r.current.Query(func(*Stats, *engine.Core) {
 			for i := range 12 {
-				if r.current.guard.standing.Poor(fmt.Sprintf("127.0.3.%d", 1+i), r.current.l.Now()) {
+				if r.current.guard.reputation.Poor(fmt.Sprintf("127.0.3.%d", 1+i), r.current.loop.Now()) {
 					n++
 				}
 			}
@@ -300,7 +300,7 @@
 		return n
 	}
 	had := purges()
-	third.heardPurge([]byte(`{"object":"/s/1/x"}`))
+	third.receivePurge([]byte(`{"object":"/s/1/x"}`))
 	for range 200 {
 		if purges() > had {
 			break
@@ -348,7 +348,7 @@
 		time.Sleep(600 * time.Millisecond)
 		in.Abort()
 		left := true
-		r.current.Query(func(*Stats, *engine.Core) { left = r.current.leaving || r.current.draining })
+		r.current.Query(func(*Stats, *engine.Core) { left = r.current.handingOver || r.current.draining })
 		if left {
 			t.Errorf("%s: the predecessor still thinks that it leaves", how)
 		}
--- a/internal/proxy/httpfront/log.go
+++ b/internal/proxy/httpfront/log.go
@@ -15,24 +15,24 @@
 	"indigospool/internal/proxy/limits"
 )
 
-// endWord says why a request ended, in a few stable words: docs/operating.md.
-type endWord uint8
+// endReason says why a request ended, in a few stable words: docs/operating.md.
+type endReason uint8
 
 const (
-	endServed     endWord = iota + 1 // a cache's answer, whole
-	endRefused                       // the module turned it away
-	endFailed                        // the module gave it up
-	endBroken                        // the member's answer broke off after it had begun
-	endClientGone                    // the client left
-	endClientSlow                    // the client took nothing for too long
-	endMalformed                     // no valid message
-	endNoRoute                       // no class fits
-	endHeld                          // as many requests in hand as may be
-	endPage                          // a page could not be put together
-	endLimit                         // a limit of internal/proxy/limits, which the request names
+	endServed     endReason = iota + 1 // a cache's answer, whole
+	endRefused                         // the module turned it away
+	endFailed                          // the module gave it up
+	endBroken                          // the member's answer broke off after it had begun
+	endClientGone                      // the client left
+	endClientSlow                      // the client took nothing for too long
+	endMalformed                       // no valid message
+	endNoRoute                         // no class fits
+	endHeld                            // as many requests in hand as may be
+	endPage                            // a page could not be put together
+	endLimit                           // a limit of internal/proxy/limits, which the request names
 )
 
-func (w endWord) word() string {
+func (w endReason) word() string {
 	switch w {
 	case endServed:
 		return "served"
@@ -68,7 +68,7 @@
 type AccessLog struct {
 	access *zap.Logger
 	Log    *zap.Logger // the router's own messages
-	q      *asynclog.Queue
+	queue  *asynclog.Queue
 }
 
 // NewAccessLog opens the log that the settings name. Close ends it.
@@ -103,71 +103,71 @@
 		lv = zapcore.InfoLevel
 	}
 	l := zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(enc), q, lv))
-	return &AccessLog{access: l, Log: l, q: q}
+	return &AccessLog{access: l, Log: l, queue: q}
 }
 
 // Dropped is how many lines were dropped.
 func (a *AccessLog) Dropped() uint64 {
-	if a.q == nil {
+	if a.queue == nil {
 		return 0
 	}
-	return a.q.Dropped()
+	return a.queue.Dropped()
 }
 
 // Close writes what is queued and ends the log.
 func (a *AccessLog) Close() {
-	if a.q != nil {
-		a.q.Close()
+	if a.queue != nil {
+		a.queue.Close()
 	}
 }
 
 // request logs a request's end.
-func (a *AccessLog) request(r *request) {
+func (a *AccessLog) request(request *clientRequest) {
 	ce := a.access.Check(zapcore.InfoLevel, "request")
 	if ce == nil {
 		return
 	}
-	object := r.q.Object
+	object := request.spec.Object
 	if object == "" {
-		object = r.path
+		object = request.logObject
 	}
-	fields := [8]zap.Field{zap.String("id", r.id), zap.String("class", r.q.Class), zap.String("object", object),
-		zap.Int("part", r.q.Part), zap.Int("status", r.status), zap.Int64("bytes", r.sent),
-		zap.Float64("ms", float64(int64((r.e.l.Now()-r.at)*1000))/1000), zap.String("end", r.word())}
-	if len(r.tries) == 0 {
+	fields := [8]zap.Field{zap.String("id", request.id), zap.String("class", request.spec.Class), zap.String("object", object),
+		zap.Int("part", request.spec.Part), zap.Int("status", request.status), zap.Int64("bytes", request.sentBytes),
+		zap.Float64("ms", float64(int64((request.edge.loop.Now()-request.receivedAt)*1000))/1000), zap.String("end", request.word())}
+	if len(request.attempts) == 0 {
 		ce.Write(fields[:]...)
 		return
 	}
-	ce.Write(append(fields[:], zap.String("tries", r.attempts()))...)
+	ce.Write(append(fields[:], zap.String("tries", request.attemptList()))...)
 }
 
 // word says why the request ended.
-func (r *request) word() string {
-	if r.turned != nil {
-		return r.turned.Detail
+func (r *clientRequest) word() string {
+	if r.routeError != nil {
+		return r.routeError.Detail
 	}
-	if r.cause != limits.None {
-		return r.cause.String()
+	if r.limitCause != limits.None {
+		return r.limitCause.String()
 	}
-	return r.why.word()
+	return r.end.word()
 }
 
-// attempts tells each attempt as member<source:result:ms, in their order; a
+// attemptList tells each attempt as member<source:result:ms, in their order; a
 // look names no source.
-func (r *request) attempts() string {
+func (r *clientRequest) attemptList() string {
 	var buf [256]byte
 	b := buf[:0]
-	for i, t := range r.tries {
+	for i, attempt := range r.attempts {
 		if i > 0 {
 			b = append(b, ' ')
 		}
-		b = append(b, t.cache...)
-		if t.source != t.cache {
-			b = append(append(b, '<'), t.source...)
+		b = append(b, attempt.cache...)
+		if attempt.source != attempt.cache {
+			b = append(append(b, '<'), attempt.source...)
 		}
-		word, took := "open", r.e.l.Now()-t.sentAt
-		if t.done {
-			word, took = resultWords[t.result], t.took
+		word, took := "open", r.edge.loop.Now()-attempt.sentAt
+		if attempt.done {
+			word, took = resultWords[attempt.result], attempt.took
 		}
 		b = append(append(append(b, ':'), word...), ':')
 		b = strconv.AppendFloat(b, took, 'f', 1, 64)
--- a/internal/proxy/httpfront/page.go
+++ b/internal/proxy/httpfront/page.go
@@ -23,52 +23,52 @@
 	"indigospool/internal/proxy/limits"
 )
 
-// page is the answer to a request of a class of pages, on its way: the bytes of what a
+// esiPage is the answer to a request of a class of pages, on its way: the bytes of what a
 // member answered, put together with fragments where the member says so
 // (Surrogate-Control). What is fetched, given up and sent is internal/protocol/esi's to say; each
 // fragment is a request of its own to the module.
-type page struct {
-	e       *Edge
-	r       *request // the client's
-	p       *esi.Page
-	setup   esi.Setup
-	parts   map[int]*request  // fragments that are out
-	what    map[string]copyOf // fragments by their address, for purges
-	timer   eventloop.Timer
-	fields  []byte // of the template's head, that the client gets
-	zipped  []byte // of a template that came compressed
-	coding  coding
-	trace   string // the client's X-Request-Id
-	plain   bool   // nothing is put together: the answer goes on as it came
-	asked   conditions
-	status  int
-	begun   bool // the head has gone out
-	chunks  bool
-	ended   bool // the template is whole
-	dirty   bool
-	gone    bool
-	booked  int64
-	left    int64 // of a length that was stated
-	refused error // why the answer can't be a page
-}
-
-// copyOf is what the module knows a fragment as.
-type copyOf struct {
+type esiPage struct {
+	edge            *Edge
+	request         *clientRequest // the client's
+	assembly        *esi.Page
+	esiSetup        esi.Setup
+	fragments       map[int]*clientRequest    // fragments that are out
+	fragmentObjects map[string]fragmentObject // fragments by their address, for purges
+	timer           eventloop.Timer
+	headFields      []byte // of the template's head, that the client gets
+	compressed      []byte // of a template that came compressed
+	coding          coding
+	requestID       string // the client's X-Request-Id
+	unprocessed     bool   // nothing is put together: the answer goes on as it came
+	conditions      conditions
+	status          int
+	headSent        bool // the head has gone out
+	chunked         bool
+	templateDone    bool // the template is whole
+	changed         bool
+	closed          bool
+	accounted       int64
+	contentLength   int64 // of a length that was stated
+	rejectErr       error // why the answer can't be a page
+}
+
+// fragmentObject is what the module knows a fragment as.
+type fragmentObject struct {
 	object string
 	group  int
 }
 
 // conditions are what a client asks of the whole page, and not of what it is made of.
 type conditions struct {
-	head      bool
-	match     string // If-None-Match
-	since     int64  // If-Modified-Since, Unix seconds
-	first     int64  // of a range; -1: the last bytes
-	last      int64  // of a range; -1: to the end
-	rng       bool
-	ifRange   string
-	gzip      bool // it takes that
-	asksWhole bool
+	head            bool
+	ifNoneMatch     string // If-None-Match
+	ifModifiedSince int64  // If-Modified-Since, Unix seconds
+	first           int64  // of a range; -1: the last bytes
+	last            int64  // of a range; -1: to the end
+	hasRange        bool
+	ifRange         string
+	acceptsGzip     bool // it takes that
+	needWhole       bool
 }
 
 // coding is how content came.
@@ -82,34 +82,34 @@
 
 // pageClass is a class of pages; nil: it is none.
 func (e *Edge) pageClass(class string) *config.Class {
-	if i, ok := e.guard.classes[class]; ok && e.s.Classes[i].Pages {
-		return &e.s.Classes[i]
+	if i, ok := e.guard.classIndex[class]; ok && e.settings.Classes[i].Pages {
+		return &e.settings.Classes[i]
 	}
 	return nil
 }
 
-// asPage has a request ask for a page: what the client wants of the whole is kept here,
+// startPage has a request ask for a page: what the client wants of the whole is kept here,
 // and members are asked for all of it.
-func (r *request) asPage(h *http1.Head) {
-	if r.q.Write || r.e.pageClass(r.q.Class) == nil {
+func (r *clientRequest) startPage(h *http1.Head) {
+	if r.spec.Write || r.edge.pageClass(r.spec.Class) == nil {
 		return
 	}
-	pg := &page{e: r.e, r: r, parts: map[int]*request{}, what: map[string]copyOf{}}
-	pg.timer.F = pg.tick
-	pg.asked = conditionsOf(h)
-	pg.setup = setupOf(r.e.s)
-	r.vars = &esi.Vars{Host: string(h.Host), Cookie: string(h.Get("cookie")), Language: string(h.Get("accept-language")),
+	page := &esiPage{edge: r.edge, request: r, fragments: map[int]*clientRequest{}, fragmentObjects: map[string]fragmentObject{}}
+	page.timer.F = page.onTimer
+	page.conditions = parseConditions(h)
+	page.esiSetup = esiSetupOf(r.edge.settings)
+	r.esiVars = &esi.Vars{Host: string(h.Host), Cookie: string(h.Get("cookie")), Language: string(h.Get("accept-language")),
 		Agent: string(h.Get("user-agent")), Referer: string(h.Get("referer"))}
 	if i := bytes.IndexByte(h.Path(), '?'); i >= 0 {
-		r.vars.Query = string(h.Path()[i+1:])
+		r.esiVars.Query = string(h.Path()[i+1:])
 	}
 	r.target = string(h.Path())
-	r.page, r.isHead = pg, false
-	pg.trace = string(h.Get("x-request-id"))
-	r.fwd = appendPageRequest(r.fwd[:0], r.e.name, r.target, r.vars.Host, pg.trace, -1)
+	r.page, r.isHead = page, false
+	page.requestID = string(h.Get("x-request-id"))
+	r.forwardHead = appendPageRequest(r.forwardHead[:0], r.edge.name, r.target, r.esiVars.Host, page.requestID, -1)
 }
 
-func setupOf(s *config.Settings) esi.Setup {
+func esiSetupOf(s *config.Settings) esi.Setup {
 	l := &s.Pages
 	return esi.Setup{Parser: esi.Limits{Depth: l.Nesting, Tag: l.Tag, Held: l.HeldKB << 10, Nodes: l.Elements},
 		Fragments: l.Fragments, Uses: l.Includes, Depth: l.Depth, Parallel: l.Parallel, Attempts: l.Attempts,
@@ -139,11 +139,11 @@
 	return append(append(append(b, "Via: 1.1 "...), name...), "\r\n"...)
 }
 
-func conditionsOf(h *http1.Head) conditions {
-	c := conditions{head: h.IsHead(), match: string(h.Get("if-none-match")), ifRange: string(h.Get("if-range"))}
-	if v := h.Get("if-modified-since"); v != nil && c.match == "" {
+func parseConditions(h *http1.Head) conditions {
+	c := conditions{head: h.IsHead(), ifNoneMatch: string(h.Get("if-none-match")), ifRange: string(h.Get("if-range"))}
+	if v := h.Get("if-modified-since"); v != nil && c.ifNoneMatch == "" {
 		if t, err := http.ParseTime(string(v)); err == nil {
-			c.since = t.Unix()
+			c.ifModifiedSince = t.Unix()
 		}
 	}
 	if v := string(h.Get("range")); strings.HasPrefix(v, "bytes=") && !strings.Contains(v, ",") {
@@ -153,25 +153,25 @@
 		switch {
 		case !ok || aerr != nil && from != "" || berr != nil && to != "" || from == "" && to == "":
 		case from == "":
-			c.rng, c.first, c.last = true, -1, int64(b)
+			c.hasRange, c.first, c.last = true, -1, int64(b)
 		case to == "":
-			c.rng, c.first, c.last = true, int64(a), -1
+			c.hasRange, c.first, c.last = true, int64(a), -1
 		case a <= b:
-			c.rng, c.first, c.last = true, int64(a), int64(b)
+			c.hasRange, c.first, c.last = true, int64(a), int64(b)
 		}
 	}
-	for part := range strings.SplitSeq(joined(h, "accept-encoding"), ",") {
+	for part := range strings.SplitSeq(joinedValues(h, "accept-encoding"), ",") {
 		word, q, _ := strings.Cut(part, ";")
 		if word = strings.TrimSpace(word); strings.EqualFold(word, "gzip") || word == "*" {
-			c.gzip = strings.Trim(strings.TrimPrefix(strings.ReplaceAll(q, " ", ""), "q=0"), ".0") != "" || !strings.Contains(q, "=")
+			c.acceptsGzip = strings.Trim(strings.TrimPrefix(strings.ReplaceAll(q, " ", ""), "q=0"), ".0") != "" || !strings.Contains(q, "=")
 		}
 	}
-	c.asksWhole = c.head || c.match != "" || c.since != 0 || c.rng
+	c.needWhole = c.head || c.ifNoneMatch != "" || c.ifModifiedSince != 0 || c.hasRange
 	return c
 }
 
-// ageOf is the age that a head states, in ms.
-func ageOf(h *http1.Head) float64 {
+// headAge is the age that a head states, in ms.
+func headAge(h *http1.Head) float64 {
 	seconds, err := strconv.ParseFloat(string(h.Get("age")), 64)
 	if err != nil || !(seconds >= 0) {
 		return 0
@@ -179,27 +179,27 @@
 	return seconds * 1000
 }
 
-// expiresIn is for how long an answer is fresh by its field Expires, in ms; -1: it has none.
+// expiresFreshness is for how long an answer is fresh by its field Expires, in ms; -1: it has none.
 // Both times are the origin's where it gives them.
-func expiresIn(h *http1.Head, clock time.Time) float64 {
+func expiresFreshness(h *http1.Head, clock time.Time) float64 {
 	expires, err := http.ParseTime(string(h.Get("expires")))
 	if err != nil {
 		return -1
 	}
 	span := float64(expires.Sub(clock).Milliseconds())
 	if made, err := http.ParseTime(string(h.Get("date"))); err == nil {
-		span = float64(expires.Sub(made).Milliseconds()) - ageOf(h)
+		span = float64(expires.Sub(made).Milliseconds()) - headAge(h)
 	}
 	return max(span, 0)
 }
 
-// metaOf is what a head says of how long its answer may be kept. The clock is needed only for
+// parseMeta is what a head says of how long its answer may be kept. The clock is needed only for
 // a head that says until when, and not when it was made (RFC 9111, section 4.2.1).
-func metaOf(h *http1.Head, clock time.Time) (m esi.Meta, c coding) {
+func parseMeta(h *http1.Head, clock time.Time) (m esi.Meta, c coding) {
 	m.Fresh = -1
-	if cc, err := cacheobject.ParseResponseCacheControl(joined(h, "cache-control")); err == nil {
+	if cc, err := cacheobject.ParseResponseCacheControl(joinedValues(h, "cache-control")); err == nil {
 		if cc.MaxAge >= 0 {
-			m.Fresh = max(float64(cc.MaxAge)*1000-ageOf(h), 0)
+			m.Fresh = max(float64(cc.MaxAge)*1000-headAge(h), 0)
 		}
 		if cc.NoCachePresent {
 			m.Fresh = 0
@@ -209,13 +209,13 @@
 		m.Fresh = 0
 	}
 	if m.Fresh < 0 {
-		m.Fresh = expiresIn(h, clock)
+		m.Fresh = expiresFreshness(h, clock)
 	}
 	m.ETag = string(h.Get("etag"))
 	if t, err := http.ParseTime(string(h.Get("last-modified"))); err == nil {
 		m.Changed = t.Unix()
 	}
-	m.ESI = esiAsked(joined(h, "surrogate-control"))
+	m.ESI = requestsESI(joinedValues(h, "surrogate-control"))
 	switch strings.ToLower(strings.TrimSpace(string(h.Get("content-encoding")))) {
 	case "", "identity":
 	case "gzip", "x-gzip":
@@ -226,8 +226,8 @@
 	return m, c
 }
 
-// joined is the values of a field, which may stand in several lines.
-func joined(h *http1.Head, name string) string {
+// joinedValues is the values of a field, which may stand in several lines.
+func joinedValues(h *http1.Head, name string) string {
 	out := ""
 	for i := range h.Fields {
 		if f := &h.Fields[i]; http1.EqualFold(f.Name, name) {
@@ -240,9 +240,9 @@
 	return out
 }
 
-// esiAsked reports whether a Surrogate-Control has its receiver process ESI/1.0 (Edge
+// requestsESI reports whether a Surrogate-Control has its receiver process ESI/1.0 (Edge
 // Architecture Specification 1.0, section 2.2: content="...", a list by spaces).
-func esiAsked(v string) bool {
+func requestsESI(v string) bool {
 	for part := range strings.SplitSeq(v, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		value, _, _ = strings.Cut(value, ";")
@@ -257,8 +257,8 @@
 	return false
 }
 
-// pageFields reports fields of a template's head that don't hold for the whole.
-func pageFields(name []byte) bool {
+// isTemplateField reports fields of a template's head that don't hold for the whole.
+func isTemplateField(name []byte) bool {
 	switch strings.ToLower(string(name)) {
 	case "content-length", "spool-load", "surrogate-control", "content-encoding":
 		return true
@@ -266,105 +266,105 @@
 	return false
 }
 
-func plainFields(name []byte) bool {
-	return theirs(name) || http1.EqualFold(name, "surrogate-control")
+func isUnprocessedField(name []byte) bool {
+	return isRouterAnswerField(name) || http1.EqualFold(name, "surrogate-control")
 }
 
-func madeAnew(name []byte) bool {
+func isRecomputedField(name []byte) bool {
 	switch strings.ToLower(string(name)) {
 	case "etag", "last-modified", "cache-control", "expires", "age", "accept-ranges", "content-range", "content-md5", "digest", "content-digest", "repr-digest", "pragma", "spool-copy":
 		return true
 	}
-	return pageFields(name)
+	return isTemplateField(name)
 }
 
-// head has the head of the template's answer.
-func (pg *page) head(u *upstream) {
-	e, r, h := pg.e, pg.r, &u.head
+// templateHead has the templateHead of the template's answer.
+func (pg *esiPage) templateHead(upstream *upstreamConn) {
+	edge, request, h := pg.edge, pg.request, &upstream.head
 	var m esi.Meta
-	m, pg.coding = metaOf(h, e.date())
+	m, pg.coding = parseMeta(h, edge.date())
 	pg.status = h.Status
-	pg.plain = !m.ESI || h.Status != 200
-	except := madeAnew
-	if pg.plain {
-		except = plainFields
-		if pg.coding != gzipped || pg.asked.gzip { // as it came
+	pg.unprocessed = !m.ESI || h.Status != 200
+	except := isRecomputedField
+	if pg.unprocessed {
+		except = isUnprocessedField
+		if pg.coding != gzipped || pg.conditions.acceptsGzip { // as it came
 			pg.coding = identity
 		} else {
-			except = pageFields
+			except = isTemplateField
 		}
-		pg.left = -1
-		if u.body.Kind() == http1.Length && pg.coding == identity {
-			pg.left = h.ContentLength
+		pg.contentLength = -1
+		if upstream.body.Kind() == http1.Length && pg.coding == identity {
+			pg.contentLength = h.ContentLength
 		}
 	} else if pg.coding == unknownCoding {
-		pg.refused = fmt.Errorf("%w: it has a content coding other than gzip", esi.ErrMalformed)
+		pg.rejectErr = fmt.Errorf("%w: it has a content coding other than gzip", esi.ErrMalformed)
 	}
-	pg.fields = append(appendEndToEnd(pg.fields[:0], h, except), "Via: 1.1 "+e.name+"\r\n"...)
-	if pg.p == nil {
+	pg.headFields = append(appendEndToEnd(pg.headFields[:0], h, except), "Via: 1.1 "+edge.name+"\r\n"...)
+	if pg.assembly == nil {
 		var err error
-		if pg.p, err = esi.NewPage(pg.setup, r.vars, r.target, e.l.Now(), r.q.Deadline); err != nil {
-			pg.p, _ = esi.NewPage(pg.setup, r.vars, "/", e.l.Now(), r.q.Deadline)
+		if pg.assembly, err = esi.NewPage(pg.esiSetup, request.esiVars, request.target, edge.loop.Now(), request.spec.Deadline); err != nil {
+			pg.assembly, _ = esi.NewPage(pg.esiSetup, request.esiVars, "/", edge.loop.Now(), request.spec.Deadline)
 		}
-		e.pages[pg] = struct{}{}
+		edge.pages[pg] = struct{}{}
 	}
-	m.ESI = !pg.plain
-	pg.p.Head(m)
-	pg.mark()
+	m.ESI = !pg.unprocessed
+	pg.assembly.Head(m)
+	pg.markChanged()
 }
 
-// mark has the page be looked at when the turn of the loop ends.
-func (pg *page) mark() {
-	if !pg.dirty && !pg.gone {
-		pg.dirty = true
-		pg.e.dirty = append(pg.e.dirty, pg)
+// markChanged has the page be looked at when the turn of the loop ends.
+func (pg *esiPage) markChanged() {
+	if !pg.changed && !pg.closed {
+		pg.changed = true
+		pg.edge.changedPages = append(pg.edge.changedPages, pg)
 	}
 }
 
-// pump moves the pages on that something has come for.
-func (e *Edge) pump() {
-	for rounds := 0; len(e.dirty) > 0 && rounds < 64; rounds++ {
-		list := e.dirty
-		e.dirty = nil
+// updatePages moves the pages on that something has come for.
+func (e *Edge) updatePages() {
+	for rounds := 0; len(e.changedPages) > 0 && rounds < 64; rounds++ {
+		list := e.changedPages
+		e.changedPages = nil
 		for _, pg := range list {
-			pg.dirty = false
-			pg.step()
+			pg.changed = false
+			pg.update()
 		}
 	}
 }
 
-// content takes bytes of the template, or of a fragment's answer.
-func (pg *page) content(r *request, b []byte) {
-	now := pg.e.l.Now()
-	v := r.c.part
+// receive takes bytes of the template, or of a fragment's answer.
+func (pg *esiPage) receive(request *clientRequest, b []byte) {
+	now := pg.edge.loop.Now()
+	fragment := request.client.fragment
 	switch {
-	case r == pg.r && pg.coding == gzipped:
-		pg.zip(&pg.zipped, b, func() { pg.fail(fmt.Errorf("%w: the page, compressed", esi.ErrTooMuch)) })
-	case r == pg.r:
-		pg.p.Template(b, now)
-	case v.coding == gzipped:
-		pg.zip(&v.zipped, b, func() { pg.dropped(r, "it is too long, compressed") })
+	case request == pg.request && pg.coding == gzipped:
+		pg.appendCompressed(&pg.compressed, b, func() { pg.fail(fmt.Errorf("%w: the page, compressed", esi.ErrTooMuch)) })
+	case request == pg.request:
+		pg.assembly.Template(b, now)
+	case fragment.coding == gzipped:
+		pg.appendCompressed(&fragment.compressed, b, func() { pg.dropFragment(request, "it is too long, compressed") })
 	default:
-		pg.p.Body(v.id, b, now)
+		pg.assembly.Body(fragment.id, b, now)
 	}
-	pg.mark()
+	pg.markChanged()
 }
 
-func (pg *page) zip(to *[]byte, b []byte, tooMuch func()) {
-	if len(*to)+len(b) > pg.e.s.Pages.PieceKB<<10 {
+func (pg *esiPage) appendCompressed(to *[]byte, b []byte, tooMuch func()) {
+	if len(*to)+len(b) > pg.edge.settings.Pages.PieceKB<<10 {
 		tooMuch()
 		return
 	}
 	*to = append(*to, b...)
 }
 
-// unzip is content that came compressed; it is bounded as any.
-func (pg *page) unzip(b []byte) ([]byte, error) {
+// decompress is content that came compressed; it is bounded as any.
+func (pg *esiPage) decompress(b []byte) ([]byte, error) {
 	z, err := gzip.NewReader(bytes.NewReader(b))
 	if err != nil {
 		return nil, err
 	}
-	most := int64(pg.e.s.Pages.PieceKB) << 10
+	most := int64(pg.edge.settings.Pages.PieceKB) << 10
 	out, err := io.ReadAll(io.LimitReader(z, most+1))
 	if err == nil && int64(len(out)) > most {
 		err = fmt.Errorf("%w: more than %d KB", esi.ErrTooMuch, most>>10)
@@ -372,157 +372,157 @@
 	return out, err
 }
 
-// whole ends the template's answer, or a fragment's.
-func (pg *page) whole(r *request) {
-	now := pg.e.l.Now()
-	if r == pg.r {
-		pg.ended = true
+// answerDone ends the template's answer, or a fragment's.
+func (pg *esiPage) answerDone(request *clientRequest) {
+	now := pg.edge.loop.Now()
+	if request == pg.request {
+		pg.templateDone = true
 		if pg.coding == gzipped {
-			b, err := pg.unzip(pg.zipped)
-			if pg.zipped = nil; err != nil {
+			b, err := pg.decompress(pg.compressed)
+			if pg.compressed = nil; err != nil {
 				pg.fail(fmt.Errorf("%w: %w", esi.ErrMalformed, err))
 				return
 			}
-			pg.p.Template(b, now)
+			pg.assembly.Template(b, now)
 		}
-		pg.p.TemplateEnd(now)
-		pg.mark()
+		pg.assembly.TemplateEnd(now)
+		pg.markChanged()
 		return
 	}
-	v := r.c.part
-	if v.coding == gzipped {
-		b, err := pg.unzip(v.zipped)
-		if v.zipped = nil; err != nil {
-			pg.p.Failed(v.id, err.Error(), now)
-			delete(pg.parts, v.id)
-			pg.mark()
+	fragment := request.client.fragment
+	if fragment.coding == gzipped {
+		b, err := pg.decompress(fragment.compressed)
+		if fragment.compressed = nil; err != nil {
+			pg.assembly.Failed(fragment.id, err.Error(), now)
+			delete(pg.fragments, fragment.id)
+			pg.markChanged()
 			return
 		}
-		pg.p.Body(v.id, b, now)
-	}
-	pg.p.End(v.id, now)
-	delete(pg.parts, v.id)
-	pg.mark()
-}
-
-// part is a fragment of a page, as what asks for it.
-type part struct {
-	pg     *page
-	id     int
-	coding coding
-	zipped []byte
-	over   bool
-}
-
-// fetch asks the module for a fragment.
-func (pg *page) fetch(a esi.Act) {
-	e, real := pg.e, pg.r.c
-	now := e.l.Now()
-	v := &part{pg: pg, id: a.ID}
-	c := &client{e: e, fd: -1, part: v, from: real.from, address: real.address, class: real.class}
-	r := e.newRequest(c)
-	r.at, r.minor = now, 1
-	c.cur = r
-	h := http1.Head{Method: []byte("GET"), Target: []byte(a.URL), Minor: 1, Host: []byte(pg.r.vars.Host)}
-	q, err := e.core.Classify("", now, &h)
+		pg.assembly.Body(fragment.id, b, now)
+	}
+	pg.assembly.End(fragment.id, now)
+	delete(pg.fragments, fragment.id)
+	pg.markChanged()
+}
+
+// pageFragment is a pageFragment of a page, as what asks for it.
+type pageFragment struct {
+	page       *esiPage
+	id         int
+	coding     coding
+	compressed []byte
+	done       bool
+}
+
+// fetchFragment asks the module for a fragment.
+func (pg *esiPage) fetchFragment(a esi.Act) {
+	edge, real := pg.edge, pg.request.client
+	now := edge.loop.Now()
+	fragment := &pageFragment{page: pg, id: a.ID}
+	client := &clientConn{edge: edge, fd: -1, fragment: fragment, addr: real.addr, addrText: real.addrText, schedulerClass: real.schedulerClass}
+	request := edge.newRequest(client)
+	request.receivedAt, request.httpMinor = now, 1
+	client.current = request
+	h := http1.Head{Method: []byte("GET"), Target: []byte(a.URL), Minor: 1, Host: []byte(pg.request.esiVars.Host)}
+	q, err := edge.core.Classify("", now, &h)
 	cause := ""
 	switch {
 	case err != nil:
 		cause = err.Error()
 	case q.Write:
 		cause = "it is no object that may be asked for"
-	case len(e.reqs) >= e.s.Limits.Held:
+	case len(edge.requests) >= edge.settings.Limits.Held:
 		cause = endHeld.word()
 	}
 	if cause != "" {
-		pg.p.Failed(a.ID, cause, now)
-		pg.mark()
+		pg.assembly.Failed(a.ID, cause, now)
+		pg.markChanged()
 		return
 	}
 	q.Deadline = min(q.Deadline, a.Until)
-	r.q = q
-	r.fwd = appendPageRequest(r.fwd[:0], e.name, a.URL, pg.r.vars.Host, pg.trace, a.ID)
-	pg.parts[a.ID] = r
-	pg.what[a.URL] = copyOf{q.Object, q.Group}
-	e.guard.mem.Add(limits.Requests, requestBytes)
-	r.booked = requestBytes
-	e.stats.Fragments++
-	r.ask()
+	request.spec = q
+	request.forwardHead = appendPageRequest(request.forwardHead[:0], edge.name, a.URL, pg.request.esiVars.Host, pg.requestID, a.ID)
+	pg.fragments[a.ID] = request
+	pg.fragmentObjects[a.URL] = fragmentObject{q.Object, q.Group}
+	edge.guard.memory.Add(limits.Requests, requestBytes)
+	request.accounted = requestBytes
+	edge.stats.Fragments++
+	request.submit()
 }
 
 // head is the head of a fragment's answer; false: it won't do.
-func (v *part) head(u *upstream) bool {
-	m, c := metaOf(&u.head, v.pg.e.date())
+func (v *pageFragment) head(upstream *upstreamConn) bool {
+	m, c := parseMeta(&upstream.head, v.page.edge.date())
 	v.coding = c
-	if u.head.Status != 200 || c == unknownCoding {
+	if upstream.head.Status != 200 || c == unknownCoding {
 		return false
 	}
-	v.pg.p.Begun(v.id, m, v.pg.e.l.Now())
-	v.pg.mark()
+	v.page.assembly.Begun(v.id, m, v.page.edge.loop.Now())
+	v.page.markChanged()
 	return true
 }
 
-// failed is that there is no answer for a fragment.
-func (v *part) failed(cause string) {
-	if v.over {
+// fail is that there is no answer for a fragment.
+func (v *pageFragment) fail(cause string) {
+	if v.done {
 		return
 	}
-	v.over = true
-	delete(v.pg.parts, v.id)
-	if !v.pg.gone {
-		v.pg.p.Failed(v.id, cause, v.pg.e.l.Now())
-		v.pg.mark()
+	v.done = true
+	delete(v.page.fragments, v.id)
+	if !v.page.closed {
+		v.page.assembly.Failed(v.id, cause, v.page.edge.loop.Now())
+		v.page.markChanged()
 	}
 }
 
-// cutPart ends a request for a fragment that nobody wants any more.
-func cutPart(r *request) {
-	if r.why == 0 {
-		r.why = endPage
+// cancelFragment ends a request for a fragment that nobody wants any more.
+func cancelFragment(r *clientRequest) {
+	if r.end == 0 {
+		r.end = endPage
 	}
-	r.e.stats.Gone--
+	r.edge.stats.Gone--
 	r.clientGone()
 }
 
-// dropped gives a fragment up that is out.
-func (pg *page) dropped(r *request, cause string) {
-	r.c.part.failed(cause)
-	cutPart(r)
+// dropFragment gives a fragment up that is out.
+func (pg *esiPage) dropFragment(r *clientRequest, cause string) {
+	r.client.fragment.fail(cause)
+	cancelFragment(r)
 }
 
-// attempted counts an attempt for a fragment.
-func (v *part) attempted() {
-	if !v.pg.gone {
-		v.pg.p.Attempt()
+// countAttempt counts an attempt for a fragment.
+func (v *pageFragment) countAttempt() {
+	if !v.page.closed {
+		v.page.assembly.Attempt()
 	}
 }
 
-func (pg *page) tick() {
-	pg.p.Tick(pg.e.l.Now())
-	pg.mark()
+func (pg *esiPage) onTimer() {
+	pg.assembly.Tick(pg.edge.loop.Now())
+	pg.markChanged()
 }
 
-// step does what the page wants, and sends what is ready.
-func (pg *page) step() {
-	if pg.gone || pg.p == nil {
+// update does what the page wants, and sends what is ready.
+func (pg *esiPage) update() {
+	if pg.closed || pg.assembly == nil {
 		return
 	}
-	e := pg.e
+	edge := pg.edge
 	var tick float64
 	for range 16 {
 		var acts []esi.Act
-		if acts, tick = pg.p.Do(e.l.Now()); len(acts) == 0 {
+		if acts, tick = pg.assembly.Do(edge.loop.Now()); len(acts) == 0 {
 			break
 		}
 		for _, a := range acts {
 			switch a.Kind {
 			case esi.Fetch:
-				pg.fetch(a)
+				pg.fetchFragment(a)
 			case esi.Drop:
-				if r := pg.parts[a.ID]; r != nil {
-					r.c.part.over = true
-					delete(pg.parts, a.ID)
-					cutPart(r)
+				if r := pg.fragments[a.ID]; r != nil {
+					r.client.fragment.done = true
+					delete(pg.fragments, a.ID)
+					cancelFragment(r)
 				}
 			case esi.Restart:
 				pg.restart()
@@ -530,73 +530,73 @@
 			}
 		}
 	}
-	pg.p.Busy(pg.r.c.out.Len() > 0, e.l.Now())
+	pg.assembly.Busy(pg.request.client.output.Len() > 0, edge.loop.Now())
 	pg.send()
-	if pg.gone {
+	if pg.closed {
 		return
 	}
-	pg.p.Busy(pg.r.c.out.Len() > 0, e.l.Now())
-	if n := pg.p.Held() + int64(len(pg.zipped)); n != pg.booked {
-		e.guard.mem.Add(limits.Answers, n-pg.booked)
-		pg.booked = n
+	pg.assembly.Busy(pg.request.client.output.Len() > 0, edge.loop.Now())
+	if n := pg.assembly.Held() + int64(len(pg.compressed)); n != pg.accounted {
+		edge.guard.memory.Add(limits.Answers, n-pg.accounted)
+		pg.accounted = n
 	}
 	if tick > 0 {
-		e.l.Arm(&pg.timer, max(tick-e.l.Now(), 0.1))
+		edge.loop.Arm(&pg.timer, max(tick-edge.loop.Now(), 0.1))
 	}
-	if pg.p.Room(-1) && !pg.ended {
-		pg.r.resume()
+	if pg.assembly.Room(-1) && !pg.templateDone {
+		pg.request.resumeReading()
 	}
-	for id, r := range pg.parts {
-		if pg.p.Room(id) {
-			r.resume()
+	for id, r := range pg.fragments {
+		if pg.assembly.Room(id) {
+			r.resumeReading()
 		}
 	}
 }
 
-// atOnce is how much of a page is given to its client's connection at a time: what has
+// maxBufferedBytes is how much of a page is given to its client's connection at a time: what has
 // gone there can't be called back by a purge.
-const atOnce = 32 << 10
+const maxBufferedBytes = 32 << 10
 
 // send gives the client what is ready.
-func (pg *page) send() {
-	c := pg.r.c
-	err := pg.p.Err()
+func (pg *esiPage) send() {
+	client := pg.request.client
+	err := pg.assembly.Err()
 	if err == nil {
-		err = pg.refused
+		err = pg.rejectErr
 	}
 	if err != nil {
 		pg.fail(err)
 		return
 	}
-	if !pg.begun && pg.asked.asksWhole && !pg.plain {
-		if !pg.p.Ready() && pg.p.Held() < int64(pg.e.s.Pages.HeldKB)<<10 {
+	if !pg.headSent && pg.conditions.needWhole && !pg.unprocessed {
+		if !pg.assembly.Ready() && pg.assembly.Held() < int64(pg.edge.settings.Pages.HeldKB)<<10 {
 			return
 		}
 	}
-	for !c.gone && !pg.gone && c.out.Len() == 0 {
-		ready, meta := pg.p.Ready(), esi.Meta{}
-		if !pg.begun && ready && !pg.plain {
-			meta = pg.p.Meta()
+	for !client.closed && !pg.closed && client.output.Len() == 0 {
+		ready, meta := pg.assembly.Ready(), esi.Meta{}
+		if !pg.headSent && ready && !pg.unprocessed {
+			meta = pg.assembly.Meta()
 		}
-		room := atOnce
-		if !pg.begun && ready && !pg.plain { // all of it, so that its length can be said
-			room = pg.e.s.Pages.HeldKB << 10
+		room := maxBufferedBytes
+		if !pg.headSent && ready && !pg.unprocessed { // all of it, so that its length can be said
+			room = pg.edge.settings.Pages.HeldKB << 10
 		}
-		b := pg.p.Take(nil, room, pg.e.l.Now())
-		if err := pg.p.Err(); err != nil {
+		b := pg.assembly.Take(nil, room, pg.edge.loop.Now())
+		if err := pg.assembly.Err(); err != nil {
 			pg.fail(err)
 			return
 		}
-		done := pg.p.Done()
-		if len(b) == 0 && !done && !(pg.plain && !pg.begun) {
+		done := pg.assembly.Done()
+		if len(b) == 0 && !done && !(pg.unprocessed && !pg.headSent) {
 			return
 		}
-		if !pg.begun {
-			if b = pg.begin(b, done, ready, meta); pg.gone || c.gone {
+		if !pg.headSent {
+			if b = pg.writeHead(b, done, ready, meta); pg.closed || client.closed {
 				return
 			}
 		}
-		if pg.asked.head {
+		if pg.conditions.head {
 			b = nil
 		}
 		pg.write(b)
@@ -604,22 +604,22 @@
 			pg.finish()
 			return
 		}
-		if len(b) == 0 && !pg.asked.head {
+		if len(b) == 0 && !pg.conditions.head {
 			return
 		}
 	}
 }
 
-// begin writes the head of the client's answer, and returns what of b belongs behind it.
-func (pg *page) begin(b []byte, done, ready bool, m esi.Meta) []byte {
-	pg.begun = true
-	r, c, e := pg.r, pg.r.c, pg.e
+// writeHead writes the head of the client's answer, and returns what of b belongs behind it.
+func (pg *esiPage) writeHead(b []byte, done, ready bool, m esi.Meta) []byte {
+	pg.headSent = true
+	request, client, edge := pg.request, pg.request.client, pg.edge
 	status := pg.status
 	length := int64(-1)
 	var fields []byte
 	switch {
-	case pg.plain:
-		length = pg.left
+	case pg.unprocessed:
+		length = pg.contentLength
 	default:
 		if done {
 			length = int64(len(b))
@@ -632,10 +632,10 @@
 			fields = http1.AppendFieldString(fields, "Last-Modified", time.Unix(m.Changed, 0).UTC().Format(http.TimeFormat))
 		}
 		switch {
-		case done && pg.notChanged(m):
+		case done && pg.notModified(m):
 			status, length, b = 304, -1, nil
-		case done && pg.asked.rng && (pg.asked.ifRange == ""): // weak tags don't do for If-Range
-			from, to, ok := pg.asked.within(int64(len(b)))
+		case done && pg.conditions.hasRange && (pg.conditions.ifRange == ""): // weak tags don't do for If-Range
+			from, to, ok := pg.conditions.byteRange(int64(len(b)))
 			if !ok {
 				fields = http1.AppendFieldString(fields, "Content-Range", fmt.Sprintf("bytes */%d", len(b)))
 				status, length, b = 416, 0, nil
@@ -645,22 +645,22 @@
 			}
 		}
 	}
-	r.status = status
-	out := http1.AppendStatus(e.hbuf[:0], status)
-	out = append(append(out, pg.fields...), fields...)
+	request.status = status
+	out := http1.AppendStatus(edge.headBuffer[:0], status)
+	out = append(append(out, pg.headFields...), fields...)
 	switch {
 	case length >= 0:
 		out = http1.AppendFieldInt(out, "Content-Length", length)
 	case status == 304 || status == 204:
-	case r.minor == 0:
-		c.last = true
+	case request.httpMinor == 0:
+		client.closeAfterAnswer = true
 	default:
-		pg.chunks = !pg.asked.head
+		pg.chunked = !pg.conditions.head
 		out = append(out, "Transfer-Encoding: chunked\r\n"...)
 	}
-	out = c.appendConnection(out, r)
-	e.hbuf = append(out, "\r\n"...)
-	c.add(e.hbuf)
+	out = client.appendConnection(out, request)
+	edge.headBuffer = append(out, "\r\n"...)
+	client.buffer(edge.headBuffer)
 	return b
 }
 
@@ -679,24 +679,24 @@
 	return out + "max-age=" + strconv.FormatInt(int64(m.Fresh/1000), 10)
 }
 
-// notChanged reports whether the client has the page already (RFC 9110, section 13.2.2).
-func (pg *page) notChanged(m esi.Meta) bool {
-	if pg.asked.match != "" {
+// notModified reports whether the client has the page already (RFC 9110, section 13.2.2).
+func (pg *esiPage) notModified(m esi.Meta) bool {
+	if pg.conditions.ifNoneMatch != "" {
 		if m.ETag == "" {
 			return false
 		}
-		for tag := range strings.SplitSeq(pg.asked.match, ",") {
+		for tag := range strings.SplitSeq(pg.conditions.ifNoneMatch, ",") {
 			if tag = strings.TrimSpace(tag); tag == "*" || strings.TrimPrefix(tag, "W/") == strings.TrimPrefix(m.ETag, "W/") {
 				return true
 			}
 		}
 		return false
 	}
-	return pg.asked.since > 0 && m.Changed > 0 && m.Changed <= pg.asked.since
+	return pg.conditions.ifModifiedSince > 0 && m.Changed > 0 && m.Changed <= pg.conditions.ifModifiedSince
 }
 
-// within is the first and last byte of a range in so many; false: none are in it.
-func (c *conditions) within(n int64) (from, to int64, ok bool) {
+// byteRange is the first and last byte of a range in so many; false: none are in it.
+func (c *conditions) byteRange(n int64) (from, to int64, ok bool) {
 	switch {
 	case c.first < 0:
 		return max(n-c.last, 0), n - 1, n > 0 && c.last > 0
@@ -706,168 +706,168 @@
 	return c.first, min(c.last, n-1), c.first < n
 }
 
-func (pg *page) write(b []byte) {
-	c := pg.r.c
+func (pg *esiPage) write(b []byte) {
+	client := pg.request.client
 	if len(b) > 0 {
-		pg.r.sent += int64(len(b))
-		if pg.chunks {
-			pg.e.hbuf = http1.AppendChunk(pg.e.hbuf[:0], b)
-			c.add(pg.e.hbuf)
+		pg.request.sentBytes += int64(len(b))
+		if pg.chunked {
+			pg.edge.headBuffer = http1.AppendChunk(pg.edge.headBuffer[:0], b)
+			client.buffer(pg.edge.headBuffer)
 		} else {
-			c.add(b)
+			client.buffer(b)
 		}
 	}
-	if c.out.Len() > 0 {
-		c.flush()
+	if client.output.Len() > 0 {
+		client.flush()
 	}
 }
 
 // finish ends a page that went out whole.
-func (pg *page) finish() {
-	r := pg.r
-	if pg.chunks {
-		r.c.add(lastChunk)
+func (pg *esiPage) finish() {
+	request := pg.request
+	if pg.chunked {
+		request.client.buffer(lastChunk)
 	}
-	r.why = endServed
-	r.e.stats.Served++
-	pg.leave()
-	r.finish()
+	request.end = endServed
+	request.edge.stats.Served++
+	pg.close()
+	request.finish()
 }
 
-// leave ends what is out for the page.
-func (pg *page) leave() {
-	if pg.gone {
+// close ends what is out for the page.
+func (pg *esiPage) close() {
+	if pg.closed {
 		return
 	}
-	pg.gone = true
-	e := pg.e
-	e.l.Forget(&pg.timer)
-	delete(e.pages, pg)
-	e.guard.mem.Add(limits.Answers, -pg.booked)
-	pg.booked = 0
-	for id, r := range pg.parts {
-		delete(pg.parts, id)
-		r.c.part.over = true
-		cutPart(r)
+	pg.closed = true
+	edge := pg.edge
+	edge.loop.Forget(&pg.timer)
+	delete(edge.pages, pg)
+	edge.guard.memory.Add(limits.Answers, -pg.accounted)
+	pg.accounted = 0
+	for id, r := range pg.fragments {
+		delete(pg.fragments, id)
+		r.client.fragment.done = true
+		cancelFragment(r)
 	}
-	if w := pg.r.winner; w != nil && !w.done && w.r == pg.r {
-		w.cut(spool.Cancelled)
+	if w := pg.request.winner; w != nil && !w.done && w.request == pg.request {
+		w.abort(spool.Cancelled)
 	}
 }
 
 // fail ends a page that can't be made: by an answer that says so, or, where some of it
 // has gone out, by the end of the connection, which shows that it is not whole.
-func (pg *page) fail(err error) {
-	if pg.gone {
+func (pg *esiPage) fail(err error) {
+	if pg.closed {
 		return
 	}
-	r, c, e := pg.r, pg.r.c, pg.e
-	pg.leave()
-	if c.gone || r.phase == over {
+	request, client, edge := pg.request, pg.request.client, pg.edge
+	pg.close()
+	if client.closed || request.phase == finished {
 		return
 	}
-	e.log.Log.Info("a page is not made", zap.String("page", r.target), zap.String("why", err.Error()))
-	if pg.begun {
-		r.why = endBroken
-		e.stats.Broken++
-		c.last, c.linger = true, true
-		if !pg.chunks {
-			unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
-			c.close()
+	edge.log.Log.Info("a page is not made", zap.String("page", request.target), zap.String("why", err.Error()))
+	if pg.headSent {
+		request.end = endBroken
+		edge.stats.Broken++
+		client.closeAfterAnswer, client.discardInput = true, true
+		if !pg.chunked {
+			unix.SetsockoptLinger(client.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
+			client.close()
 		}
-		r.finish()
+		request.finish()
 		return
 	}
-	r.why = endPage
-	e.stats.Failed++
+	request.end = endPage
+	edge.stats.Failed++
 	status := 502
-	if errors.Is(err, esi.ErrLate) || e.l.Now() >= r.q.Deadline-2*e.s.Limits.TimerGrain {
+	if errors.Is(err, esi.ErrLate) || edge.loop.Now() >= request.spec.Deadline-2*edge.settings.Limits.TimerGrain {
 		status = 504
 	}
-	c.answer(r, status, 0)
+	client.respond(request, status, 0)
 }
 
 // restart asks for the page itself once more: it was purged before any of it went out.
-func (pg *page) restart() {
-	r, e := pg.r, pg.e
-	if w := r.winner; w != nil && !w.done {
-		w.cut(spool.Cancelled)
-	}
-	delete(e.reqs, r.id)
-	pg.ended, pg.zipped = false, nil
-	pg.what = map[string]copyOf{}
-	next := e.newRequest(r.c)
-	next.at, next.minor, next.q, next.vars, next.target, next.page = r.at, r.minor, r.q, r.vars, r.target, pg
-	next.fwd = append(next.fwd[:0], r.fwd...)
-	next.booked, r.booked = r.booked, 0
-	next.poor, r.poor = r.poor, false
-	r.page, r.known = nil, false
-	r.phase = over
-	pg.r, r.c.cur = next, next
-	r.release()
-	next.ask()
-}
-
-// purged tells pages what has become old. What has gone out already must be whole before
+func (pg *esiPage) restart() {
+	request, edge := pg.request, pg.edge
+	if w := request.winner; w != nil && !w.done {
+		w.abort(spool.Cancelled)
+	}
+	delete(edge.requests, request.id)
+	pg.templateDone, pg.compressed = false, nil
+	pg.fragmentObjects = map[string]fragmentObject{}
+	next := edge.newRequest(request.client)
+	next.receivedAt, next.httpMinor, next.spec, next.esiVars, next.target, next.page = request.receivedAt, request.httpMinor, request.spec, request.esiVars, request.target, pg
+	next.forwardHead = append(next.forwardHead[:0], request.forwardHead...)
+	next.accounted, request.accounted = request.accounted, 0
+	next.poorReputation, request.poorReputation = request.poorReputation, false
+	request.page, request.inModule = nil, false
+	request.phase = finished
+	pg.request, request.client.current = next, next
+	request.releaseIfDone()
+	next.submit()
+}
+
+// purgePages tells pages what has become old. What has gone out already must be whole before
 // the grace is over.
-func (e *Edge) purged(p spool.Purge) {
+func (e *Edge) purgePages(p spool.Purge) {
 	hit := func(object string, group int) bool {
 		return object == p.Object || p.Object == "" && group == p.Group
 	}
-	until := e.l.Now() - p.Age + e.s.Rules.PurgeSlack - 2*e.s.Limits.TimerGrain
+	until := e.loop.Now() - p.Age + e.settings.Rules.PurgeSlack - 2*e.settings.Limits.TimerGrain
 	for pg := range e.pages {
-		pg.p.Purged(false, func(url string) bool { w, ok := pg.what[url]; return ok && hit(w.object, w.group) }, until, e.l.Now())
-		if hit(pg.r.q.Object, pg.r.q.Group) && !pg.plain && pg.r.phase == relaying {
-			pg.p.Purged(true, nil, until, e.l.Now())
+		pg.assembly.Purged(false, func(url string) bool { w, ok := pg.fragmentObjects[url]; return ok && hit(w.object, w.group) }, until, e.loop.Now())
+		if hit(pg.request.spec.Object, pg.request.spec.Group) && !pg.unprocessed && pg.request.phase == relaying {
+			pg.assembly.Purged(true, nil, until, e.loop.Now())
 		}
-		pg.mark()
+		pg.markChanged()
 	}
 }
 
-var errTemplate = fmt.Errorf("%w: its own answer broke off", esi.ErrFragment)
+var errTemplateBroken = fmt.Errorf("%w: its own answer broke off", esi.ErrFragment)
 
-// pageOf is the page that a request is for, as its template or a fragment.
-func (r *request) pageOf() *page {
-	if r.c.part != nil {
-		return r.c.part.pg
+// pageOrParent is the page that a request is for, as its template or a fragment.
+func (r *clientRequest) pageOrParent() *esiPage {
+	if r.client.fragment != nil {
+		return r.client.fragment.page
 	}
 	return r.page
 }
 
-// holds reports whether no more is to be read for a request of the page's now.
-func (pg *page) holds(r *request) bool {
-	if r == pg.r {
-		return !pg.p.Room(-1)
+// full reports whether no more is to be read for a request of the page's now.
+func (pg *esiPage) full(r *clientRequest) bool {
+	if r == pg.request {
+		return !pg.assembly.Room(-1)
 	}
-	return !pg.p.Room(r.c.part.id)
+	return !pg.assembly.Room(r.client.fragment.id)
 }
 
-// broke is that the answer of the template, or of a fragment, broke off.
-func (pg *page) broke(r *request) {
-	pg.e.stats.Broken--
-	if r == pg.r {
-		pg.fail(errTemplate)
+// answerBroken is that the answer of the template, or of a fragment, answerBroken off.
+func (pg *esiPage) answerBroken(request *clientRequest) {
+	pg.edge.stats.Broken--
+	if request == pg.request {
+		pg.fail(errTemplateBroken)
 		return
 	}
-	r.c.part.failed("its answer broke off")
-	r.finish()
+	request.client.fragment.fail("its answer broke off")
+	request.finish()
 }
 
-// pageHead has the answer's head go to a page: from now on the attempt is the client's.
-func (u *upstream) pageHead() {
-	r := u.t.r
-	u.chunk, u.state = false, upBody
-	if u.won(); u.t == nil {
+// relayPageHead has the answer's head go to a page: from now on the attempt is the client's.
+func (u *upstreamConn) relayPageHead() {
+	request := u.attempt.request
+	u.chunked, u.state = false, upRelayingBody
+	if u.cancelOthers(); u.attempt == nil {
 		return
 	}
-	if v := r.c.part; v == nil {
-		r.page.head(u)
+	if v := request.client.fragment; v == nil {
+		request.page.templateHead(u)
 	} else if !v.head(u) {
-		v.failed("status " + strconv.Itoa(u.head.Status))
-		cutPart(r)
+		v.fail("status " + strconv.Itoa(u.head.Status))
+		cancelFragment(request)
 		return
 	}
-	if u.t == nil {
+	if u.attempt == nil {
 		return
 	}
 	u.beginBody()
--- a/internal/proxy/httpfront/page_test.go
+++ b/internal/proxy/httpfront/page_test.go
@@ -19,7 +19,7 @@
 
 // shop is a member that has pages and fragments, and notes what it is asked for.
 type shop struct {
-	*rig
+	*testRig
 	srv   *httptest.Server
 	mu    sync.Mutex
 	asked map[string]int
@@ -34,7 +34,7 @@
 	had := testPages
 	testPages = `(class page (pages) (deadline 3000)) (route "/p/{group}/{object}" (class page)) (pages ` + pages + `)`
 	defer func() { testPages = had }()
-	s := &shop{rig: newRig(t, 0, limits), asked: map[string]int{}, heads: map[string]http.Header{}, gone: map[string]int{},
+	s := &shop{testRig: newRig(t, 0, limits), asked: map[string]int{}, heads: map[string]http.Header{}, gone: map[string]int{},
 		body: map[string]func(http.ResponseWriter, *http.Request){}}
 	s.srv = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		path := r.URL.Path
@@ -195,8 +195,8 @@
 		}
 	}
 	s.e.Query(func(st *Stats, c *engine.Core) {
-		if len(s.e.reqs) > 0 || len(s.e.pages) > 0 {
-			t.Errorf("%d requests, %d pages are left", len(s.e.reqs), len(s.e.pages))
+		if len(s.e.requests) > 0 || len(s.e.pages) > 0 {
+			t.Errorf("%d requests, %d pages are left", len(s.e.requests), len(s.e.pages))
 		}
 	})
 }
@@ -277,7 +277,7 @@
 	if res, _, err := s.ask("GET", "/p/1/b", "Spool-Deadline", "600"); err != nil || res.StatusCode != 504 {
 		t.Error(res, err)
 	}
-	s.waitFor("nothing to be left", func(*Stats, *engine.Core) bool { return len(s.e.reqs) == 0 && len(s.e.pages) == 0 })
+	s.waitFor("nothing to be left", func(*Stats, *engine.Core) bool { return len(s.e.requests) == 0 && len(s.e.pages) == 0 })
 }
 
 // 200 fragments, at most 8 of them at once; and the client hears the first before the
@@ -352,7 +352,7 @@
 	s.waitFor("nothing to be out", func(*Stats, *engine.Core) bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return len(s.e.reqs) == 0 && len(s.e.pages) == 0 && s.gone["/s/1/h0"]+s.gone["/s/1/h1"] == 2
+		return len(s.e.requests) == 0 && len(s.e.pages) == 0 && s.gone["/s/1/h0"]+s.gone["/s/1/h1"] == 2
 	})
 	if n := s.times("/s/1/h2") + s.times("/s/1/h3"); n > 0 {
 		t.Errorf("%d were asked for after the client had gone", n)
@@ -383,7 +383,7 @@
 	var held int64
 	s.e.Query(func(*Stats, *engine.Core) {
 		for pg := range s.e.pages {
-			held = pg.p.Most()
+			held = pg.assembly.Most()
 		}
 	})
 	if held == 0 || held > 64<<10+8*128<<10+128<<10 {
