--- a/internal/proxy/httpfront/syscalls_test.go
+++ b/internal/proxy/httpfront/syscalls_test.go
@@ -22,7 +22,7 @@
 const inFlight = 100
 
 // twoEach makes two requests on each of inFlight connections, and reports what is lost.
-func (r *rig) twoEach() {
+func (r *testRig) twoEach() {
 	var wg sync.WaitGroup
 	for i := range inFlight {
 		wg.Go(func() {
@@ -46,7 +46,7 @@
 
 // fail has the router's calls of a kind fail: what is a reading of time counts from the first
 // such call.
-func (r *rig) fail(call faultinject.Call, how string) (calls *faultinject.Syscalls) {
+func (r *testRig) fail(call faultinject.Call, how string) (calls *faultinject.Syscalls) {
 	faults, err := faultinject.Parse(fmt.Sprintf("%s:%s", call, how))
 	if err != nil {
 		r.t.Fatal(err)
@@ -58,7 +58,7 @@
 		}
 		return time.Since(began)
 	})
-	r.e.Query(func(*Stats, *engine.Core) { r.e.l.Intercept(calls) })
+	r.e.Query(func(*Stats, *engine.Core) { r.e.loop.Intercept(calls) })
 	return calls
 }
 
@@ -79,21 +79,21 @@
 			for _, span := range []string{"1x", "1:0s-50ms", "1:0s-2s"} {
 				t.Run(fmt.Sprintf("%s/%s/%s", call, name, span), func(t *testing.T) {
 					t.Parallel()
-					r := newRig(t, 2, "(connections-per-address 5000)")
-					calls := r.fail(call, name+":"+span)
-					before := r.turns()
+					rig := newRig(t, 2, "(connections-per-address 5000)")
+					calls := rig.fail(call, name+":"+span)
+					before := rig.turns()
 					began := time.Now()
-					r.twoEach()
+					rig.twoEach()
 					seconds := time.Since(began).Seconds()
 					most := int(perSecond*seconds) + 40*inFlight
 					made, failed := calls.Counts(call)
 					moves := call == faultinject.Read || call == faultinject.Write // one for each connection and turn
-					if turns := int(r.turns() - before); turns > most || made > most && !moves || failed == 0 {
+					if turns := int(rig.turns() - before); turns > most || made > most && !moves || failed == 0 {
 						t.Errorf("%d turns in %.1f s, %d calls of which %d failed", turns, seconds, made, failed)
 					}
-					r.logMu.Lock()
-					defer r.logMu.Unlock()
-					if strings.Contains(r.log.String(), "connect-failed") {
+					rig.logMu.Lock()
+					defer rig.logMu.Unlock()
+					if strings.Contains(rig.log.String(), "connect-failed") {
 						t.Error("a member is blamed")
 					}
 				})
@@ -104,15 +104,15 @@
 
 // All at once, now and then, with writes among the requests: each is answered.
 func TestCallsFailNowAndThen(t *testing.T) {
-	r := newRig(t, 2, "(connections-per-address 5000)")
-	r.fail(faultinject.Accept, "ECONNABORTED:0.3; accept:ENFILE:0.2; socket:EMFILE:0.2; connect:EADDRNOTAVAIL:0.2;"+
+	rig := newRig(t, 2, "(connections-per-address 5000)")
+	rig.fail(faultinject.Accept, "ECONNABORTED:0.3; accept:ENFILE:0.2; socket:EMFILE:0.2; connect:EADDRNOTAVAIL:0.2;"+
 		"connect:ENETUNREACH:0.2; connect:EINTR:0.3; read:EINTR:0.2; read:ENOBUFS:0.1; read:short:0.3;"+
 		"write:EINTR:0.2; write:ENOMEM:0.1; write:short:0.5; wait:EINTR:0.5")
 	var wg sync.WaitGroup
-	wg.Go(r.twoEach)
+	wg.Go(rig.twoEach)
 	for i := range inFlight {
 		wg.Go(func() {
-			got := r.talk(fmt.Sprintf("POST /o/%d HTTP/1.1\r\nHost: h\r\nIdempotency-Key: k%d\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello", i, i))
+			got := rig.talk(fmt.Sprintf("POST /o/%d HTTP/1.1\r\nHost: h\r\nIdempotency-Key: k%d\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello", i, i))
 			if !strings.HasPrefix(got, "HTTP/1.1 200") {
 				t.Errorf("write %d: %.200q", i, got)
 			}
@@ -121,8 +121,8 @@
 	wg.Wait()
 }
 
-func (r *rig) turns() (turns uint64) {
-	r.e.Query(func(*Stats, *engine.Core) { turns = r.e.l.Turns() })
+func (r *testRig) turns() (turns uint64) {
+	r.e.Query(func(*Stats, *engine.Core) { turns = r.e.loop.Turns() })
 	return turns
 }
 
@@ -175,15 +175,15 @@
 		for _, write := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s/write=%v", unix.ErrnoName(errno), write), func(t *testing.T) {
 				t.Parallel()
-				r := newRig(t, 2, "(connections-per-address 5000)")
+				rig := newRig(t, 2, "(connections-per-address 5000)")
 				calls := &brokenUpstream{errno: errno, members: map[int]bool{}, write: write}
-				for _, box := range r.boxes {
+				for _, box := range rig.boxes {
 					port := 0
 					fmt.Sscanf(box.Addr(), "127.0.0.1:%d", &port)
 					calls.members[port] = true
 				}
-				r.e.Query(func(*Stats, *engine.Core) { r.e.l.Intercept(calls) })
-				r.twoEach()
+				rig.e.Query(func(*Stats, *engine.Core) { rig.e.loop.Intercept(calls) })
+				rig.twoEach()
 				if failed := calls.failed.Load(); failed < 5 {
 					t.Errorf("%d calls failed", failed)
 				}
--- a/internal/proxy/httpfront/system.go
+++ b/internal/proxy/httpfront/system.go
@@ -17,7 +17,7 @@
 // OpenWithSystem is Open on another system.
 func OpenWithSystem(ctx context.Context, s *config.Settings, log *AccessLog, system System) (e *Edge, end func(), err error) {
 	if e, end, err = open(ctx, s, log, system.Files); err == nil {
-		e.l.Intercept(system.Syscalls)
+		e.loop.Intercept(system.Syscalls)
 	}
 	return e, end, err
 }
--- a/internal/proxy/httpfront/upstream.go
+++ b/internal/proxy/httpfront/upstream.go
@@ -12,16 +12,16 @@
 	"indigospool/internal/proxy/limits"
 )
 
-// try is one attempt of a request.
-type try struct {
-	r             *request
-	n             int
+// upstreamAttempt is one upstreamAttempt of a request.
+type upstreamAttempt struct {
+	request       *clientRequest
+	number        int
 	cache, source string
 	send          spool.Send
 	sentAt        float64
 	timer         eventloop.Timer // the attempt's time-out, until its answer has begun
-	u             *upstream       // nil while it waits for a connection, and once it is over
-	p             *pool
+	upstream      *upstreamConn   // nil while it waits for a connection, and once it is over
+	pool          *connPool
 	written       bool // something of it may have reached the member
 	done          bool // its outcome was told
 	load          []float64
@@ -29,282 +29,282 @@
 	took          float64
 }
 
-// send makes an attempt that the module wants.
-func (e *Edge) send(a *spool.Send) {
-	r := e.reqs[a.ID]
-	if r == nil {
+// sendAttempt makes an attempt that the module wants.
+func (e *Edge) sendAttempt(a *spool.Send) {
+	request := e.requests[a.ID]
+	if request == nil {
 		return
 	}
-	t := r.newTry()
-	t.cache, t.source, t.send, t.sentAt = a.Cache, a.Source, *a, e.l.Now()
+	attempt := request.newAttempt()
+	attempt.cache, attempt.source, attempt.send, attempt.sentAt = a.Cache, a.Source, *a, e.loop.Now()
 	e.stats.Attempts++
-	if v := r.c.part; v != nil {
-		v.attempted()
+	if v := request.client.fragment; v != nil {
+		v.countAttempt()
 	}
-	if t.n == 0 && r.q.Deadline > r.asked {
-		e.guard.adm.ObserveQueueing((e.l.Now() - r.asked) / (r.q.Deadline - r.asked))
+	if attempt.number == 0 && request.spec.Deadline > request.submittedAt {
+		e.guard.admission.ObserveQueueing((e.loop.Now() - request.submittedAt) / (request.spec.Deadline - request.submittedAt))
 	}
-	if r.phase != asked {
-		t.end(spool.NotSent, spool.NoteNone, false)
+	if request.phase != awaitingAnswer {
+		attempt.finish(spool.NotSent, spool.NoteNone, false)
 		return
 	}
 	address := e.core.Address(a.Cache)
-	left := r.q.Deadline - e.l.Now()
+	left := request.spec.Deadline - e.loop.Now()
 	if a.Timeout > 0 {
 		left = min(left, a.Timeout)
 	}
-	e.l.Arm(&t.timer, left)
-	t.p = e.pool(address, a.Cache)
-	t.p.start(t)
-	if a.Within > 0 && !t.written && !t.done { // its window ends while it waits for a connection
-		id, n := a.ID, t.n
-		e.l.AfterFunc(a.Within, func() { e.takeBack(func(t *try) bool { return t.send.ID == id && t.n == n }) })
+	e.loop.Arm(&attempt.timer, left)
+	attempt.pool = e.poolFor(address, a.Cache)
+	attempt.pool.assign(attempt)
+	if a.Within > 0 && !attempt.written && !attempt.done { // its window ends while it waits for a connection
+		id, n := a.ID, attempt.number
+		e.loop.AfterFunc(a.Within, func() { e.abandonUnwritten(func(t *upstreamAttempt) bool { return t.send.ID == id && t.number == n }) })
 	}
 }
 
-func (t *try) timedOut() {
+func (t *upstreamAttempt) timedOut() {
 	if t.done {
 		return
 	}
 	result := spool.TimedOut
 	switch {
-	case t.u == nil: // it waited for a connection: nothing has run
-		t.abandon()
-		t.end(spool.Rejected, spool.NoteNoCapacity, false)
+	case t.upstream == nil: // it waited for a connection: nothing has run
+		t.detach()
+		t.finish(spool.Rejected, spool.NoteNoCapacity, false)
 		return
-	case !t.written && t.u.state == upConnecting:
+	case !t.written && t.upstream.state == upConnecting:
 		result = spool.ConnectFailed
 	case !t.written: // connected, and not a byte of it could be written
 		result = spool.LocalFailure
 	}
-	t.cut(result)
+	t.abort(result)
 }
 
 // cancel stops the wait for an attempt, unless its answer is the client's.
-func (t *try) cancel() {
-	if t.done || t.r.winner == t && t.r.phase == relaying {
+func (t *upstreamAttempt) cancel() {
+	if t.done || t.request.winner == t && t.request.phase == relaying {
 		return
 	}
-	t.cut(spool.Cancelled)
+	t.abort(spool.Cancelled)
 }
 
-// cut ends an attempt with its connection.
-func (t *try) cut(result spool.Result) {
+// abort ends an attempt with its connection.
+func (t *upstreamAttempt) abort(result spool.Result) {
 	if t.done {
 		return
 	}
-	t.abandon()
-	t.end(result, spool.NoteNone, t.r.phase == over || t.r.winner == t)
+	t.detach()
+	t.finish(result, spool.NoteNone, t.request.phase == finished || t.request.winner == t)
 }
 
-// abandon takes the attempt off its connection, which is closed, or out of the queue for one.
-func (t *try) abandon() {
-	if u := t.u; u != nil && u.t != t { // behind others: its answer will be passed over
-		t.u = nil
-		for i := range u.line {
-			if u.line[i] == t {
-				u.line[i] = nil
+// detach takes the attempt off its connection, which is closed, or out of the queue for one.
+func (t *upstreamAttempt) detach() {
+	if upstream := t.upstream; upstream != nil && upstream.attempt != t { // behind others: its answer will be passed over
+		t.upstream = nil
+		for i := range upstream.pipelined {
+			if upstream.pipelined[i] == t {
+				upstream.pipelined[i] = nil
 			}
 		}
-	} else if u != nil {
-		t.u, u.t = nil, nil
+	} else if upstream != nil {
+		t.upstream, upstream.attempt = nil, nil
 		if t.written { // its member is to stop at once, and the port is free again
-			unix.SetsockoptLinger(u.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
+			unix.SetsockoptLinger(upstream.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 		}
-		u.close()
-	} else if t.p != nil {
-		t.p.forget(t)
+		upstream.close()
+	} else if t.pool != nil {
+		t.pool.removeWaiting(t)
 	}
 }
 
-// end tells the module the attempt's outcome.
-func (t *try) end(result spool.Result, note spool.Note, last bool) {
+// finish tells the module the attempt's outcome.
+func (t *upstreamAttempt) finish(result spool.Result, note spool.Note, last bool) {
 	if t.done {
 		return
 	}
-	e, r := t.r.e, t.r
+	edge, request := t.request.edge, t.request
 	t.done, t.result = true, result
-	e.l.Disarm(&t.timer)
-	t.took = e.l.Now() - t.sentAt
-	r.open--
-	e.tell(spool.Outcome{ID: t.send.ID, Cache: t.cache, Attempt: t.n, Result: result, Took: t.took,
-		Last: last || r.phase == over, Note: note, Load: t.load})
-	r.release()
+	edge.loop.Disarm(&t.timer)
+	t.took = edge.loop.Now() - t.sentAt
+	request.openAttempts--
+	edge.dispatch(spool.Outcome{ID: t.send.ID, Cache: t.cache, Attempt: t.number, Result: result, Took: t.took,
+		Last: last || request.phase == finished, Note: note, Load: t.load})
+	request.releaseIfDone()
 }
 
-// pool is the connections to one address.
-type pool struct {
-	e       *Edge
-	address string
-	member  string // the last that it was used for
-	all     map[*upstream]struct{}
-	idle    []*upstream // the last used is the first to be used again
-	wait    []*try
+// connPool is the connections to one address.
+type connPool struct {
+	edge        *Edge
+	address     string
+	member      string // the last that it was used for
+	connections map[*upstreamConn]struct{}
+	idle        []*upstreamConn // the last used is the first to be used again
+	waiting     []*upstreamAttempt
 }
 
-func (e *Edge) pool(address, member string) *pool {
-	p := e.pools[address]
-	if p == nil {
-		p = &pool{e: e, address: address, all: map[*upstream]struct{}{}}
-		e.pools[address] = p
+func (e *Edge) poolFor(address, member string) *connPool {
+	pool := e.pools[address]
+	if pool == nil {
+		pool = &connPool{edge: e, address: address, connections: map[*upstreamConn]struct{}{}}
+		e.pools[address] = pool
 	}
-	p.member = member
-	return p
+	pool.member = member
+	return pool
 }
 
-// start gives the attempt a connection, or has it wait for one.
-func (p *pool) start(t *try) {
+// assign gives the attempt a connection, or has it wait for one.
+func (p *connPool) assign(attempt *upstreamAttempt) {
 	for n := len(p.idle); n > 0; n = len(p.idle) {
-		u := p.idle[n-1]
+		upstream := p.idle[n-1]
 		p.idle = p.idle[:n-1]
 		// what has come to it unasked would pass for the answer, and a request on one
 		// that its member has closed would be lost; both may be known to the kernel only
-		if !eventloop.Idle(u.fd) {
-			u.close()
+		if !eventloop.Idle(upstream.fd) {
+			upstream.close()
 			continue
 		}
-		p.e.l.Disarm(&u.timer)
-		p.e.stats.Reused++
-		u.begin(t)
+		p.edge.loop.Disarm(&upstream.timer)
+		p.edge.stats.Reused++
+		upstream.start(attempt)
 		return
 	}
-	if len(p.all) >= p.e.s.Limits.Upstream {
-		p.e.guard.freePlace(p)
-		if u := p.shortest(t); u != nil {
-			u.follow(t)
+	if len(p.connections) >= p.edge.settings.Limits.Upstream {
+		p.edge.guard.closeStalledUpstream(p)
+		if u := p.pipelineCandidate(attempt); u != nil {
+			u.pipeline(attempt)
 		} else {
-			p.wait = append(p.wait, t)
+			p.waiting = append(p.waiting, attempt)
 		}
 		return
 	}
-	u, err := p.connect()
-	if (errors.Is(err, unix.EMFILE) || errors.Is(err, unix.ENFILE)) && p.makeRoom() {
-		u, err = p.connect()
+	upstream, err := p.connect()
+	if (errors.Is(err, unix.EMFILE) || errors.Is(err, unix.ENFILE)) && p.freeDescriptor() {
+		upstream, err = p.connect()
 	}
 	switch {
 	case err == nil:
-		u.begin(t)
+		upstream.start(attempt)
 	case eventloop.IsLocalShortage(err): // no word about the member
-		p.e.stats.ConnectWaits++
-		t.end(spool.LocalFailure, spool.NoteNone, false)
+		p.edge.stats.ConnectWaits++
+		attempt.finish(spool.LocalFailure, spool.NoteNone, false)
 	default:
-		t.end(spool.ConnectFailed, spool.NoteNone, false)
+		attempt.finish(spool.ConnectFailed, spool.NoteNone, false)
 	}
 }
 
-// makeRoom closes a connection that is not in use, for its descriptor.
-func (p *pool) makeRoom() bool {
-	return p.e.guard.closeIdle(limits.Descriptors) || p.e.closeUnused(p)
+// freeDescriptor closes a connection that is not in use, for its descriptor.
+func (p *connPool) freeDescriptor() bool {
+	return p.edge.guard.closeIdle(limits.Descriptors) || p.edge.closeIdleUpstream(p)
 }
 
-// shortest is the connection on which a GET can follow others soonest (RFC
+// pipelineCandidate is the connection on which a GET can follow others soonest (RFC
 // 9112, section 9.3.2), nil where that is not allowed. Writes never follow.
-func (p *pool) shortest(t *try) (best *upstream) {
-	depth := p.e.s.Limits.Pipeline - 1
-	if depth < 1 || t.r.q.Write || t.r.isHead {
+func (p *connPool) pipelineCandidate(attempt *upstreamAttempt) (best *upstreamConn) {
+	depth := p.edge.settings.Limits.Pipeline - 1
+	if depth < 1 || attempt.request.spec.Write || attempt.request.isHead {
 		return nil
 	}
-	for u := range p.all {
-		if n := len(u.line); n < depth && (u.state == upHead || u.state == upBody) && u.out.Len() == 0 && !u.held &&
-			(best == nil || n < len(best.line)) {
+	for u := range p.connections {
+		if n := len(u.pipelined); n < depth && (u.state == upAwaitingHead || u.state == upRelayingBody) && u.output.Len() == 0 && !u.paused &&
+			(best == nil || n < len(best.pipelined)) {
 			best = u
 		}
 	}
 	return best
 }
 
-func (p *pool) forget(t *try) {
-	for i, w := range p.wait {
-		if w == t {
-			p.wait = append(p.wait[:i], p.wait[i+1:]...)
+func (p *connPool) removeWaiting(attempt *upstreamAttempt) {
+	for i, w := range p.waiting {
+		if w == attempt {
+			p.waiting = append(p.waiting[:i], p.waiting[i+1:]...)
 			return
 		}
 	}
 }
 
-// next has an attempt that waits take a place that is free again. Where no connection can be
+// assignWaiting has an attempt that waits take a place that is free again. Where no connection can be
 // had, and none is left that would become free, it is the turn of all that wait.
-func (p *pool) next() {
-	for len(p.wait) > 0 {
-		t := p.wait[0]
-		if p.wait = p.wait[1:]; len(p.wait) == 0 {
-			p.wait = nil
+func (p *connPool) assignWaiting() {
+	for len(p.waiting) > 0 {
+		attempt := p.waiting[0]
+		if p.waiting = p.waiting[1:]; len(p.waiting) == 0 {
+			p.waiting = nil
 		}
-		if p.start(t); len(p.all) > 0 {
+		if p.assign(attempt); len(p.connections) > 0 {
 			return
 		}
 	}
 }
 
-func (p *pool) closeIdle() {
+func (p *connPool) closeIdle() {
 	for len(p.idle) > 0 {
 		p.idle[len(p.idle)-1].close()
 	}
 }
 
-// upState is what an upstream connection is at.
-type upState uint8
+// upstreamState is what an upstream connection is at.
+type upstreamState uint8
 
 const (
-	upConnecting upState = iota
+	upConnecting upstreamState = iota
 	upIdle
-	upHead  // the attempt is written, its answer's head has not come whole
-	upBody  // the body goes to the client
-	upDrain // the rest of an answer that nobody wants, so that the connection can be kept
+	upAwaitingHead // the attempt is written, its answer's head has not come whole
+	upRelayingBody // the body goes to the client
+	upDiscarding   // the rest of an answer that nobody wants, so that the connection can be kept
 )
 
-// upstream is a connection to a member.
-type upstream struct {
-	e       *Edge
-	p       *pool
-	fd      int
-	state   upState
-	t       *try
-	line    []*try // GETs that follow it; nil for one whose answer nobody wants any more
-	left    []byte // read, and not yet taken
-	out     eventloop.Queue
-	pending *try // whose bytes wait in out
-	head    http1.Head
-	body    http1.Body
-	chunk   bool // the client gets chunks
-	excess  bool // bytes came with the head, behind it
-	held    bool // not read, since the client is slow
-	timer   eventloop.Timer
-	drain   int
-	note    spool.Note
-	flow    limits.Flow // of an answer's body
-	heldAt  float64     // since when the client holds it up
-	told    bool        // the module knows that
-	queued  bool        // bytes have come, and wait for their turn
-	since   float64     // when it was queued
-}
-
-func (p *pool) connect() (*upstream, error) {
-	fd, inProgress, err := p.e.l.Dial(p.address)
+// upstreamConn is a connection to a member.
+type upstreamConn struct {
+	edge          *Edge
+	pool          *connPool
+	fd            int
+	state         upstreamState
+	attempt       *upstreamAttempt
+	pipelined     []*upstreamAttempt // GETs that follow it; nil for one whose answer nobody wants any more
+	unparsed      []byte             // read, and not yet taken
+	output        eventloop.Queue
+	writing       *upstreamAttempt // whose bytes wait in out
+	head          http1.Head
+	body          http1.Body
+	chunked       bool // the client gets chunks
+	extraBytes    bool // bytes came with the head, behind it
+	paused        bool // not read, since the client is slow
+	timer         eventloop.Timer
+	discardBudget int
+	note          spool.Note
+	flow          limits.Flow // of an answer's body
+	pausedAt      float64     // since when the client holds it up
+	stallReported bool        // the module knows that
+	queued        bool        // bytes have come, and wait for their turn
+	queuedSince   float64     // when it was queued
+}
+
+func (p *connPool) connect() (*upstreamConn, error) {
+	fd, inProgress, err := p.edge.loop.Dial(p.address)
 	if err != nil {
 		return nil, err
 	}
-	if n := p.e.s.Limits.SocketKB; n > 0 {
+	if n := p.edge.settings.Limits.SocketKB; n > 0 {
 		unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_RCVBUF, n*1024/2)
 	}
-	u := &upstream{e: p.e, p: p, fd: fd, state: upConnecting}
-	u.timer.F = u.onTimer
+	upstream := &upstreamConn{edge: p.edge, pool: p, fd: fd, state: upConnecting}
+	upstream.timer.F = upstream.onTimer
 	want := eventloop.Write
 	if !inProgress {
-		u.state, want = upIdle, eventloop.Read
+		upstream.state, want = upIdle, eventloop.Read
 	}
-	if err := p.e.l.Add(fd, want, u); err != nil {
+	if err := p.edge.loop.Add(fd, want, upstream); err != nil {
 		unix.Close(fd)
 		return nil, err
 	}
-	p.e.stats.Connects++
-	p.all[u] = struct{}{}
-	p.e.guard.mem.Add(limits.Connections, upstreamBytes)
-	return u, nil
+	p.edge.stats.Connects++
+	p.connections[upstream] = struct{}{}
+	p.edge.guard.memory.Add(limits.Connections, upstreamBytes)
+	return upstream, nil
 }
 
-// closeUnused closes an unused connection to another address, for its descriptor.
-func (e *Edge) closeUnused(but *pool) bool {
+// closeIdleUpstream closes an unused connection to another address, for its descriptor.
+func (e *Edge) closeIdleUpstream(but *connPool) bool {
 	for _, p := range e.pools {
 		if p != but && len(p.idle) > 0 {
 			p.idle[0].close() // the longest unused
@@ -314,136 +314,136 @@
 	return false
 }
 
-// begin gives the connection an attempt; it is written once connected.
-func (u *upstream) begin(t *try) {
-	u.t, t.u, u.told = t, u, false
+// start gives the connection an attempt; it is written once connected.
+func (u *upstreamConn) start(attempt *upstreamAttempt) {
+	u.attempt, attempt.upstream, u.stallReported = attempt, u, false
 	if u.state == upConnecting {
-		u.e.l.Arm(&u.timer, u.e.s.Limits.Connect)
+		u.edge.loop.Arm(&u.timer, u.edge.settings.Limits.Connect)
 		return
 	}
 	u.writeAttempt()
 }
 
-func (u *upstream) writeAttempt() {
-	u.state = upHead
-	u.left = nil
-	u.put(u.t)
+func (u *upstreamConn) writeAttempt() {
+	u.state = upAwaitingHead
+	u.unparsed = nil
+	u.writeRequest(u.attempt)
 }
 
-// follow writes an attempt behind others whose answers are still to come.
-func (u *upstream) follow(t *try) {
-	t.u = u
-	u.line = append(u.line, t)
-	u.put(t)
+// pipeline writes an attempt behind others whose answers are still to come.
+func (u *upstreamConn) pipeline(t *upstreamAttempt) {
+	t.upstream = u
+	u.pipelined = append(u.pipelined, t)
+	u.writeRequest(t)
 }
 
-// put writes an attempt.
-func (u *upstream) put(t *try) {
-	r := t.r
-	b := append(u.e.hbuf[:0], r.fwd...)
-	a := fetchheader.NewAttempt(&t.send, &r.q, t.n, u.e.name, u.e.core.Address(t.source), max(r.q.Deadline-u.e.l.Now(), 1))
+// writeRequest writes an attempt.
+func (u *upstreamConn) writeRequest(attempt *upstreamAttempt) {
+	request := attempt.request
+	b := append(u.edge.headBuffer[:0], request.forwardHead...)
+	a := fetchheader.NewAttempt(&attempt.send, &request.spec, attempt.number, u.edge.name, u.edge.core.Address(attempt.source), max(request.spec.Deadline-u.edge.loop.Now(), 1))
 	b = append(b, fetchheader.FillField+": "...)
 	b = a.Append(b)
 	b = append(b, "\r\n"...)
-	if a.Source == "" && !r.q.Write {
+	if a.Source == "" && !request.spec.Write {
 		b = append(b, "Cache-Control: only-if-cached\r\n"...)
 	}
-	if r.q.Write {
-		b = http1.AppendFieldInt(b, "Content-Length", int64(len(r.content)))
+	if request.spec.Write {
+		b = http1.AppendFieldInt(b, "Content-Length", int64(len(request.requestBody)))
 	}
 	b = append(b, "\r\n"...)
-	u.e.hbuf = b
-	n, err := u.e.l.WriteTwo(u.fd, b, r.content)
+	u.edge.headBuffer = b
+	n, err := u.edge.loop.WriteTwo(u.fd, b, request.requestBody)
 	switch {
 	case eventloop.NotReady(err):
 		n = 0
 	case eventloop.Retryable(err):
-		u.takeBack(t)
+		u.withdraw(attempt)
 		return
 	case err != nil:
-		u.broke(spool.Reset)
+		u.fail(spool.Reset)
 		return
 	}
-	u.e.stats.OutBytes += uint64(n)
-	t.written = n > 0
-	if n == len(b)+len(r.content) {
-		if !u.held {
-			u.e.l.Want(u.fd, eventloop.Read)
+	u.edge.stats.OutBytes += uint64(n)
+	attempt.written = n > 0
+	if n == len(b)+len(request.requestBody) {
+		if !u.paused {
+			u.edge.loop.Want(u.fd, eventloop.Read)
 		}
 		return
 	}
-	u.pending = t
-	u.out.Add(&u.e.buffers, b[min(n, len(b)):])
-	u.out.Add(&u.e.buffers, r.content[max(n-len(b), 0):])
+	u.writing = attempt
+	u.output.Add(&u.edge.buffers, b[min(n, len(b)):])
+	u.output.Add(&u.edge.buffers, request.requestBody[max(n-len(b), 0):])
 	u.flush()
 }
 
-// takeBack ends an attempt, the last on its connection, that could not be written for want of
+// withdraw ends an attempt, the last on its connection, that could not be written for want of
 // something on this machine. The connection is as it was before.
-func (u *upstream) takeBack(t *try) {
-	u.e.stats.ConnectWaits++
-	t.u = nil
-	if u.t == t {
-		u.toIdle()
+func (u *upstreamConn) withdraw(attempt *upstreamAttempt) {
+	u.edge.stats.ConnectWaits++
+	attempt.upstream = nil
+	if u.attempt == attempt {
+		u.makeIdle()
 	} else {
-		u.line = u.line[:len(u.line)-1]
+		u.pipelined = u.pipelined[:len(u.pipelined)-1]
 	}
-	t.end(spool.LocalFailure, spool.NoteNone, false)
+	attempt.finish(spool.LocalFailure, spool.NoteNone, false)
 }
 
-func (u *upstream) flush() {
-	for u.out.Len() > 0 {
-		n, err := u.e.l.Write(u.fd, u.out.Bytes())
+func (u *upstreamConn) flush() {
+	for u.output.Len() > 0 {
+		n, err := u.edge.loop.Write(u.fd, u.output.Bytes())
 		if eventloop.Retryable(err) {
-			u.e.l.Want(u.fd, eventloop.Read|eventloop.Write)
+			u.edge.loop.Want(u.fd, eventloop.Read|eventloop.Write)
 			return
 		}
 		if err != nil {
-			u.broke(spool.Reset)
+			u.fail(spool.Reset)
 			return
 		}
-		u.e.stats.OutBytes += uint64(n)
-		u.out.Take(&u.e.buffers, n)
-		u.pending.written = true
+		u.edge.stats.OutBytes += uint64(n)
+		u.output.Take(&u.edge.buffers, n)
+		u.writing.written = true
 	}
-	u.pending = nil
-	u.e.l.Want(u.fd, eventloop.Read)
+	u.writing = nil
+	u.edge.loop.Want(u.fd, eventloop.Read)
 }
 
-func (u *upstream) onTimer() {
+func (u *upstreamConn) onTimer() {
 	switch u.state {
 	case upConnecting:
-		u.broke(spool.ConnectFailed)
-	case upBody:
+		u.fail(spool.ConnectFailed)
+	case upRelayingBody:
 		if u.queued { // its bytes have come: it is the router that is late
-			u.e.l.Arm(&u.timer, u.e.s.Limits.BodyIdle)
+			u.edge.loop.Arm(&u.timer, u.edge.settings.Limits.BodyIdle)
 			return
 		}
-		u.broke(spool.TimedOut)
+		u.fail(spool.TimedOut)
 	default:
 		u.close()
 	}
 }
 
-func (u *upstream) OnReady(r eventloop.Ready) {
+func (u *upstreamConn) OnReady(r eventloop.Ready) {
 	if u.state == upConnecting {
 		if !r.Writable() {
 			return
 		}
 		soerr, err := unix.GetsockoptInt(u.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 		if err != nil || soerr != 0 {
-			u.broke(spool.ConnectFailed)
+			u.fail(spool.ConnectFailed)
 			return
 		}
-		u.e.l.Disarm(&u.timer)
-		if u.t == nil {
-			u.toIdle()
+		u.edge.loop.Disarm(&u.timer)
+		if u.attempt == nil {
+			u.makeIdle()
 			return
 		}
 		u.writeAttempt()
 		return
 	}
-	if r.Writable() && u.out.Len() > 0 {
+	if r.Writable() && u.output.Len() > 0 {
 		if u.flush(); u.fd < 0 {
 			return
 		}
@@ -451,239 +451,239 @@
 	if !r.Readable() {
 		return
 	}
-	if u.state != upBody {
-		u.read(r.Hangup(), min(headRead, u.e.guard.room()))
+	if u.state != upRelayingBody {
+		u.read(r.Hangup(), min(headReadBytes, u.edge.guard.bufferRoom()))
 		return
 	}
 	if !u.queued {
-		u.queued, u.since = true, u.e.l.Now()
-		u.flow.StopWaiting(u.e.guard.now(), &u.e.guard.member) // it is the router that it waits for now
-		u.e.guard.ready(u.t.r.c.class, u)
+		u.queued, u.queuedSince = true, u.edge.loop.Now()
+		u.flow.StopWaiting(u.edge.guard.peerTime(), &u.edge.guard.memberRate) // it is the router that it waits for now
+		u.edge.guard.enqueue(u.attempt.request.client.schedulerClass, u)
 	}
 }
 
-// headRead is as much as is read at once where an answer's head is to come: small
+// headReadBytes is as much as is read at once where an answer's head is to come: small
 // answers are whole with it.
-const headRead = 128 << 10
+const headReadBytes = 128 << 10
 
-func (u *upstream) queuedAt() float64 { return u.since }
+func (u *upstreamConn) queuedAt() float64 { return u.queuedSince }
 
-// move passes on a part of a body, in its turn.
-func (u *upstream) move(room int) (moved int, more bool) {
+// transfer passes on a part of a body, in its turn.
+func (u *upstreamConn) transfer(room int) (moved int, more bool) {
 	u.queued = false
-	if u.fd < 0 || u.state != upBody && u.state != upDrain || u.held {
+	if u.fd < 0 || u.state != upRelayingBody && u.state != upDiscarding || u.paused {
 		return 0, false
 	}
-	if u.t != nil {
-		room = min(room, u.e.guard.room()-u.t.r.c.out.Len())
+	if u.attempt != nil {
+		room = min(room, u.edge.guard.bufferRoom()-u.attempt.request.client.output.Len())
 	}
-	room = max(room, leastRead)
+	room = max(room, minReadBytes)
 	n := u.read(false, room)
-	if n >= room && u.fd >= 0 && u.state == upBody && !u.held {
-		u.queued, u.since = true, u.e.l.Now()
+	if n >= room && u.fd >= 0 && u.state == upRelayingBody && !u.paused {
+		u.queued, u.queuedSince = true, u.edge.loop.Now()
 		return n, true
 	}
-	if u.fd >= 0 && u.state == upBody && !u.held {
-		u.flow.StartWaiting(u.e.guard.now())
+	if u.fd >= 0 && u.state == upRelayingBody && !u.paused {
+		u.flow.StartWaiting(u.edge.guard.peerTime())
 	}
 	return max(n, 0), false
 }
 
-// leastRead is the least that is asked of a socket at once.
-const leastRead = 4 << 10
+// minReadBytes is the least that is asked of a socket at once.
+const minReadBytes = 4 << 10
 
-// broke ends the connection, and its attempt with the result.
-func (u *upstream) broke(result spool.Result) {
-	t := u.t
-	u.t = nil
-	if t == nil {
+// fail ends the connection, and its attempt with the result.
+func (u *upstreamConn) fail(result spool.Result) {
+	attempt := u.attempt
+	u.attempt = nil
+	if attempt == nil {
 		u.close()
 		return
 	}
-	t.u = nil
-	r := t.r
-	started := r.winner == t && r.phase == relaying
+	attempt.upstream = nil
+	request := attempt.request
+	started := request.winner == attempt && request.phase == relaying
 	if started {
 		// the answer has begun, and no other copy may be spliced to it: the
 		// client's connection ends, and by the framing it sees that this is not
 		// whole. It is not reset, which would take from it what it has not read
 		// yet, unless its end alone would pass for the answer's
-		r.why = endBroken
-		r.e.stats.Broken++
-		c := r.c
-		if pg := r.pageOf(); pg != nil {
-			t.end(result, spool.NoteNone, true)
+		request.end = endBroken
+		request.edge.stats.Broken++
+		client := request.client
+		if pg := request.pageOrParent(); pg != nil {
+			attempt.finish(result, spool.NoteNone, true)
 			u.close()
-			pg.broke(r)
+			pg.answerBroken(request)
 			return
 		}
-		c.last, c.linger = true, true
-		if u.body.Kind() != http1.Length && !u.chunk {
-			unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
-			c.close()
+		client.closeAfterAnswer, client.discardInput = true, true
+		if u.body.Kind() != http1.Length && !u.chunked {
+			unix.SetsockoptLinger(client.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
+			client.close()
 		}
-		r.finish()
+		request.finish()
 	}
-	t.end(result, spool.NoteNone, started)
+	attempt.finish(result, spool.NoteNone, started)
 	u.close() // only now: a place that becomes free lets another attempt begin
 }
 
-func (u *upstream) close() {
+func (u *upstreamConn) close() {
 	if u.fd < 0 {
 		return
 	}
-	u.e.l.Forget(&u.timer)
-	u.e.l.Remove(u.fd)
+	u.edge.loop.Forget(&u.timer)
+	u.edge.loop.Remove(u.fd)
 	unix.Close(u.fd)
 	u.fd = -1
-	p := u.p
-	delete(p.all, u)
-	u.e.guard.mem.Add(limits.Connections, -upstreamBytes)
-	for i, x := range p.idle {
+	pool := u.pool
+	delete(pool.connections, u)
+	u.edge.guard.memory.Add(limits.Connections, -upstreamBytes)
+	for i, x := range pool.idle {
 		if x == u {
-			p.idle = append(p.idle[:i], p.idle[i+1:]...)
+			pool.idle = append(pool.idle[:i], pool.idle[i+1:]...)
 			break
 		}
 	}
-	u.left = nil
-	u.out.Drop(&u.e.buffers)
-	line := u.line
-	u.line = nil
+	u.unparsed = nil
+	u.output.Drop(&u.edge.buffers)
+	line := u.pipelined
+	u.pipelined = nil
 	for _, t := range line {
 		if t != nil { // nothing was run for it that matters: only GETs follow
-			t.u = nil
-			t.end(spool.NotSent, spool.NoteNone, false)
+			t.upstream = nil
+			t.finish(spool.NotSent, spool.NoteNone, false)
 		}
 	}
-	p.next()
+	pool.assignWaiting()
 }
 
-// advance goes on to the answer that follows, or keeps the connection for
+// nextAnswer goes on to the answer that follows, or keeps the connection for
 // another attempt.
-func (u *upstream) advance() {
-	if len(u.line) == 0 {
-		u.toIdle()
+func (u *upstreamConn) nextAnswer() {
+	if len(u.pipelined) == 0 {
+		u.makeIdle()
 		return
 	}
-	u.e.l.Disarm(&u.timer)
-	u.t, u.state, u.told = u.line[0], upHead, false
-	if u.line = u.line[1:]; len(u.line) == 0 {
-		u.line = nil
+	u.edge.loop.Disarm(&u.timer)
+	u.attempt, u.state, u.stallReported = u.pipelined[0], upAwaitingHead, false
+	if u.pipelined = u.pipelined[1:]; len(u.pipelined) == 0 {
+		u.pipelined = nil
 	}
-	if len(u.p.wait) > 0 {
-		u.p.next()
+	if len(u.pool.waiting) > 0 {
+		u.pool.assignWaiting()
 	}
 }
 
-// toIdle keeps the connection for another attempt.
-func (u *upstream) toIdle() {
-	u.t, u.state, u.held = nil, upIdle, false
-	if m, ok := u.e.core.Member(u.p.member); ok && m.State != spool.Serving {
+// makeIdle keeps the connection for another attempt.
+func (u *upstreamConn) makeIdle() {
+	u.attempt, u.state, u.paused = nil, upIdle, false
+	if m, ok := u.edge.core.Member(u.pool.member); ok && m.State != spool.Serving {
 		u.close()
 		return
 	}
-	u.left = nil
-	u.e.l.Want(u.fd, eventloop.Read)
-	u.p.idle = append(u.p.idle, u)
-	u.e.l.Arm(&u.timer, u.e.s.Limits.UpstreamIdle)
-	if len(u.p.wait) > 0 {
-		u.p.next()
+	u.unparsed = nil
+	u.edge.loop.Want(u.fd, eventloop.Read)
+	u.pool.idle = append(u.pool.idle, u)
+	u.edge.loop.Arm(&u.timer, u.edge.settings.Limits.UpstreamIdle)
+	if len(u.pool.waiting) > 0 {
+		u.pool.assignWaiting()
 	}
 }
 
 // read takes what has come, at most so many bytes, and returns how many that were.
-func (u *upstream) read(hangup bool, most int) int {
-	buf := u.e.scratch
-	k := copy(buf, u.left)
-	n, err := u.e.l.Read(u.fd, buf[k:min(k+most, len(buf))])
+func (u *upstreamConn) read(hangup bool, most int) int {
+	buf := u.edge.scratch
+	k := copy(buf, u.unparsed)
+	n, err := u.edge.loop.Read(u.fd, buf[k:min(k+most, len(buf))])
 	if eventloop.Retryable(err) {
 		if hangup && eventloop.NotReady(err) {
-			u.broke(spool.Reset)
+			u.fail(spool.Reset)
 		}
 		return 0
 	}
 	if err != nil || n == 0 {
-		if err == nil && u.state == upBody && u.body.End() {
+		if err == nil && u.state == upRelayingBody && u.body.End() {
 			u.finishBody(false)
 			return 0
 		}
-		u.broke(spool.Reset)
+		u.fail(spool.Reset)
 		return 0
 	}
-	u.e.stats.InBytes += uint64(n)
+	u.edge.stats.InBytes += uint64(n)
 	if u.state == upIdle { // nothing was asked: whatever it is, it answers nothing
 		u.close()
 		return n
 	}
-	if u.state == upBody {
-		u.flow.Moved(u.e.guard.now(), n, &u.e.guard.member)
+	if u.state == upRelayingBody {
+		u.flow.Moved(u.edge.guard.peerTime(), n, &u.edge.guard.memberRate)
 	}
-	u.take(buf[:k+n])
+	u.parse(buf[:k+n])
 	return n
 }
 
-// take takes bytes of an answer. What it leaves is kept only of heads and of
+// parse takes bytes of an answer. What it leaves is kept only of heads and of
 // chunk framing, and so is bounded.
-func (u *upstream) take(data []byte) {
+func (u *upstreamConn) parse(data []byte) {
 	for u.fd >= 0 {
 		switch u.state {
-		case upHead:
-			n, err := http1.ParseResponse(data, &u.head, http1.Limits{}, u.t != nil && u.t.r.isHead)
+		case upAwaitingHead:
+			n, err := http1.ParseResponse(data, &u.head, http1.Limits{}, u.attempt != nil && u.attempt.request.isHead)
 			if err != nil {
-				u.broke(spool.Errored)
+				u.fail(spool.Errored)
 				return
 			}
 			if n == 0 {
-				u.left = append(u.left[:0], data...)
+				u.unparsed = append(u.unparsed[:0], data...)
 				return
 			}
 			data = data[n:]
 			if u.head.Status < 200 {
 				continue // 100 and 103: the answer is still to come
 			}
-			u.excess = len(data) > 0 && len(u.line) == 0
-			if u.t == nil { // nobody wants it any more
+			u.extraBytes = len(data) > 0 && len(u.pipelined) == 0
+			if u.attempt == nil { // nobody wants it any more
 				u.body.Start(&u.head, 0)
-				u.unwanted()
+				u.discardAnswer()
 			} else {
-				u.answered()
+				u.handleHead()
 			}
-			if len(data) == 0 && u.fd >= 0 && u.state == upBody {
-				u.t.r.c.flush() // the head goes out at once, however late the body is
-				if u.fd < 0 || u.t == nil {
+			if len(data) == 0 && u.fd >= 0 && u.state == upRelayingBody {
+				u.attempt.request.client.flush() // the head goes out at once, however late the body is
+				if u.fd < 0 || u.attempt == nil {
 					return
 				}
 			}
-		case upBody:
-			rest, whole := u.relay(data)
-			if u.fd < 0 || u.state != upBody {
+		case upRelayingBody:
+			rest, whole := u.relayBody(data)
+			if u.fd < 0 || u.state != upRelayingBody {
 				return
 			}
 			if whole {
-				u.finishBody(len(rest) > 0 && len(u.line) == 0)
+				u.finishBody(len(rest) > 0 && len(u.pipelined) == 0)
 				data = rest
 				break
 			}
-			u.left = u.left[:0]
+			u.unparsed = u.unparsed[:0]
 			return
-		case upDrain:
+		case upDiscarding:
 			for len(data) > 0 && !u.body.Done() {
 				n, _, err := u.body.Next(data)
-				if u.drain -= n; err != nil || n == 0 || u.drain < 0 {
+				if u.discardBudget -= n; err != nil || n == 0 || u.discardBudget < 0 {
 					u.close()
 					return
 				}
 				data = data[n:]
 			}
 			if !u.body.Done() {
-				u.left = u.left[:0]
+				u.unparsed = u.unparsed[:0]
 				return
 			}
-			if len(data) > 0 && len(u.line) == 0 || u.head.Close {
+			if len(data) > 0 && len(u.pipelined) == 0 || u.head.Close {
 				u.close()
 				return
 			}
-			u.advance()
+			u.nextAnswer()
 		default: // idle or closed by what the answer led to
 			if len(data) > 0 {
 				u.close()
@@ -691,193 +691,193 @@
 			return
 		}
 		if len(data) == 0 {
-			u.left = u.left[:0]
+			u.unparsed = u.unparsed[:0]
 			return
 		}
 	}
 }
 
-const drainLimit = 64 << 10 // of an answer that nobody wants; beyond it the connection is closed
+const maxDiscardBytes = 64 << 10 // of an answer that nobody wants; beyond it the connection is closed
 
-// answered has an answer's head: it becomes the client's, or an outcome.
-func (u *upstream) answered() {
-	t := u.t
-	r := t.r
+// handleHead has an answer's head: it becomes the client's, or an outcome.
+func (u *upstreamConn) handleHead() {
+	attempt := u.attempt
+	request := attempt.request
 	if v := u.head.Get("spool-load"); v != nil {
-		t.load = fetchheader.ParseLoad(t.load, v)
+		attempt.load = fetchheader.ParseLoad(attempt.load, v)
 	}
-	result, note := fetchheader.ClassifyResponse(&u.head, t.send.Source == t.cache && !r.q.Write, r.q.Write)
+	result, note := fetchheader.ClassifyResponse(&u.head, attempt.send.Source == attempt.cache && !request.spec.Write, request.spec.Write)
 	u.body.Start(&u.head, 0)
-	if result == spool.OK && r.phase == asked {
+	if result == spool.OK && request.phase == awaitingAnswer {
 		u.relayHead(note)
 		return
 	}
 	if result == spool.OK { // another attempt was first, or the client has its answer
 		result = spool.NotSent
-		if t.written {
+		if attempt.written {
 			result = spool.Cancelled
 		}
 	}
-	t.u, u.t = nil, nil
-	u.unwanted()
-	t.end(result, note, false)
+	attempt.upstream, u.attempt = nil, nil
+	u.discardAnswer()
+	attempt.finish(result, note, false)
 }
 
-// unwanted passes over the rest of an answer that is nobody's.
-func (u *upstream) unwanted() {
-	u.state, u.drain = upDrain, drainLimit
+// discardAnswer passes over the rest of an answer that is nobody's.
+func (u *upstreamConn) discardAnswer() {
+	u.state, u.discardBudget = upDiscarding, maxDiscardBytes
 	switch {
-	case u.body.Kind() == http1.UntilClose, u.body.Done() && (u.head.Close || u.excess):
+	case u.body.Kind() == http1.UntilClose, u.body.Done() && (u.head.Close || u.extraBytes):
 		u.close()
 	case u.body.Done():
-		u.advance()
+		u.nextAnswer()
 	default:
-		u.e.l.Arm(&u.timer, u.e.s.Limits.BodyIdle)
+		u.edge.loop.Arm(&u.timer, u.edge.settings.Limits.BodyIdle)
 	}
 }
 
 // relayHead begins the client's answer: from now on the attempt is the client's.
-func (u *upstream) relayHead(note spool.Note) {
-	t, e := u.t, u.e
-	r := t.r
-	c := r.c
-	r.phase, r.winner = relaying, t
-	r.status = u.head.Status
-	e.l.Disarm(&t.timer)
+func (u *upstreamConn) relayHead(note spool.Note) {
+	attempt, edge := u.attempt, u.edge
+	request := attempt.request
+	client := request.client
+	request.phase, request.winner = relaying, attempt
+	request.status = u.head.Status
+	edge.loop.Disarm(&attempt.timer)
 	u.note = note
-	if r.pageOf() != nil {
-		u.pageHead()
+	if request.pageOrParent() != nil {
+		u.relayPageHead()
 		return
 	}
-	b := http1.AppendStatus(e.hbuf[:0], u.head.Status)
-	b = appendEndToEnd(b, &u.head, theirs)
+	b := http1.AppendStatus(edge.headBuffer[:0], u.head.Status)
+	b = appendEndToEnd(b, &u.head, isRouterAnswerField)
 	b = append(b, "Via: 1.1 "...)
-	b = append(b, e.name...)
+	b = append(b, edge.name...)
 	b = append(b, "\r\n"...)
-	u.chunk = false
+	u.chunked = false
 	switch {
 	case u.body.Kind() == http1.Length || u.head.ContentLength >= 0 && u.body.Kind() == http1.NoBody:
 		if u.head.Status != 204 {
 			b = http1.AppendFieldInt(b, "Content-Length", u.head.ContentLength)
 		}
 	case u.body.Kind() == http1.NoBody:
-		if !r.isHead && u.head.Status != 204 && u.head.Status != 304 {
+		if !request.isHead && u.head.Status != 204 && u.head.Status != 304 {
 			b = http1.AppendFieldInt(b, "Content-Length", 0)
 		}
-	case r.minor == 0:
-		c.last = true
+	case request.httpMinor == 0:
+		client.closeAfterAnswer = true
 	default:
-		u.chunk = true
+		u.chunked = true
 		b = append(b, "Transfer-Encoding: chunked\r\n"...)
 	}
-	b = c.appendConnection(b, r)
-	e.hbuf = append(b, "\r\n"...)
-	c.add(e.hbuf)
-	u.state = upBody
-	if u.won(); u.t != nil {
+	b = client.appendConnection(b, request)
+	edge.headBuffer = append(b, "\r\n"...)
+	client.buffer(edge.headBuffer)
+	u.state = upRelayingBody
+	if u.cancelOthers(); u.attempt != nil {
 		u.beginBody()
 	}
 }
 
-// won ends the other attempts of the request, and tells the module that this one's
+// cancelOthers ends the other attempts of the request, and tells the module that this one's
 // answer has begun.
-func (u *upstream) won() {
-	t := u.t
-	for _, other := range t.r.tries {
-		if other != t {
-			other.cut(spool.Cancelled)
+func (u *upstreamConn) cancelOthers() {
+	attempt := u.attempt
+	for _, other := range attempt.request.attempts {
+		if other != attempt {
+			other.abort(spool.Cancelled)
 		}
 	}
-	u.e.tell(spool.Started{ID: t.r.id, Cache: t.cache, Attempt: t.n})
+	u.edge.dispatch(spool.Started{ID: attempt.request.id, Cache: attempt.cache, Attempt: attempt.number})
 }
 
 // beginBody waits for the body of the answer whose head has come.
-func (u *upstream) beginBody() {
+func (u *upstreamConn) beginBody() {
 	if u.body.Done() {
-		u.finishBody(u.excess)
+		u.finishBody(u.extraBytes)
 		return
 	}
-	u.e.l.Arm(&u.timer, u.e.s.Limits.BodyIdle)
+	u.edge.loop.Arm(&u.timer, u.edge.settings.Limits.BodyIdle)
 	u.flow = limits.Flow{}
-	u.flow.StartWaiting(u.e.guard.now())
+	u.flow.StartWaiting(u.edge.guard.peerTime())
 }
 
-// relay passes content on to the client. Once as much waits as may, the member
+// relayBody passes content on to the client. Once as much waits as may, the member
 // is not read until the client has taken some.
-func (u *upstream) relay(data []byte) (rest []byte, whole bool) {
-	c := u.t.r.c
-	r := u.t.r
+func (u *upstreamConn) relayBody(data []byte) (rest []byte, whole bool) {
+	client := u.attempt.request.client
+	request := u.attempt.request
 	for len(data) > 0 && !u.body.Done() {
 		n, content, err := u.body.Next(data)
 		if err != nil {
-			u.broke(spool.Errored)
+			u.fail(spool.Errored)
 			return nil, false
 		}
 		if n == 0 {
 			break
 		}
 		data = data[n:]
-		if pg := r.pageOf(); pg != nil {
-			if pg.content(r, content); u.t == nil {
+		if pg := request.pageOrParent(); pg != nil {
+			if pg.receive(request, content); u.attempt == nil {
 				return nil, false
 			}
 			continue
 		}
-		r.sent += int64(len(content))
-		if u.chunk {
-			u.e.hbuf = http1.AppendChunk(u.e.hbuf[:0], content)
-			c.add(u.e.hbuf)
-		} else if len(content) > 2048 && c.out.Len() <= 4096 {
-			c.write(content)
+		request.sentBytes += int64(len(content))
+		if u.chunked {
+			u.edge.headBuffer = http1.AppendChunk(u.edge.headBuffer[:0], content)
+			client.buffer(u.edge.headBuffer)
+		} else if len(content) > 2048 && client.output.Len() <= 4096 {
+			client.write(content)
 		} else {
-			c.add(content)
+			client.buffer(content)
 		}
-		if u.t == nil || c.gone { // the client has gone, and with it the attempt
+		if u.attempt == nil || client.closed { // the client has gone, and with it the attempt
 			return nil, false
 		}
 	}
 	if u.body.Done() {
 		return data, true
 	}
-	u.e.l.Arm(&u.timer, u.e.s.Limits.BodyIdle)
-	pg := r.pageOf()
-	if pg == nil && c.out.Len() > 0 {
-		c.flush()
+	u.edge.loop.Arm(&u.timer, u.edge.settings.Limits.BodyIdle)
+	page := request.pageOrParent()
+	if page == nil && client.output.Len() > 0 {
+		client.flush()
 	}
-	if u.t != nil && u.fd >= 0 && (pg != nil && pg.holds(r) || pg == nil &&
-		(c.out.Len() >= u.e.guard.room() || c.out.Len() > 0 && u.e.guard.mem.Full())) {
-		u.held, u.heldAt = true, u.e.l.Now()
-		u.flow.StopWaiting(u.e.guard.now(), &u.e.guard.member)
-		u.e.l.Disarm(&u.timer) // the client holds things up, not the member
-		u.e.l.Want(u.fd, 0)
+	if u.attempt != nil && u.fd >= 0 && (page != nil && page.full(request) || page == nil &&
+		(client.output.Len() >= u.edge.guard.bufferRoom() || client.output.Len() > 0 && u.edge.guard.memory.Full())) {
+		u.paused, u.pausedAt = true, u.edge.loop.Now()
+		u.flow.StopWaiting(u.edge.guard.peerTime(), &u.edge.guard.memberRate)
+		u.edge.loop.Disarm(&u.timer) // the client holds things up, not the member
+		u.edge.loop.Want(u.fd, 0)
 	}
 	return data, false
 }
 
-// resume reads on when the client has taken what waited.
-func (r *request) resume() {
-	t := r.winner
-	if t == nil || t.u == nil || !t.u.held {
+// resumeReading reads on when the client has taken what waited.
+func (r *clientRequest) resumeReading() {
+	attempt := r.winner
+	if attempt == nil || attempt.upstream == nil || !attempt.upstream.paused {
 		return
 	}
-	u := t.u
-	u.held = false
-	u.stalled(false)
-	u.flow.StartWaiting(u.e.guard.now())
-	u.e.l.Arm(&u.timer, u.e.s.Limits.BodyIdle)
-	u.e.l.Want(u.fd, eventloop.Read)
+	u := attempt.upstream
+	u.paused = false
+	u.reportStalled(false)
+	u.flow.StartWaiting(u.edge.guard.peerTime())
+	u.edge.loop.Arm(&u.timer, u.edge.settings.Limits.BodyIdle)
+	u.edge.loop.Want(u.fd, eventloop.Read)
 }
 
-// stalled tells the module whether the answer waits for its client.
-func (u *upstream) stalled(on bool) {
-	if t := u.t; t != nil && u.told != on {
-		u.told = on
-		u.e.tell(spool.Stalled{ID: t.send.ID, Attempt: t.n, On: on})
+// reportStalled tells the module whether the answer waits for its client.
+func (u *upstreamConn) reportStalled(on bool) {
+	if t := u.attempt; t != nil && u.stallReported != on {
+		u.stallReported = on
+		u.edge.dispatch(spool.Stalled{ID: t.send.ID, Attempt: t.number, On: on})
 	}
 }
 
-// theirs reports fields of an answer that are for the router, or written anew.
-func theirs(name []byte) bool {
+// isRouterAnswerField reports fields of an answer that are for the router, or written anew.
+func isRouterAnswerField(name []byte) bool {
 	return http1.EqualFold(name, "content-length") || http1.EqualFold(name, "spool-load")
 }
 
@@ -885,33 +885,33 @@
 
 // finishBody has the whole answer. More bytes than it may have end the
 // connection: they belong to no request.
-func (u *upstream) finishBody(excess bool) {
-	t := u.t
-	r := t.r
-	if u.chunk {
-		r.c.add(lastChunk)
+func (u *upstreamConn) finishBody(excess bool) {
+	attempt := u.attempt
+	request := attempt.request
+	if u.chunked {
+		request.client.buffer(lastChunk)
 	}
-	pg := r.pageOf()
-	if pg == nil {
-		r.e.stats.Served++
+	page := request.pageOrParent()
+	if page == nil {
+		request.edge.stats.Served++
 	}
-	if r.page == nil {
-		r.why = endServed
+	if request.page == nil {
+		request.end = endServed
 	}
-	u.e.guard.jury.ObserveGood(u.p.member, u.e.guard.now())
-	t.u, u.t = nil, nil
+	u.edge.guard.massSlowness.ObserveGood(u.pool.member, u.edge.guard.peerTime())
+	attempt.upstream, u.attempt = nil, nil
 	keep := !excess && !u.head.Close && u.body.Kind() != http1.UntilClose
 	note := u.note
 	if keep {
-		u.advance()
+		u.nextAnswer()
 	} else {
 		u.close()
 	}
-	t.end(spool.OK, note, true)
-	if pg != nil {
-		pg.whole(r)
+	attempt.finish(spool.OK, note, true)
+	if page != nil {
+		page.answerDone(request)
 	}
-	if r.page == nil {
-		r.finish()
+	if request.page == nil {
+		request.finish()
 	}
 }
--- a/internal/proxy/httpfront/versions.go
+++ b/internal/proxy/httpfront/versions.go
@@ -19,33 +19,33 @@
 	"indigospool/internal/proxy/hotrestart"
 )
 
-// Versions follows control services for a router, on goroutines of its own, and
+// ConfigClient follows control services for a router, on goroutines of its own, and
 // posts each version that is to be run to the router's loop. Which one that is,
 // internal/controlplane/rollout decides.
-type Versions struct {
-	own   *config.Settings
-	log   *AccessLog
-	store *configstore.Store
-	agent *service.Agent
-	uses  chan configversion.Activate // in order; the newest is never dropped
-	done  chan struct{}
-	edge  chan *Edge
+type ConfigClient struct {
+	local       *config.Settings
+	log         *AccessLog
+	store       *configstore.Store
+	agent       *service.Agent
+	activations chan configversion.Activate // in order; the newest is never dropped
+	done        chan struct{}
+	attached    chan *Edge
 }
 
-const versionsKept = 8 // in the store of versions
+const keptVersions = 8 // in the store of versions
 
-// Follow begins: with the stored version where there is one, then with the
+// StartConfigClient begins: with the stored version where there is one, then with the
 // services that the router's own settings name.
-func Follow(own *config.Settings, log *AccessLog) (*Versions, error) {
-	return follow(own, log, nil, configstore.Disk{})
+func StartConfigClient(own *config.Settings, log *AccessLog) (*ConfigClient, error) {
+	return startConfigClient(own, log, nil, configstore.Disk{})
 }
 
-// follow is Follow for a router that takes over: it begins with the version that its
+// startConfigClient is Follow for a router that takes over: it begins with the version that its
 // predecessor goes by where none is stored, and calls no service until it serves, since
 // a service knows one stream of a router.
-func follow(own *config.Settings, log *AccessLog, in *hotrestart.Inherited, files configstore.FileSystem) (*Versions, error) {
+func startConfigClient(own *config.Settings, log *AccessLog, in *hotrestart.Inherited, files configstore.FileSystem) (*ConfigClient, error) {
 	c := &own.Control
-	v := &Versions{own: own, log: log, uses: make(chan configversion.Activate, 64), done: make(chan struct{}), edge: make(chan *Edge, 1)}
+	v := &ConfigClient{local: own, log: log, activations: make(chan configversion.Activate, 64), done: make(chan struct{}), attached: make(chan *Edge, 1)}
 	dial := grpc.WithTransportCredentials(insecure.NewCredentials())
 	if c.Cert != "" {
 		keys := &service.CertificateFiles{Cert: c.Cert, Key: c.Key, Authorities: c.Roots, Warn: func(text string) { log.Log.Warn(text) }}
@@ -56,19 +56,19 @@
 	}
 	if c.Store != "" {
 		var err error
-		if v.store, err = configstore.OpenWith(files, c.Store, versionsKept); v.store == nil {
+		if v.store, err = configstore.OpenWith(files, c.Store, keptVersions); v.store == nil {
 			return nil, err
 		} else if err != nil {
 			log.Log.Error("the store of versions was damaged, or can't be read or written for now", zap.Error(err))
 		}
 	}
 	cfg := service.AgentConfig{Router: own.Router.Name, Services: c.Services, Seed: uint64(own.Router.Seed), Store: v.store,
-		Backoff: span(c.Backoff), StateOfTheWorld: c.Protocol == "full", MaxBytes: 2 * c.MaxBytes, ReportInterval: span(c.Report),
+		Backoff: milliseconds(c.Backoff), StateOfTheWorld: c.Protocol == "full", MaxBytes: 2 * c.MaxBytes, ReportInterval: milliseconds(c.Report),
 		DialOptions: []grpc.DialOption{dial},
 		Machine:     configversion.MachineSettings{Local: own, MaxBytes: c.MaxBytes, Jitter: c.Spread, Lease: c.Lease, UnconfirmedAfter: c.Old, StaleAfter: c.Stale},
-		OnActivate:  v.use, Warn: func(text string) { log.Log.Warn(text) }}
+		OnActivate:  v.enqueue, Warn: func(text string) { log.Log.Warn(text) }}
 	if c.Report > 0 {
-		cfg.LoadCounts = v.tally
+		cfg.LoadCounts = v.loadCounts
 	}
 	if cfg.Deferred = in != nil; cfg.Deferred && len(in.ConfigVersion) > 0 {
 		if err := json.Unmarshal(in.ConfigVersion, &cfg.Initial); err != nil {
@@ -85,12 +85,12 @@
 	return open(ctx, s, log, configstore.Disk{})
 }
 
-func open(ctx context.Context, s *config.Settings, log *AccessLog, files configstore.FileSystem) (e *Edge, end func(), err error) {
+func open(ctx context.Context, s *config.Settings, log *AccessLog, files configstore.FileSystem) (edge *Edge, end func(), err error) {
 	if !s.Follows() {
-		e, err = TakeOver(s, log)
-		return e, func() {}, err
+		edge, err = TakeOver(s, log)
+		return edge, func() {}, err
 	}
-	in, err := predecessor(s)
+	in, err := contactPredecessor(s)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -99,55 +99,55 @@
 			in.Abort()
 		}
 	}()
-	v, err := follow(s, log, in, files)
+	v, err := startConfigClient(s, log, in, files)
 	if err != nil {
 		return nil, nil, err
 	}
-	u, err := v.First(ctx)
+	u, err := v.FirstVersion(ctx)
 	if err == nil {
-		e, err = newFrom(u, s, log, in)
+		edge, err = newFromVersion(u, s, log, in)
 	}
 	if err != nil {
 		v.Close()
 		return nil, nil, err
 	}
-	v.Attach(e)
-	return e, v.Close, nil
+	v.Attach(edge)
+	return edge, v.Close, nil
 }
 
-func span(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// use queues a version that is to be run. It never waits: of versions that the
+// enqueue queues a version that is to be run. It never waits: of versions that the
 // loop has not come to yet, the oldest gives way.
-func (v *Versions) use(u configversion.Activate) {
+func (v *ConfigClient) enqueue(u configversion.Activate) {
 	for {
 		select {
-		case v.uses <- u:
+		case v.activations <- u:
 			return
 		default:
 		}
 		select {
-		case <-v.uses:
+		case <-v.activations:
 		default:
 		}
 	}
 }
 
-// First is the version to begin with: the stored one or, where the settings say
+// FirstVersion is the version to begin with: the stored one or, where the settings say
 // wait, the first that a service sends. nil: begin by the file.
-func (v *Versions) First(ctx context.Context) (*configversion.Activate, error) {
+func (v *ConfigClient) FirstVersion(ctx context.Context) (*configversion.Activate, error) {
 	select {
-	case u := <-v.uses:
+	case u := <-v.activations:
 		return &u, nil
 	default:
 	}
-	if v.own.Control.Start != "wait" {
+	if v.local.Control.Start != "wait" {
 		return nil, nil
 	}
 	v.agent.Connect()
-	v.log.Log.Info("waiting for the first version", zap.Strings("services", v.own.Control.Services))
+	v.log.Log.Info("waiting for the first version", zap.Strings("services", v.local.Control.Services))
 	select {
-	case u := <-v.uses:
+	case u := <-v.activations:
 		return &u, nil
 	case <-ctx.Done():
 		return nil, fmt.Errorf("edge: no version came before the end: %w", ctx.Err())
@@ -155,17 +155,17 @@
 }
 
 // Attach has a router run the versions that come from now on.
-func (v *Versions) Attach(e *Edge) {
-	e.versions = v
-	v.edge <- e
+func (v *ConfigClient) Attach(edge *Edge) {
+	edge.configClient = v
+	v.attached <- edge
 	go func() {
 		for {
 			select {
-			case u := <-v.uses:
-				for e.l.Post(func() { e.use(u) }) == eventloop.ErrFull {
+			case u := <-v.activations:
+				for edge.loop.Post(func() { edge.activateVersion(u) }) == eventloop.ErrFull {
 					time.Sleep(time.Millisecond)
 				}
-				e.tellVersion(u.Version)
+				edge.forwardVersion(u.Version)
 			case <-v.done:
 				return
 			}
@@ -174,7 +174,7 @@
 }
 
 // Close ends the following; the store keeps what it has.
-func (v *Versions) Close() {
+func (v *ConfigClient) Close() {
 	v.agent.Close()
 	close(v.done)
 	if v.store != nil {
@@ -182,8 +182,8 @@
 	}
 }
 
-// lend has a successor open the store. What comes meanwhile is run, and kept in memory.
-func (v *Versions) lend() {
+// releaseStore has a successor open the store. What comes meanwhile is run, and kept in memory.
+func (v *ConfigClient) releaseStore() {
 	if v != nil && v.store != nil {
 		if err := v.store.ReleaseLock(); err != nil {
 			v.log.Log.Error("the store of versions", zap.Error(err))
@@ -191,9 +191,9 @@
 	}
 }
 
-// regain takes the store back from a successor that does not serve: it may take that
+// reacquireStore takes the store back from a successor that does not serve: it may take that
 // one a moment to end.
-func (v *Versions) regain() {
+func (v *ConfigClient) reacquireStore() {
 	if v == nil || v.store == nil {
 		return
 	}
@@ -211,41 +211,41 @@
 	v.log.Log.Error("the store of versions is not taken back yet: it is tried again", zap.Error(err))
 }
 
-// tally counts requests that have ended, for reports.
-func (v *Versions) tally() (t service.LoadCounts, err error) {
-	e := <-v.edge // once a router is attached, it is there for all
-	v.edge <- e
+// loadCounts counts requests that have ended, for reports.
+func (v *ConfigClient) loadCounts() (t service.LoadCounts, err error) {
+	e := <-v.attached // once a router is attached, it is there for all
+	v.attached <- e
 	err = e.Query(func(s *Stats, _ *engine.Core) {
 		t.Succeeded, t.Issued = s.Served, s.Served+s.Refused+s.Failed+s.Broken
 	})
 	return t, err
 }
 
-// use goes by a version from now on, on the loop: drains first, so that nothing
+// activateVersion goes by a version from now on, on the loop: drains first, so that nothing
 // new goes to who leaves; then the settings; then the members that come.
-func (e *Edge) use(u configversion.Activate) {
+func (e *Edge) activateVersion(u configversion.Activate) {
 	var steps []configversion.Delta
-	if e.s.Router.List == "" { // else the list service's word counts
-		steps = configversion.Diff(e.s.Members, u.Settings.Members)
+	if e.settings.Router.List == "" { // else the list service's word counts
+		steps = configversion.Diff(e.settings.Members, u.Settings.Members)
 	}
 	tell := func(s configversion.Delta) {
-		e.news(engine.UpdateFromVersion(u.Version.Number, s.Members, s.Kind == configversion.DeltaStarts))
+		e.applyUpdate(engine.UpdateFromVersion(u.Version.Number, s.Members, s.Kind == configversion.DeltaStarts))
 	}
 	if len(steps) > 0 && steps[0].Kind == configversion.DeltaDrains {
 		tell(steps[0])
 		steps = steps[1:]
 	}
-	e.next = u.Version.Number
-	acts, err := e.core.ChangeSettings(e.l.Now(), u.Settings, nil)
+	e.nextVersion = u.Version.Number
+	acts, err := e.core.ChangeSettings(e.loop.Now(), u.Settings, nil)
 	if err != nil { // the checks let through what the module does not take
 		e.log.Log.Error("version not run", zap.Int64("version", u.Version.Number), zap.Error(err))
 		return
 	}
 	for i := range acts {
-		e.carryOut(acts[i])
+		e.execute(acts[i])
 	}
-	e.s = u.Settings
-	e.guard.adopt(e.s)
+	e.settings = u.Settings
+	e.guard.applySettings(e.settings)
 	for _, s := range steps {
 		tell(s)
 	}
@@ -254,18 +254,18 @@
 		zap.Bool("stale", u.Stale))
 }
 
-// begin is the news of members that a router begins with: those of its settings,
+// applyInitialMembers is the news of members that a router begins with: those of its settings,
 // and for how long the young ones of them have been listed.
-func (e *Edge) begin() {
-	if len(e.s.Members) == 0 || e.s.Router.List != "" {
+func (e *Edge) applyInitialMembers() {
+	if len(e.settings.Members) == 0 || e.settings.Router.List != "" {
 		return
 	}
-	n := engine.UpdateFromSettings(e.s)
+	n := engine.UpdateFromSettings(e.settings)
 	n.Rev = e.version
 	for i := range n.Members {
-		if up, young := e.young[n.Members[i].ID]; young {
+		if up, young := e.listedFor[n.Members[i].ID]; young {
 			n.Members[i].UptimeMillis = max(up, 0.001)
 		}
 	}
-	e.news(n)
+	e.applyUpdate(n)
 }
--- a/internal/proxy/httpfront/versions_test.go
+++ b/internal/proxy/httpfront/versions_test.go
@@ -25,7 +25,7 @@
 // versioned is a router that follows a control service of its own, with boxes,
 // a parent and an origin that versions list.
 type versioned struct {
-	*rig
+	*testRig
 	dir, protocol string
 	svc           *service.Service
 	members       map[string]string // forms, by id
@@ -40,7 +40,7 @@
 
 func newVersioned(t testing.TB, protocol string) *versioned {
 	v := &versioned{dir: t.TempDir(), protocol: protocol, members: map[string]string{}}
-	v.rig = &rig{t: t, tap: trafficlog.NewWriter(nil), boxes: map[string]*testserver.Server{}, log: &bytes.Buffer{}}
+	v.testRig = &testRig{t: t, tap: trafficlog.NewWriter(nil), boxes: map[string]*testserver.Server{}, log: &bytes.Buffer{}}
 	v.origin = v.start(testserver.Config{ID: "o", Role: "origin"})
 	p := v.start(testserver.Config{ID: "p", Role: "parent", Upstream: v.origin.Addr()})
 	for i := range 3 {
@@ -118,14 +118,14 @@
 	log := newAccessLog(lockedWriter{&v.logMu, v.log}, 1000, "info")
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	e, end, err := Open(ctx, &s, log)
+	edge, end, err := Open(ctx, &s, log)
 	if err != nil {
 		v.t.Fatal(err)
 	}
-	v.e, v.stopped, v.done = e, false, make(chan error, 1)
+	v.e, v.stopped, v.done = edge, false, make(chan error, 1)
 	v.end = func() { end(); log.Close() }
-	go func() { v.done <- e.Run() }()
-	if err := e.Ready(); err != nil {
+	go func() { v.done <- edge.Run() }()
+	if err := edge.Ready(); err != nil {
 		v.t.Fatal(err)
 	}
 }
@@ -321,7 +321,7 @@
 			path := filepath.Join(v.dir, "handover")
 			versionText := versionText + `(class order (write) (effect guarded) (group all) (window 2000) (deadline 3000)) (route "/o/{object}" (class order))
 `
-			start := func() (e *Edge, done chan error) {
+			start := func() (edge *Edge, done chan error) {
 				t.Helper()
 				var s config.Settings
 				store := ""
@@ -335,17 +335,17 @@
 				}
 				ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 				defer cancel()
-				e, end, err := Open(ctx, &s, newAccessLog(lockedWriter{&v.logMu, v.log}, 10000, "info"))
+				edge, end, err := Open(ctx, &s, newAccessLog(lockedWriter{&v.logMu, v.log}, 10000, "info"))
 				if err != nil {
 					t.Fatal(err)
 				}
 				done = make(chan error, 1)
-				go func() { err := e.Run(); end(); done <- err }()
-				if err := e.Ready(); err != nil {
+				go func() { err := edge.Run(); end(); done <- err }()
+				if err := edge.Ready(); err != nil {
 					t.Fatal(err)
 				}
-				v.e = e
-				return e, done
+				v.e = edge
+				return edge, done
 			}
 			ended := func(done chan error) {
 				t.Helper()
@@ -360,18 +360,18 @@
 			}
 			v.stopped = true // its routers are ours
 			v.push(versionText, false)
-			e, done := start()
+			edge, done := start()
 			v.runs(1)
 
 			var stop atomic.Bool
-			users := &relay{rig: v.rig, current: e}
+			users := &relay{testRig: v.testRig, current: edge}
 			wait := users.users(8, &stop)
 			number := int64(1)
 			for i := range 5 {
 				v.boxes["b1"].Fault(testserver.Fault{Kind: testserver.Hang, For: 700}) // something is in hand for long
 				time.Sleep(50 * time.Millisecond)
-				old, oldDone := e, done
-				e, done = start()
+				old, oldDone := edge, done
+				edge, done = start()
 				v.runs(number)
 				state := []string{"draining", "serving"}[i%2]
 				v.list3("b0", "box", "z", state, v.boxes["b0"].Addr(), i/2)
@@ -407,22 +407,22 @@
 			v.runs(number)
 			in.Abort()
 			if !stored {
-				e.Stop()
+				edge.Stop()
 				ended(done)
 				return
 			}
 			for range 300 {
-				if err = e.versions.store.ReacquireLock(); err == nil {
+				if err = edge.configClient.store.ReacquireLock(); err == nil {
 					break
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
-			e.Stop()
+			edge.Stop()
 			ended(done)
 			v.svc.Close()
-			e, done = start()
+			edge, done = start()
 			v.runs(number)
-			e.Stop()
+			edge.Stop()
 			ended(done)
 		})
 	}
--- a/internal/proxy/httpfront/watch.go
+++ b/internal/proxy/httpfront/watch.go
@@ -18,20 +18,20 @@
 	"indigospool/internal/proxy/engine"
 )
 
-// watch follows the list service on a goroutine of its own and posts each line
+// watchList follows the list service on a goroutine of its own and posts each line
 // to the loop. A stream that ends, is cut in a line or says what can't be used
 // is begun anew after a wait that doubles, with jitter from the seed, so that
 // routers do not come back all at once. What was known stays known meanwhile.
-func (e *Edge) watch() (stop func()) {
+func (e *Edge) watchList() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	s := e.s // those of the start: the loop may go by others later
+	s := e.settings // those of the start: the loop may go by others later
 	rng := rand.New(rand.NewPCG(uint64(s.Router.Seed), uint64(s.Router.Me)+1))
 	go func() {
 		defer close(done)
 		wait := s.Limits.ListBackoff
 		for ctx.Err() == nil {
-			lines, err := e.follow(ctx, s)
+			lines, err := e.followStream(ctx, s)
 			if ctx.Err() != nil {
 				return
 			}
@@ -56,7 +56,7 @@
 // errGap asks for a stream anew: it begins with a full list.
 var errGap = errors.New("a version is missing")
 
-func (e *Edge) follow(ctx context.Context, s *config.Settings) (lines int, err error) {
+func (e *Edge) followStream(ctx context.Context, s *config.Settings) (lines int, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	u := url.URL{Scheme: "http", Host: s.Router.List, Path: "/watch", RawQuery: "router=" + url.QueryEscape(e.name)}
@@ -89,7 +89,7 @@
 			return lines, err
 		}
 		lines++
-		if err := e.postNews(ctx, n); err != nil {
+		if err := e.postUpdate(ctx, n); err != nil {
 			return lines, err
 		}
 	}
@@ -120,11 +120,11 @@
 	}
 }
 
-// postNews hands news to the loop and hears what became of it.
-func (e *Edge) postNews(ctx context.Context, n *engine.Update) error {
+// postUpdate hands news to the loop and hears what became of it.
+func (e *Edge) postUpdate(ctx context.Context, n *engine.Update) error {
 	got := make(chan engine.ApplyResult, 1)
 	for {
-		err := e.l.Post(func() { got <- e.news(n) })
+		err := e.loop.Post(func() { got <- e.applyUpdate(n) })
 		if err == nil {
 			break
 		}
