--- a/internal/proxy/httpfront/admin.go
+++ b/internal/proxy/httpfront/admin.go
@@ -26,13 +26,13 @@
 			os.Remove(address) // of an earlier life
 		}
 	}
-	ln := inheritAdmin(e.inherited, address)
-	if ln == nil {
-		if ln, err = net.Listen(network, address); err != nil {
+	listener := inheritAdmin(e.inherited, address)
+	if listener == nil {
+		if listener, err = net.Listen(network, address); err != nil {
 			return nil, fmt.Errorf("edge: admin listener %s: %w", address, err)
 		}
 	}
-	switch ln := ln.(type) {
+	switch ln := listener.(type) {
 	case *net.TCPListener:
 		if e.settings.Router.Handover != "" {
 			e.adminFile, _ = ln.File()
@@ -40,13 +40,13 @@
 	case *net.UnixListener:
 		ln.SetUnlinkOnClose(false) // it may be a successor's by then
 	}
-	e.adminAddr.Store(ln.Addr().String())
+	e.adminAddr.Store(listener.Addr().String())
 	mux := http.NewServeMux()
 	mux.HandleFunc("PURGE /", e.adminPurge)
 	mux.HandleFunc("GET /state", e.adminState)
 	mux.HandleFunc("GET /members", e.adminMembers)
 	srv := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
-	go srv.Serve(ln)
+	go srv.Serve(listener)
 	return func() { srv.Close() }, nil
 }
 
@@ -56,13 +56,13 @@
 	return s
 }
 
-func (e *Edge) adminPurge(w http.ResponseWriter, r *http.Request) {
-	p := &engine.Purge{Object: r.URL.Path}
-	if g := r.URL.Query().Get("group"); g != "" {
-		p = &engine.Purge{Group: engine.GroupNumber(g)}
+func (e *Edge) adminPurge(w http.ResponseWriter, req *http.Request) {
+	purge := &engine.Purge{Object: req.URL.Path}
+	if group := req.URL.Query().Get("group"); group != "" {
+		purge = &engine.Purge{Group: engine.GroupNumber(group)}
 	}
-	e.forwardPurge(p)
-	if err := e.Query(func(*Stats, *engine.Core) { e.applyUpdate(&engine.Update{Purge: p}) }); err != nil {
+	e.forwardPurge(purge)
+	if err := e.Query(func(*Stats, *engine.Core) { e.applyUpdate(&engine.Update{Purge: purge}) }); err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
@@ -80,8 +80,8 @@
 
 func (e *Edge) adminState(w http.ResponseWriter, _ *http.Request) {
 	out := map[string]any{}
-	err := e.Query(func(s *Stats, c *engine.Core) {
-		out["name"], out["stats"], out["list_rev"], out["lag_ms"] = e.name, *s, c.Rev(), e.loop.Lag()
+	err := e.Query(func(stats *Stats, core *engine.Core) {
+		out["name"], out["stats"], out["list_rev"], out["lag_ms"] = e.name, *stats, core.Rev(), e.loop.Lag()
 		out["version"] = e.version
 		guard := e.guard
 		out["limits"] = map[string]any{"cut": guard.counts.Map(), "memory": guard.memory.Map(), "memory_used": guard.memory.Used(), "memory_most": guard.memory.Peak,
@@ -102,26 +102,26 @@
 }
 
 // versionsView is what is known of versions, as /state has it.
-func versionsView(st service.AgentStatus) map[string]any {
+func versionsView(status service.AgentStatus) map[string]any {
 	list := []map[string]any{}
-	for _, r := range st.Versions {
-		one := map[string]any{"number": r.Number, "state": r.State.String(), "service": r.Service}
-		if len(r.Reasons) > 0 {
+	for _, version := range status.Versions {
+		entry := map[string]any{"number": version.Number, "state": version.State.String(), "service": version.Service}
+		if len(version.Reasons) > 0 {
 			lines := []string{}
-			for _, why := range r.Reasons {
-				lines = append(lines, why.String())
+			for _, reason := range version.Reasons {
+				lines = append(lines, reason.String())
 			}
-			one["reasons"] = lines
+			entry["reasons"] = lines
 		}
-		list = append(list, one)
+		list = append(list, entry)
 	}
-	out := map[string]any{"running": st.Running, "accepted": st.Accepted, "service": st.Service, "stream": st.StreamState,
-		"unconfirmed_ms": st.Age, "list": list}
-	if st.NotStored > 0 {
-		out["not_stored"] = st.NotStored
+	out := map[string]any{"running": status.Running, "accepted": status.Accepted, "service": status.Service, "stream": status.StreamState,
+		"unconfirmed_ms": status.Age, "list": list}
+	if status.NotStored > 0 {
+		out["not_stored"] = status.NotStored
 	}
-	if st.StoreFault != nil {
-		out["store_fault"], out["store_fault_since"] = st.StoreFault.Error(), st.StoreFaultSince.UTC()
+	if status.StoreFault != nil {
+		out["store_fault"], out["store_fault_since"] = status.StoreFault.Error(), status.StoreFaultSince.UTC()
 	}
 	return out
 }
@@ -133,13 +133,13 @@
 	}
 	rows := []row{}
 	states := map[spool.State]string{spool.Serving: "serving", spool.Draining: "draining", spool.Removed: "removed"}
-	err := e.Query(func(_ *Stats, c *engine.Core) {
-		c.Members(func(m spool.Member, address string) {
-			one := row{ID: m.ID, Zone: m.Zone, Kind: m.Kind, State: states[m.State], Address: address}
+	err := e.Query(func(_ *Stats, core *engine.Core) {
+		core.Members(func(member spool.Member, address string) {
+			entry := row{ID: member.ID, Zone: member.Zone, Kind: member.Kind, State: states[member.State], Address: address}
 			if p := e.pools[address]; p != nil {
-				one.Idle, one.Open, one.Waiting = len(p.idle), len(p.connections), len(p.waiting)
+				entry.Idle, entry.Open, entry.Waiting = len(p.idle), len(p.connections), len(p.waiting)
 			}
-			rows = append(rows, one)
+			rows = append(rows, entry)
 		})
 	})
 	sort.Slice(rows, func(i, j int) bool { return rows[i].ID < rows[j].ID })
--- a/internal/proxy/httpfront/client.go
+++ b/internal/proxy/httpfront/client.go
@@ -39,21 +39,21 @@
 	lastProgress   float64     // when it last took something of what waits for it
 	badOutcome     bool        // its present request counts as a bad end
 
-	closed           bool // closed
-	eof              bool // the client sends no more
-	noProgress       bool // it has taken nothing since the idle timer was armed
-	closeAfterAnswer bool // the connection ends with the present answer
-	discardInput     bool // a fault was answered: what still comes is dropped
-	receiving        bool // a request has begun to come and is not whole
-	readPaused       bool // pipelined bytes reached the limit
+	closed             bool // closed
+	eof                bool // the client sends no more
+	noProgress         bool // it has taken nothing since the idle timer was armed
+	closeAfterResponse bool // the connection ends with the present answer
+	discardInput       bool // a fault was answered: what still comes is dropped
+	receiving          bool // a request has begun to come and is not whole
+	readPaused         bool // pipelined bytes reached the limit
 }
 
 // What is read ahead and answered is bounded by the settings; these are how
 // much is read at once.
 const readBytes = 64 << 10
 
-func (c *clientConn) OnReady(r eventloop.Ready) {
-	if r.Writable() && c.output.Len() > 0 {
+func (c *clientConn) OnReady(ready eventloop.Ready) {
+	if ready.Writable() && c.output.Len() > 0 {
 		if c.output.Len() <= directWriteBytes {
 			c.flush()
 		} else if !c.queued {
@@ -62,13 +62,13 @@
 			c.edge.guard.enqueue(c.schedulerClass, c)
 		}
 	}
-	if !c.closed && r.Readable() {
-		c.read(r)
+	if !c.closed && ready.Readable() {
+		c.read(ready)
 	}
 }
 
-func (c *clientConn) read(r eventloop.Ready) {
-	c.readOnce(r)
+func (c *clientConn) read(ready eventloop.Ready) {
+	c.readOnce(ready)
 	c.accountInput()
 }
 
@@ -86,12 +86,12 @@
 	c.flow = limits.Flow{}
 }
 
-func (c *clientConn) readOnce(r eventloop.Ready) {
+func (c *clientConn) readOnce(ready eventloop.Ready) {
 	buf := c.edge.scratch[:readBytes]
 	n, err := c.edge.loop.Read(c.fd, buf)
 	switch {
 	case eventloop.Retryable(err):
-		if r.Hangup() && eventloop.NotReady(err) {
+		if ready.Hangup() && eventloop.NotReady(err) {
 			c.disconnect()
 		}
 		return
@@ -149,83 +149,83 @@
 	}
 }
 
-// parse takes requests from data until one is in hand, and returns what is left.
-func (c *clientConn) parse(data []byte) []byte {
-	for len(data) > 0 && !c.closed && !c.discardInput {
+// parse takes requests from buf until one is in hand, and returns what is left.
+func (c *clientConn) parse(buf []byte) []byte {
+	for len(buf) > 0 && !c.closed && !c.discardInput {
 		if c.current != nil {
 			if c.current.phase != receivingBody {
-				return data
+				return buf
 			}
-			n, err := c.current.receiveBody(data)
-			if data = data[n:]; err != nil {
+			n, err := c.current.receiveBody(buf)
+			if buf = buf[n:]; err != nil {
 				c.rejectInvalid(err)
 				return nil
 			}
 			if c.current != nil && c.current.phase == receivingBody {
 				c.edge.guard.setAwaited(c, true)
-				return data // more has to come
+				return buf // more has to come
 			}
 			continue
 		}
-		if c.closeAfterAnswer {
+		if c.closeAfterResponse {
 			c.discardInput = true // the connection ends here: what follows is not looked at
 			return nil
 		}
 		if c.output.Len() > 0 {
-			return data // a slow client's earlier answer goes first
+			return buf // a slow client's earlier answer goes first
 		}
 		if !c.receiving {
 			c.receiving = true
 			c.edge.guard.idleClients.remove(c)
 			c.edge.loop.Arm(&c.idleTimer, c.edge.settings.Limits.HeadTime)
 		}
-		n, err := c.edge.core.Parse(data, &c.edge.head)
+		n, err := c.edge.core.Parse(buf, &c.edge.head)
 		if err != nil {
 			c.rejectInvalid(err)
 			return nil
 		}
 		if n == 0 {
 			c.edge.guard.setAwaited(c, true)
-			return data
+			return buf
 		}
-		data = data[n:]
+		buf = buf[n:]
 		c.resetFlow()
 		c.startRequest()
 	}
-	return data
+	return buf
 }
 
 // startRequest takes the request whose head has come.
 func (c *clientConn) startRequest() {
 	edge := c.edge
-	h := &edge.head
+	head := &edge.head
 	edge.stats.Requests++
 	request := edge.newRequest(c)
-	request.receivedAt, request.isHead, request.httpMinor = edge.loop.Now(), h.IsHead(), h.Minor
+	request.receivedAt, request.isHead, request.httpMinor = edge.loop.Now(), head.IsHead(), head.Minor
 	c.current = request
-	c.closeAfterAnswer = c.closeAfterAnswer || h.Close || edge.draining && edge.successor == nil
-	q, err := edge.core.Classify("", request.receivedAt, h)
-	request.spec = q
+	c.closeAfterResponse = c.closeAfterResponse || head.Close || edge.draining && edge.successor == nil
+	spec, err := edge.core.Classify("", request.receivedAt, head)
+	request.spec = spec
 	if err != nil {
-		t, ok := err.(*engine.Rejection)
+		rejection, ok := err.(*engine.Rejection)
 		if !ok {
-			t = &engine.Rejection{Status: 400, Detail: endMalformed.word(), Message: err.Error()}
+			rejection = &engine.Rejection{Status: 400, Detail: endMalformed.word(), Message: err.Error()}
 		}
-		request.logObject = string(clip(h.Target, 256))
-		c.skipBody(h)
-		request.end, request.routeError = endNoRoute, t
-		c.respond(request, t.Status, 0)
+		request.logObject = string(clip(head.Target, 256))
+		c.skipBody(head)
+		request.end, request.routeError = endNoRoute, rejection
+		c.respond(request, rejection.Status, 0)
 		return
 	}
 	if len(edge.requests) >= edge.settings.Limits.Held {
-		c.skipBody(h)
+		c.skipBody(head)
 		request.end = endHeld
 		c.respond(request, 503, 1000)
 		return
 	}
 	if cause := edge.guard.admit(c, &request.spec); cause != limits.None {
 		edge.guard.counts[cause]++
-		c.skipBody(h)
+		c.skipBody(head)
 		request.end = endLimit
 		request.limitCause = cause
 		edge.stats.Refused++
@@ -242,17 +242,17 @@
 	c.schedulerClass = edge.guard.schedulerClass(request.spec.Class)
 	edge.guard.memory.Add(limits.Requests, requestBytes)
 	request.accounted = requestBytes
-	if request.startPage(h); request.page == nil {
-		request.composeForwardHead(h)
+	if request.startPage(head); request.page == nil {
+		request.composeForwardHead(head)
 	}
-	if err := request.body.Start(h, int64(edge.settings.Limits.Body)); err != nil {
+	if err := request.body.Start(head, int64(edge.settings.Limits.Body)); err != nil {
 		c.rejectInvalid(err)
 		return
 	}
 	if !request.body.Done() {
 		request.phase = receivingBody
-		if h.Expect100 {
-			c.write(continueAnswer)
+		if head.Expect100 {
+			c.write(continueResponse)
 		}
 		return
 	}
@@ -260,9 +260,9 @@
 }
 
 // skipBody ends the connection after an answer to a request whose body is not read.
-func (c *clientConn) skipBody(h *http1.Head) {
-	if h.Body != http1.NoBody {
-		c.closeAfterAnswer, c.discardInput = true, true
+func (c *clientConn) skipBody(head *http1.Head) {
+	if head.Body != http1.NoBody {
+		c.closeAfterResponse, c.discardInput = true, true
 	}
 }
 
@@ -271,9 +271,9 @@
 
 // rejectInvalid answers what is not valid, and ends the connection.
 func (c *clientConn) rejectInvalid(err error) {
-	f, ok := err.(*http1.ProtocolError)
+	invalid, ok := err.(*http1.ProtocolError)
 	if !ok {
-		f = http1.ErrRequestLine
+		invalid = http1.ErrRequestLine
 	}
 	c.edge.stats.Malformed++
 	request := c.current
@@ -282,10 +282,10 @@
 		request.receivedAt, request.httpMinor = c.edge.loop.Now(), 1
 		c.current = request
 	}
-	request.end, request.logObject = endMalformed, f.Message
-	c.closeAfterAnswer, c.discardInput = true, true
+	request.end, request.logObject = endMalformed, invalid.Message
+	c.closeAfterResponse, c.discardInput = true, true
 	c.unparsed = nil
-	c.respond(request, f.Status, 0)
+	c.respond(request, invalid.Status, 0)
 }
 
 // respond gives a final respond of the router's own.
@@ -325,7 +325,7 @@
 // appendConnection says whether the connection persists.
 func (c *clientConn) appendConnection(b []byte, request *clientRequest) []byte {
 	switch {
-	case c.closeAfterAnswer:
+	case c.closeAfterResponse:
 		return http1.AppendFieldString(b, "Connection", "close")
 	case request.httpMinor == 0:
 		return http1.AppendFieldString(b, "Connection", "keep-alive")
@@ -447,11 +447,11 @@
 // at once, and nothing more until a good part of them is gone: what a steady reader
 // takes can't be seen from writes.
 func (c *clientConn) acknowledged() int64 {
-	queued, err := unix.IoctlGetInt(c.fd, unix.TIOCOUTQ)
+	unacknowledged, err := unix.IoctlGetInt(c.fd, unix.TIOCOUTQ)
 	if err != nil {
 		return c.writtenBytes
 	}
-	return c.writtenBytes - int64(queued)
+	return c.writtenBytes - int64(unacknowledged)
 }
 
 // minRate is the least rate that the client is held to now, and what it is cut for.
@@ -512,8 +512,8 @@
 	return c.current == nil && c.receiving || c.current != nil && c.current.phase == receivingBody
 }
 
-// onAnswered is called when the present answer is whole, written or waiting.
-func (c *clientConn) onAnswered() {
+// onResponded is called when the present answer is whole, written or waiting.
+func (c *clientConn) onResponded() {
 	c.current, c.receiving = nil, false
 	if c.closed || c.fragment != nil {
 		return
@@ -535,8 +535,8 @@
 		c.readPaused = false
 		c.edge.loop.Arm(&c.idleTimer, c.edge.settings.Limits.ShutdownLinger)
 		c.updateInterest()
-	case !c.closeAfterAnswer && c.edge.successor != nil && len(c.unparsed) == 0 && c.handOver():
-	case c.closeAfterAnswer || c.edge.draining && len(c.unparsed) == 0 || c.eof && len(c.unparsed) == 0:
+	case !c.closeAfterResponse && c.edge.successor != nil && len(c.unparsed) == 0 && c.handOver():
+	case c.closeAfterResponse || c.edge.draining && len(c.unparsed) == 0 || c.eof && len(c.unparsed) == 0:
 		c.close()
 	default:
 		c.edge.loop.Arm(&c.idleTimer, c.edge.settings.Limits.ClientIdle)
@@ -569,7 +569,7 @@
 	if c.edge.successor != nil { // it goes on there, behind what is in hand
 		return
 	}
-	c.closeAfterAnswer = true
+	c.closeAfterResponse = true
 }
 
 func (c *clientConn) onEOF() {
@@ -590,8 +590,8 @@
 	case c.discardInput:
 		c.close()
 	case c.output.Len() > 0:
-		if at := c.acknowledged(); at > c.ackedAtTimeout { // the kernel takes nothing, and the client does
-			c.ackedAtTimeout = at
+		if acknowledged := c.acknowledged(); acknowledged > c.ackedAtTimeout { // the kernel takes nothing, and the client does
+			c.ackedAtTimeout = acknowledged
 			c.edge.loop.Arm(&c.idleTimer, c.edge.settings.Limits.WriteIdle)
 			return
 		}
@@ -681,8 +681,8 @@
 }
 
 var (
-	continueAnswer = []byte("HTTP/1.1 100 Continue\r\n\r\n")
-	busyAnswer     = []byte("HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\n" +
+	continueResponse = []byte("HTTP/1.1 100 Continue\r\n\r\n")
+	busyResponse     = []byte("HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\n" +
 		"Content-Length: 0\r\n\r\n")
 )
 
@@ -690,9 +690,9 @@
 type phase uint8
 
 const (
-	receivingBody  phase = iota + 1
-	awaitingAnswer       // the module has it
-	relaying             // an attempt's answer is on its way to the client
+	receivingBody    phase = iota + 1
+	awaitingResponse       // the module has it
+	relaying               // an attempt's answer is on its way to the client
 	finished
 )
 
@@ -776,18 +776,18 @@
 // receiveBody takes a write's body, which is held whole so that it can be sent again.
 func (r *clientRequest) receiveBody(data []byte) (n int, err error) {
 	for n < len(data) && !r.body.Done() {
-		k, content, err := r.body.Next(data[n:])
-		n += k
+		used, content, err := r.body.Next(data[n:])
+		n += used
 		if err != nil {
 			return n, err
 		}
-		had := cap(r.requestBody)
+		oldCap := cap(r.requestBody)
 		r.requestBody = append(r.requestBody, content...)
-		if more := int64(cap(r.requestBody) - had); more > 0 {
-			r.accounted += more
-			r.edge.guard.memory.Add(limits.Bodies, more)
+		if grown := int64(cap(r.requestBody) - oldCap); grown > 0 {
+			r.accounted += grown
+			r.edge.guard.memory.Add(limits.Bodies, grown)
 		}
-		if k == 0 {
+		if used == 0 {
 			break
 		}
 	}
@@ -799,31 +799,31 @@
 
 // composeForwardHead writes what of the head goes on to caches: all but what is for this
 // connection only, framing, and what the router says itself.
-func (r *clientRequest) composeForwardHead(h *http1.Head) {
-	b := http1.AppendRequestLine(r.forwardHead[:0], h.Method, h.Path())
-	if h.Host != nil {
-		b = http1.AppendField(b, "Host", h.Host)
+func (r *clientRequest) composeForwardHead(head *http1.Head) {
+	b := http1.AppendRequestLine(r.forwardHead[:0], head.Method, head.Path())
+	if head.Host != nil {
+		b = http1.AppendField(b, "Host", head.Host)
 	} else {
 		b = http1.AppendFieldString(b, "Host", r.edge.name)
 	}
-	b = appendEndToEnd(b, h, isRouterRequestField)
+	b = appendEndToEnd(b, head, isRouterRequestField)
 	b = append(b, "Via: 1.1 "...)
 	b = append(b, r.edge.name...)
 	r.forwardHead = append(b, "\r\n"...)
 }
 
 // appendEndToEnd appends the fields of a head that are not for one connection
-// only, but for those that except names.
-func appendEndToEnd(b []byte, h *http1.Head, except func(name []byte) bool) []byte {
-	named := h.Has("connection")
-	for i := range h.Fields {
-		f := &h.Fields[i]
-		if http1.HopByHop(f.Name) || except(f.Name) || named && h.ListedInConnection(f.Name) {
+// only, but for those that excluded names.
+func appendEndToEnd(b []byte, head *http1.Head, excluded func(name []byte) bool) []byte {
+	hasConnection := head.Has("connection")
+	for i := range head.Fields {
+		field := &head.Fields[i]
+		if http1.HopByHop(field.Name) || excluded(field.Name) || hasConnection && head.ListedInConnection(field.Name) {
 			continue
 		}
-		b = append(b, f.Name...)
+		b = append(b, field.Name...)
 		b = append(b, ": "...)
-		b = append(b, f.Value...)
+		b = append(b, field.Value...)
 		b = append(b, "\r\n"...)
 	}
 	return b
@@ -850,7 +850,7 @@
 // submit gives the request to the module.
 func (r *clientRequest) submit() {
 	edge := r.edge
-	r.phase = awaitingAnswer
+	r.phase = awaitingResponse
 	r.id = edge.nextID()
 	r.spec.ID = r.id
 	r.submittedAt = edge.loop.Now()
@@ -872,13 +872,13 @@
 		r.end = endClientGone
 	}
 	r.edge.stats.Gone++
-	edge, id, w := r.edge, r.id, r.winner
+	edge, id, winner := r.edge, r.id, r.winner
 	if !r.inModule {
 		r.finish()
 		return
 	}
 	if r.phase != relaying {
-		w = nil
+		winner = nil
 	}
 	r.phase = finished // before the module hears of it: nothing may be answered any more
 	r.edge.log.request(r)
@@ -887,15 +887,15 @@
 		r.page.close()
 	}
 	edge.dispatch(spool.Gone{ID: id})
-	if w != nil && w.request == r && !w.done && !r.released {
-		w.abort(spool.Cancelled)
+	if winner != nil && winner.request == r && !winner.done && !r.released {
+		winner.abort(spool.Cancelled)
 	}
 	r.releaseIfDone()
 }
 
 // reject is the module's final answer that a repeat is harmless.
 func (r *clientRequest) reject(after float64) {
-	if r.phase != awaitingAnswer {
+	if r.phase != awaitingResponse {
 		return
 	}
 	r.edge.stats.Refused++
@@ -905,7 +905,7 @@
 
 // fail is the module's final answer that promises nothing.
 func (r *clientRequest) fail() {
-	if r.phase != awaitingAnswer {
+	if r.phase != awaitingResponse {
 		return
 	}
 	r.edge.stats.Failed++
@@ -933,9 +933,9 @@
 	r.end, r.limitCause = endLimit, cause
 	switch r.phase {
 	case receivingBody:
-		client.closeAfterAnswer, client.discardInput = true, true
+		client.closeAfterResponse, client.discardInput = true, true
 		client.respond(r, 503, 1000)
-	case awaitingAnswer:
+	case awaitingResponse:
 		edge.stats.Refused++
 		client.respond(r, 503, 1000)
 		if known {
@@ -962,7 +962,7 @@
 	}
 	client.badOutcome = false
 	if client.current == r {
-		client.onAnswered()
+		client.onResponded()
 	}
 	r.releaseIfDone()
 }
--- a/internal/proxy/httpfront/clock_test.go
+++ b/internal/proxy/httpfront/clock_test.go
@@ -27,19 +27,19 @@
 		"Date: yesterday\r\nExpires: Tue, 01 Dec 2026 12:01:00 GMT\r\n":                                {3660000, 60000, 0},
 		"Date: Tue, 01 Dec 2026 12:00:00 GMT\r\nLast-Modified: Tue, 01 Dec 2026 11:00:00 GMT\r\n":      {-1, -1, -1},
 	} {
-		var h http1.Head
-		if _, err := http1.ParseResponse([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n"+fields+"\r\n"), &h, http1.Limits{}, false); err != nil {
+		var head http1.Head
+		if _, err := http1.ParseResponse([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n"+fields+"\r\n"), &head, http1.Limits{}, false); err != nil {
 			t.Fatal(err)
 		}
 		for i, step := range []time.Duration{-time.Hour, 0, time.Hour} {
-			if m, _ := parseMeta(&h, noon.Add(step)); m.Fresh != want[i] {
+			if m, _ := parseMeta(&head, noon.Add(step)); m.Fresh != want[i] {
 				t.Errorf("%q, clock stepped by %v: fresh for %v ms, want %v", fields, step, m.Fresh, want[i])
 			}
 		}
 	}
 }
 
-func TestDatesRunFromStart(t *testing.T) {
+func TestDateFollowsMonotonicClock(t *testing.T) {
 	edge := &Edge{startedDate: wallclock.Now(), startedAt: eventloop.Clock() - 5000}
 	before := wallclock.Now()
 	for _, step := range []time.Duration{time.Hour, -2 * time.Hour} {
@@ -53,9 +53,9 @@
 
 // Requests in hand while the wall clock is stepped to and fro are served within their time,
 // also those that wait for a member whose connections hang for a moment.
-func TestClockStepsChangeNoWait(t *testing.T) {
+func TestClockStepsDelayNoRequest(t *testing.T) {
 	rig := newRig(t, 2, "(connections-per-address 5000)")
-	for _, box := range rig.boxes { // shorter than the module waits before it looks elsewhere
+	for _, box := range rig.caches { // shorter than the module waits before it looks elsewhere
 		box.Fault(testserver.Fault{Kind: testserver.Hang, For: 100})
 	}
 	stop, stepped := make(chan struct{}), make(chan int)
@@ -75,7 +75,7 @@
 		}
 	}()
 	began := time.Now()
-	rig.twoEach()
+	rig.twoRequestsEach()
 	took := time.Since(began)
 	close(stop)
 	if n := <-stepped; n < 10 || took > 3*time.Second {
--- a/internal/proxy/httpfront/edge.go
+++ b/internal/proxy/httpfront/edge.go
@@ -101,28 +101,30 @@
 }
 
 // New makes a router from checked settings; it listens, and serves once Run is called.
-func New(s *config.Settings, log *AccessLog) (*Edge, error) { return newEdge(s, log, nil) }
+func New(settings *config.Settings, log *AccessLog) (*Edge, error) {
+	return newEdge(settings, log, nil)
+}
 
-func newEdge(s *config.Settings, log *AccessLog, in *hotrestart.Inherited) (*Edge, error) {
-	c, err := engine.New(s, uint64(s.Router.Seed))
+func newEdge(settings *config.Settings, log *AccessLog, inherited *hotrestart.Inherited) (*Edge, error) {
+	core, err := engine.New(settings, uint64(settings.Router.Seed))
 	if err != nil {
 		return nil, err
 	}
-	l, err := eventloop.New(0)
+	loop, err := eventloop.New(0)
 	if err != nil {
 		return nil, err
 	}
-	edge := &Edge{settings: s, core: c, loop: l, log: log, name: s.Router.Name, clients: map[*clientConn]struct{}{}, pages: map[*esiPage]struct{}{},
+	edge := &Edge{settings: settings, core: core, loop: loop, log: log, name: settings.Router.Name, clients: map[*clientConn]struct{}{}, pages: map[*esiPage]struct{}{},
 		requests: map[string]*clientRequest{}, pools: map[string]*connPool{}, scratch: make([]byte, 256<<10), startedDate: wallclock.Now(), startedAt: eventloop.Clock()}
 	edge.listState.Store("none")
 	edge.drainTimer.F = edge.onDrainTimeout
 	edge.guard = newGuard(edge)
 	edge.buffers = newBuffers(edge.guard)
-	edge.inherited = in
+	edge.inherited = inherited
 	var ok bool
-	if edge.listenFD, edge.addr, ok = inheritListener(in, s.Router.Listen); ok {
-	} else if edge.listenFD, edge.addr, err = eventloop.Listen(s.Router.Listen); err != nil {
-		return nil, fmt.Errorf("edge: listen %s: %w; is the address free, and one of this machine?", s.Router.Listen, err)
+	if edge.listenFD, edge.addr, ok = inheritListener(inherited, settings.Router.Listen); ok {
+	} else if edge.listenFD, edge.addr, err = eventloop.Listen(settings.Router.Listen); err != nil {
+		return nil, fmt.Errorf("edge: listen %s: %w; is the address free, and one of this machine?", settings.Router.Listen, err)
 	}
 	edge.listener.Take = func(fd int) { edge.onAccept(fd) }
 	edge.listener.MakeRoom = func() bool { return edge.guard.closeIdle(limits.Descriptors) }
@@ -135,46 +137,46 @@
 
 // openJournal has the core record what the module is told and answers.
 func (e *Edge) openJournal() error {
-	r := &e.settings.Router
-	if r.Journal == "" {
+	router := &e.settings.Router
+	if router.Journal == "" {
 		return nil
 	}
-	w, err := journal.Open(r.Journal, journal.Options{Segment: int64(r.JournalPart), Total: int64(r.JournalTotal),
-		Queue: r.JournalQueue, Skip: e.inherited != nil, Warn: func(text string) { e.log.Log.Warn(text) }})
+	writer, err := journal.Open(router.Journal, journal.Options{Segment: int64(router.JournalPart), Total: int64(router.JournalTotal),
+		Queue: router.JournalQueue, Skip: e.inherited != nil, Warn: func(text string) { e.log.Log.Warn(text) }})
 	if err != nil {
 		return err
 	}
-	w.Life(journal.Life{Name: e.name, Program: cli.Version(), Wall: wallclock.Now().UnixMilli(), Seed: uint64(r.Seed), Settings: config.Print(e.settings)})
-	e.journal, e.core.Recorder = w, recorder{e}
+	writer.Life(journal.Life{Name: e.name, Program: cli.Version(), Wall: wallclock.Now().UnixMilli(), Seed: uint64(router.Seed), Settings: config.Print(e.settings)})
+	e.journal, e.core.Recorder = writer, recorder{e}
 	return nil
 }
 
 // recorder is the journal as the core knows it.
 type recorder struct{ edge *Edge }
 
-func (r recorder) Handled(now float64, ev spool.Event, acts []spool.Action) {
-	r.edge.journal.Handled(now, ev, acts)
+func (r recorder) Handled(now float64, event spool.Event, actions []spool.Action) {
+	r.edge.journal.Handled(now, event, actions)
 }
 
-func (r recorder) SettingsChanged(now float64, s *config.Settings, acts []spool.Action) {
-	r.edge.journal.Settings(now, r.edge.nextVersion, func() string { return config.Print(s) }, acts)
+func (r recorder) SettingsChanged(now float64, settings *config.Settings, actions []spool.Action) {
+	r.edge.journal.Settings(now, r.edge.nextVersion, func() string { return config.Print(settings) }, actions)
 }
 
 // NewFromVersion makes a router that begins with a version. The router's own part of
 // the settings is in the version's already.
-func NewFromVersion(u *configversion.Activate, log *AccessLog) (*Edge, error) {
-	return newFromVersion(u, nil, log, nil)
+func NewFromVersion(version *configversion.Activate, log *AccessLog) (*Edge, error) {
+	return newFromVersion(version, nil, log, nil)
 }
 
 // newFromVersion makes a router that begins with a version or, where that is nil, with
-// settings of its own, and takes over from in unless that is nil.
-func newFromVersion(u *configversion.Activate, own *config.Settings, log *AccessLog, in *hotrestart.Inherited) (*Edge, error) {
-	if u == nil {
-		return newEdge(own, log, in)
+// settings of its local, and takes over from inherited unless that is nil.
+func newFromVersion(version *configversion.Activate, local *config.Settings, log *AccessLog, inherited *hotrestart.Inherited) (*Edge, error) {
+	if version == nil {
+		return newEdge(local, log, inherited)
 	}
-	e, err := newEdge(u.Settings, log, in)
+	e, err := newEdge(version.Settings, log, inherited)
 	if err == nil {
-		e.version, e.listedFor = u.Version.Number, u.ListedFor
+		e.version, e.listedFor = version.Version.Number, version.ListedFor
 	}
 	return e, err
 }
@@ -220,8 +222,8 @@
 		e.successor.Close()
 	}
 	if e.journal != nil {
-		if jerr := e.journal.Close(); jerr != nil {
-			e.log.Log.Error("journal", zap.Error(jerr))
+		if journalErr := e.journal.Close(); journalErr != nil {
+			e.log.Log.Error("journal", zap.Error(journalErr))
 		}
 	}
 	if e.stopWatch != nil {
@@ -339,18 +341,18 @@
 
 // addClient takes a client's connection, unless as many are there as may be: then it is
 // told so, and closed.
-func (e *Edge) addClient(fd int, from netip.Addr, answer bool) *clientConn {
+func (e *Edge) addClient(fd int, addr netip.Addr, respond bool) *clientConn {
 	guard := e.guard
 	cause := limits.None
 	switch {
-	case guard.connectionsOf[from] >= e.settings.Limits.PerAddress:
+	case guard.connectionsOf[addr] >= e.settings.Limits.PerAddress:
 		cause = limits.PerAddress
 	case guard.connectionsFull():
 		cause = limits.Descriptors
 	case guard.memory.Full() && !guard.closeIdle(limits.Memory):
 		cause = limits.Memory
 	}
-	client := &clientConn{edge: e, fd: fd, addr: from, addrText: from.String(), schedulerClass: len(guard.classIndex)}
+	client := &clientConn{edge: e, fd: fd, addr: addr, addrText: addr.String(), schedulerClass: len(guard.classIndex)}
 	client.idleTimer.F = client.onIdleTimer
 	if cause == limits.None {
 		unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
@@ -364,15 +366,15 @@
 	if cause != limits.None {
 		guard.counts[cause]++
 		e.stats.Refused++
-		if answer {
-			e.writeBeforeClose(fd, busyAnswer)
+		if respond {
+			e.writeBeforeClose(fd, busyResponse)
 			e.loop.Read(fd, e.scratch) // what is unread when it is closed would take the answer from it
 		}
 		unix.Close(fd)
 		return nil
 	}
 	e.clients[client] = struct{}{}
-	guard.connectionsOf[from]++
+	guard.connectionsOf[addr]++
 	guard.memory.Add(limits.Connections, clientBytes)
 	guard.idleClients.push(client, e.loop.Now())
 	e.loop.Arm(&client.idleTimer, e.settings.Limits.ClientIdle)
@@ -380,8 +382,8 @@
 }
 
 // addressOf is a peer's address, without its port.
-func addressOf(sa unix.Sockaddr) netip.Addr {
-	switch a := sa.(type) {
+func addressOf(sockaddr unix.Sockaddr) netip.Addr {
+	switch a := sockaddr.(type) {
 	case *unix.SockaddrInet4:
 		return netip.AddrFrom4(a.Addr)
 	case *unix.SockaddrInet6:
@@ -404,27 +406,27 @@
 }
 
 func (e *Edge) startTimer(in float64, token int64) {
-	var w *moduleTimer
+	var timer *moduleTimer
 	if n := len(e.freeTimers); n > 0 {
-		w, e.freeTimers = e.freeTimers[n-1], e.freeTimers[:n-1]
+		timer, e.freeTimers = e.freeTimers[n-1], e.freeTimers[:n-1]
 	} else {
-		w = &moduleTimer{edge: e}
-		w.timer.F = w.fire
+		timer = &moduleTimer{edge: e}
+		timer.timer.F = timer.fire
 	}
-	w.token = token
-	e.loop.Arm(&w.timer, in)
+	timer.token = token
+	e.loop.Arm(&timer.timer, in)
 }
 
 // dispatch gives the module an event and carries out its actions; events that come
 // of these wait their turn.
-func (e *Edge) dispatch(ev spool.Event) {
+func (e *Edge) dispatch(event spool.Event) {
 	if e.dispatching {
-		e.pendingEvents = append(e.pendingEvents, ev)
+		e.pendingEvents = append(e.pendingEvents, event)
 		return
 	}
 	e.dispatching = true
 	for {
-		e.actions = e.core.Handle(e.loop.Now(), ev, e.actions[:0])
+		e.actions = e.core.Handle(e.loop.Now(), event, e.actions[:0])
 		for i := range e.actions {
 			e.execute(e.actions[i])
 		}
@@ -432,7 +434,7 @@
 		if len(e.pendingEvents) == 0 {
 			break
 		}
-		ev = e.pendingEvents[0]
+		event = e.pendingEvents[0]
 		if e.pendingEvents = e.pendingEvents[1:]; len(e.pendingEvents) == 0 {
 			e.pendingEvents = nil
 		}
@@ -441,8 +443,8 @@
 }
 
 // execute does what the module wants done.
-func (e *Edge) execute(a spool.Action) {
-	switch a := a.(type) {
+func (e *Edge) execute(action spool.Action) {
+	switch a := action.(type) {
 	case spool.Send:
 		e.sendAttempt(&a)
 	case spool.Refuse:
@@ -512,16 +514,16 @@
 	p.finish(false)
 }
 
-func (e *Edge) probeDone(p spool.Probed) {
+func (e *Edge) probeDone(probed spool.Probed) {
 	if e.observeProbe != nil {
-		e.observeProbe(p)
+		e.observeProbe(probed)
 	}
-	e.dispatch(p)
+	e.dispatch(probed)
 }
 
 func (p *prober) OnReady(eventloop.Ready) {
-	soerr, err := unix.GetsockoptInt(p.fd, unix.SOL_SOCKET, unix.SO_ERROR)
-	p.finish(err == nil && soerr == 0)
+	socketErr, err := unix.GetsockoptInt(p.fd, unix.SOL_SOCKET, unix.SO_ERROR)
+	p.finish(err == nil && socketErr == 0)
 }
 
 func (p *prober) finish(ok bool) {
@@ -534,10 +536,10 @@
 }
 
 // applyUpdate applies a line of the list service, or the settings' members.
-func (e *Edge) applyUpdate(n *engine.Update) engine.ApplyResult {
-	a := e.core.Apply(e.loop.Now(), n)
-	for _, ev := range a.Events {
-		switch ev := ev.(type) {
+func (e *Edge) applyUpdate(update *engine.Update) engine.ApplyResult {
+	result := e.core.Apply(e.loop.Now(), update)
+	for _, event := range result.Events {
+		switch ev := event.(type) {
 		case spool.Members:
 			e.dispatch(ev)
 			e.abandonDrained()
@@ -551,48 +553,48 @@
 			e.purgePages(ev)
 		}
 	}
-	return a
+	return result
 }
 
 // abandonDrained closes unused connections to members that take nothing new, and
 // takes back attempts there that have not been written yet: the wait for a
 // connection must not outlast the grace. The module makes them anew elsewhere.
 func (e *Edge) abandonDrained() {
-	out := func(id string) bool {
+	drained := func(id string) bool {
 		m, ok := e.core.Member(id)
 		return ok && m.State != spool.Serving
 	}
 	for address, pool := range e.pools {
-		if out(pool.member) {
+		if drained(pool.member) {
 			pool.closeIdle()
 		}
 		if len(pool.connections)+len(pool.waiting) == 0 && e.core.Address(pool.member) != address {
 			delete(e.pools, address) // of an earlier start of the member
 		}
 	}
-	e.abandonUnwritten(func(t *upstreamAttempt) bool { return out(t.cache) || t.source != t.cache && out(t.source) })
+	e.abandonUnwritten(func(t *upstreamAttempt) bool { return drained(t.cache) || t.source != t.cache && drained(t.source) })
 }
 
 // abandonPurged takes back attempts for what was purged that have not been written
 // yet: the age that they state was settled before the purge.
-func (e *Edge) abandonPurged(p spool.Purge) {
+func (e *Edge) abandonPurged(purge spool.Purge) {
 	e.abandonUnwritten(func(t *upstreamAttempt) bool {
-		return t.request.spec.Object == p.Object || p.Object == "" && t.request.spec.Group == p.Group
+		return t.request.spec.Object == purge.Object || purge.Object == "" && t.request.spec.Group == purge.Group
 	})
 }
 
-func (e *Edge) abandonUnwritten(which func(*upstreamAttempt) bool) {
-	var back []*upstreamAttempt
-	for _, r := range e.requests {
-		for _, t := range r.attempts {
-			if !t.done && !t.written && which(t) {
-				back = append(back, t)
+func (e *Edge) abandonUnwritten(match func(*upstreamAttempt) bool) {
+	var unwritten []*upstreamAttempt
+	for _, request := range e.requests {
+		for _, attempt := range request.attempts {
+			if !attempt.done && !attempt.written && match(attempt) {
+				unwritten = append(unwritten, attempt)
 			}
 		}
 	}
-	for _, t := range back {
-		t.detach()
-		t.finish(spool.NotSent, spool.NoteNone, false)
+	for _, attempt := range unwritten {
+		attempt.detach()
+		attempt.finish(spool.NotSent, spool.NoteNone, false)
 	}
 }
 
--- a/internal/proxy/httpfront/edge_test.go
+++ b/internal/proxy/httpfront/edge_test.go
@@ -23,16 +23,16 @@
 
 // testRig is a router with stand-ins around it, all in this process.
 type testRig struct {
-	t       testing.TB
-	e       *Edge
-	tap     *trafficlog.Writer
-	list    *testserver.List
-	boxes   map[string]*testserver.Server
-	origin  *testserver.Server
-	log     *bytes.Buffer
-	logMu   sync.Mutex
-	done    chan error
-	stopped bool
+	t           testing.TB
+	edge        *Edge
+	records     *trafficlog.Writer
+	listService *testserver.List
+	caches      map[string]*testserver.Server
+	origin      *testserver.Server
+	log         *bytes.Buffer
+	logMu       sync.Mutex
+	done        chan error
+	stopped     bool
 }
 
 type lockedWriter struct {
@@ -48,10 +48,10 @@
 
 var testClasses = []testserver.Class{{Name: "still", KB: 4}, {Name: "film", KB: 200}, {Name: "order", Write: true, Window: 2000}}
 
-// testPages is more settings of a rig.
-var testPages string
+// extraSettings is more settings of a rig.
+var extraSettings string
 
-const testRouter = `
+const routerSettings = `
 (router (name e1) (zone z) (listen "127.0.0.1:0") (admin "127.0.0.1:0") (list "%s"))
 (zone z (routers 1))
 (limits (linger 200) (connect 150) %s)
@@ -66,37 +66,37 @@
 `
 
 func newRig(t testing.TB, boxes int, limits string) *testRig {
-	rig := &testRig{t: t, tap: trafficlog.NewWriter(nil), boxes: map[string]*testserver.Server{}, log: &bytes.Buffer{}, done: make(chan error, 1)}
+	rig := &testRig{t: t, records: trafficlog.NewWriter(nil), caches: map[string]*testserver.Server{}, log: &bytes.Buffer{}, done: make(chan error, 1)}
 	var err error
-	if rig.list, err = testserver.StartList(testserver.ListConfig{ID: "list"}, rig.tap); err != nil {
+	if rig.listService, err = testserver.StartList(testserver.ListConfig{ID: "list"}, rig.records); err != nil {
 		t.Fatal(err)
 	}
 	rig.origin = rig.start(testserver.Config{ID: "o", Role: "origin"})
-	rig.set("o", "origin", "", "serving", rig.origin.Addr())
-	p := rig.start(testserver.Config{ID: "p", Role: "parent", Upstream: rig.origin.Addr()})
-	rig.set("p", "parent", "", "serving", p.Addr())
+	rig.setMember("o", "origin", "", "serving", rig.origin.Addr())
+	parent := rig.start(testserver.Config{ID: "p", Role: "parent", Upstream: rig.origin.Addr()})
+	rig.setMember("p", "parent", "", "serving", parent.Addr())
 	for i := range boxes {
 		id := fmt.Sprintf("b%d", i)
-		rig.boxes[id] = rig.start(testserver.Config{ID: id, Role: "box"})
-		rig.set(id, "box", "z", "serving", rig.boxes[id].Addr())
+		rig.caches[id] = rig.start(testserver.Config{ID: id, Role: "box"})
+		rig.setMember(id, "box", "z", "serving", rig.caches[id].Addr())
 	}
-	var s config.Settings
-	if err := config.Read("test.edn", fmt.Sprintf(testRouter, rig.list.Addr(), limits)+testPages, &s); err != nil {
+	var settings config.Settings
+	if err := config.Read("test.edn", fmt.Sprintf(routerSettings, rig.listService.Addr(), limits)+extraSettings, &settings); err != nil {
 		t.Fatal(err)
 	}
 	log := newAccessLog(lockedWriter{&rig.logMu, rig.log}, 1000, "info")
-	if rig.e, err = New(&s, log); err != nil {
+	if rig.edge, err = New(&settings, log); err != nil {
 		t.Fatal(err)
 	}
-	go func() { rig.done <- rig.e.Run() }()
+	go func() { rig.done <- rig.edge.Run() }()
 	t.Cleanup(func() {
 		rig.stop()
-		for _, b := range rig.boxes {
-			b.Kill()
+		for _, cache := range rig.caches {
+			cache.Kill()
 		}
-		p.Kill()
+		parent.Kill()
 		rig.origin.Kill()
-		rig.list.Close()
+		rig.listService.Close()
 		log.Close()
 		if t.Failed() {
 			rig.logMu.Lock()
@@ -104,27 +104,27 @@
 			rig.logMu.Unlock()
 		}
 	})
-	rig.waitFor("the list", func(st *Stats, c *engine.Core) bool { return c.Rev() >= int64(boxes+2) })
+	rig.waitFor("the list", func(stats *Stats, core *engine.Core) bool { return core.Rev() >= int64(boxes+2) })
 	return rig
 }
 
 func (r *testRig) start(c testserver.Config) *testserver.Server {
 	c.Flow, c.Classes, c.FillWait = 100, testClasses, 1000
-	s, err := testserver.Start(c, r.tap)
+	s, err := testserver.Start(c, r.records)
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	return s
 }
 
-func (r *testRig) set(id, kind, zone, state, addr string) {
-	r.list.Set(engine.Row{ID: id, Kind: kind, Zone: zone, State: state, Address: addr}, 0)
+func (r *testRig) setMember(id, kind, zone, state, addr string) {
+	r.listService.Set(engine.Row{ID: id, Kind: kind, Zone: zone, State: state, Address: addr}, 0)
 }
 
 func (r *testRig) stop() {
 	if !r.stopped {
 		r.stopped = true
-		r.e.Stop()
+		r.edge.Stop()
 		if err := <-r.done; err != nil {
 			r.t.Error(err)
 		}
@@ -135,7 +135,7 @@
 	r.t.Helper()
 	for range 500 {
 		good := false
-		if err := r.e.Query(func(s *Stats, c *engine.Core) { good = ok(s, c) }); err != nil {
+		if err := r.edge.Query(func(s *Stats, c *engine.Core) { good = ok(s, c) }); err != nil {
 			r.t.Fatal(err)
 		}
 		if good {
@@ -147,7 +147,7 @@
 }
 
 func (r *testRig) dial() net.Conn {
-	c, err := net.Dial("tcp", r.e.Addr())
+	c, err := net.Dial("tcp", r.edge.Addr())
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -156,8 +156,8 @@
 	return c
 }
 
-// talk sends text and reads all that comes until the router closes.
-func (r *testRig) talk(text string) string {
+// exchange sends text and reads all that comes until the router closes.
+func (r *testRig) exchange(text string) string {
 	c := r.dial()
 	io.WriteString(c, text)
 	b, _ := io.ReadAll(c)
@@ -165,7 +165,7 @@
 }
 
 func (r *testRig) get(path string) (*http.Response, []byte, error) {
-	req, _ := http.NewRequest("GET", "http://"+r.e.Addr()+path, nil)
+	req, _ := http.NewRequest("GET", "http://"+r.edge.Addr()+path, nil)
 	res, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(req)
 	if err != nil {
 		return nil, nil, err
@@ -175,8 +175,8 @@
 	return res, b, err
 }
 
-func (r *testRig) count(f func(trafficlog.Record) bool) (n int) {
-	for _, rec := range r.tap.Records() {
+func (r *testRig) countRecords(f func(trafficlog.Record) bool) (n int) {
+	for _, rec := range r.records.Records() {
 		if f(rec) {
 			n++
 		}
@@ -202,7 +202,7 @@
 			}
 		}
 	}
-	if n := rig.count(func(x trafficlog.Record) bool { return x.Ev == trafficlog.Recv && x.Role == "origin" }); n != 2 {
+	if n := rig.countRecords(func(x trafficlog.Record) bool { return x.Ev == trafficlog.Recv && x.Role == "origin" }); n != 2 {
 		t.Errorf("the origin was asked %d times, want 2", n)
 	}
 }
@@ -210,17 +210,17 @@
 // HEAD has the head of GET and no body; the connection goes on.
 func TestHeadAndKeepAlive(t *testing.T) {
 	rig := newRig(t, 2, "")
-	c := rig.dial()
-	br := bufio.NewReader(c)
-	for i, m := range []string{"GET", "HEAD", "GET"} {
-		fmt.Fprintf(c, "%s /s/1/a HTTP/1.1\r\nHost: h\r\n\r\n", m)
-		req, _ := http.NewRequest(m, "/", nil)
-		res, err := http.ReadResponse(br, req)
+	conn := rig.dial()
+	reader := bufio.NewReader(conn)
+	for i, method := range []string{"GET", "HEAD", "GET"} {
+		fmt.Fprintf(conn, "%s /s/1/a HTTP/1.1\r\nHost: h\r\n\r\n", method)
+		req, _ := http.NewRequest(method, "/", nil)
+		res, err := http.ReadResponse(reader, req)
 		if err != nil {
 			t.Fatalf("answer %d: %v", i, err)
 		}
 		b, err := io.ReadAll(res.Body)
-		if err != nil || res.StatusCode != 200 || res.ContentLength <= 0 || m == "HEAD" && len(b) > 0 || m == "GET" && len(b) == 0 {
+		if err != nil || res.StatusCode != 200 || res.ContentLength <= 0 || method == "HEAD" && len(b) > 0 || method == "GET" && len(b) == 0 {
 			t.Fatalf("answer %d: %d, length %d, %d bytes, %v", i, res.StatusCode, res.ContentLength, len(b), err)
 		}
 	}
@@ -230,11 +230,11 @@
 // answered in its turn, and ends the connection.
 func TestPipelinedBurst(t *testing.T) {
 	rig := newRig(t, 2, "")
-	got := rig.talk("GET /s/1/a HTTP/1.1\r\nHost: h\r\n\r\nGET /s/1/b HTTP/1.1\r\nHost: h\r\n\r\n" +
+	got := rig.exchange("GET /s/1/a HTTP/1.1\r\nHost: h\r\n\r\nGET /s/1/b HTTP/1.1\r\nHost: h\r\n\r\n" +
 		"GET /s/1/c HTTP/1.1\r\nHost : h\r\n\r\nGET /s/1/d HTTP/1.1\r\nHost: h\r\n\r\n")
-	br := bufio.NewReader(strings.NewReader(got))
+	reader := bufio.NewReader(strings.NewReader(got))
 	for i, want := range []int{200, 200, 400} {
-		res, err := http.ReadResponse(br, nil)
+		res, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			t.Fatalf("answer %d: %v", i, err)
 		}
@@ -248,14 +248,14 @@
 			}
 		}
 	}
-	if rest, _ := io.ReadAll(br); len(rest) > 0 {
+	if rest, _ := io.ReadAll(reader); len(rest) > 0 {
 		t.Errorf("after the fault came %q", rest)
 	}
 }
 
 func TestBadRequests(t *testing.T) {
 	rig := newRig(t, 1, "(head-time 300) (body 10)")
-	for _, c := range []struct{ name, in, want string }{
+	for _, test := range []struct{ name, in, want string }{
 		{"two lengths", "POST /o/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", "400"},
 		{"length and chunked", "POST /o/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "400"},
 		{"bare LF", "GET /s/1/a HTTP/1.1\nHost: h\n\n", "400"},
@@ -271,25 +271,25 @@
 		{"method", "PUT /s/1/a HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n", "405"},
 		{"no key", "POST /o/1 HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n", "400"},
 	} {
-		got := rig.talk(c.in)
-		if !strings.HasPrefix(got, "HTTP/1.1 "+c.want) || !strings.Contains(got, "Connection: close\r\n") {
-			t.Errorf("%s: answered %.80q, want %s and the connection closed", c.name, got, c.want)
+		got := rig.exchange(test.in)
+		if !strings.HasPrefix(got, "HTTP/1.1 "+test.want) || !strings.Contains(got, "Connection: close\r\n") {
+			t.Errorf("%s: answered %.80q, want %s and the connection closed", test.name, got, test.want)
 		}
 		if strings.Count(got, "HTTP/1.1 ") != 1 {
-			t.Errorf("%s: more than one answer: %q", c.name, got)
+			t.Errorf("%s: more than one answer: %q", test.name, got)
 		}
 	}
-	for _, c := range []struct{ in, detail, body string }{ // a 4xx says what is missing, and what to add
+	for _, test := range []struct{ in, detail, body string }{ // a 4xx says what is missing, and what to add
 		{"POST /o/1", "no-idempotency-key", "needs an Idempotency-Key: add the field"},
 		{"GET /nowhere", "no-route", "no route fits the path"},
 		{"GET /v/1/a/x", "bad-part", "write one, from 0"},
 		{"PUT /s/1/a", "bad-method", "does not take the method"},
 	} {
-		if got := rig.talk(c.in + " HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"); !strings.Contains(got, "detail="+c.detail+"\r\n") || !strings.Contains(got, c.body) {
-			t.Errorf("%s: %q lacks %s or %q", c.in, got, c.detail, c.body)
+		if got := rig.exchange(test.in + " HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"); !strings.Contains(got, "detail="+test.detail+"\r\n") || !strings.Contains(got, test.body) {
+			t.Errorf("%s: %q lacks %s or %q", test.in, got, test.detail, test.body)
 		}
 	}
-	if n := rig.count(func(x trafficlog.Record) bool { return x.Ev == trafficlog.Ran }); n > 0 {
+	if n := rig.countRecords(func(x trafficlog.Record) bool { return x.Ev == trafficlog.Ran }); n > 0 {
 		t.Errorf("%d of these ran at the origin", n)
 	}
 }
@@ -297,24 +297,24 @@
 // A write goes to the origin and runs once; the client that waits for 100 gets it.
 func TestWrite(t *testing.T) {
 	rig := newRig(t, 1, "")
-	c := rig.dial()
-	fmt.Fprintf(c, "POST /o/1 HTTP/1.1\r\nHost: h\r\nIdempotency-Key: k1\r\nContent-Length: 5\r\nExpect: 100-continue\r\nConnection: close\r\n\r\n")
-	br := bufio.NewReader(c)
-	if line, err := br.ReadString('\n'); err != nil || !strings.Contains(line, " 100 ") {
+	conn := rig.dial()
+	fmt.Fprintf(conn, "POST /o/1 HTTP/1.1\r\nHost: h\r\nIdempotency-Key: k1\r\nContent-Length: 5\r\nExpect: 100-continue\r\nConnection: close\r\n\r\n")
+	reader := bufio.NewReader(conn)
+	if line, err := reader.ReadString('\n'); err != nil || !strings.Contains(line, " 100 ") {
 		t.Fatal(line, err)
 	}
-	br.ReadString('\n')
-	io.WriteString(c, "hello")
-	res, err := http.ReadResponse(br, nil)
+	reader.ReadString('\n')
+	io.WriteString(conn, "hello")
+	res, err := http.ReadResponse(reader, nil)
 	if err != nil || res.StatusCode != 200 {
 		t.Fatal(res, err)
 	}
 	ran := 0
-	for _, x := range rig.tap.Records() {
-		if x.Ev == trafficlog.Ran {
+	for _, record := range rig.records.Records() {
+		if record.Ev == trafficlog.Ran {
 			ran++
-			if x.Key != "k1" || x.Bytes != 5 {
-				t.Errorf("ran as %+v", x)
+			if record.Key != "k1" || record.Bytes != 5 {
+				t.Errorf("ran as %+v", record)
 			}
 		}
 	}
@@ -333,7 +333,7 @@
 			if _, _, err := rig.get("/s/1/a"); err != nil { // so that one of them holds it
 				t.Fatal(err)
 			}
-			for _, b := range rig.boxes {
+			for _, b := range rig.caches {
 				b.Fault(testserver.Fault{Kind: kind, For: 60000})
 			}
 			cut := 0
@@ -357,13 +357,13 @@
 // A client that has gone is told of, and its attempt called back.
 func TestClientGone(t *testing.T) {
 	rig := newRig(t, 1, "")
-	for _, b := range rig.boxes {
+	for _, b := range rig.caches {
 		b.Fault(testserver.Fault{Kind: testserver.Hang, For: 60000})
 	}
-	c := rig.dial()
-	io.WriteString(c, "GET /s/1/a HTTP/1.1\r\nHost: h\r\n\r\n")
+	conn := rig.dial()
+	io.WriteString(conn, "GET /s/1/a HTTP/1.1\r\nHost: h\r\n\r\n")
 	rig.waitFor("the attempt", func(s *Stats, _ *engine.Core) bool { return s.Held == 1 })
-	c.Close()
+	conn.Close()
 	rig.waitFor("the end of it", func(s *Stats, _ *engine.Core) bool { return s.Held == 0 && s.Gone == 1 && s.Connections == 0 })
 }
 
@@ -371,24 +371,24 @@
 // it gets all of it in the end.
 func TestBackpressure(t *testing.T) {
 	rig := newRig(t, 1, "(buffer 65536)")
-	c := rig.dial().(*net.TCPConn)
-	c.SetReadBuffer(4096)
+	conn := rig.dial().(*net.TCPConn)
+	conn.SetReadBuffer(4096)
 	const path = "/v/1/long/0"
 	for range 2 {
 		if _, _, err := rig.get(path); err != nil {
 			t.Fatal(err)
 		}
 	}
-	io.WriteString(c, "GET "+path+" HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
+	io.WriteString(conn, "GET "+path+" HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
 	time.Sleep(300 * time.Millisecond)
-	rig.e.Query(func(*Stats, *engine.Core) {
-		for cl := range rig.e.clients {
-			if n := cl.output.Len(); n > 65536+len(rig.e.scratch) {
-				t.Errorf("%d bytes wait for a slow client", n)
+	rig.edge.Query(func(*Stats, *engine.Core) {
+		for client := range rig.edge.clients {
+			if waiting := client.output.Len(); waiting > 65536+len(rig.edge.scratch) {
+				t.Errorf("%d bytes wait for a slow client", waiting)
 			}
 		}
 	})
-	res, err := http.ReadResponse(bufio.NewReader(c), nil)
+	res, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -403,19 +403,19 @@
 
 // A box that is told to drain gets nothing new, with requests in flight and
 // with connections idle; what it has in hand is finished.
-func TestDrainedBox(t *testing.T) {
+func TestDrainedCache(t *testing.T) {
 	rig := newRig(t, 2, "")
 	for i := range 20 {
 		if _, _, err := rig.get(fmt.Sprintf("/s/1/x%d", i)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	before := rig.e.core.Rev()
-	rig.set("b0", "box", "z", "draining", rig.boxes["b0"].Addr())
+	before := rig.edge.core.Rev()
+	rig.setMember("b0", "box", "z", "draining", rig.caches["b0"].Addr())
 	rig.waitFor("the drain", func(_ *Stats, c *engine.Core) bool { return c.Rev() > before })
 	told := trafficlog.Now()
-	rig.e.Query(func(*Stats, *engine.Core) {
-		if p := rig.e.pools[rig.boxes["b0"].Addr()]; p != nil && len(p.idle) > 0 {
+	rig.edge.Query(func(*Stats, *engine.Core) {
+		if p := rig.edge.pools[rig.caches["b0"].Addr()]; p != nil && len(p.idle) > 0 {
 			t.Errorf("%d idle connections to a draining box are kept", len(p.idle))
 		}
 	})
@@ -424,7 +424,7 @@
 			t.Fatal(res, err)
 		}
 	}
-	if n := rig.count(func(x trafficlog.Record) bool {
+	if n := rig.countRecords(func(x trafficlog.Record) bool {
 		return x.Ev == trafficlog.Recv && (x.Who == "b0" || x.Src == "b0") && x.T > told
 	}); n > 0 {
 		t.Errorf("%d attempts to a box that drains", n)
@@ -436,7 +436,7 @@
 	rig := newRig(t, 2, "")
 	rig.get("/s/5/a")
 	made := rig.origin.Purge("/s/5/a", 5, 0)
-	rig.list.Purge("/s/5/a", 5, made)
+	rig.listService.Purge("/s/5/a", 5, made)
 	time.Sleep(300 * time.Millisecond)
 	res, body, err := rig.get("/s/5/a")
 	if err != nil {
@@ -449,20 +449,20 @@
 
 // The list's stream is cut in a line, and comes back with an older version: the
 // drain that was told stays in force.
-func TestListCutAndSetBack(t *testing.T) {
+func TestListStreamCutAndReset(t *testing.T) {
 	rig := newRig(t, 2, "(list-backoff 20)")
-	rig.set("b0", "box", "z", "draining", rig.boxes["b0"].Addr())
+	rig.setMember("b0", "box", "z", "draining", rig.caches["b0"].Addr())
 	drained := func(_ *Stats, c *engine.Core) bool { m, _ := c.Member("b0"); return m.State != 0 }
 	rig.waitFor("the drain", drained)
-	rig.list.SetBack(2)
-	rig.list.Cut("")
-	rig.waitFor("the cut", func(*Stats, *engine.Core) bool { return rig.e.listState.Load() != "following" })
+	rig.listService.SetBack(2)
+	rig.listService.Cut("")
+	rig.waitFor("the cut", func(*Stats, *engine.Core) bool { return rig.edge.listState.Load() != "following" })
 	time.Sleep(100 * time.Millisecond)
-	rig.list.SetBack(0)
-	rig.waitFor("the stream", func(*Stats, *engine.Core) bool { return rig.e.listState.Load() == "following" })
+	rig.listService.SetBack(0)
+	rig.waitFor("the stream", func(*Stats, *engine.Core) bool { return rig.edge.listState.Load() == "following" })
 	rig.waitFor("the drain to hold", drained)
-	rig.set("b0", "box", "z", "serving", rig.boxes["b0"].Addr())
-	rig.list.Cut("") // a router that passed over old news asks for the whole list again
+	rig.setMember("b0", "box", "z", "serving", rig.caches["b0"].Addr())
+	rig.listService.Cut("") // a router that passed over old news asks for the whole list again
 	rig.waitFor("the box to be back", func(_ *Stats, c *engine.Core) bool { m, _ := c.Member("b0"); return m.State == 0 })
 }
 
@@ -471,13 +471,13 @@
 func TestDrain(t *testing.T) {
 	rig := newRig(t, 1, "")
 	idle := rig.dial()
-	for _, b := range rig.boxes {
+	for _, b := range rig.caches {
 		b.Fault(testserver.Fault{Kind: testserver.Hang, For: 300})
 	}
 	busy := rig.dial()
 	io.WriteString(busy, "GET /s/1/a HTTP/1.1\r\nHost: h\r\n\r\n")
 	rig.waitFor("the request", func(s *Stats, _ *engine.Core) bool { return s.Held == 1 && s.Connections == 2 })
-	rig.e.Drain()
+	rig.edge.Drain()
 	if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("an idle connection: %v, want its end", err)
 	}
@@ -490,7 +490,7 @@
 	if err := <-rig.done; err != nil {
 		t.Error(err)
 	}
-	if _, err := net.DialTimeout("tcp", rig.e.Addr(), time.Second); err == nil {
+	if _, err := net.DialTimeout("tcp", rig.edge.Addr(), time.Second); err == nil {
 		t.Error("connections are still accepted")
 	}
 }
@@ -499,7 +499,7 @@
 	rig := newRig(t, 1, "")
 	rig.get("/s/1/a")
 	do := func(method, path string) (int, string) {
-		req, _ := http.NewRequest(method, "http://"+rig.e.AdminAddr()+path, nil)
+		req, _ := http.NewRequest(method, "http://"+rig.edge.AdminAddr()+path, nil)
 		res, err := http.DefaultClient.Do(req)
 		if err != nil {
 			t.Fatal(err)
@@ -540,8 +540,8 @@
 	}()
 	rig.waitFor("the fill", func(s *Stats, _ *engine.Core) bool { return s.Held == 1 })
 	made := rig.origin.Purge(path, 5, 0)
-	rig.list.Purge(path, 5, made)
-	for _, b := range rig.boxes {
+	rig.listService.Purge(path, 5, made)
+	for _, b := range rig.caches {
 		b.Purge(path, 5, made)
 	}
 	if v := <-first; !strings.HasPrefix(v, "v=") {
@@ -562,36 +562,36 @@
 // Connections that ask once and then nothing hold no buffer; requests are
 // served beside them, and all of them are closed after their time.
 func TestTenThousandIdle(t *testing.T) {
-	n := 10_000
+	conns := 10_000
 	var limit unix.Rlimit
 	unix.Getrlimit(unix.RLIMIT_NOFILE, &limit)
-	if most := int(limit.Cur)/2 - 200; most < n {
-		n = most
-		t.Logf("only %d connections: no more descriptors may be open", n)
+	if most := int(limit.Cur)/2 - 200; most < conns {
+		conns = most
+		t.Logf("only %d connections: no more descriptors may be open", conns)
 	}
 	rig := newRig(t, 1, "(client-idle 6000) (connections-per-address 20000)")
 	rig.get("/s/1/a")
-	to, _ := net.ResolveTCPAddr("tcp4", rig.e.Addr())
-	sa := &unix.SockaddrInet4{Port: to.Port, Addr: [4]byte(to.IP.To4())}
-	for i := range n {
+	addr, _ := net.ResolveTCPAddr("tcp4", rig.edge.Addr())
+	sockaddr := &unix.SockaddrInet4{Port: addr.Port, Addr: [4]byte(addr.IP.To4())}
+	for i := range conns {
 		fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { unix.Close(fd) })
-		if err := unix.Connect(fd, sa); err != nil {
+		if err := unix.Connect(fd, sockaddr); err != nil {
 			t.Fatalf("connection %d: %v", i, err)
 		}
 	}
-	rig.waitFor("the connections", func(s *Stats, _ *engine.Core) bool { return s.Connections >= uint64(n) })
+	rig.waitFor("the connections", func(s *Stats, _ *engine.Core) bool { return s.Connections >= uint64(conns) })
 	for i := range 20 {
 		if res, _, err := rig.get(fmt.Sprintf("/s/1/x%d", i)); err != nil || res.StatusCode != 200 {
 			t.Fatal(res, err)
 		}
 	}
 	held := 0
-	rig.e.Query(func(*Stats, *engine.Core) {
-		for c := range rig.e.clients {
+	rig.edge.Query(func(*Stats, *engine.Core) {
+		for c := range rig.edge.clients {
 			held += cap(c.unparsed) + c.output.Cap()
 		}
 	})
@@ -601,7 +601,7 @@
 	for range 40 { // they idle for 6 s
 		time.Sleep(500 * time.Millisecond)
 		left := uint64(1)
-		rig.e.Query(func(s *Stats, _ *engine.Core) { left = s.Connections })
+		rig.edge.Query(func(s *Stats, _ *engine.Core) { left = s.Connections })
 		if left == 0 {
 			return
 		}
@@ -613,7 +613,7 @@
 // anew: they do not reach it later.
 func TestDrainWhileConnecting(t *testing.T) {
 	rig := newRig(t, 2, "(upstream 1)")
-	for _, b := range rig.boxes {
+	for _, b := range rig.caches {
 		b.Fault(testserver.Fault{Kind: testserver.Hang, For: 800})
 	}
 	var wg sync.WaitGroup
@@ -621,46 +621,46 @@
 		wg.Go(func() { rig.get(fmt.Sprintf("/s/1/w%d", i)) })
 	}
 	rig.waitFor("attempts that wait", func(*Stats, *engine.Core) bool {
-		p := rig.e.pools[rig.boxes["b0"].Addr()]
+		p := rig.edge.pools[rig.caches["b0"].Addr()]
 		return p != nil && len(p.waiting) > 0
 	})
-	rig.set("b0", "box", "z", "draining", rig.boxes["b0"].Addr())
+	rig.setMember("b0", "box", "z", "draining", rig.caches["b0"].Addr())
 	rig.waitFor("the drain", func(_ *Stats, c *engine.Core) bool { m, _ := c.Member("b0"); return m.State != 0 })
 	told := trafficlog.Now()
-	rig.e.Query(func(*Stats, *engine.Core) {
-		if p := rig.e.pools[rig.boxes["b0"].Addr()]; p != nil && len(p.waiting) > 0 {
+	rig.edge.Query(func(*Stats, *engine.Core) {
+		if p := rig.edge.pools[rig.caches["b0"].Addr()]; p != nil && len(p.waiting) > 0 {
 			t.Errorf("%d attempts still wait for a box that drains", len(p.waiting))
 		}
 	})
 	wg.Wait()
-	if n := rig.count(func(x trafficlog.Record) bool { return x.Ev == trafficlog.Recv && x.Who == "b0" && x.T > told+50 }); n > 0 {
+	if n := rig.countRecords(func(x trafficlog.Record) bool { return x.Ev == trafficlog.Recv && x.Who == "b0" && x.T > told+50 }); n > 0 {
 		t.Errorf("%d attempts reached the box after it was told to drain", n)
 	}
 }
 
 // An attempt that may leave only within a time, and waits for a connection for longer,
 // does not leave.
-func TestLeavesInTimeOrNotAtAll(t *testing.T) {
+func TestSendWindowWhileWaiting(t *testing.T) {
 	rig := newRig(t, 1, "(upstream 1)")
-	rig.boxes["b0"].Fault(testserver.Fault{Kind: testserver.Hang, For: 800})
+	rig.caches["b0"].Fault(testserver.Fault{Kind: testserver.Hang, For: 800})
 	var wg sync.WaitGroup
 	for i := range 3 {
 		wg.Go(func() { rig.get(fmt.Sprintf("/s/1/l%d", i)) })
 	}
 	rig.waitFor("attempts that wait", func(*Stats, *engine.Core) bool {
-		p := rig.e.pools[rig.boxes["b0"].Addr()]
+		p := rig.edge.pools[rig.caches["b0"].Addr()]
 		return p != nil && len(p.waiting) > 0
 	})
 	var bound *upstreamAttempt
-	rig.e.Query(func(*Stats, *engine.Core) {
-		for id, q := range rig.e.requests {
-			rig.e.sendAttempt(&spool.Send{ID: id, Cache: "b0", Source: "b0", Within: 50})
+	rig.edge.Query(func(*Stats, *engine.Core) {
+		for id, q := range rig.edge.requests {
+			rig.edge.sendAttempt(&spool.Send{ID: id, Cache: "b0", Source: "b0", Within: 50})
 			bound = q.attempts[len(q.attempts)-1]
 			return
 		}
 	})
 	time.Sleep(200 * time.Millisecond)
-	rig.e.Query(func(*Stats, *engine.Core) {
+	rig.edge.Query(func(*Stats, *engine.Core) {
 		if !bound.done || bound.written {
 			t.Errorf("after its time: done %v, written %v", bound.done, bound.written)
 		}
@@ -675,7 +675,7 @@
 	for i := range 12 {
 		rig.get(fmt.Sprintf("/s/1/p%d", i))
 	}
-	rig.boxes["b0"].Fault(testserver.Fault{Kind: testserver.Pauses, For: 300, Every: 1000, Length: 300})
+	rig.caches["b0"].Fault(testserver.Fault{Kind: testserver.Pauses, For: 300, Every: 1000, Length: 300})
 	var wg sync.WaitGroup
 	for i := range 12 {
 		wg.Go(func() {
@@ -692,7 +692,7 @@
 	leaver := rig.dial()
 	io.WriteString(leaver, "GET /s/1/p3 HTTP/1.1\r\nHost: h\r\n\r\n")
 	rig.waitFor("attempts that follow others", func(*Stats, *engine.Core) bool {
-		if p := rig.e.pools[rig.boxes["b0"].Addr()]; p != nil {
+		if p := rig.edge.pools[rig.caches["b0"].Addr()]; p != nil {
 			for u := range p.connections {
 				followed = max(followed, len(u.pipelined))
 			}
@@ -711,20 +711,20 @@
 // in two pieces, is read on once it is its turn.
 func TestLongPipelinedHead(t *testing.T) {
 	rig := newRig(t, 1, "(pipelined 2048) (head-time 2000)")
-	rig.boxes["b0"].Fault(testserver.Fault{Kind: testserver.Pauses, For: 200, Every: 1000, Length: 200})
-	c := rig.dial()
-	io.WriteString(c, "GET /s/1/a HTTP/1.1\r\nHost: h\r\n\r\n")
+	rig.caches["b0"].Fault(testserver.Fault{Kind: testserver.Pauses, For: 200, Every: 1000, Length: 200})
+	conn := rig.dial()
+	io.WriteString(conn, "GET /s/1/a HTTP/1.1\r\nHost: h\r\n\r\n")
 	rig.waitFor("the first", func(s *Stats, _ *engine.Core) bool { return s.Held == 1 })
-	io.WriteString(c, "GET /s/1/b HTTP/1.1\r\nHost: h\r\nX-Long: "+strings.Repeat("x", 6000))
-	br := bufio.NewReader(c)
+	io.WriteString(conn, "GET /s/1/b HTTP/1.1\r\nHost: h\r\nX-Long: "+strings.Repeat("x", 6000))
+	reader := bufio.NewReader(conn)
 	for i := range 2 {
-		res, err := http.ReadResponse(br, nil)
+		res, err := http.ReadResponse(reader, nil)
 		if err != nil || res.StatusCode != 200 {
 			t.Fatalf("answer %d: %v, %v", i, res, err)
 		}
 		io.Copy(io.Discard, res.Body)
 		if i == 0 {
-			io.WriteString(c, "x\r\n\r\n")
+			io.WriteString(conn, "x\r\n\r\n")
 		}
 	}
 }
@@ -734,7 +734,7 @@
 	rig := newRig(t, 2, "")
 	for round, want := range []string{"fwd=miss", "hit"} {
 		for part := range 3 {
-			req, _ := http.NewRequest("GET", "http://"+rig.e.Addr()+"/r/film", nil)
+			req, _ := http.NewRequest("GET", "http://"+rig.edge.Addr()+"/r/film", nil)
 			req.Header.Set("Range", fmt.Sprintf("bytes=%d-%d", part*16384, part*16384+16383))
 			res, err := http.DefaultClient.Do(req)
 			if err != nil {
@@ -752,8 +752,8 @@
 
 // A log that can't keep up holds nothing up: lines are dropped, counted and told.
 func TestLogNeverBlocks(t *testing.T) {
-	pr, pw := io.Pipe()
-	log := newAccessLog(pw, 16, "info")
+	pipeReader, pipeWriter := io.Pipe()
+	log := newAccessLog(pipeWriter, 16, "info")
 	done := make(chan struct{})
 	go func() {
 		for range 1000 {
@@ -769,43 +769,43 @@
 	if n := log.Dropped(); n < 900 {
 		t.Errorf("%d lines dropped, want nearly all", n)
 	}
-	var b bytes.Buffer
+	var written bytes.Buffer
 	read := make(chan struct{})
-	go func() { io.Copy(&b, pr); close(read) }()
+	go func() { io.Copy(&written, pipeReader); close(read) }()
 	log.Close()
-	pw.Close()
+	pipeWriter.Close()
 	<-read
-	if !strings.Contains(b.String(), `"msg":"log lines dropped"`) || strings.Count(b.String(), `"a line"`) < 16 {
-		t.Errorf("written: %s", b.String())
+	if !strings.Contains(written.String(), `"msg":"log lines dropped"`) || strings.Count(written.String(), `"a line"`) < 16 {
+		t.Errorf("written: %s", written.String())
 	}
 }
 
 // rawMember is a member that does with each connection what the test says.
 func (r *testRig) rawMember(serve func(net.Conn)) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	r.t.Cleanup(func() { ln.Close() })
+	r.t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				defer c.Close()
-				br := bufio.NewReader(c)
-				if _, err := http.ReadRequest(br); err == nil {
-					serve(c)
+				defer conn.Close()
+				reader := bufio.NewReader(conn)
+				if _, err := http.ReadRequest(reader); err == nil {
+					serve(conn)
 				}
 			}()
 		}
 	}()
 	before := int64(0)
-	r.e.Query(func(_ *Stats, c *engine.Core) { before = c.Rev() })
-	r.set("raw", "box", "z", "serving", ln.Addr().String())
-	r.waitFor("the member", func(_ *Stats, c *engine.Core) bool { return c.Rev() > before })
+	r.edge.Query(func(_ *Stats, conn *engine.Core) { before = conn.Rev() })
+	r.setMember("raw", "box", "z", "serving", listener.Addr().String())
+	r.waitFor("the member", func(_ *Stats, conn *engine.Core) bool { return conn.Rev() > before })
 }
 
 // The head goes to the client before any of the body has come; and when the
@@ -814,22 +814,22 @@
 	for _, framing := range []string{"Content-Length: 10", "Transfer-Encoding: chunked"} {
 		rig := newRig(t, 0, "")
 		proceed := make(chan struct{})
-		rig.rawMember(func(c net.Conn) {
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s\r\n\r\n", framing)
+		rig.rawMember(func(conn net.Conn) {
+			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s\r\n\r\n", framing)
 			<-proceed
-			c.(*net.TCPConn).SetLinger(0)
+			conn.(*net.TCPConn).SetLinger(0)
 		})
-		c := rig.dial()
-		io.WriteString(c, "GET /s/1/a HTTP/1.1\r\nHost: h\r\n\r\n")
-		br := bufio.NewReader(c)
-		c.SetReadDeadline(time.Now().Add(2 * time.Second))
-		if _, err := br.Peek(20); err != nil {
+		conn := rig.dial()
+		io.WriteString(conn, "GET /s/1/a HTTP/1.1\r\nHost: h\r\n\r\n")
+		reader := bufio.NewReader(conn)
+		conn.SetReadDeadline(time.Now().Add(2 * time.Second))
+		if _, err := reader.Peek(20); err != nil {
 			t.Fatalf("%s: no head while the body waits: %v", framing, err)
 		}
 		close(proceed)
 		rig.waitFor("the break", func(s *Stats, _ *engine.Core) bool { return s.Broken == 1 })
 		time.Sleep(20 * time.Millisecond) // the client reads only now
-		res, err := http.ReadResponse(br, nil)
+		res, err := http.ReadResponse(reader, nil)
 		if err != nil || res.StatusCode != 200 {
 			t.Fatalf("%s: the head is lost: %v", framing, err)
 		}
@@ -841,15 +841,15 @@
 
 // To a client of HTTP/1.0 a body without a length ends with the connection: one
 // that broke off is reset, so that its end can't pass for the answer's.
-func TestBrokenToOldClient(t *testing.T) {
+func TestBrokenAnswerToHTTP10Client(t *testing.T) {
 	rig := newRig(t, 0, "")
-	rig.rawMember(func(c net.Conn) {
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n")
+	rig.rawMember(func(conn net.Conn) {
+		io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n")
 		time.Sleep(50 * time.Millisecond)
 	})
-	c := rig.dial()
-	io.WriteString(c, "GET /s/1/a HTTP/1.0\r\n\r\n")
-	if b, err := io.ReadAll(c); err == nil {
+	conn := rig.dial()
+	io.WriteString(conn, "GET /s/1/a HTTP/1.0\r\n\r\n")
+	if b, err := io.ReadAll(conn); err == nil {
 		t.Errorf("read to a clean end: %q", b)
 	}
 }
@@ -858,7 +858,7 @@
 func TestDrainWithRequestInFlight(t *testing.T) {
 	rig := newRig(t, 1, "")
 	rig.get("/s/1/a")
-	rig.boxes["b0"].Fault(testserver.Fault{Kind: testserver.Pauses, For: 400, Every: 1000, Length: 400})
+	rig.caches["b0"].Fault(testserver.Fault{Kind: testserver.Pauses, For: 400, Every: 1000, Length: 400})
 	got := make(chan string, 1)
 	go func() {
 		res, _, err := rig.get("/s/1/a")
@@ -869,13 +869,13 @@
 		got <- res.Header.Get("Cache-Status")
 	}()
 	rig.waitFor("the attempt", func(s *Stats, _ *engine.Core) bool { return s.Held == 1 })
-	rig.set("b0", "box", "z", "draining", rig.boxes["b0"].Addr())
+	rig.setMember("b0", "box", "z", "draining", rig.caches["b0"].Addr())
 	rig.waitFor("the drain", func(_ *Stats, c *engine.Core) bool { m, _ := c.Member("b0"); return m.State != 0 })
 	if cs := <-got; cs != `"b0";hit` {
 		t.Errorf("the request in flight got %q", cs)
 	}
 	rig.waitFor("its connection's end", func(s *Stats, _ *engine.Core) bool {
-		p := rig.e.pools[rig.boxes["b0"].Addr()]
+		p := rig.edge.pools[rig.caches["b0"].Addr()]
 		return p == nil || len(p.connections) == 0
 	})
 }
@@ -883,13 +883,13 @@
 // A probe says whether a member takes connections.
 func TestProbe(t *testing.T) {
 	rig := newRig(t, 1, "")
-	rig.set("dead", "box", "z", "serving", "127.0.0.1:1")
+	rig.setMember("dead", "box", "z", "serving", "127.0.0.1:1")
 	rig.waitFor("the member", func(_ *Stats, c *engine.Core) bool { return c.Address("dead") != "" })
 	for id, want := range map[string]bool{"b0": true, "dead": false, "unknown": false} {
 		got := make(chan bool, 1)
-		rig.e.Query(func(*Stats, *engine.Core) {
-			rig.e.observeProbe = func(p spool.Probed) { got <- p.OK && p.Cache == id }
-			rig.e.probe(id)
+		rig.edge.Query(func(*Stats, *engine.Core) {
+			rig.edge.observeProbe = func(p spool.Probed) { got <- p.OK && p.Cache == id }
+			rig.edge.probe(id)
 		})
 		if ok := <-got; ok != want {
 			t.Errorf("%s: probed %v", id, ok)
@@ -900,17 +900,17 @@
 // Bytes that a member sends unasked, or its end, are seen before a kept connection is
 // used again, also where the loop has not come to them: nothing is told of them as the
 // next answer, and no request is lost.
-func TestUnaskedBytes(t *testing.T) {
+func TestUnsolicitedBytes(t *testing.T) {
 	for _, unasked := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nxxx", ""} {
 		rig := newRig(t, 1, "")
 		if res, _, err := rig.get("/s/1/a"); err != nil || res.StatusCode != 200 {
 			t.Fatal(res, err)
 		}
 		var before Stats
-		rig.e.Query(func(s *Stats, _ *engine.Core) {
+		rig.edge.Query(func(s *Stats, _ *engine.Core) {
 			before = *s
 			n := 0
-			for _, pool := range rig.e.pools {
+			for _, pool := range rig.edge.pools {
 				for _, upstream := range pool.idle { // as if it came from the member, and the loop were busy
 					pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
 					if err != nil {
@@ -918,7 +918,7 @@
 					}
 					unix.Write(pair[1], []byte(unasked))
 					unix.Close(pair[1])
-					rig.e.loop.Remove(upstream.fd)
+					rig.edge.loop.Remove(upstream.fd)
 					unix.Close(upstream.fd)
 					upstream.fd = pair[0]
 					n++
@@ -932,7 +932,7 @@
 		if err != nil || res.StatusCode != 200 || string(body) == "xxx" {
 			t.Errorf("%q: %v %v %.20q", unasked, res, err, body)
 		}
-		rig.e.Query(func(s *Stats, _ *engine.Core) {
+		rig.edge.Query(func(s *Stats, _ *engine.Core) {
 			if s.Attempts != before.Attempts+1 || s.Reused != before.Reused {
 				t.Errorf("%q: %d attempts, %d on kept connections", unasked, s.Attempts-before.Attempts, s.Reused-before.Reused)
 			}
--- a/internal/proxy/httpfront/guard.go
+++ b/internal/proxy/httpfront/guard.go
@@ -75,54 +75,54 @@
 }
 
 // applySettings goes by settings from now on. What was learned stays.
-func (g *guard) applySettings(s *config.Settings) {
-	l := &s.Limits
-	g.edge.listener.PerTurn = l.AcceptPerTurn
-	least := func(kbs, grace float64) limits.MinRate {
-		return limits.MinRate{Rate: kbs * 1024 / 1000, Grace: grace, Step: 2 * sweepInterval}
-	}
-	g.headRate, g.bodyRate = least(l.HeadRate, l.HeadGrace), least(l.ClientRate, l.ClientGrace)
-	g.readRate, g.memberRate = g.bodyRate, least(l.MemberRate, l.MemberGrace)
-	g.massSlowness.Window, g.massSlowness.Share, g.massSlowness.MinWorking = 2*l.MemberGrace+1000, l.JuryShare, 2
-	total := int64(l.MemoryMB * (1 << 20))
-	g.memory.Total = total - limits.UnaccountedMemory(total)
-	g.unread.Total, g.unread.Idle = int64(l.SocketsMB*(1<<20)), l.WriteIdle
+func (g *guard) applySettings(settings *config.Settings) {
+	limit := &settings.Limits
+	g.edge.listener.PerTurn = limit.AcceptPerTurn
+	minRate := func(kbPerSecond, grace float64) limits.MinRate {
+		return limits.MinRate{Rate: kbPerSecond * 1024 / 1000, Grace: grace, Step: 2 * sweepInterval}
+	}
+	g.headRate, g.bodyRate = minRate(limit.HeadRate, limit.HeadGrace), minRate(limit.ClientRate, limit.ClientGrace)
+	g.readRate, g.memberRate = g.bodyRate, minRate(limit.MemberRate, limit.MemberGrace)
+	g.massSlowness.Window, g.massSlowness.Share, g.massSlowness.MinWorking = 2*limit.MemberGrace+1000, limit.JuryShare, 2
+	memoryBytes := int64(limit.MemoryMB * (1 << 20))
+	g.memory.Total = memoryBytes - limits.UnaccountedMemory(memoryBytes)
+	g.unread.Total, g.unread.Idle = int64(limit.SocketsMB*(1<<20)), limit.WriteIdle
 	var weights []float64
 	g.classIndex, g.ranks, g.priorityWeights = map[string]int{}, nil, nil
-	for i := range s.Classes {
-		g.classIndex[s.Classes[i].Name] = i
-		weights = append(weights, s.Classes[i].Weight)
-		g.priorityWeights = append(g.priorityWeights, s.Classes[i].Worth)
+	for i := range settings.Classes {
+		g.classIndex[settings.Classes[i].Name] = i
+		weights = append(weights, settings.Classes[i].Weight)
+		g.priorityWeights = append(g.priorityWeights, settings.Classes[i].Worth)
 	}
 	sorted := append([]float64(nil), g.priorityWeights...)
 	sort.Float64s(sorted)
-	for _, w := range g.priorityWeights {
-		g.ranks = append(g.ranks, float64(sort.SearchFloat64s(sorted, math.Nextafter(w, math.Inf(1)))-1)/max(float64(len(sorted)-1), 1))
+	for _, weight := range g.priorityWeights {
+		g.ranks = append(g.ranks, float64(sort.SearchFloat64s(sorted, math.Nextafter(weight, math.Inf(1)))-1)/max(float64(len(sorted)-1), 1))
 	}
 	weights = append(weights, 1) // of no class
-	old := g.scheduler
-	g.scheduler = limits.NewDRR[readyConn](int(l.QuantumKB*1024), weights)
-	for old != nil && old.Len() > 0 {
-		it, _, _, _ := old.Next()
-		g.scheduler.Push(len(weights)-1, it)
+	previous := g.scheduler
+	g.scheduler = limits.NewDRR[readyConn](int(limit.QuantumKB*1024), weights)
+	for previous != nil && previous.Len() > 0 {
+		conn, _, _, _ := previous.Next()
+		g.scheduler.Push(len(weights)-1, conn)
 	}
 	if g.admission == nil {
-		g.jitter = limits.NewJitter(uint64(s.Router.Seed), 0.5)
+		g.jitter = limits.NewJitter(uint64(settings.Router.Seed), 0.5)
 		g.readPause = limits.NewReadPause(limits.DefaultReadPause())
 		g.reputation = limits.NewReputation(limits.ReputationSettings{})
 	}
-	g.reputation.Adopt(limits.DefaultReputation(l.Poor))
-	adm := limits.AdmissionSettings{Target: l.OverloadTarget, QueueingShare: l.OverloadPart, Interval: 100, MinInFlight: l.OverloadLeast, MaxInFlight: l.Held, Headroom: 0.2}
+	g.reputation.Adopt(limits.DefaultReputation(limit.Poor))
+	admission := limits.AdmissionSettings{Target: limit.OverloadTarget, QueueingShare: limit.OverloadPart, Interval: 100, MinInFlight: limit.OverloadLeast, MaxInFlight: limit.Held, Headroom: 0.2}
 	if g.admission == nil {
-		g.admission = limits.NewAdmission(adm)
+		g.admission = limits.NewAdmission(admission)
 	}
-	g.admission.Adopt(adm)
-	g.retryBudget = limits.NewRetryBudget(limits.RetryBudgetSettings{Share: l.RetryShare, Burst: 100, AddressShare: 1, AddressBurst: float64(l.RetryBurst), Addresses: 4096})
-	g.maxClients = l.Connections
-	var r unix.Rlimit
-	if unix.Getrlimit(unix.RLIMIT_NOFILE, &r) == nil && r.Cur < 1<<30 {
+	g.admission.Adopt(admission)
+	g.retryBudget = limits.NewRetryBudget(limits.RetryBudgetSettings{Share: limit.RetryShare, Burst: 100, AddressShare: 1, AddressBurst: float64(limit.RetryBurst), Addresses: 4096})
+	g.maxClients = limit.Connections
+	var nofile unix.Rlimit
+	if unix.Getrlimit(unix.RLIMIT_NOFILE, &nofile) == nil && nofile.Cur < 1<<30 {
 		// a request in hand needs a connection of its own and one to a member
-		g.maxClients = min(g.maxClients, max((int(r.Cur)-reservedDescriptors)*3/5, 8))
+		g.maxClients = min(g.maxClients, max((int(nofile.Cur)-reservedDescriptors)*3/5, 8))
 	}
 }
 
@@ -135,7 +135,7 @@
 }
 
 // enqueue queues a connection that is enqueue to move bytes.
-func (g *guard) enqueue(class int, m readyConn) { g.scheduler.Push(class, m) }
+func (g *guard) enqueue(class int, conn readyConn) { g.scheduler.Push(class, conn) }
 
 // afterTurn is the end of each turn of the loop: ready connections move bytes in their
 // order, as many as a turn may, and what is over is shed.
@@ -145,16 +145,16 @@
 	if g.scheduler.Len() == 0 {
 		g.admission.ObserveWait(edge.loop.Took())
 	} else {
-		left := int(edge.settings.Limits.TurnKB * 1024)
-		for left > 0 {
-			it, class, room, ok := g.scheduler.Next()
+		bytesLeft := int(edge.settings.Limits.TurnKB * 1024)
+		for bytesLeft > 0 {
+			conn, class, room, ok := g.scheduler.Next()
 			if !ok {
 				break
 			}
-			g.admission.ObserveWait(edge.loop.Took() + edge.loop.Now() - it.queuedAt())
-			n, more := it.transfer(room)
-			g.scheduler.Used(class, it, n, more)
-			left -= max(n, 1024) // a call has its price too
+			g.admission.ObserveWait(edge.loop.Took() + edge.loop.Now() - conn.queuedAt())
+			moved, more := conn.transfer(room)
+			g.scheduler.Used(class, conn, moved, more)
+			bytesLeft -= max(moved, 1024) // a call has its price too
 		}
 	}
 	edge.updatePages()
@@ -174,43 +174,43 @@
 
 // pauseReading has a connection wait that was turned away.
 func (g *guard) pauseReading(client *clientConn) {
-	ms := g.readPause.Duration()
-	if ms <= 0 || client.closed || client.closeAfterAnswer || client.discardInput || client.current != nil || client.readPaused || len(client.unparsed) > 0 {
+	pause := g.readPause.Duration()
+	if pause <= 0 || client.closed || client.closeAfterResponse || client.discardInput || client.current != nil || client.readPaused || len(client.unparsed) > 0 {
 		return
 	}
 	client.readPaused = true
 	client.updateInterest()
-	g.pausedClients = append(g.pausedClients, pausedClient{client, g.edge.loop.Now() + ms})
+	g.pausedClients = append(g.pausedClients, pausedClient{client, g.edge.loop.Now() + pause})
 	if !g.resumeTimer.Armed() {
-		g.edge.loop.Arm(&g.resumeTimer, ms)
+		g.edge.loop.Arm(&g.resumeTimer, pause)
 	}
 }
 
 // resumeReading has those read again whose time has come.
 func (g *guard) resumeReading() {
-	n, now := 0, g.edge.loop.Now()
-	for ; n < len(g.pausedClients) && g.pausedClients[n].until <= now; n++ {
-		if c := g.pausedClients[n].client; !c.closed && c.current == nil && c.readPaused {
+	due, now := 0, g.edge.loop.Now()
+	for ; due < len(g.pausedClients) && g.pausedClients[due].until <= now; due++ {
+		if c := g.pausedClients[due].client; !c.closed && c.current == nil && c.readPaused {
 			c.readPaused = false
 			c.updateInterest()
 		}
 	}
-	g.pausedClients = append(g.pausedClients[:0], g.pausedClients[n:]...)
+	g.pausedClients = append(g.pausedClients[:0], g.pausedClients[due:]...)
 	if len(g.pausedClients) > 0 {
 		g.edge.loop.Arm(&g.resumeTimer, g.pausedClients[0].until-now)
 	}
 }
 
 // admit decides whether a request whose head has come is taken into hand.
-func (g *guard) admit(client *clientConn, q *spool.Request) limits.Cause {
+func (g *guard) admit(client *clientConn, spec *spool.Request) limits.Cause {
 	switch {
 	case g.memory.Full():
 		return limits.Memory
 	case g.hasPoorReputation(client) && !g.reputation.HasCapacity():
 		return limits.PoorReputation
-	case !g.retryBudget.Admit(client.addrText, q.Retry, g.admission.Overloaded()):
+	case !g.retryBudget.Admit(client.addrText, spec.Retry, g.admission.Overloaded()):
 		return limits.RetryLimit
-	case !g.admission.Admit(len(g.edge.requests), g.rank(q.Class)):
+	case !g.admission.Admit(len(g.edge.requests), g.rank(spec.Class)):
 		return limits.Overload
 	}
 	return limits.None
@@ -259,16 +259,16 @@
 	edge.loop.Arm(&g.sweepTimer, sweepInterval)
 	for client := range g.awaited {
 		if client.output.Len() > 0 {
-			at := client.acknowledged()
-			if at > client.ackedBytes {
+			acked := client.acknowledged()
+			if acked > client.ackedBytes {
 				client.lastProgress = now
 			} else if limits.IsStalled(now - client.lastProgress) {
 				g.recordBadOutcome(client)
 			}
-			client.flow.Moved(now, int(at-client.ackedBytes), &g.readRate)
-			client.ackedBytes = at
+			client.flow.Moved(now, int(acked-client.ackedBytes), &g.readRate)
+			client.ackedBytes = acked
 		}
-		if least, cause := client.minRate(); client.flow.Slow(now, least) {
+		if rate, cause := client.minRate(); client.flow.Slow(now, rate) {
 			g.counts[cause]++
 			client.closeSlow(cause)
 		}
@@ -285,9 +285,9 @@
 			}
 		}
 	}
-	for i, u := range g.stalledUpstreams {
-		if g.stalledUpstreams[i] = nil; u.paused {
-			u.reportStalled(true)
+	for i, upstream := range g.stalledUpstreams {
+		if g.stalledUpstreams[i] = nil; upstream.paused {
+			upstream.reportStalled(true)
 		}
 	}
 	g.stalledUpstreams = g.stalledUpstreams[:0]
@@ -295,10 +295,10 @@
 	if g.reputation.Any() {
 		g.shedPoorReputation()
 	}
-	for i, u := range g.slowUpstreams {
-		if g.slowUpstreams[i] = nil; u.fd >= 0 && u.state == upRelayingBody && g.massSlowness.MayCut(u.pool.member, now) {
+	for i, upstream := range g.slowUpstreams {
+		if g.slowUpstreams[i] = nil; upstream.fd >= 0 && upstream.state == upRelayingBody && g.massSlowness.MayCut(upstream.pool.member, now) {
 			g.counts[limits.SlowMember]++
-			u.fail(spool.TimedOut)
+			upstream.fail(spool.TimedOut)
 		}
 	}
 }
@@ -317,39 +317,39 @@
 // checkUnread sees how much the kernel holds for clients, and cuts those of them that
 // limits.UnreadAccount names.
 func (g *guard) checkUnread(now float64) {
-	var list []limits.Unread
-	var who []*clientConn
+	var unread []limits.Unread
+	var clients []*clientConn
 	add := func(c *clientConn, bytes int64) {
-		list, who = append(list, limits.Unread{Index: len(who), Bytes: bytes, StalledFor: now - c.lastProgress}), append(who, c)
+		unread, clients = append(unread, limits.Unread{Index: len(clients), Bytes: bytes, StalledFor: now - c.lastProgress}), append(clients, c)
 	}
 	for c := range g.awaited { // looked at before
 		if c.output.Len() > 0 {
 			add(c, c.writtenBytes-c.ackedBytes)
 		}
 	}
-	rest := g.unreadClients[:0]
+	kept := g.unreadClients[:0]
 	for _, client := range g.unreadClients {
 		if client.closed {
 			continue
 		}
 		if client.output.Len() == 0 {
-			if at := client.acknowledged(); at > client.ackedBytes {
-				client.ackedBytes, client.lastProgress = at, now
+			if acked := client.acknowledged(); acked > client.ackedBytes {
+				client.ackedBytes, client.lastProgress = acked, now
 			}
 		}
 		if client.writtenBytes == client.ackedBytes {
 			client.unreadTracked = false
 			continue
 		}
-		rest = append(rest, client)
+		kept = append(kept, client)
 		if client.output.Len() == 0 {
 			add(client, client.writtenBytes-client.ackedBytes)
 		}
 	}
-	clear(g.unreadClients[len(rest):])
-	g.unreadClients = rest
-	for _, t := range g.unread.Update(list) {
-		if c := who[t.Index]; !c.closed {
+	clear(g.unreadClients[len(kept):])
+	g.unreadClients = kept
+	for _, over := range g.unread.Update(unread) {
+		if c := clients[over.Index]; !c.closed {
 			g.counts[limits.SlowReader]++
 			c.closeSlow(limits.SlowReader)
 		}
@@ -361,8 +361,8 @@
 // nobody takes.
 func (g *guard) shedPoorReputation() {
 	edge := g.edge
-	var held []limits.ShedCandidate
-	var list []*clientRequest
+	var candidates []limits.ShedCandidate
+	var requests []*clientRequest
 	for _, request := range edge.requests {
 		if request.phase == finished || !request.poorReputation && !g.hasPoorReputation(request.client) {
 			continue
@@ -371,18 +371,18 @@
 			request.poorReputation = true
 			g.reputation.Reserve()
 		}
-		t := request.winner
-		stuck := t != nil && t.upstream != nil && t.upstream.paused && len(limits.LongStalled([]float64{edge.loop.Now() - t.upstream.pausedAt})) > 0
-		if request.phase == awaitingAnswer && request.openAttempts == 0 || request.phase == relaying && stuck {
-			held, list = append(held, g.shedCandidate(len(list), request)), append(list, request)
+		winner := request.winner
+		stalled := winner != nil && winner.upstream != nil && winner.upstream.paused && len(limits.LongStalled([]float64{edge.loop.Now() - winner.upstream.pausedAt})) > 0
+		if request.phase == awaitingResponse && request.openAttempts == 0 || request.phase == relaying && stalled {
+			candidates, requests = append(candidates, g.shedCandidate(len(requests), request)), append(requests, request)
 		}
 	}
 	excess := g.reputation.Excess()
-	for i, h := range limits.ShedOrder(held) {
+	for i, candidate := range limits.ShedOrder(candidates) {
 		if i >= excess {
 			return
 		}
-		if r := list[h.Index]; r.client.current == r {
+		if r := requests[candidate.Index]; r.client.current == r {
 			g.counts[limits.PoorReputation]++
 			r.shed(limits.PoorReputation)
 		}
@@ -392,23 +392,23 @@
 // shedCandidate is a request as limits.ShedOrder looks at it.
 func (g *guard) shedCandidate(index int, request *clientRequest) limits.ShedCandidate {
 	client := request.client
-	h := limits.ShedCandidate{Index: index, Bytes: requestBytes + int64(client.output.Cap()+cap(client.unparsed)+cap(request.requestBody)), Begun: request.phase == relaying,
+	candidate := limits.ShedCandidate{Index: index, Bytes: requestBytes + int64(client.output.Cap()+cap(client.unparsed)+cap(request.requestBody)), Begun: request.phase == relaying,
 		BytesLeft: max(request.spec.KB*1024-float64(request.sentBytes), 0), Idempotent: request.phase == receivingBody || !request.spec.Write || !request.anyWritten()}
 	if i, ok := g.classIndex[request.spec.Class]; ok {
-		k := &g.edge.settings.Classes[i]
-		if h.Weight = k.Worth; g.edge.loop.Now()-request.receivedAt > k.Aim {
-			h.Weight *= k.LateWorth
+		class := &g.edge.settings.Classes[i]
+		if candidate.Weight = class.Worth; g.edge.loop.Now()-request.receivedAt > class.Aim {
+			candidate.Weight *= class.LateWorth
 		}
 	}
-	return h
+	return candidate
 }
 
-// setAwaited has a client's flow follow whether it is waited for.
-func (g *guard) setAwaited(client *clientConn, waited bool) {
-	if waited == client.flow.Waiting() {
+// setAwaited has a client's flow follow whether it is awaited for.
+func (g *guard) setAwaited(client *clientConn, awaited bool) {
+	if awaited == client.flow.Waiting() {
 		return
 	}
-	if waited {
+	if awaited {
 		client.flow.StartWaiting(g.peerTime())
 		g.awaited[client] = struct{}{}
 		client.lastProgress = g.peerTime()
@@ -417,48 +417,48 @@
 		}
 		return
 	}
-	least, _ := client.minRate()
-	client.flow.StopWaiting(g.peerTime(), least)
+	rate, _ := client.minRate()
+	client.flow.StopWaiting(g.peerTime(), rate)
 	delete(g.awaited, client)
 }
 
 // shedForMemory gives memory back: idle connections, the longest unused first, and at the very
 // edge requests, by limits.ShedOrder.
 func (g *guard) shedForMemory() {
-	idle, requests := g.memory.Excess()
-	for idle > 0 && g.closeIdle(limits.Memory) {
-		idle -= clientBytes
+	idleExcess, requestExcess := g.memory.Excess()
+	for idleExcess > 0 && g.closeIdle(limits.Memory) {
+		idleExcess -= clientBytes
 	}
 	edge := g.edge
-	if idle <= 0 || edge.loop.Now() < g.nextShedAt { // looking over all of them has its price
+	if idleExcess <= 0 || edge.loop.Now() < g.nextShedAt { // looking over all of them has its price
 		return
 	}
 	g.nextShedAt = edge.loop.Now() + 50
 	for _, upstream := range g.longStalled(slices.Collect(maps.Values(edge.pools))...) {
-		if idle <= 0 {
+		if idleExcess <= 0 {
 			return
 		}
 		if upstream.paused && upstream.attempt != nil {
 			c := upstream.attempt.request.client
-			idle -= clientBytes + upstreamBytes + requestBytes + int64(c.output.Cap())
+			idleExcess -= clientBytes + upstreamBytes + requestBytes + int64(c.output.Cap())
 			g.counts[limits.Memory]++
 			c.closeSlow(limits.SlowReader)
 		}
 	}
-	if requests = min(requests, idle); requests <= 0 {
+	if requestExcess = min(requestExcess, idleExcess); requestExcess <= 0 {
 		return
 	}
-	var held []limits.ShedCandidate
-	var list []*clientRequest
+	var candidates []limits.ShedCandidate
+	var requests []*clientRequest
 	for c := range edge.clients {
 		r := c.current
 		if r == nil {
 			continue
 		}
-		held, list = append(held, g.shedCandidate(len(list), r)), append(list, r)
+		candidates, requests = append(candidates, g.shedCandidate(len(requests), r)), append(requests, r)
 	}
-	for _, h := range limits.Shed(held, requests) {
-		if r := list[h.Index]; r.client.current == r {
+	for _, candidate := range limits.Shed(candidates, requestExcess) {
+		if r := requests[candidate.Index]; r.client.current == r {
 			g.counts[limits.Memory]++
 			r.shed(limits.Memory)
 		}
@@ -467,20 +467,20 @@
 
 // longStalled is the connections to members that wait for their clients for long, in the
 // order in which they give way.
-func (g *guard) longStalled(pools ...*connPool) (list []*upstreamConn) {
-	var all []*upstreamConn
+func (g *guard) longStalled(pools ...*connPool) (stalled []*upstreamConn) {
+	var paused []*upstreamConn
 	var waits []float64
 	for _, p := range pools {
 		for u := range p.connections {
 			if u.paused && u.attempt != nil {
-				all, waits = append(all, u), append(waits, g.edge.loop.Now()-u.pausedAt)
+				paused, waits = append(paused, u), append(waits, g.edge.loop.Now()-u.pausedAt)
 			}
 		}
 	}
 	for _, i := range limits.LongStalled(waits) {
-		list = append(list, all[i])
+		stalled = append(stalled, paused[i])
 	}
-	return list
+	return stalled
 }
 
 // closeIdle closes the connection that is unused for longest; false: none is.
--- a/internal/proxy/httpfront/handover.go
+++ b/internal/proxy/httpfront/handover.go
@@ -24,55 +24,55 @@
 // TakeOver makes a router that takes over from the one that offers at the settings'
 // handover path, or an ordinary one where nobody does. What the predecessor has learned is
 // gone on from, unless it can't be read: then the router starts as new.
-func TakeOver(s *config.Settings, log *AccessLog) (*Edge, error) {
-	in, err := contactPredecessor(s)
+func TakeOver(settings *config.Settings, log *AccessLog) (*Edge, error) {
+	inherited, err := contactPredecessor(settings)
 	if err != nil {
 		return nil, err
 	}
-	e, err := newEdge(s, log, in)
-	if err != nil && in != nil {
-		in.Abort()
+	e, err := newEdge(settings, log, inherited)
+	if err != nil && inherited != nil {
+		inherited.Abort()
 	}
 	return e, err
 }
 
 // contactPredecessor asks the one that offers at the settings' handover path; nil: nobody does.
-func contactPredecessor(s *config.Settings) (*hotrestart.Inherited, error) {
-	if s.Router.Handover == "" {
+func contactPredecessor(settings *config.Settings) (*hotrestart.Inherited, error) {
+	if settings.Router.Handover == "" {
 		return nil, nil
 	}
-	in, err := hotrestart.TakeOver(s.Router.Handover)
+	inherited, err := hotrestart.TakeOver(settings.Router.Handover)
 	if errors.Is(err, hotrestart.ErrNoPredecessor) {
 		return nil, nil
 	}
-	return in, err
+	return inherited, err
 }
 
-// inheritListener takes the listening socket of a predecessor, where it is at the address
+// inheritListener takes the listening socket of a predecessor, where it is bound the address
 // that the settings name.
-func inheritListener(in *hotrestart.Inherited, address string) (fd int, at string, ok bool) {
-	if in == nil || in.Listener == 0 {
+func inheritListener(inherited *hotrestart.Inherited, address string) (fd int, bound string, ok bool) {
+	if inherited == nil || inherited.Listener == 0 {
 		return 0, "", false
 	}
-	sa, err := unix.Getsockname(in.Listener)
+	sockaddr, err := unix.Getsockname(inherited.Listener)
 	if err != nil {
 		return 0, "", false
 	}
 	port := 0
-	switch a := sa.(type) {
+	switch a := sockaddr.(type) {
 	case *unix.SockaddrInet4:
 		port = a.Port
 	case *unix.SockaddrInet6:
 		port = a.Port
 	}
-	at = net.JoinHostPort(addressOf(sa).String(), fmt.Sprint(port))
+	bound = net.JoinHostPort(addressOf(sockaddr).String(), fmt.Sprint(port))
 	want, err := net.ResolveTCPAddr("tcp", address)
-	if err != nil || want.Port != 0 && want.Port != port || len(want.IP) > 0 && !want.IP.Equal(net.IP(addressOf(sa).AsSlice())) {
+	if err != nil || want.Port != 0 && want.Port != port || len(want.IP) > 0 && !want.IP.Equal(net.IP(addressOf(sockaddr).AsSlice())) {
 		return 0, "", false // it is told to listen elsewhere
 	}
-	fd, in.Listener = in.Listener, 0
+	fd, inherited.Listener = inherited.Listener, 0
 	unix.SetNonblock(fd, true) // whatever the giver's runtime has made of it
-	return fd, at, true
+	return fd, bound, true
 }
 
 // restoreLearnedState goes on from the predecessor's memory, on the loop, before any news.
@@ -80,26 +80,26 @@
 	if e.inherited == nil {
 		return
 	}
-	var peers []limits.AddressRecord
+	var records []limits.AddressRecord
 	if len(e.inherited.Clients) > 0 {
-		if err := json.Unmarshal(e.inherited.Clients, &peers); err != nil {
+		if err := json.Unmarshal(e.inherited.Clients, &records); err != nil {
 			e.log.Log.Warn("what the predecessor knew of clients is not used", zap.Error(err))
 		}
-		e.guard.reputation.Restore(peers, e.loop.Now())
+		e.guard.reputation.Restore(records, e.loop.Now())
 	}
 	if len(e.inherited.LearnedState) == 0 {
 		return
 	}
-	m, err := learnedstate.Decode(e.inherited.LearnedState)
+	state, err := learnedstate.Decode(e.inherited.LearnedState)
 	if err != nil {
 		e.log.Log.Warn("the predecessor's memory is not used: this router starts as new", zap.Error(err))
 		return
 	}
-	acts := e.core.Restore(e.loop.Now(), m, nil)
-	for i := range acts {
-		e.execute(acts[i])
+	actions := e.core.Restore(e.loop.Now(), state, nil)
+	for i := range actions {
+		e.execute(actions[i])
 	}
-	e.log.Log.Info("goes on from its predecessor", zap.Int("members", len(m.Members)), zap.Int("bytes", len(e.inherited.LearnedState)))
+	e.log.Log.Info("goes on from its predecessor", zap.Int("members", len(state.Members)), zap.Int("bytes", len(e.inherited.LearnedState)))
 }
 
 // announceServing tells the predecessor that this router announceServing, and takes its connections.
@@ -119,14 +119,14 @@
 					}
 					return
 				}
-				sa, err := unix.Getpeername(fd)
+				sockaddr, err := unix.Getpeername(fd)
 				if err != nil {
 					unix.Close(fd) // its client has gone meanwhile
 					return
 				}
 				unix.SetNonblock(fd, true)
 				e.stats.HandedIn++
-				if c := e.addClient(fd, addressOf(sa), true); c != nil {
+				if c := e.addClient(fd, addressOf(sockaddr), true); c != nil {
 					c.ackedBytes, c.ackedAtTimeout = -1<<40, -1<<40 // the kernel may still hold the predecessor's answers
 					e.guard.trackUnread(c)
 				}
@@ -142,12 +142,12 @@
 			}
 		}
 	}, func(note []byte) {
-		var p engine.Purge
-		if json.Unmarshal(note, &p) == nil {
+		var purge engine.Purge
+		if json.Unmarshal(note, &purge) == nil {
 			e.Query(func(*Stats, *engine.Core) {
-				e.applyUpdate(&engine.Update{Purge: &p})
+				e.applyUpdate(&engine.Update{Purge: &purge})
 				if e.successor != nil {
-					e.successor.SendNote(&p)
+					e.successor.SendNote(&purge)
 				}
 			})
 		}
@@ -170,54 +170,54 @@
 
 // forwardVersion has a predecessor that still drains go by a version too: nobody else
 // tells it of members that leave.
-func (e *Edge) forwardVersion(v configversion.Version) {
+func (e *Edge) forwardVersion(version configversion.Version) {
 	if !e.predecessorReachable.Load() { // until this one serves it follows the service itself
 		return
 	}
-	b, err := json.Marshal(v)
+	encoded, err := json.Marshal(version)
 	if err == nil {
-		err = e.inherited.SendConfigVersion(b)
+		err = e.inherited.SendConfigVersion(encoded)
 	}
 	if err != nil && e.predecessorReachable.Swap(false) {
-		e.log.Log.Warn("the predecessor is not told of a version", zap.Int64("version", v.Number), zap.Error(err))
+		e.log.Log.Warn("the predecessor is not told of a version", zap.Int64("version", version.Number), zap.Error(err))
 	}
 }
 
 // forwardPurge has a predecessor that still drains know of a purge that came to this
 // router only: its requests in hand may get no older copy either.
-func (e *Edge) forwardPurge(p *engine.Purge) {
+func (e *Edge) forwardPurge(purge *engine.Purge) {
 	if !e.predecessorReachable.Load() {
 		return
 	}
-	if err := e.inherited.SendNote(p); err != nil && e.predecessorReachable.Swap(false) {
+	if err := e.inherited.SendNote(purge); err != nil && e.predecessorReachable.Swap(false) {
 		e.log.Log.Warn("the predecessor is not told of a purge", zap.Error(err))
 	}
 }
 
 // receivePurge goes by a purge that came to the successor.
-func (e *Edge) receivePurge(b []byte) {
-	var p engine.Purge
-	if json.Unmarshal(b, &p) != nil {
+func (e *Edge) receivePurge(encoded []byte) {
+	var purge engine.Purge
+	if json.Unmarshal(encoded, &purge) != nil {
 		return
 	}
-	e.Query(func(*Stats, *engine.Core) { e.applyUpdate(&engine.Update{Purge: &p}) })
-	e.forwardPurge(&p)
+	e.Query(func(*Stats, *engine.Core) { e.applyUpdate(&engine.Update{Purge: &purge}) })
+	e.forwardPurge(&purge)
 }
 
 // receiveVersion goes by a version that the successor goes by.
-func (e *Edge) receiveVersion(b []byte) {
-	var v configversion.Version
-	err := json.Unmarshal(b, &v)
-	s := &config.Settings{}
+func (e *Edge) receiveVersion(encoded []byte) {
+	var version configversion.Version
+	err := json.Unmarshal(encoded, &version)
+	settings := &config.Settings{}
 	if err == nil {
-		err = config.ReadVersion("successor", string(v.Body), e.configClient.local, s)
+		err = config.ReadVersion("successor", string(version.Body), e.configClient.local, settings)
 	}
 	if err != nil {
 		e.log.Log.Warn("the successor's version is not used", zap.Error(err))
 		return
 	}
-	e.loop.Post(func() { e.activateVersion(configversion.Activate{Version: v, Settings: s}) })
-	e.forwardVersion(v) // its own predecessor may still drain, too
+	e.loop.Post(func() { e.activateVersion(configversion.Activate{Version: version, Settings: settings}) })
+	e.forwardVersion(version) // its own predecessor may still drain, too
 }
 
 // offerHandover waits for a successor, from now on.
@@ -226,23 +226,23 @@
 	if path == "" {
 		return nil
 	}
-	srv, err := hotrestart.Listen(hotrestart.Options{Path: path, ReadyTimeout: time.Duration(e.settings.Limits.Successor) * time.Millisecond,
-		Prepare: func() (g *hotrestart.Handover, err error) {
-			qerr := e.loop.Call(5*time.Second, func() { g, err = e.prepareHandover() })
-			if err = errors.Join(qerr, err); err == nil && e.configClient != nil {
-				if v := e.configClient.agent.Accepted(); v.Number > 0 {
-					g.ConfigVersion, err = json.Marshal(v)
+	server, err := hotrestart.Listen(hotrestart.Options{Path: path, ReadyTimeout: time.Duration(e.settings.Limits.Successor) * time.Millisecond,
+		Prepare: func() (handover *hotrestart.Handover, err error) {
+			queryErr := e.loop.Call(5*time.Second, func() { handover, err = e.prepareHandover() })
+			if err = errors.Join(queryErr, err); err == nil && e.configClient != nil {
+				if version := e.configClient.agent.Accepted(); version.Number > 0 {
+					handover.ConfigVersion, err = json.Marshal(version)
 				}
 				e.configClient.releaseStore()
 			}
-			return g, err
+			return handover, err
 		},
-		OnServing: func(to *hotrestart.Sender) {
+		OnServing: func(successor *hotrestart.Sender) {
 			if e.configClient != nil {
 				e.configClient.agent.Close() // the successor follows from now on
 			}
-			if e.loop.Call(5*time.Second, func() { e.drainTo(to) }) != nil {
-				to.Close()
+			if e.loop.Call(5*time.Second, func() { e.drainTo(successor) }) != nil {
+				successor.Close()
 			}
 		},
 		OnFailure: func(error) {
@@ -252,9 +252,9 @@
 			})
 			go e.configClient.reacquireStore()
 		},
-		OnConfigVersion: func(b []byte) {
+		OnConfigVersion: func(encoded []byte) {
 			if e.configClient != nil {
-				e.receiveVersion(b)
+				e.receiveVersion(encoded)
 			}
 		},
 		OnNote: e.receivePurge,
@@ -262,7 +262,7 @@
 	if err != nil {
 		return err
 	}
-	e.handoverServer = srv
+	e.handoverServer = server
 	return nil
 }
 
@@ -271,36 +271,36 @@
 	if e.draining {
 		return nil, errors.New("this router drains already")
 	}
-	b, err := learnedstate.Encode(e.core.LearnedState())
+	state, err := learnedstate.Encode(e.core.LearnedState())
 	if err != nil {
 		return nil, err
 	}
-	peers, err := json.Marshal(e.guard.reputation.Records(e.loop.Now()))
+	records, err := json.Marshal(e.guard.reputation.Records(e.loop.Now()))
 	if err != nil {
 		return nil, err
 	}
 	e.handingOver, e.purgesDuringHandover = true, nil
 	e.dispatch(spool.Retired{On: true})
-	g := &hotrestart.Handover{Listener: e.listenFD, LearnedState: b, Clients: peers}
+	handover := &hotrestart.Handover{Listener: e.listenFD, LearnedState: state, Clients: records}
 	if e.adminFile != nil {
-		g.Admin = int(e.adminFile.Fd())
-		unix.SetNonblock(g.Admin, true) // Fd has ended that, for the listener too
+		handover.Admin = int(e.adminFile.Fd())
+		unix.SetNonblock(handover.Admin, true) // Fd has ended that, for the listener too
 	}
-	e.log.Log.Info("a successor takes over", zap.Int("bytes", len(b)))
-	return g, nil
+	e.log.Log.Info("a successor takes over", zap.Int("bytes", len(state)))
+	return handover, nil
 }
 
 // drainTo drains for a successor that serves: nothing is accepted here any more, and
-// connections go to it, each once it is between requests.
-func (e *Edge) drainTo(to *hotrestart.Sender) {
+// connections go successor it, each once it is between requests.
+func (e *Edge) drainTo(successor *hotrestart.Sender) {
 	if e.draining {
-		go to.Close()
+		go successor.Close()
 		return
 	}
 	for i := range e.purgesDuringHandover { // what was purged since the memory was taken
-		to.SendNote(&e.purgesDuringHandover[i])
+		successor.SendNote(&e.purgesDuringHandover[i])
 	}
-	e.handingOver, e.purgesDuringHandover, e.successor = false, nil, to
+	e.handingOver, e.purgesDuringHandover, e.successor = false, nil, successor
 	if e.stopAdmin != nil {
 		go e.stopAdmin()
 		e.stopAdmin = nil
@@ -332,20 +332,20 @@
 
 // inheritAdmin is the listener that a predecessor's admin listener was, if it is the
 // one that the settings name.
-func inheritAdmin(in *hotrestart.Inherited, address string) net.Listener {
-	if in == nil || in.Admin == 0 {
+func inheritAdmin(inherited *hotrestart.Inherited, address string) net.Listener {
+	if inherited == nil || inherited.Admin == 0 {
 		return nil
 	}
-	f := os.NewFile(uintptr(in.Admin), "admin")
-	in.Admin = 0
-	defer f.Close()
-	ln, err := net.FileListener(f)
+	file := os.NewFile(uintptr(inherited.Admin), "admin")
+	inherited.Admin = 0
+	defer file.Close()
+	listener, err := net.FileListener(file)
 	if err != nil {
 		return nil
 	}
-	if want, err := net.ResolveTCPAddr("tcp", address); err != nil || want.Port != 0 && want.Port != ln.Addr().(*net.TCPAddr).Port {
-		ln.Close()
+	if want, err := net.ResolveTCPAddr("tcp", address); err != nil || want.Port != 0 && want.Port != listener.Addr().(*net.TCPAddr).Port {
+		listener.Close()
 		return nil
 	}
-	return ln
+	return listener
 }
--- a/internal/proxy/httpfront/log.go
+++ b/internal/proxy/httpfront/log.go
@@ -72,38 +72,38 @@
 }
 
 // NewAccessLog opens the log that the settings name. Close ends it.
-func NewAccessLog(s *config.Settings) (*AccessLog, error) {
-	var w io.Writer
-	switch s.Router.Log {
+func NewAccessLog(settings *config.Settings) (*AccessLog, error) {
+	var out io.Writer
+	switch settings.Router.Log {
 	case "stderr":
-		w = os.Stderr
+		out = os.Stderr
 	case "stdout":
-		w = os.Stdout
+		out = os.Stdout
 	case "none":
-		w = nil
+		out = nil
 	default:
-		f, err := os.OpenFile(s.Router.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+		file, err := os.OpenFile(settings.Router.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		if err != nil {
 			return nil, fmt.Errorf("edge: access log: %w; name a file that can be written, stderr, stdout or none", err)
 		}
-		w = f
+		out = file
 	}
-	return newAccessLog(w, s.Limits.LogQueue, s.Router.Level), nil
+	return newAccessLog(out, settings.Limits.LogQueue, settings.Router.Level), nil
 }
 
-func newAccessLog(w io.Writer, lines int, level string) *AccessLog {
-	if w == nil {
+func newAccessLog(out io.Writer, queueLines int, level string) *AccessLog {
+	if out == nil {
 		return &AccessLog{access: zap.NewNop(), Log: zap.NewNop()}
 	}
-	q := asynclog.New(w, lines)
-	enc := zap.NewProductionEncoderConfig()
-	enc.EncodeTime = zapcore.ISO8601TimeEncoder
-	lv, err := zapcore.ParseLevel(level)
+	queue := asynclog.New(out, queueLines)
+	encoder := zap.NewProductionEncoderConfig()
+	encoder.EncodeTime = zapcore.ISO8601TimeEncoder
+	minLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
-		lv = zapcore.InfoLevel
+		minLevel = zapcore.InfoLevel
 	}
-	l := zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(enc), q, lv))
-	return &AccessLog{access: l, Log: l, queue: q}
+	logger := zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(encoder), queue, minLevel))
+	return &AccessLog{access: logger, Log: logger, queue: queue}
 }
 
 // Dropped is how many lines were dropped.
@@ -123,8 +123,8 @@
 
 // request logs a request's end.
 func (a *AccessLog) request(request *clientRequest) {
-	ce := a.access.Check(zapcore.InfoLevel, "request")
-	if ce == nil {
+	entry := a.access.Check(zapcore.InfoLevel, "request")
+	if entry == nil {
 		return
 	}
 	object := request.spec.Object
@@ -135,10 +135,10 @@
 		zap.Int("part", request.spec.Part), zap.Int("status", request.status), zap.Int64("bytes", request.sentBytes),
 		zap.Float64("ms", float64(int64((request.edge.loop.Now()-request.receivedAt)*1000))/1000), zap.String("end", request.word())}
 	if len(request.attempts) == 0 {
-		ce.Write(fields[:]...)
+		entry.Write(fields[:]...)
 		return
 	}
-	ce.Write(append(fields[:], zap.String("tries", request.attemptList()))...)
+	entry.Write(append(fields[:], zap.String("tries", request.attemptList()))...)
 }
 
 // word says why the request ended.
@@ -156,21 +156,21 @@
 // look names no source.
 func (r *clientRequest) attemptList() string {
 	var buf [256]byte
-	b := buf[:0]
+	text := buf[:0]
 	for i, attempt := range r.attempts {
 		if i > 0 {
-			b = append(b, ' ')
+			text = append(text, ' ')
 		}
-		b = append(b, attempt.cache...)
+		text = append(text, attempt.cache...)
 		if attempt.source != attempt.cache {
-			b = append(append(b, '<'), attempt.source...)
+			text = append(append(text, '<'), attempt.source...)
 		}
 		word, took := "open", r.edge.loop.Now()-attempt.sentAt
 		if attempt.done {
 			word, took = resultWords[attempt.result], attempt.took
 		}
-		b = append(append(append(b, ':'), word...), ':')
-		b = strconv.AppendFloat(b, took, 'f', 1, 64)
+		text = append(append(append(text, ':'), word...), ':')
+		text = strconv.AppendFloat(text, took, 'f', 1, 64)
 	}
-	return string(b)
+	return string(text)
 }
--- a/internal/proxy/httpfront/page.go
+++ b/internal/proxy/httpfront/page.go
@@ -90,37 +90,37 @@
 
 // startPage has a request ask for a page: what the client wants of the whole is kept here,
 // and members are asked for all of it.
-func (r *clientRequest) startPage(h *http1.Head) {
+func (r *clientRequest) startPage(head *http1.Head) {
 	if r.spec.Write || r.edge.pageClass(r.spec.Class) == nil {
 		return
 	}
 	page := &esiPage{edge: r.edge, request: r, fragments: map[int]*clientRequest{}, fragmentObjects: map[string]fragmentObject{}}
 	page.timer.F = page.onTimer
-	page.conditions = parseConditions(h)
+	page.conditions = parseConditions(head)
 	page.esiSetup = esiSetupOf(r.edge.settings)
-	r.esiVars = &esi.Vars{Host: string(h.Host), Cookie: string(h.Get("cookie")), Language: string(h.Get("accept-language")),
-		Agent: string(h.Get("user-agent")), Referer: string(h.Get("referer"))}
-	if i := bytes.IndexByte(h.Path(), '?'); i >= 0 {
-		r.esiVars.Query = string(h.Path()[i+1:])
+	r.esiVars = &esi.Vars{Host: string(head.Host), Cookie: string(head.Get("cookie")), Language: string(head.Get("accept-language")),
+		Agent: string(head.Get("user-agent")), Referer: string(head.Get("referer"))}
+	if i := bytes.IndexByte(head.Path(), '?'); i >= 0 {
+		r.esiVars.Query = string(head.Path()[i+1:])
 	}
-	r.target = string(h.Path())
+	r.target = string(head.Path())
 	r.page, r.isHead = page, false
-	page.requestID = string(h.Get("x-request-id"))
+	page.requestID = string(head.Get("x-request-id"))
 	r.forwardHead = appendPageRequest(r.forwardHead[:0], r.edge.name, r.target, r.esiVars.Host, page.requestID, -1)
 }
 
-func esiSetupOf(s *config.Settings) esi.Setup {
-	l := &s.Pages
-	return esi.Setup{Parser: esi.Limits{Depth: l.Nesting, Tag: l.Tag, Held: l.HeldKB << 10, Nodes: l.Elements},
-		Fragments: l.Fragments, Uses: l.Includes, Depth: l.Depth, Parallel: l.Parallel, Attempts: l.Attempts,
-		Whole: int64(l.WholeKB) << 10, Piece: int64(l.PieceKB) << 10, Held: int64(l.HeldKB) << 10, Out: int64(l.MostMB) << 20,
-		Reserve: l.Reserve, AsIs: l.Malformed == "as-is"}
+func esiSetupOf(settings *config.Settings) esi.Setup {
+	pages := &settings.Pages
+	return esi.Setup{Parser: esi.Limits{Depth: pages.Nesting, Tag: pages.Tag, Held: pages.HeldKB << 10, Nodes: pages.Elements},
+		Fragments: pages.Fragments, Uses: pages.Includes, Depth: pages.Depth, Parallel: pages.Parallel, Attempts: pages.Attempts,
+		Whole: int64(pages.WholeKB) << 10, Piece: int64(pages.PieceKB) << 10, Held: int64(pages.HeldKB) << 10, Out: int64(pages.MostMB) << 20,
+		Reserve: pages.Reserve, AsIs: pages.Malformed == "as-is"}
 }
 
 // appendPageRequest writes the head by which members are asked for a page or a fragment:
 // nothing of the client's but what the whole depends on by its address. Cookies stay
 // here, where variables are filled in: a copy at a cache is everybody's.
-func appendPageRequest(b []byte, name, target, host, trace string, id int) []byte {
+func appendPageRequest(b []byte, name, target, host, requestID string, fragment int) []byte {
 	b = append(b, "GET "...)
 	b = append(b, target...)
 	b = append(b, " HTTP/1.1\r\n"...)
@@ -128,51 +128,51 @@
 		host = name
 	}
 	b = http1.AppendFieldString(b, "Host", host)
-	if trace != "" {
-		if id >= 0 {
-			trace += ".f" + strconv.Itoa(id)
+	if requestID != "" {
+		if fragment >= 0 {
+			requestID += ".f" + strconv.Itoa(fragment)
 		}
-		b = http1.AppendFieldString(b, "X-Request-Id", trace)
+		b = http1.AppendFieldString(b, "X-Request-Id", requestID)
 	}
 	b = http1.AppendFieldString(b, "Accept-Encoding", "gzip")
 	b = http1.AppendFieldString(b, "Surrogate-Capability", name+`="ESI/1.0"`)
 	return append(append(append(b, "Via: 1.1 "...), name...), "\r\n"...)
 }
 
-func parseConditions(h *http1.Head) conditions {
-	c := conditions{head: h.IsHead(), ifNoneMatch: string(h.Get("if-none-match")), ifRange: string(h.Get("if-range"))}
-	if v := h.Get("if-modified-since"); v != nil && c.ifNoneMatch == "" {
-		if t, err := http.ParseTime(string(v)); err == nil {
-			c.ifModifiedSince = t.Unix()
+func parseConditions(head *http1.Head) conditions {
+	parsed := conditions{head: head.IsHead(), ifNoneMatch: string(head.Get("if-none-match")), ifRange: string(head.Get("if-range"))}
+	if value := head.Get("if-modified-since"); value != nil && parsed.ifNoneMatch == "" {
+		if t, err := http.ParseTime(string(value)); err == nil {
+			parsed.ifModifiedSince = t.Unix()
 		}
 	}
-	if v := string(h.Get("range")); strings.HasPrefix(v, "bytes=") && !strings.Contains(v, ",") {
-		from, to, ok := strings.Cut(v[len("bytes="):], "-")
-		a, aerr := strconv.ParseUint(from, 10, 62)
-		b, berr := strconv.ParseUint(to, 10, 62)
+	if value := string(head.Get("range")); strings.HasPrefix(value, "bytes=") && !strings.Contains(value, ",") {
+		firstText, lastText, ok := strings.Cut(value[len("bytes="):], "-")
+		first, firstErr := strconv.ParseUint(firstText, 10, 62)
+		last, lastErr := strconv.ParseUint(lastText, 10, 62)
 		switch {
-		case !ok || aerr != nil && from != "" || berr != nil && to != "" || from == "" && to == "":
-		case from == "":
-			c.hasRange, c.first, c.last = true, -1, int64(b)
-		case to == "":
-			c.hasRange, c.first, c.last = true, int64(a), -1
-		case a <= b:
-			c.hasRange, c.first, c.last = true, int64(a), int64(b)
+		case !ok || firstErr != nil && firstText != "" || lastErr != nil && lastText != "" || firstText == "" && lastText == "":
+		case firstText == "":
+			parsed.hasRange, parsed.first, parsed.last = true, -1, int64(last)
+		case lastText == "":
+			parsed.hasRange, parsed.first, parsed.last = true, int64(first), -1
+		case first <= last:
+			parsed.hasRange, parsed.first, parsed.last = true, int64(first), int64(last)
 		}
 	}
-	for part := range strings.SplitSeq(joinedValues(h, "accept-encoding"), ",") {
+	for part := range strings.SplitSeq(joinedValues(head, "accept-encoding"), ",") {
 		word, q, _ := strings.Cut(part, ";")
 		if word = strings.TrimSpace(word); strings.EqualFold(word, "gzip") || word == "*" {
-			c.acceptsGzip = strings.Trim(strings.TrimPrefix(strings.ReplaceAll(q, " ", ""), "q=0"), ".0") != "" || !strings.Contains(q, "=")
+			parsed.acceptsGzip = strings.Trim(strings.TrimPrefix(strings.ReplaceAll(q, " ", ""), "q=0"), ".0") != "" || !strings.Contains(q, "=")
 		}
 	}
-	c.needWhole = c.head || c.ifNoneMatch != "" || c.ifModifiedSince != 0 || c.hasRange
-	return c
+	parsed.needWhole = parsed.head || parsed.ifNoneMatch != "" || parsed.ifModifiedSince != 0 || parsed.hasRange
+	return parsed
 }
 
 // headAge is the age that a head states, in ms.
-func headAge(h *http1.Head) float64 {
-	seconds, err := strconv.ParseFloat(string(h.Get("age")), 64)
+func headAge(head *http1.Head) float64 {
+	seconds, err := strconv.ParseFloat(string(head.Get("age")), 64)
 	if err != nil || !(seconds >= 0) {
 		return 0
 	}
@@ -181,69 +181,69 @@
 
 // expiresFreshness is for how long an answer is fresh by its field Expires, in ms; -1: it has none.
 // Both times are the origin's where it gives them.
-func expiresFreshness(h *http1.Head, clock time.Time) float64 {
-	expires, err := http.ParseTime(string(h.Get("expires")))
+func expiresFreshness(head *http1.Head, now time.Time) float64 {
+	expires, err := http.ParseTime(string(head.Get("expires")))
 	if err != nil {
 		return -1
 	}
-	span := float64(expires.Sub(clock).Milliseconds())
-	if made, err := http.ParseTime(string(h.Get("date"))); err == nil {
-		span = float64(expires.Sub(made).Milliseconds()) - headAge(h)
+	fresh := float64(expires.Sub(now).Milliseconds())
+	if date, err := http.ParseTime(string(head.Get("date"))); err == nil {
+		fresh = float64(expires.Sub(date).Milliseconds()) - headAge(head)
 	}
-	return max(span, 0)
+	return max(fresh, 0)
 }
 
-// parseMeta is what a head says of how long its answer may be kept. The clock is needed only for
+// parseMeta is what a head says of how long its answer may be kept. The now is needed only for
 // a head that says until when, and not when it was made (RFC 9111, section 4.2.1).
-func parseMeta(h *http1.Head, clock time.Time) (m esi.Meta, c coding) {
-	m.Fresh = -1
-	if cc, err := cacheobject.ParseResponseCacheControl(joinedValues(h, "cache-control")); err == nil {
-		if cc.MaxAge >= 0 {
-			m.Fresh = max(float64(cc.MaxAge)*1000-headAge(h), 0)
+func parseMeta(head *http1.Head, now time.Time) (meta esi.Meta, contentCoding coding) {
+	meta.Fresh = -1
+	if control, err := cacheobject.ParseResponseCacheControl(joinedValues(head, "cache-control")); err == nil {
+		if control.MaxAge >= 0 {
+			meta.Fresh = max(float64(control.MaxAge)*1000-headAge(head), 0)
 		}
-		if cc.NoCachePresent {
-			m.Fresh = 0
+		if control.NoCachePresent {
+			meta.Fresh = 0
 		}
-		m.NoStore, m.Private = cc.NoStore, cc.PrivatePresent
+		meta.NoStore, meta.Private = control.NoStore, control.PrivatePresent
 	} else {
-		m.Fresh = 0
+		meta.Fresh = 0
 	}
-	if m.Fresh < 0 {
-		m.Fresh = expiresFreshness(h, clock)
+	if meta.Fresh < 0 {
+		meta.Fresh = expiresFreshness(head, now)
 	}
-	m.ETag = string(h.Get("etag"))
-	if t, err := http.ParseTime(string(h.Get("last-modified"))); err == nil {
-		m.Changed = t.Unix()
+	meta.ETag = string(head.Get("etag"))
+	if t, err := http.ParseTime(string(head.Get("last-modified"))); err == nil {
+		meta.Changed = t.Unix()
 	}
-	m.ESI = requestsESI(joinedValues(h, "surrogate-control"))
-	switch strings.ToLower(strings.TrimSpace(string(h.Get("content-encoding")))) {
+	meta.ESI = requestsESI(joinedValues(head, "surrogate-control"))
+	switch strings.ToLower(strings.TrimSpace(string(head.Get("content-encoding")))) {
 	case "", "identity":
 	case "gzip", "x-gzip":
-		c = gzipped
+		contentCoding = gzipped
 	default:
-		c = unknownCoding
+		contentCoding = unknownCoding
 	}
-	return m, c
+	return meta, contentCoding
 }
 
 // joinedValues is the values of a field, which may stand in several lines.
-func joinedValues(h *http1.Head, name string) string {
-	out := ""
-	for i := range h.Fields {
-		if f := &h.Fields[i]; http1.EqualFold(f.Name, name) {
-			if out != "" {
-				out += ", "
+func joinedValues(head *http1.Head, name string) string {
+	values := ""
+	for i := range head.Fields {
+		if field := &head.Fields[i]; http1.EqualFold(field.Name, name) {
+			if values != "" {
+				values += ", "
 			}
-			out += string(f.Value)
+			values += string(field.Value)
 		}
 	}
-	return out
+	return values
 }
 
 // requestsESI reports whether a Surrogate-Control has its receiver process ESI/1.0 (Edge
 // Architecture Specification 1.0, section 2.2: content="...", a list by spaces).
-func requestsESI(v string) bool {
-	for part := range strings.SplitSeq(v, ",") {
+func requestsESI(value string) bool {
+	for part := range strings.SplitSeq(value, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		value, _, _ = strings.Cut(value, ";")
 		if strings.EqualFold(strings.TrimSpace(name), "content") {
@@ -267,7 +267,7 @@
 }
 
 func isUnprocessedField(name []byte) bool {
-	return isRouterAnswerField(name) || http1.EqualFold(name, "surrogate-control")
+	return isRouterResponseField(name) || http1.EqualFold(name, "surrogate-control")
 }
 
 func isRecomputedField(name []byte) bool {
@@ -280,27 +280,27 @@
 
 // templateHead has the templateHead of the template's answer.
 func (pg *esiPage) templateHead(upstream *upstreamConn) {
-	edge, request, h := pg.edge, pg.request, &upstream.head
-	var m esi.Meta
-	m, pg.coding = parseMeta(h, edge.date())
-	pg.status = h.Status
-	pg.unprocessed = !m.ESI || h.Status != 200
-	except := isRecomputedField
+	edge, request, head := pg.edge, pg.request, &upstream.head
+	var meta esi.Meta
+	meta, pg.coding = parseMeta(head, edge.date())
+	pg.status = head.Status
+	pg.unprocessed = !meta.ESI || head.Status != 200
+	excluded := isRecomputedField
 	if pg.unprocessed {
-		except = isUnprocessedField
+		excluded = isUnprocessedField
 		if pg.coding != gzipped || pg.conditions.acceptsGzip { // as it came
 			pg.coding = identity
 		} else {
-			except = isTemplateField
+			excluded = isTemplateField
 		}
 		pg.contentLength = -1
 		if upstream.body.Kind() == http1.Length && pg.coding == identity {
-			pg.contentLength = h.ContentLength
+			pg.contentLength = head.ContentLength
 		}
 	} else if pg.coding == unknownCoding {
 		pg.rejectErr = fmt.Errorf("%w: it has a content coding other than gzip", esi.ErrMalformed)
 	}
-	pg.headFields = append(appendEndToEnd(pg.headFields[:0], h, except), "Via: 1.1 "+edge.name+"\r\n"...)
+	pg.headFields = append(appendEndToEnd(pg.headFields[:0], head, excluded), "Via: 1.1 "+edge.name+"\r\n"...)
 	if pg.assembly == nil {
 		var err error
 		if pg.assembly, err = esi.NewPage(pg.esiSetup, request.esiVars, request.target, edge.loop.Now(), request.spec.Deadline); err != nil {
@@ -308,8 +308,8 @@
 		}
 		edge.pages[pg] = struct{}{}
 	}
-	m.ESI = !pg.unprocessed
-	pg.assembly.Head(m)
+	meta.ESI = !pg.unprocessed
+	pg.assembly.Head(meta)
 	pg.markChanged()
 }
 
@@ -372,8 +372,8 @@
 	return out, err
 }
 
-// answerDone ends the template's answer, or a fragment's.
-func (pg *esiPage) answerDone(request *clientRequest) {
+// responseDone ends the template's answer, or a fragment's.
+func (pg *esiPage) responseDone(request *clientRequest) {
 	now := pg.edge.loop.Now()
 	if request == pg.request {
 		pg.templateDone = true
@@ -414,36 +414,36 @@
 	done       bool
 }
 
-// fetchFragment asks the module for a fragment.
-func (pg *esiPage) fetchFragment(a esi.Act) {
+// fetchFragment asks the module for action fragment.
+func (pg *esiPage) fetchFragment(action esi.Act) {
 	edge, real := pg.edge, pg.request.client
 	now := edge.loop.Now()
-	fragment := &pageFragment{page: pg, id: a.ID}
+	fragment := &pageFragment{page: pg, id: action.ID}
 	client := &clientConn{edge: edge, fd: -1, fragment: fragment, addr: real.addr, addrText: real.addrText, schedulerClass: real.schedulerClass}
 	request := edge.newRequest(client)
 	request.receivedAt, request.httpMinor = now, 1
 	client.current = request
-	h := http1.Head{Method: []byte("GET"), Target: []byte(a.URL), Minor: 1, Host: []byte(pg.request.esiVars.Host)}
-	q, err := edge.core.Classify("", now, &h)
+	head := http1.Head{Method: []byte("GET"), Target: []byte(action.URL), Minor: 1, Host: []byte(pg.request.esiVars.Host)}
+	spec, err := edge.core.Classify("", now, &head)
 	cause := ""
 	switch {
 	case err != nil:
 		cause = err.Error()
-	case q.Write:
+	case spec.Write:
 		cause = "it is no object that may be asked for"
 	case len(edge.requests) >= edge.settings.Limits.Held:
 		cause = endHeld.word()
 	}
 	if cause != "" {
-		pg.assembly.Failed(a.ID, cause, now)
+		pg.assembly.Failed(action.ID, cause, now)
 		pg.markChanged()
 		return
 	}
-	q.Deadline = min(q.Deadline, a.Until)
-	request.spec = q
-	request.forwardHead = appendPageRequest(request.forwardHead[:0], edge.name, a.URL, pg.request.esiVars.Host, pg.requestID, a.ID)
-	pg.fragments[a.ID] = request
-	pg.fragmentObjects[a.URL] = fragmentObject{q.Object, q.Group}
+	spec.Deadline = min(spec.Deadline, action.Until)
+	request.spec = spec
+	request.forwardHead = appendPageRequest(request.forwardHead[:0], edge.name, action.URL, pg.request.esiVars.Host, pg.requestID, action.ID)
+	pg.fragments[action.ID] = request
+	pg.fragmentObjects[action.URL] = fragmentObject{spec.Object, spec.Group}
 	edge.guard.memory.Add(limits.Requests, requestBytes)
 	request.accounted = requestBytes
 	edge.stats.Fragments++
@@ -452,12 +452,12 @@
 
 // head is the head of a fragment's answer; false: it won't do.
 func (v *pageFragment) head(upstream *upstreamConn) bool {
-	m, c := parseMeta(&upstream.head, v.page.edge.date())
-	v.coding = c
-	if upstream.head.Status != 200 || c == unknownCoding {
+	meta, coding := parseMeta(&upstream.head, v.page.edge.date())
+	v.coding = coding
+	if upstream.head.Status != 200 || coding == unknownCoding {
 		return false
 	}
-	v.page.assembly.Begun(v.id, m, v.page.edge.loop.Now())
+	v.page.assembly.Begun(v.id, meta, v.page.edge.loop.Now())
 	v.page.markChanged()
 	return true
 }
@@ -485,9 +485,9 @@
 }
 
 // dropFragment gives a fragment up that is out.
-func (pg *esiPage) dropFragment(r *clientRequest, cause string) {
-	r.client.fragment.fail(cause)
-	cancelFragment(r)
+func (pg *esiPage) dropFragment(request *clientRequest, cause string) {
+	request.client.fragment.fail(cause)
+	cancelFragment(request)
 }
 
 // countAttempt counts an attempt for a fragment.
@@ -510,19 +510,19 @@
 	edge := pg.edge
 	var tick float64
 	for range 16 {
-		var acts []esi.Act
-		if acts, tick = pg.assembly.Do(edge.loop.Now()); len(acts) == 0 {
+		var actions []esi.Act
+		if actions, tick = pg.assembly.Do(edge.loop.Now()); len(actions) == 0 {
 			break
 		}
-		for _, a := range acts {
-			switch a.Kind {
+		for _, action := range actions {
+			switch action.Kind {
 			case esi.Fetch:
-				pg.fetchFragment(a)
+				pg.fetchFragment(action)
 			case esi.Drop:
-				if r := pg.fragments[a.ID]; r != nil {
-					r.client.fragment.done = true
-					delete(pg.fragments, a.ID)
-					cancelFragment(r)
+				if request := pg.fragments[action.ID]; request != nil {
+					request.client.fragment.done = true
+					delete(pg.fragments, action.ID)
+					cancelFragment(request)
 				}
 			case esi.Restart:
 				pg.restart()
@@ -546,9 +546,9 @@
 	if pg.assembly.Room(-1) && !pg.templateDone {
 		pg.request.resumeReading()
 	}
-	for id, r := range pg.fragments {
+	for id, request := range pg.fragments {
 		if pg.assembly.Room(id) {
-			r.resumeReading()
+			request.resumeReading()
 		}
 	}
 }
@@ -610,8 +610,8 @@
 	}
 }
 
-// writeHead writes the head of the client's answer, and returns what of b belongs behind it.
-func (pg *esiPage) writeHead(b []byte, done, ready bool, m esi.Meta) []byte {
+// writeHead writes the head of the client's answer, and returns what of body belongs behind it.
+func (pg *esiPage) writeHead(body []byte, done, ready bool, meta esi.Meta) []byte {
 	pg.headSent = true
 	request, client, edge := pg.request, pg.request.client, pg.edge
 	status := pg.status
@@ -622,26 +622,26 @@
 		length = pg.contentLength
 	default:
 		if done {
-			length = int64(len(b))
+			length = int64(len(body))
 		}
-		fields = http1.AppendFieldString(fields, "Cache-Control", cacheControl(m, ready))
-		if ready && m.ETag != "" {
-			fields = http1.AppendFieldString(fields, "ETag", m.ETag)
+		fields = http1.AppendFieldString(fields, "Cache-Control", cacheControl(meta, ready))
+		if ready && meta.ETag != "" {
+			fields = http1.AppendFieldString(fields, "ETag", meta.ETag)
 		}
-		if ready && m.Changed > 0 {
-			fields = http1.AppendFieldString(fields, "Last-Modified", time.Unix(m.Changed, 0).UTC().Format(http.TimeFormat))
+		if ready && meta.Changed > 0 {
+			fields = http1.AppendFieldString(fields, "Last-Modified", time.Unix(meta.Changed, 0).UTC().Format(http.TimeFormat))
 		}
 		switch {
-		case done && pg.notModified(m):
-			status, length, b = 304, -1, nil
+		case done && pg.notModified(meta):
+			status, length, body = 304, -1, nil
 		case done && pg.conditions.hasRange && (pg.conditions.ifRange == ""): // weak tags don't do for If-Range
-			from, to, ok := pg.conditions.byteRange(int64(len(b)))
+			first, last, ok := pg.conditions.byteRange(int64(len(body)))
 			if !ok {
-				fields = http1.AppendFieldString(fields, "Content-Range", fmt.Sprintf("bytes */%d", len(b)))
-				status, length, b = 416, 0, nil
+				fields = http1.AppendFieldString(fields, "Content-Range", fmt.Sprintf("bytes */%d", len(body)))
+				status, length, body = 416, 0, nil
 			} else {
-				fields = http1.AppendFieldString(fields, "Content-Range", fmt.Sprintf("bytes %d-%d/%d", from, to, len(b)))
-				status, length, b = 206, to-from+1, b[from:to+1]
+				fields = http1.AppendFieldString(fields, "Content-Range", fmt.Sprintf("bytes %d-%d/%d", first, last, len(body)))
+				status, length, body = 206, last-first+1, body[first:last+1]
 			}
 		}
 	}
@@ -653,7 +653,7 @@
 		out = http1.AppendFieldInt(out, "Content-Length", length)
 	case status == 304 || status == 204:
 	case request.httpMinor == 0:
-		client.closeAfterAnswer = true
+		client.closeAfterResponse = true
 	default:
 		pg.chunked = !pg.conditions.head
 		out = append(out, "Transfer-Encoding: chunked\r\n"...)
@@ -661,49 +661,49 @@
 	out = client.appendConnection(out, request)
 	edge.headBuffer = append(out, "\r\n"...)
 	client.buffer(edge.headBuffer)
-	return b
+	return body
 }
 
 // cacheControl is what a client and caches in front may do with the whole.
-func cacheControl(m esi.Meta, ready bool) string {
-	out := ""
-	if m.Private {
-		out = "private, "
+func cacheControl(meta esi.Meta, ready bool) string {
+	value := ""
+	if meta.Private {
+		value = "private, "
 	}
 	switch {
-	case m.NoStore:
-		return out + "no-store"
-	case !ready || m.Fresh < 1000: // what it is made of is not known yet
-		return out + "no-cache"
+	case meta.NoStore:
+		return value + "no-store"
+	case !ready || meta.Fresh < 1000: // what it is made of is not known yet
+		return value + "no-cache"
 	}
-	return out + "max-age=" + strconv.FormatInt(int64(m.Fresh/1000), 10)
+	return value + "max-age=" + strconv.FormatInt(int64(meta.Fresh/1000), 10)
 }
 
 // notModified reports whether the client has the page already (RFC 9110, section 13.2.2).
-func (pg *esiPage) notModified(m esi.Meta) bool {
+func (pg *esiPage) notModified(meta esi.Meta) bool {
 	if pg.conditions.ifNoneMatch != "" {
-		if m.ETag == "" {
+		if meta.ETag == "" {
 			return false
 		}
 		for tag := range strings.SplitSeq(pg.conditions.ifNoneMatch, ",") {
-			if tag = strings.TrimSpace(tag); tag == "*" || strings.TrimPrefix(tag, "W/") == strings.TrimPrefix(m.ETag, "W/") {
+			if tag = strings.TrimSpace(tag); tag == "*" || strings.TrimPrefix(tag, "W/") == strings.TrimPrefix(meta.ETag, "W/") {
 				return true
 			}
 		}
 		return false
 	}
-	return pg.conditions.ifModifiedSince > 0 && m.Changed > 0 && m.Changed <= pg.conditions.ifModifiedSince
+	return pg.conditions.ifModifiedSince > 0 && meta.Changed > 0 && meta.Changed <= pg.conditions.ifModifiedSince
 }
 
 // byteRange is the first and last byte of a range in so many; false: none are in it.
-func (c *conditions) byteRange(n int64) (from, to int64, ok bool) {
+func (c *conditions) byteRange(length int64) (first, last int64, ok bool) {
 	switch {
 	case c.first < 0:
-		return max(n-c.last, 0), n - 1, n > 0 && c.last > 0
+		return max(length-c.last, 0), length - 1, length > 0 && c.last > 0
 	case c.last < 0:
-		return c.first, n - 1, c.first < n
+		return c.first, length - 1, c.first < length
 	}
-	return c.first, min(c.last, n-1), c.first < n
+	return c.first, min(c.last, length-1), c.first < length
 }
 
 func (pg *esiPage) write(b []byte) {
@@ -745,13 +745,13 @@
 	delete(edge.pages, pg)
 	edge.guard.memory.Add(limits.Answers, -pg.accounted)
 	pg.accounted = 0
-	for id, r := range pg.fragments {
+	for id, request := range pg.fragments {
 		delete(pg.fragments, id)
-		r.client.fragment.done = true
-		cancelFragment(r)
+		request.client.fragment.done = true
+		cancelFragment(request)
 	}
-	if w := pg.request.winner; w != nil && !w.done && w.request == pg.request {
-		w.abort(spool.Cancelled)
+	if winner := pg.request.winner; winner != nil && !winner.done && winner.request == pg.request {
+		winner.abort(spool.Cancelled)
 	}
 }
 
@@ -770,7 +770,7 @@
 	if pg.headSent {
 		request.end = endBroken
 		edge.stats.Broken++
-		client.closeAfterAnswer, client.discardInput = true, true
+		client.closeAfterResponse, client.discardInput = true, true
 		if !pg.chunked {
 			unix.SetsockoptLinger(client.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 			client.close()
@@ -790,8 +790,8 @@
 // restart asks for the page itself once more: it was purged before any of it went out.
 func (pg *esiPage) restart() {
 	request, edge := pg.request, pg.edge
-	if w := request.winner; w != nil && !w.done {
-		w.abort(spool.Cancelled)
+	if winner := request.winner; winner != nil && !winner.done {
+		winner.abort(spool.Cancelled)
 	}
 	delete(edge.requests, request.id)
 	pg.templateDone, pg.compressed = false, nil
@@ -810,17 +810,20 @@
 
 // purgePages tells pages what has become old. What has gone out already must be whole before
 // the grace is over.
-func (e *Edge) purgePages(p spool.Purge) {
-	hit := func(object string, group int) bool {
-		return object == p.Object || p.Object == "" && group == p.Group
+func (e *Edge) purgePages(purge spool.Purge) {
+	purged := func(object string, group int) bool {
+		return object == purge.Object || purge.Object == "" && group == purge.Group
 	}
-	until := e.loop.Now() - p.Age + e.settings.Rules.PurgeSlack - 2*e.settings.Limits.TimerGrain
-	for pg := range e.pages {
-		pg.assembly.Purged(false, func(url string) bool { w, ok := pg.fragmentObjects[url]; return ok && hit(w.object, w.group) }, until, e.loop.Now())
-		if hit(pg.request.spec.Object, pg.request.spec.Group) && !pg.unprocessed && pg.request.phase == relaying {
-			pg.assembly.Purged(true, nil, until, e.loop.Now())
+	until := e.loop.Now() - purge.Age + e.settings.Rules.PurgeSlack - 2*e.settings.Limits.TimerGrain
+	for page := range e.pages {
+		page.assembly.Purged(false, func(url string) bool {
+			object, known := page.fragmentObjects[url]
+			return known && purged(object.object, object.group)
+		}, until, e.loop.Now())
+		if purged(page.request.spec.Object, page.request.spec.Group) && !page.unprocessed && page.request.phase == relaying {
+			page.assembly.Purged(true, nil, until, e.loop.Now())
 		}
-		pg.markChanged()
+		page.markChanged()
 	}
 }
 
@@ -842,8 +845,8 @@
 	return !pg.assembly.Room(r.client.fragment.id)
 }
 
-// answerBroken is that the answer of the template, or of a fragment, answerBroken off.
-func (pg *esiPage) answerBroken(request *clientRequest) {
+// responseBroken is that the answer of the template, or of a fragment, responseBroken off.
+func (pg *esiPage) responseBroken(request *clientRequest) {
 	pg.edge.stats.Broken--
 	if request == pg.request {
 		pg.fail(errTemplateBroken)
--- a/internal/proxy/httpfront/page_test.go
+++ b/internal/proxy/httpfront/page_test.go
@@ -17,85 +17,85 @@
 	"indigospool/internal/proxy/engine"
 )
 
-// shop is a member that has pages and fragments, and notes what it is asked for.
-type shop struct {
+// pageRig is a member that has pages and fragments, and notes what it is asked for.
+type pageRig struct {
 	*testRig
-	srv   *httptest.Server
-	mu    sync.Mutex
-	asked map[string]int
-	heads map[string]http.Header
-	body  map[string]func(w http.ResponseWriter, r *http.Request)
-	gone  map[string]int // asks that were given up while they were out
+	server         *httptest.Server
+	mu             sync.Mutex
+	requestCounts  map[string]int
+	requestHeaders map[string]http.Header
+	handlers       map[string]func(w http.ResponseWriter, r *http.Request)
+	cancelled      map[string]int // asks that were given up while they were out
 }
 
-const pageHead = `content="ESI/1.0"`
+const surrogateControl = `content="ESI/1.0"`
 
-func newShop(t *testing.T, limits, pages string) *shop {
-	had := testPages
-	testPages = `(class page (pages) (deadline 3000)) (route "/p/{group}/{object}" (class page)) (pages ` + pages + `)`
-	defer func() { testPages = had }()
-	s := &shop{testRig: newRig(t, 0, limits), asked: map[string]int{}, heads: map[string]http.Header{}, gone: map[string]int{},
-		body: map[string]func(http.ResponseWriter, *http.Request){}}
-	s.srv = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+func newPageRig(t *testing.T, limits, pages string) *pageRig {
+	had := extraSettings
+	extraSettings = `(class page (pages) (deadline 3000)) (route "/p/{group}/{object}" (class page)) (pages ` + pages + `)`
+	defer func() { extraSettings = had }()
+	rig := &pageRig{testRig: newRig(t, 0, limits), requestCounts: map[string]int{}, requestHeaders: map[string]http.Header{}, cancelled: map[string]int{},
+		handlers: map[string]func(http.ResponseWriter, *http.Request){}}
+	rig.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		path := r.URL.Path
-		s.mu.Lock()
-		s.asked[path]++
-		s.heads[path] = r.Header.Clone()
-		f := s.body[path]
-		s.mu.Unlock()
+		rig.mu.Lock()
+		rig.requestCounts[path]++
+		rig.requestHeaders[path] = r.Header.Clone()
+		handler := rig.handlers[path]
+		rig.mu.Unlock()
 		w.Header().Set("Cache-Status", "b0; hit")
-		if f == nil {
+		if handler == nil {
 			http.NotFound(w, r)
 			return
 		}
-		f(w, r)
+		handler(w, r)
 		if r.Context().Err() != nil {
-			s.mu.Lock()
-			s.gone[path]++
-			s.mu.Unlock()
+			rig.mu.Lock()
+			rig.cancelled[path]++
+			rig.mu.Unlock()
 		}
 	}))
-	t.Cleanup(func() { s.stop(); s.srv.CloseClientConnections(); s.srv.Close() })
-	s.set("b0", "box", "z", "serving", s.srv.Listener.Addr().String())
-	s.waitFor("the member", func(_ *Stats, c *engine.Core) bool { _, ok := c.Member("b0"); return ok })
-	return s
+	t.Cleanup(func() { rig.stop(); rig.server.CloseClientConnections(); rig.server.Close() })
+	rig.setMember("b0", "box", "z", "serving", rig.server.Listener.Addr().String())
+	rig.waitFor("the member", func(_ *Stats, c *engine.Core) bool { _, ok := c.Member("b0"); return ok })
+	return rig
 }
 
-func (s *shop) has(path, text string, fields ...string) {
+func (s *pageRig) serve(path, text string, fields ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.body[path] = func(w http.ResponseWriter, r *http.Request) {
+	s.handlers[path] = func(w http.ResponseWriter, r *http.Request) {
 		for i := 0; i+1 < len(fields); i += 2 {
 			w.Header().Set(fields[i], fields[i+1])
 		}
 		if strings.HasPrefix(path, "/p/") && w.Header().Get("Surrogate-Control") == "" {
-			w.Header().Set("Surrogate-Control", pageHead)
+			w.Header().Set("Surrogate-Control", surrogateControl)
 		}
 		io.WriteString(w, text)
 	}
 }
 
-func (s *shop) does(path string, f func(w http.ResponseWriter, r *http.Request)) {
+func (s *pageRig) handle(path string, f func(w http.ResponseWriter, r *http.Request)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.body[path] = f
+	s.handlers[path] = f
 }
 
-func (s *shop) times(path string) int {
+func (s *pageRig) count(path string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.asked[path]
+	return s.requestCounts[path]
 }
 
-// ask is a request of a page's client.
-func (s *shop) ask(method, path string, fields ...string) (*http.Response, string, error) {
+// request is a request of a page's client.
+func (s *pageRig) request(method, path string, fields ...string) (*http.Response, string, error) {
 	s.t.Helper()
-	req, _ := http.NewRequest(method, "http://"+s.e.Addr()+path, nil)
+	req, _ := http.NewRequest(method, "http://"+s.edge.Addr()+path, nil)
 	for i := 0; i+1 < len(fields); i += 2 {
 		req.Header.Set(fields[i], fields[i+1])
 	}
-	tr := &http.Transport{DisableCompression: true, DisableKeepAlives: true}
-	res, err := (&http.Client{Transport: tr, Timeout: 8 * time.Second}).Do(req)
+	transport := &http.Transport{DisableCompression: true, DisableKeepAlives: true}
+	res, err := (&http.Client{Transport: transport, Timeout: 8 * time.Second}).Do(req)
 	if err != nil {
 		return nil, "", err
 	}
@@ -104,88 +104,88 @@
 	return res, string(b), err
 }
 
-func (s *shop) want(path, text string, fields ...string) *http.Response {
+func (s *pageRig) mustServe(path, text string, fields ...string) *http.Response {
 	s.t.Helper()
-	res, got, err := s.ask("GET", path, fields...)
+	res, got, err := s.request("GET", path, fields...)
 	if err != nil || res.StatusCode != 200 || got != text {
 		s.t.Fatalf("%s: %.300q %v %v, want %.300q", path, got, res, err, text)
 	}
 	return res
 }
 
-func inc(path string, more ...string) string {
+func include(path string, more ...string) string {
 	return `<esi:include src="` + path + `"` + strings.Join(more, "") + `/>`
 }
 
 // Pages as clients get them: fragments in order, the same ten times asked for once, with
 // alternatives and without; what stands around; nested; compressed.
 func TestPages(t *testing.T) {
-	s := newShop(t, "", "")
-	s.has("/p/1/a", "<h>"+strings.Repeat(inc("/s/1/x"), 10)+inc("/s/1/no", ` alt="/s/1/y"`)+inc("/s/1/none", ` onerror="continue"`)+
-		"<esi:try><esi:attempt>"+inc("/s/1/none2")+"</esi:attempt><esi:except>E</esi:except></esi:try></h>", "Set-Cookie", "t=1")
-	s.has("/s/1/x", "x", "Set-Cookie", "frag=1")
-	s.has("/s/1/y", "y")
-	res := s.want("/p/1/a", "<h>xxxxxxxxxxyE</h>", "Cookie", "secret=1", "Accept-Encoding", "br")
-	if n := s.times("/s/1/x"); n != 1 {
+	rig := newPageRig(t, "", "")
+	rig.serve("/p/1/a", "<h>"+strings.Repeat(include("/s/1/x"), 10)+include("/s/1/no", ` alt="/s/1/y"`)+include("/s/1/none", ` onerror="continue"`)+
+		"<esi:try><esi:attempt>"+include("/s/1/none2")+"</esi:attempt><esi:except>E</esi:except></esi:try></h>", "Set-Cookie", "t=1")
+	rig.serve("/s/1/x", "x", "Set-Cookie", "frag=1")
+	rig.serve("/s/1/y", "y")
+	res := rig.mustServe("/p/1/a", "<h>xxxxxxxxxxyE</h>", "Cookie", "secret=1", "Accept-Encoding", "br")
+	if n := rig.count("/s/1/x"); n != 1 {
 		t.Errorf("a fragment that is named ten times was asked for %d times", n)
 	}
 	if c := res.Header["Set-Cookie"]; len(c) != 1 || c[0] != "t=1" || res.Header.Get("Surrogate-Control") != "" {
 		t.Errorf("head %v", res.Header)
 	}
-	s.mu.Lock()
-	for path, h := range s.heads {
+	rig.mu.Lock()
+	for path, h := range rig.requestHeaders {
 		if h.Get("Cookie") != "" || h.Get("Accept-Encoding") != "gzip" || !strings.Contains(h.Get("Surrogate-Capability"), `="ESI/1.0"`) {
 			t.Errorf("%s was asked for with %v", path, h)
 		}
 	}
-	s.mu.Unlock()
+	rig.mu.Unlock()
 
 	zip := func(text string) string {
 		var b bytes.Buffer
-		z := gzip.NewWriter(&b)
-		z.Write([]byte(text))
-		z.Close()
+		writer := gzip.NewWriter(&b)
+		writer.Write([]byte(text))
+		writer.Close()
 		return b.String()
 	}
-	s.has("/p/1/z", zip("[<esi:vars>$(QUERY_STRING{q})</esi:vars>"+inc("/p/1/in")+"]"), "Content-Encoding", "gzip")
-	s.has("/p/1/in", zip("in"+inc("/s/1/big")), "Content-Encoding", "gzip")
+	rig.serve("/p/1/z", zip("[<esi:vars>$(QUERY_STRING{q})</esi:vars>"+include("/p/1/in")+"]"), "Content-Encoding", "gzip")
+	rig.serve("/p/1/in", zip("in"+include("/s/1/big")), "Content-Encoding", "gzip")
 	big := strings.Repeat("0123456789abcdef", 20<<10) // 320 KB: it streams
-	s.has("/s/1/big", big)
-	s.want("/p/1/z?q=%3Cb%3E", "[%3Cb%3Ein"+big+"]")
+	rig.serve("/s/1/big", big)
+	rig.mustServe("/p/1/z?q=%3Cb%3E", "[%3Cb%3Ein"+big+"]")
 	bomb := zip(strings.Repeat("x", 4<<20))
-	s.has("/p/1/bomb", "a"+inc("/s/1/bomb", ` onerror="continue"`)+"b")
-	s.has("/s/1/bomb", bomb, "Content-Encoding", "gzip")
-	s.want("/p/1/bomb", "ab")
+	rig.serve("/p/1/bomb", "a"+include("/s/1/bomb", ` onerror="continue"`)+"b")
+	rig.serve("/s/1/bomb", bomb, "Content-Encoding", "gzip")
+	rig.mustServe("/p/1/bomb", "ab")
 
 	// what says nothing of ESI goes on as it is, and so does what is no page's class
-	s.has("/p/1/plain", "<esi:include src='/s/1/x'/>", "Surrogate-Control", "max-age=5", "ETag", `"e"`)
-	if res := s.want("/p/1/plain", "<esi:include src='/s/1/x'/>"); res.Header.Get("ETag") != `"e"` || res.ContentLength != 27 {
+	rig.serve("/p/1/plain", "<esi:include src='/s/1/x'/>", "Surrogate-Control", "max-age=5", "ETag", `"e"`)
+	if res := rig.mustServe("/p/1/plain", "<esi:include src='/s/1/x'/>"); res.Header.Get("ETag") != `"e"` || res.ContentLength != 27 {
 		t.Error(res.Header, res.ContentLength)
 	}
-	s.has("/s/1/raw", inc("/s/1/x"), "Surrogate-Control", pageHead)
-	s.want("/s/1/raw", inc("/s/1/x"))
-	if res, _, _ := s.ask("GET", "/p/1/absent"); res.StatusCode != 404 {
+	rig.serve("/s/1/raw", include("/s/1/x"), "Surrogate-Control", surrogateControl)
+	rig.mustServe("/s/1/raw", include("/s/1/x"))
+	if res, _, _ := rig.request("GET", "/p/1/absent"); res.StatusCode != 404 {
 		t.Error(res.Status)
 	}
 
 	// a required fragment is missing: an answer that says so, or one that is seen to be cut
-	s.has("/p/1/m", inc("/s/1/none"))
-	if res, _, err := s.ask("GET", "/p/1/m"); err != nil || res.StatusCode != 502 || !strings.Contains(res.Header.Get("Cache-Status"), "detail=page") {
+	rig.serve("/p/1/m", include("/s/1/none"))
+	if res, _, err := rig.request("GET", "/p/1/m"); err != nil || res.StatusCode != 502 || !strings.Contains(res.Header.Get("Cache-Status"), "detail=page") {
 		t.Error(res, err)
 	}
-	s.has("/p/1/m2", "begun"+inc("/s/1/none"))
-	if _, got, err := s.ask("GET", "/p/1/m2"); err == nil {
+	rig.serve("/p/1/m2", "begun"+include("/s/1/none"))
+	if _, got, err := rig.request("GET", "/p/1/m2"); err == nil {
 		t.Errorf("it ends as if it were whole: %q", got)
 	}
-	s.has("/p/1/mal", "a<esi:what/>")
-	if res, _, err := s.ask("GET", "/p/1/mal"); err == nil && res.StatusCode != 502 {
+	rig.serve("/p/1/mal", "a<esi:what/>")
+	if res, _, err := rig.request("GET", "/p/1/mal"); err == nil && res.StatusCode != 502 {
 		t.Error(res, err)
 	}
 	// a HEAD that fails has no body: what follows on the connection is the next answer
-	got := s.talk("HEAD /p/1/m HTTP/1.1\r\nHost: h\r\n\r\nHEAD /p/1/absent HTTP/1.1\r\nHost: h\r\n\r\nGET /p/1/a HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
-	br := bufio.NewReader(strings.NewReader(got))
+	got := rig.exchange("HEAD /p/1/m HTTP/1.1\r\nHost: h\r\n\r\nHEAD /p/1/absent HTTP/1.1\r\nHost: h\r\n\r\nGET /p/1/a HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
+	reader := bufio.NewReader(strings.NewReader(got))
 	for i, method := range []string{"HEAD", "HEAD", "GET"} {
-		res, err := http.ReadResponse(br, &http.Request{Method: method})
+		res, err := http.ReadResponse(reader, &http.Request{Method: method})
 		if err != nil {
 			t.Fatalf("answer %d: %v in %.600q", i, err, got)
 		}
@@ -194,27 +194,27 @@
 			t.Errorf("answer %d: %v %q %v", i, res.Status, b, err)
 		}
 	}
-	s.e.Query(func(st *Stats, c *engine.Core) {
-		if len(s.e.requests) > 0 || len(s.e.pages) > 0 {
-			t.Errorf("%d requests, %d pages are left", len(s.e.requests), len(s.e.pages))
+	rig.edge.Query(func(st *Stats, c *engine.Core) {
+		if len(rig.edge.requests) > 0 || len(rig.edge.pages) > 0 {
+			t.Errorf("%d requests, %d pages are left", len(rig.edge.requests), len(rig.edge.pages))
 		}
 	})
 }
 
 // What clients ask of the whole: HEAD, ranges, conditions; how long it may be kept.
 func TestPageHeads(t *testing.T) {
-	s := newShop(t, "", "")
-	s.has("/p/1/a", "0123"+inc("/s/1/x")+"89", "Cache-Control", "max-age=60", "ETag", `"t1"`, "Last-Modified", "Tue, 01 Dec 2026 10:00:00 GMT")
-	s.has("/s/1/x", "4567", "Cache-Control", "max-age=30", "ETag", `"x1"`, "Last-Modified", "Tue, 01 Dec 2026 11:00:00 GMT")
-	res, got, err := s.ask("HEAD", "/p/1/a")
+	rig := newPageRig(t, "", "")
+	rig.serve("/p/1/a", "0123"+include("/s/1/x")+"89", "Cache-Control", "max-age=60", "ETag", `"t1"`, "Last-Modified", "Tue, 01 Dec 2026 10:00:00 GMT")
+	rig.serve("/s/1/x", "4567", "Cache-Control", "max-age=30", "ETag", `"x1"`, "Last-Modified", "Tue, 01 Dec 2026 11:00:00 GMT")
+	res, got, err := rig.request("HEAD", "/p/1/a")
 	if err != nil || got != "" || res.ContentLength != 10 || res.Header.Get("Last-Modified") != "Tue, 01 Dec 2026 11:00:00 GMT" {
 		t.Fatal(res, got, err)
 	}
 	tag := res.Header.Get("ETag")
-	if cc := res.Header.Get("Cache-Control"); !strings.HasPrefix(tag, `W/"p`) || cc != "max-age=29" && cc != "max-age=30" {
+	if control := res.Header.Get("Cache-Control"); !strings.HasPrefix(tag, `W/"p`) || control != "max-age=29" && control != "max-age=30" {
 		t.Fatal(tag, res.Header)
 	}
-	for _, k := range []struct {
+	for _, test := range []struct {
 		status int
 		text   string
 		fields []string
@@ -230,108 +230,108 @@
 		{200, "0123456789", []string{"Range", "bytes=3-5", "If-Range", tag}},
 		{200, "0123456789", []string{"Range", "bytes=5-3"}},
 	} {
-		res, got, err := s.ask("GET", "/p/1/a", k.fields...)
-		if err != nil || res.StatusCode != k.status || got != k.text {
-			t.Errorf("%v: %v %q %v", k.fields, res.Status, got, err)
+		res, got, err := rig.request("GET", "/p/1/a", test.fields...)
+		if err != nil || res.StatusCode != test.status || got != test.text {
+			t.Errorf("%v: %v %q %v", test.fields, res.Status, got, err)
 		}
-		if k.status == 206 && !strings.HasSuffix(res.Header.Get("Content-Range"), "/10") {
+		if test.status == 206 && !strings.HasSuffix(res.Header.Get("Content-Range"), "/10") {
 			t.Error(res.Header)
 		}
 	}
-	s.mu.Lock()
-	for path, h := range s.heads {
+	rig.mu.Lock()
+	for path, h := range rig.requestHeaders {
 		if h.Get("Range")+h.Get("If-None-Match")+h.Get("If-Modified-Since") != "" {
 			t.Errorf("%s was asked for with %v", path, h)
 		}
 	}
-	s.mu.Unlock()
-	s.has("/s/1/x", "4567", "Cache-Control", "private, max-age=30") // of another version: no tag
-	if res, _, _ = s.ask("HEAD", "/p/1/a"); !strings.HasPrefix(res.Header.Get("Cache-Control"), "private") || res.Header.Get("ETag") != "" {
+	rig.mu.Unlock()
+	rig.serve("/s/1/x", "4567", "Cache-Control", "private, max-age=30") // of another version: no tag
+	if res, _, _ = rig.request("HEAD", "/p/1/a"); !strings.HasPrefix(res.Header.Get("Cache-Control"), "private") || res.Header.Get("ETag") != "" {
 		t.Error(res.Header)
 	}
-	s.has("/s/1/x", "4567")
-	if res, _, _ = s.ask("GET", "/p/1/a", "Range", "bytes=0-3"); res.Header.Get("Cache-Control") != "no-cache" {
+	rig.serve("/s/1/x", "4567")
+	if res, _, _ = rig.request("GET", "/p/1/a", "Range", "bytes=0-3"); res.Header.Get("Cache-Control") != "no-cache" {
 		t.Error(res.Header)
 	}
 }
 
 // One fragment never answers: the page is in time without it, or with its alternative;
 // nothing is left out for it.
-func TestFragmentThatHangs(t *testing.T) {
-	s := newShop(t, "", "")
-	s.does("/s/1/hang", func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-	s.does("/s/1/half", func(w http.ResponseWriter, r *http.Request) {
+func TestHangingFragment(t *testing.T) {
+	rig := newPageRig(t, "", "")
+	rig.handle("/s/1/hang", func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+	rig.handle("/s/1/half", func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Length", "100")
 		io.WriteString(w, "half")
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 	})
-	s.has("/s/1/y", "y")
-	s.has("/p/1/a", "a"+inc("/s/1/hang", ` alt="/s/1/y"`)+inc("/s/1/half", ` onerror="continue"`)+"b")
+	rig.serve("/s/1/y", "y")
+	rig.serve("/p/1/a", "a"+include("/s/1/hang", ` alt="/s/1/y"`)+include("/s/1/half", ` onerror="continue"`)+"b")
 	began := time.Now()
-	s.want("/p/1/a", "ayb", "Spool-Deadline", "1500")
+	rig.mustServe("/p/1/a", "ayb", "Spool-Deadline", "1500")
 	if took := time.Since(began); took > 1500*time.Millisecond {
 		t.Errorf("it took %v", took)
 	}
-	s.has("/p/1/b", inc("/s/1/hang"))
-	if res, _, err := s.ask("GET", "/p/1/b", "Spool-Deadline", "600"); err != nil || res.StatusCode != 504 {
+	rig.serve("/p/1/b", include("/s/1/hang"))
+	if res, _, err := rig.request("GET", "/p/1/b", "Spool-Deadline", "600"); err != nil || res.StatusCode != 504 {
 		t.Error(res, err)
 	}
-	s.waitFor("nothing to be left", func(*Stats, *engine.Core) bool { return len(s.e.requests) == 0 && len(s.e.pages) == 0 })
+	rig.waitFor("nothing to be left", func(*Stats, *engine.Core) bool { return len(rig.edge.requests) == 0 && len(rig.edge.pages) == 0 })
 }
 
 // 200 fragments, at most 8 of them at once; and the client hears the first before the
 // last is there.
 func TestManyFragments(t *testing.T) {
-	s := newShop(t, "", "")
+	rig := newPageRig(t, "", "")
 	var text, want strings.Builder
-	var at, most int
+	var inFlight, maxInFlight int
 	for i := range 200 {
 		path := fmt.Sprintf("/s/%d/f%d", i, i)
-		s.does(path, func(w http.ResponseWriter, r *http.Request) {
-			s.mu.Lock()
-			at++
-			most = max(most, at)
-			s.mu.Unlock()
+		rig.handle(path, func(w http.ResponseWriter, r *http.Request) {
+			rig.mu.Lock()
+			inFlight++
+			maxInFlight = max(maxInFlight, inFlight)
+			rig.mu.Unlock()
 			time.Sleep(2 * time.Millisecond)
-			s.mu.Lock()
-			at--
-			s.mu.Unlock()
+			rig.mu.Lock()
+			inFlight--
+			rig.mu.Unlock()
 			fmt.Fprintf(w, "<%d>", i)
 		})
-		text.WriteString(inc(path))
+		text.WriteString(include(path))
 		fmt.Fprintf(&want, "<%d>", i)
 	}
-	s.has("/p/1/a", text.String())
-	s.want("/p/1/a", want.String())
-	if most > 8 || most < 4 {
-		t.Errorf("%d were out at once", most)
+	rig.serve("/p/1/a", text.String())
+	rig.mustServe("/p/1/a", want.String())
+	if maxInFlight > 8 || maxInFlight < 4 {
+		t.Errorf("%d were out at once", maxInFlight)
 	}
 }
 
 // A purge while the page is put together: a fragment that is here, and has not been sent,
 // is asked for again, and the old one is not sent; a template begins anew.
 func TestPurgeOfFragment(t *testing.T) {
-	s := newShop(t, "", "")
+	rig := newPageRig(t, "", "")
 	let := make(chan bool)
-	s.does("/s/1/slow", func(w http.ResponseWriter, r *http.Request) { <-let; io.WriteString(w, "S") })
-	s.has("/s/2/thumb", "old")
-	s.has("/p/3/a", inc("/s/1/slow")+inc("/s/2/thumb"))
+	rig.handle("/s/1/slow", func(w http.ResponseWriter, r *http.Request) { <-let; io.WriteString(w, "S") })
+	rig.serve("/s/2/thumb", "old")
+	rig.serve("/p/3/a", include("/s/1/slow")+include("/s/2/thumb"))
 	got := make(chan string, 1)
-	go func() { _, b, err := s.ask("GET", "/p/3/a"); got <- fmt.Sprint(b, err) }()
-	s.waitFor("the fragment", func(*Stats, *engine.Core) bool { return s.times("/s/2/thumb") == 1 && s.times("/s/1/slow") == 1 })
+	go func() { _, b, err := rig.request("GET", "/p/3/a"); got <- fmt.Sprint(b, err) }()
+	rig.waitFor("the fragment", func(*Stats, *engine.Core) bool { return rig.count("/s/2/thumb") == 1 && rig.count("/s/1/slow") == 1 })
 	time.Sleep(50 * time.Millisecond)
-	s.has("/s/2/thumb", "new")
-	s.list.Purge("/s/2/thumb", 0, 0)
-	s.waitFor("it to be asked for again", func(*Stats, *engine.Core) bool { return s.times("/s/2/thumb") == 2 })
+	rig.serve("/s/2/thumb", "new")
+	rig.listService.Purge("/s/2/thumb", 0, 0)
+	rig.waitFor("it to be asked for again", func(*Stats, *engine.Core) bool { return rig.count("/s/2/thumb") == 2 })
 	let <- true
 	if b := <-got; b != "Snew<nil>" {
 		t.Errorf("the client has %q", b)
 	}
-	go func() { _, b, err := s.ask("GET", "/p/3/a"); got <- fmt.Sprint(b, err) }()
-	s.waitFor("the fragment", func(*Stats, *engine.Core) bool { return s.times("/s/1/slow") == 2 })
-	s.has("/p/3/a", "anew"+inc("/s/2/thumb"))
-	s.list.Purge("/p/3/a", 0, 0)
+	go func() { _, b, err := rig.request("GET", "/p/3/a"); got <- fmt.Sprint(b, err) }()
+	rig.waitFor("the fragment", func(*Stats, *engine.Core) bool { return rig.count("/s/1/slow") == 2 })
+	rig.serve("/p/3/a", "anew"+include("/s/2/thumb"))
+	rig.listService.Purge("/p/3/a", 0, 0)
 	if b := <-got; b != "anewnew<nil>" {
 		t.Errorf("the client has %q", b)
 	}
@@ -340,21 +340,21 @@
 
 // A client that leaves half-way: what is out for it ends, and nothing more is asked for.
 func TestPageClientLeaves(t *testing.T) {
-	s := newShop(t, "", "(parallel 2)")
+	rig := newPageRig(t, "", "(parallel 2)")
 	for i := range 6 {
-		s.does(fmt.Sprintf("/s/1/h%d", i), func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-	}
-	s.has("/p/1/a", "a"+inc("/s/1/h0")+inc("/s/1/h1")+inc("/s/1/h2")+inc("/s/1/h3"))
-	c := s.dial()
-	fmt.Fprint(c, "GET /p/1/a HTTP/1.1\r\nHost: h\r\n\r\n")
-	s.waitFor("two fragments", func(*Stats, *engine.Core) bool { return s.times("/s/1/h0")+s.times("/s/1/h1") == 2 })
-	c.Close()
-	s.waitFor("nothing to be out", func(*Stats, *engine.Core) bool {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		return len(s.e.requests) == 0 && len(s.e.pages) == 0 && s.gone["/s/1/h0"]+s.gone["/s/1/h1"] == 2
+		rig.handle(fmt.Sprintf("/s/1/h%d", i), func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+	}
+	rig.serve("/p/1/a", "a"+include("/s/1/h0")+include("/s/1/h1")+include("/s/1/h2")+include("/s/1/h3"))
+	conn := rig.dial()
+	fmt.Fprint(conn, "GET /p/1/a HTTP/1.1\r\nHost: h\r\n\r\n")
+	rig.waitFor("two fragments", func(*Stats, *engine.Core) bool { return rig.count("/s/1/h0")+rig.count("/s/1/h1") == 2 })
+	conn.Close()
+	rig.waitFor("nothing to be out", func(*Stats, *engine.Core) bool {
+		rig.mu.Lock()
+		defer rig.mu.Unlock()
+		return len(rig.edge.requests) == 0 && len(rig.edge.pages) == 0 && rig.cancelled["/s/1/h0"]+rig.cancelled["/s/1/h1"] == 2
 	})
-	if n := s.times("/s/1/h2") + s.times("/s/1/h3"); n > 0 {
+	if n := rig.count("/s/1/h2") + rig.count("/s/1/h3"); n > 0 {
 		t.Errorf("%d were asked for after the client had gone", n)
 	}
 }
@@ -362,34 +362,34 @@
 // A slow client while fragments pile up: what is held stays bounded, and the page comes
 // whole in the end.
 func TestPageSlowClient(t *testing.T) {
-	s := newShop(t, "(socket-kb 256)", "(held-kb 64) (whole-kb 16)")
+	rig := newPageRig(t, "(socket-kb 256)", "(held-kb 64) (whole-kb 16)")
 	part := strings.Repeat("0123456789abcdef", 8<<10) // 128 KB
 	var text strings.Builder
 	for i := range 24 {
 		path := fmt.Sprintf("/s/1/b%d", i)
-		s.has(path, part)
-		text.WriteString(inc(path))
+		rig.serve(path, part)
+		text.WriteString(include(path))
 	}
-	s.has("/p/1/a", text.String())
-	c, err := net.Dial("tcp4", s.e.Addr())
+	rig.serve("/p/1/a", text.String())
+	conn, err := net.Dial("tcp4", rig.edge.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	c.(*net.TCPConn).SetReadBuffer(32 << 10)
-	c.SetDeadline(time.Now().Add(20 * time.Second))
-	fmt.Fprint(c, "GET /p/1/a HTTP/1.1\r\nHost: h\r\nSpool-Deadline: 900\r\nConnection: close\r\n\r\n")
+	defer conn.Close()
+	conn.(*net.TCPConn).SetReadBuffer(32 << 10)
+	conn.SetDeadline(time.Now().Add(20 * time.Second))
+	fmt.Fprint(conn, "GET /p/1/a HTTP/1.1\r\nHost: h\r\nSpool-Deadline: 900\r\nConnection: close\r\n\r\n")
 	time.Sleep(600 * time.Millisecond)
 	var held int64
-	s.e.Query(func(*Stats, *engine.Core) {
-		for pg := range s.e.pages {
+	rig.edge.Query(func(*Stats, *engine.Core) {
+		for pg := range rig.edge.pages {
 			held = pg.assembly.Most()
 		}
 	})
 	if held == 0 || held > 64<<10+8*128<<10+128<<10 {
 		t.Errorf("%d bytes are held", held)
 	}
-	res, err := http.ReadResponse(bufio.NewReader(c), nil)
+	res, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/httpfront/syscalls_test.go
+++ b/internal/proxy/httpfront/syscalls_test.go
@@ -21,22 +21,22 @@
 // inFlight is how many requests are in hand while calls fail.
 const inFlight = 100
 
-// twoEach makes two requests on each of inFlight connections, and reports what is lost.
-func (r *testRig) twoEach() {
+// twoRequestsEach makes two requests on each of inFlight connections, and reports what is lost.
+func (r *testRig) twoRequestsEach() {
 	var wg sync.WaitGroup
 	for i := range inFlight {
 		wg.Go(func() {
-			c := r.dial()
-			reader := bufio.NewReader(c)
-			for k := range 2 {
-				fmt.Fprintf(c, "GET /s/1/%d-%d HTTP/1.1\r\nHost: h\r\n\r\n", i, k)
+			conn := r.dial()
+			reader := bufio.NewReader(conn)
+			for n := range 2 {
+				fmt.Fprintf(conn, "GET /s/1/%d-%d HTTP/1.1\r\nHost: h\r\n\r\n", i, n)
 				answer, err := http.ReadResponse(reader, nil)
 				if err != nil {
-					r.t.Errorf("request %d of connection %d is lost: %v", k, i, err)
+					r.t.Errorf("request %d of connection %d is lost: %v", n, i, err)
 					return
 				}
 				if _, err := io.Copy(io.Discard, answer.Body); err != nil || answer.StatusCode != 200 {
-					r.t.Errorf("request %d of connection %d: status %d, %v", k, i, answer.StatusCode, err)
+					r.t.Errorf("request %d of connection %d: status %d, %v", n, i, answer.StatusCode, err)
 				}
 			}
 		})
@@ -44,9 +44,9 @@
 	wg.Wait()
 }
 
-// fail has the router's calls of a kind fail: what is a reading of time counts from the first
+// injectFault has the router's calls of a kind injectFault: what is a reading of time counts from the first
 // such call.
-func (r *testRig) fail(call faultinject.Call, how string) (calls *faultinject.Syscalls) {
+func (r *testRig) injectFault(call faultinject.Call, how string) (calls *faultinject.Syscalls) {
 	faults, err := faultinject.Parse(fmt.Sprintf("%s:%s", call, how))
 	if err != nil {
 		r.t.Fatal(err)
@@ -58,13 +58,13 @@
 		}
 		return time.Since(began)
 	})
-	r.e.Query(func(*Stats, *engine.Core) { r.e.loop.Intercept(calls) })
+	r.edge.Query(func(*Stats, *engine.Core) { r.edge.loop.Intercept(calls) })
 	return calls
 }
 
 // Whatever a system call fails with for a moment, and for however long, no request is lost, no
 // connection closed and no member blamed, and the loop does not spin.
-func TestCallsFailForAMoment(t *testing.T) {
+func TestTransientCallFailures(t *testing.T) {
 	const perSecond = 1500 // turns, and calls for a new connection
 	errors := map[faultinject.Call]string{
 		faultinject.Accept:  "ECONNABORTED EMFILE ENFILE ENOBUFS ENOMEM EPERM ENETUNREACH EPROTO EINTR",
@@ -80,15 +80,15 @@
 				t.Run(fmt.Sprintf("%s/%s/%s", call, name, span), func(t *testing.T) {
 					t.Parallel()
 					rig := newRig(t, 2, "(connections-per-address 5000)")
-					calls := rig.fail(call, name+":"+span)
-					before := rig.turns()
+					calls := rig.injectFault(call, name+":"+span)
+					before := rig.loopTurns()
 					began := time.Now()
-					rig.twoEach()
+					rig.twoRequestsEach()
 					seconds := time.Since(began).Seconds()
 					most := int(perSecond*seconds) + 40*inFlight
 					made, failed := calls.Counts(call)
 					moves := call == faultinject.Read || call == faultinject.Write // one for each connection and turn
-					if turns := int(rig.turns() - before); turns > most || made > most && !moves || failed == 0 {
+					if turns := int(rig.loopTurns() - before); turns > most || made > most && !moves || failed == 0 {
 						t.Errorf("%d turns in %.1f s, %d calls of which %d failed", turns, seconds, made, failed)
 					}
 					rig.logMu.Lock()
@@ -103,16 +103,16 @@
 }
 
 // All at once, now and then, with writes among the requests: each is answered.
-func TestCallsFailNowAndThen(t *testing.T) {
+func TestRandomCallFailures(t *testing.T) {
 	rig := newRig(t, 2, "(connections-per-address 5000)")
-	rig.fail(faultinject.Accept, "ECONNABORTED:0.3; accept:ENFILE:0.2; socket:EMFILE:0.2; connect:EADDRNOTAVAIL:0.2;"+
+	rig.injectFault(faultinject.Accept, "ECONNABORTED:0.3; accept:ENFILE:0.2; socket:EMFILE:0.2; connect:EADDRNOTAVAIL:0.2;"+
 		"connect:ENETUNREACH:0.2; connect:EINTR:0.3; read:EINTR:0.2; read:ENOBUFS:0.1; read:short:0.3;"+
 		"write:EINTR:0.2; write:ENOMEM:0.1; write:short:0.5; wait:EINTR:0.5")
 	var wg sync.WaitGroup
-	wg.Go(rig.twoEach)
+	wg.Go(rig.twoRequestsEach)
 	for i := range inFlight {
 		wg.Go(func() {
-			got := rig.talk(fmt.Sprintf("POST /o/%d HTTP/1.1\r\nHost: h\r\nIdempotency-Key: k%d\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello", i, i))
+			got := rig.exchange(fmt.Sprintf("POST /o/%d HTTP/1.1\r\nHost: h\r\nIdempotency-Key: k%d\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello", i, i))
 			if !strings.HasPrefix(got, "HTTP/1.1 200") {
 				t.Errorf("write %d: %.200q", i, got)
 			}
@@ -121,24 +121,24 @@
 	wg.Wait()
 }
 
-func (r *testRig) turns() (turns uint64) {
-	r.e.Query(func(*Stats, *engine.Core) { turns = r.e.loop.Turns() })
-	return turns
+func (r *testRig) loopTurns() (loopTurns uint64) {
+	r.edge.Query(func(*Stats, *engine.Core) { loopTurns = r.edge.loop.Turns() })
+	return loopTurns
 }
 
-// brokenUpstream has every third call on a connection to a member fail with errno, at most ten in all.
-type brokenUpstream struct {
+// failingUpstreams has every third call on a connection to a member fail with errno, at most ten in all.
+type failingUpstreams struct {
 	eventloop.KernelCalls
-	errno   unix.Errno
-	members map[int]bool // their ports
-	calls   int
-	failed  atomic.Int64
-	write   bool // otherwise reads
+	errno       unix.Errno
+	memberPorts map[int]bool // their ports
+	calls       int
+	failed      atomic.Int64
+	failWrites  bool // otherwise reads
 }
 
-func (b *brokenUpstream) fails(fd int) bool {
+func (b *failingUpstreams) fails(fd int) bool {
 	peer, err := unix.Getpeername(fd)
-	if to, ok := peer.(*unix.SockaddrInet4); err != nil || !ok || !b.members[to.Port] {
+	if to, ok := peer.(*unix.SockaddrInet4); err != nil || !ok || !b.memberPorts[to.Port] {
 		return false
 	}
 	if b.calls++; b.calls%3 != 0 || b.failed.Load() == 10 {
@@ -148,42 +148,42 @@
 	return true
 }
 
-func (b *brokenUpstream) Read(fd int, buf []byte) (int, error) {
-	if !b.write && b.fails(fd) {
+func (b *failingUpstreams) Read(fd int, buf []byte) (int, error) {
+	if !b.failWrites && b.fails(fd) {
 		return 0, b.errno
 	}
 	return b.KernelCalls.Read(fd, buf)
 }
 
-func (b *brokenUpstream) Write(fd int, buf []byte) (int, error) {
-	if b.write && b.fails(fd) {
+func (b *failingUpstreams) Write(fd int, buf []byte) (int, error) {
+	if b.failWrites && b.fails(fd) {
 		return 0, b.errno
 	}
 	return b.KernelCalls.Write(fd, buf)
 }
 
-func (b *brokenUpstream) WriteTwo(fd int, first, second []byte) (int, error) {
-	if b.write && b.fails(fd) {
+func (b *failingUpstreams) WriteTwo(fd int, first, second []byte) (int, error) {
+	if b.failWrites && b.fails(fd) {
 		return 0, b.errno
 	}
 	return b.KernelCalls.WriteTwo(fd, first, second)
 }
 
 // A connection to a member that is broken costs its attempt, and no request.
-func TestBrokenUpstreams(t *testing.T) {
+func TestFailingUpstreams(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNRESET, unix.EPIPE, unix.ENETUNREACH} {
 		for _, write := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s/write=%v", unix.ErrnoName(errno), write), func(t *testing.T) {
 				t.Parallel()
 				rig := newRig(t, 2, "(connections-per-address 5000)")
-				calls := &brokenUpstream{errno: errno, members: map[int]bool{}, write: write}
-				for _, box := range rig.boxes {
+				calls := &failingUpstreams{errno: errno, memberPorts: map[int]bool{}, failWrites: write}
+				for _, box := range rig.caches {
 					port := 0
 					fmt.Sscanf(box.Addr(), "127.0.0.1:%d", &port)
-					calls.members[port] = true
+					calls.memberPorts[port] = true
 				}
-				rig.e.Query(func(*Stats, *engine.Core) { rig.e.loop.Intercept(calls) })
-				rig.twoEach()
+				rig.edge.Query(func(*Stats, *engine.Core) { rig.edge.loop.Intercept(calls) })
+				rig.twoRequestsEach()
 				if failed := calls.failed.Load(); failed < 5 {
 					t.Errorf("%d calls failed", failed)
 				}
--- a/internal/proxy/httpfront/system.go
+++ b/internal/proxy/httpfront/system.go
@@ -15,9 +15,9 @@
 }
 
 // OpenWithSystem is Open on another system.
-func OpenWithSystem(ctx context.Context, s *config.Settings, log *AccessLog, system System) (e *Edge, end func(), err error) {
-	if e, end, err = open(ctx, s, log, system.Files); err == nil {
-		e.loop.Intercept(system.Syscalls)
+func OpenWithSystem(ctx context.Context, settings *config.Settings, log *AccessLog, system System) (edge *Edge, end func(), err error) {
+	if edge, end, err = open(ctx, settings, log, system.Files); err == nil {
+		edge.loop.Intercept(system.Syscalls)
 	}
-	return e, end, err
+	return edge, end, err
 }
--- a/internal/proxy/httpfront/upstream.go
+++ b/internal/proxy/httpfront/upstream.go
@@ -30,13 +30,13 @@
 }
 
 // sendAttempt makes an attempt that the module wants.
-func (e *Edge) sendAttempt(a *spool.Send) {
-	request := e.requests[a.ID]
+func (e *Edge) sendAttempt(send *spool.Send) {
+	request := e.requests[send.ID]
 	if request == nil {
 		return
 	}
 	attempt := request.newAttempt()
-	attempt.cache, attempt.source, attempt.send, attempt.sentAt = a.Cache, a.Source, *a, e.loop.Now()
+	attempt.cache, attempt.source, attempt.send, attempt.sentAt = send.Cache, send.Source, *send, e.loop.Now()
 	e.stats.Attempts++
 	if v := request.client.fragment; v != nil {
 		v.countAttempt()
@@ -44,21 +44,21 @@
 	if attempt.number == 0 && request.spec.Deadline > request.submittedAt {
 		e.guard.admission.ObserveQueueing((e.loop.Now() - request.submittedAt) / (request.spec.Deadline - request.submittedAt))
 	}
-	if request.phase != awaitingAnswer {
+	if request.phase != awaitingResponse {
 		attempt.finish(spool.NotSent, spool.NoteNone, false)
 		return
 	}
-	address := e.core.Address(a.Cache)
-	left := request.spec.Deadline - e.loop.Now()
-	if a.Timeout > 0 {
-		left = min(left, a.Timeout)
+	address := e.core.Address(send.Cache)
+	timeout := request.spec.Deadline - e.loop.Now()
+	if send.Timeout > 0 {
+		timeout = min(timeout, send.Timeout)
 	}
-	e.loop.Arm(&attempt.timer, left)
-	attempt.pool = e.poolFor(address, a.Cache)
+	e.loop.Arm(&attempt.timer, timeout)
+	attempt.pool = e.poolFor(address, send.Cache)
 	attempt.pool.assign(attempt)
-	if a.Within > 0 && !attempt.written && !attempt.done { // its window ends while it waits for a connection
-		id, n := a.ID, attempt.number
-		e.loop.AfterFunc(a.Within, func() { e.abandonUnwritten(func(t *upstreamAttempt) bool { return t.send.ID == id && t.number == n }) })
+	if send.Within > 0 && !attempt.written && !attempt.done { // its window ends while it waits for a connection
+		id, n := send.ID, attempt.number
+		e.loop.AfterFunc(send.Within, func() { e.abandonUnwritten(func(t *upstreamAttempt) bool { return t.send.ID == id && t.number == n }) })
 	}
 }
 
@@ -205,8 +205,8 @@
 		return nil
 	}
 	for u := range p.connections {
-		if n := len(u.pipelined); n < depth && (u.state == upAwaitingHead || u.state == upRelayingBody) && u.output.Len() == 0 && !u.paused &&
-			(best == nil || n < len(best.pipelined)) {
+		if queued := len(u.pipelined); queued < depth && (u.state == upAwaitingHead || u.state == upRelayingBody) && u.output.Len() == 0 && !u.paused &&
+			(best == nil || queued < len(best.pipelined)) {
 			best = u
 		}
 	}
@@ -304,9 +304,9 @@
 }
 
 // closeIdleUpstream closes an unused connection to another address, for its descriptor.
-func (e *Edge) closeIdleUpstream(but *connPool) bool {
+func (e *Edge) closeIdleUpstream(except *connPool) bool {
 	for _, p := range e.pools {
-		if p != but && len(p.idle) > 0 {
+		if p != except && len(p.idle) > 0 {
 			p.idle[0].close() // the longest unused
 			return true
 		}
@@ -340,20 +340,20 @@
 // writeRequest writes an attempt.
 func (u *upstreamConn) writeRequest(attempt *upstreamAttempt) {
 	request := attempt.request
-	b := append(u.edge.headBuffer[:0], request.forwardHead...)
-	a := fetchheader.NewAttempt(&attempt.send, &request.spec, attempt.number, u.edge.name, u.edge.core.Address(attempt.source), max(request.spec.Deadline-u.edge.loop.Now(), 1))
-	b = append(b, fetchheader.FillField+": "...)
-	b = a.Append(b)
-	b = append(b, "\r\n"...)
-	if a.Source == "" && !request.spec.Write {
-		b = append(b, "Cache-Control: only-if-cached\r\n"...)
+	head := append(u.edge.headBuffer[:0], request.forwardHead...)
+	fill := fetchheader.NewAttempt(&attempt.send, &request.spec, attempt.number, u.edge.name, u.edge.core.Address(attempt.source), max(request.spec.Deadline-u.edge.loop.Now(), 1))
+	head = append(head, fetchheader.FillField+": "...)
+	head = fill.Append(head)
+	head = append(head, "\r\n"...)
+	if fill.Source == "" && !request.spec.Write {
+		head = append(head, "Cache-Control: only-if-cached\r\n"...)
 	}
 	if request.spec.Write {
-		b = http1.AppendFieldInt(b, "Content-Length", int64(len(request.requestBody)))
+		head = http1.AppendFieldInt(head, "Content-Length", int64(len(request.requestBody)))
 	}
-	b = append(b, "\r\n"...)
-	u.edge.headBuffer = b
-	n, err := u.edge.loop.WriteTwo(u.fd, b, request.requestBody)
+	head = append(head, "\r\n"...)
+	u.edge.headBuffer = head
+	n, err := u.edge.loop.WriteTwo(u.fd, head, request.requestBody)
 	switch {
 	case eventloop.NotReady(err):
 		n = 0
@@ -366,15 +366,15 @@
 	}
 	u.edge.stats.OutBytes += uint64(n)
 	attempt.written = n > 0
-	if n == len(b)+len(request.requestBody) {
+	if n == len(head)+len(request.requestBody) {
 		if !u.paused {
 			u.edge.loop.Want(u.fd, eventloop.Read)
 		}
 		return
 	}
 	u.writing = attempt
-	u.output.Add(&u.edge.buffers, b[min(n, len(b)):])
-	u.output.Add(&u.edge.buffers, request.requestBody[max(n-len(b), 0):])
+	u.output.Add(&u.edge.buffers, head[min(n, len(head)):])
+	u.output.Add(&u.edge.buffers, request.requestBody[max(n-len(head), 0):])
 	u.flush()
 }
 
@@ -425,13 +425,13 @@
 	}
 }
 
-func (u *upstreamConn) OnReady(r eventloop.Ready) {
+func (u *upstreamConn) OnReady(ready eventloop.Ready) {
 	if u.state == upConnecting {
-		if !r.Writable() {
+		if !ready.Writable() {
 			return
 		}
-		soerr, err := unix.GetsockoptInt(u.fd, unix.SOL_SOCKET, unix.SO_ERROR)
-		if err != nil || soerr != 0 {
+		socketErr, err := unix.GetsockoptInt(u.fd, unix.SOL_SOCKET, unix.SO_ERROR)
+		if err != nil || socketErr != 0 {
 			u.fail(spool.ConnectFailed)
 			return
 		}
@@ -443,16 +443,16 @@
 		u.writeAttempt()
 		return
 	}
-	if r.Writable() && u.output.Len() > 0 {
+	if ready.Writable() && u.output.Len() > 0 {
 		if u.flush(); u.fd < 0 {
 			return
 		}
 	}
-	if !r.Readable() {
+	if !ready.Readable() {
 		return
 	}
 	if u.state != upRelayingBody {
-		u.read(r.Hangup(), min(headReadBytes, u.edge.guard.bufferRoom()))
+		u.read(ready.Hangup(), min(headReadBytes, u.edge.guard.bufferRoom()))
 		return
 	}
 	if !u.queued {
@@ -514,10 +514,10 @@
 		if pg := request.pageOrParent(); pg != nil {
 			attempt.finish(result, spool.NoteNone, true)
 			u.close()
-			pg.answerBroken(request)
+			pg.responseBroken(request)
 			return
 		}
-		client.closeAfterAnswer, client.discardInput = true, true
+		client.closeAfterResponse, client.discardInput = true, true
 		if u.body.Kind() != http1.Length && !u.chunked {
 			unix.SetsockoptLinger(client.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 			client.close()
@@ -558,9 +558,9 @@
 	pool.assignWaiting()
 }
 
-// nextAnswer goes on to the answer that follows, or keeps the connection for
+// nextResponse goes on to the answer that follows, or keeps the connection for
 // another attempt.
-func (u *upstreamConn) nextAnswer() {
+func (u *upstreamConn) nextResponse() {
 	if len(u.pipelined) == 0 {
 		u.makeIdle()
 		return
@@ -591,11 +591,11 @@
 	}
 }
 
-// read takes what has come, at most so many bytes, and returns how many that were.
-func (u *upstreamConn) read(hangup bool, most int) int {
+// read takes what has come, at maxBytes so many bytes, and returns how many that were.
+func (u *upstreamConn) read(hangup bool, maxBytes int) int {
 	buf := u.edge.scratch
-	k := copy(buf, u.unparsed)
-	n, err := u.edge.loop.Read(u.fd, buf[k:min(k+most, len(buf))])
+	kept := copy(buf, u.unparsed)
+	n, err := u.edge.loop.Read(u.fd, buf[kept:min(kept+maxBytes, len(buf))])
 	if eventloop.Retryable(err) {
 		if hangup && eventloop.NotReady(err) {
 			u.fail(spool.Reset)
@@ -618,7 +618,7 @@
 	if u.state == upRelayingBody {
 		u.flow.Moved(u.edge.guard.peerTime(), n, &u.edge.guard.memberRate)
 	}
-	u.parse(buf[:k+n])
+	u.parse(buf[:kept+n])
 	return n
 }
 
@@ -644,7 +644,7 @@
 			u.extraBytes = len(data) > 0 && len(u.pipelined) == 0
 			if u.attempt == nil { // nobody wants it any more
 				u.body.Start(&u.head, 0)
-				u.discardAnswer()
+				u.discardResponse()
 			} else {
 				u.handleHead()
 			}
@@ -683,7 +683,7 @@
 				u.close()
 				return
 			}
-			u.nextAnswer()
+			u.nextResponse()
 		default: // idle or closed by what the answer led to
 			if len(data) > 0 {
 				u.close()
@@ -703,12 +703,12 @@
 func (u *upstreamConn) handleHead() {
 	attempt := u.attempt
 	request := attempt.request
-	if v := u.head.Get("spool-load"); v != nil {
-		attempt.load = fetchheader.ParseLoad(attempt.load, v)
+	if value := u.head.Get("spool-load"); value != nil {
+		attempt.load = fetchheader.ParseLoad(attempt.load, value)
 	}
 	result, note := fetchheader.ClassifyResponse(&u.head, attempt.send.Source == attempt.cache && !request.spec.Write, request.spec.Write)
 	u.body.Start(&u.head, 0)
-	if result == spool.OK && request.phase == awaitingAnswer {
+	if result == spool.OK && request.phase == awaitingResponse {
 		u.relayHead(note)
 		return
 	}
@@ -719,18 +719,18 @@
 		}
 	}
 	attempt.upstream, u.attempt = nil, nil
-	u.discardAnswer()
+	u.discardResponse()
 	attempt.finish(result, note, false)
 }
 
-// discardAnswer passes over the rest of an answer that is nobody's.
-func (u *upstreamConn) discardAnswer() {
+// discardResponse passes over the rest of an answer that is nobody's.
+func (u *upstreamConn) discardResponse() {
 	u.state, u.discardBudget = upDiscarding, maxDiscardBytes
 	switch {
 	case u.body.Kind() == http1.UntilClose, u.body.Done() && (u.head.Close || u.extraBytes):
 		u.close()
 	case u.body.Done():
-		u.nextAnswer()
+		u.nextResponse()
 	default:
 		u.edge.loop.Arm(&u.timer, u.edge.settings.Limits.BodyIdle)
 	}
@@ -750,7 +750,7 @@
 		return
 	}
 	b := http1.AppendStatus(edge.headBuffer[:0], u.head.Status)
-	b = appendEndToEnd(b, &u.head, isRouterAnswerField)
+	b = appendEndToEnd(b, &u.head, isRouterResponseField)
 	b = append(b, "Via: 1.1 "...)
 	b = append(b, edge.name...)
 	b = append(b, "\r\n"...)
@@ -765,7 +765,7 @@
 			b = http1.AppendFieldInt(b, "Content-Length", 0)
 		}
 	case request.httpMinor == 0:
-		client.closeAfterAnswer = true
+		client.closeAfterResponse = true
 	default:
 		u.chunked = true
 		b = append(b, "Transfer-Encoding: chunked\r\n"...)
@@ -817,8 +817,8 @@
 			break
 		}
 		data = data[n:]
-		if pg := request.pageOrParent(); pg != nil {
-			if pg.receive(request, content); u.attempt == nil {
+		if page := request.pageOrParent(); page != nil {
+			if page.receive(request, content); u.attempt == nil {
 				return nil, false
 			}
 			continue
@@ -876,8 +876,8 @@
 	}
 }
 
-// isRouterAnswerField reports fields of an answer that are for the router, or written anew.
-func isRouterAnswerField(name []byte) bool {
+// isRouterResponseField reports fields of an answer that are for the router, or written anew.
+func isRouterResponseField(name []byte) bool {
 	return http1.EqualFold(name, "content-length") || http1.EqualFold(name, "spool-load")
 }
 
@@ -903,13 +903,13 @@
 	keep := !excess && !u.head.Close && u.body.Kind() != http1.UntilClose
 	note := u.note
 	if keep {
-		u.nextAnswer()
+		u.nextResponse()
 	} else {
 		u.close()
 	}
 	attempt.finish(spool.OK, note, true)
 	if page != nil {
-		page.answerDone(request)
+		page.responseDone(request)
 	}
 	if request.page == nil {
 		request.finish()
--- a/internal/proxy/httpfront/versions.go
+++ b/internal/proxy/httpfront/versions.go
@@ -43,86 +43,86 @@
 // startConfigClient is Follow for a router that takes over: it begins with the version that its
 // predecessor goes by where none is stored, and calls no service until it serves, since
 // a service knows one stream of a router.
-func startConfigClient(own *config.Settings, log *AccessLog, in *hotrestart.Inherited, files configstore.FileSystem) (*ConfigClient, error) {
-	c := &own.Control
-	v := &ConfigClient{local: own, log: log, activations: make(chan configversion.Activate, 64), done: make(chan struct{}), attached: make(chan *Edge, 1)}
+func startConfigClient(local *config.Settings, log *AccessLog, inherited *hotrestart.Inherited, files configstore.FileSystem) (*ConfigClient, error) {
+	control := &local.Control
+	client := &ConfigClient{local: local, log: log, activations: make(chan configversion.Activate, 64), done: make(chan struct{}), attached: make(chan *Edge, 1)}
 	dial := grpc.WithTransportCredentials(insecure.NewCredentials())
-	if c.Cert != "" {
-		keys := &service.CertificateFiles{Cert: c.Cert, Key: c.Key, Authorities: c.Roots, Warn: func(text string) { log.Log.Warn(text) }}
+	if control.Cert != "" {
+		keys := &service.CertificateFiles{Cert: control.Cert, Key: control.Key, Authorities: control.Roots, Warn: func(text string) { log.Log.Warn(text) }}
 		if err := keys.Load(); err != nil {
 			return nil, err
 		}
-		dial = grpc.WithTransportCredentials(keys.ClientCredentials(c.Name))
+		dial = grpc.WithTransportCredentials(keys.ClientCredentials(control.Name))
 	}
-	if c.Store != "" {
+	if control.Store != "" {
 		var err error
-		if v.store, err = configstore.OpenWith(files, c.Store, keptVersions); v.store == nil {
+		if client.store, err = configstore.OpenWith(files, control.Store, keptVersions); client.store == nil {
 			return nil, err
 		} else if err != nil {
 			log.Log.Error("the store of versions was damaged, or can't be read or written for now", zap.Error(err))
 		}
 	}
-	cfg := service.AgentConfig{Router: own.Router.Name, Services: c.Services, Seed: uint64(own.Router.Seed), Store: v.store,
-		Backoff: milliseconds(c.Backoff), StateOfTheWorld: c.Protocol == "full", MaxBytes: 2 * c.MaxBytes, ReportInterval: milliseconds(c.Report),
+	agentConfig := service.AgentConfig{Router: local.Router.Name, Services: control.Services, Seed: uint64(local.Router.Seed), Store: client.store,
+		Backoff: milliseconds(control.Backoff), StateOfTheWorld: control.Protocol == "full", MaxBytes: 2 * control.MaxBytes, ReportInterval: milliseconds(control.Report),
 		DialOptions: []grpc.DialOption{dial},
-		Machine:     configversion.MachineSettings{Local: own, MaxBytes: c.MaxBytes, Jitter: c.Spread, Lease: c.Lease, UnconfirmedAfter: c.Old, StaleAfter: c.Stale},
-		OnActivate:  v.enqueue, Warn: func(text string) { log.Log.Warn(text) }}
-	if c.Report > 0 {
-		cfg.LoadCounts = v.loadCounts
+		Machine:     configversion.MachineSettings{Local: local, MaxBytes: control.MaxBytes, Jitter: control.Spread, Lease: control.Lease, UnconfirmedAfter: control.Old, StaleAfter: control.Stale},
+		OnActivate:  client.enqueue, Warn: func(text string) { log.Log.Warn(text) }}
+	if control.Report > 0 {
+		agentConfig.LoadCounts = client.loadCounts
 	}
-	if cfg.Deferred = in != nil; cfg.Deferred && len(in.ConfigVersion) > 0 {
-		if err := json.Unmarshal(in.ConfigVersion, &cfg.Initial); err != nil {
+	if agentConfig.Deferred = inherited != nil; agentConfig.Deferred && len(inherited.ConfigVersion) > 0 {
+		if err := json.Unmarshal(inherited.ConfigVersion, &agentConfig.Initial); err != nil {
 			log.Log.Warn("the predecessor's version can't be read", zap.Error(err))
 		}
 	}
-	v.agent = service.StartAgent(cfg)
-	return v, nil
+	client.agent = service.StartAgent(agentConfig)
+	return client, nil
 }
 
 // Open makes a router as its settings say: by the file alone, or by versions from
 // control services. end is called when the router has ended.
-func Open(ctx context.Context, s *config.Settings, log *AccessLog) (e *Edge, end func(), err error) {
-	return open(ctx, s, log, configstore.Disk{})
+func Open(ctx context.Context, settings *config.Settings, log *AccessLog) (e *Edge, end func(), err error) {
+	return open(ctx, settings, log, configstore.Disk{})
 }
 
-func open(ctx context.Context, s *config.Settings, log *AccessLog, files configstore.FileSystem) (edge *Edge, end func(), err error) {
-	if !s.Follows() {
-		edge, err = TakeOver(s, log)
+func open(ctx context.Context, settings *config.Settings, log *AccessLog, files configstore.FileSystem) (edge *Edge, end func(), err error) {
+	if !settings.Follows() {
+		edge, err = TakeOver(settings, log)
 		return edge, func() {}, err
 	}
-	in, err := contactPredecessor(s)
+	inherited, err := contactPredecessor(settings)
 	if err != nil {
 		return nil, nil, err
 	}
 	defer func() {
-		if err != nil && in != nil {
-			in.Abort()
+		if err != nil && inherited != nil {
+			inherited.Abort()
 		}
 	}()
-	v, err := startConfigClient(s, log, in, files)
+	client, err := startConfigClient(settings, log, inherited, files)
 	if err != nil {
 		return nil, nil, err
 	}
-	u, err := v.FirstVersion(ctx)
+	version, err := client.FirstVersion(ctx)
 	if err == nil {
-		edge, err = newFromVersion(u, s, log, in)
+		edge, err = newFromVersion(version, settings, log, inherited)
 	}
 	if err != nil {
-		v.Close()
+		client.Close()
 		return nil, nil, err
 	}
-	v.Attach(edge)
-	return edge, v.Close, nil
+	client.Attach(edge)
+	return edge, client.Close, nil
 }
 
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 // enqueue queues a version that is to be run. It never waits: of versions that the
 // loop has not come to yet, the oldest gives way.
-func (v *ConfigClient) enqueue(u configversion.Activate) {
+func (v *ConfigClient) enqueue(activation configversion.Activate) {
 	for {
 		select {
-		case v.activations <- u:
+		case v.activations <- activation:
 			return
 		default:
 		}
@@ -137,8 +137,8 @@
 // wait, the first that a service sends. nil: begin by the file.
 func (v *ConfigClient) FirstVersion(ctx context.Context) (*configversion.Activate, error) {
 	select {
-	case u := <-v.activations:
-		return &u, nil
+	case activation := <-v.activations:
+		return &activation, nil
 	default:
 	}
 	if v.local.Control.Start != "wait" {
@@ -147,8 +147,8 @@
 	v.agent.Connect()
 	v.log.Log.Info("waiting for the first version", zap.Strings("services", v.local.Control.Services))
 	select {
-	case u := <-v.activations:
-		return &u, nil
+	case activation := <-v.activations:
+		return &activation, nil
 	case <-ctx.Done():
 		return nil, fmt.Errorf("edge: no version came before the end: %w", ctx.Err())
 	}
@@ -161,11 +161,11 @@
 	go func() {
 		for {
 			select {
-			case u := <-v.activations:
-				for edge.loop.Post(func() { edge.activateVersion(u) }) == eventloop.ErrFull {
+			case activation := <-v.activations:
+				for edge.loop.Post(func() { edge.activateVersion(activation) }) == eventloop.ErrFull {
 					time.Sleep(time.Millisecond)
 				}
-				edge.forwardVersion(u.Version)
+				edge.forwardVersion(activation.Version)
 			case <-v.done:
 				return
 			}
@@ -212,46 +212,46 @@
 }
 
 // loadCounts counts requests that have ended, for reports.
-func (v *ConfigClient) loadCounts() (t service.LoadCounts, err error) {
+func (v *ConfigClient) loadCounts() (counts service.LoadCounts, err error) {
 	e := <-v.attached // once a router is attached, it is there for all
 	v.attached <- e
 	err = e.Query(func(s *Stats, _ *engine.Core) {
-		t.Succeeded, t.Issued = s.Served, s.Served+s.Refused+s.Failed+s.Broken
+		counts.Succeeded, counts.Issued = s.Served, s.Served+s.Refused+s.Failed+s.Broken
 	})
-	return t, err
+	return counts, err
 }
 
 // activateVersion goes by a version from now on, on the loop: drains first, so that nothing
 // new goes to who leaves; then the settings; then the members that come.
-func (e *Edge) activateVersion(u configversion.Activate) {
+func (e *Edge) activateVersion(activation configversion.Activate) {
 	var steps []configversion.Delta
 	if e.settings.Router.List == "" { // else the list service's word counts
-		steps = configversion.Diff(e.settings.Members, u.Settings.Members)
+		steps = configversion.Diff(e.settings.Members, activation.Settings.Members)
 	}
-	tell := func(s configversion.Delta) {
-		e.applyUpdate(engine.UpdateFromVersion(u.Version.Number, s.Members, s.Kind == configversion.DeltaStarts))
+	apply := func(step configversion.Delta) {
+		e.applyUpdate(engine.UpdateFromVersion(activation.Version.Number, step.Members, step.Kind == configversion.DeltaStarts))
 	}
 	if len(steps) > 0 && steps[0].Kind == configversion.DeltaDrains {
-		tell(steps[0])
+		apply(steps[0])
 		steps = steps[1:]
 	}
-	e.nextVersion = u.Version.Number
-	acts, err := e.core.ChangeSettings(e.loop.Now(), u.Settings, nil)
+	e.nextVersion = activation.Version.Number
+	actions, err := e.core.ChangeSettings(e.loop.Now(), activation.Settings, nil)
 	if err != nil { // the checks let through what the module does not take
-		e.log.Log.Error("version not run", zap.Int64("version", u.Version.Number), zap.Error(err))
+		e.log.Log.Error("version not run", zap.Int64("version", activation.Version.Number), zap.Error(err))
 		return
 	}
-	for i := range acts {
-		e.execute(acts[i])
+	for i := range actions {
+		e.execute(actions[i])
 	}
-	e.settings = u.Settings
+	e.settings = activation.Settings
 	e.guard.applySettings(e.settings)
-	for _, s := range steps {
-		tell(s)
+	for _, step := range steps {
+		apply(step)
 	}
-	e.version = u.Version.Number
-	e.log.Log.Info("version in use", zap.Int64("version", u.Version.Number), zap.Int("steps", len(steps)),
-		zap.Bool("stale", u.Stale))
+	e.version = activation.Version.Number
+	e.log.Log.Info("version in use", zap.Int64("version", activation.Version.Number), zap.Int("steps", len(steps)),
+		zap.Bool("stale", activation.Stale))
 }
 
 // applyInitialMembers is the news of members that a router begins with: those of its settings,
@@ -260,12 +260,12 @@
 	if len(e.settings.Members) == 0 || e.settings.Router.List != "" {
 		return
 	}
-	n := engine.UpdateFromSettings(e.settings)
-	n.Rev = e.version
-	for i := range n.Members {
-		if up, young := e.listedFor[n.Members[i].ID]; young {
-			n.Members[i].UptimeMillis = max(up, 0.001)
+	update := engine.UpdateFromSettings(e.settings)
+	update.Rev = e.version
+	for i := range update.Members {
+		if listedFor, listedLately := e.listedFor[update.Members[i].ID]; listedLately {
+			update.Members[i].UptimeMillis = max(listedFor, 0.001)
 		}
 	}
-	e.applyUpdate(n)
+	e.applyUpdate(update)
 }
--- a/internal/proxy/httpfront/watch.go
+++ b/internal/proxy/httpfront/watch.go
@@ -25,26 +25,26 @@
 func (e *Edge) watchList() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	s := e.settings // those of the start: the loop may go by others later
-	rng := rand.New(rand.NewPCG(uint64(s.Router.Seed), uint64(s.Router.Me)+1))
+	settings := e.settings // those of the start: the loop may go by others later
+	random := rand.New(rand.NewPCG(uint64(settings.Router.Seed), uint64(settings.Router.Me)+1))
 	go func() {
 		defer close(done)
-		wait := s.Limits.ListBackoff
+		wait := settings.Limits.ListBackoff
 		for ctx.Err() == nil {
-			lines, err := e.followStream(ctx, s)
+			lines, err := e.followStream(ctx, settings)
 			if ctx.Err() != nil {
 				return
 			}
 			if lines > 0 {
-				wait = s.Limits.ListBackoff
+				wait = settings.Limits.ListBackoff
 			}
 			e.listState.Store("lost: " + err.Error())
 			e.log.Log.Warn("list stream ended", zap.Error(err), zap.Int("lines", lines))
 			select {
-			case <-time.After(time.Duration(wait * (0.5 + rng.Float64()) * float64(time.Millisecond))):
+			case <-time.After(time.Duration(wait * (0.5 + random.Float64()) * float64(time.Millisecond))):
 			case <-ctx.Done():
 			}
-			wait = min(2*wait, 32*s.Limits.ListBackoff)
+			wait = min(2*wait, 32*settings.Limits.ListBackoff)
 		}
 	}()
 	return func() { cancel(); <-done }
@@ -56,40 +56,40 @@
 // errGap asks for a stream anew: it begins with a full list.
 var errGap = errors.New("a version is missing")
 
-func (e *Edge) followStream(ctx context.Context, s *config.Settings) (lines int, err error) {
+func (e *Edge) followStream(ctx context.Context, settings *config.Settings) (lines int, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	u := url.URL{Scheme: "http", Host: s.Router.List, Path: "/watch", RawQuery: "router=" + url.QueryEscape(e.name)}
-	req, err := http.NewRequestWithContext(ctx, "GET", u.String(), nil)
+	watchURL := url.URL{Scheme: "http", Host: settings.Router.List, Path: "/watch", RawQuery: "router=" + url.QueryEscape(e.name)}
+	req, err := http.NewRequestWithContext(ctx, "GET", watchURL.String(), nil)
 	if err != nil {
 		return 0, err
 	}
-	late := time.AfterFunc(5*time.Second, cancel) // for the head only: the stream may be silent for long
-	res, err := listClient.Do(req)
-	late.Stop()
+	headTimeout := time.AfterFunc(5*time.Second, cancel) // for the head only: the stream may be silent for long
+	response, err := listClient.Do(req)
+	headTimeout.Stop()
 	if err != nil {
 		return 0, err
 	}
-	defer res.Body.Close()
-	if res.StatusCode != http.StatusOK {
-		return 0, fmt.Errorf("list service answers %s", res.Status)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return 0, fmt.Errorf("list service answers %s", response.Status)
 	}
 	e.listState.Store("following")
-	br := bufio.NewReaderSize(res.Body, 64<<10)
+	reader := bufio.NewReaderSize(response.Body, 64<<10)
 	for {
-		line, err := readLine(br, s.Limits.ListLine)
+		line, err := readLine(reader, settings.Limits.ListLine)
 		if err != nil {
 			return lines, err
 		}
 		if len(line) == 0 {
 			continue // sent to keep the stream alive
 		}
-		n, err := engine.ParseUpdate(line)
+		update, err := engine.ParseUpdate(line)
 		if err != nil {
 			return lines, err
 		}
 		lines++
-		if err := e.postUpdate(ctx, n); err != nil {
+		if err := e.postUpdate(ctx, update); err != nil {
 			return lines, err
 		}
 	}
@@ -97,10 +97,10 @@
 
 // readLine reads a whole line of at most limit bytes. One cut short by the
 // stream's end is not a line.
-func readLine(br *bufio.Reader, limit int) ([]byte, error) {
+func readLine(reader *bufio.Reader, limit int) ([]byte, error) {
 	var line []byte
 	for {
-		part, err := br.ReadSlice('\n')
+		part, err := reader.ReadSlice('\n')
 		if len(line)+len(part) > limit {
 			return nil, fmt.Errorf("a line of the list stream is longer than %d bytes; raise (limits (list-line n))", limit)
 		}
@@ -121,10 +121,10 @@
 }
 
 // postUpdate hands news to the loop and hears what became of it.
-func (e *Edge) postUpdate(ctx context.Context, n *engine.Update) error {
-	got := make(chan engine.ApplyResult, 1)
+func (e *Edge) postUpdate(ctx context.Context, update *engine.Update) error {
+	applied := make(chan engine.ApplyResult, 1)
 	for {
-		err := e.loop.Post(func() { got <- e.applyUpdate(n) })
+		err := e.loop.Post(func() { applied <- e.applyUpdate(update) })
 		if err == nil {
 			break
 		}
@@ -138,11 +138,11 @@
 		}
 	}
 	select {
-	case a := <-got:
-		if a.Outdated {
-			e.log.Log.Warn("list news of an older version passed over", zap.Int64("rev", n.Rev))
+	case result := <-applied:
+		if result.Outdated {
+			e.log.Log.Warn("list news of an older version passed over", zap.Int64("rev", update.Rev))
 		}
-		if a.Gap {
+		if result.Gap {
 			return errGap
 		}
 		return nil
