--- a/internal/proxy/httpfront/client.go
+++ b/internal/proxy/httpfront/client.go
@@ -13,52 +13,59 @@
 	"indigospool/internal/proxy/limits"
 )
 
-// clientConn is a clientConn's connection. Between requests it holds no buffer.
+// clientConn is a client connection. It holds no buffer between requests.
 type clientConn struct {
 	edge      *Edge
 	fd        int
-	unparsed  []byte          // read, and not yet taken
-	output    eventloop.Queue // answered, and not yet written
+	unparsed  []byte          // input that was read, and not parsed yet
+	output    eventloop.Queue // output that was not written yet
 	idleTimer eventloop.Timer
-	current   *clientRequest // in hand; nil between requests
-	fragment  *pageFragment  // no connection: it asks for a fragment of a page; nil: it is one
+	current   *clientRequest // in flight; nil between requests
+	fragment  *pageFragment  // set if this stands for the requester of a page's fragment, and has no socket
 
 	addr           netip.Addr
-	addrText       string      // from, as text
-	flow           limits.Flow // of what is waited for from it
-	writtenBytes   int64       // bytes that the kernel has taken for it
-	ackedAtTimeout int64       // of them, what it had acknowledged when its time to take some last ended
-	ackedBytes     int64       // of them, what it had acknowledged when it was last looked at
-	unreadTracked  bool        // the kernel may hold some of an answer that is whole
-	schedulerClass int         // in the scheduler, of its last request
-	prev, next     *clientConn // among those between requests
-	accounted      int64       // of the memory budget, for left
-	queued         bool        // ready to take bytes, and waiting for its turn
-	queuedSince    float64     // when it was queued
-	idleSince      float64     // when it began to have nothing in hand
-	lastProgress   float64     // when it last took something of what waits for it
-	badOutcome     bool        // its present request counts as a bad end
-
-	closed             bool // closed
-	eof                bool // the client sends no more
-	noProgress         bool // it has taken nothing since the idle timer was armed
-	closeAfterResponse bool // the connection ends with the present answer
-	discardInput       bool // a fault was answered: what still comes is dropped
-	receiving          bool // a request has begun to come and is not whole
-	readPaused         bool // pipelined bytes reached the limit
-}
-
-// What is read ahead and answered is bounded by the settings; these are how
-// much is read at once.
+	addrText       string      // addr as text
+	flow           limits.Flow // of the bytes that the router waits for it to send or read
+	writtenBytes   int64       // bytes written to the socket
+	ackedAtTimeout int64       // bytes acknowledged by the client at the last write timeout
+	ackedBytes     int64       // bytes acknowledged by the client at the last sweep
+	unreadTracked  bool        // it is in the guard's unreadClients
+	schedulerClass int         // class of its last request in the scheduler
+	prev, next     *clientConn // in the guard's idleClients
+	accounted      int64       // bytes charged to the memory budget for unparsed
+	queued         bool        // writable, and in the scheduler's queue
+	queuedSince    float64     // time at which it was queued
+	idleSince      float64     // time at which it became idle
+	lastProgress   float64     // time at which it last read pending output
+	badOutcome     bool        // a bad outcome was recorded for the present request
+
+	closed             bool
+	eof                bool // the client has shut down its side
+	noProgress         bool // it has read nothing since the idle timer was armed
+	closeAfterResponse bool // the connection is closed after the present response
+	discardInput       bool // further input is dropped, and the connection is about to close
+	receiving          bool // a request has begun to arrive; cleared after its response
+	readPaused         bool // reading stops: too much pipelined input, or a pause after a rejection
+}
+
+// readBytes is the most that is read from a client at once. The settings bound what is kept.
 const readBytes = 64 << 10
 
+const (
+	retryAfter      = 1000     // ms, before jitter, that a rejected client is told to wait
+	maxFreeRequests = 1024     // finished requests that are kept for reuse
+	maxReusedBody   = 64 << 10 // bytes; a request with a larger body buffer is not reused
+)
+
+// OnReady writes pending output and reads input. Large output waits for its turn in the
+// scheduler.
 func (c *clientConn) OnReady(ready eventloop.Ready) {
 	if ready.Writable() && c.output.Len() > 0 {
 		if c.output.Len() <= directWriteBytes {
 			c.flush()
 		} else if !c.queued {
 			c.queued, c.queuedSince = true, c.edge.loop.Now()
-			c.edge.guard.setAwaited(c, false) // it is the router that it waits for now
+			c.edge.guard.setAwaited(c, false) // from here on the client waits for the router
 			c.edge.guard.enqueue(c.schedulerClass, c)
 		}
 	}
@@ -72,7 +79,7 @@
 	c.accountInput()
 }
 
-// accountInput books what is read and not yet taken.
+// accountInput charges the unparsed input to the memory budget.
 func (c *clientConn) accountInput() {
 	if n := int64(cap(c.unparsed)); n != c.accounted {
 		c.edge.guard.memory.Add(limits.Heads, n-c.accounted)
@@ -80,7 +87,7 @@
 	}
 }
 
-// resetFlow forgets how it was waited for.
+// resetFlow ends the rate check and clears its history.
 func (c *clientConn) resetFlow() {
 	delete(c.edge.guard.awaited, c)
 	c.flow = limits.Flow{}
@@ -128,7 +135,7 @@
 	}
 }
 
-// parseUnparsed takes what was read before.
+// parseUnparsed parses input that was read earlier.
 func (c *clientConn) parseUnparsed() {
 	if len(c.unparsed) == 0 {
 		return
@@ -142,14 +149,14 @@
 	if len(rest) > 0 {
 		c.unparsed = append(data[:0], rest...)
 	}
-	// a head or a body that is coming has limits of its own
+	// The limit is for pipelined input: a head or a body that is arriving has limits of its own.
 	if c.readPaused && (c.current == nil || c.current.phase == receivingBody || len(c.unparsed) < c.edge.settings.Limits.Pipelined) {
 		c.readPaused = false
 		c.updateInterest()
 	}
 }
 
-// parse takes requests from buf until one is in hand, and returns what is left.
+// parse parses requests from buf until one is in flight, and returns the rest of buf.
 func (c *clientConn) parse(buf []byte) []byte {
 	for len(buf) > 0 && !c.closed && !c.discardInput {
 		if c.current != nil {
@@ -163,16 +170,16 @@
 			}
 			if c.current != nil && c.current.phase == receivingBody {
 				c.edge.guard.setAwaited(c, true)
-				return buf // more has to come
+				return buf // incomplete
 			}
 			continue
 		}
 		if c.closeAfterResponse {
-			c.discardInput = true // the connection ends here: what follows is not looked at
+			c.discardInput = true // the client was told that the connection closes
 			return nil
 		}
 		if c.output.Len() > 0 {
-			return buf // a slow client's earlier answer goes first
+			return buf // the previous response to a slow client is written first
 		}
 		if !c.receiving {
 			c.receiving = true
@@ -195,7 +202,8 @@
 	return buf
 }
 
-// startRequest takes the request whose head has come.
+// startRequest handles the request whose head was parsed: it classifies it, and then rejects
+// it, reads its body or submits it to the module.
 func (c *clientConn) startRequest() {
 	edge := c.edge
 	head := &edge.head
@@ -220,7 +228,7 @@
 	if len(edge.requests) >= edge.settings.Limits.Held {
 		c.skipBody(head)
 		request.end = endHeld
-		c.respond(request, 503, 1000)
+		c.respond(request, 503, retryAfter)
 		return
 	}
 	if cause := edge.guard.admit(c, &request.spec); cause != limits.None {
@@ -230,8 +238,8 @@
 		request.limitCause = cause
 		edge.stats.Refused++
 		began := edge.loop.Took()
-		c.respond(request, 503, 1000)
-		edge.guard.readPause.AddCost((edge.loop.Took() - began) * 1.5) // it was read and looked at, too
+		c.respond(request, 503, retryAfter)
+		edge.guard.readPause.AddCost((edge.loop.Took() - began) * 1.5) // half as much again for reading and parsing
 		edge.guard.pauseReading(c)
 		return
 	}
@@ -259,17 +267,19 @@
 	request.submit()
 }
 
-// skipBody ends the connection after an answer to a request whose body is not read.
+// skipBody has the connection closed after the response if the request has a body, which will
+// not be read.
 func (c *clientConn) skipBody(head *http1.Head) {
 	if head.Body != http1.NoBody {
 		c.closeAfterResponse, c.discardInput = true, true
 	}
 }
 
-// clip returns at most n bytes.
+// clip returns the first n bytes of b at most.
 func clip(b []byte, n int) []byte { return b[:min(len(b), n)] }
 
-// rejectInvalid answers what is not valid, and ends the connection.
+// rejectInvalid answers a request that is malformed, too large or too slow, and closes the
+// connection.
 func (c *clientConn) rejectInvalid(err error) {
 	invalid, ok := err.(*http1.ProtocolError)
 	if !ok {
@@ -288,7 +298,8 @@
 	c.respond(request, invalid.Status, 0)
 }
 
-// respond gives a final respond of the router's own.
+// respond sends a final response of the router itself. If after is above 0, it becomes the
+// Retry-After, in ms before jitter.
 func (c *clientConn) respond(request *clientRequest, status int, after float64) {
 	request.status = status
 	if c.fragment != nil {
@@ -322,7 +333,7 @@
 	request.finish()
 }
 
-// appendConnection says whether the connection persists.
+// appendConnection appends the Connection field, where one is needed.
 func (c *clientConn) appendConnection(b []byte, request *clientRequest) []byte {
 	switch {
 	case c.closeAfterResponse:
@@ -333,7 +344,7 @@
 	return b
 }
 
-// write writes what waits and b in one call, and keeps what the socket does not take.
+// write writes the pending output and b in one call, and buffers what the socket does not take.
 func (c *clientConn) write(b []byte) {
 	if c.closed {
 		return
@@ -359,9 +370,10 @@
 	}
 }
 
+// buffer appends b to the pending output.
 func (c *clientConn) buffer(b []byte) { c.output.Add(&c.edge.buffers, b) }
 
-// flush writes what waits. It reports whether all of it went out.
+// flush writes the pending output. It reports whether all of it was written.
 func (c *clientConn) flush() bool {
 	if c.fragment != nil {
 		return true
@@ -388,7 +400,8 @@
 	return true
 }
 
-// onFlushed goes on after all that waited was written.
+// onFlushed continues after all pending output was written: with the response's next bytes, or
+// with the next request.
 func (c *clientConn) onFlushed() {
 	c.updateInterest()
 	if request := c.current; request != nil && request.phase == relaying {
@@ -404,12 +417,12 @@
 	}
 }
 
-// directWriteBytes is as much as is written at once, without waiting for a turn.
+// directWriteBytes is the most output that is written without waiting for the scheduler.
 const directWriteBytes = 16 << 10
 
 func (c *clientConn) queuedAt() float64 { return c.queuedSince }
 
-// transfer writes what waits, in its turn.
+// transfer writes up to room bytes of the pending output.
 func (c *clientConn) transfer(room int) (moved int, more bool) {
 	c.queued = false
 	for c.output.Len() > 0 && !c.closed && moved < room {
@@ -440,12 +453,12 @@
 	return moved, false
 }
 
-// countWritten books that the kernel countWritten bytes for the client.
+// countWritten adds n bytes to those written to the socket.
 func (c *clientConn) countWritten(n int) { c.writtenBytes += int64(n) }
 
-// acknowledged is how much the client's own side has acknowledged. The kernel takes megabytes
-// at once, and nothing more until a good part of them is gone: what a steady reader
-// takes can't be seen from writes.
+// acknowledged returns how many of the written bytes the client's side has acknowledged. The
+// progress of a steady reader does not show in writes: the kernel takes megabytes at once, and
+// then nothing until much of its buffer is free.
 func (c *clientConn) acknowledged() int64 {
 	unacknowledged, err := unix.IoctlGetInt(c.fd, unix.TIOCOUTQ)
 	if err != nil {
@@ -454,7 +467,8 @@
 	return c.writtenBytes - int64(unacknowledged)
 }
 
-// minRate is the least rate that the client is held to now, and what it is cut for.
+// minRate returns the rate that the client must keep now, and the cause to report if it does
+// not.
 func (c *clientConn) minRate() (*limits.MinRate, limits.Cause) {
 	guard := c.edge.guard
 	switch {
@@ -466,7 +480,7 @@
 	return &guard.headRate, limits.SlowHead
 }
 
-// closeSlow ends the connection of a client that is too slow.
+// closeSlow closes the connection of a client that is too slow, and records a bad outcome.
 func (c *clientConn) closeSlow(cause limits.Cause) {
 	if c.fragment != nil {
 		c = c.fragment.page.request.client
@@ -482,7 +496,8 @@
 	c.rejectInvalid(errTooSlow)
 }
 
-// updateInterest tells the loop what is of interest.
+// updateInterest registers with the loop the events that the connection waits for, and starts
+// or stops the rate check accordingly.
 func (c *clientConn) updateInterest() {
 	if c.closed {
 		return
@@ -507,12 +522,12 @@
 	c.edge.loop.Want(c.fd, want)
 }
 
-// partialRequest reports that a request has begun to come, and is not whole.
+// partialRequest reports whether part of a request has arrived, but not all of it.
 func (c *clientConn) partialRequest() bool {
 	return c.current == nil && c.receiving || c.current != nil && c.current.phase == receivingBody
 }
 
-// onResponded is called when the present answer is whole, written or waiting.
+// onResponded is called when the present response is complete, though not necessarily written.
 func (c *clientConn) onResponded() {
 	c.current, c.receiving = nil, false
 	if c.closed || c.fragment != nil {
@@ -520,13 +535,14 @@
 	}
 	c.resetFlow()
 	if c.output.Len() > 0 {
-		c.flush() // and then goes on
+		c.flush() // onFlushed goes on to the next request
 		return
 	}
 	c.nextRequest()
 }
 
-// nextRequest goes on to the nextRequest request, or ends the connection.
+// nextRequest continues with the next request, hands the connection over to a successor, or
+// closes it.
 func (c *clientConn) nextRequest() {
 	switch {
 	case c.closed || c.current != nil:
@@ -553,12 +569,12 @@
 		}
 		c.accountInput()
 		if !c.closed && c.current == nil && c.eof && c.output.Len() == 0 {
-			c.close() // what is left will never be whole
+			c.close() // the rest of the input is an incomplete request
 		}
 	}
 }
 
-// drain ends the connection when nothing is in hand.
+// drain closes the connection, or hands it over, as soon as no request is in flight.
 func (c *clientConn) drain() {
 	if c.current == nil && !c.receiving && c.output.Len() == 0 {
 		if !c.handOver() {
@@ -566,7 +582,7 @@
 		}
 		return
 	}
-	if c.edge.successor != nil { // it goes on there, behind what is in hand
+	if c.edge.successor != nil { // nextRequest hands it over after the present response
 		return
 	}
 	c.closeAfterResponse = true
@@ -590,7 +606,7 @@
 	case c.discardInput:
 		c.close()
 	case c.output.Len() > 0:
-		if acknowledged := c.acknowledged(); acknowledged > c.ackedAtTimeout { // the kernel takes nothing, and the client does
+		if acknowledged := c.acknowledged(); acknowledged > c.ackedAtTimeout { // the client reads, though the socket takes no more yet
 			c.ackedAtTimeout = acknowledged
 			c.edge.loop.Arm(&c.idleTimer, c.edge.settings.Limits.WriteIdle)
 			return
@@ -609,8 +625,8 @@
 	}
 }
 
-// closeIdle closes a connection that is idle for the router. Where the kernel still holds an
-// answer that its client does not take, it is reset, and counts as one.
+// closeIdle closes a connection without a request. If the kernel still holds part of a response
+// that the client does not read, closeIdle resets the connection and records a bad outcome.
 func (c *clientConn) closeIdle() {
 	if c.acknowledged() < c.writtenBytes {
 		c.edge.guard.recordBadOutcome(c)
@@ -620,10 +636,10 @@
 	c.close()
 }
 
-var errTooSlow = &http1.ProtocolError{Status: 408, Message: "the request did not come whole within the limit"}
+var errTooSlow = &http1.ProtocolError{Status: 408, Message: "request incomplete at the time limit"}
 
-// reset ends the connection of a client that takes nothing: what the kernel still holds
-// for it, up to megabytes, is dropped, and not kept until the kernel gives up in turn.
+// reset closes a connection with a TCP reset. For a client that does not read, this frees the
+// kernel's send buffer, up to megabytes, which would otherwise be kept until TCP gives up.
 func (c *clientConn) reset() {
 	if c.fragment != nil {
 		c = c.fragment.page.request.client
@@ -634,7 +650,7 @@
 	c.disconnect()
 }
 
-// disconnect ends a connection whose client has gone, or was cut off.
+// disconnect closes a connection whose client has left or was cut off, and ends its request.
 func (c *clientConn) disconnect() {
 	if c.closed {
 		return
@@ -657,8 +673,8 @@
 	}
 }
 
-// detach has the router know nothing of the connection any more; its descriptor is
-// the caller's. False: it did so before.
+// detach removes the connection from the router. The descriptor stays open, and now belongs to
+// the caller. It reports false if the connection was removed before.
 func (c *clientConn) detach() bool {
 	if c.closed {
 		return false
@@ -686,17 +702,17 @@
 		"Content-Length: 0\r\n\r\n")
 )
 
-// phase is how far a request has come.
+// phase is the state of a request.
 type phase uint8
 
 const (
 	receivingBody    phase = iota + 1
-	awaitingResponse       // the module has it
-	relaying               // an attempt's answer is on its way to the client
-	finished
+	awaitingResponse       // submitted to the module
+	relaying               // the response of an attempt is being relayed to the client
+	finished               // for the client; attempts may still be open
 )
 
-// clientRequest is a client's clientRequest in hand.
+// clientRequest is a request in flight.
 type clientRequest struct {
 	edge   *Edge
 	client *clientConn
@@ -705,35 +721,35 @@
 
 	id           string
 	receivedAt   float64
-	submittedAt  float64 // when the module got it
+	submittedAt  float64 // time at which it was submitted to the module
 	phase        phase
-	isHead       bool
-	httpMinor    int
-	forwardHead  []byte // request line and fields, as sent on
+	isHead       bool   // its method is HEAD
+	httpMinor    int    // minor version of the client's HTTP/1
+	forwardHead  []byte // request line and fields as forwarded to members
 	requestBody  []byte // of a write
 	attempts     []*upstreamAttempt
-	openAttempts int // tries without an outcome
-	winner       *upstreamAttempt
-	inModule     bool // the module has it
+	openAttempts int              // attempts without an outcome
+	winner       *upstreamAttempt // whose response is relayed
+	inModule     bool             // the module knows it
 
-	page    *esiPage // that it asks for; nil: its answer is no page
+	page    *esiPage // the page that it requests; nil if its class is not one of pages
 	esiVars *esi.Vars
 	target  string
 
 	status         int
-	limitCause     limits.Cause // of what a limit ended
-	accounted      int64        // of the memory budget
+	limitCause     limits.Cause // the limit that ended it
+	accounted      int64        // bytes charged to the memory budget
 	sentBytes      int64
-	poorReputation bool              // it holds a place of those of poor standing
-	routeError     *engine.Rejection // no class took it; nil: one did
+	poorReputation bool              // it uses capacity reserved for clients of poor reputation
+	routeError     *engine.Rejection // why no class fits; nil if one does
 	end            endReason
-	logObject      string // of what no class fits
+	logObject      string // for the access log, if no class fits
 
-	firstAttempts [3]upstreamAttempt // the memory of its first tries
-	released      bool
+	firstAttempts [3]upstreamAttempt // saves allocations for the first attempts
+	released      bool               // nothing refers to it any more, and it may be reused
 }
 
-// newRequest is an empty request, in the memory of one that is over if there is any.
+// newRequest returns an empty request. It reuses a released one if it can.
 func (e *Edge) newRequest(client *clientConn) *clientRequest {
 	n := len(e.freeRequests)
 	if n == 0 {
@@ -752,13 +768,13 @@
 	clear(request.attempts)
 	for i := range request.firstAttempts {
 		t := &request.firstAttempts[i]
-		*t = upstreamAttempt{timer: t.timer} // not armed, and keeps its function
+		*t = upstreamAttempt{timer: t.timer} // keeps the timer's function
 	}
 	*request = clientRequest{edge: e, client: client, firstAttempts: request.firstAttempts, forwardHead: request.forwardHead[:0], requestBody: request.requestBody[:0], attempts: request.attempts[:0]}
 	return request
 }
 
-// newAttempt is the next attempt of the request.
+// newAttempt adds the next attempt to the request.
 func (r *clientRequest) newAttempt() *upstreamAttempt {
 	var attempt *upstreamAttempt
 	if n := len(r.attempts); n < len(r.firstAttempts) {
@@ -773,7 +789,7 @@
 	return attempt
 }
 
-// receiveBody takes a write's body, which is held whole so that it can be sent again.
+// receiveBody parses the body of a write. The whole body is kept, so that it can be sent again.
 func (r *clientRequest) receiveBody(data []byte) (n int, err error) {
 	for n < len(data) && !r.body.Done() {
 		used, content, err := r.body.Next(data[n:])
@@ -797,8 +813,8 @@
 	return n, nil
 }
 
-// composeForwardHead writes what of the head goes on to caches: all but what is for this
-// connection only, framing, and what the router says itself.
+// composeForwardHead composes the head that is forwarded to members: the client's without
+// hop-by-hop fields, framing, and the fields that the router sets itself.
 func (r *clientRequest) composeForwardHead(head *http1.Head) {
 	b := http1.AppendRequestLine(r.forwardHead[:0], head.Method, head.Path())
 	if head.Host != nil {
@@ -812,8 +828,7 @@
 	r.forwardHead = append(b, "\r\n"...)
 }
 
-// appendEndToEnd appends the fields of a head that are not for one connection
-// only, but for those that excluded names.
+// appendEndToEnd appends the end-to-end fields of a head, except those that excluded reports.
 func appendEndToEnd(b []byte, head *http1.Head, excluded func(name []byte) bool) []byte {
 	hasConnection := head.Has("connection")
 	for i := range head.Fields {
@@ -829,8 +844,8 @@
 	return b
 }
 
-// isRouterRequestField reports fields that a client may not set for the caches, or that are
-// written anew.
+// isRouterRequestField reports whether a request field is set by the router, or is one that
+// clients may not send to caches.
 func isRouterRequestField(name []byte) bool {
 	switch len(name) {
 	case 4:
@@ -847,7 +862,7 @@
 	return false
 }
 
-// submit gives the request to the module.
+// submit submits the request to the module.
 func (r *clientRequest) submit() {
 	edge := r.edge
 	r.phase = awaitingResponse
@@ -863,7 +878,7 @@
 	edge.dispatch(r.spec)
 }
 
-// clientGone tells the module that nobody waits any more.
+// clientGone ends the request because its client has left, and tells the module so.
 func (r *clientRequest) clientGone() {
 	if r.phase == finished {
 		return
@@ -880,7 +895,7 @@
 	if r.phase != relaying {
 		winner = nil
 	}
-	r.phase = finished // before the module hears of it: nothing may be answered any more
+	r.phase = finished // first, since the module's actions may not respond any more
 	r.edge.log.request(r)
 	r.client.current = nil
 	if r.page != nil {
@@ -893,7 +908,7 @@
 	r.releaseIfDone()
 }
 
-// reject is the module's final answer that a repeat is harmless.
+// reject answers 503: the module rejects the request, which may be retried safely.
 func (r *clientRequest) reject(after float64) {
 	if r.phase != awaitingResponse {
 		return
@@ -903,7 +918,8 @@
 	r.client.respond(r, 503, after)
 }
 
-// fail is the module's final answer that promises nothing.
+// fail answers 502, or 504 at the deadline: the module gave the request up, and it may have had
+// effects.
 func (r *clientRequest) fail() {
 	if r.phase != awaitingResponse {
 		return
@@ -917,7 +933,7 @@
 	r.client.respond(r, status, 0)
 }
 
-// anyWritten reports whether something of the request may have reached a member.
+// anyWritten reports whether part of the request may have reached a member.
 func (r *clientRequest) anyWritten() bool {
 	for _, t := range r.attempts {
 		if t.written {
@@ -927,26 +943,27 @@
 	return false
 }
 
-// shed gives the request up for want of room: with an answer where it has none yet.
+// shed ends the request to relieve load: with a 503 response if none has begun, and else by
+// resetting the connection.
 func (r *clientRequest) shed(cause limits.Cause) {
 	client, edge, id, known := r.client, r.edge, r.id, r.inModule
 	r.end, r.limitCause = endLimit, cause
 	switch r.phase {
 	case receivingBody:
 		client.closeAfterResponse, client.discardInput = true, true
-		client.respond(r, 503, 1000)
+		client.respond(r, 503, retryAfter)
 	case awaitingResponse:
 		edge.stats.Refused++
-		client.respond(r, 503, 1000)
+		client.respond(r, 503, retryAfter)
 		if known {
-			edge.dispatch(spool.Gone{ID: id}) // nobody waits for it any more
+			edge.dispatch(spool.Gone{ID: id}) // for the module it is as if the client had left
 		}
 	case relaying:
 		client.reset()
 	}
 }
 
-// finish ends the request for its client; attempts may still be out.
+// finish ends the request for its client. Attempts may still be open.
 func (r *clientRequest) finish() {
 	if r.phase == finished {
 		return
@@ -967,7 +984,7 @@
 	r.releaseIfDone()
 }
 
-// releaseIfDone forgets a request that is over and has nothing out.
+// releaseIfDone frees a finished request once it has no open attempts.
 func (r *clientRequest) releaseIfDone() {
 	if r.phase != finished || r.openAttempts > 0 || r.released {
 		return
@@ -986,7 +1003,7 @@
 		r.edge.guard.memory.Add(limits.Bodies, requestBytes-r.accounted)
 		r.accounted = 0
 	}
-	if e := r.edge; len(e.freeRequests) < 1024 && cap(r.requestBody) <= 64<<10 {
-		e.freeRequests = append(e.freeRequests, r) // it is made empty when it is used again
+	if e := r.edge; len(e.freeRequests) < maxFreeRequests && cap(r.requestBody) <= maxReusedBody {
+		e.freeRequests = append(e.freeRequests, r) // newRequest clears it
 	}
 }
--- a/internal/proxy/httpfront/edge.go
+++ b/internal/proxy/httpfront/edge.go
@@ -1,14 +1,14 @@
-// Package httpfront is the HTTP router: client and upstream connections on one event loop,
-// which report what happens to the decision module and carry out what it decides. Bytes
-// become events, actions become bytes.
+// Package httpfront is the HTTP router. It runs client and upstream connections on one event
+// loop, reports to the decision module what happens on them, and carries out the actions that
+// the module returns.
 //
-// It owns the connections, the requests in flight and the connection pools. Where a request
-// goes, whether it is retried and when it is given up is decided by the module, reached
-// through internal/proxy/engine. It keeps to limits that the settings name, and never waits
-// for anything but the loop: the list service and the admin listener run on goroutines of
-// their own and post to it (watch.go, admin.go). client.go and upstream.go hold the two
-// sides of a request; docs/protocol.md defines what is on the wire, docs/architecture.md
-// the path of a request.
+// The package owns the connections, the requests in flight and the connection pools. The
+// decision module, reached through internal/proxy/engine, decides where a request goes,
+// whether it is retried and when it is given up. The limits are those of the settings; guard.go
+// enforces them. The loop never blocks: the list service and the admin listener have goroutines
+// of their own and post to the loop (watch.go, admin.go). client.go and upstream.go hold the
+// two sides of a request. docs/protocol.md defines the protocol on the wire, and
+// docs/architecture.md describes the path of a request.
 package httpfront
 
 import (
@@ -36,15 +36,17 @@
 	"indigospool/internal/wallclock"
 )
 
-// Stats counts what a router has done. They are read from the loop only.
+// Stats holds the counters of a router. They may be read on the loop only. Their names are
+// part of the admin interface's /state.
 type Stats struct {
 	Accepted, Connections, Requests, Served, Refused, Failed, Malformed uint64
 	Gone, Broken, Attempts, Connects, Reused, Dropped                   uint64
-	InBytes, OutBytes, AcceptPauses, ConnectWaits                       uint64 // the last: attempts that could not be begun here
-	HandedIn, HandedOut                                                 uint64 // connections, from a predecessor and to a successor
-	Purges                                                              uint64 // heard of
-	Fragments                                                           uint64 // asked for, of pages
-	Held, Upstreams, MostHeld                                           int
+	InBytes, OutBytes, AcceptPauses                                     uint64
+	ConnectWaits                                                        uint64 // attempts that failed for want of local resources
+	HandedIn, HandedOut                                                 uint64 // connections received from a predecessor, and passed to a successor
+	Purges                                                              uint64 // received
+	Fragments                                                           uint64 // requested for pages
+	Held, Upstreams, MostHeld                                           int    // requests in flight, connections to members, most requests in flight
 }
 
 // Edge is one router.
@@ -55,52 +57,52 @@
 	log      *AccessLog
 	name     string
 
-	startedDate   time.Time // by the wall clock
-	startedAt     eventloop.Millis
+	startedDate   time.Time        // start of the router by the wall clock
+	startedAt     eventloop.Millis // the same by the monotonic clock
 	listenFD      int
 	listener      eventloop.Listener
 	addr          string
 	clients       map[*clientConn]struct{}
 	pages         map[*esiPage]struct{}
-	changedPages  []*esiPage // that something has come for in this turn
+	changedPages  []*esiPage // to be updated at the end of this turn
 	requests      map[string]*clientRequest
 	pools         map[string]*connPool
-	requestCount  uint64
-	scratch       []byte
-	actions       []spool.Action
-	pendingEvents []spool.Event
+	requestCount  uint64         // for request identifiers
+	scratch       []byte         // read buffer shared by all connections
+	actions       []spool.Action // reused by dispatch
+	pendingEvents []spool.Event  // raised while dispatch runs
 	dispatching   bool
 	draining      bool
 	drainTimer    eventloop.Timer
 	freeTimers    []*moduleTimer
 	freeRequests  []*clientRequest
-	buffers       eventloop.Buffers // for bytes that wait to be written
-	headBuffer    []byte            // a head that is being written
-	head          http1.Head        // of the request that is being taken
+	buffers       eventloop.Buffers // for output that waits to be written
+	headBuffer    []byte            // reused for each message head that is written
+	head          http1.Head        // reused for each request head that is parsed
 	stats         Stats
-	observeProbe  func(spool.Probed) // also hears of probes, in tests
+	observeProbe  func(spool.Probed) // called with the result of each probe; set by tests
 	stopWatch     func()
 	stopAdmin     func()
-	adminFile     *os.File // of its listener, for a successor
+	adminFile     *os.File // the admin listener, for a successor
 
-	inherited            *hotrestart.Inherited // from a predecessor; nil: there was none
-	predecessorReachable atomic.Bool           // that knows that this one serves, and has not ended
-	predecessorRuns      bool                  // as followed, as the loop knows it: it still passes connections on
+	inherited            *hotrestart.Inherited // from a predecessor; nil without one
+	predecessorReachable atomic.Bool           // the predecessor knows that this router serves, and still runs
+	predecessorRuns      bool                  // the same as seen on the loop: the predecessor may still pass connections
 	handoverServer       *hotrestart.Server
-	handingOver          bool               // a successor has the memory, and does not serve yet
-	purgesDuringHandover []engine.Purge     // purges since then
-	successor            *hotrestart.Sender // it serves; nil: there is none
+	handingOver          bool               // a successor has the learned state, but does not serve yet
+	purgesDuringHandover []engine.Purge     // received since the successor got the learned state
+	successor            *hotrestart.Sender // the successor that serves; nil without one
 	guard                *guard
-	journal              *journal.Writer // nil: none is kept
+	journal              *journal.Writer // nil if no journal is kept
 	configClient         *ConfigClient
-	version              int64              // in use; 0: the file
-	nextVersion          int64              // about to be
-	listedFor            map[string]float64 // members that were listed lately when the router began, and for how long (ms)
-	listState            atomic.Value       // string: what is known of the list service
+	version              int64              // config version in use; 0 is the settings file
+	nextVersion          int64              // config version that is being activated
+	listedFor            map[string]float64 // ms since a member was first listed, at the start; only recent members
+	listState            atomic.Value       // string: state of the list service's stream
 	adminAddr            atomic.Value       // string
 }
 
-// New makes a router from checked settings; it listens, and serves once Run is called.
+// New returns a router for checked settings. It listens at once, and serves when Run is called.
 func New(settings *config.Settings, log *AccessLog) (*Edge, error) {
 	return newEdge(settings, log, nil)
 }
@@ -135,7 +137,8 @@
 	return edge, nil
 }
 
-// openJournal has the core record what the module is told and answers.
+// openJournal opens the journal, if the settings name one, and makes the core record in it
+// the module's events and actions.
 func (e *Edge) openJournal() error {
 	router := &e.settings.Router
 	if router.Journal == "" {
@@ -151,7 +154,7 @@
 	return nil
 }
 
-// recorder is the journal as the core knows it.
+// recorder writes to the journal what the core records.
 type recorder struct{ edge *Edge }
 
 func (r recorder) Handled(now float64, event spool.Event, actions []spool.Action) {
@@ -162,14 +165,14 @@
 	r.edge.journal.Settings(now, r.edge.nextVersion, func() string { return config.Print(settings) }, actions)
 }
 
-// NewFromVersion makes a router that begins with a version. The router's own part of
-// the settings is in the version's already.
+// NewFromVersion returns a router that starts with a config version. The version's settings
+// already include the local settings of the router.
 func NewFromVersion(version *configversion.Activate, log *AccessLog) (*Edge, error) {
 	return newFromVersion(version, nil, log, nil)
 }
 
-// newFromVersion makes a router that begins with a version or, where that is nil, with
-// settings of its local, and takes over from inherited unless that is nil.
+// newFromVersion returns a router that starts with a config version or, if version is nil, with
+// its local settings. If inherited is not nil, the router takes over from that predecessor.
 func newFromVersion(version *configversion.Activate, local *config.Settings, log *AccessLog, inherited *hotrestart.Inherited) (*Edge, error) {
 	if version == nil {
 		return newEdge(local, log, inherited)
@@ -181,15 +184,16 @@
 	return e, err
 }
 
-// date is the time of day as it was when the router began, run on by the monotonic clock.
+// date returns the wall-clock time at the router's start advanced by the monotonic clock, so
+// that steps of the wall clock have no effect.
 func (e *Edge) date() time.Time {
 	return e.startedDate.Add(time.Duration((eventloop.Clock() - e.startedAt) * float64(time.Millisecond)))
 }
 
-// Addr is where clients reach the router.
+// Addr returns the address at which the router accepts clients.
 func (e *Edge) Addr() string { return e.addr }
 
-// Run serves until Drain has ended or Stop is called.
+// Run serves until a drain is complete or Stop is called.
 func (e *Edge) Run() error {
 	if err := e.listener.Start(e.loop, e.listenFD); err != nil {
 		return err
@@ -236,7 +240,7 @@
 	return err
 }
 
-// closeAll closes what the loop's end has left.
+// closeAll closes the sockets that are still open when the loop has ended.
 func (e *Edge) closeAll() {
 	for c := range e.clients {
 		unix.Close(c.fd)
@@ -251,7 +255,7 @@
 	}
 }
 
-// Ready waits until the router runs and knows a list, for at most a few seconds.
+// Ready waits until the router runs and has an endpoint list, for 3 s at most.
 func (e *Edge) Ready() error {
 	for range 300 {
 		known := false
@@ -263,15 +267,15 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	return errors.New("edge: no list of members after 3 s; is the list service reached?")
+	return errors.New("edge: no endpoint list after 3 s; is the list service reachable?")
 }
 
-// Stop ends the router at once, from any goroutine.
+// Stop ends the router at once. It may be called from any goroutine.
 func (e *Edge) Stop() { e.loop.Stop() }
 
-// Drain ends the router when what it holds is done, or after the settings'
-// limit: no connection is accepted any more, idle ones are closed, and answers
-// under way are finished. It may be called from any goroutine.
+// Drain begins a graceful shutdown: the router accepts no more connections, closes idle ones
+// and finishes the requests in flight, up to the drain timeout of the settings. It may be
+// called from any goroutine.
 func (e *Edge) Drain() {
 	e.loop.Post(e.drainNow)
 }
@@ -291,8 +295,8 @@
 	e.checkDrained()
 }
 
-// checkDrained ends the router when it has drained. While its own predecessor still drains
-// it stays: what that one passes on goes through here to the successor.
+// checkDrained ends the router when it has drained. If its own predecessor still drains, the
+// router keeps running, since it passes that one's connections on to the successor.
 func (e *Edge) checkDrained() {
 	if e.draining && len(e.clients) == 0 && !e.predecessorRuns {
 		e.loop.Stop()
@@ -301,7 +305,7 @@
 
 func (e *Edge) onDrainTimeout() { e.loop.Stop() }
 
-// Query runs f on the loop with the router's counters and core.
+// Query calls f on the loop with the router's counters and core.
 func (e *Edge) Query(f func(*Stats, *engine.Core)) error {
 	return e.loop.Call(5*time.Second, func() {
 		e.stats.Connections, e.stats.Held = uint64(len(e.clients)), len(e.requests)
@@ -313,22 +317,23 @@
 	})
 }
 
-// probeRetryInterval is how long, in ms, a probe waits that could not be begun here.
+// probeRetryInterval is the wait, in ms, before a probe is repeated that could not begin for
+// want of local resources.
 const probeRetryInterval = 50
 
-// onAccept takes a connection from the listener.
+// onAccept adds a connection that the listener has accepted.
 func (e *Edge) onAccept(fd int) {
 	e.stats.Accepted++
 	peer, err := unix.Getpeername(fd)
-	if eventloop.Broken(err) { // it was reset before it was taken
+	if eventloop.Broken(err) { // reset by the client before it was accepted
 		unix.Close(fd)
 		return
 	}
 	e.addClient(fd, addressOf(peer), true)
 }
 
-// writeBeforeClose writes a short answer to a connection that is about to be closed, as far as it
-// can be written at once.
+// writeBeforeClose writes a short response to a connection that is about to be closed. It drops
+// what the socket does not take at once.
 func (e *Edge) writeBeforeClose(fd int, b []byte) {
 	for len(b) > 0 {
 		n, err := e.loop.Write(fd, b)
@@ -339,8 +344,8 @@
 	}
 }
 
-// addClient takes a client's connection, unless as many are there as may be: then it is
-// told so, and closed.
+// addClient adds a client connection. If a connection limit is reached, it closes the connection
+// instead, after a 503 response if respond is set, and returns nil.
 func (e *Edge) addClient(fd int, addr netip.Addr, respond bool) *clientConn {
 	guard := e.guard
 	cause := limits.None
@@ -368,7 +373,7 @@
 		e.stats.Refused++
 		if respond {
 			e.writeBeforeClose(fd, busyResponse)
-			e.loop.Read(fd, e.scratch) // what is unread when it is closed would take the answer from it
+			e.loop.Read(fd, e.scratch) // closing with unread input would reset the connection and lose the response
 		}
 		unix.Close(fd)
 		return nil
@@ -381,7 +386,7 @@
 	return client
 }
 
-// addressOf is a peer's address, without its port.
+// addressOf returns the address of a peer without its port.
 func addressOf(sockaddr unix.Sockaddr) netip.Addr {
 	switch a := sockaddr.(type) {
 	case *unix.SockaddrInet4:
@@ -392,7 +397,7 @@
 	return netip.Addr{}
 }
 
-// moduleTimer is a timer that the module asked for.
+// moduleTimer is a timer that the module requested with a Wake.
 type moduleTimer struct {
 	timer eventloop.Timer
 	edge  *Edge
@@ -417,8 +422,8 @@
 	e.loop.Arm(&timer.timer, in)
 }
 
-// dispatch gives the module an event and carries out its actions; events that come
-// of these wait their turn.
+// dispatch gives the module an event and carries out the actions that it returns. Events that
+// these actions raise are queued and handled afterwards.
 func (e *Edge) dispatch(event spool.Event) {
 	if e.dispatching {
 		e.pendingEvents = append(e.pendingEvents, event)
@@ -442,7 +447,7 @@
 	e.dispatching = false
 }
 
-// execute does what the module wants done.
+// execute carries out an action of the module.
 func (e *Edge) execute(action spool.Action) {
 	switch a := action.(type) {
 	case spool.Send:
@@ -464,29 +469,29 @@
 	case spool.Probe:
 		e.probe(a.Cache)
 	case spool.Watch, spool.Fetch:
-		// the list's stream is held open as long as the router runs, and begins
-		// with the whole list: there is nothing to ask for (watch.go)
+		// Nothing to do: watch.go keeps the discovery stream open as long as the router
+		// runs, and the stream begins with a full snapshot.
 	}
 }
 
-// prober is a probe under way: a connection that is made and closed.
+// prober is a probe in progress: a connection to a member that is opened and closed again.
 type prober struct {
 	edge     *Edge
 	id       string
-	fd       int // -1: it could not be begun yet
+	fd       int // -1 while no socket could be opened
 	timer    eventloop.Timer
 	deadline eventloop.Millis
 }
 
-// probe looks whether a member takes connections, within the time for connects.
+// probe checks whether a member accepts a connection within the connect timeout.
 func (e *Edge) probe(id string) {
 	p := &prober{edge: e, id: id, fd: -1, deadline: e.loop.Now() + e.settings.Limits.Connect}
 	p.timer.F = p.onTimer
 	p.connect()
 }
 
-// connect begins to connect. What this machine lacks for it is no word about the member: it is
-// tried again, as long as the time for connects lasts.
+// connect starts the connection. A shortage of local resources says nothing about the member,
+// so connect is repeated after one until the connect timeout.
 func (p *prober) connect() {
 	edge := p.edge
 	fd, _, err := edge.loop.Dial(edge.core.Address(p.id))
@@ -535,7 +540,7 @@
 	p.edge.probeDone(spool.Probed{Cache: p.id, OK: ok})
 }
 
-// applyUpdate applies a line of the list service, or the settings' members.
+// applyUpdate applies an update of the list service, or the members of the settings.
 func (e *Edge) applyUpdate(update *engine.Update) engine.ApplyResult {
 	result := e.core.Apply(e.loop.Now(), update)
 	for _, event := range result.Events {
@@ -556,9 +561,9 @@
 	return result
 }
 
-// abandonDrained closes unused connections to members that take nothing new, and
-// takes back attempts there that have not been written yet: the wait for a
-// connection must not outlast the grace. The module makes them anew elsewhere.
+// abandonDrained closes idle connections to members that no longer serve, and ends the attempts
+// to them that are not written yet, since these could otherwise reach a member after its drain
+// grace. The module sends new attempts elsewhere.
 func (e *Edge) abandonDrained() {
 	drained := func(id string) bool {
 		m, ok := e.core.Member(id)
@@ -569,20 +574,22 @@
 			pool.closeIdle()
 		}
 		if len(pool.connections)+len(pool.waiting) == 0 && e.core.Address(pool.member) != address {
-			delete(e.pools, address) // of an earlier start of the member
+			delete(e.pools, address) // the member has restarted at another address
 		}
 	}
 	e.abandonUnwritten(func(t *upstreamAttempt) bool { return drained(t.cache) || t.source != t.cache && drained(t.source) })
 }
 
-// abandonPurged takes back attempts for what was purged that have not been written
-// yet: the age that they state was settled before the purge.
+// abandonPurged ends the attempts for purged objects that are not written yet: the greatest age
+// of a copy that they accept was computed before the purge.
 func (e *Edge) abandonPurged(purge spool.Purge) {
 	e.abandonUnwritten(func(t *upstreamAttempt) bool {
 		return t.request.spec.Object == purge.Object || purge.Object == "" && t.request.spec.Group == purge.Group
 	})
 }
 
+// abandonUnwritten ends the matching attempts of which no byte was written. The module may
+// repeat such attempts safely.
 func (e *Edge) abandonUnwritten(match func(*upstreamAttempt) bool) {
 	var unwritten []*upstreamAttempt
 	for _, request := range e.requests {
@@ -598,7 +605,7 @@
 	}
 }
 
-// nextID names a request: unlike any other of this router's, also of an earlier life.
+// nextID returns a request identifier that is unique across restarts of the router.
 func (e *Edge) nextID() string {
 	e.requestCount++
 	var b [48]byte
--- a/internal/proxy/httpfront/guard.go
+++ b/internal/proxy/httpfront/guard.go
@@ -15,8 +15,8 @@
 	"indigospool/internal/proxy/limits"
 )
 
-// guard carries out what internal/proxy/limits decides: it tells it what sockets do, and
-// cuts, refuses and sheds what it names. The decisions are that package's.
+// guard enforces the limits of internal/proxy/limits: it reports to that package what happens
+// on the sockets, and closes connections and rejects or sheds requests as the package decides.
 type guard struct {
 	edge *Edge
 
@@ -28,41 +28,44 @@
 	jitter                                   *limits.Jitter
 	reputation                               *limits.Reputation
 	readPause                                *limits.ReadPause
-	pausedClients                            []pausedClient // in the order in which they are read again
+	pausedClients                            []pausedClient // sorted by the time at which reading resumes
 	unread                                   limits.UnreadAccount
-	unreadClients                            []*clientConn // that the kernel may hold some of a whole answer for
+	unreadClients                            []*clientConn // that may have part of a finished response in the kernel's send buffer
 	memory                                   limits.Budget
 	counts                                   limits.Counts
 
-	classIndex       map[string]int // places of the scheduler's
-	ranks            []float64      // of classes by priorityWeights, 0 to 1
-	priorityWeights  []float64
-	awaited          map[*clientConn]struct{} // clients that are waited for
-	connectionsOf    map[netip.Addr]int       // connections of clients
+	classIndex       map[string]int           // index of a class by its name, in ranks and in the scheduler
+	ranks            []float64                // of the classes, from 0 to 1, by their priority weights
+	priorityWeights  []float64                // of the classes
+	awaited          map[*clientConn]struct{} // clients that the router waits for, to send or to read
+	connectionsOf    map[netip.Addr]int       // number of connections by client address
 	idleClients      idleList
-	nextShedAt       float64         // when requests may be looked over again
-	slowUpstreams    []*upstreamConn // in a sweep
-	stalledUpstreams []*upstreamConn // in a sweep: their clients hold them up
+	nextShedAt       float64         // earliest time of the next scan for requests to shed
+	slowUpstreams    []*upstreamConn // reused by each sweep: members that send too slowly
+	stalledUpstreams []*upstreamConn // reused by each sweep: paused because their clients do not read
 	sweepTimer       eventloop.Timer
-	resumeTimer      eventloop.Timer // connections that are held back
-	maxClients       int             // connections that there are descriptors for
+	resumeTimer      eventloop.Timer // of the first paused client
+	maxClients       int             // client connections that the descriptor limit allows
 }
 
-// readyConn is a connection that is ready to move bytes.
+// readyConn is a connection that is ready to read or write.
 type readyConn interface {
-	// transfer moves at most about room bytes; more says that it is ready for more.
+	// transfer moves about room bytes at most. It reports how many it moved, and whether the
+	// connection is ready for more.
 	transfer(room int) (moved int, more bool)
+	// queuedAt returns the time at which the connection was given to the scheduler.
 	queuedAt() float64
 }
 
 const (
-	sweepInterval = 250 // ms between looks at slow peers
-	// memory that is booked for what is not a buffer, in bytes, measured as by
-	// spool-bench idle: descriptions, their places in tables, and timers
+	sweepInterval = 250 // ms between checks for slow peers
+	shedInterval  = 50  // ms between scans of all requests for those to shed
+	// Bytes charged to the memory budget for the state of a connection or a request without its
+	// buffers: the structure, its map entries and its timers. See spool-bench idle.
 	clientBytes         = 1 << 10
 	upstreamBytes       = 2 << 10
 	requestBytes        = 3 << 10
-	reservedDescriptors = 24 // descriptors for what is no connection
+	reservedDescriptors = 24 // descriptors for files and sockets other than connections
 )
 
 func newGuard(edge *Edge) *guard {
@@ -74,7 +77,8 @@
 	return g
 }
 
-// applySettings goes by settings from now on. What was learned stays.
+// applySettings applies settings, at the start and when they change. The learned limit of
+// requests in flight and the reputation of addresses are kept.
 func (g *guard) applySettings(settings *config.Settings) {
 	limit := &settings.Limits
 	g.edge.listener.PerTurn = limit.AcceptPerTurn
@@ -99,7 +103,7 @@
 	for _, weight := range g.priorityWeights {
 		g.ranks = append(g.ranks, float64(sort.SearchFloat64s(sorted, math.Nextafter(weight, math.Inf(1)))-1)/max(float64(len(sorted)-1), 1))
 	}
-	weights = append(weights, 1) // of no class
+	weights = append(weights, 1) // for connections without a class
 	previous := g.scheduler
 	g.scheduler = limits.NewDRR[readyConn](int(limit.QuantumKB*1024), weights)
 	for previous != nil && previous.Len() > 0 {
@@ -121,12 +125,13 @@
 	g.maxClients = limit.Connections
 	var nofile unix.Rlimit
 	if unix.Getrlimit(unix.RLIMIT_NOFILE, &nofile) == nil && nofile.Cur < 1<<30 {
-		// a request in hand needs a connection of its own and one to a member
+		// Clients get 3 in 5 of the descriptors: a request in flight needs a connection to a
+		// member as well as its own.
 		g.maxClients = min(g.maxClients, max((int(nofile.Cur)-reservedDescriptors)*3/5, 8))
 	}
 }
 
-// schedulerClass is a schedulerClass's place in the scheduler.
+// schedulerClass returns the scheduler's index for a class, or for no class.
 func (g *guard) schedulerClass(name string) int {
 	if i, ok := g.classIndex[name]; ok {
 		return i
@@ -134,11 +139,11 @@
 	return len(g.classIndex)
 }
 
-// enqueue queues a connection that is enqueue to move bytes.
+// enqueue gives a connection that is ready to read or write to the scheduler.
 func (g *guard) enqueue(class int, conn readyConn) { g.scheduler.Push(class, conn) }
 
-// afterTurn is the end of each turn of the loop: ready connections move bytes in their
-// order, as many as a turn may, and what is over is shed.
+// afterTurn runs at the end of each turn of the loop. It lets ready connections transfer bytes
+// in the scheduler's order, up to the limit of a turn, and sheds load when memory runs short.
 func (g *guard) afterTurn() (more bool) {
 	edge := g.edge
 	edge.updatePages()
@@ -154,7 +159,7 @@
 			g.admission.ObserveWait(edge.loop.Took() + edge.loop.Now() - conn.queuedAt())
 			moved, more := conn.transfer(room)
 			g.scheduler.Used(class, conn, moved, more)
-			bytesLeft -= max(moved, 1024) // a call has its price too
+			bytesLeft -= max(moved, 1024) // also charges for the system call
 		}
 	}
 	edge.updatePages()
@@ -166,13 +171,13 @@
 	return g.scheduler.Len() > 0
 }
 
-// pausedClient is a connection that is not read until its time comes.
+// pausedClient is a connection whose reading is paused until the given time.
 type pausedClient struct {
 	client *clientConn
 	until  float64
 }
 
-// pauseReading has a connection wait that was turned away.
+// pauseReading stops reading for a while from a client whose request was rejected.
 func (g *guard) pauseReading(client *clientConn) {
 	pause := g.readPause.Duration()
 	if pause <= 0 || client.closed || client.closeAfterResponse || client.discardInput || client.current != nil || client.readPaused || len(client.unparsed) > 0 {
@@ -186,7 +191,7 @@
 	}
 }
 
-// resumeReading has those read again whose time has come.
+// resumeReading resumes reading from the paused clients whose pause is over.
 func (g *guard) resumeReading() {
 	due, now := 0, g.edge.loop.Now()
 	for ; due < len(g.pausedClients) && g.pausedClients[due].until <= now; due++ {
@@ -201,7 +206,8 @@
 	}
 }
 
-// admit decides whether a request whose head has come is taken into hand.
+// admit decides whether a request whose head was received is admitted. It returns the limit
+// that rejects it, or limits.None.
 func (g *guard) admit(client *clientConn, spec *spool.Request) limits.Cause {
 	switch {
 	case g.memory.Full():
@@ -216,12 +222,13 @@
 	return limits.None
 }
 
-// hasPoorReputation reports whether a client's address is of hasPoorReputation standing.
+// hasPoorReputation reports whether the address of a client has a poor reputation.
 func (g *guard) hasPoorReputation(c *clientConn) bool {
 	return g.reputation.Any() && g.reputation.Poor(c.addrText, g.edge.loop.Now())
 }
 
-// recordBadOutcome notes that the client has wasted the place that it had.
+// recordBadOutcome records, once for each request, that the client wasted the capacity that
+// it was given.
 func (g *guard) recordBadOutcome(c *clientConn) {
 	if !c.badOutcome {
 		c.badOutcome = true
@@ -229,9 +236,10 @@
 	}
 }
 
-// bufferRoom is how much of an answer may wait for its client now.
+// bufferRoom returns how many bytes of a response may be buffered for its client now.
 func (g *guard) bufferRoom() int { return g.memory.Room(g.edge.settings.Limits.Buffer) }
 
+// rank returns the rank of a class for admission, from 0 to 1; that of an unknown class is 0.
 func (g *guard) rank(class string) float64 {
 	if i, ok := g.classIndex[class]; ok {
 		return g.ranks[i]
@@ -239,12 +247,12 @@
 	return 0
 }
 
-// peerTime is the time by which peers are judged: what turns of the loop took beyond the
-// ordinary is not theirs.
+// peerTime returns the clock against which the rates of peers are measured. It excludes the
+// excess of slow loop turns, so that peers are not charged for the router's own delays.
 func (g *guard) peerTime() float64 { return g.edge.loop.Now() - g.edge.loop.SlowTime() }
 
-// closeStalledUpstream has the connection of a member give its place to an attempt that finds
-// none, where one has waited for its client for long.
+// closeStalledUpstream closes one connection of the pool whose client has not read for long,
+// if there is one, so that an attempt that waits for a connection can take its place.
 func (g *guard) closeStalledUpstream(p *connPool) {
 	for _, u := range g.longStalled(p) {
 		g.counts[limits.SlowReader]++
@@ -253,7 +261,7 @@
 	}
 }
 
-// sweep looks at those that are waited for.
+// sweep checks, every sweepInterval, the rates of all peers that the router waits for.
 func (g *guard) sweep() {
 	edge, now := g.edge, g.peerTime()
 	edge.loop.Arm(&g.sweepTimer, sweepInterval)
@@ -303,10 +311,11 @@
 	}
 }
 
-// minUnreadBytes is how many bytes of an answer are worth a look at whether they are taken.
+// minUnreadBytes is the least number of unacknowledged bytes for which a client is tracked.
 const minUnreadBytes = 16 << 10
 
-// trackUnread notes that the kernel may hold some of an answer that is whole.
+// trackUnread tracks a client whose response was written in full, but may still be in the
+// kernel's send buffer in part.
 func (g *guard) trackUnread(c *clientConn) {
 	if !c.unreadTracked && c.writtenBytes-c.ackedBytes >= minUnreadBytes {
 		c.unreadTracked, c.lastProgress = true, g.peerTime()
@@ -314,15 +323,15 @@
 	}
 }
 
-// checkUnread sees how much the kernel holds for clients, and cuts those of them that
-// limits.UnreadAccount names.
+// checkUnread reports to limits.UnreadAccount how much the kernel holds for each client, and
+// closes the clients that it selects.
 func (g *guard) checkUnread(now float64) {
 	var unread []limits.Unread
 	var clients []*clientConn
 	add := func(c *clientConn, bytes int64) {
 		unread, clients = append(unread, limits.Unread{Index: len(clients), Bytes: bytes, StalledFor: now - c.lastProgress}), append(clients, c)
 	}
-	for c := range g.awaited { // looked at before
+	for c := range g.awaited { // sweep has updated these
 		if c.output.Len() > 0 {
 			add(c, c.writtenBytes-c.ackedBytes)
 		}
@@ -356,9 +365,9 @@
 	}
 }
 
-// shedPoorReputation finds requests in hand of those who have become poor, and gives up what is
-// too many of them: by limits.ShedOrder, of the answers that have begun only those that
-// nobody takes.
+// shedPoorReputation counts the requests in flight whose client's reputation has become poor,
+// and sheds those beyond the limit in limits.ShedOrder. Of the responses that have begun it
+// sheds only those that their clients do not read.
 func (g *guard) shedPoorReputation() {
 	edge := g.edge
 	var candidates []limits.ShedCandidate
@@ -389,7 +398,7 @@
 	}
 }
 
-// shedCandidate is a request as limits.ShedOrder looks at it.
+// shedCandidate describes a request for limits.ShedOrder.
 func (g *guard) shedCandidate(index int, request *clientRequest) limits.ShedCandidate {
 	client := request.client
 	candidate := limits.ShedCandidate{Index: index, Bytes: requestBytes + int64(client.output.Cap()+cap(client.unparsed)+cap(request.requestBody)), Begun: request.phase == relaying,
@@ -403,7 +412,8 @@
 	return candidate
 }
 
-// setAwaited has a client's flow follow whether it is awaited for.
+// setAwaited starts or stops the rate check of a client, as the router begins or ceases to
+// wait for it.
 func (g *guard) setAwaited(client *clientConn, awaited bool) {
 	if awaited == client.flow.Waiting() {
 		return
@@ -422,18 +432,19 @@
 	delete(g.awaited, client)
 }
 
-// shedForMemory gives memory back: idle connections, the longest unused first, and at the very
-// edge requests, by limits.ShedOrder.
+// shedForMemory frees memory. It closes idle connections first, starting with the longest
+// unused, then connections whose clients have not read for long, and last it sheds requests in
+// limits.ShedOrder.
 func (g *guard) shedForMemory() {
 	idleExcess, requestExcess := g.memory.Excess()
 	for idleExcess > 0 && g.closeIdle(limits.Memory) {
 		idleExcess -= clientBytes
 	}
 	edge := g.edge
-	if idleExcess <= 0 || edge.loop.Now() < g.nextShedAt { // looking over all of them has its price
+	if idleExcess <= 0 || edge.loop.Now() < g.nextShedAt { // the scan of all requests is costly
 		return
 	}
-	g.nextShedAt = edge.loop.Now() + 50
+	g.nextShedAt = edge.loop.Now() + shedInterval
 	for _, upstream := range g.longStalled(slices.Collect(maps.Values(edge.pools))...) {
 		if idleExcess <= 0 {
 			return
@@ -465,8 +476,8 @@
 	}
 }
 
-// longStalled is the connections to members that wait for their clients for long, in the
-// order in which they give way.
+// longStalled returns the connections to members that were paused long ago because their
+// clients do not read, in the order in which they are closed.
 func (g *guard) longStalled(pools ...*connPool) (stalled []*upstreamConn) {
 	var paused []*upstreamConn
 	var waits []float64
@@ -483,7 +494,7 @@
 	return stalled
 }
 
-// closeIdle closes the connection that is unused for longest; false: none is.
+// closeIdle closes the longest unused client connection. It reports false if there is none.
 func (g *guard) closeIdle(cause limits.Cause) bool {
 	client := g.idleClients.oldest()
 	if client == nil || !limits.MayCloseIdle(g.edge.loop.Now()-client.idleSince) {
@@ -494,12 +505,13 @@
 	return true
 }
 
-// connectionsFull reports that a connection more can't be had, with those that are idle gone.
+// connectionsFull reports whether no further client connection can be accepted, even after
+// closing an idle one.
 func (g *guard) connectionsFull() bool {
 	return len(g.edge.clients) >= g.maxClients && !g.closeIdle(limits.Descriptors)
 }
 
-// idleList is the clients between requests, the longest unused first.
+// idleList is a ring of the clients between requests, the longest unused first.
 type idleList struct{ root clientConn }
 
 func (l *idleList) init() { l.root.prev, l.root.next = &l.root, &l.root }
--- a/internal/proxy/httpfront/upstream.go
+++ b/internal/proxy/httpfront/upstream.go
@@ -12,24 +12,24 @@
 	"indigospool/internal/proxy/limits"
 )
 
-// upstreamAttempt is one upstreamAttempt of a request.
+// upstreamAttempt is one attempt of a request.
 type upstreamAttempt struct {
 	request       *clientRequest
-	number        int
+	number        int // from 0
 	cache, source string
-	send          spool.Send
+	send          spool.Send // the module's action
 	sentAt        float64
-	timer         eventloop.Timer // the attempt's time-out, until its answer has begun
-	upstream      *upstreamConn   // nil while it waits for a connection, and once it is over
+	timer         eventloop.Timer // timeout until the response begins
+	upstream      *upstreamConn   // nil while it waits for a connection, and once it is done
 	pool          *connPool
-	written       bool // something of it may have reached the member
-	done          bool // its outcome was told
-	load          []float64
+	written       bool      // part of it may have reached the member
+	done          bool      // its outcome was reported
+	load          []float64 // load report of the response
 	result        spool.Result
-	took          float64
+	took          float64 // ms
 }
 
-// sendAttempt makes an attempt that the module wants.
+// sendAttempt carries out a Send of the module.
 func (e *Edge) sendAttempt(send *spool.Send) {
 	request := e.requests[send.ID]
 	if request == nil {
@@ -56,7 +56,7 @@
 	e.loop.Arm(&attempt.timer, timeout)
 	attempt.pool = e.poolFor(address, send.Cache)
 	attempt.pool.assign(attempt)
-	if send.Within > 0 && !attempt.written && !attempt.done { // its window ends while it waits for a connection
+	if send.Within > 0 && !attempt.written && !attempt.done { // give up if no connection is free within that time
 		id, n := send.ID, attempt.number
 		e.loop.AfterFunc(send.Within, func() { e.abandonUnwritten(func(t *upstreamAttempt) bool { return t.send.ID == id && t.number == n }) })
 	}
@@ -68,19 +68,19 @@
 	}
 	result := spool.TimedOut
 	switch {
-	case t.upstream == nil: // it waited for a connection: nothing has run
+	case t.upstream == nil: // it still waits for a connection, so nothing was run
 		t.detach()
 		t.finish(spool.Rejected, spool.NoteNoCapacity, false)
 		return
 	case !t.written && t.upstream.state == upConnecting:
 		result = spool.ConnectFailed
-	case !t.written: // connected, and not a byte of it could be written
+	case !t.written: // connected, but not a byte could be written
 		result = spool.LocalFailure
 	}
 	t.abort(result)
 }
 
-// cancel stops the wait for an attempt, unless its answer is the client's.
+// cancel cancels the attempt, unless its response is being relayed to the client.
 func (t *upstreamAttempt) cancel() {
 	if t.done || t.request.winner == t && t.request.phase == relaying {
 		return
@@ -88,7 +88,7 @@
 	t.abort(spool.Cancelled)
 }
 
-// abort ends an attempt with its connection.
+// abort ends the attempt with the result, and closes its connection.
 func (t *upstreamAttempt) abort(result spool.Result) {
 	if t.done {
 		return
@@ -97,9 +97,10 @@
 	t.finish(result, spool.NoteNone, t.request.phase == finished || t.request.winner == t)
 }
 
-// detach takes the attempt off its connection, which is closed, or out of the queue for one.
+// detach takes the attempt off its connection, and closes that, or out of the queue for one.
+// The connection of a pipelined attempt that waits behind others stays open.
 func (t *upstreamAttempt) detach() {
-	if upstream := t.upstream; upstream != nil && upstream.attempt != t { // behind others: its answer will be passed over
+	if upstream := t.upstream; upstream != nil && upstream.attempt != t { // pipelined: its response will be discarded
 		t.upstream = nil
 		for i := range upstream.pipelined {
 			if upstream.pipelined[i] == t {
@@ -108,7 +109,7 @@
 		}
 	} else if upstream != nil {
 		t.upstream, upstream.attempt = nil, nil
-		if t.written { // its member is to stop at once, and the port is free again
+		if t.written { // a reset stops the member at once, and leaves no port in TIME_WAIT
 			unix.SetsockoptLinger(upstream.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 		}
 		upstream.close()
@@ -117,7 +118,7 @@
 	}
 }
 
-// finish tells the module the attempt's outcome.
+// finish reports the outcome of the attempt to the module.
 func (t *upstreamAttempt) finish(result spool.Result, note spool.Note, last bool) {
 	if t.done {
 		return
@@ -132,16 +133,17 @@
 	request.releaseIfDone()
 }
 
-// connPool is the connections to one address.
+// connPool holds the connections to one address.
 type connPool struct {
 	edge        *Edge
 	address     string
-	member      string // the last that it was used for
+	member      string // that the address was last used for
 	connections map[*upstreamConn]struct{}
-	idle        []*upstreamConn // the last used is the first to be used again
-	waiting     []*upstreamAttempt
+	idle        []*upstreamConn    // the most recently used last, which is reused first
+	waiting     []*upstreamAttempt // for a connection, in order
 }
 
+// poolFor returns the pool for an address, which it creates if needed.
 func (e *Edge) poolFor(address, member string) *connPool {
 	pool := e.pools[address]
 	if pool == nil {
@@ -152,13 +154,14 @@
 	return pool
 }
 
-// assign gives the attempt a connection, or has it wait for one.
+// assign gives the attempt an idle or a new connection, pipelines it behind others, or queues it
+// until a connection is free.
 func (p *connPool) assign(attempt *upstreamAttempt) {
 	for n := len(p.idle); n > 0; n = len(p.idle) {
 		upstream := p.idle[n-1]
 		p.idle = p.idle[:n-1]
-		// what has come to it unasked would pass for the answer, and a request on one
-		// that its member has closed would be lost; both may be known to the kernel only
+		// Unsolicited input would be taken for the response, and a request would be lost on
+		// a connection that the member has closed. The loop may not have reported either yet.
 		if !eventloop.Idle(upstream.fd) {
 			upstream.close()
 			continue
@@ -184,7 +187,7 @@
 	switch {
 	case err == nil:
 		upstream.start(attempt)
-	case eventloop.IsLocalShortage(err): // no word about the member
+	case eventloop.IsLocalShortage(err): // says nothing about the member
 		p.edge.stats.ConnectWaits++
 		attempt.finish(spool.LocalFailure, spool.NoteNone, false)
 	default:
@@ -192,13 +195,15 @@
 	}
 }
 
-// freeDescriptor closes a connection that is not in use, for its descriptor.
+// freeDescriptor closes an idle connection, of a client or else to another member, to free its
+// descriptor. It reports whether it found one.
 func (p *connPool) freeDescriptor() bool {
 	return p.edge.guard.closeIdle(limits.Descriptors) || p.edge.closeIdleUpstream(p)
 }
 
-// pipelineCandidate is the connection on which a GET can follow others soonest (RFC
-// 9112, section 9.3.2), nil where that is not allowed. Writes never follow.
+// pipelineCandidate returns the connection with the fewest pipelined requests on which the
+// attempt can be pipelined (RFC 9112, section 9.3.2), or nil if there is none. Only GETs are
+// pipelined.
 func (p *connPool) pipelineCandidate(attempt *upstreamAttempt) (best *upstreamConn) {
 	depth := p.edge.settings.Limits.Pipeline - 1
 	if depth < 1 || attempt.request.spec.Write || attempt.request.isHead {
@@ -222,8 +227,9 @@
 	}
 }
 
-// assignWaiting has an attempt that waits take a place that is free again. Where no connection can be
-// had, and none is left that would become free, it is the turn of all that wait.
+// assignWaiting assigns a connection that has become free to the first waiting attempt. If the
+// pool has no connection left, no later one would become free either, so assignWaiting tries
+// all waiting attempts, which fail if none can be opened.
 func (p *connPool) assignWaiting() {
 	for len(p.waiting) > 0 {
 		attempt := p.waiting[0]
@@ -236,21 +242,22 @@
 	}
 }
 
+// closeIdle closes all idle connections of the pool.
 func (p *connPool) closeIdle() {
 	for len(p.idle) > 0 {
 		p.idle[len(p.idle)-1].close()
 	}
 }
 
-// upstreamState is what an upstream connection is at.
+// upstreamState is the state of an upstream connection.
 type upstreamState uint8
 
 const (
 	upConnecting upstreamState = iota
 	upIdle
-	upAwaitingHead // the attempt is written, its answer's head has not come whole
-	upRelayingBody // the body goes to the client
-	upDiscarding   // the rest of an answer that nobody wants, so that the connection can be kept
+	upAwaitingHead // the attempt is written, and its response's head is incomplete
+	upRelayingBody // the response's body is relayed to the client
+	upDiscarding   // the rest of an unwanted response is read, so that the connection can be kept
 )
 
 // upstreamConn is a connection to a member.
@@ -260,25 +267,26 @@
 	fd            int
 	state         upstreamState
 	attempt       *upstreamAttempt
-	pipelined     []*upstreamAttempt // GETs that follow it; nil for one whose answer nobody wants any more
-	unparsed      []byte             // read, and not yet taken
-	output        eventloop.Queue
-	writing       *upstreamAttempt // whose bytes wait in out
+	pipelined     []*upstreamAttempt // GETs that follow attempt; nil entries are abandoned, and their responses discarded
+	unparsed      []byte             // input that was read, and not parsed yet
+	output        eventloop.Queue    // output that was not written yet
+	writing       *upstreamAttempt   // whose request is in output
 	head          http1.Head
 	body          http1.Body
-	chunked       bool // the client gets chunks
-	extraBytes    bool // bytes came with the head, behind it
+	chunked       bool // the body is sent to the client in chunks
+	extraBytes    bool // bytes followed the head in the same read, and no further response is due
 	paused        bool // not read, since the client is slow
 	timer         eventloop.Timer
-	discardBudget int
+	discardBudget int // bytes of the unwanted response that may still be read
 	note          spool.Note
-	flow          limits.Flow // of an answer's body
-	pausedAt      float64     // since when the client holds it up
-	stallReported bool        // the module knows that
-	queued        bool        // bytes have come, and wait for their turn
-	queuedSince   float64     // when it was queued
+	flow          limits.Flow // of the body that the member sends
+	pausedAt      float64     // time at which paused was set
+	stallReported bool        // the module knows that the response is stalled
+	queued        bool        // readable, and in the scheduler's queue
+	queuedSince   float64     // time at which it was queued
 }
 
+// connect opens a connection to the pool's address.
 func (p *connPool) connect() (*upstreamConn, error) {
 	fd, inProgress, err := p.edge.loop.Dial(p.address)
 	if err != nil {
@@ -303,7 +311,8 @@
 	return upstream, nil
 }
 
-// closeIdleUpstream closes an unused connection to another address, for its descriptor.
+// closeIdleUpstream closes an idle connection of another pool than except, to free its
+// descriptor.
 func (e *Edge) closeIdleUpstream(except *connPool) bool {
 	for _, p := range e.pools {
 		if p != except && len(p.idle) > 0 {
@@ -314,7 +323,7 @@
 	return false
 }
 
-// start gives the connection an attempt; it is written once connected.
+// start gives the connection an attempt, which is written as soon as it is connected.
 func (u *upstreamConn) start(attempt *upstreamAttempt) {
 	u.attempt, attempt.upstream, u.stallReported = attempt, u, false
 	if u.state == upConnecting {
@@ -330,14 +339,14 @@
 	u.writeRequest(u.attempt)
 }
 
-// pipeline writes an attempt behind others whose answers are still to come.
+// pipeline writes an attempt behind others whose responses are outstanding.
 func (u *upstreamConn) pipeline(t *upstreamAttempt) {
 	t.upstream = u
 	u.pipelined = append(u.pipelined, t)
 	u.writeRequest(t)
 }
 
-// writeRequest writes an attempt.
+// writeRequest writes the request of an attempt.
 func (u *upstreamConn) writeRequest(attempt *upstreamAttempt) {
 	request := attempt.request
 	head := append(u.edge.headBuffer[:0], request.forwardHead...)
@@ -378,8 +387,8 @@
 	u.flush()
 }
 
-// withdraw ends an attempt, the last on its connection, that could not be written for want of
-// something on this machine. The connection is as it was before.
+// withdraw ends an attempt, the last on its connection, of which nothing could be written for
+// want of local resources. The connection can be used again.
 func (u *upstreamConn) withdraw(attempt *upstreamAttempt) {
 	u.edge.stats.ConnectWaits++
 	attempt.upstream = nil
@@ -391,6 +400,7 @@
 	attempt.finish(spool.LocalFailure, spool.NoteNone, false)
 }
 
+// flush writes the pending output.
 func (u *upstreamConn) flush() {
 	for u.output.Len() > 0 {
 		n, err := u.edge.loop.Write(u.fd, u.output.Bytes())
@@ -415,7 +425,7 @@
 	case upConnecting:
 		u.fail(spool.ConnectFailed)
 	case upRelayingBody:
-		if u.queued { // its bytes have come: it is the router that is late
+		if u.queued { // input is waiting: the router is late, not the member
 			u.edge.loop.Arm(&u.timer, u.edge.settings.Limits.BodyIdle)
 			return
 		}
@@ -425,6 +435,8 @@
 	}
 }
 
+// OnReady completes the connect, writes pending output and reads input. Bodies wait for their
+// turn in the scheduler.
 func (u *upstreamConn) OnReady(ready eventloop.Ready) {
 	if u.state == upConnecting {
 		if !ready.Writable() {
@@ -457,18 +469,18 @@
 	}
 	if !u.queued {
 		u.queued, u.queuedSince = true, u.edge.loop.Now()
-		u.flow.StopWaiting(u.edge.guard.peerTime(), &u.edge.guard.memberRate) // it is the router that it waits for now
+		u.flow.StopWaiting(u.edge.guard.peerTime(), &u.edge.guard.memberRate) // from here on the member waits for the router
 		u.edge.guard.enqueue(u.attempt.request.client.schedulerClass, u)
 	}
 }
 
-// headReadBytes is as much as is read at once where an answer's head is to come: small
-// answers are whole with it.
+// headReadBytes is the most that is read at once while a head is awaited, enough for the whole
+// of a small response.
 const headReadBytes = 128 << 10
 
 func (u *upstreamConn) queuedAt() float64 { return u.queuedSince }
 
-// transfer passes on a part of a body, in its turn.
+// transfer reads and relays about room bytes of a body.
 func (u *upstreamConn) transfer(room int) (moved int, more bool) {
 	u.queued = false
 	if u.fd < 0 || u.state != upRelayingBody && u.state != upDiscarding || u.paused {
@@ -489,10 +501,10 @@
 	return max(n, 0), false
 }
 
-// minReadBytes is the least that is asked of a socket at once.
+// minReadBytes is the least number of bytes that transfer reads at once.
 const minReadBytes = 4 << 10
 
-// fail ends the connection, and its attempt with the result.
+// fail closes the connection, and ends its attempt with the result.
 func (u *upstreamConn) fail(result spool.Result) {
 	attempt := u.attempt
 	u.attempt = nil
@@ -504,10 +516,10 @@
 	request := attempt.request
 	started := request.winner == attempt && request.phase == relaying
 	if started {
-		// the answer has begun, and no other copy may be spliced to it: the
-		// client's connection ends, and by the framing it sees that this is not
-		// whole. It is not reset, which would take from it what it has not read
-		// yet, unless its end alone would pass for the answer's
+		// The response has begun, and cannot be continued from another copy, so the client's
+		// connection is closed. The framing shows the client that the body is incomplete. A
+		// reset could discard bytes that the client has not read yet, so it is used only for
+		// a body that ends with the connection, which would otherwise seem complete.
 		request.end = endBroken
 		request.edge.stats.Broken++
 		client := request.client
@@ -525,9 +537,11 @@
 		request.finish()
 	}
 	attempt.finish(result, spool.NoteNone, started)
-	u.close() // only now: a place that becomes free lets another attempt begin
+	u.close() // last, since the free connection slot starts another attempt
 }
 
+// close closes the connection, ends its pipelined attempts, and lets waiting attempts take its
+// place in the pool.
 func (u *upstreamConn) close() {
 	if u.fd < 0 {
 		return
@@ -550,7 +564,7 @@
 	line := u.pipelined
 	u.pipelined = nil
 	for _, t := range line {
-		if t != nil { // nothing was run for it that matters: only GETs follow
+		if t != nil { // only GETs are pipelined, so a repetition is harmless
 			t.upstream = nil
 			t.finish(spool.NotSent, spool.NoteNone, false)
 		}
@@ -558,8 +572,8 @@
 	pool.assignWaiting()
 }
 
-// nextResponse goes on to the answer that follows, or keeps the connection for
-// another attempt.
+// nextResponse continues with the response to the next pipelined attempt, or makes the
+// connection idle.
 func (u *upstreamConn) nextResponse() {
 	if len(u.pipelined) == 0 {
 		u.makeIdle()
@@ -575,7 +589,7 @@
 	}
 }
 
-// makeIdle keeps the connection for another attempt.
+// makeIdle keeps the connection for another attempt, unless the member no longer serves.
 func (u *upstreamConn) makeIdle() {
 	u.attempt, u.state, u.paused = nil, upIdle, false
 	if m, ok := u.edge.core.Member(u.pool.member); ok && m.State != spool.Serving {
@@ -591,7 +605,7 @@
 	}
 }
 
-// read takes what has come, at maxBytes so many bytes, and returns how many that were.
+// read reads and parses maxBytes at most, and returns the number of bytes read.
 func (u *upstreamConn) read(hangup bool, maxBytes int) int {
 	buf := u.edge.scratch
 	kept := copy(buf, u.unparsed)
@@ -611,7 +625,7 @@
 		return 0
 	}
 	u.edge.stats.InBytes += uint64(n)
-	if u.state == upIdle { // nothing was asked: whatever it is, it answers nothing
+	if u.state == upIdle { // unsolicited input
 		u.close()
 		return n
 	}
@@ -622,8 +636,8 @@
 	return n
 }
 
-// parse takes bytes of an answer. What it leaves is kept only of heads and of
-// chunk framing, and so is bounded.
+// parse parses bytes of responses. Only an incomplete head or chunk framing is kept for later,
+// so the amount is bounded.
 func (u *upstreamConn) parse(data []byte) {
 	for u.fd >= 0 {
 		switch u.state {
@@ -639,17 +653,17 @@
 			}
 			data = data[n:]
 			if u.head.Status < 200 {
-				continue // 100 and 103: the answer is still to come
+				continue // interim responses such as 100 and 103
 			}
 			u.extraBytes = len(data) > 0 && len(u.pipelined) == 0
-			if u.attempt == nil { // nobody wants it any more
+			if u.attempt == nil { // its attempt was abandoned
 				u.body.Start(&u.head, 0)
 				u.discardResponse()
 			} else {
 				u.handleHead()
 			}
 			if len(data) == 0 && u.fd >= 0 && u.state == upRelayingBody {
-				u.attempt.request.client.flush() // the head goes out at once, however late the body is
+				u.attempt.request.client.flush() // do not hold the head back until the body arrives
 				if u.fd < 0 || u.attempt == nil {
 					return
 				}
@@ -684,7 +698,7 @@
 				return
 			}
 			u.nextResponse()
-		default: // idle or closed by what the answer led to
+		default: // handling the response made the connection idle, or closed it
 			if len(data) > 0 {
 				u.close()
 			}
@@ -697,9 +711,12 @@
 	}
 }
 
-const maxDiscardBytes = 64 << 10 // of an answer that nobody wants; beyond it the connection is closed
+// maxDiscardBytes is the most that is read of an unwanted response to keep its connection. A
+// connection with more to read is closed.
+const maxDiscardBytes = 64 << 10
 
-// handleHead has an answer's head: it becomes the client's, or an outcome.
+// handleHead handles the head of a response: it begins the client's response, or ends the
+// attempt.
 func (u *upstreamConn) handleHead() {
 	attempt := u.attempt
 	request := attempt.request
@@ -712,7 +729,7 @@
 		u.relayHead(note)
 		return
 	}
-	if result == spool.OK { // another attempt was first, or the client has its answer
+	if result == spool.OK { // another attempt won, or the client was answered already
 		result = spool.NotSent
 		if attempt.written {
 			result = spool.Cancelled
@@ -723,7 +740,7 @@
 	attempt.finish(result, note, false)
 }
 
-// discardResponse passes over the rest of an answer that is nobody's.
+// discardResponse reads and drops the rest of an unwanted response, or closes the connection.
 func (u *upstreamConn) discardResponse() {
 	u.state, u.discardBudget = upDiscarding, maxDiscardBytes
 	switch {
@@ -736,7 +753,8 @@
 	}
 }
 
-// relayHead begins the client's answer: from now on the attempt is the client's.
+// relayHead begins the client's response with the head of this attempt's, which thereby becomes
+// the winner.
 func (u *upstreamConn) relayHead(note spool.Note) {
 	attempt, edge := u.attempt, u.edge
 	request := attempt.request
@@ -779,8 +797,8 @@
 	}
 }
 
-// cancelOthers ends the other attempts of the request, and tells the module that this one's
-// answer has begun.
+// cancelOthers cancels the other attempts of the request, and tells the module that the
+// response of this one has begun.
 func (u *upstreamConn) cancelOthers() {
 	attempt := u.attempt
 	for _, other := range attempt.request.attempts {
@@ -791,7 +809,7 @@
 	u.edge.dispatch(spool.Started{ID: attempt.request.id, Cache: attempt.cache, Attempt: attempt.number})
 }
 
-// beginBody waits for the body of the answer whose head has come.
+// beginBody starts to wait for the body of a response whose head was handled.
 func (u *upstreamConn) beginBody() {
 	if u.body.Done() {
 		u.finishBody(u.extraBytes)
@@ -802,8 +820,9 @@
 	u.flow.StartWaiting(u.edge.guard.peerTime())
 }
 
-// relayBody passes content on to the client. Once as much waits as may, the member
-// is not read until the client has taken some.
+// relayBody relays content to the client. When the client's buffer is full, it pauses reading
+// from the member until the client has read. It returns the bytes behind the body, and whether
+// the body is complete.
 func (u *upstreamConn) relayBody(data []byte) (rest []byte, whole bool) {
 	client := u.attempt.request.client
 	request := u.attempt.request
@@ -828,11 +847,11 @@
 			u.edge.headBuffer = http1.AppendChunk(u.edge.headBuffer[:0], content)
 			client.buffer(u.edge.headBuffer)
 		} else if len(content) > 2048 && client.output.Len() <= 4096 {
-			client.write(content)
+			client.write(content) // saves a copy into the buffer
 		} else {
 			client.buffer(content)
 		}
-		if u.attempt == nil || client.closed { // the client has gone, and with it the attempt
+		if u.attempt == nil || client.closed { // the client has left, which ended the attempt
 			return nil, false
 		}
 	}
@@ -848,13 +867,13 @@
 		(client.output.Len() >= u.edge.guard.bufferRoom() || client.output.Len() > 0 && u.edge.guard.memory.Full())) {
 		u.paused, u.pausedAt = true, u.edge.loop.Now()
 		u.flow.StopWaiting(u.edge.guard.peerTime(), &u.edge.guard.memberRate)
-		u.edge.loop.Disarm(&u.timer) // the client holds things up, not the member
+		u.edge.loop.Disarm(&u.timer) // the client is slow, not the member
 		u.edge.loop.Want(u.fd, 0)
 	}
 	return data, false
 }
 
-// resumeReading reads on when the client has taken what waited.
+// resumeReading resumes reading from the member after the client has read the buffered output.
 func (r *clientRequest) resumeReading() {
 	attempt := r.winner
 	if attempt == nil || attempt.upstream == nil || !attempt.upstream.paused {
@@ -868,7 +887,7 @@
 	u.edge.loop.Want(u.fd, eventloop.Read)
 }
 
-// reportStalled tells the module whether the answer waits for its client.
+// reportStalled tells the module whether the response is stalled by its client.
 func (u *upstreamConn) reportStalled(on bool) {
 	if t := u.attempt; t != nil && u.stallReported != on {
 		u.stallReported = on
@@ -876,15 +895,15 @@
 	}
 }
 
-// isRouterResponseField reports fields of an answer that are for the router, or written anew.
+// isRouterResponseField reports whether a response field is meant for the router, or set by it.
 func isRouterResponseField(name []byte) bool {
 	return http1.EqualFold(name, "content-length") || http1.EqualFold(name, "spool-load")
 }
 
 var lastChunk = []byte(http1.LastChunk)
 
-// finishBody has the whole answer. More bytes than it may have end the
-// connection: they belong to no request.
+// finishBody handles the end of a response. The connection is closed if excess is set, since
+// bytes behind the response belong to no request.
 func (u *upstreamConn) finishBody(excess bool) {
 	attempt := u.attempt
 	request := attempt.request
