--- a/internal/proxy/httpfront/admin.go
+++ b/internal/proxy/httpfront/admin.go
@@ -16,14 +16,14 @@
 	"indigospool/internal/proxy/engine"
 )
 
-// admin serves operators on a loopback address or a Unix socket, by goroutines
-// of its own: PURGE of an object (or of a group by ?group=), /state and /members.
+// admin starts the admin interface for operators, on a loopback address or a Unix socket and on
+// goroutines of its own: PURGE of an object, or of a group with ?group=, /state and /members.
 func (e *Edge) admin() (stop func(), err error) {
 	network, address := "tcp", e.settings.Router.Admin
 	if strings.HasPrefix(address, "/") {
 		network = "unix"
 		if st, err := os.Stat(address); err == nil && st.Mode()&os.ModeSocket != 0 {
-			os.Remove(address) // of an earlier life
+			os.Remove(address) // left by an earlier process
 		}
 	}
 	listener := inheritAdmin(e.inherited, address)
@@ -38,7 +38,7 @@
 			e.adminFile, _ = ln.File()
 		}
 	case *net.UnixListener:
-		ln.SetUnlinkOnClose(false) // it may be a successor's by then
+		ln.SetUnlinkOnClose(false) // the path may belong to a successor by then
 	}
 	e.adminAddr.Store(listener.Addr().String())
 	mux := http.NewServeMux()
@@ -50,7 +50,7 @@
 	return func() { srv.Close() }, nil
 }
 
-// AdminAddr is where operators reach the router, once it runs.
+// AdminAddr returns the address of the admin interface, once the router runs.
 func (e *Edge) AdminAddr() string {
 	s, _ := e.adminAddr.Load().(string)
 	return s
@@ -69,6 +69,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
+// reply sends v as JSON, or err as status 503.
 func reply(w http.ResponseWriter, err error, v any) {
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
@@ -101,7 +102,7 @@
 	reply(w, err, out)
 }
 
-// versionsView is what is known of versions, as /state has it.
+// versionsView returns the status of the config versions as /state shows it.
 func versionsView(status service.AgentStatus) map[string]any {
 	list := []map[string]any{}
 	for _, version := range status.Versions {
--- a/internal/proxy/httpfront/handover.go
+++ b/internal/proxy/httpfront/handover.go
@@ -21,9 +21,9 @@
 	"indigospool/internal/proxy/limits"
 )
 
-// TakeOver makes a router that takes over from the one that offers at the settings'
-// handover path, or an ordinary one where nobody does. What the predecessor has learned is
-// gone on from, unless it can't be read: then the router starts as new.
+// TakeOver returns a router that takes over from the predecessor which listens at the settings'
+// handover path, or an ordinary router if there is none. The router continues with the learned
+// state of the predecessor, or starts without one if that cannot be decoded.
 func TakeOver(settings *config.Settings, log *AccessLog) (*Edge, error) {
 	inherited, err := contactPredecessor(settings)
 	if err != nil {
@@ -36,7 +36,8 @@
 	return e, err
 }
 
-// contactPredecessor asks the one that offers at the settings' handover path; nil: nobody does.
+// contactPredecessor connects to the predecessor at the settings' handover path, and receives
+// its sockets and its state. It returns nil if there is no predecessor.
 func contactPredecessor(settings *config.Settings) (*hotrestart.Inherited, error) {
 	if settings.Router.Handover == "" {
 		return nil, nil
@@ -48,8 +49,8 @@
 	return inherited, err
 }
 
-// inheritListener takes the listening socket of a predecessor, where it is bound the address
-// that the settings name.
+// inheritListener takes over the listening socket of a predecessor if it is bound to the address
+// of the settings.
 func inheritListener(inherited *hotrestart.Inherited, address string) (fd int, bound string, ok bool) {
 	if inherited == nil || inherited.Listener == 0 {
 		return 0, "", false
@@ -68,14 +69,15 @@
 	bound = net.JoinHostPort(addressOf(sockaddr).String(), fmt.Sprint(port))
 	want, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil || want.Port != 0 && want.Port != port || len(want.IP) > 0 && !want.IP.Equal(net.IP(addressOf(sockaddr).AsSlice())) {
-		return 0, "", false // it is told to listen elsewhere
+		return 0, "", false // the listen address has changed
 	}
 	fd, inherited.Listener = inherited.Listener, 0
-	unix.SetNonblock(fd, true) // whatever the giver's runtime has made of it
+	unix.SetNonblock(fd, true) // the predecessor's runtime may have made it blocking
 	return fd, bound, true
 }
 
-// restoreLearnedState goes on from the predecessor's memory, on the loop, before any news.
+// restoreLearnedState restores the predecessor's learned state. It runs on the loop before the
+// first update.
 func (e *Edge) restoreLearnedState() {
 	if e.inherited == nil {
 		return
@@ -83,7 +85,7 @@
 	var records []limits.AddressRecord
 	if len(e.inherited.Clients) > 0 {
 		if err := json.Unmarshal(e.inherited.Clients, &records); err != nil {
-			e.log.Log.Warn("what the predecessor knew of clients is not used", zap.Error(err))
+			e.log.Log.Warn("cannot decode the predecessor's reputation records; starting without them", zap.Error(err))
 		}
 		e.guard.reputation.Restore(records, e.loop.Now())
 	}
@@ -92,17 +94,18 @@
 	}
 	state, err := learnedstate.Decode(e.inherited.LearnedState)
 	if err != nil {
-		e.log.Log.Warn("the predecessor's memory is not used: this router starts as new", zap.Error(err))
+		e.log.Log.Warn("cannot decode the predecessor's learned state; starting without it", zap.Error(err))
 		return
 	}
 	actions := e.core.Restore(e.loop.Now(), state, nil)
 	for i := range actions {
 		e.execute(actions[i])
 	}
-	e.log.Log.Info("goes on from its predecessor", zap.Int("members", len(state.Members)), zap.Int("bytes", len(e.inherited.LearnedState)))
+	e.log.Log.Info("restored the predecessor's learned state", zap.Int("members", len(state.Members)), zap.Int("bytes", len(e.inherited.LearnedState)))
 }
 
-// announceServing tells the predecessor that this router announceServing, and takes its connections.
+// announceServing tells the predecessor that this router serves, and from then on takes over the
+// connections and the purges that the predecessor passes.
 func (e *Edge) announceServing() error {
 	if e.inherited == nil {
 		return nil
@@ -113,7 +116,7 @@
 	err := e.inherited.Ready(func(fd int) {
 		for {
 			err := e.loop.Post(func() {
-				if e.draining { // it has a successor of its own by now, or ends
+				if e.draining { // pass it on to this router's own successor, if there is one
 					if e.successor == nil || !e.successor.SendConn(fd) {
 						unix.Close(fd)
 					}
@@ -121,13 +124,13 @@
 				}
 				sockaddr, err := unix.Getpeername(fd)
 				if err != nil {
-					unix.Close(fd) // its client has gone meanwhile
+					unix.Close(fd) // the client has left
 					return
 				}
 				unix.SetNonblock(fd, true)
 				e.stats.HandedIn++
 				if c := e.addClient(fd, addressOf(sockaddr), true); c != nil {
-					c.ackedBytes, c.ackedAtTimeout = -1<<40, -1<<40 // the kernel may still hold the predecessor's answers
+					c.ackedBytes, c.ackedAtTimeout = -1<<40, -1<<40 // the send buffer may still hold responses of the predecessor
 					e.guard.trackUnread(c)
 				}
 			})
@@ -168,10 +171,10 @@
 	return err
 }
 
-// forwardVersion has a predecessor that still drains go by a version too: nobody else
-// tells it of members that leave.
+// forwardVersion sends a config version to a predecessor that still drains, which has no other
+// way to learn that members leave.
 func (e *Edge) forwardVersion(version configversion.Version) {
-	if !e.predecessorReachable.Load() { // until this one serves it follows the service itself
+	if !e.predecessorReachable.Load() { // before this router serves, the predecessor follows the service itself
 		return
 	}
 	encoded, err := json.Marshal(version)
@@ -179,22 +182,22 @@
 		err = e.inherited.SendConfigVersion(encoded)
 	}
 	if err != nil && e.predecessorReachable.Swap(false) {
-		e.log.Log.Warn("the predecessor is not told of a version", zap.Int64("version", version.Number), zap.Error(err))
+		e.log.Log.Warn("cannot send a config version to the predecessor", zap.Int64("version", version.Number), zap.Error(err))
 	}
 }
 
-// forwardPurge has a predecessor that still drains know of a purge that came to this
-// router only: its requests in hand may get no older copy either.
+// forwardPurge sends a purge, which only this router received, to a predecessor that still
+// drains, so that its requests in flight get no older copy either.
 func (e *Edge) forwardPurge(purge *engine.Purge) {
 	if !e.predecessorReachable.Load() {
 		return
 	}
 	if err := e.inherited.SendNote(purge); err != nil && e.predecessorReachable.Swap(false) {
-		e.log.Log.Warn("the predecessor is not told of a purge", zap.Error(err))
+		e.log.Log.Warn("cannot send a purge to the predecessor", zap.Error(err))
 	}
 }
 
-// receivePurge goes by a purge that came to the successor.
+// receivePurge applies a purge that the successor has forwarded.
 func (e *Edge) receivePurge(encoded []byte) {
 	var purge engine.Purge
 	if json.Unmarshal(encoded, &purge) != nil {
@@ -204,7 +207,7 @@
 	e.forwardPurge(&purge)
 }
 
-// receiveVersion goes by a version that the successor goes by.
+// receiveVersion activates a config version that the successor has forwarded.
 func (e *Edge) receiveVersion(encoded []byte) {
 	var version configversion.Version
 	err := json.Unmarshal(encoded, &version)
@@ -213,14 +216,14 @@
 		err = config.ReadVersion("successor", string(version.Body), e.configClient.local, settings)
 	}
 	if err != nil {
-		e.log.Log.Warn("the successor's version is not used", zap.Error(err))
+		e.log.Log.Warn("cannot read the config version of the successor", zap.Error(err))
 		return
 	}
 	e.loop.Post(func() { e.activateVersion(configversion.Activate{Version: version, Settings: settings}) })
-	e.forwardVersion(version) // its own predecessor may still drain, too
+	e.forwardVersion(version) // this router's own predecessor may still drain
 }
 
-// offerHandover waits for a successor, from now on.
+// offerHandover begins to listen for a successor at the settings' handover path.
 func (e *Edge) offerHandover() error {
 	path := e.settings.Router.Handover
 	if path == "" {
@@ -239,7 +242,7 @@
 		},
 		OnServing: func(successor *hotrestart.Sender) {
 			if e.configClient != nil {
-				e.configClient.agent.Close() // the successor follows from now on
+				e.configClient.agent.Close() // the successor follows the control services from now on
 			}
 			if e.loop.Call(5*time.Second, func() { e.drainTo(successor) }) != nil {
 				successor.Close()
@@ -266,10 +269,11 @@
 	return nil
 }
 
-// prepareHandover is what a successor gets first. From now on cold budgets are its to spend.
+// prepareHandover returns the sockets and the state for a successor. From now on the successor,
+// and not this router, spends the slow-start budgets of members.
 func (e *Edge) prepareHandover() (*hotrestart.Handover, error) {
 	if e.draining {
-		return nil, errors.New("this router drains already")
+		return nil, errors.New("this router is already draining")
 	}
 	state, err := learnedstate.Encode(e.core.LearnedState())
 	if err != nil {
@@ -284,20 +288,20 @@
 	handover := &hotrestart.Handover{Listener: e.listenFD, LearnedState: state, Clients: records}
 	if e.adminFile != nil {
 		handover.Admin = int(e.adminFile.Fd())
-		unix.SetNonblock(handover.Admin, true) // Fd has ended that, for the listener too
+		unix.SetNonblock(handover.Admin, true) // Fd made it blocking, for the listener as well
 	}
-	e.log.Log.Info("a successor takes over", zap.Int("bytes", len(state)))
+	e.log.Log.Info("a successor is taking over", zap.Int("bytes", len(state)))
 	return handover, nil
 }
 
-// drainTo drains for a successor that serves: nothing is accepted here any more, and
-// connections go successor it, each once it is between requests.
+// drainTo begins to drain in favour of a successor that serves. The router accepts no more
+// connections, and hands over each connection as soon as it is between requests.
 func (e *Edge) drainTo(successor *hotrestart.Sender) {
 	if e.draining {
 		go successor.Close()
 		return
 	}
-	for i := range e.purgesDuringHandover { // what was purged since the memory was taken
+	for i := range e.purgesDuringHandover { // the successor's learned state does not contain these
 		successor.SendNote(&e.purgesDuringHandover[i])
 	}
 	e.handingOver, e.purgesDuringHandover, e.successor = false, nil, successor
@@ -305,11 +309,12 @@
 		go e.stopAdmin()
 		e.stopAdmin = nil
 	}
-	e.log.Log.Info("drains for its successor", zap.Int("connections", len(e.clients)))
+	e.log.Log.Info("draining for the successor", zap.Int("connections", len(e.clients)))
 	e.drainNow()
 }
 
-// handOver gives a connection between requests to the successor; false: it stays.
+// handOver passes a connection that is between requests to the successor. It reports false if
+// the connection stays here.
 func (c *clientConn) handOver() bool {
 	edge := c.edge
 	if edge.successor == nil || c.closed || c.eof || c.discardInput || c.current != nil || len(c.unparsed) > 0 || c.output.Len() > 0 {
@@ -330,8 +335,8 @@
 	return true
 }
 
-// inheritAdmin is the listener that a predecessor's admin listener was, if it is the
-// one that the settings name.
+// inheritAdmin returns the admin listener of a predecessor if its port is that of the settings,
+// and else nil.
 func inheritAdmin(inherited *hotrestart.Inherited, address string) net.Listener {
 	if inherited == nil || inherited.Admin == 0 {
 		return nil
--- a/internal/proxy/httpfront/handover_test.go
+++ b/internal/proxy/httpfront/handover_test.go
@@ -423,7 +423,7 @@
 	sender.Close()
 	rig.logMu.Lock()
 	defer rig.logMu.Unlock()
-	if !strings.Contains(rig.log.String(), "this router starts as new") {
+	if !strings.Contains(rig.log.String(), "cannot decode the predecessor's learned state; starting without it") {
 		t.Error("nothing is said of the memory")
 	}
 }
--- a/internal/proxy/httpfront/log.go
+++ b/internal/proxy/httpfront/log.go
@@ -15,23 +15,24 @@
 	"indigospool/internal/proxy/limits"
 )
 
-// endReason says why a request ended, in a few stable words: docs/operating.md.
+// endReason is why a request ended. Its words are stable; docs/operating.md lists them.
 type endReason uint8
 
 const (
-	endServed     endReason = iota + 1 // a cache's answer, whole
-	endRefused                         // the module turned it away
+	endServed     endReason = iota + 1 // the response was relayed in full
+	endRefused                         // the module rejected it
 	endFailed                          // the module gave it up
-	endBroken                          // the member's answer broke off after it had begun
+	endBroken                          // the member's response ended early
 	endClientGone                      // the client left
-	endClientSlow                      // the client took nothing for too long
-	endMalformed                       // no valid message
-	endNoRoute                         // no class fits
-	endHeld                            // as many requests in hand as may be
-	endPage                            // a page could not be put together
-	endLimit                           // a limit of internal/proxy/limits, which the request names
+	endClientSlow                      // the client read nothing until the write timeout
+	endMalformed                       // the request was invalid
+	endNoRoute                         // no route fits
+	endHeld                            // the limit of requests in flight was reached
+	endPage                            // the page could not be assembled, or the fragment is not needed
+	endLimit                           // a limit of internal/proxy/limits ended it; see limitCause
 )
 
+// word returns the reason's word in the access log and in Cache-Status.
 func (w endReason) word() string {
 	switch w {
 	case endServed:
@@ -58,20 +59,21 @@
 	return "limit"
 }
 
+// resultWords are the words for the results of attempts in the access log.
 var resultWords = [...]string{spool.OK: "ok", spool.Errored: "error", spool.Rejected: "full", spool.TimedOut: "timeout",
 	spool.ConnectFailed: "connect-failed", spool.Reset: "reset", spool.Cancelled: "cancelled", spool.NotSent: "moot",
 	spool.Miss: "miss", spool.LocalFailure: "not-begun"}
 
-// AccessLog writes one line a request, and the router's own messages, from a
-// goroutine of its own: the loop only queues. When the queue is full, lines are
-// dropped and counted.
+// AccessLog writes one line for each request, and the router's own messages. The loop only
+// queues the lines, and a goroutine writes them. When the queue is full, lines are dropped and
+// counted.
 type AccessLog struct {
 	access *zap.Logger
 	Log    *zap.Logger // the router's own messages
 	queue  *asynclog.Queue
 }
 
-// NewAccessLog opens the log that the settings name. Close ends it.
+// NewAccessLog opens the log that the settings name.
 func NewAccessLog(settings *config.Settings) (*AccessLog, error) {
 	var out io.Writer
 	switch settings.Router.Log {
@@ -106,7 +108,7 @@
 	return &AccessLog{access: logger, Log: logger, queue: queue}
 }
 
-// Dropped is how many lines were dropped.
+// Dropped returns the number of dropped lines.
 func (a *AccessLog) Dropped() uint64 {
 	if a.queue == nil {
 		return 0
@@ -114,14 +116,14 @@
 	return a.queue.Dropped()
 }
 
-// Close writes what is queued and ends the log.
+// Close writes the queued lines and ends the log.
 func (a *AccessLog) Close() {
 	if a.queue != nil {
 		a.queue.Close()
 	}
 }
 
-// request logs a request's end.
+// request logs the end of a request.
 func (a *AccessLog) request(request *clientRequest) {
 	entry := a.access.Check(zapcore.InfoLevel, "request")
 	if entry == nil {
@@ -141,7 +143,7 @@
 	entry.Write(append(fields[:], zap.String("tries", request.attemptList()))...)
 }
 
-// word says why the request ended.
+// word returns the word for why the request ended.
 func (r *clientRequest) word() string {
 	if r.routeError != nil {
 		return r.routeError.Detail
@@ -152,8 +154,8 @@
 	return r.end.word()
 }
 
-// attemptList tells each attempt as member<source:result:ms, in their order; a
-// look names no source.
+// attemptList lists the attempts in their order, each as member<source:result:ms, or as
+// member:result:ms for a lookup in the member's own copies.
 func (r *clientRequest) attemptList() string {
 	var buf [256]byte
 	text := buf[:0]
--- a/internal/proxy/httpfront/page.go
+++ b/internal/proxy/httpfront/page.go
@@ -23,55 +23,56 @@
 	"indigospool/internal/proxy/limits"
 )
 
-// esiPage is the answer to a request of a class of pages, on its way: the bytes of what a
-// member answered, put together with fragments where the member says so
-// (Surrogate-Control). What is fetched, given up and sent is internal/protocol/esi's to say; each
-// fragment is a request of its own to the module.
+// esiPage is the response to a request of a class of pages while it is assembled. The response
+// of a member is the template; fragments are included in it if the member requests ESI
+// processing with Surrogate-Control. internal/protocol/esi decides what is fetched, dropped and
+// sent. Each fragment is a request of its own to the module.
 type esiPage struct {
 	edge            *Edge
-	request         *clientRequest // the client's
+	request         *clientRequest // the client's request, which fetches the template
 	assembly        *esi.Page
 	esiSetup        esi.Setup
-	fragments       map[int]*clientRequest    // fragments that are out
-	fragmentObjects map[string]fragmentObject // fragments by their address, for purges
+	fragments       map[int]*clientRequest    // open requests for fragments
+	fragmentObjects map[string]fragmentObject // the fragments' objects by URL, to match purges
 	timer           eventloop.Timer
-	headFields      []byte // of the template's head, that the client gets
-	compressed      []byte // of a template that came compressed
-	coding          coding
+	headFields      []byte // fields of the template's head for the client
+	compressed      []byte // body of a compressed template
+	coding          coding // content coding of the template
 	requestID       string // the client's X-Request-Id
-	unprocessed     bool   // nothing is put together: the answer goes on as it came
+	unprocessed     bool   // no ESI processing: the body is relayed, decompressed if the client needs that
 	conditions      conditions
 	status          int
-	headSent        bool // the head has gone out
+	headSent        bool
 	chunked         bool
-	templateDone    bool // the template is whole
-	changed         bool
+	templateDone    bool // the template was received in full
+	changed         bool // it is in the edge's changedPages
 	closed          bool
-	accounted       int64
-	contentLength   int64 // of a length that was stated
-	rejectErr       error // why the answer can't be a page
+	accounted       int64 // bytes charged to the memory budget
+	contentLength   int64 // of an unprocessed body; -1 if unknown
+	rejectErr       error // why the template cannot be assembled
 }
 
-// fragmentObject is what the module knows a fragment as.
+// fragmentObject identifies a fragment's object to the module.
 type fragmentObject struct {
 	object string
 	group  int
 }
 
-// conditions are what a client asks of the whole page, and not of what it is made of.
+// conditions hold the parts of a client's request that concern the assembled page, and are not
+// forwarded for the template and the fragments.
 type conditions struct {
-	head            bool
-	ifNoneMatch     string // If-None-Match
-	ifModifiedSince int64  // If-Modified-Since, Unix seconds
-	first           int64  // of a range; -1: the last bytes
-	last            int64  // of a range; -1: to the end
+	head            bool // the method is HEAD
+	ifNoneMatch     string
+	ifModifiedSince int64 // Unix seconds
+	first           int64 // first byte of the range; -1: the range is the final bytes
+	last            int64 // last byte of the range, or the number of final bytes; -1: to the end
 	hasRange        bool
 	ifRange         string
-	acceptsGzip     bool // it takes that
-	needWhole       bool
+	acceptsGzip     bool
+	needWhole       bool // the response depends on the whole page
 }
 
-// coding is how content came.
+// coding is the content coding of a body.
 type coding uint8
 
 const (
@@ -80,7 +81,7 @@
 	unknownCoding
 )
 
-// pageClass is a class of pages; nil: it is none.
+// pageClass returns the settings of a class of pages, or nil if the class is none.
 func (e *Edge) pageClass(class string) *config.Class {
 	if i, ok := e.guard.classIndex[class]; ok && e.settings.Classes[i].Pages {
 		return &e.settings.Classes[i]
@@ -88,8 +89,8 @@
 	return nil
 }
 
-// startPage has a request ask for a page: what the client wants of the whole is kept here,
-// and members are asked for all of it.
+// startPage prepares the assembly of a page, if the request's class is one of pages. It keeps
+// the conditions of the client's request, and composes a request for the whole template.
 func (r *clientRequest) startPage(head *http1.Head) {
 	if r.spec.Write || r.edge.pageClass(r.spec.Class) == nil {
 		return
@@ -109,6 +110,7 @@
 	r.forwardHead = appendPageRequest(r.forwardHead[:0], r.edge.name, r.target, r.esiVars.Host, page.requestID, -1)
 }
 
+// esiSetupOf converts the settings for pages.
 func esiSetupOf(settings *config.Settings) esi.Setup {
 	pages := &settings.Pages
 	return esi.Setup{Parser: esi.Limits{Depth: pages.Nesting, Tag: pages.Tag, Held: pages.HeldKB << 10, Nodes: pages.Elements},
@@ -117,9 +119,10 @@
 		Reserve: pages.Reserve, AsIs: pages.Malformed == "as-is"}
 }
 
-// appendPageRequest writes the head by which members are asked for a page or a fragment:
-// nothing of the client's but what the whole depends on by its address. Cookies stay
-// here, where variables are filled in: a copy at a cache is everybody's.
+// appendPageRequest appends the head of a request for a template, or for the fragment of the
+// given number if that is not negative. Of the client's request it contains the target, the host
+// and the X-Request-Id only. Cookies are not forwarded, since caches share the copies between
+// clients; the router fills in the variables that depend on them.
 func appendPageRequest(b []byte, name, target, host, requestID string, fragment int) []byte {
 	b = append(b, "GET "...)
 	b = append(b, target...)
@@ -139,6 +142,7 @@
 	return append(append(append(b, "Via: 1.1 "...), name...), "\r\n"...)
 }
 
+// parseConditions returns the conditions of a client's request.
 func parseConditions(head *http1.Head) conditions {
 	parsed := conditions{head: head.IsHead(), ifNoneMatch: string(head.Get("if-none-match")), ifRange: string(head.Get("if-range"))}
 	if value := head.Get("if-modified-since"); value != nil && parsed.ifNoneMatch == "" {
@@ -170,7 +174,7 @@
 	return parsed
 }
 
-// headAge is the age that a head states, in ms.
+// headAge returns the value of the Age field, in ms.
 func headAge(head *http1.Head) float64 {
 	seconds, err := strconv.ParseFloat(string(head.Get("age")), 64)
 	if err != nil || !(seconds >= 0) {
@@ -179,8 +183,9 @@
 	return seconds * 1000
 }
 
-// expiresFreshness is for how long an answer is fresh by its field Expires, in ms; -1: it has none.
-// Both times are the origin's where it gives them.
+// expiresFreshness returns how long a response is fresh by its Expires field, in ms, or -1
+// without one. It measures from the Date field, by the origin's clock, and without that from
+// now.
 func expiresFreshness(head *http1.Head, now time.Time) float64 {
 	expires, err := http.ParseTime(string(head.Get("expires")))
 	if err != nil {
@@ -193,8 +198,8 @@
 	return max(fresh, 0)
 }
 
-// parseMeta is what a head says of how long its answer may be kept. The now is needed only for
-// a head that says until when, and not when it was made (RFC 9111, section 4.2.1).
+// parseMeta returns what a head states about freshness, validators, ESI and content coding. The
+// current time is used only for an Expires field without a Date (RFC 9111, section 4.2.1).
 func parseMeta(head *http1.Head, now time.Time) (meta esi.Meta, contentCoding coding) {
 	meta.Fresh = -1
 	if control, err := cacheobject.ParseResponseCacheControl(joinedValues(head, "cache-control")); err == nil {
@@ -226,7 +231,7 @@
 	return meta, contentCoding
 }
 
-// joinedValues is the values of a field, which may stand in several lines.
+// joinedValues returns the values of all lines of a field as one comma-separated list.
 func joinedValues(head *http1.Head, name string) string {
 	values := ""
 	for i := range head.Fields {
@@ -240,8 +245,8 @@
 	return values
 }
 
-// requestsESI reports whether a Surrogate-Control has its receiver process ESI/1.0 (Edge
-// Architecture Specification 1.0, section 2.2: content="...", a list by spaces).
+// requestsESI reports whether a Surrogate-Control value requests ESI/1.0 processing (Edge
+// Architecture Specification 1.0, section 2.2: content="...", a list separated by spaces).
 func requestsESI(value string) bool {
 	for part := range strings.SplitSeq(value, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -257,7 +262,7 @@
 	return false
 }
 
-// isTemplateField reports fields of a template's head that don't hold for the whole.
+// isTemplateField reports whether a field of a template's head does not apply to the page.
 func isTemplateField(name []byte) bool {
 	switch strings.ToLower(string(name)) {
 	case "content-length", "spool-load", "surrogate-control", "content-encoding":
@@ -266,10 +271,13 @@
 	return false
 }
 
+// isUnprocessedField reports whether a field is removed from the head of an unprocessed page.
 func isUnprocessedField(name []byte) bool {
 	return isRouterResponseField(name) || http1.EqualFold(name, "surrogate-control")
 }
 
+// isRecomputedField reports whether a field of a template's head is removed from an assembled
+// page, or computed anew for it.
 func isRecomputedField(name []byte) bool {
 	switch strings.ToLower(string(name)) {
 	case "etag", "last-modified", "cache-control", "expires", "age", "accept-ranges", "content-range", "content-md5", "digest", "content-digest", "repr-digest", "pragma", "spool-copy":
@@ -278,7 +286,7 @@
 	return isTemplateField(name)
 }
 
-// templateHead has the templateHead of the template's answer.
+// templateHead handles the head of the template's response.
 func (pg *esiPage) templateHead(upstream *upstreamConn) {
 	edge, request, head := pg.edge, pg.request, &upstream.head
 	var meta esi.Meta
@@ -288,7 +296,7 @@
 	excluded := isRecomputedField
 	if pg.unprocessed {
 		excluded = isUnprocessedField
-		if pg.coding != gzipped || pg.conditions.acceptsGzip { // as it came
+		if pg.coding != gzipped || pg.conditions.acceptsGzip { // relay the body without decompressing it
 			pg.coding = identity
 		} else {
 			excluded = isTemplateField
@@ -298,7 +306,7 @@
 			pg.contentLength = head.ContentLength
 		}
 	} else if pg.coding == unknownCoding {
-		pg.rejectErr = fmt.Errorf("%w: it has a content coding other than gzip", esi.ErrMalformed)
+		pg.rejectErr = fmt.Errorf("%w: content coding other than gzip", esi.ErrMalformed)
 	}
 	pg.headFields = append(appendEndToEnd(pg.headFields[:0], head, excluded), "Via: 1.1 "+edge.name+"\r\n"...)
 	if pg.assembly == nil {
@@ -313,7 +321,7 @@
 	pg.markChanged()
 }
 
-// markChanged has the page be looked at when the turn of the loop ends.
+// markChanged has the page updated at the end of the loop's turn.
 func (pg *esiPage) markChanged() {
 	if !pg.changed && !pg.closed {
 		pg.changed = true
@@ -321,7 +329,8 @@
 	}
 }
 
-// updatePages moves the pages on that something has come for.
+// updatePages updates the changed pages, and those that these updates change, in 64 rounds at
+// most.
 func (e *Edge) updatePages() {
 	for rounds := 0; len(e.changedPages) > 0 && rounds < 64; rounds++ {
 		list := e.changedPages
@@ -333,23 +342,27 @@
 	}
 }
 
-// receive takes bytes of the template, or of a fragment's answer.
+// receive handles bytes of the body of the template or of a fragment.
 func (pg *esiPage) receive(request *clientRequest, b []byte) {
 	now := pg.edge.loop.Now()
 	fragment := request.client.fragment
 	switch {
 	case request == pg.request && pg.coding == gzipped:
-		pg.appendCompressed(&pg.compressed, b, func() { pg.fail(fmt.Errorf("%w: the page, compressed", esi.ErrTooMuch)) })
+		pg.appendCompressed(&pg.compressed, b, func() {
+			pg.fail(fmt.Errorf("%w: compressed template of more than %d KB", esi.ErrTooMuch, pg.edge.settings.Pages.PieceKB))
+		})
 	case request == pg.request:
 		pg.assembly.Template(b, now)
 	case fragment.coding == gzipped:
-		pg.appendCompressed(&fragment.compressed, b, func() { pg.dropFragment(request, "it is too long, compressed") })
+		pg.appendCompressed(&fragment.compressed, b, func() { pg.dropFragment(request, "compressed body exceeds the limit") })
 	default:
 		pg.assembly.Body(fragment.id, b, now)
 	}
 	pg.markChanged()
 }
 
+// appendCompressed appends b to a compressed body, or calls tooMuch if that exceeds the limit of
+// a piece.
 func (pg *esiPage) appendCompressed(to *[]byte, b []byte, tooMuch func()) {
 	if len(*to)+len(b) > pg.edge.settings.Pages.PieceKB<<10 {
 		tooMuch()
@@ -358,7 +371,7 @@
 	*to = append(*to, b...)
 }
 
-// decompress is content that came compressed; it is bounded as any.
+// decompress returns a decompressed body, which is limited to the size of a piece.
 func (pg *esiPage) decompress(b []byte) ([]byte, error) {
 	z, err := gzip.NewReader(bytes.NewReader(b))
 	if err != nil {
@@ -367,12 +380,12 @@
 	most := int64(pg.edge.settings.Pages.PieceKB) << 10
 	out, err := io.ReadAll(io.LimitReader(z, most+1))
 	if err == nil && int64(len(out)) > most {
-		err = fmt.Errorf("%w: more than %d KB", esi.ErrTooMuch, most>>10)
+		err = fmt.Errorf("%w: more than %d KB decompressed", esi.ErrTooMuch, most>>10)
 	}
 	return out, err
 }
 
-// responseDone ends the template's answer, or a fragment's.
+// responseDone handles the end of the response for the template or a fragment.
 func (pg *esiPage) responseDone(request *clientRequest) {
 	now := pg.edge.loop.Now()
 	if request == pg.request {
@@ -405,16 +418,17 @@
 	pg.markChanged()
 }
 
-// pageFragment is a pageFragment of a page, as what asks for it.
+// pageFragment is the requester of a fragment of a page. It takes the place of a connection in
+// the client of the fragment's request.
 type pageFragment struct {
 	page       *esiPage
 	id         int
 	coding     coding
-	compressed []byte
-	done       bool
+	compressed []byte // body of a compressed fragment
+	done       bool   // it was received, has failed or is no longer needed
 }
 
-// fetchFragment asks the module for action fragment.
+// fetchFragment submits a request for a fragment to the module.
 func (pg *esiPage) fetchFragment(action esi.Act) {
 	edge, real := pg.edge, pg.request.client
 	now := edge.loop.Now()
@@ -430,7 +444,7 @@
 	case err != nil:
 		cause = err.Error()
 	case spec.Write:
-		cause = "it is no object that may be asked for"
+		cause = "the URL belongs to a class of writes"
 	case len(edge.requests) >= edge.settings.Limits.Held:
 		cause = endHeld.word()
 	}
@@ -450,7 +464,8 @@
 	request.submit()
 }
 
-// head is the head of a fragment's answer; false: it won't do.
+// head handles the head of a fragment's response. It reports false if the response cannot be
+// included.
 func (v *pageFragment) head(upstream *upstreamConn) bool {
 	meta, coding := parseMeta(&upstream.head, v.page.edge.date())
 	v.coding = coding
@@ -462,7 +477,7 @@
 	return true
 }
 
-// fail is that there is no answer for a fragment.
+// fail reports to the page's assembly that the fragment cannot be fetched.
 func (v *pageFragment) fail(cause string) {
 	if v.done {
 		return
@@ -475,22 +490,22 @@
 	}
 }
 
-// cancelFragment ends a request for a fragment that nobody wants any more.
+// cancelFragment ends the request for a fragment that is no longer needed.
 func cancelFragment(r *clientRequest) {
 	if r.end == 0 {
 		r.end = endPage
 	}
-	r.edge.stats.Gone--
+	r.edge.stats.Gone-- // clientGone counts it, though no client has left
 	r.clientGone()
 }
 
-// dropFragment gives a fragment up that is out.
+// dropFragment fails a fragment, and cancels its request.
 func (pg *esiPage) dropFragment(request *clientRequest, cause string) {
 	request.client.fragment.fail(cause)
 	cancelFragment(request)
 }
 
-// countAttempt counts an attempt for a fragment.
+// countAttempt counts an attempt for the fragment towards the page's limit.
 func (v *pageFragment) countAttempt() {
 	if !v.page.closed {
 		v.page.assembly.Attempt()
@@ -502,7 +517,7 @@
 	pg.markChanged()
 }
 
-// update does what the page wants, and sends what is ready.
+// update carries out the actions of the page's assembly, and sends what is ready.
 func (pg *esiPage) update() {
 	if pg.closed || pg.assembly == nil {
 		return
@@ -553,11 +568,12 @@
 	}
 }
 
-// maxBufferedBytes is how much of a page is given to its client's connection at a time: what has
-// gone there can't be called back by a purge.
+// maxBufferedBytes is the most of a page that is given to the client's connection at a time,
+// since a purge can no longer replace those bytes.
 const maxBufferedBytes = 32 << 10
 
-// send gives the client what is ready.
+// send gives the client's connection the part of the page that is ready, whenever its previous
+// output is written.
 func (pg *esiPage) send() {
 	client := pg.request.client
 	err := pg.assembly.Err()
@@ -579,7 +595,7 @@
 			meta = pg.assembly.Meta()
 		}
 		room := maxBufferedBytes
-		if !pg.headSent && ready && !pg.unprocessed { // all of it, so that its length can be said
+		if !pg.headSent && ready && !pg.unprocessed { // the whole page, so that the head can state its length
 			room = pg.edge.settings.Pages.HeldKB << 10
 		}
 		b := pg.assembly.Take(nil, room, pg.edge.loop.Now())
@@ -610,7 +626,8 @@
 	}
 }
 
-// writeHead writes the head of the client's answer, and returns what of body belongs behind it.
+// writeHead writes the head of the client's response, and returns the part of body to send after
+// it. done is set if body is the whole page, ready if meta is final.
 func (pg *esiPage) writeHead(body []byte, done, ready bool, meta esi.Meta) []byte {
 	pg.headSent = true
 	request, client, edge := pg.request, pg.request.client, pg.edge
@@ -634,7 +651,7 @@
 		switch {
 		case done && pg.notModified(meta):
 			status, length, body = 304, -1, nil
-		case done && pg.conditions.hasRange && (pg.conditions.ifRange == ""): // weak tags don't do for If-Range
+		case done && pg.conditions.hasRange && (pg.conditions.ifRange == ""): // the page's tag is weak, so If-Range never matches
 			first, last, ok := pg.conditions.byteRange(int64(len(body)))
 			if !ok {
 				fields = http1.AppendFieldString(fields, "Content-Range", fmt.Sprintf("bytes */%d", len(body)))
@@ -664,7 +681,7 @@
 	return body
 }
 
-// cacheControl is what a client and caches in front may do with the whole.
+// cacheControl returns the Cache-Control value of an assembled page.
 func cacheControl(meta esi.Meta, ready bool) string {
 	value := ""
 	if meta.Private {
@@ -673,13 +690,13 @@
 	switch {
 	case meta.NoStore:
 		return value + "no-store"
-	case !ready || meta.Fresh < 1000: // what it is made of is not known yet
+	case !ready || meta.Fresh < 1000: // not ready: a fragment with a shorter lifetime may follow
 		return value + "no-cache"
 	}
 	return value + "max-age=" + strconv.FormatInt(int64(meta.Fresh/1000), 10)
 }
 
-// notModified reports whether the client has the page already (RFC 9110, section 13.2.2).
+// notModified reports whether the client already has this page (RFC 9110, section 13.2.2).
 func (pg *esiPage) notModified(meta esi.Meta) bool {
 	if pg.conditions.ifNoneMatch != "" {
 		if meta.ETag == "" {
@@ -695,7 +712,8 @@
 	return pg.conditions.ifModifiedSince > 0 && meta.Changed > 0 && meta.Changed <= pg.conditions.ifModifiedSince
 }
 
-// byteRange is the first and last byte of a range in so many; false: none are in it.
+// byteRange returns the first and the last byte of the requested range of a page of the given
+// length. It reports false if the range is not satisfiable.
 func (c *conditions) byteRange(length int64) (first, last int64, ok bool) {
 	switch {
 	case c.first < 0:
@@ -706,6 +724,7 @@
 	return c.first, min(c.last, length-1), c.first < length
 }
 
+// write gives bytes of the body to the client's connection.
 func (pg *esiPage) write(b []byte) {
 	client := pg.request.client
 	if len(b) > 0 {
@@ -722,7 +741,7 @@
 	}
 }
 
-// finish ends a page that went out whole.
+// finish ends a page that was given to the client's connection in full.
 func (pg *esiPage) finish() {
 	request := pg.request
 	if pg.chunked {
@@ -734,7 +753,7 @@
 	request.finish()
 }
 
-// close ends what is out for the page.
+// close ends the assembly, and cancels the open requests for the template and the fragments.
 func (pg *esiPage) close() {
 	if pg.closed {
 		return
@@ -755,8 +774,8 @@
 	}
 }
 
-// fail ends a page that can't be made: by an answer that says so, or, where some of it
-// has gone out, by the end of the connection, which shows that it is not whole.
+// fail ends a page that cannot be assembled. It sends an error response or, if the head was
+// sent, closes the connection so that the client sees an incomplete body.
 func (pg *esiPage) fail(err error) {
 	if pg.closed {
 		return
@@ -766,7 +785,7 @@
 	if client.closed || request.phase == finished {
 		return
 	}
-	edge.log.Log.Info("a page is not made", zap.String("page", request.target), zap.String("why", err.Error()))
+	edge.log.Log.Info("page assembly failed", zap.String("page", request.target), zap.String("why", err.Error()))
 	if pg.headSent {
 		request.end = endBroken
 		edge.stats.Broken++
@@ -787,7 +806,8 @@
 	client.respond(request, status, 0)
 }
 
-// restart asks for the page itself once more: it was purged before any of it went out.
+// restart requests the template again, since it was purged before any of the page was sent. A
+// new request takes the place of the present one.
 func (pg *esiPage) restart() {
 	request, edge := pg.request, pg.edge
 	if winner := request.winner; winner != nil && !winner.done {
@@ -808,8 +828,8 @@
 	next.submit()
 }
 
-// purgePages tells pages what has become old. What has gone out already must be whole before
-// the grace is over.
+// purgePages reports a purge to the pages that contain a purged object. A page of which part
+// was sent must be complete before the grace time of purges ends.
 func (e *Edge) purgePages(purge spool.Purge) {
 	purged := func(object string, group int) bool {
 		return object == purge.Object || purge.Object == "" && group == purge.Group
@@ -827,9 +847,9 @@
 	}
 }
 
-var errTemplateBroken = fmt.Errorf("%w: its own answer broke off", esi.ErrFragment)
+var errTemplateBroken = fmt.Errorf("%w: response for the template incomplete", esi.ErrFragment)
 
-// pageOrParent is the page that a request is for, as its template or a fragment.
+// pageOrParent returns the page whose template or fragment the request fetches, or nil.
 func (r *clientRequest) pageOrParent() *esiPage {
 	if r.client.fragment != nil {
 		return r.client.fragment.page
@@ -837,7 +857,7 @@
 	return r.page
 }
 
-// full reports whether no more is to be read for a request of the page's now.
+// full reports whether reading for a request of the page must pause, since its buffer is full.
 func (pg *esiPage) full(r *clientRequest) bool {
 	if r == pg.request {
 		return !pg.assembly.Room(-1)
@@ -845,18 +865,19 @@
 	return !pg.assembly.Room(r.client.fragment.id)
 }
 
-// responseBroken is that the answer of the template, or of a fragment, responseBroken off.
+// responseBroken handles a response for the template or a fragment that ended early.
 func (pg *esiPage) responseBroken(request *clientRequest) {
-	pg.edge.stats.Broken--
+	pg.edge.stats.Broken-- // the upstream counted it; fail counts it again if the client is affected
 	if request == pg.request {
 		pg.fail(errTemplateBroken)
 		return
 	}
-	request.client.fragment.fail("its answer broke off")
+	request.client.fragment.fail("response incomplete")
 	request.finish()
 }
 
-// relayPageHead has the answer's head go to a page: from now on the attempt is the client's.
+// relayPageHead gives the head of the response to the page that its request belongs to. The
+// attempt thereby becomes the winner.
 func (u *upstreamConn) relayPageHead() {
 	request := u.attempt.request
 	u.chunked, u.state = false, upRelayingBody
--- a/internal/proxy/httpfront/versions.go
+++ b/internal/proxy/httpfront/versions.go
@@ -19,30 +19,30 @@
 	"indigospool/internal/proxy/hotrestart"
 )
 
-// ConfigClient follows control services for a router, on goroutines of its own, and
-// posts each version that is to be run to the router's loop. Which one that is,
-// internal/controlplane/rollout decides.
+// ConfigClient follows control services for a router, on goroutines of its own, and posts each
+// config version to activate to the router's loop. internal/controlplane/rollout decides which
+// version that is.
 type ConfigClient struct {
 	local       *config.Settings
 	log         *AccessLog
 	store       *configstore.Store
 	agent       *service.Agent
-	activations chan configversion.Activate // in order; the newest is never dropped
-	done        chan struct{}
-	attached    chan *Edge
+	activations chan configversion.Activate // config versions to activate, in order; the newest is never dropped
+	done        chan struct{}               // closed by Close
+	attached    chan *Edge                  // holds the attached router
 }
 
-const keptVersions = 8 // in the store of versions
+const keptVersions = 8 // config versions in the store
 
-// StartConfigClient begins: with the stored version where there is one, then with the
-// services that the router's own settings name.
+// StartConfigClient returns a client that begins with the stored config version, if there is
+// one, and then follows the control services of the router's local settings.
 func StartConfigClient(own *config.Settings, log *AccessLog) (*ConfigClient, error) {
 	return startConfigClient(own, log, nil, configstore.Disk{})
 }
 
-// startConfigClient is Follow for a router that takes over: it begins with the version that its
-// predecessor goes by where none is stored, and calls no service until it serves, since
-// a service knows one stream of a router.
+// startConfigClient is StartConfigClient for a router that may take over from a predecessor. It
+// then falls back to the predecessor's config version if none is stored, and connects to no
+// service until the router serves, since a service accepts one stream from each router.
 func startConfigClient(local *config.Settings, log *AccessLog, inherited *hotrestart.Inherited, files configstore.FileSystem) (*ConfigClient, error) {
 	control := &local.Control
 	client := &ConfigClient{local: local, log: log, activations: make(chan configversion.Activate, 64), done: make(chan struct{}), attached: make(chan *Edge, 1)}
@@ -59,7 +59,7 @@
 		if client.store, err = configstore.OpenWith(files, control.Store, keptVersions); client.store == nil {
 			return nil, err
 		} else if err != nil {
-			log.Log.Error("the store of versions was damaged, or can't be read or written for now", zap.Error(err))
+			log.Log.Error("config store is damaged, or cannot be read or written at present", zap.Error(err))
 		}
 	}
 	agentConfig := service.AgentConfig{Router: local.Router.Name, Services: control.Services, Seed: uint64(local.Router.Seed), Store: client.store,
@@ -72,15 +72,15 @@
 	}
 	if agentConfig.Deferred = inherited != nil; agentConfig.Deferred && len(inherited.ConfigVersion) > 0 {
 		if err := json.Unmarshal(inherited.ConfigVersion, &agentConfig.Initial); err != nil {
-			log.Log.Warn("the predecessor's version can't be read", zap.Error(err))
+			log.Log.Warn("cannot decode the predecessor's config version", zap.Error(err))
 		}
 	}
 	client.agent = service.StartAgent(agentConfig)
 	return client, nil
 }
 
-// Open makes a router as its settings say: by the file alone, or by versions from
-// control services. end is called when the router has ended.
+// Open returns a router that is configured by its settings file alone or, if the settings name
+// control services, by the config versions of those. The caller calls end when Run has returned.
 func Open(ctx context.Context, settings *config.Settings, log *AccessLog) (e *Edge, end func(), err error) {
 	return open(ctx, settings, log, configstore.Disk{})
 }
@@ -115,10 +115,11 @@
 	return edge, client.Close, nil
 }
 
+// milliseconds converts a number of milliseconds to a duration.
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// enqueue queues a version that is to be run. It never waits: of versions that the
-// loop has not come to yet, the oldest gives way.
+// enqueue queues a config version for activation. It never blocks: if the queue is full, it
+// drops the oldest one.
 func (v *ConfigClient) enqueue(activation configversion.Activate) {
 	for {
 		select {
@@ -133,8 +134,9 @@
 	}
 }
 
-// FirstVersion is the version to begin with: the stored one or, where the settings say
-// wait, the first that a service sends. nil: begin by the file.
+// FirstVersion returns the config version to start with: the stored one or, if the settings
+// require to wait for a service, the first that a service sends. It returns nil if the router
+// starts with its settings file.
 func (v *ConfigClient) FirstVersion(ctx context.Context) (*configversion.Activate, error) {
 	select {
 	case activation := <-v.activations:
@@ -145,16 +147,16 @@
 		return nil, nil
 	}
 	v.agent.Connect()
-	v.log.Log.Info("waiting for the first version", zap.Strings("services", v.local.Control.Services))
+	v.log.Log.Info("waiting for the first config version", zap.Strings("services", v.local.Control.Services))
 	select {
 	case activation := <-v.activations:
 		return &activation, nil
 	case <-ctx.Done():
-		return nil, fmt.Errorf("edge: no version came before the end: %w", ctx.Err())
+		return nil, fmt.Errorf("edge: wait for the first config version: %w", ctx.Err())
 	}
 }
 
-// Attach has a router run the versions that come from now on.
+// Attach makes a router activate the config versions that arrive from now on. It is called once.
 func (v *ConfigClient) Attach(edge *Edge) {
 	edge.configClient = v
 	v.attached <- edge
@@ -173,7 +175,7 @@
 	}()
 }
 
-// Close ends the following; the store keeps what it has.
+// Close disconnects from the services and closes the store, which keeps its config versions.
 func (v *ConfigClient) Close() {
 	v.agent.Close()
 	close(v.done)
@@ -182,17 +184,18 @@
 	}
 }
 
-// releaseStore has a successor open the store. What comes meanwhile is run, and kept in memory.
+// releaseStore releases the store, so that a successor can open it. Config versions that arrive
+// meanwhile are activated, and kept in memory.
 func (v *ConfigClient) releaseStore() {
 	if v != nil && v.store != nil {
 		if err := v.store.ReleaseLock(); err != nil {
-			v.log.Log.Error("the store of versions", zap.Error(err))
+			v.log.Log.Error("cannot release the config store", zap.Error(err))
 		}
 	}
 }
 
-// reacquireStore takes the store back from a successor that does not serve: it may take that
-// one a moment to end.
+// reacquireStore opens the store again after a successor has failed. It repeats the attempt,
+// since the successor may take a moment to end.
 func (v *ConfigClient) reacquireStore() {
 	if v == nil || v.store == nil {
 		return
@@ -208,12 +211,13 @@
 			return
 		}
 	}
-	v.log.Log.Error("the store of versions is not taken back yet: it is tried again", zap.Error(err))
+	v.log.Log.Error("cannot reacquire the config store yet; it is retried later", zap.Error(err))
 }
 
-// loadCounts counts requests that have ended, for reports.
+// loadCounts returns the numbers of finished requests for load reports. It waits until a router
+// is attached.
 func (v *ConfigClient) loadCounts() (counts service.LoadCounts, err error) {
-	e := <-v.attached // once a router is attached, it is there for all
+	e := <-v.attached
 	v.attached <- e
 	err = e.Query(func(s *Stats, _ *engine.Core) {
 		counts.Succeeded, counts.Issued = s.Served, s.Served+s.Refused+s.Failed+s.Broken
@@ -221,11 +225,12 @@
 	return counts, err
 }
 
-// activateVersion goes by a version from now on, on the loop: drains first, so that nothing
-// new goes to who leaves; then the settings; then the members that come.
+// activateVersion activates a config version. It applies drains first, so that no new attempt
+// goes to members that leave, then the settings, and then the added members. It runs on the
+// loop.
 func (e *Edge) activateVersion(activation configversion.Activate) {
 	var steps []configversion.Delta
-	if e.settings.Router.List == "" { // else the list service's word counts
+	if e.settings.Router.List == "" { // otherwise the members come from the list service
 		steps = configversion.Diff(e.settings.Members, activation.Settings.Members)
 	}
 	apply := func(step configversion.Delta) {
@@ -237,8 +242,8 @@
 	}
 	e.nextVersion = activation.Version.Number
 	actions, err := e.core.ChangeSettings(e.loop.Now(), activation.Settings, nil)
-	if err != nil { // the checks let through what the module does not take
-		e.log.Log.Error("version not run", zap.Int64("version", activation.Version.Number), zap.Error(err))
+	if err != nil { // the checks of the config version missed something that the module rejects
+		e.log.Log.Error("cannot activate config version", zap.Int64("version", activation.Version.Number), zap.Error(err))
 		return
 	}
 	for i := range actions {
@@ -250,12 +255,12 @@
 		apply(step)
 	}
 	e.version = activation.Version.Number
-	e.log.Log.Info("version in use", zap.Int64("version", activation.Version.Number), zap.Int("steps", len(steps)),
+	e.log.Log.Info("config version activated", zap.Int64("version", activation.Version.Number), zap.Int("steps", len(steps)),
 		zap.Bool("stale", activation.Stale))
 }
 
-// applyInitialMembers is the news of members that a router begins with: those of its settings,
-// and for how long the young ones of them have been listed.
+// applyInitialMembers applies the members of the settings at the start, with the uptime of those
+// that were listed only recently.
 func (e *Edge) applyInitialMembers() {
 	if len(e.settings.Members) == 0 || e.settings.Router.List != "" {
 		return
--- a/internal/proxy/httpfront/watch.go
+++ b/internal/proxy/httpfront/watch.go
@@ -18,14 +18,14 @@
 	"indigospool/internal/proxy/engine"
 )
 
-// watchList follows the list service on a goroutine of its own and posts each line
-// to the loop. A stream that ends, is cut in a line or says what can't be used
-// is begun anew after a wait that doubles, with jitter from the seed, so that
-// routers do not come back all at once. What was known stays known meanwhile.
+// watchList follows the list service's discovery stream on a goroutine of its own, and posts
+// each update to the loop. It reconnects if the stream ends, breaks off within a line or
+// contains an invalid update, after an exponential backoff with jitter from the seed, so that
+// routers do not reconnect all at once. The endpoint list stays in force meanwhile.
 func (e *Edge) watchList() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	settings := e.settings // those of the start: the loop may go by others later
+	settings := e.settings // those at the start; the loop may replace e.settings later
 	random := rand.New(rand.NewPCG(uint64(settings.Router.Seed), uint64(settings.Router.Me)+1))
 	go func() {
 		defer close(done)
@@ -39,7 +39,7 @@
 				wait = settings.Limits.ListBackoff
 			}
 			e.listState.Store("lost: " + err.Error())
-			e.log.Log.Warn("list stream ended", zap.Error(err), zap.Int("lines", lines))
+			e.log.Log.Warn("discovery stream ended", zap.Error(err), zap.Int("lines", lines))
 			select {
 			case <-time.After(time.Duration(wait * (0.5 + random.Float64()) * float64(time.Millisecond))):
 			case <-ctx.Done():
@@ -50,12 +50,14 @@
 	return func() { cancel(); <-done }
 }
 
-// listClient speaks to the list service itself, whatever proxies the environment names.
+// listClient connects to the list service directly, and ignores proxies of the environment.
 var listClient = &http.Client{Transport: &http.Transport{}}
 
-// errGap asks for a stream anew: it begins with a full list.
-var errGap = errors.New("a version is missing")
+// errGap ends a stream that has skipped a revision. A new stream begins with a full snapshot.
+var errGap = errors.New("a revision of the endpoint list is missing")
 
+// followStream opens a discovery stream and posts its updates to the loop until it ends. It
+// returns the number of updates and why the stream ended.
 func (e *Edge) followStream(ctx context.Context, settings *config.Settings) (lines int, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -64,7 +66,7 @@
 	if err != nil {
 		return 0, err
 	}
-	headTimeout := time.AfterFunc(5*time.Second, cancel) // for the head only: the stream may be silent for long
+	headTimeout := time.AfterFunc(5*time.Second, cancel) // for the response head only, since the stream may be silent for long
 	response, err := listClient.Do(req)
 	headTimeout.Stop()
 	if err != nil {
@@ -72,7 +74,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return 0, fmt.Errorf("list service answers %s", response.Status)
+		return 0, fmt.Errorf("list service responded %s", response.Status)
 	}
 	e.listState.Store("following")
 	reader := bufio.NewReaderSize(response.Body, 64<<10)
@@ -82,7 +84,7 @@
 			return lines, err
 		}
 		if len(line) == 0 {
-			continue // sent to keep the stream alive
+			continue // a keep-alive
 		}
 		update, err := engine.ParseUpdate(line)
 		if err != nil {
@@ -95,14 +97,14 @@
 	}
 }
 
-// readLine reads a whole line of at most limit bytes. One cut short by the
-// stream's end is not a line.
+// readLine reads a line of limit bytes at most. A line that the end of the stream cuts off is an
+// error.
 func readLine(reader *bufio.Reader, limit int) ([]byte, error) {
 	var line []byte
 	for {
 		part, err := reader.ReadSlice('\n')
 		if len(line)+len(part) > limit {
-			return nil, fmt.Errorf("a line of the list stream is longer than %d bytes; raise (limits (list-line n))", limit)
+			return nil, fmt.Errorf("line of the discovery stream longer than %d bytes; raise (limits (list-line n))", limit)
 		}
 		line = append(line, part...)
 		switch err {
@@ -120,7 +122,7 @@
 	}
 }
 
-// postUpdate hands news to the loop and hears what became of it.
+// postUpdate has the loop apply an update, and waits for the result.
 func (e *Edge) postUpdate(ctx context.Context, update *engine.Update) error {
 	applied := make(chan engine.ApplyResult, 1)
 	for {
@@ -131,7 +133,7 @@
 		if err != eventloop.ErrFull {
 			return err
 		}
-		select { // news is never dropped: the stream waits
+		select { // updates are never dropped: the stream waits
 		case <-time.After(time.Millisecond):
 		case <-ctx.Done():
 			return ctx.Err()
@@ -140,7 +142,7 @@
 	select {
 	case result := <-applied:
 		if result.Outdated {
-			e.log.Log.Warn("list news of an older version passed over", zap.Int64("rev", update.Rev))
+			e.log.Log.Warn("ignored an outdated update of the endpoint list", zap.Int64("rev", update.Rev))
 		}
 		if result.Gap {
 			return errGap
