--- a/internal/proxy/httpfront/client.go
+++ b/internal/proxy/httpfront/client.go
@@ -113,8 +113,8 @@
 	}
 	c.edge.stats.InBytes += uint64(n)
 	if c.flow.Waiting() && c.output.Len() == 0 {
-		least, _ := c.minRate()
-		c.flow.Moved(c.edge.guard.peerTime(), n, least)
+		rate, _ := c.minRate()
+		c.flow.Moved(c.edge.guard.peerTime(), n, rate)
 	}
 	data := buf[:n]
 	if len(c.unparsed) > 0 || c.current != nil && c.current.phase != receivingBody {
@@ -220,20 +220,20 @@
 			rejection = &engine.Rejection{Status: 400, Detail: endMalformed.word(), Message: err.Error()}
 		}
 		request.logObject = string(clip(head.Target, 256))
-		c.skipBody(head)
+		c.closeIfBody(head)
 		request.end, request.routeError = endNoRoute, rejection
 		c.respond(request, rejection.Status, 0)
 		return
 	}
 	if len(edge.requests) >= edge.settings.Limits.Held {
-		c.skipBody(head)
+		c.closeIfBody(head)
 		request.end = endHeld
 		c.respond(request, 503, retryAfter)
 		return
 	}
 	if cause := edge.guard.admit(c, &request.spec); cause != limits.None {
 		edge.guard.counts[cause]++
-		c.skipBody(head)
+		c.closeIfBody(head)
 		request.end = endLimit
 		request.limitCause = cause
 		edge.stats.Refused++
@@ -267,9 +267,9 @@
 	request.submit()
 }
 
-// skipBody has the connection closed after the response if the request has a body, which will
+// closeIfBody has the connection closed after the response if the request has a body, which will
 // not be read.
-func (c *clientConn) skipBody(head *http1.Head) {
+func (c *clientConn) closeIfBody(head *http1.Head) {
 	if head.Body != http1.NoBody {
 		c.closeAfterResponse, c.discardInput = true, true
 	}
@@ -946,7 +946,7 @@
 // shed ends the request to relieve load: with a 503 response if none has begun, and else by
 // resetting the connection.
 func (r *clientRequest) shed(cause limits.Cause) {
-	client, edge, id, known := r.client, r.edge, r.id, r.inModule
+	client, edge, id, inModule := r.client, r.edge, r.id, r.inModule
 	r.end, r.limitCause = endLimit, cause
 	switch r.phase {
 	case receivingBody:
@@ -955,7 +955,7 @@
 	case awaitingResponse:
 		edge.stats.Refused++
 		client.respond(r, 503, retryAfter)
-		if known {
+		if inModule {
 			edge.dispatch(spool.Gone{ID: id}) // for the module it is as if the client had left
 		}
 	case relaying:
--- a/internal/proxy/httpfront/edge.go
+++ b/internal/proxy/httpfront/edge.go
@@ -404,10 +404,10 @@
 	token int64
 }
 
-func (w *moduleTimer) fire() {
-	token := w.token
-	w.edge.freeTimers = append(w.edge.freeTimers, w)
-	w.edge.dispatch(spool.Timer{Token: token})
+func (m *moduleTimer) fire() {
+	token := m.token
+	m.edge.freeTimers = append(m.edge.freeTimers, m)
+	m.edge.dispatch(spool.Timer{Token: token})
 }
 
 func (e *Edge) startTimer(in float64, token int64) {
--- a/internal/proxy/httpfront/guard.go
+++ b/internal/proxy/httpfront/guard.go
@@ -357,8 +357,8 @@
 	}
 	clear(g.unreadClients[len(kept):])
 	g.unreadClients = kept
-	for _, over := range g.unread.Update(unread) {
-		if c := clients[over.Index]; !c.closed {
+	for _, excess := range g.unread.Update(unread) {
+		if c := clients[excess.Index]; !c.closed {
 			g.counts[limits.SlowReader]++
 			c.closeSlow(limits.SlowReader)
 		}
--- a/internal/proxy/httpfront/log.go
+++ b/internal/proxy/httpfront/log.go
@@ -33,8 +33,8 @@
 )
 
 // word returns the reason's word in the access log and in Cache-Status.
-func (w endReason) word() string {
-	switch w {
+func (r endReason) word() string {
+	switch r {
 	case endServed:
 		return "served"
 	case endRefused:
--- a/internal/proxy/httpfront/page.go
+++ b/internal/proxy/httpfront/page.go
@@ -333,56 +333,56 @@
 // most.
 func (e *Edge) updatePages() {
 	for rounds := 0; len(e.changedPages) > 0 && rounds < 64; rounds++ {
-		list := e.changedPages
+		pages := e.changedPages
 		e.changedPages = nil
-		for _, pg := range list {
-			pg.changed = false
-			pg.update()
+		for _, page := range pages {
+			page.changed = false
+			page.update()
 		}
 	}
 }
 
 // receive handles bytes of the body of the template or of a fragment.
-func (pg *esiPage) receive(request *clientRequest, b []byte) {
+func (pg *esiPage) receive(request *clientRequest, content []byte) {
 	now := pg.edge.loop.Now()
 	fragment := request.client.fragment
 	switch {
 	case request == pg.request && pg.coding == gzipped:
-		pg.appendCompressed(&pg.compressed, b, func() {
+		pg.appendCompressed(&pg.compressed, content, func() {
 			pg.fail(fmt.Errorf("%w: compressed template of more than %d KB", esi.ErrTooMuch, pg.edge.settings.Pages.PieceKB))
 		})
 	case request == pg.request:
-		pg.assembly.Template(b, now)
+		pg.assembly.Template(content, now)
 	case fragment.coding == gzipped:
-		pg.appendCompressed(&fragment.compressed, b, func() { pg.dropFragment(request, "compressed body exceeds the limit") })
+		pg.appendCompressed(&fragment.compressed, content, func() { pg.dropFragment(request, "compressed body exceeds the limit") })
 	default:
-		pg.assembly.Body(fragment.id, b, now)
+		pg.assembly.Body(fragment.id, content, now)
 	}
 	pg.markChanged()
 }
 
-// appendCompressed appends b to a compressed body, or calls tooMuch if that exceeds the limit of
+// appendCompressed appends content to a compressed body, or calls onTooLarge if that exceeds the limit of
 // a piece.
-func (pg *esiPage) appendCompressed(to *[]byte, b []byte, tooMuch func()) {
-	if len(*to)+len(b) > pg.edge.settings.Pages.PieceKB<<10 {
-		tooMuch()
+func (pg *esiPage) appendCompressed(to *[]byte, content []byte, onTooLarge func()) {
+	if len(*to)+len(content) > pg.edge.settings.Pages.PieceKB<<10 {
+		onTooLarge()
 		return
 	}
-	*to = append(*to, b...)
+	*to = append(*to, content...)
 }
 
 // decompress returns a decompressed body, which is limited to the size of a piece.
 func (pg *esiPage) decompress(b []byte) ([]byte, error) {
-	z, err := gzip.NewReader(bytes.NewReader(b))
+	reader, err := gzip.NewReader(bytes.NewReader(b))
 	if err != nil {
 		return nil, err
 	}
-	most := int64(pg.edge.settings.Pages.PieceKB) << 10
-	out, err := io.ReadAll(io.LimitReader(z, most+1))
-	if err == nil && int64(len(out)) > most {
-		err = fmt.Errorf("%w: more than %d KB decompressed", esi.ErrTooMuch, most>>10)
+	maxBytes := int64(pg.edge.settings.Pages.PieceKB) << 10
+	content, err := io.ReadAll(io.LimitReader(reader, maxBytes+1))
+	if err == nil && int64(len(content)) > maxBytes {
+		err = fmt.Errorf("%w: more than %d KB decompressed", esi.ErrTooMuch, maxBytes>>10)
 	}
-	return out, err
+	return content, err
 }
 
 // responseDone handles the end of the response for the template or a fragment.
@@ -430,10 +430,10 @@
 
 // fetchFragment submits a request for a fragment to the module.
 func (pg *esiPage) fetchFragment(action esi.Act) {
-	edge, real := pg.edge, pg.request.client
+	edge, pageClient := pg.edge, pg.request.client
 	now := edge.loop.Now()
 	fragment := &pageFragment{page: pg, id: action.ID}
-	client := &clientConn{edge: edge, fd: -1, fragment: fragment, addr: real.addr, addrText: real.addrText, schedulerClass: real.schedulerClass}
+	client := &clientConn{edge: edge, fd: -1, fragment: fragment, addr: pageClient.addr, addrText: pageClient.addrText, schedulerClass: pageClient.schedulerClass}
 	request := edge.newRequest(client)
 	request.receivedAt, request.httpMinor = now, 1
 	client.current = request
@@ -466,27 +466,27 @@
 
 // head handles the head of a fragment's response. It reports false if the response cannot be
 // included.
-func (v *pageFragment) head(upstream *upstreamConn) bool {
-	meta, coding := parseMeta(&upstream.head, v.page.edge.date())
-	v.coding = coding
+func (f *pageFragment) head(upstream *upstreamConn) bool {
+	meta, coding := parseMeta(&upstream.head, f.page.edge.date())
+	f.coding = coding
 	if upstream.head.Status != 200 || coding == unknownCoding {
 		return false
 	}
-	v.page.assembly.Begun(v.id, meta, v.page.edge.loop.Now())
-	v.page.markChanged()
+	f.page.assembly.Begun(f.id, meta, f.page.edge.loop.Now())
+	f.page.markChanged()
 	return true
 }
 
 // fail reports to the page's assembly that the fragment cannot be fetched.
-func (v *pageFragment) fail(cause string) {
-	if v.done {
+func (f *pageFragment) fail(cause string) {
+	if f.done {
 		return
 	}
-	v.done = true
-	delete(v.page.fragments, v.id)
-	if !v.page.closed {
-		v.page.assembly.Failed(v.id, cause, v.page.edge.loop.Now())
-		v.page.markChanged()
+	f.done = true
+	delete(f.page.fragments, f.id)
+	if !f.page.closed {
+		f.page.assembly.Failed(f.id, cause, f.page.edge.loop.Now())
+		f.page.markChanged()
 	}
 }
 
@@ -506,9 +506,9 @@
 }
 
 // countAttempt counts an attempt for the fragment towards the page's limit.
-func (v *pageFragment) countAttempt() {
-	if !v.page.closed {
-		v.page.assembly.Attempt()
+func (f *pageFragment) countAttempt() {
+	if !f.page.closed {
+		f.page.assembly.Attempt()
 	}
 }
 
@@ -568,9 +568,9 @@
 	}
 }
 
-// maxBufferedBytes is the most of a page that is given to the client's connection at a time,
+// maxSendBytes is the most of a page that is given to the client's connection at a time,
 // since a purge can no longer replace those bytes.
-const maxBufferedBytes = 32 << 10
+const maxSendBytes = 32 << 10
 
 // send gives the client's connection the part of the page that is ready, whenever its previous
 // output is written.
@@ -594,7 +594,7 @@
 		if !pg.headSent && ready && !pg.unprocessed {
 			meta = pg.assembly.Meta()
 		}
-		room := maxBufferedBytes
+		room := maxSendBytes
 		if !pg.headSent && ready && !pg.unprocessed { // the whole page, so that the head can state its length
 			room = pg.edge.settings.Pages.HeldKB << 10
 		}
@@ -849,8 +849,8 @@
 
 var errTemplateBroken = fmt.Errorf("%w: response for the template incomplete", esi.ErrFragment)
 
-// pageOrParent returns the page whose template or fragment the request fetches, or nil.
-func (r *clientRequest) pageOrParent() *esiPage {
+// ownerPage returns the page whose template or fragment the request fetches, or nil.
+func (r *clientRequest) ownerPage() *esiPage {
 	if r.client.fragment != nil {
 		return r.client.fragment.page
 	}
@@ -884,10 +884,10 @@
 	if u.cancelOthers(); u.attempt == nil {
 		return
 	}
-	if v := request.client.fragment; v == nil {
+	if fragment := request.client.fragment; fragment == nil {
 		request.page.templateHead(u)
-	} else if !v.head(u) {
-		v.fail("status " + strconv.Itoa(u.head.Status))
+	} else if !fragment.head(u) {
+		fragment.fail("status " + strconv.Itoa(u.head.Status))
 		cancelFragment(request)
 		return
 	}
--- a/internal/proxy/httpfront/upstream.go
+++ b/internal/proxy/httpfront/upstream.go
@@ -523,10 +523,10 @@
 		request.end = endBroken
 		request.edge.stats.Broken++
 		client := request.client
-		if pg := request.pageOrParent(); pg != nil {
+		if page := request.ownerPage(); page != nil {
 			attempt.finish(result, spool.NoteNone, true)
 			u.close()
-			pg.responseBroken(request)
+			page.responseBroken(request)
 			return
 		}
 		client.closeAfterResponse, client.discardInput = true, true
@@ -561,9 +561,9 @@
 	}
 	u.unparsed = nil
 	u.output.Drop(&u.edge.buffers)
-	line := u.pipelined
+	pipelined := u.pipelined
 	u.pipelined = nil
-	for _, t := range line {
+	for _, t := range pipelined {
 		if t != nil { // only GETs are pipelined, so a repetition is harmless
 			t.upstream = nil
 			t.finish(spool.NotSent, spool.NoteNone, false)
@@ -638,73 +638,73 @@
 
 // parse parses bytes of responses. Only an incomplete head or chunk framing is kept for later,
 // so the amount is bounded.
-func (u *upstreamConn) parse(data []byte) {
+func (u *upstreamConn) parse(buf []byte) {
 	for u.fd >= 0 {
 		switch u.state {
 		case upAwaitingHead:
-			n, err := http1.ParseResponse(data, &u.head, http1.Limits{}, u.attempt != nil && u.attempt.request.isHead)
+			n, err := http1.ParseResponse(buf, &u.head, http1.Limits{}, u.attempt != nil && u.attempt.request.isHead)
 			if err != nil {
 				u.fail(spool.Errored)
 				return
 			}
 			if n == 0 {
-				u.unparsed = append(u.unparsed[:0], data...)
+				u.unparsed = append(u.unparsed[:0], buf...)
 				return
 			}
-			data = data[n:]
+			buf = buf[n:]
 			if u.head.Status < 200 {
 				continue // interim responses such as 100 and 103
 			}
-			u.extraBytes = len(data) > 0 && len(u.pipelined) == 0
+			u.extraBytes = len(buf) > 0 && len(u.pipelined) == 0
 			if u.attempt == nil { // its attempt was abandoned
 				u.body.Start(&u.head, 0)
 				u.discardResponse()
 			} else {
 				u.handleHead()
 			}
-			if len(data) == 0 && u.fd >= 0 && u.state == upRelayingBody {
+			if len(buf) == 0 && u.fd >= 0 && u.state == upRelayingBody {
 				u.attempt.request.client.flush() // do not hold the head back until the body arrives
 				if u.fd < 0 || u.attempt == nil {
 					return
 				}
 			}
 		case upRelayingBody:
-			rest, whole := u.relayBody(data)
+			rest, complete := u.relayBody(buf)
 			if u.fd < 0 || u.state != upRelayingBody {
 				return
 			}
-			if whole {
+			if complete {
 				u.finishBody(len(rest) > 0 && len(u.pipelined) == 0)
-				data = rest
+				buf = rest
 				break
 			}
 			u.unparsed = u.unparsed[:0]
 			return
 		case upDiscarding:
-			for len(data) > 0 && !u.body.Done() {
-				n, _, err := u.body.Next(data)
+			for len(buf) > 0 && !u.body.Done() {
+				n, _, err := u.body.Next(buf)
 				if u.discardBudget -= n; err != nil || n == 0 || u.discardBudget < 0 {
 					u.close()
 					return
 				}
-				data = data[n:]
+				buf = buf[n:]
 			}
 			if !u.body.Done() {
 				u.unparsed = u.unparsed[:0]
 				return
 			}
-			if len(data) > 0 && len(u.pipelined) == 0 || u.head.Close {
+			if len(buf) > 0 && len(u.pipelined) == 0 || u.head.Close {
 				u.close()
 				return
 			}
 			u.nextResponse()
 		default: // handling the response made the connection idle, or closed it
-			if len(data) > 0 {
+			if len(buf) > 0 {
 				u.close()
 			}
 			return
 		}
-		if len(data) == 0 {
+		if len(buf) == 0 {
 			u.unparsed = u.unparsed[:0]
 			return
 		}
@@ -763,7 +763,7 @@
 	request.status = u.head.Status
 	edge.loop.Disarm(&attempt.timer)
 	u.note = note
-	if request.pageOrParent() != nil {
+	if request.ownerPage() != nil {
 		u.relayPageHead()
 		return
 	}
@@ -823,11 +823,11 @@
 // relayBody relays content to the client. When the client's buffer is full, it pauses reading
 // from the member until the client has read. It returns the bytes behind the body, and whether
 // the body is complete.
-func (u *upstreamConn) relayBody(data []byte) (rest []byte, whole bool) {
+func (u *upstreamConn) relayBody(buf []byte) (rest []byte, complete bool) {
 	client := u.attempt.request.client
 	request := u.attempt.request
-	for len(data) > 0 && !u.body.Done() {
-		n, content, err := u.body.Next(data)
+	for len(buf) > 0 && !u.body.Done() {
+		n, content, err := u.body.Next(buf)
 		if err != nil {
 			u.fail(spool.Errored)
 			return nil, false
@@ -835,8 +835,8 @@
 		if n == 0 {
 			break
 		}
-		data = data[n:]
-		if page := request.pageOrParent(); page != nil {
+		buf = buf[n:]
+		if page := request.ownerPage(); page != nil {
 			if page.receive(request, content); u.attempt == nil {
 				return nil, false
 			}
@@ -856,10 +856,10 @@
 		}
 	}
 	if u.body.Done() {
-		return data, true
+		return buf, true
 	}
 	u.edge.loop.Arm(&u.timer, u.edge.settings.Limits.BodyIdle)
-	page := request.pageOrParent()
+	page := request.ownerPage()
 	if page == nil && client.output.Len() > 0 {
 		client.flush()
 	}
@@ -870,7 +870,7 @@
 		u.edge.loop.Disarm(&u.timer) // the client is slow, not the member
 		u.edge.loop.Want(u.fd, 0)
 	}
-	return data, false
+	return buf, false
 }
 
 // resumeReading resumes reading from the member after the client has read the buffered output.
@@ -910,7 +910,7 @@
 	if u.chunked {
 		request.client.buffer(lastChunk)
 	}
-	page := request.pageOrParent()
+	page := request.ownerPage()
 	if page == nil {
 		request.edge.stats.Served++
 	}
--- a/internal/proxy/httpfront/versions.go
+++ b/internal/proxy/httpfront/versions.go
@@ -36,8 +36,8 @@
 
 // StartConfigClient returns a client that begins with the stored config version, if there is
 // one, and then follows the control services of the router's local settings.
-func StartConfigClient(own *config.Settings, log *AccessLog) (*ConfigClient, error) {
-	return startConfigClient(own, log, nil, configstore.Disk{})
+func StartConfigClient(local *config.Settings, log *AccessLog) (*ConfigClient, error) {
+	return startConfigClient(local, log, nil, configstore.Disk{})
 }
 
 // startConfigClient is StartConfigClient for a router that may take over from a predecessor. It
@@ -120,15 +120,15 @@
 
 // enqueue queues a config version for activation. It never blocks: if the queue is full, it
 // drops the oldest one.
-func (v *ConfigClient) enqueue(activation configversion.Activate) {
+func (c *ConfigClient) enqueue(activation configversion.Activate) {
 	for {
 		select {
-		case v.activations <- activation:
+		case c.activations <- activation:
 			return
 		default:
 		}
 		select {
-		case <-v.activations:
+		case <-c.activations:
 		default:
 		}
 	}
@@ -137,19 +137,19 @@
 // FirstVersion returns the config version to start with: the stored one or, if the settings
 // require to wait for a service, the first that a service sends. It returns nil if the router
 // starts with its settings file.
-func (v *ConfigClient) FirstVersion(ctx context.Context) (*configversion.Activate, error) {
+func (c *ConfigClient) FirstVersion(ctx context.Context) (*configversion.Activate, error) {
 	select {
-	case activation := <-v.activations:
+	case activation := <-c.activations:
 		return &activation, nil
 	default:
 	}
-	if v.local.Control.Start != "wait" {
+	if c.local.Control.Start != "wait" {
 		return nil, nil
 	}
-	v.agent.Connect()
-	v.log.Log.Info("waiting for the first config version", zap.Strings("services", v.local.Control.Services))
+	c.agent.Connect()
+	c.log.Log.Info("waiting for the first config version", zap.Strings("services", c.local.Control.Services))
 	select {
-	case activation := <-v.activations:
+	case activation := <-c.activations:
 		return &activation, nil
 	case <-ctx.Done():
 		return nil, fmt.Errorf("edge: wait for the first config version: %w", ctx.Err())
@@ -157,18 +157,18 @@
 }
 
 // Attach makes a router activate the config versions that arrive from now on. It is called once.
-func (v *ConfigClient) Attach(edge *Edge) {
-	edge.configClient = v
-	v.attached <- edge
+func (c *ConfigClient) Attach(edge *Edge) {
+	edge.configClient = c
+	c.attached <- edge
 	go func() {
 		for {
 			select {
-			case activation := <-v.activations:
+			case activation := <-c.activations:
 				for edge.loop.Post(func() { edge.activateVersion(activation) }) == eventloop.ErrFull {
 					time.Sleep(time.Millisecond)
 				}
 				edge.forwardVersion(activation.Version)
-			case <-v.done:
+			case <-c.done:
 				return
 			}
 		}
@@ -176,49 +176,49 @@
 }
 
 // Close disconnects from the services and closes the store, which keeps its config versions.
-func (v *ConfigClient) Close() {
-	v.agent.Close()
-	close(v.done)
-	if v.store != nil {
-		v.store.Close()
+func (c *ConfigClient) Close() {
+	c.agent.Close()
+	close(c.done)
+	if c.store != nil {
+		c.store.Close()
 	}
 }
 
 // releaseStore releases the store, so that a successor can open it. Config versions that arrive
 // meanwhile are activated, and kept in memory.
-func (v *ConfigClient) releaseStore() {
-	if v != nil && v.store != nil {
-		if err := v.store.ReleaseLock(); err != nil {
-			v.log.Log.Error("cannot release the config store", zap.Error(err))
+func (c *ConfigClient) releaseStore() {
+	if c != nil && c.store != nil {
+		if err := c.store.ReleaseLock(); err != nil {
+			c.log.Log.Error("cannot release the config store", zap.Error(err))
 		}
 	}
 }
 
 // reacquireStore opens the store again after a successor has failed. It repeats the attempt,
 // since the successor may take a moment to end.
-func (v *ConfigClient) reacquireStore() {
-	if v == nil || v.store == nil {
+func (c *ConfigClient) reacquireStore() {
+	if c == nil || c.store == nil {
 		return
 	}
 	var err error
 	for range 5 {
-		if err = v.store.ReacquireLock(); err == nil {
+		if err = c.store.ReacquireLock(); err == nil {
 			return
 		}
 		select {
 		case <-time.After(time.Second):
-		case <-v.done:
+		case <-c.done:
 			return
 		}
 	}
-	v.log.Log.Error("cannot reacquire the config store yet; it is retried later", zap.Error(err))
+	c.log.Log.Error("cannot reacquire the config store yet; it is retried later", zap.Error(err))
 }
 
 // loadCounts returns the numbers of finished requests for load reports. It waits until a router
 // is attached.
-func (v *ConfigClient) loadCounts() (counts service.LoadCounts, err error) {
-	e := <-v.attached
-	v.attached <- e
+func (c *ConfigClient) loadCounts() (counts service.LoadCounts, err error) {
+	e := <-c.attached
+	c.attached <- e
 	err = e.Query(func(s *Stats, _ *engine.Core) {
 		counts.Succeeded, counts.Issued = s.Served, s.Served+s.Refused+s.Failed+s.Broken
 	})
