--- a/internal/proxy/httpfront/clock_test.go
+++ b/internal/proxy/httpfront/clock_test.go
@@ -14,16 +14,16 @@
 	"indigospool/internal/wallclock"
 )
 
-// A wall clock that is stepped by an hour changes nothing of how long an answer is fresh whose
-// origin says when it was made.
+// A step of the wall clock by an hour does not change how long a response with a Date field is
+// fresh.
 func TestFreshAfterClockStep(t *testing.T) {
 	noon := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
-	for fields, want := range map[string][3]float64{ // with the clock an hour back, right, an hour ahead
+	for fields, want := range map[string][3]float64{ // with the clock an hour behind, correct, an hour ahead
 		"Date: Tue, 01 Dec 2026 12:00:00 GMT\r\nExpires: Tue, 01 Dec 2026 12:01:00 GMT\r\n":            {60000, 60000, 60000},
 		"Date: Tue, 01 Dec 2026 11:59:50 GMT\r\nAge: 10\r\nExpires: Tue, 01 Dec 2026 12:01:00 GMT\r\n": {60000, 60000, 60000},
 		"Date: Tue, 01 Dec 2026 12:00:00 GMT\r\nExpires: Tue, 01 Dec 2026 11:00:00 GMT\r\n":            {0, 0, 0},
 		"Date: Tue, 01 Dec 2026 12:00:00 GMT\r\nCache-Control: max-age=5\r\n":                          {5000, 5000, 5000},
-		"Expires: Tue, 01 Dec 2026 12:01:00 GMT\r\n":                                                   {3660000, 60000, 0}, // nothing else is there to go by
+		"Expires: Tue, 01 Dec 2026 12:01:00 GMT\r\n":                                                   {3660000, 60000, 0}, // without a Date, only the clock remains
 		"Date: yesterday\r\nExpires: Tue, 01 Dec 2026 12:01:00 GMT\r\n":                                {3660000, 60000, 0},
 		"Date: Tue, 01 Dec 2026 12:00:00 GMT\r\nLast-Modified: Tue, 01 Dec 2026 11:00:00 GMT\r\n":      {-1, -1, -1},
 	} {
@@ -39,24 +39,25 @@
 	}
 }
 
+// Dates run on from the router's start by the monotonic clock, whatever the steps of the wall clock.
 func TestDateFollowsMonotonicClock(t *testing.T) {
 	edge := &Edge{startedDate: wallclock.Now(), startedAt: eventloop.Clock() - 5000}
 	before := wallclock.Now()
 	for _, step := range []time.Duration{time.Hour, -2 * time.Hour} {
 		wallclock.Step(step)
 		if late := edge.date().Sub(before).Seconds(); late < 4.9 || late > 6 {
-			t.Errorf("stepped by %v: %v s after a start 5 s ago", step, late)
+			t.Errorf("stepped by %v: date is %v s after a start 5 s ago", step, late)
 		}
 	}
 	wallclock.Step(time.Hour)
 }
 
-// Requests in hand while the wall clock is stepped to and fro are served within their time,
-// also those that wait for a member whose connections hang for a moment.
+// Requests are served in time while the wall clock is stepped back and forth, even if the members
+// hang for a moment.
 func TestClockStepsDelayNoRequest(t *testing.T) {
 	rig := newRig(t, 2, "(connections-per-address 5000)")
-	for _, box := range rig.caches { // shorter than the module waits before it looks elsewhere
-		box.Fault(testserver.Fault{Kind: testserver.Hang, For: 100})
+	for _, cache := range rig.caches { // for less than the module waits before it sends a hedged request
+		cache.Fault(testserver.Fault{Kind: testserver.Hang, For: 100})
 	}
 	stop, stepped := make(chan struct{}), make(chan int)
 	go func() {
@@ -64,7 +65,7 @@
 		for i := 0; ; i++ {
 			select {
 			case <-stop:
-				for k := i; k%len(steps) != 0; k++ { // as it was
+				for k := i; k%len(steps) != 0; k++ { // restore the clock
 					wallclock.Step(steps[k%len(steps)])
 				}
 				stepped <- i
@@ -79,12 +80,12 @@
 	took := time.Since(began)
 	close(stop)
 	if n := <-stepped; n < 10 || took > 3*time.Second {
-		t.Errorf("%d steps, %v for all", n, took)
+		t.Errorf("%d steps of the clock; all requests took %v", n, took)
 	}
 }
 
-// All spans of the router are on the loop's monotonic clock: the wall clock is read for the
-// journal's stamp and, once, for dates.
+// The router measures time by the loop's monotonic clock. It reads the wall clock only for the
+// journal's time stamp and, once, as the base of dates.
 func TestWallClockReadings(t *testing.T) {
 	reads := regexp.MustCompile(`(time|wallclock)\.(Now|At|Since|Until)\(`)
 	files, err := filepath.Glob("*.go")
@@ -102,6 +103,6 @@
 		}
 	}
 	if len(got) != 1 || got["edge.go"] != 2 {
-		t.Errorf("%v, want the stamp and the start in edge.go", got)
+		t.Errorf("readings of the wall clock: %v; want the journal's stamp and the start, in edge.go", got)
 	}
 }
--- a/internal/proxy/httpfront/edge.go
+++ b/internal/proxy/httpfront/edge.go
@@ -41,15 +41,14 @@
 type Stats struct {
 	Accepted, Connections, Requests, Served, Refused, Failed, Malformed uint64
 	Gone, Broken, Attempts, Connects, Reused, Dropped                   uint64
-	InBytes, OutBytes, AcceptPauses                                     uint64
-	ConnectWaits                                                        uint64 // attempts that failed for want of local resources
+	InBytes, OutBytes, AcceptPauses, ConnectWaits                       uint64 // ConnectWaits: attempts that failed for want of local resources
 	HandedIn, HandedOut                                                 uint64 // connections received from a predecessor, and passed to a successor
 	Purges                                                              uint64 // received
 	Fragments                                                           uint64 // requested for pages
 	Held, Upstreams, MostHeld                                           int    // requests in flight, connections to members, most requests in flight
 }
 
-// Edge is one router.
+// Edge is an HTTP router between clients and caches. Its state belongs to the event loop.
 type Edge struct {
 	settings *config.Settings
 	core     *engine.Core
--- a/internal/proxy/httpfront/edge_test.go
+++ b/internal/proxy/httpfront/edge_test.go
@@ -21,20 +21,22 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// testRig is a router with stand-ins around it, all in this process.
+// testRig is a router with test servers in the place of the list service, the caches, a parent and
+// the origin, all in this process.
 type testRig struct {
 	t           testing.TB
 	edge        *Edge
-	records     *trafficlog.Writer
+	records     *trafficlog.Writer // what the test servers have received and sent
 	listService *testserver.List
 	caches      map[string]*testserver.Server
 	origin      *testserver.Server
-	log         *bytes.Buffer
+	log         *bytes.Buffer // the router's log, guarded by logMu
 	logMu       sync.Mutex
-	done        chan error
+	done        chan error // receives the result of Run
 	stopped     bool
 }
 
+// lockedWriter serializes the writes to w.
 type lockedWriter struct {
 	mu *sync.Mutex
 	w  io.Writer
@@ -48,7 +50,7 @@
 
 var testClasses = []testserver.Class{{Name: "still", KB: 4}, {Name: "film", KB: 200}, {Name: "order", Write: true, Window: 2000}}
 
-// extraSettings is more settings of a rig.
+// extraSettings is appended to the settings of new rigs.
 var extraSettings string
 
 const routerSettings = `
@@ -65,6 +67,7 @@
 (route "/r/{object}" (class film) (ranges))
 `
 
+// newRig starts a router with the given number of caches and additional limits.
 func newRig(t testing.TB, boxes int, limits string) *testRig {
 	rig := &testRig{t: t, records: trafficlog.NewWriter(nil), caches: map[string]*testserver.Server{}, log: &bytes.Buffer{}, done: make(chan error, 1)}
 	var err error
@@ -104,10 +107,11 @@
 			rig.logMu.Unlock()
 		}
 	})
-	rig.waitFor("the list", func(stats *Stats, core *engine.Core) bool { return core.Rev() >= int64(boxes+2) })
+	rig.waitFor("the endpoint list", func(stats *Stats, core *engine.Core) bool { return core.Rev() >= int64(boxes+2) })
 	return rig
 }
 
+// start starts a test server.
 func (r *testRig) start(c testserver.Config) *testserver.Server {
 	c.Flow, c.Classes, c.FillWait = 100, testClasses, 1000
 	s, err := testserver.Start(c, r.records)
@@ -117,6 +121,7 @@
 	return s
 }
 
+// setMember adds a member to the endpoint list, or changes it.
 func (r *testRig) setMember(id, kind, zone, state, addr string) {
 	r.listService.Set(engine.Row{ID: id, Kind: kind, Zone: zone, State: state, Address: addr}, 0)
 }
@@ -131,6 +136,7 @@
 	}
 }
 
+// waitFor waits up to 5 s for ok to report true, and fails the test if it does not.
 func (r *testRig) waitFor(what string, ok func(*Stats, *engine.Core) bool) {
 	r.t.Helper()
 	for range 500 {
@@ -143,7 +149,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	r.t.Fatalf("waited in vain for %s", what)
+	r.t.Fatalf("timed out waiting for %s", what)
 }
 
 func (r *testRig) dial() net.Conn {
@@ -156,7 +162,7 @@
 	return c
 }
 
-// exchange sends text and reads all that comes until the router closes.
+// exchange sends text on a new connection, and returns all input until the router closes it.
 func (r *testRig) exchange(text string) string {
 	c := r.dial()
 	io.WriteString(c, text)
@@ -184,7 +190,7 @@
 	return n
 }
 
-// A miss is looked for, filled from the parent, and the second time a hit; the
+// The first request for an object is a miss, filled from the parent, and the second one a hit. The
 // bytes are those of the origin's version.
 func TestFillThenHit(t *testing.T) {
 	rig := newRig(t, 3, "")
@@ -207,7 +213,7 @@
 	}
 }
 
-// HEAD has the head of GET and no body; the connection goes on.
+// A HEAD request gets the head of GET without a body, and the connection persists.
 func TestHeadAndKeepAlive(t *testing.T) {
 	rig := newRig(t, 2, "")
 	conn := rig.dial()
@@ -217,17 +223,17 @@
 		req, _ := http.NewRequest(method, "/", nil)
 		res, err := http.ReadResponse(reader, req)
 		if err != nil {
-			t.Fatalf("answer %d: %v", i, err)
+			t.Fatalf("response %d: %v", i, err)
 		}
 		b, err := io.ReadAll(res.Body)
 		if err != nil || res.StatusCode != 200 || res.ContentLength <= 0 || method == "HEAD" && len(b) > 0 || method == "GET" && len(b) == 0 {
-			t.Fatalf("answer %d: %d, length %d, %d bytes, %v", i, res.StatusCode, res.ContentLength, len(b), err)
+			t.Fatalf("response %d: %d, length %d, %d bytes, %v", i, res.StatusCode, res.ContentLength, len(b), err)
 		}
 	}
 }
 
-// Answers come in the order of a pipelined burst; a malformed request in it is
-// answered in its turn, and ends the connection.
+// Pipelined requests are answered in order. A malformed one among them is answered in its turn,
+// and the connection is closed after it.
 func TestPipelinedBurst(t *testing.T) {
 	rig := newRig(t, 2, "")
 	got := rig.exchange("GET /s/1/a HTTP/1.1\r\nHost: h\r\n\r\nGET /s/1/b HTTP/1.1\r\nHost: h\r\n\r\n" +
@@ -236,20 +242,20 @@
 	for i, want := range []int{200, 200, 400} {
 		res, err := http.ReadResponse(reader, nil)
 		if err != nil {
-			t.Fatalf("answer %d: %v", i, err)
+			t.Fatalf("response %d: %v", i, err)
 		}
 		b, _ := io.ReadAll(res.Body)
 		if res.StatusCode != want {
-			t.Errorf("answer %d: %d, want %d", i, res.StatusCode, want)
+			t.Errorf("response %d: %d, want %d", i, res.StatusCode, want)
 		}
 		if want == 200 {
 			if _, ok := testserver.Matches(b, "/s/1/"+string(rune('a'+i)), 1, 0); !ok {
-				t.Errorf("answer %d is another object's", i)
+				t.Errorf("response %d is that of another object", i)
 			}
 		}
 	}
 	if rest, _ := io.ReadAll(reader); len(rest) > 0 {
-		t.Errorf("after the fault came %q", rest)
+		t.Errorf("%q followed the response to the malformed request", rest)
 	}
 }
 
@@ -273,13 +279,13 @@
 	} {
 		got := rig.exchange(test.in)
 		if !strings.HasPrefix(got, "HTTP/1.1 "+test.want) || !strings.Contains(got, "Connection: close\r\n") {
-			t.Errorf("%s: answered %.80q, want %s and the connection closed", test.name, got, test.want)
+			t.Errorf("%s: response %.80q, want %s and the connection closed", test.name, got, test.want)
 		}
 		if strings.Count(got, "HTTP/1.1 ") != 1 {
-			t.Errorf("%s: more than one answer: %q", test.name, got)
+			t.Errorf("%s: more than one response: %q", test.name, got)
 		}
 	}
-	for _, test := range []struct{ in, detail, body string }{ // a 4xx says what is missing, and what to add
+	for _, test := range []struct{ in, detail, body string }{ // the body of a 4xx says what to change
 		{"POST /o/1", "no-idempotency-key", "needs an Idempotency-Key: add the field"},
 		{"GET /nowhere", "no-route", "no route fits the path"},
 		{"GET /v/1/a/x", "bad-part", "write one, from 0"},
@@ -290,11 +296,11 @@
 		}
 	}
 	if n := rig.countRecords(func(x trafficlog.Record) bool { return x.Ev == trafficlog.Ran }); n > 0 {
-		t.Errorf("%d of these ran at the origin", n)
+		t.Errorf("%d invalid requests ran at the origin", n)
 	}
 }
 
-// A write goes to the origin and runs once; the client that waits for 100 gets it.
+// A write goes to the origin and runs once. A client that expects 100 (Continue) gets it.
 func TestWrite(t *testing.T) {
 	rig := newRig(t, 1, "")
 	conn := rig.dial()
@@ -323,18 +329,18 @@
 	}
 }
 
-// Nonsense from a cache becomes an outcome: the client is served all the same,
-// or sees that its answer is not whole; never other bytes than the object's.
+// Invalid responses of a cache end its attempt. The client is served by another attempt, or sees
+// that its response is incomplete, but never gets other bytes than the object's.
 func TestMangledAnswers(t *testing.T) {
 	for _, kind := range []string{testserver.ResetBody, testserver.Truncated, testserver.Overlong, testserver.Garbage, testserver.TwoLengths,
 		testserver.BothFrames, testserver.BareLF, testserver.BigHead, testserver.FastErrors, testserver.AcceptShut} {
 		t.Run(kind, func(t *testing.T) {
 			rig := newRig(t, 2, "")
-			if _, _, err := rig.get("/s/1/a"); err != nil { // so that one of them holds it
+			if _, _, err := rig.get("/s/1/a"); err != nil { // so that a cache holds it
 				t.Fatal(err)
 			}
-			for _, b := range rig.caches {
-				b.Fault(testserver.Fault{Kind: kind, For: 60000})
+			for _, cache := range rig.caches {
+				cache.Fault(testserver.Fault{Kind: kind, For: 60000})
 			}
 			cut := 0
 			for range 5 {
@@ -342,19 +348,19 @@
 				if res == nil || err != nil {
 					cut++
 				} else if _, ok := testserver.Matches(body, "/s/1/a", 1, 0); res.StatusCode == 200 && (!ok || int64(len(body)) != res.ContentLength) {
-					t.Errorf("other bytes than the object's were passed on")
+					t.Errorf("other bytes than the object's were relayed")
 				}
 			}
 			if inBody := kind == testserver.ResetBody || kind == testserver.Truncated; inBody && cut == 0 {
-				t.Error("answers that broke off were passed on as whole")
+				t.Error("incomplete responses were relayed as complete")
 			} else if !inBody && cut > 0 {
-				t.Errorf("%d of 5 clients were cut off, though no answer had begun", cut)
+				t.Errorf("%d of 5 clients were cut off, though no response had begun", cut)
 			}
 		})
 	}
 }
 
-// A client that has gone is told of, and its attempt called back.
+// When a client leaves, its request ends and its attempt is cancelled.
 func TestClientGone(t *testing.T) {
 	rig := newRig(t, 1, "")
 	for _, b := range rig.caches {
@@ -364,11 +370,11 @@
 	io.WriteString(conn, "GET /s/1/a HTTP/1.1\r\nHost: h\r\n\r\n")
 	rig.waitFor("the attempt", func(s *Stats, _ *engine.Core) bool { return s.Held == 1 })
 	conn.Close()
-	rig.waitFor("the end of it", func(s *Stats, _ *engine.Core) bool { return s.Held == 0 && s.Gone == 1 && s.Connections == 0 })
+	rig.waitFor("the end of the request", func(s *Stats, _ *engine.Core) bool { return s.Held == 0 && s.Gone == 1 && s.Connections == 0 })
 }
 
-// A slow client stops the reading of its upstream: no more waits than may, and
-// it gets all of it in the end.
+// Reading from a member pauses while its client is slow. No more than the limit is buffered, and
+// the client gets the whole response in the end.
 func TestBackpressure(t *testing.T) {
 	rig := newRig(t, 1, "(buffer 65536)")
 	conn := rig.dial().(*net.TCPConn)
@@ -384,7 +390,7 @@
 	rig.edge.Query(func(*Stats, *engine.Core) {
 		for client := range rig.edge.clients {
 			if waiting := client.output.Len(); waiting > 65536+len(rig.edge.scratch) {
-				t.Errorf("%d bytes wait for a slow client", waiting)
+				t.Errorf("%d bytes are buffered for a slow client", waiting)
 			}
 		}
 	})
@@ -401,8 +407,7 @@
 	}
 }
 
-// A box that is told to drain gets nothing new, with requests in flight and
-// with connections idle; what it has in hand is finished.
+// A cache that drains gets no new attempts, and no idle connections to it are kept.
 func TestDrainedCache(t *testing.T) {
 	rig := newRig(t, 2, "")
 	for i := range 20 {
@@ -416,7 +421,7 @@
 	told := trafficlog.Now()
 	rig.edge.Query(func(*Stats, *engine.Core) {
 		if p := rig.edge.pools[rig.caches["b0"].Addr()]; p != nil && len(p.idle) > 0 {
-			t.Errorf("%d idle connections to a draining box are kept", len(p.idle))
+			t.Errorf("%d idle connections to a draining cache are kept", len(p.idle))
 		}
 	})
 	for i := range 20 {
@@ -427,11 +432,11 @@
 	if n := rig.countRecords(func(x trafficlog.Record) bool {
 		return x.Ev == trafficlog.Recv && (x.Who == "b0" || x.Src == "b0") && x.T > told
 	}); n > 0 {
-		t.Errorf("%d attempts to a box that drains", n)
+		t.Errorf("%d attempts to a draining cache", n)
 	}
 }
 
-// After a purge no older copy answers, though the caches still hold it.
+// After a purge no older copy is used, though the caches still hold one.
 func TestPurge(t *testing.T) {
 	rig := newRig(t, 2, "")
 	rig.get("/s/5/a")
@@ -447,8 +452,8 @@
 	}
 }
 
-// The list's stream is cut in a line, and comes back with an older version: the
-// drain that was told stays in force.
+// A discovery stream breaks off within a line, and then resumes with an older revision of the
+// endpoint list. A drain that was announced before stays in force.
 func TestListStreamCutAndReset(t *testing.T) {
 	rig := newRig(t, 2, "(list-backoff 20)")
 	rig.setMember("b0", "box", "z", "draining", rig.caches["b0"].Addr())
@@ -460,14 +465,14 @@
 	time.Sleep(100 * time.Millisecond)
 	rig.listService.SetBack(0)
 	rig.waitFor("the stream", func(*Stats, *engine.Core) bool { return rig.edge.listState.Load() == "following" })
-	rig.waitFor("the drain to hold", drained)
+	rig.waitFor("the drain to be still in force", drained)
 	rig.setMember("b0", "box", "z", "serving", rig.caches["b0"].Addr())
-	rig.listService.Cut("") // a router that passed over old news asks for the whole list again
-	rig.waitFor("the box to be back", func(_ *Stats, c *engine.Core) bool { m, _ := c.Member("b0"); return m.State == 0 })
+	rig.listService.Cut("") // a router that ignored outdated updates gets a full snapshot again
+	rig.waitFor("the cache to serve again", func(_ *Stats, c *engine.Core) bool { m, _ := c.Member("b0"); return m.State == 0 })
 }
 
-// SIGTERM's drain: what is in hand is answered, idle connections are closed,
-// nothing new is accepted, and Run returns.
+// On a drain, requests in flight are answered, idle connections are closed, no connections are
+// accepted, and Run returns.
 func TestDrain(t *testing.T) {
 	rig := newRig(t, 1, "")
 	idle := rig.dial()
@@ -479,11 +484,11 @@
 	rig.waitFor("the request", func(s *Stats, _ *engine.Core) bool { return s.Held == 1 && s.Connections == 2 })
 	rig.edge.Drain()
 	if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("an idle connection: %v, want its end", err)
+		t.Errorf("idle connection: %v, want EOF", err)
 	}
 	res, err := http.ReadResponse(bufio.NewReader(busy), nil)
 	if err != nil || res.StatusCode != 200 || !res.Close {
-		t.Errorf("in hand: %v, %v", res, err)
+		t.Errorf("request in flight: %v, %v", res, err)
 	}
 	io.Copy(io.Discard, res.Body)
 	rig.stopped = true
@@ -523,8 +528,8 @@
 	}
 }
 
-// A purge that comes while a fill is under way: who asked before may have the
-// old copy, nobody who asks after the grace, and the box does not keep it.
+// A purge arrives during a fill. The request that began before it may get the old copy, but no
+// request after the purge grace does, and the cache does not keep that copy.
 func TestPurgeDuringFill(t *testing.T) {
 	rig := newRig(t, 1, "")
 	const path = "/s/5/slow"
@@ -545,7 +550,7 @@
 		b.Purge(path, 5, made)
 	}
 	if v := <-first; !strings.HasPrefix(v, "v=") {
-		t.Errorf("the request under way got %q", v)
+		t.Errorf("the request in flight got %q", v)
 	}
 	time.Sleep(300 * time.Millisecond)
 	for range 3 {
@@ -559,15 +564,15 @@
 	}
 }
 
-// Connections that ask once and then nothing hold no buffer; requests are
-// served beside them, and all of them are closed after their time.
+// Idle connections hold no buffers. Requests are served beside ten thousand of them, and all are
+// closed after client-idle.
 func TestTenThousandIdle(t *testing.T) {
 	conns := 10_000
 	var limit unix.Rlimit
 	unix.Getrlimit(unix.RLIMIT_NOFILE, &limit)
 	if most := int(limit.Cur)/2 - 200; most < conns {
 		conns = most
-		t.Logf("only %d connections: no more descriptors may be open", conns)
+		t.Logf("only %d connections, because of the descriptor limit", conns)
 	}
 	rig := newRig(t, 1, "(client-idle 6000) (connections-per-address 20000)")
 	rig.get("/s/1/a")
@@ -598,7 +603,7 @@
 	if held > 64<<10 {
 		t.Errorf("idle connections hold %d bytes of buffers", held)
 	}
-	for range 40 { // they idle for 6 s
+	for range 40 { // client-idle is 6 s
 		time.Sleep(500 * time.Millisecond)
 		left := uint64(1)
 		rig.edge.Query(func(s *Stats, _ *engine.Core) { left = s.Connections })
@@ -609,15 +614,15 @@
 	t.Error("idle connections were never closed")
 }
 
-// Attempts that wait for a connection when their member drains are decided
-// anew: they do not reach it later.
+// Attempts that wait for a connection to a member when it begins to drain do not reach it later.
+// The module sends them elsewhere.
 func TestDrainWhileConnecting(t *testing.T) {
 	rig := newRig(t, 2, "(upstream 1)")
 	for _, b := range rig.caches {
 		b.Fault(testserver.Fault{Kind: testserver.Hang, For: 800})
 	}
 	var wg sync.WaitGroup
-	for i := range 12 { // one connection a box: the rest wait for it
+	for i := range 12 { // each cache has one connection, for which the others wait
 		wg.Go(func() { rig.get(fmt.Sprintf("/s/1/w%d", i)) })
 	}
 	rig.waitFor("attempts that wait", func(*Stats, *engine.Core) bool {
@@ -629,17 +634,16 @@
 	told := trafficlog.Now()
 	rig.edge.Query(func(*Stats, *engine.Core) {
 		if p := rig.edge.pools[rig.caches["b0"].Addr()]; p != nil && len(p.waiting) > 0 {
-			t.Errorf("%d attempts still wait for a box that drains", len(p.waiting))
+			t.Errorf("%d attempts still wait for a draining cache", len(p.waiting))
 		}
 	})
 	wg.Wait()
 	if n := rig.countRecords(func(x trafficlog.Record) bool { return x.Ev == trafficlog.Recv && x.Who == "b0" && x.T > told+50 }); n > 0 {
-		t.Errorf("%d attempts reached the box after it was told to drain", n)
+		t.Errorf("%d attempts reached the cache after it began to drain", n)
 	}
 }
 
-// An attempt that may leave only within a time, and waits for a connection for longer,
-// does not leave.
+// An attempt that may be sent only within 50 ms, and waits longer for a connection, is not sent.
 func TestSendWindowWhileWaiting(t *testing.T) {
 	rig := newRig(t, 1, "(upstream 1)")
 	rig.caches["b0"].Fault(testserver.Fault{Kind: testserver.Hang, For: 800})
@@ -662,14 +666,14 @@
 	time.Sleep(200 * time.Millisecond)
 	rig.edge.Query(func(*Stats, *engine.Core) {
 		if !bound.done || bound.written {
-			t.Errorf("after its time: done %v, written %v", bound.done, bound.written)
+			t.Errorf("after its window: done %v, written %v", bound.done, bound.written)
 		}
 	})
 	wg.Wait()
 }
 
-// GETs follow one another on one connection where that is allowed: each gets
-// its own object; one that is given up is passed over; writes never follow.
+// GETs are pipelined on one connection to a member, up to the limit. Each gets its own object, and
+// the response to one whose client leaves is discarded.
 func TestPipelinedToMember(t *testing.T) {
 	rig := newRig(t, 1, "(upstream 1) (pipeline 8)")
 	for i := range 12 {
@@ -684,43 +688,43 @@
 			if err != nil || res.StatusCode != 200 {
 				t.Errorf("%s: %v, %v", path, res, err)
 			} else if _, ok := testserver.Matches(body, path, 1, 0); !ok {
-				t.Errorf("%s: another object's answer", path)
+				t.Errorf("%s: response for another object", path)
 			}
 		})
 	}
-	followed := 0
-	leaver := rig.dial()
-	io.WriteString(leaver, "GET /s/1/p3 HTTP/1.1\r\nHost: h\r\n\r\n")
-	rig.waitFor("attempts that follow others", func(*Stats, *engine.Core) bool {
+	pipelined := 0
+	leaving := rig.dial()
+	io.WriteString(leaving, "GET /s/1/p3 HTTP/1.1\r\nHost: h\r\n\r\n")
+	rig.waitFor("pipelined attempts", func(*Stats, *engine.Core) bool {
 		if p := rig.edge.pools[rig.caches["b0"].Addr()]; p != nil {
 			for u := range p.connections {
-				followed = max(followed, len(u.pipelined))
+				pipelined = max(pipelined, len(u.pipelined))
 			}
 		}
-		return followed >= 7
+		return pipelined >= 7
 	})
-	leaver.Close()
+	leaving.Close()
 	wg.Wait()
 	if res, _, err := rig.get("/s/1/p1"); err != nil || !strings.Contains(res.Header.Get("Cache-Status"), "hit") {
 		t.Errorf("afterwards: %v, %v", res, err)
 	}
-	rig.waitFor("the end of all", func(s *Stats, _ *engine.Core) bool { return s.Held == 0 })
+	rig.waitFor("the end of all requests", func(s *Stats, _ *engine.Core) bool { return s.Held == 0 })
 }
 
-// A pipelined request whose head is longer than what is read ahead, and comes
-// in two pieces, is read on once it is its turn.
+// A pipelined request whose head is longer than the limit of pipelined input, and arrives in two
+// pieces, is read to the end in its turn.
 func TestLongPipelinedHead(t *testing.T) {
 	rig := newRig(t, 1, "(pipelined 2048) (head-time 2000)")
 	rig.caches["b0"].Fault(testserver.Fault{Kind: testserver.Pauses, For: 200, Every: 1000, Length: 200})
 	conn := rig.dial()
 	io.WriteString(conn, "GET /s/1/a HTTP/1.1\r\nHost: h\r\n\r\n")
-	rig.waitFor("the first", func(s *Stats, _ *engine.Core) bool { return s.Held == 1 })
+	rig.waitFor("the first request", func(s *Stats, _ *engine.Core) bool { return s.Held == 1 })
 	io.WriteString(conn, "GET /s/1/b HTTP/1.1\r\nHost: h\r\nX-Long: "+strings.Repeat("x", 6000))
 	reader := bufio.NewReader(conn)
 	for i := range 2 {
 		res, err := http.ReadResponse(reader, nil)
 		if err != nil || res.StatusCode != 200 {
-			t.Fatalf("answer %d: %v, %v", i, res, err)
+			t.Fatalf("response %d: %v, %v", i, res, err)
 		}
 		io.Copy(io.Discard, res.Body)
 		if i == 0 {
@@ -729,7 +733,7 @@
 	}
 }
 
-// Parts by Range are copies of their own, answered as partial content.
+// Parts that are requested with Range have copies of their own, and get a 206 response.
 func TestRanges(t *testing.T) {
 	rig := newRig(t, 2, "")
 	for round, want := range []string{"fwd=miss", "hit"} {
@@ -750,7 +754,7 @@
 	}
 }
 
-// A log that can't keep up holds nothing up: lines are dropped, counted and told.
+// Logging never blocks on a slow writer: lines are dropped and counted, and the number is logged.
 func TestLogNeverBlocks(t *testing.T) {
 	pipeReader, pipeWriter := io.Pipe()
 	log := newAccessLog(pipeWriter, 16, "info")
@@ -780,7 +784,7 @@
 	}
 }
 
-// rawMember is a member that does with each connection what the test says.
+// rawMember adds a member that reads a request on each connection, and then calls serve.
 func (r *testRig) rawMember(serve func(net.Conn)) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -803,13 +807,13 @@
 		}
 	}()
 	before := int64(0)
-	r.edge.Query(func(_ *Stats, conn *engine.Core) { before = conn.Rev() })
+	r.edge.Query(func(_ *Stats, core *engine.Core) { before = core.Rev() })
 	r.setMember("raw", "box", "z", "serving", listener.Addr().String())
-	r.waitFor("the member", func(_ *Stats, conn *engine.Core) bool { return conn.Rev() > before })
+	r.waitFor("the member", func(_ *Stats, core *engine.Core) bool { return core.Rev() > before })
 }
 
-// The head goes to the client before any of the body has come; and when the
-// member then resets, the client has the head, and no end that passes for whole.
+// The head is relayed to the client before any of the body has arrived. If the member then resets
+// the connection, the client has the head, and sees that the body is incomplete.
 func TestHeadBeforeBody(t *testing.T) {
 	for _, framing := range []string{"Content-Length: 10", "Transfer-Encoding: chunked"} {
 		rig := newRig(t, 0, "")
@@ -827,20 +831,20 @@
 			t.Fatalf("%s: no head while the body waits: %v", framing, err)
 		}
 		close(proceed)
-		rig.waitFor("the break", func(s *Stats, _ *engine.Core) bool { return s.Broken == 1 })
+		rig.waitFor("the broken response", func(s *Stats, _ *engine.Core) bool { return s.Broken == 1 })
 		time.Sleep(20 * time.Millisecond) // the client reads only now
 		res, err := http.ReadResponse(reader, nil)
 		if err != nil || res.StatusCode != 200 {
 			t.Fatalf("%s: the head is lost: %v", framing, err)
 		}
 		if _, err := io.ReadAll(res.Body); err != io.ErrUnexpectedEOF {
-			t.Errorf("%s: the body's end: %v, want that it is not whole", framing, err)
+			t.Errorf("%s: body ended with %v, want an unexpected EOF", framing, err)
 		}
 	}
 }
 
-// To a client of HTTP/1.0 a body without a length ends with the connection: one
-// that broke off is reset, so that its end can't pass for the answer's.
+// For an HTTP/1.0 client, a body without a length ends with the connection. If the member's response
+// is incomplete, the connection is reset, so that the body does not seem complete.
 func TestBrokenAnswerToHTTP10Client(t *testing.T) {
 	rig := newRig(t, 0, "")
 	rig.rawMember(func(conn net.Conn) {
@@ -850,11 +854,11 @@
 	conn := rig.dial()
 	io.WriteString(conn, "GET /s/1/a HTTP/1.0\r\n\r\n")
 	if b, err := io.ReadAll(conn); err == nil {
-		t.Errorf("read to a clean end: %q", b)
+		t.Errorf("incomplete body ended with a clean EOF: %q", b)
 	}
 }
 
-// What a box has in hand when it is told to drain is finished there.
+// A request that is in flight at a cache when it begins to drain is finished there.
 func TestDrainWithRequestInFlight(t *testing.T) {
 	rig := newRig(t, 1, "")
 	rig.get("/s/1/a")
@@ -874,13 +878,13 @@
 	if cs := <-got; cs != `"b0";hit` {
 		t.Errorf("the request in flight got %q", cs)
 	}
-	rig.waitFor("its connection's end", func(s *Stats, _ *engine.Core) bool {
+	rig.waitFor("the end of its connection", func(s *Stats, _ *engine.Core) bool {
 		p := rig.edge.pools[rig.caches["b0"].Addr()]
 		return p == nil || len(p.connections) == 0
 	})
 }
 
-// A probe says whether a member takes connections.
+// A probe reports whether a member accepts connections.
 func TestProbe(t *testing.T) {
 	rig := newRig(t, 1, "")
 	rig.setMember("dead", "box", "z", "serving", "127.0.0.1:1")
@@ -897,11 +901,11 @@
 	}
 }
 
-// Bytes that a member sends unasked, or its end, are seen before a kept connection is
-// used again, also where the loop has not come to them: nothing is told of them as the
-// next answer, and no request is lost.
+// Unsolicited bytes or the end of an idle connection are noticed before it is used again, even if
+// the loop has not handled them yet. They are not taken for the next response, and no request is
+// lost.
 func TestUnsolicitedBytes(t *testing.T) {
-	for _, unasked := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nxxx", ""} {
+	for _, unsolicited := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nxxx", ""} {
 		rig := newRig(t, 1, "")
 		if res, _, err := rig.get("/s/1/a"); err != nil || res.StatusCode != 200 {
 			t.Fatal(res, err)
@@ -911,12 +915,12 @@
 			before = *s
 			n := 0
 			for _, pool := range rig.edge.pools {
-				for _, upstream := range pool.idle { // as if it came from the member, and the loop were busy
+				for _, upstream := range pool.idle { // as if the member had sent them while the loop was busy
 					pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
 					if err != nil {
 						t.Fatal(err)
 					}
-					unix.Write(pair[1], []byte(unasked))
+					unix.Write(pair[1], []byte(unsolicited))
 					unix.Close(pair[1])
 					rig.edge.loop.Remove(upstream.fd)
 					unix.Close(upstream.fd)
@@ -925,16 +929,16 @@
 				}
 			}
 			if n == 0 {
-				t.Error("no connection is kept")
+				t.Error("no idle connection")
 			}
 		})
 		res, body, err := rig.get("/s/1/a")
 		if err != nil || res.StatusCode != 200 || string(body) == "xxx" {
-			t.Errorf("%q: %v %v %.20q", unasked, res, err, body)
+			t.Errorf("%q: %v %v %.20q", unsolicited, res, err, body)
 		}
 		rig.edge.Query(func(s *Stats, _ *engine.Core) {
 			if s.Attempts != before.Attempts+1 || s.Reused != before.Reused {
-				t.Errorf("%q: %d attempts, %d on kept connections", unasked, s.Attempts-before.Attempts, s.Reused-before.Reused)
+				t.Errorf("%q: %d attempts, %d on idle connections", unsolicited, s.Attempts-before.Attempts, s.Reused-before.Reused)
 			}
 		})
 	}
--- a/internal/proxy/httpfront/guard_test.go
+++ b/internal/proxy/httpfront/guard_test.go
@@ -27,13 +27,14 @@
 	"indigospool/internal/testbed/testserver"
 )
 
-// limitCounts are the router's counts by cause.
+// limitCounts returns the router's counts of enforced limits by cause.
 func (r *testRig) limitCounts() (out limits.Counts) {
 	r.edge.Query(func(*Stats, *engine.Core) { out = r.edge.guard.counts })
 	return out
 }
 
-// getStills asks for small things one after another, and returns their times, in order.
+// getStills requests n small objects one after another. It returns their response times in
+// ascending order, and the number of requests that failed.
 func (r *testRig) getStills(n int) (times []float64, bad int) {
 	client := &http.Client{Timeout: 5 * time.Second}
 	defer client.CloseIdleConnections()
@@ -53,10 +54,11 @@
 	return times, bad
 }
 
+// shortGrace are limits that find slow peers within a second.
 const shortGrace = `(head-rate 1) (head-grace 300) (client-rate 200) (client-grace 700) (member-rate 50) (member-grace 600) `
 
-// Slow readers of large footage are cut, by their own delay; stills beside them, of
-// the same caches and the same pool, are served as ever.
+// Clients that read large objects too slowly are closed. Requests for small objects through the
+// same caches and the same pool are not delayed by them.
 func TestSlowReaders(t *testing.T) {
 	rig := newRig(t, 2, shortGrace+"(buffer 65536)")
 	calm, failedBefore := rig.getStills(100)
@@ -67,8 +69,7 @@
 		fmt.Fprintf(conn, "GET /v/1/big%d/0 HTTP/1.1\r\nHost: h\r\nSpool-KB: 4000\r\n\r\n", i)
 		conns = append(conns, conn)
 	}
-	// footage is 200 KB a part: what sockets hold of it counts as taken, so they are
-	// asked for again and again
+	// A part has 200 KB, which socket buffers may hold in full, so each client requests many.
 	for _, conn := range conns {
 		for range 40 {
 			fmt.Fprintf(conn, "GET /v/1/more/%d HTTP/1.1\r\nHost: h\r\n\r\n", 1)
@@ -76,7 +77,7 @@
 	}
 	during, failedDuring := rig.getStills(300)
 	if failedBefore+failedDuring > 0 || during[len(during)*99/100] > 3*calm[len(calm)*99/100]+50 {
-		t.Errorf("%d and %d went wrong; p99 %.1f ms, %.1f ms before", failedBefore, failedDuring, during[len(during)*99/100], calm[len(calm)*99/100])
+		t.Errorf("%d and %d requests failed; p99 %.1f ms, %.1f ms before", failedBefore, failedDuring, during[len(during)*99/100], calm[len(calm)*99/100])
 	}
 	for range 60 {
 		if rig.limitCounts()[limits.SlowReader] == 40 {
@@ -84,11 +85,11 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	t.Errorf("cut: %v", rig.limitCounts())
+	t.Errorf("40 slow readers, closed: %v", rig.limitCounts())
 }
 
-// One who reads steadily at twice the least rate is not cut, although the kernel takes
-// nothing more for it for long: its buffers hold seconds of that.
+// A client that reads steadily at twice the least rate is not closed, although its socket
+// accepts no more output for long, since the kernel's buffers hold seconds of data at that rate.
 func TestSteadyReader(t *testing.T) {
 	rig := newRig(t, 1, "(client-rate 400) (client-grace 700) (buffer 16384)")
 	conn := rig.dial()
@@ -102,24 +103,24 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	if cut := rig.limitCounts()[limits.SlowReader]; cut > 0 {
-		t.Errorf("%d cut", cut)
+	if closed := rig.limitCounts()[limits.SlowReader]; closed > 0 {
+		t.Errorf("%d closed as slow", closed)
 	}
 }
 
-// One who reads in bursts at the least rate is not cut.
+// A client that reads in bursts, at the least rate on average, is not closed.
 func TestBurstyReader(t *testing.T) {
 	rig := newRig(t, 1, "(client-rate 2000) (client-grace 1000) (buffer 16384)")
 	conn := rig.dial()
 	conn.(*net.TCPConn).SetReadBuffer(256 << 10)
-	const asked = 40 // of some 50 to 400 KB
+	const asked = 40 // parts of 50 to 400 KB
 	for i := range asked {
 		fmt.Fprintf(conn, "GET /v/1/big/%d HTTP/1.1\r\nHost: h\r\n\r\n", i%10)
 	}
 	got, buf := 0, make([]byte, 1300<<10)
 	for {
 		conn.SetReadDeadline(time.Now().Add(2 * time.Second))
-		n, err := io.ReadFull(conn, buf) // 1.3 MB each half second: 2.6 MB a second, where 2 are asked
+		n, err := io.ReadFull(conn, buf) // 1.3 MB each half second is 2.6 MB/s; the least rate is 2
 		got += n
 		if err != nil {
 			break
@@ -129,12 +130,12 @@
 	served := uint64(0)
 	rig.edge.Query(func(s *Stats, _ *engine.Core) { served = s.Served })
 	if served != asked || got < 5<<20 || rig.limitCounts()[limits.SlowReader] > 0 {
-		t.Errorf("%d of %d answers, %d KB, cut: %v", served, asked, got>>10, rig.limitCounts())
+		t.Errorf("%d of %d responses, %d KB, closed: %v", served, asked, got>>10, rig.limitCounts())
 	}
 }
 
-// Two thousand who send their requests a byte at a time are cut for it, and others
-// don't notice.
+// Two thousand clients that send their requests a byte at a time are closed, and do not delay
+// other clients.
 func TestSlowloris(t *testing.T) {
 	clients := 2000
 	var limit unix.Rlimit
@@ -175,18 +176,18 @@
 	close(stop)
 	wg.Wait()
 	if got := rig.limitCounts()[limits.SlowHead]; got < uint64(clients) {
-		t.Errorf("%d of %d were cut", got, clients)
+		t.Errorf("%d of %d slow clients were closed", got, clients)
 	}
 	if bad > 0 || during[len(during)/2] > 5*calm[len(calm)/2]+20 {
-		t.Errorf("%d went wrong beside them; p50 %.1f ms, %.1f ms before", bad, during[len(during)/2], calm[len(calm)/2])
+		t.Errorf("%d other requests failed; p50 %.1f ms, %.1f ms before", bad, during[len(during)/2], calm[len(calm)/2])
 	}
 }
 
-// A member that sends heads and then a byte a second is cut, and counted; where all
-// of them do, none is, and the router goes on serving what it can.
+// Connections to a member that sends heads and then a byte a second are closed, and counted. If
+// all members do so, most of the connections are kept, and the router goes on serving.
 func TestTricklingMembers(t *testing.T) {
 	rig := newRig(t, 4, shortGrace+"(body-idle 3000)")
-	for i := range 80 { // all are at work, and hold copies
+	for i := range 80 { // so that all members have served, and hold copies
 		rig.get(fmt.Sprintf("/s/1/w%d", i))
 	}
 	trickle := func(ids ...string) {
@@ -223,8 +224,8 @@
 	}
 	trickle("b0")
 	broken, good := round()
-	if cut := rig.limitCounts()[limits.SlowMember]; cut == 0 || good < 40 {
-		t.Errorf("one that trickles: %d cut, %d broken, %d good", cut, broken, good)
+	if closed := rig.limitCounts()[limits.SlowMember]; closed == 0 || good < 40 {
+		t.Errorf("one slow member: %d closed, %d requests failed, %d succeeded", closed, broken, good)
 	}
 	time.Sleep(2 * time.Second)
 	before := rig.limitCounts()[limits.SlowMember]
@@ -232,16 +233,15 @@
 	round()
 	var spared uint64
 	rig.edge.Query(func(*Stats, *engine.Core) { spared = rig.edge.guard.massSlowness.Spared })
-	if cut := rig.limitCounts()[limits.SlowMember] - before; cut > 40 || spared == 0 {
-		t.Errorf("all trickle: %d cut, %d spared", cut, spared)
+	if closed := rig.limitCounts()[limits.SlowMember] - before; closed > 40 || spared == 0 {
+		t.Errorf("all members slow: %d closed, %d spared", closed, spared)
 	}
 	if res, _, err := rig.get("/s/1/after"); err != nil || res.StatusCode != 200 {
-		t.Errorf("after it: %v %v", res, err)
+		t.Errorf("request afterwards: %v %v", res, err)
 	}
 }
 
-// With few descriptors idle connections give way, accepting pauses without a spin, and
-// requests are served.
+// When connections run out, idle ones are closed for new ones, and requests are served.
 func TestFewDescriptors(t *testing.T) {
 	rig := newRig(t, 2, "(connections-per-address 5000)")
 	rig.edge.Query(func(*Stats, *engine.Core) { rig.edge.guard.maxClients = 64 })
@@ -254,19 +254,19 @@
 	}
 	time.Sleep(250 * time.Millisecond) // until they count as idle
 	if _, bad := rig.getStills(50); bad > 0 {
-		t.Errorf("%d requests went wrong", bad)
+		t.Errorf("%d requests failed", bad)
 	}
-	rig.waitFor("the connections that gave way", func(s *Stats, _ *engine.Core) bool {
+	rig.waitFor("idle connections to be closed", func(s *Stats, _ *engine.Core) bool {
 		return s.Connections <= 64 && rig.edge.guard.counts[limits.Descriptors] >= 200
 	})
 }
 
-// At the edge of the memory budget idle connections go first, then nothing new is
-// taken into hand, and it is given back as soon as there is room.
+// When the memory budget is nearly used up, idle connections are closed first, and then no new
+// requests are admitted. Requests are served again as soon as memory is free.
 func TestMemoryBudget(t *testing.T) {
-	rig := newRig(t, 2, "(memory-mb 4) (connections-per-address 5000) (buffer 65536)") // 3 are the program's own
+	rig := newRig(t, 2, "(memory-mb 4) (connections-per-address 5000) (buffer 65536)") // 3 MB are reserved for the program itself
 	var conns []net.Conn
-	for range 1200 { // of 1 KB each: past the edge
+	for range 1200 { // of 1 KB each, more than the budget of 1 MB
 		conn, err := net.Dial("tcp4", rig.edge.Addr())
 		if err != nil {
 			t.Fatal(err)
@@ -274,16 +274,16 @@
 		defer conn.Close()
 		conns = append(conns, conn)
 	}
-	rig.waitFor("the idle ones to go", func(*Stats, *engine.Core) bool { return rig.edge.guard.counts[limits.Memory] > 100 })
+	rig.waitFor("idle connections to be closed", func(*Stats, *engine.Core) bool { return rig.edge.guard.counts[limits.Memory] > 100 })
 	time.Sleep(250 * time.Millisecond) // until all of them count as idle
 	if _, bad := rig.getStills(50); bad > 0 {
-		t.Errorf("%d requests went wrong", bad)
+		t.Errorf("%d requests failed", bad)
 	}
 	for _, conn := range conns {
 		conn.Close()
 	}
 	var slow []net.Conn
-	for i := range 60 { // who hold answers
+	for i := range 60 { // clients that do not read their responses
 		conn := rig.dial()
 		conn.(*net.TCPConn).SetReadBuffer(4096)
 		for range 40 {
@@ -297,26 +297,26 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	if most > 2<<20 {
-		t.Errorf("%d KB are booked of 1024, and a turn", most>>10)
+		t.Errorf("%d KB charged; the budget is 1024, and a turn of the loop may exceed it by as much", most>>10)
 	}
 	for _, conn := range slow {
 		conn.Close()
 	}
-	rig.waitFor("the memory to be given back", func(*Stats, *engine.Core) bool {
+	rig.waitFor("the memory to be freed", func(*Stats, *engine.Core) bool {
 		return rig.edge.guard.memory.Used() < 600<<10 && len(rig.edge.requests) == 0
 	})
 	if _, bad := rig.getStills(20); bad > 0 {
-		t.Errorf("%d requests went wrong after it", bad)
+		t.Errorf("%d requests failed afterwards", bad)
 	}
 }
 
-// A limit on requests in hand that was found turns others away at once, with a time
-// to come again; repeats past their budget are turned away too.
+// Requests above the adaptive limit of requests in flight are rejected at once, with a
+// Retry-After, and so are retries above the retry budget.
 func TestOverloadRejections(t *testing.T) {
 	rig := newRig(t, 1, "(held 40) (overload-least 4) (retry-burst 5)")
 	rig.caches["b0"].Fault(testserver.Fault{Kind: testserver.Hang, For: 1500})
 	rig.edge.Query(func(*Stats, *engine.Core) {
-		for i := range 50 { // as if bytes had waited
+		for i := range 50 { // as if ready connections had waited for 500 ms
 			rig.edge.guard.admission.ObserveWait(500)
 			rig.edge.guard.admission.Tick(rig.edge.loop.Now()+float64(200*i), 5)
 		}
@@ -327,18 +327,18 @@
 			answers <- rig.exchange(fmt.Sprintf("GET /s/1/%d HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n", i))
 		}()
 	}
-	turned := 0
+	rejected := 0
 	for range 30 {
 		got := <-answers
 		if strings.Contains(got, "detail=overload") {
-			turned++
+			rejected++
 			if !strings.HasPrefix(got, "HTTP/1.1 503") || !strings.Contains(got, "Retry-After: ") {
 				t.Errorf("%q", got)
 			}
 		}
 	}
-	if turned == 0 {
-		t.Error("nobody was turned away")
+	if rejected == 0 {
+		t.Error("no request was rejected")
 	}
 	repeats := 0
 	for range 12 {
@@ -347,13 +347,13 @@
 		}
 	}
 	if repeats < 5 {
-		t.Errorf("%d of 12 repeats were turned away", repeats)
+		t.Errorf("%d of 12 retries were rejected", repeats)
 	}
 }
 
-// A hundred clients that take nothing of large footage keep no place from others: the
-// module hears that these answers wait for their clients, and the same caches, pools
-// and links serve stills as ever.
+// A hundred clients that do not read large responses take no capacity from others: the module is
+// told that the responses are stalled, and small objects are served as before through the same
+// caches, pools and links.
 func TestStalledReadersTakeNoPlace(t *testing.T) {
 	had := testClasses[1].KB
 	testClasses[1].KB = 3000
@@ -365,25 +365,25 @@
 		conn.(*net.TCPConn).SetReadBuffer(4096)
 		fmt.Fprintf(conn, "GET /v/1/big%d/0 HTTP/1.1\r\nHost: h\r\n\r\n", i%5)
 	}
-	rig.waitFor("the answers that wait", func(*Stats, *engine.Core) bool {
-		told := 0
+	rig.waitFor("reports of stalled responses", func(*Stats, *engine.Core) bool {
+		reported := 0
 		for _, p := range rig.edge.pools {
 			for u := range p.connections {
 				if u.stallReported {
-					told++
+					reported++
 				}
 			}
 		}
-		return told == 100
+		return reported == 100
 	})
 	times, bad := rig.getStills(100)
 	if bad > 0 || times[len(times)/2] > 5*calm[len(calm)/2]+20 {
-		t.Errorf("%d went wrong; p50 %.1f ms, %.1f ms before", bad, times[len(times)/2], calm[len(calm)/2])
+		t.Errorf("%d requests failed; p50 %.1f ms, %.1f ms before", bad, times[len(times)/2], calm[len(calm)/2])
 	}
 }
 
-// Those who ask for footage and take nothing may cost others something once. The next
-// time all of them together have a few places, and stills beside them are served.
+// Addresses whose clients request large objects and do not read them get a poor reputation.
+// From then on all of them together have few requests in flight, and other clients are served.
 func TestPoorReputation(t *testing.T) {
 	had := testClasses[1].KB
 	testClasses[1].KB = 3000
@@ -404,7 +404,7 @@
 		return conns
 	}
 	first := wave(60)
-	rig.waitFor("the addresses to be known", func(*Stats, *engine.Core) bool {
+	rig.waitFor("poor reputations of the addresses", func(*Stats, *engine.Core) bool {
 		for i := range 20 {
 			if !rig.edge.guard.reputation.Poor(fmt.Sprintf("127.0.2.%d", 1+i), rig.edge.loop.Now()) {
 				return false
@@ -415,31 +415,31 @@
 	for _, conn := range first {
 		conn.Close()
 	}
-	rig.waitFor("the first to go", func(*Stats, *engine.Core) bool {
+	rig.waitFor("the end of the first requests", func(*Stats, *engine.Core) bool {
 		return len(rig.edge.requests) == 0 && rig.edge.guard.reputation.HasCapacity()
 	})
 	wave(300)
 	if _, bad := rig.getStills(50); bad > 0 {
-		t.Errorf("%d stills went wrong", bad)
+		t.Errorf("%d requests of other clients failed", bad)
 	}
-	rig.waitFor("the others to be turned away", func(*Stats, *engine.Core) bool { return rig.edge.guard.counts[limits.PoorReputation] >= 292 })
+	rig.waitFor("rejections of the others", func(*Stats, *engine.Core) bool { return rig.edge.guard.counts[limits.PoorReputation] >= 292 })
 	rig.edge.Query(func(*Stats, *engine.Core) {
 		if count := len(rig.edge.requests); count > 8 {
-			t.Errorf("%d requests are in hand, of 8", count)
+			t.Errorf("%d requests in flight; the limit is 8", count)
 		}
 	})
 }
 
-// Answers that the kernel holds whole, for clients that then idle and take nothing, are
-// seen and bounded: past sockets-mb such clients go, those with the most for the longest
-// first, and who takes a little is left alone. Without the limit they go by write-idle.
+// Complete responses that wait in the kernel's send buffers, for clients that do not read them,
+// are counted and bounded. Above sockets-mb the clients with the most unread bytes for the longest
+// time are closed, but not one that reads a little. Below it they are closed after write-idle.
 func TestUnreadAnswers(t *testing.T) {
 	had := testClasses[1].KB
 	testClasses[1].KB = 300
 	defer func() { testClasses[1].KB = had }()
-	for _, test := range []struct{ limits, what string }{
-		{"(write-idle 60000) (socket-kb 2048)", "past the limit"},
-		{"(write-idle 1500) (socket-kb 2048)", "by write-idle"},
+	for _, test := range []struct{ limits, name string }{
+		{"(write-idle 60000) (socket-kb 2048)", "sockets-mb"},
+		{"(write-idle 1500) (socket-kb 2048)", "write-idle"},
 	} {
 		rig := newRig(t, 1, test.limits)
 		ask := func(i int) net.Conn {
@@ -454,7 +454,7 @@
 			return conn
 		}
 		steady := make(chan error, 1)
-		go func() { // takes a little all the time
+		go func() { // reads 20 KB/s
 			conn, buf := ask(0), make([]byte, 2<<10)
 			for range 30 {
 				conn.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -470,27 +470,27 @@
 			ask(1 + i)
 		}
 		most := int64(0)
-		rig.waitFor(test.what+" the kernel to hold answers", func(*Stats, *engine.Core) bool {
+		rig.waitFor(test.name+": unread responses in the kernel", func(*Stats, *engine.Core) bool {
 			most = max(most, rig.edge.guard.unread.Held)
 			return most > 4<<20
 		})
-		if test.what == "past the limit" { // from the start, sockets would have been given less
+		if test.name == "sockets-mb" { // set late, since sockets get smaller buffers under a low limit
 			rig.edge.Query(func(*Stats, *engine.Core) { rig.edge.guard.unread.Total = 4 << 20 })
 		}
-		rig.waitFor(test.what+" those who take nothing to go", func(*Stats, *engine.Core) bool {
+		rig.waitFor(test.name+": clients that do not read to be closed", func(*Stats, *engine.Core) bool {
 			return rig.edge.guard.unread.Held < 4<<20 && rig.edge.guard.counts[limits.SlowReader] > 10
 		})
 		if _, bad := rig.getStills(50); bad > 0 {
-			t.Errorf("%s: %d stills went wrong", test.what, bad)
+			t.Errorf("%s: %d requests of other clients failed", test.name, bad)
 		}
 		if err := <-steady; err != nil {
-			t.Errorf("%s: one who takes 20 KB a second: %v", test.what, err)
+			t.Errorf("%s: client that reads 20 KB/s: %v", test.name, err)
 		}
 	}
 }
 
-// A client that is cut for taking nothing leaves nothing in the kernel either: its
-// connection is reset, and not kept until the kernel gives up too.
+// A client that is closed because it does not read gets a reset, so that the kernel does not keep
+// its unread bytes until TCP gives up.
 func TestSlowReaderIsReset(t *testing.T) {
 	had := testClasses[1].KB
 	testClasses[1].KB = 3000
@@ -499,14 +499,14 @@
 	conn := rig.dial()
 	conn.(*net.TCPConn).SetReadBuffer(4096)
 	fmt.Fprintf(conn, "GET /v/1/big/0 HTTP/1.1\r\nHost: h\r\n\r\n")
-	rig.waitFor("the cut", func(*Stats, *engine.Core) bool { return rig.edge.guard.counts[limits.SlowReader] == 1 })
+	rig.waitFor("the slow reader to be closed", func(*Stats, *engine.Core) bool { return rig.edge.guard.counts[limits.SlowReader] == 1 })
 	conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if _, err := io.Copy(io.Discard, conn); !errors.Is(err, unix.ECONNRESET) {
-		t.Errorf("it ended with %v, and not a reset", err)
+		t.Errorf("connection ended with %v, want a reset", err)
 	}
 }
 
-// failingDescriptors fails two of three calls for a descriptor.
+// failingDescriptors makes two of three calls that open a descriptor fail.
 type failingDescriptors struct {
 	eventloop.KernelCalls
 	errno            unix.Errno
@@ -527,8 +527,8 @@
 	return s.KernelCalls.Socket(family)
 }
 
-// Calls that fail for want of descriptors or memory are made again, and nobody is
-// blamed: no connection is lost, no member is taken for gone.
+// System calls that fail for want of descriptors or memory are repeated. No connection is lost, and
+// no failure is attributed to a member.
 func TestLocalShortage(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM} {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
@@ -548,20 +548,20 @@
 			wg.Wait()
 			rig.edge.Query(func(s *Stats, _ *engine.Core) {
 				if s.AcceptPauses == 0 || s.ConnectWaits == 0 || s.AcceptPauses > 100 {
-					t.Errorf("%d pauses of accepting, %d of connecting: %d and %d calls", s.AcceptPauses, s.ConnectWaits, failing.accepts, failing.sockets)
+					t.Errorf("%d accept pauses and %d connect waits after %d and %d calls", s.AcceptPauses, s.ConnectWaits, failing.accepts, failing.sockets)
 				}
 			})
 			rig.logMu.Lock()
 			if strings.Contains(rig.log.String(), "connect-failed") {
-				t.Errorf("a member is blamed: %s", rig.log)
+				t.Errorf("a local shortage was reported as a failed connect: %s", rig.log)
 			}
 			rig.logMu.Unlock()
 		})
 	}
 }
 
-// A process that may have 256 descriptors serves three times as many clients as they
-// suffice for, without blaming a member and without a spin.
+// A process with 256 descriptors serves three times as many clients as these suffice for. It does
+// not attribute the shortage to a member, and its loop does not spin.
 func TestFewFilesProcess(t *testing.T) {
 	if address := os.Getenv("SPOOL_TEST_FEW_FILES"); address != "" {
 		if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: 256, Max: 256}); err != nil {
@@ -596,22 +596,22 @@
 	if _, err := fmt.Fscanf(stdout, "at %s\n", &address); err != nil {
 		t.Fatal(err, log.String())
 	}
-	used := func() float64 { // seconds of its processor's time
+	used := func() float64 { // CPU time of the process, in seconds
 		stat, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", cmd.Process.Pid))
 		fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
-		a, _ := strconv.ParseFloat(fields[11], 64)
-		client, _ := strconv.ParseFloat(fields[12], 64)
-		return (a + client) / 100
+		user, _ := strconv.ParseFloat(fields[11], 64)
+		system, _ := strconv.ParseFloat(fields[12], 64)
+		return (user + system) / 100
 	}
-	for _, stat := range rig.caches { // so that attempts are out at the same time
-		stat.Fault(testserver.Fault{Kind: testserver.Hang, For: 700})
+	for _, cache := range rig.caches { // so that the attempts overlap
+		cache.Fault(testserver.Fault{Kind: testserver.Hang, For: 700})
 	}
 	var wg sync.WaitGroup
 	var good, refused, wrong atomic.Int64
 	var conns []net.Conn
 	for range 200 {
-		if client, err := net.Dial("tcp4", address); err == nil {
-			conns = append(conns, client)
+		if conn, err := net.Dial("tcp4", address); err == nil {
+			conns = append(conns, conn)
 		}
 	}
 	time.Sleep(300 * time.Millisecond) // until they count as idle
@@ -639,32 +639,32 @@
 	before := used()
 	time.Sleep(time.Second)
 	spent := used() - before
-	for _, client := range conns {
-		client.Close()
+	for _, conn := range conns {
+		conn.Close()
 	}
 	stdin.Close()
 	if err := cmd.Wait(); err != nil {
 		t.Error(err, log.String())
 	}
-	t.Logf("%d served, %d refused, %d went wrong; %.2f s of the processor in an idle second", good.Load(), refused.Load(), wrong.Load(), spent)
-	// one who is refused before it has been read may see a reset instead of the answer
+	t.Logf("%d served, %d rejected, %d failed; %.2f s of CPU time in an idle second", good.Load(), refused.Load(), wrong.Load(), spent)
+	// A client that is rejected before its request was read may see a reset instead of the response.
 	if good.Load() < 50 || wrong.Load() > 100 || spent > 0.5 || strings.Contains(log.String(), "connect-failed") {
-		t.Errorf("%d served, %d refused, %d went wrong; %.2f s of the processor in an idle second\n%.3000s", good.Load(), refused.Load(), wrong.Load(), spent, log.String())
+		t.Errorf("%d served, %d rejected, %d failed; %.2f s of CPU time in an idle second\n%.3000s", good.Load(), refused.Load(), wrong.Load(), spent, log.String())
 	}
 }
 
-// While turning away takes too much time, connections that were turned away are read
-// again a little later: what they ask then is answered, and none is forgotten.
+// While rejections take too much of the router's time, reading from rejected clients is paused.
+// Their later requests are answered once reading resumes.
 func TestPausedReading(t *testing.T) {
 	rig := newRig(t, 1, "(held 1)")
 	rig.caches["b0"].Fault(testserver.Fault{Kind: testserver.Hang, For: 600})
-	admitted := rig.dial() // it takes the one place
+	admitted := rig.dial() // its request uses up the limit of 1
 	fmt.Fprintf(admitted, "GET /s/1/in HTTP/1.1\r\nHost: h\r\n\r\n")
-	rig.waitFor("the one in hand", func(*Stats, *engine.Core) bool { return len(rig.edge.requests) == 1 })
+	rig.waitFor("the admitted request", func(*Stats, *engine.Core) bool { return len(rig.edge.requests) == 1 })
 	rig.edge.Query(func(*Stats, *engine.Core) {
 		rig.edge.guard.admission.Adopt(limits.AdmissionSettings{Target: 20, Interval: 100, MinInFlight: 1, MaxInFlight: 1})
-		rig.edge.settings.Limits.Held = 100 // so that it is the limit that refuses
-		for range 4 {                       // as if refusing had taken all of the time
+		rig.edge.settings.Limits.Held = 100 // so that the adaptive limit rejects
+		for range 4 {                       // as if rejections had taken all of the time
 			rig.edge.guard.readPause.AddCost(1e6)
 			rig.edge.guard.readPause.Tick(rig.edge.loop.Now() + 1e5)
 		}
@@ -690,15 +690,15 @@
 			t.Fatalf("%q", got)
 		}
 	}
-	held := 0
-	rig.edge.Query(func(*Stats, *engine.Core) { held = len(rig.edge.guard.pausedClients) })
-	if held != 20 {
-		t.Errorf("%d of 20 are held back", held)
+	paused := 0
+	rig.edge.Query(func(*Stats, *engine.Core) { paused = len(rig.edge.guard.pausedClients) })
+	if paused != 20 {
+		t.Errorf("reading is paused for %d of 20 clients", paused)
 	}
 	if got := answer(admitted); !strings.HasPrefix(got, "200") {
-		t.Errorf("the one in hand: %q", got)
+		t.Errorf("the admitted request: %q", got)
 	}
-	for _, conn := range conns { // one after another, as there is one place
+	for _, conn := range conns { // one after another, because of the limit
 		fmt.Fprintf(conn, "GET /s/1/again HTTP/1.1\r\nHost: h\r\n\r\n")
 		if got := answer(conn); !strings.HasPrefix(got, "200") {
 			t.Fatalf("%q", got)
--- a/internal/proxy/httpfront/handover_test.go
+++ b/internal/proxy/httpfront/handover_test.go
@@ -25,24 +25,25 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// restartRig is routers of a rig that take over from one another.
+// restartRig is a testRig whose routers take over from one another.
 type restartRig struct {
 	*testRig
 	handoverPath string
 	journalDir   string
 	settings     *config.Settings
-	current      *Edge
-	ended        chan error
-	running      int // that run
+	current      *Edge      // the router that serves
+	ended        chan error // receives the result of each Run
+	running      int        // routers whose Run has not returned
 }
 
+// newRestartRig starts a rig, and the first of its routers.
 func newRestartRig(t *testing.T, boxes int, limits string) *restartRig {
 	dir := t.TempDir()
 	rig := &restartRig{testRig: newRig(t, boxes, limits), handoverPath: filepath.Join(dir, "handover"), journalDir: filepath.Join(dir, "journal")}
-	rig.testRig.stop() // the relay has its own routers
+	rig.testRig.stop() // the restartRig runs its own routers
 	rig.settings = &config.Settings{}
 	text := strings.Replace(fmt.Sprintf(routerSettings, rig.listService.Addr(), limits), "(zone z) (listen", fmt.Sprintf("(zone z) (handover %q) (journal %q) (listen", rig.handoverPath, rig.journalDir), 1)
-	if err := config.Read("relay.edn", text, rig.settings); err != nil {
+	if err := config.Read("restart.edn", text, rig.settings); err != nil {
 		t.Fatal(err)
 	}
 	rig.ended = make(chan error, 100)
@@ -55,7 +56,7 @@
 	return rig
 }
 
-// startNext starts a router, which takes over from the one there is.
+// startNext starts a router, which takes over from the current one.
 func (r *restartRig) startNext() *Edge {
 	r.t.Helper()
 	edge, err := TakeOver(r.settings, newAccessLog(lockedWriter{&r.logMu, r.log}, 10000, "info"))
@@ -84,8 +85,9 @@
 	}
 }
 
-// sendRequests asks along, on connections that are kept and on new ones, and counts what is
-// not a whole good answer.
+// sendRequests sends requests for a number of users until stop is set, on persistent and on new
+// connections. wait returns how many were sent, how many did not get a complete 200 response, and
+// the first failure.
 func (r *restartRig) sendRequests(users int, stop *atomic.Bool) (wait func() (asked, bad int64, first string)) {
 	var wg sync.WaitGroup
 	var asked, bad atomic.Int64
@@ -132,9 +134,9 @@
 	}
 }
 
-// Ten routers one after the other, under load, with a purge in the middle of each
-// change: no connection is refused, no request lost, refused or run twice, and kept
-// connections go on at the successor.
+// Ten restarts one after the other, under load and with a purge during each. No connection is
+// refused, no request is lost, rejected or run twice, and persistent connections continue at the
+// successor.
 func TestTenRestarts(t *testing.T) {
 	rig := newRestartRig(t, 3, "")
 	var stop atomic.Bool
@@ -144,7 +146,7 @@
 		time.Sleep(60 * time.Millisecond)
 		old := rig.current
 		purged := make(chan bool, 1)
-		go func() { // while it changes
+		go func() { // during the restart
 			path := fmt.Sprintf("/s/1/u%d", i)
 			made := rig.origin.Purge(path, 0, 0)
 			rig.listService.Purge(path, 0, made)
@@ -157,16 +159,16 @@
 		if !rig.waitEnded() {
 			t.Fatal("the predecessor does not end")
 		}
-		handed += old.stats.HandedOut // it has ended: nobody writes them
+		handed += old.stats.HandedOut // no data race, since its loop has ended
 		<-purged
 	}
 	stop.Store(true)
 	asked, bad, first := wait()
 	if bad > 0 || asked < 500 {
-		t.Errorf("%d of %d went wrong; the first: %s", bad, asked, first)
+		t.Errorf("%d of %d requests failed; the first: %s", bad, asked, first)
 	}
 	if handed < 20 {
-		t.Errorf("%d connections were passed on", handed)
+		t.Errorf("%d connections were handed over, want at least 20", handed)
 	}
 	ran := map[string]int{}
 	for _, record := range rig.records.Records() {
@@ -185,13 +187,13 @@
 	defer reader.Close()
 	report, err := replay.Run(reader, nil)
 	if err != nil || !report.OK() || report.Lives != 11 || len(report.Gaps) > 0 {
-		t.Errorf("the journal over all of them: %v %+v %+v", err, report, report.First)
+		t.Errorf("journal of all routers: %v %+v %+v", err, report, report.First)
 	}
 }
 
-// Three restarts in the middle of a flood of those who ask for footage and take nothing:
-// who is known to be of them is known to each successor, and the others' requests are
-// served, none refused, lost or run twice.
+// Three restarts during a flood of clients that request large objects and do not read them. Each
+// successor inherits the poor reputation of their addresses, and the requests of other clients are
+// served; none is rejected, lost or run twice.
 func TestRestartsUnderFlood(t *testing.T) {
 	had := testClasses[1].KB
 	testClasses[1].KB = 3000
@@ -215,7 +217,7 @@
 				}
 				conn.(*net.TCPConn).SetReadBuffer(4096)
 				fmt.Fprintf(conn, "GET /v/1/big%d/0 HTTP/1.1\r\nHost: h\r\n\r\n", i%5)
-				for range 30 { // an answer is not taken; a refusal, or the end, is seen
+				for range 30 { // reads only the first bytes, to notice a rejection or the end
 					time.Sleep(100 * time.Millisecond)
 					conn.SetReadDeadline(time.Now().Add(time.Millisecond))
 					one := make([]byte, 12)
@@ -248,7 +250,7 @@
 		time.Sleep(200 * time.Millisecond)
 		rig.startNext()
 		if known := poor(); known < 10 {
-			t.Errorf("of 12 poor addresses the successor knows %d", known)
+			t.Errorf("the successor knows %d of 12 addresses of poor reputation", known)
 		}
 		if !rig.waitEnded() {
 			t.Fatal("the predecessor does not end")
@@ -257,7 +259,7 @@
 	stop.Store(true)
 	asked, bad, first := wait()
 	if bad > 0 || asked < 200 {
-		t.Errorf("%d of %d went wrong; the first: %s", bad, asked, first)
+		t.Errorf("%d of %d requests failed; the first: %s", bad, asked, first)
 	}
 	ran := map[string]int{}
 	for _, record := range rig.records.Records() {
@@ -269,9 +271,9 @@
 	}
 }
 
-// A router that is taken over from while its own predecessor still drains stays until
-// that one has ended: a connection passed on through both goes on at the last of them,
-// and a purge that came to the last is known to the first.
+// A router hands over while its own predecessor still drains. It runs until that one has ended, so
+// that a connection of the first router continues at the third, and a purge at the third reaches
+// the first.
 func TestOverlappingRestarts(t *testing.T) {
 	rig := newRestartRig(t, 2, "")
 	first := rig.current
@@ -281,7 +283,7 @@
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(8 * time.Second))
-	fmt.Fprint(conn, "POST /o/held HTTP/1.1\r\nHost: h\r\nIdempotency-Key: held\r\nContent-Length: 4\r\n\r\nab") // it holds the first one up
+	fmt.Fprint(conn, "POST /o/held HTTP/1.1\r\nHost: h\r\nIdempotency-Key: held\r\nContent-Length: 4\r\n\r\nab") // incomplete, so that the first router keeps draining
 	held := func() (n int) {
 		first.Query(func(*Stats, *engine.Core) { n = len(first.clients) })
 		return n
@@ -294,7 +296,7 @@
 	}
 	rig.startNext()
 	third := rig.startNext()
-	time.Sleep(150 * time.Millisecond) // the second has nothing of its own to stay for
+	time.Sleep(150 * time.Millisecond) // the second router has no connections, and would end without the first
 	purges := func() (n uint64) {
 		first.Query(func(s *Stats, _ *engine.Core) { n = s.Purges })
 		return n
@@ -308,7 +310,7 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	if purges() == had {
-		t.Error("a purge at the third is not known to the first, which still drains")
+		t.Error("a purge at the third router did not reach the first, which still drains")
 	}
 	reader := bufio.NewReader(conn)
 	for i, ask := range []string{"cd", "GET /s/1/a HTTP/1.1\r\nHost: h\r\n\r\n", "GET /s/1/b HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"} {
@@ -329,15 +331,16 @@
 	}
 }
 
-// A successor that goes before it serves changes nothing, and the next one takes over.
+// After a successor has failed before it served, the predecessor serves on, and the next successor
+// takes over.
 func TestSuccessorFails(t *testing.T) {
 	rig := newRestartRig(t, 2, "(successor 400)")
-	for _, how := range []string{"goes", "hangs"} {
+	for _, how := range []string{"aborts", "hangs"} {
 		inherited, err := hotrestart.TakeOver(rig.handoverPath)
 		if err != nil || inherited.Listener == 0 || len(inherited.LearnedState) == 0 {
 			t.Fatal(how, err)
 		}
-		if how == "goes" {
+		if how == "aborts" {
 			inherited.Abort()
 		}
 		for i := range 5 {
@@ -347,10 +350,10 @@
 		}
 		time.Sleep(600 * time.Millisecond)
 		inherited.Abort()
-		left := true
-		rig.current.Query(func(*Stats, *engine.Core) { left = rig.current.handingOver || rig.current.draining })
-		if left {
-			t.Errorf("%s: the predecessor still thinks that it leaves", how)
+		leaving := true
+		rig.current.Query(func(*Stats, *engine.Core) { leaving = rig.current.handingOver || rig.current.draining })
+		if leaving {
+			t.Errorf("successor %s: the predecessor is still handing over", how)
 		}
 	}
 	old := rig.current
@@ -358,15 +361,15 @@
 		t.Fatal("the predecessor does not end")
 	}
 	if old.Addr() != rig.current.Addr() {
-		t.Errorf("%s became %s", old.Addr(), rig.current.Addr())
+		t.Errorf("the address %s has changed to %s", old.Addr(), rig.current.Addr())
 	}
 	if res, _, err := rig.get("/s/1/after"); err != nil || res.StatusCode != 200 {
 		t.Fatal(res, err)
 	}
 }
 
-// A memory that is damaged is not used, and the router starts as new, on the socket
-// that it was given.
+// If the learned state of the predecessor is corrupt, the router starts without it, but on the
+// inherited socket.
 func TestCorruptLearnedState(t *testing.T) {
 	rig := newRestartRig(t, 1, "")
 	rig.current.Stop()
@@ -395,14 +398,14 @@
 	sender := <-served
 	file.Close()
 	if rig.current.Addr() != listener.Addr().String() {
-		t.Errorf("it listens at %s, given was %s", rig.current.Addr(), listener.Addr())
+		t.Errorf("router listens at %s, inherited %s", rig.current.Addr(), listener.Addr())
 	}
 	for i := range 5 {
 		if res, _, err := rig.get(fmt.Sprintf("/s/1/%d", i)); err != nil || res.StatusCode != 200 {
 			t.Fatal(res, err)
 		}
 	}
-	// a connection and a purge that the predecessor passes on
+	// A connection and a purge that the predecessor passes on.
 	conn, err := net.Dial("tcp4", rig.current.Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -413,22 +416,22 @@
 		t.Fatal(err)
 	}
 	if !sender.SendNote(&engine.Purge{Object: "/s/1/0"}) || !sender.SendConn(pair[0]) {
-		t.Error("nothing can be passed on")
+		t.Error("cannot pass on a purge or a connection")
 	}
 	unix.Write(pair[1], []byte("GET /s/1/0 HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"))
 	answer, _ := io.ReadAll(os.NewFile(uintptr(pair[1]), "pair"))
 	if !strings.HasPrefix(string(answer), "HTTP/1.1 200") {
-		t.Errorf("a passed connection was answered %.60q", answer)
+		t.Errorf("response on a passed connection: %.60q", answer)
 	}
 	sender.Close()
 	rig.logMu.Lock()
 	defer rig.logMu.Unlock()
 	if !strings.Contains(rig.log.String(), "cannot decode the predecessor's learned state; starting without it") {
-		t.Error("nothing is said of the memory")
+		t.Error("no warning about the learned state")
 	}
 }
 
-// Nobody there, or the socket of one that was killed: the router starts as new.
+// Without a predecessor, or with the socket of one that was killed, there is nothing to take over.
 func TestNoPredecessor(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "h")
 	if _, err := hotrestart.TakeOver(path); !errors.Is(err, hotrestart.ErrNoPredecessor) {
--- a/internal/proxy/httpfront/page_test.go
+++ b/internal/proxy/httpfront/page_test.go
@@ -17,7 +17,7 @@
 	"indigospool/internal/proxy/engine"
 )
 
-// pageRig is a member that has pages and fragments, and notes what it is asked for.
+// pageRig is a testRig with a member that serves pages and fragments, and records the requests.
 type pageRig struct {
 	*testRig
 	server         *httptest.Server
@@ -25,7 +25,7 @@
 	requestCounts  map[string]int
 	requestHeaders map[string]http.Header
 	handlers       map[string]func(w http.ResponseWriter, r *http.Request)
-	cancelled      map[string]int // asks that were given up while they were out
+	cancelled      map[string]int // requests that were cancelled before they were answered
 }
 
 const surrogateControl = `content="ESI/1.0"`
@@ -87,7 +87,7 @@
 	return s.requestCounts[path]
 }
 
-// request is a request of a page's client.
+// request sends a client's request, with the fields given as names and values in turn.
 func (s *pageRig) request(method, path string, fields ...string) (*http.Response, string, error) {
 	s.t.Helper()
 	req, _ := http.NewRequest(method, "http://"+s.edge.Addr()+path, nil)
@@ -117,8 +117,8 @@
 	return `<esi:include src="` + path + `"` + strings.Join(more, "") + `/>`
 }
 
-// Pages as clients get them: fragments in order, the same ten times asked for once, with
-// alternatives and without; what stands around; nested; compressed.
+// Pages are assembled: fragments appear in order, and one that is included ten times is fetched once.
+// Alternatives, onerror and try work, and so do nested and compressed pages and fragments.
 func TestPages(t *testing.T) {
 	rig := newPageRig(t, "", "")
 	rig.serve("/p/1/a", "<h>"+strings.Repeat(include("/s/1/x"), 10)+include("/s/1/no", ` alt="/s/1/y"`)+include("/s/1/none", ` onerror="continue"`)+
@@ -127,7 +127,7 @@
 	rig.serve("/s/1/y", "y")
 	res := rig.mustServe("/p/1/a", "<h>xxxxxxxxxxyE</h>", "Cookie", "secret=1", "Accept-Encoding", "br")
 	if n := rig.count("/s/1/x"); n != 1 {
-		t.Errorf("a fragment that is named ten times was asked for %d times", n)
+		t.Errorf("a fragment that is included ten times was fetched %d times", n)
 	}
 	if c := res.Header["Set-Cookie"]; len(c) != 1 || c[0] != "t=1" || res.Header.Get("Surrogate-Control") != "" {
 		t.Errorf("head %v", res.Header)
@@ -135,7 +135,7 @@
 	rig.mu.Lock()
 	for path, h := range rig.requestHeaders {
 		if h.Get("Cookie") != "" || h.Get("Accept-Encoding") != "gzip" || !strings.Contains(h.Get("Surrogate-Capability"), `="ESI/1.0"`) {
-			t.Errorf("%s was asked for with %v", path, h)
+			t.Errorf("%s was requested with %v", path, h)
 		}
 	}
 	rig.mu.Unlock()
@@ -149,7 +149,7 @@
 	}
 	rig.serve("/p/1/z", zip("[<esi:vars>$(QUERY_STRING{q})</esi:vars>"+include("/p/1/in")+"]"), "Content-Encoding", "gzip")
 	rig.serve("/p/1/in", zip("in"+include("/s/1/big")), "Content-Encoding", "gzip")
-	big := strings.Repeat("0123456789abcdef", 20<<10) // 320 KB: it streams
+	big := strings.Repeat("0123456789abcdef", 20<<10) // 320 KB, which is streamed
 	rig.serve("/s/1/big", big)
 	rig.mustServe("/p/1/z?q=%3Cb%3E", "[%3Cb%3Ein"+big+"]")
 	bomb := zip(strings.Repeat("x", 4<<20))
@@ -157,7 +157,7 @@
 	rig.serve("/s/1/bomb", bomb, "Content-Encoding", "gzip")
 	rig.mustServe("/p/1/bomb", "ab")
 
-	// what says nothing of ESI goes on as it is, and so does what is no page's class
+	// A response that does not request ESI is relayed unprocessed, as is one of another class.
 	rig.serve("/p/1/plain", "<esi:include src='/s/1/x'/>", "Surrogate-Control", "max-age=5", "ETag", `"e"`)
 	if res := rig.mustServe("/p/1/plain", "<esi:include src='/s/1/x'/>"); res.Header.Get("ETag") != `"e"` || res.ContentLength != 27 {
 		t.Error(res.Header, res.ContentLength)
@@ -168,40 +168,41 @@
 		t.Error(res.Status)
 	}
 
-	// a required fragment is missing: an answer that says so, or one that is seen to be cut
+	// Without a required fragment the page is an error response, or visibly incomplete.
 	rig.serve("/p/1/m", include("/s/1/none"))
 	if res, _, err := rig.request("GET", "/p/1/m"); err != nil || res.StatusCode != 502 || !strings.Contains(res.Header.Get("Cache-Status"), "detail=page") {
 		t.Error(res, err)
 	}
 	rig.serve("/p/1/m2", "begun"+include("/s/1/none"))
 	if _, got, err := rig.request("GET", "/p/1/m2"); err == nil {
-		t.Errorf("it ends as if it were whole: %q", got)
+		t.Errorf("incomplete page seems complete: %q", got)
 	}
 	rig.serve("/p/1/mal", "a<esi:what/>")
 	if res, _, err := rig.request("GET", "/p/1/mal"); err == nil && res.StatusCode != 502 {
 		t.Error(res, err)
 	}
-	// a HEAD that fails has no body: what follows on the connection is the next answer
+	// The response to a HEAD that fails has no body, so that the next response follows its head.
 	got := rig.exchange("HEAD /p/1/m HTTP/1.1\r\nHost: h\r\n\r\nHEAD /p/1/absent HTTP/1.1\r\nHost: h\r\n\r\nGET /p/1/a HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
 	reader := bufio.NewReader(strings.NewReader(got))
 	for i, method := range []string{"HEAD", "HEAD", "GET"} {
 		res, err := http.ReadResponse(reader, &http.Request{Method: method})
 		if err != nil {
-			t.Fatalf("answer %d: %v in %.600q", i, err, got)
+			t.Fatalf("response %d: %v in %.600q", i, err, got)
 		}
 		b, err := io.ReadAll(res.Body)
 		if i < 2 && res.StatusCode < 400 || i == 2 && string(b) != "<h>xxxxxxxxxxyE</h>" {
-			t.Errorf("answer %d: %v %q %v", i, res.Status, b, err)
+			t.Errorf("response %d: %v %q %v", i, res.Status, b, err)
 		}
 	}
 	rig.edge.Query(func(st *Stats, c *engine.Core) {
 		if len(rig.edge.requests) > 0 || len(rig.edge.pages) > 0 {
-			t.Errorf("%d requests, %d pages are left", len(rig.edge.requests), len(rig.edge.pages))
+			t.Errorf("%d requests and %d pages remain", len(rig.edge.requests), len(rig.edge.pages))
 		}
 	})
 }
 
-// What clients ask of the whole: HEAD, ranges, conditions; how long it may be kept.
+// HEAD, ranges and conditions apply to the assembled page, and its head combines the freshness and
+// the validators of the template and the fragments.
 func TestPageHeads(t *testing.T) {
 	rig := newPageRig(t, "", "")
 	rig.serve("/p/1/a", "0123"+include("/s/1/x")+"89", "Cache-Control", "max-age=60", "ETag", `"t1"`, "Last-Modified", "Tue, 01 Dec 2026 10:00:00 GMT")
@@ -241,11 +242,11 @@
 	rig.mu.Lock()
 	for path, h := range rig.requestHeaders {
 		if h.Get("Range")+h.Get("If-None-Match")+h.Get("If-Modified-Since") != "" {
-			t.Errorf("%s was asked for with %v", path, h)
+			t.Errorf("%s was requested with %v", path, h)
 		}
 	}
 	rig.mu.Unlock()
-	rig.serve("/s/1/x", "4567", "Cache-Control", "private, max-age=30") // of another version: no tag
+	rig.serve("/s/1/x", "4567", "Cache-Control", "private, max-age=30") // without a tag, the page has none either
 	if res, _, _ = rig.request("HEAD", "/p/1/a"); !strings.HasPrefix(res.Header.Get("Cache-Control"), "private") || res.Header.Get("ETag") != "" {
 		t.Error(res.Header)
 	}
@@ -255,8 +256,8 @@
 	}
 }
 
-// One fragment never answers: the page is in time without it, or with its alternative;
-// nothing is left out for it.
+// A fragment is never answered. The page is complete in time with its alternative, or without it,
+// and no request remains.
 func TestHangingFragment(t *testing.T) {
 	rig := newPageRig(t, "", "")
 	rig.handle("/s/1/hang", func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
@@ -277,11 +278,10 @@
 	if res, _, err := rig.request("GET", "/p/1/b", "Spool-Deadline", "600"); err != nil || res.StatusCode != 504 {
 		t.Error(res, err)
 	}
-	rig.waitFor("nothing to be left", func(*Stats, *engine.Core) bool { return len(rig.edge.requests) == 0 && len(rig.edge.pages) == 0 })
+	rig.waitFor("the end of all requests", func(*Stats, *engine.Core) bool { return len(rig.edge.requests) == 0 && len(rig.edge.pages) == 0 })
 }
 
-// 200 fragments, at most 8 of them at once; and the client hears the first before the
-// last is there.
+// A page of 200 fragments fetches 8 of them at a time at most.
 func TestManyFragments(t *testing.T) {
 	rig := newPageRig(t, "", "")
 	var text, want strings.Builder
@@ -305,12 +305,12 @@
 	rig.serve("/p/1/a", text.String())
 	rig.mustServe("/p/1/a", want.String())
 	if maxInFlight > 8 || maxInFlight < 4 {
-		t.Errorf("%d were out at once", maxInFlight)
+		t.Errorf("%d fragments in flight at once, want 4 to 8", maxInFlight)
 	}
 }
 
-// A purge while the page is put together: a fragment that is here, and has not been sent,
-// is asked for again, and the old one is not sent; a template begins anew.
+// Purges during the assembly. A fragment that was received, but not sent, is fetched again, and the
+// old copy is not sent. A purged template is fetched again.
 func TestPurgeOfFragment(t *testing.T) {
 	rig := newPageRig(t, "", "")
 	let := make(chan bool)
@@ -323,22 +323,23 @@
 	time.Sleep(50 * time.Millisecond)
 	rig.serve("/s/2/thumb", "new")
 	rig.listService.Purge("/s/2/thumb", 0, 0)
-	rig.waitFor("it to be asked for again", func(*Stats, *engine.Core) bool { return rig.count("/s/2/thumb") == 2 })
+	rig.waitFor("the fragment to be fetched again", func(*Stats, *engine.Core) bool { return rig.count("/s/2/thumb") == 2 })
 	let <- true
 	if b := <-got; b != "Snew<nil>" {
-		t.Errorf("the client has %q", b)
+		t.Errorf("the client got %q", b)
 	}
 	go func() { _, b, err := rig.request("GET", "/p/3/a"); got <- fmt.Sprint(b, err) }()
 	rig.waitFor("the fragment", func(*Stats, *engine.Core) bool { return rig.count("/s/1/slow") == 2 })
 	rig.serve("/p/3/a", "anew"+include("/s/2/thumb"))
 	rig.listService.Purge("/p/3/a", 0, 0)
 	if b := <-got; b != "anewnew<nil>" {
-		t.Errorf("the client has %q", b)
+		t.Errorf("the client got %q", b)
 	}
 	close(let)
 }
 
-// A client that leaves half-way: what is out for it ends, and nothing more is asked for.
+// When the client leaves during the assembly, the open requests for fragments are cancelled, and no
+// more are sent.
 func TestPageClientLeaves(t *testing.T) {
 	rig := newPageRig(t, "", "(parallel 2)")
 	for i := range 6 {
@@ -349,18 +350,18 @@
 	fmt.Fprint(conn, "GET /p/1/a HTTP/1.1\r\nHost: h\r\n\r\n")
 	rig.waitFor("two fragments", func(*Stats, *engine.Core) bool { return rig.count("/s/1/h0")+rig.count("/s/1/h1") == 2 })
 	conn.Close()
-	rig.waitFor("nothing to be out", func(*Stats, *engine.Core) bool {
+	rig.waitFor("the cancelled fragments", func(*Stats, *engine.Core) bool {
 		rig.mu.Lock()
 		defer rig.mu.Unlock()
 		return len(rig.edge.requests) == 0 && len(rig.edge.pages) == 0 && rig.cancelled["/s/1/h0"]+rig.cancelled["/s/1/h1"] == 2
 	})
 	if n := rig.count("/s/1/h2") + rig.count("/s/1/h3"); n > 0 {
-		t.Errorf("%d were asked for after the client had gone", n)
+		t.Errorf("%d fragments were fetched after the client had left", n)
 	}
 }
 
-// A slow client while fragments pile up: what is held stays bounded, and the page comes
-// whole in the end.
+// For a slow client the buffered fragments stay bounded, and the page is complete in the end, even
+// after its deadline.
 func TestPageSlowClient(t *testing.T) {
 	rig := newPageRig(t, "(socket-kb 256)", "(held-kb 64) (whole-kb 16)")
 	part := strings.Repeat("0123456789abcdef", 8<<10) // 128 KB
@@ -387,13 +388,13 @@
 		}
 	})
 	if held == 0 || held > 64<<10+8*128<<10+128<<10 {
-		t.Errorf("%d bytes are held", held)
+		t.Errorf("%d bytes are buffered", held)
 	}
 	res, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(time.Second) // its own time: past the page's deadline
+	time.Sleep(time.Second) // past the page's deadline
 	b, err := io.ReadAll(res.Body)
 	if err != nil || string(b) != strings.Repeat(part, 24) {
 		t.Errorf("%d bytes, %v", len(b), err)
--- a/internal/proxy/httpfront/syscalls_test.go
+++ b/internal/proxy/httpfront/syscalls_test.go
@@ -18,10 +18,11 @@
 	"indigospool/internal/testbed/faultinject"
 )
 
-// inFlight is how many requests are in hand while calls fail.
+// inFlight is the number of requests in flight while calls fail.
 const inFlight = 100
 
-// twoRequestsEach makes two requests on each of inFlight connections, and reports what is lost.
+// twoRequestsEach sends two requests on each of inFlight connections, and fails the test for each
+// that gets no complete 200 response.
 func (r *testRig) twoRequestsEach() {
 	var wg sync.WaitGroup
 	for i := range inFlight {
@@ -32,7 +33,7 @@
 				fmt.Fprintf(conn, "GET /s/1/%d-%d HTTP/1.1\r\nHost: h\r\n\r\n", i, n)
 				answer, err := http.ReadResponse(reader, nil)
 				if err != nil {
-					r.t.Errorf("request %d of connection %d is lost: %v", n, i, err)
+					r.t.Errorf("request %d of connection %d was lost: %v", n, i, err)
 					return
 				}
 				if _, err := io.Copy(io.Discard, answer.Body); err != nil || answer.StatusCode != 200 {
@@ -44,7 +45,7 @@
 	wg.Wait()
 }
 
-// injectFault has the router's calls of a kind injectFault: what is a reading of time counts from the first
+// injectFault makes the router's system calls of one kind fail. Times in how count from the first
 // such call.
 func (r *testRig) injectFault(call faultinject.Call, how string) (calls *faultinject.Syscalls) {
 	faults, err := faultinject.Parse(fmt.Sprintf("%s:%s", call, how))
@@ -62,10 +63,10 @@
 	return calls
 }
 
-// Whatever a system call fails with for a moment, and for however long, no request is lost, no
-// connection closed and no member blamed, and the loop does not spin.
+// While a system call fails once or for some time, with any of its transient errors, no request is
+// lost, no connection is closed, no failure is attributed to a member, and the loop does not spin.
 func TestTransientCallFailures(t *testing.T) {
-	const perSecond = 1500 // turns, and calls for a new connection
+	const perSecond = 1500 // most turns of the loop, and most calls that open a connection
 	errors := map[faultinject.Call]string{
 		faultinject.Accept:  "ECONNABORTED EMFILE ENFILE ENOBUFS ENOMEM EPERM ENETUNREACH EPROTO EINTR",
 		faultinject.Socket:  "EMFILE ENFILE ENOBUFS ENOMEM EINTR",
@@ -87,14 +88,14 @@
 					seconds := time.Since(began).Seconds()
 					most := int(perSecond*seconds) + 40*inFlight
 					made, failed := calls.Counts(call)
-					moves := call == faultinject.Read || call == faultinject.Write // one for each connection and turn
+					moves := call == faultinject.Read || call == faultinject.Write // made for each connection and turn
 					if turns := int(rig.loopTurns() - before); turns > most || made > most && !moves || failed == 0 {
 						t.Errorf("%d turns in %.1f s, %d calls of which %d failed", turns, seconds, made, failed)
 					}
 					rig.logMu.Lock()
 					defer rig.logMu.Unlock()
 					if strings.Contains(rig.log.String(), "connect-failed") {
-						t.Error("a member is blamed")
+						t.Error("a local failure was reported as a failed connect")
 					}
 				})
 			}
@@ -102,7 +103,7 @@
 	}
 }
 
-// All at once, now and then, with writes among the requests: each is answered.
+// While all kinds of system calls fail at random, every request is answered, writes included.
 func TestRandomCallFailures(t *testing.T) {
 	rig := newRig(t, 2, "(connections-per-address 5000)")
 	rig.injectFault(faultinject.Accept, "ECONNABORTED:0.3; accept:ENFILE:0.2; socket:EMFILE:0.2; connect:EADDRNOTAVAIL:0.2;"+
@@ -126,14 +127,15 @@
 	return loopTurns
 }
 
-// failingUpstreams has every third call on a connection to a member fail with errno, at most ten in all.
+// failingUpstreams makes every third read or write on connections to members fail with errno, ten
+// at most.
 type failingUpstreams struct {
 	eventloop.KernelCalls
 	errno       unix.Errno
-	memberPorts map[int]bool // their ports
+	memberPorts map[int]bool
 	calls       int
 	failed      atomic.Int64
-	failWrites  bool // otherwise reads
+	failWrites  bool // if not set, reads fail
 }
 
 func (b *failingUpstreams) fails(fd int) bool {
@@ -169,7 +171,7 @@
 	return b.KernelCalls.WriteTwo(fd, first, second)
 }
 
-// A connection to a member that is broken costs its attempt, and no request.
+// A connection to a member that fails ends its attempt, but no request is lost.
 func TestFailingUpstreams(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNRESET, unix.EPIPE, unix.ENETUNREACH} {
 		for _, write := range []bool{false, true} {
--- a/internal/proxy/httpfront/versions_test.go
+++ b/internal/proxy/httpfront/versions_test.go
@@ -22,16 +22,17 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// versionRig is a router that follows a control service of its own, with boxes,
-// a parent and an origin that versions list.
+// versionRig is a router that follows a control service, with caches, a parent and an origin that
+// the config versions list.
 type versionRig struct {
 	*testRig
 	dir, protocol string
 	service       *service.Service
-	members       map[string]string // forms, by id
+	members       map[string]string // settings of the members by ID
 	closeRouter   func()
 }
 
+// versionSettings are the settings of a config version without its members.
 const versionSettings = `(router (of 2)) (zone z (routers 1)) (zone h)
 (limits (linger 200) (connect 150)) (fill (flow 100) (direct) (joins))
 (class still (aim 400) (deadline 3000))
@@ -76,6 +77,7 @@
 	v.members[id] = fmt.Sprintf("(member %s (kind %s) (zone %s) (state %s) (start %d) (address %q))\n", id, kind, zone, state, start, addr)
 }
 
+// startService starts the control service with the store of the rig.
 func (v *versionRig) startService(listen string) {
 	var settings service.Settings
 	if err := config.Read("svc", fmt.Sprintf(`(service (listen %q) (admin "127.0.0.1:0") (store %q) (reports 100))
@@ -83,7 +85,7 @@
 		v.t.Fatal(err)
 	}
 	var err error
-	for range 200 { // the address may take a moment to be free
+	for range 200 { // until the address is free
 		if v.service, err = service.Start(&settings, zap.NewNop(), nil); err == nil {
 			return
 		}
@@ -92,7 +94,7 @@
 	v.t.Fatal(err)
 }
 
-// push makes a version of the text and the present members.
+// push pushes a config version of the text and the present members, and returns its number.
 func (v *versionRig) push(text string, now bool) int64 {
 	v.t.Helper()
 	for _, m := range v.members {
@@ -105,7 +107,8 @@
 	return n
 }
 
-// startRouter starts the router by a file of its own.
+// startRouter starts the router with local settings. start is the setting that says what it starts
+// with, and rest is appended.
 func (v *versionRig) startRouter(start, rest string) {
 	v.t.Helper()
 	var settings config.Settings
@@ -172,9 +175,8 @@
 	return out
 }
 
-// A router lives by versions: it waits for the first, takes classes, routes and
-// members as they change, refuses what makes no sense, and begins again from
-// its disk while the service is gone.
+// A router follows config versions: it waits for the first, activates changes of classes, routes
+// and members, rejects an invalid version, and restarts from its store while the service is down.
 func TestConfigVersions(t *testing.T) {
 	for _, protocol := range []string{"delta", "full"} {
 		t.Run(protocol, func(t *testing.T) {
@@ -184,7 +186,7 @@
 			rig.waitForVersion(1)
 			rig.mustGet("/s/1/a")
 			if res, _, _ := rig.get("/t/1/a"); res.StatusCode != 404 {
-				t.Errorf("a route that is not there yet: %d", res.StatusCode)
+				t.Errorf("route of a later version: status %d, want 404", res.StatusCode)
 			}
 			more := versionSettings + `(class thumb (deadline 2000)) (route "/t/{group}/{object}" (class still))` + "\n"
 			rig.push(more, false)
@@ -192,7 +194,7 @@
 			rig.mustGet("/t/1/a")
 			rig.mustGet("/s/1/a")
 
-			// a box drains: from the use of the version on, nothing new goes there
+			// A cache drains: once the version is active, it gets no new attempts.
 			rig.listMember("b0", "box", "z", "draining", rig.caches["b0"].Addr(), 0)
 			rig.push(more, true)
 			rig.waitForVersion(3)
@@ -203,10 +205,10 @@
 			if n := rig.countRecords(func(x trafficlog.Record) bool {
 				return x.Ev == trafficlog.Recv && (x.Who == "b0" || x.Src == "b0") && x.T > told
 			}); n > 0 {
-				t.Errorf("%d attempts to a box that drains", n)
+				t.Errorf("%d attempts to a draining cache", n)
 			}
 
-			// what makes no sense is refused, with the reason, and changes nothing
+			// An invalid version is rejected with the reason, and changes nothing.
 			bad := strings.Replace(more, "(zone z (routers 1))", "(zone z (routers 1)) (zone empty (routers 1))", 1)
 			for _, m := range rig.members {
 				bad += m
@@ -223,24 +225,24 @@
 			status := rig.adminState()
 			last := status.Versions.List[len(status.Versions.List)-1]
 			if status.Version != 3 || last.Number != 4 || last.State != "refused" || !strings.Contains(strings.Join(last.Reasons, " "), "zone/empty") {
-				t.Errorf("after a bad version: %+v", status)
+				t.Errorf("after an invalid version: %+v", status)
 			}
 			if r := rig.service.View().Routers; len(r) != 1 || r[0].Rejected != 4 || !strings.Contains(strings.Join(r[0].Reasons, " "), "zone/empty") {
-				t.Errorf("the service knows %+v", r)
+				t.Errorf("the service lists the routers %+v", r)
 			}
 			rig.mustGet("/s/1/e")
 
-			// the box is back, under a new start: it is cold, and it is used
+			// The cache serves again after a restart: it is warming up, and it is used.
 			rig.listMember("b0", "box", "z", "serving", rig.caches["b0"].Addr(), 2)
 			rig.push(more, true)
 			rig.waitForVersion(5)
 			rig.edge.Query(func(_ *Stats, c *engine.Core) {
 				if m, _ := c.Member("b0"); m.ReadyAt <= 0 {
-					t.Error("a box that came back empty counts as warm")
+					t.Error("a restarted cache counts as warmed up")
 				}
 			})
 
-			// service is reported
+			// The router reports the share of requests that it served in time.
 			for i := range 20 {
 				rig.mustGet(fmt.Sprintf("/s/1/f%d", i))
 			}
@@ -251,10 +253,10 @@
 				time.Sleep(10 * time.Millisecond)
 			}
 			if r := rig.service.View().Routers; r[0].InTimeShare < 0.9 || r[0].InTimeShare > 1 {
-				t.Errorf("reported service: %+v", r)
+				t.Errorf("reported by the router: %+v", r)
 			}
 
-			// gone, and the router starts again
+			// The router restarts while the service is down.
 			addr := rig.service.Addr()
 			rig.service.Close()
 			rig.mustGet("/s/1/g")
@@ -264,10 +266,10 @@
 			rig.mustGet("/t/1/h")
 			rig.edge.Query(func(_ *Stats, c *engine.Core) {
 				if m, _ := c.Member("b0"); m.ReadyAt <= 0 {
-					t.Error("after a restart, a box that came back lately counts as warm")
+					t.Error("after the router's restart, a cache that was restarted recently counts as warmed up")
 				}
 				if m, _ := c.Member("b1"); m.ReadyAt > 0 {
-					t.Error("after a restart, a box that was always there counts as cold")
+					t.Error("after the router's restart, a cache that has served all along counts as warming up")
 				}
 			})
 			if status := rig.adminState(); status.Version != 5 || !strings.HasPrefix(status.Versions.Stream, "lost") && status.Versions.Stream != "not connected" {
@@ -275,7 +277,7 @@
 			}
 			rig.startService(addr)
 			if n := rig.push(more+"\n(class last)", false); n != 6 {
-				t.Errorf("the service that came back gives number %d, want 6", n)
+				t.Errorf("the restarted service gives number %d, want 6", n)
 			}
 			rig.waitForVersion(6)
 			rig.mustGet("/s/1/i")
@@ -283,8 +285,8 @@
 	}
 }
 
-// With nothing stored and nobody there, the file is served by; and a file alone
-// needs no service at all.
+// Without a stored version and without a reachable service, the router starts with its settings
+// file. It follows the service as soon as that is reachable.
 func TestStartFromFile(t *testing.T) {
 	rig := newVersionRig(t, "delta")
 	addr := rig.service.Addr()
@@ -296,7 +298,7 @@
 	rig.startRouter("file", file)
 	rig.mustGet("/s/1/a")
 	if st := rig.adminState(); st.Version != 0 {
-		t.Errorf("runs version %d", st.Version)
+		t.Errorf("router runs version %d, want 0", st.Version)
 	}
 	rig.startService(addr)
 	delete(rig.members, "b2")
@@ -307,13 +309,14 @@
 		rig.mustGet(fmt.Sprintf("/s/1/x%d", i))
 	}
 	if n := rig.countRecords(func(x trafficlog.Record) bool { return x.Ev == trafficlog.Recv && x.Who == "b2" && x.T > told }); n > 0 {
-		t.Errorf("%d attempts to a box that the version does not list", n)
+		t.Errorf("%d attempts to a cache that the version does not list", n)
 	}
 }
 
-// Five restarts under load of a router that lives by versions, with and without a store:
-// no request is lost, the version goes on, one that comes while the old process drains
-// reaches it too, and a successor that fails gives the store back.
+// Five restarts under load of a router that follows config versions, with and without a store. No
+// request is lost, and the successor starts with the active version. A version that arrives while
+// the predecessor drains reaches that too, and after a successor has failed, the predecessor
+// reacquires the store.
 func TestRestartsWithVersions(t *testing.T) {
 	for _, stored := range []bool{true, false} {
 		t.Run(fmt.Sprintf("stored %v", stored), func(t *testing.T) {
@@ -358,7 +361,7 @@
 					t.Fatal("the predecessor does not end")
 				}
 			}
-			rig.stopped = true // its routers are ours
+			rig.stopped = true // this test stops its routers itself
 			rig.push(versionText, false)
 			edge, done := start()
 			rig.waitForVersion(1)
@@ -368,7 +371,7 @@
 			wait := users.sendRequests(8, &stop)
 			number := int64(1)
 			for i := range 5 {
-				rig.caches["b1"].Fault(testserver.Fault{Kind: testserver.Hang, For: 700}) // something is in hand for long
+				rig.caches["b1"].Fault(testserver.Fault{Kind: testserver.Hang, For: 700}) // so that the predecessor drains for a while
 				time.Sleep(50 * time.Millisecond)
 				old, oldDone := edge, done
 				edge, done = start()
@@ -386,24 +389,24 @@
 					time.Sleep(10 * time.Millisecond)
 				}
 				if i == 0 && !heard {
-					t.Error("the process that drains has not heard of the version")
+					t.Error("the draining router has not activated the version")
 				}
 				ended(oldDone)
 			}
 			stop.Store(true)
 			if asked, bad, first := wait(); bad > 0 || asked < 200 {
-				t.Errorf("%d of %d requests went wrong: %s", bad, asked, first)
+				t.Errorf("%d of %d requests failed; the first: %s", bad, asked, first)
 			}
 			if r := rig.service.View().Routers; len(r) != 1 || r[0].Running != number {
-				t.Errorf("the service knows %+v", r)
+				t.Errorf("the service lists the routers %+v", r)
 			}
 
-			// one that asks and fails: all goes on, and versions are kept again
+			// A successor that fails: the router serves on, and stores config versions again.
 			inherited, err := hotrestart.TakeOver(path)
 			if err != nil || len(inherited.ConfigVersion) == 0 {
 				t.Fatal(err)
 			}
-			number = rig.push(versionText, true) // while the store is lent
+			number = rig.push(versionText, true) // while the store is released
 			rig.waitForVersion(number)
 			inherited.Abort()
 			if !stored {
