--- a/internal/proxy/httpfront/client.go
+++ b/internal/proxy/httpfront/client.go
@@ -899,7 +899,7 @@
 	r.edge.log.request(r)
 	r.client.current = nil
 	if r.page != nil {
-		r.page.close()
+		r.page.stop()
 	}
 	edge.dispatch(spool.Gone{ID: id})
 	if winner != nil && winner.request == r && !winner.done && !r.released {
@@ -971,7 +971,7 @@
 	r.phase = finished
 	r.edge.log.request(r)
 	if r.page != nil {
-		r.page.close()
+		r.page.stop()
 	}
 	client := r.client
 	if r.end == endServed && !client.badOutcome && client.fragment == nil {
--- a/internal/proxy/httpfront/edge_test.go
+++ b/internal/proxy/httpfront/edge_test.go
@@ -68,7 +68,7 @@
 `
 
 // newRig starts a router with the given number of caches and additional limits.
-func newRig(t testing.TB, boxes int, limits string) *testRig {
+func newRig(t testing.TB, cacheCount int, limits string) *testRig {
 	rig := &testRig{t: t, records: trafficlog.NewWriter(nil), caches: map[string]*testserver.Server{}, log: &bytes.Buffer{}, done: make(chan error, 1)}
 	var err error
 	if rig.listService, err = testserver.StartList(testserver.ListConfig{ID: "list"}, rig.records); err != nil {
@@ -78,7 +78,7 @@
 	rig.setMember("o", "origin", "", "serving", rig.origin.Addr())
 	parent := rig.start(testserver.Config{ID: "p", Role: "parent", Upstream: rig.origin.Addr()})
 	rig.setMember("p", "parent", "", "serving", parent.Addr())
-	for i := range boxes {
+	for i := range cacheCount {
 		id := fmt.Sprintf("b%d", i)
 		rig.caches[id] = rig.start(testserver.Config{ID: id, Role: "box"})
 		rig.setMember(id, "box", "z", "serving", rig.caches[id].Addr())
@@ -107,7 +107,7 @@
 			rig.logMu.Unlock()
 		}
 	})
-	rig.waitFor("the endpoint list", func(stats *Stats, core *engine.Core) bool { return core.Rev() >= int64(boxes+2) })
+	rig.waitFor("the endpoint list", func(stats *Stats, core *engine.Core) bool { return core.Rev() >= int64(cacheCount+2) })
 	return rig
 }
 
@@ -200,8 +200,8 @@
 			if err != nil || res.StatusCode != 200 {
 				t.Fatal(res, err)
 			}
-			if cs := res.Header.Get("Cache-Status"); !strings.Contains(cs, want) {
-				t.Errorf("round %d, %s: Cache-Status %q, want %q in it", i, path, cs, want)
+			if cacheStatus := res.Header.Get("Cache-Status"); !strings.Contains(cacheStatus, want) {
+				t.Errorf("round %d, %s: Cache-Status %q, want %q in it", i, path, cacheStatus, want)
 			}
 			if at, ok := testserver.Matches(body, path, 1, 0); !ok {
 				t.Errorf("%s: byte %d is not the origin's", path, at)
@@ -331,7 +331,7 @@
 
 // Invalid responses of a cache end its attempt. The client is served by another attempt, or sees
 // that its response is incomplete, but never gets other bytes than the object's.
-func TestMangledAnswers(t *testing.T) {
+func TestInvalidResponses(t *testing.T) {
 	for _, kind := range []string{testserver.ResetBody, testserver.Truncated, testserver.Overlong, testserver.Garbage, testserver.TwoLengths,
 		testserver.BothFrames, testserver.BareLF, testserver.BigHead, testserver.FastErrors, testserver.AcceptShut} {
 		t.Run(kind, func(t *testing.T) {
@@ -342,19 +342,19 @@
 			for _, cache := range rig.caches {
 				cache.Fault(testserver.Fault{Kind: kind, For: 60000})
 			}
-			cut := 0
+			failed := 0
 			for range 5 {
 				res, body, err := rig.get("/s/1/a")
 				if res == nil || err != nil {
-					cut++
+					failed++
 				} else if _, ok := testserver.Matches(body, "/s/1/a", 1, 0); res.StatusCode == 200 && (!ok || int64(len(body)) != res.ContentLength) {
 					t.Errorf("other bytes than the object's were relayed")
 				}
 			}
-			if inBody := kind == testserver.ResetBody || kind == testserver.Truncated; inBody && cut == 0 {
+			if inBody := kind == testserver.ResetBody || kind == testserver.Truncated; inBody && failed == 0 {
 				t.Error("incomplete responses were relayed as complete")
-			} else if !inBody && cut > 0 {
-				t.Errorf("%d of 5 clients were cut off, though no response had begun", cut)
+			} else if !inBody && failed > 0 {
+				t.Errorf("%d of 5 clients were cut off, though no response had begun", failed)
 			}
 		})
 	}
@@ -418,7 +418,7 @@
 	before := rig.edge.core.Rev()
 	rig.setMember("b0", "box", "z", "draining", rig.caches["b0"].Addr())
 	rig.waitFor("the drain", func(_ *Stats, c *engine.Core) bool { return c.Rev() > before })
-	told := trafficlog.Now()
+	drainedAt := trafficlog.Now()
 	rig.edge.Query(func(*Stats, *engine.Core) {
 		if p := rig.edge.pools[rig.caches["b0"].Addr()]; p != nil && len(p.idle) > 0 {
 			t.Errorf("%d idle connections to a draining cache are kept", len(p.idle))
@@ -430,7 +430,7 @@
 		}
 	}
 	if n := rig.countRecords(func(x trafficlog.Record) bool {
-		return x.Ev == trafficlog.Recv && (x.Who == "b0" || x.Src == "b0") && x.T > told
+		return x.Ev == trafficlog.Recv && (x.Who == "b0" || x.Src == "b0") && x.T > drainedAt
 	}); n > 0 {
 		t.Errorf("%d attempts to a draining cache", n)
 	}
@@ -517,8 +517,8 @@
 		t.Errorf("PURGE: %d", code)
 	}
 	res, _, _ := rig.get("/s/1/a")
-	if cs := res.Header.Get("Cache-Status"); strings.Contains(cs, "b0; hit") || !strings.Contains(cs, "fwd=miss") {
-		t.Errorf("after PURGE: %s", cs)
+	if cacheStatus := res.Header.Get("Cache-Status"); strings.Contains(cacheStatus, "b0; hit") || !strings.Contains(cacheStatus, "fwd=miss") {
+		t.Errorf("after PURGE: %s", cacheStatus)
 	}
 	if code, text := do("GET", "/state"); code != 200 || !strings.Contains(text, `"Served":2`) {
 		t.Errorf("state: %d %s", code, text)
@@ -626,19 +626,19 @@
 		wg.Go(func() { rig.get(fmt.Sprintf("/s/1/w%d", i)) })
 	}
 	rig.waitFor("attempts that wait", func(*Stats, *engine.Core) bool {
-		p := rig.edge.pools[rig.caches["b0"].Addr()]
-		return p != nil && len(p.waiting) > 0
+		pool := rig.edge.pools[rig.caches["b0"].Addr()]
+		return pool != nil && len(pool.waiting) > 0
 	})
 	rig.setMember("b0", "box", "z", "draining", rig.caches["b0"].Addr())
 	rig.waitFor("the drain", func(_ *Stats, c *engine.Core) bool { m, _ := c.Member("b0"); return m.State != 0 })
-	told := trafficlog.Now()
+	drainedAt := trafficlog.Now()
 	rig.edge.Query(func(*Stats, *engine.Core) {
-		if p := rig.edge.pools[rig.caches["b0"].Addr()]; p != nil && len(p.waiting) > 0 {
-			t.Errorf("%d attempts still wait for a draining cache", len(p.waiting))
+		if pool := rig.edge.pools[rig.caches["b0"].Addr()]; pool != nil && len(pool.waiting) > 0 {
+			t.Errorf("%d attempts still wait for a draining cache", len(pool.waiting))
 		}
 	})
 	wg.Wait()
-	if n := rig.countRecords(func(x trafficlog.Record) bool { return x.Ev == trafficlog.Recv && x.Who == "b0" && x.T > told+50 }); n > 0 {
+	if n := rig.countRecords(func(x trafficlog.Record) bool { return x.Ev == trafficlog.Recv && x.Who == "b0" && x.T > drainedAt+50 }); n > 0 {
 		t.Errorf("%d attempts reached the cache after it began to drain", n)
 	}
 }
@@ -652,21 +652,21 @@
 		wg.Go(func() { rig.get(fmt.Sprintf("/s/1/l%d", i)) })
 	}
 	rig.waitFor("attempts that wait", func(*Stats, *engine.Core) bool {
-		p := rig.edge.pools[rig.caches["b0"].Addr()]
-		return p != nil && len(p.waiting) > 0
+		pool := rig.edge.pools[rig.caches["b0"].Addr()]
+		return pool != nil && len(pool.waiting) > 0
 	})
-	var bound *upstreamAttempt
+	var attempt *upstreamAttempt
 	rig.edge.Query(func(*Stats, *engine.Core) {
-		for id, q := range rig.edge.requests {
+		for id, request := range rig.edge.requests {
 			rig.edge.sendAttempt(&spool.Send{ID: id, Cache: "b0", Source: "b0", Within: 50})
-			bound = q.attempts[len(q.attempts)-1]
+			attempt = request.attempts[len(request.attempts)-1]
 			return
 		}
 	})
 	time.Sleep(200 * time.Millisecond)
 	rig.edge.Query(func(*Stats, *engine.Core) {
-		if !bound.done || bound.written {
-			t.Errorf("after its window: done %v, written %v", bound.done, bound.written)
+		if !attempt.done || attempt.written {
+			t.Errorf("after its window: done %v, written %v", attempt.done, attempt.written)
 		}
 	})
 	wg.Wait()
@@ -845,7 +845,7 @@
 
 // For an HTTP/1.0 client, a body without a length ends with the connection. If the member's response
 // is incomplete, the connection is reset, so that the body does not seem complete.
-func TestBrokenAnswerToHTTP10Client(t *testing.T) {
+func TestIncompleteResponseToHTTP10Client(t *testing.T) {
 	rig := newRig(t, 0, "")
 	rig.rawMember(func(conn net.Conn) {
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n")
@@ -913,7 +913,7 @@
 		var before Stats
 		rig.edge.Query(func(s *Stats, _ *engine.Core) {
 			before = *s
-			n := 0
+			replaced := 0
 			for _, pool := range rig.edge.pools {
 				for _, upstream := range pool.idle { // as if the member had sent them while the loop was busy
 					pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
@@ -925,10 +925,10 @@
 					rig.edge.loop.Remove(upstream.fd)
 					unix.Close(upstream.fd)
 					upstream.fd = pair[0]
-					n++
+					replaced++
 				}
 			}
-			if n == 0 {
+			if replaced == 0 {
 				t.Error("no idle connection")
 			}
 		})
--- a/internal/proxy/httpfront/guard_test.go
+++ b/internal/proxy/httpfront/guard_test.go
@@ -33,9 +33,9 @@
 	return out
 }
 
-// getStills requests n small objects one after another. It returns their response times in
+// getSmallObjects requests n small objects one after another. It returns their response times in
 // ascending order, and the number of requests that failed.
-func (r *testRig) getStills(n int) (times []float64, bad int) {
+func (r *testRig) getSmallObjects(n int) (times []float64, failed int) {
 	client := &http.Client{Timeout: 5 * time.Second}
 	defer client.CloseIdleConnections()
 	for i := range n {
@@ -46,12 +46,12 @@
 			res.Body.Close()
 		}
 		if err != nil || res.StatusCode != 200 {
-			bad++
+			failed++
 		}
 		times = append(times, float64(time.Since(began).Microseconds())/1000)
 	}
 	sort.Float64s(times)
-	return times, bad
+	return times, failed
 }
 
 // shortGrace are limits that find slow peers within a second.
@@ -61,7 +61,7 @@
 // same caches and the same pool are not delayed by them.
 func TestSlowReaders(t *testing.T) {
 	rig := newRig(t, 2, shortGrace+"(buffer 65536)")
-	calm, failedBefore := rig.getStills(100)
+	before, failedBefore := rig.getSmallObjects(100)
 	var conns []net.Conn
 	for i := range 40 {
 		conn := rig.dial()
@@ -75,9 +75,9 @@
 			fmt.Fprintf(conn, "GET /v/1/more/%d HTTP/1.1\r\nHost: h\r\n\r\n", 1)
 		}
 	}
-	during, failedDuring := rig.getStills(300)
-	if failedBefore+failedDuring > 0 || during[len(during)*99/100] > 3*calm[len(calm)*99/100]+50 {
-		t.Errorf("%d and %d requests failed; p99 %.1f ms, %.1f ms before", failedBefore, failedDuring, during[len(during)*99/100], calm[len(calm)*99/100])
+	during, failedDuring := rig.getSmallObjects(300)
+	if failedBefore+failedDuring > 0 || during[len(during)*99/100] > 3*before[len(before)*99/100]+50 {
+		t.Errorf("%d and %d requests failed; p99 %.1f ms, %.1f ms before", failedBefore, failedDuring, during[len(during)*99/100], before[len(before)*99/100])
 	}
 	for range 60 {
 		if rig.limitCounts()[limits.SlowReader] == 40 {
@@ -142,7 +142,7 @@
 	unix.Getrlimit(unix.RLIMIT_NOFILE, &limit)
 	clients = min(clients, int(limit.Cur)/3-100)
 	rig := newRig(t, 2, shortGrace+"(connections-per-address 5000)")
-	calm, _ := rig.getStills(100)
+	before, _ := rig.getSmallObjects(100)
 	var conns []net.Conn
 	for range clients {
 		conn, err := net.Dial("tcp4", rig.edge.Addr())
@@ -168,7 +168,7 @@
 			}
 		}
 	}()
-	during, bad := rig.getStills(300)
+	during, failed := rig.getSmallObjects(300)
 	deadline := time.Now().Add(8 * time.Second)
 	for rig.limitCounts()[limits.SlowHead] < uint64(clients) && time.Now().Before(deadline) {
 		time.Sleep(100 * time.Millisecond)
@@ -178,8 +178,8 @@
 	if got := rig.limitCounts()[limits.SlowHead]; got < uint64(clients) {
 		t.Errorf("%d of %d slow clients were closed", got, clients)
 	}
-	if bad > 0 || during[len(during)/2] > 5*calm[len(calm)/2]+20 {
-		t.Errorf("%d other requests failed; p50 %.1f ms, %.1f ms before", bad, during[len(during)/2], calm[len(calm)/2])
+	if failed > 0 || during[len(during)/2] > 5*before[len(before)/2]+20 {
+		t.Errorf("%d other requests failed; p50 %.1f ms, %.1f ms before", failed, during[len(during)/2], before[len(before)/2])
 	}
 }
 
@@ -197,7 +197,7 @@
 			}
 		}
 	}
-	round := func() (broken, good int) {
+	round := func() (failed, succeeded int) {
 		var wg sync.WaitGroup
 		var mu sync.Mutex
 		for i := range 80 {
@@ -213,19 +213,19 @@
 				mu.Lock()
 				defer mu.Unlock()
 				if err != nil || res.StatusCode != 200 {
-					broken++
+					failed++
 				} else {
-					good++
+					succeeded++
 				}
 			}()
 		}
 		wg.Wait()
-		return broken, good
+		return failed, succeeded
 	}
 	trickle("b0")
-	broken, good := round()
-	if closed := rig.limitCounts()[limits.SlowMember]; closed == 0 || good < 40 {
-		t.Errorf("one slow member: %d closed, %d requests failed, %d succeeded", closed, broken, good)
+	failed, succeeded := round()
+	if closed := rig.limitCounts()[limits.SlowMember]; closed == 0 || succeeded < 40 {
+		t.Errorf("one slow member: %d closed, %d requests failed, %d succeeded", closed, failed, succeeded)
 	}
 	time.Sleep(2 * time.Second)
 	before := rig.limitCounts()[limits.SlowMember]
@@ -253,8 +253,8 @@
 		defer conn.Close()
 	}
 	time.Sleep(250 * time.Millisecond) // until they count as idle
-	if _, bad := rig.getStills(50); bad > 0 {
-		t.Errorf("%d requests failed", bad)
+	if _, failed := rig.getSmallObjects(50); failed > 0 {
+		t.Errorf("%d requests failed", failed)
 	}
 	rig.waitFor("idle connections to be closed", func(s *Stats, _ *engine.Core) bool {
 		return s.Connections <= 64 && rig.edge.guard.counts[limits.Descriptors] >= 200
@@ -276,8 +276,8 @@
 	}
 	rig.waitFor("idle connections to be closed", func(*Stats, *engine.Core) bool { return rig.edge.guard.counts[limits.Memory] > 100 })
 	time.Sleep(250 * time.Millisecond) // until all of them count as idle
-	if _, bad := rig.getStills(50); bad > 0 {
-		t.Errorf("%d requests failed", bad)
+	if _, failed := rig.getSmallObjects(50); failed > 0 {
+		t.Errorf("%d requests failed", failed)
 	}
 	for _, conn := range conns {
 		conn.Close()
@@ -291,13 +291,13 @@
 		}
 		slow = append(slow, conn)
 	}
-	most := int64(0)
+	maxUsed := int64(0)
 	for range 40 {
-		rig.edge.Query(func(*Stats, *engine.Core) { most = max(most, rig.edge.guard.memory.Used()) })
+		rig.edge.Query(func(*Stats, *engine.Core) { maxUsed = max(maxUsed, rig.edge.guard.memory.Used()) })
 		time.Sleep(20 * time.Millisecond)
 	}
-	if most > 2<<20 {
-		t.Errorf("%d KB charged; the budget is 1024, and a turn of the loop may exceed it by as much", most>>10)
+	if maxUsed > 2<<20 {
+		t.Errorf("%d KB charged; the budget is 1024, and a turn of the loop may exceed it by as much", maxUsed>>10)
 	}
 	for _, conn := range slow {
 		conn.Close()
@@ -305,8 +305,8 @@
 	rig.waitFor("the memory to be freed", func(*Stats, *engine.Core) bool {
 		return rig.edge.guard.memory.Used() < 600<<10 && len(rig.edge.requests) == 0
 	})
-	if _, bad := rig.getStills(20); bad > 0 {
-		t.Errorf("%d requests failed afterwards", bad)
+	if _, failed := rig.getSmallObjects(20); failed > 0 {
+		t.Errorf("%d requests failed afterwards", failed)
 	}
 }
 
@@ -340,14 +340,14 @@
 	if rejected == 0 {
 		t.Error("no request was rejected")
 	}
-	repeats := 0
+	retries := 0
 	for range 12 {
 		if strings.Contains(rig.exchange("GET /s/1/again HTTP/1.1\r\nHost: h\r\nSpool-Retry: 1\r\nConnection: close\r\n\r\n"), "detail=repeats") {
-			repeats++
+			retries++
 		}
 	}
-	if repeats < 5 {
-		t.Errorf("%d of 12 retries were rejected", repeats)
+	if retries < 5 {
+		t.Errorf("%d of 12 retries were rejected", retries)
 	}
 }
 
@@ -355,11 +355,11 @@
 // told that the responses are stalled, and small objects are served as before through the same
 // caches, pools and links.
 func TestStalledReadersTakeNoPlace(t *testing.T) {
-	had := testClasses[1].KB
+	oldKB := testClasses[1].KB
 	testClasses[1].KB = 3000
-	defer func() { testClasses[1].KB = had }()
+	defer func() { testClasses[1].KB = oldKB }()
 	rig := newRig(t, 1, "(client-grace 30000)")
-	calm, _ := rig.getStills(50)
+	before, _ := rig.getSmallObjects(50)
 	for i := range 100 {
 		conn := rig.dial()
 		conn.(*net.TCPConn).SetReadBuffer(4096)
@@ -376,18 +376,18 @@
 		}
 		return reported == 100
 	})
-	times, bad := rig.getStills(100)
-	if bad > 0 || times[len(times)/2] > 5*calm[len(calm)/2]+20 {
-		t.Errorf("%d requests failed; p50 %.1f ms, %.1f ms before", bad, times[len(times)/2], calm[len(calm)/2])
+	during, failed := rig.getSmallObjects(100)
+	if failed > 0 || during[len(during)/2] > 5*before[len(before)/2]+20 {
+		t.Errorf("%d requests failed; p50 %.1f ms, %.1f ms before", failed, during[len(during)/2], before[len(before)/2])
 	}
 }
 
 // Addresses whose clients request large objects and do not read them get a poor reputation.
 // From then on all of them together have few requests in flight, and other clients are served.
 func TestPoorReputation(t *testing.T) {
-	had := testClasses[1].KB
+	oldKB := testClasses[1].KB
 	testClasses[1].KB = 3000
-	defer func() { testClasses[1].KB = had }()
+	defer func() { testClasses[1].KB = oldKB }()
 	rig := newRig(t, 1, "(client-grace 60000) (write-idle 60000) (poor-held 8)")
 	wave := func(count int) (conns []net.Conn) {
 		for i := range count {
@@ -419,8 +419,8 @@
 		return len(rig.edge.requests) == 0 && rig.edge.guard.reputation.HasCapacity()
 	})
 	wave(300)
-	if _, bad := rig.getStills(50); bad > 0 {
-		t.Errorf("%d requests of other clients failed", bad)
+	if _, failed := rig.getSmallObjects(50); failed > 0 {
+		t.Errorf("%d requests of other clients failed", failed)
 	}
 	rig.waitFor("rejections of the others", func(*Stats, *engine.Core) bool { return rig.edge.guard.counts[limits.PoorReputation] >= 292 })
 	rig.edge.Query(func(*Stats, *engine.Core) {
@@ -433,10 +433,10 @@
 // Complete responses that wait in the kernel's send buffers, for clients that do not read them,
 // are counted and bounded. Above sockets-mb the clients with the most unread bytes for the longest
 // time are closed, but not one that reads a little. Below it they are closed after write-idle.
-func TestUnreadAnswers(t *testing.T) {
-	had := testClasses[1].KB
+func TestUnreadResponses(t *testing.T) {
+	oldKB := testClasses[1].KB
 	testClasses[1].KB = 300
-	defer func() { testClasses[1].KB = had }()
+	defer func() { testClasses[1].KB = oldKB }()
 	for _, test := range []struct{ limits, name string }{
 		{"(write-idle 60000) (socket-kb 2048)", "sockets-mb"},
 		{"(write-idle 1500) (socket-kb 2048)", "write-idle"},
@@ -469,10 +469,10 @@
 		for i := range 40 {
 			ask(1 + i)
 		}
-		most := int64(0)
+		maxHeld := int64(0)
 		rig.waitFor(test.name+": unread responses in the kernel", func(*Stats, *engine.Core) bool {
-			most = max(most, rig.edge.guard.unread.Held)
-			return most > 4<<20
+			maxHeld = max(maxHeld, rig.edge.guard.unread.Held)
+			return maxHeld > 4<<20
 		})
 		if test.name == "sockets-mb" { // set late, since sockets get smaller buffers under a low limit
 			rig.edge.Query(func(*Stats, *engine.Core) { rig.edge.guard.unread.Total = 4 << 20 })
@@ -480,8 +480,8 @@
 		rig.waitFor(test.name+": clients that do not read to be closed", func(*Stats, *engine.Core) bool {
 			return rig.edge.guard.unread.Held < 4<<20 && rig.edge.guard.counts[limits.SlowReader] > 10
 		})
-		if _, bad := rig.getStills(50); bad > 0 {
-			t.Errorf("%s: %d requests of other clients failed", test.name, bad)
+		if _, failed := rig.getSmallObjects(50); failed > 0 {
+			t.Errorf("%s: %d requests of other clients failed", test.name, failed)
 		}
 		if err := <-steady; err != nil {
 			t.Errorf("%s: client that reads 20 KB/s: %v", test.name, err)
@@ -492,9 +492,9 @@
 // A client that is closed because it does not read gets a reset, so that the kernel does not keep
 // its unread bytes until TCP gives up.
 func TestSlowReaderIsReset(t *testing.T) {
-	had := testClasses[1].KB
+	oldKB := testClasses[1].KB
 	testClasses[1].KB = 3000
-	defer func() { testClasses[1].KB = had }()
+	defer func() { testClasses[1].KB = oldKB }()
 	rig := newRig(t, 1, shortGrace+"(socket-kb 64)")
 	conn := rig.dial()
 	conn.(*net.TCPConn).SetReadBuffer(4096)
@@ -607,7 +607,7 @@
 		cache.Fault(testserver.Fault{Kind: testserver.Hang, For: 700})
 	}
 	var wg sync.WaitGroup
-	var good, refused, wrong atomic.Int64
+	var served, rejected, failed atomic.Int64
 	var conns []net.Conn
 	for range 200 {
 		if conn, err := net.Dial("tcp4", address); err == nil {
@@ -627,11 +627,11 @@
 			}
 			switch {
 			case err == nil && res.StatusCode == 200:
-				good.Add(1)
+				served.Add(1)
 			case err == nil && res.StatusCode == 503:
-				refused.Add(1)
+				rejected.Add(1)
 			default:
-				wrong.Add(1)
+				failed.Add(1)
 			}
 		}()
 	}
@@ -646,10 +646,10 @@
 	if err := cmd.Wait(); err != nil {
 		t.Error(err, log.String())
 	}
-	t.Logf("%d served, %d rejected, %d failed; %.2f s of CPU time in an idle second", good.Load(), refused.Load(), wrong.Load(), spent)
+	t.Logf("%d served, %d rejected, %d failed; %.2f s of CPU time in an idle second", served.Load(), rejected.Load(), failed.Load(), spent)
 	// A client that is rejected before its request was read may see a reset instead of the response.
-	if good.Load() < 50 || wrong.Load() > 100 || spent > 0.5 || strings.Contains(log.String(), "connect-failed") {
-		t.Errorf("%d served, %d rejected, %d failed; %.2f s of CPU time in an idle second\n%.3000s", good.Load(), refused.Load(), wrong.Load(), spent, log.String())
+	if served.Load() < 50 || failed.Load() > 100 || spent > 0.5 || strings.Contains(log.String(), "connect-failed") {
+		t.Errorf("%d served, %d rejected, %d failed; %.2f s of CPU time in an idle second\n%.3000s", served.Load(), rejected.Load(), failed.Load(), spent, log.String())
 	}
 }
 
@@ -676,7 +676,7 @@
 		fmt.Fprintf(conn, "GET /s/1/out HTTP/1.1\r\nHost: h\r\n\r\n")
 		conns = append(conns, conn)
 	}
-	answer := func(conn net.Conn) string {
+	response := func(conn net.Conn) string {
 		conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 		res, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil {
@@ -686,7 +686,7 @@
 		return fmt.Sprint(res.StatusCode, " ", res.Header.Get("Cache-Status"))
 	}
 	for _, conn := range conns {
-		if got := answer(conn); !strings.Contains(got, "503") || !strings.Contains(got, "overload") {
+		if got := response(conn); !strings.Contains(got, "503") || !strings.Contains(got, "overload") {
 			t.Fatalf("%q", got)
 		}
 	}
@@ -695,12 +695,12 @@
 	if paused != 20 {
 		t.Errorf("reading is paused for %d of 20 clients", paused)
 	}
-	if got := answer(admitted); !strings.HasPrefix(got, "200") {
+	if got := response(admitted); !strings.HasPrefix(got, "200") {
 		t.Errorf("the admitted request: %q", got)
 	}
 	for _, conn := range conns { // one after another, because of the limit
 		fmt.Fprintf(conn, "GET /s/1/again HTTP/1.1\r\nHost: h\r\n\r\n")
-		if got := answer(conn); !strings.HasPrefix(got, "200") {
+		if got := response(conn); !strings.HasPrefix(got, "200") {
 			t.Fatalf("%q", got)
 		}
 	}
--- a/internal/proxy/httpfront/handover_test.go
+++ b/internal/proxy/httpfront/handover_test.go
@@ -37,9 +37,9 @@
 }
 
 // newRestartRig starts a rig, and the first of its routers.
-func newRestartRig(t *testing.T, boxes int, limits string) *restartRig {
+func newRestartRig(t *testing.T, cacheCount int, limits string) *restartRig {
 	dir := t.TempDir()
-	rig := &restartRig{testRig: newRig(t, boxes, limits), handoverPath: filepath.Join(dir, "handover"), journalDir: filepath.Join(dir, "journal")}
+	rig := &restartRig{testRig: newRig(t, cacheCount, limits), handoverPath: filepath.Join(dir, "handover"), journalDir: filepath.Join(dir, "journal")}
 	rig.testRig.stop() // the restartRig runs its own routers
 	rig.settings = &config.Settings{}
 	text := strings.Replace(fmt.Sprintf(routerSettings, rig.listService.Addr(), limits), "(zone z) (listen", fmt.Sprintf("(zone z) (handover %q) (journal %q) (listen", rig.handoverPath, rig.journalDir), 1)
@@ -88,9 +88,9 @@
 // sendRequests sends requests for a number of users until stop is set, on persistent and on new
 // connections. wait returns how many were sent, how many did not get a complete 200 response, and
 // the first failure.
-func (r *restartRig) sendRequests(users int, stop *atomic.Bool) (wait func() (asked, bad int64, first string)) {
+func (r *restartRig) sendRequests(users int, stop *atomic.Bool) (wait func() (sent, failed int64, first string)) {
 	var wg sync.WaitGroup
-	var asked, bad atomic.Int64
+	var sent, failed atomic.Int64
 	var first atomic.Value
 	address := r.current.Addr()
 	for user := range users {
@@ -100,8 +100,8 @@
 			client := &http.Client{Transport: &http.Transport{DisableKeepAlives: user%4 == 0}, Timeout: 5 * time.Second}
 			defer client.CloseIdleConnections()
 			for i := 0; !stop.Load(); i++ {
-				asked.Add(1)
-				what := ""
+				sent.Add(1)
+				failure := ""
 				method, path := "GET", fmt.Sprintf("/s/%d/u%d", user, i%40)
 				if i%10 == 3 {
 					method, path = "POST", fmt.Sprintf("/o/%d-%d", user, i)
@@ -111,17 +111,17 @@
 				req.GetBody = nil
 				res, err := client.Do(req)
 				if err != nil {
-					what = err.Error()
+					failure = err.Error()
 				} else {
-					_, rerr := io.Copy(io.Discard, res.Body)
+					_, readErr := io.Copy(io.Discard, res.Body)
 					res.Body.Close()
-					if rerr != nil || res.StatusCode != 200 {
-						what = fmt.Sprint(method, " ", path, ": ", res.Status, " ", rerr)
+					if readErr != nil || res.StatusCode != 200 {
+						failure = fmt.Sprint(method, " ", path, ": ", res.Status, " ", readErr)
 					}
 				}
-				if what != "" {
-					bad.Add(1)
-					first.CompareAndSwap(nil, what)
+				if failure != "" {
+					failed.Add(1)
+					first.CompareAndSwap(nil, failure)
 				}
 				time.Sleep(2 * time.Millisecond)
 			}
@@ -130,7 +130,7 @@
 	return func() (int64, int64, string) {
 		wg.Wait()
 		s, _ := first.Load().(string)
-		return asked.Load(), bad.Load(), s
+		return sent.Load(), failed.Load(), s
 	}
 }
 
@@ -163,9 +163,9 @@
 		<-purged
 	}
 	stop.Store(true)
-	asked, bad, first := wait()
-	if bad > 0 || asked < 500 {
-		t.Errorf("%d of %d requests failed; the first: %s", bad, asked, first)
+	sent, failed, first := wait()
+	if failed > 0 || sent < 500 {
+		t.Errorf("%d of %d requests failed; the first: %s", failed, sent, first)
 	}
 	if handed < 20 {
 		t.Errorf("%d connections were handed over, want at least 20", handed)
@@ -195,9 +195,9 @@
 // successor inherits the poor reputation of their addresses, and the requests of other clients are
 // served; none is rejected, lost or run twice.
 func TestRestartsUnderFlood(t *testing.T) {
-	had := testClasses[1].KB
+	oldKB := testClasses[1].KB
 	testClasses[1].KB = 3000
-	defer func() { testClasses[1].KB = had }()
+	defer func() { testClasses[1].KB = oldKB }()
 	rig := newRestartRig(t, 2, "(client-grace 60000) (write-idle 60000) (poor-held 8) (drain 1500)")
 	address := rig.current.Addr()
 	var stop atomic.Bool
@@ -257,9 +257,9 @@
 		}
 	}
 	stop.Store(true)
-	asked, bad, first := wait()
-	if bad > 0 || asked < 200 {
-		t.Errorf("%d of %d requests failed; the first: %s", bad, asked, first)
+	sent, failed, first := wait()
+	if failed > 0 || sent < 200 {
+		t.Errorf("%d of %d requests failed; the first: %s", failed, sent, first)
 	}
 	ran := map[string]int{}
 	for _, record := range rig.records.Records() {
@@ -301,15 +301,15 @@
 		first.Query(func(s *Stats, _ *engine.Core) { n = s.Purges })
 		return n
 	}
-	had := purges()
+	before := purges()
 	third.receivePurge([]byte(`{"object":"/s/1/x"}`))
 	for range 200 {
-		if purges() > had {
+		if purges() > before {
 			break
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	if purges() == had {
+	if purges() == before {
 		t.Error("a purge at the third router did not reach the first, which still drains")
 	}
 	reader := bufio.NewReader(conn)
--- a/internal/proxy/httpfront/page.go
+++ b/internal/proxy/httpfront/page.go
@@ -46,7 +46,7 @@
 	chunked         bool
 	templateDone    bool // the template was received in full
 	changed         bool // it is in the edge's changedPages
-	closed          bool
+	stopped         bool
 	accounted       int64 // bytes charged to the memory budget
 	contentLength   int64 // of an unprocessed body; -1 if unknown
 	rejectErr       error // why the template cannot be assembled
@@ -323,7 +323,7 @@
 
 // markChanged has the page updated at the end of the loop's turn.
 func (pg *esiPage) markChanged() {
-	if !pg.changed && !pg.closed {
+	if !pg.changed && !pg.stopped {
 		pg.changed = true
 		pg.edge.changedPages = append(pg.edge.changedPages, pg)
 	}
@@ -484,7 +484,7 @@
 	}
 	f.done = true
 	delete(f.page.fragments, f.id)
-	if !f.page.closed {
+	if !f.page.stopped {
 		f.page.assembly.Failed(f.id, cause, f.page.edge.loop.Now())
 		f.page.markChanged()
 	}
@@ -507,7 +507,7 @@
 
 // countAttempt counts an attempt for the fragment towards the page's limit.
 func (f *pageFragment) countAttempt() {
-	if !f.page.closed {
+	if !f.page.stopped {
 		f.page.assembly.Attempt()
 	}
 }
@@ -519,7 +519,7 @@
 
 // update carries out the actions of the page's assembly, and sends what is ready.
 func (pg *esiPage) update() {
-	if pg.closed || pg.assembly == nil {
+	if pg.stopped || pg.assembly == nil {
 		return
 	}
 	edge := pg.edge
@@ -547,7 +547,7 @@
 	}
 	pg.assembly.Busy(pg.request.client.output.Len() > 0, edge.loop.Now())
 	pg.send()
-	if pg.closed {
+	if pg.stopped {
 		return
 	}
 	pg.assembly.Busy(pg.request.client.output.Len() > 0, edge.loop.Now())
@@ -589,7 +589,7 @@
 			return
 		}
 	}
-	for !client.closed && !pg.closed && client.output.Len() == 0 {
+	for !client.closed && !pg.stopped && client.output.Len() == 0 {
 		ready, meta := pg.assembly.Ready(), esi.Meta{}
 		if !pg.headSent && ready && !pg.unprocessed {
 			meta = pg.assembly.Meta()
@@ -608,7 +608,7 @@
 			return
 		}
 		if !pg.headSent {
-			if b = pg.writeHead(b, done, ready, meta); pg.closed || client.closed {
+			if b = pg.writeHead(b, done, ready, meta); pg.stopped || client.closed {
 				return
 			}
 		}
@@ -749,16 +749,16 @@
 	}
 	request.end = endServed
 	request.edge.stats.Served++
-	pg.close()
+	pg.stop()
 	request.finish()
 }
 
-// close ends the assembly, and cancels the open requests for the template and the fragments.
-func (pg *esiPage) close() {
-	if pg.closed {
+// stop ends the assembly, and cancels the open requests for the template and the fragments.
+func (pg *esiPage) stop() {
+	if pg.stopped {
 		return
 	}
-	pg.closed = true
+	pg.stopped = true
 	edge := pg.edge
 	edge.loop.Forget(&pg.timer)
 	delete(edge.pages, pg)
@@ -777,11 +777,11 @@
 // fail ends a page that cannot be assembled. It sends an error response or, if the head was
 // sent, closes the connection so that the client sees an incomplete body.
 func (pg *esiPage) fail(err error) {
-	if pg.closed {
+	if pg.stopped {
 		return
 	}
 	request, client, edge := pg.request, pg.request.client, pg.edge
-	pg.close()
+	pg.stop()
 	if client.closed || request.phase == finished {
 		return
 	}
--- a/internal/proxy/httpfront/versions_test.go
+++ b/internal/proxy/httpfront/versions_test.go
@@ -198,12 +198,12 @@
 			rig.listMember("b0", "box", "z", "draining", rig.caches["b0"].Addr(), 0)
 			rig.push(more, true)
 			rig.waitForVersion(3)
-			told := trafficlog.Now()
+			drainedAt := trafficlog.Now()
 			for i := range 30 {
 				rig.mustGet(fmt.Sprintf("/s/1/d%d", i))
 			}
 			if n := rig.countRecords(func(x trafficlog.Record) bool {
-				return x.Ev == trafficlog.Recv && (x.Who == "b0" || x.Src == "b0") && x.T > told
+				return x.Ev == trafficlog.Recv && (x.Who == "b0" || x.Src == "b0") && x.T > drainedAt
 			}); n > 0 {
 				t.Errorf("%d attempts to a draining cache", n)
 			}
@@ -304,11 +304,11 @@
 	delete(rig.members, "b2")
 	rig.push(versionSettings, false)
 	rig.waitForVersion(1)
-	told := trafficlog.Now()
+	activatedAt := trafficlog.Now()
 	for i := range 20 {
 		rig.mustGet(fmt.Sprintf("/s/1/x%d", i))
 	}
-	if n := rig.countRecords(func(x trafficlog.Record) bool { return x.Ev == trafficlog.Recv && x.Who == "b2" && x.T > told }); n > 0 {
+	if n := rig.countRecords(func(x trafficlog.Record) bool { return x.Ev == trafficlog.Recv && x.Who == "b2" && x.T > activatedAt }); n > 0 {
 		t.Errorf("%d attempts to a cache that the version does not list", n)
 	}
 }
@@ -380,22 +380,22 @@
 				rig.listMember("b0", "box", "z", state, rig.caches["b0"].Addr(), i/2)
 				number = rig.push(versionText, true)
 				rig.waitForVersion(number)
-				heard := false
+				activated := false
 				for range 50 {
-					err := old.Query(func(*Stats, *engine.Core) { heard = old.version == number })
-					if heard || err != nil {
+					err := old.Query(func(*Stats, *engine.Core) { activated = old.version == number })
+					if activated || err != nil {
 						break
 					}
 					time.Sleep(10 * time.Millisecond)
 				}
-				if i == 0 && !heard {
+				if i == 0 && !activated {
 					t.Error("the draining router has not activated the version")
 				}
 				ended(oldDone)
 			}
 			stop.Store(true)
-			if asked, bad, first := wait(); bad > 0 || asked < 200 {
-				t.Errorf("%d of %d requests failed; the first: %s", bad, asked, first)
+			if sent, failed, first := wait(); failed > 0 || sent < 200 {
+				t.Errorf("%d of %d requests failed; the first: %s", failed, sent, first)
 			}
 			if r := rig.service.View().Routers; len(r) != 1 || r[0].Running != number {
 				t.Errorf("the service lists the routers %+v", r)
