--- a/internal/proxy/httpfront/edge.go
+++ b/internal/proxy/httpfront/edge.go
@@ -96,7 +96,7 @@
 	configClient         *ConfigClient
 	version              int64              // config version in use; 0 is the settings file
 	nextVersion          int64              // config version that is being activated
-	listedFor            map[string]float64 // ms since a member was first listed, at the start; only recent members
+	listedFor            map[string]float64 // ms for which recently added members had been listed when the router started
 	listState            atomic.Value       // string: state of the list service's stream
 	adminAddr            atomic.Value       // string
 }
--- a/internal/proxy/httpfront/page.go
+++ b/internal/proxy/httpfront/page.go
@@ -361,8 +361,8 @@
 	pg.markChanged()
 }
 
-// appendCompressed appends content to a compressed body, or calls onTooLarge if that exceeds the limit of
-// a piece.
+// appendCompressed appends content to a compressed body, or calls onTooLarge if the body would
+// exceed the limit of a piece.
 func (pg *esiPage) appendCompressed(to *[]byte, content []byte, onTooLarge func()) {
 	if len(*to)+len(content) > pg.edge.settings.Pages.PieceKB<<10 {
 		onTooLarge()
