--- a/internal/proxy/httpfront/edge_test.go
+++ b/internal/proxy/httpfront/edge_test.go
@@ -570,8 +570,8 @@
 	conns := 10_000
 	var limit unix.Rlimit
 	unix.Getrlimit(unix.RLIMIT_NOFILE, &limit)
-	if most := int(limit.Cur)/2 - 200; most < conns {
-		conns = most
+	if maxConns := int(limit.Cur)/2 - 200; maxConns < conns {
+		conns = maxConns
 		t.Logf("only %d connections, because of the descriptor limit", conns)
 	}
 	rig := newRig(t, 1, "(client-idle 6000) (connections-per-address 20000)")
@@ -594,20 +594,20 @@
 			t.Fatal(res, err)
 		}
 	}
-	held := 0
+	bufferBytes := 0
 	rig.edge.Query(func(*Stats, *engine.Core) {
 		for c := range rig.edge.clients {
-			held += cap(c.unparsed) + c.output.Cap()
+			bufferBytes += cap(c.unparsed) + c.output.Cap()
 		}
 	})
-	if held > 64<<10 {
-		t.Errorf("idle connections hold %d bytes of buffers", held)
+	if bufferBytes > 64<<10 {
+		t.Errorf("idle connections hold %d bytes of buffers", bufferBytes)
 	}
 	for range 40 { // client-idle is 6 s
 		time.Sleep(500 * time.Millisecond)
-		left := uint64(1)
-		rig.edge.Query(func(s *Stats, _ *engine.Core) { left = s.Connections })
-		if left == 0 {
+		connections := uint64(1)
+		rig.edge.Query(func(s *Stats, _ *engine.Core) { connections = s.Connections })
+		if connections == 0 {
 			return
 		}
 	}
--- a/internal/proxy/httpfront/handover_test.go
+++ b/internal/proxy/httpfront/handover_test.go
@@ -141,7 +141,7 @@
 	rig := newRestartRig(t, 3, "")
 	var stop atomic.Bool
 	wait := rig.sendRequests(16, &stop)
-	handed := uint64(0)
+	handedOver := uint64(0)
 	for i := range 10 {
 		time.Sleep(60 * time.Millisecond)
 		old := rig.current
@@ -159,7 +159,7 @@
 		if !rig.waitEnded() {
 			t.Fatal("the predecessor does not end")
 		}
-		handed += old.stats.HandedOut // no data race, since its loop has ended
+		handedOver += old.stats.HandedOut // no data race, since its loop has ended
 		<-purged
 	}
 	stop.Store(true)
@@ -167,8 +167,8 @@
 	if failed > 0 || sent < 500 {
 		t.Errorf("%d of %d requests failed; the first: %s", failed, sent, first)
 	}
-	if handed < 20 {
-		t.Errorf("%d connections were handed over, want at least 20", handed)
+	if handedOver < 20 {
+		t.Errorf("%d connections were handed over, want at least 20", handedOver)
 	}
 	ran := map[string]int{}
 	for _, record := range rig.records.Records() {
@@ -284,12 +284,12 @@
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(8 * time.Second))
 	fmt.Fprint(conn, "POST /o/held HTTP/1.1\r\nHost: h\r\nIdempotency-Key: held\r\nContent-Length: 4\r\n\r\nab") // incomplete, so that the first router keeps draining
-	held := func() (n int) {
+	clients := func() (n int) {
 		first.Query(func(*Stats, *engine.Core) { n = len(first.clients) })
 		return n
 	}
 	for range 200 {
-		if held() == 1 {
+		if clients() == 1 {
 			break
 		}
 		time.Sleep(5 * time.Millisecond)
--- a/internal/proxy/httpfront/page_test.go
+++ b/internal/proxy/httpfront/page_test.go
@@ -31,9 +31,9 @@
 const surrogateControl = `content="ESI/1.0"`
 
 func newPageRig(t *testing.T, limits, pages string) *pageRig {
-	had := extraSettings
+	old := extraSettings
 	extraSettings = `(class page (pages) (deadline 3000)) (route "/p/{group}/{object}" (class page)) (pages ` + pages + `)`
-	defer func() { extraSettings = had }()
+	defer func() { extraSettings = old }()
 	rig := &pageRig{testRig: newRig(t, 0, limits), requestCounts: map[string]int{}, requestHeaders: map[string]http.Header{}, cancelled: map[string]int{},
 		handlers: map[string]func(http.ResponseWriter, *http.Request){}}
 	rig.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -104,7 +104,7 @@
 	return res, string(b), err
 }
 
-func (s *pageRig) mustServe(path, text string, fields ...string) *http.Response {
+func (s *pageRig) mustGetText(path, text string, fields ...string) *http.Response {
 	s.t.Helper()
 	res, got, err := s.request("GET", path, fields...)
 	if err != nil || res.StatusCode != 200 || got != text {
@@ -125,7 +125,7 @@
 		"<esi:try><esi:attempt>"+include("/s/1/none2")+"</esi:attempt><esi:except>E</esi:except></esi:try></h>", "Set-Cookie", "t=1")
 	rig.serve("/s/1/x", "x", "Set-Cookie", "frag=1")
 	rig.serve("/s/1/y", "y")
-	res := rig.mustServe("/p/1/a", "<h>xxxxxxxxxxyE</h>", "Cookie", "secret=1", "Accept-Encoding", "br")
+	res := rig.mustGetText("/p/1/a", "<h>xxxxxxxxxxyE</h>", "Cookie", "secret=1", "Accept-Encoding", "br")
 	if n := rig.count("/s/1/x"); n != 1 {
 		t.Errorf("a fragment that is included ten times was fetched %d times", n)
 	}
@@ -140,30 +140,30 @@
 	}
 	rig.mu.Unlock()
 
-	zip := func(text string) string {
-		var b bytes.Buffer
-		writer := gzip.NewWriter(&b)
+	compress := func(text string) string {
+		var body bytes.Buffer
+		writer := gzip.NewWriter(&body)
 		writer.Write([]byte(text))
 		writer.Close()
-		return b.String()
+		return body.String()
 	}
-	rig.serve("/p/1/z", zip("[<esi:vars>$(QUERY_STRING{q})</esi:vars>"+include("/p/1/in")+"]"), "Content-Encoding", "gzip")
-	rig.serve("/p/1/in", zip("in"+include("/s/1/big")), "Content-Encoding", "gzip")
+	rig.serve("/p/1/z", compress("[<esi:vars>$(QUERY_STRING{q})</esi:vars>"+include("/p/1/in")+"]"), "Content-Encoding", "gzip")
+	rig.serve("/p/1/in", compress("in"+include("/s/1/big")), "Content-Encoding", "gzip")
 	big := strings.Repeat("0123456789abcdef", 20<<10) // 320 KB, which is streamed
 	rig.serve("/s/1/big", big)
-	rig.mustServe("/p/1/z?q=%3Cb%3E", "[%3Cb%3Ein"+big+"]")
-	bomb := zip(strings.Repeat("x", 4<<20))
+	rig.mustGetText("/p/1/z?q=%3Cb%3E", "[%3Cb%3Ein"+big+"]")
+	bomb := compress(strings.Repeat("x", 4<<20))
 	rig.serve("/p/1/bomb", "a"+include("/s/1/bomb", ` onerror="continue"`)+"b")
 	rig.serve("/s/1/bomb", bomb, "Content-Encoding", "gzip")
-	rig.mustServe("/p/1/bomb", "ab")
+	rig.mustGetText("/p/1/bomb", "ab")
 
 	// A response that does not request ESI is relayed unprocessed, as is one of another class.
 	rig.serve("/p/1/plain", "<esi:include src='/s/1/x'/>", "Surrogate-Control", "max-age=5", "ETag", `"e"`)
-	if res := rig.mustServe("/p/1/plain", "<esi:include src='/s/1/x'/>"); res.Header.Get("ETag") != `"e"` || res.ContentLength != 27 {
+	if res := rig.mustGetText("/p/1/plain", "<esi:include src='/s/1/x'/>"); res.Header.Get("ETag") != `"e"` || res.ContentLength != 27 {
 		t.Error(res.Header, res.ContentLength)
 	}
 	rig.serve("/s/1/raw", include("/s/1/x"), "Surrogate-Control", surrogateControl)
-	rig.mustServe("/s/1/raw", include("/s/1/x"))
+	rig.mustGetText("/s/1/raw", include("/s/1/x"))
 	if res, _, _ := rig.request("GET", "/p/1/absent"); res.StatusCode != 404 {
 		t.Error(res.Status)
 	}
@@ -174,24 +174,24 @@
 		t.Error(res, err)
 	}
 	rig.serve("/p/1/m2", "begun"+include("/s/1/none"))
-	if _, got, err := rig.request("GET", "/p/1/m2"); err == nil {
-		t.Errorf("incomplete page seems complete: %q", got)
+	if _, output, err := rig.request("GET", "/p/1/m2"); err == nil {
+		t.Errorf("incomplete page seems complete: %q", output)
 	}
 	rig.serve("/p/1/mal", "a<esi:what/>")
 	if res, _, err := rig.request("GET", "/p/1/mal"); err == nil && res.StatusCode != 502 {
 		t.Error(res, err)
 	}
 	// The response to a HEAD that fails has no body, so that the next response follows its head.
-	got := rig.exchange("HEAD /p/1/m HTTP/1.1\r\nHost: h\r\n\r\nHEAD /p/1/absent HTTP/1.1\r\nHost: h\r\n\r\nGET /p/1/a HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
-	reader := bufio.NewReader(strings.NewReader(got))
+	output := rig.exchange("HEAD /p/1/m HTTP/1.1\r\nHost: h\r\n\r\nHEAD /p/1/absent HTTP/1.1\r\nHost: h\r\n\r\nGET /p/1/a HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
+	reader := bufio.NewReader(strings.NewReader(output))
 	for i, method := range []string{"HEAD", "HEAD", "GET"} {
 		res, err := http.ReadResponse(reader, &http.Request{Method: method})
 		if err != nil {
-			t.Fatalf("response %d: %v in %.600q", i, err, got)
+			t.Fatalf("response %d: %v in %.600q", i, err, output)
 		}
-		b, err := io.ReadAll(res.Body)
-		if i < 2 && res.StatusCode < 400 || i == 2 && string(b) != "<h>xxxxxxxxxxyE</h>" {
-			t.Errorf("response %d: %v %q %v", i, res.Status, b, err)
+		body, err := io.ReadAll(res.Body)
+		if i < 2 && res.StatusCode < 400 || i == 2 && string(body) != "<h>xxxxxxxxxxyE</h>" {
+			t.Errorf("response %d: %v %q %v", i, res.Status, body, err)
 		}
 	}
 	rig.edge.Query(func(st *Stats, c *engine.Core) {
@@ -270,7 +270,7 @@
 	rig.serve("/s/1/y", "y")
 	rig.serve("/p/1/a", "a"+include("/s/1/hang", ` alt="/s/1/y"`)+include("/s/1/half", ` onerror="continue"`)+"b")
 	began := time.Now()
-	rig.mustServe("/p/1/a", "ayb", "Spool-Deadline", "1500")
+	rig.mustGetText("/p/1/a", "ayb", "Spool-Deadline", "1500")
 	if took := time.Since(began); took > 1500*time.Millisecond {
 		t.Errorf("it took %v", took)
 	}
@@ -303,7 +303,7 @@
 		fmt.Fprintf(&want, "<%d>", i)
 	}
 	rig.serve("/p/1/a", text.String())
-	rig.mustServe("/p/1/a", want.String())
+	rig.mustGetText("/p/1/a", want.String())
 	if maxInFlight > 8 || maxInFlight < 4 {
 		t.Errorf("%d fragments in flight at once, want 4 to 8", maxInFlight)
 	}
@@ -313,8 +313,8 @@
 // old copy is not sent. A purged template is fetched again.
 func TestPurgeOfFragment(t *testing.T) {
 	rig := newPageRig(t, "", "")
-	let := make(chan bool)
-	rig.handle("/s/1/slow", func(w http.ResponseWriter, r *http.Request) { <-let; io.WriteString(w, "S") })
+	proceed := make(chan bool)
+	rig.handle("/s/1/slow", func(w http.ResponseWriter, r *http.Request) { <-proceed; io.WriteString(w, "S") })
 	rig.serve("/s/2/thumb", "old")
 	rig.serve("/p/3/a", include("/s/1/slow")+include("/s/2/thumb"))
 	got := make(chan string, 1)
@@ -324,7 +324,7 @@
 	rig.serve("/s/2/thumb", "new")
 	rig.listService.Purge("/s/2/thumb", 0, 0)
 	rig.waitFor("the fragment to be fetched again", func(*Stats, *engine.Core) bool { return rig.count("/s/2/thumb") == 2 })
-	let <- true
+	proceed <- true
 	if b := <-got; b != "Snew<nil>" {
 		t.Errorf("the client got %q", b)
 	}
@@ -335,7 +335,7 @@
 	if b := <-got; b != "anewnew<nil>" {
 		t.Errorf("the client got %q", b)
 	}
-	close(let)
+	close(proceed)
 }
 
 // When the client leaves during the assembly, the open requests for fragments are cancelled, and no
@@ -381,14 +381,14 @@
 	conn.SetDeadline(time.Now().Add(20 * time.Second))
 	fmt.Fprint(conn, "GET /p/1/a HTTP/1.1\r\nHost: h\r\nSpool-Deadline: 900\r\nConnection: close\r\n\r\n")
 	time.Sleep(600 * time.Millisecond)
-	var held int64
+	var buffered int64
 	rig.edge.Query(func(*Stats, *engine.Core) {
 		for pg := range rig.edge.pages {
-			held = pg.assembly.Most()
+			buffered = pg.assembly.Most()
 		}
 	})
-	if held == 0 || held > 64<<10+8*128<<10+128<<10 {
-		t.Errorf("%d bytes are buffered", held)
+	if buffered == 0 || buffered > 64<<10+8*128<<10+128<<10 {
+		t.Errorf("%d bytes are buffered", buffered)
 	}
 	res, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
--- a/internal/proxy/httpfront/versions_test.go
+++ b/internal/proxy/httpfront/versions_test.go
@@ -67,92 +67,92 @@
 	return rig
 }
 
-func (v *versionRig) logText() string {
-	v.logMu.Lock()
-	defer v.logMu.Unlock()
-	return v.log.String()
+func (r *versionRig) logText() string {
+	r.logMu.Lock()
+	defer r.logMu.Unlock()
+	return r.log.String()
 }
 
-func (v *versionRig) listMember(id, kind, zone, state, addr string, start int) {
-	v.members[id] = fmt.Sprintf("(member %s (kind %s) (zone %s) (state %s) (start %d) (address %q))\n", id, kind, zone, state, start, addr)
+func (r *versionRig) listMember(id, kind, zone, state, addr string, start int) {
+	r.members[id] = fmt.Sprintf("(member %s (kind %s) (zone %s) (state %s) (start %d) (address %q))\n", id, kind, zone, state, start, addr)
 }
 
 // startService starts the control service with the store of the rig.
-func (v *versionRig) startService(listen string) {
+func (r *versionRig) startService(listen string) {
 	var settings service.Settings
 	if err := config.Read("svc", fmt.Sprintf(`(service (listen %q) (admin "127.0.0.1:0") (store %q) (reports 100))
-		(rollout (hold 50))`, listen, filepath.Join(v.dir, "svc.db")), &settings); err != nil {
-		v.t.Fatal(err)
+		(rollout (hold 50))`, listen, filepath.Join(r.dir, "svc.db")), &settings); err != nil {
+		r.t.Fatal(err)
 	}
 	var err error
 	for range 200 { // until the address is free
-		if v.service, err = service.Start(&settings, zap.NewNop(), nil); err == nil {
+		if r.service, err = service.Start(&settings, zap.NewNop(), nil); err == nil {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	v.t.Fatal(err)
+	r.t.Fatal(err)
 }
 
 // push pushes a config version of the text and the present members, and returns its number.
-func (v *versionRig) push(text string, now bool) int64 {
-	v.t.Helper()
-	for _, m := range v.members {
-		text += m
+func (r *versionRig) push(text string, now bool) int64 {
+	r.t.Helper()
+	for _, member := range r.members {
+		text += member
 	}
-	n, _, err := v.service.PushSources([]config.Source{{File: "test", Text: text}}, now)
+	n, _, err := r.service.PushSources([]config.Source{{File: "test", Text: text}}, now)
 	if err != nil {
-		v.t.Fatal(err)
+		r.t.Fatal(err)
 	}
 	return n
 }
 
 // startRouter starts the router with local settings. start is the setting that says what it starts
 // with, and rest is appended.
-func (v *versionRig) startRouter(start, rest string) {
-	v.t.Helper()
+func (r *versionRig) startRouter(start, rest string) {
+	r.t.Helper()
 	var settings config.Settings
 	text := fmt.Sprintf(`(router (name e1) (me 1) (of 2) (zone z) (listen "127.0.0.1:0") (admin "127.0.0.1:0"))
-		(control (services %q) (store %q) (protocol %s) (backoff 20) (spread 20) (report 100) (start %s)) %s`, v.service.Addr(),
-		filepath.Join(v.dir, "good.db"), v.protocol, start, rest)
+		(control (services %q) (store %q) (protocol %s) (backoff 20) (spread 20) (report 100) (start %s)) %s`, r.service.Addr(),
+		filepath.Join(r.dir, "good.db"), r.protocol, start, rest)
 	if err := config.Read("own.edn", text, &settings); err != nil {
-		v.t.Fatal(err)
+		r.t.Fatal(err)
 	}
-	log := newAccessLog(lockedWriter{&v.logMu, v.log}, 1000, "info")
+	log := newAccessLog(lockedWriter{&r.logMu, r.log}, 1000, "info")
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	edge, end, err := Open(ctx, &settings, log)
 	if err != nil {
-		v.t.Fatal(err)
+		r.t.Fatal(err)
 	}
-	v.edge, v.stopped, v.done = edge, false, make(chan error, 1)
-	v.closeRouter = func() { end(); log.Close() }
-	go func() { v.done <- edge.Run() }()
+	r.edge, r.stopped, r.done = edge, false, make(chan error, 1)
+	r.closeRouter = func() { end(); log.Close() }
+	go func() { r.done <- edge.Run() }()
 	if err := edge.Ready(); err != nil {
-		v.t.Fatal(err)
+		r.t.Fatal(err)
 	}
 }
 
-func (v *versionRig) stopRouter() {
-	if v.edge != nil && !v.stopped {
-		v.stop()
-		v.closeRouter()
+func (r *versionRig) stopRouter() {
+	if r.edge != nil && !r.stopped {
+		r.stop()
+		r.closeRouter()
 	}
 }
 
-func (v *versionRig) waitForVersion(number int64) {
-	v.t.Helper()
-	v.waitFor(fmt.Sprintf("version %d", number), func(*Stats, *engine.Core) bool { return v.edge.version == number })
+func (r *versionRig) waitForVersion(number int64) {
+	r.t.Helper()
+	r.waitFor(fmt.Sprintf("version %d", number), func(*Stats, *engine.Core) bool { return r.edge.version == number })
 }
 
-func (v *versionRig) mustGet(path string) {
-	v.t.Helper()
-	if res, _, err := v.get(path); err != nil || res.StatusCode != 200 {
-		v.t.Fatalf("%s: %v %v", path, res, err)
+func (r *versionRig) mustGet(path string) {
+	r.t.Helper()
+	if res, _, err := r.get(path); err != nil || res.StatusCode != 200 {
+		r.t.Fatalf("%s: %v %v", path, res, err)
 	}
 }
 
-func (v *versionRig) adminState() (out struct {
+func (r *versionRig) adminState() (out struct {
 	Version  int64 `json:"version"`
 	Versions struct {
 		Running, Accepted int64
@@ -164,13 +164,13 @@
 		}
 	} `json:"versions"`
 }) {
-	res, err := http.Get("http://" + v.edge.AdminAddr() + "/state")
+	res, err := http.Get("http://" + r.edge.AdminAddr() + "/state")
 	if err != nil {
-		v.t.Fatal(err)
+		r.t.Fatal(err)
 	}
 	defer res.Body.Close()
 	if err := json.NewDecoder(res.Body).Decode(&out); err != nil {
-		v.t.Fatal(err)
+		r.t.Fatal(err)
 	}
 	return out
 }
@@ -350,7 +350,7 @@
 				rig.edge = edge
 				return edge, done
 			}
-			ended := func(done chan error) {
+			mustEnd := func(done chan error) {
 				t.Helper()
 				select {
 				case err := <-done:
@@ -391,7 +391,7 @@
 				if i == 0 && !activated {
 					t.Error("the draining router has not activated the version")
 				}
-				ended(oldDone)
+				mustEnd(oldDone)
 			}
 			stop.Store(true)
 			if sent, failed, first := wait(); failed > 0 || sent < 200 {
@@ -411,7 +411,7 @@
 			inherited.Abort()
 			if !stored {
 				edge.Stop()
-				ended(done)
+				mustEnd(done)
 				return
 			}
 			for range 300 {
@@ -421,12 +421,12 @@
 				time.Sleep(10 * time.Millisecond)
 			}
 			edge.Stop()
-			ended(done)
+			mustEnd(done)
 			rig.service.Close()
 			edge, done = start()
 			rig.waitForVersion(number)
 			edge.Stop()
-			ended(done)
+			mustEnd(done)
 		})
 	}
 }
