--- a/internal/proxy/httpfront/edge.go
+++ b/internal/proxy/httpfront/edge.go
@@ -1,14 +1,14 @@
-// Package httpfront is the HTTP router: client and upstream connections on one event loop,
-// which report what happens to the decision module and carry out what it decides. Bytes
-// become events, actions become bytes.
+// Package httpfront is the HTTP router. It runs client and upstream connections on one event
+// loop, reports to the decision module what happens on them, and carries out the actions that
+// the module returns.
 //
-// It owns the connections, the requests in flight and the connection pools. Where a request
-// goes, whether it is retried and when it is given up is decided by the module, reached
-// through internal/proxy/engine. It keeps to limits that the settings name, and never waits
-// for anything but the loop: the list service and the admin listener run on goroutines of
-// their own and post to it (watch.go, admin.go). client.go and upstream.go hold the two
-// sides of a request; docs/protocol.md defines what is on the wire, docs/architecture.md
-// the path of a request.
+// The package owns the connections, the requests in flight and the connection pools. The
+// decision module, reached through internal/proxy/engine, decides where a request goes,
+// whether it is retried and when it is given up. The limits are those of the settings; guard.go
+// enforces them. The loop never blocks: the list service and the admin listener have goroutines
+// of their own and post to the loop (watch.go, admin.go). client.go and upstream.go hold the
+// two sides of a request. docs/protocol.md defines the protocol on the wire, and
+// docs/architecture.md describes the path of a request.
 package httpfront
 
 import (
@@ -36,192 +36,197 @@
 	"indigospool/internal/wallclock"
 )
 
-// Stats counts what a router has done. They are read from the loop only.
+// Stats holds the counters of a router. They may be read on the loop only. Their names are
+// part of the admin interface's /state.
 type Stats struct {
 	Accepted, Connections, Requests, Served, Refused, Failed, Malformed uint64
 	Gone, Broken, Attempts, Connects, Reused, Dropped                   uint64
-	InBytes, OutBytes, AcceptPauses, ConnectWaits                       uint64 // the last: attempts that could not be begun here
-	HandedIn, HandedOut                                                 uint64 // connections, from a predecessor and to a successor
-	Purges                                                              uint64 // heard of
-	Fragments                                                           uint64 // asked for, of pages
-	Held, Upstreams, MostHeld                                           int
+	InBytes, OutBytes, AcceptPauses, ConnectWaits                       uint64 // ConnectWaits: attempts that failed for want of local resources
+	HandedIn, HandedOut                                                 uint64 // connections received from a predecessor, and passed to a successor
+	Purges                                                              uint64 // received
+	Fragments                                                           uint64 // requested for pages
+	Held, Upstreams, MostHeld                                           int    // requests in flight, connections to members, most requests in flight
 }
 
-// Edge is one router.
+// Edge is an HTTP router between clients and caches. Its state belongs to the event loop.
 type Edge struct {
-	s    *config.Settings
-	core *engine.Core
-	l    *eventloop.Loop
-	log  *AccessLog
-	name string
-
-	started   time.Time // by the wall clock
-	startedAt eventloop.Millis
-	lfd       int
-	listener  eventloop.Listener
-	addr      string
-	clients   map[*client]struct{}
-	pages     map[*page]struct{}
-	dirty     []*page // that something has come for in this turn
-	reqs      map[string]*request
-	pools     map[string]*pool
-	seq       uint64
-	scratch   []byte
-	acts      []spool.Action
-	queue     []spool.Event
-	telling   bool
-	draining  bool
-	drainT    eventloop.Timer
-	freeWakes []*wake
-	free      []*request
-	buffers   eventloop.Buffers // for bytes that wait to be written
-	hbuf      []byte            // a head that is being written
-	head      http1.Head        // of the request that is being taken
-	stats     Stats
-	probed    func(spool.Probed) // also hears of probes, in tests
-	stopWatch func()
-	stopAdmin func()
-	adminFile *os.File // of its listener, for a successor
-
-	inherited *hotrestart.Inherited // from a predecessor; nil: there was none
-	followed  atomic.Bool           // that knows that this one serves, and has not ended
-	behind    bool                  // as followed, as the loop knows it: it still passes connections on
-	offered   *hotrestart.Server
-	leaving   bool               // a successor has the memory, and does not serve yet
-	since     []engine.Purge     // purges since then
-	successor *hotrestart.Sender // it serves; nil: there is none
-	guard     *guard
-	journal   *journal.Writer // nil: none is kept
-	versions  *Versions
-	version   int64              // in use; 0: the file
-	next      int64              // about to be
-	young     map[string]float64 // members that were listed lately when the router began, and for how long (ms)
-	listState atomic.Value       // string: what is known of the list service
-	adminAddr atomic.Value       // string
-}
-
-// New makes a router from checked settings; it listens, and serves once Run is called.
-func New(s *config.Settings, log *AccessLog) (*Edge, error) { return newEdge(s, log, nil) }
-
-func newEdge(s *config.Settings, log *AccessLog, in *hotrestart.Inherited) (*Edge, error) {
-	c, err := engine.New(s, uint64(s.Router.Seed))
+	settings *config.Settings
+	core     *engine.Core
+	loop     *eventloop.Loop
+	log      *AccessLog
+	name     string
+
+	startedDate   time.Time        // start of the router by the wall clock
+	startedAt     eventloop.Millis // the same by the monotonic clock
+	listenFD      int
+	listener      eventloop.Listener
+	addr          string
+	clients       map[*clientConn]struct{}
+	pages         map[*esiPage]struct{}
+	changedPages  []*esiPage // to be updated at the end of this turn
+	requests      map[string]*clientRequest
+	pools         map[string]*connPool
+	requestCount  uint64         // for request identifiers
+	scratch       []byte         // read buffer shared by all connections
+	actions       []spool.Action // reused by dispatch
+	pendingEvents []spool.Event  // raised while dispatch runs
+	dispatching   bool
+	draining      bool
+	drainTimer    eventloop.Timer
+	freeTimers    []*moduleTimer
+	freeRequests  []*clientRequest
+	buffers       eventloop.Buffers // for output that waits to be written
+	headBuffer    []byte            // reused for each message head that is written
+	head          http1.Head        // reused for each request head that is parsed
+	stats         Stats
+	observeProbe  func(spool.Probed) // called with the result of each probe; set by tests
+	stopWatch     func()
+	stopAdmin     func()
+	adminFile     *os.File // the admin listener, for a successor
+
+	inherited            *hotrestart.Inherited // from a predecessor; nil without one
+	predecessorReachable atomic.Bool           // the predecessor knows that this router serves, and still runs
+	predecessorRuns      bool                  // the same as seen on the loop: the predecessor may still pass connections
+	handoverServer       *hotrestart.Server
+	handingOver          bool               // a successor has the learned state, but does not serve yet
+	purgesDuringHandover []engine.Purge     // received since the successor got the learned state
+	successor            *hotrestart.Sender // the successor that serves; nil without one
+	guard                *guard
+	journal              *journal.Writer // nil if no journal is kept
+	configClient         *ConfigClient
+	version              int64              // config version in use; 0 is the settings file
+	nextVersion          int64              // config version that is being activated
+	listedFor            map[string]float64 // ms for which recently added members had been listed when the router started
+	listState            atomic.Value       // string: state of the list service's stream
+	adminAddr            atomic.Value       // string
+}
+
+// New returns a router for checked settings. It listens at once, and serves when Run is called.
+func New(settings *config.Settings, log *AccessLog) (*Edge, error) {
+	return newEdge(settings, log, nil)
+}
+
+func newEdge(settings *config.Settings, log *AccessLog, inherited *hotrestart.Inherited) (*Edge, error) {
+	core, err := engine.New(settings, uint64(settings.Router.Seed))
 	if err != nil {
 		return nil, err
 	}
-	l, err := eventloop.New(0)
+	loop, err := eventloop.New(0)
 	if err != nil {
 		return nil, err
 	}
-	e := &Edge{s: s, core: c, l: l, log: log, name: s.Router.Name, clients: map[*client]struct{}{}, pages: map[*page]struct{}{},
-		reqs: map[string]*request{}, pools: map[string]*pool{}, scratch: make([]byte, 256<<10), started: wallclock.Now(), startedAt: eventloop.Clock()}
-	e.listState.Store("none")
-	e.drainT.F = e.drained
-	e.guard = newGuard(e)
-	e.buffers = newBuffers(e.guard)
-	e.inherited = in
+	edge := &Edge{settings: settings, core: core, loop: loop, log: log, name: settings.Router.Name, clients: map[*clientConn]struct{}{}, pages: map[*esiPage]struct{}{},
+		requests: map[string]*clientRequest{}, pools: map[string]*connPool{}, scratch: make([]byte, 256<<10), startedDate: wallclock.Now(), startedAt: eventloop.Clock()}
+	edge.listState.Store("none")
+	edge.drainTimer.F = edge.onDrainTimeout
+	edge.guard = newGuard(edge)
+	edge.buffers = newBuffers(edge.guard)
+	edge.inherited = inherited
 	var ok bool
-	if e.lfd, e.addr, ok = inherit(in, s.Router.Listen); ok {
-	} else if e.lfd, e.addr, err = eventloop.Listen(s.Router.Listen); err != nil {
-		return nil, fmt.Errorf("edge: listen %s: %w; is the address free, and one of this machine?", s.Router.Listen, err)
-	}
-	e.listener.Take = func(fd int) { e.accepted(fd) }
-	e.listener.MakeRoom = func() bool { return e.guard.closeIdle(limits.Descriptors) }
-	if err := e.keepJournal(); err != nil {
-		unix.Close(e.lfd)
+	if edge.listenFD, edge.addr, ok = inheritListener(inherited, settings.Router.Listen); ok {
+	} else if edge.listenFD, edge.addr, err = eventloop.Listen(settings.Router.Listen); err != nil {
+		return nil, fmt.Errorf("edge: listen %s: %w; is the address free, and one of this machine?", settings.Router.Listen, err)
+	}
+	edge.listener.Take = func(fd int) { edge.onAccept(fd) }
+	edge.listener.MakeRoom = func() bool { return edge.guard.closeIdle(limits.Descriptors) }
+	if err := edge.openJournal(); err != nil {
+		unix.Close(edge.listenFD)
 		return nil, err
 	}
-	return e, nil
+	return edge, nil
 }
 
-// keepJournal has the core record what the module is told and answers.
-func (e *Edge) keepJournal() error {
-	r := &e.s.Router
-	if r.Journal == "" {
+// openJournal opens the journal, if the settings name one, and makes the core record in it
+// the module's events and actions.
+func (e *Edge) openJournal() error {
+	router := &e.settings.Router
+	if router.Journal == "" {
 		return nil
 	}
-	w, err := journal.Open(r.Journal, journal.Options{Segment: int64(r.JournalPart), Total: int64(r.JournalTotal),
-		Queue: r.JournalQueue, Skip: e.inherited != nil, Warn: func(text string) { e.log.Log.Warn(text) }})
+	writer, err := journal.Open(router.Journal, journal.Options{Segment: int64(router.JournalPart), Total: int64(router.JournalTotal),
+		Queue: router.JournalQueue, Skip: e.inherited != nil, Warn: func(text string) { e.log.Log.Warn(text) }})
 	if err != nil {
 		return err
 	}
-	w.Life(journal.Life{Name: e.name, Program: cli.Version(), Wall: wallclock.Now().UnixMilli(), Seed: uint64(r.Seed), Settings: config.Print(e.s)})
-	e.journal, e.core.Recorder = w, recorder{e}
+	writer.Life(journal.Life{Name: e.name, Program: cli.Version(), Wall: wallclock.Now().UnixMilli(), Seed: uint64(router.Seed), Settings: config.Print(e.settings)})
+	e.journal, e.core.Recorder = writer, recorder{e}
 	return nil
 }
 
-// recorder is the journal as the core knows it.
-type recorder struct{ e *Edge }
+// recorder writes to the journal what the core records.
+type recorder struct{ edge *Edge }
 
-func (r recorder) Handled(now float64, ev spool.Event, acts []spool.Action) {
-	r.e.journal.Handled(now, ev, acts)
+func (r recorder) Handled(now float64, event spool.Event, actions []spool.Action) {
+	r.edge.journal.Handled(now, event, actions)
 }
 
-func (r recorder) SettingsChanged(now float64, s *config.Settings, acts []spool.Action) {
-	r.e.journal.Settings(now, r.e.next, func() string { return config.Print(s) }, acts)
+func (r recorder) SettingsChanged(now float64, settings *config.Settings, actions []spool.Action) {
+	r.edge.journal.Settings(now, r.edge.nextVersion, func() string { return config.Print(settings) }, actions)
 }
 
-// NewFrom makes a router that begins with a version. The router's own part of
-// the settings is in the version's already.
-func NewFrom(u *configversion.Activate, log *AccessLog) (*Edge, error) {
-	return newFrom(u, nil, log, nil)
+// NewFromVersion returns a router that starts with a config version. The version's settings
+// already include the local settings of the router.
+func NewFromVersion(version *configversion.Activate, log *AccessLog) (*Edge, error) {
+	return newFromVersion(version, nil, log, nil)
 }
 
-// newFrom makes a router that begins with a version or, where that is nil, with
-// settings of its own, and takes over from in unless that is nil.
-func newFrom(u *configversion.Activate, own *config.Settings, log *AccessLog, in *hotrestart.Inherited) (*Edge, error) {
-	if u == nil {
-		return newEdge(own, log, in)
+// newFromVersion returns a router that starts with a config version or, if version is nil, with
+// its local settings. If inherited is not nil, the router takes over from that predecessor.
+func newFromVersion(version *configversion.Activate, local *config.Settings, log *AccessLog, inherited *hotrestart.Inherited) (*Edge, error) {
+	if version == nil {
+		return newEdge(local, log, inherited)
 	}
-	e, err := newEdge(u.Settings, log, in)
+	e, err := newEdge(version.Settings, log, inherited)
 	if err == nil {
-		e.version, e.young = u.Version.Number, u.ListedFor
+		e.version, e.listedFor = version.Version.Number, version.ListedFor
 	}
 	return e, err
 }
 
-// date is the time of day as it was when the router began, run on by the monotonic clock.
+// date returns the wall-clock time at the router's start advanced by the monotonic clock, so
+// that steps of the wall clock have no effect.
 func (e *Edge) date() time.Time {
-	return e.started.Add(time.Duration((eventloop.Clock() - e.startedAt) * float64(time.Millisecond)))
+	return e.startedDate.Add(time.Duration((eventloop.Clock() - e.startedAt) * float64(time.Millisecond)))
 }
 
-// Addr is where clients reach the router.
+// Addr returns the address at which the router accepts clients.
 func (e *Edge) Addr() string { return e.addr }
 
-// Run serves until Drain has ended or Stop is called.
+// Run serves until a drain is complete or Stop is called.
 func (e *Edge) Run() error {
-	if err := e.listener.Start(e.l, e.lfd); err != nil {
+	if err := e.listener.Start(e.loop, e.listenFD); err != nil {
 		return err
 	}
-	e.l.AfterEachTurn(e.guard.after)
-	e.l.Arm(&e.guard.sweepT, sweepEvery)
-	e.l.Post(func() { e.remember(); e.begin() })
-	if e.s.Router.List != "" {
-		e.stopWatch = e.watch()
+	e.loop.AfterEachTurn(e.guard.afterTurn)
+	e.loop.Arm(&e.guard.sweepTimer, sweepInterval)
+	e.loop.Post(func() { e.restoreLearnedState(); e.applyInitialMembers() })
+	if e.settings.Router.List != "" {
+		e.stopWatch = e.watchList()
 	}
-	if e.s.Router.Admin != "" {
+	if e.settings.Router.Admin != "" {
 		stop, err := e.admin()
 		if err != nil {
-			e.l.Stop()
-			e.l.Run()
+			e.loop.Stop()
+			e.loop.Run()
 			return err
 		}
 		e.stopAdmin = stop
 	}
-	if err := errors.Join(e.offer(), e.serves()); err != nil {
-		e.l.Stop()
-		e.l.Run()
+	if err := errors.Join(e.offerHandover(), e.announceServing()); err != nil {
+		e.loop.Stop()
+		e.loop.Run()
 		return err
 	}
-	err := e.l.Run()
-	if e.offered != nil {
-		e.offered.Close()
+	err := e.loop.Run()
+	if e.handoverServer != nil {
+		e.handoverServer.Close()
 	}
 	if e.successor != nil {
 		e.successor.Close()
 	}
 	if e.journal != nil {
-		if jerr := e.journal.Close(); jerr != nil {
-			e.log.Log.Error("journal", zap.Error(jerr))
+		if journalErr := e.journal.Close(); journalErr != nil {
+			e.log.Log.Error("journal", zap.Error(journalErr))
 		}
 	}
 	if e.stopWatch != nil {
@@ -234,22 +239,22 @@
 	return err
 }
 
-// closeAll closes what the loop's end has left.
+// closeAll closes the sockets that are still open when the loop has ended.
 func (e *Edge) closeAll() {
 	for c := range e.clients {
 		unix.Close(c.fd)
 	}
 	for _, p := range e.pools {
-		for u := range p.all {
+		for u := range p.connections {
 			unix.Close(u.fd)
 		}
 	}
-	if e.lfd >= 0 {
-		unix.Close(e.lfd)
+	if e.listenFD >= 0 {
+		unix.Close(e.listenFD)
 	}
 }
 
-// Ready waits until the router runs and knows a list, for at most a few seconds.
+// Ready waits until the router runs and has an endpoint list, for 3 s at most.
 func (e *Edge) Ready() error {
 	for range 300 {
 		known := false
@@ -261,17 +266,17 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	return errors.New("edge: no list of members after 3 s; is the list service reached?")
+	return errors.New("edge: no endpoint list after 3 s; is the list service reachable?")
 }
 
-// Stop ends the router at once, from any goroutine.
-func (e *Edge) Stop() { e.l.Stop() }
+// Stop ends the router at once. It may be called from any goroutine.
+func (e *Edge) Stop() { e.loop.Stop() }
 
-// Drain ends the router when what it holds is done, or after the settings'
-// limit: no connection is accepted any more, idle ones are closed, and answers
-// under way are finished. It may be called from any goroutine.
+// Drain begins a graceful shutdown: the router accepts no more connections, closes idle ones
+// and finishes the requests in flight, up to the drain timeout of the settings. It may be
+// called from any goroutine.
 func (e *Edge) Drain() {
-	e.l.Post(e.drainNow)
+	e.loop.Post(e.drainNow)
 }
 
 func (e *Edge) drainNow() {
@@ -280,56 +285,57 @@
 	}
 	e.draining = true
 	e.listener.Stop()
-	unix.Close(e.lfd)
-	e.lfd = -1
-	e.l.Arm(&e.drainT, e.s.Limits.Drain)
+	unix.Close(e.listenFD)
+	e.listenFD = -1
+	e.loop.Arm(&e.drainTimer, e.settings.Limits.Drain)
 	for c := range e.clients {
 		c.drain()
 	}
 	e.checkDrained()
 }
 
-// checkDrained ends the router when it has drained. While its own predecessor still drains
-// it stays: what that one passes on goes through here to the successor.
+// checkDrained ends the router when it has drained. If its own predecessor still drains, the
+// router keeps running, since it passes that one's connections on to the successor.
 func (e *Edge) checkDrained() {
-	if e.draining && len(e.clients) == 0 && !e.behind {
-		e.l.Stop()
+	if e.draining && len(e.clients) == 0 && !e.predecessorRuns {
+		e.loop.Stop()
 	}
 }
 
-func (e *Edge) drained() { e.l.Stop() }
+func (e *Edge) onDrainTimeout() { e.loop.Stop() }
 
-// Query runs f on the loop with the router's counters and core.
+// Query calls f on the loop with the router's counters and core.
 func (e *Edge) Query(f func(*Stats, *engine.Core)) error {
-	return e.l.Call(5*time.Second, func() {
-		e.stats.Connections, e.stats.Held = uint64(len(e.clients)), len(e.reqs)
+	return e.loop.Call(5*time.Second, func() {
+		e.stats.Connections, e.stats.Held = uint64(len(e.clients)), len(e.requests)
 		e.stats.AcceptPauses, e.stats.Upstreams = e.listener.Pauses, 0
 		for _, p := range e.pools {
-			e.stats.Upstreams += len(p.all)
+			e.stats.Upstreams += len(p.connections)
 		}
 		f(&e.stats, e.core)
 	})
 }
 
-// shortPause is how long, in ms, a probe waits that could not be begun here.
-const shortPause = 50
+// probeRetryInterval is the wait, in ms, before a probe is repeated that could not begin for
+// want of local resources.
+const probeRetryInterval = 50
 
-// accepted takes a connection from the listener.
-func (e *Edge) accepted(fd int) {
+// onAccept adds a connection that the listener has accepted.
+func (e *Edge) onAccept(fd int) {
 	e.stats.Accepted++
 	peer, err := unix.Getpeername(fd)
-	if eventloop.Broken(err) { // it was reset before it was taken
+	if eventloop.Broken(err) { // reset by the client before it was accepted
 		unix.Close(fd)
 		return
 	}
-	e.adopt(fd, addressOf(peer), true)
+	e.addClient(fd, addressOf(peer), true)
 }
 
-// writeWhole writes a short answer to a connection that is about to be closed, as far as it
-// can be written at once.
-func (e *Edge) writeWhole(fd int, b []byte) {
+// writeBeforeClose writes a short response to a connection that is about to be closed. It drops
+// what the socket does not take at once.
+func (e *Edge) writeBeforeClose(fd int, b []byte) {
 	for len(b) > 0 {
-		n, err := e.l.Write(fd, b)
+		n, err := e.loop.Write(fd, b)
 		if err != nil {
 			return
 		}
@@ -337,51 +343,51 @@
 	}
 }
 
-// adopt takes a client's connection, unless as many are there as may be: then it is
-// told so, and closed.
-func (e *Edge) adopt(fd int, from netip.Addr, answer bool) *client {
-	g := e.guard
+// addClient adds a client connection. If a connection limit is reached, it closes the connection
+// instead, after a 503 response if respond is set, and returns nil.
+func (e *Edge) addClient(fd int, addr netip.Addr, respond bool) *clientConn {
+	guard := e.guard
 	cause := limits.None
 	switch {
-	case g.addresses[from] >= e.s.Limits.PerAddress:
+	case guard.connectionsOf[addr] >= e.settings.Limits.PerAddress:
 		cause = limits.PerAddress
-	case g.full():
+	case guard.connectionsFull():
 		cause = limits.Descriptors
-	case g.mem.Full() && !g.closeIdle(limits.Memory):
+	case guard.memory.Full() && !guard.closeIdle(limits.Memory):
 		cause = limits.Memory
 	}
-	c := &client{e: e, fd: fd, from: from, address: from.String(), class: len(g.classes)}
-	c.idle.F = c.onIdle
+	client := &clientConn{edge: e, fd: fd, addr: addr, addrText: addr.String(), schedulerClass: len(guard.classIndex)}
+	client.idleTimer.F = client.onIdleTimer
 	if cause == limits.None {
 		unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-		if n := g.tails.Room(e.s.Limits.SocketKB * 1024); n > 0 {
+		if n := guard.unread.Room(e.settings.Limits.SocketKB * 1024); n > 0 {
 			unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_SNDBUF, n/2) // the kernel doubles it
 		}
-		if err := e.l.Add(fd, eventloop.Read, c); err != nil {
+		if err := e.loop.Add(fd, eventloop.Read, client); err != nil {
 			cause = limits.Descriptors
 		}
 	}
 	if cause != limits.None {
-		g.counts[cause]++
+		guard.counts[cause]++
 		e.stats.Refused++
-		if answer {
-			e.writeWhole(fd, busyAnswer)
-			e.l.Read(fd, e.scratch) // what is unread when it is closed would take the answer from it
+		if respond {
+			e.writeBeforeClose(fd, busyResponse)
+			e.loop.Read(fd, e.scratch) // closing with unread input would reset the connection and lose the response
 		}
 		unix.Close(fd)
 		return nil
 	}
-	e.clients[c] = struct{}{}
-	g.addresses[from]++
-	g.mem.Add(limits.Connections, clientBytes)
-	g.idle.add(c, e.l.Now())
-	e.l.Arm(&c.idle, e.s.Limits.ClientIdle)
-	return c
+	e.clients[client] = struct{}{}
+	guard.connectionsOf[addr]++
+	guard.memory.Add(limits.Connections, clientBytes)
+	guard.idleClients.push(client, e.loop.Now())
+	e.loop.Arm(&client.idleTimer, e.settings.Limits.ClientIdle)
+	return client
 }
 
-// addressOf is a peer's address, without its port.
-func addressOf(sa unix.Sockaddr) netip.Addr {
-	switch a := sa.(type) {
+// addressOf returns the address of a peer without its port.
+func addressOf(sockaddr unix.Sockaddr) netip.Addr {
+	switch a := sockaddr.(type) {
 	case *unix.SockaddrInet4:
 		return netip.AddrFrom4(a.Addr)
 	case *unix.SockaddrInet6:
@@ -390,221 +396,223 @@
 	return netip.Addr{}
 }
 
-// wake is a timer that the module asked for.
-type wake struct {
-	t     eventloop.Timer
-	e     *Edge
+// moduleTimer is a timer that the module requested with a Wake.
+type moduleTimer struct {
+	timer eventloop.Timer
+	edge  *Edge
 	token int64
 }
 
-func (w *wake) due() {
-	token := w.token
-	w.e.freeWakes = append(w.e.freeWakes, w)
-	w.e.tell(spool.Timer{Token: token})
+func (m *moduleTimer) fire() {
+	token := m.token
+	m.edge.freeTimers = append(m.edge.freeTimers, m)
+	m.edge.dispatch(spool.Timer{Token: token})
 }
 
-func (e *Edge) wakeIn(in float64, token int64) {
-	var w *wake
-	if n := len(e.freeWakes); n > 0 {
-		w, e.freeWakes = e.freeWakes[n-1], e.freeWakes[:n-1]
+func (e *Edge) startTimer(in float64, token int64) {
+	var timer *moduleTimer
+	if n := len(e.freeTimers); n > 0 {
+		timer, e.freeTimers = e.freeTimers[n-1], e.freeTimers[:n-1]
 	} else {
-		w = &wake{e: e}
-		w.t.F = w.due
+		timer = &moduleTimer{edge: e}
+		timer.timer.F = timer.fire
 	}
-	w.token = token
-	e.l.Arm(&w.t, in)
+	timer.token = token
+	e.loop.Arm(&timer.timer, in)
 }
 
-// tell gives the module an event and carries out its actions; events that come
-// of these wait their turn.
-func (e *Edge) tell(ev spool.Event) {
-	if e.telling {
-		e.queue = append(e.queue, ev)
+// dispatch gives the module an event and carries out the actions that it returns. Events that
+// these actions raise are queued and handled afterwards.
+func (e *Edge) dispatch(event spool.Event) {
+	if e.dispatching {
+		e.pendingEvents = append(e.pendingEvents, event)
 		return
 	}
-	e.telling = true
+	e.dispatching = true
 	for {
-		e.acts = e.core.Handle(e.l.Now(), ev, e.acts[:0])
-		for i := range e.acts {
-			e.carryOut(e.acts[i])
+		e.actions = e.core.Handle(e.loop.Now(), event, e.actions[:0])
+		for i := range e.actions {
+			e.execute(e.actions[i])
 		}
-		clear(e.acts)
-		if len(e.queue) == 0 {
+		clear(e.actions)
+		if len(e.pendingEvents) == 0 {
 			break
 		}
-		ev = e.queue[0]
-		if e.queue = e.queue[1:]; len(e.queue) == 0 {
-			e.queue = nil
+		event = e.pendingEvents[0]
+		if e.pendingEvents = e.pendingEvents[1:]; len(e.pendingEvents) == 0 {
+			e.pendingEvents = nil
 		}
 	}
-	e.telling = false
+	e.dispatching = false
 }
 
-// carryOut does what the module wants done.
-func (e *Edge) carryOut(a spool.Action) {
-	switch a := a.(type) {
+// execute carries out an action of the module.
+func (e *Edge) execute(action spool.Action) {
+	switch a := action.(type) {
 	case spool.Send:
-		e.send(&a)
+		e.sendAttempt(&a)
 	case spool.Refuse:
-		if r := e.reqs[a.ID]; r != nil {
-			r.refuse(a.After)
+		if r := e.requests[a.ID]; r != nil {
+			r.reject(a.After)
 		}
 	case spool.Fail:
-		if r := e.reqs[a.ID]; r != nil {
+		if r := e.requests[a.ID]; r != nil {
 			r.fail()
 		}
 	case spool.Cancel:
-		if r := e.reqs[a.ID]; r != nil && a.Attempt < len(r.tries) {
-			r.tries[a.Attempt].cancel()
+		if r := e.requests[a.ID]; r != nil && a.Attempt < len(r.attempts) {
+			r.attempts[a.Attempt].cancel()
 		}
 	case spool.Wake:
-		e.wakeIn(a.In, a.Token)
+		e.startTimer(a.In, a.Token)
 	case spool.Probe:
 		e.probe(a.Cache)
 	case spool.Watch, spool.Fetch:
-		// the list's stream is held open as long as the router runs, and begins
-		// with the whole list: there is nothing to ask for (watch.go)
+		// Nothing to do: watch.go keeps the discovery stream open as long as the router
+		// runs, and the stream begins with a full snapshot.
 	}
 }
 
-// prober is a probe under way: a connection that is made and closed.
+// prober is a probe in progress: a connection to a member that is opened and closed again.
 type prober struct {
-	e     *Edge
-	id    string
-	fd    int // -1: it could not be begun yet
-	timer eventloop.Timer
-	until eventloop.Millis
+	edge     *Edge
+	id       string
+	fd       int // -1 while no socket could be opened
+	timer    eventloop.Timer
+	deadline eventloop.Millis
 }
 
-// probe looks whether a member takes connections, within the time for connects.
+// probe checks whether a member accepts a connection within the connect timeout.
 func (e *Edge) probe(id string) {
-	p := &prober{e: e, id: id, fd: -1, until: e.l.Now() + e.s.Limits.Connect}
-	p.timer.F = p.due
-	p.begin()
+	p := &prober{edge: e, id: id, fd: -1, deadline: e.loop.Now() + e.settings.Limits.Connect}
+	p.timer.F = p.onTimer
+	p.connect()
 }
 
-// begin begins to connect. What this machine lacks for it is no word about the member: it is
-// tried again, as long as the time for connects lasts.
-func (p *prober) begin() {
-	e := p.e
-	fd, _, err := e.l.Dial(e.core.Address(p.id))
+// connect starts the connection. A shortage of local resources says nothing about the member,
+// so connect is repeated after one until the connect timeout.
+func (p *prober) connect() {
+	edge := p.edge
+	fd, _, err := edge.loop.Dial(edge.core.Address(p.id))
 	if err == nil {
-		if err = e.l.Add(fd, eventloop.Write, p); err != nil {
+		if err = edge.loop.Add(fd, eventloop.Write, p); err != nil {
 			unix.Close(fd)
 		}
 	}
 	switch {
 	case err == nil:
 		p.fd = fd
-		e.l.Arm(&p.timer, p.until-e.l.Now())
+		edge.loop.Arm(&p.timer, p.deadline-edge.loop.Now())
 	case eventloop.IsLocalShortage(err):
-		e.l.Arm(&p.timer, shortPause)
+		edge.loop.Arm(&p.timer, probeRetryInterval)
 	default:
-		p.end(false)
+		p.finish(false)
 	}
 }
 
-func (p *prober) due() {
-	if p.fd < 0 && p.e.l.Now() < p.until {
-		p.begin()
+func (p *prober) onTimer() {
+	if p.fd < 0 && p.edge.loop.Now() < p.deadline {
+		p.connect()
 		return
 	}
-	p.end(false)
+	p.finish(false)
 }
 
-func (e *Edge) heard(p spool.Probed) {
-	if e.probed != nil {
-		e.probed(p)
+func (e *Edge) probeDone(probed spool.Probed) {
+	if e.observeProbe != nil {
+		e.observeProbe(probed)
 	}
-	e.tell(p)
+	e.dispatch(probed)
 }
 
 func (p *prober) OnReady(eventloop.Ready) {
-	soerr, err := unix.GetsockoptInt(p.fd, unix.SOL_SOCKET, unix.SO_ERROR)
-	p.end(err == nil && soerr == 0)
+	socketErr, err := unix.GetsockoptInt(p.fd, unix.SOL_SOCKET, unix.SO_ERROR)
+	p.finish(err == nil && socketErr == 0)
 }
 
-func (p *prober) end(ok bool) {
-	p.e.l.Forget(&p.timer)
+func (p *prober) finish(ok bool) {
+	p.edge.loop.Forget(&p.timer)
 	if p.fd >= 0 {
-		p.e.l.Remove(p.fd)
+		p.edge.loop.Remove(p.fd)
 		unix.Close(p.fd)
 	}
-	p.e.heard(spool.Probed{Cache: p.id, OK: ok})
+	p.edge.probeDone(spool.Probed{Cache: p.id, OK: ok})
 }
 
-// news applies a line of the list service, or the settings' members.
-func (e *Edge) news(n *engine.Update) engine.ApplyResult {
-	a := e.core.Apply(e.l.Now(), n)
-	for _, ev := range a.Events {
-		switch ev := ev.(type) {
+// applyUpdate applies an update of the list service, or the members of the settings.
+func (e *Edge) applyUpdate(update *engine.Update) engine.ApplyResult {
+	result := e.core.Apply(e.loop.Now(), update)
+	for _, event := range result.Events {
+		switch ev := event.(type) {
 		case spool.Members:
-			e.tell(ev)
-			e.leaveDrained()
+			e.dispatch(ev)
+			e.abandonDrained()
 		case spool.Purge:
 			e.stats.Purges++
-			if e.leaving {
-				e.since = append(e.since, engine.Purge{Object: ev.Object, Group: ev.Group, AgeMs: ev.Age})
+			if e.handingOver {
+				e.purgesDuringHandover = append(e.purgesDuringHandover, engine.Purge{Object: ev.Object, Group: ev.Group, AgeMs: ev.Age})
 			}
-			e.tell(ev)
-			e.recall(ev)
-			e.purged(ev)
+			e.dispatch(ev)
+			e.abandonPurged(ev)
+			e.purgePages(ev)
 		}
 	}
-	return a
+	return result
 }
 
-// leaveDrained closes unused connections to members that take nothing new, and
-// takes back attempts there that have not been written yet: the wait for a
-// connection must not outlast the grace. The module makes them anew elsewhere.
-func (e *Edge) leaveDrained() {
-	out := func(id string) bool {
+// abandonDrained closes idle connections to members that no longer serve, and ends the attempts
+// to them that are not written yet, since these could otherwise reach a member after its drain
+// grace. The module sends new attempts elsewhere.
+func (e *Edge) abandonDrained() {
+	drained := func(id string) bool {
 		m, ok := e.core.Member(id)
 		return ok && m.State != spool.Serving
 	}
-	for address, p := range e.pools {
-		if out(p.member) {
-			p.closeIdle()
+	for address, pool := range e.pools {
+		if drained(pool.member) {
+			pool.closeIdle()
 		}
-		if len(p.all)+len(p.wait) == 0 && e.core.Address(p.member) != address {
-			delete(e.pools, address) // of an earlier start of the member
+		if len(pool.connections)+len(pool.waiting) == 0 && e.core.Address(pool.member) != address {
+			delete(e.pools, address) // the member has restarted at another address
 		}
 	}
-	e.takeBack(func(t *try) bool { return out(t.cache) || t.source != t.cache && out(t.source) })
+	e.abandonUnwritten(func(t *upstreamAttempt) bool { return drained(t.cache) || t.source != t.cache && drained(t.source) })
 }
 
-// recall takes back attempts for what was purged that have not been written
-// yet: the age that they state was settled before the purge.
-func (e *Edge) recall(p spool.Purge) {
-	e.takeBack(func(t *try) bool {
-		return t.r.q.Object == p.Object || p.Object == "" && t.r.q.Group == p.Group
+// abandonPurged ends the attempts for purged objects that are not written yet: the greatest age
+// of a copy that they accept was computed before the purge.
+func (e *Edge) abandonPurged(purge spool.Purge) {
+	e.abandonUnwritten(func(t *upstreamAttempt) bool {
+		return t.request.spec.Object == purge.Object || purge.Object == "" && t.request.spec.Group == purge.Group
 	})
 }
 
-func (e *Edge) takeBack(which func(*try) bool) {
-	var back []*try
-	for _, r := range e.reqs {
-		for _, t := range r.tries {
-			if !t.done && !t.written && which(t) {
-				back = append(back, t)
+// abandonUnwritten ends the matching attempts of which no byte was written. The module may
+// repeat such attempts safely.
+func (e *Edge) abandonUnwritten(match func(*upstreamAttempt) bool) {
+	var unwritten []*upstreamAttempt
+	for _, request := range e.requests {
+		for _, attempt := range request.attempts {
+			if !attempt.done && !attempt.written && match(attempt) {
+				unwritten = append(unwritten, attempt)
 			}
 		}
 	}
-	for _, t := range back {
-		t.abandon()
-		t.end(spool.NotSent, spool.NoteNone, false)
+	for _, attempt := range unwritten {
+		attempt.detach()
+		attempt.finish(spool.NotSent, spool.NoteNone, false)
 	}
 }
 
-// nextID names a request: unlike any other of this router's, also of an earlier life.
+// nextID returns a request identifier that is unique across restarts of the router.
 func (e *Edge) nextID() string {
-	e.seq++
+	e.requestCount++
 	var b [48]byte
 	id := append(b[:0], e.name...)
 	id = append(id, '-')
 	id = strconv.AppendInt(id, bootMillis, 36)
 	id = append(id, '-')
-	return string(strconv.AppendUint(id, e.seq, 36))
+	return string(strconv.AppendUint(id, e.requestCount, 36))
 }
 
 var bootMillis = int64(eventloop.Clock())
--- a/internal/proxy/httpfront/edge_test.go
+++ b/internal/proxy/httpfront/edge_test.go
@@ -21,20 +21,22 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// rig is a router with stand-ins around it, all in this process.
-type rig struct {
-	t       testing.TB
-	e       *Edge
-	tap     *trafficlog.Writer
-	list    *testserver.List
-	boxes   map[string]*testserver.Server
-	origin  *testserver.Server
-	log     *bytes.Buffer
-	logMu   sync.Mutex
-	done    chan error
-	stopped bool
-}
-
+// testRig is a router with test servers in the place of the list service, the caches, a parent and
+// the origin, all in this process.
+type testRig struct {
+	t           testing.TB
+	edge        *Edge
+	records     *trafficlog.Writer // what the test servers have received and sent
+	listService *testserver.List
+	caches      map[string]*testserver.Server
+	origin      *testserver.Server
+	log         *bytes.Buffer // the router's log, guarded by logMu
+	logMu       sync.Mutex
+	done        chan error // receives the result of Run
+	stopped     bool
+}
+
+// lockedWriter serializes the writes to w.
 type lockedWriter struct {
 	mu *sync.Mutex
 	w  io.Writer
@@ -48,10 +50,10 @@
 
 var testClasses = []testserver.Class{{Name: "still", KB: 4}, {Name: "film", KB: 200}, {Name: "order", Write: true, Window: 2000}}
 
-// testPages is more settings of a rig.
-var testPages string
+// extraSettings is appended to the settings of new rigs.
+var extraSettings string
 
-const testRouter = `
+const routerSettings = `
 (router (name e1) (zone z) (listen "127.0.0.1:0") (admin "127.0.0.1:0") (list "%s"))
 (zone z (routers 1))
 (limits (linger 200) (connect 150) %s)
@@ -65,77 +67,81 @@
 (route "/r/{object}" (class film) (ranges))
 `
 
-func newRig(t testing.TB, boxes int, limits string) *rig {
-	r := &rig{t: t, tap: trafficlog.NewWriter(nil), boxes: map[string]*testserver.Server{}, log: &bytes.Buffer{}, done: make(chan error, 1)}
+// newRig starts a router with the given number of caches and additional limits.
+func newRig(t testing.TB, cacheCount int, limits string) *testRig {
+	rig := &testRig{t: t, records: trafficlog.NewWriter(nil), caches: map[string]*testserver.Server{}, log: &bytes.Buffer{}, done: make(chan error, 1)}
 	var err error
-	if r.list, err = testserver.StartList(testserver.ListConfig{ID: "list"}, r.tap); err != nil {
+	if rig.listService, err = testserver.StartList(testserver.ListConfig{ID: "list"}, rig.records); err != nil {
 		t.Fatal(err)
 	}
-	r.origin = r.start(testserver.Config{ID: "o", Role: "origin"})
-	r.set("o", "origin", "", "serving", r.origin.Addr())
-	p := r.start(testserver.Config{ID: "p", Role: "parent", Upstream: r.origin.Addr()})
-	r.set("p", "parent", "", "serving", p.Addr())
-	for i := range boxes {
+	rig.origin = rig.start(testserver.Config{ID: "o", Role: "origin"})
+	rig.setMember("o", "origin", "", "serving", rig.origin.Addr())
+	parent := rig.start(testserver.Config{ID: "p", Role: "parent", Upstream: rig.origin.Addr()})
+	rig.setMember("p", "parent", "", "serving", parent.Addr())
+	for i := range cacheCount {
 		id := fmt.Sprintf("b%d", i)
-		r.boxes[id] = r.start(testserver.Config{ID: id, Role: "box"})
-		r.set(id, "box", "z", "serving", r.boxes[id].Addr())
+		rig.caches[id] = rig.start(testserver.Config{ID: id, Role: "box"})
+		rig.setMember(id, "box", "z", "serving", rig.caches[id].Addr())
 	}
-	var s config.Settings
-	if err := config.Read("test.edn", fmt.Sprintf(testRouter, r.list.Addr(), limits)+testPages, &s); err != nil {
+	var settings config.Settings
+	if err := config.Read("test.edn", fmt.Sprintf(routerSettings, rig.listService.Addr(), limits)+extraSettings, &settings); err != nil {
 		t.Fatal(err)
 	}
-	log := newAccessLog(lockedWriter{&r.logMu, r.log}, 1000, "info")
-	if r.e, err = New(&s, log); err != nil {
+	log := newAccessLog(lockedWriter{&rig.logMu, rig.log}, 1000, "info")
+	if rig.edge, err = New(&settings, log); err != nil {
 		t.Fatal(err)
 	}
-	go func() { r.done <- r.e.Run() }()
+	go func() { rig.done <- rig.edge.Run() }()
 	t.Cleanup(func() {
-		r.stop()
-		for _, b := range r.boxes {
-			b.Kill()
+		rig.stop()
+		for _, cache := range rig.caches {
+			cache.Kill()
 		}
-		p.Kill()
-		r.origin.Kill()
-		r.list.Close()
+		parent.Kill()
+		rig.origin.Kill()
+		rig.listService.Close()
 		log.Close()
 		if t.Failed() {
-			r.logMu.Lock()
-			t.Logf("log:\n%s", r.log.String())
-			r.logMu.Unlock()
+			rig.logMu.Lock()
+			t.Logf("log:\n%s", rig.log.String())
+			rig.logMu.Unlock()
 		}
 	})
-	r.waitFor("the list", func(st *Stats, c *engine.Core) bool { return c.Rev() >= int64(boxes+2) })
-	return r
+	rig.waitFor("the endpoint list", func(stats *Stats, core *engine.Core) bool { return core.Rev() >= int64(cacheCount+2) })
+	return rig
 }
 
-func (r *rig) start(c testserver.Config) *testserver.Server {
+// start starts a test server.
+func (r *testRig) start(c testserver.Config) *testserver.Server {
 	c.Flow, c.Classes, c.FillWait = 100, testClasses, 1000
-	s, err := testserver.Start(c, r.tap)
+	s, err := testserver.Start(c, r.records)
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	return s
 }
 
-func (r *rig) set(id, kind, zone, state, addr string) {
-	r.list.Set(engine.Row{ID: id, Kind: kind, Zone: zone, State: state, Address: addr}, 0)
+// setMember adds a member to the endpoint list, or changes it.
+func (r *testRig) setMember(id, kind, zone, state, addr string) {
+	r.listService.Set(engine.Row{ID: id, Kind: kind, Zone: zone, State: state, Address: addr}, 0)
 }
 
-func (r *rig) stop() {
+func (r *testRig) stop() {
 	if !r.stopped {
 		r.stopped = true
-		r.e.Stop()
+		r.edge.Stop()
 		if err := <-r.done; err != nil {
 			r.t.Error(err)
 		}
 	}
 }
 
-func (r *rig) waitFor(what string, ok func(*Stats, *engine.Core) bool) {
+// waitFor waits up to 5 s for ok to report true, and fails the test if it does not.
+func (r *testRig) waitFor(what string, ok func(*Stats, *engine.Core) bool) {
 	r.t.Helper()
 	for range 500 {
 		good := false
-		if err := r.e.Query(func(s *Stats, c *engine.Core) { good = ok(s, c) }); err != nil {
+		if err := r.edge.Query(func(s *Stats, c *engine.Core) { good = ok(s, c) }); err != nil {
 			r.t.Fatal(err)
 		}
 		if good {
@@ -143,11 +149,11 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	r.t.Fatalf("waited in vain for %s", what)
+	r.t.Fatalf("timed out waiting for %s", what)
 }
 
-func (r *rig) dial() net.Conn {
-	c, err := net.Dial("tcp", r.e.Addr())
+func (r *testRig) dial() net.Conn {
+	c, err := net.Dial("tcp", r.edge.Addr())
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -156,16 +162,16 @@
 	return c
 }
 
-// talk sends text and reads all that comes until the router closes.
-func (r *rig) talk(text string) string {
+// exchange sends text on a new connection, and returns all input until the router closes it.
+func (r *testRig) exchange(text string) string {
 	c := r.dial()
 	io.WriteString(c, text)
 	b, _ := io.ReadAll(c)
 	return string(b)
 }
 
-func (r *rig) get(path string) (*http.Response, []byte, error) {
-	req, _ := http.NewRequest("GET", "http://"+r.e.Addr()+path, nil)
+func (r *testRig) get(path string) (*http.Response, []byte, error) {
+	req, _ := http.NewRequest("GET", "http://"+r.edge.Addr()+path, nil)
 	res, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(req)
 	if err != nil {
 		return nil, nil, err
@@ -175,8 +181,8 @@
 	return res, b, err
 }
 
-func (r *rig) count(f func(trafficlog.Record) bool) (n int) {
-	for _, rec := range r.tap.Records() {
+func (r *testRig) countRecords(f func(trafficlog.Record) bool) (n int) {
+	for _, rec := range r.records.Records() {
 		if f(rec) {
 			n++
 		}
@@ -184,78 +190,78 @@
 	return n
 }
 
-// A miss is looked for, filled from the parent, and the second time a hit; the
+// The first request for an object is a miss, filled from the parent, and the second one a hit. The
 // bytes are those of the origin's version.
 func TestFillThenHit(t *testing.T) {
-	r := newRig(t, 3, "")
+	rig := newRig(t, 3, "")
 	for i, want := range []string{"fwd=miss", "hit"} {
 		for _, path := range []string{"/s/7/a.jpg", "/v/7/film/0"} {
-			res, body, err := r.get(path)
+			res, body, err := rig.get(path)
 			if err != nil || res.StatusCode != 200 {
 				t.Fatal(res, err)
 			}
-			if cs := res.Header.Get("Cache-Status"); !strings.Contains(cs, want) {
-				t.Errorf("round %d, %s: Cache-Status %q, want %q in it", i, path, cs, want)
+			if cacheStatus := res.Header.Get("Cache-Status"); !strings.Contains(cacheStatus, want) {
+				t.Errorf("round %d, %s: Cache-Status %q, want %q in it", i, path, cacheStatus, want)
 			}
 			if at, ok := testserver.Matches(body, path, 1, 0); !ok {
 				t.Errorf("%s: byte %d is not the origin's", path, at)
 			}
 		}
 	}
-	if n := r.count(func(x trafficlog.Record) bool { return x.Ev == trafficlog.Recv && x.Role == "origin" }); n != 2 {
+	if n := rig.countRecords(func(x trafficlog.Record) bool { return x.Ev == trafficlog.Recv && x.Role == "origin" }); n != 2 {
 		t.Errorf("the origin was asked %d times, want 2", n)
 	}
 }
 
-// HEAD has the head of GET and no body; the connection goes on.
+// A HEAD request gets the head of GET without a body, and the connection persists.
 func TestHeadAndKeepAlive(t *testing.T) {
-	r := newRig(t, 2, "")
-	c := r.dial()
-	br := bufio.NewReader(c)
-	for i, m := range []string{"GET", "HEAD", "GET"} {
-		fmt.Fprintf(c, "%s /s/1/a HTTP/1.1\r\nHost: h\r\n\r\n", m)
-		req, _ := http.NewRequest(m, "/", nil)
-		res, err := http.ReadResponse(br, req)
+	rig := newRig(t, 2, "")
+	conn := rig.dial()
+	reader := bufio.NewReader(conn)
+	for i, method := range []string{"GET", "HEAD", "GET"} {
+		fmt.Fprintf(conn, "%s /s/1/a HTTP/1.1\r\nHost: h\r\n\r\n", method)
+		req, _ := http.NewRequest(method, "/", nil)
+		res, err := http.ReadResponse(reader, req)
 		if err != nil {
-			t.Fatalf("answer %d: %v", i, err)
+			t.Fatalf("response %d: %v", i, err)
 		}
 		b, err := io.ReadAll(res.Body)
-		if err != nil || res.StatusCode != 200 || res.ContentLength <= 0 || m == "HEAD" && len(b) > 0 || m == "GET" && len(b) == 0 {
-			t.Fatalf("answer %d: %d, length %d, %d bytes, %v", i, res.StatusCode, res.ContentLength, len(b), err)
+		if err != nil || res.StatusCode != 200 || res.ContentLength <= 0 || method == "HEAD" && len(b) > 0 || method == "GET" && len(b) == 0 {
+			t.Fatalf("response %d: %d, length %d, %d bytes, %v", i, res.StatusCode, res.ContentLength, len(b), err)
 		}
 	}
 }
 
-// Answers come in the order of a pipelined burst; a malformed request in it is
-// answered in its turn, and ends the connection.
+// Pipelined requests are answered in order. A malformed one among them is answered in its turn,
+// and the connection is closed after it.
 func TestPipelinedBurst(t *testing.T) {
-	r := newRig(t, 2, "")
-	got := r.talk("GET /s/1/a HTTP/1.1\r\nHost: h\r\n\r\nGET /s/1/b HTTP/1.1\r\nHost: h\r\n\r\n" +
+	rig := newRig(t, 2, "")
+	got := rig.exchange("GET /s/1/a HTTP/1.1\r\nHost: h\r\n\r\nGET /s/1/b HTTP/1.1\r\nHost: h\r\n\r\n" +
 		"GET /s/1/c HTTP/1.1\r\nHost : h\r\n\r\nGET /s/1/d HTTP/1.1\r\nHost: h\r\n\r\n")
-	br := bufio.NewReader(strings.NewReader(got))
+	reader := bufio.NewReader(strings.NewReader(got))
 	for i, want := range []int{200, 200, 400} {
-		res, err := http.ReadResponse(br, nil)
+		res, err := http.ReadResponse(reader, nil)
 		if err != nil {
-			t.Fatalf("answer %d: %v", i, err)
+			t.Fatalf("response %d: %v", i, err)
 		}
 		b, _ := io.ReadAll(res.Body)
 		if res.StatusCode != want {
-			t.Errorf("answer %d: %d, want %d", i, res.StatusCode, want)
+			t.Errorf("response %d: %d, want %d", i, res.StatusCode, want)
 		}
 		if want == 200 {
 			if _, ok := testserver.Matches(b, "/s/1/"+string(rune('a'+i)), 1, 0); !ok {
-				t.Errorf("answer %d is another object's", i)
+				t.Errorf("response %d is that of another object", i)
 			}
 		}
 	}
-	if rest, _ := io.ReadAll(br); len(rest) > 0 {
-		t.Errorf("after the fault came %q", rest)
+	if rest, _ := io.ReadAll(reader); len(rest) > 0 {
+		t.Errorf("%q followed the response to the malformed request", rest)
 	}
 }
 
 func TestBadRequests(t *testing.T) {
-	r := newRig(t, 1, "(head-time 300) (body 10)")
-	for _, c := range []struct{ name, in, want string }{
+	rig := newRig(t, 1, "(head-time 300) (body 10)")
+	for _, test := range []struct{ name, in, want string }{
 		{"two lengths", "POST /o/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", "400"},
 		{"length and chunked", "POST /o/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "400"},
 		{"bare LF", "GET /s/1/a HTTP/1.1\nHost: h\n\n", "400"},
@@ -271,50 +277,50 @@
 		{"method", "PUT /s/1/a HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n", "405"},
 		{"no key", "POST /o/1 HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n", "400"},
 	} {
-		got := r.talk(c.in)
-		if !strings.HasPrefix(got, "HTTP/1.1 "+c.want) || !strings.Contains(got, "Connection: close\r\n") {
-			t.Errorf("%s: answered %.80q, want %s and the connection closed", c.name, got, c.want)
+		got := rig.exchange(test.in)
+		if !strings.HasPrefix(got, "HTTP/1.1 "+test.want) || !strings.Contains(got, "Connection: close\r\n") {
+			t.Errorf("%s: response %.80q, want %s and the connection closed", test.name, got, test.want)
 		}
 		if strings.Count(got, "HTTP/1.1 ") != 1 {
-			t.Errorf("%s: more than one answer: %q", c.name, got)
+			t.Errorf("%s: more than one response: %q", test.name, got)
 		}
 	}
-	for _, c := range []struct{ in, detail, body string }{ // a 4xx says what is missing, and what to add
+	for _, test := range []struct{ in, detail, body string }{ // the body of a 4xx says what to change
 		{"POST /o/1", "no-idempotency-key", "needs an Idempotency-Key: add the field"},
 		{"GET /nowhere", "no-route", "no route fits the path"},
 		{"GET /v/1/a/x", "bad-part", "write one, from 0"},
 		{"PUT /s/1/a", "bad-method", "does not take the method"},
 	} {
-		if got := r.talk(c.in + " HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"); !strings.Contains(got, "detail="+c.detail+"\r\n") || !strings.Contains(got, c.body) {
-			t.Errorf("%s: %q lacks %s or %q", c.in, got, c.detail, c.body)
+		if got := rig.exchange(test.in + " HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"); !strings.Contains(got, "detail="+test.detail+"\r\n") || !strings.Contains(got, test.body) {
+			t.Errorf("%s: %q lacks %s or %q", test.in, got, test.detail, test.body)
 		}
 	}
-	if n := r.count(func(x trafficlog.Record) bool { return x.Ev == trafficlog.Ran }); n > 0 {
-		t.Errorf("%d of these ran at the origin", n)
+	if n := rig.countRecords(func(x trafficlog.Record) bool { return x.Ev == trafficlog.Ran }); n > 0 {
+		t.Errorf("%d invalid requests ran at the origin", n)
 	}
 }
 
-// A write goes to the origin and runs once; the client that waits for 100 gets it.
+// A write goes to the origin and runs once. A client that expects 100 (Continue) gets it.
 func TestWrite(t *testing.T) {
-	r := newRig(t, 1, "")
-	c := r.dial()
-	fmt.Fprintf(c, "POST /o/1 HTTP/1.1\r\nHost: h\r\nIdempotency-Key: k1\r\nContent-Length: 5\r\nExpect: 100-continue\r\nConnection: close\r\n\r\n")
-	br := bufio.NewReader(c)
-	if line, err := br.ReadString('\n'); err != nil || !strings.Contains(line, " 100 ") {
+	rig := newRig(t, 1, "")
+	conn := rig.dial()
+	fmt.Fprintf(conn, "POST /o/1 HTTP/1.1\r\nHost: h\r\nIdempotency-Key: k1\r\nContent-Length: 5\r\nExpect: 100-continue\r\nConnection: close\r\n\r\n")
+	reader := bufio.NewReader(conn)
+	if line, err := reader.ReadString('\n'); err != nil || !strings.Contains(line, " 100 ") {
 		t.Fatal(line, err)
 	}
-	br.ReadString('\n')
-	io.WriteString(c, "hello")
-	res, err := http.ReadResponse(br, nil)
+	reader.ReadString('\n')
+	io.WriteString(conn, "hello")
+	res, err := http.ReadResponse(reader, nil)
 	if err != nil || res.StatusCode != 200 {
 		t.Fatal(res, err)
 	}
 	ran := 0
-	for _, x := range r.tap.Records() {
-		if x.Ev == trafficlog.Ran {
+	for _, record := range rig.records.Records() {
+		if record.Ev == trafficlog.Ran {
 			ran++
-			if x.Key != "k1" || x.Bytes != 5 {
-				t.Errorf("ran as %+v", x)
+			if record.Key != "k1" || record.Bytes != 5 {
+				t.Errorf("ran as %+v", record)
 			}
 		}
 	}
@@ -323,72 +329,72 @@
 	}
 }
 
-// Nonsense from a cache becomes an outcome: the client is served all the same,
-// or sees that its answer is not whole; never other bytes than the object's.
-func TestMangledAnswers(t *testing.T) {
+// Invalid responses of a cache end its attempt. The client is served by another attempt, or sees
+// that its response is incomplete, but never gets other bytes than the object's.
+func TestInvalidResponses(t *testing.T) {
 	for _, kind := range []string{testserver.ResetBody, testserver.Truncated, testserver.Overlong, testserver.Garbage, testserver.TwoLengths,
 		testserver.BothFrames, testserver.BareLF, testserver.BigHead, testserver.FastErrors, testserver.AcceptShut} {
 		t.Run(kind, func(t *testing.T) {
-			r := newRig(t, 2, "")
-			if _, _, err := r.get("/s/1/a"); err != nil { // so that one of them holds it
+			rig := newRig(t, 2, "")
+			if _, _, err := rig.get("/s/1/a"); err != nil { // so that a cache holds it
 				t.Fatal(err)
 			}
-			for _, b := range r.boxes {
-				b.Fault(testserver.Fault{Kind: kind, For: 60000})
+			for _, cache := range rig.caches {
+				cache.Fault(testserver.Fault{Kind: kind, For: 60000})
 			}
-			cut := 0
+			failed := 0
 			for range 5 {
-				res, body, err := r.get("/s/1/a")
+				res, body, err := rig.get("/s/1/a")
 				if res == nil || err != nil {
-					cut++
+					failed++
 				} else if _, ok := testserver.Matches(body, "/s/1/a", 1, 0); res.StatusCode == 200 && (!ok || int64(len(body)) != res.ContentLength) {
-					t.Errorf("other bytes than the object's were passed on")
+					t.Errorf("other bytes than the object's were relayed")
 				}
 			}
-			if inBody := kind == testserver.ResetBody || kind == testserver.Truncated; inBody && cut == 0 {
-				t.Error("answers that broke off were passed on as whole")
-			} else if !inBody && cut > 0 {
-				t.Errorf("%d of 5 clients were cut off, though no answer had begun", cut)
+			if inBody := kind == testserver.ResetBody || kind == testserver.Truncated; inBody && failed == 0 {
+				t.Error("incomplete responses were relayed as complete")
+			} else if !inBody && failed > 0 {
+				t.Errorf("%d of 5 clients were cut off, though no response had begun", failed)
 			}
 		})
 	}
 }
 
-// A client that has gone is told of, and its attempt called back.
+// When a client leaves, its request ends and its attempt is cancelled.
 func TestClientGone(t *testing.T) {
-	r := newRig(t, 1, "")
-	for _, b := range r.boxes {
+	rig := newRig(t, 1, "")
+	for _, b := range rig.caches {
 		b.Fault(testserver.Fault{Kind: testserver.Hang, For: 60000})
 	}
-	c := r.dial()
-	io.WriteString(c, "GET /s/1/a HTTP/1.1\r\nHost: h\r\n\r\n")
-	r.waitFor("the attempt", func(s *Stats, _ *engine.Core) bool { return s.Held == 1 })
-	c.Close()
-	r.waitFor("the end of it", func(s *Stats, _ *engine.Core) bool { return s.Held == 0 && s.Gone == 1 && s.Connections == 0 })
+	conn := rig.dial()
+	io.WriteString(conn, "GET /s/1/a HTTP/1.1\r\nHost: h\r\n\r\n")
+	rig.waitFor("the attempt", func(s *Stats, _ *engine.Core) bool { return s.Held == 1 })
+	conn.Close()
+	rig.waitFor("the end of the request", func(s *Stats, _ *engine.Core) bool { return s.Held == 0 && s.Gone == 1 && s.Connections == 0 })
 }
 
-// A slow client stops the reading of its upstream: no more waits than may, and
-// it gets all of it in the end.
+// Reading from a member pauses while its client is slow. No more than the limit is buffered, and
+// the client gets the whole response in the end.
 func TestBackpressure(t *testing.T) {
-	r := newRig(t, 1, "(buffer 65536)")
-	c := r.dial().(*net.TCPConn)
-	c.SetReadBuffer(4096)
+	rig := newRig(t, 1, "(buffer 65536)")
+	conn := rig.dial().(*net.TCPConn)
+	conn.SetReadBuffer(4096)
 	const path = "/v/1/long/0"
 	for range 2 {
-		if _, _, err := r.get(path); err != nil {
+		if _, _, err := rig.get(path); err != nil {
 			t.Fatal(err)
 		}
 	}
-	io.WriteString(c, "GET "+path+" HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
+	io.WriteString(conn, "GET "+path+" HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
 	time.Sleep(300 * time.Millisecond)
-	r.e.Query(func(*Stats, *engine.Core) {
-		for cl := range r.e.clients {
-			if n := cl.out.Len(); n > 65536+len(r.e.scratch) {
-				t.Errorf("%d bytes wait for a slow client", n)
+	rig.edge.Query(func(*Stats, *engine.Core) {
+		for client := range rig.edge.clients {
+			if waiting := client.output.Len(); waiting > 65536+len(rig.edge.scratch) {
+				t.Errorf("%d bytes are buffered for a slow client", waiting)
 			}
 		}
 	})
-	res, err := http.ReadResponse(bufio.NewReader(c), nil)
+	res, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -401,44 +407,43 @@
 	}
 }
 
-// A box that is told to drain gets nothing new, with requests in flight and
-// with connections idle; what it has in hand is finished.
-func TestDrainedBox(t *testing.T) {
-	r := newRig(t, 2, "")
+// A cache that drains gets no new attempts, and no idle connections to it are kept.
+func TestDrainedCache(t *testing.T) {
+	rig := newRig(t, 2, "")
 	for i := range 20 {
-		if _, _, err := r.get(fmt.Sprintf("/s/1/x%d", i)); err != nil {
+		if _, _, err := rig.get(fmt.Sprintf("/s/1/x%d", i)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	before := r.e.core.Rev()
-	r.set("b0", "box", "z", "draining", r.boxes["b0"].Addr())
-	r.waitFor("the drain", func(_ *Stats, c *engine.Core) bool { return c.Rev() > before })
-	told := trafficlog.Now()
-	r.e.Query(func(*Stats, *engine.Core) {
-		if p := r.e.pools[r.boxes["b0"].Addr()]; p != nil && len(p.idle) > 0 {
-			t.Errorf("%d idle connections to a draining box are kept", len(p.idle))
+	before := rig.edge.core.Rev()
+	rig.setMember("b0", "box", "z", "draining", rig.caches["b0"].Addr())
+	rig.waitFor("the drain", func(_ *Stats, c *engine.Core) bool { return c.Rev() > before })
+	drainedAt := trafficlog.Now()
+	rig.edge.Query(func(*Stats, *engine.Core) {
+		if p := rig.edge.pools[rig.caches["b0"].Addr()]; p != nil && len(p.idle) > 0 {
+			t.Errorf("%d idle connections to a draining cache are kept", len(p.idle))
 		}
 	})
 	for i := range 20 {
-		if res, _, err := r.get(fmt.Sprintf("/s/1/x%d", i)); err != nil || res.StatusCode != 200 {
+		if res, _, err := rig.get(fmt.Sprintf("/s/1/x%d", i)); err != nil || res.StatusCode != 200 {
 			t.Fatal(res, err)
 		}
 	}
-	if n := r.count(func(x trafficlog.Record) bool {
-		return x.Ev == trafficlog.Recv && (x.Who == "b0" || x.Src == "b0") && x.T > told
+	if n := rig.countRecords(func(x trafficlog.Record) bool {
+		return x.Ev == trafficlog.Recv && (x.Who == "b0" || x.Src == "b0") && x.T > drainedAt
 	}); n > 0 {
-		t.Errorf("%d attempts to a box that drains", n)
+		t.Errorf("%d attempts to a draining cache", n)
 	}
 }
 
-// After a purge no older copy answers, though the caches still hold it.
+// After a purge no older copy is used, though the caches still hold one.
 func TestPurge(t *testing.T) {
-	r := newRig(t, 2, "")
-	r.get("/s/5/a")
-	made := r.origin.Purge("/s/5/a", 5, 0)
-	r.list.Purge("/s/5/a", 5, made)
+	rig := newRig(t, 2, "")
+	rig.get("/s/5/a")
+	made := rig.origin.Purge("/s/5/a", 5, 0)
+	rig.listService.Purge("/s/5/a", 5, made)
 	time.Sleep(300 * time.Millisecond)
-	res, body, err := r.get("/s/5/a")
+	res, body, err := rig.get("/s/5/a")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -447,59 +452,59 @@
 	}
 }
 
-// The list's stream is cut in a line, and comes back with an older version: the
-// drain that was told stays in force.
-func TestListCutAndSetBack(t *testing.T) {
-	r := newRig(t, 2, "(list-backoff 20)")
-	r.set("b0", "box", "z", "draining", r.boxes["b0"].Addr())
+// A discovery stream breaks off within a line, and then resumes with an older revision of the
+// endpoint list. A drain that was announced before stays in force.
+func TestListStreamCutAndReset(t *testing.T) {
+	rig := newRig(t, 2, "(list-backoff 20)")
+	rig.setMember("b0", "box", "z", "draining", rig.caches["b0"].Addr())
 	drained := func(_ *Stats, c *engine.Core) bool { m, _ := c.Member("b0"); return m.State != 0 }
-	r.waitFor("the drain", drained)
-	r.list.SetBack(2)
-	r.list.Cut("")
-	r.waitFor("the cut", func(*Stats, *engine.Core) bool { return r.e.listState.Load() != "following" })
+	rig.waitFor("the drain", drained)
+	rig.listService.SetBack(2)
+	rig.listService.Cut("")
+	rig.waitFor("the cut", func(*Stats, *engine.Core) bool { return rig.edge.listState.Load() != "following" })
 	time.Sleep(100 * time.Millisecond)
-	r.list.SetBack(0)
-	r.waitFor("the stream", func(*Stats, *engine.Core) bool { return r.e.listState.Load() == "following" })
-	r.waitFor("the drain to hold", drained)
-	r.set("b0", "box", "z", "serving", r.boxes["b0"].Addr())
-	r.list.Cut("") // a router that passed over old news asks for the whole list again
-	r.waitFor("the box to be back", func(_ *Stats, c *engine.Core) bool { m, _ := c.Member("b0"); return m.State == 0 })
+	rig.listService.SetBack(0)
+	rig.waitFor("the stream", func(*Stats, *engine.Core) bool { return rig.edge.listState.Load() == "following" })
+	rig.waitFor("the drain to be still in force", drained)
+	rig.setMember("b0", "box", "z", "serving", rig.caches["b0"].Addr())
+	rig.listService.Cut("") // a router that ignored outdated updates gets a full snapshot again
+	rig.waitFor("the cache to serve again", func(_ *Stats, c *engine.Core) bool { m, _ := c.Member("b0"); return m.State == 0 })
 }
 
-// SIGTERM's drain: what is in hand is answered, idle connections are closed,
-// nothing new is accepted, and Run returns.
+// On a drain, requests in flight are answered, idle connections are closed, no connections are
+// accepted, and Run returns.
 func TestDrain(t *testing.T) {
-	r := newRig(t, 1, "")
-	idle := r.dial()
-	for _, b := range r.boxes {
+	rig := newRig(t, 1, "")
+	idle := rig.dial()
+	for _, b := range rig.caches {
 		b.Fault(testserver.Fault{Kind: testserver.Hang, For: 300})
 	}
-	busy := r.dial()
+	busy := rig.dial()
 	io.WriteString(busy, "GET /s/1/a HTTP/1.1\r\nHost: h\r\n\r\n")
-	r.waitFor("the request", func(s *Stats, _ *engine.Core) bool { return s.Held == 1 && s.Connections == 2 })
-	r.e.Drain()
+	rig.waitFor("the request", func(s *Stats, _ *engine.Core) bool { return s.Held == 1 && s.Connections == 2 })
+	rig.edge.Drain()
 	if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("an idle connection: %v, want its end", err)
+		t.Errorf("idle connection: %v, want EOF", err)
 	}
 	res, err := http.ReadResponse(bufio.NewReader(busy), nil)
 	if err != nil || res.StatusCode != 200 || !res.Close {
-		t.Errorf("in hand: %v, %v", res, err)
+		t.Errorf("request in flight: %v, %v", res, err)
 	}
 	io.Copy(io.Discard, res.Body)
-	r.stopped = true
-	if err := <-r.done; err != nil {
+	rig.stopped = true
+	if err := <-rig.done; err != nil {
 		t.Error(err)
 	}
-	if _, err := net.DialTimeout("tcp", r.e.Addr(), time.Second); err == nil {
+	if _, err := net.DialTimeout("tcp", rig.edge.Addr(), time.Second); err == nil {
 		t.Error("connections are still accepted")
 	}
 }
 
 func TestAdmin(t *testing.T) {
-	r := newRig(t, 1, "")
-	r.get("/s/1/a")
+	rig := newRig(t, 1, "")
+	rig.get("/s/1/a")
 	do := func(method, path string) (int, string) {
-		req, _ := http.NewRequest(method, "http://"+r.e.AdminAddr()+path, nil)
+		req, _ := http.NewRequest(method, "http://"+rig.edge.AdminAddr()+path, nil)
 		res, err := http.DefaultClient.Do(req)
 		if err != nil {
 			t.Fatal(err)
@@ -511,9 +516,9 @@
 	if code, _ := do("PURGE", "/s/1/a"); code != 204 {
 		t.Errorf("PURGE: %d", code)
 	}
-	res, _, _ := r.get("/s/1/a")
-	if cs := res.Header.Get("Cache-Status"); strings.Contains(cs, "b0; hit") || !strings.Contains(cs, "fwd=miss") {
-		t.Errorf("after PURGE: %s", cs)
+	res, _, _ := rig.get("/s/1/a")
+	if cacheStatus := res.Header.Get("Cache-Status"); strings.Contains(cacheStatus, "b0; hit") || !strings.Contains(cacheStatus, "fwd=miss") {
+		t.Errorf("after PURGE: %s", cacheStatus)
 	}
 	if code, text := do("GET", "/state"); code != 200 || !strings.Contains(text, `"Served":2`) {
 		t.Errorf("state: %d %s", code, text)
@@ -523,33 +528,33 @@
 	}
 }
 
-// A purge that comes while a fill is under way: who asked before may have the
-// old copy, nobody who asks after the grace, and the box does not keep it.
+// A purge arrives during a fill. The request that began before it may get the old copy, but no
+// request after the purge grace does, and the cache does not keep that copy.
 func TestPurgeDuringFill(t *testing.T) {
-	r := newRig(t, 1, "")
+	rig := newRig(t, 1, "")
 	const path = "/s/5/slow"
-	r.origin.Fault(testserver.Fault{Kind: testserver.Pauses, For: 400, Every: 1000, Length: 400})
+	rig.origin.Fault(testserver.Fault{Kind: testserver.Pauses, For: 400, Every: 1000, Length: 400})
 	first := make(chan string, 1)
 	go func() {
-		res, _, err := r.get(path)
+		res, _, err := rig.get(path)
 		if err != nil {
 			first <- err.Error()
 			return
 		}
 		first <- res.Header.Get("Spool-Copy")
 	}()
-	r.waitFor("the fill", func(s *Stats, _ *engine.Core) bool { return s.Held == 1 })
-	made := r.origin.Purge(path, 5, 0)
-	r.list.Purge(path, 5, made)
-	for _, b := range r.boxes {
+	rig.waitFor("the fill", func(s *Stats, _ *engine.Core) bool { return s.Held == 1 })
+	made := rig.origin.Purge(path, 5, 0)
+	rig.listService.Purge(path, 5, made)
+	for _, b := range rig.caches {
 		b.Purge(path, 5, made)
 	}
 	if v := <-first; !strings.HasPrefix(v, "v=") {
-		t.Errorf("the request under way got %q", v)
+		t.Errorf("the request in flight got %q", v)
 	}
 	time.Sleep(300 * time.Millisecond)
 	for range 3 {
-		res, body, err := r.get(path)
+		res, body, err := rig.get(path)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -559,182 +564,181 @@
 	}
 }
 
-// Connections that ask once and then nothing hold no buffer; requests are
-// served beside them, and all of them are closed after their time.
+// Idle connections hold no buffers. Requests are served beside ten thousand of them, and all are
+// closed after client-idle.
 func TestTenThousandIdle(t *testing.T) {
-	n := 10_000
+	conns := 10_000
 	var limit unix.Rlimit
 	unix.Getrlimit(unix.RLIMIT_NOFILE, &limit)
-	if most := int(limit.Cur)/2 - 200; most < n {
-		n = most
-		t.Logf("only %d connections: no more descriptors may be open", n)
-	}
-	r := newRig(t, 1, "(client-idle 6000) (connections-per-address 20000)")
-	r.get("/s/1/a")
-	to, _ := net.ResolveTCPAddr("tcp4", r.e.Addr())
-	sa := &unix.SockaddrInet4{Port: to.Port, Addr: [4]byte(to.IP.To4())}
-	for i := range n {
+	if maxConns := int(limit.Cur)/2 - 200; maxConns < conns {
+		conns = maxConns
+		t.Logf("only %d connections, because of the descriptor limit", conns)
+	}
+	rig := newRig(t, 1, "(client-idle 6000) (connections-per-address 20000)")
+	rig.get("/s/1/a")
+	addr, _ := net.ResolveTCPAddr("tcp4", rig.edge.Addr())
+	sockaddr := &unix.SockaddrInet4{Port: addr.Port, Addr: [4]byte(addr.IP.To4())}
+	for i := range conns {
 		fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { unix.Close(fd) })
-		if err := unix.Connect(fd, sa); err != nil {
+		if err := unix.Connect(fd, sockaddr); err != nil {
 			t.Fatalf("connection %d: %v", i, err)
 		}
 	}
-	r.waitFor("the connections", func(s *Stats, _ *engine.Core) bool { return s.Connections >= uint64(n) })
+	rig.waitFor("the connections", func(s *Stats, _ *engine.Core) bool { return s.Connections >= uint64(conns) })
 	for i := range 20 {
-		if res, _, err := r.get(fmt.Sprintf("/s/1/x%d", i)); err != nil || res.StatusCode != 200 {
+		if res, _, err := rig.get(fmt.Sprintf("/s/1/x%d", i)); err != nil || res.StatusCode != 200 {
 			t.Fatal(res, err)
 		}
 	}
-	held := 0
-	r.e.Query(func(*Stats, *engine.Core) {
-		for c := range r.e.clients {
-			held += cap(c.left) + c.out.Cap()
+	bufferBytes := 0
+	rig.edge.Query(func(*Stats, *engine.Core) {
+		for c := range rig.edge.clients {
+			bufferBytes += cap(c.unparsed) + c.output.Cap()
 		}
 	})
-	if held > 64<<10 {
-		t.Errorf("idle connections hold %d bytes of buffers", held)
+	if bufferBytes > 64<<10 {
+		t.Errorf("idle connections hold %d bytes of buffers", bufferBytes)
 	}
-	for range 40 { // they idle for 6 s
+	for range 40 { // client-idle is 6 s
 		time.Sleep(500 * time.Millisecond)
-		left := uint64(1)
-		r.e.Query(func(s *Stats, _ *engine.Core) { left = s.Connections })
-		if left == 0 {
+		connections := uint64(1)
+		rig.edge.Query(func(s *Stats, _ *engine.Core) { connections = s.Connections })
+		if connections == 0 {
 			return
 		}
 	}
 	t.Error("idle connections were never closed")
 }
 
-// Attempts that wait for a connection when their member drains are decided
-// anew: they do not reach it later.
+// Attempts that wait for a connection to a member when it begins to drain do not reach it later.
+// The module sends them elsewhere.
 func TestDrainWhileConnecting(t *testing.T) {
-	r := newRig(t, 2, "(upstream 1)")
-	for _, b := range r.boxes {
+	rig := newRig(t, 2, "(upstream 1)")
+	for _, b := range rig.caches {
 		b.Fault(testserver.Fault{Kind: testserver.Hang, For: 800})
 	}
 	var wg sync.WaitGroup
-	for i := range 12 { // one connection a box: the rest wait for it
-		wg.Go(func() { r.get(fmt.Sprintf("/s/1/w%d", i)) })
+	for i := range 12 { // each cache has one connection, for which the others wait
+		wg.Go(func() { rig.get(fmt.Sprintf("/s/1/w%d", i)) })
 	}
-	r.waitFor("attempts that wait", func(*Stats, *engine.Core) bool {
-		p := r.e.pools[r.boxes["b0"].Addr()]
-		return p != nil && len(p.wait) > 0
+	rig.waitFor("attempts that wait", func(*Stats, *engine.Core) bool {
+		pool := rig.edge.pools[rig.caches["b0"].Addr()]
+		return pool != nil && len(pool.waiting) > 0
 	})
-	r.set("b0", "box", "z", "draining", r.boxes["b0"].Addr())
-	r.waitFor("the drain", func(_ *Stats, c *engine.Core) bool { m, _ := c.Member("b0"); return m.State != 0 })
-	told := trafficlog.Now()
-	r.e.Query(func(*Stats, *engine.Core) {
-		if p := r.e.pools[r.boxes["b0"].Addr()]; p != nil && len(p.wait) > 0 {
-			t.Errorf("%d attempts still wait for a box that drains", len(p.wait))
+	rig.setMember("b0", "box", "z", "draining", rig.caches["b0"].Addr())
+	rig.waitFor("the drain", func(_ *Stats, c *engine.Core) bool { m, _ := c.Member("b0"); return m.State != 0 })
+	drainedAt := trafficlog.Now()
+	rig.edge.Query(func(*Stats, *engine.Core) {
+		if pool := rig.edge.pools[rig.caches["b0"].Addr()]; pool != nil && len(pool.waiting) > 0 {
+			t.Errorf("%d attempts still wait for a draining cache", len(pool.waiting))
 		}
 	})
 	wg.Wait()
-	if n := r.count(func(x trafficlog.Record) bool { return x.Ev == trafficlog.Recv && x.Who == "b0" && x.T > told+50 }); n > 0 {
-		t.Errorf("%d attempts reached the box after it was told to drain", n)
+	if n := rig.countRecords(func(x trafficlog.Record) bool { return x.Ev == trafficlog.Recv && x.Who == "b0" && x.T > drainedAt+50 }); n > 0 {
+		t.Errorf("%d attempts reached the cache after it began to drain", n)
 	}
 }
 
-// An attempt that may leave only within a time, and waits for a connection for longer,
-// does not leave.
-func TestLeavesInTimeOrNotAtAll(t *testing.T) {
-	r := newRig(t, 1, "(upstream 1)")
-	r.boxes["b0"].Fault(testserver.Fault{Kind: testserver.Hang, For: 800})
+// An attempt that may be sent only within 50 ms, and waits longer for a connection, is not sent.
+func TestSendWindowWhileWaiting(t *testing.T) {
+	rig := newRig(t, 1, "(upstream 1)")
+	rig.caches["b0"].Fault(testserver.Fault{Kind: testserver.Hang, For: 800})
 	var wg sync.WaitGroup
 	for i := range 3 {
-		wg.Go(func() { r.get(fmt.Sprintf("/s/1/l%d", i)) })
+		wg.Go(func() { rig.get(fmt.Sprintf("/s/1/l%d", i)) })
 	}
-	r.waitFor("attempts that wait", func(*Stats, *engine.Core) bool {
-		p := r.e.pools[r.boxes["b0"].Addr()]
-		return p != nil && len(p.wait) > 0
+	rig.waitFor("attempts that wait", func(*Stats, *engine.Core) bool {
+		pool := rig.edge.pools[rig.caches["b0"].Addr()]
+		return pool != nil && len(pool.waiting) > 0
 	})
-	var bound *try
-	r.e.Query(func(*Stats, *engine.Core) {
-		for id, q := range r.e.reqs {
-			r.e.send(&spool.Send{ID: id, Cache: "b0", Source: "b0", Within: 50})
-			bound = q.tries[len(q.tries)-1]
+	var attempt *upstreamAttempt
+	rig.edge.Query(func(*Stats, *engine.Core) {
+		for id, request := range rig.edge.requests {
+			rig.edge.sendAttempt(&spool.Send{ID: id, Cache: "b0", Source: "b0", Within: 50})
+			attempt = request.attempts[len(request.attempts)-1]
 			return
 		}
 	})
 	time.Sleep(200 * time.Millisecond)
-	r.e.Query(func(*Stats, *engine.Core) {
-		if !bound.done || bound.written {
-			t.Errorf("after its time: done %v, written %v", bound.done, bound.written)
+	rig.edge.Query(func(*Stats, *engine.Core) {
+		if !attempt.done || attempt.written {
+			t.Errorf("after its window: done %v, written %v", attempt.done, attempt.written)
 		}
 	})
 	wg.Wait()
 }
 
-// GETs follow one another on one connection where that is allowed: each gets
-// its own object; one that is given up is passed over; writes never follow.
+// GETs are pipelined on one connection to a member, up to the limit. Each gets its own object, and
+// the response to one whose client leaves is discarded.
 func TestPipelinedToMember(t *testing.T) {
-	r := newRig(t, 1, "(upstream 1) (pipeline 8)")
+	rig := newRig(t, 1, "(upstream 1) (pipeline 8)")
 	for i := range 12 {
-		r.get(fmt.Sprintf("/s/1/p%d", i))
+		rig.get(fmt.Sprintf("/s/1/p%d", i))
 	}
-	r.boxes["b0"].Fault(testserver.Fault{Kind: testserver.Pauses, For: 300, Every: 1000, Length: 300})
+	rig.caches["b0"].Fault(testserver.Fault{Kind: testserver.Pauses, For: 300, Every: 1000, Length: 300})
 	var wg sync.WaitGroup
 	for i := range 12 {
 		wg.Go(func() {
 			path := fmt.Sprintf("/s/1/p%d", i)
-			res, body, err := r.get(path)
+			res, body, err := rig.get(path)
 			if err != nil || res.StatusCode != 200 {
 				t.Errorf("%s: %v, %v", path, res, err)
 			} else if _, ok := testserver.Matches(body, path, 1, 0); !ok {
-				t.Errorf("%s: another object's answer", path)
+				t.Errorf("%s: response for another object", path)
 			}
 		})
 	}
-	followed := 0
-	leaver := r.dial()
-	io.WriteString(leaver, "GET /s/1/p3 HTTP/1.1\r\nHost: h\r\n\r\n")
-	r.waitFor("attempts that follow others", func(*Stats, *engine.Core) bool {
-		if p := r.e.pools[r.boxes["b0"].Addr()]; p != nil {
-			for u := range p.all {
-				followed = max(followed, len(u.line))
+	pipelined := 0
+	leaving := rig.dial()
+	io.WriteString(leaving, "GET /s/1/p3 HTTP/1.1\r\nHost: h\r\n\r\n")
+	rig.waitFor("pipelined attempts", func(*Stats, *engine.Core) bool {
+		if p := rig.edge.pools[rig.caches["b0"].Addr()]; p != nil {
+			for u := range p.connections {
+				pipelined = max(pipelined, len(u.pipelined))
 			}
 		}
-		return followed >= 7
+		return pipelined >= 7
 	})
-	leaver.Close()
+	leaving.Close()
 	wg.Wait()
-	if res, _, err := r.get("/s/1/p1"); err != nil || !strings.Contains(res.Header.Get("Cache-Status"), "hit") {
+	if res, _, err := rig.get("/s/1/p1"); err != nil || !strings.Contains(res.Header.Get("Cache-Status"), "hit") {
 		t.Errorf("afterwards: %v, %v", res, err)
 	}
-	r.waitFor("the end of all", func(s *Stats, _ *engine.Core) bool { return s.Held == 0 })
+	rig.waitFor("the end of all requests", func(s *Stats, _ *engine.Core) bool { return s.Held == 0 })
 }
 
-// A pipelined request whose head is longer than what is read ahead, and comes
-// in two pieces, is read on once it is its turn.
+// A pipelined request whose head is longer than the limit of pipelined input, and arrives in two
+// pieces, is read to the end in its turn.
 func TestLongPipelinedHead(t *testing.T) {
-	r := newRig(t, 1, "(pipelined 2048) (head-time 2000)")
-	r.boxes["b0"].Fault(testserver.Fault{Kind: testserver.Pauses, For: 200, Every: 1000, Length: 200})
-	c := r.dial()
-	io.WriteString(c, "GET /s/1/a HTTP/1.1\r\nHost: h\r\n\r\n")
-	r.waitFor("the first", func(s *Stats, _ *engine.Core) bool { return s.Held == 1 })
-	io.WriteString(c, "GET /s/1/b HTTP/1.1\r\nHost: h\r\nX-Long: "+strings.Repeat("x", 6000))
-	br := bufio.NewReader(c)
+	rig := newRig(t, 1, "(pipelined 2048) (head-time 2000)")
+	rig.caches["b0"].Fault(testserver.Fault{Kind: testserver.Pauses, For: 200, Every: 1000, Length: 200})
+	conn := rig.dial()
+	io.WriteString(conn, "GET /s/1/a HTTP/1.1\r\nHost: h\r\n\r\n")
+	rig.waitFor("the first request", func(s *Stats, _ *engine.Core) bool { return s.Held == 1 })
+	io.WriteString(conn, "GET /s/1/b HTTP/1.1\r\nHost: h\r\nX-Long: "+strings.Repeat("x", 6000))
+	reader := bufio.NewReader(conn)
 	for i := range 2 {
-		res, err := http.ReadResponse(br, nil)
+		res, err := http.ReadResponse(reader, nil)
 		if err != nil || res.StatusCode != 200 {
-			t.Fatalf("answer %d: %v, %v", i, res, err)
+			t.Fatalf("response %d: %v, %v", i, res, err)
 		}
 		io.Copy(io.Discard, res.Body)
 		if i == 0 {
-			io.WriteString(c, "x\r\n\r\n")
+			io.WriteString(conn, "x\r\n\r\n")
 		}
 	}
 }
 
-// Parts by Range are copies of their own, answered as partial content.
+// Parts that are requested with Range have copies of their own, and get a 206 response.
 func TestRanges(t *testing.T) {
-	r := newRig(t, 2, "")
+	rig := newRig(t, 2, "")
 	for round, want := range []string{"fwd=miss", "hit"} {
 		for part := range 3 {
-			req, _ := http.NewRequest("GET", "http://"+r.e.Addr()+"/r/film", nil)
+			req, _ := http.NewRequest("GET", "http://"+rig.edge.Addr()+"/r/film", nil)
 			req.Header.Set("Range", fmt.Sprintf("bytes=%d-%d", part*16384, part*16384+16383))
 			res, err := http.DefaultClient.Do(req)
 			if err != nil {
@@ -750,10 +754,10 @@
 	}
 }
 
-// A log that can't keep up holds nothing up: lines are dropped, counted and told.
+// Logging never blocks on a slow writer: lines are dropped and counted, and the number is logged.
 func TestLogNeverBlocks(t *testing.T) {
-	pr, pw := io.Pipe()
-	log := newAccessLog(pw, 16, "info")
+	pipeReader, pipeWriter := io.Pipe()
+	log := newAccessLog(pipeWriter, 16, "info")
 	done := make(chan struct{})
 	go func() {
 		for range 1000 {
@@ -769,127 +773,127 @@
 	if n := log.Dropped(); n < 900 {
 		t.Errorf("%d lines dropped, want nearly all", n)
 	}
-	var b bytes.Buffer
+	var written bytes.Buffer
 	read := make(chan struct{})
-	go func() { io.Copy(&b, pr); close(read) }()
+	go func() { io.Copy(&written, pipeReader); close(read) }()
 	log.Close()
-	pw.Close()
+	pipeWriter.Close()
 	<-read
-	if !strings.Contains(b.String(), `"msg":"log lines dropped"`) || strings.Count(b.String(), `"a line"`) < 16 {
-		t.Errorf("written: %s", b.String())
+	if !strings.Contains(written.String(), `"msg":"log lines dropped"`) || strings.Count(written.String(), `"a line"`) < 16 {
+		t.Errorf("written: %s", written.String())
 	}
 }
 
-// rawMember is a member that does with each connection what the test says.
-func (r *rig) rawMember(serve func(net.Conn)) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// rawMember adds a member that reads a request on each connection, and then calls serve.
+func (r *testRig) rawMember(serve func(net.Conn)) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	r.t.Cleanup(func() { ln.Close() })
+	r.t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				defer c.Close()
-				br := bufio.NewReader(c)
-				if _, err := http.ReadRequest(br); err == nil {
-					serve(c)
+				defer conn.Close()
+				reader := bufio.NewReader(conn)
+				if _, err := http.ReadRequest(reader); err == nil {
+					serve(conn)
 				}
 			}()
 		}
 	}()
 	before := int64(0)
-	r.e.Query(func(_ *Stats, c *engine.Core) { before = c.Rev() })
-	r.set("raw", "box", "z", "serving", ln.Addr().String())
-	r.waitFor("the member", func(_ *Stats, c *engine.Core) bool { return c.Rev() > before })
+	r.edge.Query(func(_ *Stats, core *engine.Core) { before = core.Rev() })
+	r.setMember("raw", "box", "z", "serving", listener.Addr().String())
+	r.waitFor("the member", func(_ *Stats, core *engine.Core) bool { return core.Rev() > before })
 }
 
-// The head goes to the client before any of the body has come; and when the
-// member then resets, the client has the head, and no end that passes for whole.
+// The head is relayed to the client before any of the body has arrived. If the member then resets
+// the connection, the client has the head, and sees that the body is incomplete.
 func TestHeadBeforeBody(t *testing.T) {
 	for _, framing := range []string{"Content-Length: 10", "Transfer-Encoding: chunked"} {
-		r := newRig(t, 0, "")
+		rig := newRig(t, 0, "")
 		proceed := make(chan struct{})
-		r.rawMember(func(c net.Conn) {
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s\r\n\r\n", framing)
+		rig.rawMember(func(conn net.Conn) {
+			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s\r\n\r\n", framing)
 			<-proceed
-			c.(*net.TCPConn).SetLinger(0)
+			conn.(*net.TCPConn).SetLinger(0)
 		})
-		c := r.dial()
-		io.WriteString(c, "GET /s/1/a HTTP/1.1\r\nHost: h\r\n\r\n")
-		br := bufio.NewReader(c)
-		c.SetReadDeadline(time.Now().Add(2 * time.Second))
-		if _, err := br.Peek(20); err != nil {
+		conn := rig.dial()
+		io.WriteString(conn, "GET /s/1/a HTTP/1.1\r\nHost: h\r\n\r\n")
+		reader := bufio.NewReader(conn)
+		conn.SetReadDeadline(time.Now().Add(2 * time.Second))
+		if _, err := reader.Peek(20); err != nil {
 			t.Fatalf("%s: no head while the body waits: %v", framing, err)
 		}
 		close(proceed)
-		r.waitFor("the break", func(s *Stats, _ *engine.Core) bool { return s.Broken == 1 })
+		rig.waitFor("the broken response", func(s *Stats, _ *engine.Core) bool { return s.Broken == 1 })
 		time.Sleep(20 * time.Millisecond) // the client reads only now
-		res, err := http.ReadResponse(br, nil)
+		res, err := http.ReadResponse(reader, nil)
 		if err != nil || res.StatusCode != 200 {
 			t.Fatalf("%s: the head is lost: %v", framing, err)
 		}
 		if _, err := io.ReadAll(res.Body); err != io.ErrUnexpectedEOF {
-			t.Errorf("%s: the body's end: %v, want that it is not whole", framing, err)
+			t.Errorf("%s: body ended with %v, want an unexpected EOF", framing, err)
 		}
 	}
 }
 
-// To a client of HTTP/1.0 a body without a length ends with the connection: one
-// that broke off is reset, so that its end can't pass for the answer's.
-func TestBrokenToOldClient(t *testing.T) {
-	r := newRig(t, 0, "")
-	r.rawMember(func(c net.Conn) {
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n")
+// For an HTTP/1.0 client, a body without a length ends with the connection. If the member's response
+// is incomplete, the connection is reset, so that the body does not seem complete.
+func TestIncompleteResponseToHTTP10Client(t *testing.T) {
+	rig := newRig(t, 0, "")
+	rig.rawMember(func(conn net.Conn) {
+		io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n")
 		time.Sleep(50 * time.Millisecond)
 	})
-	c := r.dial()
-	io.WriteString(c, "GET /s/1/a HTTP/1.0\r\n\r\n")
-	if b, err := io.ReadAll(c); err == nil {
-		t.Errorf("read to a clean end: %q", b)
+	conn := rig.dial()
+	io.WriteString(conn, "GET /s/1/a HTTP/1.0\r\n\r\n")
+	if b, err := io.ReadAll(conn); err == nil {
+		t.Errorf("incomplete body ended with a clean EOF: %q", b)
 	}
 }
 
-// What a box has in hand when it is told to drain is finished there.
+// A request that is in flight at a cache when it begins to drain is finished there.
 func TestDrainWithRequestInFlight(t *testing.T) {
-	r := newRig(t, 1, "")
-	r.get("/s/1/a")
-	r.boxes["b0"].Fault(testserver.Fault{Kind: testserver.Pauses, For: 400, Every: 1000, Length: 400})
+	rig := newRig(t, 1, "")
+	rig.get("/s/1/a")
+	rig.caches["b0"].Fault(testserver.Fault{Kind: testserver.Pauses, For: 400, Every: 1000, Length: 400})
 	got := make(chan string, 1)
 	go func() {
-		res, _, err := r.get("/s/1/a")
+		res, _, err := rig.get("/s/1/a")
 		if err != nil {
 			got <- err.Error()
 			return
 		}
 		got <- res.Header.Get("Cache-Status")
 	}()
-	r.waitFor("the attempt", func(s *Stats, _ *engine.Core) bool { return s.Held == 1 })
-	r.set("b0", "box", "z", "draining", r.boxes["b0"].Addr())
-	r.waitFor("the drain", func(_ *Stats, c *engine.Core) bool { m, _ := c.Member("b0"); return m.State != 0 })
+	rig.waitFor("the attempt", func(s *Stats, _ *engine.Core) bool { return s.Held == 1 })
+	rig.setMember("b0", "box", "z", "draining", rig.caches["b0"].Addr())
+	rig.waitFor("the drain", func(_ *Stats, c *engine.Core) bool { m, _ := c.Member("b0"); return m.State != 0 })
 	if cs := <-got; cs != `"b0";hit` {
 		t.Errorf("the request in flight got %q", cs)
 	}
-	r.waitFor("its connection's end", func(s *Stats, _ *engine.Core) bool {
-		p := r.e.pools[r.boxes["b0"].Addr()]
-		return p == nil || len(p.all) == 0
+	rig.waitFor("the end of its connection", func(s *Stats, _ *engine.Core) bool {
+		p := rig.edge.pools[rig.caches["b0"].Addr()]
+		return p == nil || len(p.connections) == 0
 	})
 }
 
-// A probe says whether a member takes connections.
+// A probe reports whether a member accepts connections.
 func TestProbe(t *testing.T) {
-	r := newRig(t, 1, "")
-	r.set("dead", "box", "z", "serving", "127.0.0.1:1")
-	r.waitFor("the member", func(_ *Stats, c *engine.Core) bool { return c.Address("dead") != "" })
+	rig := newRig(t, 1, "")
+	rig.setMember("dead", "box", "z", "serving", "127.0.0.1:1")
+	rig.waitFor("the member", func(_ *Stats, c *engine.Core) bool { return c.Address("dead") != "" })
 	for id, want := range map[string]bool{"b0": true, "dead": false, "unknown": false} {
 		got := make(chan bool, 1)
-		r.e.Query(func(*Stats, *engine.Core) {
-			r.e.probed = func(p spool.Probed) { got <- p.OK && p.Cache == id }
-			r.e.probe(id)
+		rig.edge.Query(func(*Stats, *engine.Core) {
+			rig.edge.observeProbe = func(p spool.Probed) { got <- p.OK && p.Cache == id }
+			rig.edge.probe(id)
 		})
 		if ok := <-got; ok != want {
 			t.Errorf("%s: probed %v", id, ok)
@@ -897,44 +901,44 @@
 	}
 }
 
-// Bytes that a member sends unasked, or its end, are seen before a kept connection is
-// used again, also where the loop has not come to them: nothing is told of them as the
-// next answer, and no request is lost.
-func TestUnaskedBytes(t *testing.T) {
-	for _, unasked := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nxxx", ""} {
-		r := newRig(t, 1, "")
-		if res, _, err := r.get("/s/1/a"); err != nil || res.StatusCode != 200 {
+// Unsolicited bytes or the end of an idle connection are noticed before it is used again, even if
+// the loop has not handled them yet. They are not taken for the next response, and no request is
+// lost.
+func TestUnsolicitedBytes(t *testing.T) {
+	for _, unsolicited := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nxxx", ""} {
+		rig := newRig(t, 1, "")
+		if res, _, err := rig.get("/s/1/a"); err != nil || res.StatusCode != 200 {
 			t.Fatal(res, err)
 		}
 		var before Stats
-		r.e.Query(func(s *Stats, _ *engine.Core) {
+		rig.edge.Query(func(s *Stats, _ *engine.Core) {
 			before = *s
-			n := 0
-			for _, p := range r.e.pools {
-				for _, u := range p.idle { // as if it came from the member, and the loop were busy
+			replaced := 0
+			for _, pool := range rig.edge.pools {
+				for _, upstream := range pool.idle { // as if the member had sent them while the loop was busy
 					pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
 					if err != nil {
 						t.Fatal(err)
 					}
-					unix.Write(pair[1], []byte(unasked))
+					unix.Write(pair[1], []byte(unsolicited))
 					unix.Close(pair[1])
-					r.e.l.Remove(u.fd)
-					unix.Close(u.fd)
-					u.fd = pair[0]
-					n++
+					rig.edge.loop.Remove(upstream.fd)
+					unix.Close(upstream.fd)
+					upstream.fd = pair[0]
+					replaced++
 				}
 			}
-			if n == 0 {
-				t.Error("no connection is kept")
+			if replaced == 0 {
+				t.Error("no idle connection")
 			}
 		})
-		res, body, err := r.get("/s/1/a")
+		res, body, err := rig.get("/s/1/a")
 		if err != nil || res.StatusCode != 200 || string(body) == "xxx" {
-			t.Errorf("%q: %v %v %.20q", unasked, res, err, body)
+			t.Errorf("%q: %v %v %.20q", unsolicited, res, err, body)
 		}
-		r.e.Query(func(s *Stats, _ *engine.Core) {
+		rig.edge.Query(func(s *Stats, _ *engine.Core) {
 			if s.Attempts != before.Attempts+1 || s.Reused != before.Reused {
-				t.Errorf("%q: %d attempts, %d on kept connections", unasked, s.Attempts-before.Attempts, s.Reused-before.Reused)
+				t.Errorf("%q: %d attempts, %d on idle connections", unsolicited, s.Attempts-before.Attempts, s.Reused-before.Reused)
 			}
 		})
 	}
--- a/internal/proxy/httpfront/guard.go
+++ b/internal/proxy/httpfront/guard.go
@@ -15,515 +15,527 @@
 	"indigospool/internal/proxy/limits"
 )
 
-// guard carries out what internal/proxy/limits decides: it tells it what sockets do, and
-// cuts, refuses and sheds what it names. The decisions are that package's.
+// guard enforces the limits of internal/proxy/limits: it reports to that package what happens
+// on the sockets, and closes connections and rejects or sheds requests as the package decides.
 type guard struct {
-	e *Edge
-
-	head, body, reader, member limits.MinRate
-	jury                       limits.MassSlowness
-	turns                      *limits.DRR[mover]
-	adm                        *limits.Admission
-	retries                    *limits.RetryBudget
-	jitter                     *limits.Jitter
-	standing                   *limits.Reputation
-	hold                       *limits.ReadPause
-	held                       []heldBack // in the order in which they are read again
-	tails                      limits.UnreadAccount
-	tailed                     []*client // that the kernel may hold some of a whole answer for
-	mem                        limits.Budget
-	counts                     limits.Counts
-
-	classes   map[string]int // places of the scheduler's
-	ranks     []float64      // of classes by worth, 0 to 1
-	worth     []float64
-	slow      map[*client]struct{} // clients that are waited for
-	addresses map[netip.Addr]int   // connections of clients
-	idle      idleList
-	shedAt    float64     // when requests may be looked over again
-	found     []*upstream // in a sweep
-	stuck     []*upstream // in a sweep: their clients hold them up
-	sweepT    eventloop.Timer
-	holdT     eventloop.Timer // connections that are held back
-	most      int             // connections that there are descriptors for
+	edge *Edge
+
+	headRate, bodyRate, readRate, memberRate limits.MinRate
+	massSlowness                             limits.MassSlowness
+	scheduler                                *limits.DRR[readyConn]
+	admission                                *limits.Admission
+	retryBudget                              *limits.RetryBudget
+	jitter                                   *limits.Jitter
+	reputation                               *limits.Reputation
+	readPause                                *limits.ReadPause
+	pausedClients                            []pausedClient // sorted by the time at which reading resumes
+	unread                                   limits.UnreadAccount
+	unreadClients                            []*clientConn // that may have part of a finished response in the kernel's send buffer
+	memory                                   limits.Budget
+	counts                                   limits.Counts
+
+	classIndex       map[string]int           // index of a class by its name, in ranks and in the scheduler
+	ranks            []float64                // of the classes, from 0 to 1, by their priority weights
+	priorityWeights  []float64                // of the classes
+	awaited          map[*clientConn]struct{} // clients that the router waits for, to send or to read
+	connectionsOf    map[netip.Addr]int       // number of connections by client address
+	idleClients      idleList
+	nextShedAt       float64         // earliest time of the next scan for requests to shed
+	slowUpstreams    []*upstreamConn // reused by each sweep: members that send too slowly
+	stalledUpstreams []*upstreamConn // reused by each sweep: paused because their clients do not read
+	sweepTimer       eventloop.Timer
+	resumeTimer      eventloop.Timer // of the first paused client
+	maxClients       int             // client connections that the descriptor limit allows
 }
 
-// mover is a connection that is ready to move bytes.
-type mover interface {
-	// move moves at most about room bytes; more says that it is ready for more.
-	move(room int) (moved int, more bool)
+// readyConn is a connection that is ready to read or write.
+type readyConn interface {
+	// transfer moves about room bytes at most. It reports how many it moved, and whether the
+	// connection is ready for more.
+	transfer(room int) (moved int, more bool)
+	// queuedAt returns the time at which the connection was given to the scheduler.
 	queuedAt() float64
 }
 
 const (
-	sweepEvery = 250 // ms between looks at slow peers
-	// memory that is booked for what is not a buffer, in bytes, measured as by
-	// spool-bench idle: descriptions, their places in tables, and timers
-	clientBytes   = 1 << 10
-	upstreamBytes = 2 << 10
-	requestBytes  = 3 << 10
-	spareFiles    = 24 // descriptors for what is no connection
+	sweepInterval = 250 // ms between checks for slow peers
+	shedInterval  = 50  // ms between scans of all requests for those to shed
+	// Bytes charged to the memory budget for the state of a connection or a request without its
+	// buffers: the structure, its map entries and its timers. See spool-bench idle.
+	clientBytes         = 1 << 10
+	upstreamBytes       = 2 << 10
+	requestBytes        = 3 << 10
+	reservedDescriptors = 24 // descriptors for files and sockets other than connections
 )
 
-func newGuard(e *Edge) *guard {
-	g := &guard{e: e, slow: map[*client]struct{}{}, addresses: map[netip.Addr]int{}}
-	g.idle.init()
-	g.sweepT.F = g.sweep
-	g.holdT.F = g.release
-	g.adopt(e.s)
+func newGuard(edge *Edge) *guard {
+	g := &guard{edge: edge, awaited: map[*clientConn]struct{}{}, connectionsOf: map[netip.Addr]int{}}
+	g.idleClients.init()
+	g.sweepTimer.F = g.sweep
+	g.resumeTimer.F = g.resumeReading
+	g.applySettings(edge.settings)
 	return g
 }
 
-// adopt goes by settings from now on. What was learned stays.
-func (g *guard) adopt(s *config.Settings) {
-	l := &s.Limits
-	g.e.listener.PerTurn = l.AcceptPerTurn
-	least := func(kbs, grace float64) limits.MinRate {
-		return limits.MinRate{Rate: kbs * 1024 / 1000, Grace: grace, Step: 2 * sweepEvery}
-	}
-	g.head, g.body = least(l.HeadRate, l.HeadGrace), least(l.ClientRate, l.ClientGrace)
-	g.reader, g.member = g.body, least(l.MemberRate, l.MemberGrace)
-	g.jury.Window, g.jury.Share, g.jury.MinWorking = 2*l.MemberGrace+1000, l.JuryShare, 2
-	total := int64(l.MemoryMB * (1 << 20))
-	g.mem.Total = total - limits.UnaccountedMemory(total)
-	g.tails.Total, g.tails.Idle = int64(l.SocketsMB*(1<<20)), l.WriteIdle
+// applySettings applies settings, at the start and when they change. The learned limit of
+// requests in flight and the reputation of addresses are kept.
+func (g *guard) applySettings(settings *config.Settings) {
+	limit := &settings.Limits
+	g.edge.listener.PerTurn = limit.AcceptPerTurn
+	minRate := func(kbPerSecond, grace float64) limits.MinRate {
+		return limits.MinRate{Rate: kbPerSecond * 1024 / 1000, Grace: grace, Step: 2 * sweepInterval}
+	}
+	g.headRate, g.bodyRate = minRate(limit.HeadRate, limit.HeadGrace), minRate(limit.ClientRate, limit.ClientGrace)
+	g.readRate, g.memberRate = g.bodyRate, minRate(limit.MemberRate, limit.MemberGrace)
+	g.massSlowness.Window, g.massSlowness.Share, g.massSlowness.MinWorking = 2*limit.MemberGrace+1000, limit.JuryShare, 2
+	memoryBytes := int64(limit.MemoryMB * (1 << 20))
+	g.memory.Total = memoryBytes - limits.UnaccountedMemory(memoryBytes)
+	g.unread.Total, g.unread.Idle = int64(limit.SocketsMB*(1<<20)), limit.WriteIdle
 	var weights []float64
-	g.classes, g.ranks, g.worth = map[string]int{}, nil, nil
-	for i := range s.Classes {
-		g.classes[s.Classes[i].Name] = i
-		weights = append(weights, s.Classes[i].Weight)
-		g.worth = append(g.worth, s.Classes[i].Worth)
+	g.classIndex, g.ranks, g.priorityWeights = map[string]int{}, nil, nil
+	for i := range settings.Classes {
+		g.classIndex[settings.Classes[i].Name] = i
+		weights = append(weights, settings.Classes[i].Weight)
+		g.priorityWeights = append(g.priorityWeights, settings.Classes[i].Worth)
 	}
-	sorted := append([]float64(nil), g.worth...)
+	sorted := append([]float64(nil), g.priorityWeights...)
 	sort.Float64s(sorted)
-	for _, w := range g.worth {
-		g.ranks = append(g.ranks, float64(sort.SearchFloat64s(sorted, math.Nextafter(w, math.Inf(1)))-1)/max(float64(len(sorted)-1), 1))
-	}
-	weights = append(weights, 1) // of no class
-	old := g.turns
-	g.turns = limits.NewDRR[mover](int(l.QuantumKB*1024), weights)
-	for old != nil && old.Len() > 0 {
-		it, _, _, _ := old.Next()
-		g.turns.Push(len(weights)-1, it)
-	}
-	if g.adm == nil {
-		g.jitter = limits.NewJitter(uint64(s.Router.Seed), 0.5)
-		g.hold = limits.NewReadPause(limits.DefaultReadPause())
-		g.standing = limits.NewReputation(limits.ReputationSettings{})
-	}
-	g.standing.Adopt(limits.DefaultReputation(l.Poor))
-	adm := limits.AdmissionSettings{Target: l.OverloadTarget, QueueingShare: l.OverloadPart, Interval: 100, MinInFlight: l.OverloadLeast, MaxInFlight: l.Held, Headroom: 0.2}
-	if g.adm == nil {
-		g.adm = limits.NewAdmission(adm)
-	}
-	g.adm.Adopt(adm)
-	g.retries = limits.NewRetryBudget(limits.RetryBudgetSettings{Share: l.RetryShare, Burst: 100, AddressShare: 1, AddressBurst: float64(l.RetryBurst), Addresses: 4096})
-	g.most = l.Connections
-	var r unix.Rlimit
-	if unix.Getrlimit(unix.RLIMIT_NOFILE, &r) == nil && r.Cur < 1<<30 {
-		// a request in hand needs a connection of its own and one to a member
-		g.most = min(g.most, max((int(r.Cur)-spareFiles)*3/5, 8))
+	for _, weight := range g.priorityWeights {
+		g.ranks = append(g.ranks, float64(sort.SearchFloat64s(sorted, math.Nextafter(weight, math.Inf(1)))-1)/max(float64(len(sorted)-1), 1))
+	}
+	weights = append(weights, 1) // for connections without a class
+	previous := g.scheduler
+	g.scheduler = limits.NewDRR[readyConn](int(limit.QuantumKB*1024), weights)
+	for previous != nil && previous.Len() > 0 {
+		conn, _, _, _ := previous.Next()
+		g.scheduler.Push(len(weights)-1, conn)
+	}
+	if g.admission == nil {
+		g.jitter = limits.NewJitter(uint64(settings.Router.Seed), 0.5)
+		g.readPause = limits.NewReadPause(limits.DefaultReadPause())
+		g.reputation = limits.NewReputation(limits.ReputationSettings{})
+	}
+	g.reputation.Adopt(limits.DefaultReputation(limit.Poor))
+	admission := limits.AdmissionSettings{Target: limit.OverloadTarget, QueueingShare: limit.OverloadPart, Interval: 100, MinInFlight: limit.OverloadLeast, MaxInFlight: limit.Held, Headroom: 0.2}
+	if g.admission == nil {
+		g.admission = limits.NewAdmission(admission)
+	}
+	g.admission.Adopt(admission)
+	g.retryBudget = limits.NewRetryBudget(limits.RetryBudgetSettings{Share: limit.RetryShare, Burst: 100, AddressShare: 1, AddressBurst: float64(limit.RetryBurst), Addresses: 4096})
+	g.maxClients = limit.Connections
+	var nofile unix.Rlimit
+	if unix.Getrlimit(unix.RLIMIT_NOFILE, &nofile) == nil && nofile.Cur < 1<<30 {
+		// Clients get 3 in 5 of the descriptors: a request in flight needs a connection to a
+		// member as well as its own.
+		g.maxClients = min(g.maxClients, max((int(nofile.Cur)-reservedDescriptors)*3/5, 8))
 	}
 }
 
-// class is a class's place in the scheduler.
-func (g *guard) class(name string) int {
-	if i, ok := g.classes[name]; ok {
+// schedulerClass returns the scheduler's index for a class, or for no class.
+func (g *guard) schedulerClass(name string) int {
+	if i, ok := g.classIndex[name]; ok {
 		return i
 	}
-	return len(g.classes)
+	return len(g.classIndex)
 }
 
-// ready queues a connection that is ready to move bytes.
-func (g *guard) ready(class int, m mover) { g.turns.Push(class, m) }
+// enqueue gives a connection that is ready to read or write to the scheduler.
+func (g *guard) enqueue(class int, conn readyConn) { g.scheduler.Push(class, conn) }
 
-// after is the end of each turn of the loop: ready connections move bytes in their
-// order, as many as a turn may, and what is over is shed.
-func (g *guard) after() (more bool) {
-	e := g.e
-	e.pump()
-	if g.turns.Len() == 0 {
-		g.adm.ObserveWait(e.l.Took())
+// afterTurn runs at the end of each turn of the loop. It lets ready connections transfer bytes
+// in the scheduler's order, up to the limit of a turn, and sheds load when memory runs short.
+func (g *guard) afterTurn() (more bool) {
+	edge := g.edge
+	edge.updatePages()
+	if g.scheduler.Len() == 0 {
+		g.admission.ObserveWait(edge.loop.Took())
 	} else {
-		left := int(e.s.Limits.TurnKB * 1024)
-		for left > 0 {
-			it, class, room, ok := g.turns.Next()
+		bytesLeft := int(edge.settings.Limits.TurnKB * 1024)
+		for bytesLeft > 0 {
+			conn, class, room, ok := g.scheduler.Next()
 			if !ok {
 				break
 			}
-			g.adm.ObserveWait(e.l.Took() + e.l.Now() - it.queuedAt())
-			n, more := it.move(room)
-			g.turns.Used(class, it, n, more)
-			left -= max(n, 1024) // a call has its price too
+			g.admission.ObserveWait(edge.loop.Took() + edge.loop.Now() - conn.queuedAt())
+			moved, more := conn.transfer(room)
+			g.scheduler.Used(class, conn, moved, more)
+			bytesLeft -= max(moved, 1024) // also charges for the system call
 		}
 	}
-	e.pump()
-	g.adm.Tick(e.l.Now(), len(e.reqs))
-	g.hold.Tick(e.l.Now())
-	if g.mem.Full() {
-		g.shed()
+	edge.updatePages()
+	g.admission.Tick(edge.loop.Now(), len(edge.requests))
+	g.readPause.Tick(edge.loop.Now())
+	if g.memory.Full() {
+		g.shedForMemory()
 	}
-	return g.turns.Len() > 0
+	return g.scheduler.Len() > 0
 }
 
-// heldBack is a connection that is not read until its time comes.
-type heldBack struct {
-	c     *client
-	until float64
+// pausedClient is a connection whose reading is paused until the given time.
+type pausedClient struct {
+	client *clientConn
+	until  float64
 }
 
-// holdBack has a connection wait that was turned away.
-func (g *guard) holdBack(c *client) {
-	ms := g.hold.Duration()
-	if ms <= 0 || c.gone || c.last || c.linger || c.cur != nil || c.paused || len(c.left) > 0 {
+// pauseReading stops reading for a while from a client whose request was rejected.
+func (g *guard) pauseReading(client *clientConn) {
+	pause := g.readPause.Duration()
+	if pause <= 0 || client.closed || client.closeAfterResponse || client.discardInput || client.current != nil || client.readPaused || len(client.unparsed) > 0 {
 		return
 	}
-	c.paused = true
-	c.wants()
-	g.held = append(g.held, heldBack{c, g.e.l.Now() + ms})
-	if !g.holdT.Armed() {
-		g.e.l.Arm(&g.holdT, ms)
+	client.readPaused = true
+	client.updateInterest()
+	g.pausedClients = append(g.pausedClients, pausedClient{client, g.edge.loop.Now() + pause})
+	if !g.resumeTimer.Armed() {
+		g.edge.loop.Arm(&g.resumeTimer, pause)
 	}
 }
 
-// release has those read again whose time has come.
-func (g *guard) release() {
-	n, now := 0, g.e.l.Now()
-	for ; n < len(g.held) && g.held[n].until <= now; n++ {
-		if c := g.held[n].c; !c.gone && c.cur == nil && c.paused {
-			c.paused = false
-			c.wants()
+// resumeReading resumes reading from the paused clients whose pause is over.
+func (g *guard) resumeReading() {
+	due, now := 0, g.edge.loop.Now()
+	for ; due < len(g.pausedClients) && g.pausedClients[due].until <= now; due++ {
+		if c := g.pausedClients[due].client; !c.closed && c.current == nil && c.readPaused {
+			c.readPaused = false
+			c.updateInterest()
 		}
 	}
-	g.held = append(g.held[:0], g.held[n:]...)
-	if len(g.held) > 0 {
-		g.e.l.Arm(&g.holdT, g.held[0].until-now)
+	g.pausedClients = append(g.pausedClients[:0], g.pausedClients[due:]...)
+	if len(g.pausedClients) > 0 {
+		g.edge.loop.Arm(&g.resumeTimer, g.pausedClients[0].until-now)
 	}
 }
 
-// admit decides whether a request whose head has come is taken into hand.
-func (g *guard) admit(c *client, q *spool.Request) limits.Cause {
+// admit decides whether a request whose head was received is admitted. It returns the limit
+// that rejects it, or limits.None.
+func (g *guard) admit(client *clientConn, spec *spool.Request) limits.Cause {
 	switch {
-	case g.mem.Full():
+	case g.memory.Full():
 		return limits.Memory
-	case g.poor(c) && !g.standing.HasCapacity():
+	case g.hasPoorReputation(client) && !g.reputation.HasCapacity():
 		return limits.PoorReputation
-	case !g.retries.Admit(c.address, q.Retry, g.adm.Overloaded()):
+	case !g.retryBudget.Admit(client.addrText, spec.Retry, g.admission.Overloaded()):
 		return limits.RetryLimit
-	case !g.adm.Admit(len(g.e.reqs), g.rank(q.Class)):
+	case !g.admission.Admit(len(g.edge.requests), g.rank(spec.Class)):
 		return limits.Overload
 	}
 	return limits.None
 }
 
-// poor reports whether a client's address is of poor standing.
-func (g *guard) poor(c *client) bool {
-	return g.standing.Any() && g.standing.Poor(c.address, g.e.l.Now())
+// hasPoorReputation reports whether the address of a client has a poor reputation.
+func (g *guard) hasPoorReputation(c *clientConn) bool {
+	return g.reputation.Any() && g.reputation.Poor(c.addrText, g.edge.loop.Now())
 }
 
-// bad notes that the client has wasted the place that it had.
-func (g *guard) bad(c *client) {
-	if !c.blamed {
-		c.blamed = true
-		g.standing.AddBad(c.address, g.e.l.Now())
+// recordBadOutcome records, once for each request, that the client wasted the capacity that
+// it was given.
+func (g *guard) recordBadOutcome(c *clientConn) {
+	if !c.badOutcome {
+		c.badOutcome = true
+		g.reputation.AddBad(c.addrText, g.edge.loop.Now())
 	}
 }
 
-// room is how much of an answer may wait for its client now.
-func (g *guard) room() int { return g.mem.Room(g.e.s.Limits.Buffer) }
+// bufferRoom returns how many bytes of a response may be buffered for its client now.
+func (g *guard) bufferRoom() int { return g.memory.Room(g.edge.settings.Limits.Buffer) }
 
+// rank returns the rank of a class for admission, from 0 to 1; that of an unknown class is 0.
 func (g *guard) rank(class string) float64 {
-	if i, ok := g.classes[class]; ok {
+	if i, ok := g.classIndex[class]; ok {
 		return g.ranks[i]
 	}
 	return 0
 }
 
-// now is the time by which peers are judged: what turns of the loop took beyond the
-// ordinary is not theirs.
-func (g *guard) now() float64 { return g.e.l.Now() - g.e.l.SlowTime() }
+// peerTime returns the clock against which the rates of peers are measured. It excludes the
+// excess of slow loop turns, so that peers are not charged for the router's own delays.
+func (g *guard) peerTime() float64 { return g.edge.loop.Now() - g.edge.loop.SlowTime() }
 
-// freePlace has the connection of a member give its place to an attempt that finds
-// none, where one has waited for its client for long.
-func (g *guard) freePlace(p *pool) {
-	for _, u := range g.stuckAt(p) {
+// closeStalledUpstream closes one connection of the pool whose client has not read for long,
+// if there is one, so that an attempt that waits for a connection can take its place.
+func (g *guard) closeStalledUpstream(p *connPool) {
+	for _, u := range g.longStalled(p) {
 		g.counts[limits.SlowReader]++
-		u.t.r.c.cutSlow(limits.SlowReader)
+		u.attempt.request.client.closeSlow(limits.SlowReader)
 		return
 	}
 }
 
-// sweep looks at those that are waited for.
+// sweep checks, every sweepInterval, the rates of all peers that the router waits for.
 func (g *guard) sweep() {
-	e, now := g.e, g.now()
-	e.l.Arm(&g.sweepT, sweepEvery)
-	for c := range g.slow {
-		if c.out.Len() > 0 {
-			at := c.taken()
-			if at > c.seen {
-				c.movedAt = now
-			} else if limits.IsStalled(now - c.movedAt) {
-				g.bad(c)
+	edge, now := g.edge, g.peerTime()
+	edge.loop.Arm(&g.sweepTimer, sweepInterval)
+	for client := range g.awaited {
+		if client.output.Len() > 0 {
+			acked := client.acknowledged()
+			if acked > client.ackedBytes {
+				client.lastProgress = now
+			} else if limits.IsStalled(now - client.lastProgress) {
+				g.recordBadOutcome(client)
 			}
-			c.flow.Moved(now, int(at-c.seen), &g.reader)
-			c.seen = at
+			client.flow.Moved(now, int(acked-client.ackedBytes), &g.readRate)
+			client.ackedBytes = acked
 		}
-		if least, cause := c.judgedBy(); c.flow.Slow(now, least) {
+		if rate, cause := client.minRate(); client.flow.Slow(now, rate) {
 			g.counts[cause]++
-			c.cutSlow(cause)
+			client.closeSlow(cause)
 		}
 	}
-	g.found = g.found[:0]
-	for _, p := range e.pools {
-		for u := range p.all {
-			if u.held && !u.told && e.l.Now()-u.heldAt >= sweepEvery {
-				g.stuck = append(g.stuck, u)
+	g.slowUpstreams = g.slowUpstreams[:0]
+	for _, pool := range edge.pools {
+		for upstream := range pool.connections {
+			if upstream.paused && !upstream.stallReported && edge.loop.Now()-upstream.pausedAt >= sweepInterval {
+				g.stalledUpstreams = append(g.stalledUpstreams, upstream)
 			}
-			if u.state == upBody && u.flow.Waiting() && u.flow.Slow(now, &g.member) {
-				g.found = append(g.found, u)
-				g.jury.ObserveSlow(p.member, now)
+			if upstream.state == upRelayingBody && upstream.flow.Waiting() && upstream.flow.Slow(now, &g.memberRate) {
+				g.slowUpstreams = append(g.slowUpstreams, upstream)
+				g.massSlowness.ObserveSlow(pool.member, now)
 			}
 		}
 	}
-	for i, u := range g.stuck {
-		if g.stuck[i] = nil; u.held {
-			u.stalled(true)
+	for i, upstream := range g.stalledUpstreams {
+		if g.stalledUpstreams[i] = nil; upstream.paused {
+			upstream.reportStalled(true)
 		}
 	}
-	g.stuck = g.stuck[:0]
-	g.lookAtTails(now)
-	if g.standing.Any() {
-		g.judge()
+	g.stalledUpstreams = g.stalledUpstreams[:0]
+	g.checkUnread(now)
+	if g.reputation.Any() {
+		g.shedPoorReputation()
 	}
-	for i, u := range g.found {
-		if g.found[i] = nil; u.fd >= 0 && u.state == upBody && g.jury.MayCut(u.p.member, now) {
+	for i, upstream := range g.slowUpstreams {
+		if g.slowUpstreams[i] = nil; upstream.fd >= 0 && upstream.state == upRelayingBody && g.massSlowness.MayCut(upstream.pool.member, now) {
 			g.counts[limits.SlowMember]++
-			u.broke(spool.TimedOut)
+			upstream.fail(spool.TimedOut)
 		}
 	}
 }
 
-// leastTail is how many bytes of an answer are worth a look at whether they are taken.
-const leastTail = 16 << 10
+// minUnreadBytes is the least number of unacknowledged bytes for which a client is tracked.
+const minUnreadBytes = 16 << 10
 
-// tail notes that the kernel may hold some of an answer that is whole.
-func (g *guard) tail(c *client) {
-	if !c.tailed && c.wrote-c.seen >= leastTail {
-		c.tailed, c.movedAt = true, g.now()
-		g.tailed = append(g.tailed, c)
+// trackUnread tracks a client whose response was written in full, but may still be in the
+// kernel's send buffer in part.
+func (g *guard) trackUnread(c *clientConn) {
+	if !c.unreadTracked && c.writtenBytes-c.ackedBytes >= minUnreadBytes {
+		c.unreadTracked, c.lastProgress = true, g.peerTime()
+		g.unreadClients = append(g.unreadClients, c)
 	}
 }
 
-// lookAtTails sees how much the kernel holds for clients, and cuts those of them that
-// limits.UnreadAccount names.
-func (g *guard) lookAtTails(now float64) {
-	var list []limits.Unread
-	var who []*client
-	add := func(c *client, bytes int64) {
-		list, who = append(list, limits.Unread{Index: len(who), Bytes: bytes, StalledFor: now - c.movedAt}), append(who, c)
-	}
-	for c := range g.slow { // looked at before
-		if c.out.Len() > 0 {
-			add(c, c.wrote-c.seen)
+// checkUnread reports to limits.UnreadAccount how much the kernel holds for each client, and
+// closes the clients that it selects.
+func (g *guard) checkUnread(now float64) {
+	var unread []limits.Unread
+	var clients []*clientConn
+	add := func(c *clientConn, bytes int64) {
+		unread, clients = append(unread, limits.Unread{Index: len(clients), Bytes: bytes, StalledFor: now - c.lastProgress}), append(clients, c)
+	}
+	for c := range g.awaited { // sweep has updated these
+		if c.output.Len() > 0 {
+			add(c, c.writtenBytes-c.ackedBytes)
 		}
 	}
-	rest := g.tailed[:0]
-	for _, c := range g.tailed {
-		if c.gone {
+	kept := g.unreadClients[:0]
+	for _, client := range g.unreadClients {
+		if client.closed {
 			continue
 		}
-		if c.out.Len() == 0 {
-			if at := c.taken(); at > c.seen {
-				c.seen, c.movedAt = at, now
+		if client.output.Len() == 0 {
+			if acked := client.acknowledged(); acked > client.ackedBytes {
+				client.ackedBytes, client.lastProgress = acked, now
 			}
 		}
-		if c.wrote == c.seen {
-			c.tailed = false
+		if client.writtenBytes == client.ackedBytes {
+			client.unreadTracked = false
 			continue
 		}
-		rest = append(rest, c)
-		if c.out.Len() == 0 {
-			add(c, c.wrote-c.seen)
+		kept = append(kept, client)
+		if client.output.Len() == 0 {
+			add(client, client.writtenBytes-client.ackedBytes)
 		}
 	}
-	clear(g.tailed[len(rest):])
-	g.tailed = rest
-	for _, t := range g.tails.Update(list) {
-		if c := who[t.Index]; !c.gone {
+	clear(g.unreadClients[len(kept):])
+	g.unreadClients = kept
+	for _, excess := range g.unread.Update(unread) {
+		if c := clients[excess.Index]; !c.closed {
 			g.counts[limits.SlowReader]++
-			c.cutSlow(limits.SlowReader)
+			c.closeSlow(limits.SlowReader)
 		}
 	}
 }
 
-// judge finds requests in hand of those who have become poor, and gives up what is
-// too many of them: by limits.ShedOrder, of the answers that have begun only those that
-// nobody takes.
-func (g *guard) judge() {
-	e := g.e
-	var held []limits.ShedCandidate
-	var list []*request
-	for _, r := range e.reqs {
-		if r.phase == over || !r.poor && !g.poor(r.c) {
+// shedPoorReputation counts the requests in flight whose client's reputation has become poor,
+// and sheds those beyond the limit in limits.ShedOrder. Of the responses that have begun it
+// sheds only those that their clients do not read.
+func (g *guard) shedPoorReputation() {
+	edge := g.edge
+	var candidates []limits.ShedCandidate
+	var requests []*clientRequest
+	for _, request := range edge.requests {
+		if request.phase == finished || !request.poorReputation && !g.hasPoorReputation(request.client) {
 			continue
 		}
-		if !r.poor {
-			r.poor = true
-			g.standing.Reserve()
+		if !request.poorReputation {
+			request.poorReputation = true
+			g.reputation.Reserve()
 		}
-		t := r.winner
-		stuck := t != nil && t.u != nil && t.u.held && len(limits.LongStalled([]float64{e.l.Now() - t.u.heldAt})) > 0
-		if r.phase == asked && r.open == 0 || r.phase == relaying && stuck {
-			held, list = append(held, g.holder(len(list), r)), append(list, r)
+		winner := request.winner
+		stalled := winner != nil && winner.upstream != nil && winner.upstream.paused && len(limits.LongStalled([]float64{edge.loop.Now() - winner.upstream.pausedAt})) > 0
+		if request.phase == awaitingResponse && request.openAttempts == 0 || request.phase == relaying && stalled {
+			candidates, requests = append(candidates, g.shedCandidate(len(requests), request)), append(requests, request)
 		}
 	}
-	excess := g.standing.Excess()
-	for i, h := range limits.ShedOrder(held) {
+	excess := g.reputation.Excess()
+	for i, candidate := range limits.ShedOrder(candidates) {
 		if i >= excess {
 			return
 		}
-		if r := list[h.Index]; r.c.cur == r {
+		if r := requests[candidate.Index]; r.client.current == r {
 			g.counts[limits.PoorReputation]++
 			r.shed(limits.PoorReputation)
 		}
 	}
 }
 
-// holder is a request as limits.ShedOrder looks at it.
-func (g *guard) holder(index int, r *request) limits.ShedCandidate {
-	c := r.c
-	h := limits.ShedCandidate{Index: index, Bytes: requestBytes + int64(c.out.Cap()+cap(c.left)+cap(r.content)), Begun: r.phase == relaying,
-		BytesLeft: max(r.q.KB*1024-float64(r.sent), 0), Idempotent: r.phase == takingBody || !r.q.Write || !r.written()}
-	if i, ok := g.classes[r.q.Class]; ok {
-		k := &g.e.s.Classes[i]
-		if h.Weight = k.Worth; g.e.l.Now()-r.at > k.Aim {
-			h.Weight *= k.LateWorth
+// shedCandidate describes a request for limits.ShedOrder.
+func (g *guard) shedCandidate(index int, request *clientRequest) limits.ShedCandidate {
+	client := request.client
+	candidate := limits.ShedCandidate{Index: index, Bytes: requestBytes + int64(client.output.Cap()+cap(client.unparsed)+cap(request.requestBody)), Begun: request.phase == relaying,
+		BytesLeft: max(request.spec.KB*1024-float64(request.sentBytes), 0), Idempotent: request.phase == receivingBody || !request.spec.Write || !request.anyWritten()}
+	if i, ok := g.classIndex[request.spec.Class]; ok {
+		class := &g.edge.settings.Classes[i]
+		if candidate.Weight = class.Worth; g.edge.loop.Now()-request.receivedAt > class.Aim {
+			candidate.Weight *= class.LateWorth
 		}
 	}
-	return h
+	return candidate
 }
 
-// watch has a client's flow follow whether it is waited for.
-func (g *guard) watch(c *client, waited bool) {
-	if waited == c.flow.Waiting() {
+// setAwaited starts or stops the rate check of a client, as the router begins or ceases to
+// wait for it.
+func (g *guard) setAwaited(client *clientConn, awaited bool) {
+	if awaited == client.flow.Waiting() {
 		return
 	}
-	if waited {
-		c.flow.StartWaiting(g.now())
-		g.slow[c] = struct{}{}
-		c.movedAt = g.now()
-		if c.out.Len() > 0 {
-			c.seen = c.taken()
+	if awaited {
+		client.flow.StartWaiting(g.peerTime())
+		g.awaited[client] = struct{}{}
+		client.lastProgress = g.peerTime()
+		if client.output.Len() > 0 {
+			client.ackedBytes = client.acknowledged()
 		}
 		return
 	}
-	least, _ := c.judgedBy()
-	c.flow.StopWaiting(g.now(), least)
-	delete(g.slow, c)
+	rate, _ := client.minRate()
+	client.flow.StopWaiting(g.peerTime(), rate)
+	delete(g.awaited, client)
 }
 
-// shed gives memory back: idle connections, the longest unused first, and at the very
-// edge requests, by limits.ShedOrder.
-func (g *guard) shed() {
-	idle, requests := g.mem.Excess()
-	for idle > 0 && g.closeIdle(limits.Memory) {
-		idle -= clientBytes
+// shedForMemory frees memory. It closes idle connections first, starting with the longest
+// unused, then connections whose clients have not read for long, and last it sheds requests in
+// limits.ShedOrder.
+func (g *guard) shedForMemory() {
+	idleExcess, requestExcess := g.memory.Excess()
+	for idleExcess > 0 && g.closeIdle(limits.Memory) {
+		idleExcess -= clientBytes
 	}
-	e := g.e
-	if idle <= 0 || e.l.Now() < g.shedAt { // looking over all of them has its price
+	edge := g.edge
+	if idleExcess <= 0 || edge.loop.Now() < g.nextShedAt { // the scan of all requests is costly
 		return
 	}
-	g.shedAt = e.l.Now() + 50
-	for _, u := range g.stuckAt(slices.Collect(maps.Values(e.pools))...) {
-		if idle <= 0 {
+	g.nextShedAt = edge.loop.Now() + shedInterval
+	for _, upstream := range g.longStalled(slices.Collect(maps.Values(edge.pools))...) {
+		if idleExcess <= 0 {
 			return
 		}
-		if u.held && u.t != nil {
-			c := u.t.r.c
-			idle -= clientBytes + upstreamBytes + requestBytes + int64(c.out.Cap())
+		if upstream.paused && upstream.attempt != nil {
+			c := upstream.attempt.request.client
+			idleExcess -= clientBytes + upstreamBytes + requestBytes + int64(c.output.Cap())
 			g.counts[limits.Memory]++
-			c.cutSlow(limits.SlowReader)
+			c.closeSlow(limits.SlowReader)
 		}
 	}
-	if requests = min(requests, idle); requests <= 0 {
+	if requestExcess = min(requestExcess, idleExcess); requestExcess <= 0 {
 		return
 	}
-	var held []limits.ShedCandidate
-	var list []*request
-	for c := range e.clients {
-		r := c.cur
+	var candidates []limits.ShedCandidate
+	var requests []*clientRequest
+	for c := range edge.clients {
+		r := c.current
 		if r == nil {
 			continue
 		}
-		held, list = append(held, g.holder(len(list), r)), append(list, r)
+		candidates, requests = append(candidates, g.shedCandidate(len(requests), r)), append(requests, r)
 	}
-	for _, h := range limits.Shed(held, requests) {
-		if r := list[h.Index]; r.c.cur == r {
+	for _, candidate := range limits.Shed(candidates, requestExcess) {
+		if r := requests[candidate.Index]; r.client.current == r {
 			g.counts[limits.Memory]++
 			r.shed(limits.Memory)
 		}
 	}
 }
 
-// stuckAt is the connections to members that wait for their clients for long, in the
-// order in which they give way.
-func (g *guard) stuckAt(pools ...*pool) (list []*upstream) {
-	var all []*upstream
+// longStalled returns the connections to members that were paused long ago because their
+// clients do not read, in the order in which they are closed.
+func (g *guard) longStalled(pools ...*connPool) (stalled []*upstreamConn) {
+	var paused []*upstreamConn
 	var waits []float64
 	for _, p := range pools {
-		for u := range p.all {
-			if u.held && u.t != nil {
-				all, waits = append(all, u), append(waits, g.e.l.Now()-u.heldAt)
+		for u := range p.connections {
+			if u.paused && u.attempt != nil {
+				paused, waits = append(paused, u), append(waits, g.edge.loop.Now()-u.pausedAt)
 			}
 		}
 	}
 	for _, i := range limits.LongStalled(waits) {
-		list = append(list, all[i])
+		stalled = append(stalled, paused[i])
 	}
-	return list
+	return stalled
 }
 
-// closeIdle closes the connection that is unused for longest; false: none is.
+// closeIdle closes the longest unused client connection. It reports false if there is none.
 func (g *guard) closeIdle(cause limits.Cause) bool {
-	c := g.idle.oldest()
-	if c == nil || !limits.MayCloseIdle(g.e.l.Now()-c.idleAt) {
+	client := g.idleClients.oldest()
+	if client == nil || !limits.MayCloseIdle(g.edge.loop.Now()-client.idleSince) {
 		return false
 	}
 	g.counts[cause]++
-	c.leave()
+	client.closeIdle()
 	return true
 }
 
-// full reports that a connection more can't be had, with those that are idle gone.
-func (g *guard) full() bool {
-	return len(g.e.clients) >= g.most && !g.closeIdle(limits.Descriptors)
+// connectionsFull reports whether no further client connection can be accepted, even after
+// closing an idle one.
+func (g *guard) connectionsFull() bool {
+	return len(g.edge.clients) >= g.maxClients && !g.closeIdle(limits.Descriptors)
 }
 
-// idleList is the clients between requests, the longest unused first.
-type idleList struct{ root client }
+// idleList is a ring of the clients between requests, the longest unused first.
+type idleList struct{ root clientConn }
 
-func (l *idleList) init() { l.root.before, l.root.behind = &l.root, &l.root }
+func (l *idleList) init() { l.root.prev, l.root.next = &l.root, &l.root }
 
-func (l *idleList) add(c *client, now float64) {
-	c.idleAt = now
-	if c.behind != nil {
-		l.remove(c)
+func (l *idleList) push(client *clientConn, now float64) {
+	client.idleSince = now
+	if client.next != nil {
+		l.remove(client)
 	}
-	c.before, c.behind = l.root.before, &l.root
-	c.before.behind, l.root.before = c, c
+	client.prev, client.next = l.root.prev, &l.root
+	client.prev.next, l.root.prev = client, client
 }
 
-func (l *idleList) remove(c *client) {
-	if c.behind == nil {
+func (l *idleList) remove(c *clientConn) {
+	if c.next == nil {
 		return
 	}
-	c.before.behind, c.behind.before = c.behind, c.before
-	c.before, c.behind = nil, nil
+	c.prev.next, c.next.prev = c.next, c.prev
+	c.prev, c.next = nil, nil
 }
 
-func (l *idleList) oldest() *client {
-	if l.root.behind == &l.root {
+func (l *idleList) oldest() *clientConn {
+	if l.root.next == &l.root {
 		return nil
 	}
-	return l.root.behind
+	return l.root.next
 }
--- a/internal/proxy/httpfront/guard_test.go
+++ b/internal/proxy/httpfront/guard_test.go
@@ -27,99 +27,100 @@
 	"indigospool/internal/testbed/testserver"
 )
 
-// cuts are the router's counts by cause.
-func (r *rig) cuts() (out limits.Counts) {
-	r.e.Query(func(*Stats, *engine.Core) { out = r.e.guard.counts })
+// limitCounts returns the router's counts of enforced limits by cause.
+func (r *testRig) limitCounts() (out limits.Counts) {
+	r.edge.Query(func(*Stats, *engine.Core) { out = r.edge.guard.counts })
 	return out
 }
 
-// stills asks for small things one after another, and returns their times, in order.
-func (r *rig) stills(n int) (ms []float64, bad int) {
-	c := &http.Client{Timeout: 5 * time.Second}
-	defer c.CloseIdleConnections()
+// getSmallObjects requests n small objects one after another. It returns their response times in
+// ascending order, and the number of requests that failed.
+func (r *testRig) getSmallObjects(n int) (times []float64, failed int) {
+	client := &http.Client{Timeout: 5 * time.Second}
+	defer client.CloseIdleConnections()
 	for i := range n {
 		began := time.Now()
-		res, err := c.Get("http://" + r.e.Addr() + fmt.Sprintf("/s/1/still%d", i%10))
+		res, err := client.Get("http://" + r.edge.Addr() + fmt.Sprintf("/s/1/still%d", i%10))
 		if err == nil {
 			_, err = io.Copy(io.Discard, res.Body)
 			res.Body.Close()
 		}
 		if err != nil || res.StatusCode != 200 {
-			bad++
+			failed++
 		}
-		ms = append(ms, float64(time.Since(began).Microseconds())/1000)
+		times = append(times, float64(time.Since(began).Microseconds())/1000)
 	}
-	sort.Float64s(ms)
-	return ms, bad
+	sort.Float64s(times)
+	return times, failed
 }
 
-const quick = `(head-rate 1) (head-grace 300) (client-rate 200) (client-grace 700) (member-rate 50) (member-grace 600) `
+// shortGrace are limits that find slow peers within a second.
+const shortGrace = `(head-rate 1) (head-grace 300) (client-rate 200) (client-grace 700) (member-rate 50) (member-grace 600) `
 
-// Slow readers of large footage are cut, by their own delay; stills beside them, of
-// the same caches and the same pool, are served as ever.
+// Clients that read large objects too slowly are closed. Requests for small objects through the
+// same caches and the same pool are not delayed by them.
 func TestSlowReaders(t *testing.T) {
-	r := newRig(t, 2, quick+"(buffer 65536)")
-	calm, bad := r.stills(100)
-	var slow []net.Conn
+	rig := newRig(t, 2, shortGrace+"(buffer 65536)")
+	before, failedBefore := rig.getSmallObjects(100)
+	var conns []net.Conn
 	for i := range 40 {
-		c := r.dial()
-		c.(*net.TCPConn).SetReadBuffer(4096)
-		fmt.Fprintf(c, "GET /v/1/big%d/0 HTTP/1.1\r\nHost: h\r\nSpool-KB: 4000\r\n\r\n", i)
-		slow = append(slow, c)
-	}
-	// footage is 200 KB a part: what sockets hold of it counts as taken, so they are
-	// asked for again and again
-	for _, c := range slow {
+		conn := rig.dial()
+		conn.(*net.TCPConn).SetReadBuffer(4096)
+		fmt.Fprintf(conn, "GET /v/1/big%d/0 HTTP/1.1\r\nHost: h\r\nSpool-KB: 4000\r\n\r\n", i)
+		conns = append(conns, conn)
+	}
+	// A part has 200 KB, which socket buffers may hold in full, so each client requests many.
+	for _, conn := range conns {
 		for range 40 {
-			fmt.Fprintf(c, "GET /v/1/more/%d HTTP/1.1\r\nHost: h\r\n\r\n", 1)
+			fmt.Fprintf(conn, "GET /v/1/more/%d HTTP/1.1\r\nHost: h\r\n\r\n", 1)
 		}
 	}
-	beside, worse := r.stills(300)
-	if bad+worse > 0 || beside[len(beside)*99/100] > 3*calm[len(calm)*99/100]+50 {
-		t.Errorf("%d and %d went wrong; p99 %.1f ms, %.1f ms before", bad, worse, beside[len(beside)*99/100], calm[len(calm)*99/100])
+	during, failedDuring := rig.getSmallObjects(300)
+	if failedBefore+failedDuring > 0 || during[len(during)*99/100] > 3*before[len(before)*99/100]+50 {
+		t.Errorf("%d and %d requests failed; p99 %.1f ms, %.1f ms before", failedBefore, failedDuring, during[len(during)*99/100], before[len(before)*99/100])
 	}
 	for range 60 {
-		if r.cuts()[limits.SlowReader] == 40 {
+		if rig.limitCounts()[limits.SlowReader] == 40 {
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	t.Errorf("cut: %v", r.cuts())
+	t.Errorf("40 slow readers, closed: %v", rig.limitCounts())
 }
 
-// One who reads steadily at twice the least rate is not cut, although the kernel takes
-// nothing more for it for long: its buffers hold seconds of that.
+// A client that reads steadily at twice the least rate is not closed, although its socket
+// accepts no more output for long, since the kernel's buffers hold seconds of data at that rate.
 func TestSteadyReader(t *testing.T) {
-	r := newRig(t, 1, "(client-rate 400) (client-grace 700) (buffer 16384)")
-	c := r.dial()
+	rig := newRig(t, 1, "(client-rate 400) (client-grace 700) (buffer 16384)")
+	conn := rig.dial()
 	for i := range 150 {
-		fmt.Fprintf(c, "GET /v/1/big/%d HTTP/1.1\r\nHost: h\r\n\r\n", i%10)
+		fmt.Fprintf(conn, "GET /v/1/big/%d HTTP/1.1\r\nHost: h\r\n\r\n", i%10)
 	}
 	buf := make([]byte, 80<<10)
 	for range 50 {
-		if _, err := io.ReadFull(c, buf); err != nil {
+		if _, err := io.ReadFull(conn, buf); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	if cut := r.cuts()[limits.SlowReader]; cut > 0 {
-		t.Errorf("%d cut", cut)
+	if closed := rig.limitCounts()[limits.SlowReader]; closed > 0 {
+		t.Errorf("%d closed as slow", closed)
 	}
 }
 
-// One who reads in bursts at the least rate is not cut.
+// A client that reads in bursts, at the least rate on average, is not closed.
 func TestBurstyReader(t *testing.T) {
-	r := newRig(t, 1, "(client-rate 2000) (client-grace 1000) (buffer 16384)")
-	c := r.dial()
-	c.(*net.TCPConn).SetReadBuffer(256 << 10)
-	const asked = 40 // of some 50 to 400 KB
+	rig := newRig(t, 1, "(client-rate 2000) (client-grace 1000) (buffer 16384)")
+	conn := rig.dial()
+	conn.(*net.TCPConn).SetReadBuffer(256 << 10)
+	const asked = 40 // parts of 50 to 400 KB
 	for i := range asked {
-		fmt.Fprintf(c, "GET /v/1/big/%d HTTP/1.1\r\nHost: h\r\n\r\n", i%10)
+		fmt.Fprintf(conn, "GET /v/1/big/%d HTTP/1.1\r\nHost: h\r\n\r\n", i%10)
 	}
 	got, buf := 0, make([]byte, 1300<<10)
 	for {
-		c.SetReadDeadline(time.Now().Add(2 * time.Second))
-		n, err := io.ReadFull(c, buf) // 1.3 MB each half second: 2.6 MB a second, where 2 are asked
+		conn.SetReadDeadline(time.Now().Add(2 * time.Second))
+		n, err := io.ReadFull(conn, buf) // 1.3 MB each half second is 2.6 MB/s; the least rate is 2
 		got += n
 		if err != nil {
 			break
@@ -127,29 +128,29 @@
 		time.Sleep(500 * time.Millisecond)
 	}
 	served := uint64(0)
-	r.e.Query(func(s *Stats, _ *engine.Core) { served = s.Served })
-	if served != asked || got < 5<<20 || r.cuts()[limits.SlowReader] > 0 {
-		t.Errorf("%d of %d answers, %d KB, cut: %v", served, asked, got>>10, r.cuts())
+	rig.edge.Query(func(s *Stats, _ *engine.Core) { served = s.Served })
+	if served != asked || got < 5<<20 || rig.limitCounts()[limits.SlowReader] > 0 {
+		t.Errorf("%d of %d responses, %d KB, closed: %v", served, asked, got>>10, rig.limitCounts())
 	}
 }
 
-// Two thousand who send their requests a byte at a time are cut for it, and others
-// don't notice.
+// Two thousand clients that send their requests a byte at a time are closed, and do not delay
+// other clients.
 func TestSlowloris(t *testing.T) {
-	n := 2000
+	clients := 2000
 	var limit unix.Rlimit
 	unix.Getrlimit(unix.RLIMIT_NOFILE, &limit)
-	n = min(n, int(limit.Cur)/3-100)
-	r := newRig(t, 2, quick+"(connections-per-address 5000)")
-	calm, _ := r.stills(100)
-	var list []net.Conn
-	for range n {
-		c, err := net.Dial("tcp4", r.e.Addr())
+	clients = min(clients, int(limit.Cur)/3-100)
+	rig := newRig(t, 2, shortGrace+"(connections-per-address 5000)")
+	before, _ := rig.getSmallObjects(100)
+	var conns []net.Conn
+	for range clients {
+		conn, err := net.Dial("tcp4", rig.edge.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		list = append(list, c)
+		defer conn.Close()
+		conns = append(conns, conn)
 	}
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
@@ -157,8 +158,8 @@
 	go func() {
 		defer wg.Done()
 		for i := 0; ; i++ {
-			for _, c := range list {
-				c.Write([]byte("GET /s/1/x HTTP/1.1\r\nX-A: b\r\n"[i%20 : i%20+1]))
+			for _, conn := range conns {
+				conn.Write([]byte("GET /s/1/x HTTP/1.1\r\nX-A: b\r\n"[i%20 : i%20+1]))
 			}
 			select {
 			case <-stop:
@@ -167,44 +168,44 @@
 			}
 		}
 	}()
-	beside, bad := r.stills(300)
+	during, failed := rig.getSmallObjects(300)
 	deadline := time.Now().Add(8 * time.Second)
-	for r.cuts()[limits.SlowHead] < uint64(n) && time.Now().Before(deadline) {
+	for rig.limitCounts()[limits.SlowHead] < uint64(clients) && time.Now().Before(deadline) {
 		time.Sleep(100 * time.Millisecond)
 	}
 	close(stop)
 	wg.Wait()
-	if got := r.cuts()[limits.SlowHead]; got < uint64(n) {
-		t.Errorf("%d of %d were cut", got, n)
+	if got := rig.limitCounts()[limits.SlowHead]; got < uint64(clients) {
+		t.Errorf("%d of %d slow clients were closed", got, clients)
 	}
-	if bad > 0 || beside[len(beside)/2] > 5*calm[len(calm)/2]+20 {
-		t.Errorf("%d went wrong beside them; p50 %.1f ms, %.1f ms before", bad, beside[len(beside)/2], calm[len(calm)/2])
+	if failed > 0 || during[len(during)/2] > 5*before[len(before)/2]+20 {
+		t.Errorf("%d other requests failed; p50 %.1f ms, %.1f ms before", failed, during[len(during)/2], before[len(before)/2])
 	}
 }
 
-// A member that sends heads and then a byte a second is cut, and counted; where all
-// of them do, none is, and the router goes on serving what it can.
+// Connections to a member that sends heads and then a byte a second are closed, and counted. If
+// all members do so, most of the connections are kept, and the router goes on serving.
 func TestTricklingMembers(t *testing.T) {
-	r := newRig(t, 4, quick+"(body-idle 3000)")
-	for i := range 80 { // all are at work, and hold copies
-		r.get(fmt.Sprintf("/s/1/w%d", i))
+	rig := newRig(t, 4, shortGrace+"(body-idle 3000)")
+	for i := range 80 { // so that all members have served, and hold copies
+		rig.get(fmt.Sprintf("/s/1/w%d", i))
 	}
 	trickle := func(ids ...string) {
 		for _, id := range ids {
-			if err := r.boxes[id].Fault(testserver.Fault{Kind: testserver.Trickle, For: 2500}); err != nil {
+			if err := rig.caches[id].Fault(testserver.Fault{Kind: testserver.Trickle, For: 2500}); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	round := func() (broken, good int) {
+	round := func() (failed, succeeded int) {
 		var wg sync.WaitGroup
 		var mu sync.Mutex
 		for i := range 80 {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				c := &http.Client{Timeout: 2500 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
-				res, err := c.Get("http://" + r.e.Addr() + fmt.Sprintf("/s/1/w%d", i))
+				client := &http.Client{Timeout: 2500 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
+				res, err := client.Get("http://" + rig.edge.Addr() + fmt.Sprintf("/s/1/w%d", i))
 				if err == nil {
 					_, err = io.Copy(io.Discard, res.Body)
 					res.Body.Close()
@@ -212,251 +213,252 @@
 				mu.Lock()
 				defer mu.Unlock()
 				if err != nil || res.StatusCode != 200 {
-					broken++
+					failed++
 				} else {
-					good++
+					succeeded++
 				}
 			}()
 		}
 		wg.Wait()
-		return broken, good
+		return failed, succeeded
 	}
 	trickle("b0")
-	broken, good := round()
-	if cut := r.cuts()[limits.SlowMember]; cut == 0 || good < 40 {
-		t.Errorf("one that trickles: %d cut, %d broken, %d good", cut, broken, good)
+	failed, succeeded := round()
+	if closed := rig.limitCounts()[limits.SlowMember]; closed == 0 || succeeded < 40 {
+		t.Errorf("one slow member: %d closed, %d requests failed, %d succeeded", closed, failed, succeeded)
 	}
 	time.Sleep(2 * time.Second)
-	before := r.cuts()[limits.SlowMember]
+	before := rig.limitCounts()[limits.SlowMember]
 	trickle("b0", "b1", "b2", "b3")
 	round()
 	var spared uint64
-	r.e.Query(func(*Stats, *engine.Core) { spared = r.e.guard.jury.Spared })
-	if cut := r.cuts()[limits.SlowMember] - before; cut > 40 || spared == 0 {
-		t.Errorf("all trickle: %d cut, %d spared", cut, spared)
+	rig.edge.Query(func(*Stats, *engine.Core) { spared = rig.edge.guard.massSlowness.Spared })
+	if closed := rig.limitCounts()[limits.SlowMember] - before; closed > 40 || spared == 0 {
+		t.Errorf("all members slow: %d closed, %d spared", closed, spared)
 	}
-	if res, _, err := r.get("/s/1/after"); err != nil || res.StatusCode != 200 {
-		t.Errorf("after it: %v %v", res, err)
+	if res, _, err := rig.get("/s/1/after"); err != nil || res.StatusCode != 200 {
+		t.Errorf("request afterwards: %v %v", res, err)
 	}
 }
 
-// With few descriptors idle connections give way, accepting pauses without a spin, and
-// requests are served.
+// When connections run out, idle ones are closed for new ones, and requests are served.
 func TestFewDescriptors(t *testing.T) {
-	r := newRig(t, 2, "(connections-per-address 5000)")
-	r.e.Query(func(*Stats, *engine.Core) { r.e.guard.most = 64 })
+	rig := newRig(t, 2, "(connections-per-address 5000)")
+	rig.edge.Query(func(*Stats, *engine.Core) { rig.edge.guard.maxClients = 64 })
 	for range 300 {
-		c, err := net.Dial("tcp4", r.e.Addr())
+		conn, err := net.Dial("tcp4", rig.edge.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer conn.Close()
 	}
 	time.Sleep(250 * time.Millisecond) // until they count as idle
-	if _, bad := r.stills(50); bad > 0 {
-		t.Errorf("%d requests went wrong", bad)
+	if _, failed := rig.getSmallObjects(50); failed > 0 {
+		t.Errorf("%d requests failed", failed)
 	}
-	r.waitFor("the connections that gave way", func(s *Stats, _ *engine.Core) bool {
-		return s.Connections <= 64 && r.e.guard.counts[limits.Descriptors] >= 200
+	rig.waitFor("idle connections to be closed", func(s *Stats, _ *engine.Core) bool {
+		return s.Connections <= 64 && rig.edge.guard.counts[limits.Descriptors] >= 200
 	})
 }
 
-// At the edge of the memory budget idle connections go first, then nothing new is
-// taken into hand, and it is given back as soon as there is room.
-func TestMemoryEdge(t *testing.T) {
-	r := newRig(t, 2, "(memory-mb 4) (connections-per-address 5000) (buffer 65536)") // 3 are the program's own
-	var list []net.Conn
-	for range 1200 { // of 1 KB each: past the edge
-		c, err := net.Dial("tcp4", r.e.Addr())
+// When the memory budget is nearly used up, idle connections are closed first, and then no new
+// requests are admitted. Requests are served again as soon as memory is free.
+func TestMemoryBudget(t *testing.T) {
+	rig := newRig(t, 2, "(memory-mb 4) (connections-per-address 5000) (buffer 65536)") // 3 MB are reserved for the program itself
+	var conns []net.Conn
+	for range 1200 { // of 1 KB each, more than the budget of 1 MB
+		conn, err := net.Dial("tcp4", rig.edge.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		list = append(list, c)
+		defer conn.Close()
+		conns = append(conns, conn)
 	}
-	r.waitFor("the idle ones to go", func(*Stats, *engine.Core) bool { return r.e.guard.counts[limits.Memory] > 100 })
+	rig.waitFor("idle connections to be closed", func(*Stats, *engine.Core) bool { return rig.edge.guard.counts[limits.Memory] > 100 })
 	time.Sleep(250 * time.Millisecond) // until all of them count as idle
-	if _, bad := r.stills(50); bad > 0 {
-		t.Errorf("%d requests went wrong", bad)
+	if _, failed := rig.getSmallObjects(50); failed > 0 {
+		t.Errorf("%d requests failed", failed)
 	}
-	for _, c := range list {
-		c.Close()
+	for _, conn := range conns {
+		conn.Close()
 	}
 	var slow []net.Conn
-	for i := range 60 { // who hold answers
-		c := r.dial()
-		c.(*net.TCPConn).SetReadBuffer(4096)
+	for i := range 60 { // clients that do not read their responses
+		conn := rig.dial()
+		conn.(*net.TCPConn).SetReadBuffer(4096)
 		for range 40 {
-			fmt.Fprintf(c, "GET /v/1/big%d/0 HTTP/1.1\r\nHost: h\r\n\r\n", i)
+			fmt.Fprintf(conn, "GET /v/1/big%d/0 HTTP/1.1\r\nHost: h\r\n\r\n", i)
 		}
-		slow = append(slow, c)
+		slow = append(slow, conn)
 	}
-	most := int64(0)
+	maxUsed := int64(0)
 	for range 40 {
-		r.e.Query(func(*Stats, *engine.Core) { most = max(most, r.e.guard.mem.Used()) })
+		rig.edge.Query(func(*Stats, *engine.Core) { maxUsed = max(maxUsed, rig.edge.guard.memory.Used()) })
 		time.Sleep(20 * time.Millisecond)
 	}
-	if most > 2<<20 {
-		t.Errorf("%d KB are booked of 1024, and a turn", most>>10)
+	if maxUsed > 2<<20 {
+		t.Errorf("%d KB charged; the budget is 1024, and a turn of the loop may exceed it by as much", maxUsed>>10)
 	}
-	for _, c := range slow {
-		c.Close()
+	for _, conn := range slow {
+		conn.Close()
 	}
-	r.waitFor("the memory to be given back", func(*Stats, *engine.Core) bool {
-		return r.e.guard.mem.Used() < 600<<10 && len(r.e.reqs) == 0
+	rig.waitFor("the memory to be freed", func(*Stats, *engine.Core) bool {
+		return rig.edge.guard.memory.Used() < 600<<10 && len(rig.edge.requests) == 0
 	})
-	if _, bad := r.stills(20); bad > 0 {
-		t.Errorf("%d requests went wrong after it", bad)
+	if _, failed := rig.getSmallObjects(20); failed > 0 {
+		t.Errorf("%d requests failed afterwards", failed)
 	}
 }
 
-// A limit on requests in hand that was found turns others away at once, with a time
-// to come again; repeats past their budget are turned away too.
-func TestOverloadAnswers(t *testing.T) {
-	r := newRig(t, 1, "(held 40) (overload-least 4) (retry-burst 5)")
-	r.boxes["b0"].Fault(testserver.Fault{Kind: testserver.Hang, For: 1500})
-	r.e.Query(func(*Stats, *engine.Core) {
-		for i := range 50 { // as if bytes had waited
-			r.e.guard.adm.ObserveWait(500)
-			r.e.guard.adm.Tick(r.e.l.Now()+float64(200*i), 5)
+// Requests above the adaptive limit of requests in flight are rejected at once, with a
+// Retry-After, and so are retries above the retry budget.
+func TestOverloadRejections(t *testing.T) {
+	rig := newRig(t, 1, "(held 40) (overload-least 4) (retry-burst 5)")
+	rig.caches["b0"].Fault(testserver.Fault{Kind: testserver.Hang, For: 1500})
+	rig.edge.Query(func(*Stats, *engine.Core) {
+		for i := range 50 { // as if ready connections had waited for 500 ms
+			rig.edge.guard.admission.ObserveWait(500)
+			rig.edge.guard.admission.Tick(rig.edge.loop.Now()+float64(200*i), 5)
 		}
 	})
 	answers := make(chan string, 30)
 	for i := range 30 {
 		go func() {
-			answers <- r.talk(fmt.Sprintf("GET /s/1/%d HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n", i))
+			answers <- rig.exchange(fmt.Sprintf("GET /s/1/%d HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n", i))
 		}()
 	}
-	turned := 0
+	rejected := 0
 	for range 30 {
 		got := <-answers
 		if strings.Contains(got, "detail=overload") {
-			turned++
+			rejected++
 			if !strings.HasPrefix(got, "HTTP/1.1 503") || !strings.Contains(got, "Retry-After: ") {
 				t.Errorf("%q", got)
 			}
 		}
 	}
-	if turned == 0 {
-		t.Error("nobody was turned away")
+	if rejected == 0 {
+		t.Error("no request was rejected")
 	}
-	repeats := 0
+	retries := 0
 	for range 12 {
-		if strings.Contains(r.talk("GET /s/1/again HTTP/1.1\r\nHost: h\r\nSpool-Retry: 1\r\nConnection: close\r\n\r\n"), "detail=repeats") {
-			repeats++
+		if strings.Contains(rig.exchange("GET /s/1/again HTTP/1.1\r\nHost: h\r\nSpool-Retry: 1\r\nConnection: close\r\n\r\n"), "detail=repeats") {
+			retries++
 		}
 	}
-	if repeats < 5 {
-		t.Errorf("%d of 12 repeats were turned away", repeats)
+	if retries < 5 {
+		t.Errorf("%d of 12 retries were rejected", retries)
 	}
 }
 
-// A hundred clients that take nothing of large footage keep no place from others: the
-// module hears that these answers wait for their clients, and the same caches, pools
-// and links serve stills as ever.
-func TestStillsBehindStuckFootage(t *testing.T) {
-	had := testClasses[1].KB
+// A hundred clients that do not read large responses take no capacity from others: the module is
+// told that the responses are stalled, and small objects are served as before through the same
+// caches, pools and links.
+func TestStalledReadersTakeNoPlace(t *testing.T) {
+	oldKB := testClasses[1].KB
 	testClasses[1].KB = 3000
-	defer func() { testClasses[1].KB = had }()
-	r := newRig(t, 1, "(client-grace 30000)")
-	calm, _ := r.stills(50)
+	defer func() { testClasses[1].KB = oldKB }()
+	rig := newRig(t, 1, "(client-grace 30000)")
+	before, _ := rig.getSmallObjects(50)
 	for i := range 100 {
-		c := r.dial()
-		c.(*net.TCPConn).SetReadBuffer(4096)
-		fmt.Fprintf(c, "GET /v/1/big%d/0 HTTP/1.1\r\nHost: h\r\n\r\n", i%5)
-	}
-	r.waitFor("the answers that wait", func(*Stats, *engine.Core) bool {
-		told := 0
-		for _, p := range r.e.pools {
-			for u := range p.all {
-				if u.told {
-					told++
+		conn := rig.dial()
+		conn.(*net.TCPConn).SetReadBuffer(4096)
+		fmt.Fprintf(conn, "GET /v/1/big%d/0 HTTP/1.1\r\nHost: h\r\n\r\n", i%5)
+	}
+	rig.waitFor("reports of stalled responses", func(*Stats, *engine.Core) bool {
+		reported := 0
+		for _, p := range rig.edge.pools {
+			for u := range p.connections {
+				if u.stallReported {
+					reported++
 				}
 			}
 		}
-		return told == 100
+		return reported == 100
 	})
-	ms, bad := r.stills(100)
-	if bad > 0 || ms[len(ms)/2] > 5*calm[len(calm)/2]+20 {
-		t.Errorf("%d went wrong; p50 %.1f ms, %.1f ms before", bad, ms[len(ms)/2], calm[len(calm)/2])
+	during, failed := rig.getSmallObjects(100)
+	if failed > 0 || during[len(during)/2] > 5*before[len(before)/2]+20 {
+		t.Errorf("%d requests failed; p50 %.1f ms, %.1f ms before", failed, during[len(during)/2], before[len(before)/2])
 	}
 }
 
-// Those who ask for footage and take nothing may cost others something once. The next
-// time all of them together have a few places, and stills beside them are served.
-func TestWasters(t *testing.T) {
-	had := testClasses[1].KB
+// Addresses whose clients request large objects and do not read them get a poor reputation.
+// From then on all of them together have few requests in flight, and other clients are served.
+func TestPoorReputation(t *testing.T) {
+	oldKB := testClasses[1].KB
 	testClasses[1].KB = 3000
-	defer func() { testClasses[1].KB = had }()
-	r := newRig(t, 1, "(client-grace 60000) (write-idle 60000) (poor-held 8)")
-	wave := func(n int) (list []net.Conn) {
-		for i := range n {
-			from := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 2, byte(1+i%20))}}
-			c, err := from.Dial("tcp4", r.e.Addr())
+	defer func() { testClasses[1].KB = oldKB }()
+	rig := newRig(t, 1, "(client-grace 60000) (write-idle 60000) (poor-held 8)")
+	wave := func(count int) (conns []net.Conn) {
+		for i := range count {
+			dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 2, byte(1+i%20))}}
+			conn, err := dialer.Dial("tcp4", rig.edge.Addr())
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Cleanup(func() { c.Close() })
-			c.(*net.TCPConn).SetReadBuffer(4096)
-			fmt.Fprintf(c, "GET /v/1/big%d/0 HTTP/1.1\r\nHost: h\r\n\r\n", i%5)
-			list = append(list, c)
+			t.Cleanup(func() { conn.Close() })
+			conn.(*net.TCPConn).SetReadBuffer(4096)
+			fmt.Fprintf(conn, "GET /v/1/big%d/0 HTTP/1.1\r\nHost: h\r\n\r\n", i%5)
+			conns = append(conns, conn)
 		}
-		return list
+		return conns
 	}
 	first := wave(60)
-	r.waitFor("the addresses to be known", func(*Stats, *engine.Core) bool {
+	rig.waitFor("poor reputations of the addresses", func(*Stats, *engine.Core) bool {
 		for i := range 20 {
-			if !r.e.guard.standing.Poor(fmt.Sprintf("127.0.2.%d", 1+i), r.e.l.Now()) {
+			if !rig.edge.guard.reputation.Poor(fmt.Sprintf("127.0.2.%d", 1+i), rig.edge.loop.Now()) {
 				return false
 			}
 		}
 		return true
 	})
-	for _, c := range first {
-		c.Close()
+	for _, conn := range first {
+		conn.Close()
 	}
-	r.waitFor("the first to go", func(*Stats, *engine.Core) bool { return len(r.e.reqs) == 0 && r.e.guard.standing.HasCapacity() })
+	rig.waitFor("the end of the first requests", func(*Stats, *engine.Core) bool {
+		return len(rig.edge.requests) == 0 && rig.edge.guard.reputation.HasCapacity()
+	})
 	wave(300)
-	if _, bad := r.stills(50); bad > 0 {
-		t.Errorf("%d stills went wrong", bad)
+	if _, failed := rig.getSmallObjects(50); failed > 0 {
+		t.Errorf("%d requests of other clients failed", failed)
 	}
-	r.waitFor("the others to be turned away", func(*Stats, *engine.Core) bool { return r.e.guard.counts[limits.PoorReputation] >= 292 })
-	r.e.Query(func(*Stats, *engine.Core) {
-		if n := len(r.e.reqs); n > 8 {
-			t.Errorf("%d requests are in hand, of 8", n)
+	rig.waitFor("rejections of the others", func(*Stats, *engine.Core) bool { return rig.edge.guard.counts[limits.PoorReputation] >= 292 })
+	rig.edge.Query(func(*Stats, *engine.Core) {
+		if count := len(rig.edge.requests); count > 8 {
+			t.Errorf("%d requests in flight; the limit is 8", count)
 		}
 	})
 }
 
-// Answers that the kernel holds whole, for clients that then idle and take nothing, are
-// seen and bounded: past sockets-mb such clients go, those with the most for the longest
-// first, and who takes a little is left alone. Without the limit they go by write-idle.
-func TestUntakenAnswers(t *testing.T) {
-	had := testClasses[1].KB
+// Complete responses that wait in the kernel's send buffers, for clients that do not read them,
+// are counted and bounded. Above sockets-mb the clients with the most unread bytes for the longest
+// time are closed, but not one that reads a little. Below it they are closed after write-idle.
+func TestUnreadResponses(t *testing.T) {
+	oldKB := testClasses[1].KB
 	testClasses[1].KB = 300
-	defer func() { testClasses[1].KB = had }()
-	for _, k := range []struct{ limits, what string }{
-		{"(write-idle 60000) (socket-kb 2048)", "past the limit"},
-		{"(write-idle 1500) (socket-kb 2048)", "by write-idle"},
+	defer func() { testClasses[1].KB = oldKB }()
+	for _, test := range []struct{ limits, name string }{
+		{"(write-idle 60000) (socket-kb 2048)", "sockets-mb"},
+		{"(write-idle 1500) (socket-kb 2048)", "write-idle"},
 	} {
-		r := newRig(t, 1, k.limits)
+		rig := newRig(t, 1, test.limits)
 		ask := func(i int) net.Conn {
-			from := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 4, byte(1+i))}}
-			c, err := from.Dial("tcp4", r.e.Addr())
+			dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 4, byte(1+i))}}
+			conn, err := dialer.Dial("tcp4", rig.edge.Addr())
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Cleanup(func() { c.Close() })
-			c.(*net.TCPConn).SetReadBuffer(4096)
-			fmt.Fprintf(c, "GET /v/1/big%d/0 HTTP/1.1\r\nHost: h\r\n\r\n", i%5)
-			return c
+			t.Cleanup(func() { conn.Close() })
+			conn.(*net.TCPConn).SetReadBuffer(4096)
+			fmt.Fprintf(conn, "GET /v/1/big%d/0 HTTP/1.1\r\nHost: h\r\n\r\n", i%5)
+			return conn
 		}
 		steady := make(chan error, 1)
-		go func() { // takes a little all the time
-			c, buf := ask(0), make([]byte, 2<<10)
+		go func() { // reads 20 KB/s
+			conn, buf := ask(0), make([]byte, 2<<10)
 			for range 30 {
-				c.SetReadDeadline(time.Now().Add(5 * time.Second))
-				if _, err := io.ReadFull(c, buf); err != nil {
+				conn.SetReadDeadline(time.Now().Add(5 * time.Second))
+				if _, err := io.ReadFull(conn, buf); err != nil {
 					steady <- err
 					return
 				}
@@ -467,149 +469,149 @@
 		for i := range 40 {
 			ask(1 + i)
 		}
-		most := int64(0)
-		r.waitFor(k.what+" the kernel to hold answers", func(*Stats, *engine.Core) bool {
-			most = max(most, r.e.guard.tails.Held)
-			return most > 4<<20
+		maxHeld := int64(0)
+		rig.waitFor(test.name+": unread responses in the kernel", func(*Stats, *engine.Core) bool {
+			maxHeld = max(maxHeld, rig.edge.guard.unread.Held)
+			return maxHeld > 4<<20
 		})
-		if k.what == "past the limit" { // from the start, sockets would have been given less
-			r.e.Query(func(*Stats, *engine.Core) { r.e.guard.tails.Total = 4 << 20 })
+		if test.name == "sockets-mb" { // set late, since sockets get smaller buffers under a low limit
+			rig.edge.Query(func(*Stats, *engine.Core) { rig.edge.guard.unread.Total = 4 << 20 })
 		}
-		r.waitFor(k.what+" those who take nothing to go", func(*Stats, *engine.Core) bool {
-			return r.e.guard.tails.Held < 4<<20 && r.e.guard.counts[limits.SlowReader] > 10
+		rig.waitFor(test.name+": clients that do not read to be closed", func(*Stats, *engine.Core) bool {
+			return rig.edge.guard.unread.Held < 4<<20 && rig.edge.guard.counts[limits.SlowReader] > 10
 		})
-		if _, bad := r.stills(50); bad > 0 {
-			t.Errorf("%s: %d stills went wrong", k.what, bad)
+		if _, failed := rig.getSmallObjects(50); failed > 0 {
+			t.Errorf("%s: %d requests of other clients failed", test.name, failed)
 		}
 		if err := <-steady; err != nil {
-			t.Errorf("%s: one who takes 20 KB a second: %v", k.what, err)
+			t.Errorf("%s: client that reads 20 KB/s: %v", test.name, err)
 		}
 	}
 }
 
-// A client that is cut for taking nothing leaves nothing in the kernel either: its
-// connection is reset, and not kept until the kernel gives up too.
-func TestCutReaderIsReset(t *testing.T) {
-	had := testClasses[1].KB
+// A client that is closed because it does not read gets a reset, so that the kernel does not keep
+// its unread bytes until TCP gives up.
+func TestSlowReaderIsReset(t *testing.T) {
+	oldKB := testClasses[1].KB
 	testClasses[1].KB = 3000
-	defer func() { testClasses[1].KB = had }()
-	r := newRig(t, 1, quick+"(socket-kb 64)")
-	c := r.dial()
-	c.(*net.TCPConn).SetReadBuffer(4096)
-	fmt.Fprintf(c, "GET /v/1/big/0 HTTP/1.1\r\nHost: h\r\n\r\n")
-	r.waitFor("the cut", func(*Stats, *engine.Core) bool { return r.e.guard.counts[limits.SlowReader] == 1 })
-	c.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if _, err := io.Copy(io.Discard, c); !errors.Is(err, unix.ECONNRESET) {
-		t.Errorf("it ended with %v, and not a reset", err)
+	defer func() { testClasses[1].KB = oldKB }()
+	rig := newRig(t, 1, shortGrace+"(socket-kb 64)")
+	conn := rig.dial()
+	conn.(*net.TCPConn).SetReadBuffer(4096)
+	fmt.Fprintf(conn, "GET /v/1/big/0 HTTP/1.1\r\nHost: h\r\n\r\n")
+	rig.waitFor("the slow reader to be closed", func(*Stats, *engine.Core) bool { return rig.edge.guard.counts[limits.SlowReader] == 1 })
+	conn.SetReadDeadline(time.Now().Add(5 * time.Second))
+	if _, err := io.Copy(io.Discard, conn); !errors.Is(err, unix.ECONNRESET) {
+		t.Errorf("connection ended with %v, want a reset", err)
 	}
 }
 
-// twoOfThree fails two of three calls for a descriptor.
-type twoOfThree struct {
+// failingDescriptors makes two of three calls that open a descriptor fail.
+type failingDescriptors struct {
 	eventloop.KernelCalls
 	errno            unix.Errno
 	accepts, sockets int
 }
 
-func (s *twoOfThree) Accept(listener int) (int, error) {
+func (s *failingDescriptors) Accept(listener int) (int, error) {
 	if s.accepts++; s.accepts%3 != 0 {
 		return -1, s.errno
 	}
 	return s.KernelCalls.Accept(listener)
 }
 
-func (s *twoOfThree) Socket(family int) (int, error) {
+func (s *failingDescriptors) Socket(family int) (int, error) {
 	if s.sockets++; s.sockets%3 != 0 {
 		return -1, s.errno
 	}
 	return s.KernelCalls.Socket(family)
 }
 
-// Calls that fail for want of descriptors or memory are made again, and nobody is
-// blamed: no connection is lost, no member is taken for gone.
-func TestShortOfAnything(t *testing.T) {
+// System calls that fail for want of descriptors or memory are repeated. No connection is lost, and
+// no failure is attributed to a member.
+func TestLocalShortage(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM} {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
-			r := newRig(t, 2, "")
-			failing := &twoOfThree{errno: errno}
-			r.e.Query(func(*Stats, *engine.Core) { r.e.l.Intercept(failing) })
+			rig := newRig(t, 2, "")
+			failing := &failingDescriptors{errno: errno}
+			rig.edge.Query(func(*Stats, *engine.Core) { rig.edge.loop.Intercept(failing) })
 			var wg sync.WaitGroup
 			for i := range 20 {
 				wg.Add(1)
 				go func() {
 					defer wg.Done()
-					if got := r.talk(fmt.Sprintf("GET /s/1/%d HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n", i)); !strings.HasPrefix(got, "HTTP/1.1 200") {
+					if got := rig.exchange(fmt.Sprintf("GET /s/1/%d HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n", i)); !strings.HasPrefix(got, "HTTP/1.1 200") {
 						t.Errorf("%.200q", got)
 					}
 				}()
 			}
 			wg.Wait()
-			r.e.Query(func(s *Stats, _ *engine.Core) {
+			rig.edge.Query(func(s *Stats, _ *engine.Core) {
 				if s.AcceptPauses == 0 || s.ConnectWaits == 0 || s.AcceptPauses > 100 {
-					t.Errorf("%d pauses of accepting, %d of connecting: %d and %d calls", s.AcceptPauses, s.ConnectWaits, failing.accepts, failing.sockets)
+					t.Errorf("%d accept pauses and %d connect waits after %d and %d calls", s.AcceptPauses, s.ConnectWaits, failing.accepts, failing.sockets)
 				}
 			})
-			r.logMu.Lock()
-			if strings.Contains(r.log.String(), "connect-failed") {
-				t.Errorf("a member is blamed: %s", r.log)
+			rig.logMu.Lock()
+			if strings.Contains(rig.log.String(), "connect-failed") {
+				t.Errorf("a local shortage was reported as a failed connect: %s", rig.log)
 			}
-			r.logMu.Unlock()
+			rig.logMu.Unlock()
 		})
 	}
 }
 
-// A process that may have 256 descriptors serves three times as many clients as they
-// suffice for, without blaming a member and without a spin.
+// A process with 256 descriptors serves three times as many clients as these suffice for. It does
+// not attribute the shortage to a member, and its loop does not spin.
 func TestFewFilesProcess(t *testing.T) {
 	if address := os.Getenv("SPOOL_TEST_FEW_FILES"); address != "" {
 		if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: 256, Max: 256}); err != nil {
 			t.Fatal(err)
 		}
-		var s config.Settings
-		if err := config.Read("test.edn", fmt.Sprintf(testRouter, address, "(connections-per-address 5000)"), &s); err != nil {
+		var settings config.Settings
+		if err := config.Read("test.edn", fmt.Sprintf(routerSettings, address, "(connections-per-address 5000)"), &settings); err != nil {
 			t.Fatal(err)
 		}
-		e, err := New(&s, newAccessLog(os.Stderr, 1000, "info"))
+		edge, err := New(&settings, newAccessLog(os.Stderr, 1000, "info"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		go func() { io.Copy(io.Discard, os.Stdin); e.Stop() }()
-		fmt.Println("at " + e.Addr())
-		if err := e.Run(); err != nil {
+		go func() { io.Copy(io.Discard, os.Stdin); edge.Stop() }()
+		fmt.Println("at " + edge.Addr())
+		if err := edge.Run(); err != nil {
 			t.Fatal(err)
 		}
 		return
 	}
-	r := newRig(t, 2, "")
+	rig := newRig(t, 2, "")
 	cmd := exec.Command(os.Args[0], "-test.run", "^TestFewFilesProcess$")
-	cmd.Env = append(os.Environ(), "SPOOL_TEST_FEW_FILES="+r.list.Addr())
+	cmd.Env = append(os.Environ(), "SPOOL_TEST_FEW_FILES="+rig.listService.Addr())
 	var log bytes.Buffer
 	cmd.Stderr = &log
-	in, _ := cmd.StdinPipe()
-	out, _ := cmd.StdoutPipe()
+	stdin, _ := cmd.StdinPipe()
+	stdout, _ := cmd.StdoutPipe()
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	address := ""
-	if _, err := fmt.Fscanf(out, "at %s\n", &address); err != nil {
+	if _, err := fmt.Fscanf(stdout, "at %s\n", &address); err != nil {
 		t.Fatal(err, log.String())
 	}
-	used := func() float64 { // seconds of its processor's time
-		b, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", cmd.Process.Pid))
-		fields := strings.Fields(string(b[bytes.LastIndexByte(b, ')')+1:]))
-		a, _ := strconv.ParseFloat(fields[11], 64)
-		c, _ := strconv.ParseFloat(fields[12], 64)
-		return (a + c) / 100
+	used := func() float64 { // CPU time of the process, in seconds
+		stat, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", cmd.Process.Pid))
+		fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
+		user, _ := strconv.ParseFloat(fields[11], 64)
+		system, _ := strconv.ParseFloat(fields[12], 64)
+		return (user + system) / 100
 	}
-	for _, b := range r.boxes { // so that attempts are out at the same time
-		b.Fault(testserver.Fault{Kind: testserver.Hang, For: 700})
+	for _, cache := range rig.caches { // so that the attempts overlap
+		cache.Fault(testserver.Fault{Kind: testserver.Hang, For: 700})
 	}
 	var wg sync.WaitGroup
-	var good, refused, wrong atomic.Int64
-	var hold []net.Conn
+	var served, rejected, failed atomic.Int64
+	var conns []net.Conn
 	for range 200 {
-		if c, err := net.Dial("tcp4", address); err == nil {
-			hold = append(hold, c)
+		if conn, err := net.Dial("tcp4", address); err == nil {
+			conns = append(conns, conn)
 		}
 	}
 	time.Sleep(300 * time.Millisecond) // until they count as idle
@@ -617,19 +619,19 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			c := &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-			res, err := c.Get("http://" + address + fmt.Sprintf("/s/1/%d", i%50))
+			client := &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+			res, err := client.Get("http://" + address + fmt.Sprintf("/s/1/%d", i%50))
 			if err == nil {
 				_, err = io.Copy(io.Discard, res.Body)
 				res.Body.Close()
 			}
 			switch {
 			case err == nil && res.StatusCode == 200:
-				good.Add(1)
+				served.Add(1)
 			case err == nil && res.StatusCode == 503:
-				refused.Add(1)
+				rejected.Add(1)
 			default:
-				wrong.Add(1)
+				failed.Add(1)
 			}
 		}()
 	}
@@ -637,68 +639,68 @@
 	before := used()
 	time.Sleep(time.Second)
 	spent := used() - before
-	for _, c := range hold {
-		c.Close()
+	for _, conn := range conns {
+		conn.Close()
 	}
-	in.Close()
+	stdin.Close()
 	if err := cmd.Wait(); err != nil {
 		t.Error(err, log.String())
 	}
-	t.Logf("%d served, %d refused, %d went wrong; %.2f s of the processor in an idle second", good.Load(), refused.Load(), wrong.Load(), spent)
-	// one who is refused before it has been read may see a reset instead of the answer
-	if good.Load() < 50 || wrong.Load() > 100 || spent > 0.5 || strings.Contains(log.String(), "connect-failed") {
-		t.Errorf("%d served, %d refused, %d went wrong; %.2f s of the processor in an idle second\n%.3000s", good.Load(), refused.Load(), wrong.Load(), spent, log.String())
+	t.Logf("%d served, %d rejected, %d failed; %.2f s of CPU time in an idle second", served.Load(), rejected.Load(), failed.Load(), spent)
+	// A client that is rejected before its request was read may see a reset instead of the response.
+	if served.Load() < 50 || failed.Load() > 100 || spent > 0.5 || strings.Contains(log.String(), "connect-failed") {
+		t.Errorf("%d served, %d rejected, %d failed; %.2f s of CPU time in an idle second\n%.3000s", served.Load(), rejected.Load(), failed.Load(), spent, log.String())
 	}
 }
 
-// While turning away takes too much time, connections that were turned away are read
-// again a little later: what they ask then is answered, and none is forgotten.
-func TestHeldBack(t *testing.T) {
-	r := newRig(t, 1, "(held 1)")
-	r.boxes["b0"].Fault(testserver.Fault{Kind: testserver.Hang, For: 600})
-	in := r.dial() // it takes the one place
-	fmt.Fprintf(in, "GET /s/1/in HTTP/1.1\r\nHost: h\r\n\r\n")
-	r.waitFor("the one in hand", func(*Stats, *engine.Core) bool { return len(r.e.reqs) == 1 })
-	r.e.Query(func(*Stats, *engine.Core) {
-		r.e.guard.adm.Adopt(limits.AdmissionSettings{Target: 20, Interval: 100, MinInFlight: 1, MaxInFlight: 1})
-		r.e.s.Limits.Held = 100 // so that it is the limit that refuses
-		for range 4 {           // as if refusing had taken all of the time
-			r.e.guard.hold.AddCost(1e6)
-			r.e.guard.hold.Tick(r.e.l.Now() + 1e5)
+// While rejections take too much of the router's time, reading from rejected clients is paused.
+// Their later requests are answered once reading resumes.
+func TestPausedReading(t *testing.T) {
+	rig := newRig(t, 1, "(held 1)")
+	rig.caches["b0"].Fault(testserver.Fault{Kind: testserver.Hang, For: 600})
+	admitted := rig.dial() // its request uses up the limit of 1
+	fmt.Fprintf(admitted, "GET /s/1/in HTTP/1.1\r\nHost: h\r\n\r\n")
+	rig.waitFor("the admitted request", func(*Stats, *engine.Core) bool { return len(rig.edge.requests) == 1 })
+	rig.edge.Query(func(*Stats, *engine.Core) {
+		rig.edge.guard.admission.Adopt(limits.AdmissionSettings{Target: 20, Interval: 100, MinInFlight: 1, MaxInFlight: 1})
+		rig.edge.settings.Limits.Held = 100 // so that the adaptive limit rejects
+		for range 4 {                       // as if rejections had taken all of the time
+			rig.edge.guard.readPause.AddCost(1e6)
+			rig.edge.guard.readPause.Tick(rig.edge.loop.Now() + 1e5)
 		}
 	})
-	var list []net.Conn
+	var conns []net.Conn
 	for range 20 {
-		c := r.dial()
-		defer c.Close()
-		fmt.Fprintf(c, "GET /s/1/out HTTP/1.1\r\nHost: h\r\n\r\n")
-		list = append(list, c)
-	}
-	answer := func(c net.Conn) string {
-		c.SetReadDeadline(time.Now().Add(5 * time.Second))
-		res, err := http.ReadResponse(bufio.NewReader(c), nil)
+		conn := rig.dial()
+		defer conn.Close()
+		fmt.Fprintf(conn, "GET /s/1/out HTTP/1.1\r\nHost: h\r\n\r\n")
+		conns = append(conns, conn)
+	}
+	response := func(conn net.Conn) string {
+		conn.SetReadDeadline(time.Now().Add(5 * time.Second))
+		res, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil {
 			return err.Error()
 		}
 		io.Copy(io.Discard, res.Body)
 		return fmt.Sprint(res.StatusCode, " ", res.Header.Get("Cache-Status"))
 	}
-	for _, c := range list {
-		if got := answer(c); !strings.Contains(got, "503") || !strings.Contains(got, "overload") {
+	for _, conn := range conns {
+		if got := response(conn); !strings.Contains(got, "503") || !strings.Contains(got, "overload") {
 			t.Fatalf("%q", got)
 		}
 	}
-	held := 0
-	r.e.Query(func(*Stats, *engine.Core) { held = len(r.e.guard.held) })
-	if held != 20 {
-		t.Errorf("%d of 20 are held back", held)
+	paused := 0
+	rig.edge.Query(func(*Stats, *engine.Core) { paused = len(rig.edge.guard.pausedClients) })
+	if paused != 20 {
+		t.Errorf("reading is paused for %d of 20 clients", paused)
 	}
-	if got := answer(in); !strings.HasPrefix(got, "200") {
-		t.Errorf("the one in hand: %q", got)
+	if got := response(admitted); !strings.HasPrefix(got, "200") {
+		t.Errorf("the admitted request: %q", got)
 	}
-	for _, c := range list { // one after another, as there is one place
-		fmt.Fprintf(c, "GET /s/1/again HTTP/1.1\r\nHost: h\r\n\r\n")
-		if got := answer(c); !strings.HasPrefix(got, "200") {
+	for _, conn := range conns { // one after another, because of the limit
+		fmt.Fprintf(conn, "GET /s/1/again HTTP/1.1\r\nHost: h\r\n\r\n")
+		if got := response(conn); !strings.HasPrefix(got, "200") {
 			t.Fatalf("%q", got)
 		}
 	}
--- a/internal/proxy/httpfront/handover.go
+++ b/internal/proxy/httpfront/handover.go
@@ -21,114 +21,117 @@
 	"indigospool/internal/proxy/limits"
 )
 
-// TakeOver makes a router that takes over from the one that offers at the settings'
-// handover path, or an ordinary one where nobody does. What the predecessor has learned is
-// gone on from, unless it can't be read: then the router starts as new.
-func TakeOver(s *config.Settings, log *AccessLog) (*Edge, error) {
-	in, err := predecessor(s)
+// TakeOver returns a router that takes over from the predecessor which listens at the settings'
+// handover path, or an ordinary router if there is none. The router continues with the learned
+// state of the predecessor, or starts without one if that cannot be decoded.
+func TakeOver(settings *config.Settings, log *AccessLog) (*Edge, error) {
+	inherited, err := contactPredecessor(settings)
 	if err != nil {
 		return nil, err
 	}
-	e, err := newEdge(s, log, in)
-	if err != nil && in != nil {
-		in.Abort()
+	e, err := newEdge(settings, log, inherited)
+	if err != nil && inherited != nil {
+		inherited.Abort()
 	}
 	return e, err
 }
 
-// predecessor asks the one that offers at the settings' handover path; nil: nobody does.
-func predecessor(s *config.Settings) (*hotrestart.Inherited, error) {
-	if s.Router.Handover == "" {
+// contactPredecessor connects to the predecessor at the settings' handover path, and receives
+// its sockets and its state. It returns nil if there is no predecessor.
+func contactPredecessor(settings *config.Settings) (*hotrestart.Inherited, error) {
+	if settings.Router.Handover == "" {
 		return nil, nil
 	}
-	in, err := hotrestart.TakeOver(s.Router.Handover)
+	inherited, err := hotrestart.TakeOver(settings.Router.Handover)
 	if errors.Is(err, hotrestart.ErrNoPredecessor) {
 		return nil, nil
 	}
-	return in, err
+	return inherited, err
 }
 
-// inherit takes the listening socket of a predecessor, where it is at the address
-// that the settings name.
-func inherit(in *hotrestart.Inherited, address string) (fd int, at string, ok bool) {
-	if in == nil || in.Listener == 0 {
+// inheritListener takes over the listening socket of a predecessor if it is bound to the address
+// of the settings.
+func inheritListener(inherited *hotrestart.Inherited, address string) (fd int, bound string, ok bool) {
+	if inherited == nil || inherited.Listener == 0 {
 		return 0, "", false
 	}
-	sa, err := unix.Getsockname(in.Listener)
+	sockaddr, err := unix.Getsockname(inherited.Listener)
 	if err != nil {
 		return 0, "", false
 	}
 	port := 0
-	switch a := sa.(type) {
+	switch a := sockaddr.(type) {
 	case *unix.SockaddrInet4:
 		port = a.Port
 	case *unix.SockaddrInet6:
 		port = a.Port
 	}
-	at = net.JoinHostPort(addressOf(sa).String(), fmt.Sprint(port))
+	bound = net.JoinHostPort(addressOf(sockaddr).String(), fmt.Sprint(port))
 	want, err := net.ResolveTCPAddr("tcp", address)
-	if err != nil || want.Port != 0 && want.Port != port || len(want.IP) > 0 && !want.IP.Equal(net.IP(addressOf(sa).AsSlice())) {
-		return 0, "", false // it is told to listen elsewhere
+	if err != nil || want.Port != 0 && want.Port != port || len(want.IP) > 0 && !want.IP.Equal(net.IP(addressOf(sockaddr).AsSlice())) {
+		return 0, "", false // the listen address has changed
 	}
-	fd, in.Listener = in.Listener, 0
-	unix.SetNonblock(fd, true) // whatever the giver's runtime has made of it
-	return fd, at, true
+	fd, inherited.Listener = inherited.Listener, 0
+	unix.SetNonblock(fd, true) // the predecessor's runtime may have made it blocking
+	return fd, bound, true
 }
 
-// remember goes on from the predecessor's memory, on the loop, before any news.
-func (e *Edge) remember() {
+// restoreLearnedState restores the predecessor's learned state. It runs on the loop before the
+// first update.
+func (e *Edge) restoreLearnedState() {
 	if e.inherited == nil {
 		return
 	}
-	var peers []limits.AddressRecord
+	var records []limits.AddressRecord
 	if len(e.inherited.Clients) > 0 {
-		if err := json.Unmarshal(e.inherited.Clients, &peers); err != nil {
-			e.log.Log.Warn("what the predecessor knew of clients is not used", zap.Error(err))
+		if err := json.Unmarshal(e.inherited.Clients, &records); err != nil {
+			e.log.Log.Warn("cannot decode the predecessor's reputation records; starting without them", zap.Error(err))
 		}
-		e.guard.standing.Restore(peers, e.l.Now())
+		e.guard.reputation.Restore(records, e.loop.Now())
 	}
 	if len(e.inherited.LearnedState) == 0 {
 		return
 	}
-	m, err := learnedstate.Decode(e.inherited.LearnedState)
+	state, err := learnedstate.Decode(e.inherited.LearnedState)
 	if err != nil {
-		e.log.Log.Warn("the predecessor's memory is not used: this router starts as new", zap.Error(err))
+		e.log.Log.Warn("cannot decode the predecessor's learned state; starting without it", zap.Error(err))
 		return
 	}
-	acts := e.core.Restore(e.l.Now(), m, nil)
-	for i := range acts {
-		e.carryOut(acts[i])
+	actions := e.core.Restore(e.loop.Now(), state, nil)
+	for i := range actions {
+		e.execute(actions[i])
 	}
-	e.log.Log.Info("goes on from its predecessor", zap.Int("members", len(m.Members)), zap.Int("bytes", len(e.inherited.LearnedState)))
+	e.log.Log.Info("restored the predecessor's learned state", zap.Int("members", len(state.Members)), zap.Int("bytes", len(e.inherited.LearnedState)))
 }
 
-// serves tells the predecessor that this router serves, and takes its connections.
-func (e *Edge) serves() error {
+// announceServing tells the predecessor that this router serves, and from then on takes over the
+// connections and the purges that the predecessor passes.
+func (e *Edge) announceServing() error {
 	if e.inherited == nil {
 		return nil
 	}
-	if err := e.l.Post(func() { e.behind = true }); err != nil {
+	if err := e.loop.Post(func() { e.predecessorRuns = true }); err != nil {
 		return err
 	}
 	err := e.inherited.Ready(func(fd int) {
 		for {
-			err := e.l.Post(func() {
-				if e.draining { // it has a successor of its own by now, or ends
+			err := e.loop.Post(func() {
+				if e.draining { // pass it on to this router's own successor, if there is one
 					if e.successor == nil || !e.successor.SendConn(fd) {
 						unix.Close(fd)
 					}
 					return
 				}
-				sa, err := unix.Getpeername(fd)
+				sockaddr, err := unix.Getpeername(fd)
 				if err != nil {
-					unix.Close(fd) // its client has gone meanwhile
+					unix.Close(fd) // the client has left
 					return
 				}
 				unix.SetNonblock(fd, true)
 				e.stats.HandedIn++
-				if c := e.adopt(fd, addressOf(sa), true); c != nil {
-					c.seen, c.idled = -1<<40, -1<<40 // the kernel may still hold the predecessor's answers
-					e.guard.tail(c)
+				if c := e.addClient(fd, addressOf(sockaddr), true); c != nil {
+					c.ackedBytes, c.ackedAtTimeout = -1<<40, -1<<40 // the send buffer may still hold responses of the predecessor
+					e.guard.trackUnread(c)
 				}
 			})
 			switch err {
@@ -142,210 +145,212 @@
 			}
 		}
 	}, func(note []byte) {
-		var p engine.Purge
-		if json.Unmarshal(note, &p) == nil {
+		var purge engine.Purge
+		if json.Unmarshal(note, &purge) == nil {
 			e.Query(func(*Stats, *engine.Core) {
-				e.news(&engine.Update{Purge: &p})
+				e.applyUpdate(&engine.Update{Purge: &purge})
 				if e.successor != nil {
-					e.successor.SendNote(&p)
+					e.successor.SendNote(&purge)
 				}
 			})
 		}
 	}, func() {
-		e.followed.Store(false)
+		e.predecessorReachable.Store(false)
 		e.log.Log.Info("the predecessor has ended")
-		e.l.Post(func() {
-			e.behind = false
+		e.loop.Post(func() {
+			e.predecessorRuns = false
 			e.checkDrained()
 		})
 	})
 	if err == nil {
-		e.followed.Store(true)
-		if e.versions != nil {
-			e.versions.agent.Connect()
+		e.predecessorReachable.Store(true)
+		if e.configClient != nil {
+			e.configClient.agent.Connect()
 		}
 	}
 	return err
 }
 
-// tellVersion has a predecessor that still drains go by a version too: nobody else
-// tells it of members that leave.
-func (e *Edge) tellVersion(v configversion.Version) {
-	if !e.followed.Load() { // until this one serves it follows the service itself
+// forwardVersion sends a config version to a predecessor that still drains, which has no other
+// way to learn that members leave.
+func (e *Edge) forwardVersion(version configversion.Version) {
+	if !e.predecessorReachable.Load() { // before this router serves, the predecessor follows the service itself
 		return
 	}
-	b, err := json.Marshal(v)
+	encoded, err := json.Marshal(version)
 	if err == nil {
-		err = e.inherited.SendConfigVersion(b)
+		err = e.inherited.SendConfigVersion(encoded)
 	}
-	if err != nil && e.followed.Swap(false) {
-		e.log.Log.Warn("the predecessor is not told of a version", zap.Int64("version", v.Number), zap.Error(err))
+	if err != nil && e.predecessorReachable.Swap(false) {
+		e.log.Log.Warn("cannot send a config version to the predecessor", zap.Int64("version", version.Number), zap.Error(err))
 	}
 }
 
-// tellPurge has a predecessor that still drains know of a purge that came to this
-// router only: its requests in hand may get no older copy either.
-func (e *Edge) tellPurge(p *engine.Purge) {
-	if !e.followed.Load() {
+// forwardPurge sends a purge, which only this router received, to a predecessor that still
+// drains, so that its requests in flight get no older copy either.
+func (e *Edge) forwardPurge(purge *engine.Purge) {
+	if !e.predecessorReachable.Load() {
 		return
 	}
-	if err := e.inherited.SendNote(p); err != nil && e.followed.Swap(false) {
-		e.log.Log.Warn("the predecessor is not told of a purge", zap.Error(err))
+	if err := e.inherited.SendNote(purge); err != nil && e.predecessorReachable.Swap(false) {
+		e.log.Log.Warn("cannot send a purge to the predecessor", zap.Error(err))
 	}
 }
 
-// heardPurge goes by a purge that came to the successor.
-func (e *Edge) heardPurge(b []byte) {
-	var p engine.Purge
-	if json.Unmarshal(b, &p) != nil {
+// receivePurge applies a purge that the successor has forwarded.
+func (e *Edge) receivePurge(encoded []byte) {
+	var purge engine.Purge
+	if json.Unmarshal(encoded, &purge) != nil {
 		return
 	}
-	e.Query(func(*Stats, *engine.Core) { e.news(&engine.Update{Purge: &p}) })
-	e.tellPurge(&p)
+	e.Query(func(*Stats, *engine.Core) { e.applyUpdate(&engine.Update{Purge: &purge}) })
+	e.forwardPurge(&purge)
 }
 
-// heardVersion goes by a version that the successor goes by.
-func (e *Edge) heardVersion(b []byte) {
-	var v configversion.Version
-	err := json.Unmarshal(b, &v)
-	s := &config.Settings{}
+// receiveVersion activates a config version that the successor has forwarded.
+func (e *Edge) receiveVersion(encoded []byte) {
+	var version configversion.Version
+	err := json.Unmarshal(encoded, &version)
+	settings := &config.Settings{}
 	if err == nil {
-		err = config.ReadVersion("successor", string(v.Body), e.versions.own, s)
+		err = config.ReadVersion("successor", string(version.Body), e.configClient.local, settings)
 	}
 	if err != nil {
-		e.log.Log.Warn("the successor's version is not used", zap.Error(err))
+		e.log.Log.Warn("cannot read the config version of the successor", zap.Error(err))
 		return
 	}
-	e.l.Post(func() { e.use(configversion.Activate{Version: v, Settings: s}) })
-	e.tellVersion(v) // its own predecessor may still drain, too
+	e.loop.Post(func() { e.activateVersion(configversion.Activate{Version: version, Settings: settings}) })
+	e.forwardVersion(version) // this router's own predecessor may still drain
 }
 
-// offer waits for a successor, from now on.
-func (e *Edge) offer() error {
-	path := e.s.Router.Handover
+// offerHandover begins to listen for a successor at the settings' handover path.
+func (e *Edge) offerHandover() error {
+	path := e.settings.Router.Handover
 	if path == "" {
 		return nil
 	}
-	srv, err := hotrestart.Listen(hotrestart.Options{Path: path, ReadyTimeout: time.Duration(e.s.Limits.Successor) * time.Millisecond,
-		Prepare: func() (g *hotrestart.Handover, err error) {
-			qerr := e.l.Call(5*time.Second, func() { g, err = e.give() })
-			if err = errors.Join(qerr, err); err == nil && e.versions != nil {
-				if v := e.versions.agent.Accepted(); v.Number > 0 {
-					g.ConfigVersion, err = json.Marshal(v)
+	server, err := hotrestart.Listen(hotrestart.Options{Path: path, ReadyTimeout: time.Duration(e.settings.Limits.Successor) * time.Millisecond,
+		Prepare: func() (handover *hotrestart.Handover, err error) {
+			queryErr := e.loop.Call(5*time.Second, func() { handover, err = e.prepareHandover() })
+			if err = errors.Join(queryErr, err); err == nil && e.configClient != nil {
+				if version := e.configClient.agent.Accepted(); version.Number > 0 {
+					handover.ConfigVersion, err = json.Marshal(version)
 				}
-				e.versions.lend()
+				e.configClient.releaseStore()
 			}
-			return g, err
+			return handover, err
 		},
-		OnServing: func(to *hotrestart.Sender) {
-			if e.versions != nil {
-				e.versions.agent.Close() // the successor follows from now on
+		OnServing: func(successor *hotrestart.Sender) {
+			if e.configClient != nil {
+				e.configClient.agent.Close() // the successor follows the control services from now on
 			}
-			if e.l.Call(5*time.Second, func() { e.leaveTo(to) }) != nil {
-				to.Close()
+			if e.loop.Call(5*time.Second, func() { e.drainTo(successor) }) != nil {
+				successor.Close()
 			}
 		},
 		OnFailure: func(error) {
-			e.l.Call(5*time.Second, func() {
-				e.leaving, e.since = false, nil
-				e.tell(spool.Retired{})
+			e.loop.Call(5*time.Second, func() {
+				e.handingOver, e.purgesDuringHandover = false, nil
+				e.dispatch(spool.Retired{})
 			})
-			go e.versions.regain()
+			go e.configClient.reacquireStore()
 		},
-		OnConfigVersion: func(b []byte) {
-			if e.versions != nil {
-				e.heardVersion(b)
+		OnConfigVersion: func(encoded []byte) {
+			if e.configClient != nil {
+				e.receiveVersion(encoded)
 			}
 		},
-		OnNote: e.heardPurge,
+		OnNote: e.receivePurge,
 		Warn:   func(text string) { e.log.Log.Warn(text) }})
 	if err != nil {
 		return err
 	}
-	e.offered = srv
+	e.handoverServer = server
 	return nil
 }
 
-// give is what a successor gets first. From now on cold budgets are its to spend.
-func (e *Edge) give() (*hotrestart.Handover, error) {
+// prepareHandover returns the sockets and the state for a successor. From now on the successor,
+// and not this router, spends the slow-start budgets of members.
+func (e *Edge) prepareHandover() (*hotrestart.Handover, error) {
 	if e.draining {
-		return nil, errors.New("this router drains already")
+		return nil, errors.New("this router is already draining")
 	}
-	b, err := learnedstate.Encode(e.core.LearnedState())
+	state, err := learnedstate.Encode(e.core.LearnedState())
 	if err != nil {
 		return nil, err
 	}
-	peers, err := json.Marshal(e.guard.standing.Records(e.l.Now()))
+	records, err := json.Marshal(e.guard.reputation.Records(e.loop.Now()))
 	if err != nil {
 		return nil, err
 	}
-	e.leaving, e.since = true, nil
-	e.tell(spool.Retired{On: true})
-	g := &hotrestart.Handover{Listener: e.lfd, LearnedState: b, Clients: peers}
+	e.handingOver, e.purgesDuringHandover = true, nil
+	e.dispatch(spool.Retired{On: true})
+	handover := &hotrestart.Handover{Listener: e.listenFD, LearnedState: state, Clients: records}
 	if e.adminFile != nil {
-		g.Admin = int(e.adminFile.Fd())
-		unix.SetNonblock(g.Admin, true) // Fd has ended that, for the listener too
+		handover.Admin = int(e.adminFile.Fd())
+		unix.SetNonblock(handover.Admin, true) // Fd made it blocking, for the listener as well
 	}
-	e.log.Log.Info("a successor takes over", zap.Int("bytes", len(b)))
-	return g, nil
+	e.log.Log.Info("a successor is taking over", zap.Int("bytes", len(state)))
+	return handover, nil
 }
 
-// leaveTo drains for a successor that serves: nothing is accepted here any more, and
-// connections go to it, each once it is between requests.
-func (e *Edge) leaveTo(to *hotrestart.Sender) {
+// drainTo begins to drain in favour of a successor that serves. The router accepts no more
+// connections, and hands over each connection as soon as it is between requests.
+func (e *Edge) drainTo(successor *hotrestart.Sender) {
 	if e.draining {
-		go to.Close()
+		go successor.Close()
 		return
 	}
-	for i := range e.since { // what was purged since the memory was taken
-		to.SendNote(&e.since[i])
+	for i := range e.purgesDuringHandover { // the successor's learned state does not contain these
+		successor.SendNote(&e.purgesDuringHandover[i])
 	}
-	e.leaving, e.since, e.successor = false, nil, to
+	e.handingOver, e.purgesDuringHandover, e.successor = false, nil, successor
 	if e.stopAdmin != nil {
 		go e.stopAdmin()
 		e.stopAdmin = nil
 	}
-	e.log.Log.Info("drains for its successor", zap.Int("connections", len(e.clients)))
+	e.log.Log.Info("draining for the successor", zap.Int("connections", len(e.clients)))
 	e.drainNow()
 }
 
-// pass gives a connection between requests to the successor; false: it stays.
-func (c *client) pass() bool {
-	e := c.e
-	if e.successor == nil || c.gone || c.eof || c.linger || c.cur != nil || len(c.left) > 0 || c.out.Len() > 0 {
+// handOver passes a connection that is between requests to the successor. It reports false if
+// the connection stays here.
+func (c *clientConn) handOver() bool {
+	edge := c.edge
+	if edge.successor == nil || c.closed || c.eof || c.discardInput || c.current != nil || len(c.unparsed) > 0 || c.output.Len() > 0 {
 		return false
 	}
 	fd := c.fd
 	if !c.detach() {
 		return false
 	}
-	if !e.successor.SendConn(fd) {
+	if !edge.successor.SendConn(fd) {
 		unix.Close(fd)
 	} else {
-		e.stats.HandedOut++
+		edge.stats.HandedOut++
 	}
-	if e.draining {
-		e.checkDrained()
+	if edge.draining {
+		edge.checkDrained()
 	}
 	return true
 }
 
-// adminFrom is the listener that a predecessor's admin listener was, if it is the
-// one that the settings name.
-func adminFrom(in *hotrestart.Inherited, address string) net.Listener {
-	if in == nil || in.Admin == 0 {
+// inheritAdmin returns the admin listener of a predecessor if its port is that of the settings,
+// and else nil.
+func inheritAdmin(inherited *hotrestart.Inherited, address string) net.Listener {
+	if inherited == nil || inherited.Admin == 0 {
 		return nil
 	}
-	f := os.NewFile(uintptr(in.Admin), "admin")
-	in.Admin = 0
-	defer f.Close()
-	ln, err := net.FileListener(f)
+	file := os.NewFile(uintptr(inherited.Admin), "admin")
+	inherited.Admin = 0
+	defer file.Close()
+	listener, err := net.FileListener(file)
 	if err != nil {
 		return nil
 	}
-	if want, err := net.ResolveTCPAddr("tcp", address); err != nil || want.Port != 0 && want.Port != ln.Addr().(*net.TCPAddr).Port {
-		ln.Close()
+	if want, err := net.ResolveTCPAddr("tcp", address); err != nil || want.Port != 0 && want.Port != listener.Addr().(*net.TCPAddr).Port {
+		listener.Close()
 		return nil
 	}
-	return ln
+	return listener
 }
--- a/internal/proxy/httpfront/log.go
+++ b/internal/proxy/httpfront/log.go
@@ -15,25 +15,26 @@
 	"indigospool/internal/proxy/limits"
 )
 
-// endWord says why a request ended, in a few stable words: docs/operating.md.
-type endWord uint8
+// endReason is why a request ended. Its words are stable; docs/operating.md lists them.
+type endReason uint8
 
 const (
-	endServed     endWord = iota + 1 // a cache's answer, whole
-	endRefused                       // the module turned it away
-	endFailed                        // the module gave it up
-	endBroken                        // the member's answer broke off after it had begun
-	endClientGone                    // the client left
-	endClientSlow                    // the client took nothing for too long
-	endMalformed                     // no valid message
-	endNoRoute                       // no class fits
-	endHeld                          // as many requests in hand as may be
-	endPage                          // a page could not be put together
-	endLimit                         // a limit of internal/proxy/limits, which the request names
+	endServed     endReason = iota + 1 // the response was relayed in full
+	endRefused                         // the module rejected it
+	endFailed                          // the module gave it up
+	endBroken                          // the member's response ended early
+	endClientGone                      // the client left
+	endClientSlow                      // the client read nothing until the write timeout
+	endMalformed                       // the request was invalid
+	endNoRoute                         // no route fits
+	endHeld                            // the limit of requests in flight was reached
+	endPage                            // the page could not be assembled, or the fragment is not needed
+	endLimit                           // a limit of internal/proxy/limits ended it; see limitCause
 )
 
-func (w endWord) word() string {
-	switch w {
+// word returns the reason's word in the access log and in Cache-Status.
+func (r endReason) word() string {
+	switch r {
 	case endServed:
 		return "served"
 	case endRefused:
@@ -58,119 +59,120 @@
 	return "limit"
 }
 
+// resultWords are the words for the results of attempts in the access log.
 var resultWords = [...]string{spool.OK: "ok", spool.Errored: "error", spool.Rejected: "full", spool.TimedOut: "timeout",
 	spool.ConnectFailed: "connect-failed", spool.Reset: "reset", spool.Cancelled: "cancelled", spool.NotSent: "moot",
 	spool.Miss: "miss", spool.LocalFailure: "not-begun"}
 
-// AccessLog writes one line a request, and the router's own messages, from a
-// goroutine of its own: the loop only queues. When the queue is full, lines are
-// dropped and counted.
+// AccessLog writes one line for each request, and the router's own messages. The loop only
+// queues the lines, and a goroutine writes them. When the queue is full, lines are dropped and
+// counted.
 type AccessLog struct {
 	access *zap.Logger
 	Log    *zap.Logger // the router's own messages
-	q      *asynclog.Queue
+	queue  *asynclog.Queue
 }
 
-// NewAccessLog opens the log that the settings name. Close ends it.
-func NewAccessLog(s *config.Settings) (*AccessLog, error) {
-	var w io.Writer
-	switch s.Router.Log {
+// NewAccessLog opens the log that the settings name.
+func NewAccessLog(settings *config.Settings) (*AccessLog, error) {
+	var out io.Writer
+	switch settings.Router.Log {
 	case "stderr":
-		w = os.Stderr
+		out = os.Stderr
 	case "stdout":
-		w = os.Stdout
+		out = os.Stdout
 	case "none":
-		w = nil
+		out = nil
 	default:
-		f, err := os.OpenFile(s.Router.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+		file, err := os.OpenFile(settings.Router.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		if err != nil {
 			return nil, fmt.Errorf("edge: access log: %w; name a file that can be written, stderr, stdout or none", err)
 		}
-		w = f
+		out = file
 	}
-	return newAccessLog(w, s.Limits.LogQueue, s.Router.Level), nil
+	return newAccessLog(out, settings.Limits.LogQueue, settings.Router.Level), nil
 }
 
-func newAccessLog(w io.Writer, lines int, level string) *AccessLog {
-	if w == nil {
+func newAccessLog(out io.Writer, queueLines int, level string) *AccessLog {
+	if out == nil {
 		return &AccessLog{access: zap.NewNop(), Log: zap.NewNop()}
 	}
-	q := asynclog.New(w, lines)
-	enc := zap.NewProductionEncoderConfig()
-	enc.EncodeTime = zapcore.ISO8601TimeEncoder
-	lv, err := zapcore.ParseLevel(level)
+	queue := asynclog.New(out, queueLines)
+	encoder := zap.NewProductionEncoderConfig()
+	encoder.EncodeTime = zapcore.ISO8601TimeEncoder
+	minLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
-		lv = zapcore.InfoLevel
+		minLevel = zapcore.InfoLevel
 	}
-	l := zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(enc), q, lv))
-	return &AccessLog{access: l, Log: l, q: q}
+	logger := zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(encoder), queue, minLevel))
+	return &AccessLog{access: logger, Log: logger, queue: queue}
 }
 
-// Dropped is how many lines were dropped.
+// Dropped returns the number of dropped lines.
 func (a *AccessLog) Dropped() uint64 {
-	if a.q == nil {
+	if a.queue == nil {
 		return 0
 	}
-	return a.q.Dropped()
+	return a.queue.Dropped()
 }
 
-// Close writes what is queued and ends the log.
+// Close writes the queued lines and ends the log.
 func (a *AccessLog) Close() {
-	if a.q != nil {
-		a.q.Close()
+	if a.queue != nil {
+		a.queue.Close()
 	}
 }
 
-// request logs a request's end.
-func (a *AccessLog) request(r *request) {
-	ce := a.access.Check(zapcore.InfoLevel, "request")
-	if ce == nil {
+// request logs the end of a request.
+func (a *AccessLog) request(request *clientRequest) {
+	entry := a.access.Check(zapcore.InfoLevel, "request")
+	if entry == nil {
 		return
 	}
-	object := r.q.Object
+	object := request.spec.Object
 	if object == "" {
-		object = r.path
+		object = request.logObject
 	}
-	fields := [8]zap.Field{zap.String("id", r.id), zap.String("class", r.q.Class), zap.String("object", object),
-		zap.Int("part", r.q.Part), zap.Int("status", r.status), zap.Int64("bytes", r.sent),
-		zap.Float64("ms", float64(int64((r.e.l.Now()-r.at)*1000))/1000), zap.String("end", r.word())}
-	if len(r.tries) == 0 {
-		ce.Write(fields[:]...)
+	fields := [8]zap.Field{zap.String("id", request.id), zap.String("class", request.spec.Class), zap.String("object", object),
+		zap.Int("part", request.spec.Part), zap.Int("status", request.status), zap.Int64("bytes", request.sentBytes),
+		zap.Float64("ms", float64(int64((request.edge.loop.Now()-request.receivedAt)*1000))/1000), zap.String("end", request.word())}
+	if len(request.attempts) == 0 {
+		entry.Write(fields[:]...)
 		return
 	}
-	ce.Write(append(fields[:], zap.String("tries", r.attempts()))...)
+	entry.Write(append(fields[:], zap.String("tries", request.attemptList()))...)
 }
 
-// word says why the request ended.
-func (r *request) word() string {
-	if r.turned != nil {
-		return r.turned.Detail
+// word returns the word for why the request ended.
+func (r *clientRequest) word() string {
+	if r.routeError != nil {
+		return r.routeError.Detail
 	}
-	if r.cause != limits.None {
-		return r.cause.String()
+	if r.limitCause != limits.None {
+		return r.limitCause.String()
 	}
-	return r.why.word()
+	return r.end.word()
 }
 
-// attempts tells each attempt as member<source:result:ms, in their order; a
-// look names no source.
-func (r *request) attempts() string {
+// attemptList lists the attempts in their order, each as member<source:result:ms, or as
+// member:result:ms for a lookup in the member's own copies.
+func (r *clientRequest) attemptList() string {
 	var buf [256]byte
-	b := buf[:0]
-	for i, t := range r.tries {
+	text := buf[:0]
+	for i, attempt := range r.attempts {
 		if i > 0 {
-			b = append(b, ' ')
+			text = append(text, ' ')
 		}
-		b = append(b, t.cache...)
-		if t.source != t.cache {
-			b = append(append(b, '<'), t.source...)
+		text = append(text, attempt.cache...)
+		if attempt.source != attempt.cache {
+			text = append(append(text, '<'), attempt.source...)
 		}
-		word, took := "open", r.e.l.Now()-t.sentAt
-		if t.done {
-			word, took = resultWords[t.result], t.took
+		word, took := "open", r.edge.loop.Now()-attempt.sentAt
+		if attempt.done {
+			word, took = resultWords[attempt.result], attempt.took
 		}
-		b = append(append(append(b, ':'), word...), ':')
-		b = strconv.AppendFloat(b, took, 'f', 1, 64)
+		text = append(append(append(text, ':'), word...), ':')
+		text = strconv.AppendFloat(text, took, 'f', 1, 64)
 	}
-	return string(b)
+	return string(text)
 }
