--- a/internal/proxy/httpfront/page.go
+++ b/internal/proxy/httpfront/page.go
@@ -23,55 +23,56 @@
 	"indigospool/internal/proxy/limits"
 )
 
-// page is the answer to a request of a class of pages, on its way: the bytes of what a
-// member answered, put together with fragments where the member says so
-// (Surrogate-Control). What is fetched, given up and sent is internal/protocol/esi's to say; each
-// fragment is a request of its own to the module.
-type page struct {
-	e       *Edge
-	r       *request // the client's
-	p       *esi.Page
-	setup   esi.Setup
-	parts   map[int]*request  // fragments that are out
-	what    map[string]copyOf // fragments by their address, for purges
-	timer   eventloop.Timer
-	fields  []byte // of the template's head, that the client gets
-	zipped  []byte // of a template that came compressed
-	coding  coding
-	trace   string // the client's X-Request-Id
-	plain   bool   // nothing is put together: the answer goes on as it came
-	asked   conditions
-	status  int
-	begun   bool // the head has gone out
-	chunks  bool
-	ended   bool // the template is whole
-	dirty   bool
-	gone    bool
-	booked  int64
-	left    int64 // of a length that was stated
-	refused error // why the answer can't be a page
-}
-
-// copyOf is what the module knows a fragment as.
-type copyOf struct {
+// esiPage is the response to a request of a class of pages while it is assembled. The response
+// of a member is the template; fragments are included in it if the member requests ESI
+// processing with Surrogate-Control. internal/protocol/esi decides what is fetched, dropped and
+// sent. Each fragment is a request of its own to the module.
+type esiPage struct {
+	edge            *Edge
+	request         *clientRequest // the client's request, which fetches the template
+	assembly        *esi.Page
+	esiSetup        esi.Setup
+	fragments       map[int]*clientRequest    // open requests for fragments
+	fragmentObjects map[string]fragmentObject // the fragments' objects by URL, to match purges
+	timer           eventloop.Timer
+	headFields      []byte // fields of the template's head for the client
+	compressed      []byte // body of a compressed template
+	coding          coding // content coding of the template
+	requestID       string // the client's X-Request-Id
+	unprocessed     bool   // no ESI processing: the body is relayed, decompressed if the client needs that
+	conditions      conditions
+	status          int
+	headSent        bool
+	chunked         bool
+	templateDone    bool // the template was received in full
+	changed         bool // it is in the edge's changedPages
+	stopped         bool
+	accounted       int64 // bytes charged to the memory budget
+	contentLength   int64 // of an unprocessed body; -1 if unknown
+	rejectErr       error // why the template cannot be assembled
+}
+
+// fragmentObject identifies a fragment's object to the module.
+type fragmentObject struct {
 	object string
 	group  int
 }
 
-// conditions are what a client asks of the whole page, and not of what it is made of.
+// conditions hold the parts of a client's request that concern the assembled page, and are not
+// forwarded for the template and the fragments.
 type conditions struct {
-	head      bool
-	match     string // If-None-Match
-	since     int64  // If-Modified-Since, Unix seconds
-	first     int64  // of a range; -1: the last bytes
-	last      int64  // of a range; -1: to the end
-	rng       bool
-	ifRange   string
-	gzip      bool // it takes that
-	asksWhole bool
-}
-
-// coding is how content came.
+	head            bool // the method is HEAD
+	ifNoneMatch     string
+	ifModifiedSince int64 // Unix seconds
+	first           int64 // first byte of the range; -1: the range is the final bytes
+	last            int64 // last byte of the range, or the number of final bytes; -1: to the end
+	hasRange        bool
+	ifRange         string
+	acceptsGzip     bool
+	needWhole       bool // the response depends on the whole page
+}
+
+// coding is the content coding of a body.
 type coding uint8
 
 const (
@@ -80,47 +81,49 @@
 	unknownCoding
 )
 
-// pageClass is a class of pages; nil: it is none.
+// pageClass returns the settings of a class of pages, or nil if the class is none.
 func (e *Edge) pageClass(class string) *config.Class {
-	if i, ok := e.guard.classes[class]; ok && e.s.Classes[i].Pages {
-		return &e.s.Classes[i]
+	if i, ok := e.guard.classIndex[class]; ok && e.settings.Classes[i].Pages {
+		return &e.settings.Classes[i]
 	}
 	return nil
 }
 
-// asPage has a request ask for a page: what the client wants of the whole is kept here,
-// and members are asked for all of it.
-func (r *request) asPage(h *http1.Head) {
-	if r.q.Write || r.e.pageClass(r.q.Class) == nil {
+// startPage prepares the assembly of a page, if the request's class is one of pages. It keeps
+// the conditions of the client's request, and composes a request for the whole template.
+func (r *clientRequest) startPage(head *http1.Head) {
+	if r.spec.Write || r.edge.pageClass(r.spec.Class) == nil {
 		return
 	}
-	pg := &page{e: r.e, r: r, parts: map[int]*request{}, what: map[string]copyOf{}}
-	pg.timer.F = pg.tick
-	pg.asked = conditionsOf(h)
-	pg.setup = setupOf(r.e.s)
-	r.vars = &esi.Vars{Host: string(h.Host), Cookie: string(h.Get("cookie")), Language: string(h.Get("accept-language")),
-		Agent: string(h.Get("user-agent")), Referer: string(h.Get("referer"))}
-	if i := bytes.IndexByte(h.Path(), '?'); i >= 0 {
-		r.vars.Query = string(h.Path()[i+1:])
-	}
-	r.target = string(h.Path())
-	r.page, r.isHead = pg, false
-	pg.trace = string(h.Get("x-request-id"))
-	r.fwd = appendPageRequest(r.fwd[:0], r.e.name, r.target, r.vars.Host, pg.trace, -1)
-}
-
-func setupOf(s *config.Settings) esi.Setup {
-	l := &s.Pages
-	return esi.Setup{Parser: esi.Limits{Depth: l.Nesting, Tag: l.Tag, Held: l.HeldKB << 10, Nodes: l.Elements},
-		Fragments: l.Fragments, Uses: l.Includes, Depth: l.Depth, Parallel: l.Parallel, Attempts: l.Attempts,
-		Whole: int64(l.WholeKB) << 10, Piece: int64(l.PieceKB) << 10, Held: int64(l.HeldKB) << 10, Out: int64(l.MostMB) << 20,
-		Reserve: l.Reserve, AsIs: l.Malformed == "as-is"}
-}
-
-// appendPageRequest writes the head by which members are asked for a page or a fragment:
-// nothing of the client's but what the whole depends on by its address. Cookies stay
-// here, where variables are filled in: a copy at a cache is everybody's.
-func appendPageRequest(b []byte, name, target, host, trace string, id int) []byte {
+	page := &esiPage{edge: r.edge, request: r, fragments: map[int]*clientRequest{}, fragmentObjects: map[string]fragmentObject{}}
+	page.timer.F = page.onTimer
+	page.conditions = parseConditions(head)
+	page.esiSetup = esiSetupOf(r.edge.settings)
+	r.esiVars = &esi.Vars{Host: string(head.Host), Cookie: string(head.Get("cookie")), Language: string(head.Get("accept-language")),
+		Agent: string(head.Get("user-agent")), Referer: string(head.Get("referer"))}
+	if i := bytes.IndexByte(head.Path(), '?'); i >= 0 {
+		r.esiVars.Query = string(head.Path()[i+1:])
+	}
+	r.target = string(head.Path())
+	r.page, r.isHead = page, false
+	page.requestID = string(head.Get("x-request-id"))
+	r.forwardHead = appendPageRequest(r.forwardHead[:0], r.edge.name, r.target, r.esiVars.Host, page.requestID, -1)
+}
+
+// esiSetupOf converts the settings for pages.
+func esiSetupOf(settings *config.Settings) esi.Setup {
+	pages := &settings.Pages
+	return esi.Setup{Parser: esi.Limits{Depth: pages.Nesting, Tag: pages.Tag, Held: pages.HeldKB << 10, Nodes: pages.Elements},
+		Fragments: pages.Fragments, Uses: pages.Includes, Depth: pages.Depth, Parallel: pages.Parallel, Attempts: pages.Attempts,
+		Whole: int64(pages.WholeKB) << 10, Piece: int64(pages.PieceKB) << 10, Held: int64(pages.HeldKB) << 10, Out: int64(pages.MostMB) << 20,
+		Reserve: pages.Reserve, AsIs: pages.Malformed == "as-is"}
+}
+
+// appendPageRequest appends the head of a request for a template, or for the fragment of the
+// given number if that is not negative. Of the client's request it contains the target, the host
+// and the X-Request-Id only. Cookies are not forwarded, since caches share the copies between
+// clients; the router fills in the variables that depend on them.
+func appendPageRequest(b []byte, name, target, host, requestID string, fragment int) []byte {
 	b = append(b, "GET "...)
 	b = append(b, target...)
 	b = append(b, " HTTP/1.1\r\n"...)
@@ -128,122 +131,124 @@
 		host = name
 	}
 	b = http1.AppendFieldString(b, "Host", host)
-	if trace != "" {
-		if id >= 0 {
-			trace += ".f" + strconv.Itoa(id)
+	if requestID != "" {
+		if fragment >= 0 {
+			requestID += ".f" + strconv.Itoa(fragment)
 		}
-		b = http1.AppendFieldString(b, "X-Request-Id", trace)
+		b = http1.AppendFieldString(b, "X-Request-Id", requestID)
 	}
 	b = http1.AppendFieldString(b, "Accept-Encoding", "gzip")
 	b = http1.AppendFieldString(b, "Surrogate-Capability", name+`="ESI/1.0"`)
 	return append(append(append(b, "Via: 1.1 "...), name...), "\r\n"...)
 }
 
-func conditionsOf(h *http1.Head) conditions {
-	c := conditions{head: h.IsHead(), match: string(h.Get("if-none-match")), ifRange: string(h.Get("if-range"))}
-	if v := h.Get("if-modified-since"); v != nil && c.match == "" {
-		if t, err := http.ParseTime(string(v)); err == nil {
-			c.since = t.Unix()
+// parseConditions returns the conditions of a client's request.
+func parseConditions(head *http1.Head) conditions {
+	parsed := conditions{head: head.IsHead(), ifNoneMatch: string(head.Get("if-none-match")), ifRange: string(head.Get("if-range"))}
+	if value := head.Get("if-modified-since"); value != nil && parsed.ifNoneMatch == "" {
+		if t, err := http.ParseTime(string(value)); err == nil {
+			parsed.ifModifiedSince = t.Unix()
 		}
 	}
-	if v := string(h.Get("range")); strings.HasPrefix(v, "bytes=") && !strings.Contains(v, ",") {
-		from, to, ok := strings.Cut(v[len("bytes="):], "-")
-		a, aerr := strconv.ParseUint(from, 10, 62)
-		b, berr := strconv.ParseUint(to, 10, 62)
+	if value := string(head.Get("range")); strings.HasPrefix(value, "bytes=") && !strings.Contains(value, ",") {
+		firstText, lastText, ok := strings.Cut(value[len("bytes="):], "-")
+		first, firstErr := strconv.ParseUint(firstText, 10, 62)
+		last, lastErr := strconv.ParseUint(lastText, 10, 62)
 		switch {
-		case !ok || aerr != nil && from != "" || berr != nil && to != "" || from == "" && to == "":
-		case from == "":
-			c.rng, c.first, c.last = true, -1, int64(b)
-		case to == "":
-			c.rng, c.first, c.last = true, int64(a), -1
-		case a <= b:
-			c.rng, c.first, c.last = true, int64(a), int64(b)
+		case !ok || firstErr != nil && firstText != "" || lastErr != nil && lastText != "" || firstText == "" && lastText == "":
+		case firstText == "":
+			parsed.hasRange, parsed.first, parsed.last = true, -1, int64(last)
+		case lastText == "":
+			parsed.hasRange, parsed.first, parsed.last = true, int64(first), -1
+		case first <= last:
+			parsed.hasRange, parsed.first, parsed.last = true, int64(first), int64(last)
 		}
 	}
-	for part := range strings.SplitSeq(joined(h, "accept-encoding"), ",") {
+	for part := range strings.SplitSeq(joinedValues(head, "accept-encoding"), ",") {
 		word, q, _ := strings.Cut(part, ";")
 		if word = strings.TrimSpace(word); strings.EqualFold(word, "gzip") || word == "*" {
-			c.gzip = strings.Trim(strings.TrimPrefix(strings.ReplaceAll(q, " ", ""), "q=0"), ".0") != "" || !strings.Contains(q, "=")
+			parsed.acceptsGzip = strings.Trim(strings.TrimPrefix(strings.ReplaceAll(q, " ", ""), "q=0"), ".0") != "" || !strings.Contains(q, "=")
 		}
 	}
-	c.asksWhole = c.head || c.match != "" || c.since != 0 || c.rng
-	return c
+	parsed.needWhole = parsed.head || parsed.ifNoneMatch != "" || parsed.ifModifiedSince != 0 || parsed.hasRange
+	return parsed
 }
 
-// ageOf is the age that a head states, in ms.
-func ageOf(h *http1.Head) float64 {
-	seconds, err := strconv.ParseFloat(string(h.Get("age")), 64)
+// headAge returns the value of the Age field, in ms.
+func headAge(head *http1.Head) float64 {
+	seconds, err := strconv.ParseFloat(string(head.Get("age")), 64)
 	if err != nil || !(seconds >= 0) {
 		return 0
 	}
 	return seconds * 1000
 }
 
-// expiresIn is for how long an answer is fresh by its field Expires, in ms; -1: it has none.
-// Both times are the origin's where it gives them.
-func expiresIn(h *http1.Head, clock time.Time) float64 {
-	expires, err := http.ParseTime(string(h.Get("expires")))
+// expiresFreshness returns how long a response is fresh by its Expires field, in ms, or -1
+// without one. It measures from the Date field, by the origin's clock, and without that from
+// now.
+func expiresFreshness(head *http1.Head, now time.Time) float64 {
+	expires, err := http.ParseTime(string(head.Get("expires")))
 	if err != nil {
 		return -1
 	}
-	span := float64(expires.Sub(clock).Milliseconds())
-	if made, err := http.ParseTime(string(h.Get("date"))); err == nil {
-		span = float64(expires.Sub(made).Milliseconds()) - ageOf(h)
+	fresh := float64(expires.Sub(now).Milliseconds())
+	if date, err := http.ParseTime(string(head.Get("date"))); err == nil {
+		fresh = float64(expires.Sub(date).Milliseconds()) - headAge(head)
 	}
-	return max(span, 0)
+	return max(fresh, 0)
 }
 
-// metaOf is what a head says of how long its answer may be kept. The clock is needed only for
-// a head that says until when, and not when it was made (RFC 9111, section 4.2.1).
-func metaOf(h *http1.Head, clock time.Time) (m esi.Meta, c coding) {
-	m.Fresh = -1
-	if cc, err := cacheobject.ParseResponseCacheControl(joined(h, "cache-control")); err == nil {
-		if cc.MaxAge >= 0 {
-			m.Fresh = max(float64(cc.MaxAge)*1000-ageOf(h), 0)
+// parseMeta returns what a head states about freshness, validators, ESI and content coding. The
+// current time is used only for an Expires field without a Date (RFC 9111, section 4.2.1).
+func parseMeta(head *http1.Head, now time.Time) (meta esi.Meta, contentCoding coding) {
+	meta.Fresh = -1
+	if control, err := cacheobject.ParseResponseCacheControl(joinedValues(head, "cache-control")); err == nil {
+		if control.MaxAge >= 0 {
+			meta.Fresh = max(float64(control.MaxAge)*1000-headAge(head), 0)
 		}
-		if cc.NoCachePresent {
-			m.Fresh = 0
+		if control.NoCachePresent {
+			meta.Fresh = 0
 		}
-		m.NoStore, m.Private = cc.NoStore, cc.PrivatePresent
+		meta.NoStore, meta.Private = control.NoStore, control.PrivatePresent
 	} else {
-		m.Fresh = 0
+		meta.Fresh = 0
 	}
-	if m.Fresh < 0 {
-		m.Fresh = expiresIn(h, clock)
+	if meta.Fresh < 0 {
+		meta.Fresh = expiresFreshness(head, now)
 	}
-	m.ETag = string(h.Get("etag"))
-	if t, err := http.ParseTime(string(h.Get("last-modified"))); err == nil {
-		m.Changed = t.Unix()
+	meta.ETag = string(head.Get("etag"))
+	if t, err := http.ParseTime(string(head.Get("last-modified"))); err == nil {
+		meta.Changed = t.Unix()
 	}
-	m.ESI = esiAsked(joined(h, "surrogate-control"))
-	switch strings.ToLower(strings.TrimSpace(string(h.Get("content-encoding")))) {
+	meta.ESI = requestsESI(joinedValues(head, "surrogate-control"))
+	switch strings.ToLower(strings.TrimSpace(string(head.Get("content-encoding")))) {
 	case "", "identity":
 	case "gzip", "x-gzip":
-		c = gzipped
+		contentCoding = gzipped
 	default:
-		c = unknownCoding
+		contentCoding = unknownCoding
 	}
-	return m, c
+	return meta, contentCoding
 }
 
-// joined is the values of a field, which may stand in several lines.
-func joined(h *http1.Head, name string) string {
-	out := ""
-	for i := range h.Fields {
-		if f := &h.Fields[i]; http1.EqualFold(f.Name, name) {
-			if out != "" {
-				out += ", "
+// joinedValues returns the values of all lines of a field as one comma-separated list.
+func joinedValues(head *http1.Head, name string) string {
+	values := ""
+	for i := range head.Fields {
+		if field := &head.Fields[i]; http1.EqualFold(field.Name, name) {
+			if values != "" {
+				values += ", "
 			}
-			out += string(f.Value)
+			values += string(field.Value)
 		}
 	}
-	return out
+	return values
 }
 
-// esiAsked reports whether a Surrogate-Control has its receiver process ESI/1.0 (Edge
-// Architecture Specification 1.0, section 2.2: content="...", a list by spaces).
-func esiAsked(v string) bool {
-	for part := range strings.SplitSeq(v, ",") {
+// requestsESI reports whether a Surrogate-Control value requests ESI/1.0 processing (Edge
+// Architecture Specification 1.0, section 2.2: content="...", a list separated by spaces).
+func requestsESI(value string) bool {
+	for part := range strings.SplitSeq(value, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		value, _, _ = strings.Cut(value, ";")
 		if strings.EqualFold(strings.TrimSpace(name), "content") {
@@ -257,8 +262,8 @@
 	return false
 }
 
-// pageFields reports fields of a template's head that don't hold for the whole.
-func pageFields(name []byte) bool {
+// isTemplateField reports whether a field of a template's head does not apply to the page.
+func isTemplateField(name []byte) bool {
 	switch strings.ToLower(string(name)) {
 	case "content-length", "spool-load", "surrogate-control", "content-encoding":
 		return true
@@ -266,263 +271,273 @@
 	return false
 }
 
-func plainFields(name []byte) bool {
-	return theirs(name) || http1.EqualFold(name, "surrogate-control")
+// isUnprocessedField reports whether a field is removed from the head of an unprocessed page.
+func isUnprocessedField(name []byte) bool {
+	return isRouterResponseField(name) || http1.EqualFold(name, "surrogate-control")
 }
 
-func madeAnew(name []byte) bool {
+// isRecomputedField reports whether a field of a template's head is removed from an assembled
+// page, or computed anew for it.
+func isRecomputedField(name []byte) bool {
 	switch strings.ToLower(string(name)) {
 	case "etag", "last-modified", "cache-control", "expires", "age", "accept-ranges", "content-range", "content-md5", "digest", "content-digest", "repr-digest", "pragma", "spool-copy":
 		return true
 	}
-	return pageFields(name)
+	return isTemplateField(name)
 }
 
-// head has the head of the template's answer.
-func (pg *page) head(u *upstream) {
-	e, r, h := pg.e, pg.r, &u.head
-	var m esi.Meta
-	m, pg.coding = metaOf(h, e.date())
-	pg.status = h.Status
-	pg.plain = !m.ESI || h.Status != 200
-	except := madeAnew
-	if pg.plain {
-		except = plainFields
-		if pg.coding != gzipped || pg.asked.gzip { // as it came
+// templateHead handles the head of the template's response.
+func (pg *esiPage) templateHead(upstream *upstreamConn) {
+	edge, request, head := pg.edge, pg.request, &upstream.head
+	var meta esi.Meta
+	meta, pg.coding = parseMeta(head, edge.date())
+	pg.status = head.Status
+	pg.unprocessed = !meta.ESI || head.Status != 200
+	excluded := isRecomputedField
+	if pg.unprocessed {
+		excluded = isUnprocessedField
+		if pg.coding != gzipped || pg.conditions.acceptsGzip { // relay the body without decompressing it
 			pg.coding = identity
 		} else {
-			except = pageFields
+			excluded = isTemplateField
 		}
-		pg.left = -1
-		if u.body.Kind() == http1.Length && pg.coding == identity {
-			pg.left = h.ContentLength
+		pg.contentLength = -1
+		if upstream.body.Kind() == http1.Length && pg.coding == identity {
+			pg.contentLength = head.ContentLength
 		}
 	} else if pg.coding == unknownCoding {
-		pg.refused = fmt.Errorf("%w: it has a content coding other than gzip", esi.ErrMalformed)
+		pg.rejectErr = fmt.Errorf("%w: content coding other than gzip", esi.ErrMalformed)
 	}
-	pg.fields = append(appendEndToEnd(pg.fields[:0], h, except), "Via: 1.1 "+e.name+"\r\n"...)
-	if pg.p == nil {
+	pg.headFields = append(appendEndToEnd(pg.headFields[:0], head, excluded), "Via: 1.1 "+edge.name+"\r\n"...)
+	if pg.assembly == nil {
 		var err error
-		if pg.p, err = esi.NewPage(pg.setup, r.vars, r.target, e.l.Now(), r.q.Deadline); err != nil {
-			pg.p, _ = esi.NewPage(pg.setup, r.vars, "/", e.l.Now(), r.q.Deadline)
+		if pg.assembly, err = esi.NewPage(pg.esiSetup, request.esiVars, request.target, edge.loop.Now(), request.spec.Deadline); err != nil {
+			pg.assembly, _ = esi.NewPage(pg.esiSetup, request.esiVars, "/", edge.loop.Now(), request.spec.Deadline)
 		}
-		e.pages[pg] = struct{}{}
+		edge.pages[pg] = struct{}{}
 	}
-	m.ESI = !pg.plain
-	pg.p.Head(m)
-	pg.mark()
+	meta.ESI = !pg.unprocessed
+	pg.assembly.Head(meta)
+	pg.markChanged()
 }
 
-// mark has the page be looked at when the turn of the loop ends.
-func (pg *page) mark() {
-	if !pg.dirty && !pg.gone {
-		pg.dirty = true
-		pg.e.dirty = append(pg.e.dirty, pg)
+// markChanged has the page updated at the end of the loop's turn.
+func (pg *esiPage) markChanged() {
+	if !pg.changed && !pg.stopped {
+		pg.changed = true
+		pg.edge.changedPages = append(pg.edge.changedPages, pg)
 	}
 }
 
-// pump moves the pages on that something has come for.
-func (e *Edge) pump() {
-	for rounds := 0; len(e.dirty) > 0 && rounds < 64; rounds++ {
-		list := e.dirty
-		e.dirty = nil
-		for _, pg := range list {
-			pg.dirty = false
-			pg.step()
+// updatePages updates the changed pages, and those that these updates change, in 64 rounds at
+// most.
+func (e *Edge) updatePages() {
+	for rounds := 0; len(e.changedPages) > 0 && rounds < 64; rounds++ {
+		pages := e.changedPages
+		e.changedPages = nil
+		for _, page := range pages {
+			page.changed = false
+			page.update()
 		}
 	}
 }
 
-// content takes bytes of the template, or of a fragment's answer.
-func (pg *page) content(r *request, b []byte) {
-	now := pg.e.l.Now()
-	v := r.c.part
+// receive handles bytes of the body of the template or of a fragment.
+func (pg *esiPage) receive(request *clientRequest, content []byte) {
+	now := pg.edge.loop.Now()
+	fragment := request.client.fragment
 	switch {
-	case r == pg.r && pg.coding == gzipped:
-		pg.zip(&pg.zipped, b, func() { pg.fail(fmt.Errorf("%w: the page, compressed", esi.ErrTooMuch)) })
-	case r == pg.r:
-		pg.p.Template(b, now)
-	case v.coding == gzipped:
-		pg.zip(&v.zipped, b, func() { pg.dropped(r, "it is too long, compressed") })
+	case request == pg.request && pg.coding == gzipped:
+		pg.appendCompressed(&pg.compressed, content, func() {
+			pg.fail(fmt.Errorf("%w: compressed template of more than %d KB", esi.ErrTooMuch, pg.edge.settings.Pages.PieceKB))
+		})
+	case request == pg.request:
+		pg.assembly.Template(content, now)
+	case fragment.coding == gzipped:
+		pg.appendCompressed(&fragment.compressed, content, func() { pg.dropFragment(request, "compressed body exceeds the limit") })
 	default:
-		pg.p.Body(v.id, b, now)
+		pg.assembly.Body(fragment.id, content, now)
 	}
-	pg.mark()
+	pg.markChanged()
 }
 
-func (pg *page) zip(to *[]byte, b []byte, tooMuch func()) {
-	if len(*to)+len(b) > pg.e.s.Pages.PieceKB<<10 {
-		tooMuch()
+// appendCompressed appends content to a compressed body, or calls onTooLarge if the body would
+// exceed the limit of a piece.
+func (pg *esiPage) appendCompressed(to *[]byte, content []byte, onTooLarge func()) {
+	if len(*to)+len(content) > pg.edge.settings.Pages.PieceKB<<10 {
+		onTooLarge()
 		return
 	}
-	*to = append(*to, b...)
+	*to = append(*to, content...)
 }
 
-// unzip is content that came compressed; it is bounded as any.
-func (pg *page) unzip(b []byte) ([]byte, error) {
-	z, err := gzip.NewReader(bytes.NewReader(b))
+// decompress returns a decompressed body, which is limited to the size of a piece.
+func (pg *esiPage) decompress(b []byte) ([]byte, error) {
+	reader, err := gzip.NewReader(bytes.NewReader(b))
 	if err != nil {
 		return nil, err
 	}
-	most := int64(pg.e.s.Pages.PieceKB) << 10
-	out, err := io.ReadAll(io.LimitReader(z, most+1))
-	if err == nil && int64(len(out)) > most {
-		err = fmt.Errorf("%w: more than %d KB", esi.ErrTooMuch, most>>10)
+	maxBytes := int64(pg.edge.settings.Pages.PieceKB) << 10
+	content, err := io.ReadAll(io.LimitReader(reader, maxBytes+1))
+	if err == nil && int64(len(content)) > maxBytes {
+		err = fmt.Errorf("%w: more than %d KB decompressed", esi.ErrTooMuch, maxBytes>>10)
 	}
-	return out, err
+	return content, err
 }
 
-// whole ends the template's answer, or a fragment's.
-func (pg *page) whole(r *request) {
-	now := pg.e.l.Now()
-	if r == pg.r {
-		pg.ended = true
+// responseDone handles the end of the response for the template or a fragment.
+func (pg *esiPage) responseDone(request *clientRequest) {
+	now := pg.edge.loop.Now()
+	if request == pg.request {
+		pg.templateDone = true
 		if pg.coding == gzipped {
-			b, err := pg.unzip(pg.zipped)
-			if pg.zipped = nil; err != nil {
+			b, err := pg.decompress(pg.compressed)
+			if pg.compressed = nil; err != nil {
 				pg.fail(fmt.Errorf("%w: %w", esi.ErrMalformed, err))
 				return
 			}
-			pg.p.Template(b, now)
+			pg.assembly.Template(b, now)
 		}
-		pg.p.TemplateEnd(now)
-		pg.mark()
+		pg.assembly.TemplateEnd(now)
+		pg.markChanged()
 		return
 	}
-	v := r.c.part
-	if v.coding == gzipped {
-		b, err := pg.unzip(v.zipped)
-		if v.zipped = nil; err != nil {
-			pg.p.Failed(v.id, err.Error(), now)
-			delete(pg.parts, v.id)
-			pg.mark()
+	fragment := request.client.fragment
+	if fragment.coding == gzipped {
+		b, err := pg.decompress(fragment.compressed)
+		if fragment.compressed = nil; err != nil {
+			pg.assembly.Failed(fragment.id, err.Error(), now)
+			delete(pg.fragments, fragment.id)
+			pg.markChanged()
 			return
 		}
-		pg.p.Body(v.id, b, now)
-	}
-	pg.p.End(v.id, now)
-	delete(pg.parts, v.id)
-	pg.mark()
-}
-
-// part is a fragment of a page, as what asks for it.
-type part struct {
-	pg     *page
-	id     int
-	coding coding
-	zipped []byte
-	over   bool
-}
-
-// fetch asks the module for a fragment.
-func (pg *page) fetch(a esi.Act) {
-	e, real := pg.e, pg.r.c
-	now := e.l.Now()
-	v := &part{pg: pg, id: a.ID}
-	c := &client{e: e, fd: -1, part: v, from: real.from, address: real.address, class: real.class}
-	r := e.newRequest(c)
-	r.at, r.minor = now, 1
-	c.cur = r
-	h := http1.Head{Method: []byte("GET"), Target: []byte(a.URL), Minor: 1, Host: []byte(pg.r.vars.Host)}
-	q, err := e.core.Classify("", now, &h)
+		pg.assembly.Body(fragment.id, b, now)
+	}
+	pg.assembly.End(fragment.id, now)
+	delete(pg.fragments, fragment.id)
+	pg.markChanged()
+}
+
+// pageFragment is the requester of a fragment of a page. It takes the place of a connection in
+// the client of the fragment's request.
+type pageFragment struct {
+	page       *esiPage
+	id         int
+	coding     coding
+	compressed []byte // body of a compressed fragment
+	done       bool   // it was received, has failed or is no longer needed
+}
+
+// fetchFragment submits a request for a fragment to the module.
+func (pg *esiPage) fetchFragment(action esi.Act) {
+	edge, pageClient := pg.edge, pg.request.client
+	now := edge.loop.Now()
+	fragment := &pageFragment{page: pg, id: action.ID}
+	client := &clientConn{edge: edge, fd: -1, fragment: fragment, addr: pageClient.addr, addrText: pageClient.addrText, schedulerClass: pageClient.schedulerClass}
+	request := edge.newRequest(client)
+	request.receivedAt, request.httpMinor = now, 1
+	client.current = request
+	head := http1.Head{Method: []byte("GET"), Target: []byte(action.URL), Minor: 1, Host: []byte(pg.request.esiVars.Host)}
+	spec, err := edge.core.Classify("", now, &head)
 	cause := ""
 	switch {
 	case err != nil:
 		cause = err.Error()
-	case q.Write:
-		cause = "it is no object that may be asked for"
-	case len(e.reqs) >= e.s.Limits.Held:
+	case spec.Write:
+		cause = "the URL belongs to a class of writes"
+	case len(edge.requests) >= edge.settings.Limits.Held:
 		cause = endHeld.word()
 	}
 	if cause != "" {
-		pg.p.Failed(a.ID, cause, now)
-		pg.mark()
+		pg.assembly.Failed(action.ID, cause, now)
+		pg.markChanged()
 		return
 	}
-	q.Deadline = min(q.Deadline, a.Until)
-	r.q = q
-	r.fwd = appendPageRequest(r.fwd[:0], e.name, a.URL, pg.r.vars.Host, pg.trace, a.ID)
-	pg.parts[a.ID] = r
-	pg.what[a.URL] = copyOf{q.Object, q.Group}
-	e.guard.mem.Add(limits.Requests, requestBytes)
-	r.booked = requestBytes
-	e.stats.Fragments++
-	r.ask()
-}
-
-// head is the head of a fragment's answer; false: it won't do.
-func (v *part) head(u *upstream) bool {
-	m, c := metaOf(&u.head, v.pg.e.date())
-	v.coding = c
-	if u.head.Status != 200 || c == unknownCoding {
+	spec.Deadline = min(spec.Deadline, action.Until)
+	request.spec = spec
+	request.forwardHead = appendPageRequest(request.forwardHead[:0], edge.name, action.URL, pg.request.esiVars.Host, pg.requestID, action.ID)
+	pg.fragments[action.ID] = request
+	pg.fragmentObjects[action.URL] = fragmentObject{spec.Object, spec.Group}
+	edge.guard.memory.Add(limits.Requests, requestBytes)
+	request.accounted = requestBytes
+	edge.stats.Fragments++
+	request.submit()
+}
+
+// head handles the head of a fragment's response. It reports false if the response cannot be
+// included.
+func (f *pageFragment) head(upstream *upstreamConn) bool {
+	meta, coding := parseMeta(&upstream.head, f.page.edge.date())
+	f.coding = coding
+	if upstream.head.Status != 200 || coding == unknownCoding {
 		return false
 	}
-	v.pg.p.Begun(v.id, m, v.pg.e.l.Now())
-	v.pg.mark()
+	f.page.assembly.Begun(f.id, meta, f.page.edge.loop.Now())
+	f.page.markChanged()
 	return true
 }
 
-// failed is that there is no answer for a fragment.
-func (v *part) failed(cause string) {
-	if v.over {
+// fail reports to the page's assembly that the fragment cannot be fetched.
+func (f *pageFragment) fail(cause string) {
+	if f.done {
 		return
 	}
-	v.over = true
-	delete(v.pg.parts, v.id)
-	if !v.pg.gone {
-		v.pg.p.Failed(v.id, cause, v.pg.e.l.Now())
-		v.pg.mark()
+	f.done = true
+	delete(f.page.fragments, f.id)
+	if !f.page.stopped {
+		f.page.assembly.Failed(f.id, cause, f.page.edge.loop.Now())
+		f.page.markChanged()
 	}
 }
 
-// cutPart ends a request for a fragment that nobody wants any more.
-func cutPart(r *request) {
-	if r.why == 0 {
-		r.why = endPage
+// cancelFragment ends the request for a fragment that is no longer needed.
+func cancelFragment(r *clientRequest) {
+	if r.end == 0 {
+		r.end = endPage
 	}
-	r.e.stats.Gone--
+	r.edge.stats.Gone-- // clientGone counts it, though no client has left
 	r.clientGone()
 }
 
-// dropped gives a fragment up that is out.
-func (pg *page) dropped(r *request, cause string) {
-	r.c.part.failed(cause)
-	cutPart(r)
+// dropFragment fails a fragment, and cancels its request.
+func (pg *esiPage) dropFragment(request *clientRequest, cause string) {
+	request.client.fragment.fail(cause)
+	cancelFragment(request)
 }
 
-// attempted counts an attempt for a fragment.
-func (v *part) attempted() {
-	if !v.pg.gone {
-		v.pg.p.Attempt()
+// countAttempt counts an attempt for the fragment towards the page's limit.
+func (f *pageFragment) countAttempt() {
+	if !f.page.stopped {
+		f.page.assembly.Attempt()
 	}
 }
 
-func (pg *page) tick() {
-	pg.p.Tick(pg.e.l.Now())
-	pg.mark()
+func (pg *esiPage) onTimer() {
+	pg.assembly.Tick(pg.edge.loop.Now())
+	pg.markChanged()
 }
 
-// step does what the page wants, and sends what is ready.
-func (pg *page) step() {
-	if pg.gone || pg.p == nil {
+// update carries out the actions of the page's assembly, and sends what is ready.
+func (pg *esiPage) update() {
+	if pg.stopped || pg.assembly == nil {
 		return
 	}
-	e := pg.e
+	edge := pg.edge
 	var tick float64
 	for range 16 {
-		var acts []esi.Act
-		if acts, tick = pg.p.Do(e.l.Now()); len(acts) == 0 {
+		var actions []esi.Act
+		if actions, tick = pg.assembly.Do(edge.loop.Now()); len(actions) == 0 {
 			break
 		}
-		for _, a := range acts {
-			switch a.Kind {
+		for _, action := range actions {
+			switch action.Kind {
 			case esi.Fetch:
-				pg.fetch(a)
+				pg.fetchFragment(action)
 			case esi.Drop:
-				if r := pg.parts[a.ID]; r != nil {
-					r.c.part.over = true
-					delete(pg.parts, a.ID)
-					cutPart(r)
+				if request := pg.fragments[action.ID]; request != nil {
+					request.client.fragment.done = true
+					delete(pg.fragments, action.ID)
+					cancelFragment(request)
 				}
 			case esi.Restart:
 				pg.restart()
@@ -530,73 +545,74 @@
 			}
 		}
 	}
-	pg.p.Busy(pg.r.c.out.Len() > 0, e.l.Now())
+	pg.assembly.Busy(pg.request.client.output.Len() > 0, edge.loop.Now())
 	pg.send()
-	if pg.gone {
+	if pg.stopped {
 		return
 	}
-	pg.p.Busy(pg.r.c.out.Len() > 0, e.l.Now())
-	if n := pg.p.Held() + int64(len(pg.zipped)); n != pg.booked {
-		e.guard.mem.Add(limits.Answers, n-pg.booked)
-		pg.booked = n
+	pg.assembly.Busy(pg.request.client.output.Len() > 0, edge.loop.Now())
+	if n := pg.assembly.Held() + int64(len(pg.compressed)); n != pg.accounted {
+		edge.guard.memory.Add(limits.Answers, n-pg.accounted)
+		pg.accounted = n
 	}
 	if tick > 0 {
-		e.l.Arm(&pg.timer, max(tick-e.l.Now(), 0.1))
+		edge.loop.Arm(&pg.timer, max(tick-edge.loop.Now(), 0.1))
 	}
-	if pg.p.Room(-1) && !pg.ended {
-		pg.r.resume()
+	if pg.assembly.Room(-1) && !pg.templateDone {
+		pg.request.resumeReading()
 	}
-	for id, r := range pg.parts {
-		if pg.p.Room(id) {
-			r.resume()
+	for id, request := range pg.fragments {
+		if pg.assembly.Room(id) {
+			request.resumeReading()
 		}
 	}
 }
 
-// atOnce is how much of a page is given to its client's connection at a time: what has
-// gone there can't be called back by a purge.
-const atOnce = 32 << 10
+// maxSendBytes is the most of a page that is given to the client's connection at a time,
+// since a purge can no longer replace those bytes.
+const maxSendBytes = 32 << 10
 
-// send gives the client what is ready.
-func (pg *page) send() {
-	c := pg.r.c
-	err := pg.p.Err()
+// send gives the client's connection the part of the page that is ready, whenever its previous
+// output is written.
+func (pg *esiPage) send() {
+	client := pg.request.client
+	err := pg.assembly.Err()
 	if err == nil {
-		err = pg.refused
+		err = pg.rejectErr
 	}
 	if err != nil {
 		pg.fail(err)
 		return
 	}
-	if !pg.begun && pg.asked.asksWhole && !pg.plain {
-		if !pg.p.Ready() && pg.p.Held() < int64(pg.e.s.Pages.HeldKB)<<10 {
+	if !pg.headSent && pg.conditions.needWhole && !pg.unprocessed {
+		if !pg.assembly.Ready() && pg.assembly.Held() < int64(pg.edge.settings.Pages.HeldKB)<<10 {
 			return
 		}
 	}
-	for !c.gone && !pg.gone && c.out.Len() == 0 {
-		ready, meta := pg.p.Ready(), esi.Meta{}
-		if !pg.begun && ready && !pg.plain {
-			meta = pg.p.Meta()
+	for !client.closed && !pg.stopped && client.output.Len() == 0 {
+		ready, meta := pg.assembly.Ready(), esi.Meta{}
+		if !pg.headSent && ready && !pg.unprocessed {
+			meta = pg.assembly.Meta()
 		}
-		room := atOnce
-		if !pg.begun && ready && !pg.plain { // all of it, so that its length can be said
-			room = pg.e.s.Pages.HeldKB << 10
+		room := maxSendBytes
+		if !pg.headSent && ready && !pg.unprocessed { // the whole page, so that the head can state its length
+			room = pg.edge.settings.Pages.HeldKB << 10
 		}
-		b := pg.p.Take(nil, room, pg.e.l.Now())
-		if err := pg.p.Err(); err != nil {
+		b := pg.assembly.Take(nil, room, pg.edge.loop.Now())
+		if err := pg.assembly.Err(); err != nil {
 			pg.fail(err)
 			return
 		}
-		done := pg.p.Done()
-		if len(b) == 0 && !done && !(pg.plain && !pg.begun) {
+		done := pg.assembly.Done()
+		if len(b) == 0 && !done && !(pg.unprocessed && !pg.headSent) {
 			return
 		}
-		if !pg.begun {
-			if b = pg.begin(b, done, ready, meta); pg.gone || c.gone {
+		if !pg.headSent {
+			if b = pg.writeHead(b, done, ready, meta); pg.stopped || client.closed {
 				return
 			}
 		}
-		if pg.asked.head {
+		if pg.conditions.head {
 			b = nil
 		}
 		pg.write(b)
@@ -604,270 +620,278 @@
 			pg.finish()
 			return
 		}
-		if len(b) == 0 && !pg.asked.head {
+		if len(b) == 0 && !pg.conditions.head {
 			return
 		}
 	}
 }
 
-// begin writes the head of the client's answer, and returns what of b belongs behind it.
-func (pg *page) begin(b []byte, done, ready bool, m esi.Meta) []byte {
-	pg.begun = true
-	r, c, e := pg.r, pg.r.c, pg.e
+// writeHead writes the head of the client's response, and returns the part of body to send after
+// it. done is set if body is the whole page, ready if meta is final.
+func (pg *esiPage) writeHead(body []byte, done, ready bool, meta esi.Meta) []byte {
+	pg.headSent = true
+	request, client, edge := pg.request, pg.request.client, pg.edge
 	status := pg.status
 	length := int64(-1)
 	var fields []byte
 	switch {
-	case pg.plain:
-		length = pg.left
+	case pg.unprocessed:
+		length = pg.contentLength
 	default:
 		if done {
-			length = int64(len(b))
+			length = int64(len(body))
 		}
-		fields = http1.AppendFieldString(fields, "Cache-Control", cacheControl(m, ready))
-		if ready && m.ETag != "" {
-			fields = http1.AppendFieldString(fields, "ETag", m.ETag)
+		fields = http1.AppendFieldString(fields, "Cache-Control", cacheControl(meta, ready))
+		if ready && meta.ETag != "" {
+			fields = http1.AppendFieldString(fields, "ETag", meta.ETag)
 		}
-		if ready && m.Changed > 0 {
-			fields = http1.AppendFieldString(fields, "Last-Modified", time.Unix(m.Changed, 0).UTC().Format(http.TimeFormat))
+		if ready && meta.Changed > 0 {
+			fields = http1.AppendFieldString(fields, "Last-Modified", time.Unix(meta.Changed, 0).UTC().Format(http.TimeFormat))
 		}
 		switch {
-		case done && pg.notChanged(m):
-			status, length, b = 304, -1, nil
-		case done && pg.asked.rng && (pg.asked.ifRange == ""): // weak tags don't do for If-Range
-			from, to, ok := pg.asked.within(int64(len(b)))
+		case done && pg.notModified(meta):
+			status, length, body = 304, -1, nil
+		case done && pg.conditions.hasRange && (pg.conditions.ifRange == ""): // the page's tag is weak, so If-Range never matches
+			first, last, ok := pg.conditions.byteRange(int64(len(body)))
 			if !ok {
-				fields = http1.AppendFieldString(fields, "Content-Range", fmt.Sprintf("bytes */%d", len(b)))
-				status, length, b = 416, 0, nil
+				fields = http1.AppendFieldString(fields, "Content-Range", fmt.Sprintf("bytes */%d", len(body)))
+				status, length, body = 416, 0, nil
 			} else {
-				fields = http1.AppendFieldString(fields, "Content-Range", fmt.Sprintf("bytes %d-%d/%d", from, to, len(b)))
-				status, length, b = 206, to-from+1, b[from:to+1]
+				fields = http1.AppendFieldString(fields, "Content-Range", fmt.Sprintf("bytes %d-%d/%d", first, last, len(body)))
+				status, length, body = 206, last-first+1, body[first:last+1]
 			}
 		}
 	}
-	r.status = status
-	out := http1.AppendStatus(e.hbuf[:0], status)
-	out = append(append(out, pg.fields...), fields...)
+	request.status = status
+	out := http1.AppendStatus(edge.headBuffer[:0], status)
+	out = append(append(out, pg.headFields...), fields...)
 	switch {
 	case length >= 0:
 		out = http1.AppendFieldInt(out, "Content-Length", length)
 	case status == 304 || status == 204:
-	case r.minor == 0:
-		c.last = true
+	case request.httpMinor == 0:
+		client.closeAfterResponse = true
 	default:
-		pg.chunks = !pg.asked.head
+		pg.chunked = !pg.conditions.head
 		out = append(out, "Transfer-Encoding: chunked\r\n"...)
 	}
-	out = c.appendConnection(out, r)
-	e.hbuf = append(out, "\r\n"...)
-	c.add(e.hbuf)
-	return b
+	out = client.appendConnection(out, request)
+	edge.headBuffer = append(out, "\r\n"...)
+	client.buffer(edge.headBuffer)
+	return body
 }
 
-// cacheControl is what a client and caches in front may do with the whole.
-func cacheControl(m esi.Meta, ready bool) string {
-	out := ""
-	if m.Private {
-		out = "private, "
+// cacheControl returns the Cache-Control value of an assembled page.
+func cacheControl(meta esi.Meta, ready bool) string {
+	value := ""
+	if meta.Private {
+		value = "private, "
 	}
 	switch {
-	case m.NoStore:
-		return out + "no-store"
-	case !ready || m.Fresh < 1000: // what it is made of is not known yet
-		return out + "no-cache"
+	case meta.NoStore:
+		return value + "no-store"
+	case !ready || meta.Fresh < 1000: // not ready: a fragment with a shorter lifetime may follow
+		return value + "no-cache"
 	}
-	return out + "max-age=" + strconv.FormatInt(int64(m.Fresh/1000), 10)
+	return value + "max-age=" + strconv.FormatInt(int64(meta.Fresh/1000), 10)
 }
 
-// notChanged reports whether the client has the page already (RFC 9110, section 13.2.2).
-func (pg *page) notChanged(m esi.Meta) bool {
-	if pg.asked.match != "" {
-		if m.ETag == "" {
+// notModified reports whether the client already has this page (RFC 9110, section 13.2.2).
+func (pg *esiPage) notModified(meta esi.Meta) bool {
+	if pg.conditions.ifNoneMatch != "" {
+		if meta.ETag == "" {
 			return false
 		}
-		for tag := range strings.SplitSeq(pg.asked.match, ",") {
-			if tag = strings.TrimSpace(tag); tag == "*" || strings.TrimPrefix(tag, "W/") == strings.TrimPrefix(m.ETag, "W/") {
+		for tag := range strings.SplitSeq(pg.conditions.ifNoneMatch, ",") {
+			if tag = strings.TrimSpace(tag); tag == "*" || strings.TrimPrefix(tag, "W/") == strings.TrimPrefix(meta.ETag, "W/") {
 				return true
 			}
 		}
 		return false
 	}
-	return pg.asked.since > 0 && m.Changed > 0 && m.Changed <= pg.asked.since
+	return pg.conditions.ifModifiedSince > 0 && meta.Changed > 0 && meta.Changed <= pg.conditions.ifModifiedSince
 }
 
-// within is the first and last byte of a range in so many; false: none are in it.
-func (c *conditions) within(n int64) (from, to int64, ok bool) {
+// byteRange returns the first and the last byte of the requested range of a page of the given
+// length. It reports false if the range is not satisfiable.
+func (c *conditions) byteRange(length int64) (first, last int64, ok bool) {
 	switch {
 	case c.first < 0:
-		return max(n-c.last, 0), n - 1, n > 0 && c.last > 0
+		return max(length-c.last, 0), length - 1, length > 0 && c.last > 0
 	case c.last < 0:
-		return c.first, n - 1, c.first < n
+		return c.first, length - 1, c.first < length
 	}
-	return c.first, min(c.last, n-1), c.first < n
+	return c.first, min(c.last, length-1), c.first < length
 }
 
-func (pg *page) write(b []byte) {
-	c := pg.r.c
+// write gives bytes of the body to the client's connection.
+func (pg *esiPage) write(b []byte) {
+	client := pg.request.client
 	if len(b) > 0 {
-		pg.r.sent += int64(len(b))
-		if pg.chunks {
-			pg.e.hbuf = http1.AppendChunk(pg.e.hbuf[:0], b)
-			c.add(pg.e.hbuf)
+		pg.request.sentBytes += int64(len(b))
+		if pg.chunked {
+			pg.edge.headBuffer = http1.AppendChunk(pg.edge.headBuffer[:0], b)
+			client.buffer(pg.edge.headBuffer)
 		} else {
-			c.add(b)
+			client.buffer(b)
 		}
 	}
-	if c.out.Len() > 0 {
-		c.flush()
+	if client.output.Len() > 0 {
+		client.flush()
 	}
 }
 
-// finish ends a page that went out whole.
-func (pg *page) finish() {
-	r := pg.r
-	if pg.chunks {
-		r.c.add(lastChunk)
+// finish ends a page that was given to the client's connection in full.
+func (pg *esiPage) finish() {
+	request := pg.request
+	if pg.chunked {
+		request.client.buffer(lastChunk)
 	}
-	r.why = endServed
-	r.e.stats.Served++
-	pg.leave()
-	r.finish()
+	request.end = endServed
+	request.edge.stats.Served++
+	pg.stop()
+	request.finish()
 }
 
-// leave ends what is out for the page.
-func (pg *page) leave() {
-	if pg.gone {
+// stop ends the assembly, and cancels the open requests for the template and the fragments.
+func (pg *esiPage) stop() {
+	if pg.stopped {
 		return
 	}
-	pg.gone = true
-	e := pg.e
-	e.l.Forget(&pg.timer)
-	delete(e.pages, pg)
-	e.guard.mem.Add(limits.Answers, -pg.booked)
-	pg.booked = 0
-	for id, r := range pg.parts {
-		delete(pg.parts, id)
-		r.c.part.over = true
-		cutPart(r)
+	pg.stopped = true
+	edge := pg.edge
+	edge.loop.Forget(&pg.timer)
+	delete(edge.pages, pg)
+	edge.guard.memory.Add(limits.Answers, -pg.accounted)
+	pg.accounted = 0
+	for id, request := range pg.fragments {
+		delete(pg.fragments, id)
+		request.client.fragment.done = true
+		cancelFragment(request)
 	}
-	if w := pg.r.winner; w != nil && !w.done && w.r == pg.r {
-		w.cut(spool.Cancelled)
+	if winner := pg.request.winner; winner != nil && !winner.done && winner.request == pg.request {
+		winner.abort(spool.Cancelled)
 	}
 }
 
-// fail ends a page that can't be made: by an answer that says so, or, where some of it
-// has gone out, by the end of the connection, which shows that it is not whole.
-func (pg *page) fail(err error) {
-	if pg.gone {
+// fail ends a page that cannot be assembled. It sends an error response or, if the head was
+// sent, closes the connection so that the client sees an incomplete body.
+func (pg *esiPage) fail(err error) {
+	if pg.stopped {
 		return
 	}
-	r, c, e := pg.r, pg.r.c, pg.e
-	pg.leave()
-	if c.gone || r.phase == over {
+	request, client, edge := pg.request, pg.request.client, pg.edge
+	pg.stop()
+	if client.closed || request.phase == finished {
 		return
 	}
-	e.log.Log.Info("a page is not made", zap.String("page", r.target), zap.String("why", err.Error()))
-	if pg.begun {
-		r.why = endBroken
-		e.stats.Broken++
-		c.last, c.linger = true, true
-		if !pg.chunks {
-			unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
-			c.close()
+	edge.log.Log.Info("page assembly failed", zap.String("page", request.target), zap.String("why", err.Error()))
+	if pg.headSent {
+		request.end = endBroken
+		edge.stats.Broken++
+		client.closeAfterResponse, client.discardInput = true, true
+		if !pg.chunked {
+			unix.SetsockoptLinger(client.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
+			client.close()
 		}
-		r.finish()
+		request.finish()
 		return
 	}
-	r.why = endPage
-	e.stats.Failed++
+	request.end = endPage
+	edge.stats.Failed++
 	status := 502
-	if errors.Is(err, esi.ErrLate) || e.l.Now() >= r.q.Deadline-2*e.s.Limits.TimerGrain {
+	if errors.Is(err, esi.ErrLate) || edge.loop.Now() >= request.spec.Deadline-2*edge.settings.Limits.TimerGrain {
 		status = 504
 	}
-	c.answer(r, status, 0)
+	client.respond(request, status, 0)
 }
 
-// restart asks for the page itself once more: it was purged before any of it went out.
-func (pg *page) restart() {
-	r, e := pg.r, pg.e
-	if w := r.winner; w != nil && !w.done {
-		w.cut(spool.Cancelled)
+// restart requests the template again, since it was purged before any of the page was sent. A
+// new request takes the place of the present one.
+func (pg *esiPage) restart() {
+	request, edge := pg.request, pg.edge
+	if winner := request.winner; winner != nil && !winner.done {
+		winner.abort(spool.Cancelled)
 	}
-	delete(e.reqs, r.id)
-	pg.ended, pg.zipped = false, nil
-	pg.what = map[string]copyOf{}
-	next := e.newRequest(r.c)
-	next.at, next.minor, next.q, next.vars, next.target, next.page = r.at, r.minor, r.q, r.vars, r.target, pg
-	next.fwd = append(next.fwd[:0], r.fwd...)
-	next.booked, r.booked = r.booked, 0
-	next.poor, r.poor = r.poor, false
-	r.page, r.known = nil, false
-	r.phase = over
-	pg.r, r.c.cur = next, next
-	r.release()
-	next.ask()
+	delete(edge.requests, request.id)
+	pg.templateDone, pg.compressed = false, nil
+	pg.fragmentObjects = map[string]fragmentObject{}
+	next := edge.newRequest(request.client)
+	next.receivedAt, next.httpMinor, next.spec, next.esiVars, next.target, next.page = request.receivedAt, request.httpMinor, request.spec, request.esiVars, request.target, pg
+	next.forwardHead = append(next.forwardHead[:0], request.forwardHead...)
+	next.accounted, request.accounted = request.accounted, 0
+	next.poorReputation, request.poorReputation = request.poorReputation, false
+	request.page, request.inModule = nil, false
+	request.phase = finished
+	pg.request, request.client.current = next, next
+	request.releaseIfDone()
+	next.submit()
 }
 
-// purged tells pages what has become old. What has gone out already must be whole before
-// the grace is over.
-func (e *Edge) purged(p spool.Purge) {
-	hit := func(object string, group int) bool {
-		return object == p.Object || p.Object == "" && group == p.Group
+// purgePages reports a purge to the pages that contain a purged object. A page of which part
+// was sent must be complete before the grace time of purges ends.
+func (e *Edge) purgePages(purge spool.Purge) {
+	purged := func(object string, group int) bool {
+		return object == purge.Object || purge.Object == "" && group == purge.Group
 	}
-	until := e.l.Now() - p.Age + e.s.Rules.PurgeSlack - 2*e.s.Limits.TimerGrain
-	for pg := range e.pages {
-		pg.p.Purged(false, func(url string) bool { w, ok := pg.what[url]; return ok && hit(w.object, w.group) }, until, e.l.Now())
-		if hit(pg.r.q.Object, pg.r.q.Group) && !pg.plain && pg.r.phase == relaying {
-			pg.p.Purged(true, nil, until, e.l.Now())
+	until := e.loop.Now() - purge.Age + e.settings.Rules.PurgeSlack - 2*e.settings.Limits.TimerGrain
+	for page := range e.pages {
+		page.assembly.Purged(false, func(url string) bool {
+			object, known := page.fragmentObjects[url]
+			return known && purged(object.object, object.group)
+		}, until, e.loop.Now())
+		if purged(page.request.spec.Object, page.request.spec.Group) && !page.unprocessed && page.request.phase == relaying {
+			page.assembly.Purged(true, nil, until, e.loop.Now())
 		}
-		pg.mark()
+		page.markChanged()
 	}
 }
 
-var errTemplate = fmt.Errorf("%w: its own answer broke off", esi.ErrFragment)
+var errTemplateBroken = fmt.Errorf("%w: response for the template incomplete", esi.ErrFragment)
 
-// pageOf is the page that a request is for, as its template or a fragment.
-func (r *request) pageOf() *page {
-	if r.c.part != nil {
-		return r.c.part.pg
+// ownerPage returns the page whose template or fragment the request fetches, or nil.
+func (r *clientRequest) ownerPage() *esiPage {
+	if r.client.fragment != nil {
+		return r.client.fragment.page
 	}
 	return r.page
 }
 
-// holds reports whether no more is to be read for a request of the page's now.
-func (pg *page) holds(r *request) bool {
-	if r == pg.r {
-		return !pg.p.Room(-1)
+// full reports whether reading for a request of the page must pause, since its buffer is full.
+func (pg *esiPage) full(r *clientRequest) bool {
+	if r == pg.request {
+		return !pg.assembly.Room(-1)
 	}
-	return !pg.p.Room(r.c.part.id)
+	return !pg.assembly.Room(r.client.fragment.id)
 }
 
-// broke is that the answer of the template, or of a fragment, broke off.
-func (pg *page) broke(r *request) {
-	pg.e.stats.Broken--
-	if r == pg.r {
-		pg.fail(errTemplate)
+// responseBroken handles a response for the template or a fragment that ended early.
+func (pg *esiPage) responseBroken(request *clientRequest) {
+	pg.edge.stats.Broken-- // the upstream counted it; fail counts it again if the client is affected
+	if request == pg.request {
+		pg.fail(errTemplateBroken)
 		return
 	}
-	r.c.part.failed("its answer broke off")
-	r.finish()
+	request.client.fragment.fail("response incomplete")
+	request.finish()
 }
 
-// pageHead has the answer's head go to a page: from now on the attempt is the client's.
-func (u *upstream) pageHead() {
-	r := u.t.r
-	u.chunk, u.state = false, upBody
-	if u.won(); u.t == nil {
+// relayPageHead gives the head of the response to the page that its request belongs to. The
+// attempt thereby becomes the winner.
+func (u *upstreamConn) relayPageHead() {
+	request := u.attempt.request
+	u.chunked, u.state = false, upRelayingBody
+	if u.cancelOthers(); u.attempt == nil {
 		return
 	}
-	if v := r.c.part; v == nil {
-		r.page.head(u)
-	} else if !v.head(u) {
-		v.failed("status " + strconv.Itoa(u.head.Status))
-		cutPart(r)
+	if fragment := request.client.fragment; fragment == nil {
+		request.page.templateHead(u)
+	} else if !fragment.head(u) {
+		fragment.fail("status " + strconv.Itoa(u.head.Status))
+		cancelFragment(request)
 		return
 	}
-	if u.t == nil {
+	if u.attempt == nil {
 		return
 	}
 	u.beginBody()
--- a/internal/proxy/httpfront/syscalls_test.go
+++ b/internal/proxy/httpfront/syscalls_test.go
@@ -18,25 +18,26 @@
 	"indigospool/internal/testbed/faultinject"
 )
 
-// inFlight is how many requests are in hand while calls fail.
+// inFlight is the number of requests in flight while calls fail.
 const inFlight = 100
 
-// twoEach makes two requests on each of inFlight connections, and reports what is lost.
-func (r *rig) twoEach() {
+// twoRequestsEach sends two requests on each of inFlight connections, and fails the test for each
+// that gets no complete 200 response.
+func (r *testRig) twoRequestsEach() {
 	var wg sync.WaitGroup
 	for i := range inFlight {
 		wg.Go(func() {
-			c := r.dial()
-			reader := bufio.NewReader(c)
-			for k := range 2 {
-				fmt.Fprintf(c, "GET /s/1/%d-%d HTTP/1.1\r\nHost: h\r\n\r\n", i, k)
+			conn := r.dial()
+			reader := bufio.NewReader(conn)
+			for n := range 2 {
+				fmt.Fprintf(conn, "GET /s/1/%d-%d HTTP/1.1\r\nHost: h\r\n\r\n", i, n)
 				answer, err := http.ReadResponse(reader, nil)
 				if err != nil {
-					r.t.Errorf("request %d of connection %d is lost: %v", k, i, err)
+					r.t.Errorf("request %d of connection %d was lost: %v", n, i, err)
 					return
 				}
 				if _, err := io.Copy(io.Discard, answer.Body); err != nil || answer.StatusCode != 200 {
-					r.t.Errorf("request %d of connection %d: status %d, %v", k, i, answer.StatusCode, err)
+					r.t.Errorf("request %d of connection %d: status %d, %v", n, i, answer.StatusCode, err)
 				}
 			}
 		})
@@ -44,9 +45,9 @@
 	wg.Wait()
 }
 
-// fail has the router's calls of a kind fail: what is a reading of time counts from the first
+// injectFault makes the router's system calls of one kind fail. Times in how count from the first
 // such call.
-func (r *rig) fail(call faultinject.Call, how string) (calls *faultinject.Syscalls) {
+func (r *testRig) injectFault(call faultinject.Call, how string) (calls *faultinject.Syscalls) {
 	faults, err := faultinject.Parse(fmt.Sprintf("%s:%s", call, how))
 	if err != nil {
 		r.t.Fatal(err)
@@ -58,14 +59,14 @@
 		}
 		return time.Since(began)
 	})
-	r.e.Query(func(*Stats, *engine.Core) { r.e.l.Intercept(calls) })
+	r.edge.Query(func(*Stats, *engine.Core) { r.edge.loop.Intercept(calls) })
 	return calls
 }
 
-// Whatever a system call fails with for a moment, and for however long, no request is lost, no
-// connection closed and no member blamed, and the loop does not spin.
-func TestCallsFailForAMoment(t *testing.T) {
-	const perSecond = 1500 // turns, and calls for a new connection
+// While a system call fails once or for some time, with any of its transient errors, no request is
+// lost, no connection is closed, no failure is attributed to a member, and the loop does not spin.
+func TestTransientCallFailures(t *testing.T) {
+	const perSecond = 1500 // most turns of the loop, and most calls that open a connection
 	errors := map[faultinject.Call]string{
 		faultinject.Accept:  "ECONNABORTED EMFILE ENFILE ENOBUFS ENOMEM EPERM ENETUNREACH EPROTO EINTR",
 		faultinject.Socket:  "EMFILE ENFILE ENOBUFS ENOMEM EINTR",
@@ -79,22 +80,22 @@
 			for _, span := range []string{"1x", "1:0s-50ms", "1:0s-2s"} {
 				t.Run(fmt.Sprintf("%s/%s/%s", call, name, span), func(t *testing.T) {
 					t.Parallel()
-					r := newRig(t, 2, "(connections-per-address 5000)")
-					calls := r.fail(call, name+":"+span)
-					before := r.turns()
+					rig := newRig(t, 2, "(connections-per-address 5000)")
+					calls := rig.injectFault(call, name+":"+span)
+					before := rig.loopTurns()
 					began := time.Now()
-					r.twoEach()
+					rig.twoRequestsEach()
 					seconds := time.Since(began).Seconds()
 					most := int(perSecond*seconds) + 40*inFlight
 					made, failed := calls.Counts(call)
-					moves := call == faultinject.Read || call == faultinject.Write // one for each connection and turn
-					if turns := int(r.turns() - before); turns > most || made > most && !moves || failed == 0 {
+					moves := call == faultinject.Read || call == faultinject.Write // made for each connection and turn
+					if turns := int(rig.loopTurns() - before); turns > most || made > most && !moves || failed == 0 {
 						t.Errorf("%d turns in %.1f s, %d calls of which %d failed", turns, seconds, made, failed)
 					}
-					r.logMu.Lock()
-					defer r.logMu.Unlock()
-					if strings.Contains(r.log.String(), "connect-failed") {
-						t.Error("a member is blamed")
+					rig.logMu.Lock()
+					defer rig.logMu.Unlock()
+					if strings.Contains(rig.log.String(), "connect-failed") {
+						t.Error("a local failure was reported as a failed connect")
 					}
 				})
 			}
@@ -102,17 +103,17 @@
 	}
 }
 
-// All at once, now and then, with writes among the requests: each is answered.
-func TestCallsFailNowAndThen(t *testing.T) {
-	r := newRig(t, 2, "(connections-per-address 5000)")
-	r.fail(faultinject.Accept, "ECONNABORTED:0.3; accept:ENFILE:0.2; socket:EMFILE:0.2; connect:EADDRNOTAVAIL:0.2;"+
+// While all kinds of system calls fail at random, every request is answered, writes included.
+func TestRandomCallFailures(t *testing.T) {
+	rig := newRig(t, 2, "(connections-per-address 5000)")
+	rig.injectFault(faultinject.Accept, "ECONNABORTED:0.3; accept:ENFILE:0.2; socket:EMFILE:0.2; connect:EADDRNOTAVAIL:0.2;"+
 		"connect:ENETUNREACH:0.2; connect:EINTR:0.3; read:EINTR:0.2; read:ENOBUFS:0.1; read:short:0.3;"+
 		"write:EINTR:0.2; write:ENOMEM:0.1; write:short:0.5; wait:EINTR:0.5")
 	var wg sync.WaitGroup
-	wg.Go(r.twoEach)
+	wg.Go(rig.twoRequestsEach)
 	for i := range inFlight {
 		wg.Go(func() {
-			got := r.talk(fmt.Sprintf("POST /o/%d HTTP/1.1\r\nHost: h\r\nIdempotency-Key: k%d\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello", i, i))
+			got := rig.exchange(fmt.Sprintf("POST /o/%d HTTP/1.1\r\nHost: h\r\nIdempotency-Key: k%d\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello", i, i))
 			if !strings.HasPrefix(got, "HTTP/1.1 200") {
 				t.Errorf("write %d: %.200q", i, got)
 			}
@@ -121,24 +122,25 @@
 	wg.Wait()
 }
 
-func (r *rig) turns() (turns uint64) {
-	r.e.Query(func(*Stats, *engine.Core) { turns = r.e.l.Turns() })
-	return turns
+func (r *testRig) loopTurns() (loopTurns uint64) {
+	r.edge.Query(func(*Stats, *engine.Core) { loopTurns = r.edge.loop.Turns() })
+	return loopTurns
 }
 
-// brokenUpstream has every third call on a connection to a member fail with errno, at most ten in all.
-type brokenUpstream struct {
+// failingUpstreams makes every third read or write on connections to members fail with errno, ten
+// at most.
+type failingUpstreams struct {
 	eventloop.KernelCalls
-	errno   unix.Errno
-	members map[int]bool // their ports
-	calls   int
-	failed  atomic.Int64
-	write   bool // otherwise reads
+	errno       unix.Errno
+	memberPorts map[int]bool
+	calls       int
+	failed      atomic.Int64
+	failWrites  bool // if not set, reads fail
 }
 
-func (b *brokenUpstream) fails(fd int) bool {
+func (b *failingUpstreams) fails(fd int) bool {
 	peer, err := unix.Getpeername(fd)
-	if to, ok := peer.(*unix.SockaddrInet4); err != nil || !ok || !b.members[to.Port] {
+	if to, ok := peer.(*unix.SockaddrInet4); err != nil || !ok || !b.memberPorts[to.Port] {
 		return false
 	}
 	if b.calls++; b.calls%3 != 0 || b.failed.Load() == 10 {
@@ -148,42 +150,42 @@
 	return true
 }
 
-func (b *brokenUpstream) Read(fd int, buf []byte) (int, error) {
-	if !b.write && b.fails(fd) {
+func (b *failingUpstreams) Read(fd int, buf []byte) (int, error) {
+	if !b.failWrites && b.fails(fd) {
 		return 0, b.errno
 	}
 	return b.KernelCalls.Read(fd, buf)
 }
 
-func (b *brokenUpstream) Write(fd int, buf []byte) (int, error) {
-	if b.write && b.fails(fd) {
+func (b *failingUpstreams) Write(fd int, buf []byte) (int, error) {
+	if b.failWrites && b.fails(fd) {
 		return 0, b.errno
 	}
 	return b.KernelCalls.Write(fd, buf)
 }
 
-func (b *brokenUpstream) WriteTwo(fd int, first, second []byte) (int, error) {
-	if b.write && b.fails(fd) {
+func (b *failingUpstreams) WriteTwo(fd int, first, second []byte) (int, error) {
+	if b.failWrites && b.fails(fd) {
 		return 0, b.errno
 	}
 	return b.KernelCalls.WriteTwo(fd, first, second)
 }
 
-// A connection to a member that is broken costs its attempt, and no request.
-func TestBrokenUpstreams(t *testing.T) {
+// A connection to a member that fails ends its attempt, but no request is lost.
+func TestFailingUpstreams(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNRESET, unix.EPIPE, unix.ENETUNREACH} {
 		for _, write := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s/write=%v", unix.ErrnoName(errno), write), func(t *testing.T) {
 				t.Parallel()
-				r := newRig(t, 2, "(connections-per-address 5000)")
-				calls := &brokenUpstream{errno: errno, members: map[int]bool{}, write: write}
-				for _, box := range r.boxes {
+				rig := newRig(t, 2, "(connections-per-address 5000)")
+				calls := &failingUpstreams{errno: errno, memberPorts: map[int]bool{}, failWrites: write}
+				for _, box := range rig.caches {
 					port := 0
 					fmt.Sscanf(box.Addr(), "127.0.0.1:%d", &port)
-					calls.members[port] = true
+					calls.memberPorts[port] = true
 				}
-				r.e.Query(func(*Stats, *engine.Core) { r.e.l.Intercept(calls) })
-				r.twoEach()
+				rig.edge.Query(func(*Stats, *engine.Core) { rig.edge.loop.Intercept(calls) })
+				rig.twoRequestsEach()
 				if failed := calls.failed.Load(); failed < 5 {
 					t.Errorf("%d calls failed", failed)
 				}
--- a/internal/proxy/httpfront/versions.go
+++ b/internal/proxy/httpfront/versions.go
@@ -19,253 +19,258 @@
 	"indigospool/internal/proxy/hotrestart"
 )
 
-// Versions follows control services for a router, on goroutines of its own, and
-// posts each version that is to be run to the router's loop. Which one that is,
-// internal/controlplane/rollout decides.
-type Versions struct {
-	own   *config.Settings
-	log   *AccessLog
-	store *configstore.Store
-	agent *service.Agent
-	uses  chan configversion.Activate // in order; the newest is never dropped
-	done  chan struct{}
-	edge  chan *Edge
+// ConfigClient follows control services for a router, on goroutines of its own, and posts each
+// config version to activate to the router's loop. internal/controlplane/rollout decides which
+// version that is.
+type ConfigClient struct {
+	local       *config.Settings
+	log         *AccessLog
+	store       *configstore.Store
+	agent       *service.Agent
+	activations chan configversion.Activate // config versions to activate, in order; the newest is never dropped
+	done        chan struct{}               // closed by Close
+	attached    chan *Edge                  // holds the attached router
 }
 
-const versionsKept = 8 // in the store of versions
+const keptVersions = 8 // config versions in the store
 
-// Follow begins: with the stored version where there is one, then with the
-// services that the router's own settings name.
-func Follow(own *config.Settings, log *AccessLog) (*Versions, error) {
-	return follow(own, log, nil, configstore.Disk{})
+// StartConfigClient returns a client that begins with the stored config version, if there is
+// one, and then follows the control services of the router's local settings.
+func StartConfigClient(local *config.Settings, log *AccessLog) (*ConfigClient, error) {
+	return startConfigClient(local, log, nil, configstore.Disk{})
 }
 
-// follow is Follow for a router that takes over: it begins with the version that its
-// predecessor goes by where none is stored, and calls no service until it serves, since
-// a service knows one stream of a router.
-func follow(own *config.Settings, log *AccessLog, in *hotrestart.Inherited, files configstore.FileSystem) (*Versions, error) {
-	c := &own.Control
-	v := &Versions{own: own, log: log, uses: make(chan configversion.Activate, 64), done: make(chan struct{}), edge: make(chan *Edge, 1)}
+// startConfigClient is StartConfigClient for a router that may take over from a predecessor. It
+// then falls back to the predecessor's config version if none is stored, and connects to no
+// service until the router serves, since a service accepts one stream from each router.
+func startConfigClient(local *config.Settings, log *AccessLog, inherited *hotrestart.Inherited, files configstore.FileSystem) (*ConfigClient, error) {
+	control := &local.Control
+	client := &ConfigClient{local: local, log: log, activations: make(chan configversion.Activate, 64), done: make(chan struct{}), attached: make(chan *Edge, 1)}
 	dial := grpc.WithTransportCredentials(insecure.NewCredentials())
-	if c.Cert != "" {
-		keys := &service.CertificateFiles{Cert: c.Cert, Key: c.Key, Authorities: c.Roots, Warn: func(text string) { log.Log.Warn(text) }}
+	if control.Cert != "" {
+		keys := &service.CertificateFiles{Cert: control.Cert, Key: control.Key, Authorities: control.Roots, Warn: func(text string) { log.Log.Warn(text) }}
 		if err := keys.Load(); err != nil {
 			return nil, err
 		}
-		dial = grpc.WithTransportCredentials(keys.ClientCredentials(c.Name))
+		dial = grpc.WithTransportCredentials(keys.ClientCredentials(control.Name))
 	}
-	if c.Store != "" {
+	if control.Store != "" {
 		var err error
-		if v.store, err = configstore.OpenWith(files, c.Store, versionsKept); v.store == nil {
+		if client.store, err = configstore.OpenWith(files, control.Store, keptVersions); client.store == nil {
 			return nil, err
 		} else if err != nil {
-			log.Log.Error("the store of versions was damaged, or can't be read or written for now", zap.Error(err))
+			log.Log.Error("config store is damaged, or cannot be read or written at present", zap.Error(err))
 		}
 	}
-	cfg := service.AgentConfig{Router: own.Router.Name, Services: c.Services, Seed: uint64(own.Router.Seed), Store: v.store,
-		Backoff: span(c.Backoff), StateOfTheWorld: c.Protocol == "full", MaxBytes: 2 * c.MaxBytes, ReportInterval: span(c.Report),
+	agentConfig := service.AgentConfig{Router: local.Router.Name, Services: control.Services, Seed: uint64(local.Router.Seed), Store: client.store,
+		Backoff: milliseconds(control.Backoff), StateOfTheWorld: control.Protocol == "full", MaxBytes: 2 * control.MaxBytes, ReportInterval: milliseconds(control.Report),
 		DialOptions: []grpc.DialOption{dial},
-		Machine:     configversion.MachineSettings{Local: own, MaxBytes: c.MaxBytes, Jitter: c.Spread, Lease: c.Lease, UnconfirmedAfter: c.Old, StaleAfter: c.Stale},
-		OnActivate:  v.use, Warn: func(text string) { log.Log.Warn(text) }}
-	if c.Report > 0 {
-		cfg.LoadCounts = v.tally
+		Machine:     configversion.MachineSettings{Local: local, MaxBytes: control.MaxBytes, Jitter: control.Spread, Lease: control.Lease, UnconfirmedAfter: control.Old, StaleAfter: control.Stale},
+		OnActivate:  client.enqueue, Warn: func(text string) { log.Log.Warn(text) }}
+	if control.Report > 0 {
+		agentConfig.LoadCounts = client.loadCounts
 	}
-	if cfg.Deferred = in != nil; cfg.Deferred && len(in.ConfigVersion) > 0 {
-		if err := json.Unmarshal(in.ConfigVersion, &cfg.Initial); err != nil {
-			log.Log.Warn("the predecessor's version can't be read", zap.Error(err))
+	if agentConfig.Deferred = inherited != nil; agentConfig.Deferred && len(inherited.ConfigVersion) > 0 {
+		if err := json.Unmarshal(inherited.ConfigVersion, &agentConfig.Initial); err != nil {
+			log.Log.Warn("cannot decode the predecessor's config version", zap.Error(err))
 		}
 	}
-	v.agent = service.StartAgent(cfg)
-	return v, nil
+	client.agent = service.StartAgent(agentConfig)
+	return client, nil
 }
 
-// Open makes a router as its settings say: by the file alone, or by versions from
-// control services. end is called when the router has ended.
-func Open(ctx context.Context, s *config.Settings, log *AccessLog) (e *Edge, end func(), err error) {
-	return open(ctx, s, log, configstore.Disk{})
+// Open returns a router that is configured by its settings file alone or, if the settings name
+// control services, by the config versions of those. The caller calls end when Run has returned.
+func Open(ctx context.Context, settings *config.Settings, log *AccessLog) (e *Edge, end func(), err error) {
+	return open(ctx, settings, log, configstore.Disk{})
 }
 
-func open(ctx context.Context, s *config.Settings, log *AccessLog, files configstore.FileSystem) (e *Edge, end func(), err error) {
-	if !s.Follows() {
-		e, err = TakeOver(s, log)
-		return e, func() {}, err
+func open(ctx context.Context, settings *config.Settings, log *AccessLog, files configstore.FileSystem) (edge *Edge, end func(), err error) {
+	if !settings.Follows() {
+		edge, err = TakeOver(settings, log)
+		return edge, func() {}, err
 	}
-	in, err := predecessor(s)
+	inherited, err := contactPredecessor(settings)
 	if err != nil {
 		return nil, nil, err
 	}
 	defer func() {
-		if err != nil && in != nil {
-			in.Abort()
+		if err != nil && inherited != nil {
+			inherited.Abort()
 		}
 	}()
-	v, err := follow(s, log, in, files)
+	client, err := startConfigClient(settings, log, inherited, files)
 	if err != nil {
 		return nil, nil, err
 	}
-	u, err := v.First(ctx)
+	version, err := client.FirstVersion(ctx)
 	if err == nil {
-		e, err = newFrom(u, s, log, in)
+		edge, err = newFromVersion(version, settings, log, inherited)
 	}
 	if err != nil {
-		v.Close()
+		client.Close()
 		return nil, nil, err
 	}
-	v.Attach(e)
-	return e, v.Close, nil
+	client.Attach(edge)
+	return edge, client.Close, nil
 }
 
-func span(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+// milliseconds converts a number of milliseconds to a duration.
+func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// use queues a version that is to be run. It never waits: of versions that the
-// loop has not come to yet, the oldest gives way.
-func (v *Versions) use(u configversion.Activate) {
+// enqueue queues a config version for activation. It never blocks: if the queue is full, it
+// drops the oldest one.
+func (c *ConfigClient) enqueue(activation configversion.Activate) {
 	for {
 		select {
-		case v.uses <- u:
+		case c.activations <- activation:
 			return
 		default:
 		}
 		select {
-		case <-v.uses:
+		case <-c.activations:
 		default:
 		}
 	}
 }
 
-// First is the version to begin with: the stored one or, where the settings say
-// wait, the first that a service sends. nil: begin by the file.
-func (v *Versions) First(ctx context.Context) (*configversion.Activate, error) {
+// FirstVersion returns the config version to start with: the stored one or, if the settings
+// require to wait for a service, the first that a service sends. It returns nil if the router
+// starts with its settings file.
+func (c *ConfigClient) FirstVersion(ctx context.Context) (*configversion.Activate, error) {
 	select {
-	case u := <-v.uses:
-		return &u, nil
+	case activation := <-c.activations:
+		return &activation, nil
 	default:
 	}
-	if v.own.Control.Start != "wait" {
+	if c.local.Control.Start != "wait" {
 		return nil, nil
 	}
-	v.agent.Connect()
-	v.log.Log.Info("waiting for the first version", zap.Strings("services", v.own.Control.Services))
+	c.agent.Connect()
+	c.log.Log.Info("waiting for the first config version", zap.Strings("services", c.local.Control.Services))
 	select {
-	case u := <-v.uses:
-		return &u, nil
+	case activation := <-c.activations:
+		return &activation, nil
 	case <-ctx.Done():
-		return nil, fmt.Errorf("edge: no version came before the end: %w", ctx.Err())
+		return nil, fmt.Errorf("edge: wait for the first config version: %w", ctx.Err())
 	}
 }
 
-// Attach has a router run the versions that come from now on.
-func (v *Versions) Attach(e *Edge) {
-	e.versions = v
-	v.edge <- e
+// Attach makes a router activate the config versions that arrive from now on. It is called once.
+func (c *ConfigClient) Attach(edge *Edge) {
+	edge.configClient = c
+	c.attached <- edge
 	go func() {
 		for {
 			select {
-			case u := <-v.uses:
-				for e.l.Post(func() { e.use(u) }) == eventloop.ErrFull {
+			case activation := <-c.activations:
+				for edge.loop.Post(func() { edge.activateVersion(activation) }) == eventloop.ErrFull {
 					time.Sleep(time.Millisecond)
 				}
-				e.tellVersion(u.Version)
-			case <-v.done:
+				edge.forwardVersion(activation.Version)
+			case <-c.done:
 				return
 			}
 		}
 	}()
 }
 
-// Close ends the following; the store keeps what it has.
-func (v *Versions) Close() {
-	v.agent.Close()
-	close(v.done)
-	if v.store != nil {
-		v.store.Close()
+// Close disconnects from the services and closes the store, which keeps its config versions.
+func (c *ConfigClient) Close() {
+	c.agent.Close()
+	close(c.done)
+	if c.store != nil {
+		c.store.Close()
 	}
 }
 
-// lend has a successor open the store. What comes meanwhile is run, and kept in memory.
-func (v *Versions) lend() {
-	if v != nil && v.store != nil {
-		if err := v.store.ReleaseLock(); err != nil {
-			v.log.Log.Error("the store of versions", zap.Error(err))
+// releaseStore releases the store, so that a successor can open it. Config versions that arrive
+// meanwhile are activated, and kept in memory.
+func (c *ConfigClient) releaseStore() {
+	if c != nil && c.store != nil {
+		if err := c.store.ReleaseLock(); err != nil {
+			c.log.Log.Error("cannot release the config store", zap.Error(err))
 		}
 	}
 }
 
-// regain takes the store back from a successor that does not serve: it may take that
-// one a moment to end.
-func (v *Versions) regain() {
-	if v == nil || v.store == nil {
+// reacquireStore opens the store again after a successor has failed. It repeats the attempt,
+// since the successor may take a moment to end.
+func (c *ConfigClient) reacquireStore() {
+	if c == nil || c.store == nil {
 		return
 	}
 	var err error
 	for range 5 {
-		if err = v.store.ReacquireLock(); err == nil {
+		if err = c.store.ReacquireLock(); err == nil {
 			return
 		}
 		select {
 		case <-time.After(time.Second):
-		case <-v.done:
+		case <-c.done:
 			return
 		}
 	}
-	v.log.Log.Error("the store of versions is not taken back yet: it is tried again", zap.Error(err))
+	c.log.Log.Error("cannot reacquire the config store yet; it is retried later", zap.Error(err))
 }
 
-// tally counts requests that have ended, for reports.
-func (v *Versions) tally() (t service.LoadCounts, err error) {
-	e := <-v.edge // once a router is attached, it is there for all
-	v.edge <- e
+// loadCounts returns the numbers of finished requests for load reports. It waits until a router
+// is attached.
+func (c *ConfigClient) loadCounts() (counts service.LoadCounts, err error) {
+	e := <-c.attached
+	c.attached <- e
 	err = e.Query(func(s *Stats, _ *engine.Core) {
-		t.Succeeded, t.Issued = s.Served, s.Served+s.Refused+s.Failed+s.Broken
+		counts.Succeeded, counts.Issued = s.Served, s.Served+s.Refused+s.Failed+s.Broken
 	})
-	return t, err
+	return counts, err
 }
 
-// use goes by a version from now on, on the loop: drains first, so that nothing
-// new goes to who leaves; then the settings; then the members that come.
-func (e *Edge) use(u configversion.Activate) {
+// activateVersion activates a config version. It applies drains first, so that no new attempt
+// goes to members that leave, then the settings, and then the added members. It runs on the
+// loop.
+func (e *Edge) activateVersion(activation configversion.Activate) {
 	var steps []configversion.Delta
-	if e.s.Router.List == "" { // else the list service's word counts
-		steps = configversion.Diff(e.s.Members, u.Settings.Members)
+	if e.settings.Router.List == "" { // otherwise the members come from the list service
+		steps = configversion.Diff(e.settings.Members, activation.Settings.Members)
 	}
-	tell := func(s configversion.Delta) {
-		e.news(engine.UpdateFromVersion(u.Version.Number, s.Members, s.Kind == configversion.DeltaStarts))
+	apply := func(step configversion.Delta) {
+		e.applyUpdate(engine.UpdateFromVersion(activation.Version.Number, step.Members, step.Kind == configversion.DeltaStarts))
 	}
 	if len(steps) > 0 && steps[0].Kind == configversion.DeltaDrains {
-		tell(steps[0])
+		apply(steps[0])
 		steps = steps[1:]
 	}
-	e.next = u.Version.Number
-	acts, err := e.core.ChangeSettings(e.l.Now(), u.Settings, nil)
-	if err != nil { // the checks let through what the module does not take
-		e.log.Log.Error("version not run", zap.Int64("version", u.Version.Number), zap.Error(err))
+	e.nextVersion = activation.Version.Number
+	actions, err := e.core.ChangeSettings(e.loop.Now(), activation.Settings, nil)
+	if err != nil { // the checks of the config version missed something that the module rejects
+		e.log.Log.Error("cannot activate config version", zap.Int64("version", activation.Version.Number), zap.Error(err))
 		return
 	}
-	for i := range acts {
-		e.carryOut(acts[i])
+	for i := range actions {
+		e.execute(actions[i])
 	}
-	e.s = u.Settings
-	e.guard.adopt(e.s)
-	for _, s := range steps {
-		tell(s)
+	e.settings = activation.Settings
+	e.guard.applySettings(e.settings)
+	for _, step := range steps {
+		apply(step)
 	}
-	e.version = u.Version.Number
-	e.log.Log.Info("version in use", zap.Int64("version", u.Version.Number), zap.Int("steps", len(steps)),
-		zap.Bool("stale", u.Stale))
+	e.version = activation.Version.Number
+	e.log.Log.Info("config version activated", zap.Int64("version", activation.Version.Number), zap.Int("steps", len(steps)),
+		zap.Bool("stale", activation.Stale))
 }
 
-// begin is the news of members that a router begins with: those of its settings,
-// and for how long the young ones of them have been listed.
-func (e *Edge) begin() {
-	if len(e.s.Members) == 0 || e.s.Router.List != "" {
+// applyInitialMembers applies the members of the settings at the start, with the uptime of those
+// that were listed only recently.
+func (e *Edge) applyInitialMembers() {
+	if len(e.settings.Members) == 0 || e.settings.Router.List != "" {
 		return
 	}
-	n := engine.UpdateFromSettings(e.s)
-	n.Rev = e.version
-	for i := range n.Members {
-		if up, young := e.young[n.Members[i].ID]; young {
-			n.Members[i].UptimeMillis = max(up, 0.001)
+	update := engine.UpdateFromSettings(e.settings)
+	update.Rev = e.version
+	for i := range update.Members {
+		if listedFor, listedLately := e.listedFor[update.Members[i].ID]; listedLately {
+			update.Members[i].UptimeMillis = max(listedFor, 0.001)
 		}
 	}
-	e.news(n)
+	e.applyUpdate(update)
 }
