--- a/api.go
+++ b/api.go
@@ -258,7 +258,7 @@
 	ReasonSlowStartExhausted        // it is warming up and has no slow-start tokens left
 	ReasonLinkAtLimit               // the link into the zone is at its concurrency limit
 	ReasonAttemptsExhausted         // the request may make no further attempt
-	NoMember                        // no member of the required role is available
+	ReasonNoMember                  // no member of the required role is available
 )
 
 // Candidate is a member that was considered for an attempt. Member is empty if the reason concerns
--- a/internal/decisionlog/explain/explain.go
+++ b/internal/decisionlog/explain/explain.go
@@ -54,7 +54,7 @@
 	spool.ReasonUnavailable: "drains or is gone", spool.ReasonEjected: "is suspect, and due for no trial by it",
 	spool.ReasonAtConcurrencyLimit: "holds as much as it bears", spool.ReasonSlowStartExhausted: "is cold, and its budget is spent",
 	spool.ReasonLinkAtLimit: "the location's link bears no further fill now", spool.ReasonAttemptsExhausted: "no further attempt may be made",
-	spool.NoMember: "nobody is there to ask",
+	spool.ReasonNoMember: "nobody is there to ask",
 }
 
 // Word is a reason in words.
--- a/internal/decisionlog/journal/journal_test.go
+++ b/internal/decisionlog/journal/journal_test.go
@@ -479,7 +479,7 @@
 		t.Fatal(err)
 	}
 	next.Life(Life{Name: "r"})
-	memory := &spool.Memory{At: 3, Total: []float64{1, 2.5}, Purges: map[string]float64{"o": 2}}
+	memory := &spool.Snapshot{At: 3, TotalCost: []float64{1, 2.5}, ObjectPurges: map[string]float64{"o": 2}}
 	next.Handled(3, spool.Recalled{Memory: memory}, nil)
 	for i := range 500 {
 		old.Handled(float64(i), spool.Request{ID: fmt.Sprint("old-", i)}, nil)
--- a/internal/proxy/engine/memory.go
+++ b/internal/proxy/engine/memory.go
@@ -12,7 +12,7 @@
 type LearnedState struct {
 	Rev     int64          // of the endpoint list
 	Members []ListedMember // sorted by id
-	Module  *spool.Memory
+	Module  *spool.Snapshot
 }
 
 // ListedMember is a member of the endpoint list.
@@ -24,7 +24,7 @@
 
 // LearnedState returns a copy of the learned state.
 func (c *Core) LearnedState() *LearnedState {
-	state := &LearnedState{Rev: c.rev, Module: c.router.Memory()}
+	state := &LearnedState{Rev: c.rev, Module: c.router.Snapshot()}
 	for _, m := range c.members {
 		state.Members = append(state.Members, ListedMember{Member: m.Member, Address: m.address, Start: m.start})
 	}
--- a/internal/proxy/learnedstate/learnedstate.go
+++ b/internal/proxy/learnedstate/learnedstate.go
@@ -56,11 +56,11 @@
 }
 
 // EncodeModule encodes the decision module's learned state, as journals store it.
-func EncodeModule(state *spool.Memory) ([]byte, error) { return encode(state) }
+func EncodeModule(state *spool.Snapshot) ([]byte, error) { return encode(state) }
 
 // DecodeModule decodes the decision module's learned state, with the errors of Decode.
-func DecodeModule(snapshot []byte) (*spool.Memory, error) {
-	state := &spool.Memory{}
+func DecodeModule(snapshot []byte) (*spool.Snapshot, error) {
+	state := &spool.Snapshot{}
 	return state, decode(snapshot, state)
 }
 
--- a/internal/proxy/learnedstate/learnedstate_test.go
+++ b/internal/proxy/learnedstate/learnedstate_test.go
@@ -13,29 +13,29 @@
 )
 
 // gateMemory returns a random concurrency limit.
-func gateMemory(t *rapid.T) spool.GateMemory {
+func gateMemory(t *rapid.T) spool.LimitSnapshot {
 	number := rapid.Float64Range(-1e9, 1e9)
-	return spool.GateMemory{Room: number.Draw(t, "room"), Tardy: number.Draw(t, "tardy"), Cut: number.Draw(t, "cut"), Next: number.Draw(t, "next")}
+	return spool.LimitSnapshot{Limit: number.Draw(t, "room"), SlowShare: number.Draw(t, "tardy"), LoweredAt: number.Draw(t, "cut"), NextStart: number.Draw(t, "next")}
 }
 
 // learnedStates generates random states, with each field set.
 var learnedStates = rapid.Custom(func(t *rapid.T) *engine.LearnedState {
 	number := rapid.OneOf(rapid.Float64Range(-1e12, 1e12), rapid.Just(math.Pi), rapid.Just(0.1))
 	name := rapid.StringN(1, 9, 40)
-	state := &engine.LearnedState{Rev: rapid.Int64Min(0).Draw(t, "rev"), Module: &spool.Memory{At: number.Draw(t, "at"), Link: gateMemory(t), Mean: number.Draw(t, "mean")}}
+	state := &engine.LearnedState{Rev: rapid.Int64Min(0).Draw(t, "rev"), Module: &spool.Snapshot{At: number.Draw(t, "at"), Link: gateMemory(t), MeanSendTime: number.Draw(t, "mean")}}
 	module := state.Module
 	for range rapid.IntRange(1, 4).Draw(t, "members") {
 		id := name.Draw(t, "id")
 		row := spool.Member{ID: id, Zone: name.Draw(t, "zone"), Kind: "box", State: spool.Draining, Size: number.Draw(t, "size"), ReadyAt: number.Draw(t, "ready")}
 		state.Members = append(state.Members, engine.ListedMember{Member: row, Address: name.Draw(t, "address"), Start: rapid.Int64().Draw(t, "start")})
-		module.Members = append(module.Members, spool.MemberMemory{Member: row, Gate: gateMemory(t), Gone: rapid.Bool().Draw(t, "gone"), Faults: number.Draw(t, "faults"), Tokens: number.Draw(t, "tokens")})
-		module.Objects[0] = append(module.Objects[0], spool.ObjectMemory{Name: id, First: number.Draw(t, "first")})
-		module.Typical = append(module.Typical, number.Draw(t, "typical"))
-		module.Layout.Edges = append(module.Layout.Edges, id)
+		module.Members = append(module.Members, spool.MemberSnapshot{Member: row, Limit: gateMemory(t), Unavailable: rapid.Bool().Draw(t, "gone"), FaultShare: number.Draw(t, "faults"), Tokens: number.Draw(t, "tokens")})
+		module.ObjectDepths[0] = append(module.ObjectDepths[0], spool.ObjectSnapshot{Name: id, FirstParts: number.Draw(t, "first")})
+		module.TypicalRate = append(module.TypicalRate, number.Draw(t, "typical"))
+		module.Layout.Caches = append(module.Layout.Caches, id)
 		module.Layout.Splits = append(module.Layout.Splits, rapid.Int().Draw(t, "split"))
 	}
-	module.Purges = map[string]float64{name.Draw(t, "object"): number.Draw(t, "purged")}
-	module.Groups = map[int]float64{rapid.IntRange(-5, 5).Draw(t, "group"): number.Draw(t, "of group")}
+	module.ObjectPurges = map[string]float64{name.Draw(t, "object"): number.Draw(t, "purged")}
+	module.GroupPurges = map[int]float64{rapid.IntRange(-5, 5).Draw(t, "group"): number.Draw(t, "of group")}
 	return state
 })
 
--- a/internal/proxy/platform/clock_test.go
+++ b/internal/proxy/platform/clock_test.go
@@ -73,7 +73,7 @@
 	h.t.Helper()
 	h.server.loop.Call(waitTimeout, func() {
 		memory := h.server.engine.LearnedState()
-		if at, ok := memory.Module.Groups[group]; ok {
+		if at, ok := memory.Module.GroupPurges[group]; ok {
 			purge = h.server.loop.Now() - at
 		} else {
 			purge = -1
@@ -164,7 +164,7 @@
 	var age float64
 	harness.server.loop.Call(waitTimeout, func() {
 		harness.server.applyEvent(discovery.Event{Number: 3, Group: 22, PurgedAt: made})
-		age = harness.server.loop.Now() - harness.server.engine.LearnedState().Module.Groups[22]
+		age = harness.server.loop.Now() - harness.server.engine.LearnedState().Module.GroupPurges[22]
 	})
 	if maxAge := float64(platform.ago(0)-made) + 1; age > maxAge || age < float64(turn.Milliseconds())-1 {
 		t.Errorf("a purge made %.0f ms ago is taken as %.0f ms old", maxAge, age)
--- a/internal/proxy/platform/counts.go
+++ b/internal/proxy/platform/counts.go
@@ -19,7 +19,7 @@
 	Attempts uint64
 	Outcomes [int(spool.LocalFailure) + 1]uint64 // finished attempts, by spool.Result
 	// PassedOver counts members that the router considered and did not choose, by spool.Reason.
-	PassedOver [int(spool.NoMember) + 1]uint64
+	PassedOver [int(spool.ReasonNoMember) + 1]uint64
 
 	Malformed uint64 // malformed answers from members
 	Unmatched uint64 // answers that match no attempt in flight
--- a/internal/proxy/platform/discovery_test.go
+++ b/internal/proxy/platform/discovery_test.go
@@ -238,7 +238,7 @@
 		if events := h.server.counts.Events; events != last {
 			h.t.Errorf("%d events were delivered, want %d", events, last)
 		}
-		if groups := h.server.engine.LearnedState().Module.Groups; len(groups) != int(last)-1 {
+		if groups := h.server.engine.LearnedState().Module.GroupPurges; len(groups) != int(last)-1 {
 			h.t.Errorf("purges of %d groups are known, want %d", len(groups), last-1)
 		}
 	})
--- a/placement.go
+++ b/placement.go
@@ -82,7 +82,7 @@
 func (r *Router) chooseWriteTarget(request *request) (target, source *member) {
 	originMember := r.rendezvousOf(origin, request)
 	if originMember == nil {
-		r.traceCandidate(request, nil, true, 0, NoMember)
+		r.traceCandidate(request, nil, true, 0, ReasonNoMember)
 		return nil, nil
 	}
 	if r.settings.DirectAttempts && request.mayRunAt(originMember) && (!request.failedAt(originMember) || request.executedBy != nil) {
--- a/snapshot.go
+++ b/snapshot.go
@@ -9,81 +9,81 @@
 // after a hot restart. Requests are not part of it: they stay with their router. The CBOR names of the
 // fields are stored on disk and must not change.
 
-// Memory is the learned state of a Router. Times are on the router's clock.
-type Memory struct {
-	At                    Millis            `cbor:"At"`      // time of the snapshot
-	Members               []MemberMemory    `cbor:"Members"` // in the order of ids
-	Classes               []ClassMemory     `cbor:"Classes"` // in the order of names
-	Objects               [2][]ObjectMemory `cbor:"Objects"` // depths of objects: the current and the previous generation
-	ObjectDepthsRotatedAt Millis            `cbor:"Turned"`  // start of the current generation
-	Purges                map[string]Millis `cbor:"Purges"`  // time of the last purge, by object
-	Groups                map[int]Millis    `cbor:"Groups"`  // time of the last purge, by group
-	Link                  GateMemory        `cbor:"Link"`    // concurrency limit of the link
-	Typical               []Millis          `cbor:"Typical"` // mean load of a warm member, by role
-	RetryTokens           float64           `cbor:"Retries"` // retries left in the retry budget
-	Mean                  Millis            `cbor:"Mean"`    // mean send time
-	FillTimeRatio         float64           `cbor:"Pace"`    // duration of fills as a multiple of their send time
-	LastCleanup           Millis            `cbor:"LastSec"` // time of the last periodic cleanup
-	WindowCost            []float64         `cbor:"Window"`  // cost by part index in the open window
-	Total                 []float64         `cbor:"Total"`   // discounted sum of the closed windows
-	WindowRequests        int               `cbor:"Seen"`    // part requests in the open window
-	WindowOpenedAt        Millis            `cbor:"Opened"`  // start of the open window
-	Layout                LayoutMemory      `cbor:"Layout"`  // the current layout
-	PriorLayout           LayoutMemory      `cbor:"Prior"`   // the layout before the last change
-	LayoutChangedAt       Millis            `cbor:"Moved"`   // time of the last change of the layout
+// Snapshot is the learned state of a Router. Times are on the router's clock.
+type Snapshot struct {
+	At                    Millis              `cbor:"At"`      // time of the snapshot
+	Members               []MemberSnapshot    `cbor:"Members"` // in the order of ids
+	Classes               []ClassSnapshot     `cbor:"Classes"` // in the order of names
+	ObjectDepths          [2][]ObjectSnapshot `cbor:"Objects"` // depths of objects: the current and the previous generation
+	ObjectDepthsRotatedAt Millis              `cbor:"Turned"`  // start of the current generation
+	ObjectPurges          map[string]Millis   `cbor:"Purges"`  // time of the last purge, by object
+	GroupPurges           map[int]Millis      `cbor:"Groups"`  // time of the last purge, by group
+	Link                  LimitSnapshot       `cbor:"Link"`    // concurrency limit of the link
+	TypicalRate           []Millis            `cbor:"Typical"` // mean load of a warm member, by role
+	RetryTokens           float64             `cbor:"Retries"` // retries left in the retry budget
+	MeanSendTime          Millis              `cbor:"Mean"`    // mean send time
+	FillTimeRatio         float64             `cbor:"Pace"`    // duration of fills as a multiple of their send time
+	LastCleanup           Millis              `cbor:"LastSec"` // time of the last periodic cleanup
+	WindowCost            []float64           `cbor:"Window"`  // cost by part index in the open window
+	TotalCost             []float64           `cbor:"Total"`   // discounted sum of the closed windows
+	WindowRequests        int                 `cbor:"Seen"`    // part requests in the open window
+	WindowOpenedAt        Millis              `cbor:"Opened"`  // start of the open window
+	Layout                LayoutSnapshot      `cbor:"Layout"`  // the current layout
+	PriorLayout           LayoutSnapshot      `cbor:"Prior"`   // the layout before the last change
+	LayoutChangedAt       Millis              `cbor:"Moved"`   // time of the last change of the layout
 }
 
-// MemberMemory is the learned state of a member.
-type MemberMemory struct {
+// MemberSnapshot is the learned state of a member.
+type MemberSnapshot struct {
 	Member
-	Gate         GateMemory `cbor:"Gate"`    // concurrency limit
-	Gone         bool       `cbor:"Gone"`    // draining, removed or no longer listed
-	Ejected      bool       `cbor:"Suspect"` // ejected
-	LastProgress Millis     `cbor:"Good"`    // time of the last sign of progress
-	ProgressGap  Millis     `cbor:"Gap"`     // average time between two signs of progress
-	Faults       float64    `cbor:"Faults"`  // share of faults, 0 to 1
-	Outcomes     int        `cbor:"Judged"`  // number of outcomes since its start or last return
-	GoodChecks   int        `cbor:"Wins"`    // successful health checks in a row
-	NextCheck    Millis     `cbor:"TrialAt"` // time of the earliest next health check
-	CheckBackoff Millis     `cbor:"Backoff"` // backoff of health checks
-	ServedTime   Millis     `cbor:"Work"`    // send time of its answers since the last measurement of rates
-	ServedRate   float64    `cbor:"Rate"`    // average of its send time per millisecond
-	Tokens       Millis     `cbor:"Tokens"`  // slow-start tokens
-	Refilled     Millis     `cbor:"Topped"`  // time of the last refill of the tokens
+	Limit        LimitSnapshot `cbor:"Gate"`    // concurrency limit
+	Unavailable  bool          `cbor:"Gone"`    // draining, removed or no longer listed
+	Ejected      bool          `cbor:"Suspect"` // ejected
+	LastProgress Millis        `cbor:"Good"`    // time of the last sign of progress
+	ProgressGap  Millis        `cbor:"Gap"`     // average time between two signs of progress
+	FaultShare   float64       `cbor:"Faults"`  // share of faults, 0 to 1
+	Outcomes     int           `cbor:"Judged"`  // number of outcomes since its start or last return
+	GoodChecks   int           `cbor:"Wins"`    // successful health checks in a row
+	NextCheck    Millis        `cbor:"TrialAt"` // time of the earliest next health check
+	CheckBackoff Millis        `cbor:"Backoff"` // backoff of health checks
+	ServedTime   Millis        `cbor:"Work"`    // send time of its answers since the last measurement of rates
+	ServedRate   float64       `cbor:"Rate"`    // average of its send time per millisecond
+	Tokens       Millis        `cbor:"Tokens"`  // slow-start tokens
+	Refilled     Millis        `cbor:"Topped"`  // time of the last refill of the tokens
 }
 
-// GateMemory is the learned state of a concurrency limit, without the transfers in flight.
-type GateMemory struct {
-	Room  float64 `cbor:"Room"`  // the limit
-	Tardy float64 `cbor:"Tardy"` // share of slow transfers, 0 to 1
-	Cut   Millis  `cbor:"Cut"`   // when the limit was last lowered
-	Next  Millis  `cbor:"Next"`  // while the limit is below 1: the earliest start of the next transfer
+// LimitSnapshot is the learned state of a concurrency limit, without the transfers in flight.
+type LimitSnapshot struct {
+	Limit     float64 `cbor:"Room"`  // the limit
+	SlowShare float64 `cbor:"Tardy"` // share of slow transfers, 0 to 1
+	LoweredAt Millis  `cbor:"Cut"`   // when the limit was last lowered
+	NextStart Millis  `cbor:"Next"`  // while the limit is below 1: the earliest start of the next transfer
 }
 
-// ClassMemory is the learned state of a class.
-type ClassMemory struct {
+// ClassSnapshot is the learned state of a class.
+type ClassSnapshot struct {
 	Name         string `cbor:"Name"`
 	MeanSendTime Millis `cbor:"Mean"` // mean send time
 	HitTime      Millis `cbor:"Took"` // mean duration of hits
 }
 
-// ObjectMemory is the depth of an object.
-type ObjectMemory struct {
-	Name  string  `cbor:"Name"`
-	First float64 `cbor:"First"` // number of requests for the first part
-	Parts float64 `cbor:"Parts"` // number of requests for any part
+// ObjectSnapshot is the depth of an object.
+type ObjectSnapshot struct {
+	Name       string  `cbor:"Name"`
+	FirstParts float64 `cbor:"First"` // number of requests for the first part
+	Parts      float64 `cbor:"Parts"` // number of requests for any part
 }
 
-// LayoutMemory is a layout of part ranges.
-type LayoutMemory struct {
-	Edges  []string `cbor:"Edges"`  // ids of the caches
+// LayoutSnapshot is a layout of part ranges.
+type LayoutSnapshot struct {
+	Caches []string `cbor:"Edges"`  // ids of the caches
 	Splits []int    `cbor:"Splits"` // upper ends of the ranges of all caches but the last
 	Ranged bool     `cbor:"Ranged"` // whether parts are placed by ranges
 }
 
 // Recalled restores the learned state of a predecessor. It must come before the first endpoint list; a
 // Router that already has members or requests ignores it.
-type Recalled struct{ Memory *Memory }
+type Recalled struct{ Memory *Snapshot }
 
 // Retired reports that a successor has taken over (On), or that the successor did not start after all
 // (not On). A router with a successor uses no slow-start tokens, since the successor uses them.
@@ -92,21 +92,21 @@
 func (Recalled) event() {}
 func (Retired) event()  {}
 
-// Memory returns a snapshot of the learned state.
-func (r *Router) Memory() *Memory {
-	memory := &Memory{
+// Snapshot returns a snapshot of the learned state.
+func (r *Router) Snapshot() *Snapshot {
+	memory := &Snapshot{
 		At:                    r.now,
 		ObjectDepthsRotatedAt: r.objectDepthsRotatedAt,
-		Purges:                maps.Clone(r.objectPurges),
-		Groups:                maps.Clone(r.groupPurges),
+		ObjectPurges:          maps.Clone(r.objectPurges),
+		GroupPurges:           maps.Clone(r.groupPurges),
 		Link:                  r.link.snapshot(),
-		Typical:               slices.Clone(r.typicalRate[:]),
+		TypicalRate:           slices.Clone(r.typicalRate[:]),
 		RetryTokens:           r.retryTokens,
-		Mean:                  r.meanSendTime,
+		MeanSendTime:          r.meanSendTime,
 		FillTimeRatio:         r.fillTimeRatio,
 		LastCleanup:           r.lastCleanup,
 		WindowCost:            slices.Clone(r.windowCost),
-		Total:                 slices.Clone(r.totalCost),
+		TotalCost:             slices.Clone(r.totalCost),
 		WindowRequests:        r.windowRequests,
 		WindowOpenedAt:        r.windowOpenedAt,
 		Layout:                r.layout.snapshot(),
@@ -118,13 +118,13 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.classes)) {
 		class := r.classes[name]
-		memory.Classes = append(memory.Classes, ClassMemory{Name: name, MeanSendTime: class.meanSendTime, HitTime: class.hitTime})
+		memory.Classes = append(memory.Classes, ClassSnapshot{Name: name, MeanSendTime: class.meanSendTime, HitTime: class.hitTime})
 	}
 	for generation, depths := range r.objectDepths {
 		for _, name := range slices.Sorted(maps.Keys(depths)) {
 			depth := depths[name]
-			object := ObjectMemory{Name: name, First: depth.firstParts, Parts: depth.parts}
-			memory.Objects[generation] = append(memory.Objects[generation], object)
+			object := ObjectSnapshot{Name: name, FirstParts: depth.firstParts, Parts: depth.parts}
+			memory.ObjectDepths[generation] = append(memory.ObjectDepths[generation], object)
 		}
 	}
 	return memory
@@ -132,7 +132,7 @@
 
 // restore restores the learned state of a predecessor. Members that are no longer listed are removed
 // with the first endpoint list. Classes that are not in the settings are ignored.
-func (r *Router) restore(memory *Memory) {
+func (r *Router) restore(memory *Snapshot) {
 	if memory == nil || len(r.members) > 0 || len(r.arrivals) > 0 {
 		return
 	}
@@ -144,27 +144,27 @@
 			class.meanSendTime, class.hitTime = stored.MeanSendTime, stored.HitTime
 		}
 	}
-	for generation, objects := range memory.Objects {
+	for generation, objects := range memory.ObjectDepths {
 		for _, stored := range objects {
-			r.objectDepths[generation][stored.Name] = &objectDepth{firstParts: stored.First, parts: stored.Parts}
+			r.objectDepths[generation][stored.Name] = &objectDepth{firstParts: stored.FirstParts, parts: stored.Parts}
 		}
 	}
 	r.groupByRole()
-	if len(memory.Purges) > 0 {
-		r.objectPurges = maps.Clone(memory.Purges)
+	if len(memory.ObjectPurges) > 0 {
+		r.objectPurges = maps.Clone(memory.ObjectPurges)
 	}
-	if len(memory.Groups) > 0 {
-		r.groupPurges = maps.Clone(memory.Groups)
+	if len(memory.GroupPurges) > 0 {
+		r.groupPurges = maps.Clone(memory.GroupPurges)
 	}
-	copy(r.typicalRate[:], memory.Typical)
+	copy(r.typicalRate[:], memory.TypicalRate)
 	r.objectDepthsRotatedAt = memory.ObjectDepthsRotatedAt
 	r.link = memory.Link.concurrencyLimit()
 	r.retryTokens = memory.RetryTokens
-	r.meanSendTime = memory.Mean
+	r.meanSendTime = memory.MeanSendTime
 	r.fillTimeRatio = memory.FillTimeRatio
 	r.lastCleanup = memory.LastCleanup
 	r.windowCost = slices.Clone(memory.WindowCost)
-	r.totalCost = slices.Clone(memory.Total)
+	r.totalCost = slices.Clone(memory.TotalCost)
 	r.windowRequests = memory.WindowRequests
 	r.windowOpenedAt = memory.WindowOpenedAt
 	r.layout = r.restoreLayout(memory.Layout)
@@ -173,15 +173,15 @@
 }
 
 // snapshot returns the stored form of a member.
-func (m *member) snapshot() MemberMemory {
-	return MemberMemory{
+func (m *member) snapshot() MemberSnapshot {
+	return MemberSnapshot{
 		Member:       m.Member,
-		Gate:         m.concurrencyLimit.snapshot(),
-		Gone:         m.unavailable,
+		Limit:        m.concurrencyLimit.snapshot(),
+		Unavailable:  m.unavailable,
 		Ejected:      m.ejected,
 		LastProgress: m.lastProgress,
 		ProgressGap:  m.progressGap,
-		Faults:       m.faultShare,
+		FaultShare:   m.faultShare,
 		Outcomes:     m.outcomes,
 		GoodChecks:   m.goodChecks,
 		NextCheck:    m.nextCheck,
@@ -194,17 +194,17 @@
 }
 
 // restoreMember returns the member of a stored form.
-func (r *Router) restoreMember(stored MemberMemory) *member {
+func (r *Router) restoreMember(stored MemberSnapshot) *member {
 	return &member{
 		Member:           stored.Member,
-		concurrencyLimit: stored.Gate.concurrencyLimit(),
+		concurrencyLimit: stored.Limit.concurrencyLimit(),
 		role:             r.roleOf(stored.Member),
 		hash:             hashString(stored.ID),
-		unavailable:      stored.Gone,
+		unavailable:      stored.Unavailable,
 		ejected:          stored.Ejected,
 		lastProgress:     stored.LastProgress,
 		progressGap:      stored.ProgressGap,
-		faultShare:       stored.Faults,
+		faultShare:       stored.FaultShare,
 		outcomes:         stored.Outcomes,
 		goodChecks:       stored.GoodChecks,
 		nextCheck:        stored.NextCheck,
@@ -217,31 +217,31 @@
 }
 
 // snapshot returns the stored form of a concurrency limit.
-func (l *concurrencyLimit) snapshot() GateMemory {
-	return GateMemory{Room: l.limit, Tardy: l.slowShare, Cut: l.loweredAt, Next: l.nextStart}
+func (l *concurrencyLimit) snapshot() LimitSnapshot {
+	return LimitSnapshot{Limit: l.limit, SlowShare: l.slowShare, LoweredAt: l.loweredAt, NextStart: l.nextStart}
 }
 
 // concurrencyLimit returns the concurrency limit of a stored form.
-func (g GateMemory) concurrencyLimit() concurrencyLimit {
-	return concurrencyLimit{limit: g.Room, slowShare: g.Tardy, loweredAt: g.Cut, nextStart: g.Next}
+func (g LimitSnapshot) concurrencyLimit() concurrencyLimit {
+	return concurrencyLimit{limit: g.Limit, slowShare: g.SlowShare, loweredAt: g.LoweredAt, nextStart: g.NextStart}
 }
 
 // snapshot returns the stored form of a layout.
-func (l layout) snapshot() LayoutMemory {
-	stored := LayoutMemory{Splits: slices.Clone(l.splits), Ranged: l.ranged}
+func (l layout) snapshot() LayoutSnapshot {
+	stored := LayoutSnapshot{Splits: slices.Clone(l.splits), Ranged: l.ranged}
 	for _, member := range l.caches {
-		stored.Edges = append(stored.Edges, member.ID)
+		stored.Caches = append(stored.Caches, member.ID)
 	}
 	return stored
 }
 
 // restoreLayout returns the layout of a stored form. The layout is empty if one of its members is not
 // known, or if the stored form is malformed.
-func (r *Router) restoreLayout(stored LayoutMemory) layout {
+func (r *Router) restoreLayout(stored LayoutSnapshot) layout {
 	restored := layout{splits: slices.Clone(stored.Splits), ranged: stored.Ranged}
-	for _, id := range stored.Edges {
+	for _, id := range stored.Caches {
 		member := r.members[id]
-		if member == nil || len(stored.Splits) >= max(len(stored.Edges), 1) {
+		if member == nil || len(stored.Splits) >= max(len(stored.Caches), 1) {
 			return layout{}
 		}
 		restored.caches = append(restored.caches, member)
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -69,13 +69,13 @@
 func TestSnapshotRoundTrip(t *testing.T) {
 	for seed := range uint64(60) {
 		predecessor, now := trainedRouter(t, seed, 300)
-		memory := predecessor.Memory()
+		memory := predecessor.Snapshot()
 		successor, err := New(predecessor.settings, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		successor.Handle(now, Recalled{memory}, nil)
-		got := successor.Memory()
+		got := successor.Snapshot()
 		if got.At = memory.At; !reflect.DeepEqual(got, memory) {
 			t.Fatalf("seed %d: learned state\n%+v, want\n%+v", seed, got, memory)
 		}
@@ -157,7 +157,7 @@
 	for router.members["b"].tokens > 0 && requestIsSentToCold(1000+int(router.members["b"].tokens*1e6)) {
 	}
 	router.Handle(now, Retired{On: true}, nil)
-	memory := router.Memory()
+	memory := router.Snapshot()
 	if n := sentToCold(100); n > 0 {
 		t.Errorf("a router with a successor sent %d requests to a cold cache", n)
 	}
@@ -171,7 +171,7 @@
 	if tokens := successor.members["b"].tokens; tokens != memory.Members[0].Tokens || successor.members["b"].ReadyAt != 1000 {
 		t.Errorf("the successor has %v tokens, the snapshot %v", tokens, memory.Members[0].Tokens)
 	}
-	successor.Handle(now, Recalled{&Memory{Members: []MemberMemory{{Member: Member{ID: "x"}}}}}, nil)
+	successor.Handle(now, Recalled{&Snapshot{Members: []MemberSnapshot{{Member: Member{ID: "x"}}}}}, nil)
 	if successor.members["x"] != nil {
 		t.Error("a router that already has members restored a snapshot")
 	}
@@ -199,22 +199,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	wantLimit := GateMemory{Room: 1.5, Tardy: 2.5, Cut: 3.5, Next: 4.5}
-	wantLayout := LayoutMemory{Edges: []string{"b"}, Splits: []int{7}, Ranged: true}
-	want := Memory{
-		At: 1.25, ObjectDepthsRotatedAt: 2.25, Typical: []Millis{3.25}, RetryTokens: 4.25, Mean: 5.25, FillTimeRatio: 6.25, LastCleanup: 7.25,
-		WindowCost: []float64{8.25}, Total: []float64{9.25}, WindowRequests: 10, WindowOpenedAt: 11.25, LayoutChangedAt: 12.25,
-		Purges: map[string]Millis{"o": 13.25}, Groups: map[int]Millis{3: 14.25},
+	wantLimit := LimitSnapshot{Limit: 1.5, SlowShare: 2.5, LoweredAt: 3.5, NextStart: 4.5}
+	wantLayout := LayoutSnapshot{Caches: []string{"b"}, Splits: []int{7}, Ranged: true}
+	want := Snapshot{
+		At: 1.25, ObjectDepthsRotatedAt: 2.25, TypicalRate: []Millis{3.25}, RetryTokens: 4.25, MeanSendTime: 5.25, FillTimeRatio: 6.25, LastCleanup: 7.25,
+		WindowCost: []float64{8.25}, TotalCost: []float64{9.25}, WindowRequests: 10, WindowOpenedAt: 11.25, LayoutChangedAt: 12.25,
+		ObjectPurges: map[string]Millis{"o": 13.25}, GroupPurges: map[int]Millis{3: 14.25},
 		Link: wantLimit, Layout: wantLayout, PriorLayout: wantLayout,
-		Members: []MemberMemory{{
+		Members: []MemberSnapshot{{
 			Member: Member{ID: "b", Zone: "z1", Kind: "box", Cell: 2, State: Draining, Size: 15.25, ReadyAt: 16.25},
-			Gate:   wantLimit, Gone: true, Ejected: true, LastProgress: 17.25, ProgressGap: 18.25, Faults: 19.25, Outcomes: 20,
+			Limit:  wantLimit, Unavailable: true, Ejected: true, LastProgress: 17.25, ProgressGap: 18.25, FaultShare: 19.25, Outcomes: 20,
 			GoodChecks: 21, NextCheck: 22.25, CheckBackoff: 23.25, ServedTime: 24.25, ServedRate: 25.25, Tokens: 26.25, Refilled: 27.25,
 		}},
-		Classes: []ClassMemory{{Name: "page", MeanSendTime: 28.25, HitTime: 29.25}},
-		Objects: [2][]ObjectMemory{{{Name: "o", First: 30.25, Parts: 31.25}}, {}},
+		Classes:      []ClassSnapshot{{Name: "page", MeanSendTime: 28.25, HitTime: 29.25}},
+		ObjectDepths: [2][]ObjectSnapshot{{{Name: "o", FirstParts: 30.25, Parts: 31.25}}, {}},
 	}
-	var got Memory
+	var got Snapshot
 	if err := cbor.Unmarshal(encoded, &got); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("decoded %+v, want %+v; error %v", got, want, err)
 	}
