--- a/internal/proxy/httpfront/admin.go
+++ b/internal/proxy/httpfront/admin.go
@@ -128,7 +128,7 @@
 }
 
 func (e *Edge) adminMembers(w http.ResponseWriter, _ *http.Request) {
-	type row struct {
+	type row struct { // its field names are the JSON keys
 		ID, Zone, Kind, State, Address string
 		Idle, Open, Waiting            int
 	}
--- a/internal/proxy/httpfront/edge_test.go
+++ b/internal/proxy/httpfront/edge_test.go
@@ -170,6 +170,7 @@
 	return string(b)
 }
 
+// get sends a GET on a new connection.
 func (r *testRig) get(path string) (*http.Response, []byte, error) {
 	req, _ := http.NewRequest("GET", "http://"+r.edge.Addr()+path, nil)
 	res, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(req)
@@ -181,6 +182,7 @@
 	return res, b, err
 }
 
+// countRecords returns how many of the test servers' records match.
 func (r *testRig) countRecords(f func(trafficlog.Record) bool) (n int) {
 	for _, rec := range r.records.Records() {
 		if f(rec) {
--- a/internal/proxy/httpfront/handover_test.go
+++ b/internal/proxy/httpfront/handover_test.go
@@ -72,6 +72,7 @@
 	return edge
 }
 
+// waitEnded waits for the end of one router. It reports false after 8 s.
 func (r *restartRig) waitEnded() bool {
 	select {
 	case err := <-r.ended:
--- a/internal/proxy/httpfront/page_test.go
+++ b/internal/proxy/httpfront/page_test.go
@@ -28,8 +28,10 @@
 	cancelled      map[string]int // requests that were cancelled before they were answered
 }
 
+// surrogateControl is the value of Surrogate-Control that requests ESI processing.
 const surrogateControl = `content="ESI/1.0"`
 
+// newPageRig starts a rig with a class of pages, and additional settings for pages.
 func newPageRig(t *testing.T, limits, pages string) *pageRig {
 	old := extraSettings
 	extraSettings = `(class page (pages) (deadline 3000)) (route "/p/{group}/{object}" (class page)) (pages ` + pages + `)`
@@ -61,6 +63,8 @@
 	return rig
 }
 
+// serve makes the member serve text at a path, with fields given as names and values in turn.
+// Pages get a Surrogate-Control that requests ESI processing unless fields has one.
 func (s *pageRig) serve(path, text string, fields ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,12 +79,14 @@
 	}
 }
 
+// handle makes the member call f for a path.
 func (s *pageRig) handle(path string, f func(w http.ResponseWriter, r *http.Request)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.handlers[path] = f
 }
 
+// count returns how many requests for a path the member received.
 func (s *pageRig) count(path string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,6 +110,7 @@
 	return res, string(b), err
 }
 
+// mustGetText sends a GET, and fails the test unless the response is 200 with the given text.
 func (s *pageRig) mustGetText(path, text string, fields ...string) *http.Response {
 	s.t.Helper()
 	res, got, err := s.request("GET", path, fields...)
@@ -113,6 +120,7 @@
 	return res
 }
 
+// include returns an ESI include of a path, with more attributes.
 func include(path string, more ...string) string {
 	return `<esi:include src="` + path + `"` + strings.Join(more, "") + `/>`
 }
--- a/internal/proxy/httpfront/syscalls_test.go
+++ b/internal/proxy/httpfront/syscalls_test.go
@@ -122,6 +122,7 @@
 	wg.Wait()
 }
 
+// loopTurns returns the number of turns of the router's loop.
 func (r *testRig) loopTurns() (loopTurns uint64) {
 	r.edge.Query(func(*Stats, *engine.Core) { loopTurns = r.edge.loop.Turns() })
 	return loopTurns
--- a/internal/proxy/httpfront/versions_test.go
+++ b/internal/proxy/httpfront/versions_test.go
@@ -39,6 +39,8 @@
 (route "/s/{group}/{object}" (class still))
 `
 
+// newVersionRig starts the test servers and the control service, but no router yet. protocol is
+// the setting of how config versions are transferred.
 func newVersionRig(t testing.TB, protocol string) *versionRig {
 	rig := &versionRig{dir: t.TempDir(), protocol: protocol, members: map[string]string{}}
 	rig.testRig = &testRig{t: t, records: trafficlog.NewWriter(nil), caches: map[string]*testserver.Server{}, log: &bytes.Buffer{}}
@@ -73,6 +75,7 @@
 	return r.log.String()
 }
 
+// listMember adds a member to later config versions, or changes it.
 func (r *versionRig) listMember(id, kind, zone, state, addr string, start int) {
 	r.members[id] = fmt.Sprintf("(member %s (kind %s) (zone %s) (state %s) (start %d) (address %q))\n", id, kind, zone, state, start, addr)
 }
@@ -140,11 +143,13 @@
 	}
 }
 
+// waitForVersion waits until the router has activated a config version.
 func (r *versionRig) waitForVersion(number int64) {
 	r.t.Helper()
 	r.waitFor(fmt.Sprintf("version %d", number), func(*Stats, *engine.Core) bool { return r.edge.version == number })
 }
 
+// mustGet sends a GET, and fails the test unless the response is 200.
 func (r *versionRig) mustGet(path string) {
 	r.t.Helper()
 	if res, _, err := r.get(path); err != nil || res.StatusCode != 200 {
@@ -152,6 +157,7 @@
 	}
 }
 
+// adminState returns /state of the router's admin interface.
 func (r *versionRig) adminState() (out struct {
 	Version  int64 `json:"version"`
 	Versions struct {
