--- a/cmd/spool-cache/main.go
+++ b/cmd/spool-cache/main.go
@@ -40,8 +40,8 @@
 			if err != nil {
 				return err
 			}
-			log.Info("serves", zap.String("address", s.Addr()), zap.Int("copies", s.Found.Objects), zap.Int64("bytes", s.Found.Bytes),
-				zap.Int("purges", s.Found.Purges), zap.String("cold", s.Found.DiscardReason))
+			log.Info("serves", zap.String("address", s.Addr()), zap.Int("copies", s.Recovered.Objects), zap.Int64("bytes", s.Recovered.Bytes),
+				zap.Int("purges", s.Recovered.Purges), zap.String("cold", s.Recovered.DiscardReason))
 			context.AfterFunc(c.Context(), s.Stop)
 			return s.Run()
 		}}
@@ -49,7 +49,7 @@
 		RunE: func(*cobra.Command, []string) error {
 			f, err := read()
 			if err == nil {
-				fmt.Printf("%s: box %s, %.0f MB in %s\n", file, f.Name, f.MB, f.Folder)
+				fmt.Printf("%s: box %s, %.0f MB in %s\n", file, f.Name, f.CapacityMB, f.Folder)
 			}
 			return err
 		}}
--- a/internal/cachenode/httpcache/box.go
+++ b/internal/cachenode/httpcache/box.go
@@ -16,27 +16,27 @@
 
 // Settings is what a box is. Spans are in ms, sizes in bytes.
 type Settings struct {
-	Name       string
-	Bytes      int64   // what the store holds
-	Capacity   float64 // sending time that it bears, ms a ms, when warm
-	ColdFrom   float64 // part of the capacity with which it starts
-	ColdTime   float64 // until it is warm
-	FallFactor float64 // it falls over at this multiple of its present capacity; 0: never
-	FallTime   float64 // when the overload lasts this long
-	MaxFills   int     // at once; 0: no limit
+	Name               string
+	Bytes              int64   // what the store holds
+	Capacity           float64 // sending time that it bears, ms a ms, when warm
+	WarmUpInitialShare float64 // part of the capacity with which it starts
+	WarmUpTime         float64 // until it is warm
+	OverloadFactor     float64 // it falls over at this multiple of its present capacity; 0: never
+	OverloadTime       float64 // when the overload lasts this long
+	MaxFills           int     // at once; 0: no limit
 }
 
 // Copy is a held object, or a part of one.
 type Copy struct {
-	Key     string // what is asked for: path and range
-	Object  string // what a purge names
-	Group   int
-	Bytes   int64
-	Rank    int // 1 to 3
-	Version int64
-	Born    float64 // when the origin gave it, or earlier; never later
-	Fresh   float64 // for how long it is fresh; 0: until purged
-	at      *list.Element
+	Key         string // what is asked for: path and range
+	Object      string // what a purge names
+	Group       int
+	Bytes       int64
+	Rank        int // 1 to 3
+	Version     int64
+	GeneratedAt float64 // when the origin gave it, or earlier; never later
+	Lifetime    float64 // for how long it is fresh; 0: until purged
+	at          *list.Element
 }
 
 // Fill is a fill under way.
@@ -46,8 +46,8 @@
 	Joined  int
 }
 
-// Box is one cache. See New.
-type Box struct {
+// Cache is one cache. See New.
+type Cache struct {
 	s       Settings
 	started float64 // of the cold start; 0: it is warm
 	held    int64
@@ -71,8 +71,8 @@
 
 // New makes an empty box. Warm says that it has been up for long; otherwise it
 // starts cold at the time now.
-func New(s Settings, now float64, warm bool) *Box {
-	b := &Box{s: s, copies: map[string]*Copy{}, objects: map[string]map[string]*Copy{},
+func New(s Settings, now float64, warm bool) *Cache {
+	b := &Cache{s: s, copies: map[string]*Copy{}, objects: map[string]map[string]*Copy{},
 		groups: map[int]map[string]*Copy{}, purges: map[string]float64{}, purged: map[int]float64{},
 		fills: map[string]*Fill{}}
 	for i := range b.ranks {
@@ -84,49 +84,49 @@
 	return b
 }
 
-// Warmth is the part of its capacity that the box has now.
-func (b *Box) Warmth(now float64) float64 {
-	if b.started == 0 || b.s.ColdTime <= 0 || now-b.started >= b.s.ColdTime {
+// CapacityShare is the part of its capacity that the box has now.
+func (b *Cache) CapacityShare(now float64) float64 {
+	if b.started == 0 || b.s.WarmUpTime <= 0 || now-b.started >= b.s.WarmUpTime {
 		return 1
 	}
-	return b.s.ColdFrom + (1-b.s.ColdFrom)*max(now-b.started, 0)/b.s.ColdTime
+	return b.s.WarmUpInitialShare + (1-b.s.WarmUpInitialShare)*max(now-b.started, 0)/b.s.WarmUpTime
 }
 
 // Capacity is the sending time, ms a ms, that the box bears now.
-func (b *Box) Capacity(now float64) float64 { return b.s.Capacity * b.Warmth(now) }
+func (b *Cache) Capacity(now float64) float64 { return b.s.Capacity * b.CapacityShare(now) }
 
-// Arrive counts an attempt of so much work. It reports whether the box has
+// RecordAttempt counts an attempt of so much work. It reports whether the box has
 // fallen over: it was sent more than FallFactor times what it could do in the
 // last FallTime, while cold. A fallen box stays down.
-func (b *Box) Arrive(now, work float64) (fallen bool) {
+func (b *Cache) RecordAttempt(now, work float64) (fallen bool) {
 	if b.fallen {
 		return true
 	}
-	if b.s.FallFactor <= 0 || b.Warmth(now) >= 1 {
+	if b.s.OverloadFactor <= 0 || b.CapacityShare(now) >= 1 {
 		b.arrivals, b.load = b.arrivals[:0], 0
 		return false
 	}
 	b.arrivals = append(b.arrivals, arrival{now, work})
 	b.load += work
 	gone := 0
-	for gone < len(b.arrivals) && b.arrivals[gone].at <= now-b.s.FallTime {
+	for gone < len(b.arrivals) && b.arrivals[gone].at <= now-b.s.OverloadTime {
 		b.load -= b.arrivals[gone].work
 		gone++
 	}
 	b.arrivals = b.arrivals[gone:]
 	// a single attempt of any size is no overload that lasts
-	b.fallen = len(b.arrivals) > 1 && b.load > b.s.FallFactor*b.Capacity(now)*b.s.FallTime
+	b.fallen = len(b.arrivals) > 1 && b.load > b.s.OverloadFactor*b.Capacity(now)*b.s.OverloadTime
 	return b.fallen
 }
 
-// Fallen reports whether the box has fallen over.
-func (b *Box) Fallen() bool { return b.fallen }
+// Failed reports whether the box has fallen over.
+func (b *Cache) Failed() bool { return b.fallen }
 
-// Find returns a copy that is at most age old, nil where there is none. Its
+// Lookup returns a copy that is at most age old, nil where there is none. Its
 // use counts, and a rank above 0 becomes its own.
-func (b *Box) Find(now float64, key string, age float64, rank int) *Copy {
+func (b *Cache) Lookup(now float64, key string, age float64, rank int) *Copy {
 	c := b.copies[key]
-	if c == nil || now-c.Born > age {
+	if c == nil || now-c.GeneratedAt > age {
 		b.Misses++
 		return nil
 	}
@@ -140,8 +140,8 @@
 	return c
 }
 
-// Begin starts a fill of a key, unless as many run as may: then it returns nil.
-func (b *Box) Begin(now float64, key string) *Fill {
+// BeginFill starts a fill of a key, unless as many run as may: then it returns nil.
+func (b *Cache) BeginFill(now float64, key string) *Fill {
 	if b.s.MaxFills > 0 && b.filling >= b.s.MaxFills {
 		return nil
 	}
@@ -154,14 +154,14 @@
 }
 
 // Under is the fill of a key that is under way, or nil.
-func (b *Box) Under(key string) *Fill { return b.fills[key] }
+func (b *Cache) Under(key string) *Fill { return b.fills[key] }
 
-// Filling is how many fills run.
-func (b *Box) Filling() int { return b.filling }
+// FillsInFlight is how many fills run.
+func (b *Cache) FillsInFlight() int { return b.filling }
 
-// End ends a fill. The copy it brought is kept, where there is one, unless a
+// EndFill ends a fill. The copy it brought is kept, where there is one, unless a
 // purge has overtaken it, or there is no room among what ranks no higher.
-func (b *Box) End(now float64, f *Fill, c *Copy) (kept bool) {
+func (b *Cache) EndFill(now float64, f *Fill, c *Copy) (kept bool) {
 	b.filling--
 	if b.fills[f.Key] == f {
 		delete(b.fills, f.Key)
@@ -169,18 +169,18 @@
 	return c != nil && b.keep(c)
 }
 
-func (b *Box) keep(c *Copy) bool {
+func (b *Cache) keep(c *Copy) bool {
 	if c.Rank < 1 || c.Rank > 3 || c.Bytes > b.s.Bytes {
 		return false
 	}
-	if at, ok := b.purges[c.Object]; ok && c.Born < at {
+	if at, ok := b.purges[c.Object]; ok && c.GeneratedAt < at {
 		return false
 	}
-	if at, ok := b.purged[c.Group]; ok && c.Born < at {
+	if at, ok := b.purged[c.Group]; ok && c.GeneratedAt < at {
 		return false
 	}
 	if old := b.copies[c.Key]; old != nil {
-		if old.Born > c.Born { // a slower fill of an older version
+		if old.GeneratedAt > c.GeneratedAt { // a slower fill of an older version
 			return false
 		}
 		b.drop(old)
@@ -221,7 +221,7 @@
 	}
 }
 
-func (b *Box) drop(c *Copy) {
+func (b *Cache) drop(c *Copy) {
 	delete(b.copies, c.Key)
 	b.held -= c.Bytes
 	b.ranks[c.Rank].Remove(c.at)
@@ -232,7 +232,7 @@
 // Purge drops the copies of an object, or with no object those of a group,
 // that are older than the time at which it was made; a fill under way that
 // brings such a copy will not be kept.
-func (b *Box) Purge(object string, group int, made float64) (dropped int) {
+func (b *Cache) Purge(object string, group int, made float64) (dropped int) {
 	set := b.groups[group]
 	if object != "" {
 		set = b.objects[object]
@@ -241,7 +241,7 @@
 		b.purged[group] = max(b.purged[group], made)
 	}
 	for _, c := range set {
-		if c.Born < made {
+		if c.GeneratedAt < made {
 			b.drop(c)
 			dropped++
 		}
@@ -251,7 +251,7 @@
 }
 
 // Forget drops what is remembered of purges made before a time.
-func (b *Box) Forget(before float64) {
+func (b *Cache) Forget(before float64) {
 	for k, at := range b.purges {
 		if at < before {
 			delete(b.purges, k)
@@ -264,11 +264,11 @@
 	}
 }
 
-// Held is the bytes and the copies that the store holds.
-func (b *Box) Held() (bytes int64, copies int) { return b.held, len(b.copies) }
+// Usage is the bytes and the copies that the store holds.
+func (b *Cache) Usage() (bytes int64, copies int) { return b.held, len(b.copies) }
 
 // Check looks whether the books agree with one another.
-func (b *Box) Check() error {
+func (b *Cache) Check() error {
 	var sum int64
 	n := 0
 	for r, l := range b.ranks {
--- a/internal/cachenode/httpcache/box_test.go
+++ b/internal/cachenode/httpcache/box_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-func put(b *Box, now float64, key string, rank int, bytes int64, born float64) bool {
-	f := b.Begin(now, key)
-	return b.End(now, f, &Copy{Key: key, Object: key, Group: 1, Bytes: bytes, Rank: rank, Version: 1, Born: born})
+func put(b *Cache, now float64, key string, rank int, bytes int64, born float64) bool {
+	f := b.BeginFill(now, key)
+	return b.EndFill(now, f, &Copy{Key: key, Object: key, Group: 1, Bytes: bytes, Rank: rank, Version: 1, GeneratedAt: born})
 }
 
 func TestRanksAndUse(t *testing.T) {
@@ -19,10 +19,10 @@
 	if put(b, 3, "mid", 2, 80, 3) {
 		t.Fatal("room was made from a copy of higher rank")
 	}
-	if b.Find(4, "low", 100, 0) == nil {
+	if b.Lookup(4, "low", 100, 0) == nil {
 		t.Fatal("what could not be kept made room all the same")
 	}
-	if !put(b, 5, "mid", 2, 60, 5) || b.Find(6, "low", 100, 0) != nil || b.Find(6, "high", 100, 0) == nil {
+	if !put(b, 5, "mid", 2, 60, 5) || b.Lookup(6, "low", 100, 0) != nil || b.Lookup(6, "high", 100, 0) == nil {
 		t.Fatal("the lowest rank did not make room")
 	}
 }
@@ -30,7 +30,7 @@
 func TestAgeAndPurge(t *testing.T) {
 	b := New(Settings{Bytes: 100}, 0, true)
 	put(b, 10, "a", 1, 1, 10)
-	if b.Find(30, "a", 19, 0) != nil || b.Find(30, "a", 20, 0) == nil {
+	if b.Lookup(30, "a", 19, 0) != nil || b.Lookup(30, "a", 20, 0) == nil {
 		t.Fatal("age is not heeded")
 	}
 	if b.Purge("a", 0, 10) != 0 || b.Purge("a", 0, 11) != 1 {
@@ -51,42 +51,42 @@
 }
 
 func TestFallsOver(t *testing.T) {
-	s := Settings{Capacity: 2, ColdFrom: 0.2, ColdTime: 10000, FallFactor: 4, FallTime: 1000}
+	s := Settings{Capacity: 2, WarmUpInitialShare: 0.2, WarmUpTime: 10000, OverloadFactor: 4, OverloadTime: 1000}
 	b := New(s, 1, false)
 	now := 1.0
 	for range 1000 { // a warm one's whole load, a little under the multiple of what it has
-		if now++; b.Arrive(now, 4*0.2*2*0.99) {
+		if now++; b.RecordAttempt(now, 4*0.2*2*0.99) {
 			t.Fatalf("fell over at %v, within its budget", now)
 		}
 	}
 	b = New(s, 1, false)
 	fell := 0.0
 	for now = 1; fell == 0 && now < 2000; now++ {
-		if b.Arrive(now, 4*0.2*2*1.6) {
+		if b.RecordAttempt(now, 4*0.2*2*1.6) {
 			fell = now
 		}
 	}
-	if fell < 800 || fell > 1010 || !b.Arrive(1e6, 0) {
-		t.Fatalf("fell over at %v (fallen for good: %v)", fell, b.Fallen())
+	if fell < 800 || fell > 1010 || !b.RecordAttempt(1e6, 0) {
+		t.Fatalf("fell over at %v (fallen for good: %v)", fell, b.Failed())
 	}
-	if New(s, 0, true).Arrive(1, 1e9) {
+	if New(s, 0, true).RecordAttempt(1, 1e9) {
 		t.Fatal("a warm box fell over")
 	}
 }
 
 func TestFillsAndJoins(t *testing.T) {
 	b := New(Settings{Bytes: 10, MaxFills: 2}, 0, true)
-	one := b.Begin(1, "a")
-	two := b.Begin(2, "a")
-	if b.Under("a") != one || b.Begin(3, "b") != nil {
+	one := b.BeginFill(1, "a")
+	two := b.BeginFill(2, "a")
+	if b.Under("a") != one || b.BeginFill(3, "b") != nil {
 		t.Fatal("the first fill of a key is the one to join, and places are limited")
 	}
-	b.End(4, two, nil)
-	if b.Under("a") != one || b.Filling() != 1 {
+	b.EndFill(4, two, nil)
+	if b.Under("a") != one || b.FillsInFlight() != 1 {
 		t.Fatal("another fill's end took the first's place")
 	}
-	b.End(5, one, nil)
-	if b.Under("a") != nil || b.Filling() != 0 {
+	b.EndFill(5, one, nil)
+	if b.Under("a") != nil || b.FillsInFlight() != 0 {
 		t.Fatal("an ended fill is still under way")
 	}
 }
@@ -106,8 +106,8 @@
 				put(b, now, key, rapid.IntRange(0, 3).Draw(t, "rank"), int64(rapid.IntRange(1, 90).Draw(t, "bytes")),
 					now-float64(rapid.IntRange(0, 20).Draw(t, "old")))
 			case 2:
-				if c := b.Find(now, key, 1e9, rapid.IntRange(0, 3).Draw(t, "rank")); c != nil && c.Born < cut[key] {
-					t.Fatalf("found a copy of %v, purged at %v", c.Born, cut[key])
+				if c := b.Lookup(now, key, 1e9, rapid.IntRange(0, 3).Draw(t, "rank")); c != nil && c.GeneratedAt < cut[key] {
+					t.Fatalf("found a copy of %v, purged at %v", c.GeneratedAt, cut[key])
 				}
 			case 3:
 				made := now - float64(rapid.IntRange(0, 10).Draw(t, "ago"))
--- a/internal/cachenode/server/cache.go
+++ b/internal/cachenode/server/cache.go
@@ -36,51 +36,51 @@
 
 // Form is the (cache ...) of a settings file.
 type Form struct {
-	Place    config.Place
-	Name     string  `edn:"@,required"`
-	Listen   string  `edn:"listen" def:"127.0.0.1:0"`
-	Upstream string  `edn:"upstream"` // where a fill goes that names no source; of a parent: the origin
-	Folder   string  `edn:"folder,required"`
-	MB       float64 `edn:"mb" def:"1024" min:"0.1"`
-	Segment  float64 `edn:"segment-mb" def:"64" min:"0.01"`
-	Sync     string  `edn:"sync" def:"purges" oneof:"purges segments copies"`
-	Threads  int     `edn:"threads" def:"4" min:"1"`       // for the disk
-	Queue    int     `edn:"queue" def:"512" min:"1"`       // jobs that wait for them
-	Patience float64 `edn:"patience" def:"2000" min:"10"`  // of a job, until the disk counts as one that hangs
-	Fills    int     `edn:"fills" def:"256" min:"1"`       // at once
-	FillWait float64 `edn:"fill-wait" def:"2000" min:"10"` // a source that sends nothing
-	Connect  float64 `edn:"connect" def:"500" min:"10"`    // to a source
-	Idle     float64 `edn:"idle" def:"60000" min:"10"`     // a connection without a request
-	Conns    int     `edn:"connections" def:"20000" min:"1"`
-	Held     int     `edn:"held" def:"1048576" min:"65536"` // bytes of a fill that wait for the disk or a reader
-	Body     int     `edn:"body" def:"1048576" min:"0"`     // bytes of a write
-	RunOn    bool    `edn:"run-on"`                         // a fill whose askers have left runs on
+	Place                  config.Place
+	Name                   string  `edn:"@,required"`
+	Listen                 string  `edn:"listen" def:"127.0.0.1:0"`
+	Upstream               string  `edn:"upstream"` // where a fill goes that names no source; of a parent: the origin
+	Folder                 string  `edn:"folder,required"`
+	CapacityMB             float64 `edn:"mb" def:"1024" min:"0.1"`
+	SegmentMB              float64 `edn:"segment-mb" def:"64" min:"0.01"`
+	Sync                   string  `edn:"sync" def:"purges" oneof:"purges segments copies"`
+	DiskThreads            int     `edn:"threads" def:"4" min:"1"`       // for the disk
+	DiskQueue              int     `edn:"queue" def:"512" min:"1"`       // jobs that wait for them
+	DiskTimeout            float64 `edn:"patience" def:"2000" min:"10"`  // of a job, until the disk counts as one that hangs
+	MaxFills               int     `edn:"fills" def:"256" min:"1"`       // at once
+	FillTimeout            float64 `edn:"fill-wait" def:"2000" min:"10"` // a source that sends nothing
+	ConnectTimeout         float64 `edn:"connect" def:"500" min:"10"`    // to a source
+	IdleTimeout            float64 `edn:"idle" def:"60000" min:"10"`     // a connection without a request
+	MaxConns               int     `edn:"connections" def:"20000" min:"1"`
+	MaxBufferedBytes       int     `edn:"held" def:"1048576" min:"65536"` // bytes of a fill that wait for the disk or a reader
+	MaxBodyBytes           int     `edn:"body" def:"1048576" min:"0"`     // bytes of a write
+	CompleteAbandonedFills bool    `edn:"run-on"`                         // a fill whose askers have left runs on
 }
 
 // Server is a running cache.
 type Server struct {
-	f        Form
-	l        *eventloop.Loop
-	listener eventloop.Listener
-	lfd      int
-	addr     string
-	st       *store.Store
-	disk     *store.Threads
-	Found    store.Recovered
-	warn     func(string)
-	wall     time.Time // at the start
-	mending  bool      // a thread tries again what failed on the disk
-	began    time.Time
-	conns    map[*conn]struct{}
-	flights  map[string]*flight
-	filling  int
-	spare    map[string][]*source
-	buf      []byte
-	hits     float64
-	stats    Stats
-	stopped  chan struct{}
-
-	Watch func(Seen) // called on the loop; set before Run
+	f         Form
+	l         *eventloop.Loop
+	listener  eventloop.Listener
+	lfd       int
+	addr      string
+	st        *store.Store
+	disk      *store.Threads
+	Recovered store.Recovered
+	warn      func(string)
+	wall      time.Time // at the start
+	mending   bool      // a thread tries again what failed on the disk
+	began     time.Time
+	conns     map[*conn]struct{}
+	flights   map[string]*flight
+	filling   int
+	spare     map[string][]*source
+	buf       []byte
+	hits      float64
+	stats     Stats
+	stopped   chan struct{}
+
+	OnEvent func(Seen) // called on the loop; set before Run
 }
 
 // Seen is what passed on the cache's sockets, for who watches (Server.Watch).
@@ -105,10 +105,12 @@
 }
 
 // Start opens the store and begins to listen; Run serves.
-func Start(f Form, warn func(string)) (*Server, error) { return StartOn(store.Dir(f.Folder), f, warn) }
+func Start(f Form, warn func(string)) (*Server, error) {
+	return StartWithFS(store.Dir(f.Folder), f, warn)
+}
 
-// StartOn is Start with the store in a folder that fault injection gives.
-func StartOn(folder store.FS, f Form, warn func(string)) (*Server, error) {
+// StartWithFS is Start with the store in a folder that fault injection gives.
+func StartWithFS(folder store.FS, f Form, warn func(string)) (*Server, error) {
 	return start(f, warn, folder, wallclock.Now)
 }
 
@@ -118,11 +120,11 @@
 		warn = func(string) {}
 	}
 	sync := map[string]store.Sync{"segments": store.SyncSegments, "copies": store.SyncObjects}[f.Sync]
-	st, found, err := store.Open(folder, store.Options{MaxBytes: int64(f.MB * (1 << 20)), SegmentBytes: int64(f.Segment * (1 << 20)), Sync: sync, Warn: warn})
+	st, found, err := store.Open(folder, store.Options{MaxBytes: int64(f.CapacityMB * (1 << 20)), SegmentBytes: int64(f.SegmentMB * (1 << 20)), Sync: sync, Warn: warn})
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{f: f, st: st, Found: found, warn: warn, conns: map[*conn]struct{}{}, flights: map[string]*flight{}, spare: map[string][]*source{},
+	s := &Server{f: f, st: st, Recovered: found, warn: warn, conns: map[*conn]struct{}{}, flights: map[string]*flight{}, spare: map[string][]*source{},
 		buf: make([]byte, 256<<10), stopped: make(chan struct{}), began: time.Now(), wall: wallClock()}
 	if s.l, err = eventloop.New(8192); err != nil {
 		st.Close()
@@ -132,7 +134,7 @@
 		st.Close()
 		return nil, fmt.Errorf("cache: %w", err)
 	}
-	s.disk = store.NewThreads(f.Threads, f.Queue, time.Duration(f.Patience)*time.Millisecond)
+	s.disk = store.NewThreads(f.DiskThreads, f.DiskQueue, time.Duration(f.DiskTimeout)*time.Millisecond)
 	return s, nil
 }
 
@@ -200,7 +202,7 @@
 
 // accepted takes a connection, unless as many are there as may be.
 func (s *Server) accepted(fd int) {
-	if len(s.conns) >= s.f.Conns {
+	if len(s.conns) >= s.f.MaxConns {
 		unix.Close(fd)
 		return
 	}
@@ -212,7 +214,7 @@
 		return
 	}
 	s.conns[c] = struct{}{}
-	s.l.Arm(&c.idle, s.f.Idle)
+	s.l.Arm(&c.idle, s.f.IdleTimeout)
 }
 
 // conn is a connection of a router's or another cache's.
@@ -272,7 +274,7 @@
 				return
 			}
 			c.v = c.s.visit(c)
-			if err := c.body.Start(&c.head, int64(c.s.f.Body)); err != nil {
+			if err := c.body.Start(&c.head, int64(c.s.f.MaxBodyBytes)); err != nil {
 				c.last = true
 				c.answer(413, err.Error())
 				return
@@ -334,7 +336,7 @@
 		c.close()
 		return
 	}
-	c.s.l.Arm(&c.idle, c.s.f.Idle)
+	c.s.l.Arm(&c.idle, c.s.f.IdleTimeout)
 	c.s.l.Want(c.fd, c.want())
 	if len(c.in) > 0 && !c.last {
 		c.next()
@@ -548,7 +550,7 @@
 
 // renewBehind asks a source about a copy that is served meanwhile, once for all who do.
 func (s *Server) renewBehind(v *visit) {
-	if s.flights[v.key] != nil || s.filling >= s.f.Fills {
+	if s.flights[v.key] != nil || s.filling >= s.f.MaxFills {
 		return
 	}
 	d := &visit{s: s, c: &conn{s: s, fd: -1, gone: true}, a: v.a, plain: v.plain, method: "GET", target: v.target, key: v.key, fields: v.fields, behind: true}
@@ -655,8 +657,8 @@
 // seen tells who watches.
 func (v *visit) seen(what string, status int, version, bytes int64, hit bool) {
 	v.told = v.told || what == "sent"
-	if v.s.Watch != nil && !v.plain && v.method != "" {
-		v.s.Watch(Seen{what, &v.a, v.method, v.target, v.key, v.fields, status, version, bytes, hit})
+	if v.s.OnEvent != nil && !v.plain && v.method != "" {
+		v.s.OnEvent(Seen{what, &v.a, v.method, v.target, v.key, v.fields, status, version, bytes, hit})
 	}
 }
 
@@ -859,7 +861,7 @@
 			v.c.answer(503, "the disk does not answer: send it again")
 		}
 	case "/-/state":
-		out := map[string]any{"name": s.f.Name, "fills": s.filling, "stats": s.stats, "found": s.Found, "hung": s.disk.Hung(),
+		out := map[string]any{"name": s.f.Name, "fills": s.filling, "stats": s.stats, "found": s.Recovered, "hung": s.disk.Hung(),
 			"in_bytes": s.stats.In, "out_bytes": s.stats.Out, "hits": s.stats.Hits, "misses": s.stats.Looked + s.stats.Fills}
 		tell := func() {
 			if b, err := json.Marshal(out); err == nil && !v.over {
--- a/internal/cachenode/server/cache_test.go
+++ b/internal/cachenode/server/cache_test.go
@@ -186,8 +186,8 @@
 	r.stop()
 	made := r.origin.Purge(name(7), 0, 0) // while it is down
 	r.start()
-	if r.s.Found.Objects != 21 {
-		t.Errorf("found %+v", r.s.Found)
+	if r.s.Recovered.Objects != 21 {
+		t.Errorf("found %+v", r.s.Recovered)
 	}
 	if res, _, _ := r.ask(name(1), false, nil); res.StatusCode != 504 {
 		t.Error("a copy that is in doubt is a hit", res.Status)
--- a/internal/cachenode/server/fill.go
+++ b/internal/cachenode/server/fill.go
@@ -51,13 +51,13 @@
 		address = s.f.Upstream
 	}
 	switch {
-	case v.behind && (address == "" || s.filling >= s.f.Fills):
+	case v.behind && (address == "" || s.filling >= s.f.MaxFills):
 		go v.old.Close()
 		return
 	case address == "":
 		v.refuse(503, fetchheader.CacheStatus{Fwd: "miss", Detail: fetchheader.SourceUnreached})
 		return
-	case s.filling >= s.f.Fills:
+	case s.filling >= s.f.MaxFills:
 		v.refuse(503, fetchheader.CacheStatus{Fwd: "miss"})
 		return
 	}
@@ -144,7 +144,7 @@
 func (fl *flight) leave(v *visit) {
 	delete(fl.who, v)
 	v.fl = nil
-	if len(fl.who) == 0 && !fl.whole && !(fl.s.f.RunOn && fl.keep) {
+	if len(fl.who) == 0 && !fl.whole && !(fl.s.f.CompleteAbandonedFills && fl.keep) {
 		fl.fail(503, "")
 	}
 	fl.settle()
@@ -355,7 +355,7 @@
 		v.more()
 	}
 	if fl.src != nil {
-		fl.src.pause(len(fl.queue)+len(fl.mem) > fl.s.f.Held)
+		fl.src.pause(len(fl.queue)+len(fl.mem) > fl.s.f.MaxBufferedBytes)
 	}
 }
 
@@ -384,7 +384,7 @@
 		fl.mem, fl.memAt, fl.dropped = append([]byte(nil), fl.mem[n:]...), least, true
 	}
 	if fl.src != nil {
-		fl.src.pause(len(fl.queue)+len(fl.mem) > fl.s.f.Held)
+		fl.src.pause(len(fl.queue)+len(fl.mem) > fl.s.f.MaxBufferedBytes)
 	}
 }
 
@@ -530,12 +530,12 @@
 		}
 		src.to, src.out, src.headed, src.left = to, request, false, nil
 		src.sent, src.lacked = false, false
-		s.l.Arm(&src.timer, s.f.FillWait)
+		s.l.Arm(&src.timer, s.f.FillTimeout)
 		src.flush()
 		return src
 	}
 	src := &source{s: s, address: address, fd: -1, to: to, out: request}
-	src.timer.F, src.until = src.late, s.l.Now()+s.f.Connect
+	src.timer.F, src.until = src.late, s.l.Now()+s.f.ConnectTimeout
 	src.begin()
 	return src
 }
@@ -624,7 +624,7 @@
 		src.s.l.Want(src.fd, 0)
 		return
 	}
-	src.s.l.Arm(&src.timer, src.s.f.FillWait)
+	src.s.l.Arm(&src.timer, src.s.f.FillTimeout)
 	src.s.l.Want(src.fd, eventloop.Read)
 }
 
@@ -641,7 +641,7 @@
 			return
 		}
 		src.out, src.sent = src.out[n:], true
-		src.s.l.Arm(&src.timer, src.s.f.FillWait) // the source has had nothing to answer before
+		src.s.l.Arm(&src.timer, src.s.f.FillTimeout) // the source has had nothing to answer before
 	}
 	src.s.l.Want(src.fd, eventloop.Read)
 }
@@ -656,7 +656,7 @@
 			return
 		}
 		src.connect = false
-		src.s.l.Arm(&src.timer, src.s.f.FillWait)
+		src.s.l.Arm(&src.timer, src.s.f.FillTimeout)
 		src.flush()
 		return
 	}
@@ -681,7 +681,7 @@
 		return
 	}
 	src.s.stats.In += int64(n)
-	src.s.l.Arm(&src.timer, src.s.f.FillWait)
+	src.s.l.Arm(&src.timer, src.s.f.FillTimeout)
 	src.take(src.s.buf[:k+n])
 }
 
--- a/internal/cachenode/server/kill_test.go
+++ b/internal/cachenode/server/kill_test.go
@@ -45,13 +45,13 @@
 		if faults {
 			go failNowAndThen(folder)
 		}
-		s, err := start(Form{Name: "b1", Listen: "127.0.0.1:0", Folder: dir, MB: 64, Segment: 1, Threads: 4, Queue: 256, Patience: 2000, Fills: 64,
-			FillWait: 2000, Connect: 500, Idle: 60000, Conns: 1000, Held: 1 << 20, Body: 1 << 20, RunOn: true}, nil, folder, time.Now)
+		s, err := start(Form{Name: "b1", Listen: "127.0.0.1:0", Folder: dir, CapacityMB: 64, SegmentMB: 1, DiskThreads: 4, DiskQueue: 256, DiskTimeout: 2000, MaxFills: 64,
+			FillTimeout: 2000, ConnectTimeout: 500, IdleTimeout: 60000, MaxConns: 1000, MaxBufferedBytes: 1 << 20, MaxBodyBytes: 1 << 20, CompleteAbandonedFills: true}, nil, folder, time.Now)
 		if err != nil {
 			fmt.Println("error", err)
 			os.Exit(1)
 		}
-		fmt.Println(s.Addr(), s.Found.Objects)
+		fmt.Println(s.Addr(), s.Recovered.Objects)
 		go func() { // it ends with its test
 			io.Copy(io.Discard, os.Stdin)
 			os.Exit(0)
--- a/internal/cachenode/server/router_test.go
+++ b/internal/cachenode/server/router_test.go
@@ -82,8 +82,8 @@
 	for _, r := range []*rig{a, b} {
 		r.stop()
 		r.start()
-		if r.s.Found.Objects < 10 {
-			t.Errorf("found %+v in %s", r.s.Found, filepath.Base(r.form.Folder))
+		if r.s.Recovered.Objects < 10 {
+			t.Errorf("found %+v in %s", r.s.Recovered, filepath.Base(r.form.Folder))
 		}
 	}
 	all() // in doubt: the origin is asked about each
--- a/internal/decisionlog/whatif/boxes.go
+++ b/internal/decisionlog/whatif/boxes.go
@@ -64,7 +64,7 @@
 	id     string
 	role   string // box, parent or origin
 	listed spool.Member
-	box    *httpcache.Box
+	box    *httpcache.Cache
 	cap    float64
 	busy   int // transfers under way
 	second int
@@ -103,11 +103,11 @@
 	if w.o.Sizes && r.Size > 0 {
 		m.cap = r.Size
 	}
-	s := httpcache.Settings{Name: r.ID, Bytes: w.o.Bytes, Capacity: m.cap, ColdFrom: w.o.ColdFrom, ColdTime: w.o.ColdTime,
-		FallFactor: w.o.Fall, FallTime: w.o.FallTime}
+	s := httpcache.Settings{Name: r.ID, Bytes: w.o.Bytes, Capacity: m.cap, WarmUpInitialShare: w.o.ColdFrom, WarmUpTime: w.o.ColdTime,
+		OverloadFactor: w.o.Fall, OverloadTime: w.o.FallTime}
 	switch {
 	case r.Kind == w.o.ParentKind && r.Kind != "":
-		m.role, s.ColdFrom, s.ColdTime, s.FallFactor = "parent", w.o.ParentColdFrom, w.o.ParentColdTime, w.o.ParentFall
+		m.role, s.WarmUpInitialShare, s.WarmUpTime, s.OverloadFactor = "parent", w.o.ParentColdFrom, w.o.ParentColdTime, w.o.ParentFall
 	case r.Kind == w.o.OriginKind && r.Kind != "":
 		m.role = "origin"
 	}
@@ -130,7 +130,7 @@
 		return Answer{Result: spool.OK, Begins: w.o.Latency, Took: w.o.Latency + took}
 	}
 	key := keyOf(q)
-	if m.box.Find(now, key, s.Age, s.Keep) != nil {
+	if m.box.Lookup(now, key, s.Age, s.Keep) != nil {
 		m.busy++
 		return Answer{Result: spool.OK, Note: spool.NoteHit, Begins: w.o.Look, Took: w.o.Look + took}
 	}
@@ -143,7 +143,7 @@
 	}
 	begins, note := w.o.Latency, spool.NoteFilled
 	switch {
-	case src.box.Find(now, key, s.Age, 0) != nil:
+	case src.box.Lookup(now, key, s.Age, 0) != nil:
 	case s.Held:
 		return Answer{Result: spool.Rejected, Note: spool.NoteSourceMiss, Took: 2 * w.o.Look}
 	case src.role == "parent": // it fetches it from the origin first
@@ -180,11 +180,11 @@
 }
 
 func (w *Boxes) keep(now float64, m *machine, q *spool.Request, rank int) {
-	f := m.box.Begin(now, keyOf(q))
+	f := m.box.BeginFill(now, keyOf(q))
 	if f == nil {
 		return
 	}
-	m.box.End(now, f, &httpcache.Copy{Key: f.Key, Object: q.Object, Group: q.Group, Bytes: int64(q.KB*1024) + 1, Rank: rank, Version: 1, Born: now})
+	m.box.EndFill(now, f, &httpcache.Copy{Key: f.Key, Object: q.Object, Group: q.Group, Bytes: int64(q.KB*1024) + 1, Rank: rank, Version: 1, GeneratedAt: now})
 }
 
 func keyOf(q *spool.Request) string {
@@ -211,7 +211,7 @@
 	if m.Fell > 0 {
 		return true
 	}
-	if m.box.Arrive(now, work) {
+	if m.box.RecordAttempt(now, work) {
 		m.Fell = now
 		return true
 	}
--- a/internal/testbed/scenario/box.go
+++ b/internal/testbed/scenario/box.go
@@ -40,8 +40,8 @@
 	if fills <= 0 {
 		fills = 1024
 	}
-	s, err := server.StartOn(faultyFolder{store.Dir(c.Folder), faults}, server.Form{Name: c.ID, Listen: "127.0.0.1:0", Folder: c.Folder, MB: float64(c.Bytes) / (1 << 20), Segment: max(float64(c.Bytes)/(16<<20), 0.5), Sync: "purges",
-		Threads: 2, Queue: 512, Patience: 2000, Fills: fills, FillWait: c.FillWait, Connect: 500, Idle: 300_000, Conns: 20000, Held: 1 << 20, Body: 1 << 20, RunOn: c.RunOn},
+	s, err := server.StartWithFS(faultyFolder{store.Dir(c.Folder), faults}, server.Form{Name: c.ID, Listen: "127.0.0.1:0", Folder: c.Folder, CapacityMB: float64(c.Bytes) / (1 << 20), SegmentMB: max(float64(c.Bytes)/(16<<20), 0.5), Sync: "purges",
+		DiskThreads: 2, DiskQueue: 512, DiskTimeout: 2000, MaxFills: fills, FillTimeout: c.FillWait, ConnectTimeout: 500, IdleTimeout: 300_000, MaxConns: 20000, MaxBufferedBytes: 1 << 20, MaxBodyBytes: 1 << 20, CompleteAbandonedFills: c.RunOn},
 		func(w string) { fmt.Fprintln(os.Stderr, c.ID, w) })
 	if err != nil {
 		return err
@@ -52,7 +52,7 @@
 	for _, k := range c.Classes {
 		kb[k.Name] = k.KB
 	}
-	s.Watch = func(e server.Seen) {
+	s.OnEvent = func(e server.Seen) {
 		a := e.Attempt
 		r := trafficlog.Record{Ev: trafficlog.Recv, Who: c.ID, Role: c.Role, Start: c.Start, Req: a.ID, N: a.Number, From: a.From, Via: a.Via, Src: a.Source, Class: a.Class,
 			Object: a.Object, Group: a.Group, Key: e.Header.Get("Idempotency-Key"), Write: e.Method != "GET" && e.Method != "HEAD", ID: e.Header.Get("X-Request-Id"),
@@ -72,7 +72,7 @@
 		w.Add(r)
 	}
 	w.Add(trafficlog.Record{Ev: trafficlog.Up, Who: c.ID, Role: c.Role, Addr: s.Addr(), Start: c.Start, Cold: c.Cold, Work: c.Capacity, Note: c.Zone,
-		Bytes: s.Found.Bytes})
+		Bytes: s.Recovered.Bytes})
 	go func() {
 		faults.untilOrphaned(in)
 		s.Stop()
--- a/internal/testbed/testserver/fill.go
+++ b/internal/testbed/testserver/fill.go
@@ -76,7 +76,7 @@
 func (v *visit) fetch(a fetchheader.Attempt, ctx context.Context) *flight {
 	s := v.s
 	s.mu.Lock()
-	place := s.box.Begin(trafficlog.Now(), v.key)
+	place := s.box.BeginFill(trafficlog.Now(), v.key)
 	if place == nil {
 		s.mu.Unlock()
 		if ctx != nil {
@@ -99,7 +99,7 @@
 		if s.flights[v.key] == fl {
 			delete(s.flights, v.key)
 		}
-		s.box.End(trafficlog.Now(), place, c)
+		s.box.EndFill(trafficlog.Now(), place, c)
 		s.mu.Unlock()
 	}()
 	return fl
@@ -200,7 +200,7 @@
 		}
 	}
 	return &httpcache.Copy{Key: v.key, Object: a.Object, Group: a.Group, Bytes: size, Rank: a.Keep, Version: ver.Number,
-		Born: born, Fresh: v.class.Fresh}
+		GeneratedAt: born, Lifetime: v.class.Fresh}
 }
 
 // follow answers from a fill under way.
--- a/internal/testbed/testserver/server.go
+++ b/internal/testbed/testserver/server.go
@@ -100,7 +100,7 @@
 	once   sync.Once
 
 	mu       sync.Mutex
-	box      *httpcache.Box
+	box      *httpcache.Cache
 	flights  map[string]*flight
 	classes  map[string]Class
 	inflight int
@@ -121,8 +121,8 @@
 		return nil, fmt.Errorf("standin %s: %w", cfg.ID, err)
 	}
 	s.ln = ln
-	s.box = httpcache.New(httpcache.Settings{Name: cfg.ID, Bytes: cfg.Bytes, Capacity: cfg.Capacity, ColdFrom: cfg.ColdFrom,
-		ColdTime: cfg.ColdTime, FallFactor: cfg.Fall, FallTime: cfg.FallTime, MaxFills: cfg.MaxFills},
+	s.box = httpcache.New(httpcache.Settings{Name: cfg.ID, Bytes: cfg.Bytes, Capacity: cfg.Capacity, WarmUpInitialShare: cfg.ColdFrom,
+		WarmUpTime: cfg.ColdTime, OverloadFactor: cfg.Fall, OverloadTime: cfg.FallTime, MaxFills: cfg.MaxFills},
 		trafficlog.Now(), !cfg.Cold)
 	s.out = NewLink(func() float64 {
 		if cfg.Capacity <= 0 {
@@ -173,7 +173,7 @@
 func (s *Server) Held() (bytes int64, copies int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.box.Held()
+	return s.box.Usage()
 }
 
 // Kill ends it as SIGKILL would: connections are reset, nothing is finished.
@@ -218,7 +218,7 @@
 	s.tap.Add(recv)
 	s.mu.Lock()
 	s.inflight++
-	fallen := s.box.Arrive(trafficlog.Now(), v.rec.Work)
+	fallen := s.box.RecordAttempt(trafficlog.Now(), v.rec.Work)
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
@@ -265,8 +265,8 @@
 		bytes, copies := s.Held()
 		s.mu.Lock()
 		state := map[string]any{"id": s.cfg.ID, "role": s.cfg.Role, "bytes": bytes, "copies": copies,
-			"fallen": s.box.Fallen(), "warmth": s.box.Warmth(trafficlog.Now()), "hits": s.box.Hits, "misses": s.box.Misses,
-			"fills": s.box.Filling(), "inflight": s.inflight, "in_bytes": s.in.Bytes(), "out_bytes": s.out.Bytes()}
+			"fallen": s.box.Failed(), "warmth": s.box.CapacityShare(trafficlog.Now()), "hits": s.box.Hits, "misses": s.box.Misses,
+			"fills": s.box.FillsInFlight(), "inflight": s.inflight, "in_bytes": s.in.Bytes(), "out_bytes": s.out.Bytes()}
 		s.mu.Unlock()
 		json.NewEncoder(w).Encode(state)
 		return
@@ -293,7 +293,7 @@
 		case "x0":
 			v = append(v, s.hits)
 		case "x1":
-			v = append(v, float64(s.box.Filling()))
+			v = append(v, float64(s.box.FillsInFlight()))
 		default:
 			v = append(v, min(float64(s.inflight)/max(s.cfg.Capacity, 1), 1))
 		}
@@ -409,7 +409,7 @@
 		v.rec.Note = "head"
 	}
 	s.mu.Lock()
-	c := s.box.Find(now, v.key, age, v.a.Keep)
+	c := s.box.Lookup(now, v.key, age, v.a.Keep)
 	hit := 0.0
 	if c != nil {
 		hit = 1
@@ -417,11 +417,11 @@
 	s.hits += (hit - s.hits) * 0.02
 	if c != nil {
 		held := *c
-		ageing := v.a.Renew && held.Fresh > 0 && now-held.Born > 0.8*held.Fresh
+		ageing := v.a.Renew && held.Lifetime > 0 && now-held.GeneratedAt > 0.8*held.Lifetime
 		s.mu.Unlock()
 		h := fetchheader.CacheStatus{Cache: s.cfg.ID, Hit: true}
-		if held.Fresh > 0 {
-			h.HasTTL, h.TTL = true, (held.Fresh-(now-held.Born))/1000
+		if held.Lifetime > 0 {
+			h.HasTTL, h.TTL = true, (held.Lifetime-(now-held.GeneratedAt))/1000
 			if h.TTL < 0 {
 				h.TTL = min(h.TTL, -1)
 			}
@@ -429,7 +429,7 @@
 		if ageing && v.a.Source != "" {
 			go v.detached().fetch(v.a, nil)
 		}
-		v.send(held.Version, held.Born, held.Bytes, h, nil)
+		v.send(held.Version, held.GeneratedAt, held.Bytes, h, nil)
 		return
 	}
 	fl := s.flights[v.key]
