--- a/cmd/spool-explain/main.go
+++ b/cmd/spool-explain/main.go
@@ -16,7 +16,7 @@
 func main() {
 	var id, svg string
 	var asJSON bool
-	var a explain.Ask
+	var a explain.HypotheticalRequest
 	root := &cobra.Command{Use: "spool-explain JOURNAL", Short: "Tells why a request went where it did", Args: cobra.ExactArgs(1),
 		Long: "Tells why a request went where it did: replays the journal, and listens to the module while\n" +
 			"it decides. --id names a recorded request (the access log has ids); --class and --object ask\n" +
@@ -64,7 +64,7 @@
 	f.Float64Var(&a.KB, "kb", 0, "its size")
 	f.BoolVar(&a.Write, "write", false, "it is a write")
 	f.Float64Var(&a.At, "at", 0, "when, in ms on the router's clock (default: at the journal's end)")
-	f.StringVar(&a.Instead, "instead", "", "or in place of this recorded request, when that came")
+	f.StringVar(&a.InPlaceOf, "instead", "", "or in place of this recorded request, when that came")
 	f.StringVar(&svg, "svg", "", "file for a picture of the ranges")
 	f.BoolVar(&asJSON, "json", false, "print it as JSON")
 	cli.Main(root)
--- a/cmd/spool-replay/main.go
+++ b/cmd/spool-replay/main.go
@@ -177,7 +177,7 @@
 
 func tell(w io.Writer, r *replay.Report, took time.Duration) {
 	fmt.Fprintf(w, "%d lives, %d events, %d actions; %d answers compared, %d equal, %d different; %.0f events a second\n",
-		r.Lives, r.Events, r.Actions, r.Compared, r.Equal, r.Different, float64(r.Events)/max(took.Seconds(), 1e-6))
+		r.Runs, r.Events, r.Actions, r.Compared, r.Equal, r.Different, float64(r.Events)/max(took.Seconds(), 1e-6))
 	if len(r.Gaps) > 0 {
 		fmt.Fprintf(w, "%d gaps, %d records known to be lost, %d events behind them not compared; the first: %s\n", len(r.Gaps), r.Lost, r.Skipped, r.Gaps[0])
 	}
--- a/cmd/spool-scenario/main.go
+++ b/cmd/spool-scenario/main.go
@@ -141,7 +141,7 @@
 		}
 		for _, p := range res.Replays {
 			fmt.Fprintf(w, "%-10s journal replayed: %d lives, %d events, %d actions; %d compared, %d equal, %d behind %d gaps\n", p.Router,
-				p.Report.Lives, p.Report.Events, p.Report.Actions, p.Report.Compared, p.Report.Equal, p.Report.Skipped, len(p.Report.Gaps))
+				p.Report.Runs, p.Report.Events, p.Report.Actions, p.Report.Compared, p.Report.Equal, p.Report.Skipped, len(p.Report.Gaps))
 			if d := p.Drift; d != nil {
 				fmt.Fprintf(w, "%-10s %d of %d attempts and %d fills seen on sockets, %d answers of the adapter, %d stories: %d differ\n", "",
 					d.Seen, d.Decided, d.Fills, d.Adapter, d.Explained+d.Asked, d.Different)
--- a/internal/controlplane/endpointcheck/rehearse.go
+++ b/internal/controlplane/endpointcheck/rehearse.go
@@ -108,7 +108,7 @@
 	if err := errors.Join(config.ReadVersion("old", before, nil, &oldSettings), config.ReadVersion("new", after, nil, &newSettings)); err != nil {
 		return nil, err
 	}
-	p := &rehearsalRun{options: o, oldSettings: &oldSettings, newSettings: &newSettings, result: &Rehearsal{}, usage: map[string]map[int]whatif.Spent{}, linkKB: map[string]map[int]float64{},
+	p := &rehearsalRun{options: o, oldSettings: &oldSettings, newSettings: &newSettings, result: &Rehearsal{}, usage: map[string]map[int]whatif.Usage{}, linkKB: map[string]map[int]float64{},
 		random: rand.New(rand.NewPCG(o.Seed, 0x4e4ea)), startedAt: map[string]float64{}}
 	if err := p.addRouters(before); err != nil {
 		return nil, err
@@ -128,11 +128,11 @@
 	oldSettings, newSettings *config.Settings
 	result                   *Rehearsal
 	sim                      *whatif.Sim
-	members                  *whatif.Boxes
+	members                  *whatif.CacheModels
 	zones                    []string // of the routers, by router
 	load                     *loadgen.Script
 	random                   *rand.Rand
-	usage                    map[string]map[int]whatif.Spent               // load by member and second
+	usage                    map[string]map[int]whatif.Usage               // load by member and second
 	linkKB                   map[string]map[int]float64                    // KB filled over a zone's link, by zone and second
 	startedAt                map[string]float64                            // start of new members
 	outcomes                 [3]struct{ requests, inTime, rejected int64 } // before, first and after, as in Rehearsal
@@ -142,19 +142,19 @@
 // addRouters creates the members' models and all routers with the old list.
 func (p *rehearsalRun) addRouters(before string) error {
 	s := p.oldSettings
-	options := whatif.BoxOptions{Flow: s.Fill.FlowKB, Capacity: p.options.Capacity, Sizes: s.Fill.Sizes, ParentKind: s.Fill.ParentKind, OriginKind: s.Fill.OriginKind,
-		ColdFrom: s.Rules.ColdFrom, ColdTime: s.Rules.ColdTime, Fall: s.Rules.FallFactor, FallTime: s.Rules.FallTime,
-		ParentColdFrom: s.Rules.ParentColdFrom, ParentColdTime: s.Rules.ParentColdTime, ParentFall: s.Rules.ParentFall}
+	options := whatif.CacheModelOptions{TransferRate: s.Fill.FlowKB, Capacity: p.options.Capacity, SizeIsCapacity: s.Fill.Sizes, ParentKind: s.Fill.ParentKind, OriginKind: s.Fill.OriginKind,
+		WarmUpInitialShare: s.Rules.ColdFrom, WarmUpTime: s.Rules.ColdTime, OverloadFactor: s.Rules.FallFactor, OverloadTime: s.Rules.FallTime,
+		ParentWarmUpInitialShare: s.Rules.ParentColdFrom, ParentWarmUpTime: s.Rules.ParentColdTime, ParentOverloadFactor: s.Rules.ParentFall}
 	if !s.Fill.Sizes {
 		p.result.Assumptions = append(p.result.Assumptions, fmt.Sprintf("each member has a capacity of %.0f concurrent transfers (no (fill (sizes)); see --capacity)", p.options.Capacity))
 	}
 	if s.Fill.FlowKB <= 0 {
 		p.result.Assumptions = append(p.result.Assumptions, "transfers run at 4 KB per ms (no (fill (flow n)))")
 	}
-	p.members = whatif.NewBoxes(options)
-	p.members.Second = func(id string, second int, spent *whatif.Spent) {
+	p.members = whatif.NewCacheModels(options)
+	p.members.OnUsage = func(id string, second int, spent *whatif.Usage) {
 		if p.usage[id] == nil {
-			p.usage[id] = map[int]whatif.Spent{}
+			p.usage[id] = map[int]whatif.Usage{}
 		}
 		p.usage[id][second] = *spent
 	}
@@ -179,7 +179,7 @@
 			r := p.sim.Add(local.Router.Name, core, p.members)
 			p.zones = append(p.zones, z.Name)
 			for _, ev := range core.Apply(p.sim.Now, engine.UpdateFromSettings(settings)).Events {
-				p.sim.Tell(r, ev)
+				p.sim.Handle(r, ev)
 			}
 		}
 	}
@@ -264,8 +264,8 @@
 		return 2
 	}
 	p.sim.Watch = whatif.Watcher{
-		Over: func(_ *whatif.Router, h *whatif.Held) {
-			phase := phaseOf(h.Came)
+		RequestEnded: func(_ *whatif.Router, h *whatif.RequestState) {
+			phase := phaseOf(h.ArrivedAt)
 			if phase < 0 {
 				return
 			}
@@ -273,25 +273,25 @@
 			k.requests++
 			switch h.End {
 			case whatif.Served:
-				class := p.classes[h.Q.Class]
+				class := p.classes[h.Request.Class]
 				limit := class.Aim
 				if p.oldSettings.Fill.FlowKB > 0 {
-					limit += class.AimStretch * h.Q.KB / p.oldSettings.Fill.FlowKB
+					limit += class.AimStretch * h.Request.KB / p.oldSettings.Fill.FlowKB
 				}
-				if h.Over-h.Came <= limit {
+				if h.EndedAt-h.ArrivedAt <= limit {
 					k.inTime++
 				}
-			case whatif.Refused, whatif.Failed:
+			case whatif.Rejected, whatif.Failed:
 				k.rejected++
 			}
 		},
-		Ended: func(r *whatif.Router, h *whatif.Held, t *whatif.Try) {
+		AttemptEnded: func(r *whatif.Router, h *whatif.RequestState, t *whatif.Attempt) {
 			if t.Result == spool.OK && t.Send.Source != t.Send.Cache && !t.Send.Held {
 				zone := r.Core.Settings.Router.Zone
 				if p.linkKB[zone] == nil {
 					p.linkKB[zone] = map[int]float64{}
 				}
-				p.linkKB[zone][int(p.sim.Now/1000)] += h.Q.KB
+				p.linkKB[zone][int(p.sim.Now/1000)] += h.Request.KB
 			}
 		},
 	}
@@ -321,7 +321,7 @@
 				if q.KB <= 0 {
 					q.KB = p.options.KB
 				}
-				p.sim.Tell(r, q)
+				p.sim.Handle(r, q)
 			})
 		}
 		p.sim.RunTo(startTime + session[0].Due) // keeps the queue of future requests small
@@ -354,13 +354,13 @@
 					}
 				}
 				for _, ev := range r.Core.Apply(p.sim.Now, n).Events {
-					p.sim.Tell(r, ev)
+					p.sim.Handle(r, ev)
 				}
 			}
 			own := *p.newSettings
 			own.Router = r.Core.Settings.Router
 			own.Router.Of = p.newSettings.Router.Of
-			if err := p.sim.Resettle(r, &own); err != nil {
+			if err := p.sim.ChangeSettings(r, &own); err != nil {
 				p.result.Assumptions = append(p.result.Assumptions, fmt.Sprintf("router %s kept its old settings: %v", r.Name, err))
 			}
 		})
@@ -401,7 +401,7 @@
 			if !known {
 				return 0, 1, 0
 			}
-			return s.Work, s.Capacity, s.KB
+			return s.SendMillis, s.CapacityMillis, s.KB
 		})
 		one.Role = role
 		if at, ok := p.startedAt[id]; ok {
@@ -416,7 +416,7 @@
 				coldShare, one.WarmAfter = p.oldSettings.Rules.ParentColdFrom, p.oldSettings.Rules.ParentColdTime/1000
 			}
 			one.InitialCapacity *= coldShare
-			if failedAt := p.members.Fell(id); failedAt > 0 {
+			if failedAt := p.members.FailedAt(id); failedAt > 0 {
 				one.FailedAfter = (failedAt - at) / 1000
 			}
 		}
--- a/internal/decisionlog/explain/explain.go
+++ b/internal/decisionlog/explain/explain.go
@@ -18,17 +18,17 @@
 
 // Step is one moment at which the module decided something of the request.
 type Step struct {
-	T       float64       `json:"t"`  // ms on the router's clock
-	In      float64       `json:"in"` // ms since the request came
-	Event   string        `json:"event"`
-	Looks   []Look        `json:"looks,omitempty"`
-	Actions []string      `json:"actions,omitempty"`
-	Ranges  []spool.Range `json:"ranges,omitempty"` // where they are others than at the step before
-	Waits   bool          `json:"waits,omitempty"`  // nothing was sent, and it is not over
+	T          float64       `json:"t"`  // ms on the router's clock
+	In         float64       `json:"in"` // ms since the request came
+	Event      string        `json:"event"`
+	Candidates []Candidate   `json:"looks,omitempty"`
+	Actions    []string      `json:"actions,omitempty"`
+	Ranges     []spool.Range `json:"ranges,omitempty"` // where they are others than at the step before
+	Waits      bool          `json:"waits,omitempty"`  // nothing was sent, and it is not over
 }
 
-// Look is a member that was looked at.
-type Look struct {
+// Candidate is a member that was looked at.
+type Candidate struct {
 	Member string `json:"member,omitempty"`
 	As     string `json:"as"` // cache or source
 	Pass   int    `json:"pass"`
@@ -57,8 +57,8 @@
 	spool.ReasonNoMember: "nobody is there to ask",
 }
 
-// Word is a reason in words.
-func Word(r spool.Reason) string {
+// ReasonText is a reason in words.
+func ReasonText(r spool.Reason) string {
 	if w, ok := words[r]; ok {
 		return w
 	}
@@ -84,15 +84,15 @@
 	return s, nil
 }
 
-// Ask is a request that never was.
-type Ask struct {
+// HypotheticalRequest is a request that never was.
+type HypotheticalRequest struct {
 	Class, Object string
 	Part, Group   int
 	KB            float64
 	Write         bool
-	Within        float64 // ms that its client waits; 0: as long as its class's do
+	Timeout       float64 // ms that its client waits; 0: as long as its class's do
 	At            float64 // ms on the router's clock; 0: at the journal's end
-	Instead       string  // in place of this recorded request, whose time counts
+	InPlaceOf     string  // in place of this recorded request, whose time counts
 }
 
 const askedID = "hypothetical"
@@ -100,15 +100,15 @@
 // Hypothetical tells what would be decided of a request at a time of the journal:
 // the module is told the record up to there, and then the request. What comes of
 // its attempts is not known: the story ends with the first.
-func Hypothetical(j *journal.Reader, a Ask) (*Story, error) {
+func Hypothetical(j *journal.Reader, a HypotheticalRequest) (*Story, error) {
 	s := &Story{Hypothetical: true}
 	t := &teller{s: s, id: askedID}
 	var c *engine.Core
 	last, found := 0.0, false
 	w := &replay.Watcher{
-		Life: func(next *engine.Core, l *journal.Life) { c, s.Router = next, l.Name },
+		Life: func(next *engine.Core, l *journal.RouterStart) { c, s.Router = next, l.Name },
 		Before: func(e *journal.Entry, _ *engine.Core) bool {
-			if q, ok := e.Event.(spool.Request); ok && a.Instead != "" && q.ID == a.Instead {
+			if q, ok := e.Event.(spool.Request); ok && a.InPlaceOf != "" && q.ID == a.InPlaceOf {
 				last, found = e.T, true
 				return true
 			}
@@ -126,8 +126,8 @@
 	if c == nil {
 		return nil, replay.ErrNothing
 	}
-	if a.Instead != "" && !found {
-		return nil, fmt.Errorf("%w: %s", ErrNotThere, a.Instead)
+	if a.InPlaceOf != "" && !found {
+		return nil, fmt.Errorf("%w: %s", ErrNotThere, a.InPlaceOf)
 	}
 	s.Equal = rep.Different == 0
 	known := false
@@ -141,8 +141,8 @@
 	}
 	q := spool.Request{ID: askedID, Class: a.Class, Object: a.Object, Part: a.Part, Group: a.Group, KB: a.KB, Write: a.Write}
 	e := &journal.Entry{T: max(last, a.At)}
-	if a.Within > 0 {
-		q.Deadline = e.T + a.Within
+	if a.Timeout > 0 {
+		q.Deadline = e.T + a.Timeout
 	}
 	e.Event = q
 	t.listen(c)
@@ -157,14 +157,14 @@
 	id     string
 	began  bool
 	came   float64
-	looks  []Look
+	looks  []Candidate
 	ranges []spool.Range
 	listed map[string]spool.Member
 }
 
 func (t *teller) watcher() *replay.Watcher {
 	return &replay.Watcher{
-		Life: func(c *engine.Core, l *journal.Life) {
+		Life: func(c *engine.Core, l *journal.RouterStart) {
 			if !t.began {
 				t.s.Router = l.Name
 			}
@@ -181,7 +181,7 @@
 		if l.Request != t.id {
 			return
 		}
-		one := Look{Member: l.Member, As: "cache", Pass: l.Pass, Why: Word(l.Reason), Times: 1}
+		one := Candidate{Member: l.Member, As: "cache", Pass: l.Pass, Why: ReasonText(l.Reason), Times: 1}
 		if l.AsSource {
 			one.As = "source"
 		}
@@ -236,7 +236,7 @@
 	if !t.began {
 		return
 	}
-	st := Step{T: e.T, In: e.T - t.came, Looks: t.looks}
+	st := Step{T: e.T, In: e.T - t.came, Candidates: t.looks}
 	sent := false
 	for _, a := range acts {
 		if of(a) != t.id {
@@ -258,25 +258,25 @@
 		t.s.Over = t.s.Over || mine
 	}
 	if !mine && len(st.Actions) == 0 {
-		if len(st.Looks) == 0 {
+		if len(st.Candidates) == 0 {
 			return
 		}
-		if n := len(t.s.Steps); n > 0 && t.s.Steps[n-1].Waits && sameLooks(t.s.Steps[n-1].Looks, st.Looks) {
-			for i := range t.s.Steps[n-1].Looks {
-				t.s.Steps[n-1].Looks[i].Times++
+		if n := len(t.s.Steps); n > 0 && t.s.Steps[n-1].Waits && sameLooks(t.s.Steps[n-1].Candidates, st.Candidates) {
+			for i := range t.s.Steps[n-1].Candidates {
+				t.s.Steps[n-1].Candidates[i].Times++
 			}
 			return // it still waits, for the same reasons
 		}
 	}
 	st.Event = eventText(e.Event, mine)
-	st.Waits = !sent && !t.s.Over && len(st.Looks) > 0
+	st.Waits = !sent && !t.s.Over && len(st.Candidates) > 0
 	if now := c.Ranges(); !equalRanges(now, t.ranges) {
 		st.Ranges, t.ranges = now, now
 	}
 	t.s.Steps = append(t.s.Steps, st)
 }
 
-func sameLooks(a, b []Look) bool {
+func sameLooks(a, b []Candidate) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -380,7 +380,7 @@
 	}
 	for _, st := range s.Steps {
 		fmt.Fprintf(w, "%9.1f ms  %s\n", st.In, st.Event)
-		for _, line := range lookLines(st.Looks) {
+		for _, line := range lookLines(st.Candidates) {
 			fmt.Fprintf(w, "%14s%s\n", "", line)
 		}
 		for _, a := range st.Actions {
@@ -405,12 +405,12 @@
 
 // lookLines has each member once for each reason, with the passes; those that
 // were only looked at again are left out.
-func lookLines(looks []Look) (out []string) {
+func lookLines(looks []Candidate) (out []string) {
 	type key struct{ as, member, why string }
 	at := map[key]int{}
 	for _, l := range looks {
 		k := key{l.As, l.Member, l.Why}
-		if _, told := at[k]; told || l.Why == Word(spool.ReasonAlreadyConsidered) {
+		if _, told := at[k]; told || l.Why == ReasonText(spool.ReasonAlreadyConsidered) {
 			continue
 		}
 		at[k] = len(out)
--- a/internal/decisionlog/explain/explain_test.go
+++ b/internal/decisionlog/explain/explain_test.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Life(journal.Life{Name: "r1", Seed: 1, Settings: config.Print(s)})
+	w.RouterStarted(journal.RouterStart{Name: "r1", Seed: 1, Settings: config.Print(s)})
 	c.Recorder = recorder{w}
 	h := func(now float64, ev spool.Event) []spool.Action { return c.Handle(now, ev, nil) }
 	for _, ev := range c.Apply(1, engine.UpdateFromSettings(s)).Events {
@@ -99,7 +99,7 @@
 		t.Errorf("over %v, %d steps:\n%s", s.Over, len(s.Steps), text)
 	}
 	for _, st := range s.Steps { // who is called taken is who is in the action
-		for _, l := range st.Looks {
+		for _, l := range st.Candidates {
 			if l.Why == "taken" && !strings.Contains(strings.Join(st.Actions, " "), l.Member) {
 				t.Errorf("%s is called taken, and done is %v", l.Member, st.Actions)
 			}
@@ -172,7 +172,7 @@
 			}
 		})
 	}
-	a := Ask{Class: "film", Object: "/v/new", Part: 0, KB: 10}
+	a := HypotheticalRequest{Class: "film", Object: "/v/new", Part: 0, KB: 10}
 	s, err := Hypothetical(j(), a)
 	if err != nil {
 		t.Fatal(err)
@@ -193,7 +193,7 @@
 	if !strings.Contains(svg.String(), "b1</text>") || !strings.Contains(svg.String(), "part 0 of /v/new") {
 		t.Errorf("the picture: %s", svg.String())
 	}
-	if _, err := Hypothetical(j(), Ask{Class: "none", Object: "/x"}); err == nil || !strings.Contains(err.Error(), "the router's are still, film") {
+	if _, err := Hypothetical(j(), HypotheticalRequest{Class: "none", Object: "/x"}); err == nil || !strings.Contains(err.Error(), "the router's are still, film") {
 		t.Errorf("an unknown class: %v", err)
 	}
 	if _, err := Request(j(), "nobody"); !errors.Is(err, ErrNotThere) {
--- a/internal/decisionlog/journal/fault_test.go
+++ b/internal/decisionlog/journal/fault_test.go
@@ -86,7 +86,7 @@
 			t.Run(fmt.Sprintf("%s/%v", operation, errno), func(t *testing.T) {
 				t.Parallel()
 				files, dir := &sick{operation: operation}, t.TempDir()
-				w, err := Open(dir, Options{Segment: 4096, Files: files})
+				w, err := Open(dir, Options{SegmentBytes: 4096, Files: files})
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/decisionlog/journal/format.go
+++ b/internal/decisionlog/journal/format.go
@@ -40,22 +40,22 @@
 
 // The kinds.
 const (
-	KindSegment  Kind = iota // the first of each segment
-	KindLife                 // a router has started
-	KindHandled              // the module was told an event, and answered
-	KindSettings             // it was told other settings
-	KindGap                  // so many records were lost here
+	KindSegment     Kind = iota // the first of each segment
+	KindRouterStart             // a router has started
+	KindHandled                 // the module was told an event, and answered
+	KindSettings                // it was told other settings
+	KindGap                     // so many records were lost here
 )
 
-// Life is a router's start.
-type Life struct {
-	_        struct{} `cbor:",toarray"`
-	Name     string   // the router's
-	Program  string   // version of the program
-	Wall     int64    // Unix time, ms
-	Seed     uint64
-	Number   int64  // of the version of the settings, 0: a file
-	Settings string // canonical
+// RouterStart is a router's start.
+type RouterStart struct {
+	_          struct{} `cbor:",toarray"`
+	Name       string   // the router's
+	Program    string   // version of the program
+	UnixMillis int64    // Unix time, ms
+	Seed       uint64
+	Number     int64  // of the version of the settings, 0: a file
+	Settings   string // canonical
 }
 
 // segment is what a segment begins with.
--- a/internal/decisionlog/journal/journal_test.go
+++ b/internal/decisionlog/journal/journal_test.go
@@ -93,7 +93,7 @@
 			t.Fatal(err)
 		}
 		defer os.RemoveAll(dir)
-		w, err := Open(dir, Options{Segment: 4096})
+		w, err := Open(dir, Options{SegmentBytes: 4096})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -102,8 +102,8 @@
 			e := &Entry{Kind: KindHandled, T: rapid.Float64Range(0, 1e12).Draw(t, "t"), Actions: drawActions(t)}
 			switch rapid.IntRange(0, 9).Draw(t, "kind") {
 			case 0:
-				*e = Entry{Kind: KindLife, Life: &Life{Name: "r", Seed: 1 << 63, Settings: strings.Repeat("x", 300), Wall: -1}}
-				w.Life(*e.Life)
+				*e = Entry{Kind: KindRouterStart, RouterStart: &RouterStart{Name: "r", Seed: 1 << 63, Settings: strings.Repeat("x", 300), UnixMillis: -1}}
+				w.RouterStarted(*e.RouterStart)
 			case 1:
 				e.Kind, e.Version, e.Settings = KindSettings, 7, "(router)"
 				w.Settings(e.T, 7, func() string { return "(router)" }, e.Actions)
@@ -131,8 +131,8 @@
 				t.Fatalf("record %d: %+v, want %+v", i, got, wanted)
 			}
 		}
-		if _, err := r.Next(); err != io.EOF || r.Cut() != "" {
-			t.Fatalf("after the last: %v, %s", err, r.Cut())
+		if _, err := r.Next(); err != io.EOF || r.Truncation() != "" {
+			t.Fatalf("after the last: %v, %s", err, r.Truncation())
 		}
 	})
 }
@@ -144,7 +144,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Life(Life{Name: "r", Settings: "(router)"})
+	w.RouterStarted(RouterStart{Name: "r", Settings: "(router)"})
 	for i := range records {
 		w.Handled(float64(i), spool.Request{ID: fmt.Sprint("q", i), Class: "c", Object: "/o"}, []spool.Action{spool.Send{ID: fmt.Sprint("q", i), Cache: "b"}})
 	}
@@ -194,8 +194,8 @@
 		for _, end := range ends {
 			clean = clean || cut == end
 		}
-		if (r.Cut() == "") != clean {
-			t.Fatalf("cut at %d: %q", cut, r.Cut())
+		if (r.Truncation() == "") != clean {
+			t.Fatalf("cut at %d: %q", cut, r.Truncation())
 		}
 	}
 }
@@ -216,7 +216,7 @@
 				t.Fatalf("byte %d changed: %+v", at, e)
 			}
 		}
-		if gaps == 0 && r.Cut() == "" {
+		if gaps == 0 && r.Truncation() == "" {
 			t.Fatalf("byte %d changed, and nothing is told", at)
 		}
 	}
@@ -288,7 +288,7 @@
 // does not wait: the disk's goroutine stands still all the while.
 func TestNeverBlocks(t *testing.T) {
 	dir := t.TempDir()
-	w := &Writer{dir: dir, o: Options{Segment: 1 << 20, Total: 1 << 30, Queue: 100, Warn: func(string) {}, Files: disk{}}, full: make(chan struct{}, 1),
+	w := &Writer{dir: dir, o: Options{SegmentBytes: 1 << 20, TotalBytes: 1 << 30, Queue: 100, Warn: func(string) {}, Files: disk{}}, full: make(chan struct{}, 1),
 		stop: make(chan struct{}), done: make(chan struct{})}
 	if err := w.begin(); err != nil {
 		t.Fatal(err)
@@ -314,11 +314,11 @@
 func TestBounded(t *testing.T) {
 	dir := t.TempDir()
 	for range 3 { // restarts go on behind what is there
-		w, err := Open(dir, Options{Segment: 4096, Total: 20000})
+		w, err := Open(dir, Options{SegmentBytes: 4096, TotalBytes: 20000})
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.Life(Life{Name: "r"})
+		w.RouterStarted(RouterStart{Name: "r"})
 		for i := range 2000 {
 			w.Handled(float64(i), spool.Request{ID: fmt.Sprint("request-", i)}, nil)
 		}
@@ -344,7 +344,7 @@
 			gaps++
 		}
 	}
-	if gaps != 1 || got[0].Kind == KindLife {
+	if gaps != 1 || got[0].Kind == KindRouterStart {
 		t.Errorf("%d gaps; the first record is %+v", gaps, got[0])
 	}
 }
@@ -357,7 +357,7 @@
 	}
 	dir := filepath.Join(t.TempDir(), "j")
 	said := make(chan string, 10)
-	w, err := Open(dir, Options{Segment: 4096, Warn: func(s string) { said <- s }})
+	w, err := Open(dir, Options{SegmentBytes: 4096, Warn: func(s string) { said <- s }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -399,7 +399,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.Life(Life{Name: "r", Program: "p", Wall: 7, Seed: 9, Number: 3, Settings: "(router)"})
+		w.RouterStarted(RouterStart{Name: "r", Program: "p", UnixMillis: 7, Seed: 9, Number: 3, Settings: "(router)"})
 		for _, e := range want {
 			w.Handled(e.T, e.Event, e.Actions)
 		}
@@ -407,7 +407,7 @@
 		w.Close()
 	}
 	got, _ := read(t, golden)
-	if len(got) != len(want)+2 || got[0].Life == nil || got[0].Life.Number != 3 || got[len(got)-1].Settings != "(router (me 1))" {
+	if len(got) != len(want)+2 || got[0].RouterStart == nil || got[0].RouterStart.Number != 3 || got[len(got)-1].Settings != "(router (me 1))" {
 		t.Fatalf("%+v", got)
 	}
 	for i, e := range want {
@@ -435,7 +435,7 @@
 
 // What the writer's goroutine does with a record: a request's four, in turn.
 func BenchmarkEncode(b *testing.B) {
-	w := &Writer{dir: b.TempDir(), o: Options{Segment: 1 << 40, Total: 1 << 50, Warn: func(string) {}}}
+	w := &Writer{dir: b.TempDir(), o: Options{SegmentBytes: 1 << 40, TotalBytes: 1 << 50, Warn: func(string) {}}}
 	if err := w.begin(); err != nil {
 		b.Fatal(err)
 	}
@@ -469,16 +469,16 @@
 // before, which goes on: their records are read one life after the other, with no gap.
 func TestTakeOver(t *testing.T) {
 	dir := t.TempDir()
-	old, err := Open(dir, Options{Segment: 4096})
+	old, err := Open(dir, Options{SegmentBytes: 4096})
 	if err != nil {
 		t.Fatal(err)
 	}
-	old.Life(Life{Name: "r"})
-	next, err := Open(dir, Options{Segment: 4096, Skip: true})
+	old.RouterStarted(RouterStart{Name: "r"})
+	next, err := Open(dir, Options{SegmentBytes: 4096, SkipNumbers: true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	next.Life(Life{Name: "r"})
+	next.RouterStarted(RouterStart{Name: "r"})
 	memory := &spool.Snapshot{At: 3, TotalCost: []float64{1, 2.5}, ObjectPurges: map[string]float64{"o": 2}}
 	next.Handled(3, spool.Recalled{Memory: memory}, nil)
 	for i := range 500 {
@@ -512,7 +512,7 @@
 			}
 		}
 		switch e.Kind {
-		case KindLife:
+		case KindRouterStart:
 			lives++
 		case KindGap:
 			t.Error(e.Why)
--- a/internal/decisionlog/journal/reader.go
+++ b/internal/decisionlog/journal/reader.go
@@ -21,14 +21,14 @@
 	Offset  int64  // in it
 	Number  int64  // among the records that were read
 
-	T        float64
-	Event    spool.Event // of handled
-	Actions  []spool.Action
-	Life     *Life
-	Settings string // of settings
-	Version  int64
-	Lost     uint64 // of a gap: 0 where it is not known how many
-	Why      string // of a gap
+	T           float64
+	Event       spool.Event // of handled
+	Actions     []spool.Action
+	RouterStart *RouterStart
+	Settings    string // of settings
+	Version     int64
+	Lost        uint64 // of a gap: 0 where it is not known how many
+	Why         string // of a gap
 }
 
 // Reader reads a journal, segment by segment, in bounded memory.
@@ -72,9 +72,9 @@
 	}
 }
 
-// Cut says where the last segment ends in the middle of a record, as after a
+// Truncation says where the last segment ends in the middle of a record, as after a
 // crash; empty: it ends with a whole one.
-func (r *Reader) Cut() string { return r.cut }
+func (r *Reader) Truncation() string { return r.cut }
 
 var errDamaged = errors.New("damaged")
 
@@ -126,7 +126,7 @@
 		}
 		if e != nil {
 			why := r.jump
-			if r.jump = ""; why != "" && e.Kind != KindLife {
+			if r.jump = ""; why != "" && e.Kind != KindRouterStart {
 				r.held = e
 				gap := r.entry(KindGap)
 				gap.Why = why
@@ -220,10 +220,10 @@
 		}
 		r.index = s.Index
 		return nil, nil
-	case KindLife:
-		e = r.entry(KindLife)
-		e.Life = &Life{}
-		err = dec.Unmarshal(rec.Body, e.Life)
+	case KindRouterStart:
+		e = r.entry(KindRouterStart)
+		e.RouterStart = &RouterStart{}
+		err = dec.Unmarshal(rec.Body, e.RouterStart)
 	case KindHandled:
 		var h handled
 		if err := dec.Unmarshal(rec.Body, &h); err != nil {
--- a/internal/decisionlog/journal/writer.go
+++ b/internal/decisionlog/journal/writer.go
@@ -21,12 +21,12 @@
 
 // Options bound a journal. Zero fields mean the defaults.
 type Options struct {
-	Segment int64             // bytes of a segment; default 64 MB
-	Total   int64             // bytes of all: the oldest segments go; default 2 GB
-	Queue   int               // records that wait to be written; more are lost, and counted; default 65536
-	Warn    func(text string) // for the operator
-	Skip    bool              // leave numbers free: another process still writes behind what is there
-	Files   FileSystem        // where segments are made; nil: the operating system's
+	SegmentBytes int64             // bytes of a segment; default 64 MB
+	TotalBytes   int64             // bytes of all: the oldest segments go; default 2 GB
+	Queue        int               // records that wait to be written; more are lost, and counted; default 65536
+	Warn         func(text string) // for the operator
+	SkipNumbers  bool              // leave numbers free: another process still writes behind what is there
+	Files        FileSystem        // where segments are made; nil: the operating system's
 }
 
 // FileSystem makes the file operations of a writer. Tests put one in its place that
@@ -97,7 +97,7 @@
 type item struct {
 	t     float64
 	ev    spool.Event
-	life  *Life
+	life  *RouterStart
 	other *settings
 	text  func() string // of other
 	from  int           // its actions
@@ -107,11 +107,11 @@
 // Open begins a journal in a folder, behind what is there. A disk that takes no writes
 // for now is no error: records are lost until it does.
 func Open(dir string, o Options) (*Writer, error) {
-	if o.Segment <= 0 {
-		o.Segment = 64 << 20
+	if o.SegmentBytes <= 0 {
+		o.SegmentBytes = 64 << 20
 	}
-	if o.Total <= 0 {
-		o.Total = 2 << 30
+	if o.TotalBytes <= 0 {
+		o.TotalBytes = 2 << 30
 	}
 	if o.Queue <= 0 {
 		o.Queue = 1 << 16
@@ -139,7 +139,7 @@
 	if n := len(list); n > 0 {
 		fmt.Sscanf(filepath.Base(list[n-1]), partOfName, &w.index)
 		w.index++
-		if o.Skip {
+		if o.SkipNumbers {
 			w.index = (w.index/skipped + 2) * skipped
 		}
 	}
@@ -172,8 +172,8 @@
 	return out, nil
 }
 
-// Life says that a router starts: what follows is told to a new module.
-func (w *Writer) Life(l Life) { w.put(item{life: &l}, nil) }
+// RouterStarted says that a router starts: what follows is told to a new module.
+func (w *Writer) RouterStarted(l RouterStart) { w.put(item{life: &l}, nil) }
 
 // Handled records an event and its actions. It keeps neither.
 func (w *Writer) Handled(now float64, ev spool.Event, acts []spool.Action) {
@@ -335,12 +335,12 @@
 			w.o.Warn(err.Error())
 			w.add(KindGap, uint64(1)) // with the strings that it has made known
 		}
-		if len(w.buf) >= 1<<20 || w.size+int64(len(w.buf)) >= w.o.Segment {
+		if len(w.buf) >= 1<<20 || w.size+int64(len(w.buf)) >= w.o.SegmentBytes {
 			if err := w.flush(); err != nil {
 				return written, err
 			}
 			written = i + 1
-			if w.size >= w.o.Segment {
+			if w.size >= w.o.SegmentBytes {
 				if err := w.next(); err != nil {
 					return written, err
 				}
@@ -371,7 +371,7 @@
 func (w *Writer) encode(it *item, acts []spool.Action) error {
 	w.names.begin()
 	if it.life != nil {
-		return w.add(KindLife, it.life)
+		return w.add(KindRouterStart, it.life)
 	}
 	list := make([]written, 0, it.to-it.from)
 	var ev written
@@ -444,7 +444,7 @@
 	}
 	w.f, w.size = f, int64(n)
 	w.index++
-	for len(w.old) > 0 && w.total > w.o.Total {
+	for len(w.old) > 0 && w.total > w.o.TotalBytes {
 		w.o.Files.Remove(w.old[0].path) // one that is gone already is no loss
 		w.total -= w.old[0].size
 		w.old = w.old[1:]
--- a/internal/decisionlog/replay/replay.go
+++ b/internal/decisionlog/replay/replay.go
@@ -29,7 +29,7 @@
 
 // Report is what a replay found.
 type Report struct {
-	Lives      int         `json:"lives"`
+	Runs       int         `json:"lives"`
 	Records    int64       `json:"records"`
 	Events     int64       `json:"events"`
 	Actions    int64       `json:"actions"`
@@ -51,7 +51,7 @@
 
 // Watcher sees a replay as it goes. Its functions may be nil.
 type Watcher struct {
-	Life   func(c *engine.Core, l *journal.Life)
+	Life   func(c *engine.Core, l *journal.RouterStart)
 	Before func(e *journal.Entry, c *engine.Core) (stop bool) // an event is about to be told
 	After  func(e *journal.Entry, c *engine.Core, acts []spool.Action)
 }
@@ -66,7 +66,7 @@
 		e, err := j.Next()
 		if err == io.EOF {
 			p.endLife()
-			p.rep.Cut = j.Cut()
+			p.rep.Cut = j.Truncation()
 			return p.rep, nil
 		}
 		if err != nil {
@@ -95,20 +95,20 @@
 func (p *player) take(e *journal.Entry) error {
 	p.rep.Records++
 	switch e.Kind {
-	case journal.KindLife:
+	case journal.KindRouterStart:
 		p.endLife()
-		p.rep.Lives++
+		p.rep.Runs++
 		s := &config.Settings{}
-		if err := config.Read("journal", e.Life.Settings, s); err != nil {
-			return fmt.Errorf("replay: the settings of life %d (%s at byte %d): %w", p.rep.Lives, e.Segment, e.Offset, err)
+		if err := config.Read("journal", e.RouterStart.Settings, s); err != nil {
+			return fmt.Errorf("replay: the settings of life %d (%s at byte %d): %w", p.rep.Runs, e.Segment, e.Offset, err)
 		}
-		c, err := engine.New(s, e.Life.Seed)
+		c, err := engine.New(s, e.RouterStart.Seed)
 		if err != nil {
-			return fmt.Errorf("replay: life %d: %w", p.rep.Lives, err)
+			return fmt.Errorf("replay: life %d: %w", p.rep.Runs, err)
 		}
 		p.c, p.open = c, map[string]bool{}
 		if p.w.Life != nil {
-			p.w.Life(c, e.Life)
+			p.w.Life(c, e.RouterStart)
 		}
 	case journal.KindGap:
 		p.rep.Gaps = append(p.rep.Gaps, e.Why)
--- a/internal/decisionlog/replay/replay_test.go
+++ b/internal/decisionlog/replay/replay_test.go
@@ -40,7 +40,7 @@
 // record plays some requests through a core that records them; lives says how
 // often it starts.
 func record(t testing.TB, dir string, lives, requests int, change func([]spool.Action) []spool.Action) {
-	w, err := journal.Open(dir, journal.Options{Segment: int64(max(1<<14, 64*requests)), Total: 1 << 40, Queue: 1 << 24})
+	w, err := journal.Open(dir, journal.Options{SegmentBytes: int64(max(1<<14, 64*requests)), TotalBytes: 1 << 40, Queue: 1 << 24})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.Life(journal.Life{Name: "r", Seed: 1, Settings: config.Print(s)})
+		w.RouterStarted(journal.RouterStart{Name: "r", Seed: 1, Settings: config.Print(s)})
 		c.Recorder = recorder{w, change}
 		now := float64(1000 * life)
 		for _, ev := range c.Apply(now, engine.UpdateFromSettings(s)).Events {
@@ -113,7 +113,7 @@
 	dir := t.TempDir()
 	record(t, dir, 3, 400, nil)
 	r := replayed(t, dir)
-	if !r.OK() || r.Lives != 3 || r.Equal != r.Compared || r.Compared < 1500 || r.Actions < 1200 || r.Skipped > 0 {
+	if !r.OK() || r.Runs != 3 || r.Equal != r.Compared || r.Compared < 1500 || r.Actions < 1200 || r.Skipped > 0 {
 		t.Errorf("%+v", r)
 	}
 }
@@ -155,7 +155,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Skipped == 0 || r.Different > 0 || r.Compared > 0 && r.Lives == 0 {
+	if r.Skipped == 0 || r.Different > 0 || r.Compared > 0 && r.Runs == 0 {
 		t.Errorf("%+v", r)
 	}
 }
@@ -176,7 +176,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Life(journal.Life{Name: "r", Seed: 1, Settings: config.Print(s)})
+	w.RouterStarted(journal.RouterStart{Name: "r", Seed: 1, Settings: config.Print(s)})
 	c.Recorder = recorder{w, nil}
 	for _, ev := range c.Apply(5000, engine.UpdateFromSettings(s)).Events {
 		c.Handle(5000, ev, nil)
@@ -207,14 +207,14 @@
 		t.Fatal(err)
 	}
 	for range 2 {
-		w.Life(journal.Life{Name: "r", Seed: 1, Settings: sample})
+		w.RouterStarted(journal.RouterStart{Name: "r", Seed: 1, Settings: sample})
 		w.Handled(1, spool.Request{ID: "a", Class: "still", Object: "/o"}, nil)
 		w.Handled(1, spool.Request{ID: "b", Class: "still", Object: "/o"}, []spool.Action{spool.Refuse{ID: "b"}})
 		w.Handled(1, spool.Request{ID: "c", Class: "still", Object: "/o"}, nil)
 		w.Handled(2, spool.Gone{ID: "c"}, nil)
 	}
 	w.Close()
-	if r := replayed(t, dir); r.Unfinished != 2 || r.Lives != 2 {
+	if r := replayed(t, dir); r.Unfinished != 2 || r.Runs != 2 {
 		t.Errorf("%+v", r)
 	}
 }
@@ -227,7 +227,7 @@
 		mb = n
 	}
 	dir := t.TempDir()
-	w, err := journal.Open(dir, journal.Options{Segment: 16 << 20, Total: 1 << 40, Queue: 1 << 20})
+	w, err := journal.Open(dir, journal.Options{SegmentBytes: 16 << 20, TotalBytes: 1 << 40, Queue: 1 << 20})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -235,7 +235,7 @@
 	if err := config.Read("test", sample, s); err != nil {
 		t.Fatal(err)
 	}
-	w.Life(journal.Life{Name: "r", Seed: 1, Settings: config.Print(s)})
+	w.RouterStarted(journal.RouterStart{Name: "r", Seed: 1, Settings: config.Print(s)})
 	c, err := engine.New(s, 1)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/decisionlog/whatif/boxes.go
+++ b/internal/decisionlog/whatif/boxes.go
@@ -8,56 +8,56 @@
 	"indigospool/internal/cachenode/httpcache"
 )
 
-// BoxOptions are what members can do, where the list does not say. Spans are in
+// CacheModelOptions are what members can do, where the list does not say. Spans are in
 // ms, sizes in KB, rates in KB a ms.
-type BoxOptions struct {
-	Flow     float64 // of one transfer to a client; default 4
-	FillFlow float64 // of a fill; default three times that
-	Capacity float64 // transfers at once of a member whose (size) is no capacity; default 50
-	Sizes    bool    // (size) of members is their capacity
-	Bytes    int64   // of a cache's store; default 64 GB
-	Latency  float64 // of a source before its answer; default 20
-	Look     float64 // of a miss; default 1
-
-	ColdFrom, ColdTime, Fall                   float64
-	ParentColdFrom, ParentColdTime, ParentFall float64
-	FallTime                                   float64
-	ParentKind, OriginKind                     string
-}
-
-func (o *BoxOptions) fill() {
+type CacheModelOptions struct {
+	TransferRate   float64 // of one transfer to a client; default 4
+	FillFlow       float64 // of a fill; default three times that
+	Capacity       float64 // transfers at once of a member whose (size) is no capacity; default 50
+	SizeIsCapacity bool    // (size) of members is their capacity
+	Bytes          int64   // of a cache's store; default 64 GB
+	Latency        float64 // of a source before its answer; default 20
+	Look           float64 // of a miss; default 1
+
+	WarmUpInitialShare, WarmUpTime, OverloadFactor                   float64
+	ParentWarmUpInitialShare, ParentWarmUpTime, ParentOverloadFactor float64
+	OverloadTime                                                     float64
+	ParentKind, OriginKind                                           string
+}
+
+func (o *CacheModelOptions) fill() {
 	for _, d := range []struct {
 		v *float64
 		x float64
-	}{{&o.Flow, 4}, {&o.Capacity, 50}, {&o.Latency, 20}, {&o.Look, 1}, {&o.FallTime, 3000}} {
+	}{{&o.TransferRate, 4}, {&o.Capacity, 50}, {&o.Latency, 20}, {&o.Look, 1}, {&o.OverloadTime, 3000}} {
 		if *d.v <= 0 {
 			*d.v = d.x
 		}
 	}
 	if o.FillFlow <= 0 {
-		o.FillFlow = 3 * o.Flow
+		o.FillFlow = 3 * o.TransferRate
 	}
 	if o.Bytes <= 0 {
 		o.Bytes = 64 << 30
 	}
 }
 
-// Boxes is a World of cache models (internal/cachenode/httpcache) that all routers of a run share.
+// CacheModels is a World of cache models (internal/cachenode/httpcache) that all routers of a run share.
 // A member's sending time is its load; one that is given more transfers than it has
 // places for sends each the slower. A source that has fallen over answers nothing.
-type Boxes struct {
-	o      BoxOptions
-	m      map[string]*machine
-	Second func(member string, second int, s *Spent)
+type CacheModels struct {
+	o       CacheModelOptions
+	m       map[string]*machine
+	OnUsage func(member string, second int, s *Usage)
 }
 
-// Spent is what a member was given in a second.
-type Spent struct {
-	Work     float64 // sending time, ms
-	Capacity float64 // that it had at the end of it, ms
-	Attempts int
-	Fills    int // as a source
-	KB       float64
+// Usage is what a member was given in a second.
+type Usage struct {
+	SendMillis     float64 // sending time, ms
+	CapacityMillis float64 // that it had at the end of it, ms
+	Attempts       int
+	Fills          int // as a source
+	KB             float64
 }
 
 type machine struct {
@@ -68,19 +68,19 @@
 	cap    float64
 	busy   int // transfers under way
 	second int
-	spent  Spent
+	spent  Usage
 	Fell   float64 // when it fell over; 0: it did not
 }
 
-// NewBoxes makes a World without members: they come with the news.
-func NewBoxes(o BoxOptions) *Boxes {
+// NewCacheModels makes a World without members: they come with the news.
+func NewCacheModels(o CacheModelOptions) *CacheModels {
 	o.fill()
-	return &Boxes{o: o, m: map[string]*machine{}}
+	return &CacheModels{o: o, m: map[string]*machine{}}
 }
 
 // News starts members, and has them heed purges. All routers tell it: what is
 // known already changes nothing.
-func (w *Boxes) News(now float64, ev spool.Event) {
+func (w *CacheModels) News(now float64, ev spool.Event) {
 	switch ev := ev.(type) {
 	case spool.Members:
 		for _, r := range ev.Rows {
@@ -98,16 +98,16 @@
 	}
 }
 
-func (w *Boxes) start(now float64, r spool.Member) *machine {
+func (w *CacheModels) start(now float64, r spool.Member) *machine {
 	m := &machine{id: r.ID, role: "box", listed: r, cap: w.o.Capacity, second: int(now / 1000)}
-	if w.o.Sizes && r.Size > 0 {
+	if w.o.SizeIsCapacity && r.Size > 0 {
 		m.cap = r.Size
 	}
-	s := httpcache.Settings{Name: r.ID, Bytes: w.o.Bytes, Capacity: m.cap, WarmUpInitialShare: w.o.ColdFrom, WarmUpTime: w.o.ColdTime,
-		OverloadFactor: w.o.Fall, OverloadTime: w.o.FallTime}
+	s := httpcache.Settings{Name: r.ID, Bytes: w.o.Bytes, Capacity: m.cap, WarmUpInitialShare: w.o.WarmUpInitialShare, WarmUpTime: w.o.WarmUpTime,
+		OverloadFactor: w.o.OverloadFactor, OverloadTime: w.o.OverloadTime}
 	switch {
 	case r.Kind == w.o.ParentKind && r.Kind != "":
-		m.role, s.WarmUpInitialShare, s.WarmUpTime, s.OverloadFactor = "parent", w.o.ParentColdFrom, w.o.ParentColdTime, w.o.ParentFall
+		m.role, s.WarmUpInitialShare, s.WarmUpTime, s.OverloadFactor = "parent", w.o.ParentWarmUpInitialShare, w.o.ParentWarmUpTime, w.o.ParentOverloadFactor
 	case r.Kind == w.o.OriginKind && r.Kind != "":
 		m.role = "origin"
 	}
@@ -116,16 +116,16 @@
 }
 
 // Attempt answers from the copy that is held, fills it, or misses.
-func (w *Boxes) Attempt(now float64, q *spool.Request, _ int, s *spool.Send) Answer {
+func (w *CacheModels) Attempt(now float64, q *spool.Request, _ int, s *spool.Send) Answer {
 	m := w.m[s.Cache]
 	if m == nil {
 		return Answer{Result: spool.ConnectFailed, Took: w.o.Look}
 	}
 	kb := max(q.KB, 0.001)
-	if w.load(now, m, kb/w.o.Flow, kb, false) {
+	if w.load(now, m, kb/w.o.TransferRate, kb, false) {
 		return Answer{Result: spool.Reset, Took: w.o.Look}
 	}
-	took := kb / w.o.Flow * m.crowd(now)
+	took := kb / w.o.TransferRate * m.crowd(now)
 	if m.role == "origin" || q.Write {
 		return Answer{Result: spool.OK, Begins: w.o.Latency, Took: w.o.Latency + took}
 	}
@@ -152,7 +152,7 @@
 	case src.role == "origin":
 		note = spool.NoteFilledByOrigin
 	}
-	if w.load(now, src, kb/w.o.Flow, kb, true) {
+	if w.load(now, src, kb/w.o.TransferRate, kb, true) {
 		return Answer{Result: spool.Rejected, Note: spool.NoteSourceUnreachable, Took: w.o.Look}
 	}
 	m.busy++
@@ -161,7 +161,7 @@
 }
 
 // Ended frees what an attempt took, and keeps what a fill has brought.
-func (w *Boxes) Ended(now float64, q *spool.Request, s *spool.Send, a *Answer, result spool.Result) {
+func (w *CacheModels) Ended(now float64, q *spool.Request, s *spool.Send, a *Answer, result spool.Result) {
 	if a.Result != spool.OK {
 		return
 	}
@@ -179,7 +179,7 @@
 	}
 }
 
-func (w *Boxes) keep(now float64, m *machine, q *spool.Request, rank int) {
+func (w *CacheModels) keep(now float64, m *machine, q *spool.Request, rank int) {
 	f := m.box.BeginFill(now, keyOf(q))
 	if f == nil {
 		return
@@ -201,9 +201,9 @@
 
 // load books sending time; it reports whether the member is down, having been
 // given more than it bears while it is cold.
-func (w *Boxes) load(now float64, m *machine, work, kb float64, source bool) (down bool) {
+func (w *CacheModels) load(now float64, m *machine, work, kb float64, source bool) (down bool) {
 	w.flush(now, m)
-	m.spent.Work += work
+	m.spent.SendMillis += work
 	m.spent.KB += kb
 	if m.spent.Attempts++; source {
 		m.spent.Fills++
@@ -219,25 +219,25 @@
 }
 
 // flush tells of the seconds that have passed.
-func (w *Boxes) flush(now float64, m *machine) {
+func (w *CacheModels) flush(now float64, m *machine) {
 	if sec := int(now / 1000); sec > m.second {
-		if w.Second != nil {
-			m.spent.Capacity = m.box.Capacity(float64(m.second+1)*1000) * 1000
-			w.Second(m.id, m.second, &m.spent)
+		if w.OnUsage != nil {
+			m.spent.CapacityMillis = m.box.Capacity(float64(m.second+1)*1000) * 1000
+			w.OnUsage(m.id, m.second, &m.spent)
 		}
-		m.second, m.spent = sec, Spent{}
+		m.second, m.spent = sec, Usage{}
 	}
 }
 
 // Finish tells of the last seconds.
-func (w *Boxes) Finish(now float64) {
+func (w *CacheModels) Finish(now float64) {
 	for _, m := range w.m {
 		w.flush(now+1000, m)
 	}
 }
 
-// Fell is when a member fell over; 0: it did not.
-func (w *Boxes) Fell(id string) float64 {
+// FailedAt is when a member fell over; 0: it did not.
+func (w *CacheModels) FailedAt(id string) float64 {
 	if m := w.m[id]; m != nil {
 		return m.Fell
 	}
--- a/internal/decisionlog/whatif/compare.go
+++ b/internal/decisionlog/whatif/compare.go
@@ -115,7 +115,7 @@
 			return nil, 0, err
 		}
 		switch e.Kind {
-		case journal.KindLife:
+		case journal.KindRouterStart:
 			end()
 			m = newModel()
 			models = append(models, m)
@@ -182,11 +182,11 @@
 		if err != nil {
 			return nil, err
 		}
-		if e.Kind == journal.KindLife {
+		if e.Kind == journal.KindRouterStart {
 			c.endLife()
 			if c.rep.Lives < len(models) {
 				c.rep.Lives++
-				err = c.begin(e.Life, models[c.rep.Lives-1])
+				err = c.begin(e.RouterStart, models[c.rep.Lives-1])
 			}
 		} else if e.Kind == journal.KindGap {
 			c.endLife()
@@ -208,7 +208,7 @@
 
 // pair is a request in both runs, and as it was recorded.
 type pair struct {
-	held  [2]*Held
+	held  [2]*RequestState
 	over  [2]bool
 	steps [2][]step
 	first string // recorded: cache and source of the first attempt
@@ -237,7 +237,7 @@
 	judged, firsts, ways int64
 }
 
-func (c *comparison) begin(l *journal.Life, m *Model) error {
+func (c *comparison) begin(l *journal.RouterStart, m *Model) error {
 	c.pairs, c.drop, c.aims = map[string]*pair{}, map[string]bool{}, map[string]config.Class{}
 	for _, id := range c.ch.Drop {
 		c.drop[id] = true
@@ -274,9 +274,9 @@
 		sd := &side{sim: &Sim{Explain: true}, risks: c.all[i]}
 		sd.risks.begin(s)
 		sd.sim.Watch = Watcher{
-			Sent: func(r *Router, h *Held, s *spool.Send, looks []spool.Candidate) {
+			Sent: func(r *Router, h *RequestState, s *spool.Send, looks []spool.Candidate) {
 				sd.risks.sent(sd.sim.Now, h, s)
-				if p := c.pairs[h.Q.ID]; p != nil {
+				if p := c.pairs[h.Request.ID]; p != nil {
 					p.steps[i] = append(p.steps[i], step{s.Cache, s.Source, looks})
 				}
 				load := c.load(s.Cache, i)
@@ -287,17 +287,17 @@
 					c.load(s.Source, i).Fills++
 				}
 			},
-			Waits: func(_ *Router, h *Held, looks []spool.Candidate) {
-				if p := c.pairs[h.Q.ID]; p != nil {
+			Waits: func(_ *Router, h *RequestState, looks []spool.Candidate) {
+				if p := c.pairs[h.Request.ID]; p != nil {
 					p.steps[i] = append(p.steps[i], step{looks: looks})
 				}
 			},
-			Ended: func(_ *Router, _ *Held, t *Try) {
+			AttemptEnded: func(_ *Router, _ *RequestState, t *Attempt) {
 				load := c.load(t.Send.Cache, i)
 				load.now--
 				load.BusyMs += t.Took
 			},
-			Over: func(_ *Router, h *Held) {
+			RequestEnded: func(_ *Router, h *RequestState) {
 				sd.risks.over(sd.sim.Now, h)
 				c.over(i, h)
 			},
@@ -343,7 +343,7 @@
 				return fmt.Errorf("whatif: version %d: %w", e.Version, err)
 			}
 			sd.risks.settings(s)
-			if err := sd.sim.Resettle(sd.router, s); err != nil {
+			if err := sd.sim.ChangeSettings(sd.router, s); err != nil {
 				return fmt.Errorf("whatif: version %d: %w", e.Version, err)
 			}
 		}
@@ -367,7 +367,7 @@
 			}
 			sd.sim.RunTo(e.T)
 			sd.risks.news(e.T, one)
-			sd.sim.Tell(sd.router, one)
+			sd.sim.Handle(sd.router, one)
 		}
 	case spool.Purge:
 		for _, sd := range c.sides {
@@ -394,7 +394,7 @@
 func (c *comparison) both(t float64, ev spool.Event) {
 	for _, sd := range c.sides {
 		sd.sim.RunTo(t)
-		sd.sim.Tell(sd.router, ev)
+		sd.sim.Handle(sd.router, ev)
 	}
 }
 
@@ -417,21 +417,21 @@
 }
 
 // over takes a request that is over in one run; it is compared once it is in both.
-func (c *comparison) over(i int, h *Held) {
-	p := c.pairs[h.Q.ID]
+func (c *comparison) over(i int, h *RequestState) {
+	p := c.pairs[h.Request.ID]
 	if p == nil {
 		return
 	}
 	if p.held[i], p.over[i] = h, true; !p.over[0] || !p.over[1] {
 		return
 	}
-	delete(c.pairs, h.Q.ID)
+	delete(c.pairs, h.Request.ID)
 	if p.held[0].End == Cut || p.held[1].End == Cut {
 		c.rep.Cut++
 		return
 	}
-	k := c.class(h.Q.Class)
-	aim := c.aims[h.Q.Class]
+	k := c.class(h.Request.Class)
+	aim := c.aims[h.Request.Class]
 	for i, sd := range []*Side{&k.Was, &k.Is} {
 		sd.count(p.held[i], aim, c.flow)
 	}
@@ -453,14 +453,14 @@
 		c.rep.Changed++
 		one := c.causes[[2]string{k.Class, why}]
 		if one == nil {
-			one = &Cause{Class: k.Class, Why: why, First: h.Q.ID}
+			one = &Cause{Class: k.Class, Why: why, First: h.Request.ID}
 			c.causes[[2]string{k.Class, why}] = one
 		}
 		one.Count++
 	}
 }
 
-func (s *Side) count(h *Held, k config.Class, flow float64) {
+func (s *Side) count(h *RequestState, k config.Class, flow float64) {
 	s.Requests++
 	for _, t := range h.Tries {
 		s.Attempts++
@@ -470,18 +470,18 @@
 	}
 	switch h.End {
 	case Served:
-		took := h.Over - h.Came
+		took := h.EndedAt - h.ArrivedAt
 		s.hist.RecordValue(max(int64(took*1000), 1))
 		aim := k.Aim
 		if flow > 0 {
-			aim += k.AimStretch * h.Q.KB / flow
+			aim += k.AimStretch * h.Request.KB / flow
 		}
 		if took <= aim {
 			s.InTime++
 		} else {
 			s.Late++
 		}
-	case Refused:
+	case Rejected:
 		s.Refused++
 	case Failed:
 		s.Failed++
@@ -542,11 +542,11 @@
 func reason(looks []spool.Candidate, member string) string {
 	for i := len(looks) - 1; i >= 0; i-- {
 		if l := looks[i]; l.Member == member && l.Reason != spool.ReasonAccepted && l.Reason != spool.ReasonAlreadyConsidered {
-			return explain.Word(l.Reason)
+			return explain.ReasonText(l.Reason)
 		}
 	}
 	if member == "" && len(looks) > 0 {
-		return "every member was passed over, the last " + looks[len(looks)-1].Member + ": " + explain.Word(looks[len(looks)-1].Reason)
+		return "every member was passed over, the last " + looks[len(looks)-1].Member + ": " + explain.ReasonText(looks[len(looks)-1].Reason)
 	}
 	return ""
 }
--- a/internal/decisionlog/whatif/risk.go
+++ b/internal/decisionlog/whatif/risk.go
@@ -91,8 +91,8 @@
 }
 
 // sent judges an attempt: rules 2 to 5.
-func (r *risks) sent(now float64, h *Held, s *spool.Send) {
-	k := r.kinds[h.Q.Class]
+func (r *risks) sent(now float64, h *RequestState, s *spool.Send) {
+	k := r.kinds[h.Request.Class]
 	if n := len(h.Tries) - 1; n > 0 {
 		may := -1 // the first attempt that may have run
 		for i, t := range h.Tries[:n] {
@@ -101,7 +101,7 @@
 			}
 		}
 		if may >= 0 && (k.Effect == "single-shot" || k.Effect == "guarded" && now-h.Tries[may].At > k.Window) {
-			r.found(2, "%s of class %s, attempt %d %.0f ms after one that may have run", h.Q.ID, k.Name, n, now-h.Tries[may].At)
+			r.found(2, "%s of class %s, attempt %d %.0f ms after one that may have run", h.Request.ID, k.Name, n, now-h.Tries[may].At)
 		}
 	}
 	members := []string{s.Cache, s.Source}
@@ -110,22 +110,22 @@
 	}
 	for _, id := range members {
 		if since, ok := r.out[id]; ok && now-since > r.s.Rules.DrainGrace {
-			r.found(3, "%s to %s, %.0f ms after it was told out", h.Q.ID, id, now-since)
+			r.found(3, "%s to %s, %.0f ms after it was told out", h.Request.ID, id, now-since)
 		}
 		r.warm(now, id, h, k)
 	}
-	void, told := r.voids[h.Q.Object]
-	if g, ok := r.group[h.Q.Group]; ok && (!told || g > void) {
+	void, told := r.voids[h.Request.Object]
+	if g, ok := r.group[h.Request.Group]; ok && (!told || g > void) {
 		void, told = g, true
 	}
 	if told && now-void < r.s.Rules.PurgeTakes && s.Age > now-void+1 && !k.Write {
-		r.found(5, "%s takes copies up to %.0f ms old, %.0f ms after a purge", h.Q.ID, s.Age, now-void)
+		r.found(5, "%s takes copies up to %.0f ms old, %.0f ms after a purge", h.Request.ID, s.Age, now-void)
 	}
 }
 
 // warm judges what a member is sent while it is cold, where its capacity is told:
 // this router's share of what it bears, over each span of FallTime.
-func (r *risks) warm(now float64, id string, h *Held, k config.Class) {
+func (r *risks) warm(now float64, id string, h *RequestState, k config.Class) {
 	m, ru := r.listed[id], r.s.Rules
 	from, span, factor, of := ru.ColdFrom, ru.ColdTime, ru.FallFactor, r.sharers()
 	if m.Kind == r.s.Fill.ParentKind {
@@ -135,7 +135,7 @@
 	if m.ReadyAt <= 0 || age >= span || span <= 0 || !r.s.Fill.Sizes || m.Size <= 0 || m.Kind == r.s.Fill.OriginKind || r.s.Fill.FlowKB <= 0 {
 		return
 	}
-	list := append(r.cold[id], work{now, h.Q.KB / r.s.Fill.FlowKB})
+	list := append(r.cold[id], work{now, h.Request.KB / r.s.Fill.FlowKB})
 	for len(list) > 0 && list[0].t <= now-ru.FallTime {
 		list = list[1:]
 	}
@@ -146,7 +146,7 @@
 	}
 	bears := factor * m.Size * (from + (1-from)*max(age, 0)/span) * ru.FallTime / float64(of)
 	if len(list) > 1 && sum > bears {
-		r.found(4, "%s to %s, up for %.0f ms: %.0f ms of sending in %.0f ms, its share is %.0f", h.Q.ID, id, age, sum, ru.FallTime, bears)
+		r.found(4, "%s to %s, up for %.0f ms: %.0f ms of sending in %.0f ms, its share is %.0f", h.Request.ID, id, age, sum, ru.FallTime, bears)
 	}
 }
 
@@ -161,9 +161,9 @@
 }
 
 // over judges the end of a request: rule 1.
-func (r *risks) over(now float64, h *Held) {
-	if h.End != Cut && h.End != Left && !h.begun && now > h.Q.Deadline+r.s.Limits.AnswerSlack {
-		r.found(1, "%s, %.0f ms past its deadline", h.Q.ID, now-h.Q.Deadline)
+func (r *risks) over(now float64, h *RequestState) {
+	if h.End != Cut && h.End != Left && !h.begun && now > h.Request.Deadline+r.s.Limits.AnswerSlack {
+		r.found(1, "%s, %.0f ms past its deadline", h.Request.ID, now-h.Request.Deadline)
 	}
 }
 
--- a/internal/decisionlog/whatif/sim.go
+++ b/internal/decisionlog/whatif/sim.go
@@ -43,10 +43,10 @@
 
 // Watcher sees a run as it goes. Its functions may be nil.
 type Watcher struct {
-	Sent  func(r *Router, h *Held, s *spool.Send, looks []spool.Candidate)
-	Waits func(r *Router, h *Held, looks []spool.Candidate) // nothing was sent, and it is not over
-	Ended func(r *Router, h *Held, t *Try)                  // an attempt is over
-	Over  func(r *Router, h *Held)                          // a request is over
+	Sent         func(r *Router, h *RequestState, s *spool.Send, looks []spool.Candidate)
+	Waits        func(r *Router, h *RequestState, looks []spool.Candidate) // nothing was sent, and it is not over
+	AttemptEnded func(r *Router, h *RequestState, t *Attempt)              // an attempt is over
+	RequestEnded func(r *Router, h *RequestState)                          // a request is over
 }
 
 // End says how a request ended.
@@ -54,21 +54,21 @@
 
 // The ends.
 const (
-	Open    End = iota
-	Served      // a member's answer, whole
-	Broken      // it broke off after it had begun
-	Refused     // the module turned it away
-	Failed      // the module gave it up
-	Left        // its client left
-	Cut         // the run ended first
+	Open     End = iota
+	Served       // a member's answer, whole
+	Broken       // it broke off after it had begun
+	Rejected     // the module turned it away
+	Failed       // the module gave it up
+	Left         // its client left
+	Cut          // the run ended first
 )
 
 var endWords = [...]string{"open", "served", "broken", "refused", "failed", "left", "cut"}
 
 func (e End) String() string { return endWords[e] }
 
-// Try is one attempt of a request.
-type Try struct {
+// Attempt is one attempt of a request.
+type Attempt struct {
 	Send   spool.Send
 	At     float64 // when it was made
 	Took   float64
@@ -78,16 +78,16 @@
 	answer Answer
 }
 
-// Held is a request that a router holds, or held.
-type Held struct {
-	Q     spool.Request
-	Came  float64
-	Over  float64
-	End   End
-	Tries []*Try
-	Tag   any // the watcher's
-	open  int
-	begun bool // the client has the first byte
+// RequestState is a request that a router holds, or held.
+type RequestState struct {
+	Request   spool.Request
+	ArrivedAt float64
+	EndedAt   float64
+	End       End
+	Tries     []*Attempt
+	Tag       any // the watcher's
+	open      int
+	begun     bool // the client has the first byte
 }
 
 // Router is one router of a Sim.
@@ -95,7 +95,7 @@
 	Core  *engine.Core
 	Name  string
 	World World
-	held  map[string]*Held
+	held  map[string]*RequestState
 	looks []spool.Candidate
 	acts  []spool.Action
 }
@@ -113,7 +113,7 @@
 
 // Add puts a router into the run.
 func (s *Sim) Add(name string, c *engine.Core, w World) *Router {
-	r := &Router{Core: c, Name: name, World: w, held: map[string]*Held{}}
+	r := &Router{Core: c, Name: name, World: w, held: map[string]*RequestState{}}
 	s.routers = append(s.routers, r)
 	if s.Explain {
 		c.Explain(func(l spool.Candidate) { r.looks = append(r.looks, l) })
@@ -164,23 +164,23 @@
 		if m.f != nil {
 			m.f()
 		} else {
-			s.Tell(m.r, m.ev)
+			s.Handle(m.r, m.ev)
 		}
 	}
 	s.Now = max(s.Now, t)
 }
 
-// Tell tells a router's module an event, now, and does what it wants done.
-func (s *Sim) Tell(r *Router, ev spool.Event) {
+// Handle tells a router's module an event, now, and does what it wants done.
+func (s *Sim) Handle(r *Router, ev spool.Event) {
 	s.Events++
 	switch ev := ev.(type) {
 	case spool.Request:
 		if r.held[ev.ID] != nil {
 			return
 		}
-		h := &Held{Q: ev, Came: s.Now}
+		h := &RequestState{Request: ev, ArrivedAt: s.Now}
 		if ev.Deadline <= 0 {
-			h.Q.Deadline = s.Now + r.deadline(ev.Class)
+			h.Request.Deadline = s.Now + r.deadline(ev.Class)
 		}
 		r.held[ev.ID] = h
 	case spool.Gone:
@@ -204,8 +204,8 @@
 	}
 }
 
-// Resettle has a router go by other settings.
-func (s *Sim) Resettle(r *Router, set *config.Settings) error {
+// ChangeSettings has a router go by other settings.
+func (s *Sim) ChangeSettings(r *Router, set *config.Settings) error {
 	acts, err := r.Core.ChangeSettings(s.Now, set, nil)
 	if err == nil {
 		s.carryOut(r, acts)
@@ -238,7 +238,7 @@
 		case spool.Send:
 			s.send(r, a)
 		case spool.Refuse:
-			s.final(r, a.ID, Refused)
+			s.final(r, a.ID, Rejected)
 		case spool.Fail:
 			s.final(r, a.ID, Failed)
 		case spool.Cancel:
@@ -262,7 +262,7 @@
 	if h == nil {
 		return
 	}
-	t := &Try{Send: a, At: s.Now}
+	t := &Attempt{Send: a, At: s.Now}
 	n := len(h.Tries)
 	h.Tries = append(h.Tries, t)
 	h.open++
@@ -273,8 +273,8 @@
 		s.At(s.Now, func() { s.end(r, h, n, spool.NotSent, spool.NoteNone) })
 		return
 	}
-	t.answer = r.World.Attempt(s.Now, &h.Q, n, &t.Send)
-	left := h.Q.Deadline - s.Now
+	t.answer = r.World.Attempt(s.Now, &h.Request, n, &t.Send)
+	left := h.Request.Deadline - s.Now
 	if a.Timeout > 0 {
 		left = min(left, a.Timeout)
 	}
@@ -289,17 +289,17 @@
 }
 
 // begin is the first byte of an answer: it is the client's, the first to come wins.
-func (s *Sim) begin(r *Router, h *Held, n int) {
+func (s *Sim) begin(r *Router, h *RequestState, n int) {
 	t := h.Tries[n]
 	if t.Done || h.End != Open || h.begun {
 		return
 	}
 	t.begun, h.begun = true, true
-	s.Tell(r, spool.Started{ID: h.Q.ID, Cache: t.Send.Cache, Attempt: n})
+	s.Handle(r, spool.Started{ID: h.Request.ID, Cache: t.Send.Cache, Attempt: n})
 }
 
 // end ends an attempt, and tells the module.
-func (s *Sim) end(r *Router, h *Held, n int, result spool.Result, note spool.Note) {
+func (s *Sim) end(r *Router, h *RequestState, n int, result spool.Result, note spool.Note) {
 	t := h.Tries[n]
 	if t.Done {
 		return
@@ -309,9 +309,9 @@
 	}
 	t.Done, t.Result, t.Took = true, result, s.Now-t.At
 	h.open--
-	r.World.Ended(s.Now, &h.Q, &t.Send, &t.answer, result)
-	if s.Watch.Ended != nil {
-		s.Watch.Ended(r, h, t)
+	r.World.Ended(s.Now, &h.Request, &t.Send, &t.answer, result)
+	if s.Watch.AttemptEnded != nil {
+		s.Watch.AttemptEnded(r, h, t)
 	}
 	last := h.End != Open
 	if h.End == Open && t.begun {
@@ -322,9 +322,9 @@
 		last = true
 		s.over(r, h, end)
 	}
-	ev := spool.Outcome{ID: h.Q.ID, Cache: t.Send.Cache, Attempt: n, Result: result, Took: t.Took, Last: last,
+	ev := spool.Outcome{ID: h.Request.ID, Cache: t.Send.Cache, Attempt: n, Result: result, Took: t.Took, Last: last,
 		Note: note, Load: t.answer.Load}
-	s.At(s.Now, func() { s.Tell(r, ev) }) // after what is being carried out
+	s.At(s.Now, func() { s.Handle(r, ev) }) // after what is being carried out
 	s.release(r, h)
 }
 
@@ -334,20 +334,20 @@
 	}
 }
 
-func (s *Sim) over(r *Router, h *Held, e End) {
+func (s *Sim) over(r *Router, h *RequestState, e End) {
 	if h.End != Open {
 		return
 	}
-	h.End, h.Over = e, s.Now
-	if s.Watch.Over != nil {
-		s.Watch.Over(r, h)
+	h.End, h.EndedAt = e, s.Now
+	if s.Watch.RequestEnded != nil {
+		s.Watch.RequestEnded(r, h)
 	}
 	s.release(r, h)
 }
 
-func (s *Sim) release(r *Router, h *Held) {
+func (s *Sim) release(r *Router, h *RequestState) {
 	if h.End != Open && h.open == 0 {
-		delete(r.held, h.Q.ID)
+		delete(r.held, h.Request.ID)
 	}
 }
 
--- a/internal/decisionlog/whatif/whatif_test.go
+++ b/internal/decisionlog/whatif/whatif_test.go
@@ -34,11 +34,11 @@
 	return s
 }
 
-func options(s *config.Settings) BoxOptions {
-	return BoxOptions{Flow: s.Fill.FlowKB, Sizes: s.Fill.Sizes, ParentKind: "parent", OriginKind: "origin",
-		ColdFrom: s.Rules.ColdFrom, ColdTime: s.Rules.ColdTime, Fall: s.Rules.FallFactor,
-		ParentColdFrom: s.Rules.ParentColdFrom, ParentColdTime: s.Rules.ParentColdTime, ParentFall: s.Rules.ParentFall,
-		FallTime: s.Rules.FallTime}
+func options(s *config.Settings) CacheModelOptions {
+	return CacheModelOptions{TransferRate: s.Fill.FlowKB, SizeIsCapacity: s.Fill.Sizes, ParentKind: "parent", OriginKind: "origin",
+		WarmUpInitialShare: s.Rules.ColdFrom, WarmUpTime: s.Rules.ColdTime, OverloadFactor: s.Rules.FallFactor,
+		ParentWarmUpInitialShare: s.Rules.ParentColdFrom, ParentWarmUpTime: s.Rules.ParentColdTime, ParentOverloadFactor: s.Rules.ParentFall,
+		OverloadTime: s.Rules.FallTime}
 }
 
 type recorder struct{ w *journal.Writer }
@@ -64,13 +64,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Life(journal.Life{Name: "r", Seed: 1, Settings: config.Print(s)})
+	w.RouterStarted(journal.RouterStart{Name: "r", Seed: 1, Settings: config.Print(s)})
 	c.Recorder = recorder{w}
 	sim := &Sim{Now: 1000}
-	r := sim.Add("r", c, NewBoxes(options(s)))
+	r := sim.Add("r", c, NewCacheModels(options(s)))
 	news := func(n *engine.Update) {
 		for _, ev := range c.Apply(sim.Now, n).Events {
-			sim.Tell(r, ev)
+			sim.Handle(r, ev)
 		}
 	}
 	news(engine.UpdateFromSettings(s))
@@ -85,15 +85,15 @@
 		if i%20 == 7 {
 			q.Class, q.Object, q.Group, q.Write = "order", fmt.Sprint("/o/", i), -1, true
 		}
-		sim.Tell(r, q)
+		sim.Handle(r, q)
 		switch i {
 		case requests / 3:
 			news(engine.UpdateFromVersion(1, s.Members[2:3], true)) // b3 comes back empty
 		case requests / 2:
 			news(&engine.Update{Rev: 1, Kind: "step", Members: []engine.Row{{ID: "p2", Kind: "parent", Zone: "h", State: "draining", Size: 20}}})
 		case requests * 2 / 3:
-			sim.Tell(r, spool.Purge{Object: "/s/0/o0"})
-			sim.Tell(r, spool.Purge{Group: 1})
+			sim.Handle(r, spool.Purge{Object: "/s/0/o0"})
+			sim.Handle(r, spool.Purge{Group: 1})
 		}
 	}
 	sim.RunTo(sim.Now + 5000)
@@ -212,49 +212,49 @@
 		rule int
 		do   func(r *risks)
 	}{
-		{"late", 1, func(r *risks) { r.over(1100, &Held{Q: still, End: Refused}) }},
-		{"in time", 0, func(r *risks) { r.over(990, &Held{Q: still, End: Refused}) }},
-		{"a body that runs on", 0, func(r *risks) { r.over(1100, &Held{Q: still, End: Served, begun: true}) }},
+		{"late", 1, func(r *risks) { r.over(1100, &RequestState{Request: still, End: Rejected}) }},
+		{"in time", 0, func(r *risks) { r.over(990, &RequestState{Request: still, End: Rejected}) }},
+		{"a body that runs on", 0, func(r *risks) { r.over(1100, &RequestState{Request: still, End: Served, begun: true}) }},
 		{"a write again", 2, func(r *risks) {
-			r.sent(500, &Held{Q: order, Tries: []*Try{{At: 1, Done: true, Result: spool.TimedOut}, {At: 500}}}, &spool.Send{ID: "w", Cache: "o", Source: "o"})
+			r.sent(500, &RequestState{Request: order, Tries: []*Attempt{{At: 1, Done: true, Result: spool.TimedOut}, {At: 500}}}, &spool.Send{ID: "w", Cache: "o", Source: "o"})
 		}},
 		{"a write that never ran", 0, func(r *risks) {
-			r.sent(500, &Held{Q: order, Tries: []*Try{{At: 1, Done: true, Result: spool.ConnectFailed}, {At: 500}}}, &spool.Send{ID: "w", Cache: "o", Source: "o"})
+			r.sent(500, &RequestState{Request: order, Tries: []*Attempt{{At: 1, Done: true, Result: spool.ConnectFailed}, {At: 500}}}, &spool.Send{ID: "w", Cache: "o", Source: "o"})
 		}},
 		{"to one that drains", 3, func(r *risks) {
 			r.news(1000, row("b1", "box", spool.Draining, 0))
-			r.sent(1600, &Held{Q: still, Tries: []*Try{{}}}, &look)
+			r.sent(1600, &RequestState{Request: still, Tries: []*Attempt{{}}}, &look)
 		}},
 		{"within the grace", 0, func(r *risks) {
 			r.news(1000, row("b1", "box", spool.Draining, 0))
-			r.sent(1400, &Held{Q: still, Tries: []*Try{{}}}, &look)
+			r.sent(1400, &RequestState{Request: still, Tries: []*Attempt{{}}}, &look)
 		}},
 		{"from one that is gone", 3, func(r *risks) {
 			r.news(900, row("p1", "parent", spool.Serving, 0))
 			r.news(1000, spool.Members{Full: true})
-			r.sent(1600, &Held{Q: still, Tries: []*Try{{}}}, &spool.Send{ID: "q", Cache: "b2", Source: "p1", Keep: 1, Age: 1e9})
+			r.sent(1600, &RequestState{Request: still, Tries: []*Attempt{{}}}, &spool.Send{ID: "q", Cache: "b2", Source: "p1", Keep: 1, Age: 1e9})
 		}},
 		{"a cold one", 4, func(r *risks) {
 			r.news(1000, row("b1", "box", spool.Serving, 1000))
 			for i := range 4000 {
-				r.sent(1000+float64(i)/4, &Held{Q: still, Tries: []*Try{{}}}, &look)
+				r.sent(1000+float64(i)/4, &RequestState{Request: still, Tries: []*Attempt{{}}}, &look)
 			}
 		}},
 		{"a cold one, a little", 0, func(r *risks) {
 			r.news(1000, row("b1", "box", spool.Serving, 1000))
 			for i := range 10 {
-				r.sent(1000+float64(100*i), &Held{Q: still, Tries: []*Try{{}}}, &look)
+				r.sent(1000+float64(100*i), &RequestState{Request: still, Tries: []*Attempt{{}}}, &look)
 			}
 		}},
 		{"any age after a purge", 5, func(r *risks) {
 			r.news(1000, spool.Purge{Group: 1})
-			r.sent(1500, &Held{Q: still, Tries: []*Try{{}}}, &look)
+			r.sent(1500, &RequestState{Request: still, Tries: []*Attempt{{}}}, &look)
 		}},
 		{"young enough", 0, func(r *risks) {
 			r.news(1000, spool.Purge{Object: "/s/1/a"})
 			young := look
 			young.Age = 499
-			r.sent(1500, &Held{Q: still, Tries: []*Try{{}}}, &young)
+			r.sent(1500, &RequestState{Request: still, Tries: []*Attempt{{}}}, &young)
 		}},
 	} {
 		r := newRisks()
@@ -293,13 +293,13 @@
 		ends, came := map[string]int{}, 0
 		ri := newRisks()
 		ri.begin(s)
-		sim.Watch.Sent = func(_ *Router, h *Held, a *spool.Send, _ []spool.Candidate) { ri.sent(sim.Now, h, a) }
-		sim.Watch.Over = func(_ *Router, h *Held) { ends[h.Q.ID]++; ri.over(sim.Now, h) }
+		sim.Watch.Sent = func(_ *Router, h *RequestState, a *spool.Send, _ []spool.Candidate) { ri.sent(sim.Now, h, a) }
+		sim.Watch.RequestEnded = func(_ *Router, h *RequestState) { ends[h.Request.ID]++; ri.over(sim.Now, h) }
 		r := sim.Add("r", c, wild{t})
 		tell := func(n *engine.Update) {
 			for _, ev := range c.Apply(sim.Now, n).Events {
 				ri.news(sim.Now, ev)
-				sim.Tell(r, ev)
+				sim.Handle(r, ev)
 			}
 		}
 		tell(engine.UpdateFromSettings(s))
@@ -313,12 +313,12 @@
 			case 1:
 				ev := spool.Purge{Group: rapid.IntRange(0, 2).Draw(t, "purged")}
 				ri.news(sim.Now, ev)
-				sim.Tell(r, ev)
+				sim.Handle(r, ev)
 			case 2:
-				sim.Tell(r, spool.Gone{ID: fmt.Sprint("q", rapid.IntRange(0, i).Draw(t, "gone"))})
+				sim.Handle(r, spool.Gone{ID: fmt.Sprint("q", rapid.IntRange(0, i).Draw(t, "gone"))})
 			default:
 				class := rapid.SampledFrom([]string{"still", "film", "order"}).Draw(t, "class")
-				sim.Tell(r, spool.Request{ID: fmt.Sprint("q", i), Class: class, Object: fmt.Sprint("/x/", rapid.IntRange(0, 3).Draw(t, "object")),
+				sim.Handle(r, spool.Request{ID: fmt.Sprint("q", i), Class: class, Object: fmt.Sprint("/x/", rapid.IntRange(0, 3).Draw(t, "object")),
 					Group: rapid.IntRange(0, 2).Draw(t, "group"), Part: rapid.IntRange(0, 5).Draw(t, "part"), Write: class == "order", KB: 50})
 				came++
 			}
@@ -344,11 +344,11 @@
 // from then on; a warm one only gets slower.
 func TestBoxesFall(t *testing.T) {
 	s := read(t, settings)
-	w := NewBoxes(options(s))
+	w := NewCacheModels(options(s))
 	var seconds float64
-	w.Second = func(id string, _ int, sp *Spent) {
+	w.OnUsage = func(id string, _ int, sp *Usage) {
 		if id == "p1" {
-			seconds += sp.Work
+			seconds += sp.SendMillis
 		}
 	}
 	w.News(1000, spool.Members{Rows: []spool.Member{{ID: "b1", Zone: "z", Kind: "box", Size: 10}, {ID: "p1", Kind: "parent", Size: 1, ReadyAt: 1000}, {ID: "p2", Kind: "parent", Size: 1}}})
@@ -371,8 +371,8 @@
 			t.Fatal("a warm one fell")
 		}
 	}
-	if w.Finish(5000); fell == 0 || fell > 38 || w.Fell("p1") == 0 || w.Fell("p2") > 0 || seconds < 300 {
-		t.Errorf("%d refused, fell at %v and %v, %v ms of sending", fell, w.Fell("p1"), w.Fell("p2"), seconds)
+	if w.Finish(5000); fell == 0 || fell > 38 || w.FailedAt("p1") == 0 || w.FailedAt("p2") > 0 || seconds < 300 {
+		t.Errorf("%d refused, fell at %v and %v, %v ms of sending", fell, w.FailedAt("p1"), w.FailedAt("p2"), seconds)
 	}
 	if a := take(9000, 100, "p2"); a.Note != spool.NoteHit { // it was filled before
 		if a = take(9000, 102, "p2"); a.Note != spool.NoteHit {
--- a/internal/proxy/httpfront/edge.go
+++ b/internal/proxy/httpfront/edge.go
@@ -143,12 +143,12 @@
 	if router.Journal == "" {
 		return nil
 	}
-	writer, err := journal.Open(router.Journal, journal.Options{Segment: int64(router.JournalPart), Total: int64(router.JournalTotal),
-		Queue: router.JournalQueue, Skip: e.inherited != nil, Warn: func(text string) { e.log.Log.Warn(text) }})
+	writer, err := journal.Open(router.Journal, journal.Options{SegmentBytes: int64(router.JournalPart), TotalBytes: int64(router.JournalTotal),
+		Queue: router.JournalQueue, SkipNumbers: e.inherited != nil, Warn: func(text string) { e.log.Log.Warn(text) }})
 	if err != nil {
 		return err
 	}
-	writer.Life(journal.Life{Name: e.name, Program: cli.Version(), Wall: wallclock.Now().UnixMilli(), Seed: uint64(router.Seed), Settings: config.Print(e.settings)})
+	writer.RouterStarted(journal.RouterStart{Name: e.name, Program: cli.Version(), UnixMillis: wallclock.Now().UnixMilli(), Seed: uint64(router.Seed), Settings: config.Print(e.settings)})
 	e.journal, e.core.Recorder = writer, recorder{e}
 	return nil
 }
--- a/internal/proxy/httpfront/handover_test.go
+++ b/internal/proxy/httpfront/handover_test.go
@@ -187,7 +187,7 @@
 	}
 	defer reader.Close()
 	report, err := replay.Run(reader, nil)
-	if err != nil || !report.OK() || report.Lives != 11 || len(report.Gaps) > 0 {
+	if err != nil || !report.OK() || report.Runs != 11 || len(report.Gaps) > 0 {
 		t.Errorf("journal of all routers: %v %+v %+v", err, report, report.First)
 	}
 }
--- a/internal/testbed/compat/compat_test.go
+++ b/internal/testbed/compat/compat_test.go
@@ -249,16 +249,16 @@
 		}
 		got.Entries++
 		switch entry.Kind {
-		case journal.KindLife:
-			got.Seed, got.Settings = entry.Life.Seed, entry.Life.Settings
+		case journal.KindRouterStart:
+			got.Seed, got.Settings = entry.RouterStart.Seed, entry.RouterStart.Settings
 		case journal.KindHandled:
 			got.add(entry)
 		default:
 			t.Errorf("a record of kind %v: %s", entry.Kind, entry.Why)
 		}
 	}
-	if reader.Cut() != "" {
-		t.Errorf("it is cut: %s", reader.Cut())
+	if reader.Truncation() != "" {
+		t.Errorf("it is cut: %s", reader.Truncation())
 	}
 	if got != want.Journal {
 		t.Errorf("got  %+v\nwant %+v", got, want.Journal)
--- a/internal/testbed/differential/drift.go
+++ b/internal/testbed/differential/drift.go
@@ -272,9 +272,9 @@
 		switch e.Kind {
 		case journal.KindGap, journal.KindSettings: // the wire can't say that settings change
 			wired = false
-		case journal.KindLife:
+		case journal.KindRouterStart:
 			s := &config.Settings{}
-			if err := config.Read("journal", e.Life.Settings, s); err != nil {
+			if err := config.Read("journal", e.RouterStart.Settings, s); err != nil {
 				return fmt.Errorf("drift: %w", err)
 			}
 			m, err := engine.ModuleSettings(s)
@@ -284,7 +284,7 @@
 			inst++
 			wired = true
 			want = append(want, nil)
-			if err := b.born(clock, inst, &m, e.Life.Seed); err != nil {
+			if err := b.born(clock, inst, &m, e.RouterStart.Seed); err != nil {
 				return err
 			}
 		case journal.KindHandled:
@@ -354,7 +354,7 @@
 		for _, st := range s.Steps {
 			for _, text := range st.Actions {
 				if n < len(told.tries[one.q.ID]) && text == explain.ActionText(told.tries[one.q.ID][n].send) {
-					r.taken(one.q.ID, n, &told.tries[one.q.ID][n].send, st.Looks)
+					r.taken(one.q.ID, n, &told.tries[one.q.ID][n].send, st.Candidates)
 					n++
 				}
 			}
@@ -370,10 +370,10 @@
 }
 
 // taken compares what a story says was taken with what was sent.
-func (r *Report) taken(id string, n int, s *spool.Send, looks []explain.Look) {
+func (r *Report) taken(id string, n int, s *spool.Send, looks []explain.Candidate) {
 	cache, source := "", ""
 	for _, l := range looks {
-		if l.Why == explain.Word(spool.ReasonAccepted) {
+		if l.Why == explain.ReasonText(spool.ReasonAccepted) {
 			if l.As == "source" {
 				source = l.Member
 			} else {
@@ -396,8 +396,8 @@
 		return err
 	}
 	defer j.Close()
-	s, err := explain.Hypothetical(j, explain.Ask{Class: one.q.Class, Object: one.q.Object, Part: one.q.Part, Group: one.q.Group,
-		KB: one.q.KB, Write: one.q.Write, Instead: one.q.ID, Within: one.q.Deadline - one.t})
+	s, err := explain.Hypothetical(j, explain.HypotheticalRequest{Class: one.q.Class, Object: one.q.Object, Part: one.q.Part, Group: one.q.Group,
+		KB: one.q.KB, Write: one.q.Write, InPlaceOf: one.q.ID, Timeout: one.q.Deadline - one.t})
 	if err != nil {
 		r.differ("explain: as if %s had never been: %v", one.q.ID, err)
 		return nil
--- a/internal/testbed/loadgen/record.go
+++ b/internal/testbed/loadgen/record.go
@@ -110,8 +110,8 @@
 		}
 		text := ""
 		switch e.Kind {
-		case journal.KindLife:
-			text = e.Life.Settings
+		case journal.KindRouterStart:
+			text = e.RouterStart.Settings
 		case journal.KindSettings:
 			text = e.Settings
 		case journal.KindGap:
--- a/internal/testbed/loadgen/record_test.go
+++ b/internal/testbed/loadgen/record_test.go
@@ -51,7 +51,7 @@
 	if err := config.Read("t", routes, s); err != nil {
 		t.Fatal(err)
 	}
-	w.Life(journal.Life{Name: "r", Seed: 1, Settings: config.Print(s)})
+	w.RouterStarted(journal.RouterStart{Name: "r", Seed: 1, Settings: config.Print(s)})
 	for i := range q {
 		q[i].ID = fmt.Sprint(i)
 		w.Handled(at[i], q[i], nil)
