--- a/cmd/spool-explain/main.go
+++ b/cmd/spool-explain/main.go
@@ -53,7 +53,7 @@
 					return err
 				}
 			}
-			return cli.Tell(asJSON, s, s.Text)
+			return cli.PrintResult(asJSON, s, s.Text)
 		}}
 	f := root.Flags()
 	f.StringVar(&id, "id", "", "id of a recorded request")
--- a/cmd/spool-fleet/main.go
+++ b/cmd/spool-fleet/main.go
@@ -56,7 +56,7 @@
 			if err != nil {
 				return err
 			}
-			if err := cli.Tell(asJSON, report, func(w io.Writer) {
+			if err := cli.PrintResult(asJSON, report, func(w io.Writer) {
 				report.Text(w)
 				if len(report.Reasons) == 0 {
 					fmt.Fprintf(w, "%s: passes the checks\n", args[0])
--- a/cmd/spool-load/main.go
+++ b/cmd/spool-load/main.go
@@ -53,7 +53,7 @@
 					return err
 				}
 			}
-			return cli.Tell(asJSON, r, r.Text)
+			return cli.PrintResult(asJSON, r, r.Text)
 		}}
 	f := root.Flags()
 	f.StringSliceVar(&targets, "targets", nil, "routers, instead of the file's")
--- a/cmd/spool-replay/main.go
+++ b/cmd/spool-replay/main.go
@@ -89,7 +89,7 @@
 	if err != nil {
 		return &cli.FoundError{Err: err}
 	}
-	if err := cli.Tell(f.asJSON, r, func(w io.Writer) { tell(w, r, time.Since(began)) }); err != nil {
+	if err := cli.PrintResult(f.asJSON, r, func(w io.Writer) { tell(w, r, time.Since(began)) }); err != nil {
 		return err
 	}
 	if r.Compared == 0 {
@@ -122,7 +122,7 @@
 	if err != nil {
 		return err
 	}
-	if err := cli.Tell(f.asJSON, r, func(w io.Writer) {
+	if err := cli.PrintResult(f.asJSON, r, func(w io.Writer) {
 		r.Text(w)
 		fmt.Fprintf(w, "%d events decided in %.1f s\n", r.Events(), time.Since(began).Seconds())
 	}); err != nil {
@@ -164,7 +164,7 @@
 			return err
 		}
 	}
-	if err := cli.Tell(f.asJSON, r, r.Text); err != nil {
+	if err := cli.PrintResult(f.asJSON, r, r.Text); err != nil {
 		return err
 	}
 	for _, k := range r.Classes {
--- a/cmd/spool-router/main.go
+++ b/cmd/spool-router/main.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	cli.Steady(s.Limits.MemoryMB)
+	cli.TuneGC(s.Limits.MemoryMB)
 	log, err := httpfront.NewAccessLog(s)
 	if err != nil {
 		return err
--- a/cmd/spool-router/node.go
+++ b/cmd/spool-router/node.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	cli.Steady(cfg.Limits.MemoryMB)
+	cli.TuneGC(cfg.Limits.MemoryMB)
 	level := zapcore.InfoLevel
 	if verbose {
 		level = zapcore.DebugLevel
--- a/cmd/spool-scenario/main.go
+++ b/cmd/spool-scenario/main.go
@@ -20,7 +20,7 @@
 	if is, err := scenario.Child(os.Args); is {
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
-			os.Exit(cli.Usage)
+			os.Exit(cli.ExitUsage)
 		}
 		return
 	}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -22,9 +22,9 @@
 
 // Exit codes of all programs.
 const (
-	Good  = 0
-	Found = 1 // the program did its work, and found something wrong
-	Usage = 2 // it was called wrongly, or could not do its work
+	ExitOK    = 0
+	ExitFound = 1 // the program did its work, and found something wrong
+	ExitUsage = 2 // it was called wrongly, or could not do its work
 )
 
 // ErrFound ends a program with Found; what was found has been printed.
@@ -54,10 +54,10 @@
 // codeMB is what of a program's resident memory is no heap: its code and its tables.
 const codeMB = 16
 
-// Steady has the garbage collector run less often than Go's default, for
+// TuneGC has the garbage collector run less often than Go's default, for
 // programs whose heap is small and whose loop should not share its time; GOGC
 // in the environment goes before it. Near the memory budget it runs more often.
-func Steady(memoryMB float64) {
+func TuneGC(memoryMB float64) {
 	if os.Getenv("GOMEMLIMIT") == "" && memoryMB > 0 {
 		debug.SetMemoryLimit(int64((memoryMB - min(codeMB, memoryMB/4)) * (1 << 20)))
 	}
@@ -66,8 +66,8 @@
 	}
 }
 
-// Tell prints a result on standard output: as JSON, or by its text.
-func Tell(asJSON bool, v any, text func(io.Writer)) error {
+// PrintResult prints a result on standard output: as JSON, or by its text.
+func PrintResult(asJSON bool, v any, text func(io.Writer)) error {
 	if !asJSON {
 		text(printable{os.Stdout})
 		return nil
@@ -107,13 +107,13 @@
 	var found *FoundError
 	switch {
 	case err == nil:
-		os.Exit(Good)
+		os.Exit(ExitOK)
 	case errors.Is(err, ErrFound):
-		os.Exit(Found)
+		os.Exit(ExitFound)
 	case errors.As(err, &found):
 		fmt.Fprintln(printable{os.Stderr}, err)
-		os.Exit(Found)
+		os.Exit(ExitFound)
 	}
 	fmt.Fprintf(printable{os.Stderr}, "%s: %v\n", root.Name(), err)
-	os.Exit(Usage)
+	os.Exit(ExitUsage)
 }
--- a/internal/cli/programs_test.go
+++ b/internal/cli/programs_test.go
@@ -63,7 +63,7 @@
 		if out, code := run(name, "completion", "bash"); code != 0 || !strings.Contains(out, "__start_"+name) {
 			t.Errorf("%s completion bash: %d, %.60q", name, code, out)
 		}
-		if out, code := run(name, "--no-such-flag"); code != Usage || !strings.Contains(out, "no-such-flag") {
+		if out, code := run(name, "--no-such-flag"); code != ExitUsage || !strings.Contains(out, "no-such-flag") {
 			t.Errorf("%s --no-such-flag: %d, %q", name, code, out)
 		}
 		help(name)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -28,8 +28,8 @@
 	if err := Read("a.edn", good, &s); err != nil {
 		t.Fatal(err)
 	}
-	if s.Router.Name != "e1" || s.Classes[0].Deadline != 3000.5 || !s.Classes[1].Parts ||
-		s.Limits.Connect != 500 || s.Rules.DrainGrace != 500 || len(s.Routes[1].Methods) != 2 || s.Members[0].Kind != "box" {
+	if s.Router.Name != "e1" || s.Classes[0].Deadline != 3000.5 || !s.Classes[1].InParts ||
+		s.Limits.ConnectTimeout != 500 || s.Rules.DrainGrace != 500 || len(s.Routes[1].Methods) != 2 || s.Members[0].Kind != "box" {
 		t.Fatalf("read as %+v", s)
 	}
 	if p := s.Members[0].Place.Pos; p.Line != 8 || p.Col != 1 {
@@ -144,12 +144,12 @@
 			t.Fatal(err)
 		}
 		s.Router.Name = rapid.String().Draw(t, "name")
-		s.Router.Me = rapid.IntRange(0, 3).Draw(t, "me")
-		s.Router.Of = 4
-		s.Classes[0].Worth = rapid.Float64Range(0, 1e6).Draw(t, "worth")
-		s.Rules.ColdFrom = rapid.Float64Range(0, 1).Draw(t, "cold")
-		s.Limits.SecondCopies = rapid.Bool().Draw(t, "copies")
-		s.Fill.Feedback = rapid.SliceOfN(rapid.StringMatching(`[a-z]{1,5}`), 1, 3).Draw(t, "feedback")
+		s.Router.Index = rapid.IntRange(0, 3).Draw(t, "me")
+		s.Router.Routers = 4
+		s.Classes[0].PriorityWeight = rapid.Float64Range(0, 1e6).Draw(t, "worth")
+		s.Rules.WarmUpInitialShare = rapid.Float64Range(0, 1).Draw(t, "cold")
+		s.Limits.HedgedRequests = rapid.Bool().Draw(t, "copies")
+		s.Fill.LoadMetrics = rapid.SliceOfN(rapid.StringMatching(`[a-z]{1,5}`), 1, 3).Draw(t, "feedback")
 		text := Print(&s)
 		var back Settings
 		if err := Read("b.edn", text, &back); err != nil {
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -25,24 +25,24 @@
 
 // Router is what one router is.
 type Router struct {
-	Place  Place
-	Name   string `edn:"name" def:"edge"`
-	Me     int    `edn:"me" min:"0"`                  // its number among the routers
-	Of     int    `edn:"of" def:"1" min:"1"`          // how many routers there are
-	Zone   string `edn:"zone"`                        // its own
-	Listen string `edn:"listen" def:"127.0.0.1:8080"` // for clients
-	Admin  string `edn:"admin"`                       // for PURGE and state; host:port, or the path of a Unix socket; empty: none
-	List   string `edn:"list"`                        // address of the list service; empty: the members below only
-	Log    string `edn:"log" def:"stderr"`            // access log: stderr, stdout, none or a file
-	Level  string `edn:"level" def:"info" oneof:"debug info warn error"`
-	Seed   int    `edn:"seed" def:"1"`
+	Place            Place
+	Name             string `edn:"name" def:"edge"`
+	Index            int    `edn:"me" min:"0"`                  // its number among the routers
+	Routers          int    `edn:"of" def:"1" min:"1"`          // how many routers there are
+	Zone             string `edn:"zone"`                        // its own
+	Listen           string `edn:"listen" def:"127.0.0.1:8080"` // for clients
+	Admin            string `edn:"admin"`                       // for PURGE and state; host:port, or the path of a Unix socket; empty: none
+	DiscoveryAddress string `edn:"list"`                        // address of the list service; empty: the members below only
+	AccessLog        string `edn:"log" def:"stderr"`            // access log: stderr, stdout, none or a file
+	LogLevel         string `edn:"level" def:"info" oneof:"debug info warn error"`
+	Seed             int    `edn:"seed" def:"1"`
 
-	Handover string `edn:"handover"` // path of a Unix socket, for a restart without a gap: a process that is started takes over from the one there; empty: none
+	HotRestartSocket string `edn:"handover"` // path of a Unix socket, for a restart without a gap: a process that is started takes over from the one there; empty: none
 
-	Journal      string `edn:"journal"`                                    // folder for the journal of decisions; empty: none
-	JournalPart  int    `edn:"journal-part" def:"67108864" min:"4096"`     // bytes of a segment
-	JournalTotal int    `edn:"journal-total" def:"2147483648" min:"65536"` // bytes of all; the oldest segments go
-	JournalQueue int    `edn:"journal-queue" def:"65536" min:"64"`         // records that wait for the disk; more are lost, and counted
+	Journal             string `edn:"journal"`                                    // folder for the journal of decisions; empty: none
+	JournalSegmentBytes int    `edn:"journal-part" def:"67108864" min:"4096"`     // bytes of a segment
+	JournalTotalBytes   int    `edn:"journal-total" def:"2147483648" min:"65536"` // bytes of all; the oldest segments go
+	JournalQueue        int    `edn:"journal-queue" def:"65536" min:"64"`         // records that wait for the disk; more are lost, and counted
 
 	DeadlineHeader string `edn:"deadline-header" def:"Spool-Deadline"` // a client's own time in ms, lowers its class's
 	SizeHeader     string `edn:"size-header" def:"Spool-KB"`           // size of the object's part, where the client knows it
@@ -51,137 +51,137 @@
 
 // Limits bound what a router holds and how long it waits.
 type Limits struct {
-	Place          Place
-	Connections    int     `edn:"connections" def:"20000" min:"1"`
-	Held           int     `edn:"held" def:"20000" min:"1"`          // requests in hand
-	Pipelined      int     `edn:"pipelined" def:"16384" min:"1024"`  // bytes read ahead of a connection's present request
-	Head           int     `edn:"head" def:"32768" min:"1024"`       // bytes of a head
-	Line           int     `edn:"line" def:"8192" min:"256"`         // bytes of a request line
-	Fields         int     `edn:"fields" def:"100" min:"8"`          // field lines
-	Body           int     `edn:"body" def:"1048576" min:"0"`        // bytes of a request's body
-	Buffer         int     `edn:"buffer" def:"262144" min:"4096"`    // bytes that wait for a slow client
-	HeadTime       float64 `edn:"head-time" def:"10000" min:"1"`     // for a whole request to come
-	ClientIdle     float64 `edn:"client-idle" def:"60000" min:"1"`   // between requests
-	WriteIdle      float64 `edn:"write-idle" def:"20000" min:"1"`    // a client that takes nothing
-	Connect        float64 `edn:"connect" def:"500" min:"1"`         // to a member
-	BodyIdle       float64 `edn:"body-idle" def:"5000" min:"1"`      // a member that has begun to answer and sends nothing
-	Upstream       int     `edn:"upstream" def:"512" min:"1"`        // connections a member
-	Pipeline       int     `edn:"pipeline" def:"1" min:"1" max:"64"` // GETs on one connection to a member, once all of its connections are in use
-	UpstreamIdle   float64 `edn:"upstream-idle" def:"15000" min:"1"` // kept unused for
-	Drain          float64 `edn:"drain" def:"10000" min:"0"`         // to finish after SIGTERM
-	PerAddress     int     `edn:"connections-per-address" def:"5000" min:"1"`
-	MemoryMB       float64 `edn:"memory-mb" def:"512" min:"0"`     // that the process may use; near it idle connections go, then requests; 0: no limit
-	HeadRate       float64 `edn:"head-rate" def:"0.1" min:"0"`     // KB a second that a request's head comes at, at least; 0: any
-	HeadGrace      float64 `edn:"head-grace" def:"5000" min:"100"` // ms that a client may run up beyond what its bytes pay for
-	ClientRate     float64 `edn:"client-rate" def:"2" min:"0"`     // KB a second that a client sends a body or takes an answer at, at least
-	ClientGrace    float64 `edn:"client-grace" def:"30000" min:"100"`
-	MemberRate     float64 `edn:"member-rate" def:"4" min:"0"` // KB a second that a member sends an answer at, at least
-	MemberGrace    float64 `edn:"member-grace" def:"5000" min:"100"`
-	JuryShare      float64 `edn:"jury" def:"0.5" min:"0" max:"1"`           // where more of the members at work are slow at once, none is cut
-	TurnKB         float64 `edn:"turn-kb" def:"2048" min:"16"`              // that a turn of the loop moves at most
-	QuantumKB      float64 `edn:"quantum-kb" def:"256" min:"4"`             // that a class of weight 1 moves in its turn
-	OverloadTarget float64 `edn:"overload-target" def:"20" min:"1"`         // ms that ready bytes may wait for the router
-	OverloadPart   float64 `edn:"overload-part" def:"0.25" min:"0" max:"1"` // of its time until the deadline, that a request may wait for its first attempt; 0: any
-	OverloadLeast  int     `edn:"overload-least" def:"64" min:"1"`          // requests in hand that are always allowed
-	SocketKB       int     `edn:"socket-kb" def:"512" min:"0"`              // that the kernel holds of an answer, for a client and of a member each; 0: as much as it likes
-	SocketsMB      float64 `edn:"sockets-mb" def:"512" min:"0"`             // that the kernel holds of answers for all clients; past it those that take nothing are cut; 0: no limit
-	RetryShare     float64 `edn:"retry-share" def:"0.25" min:"0"`           // repeats for each first try, of all clients, while overloaded
-	Successor      float64 `edn:"successor" def:"30000" min:"100"`          // ms that a process that takes over may take until it serves
-	RetryBurst     int     `edn:"retry-burst" def:"200" min:"1"`            // repeats of one address at once; each first try gives one back
-	Poor           int     `edn:"poor-held" def:"16" min:"1"`               // requests in hand of all addresses that have wasted their places
-	LogQueue       int     `edn:"log-queue" def:"8192" min:"16"`            // lines
-	Attempts       int     `edn:"attempts" def:"6" min:"1" max:"100"`       // a request
-	RetryAfter     float64 `edn:"retry-after" def:"2000" min:"0"`           // longest advice to clients; 0: none
-	SecondCopies   bool    `edn:"second-copies"`
-	ListBackoff    float64 `edn:"list-backoff" def:"200" min:"1"` // first wait before the list service is called again; doubles to 32 times
-	ListLine       int     `edn:"list-line" def:"4194304" min:"4096"`
-	HalfClose      bool    `edn:"half-close"`                    // a client that has closed its side still waits for its answer
-	NoCancel       bool    `edn:"no-cancel"`                     // members go on with what was given up
-	TimerGrain     float64 `edn:"tick" def:"5" min:"0.1"`        // how early a deadline is met, half of it
-	AnswerSlack    float64 `edn:"answer-slack" def:"50" min:"0"` // a client's wait past its deadline
-	AcceptPerTurn  int     `edn:"accept-per-turn" def:"64" min:"1"`
-	ShutdownLinger float64 `edn:"linger" def:"500" min:"0"` // reads and drops what a client still sends after a fault's answer
+	Place                  Place
+	Connections            int     `edn:"connections" def:"20000" min:"1"`
+	MaxRequests            int     `edn:"held" def:"20000" min:"1"`          // requests in hand
+	ReadAheadBytes         int     `edn:"pipelined" def:"16384" min:"1024"`  // bytes read ahead of a connection's present request
+	HeadBytes              int     `edn:"head" def:"32768" min:"1024"`       // bytes of a head
+	RequestLineBytes       int     `edn:"line" def:"8192" min:"256"`         // bytes of a request line
+	Fields                 int     `edn:"fields" def:"100" min:"8"`          // field lines
+	BodyBytes              int     `edn:"body" def:"1048576" min:"0"`        // bytes of a request's body
+	BufferBytes            int     `edn:"buffer" def:"262144" min:"4096"`    // bytes that wait for a slow client
+	HeadTimeout            float64 `edn:"head-time" def:"10000" min:"1"`     // for a whole request to come
+	ClientIdle             float64 `edn:"client-idle" def:"60000" min:"1"`   // between requests
+	WriteIdle              float64 `edn:"write-idle" def:"20000" min:"1"`    // a client that takes nothing
+	ConnectTimeout         float64 `edn:"connect" def:"500" min:"1"`         // to a member
+	BodyIdle               float64 `edn:"body-idle" def:"5000" min:"1"`      // a member that has begun to answer and sends nothing
+	MemberConnections      int     `edn:"upstream" def:"512" min:"1"`        // connections a member
+	Pipeline               int     `edn:"pipeline" def:"1" min:"1" max:"64"` // GETs on one connection to a member, once all of its connections are in use
+	MemberIdle             float64 `edn:"upstream-idle" def:"15000" min:"1"` // kept unused for
+	DrainTimeout           float64 `edn:"drain" def:"10000" min:"0"`         // to finish after SIGTERM
+	PerAddress             int     `edn:"connections-per-address" def:"5000" min:"1"`
+	MemoryMB               float64 `edn:"memory-mb" def:"512" min:"0"`     // that the process may use; near it idle connections go, then requests; 0: no limit
+	HeadRate               float64 `edn:"head-rate" def:"0.1" min:"0"`     // KB a second that a request's head comes at, at least; 0: any
+	HeadGrace              float64 `edn:"head-grace" def:"5000" min:"100"` // ms that a client may run up beyond what its bytes pay for
+	ClientRate             float64 `edn:"client-rate" def:"2" min:"0"`     // KB a second that a client sends a body or takes an answer at, at least
+	ClientGrace            float64 `edn:"client-grace" def:"30000" min:"100"`
+	MemberRate             float64 `edn:"member-rate" def:"4" min:"0"` // KB a second that a member sends an answer at, at least
+	MemberGrace            float64 `edn:"member-grace" def:"5000" min:"100"`
+	MassSlownessShare      float64 `edn:"jury" def:"0.5" min:"0" max:"1"`           // where more of the members at work are slow at once, none is cut
+	TickKB                 float64 `edn:"turn-kb" def:"2048" min:"16"`              // that a turn of the loop moves at most
+	QuantumKB              float64 `edn:"quantum-kb" def:"256" min:"4"`             // that a class of weight 1 moves in its turn
+	OverloadTarget         float64 `edn:"overload-target" def:"20" min:"1"`         // ms that ready bytes may wait for the router
+	OverloadQueueingShare  float64 `edn:"overload-part" def:"0.25" min:"0" max:"1"` // of its time until the deadline, that a request may wait for its first attempt; 0: any
+	OverloadMinInFlight    int     `edn:"overload-least" def:"64" min:"1"`          // requests in hand that are always allowed
+	SocketKB               int     `edn:"socket-kb" def:"512" min:"0"`              // that the kernel holds of an answer, for a client and of a member each; 0: as much as it likes
+	SocketsMB              float64 `edn:"sockets-mb" def:"512" min:"0"`             // that the kernel holds of answers for all clients; past it those that take nothing are cut; 0: no limit
+	RetryShare             float64 `edn:"retry-share" def:"0.25" min:"0"`           // repeats for each first try, of all clients, while overloaded
+	SuccessorTimeout       float64 `edn:"successor" def:"30000" min:"100"`          // ms that a process that takes over may take until it serves
+	RetryBurst             int     `edn:"retry-burst" def:"200" min:"1"`            // repeats of one address at once; each first try gives one back
+	PoorReputationRequests int     `edn:"poor-held" def:"16" min:"1"`               // requests in hand of all addresses that have wasted their places
+	LogQueue               int     `edn:"log-queue" def:"8192" min:"16"`            // lines
+	Attempts               int     `edn:"attempts" def:"6" min:"1" max:"100"`       // a request
+	MaxRetryAfter          float64 `edn:"retry-after" def:"2000" min:"0"`           // longest advice to clients; 0: none
+	HedgedRequests         bool    `edn:"second-copies"`
+	DiscoveryBackoff       float64 `edn:"list-backoff" def:"200" min:"1"` // first wait before the list service is called again; doubles to 32 times
+	DiscoveryLineBytes     int     `edn:"list-line" def:"4194304" min:"4096"`
+	HalfClose              bool    `edn:"half-close"`                    // a client that has closed its side still waits for its answer
+	NoCancel               bool    `edn:"no-cancel"`                     // members go on with what was given up
+	TimerResolution        float64 `edn:"tick" def:"5" min:"0.1"`        // how early a deadline is met, half of it
+	AnswerSlack            float64 `edn:"answer-slack" def:"50" min:"0"` // a client's wait past its deadline
+	AcceptPerTick          int     `edn:"accept-per-turn" def:"64" min:"1"`
+	LingerTime             float64 `edn:"linger" def:"500" min:"0"` // reads and drops what a client still sends after a fault's answer
 }
 
 // Rules are the figures of the five rules.
 type Rules struct {
-	Place          Place
-	DrainGrace     float64 `edn:"drain-grace" def:"500" min:"0"`
-	ColdFrom       float64 `edn:"cold-from" def:"0.2" min:"0" max:"1"`
-	ColdTime       float64 `edn:"cold-time" def:"18000" min:"0"`
-	FallFactor     float64 `edn:"fall-factor" def:"4" min:"1"`
-	FallTime       float64 `edn:"fall-time" def:"3000" min:"1"`
-	ParentColdFrom float64 `edn:"parent-cold-from" def:"0.06" min:"0" max:"1"`
-	ParentColdTime float64 `edn:"parent-cold-time" def:"22000" min:"0"`
-	ParentFall     float64 `edn:"parent-fall" def:"2" min:"1"`
-	PurgeTakes     float64 `edn:"purge-takes" def:"6000" min:"0"`
-	PurgeSlack     float64 `edn:"purge-slack" def:"300" min:"0"`
-	Loosen         bool    `edn:"loosen"` // this version may loosen a figure
+	Place                    Place
+	DrainGrace               float64 `edn:"drain-grace" def:"500" min:"0"`
+	WarmUpInitialShare       float64 `edn:"cold-from" def:"0.2" min:"0" max:"1"`
+	WarmUpTime               float64 `edn:"cold-time" def:"18000" min:"0"`
+	OverloadFactor           float64 `edn:"fall-factor" def:"4" min:"1"`
+	OverloadTime             float64 `edn:"fall-time" def:"3000" min:"1"`
+	ParentWarmUpInitialShare float64 `edn:"parent-cold-from" def:"0.06" min:"0" max:"1"`
+	ParentWarmUpTime         float64 `edn:"parent-cold-time" def:"22000" min:"0"`
+	ParentOverloadFactor     float64 `edn:"parent-fall" def:"2" min:"1"`
+	PurgeTime                float64 `edn:"purge-takes" def:"6000" min:"0"`
+	PurgeSlack               float64 `edn:"purge-slack" def:"300" min:"0"`
+	Loosen                   bool    `edn:"loosen"` // this version may loosen a figure
 }
 
 // Fill says what caches and parents can do.
 type Fill struct {
-	Place       Place
-	ParentKind  string   `edn:"parent-kind" def:"parent"`
-	OriginKind  string   `edn:"origin-kind" def:"origin"`
-	Direct      bool     `edn:"direct"` // parents and the origin take attempts too
-	Joins       bool     `edn:"joins"`
-	Siblings    string   `edn:"siblings" def:"off" oneof:"off location any"`
-	Detail      string   `edn:"detail" def:"all" oneof:"off hit all"`
-	FlowKB      float64  `edn:"flow" def:"0" min:"0"` // KB a ms of one transfer to a client; 0: not known
-	Sizes       bool     `edn:"sizes"`                // (size ...) of members is their capacity
-	Feedback    []string `edn:"feedback"`             // names of the load report's values
-	RangeKB     int      `edn:"range-kb" def:"0" min:"0"`
-	DefaultPart float64  `edn:"default-kb" def:"0" min:"0"`
+	Place          Place
+	ParentKind     string   `edn:"parent-kind" def:"parent"`
+	OriginKind     string   `edn:"origin-kind" def:"origin"`
+	DirectAttempts bool     `edn:"direct"` // parents and the origin take attempts too
+	JoinFills      bool     `edn:"joins"`
+	SiblingScope   string   `edn:"siblings" def:"off" oneof:"off location any"`
+	Detail         string   `edn:"detail" def:"all" oneof:"off hit all"`
+	FlowKBPerMs    float64  `edn:"flow" def:"0" min:"0"` // KB a ms of one transfer to a client; 0: not known
+	SizeIsCapacity bool     `edn:"sizes"`                // (size ...) of members is their capacity
+	LoadMetrics    []string `edn:"feedback"`             // names of the load report's values
+	RangeKB        int      `edn:"range-kb" def:"0" min:"0"`
+	DefaultKB      float64  `edn:"default-kb" def:"0" min:"0"`
 }
 
 // Pages bound how pages are put together from fragments (docs/esi.md).
 type Pages struct {
-	Place     Place
-	Fragments int     `edn:"fragments" def:"256" min:"1"`               // different ones of a page
-	Includes  int     `edn:"includes" def:"2000" min:"1"`               // met in a page and its fragments
-	Depth     int     `edn:"depth" def:"4" min:"1" max:"16"`            // fragments in fragments
-	Parallel  int     `edn:"parallel" def:"8" min:"1" max:"1024"`       // asked for at once, for one page
-	Attempts  int     `edn:"attempts" def:"400" min:"1"`                // at members, for all fragments of a page
-	WholeKB   int     `edn:"whole-kb" def:"64" min:"1"`                 // of a fragment that waits until it is whole
-	PieceKB   int     `edn:"piece-kb" def:"1024" min:"1" max:"65536"`   // of a fragment or page that has to be known whole
-	HeldKB    int     `edn:"held-kb" def:"1024" min:"16" max:"65536"`   // that may wait for its turn, of one page
-	MostMB    int     `edn:"most-mb" def:"64" min:"1"`                  // of a whole page
-	Elements  int     `edn:"elements" def:"10000" min:"1"`              // of one template or fragment
-	Nesting   int     `edn:"nesting" def:"16" min:"1" max:"100"`        // elements in elements
-	Tag       int     `edn:"tag" def:"8192" min:"64"`                   // bytes of a tag
-	Reserve   float64 `edn:"reserve" def:"100" min:"1"`                 // ms before the page's deadline by which its fragments are given up
-	Malformed string  `edn:"malformed" def:"error" oneof:"error as-is"` // what becomes of a page that is no valid ESI
+	Place             Place
+	Fragments         int     `edn:"fragments" def:"256" min:"1"`               // different ones of a page
+	Includes          int     `edn:"includes" def:"2000" min:"1"`               // met in a page and its fragments
+	Depth             int     `edn:"depth" def:"4" min:"1" max:"16"`            // fragments in fragments
+	Parallel          int     `edn:"parallel" def:"8" min:"1" max:"1024"`       // asked for at once, for one page
+	Attempts          int     `edn:"attempts" def:"400" min:"1"`                // at members, for all fragments of a page
+	StreamThresholdKB int     `edn:"whole-kb" def:"64" min:"1"`                 // of a fragment that waits until it is whole
+	MaxBufferedKB     int     `edn:"piece-kb" def:"1024" min:"1" max:"65536"`   // of a fragment or page that has to be known whole
+	WaitingKB         int     `edn:"held-kb" def:"1024" min:"16" max:"65536"`   // that may wait for its turn, of one page
+	MaxPageMB         int     `edn:"most-mb" def:"64" min:"1"`                  // of a whole page
+	Elements          int     `edn:"elements" def:"10000" min:"1"`              // of one template or fragment
+	Nesting           int     `edn:"nesting" def:"16" min:"1" max:"100"`        // elements in elements
+	Tag               int     `edn:"tag" def:"8192" min:"64"`                   // bytes of a tag
+	Reserve           float64 `edn:"reserve" def:"100" min:"1"`                 // ms before the page's deadline by which its fragments are given up
+	Malformed         string  `edn:"malformed" def:"error" oneof:"error as-is"` // what becomes of a page that is no valid ESI
 }
 
 // Zone is a location, or a hub.
 type Zone struct {
-	Place   Place
-	Name    string  `edn:"@,required"`
-	Hub     string  `edn:"hub"`                  // the hub zone it is tied to; itself of a hub
-	Routers int     `edn:"routers" min:"0"`      // in this zone
-	LinkIn  float64 `edn:"link" def:"0" min:"0"` // KB a ms; 0: not told
+	Place        Place
+	Name         string  `edn:"@,required"`
+	Hub          string  `edn:"hub"`                  // the hub zone it is tied to; itself of a hub
+	Routers      int     `edn:"routers" min:"0"`      // in this zone
+	LinkCapacity float64 `edn:"link" def:"0" min:"0"` // KB a ms; 0: not told
 }
 
 // Class is a class of requests.
 type Class struct {
-	Place      Place
-	Name       string  `edn:"@,required"`
-	Aim        float64 `edn:"aim" def:"400" min:"1"`
-	AimStretch float64 `edn:"aim-stretch" min:"0"`
-	Deadline   float64 `edn:"deadline" def:"3000" min:"1"`
-	Worth      float64 `edn:"worth" def:"1" min:"0"`
-	LateWorth  float64 `edn:"late-worth" min:"0" max:"1"`
-	Effect     string  `edn:"effect" def:"free" oneof:"free guarded single-shot"`
-	Group      string  `edn:"group" def:"nowhere" oneof:"nowhere cell zone all"` // of guarded: who drops repeats
-	Window     float64 `edn:"window" min:"0"`                                    // of guarded: for how long
-	Weight     float64 `edn:"weight" def:"1" min:"0.01" max:"1000"`              // share of the loop's bytes, beside other classes that have any to move
-	Parts      bool    `edn:"parts"`
-	Pages      bool    `edn:"pages"` // its answers may be pages that are put together (ESI), where they say so
-	Write      bool    `edn:"write"`
-	Fresh      float64 `edn:"fresh" min:"0"` // 0: until purged
-	Grace      float64 `edn:"grace" min:"0"`
-	StaleWorth float64 `edn:"stale-worth" min:"0" max:"1"`
+	Place                Place
+	Name                 string  `edn:"@,required"`
+	LatencyObjective     float64 `edn:"aim" def:"400" min:"1"`
+	ObjectivePerSendTime float64 `edn:"aim-stretch" min:"0"`
+	Deadline             float64 `edn:"deadline" def:"3000" min:"1"`
+	PriorityWeight       float64 `edn:"worth" def:"1" min:"0"`
+	LateWeightShare      float64 `edn:"late-worth" min:"0" max:"1"`
+	Idempotency          string  `edn:"effect" def:"free" oneof:"free guarded single-shot"`
+	KeyScope             string  `edn:"group" def:"nowhere" oneof:"nowhere cell zone all"` // of guarded: who drops repeats
+	KeyWindow            float64 `edn:"window" min:"0"`                                    // of guarded: for how long
+	TransferWeight       float64 `edn:"weight" def:"1" min:"0.01" max:"1000"`              // share of the loop's bytes, beside other classes that have any to move
+	InParts              bool    `edn:"parts"`
+	Pages                bool    `edn:"pages"` // its answers may be pages that are put together (ESI), where they say so
+	Write                bool    `edn:"write"`
+	Fresh                float64 `edn:"fresh" min:"0"` // 0: until purged
+	Grace                float64 `edn:"grace" min:"0"`
+	StaleWeightShare     float64 `edn:"stale-worth" min:"0" max:"1"`
 }
 
 // Route maps requests to classes. The first that fits is taken. A pattern's
@@ -216,29 +216,31 @@
 // of its file: this section, and of (router ...) all but (of n) and the names of
 // headers. The rest of the file is what it starts with where nothing is stored.
 type Control struct {
-	Place    Place
-	Services []string `edn:"services"`                           // addresses; the first that answers is followed
-	Store    string   `edn:"store"`                              // file of the last good version; empty: none is kept
-	Start    string   `edn:"start" def:"file" oneof:"file wait"` // with nothing stored: by this file, or wait for the first version
-	Protocol string   `edn:"protocol" def:"delta" oneof:"delta full"`
-	Name     string   `edn:"name"`                       // of the services, as their certificate has it
-	Cert     string   `edn:"cert"`                       // the router's; empty: the channel is in the clear, on loopback only
-	Key      string   `edn:"key"`                        // of it
-	Roots    string   `edn:"authorities"`                // that the service's certificate must come from
-	Report   float64  `edn:"report" def:"10000" min:"0"` // how often service is reported; 0: never
-	Spread   float64  `edn:"spread" def:"1000" min:"0"`  // see configversion.MachineSettings
-	Lease    float64  `edn:"lease" def:"30000" min:"100"`
-	Old      float64  `edn:"old" def:"60000" min:"100"`
-	Stale    float64  `edn:"stale" def:"600000" min:"1000"`
-	Backoff  float64  `edn:"backoff" def:"250" min:"1"`           // first wait before a service is called again; doubles to 64 times
-	MaxBytes int      `edn:"max-bytes" def:"16777216" min:"1024"` // of a version
+	Place            Place
+	Services         []string `edn:"services"`                           // addresses; the first that answers is followed
+	Store            string   `edn:"store"`                              // file of the last good version; empty: none is kept
+	Start            string   `edn:"start" def:"file" oneof:"file wait"` // with nothing stored: by this file, or wait for the first version
+	Protocol         string   `edn:"protocol" def:"delta" oneof:"delta full"`
+	Name             string   `edn:"name"`                       // of the services, as their certificate has it
+	Cert             string   `edn:"cert"`                       // the router's; empty: the channel is in the clear, on loopback only
+	Key              string   `edn:"key"`                        // of it
+	Roots            string   `edn:"authorities"`                // that the service's certificate must come from
+	ReportInterval   float64  `edn:"report" def:"10000" min:"0"` // how often service is reported; 0: never
+	Jitter           float64  `edn:"spread" def:"1000" min:"0"`  // see configversion.MachineSettings
+	Lease            float64  `edn:"lease" def:"30000" min:"100"`
+	UnconfirmedAfter float64  `edn:"old" def:"60000" min:"100"`
+	StaleAfter       float64  `edn:"stale" def:"600000" min:"1000"`
+	Backoff          float64  `edn:"backoff" def:"250" min:"1"`           // first wait before a service is called again; doubles to 64 times
+	MaxBytes         int      `edn:"max-bytes" def:"16777216" min:"1024"` // of a version
 }
 
-// Follows reports whether versions come from a service.
-func (s *Settings) Follows() bool { return len(s.Control.Services) > 0 }
+// UsesControlService reports whether versions come from a service.
+func (s *Settings) UsesControlService() bool { return len(s.Control.Services) > 0 }
 
 // waits reports whether the file alone is not meant to be served by.
-func (s *Settings) waits() bool { return s.anywhere || s.Follows() && s.Control.Start == "wait" }
+func (s *Settings) waits() bool {
+	return s.anywhere || s.UsesControlService() && s.Control.Start == "wait"
+}
 
 // ReadVersion reads the settings of a version from one text; see ReadSources.
 func ReadVersion(file, src string, own, s *Settings) error {
@@ -255,7 +257,7 @@
 			return
 		}
 		r, o := &s.Router, own.Router
-		o.Of, o.DeadlineHeader, o.SizeHeader, o.RetryHeader = r.Of, r.DeadlineHeader, r.SizeHeader, r.RetryHeader
+		o.Routers, o.DeadlineHeader, o.SizeHeader, o.RetryHeader = r.Routers, r.DeadlineHeader, r.SizeHeader, r.RetryHeader
 		o.Place = r.Place
 		s.Router, s.Control = o, own.Control
 		s.Control.Start = "file" // it must be complete now
@@ -290,8 +292,8 @@
 		add(s.Router.Place.Of("zone"), "router/zone", fmt.Sprintf("%q is no zone", s.Router.Zone),
 			fmt.Sprintf("add (zone %s), or name one of those listed", s.Router.Zone))
 	}
-	if s.Router.Me >= s.Router.Of && !s.waits() {
-		add(s.Router.Place.Of("me"), "router/me", fmt.Sprintf("router number %d of %d", s.Router.Me, s.Router.Of),
+	if s.Router.Index >= s.Router.Routers && !s.waits() {
+		add(s.Router.Place.Of("me"), "router/me", fmt.Sprintf("router number %d of %d", s.Router.Index, s.Router.Routers),
 			"numbers run from 0; raise (of n)")
 	}
 	address := func(p Pos, key, a string) {
@@ -307,11 +309,11 @@
 				"the admin listener has no password: bind it to 127.0.0.1 or to a Unix socket")
 		}
 	}
-	if h := s.Router.Handover; h != "" && !strings.HasPrefix(h, "/") {
+	if h := s.Router.HotRestartSocket; h != "" && !strings.HasPrefix(h, "/") {
 		add(s.Router.Place.Of("handover"), "router/handover", fmt.Sprintf("%q is no path of a socket", h), "write a whole path, as /run/spool/handover")
 	}
-	if s.Router.List != "" {
-		address(s.Router.Place.Of("list"), "router/list", s.Router.List)
+	if s.Router.DiscoveryAddress != "" {
+		address(s.Router.Place.Of("list"), "router/list", s.Router.DiscoveryAddress)
 	}
 	s.checkControl(add, address)
 	classes := map[string]*Class{}
@@ -324,11 +326,11 @@
 			add(c.Place.Pos, "class", fmt.Sprintf("class %q is named twice", c.Name), "keep one of them")
 		}
 		classes[c.Name] = c
-		if c.Aim > c.Deadline {
-			add(c.Place.Of("aim"), "class/aim", fmt.Sprintf("aim %v is past the deadline %v", c.Aim, c.Deadline),
+		if c.LatencyObjective > c.Deadline {
+			add(c.Place.Of("aim"), "class/aim", fmt.Sprintf("aim %v is past the deadline %v", c.LatencyObjective, c.Deadline),
 				"lower the aim or raise the deadline")
 		}
-		if c.Effect == "guarded" && (c.Window <= 0 || c.Group == "nowhere") {
+		if c.Idempotency == "guarded" && (c.KeyWindow <= 0 || c.KeyScope == "nowhere") {
 			add(c.Place.Of("effect"), "class/effect", "a guarded class needs (window ms) and (group cell|zone|all)",
 				"say who drops repeats and for how long")
 		}
@@ -361,7 +363,7 @@
 			add(m.Place.Of("zone"), "member/zone", fmt.Sprintf("%q is no zone", m.Zone), fmt.Sprintf("add (zone %s)", m.Zone))
 		}
 	}
-	if len(s.Members) == 0 && s.Router.List == "" && !s.waits() {
+	if len(s.Members) == 0 && s.Router.DiscoveryAddress == "" && !s.waits() {
 		add(s.Router.Place.Pos, "member", "there is neither a member nor a list service", "add (member ...) or (router (list address))")
 	}
 	if s.Fill.ParentKind != "" && s.Fill.ParentKind == s.Fill.OriginKind {
@@ -383,7 +385,7 @@
 	if n := given(c.Cert, c.Key, c.Roots, c.Name); n != 0 && n != 4 {
 		add(c.Place.Pos, "control/cert", fmt.Sprintf("%d of cert, key, authorities and name are given", n), "give all four, or none")
 	}
-	if !s.Follows() && len(c.Place.keys) > 0 {
+	if !s.UsesControlService() && len(c.Place.keys) > 0 {
 		add(c.Place.Pos, "control", "no service is named", "add (services host:port ...)")
 	}
 }
--- a/internal/controlplane/configversion/check.go
+++ b/internal/controlplane/configversion/check.go
@@ -92,11 +92,11 @@
 	routers := 0
 	for _, zone := range c.settings.Zones {
 		routers += zone.Routers
-		if zone.LinkIn < 0 || zone.LinkIn > c.limits.MaxLinkCapacity {
-			c.reject("zone/"+zone.Name+"/link", fmt.Sprintf("link of %v KB per ms", zone.LinkIn),
+		if zone.LinkCapacity < 0 || zone.LinkCapacity > c.limits.MaxLinkCapacity {
+			c.reject("zone/"+zone.Name+"/link", fmt.Sprintf("link of %v KB per ms", zone.LinkCapacity),
 				fmt.Sprintf("it must be from 0 to %v", c.limits.MaxLinkCapacity))
 		}
-		if zone.Routers <= 0 || serving[zone.Name] > 0 || c.settings.Router.List != "" {
+		if zone.Routers <= 0 || serving[zone.Name] > 0 || c.settings.Router.DiscoveryAddress != "" {
 			continue
 		}
 		what := "no cache is listed there, though it has routers"
@@ -105,8 +105,8 @@
 		}
 		c.reject("zone/"+zone.Name, what, "keep one cache serving, or set (routers 0)")
 	}
-	if routers > c.settings.Router.Of {
-		c.reject("router/of", fmt.Sprintf("the zones have %d routers, but the total is %d", routers, c.settings.Router.Of),
+	if routers > c.settings.Router.Routers {
+		c.reject("router/of", fmt.Sprintf("the zones have %d routers, but the total is %d", routers, c.settings.Router.Routers),
 			"raise (of n)")
 	}
 }
@@ -165,12 +165,12 @@
 // checkRules checks settings in the rules section against each other.
 func (c *checker) checkRules() {
 	rules := c.settings.Rules
-	if rules.FallFactor*rules.ColdFrom > 1e3 || rules.ParentFall*rules.ParentColdFrom > 1e3 {
+	if rules.OverloadFactor*rules.WarmUpInitialShare > 1e3 || rules.ParentOverloadFactor*rules.ParentWarmUpInitialShare > 1e3 {
 		c.reject("rules", "a cold member could receive a thousand times its capacity", "lower fall-factor or cold-from")
 	}
-	if rules.PurgeTakes < rules.PurgeSlack {
+	if rules.PurgeTime < rules.PurgeSlack {
 		c.reject("rules/purge-takes",
-			fmt.Sprintf("purged copies are gone after %v ms, less than the slack of %v ms", rules.PurgeTakes, rules.PurgeSlack),
+			fmt.Sprintf("purged copies are gone after %v ms, less than the slack of %v ms", rules.PurgeTime, rules.PurgeSlack),
 			"purge-takes must not be below purge-slack")
 	}
 }
@@ -189,12 +189,12 @@
 	}{
 		{"drain-grace", old.DrainGrace, now.DrainGrace, now.DrainGrace > old.DrainGrace},
 		{"purge-slack", old.PurgeSlack, now.PurgeSlack, now.PurgeSlack > old.PurgeSlack},
-		{"purge-takes", old.PurgeTakes, now.PurgeTakes, now.PurgeTakes < old.PurgeTakes},
-		{"cold-from", old.ColdFrom, now.ColdFrom, now.ColdFrom > old.ColdFrom},
-		{"cold-time", old.ColdTime, now.ColdTime, now.ColdTime < old.ColdTime},
-		{"fall-factor", old.FallFactor, now.FallFactor, now.FallFactor > old.FallFactor},
-		{"parent-cold-from", old.ParentColdFrom, now.ParentColdFrom, now.ParentColdFrom > old.ParentColdFrom},
-		{"parent-fall", old.ParentFall, now.ParentFall, now.ParentFall > old.ParentFall},
+		{"purge-takes", old.PurgeTime, now.PurgeTime, now.PurgeTime < old.PurgeTime},
+		{"cold-from", old.WarmUpInitialShare, now.WarmUpInitialShare, now.WarmUpInitialShare > old.WarmUpInitialShare},
+		{"cold-time", old.WarmUpTime, now.WarmUpTime, now.WarmUpTime < old.WarmUpTime},
+		{"fall-factor", old.OverloadFactor, now.OverloadFactor, now.OverloadFactor > old.OverloadFactor},
+		{"parent-cold-from", old.ParentWarmUpInitialShare, now.ParentWarmUpInitialShare, now.ParentWarmUpInitialShare > old.ParentWarmUpInitialShare},
+		{"parent-fall", old.ParentOverloadFactor, now.ParentOverloadFactor, now.ParentOverloadFactor > old.ParentOverloadFactor},
 	} {
 		if setting.loosened {
 			c.reject("rules/"+setting.name, fmt.Sprintf("loosened from %v to %v", setting.oldValue, setting.newValue),
@@ -215,9 +215,9 @@
 	}
 	for _, class := range c.settings.Classes {
 		old, known := oldClasses[class.Name]
-		if known && old.Effect != class.Effect && old.Effect != effectFree {
+		if known && old.Idempotency != class.Idempotency && old.Idempotency != effectFree {
 			c.reject("class/"+class.Name+"/effect",
-				fmt.Sprintf("changed from %s to %s, so that retries would be handled differently", old.Effect, class.Effect),
+				fmt.Sprintf("changed from %s to %s, so that retries would be handled differently", old.Idempotency, class.Idempotency),
 				"give the class another name, or set (rules (loosen true))")
 		}
 	}
--- a/internal/controlplane/configversion/machine_test.go
+++ b/internal/controlplane/configversion/machine_test.go
@@ -235,7 +235,7 @@
 	test.offer("a", New(1, validBody)).wantRunning(1)
 	if !hasAction(test, func(activate Activate) bool {
 		router := activate.Settings.Router
-		return router.Name == "r7" && router.Me == 3 && router.Of == 4 && activate.Settings.Control.Lease == 777 && len(activate.Settings.Members) == 7
+		return router.Name == "r7" && router.Index == 3 && router.Routers == 4 && activate.Settings.Control.Lease == 777 && len(activate.Settings.Members) == 7
 	}) {
 		t.Errorf("%+v", test.actions)
 	}
--- a/internal/controlplane/endpointcheck/listcheck.go
+++ b/internal/controlplane/endpointcheck/listcheck.go
@@ -164,7 +164,7 @@
 		return nil, err
 	}
 	placedAtOnce := router.routeAll(samples)
-	router.Advance(max(newSettings.Rules.ColdTime, newSettings.Rules.ParentColdTime) + 25000)
+	router.Advance(max(newSettings.Rules.WarmUpTime, newSettings.Rules.ParentWarmUpTime) + 25000)
 	placedWarm := router.routeAll(samples)
 	return summarize(zone, &newSettings, samples, placedBefore, placedAtOnce, placedWarm), nil
 }
@@ -187,7 +187,7 @@
 		}
 		for i := range o.Objects {
 			sample := sampleRequest{k.Name, fmt.Sprintf("/%s/%d", k.Name, i), 0, size}
-			for samples = append(samples, sample); k.Parts && random.Float64() < 1-1/o.Parts; samples = append(samples, sample) {
+			for samples = append(samples, sample); k.InParts && random.Float64() < 1-1/o.Parts; samples = append(samples, sample) {
 				sample.part++
 			}
 		}
@@ -245,8 +245,8 @@
 		}
 	}
 	for _, zoneSettings := range s.Zones {
-		if zoneSettings.Name == zone && zoneSettings.LinkIn > 0 {
-			z.LinkSeconds = z.RefillMB * 1024 / zoneSettings.LinkIn / 1000
+		if zoneSettings.Name == zone && zoneSettings.LinkCapacity > 0 {
+			z.LinkSeconds = z.RefillMB * 1024 / zoneSettings.LinkCapacity / 1000
 		}
 	}
 	for _, share := range shares {
--- a/internal/controlplane/endpointcheck/rehearse.go
+++ b/internal/controlplane/endpointcheck/rehearse.go
@@ -142,13 +142,13 @@
 // addRouters creates the members' models and all routers with the old list.
 func (p *rehearsalRun) addRouters(before string) error {
 	s := p.oldSettings
-	options := whatif.CacheModelOptions{TransferRate: s.Fill.FlowKB, Capacity: p.options.Capacity, SizeIsCapacity: s.Fill.Sizes, ParentKind: s.Fill.ParentKind, OriginKind: s.Fill.OriginKind,
-		WarmUpInitialShare: s.Rules.ColdFrom, WarmUpTime: s.Rules.ColdTime, OverloadFactor: s.Rules.FallFactor, OverloadTime: s.Rules.FallTime,
-		ParentWarmUpInitialShare: s.Rules.ParentColdFrom, ParentWarmUpTime: s.Rules.ParentColdTime, ParentOverloadFactor: s.Rules.ParentFall}
-	if !s.Fill.Sizes {
+	options := whatif.CacheModelOptions{TransferRate: s.Fill.FlowKBPerMs, Capacity: p.options.Capacity, SizeIsCapacity: s.Fill.SizeIsCapacity, ParentKind: s.Fill.ParentKind, OriginKind: s.Fill.OriginKind,
+		WarmUpInitialShare: s.Rules.WarmUpInitialShare, WarmUpTime: s.Rules.WarmUpTime, OverloadFactor: s.Rules.OverloadFactor, OverloadTime: s.Rules.OverloadTime,
+		ParentWarmUpInitialShare: s.Rules.ParentWarmUpInitialShare, ParentWarmUpTime: s.Rules.ParentWarmUpTime, ParentOverloadFactor: s.Rules.ParentOverloadFactor}
+	if !s.Fill.SizeIsCapacity {
 		p.result.Assumptions = append(p.result.Assumptions, fmt.Sprintf("each member has a capacity of %.0f concurrent transfers (no (fill (sizes)); see --capacity)", p.options.Capacity))
 	}
-	if s.Fill.FlowKB <= 0 {
+	if s.Fill.FlowKBPerMs <= 0 {
 		p.result.Assumptions = append(p.result.Assumptions, "transfers run at 4 KB per ms (no (fill (flow n)))")
 	}
 	p.members = whatif.NewCacheModels(options)
@@ -166,7 +166,7 @@
 			if err := config.Read("own", fmt.Sprintf(`(router (name %q) (zone %q)) (control (services "127.0.0.1:1") (start wait))`, fmt.Sprintf("%s-%d", z.Name, i+1), z.Name), local); err != nil {
 				return err
 			}
-			local.Router.Me = number
+			local.Router.Index = number
 			number++
 			settings := &config.Settings{}
 			if err := config.ReadVersion("old", before, local, settings); err != nil {
@@ -274,9 +274,9 @@
 			switch h.End {
 			case whatif.Served:
 				class := p.classes[h.Request.Class]
-				limit := class.Aim
-				if p.oldSettings.Fill.FlowKB > 0 {
-					limit += class.AimStretch * h.Request.KB / p.oldSettings.Fill.FlowKB
+				limit := class.LatencyObjective
+				if p.oldSettings.Fill.FlowKBPerMs > 0 {
+					limit += class.ObjectivePerSendTime * h.Request.KB / p.oldSettings.Fill.FlowKBPerMs
 				}
 				if h.EndedAt-h.ArrivedAt <= limit {
 					k.inTime++
@@ -359,7 +359,7 @@
 			}
 			own := *p.newSettings
 			own.Router = r.Core.Settings.Router
-			own.Router.Of = p.newSettings.Router.Of
+			own.Router.Routers = p.newSettings.Router.Routers
 			if err := p.sim.ChangeSettings(r, &own); err != nil {
 				p.result.Assumptions = append(p.result.Assumptions, fmt.Sprintf("router %s kept its old settings: %v", r.Name, err))
 			}
@@ -391,9 +391,9 @@
 	for _, z := range p.zones {
 		zones[z] = true
 	}
-	window := max(int(p.oldSettings.Rules.FallTime/1000), 1)
+	window := max(int(p.oldSettings.Rules.OverloadTime/1000), 1)
 	for id, role := range roles {
-		if role == "origin" && !p.oldSettings.Fill.Sizes {
+		if role == "origin" && !p.oldSettings.Fill.SizeIsCapacity {
 			continue // an origin's capacity is unknown
 		}
 		one := p.utilization(id, change, window, func(sec int) (used, can, kb float64) {
@@ -405,15 +405,15 @@
 		})
 		one.Role = role
 		if at, ok := p.startedAt[id]; ok {
-			one.New, one.InitialCapacity, one.WarmAfter = true, p.options.Capacity, p.oldSettings.Rules.ColdTime/1000
+			one.New, one.InitialCapacity, one.WarmAfter = true, p.options.Capacity, p.oldSettings.Rules.WarmUpTime/1000
 			for _, m := range p.newSettings.Members {
-				if m.ID == id && p.newSettings.Fill.Sizes {
+				if m.ID == id && p.newSettings.Fill.SizeIsCapacity {
 					one.InitialCapacity = m.Size
 				}
 			}
-			coldShare := p.oldSettings.Rules.ColdFrom
+			coldShare := p.oldSettings.Rules.WarmUpInitialShare
 			if role == "parent" {
-				coldShare, one.WarmAfter = p.oldSettings.Rules.ParentColdFrom, p.oldSettings.Rules.ParentColdTime/1000
+				coldShare, one.WarmAfter = p.oldSettings.Rules.ParentWarmUpInitialShare, p.oldSettings.Rules.ParentWarmUpTime/1000
 			}
 			one.InitialCapacity *= coldShare
 			if failedAt := p.members.FailedAt(id); failedAt > 0 {
@@ -423,10 +423,10 @@
 		p.result.Utilization = append(p.result.Utilization, one)
 	}
 	for _, z := range p.newSettings.Zones {
-		if z.LinkIn > 0 && zones[z.Name] {
+		if z.LinkCapacity > 0 && zones[z.Name] {
 			one := p.utilization(z.Name, change, window, func(sec int) (used, can, kb float64) {
 				kb = p.linkKB[z.Name][sec]
-				return kb, z.LinkIn * 1000, kb
+				return kb, z.LinkCapacity * 1000, kb
 			})
 			one.Role = "link"
 			p.result.Utilization = append(p.result.Utilization, one)
--- a/internal/controlplane/service/canonical.go
+++ b/internal/controlplane/service/canonical.go
@@ -18,7 +18,7 @@
 	canonical := *settings
 	defaults := config.Defaults()
 	canonical.Router, canonical.Control = defaults.Router, defaults.Control
-	canonical.Router.Of = settings.Router.Of
+	canonical.Router.Routers = settings.Router.Routers
 	canonical.Router.DeadlineHeader = settings.Router.DeadlineHeader
 	canonical.Router.SizeHeader = settings.Router.SizeHeader
 	canonical.Router.RetryHeader = settings.Router.RetryHeader
--- a/internal/decisionlog/replay/replay_test.go
+++ b/internal/decisionlog/replay/replay_test.go
@@ -64,7 +64,7 @@
 			if i == requests/2 {
 				next := *s
 				next.Classes = append([]config.Class(nil), s.Classes...)
-				next.Classes[0].Aim = 333
+				next.Classes[0].LatencyObjective = 333
 				if _, err := c.ChangeSettings(now, &next, nil); err != nil {
 					t.Fatal(err)
 				}
--- a/internal/decisionlog/whatif/compare.go
+++ b/internal/decisionlog/whatif/compare.go
@@ -253,11 +253,11 @@
 			if c.ch.Settings != nil {
 				own, next := s.Router, *c.ch.Settings
 				s = &next
-				s.Router.Zone, s.Router.Me = own.Zone, own.Me // what a router is stays
+				s.Router.Zone, s.Router.Index = own.Zone, own.Index // what a router is stays
 			}
 		}
 		if i == 0 {
-			c.flow = s.Fill.FlowKB
+			c.flow = s.Fill.FlowKBPerMs
 		}
 		for _, k := range s.Classes {
 			if i == 0 || c.aims[k.Name].Name == "" {
@@ -472,9 +472,9 @@
 	case Served:
 		took := h.EndedAt - h.ArrivedAt
 		s.hist.RecordValue(max(int64(took*1000), 1))
-		aim := k.Aim
+		aim := k.LatencyObjective
 		if flow > 0 {
-			aim += k.AimStretch * h.Request.KB / flow
+			aim += k.ObjectivePerSendTime * h.Request.KB / flow
 		}
 		if took <= aim {
 			s.InTime++
--- a/internal/decisionlog/whatif/risk.go
+++ b/internal/decisionlog/whatif/risk.go
@@ -100,7 +100,7 @@
 				may = i
 			}
 		}
-		if may >= 0 && (k.Effect == "single-shot" || k.Effect == "guarded" && now-h.Tries[may].At > k.Window) {
+		if may >= 0 && (k.Idempotency == "single-shot" || k.Idempotency == "guarded" && now-h.Tries[may].At > k.KeyWindow) {
 			r.found(2, "%s of class %s, attempt %d %.0f ms after one that may have run", h.Request.ID, k.Name, n, now-h.Tries[may].At)
 		}
 	}
@@ -118,7 +118,7 @@
 	if g, ok := r.group[h.Request.Group]; ok && (!told || g > void) {
 		void, told = g, true
 	}
-	if told && now-void < r.s.Rules.PurgeTakes && s.Age > now-void+1 && !k.Write {
+	if told && now-void < r.s.Rules.PurgeTime && s.Age > now-void+1 && !k.Write {
 		r.found(5, "%s takes copies up to %.0f ms old, %.0f ms after a purge", h.Request.ID, s.Age, now-void)
 	}
 }
@@ -127,16 +127,16 @@
 // this router's share of what it bears, over each span of FallTime.
 func (r *risks) warm(now float64, id string, h *RequestState, k config.Class) {
 	m, ru := r.listed[id], r.s.Rules
-	from, span, factor, of := ru.ColdFrom, ru.ColdTime, ru.FallFactor, r.sharers()
+	from, span, factor, of := ru.WarmUpInitialShare, ru.WarmUpTime, ru.OverloadFactor, r.sharers()
 	if m.Kind == r.s.Fill.ParentKind {
-		from, span, factor, of = ru.ParentColdFrom, ru.ParentColdTime, ru.ParentFall, max(r.s.Router.Of, 1)
+		from, span, factor, of = ru.ParentWarmUpInitialShare, ru.ParentWarmUpTime, ru.ParentOverloadFactor, max(r.s.Router.Routers, 1)
 	}
 	age := now - m.ReadyAt
-	if m.ReadyAt <= 0 || age >= span || span <= 0 || !r.s.Fill.Sizes || m.Size <= 0 || m.Kind == r.s.Fill.OriginKind || r.s.Fill.FlowKB <= 0 {
+	if m.ReadyAt <= 0 || age >= span || span <= 0 || !r.s.Fill.SizeIsCapacity || m.Size <= 0 || m.Kind == r.s.Fill.OriginKind || r.s.Fill.FlowKBPerMs <= 0 {
 		return
 	}
-	list := append(r.cold[id], work{now, h.Request.KB / r.s.Fill.FlowKB})
-	for len(list) > 0 && list[0].t <= now-ru.FallTime {
+	list := append(r.cold[id], work{now, h.Request.KB / r.s.Fill.FlowKBPerMs})
+	for len(list) > 0 && list[0].t <= now-ru.OverloadTime {
 		list = list[1:]
 	}
 	r.cold[id] = list
@@ -144,9 +144,9 @@
 	for _, w := range list {
 		sum += w.ms
 	}
-	bears := factor * m.Size * (from + (1-from)*max(age, 0)/span) * ru.FallTime / float64(of)
+	bears := factor * m.Size * (from + (1-from)*max(age, 0)/span) * ru.OverloadTime / float64(of)
 	if len(list) > 1 && sum > bears {
-		r.found(4, "%s to %s, up for %.0f ms: %.0f ms of sending in %.0f ms, its share is %.0f", h.Request.ID, id, age, sum, ru.FallTime, bears)
+		r.found(4, "%s to %s, up for %.0f ms: %.0f ms of sending in %.0f ms, its share is %.0f", h.Request.ID, id, age, sum, ru.OverloadTime, bears)
 	}
 }
 
--- a/internal/decisionlog/whatif/whatif_test.go
+++ b/internal/decisionlog/whatif/whatif_test.go
@@ -35,10 +35,10 @@
 }
 
 func options(s *config.Settings) CacheModelOptions {
-	return CacheModelOptions{TransferRate: s.Fill.FlowKB, SizeIsCapacity: s.Fill.Sizes, ParentKind: "parent", OriginKind: "origin",
-		WarmUpInitialShare: s.Rules.ColdFrom, WarmUpTime: s.Rules.ColdTime, OverloadFactor: s.Rules.FallFactor,
-		ParentWarmUpInitialShare: s.Rules.ParentColdFrom, ParentWarmUpTime: s.Rules.ParentColdTime, ParentOverloadFactor: s.Rules.ParentFall,
-		OverloadTime: s.Rules.FallTime}
+	return CacheModelOptions{TransferRate: s.Fill.FlowKBPerMs, SizeIsCapacity: s.Fill.SizeIsCapacity, ParentKind: "parent", OriginKind: "origin",
+		WarmUpInitialShare: s.Rules.WarmUpInitialShare, WarmUpTime: s.Rules.WarmUpTime, OverloadFactor: s.Rules.OverloadFactor,
+		ParentWarmUpInitialShare: s.Rules.ParentWarmUpInitialShare, ParentWarmUpTime: s.Rules.ParentWarmUpTime, ParentOverloadFactor: s.Rules.ParentOverloadFactor,
+		OverloadTime: s.Rules.OverloadTime}
 }
 
 type recorder struct{ w *journal.Writer }
--- a/internal/protocol/esi/bench_test.go
+++ b/internal/protocol/esi/bench_test.go
@@ -20,21 +20,21 @@
 			b.ReportAllocs()
 			b.SetBytes(int64(len(template) + n*len(piece)))
 			for b.Loop() {
-				p, err := NewPage(Setup{}, vars, "/p/0/1", 0, 1000)
+				p, err := NewPage(Options{}, vars, "/p/0/1", 0, 1000)
 				if err != nil {
 					b.Fatal(err)
 				}
-				p.Head(Meta{ESI: true})
+				p.TemplateHead(Meta{ESI: true})
 				p.Template(template, 1)
 				p.TemplateEnd(1)
 				out = out[:0]
 				for !p.Done() {
-					acts, _ := p.Do(2)
+					acts, _ := p.Actions(2)
 					for _, a := range acts {
-						p.Attempt()
-						p.Begun(a.ID, Meta{}, 2)
-						p.Body(a.ID, piece, 2)
-						p.End(a.ID, 2)
+						p.CountAttempt()
+						p.FragmentHead(a.ID, Meta{}, 2)
+						p.FragmentBody(a.ID, piece, 2)
+						p.FragmentEnd(a.ID, 2)
 					}
 					out = p.Take(out, 64<<10, 2)
 				}
--- a/internal/protocol/esi/conformance_test.go
+++ b/internal/protocol/esi/conformance_test.go
@@ -86,14 +86,14 @@
 	for _, m := range regexp.MustCompile("(?m)^\\| [0-9.A]+ \\|.*\\| `([a-z-]+)`").FindAllSubmatch(doc, -1) {
 		rows[string(m[1])] = true
 	}
-	vars := &Vars{Host: "h", Query: "a=1", Cookie: "k=<b>; k2=v", Language: "en, de;q=0.5, fr;q=0", Agent: "Mozilla/5.0 (X11; Linux)"}
+	vars := &Vars{Host: "h", Query: "a=1", Cookie: "k=<b>; k2=v", AcceptLanguage: "en, de;q=0.5, fr;q=0", UserAgent: "Mozilla/5.0 (X11; Linux)"}
 	for _, k := range conformance {
 		if !rows[k.name] {
 			t.Errorf("%s is not in docs/esi.md", k.name)
 		}
 		delete(rows, k.name)
 		for seed := range uint64(8) {
-			got, p, _ := playAs(t, vars, Setup{}, k.w, rand.New(rand.NewPCG(seed, 3)))
+			got, p, _ := playAs(t, vars, Options{}, k.w, rand.New(rand.NewPCG(seed, 3)))
 			if !errors.Is(p.Err(), k.err) || k.err == nil && got != k.want {
 				t.Errorf("%s: %q, %v; want %q, %v", k.name, got, p.Err(), k.want, k.err)
 				break
--- a/internal/protocol/esi/esi_test.go
+++ b/internal/protocol/esi/esi_test.go
@@ -156,7 +156,7 @@
 }
 
 var testVars = &Vars{Host: "branch-7.example", Cookie: `a=1; name="O'Hara"; evil=x<y&z; long=` + strings.Repeat("x", 5000),
-	Language: "da, en-gb;q=0.8, fr;q=0", Agent: "Mozilla/5.0 (X11; Linux x86_64)", Query: "first=Robin&last=Roberts&n=10"}
+	AcceptLanguage: "da, en-gb;q=0.8, fr;q=0", UserAgent: "Mozilla/5.0 (X11; Linux x86_64)", Query: "first=Robin&last=Roberts&n=10"}
 
 func TestTests(t *testing.T) {
 	for text, want := range map[string]bool{
--- a/internal/protocol/esi/page.go
+++ b/internal/protocol/esi/page.go
@@ -7,28 +7,28 @@
 	"strings"
 )
 
-// Act is what a page wants done.
-type Act struct {
-	Kind  ActKind
-	ID    int     // of the fragment
-	URL   string  // path and query of it
-	Until float64 // when it is given up; of a Wake: when Tick is due
+// Action is what a page wants done.
+type Action struct {
+	Kind     ActionKind
+	ID       int     // of the fragment
+	URL      string  // path and query of it
+	Deadline float64 // when it is given up; of a Wake: when Tick is due
 }
 
-// ActKind is what an Act is.
-type ActKind uint8
+// ActionKind is what an Act is.
+type ActionKind uint8
 
 // The kinds of acts.
 const (
-	Fetch   ActKind = iota + 1 // ask for a fragment
-	Drop                       // nobody wants it any more: end what is out for it
-	Restart                    // ask for the page itself again: Template begins anew
+	Fetch   ActionKind = iota + 1 // ask for a fragment
+	Cancel                        // nobody wants it any more: end what is out for it
+	Restart                       // ask for the page itself again: Template begins anew
 )
 
 // Page puts a page together. Bytes and news go in, acts and bytes in their order come
 // out; it keeps no clock, and no more than its Setup says.
 type Page struct {
-	s        Setup
+	s        Options
 	vars     *Vars
 	url      *url.URL
 	deadline float64
@@ -52,7 +52,7 @@
 	most     int64
 	sent     int64
 	at       []cursor
-	acts     []Act
+	acts     []Action
 	waits    bool // it is the client that holds things up
 	busy     bool // what went out is not taken yet
 	late     bool // what fails now was late
@@ -130,7 +130,7 @@
 }
 
 // NewPage begins a page that is at a path and query, and has time until deadline.
-func NewPage(s Setup, vars *Vars, path string, now, deadline float64) (*Page, error) {
+func NewPage(s Options, vars *Vars, path string, now, deadline float64) (*Page, error) {
 	u, err := url.ParseRequestURI(path)
 	if err != nil {
 		return nil, fmt.Errorf("esi: the page's own address: %w", err)
@@ -163,8 +163,8 @@
 	p.now = now
 }
 
-// Busy says whether the client has yet to take some of what went out.
-func (p *Page) Busy(on bool, now float64) {
+// SetClientBusy says whether the client has yet to take some of what went out.
+func (p *Page) SetClientBusy(on bool, now float64) {
 	p.elapse(now)
 	p.busy = on
 }
@@ -185,7 +185,7 @@
 		if x.seq != nil {
 			return p.isReady(x.seq)
 		}
-		return x.state == whole || p.streams(x) && len(x.data) > c.off && (x.gone > 0 || int64(len(x.data)) >= p.s.Whole)
+		return x.state == whole || p.streams(x) && len(x.data) > c.off && (x.gone > 0 || int64(len(x.data)) >= p.s.StreamThreshold)
 	case t.attempt != nil:
 		return p.isReady(t.attempt)
 	}
@@ -196,9 +196,9 @@
 var (
 	ErrMalformed = errors.New("esi: malformed")
 	ErrFragment  = errors.New("esi: a fragment is missing")
-	ErrTooMuch   = errors.New("esi: past a limit")
+	ErrLimit     = errors.New("esi: past a limit")
 	ErrPurged    = errors.New("esi: purged while it went out")
-	ErrLate      = errors.New("esi: not whole by its deadline")
+	ErrDeadline  = errors.New("esi: not whole by its deadline")
 )
 
 func (p *Page) stop(kind error, format string, args ...any) {
@@ -208,7 +208,7 @@
 	p.err = fmt.Errorf("%w: %s", kind, fmt.Sprintf(format, args...))
 	for _, x := range p.pieces {
 		if x.state == fetching {
-			p.acts = append(p.acts, Act{Kind: Drop, ID: x.id})
+			p.acts = append(p.acts, Action{Kind: Cancel, ID: x.id})
 		}
 	}
 	p.out = 0
@@ -227,11 +227,11 @@
 // Ready reports whether all of the page is known.
 func (p *Page) Ready() bool { return p.err == nil && p.isReady(p.root) }
 
-// Held is how many bytes wait, and Most how many ever did.
-func (p *Page) Held() int64 { return p.held }
+// Waiting is how many bytes wait, and Most how many ever did.
+func (p *Page) Waiting() int64 { return p.held }
 
-// Most is how many bytes ever waited at once.
-func (p *Page) Most() int64 { return p.most }
+// MaxWaiting is how many bytes ever waited at once.
+func (p *Page) MaxWaiting() int64 { return p.most }
 
 // Attempts is how many attempts fragments have taken.
 func (p *Page) Attempts() int { return p.attempts }
@@ -251,11 +251,11 @@
 			list = append(list, Meta{})
 		}
 	}
-	return Together(list)
+	return Combine(list)
 }
 
 // Do is what is wanted since the last call, and when Tick is due; 0: never.
-func (p *Page) Do(now float64) (acts []Act, tick float64) {
+func (p *Page) Actions(now float64) (acts []Action, tick float64) {
 	p.elapse(now)
 	p.schedule()
 	p.waits = p.err == nil && p.clientHolds()
@@ -275,8 +275,8 @@
 	return acts, tick
 }
 
-// Head is the head of the template's answer. Without ESI it is text, whatever stands in it.
-func (p *Page) Head(m Meta) { p.meta, p.plain = m, !m.ESI }
+// TemplateHead is the head of the template's answer. Without ESI it is text, whatever stands in it.
+func (p *Page) TemplateHead(m Meta) { p.meta, p.plain = m, !m.ESI }
 
 // Template is the next bytes of the page itself.
 func (p *Page) Template(b []byte, now float64) {
@@ -288,7 +288,7 @@
 		p.addText(p.root, b, false)
 		return
 	}
-	if p.s.AsIs { // only a page that is known whole is known to be well formed
+	if p.s.PassMalformed { // only a page that is known whole is known to be well formed
 		p.keep(&p.raw, b, "the page")
 		return
 	}
@@ -305,7 +305,7 @@
 		p.root.open = false
 		return
 	}
-	if p.s.AsIs {
+	if p.s.PassMalformed {
 		raw := p.raw
 		p.raw = nil
 		p.held -= int64(len(raw))
@@ -338,8 +338,8 @@
 }
 
 func (p *Page) keep(to *[]byte, b []byte, what string) {
-	if int64(len(*to)+len(b)) > p.s.Piece {
-		p.stop(ErrTooMuch, "%s is longer than %d bytes, and has to be known whole", what, p.s.Piece)
+	if int64(len(*to)+len(b)) > p.s.MaxBuffered {
+		p.stop(ErrLimit, "%s is longer than %d bytes, and has to be known whole", what, p.s.MaxBuffered)
 		return
 	}
 	*to = append(*to, b...)
@@ -380,8 +380,8 @@
 		case Inline:
 			if u := p.resolve(base, n.Src); u != nil {
 				if at := (inDoc{to.of, u.RequestURI()}); p.inlines[at] == nil {
-					if p.brought += int64(len(n.Text)); p.brought > p.s.Held {
-						p.stop(ErrTooMuch, "its inlines have more than %d bytes", p.s.Held)
+					if p.brought += int64(len(n.Text)); p.brought > p.s.MaxWaiting {
+						p.stop(ErrLimit, "its inlines have more than %d bytes", p.s.MaxWaiting)
 						return
 					}
 					p.inlines[at] = append([]byte{}, n.Text...)
@@ -453,8 +453,8 @@
 
 // include takes a place for a fragment into a row.
 func (p *Page) include(to *seq, n *Node, base *url.URL) {
-	if p.uses++; p.uses > p.s.Uses {
-		p.stop(ErrTooMuch, "more than %d includes", p.s.Uses)
+	if p.uses++; p.uses > p.s.Includes {
+		p.stop(ErrLimit, "more than %d includes", p.s.Includes)
 		return
 	}
 	h := &hole{in: to, cont: n.Continue}
@@ -623,12 +623,12 @@
 		}
 		x.state, x.until = fetching, p.s.until(p.now, p.end(), waves, x.need)
 		p.out++
-		p.acts = append(p.acts, Act{Kind: Fetch, ID: x.id, URL: x.key, Until: x.until})
+		p.acts = append(p.acts, Action{Kind: Fetch, ID: x.id, URL: x.key, Deadline: x.until})
 	}
 	if first != nil && first.state == wanting {
 		ask(first)
 	}
-	for i := 0; i < len(p.pieces) && p.err == nil && p.out < p.s.Parallel && p.held < p.s.Held; i++ {
+	for i := 0; i < len(p.pieces) && p.err == nil && p.out < p.s.Parallel && p.held < p.s.MaxWaiting; i++ {
 		if x := p.pieces[i]; x.state == wanting && x.uses > 0 { // a failure may add some
 			ask(x)
 		}
@@ -685,21 +685,21 @@
 	return nil
 }
 
-// Room reports whether more of a fragment is to be read now; with -1, of the template.
+// CanRead reports whether more of a fragment is to be read now; with -1, of the template.
 // What the page waits for is always read on.
-func (p *Page) Room(id int) bool {
-	if p.err != nil || p.held < p.s.Held {
+func (p *Page) CanRead(id int) bool {
+	if p.err != nil || p.held < p.s.MaxWaiting {
 		return true
 	}
 	if id < 0 {
-		return p.blocking() == nil && p.held < 2*p.s.Held
+		return p.blocking() == nil && p.held < 2*p.s.MaxWaiting
 	}
 	x := p.pieces[id]
-	return x == p.blocking() && (!p.streams(x) || int64(len(x.data)) < p.s.Held)
+	return x == p.blocking() && (!p.streams(x) || int64(len(x.data)) < p.s.MaxWaiting)
 }
 
-// Attempt counts an attempt at a member for a fragment.
-func (p *Page) Attempt() { p.attempts++ }
+// CountAttempt counts an attempt at a member for a fragment.
+func (p *Page) CountAttempt() { p.attempts++ }
 
 func (p *Page) piece(id int) *piece {
 	if p.err != nil || id < 0 || id >= len(p.pieces) || p.pieces[id].state != fetching {
@@ -708,8 +708,8 @@
 	return p.pieces[id]
 }
 
-// Begun is the head of a fragment's answer.
-func (p *Page) Begun(id int, m Meta, now float64) {
+// FragmentHead is the head of a fragment's answer.
+func (p *Page) FragmentHead(id int, m Meta, now float64) {
 	p.elapse(now)
 	x := p.piece(id)
 	if x == nil {
@@ -722,21 +722,21 @@
 	}
 }
 
-// Body is the next bytes of a fragment.
-func (p *Page) Body(id int, b []byte, now float64) {
+// FragmentBody is the next bytes of a fragment.
+func (p *Page) FragmentBody(id int, b []byte, now float64) {
 	p.elapse(now)
 	x := p.piece(id)
 	if x == nil {
 		return
 	}
-	if x.seq != nil && !p.s.AsIs {
+	if x.seq != nil && !p.s.PassMalformed {
 		p.feed(x.parser, x.seq, x, x.url, b)
 		return
 	}
 	if x.seq != nil || !p.streams(x) {
-		if int64(len(x.data)+len(b)) > p.s.Piece {
+		if int64(len(x.data)+len(b)) > p.s.MaxBuffered {
 			p.drop(x)
-			p.fail(x, fmt.Sprintf("%.80q is longer than %d bytes, and has to be known whole", x.key, p.s.Piece))
+			p.fail(x, fmt.Sprintf("%.80q is longer than %d bytes, and has to be known whole", x.key, p.s.MaxBuffered))
 			return
 		}
 	}
@@ -757,8 +757,8 @@
 	return false
 }
 
-// End ends a fragment's answer.
-func (p *Page) End(id int, now float64) {
+// FragmentEnd ends a fragment's answer.
+func (p *Page) FragmentEnd(id int, now float64) {
 	p.elapse(now)
 	x := p.piece(id)
 	if x == nil {
@@ -769,7 +769,7 @@
 	if x.seq == nil {
 		return
 	}
-	if p.s.AsIs {
+	if p.s.PassMalformed {
 		raw := x.data
 		if wellFormed(raw, p.s.Parser) != nil {
 			x.seq, x.parser = nil, nil // as it is
@@ -796,8 +796,8 @@
 	s.open = false
 }
 
-// Failed ends a fragment without an answer, or in the middle of one.
-func (p *Page) Failed(id int, cause string, now float64) {
+// FragmentFailed ends a fragment without an answer, or in the middle of one.
+func (p *Page) FragmentFailed(id int, cause string, now float64) {
 	p.elapse(now)
 	if x := p.piece(id); x != nil {
 		p.out--
@@ -816,7 +816,7 @@
 	if x.state == fetching {
 		p.out--
 		x.state = wanting
-		p.acts = append(p.acts, Act{Kind: Drop, ID: x.id})
+		p.acts = append(p.acts, Action{Kind: Cancel, ID: x.id})
 	}
 }
 
@@ -881,7 +881,7 @@
 	if x.uses--; x.uses > 0 {
 		return
 	}
-	if x.state == whole && x.seq == nil && x.gone == 0 && p.root.open && p.held < p.s.Held {
+	if x.state == whole && x.seq == nil && x.gone == 0 && p.root.open && p.held < p.s.MaxWaiting {
 		x.begun = false // kept: the rest of the page may name it again
 		return
 	}
@@ -961,7 +961,7 @@
 		return
 	}
 	if p.late {
-		p.stop(ErrLate, "%s", cause)
+		p.stop(ErrDeadline, "%s", cause)
 		return
 	}
 	p.stop(ErrFragment, "%s", cause)
@@ -1005,7 +1005,7 @@
 		if p.err == nil && x.state == fetching && now >= x.until {
 			p.drop(x)
 			if x.begun {
-				p.stop(ErrLate, "%.80q", x.key)
+				p.stop(ErrDeadline, "%.80q", x.key)
 				return
 			}
 			p.late = true
@@ -1018,7 +1018,7 @@
 	case p.mustEnd > 0 && now >= p.mustEnd:
 		p.stop(ErrPurged, "what was sent of it is old by now")
 	case now >= p.deadline && !p.Ready():
-		p.stop(ErrLate, "%d fragments are out", p.out)
+		p.stop(ErrDeadline, "%d fragments are out", p.out)
 	}
 }
 
@@ -1037,7 +1037,7 @@
 			}
 			p.restarts++
 			p.begin()
-			p.acts = append(p.acts, Act{Kind: Restart})
+			p.acts = append(p.acts, Action{Kind: Restart})
 			return
 		}
 		p.ends(until)
@@ -1126,7 +1126,7 @@
 	had := len(dst)
 	for p.err == nil && len(p.at) > 0 && len(dst)-had < most {
 		if p.steps++; p.steps > mostSteps {
-			p.stop(ErrTooMuch, "more than %d parts", mostSteps)
+			p.stop(ErrLimit, "more than %d parts", mostSteps)
 			break
 		}
 		c := &p.at[len(p.at)-1]
@@ -1174,8 +1174,8 @@
 
 func (p *Page) took(dst []byte, had int) []byte {
 	p.sent += int64(len(dst) - had)
-	if p.sent > p.s.Out {
-		p.stop(ErrTooMuch, "the page is longer than %d bytes", p.s.Out)
+	if p.sent > p.s.MaxPage {
+		p.stop(ErrLimit, "the page is longer than %d bytes", p.s.MaxPage)
 	}
 	p.waits = p.err == nil && p.clientHolds()
 	return dst
@@ -1210,7 +1210,7 @@
 func (p *Page) takeHole(dst []byte, c *cursor, h *hole, room int) (out []byte, more bool) {
 	x := h.p
 	if x.seq != nil {
-		if !p.isReady(x.seq) && (x.uses > 1 || h.need() != required || p.s.AsIs) {
+		if !p.isReady(x.seq) && (x.uses > 1 || h.need() != required || p.s.PassMalformed) {
 			return dst, false
 		}
 		if x.state == fetching && len(x.seq.parts) == 0 {
@@ -1220,7 +1220,7 @@
 		p.at = append(p.at, cursor{s: x.seq})
 		return dst, true
 	}
-	if x.state != whole && (x.state != fetching || !p.streams(x) || x.gone == 0 && int64(len(x.data)) < p.s.Whole) {
+	if x.state != whole && (x.state != fetching || !p.streams(x) || x.gone == 0 && int64(len(x.data)) < p.s.StreamThreshold) {
 		return dst, false
 	}
 	n := min(room, len(x.data)-c.off)
--- a/internal/protocol/esi/page_test.go
+++ b/internal/protocol/esi/page_test.go
@@ -17,13 +17,13 @@
 
 // play puts a page together with news in an order of chance, in pieces of any size, and
 // takes what is ready in sips. It says how often each fragment was asked for.
-func play(t fataler, s Setup, w site, rng *rand.Rand) (string, *Page, map[string]int) {
+func play(t fataler, s Options, w site, rng *rand.Rand) (string, *Page, map[string]int) {
 	return playAs(t, &Vars{Host: "h", Query: "a=1", Cookie: "k=<b>"}, s, w, rng)
 }
 
 type fataler interface{ Fatalf(string, ...any) }
 
-func playAs(t fataler, vars *Vars, s Setup, w site, rng *rand.Rand) (string, *Page, map[string]int) {
+func playAs(t fataler, vars *Vars, s Options, w site, rng *rand.Rand) (string, *Page, map[string]int) {
 	p, err := NewPage(s, vars, "/page", 0, 1000)
 	if err != nil {
 		t.Fatalf("%v", err)
@@ -34,7 +34,7 @@
 		rest  string
 		begun bool
 	}
-	p.Head(Meta{ESI: true})
+	p.TemplateHead(Meta{ESI: true})
 	flows := []*flow{{id: -1, rest: w["/page"]}}
 	asked := map[string]int{}
 	var out []byte
@@ -43,13 +43,13 @@
 		if step > 200_000 {
 			t.Fatalf("it does not end: %d out, blocking %v, held %d", len(flows), p.blocking(), p.held)
 		}
-		acts, _ := p.Do(now)
+		acts, _ := p.Actions(now)
 		for _, a := range acts {
 			switch a.Kind {
 			case Fetch:
 				asked[a.URL]++
 				flows = append(flows, &flow{id: a.ID, url: a.URL, rest: w[a.URL]})
-			case Drop:
+			case Cancel:
 				for i, f := range flows {
 					if f.id == a.ID {
 						flows = append(flows[:i], flows[i+1:]...)
@@ -66,26 +66,26 @@
 			over := false
 			switch _, there := w[f.url]; {
 			case f.id >= 0 && !there:
-				p.Attempt()
-				p.Failed(f.id, "it is missing", now)
+				p.CountAttempt()
+				p.FragmentFailed(f.id, "it is missing", now)
 				over = true
 			case f.id >= 0 && !f.begun:
-				p.Attempt()
+				p.CountAttempt()
 				f.begun = true
-				p.Begun(f.id, Meta{ESI: isPage(f.url), ETag: f.url, Fresh: 100}, now)
-			case !p.Room(f.id):
+				p.FragmentHead(f.id, Meta{ESI: isPage(f.url), ETag: f.url, Fresh: 100}, now)
+			case !p.CanRead(f.id):
 			case f.rest == "" && f.id < 0:
 				p.TemplateEnd(now)
 				over = true
 			case f.rest == "":
-				p.End(f.id, now)
+				p.FragmentEnd(f.id, now)
 				over = true
 			default:
 				k := 1 + rng.IntN(min(len(f.rest), 1+rng.IntN(4000)))
 				if f.id < 0 {
 					p.Template([]byte(f.rest[:k]), now)
 				} else {
-					p.Body(f.id, []byte(f.rest[:k]), now)
+					p.FragmentBody(f.id, []byte(f.rest[:k]), now)
 				}
 				f.rest = f.rest[k:]
 			}
@@ -213,7 +213,7 @@
 				w[n] = strings.Repeat(n+" ", rng.IntN(3000))
 			}
 		}
-		s := Setup{Parallel: 1 + rng.IntN(4), Held: 8 << 10, Whole: 2 << 10, Piece: 64 << 10}
+		s := Options{Parallel: 1 + rng.IntN(4), MaxWaiting: 8 << 10, StreamThreshold: 2 << 10, MaxBuffered: 64 << 10}
 		got, p, _ := play(t, s, w, rng)
 		want, ok := w.model("/page", nil)
 		if ok != p.Done() {
@@ -225,7 +225,7 @@
 		if p.Done() && p.held != 0 {
 			t.Fatalf("%d bytes are held at the end", p.held)
 		}
-		if most := int64(3*s.Held + 8*s.Piece); p.most > most {
+		if most := int64(3*s.MaxWaiting + 8*s.MaxBuffered); p.most > most {
 			t.Fatalf("%d bytes were held, %d may be", p.most, most)
 		}
 	})
@@ -235,7 +235,7 @@
 	big := strings.Repeat("0123456789abcdef", 12<<10) // 192 KB
 	for _, k := range []struct {
 		name  string
-		s     Setup
+		s     Options
 		w     site
 		want  string
 		err   error
@@ -246,27 +246,27 @@
 		{name: "missing", w: site{"/page": `<esi:include src="/n"/>`}, err: ErrFragment},
 		{name: "itself", w: site{"/page": `a<esi:include src="/page" onerror="continue"/>`}, want: "a", asked: map[string]int{"/page": 0}},
 		{name: "a cycle of two", w: site{"/page": `<esi:include src="/p1"/>`, "/p1": `1<esi:include src="/p2"/>`, "/p2": `2<esi:include src="/p1"/>`}, err: ErrFragment},
-		{name: "too deep", s: Setup{Depth: 2}, w: site{"/page": `<esi:include src="/p1"/>`, "/p1": `<esi:include src="/p2"/>`, "/p2": `<esi:include src="/f1"/>`, "/f1": "x"}, err: ErrFragment},
-		{name: "billion laughs", s: Setup{Out: 1 << 20}, w: site{"/page": strings.Repeat(`<esi:include src="/p1"/>`, 40), "/p1": strings.Repeat(`<esi:include src="/p2"/>`, 40), "/p2": strings.Repeat(`<esi:include src="/f1"/>`, 40), "/f1": strings.Repeat("ha", 500)}, err: ErrTooMuch},
-		{name: "laughs of nothing", w: site{"/page": strings.Repeat(`<esi:include src="/p1"/>`, 100), "/p1": strings.Repeat(`<esi:include src="/p2"/>`, 100), "/p2": strings.Repeat(`<esi:include src="/p3"/>`, 100), "/p3": ""}, err: ErrTooMuch},
-		{name: "too many fragments", s: Setup{Fragments: 3}, w: site{"/page": `<esi:include src="/1"/><esi:include src="/2"/><esi:include src="/3"/><esi:include src="/4"/>`, "/1": "", "/2": "", "/3": "", "/4": ""}, err: ErrFragment},
-		{name: "attempts are used up", s: Setup{Attempts: 3, Parallel: 1}, w: site{"/page": `<esi:include src="/1" onerror="continue"/><esi:include src="/2" onerror="continue"/><esi:include src="/3" onerror="continue"/><esi:include src="/4" onerror="continue"/>`, "/1": "1", "/2": "2", "/3": "3", "/4": "4"}, want: "123", asked: map[string]int{"/4": 0}},
+		{name: "too deep", s: Options{Depth: 2}, w: site{"/page": `<esi:include src="/p1"/>`, "/p1": `<esi:include src="/p2"/>`, "/p2": `<esi:include src="/f1"/>`, "/f1": "x"}, err: ErrFragment},
+		{name: "billion laughs", s: Options{MaxPage: 1 << 20}, w: site{"/page": strings.Repeat(`<esi:include src="/p1"/>`, 40), "/p1": strings.Repeat(`<esi:include src="/p2"/>`, 40), "/p2": strings.Repeat(`<esi:include src="/f1"/>`, 40), "/f1": strings.Repeat("ha", 500)}, err: ErrLimit},
+		{name: "laughs of nothing", w: site{"/page": strings.Repeat(`<esi:include src="/p1"/>`, 100), "/p1": strings.Repeat(`<esi:include src="/p2"/>`, 100), "/p2": strings.Repeat(`<esi:include src="/p3"/>`, 100), "/p3": ""}, err: ErrLimit},
+		{name: "too many fragments", s: Options{Fragments: 3}, w: site{"/page": `<esi:include src="/1"/><esi:include src="/2"/><esi:include src="/3"/><esi:include src="/4"/>`, "/1": "", "/2": "", "/3": "", "/4": ""}, err: ErrFragment},
+		{name: "attempts are used up", s: Options{Attempts: 3, Parallel: 1}, w: site{"/page": `<esi:include src="/1" onerror="continue"/><esi:include src="/2" onerror="continue"/><esi:include src="/3" onerror="continue"/><esi:include src="/4" onerror="continue"/>`, "/1": "1", "/2": "2", "/3": "3", "/4": "4"}, want: "123", asked: map[string]int{"/4": 0}},
 		{name: "another host", w: site{"/page": `a<esi:include src="http://evil/f1" onerror="continue"/><esi:include src="//evil/f1" onerror="continue"/><esi:include src="file:///etc/x" onerror="continue"/><esi:include src="http://h/f1"/>`, "/f1": "x"}, want: "ax", asked: map[string]int{"/f1": 1}},
 		{name: "relative", w: site{"/page": `<esi:include src="f1"/><esi:include src="../../f2"/>`, "/f1": "1", "/f2": "2"}, want: "12"},
 		{name: "a value can't make an address of its own", w: site{"/page": `<esi:include src="/q/$(HTTP_COOKIE{k})"/>`, "/q/%3Cb%3E": "ok"}, want: "ok"},
 		{name: "variables and branches", w: site{"/page": `<esi:vars>$(HTTP_COOKIE{k})</esi:vars><esi:choose><esi:when test="$(QUERY_STRING{a})=='1'">1<esi:include src="/f1"/></esi:when><esi:otherwise><esi:include src="/f2"/></esi:otherwise></esi:choose>`, "/f1": "x"}, want: "&lt;b&gt;1x", asked: map[string]int{"/f2": 0}},
 		{name: "inline", w: site{"/page": `<esi:inline name="/in">i<esi:include src="/f1"/></esi:inline>a<esi:include src="/in"/><esi:include src="/in"/>`, "/f1": "x"}, want: "aixix", asked: map[string]int{"/in": 0, "/f1": 1}},
-		{name: "inlines without end", w: site{"/page": `<esi:inline name="/1">` + big + `</esi:inline>` + `<esi:inline name="/2">` + big + `</esi:inline>`}, s: Setup{Held: 300 << 10}, err: ErrTooMuch},
+		{name: "inlines without end", w: site{"/page": `<esi:inline name="/1">` + big + `</esi:inline>` + `<esi:inline name="/2">` + big + `</esi:inline>`}, s: Options{MaxWaiting: 300 << 10}, err: ErrLimit},
 		{name: "an inline that comes late", w: site{"/page": `<esi:include src="/f1"/><esi:inline name="/f1">i</esi:inline><esi:include src="/f1"/>`, "/f1": "x"}, want: "xi"},
 		{name: "an inline of a fragment's own", w: site{"/page": `<esi:include src="/p1"/><esi:include src="/f1"/>`, "/p1": `<esi:inline name="/f1">i</esi:inline><esi:inline name="/2">2<esi:include src="/f1"/></esi:inline><esi:include src="/2"/>`, "/f1": "x"}, want: "2ix"},
 		{name: "an inline within itself", w: site{"/page": `<esi:inline name="/1">a<esi:include src="/1" onerror="continue"/></esi:inline><esi:include src="/1"/>`}, want: "a"},
 		{name: "a try in a try", w: site{"/page": `<esi:try><esi:attempt>1<esi:try><esi:attempt><esi:include src="/n"/></esi:attempt><esi:except>2<esi:include src="/n"/></esi:except></esi:try></esi:attempt><esi:except>3</esi:except></esi:try>`}, want: "3"},
 		{name: "malformed", w: site{"/page": `ab<esi:include/>`}, err: ErrMalformed},
-		{name: "malformed, as it is", s: Setup{AsIs: true}, w: site{"/page": `<esi:include src="/f1"/><esi:bad>`, "/f1": "x"}, want: `<esi:include src="/f1"/><esi:bad>`, asked: map[string]int{"/f1": 0}},
-		{name: "a malformed fragment, as it is", s: Setup{AsIs: true}, w: site{"/page": `a<esi:include src="/p1"/>`, "/p1": "<esi:x>"}, want: `a<esi:x>`},
+		{name: "malformed, as it is", s: Options{PassMalformed: true}, w: site{"/page": `<esi:include src="/f1"/><esi:bad>`, "/f1": "x"}, want: `<esi:include src="/f1"/><esi:bad>`, asked: map[string]int{"/f1": 0}},
+		{name: "a malformed fragment, as it is", s: Options{PassMalformed: true}, w: site{"/page": `a<esi:include src="/p1"/>`, "/p1": "<esi:x>"}, want: `a<esi:x>`},
 		{name: "a malformed fragment", w: site{"/page": `a<esi:include src="/p1" alt="/f1"/>`, "/p1": "<esi:x>", "/f1": "y"}, want: `ay`},
-		{name: "a large one streams", s: Setup{Held: 16 << 10, Whole: 4 << 10, Piece: 32 << 10}, w: site{"/page": `a<esi:include src="/f1"/>b`, "/f1": big}, want: "a" + big + "b"},
-		{name: "a large one that has to be whole", s: Setup{Held: 16 << 10, Whole: 4 << 10, Piece: 32 << 10}, w: site{"/page": `a<esi:try><esi:attempt><esi:include src="/f1"/></esi:attempt><esi:except>no</esi:except></esi:try>`, "/f1": big}, want: "ano"},
+		{name: "a large one streams", s: Options{MaxWaiting: 16 << 10, StreamThreshold: 4 << 10, MaxBuffered: 32 << 10}, w: site{"/page": `a<esi:include src="/f1"/>b`, "/f1": big}, want: "a" + big + "b"},
+		{name: "a large one that has to be whole", s: Options{MaxWaiting: 16 << 10, StreamThreshold: 4 << 10, MaxBuffered: 32 << 10}, w: site{"/page": `a<esi:try><esi:attempt><esi:include src="/f1"/></esi:attempt><esi:except>no</esi:except></esi:try>`, "/f1": big}, want: "ano"},
 	} {
 		for seed := range uint64(20) {
 			got, p, asked := play(t, k.s, k.w, rand.New(rand.NewPCG(seed, 7)))
@@ -287,11 +287,11 @@
 // nothing sent: it begins anew.
 func TestPurgesOfPages(t *testing.T) {
 	w := site{"/page": `<esi:include src="/slow"/><esi:include src="/f1"/>`, "/slow": "s", "/f1": "new"}
-	p, _ := NewPage(Setup{}, &Vars{}, "/page", 0, 1000)
-	p.Head(Meta{ESI: true})
+	p, _ := NewPage(Options{}, &Vars{}, "/page", 0, 1000)
+	p.TemplateHead(Meta{ESI: true})
 	do := func(want string) {
 		t.Helper()
-		acts, _ := p.Do(1)
+		acts, _ := p.Actions(1)
 		if got := fmt.Sprint(acts); got != want {
 			t.Fatalf("acts %s, want %s", got, want)
 		}
@@ -299,37 +299,37 @@
 	p.Template([]byte(w["/page"]), 0)
 	p.TemplateEnd(0)
 	do("[{1 0 /slow 900} {1 1 /f1 900}]")
-	p.Begun(1, Meta{}, 1)
-	p.Body(1, []byte("old"), 1)
-	p.End(1, 1)
+	p.FragmentHead(1, Meta{}, 1)
+	p.FragmentBody(1, []byte("old"), 1)
+	p.FragmentEnd(1, 1)
 	p.Purged(false, func(u string) bool { return u == "/f1" }, 300, 2)
 	do("[{1 1 /f1 900}]")
-	p.Begun(0, Meta{}, 3)
-	p.Body(0, []byte("s"), 3)
-	p.End(0, 3)
+	p.FragmentHead(0, Meta{}, 3)
+	p.FragmentBody(0, []byte("s"), 3)
+	p.FragmentEnd(0, 3)
 	if got := p.Take(nil, 100, 4); string(got) != "s" {
 		t.Fatalf("%q went out", got)
 	}
-	p.Begun(1, Meta{}, 5)
-	p.Body(1, []byte("new"), 5)
-	p.End(1, 5)
+	p.FragmentHead(1, Meta{}, 5)
+	p.FragmentBody(1, []byte("new"), 5)
+	p.FragmentEnd(1, 5)
 	if got := p.Take(nil, 100, 6); string(got) != "new" || !p.Done() {
 		t.Fatalf("%q went out", got)
 	}
 
 	for _, late := range []bool{false, true} {
-		p, _ = NewPage(Setup{Whole: 2}, &Vars{}, "/page", 0, 1000)
-		p.Head(Meta{ESI: true})
+		p, _ = NewPage(Options{StreamThreshold: 2}, &Vars{}, "/page", 0, 1000)
+		p.TemplateHead(Meta{ESI: true})
 		p.Template([]byte(`<esi:include src="/f1"/>`), 0)
 		p.TemplateEnd(0)
-		p.Do(0)
-		p.Begun(0, Meta{}, 1)
-		p.Body(0, []byte("abcdef"), 1)
+		p.Actions(0)
+		p.FragmentHead(0, Meta{}, 1)
+		p.FragmentBody(0, []byte("abcdef"), 1)
 		if got := p.Take(nil, 100, 1); string(got) != "abcdef" {
 			t.Fatalf("%q", got)
 		}
 		p.Purged(false, func(string) bool { return true }, 300, 2)
-		if _, tick := p.Do(2); tick != 300 {
+		if _, tick := p.Actions(2); tick != 300 {
 			t.Fatalf("tick at %v", tick)
 		}
 		if late {
@@ -339,29 +339,29 @@
 			}
 			continue
 		}
-		p.End(0, 200)
+		p.FragmentEnd(0, 200)
 		if p.Take(nil, 100, 200); !p.Done() {
 			t.Error("it is whole in time, and not done")
 		}
 	}
 
 	// a template that is purged while it goes out ends in time without what it can spare
-	p, _ = NewPage(Setup{}, &Vars{}, "/page", 0, 3000)
-	p.Head(Meta{ESI: true})
+	p, _ = NewPage(Options{}, &Vars{}, "/page", 0, 3000)
+	p.TemplateHead(Meta{ESI: true})
 	p.Template([]byte(`a<esi:include src="/f1" onerror="continue"/>b<esi:include src="/f2" alt="/f3" onerror="continue"/>`), 0)
 	p.TemplateEnd(0)
 	out := p.Take(nil, 100, 0)
-	p.Do(0)
+	p.Actions(0)
 	p.Purged(true, func(string) bool { return false }, 300, 5)
-	if _, tick := p.Do(5); tick != 270 {
+	if _, tick := p.Actions(5); tick != 270 {
 		t.Errorf("tick at %v", tick)
 	}
 	p.Tick(270)
-	p.Do(270)
+	p.Actions(270)
 	if out = p.Take(out, 100, 271); string(out) != "ab" || p.Done() {
 		t.Errorf("%q", out)
 	}
-	if _, tick := p.Do(271); tick > 300 {
+	if _, tick := p.Actions(271); tick > 300 {
 		t.Errorf("tick at %v", tick)
 	}
 	p.Tick(300)
@@ -369,8 +369,8 @@
 		t.Error(p.Err())
 	}
 
-	p, _ = NewPage(Setup{}, &Vars{}, "/page", 0, 1000)
-	p.Head(Meta{ESI: true})
+	p, _ = NewPage(Options{}, &Vars{}, "/page", 0, 1000)
+	p.TemplateHead(Meta{ESI: true})
 	p.Template([]byte(`<esi:include src="/f1"/>old`), 0)
 	do("[{1 0 /f1 900}]")
 	p.Purged(true, func(string) bool { return false }, 300, 5)
@@ -385,51 +385,51 @@
 // One that never comes is given up in time for the rest: what can be spared early, what
 // has an alternative so that this one has its time too; what can't, at the end.
 func TestPagesInTime(t *testing.T) {
-	p, _ := NewPage(Setup{}, &Vars{}, "/page", 0, 1000)
-	p.Head(Meta{ESI: true})
+	p, _ := NewPage(Options{}, &Vars{}, "/page", 0, 1000)
+	p.TemplateHead(Meta{ESI: true})
 	p.Template([]byte(`a<esi:include src="/1" alt="/2" onerror="continue"/>b<esi:include src="/3" onerror="continue"/>c<esi:include src="/4"/>`), 0)
 	p.TemplateEnd(0)
 	out := p.Take(nil, 100, 0)
-	acts, tick := p.Do(0)
+	acts, tick := p.Actions(0)
 	if got := fmt.Sprint(acts); got != "[{1 0 /1 450} {1 1 /3 900} {1 2 /4 900}]" || tick != 450 {
 		t.Fatal(got, tick)
 	}
 	p.Tick(450)
-	if acts, tick = p.Do(450); fmt.Sprint(acts) != "[{2 0  0} {1 3 /2 900}]" {
+	if acts, tick = p.Actions(450); fmt.Sprint(acts) != "[{2 0  0} {1 3 /2 900}]" {
 		t.Fatal(acts, tick)
 	}
-	p.Begun(2, Meta{}, 800)
-	p.Body(2, []byte("d"), 800)
-	p.End(2, 800)
+	p.FragmentHead(2, Meta{}, 800)
+	p.FragmentBody(2, []byte("d"), 800)
+	p.FragmentEnd(2, 800)
 	p.Tick(900)
 	if got := p.Take(out, 100, 901); string(got) != "abcd" || !p.Done() {
 		t.Errorf("%q %v", got, p.Err())
 	}
-	p, _ = NewPage(Setup{}, &Vars{}, "/page", 0, 1000)
-	p.Head(Meta{ESI: true})
+	p, _ = NewPage(Options{}, &Vars{}, "/page", 0, 1000)
+	p.TemplateHead(Meta{ESI: true})
 	p.Template([]byte(`a<esi:include src="/1"/>`), 0)
-	p.Do(0)
+	p.Actions(0)
 	if p.Tick(900); p.Err() != nil { // "a" is there, and the client has not taken it
 		t.Error(p.Err())
 	}
-	p, _ = NewPage(Setup{}, &Vars{}, "/page", 0, 1000)
-	p.Head(Meta{ESI: true})
+	p, _ = NewPage(Options{}, &Vars{}, "/page", 0, 1000)
+	p.TemplateHead(Meta{ESI: true})
 	p.Template([]byte(`a<esi:include src="/1"/>`), 0)
 	p.Take(nil, 100, 0)
-	p.Do(0)
-	if p.Tick(900); !errors.Is(p.Err(), ErrLate) {
+	p.Actions(0)
+	if p.Tick(900); !errors.Is(p.Err(), ErrDeadline) {
 		t.Error(p.Err())
 	}
 }
 
 func TestTogether(t *testing.T) {
-	a := Meta{Fresh: 100, ETag: `"a"`, Changed: 5}
-	b := Meta{Fresh: 50, ETag: `"b"`, Changed: 7, Private: true}
-	ab, ba := Together([]Meta{a, b}), Together([]Meta{b, a})
-	if ab.Fresh != 50 || !ab.Private || ab.Changed != 7 || ab.ETag == "" || ab.ETag == ba.ETag {
+	a := Meta{Fresh: 100, ETag: `"a"`, LastModified: 5}
+	b := Meta{Fresh: 50, ETag: `"b"`, LastModified: 7, Private: true}
+	ab, ba := Combine([]Meta{a, b}), Combine([]Meta{b, a})
+	if ab.Fresh != 50 || !ab.Private || ab.LastModified != 7 || ab.ETag == "" || ab.ETag == ba.ETag {
 		t.Error(ab, ba)
 	}
-	if m := Together([]Meta{a, {Fresh: -1}}); m.Fresh != 0 || m.ETag != "" || m.Changed != 0 {
+	if m := Combine([]Meta{a, {Fresh: -1}}); m.Fresh != 0 || m.ETag != "" || m.LastModified != 0 {
 		t.Error(m)
 	}
 }
@@ -444,13 +444,13 @@
 			return
 		}
 		w := site{"/page": page, "/p1": fragment, "/p2": fragment, "/f": "text", "/": fragment}
-		s := Setup{Held: 4 << 10, Whole: 1 << 10, Piece: 16 << 10, Out: 1 << 20, Parallel: 3, Parser: Limits{Held: 16 << 10}}
+		s := Options{MaxWaiting: 4 << 10, StreamThreshold: 1 << 10, MaxBuffered: 16 << 10, MaxPage: 1 << 20, Parallel: 3, Parser: Limits{Held: 16 << 10}}
 		one, p, _ := play(t, s, w, rand.New(rand.NewPCG(seed, 1)))
 		two, q, _ := play(t, s, w, rand.New(rand.NewPCG(seed, 2)))
 		if p.Done() && q.Done() && one != two {
 			t.Fatalf("%q and %q", one, two)
 		}
-		if p.most > 3*s.Held+10*s.Piece {
+		if p.most > 3*s.MaxWaiting+10*s.MaxBuffered {
 			t.Fatalf("%d bytes held", p.most)
 		}
 	})
--- a/internal/protocol/esi/vars.go
+++ b/internal/protocol/esi/vars.go
@@ -7,13 +7,13 @@
 // Vars are the variables of a request, from its head. They are what the client sent:
 // nothing in them is trusted, and they reach a page only escaped.
 type Vars struct {
-	Host      string // HTTP_HOST
-	Cookie    string // HTTP_COOKIE{name}
-	Language  string // HTTP_ACCEPT_LANGUAGE{tag}, as true or false
-	Agent     string // HTTP_USER_AGENT{browser|version|os}
-	Referer   string // HTTP_REFERER
-	Query     string // QUERY_STRING{name}, without its question mark
-	MaxLength int    // bytes of a value; longer ones count as not there; default 4096
+	Host           string // HTTP_HOST
+	Cookie         string // HTTP_COOKIE{name}
+	AcceptLanguage string // HTTP_ACCEPT_LANGUAGE{tag}, as true or false
+	UserAgent      string // HTTP_USER_AGENT{browser|version|os}
+	Referer        string // HTTP_REFERER
+	Query          string // QUERY_STRING{name}, without its question mark
+	MaxLength      int    // bytes of a value; longer ones count as not there; default 4096
 }
 
 // A Ref is a use of a variable: $(NAME{Key}|Default).
@@ -72,9 +72,9 @@
 		}
 	case "HTTP_ACCEPT_LANGUAGE":
 		if !r.HasKey {
-			return v.Language, v.Language != ""
+			return v.AcceptLanguage, v.AcceptLanguage != ""
 		}
-		for part := range strings.SplitSeq(v.Language, ",") {
+		for part := range strings.SplitSeq(v.AcceptLanguage, ",") {
 			tag, params, _ := strings.Cut(strings.TrimSpace(part), ";")
 			q := strings.ReplaceAll(params, " ", "")
 			if strings.EqualFold(strings.TrimSpace(tag), r.Key) && q != "q=0" && !strings.HasPrefix(q, "q=0.000") && q != "q=0.0" && q != "q=0.00" {
@@ -84,9 +84,9 @@
 		return "false", true
 	case "HTTP_USER_AGENT":
 		if !r.HasKey {
-			return v.Agent, v.Agent != ""
+			return v.UserAgent, v.UserAgent != ""
 		}
-		return agent(v.Agent, r.Key)
+		return agent(v.UserAgent, r.Key)
 	}
 	return "", false
 }
--- a/internal/proxy/engine/core.go
+++ b/internal/proxy/engine/core.go
@@ -125,24 +125,24 @@
 // delivers the first byte is the one that answers the client.
 func ModuleSettings(s *config.Settings) (spool.Settings, error) {
 	m := spool.Settings{
-		RouterIndex: s.Router.Me, Routers: s.Router.Of, Zone: s.Router.Zone, LinkCapacity: map[string]float64{},
+		RouterIndex: s.Router.Index, Routers: s.Router.Routers, Zone: s.Router.Zone, LinkCapacity: map[string]float64{},
 		ParentKind: s.Fill.ParentKind, OriginKind: s.Fill.OriginKind,
-		TimerResolution: s.Limits.TimerGrain, AnswerSlack: s.Limits.AnswerSlack, DrainGrace: s.Rules.DrainGrace,
-		WarmUpInitialShare: s.Rules.ColdFrom, WarmUpTime: s.Rules.ColdTime,
-		OverloadFactor: s.Rules.FallFactor, OverloadTime: s.Rules.FallTime,
-		ParentWarmUpInitialShare: s.Rules.ParentColdFrom, ParentWarmUpTime: s.Rules.ParentColdTime, ParentOverloadFactor: s.Rules.ParentFall,
-		PurgeTime: s.Rules.PurgeTakes, PurgeSlack: s.Rules.PurgeSlack,
-		DirectAttempts: s.Fill.Direct, JoinFills: s.Fill.Joins, SiblingScope: scopes[s.Fill.Siblings], Detail: details[s.Fill.Detail],
-		FlowKBPerMs: s.Fill.FlowKB, SizeIsCapacity: s.Fill.Sizes,
-		MaxAttempts: s.Limits.Attempts, MaxRequests: s.Limits.Held, MaxRetryAfter: s.Limits.RetryAfter,
-		HedgedRequests: s.Limits.SecondCopies, CanCancel: !s.Limits.NoCancel, LoadMetrics: s.Fill.Feedback,
+		TimerResolution: s.Limits.TimerResolution, AnswerSlack: s.Limits.AnswerSlack, DrainGrace: s.Rules.DrainGrace,
+		WarmUpInitialShare: s.Rules.WarmUpInitialShare, WarmUpTime: s.Rules.WarmUpTime,
+		OverloadFactor: s.Rules.OverloadFactor, OverloadTime: s.Rules.OverloadTime,
+		ParentWarmUpInitialShare: s.Rules.ParentWarmUpInitialShare, ParentWarmUpTime: s.Rules.ParentWarmUpTime, ParentOverloadFactor: s.Rules.ParentOverloadFactor,
+		PurgeTime: s.Rules.PurgeTime, PurgeSlack: s.Rules.PurgeSlack,
+		DirectAttempts: s.Fill.DirectAttempts, JoinFills: s.Fill.JoinFills, SiblingScope: scopes[s.Fill.SiblingScope], Detail: details[s.Fill.Detail],
+		FlowKBPerMs: s.Fill.FlowKBPerMs, SizeIsCapacity: s.Fill.SizeIsCapacity,
+		MaxAttempts: s.Limits.Attempts, MaxRequests: s.Limits.MaxRequests, MaxRetryAfter: s.Limits.MaxRetryAfter,
+		HedgedRequests: s.Limits.HedgedRequests, CanCancel: !s.Limits.NoCancel, LoadMetrics: s.Fill.LoadMetrics,
 	}
 	zoneIndex := map[string]int{}
 	for i, z := range s.Zones {
 		zoneIndex[z.Name] = i
 		m.Zones = append(m.Zones, z.Name)
 		m.RoutersByZone = append(m.RoutersByZone, z.Routers)
-		m.LinkCapacity[z.Name] = z.LinkIn
+		m.LinkCapacity[z.Name] = z.LinkCapacity
 	}
 	for _, z := range s.Zones {
 		hub := zoneIndex[z.Name] // a zone without a hub is its own
@@ -152,10 +152,10 @@
 		m.HubOfZone = append(m.HubOfZone, hub)
 	}
 	for _, class := range s.Classes {
-		m.Classes = append(m.Classes, spool.Class{Name: class.Name, LatencyObjective: class.Aim, ObjectivePerSendTime: class.AimStretch,
-			Deadline: class.Deadline, PriorityWeight: class.Worth, LateWeightShare: class.LateWorth, Idempotency: idempotencies[class.Effect],
-			KeyScope: scopes[class.Group], KeyWindow: class.Window, Streamed: true, InParts: class.Parts, Write: class.Write,
-			Fresh: class.Fresh, Grace: class.Grace, StaleWeightShare: class.StaleWorth})
+		m.Classes = append(m.Classes, spool.Class{Name: class.Name, LatencyObjective: class.LatencyObjective, ObjectivePerSendTime: class.ObjectivePerSendTime,
+			Deadline: class.Deadline, PriorityWeight: class.PriorityWeight, LateWeightShare: class.LateWeightShare, Idempotency: idempotencies[class.Idempotency],
+			KeyScope: scopes[class.KeyScope], KeyWindow: class.KeyWindow, Streamed: true, InParts: class.InParts, Write: class.Write,
+			Fresh: class.Fresh, Grace: class.Grace, StaleWeightShare: class.StaleWeightShare})
 	}
 	return m, nil
 }
--- a/internal/proxy/engine/route.go
+++ b/internal/proxy/engine/route.go
@@ -59,7 +59,7 @@
 		retryField: strings.ToLower(s.Router.RetryHeader)}
 	for i := range s.Classes {
 		if c := &s.Classes[i]; c.Name == r.Class {
-			out.write, out.deadline, out.idempotentByKey = c.Write, c.Deadline, c.Effect == "guarded"
+			out.write, out.deadline, out.idempotentByKey = c.Write, c.Deadline, c.Idempotency == "guarded"
 		}
 	}
 	for _, m := range r.Methods {
@@ -186,5 +186,5 @@
 // Parse parses a request head within the limits of the settings; see http1.ParseRequest.
 func (c *Core) Parse(buf []byte, h *http1.Head) (int, error) {
 	l := &c.Settings.Limits
-	return http1.ParseRequest(buf, h, http1.Limits{Line: l.Line, Head: l.Head, Fields: l.Fields})
+	return http1.ParseRequest(buf, h, http1.Limits{Line: l.RequestLineBytes, Head: l.HeadBytes, Fields: l.Fields})
 }
--- a/internal/proxy/httpfront/admin.go
+++ b/internal/proxy/httpfront/admin.go
@@ -34,7 +34,7 @@
 	}
 	switch ln := listener.(type) {
 	case *net.TCPListener:
-		if e.settings.Router.Handover != "" {
+		if e.settings.Router.HotRestartSocket != "" {
 			e.adminFile, _ = ln.File()
 		}
 	case *net.UnixListener:
--- a/internal/proxy/httpfront/client.go
+++ b/internal/proxy/httpfront/client.go
@@ -123,7 +123,7 @@
 			c.parseUnparsed()
 			return
 		}
-		if len(c.unparsed) >= c.edge.settings.Limits.Pipelined {
+		if len(c.unparsed) >= c.edge.settings.Limits.ReadAheadBytes {
 			c.readPaused = true
 			c.updateInterest()
 		}
@@ -150,7 +150,7 @@
 		c.unparsed = append(data[:0], rest...)
 	}
 	// The limit is for pipelined input: a head or a body that is arriving has limits of its own.
-	if c.readPaused && (c.current == nil || c.current.phase == receivingBody || len(c.unparsed) < c.edge.settings.Limits.Pipelined) {
+	if c.readPaused && (c.current == nil || c.current.phase == receivingBody || len(c.unparsed) < c.edge.settings.Limits.ReadAheadBytes) {
 		c.readPaused = false
 		c.updateInterest()
 	}
@@ -184,7 +184,7 @@
 		if !c.receiving {
 			c.receiving = true
 			c.edge.guard.idleClients.remove(c)
-			c.edge.loop.Arm(&c.idleTimer, c.edge.settings.Limits.HeadTime)
+			c.edge.loop.Arm(&c.idleTimer, c.edge.settings.Limits.HeadTimeout)
 		}
 		n, err := c.edge.core.Parse(buf, &c.edge.head)
 		if err != nil {
@@ -225,7 +225,7 @@
 		c.respond(request, rejection.Status, 0)
 		return
 	}
-	if len(edge.requests) >= edge.settings.Limits.Held {
+	if len(edge.requests) >= edge.settings.Limits.MaxRequests {
 		c.closeIfBody(head)
 		request.end = endHeld
 		c.respond(request, 503, retryAfter)
@@ -253,7 +253,7 @@
 	if request.startPage(head); request.page == nil {
 		request.composeForwardHead(head)
 	}
-	if err := request.body.Start(head, int64(edge.settings.Limits.Body)); err != nil {
+	if err := request.body.Start(head, int64(edge.settings.Limits.BodyBytes)); err != nil {
 		c.rejectInvalid(err)
 		return
 	}
@@ -549,7 +549,7 @@
 	case c.discardInput:
 		unix.Shutdown(c.fd, unix.SHUT_WR)
 		c.readPaused = false
-		c.edge.loop.Arm(&c.idleTimer, c.edge.settings.Limits.ShutdownLinger)
+		c.edge.loop.Arm(&c.idleTimer, c.edge.settings.Limits.LingerTime)
 		c.updateInterest()
 	case !c.closeAfterResponse && c.edge.successor != nil && len(c.unparsed) == 0 && c.handOver():
 	case c.closeAfterResponse || c.edge.draining && len(c.unparsed) == 0 || c.eof && len(c.unparsed) == 0:
@@ -927,7 +927,7 @@
 	r.edge.stats.Failed++
 	r.end = endFailed
 	status := 502
-	if r.edge.loop.Now() >= r.spec.Deadline-2*r.edge.settings.Limits.TimerGrain {
+	if r.edge.loop.Now() >= r.spec.Deadline-2*r.edge.settings.Limits.TimerResolution {
 		status = 504
 	}
 	r.client.respond(r, status, 0)
--- a/internal/proxy/httpfront/edge.go
+++ b/internal/proxy/httpfront/edge.go
@@ -143,7 +143,7 @@
 	if router.Journal == "" {
 		return nil
 	}
-	writer, err := journal.Open(router.Journal, journal.Options{SegmentBytes: int64(router.JournalPart), TotalBytes: int64(router.JournalTotal),
+	writer, err := journal.Open(router.Journal, journal.Options{SegmentBytes: int64(router.JournalSegmentBytes), TotalBytes: int64(router.JournalTotalBytes),
 		Queue: router.JournalQueue, SkipNumbers: e.inherited != nil, Warn: func(text string) { e.log.Log.Warn(text) }})
 	if err != nil {
 		return err
@@ -200,7 +200,7 @@
 	e.loop.AfterEachTurn(e.guard.afterTurn)
 	e.loop.Arm(&e.guard.sweepTimer, sweepInterval)
 	e.loop.Post(func() { e.restoreLearnedState(); e.applyInitialMembers() })
-	if e.settings.Router.List != "" {
+	if e.settings.Router.DiscoveryAddress != "" {
 		e.stopWatch = e.watchList()
 	}
 	if e.settings.Router.Admin != "" {
@@ -287,7 +287,7 @@
 	e.listener.Stop()
 	unix.Close(e.listenFD)
 	e.listenFD = -1
-	e.loop.Arm(&e.drainTimer, e.settings.Limits.Drain)
+	e.loop.Arm(&e.drainTimer, e.settings.Limits.DrainTimeout)
 	for c := range e.clients {
 		c.drain()
 	}
@@ -484,7 +484,7 @@
 
 // probe checks whether a member accepts a connection within the connect timeout.
 func (e *Edge) probe(id string) {
-	p := &prober{edge: e, id: id, fd: -1, deadline: e.loop.Now() + e.settings.Limits.Connect}
+	p := &prober{edge: e, id: id, fd: -1, deadline: e.loop.Now() + e.settings.Limits.ConnectTimeout}
 	p.timer.F = p.onTimer
 	p.connect()
 }
--- a/internal/proxy/httpfront/guard.go
+++ b/internal/proxy/httpfront/guard.go
@@ -81,13 +81,13 @@
 // requests in flight and the reputation of addresses are kept.
 func (g *guard) applySettings(settings *config.Settings) {
 	limit := &settings.Limits
-	g.edge.listener.PerTurn = limit.AcceptPerTurn
+	g.edge.listener.PerTurn = limit.AcceptPerTick
 	minRate := func(kbPerSecond, grace float64) limits.MinRate {
 		return limits.MinRate{Rate: kbPerSecond * 1024 / 1000, Grace: grace, Step: 2 * sweepInterval}
 	}
 	g.headRate, g.bodyRate = minRate(limit.HeadRate, limit.HeadGrace), minRate(limit.ClientRate, limit.ClientGrace)
 	g.readRate, g.memberRate = g.bodyRate, minRate(limit.MemberRate, limit.MemberGrace)
-	g.massSlowness.Window, g.massSlowness.Share, g.massSlowness.MinWorking = 2*limit.MemberGrace+1000, limit.JuryShare, 2
+	g.massSlowness.Window, g.massSlowness.Share, g.massSlowness.MinWorking = 2*limit.MemberGrace+1000, limit.MassSlownessShare, 2
 	memoryBytes := int64(limit.MemoryMB * (1 << 20))
 	g.memory.Total = memoryBytes - limits.UnaccountedMemory(memoryBytes)
 	g.unread.Total, g.unread.Idle = int64(limit.SocketsMB*(1<<20)), limit.WriteIdle
@@ -95,8 +95,8 @@
 	g.classIndex, g.ranks, g.priorityWeights = map[string]int{}, nil, nil
 	for i := range settings.Classes {
 		g.classIndex[settings.Classes[i].Name] = i
-		weights = append(weights, settings.Classes[i].Weight)
-		g.priorityWeights = append(g.priorityWeights, settings.Classes[i].Worth)
+		weights = append(weights, settings.Classes[i].TransferWeight)
+		g.priorityWeights = append(g.priorityWeights, settings.Classes[i].PriorityWeight)
 	}
 	sorted := append([]float64(nil), g.priorityWeights...)
 	sort.Float64s(sorted)
@@ -115,8 +115,8 @@
 		g.readPause = limits.NewReadPause(limits.DefaultReadPause())
 		g.reputation = limits.NewReputation(limits.ReputationSettings{})
 	}
-	g.reputation.Adopt(limits.DefaultReputation(limit.Poor))
-	admission := limits.AdmissionSettings{Target: limit.OverloadTarget, QueueingShare: limit.OverloadPart, Interval: 100, MinInFlight: limit.OverloadLeast, MaxInFlight: limit.Held, Headroom: 0.2}
+	g.reputation.Adopt(limits.DefaultReputation(limit.PoorReputationRequests))
+	admission := limits.AdmissionSettings{Target: limit.OverloadTarget, QueueingShare: limit.OverloadQueueingShare, Interval: 100, MinInFlight: limit.OverloadMinInFlight, MaxInFlight: limit.MaxRequests, Headroom: 0.2}
 	if g.admission == nil {
 		g.admission = limits.NewAdmission(admission)
 	}
@@ -150,7 +150,7 @@
 	if g.scheduler.Len() == 0 {
 		g.admission.ObserveWait(edge.loop.Took())
 	} else {
-		bytesLeft := int(edge.settings.Limits.TurnKB * 1024)
+		bytesLeft := int(edge.settings.Limits.TickKB * 1024)
 		for bytesLeft > 0 {
 			conn, class, room, ok := g.scheduler.Next()
 			if !ok {
@@ -237,7 +237,7 @@
 }
 
 // bufferRoom returns how many bytes of a response may be buffered for its client now.
-func (g *guard) bufferRoom() int { return g.memory.Room(g.edge.settings.Limits.Buffer) }
+func (g *guard) bufferRoom() int { return g.memory.Room(g.edge.settings.Limits.BufferBytes) }
 
 // rank returns the rank of a class for admission, from 0 to 1; that of an unknown class is 0.
 func (g *guard) rank(class string) float64 {
@@ -405,8 +405,8 @@
 		BytesLeft: max(request.spec.KB*1024-float64(request.sentBytes), 0), Idempotent: request.phase == receivingBody || !request.spec.Write || !request.anyWritten()}
 	if i, ok := g.classIndex[request.spec.Class]; ok {
 		class := &g.edge.settings.Classes[i]
-		if candidate.Weight = class.Worth; g.edge.loop.Now()-request.receivedAt > class.Aim {
-			candidate.Weight *= class.LateWorth
+		if candidate.Weight = class.PriorityWeight; g.edge.loop.Now()-request.receivedAt > class.LatencyObjective {
+			candidate.Weight *= class.LateWeightShare
 		}
 	}
 	return candidate
--- a/internal/proxy/httpfront/guard_test.go
+++ b/internal/proxy/httpfront/guard_test.go
@@ -663,8 +663,8 @@
 	rig.waitFor("the admitted request", func(*Stats, *engine.Core) bool { return len(rig.edge.requests) == 1 })
 	rig.edge.Query(func(*Stats, *engine.Core) {
 		rig.edge.guard.admission.Adopt(limits.AdmissionSettings{Target: 20, Interval: 100, MinInFlight: 1, MaxInFlight: 1})
-		rig.edge.settings.Limits.Held = 100 // so that the adaptive limit rejects
-		for range 4 {                       // as if rejections had taken all of the time
+		rig.edge.settings.Limits.MaxRequests = 100 // so that the adaptive limit rejects
+		for range 4 {                              // as if rejections had taken all of the time
 			rig.edge.guard.readPause.AddCost(1e6)
 			rig.edge.guard.readPause.Tick(rig.edge.loop.Now() + 1e5)
 		}
--- a/internal/proxy/httpfront/handover.go
+++ b/internal/proxy/httpfront/handover.go
@@ -39,10 +39,10 @@
 // contactPredecessor connects to the predecessor at the settings' handover path, and receives
 // its sockets and its state. It returns nil if there is no predecessor.
 func contactPredecessor(settings *config.Settings) (*hotrestart.Inherited, error) {
-	if settings.Router.Handover == "" {
+	if settings.Router.HotRestartSocket == "" {
 		return nil, nil
 	}
-	inherited, err := hotrestart.TakeOver(settings.Router.Handover)
+	inherited, err := hotrestart.TakeOver(settings.Router.HotRestartSocket)
 	if errors.Is(err, hotrestart.ErrNoPredecessor) {
 		return nil, nil
 	}
@@ -225,11 +225,11 @@
 
 // offerHandover begins to listen for a successor at the settings' handover path.
 func (e *Edge) offerHandover() error {
-	path := e.settings.Router.Handover
+	path := e.settings.Router.HotRestartSocket
 	if path == "" {
 		return nil
 	}
-	server, err := hotrestart.Listen(hotrestart.Options{Path: path, ReadyTimeout: time.Duration(e.settings.Limits.Successor) * time.Millisecond,
+	server, err := hotrestart.Listen(hotrestart.Options{Path: path, ReadyTimeout: time.Duration(e.settings.Limits.SuccessorTimeout) * time.Millisecond,
 		Prepare: func() (handover *hotrestart.Handover, err error) {
 			queryErr := e.loop.Call(5*time.Second, func() { handover, err = e.prepareHandover() })
 			if err = errors.Join(queryErr, err); err == nil && e.configClient != nil {
--- a/internal/proxy/httpfront/log.go
+++ b/internal/proxy/httpfront/log.go
@@ -76,7 +76,7 @@
 // NewAccessLog opens the log that the settings name.
 func NewAccessLog(settings *config.Settings) (*AccessLog, error) {
 	var out io.Writer
-	switch settings.Router.Log {
+	switch settings.Router.AccessLog {
 	case "stderr":
 		out = os.Stderr
 	case "stdout":
@@ -84,13 +84,13 @@
 	case "none":
 		out = nil
 	default:
-		file, err := os.OpenFile(settings.Router.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+		file, err := os.OpenFile(settings.Router.AccessLog, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		if err != nil {
 			return nil, fmt.Errorf("edge: access log: %w; name a file that can be written, stderr, stdout or none", err)
 		}
 		out = file
 	}
-	return newAccessLog(out, settings.Limits.LogQueue, settings.Router.Level), nil
+	return newAccessLog(out, settings.Limits.LogQueue, settings.Router.LogLevel), nil
 }
 
 func newAccessLog(out io.Writer, queueLines int, level string) *AccessLog {
--- a/internal/proxy/httpfront/page.go
+++ b/internal/proxy/httpfront/page.go
@@ -31,7 +31,7 @@
 	edge            *Edge
 	request         *clientRequest // the client's request, which fetches the template
 	assembly        *esi.Page
-	esiSetup        esi.Setup
+	esiSetup        esi.Options
 	fragments       map[int]*clientRequest    // open requests for fragments
 	fragmentObjects map[string]fragmentObject // the fragments' objects by URL, to match purges
 	timer           eventloop.Timer
@@ -99,8 +99,8 @@
 	page.timer.F = page.onTimer
 	page.conditions = parseConditions(head)
 	page.esiSetup = esiSetupOf(r.edge.settings)
-	r.esiVars = &esi.Vars{Host: string(head.Host), Cookie: string(head.Get("cookie")), Language: string(head.Get("accept-language")),
-		Agent: string(head.Get("user-agent")), Referer: string(head.Get("referer"))}
+	r.esiVars = &esi.Vars{Host: string(head.Host), Cookie: string(head.Get("cookie")), AcceptLanguage: string(head.Get("accept-language")),
+		UserAgent: string(head.Get("user-agent")), Referer: string(head.Get("referer"))}
 	if i := bytes.IndexByte(head.Path(), '?'); i >= 0 {
 		r.esiVars.Query = string(head.Path()[i+1:])
 	}
@@ -111,12 +111,12 @@
 }
 
 // esiSetupOf converts the settings for pages.
-func esiSetupOf(settings *config.Settings) esi.Setup {
+func esiSetupOf(settings *config.Settings) esi.Options {
 	pages := &settings.Pages
-	return esi.Setup{Parser: esi.Limits{Depth: pages.Nesting, Tag: pages.Tag, Held: pages.HeldKB << 10, Nodes: pages.Elements},
-		Fragments: pages.Fragments, Uses: pages.Includes, Depth: pages.Depth, Parallel: pages.Parallel, Attempts: pages.Attempts,
-		Whole: int64(pages.WholeKB) << 10, Piece: int64(pages.PieceKB) << 10, Held: int64(pages.HeldKB) << 10, Out: int64(pages.MostMB) << 20,
-		Reserve: pages.Reserve, AsIs: pages.Malformed == "as-is"}
+	return esi.Options{Parser: esi.Limits{Depth: pages.Nesting, Tag: pages.Tag, Held: pages.WaitingKB << 10, Nodes: pages.Elements},
+		Fragments: pages.Fragments, Includes: pages.Includes, Depth: pages.Depth, Parallel: pages.Parallel, Attempts: pages.Attempts,
+		StreamThreshold: int64(pages.StreamThresholdKB) << 10, MaxBuffered: int64(pages.MaxBufferedKB) << 10, MaxWaiting: int64(pages.WaitingKB) << 10, MaxPage: int64(pages.MaxPageMB) << 20,
+		Reserve: pages.Reserve, PassMalformed: pages.Malformed == "as-is"}
 }
 
 // appendPageRequest appends the head of a request for a template, or for the fragment of the
@@ -218,7 +218,7 @@
 	}
 	meta.ETag = string(head.Get("etag"))
 	if t, err := http.ParseTime(string(head.Get("last-modified"))); err == nil {
-		meta.Changed = t.Unix()
+		meta.LastModified = t.Unix()
 	}
 	meta.ESI = requestsESI(joinedValues(head, "surrogate-control"))
 	switch strings.ToLower(strings.TrimSpace(string(head.Get("content-encoding")))) {
@@ -317,7 +317,7 @@
 		edge.pages[pg] = struct{}{}
 	}
 	meta.ESI = !pg.unprocessed
-	pg.assembly.Head(meta)
+	pg.assembly.TemplateHead(meta)
 	pg.markChanged()
 }
 
@@ -349,14 +349,14 @@
 	switch {
 	case request == pg.request && pg.coding == gzipped:
 		pg.appendCompressed(&pg.compressed, content, func() {
-			pg.fail(fmt.Errorf("%w: compressed template of more than %d KB", esi.ErrTooMuch, pg.edge.settings.Pages.PieceKB))
+			pg.fail(fmt.Errorf("%w: compressed template of more than %d KB", esi.ErrLimit, pg.edge.settings.Pages.MaxBufferedKB))
 		})
 	case request == pg.request:
 		pg.assembly.Template(content, now)
 	case fragment.coding == gzipped:
 		pg.appendCompressed(&fragment.compressed, content, func() { pg.dropFragment(request, "compressed body exceeds the limit") })
 	default:
-		pg.assembly.Body(fragment.id, content, now)
+		pg.assembly.FragmentBody(fragment.id, content, now)
 	}
 	pg.markChanged()
 }
@@ -364,7 +364,7 @@
 // appendCompressed appends content to a compressed body, or calls onTooLarge if the body would
 // exceed the limit of a piece.
 func (pg *esiPage) appendCompressed(to *[]byte, content []byte, onTooLarge func()) {
-	if len(*to)+len(content) > pg.edge.settings.Pages.PieceKB<<10 {
+	if len(*to)+len(content) > pg.edge.settings.Pages.MaxBufferedKB<<10 {
 		onTooLarge()
 		return
 	}
@@ -377,10 +377,10 @@
 	if err != nil {
 		return nil, err
 	}
-	maxBytes := int64(pg.edge.settings.Pages.PieceKB) << 10
+	maxBytes := int64(pg.edge.settings.Pages.MaxBufferedKB) << 10
 	content, err := io.ReadAll(io.LimitReader(reader, maxBytes+1))
 	if err == nil && int64(len(content)) > maxBytes {
-		err = fmt.Errorf("%w: more than %d KB decompressed", esi.ErrTooMuch, maxBytes>>10)
+		err = fmt.Errorf("%w: more than %d KB decompressed", esi.ErrLimit, maxBytes>>10)
 	}
 	return content, err
 }
@@ -406,14 +406,14 @@
 	if fragment.coding == gzipped {
 		b, err := pg.decompress(fragment.compressed)
 		if fragment.compressed = nil; err != nil {
-			pg.assembly.Failed(fragment.id, err.Error(), now)
+			pg.assembly.FragmentFailed(fragment.id, err.Error(), now)
 			delete(pg.fragments, fragment.id)
 			pg.markChanged()
 			return
 		}
-		pg.assembly.Body(fragment.id, b, now)
+		pg.assembly.FragmentBody(fragment.id, b, now)
 	}
-	pg.assembly.End(fragment.id, now)
+	pg.assembly.FragmentEnd(fragment.id, now)
 	delete(pg.fragments, fragment.id)
 	pg.markChanged()
 }
@@ -429,7 +429,7 @@
 }
 
 // fetchFragment submits a request for a fragment to the module.
-func (pg *esiPage) fetchFragment(action esi.Act) {
+func (pg *esiPage) fetchFragment(action esi.Action) {
 	edge, pageClient := pg.edge, pg.request.client
 	now := edge.loop.Now()
 	fragment := &pageFragment{page: pg, id: action.ID}
@@ -445,15 +445,15 @@
 		cause = err.Error()
 	case spec.Write:
 		cause = "the URL belongs to a class of writes"
-	case len(edge.requests) >= edge.settings.Limits.Held:
+	case len(edge.requests) >= edge.settings.Limits.MaxRequests:
 		cause = endHeld.word()
 	}
 	if cause != "" {
-		pg.assembly.Failed(action.ID, cause, now)
+		pg.assembly.FragmentFailed(action.ID, cause, now)
 		pg.markChanged()
 		return
 	}
-	spec.Deadline = min(spec.Deadline, action.Until)
+	spec.Deadline = min(spec.Deadline, action.Deadline)
 	request.spec = spec
 	request.forwardHead = appendPageRequest(request.forwardHead[:0], edge.name, action.URL, pg.request.esiVars.Host, pg.requestID, action.ID)
 	pg.fragments[action.ID] = request
@@ -472,7 +472,7 @@
 	if upstream.head.Status != 200 || coding == unknownCoding {
 		return false
 	}
-	f.page.assembly.Begun(f.id, meta, f.page.edge.loop.Now())
+	f.page.assembly.FragmentHead(f.id, meta, f.page.edge.loop.Now())
 	f.page.markChanged()
 	return true
 }
@@ -485,7 +485,7 @@
 	f.done = true
 	delete(f.page.fragments, f.id)
 	if !f.page.stopped {
-		f.page.assembly.Failed(f.id, cause, f.page.edge.loop.Now())
+		f.page.assembly.FragmentFailed(f.id, cause, f.page.edge.loop.Now())
 		f.page.markChanged()
 	}
 }
@@ -508,7 +508,7 @@
 // countAttempt counts an attempt for the fragment towards the page's limit.
 func (f *pageFragment) countAttempt() {
 	if !f.page.stopped {
-		f.page.assembly.Attempt()
+		f.page.assembly.CountAttempt()
 	}
 }
 
@@ -525,15 +525,15 @@
 	edge := pg.edge
 	var tick float64
 	for range 16 {
-		var actions []esi.Act
-		if actions, tick = pg.assembly.Do(edge.loop.Now()); len(actions) == 0 {
+		var actions []esi.Action
+		if actions, tick = pg.assembly.Actions(edge.loop.Now()); len(actions) == 0 {
 			break
 		}
 		for _, action := range actions {
 			switch action.Kind {
 			case esi.Fetch:
 				pg.fetchFragment(action)
-			case esi.Drop:
+			case esi.Cancel:
 				if request := pg.fragments[action.ID]; request != nil {
 					request.client.fragment.done = true
 					delete(pg.fragments, action.ID)
@@ -545,24 +545,24 @@
 			}
 		}
 	}
-	pg.assembly.Busy(pg.request.client.output.Len() > 0, edge.loop.Now())
+	pg.assembly.SetClientBusy(pg.request.client.output.Len() > 0, edge.loop.Now())
 	pg.send()
 	if pg.stopped {
 		return
 	}
-	pg.assembly.Busy(pg.request.client.output.Len() > 0, edge.loop.Now())
-	if n := pg.assembly.Held() + int64(len(pg.compressed)); n != pg.accounted {
+	pg.assembly.SetClientBusy(pg.request.client.output.Len() > 0, edge.loop.Now())
+	if n := pg.assembly.Waiting() + int64(len(pg.compressed)); n != pg.accounted {
 		edge.guard.memory.Add(limits.Answers, n-pg.accounted)
 		pg.accounted = n
 	}
 	if tick > 0 {
 		edge.loop.Arm(&pg.timer, max(tick-edge.loop.Now(), 0.1))
 	}
-	if pg.assembly.Room(-1) && !pg.templateDone {
+	if pg.assembly.CanRead(-1) && !pg.templateDone {
 		pg.request.resumeReading()
 	}
 	for id, request := range pg.fragments {
-		if pg.assembly.Room(id) {
+		if pg.assembly.CanRead(id) {
 			request.resumeReading()
 		}
 	}
@@ -585,7 +585,7 @@
 		return
 	}
 	if !pg.headSent && pg.conditions.needWhole && !pg.unprocessed {
-		if !pg.assembly.Ready() && pg.assembly.Held() < int64(pg.edge.settings.Pages.HeldKB)<<10 {
+		if !pg.assembly.Ready() && pg.assembly.Waiting() < int64(pg.edge.settings.Pages.WaitingKB)<<10 {
 			return
 		}
 	}
@@ -596,7 +596,7 @@
 		}
 		room := maxSendBytes
 		if !pg.headSent && ready && !pg.unprocessed { // the whole page, so that the head can state its length
-			room = pg.edge.settings.Pages.HeldKB << 10
+			room = pg.edge.settings.Pages.WaitingKB << 10
 		}
 		b := pg.assembly.Take(nil, room, pg.edge.loop.Now())
 		if err := pg.assembly.Err(); err != nil {
@@ -645,8 +645,8 @@
 		if ready && meta.ETag != "" {
 			fields = http1.AppendFieldString(fields, "ETag", meta.ETag)
 		}
-		if ready && meta.Changed > 0 {
-			fields = http1.AppendFieldString(fields, "Last-Modified", time.Unix(meta.Changed, 0).UTC().Format(http.TimeFormat))
+		if ready && meta.LastModified > 0 {
+			fields = http1.AppendFieldString(fields, "Last-Modified", time.Unix(meta.LastModified, 0).UTC().Format(http.TimeFormat))
 		}
 		switch {
 		case done && pg.notModified(meta):
@@ -709,7 +709,7 @@
 		}
 		return false
 	}
-	return pg.conditions.ifModifiedSince > 0 && meta.Changed > 0 && meta.Changed <= pg.conditions.ifModifiedSince
+	return pg.conditions.ifModifiedSince > 0 && meta.LastModified > 0 && meta.LastModified <= pg.conditions.ifModifiedSince
 }
 
 // byteRange returns the first and the last byte of the requested range of a page of the given
@@ -800,7 +800,7 @@
 	request.end = endPage
 	edge.stats.Failed++
 	status := 502
-	if errors.Is(err, esi.ErrLate) || edge.loop.Now() >= request.spec.Deadline-2*edge.settings.Limits.TimerGrain {
+	if errors.Is(err, esi.ErrDeadline) || edge.loop.Now() >= request.spec.Deadline-2*edge.settings.Limits.TimerResolution {
 		status = 504
 	}
 	client.respond(request, status, 0)
@@ -834,7 +834,7 @@
 	purged := func(object string, group int) bool {
 		return object == purge.Object || purge.Object == "" && group == purge.Group
 	}
-	until := e.loop.Now() - purge.Age + e.settings.Rules.PurgeSlack - 2*e.settings.Limits.TimerGrain
+	until := e.loop.Now() - purge.Age + e.settings.Rules.PurgeSlack - 2*e.settings.Limits.TimerResolution
 	for page := range e.pages {
 		page.assembly.Purged(false, func(url string) bool {
 			object, known := page.fragmentObjects[url]
@@ -860,9 +860,9 @@
 // full reports whether reading for a request of the page must pause, since its buffer is full.
 func (pg *esiPage) full(r *clientRequest) bool {
 	if r == pg.request {
-		return !pg.assembly.Room(-1)
+		return !pg.assembly.CanRead(-1)
 	}
-	return !pg.assembly.Room(r.client.fragment.id)
+	return !pg.assembly.CanRead(r.client.fragment.id)
 }
 
 // responseBroken handles a response for the template or a fragment that ended early.
--- a/internal/proxy/httpfront/page_test.go
+++ b/internal/proxy/httpfront/page_test.go
@@ -392,7 +392,7 @@
 	var buffered int64
 	rig.edge.Query(func(*Stats, *engine.Core) {
 		for pg := range rig.edge.pages {
-			buffered = pg.assembly.Most()
+			buffered = pg.assembly.MaxWaiting()
 		}
 	})
 	if buffered == 0 || buffered > 64<<10+8*128<<10+128<<10 {
--- a/internal/proxy/httpfront/upstream.go
+++ b/internal/proxy/httpfront/upstream.go
@@ -171,7 +171,7 @@
 		upstream.start(attempt)
 		return
 	}
-	if len(p.connections) >= p.edge.settings.Limits.Upstream {
+	if len(p.connections) >= p.edge.settings.Limits.MemberConnections {
 		p.edge.guard.closeStalledUpstream(p)
 		if u := p.pipelineCandidate(attempt); u != nil {
 			u.pipeline(attempt)
@@ -327,7 +327,7 @@
 func (u *upstreamConn) start(attempt *upstreamAttempt) {
 	u.attempt, attempt.upstream, u.stallReported = attempt, u, false
 	if u.state == upConnecting {
-		u.edge.loop.Arm(&u.timer, u.edge.settings.Limits.Connect)
+		u.edge.loop.Arm(&u.timer, u.edge.settings.Limits.ConnectTimeout)
 		return
 	}
 	u.writeAttempt()
@@ -599,7 +599,7 @@
 	u.unparsed = nil
 	u.edge.loop.Want(u.fd, eventloop.Read)
 	u.pool.idle = append(u.pool.idle, u)
-	u.edge.loop.Arm(&u.timer, u.edge.settings.Limits.UpstreamIdle)
+	u.edge.loop.Arm(&u.timer, u.edge.settings.Limits.MemberIdle)
 	if len(u.pool.waiting) > 0 {
 		u.pool.assignWaiting()
 	}
--- a/internal/proxy/httpfront/versions.go
+++ b/internal/proxy/httpfront/versions.go
@@ -63,11 +63,11 @@
 		}
 	}
 	agentConfig := service.AgentConfig{Router: local.Router.Name, Services: control.Services, Seed: uint64(local.Router.Seed), Store: client.store,
-		Backoff: milliseconds(control.Backoff), StateOfTheWorld: control.Protocol == "full", MaxBytes: 2 * control.MaxBytes, ReportInterval: milliseconds(control.Report),
+		Backoff: milliseconds(control.Backoff), StateOfTheWorld: control.Protocol == "full", MaxBytes: 2 * control.MaxBytes, ReportInterval: milliseconds(control.ReportInterval),
 		DialOptions: []grpc.DialOption{dial},
-		Machine:     configversion.MachineSettings{Local: local, MaxBytes: control.MaxBytes, Jitter: control.Spread, Lease: control.Lease, UnconfirmedAfter: control.Old, StaleAfter: control.Stale},
+		Machine:     configversion.MachineSettings{Local: local, MaxBytes: control.MaxBytes, Jitter: control.Jitter, Lease: control.Lease, UnconfirmedAfter: control.UnconfirmedAfter, StaleAfter: control.StaleAfter},
 		OnActivate:  client.enqueue, Warn: func(text string) { log.Log.Warn(text) }}
-	if control.Report > 0 {
+	if control.ReportInterval > 0 {
 		agentConfig.LoadCounts = client.loadCounts
 	}
 	if agentConfig.Deferred = inherited != nil; agentConfig.Deferred && len(inherited.ConfigVersion) > 0 {
@@ -86,7 +86,7 @@
 }
 
 func open(ctx context.Context, settings *config.Settings, log *AccessLog, files configstore.FileSystem) (edge *Edge, end func(), err error) {
-	if !settings.Follows() {
+	if !settings.UsesControlService() {
 		edge, err = TakeOver(settings, log)
 		return edge, func() {}, err
 	}
@@ -230,7 +230,7 @@
 // loop.
 func (e *Edge) activateVersion(activation configversion.Activate) {
 	var steps []configversion.Delta
-	if e.settings.Router.List == "" { // otherwise the members come from the list service
+	if e.settings.Router.DiscoveryAddress == "" { // otherwise the members come from the list service
 		steps = configversion.Diff(e.settings.Members, activation.Settings.Members)
 	}
 	apply := func(step configversion.Delta) {
@@ -262,7 +262,7 @@
 // applyInitialMembers applies the members of the settings at the start, with the uptime of those
 // that were listed only recently.
 func (e *Edge) applyInitialMembers() {
-	if len(e.settings.Members) == 0 || e.settings.Router.List != "" {
+	if len(e.settings.Members) == 0 || e.settings.Router.DiscoveryAddress != "" {
 		return
 	}
 	update := engine.UpdateFromSettings(e.settings)
--- a/internal/proxy/httpfront/watch.go
+++ b/internal/proxy/httpfront/watch.go
@@ -26,17 +26,17 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	settings := e.settings // those at the start; the loop may replace e.settings later
-	random := rand.New(rand.NewPCG(uint64(settings.Router.Seed), uint64(settings.Router.Me)+1))
+	random := rand.New(rand.NewPCG(uint64(settings.Router.Seed), uint64(settings.Router.Index)+1))
 	go func() {
 		defer close(done)
-		wait := settings.Limits.ListBackoff
+		wait := settings.Limits.DiscoveryBackoff
 		for ctx.Err() == nil {
 			lines, err := e.followStream(ctx, settings)
 			if ctx.Err() != nil {
 				return
 			}
 			if lines > 0 {
-				wait = settings.Limits.ListBackoff
+				wait = settings.Limits.DiscoveryBackoff
 			}
 			e.listState.Store("lost: " + err.Error())
 			e.log.Log.Warn("discovery stream ended", zap.Error(err), zap.Int("lines", lines))
@@ -44,7 +44,7 @@
 			case <-time.After(time.Duration(wait * (0.5 + random.Float64()) * float64(time.Millisecond))):
 			case <-ctx.Done():
 			}
-			wait = min(2*wait, 32*settings.Limits.ListBackoff)
+			wait = min(2*wait, 32*settings.Limits.DiscoveryBackoff)
 		}
 	}()
 	return func() { cancel(); <-done }
@@ -61,7 +61,7 @@
 func (e *Edge) followStream(ctx context.Context, settings *config.Settings) (lines int, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	watchURL := url.URL{Scheme: "http", Host: settings.Router.List, Path: "/watch", RawQuery: "router=" + url.QueryEscape(e.name)}
+	watchURL := url.URL{Scheme: "http", Host: settings.Router.DiscoveryAddress, Path: "/watch", RawQuery: "router=" + url.QueryEscape(e.name)}
 	req, err := http.NewRequestWithContext(ctx, "GET", watchURL.String(), nil)
 	if err != nil {
 		return 0, err
@@ -79,7 +79,7 @@
 	e.listState.Store("following")
 	reader := bufio.NewReaderSize(response.Body, 64<<10)
 	for {
-		line, err := readLine(reader, settings.Limits.ListLine)
+		line, err := readLine(reader, settings.Limits.DiscoveryLineBytes)
 		if err != nil {
 			return lines, err
 		}
--- a/internal/testbed/bench/bench.go
+++ b/internal/testbed/bench/bench.go
@@ -132,7 +132,7 @@
 	if err := config.Read("bench", text, &s); err != nil {
 		return err
 	}
-	cli.Steady(s.Limits.MemoryMB) // as spool-router serve does
+	cli.TuneGC(s.Limits.MemoryMB) // as spool-router serve does
 	log, err := httpfront.NewAccessLog(&s)
 	if err != nil {
 		return err
--- a/internal/testbed/loadgen/record.go
+++ b/internal/testbed/loadgen/record.go
@@ -95,7 +95,7 @@
 	for _, k := range s.Classes {
 		if _, known := r.place[k.Name]; !known {
 			r.place[k.Name] = len(r.classes)
-			r.classes = append(r.classes, Class{Name: k.Name, Aim: k.Aim, Deadline: k.Deadline})
+			r.classes = append(r.classes, Class{Name: k.Name, Aim: k.LatencyObjective, Deadline: k.Deadline})
 		}
 	}
 	return nil
@@ -158,8 +158,8 @@
 			r.any, r.base = true, t
 		}
 		one := Request{Class: r.place[q.Class], Path: target.Path, Method: target.Method, Fields: target.Fields}
-		if k := r.class(q.Class); k != nil && q.KB > 0 && r.core.Settings.Fill.FlowKB > 0 {
-			one.Aim = k.Aim + k.AimStretch*q.KB/r.core.Settings.Fill.FlowKB
+		if k := r.class(q.Class); k != nil && q.KB > 0 && r.core.Settings.Fill.FlowKBPerMs > 0 {
+			one.Aim = k.LatencyObjective + k.ObjectivePerSendTime*q.KB/r.core.Settings.Fill.FlowKBPerMs
 		}
 		if q.Write {
 			r.n++
--- a/internal/testbed/scenario/import.go
+++ b/internal/testbed/scenario/import.go
@@ -179,22 +179,22 @@
 	s.Day.RetryWait, s.Day.Patience = ms(d.Clients.BackoffUs), min(max(d.Clients.TryShare, 0.3), 1)
 	s.Day.Purges, s.Day.Groups = d.Fam.Purges, max(d.Fam.Groups, 1)
 	s.Stand.Flow = scale.Flow
-	s.Stand.Feedback, s.Fill.Feedback = []string{"inflight", "x0"}, []string{"inflight", "x0"}
+	s.Stand.Feedback, s.Fill.LoadMetrics = []string{"inflight", "x0"}, []string{"inflight", "x0"}
 	s.List.LagFrom, s.List.LagTo = ms(d.Discovery.Notice)*0.2, ms(d.Discovery.Notice)
 	s.List.PurgeFrom, s.List.PurgeTo = ms(d.Fam.PurgeTell)*0.5, ms(d.Fam.PurgeTell)
-	s.Rules.DrainGrace, s.Rules.FallFactor, s.Rules.FallTime = ms(d.DrainGrace), max(d.FallMultiple, 1), max(ms(d.FallFor), 1)
-	s.Rules.PurgeTakes, s.Rules.PurgeSlack = ms(d.Fam.PurgeDone), ms(d.Fam.PurgeGrace)
+	s.Rules.DrainGrace, s.Rules.OverloadFactor, s.Rules.OverloadTime = ms(d.DrainGrace), max(d.FallMultiple, 1), max(ms(d.FallFor), 1)
+	s.Rules.PurgeTime, s.Rules.PurgeSlack = ms(d.Fam.PurgeDone), ms(d.Fam.PurgeGrace)
 	if len(d.Tiers) > 0 {
-		s.Rules.ColdFrom, s.Rules.ColdTime = d.Tiers[0].ColdFrom, ms(d.Tiers[0].Cold)
+		s.Rules.WarmUpInitialShare, s.Rules.WarmUpTime = d.Tiers[0].ColdFrom, ms(d.Tiers[0].Cold)
 	}
 	if len(d.Fam.ParentCold) == 2 {
-		s.Rules.ParentColdFrom, s.Rules.ParentColdTime = d.Fam.ParentCold[0], ms(d.Fam.ParentCold[1])
+		s.Rules.ParentWarmUpInitialShare, s.Rules.ParentWarmUpTime = d.Fam.ParentCold[0], ms(d.Fam.ParentCold[1])
 	}
-	s.Rules.ParentFall = max(d.Fam.ParentFall, 1)
-	s.Limits.SecondCopies, s.Limits.Attempts = d.Allow.SecondCopies, max(d.Allow.MaxAttempts, 1)
-	s.Fill.Direct, s.Fill.Joins = d.Fam.Direct, d.Fam.Joins
+	s.Rules.ParentOverloadFactor = max(d.Fam.ParentFall, 1)
+	s.Limits.HedgedRequests, s.Limits.Attempts = d.Allow.SecondCopies, max(d.Allow.MaxAttempts, 1)
+	s.Fill.DirectAttempts, s.Fill.JoinFills = d.Fam.Direct, d.Fam.Joins
 	if contains([]string{"location", "any"}, d.Fam.Siblings) {
-		s.Fill.Siblings = d.Fam.Siblings
+		s.Fill.SiblingScope = d.Fam.Siblings
 	}
 	if contains([]string{"off", "hit", "all"}, d.Fam.Tells) {
 		s.Fill.Detail = d.Fam.Tells
--- a/internal/testbed/scenario/run.go
+++ b/internal/testbed/scenario/run.go
@@ -237,7 +237,7 @@
 	s := d.s
 	var err error
 	if d.list, err = testserver.StartList(testserver.ListConfig{ID: "list", LagFrom: s.List.LagFrom, LagTo: s.List.LagTo,
-		PurgeFrom: s.List.PurgeFrom, PurgeTo: s.List.PurgeTo, PurgeTakes: s.Rules.PurgeTakes, StaleOnStart: s.Day.StaleStart,
+		PurgeFrom: s.List.PurgeFrom, PurgeTo: s.List.PurgeTo, PurgeTakes: s.Rules.PurgeTime, StaleOnStart: s.Day.StaleStart,
 		Seed: uint64(s.Day.Seed)}, d.tap); err != nil {
 		return err
 	}
@@ -252,8 +252,8 @@
 		hub := s.Zones[i%len(s.Zones)].Hub
 		if _, err := d.add(ctx, testserver.Config{ID: fmt.Sprintf("parent-%d", i+1), Role: "parent", Zone: hub,
 			Upstream: d.origin.addr, Capacity: s.Parents.Cap, Bytes: int64(s.Parents.MB * (1 << 20)),
-			Latency: s.Parents.Latency, ColdFrom: s.Rules.ParentColdFrom, ColdTime: s.Rules.ParentColdTime,
-			Fall: s.Rules.ParentFall, RunOn: true}); err != nil {
+			Latency: s.Parents.Latency, ColdFrom: s.Rules.ParentWarmUpInitialShare, ColdTime: s.Rules.ParentWarmUpTime,
+			Fall: s.Rules.ParentOverloadFactor, RunOn: true}); err != nil {
 			return err
 		}
 	}
@@ -261,7 +261,7 @@
 		for i := range z.Boxes {
 			if _, err := d.add(ctx, testserver.Config{ID: fmt.Sprintf("%s-%d", z.Name, i+1), Role: "box", Zone: z.Name,
 				Capacity: z.Cap, Bytes: int64(z.MB * (1 << 20)), LinkIn: z.Link / float64(z.Boxes), MaxFills: z.Fills,
-				ColdFrom: s.Rules.ColdFrom, ColdTime: s.Rules.ColdTime, Fall: s.Rules.FallFactor, RunOn: true}); err != nil {
+				ColdFrom: s.Rules.WarmUpInitialShare, ColdTime: s.Rules.WarmUpTime, Fall: s.Rules.OverloadFactor, RunOn: true}); err != nil {
 				return err
 			}
 		}
@@ -293,7 +293,7 @@
 // add starts a machine and lists it.
 func (d *Day) add(ctx context.Context, c testserver.Config) (*machine, error) {
 	st := &d.s.Stand
-	c.Flow, c.FillFlow, c.FillWait, c.FallTime, c.Feedback = st.Flow, st.FillFlow, st.FillWait, d.s.Rules.FallTime, st.Feedback
+	c.Flow, c.FillFlow, c.FillWait, c.FallTime, c.Feedback = st.Flow, st.FillFlow, st.FillWait, d.s.Rules.OverloadTime, st.Feedback
 	c.Seed = uint64(d.s.Day.Seed)<<16 + uint64(len(d.order))
 	for _, k := range d.s.Classes {
 		c.Classes = append(c.Classes, testserver.Class{Name: k.Name, KB: k.KB, Fresh: k.Fresh, Write: k.Write, Window: k.Window})
@@ -363,7 +363,7 @@
 	}
 	c := d.s.Settings(name, zone, me, list)
 	if d.s.restarts() {
-		c.Router.Handover = d.handoverOf(name)
+		c.Router.HotRestartSocket = d.handoverOf(name)
 	}
 	if d.o.Journal {
 		c.Router.Journal = journalOf(d.dir, name)
@@ -371,7 +371,7 @@
 	if d.control != nil {
 		c.Control.Services, c.Control.Start = []string{d.control.addr}, "wait"
 		c.Control.Store = filepath.Join(d.dir, name+".db")
-		c.Control.Protocol, c.Control.Spread, c.Control.Report = d.control.form.Protocol, d.control.form.Spread, 1000
+		c.Control.Protocol, c.Control.Jitter, c.Control.ReportInterval = d.control.form.Protocol, d.control.form.Spread, 1000
 	}
 	return c
 }
@@ -749,7 +749,7 @@
 		if m == nil || m == d.origin {
 			continue
 		}
-		lag := d.s.Rules.PurgeTakes * float64(i+1) / float64(len(d.order)+1) * 0.9
+		lag := d.s.Rules.PurgeTime * float64(i+1) / float64(len(d.order)+1) * 0.9
 		d.wg.Add(1)
 		go func() {
 			defer d.wg.Done()
--- a/internal/testbed/scenario/script.go
+++ b/internal/testbed/scenario/script.go
@@ -239,10 +239,10 @@
 
 // Figures are what the rules are judged by.
 func (s *Script) Figures() invariants.Figures {
-	f := invariants.Figures{AnswerSlack: s.Limits.AnswerSlack, DrainGrace: s.Rules.DrainGrace, ColdFrom: s.Rules.ColdFrom,
-		ColdTime: s.Rules.ColdTime, FallFactor: s.Rules.FallFactor, FallTime: s.Rules.FallTime,
-		ParentColdFrom: s.Rules.ParentColdFrom, ParentColdTime: s.Rules.ParentColdTime, ParentFall: s.Rules.ParentFall,
-		PurgeSlack: s.Rules.PurgeSlack, SecondCopies: s.Limits.SecondCopies, Spread: s.Day.Spread,
+	f := invariants.Figures{AnswerSlack: s.Limits.AnswerSlack, DrainGrace: s.Rules.DrainGrace, ColdFrom: s.Rules.WarmUpInitialShare,
+		ColdTime: s.Rules.WarmUpTime, FallFactor: s.Rules.OverloadFactor, FallTime: s.Rules.OverloadTime,
+		ParentColdFrom: s.Rules.ParentWarmUpInitialShare, ParentColdTime: s.Rules.ParentWarmUpTime, ParentFall: s.Rules.ParentOverloadFactor,
+		PurgeSlack: s.Rules.PurgeSlack, SecondCopies: s.Limits.HedgedRequests, Spread: s.Day.Spread,
 		Classes: map[string]invariants.Class{}}
 	for _, c := range s.Classes {
 		f.Classes[c.Name] = invariants.Class{Effect: c.Effect, Group: c.Group, Window: c.Window}
@@ -279,24 +279,24 @@
 func (s *Script) Settings(name, zone string, me int, list string) *config.Settings {
 	c := config.Defaults()
 	c.Limits, c.Rules, c.Fill, c.Pages = s.Limits, s.Rules, s.Fill, s.Pages
-	c.Fill.FlowKB = s.Stand.Flow
+	c.Fill.FlowKBPerMs = s.Stand.Flow
 	r := &c.Router
-	r.Name, r.Me, r.Of, r.Zone, r.List = name, me, s.Day.Routers, zone, list
+	r.Name, r.Index, r.Routers, r.Zone, r.DiscoveryAddress = name, me, s.Day.Routers, zone, list
 	r.Listen, r.Admin, r.Seed = "127.0.0.1:0", "127.0.0.1:0", s.Day.Seed*1000+me
 	routers := s.routersByZone()
 	hubs := map[string]bool{}
 	for _, z := range s.Zones {
-		c.Zones = append(c.Zones, config.Zone{Name: z.Name, Hub: z.Hub, Routers: routers[z.Name], LinkIn: z.Link})
+		c.Zones = append(c.Zones, config.Zone{Name: z.Name, Hub: z.Hub, Routers: routers[z.Name], LinkCapacity: z.Link})
 		if !hubs[z.Hub] {
 			hubs[z.Hub] = true
 			c.Zones = append(c.Zones, config.Zone{Name: z.Hub, Hub: z.Hub})
 		}
 	}
 	for _, k := range s.Classes {
-		cl := config.Class{Name: k.Name, Aim: k.Aim, AimStretch: k.Stretch, Deadline: k.Deadline, Worth: k.Worth,
-			LateWorth: k.Late, Effect: k.Effect, Group: k.Group, Parts: k.Parts > 0, Pages: k.Pages > 0, Weight: k.Weight, Write: k.Write, Fresh: k.Fresh, Grace: k.Grace}
+		cl := config.Class{Name: k.Name, LatencyObjective: k.Aim, ObjectivePerSendTime: k.Stretch, Deadline: k.Deadline, PriorityWeight: k.Worth,
+			LateWeightShare: k.Late, Idempotency: k.Effect, KeyScope: k.Group, InParts: k.Parts > 0, Pages: k.Pages > 0, TransferWeight: k.Weight, Write: k.Write, Fresh: k.Fresh, Grace: k.Grace}
 		if k.Effect == "guarded" {
-			cl.Window = k.Window
+			cl.KeyWindow = k.Window
 		}
 		c.Classes = append(c.Classes, cl)
 		c.Routes = append(c.Routes, config.Route{Pattern: pattern(&k), Class: k.Name})
--- a/internal/testbed/scenario/sluggish.go
+++ b/internal/testbed/scenario/sluggish.go
@@ -44,7 +44,7 @@
 	select {
 	case <-old.done:
 		return nil
-	case <-time.After(time.Duration(d.s.Limits.Drain+5000) * time.Millisecond):
+	case <-time.After(time.Duration(d.s.Limits.DrainTimeout+5000) * time.Millisecond):
 		old.kill()
 		return fmt.Errorf("day: %s did not end after its successor took over", r.at.name)
 	case <-ctx.Done():
--- a/internal/testbed/scenario/versions.go
+++ b/internal/testbed/scenario/versions.go
@@ -169,7 +169,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.d.s.Settings("any", "", 0, "")
-	s.Limits.Held += c.held
+	s.Limits.MaxRequests += c.held
 	for _, id := range c.d.order {
 		r, known := c.rows[id]
 		if !known || r.State == "removed" {
@@ -595,7 +595,7 @@
 	list := append([]purgeMade(nil), c.purge...)
 	c.mu.Unlock()
 	for _, p := range list {
-		if trafficlog.Now()-p.made < c.d.s.Rules.PurgeTakes+1000 {
+		if trafficlog.Now()-p.made < c.d.s.Rules.PurgeTime+1000 {
 			c.purgeAt(r, p)
 		}
 	}
