--- a/internal/cachenode/server/cache_test.go
+++ b/internal/cachenode/server/cache_test.go
@@ -263,7 +263,7 @@
 	wg.Wait()
 	n := 0
 	for _, x := range r.tap.Records() {
-		if x.Ev == trafficlog.Recv && x.Who == "o" {
+		if x.Event == trafficlog.AttemptReceived && x.Subject == "o" {
 			n++
 		}
 	}
--- a/internal/proxy/httpfront/edge_test.go
+++ b/internal/proxy/httpfront/edge_test.go
@@ -210,7 +210,7 @@
 			}
 		}
 	}
-	if n := rig.countRecords(func(x trafficlog.Record) bool { return x.Ev == trafficlog.Recv && x.Role == "origin" }); n != 2 {
+	if n := rig.countRecords(func(x trafficlog.Record) bool { return x.Event == trafficlog.AttemptReceived && x.Role == "origin" }); n != 2 {
 		t.Errorf("the origin was asked %d times, want 2", n)
 	}
 }
@@ -297,7 +297,7 @@
 			t.Errorf("%s: %q lacks %s or %q", test.in, got, test.detail, test.body)
 		}
 	}
-	if n := rig.countRecords(func(x trafficlog.Record) bool { return x.Ev == trafficlog.Ran }); n > 0 {
+	if n := rig.countRecords(func(x trafficlog.Record) bool { return x.Event == trafficlog.WriteExecuted }); n > 0 {
 		t.Errorf("%d invalid requests ran at the origin", n)
 	}
 }
@@ -319,7 +319,7 @@
 	}
 	ran := 0
 	for _, record := range rig.records.Records() {
-		if record.Ev == trafficlog.Ran {
+		if record.Event == trafficlog.WriteExecuted {
 			ran++
 			if record.Key != "k1" || record.Bytes != 5 {
 				t.Errorf("ran as %+v", record)
@@ -432,7 +432,7 @@
 		}
 	}
 	if n := rig.countRecords(func(x trafficlog.Record) bool {
-		return x.Ev == trafficlog.Recv && (x.Who == "b0" || x.Src == "b0") && x.T > drainedAt
+		return x.Event == trafficlog.AttemptReceived && (x.Subject == "b0" || x.Source == "b0") && x.Time > drainedAt
 	}); n > 0 {
 		t.Errorf("%d attempts to a draining cache", n)
 	}
@@ -640,7 +640,9 @@
 		}
 	})
 	wg.Wait()
-	if n := rig.countRecords(func(x trafficlog.Record) bool { return x.Ev == trafficlog.Recv && x.Who == "b0" && x.T > drainedAt+50 }); n > 0 {
+	if n := rig.countRecords(func(x trafficlog.Record) bool {
+		return x.Event == trafficlog.AttemptReceived && x.Subject == "b0" && x.Time > drainedAt+50
+	}); n > 0 {
 		t.Errorf("%d attempts reached the cache after it began to drain", n)
 	}
 }
--- a/internal/proxy/httpfront/handover_test.go
+++ b/internal/proxy/httpfront/handover_test.go
@@ -173,7 +173,7 @@
 	}
 	ran := map[string]int{}
 	for _, record := range rig.records.Records() {
-		if record.Ev == trafficlog.Ran {
+		if record.Event == trafficlog.WriteExecuted {
 			if ran[record.Key]++; ran[record.Key] > 1 {
 				t.Errorf("%s ran %d times", record.Key, ran[record.Key])
 			}
@@ -264,7 +264,7 @@
 	}
 	ran := map[string]int{}
 	for _, record := range rig.records.Records() {
-		if record.Ev == trafficlog.Ran {
+		if record.Event == trafficlog.WriteExecuted {
 			if ran[record.Key]++; ran[record.Key] > 1 {
 				t.Errorf("%s ran %d times", record.Key, ran[record.Key])
 			}
--- a/internal/proxy/httpfront/versions_test.go
+++ b/internal/proxy/httpfront/versions_test.go
@@ -209,7 +209,7 @@
 				rig.mustGet(fmt.Sprintf("/s/1/d%d", i))
 			}
 			if n := rig.countRecords(func(x trafficlog.Record) bool {
-				return x.Ev == trafficlog.Recv && (x.Who == "b0" || x.Src == "b0") && x.T > drainedAt
+				return x.Event == trafficlog.AttemptReceived && (x.Subject == "b0" || x.Source == "b0") && x.Time > drainedAt
 			}); n > 0 {
 				t.Errorf("%d attempts to a draining cache", n)
 			}
@@ -314,7 +314,9 @@
 	for i := range 20 {
 		rig.mustGet(fmt.Sprintf("/s/1/x%d", i))
 	}
-	if n := rig.countRecords(func(x trafficlog.Record) bool { return x.Ev == trafficlog.Recv && x.Who == "b2" && x.T > activatedAt }); n > 0 {
+	if n := rig.countRecords(func(x trafficlog.Record) bool {
+		return x.Event == trafficlog.AttemptReceived && x.Subject == "b2" && x.Time > activatedAt
+	}); n > 0 {
 		t.Errorf("%d attempts to a cache that the version does not list", n)
 	}
 }
--- a/internal/proxy/platform/faults_test.go
+++ b/internal/proxy/platform/faults_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		h.t.Error(err)
 	}
-	calls := faultinject.New(parsed, 1, faultinject.Since())
+	calls := faultinject.New(parsed, 1, faultinject.StartClock())
 	h.server.loop.Intercept(calls)
 	return calls
 }
--- a/internal/testbed/differential/drift.go
+++ b/internal/testbed/differential/drift.go
@@ -185,44 +185,44 @@
 	seen := map[attempt]bool{}
 	var kills []float64
 	for i := range recs {
-		if recs[i].Ev == trafficlog.Kill && recs[i].Who == router {
-			kills = append(kills, recs[i].T)
+		if recs[i].Event == trafficlog.Killed && recs[i].Subject == router {
+			kills = append(kills, recs[i].Time)
 		}
 	}
 	for i := range recs {
 		rec := &recs[i]
-		if rec.Ev != trafficlog.Recv || rec.Req == "" || router != "" && rec.From != router {
+		if rec.Event != trafficlog.AttemptReceived || rec.RouterRequest == "" || router != "" && rec.From != router {
 			continue
 		}
-		d := told.decided[attempt{rec.Req, rec.N}]
+		d := told.decided[attempt{rec.RouterRequest, rec.Attempt}]
 		if d == nil {
-			if slices.ContainsFunc(kills, func(t float64) bool { return rec.T > t-unwritten && rec.T < t+unwritten }) {
+			if slices.ContainsFunc(kills, func(t float64) bool { return rec.Time > t-unwritten && rec.Time < t+unwritten }) {
 				r.Lost++
 			} else {
-				r.differ("sockets: %s saw attempt %d of %s, which no record decides", rec.Who, rec.N, rec.Req)
+				r.differ("sockets: %s saw attempt %d of %s, which no record decides", rec.Subject, rec.Attempt, rec.RouterRequest)
 			}
 			continue
 		}
 		if rec.Via != "" { // a fill: asked by the cache, of its source; or by that, of the origin behind it
 			r.Fills++
-			of := rec.Via == d.send.Cache && rec.Who == d.send.Source
+			of := rec.Via == d.send.Cache && rec.Subject == d.send.Source
 			behind := rec.Via == d.send.Source && rec.Role == "origin"
 			if !of && !behind {
-				r.differ("sockets: attempt %d of %s was filled by %s from %s; decided was %s from %s", rec.N, rec.Req, rec.Via, rec.Who, d.send.Cache, d.send.Source)
+				r.differ("sockets: attempt %d of %s was filled by %s from %s; decided was %s from %s", rec.Attempt, rec.RouterRequest, rec.Via, rec.Subject, d.send.Cache, d.send.Source)
 			}
 			continue
 		}
-		if seen[attempt{rec.Req, rec.N}] {
-			r.differ("sockets: attempt %d of %s was made twice, the second at %s", rec.N, rec.Req, rec.Who)
+		if seen[attempt{rec.RouterRequest, rec.Attempt}] {
+			r.differ("sockets: attempt %d of %s was made twice, the second at %s", rec.Attempt, rec.RouterRequest, rec.Subject)
 		}
-		seen[attempt{rec.Req, rec.N}] = true
+		seen[attempt{rec.RouterRequest, rec.Attempt}] = true
 		r.Seen++
 		source := ""
 		if d.send.Source != d.send.Cache {
 			source = d.send.Source
 		}
-		if rec.Who != d.send.Cache || rec.Src != source {
-			r.differ("sockets: attempt %d of %s came to %s with source %q; decided was %s with %q", rec.N, rec.Req, rec.Who, rec.Src, d.send.Cache, source)
+		if rec.Subject != d.send.Cache || rec.Source != source {
+			r.differ("sockets: attempt %d of %s came to %s with source %q; decided was %s with %q", rec.Attempt, rec.RouterRequest, rec.Subject, rec.Source, d.send.Cache, source)
 		}
 	}
 	for k, d := range told.decided { // what was answered has been at a stand-in
--- a/internal/testbed/differential/drift_test.go
+++ b/internal/testbed/differential/drift_test.go
@@ -255,16 +255,16 @@
 func (r *rig) places() map[string]endpointcheck.Placement {
 	out := map[string]endpointcheck.Placement{}
 	for _, rec := range r.tap.Records() {
-		if rec.Ev != trafficlog.Recv || rec.ID == "" || rec.Via != "" {
+		if rec.Event != trafficlog.AttemptReceived || rec.ID == "" || rec.Via != "" {
 			continue
 		}
 		p := out[rec.ID]
 		if p.Cache == "" {
-			p.Cache = rec.Who
+			p.Cache = rec.Subject
 		}
-		if rec.Src != "" || rec.Role != "box" || rec.Note == "fill" {
-			if p.Source = rec.Src; p.Source == "" {
-				p.Source = rec.Who
+		if rec.Source != "" || rec.Role != "box" || rec.Note == "fill" {
+			if p.Source = rec.Source; p.Source == "" {
+				p.Source = rec.Subject
 			}
 		}
 		out[rec.ID] = p
--- a/internal/testbed/faultinject/faultinject.go
+++ b/internal/testbed/faultinject/faultinject.go
@@ -185,8 +185,8 @@
 		made: map[Call]int{}, failed: map[Call]int{}}
 }
 
-// Since is a clock that begins now.
-func Since() func() time.Duration {
+// StartClock is a clock that begins now.
+func StartClock() func() time.Duration {
 	began := time.Now()
 	return func() time.Duration { return time.Since(began) }
 }
--- a/internal/testbed/faultinject/faultinject_test.go
+++ b/internal/testbed/faultinject/faultinject_test.go
@@ -99,7 +99,7 @@
 // A wait is interrupted only when nothing is ready.
 func TestWaitInterrupted(t *testing.T) {
 	plan, _ := Parse("wait:EINTR")
-	s := New(plan, 0, Since())
+	s := New(plan, 0, StartClock())
 	epoll, err := unix.EpollCreate1(0)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testbed/invariants/clients.go
+++ b/internal/testbed/invariants/clients.go
@@ -37,17 +37,17 @@
 	tries := map[string]*clientTry{}
 	for i := range c.recs {
 		ask := &c.recs[i]
-		if ask.Ev != trafficlog.Ask || ask.Key == "" {
+		if ask.Event != trafficlog.RequestSent || ask.Key == "" {
 			continue
 		}
 		try := &clientTry{index: i, ask: ask, refusedAt: math.Inf(1)}
 		for _, k := range c.ids[ask.ID] {
 			switch r := &c.recs[k]; {
-			case r.Ev == trafficlog.Head && r.Status == 503:
-				try.refusedAt = min(try.refusedAt, r.T)
-			case r.Ev == trafficlog.End:
+			case r.Event == trafficlog.ResponseHead && r.Status == 503:
+				try.refusedAt = min(try.refusedAt, r.Time)
+			case r.Event == trafficlog.ResponseEnd:
 				try.unreached = r.Err == "unreached"
-			case r.Ev == trafficlog.Ran && r.Note != "dropped":
+			case r.Event == trafficlog.WriteExecuted && r.Note != "dropped":
 				try.ran = true
 			}
 		}
@@ -61,9 +61,9 @@
 // inside the window in which all servers drop it.
 func (c *checker) unlicensed(first, repeat *clientTry) string {
 	class := c.f.Classes[first.ask.Class]
-	until := max(repeat.ask.T, repeat.ask.Limit) - first.ask.T
+	until := max(repeat.ask.Time, repeat.ask.Limit) - first.ask.Time
 	switch {
-	case class.Effect == "free", first.refusedAt <= repeat.ask.T:
+	case class.Effect == "free", first.refusedAt <= repeat.ask.Time:
 		return ""
 	case first.unreached && first.ran:
 		return fmt.Sprintf("follows %s, which ran though its client says that no router took it", first.ask.ID)
@@ -93,7 +93,7 @@
 		switch {
 		case first == repeat:
 			return fmt.Sprintf(": request %s ran again by itself", first.ask.ID), true
-		case first.refusedAt <= repeat.ask.T:
+		case first.refusedAt <= repeat.ask.Time:
 			return fmt.Sprintf(": request %s was refused after it ran, and its client came back as told, as %s", first.ask.ID, repeat.ask.ID), true
 		case c.unlicensed(first, repeat) == "":
 			return fmt.Sprintf(": repeat %s of %s stood inside the window", repeat.ask.ID, first.ask.ID), true
@@ -108,7 +108,7 @@
 	asked := map[string][]*clientTry{} // by key
 	for i := range c.recs {
 		ask := &c.recs[i]
-		if ask.Ev != trafficlog.Ask || ask.Key == "" {
+		if ask.Event != trafficlog.RequestSent || ask.Key == "" {
 			continue
 		}
 		repeat, before := c.tries[ask.ID], asked[ask.Key]
@@ -131,7 +131,7 @@
 	if first.ran && repeat.ran {
 		why += "; the effect happened twice"
 	}
-	fault := ClientFault{T: repeat.ask.T, Key: repeat.ask.Key, Repeat: repeat.ask.ID, What: why}
+	fault := ClientFault{T: repeat.ask.Time, Key: repeat.ask.Key, Repeat: repeat.ask.ID, What: why}
 	if len(verdict.ClientFaults) == 0 {
 		fault.Around = c.ofKey(repeat.ask.Key)
 	}
--- a/internal/testbed/invariants/clients_test.go
+++ b/internal/testbed/invariants/clients_test.go
@@ -14,21 +14,21 @@
 	f.Classes = maps.Clone(f.Classes)
 	f.Classes["pay"] = Class{Effect: "guarded", Group: "all", Window: 2000}
 	ask := func(at float64, id string, limit float64) trafficlog.Record {
-		return trafficlog.Record{T: at, Ev: trafficlog.Ask, ID: id, Who: "r1", Class: "pay", Key: "k9", Write: true, Limit: limit}
+		return trafficlog.Record{Time: at, Event: trafficlog.RequestSent, ID: id, Subject: "r1", Class: "pay", Key: "k9", Write: true, Limit: limit}
 	}
 	ran := func(at float64, id, note string) trafficlog.Record {
-		return trafficlog.Record{T: at, Ev: trafficlog.Ran, ID: id, Who: "o", Req: "q" + id, From: "r1", Class: "pay", Key: "k9", Write: true, Note: note}
+		return trafficlog.Record{Time: at, Event: trafficlog.WriteExecuted, ID: id, Subject: "o", RouterRequest: "q" + id, From: "r1", Class: "pay", Key: "k9", Write: true, Note: note}
 	}
 	answered := func(at float64, id string, status int) trafficlog.Record {
-		return trafficlog.Record{T: at, Ev: trafficlog.Head, ID: id, Who: "r1", Class: "pay", Key: "k9", Write: true, Status: status}
+		return trafficlog.Record{Time: at, Event: trafficlog.ResponseHead, ID: id, Subject: "r1", Class: "pay", Key: "k9", Write: true, Status: status}
 	}
 	ended := func(at float64, id, why string) trafficlog.Record {
-		return trafficlog.Record{T: at, Ev: trafficlog.End, ID: id, Who: "r1", Class: "pay", Key: "k9", Write: true, Err: why}
+		return trafficlog.Record{Time: at, Event: trafficlog.ResponseEnd, ID: id, Subject: "r1", Class: "pay", Key: "k9", Write: true, Err: why}
 	}
 	whole := func(recs []trafficlog.Record) []trafficlog.Record { // each answer ends
 		for _, r := range recs {
-			if r.Ev == trafficlog.Head {
-				recs = append(recs, ended(r.T+1, r.ID, ""))
+			if r.Event == trafficlog.ResponseHead {
+				recs = append(recs, ended(r.Time+1, r.ID, ""))
 			}
 		}
 		return recs
--- a/internal/testbed/invariants/rules.go
+++ b/internal/testbed/invariants/rules.go
@@ -52,15 +52,15 @@
 func (f Figures) Record() trafficlog.Record {
 	b, err := json.Marshal(f)
 	if err != nil {
-		return trafficlog.Record{Ev: Ev, Err: err.Error()}
+		return trafficlog.Record{Event: Ev, Err: err.Error()}
 	}
-	return trafficlog.Record{T: trafficlog.Now(), Ev: Ev, Note: string(b)}
+	return trafficlog.Record{Time: trafficlog.Now(), Event: Ev, Note: string(b)}
 }
 
 // FromTap finds the figures in a tap.
 func FromTap(recs []trafficlog.Record) (f Figures, err error) {
 	for i := range recs {
-		if recs[i].Ev == Ev {
+		if recs[i].Event == Ev {
 			if err := json.Unmarshal([]byte(recs[i].Note), &f); err != nil {
 				return f, fmt.Errorf("rules: the tap's figures: %w", err)
 			}
@@ -121,10 +121,10 @@
 			c.ids[r.ID] = append(c.ids[r.ID], i)
 		}
 		switch {
-		case r.Ev == trafficlog.Kill && r.Role == "router":
-			c.kills[r.Who] = append(c.kills[r.Who], r.T)
-		case r.Ev == trafficlog.Up && r.Role == "router":
-			c.lives[r.Who] = append(c.lives[r.Who], r.T)
+		case r.Event == trafficlog.Killed && r.Role == "router":
+			c.kills[r.Subject] = append(c.kills[r.Subject], r.Time)
+		case r.Event == trafficlog.Started && r.Role == "router":
+			c.lives[r.Subject] = append(c.lives[r.Subject], r.Time)
 		}
 	}
 	c.tries = c.clientTries()
@@ -140,7 +140,7 @@
 
 func (c *checker) fail(rule int, i int, format string, a ...any) {
 	v := &c.out[rule]
-	b := Break{T: c.recs[i].T, What: fmt.Sprintf(format, a...)}
+	b := Break{T: c.recs[i].Time, What: fmt.Sprintf(format, a...)}
 	if len(v.Breaks) == 0 {
 		b.Around = c.around(i)
 	}
@@ -158,7 +158,7 @@
 		return out[:min(len(out), 24)]
 	}
 	for k := max(0, i-400); k < min(len(c.recs), i+100) && len(out) < 24; k++ {
-		if x := &c.recs[k]; x.Who == r.Who || k == i {
+		if x := &c.recs[k]; x.Subject == r.Subject || k == i {
 			out = append(out, *x)
 		}
 	}
@@ -208,7 +208,7 @@
 func (c *checker) answers() {
 	for i := range c.recs {
 		ask := &c.recs[i]
-		if ask.Ev != trafficlog.Ask {
+		if ask.Event != trafficlog.RequestSent {
 			continue
 		}
 		var heads int
@@ -217,24 +217,24 @@
 		why, whole := "", false
 		for _, k := range c.ids[ask.ID] {
 			switch x := &c.recs[k]; {
-			case x.Ev == trafficlog.Head:
+			case x.Event == trafficlog.ResponseHead:
 				heads++
-				first = min(first, x.T)
+				first = min(first, x.Time)
 				if heads == 2 {
 					c.fail(1, k, "request %s has a second answer (%d %s)", ask.ID, x.Status, x.Note)
 				}
-			case x.Ev == trafficlog.End:
-				ended, why, whole = x.T, x.Err, x.Err == ""
-			case x.Ev == trafficlog.Recv && x.Via == "":
-				if x.T > late {
-					late, lateAt = x.T, k
+			case x.Event == trafficlog.ResponseEnd:
+				ended, why, whole = x.Time, x.Err, x.Err == ""
+			case x.Event == trafficlog.AttemptReceived && x.Via == "":
+				if x.Time > late {
+					late, lateAt = x.Time, k
 				}
 			}
 		}
-		if why == "unreached" || c.dead(ask.Who, ask.T) { // no connection: no running router took it
+		if why == "unreached" || c.dead(ask.Subject, ask.Time) { // no connection: no running router took it
 			continue
 		}
-		if c.killed(ask.Who, ask.T-c.f.Spread, max(min(ask.Limit, ended), ask.T)+c.f.AnswerSlack+c.f.Spread) {
+		if c.killed(ask.Subject, ask.Time-c.f.Spread, max(min(ask.Limit, ended), ask.Time)+c.f.AnswerSlack+c.f.Spread) {
 			continue
 		}
 		if why == "gone" { // the client left by itself, as its script said
@@ -275,21 +275,21 @@
 	zone := map[string]string{}
 	atMember := map[string][]string{} // requests with attempts there, in this life of it
 	for i := range c.recs {
-		switch r := &c.recs[i]; r.Ev {
-		case trafficlog.Up:
+		switch r := &c.recs[i]; r.Event {
+		case trafficlog.Started:
 			if r.Role != "router" {
-				zone[r.Who] = r.Note
+				zone[r.Subject] = r.Note
 			}
-		case trafficlog.Kill: // ends what the member had in hand
-			for _, req := range atMember[r.Who] {
+		case trafficlog.Killed: // ends what the member had in hand
+			for _, req := range atMember[r.Subject] {
 				for k := range byReq[req] {
-					if a := &byReq[req][k]; c.recs[a.i].Who == r.Who {
-						a.to = min(a.to, r.T)
+					if a := &byReq[req][k]; c.recs[a.i].Subject == r.Subject {
+						a.to = min(a.to, r.Time)
 					}
 				}
 			}
-			delete(atMember, r.Who)
-		case trafficlog.Ran:
+			delete(atMember, r.Subject)
+		case trafficlog.WriteExecuted:
 			c.out[2].Checks++
 			if r.Note != "dropped" && r.Key != "" && c.f.Classes[r.Class].Effect != "free" {
 				if why, is := c.routersFault(ran[r.Key], r); is && !twice[r.Key] {
@@ -301,17 +301,17 @@
 				}
 				ran[r.Key] = append(ran[r.Key], r)
 			}
-		case trafficlog.Recv:
-			if r.Via == "" && r.Req != "" {
-				atMember[r.Who] = append(atMember[r.Who], r.Req)
-				byReq[r.Req] = append(byReq[r.Req], attempt{i: i, from: r.T, to: math.Inf(1), n: r.N})
+		case trafficlog.AttemptReceived:
+			if r.Via == "" && r.RouterRequest != "" {
+				atMember[r.Subject] = append(atMember[r.Subject], r.RouterRequest)
+				byReq[r.RouterRequest] = append(byReq[r.RouterRequest], attempt{i: i, from: r.Time, to: math.Inf(1), n: r.Attempt})
 			}
-		case trafficlog.Sent, trafficlog.Left:
-			list := byReq[r.Req]
+		case trafficlog.AttemptAnswered, trafficlog.AttemptCanceled:
+			list := byReq[r.RouterRequest]
 			for k := range list {
-				if a := &list[k]; r.Via == "" && a.n == r.N && c.recs[a.i].Who == r.Who {
-					a.to = min(a.to, r.T)
-					if r.Ev == trafficlog.Sent {
+				if a := &list[k]; r.Via == "" && a.n == r.Attempt && c.recs[a.i].Subject == r.Subject {
+					a.to = min(a.to, r.Time)
+					if r.Event == trafficlog.AttemptAnswered {
 						a.sent = r.Status
 					}
 				}
@@ -338,12 +338,12 @@
 			switch {
 			case class.Effect == "single-shot" && mayHaveRun:
 				c.fail(2, a.i, "single-shot request %s is sent again, though attempt %d may have run", req, before.n)
-			case class.Effect == "guarded" && mayHaveRun && r.T-first.T > class.Window+c.f.Spread:
+			case class.Effect == "guarded" && mayHaveRun && r.Time-first.Time > class.Window+c.f.Spread:
 				c.fail(2, a.i, "guarded request %s is repeated %.0f ms after its first attempt; repeats are dropped for %.0f",
-					req, r.T-first.T, class.Window)
-			case class.Effect == "guarded" && mayHaveRun && class.Group == "zone" && zone[r.Who] != zone[first.Who],
+					req, r.Time-first.Time, class.Window)
+			case class.Effect == "guarded" && mayHaveRun && class.Group == "zone" && zone[r.Subject] != zone[first.Subject],
 				class.Effect == "guarded" && mayHaveRun && class.Group == "nowhere":
-				c.fail(2, a.i, "guarded request %s is repeated outside of its group, at %s after %s", req, r.Who, first.Who)
+				c.fail(2, a.i, "guarded request %s is repeated outside of its group, at %s after %s", req, r.Subject, first.Subject)
 			}
 		}
 	}
@@ -383,41 +383,41 @@
 	for i := range c.recs {
 		r := &c.recs[i]
 		switch {
-		case r.Ev == trafficlog.Up && r.Role == "router": // a new life knows only what it is told
+		case r.Event == trafficlog.Started && r.Role == "router": // a new life knows only what it is told
 			for k := range out {
-				if k.router == r.Who {
+				if k.router == r.Subject {
 					delete(out, k)
 				}
 			}
-			delete(known, r.Who)
-			delete(inFull, r.Who)
-			delete(outAt, r.Who)
-		case r.Ev == trafficlog.Told && r.Note == "full":
-			closeFull(r.Who)
-			inFull[r.Who], fullAt[r.Who] = map[string]bool{}, r.T
-		case r.Ev == trafficlog.Told && r.Src != "":
-			if known[r.Who] == nil {
-				known[r.Who] = map[string]bool{}
-			}
-			if r.T != fullAt[r.Who] {
-				closeFull(r.Who)
-			} else if named := inFull[r.Who]; named != nil {
-				named[r.Src] = true
-			}
-			known[r.Who][r.Src] = true
-			k := key{r.Who, r.Src}
+			delete(known, r.Subject)
+			delete(inFull, r.Subject)
+			delete(outAt, r.Subject)
+		case r.Event == trafficlog.UpdateSent && r.Note == "full":
+			closeFull(r.Subject)
+			inFull[r.Subject], fullAt[r.Subject] = map[string]bool{}, r.Time
+		case r.Event == trafficlog.UpdateSent && r.Source != "":
+			if known[r.Subject] == nil {
+				known[r.Subject] = map[string]bool{}
+			}
+			if r.Time != fullAt[r.Subject] {
+				closeFull(r.Subject)
+			} else if named := inFull[r.Subject]; named != nil {
+				named[r.Source] = true
+			}
+			known[r.Subject][r.Source] = true
+			k := key{r.Subject, r.Source}
 			if r.State == "serving" {
 				delete(out, k)
 			} else if _, is := out[k]; !is {
-				out[k] = r.T
+				out[k] = r.Time
 			}
-			recount(r.Who)
-		case r.Ev == trafficlog.Recv && r.Via == "":
+			recount(r.Subject)
+		case r.Event == trafficlog.AttemptReceived && r.Via == "":
 			closeFull(r.From)
-			if due := outAt[r.From]; due > 0 && r.T > due+c.f.DrainGrace+c.f.Spread {
+			if due := outAt[r.From]; due > 0 && r.Time > due+c.f.DrainGrace+c.f.Spread {
 				c.out[3].Checks++ // somebody is out for this router, and it sent elsewhere or did not
 			}
-			for _, m := range []string{r.Who, r.Src} {
+			for _, m := range []string{r.Subject, r.Source} {
 				if m == "" {
 					continue
 				}
@@ -425,12 +425,12 @@
 				if !is {
 					continue
 				}
-				if r.T > t+c.f.DrainGrace+c.f.Spread {
+				if r.Time > t+c.f.DrainGrace+c.f.Spread {
 					as := "as a request"
-					if m == r.Src && m != r.Who {
+					if m == r.Source && m != r.Subject {
 						as = "as a source"
 					}
-					c.fail(3, i, "%s used %s %s %.0f ms after it was told that it drains or is gone", r.From, m, as, r.T-t)
+					c.fail(3, i, "%s used %s %s %.0f ms after it was told that it drains or is gone", r.From, m, as, r.Time-t)
 				}
 			}
 		}
@@ -455,12 +455,12 @@
 	for i := range c.recs {
 		r := &c.recs[i]
 		switch {
-		case r.Ev == trafficlog.Up && r.Cold && (r.Role == "box" || r.Role == "parent"):
-			lives[key{r.Who, r.Start}] = &life{up: r}
-		case r.Ev == trafficlog.Told && r.Src != "":
-			told[[2]string{r.Who, r.Src}] = max(told[[2]string{r.Who, r.Src}], r.Start)
-		case r.Ev == trafficlog.Recv:
-			l := lives[key{r.Who, r.Start}]
+		case r.Event == trafficlog.Started && r.Cold && (r.Role == "box" || r.Role == "parent"):
+			lives[key{r.Subject, r.Start}] = &life{up: r}
+		case r.Event == trafficlog.UpdateSent && r.Source != "":
+			told[[2]string{r.Subject, r.Source}] = max(told[[2]string{r.Subject, r.Source}], r.Start)
+		case r.Event == trafficlog.AttemptReceived:
+			l := lives[key{r.Subject, r.Start}]
 			if l == nil || l.broken {
 				continue
 			}
@@ -468,20 +468,20 @@
 			if l.up.Role == "parent" {
 				from, span, factor = c.f.ParentColdFrom, c.f.ParentColdTime, c.f.ParentFall
 			}
-			age := r.T - l.up.T
+			age := r.Time - l.up.Time
 			if age >= span || l.up.Work <= 0 {
 				continue
 			}
 			c.out[4].Checks++
 			l.arrivals = append(l.arrivals, i)
-			for len(l.arrivals) > 0 && c.recs[l.arrivals[0]].T <= r.T-c.f.FallTime {
+			for len(l.arrivals) > 0 && c.recs[l.arrivals[0]].Time <= r.Time-c.f.FallTime {
 				l.arrivals = l.arrivals[1:]
 			}
 			sum, knew := 0.0, 0.0
 			for _, k := range l.arrivals {
 				x := &c.recs[k]
 				sum += x.Work
-				if told[[2]string{x.From, r.Who}] >= r.Start {
+				if told[[2]string{x.From, r.Subject}] >= r.Start {
 					knew += x.Work
 				}
 			}
@@ -489,7 +489,7 @@
 			if len(l.arrivals) > 1 && sum > budget && knew >= sum*2/3 {
 				l.broken = true
 				c.fail(4, i, "%s (start %d, up for %.0f ms) was sent %.0f ms of work in %.0f ms, where %.0f push it over",
-					r.Who, r.Start, age, sum, c.f.FallTime, budget)
+					r.Subject, r.Start, age, sum, c.f.FallTime, budget)
 			}
 		}
 	}
@@ -517,22 +517,22 @@
 // take takes a record, if it is of purges or of a router's new life.
 func (l *ledger) take(r *trafficlog.Record) bool {
 	switch {
-	case r.Ev == trafficlog.Up && r.Role == "router":
+	case r.Event == trafficlog.Started && r.Role == "router":
 		for k := range l.told {
-			if k.router == r.Who {
+			if k.router == r.Subject {
 				delete(l.told, k)
 			}
 		}
-	case r.Ev == trafficlog.Purge && r.Object != "":
-		l.objects[r.Object] = append(l.objects[r.Object], r.T)
-	case r.Ev == trafficlog.Purge:
-		l.groups[r.Group] = append(l.groups[r.Group], r.T)
-	case r.Ev == trafficlog.Told && r.Note == "purge":
-		k := ledgerKey{r.Who, r.Object, r.Group}
+	case r.Event == trafficlog.Purge && r.Object != "":
+		l.objects[r.Object] = append(l.objects[r.Object], r.Time)
+	case r.Event == trafficlog.Purge:
+		l.groups[r.Group] = append(l.groups[r.Group], r.Time)
+	case r.Event == trafficlog.UpdateSent && r.Note == "purge":
+		k := ledgerKey{r.Subject, r.Object, r.Group}
 		if r.Object != "" {
 			k.group = 0
 		}
-		l.told[k] = append(l.told[k], ledgerPurge{r.Born, r.T})
+		l.told[k] = append(l.told[k], ledgerPurge{r.Created, r.Time})
 	default:
 		return false
 	}
@@ -578,19 +578,19 @@
 		r := &c.recs[i]
 		switch {
 		case l.take(r):
-		case r.Ev == trafficlog.End && strings.HasPrefix(r.Err, "byte "):
+		case r.Event == trafficlog.ResponseEnd && strings.HasPrefix(r.Err, "byte "):
 			c.fail(5, i, "request %s: %s: copies were spliced", r.ID, r.Err)
-		case r.Ev == trafficlog.Recv && r.Via == "":
-			recv[at{r.Who, r.Req, r.N, r.Start}] = r.T
-		case r.Ev == trafficlog.Sent && r.Via == "" && (r.Status == 200 || r.Status == 206) && !r.Write:
-			t, ok := recv[at{r.Who, r.Req, r.N, r.Start}]
+		case r.Event == trafficlog.AttemptReceived && r.Via == "":
+			recv[at{r.Subject, r.RouterRequest, r.Attempt, r.Start}] = r.Time
+		case r.Event == trafficlog.AttemptAnswered && r.Via == "" && (r.Status == 200 || r.Status == 206) && !r.Write:
+			t, ok := recv[at{r.Subject, r.RouterRequest, r.Attempt, r.Start}]
 			if !ok {
 				continue
 			}
 			c.out[5].Checks++
-			if least := l.least(r.From, r.Object, r.Group, t); r.Ver < least {
+			if least := l.least(r.From, r.Object, r.Group, t); r.Version < least {
 				c.fail(5, i, "%s answered %s from version %d, though %s was told of the purge that made version %d",
-					r.Who, r.Object, r.Ver, r.From, least)
+					r.Subject, r.Object, r.Version, r.From, least)
 			}
 		}
 	}
@@ -606,23 +606,23 @@
 	for i := range c.recs {
 		switch r := &c.recs[i]; {
 		case l.take(r):
-		case r.Ev == trafficlog.End:
-			ended[r.ID] = r.T
-		case r.Ev == trafficlog.Recv && r.Via == "":
+		case r.Event == trafficlog.ResponseEnd:
+			ended[r.ID] = r.Time
+		case r.Event == trafficlog.AttemptReceived && r.Via == "":
 			page, _, is := strings.Cut(r.ID, ".f")
-			if t, over := ended[page]; is && over && r.T > t+c.f.Spread {
-				c.fail(1, i, "piece %s is asked for %.0f ms after its page has ended", r.ID, r.T-t)
+			if t, over := ended[page]; is && over && r.Time > t+c.f.Spread {
+				c.fail(1, i, "piece %s is asked for %.0f ms after its page has ended", r.ID, r.Time-t)
 			}
-		case r.Ev == trafficlog.Piece && r.Err == "missing":
-		case r.Ev == trafficlog.Piece && r.Err != "":
+		case r.Event == trafficlog.FragmentRead && r.Err == "missing":
+		case r.Event == trafficlog.FragmentRead && r.Err != "":
 			c.out[1].Checks++
 			c.fail(1, i, "the page of request %s is not as it must be: %s", r.ID, r.Err)
-		case r.Ev == trafficlog.Piece:
+		case r.Event == trafficlog.FragmentRead:
 			c.out[1].Checks++
 			c.out[5].Checks++
-			if least := l.least(r.Who, r.Object, r.Group, r.T); r.Ver < least {
+			if least := l.least(r.Subject, r.Object, r.Group, r.Time); r.Version < least {
 				c.fail(5, i, "the page of request %s has %s in version %d, though %s was told of the purge that made version %d",
-					r.ID, r.Object, r.Ver, r.Who, least)
+					r.ID, r.Object, r.Version, r.Subject, least)
 			}
 		}
 	}
--- a/internal/testbed/scenario/box.go
+++ b/internal/testbed/scenario/box.go
@@ -54,7 +54,7 @@
 	}
 	s.OnEvent = func(e server.Seen) {
 		a := e.Attempt
-		r := trafficlog.Record{Ev: trafficlog.Recv, Who: c.ID, Role: c.Role, Start: c.Start, Req: a.ID, N: a.Number, From: a.From, Via: a.Via, Src: a.Source, Class: a.Class,
+		r := trafficlog.Record{Event: trafficlog.AttemptReceived, Subject: c.ID, Role: c.Role, Start: c.Start, RouterRequest: a.ID, Attempt: a.Number, From: a.From, Via: a.Via, Source: a.Source, Class: a.Class,
 			Object: a.Object, Group: a.Group, Key: e.Header.Get("Idempotency-Key"), Write: e.Method != "GET" && e.Method != "HEAD", ID: e.Header.Get("X-Request-Id"),
 			Work: kb[a.Class] / max(c.Flow, 0.01)}
 		switch e.What {
@@ -63,15 +63,15 @@
 				r.Note = "fill"
 			}
 		case "sent":
-			r.Ev, r.Status, r.Ver, r.Bytes, r.Hit = trafficlog.Sent, e.Status, e.Version, e.Bytes, e.Hit
+			r.Event, r.Status, r.Version, r.Bytes, r.Hit = trafficlog.AttemptAnswered, e.Status, e.Version, e.Bytes, e.Hit
 		case "done":
-			r.Ev, r.Bytes = trafficlog.Done, e.Bytes
+			r.Event, r.Bytes = trafficlog.AttemptDone, e.Bytes
 		case "left":
-			r.Ev = trafficlog.Left
+			r.Event = trafficlog.AttemptCanceled
 		}
 		w.Add(r)
 	}
-	w.Add(trafficlog.Record{Ev: trafficlog.Up, Who: c.ID, Role: c.Role, Addr: s.Addr(), Start: c.Start, Cold: c.Cold, Work: c.Capacity, Note: c.Zone,
+	w.Add(trafficlog.Record{Event: trafficlog.Started, Subject: c.ID, Role: c.Role, Addr: s.Addr(), Start: c.Start, Cold: c.Cold, Work: c.Capacity, Note: c.Zone,
 		Bytes: s.Recovered.Bytes})
 	go func() {
 		faults.untilOrphaned(in)
--- a/internal/testbed/scenario/calls.go
+++ b/internal/testbed/scenario/calls.go
@@ -46,7 +46,7 @@
 		return nil, fmt.Errorf("day: syscalls: %w", err)
 	}
 	seed := uint64(fault.Until)
-	return &plannedCalls{faultinject.New(plan, seed, faultinject.Since()), plan, fault.Peer, fault.Until}, nil
+	return &plannedCalls{faultinject.New(plan, seed, faultinject.StartClock()), plan, fault.Peer, fault.Until}, nil
 }
 
 // counts are how many calls of the plan's kinds were made, and how many of them failed.
--- a/internal/testbed/scenario/clients.go
+++ b/internal/testbed/scenario/clients.go
@@ -291,15 +291,15 @@
 	patience := k.Deadline * (c.d.s.Day.Patience + (1-c.d.s.Day.Patience)*rng.Float64())
 	start := trafficlog.Now()
 	patience = min(patience, until-start)
-	rec := trafficlog.Record{ID: id, Who: r.name, Class: k.Name, Key: key, Write: k.Write, Retry: try, Limit: start + patience}
+	rec := trafficlog.Record{ID: id, Subject: r.name, Class: k.Name, Key: key, Write: k.Write, Retry: try, Limit: start + patience}
 	end := func(err string, bytes int64) {
 		e := rec
-		e.Ev, e.Err, e.Bytes = trafficlog.End, err, bytes
+		e.Event, e.Err, e.Bytes = trafficlog.ResponseEnd, err, bytes
 		w.Add(e)
 		ans.err = err
 	}
 	ask := rec
-	ask.Ev, ask.T, ask.Object = trafficlog.Ask, start, path
+	ask.Event, ask.Time, ask.Object = trafficlog.RequestSent, start, path
 	cn, err := r.get()
 	if err != nil {
 		w.Add(ask)
@@ -363,11 +363,11 @@
 		return ans
 	}
 	head := rec
-	head.Ev, head.Status, head.Note = trafficlog.Head, res.StatusCode, res.Header.Get(fetchheader.StatusField)
+	head.Event, head.Status, head.Note = trafficlog.ResponseHead, res.StatusCode, res.Header.Get(fetchheader.StatusField)
 	head.Hit = strings.HasSuffix(head.Note, ";hit") || strings.Contains(head.Note, ";hit;")
 	ver, verr := fetchheader.ParseCopyVersion(res.Header.Get(fetchheader.CopyField))
 	if verr == nil {
-		head.Ver = ver.Number
+		head.Version = ver.Number
 	}
 	ans.status = res.StatusCode
 	if s, err := strconv.Atoi(res.Header.Get("Retry-After")); err == nil {
@@ -409,10 +409,10 @@
 		pieces, err := testserver.Pieces(path, page)
 		for i, x := range pieces {
 			p := rec
-			p.Ev, p.Object, p.Group, p.Ver, p.N = trafficlog.Piece, x.Key, groupIn(x.Key), x.Version, i
+			p.Event, p.Object, p.Group, p.Version, p.Attempt = trafficlog.FragmentRead, x.Key, groupIn(x.Key), x.Version, i
 			for _, r := range reads {
 				if r.bytes >= x.End && x.End > 0 {
-					p.T = r.at
+					p.Time = r.at
 					break
 				}
 			}
@@ -423,14 +423,14 @@
 		}
 		if err != nil {
 			p := rec
-			p.Ev, p.N, p.Err = trafficlog.Piece, len(pieces), err.Error()
+			p.Event, p.Attempt, p.Err = trafficlog.FragmentRead, len(pieces), err.Error()
 			w.Add(p)
 		}
 	}
 	end("", n)
 	if cn.br.Buffered() > 0 { // nothing was asked: this answers nothing
 		extra := rec
-		extra.Ev, extra.Note = trafficlog.Head, "bytes after the answer"
+		extra.Event, extra.Note = trafficlog.ResponseHead, "bytes after the answer"
 		w.Add(extra)
 		return ans
 	}
--- a/internal/testbed/scenario/day_test.go
+++ b/internal/testbed/scenario/day_test.go
@@ -86,7 +86,7 @@
 		(trouble router-kill (at 700) (for 300) (routers 2)) (trouble drain (at 1600) (for 1800) (boxes 1))`)
 	cold := map[string]bool{}
 	for _, r := range res.Records {
-		if r.Ev == trafficlog.Up && r.Cold {
+		if r.Event == trafficlog.Started && r.Cold {
 			cold[r.Role] = true
 		}
 	}
--- a/internal/testbed/scenario/repeat_test.go
+++ b/internal/testbed/scenario/repeat_test.go
@@ -78,7 +78,7 @@
 					t.Errorf("try %d may run until %.0f ms after the first that may have run; repeats are dropped for %d", i, ask.Limit-mayHaveRun, window)
 				}
 				if c.replies[min(i, len(c.replies)-1)].status != 503 {
-					mayHaveRun = min(mayHaveRun, ask.T)
+					mayHaveRun = min(mayHaveRun, ask.Time)
 				}
 			}
 		})
@@ -100,7 +100,7 @@
 	c := &clients{d: day, zone: "z", seq: &seq}
 	c.want(context.Background(), &class, "/order/0/w1", rand.New(rand.NewPCG(1, 2)))
 	for _, r := range day.tap.Records() {
-		if r.Ev == trafficlog.Ask {
+		if r.Event == trafficlog.RequestSent {
 			asks = append(asks, r)
 		}
 	}
--- a/internal/testbed/scenario/run.go
+++ b/internal/testbed/scenario/run.go
@@ -333,14 +333,14 @@
 		return err
 	}
 	var up trafficlog.Record
-	if err := json.Unmarshal([]byte(line), &up); err != nil || up.Ev != trafficlog.Up {
+	if err := json.Unmarshal([]byte(line), &up); err != nil || up.Event != trafficlog.Started {
 		return fmt.Errorf("day: %s began with %q", m.cfg.ID, line)
 	}
 	m.addr = up.Addr
 	m.row.Address, m.row.State = up.Addr, "serving"
 	since := 0.0
 	if cold {
-		since = up.T
+		since = up.Time
 	}
 	d.listed(m.row, since)
 	return nil
@@ -385,7 +385,7 @@
 		return err
 	}
 	// known before its first attempt can be: a new life begins here
-	d.tap.Add(trafficlog.Record{Ev: trafficlog.Up, Who: r.at.name, Role: "router", Note: r.at.zone})
+	d.tap.Add(trafficlog.Record{Event: trafficlog.Started, Subject: r.at.name, Role: "router", Note: r.at.zone})
 	p, err := start(d.o.Self, ChildRouter, in, r.log, d.heard)
 	if err != nil {
 		return err
@@ -477,12 +477,12 @@
 		rng := rand.New(rand.NewPCG(uint64(s.Day.Seed), uint64(n)+1000))
 		met := d.pick(t, rng)
 		d.say("%6.1f s  %s for %.1f s: %s", (trafficlog.Now()-begin)/1000, t.Kind, t.For/1000, strings.Join(met, " "))
-		d.tap.Add(trafficlog.Record{Ev: trafficlog.Fault, Note: "begin " + name, Limit: t.For, Src: strings.Join(met, " ")})
+		d.tap.Add(trafficlog.Record{Event: trafficlog.Fault, Note: "begin " + name, Limit: t.For, Source: strings.Join(met, " ")})
 		troubles.Add(1)
 		go func() {
 			defer troubles.Done()
 			d.problem(d.trouble(ctx, t, met, rng))
-			d.tap.Add(trafficlog.Record{Ev: trafficlog.Fault, Note: "end " + name})
+			d.tap.Add(trafficlog.Record{Event: trafficlog.Fault, Note: "end " + name})
 		}()
 	}
 	sleep(ctx, begin+s.Day.Length-trafficlog.Now())
@@ -624,7 +624,7 @@
 				wg.Add(1)
 				go func() {
 					defer wg.Done()
-					d.tap.Add(trafficlog.Record{Ev: trafficlog.Kill, Who: name, Role: "router"})
+					d.tap.Add(trafficlog.Record{Event: trafficlog.Killed, Subject: name, Role: "router"})
 					r.at.moved("", "")
 					r.proc.kill()
 					sleep(ctx, t.For)
@@ -694,7 +694,7 @@
 
 // killMachine kills a machine by SIGKILL; state, if given, is what the list says of it.
 func (d *Day) killMachine(m *machine, state string) {
-	d.tap.Add(trafficlog.Record{Ev: trafficlog.Kill, Who: m.cfg.ID, Role: m.cfg.Role, Start: m.cfg.Start})
+	d.tap.Add(trafficlog.Record{Event: trafficlog.Killed, Subject: m.cfg.ID, Role: m.cfg.Role, Start: m.cfg.Start})
 	m.proc.kill()
 	if state != "" {
 		d.setState(m, state)
--- a/internal/testbed/scenario/sluggish.go
+++ b/internal/testbed/scenario/sluggish.go
@@ -119,7 +119,7 @@
 	for _, name := range met {
 		for _, r := range d.routers {
 			if r.at.name == name {
-				d.tap.Add(trafficlog.Record{Ev: trafficlog.Fault, Note: "restart of " + name})
+				d.tap.Add(trafficlog.Record{Event: trafficlog.Fault, Note: "restart of " + name})
 				if err := d.restart(ctx, r); err != nil {
 					return err
 				}
--- a/internal/testbed/scenario/summary.go
+++ b/internal/testbed/scenario/summary.go
@@ -77,26 +77,26 @@
 	for i := range recs {
 		r := &recs[i]
 		c := classes[r.Class]
-		switch r.Ev {
-		case trafficlog.Ask:
+		switch r.Event {
+		case trafficlog.RequestSent:
 			tries[r.ID] = &try{ask: r}
 			if c != nil {
 				if c.Requests++; r.Retry > 0 {
 					c.Retries++
 				}
 			}
-		case trafficlog.Head:
+		case trafficlog.ResponseHead:
 			if t := tries[r.ID]; t != nil && t.head == nil {
 				t.head = r
 			}
-		case trafficlog.End:
+		case trafficlog.ResponseEnd:
 			t := tries[r.ID]
 			if t == nil || c == nil {
 				continue
 			}
 			c.MB += float64(r.Bytes) / (1 << 20)
 			t.taken = r.Err != "unreached"
-			switch took := r.T - t.ask.T; {
+			switch took := r.Time - t.ask.Time; {
 			case r.Err == "gone":
 				c.Gone++
 			case r.Err == "unreached":
@@ -121,14 +121,14 @@
 				}
 				hist[r.Class].RecordValue(int64(took * 1000))
 			}
-		case trafficlog.Recv:
+		case trafficlog.AttemptReceived:
 			if r.Via == "" {
 				out.Attempts++
 				if c != nil {
 					c.Attempts++
 				}
 			}
-		case trafficlog.Done:
+		case trafficlog.AttemptDone:
 			mb := float64(r.Bytes) / (1 << 20)
 			switch {
 			case r.Role == "origin":
@@ -139,11 +139,11 @@
 			if r.Via != "" && !strings.HasPrefix(r.Via, "parent-") {
 				out.LinkMB += mb
 			}
-		case trafficlog.Told:
+		case trafficlog.UpdateSent:
 			out.Told++
 		case trafficlog.Fault:
 			if name, ok := strings.CutPrefix(r.Note, "begin "); ok {
-				spans = append(spans, span{name, r.T, r.T + r.Limit + 2000})
+				spans = append(spans, span{name, r.Time, r.Time + r.Limit + 2000})
 			}
 		}
 	}
@@ -155,7 +155,7 @@
 	share := func(in func(t float64) bool) (n int, ofAll, ofTaken float64) {
 		good, taken := 0.0, 0
 		for _, t := range tries {
-			if !in(t.ask.T) {
+			if !in(t.ask.Time) {
 				continue
 			}
 			n++
--- a/internal/testbed/scenario/versions.go
+++ b/internal/testbed/scenario/versions.go
@@ -116,9 +116,9 @@
 			return
 		}
 		t := trafficlog.Now()
-		out.Add(trafficlog.Record{T: t, Ev: trafficlog.Told, Who: router, Note: "full", Ver: v.Number})
+		out.Add(trafficlog.Record{Time: t, Event: trafficlog.UpdateSent, Subject: router, Note: "full", Version: v.Number})
 		for _, m := range s.Members {
-			out.Add(trafficlog.Record{T: t, Ev: trafficlog.Told, Who: router, Src: m.ID, State: m.State, Start: int64(m.Start)})
+			out.Add(trafficlog.Record{Time: t, Event: trafficlog.UpdateSent, Subject: router, Source: m.ID, State: m.State, Start: int64(m.Start)})
 		}
 	})
 	if err != nil {
@@ -617,7 +617,7 @@
 		}
 		return
 	}
-	c.d.tap.Add(trafficlog.Record{Ev: trafficlog.Told, Who: r.at.name, Object: p.object, Group: p.group, Born: p.made, Note: "purge"})
+	c.d.tap.Add(trafficlog.Record{Event: trafficlog.UpdateSent, Subject: r.at.name, Object: p.object, Group: p.group, Created: p.made, Note: "purge"})
 }
 
 // begin readies the service and the first version before the routers start.
--- a/internal/testbed/testserver/list.go
+++ b/internal/testbed/testserver/list.go
@@ -201,7 +201,7 @@
 		}
 		t := trafficlog.Now()
 		for _, rec := range recs {
-			rec.T, rec.Ev, rec.Who = t, trafficlog.Told, name
+			rec.Time, rec.Event, rec.Subject = t, trafficlog.UpdateSent, name
 			l.tap.Add(rec)
 		}
 		_, err = w.Write(append(line, '\n'))
@@ -212,7 +212,7 @@
 	recs := []trafficlog.Record{{Note: "full"}}
 	for _, e := range rows {
 		full.Members = append(full.Members, e.told(now))
-		recs = append(recs, trafficlog.Record{Src: e.row.ID, State: state(e.row.State), Start: e.row.Start})
+		recs = append(recs, trafficlog.Record{Source: e.row.ID, State: state(e.row.State), Start: e.row.Start})
 	}
 	if back > 0 {
 		recs = []trafficlog.Record{{Note: "set back"}} // passed over by a router that knows more
@@ -266,7 +266,7 @@
 				ok = l.sendPurge(send, e)
 			} else {
 				ok = send(engine.Update{Rev: e.rev, Kind: "delta", Members: []engine.Row{e.told(now)}},
-					[]trafficlog.Record{{Src: e.row.ID, State: state(e.row.State), Start: e.row.Start}})
+					[]trafficlog.Record{{Source: e.row.ID, State: state(e.row.State), Start: e.row.Start}})
 			}
 			if !ok {
 				return
@@ -305,7 +305,7 @@
 func (l *List) sendPurge(send func(engine.Update, []trafficlog.Record) bool, e entry) bool {
 	p := *e.purge
 	p.AgeMs = max(trafficlog.Now()-e.made, 0)
-	return send(engine.Update{Rev: e.rev, Purge: &p}, []trafficlog.Record{{Object: p.Object, Group: p.Group, Born: e.made, Note: "purge"}})
+	return send(engine.Update{Rev: e.rev, Purge: &p}, []trafficlog.Record{{Object: p.Object, Group: p.Group, Created: e.made, Note: "purge"}})
 }
 
 // post takes news from outside: a row, or a purge; ?ago=MS says how long ago
--- a/internal/testbed/testserver/origin.go
+++ b/internal/testbed/testserver/origin.go
@@ -75,7 +75,7 @@
 	}
 	s.mu.Unlock()
 	rec := v.rec
-	rec.Ev, rec.Bytes = trafficlog.Ran, n
+	rec.Event, rec.Bytes = trafficlog.WriteExecuted, n
 	if drop {
 		rec.Note = "dropped"
 	}
--- a/internal/testbed/testserver/server.go
+++ b/internal/testbed/testserver/server.go
@@ -138,7 +138,7 @@
 		IdleConnTimeout: 5 * time.Second, ResponseHeaderTimeout: time.Duration(cfg.FillWait) * time.Millisecond,
 		DialContext: (&net.Dialer{Timeout: 500 * time.Millisecond}).DialContext}}
 	s.http = &http.Server{Handler: s, IdleTimeout: 5 * time.Minute}
-	s.tap.Add(trafficlog.Record{Ev: trafficlog.Up, Who: cfg.ID, Role: cfg.Role, Addr: ln.Addr().String(), Start: cfg.Start,
+	s.tap.Add(trafficlog.Record{Event: trafficlog.Started, Subject: cfg.ID, Role: cfg.Role, Addr: ln.Addr().String(), Start: cfg.Start,
 		Cold: cfg.Cold, Work: cfg.Capacity, Note: cfg.Zone})
 	go s.http.Serve(&gatedListener{Listener: ln, f: s.f, done: s.done})
 	return s, nil
@@ -164,9 +164,9 @@
 		return made
 	}
 	s.origin.purge(object, group)
-	rec := trafficlog.Record{T: trafficlog.Now(), Ev: trafficlog.Purge, Who: s.cfg.ID, Object: object, Group: group}
+	rec := trafficlog.Record{Time: trafficlog.Now(), Event: trafficlog.Purge, Subject: s.cfg.ID, Object: object, Group: group}
 	s.tap.Add(rec)
-	return rec.T
+	return rec.Time
 }
 
 // Held is what a cache holds.
@@ -202,8 +202,8 @@
 	}
 	class := s.classes[a.Class]
 	v := &visit{s: s, w: w, r: r, a: a, key: key, class: class}
-	v.rec = trafficlog.Record{Who: s.cfg.ID, Role: s.cfg.Role, Start: s.cfg.Start, Req: a.ID, N: a.Number, From: a.From,
-		Via: a.Via, Src: a.Source, Class: a.Class, Object: a.Object, Group: a.Group,
+	v.rec = trafficlog.Record{Subject: s.cfg.ID, Role: s.cfg.Role, Start: s.cfg.Start, RouterRequest: a.ID, Attempt: a.Number, From: a.From,
+		Via: a.Via, Source: a.Source, Class: a.Class, Object: a.Object, Group: a.Group,
 		Key: r.Header.Get(fetchheader.IdempotencyKeyField), Write: r.Method != "GET" && r.Method != "HEAD",
 		ID: r.Header.Get("X-Request-Id")}
 	v.rec.Work = class.KB / s.cfg.Flow
@@ -211,7 +211,7 @@
 		v.rec.Work = float64(SizeOf(key, class.KB)) / 1024 / s.cfg.Flow
 	}
 	recv := v.rec
-	recv.Ev, recv.Note = trafficlog.Recv, "look"
+	recv.Event, recv.Note = trafficlog.AttemptReceived, "look"
 	if a.Source != "" || a.MayFetch {
 		recv.Note = "fill"
 	}
@@ -232,7 +232,7 @@
 	stop := context.AfterFunc(r.Context(), func() {
 		if !v.answered.Load() {
 			left := v.rec
-			left.Ev = trafficlog.Left
+			left.Event = trafficlog.AttemptCanceled
 			s.tap.Add(left)
 		}
 	})
@@ -317,7 +317,7 @@
 // sent records that the attempt is answered.
 func (v *visit) sent(rec trafficlog.Record) {
 	v.answered.Store(true)
-	rec.Ev = trafficlog.Sent
+	rec.Event = trafficlog.AttemptAnswered
 	v.s.tap.Add(rec)
 }
 
@@ -325,7 +325,7 @@
 func (v *visit) reset() {
 	if !v.answered.Swap(true) {
 		rec := v.rec
-		rec.Ev, rec.Note = trafficlog.Left, "reset"
+		rec.Event, rec.Note = trafficlog.AttemptCanceled, "reset"
 		v.s.tap.Add(rec)
 	}
 	if c, _, err := v.w.(http.Hijacker).Hijack(); err == nil {
@@ -474,7 +474,7 @@
 	if v.r.Header.Get("If-None-Match") == tag { // its asker has it
 		head.Del("Content-Length")
 		rec := v.rec
-		rec.Status, rec.Ver, rec.Born, rec.Hit = http.StatusNotModified, version, born, h.Hit
+		rec.Status, rec.Version, rec.Created, rec.Hit = http.StatusNotModified, version, born, h.Hit
 		v.sent(rec)
 		v.w.WriteHeader(http.StatusNotModified)
 		return
@@ -484,7 +484,7 @@
 		head.Set("Content-Range", fmt.Sprintf("bytes %d-%d/*", first, last))
 	}
 	rec := v.rec
-	rec.Status, rec.Ver, rec.Born, rec.Bytes, rec.Hit = code, version, born, size, h.Hit
+	rec.Status, rec.Version, rec.Created, rec.Bytes, rec.Hit = code, version, born, size, h.Hit
 	v.sent(rec)
 	if v.r.Method == "HEAD" {
 		v.w.WriteHeader(code)
@@ -544,6 +544,6 @@
 		}
 	}
 	rec := v.rec
-	rec.Ev, rec.Bytes = trafficlog.Done, size
+	rec.Event, rec.Bytes = trafficlog.AttemptDone, size
 	s.tap.Add(rec)
 }
--- a/internal/testbed/trafficlog/tap.go
+++ b/internal/testbed/trafficlog/tap.go
@@ -19,39 +19,39 @@
 
 // What a record is of.
 const (
-	Up    = "up"    // a stand-in or a router has started (Who, Start, Addr)
-	Kill  = "kill"  // it was killed, or the day took it away
-	Ask   = "ask"   // a client has written its whole request (Who: router)
-	Head  = "head"  // a client has the answer's head
-	End   = "end"   // a client has the whole answer, or its end: Err says why it is not whole
-	Recv  = "recv"  // a stand-in has the attempt's whole head
-	Sent  = "sent"  // a stand-in has answered it, before the first byte of the body
-	Done  = "done"  // and after the last
-	Left  = "left"  // the asker has closed the attempt before it was answered
-	Ran   = "ran"   // the origin ran a write
-	Told  = "told"  // the list service has written news to a router (Who: router)
-	Piece = "piece" // a client has read a piece of a page (Object, Ver; N: its place; Err: it is missing, or what is wrong)
-	Purge = "purge" // a purge was made at the origin
-	Fault = "fault" // a trouble begins or ends (Note)
+	Started         = "up"    // a stand-in or a router has started (Who, Start, Addr)
+	Killed          = "kill"  // it was killed, or the day took it away
+	RequestSent     = "ask"   // a client has written its whole request (Who: router)
+	ResponseHead    = "head"  // a client has the answer's head
+	ResponseEnd     = "end"   // a client has the whole answer, or its end: Err says why it is not whole
+	AttemptReceived = "recv"  // a stand-in has the attempt's whole head
+	AttemptAnswered = "sent"  // a stand-in has answered it, before the first byte of the body
+	AttemptDone     = "done"  // and after the last
+	AttemptCanceled = "left"  // the asker has closed the attempt before it was answered
+	WriteExecuted   = "ran"   // the origin ran a write
+	UpdateSent      = "told"  // the list service has written news to a router (Who: router)
+	FragmentRead    = "piece" // a client has read a piece of a page (Object, Ver; N: its place; Err: it is missing, or what is wrong)
+	Purge           = "purge" // a purge was made at the origin
+	Fault           = "fault" // a trouble begins or ends (Note)
 )
 
 // Record is one thing seen.
 type Record struct {
-	T    float64 `json:"t"`
-	Ev   string  `json:"ev"`
-	Who  string  `json:"who,omitempty"` // member or router that it is about
-	Role string  `json:"role,omitempty"`
-	Addr string  `json:"addr,omitempty"`
-
-	Start int64  `json:"start,omitempty"` // of a member: number of its start
-	Cold  bool   `json:"cold,omitempty"`  // of up: it starts cold
-	ID    string `json:"id,omitempty"`    // of a client's request
-	Req   string `json:"req,omitempty"`   // the router's name of it
-	N     int    `json:"n,omitempty"`     // attempt
-	From  string `json:"from,omitempty"`  // router that sent the attempt
-	Via   string `json:"via,omitempty"`   // cache that sent the fill
-	Src   string `json:"src,omitempty"`   // source named
-	Class string `json:"class,omitempty"`
+	Time    float64 `json:"t"`
+	Event   string  `json:"ev"`
+	Subject string  `json:"who,omitempty"` // member or router that it is about
+	Role    string  `json:"role,omitempty"`
+	Addr    string  `json:"addr,omitempty"`
+
+	Start         int64  `json:"start,omitempty"` // of a member: number of its start
+	Cold          bool   `json:"cold,omitempty"`  // of up: it starts cold
+	ID            string `json:"id,omitempty"`    // of a client's request
+	RouterRequest string `json:"req,omitempty"`   // the router's name of it
+	Attempt       int    `json:"n,omitempty"`     // attempt
+	From          string `json:"from,omitempty"`  // router that sent the attempt
+	Via           string `json:"via,omitempty"`   // cache that sent the fill
+	Source        string `json:"src,omitempty"`   // source named
+	Class         string `json:"class,omitempty"`
 
 	Object string  `json:"obj,omitempty"`
 	Group  int     `json:"group,omitempty"`
@@ -61,14 +61,14 @@
 	Limit  float64 `json:"limit,omitempty"`
 	State  string  `json:"state,omitempty"` // of told: of the member Src
 
-	Status int     `json:"status,omitempty"`
-	Ver    int64   `json:"ver,omitempty"`
-	Born   float64 `json:"born,omitempty"` // of the copy served, on this clock
-	Bytes  int64   `json:"bytes,omitempty"`
-	Hit    bool    `json:"hit,omitempty"`
-	Err    string  `json:"err,omitempty"`
-	Note   string  `json:"note,omitempty"`
-	Retry  int     `json:"retry,omitempty"` // of ask: which try of the client's this is
+	Status  int     `json:"status,omitempty"`
+	Version int64   `json:"ver,omitempty"`
+	Created float64 `json:"born,omitempty"` // of the copy served, on this clock
+	Bytes   int64   `json:"bytes,omitempty"`
+	Hit     bool    `json:"hit,omitempty"`
+	Err     string  `json:"err,omitempty"`
+	Note    string  `json:"note,omitempty"`
+	Retry   int     `json:"retry,omitempty"` // of ask: which try of the client's this is
 }
 
 // Now is the tap's clock.
@@ -101,8 +101,8 @@
 	if w == nil {
 		return
 	}
-	if r.T == 0 {
-		r.T = Now()
+	if r.Time == 0 {
+		r.Time = Now()
 	}
 	var line []byte
 	var err error
@@ -150,7 +150,7 @@
 
 // Sort puts records into the order of time; those of one time stay as they are.
 func Sort(recs []Record) {
-	sort.SliceStable(recs, func(i, j int) bool { return recs[i].T < recs[j].T })
+	sort.SliceStable(recs, func(i, j int) bool { return recs[i].Time < recs[j].Time })
 }
 
 // Read reads records. A line cut short at the very end is passed over, as a
