--- a/internal/proxy/httpfront/client.go
+++ b/internal/proxy/httpfront/client.go
@@ -716,8 +716,8 @@
 type clientRequest struct {
 	edge   *Edge
 	client *clientConn
-	body   http1.Body
-	spec   spool.Request
+	body   http1.Body    // parser of its body
+	spec   spool.Request // the request as the module gets it
 
 	id           string
 	receivedAt   float64
