--- a/cmd/spool-cache/main.go
+++ b/cmd/spool-cache/main.go
@@ -18,7 +18,7 @@
 	root := &cobra.Command{Use: "spool-cache", Short: "A cache with a store on disk, as a box or a parent",
 		Long: "A cache with a store on disk, as a box or a parent.\n\nRouters ask it by Spool-Fill (docs/protocol.md). POST /-/purge {\"object\": PATH}, or group, tag or\nprefix, voids copies: it lasts once it is answered. GET /-/state tells counters."}
 	var file string
-	read := func() (*server.Form, error) {
+	read := func() (*server.Config, error) {
 		var s server.Settings
 		if err := config.ReadFile(file, &s); err != nil {
 			return nil, &cli.FoundError{Err: err}
--- a/internal/cachenode/server/cache.go
+++ b/internal/cachenode/server/cache.go
@@ -31,11 +31,11 @@
 
 // Settings is what a cache is: one settings file. Spans in ms.
 type Settings struct {
-	Cache Form `edn:"cache,required"`
+	Cache Config `edn:"cache,required"`
 }
 
-// Form is the (cache ...) of a settings file.
-type Form struct {
+// Config is the (cache ...) of a settings file.
+type Config struct {
 	Place                  config.Place
 	Name                   string  `edn:"@,required"`
 	Listen                 string  `edn:"listen" def:"127.0.0.1:0"`
@@ -59,7 +59,7 @@
 
 // Server is a running cache.
 type Server struct {
-	f         Form
+	f         Config
 	l         *eventloop.Loop
 	listener  eventloop.Listener
 	lfd       int
@@ -80,11 +80,11 @@
 	stats     Stats
 	stopped   chan struct{}
 
-	OnEvent func(Seen) // called on the loop; set before Run
+	OnEvent func(Event) // called on the loop; set before Run
 }
 
-// Seen is what passed on the cache's sockets, for who watches (Server.Watch).
-type Seen struct {
+// Event is what passed on the cache's sockets, for who watches (Server.Watch).
+type Event struct {
 	What    string // recv: an attempt's whole head; sent: it is answered; done: all of the answer is out; left: its asker has closed
 	Attempt *fetchheader.Attempt
 	Method  string
@@ -105,17 +105,17 @@
 }
 
 // Start opens the store and begins to listen; Run serves.
-func Start(f Form, warn func(string)) (*Server, error) {
+func Start(f Config, warn func(string)) (*Server, error) {
 	return StartWithFS(store.Dir(f.Folder), f, warn)
 }
 
 // StartWithFS is Start with the store in a folder that fault injection gives.
-func StartWithFS(folder store.FS, f Form, warn func(string)) (*Server, error) {
+func StartWithFS(folder store.FS, f Config, warn func(string)) (*Server, error) {
 	return start(f, warn, folder, wallclock.Now)
 }
 
 // start is StartOn by a wall clock that tests replace. The clock is read once.
-func start(f Form, warn func(string), folder store.FS, wallClock func() time.Time) (*Server, error) {
+func start(f Config, warn func(string), folder store.FS, wallClock func() time.Time) (*Server, error) {
 	if warn == nil {
 		warn = func(string) {}
 	}
@@ -658,7 +658,7 @@
 func (v *visit) seen(what string, status int, version, bytes int64, hit bool) {
 	v.told = v.told || what == "sent"
 	if v.s.OnEvent != nil && !v.plain && v.method != "" {
-		v.s.OnEvent(Seen{what, &v.a, v.method, v.target, v.key, v.fields, status, version, bytes, hit})
+		v.s.OnEvent(Event{what, &v.a, v.method, v.target, v.key, v.fields, status, version, bytes, hit})
 	}
 }
 
--- a/internal/cachenode/server/cache_test.go
+++ b/internal/cachenode/server/cache_test.go
@@ -26,7 +26,7 @@
 	s      *Server
 	origin *testserver.Server
 	tap    *trafficlog.Writer
-	form   Form
+	form   Config
 	done   chan error
 	client *http.Client
 	folder store.FS         // nil: the form's
--- a/internal/cachenode/server/kill_test.go
+++ b/internal/cachenode/server/kill_test.go
@@ -45,7 +45,7 @@
 		if faults {
 			go failNowAndThen(folder)
 		}
-		s, err := start(Form{Name: "b1", Listen: "127.0.0.1:0", Folder: dir, CapacityMB: 64, SegmentMB: 1, DiskThreads: 4, DiskQueue: 256, DiskTimeout: 2000, MaxFills: 64,
+		s, err := start(Config{Name: "b1", Listen: "127.0.0.1:0", Folder: dir, CapacityMB: 64, SegmentMB: 1, DiskThreads: 4, DiskQueue: 256, DiskTimeout: 2000, MaxFills: 64,
 			FillTimeout: 2000, ConnectTimeout: 500, IdleTimeout: 60000, MaxConns: 1000, MaxBufferedBytes: 1 << 20, MaxBodyBytes: 1 << 20, CompleteAbandonedFills: true}, nil, folder, time.Now)
 		if err != nil {
 			fmt.Println("error", err)
--- a/internal/protocol/fetchheader/fillwire.go
+++ b/internal/protocol/fetchheader/fillwire.go
@@ -44,7 +44,7 @@
 	SourceAddress string // address of the source
 	Keep          int    // rank of the copy, 1 to 3; 0: pass through
 	Age           float64
-	Left          float64 // time that the asker waits, ms; 0: not told
+	TimeLeft      float64 // time that the asker waits, ms; 0: not told
 	Join          bool    // may join a fill under way
 	Held          bool    // the source gives only what it holds
 	Renew         bool    // renew an ageing copy behind the answer
@@ -57,7 +57,7 @@
 // own cache is named as its source, there is no fill.
 func NewAttempt(s *spool.Send, q *spool.Request, number int, from, address string, left float64) Attempt {
 	a := Attempt{ID: s.ID, Number: number, From: from, Class: q.Class, Object: q.Object, Group: q.Group,
-		Keep: s.Keep, Age: s.Age, Left: left, Join: s.Join, Held: s.Held, Renew: s.Renew}
+		Keep: s.Keep, Age: s.Age, TimeLeft: left, Join: s.Join, Held: s.Held, Renew: s.Renew}
 	if s.Source != s.Cache {
 		a.Source, a.SourceAddress = s.Source, address
 	}
@@ -82,8 +82,8 @@
 	if a.Age > 0 {
 		dst = appendDecimal(append(dst, ", age="...), a.Age)
 	}
-	if a.Left > 0 {
-		dst = appendDecimal(append(dst, ", left="...), a.Left)
+	if a.TimeLeft > 0 {
+		dst = appendDecimal(append(dst, ", left="...), a.TimeLeft)
 	}
 	if a.Join {
 		dst = append(dst, ", join"...)
@@ -168,7 +168,7 @@
 		case "age":
 			err = setNumber(&a.Age, item)
 		case "left":
-			err = setNumber(&a.Left, item)
+			err = setNumber(&a.TimeLeft, item)
 		case "join":
 			err = set(&a.Join, item)
 		case "held":
@@ -191,7 +191,7 @@
 		err = fmt.Errorf("fillwire: Spool-Fill names the source %q without its address (at)", a.Source)
 	case a.Keep < 0 || a.Keep > 3:
 		err = fmt.Errorf("fillwire: Spool-Fill: keep is %d; 0 to 3 are known", a.Keep)
-	case a.Age < 0 || a.Left < 0:
+	case a.Age < 0 || a.TimeLeft < 0:
 		err = errors.New("fillwire: Spool-Fill: a span is negative")
 	}
 	return a, err
--- a/internal/protocol/fetchheader/fillwire_test.go
+++ b/internal/protocol/fetchheader/fillwire_test.go
@@ -21,7 +21,7 @@
 		want := Attempt{ID: text.Draw(t, "id"), Number: rapid.IntRange(0, 9).Draw(t, "n"),
 			From: text.Draw(t, "from"), Class: text.Draw(t, "class"), Object: text.Draw(t, "obj"),
 			Group: rapid.IntRange(-1, 99).Draw(t, "group"), Keep: rapid.IntRange(0, 3).Draw(t, "keep"),
-			Age: span.Draw(t, "age"), Left: span.Draw(t, "left"), Join: rapid.Bool().Draw(t, "join"),
+			Age: span.Draw(t, "age"), TimeLeft: span.Draw(t, "left"), Join: rapid.Bool().Draw(t, "join"),
 			Held: rapid.Bool().Draw(t, "held"), Renew: rapid.Bool().Draw(t, "renew")}
 		if rapid.Bool().Draw(t, "fill") {
 			want.Source, want.SourceAddress = text.Draw(t, "src"), text.Draw(t, "at")
@@ -31,10 +31,10 @@
 		if err != nil {
 			t.Fatalf("%q: %v", value, err)
 		}
-		if math.Abs(got.Age-want.Age) > 0.001 || math.Abs(got.Left-want.Left) > 0.001 {
-			t.Fatalf("spans %v, %v came back as %v, %v", want.Age, want.Left, got.Age, got.Left)
+		if math.Abs(got.Age-want.Age) > 0.001 || math.Abs(got.TimeLeft-want.TimeLeft) > 0.001 {
+			t.Fatalf("spans %v, %v came back as %v, %v", want.Age, want.TimeLeft, got.Age, got.TimeLeft)
 		}
-		got.Age, got.Left = want.Age, want.Left
+		got.Age, got.TimeLeft = want.Age, want.TimeLeft
 		if got != want {
 			t.Fatalf("%q:\n got %+v\nwant %+v", value, got, want)
 		}
@@ -130,7 +130,7 @@
 }
 
 func TestNoAllocation(t *testing.T) {
-	a := Attempt{ID: "r1-7", From: "r1", Class: "video", Object: "/v/7/a", Group: 7, Keep: 1, Age: 1e9, Left: 400}
+	a := Attempt{ID: "r1-7", From: "r1", Class: "video", Object: "/v/7/a", Group: 7, Keep: 1, Age: 1e9, TimeLeft: 400}
 	h := &http1.Head{Status: 200, Fields: []http1.Field{{Name: []byte("Cache-Status"), Value: []byte(`"b"; hit; ttl=4`)}}}
 	buf, load := make([]byte, 0, 512), make([]float64, 0, 4)
 	if n := testing.AllocsPerRun(100, func() {
@@ -156,7 +156,7 @@
 // Side by side: an attempt's field and its answer's status by hand, as the
 // router does, and by the library.
 func BenchmarkAttempt(b *testing.B) {
-	a := Attempt{ID: "r1-7", From: "r1", Class: "video", Object: "/v/7/a", Group: 7, Keep: 1, Age: 1e9, Left: 400}
+	a := Attempt{ID: "r1-7", From: "r1", Class: "video", Object: "/v/7/a", Group: 7, Keep: 1, Age: 1e9, TimeLeft: 400}
 	h := &http1.Head{Status: 200, Fields: []http1.Field{{Name: []byte("Cache-Status"), Value: []byte(`"b"; hit; ttl=4`)}}}
 	b.Run("hand", func(b *testing.B) {
 		buf := make([]byte, 0, 512)
@@ -178,7 +178,7 @@
 			d.Add("group", httpsfv.NewItem(a.Group))
 			d.Add("keep", httpsfv.NewItem(a.Keep))
 			d.Add("age", httpsfv.NewItem(a.Age))
-			d.Add("left", httpsfv.NewItem(a.Left))
+			d.Add("left", httpsfv.NewItem(a.TimeLeft))
 			if _, err := httpsfv.Marshal(d); err != nil {
 				b.Fatal(err)
 			}
--- a/internal/protocol/http1/body.go
+++ b/internal/protocol/http1/body.go
@@ -42,7 +42,7 @@
 	case Length:
 		b.left, b.state = h.ContentLength, chunkData
 		if limit > 0 && b.left > limit {
-			return ErrBodyLong
+			return ErrBodyTooLong
 		}
 	case Chunked:
 		b.state = chunkSize
@@ -109,7 +109,7 @@
 
 func (b *Body) count(n int) error {
 	if b.total += int64(n); b.limit > 0 && b.total > b.limit {
-		return ErrBodyLong
+		return ErrBodyTooLong
 	}
 	return nil
 }
@@ -117,7 +117,7 @@
 // step takes one byte of the chunked framing (RFC 9112, section 7.1).
 func (b *Body) step(c byte) error {
 	if b.line++; b.state != trailer && b.state != trailerLF && b.line > maxChunkLine {
-		return ErrChunkLong
+		return ErrChunkLineTooLong
 	}
 	switch b.state {
 	case chunkSize:
@@ -161,7 +161,7 @@
 		b.state, b.line = chunkSize, 0
 	case trailer:
 		if b.line > maxTrailers {
-			return ErrHeadLong
+			return ErrHeadTooLong
 		}
 		switch {
 		case c == '\r':
--- a/internal/protocol/http1/head.go
+++ b/internal/protocol/http1/head.go
@@ -48,35 +48,35 @@
 
 // The faults. They are values, so that the parser allocates nothing.
 var (
-	ErrRequestLine    = &ProtocolError{400, "malformed request line"}
-	ErrMethod         = &ProtocolError{400, "method is not a token"}
-	ErrMethodLong     = &ProtocolError{501, "method longer than any known"}
-	ErrTarget         = &ProtocolError{400, "malformed request target"}
-	ErrTargetLong     = &ProtocolError{414, "request line longer than the limit"}
-	ErrVersion        = &ProtocolError{505, "version is not HTTP/1.0 or HTTP/1.1"}
-	ErrVersionForm    = &ProtocolError{400, "malformed version"}
-	ErrStatusLine     = &ProtocolError{502, "malformed status line"}
-	ErrFieldName      = &ProtocolError{400, "field name is not a token, or white space stands before its colon"}
-	ErrFieldValue     = &ProtocolError{400, "control character in a field value"}
-	ErrFold           = &ProtocolError{400, "folded field line"}
-	ErrBareLF         = &ProtocolError{400, "line ended by a bare LF or broken by a bare CR"}
-	ErrHeadLong       = &ProtocolError{431, "head longer than the limit"}
-	ErrFields         = &ProtocolError{431, "more field lines than the limit"}
-	ErrNoHost         = &ProtocolError{400, "no Host, or more than one"}
-	ErrHost           = &ProtocolError{400, "malformed Host"}
-	ErrLength         = &ProtocolError{400, "malformed Content-Length"}
-	ErrLengths        = &ProtocolError{400, "Content-Lengths that differ"}
-	ErrLengthAndCoded = &ProtocolError{400, "both Content-Length and Transfer-Encoding"}
-	ErrCoding         = &ProtocolError{501, "transfer coding other than chunked"}
-	ErrCodingOrder    = &ProtocolError{400, "chunked is not the single, final transfer coding"}
-	ErrCodingOld      = &ProtocolError{400, "Transfer-Encoding in an HTTP/1.0 message"}
-	ErrExpect         = &ProtocolError{417, "expectation other than 100-continue"}
-	ErrUpgradeStatus  = &ProtocolError{502, "switched protocols unasked"}
-	ErrChunkSize      = &ProtocolError{400, "malformed chunk size"}
-	ErrChunkLong      = &ProtocolError{400, "chunk line longer than the limit"}
-	ErrChunkEnd       = &ProtocolError{400, "chunk data not followed by CRLF"}
-	ErrTrailer        = &ProtocolError{400, "malformed trailer"}
-	ErrBodyLong       = &ProtocolError{413, "body longer than the limit"}
+	ErrRequestLine      = &ProtocolError{400, "malformed request line"}
+	ErrMethod           = &ProtocolError{400, "method is not a token"}
+	ErrMethodTooLong    = &ProtocolError{501, "method longer than any known"}
+	ErrTarget           = &ProtocolError{400, "malformed request target"}
+	ErrTargetTooLong    = &ProtocolError{414, "request line longer than the limit"}
+	ErrVersion          = &ProtocolError{505, "version is not HTTP/1.0 or HTTP/1.1"}
+	ErrVersionForm      = &ProtocolError{400, "malformed version"}
+	ErrStatusLine       = &ProtocolError{502, "malformed status line"}
+	ErrFieldName        = &ProtocolError{400, "field name is not a token, or white space stands before its colon"}
+	ErrFieldValue       = &ProtocolError{400, "control character in a field value"}
+	ErrObsFold          = &ProtocolError{400, "folded field line"}
+	ErrBareLF           = &ProtocolError{400, "line ended by a bare LF or broken by a bare CR"}
+	ErrHeadTooLong      = &ProtocolError{431, "head longer than the limit"}
+	ErrTooManyFields    = &ProtocolError{431, "more field lines than the limit"}
+	ErrNoHost           = &ProtocolError{400, "no Host, or more than one"}
+	ErrHost             = &ProtocolError{400, "malformed Host"}
+	ErrLength           = &ProtocolError{400, "malformed Content-Length"}
+	ErrLengthMismatch   = &ProtocolError{400, "Content-Lengths that differ"}
+	ErrLengthAndCoding  = &ProtocolError{400, "both Content-Length and Transfer-Encoding"}
+	ErrCoding           = &ProtocolError{501, "transfer coding other than chunked"}
+	ErrCodingOrder      = &ProtocolError{400, "chunked is not the single, final transfer coding"}
+	ErrCodingInHTTP10   = &ProtocolError{400, "Transfer-Encoding in an HTTP/1.0 message"}
+	ErrExpect           = &ProtocolError{417, "expectation other than 100-continue"}
+	ErrUpgradeStatus    = &ProtocolError{502, "switched protocols unasked"}
+	ErrChunkSize        = &ProtocolError{400, "malformed chunk size"}
+	ErrChunkLineTooLong = &ProtocolError{400, "chunk line longer than the limit"}
+	ErrChunkEnd         = &ProtocolError{400, "chunk data not followed by CRLF"}
+	ErrTrailer          = &ProtocolError{400, "malformed trailer"}
+	ErrBodyTooLong      = &ProtocolError{413, "body longer than the limit"}
 )
 
 // Field is one field line. Both parts are slices of the parsed buffer.
@@ -192,8 +192,8 @@
 	return true
 }
 
-// Token reports whether b is a token (RFC 9110, section 5.6.2).
-func Token(b []byte) bool { return len(b) > 0 && all(b, tokenChar) }
+// IsToken reports whether b is a token (RFC 9110, section 5.6.2).
+func IsToken(b []byte) bool { return len(b) > 0 && all(b, tokenChar) }
 
 // line takes the line that starts at b[from:]. It returns the line without its
 // CRLF and the index past it; 0 when the end has not come yet.
@@ -233,7 +233,7 @@
 	case err != nil:
 		return 0, err
 	case at == 0 && len(buf)-start > lim.Line, at-start > lim.Line+2:
-		return 0, ErrTargetLong
+		return 0, ErrTargetTooLong
 	case at == 0:
 		return 0, nil
 	}
@@ -257,11 +257,11 @@
 		return ErrRequestLine
 	}
 	h.Method, h.Target = l[:i], l[i+1:j]
-	if !Token(h.Method) {
+	if !IsToken(h.Method) {
 		return ErrMethod
 	}
 	if len(h.Method) > 20 {
-		return ErrMethodLong
+		return ErrMethodTooLong
 	}
 	if len(h.Target) == 0 || !all(h.Target, targetChar) {
 		return ErrTarget
@@ -293,7 +293,7 @@
 	case err != nil:
 		return 0, err
 	case at == 0 && len(buf) > lim.Line, at > lim.Line+2:
-		return 0, ErrHeadLong
+		return 0, ErrHeadTooLong
 	case at == 0:
 		// a peer that speaks no HTTP is told apart by its first bytes
 		if k := min(len(buf), 7); string(buf[:k]) != "HTTP/1."[:k] {
@@ -328,7 +328,7 @@
 func (h *Head) fields(buf []byte, start, at int, lim Limits) (int, error) {
 	for {
 		if at-start > lim.Head {
-			return 0, ErrHeadLong
+			return 0, ErrHeadTooLong
 		}
 		l, next, err := line(buf, at)
 		if err != nil {
@@ -336,7 +336,7 @@
 		}
 		if next == 0 {
 			if len(buf)-start > lim.Head {
-				return 0, ErrHeadLong
+				return 0, ErrHeadTooLong
 			}
 			return 0, nil
 		}
@@ -344,7 +344,7 @@
 			return next, nil
 		}
 		if len(h.Fields) >= lim.Fields {
-			return 0, ErrFields
+			return 0, ErrTooManyFields
 		}
 		f, err := fieldLine(l)
 		if err != nil {
@@ -357,7 +357,7 @@
 
 func fieldLine(l []byte) (Field, error) {
 	if l[0] == ' ' || l[0] == '\t' {
-		return Field{}, ErrFold
+		return Field{}, ErrObsFold
 	}
 	i := bytes.IndexByte(l, ':')
 	if i <= 0 || !all(l[:i], tokenChar) {
@@ -413,7 +413,7 @@
 					return false, err
 				}
 				if lengths++; lengths > 1 && n != h.ContentLength {
-					return false, ErrLengths
+					return false, ErrLengthMismatch
 				}
 				h.ContentLength = n
 			}
@@ -430,10 +430,10 @@
 	}
 	h.Close = closed || h.Minor == 0 && !alive
 	if codings > 0 && h.Minor == 0 {
-		return false, ErrCodingOld
+		return false, ErrCodingInHTTP10
 	}
 	if codings > 0 && lengths > 0 {
-		return false, ErrLengthAndCoded
+		return false, ErrLengthAndCoding
 	}
 	if hosts != 1 {
 		h.Host = nil
@@ -480,7 +480,7 @@
 			k = k*10 + int64(c-'0')
 		}
 		if any && k != n {
-			return 0, ErrLengths
+			return 0, ErrLengthMismatch
 		}
 		if n, any = k, true; !more {
 			return n, nil
@@ -492,7 +492,7 @@
 	if EqualFold(v, "chunked") {
 		return nil
 	}
-	if bytes.IndexByte(v, ',') >= 0 || !Token(v) {
+	if bytes.IndexByte(v, ',') >= 0 || !IsToken(v) {
 		return ErrCodingOrder
 	}
 	return ErrCoding
@@ -521,7 +521,7 @@
 	switch c := h.Target[0]; {
 	case c == '/', c == '*' && len(h.Target) == 1 && string(h.Method) == "OPTIONS":
 	case string(h.Method) == "CONNECT":
-		return ErrMethodNot
+		return ErrConnectMethod
 	case bytes.HasPrefix(h.Target, []byte("http://")), bytes.HasPrefix(h.Target, []byte("https://")):
 	default:
 		return ErrTarget
@@ -529,8 +529,8 @@
 	return nil
 }
 
-// ErrMethodNot is a method that is understood and never served here.
-var ErrMethodNot = &ProtocolError{501, "CONNECT is not served"}
+// ErrConnectMethod is a method that is understood and never served here.
+var ErrConnectMethod = &ProtocolError{501, "CONNECT is not served"}
 
 func (h *Head) frameResponse(toHead bool) error {
 	coded, err := h.frame()
--- a/internal/protocol/http1/http1_test.go
+++ b/internal/protocol/http1/http1_test.go
@@ -29,32 +29,32 @@
 		{"two hosts", "GET /a HTTP/1.1\r\nHost: h\r\nHost: i\r\n\r\n", ErrNoHost},
 		{"bad host", "GET /a HTTP/1.1\r\nHost: h/x\r\n\r\n", ErrHost},
 		{"space before colon", "GET /a HTTP/1.1\r\nHost : h\r\n\r\n", ErrFieldName},
-		{"fold", "GET /a HTTP/1.1\r\nHost: h\r\n X: y\r\n\r\n", ErrFold},
+		{"fold", "GET /a HTTP/1.1\r\nHost: h\r\n X: y\r\n\r\n", ErrObsFold},
 		{"control in value", "GET /a HTTP/1.1\r\nHost: h\r\nX: \x01\r\n\r\n", ErrFieldValue},
-		{"lengths differ", "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", ErrLengths},
-		{"lengths listed", "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 1, 2\r\n\r\n", ErrLengths},
+		{"lengths differ", "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", ErrLengthMismatch},
+		{"lengths listed", "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 1, 2\r\n\r\n", ErrLengthMismatch},
 		{"length repeated", "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3, 3\r\n\r\n", nil},
 		{"length signed", "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: +1\r\n\r\n", ErrLength},
 		{"length hex", "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 0x1\r\n\r\n", ErrLength},
 		{"length huge", "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 99999999999999999999\r\n\r\n", ErrLength},
-		{"both", "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", ErrLengthAndCoded},
+		{"both", "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", ErrLengthAndCoding},
 		{"gzip", "POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: gzip\r\n\r\n", ErrCoding},
 		{"chunked not last", "POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked, gzip\r\n\r\n", ErrCodingOrder},
 		{"chunked twice", "POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n", ErrCodingOrder},
 		{"chunked disguised", "POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: \x0bchunked\r\n\r\n", ErrFieldValue},
-		{"chunked in 1.0", "POST /a HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", ErrCodingOld},
+		{"chunked in 1.0", "POST /a HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", ErrCodingInHTTP10},
 		{"version 2", "GET /a HTTP/2.0\r\nHost: h\r\n\r\n", ErrVersion},
 		{"version form", "GET /a HTTP/1\r\nHost: h\r\n\r\n", ErrVersionForm},
 		{"no version", "GET /a\r\n\r\n", ErrRequestLine},
 		{"target with space", "GET /a b HTTP/1.1\r\nHost: h\r\n\r\n", ErrTarget},
 		{"no slash", "GET a HTTP/1.1\r\nHost: h\r\n\r\n", ErrTarget},
-		{"connect", "CONNECT h:1 HTTP/1.1\r\nHost: h\r\n\r\n", ErrMethodNot},
+		{"connect", "CONNECT h:1 HTTP/1.1\r\nHost: h\r\n\r\n", ErrConnectMethod},
 		{"method", "G(T /a HTTP/1.1\r\nHost: h\r\n\r\n", ErrMethod},
-		{"method long", strings.Repeat("M", 30) + " /a HTTP/1.1\r\nHost: h\r\n\r\n", ErrMethodLong},
-		{"target long", "GET /" + long + " HTTP/1.1\r\nHost: h\r\n\r\n", ErrTargetLong},
-		{"target long, unfinished", "GET /" + long, ErrTargetLong},
-		{"head 64 KB", "GET /a HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", 65536) + "\r\n\r\n", ErrHeadLong},
-		{"fields", "GET /a HTTP/1.1\r\nHost: h\r\n" + strings.Repeat("X: y\r\n", 101) + "\r\n", ErrFields},
+		{"method long", strings.Repeat("M", 30) + " /a HTTP/1.1\r\nHost: h\r\n\r\n", ErrMethodTooLong},
+		{"target long", "GET /" + long + " HTTP/1.1\r\nHost: h\r\n\r\n", ErrTargetTooLong},
+		{"target long, unfinished", "GET /" + long, ErrTargetTooLong},
+		{"head 64 KB", "GET /a HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", 65536) + "\r\n\r\n", ErrHeadTooLong},
+		{"fields", "GET /a HTTP/1.1\r\nHost: h\r\n" + strings.Repeat("X: y\r\n", 101) + "\r\n", ErrTooManyFields},
 		{"expect other", "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nExpect: 200-ok\r\n\r\n", ErrExpect},
 	} {
 		var h Head
@@ -81,13 +81,13 @@
 		{"to HEAD", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n", true, NoBody, nil},
 		{"204", "HTTP/1.1 204 No Content\r\n\r\n", false, NoBody, nil},
 		{"until close", "HTTP/1.1 200 OK\r\n\r\n", false, UntilClose, nil},
-		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\n", false, 0, ErrLengths},
-		{"length and chunked", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n", false, 0, ErrLengthAndCoded},
+		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\n", false, 0, ErrLengthMismatch},
+		{"length and chunked", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n", false, 0, ErrLengthAndCoding},
 		{"bare LF", "HTTP/1.1 200 OK\nContent-Length: 5\r\n\r\n", false, 0, ErrBareLF},
 		{"garbage", "SSH-2.0-x", false, 0, ErrStatusLine},
 		{"status", "HTTP/1.1 2000 OK\r\n\r\n", false, 0, ErrStatusLine},
 		{"101", "HTTP/1.1 101 Switching\r\n\r\n", false, 0, ErrUpgradeStatus},
-		{"head 64 KB", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 65536), false, 0, ErrHeadLong},
+		{"head 64 KB", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 65536), false, 0, ErrHeadTooLong},
 	} {
 		var h Head
 		_, err := ParseResponse([]byte(c.in), &h, Limits{}, c.head)
@@ -166,7 +166,7 @@
 		{"5\rX", ErrBareLF},
 		{"0\r\nno colon\r\n", ErrTrailer},
 		{"0\r\nX\r\n", ErrTrailer},
-		{"5;" + strings.Repeat("x", 5000), ErrChunkLong},
+		{"5;" + strings.Repeat("x", 5000), ErrChunkLineTooLong},
 	} {
 		var b Body
 		b.Start(&Head{Body: Chunked}, 0)
@@ -178,11 +178,11 @@
 
 func TestBodyLimit(t *testing.T) {
 	var b Body
-	if err := b.Start(&Head{Body: Length, ContentLength: 11}, 10); err != ErrBodyLong {
+	if err := b.Start(&Head{Body: Length, ContentLength: 11}, 10); err != ErrBodyTooLong {
 		t.Errorf("length over the limit: %v", err)
 	}
 	b.Start(&Head{Body: Chunked}, 4)
-	if _, _, err := decode(&b, []byte("5\r\nhello\r\n"), 64); err != ErrBodyLong {
+	if _, _, err := decode(&b, []byte("5\r\nhello\r\n"), 64); err != ErrBodyTooLong {
 		t.Errorf("chunks over the limit: %v", err)
 	}
 }
--- a/internal/testbed/scenario/box.go
+++ b/internal/testbed/scenario/box.go
@@ -40,7 +40,7 @@
 	if fills <= 0 {
 		fills = 1024
 	}
-	s, err := server.StartWithFS(faultyFolder{store.Dir(c.Folder), faults}, server.Form{Name: c.ID, Listen: "127.0.0.1:0", Folder: c.Folder, CapacityMB: float64(c.Bytes) / (1 << 20), SegmentMB: max(float64(c.Bytes)/(16<<20), 0.5), Sync: "purges",
+	s, err := server.StartWithFS(faultyFolder{store.Dir(c.Folder), faults}, server.Config{Name: c.ID, Listen: "127.0.0.1:0", Folder: c.Folder, CapacityMB: float64(c.Bytes) / (1 << 20), SegmentMB: max(float64(c.Bytes)/(16<<20), 0.5), Sync: "purges",
 		DiskThreads: 2, DiskQueue: 512, DiskTimeout: 2000, MaxFills: fills, FillTimeout: c.FillWait, ConnectTimeout: 500, IdleTimeout: 300_000, MaxConns: 20000, MaxBufferedBytes: 1 << 20, MaxBodyBytes: 1 << 20, CompleteAbandonedFills: c.RunOn},
 		func(w string) { fmt.Fprintln(os.Stderr, c.ID, w) })
 	if err != nil {
@@ -52,7 +52,7 @@
 	for _, k := range c.Classes {
 		kb[k.Name] = k.KB
 	}
-	s.OnEvent = func(e server.Seen) {
+	s.OnEvent = func(e server.Event) {
 		a := e.Attempt
 		r := trafficlog.Record{Event: trafficlog.AttemptReceived, Subject: c.ID, Role: c.Role, Start: c.Start, RouterRequest: a.ID, Attempt: a.Number, From: a.From, Via: a.Via, Source: a.Source, Class: a.Class,
 			Object: a.Object, Group: a.Group, Key: e.Header.Get("Idempotency-Key"), Write: e.Method != "GET" && e.Method != "HEAD", ID: e.Header.Get("X-Request-Id"),
