--- a/cmd/spool-explain/main.go
+++ b/cmd/spool-explain/main.go
@@ -31,13 +31,13 @@
 				return err
 			}
 			defer j.Close()
-			var s *explain.Story
+			var s *explain.Explanation
 			if id != "" {
 				s, err = explain.Request(j, id)
 			} else {
 				s, err = explain.Hypothetical(j, a)
 			}
-			if errors.Is(err, explain.ErrNotThere) || errors.Is(err, replay.ErrNothing) {
+			if errors.Is(err, explain.ErrNotFound) || errors.Is(err, replay.ErrNothingToCompare) {
 				return &cli.FoundError{Err: err}
 			}
 			if err != nil {
--- a/cmd/spool-replay/main.go
+++ b/cmd/spool-replay/main.go
@@ -93,7 +93,7 @@
 		return err
 	}
 	if r.Compared == 0 {
-		return &cli.FoundError{Err: replay.ErrNothing}
+		return &cli.FoundError{Err: replay.ErrNothingToCompare}
 	}
 	if !r.OK() {
 		return cli.ErrFound
@@ -129,7 +129,7 @@
 		return err
 	}
 	for _, one := range r.Risks {
-		if one.Is > one.Was {
+		if one.Modified > one.Baseline {
 			return cli.ErrFound
 		}
 	}
@@ -181,18 +181,18 @@
 	if len(r.Gaps) > 0 {
 		fmt.Fprintf(w, "%d gaps, %d records known to be lost, %d events behind them not compared; the first: %s\n", len(r.Gaps), r.Lost, r.Skipped, r.Gaps[0])
 	}
-	if r.Cut != "" {
-		fmt.Fprintln(w, r.Cut)
+	if r.Truncation != "" {
+		fmt.Fprintln(w, r.Truncation)
 	}
 	if r.Unfinished > 0 {
 		fmt.Fprintf(w, "%d requests had no final answer when their router ended\n", r.Unfinished)
 	}
 	if d := r.First; d != nil {
 		fmt.Fprintf(w, "first difference: record %d, %s at byte %d, t %.3f\n  event  %s\n", d.Number, d.Segment, d.Offset, d.T, d.Event)
-		for _, a := range d.Was {
+		for _, a := range d.Recorded {
 			fmt.Fprintf(w, "  was    %s\n", a)
 		}
-		for _, a := range d.Is {
+		for _, a := range d.Replayed {
 			fmt.Fprintf(w, "  is     %s\n", a)
 		}
 		fmt.Fprintln(w, "  before:")
--- a/internal/decisionlog/explain/explain.go
+++ b/internal/decisionlog/explain/explain.go
@@ -18,13 +18,13 @@
 
 // Step is one moment at which the module decided something of the request.
 type Step struct {
-	T          float64       `json:"t"`  // ms on the router's clock
-	In         float64       `json:"in"` // ms since the request came
-	Event      string        `json:"event"`
-	Candidates []Candidate   `json:"looks,omitempty"`
-	Actions    []string      `json:"actions,omitempty"`
-	Ranges     []spool.Range `json:"ranges,omitempty"` // where they are others than at the step before
-	Waits      bool          `json:"waits,omitempty"`  // nothing was sent, and it is not over
+	T            float64       `json:"t"`  // ms on the router's clock
+	SinceArrival float64       `json:"in"` // ms since the request came
+	Event        string        `json:"event"`
+	Candidates   []Candidate   `json:"looks,omitempty"`
+	Actions      []string      `json:"actions,omitempty"`
+	Ranges       []spool.Range `json:"ranges,omitempty"` // where they are others than at the step before
+	Waits        bool          `json:"waits,omitempty"`  // nothing was sent, and it is not over
 }
 
 // Candidate is a member that was looked at.
@@ -36,19 +36,19 @@
 	Times  int    `json:"times"` // in a row
 }
 
-// Story is all that is known of a request.
-type Story struct {
+// Explanation is all that is known of a request.
+type Explanation struct {
 	Request      spool.Request  `json:"request"`
 	Hypothetical bool           `json:"hypothetical"` // it never was: it was told to the module at the end
 	Router       string         `json:"router"`
 	Steps        []Step         `json:"steps"`
-	Over         bool           `json:"over"` // it had its final answer
+	Ended        bool           `json:"over"` // it had its final answer
 	Ranges       []spool.Range  `json:"ranges,omitempty"`
 	Members      []spool.Member `json:"members"` // as listed when it came
 	Equal        bool           `json:"equal"`   // the replay answered as the router had, up to its end
 }
 
-var words = map[spool.Reason]string{
+var reasonTexts = map[spool.Reason]string{
 	spool.ReasonAccepted: "taken", spool.ReasonOverLoadBound: "holds more than its share", spool.ReasonFailedBefore: "has let the request down before",
 	spool.ReasonAlreadyConsidered: "was looked at before", spool.ReasonOutsideKeyScope: "is outside of the group that drops its repeats",
 	spool.ReasonUnavailable: "drains or is gone", spool.ReasonEjected: "is suspect, and due for no trial by it",
@@ -59,29 +59,29 @@
 
 // ReasonText is a reason in words.
 func ReasonText(r spool.Reason) string {
-	if w, ok := words[r]; ok {
+	if w, ok := reasonTexts[r]; ok {
 		return w
 	}
 	return fmt.Sprintf("reason %d", r)
 }
 
-// ErrNotThere says that a journal does not have a request.
-var ErrNotThere = errors.New("explain: the journal has no such request, or it stands behind a gap")
+// ErrNotFound says that a journal does not have a request.
+var ErrNotFound = errors.New("explain: the journal has no such request, or it stands behind a gap")
 
 // Request tells the story of a recorded request.
-func Request(j *journal.Reader, id string) (*Story, error) {
-	s := &Story{}
-	t := &teller{s: s, id: id}
+func Request(j *journal.Reader, id string) (*Explanation, error) {
+	explanation := &Explanation{}
+	t := &tracer{explanation: explanation, id: id}
 	w := t.watcher()
 	rep, err := replay.Run(j, w)
 	if err != nil {
 		return nil, err
 	}
-	if !t.began {
-		return nil, fmt.Errorf("%w: %s", ErrNotThere, id)
+	if !t.arrived {
+		return nil, fmt.Errorf("%w: %s", ErrNotFound, id)
 	}
-	s.Equal = rep.Different == 0
-	return s, nil
+	explanation.Equal = rep.Different == 0
+	return explanation, nil
 }
 
 // HypotheticalRequest is a request that never was.
@@ -95,18 +95,18 @@
 	InPlaceOf     string  // in place of this recorded request, whose time counts
 }
 
-const askedID = "hypothetical"
+const hypotheticalID = "hypothetical"
 
 // Hypothetical tells what would be decided of a request at a time of the journal:
 // the module is told the record up to there, and then the request. What comes of
 // its attempts is not known: the story ends with the first.
-func Hypothetical(j *journal.Reader, a HypotheticalRequest) (*Story, error) {
-	s := &Story{Hypothetical: true}
-	t := &teller{s: s, id: askedID}
+func Hypothetical(j *journal.Reader, a HypotheticalRequest) (*Explanation, error) {
+	explanation := &Explanation{Hypothetical: true}
+	t := &tracer{explanation: explanation, id: hypotheticalID}
 	var c *engine.Core
 	last, found := 0.0, false
 	w := &replay.Watcher{
-		Life: func(next *engine.Core, l *journal.RouterStart) { c, s.Router = next, l.Name },
+		Life: func(next *engine.Core, l *journal.RouterStart) { c, explanation.Router = next, l.Name },
 		Before: func(e *journal.Entry, _ *engine.Core) bool {
 			if q, ok := e.Event.(spool.Request); ok && a.InPlaceOf != "" && q.ID == a.InPlaceOf {
 				last, found = e.T, true
@@ -124,12 +124,12 @@
 		return nil, err
 	}
 	if c == nil {
-		return nil, replay.ErrNothing
+		return nil, replay.ErrNothingToCompare
 	}
 	if a.InPlaceOf != "" && !found {
-		return nil, fmt.Errorf("%w: %s", ErrNotThere, a.InPlaceOf)
+		return nil, fmt.Errorf("%w: %s", ErrNotFound, a.InPlaceOf)
 	}
-	s.Equal = rep.Different == 0
+	explanation.Equal = rep.Different == 0
 	known := false
 	var names []string
 	for i := range c.Settings.Classes {
@@ -139,44 +139,44 @@
 	if !known {
 		return nil, fmt.Errorf("explain: no class %q; the router's are %s", a.Class, strings.Join(names, ", "))
 	}
-	q := spool.Request{ID: askedID, Class: a.Class, Object: a.Object, Part: a.Part, Group: a.Group, KB: a.KB, Write: a.Write}
+	q := spool.Request{ID: hypotheticalID, Class: a.Class, Object: a.Object, Part: a.Part, Group: a.Group, KB: a.KB, Write: a.Write}
 	e := &journal.Entry{T: max(last, a.At)}
 	if a.Timeout > 0 {
 		q.Deadline = e.T + a.Timeout
 	}
 	e.Event = q
-	t.listen(c)
+	t.observe(c)
 	t.before(e, c)
 	t.after(e, c, c.Handle(e.T, q, nil))
-	return s, nil
+	return explanation, nil
 }
 
-// teller collects a story.
-type teller struct {
-	s      *Story
-	id     string
-	began  bool
-	came   float64
-	looks  []Candidate
-	ranges []spool.Range
-	listed map[string]spool.Member
+// tracer collects a story.
+type tracer struct {
+	explanation *Explanation
+	id          string
+	arrived     bool
+	arrivedAt   float64
+	candidates  []Candidate
+	ranges      []spool.Range
+	members     map[string]spool.Member
 }
 
-func (t *teller) watcher() *replay.Watcher {
+func (t *tracer) watcher() *replay.Watcher {
 	return &replay.Watcher{
 		Life: func(c *engine.Core, l *journal.RouterStart) {
-			if !t.began {
-				t.s.Router = l.Name
+			if !t.arrived {
+				t.explanation.Router = l.Name
 			}
-			t.listen(c)
-			t.listed = nil
+			t.observe(c)
+			t.members = nil
 		},
-		Before: func(e *journal.Entry, c *engine.Core) bool { t.before(e, c); return t.s.Over },
+		Before: func(e *journal.Entry, c *engine.Core) bool { t.before(e, c); return t.explanation.Ended },
 		After:  func(e *journal.Entry, c *engine.Core, acts []spool.Action) { t.after(e, c, acts) },
 	}
 }
 
-func (t *teller) listen(c *engine.Core) {
+func (t *tracer) observe(c *engine.Core) {
 	c.Explain(func(l spool.Candidate) {
 		if l.Request != t.id {
 			return
@@ -185,32 +185,32 @@
 		if l.AsSource {
 			one.As = "source"
 		}
-		t.looks = append(t.looks, one)
+		t.candidates = append(t.candidates, one)
 	})
 }
 
-func (t *teller) before(e *journal.Entry, c *engine.Core) {
-	t.looks = nil
-	if ev, ok := e.Event.(spool.Members); ok && !t.began {
-		if ev.Full || t.listed == nil {
-			t.listed = map[string]spool.Member{}
+func (t *tracer) before(e *journal.Entry, c *engine.Core) {
+	t.candidates = nil
+	if ev, ok := e.Event.(spool.Members); ok && !t.arrived {
+		if ev.Full || t.members == nil {
+			t.members = map[string]spool.Member{}
 		}
 		for _, m := range ev.Rows {
-			t.listed[m.ID] = m
+			t.members[m.ID] = m
 		}
 	}
 	if q, ok := e.Event.(spool.Request); ok && q.ID == t.id {
-		t.began, t.came, t.s.Request, t.ranges = true, e.T, q, c.Ranges()
-		t.s.Ranges = t.ranges
-		for _, m := range t.listed {
-			t.s.Members = append(t.s.Members, m)
+		t.arrived, t.arrivedAt, t.explanation.Request, t.ranges = true, e.T, q, c.Ranges()
+		t.explanation.Ranges = t.ranges
+		for _, m := range t.members {
+			t.explanation.Members = append(t.explanation.Members, m)
 		}
-		sort.Slice(t.s.Members, func(i, j int) bool { return t.s.Members[i].ID < t.s.Members[j].ID })
+		sort.Slice(t.explanation.Members, func(i, j int) bool { return t.explanation.Members[i].ID < t.explanation.Members[j].ID })
 	}
 }
 
 // of is the request that an event or action is of, "" of none.
-func of(x any) string {
+func requestID(x any) string {
 	switch x := x.(type) {
 	case spool.Request:
 		return x.ID
@@ -232,51 +232,51 @@
 	return ""
 }
 
-func (t *teller) after(e *journal.Entry, c *engine.Core, acts []spool.Action) {
-	if !t.began {
+func (t *tracer) after(e *journal.Entry, c *engine.Core, acts []spool.Action) {
+	if !t.arrived {
 		return
 	}
-	st := Step{T: e.T, In: e.T - t.came, Candidates: t.looks}
+	step := Step{T: e.T, SinceArrival: e.T - t.arrivedAt, Candidates: t.candidates}
 	sent := false
 	for _, a := range acts {
-		if of(a) != t.id {
+		if requestID(a) != t.id {
 			continue
 		}
-		st.Actions = append(st.Actions, ActionText(a))
+		step.Actions = append(step.Actions, ActionText(a))
 		switch a.(type) {
 		case spool.Refuse, spool.Fail:
-			t.s.Over = true
+			t.explanation.Ended = true
 		case spool.Send:
 			sent = true
 		}
 	}
-	mine := of(e.Event) == t.id
+	own := requestID(e.Event) == t.id
 	switch ev := e.Event.(type) {
 	case spool.Outcome:
-		t.s.Over = t.s.Over || mine && ev.Last
+		t.explanation.Ended = t.explanation.Ended || own && ev.Last
 	case spool.Gone:
-		t.s.Over = t.s.Over || mine
+		t.explanation.Ended = t.explanation.Ended || own
 	}
-	if !mine && len(st.Actions) == 0 {
-		if len(st.Candidates) == 0 {
+	if !own && len(step.Actions) == 0 {
+		if len(step.Candidates) == 0 {
 			return
 		}
-		if n := len(t.s.Steps); n > 0 && t.s.Steps[n-1].Waits && sameLooks(t.s.Steps[n-1].Candidates, st.Candidates) {
-			for i := range t.s.Steps[n-1].Candidates {
-				t.s.Steps[n-1].Candidates[i].Times++
+		if n := len(t.explanation.Steps); n > 0 && t.explanation.Steps[n-1].Waits && sameCandidates(t.explanation.Steps[n-1].Candidates, step.Candidates) {
+			for i := range t.explanation.Steps[n-1].Candidates {
+				t.explanation.Steps[n-1].Candidates[i].Times++
 			}
 			return // it still waits, for the same reasons
 		}
 	}
-	st.Event = eventText(e.Event, mine)
-	st.Waits = !sent && !t.s.Over && len(st.Candidates) > 0
+	step.Event = eventText(e.Event, own)
+	step.Waits = !sent && !t.explanation.Ended && len(step.Candidates) > 0
 	if now := c.Ranges(); !equalRanges(now, t.ranges) {
-		st.Ranges, t.ranges = now, now
+		step.Ranges, t.ranges = now, now
 	}
-	t.s.Steps = append(t.s.Steps, st)
+	t.explanation.Steps = append(t.explanation.Steps, step)
 }
 
-func sameLooks(a, b []Candidate) bool {
+func sameCandidates(a, b []Candidate) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -302,25 +302,25 @@
 	return true
 }
 
-var results = map[spool.Result]string{spool.OK: "ok", spool.Errored: "error", spool.Rejected: "full", spool.TimedOut: "timeout",
+var resultTexts = map[spool.Result]string{spool.OK: "ok", spool.Errored: "error", spool.Rejected: "full", spool.TimedOut: "timeout",
 	spool.ConnectFailed: "connect failed", spool.Reset: "reset", spool.Cancelled: "cancelled", spool.NotSent: "never sent", spool.Miss: "miss",
 	spool.LocalFailure: "not begun here"}
 
-func eventText(ev spool.Event, mine bool) string {
+func eventText(ev spool.Event, own bool) string {
 	switch ev := ev.(type) {
 	case spool.Request:
-		if mine {
+		if own {
 			return fmt.Sprintf("comes: class %s, object %s, part %d, %.0f KB", ev.Class, ev.Object, ev.Part, ev.KB)
 		}
 	case spool.Outcome:
-		if mine {
-			return fmt.Sprintf("attempt %d at %s ends: %s after %.1f ms", ev.Attempt, ev.Cache, results[ev.Result], ev.Took)
+		if own {
+			return fmt.Sprintf("attempt %d at %s ends: %s after %.1f ms", ev.Attempt, ev.Cache, resultTexts[ev.Result], ev.Took)
 		}
 		return fmt.Sprintf("another request's attempt ends at %s", ev.Cache)
 	case spool.Started:
 		return fmt.Sprintf("the answer of attempt %d at %s has begun", ev.Attempt, ev.Cache)
 	case spool.Gone:
-		if mine {
+		if own {
 			return "its client has left"
 		}
 		return "another client has left"
@@ -361,7 +361,7 @@
 }
 
 // Text writes a story for reading.
-func (s *Story) Text(w io.Writer) {
+func (s *Explanation) Text(w io.Writer) {
 	q := s.Request
 	kind := "request " + q.ID
 	if s.Hypothetical {
@@ -379,8 +379,8 @@
 		fmt.Fprintln(w)
 	}
 	for _, st := range s.Steps {
-		fmt.Fprintf(w, "%9.1f ms  %s\n", st.In, st.Event)
-		for _, line := range lookLines(st.Candidates) {
+		fmt.Fprintf(w, "%9.1f ms  %s\n", st.SinceArrival, st.Event)
+		for _, line := range candidateLines(st.Candidates) {
 			fmt.Fprintf(w, "%14s%s\n", "", line)
 		}
 		for _, a := range st.Actions {
@@ -395,7 +395,7 @@
 	}
 	switch {
 	case s.Hypothetical:
-	case !s.Over:
+	case !s.Ended:
 		fmt.Fprintln(w, "the journal ends before its final answer")
 	}
 	if !s.Equal {
@@ -403,12 +403,12 @@
 	}
 }
 
-// lookLines has each member once for each reason, with the passes; those that
+// candidateLines has each member once for each reason, with the passes; those that
 // were only looked at again are left out.
-func lookLines(looks []Candidate) (out []string) {
+func candidateLines(candidates []Candidate) (out []string) {
 	type key struct{ as, member, why string }
 	at := map[key]int{}
-	for _, l := range looks {
+	for _, l := range candidates {
 		k := key{l.As, l.Member, l.Why}
 		if _, told := at[k]; told || l.Why == ReasonText(spool.ReasonAlreadyConsidered) {
 			continue
@@ -440,15 +440,15 @@
 }
 
 // SVG draws the ranges, and where the request's part stands in them.
-func (s *Story) SVG(w io.Writer) {
-	const width, height, most = 900, 150, 12
+func (s *Explanation) SVG(w io.Writer) {
+	const width, height, fontSize = 900, 150, 12
 	last := s.Request.Part + 1
 	for _, r := range s.Ranges {
 		last = max(last, r.From+1, r.To)
 	}
 	last += max(last/8, 1)
 	x := func(part int) float64 { return 10 + float64(width-20)*float64(min(part, last))/float64(last) }
-	fmt.Fprintf(w, `<svg xmlns="http://www.w3.org/2000/svg" width="%d" height="%d" font-family="sans-serif" font-size="%d">`+"\n", width, height, most)
+	fmt.Fprintf(w, `<svg xmlns="http://www.w3.org/2000/svg" width="%d" height="%d" font-family="sans-serif" font-size="%d">`+"\n", width, height, fontSize)
 	colours := []string{"#c6dbef", "#fdd0a2", "#c7e9c0", "#dadaeb", "#fcbba1", "#d9d9d9"}
 	for i, r := range s.Ranges {
 		to := r.To
--- a/internal/decisionlog/explain/explain_test.go
+++ b/internal/decisionlog/explain/explain_test.go
@@ -61,33 +61,33 @@
 	return j
 }
 
-func told(s *Story) string {
+func textOf(s *Explanation) string {
 	var b strings.Builder
 	s.Text(&b)
 	return b.String()
 }
 
-func film(id string, part int) spool.Request {
+func filmRequest(id string, part int) spool.Request {
 	return spool.Request{ID: id, Class: "film", Object: "/v/a", Part: part, KB: 10, Deadline: 9000}
 }
 
 // A miss, a fill that is reset, and what comes then: each look is the module's own,
 // and what it says was taken is what was sent.
-func TestStory(t *testing.T) {
+func TestExplainRequest(t *testing.T) {
 	first := ""
 	j := record(t, func(h func(float64, spool.Event) []spool.Action, _ *engine.Core) {
-		send := h(10, film("q1", 0))[1].(spool.Send) // behind the wish for a wake
+		send := h(10, filmRequest("q1", 0))[1].(spool.Send) // behind the wish for a wake
 		first = send.Cache
 		fill := h(12, spool.Outcome{ID: "q1", Cache: send.Cache, Result: spool.Miss, Took: 2})[0].(spool.Send)
 		next := h(15, spool.Outcome{ID: "q1", Cache: fill.Cache, Attempt: 1, Result: spool.Reset, Took: 3})[0].(spool.Send)
-		h(16, film("other", 1))
+		h(16, filmRequest("other", 1))
 		h(20, spool.Outcome{ID: "q1", Cache: next.Cache, Attempt: 2, Result: spool.OK, Last: true, Took: 5})
 	})
 	s, err := Request(j, "q1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := told(s)
+	text := textOf(s)
 	for _, want := range []string{"request q1 at router r1", "cache " + first + ": taken", "asks " + first + " for what it holds (copies of any age)",
 		"ends: miss after 2.0 ms", "source p: taken", "has " + first + " fill it from p", "ends: reset after 3.0 ms",
 		"cache " + first + ": has let the request down before", "ends: ok after 5.0 ms"} {
@@ -95,8 +95,8 @@
 			t.Errorf("%q is not told in\n%s", want, text)
 		}
 	}
-	if strings.Contains(text, "other") || strings.Contains(text, "WARNING") || !s.Over || len(s.Steps) != 4 || len(s.Members) != 4 {
-		t.Errorf("over %v, %d steps:\n%s", s.Over, len(s.Steps), text)
+	if strings.Contains(text, "other") || strings.Contains(text, "WARNING") || !s.Ended || len(s.Steps) != 4 || len(s.Members) != 4 {
+		t.Errorf("over %v, %d steps:\n%s", s.Ended, len(s.Steps), text)
 	}
 	for _, st := range s.Steps { // who is called taken is who is in the action
 		for _, l := range st.Candidates {
@@ -118,21 +118,21 @@
 				{ID: "b2", Zone: "z", Kind: "box", State: "serving", Start: 2}}, true)).Events {
 				h(5, ev)
 			}
-			h(10, film("q", 0))
+			h(10, filmRequest("q", 0))
 		}},
 		{"suspect", "is suspect, and due for no trial by it", func(h func(float64, spool.Event) []spool.Action, _ *engine.Core) {
 			for i := range 40 {
 				id := fmt.Sprint("x", i)
-				for _, a := range h(float64(10+i), film(id, 0)) {
+				for _, a := range h(float64(10+i), filmRequest(id, 0)) {
 					if s, ok := a.(spool.Send); ok && s.Cache == "b1" {
 						h(float64(10+i), spool.Outcome{ID: id, Cache: "b1", Result: spool.ConnectFailed})
 					}
 				}
 			}
-			h(60, film("q", 0))
+			h(60, filmRequest("q", 0))
 		}},
 		{"budget", "no further attempt may be made", func(h func(float64, spool.Event) []spool.Action, _ *engine.Core) {
-			acts, n := h(10, film("q", 0)), 0
+			acts, n := h(10, filmRequest("q", 0)), 0
 			for at := 11.0; at < 3000; at += 25 { // what the origin turned away is held for a while
 				i := slices.IndexFunc(acts, func(a spool.Action) bool { _, ok := a.(spool.Send); return ok })
 				if i < 0 {
@@ -149,7 +149,7 @@
 			t.Errorf("%s: %v", c.name, err)
 			continue
 		}
-		if text := told(s); !strings.Contains(text, c.want) {
+		if text := textOf(s); !strings.Contains(text, c.want) {
 			t.Errorf("%s: %q is not told in\n%s", c.name, c.want, text)
 		}
 	}
@@ -161,7 +161,7 @@
 		return record(t, func(h func(float64, spool.Event) []spool.Action, c *engine.Core) {
 			for i := range 130 { // ranges begin with 128
 				id := fmt.Sprint("q", i)
-				for _, a := range h(float64(10+i), film(id, i%10)) {
+				for _, a := range h(float64(10+i), filmRequest(id, i%10)) {
 					if s, ok := a.(spool.Send); ok {
 						h(float64(10+i), spool.Outcome{ID: id, Cache: s.Cache, Result: spool.OK, Took: 1, Last: true})
 					}
@@ -177,7 +177,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if text := told(s); len(s.Steps) != 1 || !strings.Contains(text, "a request that never was at router r1") || strings.Contains(text, "b1: taken") ||
+	if text := textOf(s); len(s.Steps) != 1 || !strings.Contains(text, "a request that never was at router r1") || strings.Contains(text, "b1: taken") ||
 		len(s.Ranges) != 1 || s.Ranges[0].Cache != "b2" {
 		t.Errorf("at the end:\n%s", text)
 	}
@@ -196,7 +196,7 @@
 	if _, err := Hypothetical(j(), HypotheticalRequest{Class: "none", Object: "/x"}); err == nil || !strings.Contains(err.Error(), "the router's are still, film") {
 		t.Errorf("an unknown class: %v", err)
 	}
-	if _, err := Request(j(), "nobody"); !errors.Is(err, ErrNotThere) {
+	if _, err := Request(j(), "nobody"); !errors.Is(err, ErrNotFound) {
 		t.Errorf("an unknown request: %v", err)
 	}
 }
--- a/internal/decisionlog/journal/fault_test.go
+++ b/internal/decisionlog/journal/fault_test.go
@@ -15,53 +15,53 @@
 	spool "indigospool"
 )
 
-// sick is a file system of which one operation fails while it has an errno.
-type sick struct {
-	disk
+// faultyFileSystem is a file system of which one operation fails while it has an errno.
+type faultyFileSystem struct {
+	osFileSystem
 	operation string
 	mu        sync.Mutex
 	errno     error
 }
 
-func (s *sick) set(errno error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.errno = errno
+func (f *faultyFileSystem) setError(errno error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.errno = errno
 }
 
-func (s *sick) fails(operation string) error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if operation != s.operation {
+func (f *faultyFileSystem) errorOf(operation string) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if operation != f.operation {
 		return nil
 	}
-	return s.errno
+	return f.errno
 }
 
-func (s *sick) Create(path string) (File, error) {
-	if err := s.fails("create"); err != nil {
+func (s *faultyFileSystem) Create(path string) (File, error) {
+	if err := s.errorOf("create"); err != nil {
 		return nil, err
 	}
-	f, err := s.disk.Create(path)
-	return &sickFile{f, s}, err
+	f, err := s.osFileSystem.Create(path)
+	return &faultyFile{f, s}, err
 }
 
-func (s *sick) Remove(path string) error {
-	if err := s.fails("write and remove"); err != nil {
+func (f *faultyFileSystem) Remove(path string) error {
+	if err := f.errorOf("write and remove"); err != nil {
 		return err
 	}
-	return s.disk.Remove(path)
+	return f.osFileSystem.Remove(path)
 }
 
-type sickFile struct {
+type faultyFile struct {
 	File
-	s *sick
+	fileSystem *faultyFileSystem
 }
 
 // Write writes half of what it is given where it fails.
-func (f *sickFile) Write(b []byte) (int, error) {
-	err := errors.Join(f.s.fails("write"), f.s.fails("write and remove"))
-	if failed := f.s.fails("write records"); failed != nil && !bytes.HasPrefix(b, []byte(magic)) {
+func (f *faultyFile) Write(b []byte) (int, error) {
+	err := errors.Join(f.fileSystem.errorOf("write"), f.fileSystem.errorOf("write and remove"))
+	if failed := f.fileSystem.errorOf("write records"); failed != nil && !bytes.HasPrefix(b, []byte(magic)) {
 		return 0, failed
 	}
 	if err != nil {
@@ -71,8 +71,8 @@
 	return f.File.Write(b)
 }
 
-func (f *sickFile) Sync() error {
-	if err := f.s.fails("sync"); err != nil {
+func (f *faultyFile) Sync() error {
+	if err := f.fileSystem.errorOf("sync"); err != nil {
 		return err
 	}
 	return f.File.Sync()
@@ -80,47 +80,47 @@
 
 // A disk that fails for a while costs the records of that while, which are counted; the
 // writer comes back, and the reader finds all that was written before and after.
-func TestFailsForAWhile(t *testing.T) {
+func TestTransientDiskFault(t *testing.T) {
 	for _, operation := range []string{"create", "write", "write records", "write and remove", "sync"} {
 		for _, errno := range []syscall.Errno{syscall.EIO, syscall.ENOSPC} {
 			t.Run(fmt.Sprintf("%s/%v", operation, errno), func(t *testing.T) {
 				t.Parallel()
-				files, dir := &sick{operation: operation}, t.TempDir()
+				files, dir := &faultyFileSystem{operation: operation}, t.TempDir()
 				w, err := Open(dir, Options{SegmentBytes: 4096, Files: files})
 				if err != nil {
 					t.Fatal(err)
 				}
-				told := 0
-				tell := func(n int) {
+				handled := 0
+				handle := func(n int) {
 					for range n {
-						w.Handled(float64(told), spool.Request{ID: fmt.Sprint("request-of-some-length-", told)}, nil)
-						told++
+						w.Handled(float64(handled), spool.Request{ID: fmt.Sprint("request-of-some-length-", handled)}, nil)
+						handled++
 					}
 				}
-				tell(20)
-				time.Sleep(3 * flushEvery)
-				files.set(errno)
+				handle(20)
+				time.Sleep(3 * flushInterval)
+				files.setError(errno)
 				for end := time.Now().Add(10 * time.Second); w.Lost() == 0 && time.Now().Before(end); {
-					tell(20)
-					time.Sleep(flushEvery)
+					handle(20)
+					time.Sleep(flushInterval)
 				}
 				time.Sleep(600 * time.Millisecond) // it tries again meanwhile
-				tell(20)
-				time.Sleep(3 * flushEvery)
-				files.set(nil)
-				for end := time.Now().Add(12 * time.Second); time.Now().Before(end); time.Sleep(flushEvery) {
+				handle(20)
+				time.Sleep(3 * flushInterval)
+				files.setError(nil)
+				for end := time.Now().Add(12 * time.Second); time.Now().Before(end); time.Sleep(flushInterval) {
 					lost := w.Lost()
-					tell(1)
-					time.Sleep(3 * flushEvery)
+					handle(1)
+					time.Sleep(3 * flushInterval)
 					if w.Lost() == lost {
 						break
 					}
 				}
-				tell(5)
+				handle(5)
 				if err := w.Close(); err != nil {
 					t.Error(err)
 				}
-				got, _ := read(t, dir)
+				got, _ := readEntries(t, dir)
 				seen, gaps := map[float64]bool{}, uint64(0)
 				for _, e := range got {
 					if e.Kind == KindHandled {
@@ -129,13 +129,13 @@
 						gaps += e.Lost
 					}
 				}
-				for i := range told {
-					if (i < 20 || i >= told-5) && !seen[float64(i)] {
-						t.Errorf("record %d of %d is missing", i, told)
+				for i := range handled {
+					if (i < 20 || i >= handled-5) && !seen[float64(i)] {
+						t.Errorf("record %d of %d is missing", i, handled)
 					}
 				}
-				if w.Lost() == 0 || gaps != w.Lost() || uint64(len(seen))+w.Lost() < uint64(told) {
-					t.Errorf("%d records were told, %d are there, %d are counted as lost, gaps tell of %d", told, len(seen), w.Lost(), gaps)
+				if w.Lost() == 0 || gaps != w.Lost() || uint64(len(seen))+w.Lost() < uint64(handled) {
+					t.Errorf("%d records were told, %d are there, %d are counted as lost, gaps tell of %d", handled, len(seen), w.Lost(), gaps)
 				}
 			})
 		}
@@ -144,7 +144,7 @@
 
 // A segment that a killed writer left half written is read as far as it goes, and the
 // next writer goes on behind it.
-func TestHalfWrittenSegment(t *testing.T) {
+func TestTruncatedSegmentHeader(t *testing.T) {
 	for _, left := range []int{0, 3, 9, 30} {
 		dir := t.TempDir()
 		w, err := Open(dir, Options{})
@@ -158,7 +158,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(filepath.Join(dir, fmt.Sprintf(partOfName, 1)+Extension), whole[:left], 0o644); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, fmt.Sprintf(segmentNameFormat, 1)+Extension), whole[:left], 0o644); err != nil {
 			t.Fatal(err)
 		}
 		if w, err = Open(dir, Options{}); err != nil {
@@ -166,7 +166,7 @@
 		}
 		w.Handled(2, spool.Timer{}, nil)
 		w.Close()
-		got, _ := read(t, dir)
+		got, _ := readEntries(t, dir)
 		if n := len(got); n < 2 || got[0].T != 1 || got[n-1].T != 2 || got[n-1].Kind != KindHandled {
 			var kinds []string
 			for _, e := range got {
@@ -178,22 +178,22 @@
 }
 
 // A router whose journal can't be begun for now starts all the same.
-func TestBeginsOnFullDisk(t *testing.T) {
-	files, dir := &sick{operation: "write", errno: syscall.ENOSPC}, t.TempDir()
-	said := make(chan string, 10)
-	w, err := Open(dir, Options{Files: files, Warn: func(text string) { said <- text }})
+func TestOpenOnFullDisk(t *testing.T) {
+	files, dir := &faultyFileSystem{operation: "write", errno: syscall.ENOSPC}, t.TempDir()
+	warnings := make(chan string, 10)
+	w, err := Open(dir, Options{Files: files, Warn: func(text string) { warnings <- text }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.Handled(1, spool.Timer{}, nil)
-	if text := <-said; !strings.Contains(text, "no space left") {
+	if text := <-warnings; !strings.Contains(text, "no space left") {
 		t.Error(text)
 	}
-	files.set(nil)
-	time.Sleep(firstRetry + 3*flushEvery)
+	files.setError(nil)
+	time.Sleep(minBackoff + 3*flushInterval)
 	w.Handled(2, spool.Timer{}, nil)
 	w.Close()
-	if got, _ := read(t, dir); len(got) == 0 || got[len(got)-1].T != 2 {
+	if got, _ := readEntries(t, dir); len(got) == 0 || got[len(got)-1].T != 2 {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/decisionlog/journal/format.go
+++ b/internal/decisionlog/journal/format.go
@@ -25,12 +25,12 @@
 const Extension = ".spj"
 
 const (
-	magic      = "SPOOLJ" // then two digits of the version
-	headLen    = 8        // of a segment's start
-	frameHead  = 8        // length and checksum of a record, little-endian
-	maxFrame   = 64 << 20 // of a record
-	namesKept  = 1 << 16  // strings of a segment's table; then it begins anew
-	partOfName = "%012d"  // its number
+	magic             = "SPOOLJ" // then two digits of the version
+	segmentHeaderSize = 8        // of a segment's start
+	recordHeaderSize  = 8        // length and checksum of a record, little-endian
+	maxRecordSize     = 64 << 20 // of a record
+	maxTableStrings   = 1 << 16  // strings of a segment's table; then it begins anew
+	segmentNameFormat = "%012d"  // its number
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -49,13 +49,13 @@
 
 // RouterStart is a router's start.
 type RouterStart struct {
-	_          struct{} `cbor:",toarray"`
-	Name       string   // the router's
-	Program    string   // version of the program
-	UnixMillis int64    // Unix time, ms
-	Seed       uint64
-	Number     int64  // of the version of the settings, 0: a file
-	Settings   string // canonical
+	_               struct{} `cbor:",toarray"`
+	Name            string   // the router's
+	Program         string   // version of the program
+	UnixMillis      int64    // Unix time, ms
+	Seed            uint64
+	SettingsVersion int64  // of the version of the settings, 0: a file
+	Settings        string // canonical
 }
 
 // segment is what a segment begins with.
@@ -74,8 +74,8 @@
 	Actions []action
 }
 
-// name is a string's number in the segment's table.
-type name = uint64
+// stringIndex is a string's number in the segment's table.
+type stringIndex = uint64
 
 // event is one event: its kind, and the fields of that kind in fixed places.
 type event struct {
@@ -111,8 +111,8 @@
 
 func init() {
 	var err error
-	o := cbor.CoreDetEncOptions() // floats in the shortest form that loses nothing
-	if enc, err = o.UserBufferEncMode(); err != nil {
+	options := cbor.CoreDetEncOptions() // floats in the shortest form that loses nothing
+	if enc, err = options.UserBufferEncMode(); err != nil {
 		panic(err)
 	}
 	if dec, err = (cbor.DecOptions{MaxArrayElements: 1 << 20}).DecMode(); err != nil {
@@ -120,47 +120,47 @@
 	}
 }
 
-// names is the table of a segment's strings. It begins anew with the record that
+// stringTable is the table of a segment's strings. It begins anew with the record that
 // finds it full.
-type names struct {
-	index map[string]uint64 // of a writer
-	fresh []string          // of the record that is being written
-	list  []string          // of a reader
+type stringTable struct {
+	indexes map[string]uint64 // of a writer
+	added   []string          // of the record that is being written
+	strings []string          // of a reader
 }
 
-// begin begins a record.
-func (n *names) begin() {
-	if n.fresh = n.fresh[:0]; n.index == nil {
-		n.index = map[string]uint64{}
-	} else if len(n.index) >= namesKept {
-		clear(n.index)
+// beginRecord begins a record.
+func (t *stringTable) beginRecord() {
+	if t.added = t.added[:0]; t.indexes == nil {
+		t.indexes = map[string]uint64{}
+	} else if len(t.indexes) >= maxTableStrings {
+		clear(t.indexes)
 	}
 }
 
-func (n *names) put(s string) name {
-	i, ok := n.index[s]
+func (t *stringTable) intern(s string) stringIndex {
+	i, ok := t.indexes[s]
 	if !ok {
-		i = uint64(len(n.index))
-		n.index[s] = i
-		n.fresh = append(n.fresh, s)
+		i = uint64(len(t.indexes))
+		t.indexes[s] = i
+		t.added = append(t.added, s)
 	}
 	return i
 }
 
 // add takes the strings of a record that is read.
-func (n *names) add(fresh []string) {
-	if len(n.list) >= namesKept {
-		n.list = n.list[:0]
+func (t *stringTable) add(added []string) {
+	if len(t.strings) >= maxTableStrings {
+		t.strings = t.strings[:0]
 	}
-	n.list = append(n.list, fresh...)
+	t.strings = append(t.strings, added...)
 }
 
-func (n *names) get(v any) (string, error) {
+func (t *stringTable) lookup(v any) (string, error) {
 	i, ok := v.(uint64)
-	if !ok || i >= uint64(len(n.list)) {
-		return "", fmt.Errorf("journal: name %v of %d", v, len(n.list))
+	if !ok || i >= uint64(len(t.strings)) {
+		return "", fmt.Errorf("journal: name %v of %d", v, len(t.strings))
 	}
-	return n.list[i], nil
+	return t.strings[i], nil
 }
 
 // Kinds of events and actions. Numbers are never used anew.
@@ -222,7 +222,7 @@
 	}
 	fRow struct {
 		_              struct{} `cbor:",toarray"`
-		ID, Zone, Kind name
+		ID, Zone, Kind stringIndex
 		Cell, State    int
 		Size, ReadyAt  float64
 	}
@@ -233,14 +233,14 @@
 	}
 	fRequest struct {
 		_                         struct{} `cbor:",toarray"`
-		ID, Class, Tenant, Object name
+		ID, Class, Tenant, Object stringIndex
 		Deadline, KB              float64
 		Group, Part               int
 		Retry, Write              bool
 	}
 	fOutcome struct {
 		_               struct{} `cbor:",toarray"`
-		ID, Cache       name
+		ID, Cache       stringIndex
 		Attempt, Result int
 		Took            float64
 		Last            bool
@@ -250,16 +250,16 @@
 	}
 	fStarted struct {
 		_         struct{} `cbor:",toarray"`
-		ID, Cache name
+		ID, Cache stringIndex
 		Attempt   int
 	}
 	fName struct {
 		_  struct{} `cbor:",toarray"`
-		ID name
+		ID stringIndex
 	}
 	fPurge struct {
 		_      struct{} `cbor:",toarray"`
-		Object name
+		Object stringIndex
 		Group  int
 		Age    float64
 	}
@@ -269,7 +269,7 @@
 	}
 	fProbed struct {
 		_     struct{} `cbor:",toarray"`
-		Cache name
+		Cache stringIndex
 		OK    bool
 		Load  []float64
 	}
@@ -280,7 +280,7 @@
 	}
 	fSend struct {
 		_                 struct{} `cbor:",toarray"`
-		ID, Cache, Source name
+		ID, Cache, Source stringIndex
 		Keep              int
 		Age, Timeout      float64
 		Flags             int
@@ -288,12 +288,12 @@
 	}
 	fRefuse struct {
 		_     struct{} `cbor:",toarray"`
-		ID    name
+		ID    stringIndex
 		After float64
 	}
 	fCancel struct {
 		_       struct{} `cbor:",toarray"`
-		ID      name
+		ID      stringIndex
 		Attempt int
 	}
 	fWake struct {
@@ -303,7 +303,7 @@
 	}
 	fStalled struct {
 		_       struct{} `cbor:",toarray"`
-		ID      name
+		ID      stringIndex
 		Attempt int
 		On      bool
 	}
@@ -320,50 +320,50 @@
 	}
 )
 
-func (n *names) event(e spool.Event) (written, error) {
+func (t *stringTable) encodeEvent(e spool.Event) (written, error) {
 	switch e := e.(type) {
 	case spool.Members:
 		rows := make([]fRow, len(e.Rows))
 		for i, r := range e.Rows {
-			rows[i] = fRow{ID: n.put(r.ID), Zone: n.put(r.Zone), Kind: n.put(r.Kind), Cell: r.Cell, State: int(r.State), Size: r.Size, ReadyAt: r.ReadyAt}
+			rows[i] = fRow{ID: t.intern(r.ID), Zone: t.intern(r.Zone), Kind: t.intern(r.Kind), Cell: r.Cell, State: int(r.State), Size: r.Size, ReadyAt: r.ReadyAt}
 		}
 		return written{Kind: evMembers, Fields: &fMembers{Full: e.Full, Lost: e.Lost, Rows: rows}}, nil
 	case spool.Request:
-		return written{Kind: evRequest, Fields: &fRequest{ID: n.put(e.ID), Class: n.put(e.Class), Tenant: n.put(e.Tenant), Object: n.put(e.Object),
+		return written{Kind: evRequest, Fields: &fRequest{ID: t.intern(e.ID), Class: t.intern(e.Class), Tenant: t.intern(e.Tenant), Object: t.intern(e.Object),
 			Deadline: e.Deadline, KB: e.KB, Group: e.Group, Part: e.Part, Retry: e.Retry, Write: e.Write}}, nil
 	case spool.Outcome:
-		return written{Kind: evOutcome, Fields: &fOutcome{ID: n.put(e.ID), Cache: n.put(e.Cache), Attempt: e.Attempt, Result: int(e.Result),
+		return written{Kind: evOutcome, Fields: &fOutcome{ID: t.intern(e.ID), Cache: t.intern(e.Cache), Attempt: e.Attempt, Result: int(e.Result),
 			Took: e.Took, Last: e.Last, Note: int(e.Note), Waited: e.Waited, Load: e.Load}}, nil
 	case spool.Started:
-		return written{Kind: evStarted, Fields: &fStarted{ID: n.put(e.ID), Cache: n.put(e.Cache), Attempt: e.Attempt}}, nil
+		return written{Kind: evStarted, Fields: &fStarted{ID: t.intern(e.ID), Cache: t.intern(e.Cache), Attempt: e.Attempt}}, nil
 	case spool.Gone:
-		return written{Kind: evGone, Fields: &fName{ID: n.put(e.ID)}}, nil
+		return written{Kind: evGone, Fields: &fName{ID: t.intern(e.ID)}}, nil
 	case spool.Purge:
-		return written{Kind: evPurge, Fields: &fPurge{Object: n.put(e.Object), Group: e.Group, Age: e.Age}}, nil
+		return written{Kind: evPurge, Fields: &fPurge{Object: t.intern(e.Object), Group: e.Group, Age: e.Age}}, nil
 	case spool.Timer:
 		return written{Kind: evTimer, Fields: &fToken{Token: e.Token}}, nil
 	case spool.Probed:
-		return written{Kind: evProbed, Fields: &fProbed{Cache: n.put(e.Cache), OK: e.OK, Load: e.Load}}, nil
+		return written{Kind: evProbed, Fields: &fProbed{Cache: t.intern(e.Cache), OK: e.OK, Load: e.Load}}, nil
 	case spool.Message:
 		return written{Kind: evMessage, Fields: &fMessage{From: e.From, Text: e.Text}}, nil
 	}
-	return n.handedOver(e)
+	return t.encodeOtherEvent(e)
 }
 
-func (n *names) handedOver(e spool.Event) (written, error) {
+func (t *stringTable) encodeOtherEvent(e spool.Event) (written, error) {
 	switch e := e.(type) {
 	case spool.Recalled:
 		b, err := learnedstate.EncodeModule(e.Memory)
 		return written{Kind: evRecalled, Fields: &fBytes{Bytes: b}}, err
 	case spool.Stalled:
-		return written{Kind: evStalled, Fields: &fStalled{ID: n.put(e.ID), Attempt: e.Attempt, On: e.On}}, nil
+		return written{Kind: evStalled, Fields: &fStalled{ID: t.intern(e.ID), Attempt: e.Attempt, On: e.On}}, nil
 	case spool.Retired:
 		return written{Kind: evRetired, Fields: &fBool{On: e.On}}, nil
 	}
 	return written{}, fmt.Errorf("%w of event: %T", ErrUnknown, e)
 }
 
-func (n *names) action(a spool.Action) (written, error) {
+func (t *stringTable) encodeAction(a spool.Action) (written, error) {
 	switch a := a.(type) {
 	case spool.Send:
 		flags := 0
@@ -372,18 +372,18 @@
 				flags |= 1 << i
 			}
 		}
-		return written{Kind: actSend, Fields: &fSend{ID: n.put(a.ID), Cache: n.put(a.Cache), Source: n.put(a.Source), Keep: a.Keep,
+		return written{Kind: actSend, Fields: &fSend{ID: t.intern(a.ID), Cache: t.intern(a.Cache), Source: t.intern(a.Source), Keep: a.Keep,
 			Age: a.Age, Timeout: a.Timeout, Flags: flags, Within: a.Within}}, nil
 	case spool.Refuse:
-		return written{Kind: actRefuse, Fields: &fRefuse{ID: n.put(a.ID), After: a.After}}, nil
+		return written{Kind: actRefuse, Fields: &fRefuse{ID: t.intern(a.ID), After: a.After}}, nil
 	case spool.Fail:
-		return written{Kind: actFail, Fields: &fName{ID: n.put(a.ID)}}, nil
+		return written{Kind: actFail, Fields: &fName{ID: t.intern(a.ID)}}, nil
 	case spool.Cancel:
-		return written{Kind: actCancel, Fields: &fCancel{ID: n.put(a.ID), Attempt: a.Attempt}}, nil
+		return written{Kind: actCancel, Fields: &fCancel{ID: t.intern(a.ID), Attempt: a.Attempt}}, nil
 	case spool.Wake:
 		return written{Kind: actWake, Fields: &fWake{In: a.In, Token: a.Token}}, nil
 	case spool.Probe:
-		return written{Kind: actProbe, Fields: &fName{ID: n.put(a.Cache)}}, nil
+		return written{Kind: actProbe, Fields: &fName{ID: t.intern(a.Cache)}}, nil
 	case spool.Watch:
 		return written{Kind: actWatch, Fields: &fNone{}}, nil
 	case spool.Fetch:
@@ -395,27 +395,27 @@
 // fields takes the fields of an event or action one after the other. Fields that
 // a later version of the format has added at the end are passed over.
 type fields struct {
-	n    *names
-	list []any
-	at   int
-	err  error
+	table    *stringTable
+	values   []any
+	consumed int
+	err      error
 }
 
 func (f *fields) next() any {
 	if f.err != nil {
 		return nil
 	}
-	if f.at >= len(f.list) {
-		f.err = fmt.Errorf("journal: a record has %d fields, more are wanted", len(f.list))
+	if f.consumed >= len(f.values) {
+		f.err = fmt.Errorf("journal: a record has %d fields, more are wanted", len(f.values))
 		return nil
 	}
-	f.at++
-	return f.list[f.at-1]
+	f.consumed++
+	return f.values[f.consumed-1]
 }
 
-func (f *fields) wrong(v any, want string) {
+func (f *fields) typeError(v any, want string) {
 	if f.err == nil {
-		f.err = fmt.Errorf("journal: field %d is %T, where %s is wanted", f.at, v, want)
+		f.err = fmt.Errorf("journal: field %d is %T, where %s is wanted", f.consumed, v, want)
 	}
 }
 
@@ -424,7 +424,7 @@
 	if f.err != nil {
 		return ""
 	}
-	s, err := f.n.get(v)
+	s, err := f.table.lookup(v)
 	if f.err = err; err != nil {
 		return ""
 	}
@@ -436,9 +436,9 @@
 	case float64:
 		return v
 	case nil:
-		f.wrong(nil, "a number")
+		f.typeError(nil, "a number")
 	default:
-		f.wrong(v, "a number")
+		f.typeError(v, "a number")
 	}
 	return 0
 }
@@ -450,7 +450,7 @@
 	case int64:
 		return v
 	default:
-		f.wrong(v, "a whole number")
+		f.typeError(v, "a whole number")
 	}
 	return 0
 }
@@ -458,7 +458,7 @@
 func (f *fields) bool() bool {
 	v, ok := f.next().(bool)
 	if !ok {
-		f.wrong(v, "true or false")
+		f.typeError(v, "true or false")
 	}
 	return v
 }
@@ -466,7 +466,7 @@
 func (f *fields) text() string {
 	v, ok := f.next().(string)
 	if !ok {
-		f.wrong(v, "a text")
+		f.typeError(v, "a text")
 	}
 	return v
 }
@@ -478,37 +478,37 @@
 	}
 	list, ok := v.([]any)
 	if !ok {
-		f.wrong(v, "a list")
+		f.typeError(v, "a list")
 		return nil
 	}
 	var out []float64
 	for _, one := range list {
 		x, ok := one.(float64)
 		if !ok {
-			f.wrong(one, "a number")
+			f.typeError(one, "a number")
 		}
 		out = append(out, x)
 	}
 	return out
 }
 
-func (n *names) readEvent(e event) (spool.Event, error) {
-	f := &fields{n: n, list: e.Fields}
+func (t *stringTable) decodeEvent(e event) (spool.Event, error) {
+	f := &fields{table: t, values: e.Fields}
 	var out spool.Event
 	switch e.Kind {
 	case evMembers:
 		m := spool.Members{Full: f.bool(), Lost: f.bool()}
 		rows, ok := f.next().([]any)
 		if !ok {
-			f.wrong(rows, "a list")
+			f.typeError(rows, "a list")
 		}
 		for _, r := range rows {
 			list, ok := r.([]any)
 			if !ok {
-				f.wrong(r, "a row")
+				f.typeError(r, "a row")
 				break
 			}
-			g := &fields{n: n, list: list, err: f.err}
+			g := &fields{table: t, values: list, err: f.err}
 			m.Rows = append(m.Rows, spool.Member{ID: g.name(), Zone: g.name(), Kind: g.name(), Cell: int(g.int()),
 				State: spool.State(g.int()), Size: g.float(), ReadyAt: g.float()})
 			f.err = g.err
@@ -552,15 +552,15 @@
 	return out, f.err
 }
 
-func (n *names) readAction(a action) (spool.Action, error) {
-	f := &fields{n: n, list: a.Fields}
+func (t *stringTable) decodeAction(a action) (spool.Action, error) {
+	f := &fields{table: t, values: a.Fields}
 	var out spool.Action
 	switch a.Kind {
 	case actSend:
 		s := spool.Send{ID: f.name(), Cache: f.name(), Source: f.name(), Keep: int(f.int()), Age: f.float(), Timeout: f.float()}
 		flags := f.int()
 		s.Join, s.Held, s.Renew = flags&1 != 0, flags&2 != 0, flags&4 != 0
-		if f.at < len(f.list) { // journals from before it was told end here
+		if f.consumed < len(f.values) { // journals from before it was told end here
 			s.Within = f.float()
 		}
 		out = s
--- a/internal/decisionlog/journal/journal_test.go
+++ b/internal/decisionlog/journal/journal_test.go
@@ -66,7 +66,7 @@
 	return out
 }
 
-func read(t testing.TB, path string) (out []*Entry, r *Reader) {
+func readEntries(t testing.TB, path string) (out []*Entry, r *Reader) {
 	t.Helper()
 	r, err := OpenReader(path)
 	if err != nil {
@@ -137,8 +137,8 @@
 	})
 }
 
-// sample writes a journal of some records and returns its only segment.
-func sample(t testing.TB, records int) (file string, bytes []byte) {
+// writeSample writes a journal of some records and returns its only segment.
+func writeSample(t testing.TB, records int) (file string, bytes []byte) {
 	dir := t.TempDir()
 	w, err := Open(dir, Options{})
 	if err != nil {
@@ -163,11 +163,11 @@
 }
 
 // Cut at any byte, a journal reads up to the last whole record.
-func TestCutAtAnyByte(t *testing.T) {
-	file, whole := sample(t, 12)
+func TestTruncatedAtAnyByte(t *testing.T) {
+	file, whole := writeSample(t, 12)
 	ends := []int{}
-	for at := headLen; at < len(whole); {
-		at += frameHead + int(binary.LittleEndian.Uint32(whole[at:]))
+	for at := segmentHeaderSize; at < len(whole); {
+		at += recordHeaderSize + int(binary.LittleEndian.Uint32(whole[at:]))
 		ends = append(ends, at)
 	}
 	for cut := range len(whole) {
@@ -180,8 +180,8 @@
 				want++
 			}
 		}
-		got, r := read(t, file)
-		if cut < headLen {
+		got, r := readEntries(t, file)
+		if cut < segmentHeaderSize {
 			if len(got) != 1 || got[0].Kind != KindGap {
 				t.Fatalf("cut at %d: %+v", cut, got)
 			}
@@ -190,24 +190,24 @@
 		if len(got) != max(want, 0) {
 			t.Fatalf("cut at %d: %d records, want %d", cut, len(got), want)
 		}
-		clean := cut == headLen
+		whole := cut == segmentHeaderSize
 		for _, end := range ends {
-			clean = clean || cut == end
+			whole = whole || cut == end
 		}
-		if (r.Truncation() == "") != clean {
+		if (r.Truncation() == "") != whole {
 			t.Fatalf("cut at %d: %q", cut, r.Truncation())
 		}
 	}
 }
 
 // A changed byte is found, and told as a gap; records before it are read.
-func TestChangedBytes(t *testing.T) {
-	file, whole := sample(t, 12)
-	for at := headLen; at < len(whole); at += 3 {
+func TestCorruptBytes(t *testing.T) {
+	file, whole := writeSample(t, 12)
+	for at := segmentHeaderSize; at < len(whole); at += 3 {
 		b := append([]byte(nil), whole...)
 		b[at] ^= 0x40
 		os.WriteFile(file, b, 0o600)
-		got, r := read(t, file)
+		got, r := readEntries(t, file)
 		gaps := 0
 		for _, e := range got {
 			if e.Kind == KindGap {
@@ -222,7 +222,7 @@
 	}
 }
 
-func frame(t *testing.T, body any) []byte {
+func encodeRecord(t *testing.T, body any) []byte {
 	b, err := enc.Marshal(body)
 	if err != nil {
 		t.Fatal(err)
@@ -233,26 +233,26 @@
 
 // Kinds that this program does not know are gaps, fields that a later version has
 // added are passed over, a later format is refused with what to do.
-func TestUnknown(t *testing.T) {
-	file, whole := sample(t, 2)
+func TestUnknownKindsAndVersions(t *testing.T) {
+	file, whole := writeSample(t, 2)
 	more := append([]byte(nil), whole...)
 	known := 0 // strings of the segment so far
-	for at := headLen; at < len(whole); {
+	for at := segmentHeaderSize; at < len(whole); {
 		size := int(binary.LittleEndian.Uint32(whole[at:]))
 		var rec record
-		if err := dec.Unmarshal(whole[at+frameHead:at+frameHead+size], &rec); err != nil {
+		if err := dec.Unmarshal(whole[at+recordHeaderSize:at+recordHeaderSize+size], &rec); err != nil {
 			t.Fatal(err)
 		}
 		known += len(rec.Names)
-		at += frameHead + size
+		at += recordHeaderSize + size
 	}
-	more = append(more, frame(t, []any{99, []string{"q7"}, "what is this"})...)
-	more = append(more, frame(t, []any{int(KindHandled), []string{"q8"}, []any{5.0, []any{77, []any{1}}, []any{}}})...)
-	more = append(more, frame(t, []any{int(KindHandled), []string{}, []any{6.0, []any{int(evGone), []any{known, "a field of later"}}, []any{}}})...)
-	more = append(more, frame(t, []any{int(KindHandled), []string{}, []any{7.0, []any{int(evGone), []any{99999}}, []any{}}})...)
-	more = append(more, frame(t, []any{int(KindHandled), []string{}, []any{8.0, []any{int(evGone), []any{}}, []any{}}})...)
+	more = append(more, encodeRecord(t, []any{99, []string{"q7"}, "what is this"})...)
+	more = append(more, encodeRecord(t, []any{int(KindHandled), []string{"q8"}, []any{5.0, []any{77, []any{1}}, []any{}}})...)
+	more = append(more, encodeRecord(t, []any{int(KindHandled), []string{}, []any{6.0, []any{int(evGone), []any{known, "a field of later"}}, []any{}}})...)
+	more = append(more, encodeRecord(t, []any{int(KindHandled), []string{}, []any{7.0, []any{int(evGone), []any{99999}}, []any{}}})...)
+	more = append(more, encodeRecord(t, []any{int(KindHandled), []string{}, []any{8.0, []any{int(evGone), []any{}}, []any{}}})...)
 	os.WriteFile(file, more, 0o600)
-	got, _ := read(t, file)
+	got, _ := readEntries(t, file)
 	if len(got) != 8 {
 		t.Fatalf("%d records", len(got))
 	}
@@ -266,7 +266,7 @@
 			t.Errorf("%+v, want %q", e, want)
 		}
 	}
-	later := append([]byte(magic+"02"), whole[headLen:]...)
+	later := append([]byte(magic+"02"), whole[segmentHeaderSize:]...)
 	os.WriteFile(file, later, 0o600)
 	r, err := OpenReader(file)
 	if err != nil {
@@ -286,32 +286,32 @@
 
 // What the writer can't take is counted and marked where it was, and the loop
 // does not wait: the disk's goroutine stands still all the while.
-func TestNeverBlocks(t *testing.T) {
+func TestWriterDoesNotBlock(t *testing.T) {
 	dir := t.TempDir()
-	w := &Writer{dir: dir, o: Options{SegmentBytes: 1 << 20, TotalBytes: 1 << 30, Queue: 100, Warn: func(string) {}, Files: disk{}}, full: make(chan struct{}, 1),
+	w := &Writer{dir: dir, options: Options{SegmentBytes: 1 << 20, TotalBytes: 1 << 30, Queue: 100, Warn: func(string) {}, Files: osFileSystem{}}, wake: make(chan struct{}, 1),
 		stop: make(chan struct{}), done: make(chan struct{})}
-	if err := w.begin(); err != nil {
+	if err := w.beginSegment(); err != nil {
 		t.Fatal(err)
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	for i := range 100000 {
 		w.Handled(float64(i), spool.Timer{}, nil)
 	}
-	if took := time.Since(began); took > 5*time.Second {
+	if took := time.Since(startedAt); took > 5*time.Second {
 		t.Errorf("%v for records that have no place", took)
 	}
 	go w.run()
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
-	got, _ := read(t, dir)
+	got, _ := readEntries(t, dir)
 	if w.Lost() != 99900 || len(got) != 101 || got[100].Kind != KindGap || got[100].Lost != 99900 {
 		t.Errorf("lost %d; %d records, the last %+v", w.Lost(), len(got), got[len(got)-1])
 	}
 }
 
 // The oldest segments go; that they are missing is not taken for a beginning.
-func TestBounded(t *testing.T) {
+func TestTotalBytesBounded(t *testing.T) {
 	dir := t.TempDir()
 	for range 3 { // restarts go on behind what is there
 		w, err := Open(dir, Options{SegmentBytes: 4096, TotalBytes: 20000})
@@ -337,7 +337,7 @@
 		t.Errorf("%d bytes in %d segments", total, len(list))
 	}
 	os.Remove(list[1])
-	got, _ := read(t, dir)
+	got, _ := readEntries(t, dir)
 	gaps := 0
 	for _, e := range got {
 		if e.Kind == KindGap && strings.Contains(e.Why, "are missing before") {
@@ -356,8 +356,8 @@
 		t.Log("runs as root: the folder is removed instead of locked")
 	}
 	dir := filepath.Join(t.TempDir(), "j")
-	said := make(chan string, 10)
-	w, err := Open(dir, Options{SegmentBytes: 4096, Warn: func(s string) { said <- s }})
+	warnings := make(chan string, 10)
+	w, err := Open(dir, Options{SegmentBytes: 4096, Warn: func(s string) { warnings <- s }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -366,7 +366,7 @@
 		w.Handled(float64(i), spool.Request{ID: fmt.Sprint("request-of-some-length-", i)}, nil)
 	}
 	select {
-	case s := <-said:
+	case s := <-warnings:
 		if !strings.Contains(s, "records are lost until") {
 			t.Error(s)
 		}
@@ -399,15 +399,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.RouterStarted(RouterStart{Name: "r", Program: "p", UnixMillis: 7, Seed: 9, Number: 3, Settings: "(router)"})
+		w.RouterStarted(RouterStart{Name: "r", Program: "p", UnixMillis: 7, Seed: 9, SettingsVersion: 3, Settings: "(router)"})
 		for _, e := range want {
 			w.Handled(e.T, e.Event, e.Actions)
 		}
 		w.Settings(6, 4, func() string { return "(router (me 1))" }, nil)
 		w.Close()
 	}
-	got, _ := read(t, golden)
-	if len(got) != len(want)+2 || got[0].RouterStart == nil || got[0].RouterStart.Number != 3 || got[len(got)-1].Settings != "(router (me 1))" {
+	got, _ := readEntries(t, golden)
+	if len(got) != len(want)+2 || got[0].RouterStart == nil || got[0].RouterStart.SettingsVersion != 3 || got[len(got)-1].Settings != "(router (me 1))" {
 		t.Fatalf("%+v", got)
 	}
 	for i, e := range want {
@@ -435,26 +435,26 @@
 
 // What the writer's goroutine does with a record: a request's four, in turn.
 func BenchmarkEncode(b *testing.B) {
-	w := &Writer{dir: b.TempDir(), o: Options{SegmentBytes: 1 << 40, TotalBytes: 1 << 50, Warn: func(string) {}}}
-	if err := w.begin(); err != nil {
+	w := &Writer{dir: b.TempDir(), options: Options{SegmentBytes: 1 << 40, TotalBytes: 1 << 50, Warn: func(string) {}}}
+	if err := w.beginSegment(); err != nil {
 		b.Fatal(err)
 	}
-	defer w.f.Close()
+	defer w.file.Close()
 	acts := []spool.Action{spool.Send{}, spool.Wake{In: 2990, Token: 77}}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		id := fmt.Sprintf("router-1-1iijn-%x", i/4)
-		it := item{t: float64(i) * 1.234567, from: 0, to: 0}
+		it := item{time: float64(i) * 1.234567, firstAction: 0, endAction: 0}
 		switch i % 4 {
 		case 0:
 			acts[0] = spool.Send{ID: id, Cache: "north-1", Source: "north-1", Keep: 1, Age: 1e9}
-			it.ev, it.to = spool.Request{ID: id, Class: "still", Object: fmt.Sprintf("/s/1/o%d", i%1000), Deadline: 123456.789, KB: 40}, 2
+			it.event, it.endAction = spool.Request{ID: id, Class: "still", Object: fmt.Sprintf("/s/1/o%d", i%1000), Deadline: 123456.789, KB: 40}, 2
 		case 1:
-			it.ev = spool.Started{ID: id, Cache: "north-1"}
+			it.event = spool.Started{ID: id, Cache: "north-1"}
 		case 2:
-			it.ev = spool.Outcome{ID: id, Cache: "north-1", Took: 1.25, Last: true, Note: spool.NoteHit}
+			it.event = spool.Outcome{ID: id, Cache: "north-1", Took: 1.25, Last: true, Note: spool.NoteHit}
 		case 3:
-			it.ev = spool.Timer{Token: int64(i)}
+			it.event = spool.Timer{Token: int64(i)}
 		}
 		if err := w.encode(&it, acts); err != nil {
 			b.Fatal(err)
@@ -467,7 +467,7 @@
 
 // A router that takes over writes behind numbers that it leaves free for the one
 // before, which goes on: their records are read one life after the other, with no gap.
-func TestTakeOver(t *testing.T) {
+func TestHotRestart(t *testing.T) {
 	dir := t.TempDir()
 	old, err := Open(dir, Options{SegmentBytes: 4096})
 	if err != nil {
@@ -491,7 +491,7 @@
 			t.Fatal(err, w.Lost())
 		}
 	}
-	got, _ := read(t, dir)
+	got, _ := readEntries(t, dir)
 	if len(got) != 2+2+1000 {
 		t.Fatalf("%d records", len(got))
 	}
--- a/internal/decisionlog/journal/reader.go
+++ b/internal/decisionlog/journal/reader.go
@@ -33,27 +33,27 @@
 
 // Reader reads a journal, segment by segment, in bounded memory.
 type Reader struct {
-	files []string
-	f     *os.File
-	br    *bufio.Reader
-	at    int64
-	names names
-	index int64 // of the segment before; -1: none
-	count int64
-	gap   string // to be told before the next record
-	jump  string // the same, unless a life begins with it: numbers were left free there
-	held  *Entry // a record behind a jump
-	cut   string
+	files           []string
+	file            *os.File
+	buffered        *bufio.Reader
+	offset          int64
+	table           stringTable
+	lastSegment     int64 // of the segment before; -1: none
+	entries         int64
+	pendingGap      string // to be told before the next record
+	missingSegments string // the same, unless a life begins with it: numbers were left free there
+	pendingEntry    *Entry // a record behind a jump
+	truncation      string
 }
 
 // OpenReader reads a folder of segments, or one segment.
 func OpenReader(path string) (*Reader, error) {
-	st, err := os.Stat(path)
+	info, err := os.Stat(path)
 	if err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
 	files := []string{path}
-	if st.IsDir() {
+	if info.IsDir() {
 		if files, err = Segments(path); err != nil {
 			return nil, err
 		}
@@ -61,75 +61,75 @@
 			return nil, fmt.Errorf("journal: %s holds no segment *%s", path, Extension)
 		}
 	}
-	return &Reader{files: files, index: -1}, nil
+	return &Reader{files: files, lastSegment: -1}, nil
 }
 
 // Close ends reading.
 func (r *Reader) Close() {
-	if r.f != nil {
-		r.f.Close()
-		r.f = nil
+	if r.file != nil {
+		r.file.Close()
+		r.file = nil
 	}
 }
 
 // Truncation says where the last segment ends in the middle of a record, as after a
 // crash; empty: it ends with a whole one.
-func (r *Reader) Truncation() string { return r.cut }
+func (r *Reader) Truncation() string { return r.truncation }
 
-var errDamaged = errors.New("damaged")
+var errCorrupt = errors.New("damaged")
 
 // Next is the next record; io.EOF after the last whole one. What can't be read is
 // told as a gap, and reading goes on with the next segment, or behind a record of
 // an unknown kind. A version of the format that is not known is an error.
 func (r *Reader) Next() (*Entry, error) {
-	if e := r.held; e != nil {
-		r.held = nil
+	if e := r.pendingEntry; e != nil {
+		r.pendingEntry = nil
 		return e, nil
 	}
 	for {
-		if r.f == nil {
+		if r.file == nil {
 			if len(r.files) == 0 {
 				return nil, io.EOF
 			}
-			if err := r.open(r.files[0]); err != nil {
+			if err := r.openSegment(r.files[0]); err != nil {
 				return nil, err
 			}
 			r.files = r.files[1:]
 		}
-		if r.gap != "" {
-			e := r.entry(KindGap)
-			e.Why, r.gap = r.gap, ""
+		if r.pendingGap != "" {
+			e := r.newEntry(KindGap)
+			e.Why, r.pendingGap = r.pendingGap, ""
 			return e, nil
 		}
-		at := r.at
-		payload, err := r.frame()
+		offset := r.offset
+		payload, err := r.readRecord()
 		switch {
 		case err == io.EOF:
 			r.Close()
 			continue
 		case errors.Is(err, io.ErrUnexpectedEOF) && len(r.files) == 0:
-			r.cut = fmt.Sprintf("%s ends in the middle of a record at byte %d", r.f.Name(), at)
+			r.truncation = fmt.Sprintf("%s ends in the middle of a record at byte %d", r.file.Name(), offset)
 			r.Close()
 			return nil, io.EOF
 		case err != nil:
-			r.gap = fmt.Sprintf("%s can't be read from byte %d on: %v", r.f.Name(), at, err)
-			e := r.entry(KindGap)
-			e.Offset, e.Why, r.gap = at, r.gap, ""
+			r.pendingGap = fmt.Sprintf("%s can't be read from byte %d on: %v", r.file.Name(), offset, err)
+			e := r.newEntry(KindGap)
+			e.Offset, e.Why, r.pendingGap = offset, r.pendingGap, ""
 			r.Close()
 			return e, nil
 		}
-		e, err := r.decode(payload, at)
+		e, err := r.decode(payload, offset)
 		if err != nil {
-			e = r.entry(KindGap)
-			e.Offset, e.Lost, e.Why = at, 1, err.Error()
+			e = r.newEntry(KindGap)
+			e.Offset, e.Lost, e.Why = offset, 1, err.Error()
 			return e, nil
 		}
 		if e != nil {
-			why := r.jump
-			if r.jump = ""; why != "" && e.Kind != KindRouterStart {
-				r.held = e
-				gap := r.entry(KindGap)
-				gap.Why = why
+			reason := r.missingSegments
+			if r.missingSegments = ""; reason != "" && e.Kind != KindRouterStart {
+				r.pendingEntry = e
+				gap := r.newEntry(KindGap)
+				gap.Why = reason
 				return gap, nil
 			}
 			return e, nil
@@ -137,25 +137,25 @@
 	}
 }
 
-func (r *Reader) entry(k Kind) *Entry {
-	r.count++
-	return &Entry{Kind: k, Segment: r.f.Name(), Offset: r.at, Number: r.count - 1}
+func (r *Reader) newEntry(kind Kind) *Entry {
+	r.entries++
+	return &Entry{Kind: kind, Segment: r.file.Name(), Offset: r.offset, Number: r.entries - 1}
 }
 
-func (r *Reader) open(path string) error {
+func (r *Reader) openSegment(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return fmt.Errorf("journal: %w", err)
 	}
-	r.f, r.names, r.at = f, names{}, headLen
-	if r.br == nil {
-		r.br = bufio.NewReaderSize(f, 1<<18)
+	r.file, r.table, r.offset = f, stringTable{}, segmentHeaderSize
+	if r.buffered == nil {
+		r.buffered = bufio.NewReaderSize(f, 1<<18)
 	} else {
-		r.br.Reset(f)
+		r.buffered.Reset(f)
 	}
-	var head [headLen]byte
-	if _, err := io.ReadFull(r.br, head[:]); err != nil {
-		r.gap = fmt.Sprintf("%s is shorter than a segment's start", path)
+	var head [segmentHeaderSize]byte
+	if _, err := io.ReadFull(r.buffered, head[:]); err != nil {
+		r.pendingGap = fmt.Sprintf("%s is shorter than a segment's start", path)
 		return nil
 	}
 	version, err := strconv.Atoi(string(head[len(magic):]))
@@ -170,10 +170,10 @@
 	return nil
 }
 
-// frame reads one whole record, and checks it.
-func (r *Reader) frame() ([]byte, error) {
-	var head [frameHead]byte
-	n, err := io.ReadFull(r.br, head[:])
+// readRecord reads one whole record, and checks it.
+func (r *Reader) readRecord() ([]byte, error) {
+	var head [recordHeaderSize]byte
+	n, err := io.ReadFull(r.buffered, head[:])
 	if err != nil {
 		if n == 0 && err == io.EOF {
 			return nil, io.EOF
@@ -181,32 +181,32 @@
 		return nil, io.ErrUnexpectedEOF
 	}
 	size := binary.LittleEndian.Uint32(head[:])
-	if size == 0 || size > maxFrame {
-		return nil, fmt.Errorf("%w: a record of %d bytes", errDamaged, size)
+	if size == 0 || size > maxRecordSize {
+		return nil, fmt.Errorf("%w: a record of %d bytes", errCorrupt, size)
 	}
 	payload := make([]byte, 0, min(size, 1<<16))
 	for uint32(len(payload)) < size { // a length that lies costs no memory
-		part := min(size-uint32(len(payload)), 1<<16)
-		at := len(payload)
-		payload = append(payload, make([]byte, part)...)
-		if _, err := io.ReadFull(r.br, payload[at:]); err != nil {
+		chunk := min(size-uint32(len(payload)), 1<<16)
+		start := len(payload)
+		payload = append(payload, make([]byte, chunk)...)
+		if _, err := io.ReadFull(r.buffered, payload[start:]); err != nil {
 			return nil, io.ErrUnexpectedEOF
 		}
 	}
 	if crc32.Checksum(payload, castagnoli) != binary.LittleEndian.Uint32(head[4:]) {
-		return nil, fmt.Errorf("%w: its checksum does not fit", errDamaged)
+		return nil, fmt.Errorf("%w: its checksum does not fit", errCorrupt)
 	}
-	r.at += int64(frameHead) + int64(size)
+	r.offset += int64(recordHeaderSize) + int64(size)
 	return payload, nil
 }
 
 // decode reads a record; nil of one that is only for the reader.
-func (r *Reader) decode(payload []byte, at int64) (*Entry, error) {
+func (r *Reader) decode(payload []byte, offset int64) (*Entry, error) {
 	var rec record
 	if err := dec.Unmarshal(payload, &rec); err != nil {
-		return nil, fmt.Errorf("journal: record at byte %d: %w", at, err)
+		return nil, fmt.Errorf("journal: record at byte %d: %w", offset, err)
 	}
-	r.names.add(rec.Names)
+	r.table.add(rec.Names)
 	var e *Entry
 	var err error
 	switch rec.Kind {
@@ -215,13 +215,13 @@
 		if err := dec.Unmarshal(rec.Body, &s); err != nil {
 			return nil, err
 		}
-		if r.index >= 0 && s.Index != r.index+1 {
-			r.jump = fmt.Sprintf("segments %d to %d are missing before %s", r.index+1, s.Index-1, filepath.Base(r.f.Name()))
+		if r.lastSegment >= 0 && s.Index != r.lastSegment+1 {
+			r.missingSegments = fmt.Sprintf("segments %d to %d are missing before %s", r.lastSegment+1, s.Index-1, filepath.Base(r.file.Name()))
 		}
-		r.index = s.Index
+		r.lastSegment = s.Index
 		return nil, nil
 	case KindRouterStart:
-		e = r.entry(KindRouterStart)
+		e = r.newEntry(KindRouterStart)
 		e.RouterStart = &RouterStart{}
 		err = dec.Unmarshal(rec.Body, e.RouterStart)
 	case KindHandled:
@@ -229,21 +229,21 @@
 		if err := dec.Unmarshal(rec.Body, &h); err != nil {
 			return nil, err
 		}
-		e = r.entry(KindHandled)
+		e = r.newEntry(KindHandled)
 		e.T = h.T
-		if e.Event, err = r.names.readEvent(h.Event); err == nil {
-			e.Actions, err = r.actions(h.Actions)
+		if e.Event, err = r.table.decodeEvent(h.Event); err == nil {
+			e.Actions, err = r.decodeActions(h.Actions)
 		}
 	case KindSettings:
 		var raw settings
 		if err := dec.Unmarshal(rec.Body, &raw); err != nil {
 			return nil, err
 		}
-		e = r.entry(KindSettings)
+		e = r.newEntry(KindSettings)
 		e.T, e.Version, e.Settings = raw.T, raw.Number, raw.Text
-		e.Actions, err = r.actions(raw.Actions)
+		e.Actions, err = r.decodeActions(raw.Actions)
 	case KindGap:
-		e = r.entry(KindGap)
+		e = r.newEntry(KindGap)
 		e.Why = "lost by the router that wrote it"
 		err = dec.Unmarshal(rec.Body, &e.Lost)
 	default:
@@ -251,17 +251,17 @@
 	}
 	if err != nil {
 		if e != nil {
-			r.count--
+			r.entries--
 		}
 		return nil, err
 	}
-	e.Offset = at
+	e.Offset = offset
 	return e, nil
 }
 
-func (r *Reader) actions(list []action) (out []spool.Action, err error) {
+func (r *Reader) decodeActions(list []action) (out []spool.Action, err error) {
 	for _, one := range list {
-		a, err := r.names.readAction(one)
+		a, err := r.table.decodeAction(one)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/decisionlog/journal/writer.go
+++ b/internal/decisionlog/journal/writer.go
@@ -42,43 +42,43 @@
 	Sync() error
 }
 
-type disk struct{}
+type osFileSystem struct{}
 
-func (disk) Create(path string) (File, error) {
+func (osFileSystem) Create(path string) (File, error) {
 	return os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o644)
 }
 
-func (disk) Remove(path string) error { return os.Remove(path) }
+func (osFileSystem) Remove(path string) error { return os.Remove(path) }
 
 // Writer writes a journal into a folder. Handled and Settings are called from
 // one goroutine, a router's loop, and never wait for the disk.
 type Writer struct {
-	dir string
-	o   Options
+	dir     string
+	options Options
 
-	mu   sync.Mutex
-	in   batch
-	full chan struct{}
-	stop chan struct{}
-	done chan struct{}
-	once sync.Once
-	lost atomic.Uint64
+	mu        sync.Mutex
+	pending   batch
+	wake      chan struct{}
+	stop      chan struct{}
+	done      chan struct{}
+	closeOnce sync.Once
+	lost      atomic.Uint64
 
 	// of the writing goroutine
-	f       File
-	path    string // of f, or of the segment that f was; empty: it is booked
-	size    int64
-	old     []segmentFile // ended, the oldest first
-	total   int64         // bytes of them
-	index   int64
-	records int64
-	names   names
-	buf     []byte
-	one     bytes.Buffer  // a record
-	retry   time.Time     // after a fault: not before
-	wait    time.Duration // the last one's
-	missed  uint64        // records that are lost since the last gap that was written
-	telling uint64        // of these, told by the gap that waits to be written
+	file          File
+	currentPath   string // of f, or of the segment that f was; empty: it is booked
+	currentSize   int64
+	finished      []segmentFile // ended, the oldest first
+	finishedBytes int64         // bytes of them
+	nextIndex     int64
+	records       int64
+	table         stringTable
+	buf           []byte
+	recordBuf     bytes.Buffer  // a record
+	retryAt       time.Time     // after a fault: not before
+	backoff       time.Duration // the last one's
+	unreported    uint64        // records that are lost since the last gap that was written
+	reporting     uint64        // of these, told by the gap that waits to be written
 }
 
 // segmentFile is a segment that has ended.
@@ -89,38 +89,38 @@
 
 // batch is what waits to be written; actions of all items stand in one slice.
 type batch struct {
-	items []item
-	acts  []spool.Action
-	lost  uint64 // after the items
+	items   []item
+	actions []spool.Action
+	lost    uint64 // after the items
 }
 
 type item struct {
-	t     float64
-	ev    spool.Event
-	life  *RouterStart
-	other *settings
-	text  func() string // of other
-	from  int           // its actions
-	to    int
+	time        float64
+	event       spool.Event
+	start       *RouterStart
+	settings    *settings
+	text        func() string // of other
+	firstAction int           // its actions
+	endAction   int
 }
 
 // Open begins a journal in a folder, behind what is there. A disk that takes no writes
 // for now is no error: records are lost until it does.
-func Open(dir string, o Options) (*Writer, error) {
-	if o.SegmentBytes <= 0 {
-		o.SegmentBytes = 64 << 20
+func Open(dir string, options Options) (*Writer, error) {
+	if options.SegmentBytes <= 0 {
+		options.SegmentBytes = 64 << 20
 	}
-	if o.TotalBytes <= 0 {
-		o.TotalBytes = 2 << 30
+	if options.TotalBytes <= 0 {
+		options.TotalBytes = 2 << 30
 	}
-	if o.Queue <= 0 {
-		o.Queue = 1 << 16
+	if options.Queue <= 0 {
+		options.Queue = 1 << 16
 	}
-	if o.Warn == nil {
-		o.Warn = func(string) {}
+	if options.Warn == nil {
+		options.Warn = func(string) {}
 	}
-	if o.Files == nil {
-		o.Files = disk{}
+	if options.Files == nil {
+		options.Files = osFileSystem{}
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
@@ -129,32 +129,32 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &Writer{dir: dir, o: o, full: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
+	w := &Writer{dir: dir, options: options, wake: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
 	for _, path := range list {
 		if st, err := os.Stat(path); err == nil {
-			w.old = append(w.old, segmentFile{path, max(st.Size(), 1)})
-			w.total += max(st.Size(), 1)
+			w.finished = append(w.finished, segmentFile{path, max(st.Size(), 1)})
+			w.finishedBytes += max(st.Size(), 1)
 		}
 	}
 	if n := len(list); n > 0 {
-		fmt.Sscanf(filepath.Base(list[n-1]), partOfName, &w.index)
-		w.index++
-		if o.SkipNumbers {
-			w.index = (w.index/skipped + 2) * skipped
+		fmt.Sscanf(filepath.Base(list[n-1]), segmentNameFormat, &w.nextIndex)
+		w.nextIndex++
+		if options.SkipNumbers {
+			w.nextIndex = (w.nextIndex/reservedNumbers + 2) * reservedNumbers
 		}
 	}
-	if err := w.begin(); err != nil {
-		if !passing(err) {
+	if err := w.beginSegment(); err != nil {
+		if !isTransient(err) {
 			return nil, err
 		}
-		w.fail(err, 0, 0)
+		w.handleFault(err, 0, 0)
 	}
 	go w.run()
 	return w, nil
 }
 
-// skipped is how many numbers of segments are left free, from one to two times.
-const skipped = 1000
+// reservedNumbers is how many numbers of segments are left free, from one to two times.
+const reservedNumbers = 1000
 
 // Segments are the files of a journal in their order.
 func Segments(dir string) ([]string, error) {
@@ -173,48 +173,48 @@
 }
 
 // RouterStarted says that a router starts: what follows is told to a new module.
-func (w *Writer) RouterStarted(l RouterStart) { w.put(item{life: &l}, nil) }
+func (w *Writer) RouterStarted(l RouterStart) { w.enqueue(item{start: &l}, nil) }
 
 // Handled records an event and its actions. It keeps neither.
-func (w *Writer) Handled(now float64, ev spool.Event, acts []spool.Action) {
-	switch e := ev.(type) { // their loads are used anew
+func (w *Writer) Handled(now float64, event spool.Event, actions []spool.Action) {
+	switch e := event.(type) { // their loads are used anew
 	case spool.Outcome:
 		if len(e.Load) > 0 {
 			e.Load = append([]float64(nil), e.Load...)
-			ev = e
+			event = e
 		}
 	case spool.Probed:
 		if len(e.Load) > 0 {
 			e.Load = append([]float64(nil), e.Load...)
-			ev = e
+			event = e
 		}
 	}
-	w.put(item{t: now, ev: ev}, acts)
+	w.enqueue(item{time: now, event: event}, actions)
 }
 
 // Settings records that the module was told other settings. text is called on the
 // writer's goroutine.
-func (w *Writer) Settings(now float64, number int64, text func() string, acts []spool.Action) {
-	w.put(item{t: now, other: &settings{Number: number}, text: text}, acts)
+func (w *Writer) Settings(now float64, version int64, text func() string, actions []spool.Action) {
+	w.enqueue(item{time: now, settings: &settings{Number: version}, text: text}, actions)
 }
 
-func (w *Writer) put(it item, acts []spool.Action) {
+func (w *Writer) enqueue(it item, actions []spool.Action) {
 	w.mu.Lock()
-	if len(w.in.items) >= w.o.Queue {
-		w.in.lost++
+	if len(w.pending.items) >= w.options.Queue {
+		w.pending.lost++
 		w.mu.Unlock()
 		w.lost.Add(1)
 		return
 	}
-	it.from = len(w.in.acts)
-	w.in.acts = append(w.in.acts, acts...)
-	it.to = len(w.in.acts)
-	w.in.items = append(w.in.items, it)
-	half := len(w.in.items) == w.o.Queue/4
+	it.firstAction = len(w.pending.actions)
+	w.pending.actions = append(w.pending.actions, actions...)
+	it.endAction = len(w.pending.actions)
+	w.pending.items = append(w.pending.items, it)
+	quarterFull := len(w.pending.items) == w.options.Queue/4
 	w.mu.Unlock()
-	if half {
+	if quarterFull {
 		select {
-		case w.full <- struct{}{}:
+		case w.wake <- struct{}{}:
 		default:
 		}
 	}
@@ -226,44 +226,44 @@
 // Close writes what waits, and ends.
 func (w *Writer) Close() error {
 	var err error
-	w.once.Do(func() {
+	w.closeOnce.Do(func() {
 		close(w.stop)
 		<-w.done
-		if w.f != nil {
-			err = w.f.Close()
+		if w.file != nil {
+			err = w.file.Close()
 		}
 	})
 	return err
 }
 
-const flushEvery = 50 * time.Millisecond
+const flushInterval = 50 * time.Millisecond
 
 func (w *Writer) run() {
 	defer close(w.done)
-	t := time.NewTicker(flushEvery)
+	t := time.NewTicker(flushInterval)
 	defer t.Stop()
 	var spare batch
 	for ending := false; !ending; {
 		select {
 		case <-t.C:
-		case <-w.full:
+		case <-w.wake:
 		case <-w.stop:
 			ending = true
 		}
 		w.mu.Lock()
-		b := w.in
-		w.in = batch{items: spare.items[:0], acts: spare.acts[:0]}
+		b := w.pending
+		w.pending = batch{items: spare.items[:0], actions: spare.actions[:0]}
 		w.mu.Unlock()
 		w.write(&b)
 		clear(b.items)
-		clear(b.acts)
+		clear(b.actions)
 		spare = b
 	}
 }
 
 const (
-	firstRetry = 250 * time.Millisecond // of a new segment after a fault
-	lastRetry  = 5 * time.Second
+	minBackoff = 250 * time.Millisecond // of a new segment after a fault
+	maxBackoff = 5 * time.Second
 )
 
 // write writes a batch; on a fault of the disk it is lost, and a new segment is
@@ -272,37 +272,37 @@
 	if len(b.items) == 0 && b.lost == 0 {
 		return
 	}
-	if w.f == nil && time.Now().Before(w.retry) {
-		w.miss(len(b.items), b.lost)
+	if w.file == nil && time.Now().Before(w.retryAt) {
+		w.countLost(len(b.items), b.lost)
 		return
 	}
 	written, err := w.writeBatch(b)
 	if err == nil {
-		w.wait = 0
+		w.backoff = 0
 		return
 	}
-	w.fail(err, len(b.items)-written, b.lost)
+	w.handleFault(err, len(b.items)-written, b.lost)
 }
 
-// fail counts what a fault of the disk costs, and has a new segment tried after a
+// handleFault counts what a fault of the disk costs, and has a new segment tried after a
 // while.
-func (w *Writer) fail(err error, records int, counted uint64) {
-	w.telling = 0
-	if w.missed == 0 {
-		w.o.Warn(fmt.Sprintf("journal: %v; records are lost until it can be written again", err))
-	}
-	w.miss(records, counted)
-	if w.f != nil {
-		w.f.Close()
-		w.f = nil
-	}
-	w.wait = min(max(2*w.wait, firstRetry), lastRetry)
-	w.retry = time.Now().Add(w.wait)
+func (w *Writer) handleFault(err error, records int, alreadyCounted uint64) {
+	w.reporting = 0
+	if w.unreported == 0 {
+		w.options.Warn(fmt.Sprintf("journal: %v; records are lost until it can be written again", err))
+	}
+	w.countLost(records, alreadyCounted)
+	if w.file != nil {
+		w.file.Close()
+		w.file = nil
+	}
+	w.backoff = min(max(2*w.backoff, minBackoff), maxBackoff)
+	w.retryAt = time.Now().Add(w.backoff)
 }
 
-// passing reports whether an error is one of the disk or the process, that may pass,
+// isTransient reports whether an error is one of the disk or the process, that may pass,
 // and not one of the folder's path.
-func passing(err error) bool {
+func isTransient(err error) bool {
 	for _, one := range []error{syscall.ENOSPC, syscall.EDQUOT, syscall.EIO, syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM} {
 		if errors.Is(err, one) {
 			return true
@@ -311,45 +311,45 @@
 	return false
 }
 
-// miss counts records that are lost, and others that had been counted already.
-func (w *Writer) miss(records int, counted uint64) {
-	w.missed += uint64(records) + counted
+// countLost counts records that are lost, and others that had been counted already.
+func (w *Writer) countLost(records int, alreadyCounted uint64) {
+	w.unreported += uint64(records) + alreadyCounted
 	w.lost.Add(uint64(records))
 }
 
 // writeBatch says how many of the batch's records are surely written.
 func (w *Writer) writeBatch(b *batch) (written int, err error) {
-	if w.f == nil {
-		if err := w.begin(); err != nil {
+	if w.file == nil {
+		if err := w.beginSegment(); err != nil {
 			return 0, err
 		}
 	}
 	w.buf = w.buf[:0]
-	if w.missed > 0 {
-		w.names.begin()
-		w.add(KindGap, w.missed)
-		w.telling = w.missed
+	if w.unreported > 0 {
+		w.table.beginRecord()
+		w.appendRecord(KindGap, w.unreported)
+		w.reporting = w.unreported
 	}
 	for i := range b.items {
-		if err := w.encode(&b.items[i], b.acts); err != nil { // nothing that it is told of is unknown to it
-			w.o.Warn(err.Error())
-			w.add(KindGap, uint64(1)) // with the strings that it has made known
+		if err := w.encode(&b.items[i], b.actions); err != nil { // nothing that it is told of is unknown to it
+			w.options.Warn(err.Error())
+			w.appendRecord(KindGap, uint64(1)) // with the strings that it has made known
 		}
-		if len(w.buf) >= 1<<20 || w.size+int64(len(w.buf)) >= w.o.SegmentBytes {
+		if len(w.buf) >= 1<<20 || w.currentSize+int64(len(w.buf)) >= w.options.SegmentBytes {
 			if err := w.flush(); err != nil {
 				return written, err
 			}
 			written = i + 1
-			if w.size >= w.o.SegmentBytes {
-				if err := w.next(); err != nil {
+			if w.currentSize >= w.options.SegmentBytes {
+				if err := w.rotate(); err != nil {
 					return written, err
 				}
 			}
 		}
 	}
 	if b.lost > 0 {
-		w.names.begin()
-		w.add(KindGap, b.lost)
+		w.table.beginRecord()
+		w.appendRecord(KindGap, b.lost)
 	}
 	return written, w.flush()
 }
@@ -358,49 +358,49 @@
 	if len(w.buf) == 0 {
 		return nil
 	}
-	n, err := w.f.Write(w.buf)
-	w.size += int64(n)
+	n, err := w.file.Write(w.buf)
+	w.currentSize += int64(n)
 	w.buf = w.buf[:0]
 	if err == nil {
-		w.missed -= w.telling
-		w.telling = 0
+		w.unreported -= w.reporting
+		w.reporting = 0
 	}
 	return err
 }
 
-func (w *Writer) encode(it *item, acts []spool.Action) error {
-	w.names.begin()
-	if it.life != nil {
-		return w.add(KindRouterStart, it.life)
+func (w *Writer) encode(it *item, actions []spool.Action) error {
+	w.table.beginRecord()
+	if it.start != nil {
+		return w.appendRecord(KindRouterStart, it.start)
 	}
-	list := make([]written, 0, it.to-it.from)
+	list := make([]written, 0, it.endAction-it.firstAction)
 	var ev written
-	if it.other == nil {
+	if it.settings == nil {
 		var err error
-		if ev, err = w.names.event(it.ev); err != nil {
+		if ev, err = w.table.encodeEvent(it.event); err != nil {
 			return err
 		}
 	}
-	for _, a := range acts[it.from:it.to] {
-		one, err := w.names.action(a)
+	for _, a := range actions[it.firstAction:it.endAction] {
+		one, err := w.table.encodeAction(a)
 		if err != nil {
 			return err
 		}
 		list = append(list, one)
 	}
-	if it.other != nil {
-		return w.add(KindSettings, &writtenSettings{T: it.t, Number: it.other.Number, Text: it.text(), Actions: list})
+	if it.settings != nil {
+		return w.appendRecord(KindSettings, &writtenSettings{T: it.time, Number: it.settings.Number, Text: it.text(), Actions: list})
 	}
-	return w.add(KindHandled, &writtenHandled{T: it.t, Event: ev, Actions: list})
+	return w.appendRecord(KindHandled, &writtenHandled{T: it.time, Event: ev, Actions: list})
 }
 
-// add appends a record to the buffer.
-func (w *Writer) add(k Kind, body any) error {
-	w.one.Reset()
-	if err := enc.MarshalToBuffer(&writtenRecord{Kind: k, Names: w.names.fresh, Body: body}, &w.one); err != nil {
+// appendRecord appends a record to the buffer.
+func (w *Writer) appendRecord(kind Kind, body any) error {
+	w.recordBuf.Reset()
+	if err := enc.MarshalToBuffer(&writtenRecord{Kind: kind, Names: w.table.added, Body: body}, &w.recordBuf); err != nil {
 		return fmt.Errorf("journal: %w", err)
 	}
-	out := w.one.Bytes()
+	out := w.recordBuf.Bytes()
 	w.buf = binary.LittleEndian.AppendUint32(w.buf, uint32(len(out)))
 	w.buf = binary.LittleEndian.AppendUint32(w.buf, crc32.Checksum(out, castagnoli))
 	w.buf = append(w.buf, out...)
@@ -408,56 +408,56 @@
 	return nil
 }
 
-// next ends a segment and begins another.
-func (w *Writer) next() error {
-	if err := w.f.Sync(); err != nil {
+// rotate ends a segment and begins another.
+func (w *Writer) rotate() error {
+	if err := w.file.Sync(); err != nil {
 		return err
 	}
-	if err := w.f.Close(); err != nil {
+	if err := w.file.Close(); err != nil {
 		return err
 	}
-	w.f = nil
-	return w.begin()
+	w.file = nil
+	return w.beginSegment()
 }
 
-// begin begins a segment, and removes the oldest past the bound.
-func (w *Writer) begin() error {
-	w.ended()
-	path := filepath.Join(w.dir, fmt.Sprintf(partOfName, w.index)+Extension)
-	f, err := w.o.Files.Create(path)
+// beginSegment begins a segment, and removes the oldest past the bound.
+func (w *Writer) beginSegment() error {
+	w.finishSegment()
+	path := filepath.Join(w.dir, fmt.Sprintf(segmentNameFormat, w.nextIndex)+Extension)
+	f, err := w.options.Files.Create(path)
 	if err != nil {
 		return fmt.Errorf("journal: %w", err)
 	}
-	w.names = names{}
-	w.names.begin()
-	keep := w.buf
+	w.table = stringTable{}
+	w.table.beginRecord()
+	unwritten := w.buf
 	w.buf = append([]byte(nil), fmt.Sprintf("%s%02d", magic, FormatVersion)...)
-	w.add(KindSegment, &segment{Index: w.index, First: w.records})
+	w.appendRecord(KindSegment, &segment{Index: w.nextIndex, First: w.records})
 	n, err := f.Write(w.buf)
-	w.buf = keep
+	w.buf = unwritten
 	if err != nil {
 		f.Close()
-		if w.o.Files.Remove(path) != nil {
-			w.index++ // it stands in the way, and is shorter than a segment's start
+		if w.options.Files.Remove(path) != nil {
+			w.nextIndex++ // it stands in the way, and is shorter than a segment's start
 		}
 		return fmt.Errorf("journal: %w", err)
 	}
-	w.f, w.size = f, int64(n)
-	w.index++
-	for len(w.old) > 0 && w.total > w.o.TotalBytes {
-		w.o.Files.Remove(w.old[0].path) // one that is gone already is no loss
-		w.total -= w.old[0].size
-		w.old = w.old[1:]
+	w.file, w.currentSize = f, int64(n)
+	w.nextIndex++
+	for len(w.finished) > 0 && w.finishedBytes > w.options.TotalBytes {
+		w.options.Files.Remove(w.finished[0].path) // one that is gone already is no loss
+		w.finishedBytes -= w.finished[0].size
+		w.finished = w.finished[1:]
 	}
-	w.path = path
+	w.currentPath = path
 	return nil
 }
 
-// ended books the segment that was written last.
-func (w *Writer) ended() {
-	if w.path != "" {
-		w.old = append(w.old, segmentFile{w.path, max(w.size, 1)})
-		w.total += max(w.size, 1)
-		w.path = ""
+// finishSegment books the segment that was written last.
+func (w *Writer) finishSegment() {
+	if w.currentPath != "" {
+		w.finished = append(w.finished, segmentFile{w.currentPath, max(w.currentSize, 1)})
+		w.finishedBytes += max(w.currentSize, 1)
+		w.currentPath = ""
 	}
 }
--- a/internal/decisionlog/replay/replay.go
+++ b/internal/decisionlog/replay/replay.go
@@ -17,14 +17,14 @@
 
 // Difference is where an answer is another than the recorded one.
 type Difference struct {
-	Segment string   `json:"segment"`
-	Offset  int64    `json:"offset"`
-	Number  int64    `json:"number"` // of the record
-	T       float64  `json:"t"`
-	Event   string   `json:"event"`
-	Was     []string `json:"was"`
-	Is      []string `json:"is"`
-	Before  []string `json:"before"` // the records before it, of the same request first
+	Segment  string   `json:"segment"`
+	Offset   int64    `json:"offset"`
+	Number   int64    `json:"number"` // of the record
+	T        float64  `json:"t"`
+	Event    string   `json:"event"`
+	Recorded []string `json:"was"`
+	Replayed []string `json:"is"`
+	Before   []string `json:"before"` // the records before it, of the same request first
 }
 
 // Report is what a replay found.
@@ -40,14 +40,14 @@
 	Lost       uint64      `json:"lost"`
 	Different  int64       `json:"different"`
 	First      *Difference `json:"first,omitempty"`
-	Cut        string      `json:"cut,omitempty"`
+	Truncation string      `json:"cut,omitempty"`
 	Unfinished int         `json:"unfinished"` // requests that had no final answer at the end of their life
 }
 
 // OK reports a replay that compared something and found no difference.
 func (r *Report) OK() bool { return r.Compared > 0 && r.Different == 0 }
 
-const around = 12 // records that are shown before a difference
+const precedingRecords = 12 // records that are shown before a difference
 
 // Watcher sees a replay as it goes. Its functions may be nil.
 type Watcher struct {
@@ -57,66 +57,66 @@
 }
 
 // Run replays a journal to its end, or until the watcher stops it.
-func Run(j *journal.Reader, w *Watcher) (*Report, error) {
-	if w == nil {
-		w = &Watcher{}
+func Run(reader *journal.Reader, watcher *Watcher) (*Report, error) {
+	if watcher == nil {
+		watcher = &Watcher{}
 	}
-	p := &player{rep: &Report{}, w: w}
+	p := &replayer{report: &Report{}, watcher: watcher}
 	for !p.stopped {
-		e, err := j.Next()
+		e, err := reader.Next()
 		if err == io.EOF {
-			p.endLife()
-			p.rep.Cut = j.Truncation()
-			return p.rep, nil
+			p.endRun()
+			p.report.Truncation = reader.Truncation()
+			return p.report, nil
 		}
 		if err != nil {
-			return p.rep, err
+			return p.report, err
 		}
-		if err := p.take(e); err != nil {
-			return p.rep, err
+		if err := p.process(e); err != nil {
+			return p.report, err
 		}
 	}
-	return p.rep, nil
+	return p.report, nil
 }
 
-type player struct {
-	rep  *Report
-	c    *engine.Core // nil: behind a gap, or before the first life
-	acts []spool.Action
-	last [around]*journal.Entry
-	n    int
-	open map[string]bool
+type replayer struct {
+	report      *Report
+	core        *engine.Core // nil: behind a gap, or before the first life
+	actions     []spool.Action
+	recent      [precedingRecords]*journal.Entry
+	recentCount int
+	unfinished  map[string]bool
 
-	w       *Watcher
+	watcher *Watcher
 	stopped bool
 }
 
-// take takes one record.
-func (p *player) take(e *journal.Entry) error {
-	p.rep.Records++
+// process takes one record.
+func (r *replayer) process(e *journal.Entry) error {
+	r.report.Records++
 	switch e.Kind {
 	case journal.KindRouterStart:
-		p.endLife()
-		p.rep.Runs++
+		r.endRun()
+		r.report.Runs++
 		s := &config.Settings{}
 		if err := config.Read("journal", e.RouterStart.Settings, s); err != nil {
-			return fmt.Errorf("replay: the settings of life %d (%s at byte %d): %w", p.rep.Runs, e.Segment, e.Offset, err)
+			return fmt.Errorf("replay: the settings of life %d (%s at byte %d): %w", r.report.Runs, e.Segment, e.Offset, err)
 		}
 		c, err := engine.New(s, e.RouterStart.Seed)
 		if err != nil {
-			return fmt.Errorf("replay: life %d: %w", p.rep.Runs, err)
+			return fmt.Errorf("replay: life %d: %w", r.report.Runs, err)
 		}
-		p.c, p.open = c, map[string]bool{}
-		if p.w.Life != nil {
-			p.w.Life(c, e.RouterStart)
+		r.core, r.unfinished = c, map[string]bool{}
+		if r.watcher.Life != nil {
+			r.watcher.Life(c, e.RouterStart)
 		}
 	case journal.KindGap:
-		p.rep.Gaps = append(p.rep.Gaps, e.Why)
-		p.rep.Lost += e.Lost
-		p.c = nil
+		r.report.Gaps = append(r.report.Gaps, e.Why)
+		r.report.Lost += e.Lost
+		r.core = nil
 	case journal.KindSettings:
-		if p.c == nil {
-			p.rep.Skipped++
+		if r.core == nil {
+			r.report.Skipped++
 			return nil
 		}
 		s := &config.Settings{}
@@ -124,80 +124,80 @@
 			return fmt.Errorf("replay: version %d (%s at byte %d): %w", e.Version, e.Segment, e.Offset, err)
 		}
 		var err error
-		if p.acts, err = p.c.ChangeSettings(e.T, s, p.acts[:0]); err != nil {
+		if r.actions, err = r.core.ChangeSettings(e.T, s, r.actions[:0]); err != nil {
 			return fmt.Errorf("replay: version %d: %w", e.Version, err)
 		}
-		p.compare(e, fmt.Sprintf("settings of version %d", e.Version))
+		r.compare(e, fmt.Sprintf("settings of version %d", e.Version))
 	case journal.KindHandled:
-		p.rep.Events++
-		p.rep.Actions += int64(len(e.Actions))
-		if p.c == nil {
-			p.rep.Skipped++
+		r.report.Events++
+		r.report.Actions += int64(len(e.Actions))
+		if r.core == nil {
+			r.report.Skipped++
 			return nil
 		}
 		switch ev := e.Event.(type) {
 		case spool.Request:
-			p.open[ev.ID] = true
+			r.unfinished[ev.ID] = true
 		case spool.Outcome:
 			if ev.Last {
-				delete(p.open, ev.ID)
+				delete(r.unfinished, ev.ID)
 			}
 		case spool.Gone:
-			delete(p.open, ev.ID)
+			delete(r.unfinished, ev.ID)
 		}
 		for _, a := range e.Actions {
 			switch a := a.(type) {
 			case spool.Refuse:
-				delete(p.open, a.ID)
+				delete(r.unfinished, a.ID)
 			case spool.Fail:
-				delete(p.open, a.ID)
+				delete(r.unfinished, a.ID)
 			}
 		}
-		if p.w.Before != nil && p.w.Before(e, p.c) {
-			p.stopped = true
+		if r.watcher.Before != nil && r.watcher.Before(e, r.core) {
+			r.stopped = true
 			return nil
 		}
-		p.acts = p.c.Handle(e.T, e.Event, p.acts[:0])
-		if p.w.After != nil {
-			p.w.After(e, p.c, p.acts)
+		r.actions = r.core.Handle(e.T, e.Event, r.actions[:0])
+		if r.watcher.After != nil {
+			r.watcher.After(e, r.core, r.actions)
 		}
-		p.compare(e, "")
+		r.compare(e, "")
 	}
 	return nil
 }
 
-func (p *player) endLife() {
-	p.rep.Unfinished += len(p.open)
-	p.open = nil
+func (r *replayer) endRun() {
+	r.report.Unfinished += len(r.unfinished)
+	r.unfinished = nil
 }
 
 // compare compares the present answer with the recorded one.
-func (p *player) compare(e *journal.Entry, what string) {
-	p.rep.Compared++
-	if len(p.acts) == 0 && len(e.Actions) == 0 || reflect.DeepEqual(p.acts, e.Actions) {
-		p.rep.Equal++
-		if p.rep.First == nil {
-			p.last[p.n%around] = e
-			p.n++
+func (r *replayer) compare(e *journal.Entry, description string) {
+	r.report.Compared++
+	if len(r.actions) == 0 && len(e.Actions) == 0 || reflect.DeepEqual(r.actions, e.Actions) {
+		r.report.Equal++
+		if r.report.First == nil {
+			r.recent[r.recentCount%precedingRecords] = e
+			r.recentCount++
 		}
 		return
 	}
-	p.rep.Different++
-	if p.rep.First != nil {
+	r.report.Different++
+	if r.report.First != nil {
 		return
 	}
-	d := &Difference{Segment: e.Segment, Offset: e.Offset, Number: e.Number, T: e.T, Event: text(e.Event, what),
-		Was: texts(e.Actions), Is: texts(p.acts)}
-	for i := max(0, p.n-around); i < p.n; i++ {
-		b := p.last[i%around]
-		d.Before = append(d.Before, fmt.Sprintf("%.3f %s -> %s", b.T, text(b.Event, ""), texts(b.Actions)))
+	d := &Difference{Segment: e.Segment, Offset: e.Offset, Number: e.Number, T: e.T, Event: eventText(e.Event, description),
+		Recorded: actionTexts(e.Actions), Replayed: actionTexts(r.actions)}
+	for i := max(0, r.recentCount-precedingRecords); i < r.recentCount; i++ {
+		b := r.recent[i%precedingRecords]
+		d.Before = append(d.Before, fmt.Sprintf("%.3f %s -> %s", b.T, eventText(b.Event, ""), actionTexts(b.Actions)))
 	}
-	p.rep.First = d
+	r.report.First = d
 }
 
-func text(ev spool.Event, what string) string {
-	if what != "" {
-		return what
+func eventText(ev spool.Event, description string) string {
+	if description != "" {
+		return description
 	}
 	if ev == nil {
 		return "settings"
@@ -205,12 +205,12 @@
 	return fmt.Sprintf("%T%+v", ev, ev)
 }
 
-func texts(acts []spool.Action) (out []string) {
+func actionTexts(acts []spool.Action) (out []string) {
 	for _, a := range acts {
 		out = append(out, fmt.Sprintf("%T%+v", a, a))
 	}
 	return out
 }
 
-// ErrNothing says that a journal held nothing to compare.
-var ErrNothing = errors.New("replay: the journal holds no life of a router from its start: there is nothing to compare")
+// ErrNothingToCompare says that a journal held nothing to compare.
+var ErrNothingToCompare = errors.New("replay: the journal holds no life of a router from its start: there is nothing to compare")
--- a/internal/decisionlog/replay/replay_test.go
+++ b/internal/decisionlog/replay/replay_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-func replayed(t testing.TB, dir string) *Report {
+func replayAll(t testing.TB, dir string) *Report {
 	j, err := journal.OpenReader(dir)
 	if err != nil {
 		t.Fatal(err)
@@ -109,10 +109,10 @@
 }
 
 // All answers come out equal, over restarts, segments and other settings.
-func TestEqual(t *testing.T) {
+func TestReplayIsEqual(t *testing.T) {
 	dir := t.TempDir()
 	record(t, dir, 3, 400, nil)
-	r := replayed(t, dir)
+	r := replayAll(t, dir)
 	if !r.OK() || r.Runs != 3 || r.Equal != r.Compared || r.Compared < 1500 || r.Actions < 1200 || r.Skipped > 0 {
 		t.Errorf("%+v", r)
 	}
@@ -131,9 +131,9 @@
 		}
 		return acts
 	})
-	r := replayed(t, dir)
-	if r.Different != 1 || r.First == nil || !strings.Contains(strings.Join(r.First.Was, " "), "planted") || len(r.First.Is) == 0 ||
-		len(r.First.Before) != around || r.First.Offset == 0 {
+	r := replayAll(t, dir)
+	if r.Different != 1 || r.First == nil || !strings.Contains(strings.Join(r.First.Recorded, " "), "planted") || len(r.First.Replayed) == 0 ||
+		len(r.First.Before) != precedingRecords || r.First.Offset == 0 {
 		t.Errorf("%+v, %+v", r, r.First)
 	}
 }
@@ -194,7 +194,7 @@
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if r := replayed(t, dir); !r.OK() || r.Compared != 19 || sent < 3 || r.Unfinished == 0 {
+	if r := replayAll(t, dir); !r.OK() || r.Compared != 19 || sent < 3 || r.Unfinished == 0 {
 		t.Errorf("%d sent, %+v", sent, r)
 	}
 }
@@ -214,7 +214,7 @@
 		w.Handled(2, spool.Gone{ID: "c"}, nil)
 	}
 	w.Close()
-	if r := replayed(t, dir); r.Unfinished != 2 || r.Runs != 2 {
+	if r := replayAll(t, dir); r.Unfinished != 2 || r.Runs != 2 {
 		t.Errorf("%+v", r)
 	}
 }
@@ -244,10 +244,10 @@
 	for _, ev := range c.Apply(1, engine.UpdateFromSettings(s)).Events {
 		c.Handle(1, ev, nil)
 	}
-	long, size, events := strings.Repeat("a-long-path/", 60), 0, int64(1)
+	longPath, size, events := strings.Repeat("a-long-path/", 60), 0, int64(1)
 	for i := 0; size < mb<<20; i++ {
 		now := 1 + float64(i)*0.9
-		q := spool.Request{ID: fmt.Sprint("request-", i), Class: "still", Object: fmt.Sprint("/s/", long, i), Deadline: now + 900}
+		q := spool.Request{ID: fmt.Sprint("request-", i), Class: "still", Object: fmt.Sprint("/s/", longPath, i), Deadline: now + 900}
 		for _, a := range c.Handle(now, q, nil) {
 			if send, ok := a.(spool.Send); ok {
 				c.Handle(now, spool.Outcome{ID: q.ID, Cache: send.Cache, Result: spool.OK, Last: true, Took: 0.3}, nil)
@@ -280,23 +280,23 @@
 		t.Fatal(err)
 	}
 	defer j.Close()
-	var most uint64
+	var maxHeap uint64
 	n := 0
 	began := time.Now()
 	r, err := Run(j, &Watcher{Before: func(*journal.Entry, *engine.Core) bool {
 		if n++; n%10000 == 0 {
 			var m runtime.MemStats
 			runtime.ReadMemStats(&m)
-			most = max(most, m.HeapAlloc)
+			maxHeap = max(maxHeap, m.HeapAlloc)
 		}
 		return false
 	}})
 	if err != nil || !r.OK() || r.Events != events {
 		t.Fatalf("%v: %+v, want %d events", err, r, events)
 	}
-	t.Logf("%.0f MB in %d segments, %d events in %.1f s, heap at most %.1f MB", float64(written)/(1<<20), len(list), r.Events, time.Since(began).Seconds(), float64(most)/(1<<20))
-	if written < int64(mb)<<19 || most > 192<<20 {
-		t.Errorf("%d bytes were replayed with a heap of %d", written, most)
+	t.Logf("%.0f MB in %d segments, %d events in %.1f s, heap at most %.1f MB", float64(written)/(1<<20), len(list), r.Events, time.Since(began).Seconds(), float64(maxHeap)/(1<<20))
+	if written < int64(mb)<<19 || maxHeap > 192<<20 {
+		t.Errorf("%d bytes were replayed with a heap of %d", written, maxHeap)
 	}
 }
 
@@ -312,7 +312,7 @@
 			dir := b.TempDir()
 			record(b, dir, 1, requests, nil)
 			var events, n int64
-			var most uint64
+			var maxHeap uint64
 			for b.Loop() {
 				j, err := journal.OpenReader(dir)
 				if err != nil {
@@ -322,7 +322,7 @@
 					if n++; n%20000 == 0 {
 						var m runtime.MemStats
 						runtime.ReadMemStats(&m)
-						most = max(most, m.HeapAlloc)
+						maxHeap = max(maxHeap, m.HeapAlloc)
 					}
 					return false
 				}})
@@ -334,7 +334,7 @@
 			}
 			b.ReportMetric(float64(events)/b.Elapsed().Seconds(), "events/s")
 			b.ReportMetric(float64(events)/float64(b.N), "events")
-			b.ReportMetric(float64(most)/(1<<20), "heap-MB")
+			b.ReportMetric(float64(maxHeap)/(1<<20), "heap-MB")
 		})
 	}
 }
--- a/internal/decisionlog/whatif/boxes.go
+++ b/internal/decisionlog/whatif/boxes.go
@@ -12,12 +12,12 @@
 // ms, sizes in KB, rates in KB a ms.
 type CacheModelOptions struct {
 	TransferRate   float64 // of one transfer to a client; default 4
-	FillFlow       float64 // of a fill; default three times that
+	FillRate       float64 // of a fill; default three times that
 	Capacity       float64 // transfers at once of a member whose (size) is no capacity; default 50
 	SizeIsCapacity bool    // (size) of members is their capacity
-	Bytes          int64   // of a cache's store; default 64 GB
-	Latency        float64 // of a source before its answer; default 20
-	Look           float64 // of a miss; default 1
+	StoreBytes     int64   // of a cache's store; default 64 GB
+	SourceLatency  float64 // of a source before its answer; default 20
+	MissLatency    float64 // of a miss; default 1
 
 	WarmUpInitialShare, WarmUpTime, OverloadFactor                   float64
 	ParentWarmUpInitialShare, ParentWarmUpTime, ParentOverloadFactor float64
@@ -25,20 +25,20 @@
 	ParentKind, OriginKind                                           string
 }
 
-func (o *CacheModelOptions) fill() {
+func (o *CacheModelOptions) setDefaults() {
 	for _, d := range []struct {
 		v *float64
 		x float64
-	}{{&o.TransferRate, 4}, {&o.Capacity, 50}, {&o.Latency, 20}, {&o.Look, 1}, {&o.OverloadTime, 3000}} {
+	}{{&o.TransferRate, 4}, {&o.Capacity, 50}, {&o.SourceLatency, 20}, {&o.MissLatency, 1}, {&o.OverloadTime, 3000}} {
 		if *d.v <= 0 {
 			*d.v = d.x
 		}
 	}
-	if o.FillFlow <= 0 {
-		o.FillFlow = 3 * o.TransferRate
+	if o.FillRate <= 0 {
+		o.FillRate = 3 * o.TransferRate
 	}
-	if o.Bytes <= 0 {
-		o.Bytes = 64 << 30
+	if o.StoreBytes <= 0 {
+		o.StoreBytes = 64 << 30
 	}
 }
 
@@ -46,8 +46,8 @@
 // A member's sending time is its load; one that is given more transfers than it has
 // places for sends each the slower. A source that has fallen over answers nothing.
 type CacheModels struct {
-	o       CacheModelOptions
-	m       map[string]*machine
+	options CacheModelOptions
+	members map[string]*memberModel
 	OnUsage func(member string, second int, s *Usage)
 }
 
@@ -60,131 +60,131 @@
 	KB             float64
 }
 
-type machine struct {
-	id     string
-	role   string // box, parent or origin
-	listed spool.Member
-	box    *httpcache.Cache
-	cap    float64
-	busy   int // transfers under way
-	second int
-	spent  Usage
-	Fell   float64 // when it fell over; 0: it did not
+type memberModel struct {
+	id        string
+	role      string // box, parent or origin
+	listed    spool.Member
+	cache     *httpcache.Cache
+	capacity  float64
+	transfers int // transfers under way
+	second    int
+	usage     Usage
+	failedAt  float64 // when it fell over; 0: it did not
 }
 
 // NewCacheModels makes a World without members: they come with the news.
-func NewCacheModels(o CacheModelOptions) *CacheModels {
-	o.fill()
-	return &CacheModels{o: o, m: map[string]*machine{}}
+func NewCacheModels(options CacheModelOptions) *CacheModels {
+	options.setDefaults()
+	return &CacheModels{options: options, members: map[string]*memberModel{}}
 }
 
-// News starts members, and has them heed purges. All routers tell it: what is
+// Update starts members, and has them heed purges. All routers tell it: what is
 // known already changes nothing.
-func (w *CacheModels) News(now float64, ev spool.Event) {
+func (w *CacheModels) Update(now float64, ev spool.Event) {
 	switch ev := ev.(type) {
 	case spool.Members:
 		for _, r := range ev.Rows {
-			m := w.m[r.ID]
+			m := w.members[r.ID]
 			if m != nil && (math.Abs(m.listed.ReadyAt-r.ReadyAt) < 1 || r.ReadyAt <= 0 || r.State != spool.Serving) { // each router works out its own
 				m.listed.State = r.State
 				continue
 			}
-			w.m[r.ID] = w.start(now, r)
+			w.members[r.ID] = w.newMember(now, r)
 		}
 	case spool.Purge:
-		for _, m := range w.m {
-			m.box.Purge(ev.Object, ev.Group, now-ev.Age)
+		for _, m := range w.members {
+			m.cache.Purge(ev.Object, ev.Group, now-ev.Age)
 		}
 	}
 }
 
-func (w *CacheModels) start(now float64, r spool.Member) *machine {
-	m := &machine{id: r.ID, role: "box", listed: r, cap: w.o.Capacity, second: int(now / 1000)}
-	if w.o.SizeIsCapacity && r.Size > 0 {
-		m.cap = r.Size
+func (w *CacheModels) newMember(now float64, r spool.Member) *memberModel {
+	m := &memberModel{id: r.ID, role: "box", listed: r, capacity: w.options.Capacity, second: int(now / 1000)}
+	if w.options.SizeIsCapacity && r.Size > 0 {
+		m.capacity = r.Size
 	}
-	s := httpcache.Settings{Name: r.ID, Bytes: w.o.Bytes, Capacity: m.cap, WarmUpInitialShare: w.o.WarmUpInitialShare, WarmUpTime: w.o.WarmUpTime,
-		OverloadFactor: w.o.OverloadFactor, OverloadTime: w.o.OverloadTime}
+	s := httpcache.Settings{Name: r.ID, Bytes: w.options.StoreBytes, Capacity: m.capacity, WarmUpInitialShare: w.options.WarmUpInitialShare, WarmUpTime: w.options.WarmUpTime,
+		OverloadFactor: w.options.OverloadFactor, OverloadTime: w.options.OverloadTime}
 	switch {
-	case r.Kind == w.o.ParentKind && r.Kind != "":
-		m.role, s.WarmUpInitialShare, s.WarmUpTime, s.OverloadFactor = "parent", w.o.ParentWarmUpInitialShare, w.o.ParentWarmUpTime, w.o.ParentOverloadFactor
-	case r.Kind == w.o.OriginKind && r.Kind != "":
+	case r.Kind == w.options.ParentKind && r.Kind != "":
+		m.role, s.WarmUpInitialShare, s.WarmUpTime, s.OverloadFactor = "parent", w.options.ParentWarmUpInitialShare, w.options.ParentWarmUpTime, w.options.ParentOverloadFactor
+	case r.Kind == w.options.OriginKind && r.Kind != "":
 		m.role = "origin"
 	}
-	m.box = httpcache.New(s, max(r.ReadyAt, 1e-6), r.ReadyAt <= 0)
+	m.cache = httpcache.New(s, max(r.ReadyAt, 1e-6), r.ReadyAt <= 0)
 	return m
 }
 
 // Attempt answers from the copy that is held, fills it, or misses.
 func (w *CacheModels) Attempt(now float64, q *spool.Request, _ int, s *spool.Send) Answer {
-	m := w.m[s.Cache]
+	m := w.members[s.Cache]
 	if m == nil {
-		return Answer{Result: spool.ConnectFailed, Took: w.o.Look}
+		return Answer{Result: spool.ConnectFailed, Took: w.options.MissLatency}
 	}
 	kb := max(q.KB, 0.001)
-	if w.load(now, m, kb/w.o.TransferRate, kb, false) {
-		return Answer{Result: spool.Reset, Took: w.o.Look}
+	if w.addLoad(now, m, kb/w.options.TransferRate, kb, false) {
+		return Answer{Result: spool.Reset, Took: w.options.MissLatency}
 	}
-	took := kb / w.o.TransferRate * m.crowd(now)
+	took := kb / w.options.TransferRate * m.slowdown(now)
 	if m.role == "origin" || q.Write {
-		return Answer{Result: spool.OK, Begins: w.o.Latency, Took: w.o.Latency + took}
+		return Answer{Result: spool.OK, FirstByte: w.options.SourceLatency, Took: w.options.SourceLatency + took}
 	}
 	key := keyOf(q)
-	if m.box.Lookup(now, key, s.Age, s.Keep) != nil {
-		m.busy++
-		return Answer{Result: spool.OK, Note: spool.NoteHit, Begins: w.o.Look, Took: w.o.Look + took}
+	if m.cache.Lookup(now, key, s.Age, s.Keep) != nil {
+		m.transfers++
+		return Answer{Result: spool.OK, Note: spool.NoteHit, FirstByte: w.options.MissLatency, Took: w.options.MissLatency + took}
 	}
 	if s.Source == s.Cache {
-		return Answer{Result: spool.Miss, Took: w.o.Look}
+		return Answer{Result: spool.Miss, Took: w.options.MissLatency}
 	}
-	src := w.m[s.Source]
-	if src == nil || src.Fell > 0 {
-		return Answer{Result: spool.Rejected, Note: spool.NoteSourceUnreachable, Took: w.o.Look}
+	src := w.members[s.Source]
+	if src == nil || src.failedAt > 0 {
+		return Answer{Result: spool.Rejected, Note: spool.NoteSourceUnreachable, Took: w.options.MissLatency}
 	}
-	begins, note := w.o.Latency, spool.NoteFilled
+	begins, note := w.options.SourceLatency, spool.NoteFilled
 	switch {
-	case src.box.Lookup(now, key, s.Age, 0) != nil:
+	case src.cache.Lookup(now, key, s.Age, 0) != nil:
 	case s.Held:
-		return Answer{Result: spool.Rejected, Note: spool.NoteSourceMiss, Took: 2 * w.o.Look}
+		return Answer{Result: spool.Rejected, Note: spool.NoteSourceMiss, Took: 2 * w.options.MissLatency}
 	case src.role == "parent": // it fetches it from the origin first
-		begins += w.o.Latency
-		w.keep(now, src, q, 1)
+		begins += w.options.SourceLatency
+		w.store(now, src, q, 1)
 	case src.role == "origin":
 		note = spool.NoteFilledByOrigin
 	}
-	if w.load(now, src, kb/w.o.TransferRate, kb, true) {
-		return Answer{Result: spool.Rejected, Note: spool.NoteSourceUnreachable, Took: w.o.Look}
+	if w.addLoad(now, src, kb/w.options.TransferRate, kb, true) {
+		return Answer{Result: spool.Rejected, Note: spool.NoteSourceUnreachable, Took: w.options.MissLatency}
 	}
-	m.busy++
-	src.busy++
-	return Answer{Result: spool.OK, Note: note, Begins: begins, Took: begins + max(took, kb/w.o.FillFlow*src.crowd(now))}
+	m.transfers++
+	src.transfers++
+	return Answer{Result: spool.OK, Note: note, FirstByte: begins, Took: begins + max(took, kb/w.options.FillRate*src.slowdown(now))}
 }
 
-// Ended frees what an attempt took, and keeps what a fill has brought.
-func (w *CacheModels) Ended(now float64, q *spool.Request, s *spool.Send, a *Answer, result spool.Result) {
+// AttemptEnded frees what an attempt took, and keeps what a fill has brought.
+func (w *CacheModels) AttemptEnded(now float64, q *spool.Request, s *spool.Send, a *Answer, result spool.Result) {
 	if a.Result != spool.OK {
 		return
 	}
-	m, src := w.m[s.Cache], w.m[s.Source]
+	m, src := w.members[s.Cache], w.members[s.Source]
 	if m == nil || m.role == "origin" || q.Write {
 		return
 	}
-	m.busy = max(m.busy-1, 0)
+	m.transfers = max(m.transfers-1, 0)
 	if a.Note == spool.NoteHit || src == nil || src == m {
 		return
 	}
-	src.busy = max(src.busy-1, 0)
+	src.transfers = max(src.transfers-1, 0)
 	if result == spool.OK && s.Keep > 0 {
-		w.keep(now, m, q, s.Keep)
+		w.store(now, m, q, s.Keep)
 	}
 }
 
-func (w *CacheModels) keep(now float64, m *machine, q *spool.Request, rank int) {
-	f := m.box.BeginFill(now, keyOf(q))
+func (w *CacheModels) store(now float64, m *memberModel, q *spool.Request, rank int) {
+	f := m.cache.BeginFill(now, keyOf(q))
 	if f == nil {
 		return
 	}
-	m.box.EndFill(now, f, &httpcache.Copy{Key: f.Key, Object: q.Object, Group: q.Group, Bytes: int64(q.KB*1024) + 1, Rank: rank, Version: 1, GeneratedAt: now})
+	m.cache.EndFill(now, f, &httpcache.Copy{Key: f.Key, Object: q.Object, Group: q.Group, Bytes: int64(q.KB*1024) + 1, Rank: rank, Version: 1, GeneratedAt: now})
 }
 
 func keyOf(q *spool.Request) string {
@@ -194,52 +194,52 @@
 	return q.Object + "/" + strconv.Itoa(q.Part)
 }
 
-// crowd is how many times as long a transfer takes.
-func (m *machine) crowd(now float64) float64 {
-	return max(float64(m.busy+1)/max(m.box.Capacity(now), 0.01), 1)
+// slowdown is how many times as long a transfer takes.
+func (m *memberModel) slowdown(now float64) float64 {
+	return max(float64(m.transfers+1)/max(m.cache.Capacity(now), 0.01), 1)
 }
 
-// load books sending time; it reports whether the member is down, having been
+// addLoad books sending time; it reports whether the member is down, having been
 // given more than it bears while it is cold.
-func (w *CacheModels) load(now float64, m *machine, work, kb float64, source bool) (down bool) {
-	w.flush(now, m)
-	m.spent.SendMillis += work
-	m.spent.KB += kb
-	if m.spent.Attempts++; source {
-		m.spent.Fills++
-	}
-	if m.Fell > 0 {
+func (w *CacheModels) addLoad(now float64, m *memberModel, work, kb float64, source bool) (down bool) {
+	w.reportUsage(now, m)
+	m.usage.SendMillis += work
+	m.usage.KB += kb
+	if m.usage.Attempts++; source {
+		m.usage.Fills++
+	}
+	if m.failedAt > 0 {
 		return true
 	}
-	if m.box.RecordAttempt(now, work) {
-		m.Fell = now
+	if m.cache.RecordAttempt(now, work) {
+		m.failedAt = now
 		return true
 	}
 	return false
 }
 
-// flush tells of the seconds that have passed.
-func (w *CacheModels) flush(now float64, m *machine) {
+// reportUsage tells of the seconds that have passed.
+func (w *CacheModels) reportUsage(now float64, m *memberModel) {
 	if sec := int(now / 1000); sec > m.second {
 		if w.OnUsage != nil {
-			m.spent.CapacityMillis = m.box.Capacity(float64(m.second+1)*1000) * 1000
-			w.OnUsage(m.id, m.second, &m.spent)
+			m.usage.CapacityMillis = m.cache.Capacity(float64(m.second+1)*1000) * 1000
+			w.OnUsage(m.id, m.second, &m.usage)
 		}
-		m.second, m.spent = sec, Usage{}
+		m.second, m.usage = sec, Usage{}
 	}
 }
 
 // Finish tells of the last seconds.
 func (w *CacheModels) Finish(now float64) {
-	for _, m := range w.m {
-		w.flush(now+1000, m)
+	for _, m := range w.members {
+		w.reportUsage(now+1000, m)
 	}
 }
 
 // FailedAt is when a member fell over; 0: it did not.
 func (w *CacheModels) FailedAt(id string) float64 {
-	if m := w.m[id]; m != nil {
-		return m.Fell
+	if m := w.members[id]; m != nil {
+		return m.failedAt
 	}
 	return 0
 }
--- a/internal/decisionlog/whatif/recorded.go
+++ b/internal/decisionlog/whatif/recorded.go
@@ -8,45 +8,45 @@
 	spool "indigospool"
 )
 
-// kind is what an attempt was for, as far as its outcome depends on it.
-type kind uint8
+// attemptKind is what an attempt was for, as far as its outcome depends on it.
+type attemptKind uint8
 
 const (
-	looked kind = iota // the cache was asked for what it holds
-	nearby             // it was to fill it from another cache, if that holds it
-	filled             // it was to fill it from a parent or the origin
+	lookup     attemptKind = iota // the cache was asked for what it holds
+	fillIfHeld                    // it was to fill it from another cache, if that holds it
+	fill                          // it was to fill it from a parent or the origin
 )
 
-func kindOf(s *spool.Send) kind {
+func kindOf(s *spool.Send) attemptKind {
 	switch {
 	case s.Source == s.Cache:
-		return looked
+		return lookup
 	case s.Held:
-		return nearby
+		return fillIfHeld
 	}
-	return filled
+	return fill
 }
 
 // sample is one recorded attempt.
 type sample struct {
-	at     float64 // when it was sent
-	begins float64 // 0: its answer never began
-	took   float64
-	result spool.Result
-	note   spool.Note
-	load   []float64
+	sentAt    float64 // when it was sent
+	firstByte float64 // 0: its answer never began
+	took      float64
+	result    spool.Result
+	note      spool.Note
+	load      []float64
 }
 
-// outside reports whether the outcome is a fault that depends on the moment, and
+// isTransientFault reports whether the outcome is a fault that depends on the moment, and
 // not on what the cache held.
-func (s *sample) outside() bool {
+func (s *sample) isTransientFault() bool {
 	switch s.result {
 	case spool.Errored, spool.TimedOut, spool.ConnectFailed, spool.Reset:
 		return true
 	case spool.Rejected:
 		return s.note != spool.NoteSourceMiss
 	case spool.Cancelled:
-		return s.begins == 0
+		return s.firstByte == 0
 	}
 	return false
 }
@@ -55,7 +55,7 @@
 type pool []sample
 
 func (p pool) sort() {
-	slices.SortStableFunc(p, func(a, b sample) int { return cmp.Compare(a.at, b.at) })
+	slices.SortStableFunc(p, func(a, b sample) int { return cmp.Compare(a.sentAt, b.sentAt) })
 }
 
 // nearest is the sample that was sent nearest to a time; nil of none.
@@ -63,8 +63,8 @@
 	if len(p) == 0 {
 		return nil
 	}
-	i := sort.Search(len(p), func(i int) bool { return p[i].at >= t })
-	if i == len(p) || i > 0 && t-p[i-1].at < p[i].at-t {
+	i := sort.Search(len(p), func(i int) bool { return p[i].sentAt >= t })
+	if i == len(p) || i > 0 && t-p[i-1].sentAt < p[i].sentAt-t {
 		i--
 	}
 	return &p[i]
@@ -73,7 +73,7 @@
 // poolKey names samples that are alike. An empty member, source or class stands for any.
 type poolKey struct {
 	member, source, class string
-	kind                  kind
+	kind                  attemptKind
 	hit                   bool // of a look or a fill from near: it was held
 }
 
@@ -83,15 +83,15 @@
 	part          int
 }
 
-// Model is what a journal tells of a router's members over one life: how each
+// AttemptHistory is what a journal tells of a router's members over one life: how each
 // dealt with each attempt, and what it held. It is complete once its life was read.
-type Model struct {
-	pools map[poolKey]pool
-	all   map[string]pool           // of a member, of all kinds
-	first map[copyKey]bool          // whether the first look found it
-	open  map[attemptKey]*recording // under way while the journal is read
-	Tries int64
-	Looks int64
+type AttemptHistory struct {
+	pools        map[poolKey]pool
+	byMember     map[string]pool             // of a member, of all kinds
+	firstLookup  map[copyKey]bool            // whether the first look found it
+	openAttempts map[attemptKey]*openAttempt // under way while the journal is read
+	Attempts     int64
+	Lookups      int64
 }
 
 type attemptKey struct {
@@ -99,77 +99,77 @@
 	n  int
 }
 
-// recording is an attempt whose outcome is to come.
-type recording struct {
-	send   spool.Send
-	class  string
-	object string
-	part   int
-	at     float64
-	begins float64
+// openAttempt is an attempt whose outcome is to come.
+type openAttempt struct {
+	send      spool.Send
+	class     string
+	object    string
+	part      int
+	sentAt    float64
+	firstByte float64
 }
 
 // maxSamples bounds a model's memory: of each pool past it, every other sample goes.
 const maxSamples = 1 << 16
 
-func newModel() *Model {
-	return &Model{pools: map[poolKey]pool{}, all: map[string]pool{}, first: map[copyKey]bool{}, open: map[attemptKey]*recording{}}
+func newAttemptHistory() *AttemptHistory {
+	return &AttemptHistory{pools: map[poolKey]pool{}, byMember: map[string]pool{}, firstLookup: map[copyKey]bool{}, openAttempts: map[attemptKey]*openAttempt{}}
 }
 
 // sent hears of a recorded attempt.
-func (m *Model) sent(t float64, q *spool.Request, n int, s *spool.Send) {
-	m.open[attemptKey{s.ID, n}] = &recording{send: *s, class: q.Class, object: q.Object, part: q.Part, at: t}
+func (m *AttemptHistory) sent(t float64, q *spool.Request, n int, s *spool.Send) {
+	m.openAttempts[attemptKey{s.ID, n}] = &openAttempt{send: *s, class: q.Class, object: q.Object, part: q.Part, sentAt: t}
 }
 
-func (m *Model) started(t float64, id string, n int) {
-	if r := m.open[attemptKey{id, n}]; r != nil {
-		r.begins = max(t-r.at, 0.001)
+func (m *AttemptHistory) started(t float64, id string, n int) {
+	if r := m.openAttempts[attemptKey{id, n}]; r != nil {
+		r.firstByte = max(t-r.sentAt, 0.001)
 	}
 }
 
 // ended hears of a recorded outcome.
-func (m *Model) ended(ev *spool.Outcome) {
+func (m *AttemptHistory) ended(ev *spool.Outcome) {
 	k := attemptKey{ev.ID, ev.Attempt}
-	r := m.open[k]
+	r := m.openAttempts[k]
 	if r == nil {
 		return
 	}
-	delete(m.open, k)
-	m.Tries++
-	one := sample{at: r.at, begins: r.begins, took: ev.Took, result: ev.Result, note: ev.Note}
+	delete(m.openAttempts, k)
+	m.Attempts++
+	one := sample{sentAt: r.sentAt, firstByte: r.firstByte, took: ev.Took, result: ev.Result, note: ev.Note}
 	if len(ev.Load) > 0 {
 		one.load = append([]float64(nil), ev.Load...)
 	}
 	if ev.Result == spool.NotSent || ev.Result == spool.LocalFailure { // it never went anywhere
 		return
 	}
-	add(m.all, r.send.Cache, one)
-	what := kindOf(&r.send)
-	if what != filled {
-		m.Looks++
+	addSample(m.byMember, r.send.Cache, one)
+	kind := kindOf(&r.send)
+	if kind != fill {
+		m.Lookups++
 	}
 	hit := ev.Result == spool.OK
-	if !hit && ev.Result != spool.Miss && !(what == nearby && ev.Note == spool.NoteSourceMiss) {
+	if !hit && ev.Result != spool.Miss && !(kind == fillIfHeld && ev.Note == spool.NoteSourceMiss) {
 		return // a fault of the moment, or called back: it tells nothing of what was held
 	}
-	if what == looked {
+	if kind == lookup {
 		c := copyKey{r.send.Cache, r.object, r.part}
-		if _, seen := m.first[c]; !seen {
-			m.first[c] = hit
+		if _, seen := m.firstLookup[c]; !seen {
+			m.firstLookup[c] = hit
 		}
 	}
 	for _, k := range []poolKey{
-		{r.send.Cache, r.send.Source, r.class, what, hit},
-		{r.send.Cache, "", r.class, what, hit},
-		{"", "", r.class, what, hit},
-		{"", "", "", what, hit},
+		{r.send.Cache, r.send.Source, r.class, kind, hit},
+		{r.send.Cache, "", r.class, kind, hit},
+		{"", "", r.class, kind, hit},
+		{"", "", "", kind, hit},
 	} {
-		add(m.pools, k, one)
+		addSample(m.pools, k, one)
 	}
 }
 
-func add[K comparable](pools map[K]pool, k K, one sample) {
-	p := append(pools[k], one)
+func addSample[K comparable](pools map[K]pool, k K, s sample) {
+	p := append(pools[k], s)
 	if len(p) > maxSamples {
 		for i := 0; i < len(p)/2; i++ {
 			p[i] = p[2*i]
@@ -179,21 +179,21 @@
 	pools[k] = p
 }
 
-// done ends the learning.
-func (m *Model) done() {
+// finish ends the learning.
+func (m *AttemptHistory) finish() {
 	for _, p := range m.pools {
 		p.sort()
 	}
-	for _, p := range m.all {
+	for _, p := range m.byMember {
 		p.sort()
 	}
-	m.open = nil
+	m.openAttempts = nil
 }
 
-// find is the sample most like what is asked for: of the same cache, source and
+// match is the sample most like what is asked for: of the same cache, source and
 // class where there is one, else of the same cache, of the class, or of any.
-func (m *Model) find(t float64, s *spool.Send, class string, what kind, hit bool) *sample {
-	for _, k := range []poolKey{{s.Cache, s.Source, class, what, hit}, {s.Cache, "", class, what, hit}, {"", "", class, what, hit}, {"", "", "", what, hit}} {
+func (m *AttemptHistory) match(t float64, s *spool.Send, class string, kind attemptKind, hit bool) *sample {
+	for _, k := range []poolKey{{s.Cache, s.Source, class, kind, hit}, {s.Cache, "", class, kind, hit}, {"", "", class, kind, hit}, {"", "", "", kind, hit}} {
 		if one := m.pools[k].nearest(t); one != nil {
 			return one
 		}
@@ -201,86 +201,86 @@
 	return nil
 }
 
-// Recorded is a World that answers as a model's members did: what a cache holds
+// RecordedMembers is a World that answers as a model's members did: what a cache holds
 // follows from what it was first found to hold and from the fills of this run;
 // how long an answer takes, and whether it is a fault, is taken from the recorded
 // attempt nearest in time that is most like it. Members neither tire of more load
 // nor forget copies for want of room.
-type Recorded struct {
-	m     *Model
-	slow  map[string]float64
-	born  map[copyKey]float64 // of copies that this run has made
-	voids map[string]float64  // when objects were purged
-	group map[int]float64
-	wiped map[string]float64 // when caches came back empty
-	ready map[string]float64
+type RecordedMembers struct {
+	history      *AttemptHistory
+	slowdown     map[string]float64
+	createdAt    map[copyKey]float64 // of copies that this run has made
+	objectPurges map[string]float64  // when objects were purged
+	groupPurges  map[int]float64
+	emptiedAt    map[string]float64 // when caches came back empty
+	readyAt      map[string]float64
 }
 
-// World begins a run before the model's members; slow has how many times as long
+// Members begins a run before the model's members; slow has how many times as long
 // members take.
-func (m *Model) World(slow map[string]float64) *Recorded {
-	return &Recorded{m: m, slow: slow, born: map[copyKey]float64{}, voids: map[string]float64{}, group: map[int]float64{},
-		wiped: map[string]float64{}, ready: map[string]float64{}}
+func (m *AttemptHistory) Members(slowdown map[string]float64) *RecordedMembers {
+	return &RecordedMembers{history: m, slowdown: slowdown, createdAt: map[copyKey]float64{}, objectPurges: map[string]float64{}, groupPurges: map[int]float64{},
+		emptiedAt: map[string]float64{}, readyAt: map[string]float64{}}
 }
 
-// News follows starts and purges.
-func (w *Recorded) News(now float64, ev spool.Event) {
+// Update follows starts and purges.
+func (w *RecordedMembers) Update(now float64, ev spool.Event) {
 	switch ev := ev.(type) {
 	case spool.Members:
 		for _, r := range ev.Rows {
-			if was, known := w.ready[r.ID]; known && r.ReadyAt != was && r.State == spool.Serving {
-				w.wiped[r.ID] = now
+			if was, known := w.readyAt[r.ID]; known && r.ReadyAt != was && r.State == spool.Serving {
+				w.emptiedAt[r.ID] = now
 			}
-			w.ready[r.ID] = r.ReadyAt
+			w.readyAt[r.ID] = r.ReadyAt
 		}
 	case spool.Purge:
 		if ev.Object != "" {
-			w.voids[ev.Object] = max(w.voids[ev.Object], now-ev.Age)
+			w.objectPurges[ev.Object] = max(w.objectPurges[ev.Object], now-ev.Age)
 		} else {
-			w.group[ev.Group] = max(w.group[ev.Group], now-ev.Age)
+			w.groupPurges[ev.Group] = max(w.groupPurges[ev.Group], now-ev.Age)
 		}
 	}
 }
 
-const atFirst = -1e12 // when copies were born that a cache held from the beginning
+const beforeRun = -1e12 // when copies were born that a cache held from the beginning
 
 // holds reports whether a cache has a copy of at most an age.
-func (w *Recorded) holds(now float64, cache string, q *spool.Request, age float64) bool {
+func (w *RecordedMembers) holds(now float64, cache string, q *spool.Request, age float64) bool {
 	k := copyKey{cache, q.Object, q.Part}
-	born, ok := w.born[k]
-	if !ok && w.m.first[k] {
-		born, ok = atFirst, true
+	born, ok := w.createdAt[k]
+	if !ok && w.history.firstLookup[k] {
+		born, ok = beforeRun, true
 	}
-	if at, wiped := w.wiped[cache]; !ok || wiped && born < at {
+	if at, wiped := w.emptiedAt[cache]; !ok || wiped && born < at {
 		return false
 	}
-	if born == atFirst && age >= 1e8 {
+	if born == beforeRun && age >= 1e8 {
 		return true
 	}
-	if born < w.voids[q.Object] || born < w.group[q.Group] {
+	if born < w.objectPurges[q.Object] || born < w.groupPurges[q.Group] {
 		return false
 	}
 	return now-born <= age
 }
 
 // Attempt answers as the recorded attempt did that is most like it.
-func (w *Recorded) Attempt(now float64, q *spool.Request, _ int, s *spool.Send) Answer {
-	if one := w.m.all[s.Cache].nearest(now); one != nil && one.outside() {
+func (w *RecordedMembers) Attempt(now float64, q *spool.Request, _ int, s *spool.Send) Answer {
+	if one := w.history.byMember[s.Cache].nearest(now); one != nil && one.isTransientFault() {
 		a := w.answer(one, s)
 		if one.result == spool.Cancelled { // it was given up, or its client was: nobody knows what would have come
-			a.Never = true
+			a.Unanswered = true
 		}
 		return a
 	}
-	what := kindOf(s)
+	kind := kindOf(s)
 	hit := true
-	switch what {
-	case looked:
+	switch kind {
+	case lookup:
 		hit = w.holds(now, s.Cache, q, s.Age)
-	case nearby:
+	case fillIfHeld:
 		hit = w.holds(now, s.Source, q, s.Age)
 	}
-	if one := w.m.find(now, s, q.Class, what, hit); one != nil {
+	if one := w.history.match(now, s, q.Class, kind, hit); one != nil {
 		a := w.answer(one, s)
 		if hit != (a.Result == spool.OK) {
 			a.Result = spool.OK
@@ -288,28 +288,28 @@
 		return a
 	}
 	if !hit { // nothing like it was recorded
-		if what == nearby {
+		if kind == fillIfHeld {
 			return Answer{Result: spool.Rejected, Note: spool.NoteSourceMiss, Took: 1}
 		}
 		return Answer{Result: spool.Miss, Took: 1}
 	}
 	took := max(q.Deadline-now, 0) / 10
-	return Answer{Result: spool.OK, Begins: took / 2, Took: took}
+	return Answer{Result: spool.OK, FirstByte: took / 2, Took: took}
 }
 
-func (w *Recorded) answer(one *sample, s *spool.Send) Answer {
-	times := 1.0
+func (w *RecordedMembers) answer(one *sample, s *spool.Send) Answer {
+	factor := 1.0
 	for _, id := range []string{s.Cache, s.Source} {
-		if f := w.slow[id]; f > 0 {
-			times = max(times, f)
+		if f := w.slowdown[id]; f > 0 {
+			factor = max(factor, f)
 		}
 	}
-	return Answer{Result: one.result, Note: one.note, Begins: one.begins * times, Took: one.took * times, Load: one.load}
+	return Answer{Result: one.result, Note: one.note, FirstByte: one.firstByte * factor, Took: one.took * factor, Load: one.load}
 }
 
-// Ended keeps what a fill has brought.
-func (w *Recorded) Ended(now float64, q *spool.Request, s *spool.Send, a *Answer, result spool.Result) {
+// AttemptEnded keeps what a fill has brought.
+func (w *RecordedMembers) AttemptEnded(now float64, q *spool.Request, s *spool.Send, a *Answer, result spool.Result) {
 	if result == spool.OK && s.Source != s.Cache && s.Keep > 0 {
-		w.born[copyKey{s.Cache, q.Object, q.Part}] = now - a.Took
+		w.createdAt[copyKey{s.Cache, q.Object, q.Part}] = now - a.Took
 	}
 }
--- a/internal/decisionlog/whatif/sim.go
+++ b/internal/decisionlog/whatif/sim.go
@@ -23,30 +23,30 @@
 // Answer is how a modelled member deals with an attempt. Spans count from the
 // moment of the attempt, in ms.
 type Answer struct {
-	Result spool.Result
-	Note   spool.Note
-	Begins float64 // the first byte of a streamed answer; only of OK
-	Took   float64
-	Never  bool // nothing is heard of it until it is called back or timed out
-	Load   []float64
+	Result     spool.Result
+	Note       spool.Note
+	FirstByte  float64 // the first byte of a streamed answer; only of OK
+	Took       float64
+	Unanswered bool // nothing is heard of it until it is called back or timed out
+	Load       []float64
 }
 
-// World answers attempts. Now only goes forward over the calls of one Sim.
-type World interface {
+// MemberModel answers attempts. Now only goes forward over the calls of one Sim.
+type MemberModel interface {
 	// Attempt begins the n-th attempt of a request.
 	Attempt(now float64, q *spool.Request, n int, s *spool.Send) Answer
-	// Ended says that an attempt is over, also one that was called back.
-	Ended(now float64, q *spool.Request, s *spool.Send, a *Answer, result spool.Result)
-	// News tells of members and purges, as the router is told them.
-	News(now float64, ev spool.Event)
+	// AttemptEnded says that an attempt is over, also one that was called back.
+	AttemptEnded(now float64, q *spool.Request, s *spool.Send, a *Answer, result spool.Result)
+	// Update tells of members and purges, as the router is told them.
+	Update(now float64, ev spool.Event)
 }
 
 // Watcher sees a run as it goes. Its functions may be nil.
 type Watcher struct {
-	Sent         func(r *Router, h *RequestState, s *spool.Send, looks []spool.Candidate)
-	Waits        func(r *Router, h *RequestState, looks []spool.Candidate) // nothing was sent, and it is not over
-	AttemptEnded func(r *Router, h *RequestState, t *Attempt)              // an attempt is over
-	RequestEnded func(r *Router, h *RequestState)                          // a request is over
+	AttemptSent  func(r *Router, h *RequestState, s *spool.Send, candidates []spool.Candidate)
+	RequestWaits func(r *Router, h *RequestState, candidates []spool.Candidate) // nothing was sent, and it is not over
+	AttemptEnded func(r *Router, h *RequestState, t *Attempt)                   // an attempt is over
+	RequestEnded func(r *Router, h *RequestState)                               // a request is over
 }
 
 // End says how a request ended.
@@ -54,50 +54,50 @@
 
 // The ends.
 const (
-	Open     End = iota
-	Served       // a member's answer, whole
-	Broken       // it broke off after it had begun
-	Rejected     // the module turned it away
-	Failed       // the module gave it up
-	Left         // its client left
-	Cut          // the run ended first
+	Open       End = iota
+	Served         // a member's answer, whole
+	Broken         // it broke off after it had begun
+	Rejected       // the module turned it away
+	Failed         // the module gave it up
+	ClientLeft     // its client left
+	Unfinished     // the run ended first
 )
 
-var endWords = [...]string{"open", "served", "broken", "refused", "failed", "left", "cut"}
+var endNames = [...]string{"open", "served", "broken", "refused", "failed", "left", "cut"}
 
-func (e End) String() string { return endWords[e] }
+func (e End) String() string { return endNames[e] }
 
 // Attempt is one attempt of a request.
 type Attempt struct {
-	Send   spool.Send
-	At     float64 // when it was made
-	Took   float64
-	Result spool.Result
-	Done   bool
-	begun  bool
-	answer Answer
+	Send    spool.Send
+	SentAt  float64 // when it was made
+	Took    float64
+	Result  spool.Result
+	Done    bool
+	started bool
+	answer  Answer
 }
 
 // RequestState is a request that a router holds, or held.
 type RequestState struct {
-	Request   spool.Request
-	ArrivedAt float64
-	EndedAt   float64
-	End       End
-	Tries     []*Attempt
-	Tag       any // the watcher's
-	open      int
-	begun     bool // the client has the first byte
+	Request      spool.Request
+	ArrivedAt    float64
+	EndedAt      float64
+	End          End
+	Attempts     []*Attempt
+	Tag          any // the watcher's
+	openAttempts int
+	started      bool // the client has the first byte
 }
 
 // Router is one router of a Sim.
 type Router struct {
-	Core  *engine.Core
-	Name  string
-	World World
-	held  map[string]*RequestState
-	looks []spool.Candidate
-	acts  []spool.Action
+	Core       *engine.Core
+	Name       string
+	Members    MemberModel
+	requests   map[string]*RequestState
+	candidates []spool.Candidate
+	actions    []spool.Action
 }
 
 // Sim is a clock with routers.
@@ -107,16 +107,16 @@
 	Watch   Watcher
 	Explain bool // looks are wanted
 	routers []*Router
-	queue   due
+	queue   eventQueue
 	seq     int64
 }
 
 // Add puts a router into the run.
-func (s *Sim) Add(name string, c *engine.Core, w World) *Router {
-	r := &Router{Core: c, Name: name, World: w, held: map[string]*RequestState{}}
+func (s *Sim) Add(name string, c *engine.Core, w MemberModel) *Router {
+	r := &Router{Core: c, Name: name, Members: w, requests: map[string]*RequestState{}}
 	s.routers = append(s.routers, r)
 	if s.Explain {
-		c.Explain(func(l spool.Candidate) { r.looks = append(r.looks, l) })
+		c.Explain(func(l spool.Candidate) { r.candidates = append(r.candidates, l) })
 	}
 	return r
 }
@@ -124,8 +124,8 @@
 // Routers are those that were added, in their order.
 func (s *Sim) Routers() []*Router { return s.routers }
 
-// moment is something that comes due. One of tell and f is set.
-type moment struct {
+// scheduled is something that comes due. One of tell and f is set.
+type scheduled struct {
 	t   float64
 	seq int64 // those of one time come in the order in which they were set
 	r   *Router
@@ -133,24 +133,26 @@
 	f   func()
 }
 
-type due []moment
+type eventQueue []scheduled
 
-func (d due) Len() int           { return len(d) }
-func (d due) Less(i, j int) bool { return d[i].t < d[j].t || d[i].t == d[j].t && d[i].seq < d[j].seq }
-func (d due) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
-func (d *due) Push(x any)        { *d = append(*d, x.(moment)) }
-func (d *due) Pop() any {
+func (d eventQueue) Len() int { return len(d) }
+func (d eventQueue) Less(i, j int) bool {
+	return d[i].t < d[j].t || d[i].t == d[j].t && d[i].seq < d[j].seq
+}
+func (d eventQueue) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
+func (d *eventQueue) Push(x any)   { *d = append(*d, x.(scheduled)) }
+func (d *eventQueue) Pop() any {
 	old := *d
 	m := old[len(old)-1]
-	old[len(old)-1] = moment{}
+	old[len(old)-1] = scheduled{}
 	*d = old[:len(old)-1]
 	return m
 }
 
 // At has f run at a time, not before now.
-func (s *Sim) At(t float64, f func()) { s.push(moment{t: t, f: f}) }
+func (s *Sim) At(t float64, f func()) { s.push(scheduled{t: t, f: f}) }
 
-func (s *Sim) push(m moment) {
+func (s *Sim) push(m scheduled) {
 	s.seq++
 	m.seq, m.t = s.seq, max(m.t, s.Now)
 	heap.Push(&s.queue, m)
@@ -159,7 +161,7 @@
 // RunTo lets time pass up to t, and everything happen that is due before or then.
 func (s *Sim) RunTo(t float64) {
 	for len(s.queue) > 0 && s.queue[0].t <= t {
-		m := heap.Pop(&s.queue).(moment)
+		m := heap.Pop(&s.queue).(scheduled)
 		s.Now = max(s.Now, m.t)
 		if m.f != nil {
 			m.f()
@@ -175,31 +177,31 @@
 	s.Events++
 	switch ev := ev.(type) {
 	case spool.Request:
-		if r.held[ev.ID] != nil {
+		if r.requests[ev.ID] != nil {
 			return
 		}
 		h := &RequestState{Request: ev, ArrivedAt: s.Now}
 		if ev.Deadline <= 0 {
 			h.Request.Deadline = s.Now + r.deadline(ev.Class)
 		}
-		r.held[ev.ID] = h
+		r.requests[ev.ID] = h
 	case spool.Gone:
-		if h := r.held[ev.ID]; h != nil {
-			s.over(r, h, Left)
+		if h := r.requests[ev.ID]; h != nil {
+			s.endRequest(r, h, ClientLeft)
 		} else {
 			return
 		}
 	case spool.Members, spool.Purge:
-		r.World.News(s.Now, ev)
+		r.Members.Update(s.Now, ev)
 	}
-	r.looks = r.looks[:0]
-	acts := r.Core.Handle(s.Now, ev, r.acts[:0])
-	r.acts = nil // an action may lead to another event
-	s.carryOut(r, acts)
-	r.acts = acts[:0]
+	r.candidates = r.candidates[:0]
+	acts := r.Core.Handle(s.Now, ev, r.actions[:0])
+	r.actions = nil // an action may lead to another event
+	s.perform(r, acts)
+	r.actions = acts[:0]
 	if q, ok := ev.(spool.Request); ok {
-		if h := r.held[q.ID]; h != nil && h.End == Open && len(h.Tries) == 0 && s.Watch.Waits != nil {
-			s.Watch.Waits(r, h, of(r.looks, q.ID))
+		if h := r.requests[q.ID]; h != nil && h.End == Open && len(h.Attempts) == 0 && s.Watch.RequestWaits != nil {
+			s.Watch.RequestWaits(r, h, candidatesOf(r.candidates, q.ID))
 		}
 	}
 }
@@ -208,7 +210,7 @@
 func (s *Sim) ChangeSettings(r *Router, set *config.Settings) error {
 	acts, err := r.Core.ChangeSettings(s.Now, set, nil)
 	if err == nil {
-		s.carryOut(r, acts)
+		s.perform(r, acts)
 	}
 	return err
 }
@@ -223,8 +225,8 @@
 }
 
 // of are the looks that concern a request, in their own slice.
-func of(all []spool.Candidate, id string) (out []spool.Candidate) {
-	for _, l := range all {
+func candidatesOf(candidates []spool.Candidate, id string) (out []spool.Candidate) {
+	for _, l := range candidates {
 		if l.Request == id {
 			out = append(out, l)
 		}
@@ -232,25 +234,25 @@
 	return out
 }
 
-func (s *Sim) carryOut(r *Router, acts []spool.Action) {
-	for _, a := range acts {
+func (s *Sim) perform(r *Router, actions []spool.Action) {
+	for _, a := range actions {
 		switch a := a.(type) {
 		case spool.Send:
 			s.send(r, a)
 		case spool.Refuse:
-			s.final(r, a.ID, Rejected)
+			s.reject(r, a.ID, Rejected)
 		case spool.Fail:
-			s.final(r, a.ID, Failed)
+			s.reject(r, a.ID, Failed)
 		case spool.Cancel:
-			if h := r.held[a.ID]; h != nil && a.Attempt < len(h.Tries) {
-				if t := h.Tries[a.Attempt]; !t.Done && !t.begun {
-					s.end(r, h, a.Attempt, spool.Cancelled, spool.NoteNone)
+			if h := r.requests[a.ID]; h != nil && a.Attempt < len(h.Attempts) {
+				if t := h.Attempts[a.Attempt]; !t.Done && !t.started {
+					s.endAttempt(r, h, a.Attempt, spool.Cancelled, spool.NoteNone)
 				}
 			}
 		case spool.Wake:
-			s.push(moment{t: s.Now + a.In, r: r, ev: spool.Timer{Token: a.Token}})
+			s.push(scheduled{t: s.Now + a.In, r: r, ev: spool.Timer{Token: a.Token}})
 		case spool.Probe:
-			s.push(moment{t: s.Now + 1, r: r, ev: spool.Probed{Cache: a.Cache, OK: true}})
+			s.push(scheduled{t: s.Now + 1, r: r, ev: spool.Probed{Cache: a.Cache, OK: true}})
 		}
 	}
 }
@@ -258,69 +260,69 @@
 // send makes an attempt as the edge does: bounded by the request's time and the
 // module's own limit.
 func (s *Sim) send(r *Router, a spool.Send) {
-	h := r.held[a.ID]
+	h := r.requests[a.ID]
 	if h == nil {
 		return
 	}
-	t := &Attempt{Send: a, At: s.Now}
-	n := len(h.Tries)
-	h.Tries = append(h.Tries, t)
-	h.open++
-	if s.Watch.Sent != nil {
-		s.Watch.Sent(r, h, &t.Send, of(r.looks, a.ID))
+	t := &Attempt{Send: a, SentAt: s.Now}
+	n := len(h.Attempts)
+	h.Attempts = append(h.Attempts, t)
+	h.openAttempts++
+	if s.Watch.AttemptSent != nil {
+		s.Watch.AttemptSent(r, h, &t.Send, candidatesOf(r.candidates, a.ID))
 	}
 	if h.End != Open {
-		s.At(s.Now, func() { s.end(r, h, n, spool.NotSent, spool.NoteNone) })
+		s.At(s.Now, func() { s.endAttempt(r, h, n, spool.NotSent, spool.NoteNone) })
 		return
 	}
-	t.answer = r.World.Attempt(s.Now, &h.Request, n, &t.Send)
-	left := h.Request.Deadline - s.Now
+	t.answer = r.Members.Attempt(s.Now, &h.Request, n, &t.Send)
+	timeout := h.Request.Deadline - s.Now
 	if a.Timeout > 0 {
-		left = min(left, a.Timeout)
+		timeout = min(timeout, a.Timeout)
 	}
-	if t.answer.Never || t.answer.Took > left && !(t.answer.Result == spool.OK && t.answer.Begins <= left) {
-		s.At(s.Now+left, func() { s.end(r, h, n, spool.TimedOut, spool.NoteNone) })
+	if t.answer.Unanswered || t.answer.Took > timeout && !(t.answer.Result == spool.OK && t.answer.FirstByte <= timeout) {
+		s.At(s.Now+timeout, func() { s.endAttempt(r, h, n, spool.TimedOut, spool.NoteNone) })
 		return
 	}
 	if t.answer.Result == spool.OK {
-		s.At(s.Now+min(t.answer.Begins, t.answer.Took), func() { s.begin(r, h, n) })
+		s.At(s.Now+min(t.answer.FirstByte, t.answer.Took), func() { s.startResponse(r, h, n) })
 	}
-	s.At(s.Now+t.answer.Took, func() { s.end(r, h, n, t.answer.Result, t.answer.Note) })
+	s.At(s.Now+t.answer.Took, func() { s.endAttempt(r, h, n, t.answer.Result, t.answer.Note) })
 }
 
-// begin is the first byte of an answer: it is the client's, the first to come wins.
-func (s *Sim) begin(r *Router, h *RequestState, n int) {
-	t := h.Tries[n]
-	if t.Done || h.End != Open || h.begun {
+// startResponse is the first byte of an answer: it is the client's, the first to come wins.
+func (s *Sim) startResponse(r *Router, h *RequestState, n int) {
+	t := h.Attempts[n]
+	if t.Done || h.End != Open || h.started {
 		return
 	}
-	t.begun, h.begun = true, true
+	t.started, h.started = true, true
 	s.Handle(r, spool.Started{ID: h.Request.ID, Cache: t.Send.Cache, Attempt: n})
 }
 
-// end ends an attempt, and tells the module.
-func (s *Sim) end(r *Router, h *RequestState, n int, result spool.Result, note spool.Note) {
-	t := h.Tries[n]
+// endAttempt ends an attempt, and tells the module.
+func (s *Sim) endAttempt(r *Router, h *RequestState, n int, result spool.Result, note spool.Note) {
+	t := h.Attempts[n]
 	if t.Done {
 		return
 	}
-	if result == spool.OK && !t.begun { // another was faster, or the request is over
+	if result == spool.OK && !t.started { // another was faster, or the request is over
 		result = spool.Cancelled
 	}
-	t.Done, t.Result, t.Took = true, result, s.Now-t.At
-	h.open--
-	r.World.Ended(s.Now, &h.Request, &t.Send, &t.answer, result)
+	t.Done, t.Result, t.Took = true, result, s.Now-t.SentAt
+	h.openAttempts--
+	r.Members.AttemptEnded(s.Now, &h.Request, &t.Send, &t.answer, result)
 	if s.Watch.AttemptEnded != nil {
 		s.Watch.AttemptEnded(r, h, t)
 	}
 	last := h.End != Open
-	if h.End == Open && t.begun {
+	if h.End == Open && t.started {
 		end := Served
 		if result != spool.OK {
 			end = Broken
 		}
 		last = true
-		s.over(r, h, end)
+		s.endRequest(r, h, end)
 	}
 	ev := spool.Outcome{ID: h.Request.ID, Cache: t.Send.Cache, Attempt: n, Result: result, Took: t.Took, Last: last,
 		Note: note, Load: t.answer.Load}
@@ -328,13 +330,13 @@
 	s.release(r, h)
 }
 
-func (s *Sim) final(r *Router, id string, e End) {
-	if h := r.held[id]; h != nil {
-		s.over(r, h, e)
+func (s *Sim) reject(r *Router, id string, e End) {
+	if h := r.requests[id]; h != nil {
+		s.endRequest(r, h, e)
 	}
 }
 
-func (s *Sim) over(r *Router, h *RequestState, e End) {
+func (s *Sim) endRequest(r *Router, h *RequestState, e End) {
 	if h.End != Open {
 		return
 	}
@@ -346,16 +348,16 @@
 }
 
 func (s *Sim) release(r *Router, h *RequestState) {
-	if h.End != Open && h.open == 0 {
-		delete(r.held, h.Request.ID)
+	if h.End != Open && h.openAttempts == 0 {
+		delete(r.requests, h.Request.ID)
 	}
 }
 
 // Finish ends what routers still hold, as cut.
 func (s *Sim) Finish() {
 	for _, r := range s.routers {
-		for _, h := range r.held {
-			s.over(r, h, Cut)
+		for _, h := range r.requests {
+			s.endRequest(r, h, Unfinished)
 		}
 	}
 }
--- a/internal/decisionlog/whatif/whatif_test.go
+++ b/internal/decisionlog/whatif/whatif_test.go
@@ -25,7 +25,7 @@
 (member o (kind origin) (zone h) (address "127.0.0.1:4"))
 `
 
-func read(t testing.TB, text string) *config.Settings {
+func readSettings(t testing.TB, text string) *config.Settings {
 	t.Helper()
 	s := &config.Settings{}
 	if err := config.Read("test", text, s); err != nil {
@@ -59,7 +59,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := read(t, settings)
+	s := readSettings(t, settings)
 	c, err := engine.New(s, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -103,7 +103,7 @@
 	return func() (*journal.Reader, error) { return journal.OpenReader(dir) }
 }
 
-func compared(t testing.TB, open func() (*journal.Reader, error), ch Change) *Report {
+func compare(t testing.TB, open func() (*journal.Reader, error), ch Change) *Report {
 	t.Helper()
 	r, err := Compare(open, ch)
 	if err != nil {
@@ -123,17 +123,17 @@
 
 // With nothing changed both runs are one, and nearly all requests go where they went.
 func TestNothingChanged(t *testing.T) {
-	r := compared(t, record(t, 3000, 10), Change{})
-	if r.Changed != 0 || r.Requests != 3000 || len(r.Causes) != 0 || r.Model < 0.97 || r.ModelPath < 0.95 || r.Cut > 5 {
+	r := compare(t, record(t, 3000, 10), Change{})
+	if r.Changed != 0 || r.Requests != 3000 || len(r.Causes) != 0 || r.FirstAttemptMatch < 0.97 || r.PathMatch < 0.95 || r.Unfinished > 5 {
 		t.Errorf("%+v", r)
 	}
 	for _, k := range r.Classes {
-		if k.Was.Requests != k.Is.Requests || k.Was.InTime != k.Is.InTime || k.Was.P99 != k.Is.P99 {
+		if k.Baseline.Requests != k.Modified.Requests || k.Baseline.InTime != k.Modified.InTime || k.Baseline.P99 != k.Modified.P99 {
 			t.Errorf("%+v", k)
 		}
 	}
 	for _, one := range r.Risks {
-		if one.Was != one.Is {
+		if one.Baseline != one.Modified {
 			t.Errorf("%+v", one)
 		}
 	}
@@ -142,17 +142,17 @@
 // A member that had never been listed is given nothing, and its requests say why
 // they went elsewhere; nobody else's first attempts by the hash move.
 func TestDropMember(t *testing.T) {
-	r := compared(t, record(t, 2000, 10), Change{Drop: []string{"b1"}})
+	r := compare(t, record(t, 2000, 10), Change{Drop: []string{"b1"}})
 	b1 := r.member("b1")
-	if b1.Was.Attempts < 100 || b1.Is.Attempts+b1.Is.Fills != 0 || r.Changed < b1.Was.Attempts/2 || r.Changed == r.Requests {
+	if b1.Baseline.Attempts < 100 || b1.Modified.Attempts+b1.Modified.Fills != 0 || r.Changed < b1.Baseline.Attempts/2 || r.Changed == r.Requests {
 		t.Errorf("%d changed: %+v", r.Changed, b1)
 	}
 	if len(r.Causes) == 0 || !strings.Contains(r.Causes[0].Why, "cache b1 is dropped") {
 		t.Errorf("%+v", r.Causes)
 	}
-	r = compared(t, record(t, 2000, 10), Change{Drop: []string{"b1", "b2", "b3", "p1", "p2", "o"}})
+	r = compare(t, record(t, 2000, 10), Change{Drop: []string{"b1", "b2", "b3", "p1", "p2", "o"}})
 	for _, k := range r.Classes {
-		if k.Is.Refused+k.Is.Failed != k.Is.Requests || k.Is.Attempts != 0 {
+		if k.Modified.Rejected+k.Modified.Failed != k.Modified.Requests || k.Modified.Attempts != 0 {
 			t.Errorf("with nobody there: %+v", k)
 		}
 	}
@@ -160,22 +160,22 @@
 
 // One that takes three times as long is busy for longer, and classes get slower.
 func TestSlow(t *testing.T) {
-	r := compared(t, record(t, 2000, 10), Change{Slow: map[string]float64{"b2": 4}})
+	r := compare(t, record(t, 2000, 10), Change{Slow: map[string]float64{"b2": 4}})
 	b2 := r.member("b2")
-	if per := func(l Load) float64 { return l.BusyMs / float64(l.Attempts) }; per(b2.Is) < 2*per(b2.Was) {
+	if per := func(l Load) float64 { return l.BusyMs / float64(l.Attempts) }; per(b2.Modified) < 2*per(b2.Baseline) {
 		t.Errorf("%+v", b2)
 	}
-	if k := r.Classes[len(r.Classes)-1]; k.Class != "still" || k.Is.P99 <= k.Was.P99 {
+	if k := r.Classes[len(r.Classes)-1]; k.Class != "still" || k.Modified.P99 <= k.Baseline.P99 {
 		t.Errorf("%+v", k)
 	}
 }
 
 // Other settings: with one attempt each there are no looks, so no request makes two.
 func TestOtherSettings(t *testing.T) {
-	s := read(t, strings.Replace(settings, "(router ", "(limits (attempts 1)) (router ", 1))
-	r := compared(t, record(t, 1500, 10), Change{Settings: s})
+	s := readSettings(t, strings.Replace(settings, "(router ", "(limits (attempts 1)) (router ", 1))
+	r := compare(t, record(t, 1500, 10), Change{Settings: s})
 	for _, k := range r.Classes {
-		if k.Is.Attempts > k.Is.Requests || k.Class == "still" && k.Was.Attempts <= k.Was.Requests {
+		if k.Modified.Attempts > k.Modified.Requests || k.Class == "still" && k.Baseline.Attempts <= k.Baseline.Requests {
 			t.Errorf("%+v", k)
 		}
 	}
@@ -184,7 +184,7 @@
 	}
 }
 
-func TestNoLife(t *testing.T) {
+func TestNoRun(t *testing.T) {
 	dir := t.TempDir()
 	w, err := journal.Open(dir, journal.Options{})
 	if err != nil {
@@ -200,7 +200,7 @@
 
 // Each rule's planted break is found, and what is right is not.
 func TestRisks(t *testing.T) {
-	s := read(t, settings)
+	s := readSettings(t, settings)
 	still := spool.Request{ID: "q", Class: "still", Object: "/s/1/a", Group: 1, KB: 100, Deadline: 1000}
 	order := spool.Request{ID: "w", Class: "order", Object: "/o/1", Group: -1, Deadline: 1000, Write: true}
 	row := func(id, kind string, st spool.State, ready float64) spool.Members {
@@ -210,55 +210,55 @@
 	for _, k := range []struct {
 		name string
 		rule int
-		do   func(r *risks)
+		do   func(r *riskChecker)
 	}{
-		{"late", 1, func(r *risks) { r.over(1100, &RequestState{Request: still, End: Rejected}) }},
-		{"in time", 0, func(r *risks) { r.over(990, &RequestState{Request: still, End: Rejected}) }},
-		{"a body that runs on", 0, func(r *risks) { r.over(1100, &RequestState{Request: still, End: Served, begun: true}) }},
-		{"a write again", 2, func(r *risks) {
-			r.sent(500, &RequestState{Request: order, Tries: []*Attempt{{At: 1, Done: true, Result: spool.TimedOut}, {At: 500}}}, &spool.Send{ID: "w", Cache: "o", Source: "o"})
+		{"late", 1, func(r *riskChecker) { r.requestEnded(1100, &RequestState{Request: still, End: Rejected}) }},
+		{"in time", 0, func(r *riskChecker) { r.requestEnded(990, &RequestState{Request: still, End: Rejected}) }},
+		{"a body that runs on", 0, func(r *riskChecker) { r.requestEnded(1100, &RequestState{Request: still, End: Served, started: true}) }},
+		{"a write again", 2, func(r *riskChecker) {
+			r.attemptSent(500, &RequestState{Request: order, Attempts: []*Attempt{{SentAt: 1, Done: true, Result: spool.TimedOut}, {SentAt: 500}}}, &spool.Send{ID: "w", Cache: "o", Source: "o"})
 		}},
-		{"a write that never ran", 0, func(r *risks) {
-			r.sent(500, &RequestState{Request: order, Tries: []*Attempt{{At: 1, Done: true, Result: spool.ConnectFailed}, {At: 500}}}, &spool.Send{ID: "w", Cache: "o", Source: "o"})
+		{"a write that never ran", 0, func(r *riskChecker) {
+			r.attemptSent(500, &RequestState{Request: order, Attempts: []*Attempt{{SentAt: 1, Done: true, Result: spool.ConnectFailed}, {SentAt: 500}}}, &spool.Send{ID: "w", Cache: "o", Source: "o"})
 		}},
-		{"to one that drains", 3, func(r *risks) {
-			r.news(1000, row("b1", "box", spool.Draining, 0))
-			r.sent(1600, &RequestState{Request: still, Tries: []*Attempt{{}}}, &look)
+		{"to one that drains", 3, func(r *riskChecker) {
+			r.update(1000, row("b1", "box", spool.Draining, 0))
+			r.attemptSent(1600, &RequestState{Request: still, Attempts: []*Attempt{{}}}, &look)
 		}},
-		{"within the grace", 0, func(r *risks) {
-			r.news(1000, row("b1", "box", spool.Draining, 0))
-			r.sent(1400, &RequestState{Request: still, Tries: []*Attempt{{}}}, &look)
+		{"within the grace", 0, func(r *riskChecker) {
+			r.update(1000, row("b1", "box", spool.Draining, 0))
+			r.attemptSent(1400, &RequestState{Request: still, Attempts: []*Attempt{{}}}, &look)
 		}},
-		{"from one that is gone", 3, func(r *risks) {
-			r.news(900, row("p1", "parent", spool.Serving, 0))
-			r.news(1000, spool.Members{Full: true})
-			r.sent(1600, &RequestState{Request: still, Tries: []*Attempt{{}}}, &spool.Send{ID: "q", Cache: "b2", Source: "p1", Keep: 1, Age: 1e9})
+		{"from one that is gone", 3, func(r *riskChecker) {
+			r.update(900, row("p1", "parent", spool.Serving, 0))
+			r.update(1000, spool.Members{Full: true})
+			r.attemptSent(1600, &RequestState{Request: still, Attempts: []*Attempt{{}}}, &spool.Send{ID: "q", Cache: "b2", Source: "p1", Keep: 1, Age: 1e9})
 		}},
-		{"a cold one", 4, func(r *risks) {
-			r.news(1000, row("b1", "box", spool.Serving, 1000))
+		{"a cold one", 4, func(r *riskChecker) {
+			r.update(1000, row("b1", "box", spool.Serving, 1000))
 			for i := range 4000 {
-				r.sent(1000+float64(i)/4, &RequestState{Request: still, Tries: []*Attempt{{}}}, &look)
+				r.attemptSent(1000+float64(i)/4, &RequestState{Request: still, Attempts: []*Attempt{{}}}, &look)
 			}
 		}},
-		{"a cold one, a little", 0, func(r *risks) {
-			r.news(1000, row("b1", "box", spool.Serving, 1000))
+		{"a cold one, a little", 0, func(r *riskChecker) {
+			r.update(1000, row("b1", "box", spool.Serving, 1000))
 			for i := range 10 {
-				r.sent(1000+float64(100*i), &RequestState{Request: still, Tries: []*Attempt{{}}}, &look)
+				r.attemptSent(1000+float64(100*i), &RequestState{Request: still, Attempts: []*Attempt{{}}}, &look)
 			}
 		}},
-		{"any age after a purge", 5, func(r *risks) {
-			r.news(1000, spool.Purge{Group: 1})
-			r.sent(1500, &RequestState{Request: still, Tries: []*Attempt{{}}}, &look)
+		{"any age after a purge", 5, func(r *riskChecker) {
+			r.update(1000, spool.Purge{Group: 1})
+			r.attemptSent(1500, &RequestState{Request: still, Attempts: []*Attempt{{}}}, &look)
 		}},
-		{"young enough", 0, func(r *risks) {
-			r.news(1000, spool.Purge{Object: "/s/1/a"})
+		{"young enough", 0, func(r *riskChecker) {
+			r.update(1000, spool.Purge{Object: "/s/1/a"})
 			young := look
 			young.Age = 499
-			r.sent(1500, &RequestState{Request: still, Tries: []*Attempt{{}}}, &young)
+			r.attemptSent(1500, &RequestState{Request: still, Attempts: []*Attempt{{}}}, &young)
 		}},
 	} {
-		r := newRisks()
-		r.begin(s)
+		r := newRiskChecker()
+		r.startRun(s)
 		k.do(r)
 		for rule := 1; rule < len(r.counts); rule++ {
 			if (r.counts[rule] > 0) != (rule == k.rule) {
@@ -268,22 +268,22 @@
 	}
 }
 
-// wild is a World that answers anything.
-type wild struct{ t *rapid.T }
+// randomMembers is a World that answers anything.
+type randomMembers struct{ t *rapid.T }
 
-func (w wild) News(float64, spool.Event)                                         {}
-func (w wild) Ended(float64, *spool.Request, *spool.Send, *Answer, spool.Result) {}
-func (w wild) Attempt(float64, *spool.Request, int, *spool.Send) Answer {
+func (w randomMembers) Update(float64, spool.Event)                                              {}
+func (w randomMembers) AttemptEnded(float64, *spool.Request, *spool.Send, *Answer, spool.Result) {}
+func (w randomMembers) Attempt(float64, *spool.Request, int, *spool.Send) Answer {
 	a := Answer{Result: spool.Result(rapid.IntRange(0, int(spool.Miss)).Draw(w.t, "result")), Note: spool.Note(rapid.IntRange(0, int(spool.NoteOriginFailed)).Draw(w.t, "note")),
-		Took: rapid.Float64Range(0, 4000).Draw(w.t, "took"), Never: rapid.IntRange(0, 9).Draw(w.t, "never") == 0}
-	a.Begins = rapid.Float64Range(0, 4000).Draw(w.t, "begins")
+		Took: rapid.Float64Range(0, 4000).Draw(w.t, "took"), Unanswered: rapid.IntRange(0, 9).Draw(w.t, "never") == 0}
+	a.FirstByte = rapid.Float64Range(0, 4000).Draw(w.t, "begins")
 	return a
 }
 
 // Whatever members do, each request ends once, by its deadline unless its answer
 // has begun; and what the module decides keeps the rules that a run shows.
 func TestEachEndsOnce(t *testing.T) {
-	s := read(t, settings)
+	s := readSettings(t, settings)
 	rapid.Check(t, func(t *rapid.T) {
 		c, err := engine.New(s, 1)
 		if err != nil {
@@ -291,14 +291,14 @@
 		}
 		sim := &Sim{Now: 1000, Explain: true}
 		ends, came := map[string]int{}, 0
-		ri := newRisks()
-		ri.begin(s)
-		sim.Watch.Sent = func(_ *Router, h *RequestState, a *spool.Send, _ []spool.Candidate) { ri.sent(sim.Now, h, a) }
-		sim.Watch.RequestEnded = func(_ *Router, h *RequestState) { ends[h.Request.ID]++; ri.over(sim.Now, h) }
-		r := sim.Add("r", c, wild{t})
+		ri := newRiskChecker()
+		ri.startRun(s)
+		sim.Watch.AttemptSent = func(_ *Router, h *RequestState, a *spool.Send, _ []spool.Candidate) { ri.attemptSent(sim.Now, h, a) }
+		sim.Watch.RequestEnded = func(_ *Router, h *RequestState) { ends[h.Request.ID]++; ri.requestEnded(sim.Now, h) }
+		r := sim.Add("r", c, randomMembers{t})
 		tell := func(n *engine.Update) {
 			for _, ev := range c.Apply(sim.Now, n).Events {
-				ri.news(sim.Now, ev)
+				ri.update(sim.Now, ev)
 				sim.Handle(r, ev)
 			}
 		}
@@ -312,7 +312,7 @@
 				tell(engine.UpdateFromVersion(1, []config.Member{m}, rapid.Bool().Draw(t, "fresh")))
 			case 1:
 				ev := spool.Purge{Group: rapid.IntRange(0, 2).Draw(t, "purged")}
-				ri.news(sim.Now, ev)
+				ri.update(sim.Now, ev)
 				sim.Handle(r, ev)
 			case 2:
 				sim.Handle(r, spool.Gone{ID: fmt.Sprint("q", rapid.IntRange(0, i).Draw(t, "gone"))})
@@ -324,8 +324,8 @@
 			}
 		}
 		sim.RunTo(sim.Now + 20000)
-		if len(ends) != came || len(r.held) > 0 {
-			t.Fatalf("%d of %d requests ended, %d are held", len(ends), came, len(r.held))
+		if len(ends) != came || len(r.requests) > 0 {
+			t.Fatalf("%d of %d requests ended, %d are held", len(ends), came, len(r.requests))
 		}
 		for id, n := range ends {
 			if n != 1 {
@@ -343,7 +343,7 @@
 // A cold parent that is given far more than it bears falls over, and answers nothing
 // from then on; a warm one only gets slower.
 func TestBoxesFall(t *testing.T) {
-	s := read(t, settings)
+	s := readSettings(t, settings)
 	w := NewCacheModels(options(s))
 	var seconds float64
 	w.OnUsage = func(id string, _ int, sp *Usage) {
@@ -351,12 +351,12 @@
 			seconds += sp.SendMillis
 		}
 	}
-	w.News(1000, spool.Members{Rows: []spool.Member{{ID: "b1", Zone: "z", Kind: "box", Size: 10}, {ID: "p1", Kind: "parent", Size: 1, ReadyAt: 1000}, {ID: "p2", Kind: "parent", Size: 1}}})
+	w.Update(1000, spool.Members{Rows: []spool.Member{{ID: "b1", Zone: "z", Kind: "box", Size: 10}, {ID: "p1", Kind: "parent", Size: 1, ReadyAt: 1000}, {ID: "p2", Kind: "parent", Size: 1}}})
 	take := func(now float64, i int, source string) Answer {
 		q := &spool.Request{ID: "q", Object: fmt.Sprint("/s/", i), KB: 1000}
 		a := w.Attempt(now, q, 0, &spool.Send{Cache: "b1", Source: source, Keep: 1, Age: 1e9})
 		if i%2 == 0 {
-			w.Ended(now, q, &spool.Send{Cache: "b1", Source: source, Keep: 1, Age: 1e9}, &a, a.Result)
+			w.AttemptEnded(now, q, &spool.Send{Cache: "b1", Source: source, Keep: 1, Age: 1e9}, &a, a.Result)
 		}
 		return a
 	}
