--- a/internal/protocol/esi/esi_test.go
+++ b/internal/protocol/esi/esi_test.go
@@ -25,9 +25,9 @@
 			}
 			b.Write(n.Text)
 		case Include:
-			fmt.Fprintf(&b, "{%s|%s|%v}", n.Src, n.Alt, n.Continue)
+			fmt.Fprintf(&b, "{%s|%s|%v}", n.Src, n.Alt, n.ContinueOnError)
 		case Inline:
-			fmt.Fprintf(&b, "{inline %s %v: %s}", n.Src, n.Fetch, n.Text)
+			fmt.Fprintf(&b, "{inline %s %v: %s}", n.Src, n.Fetchable, n.Text)
 		case Choose, Try:
 			b.WriteString(map[Kind]string{Choose: "?(", Try: "try("}[n.Kind])
 			for i, branch := range n.Branches {
@@ -140,7 +140,7 @@
 		for _, piece := range []int{1, 3, 1000} {
 			_, err := parse(c.page, piece, Limits{})
 			var f *Fault
-			if !errors.As(err, &f) || f.At != c.at || !strings.Contains(f.What, c.what) {
+			if !errors.As(err, &f) || f.Offset != c.at || !strings.Contains(f.What, c.what) {
 				t.Errorf("%q in pieces of %d: %v; want byte %d, %s", c.page, piece, err, c.at, c.what)
 			}
 		}
@@ -173,7 +173,7 @@
 		e, err := ParseExpr(text)
 		if err != nil {
 			t.Errorf("%s: %v", text, err)
-		} else if got := e.True(testVars); got != want {
+		} else if got := e.Holds(testVars); got != want {
 			t.Errorf("%s is %v", text, got)
 		}
 	}
@@ -239,8 +239,8 @@
 				return
 			}
 			page = page[n:]
-			if len(p.left) > l.Tag+int(piece)+1 || len(p.inline.Text) > l.Held || len(p.stack) > l.Depth {
-				t.Fatalf("%d bytes are left, %d of an inline, %d open", len(p.left), len(p.inline.Text), len(p.stack))
+			if len(p.unread) > l.Tag+int(piece)+1 || len(p.inline.Text) > l.Held || len(p.stack) > l.Depth {
+				t.Fatalf("%d bytes are left, %d of an inline, %d open", len(p.unread), len(p.inline.Text), len(p.stack))
 			}
 		}
 	})
--- a/internal/protocol/esi/expr.go
+++ b/internal/protocol/esi/expr.go
@@ -16,7 +16,7 @@
 	isRef       bool
 }
 
-const mostNesting = 32 // of an expression
+const maxNesting = 32 // of an expression
 
 // ParseExpr reads a test. What is wrong is said with the place in the text, from 1.
 func ParseExpr(text string) (*Expr, error) {
@@ -25,31 +25,31 @@
 	if err != nil {
 		return nil, err
 	}
-	if p.space(); p.at < len(text) {
-		return nil, p.fault("%.20q is left over", text[p.at:])
+	if p.skipSpace(); p.offset < len(text) {
+		return nil, p.errorf("%.20q is left over", text[p.offset:])
 	}
 	return e, nil
 }
 
 type exprParser struct {
-	text string
-	at   int
+	text   string
+	offset int
 }
 
-func (p *exprParser) fault(format string, args ...any) error {
-	return fmt.Errorf("test %.80q, byte %d: %s", p.text, p.at+1, fmt.Sprintf(format, args...))
+func (p *exprParser) errorf(format string, args ...any) error {
+	return fmt.Errorf("test %.80q, byte %d: %s", p.text, p.offset+1, fmt.Sprintf(format, args...))
 }
 
-func (p *exprParser) space() {
-	for p.at < len(p.text) && strings.IndexByte(" \t\r\n", p.text[p.at]) >= 0 {
-		p.at++
+func (p *exprParser) skipSpace() {
+	for p.offset < len(p.text) && strings.IndexByte(" \t\r\n", p.text[p.offset]) >= 0 {
+		p.offset++
 	}
 }
 
 func (p *exprParser) take(op string) bool {
-	p.space()
-	if strings.HasPrefix(p.text[p.at:], op) {
-		p.at += len(op)
+	p.skipSpace()
+	if strings.HasPrefix(p.text[p.offset:], op) {
+		p.offset += len(op)
 		return true
 	}
 	return false
@@ -71,11 +71,11 @@
 }
 
 func (p *exprParser) not(depth int) (*Expr, error) {
-	if depth > mostNesting {
-		return nil, p.fault("it is nested deeper than %d", mostNesting)
+	if depth > maxNesting {
+		return nil, p.errorf("it is nested deeper than %d", maxNesting)
 	}
-	if p.space(); strings.HasPrefix(p.text[p.at:], "!") && !strings.HasPrefix(p.text[p.at:], "!=") {
-		p.at++
+	if p.skipSpace(); strings.HasPrefix(p.text[p.offset:], "!") && !strings.HasPrefix(p.text[p.offset:], "!=") {
+		p.offset++
 		e, err := p.not(depth + 1)
 		if err != nil {
 			return nil, err
@@ -95,14 +95,14 @@
 			continue
 		}
 		if left.op != "" {
-			return nil, p.fault("only values are compared, and not what a test says")
+			return nil, p.errorf("only values are compared, and not what a test says")
 		}
 		right, err := p.operand(depth)
 		if err != nil {
 			return nil, err
 		}
 		if right.op != "" {
-			return nil, p.fault("only values are compared, and not what a test says")
+			return nil, p.errorf("only values are compared, and not what a test says")
 		}
 		return &Expr{op: op, left: left, right: right}, nil
 	}
@@ -110,37 +110,37 @@
 }
 
 func (p *exprParser) operand(depth int) (*Expr, error) {
-	p.space()
-	rest := p.text[p.at:]
+	p.skipSpace()
+	rest := p.text[p.offset:]
 	switch {
 	case rest == "":
-		return nil, p.fault("a value is missing")
+		return nil, p.errorf("a value is missing")
 	case rest[0] == '(':
-		if depth >= mostNesting {
-			return nil, p.fault("it is nested deeper than %d", mostNesting)
+		if depth >= maxNesting {
+			return nil, p.errorf("it is nested deeper than %d", maxNesting)
 		}
-		p.at++
+		p.offset++
 		e, err := p.or(depth + 1)
 		if err != nil {
 			return nil, err
 		}
 		if !p.take(")") {
-			return nil, p.fault("a parenthesis is not closed")
+			return nil, p.errorf("a parenthesis is not closed")
 		}
 		return e, nil
 	case rest[0] == '\'':
 		end := strings.IndexByte(rest[1:], '\'')
 		if end < 0 {
-			return nil, p.fault("a literal is not closed by an apostrophe")
+			return nil, p.errorf("a literal is not closed by an apostrophe")
 		}
-		p.at += end + 2
+		p.offset += end + 2
 		return &Expr{text: rest[1 : 1+end]}, nil
 	case rest[0] == '$':
 		ref, n := parseRef(rest)
 		if n == 0 {
-			return nil, p.fault("%.30q is no variable; known are HTTP_ACCEPT_LANGUAGE, HTTP_COOKIE, HTTP_HOST, HTTP_REFERER, HTTP_USER_AGENT, QUERY_STRING", rest)
+			return nil, p.errorf("%.30q is no variable; known are HTTP_ACCEPT_LANGUAGE, HTTP_COOKIE, HTTP_HOST, HTTP_REFERER, HTTP_USER_AGENT, QUERY_STRING", rest)
 		}
-		p.at += n
+		p.offset += n
 		return &Expr{ref: ref, isRef: true}, nil
 	}
 	n := 0
@@ -148,9 +148,9 @@
 		n++
 	}
 	if _, err := strconv.ParseFloat(rest[:n], 64); err != nil {
-		return nil, p.fault("%.20q is no value; text stands in apostrophes", rest)
+		return nil, p.errorf("%.20q is no value; text stands in apostrophes", rest)
 	}
-	p.at += n
+	p.offset += n
 	return &Expr{text: rest[:n]}, nil
 }
 
@@ -162,16 +162,16 @@
 	return e.text, true
 }
 
-// True reports whether the test holds. A comparison with what has no value is false, as
+// Holds reports whether the test holds. A comparison with what has no value is false, as
 // is a variable alone without one, or with an empty one.
-func (e *Expr) True(v *Vars) bool {
+func (e *Expr) Holds(v *Vars) bool {
 	switch e.op {
 	case "|":
-		return e.left.True(v) || e.right.True(v)
+		return e.left.Holds(v) || e.right.Holds(v)
 	case "&":
-		return e.left.True(v) && e.right.True(v)
+		return e.left.Holds(v) && e.right.Holds(v)
 	case "!":
-		return !e.left.True(v)
+		return !e.left.Holds(v)
 	case "":
 		s, ok := e.value(v)
 		return ok && s != "" && s != "false"
--- a/internal/protocol/esi/page.go
+++ b/internal/protocol/esi/page.go
@@ -28,105 +28,105 @@
 // Page puts a page together. Bytes and news go in, acts and bytes in their order come
 // out; it keeps no clock, and no more than its Setup says.
 type Page struct {
-	s        Options
+	options  Options
 	vars     *Vars
 	url      *url.URL
 	deadline float64
 	now      float64
 
-	root     *seq
-	parser   *Parser
-	raw      []byte // of the template, where it may have to go out as it is
-	meta     Meta
-	pieces   []*piece
-	byURL    map[string]*piece
-	inlines  map[inDoc][]byte // that pages and fragments bring along, each for itself
-	locals   map[inDoc]*piece
-	brought  int64 // bytes of inlines
-	holes    []*hole
-	out      int // being fetched
-	uses     int
-	attempts int
-	steps    int
-	held     int64
-	most     int64
-	sent     int64
-	at       []cursor
-	acts     []Action
-	waits    bool // it is the client that holds things up
-	busy     bool // what went out is not taken yet
-	late     bool // what fails now was late
-	plain    bool
-	mustEnd  float64 // what goes out is purged, and is old from then on; 0: it is not
-	restarts int
-	err      error
-}
-
-type pieceState uint8
+	root            *sequence
+	parser          *Parser
+	rawTemplate     []byte // of the template, where it may have to go out as it is
+	meta            Meta
+	fragments       []*fragment
+	byURL           map[string]*fragment
+	inlines         map[inlineKey][]byte // that pages and fragments bring along, each for itself
+	inlineFragments map[inlineKey]*fragment
+	inlineBytes     int64 // bytes of inlines
+	slots           []*slot
+	inFlight        int // being fetched
+	includes        int
+	attempts        int
+	steps           int
+	waiting         int64
+	maxWaiting      int64
+	sent            int64
+	cursors         []cursor
+	actions         []Action
+	outputReady     bool // it is the client that holds things up
+	clientBusy      bool // what went out is not taken yet
+	failedLate      bool // what fails now was late
+	plainText       bool
+	mustEndAt       float64 // what goes out is purged, and is old from then on; 0: it is not
+	restarts        int
+	err             error
+}
+
+type fragmentState uint8
 
 const (
-	wanting pieceState = iota
+	pending fragmentState = iota
 	fetching
-	whole
+	complete
 	failed
 )
 
-// piece is a fragment, however often it is used.
-type piece struct {
-	id      int
-	key     string
-	url     *url.URL
-	state   pieceState
-	need    need
-	until   float64
-	cause   string
-	data    []byte
-	gone    int64 // bytes that went out and were dropped
-	meta    Meta
-	since   float64 // when its head came
-	parser  *Parser
-	seq     *seq // of one that is a page itself
-	depth   int
-	up      []*piece // those that it is used in
-	uses    int      // holes that still wait for it
-	begun   bool     // some of it went out
-	brought bool     // its page brought it along
-	doc     *piece   // that one; nil: the page itself
-}
-
-// hole is a place where a fragment goes.
-type hole struct {
-	p     *piece
-	in    *seq
-	alt   string
-	cont  bool
-	empty bool // it failed, and is left out
-	done  bool // it went out, or is not wanted any more
-}
-
-// seq is a row of parts.
-type seq struct {
-	parts []part
-	open  bool   // more may come
-	gone  bool   // it is not wanted any more
-	ready bool   // all of it is known: it can go out without a wait
-	of    *piece // whose it is; nil: the template's
-	up    *seq   // that it stands in, by a try
-	tried bool   // it is an attempt: what fails in it has an except
+// fragment is a fragment, however often it is used.
+type fragment struct {
+	id           int
+	key          string
+	url          *url.URL
+	state        fragmentState
+	importance   importance
+	deadline     float64
+	cause        string
+	data         []byte
+	dropped      int64 // bytes that went out and were dropped
+	meta         Meta
+	headAt       float64 // when its head came
+	parser       *Parser
+	sequence     *sequence // of one that is a page itself
+	depth        int
+	includedBy   []*fragment // those that it is used in
+	waitingSlots int         // holes that still wait for it
+	partlySent   bool        // some of it went out
+	isInline     bool        // its page brought it along
+	definedIn    *fragment   // that one; nil: the page itself
+}
+
+// slot is a place where a fragment goes.
+type slot struct {
+	fragment        *fragment
+	sequence        *sequence
+	alt             string
+	continueOnError bool
+	leftOut         bool // it failed, and is left out
+	done            bool // it went out, or is not wanted any more
+}
+
+// sequence is a row of parts.
+type sequence struct {
+	parts     []part
+	open      bool      // more may come
+	discarded bool      // it is not wanted any more
+	ready     bool      // all of it is known: it can go out without a wait
+	owner     *fragment // whose it is; nil: the template's
+	parent    *sequence // that it stands in, by a try
+	isAttempt bool      // it is an attempt: what fails in it has an except
 }
 
 type part struct {
-	text    []byte
-	hole    *hole
-	attempt *seq
-	except  *seq
-	nodes   []Node // of except, until it is wanted
+	text        []byte
+	slot        *slot
+	attempt     *sequence
+	except      *sequence
+	exceptNodes []Node // of except, until it is wanted
 }
 
 type cursor struct {
-	s   *seq
-	i   int
-	off int
+	sequence *sequence
+	index    int
+	offset   int
 }
 
 // NewPage begins a page that is at a path and query, and has time until deadline.
@@ -135,28 +135,28 @@
 	if err != nil {
 		return nil, fmt.Errorf("esi: the page's own address: %w", err)
 	}
-	p := &Page{s: s.filled(), vars: vars, url: u, deadline: deadline, now: now}
-	p.begin()
+	p := &Page{options: s.withDefaults(), vars: vars, url: u, deadline: deadline, now: now}
+	p.reset()
 	return p, nil
 }
 
-func (p *Page) begin() {
-	p.root = &seq{open: true}
-	p.parser = NewParser(p.s.Parser)
-	p.raw, p.pieces, p.holes, p.out, p.uses, p.held = nil, nil, nil, 0, 0, 0
-	p.byURL, p.inlines = map[string]*piece{}, map[inDoc][]byte{}
-	p.locals, p.brought = map[inDoc]*piece{}, 0
-	p.at = append(p.at[:0], cursor{s: p.root})
+func (p *Page) reset() {
+	p.root = &sequence{open: true}
+	p.parser = NewParser(p.options.Parser)
+	p.rawTemplate, p.fragments, p.slots, p.inFlight, p.includes, p.waiting = nil, nil, nil, 0, 0, 0
+	p.byURL, p.inlines = map[string]*fragment{}, map[inlineKey][]byte{}
+	p.inlineFragments, p.inlineBytes = map[inlineKey]*fragment{}, 0
+	p.cursors = append(p.cursors[:0], cursor{sequence: p.root})
 }
 
-// elapse is that time passes. While the next bytes are there and the client does not take
+// advanceClock is that time passes. While the next bytes are there and the client does not take
 // them it is the client's: neither the page nor what is paused for it runs out of it.
-func (p *Page) elapse(now float64) {
-	if d := now - p.now; (p.waits || p.busy) && d > 0 {
+func (p *Page) advanceClock(now float64) {
+	if d := now - p.now; (p.outputReady || p.clientBusy) && d > 0 {
 		p.deadline += d
-		for _, x := range p.pieces {
-			if x.state == fetching {
-				x.until += d
+		for _, f := range p.fragments {
+			if f.state == fetching {
+				f.deadline += d
 			}
 		}
 	}
@@ -165,27 +165,27 @@
 
 // SetClientBusy says whether the client has yet to take some of what went out.
 func (p *Page) SetClientBusy(on bool, now float64) {
-	p.elapse(now)
-	p.busy = on
+	p.advanceClock(now)
+	p.clientBusy = on
 }
 
-// clientHolds reports whether bytes could go out now.
-func (p *Page) clientHolds() bool {
-	n := len(p.at)
-	if n == 0 || p.held == 0 {
+// canSend reports whether bytes could go out now.
+func (p *Page) canSend() bool {
+	n := len(p.cursors)
+	if n == 0 || p.waiting == 0 {
 		return false
 	}
-	c := &p.at[n-1]
-	if c.i >= len(c.s.parts) {
-		return !c.s.open
+	c := &p.cursors[n-1]
+	if c.index >= len(c.sequence.parts) {
+		return !c.sequence.open
 	}
-	switch t := &c.s.parts[c.i]; {
-	case t.hole != nil && !t.hole.empty && !t.hole.done:
-		x := t.hole.p
-		if x.seq != nil {
-			return p.isReady(x.seq)
+	switch t := &c.sequence.parts[c.index]; {
+	case t.slot != nil && !t.slot.leftOut && !t.slot.done:
+		f := t.slot.fragment
+		if f.sequence != nil {
+			return p.isReady(f.sequence)
 		}
-		return x.state == whole || p.streams(x) && len(x.data) > c.off && (x.gone > 0 || int64(len(x.data)) >= p.s.StreamThreshold)
+		return f.state == complete || p.mayStream(f) && len(f.data) > c.offset && (f.dropped > 0 || int64(len(f.data)) >= p.options.StreamThreshold)
 	case t.attempt != nil:
 		return p.isReady(t.attempt)
 	}
@@ -201,17 +201,17 @@
 	ErrDeadline  = errors.New("esi: not whole by its deadline")
 )
 
-func (p *Page) stop(kind error, format string, args ...any) {
+func (p *Page) abort(kind error, format string, args ...any) {
 	if p.err != nil {
 		return
 	}
 	p.err = fmt.Errorf("%w: %s", kind, fmt.Sprintf(format, args...))
-	for _, x := range p.pieces {
-		if x.state == fetching {
-			p.acts = append(p.acts, Action{Kind: Cancel, ID: x.id})
+	for _, f := range p.fragments {
+		if f.state == fetching {
+			p.actions = append(p.actions, Action{Kind: Cancel, ID: f.id})
 		}
 	}
-	p.out = 0
+	p.inFlight = 0
 }
 
 // Err is why the page can't be made; nil: so far it can.
@@ -222,16 +222,16 @@
 func (p *Page) Sent() bool { return p.sent > 0 }
 
 // Done reports whether all of the page has gone out.
-func (p *Page) Done() bool { return p.err == nil && len(p.at) == 0 }
+func (p *Page) Done() bool { return p.err == nil && len(p.cursors) == 0 }
 
 // Ready reports whether all of the page is known.
 func (p *Page) Ready() bool { return p.err == nil && p.isReady(p.root) }
 
 // Waiting is how many bytes wait, and Most how many ever did.
-func (p *Page) Waiting() int64 { return p.held }
+func (p *Page) Waiting() int64 { return p.waiting }
 
 // MaxWaiting is how many bytes ever waited at once.
-func (p *Page) MaxWaiting() int64 { return p.most }
+func (p *Page) MaxWaiting() int64 { return p.maxWaiting }
 
 // Attempts is how many attempts fragments have taken.
 func (p *Page) Attempts() int { return p.attempts }
@@ -239,57 +239,57 @@
 // Meta is what can be said of the whole page, once it is Ready.
 func (p *Page) Meta() Meta {
 	list := []Meta{p.meta}
-	for _, h := range p.holes {
-		if !h.empty && h.p != nil && h.p.state == whole {
-			m := h.p.meta
+	for _, h := range p.slots {
+		if !h.leftOut && h.fragment != nil && h.fragment.state == complete {
+			m := h.fragment.meta
 			if m.Fresh > 0 {
-				m.Fresh = max(m.Fresh-(p.now-h.p.since), 0)
+				m.Fresh = max(m.Fresh-(p.now-h.fragment.headAt), 0)
 			}
 			list = append(list, m)
 		}
-		if h.empty { // it may be there the next time
+		if h.leftOut { // it may be there the next time
 			list = append(list, Meta{})
 		}
 	}
 	return Combine(list)
 }
 
-// Do is what is wanted since the last call, and when Tick is due; 0: never.
+// Actions is what is wanted since the last call, and when Tick is due; 0: never.
 func (p *Page) Actions(now float64) (acts []Action, tick float64) {
-	p.elapse(now)
+	p.advanceClock(now)
 	p.schedule()
-	p.waits = p.err == nil && p.clientHolds()
-	acts, p.acts = p.acts, nil
+	p.outputReady = p.err == nil && p.canSend()
+	acts, p.actions = p.actions, nil
 	if p.err != nil || p.Done() {
 		return acts, 0
 	}
 	tick = p.deadline
-	for _, x := range p.pieces {
-		if x.state == fetching {
-			tick = min(tick, x.until)
+	for _, f := range p.fragments {
+		if f.state == fetching {
+			tick = min(tick, f.deadline)
 		}
 	}
-	if p.mustEnd > 0 {
-		tick = min(tick, p.mustEnd)
+	if p.mustEndAt > 0 {
+		tick = min(tick, p.mustEndAt)
 	}
 	return acts, tick
 }
 
 // TemplateHead is the head of the template's answer. Without ESI it is text, whatever stands in it.
-func (p *Page) TemplateHead(m Meta) { p.meta, p.plain = m, !m.ESI }
+func (p *Page) TemplateHead(m Meta) { p.meta, p.plainText = m, !m.ESI }
 
 // Template is the next bytes of the page itself.
 func (p *Page) Template(b []byte, now float64) {
-	p.elapse(now)
+	p.advanceClock(now)
 	if p.err != nil {
 		return
 	}
-	if p.plain {
+	if p.plainText {
 		p.addText(p.root, b, false)
 		return
 	}
-	if p.s.PassMalformed { // only a page that is known whole is known to be well formed
-		p.keep(&p.raw, b, "the page")
+	if p.options.PassMalformed { // only a page that is known whole is known to be well formed
+		p.buffer(&p.rawTemplate, b, "the page")
 		return
 	}
 	p.feed(p.parser, p.root, nil, p.url, b)
@@ -297,21 +297,21 @@
 
 // TemplateEnd ends the page itself.
 func (p *Page) TemplateEnd(now float64) {
-	p.elapse(now)
+	p.advanceClock(now)
 	if p.err != nil {
 		return
 	}
-	if p.plain {
+	if p.plainText {
 		p.root.open = false
 		return
 	}
-	if p.s.PassMalformed {
-		raw := p.raw
-		p.raw = nil
-		p.held -= int64(len(raw))
-		if wellFormed(raw, p.s.Parser) != nil {
+	if p.options.PassMalformed {
+		raw := p.rawTemplate
+		p.rawTemplate = nil
+		p.waiting -= int64(len(raw))
+		if checkSyntax(raw, p.options.Parser) != nil {
 			p.root.parts = []part{{text: raw}}
-			p.hold(int64(len(raw)))
+			p.addWaiting(int64(len(raw)))
 			p.root.open = false
 			return
 		}
@@ -319,16 +319,16 @@
 	}
 	nodes, err := p.parser.Close(nil)
 	if err != nil {
-		p.stop(ErrMalformed, "%v", err)
+		p.abort(ErrMalformed, "%v", err)
 		return
 	}
-	p.build(p.root, nodes, p.url)
+	p.addNodes(p.root, nodes, p.url)
 	p.root.open = false
-	p.unkeep()
+	p.discardUnused()
 }
 
-// wellFormed reads a page for its faults only.
-func wellFormed(raw []byte, l Limits) error {
+// checkSyntax reads a page for its faults only.
+func checkSyntax(raw []byte, l Limits) error {
 	check := NewParser(l)
 	_, err := check.Feed(nil, raw)
 	if err == nil {
@@ -337,38 +337,38 @@
 	return err
 }
 
-func (p *Page) keep(to *[]byte, b []byte, what string) {
-	if int64(len(*to)+len(b)) > p.s.MaxBuffered {
-		p.stop(ErrLimit, "%s is longer than %d bytes, and has to be known whole", what, p.s.MaxBuffered)
+func (p *Page) buffer(to *[]byte, b []byte, what string) {
+	if int64(len(*to)+len(b)) > p.options.MaxBuffered {
+		p.abort(ErrLimit, "%s is longer than %d bytes, and has to be known whole", what, p.options.MaxBuffered)
 		return
 	}
 	*to = append(*to, b...)
-	p.hold(int64(len(b)))
+	p.addWaiting(int64(len(b)))
 }
 
-func (p *Page) hold(n int64) {
-	p.held += n
-	p.most = max(p.most, p.held)
+func (p *Page) addWaiting(n int64) {
+	p.waiting += n
+	p.maxWaiting = max(p.maxWaiting, p.waiting)
 }
 
 // feed has a parser read on, and takes what it finds into a row.
-func (p *Page) feed(parser *Parser, to *seq, of *piece, base *url.URL, b []byte) {
+func (p *Page) feed(parser *Parser, to *sequence, of *fragment, base *url.URL, b []byte) {
 	nodes, err := parser.Feed(nil, b)
 	if err == nil {
-		p.build(to, nodes, base)
+		p.addNodes(to, nodes, base)
 		return
 	}
 	if of == nil {
-		p.stop(ErrMalformed, "%v", err)
+		p.abort(ErrMalformed, "%v", err)
 		return
 	}
-	p.fail(of, err.Error())
+	p.failFragment(of, err.Error())
 }
 
-// build takes nodes into a row.
-func (p *Page) build(to *seq, nodes []Node, base *url.URL) {
+// addNodes takes nodes into a row.
+func (p *Page) addNodes(to *sequence, nodes []Node, base *url.URL) {
 	for i := range nodes {
-		if p.err != nil || to.gone { // what came before may have failed all of it
+		if p.err != nil || to.discarded { // what came before may have failed all of it
 			return
 		}
 		n := &nodes[i]
@@ -379,9 +379,9 @@
 			p.addText(to, p.vars.Expand(nil, string(n.Text), HTML), true)
 		case Inline:
 			if u := p.resolve(base, n.Src); u != nil {
-				if at := (inDoc{to.of, u.RequestURI()}); p.inlines[at] == nil {
-					if p.brought += int64(len(n.Text)); p.brought > p.s.MaxWaiting {
-						p.stop(ErrLimit, "its inlines have more than %d bytes", p.s.MaxWaiting)
+				if at := (inlineKey{to.owner, u.RequestURI()}); p.inlines[at] == nil {
+					if p.inlineBytes += int64(len(n.Text)); p.inlineBytes > p.options.MaxWaiting {
+						p.abort(ErrLimit, "its inlines have more than %d bytes", p.options.MaxWaiting)
 						return
 					}
 					p.inlines[at] = append([]byte{}, n.Text...)
@@ -389,29 +389,29 @@
 			}
 		case Choose:
 			for _, b := range n.Branches {
-				if b.Test == nil || b.Test.True(p.vars) {
-					p.build(to, b.Body, base)
+				if b.Test == nil || b.Test.Holds(p.vars) {
+					p.addNodes(to, b.Body, base)
 					break
 				}
 			}
 		case Try:
-			to.parts = append(to.parts, part{nodes: n.Branches[1].Body})
+			to.parts = append(to.parts, part{exceptNodes: n.Branches[1].Body})
 			k := len(to.parts) - 1
-			attempt := &seq{of: to.of, up: to, tried: true}
+			attempt := &sequence{owner: to.owner, parent: to, isAttempt: true}
 			to.parts[k].attempt = attempt
-			p.build(attempt, n.Branches[0].Body, base)
+			p.addNodes(attempt, n.Branches[0].Body, base)
 		case Include:
-			p.include(to, n, base)
+			p.addInclude(to, n, base)
 		}
 	}
 }
 
-func (p *Page) addText(to *seq, b []byte, own bool) {
+func (p *Page) addText(to *sequence, b []byte, own bool) {
 	if len(b) == 0 {
 		return
 	}
-	p.hold(int64(len(b)))
-	if k := len(to.parts); k > 0 && to.parts[k-1].text != nil && !p.under(to, k-1) {
+	p.addWaiting(int64(len(b)))
+	if k := len(to.parts); k > 0 && to.parts[k-1].text != nil && !p.cursorPassed(to, k-1) {
 		to.parts[k-1].text = append(to.parts[k-1].text, b...)
 		return
 	}
@@ -421,10 +421,10 @@
 	to.parts = append(to.parts, part{text: b})
 }
 
-// under reports whether the cursor has passed or is at a part.
-func (p *Page) under(s *seq, i int) bool {
-	for k := range p.at {
-		if p.at[k].s == s && p.at[k].i > i {
+// cursorPassed reports whether the cursor has passed or is at a part.
+func (p *Page) cursorPassed(s *sequence, i int) bool {
+	for k := range p.cursors {
+		if p.cursors[k].sequence == s && p.cursors[k].index > i {
 			return true
 		}
 	}
@@ -445,159 +445,159 @@
 		return nil
 	}
 	u := base.ResolveReference(&url.URL{Path: ref.Path, RawPath: ref.RawPath, RawQuery: ref.RawQuery})
-	if !strings.HasPrefix(u.Path, "/") || strings.HasPrefix(u.Path, "//") || control(u.Path) {
+	if !strings.HasPrefix(u.Path, "/") || strings.HasPrefix(u.Path, "//") || hasControl(u.Path) {
 		return nil
 	}
 	return u
 }
 
-// include takes a place for a fragment into a row.
-func (p *Page) include(to *seq, n *Node, base *url.URL) {
-	if p.uses++; p.uses > p.s.Includes {
-		p.stop(ErrLimit, "more than %d includes", p.s.Includes)
+// addInclude takes a place for a fragment into a row.
+func (p *Page) addInclude(to *sequence, n *Node, base *url.URL) {
+	if p.includes++; p.includes > p.options.Includes {
+		p.abort(ErrLimit, "more than %d includes", p.options.Includes)
 		return
 	}
-	h := &hole{in: to, cont: n.Continue}
+	h := &slot{sequence: to, continueOnError: n.ContinueOnError}
 	if n.Alt != "" {
 		if u := p.resolve(base, n.Alt); u != nil {
 			h.alt = u.RequestURI()
 		}
 	}
-	p.holes = append(p.holes, h)
-	to.parts = append(to.parts, part{hole: h})
+	p.slots = append(p.slots, h)
+	to.parts = append(to.parts, part{slot: h})
 	u := p.resolve(base, n.Src)
 	if u == nil {
-		p.fallback(h, fmt.Sprintf("src %.80q is no address of this host's", n.Src))
+		p.fallBack(h, fmt.Sprintf("src %.80q is no address of this host's", n.Src))
 		return
 	}
-	p.want(h, u)
+	p.fillSlot(h, u)
 }
 
-// want has a hole wait for a fragment.
-func (p *Page) want(h *hole, u *url.URL) {
+// fillSlot has a hole wait for a fragment.
+func (p *Page) fillSlot(h *slot, u *url.URL) {
 	key := u.RequestURI()
-	of := h.in.of
-	if key == p.url.RequestURI() || p.cycle(of, key) {
-		p.fallback(h, fmt.Sprintf("%.80q is within itself", key))
+	of := h.sequence.owner
+	if key == p.url.RequestURI() || p.isCycle(of, key) {
+		p.fallBack(h, fmt.Sprintf("%.80q is within itself", key))
 		return
 	}
 	depth := 1
 	if of != nil {
 		depth = of.depth + 1
 	}
-	if depth > p.s.Depth {
-		p.fallback(h, fmt.Sprintf("%.80q is nested deeper than %d", key, p.s.Depth))
+	if depth > p.options.Depth {
+		p.fallBack(h, fmt.Sprintf("%.80q is nested deeper than %d", key, p.options.Depth))
 		return
 	}
-	if at, has := p.inline(of, key); has {
-		x := p.locals[at]
-		fresh := x == nil || x.begun || x.state != whole
+	if at, has := p.findInline(of, key); has {
+		f := p.inlineFragments[at]
+		fresh := f == nil || f.partlySent || f.state != complete
 		if fresh {
-			x = &piece{id: len(p.pieces), key: key, url: u, doc: at.of, brought: true, depth: depth}
-			p.pieces = append(p.pieces, x)
-			p.locals[at] = x
+			f = &fragment{id: len(p.fragments), key: key, url: u, definedIn: at.owner, isInline: true, depth: depth}
+			p.fragments = append(p.fragments, f)
+			p.inlineFragments[at] = f
 		}
-		x.up, h.p = append(x.up, of), x
-		x.uses++
-		x.depth = max(x.depth, depth)
+		f.includedBy, h.fragment = append(f.includedBy, of), f
+		f.waitingSlots++
+		f.depth = max(f.depth, depth)
 		if fresh {
-			p.local(x, p.inlines[at])
+			p.parseInline(f, p.inlines[at])
 		}
 		return
 	}
-	x := p.byURL[key]
-	if x == nil || x.begun { // what goes out already is not whole any more
-		x = nil
+	f := p.byURL[key]
+	if f == nil || f.partlySent { // what goes out already is not whole any more
+		f = nil
 	}
-	if x == nil {
-		if len(p.pieces) >= p.s.Fragments {
-			p.fallback(h, fmt.Sprintf("%.80q is past the limit of %d fragments", key, p.s.Fragments))
+	if f == nil {
+		if len(p.fragments) >= p.options.Fragments {
+			p.fallBack(h, fmt.Sprintf("%.80q is past the limit of %d fragments", key, p.options.Fragments))
 			return
 		}
-		x = &piece{id: len(p.pieces), key: key, url: u}
-		p.pieces = append(p.pieces, x)
-		p.byURL[key] = x
+		f = &fragment{id: len(p.fragments), key: key, url: u}
+		p.fragments = append(p.fragments, f)
+		p.byURL[key] = f
 	}
-	x.depth = max(x.depth, depth)
-	x.up = append(x.up, of)
-	x.uses++
-	h.p = x
-	switch n := h.need(); {
-	case x.state == failed:
-		p.fallback(h, x.cause)
-	case x.uses == 1 || n < x.need:
-		x.need = n
+	f.depth = max(f.depth, depth)
+	f.includedBy = append(f.includedBy, of)
+	f.waitingSlots++
+	h.fragment = f
+	switch n := h.importance(); {
+	case f.state == failed:
+		p.fallBack(h, f.cause)
+	case f.waitingSlots == 1 || n < f.importance:
+		f.importance = n
 	}
 }
 
-// inDoc is a name in a page or a fragment; nil: in the page itself.
-type inDoc struct {
-	of  *piece
-	key string
+// inlineKey is a name in a page or a fragment; nil: in the page itself.
+type inlineKey struct {
+	owner *fragment
+	key   string
 }
 
-// inline finds what a page or fragment has brought along by a name.
-func (p *Page) inline(of *piece, key string) (inDoc, bool) {
+// findInline finds what a page or fragment has brought along by a name.
+func (p *Page) findInline(of *fragment, key string) (inlineKey, bool) {
 	for {
-		if _, has := p.inlines[inDoc{of, key}]; has {
-			return inDoc{of, key}, true
+		if _, has := p.inlines[inlineKey{of, key}]; has {
+			return inlineKey{of, key}, true
 		}
-		if of == nil || !of.brought {
-			return inDoc{}, false
+		if of == nil || !of.isInline {
+			return inlineKey{}, false
 		}
-		of = of.doc // an inline has the names of where it stands
+		of = of.definedIn // an inline has the names of where it stands
 	}
 }
 
-// local gives a fragment the content that its page has brought along.
-func (p *Page) local(x *piece, text []byte) {
-	x.state, x.since, x.meta = whole, p.now, p.meta
-	x.seq = &seq{of: x, open: true}
-	x.parser = NewParser(p.s.Parser)
-	p.feed(x.parser, x.seq, x, x.url, text)
-	if x.state != failed {
-		p.closePiece(x)
+// parseInline gives a fragment the content that its page has brought along.
+func (p *Page) parseInline(f *fragment, text []byte) {
+	f.state, f.headAt, f.meta = complete, p.now, p.meta
+	f.sequence = &sequence{owner: f, open: true}
+	f.parser = NewParser(p.options.Parser)
+	p.feed(f.parser, f.sequence, f, f.url, text)
+	if f.state != failed {
+		p.closeFragment(f)
 	}
 }
 
-func (h *hole) need() need {
+func (h *slot) importance() importance {
 	switch {
 	case h.alt != "":
-		return replaced
-	case h.cont:
-		return spared
+		return replaceable
+	case h.continueOnError:
+		return optional
 	}
-	for s := h.in; s != nil; s = s.up {
-		if s.tried {
-			return replaced // by the except
+	for s := h.sequence; s != nil; s = s.parent {
+		if s.isAttempt {
+			return replaceable // by the except
 		}
 	}
-	if of := h.in.of; of != nil {
-		return of.need // it is what fails then
+	if of := h.sequence.owner; of != nil {
+		return of.importance // it is what fails then
 	}
 	return required
 }
 
-// cycle reports whether a key is that of a fragment or of one that it is used in.
-func (p *Page) cycle(x *piece, key string) bool {
-	seen := map[*piece]bool{}
-	var look func(x *piece) bool
-	look = func(x *piece) bool {
-		if x == nil || seen[x] {
+// isCycle reports whether a key is that of a fragment or of one that it is used in.
+func (p *Page) isCycle(f *fragment, key string) bool {
+	seen := map[*fragment]bool{}
+	var look func(f *fragment) bool
+	look = func(f *fragment) bool {
+		if f == nil || seen[f] {
 			return false
 		}
-		seen[x] = true
-		if x.key == key {
+		seen[f] = true
+		if f.key == key {
 			return true
 		}
-		for _, u := range x.up {
+		for _, u := range f.includedBy {
 			if look(u) {
 				return true
 			}
 		}
 		return false
 	}
-	return look(x)
+	return look(f)
 }
 
 // schedule asks for fragments: first the one that the page waits for, then in the order
@@ -606,79 +606,79 @@
 	if p.err != nil {
 		return
 	}
-	first, wanted := p.blocking(), 0
-	for _, x := range p.pieces {
-		if x.state == wanting && x.uses > 0 {
+	first, wanted := p.blockingFragment(), 0
+	for _, f := range p.fragments {
+		if f.state == pending && f.waitingSlots > 0 {
 			wanted++
 		}
 	}
 	if wanted == 0 {
 		return
 	}
-	waves := p.s.waves(wanted)
-	ask := func(x *piece) {
-		if p.attempts >= p.s.Attempts {
-			p.fail(x, fmt.Sprintf("the page's %d attempts are used up", p.s.Attempts))
+	waves := p.options.fetchRounds(wanted)
+	ask := func(f *fragment) {
+		if p.attempts >= p.options.Attempts {
+			p.failFragment(f, fmt.Sprintf("the page's %d attempts are used up", p.options.Attempts))
 			return
 		}
-		x.state, x.until = fetching, p.s.until(p.now, p.end(), waves, x.need)
-		p.out++
-		p.acts = append(p.acts, Action{Kind: Fetch, ID: x.id, URL: x.key, Deadline: x.until})
+		f.state, f.deadline = fetching, p.options.fetchDeadline(p.now, p.latestEnd(), waves, f.importance)
+		p.inFlight++
+		p.actions = append(p.actions, Action{Kind: Fetch, ID: f.id, URL: f.key, Deadline: f.deadline})
 	}
-	if first != nil && first.state == wanting {
+	if first != nil && first.state == pending {
 		ask(first)
 	}
-	for i := 0; i < len(p.pieces) && p.err == nil && p.out < p.s.Parallel && p.held < p.s.MaxWaiting; i++ {
-		if x := p.pieces[i]; x.state == wanting && x.uses > 0 { // a failure may add some
-			ask(x)
+	for i := 0; i < len(p.fragments) && p.err == nil && p.inFlight < p.options.Parallel && p.waiting < p.options.MaxWaiting; i++ {
+		if f := p.fragments[i]; f.state == pending && f.waitingSlots > 0 { // a failure may add some
+			ask(f)
 		}
 	}
-	if first = p.blocking(); p.err == nil && first != nil && first.state == wanting {
+	if first = p.blockingFragment(); p.err == nil && first != nil && first.state == pending {
 		ask(first)
 	}
 }
 
-// blocking is the first fragment that the page waits for; nil: none.
-func (p *Page) blocking() *piece {
-	for k := len(p.at) - 1; k >= 0; k-- {
-		c := &p.at[k]
-		from := c.i
-		if k < len(p.at)-1 {
+// blockingFragment is the first fragment that the page waits for; nil: none.
+func (p *Page) blockingFragment() *fragment {
+	for k := len(p.cursors) - 1; k >= 0; k-- {
+		c := &p.cursors[k]
+		from := c.index
+		if k < len(p.cursors)-1 {
 			from++ // that part is the row above
 		}
-		if x := p.firstOf(c.s, from); x != nil {
-			return x
+		if f := p.firstIncomplete(c.sequence, from); f != nil {
+			return f
 		}
-		if x := c.s.of; c.s.open && x != nil && x.state == fetching {
-			return x
+		if f := c.sequence.owner; c.sequence.open && f != nil && f.state == fetching {
+			return f
 		}
 	}
 	return nil
 }
 
-func (p *Page) firstOf(s *seq, from int) *piece {
+func (p *Page) firstIncomplete(s *sequence, from int) *fragment {
 	for i := from; i < len(s.parts); i++ {
 		t := &s.parts[i]
 		switch {
-		case t.hole != nil && !t.hole.empty && !t.hole.done && t.hole.p != nil:
-			x := t.hole.p
-			if x.seq != nil {
-				if !p.isReady(x.seq) {
-					if y := p.firstOf(x.seq, 0); y != nil {
-						return y
+		case t.slot != nil && !t.slot.leftOut && !t.slot.done && t.slot.fragment != nil:
+			f := t.slot.fragment
+			if f.sequence != nil {
+				if !p.isReady(f.sequence) {
+					if g := p.firstIncomplete(f.sequence, 0); g != nil {
+						return g
 					}
 				}
 			}
-			if x.state == wanting || x.state == fetching {
-				return x
+			if f.state == pending || f.state == fetching {
+				return f
 			}
 		case t.except != nil:
-			if y := p.firstOf(t.except, 0); y != nil {
-				return y
+			if g := p.firstIncomplete(t.except, 0); g != nil {
+				return g
 			}
 		case t.attempt != nil:
-			if y := p.firstOf(t.attempt, 0); y != nil {
-				return y
+			if g := p.firstIncomplete(t.attempt, 0); g != nil {
+				return g
 			}
 		}
 	}
@@ -688,70 +688,70 @@
 // CanRead reports whether more of a fragment is to be read now; with -1, of the template.
 // What the page waits for is always read on.
 func (p *Page) CanRead(id int) bool {
-	if p.err != nil || p.held < p.s.MaxWaiting {
+	if p.err != nil || p.waiting < p.options.MaxWaiting {
 		return true
 	}
 	if id < 0 {
-		return p.blocking() == nil && p.held < 2*p.s.MaxWaiting
+		return p.blockingFragment() == nil && p.waiting < 2*p.options.MaxWaiting
 	}
-	x := p.pieces[id]
-	return x == p.blocking() && (!p.streams(x) || int64(len(x.data)) < p.s.MaxWaiting)
+	f := p.fragments[id]
+	return f == p.blockingFragment() && (!p.mayStream(f) || int64(len(f.data)) < p.options.MaxWaiting)
 }
 
 // CountAttempt counts an attempt at a member for a fragment.
 func (p *Page) CountAttempt() { p.attempts++ }
 
-func (p *Page) piece(id int) *piece {
-	if p.err != nil || id < 0 || id >= len(p.pieces) || p.pieces[id].state != fetching {
+func (p *Page) fetchingFragment(id int) *fragment {
+	if p.err != nil || id < 0 || id >= len(p.fragments) || p.fragments[id].state != fetching {
 		return nil
 	}
-	return p.pieces[id]
+	return p.fragments[id]
 }
 
 // FragmentHead is the head of a fragment's answer.
 func (p *Page) FragmentHead(id int, m Meta, now float64) {
-	p.elapse(now)
-	x := p.piece(id)
-	if x == nil {
+	p.advanceClock(now)
+	f := p.fetchingFragment(id)
+	if f == nil {
 		return
 	}
-	x.meta, x.since = m, now
+	f.meta, f.headAt = m, now
 	if m.ESI {
-		x.seq = &seq{of: x, open: true}
-		x.parser = NewParser(p.s.Parser)
+		f.sequence = &sequence{owner: f, open: true}
+		f.parser = NewParser(p.options.Parser)
 	}
 }
 
 // FragmentBody is the next bytes of a fragment.
 func (p *Page) FragmentBody(id int, b []byte, now float64) {
-	p.elapse(now)
-	x := p.piece(id)
-	if x == nil {
+	p.advanceClock(now)
+	f := p.fetchingFragment(id)
+	if f == nil {
 		return
 	}
-	if x.seq != nil && !p.s.PassMalformed {
-		p.feed(x.parser, x.seq, x, x.url, b)
+	if f.sequence != nil && !p.options.PassMalformed {
+		p.feed(f.parser, f.sequence, f, f.url, b)
 		return
 	}
-	if x.seq != nil || !p.streams(x) {
-		if int64(len(x.data)+len(b)) > p.s.MaxBuffered {
-			p.drop(x)
-			p.fail(x, fmt.Sprintf("%.80q is longer than %d bytes, and has to be known whole", x.key, p.s.MaxBuffered))
+	if f.sequence != nil || !p.mayStream(f) {
+		if int64(len(f.data)+len(b)) > p.options.MaxBuffered {
+			p.cancelFetch(f)
+			p.failFragment(f, fmt.Sprintf("%.80q is longer than %d bytes, and has to be known whole", f.key, p.options.MaxBuffered))
 			return
 		}
 	}
-	x.data = append(x.data, b...)
-	p.hold(int64(len(b)))
+	f.data = append(f.data, b...)
+	p.addWaiting(int64(len(b)))
 }
 
-// streams reports whether a fragment may go out before it is whole.
-func (p *Page) streams(x *piece) bool {
-	if x.uses > 1 || x.seq != nil {
+// mayStream reports whether a fragment may go out before it is whole.
+func (p *Page) mayStream(f *fragment) bool {
+	if f.waitingSlots > 1 || f.sequence != nil {
 		return false
 	}
-	for _, h := range p.holes {
-		if h.p == x && !h.empty && !h.done {
-			return h.in.up == nil && (h.in.of == nil || h.in.of.begun)
+	for _, h := range p.slots {
+		if h.fragment == f && !h.leftOut && !h.done {
+			return h.sequence.parent == nil && (h.sequence.owner == nil || h.sequence.owner.partlySent)
 		}
 	}
 	return false
@@ -759,216 +759,216 @@
 
 // FragmentEnd ends a fragment's answer.
 func (p *Page) FragmentEnd(id int, now float64) {
-	p.elapse(now)
-	x := p.piece(id)
-	if x == nil {
+	p.advanceClock(now)
+	f := p.fetchingFragment(id)
+	if f == nil {
 		return
 	}
-	p.out--
-	x.state = whole
-	if x.seq == nil {
+	p.inFlight--
+	f.state = complete
+	if f.sequence == nil {
 		return
 	}
-	if p.s.PassMalformed {
-		raw := x.data
-		if wellFormed(raw, p.s.Parser) != nil {
-			x.seq, x.parser = nil, nil // as it is
+	if p.options.PassMalformed {
+		raw := f.data
+		if checkSyntax(raw, p.options.Parser) != nil {
+			f.sequence, f.parser = nil, nil // as it is
 			return
 		}
-		x.data = nil
-		p.held -= int64(len(raw))
-		p.feed(x.parser, x.seq, x, x.url, raw)
+		f.data = nil
+		p.waiting -= int64(len(raw))
+		p.feed(f.parser, f.sequence, f, f.url, raw)
 	}
-	p.closePiece(x)
+	p.closeFragment(f)
 }
 
-func (p *Page) closePiece(x *piece) {
-	if x.state == failed || p.err != nil {
+func (p *Page) closeFragment(f *fragment) {
+	if f.state == failed || p.err != nil {
 		return
 	}
-	nodes, err := x.parser.Close(nil)
+	nodes, err := f.parser.Close(nil)
 	if err != nil {
-		p.fail(x, err.Error())
+		p.failFragment(f, err.Error())
 		return
 	}
-	s := x.seq
-	p.build(s, nodes, x.url)
+	s := f.sequence
+	p.addNodes(s, nodes, f.url)
 	s.open = false
 }
 
 // FragmentFailed ends a fragment without an answer, or in the middle of one.
 func (p *Page) FragmentFailed(id int, cause string, now float64) {
-	p.elapse(now)
-	if x := p.piece(id); x != nil {
-		p.out--
-		x.state = wanting
-		p.late = now >= x.until-lateBy
-		p.fail(x, cause)
-		p.late = false
+	p.advanceClock(now)
+	if f := p.fetchingFragment(id); f != nil {
+		p.inFlight--
+		f.state = pending
+		p.failedLate = now >= f.deadline-lateMargin
+		p.failFragment(f, cause)
+		p.failedLate = false
 	}
 }
 
-// lateBy is how shortly before a fragment is given up its failure counts as one by time.
-const lateBy = 20
+// lateMargin is how shortly before a fragment is given up its failure counts as one by time.
+const lateMargin = 20
 
-// drop ends what is out for a fragment.
-func (p *Page) drop(x *piece) {
-	if x.state == fetching {
-		p.out--
-		x.state = wanting
-		p.acts = append(p.acts, Action{Kind: Cancel, ID: x.id})
+// cancelFetch ends what is out for a fragment.
+func (p *Page) cancelFetch(f *fragment) {
+	if f.state == fetching {
+		p.inFlight--
+		f.state = pending
+		p.actions = append(p.actions, Action{Kind: Cancel, ID: f.id})
 	}
 }
 
-// fail gives a fragment up, and has each of its places go on without.
-func (p *Page) fail(x *piece, cause string) {
-	if x.state == failed || p.err != nil {
+// failFragment gives a fragment up, and has each of its places go on without.
+func (p *Page) failFragment(f *fragment, cause string) {
+	if f.state == failed || p.err != nil {
 		return
 	}
-	p.drop(x)
-	p.empty(x)
-	x.state, x.cause = failed, cause
-	if x.begun {
-		p.stop(ErrFragment, "%.80q broke off: %s", x.key, cause)
+	p.cancelFetch(f)
+	p.discardContent(f)
+	f.state, f.cause = failed, cause
+	if f.partlySent {
+		p.abort(ErrFragment, "%.80q broke off: %s", f.key, cause)
 		return
 	}
-	for i := 0; i < len(p.holes) && p.err == nil; i++ {
-		if h := p.holes[i]; h.p == x && !h.empty && !h.done {
-			p.fallback(h, cause)
+	for i := 0; i < len(p.slots) && p.err == nil; i++ {
+		if h := p.slots[i]; h.fragment == f && !h.leftOut && !h.done {
+			p.fallBack(h, cause)
 		}
 	}
 }
 
-// empty forgets what came of a fragment.
-func (p *Page) empty(x *piece) {
-	p.held -= int64(len(x.data))
-	x.data = nil
-	if x.seq != nil {
-		p.forget(x.seq)
-		x.seq, x.parser = nil, nil
+// discardContent forgets what came of a fragment.
+func (p *Page) discardContent(f *fragment) {
+	p.waiting -= int64(len(f.data))
+	f.data = nil
+	if f.sequence != nil {
+		p.discardSequence(f.sequence)
+		f.sequence, f.parser = nil, nil
 	}
 }
 
-// forget gives up a row: what only it waits for is not wanted any more.
-func (p *Page) forget(s *seq) {
+// discardSequence gives up a row: what only it waits for is not wanted any more.
+func (p *Page) discardSequence(s *sequence) {
 	for i := range s.parts {
 		t := &s.parts[i]
-		p.held -= int64(len(t.text))
+		p.waiting -= int64(len(t.text))
 		t.text = nil
-		if h := t.hole; h != nil && !h.done {
-			p.leave(h)
+		if h := t.slot; h != nil && !h.done {
+			p.releaseSlot(h)
 		}
 		if t.attempt != nil {
-			p.forget(t.attempt)
+			p.discardSequence(t.attempt)
 		}
 		if t.except != nil {
-			p.forget(t.except)
+			p.discardSequence(t.except)
 		}
 	}
-	s.parts, s.gone = nil, true
+	s.parts, s.discarded = nil, true
 }
 
-// leave has a hole wait for nothing any more.
-func (p *Page) leave(h *hole) {
+// releaseSlot has a hole wait for nothing any more.
+func (p *Page) releaseSlot(h *slot) {
 	if h.done {
 		return
 	}
 	h.done = true
-	x := h.p
-	if x == nil {
+	f := h.fragment
+	if f == nil {
 		return
 	}
-	if x.uses--; x.uses > 0 {
+	if f.waitingSlots--; f.waitingSlots > 0 {
 		return
 	}
-	if x.state == whole && x.seq == nil && x.gone == 0 && p.root.open && p.held < p.s.MaxWaiting {
-		x.begun = false // kept: the rest of the page may name it again
+	if f.state == complete && f.sequence == nil && f.dropped == 0 && p.root.open && p.waiting < p.options.MaxWaiting {
+		f.partlySent = false // kept: the rest of the page may name it again
 		return
 	}
-	switch x.state {
+	switch f.state {
 	case fetching:
-		p.drop(x)
-		p.empty(x)
-	case whole:
-		p.empty(x)
-	}
-	if x.state == wanting || x.state == whole { // it is asked for anew if another place wants it
-		if p.byURL[x.key] == x {
-			delete(p.byURL, x.key)
+		p.cancelFetch(f)
+		p.discardContent(f)
+	case complete:
+		p.discardContent(f)
+	}
+	if f.state == pending || f.state == complete { // it is asked for anew if another place wants it
+		if p.byURL[f.key] == f {
+			delete(p.byURL, f.key)
 		}
-		x.state = failed
+		f.state = failed
 	}
 }
 
-// unkeep forgets fragments that no place waits for.
-func (p *Page) unkeep() {
-	for _, x := range p.pieces {
-		if x.uses == 0 && x.state == whole {
-			p.empty(x)
-			delete(p.byURL, x.key)
-			x.state = failed
+// discardUnused forgets fragments that no place waits for.
+func (p *Page) discardUnused() {
+	for _, f := range p.fragments {
+		if f.waitingSlots == 0 && f.state == complete {
+			p.discardContent(f)
+			delete(p.byURL, f.key)
+			f.state = failed
 		}
 	}
 }
 
-// fallback has a place go on whose fragment failed: with its alternative, without, or
+// fallBack has a place go on whose fragment failed: with its alternative, without, or
 // by what stands around it.
-func (p *Page) fallback(h *hole, cause string) {
-	if x := h.p; x != nil {
-		h.p = nil
-		x.uses--
+func (p *Page) fallBack(h *slot, cause string) {
+	if f := h.fragment; f != nil {
+		h.fragment = nil
+		f.waitingSlots--
 	}
 	if alt := h.alt; alt != "" {
 		h.alt = ""
 		if u, err := url.ParseRequestURI(alt); err == nil {
-			p.want(h, u)
+			p.fillSlot(h, u)
 			return
 		}
 	}
-	if h.cont {
-		h.empty = true
+	if h.continueOnError {
+		h.leftOut = true
 		return
 	}
 	h.done = true
-	p.broken(h.in, cause)
+	p.failSequence(h.sequence, cause)
 }
 
-// broken has what is around a row go on without it.
-func (p *Page) broken(s *seq, cause string) {
-	for ; s != nil; s = s.up {
-		if s.up == nil {
+// failSequence has what is around a row go on without it.
+func (p *Page) failSequence(s *sequence, cause string) {
+	for ; s != nil; s = s.parent {
+		if s.parent == nil {
 			break
 		}
-		for i := range s.up.parts {
-			if t := &s.up.parts[i]; t.attempt == s {
-				p.forget(s)
+		for i := range s.parent.parts {
+			if t := &s.parent.parts[i]; t.attempt == s {
+				p.discardSequence(s)
 				t.attempt = nil
-				t.except = &seq{of: s.of, up: s.up}
-				nodes := t.nodes
-				t.nodes = nil
+				t.except = &sequence{owner: s.owner, parent: s.parent}
+				nodes := t.exceptNodes
+				t.exceptNodes = nil
 				base := p.url
-				if s.of != nil {
-					base = s.of.url
+				if s.owner != nil {
+					base = s.owner.url
 				}
 				except := t.except
-				p.build(except, nodes, base)
+				p.addNodes(except, nodes, base)
 				return
 			}
 		}
 	}
-	if s != nil && s.of != nil {
-		p.fail(s.of, cause)
+	if s != nil && s.owner != nil {
+		p.failFragment(s.owner, cause)
 		return
 	}
-	if p.late {
-		p.stop(ErrDeadline, "%s", cause)
+	if p.failedLate {
+		p.abort(ErrDeadline, "%s", cause)
 		return
 	}
-	p.stop(ErrFragment, "%s", cause)
+	p.abort(ErrFragment, "%s", cause)
 }
 
 // isReady reports whether all of a row is known.
-func (p *Page) isReady(s *seq) bool {
+func (p *Page) isReady(s *sequence) bool {
 	if s.ready {
 		return true
 	}
@@ -978,9 +978,9 @@
 	for i := range s.parts {
 		t := &s.parts[i]
 		switch {
-		case t.hole != nil && !t.hole.empty && !t.hole.done:
-			x := t.hole.p
-			if x == nil || x.state != whole || x.seq != nil && !p.isReady(x.seq) {
+		case t.slot != nil && !t.slot.leftOut && !t.slot.done:
+			f := t.slot.fragment
+			if f == nil || f.state != complete || f.sequence != nil && !p.isReady(f.sequence) {
 				return false
 			}
 		case t.except != nil:
@@ -1000,25 +1000,25 @@
 // Tick is that time has passed: fragments that are late are given up, and so is the page
 // itself, where it can't be in time.
 func (p *Page) Tick(now float64) {
-	p.elapse(now)
-	for _, x := range p.pieces {
-		if p.err == nil && x.state == fetching && now >= x.until {
-			p.drop(x)
-			if x.begun {
-				p.stop(ErrDeadline, "%.80q", x.key)
+	p.advanceClock(now)
+	for _, f := range p.fragments {
+		if p.err == nil && f.state == fetching && now >= f.deadline {
+			p.cancelFetch(f)
+			if f.partlySent {
+				p.abort(ErrDeadline, "%.80q", f.key)
 				return
 			}
-			p.late = true
-			p.fail(x, fmt.Sprintf("%.80q did not come in time", x.key))
-			p.late = false
+			p.failedLate = true
+			p.failFragment(f, fmt.Sprintf("%.80q did not come in time", f.key))
+			p.failedLate = false
 		}
 	}
 	switch {
 	case p.err != nil || p.Done():
-	case p.mustEnd > 0 && now >= p.mustEnd:
-		p.stop(ErrPurged, "what was sent of it is old by now")
+	case p.mustEndAt > 0 && now >= p.mustEndAt:
+		p.abort(ErrPurged, "what was sent of it is old by now")
 	case now >= p.deadline && !p.Ready():
-		p.stop(ErrDeadline, "%d fragments are out", p.out)
+		p.abort(ErrDeadline, "%d fragments are out", p.inFlight)
 	}
 }
 
@@ -1026,219 +1026,219 @@
 // not yet. What has not begun to go out is asked for again at once; a page of which
 // something has gone out must be whole by then.
 func (p *Page) Purged(template bool, match func(url string) bool, until, now float64) {
-	p.elapse(now)
+	p.advanceClock(now)
 	if p.err != nil || p.Done() {
 		return
 	}
 	if template {
-		if p.sent == 0 && p.restarts < 2 && p.s.worthAnother(now, p.deadline) {
-			for _, x := range p.pieces {
-				p.drop(x)
+		if p.sent == 0 && p.restarts < 2 && p.options.canRestart(now, p.deadline) {
+			for _, f := range p.fragments {
+				p.cancelFetch(f)
 			}
 			p.restarts++
-			p.begin()
-			p.acts = append(p.acts, Action{Kind: Restart})
+			p.reset()
+			p.actions = append(p.actions, Action{Kind: Restart})
 			return
 		}
-		p.ends(until)
+		p.endBy(until)
 		return
 	}
-	for i := 0; i < len(p.pieces) && p.err == nil; i++ {
-		x := p.pieces[i]
-		if x.brought {
+	for i := 0; i < len(p.fragments) && p.err == nil; i++ {
+		f := p.fragments[i]
+		if f.isInline {
 			continue
 		}
-		if x.uses == 0 && x.state == whole && match(x.key) {
-			p.empty(x)
-			delete(p.byURL, x.key)
-			x.state = failed
+		if f.waitingSlots == 0 && f.state == complete && match(f.key) {
+			p.discardContent(f)
+			delete(p.byURL, f.key)
+			f.state = failed
 		}
-		if x.uses == 0 || x.state != fetching && x.state != whole || !match(x.key) {
+		if f.waitingSlots == 0 || f.state != fetching && f.state != complete || !match(f.key) {
 			continue
 		}
-		if x.begun {
-			p.ends(until)
+		if f.partlySent {
+			p.endBy(until)
 			continue
 		}
-		p.refetch(x)
+		p.refetch(f)
 	}
 }
 
-func (p *Page) ends(until float64) {
-	if p.mustEnd == 0 || until < p.mustEnd {
-		p.mustEnd = until
+func (p *Page) endBy(until float64) {
+	if p.mustEndAt == 0 || until < p.mustEndAt {
+		p.mustEndAt = until
 	}
-	if p.now >= p.mustEnd {
-		p.stop(ErrPurged, "what was sent of it is old by now")
+	if p.now >= p.mustEndAt {
+		p.abort(ErrPurged, "what was sent of it is old by now")
 		return
 	}
-	for _, x := range p.pieces { // what the page can do without is not waited for past that
-		if x.state == fetching && x.need != required {
-			x.until = min(x.until, p.end()-p.s.Reserve)
+	for _, f := range p.fragments { // what the page can do without is not waited for past that
+		if f.state == fetching && f.importance != required {
+			f.deadline = min(f.deadline, p.latestEnd()-p.options.Reserve)
 		}
 	}
 }
 
-// end is when the page has to be whole.
-func (p *Page) end() float64 {
-	if p.mustEnd > 0 {
-		return min(p.deadline, p.mustEnd+p.s.Reserve-endBefore)
+// latestEnd is when the page has to be whole.
+func (p *Page) latestEnd() float64 {
+	if p.mustEndAt > 0 {
+		return min(p.deadline, p.mustEndAt+p.options.Reserve-endMargin)
 	}
 	return p.deadline
 }
 
-// endBefore is how long, in ms, before a page has to end its last fragments are given up,
+// endMargin is how long, in ms, before a page has to end its last fragments are given up,
 // so that what is behind them has time to go out.
-const endBefore = 30
+const endMargin = 30
 
 // refetch has a fragment be asked for anew.
-func (p *Page) refetch(x *piece) {
-	p.drop(x)
-	p.empty(x)
-	x.state, x.meta = wanting, Meta{}
-	for _, y := range p.pieces {
-		if y.seq != nil {
-			unready(y.seq)
+func (p *Page) refetch(f *fragment) {
+	p.cancelFetch(f)
+	p.discardContent(f)
+	f.state, f.meta = pending, Meta{}
+	for _, g := range p.fragments {
+		if g.sequence != nil {
+			clearReady(g.sequence)
 		}
 	}
-	unready(p.root)
+	clearReady(p.root)
 }
 
-func unready(s *seq) {
+func clearReady(s *sequence) {
 	s.ready = false
 	for i := range s.parts {
 		if t := &s.parts[i]; t.attempt != nil {
-			unready(t.attempt)
+			clearReady(t.attempt)
 		} else if t.except != nil {
-			unready(t.except)
+			clearReady(t.except)
 		}
 	}
 }
 
-// mostSteps is how many parts a page may go through: nested fragments that are empty
+// maxSteps is how many parts a page may go through: nested fragments that are empty
 // cost time, and no bytes.
-const mostSteps = 200_000
+const maxSteps = 200_000
 
 // Take appends the next bytes of the page, at most most of them; none: it waits for
 // something, is done, or has failed.
 func (p *Page) Take(dst []byte, most int, now float64) []byte {
-	p.elapse(now)
+	p.advanceClock(now)
 	had := len(dst)
-	for p.err == nil && len(p.at) > 0 && len(dst)-had < most {
-		if p.steps++; p.steps > mostSteps {
-			p.stop(ErrLimit, "more than %d parts", mostSteps)
+	for p.err == nil && len(p.cursors) > 0 && len(dst)-had < most {
+		if p.steps++; p.steps > maxSteps {
+			p.abort(ErrLimit, "more than %d parts", maxSteps)
 			break
 		}
-		c := &p.at[len(p.at)-1]
-		if c.i >= len(c.s.parts) {
-			if c.s.open {
+		c := &p.cursors[len(p.cursors)-1]
+		if c.index >= len(c.sequence.parts) {
+			if c.sequence.open {
 				break
 			}
-			p.at = p.at[:len(p.at)-1]
-			if n := len(p.at); n > 0 {
-				p.passed(&p.at[n-1])
+			p.cursors = p.cursors[:len(p.cursors)-1]
+			if n := len(p.cursors); n > 0 {
+				p.advancePast(&p.cursors[n-1])
 			}
 			continue
 		}
-		t := &c.s.parts[c.i]
+		t := &c.sequence.parts[c.index]
 		room := most - (len(dst) - had)
 		switch {
 		case t.text != nil:
-			n := min(room, len(t.text)-c.off)
-			dst = append(dst, t.text[c.off:c.off+n]...)
-			if c.off += n; c.off == len(t.text) {
-				if p.once() {
-					p.held -= int64(len(t.text))
+			n := min(room, len(t.text)-c.offset)
+			dst = append(dst, t.text[c.offset:c.offset+n]...)
+			if c.offset += n; c.offset == len(t.text) {
+				if p.sentOnce() {
+					p.waiting -= int64(len(t.text))
 					t.text = nil
 				}
-				c.i, c.off = c.i+1, 0
+				c.index, c.offset = c.index+1, 0
 			}
-		case t.hole != nil && !t.hole.empty && !t.hole.done:
+		case t.slot != nil && !t.slot.leftOut && !t.slot.done:
 			var more bool
-			if dst, more = p.takeHole(dst, c, t.hole, room); !more {
-				return p.took(dst, had)
+			if dst, more = p.takeSlot(dst, c, t.slot, room); !more {
+				return p.countSent(dst, had)
 			}
 		case t.except != nil:
-			p.at = append(p.at, cursor{s: t.except})
+			p.cursors = append(p.cursors, cursor{sequence: t.except})
 		case t.attempt != nil:
 			if !p.isReady(t.attempt) {
-				return p.took(dst, had)
+				return p.countSent(dst, had)
 			}
-			p.at = append(p.at, cursor{s: t.attempt})
+			p.cursors = append(p.cursors, cursor{sequence: t.attempt})
 		default:
-			c.i, c.off = c.i+1, 0
+			c.index, c.offset = c.index+1, 0
 		}
 	}
-	return p.took(dst, had)
+	return p.countSent(dst, had)
 }
 
-func (p *Page) took(dst []byte, had int) []byte {
+func (p *Page) countSent(dst []byte, had int) []byte {
 	p.sent += int64(len(dst) - had)
-	if p.sent > p.s.MaxPage {
-		p.stop(ErrLimit, "the page is longer than %d bytes", p.s.MaxPage)
+	if p.sent > p.options.MaxPage {
+		p.abort(ErrLimit, "the page is longer than %d bytes", p.options.MaxPage)
 	}
-	p.waits = p.err == nil && p.clientHolds()
+	p.outputReady = p.err == nil && p.canSend()
 	return dst
 }
 
-// passed goes on behind a row that went out.
-func (p *Page) passed(c *cursor) {
-	if t := &c.s.parts[c.i]; t.hole != nil {
-		p.close(t.hole)
+// advancePast goes on behind a row that went out.
+func (p *Page) advancePast(c *cursor) {
+	if t := &c.sequence.parts[c.index]; t.slot != nil {
+		p.closeSlot(t.slot)
 	}
-	c.i, c.off = c.i+1, 0
+	c.index, c.offset = c.index+1, 0
 }
 
-// close is that a hole's fragment has gone out; in a row that goes out again it is kept.
-func (p *Page) close(h *hole) {
-	if p.once() {
-		p.leave(h)
+// closeSlot is that a hole's fragment has gone out; in a row that goes out again it is kept.
+func (p *Page) closeSlot(h *slot) {
+	if p.sentOnce() {
+		p.releaseSlot(h)
 	}
 }
 
-// once reports that what goes out now does not go out again.
-func (p *Page) once() bool {
-	for i := range p.at {
-		if of := p.at[i].s.of; of != nil && of.uses > 1 {
+// sentOnce reports that what goes out now does not go out again.
+func (p *Page) sentOnce() bool {
+	for i := range p.cursors {
+		if of := p.cursors[i].sequence.owner; of != nil && of.waitingSlots > 1 {
 			return false
 		}
 	}
 	return true
 }
 
-// takeHole appends what may go out of a fragment now; more: all of it did.
-func (p *Page) takeHole(dst []byte, c *cursor, h *hole, room int) (out []byte, more bool) {
-	x := h.p
-	if x.seq != nil {
-		if !p.isReady(x.seq) && (x.uses > 1 || h.need() != required || p.s.PassMalformed) {
+// takeSlot appends what may go out of a fragment now; more: all of it did.
+func (p *Page) takeSlot(dst []byte, c *cursor, h *slot, room int) (out []byte, more bool) {
+	f := h.fragment
+	if f.sequence != nil {
+		if !p.isReady(f.sequence) && (f.waitingSlots > 1 || h.importance() != required || p.options.PassMalformed) {
 			return dst, false
 		}
-		if x.state == fetching && len(x.seq.parts) == 0 {
+		if f.state == fetching && len(f.sequence.parts) == 0 {
 			return dst, false
 		}
-		x.begun = true
-		p.at = append(p.at, cursor{s: x.seq})
+		f.partlySent = true
+		p.cursors = append(p.cursors, cursor{sequence: f.sequence})
 		return dst, true
 	}
-	if x.state != whole && (x.state != fetching || !p.streams(x) || x.gone == 0 && int64(len(x.data)) < p.s.StreamThreshold) {
+	if f.state != complete && (f.state != fetching || !p.mayStream(f) || f.dropped == 0 && int64(len(f.data)) < p.options.StreamThreshold) {
 		return dst, false
 	}
-	n := min(room, len(x.data)-c.off)
+	n := min(room, len(f.data)-c.offset)
 	if n > 0 {
-		x.begun = true
-		dst = append(dst, x.data[c.off:c.off+n]...)
-		c.off += n
+		f.partlySent = true
+		dst = append(dst, f.data[c.offset:c.offset+n]...)
+		c.offset += n
 	}
-	if c.off < len(x.data) {
+	if c.offset < len(f.data) {
 		return dst, true // the room is used up
 	}
-	if x.state == whole {
-		p.close(h)
-		c.i, c.off = c.i+1, 0
+	if f.state == complete {
+		p.closeSlot(h)
+		c.index, c.offset = c.index+1, 0
 		return dst, true
 	}
-	p.held -= int64(len(x.data))
-	x.gone += int64(len(x.data))
-	x.data, c.off = x.data[:0], 0
+	p.waiting -= int64(len(f.data))
+	f.dropped += int64(len(f.data))
+	f.data, c.offset = f.data[:0], 0
 	return dst, false
 }
--- a/internal/protocol/esi/page_test.go
+++ b/internal/protocol/esi/page_test.go
@@ -41,7 +41,7 @@
 	now := 0.0
 	for step := 0; p.Err() == nil && !p.Done(); step++ {
 		if step > 200_000 {
-			t.Fatalf("it does not end: %d out, blocking %v, held %d", len(flows), p.blocking(), p.held)
+			t.Fatalf("it does not end: %d out, blocking %v, held %d", len(flows), p.blockingFragment(), p.waiting)
 		}
 		acts, _ := p.Actions(now)
 		for _, a := range acts {
@@ -222,11 +222,11 @@
 		if ok && got != want {
 			t.Fatalf("%d bytes, the model has %d\n%.2000q\n%.2000q\n%s", len(got), len(want), got, want, w["/page"])
 		}
-		if p.Done() && p.held != 0 {
-			t.Fatalf("%d bytes are held at the end", p.held)
+		if p.Done() && p.waiting != 0 {
+			t.Fatalf("%d bytes are held at the end", p.waiting)
 		}
-		if most := int64(3*s.MaxWaiting + 8*s.MaxBuffered); p.most > most {
-			t.Fatalf("%d bytes were held, %d may be", p.most, most)
+		if most := int64(3*s.MaxWaiting + 8*s.MaxBuffered); p.maxWaiting > most {
+			t.Fatalf("%d bytes were held, %d may be", p.maxWaiting, most)
 		}
 	})
 }
@@ -450,8 +450,8 @@
 		if p.Done() && q.Done() && one != two {
 			t.Fatalf("%q and %q", one, two)
 		}
-		if p.most > 3*s.MaxWaiting+10*s.MaxBuffered {
-			t.Fatalf("%d bytes held", p.most)
+		if p.maxWaiting > 3*s.MaxWaiting+10*s.MaxBuffered {
+			t.Fatalf("%d bytes held", p.maxWaiting)
 		}
 	})
 }
--- a/internal/protocol/esi/parse.go
+++ b/internal/protocol/esi/parse.go
@@ -23,13 +23,13 @@
 // caller's, but for the text of a node of the kinds Text and Expand at the top of the
 // page, which is good until the next call.
 type Node struct {
-	Kind     Kind
-	Text     []byte
-	Src, Alt string // of an include, with variables in them; Src is the name of an inline
-	Continue bool   // of an include, on failure: leave it out (onerror="continue")
-	Fetch    bool   // of an inline: it may be asked for by its name from outside the page
-	Branches []Branch
-	At       int64 // where it begins in the page, in bytes
+	Kind            Kind
+	Text            []byte
+	Src, Alt        string // of an include, with variables in them; Src is the name of an inline
+	ContinueOnError bool   // of an include, on failure: leave it out (onerror="continue")
+	Fetchable       bool   // of an inline: it may be asked for by its name from outside the page
+	Branches        []Branch
+	Offset          int64 // where it begins in the page, in bytes
 }
 
 // Branch is a part of a choose, or of a try: there the attempt, and then the except.
@@ -46,7 +46,7 @@
 	Nodes int // elements of a page; default 10,000
 }
 
-func (l Limits) filled() Limits {
+func (l Limits) withDefaults() Limits {
 	set := func(n *int, def int) {
 		if *n <= 0 {
 			*n = def
@@ -61,13 +61,13 @@
 
 // Fault is what makes a page no valid one.
 type Fault struct {
-	At     int64 // in bytes from the page's beginning
+	Offset int64 // in bytes from the page's beginning
 	What   string
 	Remedy string
 }
 
 func (f *Fault) Error() string {
-	s := fmt.Sprintf("esi: byte %d: %s", f.At, f.What)
+	s := fmt.Sprintf("esi: byte %d: %s", f.Offset, f.What)
 	if f.Remedy != "" {
 		s += "; " + f.Remedy
 	}
@@ -77,37 +77,37 @@
 // Parser reads a page in pieces of any size, and gives its nodes as soon as each is
 // whole. After a fault it reads nothing more.
 type Parser struct {
-	l       Limits
-	at      int64  // of the first byte of left
-	left    []byte // read, and not decided yet: it may begin a tag
-	stack   []frame
-	comment bool   // in <!--esi ... -->
-	raw     string // the element whose content is not looked into; empty: none
-	inline  Node   // the one that raw is of
-	held    int
-	nodes   int
-	err     error
+	limits     Limits
+	offset     int64  // of the first byte of left
+	unread     []byte // read, and not decided yet: it may begin a tag
+	stack      []frame
+	inComment  bool   // in <!--esi ... -->
+	rawElement string // the element whose content is not looked into; empty: none
+	inline     Node   // the one that raw is of
+	held       int
+	elements   int
+	err        error
 }
 
 // frame is an element that is open.
 type frame struct {
-	name     string
-	node     Node
-	test     *Expr
-	body     []Node
-	seen     string // of a choose: otherwise; of a try: what came
-	contents int    // bytes of text in it that are held
+	name      string
+	node      Node
+	test      *Expr
+	body      []Node
+	seenParts string // of a choose: otherwise; of a try: what came
+	textBytes int    // bytes of text in it that are held
 }
 
 // NewParser begins a page.
-func NewParser(l Limits) *Parser { return &Parser{l: l.filled()} }
+func NewParser(l Limits) *Parser { return &Parser{limits: l.withDefaults()} }
 
 var (
-	openTag    = []byte("<esi:")
-	closeTag   = []byte("</esi:")
-	openNote   = []byte("<!--esi")
-	closeNote  = []byte("-->")
-	allMarkers = [][]byte{openTag, closeTag, openNote}
+	openTag      = []byte("<esi:")
+	closeTag     = []byte("</esi:")
+	openComment  = []byte("<!--esi")
+	closeComment = []byte("-->")
+	markers      = [][]byte{openTag, closeTag, openComment}
 )
 
 // Feed takes the next bytes of the page, and appends the nodes that are whole to dst.
@@ -116,9 +116,9 @@
 		return dst, p.err
 	}
 	data := b
-	if len(p.left) > 0 {
-		p.left = append(p.left, b...)
-		data = p.left
+	if len(p.unread) > 0 {
+		p.unread = append(p.unread, b...)
+		data = p.unread
 	}
 	for len(data) > 0 && p.err == nil {
 		n := 0
@@ -126,16 +126,16 @@
 			break
 		}
 		data = data[n:]
-		p.at += int64(n)
+		p.offset += int64(n)
 	}
 	if p.err != nil {
-		p.left = nil
+		p.unread = nil
 		return dst, p.err
 	}
-	if len(p.left) > 0 { // nodes may hold a part of it until the next call
-		p.left = nil
+	if len(p.unread) > 0 { // nodes may hold a part of it until the next call
+		p.unread = nil
 	}
-	p.left = append(p.left, data...)
+	p.unread = append(p.unread, data...)
 	return dst, nil
 }
 
@@ -144,22 +144,22 @@
 	if p.err != nil {
 		return dst, p.err
 	}
-	if p.raw != "" {
-		p.fail(p.at, "esi:"+p.raw+" is not closed", "write </esi:"+p.raw+">")
+	if p.rawElement != "" {
+		p.fail(p.offset, "esi:"+p.rawElement+" is not closed", "write </esi:"+p.rawElement+">")
 	} else if n := len(p.stack); n > 0 {
 		name := p.stack[n-1].name
-		p.fail(p.stack[n-1].node.At, "esi:"+name+" is not closed", "write </esi:"+name+">")
-	} else if bytes.HasPrefix(p.left, openTag) || bytes.HasPrefix(p.left, closeTag) {
-		p.fail(p.at, "the page ends within a tag", "close it with >")
-	} else if p.comment {
-		p.fail(p.at, "<!--esi is not closed", "write -->")
+		p.fail(p.stack[n-1].node.Offset, "esi:"+name+" is not closed", "write </esi:"+name+">")
+	} else if bytes.HasPrefix(p.unread, openTag) || bytes.HasPrefix(p.unread, closeTag) {
+		p.fail(p.offset, "the page ends within a tag", "close it with >")
+	} else if p.inComment {
+		p.fail(p.offset, "<!--esi is not closed", "write -->")
 	}
 	if p.err != nil {
 		return dst, p.err
 	}
-	rest := p.left
-	p.left = nil
-	return p.text(dst, rest), nil
+	rest := p.unread
+	p.unread = nil
+	return p.addText(dst, rest), nil
 }
 
 func (p *Parser) fail(at int64, what, remedy string) {
@@ -170,38 +170,38 @@
 
 // step takes one piece of data, and says of how many bytes. 0: more must come first.
 func (p *Parser) step(dst []Node, data []byte) ([]Node, int) {
-	if p.raw != "" {
-		return p.skip(dst, data)
+	if p.rawElement != "" {
+		return p.skipRaw(dst, data)
 	}
 	i := bytes.IndexByte(data, '<')
-	if p.comment {
+	if p.inComment {
 		end := data
 		if i >= 0 {
 			end = data[:i]
 		}
-		if j := bytes.Index(end, closeNote); j >= 0 {
-			p.comment = false
-			dst = p.text(dst, data[:j])
-			return dst, j + len(closeNote)
+		if j := bytes.Index(end, closeComment); j >= 0 {
+			p.inComment = false
+			dst = p.addText(dst, data[:j])
+			return dst, j + len(closeComment)
 		}
 		if i < 0 { // it may end with the beginning of -->
 			keep := 0
-			for k := 1; k < len(closeNote); k++ {
-				if bytes.HasSuffix(data, closeNote[:k]) {
+			for k := 1; k < len(closeComment); k++ {
+				if bytes.HasSuffix(data, closeComment[:k]) {
 					keep = k
 				}
 			}
-			dst = p.text(dst, data[:len(data)-keep])
+			dst = p.addText(dst, data[:len(data)-keep])
 			return dst, len(data) - keep
 		}
 	}
 	if i < 0 {
-		return p.text(dst, data), len(data)
+		return p.addText(dst, data), len(data)
 	}
 	if i > 0 {
-		return p.text(dst, data[:i]), i
+		return p.addText(dst, data[:i]), i
 	}
-	for _, m := range allMarkers {
+	for _, m := range markers {
 		if len(data) < len(m) && bytes.HasPrefix(m, data) {
 			return dst, 0
 		}
@@ -209,26 +209,26 @@
 	switch {
 	case bytes.HasPrefix(data, openTag), bytes.HasPrefix(data, closeTag):
 		n := tagEnd(data)
-		if n == 0 && len(data) >= p.l.Tag || n > p.l.Tag {
-			p.fail(p.at, fmt.Sprintf("a tag is longer than %d bytes", p.l.Tag), "shorten it, or raise the limit")
+		if n == 0 && len(data) >= p.limits.Tag || n > p.limits.Tag {
+			p.fail(p.offset, fmt.Sprintf("a tag is longer than %d bytes", p.limits.Tag), "shorten it, or raise the limit")
 			return dst, 0
 		}
 		if n == 0 {
 			return dst, 0
 		}
 		if data[1] == '/' {
-			return p.closes(dst, strings.TrimSpace(string(data[len(closeTag):n-1]))), n
+			return p.closeElement(dst, strings.TrimSpace(string(data[len(closeTag):n-1]))), n
 		}
-		return p.opens(dst, string(data[len(openTag):n-1])), n
-	case bytes.HasPrefix(data, openNote):
-		if p.comment {
-			p.fail(p.at, "<!--esi within <!--esi", "close the first with -->")
+		return p.openElement(dst, string(data[len(openTag):n-1])), n
+	case bytes.HasPrefix(data, openComment):
+		if p.inComment {
+			p.fail(p.offset, "<!--esi within <!--esi", "close the first with -->")
 			return dst, 0
 		}
-		p.comment = true
-		return dst, len(openNote)
+		p.inComment = true
+		return dst, len(openComment)
 	}
-	return p.text(dst, data[:1]), 1
+	return p.addText(dst, data[:1]), 1
 }
 
 // tagEnd is the length of the tag that data begins with, 0 if it is not whole. A > in
@@ -250,9 +250,9 @@
 	return 0
 }
 
-// skip passes over the content of an element that is not looked into.
-func (p *Parser) skip(dst []Node, data []byte) ([]Node, int) {
-	end := []byte("</esi:" + p.raw + ">")
+// skipRaw passes over the content of an element that is not looked into.
+func (p *Parser) skipRaw(dst []Node, data []byte) ([]Node, int) {
+	end := []byte("</esi:" + p.rawElement + ">")
 	i := bytes.Index(data, end)
 	n := i + len(end)
 	if i < 0 {
@@ -260,59 +260,59 @@
 		n = i
 	}
 	if p.inline.Kind == Inline {
-		if p.held += i; p.held > p.l.Held {
-			p.tooMuch()
+		if p.held += i; p.held > p.limits.Held {
+			p.failHeld()
 			return dst, 0
 		}
 		p.inline.Text = append(p.inline.Text, data[:i]...)
 	}
 	if n > i {
-		p.raw = ""
+		p.rawElement = ""
 		if node := p.inline; node.Kind == Inline {
 			p.inline = Node{}
-			dst = p.add(dst, node)
+			dst = p.addNode(dst, node)
 		}
 	}
 	return dst, n
 }
 
-func (p *Parser) tooMuch() {
-	p.fail(p.at, fmt.Sprintf("more than %d bytes wait for the end of their element", p.l.Held), "use smaller choose, try and vars elements, or raise the limit")
+func (p *Parser) failHeld() {
+	p.fail(p.offset, fmt.Sprintf("more than %d bytes wait for the end of their element", p.limits.Held), "use smaller choose, try and vars elements, or raise the limit")
 }
 
-// text is bytes of the page itself.
-func (p *Parser) text(dst []Node, b []byte) []Node {
+// addText is bytes of the page itself.
+func (p *Parser) addText(dst []Node, b []byte) []Node {
 	if len(b) == 0 {
 		return dst
 	}
 	if len(p.stack) == 0 {
-		return append(dst, Node{Kind: Text, Text: b, At: p.at})
+		return append(dst, Node{Kind: Text, Text: b, Offset: p.offset})
 	}
 	f := &p.stack[len(p.stack)-1]
 	if f.name == "choose" || f.name == "try" {
 		if i := len(b) - len(bytes.TrimLeft(b, " \t\r\n")); i < len(b) {
-			p.fail(p.at+int64(i), "text stands in esi:"+f.name+" itself", "put it into one of its parts")
+			p.fail(p.offset+int64(i), "text stands in esi:"+f.name+" itself", "put it into one of its parts")
 		}
 		return dst
 	}
-	if p.held += len(b); p.held > p.l.Held {
-		p.tooMuch()
+	if p.held += len(b); p.held > p.limits.Held {
+		p.failHeld()
 		return dst
 	}
-	f.contents += len(b)
+	f.textBytes += len(b)
 	kind := Text
-	if p.within("vars") {
+	if p.insideElement("vars") {
 		kind = Expand
 	}
 	if n := len(f.body); n > 0 && f.body[n-1].Kind == kind {
 		f.body[n-1].Text = append(f.body[n-1].Text, b...)
 		return dst
 	}
-	f.body = append(f.body, Node{Kind: kind, Text: append([]byte(nil), b...), At: p.at})
+	f.body = append(f.body, Node{Kind: kind, Text: append([]byte(nil), b...), Offset: p.offset})
 	return dst
 }
 
-func (p *Parser) within(name string) bool {
+func (p *Parser) insideElement(name string) bool {
 	for i := range p.stack {
 		if p.stack[i].name == name {
 			return true
@@ -321,32 +321,32 @@
 	return false
 }
 
-// add puts a whole node where it belongs.
-func (p *Parser) add(dst []Node, n Node) []Node {
+// addNode puts a whole node where it belongs.
+func (p *Parser) addNode(dst []Node, n Node) []Node {
 	if len(p.stack) == 0 {
 		p.held = 0
 		return append(dst, n)
 	}
 	f := &p.stack[len(p.stack)-1]
 	if f.name == "choose" || f.name == "try" {
-		p.fail(n.At, "an element stands in esi:"+f.name+" itself", "put it into one of its parts")
+		p.fail(n.Offset, "an element stands in esi:"+f.name+" itself", "put it into one of its parts")
 		return dst
 	}
 	f.body = append(f.body, n)
 	return dst
 }
 
-// shapes of elements: the attributes that each may have, with ! those that it must.
-var shapes = map[string]string{
+// elementAttributes of elements: the attributes that each may have, with ! those that it must.
+var elementAttributes = map[string]string{
 	"include": "src! alt onerror", "inline": "name! fetchable", "comment": "text", "remove": "", "vars": "",
 	"choose": "", "when": "test!", "otherwise": "", "try": "", "attempt": "", "except": "",
 }
 
-// parents of elements that stand in one other only.
-var parents = map[string]string{"when": "choose", "otherwise": "choose", "attempt": "try", "except": "try"}
+// requiredParent of elements that stand in one other only.
+var requiredParent = map[string]string{"when": "choose", "otherwise": "choose", "attempt": "try", "except": "try"}
 
-// opens takes an opening or an empty tag; text is what stands between <esi: and >.
-func (p *Parser) opens(dst []Node, text string) []Node {
+// openElement takes an opening or an empty tag; text is what stands between <esi: and >.
+func (p *Parser) openElement(dst []Node, text string) []Node {
 	empty := strings.HasSuffix(text, "/")
 	name, rest := text, ""
 	text = strings.TrimSuffix(text, "/")
@@ -355,95 +355,95 @@
 	} else {
 		name = text
 	}
-	shape, known := shapes[name]
+	shape, known := elementAttributes[name]
 	if !known {
-		p.fail(p.at, fmt.Sprintf("esi:%.40q is no element", name), "see docs/esi.md for those that are")
+		p.fail(p.offset, fmt.Sprintf("esi:%.40q is no element", name), "see docs/esi.md for those that are")
 		return dst
 	}
-	attr, what := attributes(rest, shape)
+	attr, what := parseAttributes(rest, shape)
 	if what != "" {
-		p.fail(p.at, "esi:"+name+": "+what, "see docs/esi.md for what it takes")
+		p.fail(p.offset, "esi:"+name+": "+what, "see docs/esi.md for what it takes")
 		return dst
 	}
-	if p.nodes++; p.nodes > p.l.Nodes {
-		p.fail(p.at, fmt.Sprintf("more than %d elements on a page", p.l.Nodes), "split the page, or raise the limit")
+	if p.elements++; p.elements > p.limits.Nodes {
+		p.fail(p.offset, fmt.Sprintf("more than %d elements on a page", p.limits.Nodes), "split the page, or raise the limit")
 		return dst
 	}
-	if in := parents[name]; in != "" && (len(p.stack) == 0 || p.stack[len(p.stack)-1].name != in) {
-		p.fail(p.at, "esi:"+name+" stands outside of esi:"+in, "put it into one")
+	if in := requiredParent[name]; in != "" && (len(p.stack) == 0 || p.stack[len(p.stack)-1].name != in) {
+		p.fail(p.offset, "esi:"+name+" stands outside of esi:"+in, "put it into one")
 		return dst
 	}
 	alone := name == "include" || name == "comment"
 	if alone != empty {
 		if alone {
-			p.fail(p.at, "esi:"+name+" is not closed", "end it with />")
+			p.fail(p.offset, "esi:"+name+" is not closed", "end it with />")
 		} else {
-			p.fail(p.at, "esi:"+name+" is empty", "give it its content, and </esi:"+name+">")
+			p.fail(p.offset, "esi:"+name+" is empty", "give it its content, and </esi:"+name+">")
 		}
 		return dst
 	}
-	node := Node{At: p.at}
+	node := Node{Offset: p.offset}
 	switch name {
 	case "comment":
 		return dst
 	case "include":
-		node.Kind, node.Src, node.Alt, node.Continue = Include, attr["src"], attr["alt"], attr["onerror"] == "continue"
-		if e, has := attr["onerror"]; has && !node.Continue {
-			p.fail(p.at, fmt.Sprintf("onerror is %.20q", e), `"continue" is all that it can be`)
+		node.Kind, node.Src, node.Alt, node.ContinueOnError = Include, attr["src"], attr["alt"], attr["onerror"] == "continue"
+		if e, has := attr["onerror"]; has && !node.ContinueOnError {
+			p.fail(p.offset, fmt.Sprintf("onerror is %.20q", e), `"continue" is all that it can be`)
 		}
-		if p.held += len(node.Src) + len(node.Alt); len(p.stack) > 0 && p.held > p.l.Held {
-			p.tooMuch()
+		if p.held += len(node.Src) + len(node.Alt); len(p.stack) > 0 && p.held > p.limits.Held {
+			p.failHeld()
 		}
-		return p.add(dst, node)
+		return p.addNode(dst, node)
 	case "remove":
-		p.raw = name
+		p.rawElement = name
 		return dst
 	case "inline":
-		p.raw = name
-		p.inline = Node{Kind: Inline, At: p.at, Src: attr["name"], Fetch: attr["fetchable"] == "yes"}
+		p.rawElement = name
+		p.inline = Node{Kind: Inline, Offset: p.offset, Src: attr["name"], Fetchable: attr["fetchable"] == "yes"}
 		if f, has := attr["fetchable"]; has && f != "yes" && f != "no" {
-			p.fail(p.at, fmt.Sprintf("fetchable is %.20q", f), "yes or no")
+			p.fail(p.offset, fmt.Sprintf("fetchable is %.20q", f), "yes or no")
 		}
 		return dst
 	}
-	if len(p.stack) >= p.l.Depth {
-		p.fail(p.at, fmt.Sprintf("elements are nested deeper than %d", p.l.Depth), "flatten the page, or raise the limit")
+	if len(p.stack) >= p.limits.Depth {
+		p.fail(p.offset, fmt.Sprintf("elements are nested deeper than %d", p.limits.Depth), "flatten the page, or raise the limit")
 		return dst
 	}
 	f := frame{name: name, node: node}
-	if in := parents[name]; in != "" {
+	if in := requiredParent[name]; in != "" {
 		out := &p.stack[len(p.stack)-1]
 		switch {
-		case name == "when" && out.seen != "":
-			p.fail(p.at, "esi:when stands behind esi:otherwise", "put it before")
-		case name == "otherwise" && out.seen != "", name != "when" && name != "otherwise" && strings.Contains(out.seen, name):
-			p.fail(p.at, "a second esi:"+name, "one is all there can be")
-		case name == "except" && out.seen == "":
-			p.fail(p.at, "esi:except stands before esi:attempt", "put it behind")
+		case name == "when" && out.seenParts != "":
+			p.fail(p.offset, "esi:when stands behind esi:otherwise", "put it before")
+		case name == "otherwise" && out.seenParts != "", name != "when" && name != "otherwise" && strings.Contains(out.seenParts, name):
+			p.fail(p.offset, "a second esi:"+name, "one is all there can be")
+		case name == "except" && out.seenParts == "":
+			p.fail(p.offset, "esi:except stands before esi:attempt", "put it behind")
 		}
 		if name != "when" {
-			out.seen += name
+			out.seenParts += name
 		}
 	}
 	if name == "when" {
 		var err error
 		if f.test, err = ParseExpr(attr["test"]); err != nil {
-			p.fail(p.at, "esi:when: "+err.Error(), "")
+			p.fail(p.offset, "esi:when: "+err.Error(), "")
 		}
 	}
 	p.stack = append(p.stack, f)
 	return dst
 }
 
-// closes takes a closing tag.
-func (p *Parser) closes(dst []Node, name string) []Node {
+// closeElement takes a closing tag.
+func (p *Parser) closeElement(dst []Node, name string) []Node {
 	n := len(p.stack)
 	if n == 0 || p.stack[n-1].name != name {
 		what := "nothing of it is open"
 		if n > 0 {
 			what = "esi:" + p.stack[n-1].name + " is open"
 		}
-		p.fail(p.at, fmt.Sprintf("</esi:%.40s>, where %s", name, what), "close elements in the order in which they opened")
+		p.fail(p.offset, fmt.Sprintf("</esi:%.40s>, where %s", name, what), "close elements in the order in which they opened")
 		return dst
 	}
 	f := p.stack[n-1]
@@ -451,31 +451,31 @@
 	switch name {
 	case "vars":
 		for _, node := range f.body {
-			dst = p.add(dst, node)
+			dst = p.addNode(dst, node)
 		}
 		return dst
 	case "choose":
 		f.node.Kind = Choose
 		if len(f.node.Branches) == 0 || f.node.Branches[0].Test == nil {
-			p.fail(f.node.At, "esi:choose without esi:when", "give it one, or leave it out")
+			p.fail(f.node.Offset, "esi:choose without esi:when", "give it one, or leave it out")
 			return dst
 		}
-		return p.add(dst, f.node)
+		return p.addNode(dst, f.node)
 	case "try":
 		f.node.Kind = Try
-		if f.seen != "attemptexcept" {
-			p.fail(f.node.At, "esi:try without both an esi:attempt and an esi:except", "give it both")
+		if f.seenParts != "attemptexcept" {
+			p.fail(f.node.Offset, "esi:try without both an esi:attempt and an esi:except", "give it both")
 			return dst
 		}
-		return p.add(dst, f.node)
+		return p.addNode(dst, f.node)
 	}
 	out := &p.stack[n-2]
 	out.node.Branches = append(out.node.Branches, Branch{f.test, f.body})
 	return dst
 }
 
-// attributes reads name="value" pairs by a shape; what is wrong is said in words.
-func attributes(s, shape string) (map[string]string, string) {
+// parseAttributes reads name="value" pairs by a shape; what is wrong is said in words.
+func parseAttributes(s, shape string) (map[string]string, string) {
 	out := map[string]string{}
 	for s = strings.TrimSpace(s); s != ""; s = strings.TrimSpace(s) {
 		name, rest, ok := strings.Cut(s, "=")
@@ -497,7 +497,7 @@
 		if strings.IndexFunc(value, func(r rune) bool { return r < 0x20 && r != '\t' && r != '\n' && r != '\r' }) >= 0 {
 			return nil, fmt.Sprintf("the value of %q has a control character", name)
 		}
-		out[name] = references.Replace(value)
+		out[name] = characterReferences.Replace(value)
 		s = rest[end+2:]
 	}
 	for want := range strings.FieldsSeq(shape) {
@@ -508,5 +508,5 @@
 	return out, ""
 }
 
-// references are those that XML defines for attributes' values.
-var references = strings.NewReplacer("&amp;", "&", "&lt;", "<", "&gt;", ">", "&quot;", `"`, "&apos;", "'", "&#34;", `"`, "&#39;", "'")
+// characterReferences are those that XML defines for attributes' values.
+var characterReferences = strings.NewReplacer("&amp;", "&", "&lt;", "<", "&gt;", ">", "&quot;", `"`, "&apos;", "'", "&#34;", `"`, "&#39;", "'")
--- a/internal/protocol/esi/plan.go
+++ b/internal/protocol/esi/plan.go
@@ -18,7 +18,7 @@
 	PassMalformed   bool    // a malformed page goes out as it is; else it is an error
 }
 
-func (s Options) filled() Options {
+func (s Options) withDefaults() Options {
 	set := func(n *int, def int) {
 		if *n <= 0 {
 			*n = def
@@ -44,36 +44,38 @@
 	return s
 }
 
-// need is what becomes of the page when a fragment fails.
-type need uint8
+// importance is what becomes of the page when a fragment fails.
+type importance uint8
 
 const (
-	required need = iota // it fails, or what is around it
-	spared               // it goes on without
-	replaced             // it asks for another
+	required    importance = iota // it fails, or what is around it
+	optional                      // it goes on without
+	replaceable                   // it asks for another
 )
 
-// until is when a fragment is given up that is fetched from now on, where the page has
+// fetchDeadline is when a fragment is given up that is fetched from now on, where the page has
 // time until deadline and waves more rounds of fetches to make. What the page can't do
 // without has all the time that there is; what it can must leave each round behind it a
 // share; and what has an alternative must leave that as much again.
-func (s *Options) until(now, deadline float64, waves int, n need) float64 {
+func (s *Options) fetchDeadline(now, deadline float64, waves int, n importance) float64 {
 	end := deadline - s.Reserve
 	left := max(end-now, 0)
 	switch n {
-	case spared:
+	case optional:
 		return now + left/float64(max(waves, 1))
-	case replaced:
+	case replaceable:
 		return now + left/float64(1+max(waves, 1))
 	}
 	return end
 }
 
-// waves is how many rounds of fetches so many fragments take.
-func (s *Options) waves(wanted int) int { return int(math.Ceil(float64(wanted) / float64(s.Parallel))) }
+// fetchRounds is how many rounds of fetches so many fragments take.
+func (s *Options) fetchRounds(wanted int) int {
+	return int(math.Ceil(float64(wanted) / float64(s.Parallel)))
+}
 
-// worthAnother reports whether there is time to begin the page anew.
-func (s *Options) worthAnother(now, deadline float64) bool { return deadline-now > 2*s.Reserve }
+// canRestart reports whether there is time to begin the page anew.
+func (s *Options) canRestart(now, deadline float64) bool { return deadline-now > 2*s.Reserve }
 
 // Meta is what the head of a fragment's answer says of how long it may be kept.
 type Meta struct {
@@ -107,7 +109,7 @@
 		out.Fresh = 0
 	}
 	if tags {
-		out.ETag = tagOf(h)
+		out.ETag = weakTag(h)
 	}
 	if !dates {
 		out.LastModified = 0
@@ -115,8 +117,8 @@
 	return out
 }
 
-// tagOf is a weak tag: pieces' bytes are compared by their own tags only.
-func tagOf(h uint64) string {
+// weakTag is a weak tag: pieces' bytes are compared by their own tags only.
+func weakTag(h uint64) string {
 	const hex = "0123456789abcdef"
 	b := []byte(`W/"p0000000000000000"`)
 	for i := range 16 {
--- a/internal/protocol/esi/vars.go
+++ b/internal/protocol/esi/vars.go
@@ -23,7 +23,7 @@
 }
 
 // names of variables, and whether each takes a key.
-var variables = map[string]bool{
+var takesKey = map[string]bool{
 	"HTTP_HOST": false, "HTTP_REFERER": false, "HTTP_COOKIE": true, "HTTP_ACCEPT_LANGUAGE": true,
 	"HTTP_USER_AGENT": true, "QUERY_STRING": true,
 }
@@ -35,14 +35,14 @@
 	if most <= 0 {
 		most = 4096
 	}
-	if ok && s != "" && len(s) <= most && !control(s) {
+	if ok && s != "" && len(s) <= most && !hasControl(s) {
 		return s, true
 	}
 	return r.Default, r.HasDefault
 }
 
-// control reports bytes that could end a line or a header.
-func control(s string) bool {
+// hasControl reports bytes that could end a line or a header.
+func hasControl(s string) bool {
 	return strings.IndexFunc(s, func(r rune) bool { return r < 0x20 || r == 0x7f }) >= 0
 }
 
@@ -86,14 +86,14 @@
 		if !r.HasKey {
 			return v.UserAgent, v.UserAgent != ""
 		}
-		return agent(v.UserAgent, r.Key)
+		return userAgentPart(v.UserAgent, r.Key)
 	}
 	return "", false
 }
 
-// agent is a part of what a user agent says of itself, in the words of the language:
+// userAgentPart is a part of what a user agent says of itself, in the words of the language:
 // browser is MOZILLA, MSIE or OTHER, os is WIN, MAC, UNIX or OTHER.
-func agent(s, key string) (string, bool) {
+func userAgentPart(s, key string) (string, bool) {
 	if s == "" {
 		return "", false
 	}
@@ -154,7 +154,7 @@
 		i++
 	}
 	r.Name = s[2:i]
-	takes, known := variables[r.Name]
+	takes, known := takesKey[r.Name]
 	if !known {
 		return r, 0
 	}
@@ -237,7 +237,7 @@
 			dst = append(dst, "&#34;"...)
 		case e == HTML && c == '\'':
 			dst = append(dst, "&#39;"...)
-		case e == URL && !unreserved(c) && c != '%': // what is escaped already stays so
+		case e == URL && !isUnreserved(c) && c != '%': // what is escaped already stays so
 			dst = append(dst, '%', hex[c>>4], hex[c&15])
 		default:
 			dst = append(dst, c)
@@ -246,6 +246,6 @@
 	return dst
 }
 
-func unreserved(c byte) bool {
+func isUnreserved(c byte) bool {
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '.' || c == '_' || c == '~'
 }
