--- a/internal/protocol/esi/expr.go
+++ b/internal/protocol/esi/expr.go
@@ -6,19 +6,19 @@
 	"strings"
 )
 
-// Expr is a test of a when: comparisons of variables and literals, joined by ! & | and
-// grouped by parentheses. A comparison binds tightest, then !, &, |.
+// Expr is the test of a when element: comparisons of variables and literals, combined with !, &
+// and | and grouped with parentheses. Comparisons bind tightest, then !, &, |.
 type Expr struct {
 	op          string // "|", "&", "!", a comparison, or "" for an operand
 	left, right *Expr
-	text        string // of a literal
-	ref         Ref    // of a variable
+	text        string // value of a literal
+	ref         Ref    // the variable, if isRef
 	isRef       bool
 }
 
-const maxNesting = 32 // of an expression
+const maxNesting = 32 // levels of parentheses and negations
 
-// ParseExpr reads a test. What is wrong is said with the place in the text, from 1.
+// ParseExpr parses a test. An error states the position in the text, counted from 1.
 func ParseExpr(text string) (*Expr, error) {
 	p := &exprParser{text: text}
 	e, err := p.or(0)
@@ -26,7 +26,7 @@
 		return nil, err
 	}
 	if p.skipSpace(); p.offset < len(text) {
-		return nil, p.errorf("%.20q is left over", text[p.offset:])
+		return nil, p.errorf("%.20q after the end of the expression", text[p.offset:])
 	}
 	return e, nil
 }
@@ -72,7 +72,7 @@
 
 func (p *exprParser) not(depth int) (*Expr, error) {
 	if depth > maxNesting {
-		return nil, p.errorf("it is nested deeper than %d", maxNesting)
+		return nil, p.errorf("nested deeper than %d levels", maxNesting)
 	}
 	if p.skipSpace(); strings.HasPrefix(p.text[p.offset:], "!") && !strings.HasPrefix(p.text[p.offset:], "!=") {
 		p.offset++
@@ -95,14 +95,14 @@
 			continue
 		}
 		if left.op != "" {
-			return nil, p.errorf("only values are compared, and not what a test says")
+			return nil, p.errorf("a comparison takes values, not the result of a test")
 		}
 		right, err := p.operand(depth)
 		if err != nil {
 			return nil, err
 		}
 		if right.op != "" {
-			return nil, p.errorf("only values are compared, and not what a test says")
+			return nil, p.errorf("a comparison takes values, not the result of a test")
 		}
 		return &Expr{op: op, left: left, right: right}, nil
 	}
@@ -114,10 +114,10 @@
 	rest := p.text[p.offset:]
 	switch {
 	case rest == "":
-		return nil, p.errorf("a value is missing")
+		return nil, p.errorf("missing value")
 	case rest[0] == '(':
 		if depth >= maxNesting {
-			return nil, p.errorf("it is nested deeper than %d", maxNesting)
+			return nil, p.errorf("nested deeper than %d levels", maxNesting)
 		}
 		p.offset++
 		e, err := p.or(depth + 1)
@@ -125,20 +125,20 @@
 			return nil, err
 		}
 		if !p.take(")") {
-			return nil, p.errorf("a parenthesis is not closed")
+			return nil, p.errorf("unclosed parenthesis")
 		}
 		return e, nil
 	case rest[0] == '\'':
 		end := strings.IndexByte(rest[1:], '\'')
 		if end < 0 {
-			return nil, p.errorf("a literal is not closed by an apostrophe")
+			return nil, p.errorf("unclosed literal: missing apostrophe")
 		}
 		p.offset += end + 2
 		return &Expr{text: rest[1 : 1+end]}, nil
 	case rest[0] == '$':
 		ref, n := parseRef(rest)
 		if n == 0 {
-			return nil, p.errorf("%.30q is no variable; known are HTTP_ACCEPT_LANGUAGE, HTTP_COOKIE, HTTP_HOST, HTTP_REFERER, HTTP_USER_AGENT, QUERY_STRING", rest)
+			return nil, p.errorf("%.30q is not a variable; known are HTTP_ACCEPT_LANGUAGE, HTTP_COOKIE, HTTP_HOST, HTTP_REFERER, HTTP_USER_AGENT, QUERY_STRING", rest)
 		}
 		p.offset += n
 		return &Expr{ref: ref, isRef: true}, nil
@@ -148,13 +148,13 @@
 		n++
 	}
 	if _, err := strconv.ParseFloat(rest[:n], 64); err != nil {
-		return nil, p.errorf("%.20q is no value; text stands in apostrophes", rest)
+		return nil, p.errorf("%.20q is not a value; text must be in apostrophes", rest)
 	}
 	p.offset += n
 	return &Expr{text: rest[:n]}, nil
 }
 
-// value is an operand's value; ok: it has one.
+// value returns the value of an operand and whether it has one.
 func (e *Expr) value(v *Vars) (string, bool) {
 	if e.isRef {
 		return v.Value(&e.ref)
@@ -162,8 +162,8 @@
 	return e.text, true
 }
 
-// Holds reports whether the test holds. A comparison with what has no value is false, as
-// is a variable alone without one, or with an empty one.
+// Holds reports whether the test holds. A comparison with an operand that has no value is false. A
+// single operand holds if it has a value that is neither empty nor "false".
 func (e *Expr) Holds(v *Vars) bool {
 	switch e.op {
 	case "|":
@@ -184,7 +184,7 @@
 	c := strings.Compare(a, b)
 	x, xerr := strconv.ParseFloat(a, 64)
 	y, yerr := strconv.ParseFloat(b, 64)
-	if xerr == nil && yerr == nil { // as numbers where both are
+	if xerr == nil && yerr == nil { // two numbers are compared as numbers
 		switch {
 		case x < y:
 			c = -1
@@ -192,7 +192,7 @@
 			c = 1
 		case x == y:
 			c = 0
-		default: // NaN equals nothing, itself neither
+		default: // NaN is not equal to anything, itself included
 			return e.op == "!="
 		}
 	}
--- a/internal/protocol/esi/parse.go
+++ b/internal/protocol/esi/parse.go
@@ -6,43 +6,43 @@
 	"strings"
 )
 
-// Kind is what a node of a page is.
+// Kind is the kind of a node.
 type Kind uint8
 
 // The kinds of nodes.
 const (
-	Text    Kind = iota + 1 // bytes, as they are
+	Text    Kind = iota + 1 // literal bytes
 	Expand                  // bytes in which variables are replaced (vars)
 	Include                 // a fragment
 	Choose                  // the first branch whose test holds
 	Try                     // the attempt, or else the except
-	Inline                  // a fragment that the page brings along
+	Inline                  // a fragment whose text is in the page
 )
 
-// Node is a piece of a page. A node that the parser returns holds no memory of the
-// caller's, but for the text of a node of the kinds Text and Expand at the top of the
-// page, which is good until the next call.
+// Node is an element of a page, or a run of text. The Text of a top-level node of kind Text or
+// Expand refers to the parser's input and is valid until the next call. All else in a node is
+// copied.
 type Node struct {
 	Kind            Kind
 	Text            []byte
-	Src, Alt        string // of an include, with variables in them; Src is the name of an inline
-	ContinueOnError bool   // of an include, on failure: leave it out (onerror="continue")
-	Fetchable       bool   // of an inline: it may be asked for by its name from outside the page
+	Src, Alt        string // of an include, with unexpanded variables; Src is the name of an inline
+	ContinueOnError bool   // of an include: leave it out if it fails (onerror="continue")
+	Fetchable       bool   // of an inline: it may be requested by its name from outside the page
 	Branches        []Branch
-	Offset          int64 // where it begins in the page, in bytes
+	Offset          int64 // position of its start in the page, in bytes
 }
 
-// Branch is a part of a choose, or of a try: there the attempt, and then the except.
+// Branch is a branch of a choose or of a try. A try has two, the attempt and the except.
 type Branch struct {
-	Test *Expr // nil: otherwise, attempt or except
+	Test *Expr // nil for otherwise, attempt and except
 	Body []Node
 }
 
-// Limits bound what a page may ask of a parser. The zero value has the defaults.
+// Limits bound the resources that parsing a page takes. A field that is zero has its default.
 type Limits struct {
-	Depth int // elements in elements; default 16
+	Depth int // nesting depth of elements; default 16
 	Tag   int // bytes of one tag; default 8 KB
-	Held  int // bytes that are held until their element ends; default 1 MB
+	Held  int // bytes buffered until their element ends; default 1 MB
 	Nodes int // elements of a page; default 10,000
 }
 
@@ -59,9 +59,9 @@
 	return l
 }
 
-// Fault is what makes a page no valid one.
+// Fault is a syntax error in a page.
 type Fault struct {
-	Offset int64 // in bytes from the page's beginning
+	Offset int64 // in bytes from the start of the page
 	What   string
 	Remedy string
 }
@@ -74,32 +74,32 @@
 	return s
 }
 
-// Parser reads a page in pieces of any size, and gives its nodes as soon as each is
-// whole. After a fault it reads nothing more.
+// Parser parses a page from chunks of any size and returns each node as soon as it is complete.
+// After a fault it parses nothing more.
 type Parser struct {
 	limits     Limits
-	offset     int64  // of the first byte of left
-	unread     []byte // read, and not decided yet: it may begin a tag
+	offset     int64  // position in the page of the first byte of unread
+	unread     []byte // received but not parsed: may be the start of a tag
 	stack      []frame
-	inComment  bool   // in <!--esi ... -->
-	rawElement string // the element whose content is not looked into; empty: none
-	inline     Node   // the one that raw is of
+	inComment  bool   // within <!--esi ... -->
+	rawElement string // name of the open element whose content is not parsed; empty: none
+	inline     Node   // the open inline, if rawElement is one
 	held       int
 	elements   int
 	err        error
 }
 
-// frame is an element that is open.
+// frame is an open element.
 type frame struct {
 	name      string
 	node      Node
 	test      *Expr
 	body      []Node
-	seenParts string // of a choose: otherwise; of a try: what came
-	textBytes int    // bytes of text in it that are held
+	seenParts string // child elements so far: of a choose only otherwise, of a try all
+	textBytes int    // bytes of text buffered in it
 }
 
-// NewParser begins a page.
+// NewParser returns a parser for one page.
 func NewParser(l Limits) *Parser { return &Parser{limits: l.withDefaults()} }
 
 var (
@@ -110,7 +110,7 @@
 	markers      = [][]byte{openTag, closeTag, openComment}
 )
 
-// Feed takes the next bytes of the page, and appends the nodes that are whole to dst.
+// Feed parses the next bytes of the page and appends the nodes that are complete to dst.
 func (p *Parser) Feed(dst []Node, b []byte) ([]Node, error) {
 	if p.err != nil {
 		return dst, p.err
@@ -132,14 +132,14 @@
 		p.unread = nil
 		return dst, p.err
 	}
-	if len(p.unread) > 0 { // nodes may hold a part of it until the next call
+	if len(p.unread) > 0 { // not reused: returned nodes refer to it until the next call
 		p.unread = nil
 	}
 	p.unread = append(p.unread, data...)
 	return dst, nil
 }
 
-// Close ends the page: what is left must not have begun something.
+// Close ends the page and appends the last nodes to dst. An open element or tag is a fault.
 func (p *Parser) Close(dst []Node) ([]Node, error) {
 	if p.err != nil {
 		return dst, p.err
@@ -150,7 +150,7 @@
 		name := p.stack[n-1].name
 		p.fail(p.stack[n-1].node.Offset, "esi:"+name+" is not closed", "write </esi:"+name+">")
 	} else if bytes.HasPrefix(p.unread, openTag) || bytes.HasPrefix(p.unread, closeTag) {
-		p.fail(p.offset, "the page ends within a tag", "close it with >")
+		p.fail(p.offset, "page ends within a tag", "close it with >")
 	} else if p.inComment {
 		p.fail(p.offset, "<!--esi is not closed", "write -->")
 	}
@@ -162,13 +162,14 @@
 	return p.addText(dst, rest), nil
 }
 
-func (p *Parser) fail(at int64, what, remedy string) {
+func (p *Parser) fail(offset int64, what, remedy string) {
 	if p.err == nil {
-		p.err = &Fault{at, what, remedy}
+		p.err = &Fault{offset, what, remedy}
 	}
 }
 
-// step takes one piece of data, and says of how many bytes. 0: more must come first.
+// step parses one token and returns its length in bytes. The length is 0 if the token is
+// incomplete.
 func (p *Parser) step(dst []Node, data []byte) ([]Node, int) {
 	if p.rawElement != "" {
 		return p.skipRaw(dst, data)
@@ -184,7 +185,7 @@
 			dst = p.addText(dst, data[:j])
 			return dst, j + len(closeComment)
 		}
-		if i < 0 { // it may end with the beginning of -->
+		if i < 0 { // data may end with the first bytes of -->
 			keep := 0
 			for k := 1; k < len(closeComment); k++ {
 				if bytes.HasSuffix(data, closeComment[:k]) {
@@ -231,8 +232,8 @@
 	return p.addText(dst, data[:1]), 1
 }
 
-// tagEnd is the length of the tag that data begins with, 0 if it is not whole. A > in
-// quotes does not end it.
+// tagEnd returns the length of the tag at the start of data, or 0 if the tag is incomplete. A >
+// within quotes does not end a tag.
 func tagEnd(data []byte) int {
 	quote := byte(0)
 	for i, c := range data {
@@ -250,7 +251,7 @@
 	return 0
 }
 
-// skipRaw passes over the content of an element that is not looked into.
+// skipRaw consumes the unparsed content of a remove or an inline. That of an inline is kept.
 func (p *Parser) skipRaw(dst []Node, data []byte) ([]Node, int) {
 	end := []byte("</esi:" + p.rawElement + ">")
 	i := bytes.Index(data, end)
@@ -277,10 +278,10 @@
 }
 
 func (p *Parser) failHeld() {
-	p.fail(p.offset, fmt.Sprintf("more than %d bytes wait for the end of their element", p.limits.Held), "use smaller choose, try and vars elements, or raise the limit")
+	p.fail(p.offset, fmt.Sprintf("more than %d bytes buffered until their elements end", p.limits.Held), "use smaller choose, try and vars elements, or raise the limit")
 }
 
-// addText is bytes of the page itself.
+// addText adds literal bytes of the page.
 func (p *Parser) addText(dst []Node, b []byte) []Node {
 	if len(b) == 0 {
 		return dst
@@ -291,7 +292,7 @@
 	f := &p.stack[len(p.stack)-1]
 	if f.name == "choose" || f.name == "try" {
 		if i := len(b) - len(bytes.TrimLeft(b, " \t\r\n")); i < len(b) {
-			p.fail(p.offset+int64(i), "text stands in esi:"+f.name+" itself", "put it into one of its parts")
+			p.fail(p.offset+int64(i), "text stands directly in esi:"+f.name, "move it into one of its child elements")
 		}
 		return dst
 	}
@@ -321,7 +322,7 @@
 	return false
 }
 
-// addNode puts a whole node where it belongs.
+// addNode adds a complete node to the innermost open element, or to dst if none is open.
 func (p *Parser) addNode(dst []Node, n Node) []Node {
 	if len(p.stack) == 0 {
 		p.held = 0
@@ -329,23 +330,24 @@
 	}
 	f := &p.stack[len(p.stack)-1]
 	if f.name == "choose" || f.name == "try" {
-		p.fail(n.Offset, "an element stands in esi:"+f.name+" itself", "put it into one of its parts")
+		p.fail(n.Offset, "an element stands directly in esi:"+f.name, "move it into one of its child elements")
 		return dst
 	}
 	f.body = append(f.body, n)
 	return dst
 }
 
-// elementAttributes of elements: the attributes that each may have, with ! those that it must.
+// elementAttributes lists the attributes of each element. A ! marks the required ones.
 var elementAttributes = map[string]string{
 	"include": "src! alt onerror", "inline": "name! fetchable", "comment": "text", "remove": "", "vars": "",
 	"choose": "", "when": "test!", "otherwise": "", "try": "", "attempt": "", "except": "",
 }
 
-// requiredParent of elements that stand in one other only.
+// requiredParent names the parent of each element that may stand in one other element only.
 var requiredParent = map[string]string{"when": "choose", "otherwise": "choose", "attempt": "try", "except": "try"}
 
-// openElement takes an opening or an empty tag; text is what stands between <esi: and >.
+// openElement processes a start tag or an empty-element tag. The text is what stands between
+// <esi: and >.
 func (p *Parser) openElement(dst []Node, text string) []Node {
 	empty := strings.HasSuffix(text, "/")
 	name, rest := text, ""
@@ -355,14 +357,14 @@
 	} else {
 		name = text
 	}
-	shape, known := elementAttributes[name]
+	allowed, known := elementAttributes[name]
 	if !known {
-		p.fail(p.offset, fmt.Sprintf("esi:%.40q is no element", name), "see docs/esi.md for those that are")
+		p.fail(p.offset, fmt.Sprintf("esi:%.40q is not an element", name), "see docs/esi.md for the supported elements")
 		return dst
 	}
-	attr, what := parseAttributes(rest, shape)
+	attr, what := parseAttributes(rest, allowed)
 	if what != "" {
-		p.fail(p.offset, "esi:"+name+": "+what, "see docs/esi.md for what it takes")
+		p.fail(p.offset, "esi:"+name+": "+what, "see docs/esi.md for its attributes")
 		return dst
 	}
 	if p.elements++; p.elements > p.limits.Nodes {
@@ -370,15 +372,15 @@
 		return dst
 	}
 	if in := requiredParent[name]; in != "" && (len(p.stack) == 0 || p.stack[len(p.stack)-1].name != in) {
-		p.fail(p.offset, "esi:"+name+" stands outside of esi:"+in, "put it into one")
+		p.fail(p.offset, "esi:"+name+" stands outside of esi:"+in, "move it into an esi:"+in)
 		return dst
 	}
-	alone := name == "include" || name == "comment"
-	if alone != empty {
-		if alone {
+	mustBeEmpty := name == "include" || name == "comment"
+	if mustBeEmpty != empty {
+		if mustBeEmpty {
 			p.fail(p.offset, "esi:"+name+" is not closed", "end it with />")
 		} else {
-			p.fail(p.offset, "esi:"+name+" is empty", "give it its content, and </esi:"+name+">")
+			p.fail(p.offset, "esi:"+name+" is empty", "add its content and </esi:"+name+">")
 		}
 		return dst
 	}
@@ -389,7 +391,7 @@
 	case "include":
 		node.Kind, node.Src, node.Alt, node.ContinueOnError = Include, attr["src"], attr["alt"], attr["onerror"] == "continue"
 		if e, has := attr["onerror"]; has && !node.ContinueOnError {
-			p.fail(p.offset, fmt.Sprintf("onerror is %.20q", e), `"continue" is all that it can be`)
+			p.fail(p.offset, fmt.Sprintf("onerror is %.20q", e), `the only value is "continue"`)
 		}
 		if p.held += len(node.Src) + len(node.Alt); len(p.stack) > 0 && p.held > p.limits.Held {
 			p.failHeld()
@@ -402,7 +404,7 @@
 		p.rawElement = name
 		p.inline = Node{Kind: Inline, Offset: p.offset, Src: attr["name"], Fetchable: attr["fetchable"] == "yes"}
 		if f, has := attr["fetchable"]; has && f != "yes" && f != "no" {
-			p.fail(p.offset, fmt.Sprintf("fetchable is %.20q", f), "yes or no")
+			p.fail(p.offset, fmt.Sprintf("fetchable is %.20q", f), "use yes or no")
 		}
 		return dst
 	}
@@ -415,11 +417,11 @@
 		out := &p.stack[len(p.stack)-1]
 		switch {
 		case name == "when" && out.seenParts != "":
-			p.fail(p.offset, "esi:when stands behind esi:otherwise", "put it before")
+			p.fail(p.offset, "esi:when after esi:otherwise", "move it before")
 		case name == "otherwise" && out.seenParts != "", name != "when" && name != "otherwise" && strings.Contains(out.seenParts, name):
-			p.fail(p.offset, "a second esi:"+name, "one is all there can be")
+			p.fail(p.offset, "a second esi:"+name, "only one is allowed")
 		case name == "except" && out.seenParts == "":
-			p.fail(p.offset, "esi:except stands before esi:attempt", "put it behind")
+			p.fail(p.offset, "esi:except before esi:attempt", "move it after")
 		}
 		if name != "when" {
 			out.seenParts += name
@@ -435,15 +437,15 @@
 	return dst
 }
 
-// closeElement takes a closing tag.
+// closeElement processes an end tag.
 func (p *Parser) closeElement(dst []Node, name string) []Node {
 	n := len(p.stack)
 	if n == 0 || p.stack[n-1].name != name {
-		what := "nothing of it is open"
+		what := "no element is open"
 		if n > 0 {
 			what = "esi:" + p.stack[n-1].name + " is open"
 		}
-		p.fail(p.offset, fmt.Sprintf("</esi:%.40s>, where %s", name, what), "close elements in the order in which they opened")
+		p.fail(p.offset, fmt.Sprintf("</esi:%.40s>, but %s", name, what), "close the innermost element first")
 		return dst
 	}
 	f := p.stack[n-1]
@@ -457,14 +459,14 @@
 	case "choose":
 		f.node.Kind = Choose
 		if len(f.node.Branches) == 0 || f.node.Branches[0].Test == nil {
-			p.fail(f.node.Offset, "esi:choose without esi:when", "give it one, or leave it out")
+			p.fail(f.node.Offset, "esi:choose without esi:when", "add an esi:when, or remove the esi:choose")
 			return dst
 		}
 		return p.addNode(dst, f.node)
 	case "try":
 		f.node.Kind = Try
 		if f.seenParts != "attemptexcept" {
-			p.fail(f.node.Offset, "esi:try without both an esi:attempt and an esi:except", "give it both")
+			p.fail(f.node.Offset, "esi:try without both an esi:attempt and an esi:except", "add what is missing")
 			return dst
 		}
 		return p.addNode(dst, f.node)
@@ -474,21 +476,22 @@
 	return dst
 }
 
-// parseAttributes reads name="value" pairs by a shape; what is wrong is said in words.
-func parseAttributes(s, shape string) (map[string]string, string) {
+// parseAttributes parses name="value" pairs of an element that may have the given attributes, in
+// the form of elementAttributes. It returns a description of what is wrong, or "".
+func parseAttributes(s, allowed string) (map[string]string, string) {
 	out := map[string]string{}
 	for s = strings.TrimSpace(s); s != ""; s = strings.TrimSpace(s) {
 		name, rest, ok := strings.Cut(s, "=")
 		name, rest = strings.TrimSpace(name), strings.TrimSpace(rest)
 		if !ok || rest == "" || rest[0] != '"' && rest[0] != '\'' {
-			return nil, fmt.Sprintf("%.40q is no attribute: name=\"value\" is", s)
+			return nil, fmt.Sprintf("%.40q is not an attribute of the form name=\"value\"", s)
 		}
 		end := strings.IndexByte(rest[1:], rest[0])
 		if end < 0 {
 			return nil, fmt.Sprintf("the value of %.20q is not closed", name)
 		}
-		if !strings.Contains(" "+shape+" ", " "+name+" ") && !strings.Contains(" "+shape+" ", " "+name+"! ") {
-			return nil, fmt.Sprintf("it has no attribute %.20q", name)
+		if !strings.Contains(" "+allowed+" ", " "+name+" ") && !strings.Contains(" "+allowed+" ", " "+name+"! ") {
+			return nil, fmt.Sprintf("unknown attribute %.20q", name)
 		}
 		if _, twice := out[name]; twice {
 			return nil, fmt.Sprintf("%q is given twice", name)
@@ -500,7 +503,7 @@
 		out[name] = characterReferences.Replace(value)
 		s = rest[end+2:]
 	}
-	for want := range strings.FieldsSeq(shape) {
+	for want := range strings.FieldsSeq(allowed) {
 		if name, must := strings.CutSuffix(want, "!"); must && out[name] == "" {
 			return nil, fmt.Sprintf("%s is missing", name)
 		}
@@ -508,5 +511,5 @@
 	return out, ""
 }
 
-// characterReferences are those that XML defines for attributes' values.
+// characterReferences decodes the references that XML defines, in the values of attributes.
 var characterReferences = strings.NewReplacer("&amp;", "&", "&lt;", "<", "&gt;", ">", "&quot;", `"`, "&apos;", "'", "&#34;", `"`, "&#39;", "'")
--- a/internal/protocol/esi/plan.go
+++ b/internal/protocol/esi/plan.go
@@ -2,23 +2,24 @@
 
 import "math"
 
-// Options bounds how pages are put together. Zero fields have the defaults. Times are in ms.
+// Options bound the assembly of a page. A field that is zero has its default. Times are in
+// milliseconds.
 type Options struct {
 	Parser          Limits
-	Fragments       int     // different fragments of a page, with alternatives; default 256
-	Includes        int     // includes that are met in a page and its fragments; default 2,000
-	Depth           int     // fragments in fragments; default 4
-	Parallel        int     // fragments that are fetched at once; default 8
+	Fragments       int     // distinct fragments of a page, alternatives included; default 256
+	Includes        int     // include elements processed in a page and its fragments; default 2,000
+	Depth           int     // nesting depth of fragments; default 4
+	Parallel        int     // fragments fetched concurrently; default 8
 	Attempts        int     // attempts at members for all fragments of a page; default 400
-	StreamThreshold int64   // bytes up to which a fragment is held until it is whole; default 64 KB
-	MaxBuffered     int64   // bytes of a fragment that has to be held whole; default 1 MB
-	MaxWaiting      int64   // bytes that may wait for their turn before others are read on; default 1 MB
-	MaxPage         int64   // bytes of a whole page; default 64 MB
-	Reserve         float64 // ms kept back before the page's deadline; default 100
-	PassMalformed   bool    // a malformed page goes out as it is; else it is an error
+	StreamThreshold int64   // bytes received of a fragment before it may be sent incomplete; default 64 KB
+	MaxBuffered     int64   // bytes of a fragment that must be complete before it is sent; default 1 MB
+	MaxWaiting      int64   // bytes waiting to be sent at which reading ahead pauses; default 1 MB
+	MaxPage         int64   // bytes of an assembled page; default 64 MB
+	Reserve         float64 // time before the page's deadline at which fetches time out; default 100
+	PassMalformed   bool    // send a malformed page unmodified instead of failing
 }
 
-func (s Options) withDefaults() Options {
+func (o Options) withDefaults() Options {
 	set := func(n *int, def int) {
 		if *n <= 0 {
 			*n = def
@@ -29,67 +30,68 @@
 			*n = def
 		}
 	}
-	set(&s.Fragments, 256)
-	set(&s.Includes, 2000)
-	set(&s.Depth, 4)
-	set(&s.Parallel, 8)
-	set(&s.Attempts, 400)
-	set64(&s.StreamThreshold, 64<<10)
-	set64(&s.MaxBuffered, 1<<20)
-	set64(&s.MaxWaiting, 1<<20)
-	set64(&s.MaxPage, 64<<20)
-	if s.Reserve <= 0 {
-		s.Reserve = 100
+	set(&o.Fragments, 256)
+	set(&o.Includes, 2000)
+	set(&o.Depth, 4)
+	set(&o.Parallel, 8)
+	set(&o.Attempts, 400)
+	set64(&o.StreamThreshold, 64<<10)
+	set64(&o.MaxBuffered, 1<<20)
+	set64(&o.MaxWaiting, 1<<20)
+	set64(&o.MaxPage, 64<<20)
+	if o.Reserve <= 0 {
+		o.Reserve = 100
 	}
-	return s
+	return o
 }
 
-// importance is what becomes of the page when a fragment fails.
+// importance says what happens to the page if a fragment fails.
 type importance uint8
 
 const (
-	required    importance = iota // it fails, or what is around it
-	optional                      // it goes on without
-	replaceable                   // it asks for another
+	required    importance = iota // the page fails, or the fragment that includes it
+	optional                      // the fragment is left out
+	replaceable                   // another fragment or an except takes its place
 )
 
-// fetchDeadline is when a fragment is given up that is fetched from now on, where the page has
-// time until deadline and waves more rounds of fetches to make. What the page can't do
-// without has all the time that there is; what it can must leave each round behind it a
-// share; and what has an alternative must leave that as much again.
-func (s *Options) fetchDeadline(now, deadline float64, waves int, n importance) float64 {
-	end := deadline - s.Reserve
+// fetchDeadline returns the time at which a fetch that starts now times out. The page has time
+// until deadline and needs the given number of further rounds of fetches. A required fragment
+// may use all the time that is left. An optional one leaves an equal share to each of the other
+// rounds, and a replaceable one leaves one more share to its alternative.
+func (o *Options) fetchDeadline(now, deadline float64, rounds int, imp importance) float64 {
+	end := deadline - o.Reserve
 	left := max(end-now, 0)
-	switch n {
+	switch imp {
 	case optional:
-		return now + left/float64(max(waves, 1))
+		return now + left/float64(max(rounds, 1))
 	case replaceable:
-		return now + left/float64(1+max(waves, 1))
+		return now + left/float64(1+max(rounds, 1))
 	}
 	return end
 }
 
-// fetchRounds is how many rounds of fetches so many fragments take.
-func (s *Options) fetchRounds(wanted int) int {
-	return int(math.Ceil(float64(wanted) / float64(s.Parallel)))
+// fetchRounds returns the number of rounds that the fetches of so many fragments take.
+func (o *Options) fetchRounds(fragments int) int {
+	return int(math.Ceil(float64(fragments) / float64(o.Parallel)))
 }
 
-// canRestart reports whether there is time to begin the page anew.
-func (s *Options) canRestart(now, deadline float64) bool { return deadline-now > 2*s.Reserve }
+// canRestart reports whether there is time to start the page again.
+func (o *Options) canRestart(now, deadline float64) bool { return deadline-now > 2*o.Reserve }
 
-// Meta is what the head of a fragment's answer says of how long it may be kept.
+// Meta holds the caching metadata from the head of an answer.
 type Meta struct {
-	Fresh        float64 // ms that it is fresh for, its age taken off; 0: it has to be asked for again; -1: nothing is said
-	Private      bool    // for one client only
+	Fresh        float64 // ms of remaining freshness; 0: must be revalidated; -1: not stated
+	Private      bool    // for a single client
 	NoStore      bool
 	ETag         string
-	LastModified int64 // Last-Modified, Unix seconds; 0: nothing is said
-	ESI          bool  // it is a page to put together itself
+	LastModified int64 // Last-Modified in Unix seconds; 0: not stated
+	ESI          bool  // contains ESI and is assembled itself
 }
 
-// Combine is what can be said of a page that is made of pieces: as fresh as the least,
-// private as any, changed as the last; of tags one of all of them in their order, where
-// all have one. A piece of which nothing is said makes the page one to ask for again.
+// Combine returns the metadata of a page that is assembled from the items of the list. The page
+// is fresh as long as all items are, and private if one is. If all items have a modification
+// time, it has the latest of them. If all items have an ETag, it has one that is computed from
+// them in their order. An item that states no freshness makes the page stale at once.
 func Combine(list []Meta) Meta {
 	out := Meta{Fresh: math.Inf(1)}
 	h := uint64(14695981039346656037)
@@ -117,7 +119,8 @@
 	return out
 }
 
-// weakTag is a weak tag: pieces' bytes are compared by their own tags only.
+// weakTag returns a weak entity tag. It is weak because it is computed from the items' tags and
+// not from their bytes.
 func weakTag(h uint64) string {
 	const hex = "0123456789abcdef"
 	b := []byte(`W/"p0000000000000000"`)
--- a/internal/protocol/esi/vars.go
+++ b/internal/protocol/esi/vars.go
@@ -4,44 +4,45 @@
 	"strings"
 )
 
-// Vars are the variables of a request, from its head. They are what the client sent:
-// nothing in them is trusted, and they reach a page only escaped.
+// Vars holds the fields of a request's head from which variables get their values. The client
+// controls them, so they are untrusted and reach a page only escaped.
 type Vars struct {
 	Host           string // HTTP_HOST
 	Cookie         string // HTTP_COOKIE{name}
 	AcceptLanguage string // HTTP_ACCEPT_LANGUAGE{tag}, as true or false
 	UserAgent      string // HTTP_USER_AGENT{browser|version|os}
 	Referer        string // HTTP_REFERER
-	Query          string // QUERY_STRING{name}, without its question mark
-	MaxLength      int    // bytes of a value; longer ones count as not there; default 4096
+	Query          string // QUERY_STRING{name}, without the question mark
+	MaxLength      int    // bytes of a value; a longer one counts as absent; default 4096
 }
 
-// A Ref is a use of a variable: $(NAME{Key}|Default).
+// A Ref is a reference to a variable: $(NAME{Key}|Default).
 type Ref struct {
 	Name, Key, Default string
 	HasKey, HasDefault bool
 }
 
-// names of variables, and whether each takes a key.
+// takesKey tells of each known variable whether it takes a key.
 var takesKey = map[string]bool{
 	"HTTP_HOST": false, "HTTP_REFERER": false, "HTTP_COOKIE": true, "HTTP_ACCEPT_LANGUAGE": true,
 	"HTTP_USER_AGENT": true, "QUERY_STRING": true,
 }
 
-// Value is a variable's value, and whether it has one. Without one it is its default.
+// Value returns the value of a variable and whether it has one. A variable that is absent, empty,
+// too long or has a control character has the default of the reference.
 func (v *Vars) Value(r *Ref) (string, bool) {
 	s, ok := v.lookup(r)
-	most := v.MaxLength
-	if most <= 0 {
-		most = 4096
+	maxLength := v.MaxLength
+	if maxLength <= 0 {
+		maxLength = 4096
 	}
-	if ok && s != "" && len(s) <= most && !hasControl(s) {
+	if ok && s != "" && len(s) <= maxLength && !hasControl(s) {
 		return s, true
 	}
 	return r.Default, r.HasDefault
 }
 
-// hasControl reports bytes that could end a line or a header.
+// hasControl reports whether s has a control character, such as one that ends a header line.
 func hasControl(s string) bool {
 	return strings.IndexFunc(s, func(r rune) bool { return r < 0x20 || r == 0x7f }) >= 0
 }
@@ -91,7 +92,7 @@
 	return "", false
 }
 
-// userAgentPart is a part of what a user agent says of itself, in the words of the language:
+// userAgentPart returns a part of a User-Agent header, with the values that the Note defines:
 // browser is MOZILLA, MSIE or OTHER, os is WIN, MAC, UNIX or OTHER.
 func userAgentPart(s, key string) (string, bool) {
 	if s == "" {
@@ -143,8 +144,8 @@
 	return "", false
 }
 
-// parseRef reads a use of a variable at the beginning of s, which begins with "$(", and
-// how long it is. 0: it is none; what stands there is text.
+// parseRef parses the reference to a variable at the start of s and returns its length. The length
+// is 0 if s does not start with a reference; the "$(" is then text.
 func parseRef(s string) (r Ref, n int) {
 	if !strings.HasPrefix(s, "$(") {
 		return r, 0
@@ -154,13 +155,13 @@
 		i++
 	}
 	r.Name = s[2:i]
-	takes, known := takesKey[r.Name]
+	hasKey, known := takesKey[r.Name]
 	if !known {
 		return r, 0
 	}
 	if i < len(s) && s[i] == '{' {
 		end := strings.IndexByte(s[i:], '}')
-		if end < 0 || !takes {
+		if end < 0 || !hasKey {
 			return r, 0
 		}
 		r.Key, r.HasKey = s[i+1:i+end], true
@@ -194,17 +195,17 @@
 	return r, i + 1
 }
 
-// Escape is how a value is written where it lands.
+// Escape is the way in which the value of a variable is escaped.
 type Escape uint8
 
 // The escapes.
 const (
-	Plain Escape = iota // as it is: only for comparisons
-	HTML                // in a page: & < > " ' as references
-	URL                 // in an address: all but unreserved bytes as %XX
+	Plain Escape = iota // unmodified; for comparisons only
+	HTML                // for a page: & < > " ' as character references
+	URL                 // for a URL: all but unreserved bytes as %XX
 )
 
-// Expand appends s with its variables replaced by their values, escaped.
+// Expand appends s to dst, with its variables replaced by their escaped values.
 func (v *Vars) Expand(dst []byte, s string, e Escape) []byte {
 	for {
 		i := strings.Index(s, "$(")
@@ -237,7 +238,7 @@
 			dst = append(dst, "&#34;"...)
 		case e == HTML && c == '\'':
 			dst = append(dst, "&#39;"...)
-		case e == URL && !isUnreserved(c) && c != '%': // what is escaped already stays so
+		case e == URL && !isUnreserved(c) && c != '%': // % is kept, so that escaped bytes are not escaped twice
 			dst = append(dst, '%', hex[c>>4], hex[c&15])
 		default:
 			dst = append(dst, c)
