--- a/internal/protocol/esi/page.go
+++ b/internal/protocol/esi/page.go
@@ -7,26 +7,27 @@
 	"strings"
 )
 
-// Action is what a page wants done.
+// Action is a request of a Page to its caller.
 type Action struct {
 	Kind     ActionKind
-	ID       int     // of the fragment
-	URL      string  // path and query of it
-	Deadline float64 // when it is given up; of a Wake: when Tick is due
+	ID       int     // number of the fragment
+	URL      string  // path and query of the fragment
+	Deadline float64 // time at which the fetch times out
 }
 
-// ActionKind is what an Act is.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// The kinds of acts.
+// The kinds of actions.
 const (
-	Fetch   ActionKind = iota + 1 // ask for a fragment
-	Cancel                        // nobody wants it any more: end what is out for it
-	Restart                       // ask for the page itself again: Template begins anew
+	Fetch   ActionKind = iota + 1 // fetch a fragment
+	Cancel                        // cancel the fetch of a fragment, which is no longer needed
+	Restart                       // fetch the template again and pass it to Template from its start
 )
 
-// Page puts a page together. Bytes and news go in, acts and bytes in their order come
-// out; it keeps no clock, and no more than its Setup says.
+// Page assembles a page. Its inputs are the bytes of the template and of the fragments, failures,
+// purges and the time. Its outputs are actions and the bytes of the page in their order. It buffers
+// no more than its Options allow. Times are in milliseconds on the caller's clock.
 type Page struct {
 	options  Options
 	vars     *Vars
@@ -36,28 +37,28 @@
 
 	root            *sequence
 	parser          *Parser
-	rawTemplate     []byte // of the template, where it may have to go out as it is
+	rawTemplate     []byte // bytes of the template, if it may have to be sent unmodified
 	meta            Meta
 	fragments       []*fragment
 	byURL           map[string]*fragment
-	inlines         map[inlineKey][]byte // that pages and fragments bring along, each for itself
+	inlines         map[inlineKey][]byte // text of the inlines of the page and of each fragment
 	inlineFragments map[inlineKey]*fragment
-	inlineBytes     int64 // bytes of inlines
+	inlineBytes     int64 // total size of inlines
 	slots           []*slot
-	inFlight        int // being fetched
+	inFlight        int // fragments that are being fetched
 	includes        int
 	attempts        int
-	steps           int
-	waiting         int64
+	steps           int   // parts passed by Take
+	waiting         int64 // bytes buffered and not yet sent
 	maxWaiting      int64
 	sent            int64
-	cursors         []cursor
+	cursors         []cursor // position of the output; the last one is the innermost
 	actions         []Action
-	outputReady     bool // it is the client that holds things up
-	clientBusy      bool // what went out is not taken yet
-	failedLate      bool // what fails now was late
-	plainText       bool
-	mustEndAt       float64 // what goes out is purged, and is old from then on; 0: it is not
+	outputReady     bool    // bytes can be sent, and the client has not taken them
+	clientBusy      bool    // the client has not yet received all that was sent
+	failedLate      bool    // the failure being handled is a timeout
+	plainText       bool    // the template contains no ESI
+	mustEndAt       float64 // time at which a purge makes the bytes already sent stale; 0: none
 	restarts        int
 	err             error
 }
@@ -71,7 +72,7 @@
 	failed
 )
 
-// fragment is a fragment, however often it is used.
+// fragment is a fragment of the page. Several slots may use it.
 type fragment struct {
 	id           int
 	key          string
@@ -81,46 +82,47 @@
 	deadline     float64
 	cause        string
 	data         []byte
-	dropped      int64 // bytes that went out and were dropped
+	dropped      int64 // bytes removed from data after they were sent
 	meta         Meta
-	headAt       float64 // when its head came
+	headAt       float64 // time at which the head of its answer arrived
 	parser       *Parser
-	sequence     *sequence // of one that is a page itself
+	sequence     *sequence // its content, if it contains ESI
 	depth        int
-	includedBy   []*fragment // those that it is used in
-	waitingSlots int         // holes that still wait for it
-	partlySent   bool        // some of it went out
-	isInline     bool        // its page brought it along
-	definedIn    *fragment   // that one; nil: the page itself
+	includedBy   []*fragment // fragments that include it; nil is the page itself
+	waitingSlots int         // slots that still wait for it
+	partlySent   bool        // some of it has been sent
+	isInline     bool        // its text comes from an inline element
+	definedIn    *fragment   // of an inline: the fragment with the element; nil: the page itself
 }
 
-// slot is a place where a fragment goes.
+// slot is the position of an include element.
 type slot struct {
 	fragment        *fragment
 	sequence        *sequence
 	alt             string
 	continueOnError bool
-	leftOut         bool // it failed, and is left out
-	done            bool // it went out, or is not wanted any more
+	leftOut         bool // its fragment has failed and is left out
+	done            bool // its fragment has been sent or is no longer needed
 }
 
-// sequence is a row of parts.
+// sequence is a sequence of parts: the content of the page, a fragment, an attempt or an except.
 type sequence struct {
 	parts     []part
-	open      bool      // more may come
-	discarded bool      // it is not wanted any more
-	ready     bool      // all of it is known: it can go out without a wait
-	owner     *fragment // whose it is; nil: the template's
-	parent    *sequence // that it stands in, by a try
-	isAttempt bool      // it is an attempt: what fails in it has an except
+	open      bool      // parts may follow
+	discarded bool      // no longer needed
+	ready     bool      // complete: it can be sent without waiting for fragments
+	owner     *fragment // the fragment that it belongs to; nil: the template
+	parent    *sequence // of an attempt or except: the sequence that contains the try
+	isAttempt bool      // an attempt: an except replaces it if it fails
 }
 
+// part is text, a slot or a try. A try has an attempt at first, and an except once that has failed.
 type part struct {
 	text        []byte
 	slot        *slot
 	attempt     *sequence
 	except      *sequence
-	exceptNodes []Node // of except, until it is wanted
+	exceptNodes []Node // nodes of the except, until the attempt fails
 }
 
 type cursor struct {
@@ -129,17 +131,19 @@
 	offset   int
 }
 
-// NewPage begins a page that is at a path and query, and has time until deadline.
-func NewPage(s Options, vars *Vars, path string, now, deadline float64) (*Page, error) {
+// NewPage returns the assembly of the page at a path and query. The page must be complete by the
+// deadline.
+func NewPage(o Options, vars *Vars, path string, now, deadline float64) (*Page, error) {
 	u, err := url.ParseRequestURI(path)
 	if err != nil {
-		return nil, fmt.Errorf("esi: the page's own address: %w", err)
+		return nil, fmt.Errorf("esi: path of the page: %w", err)
 	}
-	p := &Page{options: s.withDefaults(), vars: vars, url: u, deadline: deadline, now: now}
+	p := &Page{options: o.withDefaults(), vars: vars, url: u, deadline: deadline, now: now}
 	p.reset()
 	return p, nil
 }
 
+// reset discards all fragments and starts the page again.
 func (p *Page) reset() {
 	p.root = &sequence{open: true}
 	p.parser = NewParser(p.options.Parser)
@@ -149,8 +153,9 @@
 	p.cursors = append(p.cursors[:0], cursor{sequence: p.root})
 }
 
-// advanceClock is that time passes. While the next bytes are there and the client does not take
-// them it is the client's: neither the page nor what is paused for it runs out of it.
+// advanceClock sets the time. Time that passes while bytes are ready and the client does not take
+// them is added to the deadlines of the page and of the fetches in flight, since the client's speed
+// must not make them time out.
 func (p *Page) advanceClock(now float64) {
 	if d := now - p.now; (p.outputReady || p.clientBusy) && d > 0 {
 		p.deadline += d
@@ -163,13 +168,13 @@
 	p.now = now
 }
 
-// SetClientBusy says whether the client has yet to take some of what went out.
-func (p *Page) SetClientBusy(on bool, now float64) {
+// SetClientBusy sets whether the client has not yet received all that was sent.
+func (p *Page) SetClientBusy(busy bool, now float64) {
 	p.advanceClock(now)
-	p.clientBusy = on
+	p.clientBusy = busy
 }
 
-// canSend reports whether bytes could go out now.
+// canSend reports whether bytes can be sent now.
 func (p *Page) canSend() bool {
 	n := len(p.cursors)
 	if n == 0 || p.waiting == 0 {
@@ -179,28 +184,29 @@
 	if c.index >= len(c.sequence.parts) {
 		return !c.sequence.open
 	}
-	switch t := &c.sequence.parts[c.index]; {
-	case t.slot != nil && !t.slot.leftOut && !t.slot.done:
-		f := t.slot.fragment
+	switch pt := &c.sequence.parts[c.index]; {
+	case pt.slot != nil && !pt.slot.leftOut && !pt.slot.done:
+		f := pt.slot.fragment
 		if f.sequence != nil {
 			return p.isReady(f.sequence)
 		}
 		return f.state == complete || p.mayStream(f) && len(f.data) > c.offset && (f.dropped > 0 || int64(len(f.data)) >= p.options.StreamThreshold)
-	case t.attempt != nil:
-		return p.isReady(t.attempt)
+	case pt.attempt != nil:
+		return p.isReady(pt.attempt)
 	}
 	return true
 }
 
-// Errors of pages, told by errors.Is.
+// Errors of pages, for errors.Is.
 var (
 	ErrMalformed = errors.New("esi: malformed")
-	ErrFragment  = errors.New("esi: a fragment is missing")
-	ErrLimit     = errors.New("esi: past a limit")
-	ErrPurged    = errors.New("esi: purged while it went out")
-	ErrDeadline  = errors.New("esi: not whole by its deadline")
+	ErrFragment  = errors.New("esi: required fragment failed")
+	ErrLimit     = errors.New("esi: limit exceeded")
+	ErrPurged    = errors.New("esi: purged while being sent")
+	ErrDeadline  = errors.New("esi: incomplete at its deadline")
 )
 
+// abort fails the page and cancels all fetches.
 func (p *Page) abort(kind error, format string, args ...any) {
 	if p.err != nil {
 		return
@@ -214,54 +220,54 @@
 	p.inFlight = 0
 }
 
-// Err is why the page can't be made; nil: so far it can.
+// Err returns the error that ended the page, or nil.
 func (p *Page) Err() error { return p.err }
 
-// Sent reports whether some of the page has gone out: from then on it can't be replaced
-// by an error's.
+// Sent reports whether some of the page has been sent. An error page can then no longer replace
+// it.
 func (p *Page) Sent() bool { return p.sent > 0 }
 
-// Done reports whether all of the page has gone out.
+// Done reports whether all of the page has been sent.
 func (p *Page) Done() bool { return p.err == nil && len(p.cursors) == 0 }
 
-// Ready reports whether all of the page is known.
+// Ready reports whether the page is complete, so that all of it can be sent.
 func (p *Page) Ready() bool { return p.err == nil && p.isReady(p.root) }
 
-// Waiting is how many bytes wait, and Most how many ever did.
+// Waiting returns the number of bytes that are buffered and not yet sent.
 func (p *Page) Waiting() int64 { return p.waiting }
 
-// MaxWaiting is how many bytes ever waited at once.
+// MaxWaiting returns the highest value that Waiting has had.
 func (p *Page) MaxWaiting() int64 { return p.maxWaiting }
 
-// Attempts is how many attempts fragments have taken.
+// Attempts returns the number of attempts for fragments so far.
 func (p *Page) Attempts() int { return p.attempts }
 
-// Meta is what can be said of the whole page, once it is Ready.
+// Meta returns the caching metadata of the page. It is valid once the page is Ready.
 func (p *Page) Meta() Meta {
 	list := []Meta{p.meta}
-	for _, h := range p.slots {
-		if !h.leftOut && h.fragment != nil && h.fragment.state == complete {
-			m := h.fragment.meta
+	for _, sl := range p.slots {
+		if !sl.leftOut && sl.fragment != nil && sl.fragment.state == complete {
+			m := sl.fragment.meta
 			if m.Fresh > 0 {
-				m.Fresh = max(m.Fresh-(p.now-h.fragment.headAt), 0)
+				m.Fresh = max(m.Fresh-(p.now-sl.fragment.headAt), 0)
 			}
 			list = append(list, m)
 		}
-		if h.leftOut { // it may be there the next time
+		if sl.leftOut { // not cacheable: the fragment may be available for the next request
 			list = append(list, Meta{})
 		}
 	}
 	return Combine(list)
 }
 
-// Actions is what is wanted since the last call, and when Tick is due; 0: never.
-func (p *Page) Actions(now float64) (acts []Action, tick float64) {
+// Actions returns the actions since the last call, and the time at which Tick is due; 0: never.
+func (p *Page) Actions(now float64) (actions []Action, tick float64) {
 	p.advanceClock(now)
 	p.schedule()
 	p.outputReady = p.err == nil && p.canSend()
-	acts, p.actions = p.actions, nil
+	actions, p.actions = p.actions, nil
 	if p.err != nil || p.Done() {
-		return acts, 0
+		return actions, 0
 	}
 	tick = p.deadline
 	for _, f := range p.fragments {
@@ -272,13 +278,13 @@
 	if p.mustEndAt > 0 {
 		tick = min(tick, p.mustEndAt)
 	}
-	return acts, tick
+	return actions, tick
 }
 
-// TemplateHead is the head of the template's answer. Without ESI it is text, whatever stands in it.
+// TemplateHead takes the metadata of the template. A template without Meta.ESI is not parsed.
 func (p *Page) TemplateHead(m Meta) { p.meta, p.plainText = m, !m.ESI }
 
-// Template is the next bytes of the page itself.
+// Template takes the next bytes of the template.
 func (p *Page) Template(b []byte, now float64) {
 	p.advanceClock(now)
 	if p.err != nil {
@@ -288,14 +294,14 @@
 		p.addText(p.root, b, false)
 		return
 	}
-	if p.options.PassMalformed { // only a page that is known whole is known to be well formed
+	if p.options.PassMalformed { // whether a page is well-formed is known only at its end
 		p.buffer(&p.rawTemplate, b, "the page")
 		return
 	}
 	p.feed(p.parser, p.root, nil, p.url, b)
 }
 
-// TemplateEnd ends the page itself.
+// TemplateEnd reports the end of the template.
 func (p *Page) TemplateEnd(now float64) {
 	p.advanceClock(now)
 	if p.err != nil {
@@ -327,7 +333,7 @@
 	p.discardUnused()
 }
 
-// checkSyntax reads a page for its faults only.
+// checkSyntax parses a page and returns its first fault.
 func checkSyntax(raw []byte, l Limits) error {
 	check := NewParser(l)
 	_, err := check.Feed(nil, raw)
@@ -337,9 +343,10 @@
 	return err
 }
 
+// buffer appends b to a buffer of at most MaxBuffered bytes.
 func (p *Page) buffer(to *[]byte, b []byte, what string) {
 	if int64(len(*to)+len(b)) > p.options.MaxBuffered {
-		p.abort(ErrLimit, "%s is longer than %d bytes, and has to be known whole", what, p.options.MaxBuffered)
+		p.abort(ErrLimit, "%s is longer than %d bytes and must be buffered until it is complete", what, p.options.MaxBuffered)
 		return
 	}
 	*to = append(*to, b...)
@@ -351,24 +358,25 @@
 	p.maxWaiting = max(p.maxWaiting, p.waiting)
 }
 
-// feed has a parser read on, and takes what it finds into a row.
-func (p *Page) feed(parser *Parser, to *sequence, of *fragment, base *url.URL, b []byte) {
+// feed parses b and adds the nodes to a sequence. The owner is the fragment that is parsed; nil: the
+// template.
+func (p *Page) feed(parser *Parser, to *sequence, owner *fragment, base *url.URL, b []byte) {
 	nodes, err := parser.Feed(nil, b)
 	if err == nil {
 		p.addNodes(to, nodes, base)
 		return
 	}
-	if of == nil {
+	if owner == nil {
 		p.abort(ErrMalformed, "%v", err)
 		return
 	}
-	p.failFragment(of, err.Error())
+	p.failFragment(owner, err.Error())
 }
 
-// addNodes takes nodes into a row.
+// addNodes adds nodes to a sequence. URLs are resolved against base.
 func (p *Page) addNodes(to *sequence, nodes []Node, base *url.URL) {
 	for i := range nodes {
-		if p.err != nil || to.discarded { // what came before may have failed all of it
+		if p.err != nil || to.discarded { // a node before this one may have failed the sequence
 			return
 		}
 		n := &nodes[i]
@@ -381,7 +389,7 @@
 			if u := p.resolve(base, n.Src); u != nil {
 				if at := (inlineKey{to.owner, u.RequestURI()}); p.inlines[at] == nil {
 					if p.inlineBytes += int64(len(n.Text)); p.inlineBytes > p.options.MaxWaiting {
-						p.abort(ErrLimit, "its inlines have more than %d bytes", p.options.MaxWaiting)
+						p.abort(ErrLimit, "inlines have more than %d bytes in all", p.options.MaxWaiting)
 						return
 					}
 					p.inlines[at] = append([]byte{}, n.Text...)
@@ -406,7 +414,8 @@
 	}
 }
 
-func (p *Page) addText(to *sequence, b []byte, own bool) {
+// addText adds text to a sequence. Unless owned is set, b belongs to the caller and is copied.
+func (p *Page) addText(to *sequence, b []byte, owned bool) {
 	if len(b) == 0 {
 		return
 	}
@@ -415,13 +424,13 @@
 		to.parts[k-1].text = append(to.parts[k-1].text, b...)
 		return
 	}
-	if !own {
+	if !owned {
 		b = append([]byte(nil), b...)
 	}
 	to.parts = append(to.parts, part{text: b})
 }
 
-// cursorPassed reports whether the cursor has passed or is at a part.
+// cursorPassed reports whether a cursor is past a part of a sequence.
 func (p *Page) cursorPassed(s *sequence, i int) bool {
 	for k := range p.cursors {
 		if p.cursors[k].sequence == s && p.cursors[k].index > i {
@@ -431,8 +440,8 @@
 	return false
 }
 
-// resolve is the address of a fragment; nil: it is none that a page may ask for. Only
-// the space of objects that the page's own host has is there: no other host or scheme.
+// resolve returns the URL of a fragment, or nil if a page may not request it. A page may request
+// paths of its own host only, with the scheme http or https.
 func (p *Page) resolve(base *url.URL, src string) *url.URL {
 	ref, err := url.Parse(string(p.vars.Expand(nil, src, URL)))
 	if err != nil || ref.Opaque != "" || ref.User != nil || strings.Contains(ref.Path, "\\") {
@@ -451,67 +460,67 @@
 	return u
 }
 
-// addInclude takes a place for a fragment into a row.
+// addInclude adds a slot for an include element to a sequence.
 func (p *Page) addInclude(to *sequence, n *Node, base *url.URL) {
 	if p.includes++; p.includes > p.options.Includes {
 		p.abort(ErrLimit, "more than %d includes", p.options.Includes)
 		return
 	}
-	h := &slot{sequence: to, continueOnError: n.ContinueOnError}
+	sl := &slot{sequence: to, continueOnError: n.ContinueOnError}
 	if n.Alt != "" {
 		if u := p.resolve(base, n.Alt); u != nil {
-			h.alt = u.RequestURI()
+			sl.alt = u.RequestURI()
 		}
 	}
-	p.slots = append(p.slots, h)
-	to.parts = append(to.parts, part{slot: h})
+	p.slots = append(p.slots, sl)
+	to.parts = append(to.parts, part{slot: sl})
 	u := p.resolve(base, n.Src)
 	if u == nil {
-		p.fallBack(h, fmt.Sprintf("src %.80q is no address of this host's", n.Src))
+		p.fallBack(sl, fmt.Sprintf("src %.80q is not a URL of this host", n.Src))
 		return
 	}
-	p.fillSlot(h, u)
+	p.fillSlot(sl, u)
 }
 
-// fillSlot has a hole wait for a fragment.
-func (p *Page) fillSlot(h *slot, u *url.URL) {
+// fillSlot assigns a slot the fragment with a URL, or its fallback if the page may not use that.
+func (p *Page) fillSlot(sl *slot, u *url.URL) {
 	key := u.RequestURI()
-	of := h.sequence.owner
-	if key == p.url.RequestURI() || p.isCycle(of, key) {
-		p.fallBack(h, fmt.Sprintf("%.80q is within itself", key))
+	owner := sl.sequence.owner
+	if key == p.url.RequestURI() || p.isCycle(owner, key) {
+		p.fallBack(sl, fmt.Sprintf("%.80q includes itself", key))
 		return
 	}
 	depth := 1
-	if of != nil {
-		depth = of.depth + 1
+	if owner != nil {
+		depth = owner.depth + 1
 	}
 	if depth > p.options.Depth {
-		p.fallBack(h, fmt.Sprintf("%.80q is nested deeper than %d", key, p.options.Depth))
+		p.fallBack(sl, fmt.Sprintf("%.80q is nested deeper than %d", key, p.options.Depth))
 		return
 	}
-	if at, has := p.findInline(of, key); has {
+	if at, has := p.findInline(owner, key); has {
 		f := p.inlineFragments[at]
-		fresh := f == nil || f.partlySent || f.state != complete
-		if fresh {
+		isNew := f == nil || f.partlySent || f.state != complete
+		if isNew {
 			f = &fragment{id: len(p.fragments), key: key, url: u, definedIn: at.owner, isInline: true, depth: depth}
 			p.fragments = append(p.fragments, f)
 			p.inlineFragments[at] = f
 		}
-		f.includedBy, h.fragment = append(f.includedBy, of), f
+		f.includedBy, sl.fragment = append(f.includedBy, owner), f
 		f.waitingSlots++
 		f.depth = max(f.depth, depth)
-		if fresh {
+		if isNew {
 			p.parseInline(f, p.inlines[at])
 		}
 		return
 	}
 	f := p.byURL[key]
-	if f == nil || f.partlySent { // what goes out already is not whole any more
+	if f == nil || f.partlySent { // the start of a partly sent fragment may be dropped already
 		f = nil
 	}
 	if f == nil {
 		if len(p.fragments) >= p.options.Fragments {
-			p.fallBack(h, fmt.Sprintf("%.80q is past the limit of %d fragments", key, p.options.Fragments))
+			p.fallBack(sl, fmt.Sprintf("%.80q exceeds the limit of %d fragments", key, p.options.Fragments))
 			return
 		}
 		f = &fragment{id: len(p.fragments), key: key, url: u}
@@ -519,37 +528,37 @@
 		p.byURL[key] = f
 	}
 	f.depth = max(f.depth, depth)
-	f.includedBy = append(f.includedBy, of)
+	f.includedBy = append(f.includedBy, owner)
 	f.waitingSlots++
-	h.fragment = f
-	switch n := h.importance(); {
+	sl.fragment = f
+	switch n := sl.importance(); {
 	case f.state == failed:
-		p.fallBack(h, f.cause)
+		p.fallBack(sl, f.cause)
 	case f.waitingSlots == 1 || n < f.importance:
 		f.importance = n
 	}
 }
 
-// inlineKey is a name in a page or a fragment; nil: in the page itself.
+// inlineKey is the name of an inline in the page or in a fragment.
 type inlineKey struct {
-	owner *fragment
-	key   string
+	owner *fragment // nil: the page itself
+	key   string    // path and query of the name
 }
 
-// findInline finds what a page or fragment has brought along by a name.
-func (p *Page) findInline(of *fragment, key string) (inlineKey, bool) {
+// findInline looks up the inline that a name denotes in a fragment; nil: in the page itself.
+func (p *Page) findInline(owner *fragment, key string) (inlineKey, bool) {
 	for {
-		if _, has := p.inlines[inlineKey{of, key}]; has {
-			return inlineKey{of, key}, true
+		if _, has := p.inlines[inlineKey{owner, key}]; has {
+			return inlineKey{owner, key}, true
 		}
-		if of == nil || !of.isInline {
+		if owner == nil || !owner.isInline {
 			return inlineKey{}, false
 		}
-		of = of.definedIn // an inline has the names of where it stands
+		owner = owner.definedIn // an inline sees the names of the fragment that it is defined in
 	}
 }
 
-// parseInline gives a fragment the content that its page has brought along.
+// parseInline sets the content of a fragment from the text of an inline.
 func (p *Page) parseInline(f *fragment, text []byte) {
 	f.state, f.headAt, f.meta = complete, p.now, p.meta
 	f.sequence = &sequence{owner: f, open: true}
@@ -560,29 +569,30 @@
 	}
 }
 
-func (h *slot) importance() importance {
+// importance returns what happens to the page if the slot's fragment fails.
+func (sl *slot) importance() importance {
 	switch {
-	case h.alt != "":
+	case sl.alt != "":
 		return replaceable
-	case h.continueOnError:
+	case sl.continueOnError:
 		return optional
 	}
-	for s := h.sequence; s != nil; s = s.parent {
+	for s := sl.sequence; s != nil; s = s.parent {
 		if s.isAttempt {
-			return replaceable // by the except
+			return replaceable // the except replaces it
 		}
 	}
-	if of := h.sequence.owner; of != nil {
-		return of.importance // it is what fails then
+	if owner := sl.sequence.owner; owner != nil {
+		return owner.importance // the fragment that includes it fails with it
 	}
 	return required
 }
 
-// isCycle reports whether a key is that of a fragment or of one that it is used in.
+// isCycle reports whether a key is that of a fragment or of one that includes it, directly or not.
 func (p *Page) isCycle(f *fragment, key string) bool {
 	seen := map[*fragment]bool{}
-	var look func(f *fragment) bool
-	look = func(f *fragment) bool {
+	var visit func(f *fragment) bool
+	visit = func(f *fragment) bool {
 		if f == nil || seen[f] {
 			return false
 		}
@@ -591,17 +601,17 @@
 			return true
 		}
 		for _, u := range f.includedBy {
-			if look(u) {
+			if visit(u) {
 				return true
 			}
 		}
 		return false
 	}
-	return look(f)
+	return visit(f)
 }
 
-// schedule asks for fragments: first the one that the page waits for, then in the order
-// of the page, as many as may be out and as long as there is room for what comes.
+// schedule starts fetches: first that of the fragment that blocks the output, then others in the
+// order of the page, up to the limits of concurrent fetches and of waiting bytes.
 func (p *Page) schedule() {
 	if p.err != nil {
 		return
@@ -615,36 +625,37 @@
 	if wanted == 0 {
 		return
 	}
-	waves := p.options.fetchRounds(wanted)
-	ask := func(f *fragment) {
+	rounds := p.options.fetchRounds(wanted)
+	fetch := func(f *fragment) {
 		if p.attempts >= p.options.Attempts {
-			p.failFragment(f, fmt.Sprintf("the page's %d attempts are used up", p.options.Attempts))
+			p.failFragment(f, fmt.Sprintf("all %d attempts of the page are used", p.options.Attempts))
 			return
 		}
-		f.state, f.deadline = fetching, p.options.fetchDeadline(p.now, p.latestEnd(), waves, f.importance)
+		f.state, f.deadline = fetching, p.options.fetchDeadline(p.now, p.latestEnd(), rounds, f.importance)
 		p.inFlight++
 		p.actions = append(p.actions, Action{Kind: Fetch, ID: f.id, URL: f.key, Deadline: f.deadline})
 	}
 	if first != nil && first.state == pending {
-		ask(first)
+		fetch(first)
 	}
 	for i := 0; i < len(p.fragments) && p.err == nil && p.inFlight < p.options.Parallel && p.waiting < p.options.MaxWaiting; i++ {
-		if f := p.fragments[i]; f.state == pending && f.waitingSlots > 0 { // a failure may add some
-			ask(f)
+		if f := p.fragments[i]; f.state == pending && f.waitingSlots > 0 { // fetch may add fragments, by a failure
+			fetch(f)
 		}
 	}
 	if first = p.blockingFragment(); p.err == nil && first != nil && first.state == pending {
-		ask(first)
+		fetch(first)
 	}
 }
 
-// blockingFragment is the first fragment that the page waits for; nil: none.
+// blockingFragment returns the first incomplete fragment after the output position, which the output
+// waits for; nil: none.
 func (p *Page) blockingFragment() *fragment {
 	for k := len(p.cursors) - 1; k >= 0; k-- {
 		c := &p.cursors[k]
 		from := c.index
 		if k < len(p.cursors)-1 {
-			from++ // that part is the row above
+			from++ // the part at the index is the sequence of the next cursor
 		}
 		if f := p.firstIncomplete(c.sequence, from); f != nil {
 			return f
@@ -656,12 +667,14 @@
 	return nil
 }
 
+// firstIncomplete returns the first fragment that is pending or being fetched in the parts of a
+// sequence from an index on.
 func (p *Page) firstIncomplete(s *sequence, from int) *fragment {
 	for i := from; i < len(s.parts); i++ {
-		t := &s.parts[i]
+		pt := &s.parts[i]
 		switch {
-		case t.slot != nil && !t.slot.leftOut && !t.slot.done && t.slot.fragment != nil:
-			f := t.slot.fragment
+		case pt.slot != nil && !pt.slot.leftOut && !pt.slot.done && pt.slot.fragment != nil:
+			f := pt.slot.fragment
 			if f.sequence != nil {
 				if !p.isReady(f.sequence) {
 					if g := p.firstIncomplete(f.sequence, 0); g != nil {
@@ -672,12 +685,12 @@
 			if f.state == pending || f.state == fetching {
 				return f
 			}
-		case t.except != nil:
-			if g := p.firstIncomplete(t.except, 0); g != nil {
+		case pt.except != nil:
+			if g := p.firstIncomplete(pt.except, 0); g != nil {
 				return g
 			}
-		case t.attempt != nil:
-			if g := p.firstIncomplete(t.attempt, 0); g != nil {
+		case pt.attempt != nil:
+			if g := p.firstIncomplete(pt.attempt, 0); g != nil {
 				return g
 			}
 		}
@@ -685,8 +698,8 @@
 	return nil
 }
 
-// CanRead reports whether more of a fragment is to be read now; with -1, of the template.
-// What the page waits for is always read on.
+// CanRead reports whether the caller may read more of a fragment now, or with -1 of the template.
+// The limit of waiting bytes pauses reading, but not that of the fragment that blocks the output.
 func (p *Page) CanRead(id int) bool {
 	if p.err != nil || p.waiting < p.options.MaxWaiting {
 		return true
@@ -701,6 +714,7 @@
 // CountAttempt counts an attempt at a member for a fragment.
 func (p *Page) CountAttempt() { p.attempts++ }
 
+// fetchingFragment returns the fragment with a number if it is being fetched, or nil.
 func (p *Page) fetchingFragment(id int) *fragment {
 	if p.err != nil || id < 0 || id >= len(p.fragments) || p.fragments[id].state != fetching {
 		return nil
@@ -708,7 +722,7 @@
 	return p.fragments[id]
 }
 
-// FragmentHead is the head of a fragment's answer.
+// FragmentHead takes the metadata of a fragment.
 func (p *Page) FragmentHead(id int, m Meta, now float64) {
 	p.advanceClock(now)
 	f := p.fetchingFragment(id)
@@ -722,7 +736,7 @@
 	}
 }
 
-// FragmentBody is the next bytes of a fragment.
+// FragmentBody takes the next bytes of a fragment.
 func (p *Page) FragmentBody(id int, b []byte, now float64) {
 	p.advanceClock(now)
 	f := p.fetchingFragment(id)
@@ -736,7 +750,7 @@
 	if f.sequence != nil || !p.mayStream(f) {
 		if int64(len(f.data)+len(b)) > p.options.MaxBuffered {
 			p.cancelFetch(f)
-			p.failFragment(f, fmt.Sprintf("%.80q is longer than %d bytes, and has to be known whole", f.key, p.options.MaxBuffered))
+			p.failFragment(f, fmt.Sprintf("%.80q is longer than %d bytes and must be buffered until it is complete", f.key, p.options.MaxBuffered))
 			return
 		}
 	}
@@ -744,20 +758,22 @@
 	p.addWaiting(int64(len(b)))
 }
 
-// mayStream reports whether a fragment may go out before it is whole.
+// mayStream reports whether a fragment may be sent before it is complete. It may if a single slot
+// waits for it and nothing could replace it: it contains no ESI, and the slot is neither in a try
+// nor in a fragment of which nothing has been sent.
 func (p *Page) mayStream(f *fragment) bool {
 	if f.waitingSlots > 1 || f.sequence != nil {
 		return false
 	}
-	for _, h := range p.slots {
-		if h.fragment == f && !h.leftOut && !h.done {
-			return h.sequence.parent == nil && (h.sequence.owner == nil || h.sequence.owner.partlySent)
+	for _, sl := range p.slots {
+		if sl.fragment == f && !sl.leftOut && !sl.done {
+			return sl.sequence.parent == nil && (sl.sequence.owner == nil || sl.sequence.owner.partlySent)
 		}
 	}
 	return false
 }
 
-// FragmentEnd ends a fragment's answer.
+// FragmentEnd reports the end of a fragment.
 func (p *Page) FragmentEnd(id int, now float64) {
 	p.advanceClock(now)
 	f := p.fetchingFragment(id)
@@ -772,7 +788,7 @@
 	if p.options.PassMalformed {
 		raw := f.data
 		if checkSyntax(raw, p.options.Parser) != nil {
-			f.sequence, f.parser = nil, nil // as it is
+			f.sequence, f.parser = nil, nil // sent unmodified
 			return
 		}
 		f.data = nil
@@ -782,6 +798,7 @@
 	p.closeFragment(f)
 }
 
+// closeFragment ends the parsing of a fragment that contains ESI.
 func (p *Page) closeFragment(f *fragment) {
 	if f.state == failed || p.err != nil {
 		return
@@ -796,7 +813,7 @@
 	s.open = false
 }
 
-// FragmentFailed ends a fragment without an answer, or in the middle of one.
+// FragmentFailed reports that a fetch has failed, before the answer or within it.
 func (p *Page) FragmentFailed(id int, cause string, now float64) {
 	p.advanceClock(now)
 	if f := p.fetchingFragment(id); f != nil {
@@ -808,10 +825,10 @@
 	}
 }
 
-// lateMargin is how shortly before a fragment is given up its failure counts as one by time.
+// lateMargin is the time, in ms, before a fetch's deadline from which a failure counts as a timeout.
 const lateMargin = 20
 
-// cancelFetch ends what is out for a fragment.
+// cancelFetch cancels the fetch of a fragment, if one is in flight.
 func (p *Page) cancelFetch(f *fragment) {
 	if f.state == fetching {
 		p.inFlight--
@@ -820,7 +837,7 @@
 	}
 }
 
-// failFragment gives a fragment up, and has each of its places go on without.
+// failFragment fails a fragment. The slots that wait for it fall back.
 func (p *Page) failFragment(f *fragment, cause string) {
 	if f.state == failed || p.err != nil {
 		return
@@ -829,17 +846,17 @@
 	p.discardContent(f)
 	f.state, f.cause = failed, cause
 	if f.partlySent {
-		p.abort(ErrFragment, "%.80q broke off: %s", f.key, cause)
+		p.abort(ErrFragment, "%.80q failed after part of it was sent: %s", f.key, cause)
 		return
 	}
 	for i := 0; i < len(p.slots) && p.err == nil; i++ {
-		if h := p.slots[i]; h.fragment == f && !h.leftOut && !h.done {
-			p.fallBack(h, cause)
+		if sl := p.slots[i]; sl.fragment == f && !sl.leftOut && !sl.done {
+			p.fallBack(sl, cause)
 		}
 	}
 }
 
-// discardContent forgets what came of a fragment.
+// discardContent discards the content of a fragment.
 func (p *Page) discardContent(f *fragment) {
 	p.waiting -= int64(len(f.data))
 	f.data = nil
@@ -849,32 +866,33 @@
 	}
 }
 
-// discardSequence gives up a row: what only it waits for is not wanted any more.
+// discardSequence discards a sequence and releases its slots.
 func (p *Page) discardSequence(s *sequence) {
 	for i := range s.parts {
-		t := &s.parts[i]
-		p.waiting -= int64(len(t.text))
-		t.text = nil
-		if h := t.slot; h != nil && !h.done {
-			p.releaseSlot(h)
+		pt := &s.parts[i]
+		p.waiting -= int64(len(pt.text))
+		pt.text = nil
+		if sl := pt.slot; sl != nil && !sl.done {
+			p.releaseSlot(sl)
 		}
-		if t.attempt != nil {
-			p.discardSequence(t.attempt)
+		if pt.attempt != nil {
+			p.discardSequence(pt.attempt)
 		}
-		if t.except != nil {
-			p.discardSequence(t.except)
+		if pt.except != nil {
+			p.discardSequence(pt.except)
 		}
 	}
 	s.parts, s.discarded = nil, true
 }
 
-// releaseSlot has a hole wait for nothing any more.
-func (p *Page) releaseSlot(h *slot) {
-	if h.done {
+// releaseSlot ends a slot's wait. A fragment that no slot waits for is cancelled and discarded,
+// unless the rest of the template may use it again.
+func (p *Page) releaseSlot(sl *slot) {
+	if sl.done {
 		return
 	}
-	h.done = true
-	f := h.fragment
+	sl.done = true
+	f := sl.fragment
 	if f == nil {
 		return
 	}
@@ -882,7 +900,7 @@
 		return
 	}
 	if f.state == complete && f.sequence == nil && f.dropped == 0 && p.root.open && p.waiting < p.options.MaxWaiting {
-		f.partlySent = false // kept: the rest of the page may name it again
+		f.partlySent = false // kept: the rest of the template may include it again
 		return
 	}
 	switch f.state {
@@ -892,7 +910,7 @@
 	case complete:
 		p.discardContent(f)
 	}
-	if f.state == pending || f.state == complete { // it is asked for anew if another place wants it
+	if f.state == pending || f.state == complete { // a later slot for its URL gets a new fragment
 		if p.byURL[f.key] == f {
 			delete(p.byURL, f.key)
 		}
@@ -900,7 +918,7 @@
 	}
 }
 
-// discardUnused forgets fragments that no place waits for.
+// discardUnused discards complete fragments that no slot waits for.
 func (p *Page) discardUnused() {
 	for _, f := range p.fragments {
 		if f.waitingSlots == 0 && f.state == complete {
@@ -911,46 +929,47 @@
 	}
 }
 
-// fallBack has a place go on whose fragment failed: with its alternative, without, or
-// by what stands around it.
-func (p *Page) fallBack(h *slot, cause string) {
-	if f := h.fragment; f != nil {
-		h.fragment = nil
+// fallBack handles the failure of a slot's fragment: the slot gets its alternative or is left out,
+// or the sequence around it fails.
+func (p *Page) fallBack(sl *slot, cause string) {
+	if f := sl.fragment; f != nil {
+		sl.fragment = nil
 		f.waitingSlots--
 	}
-	if alt := h.alt; alt != "" {
-		h.alt = ""
+	if alt := sl.alt; alt != "" {
+		sl.alt = ""
 		if u, err := url.ParseRequestURI(alt); err == nil {
-			p.fillSlot(h, u)
+			p.fillSlot(sl, u)
 			return
 		}
 	}
-	if h.continueOnError {
-		h.leftOut = true
+	if sl.continueOnError {
+		sl.leftOut = true
 		return
 	}
-	h.done = true
-	p.failSequence(h.sequence, cause)
+	sl.done = true
+	p.failSequence(sl.sequence, cause)
 }
 
-// failSequence has what is around a row go on without it.
+// failSequence handles the failure of a sequence: the except of the innermost try replaces the
+// attempt, or the fragment or page that the sequence belongs to fails.
 func (p *Page) failSequence(s *sequence, cause string) {
 	for ; s != nil; s = s.parent {
 		if s.parent == nil {
 			break
 		}
 		for i := range s.parent.parts {
-			if t := &s.parent.parts[i]; t.attempt == s {
+			if pt := &s.parent.parts[i]; pt.attempt == s {
 				p.discardSequence(s)
-				t.attempt = nil
-				t.except = &sequence{owner: s.owner, parent: s.parent}
-				nodes := t.exceptNodes
-				t.exceptNodes = nil
+				pt.attempt = nil
+				pt.except = &sequence{owner: s.owner, parent: s.parent}
+				nodes := pt.exceptNodes
+				pt.exceptNodes = nil
 				base := p.url
 				if s.owner != nil {
 					base = s.owner.url
 				}
-				except := t.except
+				except := pt.except
 				p.addNodes(except, nodes, base)
 				return
 			}
@@ -967,7 +986,7 @@
 	p.abort(ErrFragment, "%s", cause)
 }
 
-// isReady reports whether all of a row is known.
+// isReady reports whether a sequence is complete, so that it can be sent without waiting.
 func (p *Page) isReady(s *sequence) bool {
 	if s.ready {
 		return true
@@ -976,19 +995,19 @@
 		return false
 	}
 	for i := range s.parts {
-		t := &s.parts[i]
+		pt := &s.parts[i]
 		switch {
-		case t.slot != nil && !t.slot.leftOut && !t.slot.done:
-			f := t.slot.fragment
+		case pt.slot != nil && !pt.slot.leftOut && !pt.slot.done:
+			f := pt.slot.fragment
 			if f == nil || f.state != complete || f.sequence != nil && !p.isReady(f.sequence) {
 				return false
 			}
-		case t.except != nil:
-			if !p.isReady(t.except) {
+		case pt.except != nil:
+			if !p.isReady(pt.except) {
 				return false
 			}
-		case t.attempt != nil:
-			if !p.isReady(t.attempt) {
+		case pt.attempt != nil:
+			if !p.isReady(pt.attempt) {
 				return false
 			}
 		}
@@ -997,8 +1016,7 @@
 	return true
 }
 
-// Tick is that time has passed: fragments that are late are given up, and so is the page
-// itself, where it can't be in time.
+// Tick handles deadlines: fragments past theirs fail, and so does the page if it is past its own.
 func (p *Page) Tick(now float64) {
 	p.advanceClock(now)
 	for _, f := range p.fragments {
@@ -1009,22 +1027,22 @@
 				return
 			}
 			p.failedLate = true
-			p.failFragment(f, fmt.Sprintf("%.80q did not come in time", f.key))
+			p.failFragment(f, fmt.Sprintf("fetch of %.80q timed out", f.key))
 			p.failedLate = false
 		}
 	}
 	switch {
 	case p.err != nil || p.Done():
 	case p.mustEndAt > 0 && now >= p.mustEndAt:
-		p.abort(ErrPurged, "what was sent of it is old by now")
+		p.abort(ErrPurged, "the bytes already sent are stale")
 	case now >= p.deadline && !p.Ready():
-		p.abort(ErrDeadline, "%d fragments are out", p.inFlight)
+		p.abort(ErrDeadline, "%d fragments in flight", p.inFlight)
 	}
 }
 
-// Purged is that copies of what a function names are old, those that go out until a time
-// not yet. What has not begun to go out is asked for again at once; a page of which
-// something has gone out must be whole by then.
+// Purged reports a purge of the template or of the fragments whose URLs match. Content that has not
+// been sent at all is fetched again. If some of the purged content has been sent, the page must be
+// complete by the time until, at which purged copies become stale.
 func (p *Page) Purged(template bool, match func(url string) bool, until, now float64) {
 	p.advanceClock(now)
 	if p.err != nil || p.Done() {
@@ -1064,22 +1082,25 @@
 	}
 }
 
+// endBy requires that the page is complete by the time until. It aborts a page that is past it.
 func (p *Page) endBy(until float64) {
 	if p.mustEndAt == 0 || until < p.mustEndAt {
 		p.mustEndAt = until
 	}
 	if p.now >= p.mustEndAt {
-		p.abort(ErrPurged, "what was sent of it is old by now")
+		p.abort(ErrPurged, "the bytes already sent are stale")
 		return
 	}
-	for _, f := range p.fragments { // what the page can do without is not waited for past that
+	for _, f := range p.fragments { // required fragments keep their deadlines
 		if f.state == fetching && f.importance != required {
 			f.deadline = min(f.deadline, p.latestEnd()-p.options.Reserve)
 		}
 	}
 }
 
-// latestEnd is when the page has to be whole.
+// latestEnd returns the time from which the deadlines of fetches are computed: the page's deadline,
+// or, if it is earlier, one that makes fetches time out endMargin before the end that a purge
+// requires.
 func (p *Page) latestEnd() float64 {
 	if p.mustEndAt > 0 {
 		return min(p.deadline, p.mustEndAt+p.options.Reserve-endMargin)
@@ -1087,11 +1108,11 @@
 	return p.deadline
 }
 
-// endMargin is how long, in ms, before a page has to end its last fragments are given up,
-// so that what is behind them has time to go out.
+// endMargin is the time, in ms, between the timeout of the last fragments and the end that a purge
+// requires. The rest of the page is sent in it.
 const endMargin = 30
 
-// refetch has a fragment be asked for anew.
+// refetch discards the content of a fragment, so that it is fetched again.
 func (p *Page) refetch(f *fragment) {
 	p.cancelFetch(f)
 	p.discardContent(f)
@@ -1104,29 +1125,30 @@
 	clearReady(p.root)
 }
 
+// clearReady clears the ready flags of a sequence and of the attempts and excepts in it.
 func clearReady(s *sequence) {
 	s.ready = false
 	for i := range s.parts {
-		if t := &s.parts[i]; t.attempt != nil {
-			clearReady(t.attempt)
-		} else if t.except != nil {
-			clearReady(t.except)
+		if pt := &s.parts[i]; pt.attempt != nil {
+			clearReady(pt.attempt)
+		} else if pt.except != nil {
+			clearReady(pt.except)
 		}
 	}
 }
 
-// maxSteps is how many parts a page may go through: nested fragments that are empty
-// cost time, and no bytes.
+// maxSteps bounds the parts that a page processes. The limits in bytes do not bound nested fragments
+// that are empty.
 const maxSteps = 200_000
 
-// Take appends the next bytes of the page, at most most of them; none: it waits for
-// something, is done, or has failed.
-func (p *Page) Take(dst []byte, most int, now float64) []byte {
+// Take appends the next bytes of the page to dst, at most maxBytes. It appends none if the page
+// waits for a fragment, is done or has failed.
+func (p *Page) Take(dst []byte, maxBytes int, now float64) []byte {
 	p.advanceClock(now)
 	had := len(dst)
-	for p.err == nil && len(p.cursors) > 0 && len(dst)-had < most {
+	for p.err == nil && len(p.cursors) > 0 && len(dst)-had < maxBytes {
 		if p.steps++; p.steps > maxSteps {
-			p.abort(ErrLimit, "more than %d parts", maxSteps)
+			p.abort(ErrLimit, "more than %d parts processed", maxSteps)
 			break
 		}
 		c := &p.cursors[len(p.cursors)-1]
@@ -1140,31 +1162,31 @@
 			}
 			continue
 		}
-		t := &c.sequence.parts[c.index]
-		room := most - (len(dst) - had)
+		pt := &c.sequence.parts[c.index]
+		room := maxBytes - (len(dst) - had)
 		switch {
-		case t.text != nil:
-			n := min(room, len(t.text)-c.offset)
-			dst = append(dst, t.text[c.offset:c.offset+n]...)
-			if c.offset += n; c.offset == len(t.text) {
+		case pt.text != nil:
+			n := min(room, len(pt.text)-c.offset)
+			dst = append(dst, pt.text[c.offset:c.offset+n]...)
+			if c.offset += n; c.offset == len(pt.text) {
 				if p.sentOnce() {
-					p.waiting -= int64(len(t.text))
-					t.text = nil
+					p.waiting -= int64(len(pt.text))
+					pt.text = nil
 				}
 				c.index, c.offset = c.index+1, 0
 			}
-		case t.slot != nil && !t.slot.leftOut && !t.slot.done:
+		case pt.slot != nil && !pt.slot.leftOut && !pt.slot.done:
 			var more bool
-			if dst, more = p.takeSlot(dst, c, t.slot, room); !more {
+			if dst, more = p.takeSlot(dst, c, pt.slot, room); !more {
 				return p.countSent(dst, had)
 			}
-		case t.except != nil:
-			p.cursors = append(p.cursors, cursor{sequence: t.except})
-		case t.attempt != nil:
-			if !p.isReady(t.attempt) {
+		case pt.except != nil:
+			p.cursors = append(p.cursors, cursor{sequence: pt.except})
+		case pt.attempt != nil:
+			if !p.isReady(pt.attempt) {
 				return p.countSent(dst, had)
 			}
-			p.cursors = append(p.cursors, cursor{sequence: t.attempt})
+			p.cursors = append(p.cursors, cursor{sequence: pt.attempt})
 		default:
 			c.index, c.offset = c.index+1, 0
 		}
@@ -1172,6 +1194,7 @@
 	return p.countSent(dst, had)
 }
 
+// countSent updates the counters after a Take that appended to dst from the index had on.
 func (p *Page) countSent(dst []byte, had int) []byte {
 	p.sent += int64(len(dst) - had)
 	if p.sent > p.options.MaxPage {
@@ -1181,36 +1204,38 @@
 	return dst
 }
 
-// advancePast goes on behind a row that went out.
+// advancePast moves a cursor past a part whose sequence has been sent.
 func (p *Page) advancePast(c *cursor) {
-	if t := &c.sequence.parts[c.index]; t.slot != nil {
-		p.closeSlot(t.slot)
+	if pt := &c.sequence.parts[c.index]; pt.slot != nil {
+		p.closeSlot(pt.slot)
 	}
 	c.index, c.offset = c.index+1, 0
 }
 
-// closeSlot is that a hole's fragment has gone out; in a row that goes out again it is kept.
-func (p *Page) closeSlot(h *slot) {
+// closeSlot releases a slot whose fragment has been sent, unless the slot is sent again.
+func (p *Page) closeSlot(sl *slot) {
 	if p.sentOnce() {
-		p.releaseSlot(h)
+		p.releaseSlot(sl)
 	}
 }
 
-// sentOnce reports that what goes out now does not go out again.
+// sentOnce reports whether the content at the cursors is sent only once: no fragment that contains
+// it has other slots waiting for it.
 func (p *Page) sentOnce() bool {
 	for i := range p.cursors {
-		if of := p.cursors[i].sequence.owner; of != nil && of.waitingSlots > 1 {
+		if owner := p.cursors[i].sequence.owner; owner != nil && owner.waitingSlots > 1 {
 			return false
 		}
 	}
 	return true
 }
 
-// takeSlot appends what may go out of a fragment now; more: all of it did.
-func (p *Page) takeSlot(dst []byte, c *cursor, h *slot, room int) (out []byte, more bool) {
-	f := h.fragment
+// takeSlot appends the bytes of a slot's fragment that can be sent now. It returns false in more if
+// the output then waits for the fragment.
+func (p *Page) takeSlot(dst []byte, c *cursor, sl *slot, room int) (out []byte, more bool) {
+	f := sl.fragment
 	if f.sequence != nil {
-		if !p.isReady(f.sequence) && (f.waitingSlots > 1 || h.importance() != required || p.options.PassMalformed) {
+		if !p.isReady(f.sequence) && (f.waitingSlots > 1 || sl.importance() != required || p.options.PassMalformed) {
 			return dst, false
 		}
 		if f.state == fetching && len(f.sequence.parts) == 0 {
@@ -1230,10 +1255,10 @@
 		c.offset += n
 	}
 	if c.offset < len(f.data) {
-		return dst, true // the room is used up
+		return dst, true // maxBytes reached
 	}
 	if f.state == complete {
-		p.closeSlot(h)
+		p.closeSlot(sl)
 		c.index, c.offset = c.index+1, 0
 		return dst, true
 	}
