--- a/internal/protocol/esi/esi_test.go
+++ b/internal/protocol/esi/esi_test.go
@@ -25,9 +25,9 @@
 			}
 			b.Write(n.Text)
 		case Include:
-			fmt.Fprintf(&b, "{%s|%s|%v}", n.Src, n.Alt, n.Continue)
+			fmt.Fprintf(&b, "{%s|%s|%v}", n.Src, n.Alt, n.ContinueOnError)
 		case Inline:
-			fmt.Fprintf(&b, "{inline %s %v: %s}", n.Src, n.Fetch, n.Text)
+			fmt.Fprintf(&b, "{inline %s %v: %s}", n.Src, n.Fetchable, n.Text)
 		case Choose, Try:
 			b.WriteString(map[Kind]string{Choose: "?(", Try: "try("}[n.Kind])
 			for i, branch := range n.Branches {
@@ -111,24 +111,24 @@
 		at   int64
 		what string
 	}{
-		{`ab<esi:includes src="/x"/>`, 2, "is no element"},
+		{`ab<esi:includes src="/x"/>`, 2, "is not an element"},
 		{`<esi:include src="/x">`, 0, "not closed"},
 		{`<esi:include/>`, 0, "src is missing"},
-		{`<esi:include src="/x" max="1"/>`, 0, "no attribute"},
+		{`<esi:include src="/x" max="1"/>`, 0, "unknown attribute"},
 		{`<esi:include src="/x" src="/y"/>`, 0, "given twice"},
-		{`<esi:include src=/x/>`, 0, "is no attribute"},
+		{`<esi:include src=/x/>`, 0, "is not an attribute"},
 		{`<esi:include src="/x" onerror="stop"/>`, 0, "onerror"},
 		{"<esi:include src=\"/x\x00\"/>", 0, "control character"},
 		{`ab<esi:remove>`, 14, "esi:remove is not closed"},
 		{`ab<esi:vars>cd`, 2, "esi:vars is not closed"},
 		{`ab<esi:include src="/x"`, 2, "within a tag"},
-		{`ab</esi:vars>`, 2, "nothing of it is open"},
+		{`ab</esi:vars>`, 2, "no element is open"},
 		{`<esi:choose></esi:choose>`, 0, "without esi:when"},
-		{`<esi:choose>x</esi:choose>`, 12, "stands in esi:choose itself"},
-		{`<esi:choose><esi:include src="/x"/></esi:choose>`, 12, "stands in esi:choose itself"},
+		{`<esi:choose>x</esi:choose>`, 12, "stands directly in esi:choose"},
+		{`<esi:choose><esi:include src="/x"/></esi:choose>`, 12, "stands directly in esi:choose"},
 		{`<esi:when test="1">x</esi:when>`, 0, "outside of esi:choose"},
-		{`<esi:choose><esi:when test="1 = 2">x</esi:when></esi:choose>`, 12, "left over"},
-		{`<esi:choose><esi:otherwise>x</esi:otherwise><esi:when test="1">x</esi:when></esi:choose>`, 44, "behind esi:otherwise"},
+		{`<esi:choose><esi:when test="1 = 2">x</esi:when></esi:choose>`, 12, "after the end of the expression"},
+		{`<esi:choose><esi:otherwise>x</esi:otherwise><esi:when test="1">x</esi:when></esi:choose>`, 44, "after esi:otherwise"},
 		{`<esi:try><esi:attempt>x</esi:attempt></esi:try>`, 0, "without both"},
 		{`<esi:try><esi:except>x</esi:except></esi:try>`, 9, "before esi:attempt"},
 		{`<esi:try><esi:attempt>x</esi:attempt><esi:attempt>x</esi:attempt></esi:try>`, 37, "a second"},
@@ -140,7 +140,7 @@
 		for _, piece := range []int{1, 3, 1000} {
 			_, err := parse(c.page, piece, Limits{})
 			var f *Fault
-			if !errors.As(err, &f) || f.At != c.at || !strings.Contains(f.What, c.what) {
+			if !errors.As(err, &f) || f.Offset != c.at || !strings.Contains(f.What, c.what) {
 				t.Errorf("%q in pieces of %d: %v; want byte %d, %s", c.page, piece, err, c.at, c.what)
 			}
 		}
@@ -173,7 +173,7 @@
 		e, err := ParseExpr(text)
 		if err != nil {
 			t.Errorf("%s: %v", text, err)
-		} else if got := e.True(testVars); got != want {
+		} else if got := e.Holds(testVars); got != want {
 			t.Errorf("%s is %v", text, got)
 		}
 	}
@@ -239,8 +239,8 @@
 				return
 			}
 			page = page[n:]
-			if len(p.left) > l.Tag+int(piece)+1 || len(p.inline.Text) > l.Held || len(p.stack) > l.Depth {
-				t.Fatalf("%d bytes are left, %d of an inline, %d open", len(p.left), len(p.inline.Text), len(p.stack))
+			if len(p.unread) > l.Tag+int(piece)+1 || len(p.inline.Text) > l.Held || len(p.stack) > l.Depth {
+				t.Fatalf("%d bytes are left, %d of an inline, %d open", len(p.unread), len(p.inline.Text), len(p.stack))
 			}
 		}
 	})
