--- a/cmd/spool-scenario/main.go
+++ b/cmd/spool-scenario/main.go
@@ -46,10 +46,10 @@
 					return err
 				}
 				defer f.Close()
-				o.Tap = f
+				o.TrafficLog = f
 			}
 			if !quiet {
-				o.Say = os.Stderr
+				o.Progress = os.Stderr
 			}
 			res, err := scenario.Run(c.Context(), s, o)
 			if err != nil {
@@ -79,7 +79,7 @@
 			if err != nil {
 				return &cli.FoundError{Err: err}
 			}
-			fig, err := invariants.FromTap(recs)
+			fig, err := invariants.ParametersFromLog(recs)
 			if err != nil {
 				return &cli.FoundError{Err: err}
 			}
@@ -126,10 +126,10 @@
 			fmt.Fprint(w, res.Summary.String())
 		}
 		for _, s := range res.Steps {
-			if s.Wrong != "" {
-				fmt.Fprintf(w, "%-24s WRONG  %s\n", s.Name, s.Wrong)
+			if s.Failure != "" {
+				fmt.Fprintf(w, "%-24s WRONG  %s\n", s.Name, s.Failure)
 			} else {
-				fmt.Fprintf(w, "%-24s %6.0f ms  %s\n", s.Name, s.Took, s.Until)
+				fmt.Fprintf(w, "%-24s %6.0f ms  %s\n", s.Name, s.DurationMS, s.Outcome)
 			}
 		}
 		for _, one := range res.Injected {
@@ -137,12 +137,12 @@
 			if one.Failed == 0 {
 				word = "  UNPROVEN: no call failed"
 			}
-			fmt.Fprintf(w, "%-24s %6d of %d calls failed%s\n", one.Trouble, one.Failed, one.Calls, word)
+			fmt.Fprintf(w, "%-24s %6d of %d calls failed%s\n", one.Fault, one.Failed, one.Calls, word)
 		}
 		for _, p := range res.Replays {
 			fmt.Fprintf(w, "%-10s journal replayed: %d lives, %d events, %d actions; %d compared, %d equal, %d behind %d gaps\n", p.Router,
 				p.Report.Runs, p.Report.Events, p.Report.Actions, p.Report.Compared, p.Report.Equal, p.Report.Skipped, len(p.Report.Gaps))
-			if d := p.Drift; d != nil {
+			if d := p.Differential; d != nil {
 				fmt.Fprintf(w, "%-10s %d of %d attempts and %d fills seen on sockets, %d answers of the adapter, %d stories: %d differ\n", "",
 					d.Seen, d.Decided, d.Fills, d.Adapter, d.Explained+d.Asked, d.Different)
 				for _, one := range d.Differences {
--- a/internal/testbed/invariants/clients_test.go
+++ b/internal/testbed/invariants/clients_test.go
@@ -12,7 +12,7 @@
 func TestWhoseFaultASecondEffectIs(t *testing.T) {
 	f := figures
 	f.Classes = maps.Clone(f.Classes)
-	f.Classes["pay"] = Class{Effect: "guarded", Group: "all", Window: 2000}
+	f.Classes["pay"] = Class{Idempotency: "guarded", KeyScope: "all", KeyWindow: 2000}
 	ask := func(at float64, id string, limit float64) trafficlog.Record {
 		return trafficlog.Record{Time: at, Event: trafficlog.RequestSent, ID: id, Subject: "r1", Class: "pay", Key: "k9", Write: true, Limit: limit}
 	}
@@ -79,7 +79,7 @@
 		f := f
 		if c.effect != "" {
 			f.Classes = maps.Clone(f.Classes)
-			f.Classes["pay"] = Class{Effect: c.effect}
+			f.Classes["pay"] = Class{Idempotency: c.effect}
 		}
 		verdicts := Check(append(good(), whole(c.recs)...), f)
 		rule := verdicts[1]
@@ -90,8 +90,8 @@
 		if c.fault != "" {
 			faults = 1 + c.more
 		}
-		if len(rule.Breaks) != breaks || breaks > 0 && !strings.Contains(rule.Breaks[0].What, c.broken) {
-			t.Errorf("%s: the rule's breaks are %+v, want %q", c.name, rule.Breaks, c.broken)
+		if len(rule.Violations) != breaks || breaks > 0 && !strings.Contains(rule.Violations[0].Description, c.broken) {
+			t.Errorf("%s: the rule's breaks are %+v, want %q", c.name, rule.Violations, c.broken)
 		}
 		if len(rule.ClientFaults) != faults || faults > 0 && !strings.Contains(rule.ClientFaults[0].Error(), c.fault) {
 			t.Errorf("%s: the client's faults are %+v, want %d with %q", c.name, rule.ClientFaults, faults, c.fault)
--- a/internal/testbed/invariants/rules.go
+++ b/internal/testbed/invariants/rules.go
@@ -18,49 +18,49 @@
 
 // Class is what the rules need to know of a class.
 type Class struct {
-	Effect string  `json:"effect"` // free, guarded or single-shot
-	Group  string  `json:"group"`  // of guarded: nowhere, cell, zone or all
-	Window float64 `json:"window"` // ms
+	Idempotency string  `json:"effect"` // free, guarded or single-shot
+	KeyScope    string  `json:"group"`  // of guarded: nowhere, cell, zone or all
+	KeyWindow   float64 `json:"window"` // ms
 }
 
-// Figures are the figures of the rules, in ms.
-type Figures struct {
-	AnswerSlack    float64          `json:"answer_slack"`
-	DrainGrace     float64          `json:"drain_grace"`
-	ColdFrom       float64          `json:"cold_from"`
-	ColdTime       float64          `json:"cold_time"`
-	FallFactor     float64          `json:"fall_factor"`
-	FallTime       float64          `json:"fall_time"`
-	ParentColdFrom float64          `json:"parent_cold_from"`
-	ParentColdTime float64          `json:"parent_cold_time"`
-	ParentFall     float64          `json:"parent_fall"`
-	PurgeSlack     float64          `json:"purge_slack"`
-	SecondCopies   bool             `json:"second_copies"`
-	Classes        map[string]Class `json:"classes"`
-	// Spread is how far apart two processes of one machine may see one thing:
+// Parameters are the figures of the rules, in ms.
+type Parameters struct {
+	AnswerSlack              float64          `json:"answer_slack"`
+	DrainGrace               float64          `json:"drain_grace"`
+	WarmUpInitialShare       float64          `json:"cold_from"`
+	WarmUpTime               float64          `json:"cold_time"`
+	OverloadFactor           float64          `json:"fall_factor"`
+	OverloadTime             float64          `json:"fall_time"`
+	ParentWarmUpInitialShare float64          `json:"parent_cold_from"`
+	ParentWarmUpTime         float64          `json:"parent_cold_time"`
+	ParentOverloadFactor     float64          `json:"parent_fall"`
+	PurgeGrace               float64          `json:"purge_slack"`
+	HedgedRequests           bool             `json:"second_copies"`
+	Classes                  map[string]Class `json:"classes"`
+	// ObservationSkew is how far apart two processes of one machine may see one thing:
 	// what is read later than it was sent counts as sent so much earlier.
-	Spread float64 `json:"spread"`
-	// NotTried are the rules that the day does nothing to try: with nothing to look
+	ObservationSkew float64 `json:"spread"`
+	// NotExercised are the rules that the day does nothing to try: with nothing to look
 	// at they are not unproven.
-	NotTried []int `json:"not_tried,omitempty"`
+	NotExercised []int `json:"not_tried,omitempty"`
 }
 
-// Ev is the kind of the record that holds a tap's figures, in its note.
-const Ev = "figures"
+// ParametersEvent is the event of the record that holds a log's parameters, in its note.
+const ParametersEvent = "figures"
 
 // Record is the figures as a record, the first of a tap.
-func (f Figures) Record() trafficlog.Record {
+func (f Parameters) Record() trafficlog.Record {
 	b, err := json.Marshal(f)
 	if err != nil {
-		return trafficlog.Record{Event: Ev, Err: err.Error()}
+		return trafficlog.Record{Event: ParametersEvent, Err: err.Error()}
 	}
-	return trafficlog.Record{Time: trafficlog.Now(), Event: Ev, Note: string(b)}
+	return trafficlog.Record{Time: trafficlog.Now(), Event: ParametersEvent, Note: string(b)}
 }
 
-// FromTap finds the figures in a tap.
-func FromTap(recs []trafficlog.Record) (f Figures, err error) {
+// ParametersFromLog finds the figures in a tap.
+func ParametersFromLog(recs []trafficlog.Record) (f Parameters, err error) {
 	for i := range recs {
-		if recs[i].Event == Ev {
+		if recs[i].Event == ParametersEvent {
 			if err := json.Unmarshal([]byte(recs[i].Note), &f); err != nil {
 				return f, fmt.Errorf("rules: the tap's figures: %w", err)
 			}
@@ -70,20 +70,20 @@
 	return f, fmt.Errorf("rules: the tap holds no figures; it was not written by spool-scenario run")
 }
 
-// Break is one break of a rule.
-type Break struct {
-	T      float64             `json:"t"`
-	What   string              `json:"what"`
-	Around []trafficlog.Record `json:"around,omitempty"` // of the first break of its rule
+// Violation is one break of a rule.
+type Violation struct {
+	Time        float64             `json:"t"`
+	Description string              `json:"what"`
+	Context     []trafficlog.Record `json:"around,omitempty"` // of the first break of its rule
 }
 
 // Verdict is what was found of one rule.
 type Verdict struct {
-	Rule   int     `json:"rule"`
-	Name   string  `json:"name"`
-	Checks int     `json:"checks"`
-	Tried  bool    `json:"tried"` // the day does something that tries it
-	Breaks []Break `json:"breaks,omitempty"`
+	Rule       int         `json:"rule"`
+	Name       string      `json:"name"`
+	Checks     int         `json:"checks"`
+	Exercised  bool        `json:"tried"` // the day does something that tries it
+	Violations []Violation `json:"breaks,omitempty"`
 
 	// Of the rule on effects: the repeats of writes that the day's clients made, and
 	// those that were a fault of their own. They break no rule, and fail the day.
@@ -92,85 +92,85 @@
 }
 
 // OK reports a rule that was not broken, and was looked at where the day tries it.
-func (v Verdict) OK() bool { return (v.Checks > 0 || !v.Tried) && len(v.Breaks) == 0 }
+func (v Verdict) OK() bool { return (v.Checks > 0 || !v.Exercised) && len(v.Violations) == 0 }
 
-var names = [...]string{"", "one final answer in time", "no effect twice", "drains kept", "cold members not pushed over",
+var ruleNames = [...]string{"", "one final answer in time", "no effect twice", "drains kept", "cold members not pushed over",
 	"no copy older than a purge"}
 
 // checker holds the tap in the forms that the checks need.
 type checker struct {
-	f     Figures
-	recs  []trafficlog.Record
-	ids   map[string][]int // by client's request
-	tries map[string]*clientTry
-	kills map[string][]float64
-	lives map[string][]float64 // starts, by router
-	out   [6]Verdict
+	params          Parameters
+	records         []trafficlog.Record
+	byClientRequest map[string][]int // by client's request
+	clientTries     map[string]*clientTry
+	routerKills     map[string][]float64
+	routerStarts    map[string][]float64 // starts, by router
+	verdicts        [6]Verdict
 }
 
 // Check judges a tap; its records are in the order of time afterwards.
-func Check(recs []trafficlog.Record, f Figures) []Verdict {
+func Check(recs []trafficlog.Record, f Parameters) []Verdict {
 	trafficlog.Sort(recs)
-	c := &checker{f: f, recs: recs, ids: map[string][]int{}, kills: map[string][]float64{}, lives: map[string][]float64{}}
-	for i := range c.out {
-		c.out[i] = Verdict{Rule: i, Name: names[i], Tried: !slices.Contains(f.NotTried, i)}
+	c := &checker{params: f, records: recs, byClientRequest: map[string][]int{}, routerKills: map[string][]float64{}, routerStarts: map[string][]float64{}}
+	for i := range c.verdicts {
+		c.verdicts[i] = Verdict{Rule: i, Name: ruleNames[i], Exercised: !slices.Contains(f.NotExercised, i)}
 	}
 	for i := range recs {
 		r := &recs[i]
 		if r.ID != "" {
-			c.ids[r.ID] = append(c.ids[r.ID], i)
+			c.byClientRequest[r.ID] = append(c.byClientRequest[r.ID], i)
 		}
 		switch {
 		case r.Event == trafficlog.Killed && r.Role == "router":
-			c.kills[r.Subject] = append(c.kills[r.Subject], r.Time)
+			c.routerKills[r.Subject] = append(c.routerKills[r.Subject], r.Time)
 		case r.Event == trafficlog.Started && r.Role == "router":
-			c.lives[r.Subject] = append(c.lives[r.Subject], r.Time)
-		}
-	}
-	c.tries = c.clientTries()
-	c.answers()
-	c.effects()
-	c.repeats()
-	c.drains()
-	c.cold()
-	c.purges()
-	c.pieces()
-	return c.out[1:]
+			c.routerStarts[r.Subject] = append(c.routerStarts[r.Subject], r.Time)
+		}
+	}
+	c.clientTries = c.collectClientTries()
+	c.checkResponses()
+	c.checkWrites()
+	c.checkClientRepeats()
+	c.checkDrains()
+	c.checkWarmUp()
+	c.checkPurges()
+	c.checkPages()
+	return c.verdicts[1:]
 }
 
-func (c *checker) fail(rule int, i int, format string, a ...any) {
-	v := &c.out[rule]
-	b := Break{T: c.recs[i].Time, What: fmt.Sprintf(format, a...)}
-	if len(v.Breaks) == 0 {
-		b.Around = c.around(i)
+func (c *checker) addViolation(rule int, i int, format string, a ...any) {
+	v := &c.verdicts[rule]
+	b := Violation{Time: c.records[i].Time, Description: fmt.Sprintf(format, a...)}
+	if len(v.Violations) == 0 {
+		b.Context = c.contextOf(i)
 	}
-	v.Breaks = append(v.Breaks, b)
+	v.Violations = append(v.Violations, b)
 }
 
-// around is what is known of the request that a record is of, and else the
+// contextOf is what is known of the request that a record is of, and else the
 // records of the same member or router just before and after it.
-func (c *checker) around(i int) (out []trafficlog.Record) {
-	r := &c.recs[i]
+func (c *checker) contextOf(i int) (out []trafficlog.Record) {
+	r := &c.records[i]
 	if r.ID != "" {
-		for _, k := range c.ids[r.ID] {
-			out = append(out, c.recs[k])
+		for _, k := range c.byClientRequest[r.ID] {
+			out = append(out, c.records[k])
 		}
 		return out[:min(len(out), 24)]
 	}
-	for k := max(0, i-400); k < min(len(c.recs), i+100) && len(out) < 24; k++ {
-		if x := &c.recs[k]; x.Subject == r.Subject || k == i {
+	for k := max(0, i-400); k < min(len(c.records), i+100) && len(out) < 24; k++ {
+		if x := &c.records[k]; x.Subject == r.Subject || k == i {
 			out = append(out, *x)
 		}
 	}
 	return out
 }
 
-// ofKey is what is known of all tries of a write, up to a number of records.
-func (c *checker) ofKey(key string) (out []trafficlog.Record) {
+// recordsOfKey is what is known of all tries of a write, up to a number of records.
+func (c *checker) recordsOfKey(key string) (out []trafficlog.Record) {
 	const most = 48
-	for i := range c.recs {
-		if c.recs[i].Key == key && len(out) < most {
-			out = append(out, c.recs[i])
+	for i := range c.records {
+		if c.records[i].Key == key && len(out) < most {
+			out = append(out, c.records[i])
 		}
 	}
 	return out
@@ -178,7 +178,7 @@
 
 // killed reports whether a router was killed between two times.
 func (c *checker) killed(router string, from, to float64) bool {
-	for _, t := range c.kills[router] {
+	for _, t := range c.routerKills[router] {
 		if t >= from && t <= to {
 			return true
 		}
@@ -186,15 +186,15 @@
 	return false
 }
 
-// dead reports whether a router was down at a time: killed, and not started since.
-func (c *checker) dead(router string, t float64) bool {
+// isDown reports whether a router was down at a time: killed, and not started since.
+func (c *checker) isDown(router string, t float64) bool {
 	last := math.Inf(-1)
-	for _, k := range c.kills[router] {
+	for _, k := range c.routerKills[router] {
 		if k <= t {
 			last = max(last, k)
 		}
 	}
-	for _, up := range c.lives[router] {
+	for _, up := range c.routerStarts[router] {
 		if up >= last && up <= t {
 			return false
 		}
@@ -202,12 +202,12 @@
 	return !math.IsInf(last, -1)
 }
 
-// answers checks rule 1: for each request that a running router took, one
+// checkResponses checks rule 1: for each request that a running router took, one
 // final answer before the client's time ran out, and nothing sent after it. A
 // router that was killed is forgiven what it held, and nothing else.
-func (c *checker) answers() {
-	for i := range c.recs {
-		ask := &c.recs[i]
+func (c *checker) checkResponses() {
+	for i := range c.records {
+		ask := &c.records[i]
 		if ask.Event != trafficlog.RequestSent {
 			continue
 		}
@@ -215,13 +215,13 @@
 		var first, ended, late float64 = math.Inf(1), math.Inf(1), 0
 		var lateAt int
 		why, whole := "", false
-		for _, k := range c.ids[ask.ID] {
-			switch x := &c.recs[k]; {
+		for _, k := range c.byClientRequest[ask.ID] {
+			switch x := &c.records[k]; {
 			case x.Event == trafficlog.ResponseHead:
 				heads++
 				first = min(first, x.Time)
 				if heads == 2 {
-					c.fail(1, k, "request %s has a second answer (%d %s)", ask.ID, x.Status, x.Note)
+					c.addViolation(1, k, "request %s has a second answer (%d %s)", ask.ID, x.Status, x.Note)
 				}
 			case x.Event == trafficlog.ResponseEnd:
 				ended, why, whole = x.Time, x.Err, x.Err == ""
@@ -231,38 +231,38 @@
 				}
 			}
 		}
-		if why == "unreached" || c.dead(ask.Subject, ask.Time) { // no connection: no running router took it
+		if why == "unreached" || c.isDown(ask.Subject, ask.Time) { // no connection: no running router took it
 			continue
 		}
-		if c.killed(ask.Subject, ask.Time-c.f.Spread, max(min(ask.Limit, ended), ask.Time)+c.f.AnswerSlack+c.f.Spread) {
+		if c.killed(ask.Subject, ask.Time-c.params.ObservationSkew, max(min(ask.Limit, ended), ask.Time)+c.params.AnswerSlack+c.params.ObservationSkew) {
 			continue
 		}
 		if why == "gone" { // the client left by itself, as its script said
-			c.out[1].Checks++
-			if late > ended+c.f.Spread {
-				c.fail(1, lateAt, "request %s is sent %.0f ms after its client has left", ask.ID, late-ended)
+			c.verdicts[1].Checks++
+			if late > ended+c.params.ObservationSkew {
+				c.addViolation(1, lateAt, "request %s is sent %.0f ms after its client has left", ask.ID, late-ended)
 			}
 			continue
 		}
-		c.out[1].Checks++
-		switch limit := ask.Limit + c.f.AnswerSlack + c.f.Spread; {
+		c.verdicts[1].Checks++
+		switch limit := ask.Limit + c.params.AnswerSlack + c.params.ObservationSkew; {
 		case heads == 0:
-			c.fail(1, i, "request %s has no final answer (%s)", ask.ID, why)
+			c.addViolation(1, i, "request %s has no final answer (%s)", ask.ID, why)
 		case first > limit:
-			c.fail(1, i, "request %s is answered %.0f ms after its client's time ran out", ask.ID, first-ask.Limit)
+			c.addViolation(1, i, "request %s is answered %.0f ms after its client's time ran out", ask.ID, first-ask.Limit)
 		}
 		// once the answer has begun, nothing more is sent for the request
-		if end := min(first, ended) + c.f.Spread; late > end {
-			c.fail(1, lateAt, "request %s is sent %.0f ms after its answer began (whole: %v)", ask.ID, late-first, whole)
+		if end := min(first, ended) + c.params.ObservationSkew; late > end {
+			c.addViolation(1, lateAt, "request %s is sent %.0f ms after its answer began (whole: %v)", ask.ID, late-first, whole)
 		}
 	}
 }
 
-// effects checks rule 2: no effect twice; a repeat only inside its group and
+// checkWrites checks rule 2: no effect twice; a repeat only inside its group and
 // its window, or where the attempt before surely never ran; two attempts at
 // once only where they are allowed. A second effect for which the client alone is to
 // blame is its fault, see repeats.
-func (c *checker) effects() {
+func (c *checker) checkWrites() {
 	ran := map[string][]*trafficlog.Record{}
 	twice := map[string]bool{} // keys whose break is told
 	type attempt struct {
@@ -274,8 +274,8 @@
 	byReq := map[string][]attempt{}
 	zone := map[string]string{}
 	atMember := map[string][]string{} // requests with attempts there, in this life of it
-	for i := range c.recs {
-		switch r := &c.recs[i]; r.Event {
+	for i := range c.records {
+		switch r := &c.records[i]; r.Event {
 		case trafficlog.Started:
 			if r.Role != "router" {
 				zone[r.Subject] = r.Note
@@ -283,20 +283,20 @@
 		case trafficlog.Killed: // ends what the member had in hand
 			for _, req := range atMember[r.Subject] {
 				for k := range byReq[req] {
-					if a := &byReq[req][k]; c.recs[a.i].Subject == r.Subject {
+					if a := &byReq[req][k]; c.records[a.i].Subject == r.Subject {
 						a.to = min(a.to, r.Time)
 					}
 				}
 			}
 			delete(atMember, r.Subject)
 		case trafficlog.WriteExecuted:
-			c.out[2].Checks++
-			if r.Note != "dropped" && r.Key != "" && c.f.Classes[r.Class].Effect != "free" {
-				if why, is := c.routersFault(ran[r.Key], r); is && !twice[r.Key] {
+			c.verdicts[2].Checks++
+			if r.Note != "dropped" && r.Key != "" && c.params.Classes[r.Class].Idempotency != "free" {
+				if why, is := c.routerFault(ran[r.Key], r); is && !twice[r.Key] {
 					twice[r.Key] = true
-					c.fail(2, i, "the effect of key %q happened twice%s", r.Key, why)
-					if breaks := c.out[2].Breaks; len(breaks) == 1 {
-						breaks[0].Around = c.ofKey(r.Key)
+					c.addViolation(2, i, "the effect of key %q happened twice%s", r.Key, why)
+					if breaks := c.verdicts[2].Violations; len(breaks) == 1 {
+						breaks[0].Context = c.recordsOfKey(r.Key)
 					}
 				}
 				ran[r.Key] = append(ran[r.Key], r)
@@ -309,7 +309,7 @@
 		case trafficlog.AttemptAnswered, trafficlog.AttemptCanceled:
 			list := byReq[r.RouterRequest]
 			for k := range list {
-				if a := &list[k]; r.Via == "" && a.n == r.Attempt && c.recs[a.i].Subject == r.Subject {
+				if a := &list[k]; r.Via == "" && a.n == r.Attempt && c.records[a.i].Subject == r.Subject {
 					a.to = min(a.to, r.Time)
 					if r.Event == trafficlog.AttemptAnswered {
 						a.sent = r.Status
@@ -325,33 +325,33 @@
 	sort.Strings(reqs)
 	for _, req := range reqs {
 		list := byReq[req]
-		first := &c.recs[list[0].i]
-		class := c.f.Classes[first.Class]
-		c.out[2].Checks++
+		first := &c.records[list[0].i]
+		class := c.params.Classes[first.Class]
+		c.verdicts[2].Checks++
 		for k := 1; k < len(list); k++ {
 			a, before := &list[k], &list[k-1]
-			r := &c.recs[a.i]
-			if !c.f.SecondCopies && a.from < before.to-c.f.Spread && a.n != before.n {
-				c.fail(2, a.i, "request %s has two attempts out at once, %d and %d", req, before.n, a.n)
+			r := &c.records[a.i]
+			if !c.params.HedgedRequests && a.from < before.to-c.params.ObservationSkew && a.n != before.n {
+				c.addViolation(2, a.i, "request %s has two attempts out at once, %d and %d", req, before.n, a.n)
 			}
 			mayHaveRun := before.sent != 503 && before.sent != 504
 			switch {
-			case class.Effect == "single-shot" && mayHaveRun:
-				c.fail(2, a.i, "single-shot request %s is sent again, though attempt %d may have run", req, before.n)
-			case class.Effect == "guarded" && mayHaveRun && r.Time-first.Time > class.Window+c.f.Spread:
-				c.fail(2, a.i, "guarded request %s is repeated %.0f ms after its first attempt; repeats are dropped for %.0f",
-					req, r.Time-first.Time, class.Window)
-			case class.Effect == "guarded" && mayHaveRun && class.Group == "zone" && zone[r.Subject] != zone[first.Subject],
-				class.Effect == "guarded" && mayHaveRun && class.Group == "nowhere":
-				c.fail(2, a.i, "guarded request %s is repeated outside of its group, at %s after %s", req, r.Subject, first.Subject)
+			case class.Idempotency == "single-shot" && mayHaveRun:
+				c.addViolation(2, a.i, "single-shot request %s is sent again, though attempt %d may have run", req, before.n)
+			case class.Idempotency == "guarded" && mayHaveRun && r.Time-first.Time > class.KeyWindow+c.params.ObservationSkew:
+				c.addViolation(2, a.i, "guarded request %s is repeated %.0f ms after its first attempt; repeats are dropped for %.0f",
+					req, r.Time-first.Time, class.KeyWindow)
+			case class.Idempotency == "guarded" && mayHaveRun && class.KeyScope == "zone" && zone[r.Subject] != zone[first.Subject],
+				class.Idempotency == "guarded" && mayHaveRun && class.KeyScope == "nowhere":
+				c.addViolation(2, a.i, "guarded request %s is repeated outside of its group, at %s after %s", req, r.Subject, first.Subject)
 			}
 		}
 	}
 }
 
-// drains checks rule 3: from a grace after a router was told that a member
+// checkDrains checks rule 3: from a grace after a router was told that a member
 // drains or is gone, it sends it nothing new, and names it as no source.
-func (c *checker) drains() {
+func (c *checker) checkDrains() {
 	type key struct{ router, member string }
 	out := map[key]float64{} // told not serving, and when
 	known := map[string]map[string]bool{}
@@ -380,8 +380,8 @@
 		delete(inFull, router)
 		recount(router)
 	}
-	for i := range c.recs {
-		r := &c.recs[i]
+	for i := range c.records {
+		r := &c.records[i]
 		switch {
 		case r.Event == trafficlog.Started && r.Role == "router": // a new life knows only what it is told
 			for k := range out {
@@ -414,8 +414,8 @@
 			recount(r.Subject)
 		case r.Event == trafficlog.AttemptReceived && r.Via == "":
 			closeFull(r.From)
-			if due := outAt[r.From]; due > 0 && r.Time > due+c.f.DrainGrace+c.f.Spread {
-				c.out[3].Checks++ // somebody is out for this router, and it sent elsewhere or did not
+			if due := outAt[r.From]; due > 0 && r.Time > due+c.params.DrainGrace+c.params.ObservationSkew {
+				c.verdicts[3].Checks++ // somebody is out for this router, and it sent elsewhere or did not
 			}
 			for _, m := range []string{r.Subject, r.Source} {
 				if m == "" {
@@ -425,22 +425,22 @@
 				if !is {
 					continue
 				}
-				if r.Time > t+c.f.DrainGrace+c.f.Spread {
+				if r.Time > t+c.params.DrainGrace+c.params.ObservationSkew {
 					as := "as a request"
 					if m == r.Source && m != r.Subject {
 						as = "as a source"
 					}
-					c.fail(3, i, "%s used %s %s %.0f ms after it was told that it drains or is gone", r.From, m, as, r.Time-t)
+					c.addViolation(3, i, "%s used %s %s %.0f ms after it was told that it drains or is gone", r.From, m, as, r.Time-t)
 				}
 			}
 		}
 	}
 }
 
-// cold checks rule 4: what all routers together send a member that has just
+// checkWarmUp checks rule 4: what all routers together send a member that has just
 // started, against its present capacity times the multiple, in every window.
 // Two thirds of it must come from routers that were told of its start.
-func (c *checker) cold() {
+func (c *checker) checkWarmUp() {
 	type life struct {
 		up       *trafficlog.Record
 		arrivals []int
@@ -452,8 +452,8 @@
 	}
 	lives := map[key]*life{}
 	told := map[[2]string]int64{}
-	for i := range c.recs {
-		r := &c.recs[i]
+	for i := range c.records {
+		r := &c.records[i]
 		switch {
 		case r.Event == trafficlog.Started && r.Cold && (r.Role == "box" || r.Role == "parent"):
 			lives[key{r.Subject, r.Start}] = &life{up: r}
@@ -464,58 +464,58 @@
 			if l == nil || l.broken {
 				continue
 			}
-			from, span, factor := c.f.ColdFrom, c.f.ColdTime, c.f.FallFactor
+			from, span, factor := c.params.WarmUpInitialShare, c.params.WarmUpTime, c.params.OverloadFactor
 			if l.up.Role == "parent" {
-				from, span, factor = c.f.ParentColdFrom, c.f.ParentColdTime, c.f.ParentFall
+				from, span, factor = c.params.ParentWarmUpInitialShare, c.params.ParentWarmUpTime, c.params.ParentOverloadFactor
 			}
 			age := r.Time - l.up.Time
 			if age >= span || l.up.Work <= 0 {
 				continue
 			}
-			c.out[4].Checks++
+			c.verdicts[4].Checks++
 			l.arrivals = append(l.arrivals, i)
-			for len(l.arrivals) > 0 && c.recs[l.arrivals[0]].Time <= r.Time-c.f.FallTime {
+			for len(l.arrivals) > 0 && c.records[l.arrivals[0]].Time <= r.Time-c.params.OverloadTime {
 				l.arrivals = l.arrivals[1:]
 			}
 			sum, knew := 0.0, 0.0
 			for _, k := range l.arrivals {
-				x := &c.recs[k]
+				x := &c.records[k]
 				sum += x.Work
 				if told[[2]string{x.From, r.Subject}] >= r.Start {
 					knew += x.Work
 				}
 			}
-			budget := factor * l.up.Work * (from + (1-from)*age/span) * c.f.FallTime
+			budget := factor * l.up.Work * (from + (1-from)*age/span) * c.params.OverloadTime
 			if len(l.arrivals) > 1 && sum > budget && knew >= sum*2/3 {
 				l.broken = true
-				c.fail(4, i, "%s (start %d, up for %.0f ms) was sent %.0f ms of work in %.0f ms, where %.0f push it over",
-					r.Subject, r.Start, age, sum, c.f.FallTime, budget)
+				c.addViolation(4, i, "%s (start %d, up for %.0f ms) was sent %.0f ms of work in %.0f ms, where %.0f push it over",
+					r.Subject, r.Start, age, sum, c.params.OverloadTime, budget)
 			}
 		}
 	}
 }
 
-// ledger is which purges were made, and of which each router was told.
-type ledger struct {
-	f       Figures
+// purgeHistory is which purges were made, and of which each router was told.
+type purgeHistory struct {
+	f       Parameters
 	objects map[string][]float64 // when they were made
 	groups  map[int][]float64
-	told    map[ledgerKey][]ledgerPurge
+	told    map[purgeScope][]purgeNotice
 }
 
-type ledgerKey struct {
+type purgeScope struct {
 	router, object string
 	group          int
 }
 
-type ledgerPurge struct{ made, told float64 }
+type purgeNotice struct{ made, told float64 }
 
-func newLedger(f Figures) *ledger {
-	return &ledger{f, map[string][]float64{}, map[int][]float64{}, map[ledgerKey][]ledgerPurge{}}
+func newPurgeHistory(f Parameters) *purgeHistory {
+	return &purgeHistory{f, map[string][]float64{}, map[int][]float64{}, map[purgeScope][]purgeNotice{}}
 }
 
-// take takes a record, if it is of purges or of a router's new life.
-func (l *ledger) take(r *trafficlog.Record) bool {
+// add takes a record, if it is of purges or of a router's new life.
+func (l *purgeHistory) add(r *trafficlog.Record) bool {
 	switch {
 	case r.Event == trafficlog.Started && r.Role == "router":
 		for k := range l.told {
@@ -528,23 +528,23 @@
 	case r.Event == trafficlog.Purge:
 		l.groups[r.Group] = append(l.groups[r.Group], r.Time)
 	case r.Event == trafficlog.UpdateSent && r.Note == "purge":
-		k := ledgerKey{r.Subject, r.Object, r.Group}
+		k := purgeScope{r.Subject, r.Object, r.Group}
 		if r.Object != "" {
 			k.group = 0
 		}
-		l.told[k] = append(l.told[k], ledgerPurge{r.Created, r.Time})
+		l.told[k] = append(l.told[k], purgeNotice{r.Created, r.Time})
 	default:
 		return false
 	}
 	return true
 }
 
-// least is the oldest version of an object that a router may use at a time; 0: any.
-func (l *ledger) least(router, object string, group int, at float64) int64 {
+// minVersion is the oldest version of an object that a router may use at a time; 0: any.
+func (l *purgeHistory) minVersion(router, object string, group int, at float64) int64 {
 	var bind float64 // the latest purge that binds it
-	for _, k := range []ledgerKey{{router, object, 0}, {router, "", group}} {
+	for _, k := range []purgeScope{{router, object, 0}, {router, "", group}} {
 		for _, p := range l.told[k] {
-			if at > p.told+l.f.PurgeSlack+l.f.Spread {
+			if at > p.told+l.f.PurgeGrace+l.f.ObservationSkew {
 				bind = max(bind, p.made)
 			}
 		}
@@ -563,23 +563,23 @@
 	return n
 }
 
-// purges checks rule 5: from a grace after a router was told of a purge,
+// checkPurges checks rule 5: from a grace after a router was told of a purge,
 // nothing that it sends is answered from an older version. What counts is the
 // origin's version, not an age that a cache states.
-func (c *checker) purges() {
-	l := newLedger(c.f)
+func (c *checker) checkPurges() {
+	l := newPurgeHistory(c.params)
 	type at struct {
 		who, req string
 		n        int
 		start    int64
 	}
 	recv := map[at]float64{}
-	for i := range c.recs {
-		r := &c.recs[i]
+	for i := range c.records {
+		r := &c.records[i]
 		switch {
-		case l.take(r):
+		case l.add(r):
 		case r.Event == trafficlog.ResponseEnd && strings.HasPrefix(r.Err, "byte "):
-			c.fail(5, i, "request %s: %s: copies were spliced", r.ID, r.Err)
+			c.addViolation(5, i, "request %s: %s: copies were spliced", r.ID, r.Err)
 		case r.Event == trafficlog.AttemptReceived && r.Via == "":
 			recv[at{r.Subject, r.RouterRequest, r.Attempt, r.Start}] = r.Time
 		case r.Event == trafficlog.AttemptAnswered && r.Via == "" && (r.Status == 200 || r.Status == 206) && !r.Write:
@@ -587,41 +587,41 @@
 			if !ok {
 				continue
 			}
-			c.out[5].Checks++
-			if least := l.least(r.From, r.Object, r.Group, t); r.Version < least {
-				c.fail(5, i, "%s answered %s from version %d, though %s was told of the purge that made version %d",
+			c.verdicts[5].Checks++
+			if least := l.minVersion(r.From, r.Object, r.Group, t); r.Version < least {
+				c.addViolation(5, i, "%s answered %s from version %d, though %s was told of the purge that made version %d",
 					r.Subject, r.Object, r.Version, r.From, least)
 			}
 		}
 	}
 }
 
-// pieces checks rules 1 and 5 for pages that clients read: each piece is there once, whole
+// checkPages checks rules 1 and 5 for pages that clients read: each piece is there once, whole
 // and in its place, and none is of a version older than a purge that its router was told
 // of a grace before the client read it; and nothing is sent for a piece once the page has
 // ended for its client.
-func (c *checker) pieces() {
-	l := newLedger(c.f)
+func (c *checker) checkPages() {
+	l := newPurgeHistory(c.params)
 	ended := map[string]float64{}
-	for i := range c.recs {
-		switch r := &c.recs[i]; {
-		case l.take(r):
+	for i := range c.records {
+		switch r := &c.records[i]; {
+		case l.add(r):
 		case r.Event == trafficlog.ResponseEnd:
 			ended[r.ID] = r.Time
 		case r.Event == trafficlog.AttemptReceived && r.Via == "":
 			page, _, is := strings.Cut(r.ID, ".f")
-			if t, over := ended[page]; is && over && r.Time > t+c.f.Spread {
-				c.fail(1, i, "piece %s is asked for %.0f ms after its page has ended", r.ID, r.Time-t)
+			if t, over := ended[page]; is && over && r.Time > t+c.params.ObservationSkew {
+				c.addViolation(1, i, "piece %s is asked for %.0f ms after its page has ended", r.ID, r.Time-t)
 			}
 		case r.Event == trafficlog.FragmentRead && r.Err == "missing":
 		case r.Event == trafficlog.FragmentRead && r.Err != "":
-			c.out[1].Checks++
-			c.fail(1, i, "the page of request %s is not as it must be: %s", r.ID, r.Err)
+			c.verdicts[1].Checks++
+			c.addViolation(1, i, "the page of request %s is not as it must be: %s", r.ID, r.Err)
 		case r.Event == trafficlog.FragmentRead:
-			c.out[1].Checks++
-			c.out[5].Checks++
-			if least := l.least(r.Subject, r.Object, r.Group, r.Time); r.Version < least {
-				c.fail(5, i, "the page of request %s has %s in version %d, though %s was told of the purge that made version %d",
+			c.verdicts[1].Checks++
+			c.verdicts[5].Checks++
+			if least := l.minVersion(r.Subject, r.Object, r.Group, r.Time); r.Version < least {
+				c.addViolation(5, i, "the page of request %s has %s in version %d, though %s was told of the purge that made version %d",
 					r.ID, r.Object, r.Version, r.Subject, least)
 			}
 		}
@@ -634,12 +634,12 @@
 	for _, v := range vs {
 		word := "kept"
 		switch {
-		case v.Checks == 0 && !v.Tried:
+		case v.Checks == 0 && !v.Exercised:
 			word = "not tried by this day"
 		case v.Checks == 0:
 			word = "UNPROVEN: nothing to look at"
-		case len(v.Breaks) > 0:
-			word = fmt.Sprintf("BROKEN %d times", len(v.Breaks))
+		case len(v.Violations) > 0:
+			word = fmt.Sprintf("BROKEN %d times", len(v.Violations))
 		}
 		s += fmt.Sprintf("rule %d  %-30s %8d checks  %s\n", v.Rule, v.Name, v.Checks, word)
 		if v.Repeats > 0 {
@@ -653,13 +653,13 @@
 func Details(vs []Verdict) string {
 	s := ""
 	for _, v := range vs {
-		for i, b := range v.Breaks {
+		for i, b := range v.Violations {
 			if i == 5 {
-				s += fmt.Sprintf("  ... and %d more of rule %d\n", len(v.Breaks)-i, v.Rule)
+				s += fmt.Sprintf("  ... and %d more of rule %d\n", len(v.Violations)-i, v.Rule)
 				break
 			}
-			s += fmt.Sprintf("rule %d broken at %.1f ms: %s\n", v.Rule, b.T, b.What)
-			s += lines(b.Around)
+			s += fmt.Sprintf("rule %d broken at %.1f ms: %s\n", v.Rule, b.Time, b.Description)
+			s += recordLines(b.Context)
 		}
 		s += clientDetails(v.ClientFaults)
 	}
--- a/internal/testbed/invariants/rules_test.go
+++ b/internal/testbed/invariants/rules_test.go
@@ -9,10 +9,10 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-var figures = Figures{AnswerSlack: 50, DrainGrace: 500, ColdFrom: 0.2, ColdTime: 18000, FallFactor: 4, FallTime: 3000,
-	ParentColdFrom: 0.1, ParentColdTime: 20000, ParentFall: 2, PurgeSlack: 300, Spread: 20,
-	Classes: map[string]Class{"still": {Effect: "free"}, "order": {Effect: "guarded", Group: "zone", Window: 2000},
-		"once": {Effect: "single-shot"}}}
+var figures = Parameters{AnswerSlack: 50, DrainGrace: 500, WarmUpInitialShare: 0.2, WarmUpTime: 18000, OverloadFactor: 4, OverloadTime: 3000,
+	ParentWarmUpInitialShare: 0.1, ParentWarmUpTime: 20000, ParentOverloadFactor: 2, PurgeGrace: 300, ObservationSkew: 20,
+	Classes: map[string]Class{"still": {Idempotency: "free"}, "order": {Idempotency: "guarded", KeyScope: "zone", KeyWindow: 2000},
+		"once": {Idempotency: "single-shot"}}}
 
 // good is a day without a break: every rule has something to look at.
 func good() []trafficlog.Record {
@@ -144,12 +144,12 @@
 			}
 		}
 		for _, v := range Check(recs, figures) {
-			broken := len(v.Breaks) > 0
+			broken := len(v.Violations) > 0
 			if broken != (v.Rule == c.rule) {
 				t.Errorf("%s: rule %d broken: %v; want rule %d only\n%s", c.name, v.Rule, broken, c.rule, Details([]Verdict{v}))
-			} else if broken && !strings.Contains(v.Breaks[0].What, c.want) {
-				t.Errorf("%s: told as %q, want %q in it", c.name, v.Breaks[0].What, c.want)
-			} else if broken && len(v.Breaks[0].Around) == 0 {
+			} else if broken && !strings.Contains(v.Violations[0].Description, c.want) {
+				t.Errorf("%s: told as %q, want %q in it", c.name, v.Violations[0].Description, c.want)
+			} else if broken && len(v.Violations[0].Context) == 0 {
 				t.Errorf("%s: no records around the break", c.name)
 			}
 		}
@@ -190,12 +190,12 @@
 	}
 	back := append(good(), trafficlog.Record{Time: 4900, Event: trafficlog.Killed, Subject: "r1", Role: "router"},
 		trafficlog.Record{Time: 4950, Event: trafficlog.Started, Subject: "r1", Role: "router"}, trafficlog.Record{Time: 5000, Event: trafficlog.RequestSent, ID: "c7", Subject: "r1", Limit: 6000})
-	if vs := Check(back, figures); len(vs[0].Breaks) != 1 {
+	if vs := Check(back, figures); len(vs[0].Violations) != 1 {
 		t.Error("a router that is up again was forgiven what it lost")
 	}
 	late := append(good(), trafficlog.Record{Time: 5000, Event: trafficlog.RequestSent, ID: "c7", Subject: "r1", Limit: 6000},
 		trafficlog.Record{Time: 7000, Event: trafficlog.Killed, Subject: "r1", Role: "router"})
-	if vs := Check(late, figures); len(vs[0].Breaks) != 1 {
+	if vs := Check(late, figures); len(vs[0].Violations) != 1 {
 		t.Error("a router killed long after a client's time ran out was forgiven")
 	}
 }
@@ -206,14 +206,14 @@
 		t.Errorf("an empty tap:\n%s", Summary(vs))
 	}
 	f := figures
-	f.NotTried = []int{3, 4}
+	f.NotExercised = []int{3, 4}
 	if vs = Check(nil, f); AllOK(vs) || strings.Count(Summary(vs), "UNPROVEN") != 3 || strings.Count(Summary(vs), "not tried by this day") != 2 {
 		t.Errorf("a day that tries less:\n%s", Summary(vs))
 	}
 	if vs = Check(good(), f); !AllOK(vs) || vs[2].Checks == 0 {
 		t.Errorf("what is not tried is judged where it is seen:\n%s", Summary(vs))
 	}
-	vs[2].Breaks = []Break{{}}
+	vs[2].Violations = []Violation{{}}
 	if AllOK(vs) {
 		t.Error("a broken rule was passed as not tried")
 	}
@@ -233,8 +233,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := FromTap(recs)
-	if err != nil || f.Classes["order"].Window != 2000 {
+	f, err := ParametersFromLog(recs)
+	if err != nil || f.Classes["order"].KeyWindow != 2000 {
 		t.Fatal(f, err)
 	}
 	if vs := Check(recs, f); !AllOK(vs) {
--- a/internal/testbed/scenario/box.go
+++ b/internal/testbed/scenario/box.go
@@ -12,23 +12,23 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// boxConfig is a box of the day's that is spool-cache: what it would be as a stand-in, and
+// cacheNodeConfig is a box of the day's that is spool-cache: what it would be as a stand-in, and
 // the folder that outlives its processes.
-type boxConfig struct {
+type cacheNodeConfig struct {
 	testserver.Config
 	Folder string `json:"folder"`
 }
 
-// childBox is a box with a store on disk. What it sees on its sockets goes to the tap, as a
+// runCacheNode is a box with a store on disk. What it sees on its sockets goes to the tap, as a
 // stand-in's does; of a stand-in's limits (capacity, links, the fall of a cold one) it has
 // none.
-func childBox() error {
+func runCacheNode() error {
 	in := bufio.NewReader(os.Stdin)
 	line, err := in.ReadBytes('\n')
 	if err != nil {
 		return err
 	}
-	var c boxConfig
+	var c cacheNodeConfig
 	if err := json.Unmarshal(line, &c); err != nil {
 		return err
 	}
@@ -74,7 +74,7 @@
 	w.Add(trafficlog.Record{Event: trafficlog.Started, Subject: c.ID, Role: c.Role, Addr: s.Addr(), Start: c.Start, Cold: c.Cold, Work: c.Capacity, Note: c.Zone,
 		Bytes: s.Recovered.Bytes})
 	go func() {
-		faults.untilOrphaned(in)
+		faults.readFaults(in)
 		s.Stop()
 	}()
 	return s.Run()
--- a/internal/testbed/scenario/calls.go
+++ b/internal/testbed/scenario/calls.go
@@ -62,8 +62,8 @@
 	return made, failed
 }
 
-// now are the calls that hold at the moment.
-func (c *faultyCalls) now() eventloop.Syscalls {
+// current are the calls that hold at the moment.
+func (c *faultyCalls) current() eventloop.Syscalls {
 	if planned := c.faults.calls.Load(); planned != nil && trafficlog.Now() < planned.until {
 		return planned.calls
 	}
@@ -71,7 +71,7 @@
 }
 
 // on are the calls that hold for a connection at the moment.
-func (c *faultyCalls) on(fd int) eventloop.Syscalls {
+func (c *faultyCalls) forConnection(fd int) eventloop.Syscalls {
 	planned := c.faults.calls.Load()
 	switch {
 	case planned == nil || trafficlog.Now() >= planned.until:
@@ -84,7 +84,7 @@
 
 // Accept implements loop.Syscalls.
 func (c *faultyCalls) Accept(listener int) (int, error) {
-	fd, err := c.now().Accept(listener)
+	fd, err := c.current().Accept(listener)
 	if err == nil {
 		c.accepted[fd] = true
 	}
@@ -93,7 +93,7 @@
 
 // Socket implements loop.Syscalls.
 func (c *faultyCalls) Socket(family int) (int, error) {
-	fd, err := c.now().Socket(family)
+	fd, err := c.current().Socket(family)
 	if err == nil {
 		delete(c.accepted, fd)
 	}
@@ -101,20 +101,20 @@
 }
 
 // Connect implements loop.Syscalls.
-func (c *faultyCalls) Connect(fd int, to unix.Sockaddr) error { return c.now().Connect(fd, to) }
+func (c *faultyCalls) Connect(fd int, to unix.Sockaddr) error { return c.current().Connect(fd, to) }
 
 // Read implements loop.Syscalls.
-func (c *faultyCalls) Read(fd int, b []byte) (int, error) { return c.on(fd).Read(fd, b) }
+func (c *faultyCalls) Read(fd int, b []byte) (int, error) { return c.forConnection(fd).Read(fd, b) }
 
 // Write implements loop.Syscalls.
-func (c *faultyCalls) Write(fd int, b []byte) (int, error) { return c.on(fd).Write(fd, b) }
+func (c *faultyCalls) Write(fd int, b []byte) (int, error) { return c.forConnection(fd).Write(fd, b) }
 
 // WriteTwo implements loop.Syscalls.
 func (c *faultyCalls) WriteTwo(fd int, first, second []byte) (int, error) {
-	return c.on(fd).WriteTwo(fd, first, second)
+	return c.forConnection(fd).WriteTwo(fd, first, second)
 }
 
 // Wait implements loop.Syscalls.
 func (c *faultyCalls) Wait(epoll int, events []unix.EpollEvent, timeout int) (int, error) {
-	return c.now().Wait(epoll, events, timeout)
+	return c.current().Wait(epoll, events, timeout)
 }
--- a/internal/testbed/scenario/clients.go
+++ b/internal/testbed/scenario/clients.go
@@ -26,31 +26,31 @@
 // clients make requests of one zone: arrivals are open-loop, so that a slow
 // router meets as many as a fast one.
 type clients struct {
-	d    *Day
-	zone string
-	rate float64
-	rng  *rand.Rand // of the arrivals only; each session has its own
-	seq  *atomic.Int64
-	wg   *sync.WaitGroup
+	day      *Day
+	zone     string
+	rate     float64
+	random   *rand.Rand // of the arrivals only; each session has its own
+	sequence *atomic.Int64
+	sessions *sync.WaitGroup
 }
 
 // run makes sessions until the context ends.
 func (c *clients) run(ctx context.Context) {
 	var total float64
-	for i := range c.d.s.Classes {
-		total += c.d.s.Classes[i].Share / c.d.s.Classes[i].meanParts()
+	for i := range c.day.script.Classes {
+		total += c.day.script.Classes[i].Share / c.day.script.Classes[i].meanParts()
 	}
 	if total <= 0 {
 		return
 	}
 	// a session makes several requests: sessions come so much more rarely
 	var perSession float64
-	for i := range c.d.s.Classes {
-		perSession += c.d.s.Classes[i].Share / total
+	for i := range c.day.script.Classes {
+		perSession += c.day.script.Classes[i].Share / total
 	}
 	next := trafficlog.Now()
 	for {
-		next += c.rng.ExpFloat64() * 1000 * perSession / c.rate
+		next += c.random.ExpFloat64() * 1000 * perSession / c.rate
 		if d := next - trafficlog.Now(); d > 0.5 {
 			select {
 			case <-time.After(time.Duration(d * float64(time.Millisecond))):
@@ -60,19 +60,19 @@
 		} else if ctx.Err() != nil {
 			return
 		}
-		u := c.rng.Float64() * total
-		class := &c.d.s.Classes[len(c.d.s.Classes)-1]
-		for i := range c.d.s.Classes {
-			k := &c.d.s.Classes[i]
+		u := c.random.Float64() * total
+		class := &c.day.script.Classes[len(c.day.script.Classes)-1]
+		for i := range c.day.script.Classes {
+			k := &c.day.script.Classes[i]
 			if u -= k.Share / k.meanParts(); u < 0 {
 				class = k
 				break
 			}
 		}
-		rng := rand.New(rand.NewPCG(c.rng.Uint64(), c.rng.Uint64()))
-		c.wg.Add(1)
+		rng := rand.New(rand.NewPCG(c.random.Uint64(), c.random.Uint64()))
+		c.sessions.Add(1)
 		go func() {
-			defer c.wg.Done()
+			defer c.sessions.Done()
 			c.session(ctx, class, rng)
 		}()
 	}
@@ -83,20 +83,20 @@
 	if k.Parts == 0 {
 		return 1
 	}
-	if k.Stay >= 1 {
+	if k.ContinueChance >= 1 {
 		return float64(k.Parts)
 	}
-	return max((1-math.Pow(k.Stay, float64(k.Parts)))/(1-k.Stay), 1)
+	return max((1-math.Pow(k.ContinueChance, float64(k.Parts)))/(1-k.ContinueChance), 1)
 }
 
-// object is the number of an object: popular ones are small.
-func (c *clients) object(k *Class, rng *rand.Rand) string {
+// chooseObject is the number of an object: popular ones are small.
+func (c *clients) chooseObject(k *Class, rng *rand.Rand) string {
 	now := trafficlog.Now()
-	if hot := c.d.hot.Load(); hot != nil && now < hot.until && rng.Float64() < hot.share {
+	if hot := c.day.hotKey.Load(); hot != nil && now < hot.until && rng.Float64() < hot.share {
 		return hot.name
 	}
-	if scan := c.d.scan.Load(); scan != nil && now < scan.until && rng.Float64() < scan.share {
-		return fmt.Sprintf("once%d", c.seq.Add(1))
+	if scan := c.day.scan.Load(); scan != nil && now < scan.until && rng.Float64() < scan.share {
+		return fmt.Sprintf("once%d", c.sequence.Add(1))
 	}
 	z := rand.NewZipf(rng, k.Zipf, 1, uint64(k.Objects-1))
 	if k.Objects == 1 || z == nil {
@@ -115,53 +115,53 @@
 }
 
 func (c *clients) session(ctx context.Context, k *Class, rng *rand.Rand) {
-	name := c.object(k, rng)
-	base := fmt.Sprintf("/%s/%d/%s", k.Name, groupOf(k.Name+name, c.d.s.Day.Groups), name)
-	if k.Pages > 0 {
-		base = c.d.s.pagePath(k, name)
+	name := c.chooseObject(k, rng)
+	base := fmt.Sprintf("/%s/%d/%s", k.Name, groupOf(k.Name+name, c.day.script.Day.Groups), name)
+	if k.PageFragments > 0 {
+		base = c.day.script.pagePath(k, name)
 	}
 	if k.Write {
-		base = fmt.Sprintf("/%s/0/w%d", k.Name, c.seq.Add(1))
+		base = fmt.Sprintf("/%s/0/w%d", k.Name, c.sequence.Add(1))
 	}
 	if k.Parts == 0 {
-		c.want(ctx, k, base, rng)
+		c.request(ctx, k, base, rng)
 		return
 	}
 	for part := 0; part < k.Parts; part++ {
-		if !c.want(ctx, k, fmt.Sprintf("%s/%d", base, part), rng) || rng.Float64() >= k.Stay {
+		if !c.request(ctx, k, fmt.Sprintf("%s/%d", base, part), rng) || rng.Float64() >= k.ContinueChance {
 			return
 		}
 		select {
-		case <-time.After(time.Duration(k.Gap * (0.5 + rng.Float64()) * float64(time.Millisecond))):
+		case <-time.After(time.Duration(k.PartInterval * (0.5 + rng.Float64()) * float64(time.Millisecond))):
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// want makes one request, and repeats it as clients do. It reports whether it
+// request makes one request, and repeats it as clients do. It reports whether it
 // was served.
-func (c *clients) want(ctx context.Context, k *Class, path string, rng *rand.Rand) bool {
+func (c *clients) request(ctx context.Context, k *Class, path string, rng *rand.Rand) bool {
 	key := ""
-	tries := newWriteTries(k, c.d.s.Limits.AnswerSlack+4*c.d.s.Day.Spread)
+	tries := newWriteTries(k, c.day.script.Limits.AnswerSlack+4*c.day.script.Day.ObservationSkew)
 	if k.Write {
-		key = fmt.Sprintf("k%d", c.seq.Add(1))
+		key = fmt.Sprintf("k%d", c.sequence.Add(1))
 	}
 	for try := 0; ; try++ {
-		r := c.d.routerFor(c.zone, rng)
+		r := c.day.routerFor(c.zone, rng)
 		asked := trafficlog.Now()
-		ans := c.ask(r, k, path, key, try, tries.limit(), rng)
-		if ans.whole && ans.status < 400 {
+		ans := c.try(r, k, path, key, try, tries.limit(), rng)
+		if ans.complete && ans.status < 400 {
 			return true
 		}
-		if try >= c.d.s.Day.Retries || ctx.Err() != nil {
+		if try >= c.day.script.Day.Retries || ctx.Err() != nil {
 			return false
 		}
 		if k.Write {
 			tries.add(asked, ans)
 		}
-		wait := c.d.s.Day.RetryWait * (0.5 + rng.Float64())
-		wait = max(wait, ans.after)
+		wait := c.day.script.Day.RetryWait * (0.5 + rng.Float64())
+		wait = max(wait, ans.retryAfter)
 		if !tries.repeatable(trafficlog.Now() + wait) {
 			return false
 		}
@@ -176,26 +176,26 @@
 	}
 }
 
-// errUnreached is the outcome of a try that no router took.
-const errUnreached = "unreached"
+// outcomeUnreached is the outcome of a try that no router took.
+const outcomeUnreached = "unreached"
 
-type answer struct {
-	status int
-	whole  bool
-	err    string
-	after  float64
+type response struct {
+	status     int
+	complete   bool
+	err        string
+	retryAfter float64
 }
 
 // conn is a connection to a router.
 type conn struct {
 	net.Conn
-	br   *bufio.Reader
-	used float64
+	br       *bufio.Reader
+	lastUsed float64
 }
 
-// ended reports whether the router has closed the connection while it was not in use, as it
+// closedByPeer reports whether the router has closed the connection while it was not in use, as it
 // may: what is asked on it then, no router reads.
-func (c *conn) ended() bool {
+func (c *conn) closedByPeer() bool {
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return true
@@ -208,32 +208,32 @@
 	return ended || err != nil
 }
 
-// routerAt is a router as clients know it.
-type routerAt struct {
+// routerEndpoint is a router as clients know it.
+type routerEndpoint struct {
 	name, zone string
 	mu         sync.Mutex
 	addr       string
 	admin      string // its listener for operators
-	life       int
+	generation int
 	idle       []*conn
 }
 
 // up reports whether the router is there.
-func (r *routerAt) up() bool {
+func (r *routerEndpoint) isUp() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.addr != ""
 }
 
-// where is its present address, empty while it is down.
-func (r *routerAt) where() string {
+// address is its present address, empty while it is down.
+func (r *routerEndpoint) address() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.addr
 }
 
-// moved tells clients where the router is now; empty: it is down.
-func (r *routerAt) moved(addr, admin string) {
+// setAddress tells clients where the router is now; empty: it is down.
+func (r *routerEndpoint) setAddress(addr, admin string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if addr != "" && addr == r.addr { // a successor has its sockets, and the connections
@@ -241,14 +241,14 @@
 		return
 	}
 	r.addr, r.admin = addr, admin
-	r.life++
+	r.generation++
 	for _, c := range r.idle {
 		c.Close()
 	}
 	r.idle = nil
 }
 
-func (r *routerAt) get() (*conn, error) {
+func (r *routerEndpoint) get() (*conn, error) {
 	r.mu.Lock()
 	if r.addr == "" {
 		r.mu.Unlock()
@@ -257,7 +257,7 @@
 	for len(r.idle) > 0 {
 		c := r.idle[len(r.idle)-1]
 		r.idle = r.idle[:len(r.idle)-1]
-		if trafficlog.Now()-c.used < 5000 && !c.ended() { // well before the router's own limit
+		if trafficlog.Now()-c.lastUsed < 5000 && !c.closedByPeer() { // well before the router's own limit
 			r.mu.Unlock()
 			return c, nil
 		}
@@ -272,8 +272,8 @@
 	return &conn{Conn: n, br: bufio.NewReaderSize(n, 8<<10)}, nil
 }
 
-func (r *routerAt) put(c *conn) {
-	c.used = trafficlog.Now()
+func (r *routerEndpoint) put(c *conn) {
+	c.lastUsed = trafficlog.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.idle) < 64 && c.RemoteAddr().String() == r.addr {
@@ -283,12 +283,12 @@
 	c.Close()
 }
 
-// ask makes one try of a request, which may run until a time, and records what its
+// try makes one try of a request, which may run until a time, and records what its
 // client sees.
-func (c *clients) ask(r *routerAt, k *Class, path, key string, try int, until float64, rng *rand.Rand) (ans answer) {
-	id := "c" + strconv.FormatInt(c.seq.Add(1), 10)
-	w := c.d.tap
-	patience := k.Deadline * (c.d.s.Day.Patience + (1-c.d.s.Day.Patience)*rng.Float64())
+func (c *clients) try(r *routerEndpoint, k *Class, path, key string, try int, until float64, rng *rand.Rand) (ans response) {
+	id := "c" + strconv.FormatInt(c.sequence.Add(1), 10)
+	w := c.day.trafficLog
+	patience := k.Deadline * (c.day.script.Day.MinTimeoutShare + (1-c.day.script.Day.MinTimeoutShare)*rng.Float64())
 	start := trafficlog.Now()
 	patience = min(patience, until-start)
 	rec := trafficlog.Record{ID: id, Subject: r.name, Class: k.Name, Key: key, Write: k.Write, Retry: try, Limit: start + patience}
@@ -303,7 +303,7 @@
 	cn, err := r.get()
 	if err != nil {
 		w.Add(ask)
-		end(errUnreached, 0)
+		end(outcomeUnreached, 0)
 		return ans
 	}
 	keep := false
@@ -314,8 +314,8 @@
 			cn.Close()
 		}
 	}()
-	leave := rng.Float64() < c.d.s.Day.Leave
-	limit := patience + c.d.s.Limits.AnswerSlack + 4*c.d.s.Day.Spread
+	leave := rng.Float64() < c.day.script.Day.AbandonShare
+	limit := patience + c.day.script.Limits.AnswerSlack + 4*c.day.script.Day.ObservationSkew
 	if leave {
 		limit = patience * rng.Float64() * 0.5
 	}
@@ -342,7 +342,7 @@
 	b.WriteString("\r\n" + body)
 	w.Add(ask)
 	if _, err := io.WriteString(cn, b.String()); err != nil {
-		end(errUnreached, 0) // the connection was gone: the router never had it whole
+		end(outcomeUnreached, 0) // the connection was gone: the router never had it whole
 		return ans
 	}
 	fail := func(err error, n int64) {
@@ -371,7 +371,7 @@
 	}
 	ans.status = res.StatusCode
 	if s, err := strconv.Atoi(res.Header.Get("Retry-After")); err == nil {
-		ans.after = float64(s) * 1000
+		ans.retryAfter = float64(s) * 1000
 	}
 	w.Add(head)
 	if !leave { // the answer has begun: only a stall ends it
@@ -380,16 +380,16 @@
 	buf := make([]byte, 32<<10)
 	var n int64
 	var page []byte
-	var reads []readAt
+	var reads []readMark
 	for {
 		if !leave {
 			cn.SetReadDeadline(time.Now().Add(time.Duration(limit * float64(time.Millisecond))))
 		}
 		m, err := res.Body.Read(buf)
-		if m > 0 && head.Status == 200 && !k.Write && (verr == nil || k.Pages > 0) {
-			if k.Pages > 0 {
+		if m > 0 && head.Status == 200 && !k.Write && (verr == nil || k.PageFragments > 0) {
+			if k.PageFragments > 0 {
 				page = append(page, buf[:m]...)
-				reads = append(reads, readAt{len(page), trafficlog.Now()})
+				reads = append(reads, readMark{len(page), trafficlog.Now()})
 			} else if at, ok := testserver.Matches(buf[:m], path, ver.Number, n); !ok {
 				end(fmt.Sprintf("byte %d is not of version %d", at, ver.Number), n)
 				return ans
@@ -404,12 +404,12 @@
 			return ans
 		}
 	}
-	ans.whole = true
-	if k.Pages > 0 && head.Status == 200 {
+	ans.complete = true
+	if k.PageFragments > 0 && head.Status == 200 {
 		pieces, err := testserver.Pieces(path, page)
 		for i, x := range pieces {
 			p := rec
-			p.Event, p.Object, p.Group, p.Version, p.Attempt = trafficlog.FragmentRead, x.Key, groupIn(x.Key), x.Version, i
+			p.Event, p.Object, p.Group, p.Version, p.Attempt = trafficlog.FragmentRead, x.Key, groupFromPath(x.Key), x.Version, i
 			for _, r := range reads {
 				if r.bytes >= x.End && x.End > 0 {
 					p.Time = r.at
@@ -438,8 +438,8 @@
 	return ans
 }
 
-// readAt is when so many bytes of an answer had been read.
-type readAt struct {
+// readMark is when so many bytes of an answer had been read.
+type readMark struct {
 	bytes int
 	at    float64
 }
@@ -448,15 +448,15 @@
 func (s *Script) pagePath(k *Class, name string) string {
 	objects := 1
 	for i := range s.Classes {
-		if s.Classes[i].Name == k.Of {
+		if s.Classes[i].Name == k.FragmentClass {
 			objects = s.Classes[i].Objects
 		}
 	}
-	return fmt.Sprintf("/%s/%d/%s", k.Name, groupOf(k.Name+name, s.Day.Groups), testserver.PageName(name, k.Pages, objects, k.Of))
+	return fmt.Sprintf("/%s/%d/%s", k.Name, groupOf(k.Name+name, s.Day.Groups), testserver.PageName(name, k.PageFragments, objects, k.FragmentClass))
 }
 
-// groupIn is the group that an address names.
-func groupIn(path string) int {
+// groupFromPath is the group that an address names.
+func groupFromPath(path string) int {
 	parts := strings.Split(path, "/")
 	if len(parts) < 3 {
 		return 0
@@ -468,7 +468,7 @@
 // isFragment reports a class whose objects pages include.
 func (s *Script) isFragment(k *Class) bool {
 	for i := range s.Classes {
-		if s.Classes[i].Pages > 0 && s.Classes[i].Of == k.Name {
+		if s.Classes[i].PageFragments > 0 && s.Classes[i].FragmentClass == k.Name {
 			return true
 		}
 	}
--- a/internal/testbed/scenario/clients_test.go
+++ b/internal/testbed/scenario/clients_test.go
@@ -25,7 +25,7 @@
 			accepted <- c
 		}
 	}()
-	at := &routerAt{name: "r1", addr: listener.Addr().String()}
+	at := &routerEndpoint{name: "r1", addr: listener.Addr().String()}
 	first, err := at.get()
 	if err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 	server.Close()
 	ctx, stop := context.WithTimeout(t.Context(), 10*time.Second)
 	defer stop()
-	for !first.ended() && sleep(ctx, 1) {
+	for !first.closedByPeer() && sleep(ctx, 1) {
 	}
 	second, err := at.get()
 	if err != nil || second == first {
--- a/internal/testbed/scenario/day_test.go
+++ b/internal/testbed/scenario/day_test.go
@@ -103,8 +103,8 @@
 	if _, err := Run(ctx, s, Options{Self: []string{os.Args[0]}, Dir: t.TempDir(), Routers: 1, Length: 1000}); err != nil {
 		t.Fatal(err)
 	}
-	if s.Troubles[0].Routers != 1 {
-		t.Errorf("%d of 1 routers are killed", s.Troubles[0].Routers)
+	if s.Faults[0].Routers != 1 {
+		t.Errorf("%d of 1 routers are killed", s.Faults[0].Routers)
 	}
 }
 
@@ -148,8 +148,8 @@
 	if err := config.Read("imported", text, s); err != nil {
 		t.Fatal(err)
 	}
-	if s.Day.Length != 40000 || len(s.Troubles) != 3 || s.Troubles[0].Boxes != 1 || s.Troubles[0].Parents != 1 ||
-		s.Troubles[2].Routers != 1 || s.Classes[1].Effect != "guarded" || !s.Classes[1].Write || s.Classes[0].Parts != 14 {
+	if s.Day.Length != 40000 || len(s.Faults) != 3 || s.Faults[0].Boxes != 1 || s.Faults[0].Parents != 1 ||
+		s.Faults[2].Routers != 1 || s.Classes[1].Idempotency != "guarded" || !s.Classes[1].Write || s.Classes[0].Parts != 14 {
 		t.Errorf("imported as\n%s", text)
 	}
 	if all := strings.Join(notes, "\n"); !strings.Contains(all, "can't be played: earthquake") || !strings.Contains(all, "scaled: ") {
@@ -174,13 +174,13 @@
 		t.Errorf("%d steps, want 4: %+v", len(res.Steps), res.Steps)
 	}
 	for _, s := range res.Steps {
-		if s.Wrong != "" {
-			t.Errorf("%s: %s", s.Name, s.Wrong)
+		if s.Failure != "" {
+			t.Errorf("%s: %s", s.Name, s.Failure)
 		}
 	}
 	for _, v := range res.Verdicts {
-		if len(v.Breaks) > 0 {
-			t.Errorf("rule %d: %s", v.Rule, v.Breaks[0].What)
+		if len(v.Violations) > 0 {
+			t.Errorf("rule %d: %s", v.Rule, v.Violations[0].Description)
 		}
 	}
 }
@@ -214,7 +214,7 @@
 	}
 	for _, one := range res.Injected {
 		if one.Failed == 0 {
-			t.Errorf("%s had no call fail", one.Trouble)
+			t.Errorf("%s had no call fail", one.Fault)
 		}
 	}
 	if !res.OK() {
--- a/internal/testbed/scenario/import.go
+++ b/internal/testbed/scenario/import.go
@@ -41,8 +41,8 @@
 	return s
 }
 
-// bench is what is read of a day drawn by the bench. Times are in µs.
-type bench struct {
+// benchScenario is what is read of a day drawn by the bench. Times are in µs.
+type benchScenario struct {
 	Site    string   `json:"site"`
 	Kind    string   `json:"kind"`
 	Length  float64  `json:"length"`
@@ -126,7 +126,7 @@
 // trouble, at the same times. Machines, rate and bytes are scaled together; the
 // notes say what was scaled, guessed, or can't be played.
 func Import(b []byte, scale Scale) (script string, notes []string, err error) {
-	var d bench
+	var d benchScenario
 	if err := json.Unmarshal(b, &d); err != nil {
 		return "", nil, fmt.Errorf("day: the bench's day is no JSON of a day: %w", err)
 	}
@@ -166,7 +166,7 @@
 		note("scaled: %d of %d zones with boxes are played, the largest", scale.Zones, len(places))
 		places = places[:scale.Zones]
 	}
-	s.Day.Name = word(d.Site) + "-" + word(d.Kind)
+	s.Day.Name = toName(d.Site) + "-" + toName(d.Kind)
 	s.Day.Length = ms(d.Length)
 	if scale.Length > 0 {
 		s.Day.Length = scale.Length
@@ -176,8 +176,8 @@
 	s.Day.Routers = min(scale.Routers, max(len(d.Balancers), 1))
 	s.Day.Routers = max(s.Day.Routers, len(places))
 	s.Day.Rate, s.Day.Retries = scale.Rate, d.Clients.Retries
-	s.Day.RetryWait, s.Day.Patience = ms(d.Clients.BackoffUs), min(max(d.Clients.TryShare, 0.3), 1)
-	s.Day.Purges, s.Day.Groups = d.Fam.Purges, max(d.Fam.Groups, 1)
+	s.Day.RetryWait, s.Day.MinTimeoutShare = ms(d.Clients.BackoffUs), min(max(d.Clients.TryShare, 0.3), 1)
+	s.Day.PurgeRate, s.Day.Groups = d.Fam.Purges, max(d.Fam.Groups, 1)
 	s.Stand.Flow = scale.Flow
 	s.Stand.Feedback, s.Fill.LoadMetrics = []string{"inflight", "x0"}, []string{"inflight", "x0"}
 	s.List.LagFrom, s.List.LagTo = ms(d.Discovery.Notice)*0.2, ms(d.Discovery.Notice)
@@ -220,46 +220,46 @@
 		left -= k
 		name := fmt.Sprintf("zone%d", z)
 		if z < len(d.Zones) {
-			name = word(d.Zones[z])
+			name = toName(d.Zones[z])
 		}
-		zone := Zone{Name: name, Hub: "hub", Boxes: k, Share: float64(k), MB: 48, Fills: 24}
-		zone.Cap = math.Ceil(sendingPerSecond/1000/float64(n)*2*10) / 10
-		zone.Link = math.Ceil(float64(k)*zone.Cap*scale.Flow*0.6*10) / 10
+		zone := Zone{Name: name, Hub: "hub", Boxes: k, Share: float64(k), MB: 48, MaxFills: 24}
+		zone.Capacity = math.Ceil(sendingPerSecond/1000/float64(n)*2*10) / 10
+		zone.LinkCapacity = math.Ceil(float64(k)*zone.Capacity*scale.Flow*0.6*10) / 10
 		s.Zones = append(s.Zones, zone)
 	}
-	s.Parents = Parents{Count: min(max(parents, 1), 2), Cap: math.Ceil(sendingPerSecond / 1000 * 1.3), MB: 128, Latency: ms(d.Fam.Near)}
-	s.Origin = Origin{Cap: math.Ceil(sendingPerSecond / 1000 * 2), Latency: ms(d.Fam.OriginTime)}
+	s.Parents = Parents{Count: min(max(parents, 1), 2), Capacity: math.Ceil(sendingPerSecond / 1000 * 1.3), MB: 128, Latency: ms(d.Fam.Near)}
+	s.Origin = Origin{Capacity: math.Ceil(sendingPerSecond / 1000 * 2), Latency: ms(d.Fam.OriginTime)}
 	note("scaled: %d boxes for %d, %d parents for %d, %d routers for %d, %.0f requests a second, %.3g KB a ms a transfer",
 		n, total, s.Parents.Count, parents, s.Day.Routers, len(d.Balancers), scale.Rate, scale.Flow)
 	note("scaled: capacities and links from the load at that rate, a box at half of what it bears; the bench's speeds, cores and queues are not played")
 
 	for i, c := range d.Classes {
 		st := d.Fam.Stock[i]
-		k := Class{Weight: 1, Name: word(c.Name), Share: c.Share / max(shares, 1e-9), KB: max(c.Work/1000*scale.Flow, 0.1), Aim: ms(c.Aim),
-			Stretch: c.AimStretch, Deadline: ms(c.Deadline), Worth: c.Worth, Late: c.LateWorth,
-			Objects: max(int(st.Objects*float64(n)), 10), Zipf: max(st.Zipf, 1.01), Stay: st.Stay, Gap: ms(st.Gap),
-			Fresh: ms(st.Fresh), Grace: ms(st.Grace), Write: c.Write, Effect: "free", Group: "all", Window: ms(c.Window)}
+		k := Class{Weight: 1, Name: toName(c.Name), Share: c.Share / max(shares, 1e-9), KB: max(c.Work/1000*scale.Flow, 0.1), LatencyObjective: ms(c.Aim),
+			ObjectivePerSendTime: c.AimStretch, Deadline: ms(c.Deadline), PriorityWeight: c.Worth, LateWeightShare: c.LateWorth,
+			Objects: max(int(st.Objects*float64(n)), 10), Zipf: max(st.Zipf, 1.01), ContinueChance: st.Stay, PartInterval: ms(st.Gap),
+			Fresh: ms(st.Fresh), Grace: ms(st.Grace), Write: c.Write, Idempotency: "free", KeyScope: "all", KeyWindow: ms(c.Window)}
 		switch c.Effect {
 		case "keyed", "guarded":
-			k.Effect = "guarded"
+			k.Idempotency = "guarded"
 		case "unsafe", "single_shot":
-			k.Effect = "single-shot"
+			k.Idempotency = "single-shot"
 		}
 		if contains([]string{"cell", "zone", "all"}, c.Group) {
-			k.Group = c.Group
+			k.KeyScope = c.Group
 		}
 		if st.Parts > 1.5 {
 			k.Parts = int(math.Round(st.Parts))
 		}
-		if k.Aim > k.Deadline {
-			k.Aim = k.Deadline
+		if k.LatencyObjective > k.Deadline {
+			k.LatencyObjective = k.Deadline
 		}
 		s.Classes = append(s.Classes, k)
 	}
 	note("guessed: how many objects there are, from the bench's figure a box")
 
 	for _, t := range d.Troubles {
-		x := Trouble{At: ms(t.At) * stretch, For: ms(t.Len) * stretch, Factor: 4, Every: 1000, Length: 200, Notice: 1500}
+		x := FaultSpec{At: ms(t.At) * stretch, Duration: ms(t.Len) * stretch, Factor: 4, PauseInterval: 1000, PauseLength: 200, DrainNotice: 1500}
 		if x.At >= s.Day.Length-500 {
 			note("left out: %s at %.0f ms, past the day's end", t.Kind, x.At)
 			continue
@@ -315,10 +315,10 @@
 			meet()
 			for _, f := range []float64{t.Size, t.Extra} {
 				if f >= 50_000 { // in µs
-					x.Length = min(max(ms(f), 50), 500)
+					x.PauseLength = min(max(ms(f), 50), 500)
 				}
 			}
-			x.Every = 2500
+			x.PauseInterval = 2500
 		case "fast_errors":
 			x.Kind = testserver.FastErrors
 			meet()
@@ -333,7 +333,7 @@
 			if t.Size > 0 && t.Size <= 1 {
 				x.Routers = max(int(math.Round(t.Size*float64(s.Day.Routers))), 1)
 			}
-			x.For = min(x.For, 4000)
+			x.Duration = min(x.Duration, 4000)
 		case "flush":
 			x.Kind = Flush
 			share(0.4)
@@ -355,7 +355,7 @@
 			note("can't be played: %s at %.0f ms", t.Kind, x.At)
 			continue
 		}
-		s.Troubles = append(s.Troubles, x)
+		s.Faults = append(s.Faults, x)
 	}
 	text := config.Print(s)
 	if err := config.Read("imported", text, &Script{}); err != nil {
@@ -364,8 +364,8 @@
 	return "; imported from a day of the bench: simulated there, played on sockets here\n" + text, notes, nil
 }
 
-// word makes a name that can stand in a path and in settings.
-func word(s string) string {
+// toName makes a name that can stand in a path and in settings.
+func toName(s string) string {
 	var b strings.Builder
 	for _, c := range strings.ToLower(s) {
 		if c >= 'a' && c <= 'z' || c >= '0' && c <= '9' || c == '-' {
--- a/internal/testbed/scenario/inject.go
+++ b/internal/testbed/scenario/inject.go
@@ -40,9 +40,9 @@
 // Injected is what a trouble inside processes did to them, those apart that were killed
 // before its end.
 type Injected struct {
-	Trouble string `json:"trouble"`
-	Calls   int    `json:"calls"`  // of the kinds that it has fail
-	Failed  int    `json:"failed"` // none: it has proven nothing
+	Fault  string `json:"trouble"`
+	Calls  int    `json:"calls"`  // of the kinds that it has fail
+	Failed int    `json:"failed"` // none: it has proven nothing
 }
 
 // injectedLine is how a process tells the day of it.
@@ -52,65 +52,65 @@
 
 const injectedPrefix = `{"injected"`
 
-// heard takes a line that a process has printed: a record for the tap, or what a trouble
+// handleOutput takes a line that a process has printed: a record for the tap, or what a trouble
 // did to it.
-func (d *Day) heard(line []byte) {
+func (d *Day) handleOutput(line []byte) {
 	if !bytes.HasPrefix(line, []byte(injectedPrefix)) {
-		d.tap.AddLine(line)
+		d.trafficLog.AddLine(line)
 		return
 	}
 	var told injectedLine
 	if json.Unmarshal(line, &told) == nil {
-		d.faults.count(told.Injected)
+		d.processFaults.addCounts(told.Injected)
 	}
 }
 
 // folderErrnos are what a disk that is full or broken gives.
 var folderErrnos = map[string]unix.Errno{"ENOSPC": unix.ENOSPC, "EIO": unix.EIO, "EDQUOT": unix.EDQUOT, "EROFS": unix.EROFS}
 
-// faultsInForce are the process faults of a day, by machine: a process that starts while
+// activeFaults are the process faults of a day, by machine: a process that starts while
 // one lasts begins with it.
-type faultsInForce struct {
-	mu       sync.Mutex
-	byName   map[string][]processFault
-	injected []Injected // by trouble
+type activeFaults struct {
+	mu        sync.Mutex
+	byMachine map[string][]processFault
+	injected  []Injected // by trouble
 }
 
-// begun notes that a trouble begins.
-func (f *faultsInForce) begun(trouble string) {
+// addInjected notes that a trouble begins.
+func (f *activeFaults) addInjected(trouble string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.injected = append(f.injected, Injected{Trouble: trouble})
+	f.injected = append(f.injected, Injected{Fault: trouble})
 }
 
-// count adds what a trouble did to one process.
-func (f *faultsInForce) count(one Injected) {
+// addCounts adds what a trouble did to one process.
+func (f *activeFaults) addCounts(one Injected) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range f.injected {
-		if sum := &f.injected[i]; sum.Trouble == one.Trouble {
+		if sum := &f.injected[i]; sum.Fault == one.Fault {
 			sum.Calls += one.Calls
 			sum.Failed += one.Failed
 		}
 	}
 }
 
-func (f *faultsInForce) add(machine string, fault processFault) {
+func (f *activeFaults) add(machine string, fault processFault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.byName == nil {
-		f.byName = map[string][]processFault{}
+	if f.byMachine == nil {
+		f.byMachine = map[string][]processFault{}
 	}
-	f.byName[machine] = append(f.byName[machine], fault)
+	f.byMachine[machine] = append(f.byMachine[machine], fault)
 }
 
 // of are the faults of a machine that have not ended.
-func (f *faultsInForce) of(machine string) []processFault {
+func (f *activeFaults) activeAt(machine string) []processFault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := trafficlog.Now()
 	lasting := []processFault{}
-	for _, fault := range f.byName[machine] {
+	for _, fault := range f.byMachine[machine] {
 		if fault.Until > now {
 			lasting = append(lasting, fault)
 		}
@@ -118,21 +118,21 @@
 	return lasting
 }
 
-// recovery is how long, in ms, after a folder works again a machine may take to use it:
+// recoveryTimeMS is how long, in ms, after a folder works again a machine may take to use it:
 // the longest backoff, and a turn more.
-const recovery = 4000
+const recoveryTimeMS = 4000
 
-// refusalGap is how long, in ms, who is refused for a folder's fault waits.
-const refusalGap = 100
+// retryIntervalMS is how long, in ms, who is refused for a folder's fault waits.
+const retryIntervalMS = 100
 
 // errNotRecovered says that a machine goes on refusing after its folder works again.
 var errNotRecovered = errors.New("day: refused though the folder works again")
 
-// folderWorks is when a machine's folder works again, or did; false: it never failed.
-func (f *faultsInForce) folderWorks(machine string) (at float64, failed bool) {
+// folderFaultEnd is when a machine's folder works again, or did; false: it never failed.
+func (f *activeFaults) folderFaultEnd(machine string) (at float64, failed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, fault := range f.byName[machine] {
+	for _, fault := range f.byMachine[machine] {
 		if fault.Kind == FolderFault {
 			at, failed = max(at, fault.Until), true
 		}
@@ -140,23 +140,23 @@
 	return at, failed
 }
 
-// untilKept does something at a machine, and again as long as that is refused while the
+// retryDuringFolderFault does something at a machine, and again as long as that is refused while the
 // machine's folder fails, and until it should have recovered.
-func (d *Day) untilKept(ctx context.Context, machine string, do func() error) error {
+func (d *Day) retryDuringFolderFault(ctx context.Context, machine string, do func() error) error {
 	for {
 		err := do()
 		var refused *statusError
 		if err == nil || !errors.As(err, &refused) || refused.status < http.StatusInternalServerError {
 			return err
 		}
-		works, failed := d.faults.folderWorks(machine)
+		works, failed := d.processFaults.folderFaultEnd(machine)
 		if !failed {
 			return err
 		}
-		if trafficlog.Now() > works+recovery {
+		if trafficlog.Now() > works+recoveryTimeMS {
 			return fmt.Errorf("%w, for %.0f ms: %w", errNotRecovered, trafficlog.Now()-works, err)
 		}
-		if !sleep(ctx, refusalGap) {
+		if !sleep(ctx, retryIntervalMS) {
 			return err
 		}
 	}
@@ -168,11 +168,11 @@
 	Faults    []processFault `json:"faults"`    // that it begins with
 }
 
-// withFaults is what a process reads first: its settings, and in a second line the faults
+// appendStartupFaults is what a process reads first: its settings, and in a second line the faults
 // that it begins with.
-func (d *Day) withFaults(machine string, settings []byte) ([]byte, error) {
-	begin := processStart{Faults: d.faults.of(machine)}
-	for _, t := range d.s.Troubles {
+func (d *Day) appendStartupFaults(machine string, settings []byte) ([]byte, error) {
+	begin := processStart{Faults: d.processFaults.activeAt(machine)}
+	for _, t := range d.script.Faults {
 		begin.Intercept = begin.Intercept || t.Kind == SyscallFaults
 	}
 	faults, err := json.Marshal(begin)
@@ -182,34 +182,34 @@
 	return append(append(settings, '\n'), faults...), nil
 }
 
-// inject has the processes of a trouble suffer it for its time.
-func (d *Day) inject(ctx context.Context, t Trouble, met []string) error {
-	fault := processFault{Name: t.name(), Kind: t.Kind, Plan: t.Plan, Peer: t.Peer, Step: t.Step, Errno: t.Errno, Until: trafficlog.Now() + t.For}
+// injectProcessFault has the processes of a trouble suffer it for its time.
+func (d *Day) injectProcessFault(ctx context.Context, t FaultSpec, met []string) error {
+	fault := processFault{Name: t.name(), Kind: t.Kind, Plan: t.Plan, Peer: t.Peer, Step: t.Step, Errno: t.Errno, Until: trafficlog.Now() + t.Duration}
 	line, err := json.Marshal(fault)
 	if err != nil {
 		return err
 	}
 	if t.Kind != ClockStep { // whose effect is not counted in calls
-		d.faults.begun(fault.Name)
+		d.processFaults.addInjected(fault.Name)
 	}
 	for _, machine := range met {
-		d.faults.add(machine, fault)
+		d.processFaults.add(machine, fault)
 		if p := d.processOf(machine); p != nil {
-			p.tell(line)
+			p.writeLine(line)
 		}
 	}
-	sleep(ctx, t.For)
+	sleep(ctx, t.Duration)
 	return nil
 }
 
-// pickProcesses says which processes a trouble inside them meets. The lock is held.
-func (d *Day) pickProcesses(t Trouble, rng *rand.Rand) (met []string) {
+// chooseProcesses says which processes a trouble inside them meets. The lock is held.
+func (d *Day) chooseProcesses(t FaultSpec, rng *rand.Rand) (met []string) {
 	for _, i := range rng.Perm(len(d.routers))[:t.Routers] {
-		met = append(met, d.routers[i].at.name)
+		met = append(met, d.routers[i].endpoint.name)
 	}
 	var boxes []string
 	for _, id := range d.order {
-		if m := d.machines[id]; m.cfg.Role == "box" && (t.Zone == "" || m.cfg.Zone == t.Zone) {
+		if m := d.machines[id]; m.config.Role == "box" && (t.Zone == "" || m.config.Zone == t.Zone) {
 			boxes = append(boxes, id)
 		}
 	}
@@ -224,25 +224,25 @@
 // processOf is the process that a machine has at present; nil: none.
 func (d *Day) processOf(machine string) *process {
 	if machine == controlMachine {
-		return d.control.proc
+		return d.controlService.process
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if m := d.machines[machine]; m != nil {
-		return m.proc
+		return m.process
 	}
 	for _, r := range d.routers {
-		if r.at.name == machine {
-			return r.proc
+		if r.endpoint.name == machine {
+			return r.process
 		}
 	}
 	return nil
 }
 
-// tell gives a process a line; one that has ended needs none.
-func (p *process) tell(line []byte) {
-	p.telling.Lock()
-	defer p.telling.Unlock()
+// writeLine gives a process a line; one that has ended needs none.
+func (p *process) writeLine(line []byte) {
+	p.writeMu.Lock()
+	defer p.writeMu.Unlock()
 	p.in.Write(append(line, '\n'))
 }
 
@@ -250,7 +250,7 @@
 const controlMachine = "control"
 
 // checkProcessFault tells what is wrong with a trouble inside processes.
-func (s *Script) checkProcessFault(t *Trouble) (what, remedy string) {
+func (s *Script) checkProcessFault(t *FaultSpec) (what, remedy string) {
 	realBoxes := s.Stand.Boxes != "" && s.Stand.Boxes != "stand-in"
 	switch {
 	case t.Routers+t.Boxes == 0 && !t.Control:
--- a/internal/testbed/scenario/inject_test.go
+++ b/internal/testbed/scenario/inject_test.go
@@ -67,7 +67,7 @@
 		if err != nil {
 			t.Fatal(c.name, err)
 		}
-		faults.untilOrphaned(in)
+		faults.readFaults(in)
 		if err := faults.folderErr(); !errors.Is(err, c.want) {
 			t.Errorf("%s: the folder gives %v, want %v", c.name, err, c.want)
 		}
@@ -83,7 +83,7 @@
 // While a folder fails nothing is written whole, created, renamed or synced, and what is
 // there can be read; afterwards all of it works.
 func TestFolderFault(t *testing.T) {
-	faults := &injector{tell: io.Discard}
+	faults := &injector{report: io.Discard}
 	dir := t.TempDir()
 	folder := faultyFolder{store.Dir(dir), faults}
 	file, err := folder.Open("a", true)
@@ -166,13 +166,13 @@
 		{"kept after three refusals", 60_000, refused, 3, 4, nil},
 		{"refused for another reason", 0, refused, 3, 1, refused},
 		{"a machine that is down", 60_000, down, 3, 1, down},
-		{"refused long after", -recovery - 1, refused, -1, 1, errNotRecovered},
+		{"refused long after", -recoveryTimeMS - 1, refused, -1, 1, errNotRecovered},
 	} {
 		day, called := &Day{}, 0
 		if c.until != 0 {
-			day.faults.add("m", processFault{Kind: FolderFault, Until: trafficlog.Now() + c.until})
+			day.processFaults.add("m", processFault{Kind: FolderFault, Until: trafficlog.Now() + c.until})
 		}
-		err := day.untilKept(context.Background(), "m", func() error {
+		err := day.retryDuringFolderFault(context.Background(), "m", func() error {
 			if called++; c.calls < 0 || called <= c.calls {
 				return c.err
 			}
@@ -231,7 +231,7 @@
 		calls := newFaultyCalls(faults)
 		member, client := connected(t, calls, listener, address)
 		fault := processFault{Kind: SyscallFaults, Plan: "read:ETIMEDOUT", Peer: c.peer, Until: trafficlog.Now() + c.span}
-		if err := faults.begin(fault); err != nil {
+		if err := faults.startFault(fault); err != nil {
 			t.Fatal(err)
 		}
 		for who, one := range map[string]struct {
@@ -245,7 +245,7 @@
 		unix.Close(member)
 		unix.Close(client)
 	}
-	if err := faults.begin(processFault{Kind: SyscallFaults, Plan: "read"}); !errors.Is(err, faultinject.ErrPlan) {
+	if err := faults.startFault(processFault{Kind: SyscallFaults, Plan: "read"}); !errors.Is(err, faultinject.ErrPlan) {
 		t.Errorf("a plan that is none: %v", err)
 	}
 }
@@ -278,12 +278,12 @@
 
 // A step of a process's wall clock is there until its end; two add up.
 func TestClockStep(t *testing.T) {
-	faults := &injector{tell: io.Discard}
+	faults := &injector{report: io.Discard}
 	off := func() time.Duration { return wallclock.Now().Sub(time.Now().Round(0)).Round(time.Second) }
 	now := trafficlog.Now()
 	for _, fault := range []processFault{{Step: 3.6e6, Until: now + 300}, {Step: -3000, Until: now + 900}} {
 		fault.Kind = ClockStep
-		if err := faults.begin(fault); err != nil {
+		if err := faults.startFault(fault); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/testbed/scenario/injector.go
+++ b/internal/testbed/scenario/injector.go
@@ -20,7 +20,7 @@
 	folder    atomic.Pointer[folderFault]
 	calls     atomic.Pointer[plannedCalls]
 	intercept bool
-	tell      io.Writer // what it did goes there
+	report    io.Writer // what it did goes there
 }
 
 // folderFault is a folder-fault, and how often it was met.
@@ -39,18 +39,18 @@
 	if err != nil {
 		return nil, fmt.Errorf("day: read the faults to begin with: %w", err)
 	}
-	i := &injector{intercept: begin.Intercept, tell: tell}
+	i := &injector{intercept: begin.Intercept, report: tell}
 	for _, fault := range begin.Faults {
-		if err := i.begin(fault); err != nil {
+		if err := i.startFault(fault); err != nil {
 			return nil, err
 		}
 	}
 	return i, nil
 }
 
-// untilOrphaned returns when the day's end of the pipe is closed: a machine does not
+// readFaults returns when the day's end of the pipe is closed: a machine does not
 // outlive its day. Until then it begins each fault that it is told of.
-func (i *injector) untilOrphaned(in *bufio.Reader) {
+func (i *injector) readFaults(in *bufio.Reader) {
 	for {
 		line, err := in.ReadBytes('\n')
 		if err != nil {
@@ -58,7 +58,7 @@
 		}
 		var fault processFault
 		if err = json.Unmarshal(line, &fault); err == nil {
-			err = i.begin(fault)
+			err = i.startFault(fault)
 		}
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "day: a fault was not begun:", err)
@@ -66,8 +66,8 @@
 	}
 }
 
-// begin begins a fault, instead of the last one of its kind; steps of the clock add up.
-func (i *injector) begin(fault processFault) error {
+// startFault begins a fault, instead of the last one of its kind; steps of the clock add up.
+func (i *injector) startFault(fault processFault) error {
 	left := time.Duration((fault.Until - trafficlog.Now()) * float64(time.Millisecond))
 	switch fault.Kind {
 	case FolderFault:
@@ -75,7 +75,7 @@
 		i.folder.Store(folder)
 		time.AfterFunc(left, func() {
 			failed := int(folder.failed.Load())
-			i.tellInjected(fault.Name, failed, failed)
+			i.reportInjected(fault.Name, failed, failed)
 		})
 	case SyscallFaults:
 		calls, err := newPlannedCalls(fault)
@@ -85,7 +85,7 @@
 		i.calls.Store(calls)
 		time.AfterFunc(left, func() {
 			made, failed := calls.counts()
-			i.tellInjected(fault.Name, made, failed)
+			i.reportInjected(fault.Name, made, failed)
 		})
 	case ClockStep:
 		step := time.Duration(fault.Step * float64(time.Millisecond))
@@ -115,10 +115,10 @@
 	return folderErrnos[fault.Errno]
 }
 
-// tellInjected tells the day, in one write, what a trouble did to this process.
-func (i *injector) tellInjected(trouble string, calls, failed int) {
-	line, err := json.Marshal(injectedLine{Injected{Trouble: trouble, Calls: calls, Failed: failed}})
+// reportInjected tells the day, in one write, what a trouble did to this process.
+func (i *injector) reportInjected(trouble string, calls, failed int) {
+	line, err := json.Marshal(injectedLine{Injected{Fault: trouble, Calls: calls, Failed: failed}})
 	if err == nil {
-		i.tell.Write(append(line, '\n'))
+		i.report.Write(append(line, '\n'))
 	}
 }
--- a/internal/testbed/scenario/proc.go
+++ b/internal/testbed/scenario/proc.go
@@ -23,8 +23,8 @@
 // these words and what the machine is on standard input. So a killed machine is
 // killed, and routers share nothing.
 const (
-	ChildStand  = "machine-stand"
-	ChildRouter = "machine-router"
+	ChildTestServer = "machine-stand"
+	ChildRouter     = "machine-router"
 
 	ChildControl = "machine-control"
 	ChildBox     = "machine-box"
@@ -37,23 +37,23 @@
 		return false, nil
 	}
 	switch args[1] {
-	case ChildStand:
-		return true, childStand()
+	case ChildTestServer:
+		return true, runTestServer()
 	case ChildRouter:
-		return true, childRouter()
+		return true, runRouter()
 	case ChildBox:
-		return true, childBox()
+		return true, runCacheNode()
 	case ChildControl:
-		return true, childControl()
+		return true, runControlService()
 	}
 	return false, nil
 }
 
-// untilOrphaned returns when the day's end of the pipe is closed: a machine
+// waitForParentExit returns when the day's end of the pipe is closed: a machine
 // does not outlive its day.
-func untilOrphaned(r io.Reader) { io.Copy(io.Discard, r) }
+func waitForParentExit(r io.Reader) { io.Copy(io.Discard, r) }
 
-func childStand() error {
+func runTestServer() error {
 	in := bufio.NewReader(os.Stdin)
 	line, err := in.ReadBytes('\n')
 	if err != nil {
@@ -68,7 +68,7 @@
 		return err
 	}
 	defer s.Kill()
-	untilOrphaned(in)
+	waitForParentExit(in)
 	return nil
 }
 
@@ -91,7 +91,7 @@
 	return rest, faults, err
 }
 
-func childRouter() error {
+func runRouter() error {
 	var s config.Settings
 	in, faults, err := readSettings(&s)
 	if err != nil {
@@ -105,7 +105,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	gone := make(chan struct{})
-	go func() { faults.untilOrphaned(in); cancel(); close(gone) }()
+	go func() { faults.readFaults(in); cancel(); close(gone) }()
 	e, end, err := httpfront.OpenWithSystem(ctx, &s, log, httpfront.System{Files: faultyFiles{faults: faults}, Syscalls: faults.syscalls()})
 	if err != nil {
 		return err
@@ -122,17 +122,17 @@
 
 // process is one machine.
 type process struct {
-	cmd   *exec.Cmd
-	in    io.WriteCloser
-	done  chan struct{}
-	first chan string // its first line of output
-	once  sync.Once
+	cmd       *exec.Cmd
+	in        io.WriteCloser
+	done      chan struct{}
+	firstLine chan string // its first line of output
+	killOnce  sync.Once
 
-	telling sync.Mutex // one line at a time
+	writeMu sync.Mutex // one line at a time
 }
 
-// start runs a machine; each line that it prints after the first goes to each.
-func start(self []string, word string, stdin []byte, stderr io.Writer, each func(line []byte)) (*process, error) {
+// startProcess runs a machine; each line that it prints after the first goes to each.
+func startProcess(self []string, word string, stdin []byte, stderr io.Writer, each func(line []byte)) (*process, error) {
 	cmd := exec.Command(self[0], append(append([]string{}, self[1:]...), word)...)
 	cmd.Stderr = stderr
 	in, err := cmd.StdinPipe()
@@ -146,7 +146,7 @@
 	if err := cmd.Start(); err != nil {
 		return nil, fmt.Errorf("day: start %s: %w", word, err)
 	}
-	p := &process{cmd: cmd, in: in, done: make(chan struct{}), first: make(chan string, 1)}
+	p := &process{cmd: cmd, in: in, done: make(chan struct{}), firstLine: make(chan string, 1)}
 	go func() {
 		defer close(p.done)
 		br := bufio.NewReaderSize(out, 1<<16)
@@ -156,7 +156,7 @@
 			if err == nil {
 				if !told {
 					told = true
-					p.first <- strings.TrimSpace(string(line))
+					p.firstLine <- strings.TrimSpace(string(line))
 				}
 				if each != nil {
 					each(line)
@@ -174,14 +174,14 @@
 	return p, nil
 }
 
-// awaitFirst is the first line that the machine prints.
-func (p *process) awaitFirst(ctx context.Context) (string, error) {
+// awaitFirstLine is the first line that the machine prints.
+func (p *process) awaitFirstLine(ctx context.Context) (string, error) {
 	select {
-	case line := <-p.first:
+	case line := <-p.firstLine:
 		return line, nil
 	case <-p.done:
 		select {
-		case line := <-p.first:
+		case line := <-p.firstLine:
 			return line, nil
 		default:
 		}
@@ -197,7 +197,7 @@
 
 // kill ends the machine by SIGKILL and waits for what it had written.
 func (p *process) kill() {
-	p.once.Do(func() {
+	p.killOnce.Do(func() {
 		p.cmd.Process.Kill()
 		p.in.Close()
 	})
--- a/internal/testbed/scenario/repeat_test.go
+++ b/internal/testbed/scenario/repeat_test.go
@@ -68,7 +68,7 @@
 			}))
 			defer server.Close()
 			records := askOneWrite(strings.TrimPrefix(server.URL, "http://"),
-				Class{Name: "order", Deadline: 2000, Write: true, Effect: c.effect, Group: c.group, Window: window})
+				Class{Name: "order", Deadline: 2000, Write: true, Idempotency: c.effect, KeyScope: c.group, KeyWindow: window})
 			if len(records) != c.tries || int(asked.Load()) != c.tries {
 				t.Fatalf("%d tries, %d of them at the router; want %d", len(records), asked.Load(), c.tries)
 			}
@@ -84,7 +84,7 @@
 		})
 	}
 	t.Run("nobody took it", func(t *testing.T) {
-		if n := len(askOneWrite("", Class{Name: "order", Deadline: 2000, Write: true, Effect: "single-shot"})); n != 3 {
+		if n := len(askOneWrite("", Class{Name: "order", Deadline: 2000, Write: true, Idempotency: "single-shot"})); n != 3 {
 			t.Errorf("%d tries, want 3", n)
 		}
 	})
@@ -93,13 +93,13 @@
 // askOneWrite has a client make one write, at a router at an address, and returns the
 // records of its tries.
 func askOneWrite(address string, class Class) (asks []trafficlog.Record) {
-	script := &Script{Day: Form{Retries: 2, RetryWait: 20, Patience: 1, Groups: 1}, Classes: []Class{class}}
+	script := &Script{Day: DaySettings{Retries: 2, RetryWait: 20, MinTimeoutShare: 1, Groups: 1}, Classes: []Class{class}}
 	script.Limits.AnswerSlack = 50
-	day := &Day{s: script, tap: trafficlog.NewKeeper(nil), routers: []*router{{at: &routerAt{name: "r1", zone: "z", addr: address}}}}
+	day := &Day{script: script, trafficLog: trafficlog.NewKeeper(nil), routers: []*router{{endpoint: &routerEndpoint{name: "r1", zone: "z", addr: address}}}}
 	var seq atomic.Int64
-	c := &clients{d: day, zone: "z", seq: &seq}
-	c.want(context.Background(), &class, "/order/0/w1", rand.New(rand.NewPCG(1, 2)))
-	for _, r := range day.tap.Records() {
+	c := &clients{day: day, zone: "z", sequence: &seq}
+	c.request(context.Background(), &class, "/order/0/w1", rand.New(rand.NewPCG(1, 2)))
+	for _, r := range day.trafficLog.Records() {
 		if r.Event == trafficlog.RequestSent {
 			asks = append(asks, r)
 		}
@@ -117,18 +117,18 @@
 		left <- span
 	}))
 	defer server.Close()
-	class := Class{Name: "order", Deadline: patience, Write: true, Effect: "single-shot"}
-	script := &Script{Day: Form{Patience: 1, Groups: 1}, Classes: []Class{class}}
-	at := &routerAt{name: "r1", zone: "z", addr: strings.TrimPrefix(server.URL, "http://")}
-	c := &clients{d: &Day{s: script, tap: trafficlog.NewKeeper(nil)}, zone: "z", seq: new(atomic.Int64)}
+	class := Class{Name: "order", Deadline: patience, Write: true, Idempotency: "single-shot"}
+	script := &Script{Day: DaySettings{MinTimeoutShare: 1, Groups: 1}, Classes: []Class{class}}
+	at := &routerEndpoint{name: "r1", zone: "z", addr: strings.TrimPrefix(server.URL, "http://")}
+	c := &clients{day: &Day{script: script, trafficLog: trafficlog.NewKeeper(nil)}, zone: "z", sequence: new(atomic.Int64)}
 	at.mu.Lock() // no connection is to be had
-	done := make(chan answer)
+	done := make(chan response)
 	go func() {
-		done <- c.ask(at, &class, "/order/0/w1", "k1", 0, math.Inf(1), rand.New(rand.NewPCG(1, 2)))
+		done <- c.try(at, &class, "/order/0/w1", "k1", 0, math.Inf(1), rand.New(rand.NewPCG(1, 2)))
 	}()
 	time.Sleep(delay * time.Millisecond)
 	at.mu.Unlock()
-	if ans := <-done; !ans.whole {
+	if ans := <-done; !ans.complete {
 		t.Fatalf("not answered: %+v", ans)
 	}
 	if span := <-left; span > patience-delay+slack {
--- a/internal/testbed/scenario/run.go
+++ b/internal/testbed/scenario/run.go
@@ -29,24 +29,24 @@
 
 // Options are how a day is played.
 type Options struct {
-	Self    []string  // the command that runs this program again, see Child
-	Dir     string    // where the routers' settings and logs go; empty: a temporary folder, removed when all went well
-	Tap     io.Writer // also gets each record; nil: nowhere
-	Say     io.Writer // what happens, as it happens; nil: nowhere
-	Routers int       // above 0: instead of the day's
-	Seed    int       // above 0: instead of the day's
-	Without []string  // kinds of troubles that are left out
-	Journal bool      // routers keep journals, which are replayed after the day
-	Length  float64   // above 0: instead of the day's; troubles move with it
+	Self       []string  // the command that runs this program again, see Child
+	Dir        string    // where the routers' settings and logs go; empty: a temporary folder, removed when all went well
+	TrafficLog io.Writer // also gets each record; nil: nowhere
+	Progress   io.Writer // what happens, as it happens; nil: nowhere
+	Routers    int       // above 0: instead of the day's
+	Seed       int       // above 0: instead of the day's
+	Without    []string  // kinds of troubles that are left out
+	Journal    bool      // routers keep journals, which are replayed after the day
+	Length     float64   // above 0: instead of the day's; troubles move with it
 }
 
 // Result is a played day.
 type Result struct {
 	Verdicts []invariants.Verdict `json:"rules"`
 	Summary  Summary              `json:"summary"`
-	Steps    []Step               `json:"versions,omitempty"`
+	Steps    []VersionStep        `json:"versions,omitempty"`
 	Injected []Injected           `json:"injected,omitempty"`
-	Replays  []Replayed           `json:"replays,omitempty"`
+	Replays  []ReplayResult       `json:"replays,omitempty"`
 	Dir      string               `json:"dir"`
 	Records  []trafficlog.Record  `json:"-"`
 }
@@ -55,7 +55,7 @@
 // all came out as they should, and whose troubles inside processes all had an effect.
 func (r *Result) OK() bool {
 	for _, p := range r.Replays {
-		if !p.Report.OK() || !p.Drift.OK() {
+		if !p.Report.OK() || !p.Differential.OK() {
 			return false
 		}
 	}
@@ -64,23 +64,23 @@
 			return false
 		}
 	}
-	return invariants.AllOK(r.Verdicts) && !slices.ContainsFunc(r.Steps, func(s Step) bool { return s.Wrong != "" })
+	return invariants.AllOK(r.Verdicts) && !slices.ContainsFunc(r.Steps, func(s VersionStep) bool { return s.Failure != "" })
 }
 
-// Replayed is what the replay of a router's journal found, and what comparing it
+// ReplayResult is what the replay of a router's journal found, and what comparing it
 // with the sockets and the other programs did.
-type Replayed struct {
-	Router string               `json:"router"`
-	Report *replay.Report       `json:"report"`
-	Drift  *differential.Report `json:"drift"`
+type ReplayResult struct {
+	Router       string               `json:"router"`
+	Report       *replay.Report       `json:"report"`
+	Differential *differential.Report `json:"drift"`
 }
 
-func journalOf(dir, router string) string { return filepath.Join(dir, router+".journal") }
+func journalPath(dir, router string) string { return filepath.Join(dir, router+".journal") }
 
-func replayAll(dir string, routers int, recs []trafficlog.Record) (out []Replayed, err error) {
+func replayAll(dir string, routers int, recs []trafficlog.Record) (out []ReplayResult, err error) {
 	for i := range routers {
 		name := fmt.Sprintf("router-%d", i+1)
-		j, err := journal.OpenReader(journalOf(dir, name))
+		j, err := journal.OpenReader(journalPath(dir, name))
 		if err != nil {
 			return nil, err
 		}
@@ -89,94 +89,94 @@
 		if err != nil {
 			return nil, fmt.Errorf("day: journal of %s: %w", name, err)
 		}
-		d, err := differential.Check(func() (*journal.Reader, error) { return journal.OpenReader(journalOf(dir, name)) }, recs, differential.Options{Router: name})
+		d, err := differential.Check(func() (*journal.Reader, error) { return journal.OpenReader(journalPath(dir, name)) }, recs, differential.Options{Router: name})
 		if err != nil {
 			return nil, fmt.Errorf("day: journal of %s: %w", name, err)
 		}
-		out = append(out, Replayed{name, r, d})
+		out = append(out, ReplayResult{name, r, d})
 	}
 	return out, nil
 }
 
 // machine is a stand-in of the day, over its lives.
 type machine struct {
-	cfg  testserver.Config
-	row  engine.Row
-	proc *process
-	addr string
-	busy float64 // until when a trouble has it
+	config     testserver.Config
+	member     engine.Row
+	process    *process
+	address    string
+	faultUntil float64 // until when a trouble has it
 }
 
 // Day is a day being played.
 type Day struct {
-	s   *Script
-	o   Options
-	dir string
-	tap *trafficlog.Writer
-	rng *rand.Rand
-
-	mu       sync.Mutex
-	machines map[string]*machine
-	order    []string
-	routers  []*router
-	list     *testserver.List
-	control  *controlled // nil: the day has none
-	faults   faultsInForce
-	origin   *machine
-	http     *http.Client
-	hot      atomic.Pointer[lure]
-	scan     atomic.Pointer[lure]
-	wg       sync.WaitGroup
-	errs     []error
-}
-
-// lure draws a share of the requests for a while.
-type lure struct {
+	script     *Script
+	options    Options
+	dir        string
+	trafficLog *trafficlog.Writer
+	random     *rand.Rand
+
+	mu             sync.Mutex
+	machines       map[string]*machine
+	order          []string
+	routers        []*router
+	list           *testserver.List
+	controlService *controlService // nil: the day has none
+	processFaults  activeFaults
+	origin         *machine
+	http           *http.Client
+	hotKey         atomic.Pointer[diversion]
+	scan           atomic.Pointer[diversion]
+	wg             sync.WaitGroup
+	errs           []error
+}
+
+// diversion draws a share of the requests for a while.
+type diversion struct {
 	name  string
 	share float64
 	until float64
 }
 
 type router struct {
-	at       *routerAt
+	endpoint *routerEndpoint
 	settings string
-	proc     *process
+	process  *process
 	log      *os.File
 }
 
-func (r *router) adminAt() string {
-	r.at.mu.Lock()
-	defer r.at.mu.Unlock()
-	return r.at.admin
+func (r *router) adminAddress() string {
+	r.endpoint.mu.Lock()
+	defer r.endpoint.mu.Unlock()
+	return r.endpoint.admin
 }
 
-func (r *router) lives() int {
-	r.at.mu.Lock()
-	defer r.at.mu.Unlock()
-	return r.at.life
+func (r *router) generation() int {
+	r.endpoint.mu.Lock()
+	defer r.endpoint.mu.Unlock()
+	return r.endpoint.generation
 }
 
 // Run plays a day to its end and judges it.
 func Run(ctx context.Context, s *Script, o Options) (*Result, error) {
 	if o.Routers > 0 {
 		s.Day.Routers = o.Routers
-		for i := range s.Troubles { // "all of them" stays so
-			s.Troubles[i].Routers = min(s.Troubles[i].Routers, o.Routers)
+		for i := range s.Faults { // "all of them" stays so
+			s.Faults[i].Routers = min(s.Faults[i].Routers, o.Routers)
 		}
 	}
 	if o.Seed > 0 {
 		s.Day.Seed = o.Seed
 	}
-	s.Troubles = slices.DeleteFunc(s.Troubles, func(t Trouble) bool { return contains(o.Without, t.Kind) })
+	s.Faults = slices.DeleteFunc(s.Faults, func(t FaultSpec) bool { return contains(o.Without, t.Kind) })
 	if o.Length > 0 && o.Length != s.Day.Length {
 		f := o.Length / s.Day.Length
-		for i := range s.Troubles {
-			s.Troubles[i].At *= f
-			s.Troubles[i].For *= f
+		for i := range s.Faults {
+			s.Faults[i].At *= f
+			s.Faults[i].Duration *= f
 		}
 		s.Day.Length = o.Length
 	}
-	d := &Day{s: s, o: o, tap: trafficlog.NewKeeper(o.Tap), rng: rand.New(rand.NewPCG(uint64(s.Day.Seed), 0xda7)),
+	d := &Day{script: s, options: o, trafficLog: trafficlog.NewKeeper(o.TrafficLog), random: rand.New(rand.NewPCG(uint64(s.Day.Seed), 0xda7)),
 		machines: map[string]*machine{}, http: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{}}}
 	var err error
 	if d.dir = o.Dir; d.dir == "" {
@@ -186,25 +186,25 @@
 	} else if err = os.MkdirAll(d.dir, 0o755); err != nil {
 		return nil, err
 	}
-	defer d.end()
-	d.tap.Add(s.Figures().Record())
-	if err := d.begin(ctx); err != nil {
+	defer d.killAll()
+	d.trafficLog.Add(s.RuleParameters().Record())
+	if err := d.startAll(ctx); err != nil {
 		return nil, err
 	}
 	if err := d.play(ctx); err != nil {
 		return nil, err
 	}
-	d.end()
-	if err := errors.Join(append(d.errs, d.tap.Err())...); err != nil {
+	d.killAll()
+	if err := errors.Join(append(d.errs, d.trafficLog.Err())...); err != nil {
 		return nil, err
 	}
-	recs := d.tap.Records()
-	res := &Result{Verdicts: invariants.Check(recs, s.Figures()), Dir: d.dir, Records: recs}
+	recs := d.trafficLog.Records()
+	res := &Result{Verdicts: invariants.Check(recs, s.RuleParameters()), Dir: d.dir, Records: recs}
 	res.Summary = Summarize(s, recs)
-	if d.control != nil {
-		res.Steps = d.control.steps
+	if d.controlService != nil {
+		res.Steps = d.controlService.steps
 	}
-	res.Injected = d.faults.injected
+	res.Injected = d.processFaults.injected
 	if o.Journal {
 		if res.Replays, err = replayAll(d.dir, s.Day.Routers, recs); err != nil {
 			return nil, err
@@ -217,13 +217,13 @@
 	return res, nil
 }
 
-func (d *Day) say(format string, a ...any) {
-	if d.o.Say != nil {
-		fmt.Fprintf(d.o.Say, format+"\n", a...)
+func (d *Day) logProgress(format string, a ...any) {
+	if d.options.Progress != nil {
+		fmt.Fprintf(d.options.Progress, format+"\n", a...)
 	}
 }
 
-func (d *Day) problem(err error) {
+func (d *Day) addError(err error) {
 	if err == nil {
 		return
 	}
@@ -232,26 +232,26 @@
 	d.mu.Unlock()
 }
 
-// begin starts list, stand-ins and routers.
-func (d *Day) begin(ctx context.Context) error {
-	s := d.s
+// startAll starts list, stand-ins and routers.
+func (d *Day) startAll(ctx context.Context) error {
+	s := d.script
 	var err error
 	if d.list, err = testserver.StartList(testserver.ListConfig{ID: "list", LagFrom: s.List.LagFrom, LagTo: s.List.LagTo,
-		PurgeFrom: s.List.PurgeFrom, PurgeTo: s.List.PurgeTo, PurgeTakes: s.Rules.PurgeTime, StaleOnStart: s.Day.StaleStart,
-		Seed: uint64(s.Day.Seed)}, d.tap); err != nil {
+		PurgeFrom: s.List.PurgeFrom, PurgeTo: s.List.PurgeTo, PurgeTakes: s.Rules.PurgeTime, StaleOnStart: s.Day.StaleListAge,
+		Seed: uint64(s.Day.Seed)}, d.trafficLog); err != nil {
 		return err
 	}
-	if err := d.beginControl(ctx); err != nil {
+	if err := d.startControlService(ctx); err != nil {
 		return err
 	}
-	if d.origin, err = d.add(ctx, testserver.Config{ID: "origin", Role: "origin", Zone: s.Zones[0].Hub,
-		Capacity: s.Origin.Cap, Latency: s.Origin.Latency, Limit: s.Origin.Limit}); err != nil {
+	if d.origin, err = d.addMachine(ctx, testserver.Config{ID: "origin", Role: "origin", Zone: s.Zones[0].Hub,
+		Capacity: s.Origin.Capacity, Latency: s.Origin.Latency, Limit: s.Origin.Limit}); err != nil {
 		return err
 	}
 	for i := range s.Parents.Count {
 		hub := s.Zones[i%len(s.Zones)].Hub
-		if _, err := d.add(ctx, testserver.Config{ID: fmt.Sprintf("parent-%d", i+1), Role: "parent", Zone: hub,
-			Upstream: d.origin.addr, Capacity: s.Parents.Cap, Bytes: int64(s.Parents.MB * (1 << 20)),
+		if _, err := d.addMachine(ctx, testserver.Config{ID: fmt.Sprintf("parent-%d", i+1), Role: "parent", Zone: hub,
+			Upstream: d.origin.address, Capacity: s.Parents.Capacity, Bytes: int64(s.Parents.MB * (1 << 20)),
 			Latency: s.Parents.Latency, ColdFrom: s.Rules.ParentWarmUpInitialShare, ColdTime: s.Rules.ParentWarmUpTime,
 			Fall: s.Rules.ParentOverloadFactor, RunOn: true}); err != nil {
 			return err
@@ -259,23 +259,23 @@
 	}
 	for _, z := range s.Zones {
 		for i := range z.Boxes {
-			if _, err := d.add(ctx, testserver.Config{ID: fmt.Sprintf("%s-%d", z.Name, i+1), Role: "box", Zone: z.Name,
-				Capacity: z.Cap, Bytes: int64(z.MB * (1 << 20)), LinkIn: z.Link / float64(z.Boxes), MaxFills: z.Fills,
+			if _, err := d.addMachine(ctx, testserver.Config{ID: fmt.Sprintf("%s-%d", z.Name, i+1), Role: "box", Zone: z.Name,
+				Capacity: z.Capacity, Bytes: int64(z.MB * (1 << 20)), LinkIn: z.LinkCapacity / float64(z.Boxes), MaxFills: z.MaxFills,
 				ColdFrom: s.Rules.WarmUpInitialShare, ColdTime: s.Rules.WarmUpTime, Fall: s.Rules.OverloadFactor, RunOn: true}); err != nil {
 				return err
 			}
 		}
 	}
-	if d.control != nil {
-		if err := d.control.firstVersion(ctx); err != nil {
+	if d.controlService != nil {
+		if err := d.controlService.firstVersion(ctx); err != nil {
 			return err
 		}
 	}
 	for i := range s.Day.Routers {
 		zone := s.Zones[i%len(s.Zones)].Name
 		name := fmt.Sprintf("router-%d", i+1)
-		r := &router{at: &routerAt{name: name, zone: zone}}
-		r.settings = config.Print(d.settings(name, zone, i))
+		r := &router{endpoint: &routerEndpoint{name: name, zone: zone}}
+		r.settings = config.Print(d.routerSettings(name, zone, i))
 		if err := os.WriteFile(filepath.Join(d.dir, name+".edn"), []byte(r.settings), 0o644); err != nil {
 			return err
 		}
@@ -290,15 +290,15 @@
 	return nil
 }
 
-// add starts a machine and lists it.
-func (d *Day) add(ctx context.Context, c testserver.Config) (*machine, error) {
-	st := &d.s.Stand
-	c.Flow, c.FillFlow, c.FillWait, c.FallTime, c.Feedback = st.Flow, st.FillFlow, st.FillWait, d.s.Rules.OverloadTime, st.Feedback
-	c.Seed = uint64(d.s.Day.Seed)<<16 + uint64(len(d.order))
-	for _, k := range d.s.Classes {
-		c.Classes = append(c.Classes, testserver.Class{Name: k.Name, KB: k.KB, Fresh: k.Fresh, Write: k.Write, Window: k.Window})
+// addMachine starts a machine and lists it.
+func (d *Day) addMachine(ctx context.Context, c testserver.Config) (*machine, error) {
+	st := &d.script.Stand
+	c.Flow, c.FillFlow, c.FillWait, c.FallTime, c.Feedback = st.Flow, st.FillFlow, st.FillWait, d.script.Rules.OverloadTime, st.Feedback
+	c.Seed = uint64(d.script.Day.Seed)<<16 + uint64(len(d.order))
+	for _, k := range d.script.Classes {
+		c.Classes = append(c.Classes, testserver.Class{Name: k.Name, KB: k.KB, Fresh: k.Fresh, Write: k.Write, Window: k.KeyWindow})
 	}
-	m := &machine{cfg: c, row: engine.Row{ID: c.ID, Kind: c.Role, Zone: c.Zone, Size: c.Capacity}}
+	m := &machine{config: c, member: engine.Row{ID: c.ID, Kind: c.Role, Zone: c.Zone, Size: c.Capacity}}
 	d.machines[c.ID] = m
 	d.order = append(d.order, c.ID)
 	return m, d.startMachine(ctx, m, false)
@@ -306,72 +306,72 @@
 
 // startMachine starts a machine's next life and tells the list of it.
 func (d *Day) startMachine(ctx context.Context, m *machine, cold bool) error {
-	m.row.Start++
-	m.cfg.Start, m.cfg.Cold = m.row.Start, cold
-	in, err := json.Marshal(m.cfg)
-	word := ChildStand
-	if kind := d.s.Stand.Boxes; m.cfg.Role == "box" && kind != "" && kind != "stand-in" {
+	m.member.Start++
+	m.config.Start, m.config.Cold = m.member.Start, cold
+	in, err := json.Marshal(m.config)
+	word := ChildTestServer
+	if kind := d.script.Stand.Boxes; m.config.Role == "box" && kind != "" && kind != "stand-in" {
 		word = ChildBox
-		folder := filepath.Join(d.dir, m.cfg.ID)
+		folder := filepath.Join(d.dir, m.config.ID)
 		if kind == "cold" {
 			os.RemoveAll(folder)
 		}
-		if in, err = json.Marshal(boxConfig{m.cfg, folder}); err == nil {
-			in, err = d.withFaults(m.cfg.ID, in)
+		if in, err = json.Marshal(cacheNodeConfig{m.config, folder}); err == nil {
+			in, err = d.appendStartupFaults(m.config.ID, in)
 		}
 	}
 	if err != nil {
 		return err
 	}
-	p, err := start(d.o.Self, word, in, os.Stderr, d.heard)
+	p, err := startProcess(d.options.Self, word, in, os.Stderr, d.handleOutput)
 	if err != nil {
 		return err
 	}
-	m.proc = p
-	line, err := p.awaitFirst(ctx)
+	m.process = p
+	line, err := p.awaitFirstLine(ctx)
 	if err != nil {
 		return err
 	}
 	var up trafficlog.Record
 	if err := json.Unmarshal([]byte(line), &up); err != nil || up.Event != trafficlog.Started {
-		return fmt.Errorf("day: %s began with %q", m.cfg.ID, line)
+		return fmt.Errorf("day: %s began with %q", m.config.ID, line)
 	}
-	m.addr = up.Addr
-	m.row.Address, m.row.State = up.Addr, "serving"
+	m.address = up.Addr
+	m.member.Address, m.member.State = up.Addr, "serving"
 	since := 0.0
 	if cold {
 		since = up.Time
 	}
-	d.listed(m.row, since)
+	d.publishMember(m.member, since)
 	return nil
 }
 
-// listed is news of a member, by the list service or by versions.
-func (d *Day) listed(row engine.Row, since float64) {
-	if d.control != nil && !d.control.form.FromList {
-		d.control.set(row)
+// publishMember is news of a member, by the list service or by versions.
+func (d *Day) publishMember(row engine.Row, since float64) {
+	if d.controlService != nil && !d.controlService.settings.FromList {
+		d.controlService.setMember(row)
 		return
 	}
 	d.list.Set(row, since)
 }
 
-// settings are what a router's file says.
-func (d *Day) settings(name, zone string, me int) *config.Settings {
+// routerSettings are what a router's file says.
+func (d *Day) routerSettings(name, zone string, me int) *config.Settings {
 	list := d.list.Addr()
-	if d.control != nil && !d.control.form.FromList {
+	if d.controlService != nil && !d.controlService.settings.FromList {
 		list = ""
 	}
-	c := d.s.Settings(name, zone, me, list)
-	if d.s.restarts() {
-		c.Router.HotRestartSocket = d.handoverOf(name)
+	c := d.script.Settings(name, zone, me, list)
+	if d.script.hasRouterRestart() {
+		c.Router.HotRestartSocket = d.hotRestartSocketPath(name)
 	}
-	if d.o.Journal {
-		c.Router.Journal = journalOf(d.dir, name)
+	if d.options.Journal {
+		c.Router.Journal = journalPath(d.dir, name)
 	}
-	if d.control != nil {
-		c.Control.Services, c.Control.Start = []string{d.control.addr}, "wait"
+	if d.controlService != nil {
+		c.Control.Services, c.Control.Start = []string{d.controlService.address}, "wait"
 		c.Control.Store = filepath.Join(d.dir, name+".db")
-		c.Control.Protocol, c.Control.Jitter, c.Control.ReportInterval = d.control.form.Protocol, d.control.form.Spread, 1000
+		c.Control.Protocol, c.Control.Jitter, c.Control.ReportInterval = d.controlService.settings.Protocol, d.controlService.settings.ApplyJitter, 1000
 	}
 	return c
 }
@@ -379,54 +379,54 @@
 func (d *Day) startRouter(ctx context.Context, r *router) error {
 	in, err := json.Marshal(r.settings)
 	if err == nil {
-		in, err = d.withFaults(r.at.name, in)
+		in, err = d.appendStartupFaults(r.endpoint.name, in)
 	}
 	if err != nil {
 		return err
 	}
 	// known before its first attempt can be: a new life begins here
-	d.tap.Add(trafficlog.Record{Event: trafficlog.Started, Subject: r.at.name, Role: "router", Note: r.at.zone})
-	p, err := start(d.o.Self, ChildRouter, in, r.log, d.heard)
+	d.trafficLog.Add(trafficlog.Record{Event: trafficlog.Started, Subject: r.endpoint.name, Role: "router", Note: r.endpoint.zone})
+	p, err := startProcess(d.options.Self, ChildRouter, in, r.log, d.handleOutput)
 	if err != nil {
 		return err
 	}
-	r.proc = p
-	addr, err := p.awaitFirst(ctx)
+	r.process = p
+	addr, err := p.awaitFirstLine(ctx)
 	if err != nil {
-		return fmt.Errorf("%s: %w (see %s)", r.at.name, err, r.log.Name())
+		return fmt.Errorf("%s: %w (see %s)", r.endpoint.name, err, r.log.Name())
 	}
 	var client, admin string
 	if _, err := fmt.Sscan(addr, &client, &admin); err != nil {
-		return fmt.Errorf("day: %s began with %q", r.at.name, addr)
+		return fmt.Errorf("day: %s began with %q", r.endpoint.name, addr)
 	}
-	r.at.moved(client, admin)
-	if d.control != nil && !d.control.form.FromList {
-		d.control.recentPurges(r)
+	r.endpoint.setAddress(client, admin)
+	if d.controlService != nil && !d.controlService.settings.FromList {
+		d.controlService.sendRecentPurges(r)
 	}
 	return nil
 }
 
-// end kills what still runs.
-func (d *Day) end() {
+// killAll kills what still runs.
+func (d *Day) killAll() {
 	d.mu.Lock()
 	machines, routers := d.machines, d.routers
 	d.machines, d.routers = nil, nil
 	d.mu.Unlock()
 	for _, r := range routers {
-		if r.proc != nil {
-			r.proc.kill()
+		if r.process != nil {
+			r.process.kill()
 		}
 		if r.log != nil {
 			r.log.Close()
 		}
 	}
 	for _, m := range machines {
-		if m.proc != nil {
-			m.proc.kill()
+		if m.process != nil {
+			m.process.kill()
 		}
 	}
-	if d.control != nil && d.control.proc != nil {
-		d.control.proc.kill()
+	if d.controlService != nil && d.controlService.process != nil {
+		d.controlService.process.kill()
 	}
 	if d.list != nil {
 		d.list.Close()
@@ -435,10 +435,10 @@
 
 // play lets clients come and troubles happen, to the day's end.
 func (d *Day) play(ctx context.Context) error {
-	s := d.s
+	s := d.script
 	sleep(ctx, s.Day.Settle)
 	begin := trafficlog.Now()
-	d.say("%s: %d routers, %d machines, %.0f requests a second for %.0f s", s.Day.Name, len(d.routers), len(d.order),
+	d.logProgress("%s: %d routers, %d machines, %.0f requests a second for %.0f s", s.Day.Name, len(d.routers), len(d.order),
 		s.Day.Rate, s.Day.Length/1000)
 	during, stop := context.WithCancel(ctx)
 	defer stop()
@@ -455,19 +455,19 @@
 		if served[z.Name] == 0 || z.Share == 0 {
 			continue
 		}
-		c := &clients{d: d, zone: z.Name, rate: s.Day.Rate * z.Share / share, seq: &seq, wg: &d.wg,
-			rng: rand.New(rand.NewPCG(uint64(s.Day.Seed), uint64(i)+100))}
+		c := &clients{day: d, zone: z.Name, rate: s.Day.Rate * z.Share / share, sequence: &seq, sessions: &d.wg,
+			random: rand.New(rand.NewPCG(uint64(s.Day.Seed), uint64(i)+100))}
 		arrivals.Add(1)
 		go func() { defer arrivals.Done(); c.run(during) }()
 	}
 	arrivals.Add(1)
-	go func() { defer arrivals.Done(); d.purgeAlong(during) }()
-	if d.control != nil {
+	go func() { defer arrivals.Done(); d.purgePeriodically(during) }()
+	if d.controlService != nil {
 		arrivals.Add(1)
-		go func() { defer arrivals.Done(); d.control.along(during) }()
+		go func() { defer arrivals.Done(); d.controlService.pushChanges(during) }()
 	}
 	var troubles sync.WaitGroup
-	list := append([]Trouble(nil), s.Troubles...)
+	list := append([]FaultSpec(nil), s.Faults...)
 	sort.SliceStable(list, func(i, j int) bool { return list[i].At < list[j].At })
 	for n, t := range list {
 		if !sleep(ctx, begin+t.At-trafficlog.Now()) {
@@ -475,14 +475,14 @@
 		}
 		name := t.name()
 		rng := rand.New(rand.NewPCG(uint64(s.Day.Seed), uint64(n)+1000))
-		met := d.pick(t, rng)
-		d.say("%6.1f s  %s for %.1f s: %s", (trafficlog.Now()-begin)/1000, t.Kind, t.For/1000, strings.Join(met, " "))
-		d.tap.Add(trafficlog.Record{Event: trafficlog.Fault, Note: "begin " + name, Limit: t.For, Source: strings.Join(met, " ")})
+		met := d.chooseTargets(t, rng)
+		d.logProgress("%6.1f s  %s for %.1f s: %s", (trafficlog.Now()-begin)/1000, t.Kind, t.Duration/1000, strings.Join(met, " "))
+		d.trafficLog.Add(trafficlog.Record{Event: trafficlog.Fault, Note: "begin " + name, Limit: t.Duration, Source: strings.Join(met, " ")})
 		troubles.Add(1)
 		go func() {
 			defer troubles.Done()
-			d.problem(d.trouble(ctx, t, met, rng))
-			d.tap.Add(trafficlog.Record{Event: trafficlog.Fault, Note: "end " + name})
+			d.addError(d.applyFault(ctx, t, met, rng))
+			d.trafficLog.Add(trafficlog.Record{Event: trafficlog.Fault, Note: "end " + name})
 		}()
 	}
 	sleep(ctx, begin+s.Day.Length-trafficlog.Now())
@@ -507,21 +507,21 @@
 }
 
 // routerFor is a router of a zone.
-func (d *Day) routerFor(zone string, rng *rand.Rand) *routerAt {
+func (d *Day) routerFor(zone string, rng *rand.Rand) *routerEndpoint {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var list []*routerAt
+	var list []*routerEndpoint
 	for _, r := range d.routers {
-		if r.at.zone == zone {
-			list = append(list, r.at)
+		if r.endpoint.zone == zone {
+			list = append(list, r.endpoint)
 		}
 	}
 	return list[rng.IntN(len(list))]
 }
 
-// pick says which machines a trouble meets; one that another trouble has is
+// chooseTargets says which machines a trouble meets; one that another trouble has is
 // passed over, unless there are no others.
-func (d *Day) pick(t Trouble, rng *rand.Rand) (met []string) {
+func (d *Day) chooseTargets(t FaultSpec, rng *rand.Rand) (met []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := trafficlog.Now()
@@ -529,10 +529,10 @@
 		var free, rest []string
 		for _, id := range d.order {
 			m := d.machines[id]
-			if m.cfg.Role != role || t.Zone != "" && role == "box" && m.cfg.Zone != t.Zone {
+			if m.config.Role != role || t.Zone != "" && role == "box" && m.config.Zone != t.Zone {
 				continue
 			}
-			if m.busy > now {
+			if m.faultUntil > now {
 				rest = append(rest, id)
 			} else {
 				free = append(free, id)
@@ -542,26 +542,26 @@
 		for _, id := range append(free, rest...) {
 			if len(met) < n {
 				met = append(met, id)
-				d.machines[id].busy = now + t.For + t.Notice + 1000
+				d.machines[id].faultUntil = now + t.Duration + t.DrainNotice + 1000
 			}
 		}
 	}
 	switch {
 	case t.Kind == ZoneLoss && t.Zone == "":
-		choose("parent", d.s.Parents.Count)
+		choose("parent", d.script.Parents.Count)
 	case t.Kind == ZoneLoss:
 		choose("box", 1<<20)
 	case contains(controlKinds, t.Kind):
 	case t.Kind == OriginSlow || t.Origin:
 		met = append(met, "origin")
-	case t.Kind == SlowReaders || t.Kind == SlowAskers:
+	case t.Kind == SlowReaders || t.Kind == SlowSenders:
 		met = append(met, fmt.Sprint(t.Clients, " clients"))
 	case t.Kind == RouterKill || t.Kind == RouterRestart:
 		for _, i := range rng.Perm(len(d.routers))[:t.Routers] {
-			met = append(met, d.routers[i].at.name)
+			met = append(met, d.routers[i].endpoint.name)
 		}
 	case contains(processKinds, t.Kind): // kills and drains meet these as others
-		met = d.pickProcesses(t, rng)
+		met = d.chooseProcesses(t, rng)
 	default:
 		choose("box", t.Boxes)
 		n := len(met)
@@ -570,108 +570,108 @@
 	return met
 }
 
-// trouble carries one trouble out, to its end.
-func (d *Day) trouble(ctx context.Context, t Trouble, met []string, rng *rand.Rand) error {
+// applyFault carries one trouble out, to its end.
+func (d *Day) applyFault(ctx context.Context, t FaultSpec, met []string, rng *rand.Rand) error {
 	now := trafficlog.Now()
 	if contains(controlKinds, t.Kind) {
-		return d.control.trouble(ctx, t)
+		return d.controlService.applyFault(ctx, t)
 	}
 	if contains(processKinds, t.Kind) {
-		return d.inject(ctx, t, met)
+		return d.injectProcessFault(ctx, t, met)
 	}
 	switch t.Kind {
 	case Crash, ZoneLoss:
-		return d.each(met, func(m *machine) error {
+		return d.forEachMachine(met, func(m *machine) error {
 			d.killMachine(m, "removed")
-			sleep(ctx, t.For)
+			sleep(ctx, t.Duration)
 			return d.startMachine(ctx, m, true)
 		})
 	case testserver.Vanish: // silent, and then back cold and empty; the list sees a process all the while
-		return d.each(met, func(m *machine) error {
-			if err := d.fault(m, testserver.Fault{Kind: t.Kind, For: t.For}); err != nil {
+		return d.forEachMachine(met, func(m *machine) error {
+			if err := d.sendFault(m, testserver.Fault{Kind: t.Kind, For: t.Duration}); err != nil {
 				return err
 			}
-			sleep(ctx, t.For)
+			sleep(ctx, t.Duration)
 			d.killMachine(m, "")
 			return d.startMachine(ctx, m, true)
 		})
 	case Drain:
-		return d.each(met, func(m *machine) error {
+		return d.forEachMachine(met, func(m *machine) error {
 			d.setState(m, "draining")
-			sleep(ctx, t.For)
+			sleep(ctx, t.Duration)
 			d.setState(m, "serving")
 			return nil
 		})
 	case Preempt:
-		return d.each(met, func(m *machine) error {
+		return d.forEachMachine(met, func(m *machine) error {
 			d.setState(m, "draining")
-			sleep(ctx, t.Notice)
+			sleep(ctx, t.DrainNotice)
 			d.killMachine(m, "removed")
-			sleep(ctx, t.For)
+			sleep(ctx, t.Duration)
 			return d.startMachine(ctx, m, true)
 		})
-	case SlowReaders, SlowAskers:
-		return d.sluggish(ctx, t)
+	case SlowReaders, SlowSenders:
+		return d.runSlowClients(ctx, t)
 	case RouterRestart:
 		return d.restartAll(ctx, met)
 	case RouterKill:
 		var wg sync.WaitGroup
 		for _, name := range met {
 			for _, r := range d.routers {
-				if r.at.name != name {
+				if r.endpoint.name != name {
 					continue
 				}
 				wg.Add(1)
 				go func() {
 					defer wg.Done()
-					d.tap.Add(trafficlog.Record{Event: trafficlog.Killed, Subject: name, Role: "router"})
-					r.at.moved("", "")
-					r.proc.kill()
-					sleep(ctx, t.For)
-					d.problem(d.startRouter(ctx, r))
+					d.trafficLog.Add(trafficlog.Record{Event: trafficlog.Killed, Subject: name, Role: "router"})
+					r.endpoint.setAddress("", "")
+					r.process.kill()
+					sleep(ctx, t.Duration)
+					d.addError(d.startRouter(ctx, r))
 				}()
 			}
 		}
 		wg.Wait()
 		return nil
 	case Flush:
-		n := max(int(t.Share*float64(d.s.Day.Groups)), 1)
-		for _, g := range rng.Perm(d.s.Day.Groups)[:min(n, d.s.Day.Groups)] {
+		n := max(int(t.Share*float64(d.script.Day.Groups)), 1)
+		for _, g := range rng.Perm(d.script.Day.Groups)[:min(n, d.script.Day.Groups)] {
 			if err := d.purge(ctx, "", g); err != nil {
 				return err
 			}
 		}
 		return nil
 	case HotKey:
-		d.hot.Store(&lure{name: fmt.Sprintf("hot%d", int(t.At)), share: t.Share, until: now + t.For})
+		d.hotKey.Store(&diversion{name: fmt.Sprintf("hot%d", int(t.At)), share: t.Share, until: now + t.Duration})
 	case Scan:
-		d.scan.Store(&lure{share: t.Share, until: now + t.For})
-	case ListCut:
+		d.scan.Store(&diversion{share: t.Share, until: now + t.Duration})
+	case ListDisconnect:
 		d.list.Cut("")
 		return nil
-	case ListBack:
+	case ListRollback:
 		d.list.SetBack(5)
 		d.list.Cut("")
-		sleep(ctx, t.For)
+		sleep(ctx, t.Duration)
 		d.list.SetBack(0)
 		d.list.Cut("")
 		return nil
 	case ListDown:
-		d.list.Down(t.For)
+		d.list.Down(t.Duration)
 		d.list.Cut("")
 		return nil
 	case OriginSlow:
-		return d.fault(d.origin, testserver.Fault{Kind: testserver.Slow, For: t.For, Factor: t.Factor})
+		return d.sendFault(d.origin, testserver.Fault{Kind: testserver.Slow, For: t.Duration, Factor: t.Factor})
 	default:
-		return d.each(met, func(m *machine) error {
-			return d.fault(m, testserver.Fault{Kind: t.Kind, For: t.For, Factor: t.Factor, Share: t.Share, Every: t.Every, Length: t.Length})
+		return d.forEachMachine(met, func(m *machine) error {
+			return d.sendFault(m, testserver.Fault{Kind: t.Kind, For: t.Duration, Factor: t.Factor, Share: t.Share, Every: t.PauseInterval, Length: t.PauseLength})
 		})
 	}
 	return nil
 }
 
-// each does something to several machines at once.
-func (d *Day) each(ids []string, f func(*machine) error) error {
+// forEachMachine does something to several machines at once.
+func (d *Day) forEachMachine(ids []string, f func(*machine) error) error {
 	errs := make([]error, len(ids))
 	var wg sync.WaitGroup
 	for i, id := range ids {
@@ -694,16 +694,16 @@
 
 // killMachine kills a machine by SIGKILL; state, if given, is what the list says of it.
 func (d *Day) killMachine(m *machine, state string) {
-	d.tap.Add(trafficlog.Record{Event: trafficlog.Killed, Subject: m.cfg.ID, Role: m.cfg.Role, Start: m.cfg.Start})
-	m.proc.kill()
+	d.trafficLog.Add(trafficlog.Record{Event: trafficlog.Killed, Subject: m.config.ID, Role: m.config.Role, Start: m.config.Start})
+	m.process.kill()
 	if state != "" {
 		d.setState(m, state)
 	}
 }
 
 func (d *Day) setState(m *machine, state string) {
-	m.row.State = state
-	d.listed(m.row, 0)
+	m.member.State = state
+	d.publishMember(m.member, 0)
 }
 
 func (d *Day) post(ctx context.Context, m *machine, path string, in, out any) error {
@@ -711,22 +711,22 @@
 	if err != nil {
 		return err
 	}
-	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+m.addr+path, strings.NewReader(string(b)))
+	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+m.address+path, strings.NewReader(string(b)))
 	if err != nil {
 		return err
 	}
 	if err := fetchJSON(d.http, req, out); err != nil {
-		return fmt.Errorf("day: %s: %w", m.cfg.ID, err)
+		return fmt.Errorf("day: %s: %w", m.config.ID, err)
 	}
 	return nil
 }
 
-// fault tells a machine of its trouble, also while a day is being ended.
-func (d *Day) fault(m *machine, f testserver.Fault) error {
+// sendFault tells a machine of its trouble, also while a day is being ended.
+func (d *Day) sendFault(m *machine, f testserver.Fault) error {
 	return d.post(context.Background(), m, "/-/fault", f, nil)
 }
 
-type purgeWord struct {
+type purgeRequest struct {
 	Object string  `json:"object"`
 	Group  int     `json:"group"`
 	Made   float64 `json:"made"`
@@ -735,12 +735,12 @@
 // purge makes a purge at the origin, has the list tell of it, and caches drop
 // their copies in their own time.
 func (d *Day) purge(ctx context.Context, object string, group int) error {
-	w := purgeWord{Object: object, Group: group}
+	w := purgeRequest{Object: object, Group: group}
 	if err := d.post(context.Background(), d.origin, "/-/purge", w, &w); err != nil {
 		return err
 	}
-	if d.control != nil && !d.control.form.FromList {
-		d.control.tellPurge(ctx, object, group, w.Made)
+	if d.controlService != nil && !d.controlService.settings.FromList {
+		d.controlService.sendPurge(ctx, object, group, w.Made)
 	} else {
 		d.list.Purge(object, group, w.Made)
 	}
@@ -749,30 +749,30 @@
 		if m == nil || m == d.origin {
 			continue
 		}
-		lag := d.s.Rules.PurgeTime * float64(i+1) / float64(len(d.order)+1) * 0.9
+		lag := d.script.Rules.PurgeTime * float64(i+1) / float64(len(d.order)+1) * 0.9
 		d.wg.Add(1)
 		go func() {
 			defer d.wg.Done()
 			if !sleep(ctx, lag) {
 				return
 			}
-			err := d.untilKept(ctx, id, func() error { return d.post(context.Background(), m, "/-/purge", w, nil) })
+			err := d.retryDuringFolderFault(ctx, id, func() error { return d.post(context.Background(), m, "/-/purge", w, nil) })
 			if errors.Is(err, errNotRecovered) { // one that is down has nothing to drop
-				d.problem(fmt.Errorf("%s and a purge: %w", id, err))
+				d.addError(fmt.Errorf("%s and a purge: %w", id, err))
 			}
 		}()
 	}
 	return nil
 }
 
-// purgeAlong purges single objects all day.
-func (d *Day) purgeAlong(ctx context.Context) {
-	if d.s.Day.Purges <= 0 {
+// purgePeriodically purges single objects all day.
+func (d *Day) purgePeriodically(ctx context.Context) {
+	if d.script.Day.PurgeRate <= 0 {
 		return
 	}
-	rng := rand.New(rand.NewPCG(uint64(d.s.Day.Seed), 77))
-	for sleep(ctx, rng.ExpFloat64()*1000/d.s.Day.Purges) {
-		k := &d.s.Classes[rng.IntN(len(d.s.Classes))]
+	rng := rand.New(rand.NewPCG(uint64(d.script.Day.Seed), 77))
+	for sleep(ctx, rng.ExpFloat64()*1000/d.script.Day.PurgeRate) {
+		k := &d.script.Classes[rng.IntN(len(d.script.Classes))]
 		if k.Write {
 			continue
 		}
@@ -780,18 +780,18 @@
 		if k.Objects > 1 {
 			name = fmt.Sprintf("o%d", rand.NewZipf(rng, k.Zipf, 1, uint64(k.Objects-1)).Uint64())
 		}
-		g := groupOf(k.Name+name, d.s.Day.Groups)
+		g := groupOf(k.Name+name, d.script.Day.Groups)
 		path := fmt.Sprintf("/%s/%d/%s", k.Name, g, name)
 		switch {
-		case k.Pages > 0:
-			path = d.s.pagePath(k, name)
-		case d.s.isFragment(k):
+		case k.PageFragments > 0:
+			path = d.script.pagePath(k, name)
+		case d.script.isFragment(k):
 			name = testserver.FragmentName(rand.NewZipf(rng, k.Zipf, 1, uint64(max(k.Objects-1, 1))).Uint64())
 			g = testserver.GroupOf(k.Name + name)
 			path = fmt.Sprintf("/%s/%d/%s", k.Name, g, name)
 		}
 		if err := d.purge(ctx, path, g); err != nil && ctx.Err() == nil {
-			d.problem(err)
+			d.addError(err)
 			return
 		}
 	}
--- a/internal/testbed/scenario/script.go
+++ b/internal/testbed/scenario/script.go
@@ -17,140 +17,140 @@
 // Script is a day. Spans are in ms, sizes in KB, rates in KB a ms or requests
 // a second.
 type Script struct {
-	Day      Form                `edn:"day,required"`
-	Stand    testserver.Stand    `edn:"stand"`
-	List     testserver.ListForm `edn:"list"`
-	Rules    config.Rules        `edn:"rules"`
-	Limits   config.Limits       `edn:"limits"`
-	Fill     config.Fill         `edn:"fill"`
-	Pages    config.Pages        `edn:"pages"`
-	Zones    []Zone              `edn:"zone"`
-	Parents  Parents             `edn:"parents"`
-	Origin   Origin              `edn:"origin"`
-	Classes  []Class             `edn:"class"`
-	Troubles []Trouble           `edn:"trouble"`
-	Control  ControlForm         `edn:"control"`
+	Day     DaySettings         `edn:"day,required"`
+	Stand   testserver.Stand    `edn:"stand"`
+	List    testserver.ListForm `edn:"list"`
+	Rules   config.Rules        `edn:"rules"`
+	Limits  config.Limits       `edn:"limits"`
+	Fill    config.Fill         `edn:"fill"`
+	Pages   config.Pages        `edn:"pages"`
+	Zones   []Zone              `edn:"zone"`
+	Parents Parents             `edn:"parents"`
+	Origin  Origin              `edn:"origin"`
+	Classes []Class             `edn:"class"`
+	Faults  []FaultSpec         `edn:"trouble"`
+	Control ControlSettings     `edn:"control"`
 }
 
-// Form is the day as a whole.
-type Form struct {
-	Place      config.Place
-	Name       string  `edn:"@,required"`
-	Length     float64 `edn:"length" def:"60000" min:"500"`
-	Settle     float64 `edn:"settle" def:"2000" min:"0"` // before clients begin, and after the last
-	Seed       int     `edn:"seed" def:"1"`
-	Routers    int     `edn:"routers" def:"2" min:"1"`  // over all zones that have boxes, in turn
-	Rate       float64 `edn:"rate" def:"100" min:"0.1"` // requests a second of all clients, retries apart
-	Retries    int     `edn:"retries" def:"2" min:"0"`
-	RetryWait  float64 `edn:"retry-wait" def:"250" min:"0"`
-	Patience   float64 `edn:"patience" def:"0.7" min:"0.05" max:"1"` // least part of a class's deadline that a try waits
-	Leave      float64 `edn:"leave" def:"0.01" min:"0" max:"1"`      // share of clients that leave before their time is out
-	Purges     float64 `edn:"purges" def:"0.5" min:"0"`              // objects a second
-	Groups     int     `edn:"groups" def:"32" min:"1"`
-	Spread     float64 `edn:"spread" def:"60" min:"0"`        // see rules.Figures
-	StaleStart float64 `edn:"stale-start" def:"3000" min:"0"` // a router that starts anew gets the list of so long ago
+// DaySettings is the day as a whole.
+type DaySettings struct {
+	Place           config.Place
+	Name            string  `edn:"@,required"`
+	Length          float64 `edn:"length" def:"60000" min:"500"`
+	Settle          float64 `edn:"settle" def:"2000" min:"0"` // before clients begin, and after the last
+	Seed            int     `edn:"seed" def:"1"`
+	Routers         int     `edn:"routers" def:"2" min:"1"`  // over all zones that have boxes, in turn
+	Rate            float64 `edn:"rate" def:"100" min:"0.1"` // requests a second of all clients, retries apart
+	Retries         int     `edn:"retries" def:"2" min:"0"`
+	RetryWait       float64 `edn:"retry-wait" def:"250" min:"0"`
+	MinTimeoutShare float64 `edn:"patience" def:"0.7" min:"0.05" max:"1"` // least part of a class's deadline that a try waits
+	AbandonShare    float64 `edn:"leave" def:"0.01" min:"0" max:"1"`      // share of clients that leave before their time is out
+	PurgeRate       float64 `edn:"purges" def:"0.5" min:"0"`              // objects a second
+	Groups          int     `edn:"groups" def:"32" min:"1"`
+	ObservationSkew float64 `edn:"spread" def:"60" min:"0"`        // see rules.Figures
+	StaleListAge    float64 `edn:"stale-start" def:"3000" min:"0"` // a router that starts anew gets the list of so long ago
 }
 
 // Zone is a location with boxes.
 type Zone struct {
-	Place config.Place
-	Name  string  `edn:"@,required"`
-	Hub   string  `edn:"hub" def:"hub"`
-	Boxes int     `edn:"boxes" def:"3" min:"1"`
-	Link  float64 `edn:"link" min:"0"` // of all fills into the zone; 0: no limit
-	Share float64 `edn:"share" def:"1" min:"0"`
-	MB    float64 `edn:"mb" def:"48" min:"0.1"` // a box
-	Cap   float64 `edn:"capacity" def:"10" min:"0.1"`
-	Fills int     `edn:"fills" def:"24" min:"0"`
+	Place        config.Place
+	Name         string  `edn:"@,required"`
+	Hub          string  `edn:"hub" def:"hub"`
+	Boxes        int     `edn:"boxes" def:"3" min:"1"`
+	LinkCapacity float64 `edn:"link" min:"0"` // of all fills into the zone; 0: no limit
+	Share        float64 `edn:"share" def:"1" min:"0"`
+	MB           float64 `edn:"mb" def:"48" min:"0.1"` // a box
+	Capacity     float64 `edn:"capacity" def:"10" min:"0.1"`
+	MaxFills     int     `edn:"fills" def:"24" min:"0"`
 }
 
 // Parents are the caches at the hubs.
 type Parents struct {
-	Count   int     `edn:"count" def:"2" min:"0"`
-	Cap     float64 `edn:"capacity" def:"20" min:"0.1"`
-	MB      float64 `edn:"mb" def:"128" min:"0.1"`
-	Latency float64 `edn:"latency" def:"8" min:"0"`
+	Count    int     `edn:"count" def:"2" min:"0"`
+	Capacity float64 `edn:"capacity" def:"20" min:"0.1"`
+	MB       float64 `edn:"mb" def:"128" min:"0.1"`
+	Latency  float64 `edn:"latency" def:"8" min:"0"`
 }
 
 // Origin is where everything comes from.
 type Origin struct {
-	Cap     float64 `edn:"capacity" def:"40" min:"0.1"`
-	Latency float64 `edn:"latency" def:"30" min:"0"`
-	Limit   int     `edn:"limit" min:"0"`
+	Capacity float64 `edn:"capacity" def:"40" min:"0.1"`
+	Latency  float64 `edn:"latency" def:"30" min:"0"`
+	Limit    int     `edn:"limit" min:"0"`
 }
 
 // Class is a class of requests, and how clients make them.
 type Class struct {
-	Place    config.Place
-	Name     string  `edn:"@,required"`
-	Share    float64 `edn:"share" def:"1" min:"0"` // of the requests
-	KB       float64 `edn:"kb" def:"60" min:"0.1"`
-	Aim      float64 `edn:"aim" def:"400" min:"1"`
-	Stretch  float64 `edn:"aim-stretch" def:"2" min:"0"`
-	Deadline float64 `edn:"deadline" def:"3000" min:"1"`
-	Worth    float64 `edn:"worth" def:"1" min:"0"`
-	Late     float64 `edn:"late-worth" def:"0.2" min:"0" max:"1"`
-	Weight   float64 `edn:"weight" def:"1" min:"0.01"` // see config.Class
-	Objects  int     `edn:"objects" def:"300" min:"1"`
-	Zipf     float64 `edn:"zipf" def:"1.1" min:"1.001"`
-	Parts    int     `edn:"parts" min:"0"`                  // mean parts of an object; 0: it has none
-	Stay     float64 `edn:"stay" def:"0.9" min:"0" max:"1"` // chance that a client goes on to the next part
-	Gap      float64 `edn:"gap" def:"400" min:"0"`          // from part to part
-	Fresh    float64 `edn:"fresh" min:"0"`
-	Grace    float64 `edn:"grace" min:"0"`
-	Pages    int     `edn:"pages" min:"0" max:"1000"` // of a class of pages: fragments of each; 0: it is none
-	Of       string  `edn:"of"`                       // of a class of pages: the class of its fragments
-	Write    bool    `edn:"write"`
-	Effect   string  `edn:"effect" def:"free" oneof:"free guarded single-shot"`
-	Group    string  `edn:"group" def:"all" oneof:"nowhere cell zone all"`
-	Window   float64 `edn:"window" def:"2000" min:"0"`
+	Place                config.Place
+	Name                 string  `edn:"@,required"`
+	Share                float64 `edn:"share" def:"1" min:"0"` // of the requests
+	KB                   float64 `edn:"kb" def:"60" min:"0.1"`
+	LatencyObjective     float64 `edn:"aim" def:"400" min:"1"`
+	ObjectivePerSendTime float64 `edn:"aim-stretch" def:"2" min:"0"`
+	Deadline             float64 `edn:"deadline" def:"3000" min:"1"`
+	PriorityWeight       float64 `edn:"worth" def:"1" min:"0"`
+	LateWeightShare      float64 `edn:"late-worth" def:"0.2" min:"0" max:"1"`
+	Weight               float64 `edn:"weight" def:"1" min:"0.01"` // see config.Class
+	Objects              int     `edn:"objects" def:"300" min:"1"`
+	Zipf                 float64 `edn:"zipf" def:"1.1" min:"1.001"`
+	Parts                int     `edn:"parts" min:"0"`                  // mean parts of an object; 0: it has none
+	ContinueChance       float64 `edn:"stay" def:"0.9" min:"0" max:"1"` // chance that a client goes on to the next part
+	PartInterval         float64 `edn:"gap" def:"400" min:"0"`          // from part to part
+	Fresh                float64 `edn:"fresh" min:"0"`
+	Grace                float64 `edn:"grace" min:"0"`
+	PageFragments        int     `edn:"pages" min:"0" max:"1000"` // of a class of pages: fragments of each; 0: it is none
+	FragmentClass        string  `edn:"of"`                       // of a class of pages: the class of its fragments
+	Write                bool    `edn:"write"`
+	Idempotency          string  `edn:"effect" def:"free" oneof:"free guarded single-shot"`
+	KeyScope             string  `edn:"group" def:"all" oneof:"nowhere cell zone all"`
+	KeyWindow            float64 `edn:"window" def:"2000" min:"0"`
 }
 
-// Trouble is something that goes wrong for a while.
-type Trouble struct {
-	Place   config.Place
-	Kind    string  `edn:"@,required"`
-	At      float64 `edn:"at,required" min:"0"`
-	For     float64 `edn:"for" def:"3000" min:"0"`
-	Boxes   int     `edn:"boxes" min:"0"` // how many of each it meets
-	Parents int     `edn:"parents" min:"0"`
-	Routers int     `edn:"routers" min:"0"`
-	Origin  bool    `edn:"origin"`
-	Zone    string  `edn:"zone"`                     // only there; of zone-loss: the zone that is lost
-	Share   float64 `edn:"share" min:"0" max:"1"`    // of attempts, of groups (flush) or of requests (hot-key, scan)
-	Factor  float64 `edn:"factor" def:"4" min:"1"`   // of slow and ageing
-	Every   float64 `edn:"every" def:"1000" min:"1"` // of pauses
-	Length  float64 `edn:"length" def:"200" min:"1"`
-	Clients int     `edn:"clients" min:"0"`           // of slow-readers and slow-askers
-	Rate    float64 `edn:"rate" def:"1" min:"0"`      // KB a second that slow-readers take
-	Notice  float64 `edn:"notice" def:"1500" min:"0"` // of preempt: from the drain to the end
-	Control bool    `edn:"control"`                   // of troubles inside processes: the control service too
-	Plan    string  `edn:"plan"`                      // of syscalls: which calls fail, how and how often
-	Peer    string  `edn:"peer"`                      // of syscalls: whose connections it meets
-	Step    float64 `edn:"step"`                      // of clock-step
-	Errno   string  `edn:"errno"`                     // of folder-fault
+// FaultSpec is something that goes wrong for a while.
+type FaultSpec struct {
+	Place         config.Place
+	Kind          string  `edn:"@,required"`
+	At            float64 `edn:"at,required" min:"0"`
+	Duration      float64 `edn:"for" def:"3000" min:"0"`
+	Boxes         int     `edn:"boxes" min:"0"` // how many of each it meets
+	Parents       int     `edn:"parents" min:"0"`
+	Routers       int     `edn:"routers" min:"0"`
+	Origin        bool    `edn:"origin"`
+	Zone          string  `edn:"zone"`                     // only there; of zone-loss: the zone that is lost
+	Share         float64 `edn:"share" min:"0" max:"1"`    // of attempts, of groups (flush) or of requests (hot-key, scan)
+	Factor        float64 `edn:"factor" def:"4" min:"1"`   // of slow and ageing
+	PauseInterval float64 `edn:"every" def:"1000" min:"1"` // of pauses
+	PauseLength   float64 `edn:"length" def:"200" min:"1"`
+	Clients       int     `edn:"clients" min:"0"`           // of slow-readers and slow-askers
+	ReadRate      float64 `edn:"rate" def:"1" min:"0"`      // KB a second that slow-readers take
+	DrainNotice   float64 `edn:"notice" def:"1500" min:"0"` // of preempt: from the drain to the end
+	Control       bool    `edn:"control"`                   // of troubles inside processes: the control service too
+	Plan          string  `edn:"plan"`                      // of syscalls: which calls fail, how and how often
+	Peer          string  `edn:"peer"`                      // of syscalls: whose connections it meets
+	Step          float64 `edn:"step"`                      // of clock-step
+	Errno         string  `edn:"errno"`                     // of folder-fault
 }
 
 // name is what the trouble is called where it is told of.
-func (t *Trouble) name() string { return fmt.Sprintf("%s@%.1fs", t.Kind, t.At/1000) }
+func (t *FaultSpec) name() string { return fmt.Sprintf("%s@%.1fs", t.Kind, t.At/1000) }
 
 // Troubles that the day itself carries out; the others are faults of stand-ins.
 const (
-	Crash      = "crash"       // processes are killed, and come back cold
-	Drain      = "drain"       // boxes drain, and serve again
-	Preempt    = "preempt"     // boxes drain, end, and are replaced by cold ones
-	ZoneLoss   = "zone-loss"   // all boxes of a zone, or the parents, at once
-	RouterKill = "router-kill" // routers are killed, and start with an old list
-	Flush      = "flush"       // a share of the groups is purged at once
-	HotKey     = "hot-key"     // a share of the requests is for one new object
-	Scan       = "scan"        // a share of the requests is for objects wanted once
-	OriginSlow = "origin-slow"
-	ListCut    = "list-cut"  // the list's streams are cut in a line
-	ListBack   = "list-back" // and come back with an older version
-	ListDown   = "list-down"
+	Crash          = "crash"       // processes are killed, and come back cold
+	Drain          = "drain"       // boxes drain, and serve again
+	Preempt        = "preempt"     // boxes drain, end, and are replaced by cold ones
+	ZoneLoss       = "zone-loss"   // all boxes of a zone, or the parents, at once
+	RouterKill     = "router-kill" // routers are killed, and start with an old list
+	Flush          = "flush"       // a share of the groups is purged at once
+	HotKey         = "hot-key"     // a share of the requests is for one new object
+	Scan           = "scan"        // a share of the requests is for objects wanted once
+	OriginSlow     = "origin-slow"
+	ListDisconnect = "list-cut"  // the list's streams are cut in a line
+	ListRollback   = "list-back" // and come back with an older version
+	ListDown       = "list-down"
 )
 
-var ownKinds = []string{SlowReaders, SlowAskers, RouterRestart, Crash, Drain, Preempt, ZoneLoss, RouterKill, Flush, HotKey, Scan, OriginSlow, ListCut, ListBack, ListDown}
+var dayKinds = []string{SlowReaders, SlowSenders, RouterRestart, Crash, Drain, Preempt, ZoneLoss, RouterKill, Flush, HotKey, Scan, OriginSlow, ListDisconnect, ListRollback, ListDown}
 
 // Check tells what contradicts itself.
 func (s *Script) Check(f *config.Faults) {
@@ -178,12 +178,12 @@
 			add(c.Place.Pos, "class", fmt.Sprintf("class %q is named twice, or can't stand in a path", c.Name), "give it another name")
 		}
 		names[c.Name] = true
-		if c.Aim > c.Deadline {
-			add(c.Place.Of("aim"), "class/aim", fmt.Sprintf("aim %v is past the deadline %v", c.Aim, c.Deadline), "lower it")
+		if c.LatencyObjective > c.Deadline {
+			add(c.Place.Of("aim"), "class/aim", fmt.Sprintf("aim %v is past the deadline %v", c.LatencyObjective, c.Deadline), "lower it")
 		}
 	}
-	for _, t := range s.Troubles {
-		if known := slices.Concat(ownKinds, processKinds, testserver.Kinds, controlKinds); !contains(known, t.Kind) {
+	for _, t := range s.Faults {
+		if known := slices.Concat(dayKinds, processKinds, testserver.Kinds, controlKinds); !contains(known, t.Kind) {
 			add(t.Place.Pos, "trouble", fmt.Sprintf("unknown trouble %q", t.Kind), "known are "+strings.Join(known, ", "))
 			continue
 		}
@@ -196,7 +196,7 @@
 		switch {
 		case contains(controlKinds, t.Kind) && !s.Control.On:
 			add(t.Place.Pos, "trouble", t.Kind+" without a control service", "add (control (on))")
-		case byVersion && contains([]string{ListCut, ListBack, ListDown, ZoneLoss, ControlOlder}, t.Kind):
+		case byVersion && contains([]string{ListDisconnect, ListRollback, ListDown, ZoneLoss, ControlOlder}, t.Kind):
 			add(t.Place.Pos, "trouble", t.Kind+" where versions list the members", "add (from-list) to (control ...)")
 		}
 		if t.At >= s.Day.Length {
@@ -219,7 +219,7 @@
 		if t.Kind == RouterRestart && s.Control.On {
 			add(t.Place.Pos, "trouble", "router-restart with a control service: the store of versions is open in one process only", "leave out one of the two")
 		}
-		if (t.Kind == SlowReaders || t.Kind == SlowAskers) && t.Clients == 0 {
+		if (t.Kind == SlowReaders || t.Kind == SlowSenders) && t.Clients == 0 {
 			add(t.Place.Pos, "trouble", t.Kind+" has no clients", "add (clients n)")
 		}
 		if contains([]string{Flush, HotKey, Scan}, t.Kind) && t.Share == 0 {
@@ -237,25 +237,25 @@
 	return false
 }
 
-// Figures are what the rules are judged by.
-func (s *Script) Figures() invariants.Figures {
-	f := invariants.Figures{AnswerSlack: s.Limits.AnswerSlack, DrainGrace: s.Rules.DrainGrace, ColdFrom: s.Rules.WarmUpInitialShare,
-		ColdTime: s.Rules.WarmUpTime, FallFactor: s.Rules.OverloadFactor, FallTime: s.Rules.OverloadTime,
-		ParentColdFrom: s.Rules.ParentWarmUpInitialShare, ParentColdTime: s.Rules.ParentWarmUpTime, ParentFall: s.Rules.ParentOverloadFactor,
-		PurgeSlack: s.Rules.PurgeSlack, SecondCopies: s.Limits.HedgedRequests, Spread: s.Day.Spread,
+// RuleParameters are what the rules are judged by.
+func (s *Script) RuleParameters() invariants.Parameters {
+	f := invariants.Parameters{AnswerSlack: s.Limits.AnswerSlack, DrainGrace: s.Rules.DrainGrace, WarmUpInitialShare: s.Rules.WarmUpInitialShare,
+		WarmUpTime: s.Rules.WarmUpTime, OverloadFactor: s.Rules.OverloadFactor, OverloadTime: s.Rules.OverloadTime,
+		ParentWarmUpInitialShare: s.Rules.ParentWarmUpInitialShare, ParentWarmUpTime: s.Rules.ParentWarmUpTime, ParentOverloadFactor: s.Rules.ParentOverloadFactor,
+		PurgeGrace: s.Rules.PurgeSlack, HedgedRequests: s.Limits.HedgedRequests, ObservationSkew: s.Day.ObservationSkew,
 		Classes: map[string]invariants.Class{}}
 	for _, c := range s.Classes {
-		f.Classes[c.Name] = invariants.Class{Effect: c.Effect, Group: c.Group, Window: c.Window}
+		f.Classes[c.Name] = invariants.Class{Idempotency: c.Idempotency, KeyScope: c.KeyScope, KeyWindow: c.KeyWindow}
 	}
-	f.NotTried = s.notTried()
+	f.NotExercised = s.rulesNotExercised()
 	return f
 }
 
-// notTried are the rules that nothing in the script tries: drains and removals try
+// rulesNotExercised are the rules that nothing in the script tries: drains and removals try
 // rule 3, cold starts rule 4, purges rule 5.
-func (s *Script) notTried() (out []int) {
-	tries := [6]bool{5: s.Day.Purges > 0}
-	for _, t := range s.Troubles {
+func (s *Script) rulesNotExercised() (out []int) {
+	tries := [6]bool{5: s.Day.PurgeRate > 0}
+	for _, t := range s.Faults {
 		switch {
 		case t.Kind == Drain || contains(controlKinds, t.Kind):
 			tries[3] = true
@@ -286,17 +286,17 @@
 	routers := s.routersByZone()
 	hubs := map[string]bool{}
 	for _, z := range s.Zones {
-		c.Zones = append(c.Zones, config.Zone{Name: z.Name, Hub: z.Hub, Routers: routers[z.Name], LinkCapacity: z.Link})
+		c.Zones = append(c.Zones, config.Zone{Name: z.Name, Hub: z.Hub, Routers: routers[z.Name], LinkCapacity: z.LinkCapacity})
 		if !hubs[z.Hub] {
 			hubs[z.Hub] = true
 			c.Zones = append(c.Zones, config.Zone{Name: z.Hub, Hub: z.Hub})
 		}
 	}
 	for _, k := range s.Classes {
-		cl := config.Class{Name: k.Name, LatencyObjective: k.Aim, ObjectivePerSendTime: k.Stretch, Deadline: k.Deadline, PriorityWeight: k.Worth,
-			LateWeightShare: k.Late, Idempotency: k.Effect, KeyScope: k.Group, InParts: k.Parts > 0, Pages: k.Pages > 0, TransferWeight: k.Weight, Write: k.Write, Fresh: k.Fresh, Grace: k.Grace}
-		if k.Effect == "guarded" {
-			cl.KeyWindow = k.Window
+		cl := config.Class{Name: k.Name, LatencyObjective: k.LatencyObjective, ObjectivePerSendTime: k.ObjectivePerSendTime, Deadline: k.Deadline, PriorityWeight: k.PriorityWeight,
+			LateWeightShare: k.LateWeightShare, Idempotency: k.Idempotency, KeyScope: k.KeyScope, InParts: k.Parts > 0, Pages: k.PageFragments > 0, TransferWeight: k.Weight, Write: k.Write, Fresh: k.Fresh, Grace: k.Grace}
+		if k.Idempotency == "guarded" {
+			cl.KeyWindow = k.KeyWindow
 		}
 		c.Classes = append(c.Classes, cl)
 		c.Routes = append(c.Routes, config.Route{Pattern: pattern(&k), Class: k.Name})
--- a/internal/testbed/scenario/sluggish.go
+++ b/internal/testbed/scenario/sluggish.go
@@ -16,15 +16,15 @@
 // counted, and they stand in no tap; what they have routers do at members does.
 const (
 	SlowReaders = "slow-readers" // ask for much, and read (rate n) KB a second of it
-	SlowAskers  = "slow-askers"  // send their requests a byte a second
+	SlowSenders = "slow-askers"  // send their requests a byte a second
 )
 
 // RouterRestart has new processes take over from routers, one after the other.
 const RouterRestart = "router-restart"
 
-// restarts reports whether routers are restarted: only then they have sockets for it.
-func (s *Script) restarts() bool {
-	for _, t := range s.Troubles {
+// hasRouterRestart reports whether routers are restarted: only then they have sockets for it.
+func (s *Script) hasRouterRestart() bool {
+	for _, t := range s.Faults {
 		if t.Kind == RouterRestart {
 			return true
 		}
@@ -32,41 +32,43 @@
 	return false
 }
 
-func (d *Day) handoverOf(router string) string { return filepath.Join(d.dir, router+".handover") }
+func (d *Day) hotRestartSocketPath(router string) string {
+	return filepath.Join(d.dir, router+".handover")
+}
 
 // restart starts a process that takes over from a router's, and waits until that one
 // has ended by itself.
 func (d *Day) restart(ctx context.Context, r *router) error {
-	old := r.proc
+	old := r.process
 	if err := d.startRouter(ctx, r); err != nil {
 		return err
 	}
 	select {
 	case <-old.done:
 		return nil
-	case <-time.After(time.Duration(d.s.Limits.DrainTimeout+5000) * time.Millisecond):
+	case <-time.After(time.Duration(d.script.Limits.DrainTimeout+5000) * time.Millisecond):
 		old.kill()
-		return fmt.Errorf("day: %s did not end after its successor took over", r.at.name)
+		return fmt.Errorf("day: %s did not end after its successor took over", r.endpoint.name)
 	case <-ctx.Done():
 		return nil
 	}
 }
 
-// sluggish holds a trouble's clients at the routers, until its end. Who is cut off
+// runSlowClients holds a trouble's clients at the routers, until its end. Who is cut off
 // comes again after a second.
-func (d *Day) sluggish(ctx context.Context, t Trouble) error {
-	ctx, stop := context.WithTimeout(ctx, time.Duration(t.For*float64(time.Millisecond)))
+func (d *Day) runSlowClients(ctx context.Context, t FaultSpec) error {
+	ctx, stop := context.WithTimeout(ctx, time.Duration(t.Duration*float64(time.Millisecond)))
 	defer stop()
-	big := d.s.Classes[0]
-	for _, k := range d.s.Classes {
+	big := d.script.Classes[0]
+	for _, k := range d.script.Classes {
 		if !k.Write && k.KB > big.KB {
 			big = k
 		}
 	}
-	var routers []*routerAt
+	var routers []*routerEndpoint
 	d.mu.Lock()
 	for _, r := range d.routers {
-		routers = append(routers, r.at)
+		routers = append(routers, r.endpoint)
 	}
 	d.mu.Unlock()
 	var wg sync.WaitGroup
@@ -75,12 +77,12 @@
 		go func() {
 			defer wg.Done()
 			for n := 0; sleep(ctx, 1000*float64(min(n, 1))); n++ {
-				c, err := net.DialTimeout("tcp4", routers[i%len(routers)].where(), time.Second)
+				c, err := net.DialTimeout("tcp4", routers[i%len(routers)].address(), time.Second)
 				if err != nil {
 					continue
 				}
 				c.(*net.TCPConn).SetReadBuffer(8 << 10)
-				path := fmt.Sprintf("/%s/%d/slow%d", big.Name, i%d.s.Day.Groups, i%8)
+				path := fmt.Sprintf("/%s/%d/slow%d", big.Name, i%d.script.Day.Groups, i%8)
 				if big.Parts > 0 {
 					path += "/0"
 				}
@@ -88,7 +90,7 @@
 					for range 10 {
 						fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: slow\r\n\r\n", path)
 					}
-					buf := make([]byte, max(int(t.Rate*1024/4), 1))
+					buf := make([]byte, max(int(t.ReadRate*1024/4), 1))
 					for sleep(ctx, 250) {
 						c.SetReadDeadline(time.Now().Add(5 * time.Second))
 						if _, err := io.ReadFull(c, buf); err != nil {
@@ -118,8 +120,8 @@
 func (d *Day) restartAll(ctx context.Context, met []string) error {
 	for _, name := range met {
 		for _, r := range d.routers {
-			if r.at.name == name {
-				d.tap.Add(trafficlog.Record{Event: trafficlog.Fault, Note: "restart of " + name})
+			if r.endpoint.name == name {
+				d.trafficLog.Add(trafficlog.Record{Event: trafficlog.Fault, Note: "restart of " + name})
 				if err := d.restart(ctx, r); err != nil {
 					return err
 				}
--- a/internal/testbed/scenario/summary.go
+++ b/internal/testbed/scenario/summary.go
@@ -12,43 +12,43 @@
 
 // ClassSummary is what became of the requests of a class, as clients saw it.
 type ClassSummary struct {
-	Class     string  `json:"class"`
-	Requests  int     `json:"requests"` // tries
-	Served    int     `json:"served"`   // whole, within the aim
-	Late      int     `json:"late"`     // whole, past the aim
-	Refused   int     `json:"refused"`  // 503
-	Failed    int     `json:"failed"`   // other 4xx and 5xx
-	Broken    int     `json:"broken"`   // begun, and not whole
-	Gone      int     `json:"gone"`     // the client left
-	Unreached int     `json:"unreached"`
-	Unasked   int     `json:"unanswered"`
-	Hits      int     `json:"hits"` // of the nearest cache
-	Retries   int     `json:"retries"`
-	Attempts  int     `json:"attempts"`
-	MB        float64 `json:"mb"`
-	P50       float64 `json:"p50_ms"`
-	P99       float64 `json:"p99_ms"`
-	P999      float64 `json:"p999_ms"`
+	Class      string  `json:"class"`
+	Requests   int     `json:"requests"` // tries
+	Served     int     `json:"served"`   // whole, within the aim
+	Late       int     `json:"late"`     // whole, past the aim
+	Rejected   int     `json:"refused"`  // 503
+	Failed     int     `json:"failed"`   // other 4xx and 5xx
+	Incomplete int     `json:"broken"`   // begun, and not whole
+	Abandoned  int     `json:"gone"`     // the client left
+	Unreached  int     `json:"unreached"`
+	Unanswered int     `json:"unanswered"`
+	Hits       int     `json:"hits"` // of the nearest cache
+	Retries    int     `json:"retries"`
+	Attempts   int     `json:"attempts"`
+	MB         float64 `json:"mb"`
+	P50        float64 `json:"p50_ms"`
+	P99        float64 `json:"p99_ms"`
+	P999       float64 `json:"p999_ms"`
 }
 
-// Cost is what the requests fared while a trouble lasted, and 2 s after it.
-type Cost struct {
-	Trouble  string  `json:"trouble"`
-	Requests int     `json:"requests"`
-	InTime   float64 `json:"in_time"`  // share of all
-	OfTaken  float64 `json:"of_taken"` // share of those whose connection a router took
-	Outside  float64 `json:"outside"`  // the same where no trouble was
+// FaultImpact is what the requests fared while a trouble lasted, and 2 s after it.
+type FaultImpact struct {
+	Fault            string  `json:"trouble"`
+	Requests         int     `json:"requests"`
+	InTime           float64 `json:"in_time"`  // share of all
+	InTimeOfAccepted float64 `json:"of_taken"` // share of those whose connection a router took
+	InTimeOutside    float64 `json:"outside"`  // the same where no trouble was
 }
 
 // Summary is a day in figures.
 type Summary struct {
-	Classes  []ClassSummary `json:"classes"`
-	LinkMB   float64        `json:"link_mb"`   // fills into boxes
-	ParentMB float64        `json:"parent_mb"` // given by parents
-	OriginMB float64        `json:"origin_mb"`
-	Attempts int            `json:"attempts"`
-	Told     int            `json:"told"` // rows and purges told to routers
-	Costs    []Cost         `json:"costs"`
+	Classes      []ClassSummary `json:"classes"`
+	LinkMB       float64        `json:"link_mb"`   // fills into boxes
+	ParentMB     float64        `json:"parent_mb"` // given by parents
+	OriginMB     float64        `json:"origin_mb"`
+	Attempts     int            `json:"attempts"`
+	UpdatesSent  int            `json:"told"` // rows and purges told to routers
+	FaultImpacts []FaultImpact  `json:"costs"`
 }
 
 // Summarize counts a tap.
@@ -63,10 +63,10 @@
 		aims[k.Name] = k
 	}
 	type try struct {
-		ask    *trafficlog.Record
-		head   *trafficlog.Record
-		inTime bool
-		taken  bool // a router had taken its connection
+		ask      *trafficlog.Record
+		head     *trafficlog.Record
+		inTime   bool
+		accepted bool // a router had taken its connection
 	}
 	tries := map[string]*try{}
 	type span struct {
@@ -95,18 +95,18 @@
 				continue
 			}
 			c.MB += float64(r.Bytes) / (1 << 20)
-			t.taken = r.Err != "unreached"
+			t.accepted = r.Err != "unreached"
 			switch took := r.Time - t.ask.Time; {
 			case r.Err == "gone":
-				c.Gone++
+				c.Abandoned++
 			case r.Err == "unreached":
 				c.Unreached++
 			case t.head == nil:
-				c.Unasked++
+				c.Unanswered++
 			case r.Err != "":
-				c.Broken++
+				c.Incomplete++
 			case t.head.Status == 503:
-				c.Refused++
+				c.Rejected++
 			case t.head.Status >= 400:
 				c.Failed++
 			default:
@@ -114,7 +114,7 @@
 					c.Hits++
 				}
 				k := aims[r.Class]
-				if t.inTime = took <= k.Aim+k.Stretch*float64(r.Bytes)/1024/s.Stand.Flow; t.inTime {
+				if t.inTime = took <= k.LatencyObjective+k.ObjectivePerSendTime*float64(r.Bytes)/1024/s.Stand.Flow; t.inTime {
 					c.Served++
 				} else {
 					c.Late++
@@ -140,7 +140,7 @@
 				out.LinkMB += mb
 			}
 		case trafficlog.UpdateSent:
-			out.Told++
+			out.UpdatesSent++
 		case trafficlog.Fault:
 			if name, ok := strings.CutPrefix(r.Note, "begin "); ok {
 				spans = append(spans, span{name, r.Time, r.Time + r.Limit + 2000})
@@ -159,7 +159,7 @@
 				continue
 			}
 			n++
-			if t.taken {
+			if t.accepted {
 				taken++
 			}
 			if t.inTime {
@@ -179,7 +179,7 @@
 	sort.SliceStable(spans, func(i, j int) bool { return spans[i].from < spans[j].from })
 	for _, sp := range spans {
 		n, in, taken := share(func(t float64) bool { return t >= sp.from && t <= sp.to })
-		out.Costs = append(out.Costs, Cost{Trouble: sp.name, Requests: n, InTime: in, OfTaken: taken, Outside: outside})
+		out.FaultImpacts = append(out.FaultImpacts, FaultImpact{Fault: sp.name, Requests: n, InTime: in, InTimeOfAccepted: taken, InTimeOutside: outside})
 	}
 	return out
 }
@@ -191,12 +191,12 @@
 		"failed", "broken", "gone", "no-conn", "hits", "retries", "p50 ms", "p99 ms", "p99.9 ms")
 	for _, c := range s.Classes {
 		fmt.Fprintf(&b, "%-14s %8d %8d %6d %8d %7d %7d %6d %8d %7d %7d %9.1f %9.1f %9.1f\n", c.Class, c.Requests, c.Served, c.Late,
-			c.Refused, c.Failed, c.Broken, c.Gone, c.Unreached+c.Unasked, c.Hits, c.Retries, c.P50, c.P99, c.P999)
+			c.Rejected, c.Failed, c.Incomplete, c.Abandoned, c.Unreached+c.Unanswered, c.Hits, c.Retries, c.P50, c.P99, c.P999)
 	}
 	fmt.Fprintf(&b, "attempts %d; MB into zones %.1f, from parents %.1f, from the origin %.1f\n", s.Attempts, s.LinkMB, s.ParentMB, s.OriginMB)
-	for _, c := range s.Costs {
-		fmt.Fprintf(&b, "%-24s %6d requests in it and 2 s after, %5.1f %% in time, %5.1f %% of those that a router took (%5.1f %% where no trouble was)\n", c.Trouble, c.Requests,
-			100*c.InTime, 100*c.OfTaken, 100*c.Outside)
+	for _, c := range s.FaultImpacts {
+		fmt.Fprintf(&b, "%-24s %6d requests in it and 2 s after, %5.1f %% in time, %5.1f %% of those that a router took (%5.1f %% where no trouble was)\n", c.Fault, c.Requests,
+			100*c.InTime, 100*c.InTimeOfAccepted, 100*c.InTimeOutside)
 	}
 	return b.String()
 }
--- a/internal/testbed/scenario/versions.go
+++ b/internal/testbed/scenario/versions.go
@@ -27,19 +27,19 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// ControlForm has the routers of a day follow a control service, a process of
+// ControlSettings has the routers of a day follow a control service, a process of
 // its own. Spans are in ms.
-type ControlForm struct {
-	Place     config.Place
-	On        bool    `edn:"on"`
-	FromList  bool    `edn:"from-list"`                               // members come from the list service, not from versions
-	Protocol  string  `edn:"protocol" def:"delta" oneof:"delta full"` // of the stream
-	Hold      float64 `edn:"hold" def:"400" min:"1"`                  // of a stage
-	Spread    float64 `edn:"spread" def:"200" min:"1"`                // of the uses of a version
-	Level     float64 `edn:"level" def:"8000" min:"100"`              // within which the fleet must be level again
-	PerSecond float64 `edn:"per-second" def:"100" min:"0.1"`          // streams that may begin
-	PurgeFrom float64 `edn:"purge-from" def:"50" min:"0"`             // of versions: purges reach each router after so long
-	PurgeTo   float64 `edn:"purge-to" def:"300" min:"0"`              //
+type ControlSettings struct {
+	Place              config.Place
+	On                 bool    `edn:"on"`
+	FromList           bool    `edn:"from-list"`                               // members come from the list service, not from versions
+	Protocol           string  `edn:"protocol" def:"delta" oneof:"delta full"` // of the stream
+	StageTime          float64 `edn:"hold" def:"400" min:"1"`                  // of a stage
+	ApplyJitter        float64 `edn:"spread" def:"200" min:"1"`                // of the uses of a version
+	ConvergenceTimeout float64 `edn:"level" def:"8000" min:"100"`              // within which the fleet must be level again
+	StreamsPerSecond   float64 `edn:"per-second" def:"100" min:"0.1"`          // streams that may begin
+	PurgeFrom          float64 `edn:"purge-from" def:"50" min:"0"`             // of versions: purges reach each router after so long
+	PurgeTo            float64 `edn:"purge-to" def:"300" min:"0"`              //
 }
 
 // Troubles with versions. Each is a step that waits for what the fleet should be
@@ -56,43 +56,43 @@
 
 var controlKinds = []string{VersionGood, VersionBad, VersionRepeat, ControlDown, ControlFlap, ControlStopped, ControlOlder}
 
-// Step is what became of a trouble with versions.
-type Step struct {
-	Name  string  `json:"name"`
-	Took  float64 `json:"took_ms"` // until the fleet was as it should be
-	Until string  `json:"until"`
-	Wrong string  `json:"wrong,omitempty"` // in what it was not
-}
-
-// controlled is the day's control service and what routers are to be told.
-type controlled struct {
-	d     *Day
-	form  ControlForm
-	proc  *process
-	addr  string
-	admin string
-	store string
-	http  *http.Client
-
-	mu    sync.Mutex
-	rows  map[string]engine.Row
-	held  int // a limit that changes with each good version
-	dirty chan struct{}
-	steps []Step
-	busy  sync.Mutex // one step at a time
-	purge []purgeMade
-}
-
-type purgeMade struct {
+// VersionStep is what became of a trouble with versions.
+type VersionStep struct {
+	Name       string  `json:"name"`
+	DurationMS float64 `json:"took_ms"` // until the fleet was as it should be
+	Outcome    string  `json:"until"`
+	Failure    string  `json:"wrong,omitempty"` // in what it was not
+}
+
+// controlService is the day's control service and what routers are to be told.
+type controlService struct {
+	d            *Day
+	settings     ControlSettings
+	process      *process
+	address      string
+	adminAddress string
+	store        string
+	http         *http.Client
+
+	mu           sync.Mutex
+	members      map[string]engine.Row
+	versionCount int // a limit that changes with each good version
+	changed      chan struct{}
+	steps        []VersionStep
+	stepMu       sync.Mutex // one step at a time
+	purges       []madePurge
+}
+
+type madePurge struct {
 	object string
 	group  int
 	made   float64
 }
 
-// childControl is the service as a machine of a day. It writes to the tap what
+// runControlService is the service as a machine of a day. It writes to the tap what
 // it sends: a version that does not pass the checks tells of no members, since
 // no router may go by it.
-func childControl() error {
+func runControlService() error {
 	var set service.Settings
 	in, faults, err := readSettings(&set)
 	if err != nil {
@@ -125,33 +125,33 @@
 		return err
 	}
 	fmt.Printf("%s %s\n", svc.Addr(), svc.AdminAddr())
-	faults.untilOrphaned(in)
+	faults.readFaults(in)
 	svc.Close()
 	return nil
 }
 
 // startControl starts the service, on the address that it had before.
-func (c *controlled) start(ctx context.Context) error {
+func (c *controlService) start(ctx context.Context) error {
 	listen, admin := "127.0.0.1:0", "127.0.0.1:0"
-	if c.addr != "" {
-		listen, admin = c.addr, c.admin
+	if c.address != "" {
+		listen, admin = c.address, c.adminAddress
 	}
 	text, err := json.Marshal(fmt.Sprintf(`(service (name day) (listen %q) (admin %q) (store %q) (per-second %v) (reports 1000))
-		(rollout (hold %v) (patience 5000)) (checks (box-churn 1) (parent-churn 1))`, listen, admin, c.store, c.form.PerSecond, c.form.Hold))
+		(rollout (hold %v) (patience 5000)) (checks (box-churn 1) (parent-churn 1))`, listen, admin, c.store, c.settings.StreamsPerSecond, c.settings.StageTime))
 	if err == nil {
-		text, err = c.d.withFaults(controlMachine, text)
+		text, err = c.d.appendStartupFaults(controlMachine, text)
 	}
 	if err != nil {
 		return err
 	}
 	var last error
 	for range 20 { // the address may take a moment to be free
-		if c.proc, err = start(c.d.o.Self, ChildControl, text, io.Discard, c.d.heard); err != nil {
+		if c.process, err = startProcess(c.d.options.Self, ChildControl, text, io.Discard, c.d.handleOutput); err != nil {
 			return err
 		}
-		line, err := c.proc.awaitFirst(ctx)
+		line, err := c.process.awaitFirstLine(ctx)
 		if err == nil {
-			if _, err := fmt.Sscan(line, &c.addr, &c.admin); err != nil {
+			if _, err := fmt.Sscan(line, &c.address, &c.adminAddress); err != nil {
 				return fmt.Errorf("day: the control service began with %q", line)
 			}
 			return nil
@@ -164,14 +164,14 @@
 	return fmt.Errorf("day: control service: %w", last)
 }
 
-// text is the settings of a version, with the rows as they are now.
-func (c *controlled) text(extra func(*config.Settings)) []byte {
+// versionText is the settings of a version, with the rows as they are now.
+func (c *controlService) versionText(extra func(*config.Settings)) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.d.s.Settings("any", "", 0, "")
-	s.Limits.MaxRequests += c.held
+	s := c.d.script.Settings("any", "", 0, "")
+	s.Limits.MaxRequests += c.versionCount
 	for _, id := range c.d.order {
-		r, known := c.rows[id]
+		r, known := c.members[id]
 		if !known || r.State == "removed" {
 			continue
 		}
@@ -184,28 +184,28 @@
 	return service.Canonical(s)
 }
 
-// set is news of a member.
-func (c *controlled) set(row engine.Row) {
+// setMember is news of a member.
+func (c *controlService) setMember(row engine.Row) {
 	c.mu.Lock()
-	c.rows[row.ID] = row
+	c.members[row.ID] = row
 	c.mu.Unlock()
 	select {
-	case c.dirty <- struct{}{}:
+	case c.changed <- struct{}{}:
 	default:
 	}
 }
 
-// along pushes versions as members change, to all at once: a drain does not
+// pushChanges pushes versions as members change, to all at once: a drain does not
 // wait for stages. While the service is down, changes wait for it.
-func (c *controlled) along(ctx context.Context) {
+func (c *controlService) pushChanges(ctx context.Context) {
 	for {
 		select {
-		case <-c.dirty:
+		case <-c.changed:
 		case <-ctx.Done():
 			return
 		}
 		for ctx.Err() == nil {
-			_, err := c.push(ctx, c.text(nil), url.Values{"now": {"1"}, "unchecked": {"1"}})
+			_, err := c.push(ctx, c.versionText(nil), url.Values{"now": {"1"}, "unchecked": {"1"}})
 			if err == nil {
 				break
 			}
@@ -214,10 +214,10 @@
 	}
 }
 
-func (c *controlled) call(ctx context.Context, method, path string, body []byte, out any) error {
+func (c *controlService) call(ctx context.Context, method, path string, body []byte, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.admin+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.adminAddress+path, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
@@ -253,21 +253,21 @@
 	return json.Unmarshal(b, out)
 }
 
-func (c *controlled) push(ctx context.Context, text []byte, q url.Values) (int64, error) {
+func (c *controlService) push(ctx context.Context, text []byte, q url.Values) (int64, error) {
 	var r service.PushResult
-	err := c.d.untilKept(ctx, controlMachine, func() error {
+	err := c.d.retryDuringFolderFault(ctx, controlMachine, func() error {
 		return c.call(ctx, "POST", "/push?"+q.Encode(), text, &r)
 	})
 	return r.Number, err
 }
 
-func (c *controlled) view(ctx context.Context) (v service.StatusView, err error) {
+func (c *controlService) status(ctx context.Context) (v service.StatusView, err error) {
 	err = c.call(ctx, "GET", "/status", nil, &v)
 	return v, err
 }
 
-// routerState is what a router's /state says of versions.
-type routerState struct {
+// routerStatus is what a router's /state says of versions.
+type routerStatus struct {
 	Version  int64 `json:"version"`
 	Versions struct {
 		Running int64
@@ -279,34 +279,34 @@
 	} `json:"versions"`
 }
 
-func (d *Day) state(ctx context.Context, r *router) (s routerState, err error) {
+func (d *Day) routerState(ctx context.Context, r *router) (s routerStatus, err error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, "GET", "http://"+r.adminAt()+"/state", nil)
+	req, err := http.NewRequestWithContext(ctx, "GET", "http://"+r.adminAddress()+"/state", nil)
 	if err != nil {
 		return s, err
 	}
 	return s, fetchJSON(d.http, req, &s)
 }
 
-// level waits until the service holds its last number to be everybody's and
+// awaitConvergence waits until the service holds its last number to be everybody's and
 // every router that lives says that it runs it.
-func (c *controlled) level(ctx context.Context, least int64) (took float64, err error) {
+func (c *controlService) awaitConvergence(ctx context.Context, least int64) (took float64, err error) {
 	began := trafficlog.Now()
 	why := ""
-	for trafficlog.Now()-began < c.form.Level {
-		if why = c.unlevel(ctx, least); why == "" {
+	for trafficlog.Now()-began < c.settings.ConvergenceTimeout {
+		if why = c.divergence(ctx, least); why == "" {
 			return trafficlog.Now() - began, nil
 		}
 		if !sleep(ctx, 20) {
 			return 0, ctx.Err()
 		}
 	}
-	return 0, fmt.Errorf("day: the fleet is not level after %.0f ms: %s", c.form.Level, why)
+	return 0, fmt.Errorf("day: the fleet is not level after %.0f ms: %s", c.settings.ConvergenceTimeout, why)
 }
 
-func (c *controlled) unlevel(ctx context.Context, least int64) string {
-	v, err := c.view(ctx)
+func (c *controlService) divergence(ctx context.Context, least int64) string {
+	v, err := c.status(ctx)
 	switch {
 	case err != nil:
 		return err.Error()
@@ -319,51 +319,51 @@
 			return fmt.Sprintf("the service knows %s to have accepted %d, refused %d: %s", r.Router, r.Running, r.Rejected, strings.Join(r.Reasons, "; "))
 		}
 	}
-	for _, r := range c.d.alive() {
-		s, err := c.d.state(ctx, r)
+	for _, r := range c.d.runningRouters() {
+		s, err := c.d.routerState(ctx, r)
 		switch {
 		case err != nil:
 			continue // killed meanwhile
 		case s.Version < v.Base:
-			return fmt.Sprintf("%s runs %d, %d is everybody's", r.at.name, s.Version, v.Base)
-		case !joined[r.at.name]:
-			return fmt.Sprintf("%s has no stream", r.at.name)
+			return fmt.Sprintf("%s runs %d, %d is everybody's", r.endpoint.name, s.Version, v.Base)
+		case !joined[r.endpoint.name]:
+			return fmt.Sprintf("%s has no stream", r.endpoint.name)
 		}
 	}
 	return ""
 }
 
-// alive are the routers that are not killed.
-func (d *Day) alive() (out []*router) {
+// runningRouters are the routers that are not killed.
+func (d *Day) runningRouters() (out []*router) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, r := range d.routers {
-		if r.at.up() {
+		if r.endpoint.isUp() {
 			out = append(out, r)
 		}
 	}
 	return out
 }
 
-func (c *controlled) done(name, until string, took float64) {
+func (c *controlService) addStep(name, until string, took float64) {
 	c.mu.Lock()
-	c.steps = append(c.steps, Step{Name: name, Took: took, Until: until})
+	c.steps = append(c.steps, VersionStep{Name: name, DurationMS: took, Outcome: until})
 	c.mu.Unlock()
-	c.d.say("          %s: %s after %.0f ms", name, until, took)
+	c.d.logProgress("          %s: %s after %.0f ms", name, until, took)
 }
 
-// trouble carries out a trouble with versions, to the state that should follow.
-func (c *controlled) trouble(ctx context.Context, t Trouble) error {
-	c.busy.Lock()
-	defer c.busy.Unlock()
+// applyFault carries out a trouble with versions, to the state that should follow.
+func (c *controlService) applyFault(ctx context.Context, t FaultSpec) error {
+	c.stepMu.Lock()
+	defer c.stepMu.Unlock()
 	name := t.name()
 	began := trafficlog.Now()
 	wrong := func(err error) error {
 		if err != nil && ctx.Err() == nil { // the day goes on, so that the rules can be judged
 			c.mu.Lock()
-			c.steps = append(c.steps, Step{Name: name, Took: trafficlog.Now() - began, Wrong: strings.TrimPrefix(err.Error(), "day: ")})
+			c.steps = append(c.steps, VersionStep{Name: name, DurationMS: trafficlog.Now() - began, Failure: strings.TrimPrefix(err.Error(), "day: ")})
 			c.mu.Unlock()
-			c.d.say("          %s: WRONG: %v", name, err)
+			c.d.logProgress("          %s: WRONG: %v", name, err)
 		}
 		return nil
 	}
@@ -371,27 +371,27 @@
 	case VersionGood, VersionRepeat:
 		if t.Kind == VersionGood {
 			c.mu.Lock()
-			c.held++
+			c.versionCount++
 			c.mu.Unlock()
 		}
-		n, err := c.push(ctx, c.text(nil), url.Values{"unchecked": {"1"}})
+		n, err := c.push(ctx, c.versionText(nil), url.Values{"unchecked": {"1"}})
 		if err == nil {
-			_, err = c.level(ctx, n)
+			_, err = c.awaitConvergence(ctx, n)
 		}
 		if err != nil {
 			return wrong(err)
 		}
-		c.done(name, fmt.Sprintf("version %d or later everywhere", n), trafficlog.Now()-began)
+		c.addStep(name, fmt.Sprintf("version %d or later everywhere", n), trafficlog.Now()-began)
 	case VersionBad:
-		return wrong(c.bad(ctx, name))
+		return wrong(c.verifyBadVersion(ctx, name))
 	case ControlDown, ControlFlap:
-		for end := trafficlog.Now() + t.For; ; {
-			c.proc.kill()
-			down := t.For
+		for end := trafficlog.Now() + t.Duration; ; {
+			c.process.kill()
+			down := t.Duration
 			if t.Kind == ControlFlap {
-				down = min(t.Every/2, t.For)
+				down = min(t.PauseInterval/2, t.Duration)
 			}
-			if err := c.without(ctx, down); err != nil {
+			if err := c.verifyOutage(ctx, down); err != nil {
 				return wrong(err)
 			}
 			if err := c.start(ctx); err != nil {
@@ -400,78 +400,78 @@
 			if t.Kind == ControlDown || trafficlog.Now() >= end {
 				break
 			}
-			sleep(ctx, t.Every/2)
+			sleep(ctx, t.PauseInterval/2)
 		}
-		if err := c.changeAll(ctx, name, "after the service's start"); err != nil {
+		if err := c.verifyChange(ctx, name, "after the service's start"); err != nil {
 			return wrong(err)
 		}
 	case ControlStopped:
-		c.proc.cmd.Process.Signal(syscall.SIGSTOP)
-		err := c.without(ctx, t.For)
-		c.proc.cmd.Process.Signal(syscall.SIGCONT)
+		c.process.cmd.Process.Signal(syscall.SIGSTOP)
+		err := c.verifyOutage(ctx, t.Duration)
+		c.process.cmd.Process.Signal(syscall.SIGCONT)
 		if err != nil {
 			return wrong(err)
 		}
-		if err := c.changeAll(ctx, name, "after the service went on"); err != nil {
+		if err := c.verifyChange(ctx, name, "after the service went on"); err != nil {
 			return wrong(err)
 		}
 	case ControlOlder:
-		return wrong(c.older(ctx, name, t))
+		return wrong(c.verifyOlderStore(ctx, name, t))
 	}
 	return nil
 }
 
-// change pushes another limit to all at once and waits until all run it: also
+// pushChange pushes another limit to all at once and waits until all run it: also
 // those whose streams have yet to begin again.
-func (c *controlled) change(ctx context.Context) (int64, error) {
+func (c *controlService) pushChange(ctx context.Context) (int64, error) {
 	c.mu.Lock()
-	c.held++
+	c.versionCount++
 	c.mu.Unlock()
-	n, err := c.push(ctx, c.text(nil), url.Values{"now": {"1"}, "unchecked": {"1"}})
+	n, err := c.push(ctx, c.versionText(nil), url.Values{"now": {"1"}, "unchecked": {"1"}})
 	if err == nil {
-		_, err = c.level(ctx, n)
+		_, err = c.awaitConvergence(ctx, n)
 	}
 	return n, err
 }
 
-func (c *controlled) changeAll(ctx context.Context, name, since string) error {
+func (c *controlService) verifyChange(ctx context.Context, name, since string) error {
 	began := trafficlog.Now()
-	n, err := c.change(ctx)
+	n, err := c.pushChange(ctx)
 	if err != nil {
 		return err
 	}
-	c.done(name, fmt.Sprintf("a change is everywhere (version %d) %s", n, since), trafficlog.Now()-began)
+	c.addStep(name, fmt.Sprintf("a change is everywhere (version %d) %s", n, since), trafficlog.Now()-began)
 	return nil
 }
 
-// without lets time pass with no service, and sees that every router that lived
+// verifyOutage lets time pass with no service, and sees that every router that lived
 // through it runs what it ran.
-func (c *controlled) without(ctx context.Context, span float64) error {
+func (c *controlService) verifyOutage(ctx context.Context, span float64) error {
 	was := map[*router]int64{}
 	lives := map[*router]int{}
-	for _, r := range c.d.alive() {
-		if s, err := c.d.state(ctx, r); err == nil {
-			was[r], lives[r] = s.Version, r.lives()
+	for _, r := range c.d.runningRouters() {
+		if s, err := c.d.routerState(ctx, r); err == nil {
+			was[r], lives[r] = s.Version, r.generation()
 		}
 	}
 	sleep(ctx, span)
 	for r, n := range was {
-		s, err := c.d.state(ctx, r)
-		if err != nil || r.lives() != lives[r] {
+		s, err := c.d.routerState(ctx, r)
+		if err != nil || r.generation() != lives[r] {
 			continue
 		}
 		if s.Version < n {
-			return fmt.Errorf("%s ran %d, and %d without its service", r.at.name, n, s.Version)
+			return fmt.Errorf("%s ran %d, and %d without its service", r.endpoint.name, n, s.Version)
 		}
 	}
 	return nil
 }
 
-// bad offers a version that names a draining box as a fill source: those who are
+// verifyBadVersion offers a version that names a draining box as a fill source: those who are
 // offered it refuse it, nobody runs it, and the old content follows.
-func (c *controlled) bad(ctx context.Context, name string) error {
+func (c *controlService) verifyBadVersion(ctx context.Context, name string) error {
 	began := trafficlog.Now()
-	n, err := c.push(ctx, c.text(func(s *config.Settings) {
+	n, err := c.push(ctx, c.versionText(func(s *config.Settings) {
 		last := -1
 		for i := range s.Members {
 			if s.Members[i].Kind == "box" && s.Members[i].State == "serving" {
@@ -489,12 +489,12 @@
 		return err
 	}
 	refused, want := 0, "is draining"
-	if c.form.FromList {
+	if c.settings.FromList {
 		want = "loosened"
 	}
 	for refused == 0 {
-		for _, r := range c.d.alive() {
-			s, err := c.d.state(ctx, r)
+		for _, r := range c.d.runningRouters() {
+			s, err := c.d.routerState(ctx, r)
 			if err != nil {
 				continue
 			}
@@ -503,63 +503,63 @@
 					continue
 				}
 				if one.State != "refused" || !strings.Contains(strings.Join(one.Reasons, " "), want) {
-					return fmt.Errorf("%s takes version %d for %s: %v", r.at.name, n, one.State, one.Reasons)
+					return fmt.Errorf("%s takes version %d for %s: %v", r.endpoint.name, n, one.State, one.Reasons)
 				}
 				refused++
 			}
 			if s.Version == n {
-				return fmt.Errorf("%s runs the bad version %d", r.at.name, n)
+				return fmt.Errorf("%s runs the bad version %d", r.endpoint.name, n)
 			}
 		}
-		if v, err := c.view(ctx); err == nil && v.Base > n && refused == 0 && v.Halted == "" {
-			c.done(name, fmt.Sprintf("version %d was superseded before a router had it", n), trafficlog.Now()-began)
+		if v, err := c.status(ctx); err == nil && v.Base > n && refused == 0 && v.Halted == "" {
+			c.addStep(name, fmt.Sprintf("version %d was superseded before a router had it", n), trafficlog.Now()-began)
 			return nil
 		}
-		if trafficlog.Now()-began > c.form.Level || !sleep(ctx, 10) {
-			return fmt.Errorf("no router has refused version %d after %.0f ms", n, c.form.Level)
+		if trafficlog.Now()-began > c.settings.ConvergenceTimeout || !sleep(ctx, 10) {
+			return fmt.Errorf("no router has refused version %d after %.0f ms", n, c.settings.ConvergenceTimeout)
 		}
 	}
-	if _, err := c.level(ctx, n+1); err != nil {
+	if _, err := c.awaitConvergence(ctx, n+1); err != nil {
 		return err
 	}
-	c.done(name, fmt.Sprintf("version %d refused by %d, halted, old content everywhere", n, refused), trafficlog.Now()-began)
+	c.addStep(name, fmt.Sprintf("version %d refused by %d, halted, old content everywhere", n, refused), trafficlog.Now()-began)
 	return nil
 }
 
-// older kills the service and starts it with the store of some versions ago:
+// verifyOlderStore kills the service and starts it with the store of some versions ago:
 // routers keep what they have, and its next versions are above that.
-func (c *controlled) older(ctx context.Context, name string, t Trouble) error {
+func (c *controlService) verifyOlderStore(ctx context.Context, name string, t FaultSpec) error {
 	backup := c.store + ".backup"
-	c.proc.kill()
+	c.process.kill()
 	if err := copyFile(c.store, backup); err != nil {
 		return err
 	}
 	if err := c.start(ctx); err != nil {
 		return err
 	}
-	n, err := c.change(ctx)
+	n, err := c.pushChange(ctx)
 	if err != nil {
 		return err
 	}
-	c.proc.kill()
+	c.process.kill()
 	if err := os.Rename(backup, c.store); err != nil {
 		return err
 	}
 	if err := c.start(ctx); err != nil {
 		return err
 	}
-	if err := c.without(ctx, t.For); err != nil { // in effect: what it offers is older, and refused
+	if err := c.verifyOutage(ctx, t.Duration); err != nil { // in effect: what it offers is older, and refused
 		return err
 	}
 	began := trafficlog.Now()
-	m, err := c.change(ctx)
+	m, err := c.pushChange(ctx)
 	if err != nil {
 		return err
 	}
 	if m <= n {
 		return fmt.Errorf("the service that came back with its past gives number %d; routers have accepted %d", m, n)
 	}
-	c.done(name, fmt.Sprintf("version %d everywhere from a service that had forgotten %d", m, n), trafficlog.Now()-began)
+	c.addStep(name, fmt.Sprintf("version %d everywhere from a service that had forgotten %d", m, n), trafficlog.Now()-began)
 	return nil
 }
 
@@ -571,71 +571,71 @@
 	return os.WriteFile(to, b, 0o600)
 }
 
-// tellPurge tells routers of a purge by their listener for operators, late.
-func (c *controlled) tellPurge(ctx context.Context, object string, group int, made float64) {
-	p := purgeMade{object, group, made}
+// sendPurge tells routers of a purge by their listener for operators, late.
+func (c *controlService) sendPurge(ctx context.Context, object string, group int, made float64) {
+	p := madePurge{object, group, made}
 	c.mu.Lock()
-	c.purge = append(c.purge, p)
+	c.purges = append(c.purges, p)
 	c.mu.Unlock()
-	for i, r := range c.d.alive() {
-		lag := c.form.PurgeFrom + (c.form.PurgeTo-c.form.PurgeFrom)*math.Mod(float64(i)*0.37, 1)
+	for i, r := range c.d.runningRouters() {
+		lag := c.settings.PurgeFrom + (c.settings.PurgeTo-c.settings.PurgeFrom)*math.Mod(float64(i)*0.37, 1)
 		c.d.wg.Add(1)
 		go func() {
 			defer c.d.wg.Done()
 			if sleep(ctx, lag) {
-				c.purgeAt(r, p)
+				c.purgeRouter(r, p)
 			}
 		}()
 	}
 }
 
-// recentPurges tells a router that has just started of what it may have missed.
-func (c *controlled) recentPurges(r *router) {
+// sendRecentPurges tells a router that has just started of what it may have missed.
+func (c *controlService) sendRecentPurges(r *router) {
 	c.mu.Lock()
-	list := append([]purgeMade(nil), c.purge...)
+	list := append([]madePurge(nil), c.purges...)
 	c.mu.Unlock()
 	for _, p := range list {
-		if trafficlog.Now()-p.made < c.d.s.Rules.PurgeTime+1000 {
-			c.purgeAt(r, p)
+		if trafficlog.Now()-p.made < c.d.script.Rules.PurgeTime+1000 {
+			c.purgeRouter(r, p)
 		}
 	}
 }
 
-func (c *controlled) purgeAt(r *router, p purgeMade) {
+func (c *controlService) purgeRouter(r *router, p madePurge) {
 	path := p.object
 	if p.object == "" {
 		path = "/?group=" + fmt.Sprint(p.group)
 	}
-	req, err := http.NewRequest("PURGE", "http://"+r.adminAt()+path, nil)
+	req, err := http.NewRequest("PURGE", "http://"+r.adminAddress()+path, nil)
 	if err != nil {
 		return
 	}
 	if err := fetchJSON(c.d.http, req, nil); err != nil {
 		var down net.Error
-		if !errors.As(err, &down) && r.at.up() {
-			c.d.problem(err)
+		if !errors.As(err, &down) && r.endpoint.isUp() {
+			c.d.addError(err)
 		}
 		return
 	}
-	c.d.tap.Add(trafficlog.Record{Event: trafficlog.UpdateSent, Subject: r.at.name, Object: p.object, Group: p.group, Created: p.made, Note: "purge"})
+	c.d.trafficLog.Add(trafficlog.Record{Event: trafficlog.UpdateSent, Subject: r.endpoint.name, Object: p.object, Group: p.group, Created: p.made, Note: "purge"})
 }
 
 // begin readies the service and the first version before the routers start.
-func (d *Day) beginControl(ctx context.Context) error {
-	if !d.s.Control.On {
+func (d *Day) startControlService(ctx context.Context) error {
+	if !d.script.Control.On {
 		return nil
 	}
-	d.control = &controlled{d: d, form: d.s.Control, store: filepath.Join(d.dir, "control.db"), rows: map[string]engine.Row{},
-		dirty: make(chan struct{}, 1), http: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
-	return d.control.start(ctx)
+	d.controlService = &controlService{d: d, settings: d.script.Control, store: filepath.Join(d.dir, "control.db"), members: map[string]engine.Row{},
+		changed: make(chan struct{}, 1), http: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
+	return d.controlService.start(ctx)
 }
 
 // firstVersion pushes what the routers wait for.
-func (c *controlled) firstVersion(ctx context.Context) error {
+func (c *controlService) firstVersion(ctx context.Context) error {
 	select {
-	case <-c.dirty:
+	case <-c.changed:
 	default:
 	}
-	_, err := c.push(ctx, c.text(nil), url.Values{"now": {"1"}, "unchecked": {"1"}})
+	_, err := c.push(ctx, c.versionText(nil), url.Values{"now": {"1"}, "unchecked": {"1"}})
 	return err
 }
