--- a/internal/protocol/http1/body.go
+++ b/internal/protocol/http1/body.go
@@ -3,16 +3,16 @@
 // Body finds the end of a message's body and takes it out of its framing. The
 // zero value is a body that has ended; Start sets it.
 type Body struct {
-	kind  BodyKind
-	left  int64 // of the length, or of the chunk
-	state chunkState
-	line  int // bytes of the chunk line or the trailers so far
-	limit int64
-	total int64
-	digit bool
-	name  bool // in a trailer line: its colon has not come yet
-	empty bool // in a trailer line: nothing has come yet
-	quote byte // in a chunk extension: within a quoted string, 2 after a backslash
+	kind      BodyKind
+	remaining int64 // of the length, or of the chunk
+	state     chunkState
+	lineLen   int // bytes of the chunk line or the trailers so far
+	limit     int64
+	total     int64
+	hasDigit  bool
+	inName    bool // in a trailer line: its colon has not come yet
+	lineEmpty bool // in a trailer line: nothing has come yet
+	extState  byte // in a chunk extension: within a quoted string, 2 after a backslash
 }
 
 type chunkState uint8
@@ -30,8 +30,8 @@
 )
 
 const (
-	maxChunkLine = 4096
-	maxTrailers  = 16384
+	maxChunkLineBytes = 4096
+	maxTrailerBytes   = 16384
 )
 
 // Start begins the body of a message whose head was parsed. More than limit
@@ -40,8 +40,8 @@
 	*b = Body{kind: h.Body, limit: limit, state: bodyDone}
 	switch h.Body {
 	case Length:
-		b.left, b.state = h.ContentLength, chunkData
-		if limit > 0 && b.left > limit {
+		b.remaining, b.state = h.ContentLength, chunkData
+		if limit > 0 && b.remaining > limit {
 			return ErrBodyTooLong
 		}
 	case Chunked:
@@ -79,8 +79,8 @@
 	}
 	switch b.kind {
 	case Length:
-		n = int(min(int64(len(buf)), b.left))
-		if b.left -= int64(n); b.left == 0 {
+		n = int(min(int64(len(buf)), b.remaining))
+		if b.remaining -= int64(n); b.remaining == 0 {
 			b.state = bodyDone
 		}
 		return n, buf[:n], b.count(n)
@@ -89,8 +89,8 @@
 	}
 	for n < len(buf) {
 		if b.state == chunkData {
-			k := int(min(int64(len(buf)-n), b.left))
-			if b.left -= int64(k); b.left == 0 {
+			k := int(min(int64(len(buf)-n), b.remaining))
+			if b.remaining -= int64(k); b.remaining == 0 {
 				b.state = chunkDataCR
 			}
 			return n + k, buf[n : n+k], b.count(k)
@@ -116,38 +116,38 @@
 
 // step takes one byte of the chunked framing (RFC 9112, section 7.1).
 func (b *Body) step(c byte) error {
-	if b.line++; b.state != trailer && b.state != trailerLF && b.line > maxChunkLine {
+	if b.lineLen++; b.state != trailer && b.state != trailerLF && b.lineLen > maxChunkLineBytes {
 		return ErrChunkLineTooLong
 	}
 	switch b.state {
 	case chunkSize:
-		d, ok := hex(c)
+		d, ok := hexDigit(c)
 		switch {
 		case ok:
-			if b.left > 1<<55 {
+			if b.remaining > 1<<55 {
 				return ErrChunkSize
 			}
-			b.left, b.digit = b.left<<4|int64(d), true
-		case !b.digit:
+			b.remaining, b.hasDigit = b.remaining<<4|int64(d), true
+		case !b.hasDigit:
 			return ErrChunkSize
 		case c == '\r':
 			b.state = chunkSizeLF
 		case c == ';':
 			b.state = chunkExt
 		case c == ' ' || c == '\t': // only before an extension
-			b.state, b.quote = chunkExt, 3
+			b.state, b.extState = chunkExt, 3
 		default:
 			return ErrChunkSize
 		}
 	case chunkExt:
-		return b.ext(c)
+		return b.skipExtension(c)
 	case chunkSizeLF:
 		if c != '\n' {
 			return ErrBareLF
 		}
-		b.line, b.digit = 0, false
-		if b.state = chunkData; b.left == 0 {
-			b.state, b.name, b.empty = trailer, true, true
+		b.lineLen, b.hasDigit = 0, false
+		if b.state = chunkData; b.remaining == 0 {
+			b.state, b.inName, b.lineEmpty = trailer, true, true
 		}
 	case chunkDataCR:
 		if c != '\r' {
@@ -158,70 +158,70 @@
 		if c != '\n' {
 			return ErrChunkEnd
 		}
-		b.state, b.line = chunkSize, 0
+		b.state, b.lineLen = chunkSize, 0
 	case trailer:
-		if b.line > maxTrailers {
+		if b.lineLen > maxTrailerBytes {
 			return ErrHeadTooLong
 		}
 		switch {
 		case c == '\r':
-			if !b.empty && b.name {
+			if !b.lineEmpty && b.inName {
 				return ErrTrailer
 			}
 			b.state = trailerLF
-		case c == ':' && !b.empty:
-			b.name, b.empty = false, false
-		case b.name && chars[c]&tokenChar == 0, !b.name && chars[c]&valueChar == 0:
+		case c == ':' && !b.lineEmpty:
+			b.inName, b.lineEmpty = false, false
+		case b.inName && charClasses[c]&tokenChar == 0, !b.inName && charClasses[c]&valueChar == 0:
 			return ErrTrailer
 		default:
-			b.empty = false
+			b.lineEmpty = false
 		}
 	case trailerLF:
 		if c != '\n' {
 			return ErrBareLF
 		}
-		if b.state = trailer; b.empty {
+		if b.state = trailer; b.lineEmpty {
 			b.state = bodyDone
 		}
-		b.name, b.empty = true, true
+		b.inName, b.lineEmpty = true, true
 	}
 	return nil
 }
 
-// ext skips a chunk extension; quoted strings may hold anything but controls.
-func (b *Body) ext(c byte) error {
+// skipExtension skips a chunk extension; quoted strings may hold anything but controls.
+func (b *Body) skipExtension(c byte) error {
 	switch {
-	case b.quote == 3: // white space after the size: an extension or the end must follow
+	case b.extState == 3: // white space after the size: an extension or the end must follow
 		if c == ';' {
-			b.quote = 0
+			b.extState = 0
 		} else if c != ' ' && c != '\t' {
 			return ErrChunkSize
 		}
-	case c != '\r' && chars[c]&valueChar == 0:
+	case c != '\r' && charClasses[c]&valueChar == 0:
 		return ErrChunkSize
-	case b.quote == 2:
+	case b.extState == 2:
 		if c == '\r' {
 			return ErrChunkSize
 		}
-		b.quote = 1
-	case b.quote == 1:
+		b.extState = 1
+	case b.extState == 1:
 		switch c {
 		case '\\':
-			b.quote = 2
+			b.extState = 2
 		case '"':
-			b.quote = 0
+			b.extState = 0
 		case '\r':
 			return ErrChunkSize
 		}
 	case c == '"':
-		b.quote = 1
+		b.extState = 1
 	case c == '\r':
 		b.state = chunkSizeLF
 	}
 	return nil
 }
 
-func hex(c byte) (byte, bool) {
+func hexDigit(c byte) (byte, bool) {
 	switch {
 	case c >= '0' && c <= '9':
 		return c - '0', true
--- a/internal/protocol/http1/head.go
+++ b/internal/protocol/http1/head.go
@@ -23,7 +23,7 @@
 	Fields int // field lines; default 100
 }
 
-func (l Limits) filled() Limits {
+func (l Limits) withDefaults() Limits {
 	if l.Line <= 0 {
 		l.Line = 8192
 	}
@@ -42,8 +42,8 @@
 	Message string // the offending thing
 }
 
-func (f *ProtocolError) Error() string {
-	return fmt.Sprintf("http1: %s (status %d)", f.Message, f.Status)
+func (e *ProtocolError) Error() string {
+	return fmt.Sprintf("http1: %s (status %d)", e.Message, e.Status)
 }
 
 // The faults. They are values, so that the parser allocates nothing.
@@ -163,7 +163,7 @@
 	hostChar
 )
 
-var chars = func() (t [256]uint8) {
+var charClasses = func() (t [256]uint8) {
 	for c := 0; c < 256; c++ {
 		switch {
 		case c >= '0' && c <= '9', c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z',
@@ -183,9 +183,9 @@
 	return t
 }()
 
-func all(b []byte, kind uint8) bool {
+func containsOnly(b []byte, class uint8) bool {
 	for _, c := range b {
-		if chars[c]&kind == 0 {
+		if charClasses[c]&class == 0 {
 			return false
 		}
 	}
@@ -193,11 +193,11 @@
 }
 
 // IsToken reports whether b is a token (RFC 9110, section 5.6.2).
-func IsToken(b []byte) bool { return len(b) > 0 && all(b, tokenChar) }
+func IsToken(b []byte) bool { return len(b) > 0 && containsOnly(b, tokenChar) }
 
-// line takes the line that starts at b[from:]. It returns the line without its
+// cutLine takes the line that starts at b[from:]. It returns the line without its
 // CRLF and the index past it; 0 when the end has not come yet.
-func line(b []byte, from int) ([]byte, int, error) {
+func cutLine(b []byte, from int) ([]byte, int, error) {
 	i := bytes.IndexByte(b[from:], '\n')
 	if i < 0 {
 		// a CR that anything but LF follows is a fault now, not when the LF comes
@@ -209,18 +209,18 @@
 	if i == 0 || b[from+i-1] != '\r' {
 		return nil, 0, ErrBareLF
 	}
-	l := b[from : from+i-1]
-	if bytes.IndexByte(l, '\r') >= 0 {
+	line := b[from : from+i-1]
+	if bytes.IndexByte(line, '\r') >= 0 {
 		return nil, 0, ErrBareLF
 	}
-	return l, from + i + 1, nil
+	return line, from + i + 1, nil
 }
 
 // ParseRequest reads a request head from the start of buf. It returns the
 // head's length in bytes, or 0 when more bytes are needed. Empty lines before
 // the request line are skipped (RFC 9112, section 2.2).
 func ParseRequest(buf []byte, h *Head, lim Limits) (int, error) {
-	lim = lim.filled()
+	lim = lim.withDefaults()
 	h.Reset()
 	start := 0
 	for start+1 < len(buf) && buf[start] == '\r' && buf[start+1] == '\n' {
@@ -228,51 +228,51 @@
 			return 0, ErrRequestLine
 		}
 	}
-	first, at, err := line(buf, start)
+	requestLine, pos, err := cutLine(buf, start)
 	switch {
 	case err != nil:
 		return 0, err
-	case at == 0 && len(buf)-start > lim.Line, at-start > lim.Line+2:
+	case pos == 0 && len(buf)-start > lim.Line, pos-start > lim.Line+2:
 		return 0, ErrTargetTooLong
-	case at == 0:
+	case pos == 0:
 		return 0, nil
 	}
-	if err := h.requestLine(first); err != nil {
+	if err := h.parseRequestLine(requestLine); err != nil {
 		return 0, err
 	}
-	n, err := h.fields(buf, start, at, lim)
+	n, err := h.parseFields(buf, start, pos, lim)
 	if n == 0 || err != nil {
 		return 0, err
 	}
 	return n, h.frameRequest()
 }
 
-func (h *Head) requestLine(l []byte) error {
-	i := bytes.IndexByte(l, ' ')
+func (h *Head) parseRequestLine(line []byte) error {
+	i := bytes.IndexByte(line, ' ')
 	if i <= 0 {
 		return ErrRequestLine
 	}
-	j := bytes.LastIndexByte(l, ' ')
+	j := bytes.LastIndexByte(line, ' ')
 	if j <= i+1 && j != i || j == i {
 		return ErrRequestLine
 	}
-	h.Method, h.Target = l[:i], l[i+1:j]
+	h.Method, h.Target = line[:i], line[i+1:j]
 	if !IsToken(h.Method) {
 		return ErrMethod
 	}
 	if len(h.Method) > 20 {
 		return ErrMethodTooLong
 	}
-	if len(h.Target) == 0 || !all(h.Target, targetChar) {
+	if len(h.Target) == 0 || !containsOnly(h.Target, targetChar) {
 		return ErrTarget
 	}
 	var err error
-	h.Minor, err = version(l[j+1:])
+	h.Minor, err = parseVersion(line[j+1:])
 	return err
 }
 
-func version(v []byte) (int, error) {
-	if len(v) != 8 || string(v[:5]) != "HTTP/" || v[6] != '.' || !digit(v[5]) || !digit(v[7]) {
+func parseVersion(v []byte) (int, error) {
+	if len(v) != 8 || string(v[:5]) != "HTTP/" || v[6] != '.' || !isDigit(v[5]) || !isDigit(v[7]) {
 		return 0, ErrVersionForm
 	}
 	if v[5] != '1' || v[7] > '1' {
@@ -281,56 +281,56 @@
 	return int(v[7] - '0'), nil
 }
 
-func digit(c byte) bool { return c >= '0' && c <= '9' }
+func isDigit(c byte) bool { return c >= '0' && c <= '9' }
 
 // ParseResponse reads a response head, as ParseRequest does. Whether there is a
 // body depends on the request, so its method is told.
-func ParseResponse(buf []byte, h *Head, lim Limits, toHead bool) (int, error) {
-	lim = lim.filled()
+func ParseResponse(buf []byte, h *Head, lim Limits, requestIsHead bool) (int, error) {
+	lim = lim.withDefaults()
 	h.Reset()
-	first, at, err := line(buf, 0)
+	statusLine, pos, err := cutLine(buf, 0)
 	switch {
 	case err != nil:
 		return 0, err
-	case at == 0 && len(buf) > lim.Line, at > lim.Line+2:
+	case pos == 0 && len(buf) > lim.Line, pos > lim.Line+2:
 		return 0, ErrHeadTooLong
-	case at == 0:
+	case pos == 0:
 		// a peer that speaks no HTTP is told apart by its first bytes
 		if k := min(len(buf), 7); string(buf[:k]) != "HTTP/1."[:k] {
 			return 0, ErrStatusLine
 		}
 		return 0, nil
 	}
-	if len(first) < 12 || first[8] != ' ' || !digit(first[9]) || !digit(first[10]) || !digit(first[11]) ||
-		len(first) > 12 && first[12] != ' ' {
+	if len(statusLine) < 12 || statusLine[8] != ' ' || !isDigit(statusLine[9]) || !isDigit(statusLine[10]) || !isDigit(statusLine[11]) ||
+		len(statusLine) > 12 && statusLine[12] != ' ' {
 		return 0, ErrStatusLine
 	}
-	if h.Minor, err = version(first[:8]); err != nil {
+	if h.Minor, err = parseVersion(statusLine[:8]); err != nil {
 		return 0, ErrStatusLine
 	}
-	h.Status = int(first[9]-'0')*100 + int(first[10]-'0')*10 + int(first[11]-'0')
+	h.Status = int(statusLine[9]-'0')*100 + int(statusLine[10]-'0')*10 + int(statusLine[11]-'0')
 	if h.Status < 100 || h.Status > 599 {
 		return 0, ErrStatusLine
 	}
-	if len(first) > 13 {
-		if h.Reason = first[13:]; !all(h.Reason, valueChar) {
+	if len(statusLine) > 13 {
+		if h.Reason = statusLine[13:]; !containsOnly(h.Reason, valueChar) {
 			return 0, ErrStatusLine
 		}
 	}
-	n, err := h.fields(buf, 0, at, lim)
+	n, err := h.parseFields(buf, 0, pos, lim)
 	if n == 0 || err != nil {
 		return 0, err
 	}
-	return n, h.frameResponse(toHead)
+	return n, h.frameResponse(requestIsHead)
 }
 
-// fields reads field lines up to the empty one.
-func (h *Head) fields(buf []byte, start, at int, lim Limits) (int, error) {
+// parseFields reads field lines up to the empty one.
+func (h *Head) parseFields(buf []byte, start, pos int, lim Limits) (int, error) {
 	for {
-		if at-start > lim.Head {
+		if pos-start > lim.Head {
 			return 0, ErrHeadTooLong
 		}
-		l, next, err := line(buf, at)
+		line, next, err := cutLine(buf, pos)
 		if err != nil {
 			return 0, err
 		}
@@ -340,37 +340,37 @@
 			}
 			return 0, nil
 		}
-		if len(l) == 0 {
+		if len(line) == 0 {
 			return next, nil
 		}
 		if len(h.Fields) >= lim.Fields {
 			return 0, ErrTooManyFields
 		}
-		f, err := fieldLine(l)
+		f, err := parseFieldLine(line)
 		if err != nil {
 			return 0, err
 		}
 		h.Fields = append(h.Fields, f)
-		at = next
+		pos = next
 	}
 }
 
-func fieldLine(l []byte) (Field, error) {
-	if l[0] == ' ' || l[0] == '\t' {
+func parseFieldLine(line []byte) (Field, error) {
+	if line[0] == ' ' || line[0] == '\t' {
 		return Field{}, ErrObsFold
 	}
-	i := bytes.IndexByte(l, ':')
-	if i <= 0 || !all(l[:i], tokenChar) {
+	i := bytes.IndexByte(line, ':')
+	if i <= 0 || !containsOnly(line[:i], tokenChar) {
 		return Field{}, ErrFieldName
 	}
-	v := trim(l[i+1:])
-	if !all(v, valueChar) {
+	v := trimOWS(line[i+1:])
+	if !containsOnly(v, valueChar) {
 		return Field{}, ErrFieldValue
 	}
-	return Field{Name: l[:i], Value: v}, nil
+	return Field{Name: line[:i], Value: v}, nil
 }
 
-func trim(b []byte) []byte {
+func trimOWS(b []byte) []byte {
 	for len(b) > 0 && (b[0] == ' ' || b[0] == '\t') {
 		b = b[1:]
 	}
@@ -380,10 +380,10 @@
 	return b
 }
 
-// frame reads the fields that both kinds of message share.
-func (h *Head) frame() (coded bool, err error) {
+// parseFraming reads the fields that both kinds of message share.
+func (h *Head) parseFraming() (chunked bool, err error) {
 	lengths, codings, hosts := 0, 0, 0
-	alive, closed := false, false
+	keepAlive, closed := false, false
 	for i := range h.Fields {
 		f := &h.Fields[i]
 		switch len(f.Name) {
@@ -402,13 +402,13 @@
 		case 10:
 			if EqualFold(f.Name, "connection") {
 				EachMember(f.Value, func(m []byte) {
-					alive = alive || EqualFold(m, "keep-alive")
+					keepAlive = keepAlive || EqualFold(m, "keep-alive")
 					closed = closed || EqualFold(m, "close")
 				})
 			}
 		case 14:
 			if EqualFold(f.Name, "content-length") {
-				n, err := contentLength(f.Value)
+				n, err := parseContentLength(f.Value)
 				if err != nil {
 					return false, err
 				}
@@ -422,13 +422,13 @@
 				if codings++; codings > 1 {
 					return false, ErrCodingOrder
 				}
-				if err := coding(f.Value); err != nil {
+				if err := checkCoding(f.Value); err != nil {
 					return false, err
 				}
 			}
 		}
 	}
-	h.Close = closed || h.Minor == 0 && !alive
+	h.Close = closed || h.Minor == 0 && !keepAlive
 	if codings > 0 && h.Minor == 0 {
 		return false, ErrCodingInHTTP10
 	}
@@ -454,41 +454,41 @@
 		} else {
 			list = nil
 		}
-		if m = trim(m); len(m) > 0 {
+		if m = trimOWS(m); len(m) > 0 {
 			f(m)
 		}
 	}
 }
 
-// contentLength reads one value, or a list of one value repeated (RFC 9110, section 8.6).
-func contentLength(v []byte) (int64, error) {
-	n, any := int64(-1), false
+// parseContentLength reads one value, or a list of one value repeated (RFC 9110, section 8.6).
+func parseContentLength(v []byte) (int64, error) {
+	n, seen := int64(-1), false
 	for {
 		m, more := v, false
 		if i := bytes.IndexByte(v, ','); i >= 0 {
 			m, v, more = v[:i], v[i+1:], true
 		}
-		m = trim(m)
+		m = trimOWS(m)
 		if len(m) == 0 || len(m) > 18 {
 			return 0, ErrLength
 		}
 		var k int64
 		for _, c := range m {
-			if !digit(c) {
+			if !isDigit(c) {
 				return 0, ErrLength
 			}
 			k = k*10 + int64(c-'0')
 		}
-		if any && k != n {
+		if seen && k != n {
 			return 0, ErrLengthMismatch
 		}
-		if n, any = k, true; !more {
+		if n, seen = k, true; !more {
 			return n, nil
 		}
 	}
 }
 
-func coding(v []byte) error {
+func checkCoding(v []byte) error {
 	if EqualFold(v, "chunked") {
 		return nil
 	}
@@ -499,18 +499,18 @@
 }
 
 func (h *Head) frameRequest() error {
-	coded, err := h.frame()
+	chunked, err := h.parseFraming()
 	if err != nil {
 		return err
 	}
 	if h.Minor > 0 && !h.Has("host") {
 		return ErrNoHost
 	}
-	if !all(h.Host, hostChar) {
+	if !containsOnly(h.Host, hostChar) {
 		return ErrHost
 	}
 	switch {
-	case coded:
+	case chunked:
 		h.Body = Chunked
 	case h.ContentLength > 0:
 		h.Body = Length
@@ -532,11 +532,11 @@
 // ErrConnectMethod is a method that is understood and never served here.
 var ErrConnectMethod = &ProtocolError{501, "CONNECT is not served"}
 
-func (h *Head) frameResponse(toHead bool) error {
-	coded, err := h.frame()
-	if f, ok := err.(*ProtocolError); ok {
-		if f == ErrNoHost { // means nothing in a response
-			coded, err = h.Has("transfer-encoding"), nil
+func (h *Head) frameResponse(requestIsHead bool) error {
+	chunked, err := h.parseFraming()
+	if invalid, ok := err.(*ProtocolError); ok {
+		if invalid == ErrNoHost { // means nothing in a response
+			chunked, err = h.Has("transfer-encoding"), nil
 		} else {
 			return err
 		}
@@ -544,9 +544,9 @@
 	switch {
 	case h.Status == 101:
 		return ErrUpgradeStatus
-	case h.Status < 200, h.Status == 204, h.Status == 304, toHead:
+	case h.Status < 200, h.Status == 204, h.Status == 304, requestIsHead:
 		h.Body = NoBody
-	case coded:
+	case chunked:
 		h.Body = Chunked
 	case h.ContentLength >= 0:
 		if h.Body = Length; h.ContentLength == 0 {
@@ -569,9 +569,9 @@
 		if k := bytes.IndexByte(t[i+3:], '/'); k >= 0 {
 			return t[i+3+k:]
 		}
-		return slash
+		return rootPath
 	}
 	return t
 }
 
-var slash = []byte("/")
+var rootPath = []byte("/")
--- a/internal/protocol/http1/http1_test.go
+++ b/internal/protocol/http1/http1_test.go
@@ -70,10 +70,10 @@
 
 func TestResponses(t *testing.T) {
 	for _, c := range []struct {
-		name, in string
-		head     bool
-		body     BodyKind
-		err      error
+		name, in      string
+		requestIsHead bool
+		body          BodyKind
+		err           error
 	}{
 		{"length", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n", false, Length, nil},
 		{"no reason", "HTTP/1.1 200\r\nContent-Length: 5\r\n\r\n", false, Length, nil},
@@ -90,7 +90,7 @@
 		{"head 64 KB", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 65536), false, 0, ErrHeadTooLong},
 	} {
 		var h Head
-		_, err := ParseResponse([]byte(c.in), &h, Limits{}, c.head)
+		_, err := ParseResponse([]byte(c.in), &h, Limits{}, c.requestIsHead)
 		if err != c.err || err == nil && h.Body != c.body {
 			t.Errorf("%s: body %v, error %v, want %v, %v", c.name, h.Body, err, c.body, c.err)
 		}
@@ -99,7 +99,7 @@
 
 // A head comes out the same however the bytes arrive, and no proper prefix of
 // it is taken for whole.
-func TestPrefixesAreNotWhole(t *testing.T) {
+func TestPrefixNeedsMoreBytes(t *testing.T) {
 	in := []byte("POST /v/1/film/3?x=1 HTTP/1.1\r\nHost: h:80\r\nContent-Length: 3\r\nX-A:  b \r\n\r\n")
 	var h Head
 	for k := range in {
@@ -146,7 +146,7 @@
 	})
 }
 
-func TestChunkFaults(t *testing.T) {
+func TestChunkErrors(t *testing.T) {
 	for _, c := range []struct {
 		in  string
 		err error
@@ -231,7 +231,7 @@
 		}
 		var b Body
 		b.Start(&h, 0)
-		body, rest, berr := decode(&b, in[n:], 7)
+		body, rest, bodyErr := decode(&b, in[n:], 7)
 		r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(in)))
 		if err != nil {
 			return // Go refuses more: URLs, methods; a refusal smuggles nothing
@@ -241,10 +241,10 @@
 			t.Fatalf("read as %s, body %v of %d; net/http: %s, %d, %v",
 				h.Method, h.Body, h.ContentLength, r.Method, r.ContentLength, r.TransferEncoding)
 		}
-		if berr == nil && b.Done() {
-			theirs, err := io.ReadAll(r.Body)
-			if err == nil && !bytes.Equal(theirs, body) {
-				t.Fatalf("body %q; net/http: %q", body, theirs)
+		if bodyErr == nil && b.Done() {
+			reference, err := io.ReadAll(r.Body)
+			if err == nil && !bytes.Equal(reference, body) {
+				t.Fatalf("body %q; net/http: %q", body, reference)
 			}
 		}
 		_ = rest
@@ -263,7 +263,7 @@
 		}
 		var b Body
 		b.Start(&h, 0)
-		body, _, berr := decode(&b, in[n:], 5)
+		body, _, bodyErr := decode(&b, in[n:], 5)
 		r, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(in)), nil)
 		if err != nil || h.Status < 200 {
 			return
@@ -271,10 +271,10 @@
 		if r.StatusCode != h.Status {
 			t.Fatalf("status %d; net/http: %d", h.Status, r.StatusCode)
 		}
-		if berr == nil && b.End() {
-			theirs, err := io.ReadAll(r.Body)
-			if err == nil && !bytes.Equal(theirs, body) {
-				t.Fatalf("body %q; net/http: %q", body, theirs)
+		if bodyErr == nil && b.End() {
+			reference, err := io.ReadAll(r.Body)
+			if err == nil && !bytes.Equal(reference, body) {
+				t.Fatalf("body %q; net/http: %q", body, reference)
 			}
 		}
 	})
@@ -288,10 +288,10 @@
 		var a, b Body
 		a.Start(&Head{Body: Chunked}, 0)
 		b.Start(&Head{Body: Chunked}, 0)
-		one, restA, errA := decode(&a, in, 1)
-		many, restB, errB := decode(&b, in, 4096)
-		if errA != errB || !bytes.Equal(one, many) || a.Done() != b.Done() || errA == nil && !bytes.Equal(restA, restB) {
-			t.Fatalf("byte by byte %q %v %v, at once %q %v %v", one, errA, a.Done(), many, errB, b.Done())
+		bytewise, restA, errA := decode(&a, in, 1)
+		atOnce, restB, errB := decode(&b, in, 4096)
+		if errA != errB || !bytes.Equal(bytewise, atOnce) || a.Done() != b.Done() || errA == nil && !bytes.Equal(restA, restB) {
+			t.Fatalf("byte by byte %q %v %v, at once %q %v %v", bytewise, errA, a.Done(), atOnce, errB, b.Done())
 		}
 		if errA != nil || !a.Done() {
 			return
@@ -301,8 +301,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if theirs, err := io.ReadAll(r.Body); err == nil && !bytes.Equal(theirs, one) {
-			t.Fatalf("body %q; net/http: %q", one, theirs)
+		if reference, err := io.ReadAll(r.Body); err == nil && !bytes.Equal(reference, bytewise) {
+			t.Fatalf("body %q; net/http: %q", bytewise, reference)
 		}
 	})
 }
--- a/internal/protocol/http1/write.go
+++ b/internal/protocol/http1/write.go
@@ -94,7 +94,7 @@
 			for k < len(list) && list[k] != ',' {
 				k++
 			}
-			if m, list = list[:k], list[min(k+1, len(list)):]; sameFold(trim(m), name) {
+			if m, list = list[:k], list[min(k+1, len(list)):]; equalTokens(trimOWS(m), name) {
 				return true
 			}
 		}
@@ -102,7 +102,7 @@
 	return false
 }
 
-func sameFold(a, b []byte) bool {
+func equalTokens(a, b []byte) bool {
 	if len(a) != len(b) {
 		return false
 	}
