--- a/internal/protocol/fetchheader/fillwire.go
+++ b/internal/protocol/fetchheader/fillwire.go
@@ -55,11 +55,11 @@
 
 // NewAttempt is the attempt that an action of the module asks for. Where a copy's
 // own cache is named as its source, there is no fill.
-func NewAttempt(s *spool.Send, q *spool.Request, number int, from, address string, left float64) Attempt {
-	a := Attempt{ID: s.ID, Number: number, From: from, Class: q.Class, Object: q.Object, Group: q.Group,
-		Keep: s.Keep, Age: s.Age, TimeLeft: left, Join: s.Join, Held: s.Held, Renew: s.Renew}
-	if s.Source != s.Cache {
-		a.Source, a.SourceAddress = s.Source, address
+func NewAttempt(send *spool.Send, request *spool.Request, number int, from, address string, timeLeft float64) Attempt {
+	a := Attempt{ID: send.ID, Number: number, From: from, Class: request.Class, Object: request.Object, Group: request.Group,
+		Keep: send.Keep, Age: send.Age, TimeLeft: timeLeft, Join: send.Join, Held: send.Held, Renew: send.Renew}
+	if send.Source != send.Cache {
+		a.Source, a.SourceAddress = send.Source, address
 	}
 	return a
 }
@@ -148,21 +148,21 @@
 		}
 		switch name {
 		case "id":
-			err = set(&a.ID, item)
+			err = setValue(&a.ID, item)
 		case "n":
 			err = setInt(&a.Number, item)
 		case "from":
-			err = set(&a.From, item)
+			err = setValue(&a.From, item)
 		case "class":
-			err = set(&a.Class, item)
+			err = setValue(&a.Class, item)
 		case "obj":
-			err = set(&a.Object, item)
+			err = setValue(&a.Object, item)
 		case "group":
 			err = setInt(&a.Group, item)
 		case "src":
-			err = set(&a.Source, item)
+			err = setValue(&a.Source, item)
 		case "at":
-			err = set(&a.SourceAddress, item)
+			err = setValue(&a.SourceAddress, item)
 		case "keep":
 			err = setInt(&a.Keep, item)
 		case "age":
@@ -170,15 +170,15 @@
 		case "left":
 			err = setNumber(&a.TimeLeft, item)
 		case "join":
-			err = set(&a.Join, item)
+			err = setValue(&a.Join, item)
 		case "held":
-			err = set(&a.Held, item)
+			err = setValue(&a.Held, item)
 		case "renew":
-			err = set(&a.Renew, item)
+			err = setValue(&a.Renew, item)
 		case "via":
-			err = set(&a.Via, item)
+			err = setValue(&a.Via, item)
 		case "fetch":
-			err = set(&a.MayFetch, item)
+			err = setValue(&a.MayFetch, item)
 		} // others are for later versions: ignored
 		if err != nil {
 			return a, fmt.Errorf("fillwire: %s: member %s: %w", FillField, name, err)
@@ -197,30 +197,30 @@
 	return a, err
 }
 
-func set[T any](to *T, item httpsfv.Item) error {
+func setValue[T any](dst *T, item httpsfv.Item) error {
 	v, ok := item.Value.(T)
 	if !ok {
 		return fmt.Errorf("value %v is of another type", item.Value)
 	}
-	*to = v
+	*dst = v
 	return nil
 }
 
-func setInt(to *int, item httpsfv.Item) error {
+func setInt(dst *int, item httpsfv.Item) error {
 	v, ok := item.Value.(int64)
 	if !ok || v < -1<<31 || v >= 1<<31 {
 		return fmt.Errorf("value %v is no whole number of 32 bits", item.Value)
 	}
-	*to = int(v)
+	*dst = int(v)
 	return nil
 }
 
-func setNumber(to *float64, item httpsfv.Item) error {
+func setNumber(dst *float64, item httpsfv.Item) error {
 	switch v := item.Value.(type) {
 	case int64:
-		*to = float64(v)
+		*dst = float64(v)
 	case float64:
-		*to = v
+		*dst = v
 	default:
 		return fmt.Errorf("value %v is no number", item.Value)
 	}
@@ -236,7 +236,7 @@
 	OriginFailed    = "origin-failed"
 )
 
-var noteOf = map[string]spool.Note{
+var notesByDetail = map[string]spool.Note{
 	SourceRefused: spool.NoteSourceRejected, SourceUnreached: spool.NoteSourceUnreachable,
 	SourceLacks: spool.NoteSourceMiss, NoPlace: spool.NoteNoCapacity, OriginFailed: spool.NoteOriginFailed,
 }
@@ -255,53 +255,53 @@
 }
 
 // String is the list member.
-func (h CacheStatus) String() string {
+func (c CacheStatus) String() string {
 	p := httpsfv.NewParams()
-	if h.Hit {
+	if c.Hit {
 		p.Add("hit", true)
-		if h.HasTTL {
-			p.Add("ttl", int64(h.TTL))
+		if c.HasTTL {
+			p.Add("ttl", int64(c.TTL))
 		}
-	} else if h.Fwd != "" {
-		p.Add("fwd", httpsfv.Token(h.Fwd))
+	} else if c.Fwd != "" {
+		p.Add("fwd", httpsfv.Token(c.Fwd))
 	}
-	if h.Stored {
+	if c.Stored {
 		p.Add("stored", true)
 	}
-	if h.Collapsed {
+	if c.Collapsed {
 		p.Add("collapsed", true)
 	}
-	if h.Detail != "" {
-		p.Add("detail", httpsfv.Token(h.Detail))
+	if c.Detail != "" {
+		p.Add("detail", httpsfv.Token(c.Detail))
 	}
-	s, err := httpsfv.Marshal(httpsfv.List{httpsfv.Item{Value: h.Cache, Params: p}})
+	s, err := httpsfv.Marshal(httpsfv.List{httpsfv.Item{Value: c.Cache, Params: p}})
 	if err != nil {
 		return `"?"`
 	}
 	return s
 }
 
-// status is what a router reads of one Cache-Status member.
-type status struct {
-	hit, fwd, stale, joined bool
-	detail                  []byte
+// memberStatus is what a router reads of one Cache-Status member.
+type memberStatus struct {
+	hit, fwd, stale, collapsed bool
+	detail                     []byte
 }
 
-// scanStatus reads the last member, which the nearest cache added, and whether
+// parseLastStatus reads the last member, which the nearest cache added, and whether
 // one before it was forwarded by a miss. It reads loosely: what is not
 // understood counts as not said.
-func scanStatus(v []byte) (last status, behind bool) {
+func parseLastStatus(v []byte) (last memberStatus, forwardedBefore bool) {
 	for len(v) > 0 {
 		var m []byte
-		m, v = cutQuoted(v, ',')
-		behind = behind || last.fwd
-		last = scanMember(m)
+		m, v = cutUnquoted(v, ',')
+		forwardedBefore = forwardedBefore || last.fwd
+		last = parseStatusMember(m)
 	}
-	return last, behind
+	return last, forwardedBefore
 }
 
-// cutQuoted cuts at the first separator outside of quoted strings.
-func cutQuoted(v []byte, sep byte) (before, after []byte) {
+// cutUnquoted cuts at the first separator outside of quoted strings.
+func cutUnquoted(v []byte, sep byte) (before, after []byte) {
 	quoted := false
 	for i := 0; i < len(v); i++ {
 		switch c := v[i]; {
@@ -316,19 +316,19 @@
 	return v, nil
 }
 
-func scanMember(m []byte) (s status) {
-	_, m = cutQuoted(m, ';') // the cache's name
+func parseStatusMember(m []byte) (s memberStatus) {
+	_, m = cutUnquoted(m, ';') // the cache's name
 	for len(m) > 0 {
 		var p []byte
-		p, m = cutQuoted(m, ';')
-		name, value, _ := bytes.Cut(bytes.TrimSpace(p), equals)
+		p, m = cutUnquoted(m, ';')
+		name, value, _ := bytes.Cut(bytes.TrimSpace(p), equalsSign)
 		switch string(name) {
 		case "hit":
 			s.hit = string(value) != "?0"
 		case "fwd":
 			s.fwd = true
 		case "collapsed":
-			s.joined = string(value) != "?0"
+			s.collapsed = string(value) != "?0"
 		case "ttl":
 			s.stale = len(value) > 0 && value[0] == '-'
 		case "detail":
@@ -338,7 +338,7 @@
 	return s
 }
 
-var equals = []byte("=")
+var equalsSign = []byte("=")
 
 // ClassifyResponse says which result and note a response amounts to. looked tells that
 // only a copy was asked for; write that the request runs at the origin.
@@ -346,25 +346,25 @@
 // 504 to a look is a miss (RFC 9111, section 5.2.1.7); 503 was turned away
 // before anything ran; other 5xx are faults. All else is the object's answer,
 // also where that is 404.
-func ClassifyResponse(h *http1.Head, looked, write bool) (spool.Result, spool.Note) {
-	s, behind := scanStatus(h.Get("cache-status"))
+func ClassifyResponse(h *http1.Head, copyOnly, write bool) (spool.Result, spool.Note) {
+	s, forwardedBefore := parseLastStatus(h.Get("cache-status"))
 	note := spool.NoteNone
 	switch {
 	case s.detail != nil:
-		note = noteOf[string(s.detail)]
+		note = notesByDetail[string(s.detail)]
 	case s.hit && s.stale:
 		note = spool.NoteStale
 	case s.hit:
 		note = spool.NoteHit
-	case s.joined:
+	case s.collapsed:
 		note = spool.NoteJoined
-	case s.fwd && behind:
+	case s.fwd && forwardedBefore:
 		note = spool.NoteFilledByOrigin
 	case s.fwd:
 		note = spool.NoteFilled
 	}
 	switch {
-	case h.Status == 504 && looked:
+	case h.Status == 504 && copyOnly:
 		if note != spool.NoteJoined {
 			note = spool.NoteNone
 		}
@@ -400,7 +400,7 @@
 			item, ok := item.(httpsfv.Item)
 			switch {
 			case ok && name == "v":
-				err = set(&v.Number, item)
+				err = setValue(&v.Number, item)
 			case ok && name == "age":
 				err = setNumber(&v.Age, item)
 			}
@@ -434,7 +434,7 @@
 		} else {
 			value = nil
 		}
-		v, ok := decimal(bytes.TrimSpace(m))
+		v, ok := parseDecimal(bytes.TrimSpace(m))
 		if !ok {
 			return dst[:0]
 		}
@@ -443,10 +443,10 @@
 	return dst
 }
 
-// decimal reads an sf-integer or sf-decimal.
-func decimal(b []byte) (v float64, ok bool) {
-	neg := len(b) > 0 && b[0] == '-'
-	if neg {
+// parseDecimal reads an sf-integer or sf-decimal.
+func parseDecimal(b []byte) (v float64, ok bool) {
+	negative := len(b) > 0 && b[0] == '-'
+	if negative {
 		b = b[1:]
 	}
 	scale, digits := 0.0, 0
@@ -471,7 +471,7 @@
 	if scale > 1 {
 		v /= scale
 	}
-	if neg {
+	if negative {
 		v = -v
 	}
 	return v, true
--- a/internal/protocol/fetchheader/fillwire_test.go
+++ b/internal/protocol/fetchheader/fillwire_test.go
@@ -41,7 +41,7 @@
 	})
 }
 
-func TestAttemptFaults(t *testing.T) {
+func TestParseAttemptErrors(t *testing.T) {
 	for _, v := range []string{
 		"", "n=1", `id="a", src="p"`, `id="a", keep=4`, `id="a", age=-1.0`, `id=7`, `id="a", n="x"`,
 		`id="a", join=1`, `id="a`, `id=("a" "b")`, `id="a", n=99999999999`,
@@ -55,13 +55,13 @@
 	}
 }
 
-func TestJudge(t *testing.T) {
+func TestClassifyResponse(t *testing.T) {
 	for _, c := range []struct {
-		status   int
-		cs       string
-		look, wr bool
-		result   spool.Result
-		note     spool.Note
+		status          int
+		cs              string
+		copyOnly, write bool
+		result          spool.Result
+		note            spool.Note
 	}{
 		{200, `"b"; hit`, true, false, spool.OK, spool.NoteHit},
 		{200, `"b"; hit; ttl=5`, true, false, spool.OK, spool.NoteHit},
@@ -80,7 +80,7 @@
 		{200, `;;;"`, false, false, spool.OK, spool.NoteNone},
 	} {
 		h := &http1.Head{Status: c.status, Fields: []http1.Field{{Name: []byte("Cache-Status"), Value: []byte(c.cs)}}}
-		if r, n := ClassifyResponse(h, c.look, c.wr); r != c.result || n != c.note {
+		if r, n := ClassifyResponse(h, c.copyOnly, c.write); r != c.result || n != c.note {
 			t.Errorf("%d %s: result %v, note %v, want %v, %v", c.status, c.cs, r, n, c.result, c.note)
 		}
 	}
@@ -88,7 +88,7 @@
 
 // Whatever a cache writes about itself with the library, the hand-written
 // reader finds in it.
-func TestHandledIsRead(t *testing.T) {
+func TestCacheStatusRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := CacheStatus{Cache: rapid.StringMatching(`[ -~]{1,12}`).Draw(t, "name"), Hit: rapid.Bool().Draw(t, "hit"),
 			HasTTL: true, TTL: float64(rapid.IntRange(-9, 9).Draw(t, "ttl")), Collapsed: rapid.Bool().Draw(t, "joined")}
@@ -100,8 +100,8 @@
 		if _, err := httpsfv.UnmarshalList([]string{value}); err != nil {
 			t.Fatal(err)
 		}
-		s, _ := scanStatus([]byte(`"p"; fwd=miss, ` + value))
-		if s.hit != h.Hit || s.fwd != (h.Fwd != "") || s.joined != h.Collapsed || string(s.detail) != h.Detail ||
+		s, _ := parseLastStatus([]byte(`"p"; fwd=miss, ` + value))
+		if s.hit != h.Hit || s.fwd != (h.Fwd != "") || s.collapsed != h.Collapsed || string(s.detail) != h.Detail ||
 			h.Hit && s.stale != (h.TTL < 0) {
 			t.Fatalf("%s read as %+v", value, s)
 		}
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestVersion(t *testing.T) {
+func TestCopyVersionRoundTrip(t *testing.T) {
 	v, err := ParseCopyVersion(CopyVersion{Number: 12, Age: 345.5}.String())
 	if err != nil || v.Number != 12 || v.Age != 345.5 {
 		t.Fatalf("%+v, %v", v, err)
