--- a/cmd/spool-router/main.go
+++ b/cmd/spool-router/main.go
@@ -32,11 +32,11 @@
 		c.MarkFlagRequired("config")
 	}
 	check.Flags().BoolVar(&canonical, "print", false, "print the settings in canonical form")
-	var log string
-	try := &cobra.Command{Use: "demo", Short: "A router among stand-ins, to fetch from with curl", Args: cobra.NoArgs, Example: "  spool-router demo",
-		RunE: func(c *cobra.Command, _ []string) error { return runDemo(c.Context(), log) }}
-	try.Flags().StringVar(&log, "log", "none", "access log: stderr, stdout, none or a file")
-	root.AddCommand(serve, check, try, nodeCommand())
+	var logTarget string
+	demoCmd := &cobra.Command{Use: "demo", Short: "A router among stand-ins, to fetch from with curl", Args: cobra.NoArgs, Example: "  spool-router demo",
+		RunE: func(c *cobra.Command, _ []string) error { return runDemo(c.Context(), logTarget) }}
+	demoCmd.Flags().StringVar(&logTarget, "log", "none", "access log: stderr, stdout, none or a file")
+	root.AddCommand(serve, check, demoCmd, nodeCommand())
 	cli.Main(root)
 }
 
@@ -75,23 +75,23 @@
 		return err
 	}
 	defer log.Close()
-	e, end, err := httpfront.Open(ctx, s, log)
+	edge, closeEdge, err := httpfront.Open(ctx, s, log)
 	if err != nil {
 		return err
 	}
-	defer end()
-	log.Log.Info("serving", zap.String("name", s.Router.Name), zap.String("address", e.Addr()), zap.String("zone", s.Router.Zone))
+	defer closeEdge()
+	log.Log.Info("serving", zap.String("name", s.Router.Name), zap.String("address", edge.Addr()), zap.String("zone", s.Router.Zone))
 	context.AfterFunc(ctx, func() {
 		log.Log.Info("draining")
-		e.Drain()
+		edge.Drain()
 	})
-	err = e.Run()
+	err = edge.Run()
 	log.Log.Info("ended")
 	return err
 }
 
-func runDemo(ctx context.Context, log string) error {
-	d, err := demo.Start(log)
+func runDemo(ctx context.Context, logTarget string) error {
+	d, err := demo.Start(logTarget)
 	if err != nil {
 		return err
 	}
