--- a/internal/protocol/http1/body.go
+++ b/internal/protocol/http1/body.go
@@ -1,18 +1,18 @@
 package http1
 
-// Body finds the end of a message's body and takes it out of its framing. The
-// zero value is a body that has ended; Start sets it.
+// Body decodes the framing of a message body and finds its end. Start must be
+// called before the first call of Next.
 type Body struct {
 	kind      BodyKind
-	remaining int64 // of the length, or of the chunk
+	remaining int64 // bytes left of Content-Length or of the chunk; the chunk size while it is parsed
 	state     chunkState
-	lineLen   int // bytes of the chunk line or the trailers so far
-	limit     int64
-	total     int64
-	hasDigit  bool
-	inName    bool // in a trailer line: its colon has not come yet
-	lineEmpty bool // in a trailer line: nothing has come yet
-	extState  byte // in a chunk extension: within a quoted string, 2 after a backslash
+	lineLen   int   // bytes so far of the chunk line or of the trailer section
+	limit     int64 // maximum bytes of content; 0: no limit
+	total     int64 // bytes of content so far
+	hasDigit  bool  // the chunk size has a digit
+	inName    bool  // no colon so far in the trailer line
+	lineEmpty bool  // no character so far in the trailer line
+	extState  byte  // position in a chunk extension
 }
 
 type chunkState uint8
@@ -29,13 +29,21 @@
 	bodyDone
 )
 
+// Positions in a chunk extension.
 const (
-	maxChunkLineBytes = 4096
-	maxTrailerBytes   = 16384
+	extUnquoted byte = iota
+	extQuoted        // in a quoted string
+	extEscaped       // after a backslash in a quoted string
+	extExpected      // after white space behind the chunk size, which only an extension may follow
 )
 
-// Start begins the body of a message whose head was parsed. More than limit
-// bytes are a fault; 0 means no limit.
+const (
+	maxChunkLineBytes = 4096  // chunk size and extensions
+	maxTrailerBytes   = 16384 // all trailer lines
+)
+
+// Start prepares b for the body of the message whose head is h. A body with more
+// than limit bytes of content is an error; 0 means no limit.
 func (b *Body) Start(h *Head, limit int64) error {
 	*b = Body{kind: h.Body, limit: limit, state: bodyDone}
 	switch h.Body {
@@ -52,17 +60,17 @@
 	return nil
 }
 
-// Done reports whether the whole body was taken.
+// Done reports whether the end of the body was reached. A body without content is done after Start.
 func (b *Body) Done() bool { return b.state == bodyDone }
 
-// Kind is how the body is framed.
+// Kind returns the way in which the body is framed.
 func (b *Body) Kind() BodyKind { return b.kind }
 
-// Total is how many bytes of content were taken so far.
+// Total returns the number of bytes of content decoded so far.
 func (b *Body) Total() int64 { return b.total }
 
-// End says that the connection was closed by the peer. It reports whether the
-// body is whole.
+// End records that the peer closed the connection. It reports whether the body
+// is complete.
 func (b *Body) End() bool {
 	if b.kind == UntilClose {
 		b.state = bodyDone
@@ -70,9 +78,9 @@
 	return b.state == bodyDone
 }
 
-// Next takes what stands at the start of buf: it returns how many bytes were
-// consumed and the content among them, a slice of buf. Call it until n is 0 or
-// the body is done; n of 0 without an error means that more bytes are needed.
+// Next decodes bytes at the start of buf. It returns the number of bytes consumed
+// and the content among them, a slice of buf. It is called until n is 0 or the
+// body is done; an n of 0 without an error means that more bytes are needed.
 func (b *Body) Next(buf []byte) (n int, data []byte, err error) {
 	if b.state == bodyDone || len(buf) == 0 {
 		return 0, nil, nil
@@ -107,6 +115,7 @@
 	return n, nil, nil
 }
 
+// count adds n bytes of content and checks the limit.
 func (b *Body) count(n int) error {
 	if b.total += int64(n); b.limit > 0 && b.total > b.limit {
 		return ErrBodyTooLong
@@ -114,7 +123,7 @@
 	return nil
 }
 
-// step takes one byte of the chunked framing (RFC 9112, section 7.1).
+// step decodes a byte of the chunked framing (RFC 9112, section 7.1).
 func (b *Body) step(c byte) error {
 	if b.lineLen++; b.state != trailer && b.state != trailerLF && b.lineLen > maxChunkLineBytes {
 		return ErrChunkLineTooLong
@@ -135,7 +144,7 @@
 		case c == ';':
 			b.state = chunkExt
 		case c == ' ' || c == '\t': // only before an extension
-			b.state, b.extState = chunkExt, 3
+			b.state, b.extState = chunkExt, extExpected
 		default:
 			return ErrChunkSize
 		}
@@ -188,39 +197,41 @@
 	return nil
 }
 
-// skipExtension skips a chunk extension; quoted strings may hold anything but controls.
+// skipExtension skips a byte of a chunk extension. Control characters other than
+// tab are errors, also in quoted strings.
 func (b *Body) skipExtension(c byte) error {
 	switch {
-	case b.extState == 3: // white space after the size: an extension or the end must follow
+	case b.extState == extExpected:
 		if c == ';' {
-			b.extState = 0
+			b.extState = extUnquoted
 		} else if c != ' ' && c != '\t' {
 			return ErrChunkSize
 		}
 	case c != '\r' && charClasses[c]&valueChar == 0:
 		return ErrChunkSize
-	case b.extState == 2:
+	case b.extState == extEscaped:
 		if c == '\r' {
 			return ErrChunkSize
 		}
-		b.extState = 1
-	case b.extState == 1:
+		b.extState = extQuoted
+	case b.extState == extQuoted:
 		switch c {
 		case '\\':
-			b.extState = 2
+			b.extState = extEscaped
 		case '"':
-			b.extState = 0
+			b.extState = extUnquoted
 		case '\r':
 			return ErrChunkSize
 		}
 	case c == '"':
-		b.extState = 1
+		b.extState = extQuoted
 	case c == '\r':
 		b.state = chunkSizeLF
 	}
 	return nil
 }
 
+// hexDigit returns the value of a hexadecimal digit.
 func hexDigit(c byte) (byte, bool) {
 	switch {
 	case c >= '0' && c <= '9':
--- a/internal/protocol/http1/head.go
+++ b/internal/protocol/http1/head.go
@@ -1,14 +1,15 @@
-// Package http1 parses and writes HTTP/1.1 messages incrementally: bytes in,
-// heads and body parts out. It does no I/O, keeps no clock and allocates
-// nothing on the ordinary path; what it hands out are slices of the caller's
-// buffer.
+// Package http1 parses and writes HTTP/1.1 messages incrementally: it takes
+// bytes and returns heads and pieces of bodies. It does no I/O, reads no clock
+// and allocates only while Head.Fields grows. What it returns are slices of the
+// caller's buffer.
 //
 // It is strict where RFC 9112 leaves a choice, because an intermediary that
-// reads a message otherwise than its neighbour can be made to smuggle one
-// (sections 6.3 and 11.2): no bare LF or CR, no white space before a colon, no
-// folded lines, no two different lengths, no length beside chunked, no coding
-// but a single final chunked. Every fault carries the status that a server
-// answers with. Connections are in internal/proxy/httpfront.
+// parses a message differently from the next server on the path enables request
+// smuggling (sections 6.3 and 11.2). It accepts no bare LF or CR, no white space
+// before a colon, no folded lines, no differing lengths, no length together with
+// a transfer coding, and no transfer coding other than a single chunked. Every
+// error carries the status that a server answers with. Connections are handled
+// in internal/proxy/httpfront.
 package http1
 
 import (
@@ -16,11 +17,11 @@
 	"fmt"
 )
 
-// Limits bound what one message may take. Zero fields mean the defaults.
+// Limits bounds the size of a message head. A field that is zero or negative means its default.
 type Limits struct {
-	Line   int // request or status line, bytes; default 8192
-	Head   int // whole head, bytes; default 32768
-	Fields int // field lines; default 100
+	Line   int // request or status line without its CRLF, bytes; default 8192
+	Head   int // the whole head, bytes; default 32768
+	Fields int // number of field lines; default 100
 }
 
 func (l Limits) withDefaults() Limits {
@@ -36,17 +37,17 @@
 	return l
 }
 
-// A ProtocolError is a message that is not valid or not served.
+// A ProtocolError reports a message that is invalid or not supported.
 type ProtocolError struct {
 	Status  int    // the status that a server answers with (RFC 9110, section 15)
-	Message string // the offending thing
+	Message string // what is wrong with the message
 }
 
 func (e *ProtocolError) Error() string {
 	return fmt.Sprintf("http1: %s (status %d)", e.Message, e.Status)
 }
 
-// The faults. They are values, so that the parser allocates nothing.
+// The errors of the parser. They are variables, so that returning one does not allocate.
 var (
 	ErrRequestLine      = &ProtocolError{400, "malformed request line"}
 	ErrMethod           = &ProtocolError{400, "method is not a token"}
@@ -71,7 +72,7 @@
 	ErrCodingOrder      = &ProtocolError{400, "chunked is not the single, final transfer coding"}
 	ErrCodingInHTTP10   = &ProtocolError{400, "Transfer-Encoding in an HTTP/1.0 message"}
 	ErrExpect           = &ProtocolError{417, "expectation other than 100-continue"}
-	ErrUpgradeStatus    = &ProtocolError{502, "switched protocols unasked"}
+	ErrUpgradeStatus    = &ProtocolError{502, "status 101 (Switching Protocols) without an Upgrade request"}
 	ErrChunkSize        = &ProtocolError{400, "malformed chunk size"}
 	ErrChunkLineTooLong = &ProtocolError{400, "chunk line longer than the limit"}
 	ErrChunkEnd         = &ProtocolError{400, "chunk data not followed by CRLF"}
@@ -79,44 +80,44 @@
 	ErrBodyTooLong      = &ProtocolError{413, "body longer than the limit"}
 )
 
-// Field is one field line. Both parts are slices of the parsed buffer.
+// Field is a field line. Name and Value are slices of the parsed buffer.
 type Field struct{ Name, Value []byte }
 
-// BodyKind is how the end of a body is found (RFC 9112, section 6.3).
+// BodyKind is the way in which the end of a body is determined (RFC 9112, section 6.3).
 type BodyKind uint8
 
-// The kinds.
+// The kinds of body.
 const (
-	NoBody BodyKind = iota
-	Length
-	Chunked
-	UntilClose // responses only
+	NoBody     BodyKind = iota
+	Length              // by Content-Length
+	Chunked             // by the chunked transfer coding
+	UntilClose          // by the close of the connection; responses only
 )
 
 // Head is a parsed message head. Its slices alias the buffer given to the
-// parser and hold only as long as that stays as it was.
+// parser and are valid only until that buffer is changed.
 type Head struct {
 	Method, Target []byte // requests
 	Status         int    // responses
 	Reason         []byte
-	Minor          int // HTTP/1.Minor
+	Minor          int // minor version: 0 for HTTP/1.0, 1 for HTTP/1.1
 	Fields         []Field
 
 	Body          BodyKind
-	ContentLength int64 // of Length; for responses to HEAD what was stated, or -1
-	Close         bool  // the connection does not persist after this message
-	Expect100     bool  // the client waits for 100 (Continue)
-	Host          []byte
+	ContentLength int64  // value of Content-Length, also in a response to HEAD; -1: none
+	Close         bool   // the connection does not persist after this message
+	Expect100     bool   // the client waits for 100 (Continue) before it sends the body
+	Host          []byte // nil unless there is exactly one Host field
 }
 
-// Reset makes the head ready for the next message and keeps its memory.
+// Reset clears the head for the next message and keeps the memory of Fields.
 func (h *Head) Reset() {
 	fields := h.Fields[:0]
 	*h = Head{Fields: fields, ContentLength: -1}
 }
 
-// Get returns the first value of a field, nil where there is none. The name is
-// given in lower case.
+// Get returns the value of the first field with the given name, or nil if there
+// is none. The name must be in lower case.
 func (h *Head) Get(lower string) []byte {
 	for i := range h.Fields {
 		if EqualFold(h.Fields[i].Name, lower) {
@@ -126,7 +127,7 @@
 	return nil
 }
 
-// Has reports whether a field is present.
+// Has reports whether a field is present. The name must be in lower case.
 func (h *Head) Has(lower string) bool {
 	for i := range h.Fields {
 		if EqualFold(h.Fields[i].Name, lower) {
@@ -139,7 +140,8 @@
 // IsHead reports whether the request's method is HEAD.
 func (h *Head) IsHead() bool { return string(h.Method) == "HEAD" }
 
-// EqualFold compares ASCII text with a word in lower case.
+// EqualFold reports whether b equals lower, an ASCII string in lower case, with
+// the case of ASCII letters in b ignored.
 func EqualFold(b []byte, lower string) bool {
 	if len(b) != len(lower) {
 		return false
@@ -156,13 +158,15 @@
 	return true
 }
 
+// Classes of characters, as bits.
 const (
-	tokenChar = 1 << iota
-	targetChar
-	valueChar
-	hostChar
+	tokenChar  = 1 << iota // of a token (RFC 9110, section 5.6.2)
+	targetChar             // of a request target: visible ASCII
+	valueChar              // of a field value: tab and all but control characters
+	hostChar               // of a Host value
 )
 
+// charClasses holds the classes of each character.
 var charClasses = func() (t [256]uint8) {
 	for c := 0; c < 256; c++ {
 		switch {
@@ -183,6 +187,7 @@
 	return t
 }()
 
+// containsOnly reports whether every character of b is of the class.
 func containsOnly(b []byte, class uint8) bool {
 	for _, c := range b {
 		if charClasses[c]&class == 0 {
@@ -195,12 +200,12 @@
 // IsToken reports whether b is a token (RFC 9110, section 5.6.2).
 func IsToken(b []byte) bool { return len(b) > 0 && containsOnly(b, tokenChar) }
 
-// cutLine takes the line that starts at b[from:]. It returns the line without its
-// CRLF and the index past it; 0 when the end has not come yet.
+// cutLine returns the line that starts at b[from], without its CRLF, and the
+// index after the CRLF. The index is 0 if the end of the line is not yet in b.
 func cutLine(b []byte, from int) ([]byte, int, error) {
 	i := bytes.IndexByte(b[from:], '\n')
 	if i < 0 {
-		// a CR that anything but LF follows is a fault now, not when the LF comes
+		// a CR followed by anything but LF is rejected at once, not when an LF arrives
 		if k := bytes.IndexByte(b[from:], '\r'); k >= 0 && from+k+1 < len(b) {
 			return nil, 0, ErrBareLF
 		}
@@ -216,9 +221,9 @@
 	return line, from + i + 1, nil
 }
 
-// ParseRequest reads a request head from the start of buf. It returns the
-// head's length in bytes, or 0 when more bytes are needed. Empty lines before
-// the request line are skipped (RFC 9112, section 2.2).
+// ParseRequest parses a request head at the start of buf into h. It returns the
+// number of bytes consumed, or 0 if more bytes are needed. Empty lines before
+// the request line are consumed too (RFC 9112, section 2.2), up to 16 bytes.
 func ParseRequest(buf []byte, h *Head, lim Limits) (int, error) {
 	lim = lim.withDefaults()
 	h.Reset()
@@ -271,6 +276,7 @@
 	return err
 }
 
+// parseVersion returns the minor version.
 func parseVersion(v []byte) (int, error) {
 	if len(v) != 8 || string(v[:5]) != "HTTP/" || v[6] != '.' || !isDigit(v[5]) || !isDigit(v[7]) {
 		return 0, ErrVersionForm
@@ -283,8 +289,9 @@
 
 func isDigit(c byte) bool { return c >= '0' && c <= '9' }
 
-// ParseResponse reads a response head, as ParseRequest does. Whether there is a
-// body depends on the request, so its method is told.
+// ParseResponse parses a response head as ParseRequest parses a request head.
+// requestIsHead reports whether the method of the request was HEAD: the response
+// then has no body.
 func ParseResponse(buf []byte, h *Head, lim Limits, requestIsHead bool) (int, error) {
 	lim = lim.withDefaults()
 	h.Reset()
@@ -295,7 +302,7 @@
 	case pos == 0 && len(buf) > lim.Line, pos > lim.Line+2:
 		return 0, ErrHeadTooLong
 	case pos == 0:
-		// a peer that speaks no HTTP is told apart by its first bytes
+		// a peer that does not speak HTTP/1 is detected by its first bytes, before a line is complete
 		if k := min(len(buf), 7); string(buf[:k]) != "HTTP/1."[:k] {
 			return 0, ErrStatusLine
 		}
@@ -324,7 +331,9 @@
 	return n, h.frameResponse(requestIsHead)
 }
 
-// parseFields reads field lines up to the empty one.
+// parseFields parses the field lines from buf[pos] to the empty line that ends
+// the head. The head starts at buf[start]. It returns the index after the head,
+// or 0 if more bytes are needed.
 func (h *Head) parseFields(buf []byte, start, pos int, lim Limits) (int, error) {
 	for {
 		if pos-start > lim.Head {
@@ -370,6 +379,7 @@
 	return Field{Name: line[:i], Value: v}, nil
 }
 
+// trimOWS removes optional white space (RFC 9110, section 5.6.3) at both ends.
 func trimOWS(b []byte) []byte {
 	for len(b) > 0 && (b[0] == ' ' || b[0] == '\t') {
 		b = b[1:]
@@ -380,7 +390,9 @@
 	return b
 }
 
-// parseFraming reads the fields that both kinds of message share.
+// parseFraming evaluates the fields that frame a message or concern its
+// connection, alike in requests and responses. It reports whether the body is
+// chunked.
 func (h *Head) parseFraming() (chunked bool, err error) {
 	lengths, codings, hosts := 0, 0, 0
 	keepAlive, closed := false, false
@@ -445,7 +457,7 @@
 }
 
 // EachMember calls f for each non-empty member of a comma-separated list
-// without quoted strings, as that of Connection.
+// without quoted strings, such as the value of Connection.
 func EachMember(list []byte, f func([]byte)) {
 	for len(list) > 0 {
 		m := list
@@ -460,7 +472,8 @@
 	}
 }
 
-// parseContentLength reads one value, or a list of one value repeated (RFC 9110, section 8.6).
+// parseContentLength parses a length, or a list that repeats one length (RFC 9110,
+// section 8.6). A length has at most 18 digits, which always fit in an int64.
 func parseContentLength(v []byte) (int64, error) {
 	n, seen := int64(-1), false
 	for {
@@ -488,6 +501,7 @@
 	}
 }
 
+// checkCoding checks that the value of Transfer-Encoding is chunked alone.
 func checkCoding(v []byte) error {
 	if EqualFold(v, "chunked") {
 		return nil
@@ -498,6 +512,8 @@
 	return ErrCoding
 }
 
+// frameRequest checks Host and the form of the target, and sets how the body is
+// framed.
 func (h *Head) frameRequest() error {
 	chunked, err := h.parseFraming()
 	if err != nil {
@@ -529,13 +545,14 @@
 	return nil
 }
 
-// ErrConnectMethod is a method that is understood and never served here.
+// ErrConnectMethod reports a CONNECT request. The method is recognized but not supported.
 var ErrConnectMethod = &ProtocolError{501, "CONNECT is not served"}
 
+// frameResponse sets how the body of a response is framed.
 func (h *Head) frameResponse(requestIsHead bool) error {
 	chunked, err := h.parseFraming()
 	if invalid, ok := err.(*ProtocolError); ok {
-		if invalid == ErrNoHost { // means nothing in a response
+		if invalid == ErrNoHost { // Host has no meaning in a response
 			chunked, err = h.Has("transfer-encoding"), nil
 		} else {
 			return err
@@ -558,8 +575,8 @@
 	return nil
 }
 
-// Path returns the target's path and query in origin form: of an absolute
-// target what follows the authority.
+// Path returns the path and query of the target. Of a target in absolute form,
+// this is the part after the authority.
 func (h *Head) Path() []byte {
 	t := h.Target
 	if len(t) > 0 && t[0] == '/' {
--- a/internal/protocol/http1/http1_test.go
+++ b/internal/protocol/http1/http1_test.go
@@ -21,7 +21,7 @@
 		{"plain", "GET /a HTTP/1.1\r\nHost: h\r\n\r\n", nil},
 		{"empty lines first", "\r\n\r\nGET /a HTTP/1.1\r\nHost: h\r\n\r\n", nil},
 		{"absolute", "GET http://h/a HTTP/1.1\r\nHost: h\r\n\r\n", nil},
-		{"old", "GET /a HTTP/1.0\r\n\r\n", nil},
+		{"HTTP/1.0", "GET /a HTTP/1.0\r\n\r\n", nil},
 		{"bare LF", "GET /a HTTP/1.1\nHost: h\r\n\r\n", ErrBareLF},
 		{"bare LF in fields", "GET /a HTTP/1.1\r\nHost: h\n\r\n", ErrBareLF},
 		{"bare CR", "GET /a HTTP/1.1\r\nHost: h\rX: y\r\n\r\n", ErrBareLF},
@@ -63,7 +63,7 @@
 			t.Errorf("%s: error %v, want %v", c.name, err, c.err)
 		}
 		if err == nil && n != len(c.in) {
-			t.Errorf("%s: %d bytes of %d taken", c.name, n, len(c.in))
+			t.Errorf("%s: %d bytes of %d consumed", c.name, n, len(c.in))
 		}
 	}
 }
@@ -97,8 +97,8 @@
 	}
 }
 
-// A head comes out the same however the bytes arrive, and no proper prefix of
-// it is taken for whole.
+// ParseRequest asks for more bytes for every proper prefix of a head, and parses
+// the whole head.
 func TestPrefixNeedsMoreBytes(t *testing.T) {
 	in := []byte("POST /v/1/film/3?x=1 HTTP/1.1\r\nHost: h:80\r\nContent-Length: 3\r\nX-A:  b \r\n\r\n")
 	var h Head
@@ -112,6 +112,8 @@
 	}
 }
 
+// decode feeds in to b in pieces of step bytes and returns the content and the
+// bytes that b did not consume.
 func decode(b *Body, in []byte, step int) (out []byte, rest []byte, err error) {
 	for len(in) > 0 && !b.Done() {
 		part := in[:min(step, len(in))]
@@ -127,7 +129,8 @@
 	return out, in, nil
 }
 
-// Chunked data comes out whole in any split, and what follows it is left alone.
+// Chunks written by AppendChunk decode to the same data however the input is
+// split, and the bytes after the body are not consumed.
 func TestChunksRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		parts := rapid.SliceOf(rapid.SliceOfN(rapid.Byte(), 1, 300)).Draw(t, "parts")
@@ -205,13 +208,14 @@
 		b.Start(&h, 0)
 		b.Next(res[k:])
 	}); n > 0 {
-		t.Errorf("%v allocations a message", n)
+		t.Errorf("%v allocations per message, want 0", n)
 	}
 }
 
-// FuzzRequest looks for requests that we take and Go's net/http reads
-// otherwise: the framing must be the same wherever both accept, and what we
-// accept must be accepted there but for the differences in docs/protocol.md.
+// FuzzRequest compares ParseRequest and Body with net/http, since a request that
+// two servers frame differently enables request smuggling. Where both accept a
+// request, method, framing and body must be the same. docs/protocol.md lists what
+// net/http rejects and this package accepts.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte("GET /a HTTP/1.1\r\nHost: h\r\n\r\n"))
 	f.Add([]byte("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc"))
@@ -222,7 +226,7 @@
 		if err != nil {
 			var fault *ProtocolError
 			if !errors.As(err, &fault) || fault.Status < 400 || fault.Status > 505 {
-				t.Fatalf("error %v is no fault with a status", err)
+				t.Fatalf("error %v is not a ProtocolError with a status from 400 to 505", err)
 			}
 			return
 		}
@@ -234,11 +238,11 @@
 		body, rest, bodyErr := decode(&b, in[n:], 7)
 		r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(in)))
 		if err != nil {
-			return // Go refuses more: URLs, methods; a refusal smuggles nothing
+			return // net/http rejects more URLs and methods; a rejected request smuggles nothing
 		}
 		if r.Method != string(h.Method) || h.Body == Length && r.ContentLength != h.ContentLength ||
 			(h.Body == Chunked) != (len(r.TransferEncoding) > 0) {
-			t.Fatalf("read as %s, body %v of %d; net/http: %s, %d, %v",
+			t.Fatalf("parsed as %s, body kind %v, length %d; net/http: %s, %d, %v",
 				h.Method, h.Body, h.ContentLength, r.Method, r.ContentLength, r.TransferEncoding)
 		}
 		if bodyErr == nil && b.Done() {
@@ -251,7 +255,8 @@
 	})
 }
 
-// FuzzResponse does the same for responses.
+// FuzzResponse compares ParseResponse and Body with net/http: where both accept a
+// response, status and body must be the same.
 func FuzzResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"))
@@ -280,7 +285,8 @@
 	})
 }
 
-// FuzzChunks compares decoded chunks with those of net/http.
+// FuzzChunks checks that chunks decode alike byte by byte and at once, and that
+// net/http, where it accepts them, decodes the same data.
 func FuzzChunks(f *testing.F) {
 	f.Add([]byte("3\r\nabc\r\n0\r\n\r\n"))
 	f.Add([]byte("3;x=\"y\"\r\nabc\r\n0\r\nT: v\r\n\r\n"))
--- a/internal/protocol/http1/write.go
+++ b/internal/protocol/http1/write.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// AppendStatus appends a status line of HTTP/1.1.
+// AppendStatus appends an HTTP/1.1 status line.
 func AppendStatus(dst []byte, status int) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(status), 10)
@@ -11,7 +11,7 @@
 	return append(dst, "\r\n"...)
 }
 
-// AppendRequestLine appends a request line of HTTP/1.1.
+// AppendRequestLine appends an HTTP/1.1 request line.
 func AppendRequestLine(dst, method, target []byte) []byte {
 	dst = append(dst, method...)
 	dst = append(dst, ' ')
@@ -35,7 +35,7 @@
 	return append(dst, "\r\n"...)
 }
 
-// AppendFieldInt appends a field line whose value is a whole number.
+// AppendFieldInt appends a field line whose value is an integer.
 func AppendFieldInt(dst []byte, name string, value int64) []byte {
 	dst = append(dst, name...)
 	dst = append(dst, ": "...)
@@ -43,8 +43,8 @@
 	return append(dst, "\r\n"...)
 }
 
-// AppendChunk appends one chunk; of no data it appends nothing, since an empty
-// chunk would end the body.
+// AppendChunk appends a chunk. It appends nothing if data is empty, since an
+// empty chunk would end the body.
 func AppendChunk(dst, data []byte) []byte {
 	if len(data) == 0 {
 		return dst
@@ -55,12 +55,12 @@
 	return append(dst, "\r\n"...)
 }
 
-// LastChunk ends a chunked body without trailers.
+// LastChunk is the end of a chunked body without trailers.
 const LastChunk = "0\r\n\r\n"
 
-// HopByHop reports whether a field is for one connection only and is not
-// forwarded (RFC 9110, section 7.6.1). Fields that Connection names are the
-// caller's to drop, see Named.
+// HopByHop reports whether a field applies to a single connection and must not be
+// forwarded (RFC 9110, section 7.6.1). The caller also drops the fields that
+// Connection lists; see ListedInConnection.
 func HopByHop(name []byte) bool {
 	switch len(name) {
 	case 2:
@@ -81,7 +81,8 @@
 	return false
 }
 
-// ListedInConnection reports whether a Connection field of the head names the field.
+// ListedInConnection reports whether a Connection field of the head lists the
+// field with the given name.
 func (h *Head) ListedInConnection(name []byte) bool {
 	for i := range h.Fields {
 		if len(h.Fields[i].Name) != 10 || !EqualFold(h.Fields[i].Name, "connection") {
@@ -102,19 +103,21 @@
 	return false
 }
 
+// equalTokens compares two tokens with the case of letters ignored.
 func equalTokens(a, b []byte) bool {
 	if len(a) != len(b) {
 		return false
 	}
 	for i := range a {
-		if a[i]|0x20 != b[i]|0x20 { // both are tokens
+		if a[i]|0x20 != b[i]|0x20 { // folds letters; of the other token characters, only ^ and ~ become equal
 			return false
 		}
 	}
 	return true
 }
 
-// StatusText is the registered phrase of a status, or a plain one.
+// StatusText returns the registered reason phrase of a status, or "Status" for a
+// status that is not listed here.
 func StatusText(status int) string {
 	switch status {
 	case 100:
