--- a/internal/protocol/fetchheader/fillwire.go
+++ b/internal/protocol/fetchheader/fillwire.go
@@ -1,12 +1,12 @@
-// Package fetchheader is the codec for an attempt and its outcome in HTTP: the request
-// field Spool-Fill and the response fields Cache-Status (RFC 9211), Spool-Copy and
-// Spool-Load, all of them structured fields (RFC 9651). Routers and caches both use it;
-// docs/protocol.md is its definition in prose.
+// Package fetchheader encodes and decodes the HTTP fields of an attempt and of its
+// outcome: the request field Spool-Fill and the response fields Cache-Status (RFC 9211),
+// Spool-Copy and Spool-Load. All are structured fields (RFC 9651). Routers and caches use
+// the package; docs/protocol.md defines the fields.
 //
-// It holds no state and decides nothing: it only says which Result and Note of the
-// decision module a response amounts to. What the router does for each attempt is written
-// here without allocation, and tested against github.com/dunglas/httpsfv; what only caches
-// need uses that library.
+// The package holds no state and makes no decisions: it only maps a response to a Result
+// and a Note of the decision module. The functions that a router calls for each attempt do
+// not allocate and are tested against github.com/dunglas/httpsfv. The functions that only
+// caches need use that library.
 package fetchheader
 
 import (
@@ -31,30 +31,31 @@
 	IdempotencyKeyField = "Idempotency-Key"
 )
 
-// Attempt is what a router asks of a cache, parent or origin, beside the
+// Attempt is what a router sends to a cache, parent or origin in addition to the
 // request itself.
 type Attempt struct {
-	ID            string // the router's name of the request
-	Number        int    // of the attempt, from 0
-	From          string // the router's name
+	ID            string // identifies the request at the router
+	Number        int    // number of the attempt in its request, from 0
+	From          string // name of the router
 	Class         string
-	Object        string // what a purge names; all parts of an object share it
-	Group         int    // group of the object, for purges; -1: none
-	Source        string // member to fill from; empty: a look, answered from its own copy or not at all
-	SourceAddress string // address of the source
-	Keep          int    // rank of the copy, 1 to 3; 0: pass through
-	Age           float64
-	TimeLeft      float64 // time that the asker waits, ms; 0: not told
-	Join          bool    // may join a fill under way
-	Held          bool    // the source gives only what it holds
-	Renew         bool    // renew an ageing copy behind the answer
+	Object        string  // key of the object, used by purges; all parts of an object share it
+	Group         int     // group of the object, used by purges; -1: none
+	Source        string  // member to fill from; empty: only a cached copy is served, unless MayFetch
+	SourceAddress string  // address of the source
+	Keep          int     // rank of the copy to cache, 1 to 3; 0: not cached
+	Age           float64 // maximum age of the copy, ms; 0: no bound given
+	TimeLeft      float64 // time until the request's deadline at the router, ms; 0: not given
+	Join          bool    // may join a fill in flight
+	Held          bool    // fill only if the source has a copy
+	Renew         bool    // refresh an aging copy in the background while it is served
 
-	Via      string // of a fill: the cache that asks; empty: a router does
-	MayFetch bool   // of a fill: the source may fetch what it lacks from where it is set to
+	Via      string // in a fill: the cache that fills; empty: a router sent the request
+	MayFetch bool   // in a fill: a source without a copy may fetch one from its configured upstream
 }
 
-// NewAttempt is the attempt that an action of the module asks for. Where a copy's
-// own cache is named as its source, there is no fill.
+// NewAttempt returns the attempt for a Send of the decision module. If the source is the
+// target itself, the attempt has no source, so there is no fill. address is the address
+// of the source, timeLeft the time until the request's deadline in milliseconds.
 func NewAttempt(send *spool.Send, request *spool.Request, number int, from, address string, timeLeft float64) Attempt {
 	a := Attempt{ID: send.ID, Number: number, From: from, Class: request.Class, Object: request.Object, Group: request.Group,
 		Keep: send.Keep, Age: send.Age, TimeLeft: timeLeft, Join: send.Join, Held: send.Held, Renew: send.Renew}
@@ -64,7 +65,7 @@
 	return a
 }
 
-// Append appends the value of Spool-Fill, a Dictionary.
+// Append appends the value of Spool-Fill, a Dictionary, to dst.
 func (a *Attempt) Append(dst []byte) []byte {
 	dst = appendString(append(dst, "id="...), a.ID)
 	dst = strconv.AppendInt(append(dst, ", n="...), int64(a.Number), 10)
@@ -103,7 +104,8 @@
 	return dst
 }
 
-// appendString writes an sf-string; what cannot stand in one is replaced by '?'.
+// appendString appends s as an sf-string. A byte that an sf-string cannot hold is replaced
+// by '?'.
 func appendString(dst []byte, s string) []byte {
 	dst = append(dst, '"')
 	for i := 0; i < len(s); i++ {
@@ -119,7 +121,8 @@
 	return append(dst, '"')
 }
 
-// appendDecimal writes an sf-decimal: at most 12 digits, a point, 1 to 3 digits.
+// appendDecimal appends v as an sf-decimal: at most 12 digits, a point and 1 to 3 digits.
+// A value outside that range is replaced by the nearest bound.
 func appendDecimal(dst []byte, v float64) []byte {
 	const most = 999_999_999_999
 	if !(v > -most && v < most) {
@@ -133,18 +136,18 @@
 	return dst
 }
 
-// ParseAttempt reads the value of Spool-Fill, as a cache does.
+// ParseAttempt parses the values of Spool-Fill. Unknown members are ignored.
 func ParseAttempt(values []string) (Attempt, error) {
 	a := Attempt{Group: -1}
 	d, err := httpsfv.UnmarshalDictionary(values)
 	if err != nil {
-		return a, fmt.Errorf("fillwire: %s %q: %w", FillField, values, err)
+		return a, fmt.Errorf("fetchheader: parse %s %q: %w", FillField, values, err)
 	}
 	for _, name := range d.Names() {
 		m, _ := d.Get(name)
 		item, ok := m.(httpsfv.Item)
 		if !ok {
-			return a, fmt.Errorf("fillwire: %s: member %s is a list; an item is wanted", FillField, name)
+			return a, fmt.Errorf("fetchheader: %s: member %s is an inner list, want an item", FillField, name)
 		}
 		switch name {
 		case "id":
@@ -179,20 +182,20 @@
 			err = setValue(&a.Via, item)
 		case "fetch":
 			err = setValue(&a.MayFetch, item)
-		} // others are for later versions: ignored
+		} // later versions may define other members
 		if err != nil {
-			return a, fmt.Errorf("fillwire: %s: member %s: %w", FillField, name, err)
+			return a, fmt.Errorf("fetchheader: %s: member %s: %w", FillField, name, err)
 		}
 	}
 	switch {
 	case a.ID == "":
-		err = errors.New("fillwire: Spool-Fill names no id")
+		err = errors.New("fetchheader: Spool-Fill has no id")
 	case a.Source != "" && a.SourceAddress == "":
-		err = fmt.Errorf("fillwire: Spool-Fill names the source %q without its address (at)", a.Source)
+		err = fmt.Errorf("fetchheader: Spool-Fill: source %q has no address (at)", a.Source)
 	case a.Keep < 0 || a.Keep > 3:
-		err = fmt.Errorf("fillwire: Spool-Fill: keep is %d; 0 to 3 are known", a.Keep)
+		err = fmt.Errorf("fetchheader: Spool-Fill: keep is %d, want 0 to 3", a.Keep)
 	case a.Age < 0 || a.TimeLeft < 0:
-		err = errors.New("fillwire: Spool-Fill: a span is negative")
+		err = fmt.Errorf("fetchheader: Spool-Fill: age %v ms or left %v ms is negative", a.Age, a.TimeLeft)
 	}
 	return a, err
 }
@@ -200,7 +203,7 @@
 func setValue[T any](dst *T, item httpsfv.Item) error {
 	v, ok := item.Value.(T)
 	if !ok {
-		return fmt.Errorf("value %v is of another type", item.Value)
+		return fmt.Errorf("value %v has the wrong type", item.Value)
 	}
 	*dst = v
 	return nil
@@ -209,7 +212,7 @@
 func setInt(dst *int, item httpsfv.Item) error {
 	v, ok := item.Value.(int64)
 	if !ok || v < -1<<31 || v >= 1<<31 {
-		return fmt.Errorf("value %v is no whole number of 32 bits", item.Value)
+		return fmt.Errorf("value %v is not a 32-bit integer", item.Value)
 	}
 	*dst = int(v)
 	return nil
@@ -222,39 +225,40 @@
 	case float64:
 		*dst = v
 	default:
-		return fmt.Errorf("value %v is no number", item.Value)
+		return fmt.Errorf("value %v is not a number", item.Value)
 	}
 	return nil
 }
 
-// Details that a cache states in Cache-Status when it could not fill.
+// Values of the detail parameter of Cache-Status by which a cache reports why a fill failed.
 const (
-	SourceRefused   = "source-refused"
-	SourceUnreached = "source-unreached"
-	SourceLacks     = "source-lacks"
-	NoPlace         = "no-place"
-	OriginFailed    = "origin-failed"
+	SourceRefused   = "source-refused"   // the source rejected the fill or answered with an error
+	SourceUnreached = "source-unreached" // the source could not be reached
+	SourceLacks     = "source-lacks"     // the source has no copy
+	NoPlace         = "no-place"         // the cache has no capacity for a fill
+	OriginFailed    = "origin-failed"    // the origin failed behind the source
 )
 
+// notesByDetail maps the details to the notes of the decision module.
 var notesByDetail = map[string]spool.Note{
 	SourceRefused: spool.NoteSourceRejected, SourceUnreached: spool.NoteSourceUnreachable,
 	SourceLacks: spool.NoteSourceMiss, NoPlace: spool.NoteNoCapacity, OriginFailed: spool.NoteOriginFailed,
 }
 
-// CacheStatus is what a cache says of how it handled an attempt: one member of
+// CacheStatus reports how a cache handled an attempt. It is one member of the list
 // Cache-Status.
 type CacheStatus struct {
-	Cache     string
-	Hit       bool
-	TTL       float64 // seconds; below 0: past its fresh time. Told only of hits with HasTTL
+	Cache     string  // name of the cache
+	Hit       bool    // answered from a cached copy
+	TTL       float64 // remaining freshness lifetime of a hit, s; negative: stale; sent only if HasTTL
 	HasTTL    bool
-	Fwd       string // why it went on: "miss", "stale", "bypass"
-	Stored    bool
-	Collapsed bool   // RFC 9211: collapsed
-	Detail    string // one of the details above
+	Fwd       string // why the request was forwarded: "miss", "stale" or "bypass"
+	Stored    bool   // the answer was cached
+	Collapsed bool   // joined the fill of another request
+	Detail    string // why a fill failed, such as NoPlace; empty: not given
 }
 
-// String is the list member.
+// String returns the list member.
 func (c CacheStatus) String() string {
 	p := httpsfv.NewParams()
 	if c.Hit {
@@ -281,15 +285,15 @@
 	return s
 }
 
-// memberStatus is what a router reads of one Cache-Status member.
+// memberStatus holds the parameters of a Cache-Status member that a router uses.
 type memberStatus struct {
 	hit, fwd, stale, collapsed bool
 	detail                     []byte
 }
 
-// parseLastStatus reads the last member, which the nearest cache added, and whether
-// one before it was forwarded by a miss. It reads loosely: what is not
-// understood counts as not said.
+// parseLastStatus returns the last member of Cache-Status, which the nearest cache added,
+// and whether a member before it has the parameter fwd. It is lenient: anything that it
+// does not understand counts as absent.
 func parseLastStatus(v []byte) (last memberStatus, forwardedBefore bool) {
 	for len(v) > 0 {
 		var m []byte
@@ -300,7 +304,8 @@
 	return last, forwardedBefore
 }
 
-// cutUnquoted cuts at the first separator outside of quoted strings.
+// cutUnquoted slices v around the first separator outside quoted strings. Without one,
+// before is v and after is nil.
 func cutUnquoted(v []byte, sep byte) (before, after []byte) {
 	quoted := false
 	for i := 0; i < len(v); i++ {
@@ -340,12 +345,13 @@
 
 var equalsSign = []byte("=")
 
-// ClassifyResponse says which result and note a response amounts to. looked tells that
-// only a copy was asked for; write that the request runs at the origin.
+// ClassifyResponse returns the result and the note of a response. copyOnly reports whether
+// the attempt was for a cached copy only, without a fill. write reports whether the origin
+// executes the request; it does not affect the classification.
 //
-// 504 to a look is a miss (RFC 9111, section 5.2.1.7); 503 was turned away
-// before anything ran; other 5xx are faults. All else is the object's answer,
-// also where that is 404.
+// A 504 to an attempt for a copy only is a miss (RFC 9111, section 5.2.1.7). A 503 means
+// that the request was rejected before it was executed. Any other 5xx is an error. Every
+// other response is the answer for the object, a 404 too.
 func ClassifyResponse(h *http1.Head, copyOnly, write bool) (spool.Result, spool.Note) {
 	s, forwardedBefore := parseLastStatus(h.Get("cache-status"))
 	note := spool.NoteNone
@@ -377,23 +383,24 @@
 	return spool.OK, note
 }
 
-// CopyVersion is what Spool-Copy says of an answer's copy.
+// CopyVersion is the content of Spool-Copy: version and age of the copy that a response
+// was served from.
 type CopyVersion struct {
 	Number int64   // the origin's version of the object
-	Age    float64 // ms since the origin gave it, at the time of the answer
+	Age    float64 // time since the origin sent it, at the time of the response, ms
 }
 
-// String is the value of Spool-Copy.
+// String returns the value of Spool-Copy.
 func (v CopyVersion) String() string {
 	b := strconv.AppendInt([]byte("v="), v.Number, 10)
 	return string(appendDecimal(append(b, ", age="...), v.Age))
 }
 
-// ParseCopyVersion reads Spool-Copy.
+// ParseCopyVersion parses the value of Spool-Copy. Unknown members are ignored.
 func ParseCopyVersion(value string) (v CopyVersion, err error) {
 	d, err := httpsfv.UnmarshalDictionary([]string{value})
 	if err != nil {
-		return v, fmt.Errorf("fillwire: %s %q: %w", CopyField, value, err)
+		return v, fmt.Errorf("fetchheader: parse %s %q: %w", CopyField, value, err)
 	}
 	for _, name := range d.Names() {
 		if item, ok := d.Get(name); ok {
@@ -405,14 +412,14 @@
 				err = setNumber(&v.Age, item)
 			}
 			if err != nil {
-				return v, fmt.Errorf("fillwire: %s: member %s: %w", CopyField, name, err)
+				return v, fmt.Errorf("fetchheader: %s: member %s: %w", CopyField, name, err)
 			}
 		}
 	}
 	return v, nil
 }
 
-// FormatLoad writes a load report, a List of decimals.
+// FormatLoad returns the value of Spool-Load for a load report, a List of decimals.
 func FormatLoad(load []float64) string {
 	var b []byte
 	for i, v := range load {
@@ -424,7 +431,8 @@
 	return string(b)
 }
 
-// ParseLoad reads a load report into dst. A malformed report counts as none.
+// ParseLoad parses a load report into the memory of dst. It returns an empty slice if the
+// report is malformed.
 func ParseLoad(dst []float64, value []byte) []float64 {
 	dst = dst[:0]
 	for len(value) > 0 {
@@ -443,7 +451,7 @@
 	return dst
 }
 
-// parseDecimal reads an sf-integer or sf-decimal.
+// parseDecimal parses an sf-integer or sf-decimal.
 func parseDecimal(b []byte) (v float64, ok bool) {
 	negative := len(b) > 0 && b[0] == '-'
 	if negative {
@@ -477,7 +485,7 @@
 	return v, true
 }
 
-// OnlyIfCached reports whether a Cache-Control value asks for a held copy only.
+// OnlyIfCached reports whether the values of Cache-Control contain only-if-cached.
 func OnlyIfCached(values []string) bool {
 	for _, v := range values {
 		for _, d := range strings.Split(v, ",") {
--- a/internal/protocol/fetchheader/fillwire_test.go
+++ b/internal/protocol/fetchheader/fillwire_test.go
@@ -11,7 +11,8 @@
 	"indigospool/internal/protocol/http1"
 )
 
-// What the router writes by hand is what the library reads.
+// Attempt.Append, which does not use httpsfv, writes values that ParseAttempt decodes by
+// httpsfv to the same attempt.
 func TestAttemptRoundTrip(t *testing.T) {
 	text := rapid.StringMatching(`[ -~]{1,20}`)
 	span := rapid.Custom(func(t *rapid.T) float64 {
@@ -32,7 +33,7 @@
 			t.Fatalf("%q: %v", value, err)
 		}
 		if math.Abs(got.Age-want.Age) > 0.001 || math.Abs(got.TimeLeft-want.TimeLeft) > 0.001 {
-			t.Fatalf("spans %v, %v came back as %v, %v", want.Age, want.TimeLeft, got.Age, got.TimeLeft)
+			t.Fatalf("age %v and time left %v decoded as %v and %v", want.Age, want.TimeLeft, got.Age, got.TimeLeft)
 		}
 		got.Age, got.TimeLeft = want.Age, want.TimeLeft
 		if got != want {
@@ -47,11 +48,11 @@
 		`id="a", join=1`, `id="a`, `id=("a" "b")`, `id="a", n=99999999999`,
 	} {
 		if a, err := ParseAttempt([]string{v}); err == nil {
-			t.Errorf("%q was taken as %+v", v, a)
+			t.Errorf("%q: no error, decoded as %+v", v, a)
 		}
 	}
 	if _, err := ParseAttempt([]string{`id="a", later="x"`}); err != nil {
-		t.Errorf("a member of a later version: %v", err)
+		t.Errorf("unknown member: %v", err)
 	}
 }
 
@@ -86,8 +87,8 @@
 	}
 }
 
-// Whatever a cache writes about itself with the library, the hand-written
-// reader finds in it.
+// parseLastStatus, which does not use httpsfv, reads from a Cache-Status member that
+// CacheStatus.String wrote by httpsfv what was written.
 func TestCacheStatusRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := CacheStatus{Cache: rapid.StringMatching(`[ -~]{1,12}`).Draw(t, "name"), Hit: rapid.Bool().Draw(t, "hit"),
@@ -103,7 +104,7 @@
 		s, _ := parseLastStatus([]byte(`"p"; fwd=miss, ` + value))
 		if s.hit != h.Hit || s.fwd != (h.Fwd != "") || s.collapsed != h.Collapsed || string(s.detail) != h.Detail ||
 			h.Hit && s.stale != (h.TTL < 0) {
-			t.Fatalf("%s read as %+v", value, s)
+			t.Fatalf("%s parsed as %+v", value, s)
 		}
 	})
 }
@@ -117,7 +118,7 @@
 	}
 	for _, bad := range []string{"x", "1,,2", "1.", ".5", "1e3", "--1", "1 2"} {
 		if got := ParseLoad(nil, []byte(bad)); len(got) > 0 {
-			t.Errorf("%q read as %v", bad, got)
+			t.Errorf("%q parsed as %v, want none", bad, got)
 		}
 	}
 }
@@ -138,11 +139,11 @@
 		ClassifyResponse(h, true, false)
 		load = ParseLoad(load, []byte("3, 0.5"))
 	}); n > 0 {
-		t.Errorf("%v allocations an attempt", n)
+		t.Errorf("%v allocations per attempt, want 0", n)
 	}
 }
 
-// FuzzStatus: nonsense of a cache is a note of none, never a crash.
+// FuzzStatus checks that no field value makes the parsers panic.
 func FuzzStatus(f *testing.F) {
 	f.Add(`"p"; fwd=miss, "b"; hit; ttl=-1; detail="x"`)
 	f.Fuzz(func(t *testing.T, v string) {
@@ -153,8 +154,8 @@
 	})
 }
 
-// Side by side: an attempt's field and its answer's status by hand, as the
-// router does, and by the library.
+// BenchmarkAttempt compares the router's encoding of Spool-Fill and decoding of
+// Cache-Status with those of httpsfv.
 func BenchmarkAttempt(b *testing.B) {
 	a := Attempt{ID: "r1-7", From: "r1", Class: "video", Object: "/v/7/a", Group: 7, Keep: 1, Age: 1e9, TimeLeft: 400}
 	h := &http1.Head{Status: 200, Fields: []http1.Field{{Name: []byte("Cache-Status"), Value: []byte(`"b"; hit; ttl=4`)}}}
