--- a/cmd/spool-router/main.go
+++ b/cmd/spool-router/main.go
@@ -1,5 +1,5 @@
-// Spool-router is the edge: it takes clients' requests and has them answered by
-// caches, as the decision module says.
+// Spool-router accepts HTTP requests of clients and forwards them to the caches that the
+// decision module selects.
 package main
 
 import (
@@ -24,7 +24,7 @@
 	serve := &cobra.Command{Use: "serve -c FILE", Short: "Serve until SIGTERM or SIGINT, then drain",
 		Example: "  spool-router serve -c edge.edn", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return serve(c.Context(), file) }}
-	check := &cobra.Command{Use: "check -c FILE", Short: "Check a settings file; exit 1 on a fault",
+	check := &cobra.Command{Use: "check -c FILE", Short: "Check a settings file; exit 1 if it has errors",
 		Example: "  spool-router check -c edge.edn\n  spool-router check -c edge.edn --print", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error { return check(file, canonical) }}
 	for _, c := range []*cobra.Command{serve, check} {
@@ -33,13 +33,15 @@
 	}
 	check.Flags().BoolVar(&canonical, "print", false, "print the settings in canonical form")
 	var logTarget string
-	demoCmd := &cobra.Command{Use: "demo", Short: "A router among stand-ins, to fetch from with curl", Args: cobra.NoArgs, Example: "  spool-router demo",
+	demoCmd := &cobra.Command{Use: "demo", Short: "A router with test servers in one process, to try with curl", Args: cobra.NoArgs, Example: "  spool-router demo",
 		RunE: func(c *cobra.Command, _ []string) error { return runDemo(c.Context(), logTarget) }}
 	demoCmd.Flags().StringVar(&logTarget, "log", "none", "access log: stderr, stdout, none or a file")
 	root.AddCommand(serve, check, demoCmd, nodeCommand())
 	cli.Main(root)
 }
 
+// load reads a settings file. Errors in the settings are returned as a cli.FoundError, which
+// makes the program exit with status 1.
 func load(file string) (*config.Settings, error) {
 	s := &config.Settings{}
 	err := config.ReadFile(file, s)
@@ -50,6 +52,7 @@
 	return s, err
 }
 
+// check checks a settings file and prints a summary or, if canonical, the settings themselves.
 func check(file string, canonical bool) error {
 	s, err := load(file)
 	if err != nil {
@@ -64,6 +67,7 @@
 	return nil
 }
 
+// serve runs a router until ctx is done and the router has drained.
 func serve(ctx context.Context, file string) error {
 	s, err := load(file)
 	if err != nil {
@@ -86,10 +90,11 @@
 		edge.Drain()
 	})
 	err = edge.Run()
-	log.Log.Info("ended")
+	log.Log.Info("stopped")
 	return err
 }
 
+// runDemo runs a router with test servers until ctx is done and the router has drained.
 func runDemo(ctx context.Context, logTarget string) error {
 	d, err := demo.Start(logTarget)
 	if err != nil {
--- a/cmd/spool-router/node.go
+++ b/cmd/spool-router/node.go
@@ -19,29 +19,32 @@
 )
 
 const (
-	logQueueLines   = 1024 // that wait for whoever reads the log
-	logFlushTimeout = 200 * time.Millisecond
+	logQueueLines   = 1024                   // log lines that wait for standard error to accept them
+	logFlushTimeout = 200 * time.Millisecond // maximum wait for these lines at the end
 )
 
-// nodeCommand is the router on the platform, told by its environment.
+// nodeCommand returns the command that runs a router on the platform, configured by
+// environment variables.
 func nodeCommand() *cobra.Command {
 	var countsInterval float64
 	var verbose bool
-	c := &cobra.Command{Use: "node", Short: "Serve on the platform, as NODE_CONFIG says, until SIGTERM; SIGHUP reads it again",
+	c := &cobra.Command{Use: "node", Short: "Serve on the platform with the configuration file NODE_CONFIG until SIGTERM, then drain; SIGHUP reloads the file",
 		Example: "  NODE_CONFIG=config.json NODE_LISTEN=127.0.0.1:5050 spool-router node", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return serveNode(c.Context(), countsInterval, verbose) }}
-	c.Flags().Float64Var(&countsInterval, "line", 0, "log a line of counts each so many milliseconds; 0: none")
-	c.Flags().BoolVar(&verbose, "verbose", false, "log each connection and answer that was turned down")
+	c.Flags().Float64Var(&countsInterval, "line", 0, "interval between log lines of counters, in milliseconds; 0: none")
+	c.Flags().BoolVar(&verbose, "verbose", false, "log invalid messages, failed answers and the outcome of each fill")
 	return c
 }
 
+// serveNode runs a router on the platform until ctx is done and the router has drained.
+// countsInterval is the interval between log lines of counters in milliseconds, or 0 for none.
 func serveNode(ctx context.Context, countsInterval float64, verbose bool) error {
 	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP) // before anything else: it must never end the program
+	signal.Notify(hup, syscall.SIGHUP) // first of all, since an unhandled SIGHUP would end the program
 	runtime.GOMAXPROCS(1)
 	file := os.Getenv("NODE_CONFIG")
 	if file == "" {
-		return errors.New("NODE_CONFIG names no configuration file")
+		return errors.New("NODE_CONFIG is not set to a configuration file")
 	}
 	cfg, err := platform.ReadConfig(file)
 	if err != nil {
@@ -53,7 +56,7 @@
 		level = zapcore.DebugLevel
 	}
 	out := asynclog.New(os.Stderr, logQueueLines)
-	defer func() { // what is left is written, unless nobody reads it
+	defer func() { // writes the remaining lines; gives up after logFlushTimeout if standard error is blocked
 		out.CloseNoWait()
 		select {
 		case <-out.Done():
@@ -77,6 +80,6 @@
 		}
 	}()
 	err = n.Serve()
-	log.Info("ended")
+	log.Info("stopped")
 	return err
 }
