--- a/internal/protocol/http1/body.go
+++ b/internal/protocol/http1/body.go
@@ -60,7 +60,8 @@
 	return nil
 }
 
-// Done reports whether the end of the body was reached. A body without content is done after Start.
+// Done reports whether the end of the body was reached. If the message has no body,
+// that is so after Start.
 func (b *Body) Done() bool { return b.state == bodyDone }
 
 // Kind returns the way in which the body is framed.
--- a/internal/protocol/http1/head.go
+++ b/internal/protocol/http1/head.go
@@ -252,6 +252,7 @@
 	return n, h.frameRequest()
 }
 
+// parseRequestLine sets the method, target and version.
 func (h *Head) parseRequestLine(line []byte) error {
 	i := bytes.IndexByte(line, ' ')
 	if i <= 0 {
