--- a/cmd/spool-cache/main.go
+++ b/cmd/spool-cache/main.go
@@ -18,7 +18,7 @@
 	root := &cobra.Command{Use: "spool-cache", Short: "A cache with a store on disk, as a box or a parent",
 		Long: "A cache with a store on disk, as a box or a parent.\n\nRouters ask it by Spool-Fill (docs/protocol.md). POST /-/purge {\"object\": PATH}, or group, tag or\nprefix, voids copies: it lasts once it is answered. GET /-/state tells counters."}
 	var file string
-	read := func() (*server.Config, error) {
+	readConfig := func() (*server.Config, error) {
 		var s server.Settings
 		if err := config.ReadFile(file, &s); err != nil {
 			return nil, &cli.FoundError{Err: err}
@@ -27,7 +27,7 @@
 	}
 	serve := &cobra.Command{Use: "serve -c FILE", Short: "Serve until SIGTERM", Args: cobra.NoArgs, Example: "  spool-cache serve -c examples/box.edn",
 		RunE: func(c *cobra.Command, _ []string) error {
-			f, err := read()
+			cfg, err := readConfig()
 			if err != nil {
 				return err
 			}
@@ -36,7 +36,7 @@
 				return err
 			}
 			defer log.Sync()
-			s, err := server.Start(*f, func(w string) { log.Warn(w) })
+			s, err := server.Start(*cfg, func(w string) { log.Warn(w) })
 			if err != nil {
 				return err
 			}
@@ -47,9 +47,9 @@
 		}}
 	check := &cobra.Command{Use: "check -c FILE", Short: "Check settings", Args: cobra.NoArgs, Example: "  spool-cache check -c examples/box.edn",
 		RunE: func(*cobra.Command, []string) error {
-			f, err := read()
+			cfg, err := readConfig()
 			if err == nil {
-				fmt.Printf("%s: box %s, %.0f MB in %s\n", file, f.Name, f.CapacityMB, f.Folder)
+				fmt.Printf("%s: box %s, %.0f MB in %s\n", file, cfg.Name, cfg.CapacityMB, cfg.Folder)
 			}
 			return err
 		}}
--- a/internal/cachenode/httpcache/box.go
+++ b/internal/cachenode/httpcache/box.go
@@ -36,7 +36,7 @@
 	Version     int64
 	GeneratedAt float64 // when the origin gave it, or earlier; never later
 	Lifetime    float64 // for how long it is fresh; 0: until purged
-	at          *list.Element
+	element     *list.Element
 }
 
 // Fill is a fill under way.
@@ -48,241 +48,241 @@
 
 // Cache is one cache. See New.
 type Cache struct {
-	s       Settings
-	started float64 // of the cold start; 0: it is warm
-	held    int64
-	copies  map[string]*Copy
-	ranks   [4]*list.List // by rank, the longest unused first
-	objects map[string]map[string]*Copy
-	groups  map[int]map[string]*Copy
-	purges  map[string]float64 // when objects were purged, to turn away copies that come later
-	purged  map[int]float64
-	fills   map[string]*Fill
-	filling int
+	settings      Settings
+	coldSince     float64 // of the cold start; 0: it is warm
+	usedBytes     int64
+	copies        map[string]*Copy
+	byRank        [4]*list.List // by rank, the longest unused first
+	byObject      map[string]map[string]*Copy
+	byGroup       map[int]map[string]*Copy
+	objectPurges  map[string]float64 // when objects were purged, to turn away copies that come later
+	groupPurges   map[int]float64
+	fills         map[string]*Fill
+	fillsInFlight int
 
-	arrivals []arrival // in the window of FallTime
-	load     float64
-	fallen   bool
+	attempts   []attempt // in the window of FallTime
+	recentWork float64
+	failed     bool
 
 	Hits, Misses, Evicted, Purged int
 }
 
-type arrival struct{ at, work float64 }
+type attempt struct{ time, work float64 }
 
 // New makes an empty box. Warm says that it has been up for long; otherwise it
 // starts cold at the time now.
-func New(s Settings, now float64, warm bool) *Cache {
-	b := &Cache{s: s, copies: map[string]*Copy{}, objects: map[string]map[string]*Copy{},
-		groups: map[int]map[string]*Copy{}, purges: map[string]float64{}, purged: map[int]float64{},
+func New(settings Settings, now float64, warm bool) *Cache {
+	c := &Cache{settings: settings, copies: map[string]*Copy{}, byObject: map[string]map[string]*Copy{},
+		byGroup: map[int]map[string]*Copy{}, objectPurges: map[string]float64{}, groupPurges: map[int]float64{},
 		fills: map[string]*Fill{}}
-	for i := range b.ranks {
-		b.ranks[i] = list.New()
+	for i := range c.byRank {
+		c.byRank[i] = list.New()
 	}
 	if !warm {
-		b.started = max(now, 1e-9)
+		c.coldSince = max(now, 1e-9)
 	}
-	return b
+	return c
 }
 
 // CapacityShare is the part of its capacity that the box has now.
-func (b *Cache) CapacityShare(now float64) float64 {
-	if b.started == 0 || b.s.WarmUpTime <= 0 || now-b.started >= b.s.WarmUpTime {
+func (c *Cache) CapacityShare(now float64) float64 {
+	if c.coldSince == 0 || c.settings.WarmUpTime <= 0 || now-c.coldSince >= c.settings.WarmUpTime {
 		return 1
 	}
-	return b.s.WarmUpInitialShare + (1-b.s.WarmUpInitialShare)*max(now-b.started, 0)/b.s.WarmUpTime
+	return c.settings.WarmUpInitialShare + (1-c.settings.WarmUpInitialShare)*max(now-c.coldSince, 0)/c.settings.WarmUpTime
 }
 
 // Capacity is the sending time, ms a ms, that the box bears now.
-func (b *Cache) Capacity(now float64) float64 { return b.s.Capacity * b.CapacityShare(now) }
+func (c *Cache) Capacity(now float64) float64 { return c.settings.Capacity * c.CapacityShare(now) }
 
 // RecordAttempt counts an attempt of so much work. It reports whether the box has
-// fallen over: it was sent more than FallFactor times what it could do in the
+// failed over: it was sent more than FallFactor times what it could do in the
 // last FallTime, while cold. A fallen box stays down.
-func (b *Cache) RecordAttempt(now, work float64) (fallen bool) {
-	if b.fallen {
+func (c *Cache) RecordAttempt(now, work float64) (failed bool) {
+	if c.failed {
 		return true
 	}
-	if b.s.OverloadFactor <= 0 || b.CapacityShare(now) >= 1 {
-		b.arrivals, b.load = b.arrivals[:0], 0
+	if c.settings.OverloadFactor <= 0 || c.CapacityShare(now) >= 1 {
+		c.attempts, c.recentWork = c.attempts[:0], 0
 		return false
 	}
-	b.arrivals = append(b.arrivals, arrival{now, work})
-	b.load += work
-	gone := 0
-	for gone < len(b.arrivals) && b.arrivals[gone].at <= now-b.s.OverloadTime {
-		b.load -= b.arrivals[gone].work
-		gone++
+	c.attempts = append(c.attempts, attempt{now, work})
+	c.recentWork += work
+	expired := 0
+	for expired < len(c.attempts) && c.attempts[expired].time <= now-c.settings.OverloadTime {
+		c.recentWork -= c.attempts[expired].work
+		expired++
 	}
-	b.arrivals = b.arrivals[gone:]
+	c.attempts = c.attempts[expired:]
 	// a single attempt of any size is no overload that lasts
-	b.fallen = len(b.arrivals) > 1 && b.load > b.s.OverloadFactor*b.Capacity(now)*b.s.OverloadTime
-	return b.fallen
+	c.failed = len(c.attempts) > 1 && c.recentWork > c.settings.OverloadFactor*c.Capacity(now)*c.settings.OverloadTime
+	return c.failed
 }
 
 // Failed reports whether the box has fallen over.
-func (b *Cache) Failed() bool { return b.fallen }
+func (c *Cache) Failed() bool { return c.failed }
 
 // Lookup returns a copy that is at most age old, nil where there is none. Its
 // use counts, and a rank above 0 becomes its own.
-func (b *Cache) Lookup(now float64, key string, age float64, rank int) *Copy {
-	c := b.copies[key]
-	if c == nil || now-c.GeneratedAt > age {
-		b.Misses++
+func (c *Cache) Lookup(now float64, key string, age float64, rank int) *Copy {
+	item := c.copies[key]
+	if item == nil || now-item.GeneratedAt > age {
+		c.Misses++
 		return nil
 	}
-	b.Hits++
+	c.Hits++
 	if rank < 1 || rank > 3 {
-		rank = c.Rank
+		rank = item.Rank
 	}
-	b.ranks[c.Rank].Remove(c.at)
-	c.Rank = rank
-	c.at = b.ranks[rank].PushBack(c)
-	return c
+	c.byRank[item.Rank].Remove(item.element)
+	item.Rank = rank
+	item.element = c.byRank[rank].PushBack(item)
+	return item
 }
 
 // BeginFill starts a fill of a key, unless as many run as may: then it returns nil.
-func (b *Cache) BeginFill(now float64, key string) *Fill {
-	if b.s.MaxFills > 0 && b.filling >= b.s.MaxFills {
+func (c *Cache) BeginFill(now float64, key string) *Fill {
+	if c.settings.MaxFills > 0 && c.fillsInFlight >= c.settings.MaxFills {
 		return nil
 	}
-	b.filling++
+	c.fillsInFlight++
 	f := &Fill{Key: key, Started: now}
-	if b.fills[key] == nil {
-		b.fills[key] = f
+	if c.fills[key] == nil {
+		c.fills[key] = f
 	}
 	return f
 }
 
-// Under is the fill of a key that is under way, or nil.
-func (b *Cache) Under(key string) *Fill { return b.fills[key] }
+// PendingFill is the fill of a key that is under way, or nil.
+func (c *Cache) PendingFill(key string) *Fill { return c.fills[key] }
 
 // FillsInFlight is how many fills run.
-func (b *Cache) FillsInFlight() int { return b.filling }
+func (c *Cache) FillsInFlight() int { return c.fillsInFlight }
 
 // EndFill ends a fill. The copy it brought is kept, where there is one, unless a
 // purge has overtaken it, or there is no room among what ranks no higher.
-func (b *Cache) EndFill(now float64, f *Fill, c *Copy) (kept bool) {
-	b.filling--
-	if b.fills[f.Key] == f {
-		delete(b.fills, f.Key)
+func (c *Cache) EndFill(now float64, f *Fill, item *Copy) (kept bool) {
+	c.fillsInFlight--
+	if c.fills[f.Key] == f {
+		delete(c.fills, f.Key)
 	}
-	return c != nil && b.keep(c)
+	return item != nil && c.keep(item)
 }
 
-func (b *Cache) keep(c *Copy) bool {
-	if c.Rank < 1 || c.Rank > 3 || c.Bytes > b.s.Bytes {
+func (c *Cache) keep(item *Copy) bool {
+	if item.Rank < 1 || item.Rank > 3 || item.Bytes > c.settings.Bytes {
 		return false
 	}
-	if at, ok := b.purges[c.Object]; ok && c.GeneratedAt < at {
+	if purgedAt, ok := c.objectPurges[item.Object]; ok && item.GeneratedAt < purgedAt {
 		return false
 	}
-	if at, ok := b.purged[c.Group]; ok && c.GeneratedAt < at {
+	if purgedAt, ok := c.groupPurges[item.Group]; ok && item.GeneratedAt < purgedAt {
 		return false
 	}
-	if old := b.copies[c.Key]; old != nil {
-		if old.GeneratedAt > c.GeneratedAt { // a slower fill of an older version
+	if present := c.copies[item.Key]; present != nil {
+		if present.GeneratedAt > item.GeneratedAt { // a slower fill of an older version
 			return false
 		}
-		b.drop(old)
+		c.drop(present)
 	}
-	room := b.s.Bytes - b.held
-	for r := 1; r <= c.Rank; r++ {
-		for e := b.ranks[r].Front(); e != nil && room < c.Bytes; e = e.Next() {
+	room := c.settings.Bytes - c.usedBytes
+	for r := 1; r <= item.Rank; r++ {
+		for e := c.byRank[r].Front(); e != nil && room < item.Bytes; e = e.Next() {
 			room += e.Value.(*Copy).Bytes
 		}
 	}
-	if room < c.Bytes {
+	if room < item.Bytes {
 		return false
 	}
-	for r := 1; r <= c.Rank && b.s.Bytes-b.held < c.Bytes; r++ {
-		for b.s.Bytes-b.held < c.Bytes && b.ranks[r].Len() > 0 {
-			b.drop(b.ranks[r].Front().Value.(*Copy))
-			b.Evicted++
+	for r := 1; r <= item.Rank && c.settings.Bytes-c.usedBytes < item.Bytes; r++ {
+		for c.settings.Bytes-c.usedBytes < item.Bytes && c.byRank[r].Len() > 0 {
+			c.drop(c.byRank[r].Front().Value.(*Copy))
+			c.Evicted++
 		}
 	}
-	b.copies[c.Key] = c
-	b.held += c.Bytes
-	c.at = b.ranks[c.Rank].PushBack(c)
-	index(b.objects, c.Object, c)
-	index(b.groups, c.Group, c)
+	c.copies[item.Key] = item
+	c.usedBytes += item.Bytes
+	item.element = c.byRank[item.Rank].PushBack(item)
+	index(c.byObject, item.Object, item)
+	index(c.byGroup, item.Group, item)
 	return true
 }
 
-func index[K comparable](m map[K]map[string]*Copy, k K, c *Copy) {
+func index[K comparable](m map[K]map[string]*Copy, k K, item *Copy) {
 	if m[k] == nil {
 		m[k] = map[string]*Copy{}
 	}
-	m[k][c.Key] = c
+	m[k][item.Key] = item
 }
 
-func unindex[K comparable](m map[K]map[string]*Copy, k K, c *Copy) {
-	if delete(m[k], c.Key); len(m[k]) == 0 {
+func unindex[K comparable](m map[K]map[string]*Copy, k K, item *Copy) {
+	if delete(m[k], item.Key); len(m[k]) == 0 {
 		delete(m, k)
 	}
 }
 
-func (b *Cache) drop(c *Copy) {
-	delete(b.copies, c.Key)
-	b.held -= c.Bytes
-	b.ranks[c.Rank].Remove(c.at)
-	unindex(b.objects, c.Object, c)
-	unindex(b.groups, c.Group, c)
+func (c *Cache) drop(item *Copy) {
+	delete(c.copies, item.Key)
+	c.usedBytes -= item.Bytes
+	c.byRank[item.Rank].Remove(item.element)
+	unindex(c.byObject, item.Object, item)
+	unindex(c.byGroup, item.Group, item)
 }
 
 // Purge drops the copies of an object, or with no object those of a group,
 // that are older than the time at which it was made; a fill under way that
 // brings such a copy will not be kept.
-func (b *Cache) Purge(object string, group int, made float64) (dropped int) {
-	set := b.groups[group]
+func (c *Cache) Purge(object string, group int, purgedAt float64) (dropped int) {
+	set := c.byGroup[group]
 	if object != "" {
-		set = b.objects[object]
-		b.purges[object] = max(b.purges[object], made)
+		set = c.byObject[object]
+		c.objectPurges[object] = max(c.objectPurges[object], purgedAt)
 	} else {
-		b.purged[group] = max(b.purged[group], made)
+		c.groupPurges[group] = max(c.groupPurges[group], purgedAt)
 	}
-	for _, c := range set {
-		if c.GeneratedAt < made {
-			b.drop(c)
+	for _, item := range set {
+		if item.GeneratedAt < purgedAt {
+			c.drop(item)
 			dropped++
 		}
 	}
-	b.Purged += dropped
+	c.Purged += dropped
 	return dropped
 }
 
-// Forget drops what is remembered of purges made before a time.
-func (b *Cache) Forget(before float64) {
-	for k, at := range b.purges {
-		if at < before {
-			delete(b.purges, k)
+// ForgetPurges drops what is remembered of purges made before a time.
+func (c *Cache) ForgetPurges(before float64) {
+	for object, purgedAt := range c.objectPurges {
+		if purgedAt < before {
+			delete(c.objectPurges, object)
 		}
 	}
-	for k, at := range b.purged {
-		if at < before {
-			delete(b.purged, k)
+	for group, purgedAt := range c.groupPurges {
+		if purgedAt < before {
+			delete(c.groupPurges, group)
 		}
 	}
 }
 
 // Usage is the bytes and the copies that the store holds.
-func (b *Cache) Usage() (bytes int64, copies int) { return b.held, len(b.copies) }
+func (c *Cache) Usage() (bytes int64, copies int) { return c.usedBytes, len(c.copies) }
 
 // Check looks whether the books agree with one another.
-func (b *Cache) Check() error {
-	var sum int64
+func (c *Cache) Check() error {
+	var total int64
 	n := 0
-	for r, l := range b.ranks {
-		for e := l.Front(); e != nil; e = e.Next() {
-			c := e.Value.(*Copy)
-			if c.Rank != r || b.copies[c.Key] != c || b.objects[c.Object][c.Key] != c || b.groups[c.Group][c.Key] != c {
-				return fmt.Errorf("box: copy %q is in the wrong place", c.Key)
+	for r, list := range c.byRank {
+		for e := list.Front(); e != nil; e = e.Next() {
+			item := e.Value.(*Copy)
+			if item.Rank != r || c.copies[item.Key] != item || c.byObject[item.Object][item.Key] != item || c.byGroup[item.Group][item.Key] != item {
+				return fmt.Errorf("box: copy %q is in the wrong place", item.Key)
 			}
-			sum += c.Bytes
+			total += item.Bytes
 			n++
 		}
 	}
-	if sum != b.held || n != len(b.copies) || sum > b.s.Bytes {
-		return fmt.Errorf("box: %d copies of %d bytes, booked %d of %d, room %d", n, sum, len(b.copies), b.held, b.s.Bytes)
+	if total != c.usedBytes || n != len(c.copies) || total > c.settings.Bytes {
+		return fmt.Errorf("box: %d copies of %d bytes, booked %d of %d, room %d", n, total, len(c.copies), c.usedBytes, c.settings.Bytes)
 	}
 	return nil
 }
--- a/internal/cachenode/httpcache/rfc9111.go
+++ b/internal/cachenode/httpcache/rfc9111.go
@@ -16,18 +16,18 @@
 // It decides what a copy may be used for; where it is fetched from is a router's to say.
 // Times are in ms on the caller's clock, but for what heads say.
 
-// Answer is an answer as it was received.
-type Answer struct {
-	Status      int
-	Head        http.Header
-	Asked, Came float64   // when the request was sent, and when the head came
-	Wall        time.Time // of Came, to compare with Date and Expires
+// Response is an answer as it was received.
+type Response struct {
+	Status                    int
+	Header                    http.Header
+	RequestTime, ResponseTime float64   // when the request was sent, and when the head came
+	WallTime                  time.Time // of Came, to compare with Date and Expires
 }
 
-// Asking is what of a request matters to a cache.
-type Asking struct {
+// Request is what of a request matters to a cache.
+type Request struct {
 	Method string
-	Head   http.Header
+	Header http.Header
 }
 
 // Use is what a copy may be used for.
@@ -35,163 +35,163 @@
 
 // The uses.
 const (
-	Fetch       Use = iota + 1 // it can't be used, or there is none
-	Serve                      // as it is
-	ServeRenew                 // as it is, and it is renewed behind the answer
-	Revalidate                 // after its source has said that it is still good
-	Unsatisfied                // the asker wants a copy only, and none will do: 504
+	Fetch              Use = iota + 1 // it can't be used, or there is none
+	Serve                             // as it is
+	ServeAndRevalidate                // as it is, and it is renewed behind the answer
+	Revalidate                        // after its source has said that it is still good
+	Unsatisfied                       // the asker wants a copy only, and none will do: 504
 )
 
-// keptStatus are those that may be kept without an explicit word (RFC 9110, section 15.1).
-var keptStatus = []int{200, 203, 204, 300, 301, 308, 404, 405, 410, 414, 501}
+// heuristicStatuses are those that may be kept without an explicit word (RFC 9110, section 15.1).
+var heuristicStatuses = []int{200, 203, 204, 300, 301, 308, 404, 405, 410, 414, 501}
 
 // Storable reports whether a shared cache may keep an answer, and else why not (RFC 9111,
 // section 3). Answers in part are not kept here.
-func Storable(q Asking, a *Answer) (why string, ok bool) {
-	rcc, err := cacheobject.ParseResponseCacheControl(field(a.Head, "Cache-Control"))
+func Storable(request Request, response *Response) (reason string, ok bool) {
+	responseDirectives, err := cacheobject.ParseResponseCacheControl(fieldValue(response.Header, "Cache-Control"))
 	if err != nil {
 		return "its Cache-Control is malformed", false
 	}
-	qcc, err := cacheobject.ParseRequestCacheControl(field(q.Head, "Cache-Control"))
+	requestDirectives, err := cacheobject.ParseRequestCacheControl(fieldValue(request.Header, "Cache-Control"))
 	if err != nil {
 		return "the request's Cache-Control is malformed", false
 	}
-	explicit := rcc.MaxAge >= 0 || rcc.SMaxAge >= 0 || rcc.Public || a.Head.Get("Expires") != ""
+	explicit := responseDirectives.MaxAge >= 0 || responseDirectives.SMaxAge >= 0 || responseDirectives.Public || response.Header.Get("Expires") != ""
 	switch {
-	case q.Method != "GET":
+	case request.Method != "GET":
 		return "the request is no GET", false
-	case rcc.NoStore || qcc.NoStore:
+	case responseDirectives.NoStore || requestDirectives.NoStore:
 		return "no-store", false
-	case rcc.PrivatePresent:
+	case responseDirectives.PrivatePresent:
 		return "private", false
-	case a.Status < 200 || a.Status == 206 || a.Status == 304:
-		return "status " + strconv.Itoa(a.Status), false
-	case q.Head.Get("Authorization") != "" && !rcc.Public && rcc.SMaxAge < 0 && !rcc.MustRevalidate:
+	case response.Status < 200 || response.Status == 206 || response.Status == 304:
+		return "status " + strconv.Itoa(response.Status), false
+	case request.Header.Get("Authorization") != "" && !responseDirectives.Public && responseDirectives.SMaxAge < 0 && !responseDirectives.MustRevalidate:
 		return "it was asked for with Authorization", false
-	case a.Head.Get("Set-Cookie") != "" && !rcc.Public && rcc.SMaxAge < 0:
+	case response.Header.Get("Set-Cookie") != "" && !responseDirectives.Public && responseDirectives.SMaxAge < 0:
 		return "it sets a cookie", false
-	case strings.Contains(field(a.Head, "Vary"), "*"):
+	case strings.Contains(fieldValue(response.Header, "Vary"), "*"):
 		return "Vary: *", false
-	case !explicit && !slices.Contains(keptStatus, a.Status):
-		return "status " + strconv.Itoa(a.Status) + " without a lifetime", false
+	case !explicit && !slices.Contains(heuristicStatuses, response.Status):
+		return "status " + strconv.Itoa(response.Status) + " without a lifetime", false
 	}
 	return "", true
 }
 
-// field is a field's lines as one.
-func field(h http.Header, name string) string { return strings.Join(h.Values(name), ", ") }
+// fieldValue is a field's lines as one.
+func fieldValue(h http.Header, name string) string { return strings.Join(h.Values(name), ", ") }
 
 // Lifetime is for how long an answer is fresh, in ms (section 4.2.1); a tenth of the time
 // since it was changed, a day at most, where nothing is said (4.2.2).
-func Lifetime(a *Answer) float64 {
-	rcc, err := cacheobject.ParseResponseCacheControl(field(a.Head, "Cache-Control"))
+func Lifetime(response *Response) float64 {
+	responseDirectives, err := cacheobject.ParseResponseCacheControl(fieldValue(response.Header, "Cache-Control"))
 	switch {
 	case err != nil:
 		return 0
-	case rcc.SMaxAge >= 0:
-		return float64(rcc.SMaxAge) * 1000
-	case rcc.MaxAge >= 0:
-		return float64(rcc.MaxAge) * 1000
+	case responseDirectives.SMaxAge >= 0:
+		return float64(responseDirectives.SMaxAge) * 1000
+	case responseDirectives.MaxAge >= 0:
+		return float64(responseDirectives.MaxAge) * 1000
 	}
-	date := dateOf(a)
-	if v := a.Head.Values("Expires"); len(v) > 0 {
+	date := responseDate(response)
+	if v := response.Header.Values("Expires"); len(v) > 0 {
 		t, err := http.ParseTime(v[0])
 		if err != nil || len(v) > 1 { // "0" above all: it is past
 			return 0
 		}
 		return max(float64(t.Sub(date).Milliseconds()), 0)
 	}
-	if t, err := http.ParseTime(a.Head.Get("Last-Modified")); err == nil && slices.Contains(keptStatus, a.Status) {
+	if t, err := http.ParseTime(response.Header.Get("Last-Modified")); err == nil && slices.Contains(heuristicStatuses, response.Status) {
 		return min(max(float64(date.Sub(t).Milliseconds())/10, 0), 24*3600*1000)
 	}
 	return 0
 }
 
-func dateOf(a *Answer) time.Time {
-	if t, err := http.ParseTime(a.Head.Get("Date")); err == nil {
+func responseDate(response *Response) time.Time {
+	if t, err := http.ParseTime(response.Header.Get("Date")); err == nil {
 		return t
 	}
-	return a.Wall
+	return response.WallTime
 }
 
 // Age is how old an answer is now, in ms (section 4.2.3). A clock that was stepped makes
 // it no younger than what has passed here since it was asked for.
-func Age(a *Answer, now float64) float64 {
-	apparent := max(float64(a.Wall.Sub(dateOf(a)).Milliseconds()), 0)
-	stated := 0.0
-	if n, err := strconv.ParseUint(strings.TrimSpace(a.Head.Get("Age")), 10, 31); err == nil {
-		stated = float64(n) * 1000
-	}
-	corrected := stated + max(a.Came-a.Asked, 0)
-	return max(apparent, corrected) + max(now-a.Came, 0)
+func Age(response *Response, now float64) float64 {
+	apparentAge := max(float64(response.WallTime.Sub(responseDate(response)).Milliseconds()), 0)
+	ageValue := 0.0
+	if n, err := strconv.ParseUint(strings.TrimSpace(response.Header.Get("Age")), 10, 31); err == nil {
+		ageValue = float64(n) * 1000
+	}
+	correctedAge := ageValue + max(response.ResponseTime-response.RequestTime, 0)
+	return max(apparentAge, correctedAge) + max(now-response.ResponseTime, 0)
 }
 
 // Decide is what a copy may be used for now (section 4); nil: there is none. behind is for
 // how long past its freshness it is served while it is renewed, where it does not say.
-func Decide(now float64, a *Answer, q Asking, behind float64) Use {
-	qcc, err := cacheobject.ParseRequestCacheControl(field(q.Head, "Cache-Control"))
+func Decide(now float64, response *Response, request Request, staleWhileRevalidate float64) Use {
+	requestDirectives, err := cacheobject.ParseRequestCacheControl(fieldValue(request.Header, "Cache-Control"))
 	if err != nil {
-		qcc = &cacheobject.RequestCacheDirectives{MaxAge: -1, MaxStale: -1, MinFresh: -1}
+		requestDirectives = &cacheobject.RequestCacheDirectives{MaxAge: -1, MaxStale: -1, MinFresh: -1}
 	}
-	want := func(u Use) Use {
-		if qcc.OnlyIfCached && (u == Fetch || u == Revalidate) {
+	unlessOnlyIfCached := func(u Use) Use {
+		if requestDirectives.OnlyIfCached && (u == Fetch || u == Revalidate) {
 			return Unsatisfied
 		}
 		return u
 	}
-	if a == nil || q.Method != "GET" && q.Method != "HEAD" {
-		return want(Fetch)
+	if response == nil || request.Method != "GET" && request.Method != "HEAD" {
+		return unlessOnlyIfCached(Fetch)
 	}
-	rcc, err := cacheobject.ParseResponseCacheControl(field(a.Head, "Cache-Control"))
+	responseDirectives, err := cacheobject.ParseResponseCacheControl(fieldValue(response.Header, "Cache-Control"))
 	if err != nil {
-		return want(Revalidate)
+		return unlessOnlyIfCached(Revalidate)
 	}
-	if rcc.NoCachePresent || qcc.NoCache || qcc.MaxAge < 0 && strings.Contains(strings.ToLower(field(q.Head, "Pragma")), "no-cache") && q.Head.Get("Cache-Control") == "" {
-		return want(Revalidate)
+	if responseDirectives.NoCachePresent || requestDirectives.NoCache || requestDirectives.MaxAge < 0 && strings.Contains(strings.ToLower(fieldValue(request.Header, "Pragma")), "no-cache") && request.Header.Get("Cache-Control") == "" {
+		return unlessOnlyIfCached(Revalidate)
 	}
-	age, life := Age(a, now), Lifetime(a)
-	if qcc.MaxAge >= 0 && age > float64(qcc.MaxAge)*1000 {
-		return want(Revalidate)
+	age, lifetime := Age(response, now), Lifetime(response)
+	if requestDirectives.MaxAge >= 0 && age > float64(requestDirectives.MaxAge)*1000 {
+		return unlessOnlyIfCached(Revalidate)
 	}
-	left := life - age
-	if qcc.MinFresh >= 0 {
-		left -= float64(qcc.MinFresh) * 1000
+	remaining := lifetime - age
+	if requestDirectives.MinFresh >= 0 {
+		remaining -= float64(requestDirectives.MinFresh) * 1000
 	}
-	if left > 0 {
+	if remaining > 0 {
 		return Serve
 	}
-	if rcc.MustRevalidate || rcc.ProxyRevalidate || rcc.SMaxAge >= 0 {
-		return want(Revalidate)
+	if responseDirectives.MustRevalidate || responseDirectives.ProxyRevalidate || responseDirectives.SMaxAge >= 0 {
+		return unlessOnlyIfCached(Revalidate)
 	}
-	if qcc.MaxStaleSet || qcc.MaxStale >= 0 && -left <= float64(qcc.MaxStale)*1000 {
+	if requestDirectives.MaxStaleSet || requestDirectives.MaxStale >= 0 && -remaining <= float64(requestDirectives.MaxStale)*1000 {
 		return Serve
 	}
-	if rcc.StaleWhileRevalidate >= 0 {
-		behind = float64(rcc.StaleWhileRevalidate) * 1000
+	if responseDirectives.StaleWhileRevalidate >= 0 {
+		staleWhileRevalidate = float64(responseDirectives.StaleWhileRevalidate) * 1000
 	}
-	if -left <= behind && qcc.MaxAge < 0 && qcc.MinFresh < 0 {
-		return ServeRenew
+	if -remaining <= staleWhileRevalidate && requestDirectives.MaxAge < 0 && requestDirectives.MinFresh < 0 {
+		return ServeAndRevalidate
 	}
-	return want(Revalidate)
+	return unlessOnlyIfCached(Revalidate)
 }
 
-// OnError reports whether a stale copy will do now that its source fails (RFC 5861,
+// ServableOnError reports whether a stale copy will do now that its source fails (RFC 5861,
 // section 4). otherwise is for how long where it does not say.
-func OnError(now float64, a *Answer, otherwise float64) bool {
-	rcc, err := cacheobject.ParseResponseCacheControl(field(a.Head, "Cache-Control"))
-	if err != nil || rcc.MustRevalidate || rcc.ProxyRevalidate || rcc.NoCachePresent || rcc.SMaxAge >= 0 {
+func ServableOnError(now float64, response *Response, staleIfError float64) bool {
+	responseDirectives, err := cacheobject.ParseResponseCacheControl(fieldValue(response.Header, "Cache-Control"))
+	if err != nil || responseDirectives.MustRevalidate || responseDirectives.ProxyRevalidate || responseDirectives.NoCachePresent || responseDirectives.SMaxAge >= 0 {
 		return false
 	}
-	if rcc.StaleIfError >= 0 {
-		otherwise = float64(rcc.StaleIfError) * 1000
+	if responseDirectives.StaleIfError >= 0 {
+		staleIfError = float64(responseDirectives.StaleIfError) * 1000
 	}
-	return Age(a, now)-Lifetime(a) <= otherwise
+	return Age(response, now)-Lifetime(response) <= staleIfError
 }
 
 // Variant is the part of a copy's name that tells apart what its Vary lists (section 4.1):
 // the request's fields, each with its values as they are, but for white space and case
 // where the field is a list of tokens. names come from the answer's Vary.
-func Variant(vary string, q http.Header) string {
+func Variant(vary string, requestHeader http.Header) string {
 	var names []string
 	for name := range strings.SplitSeq(vary, ",") {
 		if name = textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(name)); name != "" {
@@ -202,7 +202,7 @@
 	names = slices.Compact(names)
 	var b strings.Builder
 	for _, name := range names {
-		v := field(q, name)
+		v := fieldValue(requestHeader, name)
 		if name == "Accept-Encoding" || name == "Accept-Language" {
 			v = strings.ToLower(strings.ReplaceAll(v, " ", ""))
 		}
@@ -211,72 +211,72 @@
 	return b.String()
 }
 
-// Conditions are the fields that ask a source whether a copy is still good (section 4.3.1);
+// ConditionalFields are the fields that ask a source whether a copy is still good (section 4.3.1);
 // none: it can't be asked.
-func Conditions(a *Answer) http.Header {
+func ConditionalFields(response *Response) http.Header {
 	h := http.Header{}
-	if tag := a.Head.Get("Etag"); tag != "" {
+	if tag := response.Header.Get("Etag"); tag != "" {
 		h.Set("If-None-Match", tag)
 	}
-	if at := a.Head.Get("Last-Modified"); at != "" {
+	if at := response.Header.Get("Last-Modified"); at != "" {
 		h.Set("If-Modified-Since", at)
 	}
 	return h
 }
 
-// Renewed is a copy whose source has said by a 304 that it is still good (section 4.3.4):
+// Freshened is a copy whose source has said by a 304 that it is still good (section 4.3.4):
 // the fields of the 304 in the place of its own, but for those of its body.
-func Renewed(a, by *Answer) *Answer {
-	out := *a
-	out.Head = a.Head.Clone()
-	for name, v := range by.Head {
+func Freshened(stored, notModified *Response) *Response {
+	out := *stored
+	out.Header = stored.Header.Clone()
+	for name, v := range notModified.Header {
 		switch name {
 		case "Content-Encoding", "Content-Type", "Content-Range", "Content-Length", "Transfer-Encoding", "Connection":
 			continue
 		}
-		out.Head[name] = slices.Clone(v)
+		out.Header[name] = slices.Clone(v)
 	}
-	out.Asked, out.Came, out.Wall = by.Asked, by.Came, by.Wall
+	out.RequestTime, out.ResponseTime, out.WallTime = notModified.RequestTime, notModified.ResponseTime, notModified.WallTime
 	return &out
 }
 
 // NotModified reports whether a request's own conditions are met by a copy, so that it is
 // answered 304 (RFC 9110, section 13.2.2).
-func NotModified(a *Answer, q http.Header) bool {
-	if v := field(q, "If-None-Match"); v != "" {
-		tag := strings.TrimPrefix(a.Head.Get("Etag"), "W/")
-		for one := range strings.SplitSeq(v, ",") {
-			one = strings.TrimSpace(one)
-			if one == "*" || tag != "" && strings.TrimPrefix(one, "W/") == tag {
+func NotModified(response *Response, requestHeader http.Header) bool {
+	if v := fieldValue(requestHeader, "If-None-Match"); v != "" {
+		tag := strings.TrimPrefix(response.Header.Get("Etag"), "W/")
+		for candidate := range strings.SplitSeq(v, ",") {
+			candidate = strings.TrimSpace(candidate)
+			if candidate == "*" || tag != "" && strings.TrimPrefix(candidate, "W/") == tag {
 				return true
 			}
 		}
 		return false
 	}
-	since, err := http.ParseTime(q.Get("If-Modified-Since"))
-	at, err2 := http.ParseTime(a.Head.Get("Last-Modified"))
-	return err == nil && err2 == nil && !at.After(since)
+	since, err := http.ParseTime(requestHeader.Get("If-Modified-Since"))
+	lastModified, modifiedErr := http.ParseTime(response.Header.Get("Last-Modified"))
+	return err == nil && modifiedErr == nil && !lastModified.After(since)
 }
 
-// Ranged is what a request's Range selects of a copy of size bytes: status 206 with the
+// SelectRange is what a request's Range selects of a copy of size bytes: status 206 with the
 // first and last byte, 416, or 200 with all (RFC 9110, section 14.2). Several ranges, and
 // those that If-Range says no more hold, are answered with all.
-func Ranged(a *Answer, q http.Header, size int64) (status int, first, last int64) {
-	v, is := strings.CutPrefix(q.Get("Range"), "bytes=")
-	if !is || strings.Contains(v, ",") || len(q.Values("Range")) > 1 {
+func SelectRange(response *Response, requestHeader http.Header, size int64) (status int, first, last int64) {
+	v, isBytes := strings.CutPrefix(requestHeader.Get("Range"), "bytes=")
+	if !isBytes || strings.Contains(v, ",") || len(requestHeader.Values("Range")) > 1 {
 		return 200, 0, size - 1
 	}
-	if cond := q.Get("If-Range"); cond != "" {
-		tag, at := a.Head.Get("Etag"), a.Head.Get("Last-Modified")
-		if strings.HasPrefix(cond, "W/") || cond != tag && (at == "" || cond != at) {
+	if condition := requestHeader.Get("If-Range"); condition != "" {
+		tag, lastModified := response.Header.Get("Etag"), response.Header.Get("Last-Modified")
+		if strings.HasPrefix(condition, "W/") || condition != tag && (lastModified == "" || condition != lastModified) {
 			return 200, 0, size - 1
 		}
 	}
 	from, to, ok := strings.Cut(strings.TrimSpace(v), "-")
 	first, err := strconv.ParseInt(from, 10, 64)
-	last, err2 := strconv.ParseInt(to, 10, 64)
+	last, lastErr := strconv.ParseInt(to, 10, 64)
 	switch {
-	case !ok || from == "" && (err2 != nil || last < 0), from != "" && err != nil, to != "" && err2 != nil:
+	case !ok || from == "" && (lastErr != nil || last < 0), from != "" && err != nil, to != "" && lastErr != nil:
 		return 200, 0, size - 1
 	case from == "":
 		if last == 0 || size == 0 {
--- a/internal/cachenode/httpcache/rfc9111_test.go
+++ b/internal/cachenode/httpcache/rfc9111_test.go
@@ -21,54 +21,54 @@
 	return h
 }
 
-func got(lines ...string) *Answer {
-	return &Answer{Status: 200, Head: head(lines...), Asked: 1000, Came: 1100, Wall: wall}
+func response(lines ...string) *Response {
+	return &Response{Status: 200, Header: head(lines...), RequestTime: 1000, ResponseTime: 1100, WallTime: wall}
 }
 
 func TestStorable(t *testing.T) {
-	for _, k := range []struct {
-		ask  []string
-		res  []string
-		code int
-		want string
+	for _, c := range []struct {
+		request  []string
+		response []string
+		status   int
+		want     string
 	}{
-		{res: []string{"Cache-Control: max-age=5"}},
+		{response: []string{"Cache-Control: max-age=5"}},
 		{},
-		{res: []string{"Cache-Control: no-store"}, want: "no-store"},
-		{res: []string{"Cache-Control: private, max-age=5"}, want: "private"},
-		{ask: []string{"Cache-Control: no-store"}, want: "no-store"},
-		{res: []string{"Set-Cookie: a=b", "Cache-Control: max-age=5"}, want: "cookie"},
-		{res: []string{"Set-Cookie: a=b", "Cache-Control: public, max-age=5"}},
-		{ask: []string{"Authorization: x"}, res: []string{"Cache-Control: max-age=5"}, want: "Authorization"},
-		{ask: []string{"Authorization: x"}, res: []string{"Cache-Control: s-maxage=5"}},
-		{res: []string{"Vary: Accept, *"}, want: "Vary"},
-		{code: 206, res: []string{"Cache-Control: max-age=5"}, want: "206"},
-		{code: 302, want: "302"},
-		{code: 302, res: []string{"Cache-Control: max-age=5"}},
-		{code: 404},
-		{res: []string{"Cache-Control: max-age=x"}, want: "malformed"},
+		{response: []string{"Cache-Control: no-store"}, want: "no-store"},
+		{response: []string{"Cache-Control: private, max-age=5"}, want: "private"},
+		{request: []string{"Cache-Control: no-store"}, want: "no-store"},
+		{response: []string{"Set-Cookie: a=b", "Cache-Control: max-age=5"}, want: "cookie"},
+		{response: []string{"Set-Cookie: a=b", "Cache-Control: public, max-age=5"}},
+		{request: []string{"Authorization: x"}, response: []string{"Cache-Control: max-age=5"}, want: "Authorization"},
+		{request: []string{"Authorization: x"}, response: []string{"Cache-Control: s-maxage=5"}},
+		{response: []string{"Vary: Accept, *"}, want: "Vary"},
+		{status: 206, response: []string{"Cache-Control: max-age=5"}, want: "206"},
+		{status: 302, want: "302"},
+		{status: 302, response: []string{"Cache-Control: max-age=5"}},
+		{status: 404},
+		{response: []string{"Cache-Control: max-age=x"}, want: "malformed"},
 	} {
-		a := got(k.res...)
-		if k.code != 0 {
-			a.Status = k.code
+		stored := response(c.response...)
+		if c.status != 0 {
+			stored.Status = c.status
 		}
-		why, ok := Storable(Asking{"GET", head(k.ask...)}, a)
-		if ok != (k.want == "") || !strings.Contains(why, k.want) {
-			t.Errorf("%v, %d %v: %v %q", k.ask, a.Status, k.res, ok, why)
+		why, ok := Storable(Request{"GET", head(c.request...)}, stored)
+		if ok != (c.want == "") || !strings.Contains(why, c.want) {
+			t.Errorf("%v, %d %v: %v %q", c.request, stored.Status, c.response, ok, why)
 		}
 	}
-	if _, ok := Storable(Asking{"POST", nil}, got("Cache-Control: max-age=5")); ok {
+	if _, ok := Storable(Request{"POST", nil}, response("Cache-Control: max-age=5")); ok {
 		t.Error("the answer to a POST is kept")
 	}
 }
 
 func TestDecide(t *testing.T) {
-	for _, k := range []struct {
-		name string
-		res  []string
-		ask  []string
-		at   float64 // s after it came
-		want Use
+	for _, c := range []struct {
+		name     string
+		response []string
+		request  []string
+		at       float64 // s after it came
+		want     Use
 	}{
 		{"fresh", []string{"Cache-Control: max-age=10"}, nil, 9, Serve},
 		{"its own time counts", []string{"Cache-Control: max-age=10"}, nil, 9.95, Revalidate},
@@ -93,25 +93,25 @@
 		{"must-revalidate goes before it", []string{"Cache-Control: max-age=10, must-revalidate"}, []string{"Cache-Control: max-stale"}, 16, Revalidate},
 		{"only-if-cached, fresh", []string{"Cache-Control: max-age=10"}, []string{"Cache-Control: only-if-cached"}, 1, Serve},
 		{"only-if-cached, stale", []string{"Cache-Control: max-age=10"}, []string{"Cache-Control: only-if-cached"}, 11, Unsatisfied},
-		{"stale-while-revalidate", []string{"Cache-Control: max-age=10, stale-while-revalidate=5"}, nil, 14, ServeRenew},
+		{"stale-while-revalidate", []string{"Cache-Control: max-age=10, stale-while-revalidate=5"}, nil, 14, ServeAndRevalidate},
 		{"past it", []string{"Cache-Control: max-age=10, stale-while-revalidate=5"}, nil, 16, Revalidate},
 		{"not for s-maxage", []string{"Cache-Control: s-maxage=10, stale-while-revalidate=5"}, nil, 14, Revalidate},
 	} {
-		if u := Decide(1100+k.at*1000, got(k.res...), Asking{"GET", head(k.ask...)}, 0); u != k.want {
-			t.Errorf("%s: %d, want %d", k.name, u, k.want)
+		if u := Decide(1100+c.at*1000, response(c.response...), Request{"GET", head(c.request...)}, 0); u != c.want {
+			t.Errorf("%s: %d, want %d", c.name, u, c.want)
 		}
 	}
-	if Decide(0, nil, Asking{"GET", head()}, 0) != Fetch || Decide(0, nil, Asking{"GET", head("Cache-Control: only-if-cached")}, 0) != Unsatisfied {
+	if Decide(0, nil, Request{"GET", head()}, 0) != Fetch || Decide(0, nil, Request{"GET", head("Cache-Control: only-if-cached")}, 0) != Unsatisfied {
 		t.Error("nothing is held")
 	}
-	if Decide(1200, got("Cache-Control: max-age=9"), Asking{"POST", head()}, 0) != Fetch {
+	if Decide(1200, response("Cache-Control: max-age=9"), Request{"POST", head()}, 0) != Fetch {
 		t.Error("a POST is answered from a copy")
 	}
-	if Decide(16_000, got("Cache-Control: max-age=10"), Asking{"GET", head()}, 6000) != ServeRenew {
+	if Decide(16_000, response("Cache-Control: max-age=10"), Request{"GET", head()}, 6000) != ServeAndRevalidate {
 		t.Error("the default for what is served while it is renewed")
 	}
-	if !OnError(20_000, got("Cache-Control: max-age=10, stale-if-error=60"), 0) || OnError(80_000, got("Cache-Control: max-age=10, stale-if-error=60"), 0) ||
-		OnError(20_000, got("Cache-Control: max-age=10, must-revalidate, stale-if-error=60"), 1e9) {
+	if !ServableOnError(20_000, response("Cache-Control: max-age=10, stale-if-error=60"), 0) || ServableOnError(80_000, response("Cache-Control: max-age=10, stale-if-error=60"), 0) ||
+		ServableOnError(20_000, response("Cache-Control: max-age=10, must-revalidate, stale-if-error=60"), 1e9) {
 		t.Error("stale-if-error")
 	}
 }
@@ -120,23 +120,23 @@
 // is served without a question is fresh by its own word, or was allowed to be stale.
 func TestAgeGrows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := got()
+		stored := response()
 		if rapid.Bool().Draw(t, "date") {
-			a.Head.Set("Date", wall.Add(time.Duration(rapid.IntRange(-1000, 1000).Draw(t, "off"))*time.Second).Format(http.TimeFormat))
+			stored.Header.Set("Date", wall.Add(time.Duration(rapid.IntRange(-1000, 1000).Draw(t, "off"))*time.Second).Format(http.TimeFormat))
 		}
 		if rapid.Bool().Draw(t, "age") {
-			a.Head.Set("Age", rapid.SampledFrom([]string{"0", "7", "-3", "x", "99999999999"}).Draw(t, "text"))
+			stored.Header.Set("Age", rapid.SampledFrom([]string{"0", "7", "-3", "x", "99999999999"}).Draw(t, "text"))
 		}
-		a.Head.Set("Cache-Control", "max-age="+rapid.SampledFrom([]string{"0", "5", "50"}).Draw(t, "life"))
+		stored.Header.Set("Cache-Control", "max-age="+rapid.SampledFrom([]string{"0", "5", "50"}).Draw(t, "life"))
 		at := 1100 + rapid.Float64Range(0, 1e5).Draw(t, "at")
 		later := at + rapid.Float64Range(0, 1e5).Draw(t, "later")
-		if Age(a, later) < Age(a, at) || Age(a, at) < at-a.Asked-1e-6 {
-			t.Fatalf("age %v and then %v, asked for %v ago", Age(a, at), Age(a, later), at-a.Asked)
+		if Age(stored, later) < Age(stored, at) || Age(stored, at) < at-stored.RequestTime-1e-6 {
+			t.Fatalf("age %v and then %v, asked for %v ago", Age(stored, at), Age(stored, later), at-stored.RequestTime)
 		}
-		if Decide(at, a, Asking{"GET", head()}, 0) == Serve && Age(a, at) >= Lifetime(a) {
+		if Decide(at, stored, Request{"GET", head()}, 0) == Serve && Age(stored, at) >= Lifetime(stored) {
 			t.Fatal("served stale")
 		}
-		if Decide(at, a, Asking{"GET", head()}, 0) != Serve && Decide(later, a, Asking{"GET", head()}, 0) == Serve {
+		if Decide(at, stored, Request{"GET", head()}, 0) != Serve && Decide(later, stored, Request{"GET", head()}, 0) == Serve {
 			t.Fatal("fresh again by time alone")
 		}
 	})
@@ -152,24 +152,24 @@
 	}
 }
 
-func TestRenewed(t *testing.T) {
-	a := got("Etag: \"1\"", "Content-Length: 10", "Cache-Control: max-age=1", "X-Old: 1", "Last-Modified: Tue, 01 Dec 2026 11:00:00 GMT")
-	if c := Conditions(a); c.Get("If-None-Match") != `"1"` || c.Get("If-Modified-Since") == "" {
+func TestFreshened(t *testing.T) {
+	stored := response("Etag: \"1\"", "Content-Length: 10", "Cache-Control: max-age=1", "X-Old: 1", "Last-Modified: Tue, 01 Dec 2026 11:00:00 GMT")
+	if c := ConditionalFields(stored); c.Get("If-None-Match") != `"1"` || c.Get("If-Modified-Since") == "" {
 		t.Error(c)
 	}
-	n := Renewed(a, &Answer{Status: 304, Head: head("Etag: \"1\"", "Cache-Control: max-age=60", "Content-Length: 0"), Asked: 50_000, Came: 50_010, Wall: wall})
-	if n.Status != 200 || n.Head.Get("Content-Length") != "10" || n.Head.Get("X-Old") != "1" || Decide(60_000, n, Asking{"GET", head()}, 0) != Serve || a.Head.Get("Cache-Control") != "max-age=1" {
-		t.Error(n)
+	freshened := Freshened(stored, &Response{Status: 304, Header: head("Etag: \"1\"", "Cache-Control: max-age=60", "Content-Length: 0"), RequestTime: 50_000, ResponseTime: 50_010, WallTime: wall})
+	if freshened.Status != 200 || freshened.Header.Get("Content-Length") != "10" || freshened.Header.Get("X-Old") != "1" || Decide(60_000, freshened, Request{"GET", head()}, 0) != Serve || stored.Header.Get("Cache-Control") != "max-age=1" {
+		t.Error(freshened)
 	}
-	if !NotModified(a, head(`If-None-Match: W/"1"`)) || NotModified(a, head(`If-None-Match: "2"`, "If-Modified-Since: Tue, 01 Dec 2026 11:00:00 GMT")) ||
-		!NotModified(a, head("If-Modified-Since: Tue, 01 Dec 2026 11:00:00 GMT")) || NotModified(a, head()) {
+	if !NotModified(stored, head(`If-None-Match: W/"1"`)) || NotModified(stored, head(`If-None-Match: "2"`, "If-Modified-Since: Tue, 01 Dec 2026 11:00:00 GMT")) ||
+		!NotModified(stored, head("If-Modified-Since: Tue, 01 Dec 2026 11:00:00 GMT")) || NotModified(stored, head()) {
 		t.Error("conditions")
 	}
 }
 
 func TestRanged(t *testing.T) {
-	a := got(`Etag: "1"`)
-	for _, k := range []struct {
+	stored := response(`Etag: "1"`)
+	for _, c := range []struct {
 		r           string
 		more        string
 		status      int
@@ -180,13 +180,13 @@
 		{"bytes=0-1,4-5", "", 200, 0, 99}, {"items=0-1", "", 200, 0, 99}, {"bytes=a-b", "", 200, 0, 99}, {"bytes=--5", "", 200, 0, 99},
 		{"bytes=0-9", `If-Range: "1"`, 206, 0, 9}, {"bytes=0-9", `If-Range: "2"`, 200, 0, 99}, {"bytes=0-9", `If-Range: W/"1"`, 200, 0, 99},
 	} {
-		h := head("Range: " + k.r)
-		if k.more != "" {
-			name, value, _ := strings.Cut(k.more, ": ")
+		h := head("Range: " + c.r)
+		if c.more != "" {
+			name, value, _ := strings.Cut(c.more, ": ")
 			h.Set(name, value)
 		}
-		if status, first, last := Ranged(a, h, 100); status != k.status || first != k.first || last != k.last {
-			t.Errorf("%s %s: %d %d-%d", k.r, k.more, status, first, last)
+		if status, first, last := SelectRange(stored, h, 100); status != c.status || first != c.first || last != c.last {
+			t.Errorf("%s %s: %d %d-%d", c.r, c.more, status, first, last)
 		}
 	}
 }
--- a/internal/cachenode/server/bench_test.go
+++ b/internal/cachenode/server/bench_test.go
@@ -25,7 +25,7 @@
 		for i := range n {
 			path := fmt.Sprintf("/still/1/o%d", i)
 			body := make([]byte, kb<<10)
-			w, err := r.s.st.Begin(storeMeta(path), int64(len(body)))
+			w, err := r.server.store.Begin(storeMeta(path), int64(len(body)))
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -38,12 +38,12 @@
 			}
 		}
 		files := httptest.NewServer(http.FileServer(http.Dir(dir)))
-		for _, k := range []struct{ name, addr, prefix string }{{"cache", r.s.Addr(), "/still/1/"}, {"fileserver", files.Listener.Addr().String(), "/"}} {
-			b.Run(fmt.Sprintf("%s/%dKB", k.name, kb), func(b *testing.B) {
+		for _, target := range []struct{ name, addr, prefix string }{{"cache", r.server.Addr(), "/still/1/"}, {"fileserver", files.Listener.Addr().String(), "/"}} {
+			b.Run(fmt.Sprintf("%s/%dKB", target.name, kb), func(b *testing.B) {
 				b.SetBytes(int64(kb) << 10)
 				b.SetParallelism(4)
 				b.RunParallel(func(pb *testing.PB) {
-					c, err := net.Dial("tcp", k.addr)
+					c, err := net.Dial("tcp", target.addr)
 					if err != nil {
 						b.Error(err)
 						return
@@ -52,7 +52,7 @@
 					br := bufio.NewReaderSize(c, 64<<10)
 					for i := 0; pb.Next(); i++ {
 						c.SetDeadline(time.Now().Add(10 * time.Second))
-						path := fmt.Sprintf("%so%d", k.prefix, i%n)
+						path := fmt.Sprintf("%so%d", target.prefix, i%n)
 						a := fetchheader.Attempt{ID: "q", From: "r", Class: "still", Object: path, Group: -1, Keep: 2}
 						fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: x\r\n%s: %s\r\n\r\n", path, fetchheader.FillField, a.Append(nil))
 						res, err := http.ReadResponse(br, nil)
--- a/internal/cachenode/server/cache.go
+++ b/internal/cachenode/server/cache.go
@@ -59,26 +59,26 @@
 
 // Server is a running cache.
 type Server struct {
-	f         Config
-	l         *eventloop.Loop
-	listener  eventloop.Listener
-	lfd       int
-	addr      string
-	st        *store.Store
-	disk      *store.Threads
-	Recovered store.Recovered
-	warn      func(string)
-	wall      time.Time // at the start
-	mending   bool      // a thread tries again what failed on the disk
-	began     time.Time
-	conns     map[*conn]struct{}
-	flights   map[string]*flight
-	filling   int
-	spare     map[string][]*source
-	buf       []byte
-	hits      float64
-	stats     Stats
-	stopped   chan struct{}
+	cfg           Config
+	loop          *eventloop.Loop
+	listener      eventloop.Listener
+	listenFD      int
+	addr          string
+	store         *store.Store
+	disk          *store.Threads
+	Recovered     store.Recovered
+	warn          func(string)
+	startWall     time.Time // at the start
+	retrying      bool      // a thread tries again what failed on the disk
+	startedAt     time.Time
+	conns         map[*conn]struct{}
+	fills         map[string]*fill
+	fillsInFlight int
+	idleSources   map[string][]*sourceConn
+	scratch       []byte
+	hitRatio      float64
+	stats         Stats
+	stopped       chan struct{}
 
 	OnEvent func(Event) // called on the loop; set before Run
 }
@@ -105,87 +105,87 @@
 }
 
 // Start opens the store and begins to listen; Run serves.
-func Start(f Config, warn func(string)) (*Server, error) {
-	return StartWithFS(store.Dir(f.Folder), f, warn)
+func Start(cfg Config, warn func(string)) (*Server, error) {
+	return StartWithFS(store.Dir(cfg.Folder), cfg, warn)
 }
 
 // StartWithFS is Start with the store in a folder that fault injection gives.
-func StartWithFS(folder store.FS, f Config, warn func(string)) (*Server, error) {
-	return start(f, warn, folder, wallclock.Now)
+func StartWithFS(fs store.FS, cfg Config, warn func(string)) (*Server, error) {
+	return start(cfg, warn, fs, wallclock.Now)
 }
 
 // start is StartOn by a wall clock that tests replace. The clock is read once.
-func start(f Config, warn func(string), folder store.FS, wallClock func() time.Time) (*Server, error) {
+func start(cfg Config, warn func(string), fs store.FS, wallClock func() time.Time) (*Server, error) {
 	if warn == nil {
 		warn = func(string) {}
 	}
-	sync := map[string]store.Sync{"segments": store.SyncSegments, "copies": store.SyncObjects}[f.Sync]
-	st, found, err := store.Open(folder, store.Options{MaxBytes: int64(f.CapacityMB * (1 << 20)), SegmentBytes: int64(f.SegmentMB * (1 << 20)), Sync: sync, Warn: warn})
+	sync := map[string]store.Sync{"segments": store.SyncSegments, "copies": store.SyncObjects}[cfg.Sync]
+	opened, recovered, err := store.Open(fs, store.Options{MaxBytes: int64(cfg.CapacityMB * (1 << 20)), SegmentBytes: int64(cfg.SegmentMB * (1 << 20)), Sync: sync, Warn: warn})
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{f: f, st: st, Recovered: found, warn: warn, conns: map[*conn]struct{}{}, flights: map[string]*flight{}, spare: map[string][]*source{},
-		buf: make([]byte, 256<<10), stopped: make(chan struct{}), began: time.Now(), wall: wallClock()}
-	if s.l, err = eventloop.New(8192); err != nil {
-		st.Close()
+	s := &Server{cfg: cfg, store: opened, Recovered: recovered, warn: warn, conns: map[*conn]struct{}{}, fills: map[string]*fill{}, idleSources: map[string][]*sourceConn{},
+		scratch: make([]byte, 256<<10), stopped: make(chan struct{}), startedAt: time.Now(), startWall: wallClock()}
+	if s.loop, err = eventloop.New(8192); err != nil {
+		opened.Close()
 		return nil, err
 	}
-	if s.lfd, s.addr, err = eventloop.Listen(f.Listen); err != nil {
-		st.Close()
+	if s.listenFD, s.addr, err = eventloop.Listen(cfg.Listen); err != nil {
+		opened.Close()
 		return nil, fmt.Errorf("cache: %w", err)
 	}
-	s.disk = store.NewThreads(f.DiskThreads, f.DiskQueue, time.Duration(f.DiskTimeout)*time.Millisecond)
+	s.disk = store.NewThreads(cfg.DiskThreads, cfg.DiskQueue, time.Duration(cfg.DiskTimeout)*time.Millisecond)
 	return s, nil
 }
 
 // Intercept has the system calls on its sockets made by calls, for fault injection; nil has
 // them made by the kernel. It is called before Run.
-func (s *Server) Intercept(calls eventloop.Syscalls) { s.l.Intercept(calls) }
+func (s *Server) Intercept(calls eventloop.Syscalls) { s.loop.Intercept(calls) }
 
 // Addr is where it listens.
 func (s *Server) Addr() string { return s.addr }
 
 // Stop ends it, from any goroutine.
-func (s *Server) Stop() { s.l.Stop() }
+func (s *Server) Stop() { s.loop.Stop() }
 
 // Run serves until Stop, and then makes what is kept last.
 func (s *Server) Run() error {
-	s.listener = eventloop.Listener{PerTurn: 64, Take: s.accepted}
-	if err := s.listener.Start(s.l, s.lfd); err != nil {
+	s.listener = eventloop.Listener{PerTurn: 64, Take: s.accept}
+	if err := s.listener.Start(s.loop, s.listenFD); err != nil {
 		return err
 	}
-	s.l.AfterFunc(mendEvery, s.mend)
-	err := s.l.Run()
+	s.loop.AfterFunc(diskRetryMillis, s.retryDisk)
+	err := s.loop.Run()
 	close(s.stopped)
 	for c := range s.conns {
 		unix.Close(c.fd)
 	}
-	unix.Close(s.lfd)
+	unix.Close(s.listenFD)
 	s.disk.Close()
-	return errors.Join(err, s.st.Close())
+	return errors.Join(err, s.store.Close())
 }
 
-// mendEvery is how often, in ms, the store is given the occasion to try again what failed;
+// diskRetryMillis is how often, in ms, the store is given the occasion to try again what failed;
 // whether it is time to is its own to say.
-const mendEvery = 100
+const diskRetryMillis = 100
 
-func (s *Server) mend() {
-	if s.st.Faulty() && !s.mending {
-		s.mending = s.disk.Submit(func() {
-			s.st.Retry()
-			s.post(func() { s.mending = false })
+func (s *Server) retryDisk() {
+	if s.store.Faulty() && !s.retrying {
+		s.retrying = s.disk.Submit(func() {
+			s.store.Retry()
+			s.post(func() { s.retrying = false })
 		})
 	}
-	s.l.AfterFunc(mendEvery, s.mend)
+	s.loop.AfterFunc(diskRetryMillis, s.retryDisk)
 }
 
 // now is the time by which copies' ages are told, Unix ms: as the clock was at the start,
 // and from there on only forward.
-func (s *Server) now() int64 { return s.wall.UnixMilli() + time.Since(s.began).Milliseconds() }
+func (s *Server) now() int64 { return s.startWall.UnixMilli() + time.Since(s.startedAt).Milliseconds() }
 
 // post has f run on the loop, from a thread.
 func (s *Server) post(f func()) {
-	for s.l.Post(f) == eventloop.ErrFull {
+	for s.loop.Post(f) == eventloop.ErrFull {
 		select {
 		case <-s.stopped:
 			return
@@ -196,50 +196,50 @@
 
 // State is the counters, from any goroutine.
 func (s *Server) State() (out Stats, err error) {
-	err = s.l.Call(5*time.Second, func() { out = s.stats })
+	err = s.loop.Call(5*time.Second, func() { out = s.stats })
 	return out, err
 }
 
-// accepted takes a connection, unless as many are there as may be.
-func (s *Server) accepted(fd int) {
-	if len(s.conns) >= s.f.MaxConns {
+// accept takes a connection, unless as many are there as may be.
+func (s *Server) accept(fd int) {
+	if len(s.conns) >= s.cfg.MaxConns {
 		unix.Close(fd)
 		return
 	}
 	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	c := &conn{s: s, fd: fd}
-	c.idle.F = c.close
-	if s.l.Add(fd, eventloop.Read, c) != nil {
+	c := &conn{server: s, fd: fd}
+	c.idleTimer.F = c.close
+	if s.loop.Add(fd, eventloop.Read, c) != nil {
 		unix.Close(fd)
 		return
 	}
 	s.conns[c] = struct{}{}
-	s.l.Arm(&c.idle, s.f.IdleTimeout)
+	s.loop.Arm(&c.idleTimer, s.cfg.IdleTimeout)
 }
 
 // conn is a connection of a router's or another cache's.
 type conn struct {
-	s     *Server
-	fd    int
-	in    []byte
-	out   []byte
-	head  http1.Head
-	body  http1.Body
-	v     *visit // in hand; nil between requests
-	last  bool
-	gone  bool
-	taken bool // the head of the request in hand is parsed, its body comes
-	idle  eventloop.Timer
+	server             *Server
+	fd                 int
+	readBuffer         []byte
+	writeBuffer        []byte
+	head               http1.Head
+	body               http1.Body
+	request            *request // in hand; nil between requests
+	closeAfterResponse bool
+	closed             bool
+	headParsed         bool // the head of the request in hand is parsed, its body comes
+	idleTimer          eventloop.Timer
 }
 
 func (c *conn) OnReady(r eventloop.Ready) {
-	if r.Writable() && len(c.out) > 0 {
+	if r.Writable() && len(c.writeBuffer) > 0 {
 		c.flush()
 	}
-	if c.gone || !r.Readable() {
+	if c.closed || !r.Readable() {
 		return
 	}
-	n, err := c.s.l.Read(c.fd, c.s.buf)
+	n, err := c.server.loop.Read(c.fd, c.server.scratch)
 	switch {
 	case eventloop.Retryable(err):
 		if r.Hangup() && eventloop.NotReady(err) {
@@ -250,569 +250,569 @@
 		c.close()
 		return
 	}
-	c.in = append(c.in, c.s.buf[:n]...)
-	c.next()
+	c.readBuffer = append(c.readBuffer, c.server.scratch[:n]...)
+	c.processInput()
 }
 
-// next takes what has come.
-func (c *conn) next() {
-	for !c.gone && len(c.in) > 0 {
-		if c.v != nil && !c.taken {
-			if len(c.in) > 64<<10 { // requests that wait behind the present one
-				c.s.l.Want(c.fd, 0)
+// processInput takes what has come.
+func (c *conn) processInput() {
+	for !c.closed && len(c.readBuffer) > 0 {
+		if c.request != nil && !c.headParsed {
+			if len(c.readBuffer) > 64<<10 { // requests that wait behind the present one
+				c.server.loop.Want(c.fd, 0)
 			}
 			return
 		}
-		if !c.taken {
-			n, err := http1.ParseRequest(c.in, &c.head, http1.Limits{})
+		if !c.headParsed {
+			n, err := http1.ParseRequest(c.readBuffer, &c.head, http1.Limits{})
 			if err != nil {
-				c.last = true
-				c.answer(400, err.Error())
+				c.closeAfterResponse = true
+				c.respond(400, err.Error())
 				return
 			}
 			if n == 0 {
 				return
 			}
-			c.v = c.s.visit(c)
-			if err := c.body.Start(&c.head, int64(c.s.f.MaxBodyBytes)); err != nil {
-				c.last = true
-				c.answer(413, err.Error())
+			c.request = c.server.newRequest(c)
+			if err := c.body.Start(&c.head, int64(c.server.cfg.MaxBodyBytes)); err != nil {
+				c.closeAfterResponse = true
+				c.respond(413, err.Error())
 				return
 			}
-			c.in = c.in[n:]
-			c.taken = true
+			c.readBuffer = c.readBuffer[n:]
+			c.headParsed = true
 		}
-		for !c.body.Done() && len(c.in) > 0 {
-			n, data, err := c.body.Next(c.in)
+		for !c.body.Done() && len(c.readBuffer) > 0 {
+			n, data, err := c.body.Next(c.readBuffer)
 			if err != nil {
-				c.last = true
-				c.answer(400, err.Error())
+				c.closeAfterResponse = true
+				c.respond(400, err.Error())
 				return
 			}
-			c.v.content = append(c.v.content, data...)
-			if c.in = c.in[n:]; n == 0 {
+			c.request.body = append(c.request.body, data...)
+			if c.readBuffer = c.readBuffer[n:]; n == 0 {
 				return
 			}
 		}
 		if !c.body.Done() {
 			return
 		}
-		c.taken = false
-		c.s.l.Disarm(&c.idle)
-		c.v.handle()
+		c.headParsed = false
+		c.server.loop.Disarm(&c.idleTimer)
+		c.request.handle()
 	}
-	if !c.gone && c.taken && c.body.Done() {
-		c.taken = false
-		c.s.l.Disarm(&c.idle)
-		c.v.handle()
+	if !c.closed && c.headParsed && c.body.Done() {
+		c.headParsed = false
+		c.server.loop.Disarm(&c.idleTimer)
+		c.request.handle()
 	}
-	if len(c.in) == 0 {
-		c.in = nil
+	if len(c.readBuffer) == 0 {
+		c.readBuffer = nil
 	}
 }
 
-// answer is a short answer of the cache's own.
-func (c *conn) answer(status int, text string) {
-	b := http1.AppendStatus(nil, status)
-	b = http1.AppendFieldInt(b, "Content-Length", int64(len(text)))
-	if c.last {
-		b = http1.AppendFieldString(b, "Connection", "close")
+// respond is a short answer of the cache's own.
+func (c *conn) respond(status int, body string) {
+	head := http1.AppendStatus(nil, status)
+	head = http1.AppendFieldInt(head, "Content-Length", int64(len(body)))
+	if c.closeAfterResponse {
+		head = http1.AppendFieldString(head, "Connection", "close")
 	}
-	c.out = append(append(append(c.out, b...), "\r\n"...), text...)
-	c.done()
+	c.writeBuffer = append(append(append(c.writeBuffer, head...), "\r\n"...), body...)
+	c.finishRequest()
 }
 
-// done ends the request in hand.
-func (c *conn) done() {
-	if v := c.v; v != nil {
-		c.v = nil
-		v.end()
+// finishRequest ends the request in hand.
+func (c *conn) finishRequest() {
+	if req := c.request; req != nil {
+		c.request = nil
+		req.end()
 	}
 	c.flush()
-	if c.gone {
+	if c.closed {
 		return
 	}
-	if c.last && len(c.out) == 0 {
+	if c.closeAfterResponse && len(c.writeBuffer) == 0 {
 		c.close()
 		return
 	}
-	c.s.l.Arm(&c.idle, c.s.f.IdleTimeout)
-	c.s.l.Want(c.fd, c.want())
-	if len(c.in) > 0 && !c.last {
-		c.next()
+	c.server.loop.Arm(&c.idleTimer, c.server.cfg.IdleTimeout)
+	c.server.loop.Want(c.fd, c.interest())
+	if len(c.readBuffer) > 0 && !c.closeAfterResponse {
+		c.processInput()
 	}
 }
 
-func (c *conn) want() eventloop.Interest {
-	if len(c.out) > 0 {
+func (c *conn) interest() eventloop.Interest {
+	if len(c.writeBuffer) > 0 {
 		return eventloop.Read | eventloop.Write
 	}
 	return eventloop.Read
 }
 
 // write writes what can be at once, and keeps the rest.
-func (c *conn) write(b []byte) {
-	if len(c.out) == 0 {
-		n, err := c.s.l.Write(c.fd, b)
+func (c *conn) write(data []byte) {
+	if len(c.writeBuffer) == 0 {
+		n, err := c.server.loop.Write(c.fd, data)
 		if err == nil {
-			c.s.stats.Out += int64(n)
-			b = b[n:]
+			c.server.stats.Out += int64(n)
+			data = data[n:]
 		} else if !eventloop.Retryable(err) {
 			c.close()
 			return
 		}
 	}
-	c.out = append(c.out, b...)
+	c.writeBuffer = append(c.writeBuffer, data...)
 	c.flush()
 }
 
 func (c *conn) flush() {
-	for len(c.out) > 0 && !c.gone {
-		n, err := c.s.l.Write(c.fd, c.out)
+	for len(c.writeBuffer) > 0 && !c.closed {
+		n, err := c.server.loop.Write(c.fd, c.writeBuffer)
 		if eventloop.Retryable(err) {
-			c.s.l.Want(c.fd, eventloop.Read|eventloop.Write)
+			c.server.loop.Want(c.fd, eventloop.Read|eventloop.Write)
 			return
 		}
 		if err != nil {
 			c.close()
 			return
 		}
-		c.s.stats.Out += int64(n)
-		c.out = c.out[n:]
+		c.server.stats.Out += int64(n)
+		c.writeBuffer = c.writeBuffer[n:]
 	}
-	if c.gone {
+	if c.closed {
 		return
 	}
-	c.out = nil
-	c.s.l.Want(c.fd, eventloop.Read)
+	c.writeBuffer = nil
+	c.server.loop.Want(c.fd, eventloop.Read)
 	switch {
-	case c.v != nil:
-		c.v.more()
-	case c.last:
+	case c.request != nil:
+		c.request.sendMore()
+	case c.closeAfterResponse:
 		c.close()
 	}
 }
 
 func (c *conn) close() {
-	if c.gone {
+	if c.closed {
 		return
 	}
-	c.gone = true
-	c.s.l.Forget(&c.idle)
-	c.s.l.Remove(c.fd)
+	c.closed = true
+	c.server.loop.Forget(&c.idleTimer)
+	c.server.loop.Remove(c.fd)
 	unix.Close(c.fd)
-	delete(c.s.conns, c)
-	if v := c.v; v != nil {
-		c.v = nil
-		v.end()
-	}
-}
-
-// visit is a request in hand.
-type visit struct {
-	s       *Server
-	c       *conn
-	a       fetchheader.Attempt
-	plain   bool // no Spool-Fill: a user's own request
-	method  string
-	target  string
-	key     string
-	fields  http.Header // of the request, that matter
-	content []byte
-	copy    *store.CachedObject
-	old     *store.CachedObject // too old for it, unless its source says otherwise
-	whole   bool                // no conditions: it was asked with some already
-	fl      *flight
-	off     int64
-	size    int64
-	begun   bool
-	busy    bool // a thread reads for it
-	over    bool
-	joined  bool
-	turn    uint64 // of the loop, in which it wrote last
-	burst   int64  // bytes in it
-	told    bool   // it is answered
-	behind  bool   // nobody waits: a copy is renewed behind its answers
-}
-
-// visit takes a request's head, which is the connection's buffer's.
-func (s *Server) visit(c *conn) *visit {
-	h := &c.head
-	v := &visit{s: s, c: c, method: string(h.Method), target: string(h.Path()), fields: http.Header{}}
-	var fills []string
-	for i := range h.Fields {
-		name := strings.ToLower(string(h.Fields[i].Name))
+	delete(c.server.conns, c)
+	if req := c.request; req != nil {
+		c.request = nil
+		req.end()
+	}
+}
+
+// request is a request in hand.
+type request struct {
+	server        *Server
+	conn          *conn
+	attempt       fetchheader.Attempt
+	fromClient    bool // no Spool-Fill: a user's own request
+	method        string
+	target        string
+	key           string
+	header        http.Header // of the request, that matter
+	body          []byte
+	object        *store.CachedObject
+	stale         *store.CachedObject // too old for it, unless its source says otherwise
+	unconditional bool                // no conditions: it was asked with some already
+	fill          *fill
+	offset        int64
+	size          int64
+	headSent      bool
+	pending       bool // a thread reads for it
+	ended         bool
+	joined        bool
+	burstTurn     uint64 // of the loop, in which it wrote last
+	burstBytes    int64  // bytes in it
+	answered      bool   // it is answered
+	background    bool   // nobody waits: a copy is renewed behind its answers
+}
+
+// newRequest takes a request's head, which is the connection's buffer's.
+func (s *Server) newRequest(c *conn) *request {
+	head := &c.head
+	req := &request{server: s, conn: c, method: string(head.Method), target: string(head.Path()), header: http.Header{}}
+	var attempts []string
+	for i := range head.Fields {
+		name := strings.ToLower(string(head.Fields[i].Name))
 		switch name {
 		case fillField:
-			fills = append(fills, string(h.Fields[i].Value))
+			attempts = append(attempts, string(head.Fields[i].Value))
 		case "range", "x-request-id", "accept-encoding", "cache-control", "idempotency-key", "if-none-match", "if-modified-since", "authorization", "content-type", "surrogate-capability", "host":
-			v.fields.Add(name, string(h.Fields[i].Value))
+			req.header.Add(name, string(head.Fields[i].Value))
 		}
 	}
-	v.key = v.target
-	if r := v.fields.Get("Range"); r != "" {
-		v.key += " " + r
+	req.key = req.target
+	if byteRange := req.header.Get("Range"); byteRange != "" {
+		req.key += " " + byteRange
 	}
-	c.last = c.last || h.Close
-	if len(fills) == 0 {
-		v.plain = true
-		v.a = fetchheader.Attempt{Object: v.target, Group: -1, Keep: 1, Join: true, MayFetch: true}
-		return v
+	c.closeAfterResponse = c.closeAfterResponse || head.Close
+	if len(attempts) == 0 {
+		req.fromClient = true
+		req.attempt = fetchheader.Attempt{Object: req.target, Group: -1, Keep: 1, Join: true, MayFetch: true}
+		return req
 	}
 	var err error
-	if v.a, err = fetchheader.ParseAttempt(fills); err != nil {
-		v.method = "" // answered 400 once its body is here
-		v.target = err.Error()
+	if req.attempt, err = fetchheader.ParseAttempt(attempts); err != nil {
+		req.method = "" // answered 400 once its body is here
+		req.target = err.Error()
 	}
-	return v
+	return req
 }
 
 var fillField = strings.ToLower(fetchheader.FillField)
 
-func (v *visit) handle() {
-	s := v.s
+func (r *request) handle() {
+	s := r.server
 	s.stats.Requests++
-	v.seen("recv", 0, 0, 0, false)
+	r.emit("recv", 0, 0, 0, false)
 	switch {
-	case v.method == "":
-		v.c.answer(400, v.target)
-	case strings.HasPrefix(v.target, "/-/"):
-		v.control()
-	case v.method != "GET" && v.method != "HEAD":
-		s.pass(v)
+	case r.method == "":
+		r.conn.respond(400, r.target)
+	case strings.HasPrefix(r.target, "/-/"):
+		r.handleControl()
+	case r.method != "GET" && r.method != "HEAD":
+		s.forwardWrite(r)
 	default:
-		v.look()
+		r.lookup()
 	}
 }
 
-// look looks for a copy.
-func (v *visit) look() {
-	s := v.s
-	if c, known := s.st.TryLookup(v.key); known {
-		v.found(c)
+// lookup looks for a copy.
+func (r *request) lookup() {
+	s := r.server
+	if object, known := s.store.TryLookup(r.key); known {
+		r.lookupDone(object)
 		return
 	}
 	ok := s.disk.Submit(func() {
-		c := s.st.Lookup(v.key)
-		s.post(func() { v.found(c) })
+		object := s.store.Lookup(r.key)
+		s.post(func() { r.lookupDone(object) })
 	})
 	if !ok { // the disk hangs, or is overloaded: as if nothing were held
 		s.stats.WithoutDisk++
-		v.found(nil)
+		r.lookupDone(nil)
 	}
 }
 
-// answerOf is a copy as RFC 9111 looks at it.
-func (s *Server) answerOf(c *store.CachedObject) *httpcache.Answer {
-	a := &httpcache.Answer{Status: 200, Head: http.Header{}, Came: float64(c.Born), Asked: float64(c.Born), Wall: time.UnixMilli(c.Born)}
-	for name, value := range c.Fields {
-		a.Head.Set(name, value)
+// storedResponse is a copy as RFC 9111 looks at it.
+func (s *Server) storedResponse(object *store.CachedObject) *httpcache.Response {
+	response := &httpcache.Response{Status: 200, Header: http.Header{}, ResponseTime: float64(object.GeneratedAt), RequestTime: float64(object.GeneratedAt), WallTime: time.UnixMilli(object.GeneratedAt)}
+	for name, value := range object.Fields {
+		response.Header.Set(name, value)
 	}
-	return a
+	return response
 }
 
-// lifetime is for how long an answer's own head says that it is fresh, ms; 0: it does not.
-func lifetime(a *httpcache.Answer) int64 {
-	if a.Head.Get("Expires") == "" && !strings.Contains(strings.ToLower(strings.Join(a.Head.Values("Cache-Control"), ",")), "max") {
+// explicitLifetime is for how long an answer's own head says that it is fresh, ms; 0: it does not.
+func explicitLifetime(response *httpcache.Response) int64 {
+	if response.Header.Get("Expires") == "" && !strings.Contains(strings.ToLower(strings.Join(response.Header.Values("Cache-Control"), ",")), "max") {
 		return 0
 	}
-	return max(int64(httpcache.Lifetime(a)), 1)
+	return max(int64(httpcache.Lifetime(response)), 1)
 }
 
 // ageUnknown reports whether the age of a copy can't be told. Within this process ages are
 // spans of monotonic time. The stored time of a copy of before is only a hint: where it, or
 // that of another, lies behind the start by the present clock, the clock was stepped back,
 // by nobody knows how much.
-func (s *Server) ageUnknown(c *store.CachedObject) bool {
-	start := s.wall.UnixMilli()
-	return c.BeforeStart && (c.Born > start || s.st.Newest() > start)
+func (s *Server) ageUnknown(object *store.CachedObject) bool {
+	start := s.startWall.UnixMilli()
+	return object.BeforeStart && (object.GeneratedAt > start || s.store.NewestAtStart() > start)
 }
 
-// use is what a copy may be used for: by the age that a router states, or else by what
+// permittedUse is what a copy may be used for: by the age that a router states, or else by what
 // its head and the request say.
-func (v *visit) use(c *store.CachedObject) httpcache.Use {
-	age := float64(v.s.now() - c.Born)
+func (r *request) permittedUse(object *store.CachedObject) httpcache.Use {
+	age := float64(r.server.now() - object.GeneratedAt)
 	switch {
-	case c.PurgesUnknown || v.s.ageUnknown(c):
+	case object.PurgesUnknown || r.server.ageUnknown(object):
 		return httpcache.Revalidate
-	case v.plain:
-		if c.Fresh <= 0 && v.fields.Get("Cache-Control") == "" && v.fields.Get("Pragma") == "" {
+	case r.fromClient:
+		if object.Lifetime <= 0 && r.header.Get("Cache-Control") == "" && r.header.Get("Pragma") == "" {
 			return httpcache.Serve // nothing is said: until it is purged
 		}
-		return httpcache.Decide(float64(v.s.now()), v.s.answerOf(c), httpcache.Asking{Method: v.method, Head: v.fields}, 0)
-	case v.a.Age > 0 && age > v.a.Age, v.a.Age <= 0 && c.Fresh > 0 && age > float64(c.Fresh):
+		return httpcache.Decide(float64(r.server.now()), r.server.storedResponse(object), httpcache.Request{Method: r.method, Header: r.header}, 0)
+	case r.attempt.Age > 0 && age > r.attempt.Age, r.attempt.Age <= 0 && object.Lifetime > 0 && age > float64(object.Lifetime):
 		return httpcache.Revalidate
-	case v.a.Renew && v.a.Source != "" && c.Fresh > 0 && age > 0.8*float64(c.Fresh):
-		return httpcache.ServeRenew
+	case r.attempt.Renew && r.attempt.Source != "" && object.Lifetime > 0 && age > 0.8*float64(object.Lifetime):
+		return httpcache.ServeAndRevalidate
 	}
 	return httpcache.Serve
 }
 
-// renewBehind asks a source about a copy that is served meanwhile, once for all who do.
-func (s *Server) renewBehind(v *visit) {
-	if s.flights[v.key] != nil || s.filling >= s.f.MaxFills {
+// revalidateInBackground asks a source about a copy that is served meanwhile, once for all who do.
+func (s *Server) revalidateInBackground(req *request) {
+	if s.fills[req.key] != nil || s.fillsInFlight >= s.cfg.MaxFills {
 		return
 	}
-	d := &visit{s: s, c: &conn{s: s, fd: -1, gone: true}, a: v.a, plain: v.plain, method: "GET", target: v.target, key: v.key, fields: v.fields, behind: true}
+	renewal := &request{server: s, conn: &conn{server: s, fd: -1, closed: true}, attempt: req.attempt, fromClient: req.fromClient, method: "GET", target: req.target, key: req.key, header: req.header, background: true}
 	s.disk.Submit(func() {
-		c := s.st.Lookup(d.key)
+		object := s.store.Lookup(renewal.key)
 		s.post(func() {
 			switch {
-			case c == nil:
-			case s.flights[d.key] != nil:
-				go c.Close()
+			case object == nil:
+			case s.fills[renewal.key] != nil:
+				go object.Close()
 			default:
 				s.stats.Behind++
-				d.old = c
-				s.fill(d)
+				renewal.stale = object
+				s.startFill(renewal)
 			}
 		})
 	})
 }
 
-// serve answers with a copy.
-func (v *visit) serve(c *store.CachedObject, h fetchheader.CacheStatus) {
-	s := v.s
-	v.copy, v.size = c, c.Size
-	h.Cache = s.f.Name
-	if c.Fresh > 0 {
-		h.HasTTL, h.TTL = true, float64(c.Fresh-(s.now()-c.Born))/1000
+// serveObject answers with a copy.
+func (r *request) serveObject(object *store.CachedObject, cacheStatus fetchheader.CacheStatus) {
+	s := r.server
+	r.object, r.size = object, object.Size
+	cacheStatus.Cache = s.cfg.Name
+	if object.Lifetime > 0 {
+		cacheStatus.HasTTL, cacheStatus.TTL = true, float64(object.Lifetime-(s.now()-object.GeneratedAt))/1000
 	}
-	v.begin(&c.Meta, c.Size, h.String())
+	r.sendHead(&object.Meta, object.Size, cacheStatus.String())
 }
 
-// variants marks, in the place of a copy, that there are several by what askers accept:
+// variantsField marks, in the place of a copy, that there are several by what askers accept:
 // each under the key with its variant behind it. Sources see of an asker's fields only
 // Accept-Encoding, so that nothing else can make a difference.
-const variants = "Spool-Variants"
+const variantsField = "Spool-Variants"
 
-func (v *visit) variant() string {
-	if strings.Contains(v.key, "\x00") {
+func (r *request) variant() string {
+	if strings.Contains(r.key, "\x00") {
 		return ""
 	}
-	return httpcache.Variant("Accept-Encoding", v.fields)
+	return httpcache.Variant("Accept-Encoding", r.header)
 }
 
-func varies(vary string) bool {
+func variesByEncoding(vary string) bool {
 	return strings.Contains(strings.ToLower(vary), "accept-encoding")
 }
 
-// found goes on with what the store has.
-func (v *visit) found(c *store.CachedObject) {
-	s := v.s
-	if v.over {
-		if c != nil {
-			go c.Close()
+// lookupDone goes on with what the store has.
+func (r *request) lookupDone(object *store.CachedObject) {
+	s := r.server
+	if r.ended {
+		if object != nil {
+			go object.Close()
 		}
 		return
 	}
-	if c != nil && c.Fields[variants] != "" { // what is held differs by what is accepted
-		go c.Close()
-		v.key += v.variant()
-		v.look()
+	if object != nil && object.Fields[variantsField] != "" { // what is held differs by what is accepted
+		go object.Close()
+		r.key += r.variant()
+		r.lookup()
 		return
 	}
-	if c != nil {
-		use := v.use(c)
+	if object != nil {
+		use := r.permittedUse(object)
 		if use == httpcache.Unsatisfied {
-			go c.Close()
-			v.refuse(504, fetchheader.CacheStatus{Fwd: "miss"})
+			go object.Close()
+			r.respondEmpty(504, fetchheader.CacheStatus{Fwd: "miss"})
 			return
 		}
-		if use == httpcache.ServeRenew {
-			s.renewBehind(v)
+		if use == httpcache.ServeAndRevalidate {
+			s.revalidateInBackground(r)
 		}
 		if use == httpcache.Fetch || use == httpcache.Revalidate {
-			if v.old != nil {
-				go v.old.Close()
+			if r.stale != nil {
+				go r.stale.Close()
 			}
-			v.old, c = c, nil // it may be good still, or do where its source fails
+			r.stale, object = object, nil // it may be good still, or do where its source fails
 		}
 	}
 	hit := 0.0
-	if c != nil {
+	if object != nil {
 		hit = 1
 	}
-	s.hits += (hit - s.hits) * 0.02
-	if c != nil {
+	s.hitRatio += (hit - s.hitRatio) * 0.02
+	if object != nil {
 		s.stats.Hits++
-		v.serve(c, fetchheader.CacheStatus{Hit: true})
+		r.serveObject(object, fetchheader.CacheStatus{Hit: true})
 		return
 	}
-	fl := s.flights[v.key]
-	if v.a.Source == "" && !v.a.MayFetch {
+	inFlight := s.fills[r.key]
+	if r.attempt.Source == "" && !r.attempt.MayFetch {
 		s.stats.Looked++
-		v.refuse(504, fetchheader.CacheStatus{Fwd: "miss", Collapsed: fl != nil})
+		r.respondEmpty(504, fetchheader.CacheStatus{Fwd: "miss", Collapsed: inFlight != nil})
 		return
 	}
-	if fl != nil && v.a.Join && fl.joinable() {
+	if inFlight != nil && r.attempt.Join && inFlight.joinable() {
 		s.stats.Joined++
-		v.joined = true
-		fl.add(v)
+		r.joined = true
+		inFlight.addWaiter(r)
 		return
 	}
-	s.fill(v)
+	s.startFill(r)
 }
 
-// seen tells who watches.
-func (v *visit) seen(what string, status int, version, bytes int64, hit bool) {
-	v.told = v.told || what == "sent"
-	if v.s.OnEvent != nil && !v.plain && v.method != "" {
-		v.s.OnEvent(Event{what, &v.a, v.method, v.target, v.key, v.fields, status, version, bytes, hit})
+// emit tells who watches.
+func (r *request) emit(what string, status int, version, bytes int64, hit bool) {
+	r.answered = r.answered || what == "sent"
+	if r.server.OnEvent != nil && !r.fromClient && r.method != "" {
+		r.server.OnEvent(Event{what, &r.attempt, r.method, r.target, r.key, r.header, status, version, bytes, hit})
 	}
 }
 
-// refuse is an answer without a copy.
-func (v *visit) refuse(status int, h fetchheader.CacheStatus) {
-	if v.over {
+// respondEmpty is an answer without a copy.
+func (r *request) respondEmpty(status int, cacheStatus fetchheader.CacheStatus) {
+	if r.ended {
 		return
 	}
-	v.s.stats.Refused++
-	v.seen("sent", status, 0, 0, false)
-	h.Cache = v.s.f.Name
-	b := http1.AppendStatus(nil, status)
-	b = http1.AppendFieldString(b, fetchheader.StatusField, h.String())
-	b = http1.AppendFieldString(b, fetchheader.LoadField, v.s.load())
-	b = http1.AppendFieldInt(b, "Content-Length", 0)
-	v.c.out = append(append(v.c.out, b...), "\r\n"...)
-	v.c.done()
-}
-
-// load is what routers hear with each answer: requests in hand, and the share of hits.
-func (s *Server) load() string {
-	return fetchheader.FormatLoad([]float64{float64(len(s.conns)), s.hits})
-}
-
-// begin writes an answer's head.
-func (v *visit) begin(m *store.Meta, size int64, status string) {
-	v.begun = true
-	code := 200
-	if m.Fields["Content-Range"] != "" {
-		code = 206
-	}
-	v.seen("sent", code, m.Version, size, v.fl == nil)
-	b := http1.AppendStatus(nil, code)
-	b = http1.AppendFieldString(b, fetchheader.StatusField, status)
-	b = http1.AppendFieldString(b, fetchheader.LoadField, v.s.load())
-	age := max(v.s.now()-m.Born, 0)
-	b = http1.AppendFieldString(b, fetchheader.CopyField, fetchheader.CopyVersion{Number: m.Version, Age: float64(age)}.String())
-	b = http1.AppendFieldInt(b, "Age", age/1000)
-	for name, value := range m.Fields {
-		b = http1.AppendFieldString(b, name, value)
-	}
-	b = http1.AppendFieldInt(b, "Content-Length", size)
-	if v.c.last {
-		b = http1.AppendFieldString(b, "Connection", "close")
-	}
-	v.c.out = append(append(v.c.out, b...), "\r\n"...)
-	if v.method == "HEAD" {
-		v.c.done()
+	r.server.stats.Refused++
+	r.emit("sent", status, 0, 0, false)
+	cacheStatus.Cache = r.server.cfg.Name
+	head := http1.AppendStatus(nil, status)
+	head = http1.AppendFieldString(head, fetchheader.StatusField, cacheStatus.String())
+	head = http1.AppendFieldString(head, fetchheader.LoadField, r.server.loadMetrics())
+	head = http1.AppendFieldInt(head, "Content-Length", 0)
+	r.conn.writeBuffer = append(append(r.conn.writeBuffer, head...), "\r\n"...)
+	r.conn.finishRequest()
+}
+
+// loadMetrics is what routers hear with each answer: requests in hand, and the share of hits.
+func (s *Server) loadMetrics() string {
+	return fetchheader.FormatLoad([]float64{float64(len(s.conns)), s.hitRatio})
+}
+
+// sendHead writes an answer's head.
+func (r *request) sendHead(meta *store.Meta, size int64, cacheStatus string) {
+	r.headSent = true
+	statusCode := 200
+	if meta.Fields["Content-Range"] != "" {
+		statusCode = 206
+	}
+	r.emit("sent", statusCode, meta.Version, size, r.fill == nil)
+	head := http1.AppendStatus(nil, statusCode)
+	head = http1.AppendFieldString(head, fetchheader.StatusField, cacheStatus)
+	head = http1.AppendFieldString(head, fetchheader.LoadField, r.server.loadMetrics())
+	age := max(r.server.now()-meta.GeneratedAt, 0)
+	head = http1.AppendFieldString(head, fetchheader.CopyField, fetchheader.CopyVersion{Number: meta.Version, Age: float64(age)}.String())
+	head = http1.AppendFieldInt(head, "Age", age/1000)
+	for name, value := range meta.Fields {
+		head = http1.AppendFieldString(head, name, value)
+	}
+	head = http1.AppendFieldInt(head, "Content-Length", size)
+	if r.conn.closeAfterResponse {
+		head = http1.AppendFieldString(head, "Connection", "close")
+	}
+	r.conn.writeBuffer = append(append(r.conn.writeBuffer, head...), "\r\n"...)
+	if r.method == "HEAD" {
+		r.conn.finishRequest()
 		return
 	}
-	v.c.flush()
+	r.conn.flush()
 }
 
 const (
-	step    = 128 << 10 // read from disk at a time
-	perTurn = 1 << 20   // written for one answer in a turn of the loop
+	chunkBytes   = 128 << 10 // read from disk at a time
+	maxTurnBytes = 1 << 20   // written for one answer in a turn of the loop
 )
 
-// more sends the next bytes, once those before are out.
-func (v *visit) more() {
-	if v.over || !v.begun || v.busy || len(v.c.out) > 0 {
+// sendMore sends the next bytes, once those before are out.
+func (r *request) sendMore() {
+	if r.ended || !r.headSent || r.pending || len(r.conn.writeBuffer) > 0 {
 		return
 	}
-	if v.off >= v.size {
-		v.seen("done", 200, 0, v.size, false)
-		v.c.done()
+	if r.offset >= r.size {
+		r.emit("done", 200, 0, r.size, false)
+		r.conn.finishRequest()
 		return
 	}
-	if turn := v.s.l.Turns(); turn != v.turn {
-		v.turn, v.burst = turn, 0
+	if turn := r.server.loop.Turns(); turn != r.burstTurn {
+		r.burstTurn, r.burstBytes = turn, 0
 	}
-	if v.burst >= perTurn { // others have their turn first
-		v.busy = true
-		v.s.l.AfterFunc(0, func() {
-			v.busy, v.burst = false, 0
-			v.more()
+	if r.burstBytes >= maxTurnBytes { // others have their turn first
+		r.pending = true
+		r.server.loop.AfterFunc(0, func() {
+			r.pending, r.burstBytes = false, 0
+			r.sendMore()
 		})
 		return
 	}
-	if v.fl != nil {
-		v.fl.feed(v)
+	if r.fill != nil {
+		r.fill.sendTo(r)
 		return
 	}
-	v.read(v.copy, min(v.size-v.off, step))
+	r.readObject(r.object, min(r.size-r.offset, chunkBytes))
 }
 
-// read has a thread read the next bytes of a copy.
-func (v *visit) read(c *store.CachedObject, n int64) {
-	if k := c.TryReadAt(v.s.buf[:n], v.off); k > 0 {
-		v.off += int64(k)
-		v.burst += int64(k)
-		v.c.write(v.s.buf[:k])
+// readObject has a thread read the next bytes of a copy.
+func (r *request) readObject(object *store.CachedObject, n int64) {
+	if cached := object.TryReadAt(r.server.scratch[:n], r.offset); cached > 0 {
+		r.offset += int64(cached)
+		r.burstBytes += int64(cached)
+		r.conn.write(r.server.scratch[:cached])
 		return
 	}
-	v.busy = true
-	at := v.off
-	ok := v.s.disk.Submit(func() {
-		b := make([]byte, n)
-		k, err := c.ReadAt(b, at)
-		if int64(k) == n {
+	r.pending = true
+	offset := r.offset
+	ok := r.server.disk.Submit(func() {
+		data := make([]byte, n)
+		got, err := object.ReadAt(data, offset)
+		if int64(got) == n {
 			err = nil
 		}
-		v.s.post(func() { v.have(b[:k], err) })
+		r.server.post(func() { r.readDone(data[:got], err) })
 	})
 	if !ok { // the disk hangs in the middle of an answer: that is seen by its length
-		v.busy = false
-		v.s.stats.WithoutDisk++
-		v.c.close()
+		r.pending = false
+		r.server.stats.WithoutDisk++
+		r.conn.close()
 	}
 }
 
-func (v *visit) have(b []byte, err error) {
-	v.busy = false
-	if v.over {
+func (r *request) readDone(data []byte, err error) {
+	r.pending = false
+	if r.ended {
 		return
 	}
 	if err != nil {
-		v.s.warn("cache: a copy can't be read: " + err.Error())
-		v.c.close()
+		r.server.warn("cache: a copy can't be read: " + err.Error())
+		r.conn.close()
 		return
 	}
-	v.off += int64(len(b))
-	v.c.out = append(v.c.out, b...)
-	v.c.flush()
+	r.offset += int64(len(data))
+	r.conn.writeBuffer = append(r.conn.writeBuffer, data...)
+	r.conn.flush()
 }
 
 // end lets go of what the visit holds.
-func (v *visit) end() {
-	if v.over {
+func (r *request) end() {
+	if r.ended {
 		return
 	}
-	v.over = true
-	if !v.told {
-		v.seen("left", 0, 0, 0, false)
+	r.ended = true
+	if !r.answered {
+		r.emit("left", 0, 0, 0, false)
 	}
-	if v.old != nil {
-		go v.old.Close()
-		v.old = nil
+	if r.stale != nil {
+		go r.stale.Close()
+		r.stale = nil
 	}
-	if v.copy != nil {
-		go v.copy.Close() // the store may wait for a disk that hangs, and the loop must not
-		v.copy = nil
+	if r.object != nil {
+		go r.object.Close() // the store may wait for a disk that hangs, and the loop must not
+		r.object = nil
 	}
-	if v.fl != nil {
-		v.fl.leave(v)
+	if r.fill != nil {
+		r.fill.removeWaiter(r)
 	}
 }
 
-// control is what an operator or the list's purges say.
-func (v *visit) control() {
-	s := v.s
-	switch v.target {
+// handleControl is what an operator or the list's purges say.
+func (r *request) handleControl() {
+	s := r.server
+	switch r.target {
 	case "/-/purge":
-		var x struct {
+		var params struct {
 			Object  string  `json:"object"`
 			Group   int32   `json:"group"`
 			Tag     string  `json:"tag"`
@@ -820,101 +820,101 @@
 			Version int64   `json:"version"`
 			Made    float64 `json:"made"`
 		}
-		if err := json.Unmarshal(v.content, &x); err != nil {
-			v.c.answer(400, "a purge is {\"object\": PATH}, group, tag or prefix: "+err.Error())
+		if err := json.Unmarshal(r.body, &params); err != nil {
+			r.conn.respond(400, "a purge is {\"object\": PATH}, group, tag or prefix: "+err.Error())
 			return
 		}
-		w := store.Purge{Scope: store.ByGroup, Group: x.Group, Version: x.Version}
+		purge := store.Purge{Scope: store.ByGroup, Group: params.Group, Version: params.Version}
 		switch {
-		case x.Object != "":
-			w.Scope, w.Text = store.ByObject, x.Object
-		case x.Tag != "":
-			w.Scope, w.Text = store.ByTag, x.Tag
-		case x.Prefix != "":
-			w.Scope, w.Text = store.ByPrefix, x.Prefix
+		case params.Object != "":
+			purge.Scope, purge.Text = store.ByObject, params.Object
+		case params.Tag != "":
+			purge.Scope, purge.Text = store.ByTag, params.Tag
+		case params.Prefix != "":
+			purge.Scope, purge.Text = store.ByPrefix, params.Prefix
 		}
-		done := func(n uint64, err error) {
-			if v.over {
+		done := func(number uint64, err error) {
+			if r.ended {
 				return
 			}
 			if err != nil {
-				v.c.answer(500, err.Error())
+				r.conn.respond(500, err.Error())
 				return
 			}
-			v.c.answer(200, fmt.Sprintf("{\"number\":%d,\"made\":%v}\n", n, strconv.FormatFloat(x.Made, 'f', -1, 64)))
+			r.conn.respond(200, fmt.Sprintf("{\"number\":%d,\"made\":%v}\n", number, strconv.FormatFloat(params.Made, 'f', -1, 64)))
 		}
 		if !s.disk.Submit(func() {
-			n, err := s.st.Purge(w)
-			s.post(func() { done(n, err) })
+			number, err := s.store.Purge(purge)
+			s.post(func() { done(number, err) })
 		}) {
-			v.c.answer(503, "the disk does not answer: the purge is not acknowledged; send it again")
+			r.conn.respond(503, "the disk does not answer: the purge is not acknowledged; send it again")
 		}
 	case "/-/caught-up":
 		if !s.disk.Submit(func() {
-			s.st.PurgesCaughtUp()
+			s.store.PurgesCaughtUp()
 			s.post(func() {
-				if !v.over {
-					v.c.answer(200, "")
+				if !r.ended {
+					r.conn.respond(200, "")
 				}
 			})
 		}) {
-			v.c.answer(503, "the disk does not answer: send it again")
+			r.conn.respond(503, "the disk does not answer: send it again")
 		}
 	case "/-/state":
-		out := map[string]any{"name": s.f.Name, "fills": s.filling, "stats": s.stats, "found": s.Recovered, "hung": s.disk.Hung(),
+		state := map[string]any{"name": s.cfg.Name, "fills": s.fillsInFlight, "stats": s.stats, "found": s.Recovered, "hung": s.disk.Hung(),
 			"in_bytes": s.stats.In, "out_bytes": s.stats.Out, "hits": s.stats.Hits, "misses": s.stats.Looked + s.stats.Fills}
-		tell := func() {
-			if b, err := json.Marshal(out); err == nil && !v.over {
-				v.c.answer(200, string(b)+"\n")
+		respond := func() {
+			if encoded, err := json.Marshal(state); err == nil && !r.ended {
+				r.conn.respond(200, string(encoded)+"\n")
 			}
 		}
 		if !s.disk.Submit(func() {
-			out["copies"], out["bytes"] = s.st.Usage()
-			out["store"] = s.st.Counts()
-			disk := s.st.Status()
-			out["disk"], out["found"] = describe(disk), disk.Found
-			s.post(tell)
+			state["copies"], state["bytes"] = s.store.Usage()
+			state["store"] = s.store.Counts()
+			status := s.store.Status()
+			state["disk"], state["found"] = describeDisk(status), status.Found
+			s.post(respond)
 		}) {
-			tell()
+			respond()
 		}
 	default:
-		v.c.answer(404, "known are /-/purge and /-/state\n")
+		r.conn.respond(404, "known are /-/purge and /-/state\n")
 	}
 }
 
 // diskState is how the disk is doing, as GET /-/state tells it.
 type diskState struct {
-	Fault      string `json:"fault,omitempty"` // the call that failed
-	File       string `json:"file,omitempty"`
-	Cause      string `json:"cause,omitempty"`
-	Since      string `json:"since,omitempty"` // RFC 3339
-	ForMS      int64  `json:"for_ms,omitempty"`
-	Unread     bool   `json:"unread"`     // nothing of before is given out: the logs could not be read yet
-	Purges     bool   `json:"purges"`     // they can be acknowledged
-	Unreadable int    `json:"unreadable"` // segments whose copies are not given out for now
-}
-
-func describe(status store.Status) diskState {
-	out := diskState{Unread: status.LogsUnread, Purges: status.PurgesDurable, Unreadable: status.UnreadableSegments}
+	Fault              string `json:"fault,omitempty"` // the call that failed
+	File               string `json:"file,omitempty"`
+	Cause              string `json:"cause,omitempty"`
+	Since              string `json:"since,omitempty"` // RFC 3339
+	FaultMillis        int64  `json:"for_ms,omitempty"`
+	LogsUnread         bool   `json:"unread"`     // nothing of before is given out: the logs could not be read yet
+	PurgesDurable      bool   `json:"purges"`     // they can be acknowledged
+	UnreadableSegments int    `json:"unreadable"` // segments whose copies are not given out for now
+}
+
+func describeDisk(status store.Status) diskState {
+	out := diskState{LogsUnread: status.LogsUnread, PurgesDurable: status.PurgesDurable, UnreadableSegments: status.UnreadableSegments}
 	if fault := status.Fault; fault != nil {
-		out.Fault, out.File, out.Since, out.ForMS = fault.Op, fault.File, fault.Since.UTC().Format(time.RFC3339), status.FaultDuration.Milliseconds()
+		out.Fault, out.File, out.Since, out.FaultMillis = fault.Op, fault.File, fault.Since.UTC().Format(time.RFC3339), status.FaultDuration.Milliseconds()
 		out.Cause = fault.Err.Error()
 	}
 	return out
 }
 
 // storable reports whether an answer may be kept, by RFC 9111 and the attempt.
-func (v *visit) storable(h *http1.Head) bool {
-	if v.a.Keep < 1 {
+func (r *request) storable(head *http1.Head) bool {
+	if r.attempt.Keep < 1 {
 		return false
 	}
-	a := &httpcache.Answer{Status: h.Status, Head: http.Header{}}
-	if a.Status == 206 {
-		a.Status = 200 // a part that is an object of its own, by its range
+	response := &httpcache.Response{Status: head.Status, Header: http.Header{}}
+	if response.Status == 206 {
+		response.Status = 200 // a part that is an object of its own, by its range
 	}
-	for i := range h.Fields {
-		a.Head.Add(string(h.Fields[i].Name), string(h.Fields[i].Value))
+	for i := range head.Fields {
+		response.Header.Add(string(head.Fields[i].Name), string(head.Fields[i].Value))
 	}
-	_, ok := httpcache.Storable(httpcache.Asking{Method: "GET", Head: v.fields}, a)
+	_, ok := httpcache.Storable(httpcache.Request{Method: "GET", Header: r.header}, response)
 	return ok
 }
--- a/internal/cachenode/server/cache_test.go
+++ b/internal/cachenode/server/cache_test.go
@@ -22,30 +22,30 @@
 
 // bench is a cache before a stand-in origin.
 type rig struct {
-	t      testing.TB
-	s      *Server
-	origin *testserver.Server
-	tap    *trafficlog.Writer
-	form   Config
-	done   chan error
-	client *http.Client
-	folder store.FS         // nil: the form's
-	wall   func() time.Time // nil: time.Now
+	t          testing.TB
+	server     *Server
+	origin     *testserver.Server
+	trafficLog *trafficlog.Writer
+	cfg        Config
+	done       chan error
+	client     *http.Client
+	fs         store.FS         // nil: the form's
+	wallClock  func() time.Time // nil: time.Now
 }
 
 var classes = []testserver.Class{{Name: "still", KB: 40}, {Name: "film", KB: 900}, {Name: "order", Write: true, Window: 2000}}
 
-func newRig(t testing.TB, more string) *rig {
-	r := &rig{t: t, tap: trafficlog.NewWriter(nil), client: newClient()}
+func newRig(t testing.TB, extraSettings string) *rig {
+	r := &rig{t: t, trafficLog: trafficlog.NewWriter(nil), client: newClient()}
 	var err error
-	if r.origin, err = testserver.Start(testserver.Config{ID: "o", Role: "origin", Flow: 500, Classes: classes}, r.tap); err != nil {
+	if r.origin, err = testserver.Start(testserver.Config{ID: "o", Role: "origin", Flow: 500, Classes: classes}, r.trafficLog); err != nil {
 		t.Fatal(err)
 	}
-	var set Settings
-	if err := config.Read("box.edn", fmt.Sprintf("(cache b1 (folder %q) %s)", filepath.Join(t.TempDir(), "store"), more), &set); err != nil {
+	var settings Settings
+	if err := config.Read("box.edn", fmt.Sprintf("(cache b1 (folder %q) %s)", filepath.Join(t.TempDir(), "store"), extraSettings), &settings); err != nil {
 		t.Fatal(err)
 	}
-	r.form = set.Cache
+	r.cfg = settings.Cache
 	r.start()
 	t.Cleanup(func() {
 		r.stop()
@@ -56,28 +56,28 @@
 
 func (r *rig) start() {
 	r.t.Helper()
-	folder, wall := r.folder, r.wall
-	if folder == nil {
-		folder = store.Dir(r.form.Folder)
+	fs, wallClock := r.fs, r.wallClock
+	if fs == nil {
+		fs = store.Dir(r.cfg.Folder)
 	}
-	if wall == nil {
-		wall = time.Now
+	if wallClock == nil {
+		wallClock = time.Now
 	}
-	s, err := start(r.form, func(w string) { r.t.Log(w) }, folder, wall)
+	s, err := start(r.cfg, func(w string) { r.t.Log(w) }, fs, wallClock)
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	r.s, r.done = s, make(chan error, 1)
+	r.server, r.done = s, make(chan error, 1)
 	go func() { r.done <- s.Run() }()
 }
 
 func (r *rig) stop() {
-	if r.s != nil {
-		r.s.Stop()
+	if r.server != nil {
+		r.server.Stop()
 		if err := <-r.done; err != nil {
 			r.t.Error(err)
 		}
-		r.s = nil
+		r.server = nil
 	}
 }
 
@@ -86,7 +86,7 @@
 }
 
 // at makes an attempt with a fill at a cache elsewhere.
-func (r *rig) at(addr, path string) (*http.Response, []byte, error) {
+func (r *rig) fetchFrom(addr, path string) (*http.Response, []byte, error) {
 	a := fetchheader.Attempt{ID: "q" + path, From: "r1", Class: "still", Object: path, Group: 7, Keep: 2, Join: true, Source: "o", SourceAddress: r.origin.Addr()}
 	req, _ := http.NewRequest("GET", "http://"+addr+path, nil)
 	req.Header.Set(fetchheader.FillField, string(a.Append(nil)))
@@ -99,14 +99,14 @@
 	return res, b, err
 }
 
-// ask makes an attempt at the cache; src says whether it may fill from the origin.
-func (r *rig) ask(path string, src bool, change func(*fetchheader.Attempt, *http.Request)) (*http.Response, []byte, error) {
+// fetch makes an attempt at the cache; src says whether it may fill from the origin.
+func (r *rig) fetch(path string, mayFill bool, change func(*fetchheader.Attempt, *http.Request)) (*http.Response, []byte, error) {
 	class := strings.Split(path, "/")[1]
 	a := fetchheader.Attempt{ID: "q" + path, From: "r1", Class: class, Object: path, Group: 7, Keep: 2, Join: true}
-	if src {
+	if mayFill {
 		a.Source, a.SourceAddress = "o", r.origin.Addr()
 	}
-	req, _ := http.NewRequest("GET", "http://"+r.s.Addr()+path, nil)
+	req, _ := http.NewRequest("GET", "http://"+r.server.Addr()+path, nil)
 	if change != nil {
 		change(&a, req)
 	}
@@ -120,10 +120,10 @@
 	return res, b, err
 }
 
-// good checks an answer against the origin's content, and returns its Cache-Status and version.
-func (r *rig) good(path string, src bool) (status string, version int64) {
+// fetchVerified checks an answer against the origin's content, and returns its Cache-Status and version.
+func (r *rig) fetchVerified(path string, mayFill bool) (status string, version int64) {
 	r.t.Helper()
-	res, b, err := r.ask(path, src, nil)
+	res, b, err := r.fetch(path, mayFill, nil)
 	if err != nil || res.StatusCode != 200 {
 		r.t.Fatalf("%s: %v %v", path, res, err)
 	}
@@ -137,10 +137,10 @@
 	return res.Header.Get(fetchheader.StatusField), v.Number
 }
 
-func (r *rig) waitKept(n uint64) {
+func (r *rig) waitStored(n uint64) {
 	r.t.Helper()
 	for range 400 {
-		if st, err := r.s.State(); err == nil && st.Kept >= n {
+		if st, err := r.server.State(); err == nil && st.Kept >= n {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -150,7 +150,7 @@
 
 func (r *rig) purge(text string) int {
 	r.t.Helper()
-	res, err := r.client.Post("http://"+r.s.Addr()+"/-/purge", "application/json", strings.NewReader(text))
+	res, err := r.client.Post("http://"+r.server.Addr()+"/-/purge", "application/json", strings.NewReader(text))
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -163,20 +163,20 @@
 // After a purge there is none, before and after a stop.
 func TestWarmAfterRestart(t *testing.T) {
 	r := newRig(t, "")
-	if res, _, err := r.ask("/still/1/a", false, nil); err != nil || res.StatusCode != 504 || !strings.Contains(res.Header.Get(fetchheader.StatusField), "fwd=miss") {
+	if res, _, err := r.fetch("/still/1/a", false, nil); err != nil || res.StatusCode != 504 || !strings.Contains(res.Header.Get(fetchheader.StatusField), "fwd=miss") {
 		t.Fatal(res, err)
 	}
 	name := func(i int) string { return fmt.Sprintf("/still/1/o%d", i) }
 	for i := range 20 {
-		if s, _ := r.good(name(i), true); !strings.Contains(s, "fwd=miss") || !strings.Contains(s, "stored") {
+		if s, _ := r.fetchVerified(name(i), true); !strings.Contains(s, "fwd=miss") || !strings.Contains(s, "stored") {
 			t.Fatal(s)
 		}
 	}
-	r.good("/film/1/big", true)
-	r.waitKept(21)
+	r.fetchVerified("/film/1/big", true)
+	r.waitStored(21)
 	hit := func(path string) {
 		t.Helper()
-		if s, _ := r.good(path, false); !strings.Contains(s, "hit") {
+		if s, _ := r.fetchVerified(path, false); !strings.Contains(s, "hit") {
 			t.Fatal(s)
 		}
 	}
@@ -186,27 +186,27 @@
 	r.stop()
 	made := r.origin.Purge(name(7), 0, 0) // while it is down
 	r.start()
-	if r.s.Recovered.Objects != 21 {
-		t.Errorf("found %+v", r.s.Recovered)
+	if r.server.Recovered.Objects != 21 {
+		t.Errorf("found %+v", r.server.Recovered)
 	}
-	if res, _, _ := r.ask(name(1), false, nil); res.StatusCode != 504 {
+	if res, _, _ := r.fetch(name(1), false, nil); res.StatusCode != 504 {
 		t.Error("a copy that is in doubt is a hit", res.Status)
 	}
 	for i := range 20 {
-		if _, v := r.good(name(i), true); i == 7 && v != 2 {
+		if _, v := r.fetchVerified(name(i), true); i == 7 && v != 2 {
 			t.Errorf("version %d after a purge that the cache missed", v)
 		}
 		if i != 7 {
 			hit(name(i))
 		}
 	}
-	if st, _ := r.s.State(); st.Renewed != 19 || st.In > 30<<10+int64(testserver.SizeOf(name(7), 40)) {
+	if st, _ := r.server.State(); st.Renewed != 19 || st.In > 30<<10+int64(testserver.SizeOf(name(7), 40)) {
 		t.Errorf("%d renewed, %d bytes from the source", st.Renewed, st.In)
 	}
 	r.stop()
 	r.start()
 	r.purge(fmt.Sprintf(`{"object":%q,"made":%f}`, name(7), made))
-	res, err := r.client.Post("http://"+r.s.Addr()+"/-/caught-up", "", nil)
+	res, err := r.client.Post("http://"+r.server.Addr()+"/-/caught-up", "", nil)
 	if err != nil || res.StatusCode != 200 {
 		t.Fatal(res, err)
 	}
@@ -224,24 +224,24 @@
 		t.Error(code)
 	}
 	for range 2 {
-		if res, _, _ := r.ask("/still/1/o3", false, nil); res.StatusCode != 504 {
+		if res, _, _ := r.fetch("/still/1/o3", false, nil); res.StatusCode != 504 {
 			t.Error("it is back after its purge", res.Status)
 		}
 		r.stop()
 		r.start()
-		r.s.st.PurgesCaughtUp()
+		r.server.store.PurgesCaughtUp()
 	}
 	hit(name(4))
 	if code := r.purge(`{"group":7}`); code != 200 {
 		t.Fatal(code)
 	}
-	if res, _, _ := r.ask("/still/1/o4", false, nil); res.StatusCode != 504 {
+	if res, _, _ := r.fetch("/still/1/o4", false, nil); res.StatusCode != 504 {
 		t.Error("it is back after the purge of its group", res.Status)
 	}
 }
 
 // Many who ask for the same at once are one fill; each has all of it.
-func TestJoin(t *testing.T) {
+func TestConcurrentRequestsShareFill(t *testing.T) {
 	r := newRig(t, "")
 	var wg sync.WaitGroup
 	joined := make(chan bool, 40)
@@ -249,7 +249,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			res, b, err := r.ask("/film/1/same", true, nil)
+			res, b, err := r.fetch("/film/1/same", true, nil)
 			if err != nil || res.StatusCode != 200 {
 				t.Errorf("%v %v", res, err)
 				return
@@ -262,7 +262,7 @@
 	}
 	wg.Wait()
 	n := 0
-	for _, x := range r.tap.Records() {
+	for _, x := range r.trafficLog.Records() {
 		if x.Event == trafficlog.AttemptReceived && x.Subject == "o" {
 			n++
 		}
@@ -287,11 +287,11 @@
 	}
 	got := make(chan error, 1)
 	go func() {
-		_, _, err := r.ask("/film/1/slow", true, nil)
+		_, _, err := r.fetch("/film/1/slow", true, nil)
 		got <- err
 	}()
 	for range 400 {
-		if st, _ := r.s.State(); st.In > 0 {
+		if st, _ := r.server.State(); st.In > 0 {
 			break
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -304,7 +304,7 @@
 		t.Fatal(err)
 	}
 	time.Sleep(100 * time.Millisecond)
-	if res, _, _ := r.ask("/film/1/slow", false, nil); res.StatusCode != 504 {
+	if res, _, _ := r.fetch("/film/1/slow", false, nil); res.StatusCode != 504 {
 		t.Error("a fill from before the purge was kept")
 	}
 }
@@ -314,21 +314,21 @@
 func TestAttempts(t *testing.T) {
 	r := newRig(t, "")
 	for range 2 {
-		res, _, err := r.ask("/still/1/pass", true, func(a *fetchheader.Attempt, _ *http.Request) { a.Keep = 0 })
+		res, _, err := r.fetch("/still/1/pass", true, func(a *fetchheader.Attempt, _ *http.Request) { a.Keep = 0 })
 		if err != nil || strings.Contains(res.Header.Get(fetchheader.StatusField), "stored") {
 			t.Fatal(res, err)
 		}
 	}
-	if res, _, _ := r.ask("/still/1/pass", false, nil); res.StatusCode != 504 {
+	if res, _, _ := r.fetch("/still/1/pass", false, nil); res.StatusCode != 504 {
 		t.Error("rank 0 was kept")
 	}
-	r.good("/still/1/age", true)
-	r.waitKept(1)
+	r.fetchVerified("/still/1/age", true)
+	r.waitStored(1)
 	time.Sleep(30 * time.Millisecond)
-	if res, _, _ := r.ask("/still/1/age", false, func(a *fetchheader.Attempt, _ *http.Request) { a.Age = 10 }); res.StatusCode != 504 {
+	if res, _, _ := r.fetch("/still/1/age", false, func(a *fetchheader.Attempt, _ *http.Request) { a.Age = 10 }); res.StatusCode != 504 {
 		t.Error("a copy that is too old is a hit")
 	}
-	res, b, err := r.ask("/order/1", true, func(a *fetchheader.Attempt, q *http.Request) {
+	res, b, err := r.fetch("/order/1", true, func(a *fetchheader.Attempt, q *http.Request) {
 		q.Method, q.Body, q.ContentLength = "POST", io.NopCloser(strings.NewReader("hello")), 5
 		q.Header.Set(fetchheader.IdempotencyKeyField, "k1")
 	})
@@ -336,22 +336,22 @@
 		t.Errorf("%v %q %v", res, b, err)
 	}
 	part := func(src bool) (int, string) {
-		res, b, err := r.ask("/film/1/r", src, func(_ *fetchheader.Attempt, q *http.Request) { q.Header.Set("Range", "bytes=100-299") })
+		res, b, err := r.fetch("/film/1/r", src, func(_ *fetchheader.Attempt, q *http.Request) { q.Header.Set("Range", "bytes=100-299") })
 		if err != nil {
 			t.Fatal(err)
 		}
 		return res.StatusCode, fmt.Sprint(len(b), res.Header.Get("Content-Range"))
 	}
 	code, text := part(true)
-	r.waitKept(2)
+	r.waitStored(2)
 	if again, same := part(false); code != 206 || again != 206 || text != same || !strings.HasPrefix(text, "200bytes 100-299/") {
 		t.Error(code, text, again, same)
 	}
-	res, b, err = r.ask("/still/1/age", false, func(_ *fetchheader.Attempt, q *http.Request) { q.Method = "HEAD" })
+	res, b, err = r.fetch("/still/1/age", false, func(_ *fetchheader.Attempt, q *http.Request) { q.Method = "HEAD" })
 	if err != nil || res.StatusCode != 200 || len(b) > 0 || res.ContentLength < 100 {
 		t.Error(res, err)
 	}
-	if res, err := http.Get("http://" + r.s.Addr() + "/-/state"); err != nil {
+	if res, err := http.Get("http://" + r.server.Addr() + "/-/state"); err != nil {
 		t.Error(err)
 	} else {
 		var x map[string]any
@@ -360,7 +360,7 @@
 		}
 		res.Body.Close()
 	}
-	req, _ := http.NewRequest("GET", "http://"+r.s.Addr()+"/still/1/a", nil)
+	req, _ := http.NewRequest("GET", "http://"+r.server.Addr()+"/still/1/a", nil)
 	req.Header.Set(fetchheader.FillField, "nonsense(")
 	if res, err := r.client.Do(req); err != nil || res.StatusCode != 400 {
 		t.Error(res, err)
@@ -371,7 +371,7 @@
 func TestSourceFails(t *testing.T) {
 	r := newRig(t, "(fill-wait 200)")
 	for what, want := range map[string]string{"gone": fetchheader.SourceUnreached, "hangs": fetchheader.SourceUnreached, "lacks": fetchheader.SourceLacks} {
-		res, _, err := r.ask("/still/1/"+what, true, func(a *fetchheader.Attempt, _ *http.Request) {
+		res, _, err := r.fetch("/still/1/"+what, true, func(a *fetchheader.Attempt, _ *http.Request) {
 			switch what {
 			case "gone":
 				a.SourceAddress = "127.0.0.1:1"
@@ -381,7 +381,7 @@
 				}
 			case "lacks":
 				a.Held = true
-				a.SourceAddress = r.s.Addr() // itself: it holds nothing of it
+				a.SourceAddress = r.server.Addr() // itself: it holds nothing of it
 			}
 		})
 		if err != nil || res.StatusCode != 503 || !strings.Contains(res.Header.Get(fetchheader.StatusField), want) {
@@ -389,42 +389,42 @@
 		}
 		time.Sleep(450 * time.Millisecond)
 	}
-	if st, _ := r.s.State(); r.s.l == nil || st.Kept != 0 {
+	if st, _ := r.server.State(); r.server.loop == nil || st.Kept != 0 {
 		t.Error(st)
 	}
-	r.good("/still/1/after", true)
-	r.s.l.Call(time.Second, func() {
-		if r.s.filling > 1 || len(r.s.flights) > 1 {
-			t.Errorf("%d fills are left", r.s.filling)
+	r.fetchVerified("/still/1/after", true)
+	r.server.loop.Call(time.Second, func() {
+		if r.server.fillsInFlight > 1 || len(r.server.fills) > 1 {
+			t.Errorf("%d fills are left", r.server.fillsInFlight)
 		}
 	})
 }
 
 // A disk that hangs: requests are answered without it, from the source, in time; the loop
 // is not held up.
-func TestDiskThatHangs(t *testing.T) {
+func TestDiskHangs(t *testing.T) {
 	r := newRig(t, "(threads 2) (queue 4) (patience 50)")
-	r.good("/still/1/a", true)
-	r.waitKept(1)
-	let := make(chan bool)
+	r.fetchVerified("/still/1/a", true)
+	r.waitStored(1)
+	release := make(chan bool)
 	for range 2 {
-		r.s.disk.Submit(func() { <-let })
+		r.server.disk.Submit(func() { <-release })
 	}
-	for r.s.disk.Submit(func() {}) {
+	for r.server.disk.Submit(func() {}) {
 		time.Sleep(time.Millisecond)
 	}
 	at := time.Now()
 	for i := range 5 {
-		if s, _ := r.good(fmt.Sprintf("/still/1/h%d", i), true); strings.Contains(s, "stored") {
+		if s, _ := r.fetchVerified(fmt.Sprintf("/still/1/h%d", i), true); strings.Contains(s, "stored") {
 			t.Error("it says that it keeps what it can't", s)
 		}
 	}
 	if took := time.Since(at); took > 2*time.Second {
 		t.Errorf("five requests took %v", took)
 	}
-	close(let)
+	close(release)
 	for range 400 { // the queue has to run dry, too
-		if res, _, err := r.ask("/still/1/a", false, nil); err == nil && res.StatusCode == 200 {
+		if res, _, err := r.fetch("/still/1/a", false, nil); err == nil && res.StatusCode == 200 {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -433,7 +433,7 @@
 }
 
 func storeMeta(path string) store.Meta {
-	return store.Meta{Key: path, Object: path, Rank: 2, Born: time.Now().UnixMilli(), Fields: map[string]string{"Content-Type": "image/jpeg"}}
+	return store.Meta{Key: path, Object: path, Rank: 2, GeneratedAt: time.Now().UnixMilli(), Fields: map[string]string{"Content-Type": "image/jpeg"}}
 }
 
 // A copy that is too old is asked about, and not fetched again where its source says that
@@ -442,11 +442,11 @@
 func TestRevalidation(t *testing.T) {
 	r := newRig(t, "(fill-wait 300)")
 	var mu sync.Mutex
-	tag, fails, whole, asked := `"1"`, false, 0, 0
+	tag, fails, fullResponses, requests := `"1"`, false, 0, 0
 	src := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
-		asked++
+		requests++
 		w.Header().Set("ETag", tag)
 		w.Header().Set("Cache-Control", "max-age=1, stale-if-error=60")
 		switch {
@@ -455,14 +455,14 @@
 		case q.Header.Get("If-None-Match") == tag:
 			w.WriteHeader(304)
 		default:
-			whole++
+			fullResponses++
 			io.WriteString(w, "body of "+tag)
 		}
 	}))
 	defer src.Close()
 	at := src.Listener.Addr().String()
 	ask := func(age float64, plain bool) (int, string) {
-		req, _ := http.NewRequest("GET", "http://"+r.s.Addr()+"/still/1/x", nil)
+		req, _ := http.NewRequest("GET", "http://"+r.server.Addr()+"/still/1/x", nil)
 		if !plain {
 			a := fetchheader.Attempt{ID: "q", From: "r", Class: "still", Object: "/still/1/x", Group: -1, Keep: 2, Age: age, Source: "o", SourceAddress: at}
 			req.Header.Set(fetchheader.FillField, string(a.Append(nil)))
@@ -483,17 +483,17 @@
 		defer mu.Unlock()
 		tag, fails = to, fail
 	}
-	want := func(what string, age float64, body string, wholes, asks int) {
+	want := func(what string, age float64, body string, wantFull, wantRequests int) {
 		t.Helper()
 		code, got := ask(age, false)
 		mu.Lock()
 		defer mu.Unlock()
-		if code != 200 || got != body || whole != wholes || asked != asks {
-			t.Errorf("%s: %d %q, %d whole of %d asked", what, code, got, whole, asked)
+		if code != 200 || got != body || fullResponses != wantFull || requests != wantRequests {
+			t.Errorf("%s: %d %q, %d whole of %d asked", what, code, got, fullResponses, requests)
 		}
 	}
 	want("nothing is held", 1e6, `body of "1"`, 1, 1)
-	r.waitKept(1)
+	r.waitStored(1)
 	want("a hit", 1e6, `body of "1"`, 1, 1)
 	time.Sleep(120 * time.Millisecond)
 	want("too old, and still good", 100, `body of "1"`, 1, 2)
@@ -505,19 +505,19 @@
 	time.Sleep(120 * time.Millisecond)
 	set(`"2"`, false)
 	want("it has changed", 100, `body of "2"`, 2, 4)
-	r.waitKept(1)
+	r.waitStored(1)
 	time.Sleep(120 * time.Millisecond)
 	set(`"2"`, true)
 	if code, _ := ask(100, false); code < 500 {
 		t.Errorf("a copy that is too old for the asker is given out as its source fails: %d", code)
 	}
-	if st, _ := r.s.State(); st.Renewed != 0 && st.Stale != 0 { // of this life
+	if st, _ := r.server.State(); st.Renewed != 0 && st.Stale != 0 { // of this life
 		t.Error(st)
 	}
 }
 
 // A user's own request, without a router: by what the answer's head says.
-func TestPlain(t *testing.T) {
+func TestRequestWithoutRouter(t *testing.T) {
 	var mu sync.Mutex
 	fails, n := false, 0
 	src := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -537,7 +537,7 @@
 	defer src.Close()
 	r := newRig(t, fmt.Sprintf("(upstream %q)", src.Listener.Addr()))
 	get := func(path string) string {
-		res, err := r.client.Get("http://" + r.s.Addr() + path)
+		res, err := r.client.Get("http://" + r.server.Addr() + path)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -548,7 +548,7 @@
 	if s := get("/a"); s != "200 answer 1" {
 		t.Fatal(s)
 	}
-	r.waitKept(1)
+	r.waitStored(1)
 	if s := get("/a"); s != "200 answer 1" {
 		t.Error("a fresh copy is no hit:", s)
 	}
@@ -582,7 +582,7 @@
 	defer src.Close()
 	r := newRig(t, fmt.Sprintf("(upstream %q)", src.Listener.Addr()))
 	get := func(accept string, only bool) string {
-		req, _ := http.NewRequest("GET", "http://"+r.s.Addr()+"/v", nil)
+		req, _ := http.NewRequest("GET", "http://"+r.server.Addr()+"/v", nil)
 		req.Header.Set("Accept-Encoding", accept)
 		if only {
 			a := fetchheader.Attempt{ID: "q", From: "r", Class: "still", Object: "/v", Group: -1}
@@ -608,7 +608,7 @@
 		}()
 	}
 	wg.Wait()
-	r.waitKept(3)
+	r.waitStored(3)
 	for range 2 {
 		for _, accept := range []string{"gzip", "br", "identity"} {
 			if got := get(accept, true); got != "for "+accept {
@@ -620,7 +620,7 @@
 		}
 		r.stop()
 		r.start()
-		r.s.st.PurgesCaughtUp()
+		r.server.store.PurgesCaughtUp()
 	}
 	r.purge(`{"object":"/v"}`)
 	for _, accept := range []string{"gzip", "br", "identity"} {
@@ -632,12 +632,12 @@
 
 // A copy that may be served stale while it is renewed is, to all who ask, and its source
 // is asked once; then it is young again.
-func TestRenewedBehind(t *testing.T) {
+func TestStaleWhileRevalidate(t *testing.T) {
 	var mu sync.Mutex
-	asked, whole := 0, 0
+	requests, fullResponses := 0, 0
 	src := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		mu.Lock()
-		asked++
+		requests++
 		mu.Unlock()
 		w.Header().Set("Cache-Control", "max-age=1, stale-while-revalidate=60")
 		w.Header().Set("ETag", `"1"`)
@@ -647,7 +647,7 @@
 			return
 		}
 		mu.Lock()
-		whole++
+		fullResponses++
 		mu.Unlock()
 		io.WriteString(w, "text")
 	}))
@@ -655,7 +655,7 @@
 	r := newRig(t, fmt.Sprintf("(upstream %q)", src.Listener.Addr()))
 	get := func() time.Duration {
 		at := time.Now()
-		res, err := r.client.Get("http://" + r.s.Addr() + "/a")
+		res, err := r.client.Get("http://" + r.server.Addr() + "/a")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -666,7 +666,7 @@
 		return time.Since(at)
 	}
 	get()
-	r.waitKept(1)
+	r.waitStored(1)
 	time.Sleep(1200 * time.Millisecond)
 	for range 5 {
 		if took := get(); took > 120*time.Millisecond {
@@ -674,7 +674,7 @@
 		}
 	}
 	for range 200 {
-		if st, _ := r.s.State(); st.Renewed == 1 {
+		if st, _ := r.server.State(); st.Renewed == 1 {
 			break
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -682,7 +682,7 @@
 	get()
 	mu.Lock()
 	defer mu.Unlock()
-	if st, _ := r.s.State(); asked != 2 || whole != 1 || st.Renewed != 1 || st.Behind != 1 {
-		t.Errorf("asked %d times, %d whole; %+v", asked, whole, st)
+	if st, _ := r.server.State(); requests != 2 || fullResponses != 1 || st.Renewed != 1 || st.Behind != 1 {
+		t.Errorf("asked %d times, %d whole; %+v", requests, fullResponses, st)
 	}
 }
--- a/internal/cachenode/server/clock_test.go
+++ b/internal/cachenode/server/clock_test.go
@@ -24,9 +24,9 @@
 }
 
 func wallClockSteps(t *testing.T, step, down time.Duration) {
-	var asked atomic.Int32
+	var requests atomic.Int32
 	src := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		asked.Add(1)
+		requests.Add(1)
 		w.Header().Set("ETag", `"1"`)
 		w.Header().Set("Cache-Control", "max-age=600, stale-if-error=600")
 		if q.Header.Get("If-None-Match") != "" {
@@ -38,12 +38,12 @@
 	defer src.Close()
 	r := newRig(t, fmt.Sprintf("(upstream %q)", src.Listener.Addr()))
 	get := func(path string, age float64) int {
-		req, _ := http.NewRequest("GET", "http://"+r.s.Addr()+path, nil)
+		req, _ := http.NewRequest("GET", "http://"+r.server.Addr()+path, nil)
 		if age >= 0 {
 			a := fetchheader.Attempt{ID: "q", From: "r", Class: "still", Object: path, Group: -1, Keep: 2, Age: age, Source: "o", SourceAddress: src.Listener.Addr().String()}
 			req.Header.Set(fetchheader.FillField, string(a.Append(nil)))
 		}
-		before := asked.Load()
+		before := requests.Load()
 		res, err := r.client.Do(req)
 		if err != nil {
 			t.Fatal(err)
@@ -52,31 +52,31 @@
 		if b, _ := io.ReadAll(res.Body); res.StatusCode != 200 || !strings.HasPrefix(string(b), "text") {
 			t.Fatalf("%s: %s %q", path, res.Status, b)
 		}
-		return int(asked.Load() - before)
+		return int(requests.Load() - before)
 	}
 	for _, path := range []string{"/a", "/b", "/purged"} {
 		get(path, -1)
 	}
-	r.waitKept(3)
+	r.waitStored(3)
 	if code := r.purge(`{"object":"/purged"}`); code != 200 {
 		t.Fatal(code)
 	}
 	r.stop()
 	readings := 0
-	r.wall = func() time.Time {
+	r.wallClock = func() time.Time {
 		readings++
 		at := time.Now().Add(down + step)
 		step = -step // the next reading has it the other way
 		return at
 	}
-	was := step
+	stepAtStart := step
 	r.start()
-	r.s.st.PurgesCaughtUp()     // every purge was told: only the age is left to say what is stale
-	mayServe := down == 0       // in truth it is some ms old
-	must := down > 0 || was < 0 // too old, or its stored time lies in the future
+	r.server.store.PurgesCaughtUp()               // every purge was told: only the age is left to say what is stale
+	mayServe := down == 0                         // in truth it is some ms old
+	mustRevalidate := down > 0 || stepAtStart < 0 // too old, or its stored time lies in the future
 	for path, age := range map[string]float64{"/a": -1, "/b": 600_000} {
 		n := get(path, age)
-		if n == 0 && (!mayServe || must) {
+		if n == 0 && (!mayServe || mustRevalidate) {
 			t.Errorf("%s is given out after %v without its source being asked", path, down)
 		}
 		if again := get(path, age); again != 0 {
--- a/internal/cachenode/server/fault_test.go
+++ b/internal/cachenode/server/fault_test.go
@@ -18,7 +18,7 @@
 	errno atomic.Int32
 }
 
-func (d *faultyDir) fails() error {
+func (d *faultyDir) fault() error {
 	if errno := d.errno.Load(); errno != 0 {
 		return syscall.Errno(errno)
 	}
@@ -26,7 +26,7 @@
 }
 
 func (d *faultyDir) Open(name string, create bool) (store.File, error) {
-	if err := d.fails(); err != nil && (create || err != syscall.ENOSPC) {
+	if err := d.fault(); err != nil && (create || err != syscall.ENOSPC) {
 		return nil, err
 	}
 	f, err := d.Dir.Open(name, create)
@@ -37,7 +37,7 @@
 }
 
 func (d *faultyDir) SyncDir() error {
-	if err := d.fails(); err != nil {
+	if err := d.fault(); err != nil {
 		return err
 	}
 	return d.Dir.SyncDir()
@@ -45,12 +45,12 @@
 
 type faultyFile struct {
 	store.File
-	d *faultyDir
+	dir *faultyDir
 }
 
 // WriteAt writes half while the folder fails.
 func (f *faultyFile) WriteAt(b []byte, off int64) (int, error) {
-	if err := f.d.fails(); err != nil {
+	if err := f.dir.fault(); err != nil {
 		n, _ := f.File.WriteAt(b[:len(b)/2], off)
 		return n, err
 	}
@@ -58,14 +58,14 @@
 }
 
 func (f *faultyFile) ReadAt(b []byte, off int64) (int, error) {
-	if err := f.d.fails(); err != nil && err != syscall.ENOSPC {
+	if err := f.dir.fault(); err != nil && err != syscall.ENOSPC {
 		return 0, err
 	}
 	return f.File.ReadAt(b, off)
 }
 
 func (f *faultyFile) Sync() error {
-	if err := f.d.fails(); err != nil {
+	if err := f.dir.fault(); err != nil {
 		return err
 	}
 	return f.File.Sync()
@@ -81,7 +81,7 @@
 	} `json:"disk"`
 }) {
 	r.t.Helper()
-	res, err := r.client.Get("http://" + r.s.Addr() + "/-/state")
+	res, err := r.client.Get("http://" + r.server.Addr() + "/-/state")
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -99,38 +99,38 @@
 func TestFolderFailsForAWhile(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EIO} {
 		for _, restart := range []bool{false, true} {
-			t.Run(fmt.Sprint(errno, " ", restart), func(t *testing.T) { folderFails(t, errno, restart) })
+			t.Run(fmt.Sprint(errno, " ", restart), func(t *testing.T) { checkFolderFails(t, errno, restart) })
 		}
 	}
 }
 
-func folderFails(t *testing.T, errno syscall.Errno, restart bool) {
+func checkFolderFails(t *testing.T, errno syscall.Errno, restart bool) {
 	r := newRig(t, "")
 	r.stop()
-	folder := &faultyDir{Dir: store.Dir(r.form.Folder)}
-	r.folder = folder
+	dir := &faultyDir{Dir: store.Dir(r.cfg.Folder)}
+	r.fs = dir
 	r.start()
 	for _, name := range []string{"a", "b", "c"} {
-		r.good("/still/1/"+name, true)
+		r.fetchVerified("/still/1/"+name, true)
 	}
-	r.waitKept(3)
-	folder.errno.Store(int32(errno))
+	r.waitStored(3)
+	dir.errno.Store(int32(errno))
 	if restart {
-		r.s.Stop()
+		r.server.Stop()
 		<-r.done // it says that what was kept may not last
 		r.start()
 	}
-	r.good("/still/1/x", true)
+	r.fetchVerified("/still/1/x", true)
 	if code := r.purge(`{"object":"/still/1/b"}`); code != 500 {
 		t.Errorf("a purge that does not last is answered %d", code)
 	}
-	if res, _, _ := r.ask("/still/1/b", false, nil); res.StatusCode != 504 {
+	if res, _, _ := r.fetch("/still/1/b", false, nil); res.StatusCode != 504 {
 		t.Errorf("a purge that was not acknowledged does not hold: %d", res.StatusCode)
 	}
 	if st := r.state().Disk; st.Cause != errno.Error() || st.Since == "" || st.File == "" || st.Purges || st.Unread != (restart && errno == syscall.EIO) {
 		t.Errorf("the state says %+v", st)
 	}
-	folder.errno.Store(0)
+	dir.errno.Store(0)
 	for i := 0; !r.state().Disk.Purges; i++ { // nothing but time passes
 		if time.Sleep(20 * time.Millisecond); i > 300 {
 			t.Fatalf("it does not come back: %+v", r.state().Disk)
@@ -139,22 +139,22 @@
 	if code := r.purge(`{"object":"/still/1/c"}`); code != 200 {
 		t.Errorf("a purge afterwards is answered %d", code)
 	}
-	r.good("/still/1/d", true)
+	r.fetchVerified("/still/1/d", true)
 	for i := 0; ; i++ {
-		if res, _, _ := r.ask("/still/1/d", false, nil); res.StatusCode == 200 {
+		if res, _, _ := r.fetch("/still/1/d", false, nil); res.StatusCode == 200 {
 			break
 		}
 		if time.Sleep(20 * time.Millisecond); i > 300 {
 			t.Fatal("nothing is kept afterwards")
 		}
-		r.good("/still/1/d", true)
+		r.fetchVerified("/still/1/d", true)
 	}
-	r.s.Stop()
+	r.server.Stop()
 	<-r.done
 	r.start()
-	r.s.st.PurgesCaughtUp()
+	r.server.store.PurgesCaughtUp()
 	for name, want := range map[string]int{"a": 200, "b": 504, "c": 504, "d": 200} {
-		if res, _, _ := r.ask("/still/1/"+name, false, nil); res.StatusCode != want {
+		if res, _, _ := r.fetch("/still/1/"+name, false, nil); res.StatusCode != want {
 			t.Errorf("after a start %s is answered %d, want %d", name, res.StatusCode, want)
 		}
 	}
@@ -167,9 +167,9 @@
 		t.Run(what, func(t *testing.T) {
 			r := newRig(t, "")
 			r.stop()
-			folder := &faultyDir{Dir: store.Dir(r.form.Folder)}
-			if r.folder = folder; what == "unread" {
-				folder.errno.Store(int32(syscall.EIO))
+			dir := &faultyDir{Dir: store.Dir(r.cfg.Folder)}
+			if r.fs = dir; what == "unread" {
+				dir.errno.Store(int32(syscall.EIO))
 			}
 			r.start()
 			if err := r.origin.Fault(testserver.Fault{Kind: testserver.Slow, For: 5000, Factor: 2000}); err != nil {
@@ -177,27 +177,27 @@
 			}
 			first := make(chan error, 1)
 			go func() {
-				_, _, err := r.ask("/film/1/slow", true, nil)
+				_, _, err := r.fetch("/film/1/slow", true, nil)
 				first <- err
 			}()
-			for st, _ := r.s.State(); st.Fills == 0; st, _ = r.s.State() {
+			for st, _ := r.server.State(); st.Fills == 0; st, _ = r.server.State() {
 				time.Sleep(time.Millisecond)
 			}
 			time.Sleep(20 * time.Millisecond) // the origin has begun to answer
 			if what == "write fault" {
-				folder.errno.Store(int32(syscall.ENOSPC))
+				dir.errno.Store(int32(syscall.ENOSPC))
 			}
 			made := r.origin.Purge("/film/1/slow", 0, 0)
 			if code := r.purge(fmt.Sprintf(`{"object":"/film/1/slow","made":%f}`, made)); code != 200 && what == "healthy" {
 				t.Fatal(code)
 			}
-			if _, version := r.good("/film/1/slow", true); version < 2 {
+			if _, version := r.fetchVerified("/film/1/slow", true); version < 2 {
 				t.Errorf("version %d is given out after the purge", version)
 			}
 			if err := <-first; err != nil {
 				t.Error(err)
 			}
-			folder.errno.Store(0)
+			dir.errno.Store(0)
 		})
 	}
 }
--- a/internal/cachenode/server/fill.go
+++ b/internal/cachenode/server/fill.go
@@ -13,796 +13,796 @@
 	"indigospool/internal/protocol/http1"
 )
 
-// flight is a fill under way: its bytes go to the disk, and from there to all who wait.
+// fill is a fill under way: its bytes go to the disk, and from there to all who wait.
 // Without a disk they stay in memory until those who wait have them.
-type flight struct {
-	s        *Server
-	v        *visit // who asked first
-	key      string
-	src      *source
-	who      map[*visit]bool
-	meta     store.Meta
-	size     int64
-	status   string // Cache-Status of what is behind
-	ready    bool
-	marker   bool // it is one of several variants
-	keep     bool
-	w        *store.Writer
-	since    uint64        // the last purge when it began
-	asked    int64         // when that was, as Server.now
-	starting bool          // a thread makes room for it
-	doomed   *store.Writer // to be given up once the thread is done with it
-	file     *store.CachedObject
-	written  int64  // that can be read from the file
-	queue    []byte // that waits for the disk
-	writing  bool
-	mem      []byte // without a disk: from memAt on
-	memAt    int64
-	dropped  bool // of mem, its beginning
-	got      int64
-	whole    bool
-	over     bool
-}
-
-// fill begins a fill for a visit.
-func (s *Server) fill(v *visit) {
-	address := v.a.SourceAddress
+type fill struct {
+	server          *Server
+	initiator       *request // who asked first
+	key             string
+	source          *sourceConn
+	waiters         map[*request]bool
+	meta            store.Meta
+	size            int64
+	sourceStatus    string // Cache-Status of what is behind
+	headReceived    bool
+	isVariant       bool // it is one of several variants
+	storing         bool
+	writer          *store.Writer
+	sincePurge      uint64        // the last purge when it began
+	startedAt       int64         // when that was, as Server.now
+	reserving       bool          // a thread makes room for it
+	abortAfterWrite *store.Writer // to be given up once the thread is done with it
+	object          *store.CachedObject
+	written         int64  // that can be read from the file
+	writeQueue      []byte // that waits for the disk
+	writing         bool
+	memory          []byte // without a disk: from memoryOffset on
+	memoryOffset    int64
+	memoryTrimmed   bool // of mem, its beginning
+	received        int64
+	complete        bool
+	ended           bool
+}
+
+// startFill begins a fill for a visit.
+func (s *Server) startFill(req *request) {
+	address := req.attempt.SourceAddress
 	if address == "" {
-		address = s.f.Upstream
+		address = s.cfg.Upstream
 	}
 	switch {
-	case v.behind && (address == "" || s.filling >= s.f.MaxFills):
-		go v.old.Close()
+	case req.background && (address == "" || s.fillsInFlight >= s.cfg.MaxFills):
+		go req.stale.Close()
 		return
 	case address == "":
-		v.refuse(503, fetchheader.CacheStatus{Fwd: "miss", Detail: fetchheader.SourceUnreached})
+		req.respondEmpty(503, fetchheader.CacheStatus{Fwd: "miss", Detail: fetchheader.SourceUnreached})
 		return
-	case s.filling >= s.f.MaxFills:
-		v.refuse(503, fetchheader.CacheStatus{Fwd: "miss"})
+	case s.fillsInFlight >= s.cfg.MaxFills:
+		req.respondEmpty(503, fetchheader.CacheStatus{Fwd: "miss"})
 		return
 	}
 	s.stats.Fills++
-	s.filling++
-	fl := &flight{s: s, v: v, key: v.key, who: map[*visit]bool{}, since: s.st.LastPurge(), asked: s.now()}
-	if present := s.flights[v.key]; present == nil || present.overtaken() {
-		s.flights[v.key] = fl
-	}
-	if !v.behind {
-		fl.add(v)
-	}
-	sub := v.a
-	sub.Via, sub.Source, sub.SourceAddress, sub.Held = s.f.Name, "", "", false
-	sub.MayFetch = !v.a.Held
-	b := []byte("GET " + v.target + " HTTP/1.1\r\n")
-	host := v.fields.Get("host")
+	s.fillsInFlight++
+	f := &fill{server: s, initiator: req, key: req.key, waiters: map[*request]bool{}, sincePurge: s.store.LastPurge(), startedAt: s.now()}
+	if current := s.fills[req.key]; current == nil || current.overtaken() {
+		s.fills[req.key] = f
+	}
+	if !req.background {
+		f.addWaiter(req)
+	}
+	sourceAttempt := req.attempt
+	sourceAttempt.Via, sourceAttempt.Source, sourceAttempt.SourceAddress, sourceAttempt.Held = s.cfg.Name, "", "", false
+	sourceAttempt.MayFetch = !req.attempt.Held
+	message := []byte("GET " + req.target + " HTTP/1.1\r\n")
+	host := req.header.Get("host")
 	if host == "" {
 		host = address
 	}
-	b = http1.AppendFieldString(b, "Host", host)
-	b = append(b, fetchheader.FillField+": "...)
-	b = append(sub.Append(b), "\r\n"...)
+	message = http1.AppendFieldString(message, "Host", host)
+	message = append(message, fetchheader.FillField+": "...)
+	message = append(sourceAttempt.Append(message), "\r\n"...)
 	for _, name := range []string{"X-Request-Id", "Range", "Accept-Encoding", "Surrogate-Capability"} {
-		if val := v.fields.Get(name); val != "" {
-			b = http1.AppendFieldString(b, name, val)
+		if value := req.header.Get(name); value != "" {
+			message = http1.AppendFieldString(message, name, value)
 		}
 	}
-	if v.a.Held {
-		b = http1.AppendFieldString(b, "Cache-Control", "only-if-cached")
+	if req.attempt.Held {
+		message = http1.AppendFieldString(message, "Cache-Control", "only-if-cached")
 	}
-	if v.old != nil && !v.whole {
-		for name, val := range httpcache.Conditions(s.answerOf(v.old)) {
-			b = http1.AppendFieldString(b, name, val[0])
+	if req.stale != nil && !req.unconditional {
+		for name, value := range httpcache.ConditionalFields(s.storedResponse(req.stale)) {
+			message = http1.AppendFieldString(message, name, value[0])
 		}
 	}
-	b = append(b, "\r\n"...)
-	fl.src = s.source(address, b, fl)
+	message = append(message, "\r\n"...)
+	f.source = s.sendToSource(address, message, f)
 }
 
 // joinable reports whether one more can have all of it, and no purge stands between.
-func (fl *flight) joinable() bool {
-	return !fl.over && !fl.dropped && (!fl.ready || fl.keep) && !fl.overtaken()
+func (f *fill) joinable() bool {
+	return !f.ended && !f.memoryTrimmed && (!f.headReceived || f.storing) && !f.overtaken()
 }
 
 // overtaken reports whether a purge may void what the fill brings: one was made since it
 // began. Before the answer's head its version and tags are not known, nor whether it does.
-func (fl *flight) overtaken() bool {
+func (f *fill) overtaken() bool {
 	switch {
-	case fl.since == fl.s.st.LastPurge():
+	case f.sincePurge == f.server.store.LastPurge():
 		return false
-	case !fl.ready:
+	case !f.headReceived:
 		return true
 	}
-	void, known := fl.s.st.TryPurged(fl.since, &fl.meta)
-	return void || !known
+	purged, known := f.server.store.TryPurged(f.sincePurge, &f.meta)
+	return purged || !known
 }
 
-func (fl *flight) add(v *visit) {
-	fl.who[v] = true
-	v.fl = fl
-	if fl.ready {
-		fl.tell(v)
+func (f *fill) addWaiter(req *request) {
+	f.waiters[req] = true
+	req.fill = f
+	if f.headReceived {
+		f.sendResponse(req)
 	}
 }
 
-// tell begins the answer of one who waits.
-func (fl *flight) tell(v *visit) {
-	if v.joined && v.a.Age > 0 && float64(fl.s.now()-fl.meta.Born) > v.a.Age {
-		fl.leave(v) // what the fill brings is too old for this one
-		v.joined = false
-		fl.s.fill(v)
+// sendResponse begins the answer of one who waits.
+func (f *fill) sendResponse(req *request) {
+	if req.joined && req.attempt.Age > 0 && float64(f.server.now()-f.meta.GeneratedAt) > req.attempt.Age {
+		f.removeWaiter(req) // what the fill brings is too old for this one
+		req.joined = false
+		f.server.startFill(req)
 		return
 	}
-	v.size = fl.size
-	status := fetchheader.CacheStatus{Cache: fl.s.f.Name, Fwd: "miss", Stored: fl.keep, Collapsed: v.joined}.String()
-	if fl.status != "" {
-		status = fl.status + ", " + status
+	req.size = f.size
+	status := fetchheader.CacheStatus{Cache: f.server.cfg.Name, Fwd: "miss", Stored: f.storing, Collapsed: req.joined}.String()
+	if f.sourceStatus != "" {
+		status = f.sourceStatus + ", " + status
 	}
-	v.begin(&fl.meta, fl.size, status)
+	req.sendHead(&f.meta, f.size, status)
 }
 
-// leave is that one does not wait any more.
-func (fl *flight) leave(v *visit) {
-	delete(fl.who, v)
-	v.fl = nil
-	if len(fl.who) == 0 && !fl.whole && !(fl.s.f.CompleteAbandonedFills && fl.keep) {
-		fl.fail(503, "")
+// removeWaiter is that one does not wait any more.
+func (f *fill) removeWaiter(req *request) {
+	delete(f.waiters, req)
+	req.fill = nil
+	if len(f.waiters) == 0 && !f.complete && !(f.server.cfg.CompleteAbandonedFills && f.storing) {
+		f.fail(503, "")
 	}
-	fl.settle()
+	f.finalize()
 }
 
-// head has the head of the source's answer; false: it ends the fill.
-func (fl *flight) head(h *http1.Head) bool {
-	s := fl.s
-	fl.status = joinFields(h, fetchheader.StatusField)
+// receiveHead has the head of the source's answer; false: it ends the fill.
+func (f *fill) receiveHead(head *http1.Head) bool {
+	s := f.server
+	f.sourceStatus = joinFields(head, fetchheader.StatusField)
 	switch {
-	case h.Status == 304 && fl.v.old != nil && !fl.v.whole:
-		fl.renew(h)
+	case head.Status == 304 && f.initiator.stale != nil && !f.initiator.unconditional:
+		f.revalidated(head)
 		return false
-	case h.Status == 504 && fl.v.a.Held:
-		fl.fail(503, fetchheader.SourceLacks)
+	case head.Status == 504 && f.initiator.attempt.Held:
+		f.fail(503, fetchheader.SourceLacks)
 		return false
-	case h.Status == 503 && (strings.Contains(fl.status, fetchheader.SourceUnreached) || strings.Contains(fl.status, fetchheader.OriginFailed)):
-		fl.fail(503, fetchheader.OriginFailed)
+	case head.Status == 503 && (strings.Contains(f.sourceStatus, fetchheader.SourceUnreached) || strings.Contains(f.sourceStatus, fetchheader.OriginFailed)):
+		f.fail(503, fetchheader.OriginFailed)
 		return false
-	case h.Status == 503:
-		fl.fail(503, fetchheader.SourceRefused)
+	case head.Status == 503:
+		f.fail(503, fetchheader.SourceRefused)
 		return false
-	case h.Status != 200 && h.Status != 206 || h.Body != http1.Length:
-		fl.fail(502, fetchheader.SourceRefused)
+	case head.Status != 200 && head.Status != 206 || head.Body != http1.Length:
+		f.fail(502, fetchheader.SourceRefused)
 		return false
 	}
-	fl.size = h.ContentLength
-	a := &fl.v.a
-	ver, _ := fetchheader.ParseCopyVersion(string(h.Get("spool-copy")))
-	fl.meta = store.Meta{Key: fl.key, Object: a.Object, Group: int32(a.Group), Version: ver.Number, Born: s.now() - int64(ver.Age), Rank: a.Keep, Fields: map[string]string{}}
-	for i := range h.Fields {
-		name := strings.ToLower(string(h.Fields[i].Name))
+	f.size = head.ContentLength
+	attempt := &f.initiator.attempt
+	version, _ := fetchheader.ParseCopyVersion(string(head.Get("spool-copy")))
+	f.meta = store.Meta{Key: f.key, Object: attempt.Object, Group: int32(attempt.Group), Version: version.Number, GeneratedAt: s.now() - int64(version.Age), Rank: attempt.Keep, Fields: map[string]string{}}
+	for i := range head.Fields {
+		name := strings.ToLower(string(head.Fields[i].Name))
 		switch name {
 		case "content-type", "etag", "last-modified", "cache-control", "surrogate-control", "vary", "content-encoding", "content-range", "cache-tag":
-			fl.meta.Fields[canonical[name]] = string(h.Fields[i].Value)
+			f.meta.Fields[storedFields[name]] = string(head.Fields[i].Value)
 			if name == "cache-tag" {
-				for tag := range strings.SplitSeq(string(h.Fields[i].Value), ",") {
-					fl.meta.Tags = append(fl.meta.Tags, strings.TrimSpace(tag))
+				for tag := range strings.SplitSeq(string(head.Fields[i].Value), ",") {
+					f.meta.Tags = append(f.meta.Tags, strings.TrimSpace(tag))
 				}
 			}
 		}
 	}
-	fl.keep = fl.v.storable(h)
-	fl.meta.Fresh = lifetime(fl.s.answerOf(&store.CachedObject{Meta: fl.meta}))
-	if varies(fl.meta.Fields["Vary"]) && !strings.Contains(fl.key, "\x00") {
-		mine := fl.v.variant()
-		fl.meta.Key += mine
-		fl.marker = fl.keep
-		for v := range fl.who { // who accepts something else asks for it
-			if other := v.variant(); other != mine {
-				fl.leave(v)
-				v.key, v.joined = v.key+other, false
-				v.look()
+	f.storing = f.initiator.storable(head)
+	f.meta.Lifetime = explicitLifetime(f.server.storedResponse(&store.CachedObject{Meta: f.meta}))
+	if variesByEncoding(f.meta.Fields["Vary"]) && !strings.Contains(f.key, "\x00") {
+		ownVariant := f.initiator.variant()
+		f.meta.Key += ownVariant
+		f.isVariant = f.storing
+		for req := range f.waiters { // who accepts something else asks for it
+			if variant := req.variant(); variant != ownVariant {
+				f.removeWaiter(req)
+				req.key, req.joined = req.key+variant, false
+				req.lookup()
 			}
 		}
-		if fl.over {
+		if f.ended {
 			return false
 		}
 	}
-	fl.ready = true
-	if fl.keep {
-		fl.starting = s.disk.Submit(func() {
-			w, err := s.st.BeginSince(fl.since, fl.meta, fl.size)
-			var c *store.CachedObject
+	f.headReceived = true
+	if f.storing {
+		f.reserving = s.disk.Submit(func() {
+			writer, err := s.store.BeginSince(f.sincePurge, f.meta, f.size)
+			var object *store.CachedObject
 			if err == nil {
-				c = w.Reader()
+				object = writer.Reader()
 			}
-			s.post(func() { fl.started(w, c) })
+			s.post(func() { f.writerReady(writer, object) })
 		})
-		fl.keep = fl.starting
+		f.storing = f.reserving
 	}
-	for v := range fl.who {
-		fl.tell(v)
+	for req := range f.waiters {
+		f.sendResponse(req)
 	}
-	return !fl.over
+	return !f.ended
 }
 
-var canonical = map[string]string{"content-type": "Content-Type", "etag": "ETag", "last-modified": "Last-Modified", "cache-control": "Cache-Control",
+var storedFields = map[string]string{"content-type": "Content-Type", "etag": "ETag", "last-modified": "Last-Modified", "cache-control": "Cache-Control",
 	"surrogate-control": "Surrogate-Control", "vary": "Vary", "content-encoding": "Content-Encoding", "content-range": "Content-Range", "cache-tag": "Cache-Tag"}
 
-func joinFields(h *http1.Head, name string) string {
-	out := ""
-	for i := range h.Fields {
-		if strings.EqualFold(string(h.Fields[i].Name), name) {
-			if out != "" {
-				out += ", "
+func joinFields(head *http1.Head, name string) string {
+	joined := ""
+	for i := range head.Fields {
+		if strings.EqualFold(string(head.Fields[i].Name), name) {
+			if joined != "" {
+				joined += ", "
 			}
-			out += string(h.Fields[i].Value)
+			joined += string(head.Fields[i].Value)
 		}
 	}
-	return out
+	return joined
 }
 
-// renew is that the source has found the old copy still good: all who wait look again.
-func (fl *flight) renew(h *http1.Head) {
-	s, old := fl.s, fl.v.old
-	fl.v.old = nil
-	ver, err := fetchheader.ParseCopyVersion(string(h.Get("spool-copy")))
-	if err != nil || old.Version != 0 && ver.Number < old.Version {
-		ver.Age = 0
-		if n, err := strconv.ParseInt(string(h.Get("age")), 10, 31); err == nil {
-			ver.Age = float64(n) * 1000
+// revalidated is that the source has found the old copy still good: all who wait look again.
+func (f *fill) revalidated(head *http1.Head) {
+	s, stale := f.server, f.initiator.stale
+	f.initiator.stale = nil
+	version, err := fetchheader.ParseCopyVersion(string(head.Get("spool-copy")))
+	if err != nil || stale.Version != 0 && version.Number < stale.Version {
+		version.Age = 0
+		if n, err := strconv.ParseInt(string(head.Get("age")), 10, 31); err == nil {
+			version.Age = float64(n) * 1000
 		}
 	}
-	born := fl.asked - int64(ver.Age) // what it took is part of its age
-	who := make([]*visit, 0, len(fl.who))
-	for v := range fl.who {
-		who = append(who, v)
-		delete(fl.who, v)
-		v.fl, v.joined = nil, false
+	generatedAt := f.startedAt - int64(version.Age) // what it took is part of its age
+	waiters := make([]*request, 0, len(f.waiters))
+	for req := range f.waiters {
+		waiters = append(waiters, req)
+		delete(f.waiters, req)
+		req.fill, req.joined = nil, false
 	}
-	fl.src = nil
-	fl.forget()
-	again := func(ok bool) {
+	f.source = nil
+	f.unregister()
+	lookupAgain := func(ok bool) {
 		if ok {
 			s.stats.Renewed++
 		}
-		for _, v := range who {
-			if v.whole = true; !v.over { // once: what it says may be too old for this one all the same
-				v.look()
+		for _, req := range waiters {
+			if req.unconditional = true; !req.ended { // once: what it says may be too old for this one all the same
+				req.lookup()
 			}
 		}
 	}
 	if !s.disk.Submit(func() {
-		ok, err := old.Renew(born)
-		old.Close()
-		s.post(func() { again(ok && err == nil) })
+		ok, err := stale.Revalidated(generatedAt)
+		stale.Close()
+		s.post(func() { lookupAgain(ok && err == nil) })
 	}) {
-		go old.Close()
-		again(false)
+		go stale.Close()
+		lookupAgain(false)
 	}
 }
 
-// started has room on disk for the fill, or none.
-func (fl *flight) started(w *store.Writer, c *store.CachedObject) {
-	fl.starting = false
+// writerReady has room on disk for the fill, or none.
+func (f *fill) writerReady(writer *store.Writer, object *store.CachedObject) {
+	f.reserving = false
 	switch {
-	case w == nil:
-		fl.keep = false
-		fl.mem, fl.queue = fl.queue, nil
-	case fl.over:
-		go func() { c.Close(); w.Abort() }()
+	case writer == nil:
+		f.storing = false
+		f.memory, f.writeQueue = f.writeQueue, nil
+	case f.ended:
+		go func() { object.Close(); writer.Abort() }()
 		return
 	default:
-		fl.w, fl.file = w, c
-		fl.write()
+		f.writer, f.object = writer, object
+		f.writeQueued()
 	}
-	fl.wake()
-	fl.settle()
+	f.sendToWaiters()
+	f.finalize()
 }
 
-// body takes the next bytes.
-func (fl *flight) body(b []byte) {
-	fl.got += int64(len(b))
-	if fl.w != nil || fl.starting {
-		fl.queue = append(fl.queue, b...)
-		fl.write()
+// receiveBody takes the next bytes.
+func (f *fill) receiveBody(data []byte) {
+	f.received += int64(len(data))
+	if f.writer != nil || f.reserving {
+		f.writeQueue = append(f.writeQueue, data...)
+		f.writeQueued()
 		return
 	}
-	fl.mem = append(fl.mem, b...)
-	fl.wake()
+	f.memory = append(f.memory, data...)
+	f.sendToWaiters()
 }
 
-// write has a thread write what waits.
-func (fl *flight) write() {
-	if fl.writing || fl.w == nil || len(fl.queue) == 0 {
+// writeQueued has a thread write what waits.
+func (f *fill) writeQueued() {
+	if f.writing || f.writer == nil || len(f.writeQueue) == 0 {
 		return
 	}
-	b, w := fl.queue, fl.w
-	fl.queue = nil
-	fl.writing = true
-	if !fl.s.disk.Submit(func() {
-		_, err := w.Write(b)
-		fl.s.post(func() { fl.wrote(b, err) })
+	data, writer := f.writeQueue, f.writer
+	f.writeQueue = nil
+	f.writing = true
+	if !f.server.disk.Submit(func() {
+		_, err := writer.Write(data)
+		f.server.post(func() { f.writeDone(data, err) })
 	}) {
-		fl.wrote(b, store.ErrClosed)
+		f.writeDone(data, store.ErrClosed)
 	}
 }
 
-func (fl *flight) wrote(b []byte, err error) {
-	fl.writing = false
-	if w := fl.doomed; w != nil {
-		fl.doomed = nil
-		go w.Abort()
-		fl.settle()
+func (f *fill) writeDone(data []byte, err error) {
+	f.writing = false
+	if writer := f.abortAfterWrite; writer != nil {
+		f.abortAfterWrite = nil
+		go writer.Abort()
+		f.finalize()
 		return
 	}
 	if err != nil { // on without the disk: what it has not taken stays in memory
-		fl.s.stats.WithoutDisk++
-		if fl.w != nil {
-			go fl.w.Abort()
-		}
-		fl.w, fl.keep = nil, false
-		fl.memAt = fl.written
-		fl.mem = append(append([]byte(nil), b...), fl.queue...)
-		fl.queue = nil
+		f.server.stats.WithoutDisk++
+		if f.writer != nil {
+			go f.writer.Abort()
+		}
+		f.writer, f.storing = nil, false
+		f.memoryOffset = f.written
+		f.memory = append(append([]byte(nil), data...), f.writeQueue...)
+		f.writeQueue = nil
 	} else {
-		fl.written += int64(len(b))
-		fl.write()
+		f.written += int64(len(data))
+		f.writeQueued()
 	}
-	fl.wake()
-	fl.settle()
+	f.sendToWaiters()
+	f.finalize()
 }
 
-// wake has all who wait look for more.
-func (fl *flight) wake() {
-	for v := range fl.who {
-		v.more()
+// sendToWaiters has all who wait look for more.
+func (f *fill) sendToWaiters() {
+	for req := range f.waiters {
+		req.sendMore()
 	}
-	if fl.src != nil {
-		fl.src.pause(len(fl.queue)+len(fl.mem) > fl.s.f.MaxBufferedBytes)
+	if f.source != nil {
+		f.source.pause(len(f.writeQueue)+len(f.memory) > f.server.cfg.MaxBufferedBytes)
 	}
 }
 
-// feed gives one who waits the next bytes.
-func (fl *flight) feed(v *visit) {
+// sendTo gives one who waits the next bytes.
+func (f *fill) sendTo(req *request) {
 	switch {
-	case v.off < fl.written:
-		v.read(fl.file, min(fl.written-v.off, step))
-	case fl.w == nil && !fl.starting && v.off >= fl.memAt && v.off < fl.memAt+int64(len(fl.mem)):
-		b := fl.mem[v.off-fl.memAt:]
-		b = b[:min(len(b), step)]
-		v.off += int64(len(b))
-		v.c.out = append(v.c.out, b...)
-		fl.trim()
-		v.c.flush()
+	case req.offset < f.written:
+		req.readObject(f.object, min(f.written-req.offset, chunkBytes))
+	case f.writer == nil && !f.reserving && req.offset >= f.memoryOffset && req.offset < f.memoryOffset+int64(len(f.memory)):
+		data := f.memory[req.offset-f.memoryOffset:]
+		data = data[:min(len(data), chunkBytes)]
+		req.offset += int64(len(data))
+		req.conn.writeBuffer = append(req.conn.writeBuffer, data...)
+		f.trimMemory()
+		req.conn.flush()
 	}
 }
 
-// trim drops of memory what all who wait have.
-func (fl *flight) trim() {
-	least := fl.memAt + int64(len(fl.mem))
-	for v := range fl.who {
-		least = min(least, v.off)
+// trimMemory drops of memory what all who wait have.
+func (f *fill) trimMemory() {
+	lowest := f.memoryOffset + int64(len(f.memory))
+	for req := range f.waiters {
+		lowest = min(lowest, req.offset)
 	}
-	if n := least - fl.memAt; n > 0 {
-		fl.mem, fl.memAt, fl.dropped = append([]byte(nil), fl.mem[n:]...), least, true
+	if trimmed := lowest - f.memoryOffset; trimmed > 0 {
+		f.memory, f.memoryOffset, f.memoryTrimmed = append([]byte(nil), f.memory[trimmed:]...), lowest, true
 	}
-	if fl.src != nil {
-		fl.src.pause(len(fl.queue)+len(fl.mem) > fl.s.f.MaxBufferedBytes)
+	if f.source != nil {
+		f.source.pause(len(f.writeQueue)+len(f.memory) > f.server.cfg.MaxBufferedBytes)
 	}
 }
 
-// end is that the source's answer is whole.
-func (fl *flight) end() {
-	fl.whole, fl.src = true, nil
-	fl.settle()
+// finish is that the source's answer is whole.
+func (f *fill) finish() {
+	f.complete, f.source = true, nil
+	f.finalize()
 }
 
-// settle keeps a copy that is whole, and forgets the flight once nobody needs it.
-func (fl *flight) settle() {
-	if fl.whole && fl.w != nil && !fl.writing && len(fl.queue) == 0 {
-		w := fl.w
-		fl.w = nil
-		s := fl.s
+// finalize keeps a copy that is whole, and forgets the flight once nobody needs it.
+func (f *fill) finalize() {
+	if f.complete && f.writer != nil && !f.writing && len(f.writeQueue) == 0 {
+		writer := f.writer
+		f.writer = nil
+		s := f.server
 		commit := func() {
-			ok, err := w.Commit()
-			if ok && fl.marker {
-				s.mark(fl.key, fl.meta, fl.since)
+			ok, err := writer.Commit()
+			if ok && f.isVariant {
+				s.storeVariantsMarker(f.key, f.meta, f.sincePurge)
 			}
 			if err == nil {
-				s.st.Compact(256 << 10)
+				s.store.Compact(256 << 10)
 			}
 			s.post(func() {
 				if ok {
 					s.stats.Kept++
 				}
-				fl.forget()
+				f.unregister()
 			})
 		}
 		if !s.disk.Submit(commit) {
-			go w.Abort()
-			fl.forget()
+			go writer.Abort()
+			f.unregister()
 		}
 		return
 	}
-	if fl.whole && fl.w == nil && !fl.starting && !fl.keep {
-		fl.forget()
+	if f.complete && f.writer == nil && !f.reserving && !f.storing {
+		f.unregister()
 	}
-	if fl.over && len(fl.who) == 0 && fl.file != nil && !fl.writing {
-		go fl.file.Close()
-		fl.file = nil
+	if f.ended && len(f.waiters) == 0 && f.object != nil && !f.writing {
+		go f.object.Close()
+		f.object = nil
 	}
 }
 
-// mark keeps the word, on a thread, that a key has variants.
-func (s *Server) mark(key string, of store.Meta, since uint64) {
-	of.Key, of.Fields, of.Fresh = key, map[string]string{variants: of.Fields["Vary"]}, 0
-	if w, err := s.st.BeginSince(since, of, 0); err == nil {
-		w.Commit()
+// storeVariantsMarker keeps the word, on a thread, that a key has variants.
+func (s *Server) storeVariantsMarker(key string, meta store.Meta, sincePurge uint64) {
+	meta.Key, meta.Fields, meta.Lifetime = key, map[string]string{variantsField: meta.Fields["Vary"]}, 0
+	if writer, err := s.store.BeginSince(sincePurge, meta, 0); err == nil {
+		writer.Commit()
 	}
 }
 
-// forget ends the flight for those who come; those who wait still read from it.
-func (fl *flight) forget() {
-	if fl.over {
+// unregister ends the flight for those who come; those who wait still read from it.
+func (f *fill) unregister() {
+	if f.ended {
 		return
 	}
-	fl.over = true
-	if v := fl.v; v.behind && v.old != nil {
-		go v.old.Close()
-		v.old = nil
+	f.ended = true
+	if req := f.initiator; req.background && req.stale != nil {
+		go req.stale.Close()
+		req.stale = nil
 	}
-	fl.s.filling--
-	if fl.s.flights[fl.key] == fl {
-		delete(fl.s.flights, fl.key)
+	f.server.fillsInFlight--
+	if f.server.fills[f.key] == f {
+		delete(f.server.fills, f.key)
 	}
-	fl.settle()
+	f.finalize()
 }
 
 // fail ends the flight without a whole answer.
-func (fl *flight) fail(status int, detail string) {
-	if fl.over {
+func (f *fill) fail(status int, detail string) {
+	if f.ended {
 		return
 	}
-	if fl.src != nil {
-		src := fl.src
-		fl.src = nil
-		src.close()
+	if f.source != nil {
+		source := f.source
+		f.source = nil
+		source.close()
 	}
-	if fl.w != nil {
-		if fl.writing {
-			fl.doomed = fl.w
+	if f.writer != nil {
+		if f.writing {
+			f.abortAfterWrite = f.writer
 		} else {
-			go fl.w.Abort()
-		}
-		fl.w = nil
-	}
-	fl.forget()
-	for v := range fl.who {
-		delete(fl.who, v)
-		v.fl = nil
-		switch old := v.old; {
-		case v.begun:
-			v.c.close() // it is seen by the length
-		case old != nil && !old.PurgesUnknown && !fl.s.ageUnknown(old) && v.a.Age <= 0 && httpcache.OnError(float64(fl.s.now()), fl.s.answerOf(old), 0):
-			v.old = nil
-			fl.s.stats.Stale++
-			v.serve(old, fetchheader.CacheStatus{Hit: true, Detail: detail})
+			go f.writer.Abort()
+		}
+		f.writer = nil
+	}
+	f.unregister()
+	for req := range f.waiters {
+		delete(f.waiters, req)
+		req.fill = nil
+		switch stale := req.stale; {
+		case req.headSent:
+			req.conn.close() // it is seen by the length
+		case stale != nil && !stale.PurgesUnknown && !f.server.ageUnknown(stale) && req.attempt.Age <= 0 && httpcache.ServableOnError(float64(f.server.now()), f.server.storedResponse(stale), 0):
+			req.stale = nil
+			f.server.stats.Stale++
+			req.serveObject(stale, fetchheader.CacheStatus{Hit: true, Detail: detail})
 		default:
-			v.refuse(status, fetchheader.CacheStatus{Fwd: "miss", Detail: detail})
+			req.respondEmpty(status, fetchheader.CacheStatus{Fwd: "miss", Detail: detail})
 		}
 	}
-	fl.settle()
+	f.finalize()
 }
 
-// taker is what a source's answer goes to.
-type taker interface {
-	head(h *http1.Head) bool
-	body(b []byte)
-	end()
+// responseHandler is what a source's answer goes to.
+type responseHandler interface {
+	receiveHead(head *http1.Head) bool
+	receiveBody(data []byte)
+	finish()
 	fail(status int, detail string)
 }
 
-// source is a connection to a source.
-type source struct {
-	s       *Server
-	address string
-	fd      int
-	to      taker
-	out     []byte
-	left    []byte
-	headed  bool
-	used    bool // an answer came on it before
-	connect bool
-	sent    bool             // some of the request has left
-	lacked  bool             // something lacks here for what is to be done
-	until   eventloop.Millis // time to connect
-	paused  bool
-	h       http1.Head
-	b       http1.Body
-	timer   eventloop.Timer
-}
-
-// source sends a request on a kept connection, or a new one.
-func (s *Server) source(address string, request []byte, to taker) *source {
-	for list := s.spare[address]; len(list) > 0; list = s.spare[address] {
-		src := list[len(list)-1]
-		s.spare[address] = list[:len(list)-1]
-		if !eventloop.Idle(src.fd) {
-			src.close()
+// sourceConn is a connection to a source.
+type sourceConn struct {
+	server          *Server
+	address         string
+	fd              int
+	handler         responseHandler
+	writeBuffer     []byte
+	unparsed        []byte
+	headParsed      bool
+	used            bool // an answer came on it before
+	connecting      bool
+	requestStarted  bool             // some of the request has left
+	localShortage   bool             // something lacks here for what is to be done
+	connectDeadline eventloop.Millis // time to connect
+	paused          bool
+	head            http1.Head
+	body            http1.Body
+	timer           eventloop.Timer
+}
+
+// sendToSource sends a request on a kept connection, or a new one.
+func (s *Server) sendToSource(address string, message []byte, handler responseHandler) *sourceConn {
+	for idle := s.idleSources[address]; len(idle) > 0; idle = s.idleSources[address] {
+		sc := idle[len(idle)-1]
+		s.idleSources[address] = idle[:len(idle)-1]
+		if !eventloop.Idle(sc.fd) {
+			sc.close()
 			continue
 		}
-		src.to, src.out, src.headed, src.left = to, request, false, nil
-		src.sent, src.lacked = false, false
-		s.l.Arm(&src.timer, s.f.FillTimeout)
-		src.flush()
-		return src
+		sc.handler, sc.writeBuffer, sc.headParsed, sc.unparsed = handler, message, false, nil
+		sc.requestStarted, sc.localShortage = false, false
+		s.loop.Arm(&sc.timer, s.cfg.FillTimeout)
+		sc.flush()
+		return sc
 	}
-	src := &source{s: s, address: address, fd: -1, to: to, out: request}
-	src.timer.F, src.until = src.late, s.l.Now()+s.f.ConnectTimeout
-	src.begin()
-	return src
+	sc := &sourceConn{server: s, address: address, fd: -1, handler: handler, writeBuffer: message}
+	sc.timer.F, sc.connectDeadline = sc.onTimer, s.loop.Now()+s.cfg.ConnectTimeout
+	sc.dial()
+	return sc
 }
 
-// dialPause is how long, in ms, a connection waits that cannot be begun for want of something
+// dialRetryMillis is how long, in ms, a connection waits that cannot be begun for want of something
 // on this machine.
-const dialPause = 20
+const dialRetryMillis = 20
 
-// begin begins to connect. That it cannot be done is told later, as for any connection; what
+// dial begins to connect. That it cannot be done is told later, as for any connection; what
 // lacks here is no word about the source, and it is tried again.
-func (src *source) begin() {
-	l := src.s.l
-	fd, _, err := l.Dial(src.address)
+func (sc *sourceConn) dial() {
+	loop := sc.server.loop
+	fd, _, err := loop.Dial(sc.address)
 	if err == nil {
-		if err = l.Add(fd, eventloop.Write, src); err != nil {
+		if err = loop.Add(fd, eventloop.Write, sc); err != nil {
 			unix.Close(fd)
 		}
 	}
 	switch {
 	case err == nil:
-		src.fd, src.connect, src.lacked = fd, true, false
-		l.Arm(&src.timer, src.until-l.Now())
+		sc.fd, sc.connecting, sc.localShortage = fd, true, false
+		loop.Arm(&sc.timer, sc.connectDeadline-loop.Now())
 	case eventloop.IsLocalShortage(err):
-		src.lacked = true
-		l.Arm(&src.timer, dialPause)
+		sc.localShortage = true
+		loop.Arm(&sc.timer, dialRetryMillis)
 	default:
-		src.until = l.Now()
-		l.Arm(&src.timer, 0)
+		sc.connectDeadline = loop.Now()
+		loop.Arm(&sc.timer, 0)
 	}
 }
 
-func (src *source) late() {
+func (sc *sourceConn) onTimer() {
 	switch {
-	case src.to == nil:
-		src.close()
-	case src.fd < 0 && src.s.l.Now() < src.until:
-		src.begin()
+	case sc.handler == nil:
+		sc.close()
+	case sc.fd < 0 && sc.server.loop.Now() < sc.connectDeadline:
+		sc.dial()
 	default:
-		src.broke()
+		sc.fail()
 	}
 }
 
-// broke ends the connection, and what waits for its answer.
-func (src *source) broke() {
+// fail ends the connection, and what waits for its answer.
+func (sc *sourceConn) fail() {
 	detail := fetchheader.SourceUnreached
-	if src.lacked && !src.sent { // nothing was asked of the source
+	if sc.localShortage && !sc.requestStarted { // nothing was asked of the source
 		detail = fetchheader.NoPlace
 	}
-	to := src.to
-	src.to = nil
-	src.close()
-	if to != nil {
-		if fl, ok := to.(*flight); ok {
-			fl.src = nil
+	handler := sc.handler
+	sc.handler = nil
+	sc.close()
+	if handler != nil {
+		if f, ok := handler.(*fill); ok {
+			f.source = nil
 		}
-		to.fail(503, detail)
+		handler.fail(503, detail)
 	}
 }
 
-func (src *source) close() {
-	src.to = nil
-	src.s.l.Forget(&src.timer)
-	if src.fd < 0 {
+func (sc *sourceConn) close() {
+	sc.handler = nil
+	sc.server.loop.Forget(&sc.timer)
+	if sc.fd < 0 {
 		return
 	}
-	src.s.l.Remove(src.fd)
-	unix.Close(src.fd)
-	src.fd = -1
-	list := src.s.spare[src.address]
-	for i, x := range list {
-		if x == src {
-			src.s.spare[src.address] = append(list[:i], list[i+1:]...)
+	sc.server.loop.Remove(sc.fd)
+	unix.Close(sc.fd)
+	sc.fd = -1
+	idle := sc.server.idleSources[sc.address]
+	for i, other := range idle {
+		if other == sc {
+			sc.server.idleSources[sc.address] = append(idle[:i], idle[i+1:]...)
 			break
 		}
 	}
 }
 
 // pause stops reading while too much waits here.
-func (src *source) pause(on bool) {
-	if on == src.paused || src.fd < 0 {
+func (sc *sourceConn) pause(paused bool) {
+	if paused == sc.paused || sc.fd < 0 {
 		return
 	}
-	src.paused = on
-	if on {
-		src.s.l.Disarm(&src.timer)
-		src.s.l.Want(src.fd, 0)
+	sc.paused = paused
+	if paused {
+		sc.server.loop.Disarm(&sc.timer)
+		sc.server.loop.Want(sc.fd, 0)
 		return
 	}
-	src.s.l.Arm(&src.timer, src.s.f.FillTimeout)
-	src.s.l.Want(src.fd, eventloop.Read)
+	sc.server.loop.Arm(&sc.timer, sc.server.cfg.FillTimeout)
+	sc.server.loop.Want(sc.fd, eventloop.Read)
 }
 
-func (src *source) flush() {
-	for len(src.out) > 0 {
-		n, err := src.s.l.Write(src.fd, src.out)
+func (sc *sourceConn) flush() {
+	for len(sc.writeBuffer) > 0 {
+		n, err := sc.server.loop.Write(sc.fd, sc.writeBuffer)
 		if eventloop.Retryable(err) {
-			src.lacked = src.lacked || !eventloop.NotReady(err)
-			src.s.l.Want(src.fd, eventloop.Read|eventloop.Write)
+			sc.localShortage = sc.localShortage || !eventloop.NotReady(err)
+			sc.server.loop.Want(sc.fd, eventloop.Read|eventloop.Write)
 			return
 		}
 		if err != nil {
-			src.broke()
+			sc.fail()
 			return
 		}
-		src.out, src.sent = src.out[n:], true
-		src.s.l.Arm(&src.timer, src.s.f.FillTimeout) // the source has had nothing to answer before
+		sc.writeBuffer, sc.requestStarted = sc.writeBuffer[n:], true
+		sc.server.loop.Arm(&sc.timer, sc.server.cfg.FillTimeout) // the source has had nothing to answer before
 	}
-	src.s.l.Want(src.fd, eventloop.Read)
+	sc.server.loop.Want(sc.fd, eventloop.Read)
 }
 
-func (src *source) OnReady(r eventloop.Ready) {
-	if src.connect {
+func (sc *sourceConn) OnReady(r eventloop.Ready) {
+	if sc.connecting {
 		if !r.Writable() {
 			return
 		}
-		if soerr, err := unix.GetsockoptInt(src.fd, unix.SOL_SOCKET, unix.SO_ERROR); err != nil || soerr != 0 {
-			src.broke()
+		if socketErr, err := unix.GetsockoptInt(sc.fd, unix.SOL_SOCKET, unix.SO_ERROR); err != nil || socketErr != 0 {
+			sc.fail()
 			return
 		}
-		src.connect = false
-		src.s.l.Arm(&src.timer, src.s.f.FillTimeout)
-		src.flush()
+		sc.connecting = false
+		sc.server.loop.Arm(&sc.timer, sc.server.cfg.FillTimeout)
+		sc.flush()
 		return
 	}
-	if r.Writable() && len(src.out) > 0 {
-		if src.flush(); src.fd < 0 {
+	if r.Writable() && len(sc.writeBuffer) > 0 {
+		if sc.flush(); sc.fd < 0 {
 			return
 		}
 	}
-	if !r.Readable() || src.paused {
+	if !r.Readable() || sc.paused {
 		return
 	}
-	k := copy(src.s.buf, src.left)
-	n, err := src.s.l.Read(src.fd, src.s.buf[k:])
+	buffered := copy(sc.server.scratch, sc.unparsed)
+	n, err := sc.server.loop.Read(sc.fd, sc.server.scratch[buffered:])
 	if eventloop.Retryable(err) {
 		if r.Hangup() && eventloop.NotReady(err) {
-			src.broke()
+			sc.fail()
 		}
 		return
 	}
-	if err != nil || n == 0 || src.to == nil { // unasked bytes on a kept one, too
-		src.broke()
+	if err != nil || n == 0 || sc.handler == nil { // unasked bytes on a kept one, too
+		sc.fail()
 		return
 	}
-	src.s.stats.In += int64(n)
-	src.s.l.Arm(&src.timer, src.s.f.FillTimeout)
-	src.take(src.s.buf[:k+n])
+	sc.server.stats.In += int64(n)
+	sc.server.loop.Arm(&sc.timer, sc.server.cfg.FillTimeout)
+	sc.parse(sc.server.scratch[:buffered+n])
 }
 
-func (src *source) take(data []byte) {
-	for !src.headed {
-		n, err := http1.ParseResponse(data, &src.h, http1.Limits{}, false)
+func (sc *sourceConn) parse(data []byte) {
+	for !sc.headParsed {
+		n, err := http1.ParseResponse(data, &sc.head, http1.Limits{}, false)
 		if err != nil {
-			src.broke()
+			sc.fail()
 			return
 		}
 		if n == 0 {
-			src.left = append(src.left[:0:0], data...)
+			sc.unparsed = append(sc.unparsed[:0:0], data...)
 			return
 		}
 		data = data[n:]
-		src.left = nil
-		if src.h.Status < 200 {
+		sc.unparsed = nil
+		if sc.head.Status < 200 {
 			continue
 		}
-		src.headed = true
-		src.b.Start(&src.h, 0)
-		keep := src.h.Close
-		if !src.to.head(&src.h) {
-			src.close()
+		sc.headParsed = true
+		sc.body.Start(&sc.head, 0)
+		closing := sc.head.Close
+		if !sc.handler.receiveHead(&sc.head) {
+			sc.close()
 			return
 		}
-		src.used = !keep
+		sc.used = !closing
 	}
-	for !src.b.Done() && len(data) > 0 {
-		n, content, err := src.b.Next(data)
+	for !sc.body.Done() && len(data) > 0 {
+		n, content, err := sc.body.Next(data)
 		if err != nil {
-			src.broke()
+			sc.fail()
 			return
 		}
-		if data = data[n:]; len(content) > 0 && src.to != nil {
-			src.to.body(content)
+		if data = data[n:]; len(content) > 0 && sc.handler != nil {
+			sc.handler.receiveBody(content)
 		}
-		if src.to == nil || src.fd < 0 {
+		if sc.handler == nil || sc.fd < 0 {
 			return
 		}
 		if n == 0 {
 			break
 		}
 	}
-	if !src.b.Done() {
-		src.left = append(src.left[:0:0], data...)
+	if !sc.body.Done() {
+		sc.unparsed = append(sc.unparsed[:0:0], data...)
 		return
 	}
-	to := src.to
-	src.to = nil
-	if len(data) > 0 || src.h.Close || src.b.Kind() == http1.UntilClose {
-		src.close()
+	handler := sc.handler
+	sc.handler = nil
+	if len(data) > 0 || sc.head.Close || sc.body.Kind() == http1.UntilClose {
+		sc.close()
 	} else {
-		src.s.l.Arm(&src.timer, 5000)
-		src.s.spare[src.address] = append(src.s.spare[src.address], src)
+		sc.server.loop.Arm(&sc.timer, 5000)
+		sc.server.idleSources[sc.address] = append(sc.server.idleSources[sc.address], sc)
 	}
-	to.end()
+	handler.finish()
 }
 
-// passing is a write on its way to the origin: nothing of it is kept.
-type passing struct {
-	v      *visit
-	status int
-	b      []byte
+// writeForwarder is a write on its way to the origin: nothing of it is kept.
+type writeForwarder struct {
+	request *request
+	status  int
+	body    []byte
 }
 
-// pass takes a write to the source that the attempt names.
-func (s *Server) pass(v *visit) {
-	address := v.a.SourceAddress
+// forwardWrite takes a write to the source that the attempt names.
+func (s *Server) forwardWrite(req *request) {
+	address := req.attempt.SourceAddress
 	if address == "" {
-		address = s.f.Upstream
+		address = s.cfg.Upstream
 	}
-	if address == "" || v.plain {
-		v.refuse(504, fetchheader.CacheStatus{Fwd: "bypass"})
+	if address == "" || req.fromClient {
+		req.respondEmpty(504, fetchheader.CacheStatus{Fwd: "bypass"})
 		return
 	}
-	sub := v.a
-	sub.Via, sub.Source, sub.SourceAddress = s.f.Name, "", ""
-	b := []byte(v.method + " " + v.target + " HTTP/1.1\r\n")
-	b = http1.AppendFieldString(b, "Host", address)
-	b = append(b, fetchheader.FillField+": "...)
-	b = append(sub.Append(b), "\r\n"...)
+	sourceAttempt := req.attempt
+	sourceAttempt.Via, sourceAttempt.Source, sourceAttempt.SourceAddress = s.cfg.Name, "", ""
+	message := []byte(req.method + " " + req.target + " HTTP/1.1\r\n")
+	message = http1.AppendFieldString(message, "Host", address)
+	message = append(message, fetchheader.FillField+": "...)
+	message = append(sourceAttempt.Append(message), "\r\n"...)
 	for _, name := range []string{"X-Request-Id", fetchheader.IdempotencyKeyField, "Content-Type"} {
-		if val := v.fields.Get(name); val != "" {
-			b = http1.AppendFieldString(b, name, val)
+		if value := req.header.Get(name); value != "" {
+			message = http1.AppendFieldString(message, name, value)
 		}
 	}
-	b = http1.AppendFieldInt(b, "Content-Length", int64(len(v.content)))
-	s.source(address, append(append(b, "\r\n"...), v.content...), &passing{v: v})
+	message = http1.AppendFieldInt(message, "Content-Length", int64(len(req.body)))
+	s.sendToSource(address, append(append(message, "\r\n"...), req.body...), &writeForwarder{request: req})
 }
 
-func (p *passing) head(h *http1.Head) bool {
-	p.status = h.Status
+func (w *writeForwarder) receiveHead(head *http1.Head) bool {
+	w.status = head.Status
 	return true
 }
 
-func (p *passing) body(b []byte) {
-	if len(p.b)+len(b) <= 1<<20 {
-		p.b = append(p.b, b...)
+func (w *writeForwarder) receiveBody(data []byte) {
+	if len(w.body)+len(data) <= 1<<20 {
+		w.body = append(w.body, data...)
 	}
 }
 
-func (p *passing) end() {
-	if p.v.over {
+func (w *writeForwarder) finish() {
+	if w.request.ended {
 		return
 	}
-	p.v.seen("sent", p.status, 0, 0, false)
-	b := http1.AppendStatus(nil, p.status)
-	b = http1.AppendFieldString(b, fetchheader.StatusField, fetchheader.CacheStatus{Cache: p.v.s.f.Name, Fwd: "bypass"}.String())
-	b = http1.AppendFieldString(b, fetchheader.LoadField, p.v.s.load())
-	b = http1.AppendFieldInt(b, "Content-Length", int64(len(p.b)))
-	p.v.c.out = append(append(append(p.v.c.out, b...), "\r\n"...), p.b...)
-	p.v.c.done()
+	w.request.emit("sent", w.status, 0, 0, false)
+	head := http1.AppendStatus(nil, w.status)
+	head = http1.AppendFieldString(head, fetchheader.StatusField, fetchheader.CacheStatus{Cache: w.request.server.cfg.Name, Fwd: "bypass"}.String())
+	head = http1.AppendFieldString(head, fetchheader.LoadField, w.request.server.loadMetrics())
+	head = http1.AppendFieldInt(head, "Content-Length", int64(len(w.body)))
+	w.request.conn.writeBuffer = append(append(append(w.request.conn.writeBuffer, head...), "\r\n"...), w.body...)
+	w.request.conn.finishRequest()
 }
 
-func (p *passing) fail(_ int, detail string) {
+func (w *writeForwarder) fail(_ int, detail string) {
 	status := 502
 	if detail == fetchheader.NoPlace { // nothing was run
 		status = 503
 	}
-	if !p.v.over {
-		p.v.refuse(status, fetchheader.CacheStatus{Fwd: "bypass", Detail: detail})
+	if !w.request.ended {
+		w.request.respondEmpty(status, fetchheader.CacheStatus{Fwd: "bypass", Detail: detail})
 	}
 }
--- a/internal/cachenode/server/kill_test.go
+++ b/internal/cachenode/server/kill_test.go
@@ -24,29 +24,29 @@
 // The whole program, killed again and again under load, with purges while it is up and
 // while it is down: every answer is whole, of one version, and of none that a purge before
 // the question has voided; most of what it had is not fetched again.
-func TestProgramKilled(t *testing.T) { killProgram(t, false) }
+func TestProgramKilled(t *testing.T) { checkProgramKilled(t, false) }
 
 // The same with a folder that fails, again and again, for some 50 ms (ENOSPC, EIO).
-func TestProgramKilledWithFaults(t *testing.T) { killProgram(t, true) }
+func TestProgramKilledWithFaults(t *testing.T) { checkProgramKilled(t, true) }
 
-// failNowAndThen has a folder fail half of the time.
-func failNowAndThen(folder *faultyDir) {
+// failIntermittently has a folder fail half of the time.
+func failIntermittently(dir *faultyDir) {
 	for {
 		for _, errno := range []syscall.Errno{0, syscall.ENOSPC, 0, syscall.EIO} {
-			folder.errno.Store(int32(errno))
+			dir.errno.Store(int32(errno))
 			time.Sleep(time.Duration(10+rand.IntN(50)) * time.Millisecond)
 		}
 	}
 }
 
-func killProgram(t *testing.T, faults bool) {
+func checkProgramKilled(t *testing.T, faults bool) {
 	if dir := os.Getenv("CACHE_SERVE"); dir != "" {
-		folder := &faultyDir{Dir: store.Dir(dir)}
+		faulty := &faultyDir{Dir: store.Dir(dir)}
 		if faults {
-			go failNowAndThen(folder)
+			go failIntermittently(faulty)
 		}
 		s, err := start(Config{Name: "b1", Listen: "127.0.0.1:0", Folder: dir, CapacityMB: 64, SegmentMB: 1, DiskThreads: 4, DiskQueue: 256, DiskTimeout: 2000, MaxFills: 64,
-			FillTimeout: 2000, ConnectTimeout: 500, IdleTimeout: 60000, MaxConns: 1000, MaxBufferedBytes: 1 << 20, MaxBodyBytes: 1 << 20, CompleteAbandonedFills: true}, nil, folder, time.Now)
+			FillTimeout: 2000, ConnectTimeout: 500, IdleTimeout: 60000, MaxConns: 1000, MaxBufferedBytes: 1 << 20, MaxBodyBytes: 1 << 20, CompleteAbandonedFills: true}, nil, faulty, time.Now)
 		if err != nil {
 			fmt.Println("error", err)
 			os.Exit(1)
@@ -72,12 +72,12 @@
 	path := func(i int) string { return fmt.Sprintf("/still/1/o%d", i) }
 	version := map[string]int64{}
 	var mu sync.Mutex
-	least := func(p string) int64 {
+	minVersion := func(p string) int64 {
 		mu.Lock()
 		defer mu.Unlock()
 		return 1 + version[p]
 	}
-	found, answers := 0, 0
+	maxRecovered, responses := 0, 0
 	for round := range rounds {
 		if round > 0 { // while it is down
 			p := path(rng.IntN(60))
@@ -103,7 +103,7 @@
 		if n, _ := fmt.Sscan(line, &addr, &copies); err != nil || n != 2 {
 			t.Fatalf("round %d: %q %v", round, line, err)
 		}
-		found = max(found, copies)
+		maxRecovered = max(maxRecovered, copies)
 		var dead atomic.Bool
 		timer := time.AfterFunc(time.Duration(60+rng.IntN(200))*time.Millisecond, func() {
 			dead.Store(true)
@@ -137,8 +137,8 @@
 						}
 						continue
 					}
-					want := least(p)
-					res, b, err := r.at(addr, p)
+					want := minVersion(p)
+					res, b, err := r.fetchFrom(addr, p)
 					if err != nil && faults && !dead.Load() {
 						continue // a copy could not be read to its end
 					}
@@ -158,7 +158,7 @@
 						return
 					}
 					mu.Lock()
-					answers++
+					responses++
 					mu.Unlock()
 				}
 			}()
@@ -170,8 +170,8 @@
 		cmd.Wait()
 		r.client.CloseIdleConnections()
 	}
-	if found < 30 || answers < 20*rounds {
-		t.Errorf("%d copies were found at the most, %d answers", found, answers)
+	if maxRecovered < 30 || responses < 20*rounds {
+		t.Errorf("%d copies were found at the most, %d answers", maxRecovered, responses)
 	}
-	t.Logf("%d kills, %d answers, up to %d copies found", rounds, answers, found)
+	t.Logf("%d kills, %d answers, up to %d copies found", rounds, responses, maxRecovered)
 }
--- a/internal/cachenode/server/router_test.go
+++ b/internal/cachenode/server/router_test.go
@@ -18,14 +18,14 @@
 // A router before two caches with stores and an origin: what was a hit is one again after
 // both were stopped and started, and bytes are the origin's all the way.
 func TestBehindRouter(t *testing.T) {
-	a, b := newRig(t, ""), newRig(t, "")
+	first, second := newRig(t, ""), newRig(t, "")
 	text := fmt.Sprintf(`(router (name e) (zone z) (listen "127.0.0.1:0") (log none))
 (zone z (routers 1) (hub h)) (zone h (hub h))
 (fill (flow 100) (direct) (joins))
 (class still (aim 400) (deadline 4000))
 (route "/still/{group}/{object}" (class still))
 (member b1 (zone z) (address %q)) (member b2 (zone z) (address %q))
-(member o (kind origin) (zone h) (address %q))`, a.s.Addr(), b.s.Addr(), a.origin.Addr())
+(member o (kind origin) (zone h) (address %q))`, first.server.Addr(), second.server.Addr(), first.origin.Addr())
 	var s config.Settings
 	if err := config.Read("router.edn", text, &s); err != nil {
 		t.Fatal(err)
@@ -34,23 +34,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e, err := httpfront.New(&s, log)
+	router, err := httpfront.New(&s, log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan error, 1)
-	go func() { done <- e.Run() }()
+	go func() { done <- router.Run() }()
 	defer func() {
-		e.Stop()
+		router.Stop()
 		<-done
 	}()
-	if err := e.Ready(); err != nil {
+	if err := router.Ready(); err != nil {
 		t.Fatal(err)
 	}
-	all := func() (hits int) {
+	fetchAll := func() (hits int) {
 		for i := range 60 {
 			path := fmt.Sprintf("/still/%d/o%d", i%8, i)
-			res, err := http.Get("http://" + e.Addr() + path)
+			res, err := http.Get("http://" + router.Addr() + path)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -69,33 +69,33 @@
 		}
 		return hits
 	}
-	if n := all(); n > 0 {
+	if n := fetchAll(); n > 0 {
 		t.Errorf("%d hits at the start", n)
 	}
-	for _, r := range []*rig{a, b} {
-		r.form.Listen = r.s.Addr() // where the router knows it
+	for _, r := range []*rig{first, second} {
+		r.cfg.Listen = r.server.Addr() // where the router knows it
 	}
 	time.Sleep(50 * time.Millisecond)
-	if n := all(); n < 58 {
+	if n := fetchAll(); n < 58 {
 		t.Errorf("%d hits of 60", n)
 	}
-	for _, r := range []*rig{a, b} {
+	for _, r := range []*rig{first, second} {
 		r.stop()
 		r.start()
-		if r.s.Recovered.Objects < 10 {
-			t.Errorf("found %+v in %s", r.s.Recovered, filepath.Base(r.form.Folder))
+		if r.server.Recovered.Objects < 10 {
+			t.Errorf("found %+v in %s", r.server.Recovered, filepath.Base(r.cfg.Folder))
 		}
 	}
-	all() // in doubt: the origin is asked about each
+	fetchAll() // in doubt: the origin is asked about each
 	var in int64
-	for _, r := range []*rig{a, b} {
-		st, err := r.s.State()
+	for _, r := range []*rig{first, second} {
+		st, err := r.server.State()
 		if err != nil {
 			t.Fatal(err)
 		}
 		in += st.In
 	}
-	if n := all(); n < 55 || in > 60<<10 {
+	if n := fetchAll(); n < 55 || in > 60<<10 {
 		t.Errorf("%d hits of 60 after both were started anew, %d bytes from the origin", n, in)
 	}
 }
--- a/internal/cachenode/server/syscalls_test.go
+++ b/internal/cachenode/server/syscalls_test.go
@@ -13,7 +13,7 @@
 
 // Whatever a system call fails with, and for however long: each request is answered, on its
 // connection, no source is blamed, and the loop does not spin.
-func TestCallsFail(t *testing.T) {
+func TestSystemCallsFail(t *testing.T) {
 	const requests, perSecond = 100, 1500
 	errors := map[faultinject.Call]string{
 		faultinject.Accept:  "ECONNABORTED EMFILE ENFILE ENOBUFS ENOMEM EPERM ENETUNREACH EINTR",
@@ -29,11 +29,11 @@
 				t.Run(fmt.Sprintf("%s/%s/%s", call, name, span), func(t *testing.T) {
 					t.Parallel()
 					r := newRig(t, "")
-					calls, began := r.fail(call, name+":"+span), time.Now()
+					calls, began := r.injectFault(call, name+":"+span), time.Now()
 					var wg sync.WaitGroup
 					for i := range requests {
 						wg.Go(func() {
-							res, _, err := r.ask(fmt.Sprintf("/still/%d", i), true, nil)
+							res, _, err := r.fetch(fmt.Sprintf("/still/%d", i), true, nil)
 							switch {
 							case err != nil:
 								t.Errorf("request %d is lost: %v", i, err)
@@ -45,7 +45,7 @@
 					}
 					wg.Wait()
 					var turns uint64
-					r.s.l.Call(5*time.Second, func() { turns = r.s.l.Turns() })
+					r.server.loop.Call(5*time.Second, func() { turns = r.server.loop.Turns() })
 					seconds := time.Since(began).Seconds()
 					made, failed := calls.Counts(call)
 					if failed == 0 || turns > uint64(perSecond*seconds)+40*requests {
@@ -60,10 +60,10 @@
 	}
 }
 
-// fail has the cache's calls of a kind fail: what is a reading of time counts from the first
+// injectFault has the cache's calls of a kind fail: what is a reading of time counts from the first
 // such call.
-func (r *rig) fail(call faultinject.Call, how string) (calls *faultinject.Syscalls) {
-	faults, err := faultinject.Parse(fmt.Sprintf("%s:%s", call, how))
+func (r *rig) injectFault(call faultinject.Call, behavior string) (calls *faultinject.Syscalls) {
+	faults, err := faultinject.Parse(fmt.Sprintf("%s:%s", call, behavior))
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -74,7 +74,7 @@
 		}
 		return time.Since(began)
 	})
-	if err := r.s.l.Call(5*time.Second, func() { r.s.l.Intercept(calls) }); err != nil {
+	if err := r.server.loop.Call(5*time.Second, func() { r.server.loop.Intercept(calls) }); err != nil {
 		r.t.Fatal(err)
 	}
 	return calls
--- a/internal/cachenode/store/compact.go
+++ b/internal/cachenode/store/compact.go
@@ -24,7 +24,7 @@
 		if !s.segmentReadable(seg) { // its objects may be read later; without room, Begin evicts it
 			return rewritten, false, nil
 		}
-		slot, ok := s.survivor(seg)
+		slot, ok := s.objectToKeep(seg)
 		if !ok {
 			s.evict(seg.number)
 			continue
@@ -42,8 +42,8 @@
 	return rewritten, false, nil
 }
 
-// survivor is an object of a segment that is to outlast it.
-func (s *Store) survivor(seg *segment) (slot uint32, ok bool) {
+// objectToKeep is an object of a segment that is to outlast it.
+func (s *Store) objectToKeep(seg *segment) (slot uint32, ok bool) {
 	for _, slot := range seg.slots {
 		loc := &s.slots[slot]
 		if loc.has(flagUsed) || loc.rank() == maxRank && !loc.has(flagRewritten) {
--- a/internal/cachenode/store/folder.go
+++ b/internal/cachenode/store/folder.go
@@ -66,8 +66,8 @@
 	return max(n, 0), errors.Join(err, controlErr)
 }
 
-// nowReader is a File that can be read without waiting.
-type nowReader interface {
+// nonblockingReader is a File that can be read without waiting.
+type nonblockingReader interface {
 	ReadNow(data []byte, off int64) (int, error)
 }
 
--- a/internal/cachenode/store/index.go
+++ b/internal/cachenode/store/index.go
@@ -15,7 +15,7 @@
 // it.
 func (s *Store) addLocation(loc location) {
 	seg := s.segments[loc.segment]
-	if seg == nil || seg.file != nil && !seg.holds(&loc) { // of one that is not open yet, openSegment sees
+	if seg == nil || seg.file != nil && !seg.contains(&loc) { // of one that is not open yet, openSegment sees
 		return
 	}
 	s.removeLocation(loc.keyHash)
@@ -90,7 +90,7 @@
 	previous := s.indexNumber
 	s.indexNumber++ // each attempt has a name of its own
 	name := indexName(s.indexNumber)
-	purges := s.encodeLastingPurges()
+	purges := s.encodeActivePurges()
 	index, length, err := s.writeIndexLog(name, purges)
 	if err != nil {
 		s.remove(name + ".new")
--- a/internal/cachenode/store/kill_test.go
+++ b/internal/cachenode/store/kill_test.go
@@ -31,7 +31,7 @@
 			continue
 		}
 		n := 1 + rng.IntN(8000)
-		writer, err := store.Begin(Meta{Key: key, Object: key, Version: version, Born: version, Rank: 2}, int64(n))
+		writer, err := store.Begin(Meta{Key: key, Object: key, Version: version, GeneratedAt: version, Rank: 2}, int64(n))
 		if err != nil {
 			fmt.Println("error", err)
 			os.Exit(1)
--- a/internal/cachenode/store/meta.go
+++ b/internal/cachenode/store/meta.go
@@ -10,15 +10,15 @@
 
 // Meta is what is stored of an object beside its body.
 type Meta struct {
-	Key     string            `json:"k"`           // of the lookup
-	Object  string            `json:"o"`           // that a purge names
-	Group   int32             `json:"g,omitempty"` // that a purge names
-	Tags    []string          `json:"t,omitempty"` // that a purge names
-	Version int64             `json:"v,omitempty"` // the origin's; 0: not known
-	Born    int64             `json:"b,omitempty"` // when the origin generated it, Unix ms: only for its age
-	Fresh   int64             `json:"f,omitempty"` // for how long from Born, ms; 0: until it is purged
-	Rank    int               `json:"r,omitempty"` // 1 to 3: those of 3 are evicted last
-	Fields  map[string]string `json:"h,omitempty"` // of the response's head
+	Key         string            `json:"k"`           // of the lookup
+	Object      string            `json:"o"`           // that a purge names
+	Group       int32             `json:"g,omitempty"` // that a purge names
+	Tags        []string          `json:"t,omitempty"` // that a purge names
+	Version     int64             `json:"v,omitempty"` // the origin's; 0: not known
+	GeneratedAt int64             `json:"b,omitempty"` // when the origin generated it, Unix ms: only for its age
+	Lifetime    int64             `json:"f,omitempty"` // for how long from Born, ms; 0: until it is purged
+	Rank        int               `json:"r,omitempty"` // 1 to 3: those of 3 are evicted last
+	Fields      map[string]string `json:"h,omitempty"` // of the response's head
 }
 
 // checksumLen is the length of the CRC-32C before the JSON of a head on disk.
--- a/internal/cachenode/store/model_test.go
+++ b/internal/cachenode/store/model_test.go
@@ -149,7 +149,7 @@
 	ok := false
 	for i := range r.expected.stored[key] {
 		object := &r.expected.stored[key][i]
-		if bytes.Equal(object.body, body) && object.meta.Version == found.Version && object.meta.Born == found.Born {
+		if bytes.Equal(object.body, body) && object.meta.Version == found.Version && object.meta.GeneratedAt == found.GeneratedAt {
 			ok = true
 			if r.expected.purged(object, false) {
 				r.t.Fatalf("%s is served in version %d after a purge that was acknowledged", key, found.Version)
@@ -171,9 +171,9 @@
 			r.expected.latest[key] = nil
 			continue
 		}
-		if !r.renewed[key] && (latest == nil || found.Born != latest.meta.Born) {
+		if !r.renewed[key] && (latest == nil || found.GeneratedAt != latest.meta.GeneratedAt) {
 			for i := range r.expected.stored[key] {
-				if r.expected.stored[key][i].meta.Born == found.Born {
+				if r.expected.stored[key][i].meta.GeneratedAt == found.GeneratedAt {
 					r.expected.latest[key] = &r.expected.stored[key][i]
 				}
 			}
@@ -270,7 +270,7 @@
 	}
 	r.born++
 	key := fmt.Sprintf("/k/%d", r.rng.IntN(40))
-	object := storedObject{meta: Meta{Key: key, Object: "/o/" + key[3:], Group: int32(r.rng.IntN(4)), Tags: []string{fmt.Sprint("t", r.rng.IntN(4))}, Born: r.born,
+	object := storedObject{meta: Meta{Key: key, Object: "/o/" + key[3:], Group: int32(r.rng.IntN(4)), Tags: []string{fmt.Sprint("t", r.rng.IntN(4))}, GeneratedAt: r.born,
 		Rank: 1 + r.rng.IntN(3)}, body: make([]byte, r.rng.IntN(3000)), since: len(r.expected.purges)}
 	if r.rng.IntN(2) == 0 {
 		object.meta.Version = max(r.version-int64(r.rng.IntN(3)), 1)
@@ -343,14 +343,14 @@
 	defer found.Close()
 	r.born++
 	for _, object := range r.expected.stored[key] {
-		if object.meta.Born == found.Born { // the new head may last or not, or be torn by a kill
-			object.meta.Born = r.born
+		if object.meta.GeneratedAt == found.GeneratedAt { // the new head may last or not, or be torn by a kill
+			object.meta.GeneratedAt = r.born
 			r.expected.stored[key] = append(r.expected.stored[key], object)
 			r.expected.latest[key], r.renewed[key] = nil, true
 			break
 		}
 	}
-	found.Renew(r.born)
+	found.Revalidated(r.born)
 }
 
 // randomFault has some of the calls fail, some of the time.
--- a/internal/cachenode/store/object.go
+++ b/internal/cachenode/store/object.go
@@ -67,9 +67,9 @@
 			s.slots[slot].packed |= flagVerified
 		}
 		s.Stats.Hits++
-		return s.newObject(&loc, seg, meta)
+		return s.newCachedObject(&loc, seg, meta)
 	}
-	s.unref(seg)
+	s.release(seg)
 	return nil
 }
 
@@ -133,8 +133,8 @@
 	return nil
 }
 
-// newObject is an object that was found. Its segment has one more reference.
-func (s *Store) newObject(loc *location, seg *segment, meta *Meta) *CachedObject {
+// newCachedObject is an object that was found. Its segment has one more reference.
+func (s *Store) newCachedObject(loc *location, seg *segment, meta *Meta) *CachedObject {
 	beforeStart := !loc.has(flagConfirmed)
 	return &CachedObject{
 		Meta:          *meta,
@@ -162,7 +162,7 @@
 	}
 	loc := &s.slots[slot]
 	seg := s.segments[loc.segment]
-	file, ok := seg.file.(nowReader)
+	file, ok := seg.file.(nonblockingReader)
 	if !ok || !loc.has(flagVerified) || seg.fault != nil || s.syncLost(seg) {
 		return nil, false
 	}
@@ -180,7 +180,7 @@
 	loc.packed |= flagUsed
 	seg.refs++
 	s.Stats.Hits++
-	return s.newObject(loc, seg, meta), true
+	return s.newCachedObject(loc, seg, meta), true
 }
 
 // ReadAt reads of the body, as io.ReaderAt.
@@ -205,7 +205,7 @@
 // TryReadAt reads of the body what is there without waiting for the disk, and returns its
 // length; less than was asked for, down to none: ReadAt has the rest.
 func (c *CachedObject) TryReadAt(data []byte, off int64) int {
-	file, ok := c.segment.file.(nowReader)
+	file, ok := c.segment.file.(nonblockingReader)
 	if !ok || off >= c.Size {
 		return 0
 	}
@@ -228,13 +228,13 @@
 	return c.store.purged(c.sincePurge, &c.Meta)
 }
 
-// Renew says that the object's source has confirmed it: it is as if generated at born (Unix
+// Revalidated says that the object's source has confirmed it: it is as if generated at born (Unix
 // ms). The head is written over in place; one that a crash tears is dropped by its checksum.
 // false: it is not the object of its key any more, or its head would not fit.
-func (c *CachedObject) Renew(born int64) (bool, error) {
+func (c *CachedObject) Revalidated(generatedAt int64) (bool, error) {
 	store := c.store
 	meta := c.Meta
-	meta.Born = born
+	meta.GeneratedAt = generatedAt
 	head, err := encodeMeta(&meta)
 	if err != nil {
 		return false, err
@@ -255,7 +255,7 @@
 	}
 	store.Stats.WrittenBytes += int64(len(head))
 	loc.packed |= flagConfirmed
-	c.Born = born
+	c.GeneratedAt = generatedAt
 	c.BeforeStart = false
 	c.PurgesUnknown = false
 	return true, nil
@@ -267,6 +267,6 @@
 	defer c.store.mu.Unlock()
 	if !c.closed {
 		c.closed = true
-		c.store.unref(c.segment)
+		c.store.release(c.segment)
 	}
 }
--- a/internal/cachenode/store/purge.go
+++ b/internal/cachenode/store/purge.go
@@ -176,9 +176,9 @@
 	return false
 }
 
-// lastingPurges are those that a checkpoint has to have: that may cover what is stored, or
+// activePurges are those that a checkpoint has to have: that may cover what is stored, or
 // what is being fetched.
-func (s *Store) lastingPurges() []Purge {
+func (s *Store) activePurges() []Purge {
 	list := []Purge{{Number: s.lastPurge, Scope: byNumber}}
 	add := func(mark watermark, purge Purge) {
 		if mark.unversioned > 0 {
@@ -199,20 +199,20 @@
 	return append(list, s.purgeRules...)
 }
 
-// settleThreshold is how many rules without a version there may be before they are settled.
-func (s *Store) settleThreshold() int { return max(s.options.MaxPurgeRules, s.settlePostponed) }
+// retireThreshold is how many rules without a version there may be before they are settled.
+func (s *Store) retireThreshold() int { return max(s.options.MaxPurgeRules, s.retirePostponed) }
 
-// settleRules drops all objects that a purge covers, and forgets the purges without a
+// retireUnversionedRules drops all objects that a purge covers, and forgets the purges without a
 // version: no lookup has to go through them any more. Those with a version stay, since
 // objects of older versions may still come. false: some heads can't be read for now, and the
 // rules are kept for them; at four times MaxPurgeRules these objects are dropped.
-func (s *Store) settleRules() bool {
+func (s *Store) retireUnversionedRules() bool {
 	covered, unreadable := s.coveredObjects()
 	if unreadable > 0 && s.unversionedRules < 4*s.options.MaxPurgeRules {
-		s.settlePostponed = min(2*s.unversionedRules, 4*s.options.MaxPurgeRules)
+		s.retirePostponed = min(2*s.unversionedRules, 4*s.options.MaxPurgeRules)
 		return false
 	}
-	s.settlePostponed = 0
+	s.retirePostponed = 0
 	for _, keyHash := range covered {
 		s.removeLocation(keyHash)
 		s.Stats.Purged++
--- a/internal/cachenode/store/purge_test.go
+++ b/internal/cachenode/store/purge_test.go
@@ -7,7 +7,7 @@
 
 // A fill that was in flight when the rules were settled is not committed: its purge is
 // forgotten by then.
-func TestFillAcrossSettledRulesRefused(t *testing.T) {
+func TestFillAcrossRetiredRulesNotCommitted(t *testing.T) {
 	s, _, err := Open(newCrashFS(), Options{MaxPurgeRules: 4})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/cachenode/store/purgelog.go
+++ b/internal/cachenode/store/purgelog.go
@@ -54,7 +54,7 @@
 	s.announcedPurge.Store(s.lastPurge)
 	purge.Number = s.lastPurge
 	s.applyPurge(purge)
-	if s.unversionedRules > s.settleThreshold() && s.settleRules() {
+	if s.unversionedRules > s.retireThreshold() && s.retireUnversionedRules() {
 		if s.failure == nil {
 			return purge.Number, s.checkpoint()
 		}
@@ -75,7 +75,7 @@
 func (s *Store) deferPurge(purge Purge) {
 	s.announcedPurge.Add(1)
 	if len(s.pendingPurges) >= maxPendingPurges {
-		s.pendingOverflow = true
+		s.pendingOverflowed = true
 		return
 	}
 	s.pendingPurges = append(s.pendingPurges, purge)
@@ -101,10 +101,10 @@
 	return nil
 }
 
-// encodeLastingPurges encodes a checkpoint's purges as entries.
-func (s *Store) encodeLastingPurges() []byte {
+// encodeActivePurges encodes a checkpoint's purges as entries.
+func (s *Store) encodeActivePurges() []byte {
 	var entries, payload []byte
-	for _, purge := range s.lastingPurges() {
+	for _, purge := range s.activePurges() {
 		payload = purge.appendTo(payload[:0])
 		entries = appendEntry(entries, entryPurge, payload)
 	}
--- a/internal/cachenode/store/recovery.go
+++ b/internal/cachenode/store/recovery.go
@@ -184,7 +184,7 @@
 		s.recovered.DiscardReason = "both logs are damaged: a purge may be lost"
 	case !indexed && len(s.segments) > 0:
 		s.recovered.DiscardReason = "there is no index"
-	case s.pendingOverflow:
+	case s.pendingOverflowed:
 		s.recovered.DiscardReason = "more purges came than are remembered while the logs could not be read"
 	}
 	return purges
@@ -229,7 +229,7 @@
 		s.applyPurge(purge)
 	}
 	s.pendingPurges = nil
-	s.pendingOverflow = false
+	s.pendingOverflowed = false
 	s.announcedPurge.Store(s.lastPurge)
 }
 
@@ -257,21 +257,21 @@
 			s.recovered.Bytes += s.slots[i].bodyLen()
 		}
 	}
-	s.newestAtStart.Store(s.findNewest())
+	s.newestAtStart.Store(s.newestGeneratedAt())
 }
 
-// findNewest looks for the newest object among the last of the last segment.
-func (s *Store) findNewest() (born int64) {
+// newestGeneratedAt looks for the newest object among the last of the last segment.
+func (s *Store) newestGeneratedAt() (newest int64) {
 	if len(s.segmentOrder) == 0 {
 		return 0
 	}
 	seg := s.segments[s.segmentOrder[len(s.segmentOrder)-1]]
 	for _, slot := range seg.slots[max(len(seg.slots)-newestSample, 0):] {
 		if meta, err := s.readMeta(seg, &s.slots[slot]); err == nil {
-			born = max(born, meta.Born)
+			newest = max(newest, meta.GeneratedAt)
 		}
 	}
-	return born
+	return newest
 }
 
 // markStale has temporary files and the index logs of before removed, once there is an index
--- a/internal/cachenode/store/segment.go
+++ b/internal/cachenode/store/segment.go
@@ -33,8 +33,8 @@
 
 func segmentName(number uint32) string { return fmt.Sprintf("seg-%08d.dat", number) }
 
-// holds reports whether a location lies within the segment.
-func (g *segment) holds(loc *location) bool {
+// contains reports whether a location lies within the segment.
+func (g *segment) contains(loc *location) bool {
 	return loc.bodyOffset()+loc.bodyLen() <= g.size
 }
 
@@ -66,7 +66,7 @@
 	seg.file, seg.size = file, size
 	for _, slot := range slices.Clone(seg.slots) {
 		loc := s.slots[slot]
-		if !seg.holds(&loc) {
+		if !seg.contains(&loc) {
 			s.removeLocation(loc.keyHash)
 		}
 	}
@@ -159,8 +159,8 @@
 	s.closeUnreferenced(seg)
 }
 
-// unref gives a reference back.
-func (s *Store) unref(seg *segment) {
+// release gives a reference back.
+func (s *Store) release(seg *segment) {
 	seg.refs--
 	s.closeUnreferenced(seg)
 }
--- a/internal/cachenode/store/store.go
+++ b/internal/cachenode/store/store.go
@@ -49,20 +49,20 @@
 	groupPurges      map[int32]watermark
 	purgeRules       []Purge // by tag and prefix
 	unversionedRules int     // of them, those without a version
-	settlePostponed  int     // number of unversioned rules at which settleRules is tried again; 0: it is not postponed
+	retirePostponed  int     // number of unversioned rules at which settleRules is tried again; 0: it is not postponed
 	fillBarrier      uint64  // fills that began before this purge are not committed
 	purgesCaughtUp   bool    // see PurgesCaughtUp
 
 	// Faults of the disk (fault.go).
-	failure         *FaultError // nothing is stored until a retry succeeds; nil: the disk works
-	backoff         backoff     // of the retries
-	logsUnread      bool        // the folder could not be read yet; failure is set
-	logsBroken      bool        // both logs are to be written anew before anything is added; failure is set
-	segmentBroken   bool        // a new segment has to be begun; failure is set
-	pendingPurges   []Purge     // that came while logsUnread
-	pendingOverflow bool        // there were more of them than are remembered
-	staleFiles      []string    // that are to be removed
-	faulty          atomic.Bool // see Faulty
+	failure           *FaultError // nothing is stored until a retry succeeds; nil: the disk works
+	backoff           backoff     // of the retries
+	logsUnread        bool        // the folder could not be read yet; failure is set
+	logsBroken        bool        // both logs are to be written anew before anything is added; failure is set
+	segmentBroken     bool        // a new segment has to be begun; failure is set
+	pendingPurges     []Purge     // that came while logsUnread
+	pendingOverflowed bool        // there were more of them than are remembered
+	staleFiles        []string    // that are to be removed
+	faulty            atomic.Bool // see Faulty
 
 	recovered     Recovered
 	newestAtStart atomic.Int64 // see Newest
@@ -160,7 +160,7 @@
 	return len(s.byHash), s.usedBytes
 }
 
-// Newest returns when the newest object of before the start was generated (Unix ms), among
+// NewestAtStart returns when the newest object of before the start was generated (Unix ms), among
 // those that were written last; 0: there is none, or it could not be read. A time in the
 // future shows that the clock was set back. It never waits.
-func (s *Store) Newest() int64 { return s.newestAtStart.Load() }
+func (s *Store) NewestAtStart() int64 { return s.newestAtStart.Load() }
--- a/internal/cachenode/store/testobject_test.go
+++ b/internal/cachenode/store/testobject_test.go
@@ -20,7 +20,7 @@
 // storeObject stores an object; false: it was overtaken.
 func storeObject(t testing.TB, store *Store, key string, version int64, size int) bool {
 	t.Helper()
-	writer, err := store.Begin(Meta{Key: key, Object: key, Group: int32(size % 3), Version: version, Born: version, Rank: 2}, int64(size))
+	writer, err := store.Begin(Meta{Key: key, Object: key, Group: int32(size % 3), Version: version, GeneratedAt: version, Rank: 2}, int64(size))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cachenode/store/writer.go
+++ b/internal/cachenode/store/writer.go
@@ -129,7 +129,7 @@
 		return false, ErrClosed
 	case store.failure != nil:
 		return false, store.failure
-	case w.segmentLost(), w.overtaken():
+	case w.segmentLost(), w.superseded():
 		store.Stats.Refused++
 		return false, nil
 	}
@@ -172,9 +172,9 @@
 	return w.segment.evicted || w.segment.syncFailed.Load() || w.store.segments[w.segment.number] != w.segment
 }
 
-// overtaken reports whether a purge covers the object, or a newer version of it was stored
+// superseded reports whether a purge covers the object, or a newer version of it was stored
 // by a faster fill.
-func (w *Writer) overtaken() bool {
+func (w *Writer) superseded() bool {
 	store := w.store
 	if w.location.sincePurge < store.fillBarrier || store.purged(w.location.sincePurge, &w.meta) {
 		return true
@@ -198,7 +198,7 @@
 func (w *Writer) release() {
 	if !w.done {
 		w.done = true
-		w.store.unref(w.segment)
+		w.store.release(w.segment)
 	}
 }
 
