--- a/internal/cachenode/httpcache/box.go
+++ b/internal/cachenode/httpcache/box.go
@@ -1,12 +1,12 @@
-// Package httpcache is a cache's logic without I/O: what may be stored and for how long
-// it may be used (RFC 9111, rfc9111.go), and a cache as simulations have it (box.go):
-// ranked copies, their ages, purges, fills, requests that join them, and the warm-up
-// after a cold start. A parent is a cache of another role. Time comes from the caller, in
-// milliseconds on any clock that only goes forward; nothing is random.
+// Package httpcache implements the logic of a cache without I/O. rfc9111.go decides which
+// responses may be stored and how a stored response may be used (RFC 9111). box.go is a model
+// of a cache for simulations: ranked copies with their ages, purges, fills and requests that
+// join them, and the warm-up after a cold start. A parent is modeled as a cache, too. The
+// caller supplies the time, in milliseconds on any monotonic clock; nothing is random.
 //
-// It owns what is known of copies, never their bytes: internal/testbed/testserver makes
-// those from key and version, internal/cachenode/server reads them from
-// internal/cachenode/store. It is not safe for concurrent use.
+// The package keeps metadata of copies, never their bodies: internal/testbed/testserver
+// generates bodies from key and version, internal/cachenode/server reads them from
+// internal/cachenode/store. Its types are not safe for concurrent use.
 package httpcache
 
 import (
@@ -14,54 +14,54 @@
 	"fmt"
 )
 
-// Settings is what a box is. Spans are in ms, sizes in bytes.
+// Settings configures a Cache. Durations are in ms, sizes in bytes.
 type Settings struct {
 	Name               string
-	Bytes              int64   // what the store holds
-	Capacity           float64 // sending time that it bears, ms a ms, when warm
-	WarmUpInitialShare float64 // part of the capacity with which it starts
-	WarmUpTime         float64 // until it is warm
-	OverloadFactor     float64 // it falls over at this multiple of its present capacity; 0: never
-	OverloadTime       float64 // when the overload lasts this long
-	MaxFills           int     // at once; 0: no limit
+	Bytes              int64   // size of the store
+	Capacity           float64 // when warm: sending time that the cache can handle, in ms per ms
+	WarmUpInitialShare float64 // share of Capacity that is available after a cold start
+	WarmUpTime         float64 // time from a cold start until all of Capacity is available
+	OverloadFactor     float64 // a cold cache fails when its load exceeds the current capacity by this factor; 0: never
+	OverloadTime       float64 // time over which that load is averaged
+	MaxFills           int     // limit of concurrent fills; 0: no limit
 }
 
-// Copy is a held object, or a part of one.
+// Copy is a cached object, or a cached byte range of one.
 type Copy struct {
-	Key         string // what is asked for: path and range
-	Object      string // what a purge names
+	Key         string // path and range of the requests that it answers
+	Object      string // name by which it is purged
 	Group       int
 	Bytes       int64
-	Rank        int // 1 to 3
+	Rank        int // 1 to 3; copies of a lower rank are evicted first
 	Version     int64
-	GeneratedAt float64 // when the origin gave it, or earlier; never later
-	Lifetime    float64 // for how long it is fresh; 0: until purged
+	GeneratedAt float64 // lower bound of the time at which the origin generated it
+	Lifetime    float64 // freshness lifetime; 0: fresh until purged
 	element     *list.Element
 }
 
-// Fill is a fill under way.
+// Fill is a fill in flight.
 type Fill struct {
 	Key     string
 	Started float64
 	Joined  int
 }
 
-// Cache is one cache. See New.
+// Cache is a model of one cache. Use New to create one.
 type Cache struct {
 	settings      Settings
-	coldSince     float64 // of the cold start; 0: it is warm
+	coldSince     float64 // time of the cold start; 0: the cache was warm from the start
 	usedBytes     int64
 	copies        map[string]*Copy
-	byRank        [4]*list.List // by rank, the longest unused first
+	byRank        [4]*list.List // per rank, least recently used first
 	byObject      map[string]map[string]*Copy
 	byGroup       map[int]map[string]*Copy
-	objectPurges  map[string]float64 // when objects were purged, to turn away copies that come later
-	groupPurges   map[int]float64
+	objectPurges  map[string]float64 // time of the last purge per object: older copies that arrive later are rejected
+	groupPurges   map[int]float64    // the same per group
 	fills         map[string]*Fill
 	fillsInFlight int
 
-	attempts   []attempt // in the window of FallTime
-	recentWork float64
+	attempts   []attempt // within the last OverloadTime
+	recentWork float64   // sum of the work of attempts
 	failed     bool
 
 	Hits, Misses, Evicted, Purged int
@@ -69,8 +69,8 @@
 
 type attempt struct{ time, work float64 }
 
-// New makes an empty box. Warm says that it has been up for long; otherwise it
-// starts cold at the time now.
+// New returns an empty cache. A warm one has its full capacity; any other has a cold start
+// at the time now.
 func New(settings Settings, now float64, warm bool) *Cache {
 	c := &Cache{settings: settings, copies: map[string]*Copy{}, byObject: map[string]map[string]*Copy{},
 		byGroup: map[int]map[string]*Copy{}, objectPurges: map[string]float64{}, groupPurges: map[int]float64{},
@@ -84,7 +84,7 @@
 	return c
 }
 
-// CapacityShare is the part of its capacity that the box has now.
+// CapacityShare returns the share of Settings.Capacity that is available now.
 func (c *Cache) CapacityShare(now float64) float64 {
 	if c.coldSince == 0 || c.settings.WarmUpTime <= 0 || now-c.coldSince >= c.settings.WarmUpTime {
 		return 1
@@ -92,12 +92,12 @@
 	return c.settings.WarmUpInitialShare + (1-c.settings.WarmUpInitialShare)*max(now-c.coldSince, 0)/c.settings.WarmUpTime
 }
 
-// Capacity is the sending time, ms a ms, that the box bears now.
+// Capacity returns the sending time, in ms per ms, that the cache can handle now.
 func (c *Cache) Capacity(now float64) float64 { return c.settings.Capacity * c.CapacityShare(now) }
 
-// RecordAttempt counts an attempt of so much work. It reports whether the box has
-// failed over: it was sent more than FallFactor times what it could do in the
-// last FallTime, while cold. A fallen box stays down.
+// RecordAttempt records an attempt that takes the given sending time, in ms, and reports
+// whether the cache has failed. A cache that is warming up fails when it is sent more than
+// OverloadFactor times its capacity over OverloadTime, and doesn't recover.
 func (c *Cache) RecordAttempt(now, work float64) (failed bool) {
 	if c.failed {
 		return true
@@ -114,16 +114,16 @@
 		expired++
 	}
 	c.attempts = c.attempts[expired:]
-	// a single attempt of any size is no overload that lasts
+	// A single attempt, however large, is not a sustained overload.
 	c.failed = len(c.attempts) > 1 && c.recentWork > c.settings.OverloadFactor*c.Capacity(now)*c.settings.OverloadTime
 	return c.failed
 }
 
-// Failed reports whether the box has fallen over.
+// Failed reports whether the cache has failed because of overload.
 func (c *Cache) Failed() bool { return c.failed }
 
-// Lookup returns a copy that is at most age old, nil where there is none. Its
-// use counts, and a rank above 0 becomes its own.
+// Lookup returns the copy of a key if it is at most age old, and nil otherwise. It marks the
+// copy as used, and a rank from 1 to 3 replaces the rank of the copy.
 func (c *Cache) Lookup(now float64, key string, age float64, rank int) *Copy {
 	item := c.copies[key]
 	if item == nil || now-item.GeneratedAt > age {
@@ -140,7 +140,7 @@
 	return item
 }
 
-// BeginFill starts a fill of a key, unless as many run as may: then it returns nil.
+// BeginFill starts a fill of a key. It returns nil if MaxFills are in flight.
 func (c *Cache) BeginFill(now float64, key string) *Fill {
 	if c.settings.MaxFills > 0 && c.fillsInFlight >= c.settings.MaxFills {
 		return nil
@@ -153,14 +153,15 @@
 	return f
 }
 
-// PendingFill is the fill of a key that is under way, or nil.
+// PendingFill returns the fill of a key that is in flight and that requests may join, or nil.
 func (c *Cache) PendingFill(key string) *Fill { return c.fills[key] }
 
-// FillsInFlight is how many fills run.
+// FillsInFlight returns the number of fills in flight.
 func (c *Cache) FillsInFlight() int { return c.fillsInFlight }
 
-// EndFill ends a fill. The copy it brought is kept, where there is one, unless a
-// purge has overtaken it, or there is no room among what ranks no higher.
+// EndFill ends a fill and stores the copy that it fetched, if any. The copy is not kept if a
+// later purge covers it, a newer copy is stored, or it doesn't fit even after all copies of
+// the same and lower ranks are evicted.
 func (c *Cache) EndFill(now float64, f *Fill, item *Copy) (kept bool) {
 	c.fillsInFlight--
 	if c.fills[f.Key] == f {
@@ -180,7 +181,7 @@
 		return false
 	}
 	if present := c.copies[item.Key]; present != nil {
-		if present.GeneratedAt > item.GeneratedAt { // a slower fill of an older version
+		if present.GeneratedAt > item.GeneratedAt { // a faster fill has stored a newer copy
 			return false
 		}
 		c.drop(present)
@@ -229,9 +230,9 @@
 	unindex(c.byGroup, item.Group, item)
 }
 
-// Purge drops the copies of an object, or with no object those of a group,
-// that are older than the time at which it was made; a fill under way that
-// brings such a copy will not be kept.
+// Purge drops the copies of an object, or of a group if object is empty, that are older than
+// purgedAt, the time of the purge. Such a copy is also not kept when a fill that is in flight
+// brings it later.
 func (c *Cache) Purge(object string, group int, purgedAt float64) (dropped int) {
 	set := c.byGroup[group]
 	if object != "" {
@@ -250,7 +251,7 @@
 	return dropped
 }
 
-// ForgetPurges drops what is remembered of purges made before a time.
+// ForgetPurges discards the records of purges made before the given time.
 func (c *Cache) ForgetPurges(before float64) {
 	for object, purgedAt := range c.objectPurges {
 		if purgedAt < before {
@@ -264,25 +265,25 @@
 	}
 }
 
-// Usage is the bytes and the copies that the store holds.
+// Usage returns the total size and the number of the stored copies.
 func (c *Cache) Usage() (bytes int64, copies int) { return c.usedBytes, len(c.copies) }
 
-// Check looks whether the books agree with one another.
+// Check verifies that the indexes and the accounted size agree with each other.
 func (c *Cache) Check() error {
 	var total int64
 	n := 0
-	for r, list := range c.byRank {
-		for e := list.Front(); e != nil; e = e.Next() {
+	for r, copies := range c.byRank {
+		for e := copies.Front(); e != nil; e = e.Next() {
 			item := e.Value.(*Copy)
 			if item.Rank != r || c.copies[item.Key] != item || c.byObject[item.Object][item.Key] != item || c.byGroup[item.Group][item.Key] != item {
-				return fmt.Errorf("box: copy %q is in the wrong place", item.Key)
+				return fmt.Errorf("httpcache: copy %q is not in all indexes under its rank, object and group", item.Key)
 			}
 			total += item.Bytes
 			n++
 		}
 	}
 	if total != c.usedBytes || n != len(c.copies) || total > c.settings.Bytes {
-		return fmt.Errorf("box: %d copies of %d bytes, booked %d of %d, room %d", n, total, len(c.copies), c.usedBytes, c.settings.Bytes)
+		return fmt.Errorf("httpcache: the rank lists have %d copies of %d bytes, the index has %d of %d, limit %d bytes", n, total, len(c.copies), c.usedBytes, c.settings.Bytes)
 	}
 	return nil
 }
--- a/internal/cachenode/httpcache/box_test.go
+++ b/internal/cachenode/httpcache/box_test.go
@@ -17,13 +17,13 @@
 	put(cache, 1, "low", 1, 40, 1)
 	put(cache, 2, "high", 3, 40, 2)
 	if put(cache, 3, "mid", 2, 80, 3) {
-		t.Fatal("room was made from a copy of higher rank")
+		t.Fatal("a copy of a higher rank was evicted")
 	}
 	if cache.Lookup(4, "low", 100, 0) == nil {
-		t.Fatal("what could not be kept made room all the same")
+		t.Fatal("a copy was evicted for one that does not fit")
 	}
 	if !put(cache, 5, "mid", 2, 60, 5) || cache.Lookup(6, "low", 100, 0) != nil || cache.Lookup(6, "high", 100, 0) == nil {
-		t.Fatal("the lowest rank did not make room")
+		t.Fatal("the copy of the lowest rank was not evicted, or another one was")
 	}
 }
 
@@ -31,13 +31,13 @@
 	cache := New(Settings{Bytes: 100}, 0, true)
 	put(cache, 10, "a", 1, 1, 10)
 	if cache.Lookup(30, "a", 19, 0) != nil || cache.Lookup(30, "a", 20, 0) == nil {
-		t.Fatal("age is not heeded")
+		t.Fatal("a copy was found above its maximum age, or not found at it")
 	}
 	if cache.Purge("a", 0, 10) != 0 || cache.Purge("a", 0, 11) != 1 {
-		t.Fatal("a purge drops what is older, and nothing else")
+		t.Fatal("a purge did not drop exactly the older copies")
 	}
 	if put(cache, 40, "a", 1, 1, 10.5) {
-		t.Fatal("a copy that a purge has overtaken was kept")
+		t.Fatal("a copy older than the last purge was kept")
 	}
 	if !put(cache, 41, "a", 1, 1, 12) {
 		t.Fatal("a newer copy was not kept")
@@ -46,7 +46,7 @@
 		t.Fatal("a slower fill of an older copy replaced a newer one")
 	}
 	if cache.Purge("", 1, 13) != 1 {
-		t.Fatal("a purge of the group missed")
+		t.Fatal("a purge of the group did not drop its copy")
 	}
 }
 
@@ -54,9 +54,9 @@
 	settings := Settings{Capacity: 2, WarmUpInitialShare: 0.2, WarmUpTime: 10000, OverloadFactor: 4, OverloadTime: 1000}
 	cache := New(settings, 1, false)
 	now := 1.0
-	for range 1000 { // a warm one's whole load, a little under the multiple of what it has
+	for range 1000 { // just below OverloadFactor times the initial capacity
 		if now++; cache.RecordAttempt(now, 4*0.2*2*0.99) {
-			t.Fatalf("fell over at %v, within its budget", now)
+			t.Fatalf("failed at %v ms although the load is below the limit", now)
 		}
 	}
 	cache = New(settings, 1, false)
@@ -67,10 +67,10 @@
 		}
 	}
 	if failedAt < 800 || failedAt > 1010 || !cache.RecordAttempt(1e6, 0) {
-		t.Fatalf("fell over at %v (fallen for good: %v)", failedAt, cache.Failed())
+		t.Fatalf("failed at %v ms, want 800 to 1010; still failed: %v", failedAt, cache.Failed())
 	}
 	if New(settings, 0, true).RecordAttempt(1, 1e9) {
-		t.Fatal("a warm box fell over")
+		t.Fatal("a warm cache failed because of overload")
 	}
 }
 
@@ -79,20 +79,20 @@
 	first := cache.BeginFill(1, "a")
 	second := cache.BeginFill(2, "a")
 	if cache.PendingFill("a") != first || cache.BeginFill(3, "b") != nil {
-		t.Fatal("the first fill of a key is the one to join, and places are limited")
+		t.Fatal("the pending fill is not the first one of its key, or MaxFills is exceeded")
 	}
 	cache.EndFill(4, second, nil)
 	if cache.PendingFill("a") != first || cache.FillsInFlight() != 1 {
-		t.Fatal("another fill's end took the first's place")
+		t.Fatal("the end of a second fill of the key removed the first one")
 	}
 	cache.EndFill(5, first, nil)
 	if cache.PendingFill("a") != nil || cache.FillsInFlight() != 0 {
-		t.Fatal("an ended fill is still under way")
+		t.Fatal("an ended fill is still in flight")
 	}
 }
 
-// Whatever comes, the books agree, nothing older than a purge is found, and
-// the store never holds more than it can.
+// After any sequence of fills, lookups and purges the indexes agree with each other, the size
+// limit is kept, and no copy older than a purge of its object is found.
 func TestRandomOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cache := New(Settings{Bytes: 200}, 0, true)
@@ -107,7 +107,7 @@
 					now-float64(rapid.IntRange(0, 20).Draw(t, "old")))
 			case 2:
 				if item := cache.Lookup(now, key, 1e9, rapid.IntRange(0, 3).Draw(t, "rank")); item != nil && item.GeneratedAt < purgedAt[key] {
-					t.Fatalf("found a copy of %v, purged at %v", item.GeneratedAt, purgedAt[key])
+					t.Fatalf("found a copy generated at %v, purged at %v", item.GeneratedAt, purgedAt[key])
 				}
 			case 3:
 				at := now - float64(rapid.IntRange(0, 10).Draw(t, "ago"))
--- a/internal/cachenode/httpcache/rfc9111.go
+++ b/internal/cachenode/httpcache/rfc9111.go
@@ -12,45 +12,47 @@
 	"github.com/pquerna/cachecontrol/cacheobject"
 )
 
-// What HTTP says of copies (RFC 9111, and RFC 5861 for stale ones), for a shared cache.
-// It decides what a copy may be used for; where it is fetched from is a router's to say.
-// Times are in ms on the caller's clock, but for what heads say.
+// This file implements the rules for a shared cache of RFC 9111, and those for stale responses
+// of RFC 5861. It decides how a stored response may be used; routers decide from which source
+// a response is fetched. Times are in ms on the caller's clock, except for those in header
+// fields.
 
-// Response is an answer as it was received.
+// Response is a response as it was received.
 type Response struct {
 	Status                    int
 	Header                    http.Header
-	RequestTime, ResponseTime float64   // when the request was sent, and when the head came
-	WallTime                  time.Time // of Came, to compare with Date and Expires
+	RequestTime, ResponseTime float64   // when the request was sent and the response header was received
+	WallTime                  time.Time // wall-clock time of ResponseTime, to compare with Date and Expires
 }
 
-// Request is what of a request matters to a cache.
+// Request holds the parts of a request that matter to a cache.
 type Request struct {
 	Method string
 	Header http.Header
 }
 
-// Use is what a copy may be used for.
+// Use says how a stored response may be used for a request.
 type Use uint8
 
-// The uses.
+// The values of Use.
 const (
-	Fetch              Use = iota + 1 // it can't be used, or there is none
-	Serve                             // as it is
-	ServeAndRevalidate                // as it is, and it is renewed behind the answer
-	Revalidate                        // after its source has said that it is still good
-	Unsatisfied                       // the asker wants a copy only, and none will do: 504
+	Fetch              Use = iota + 1 // there is no stored response, or it can't be used
+	Serve                             // serve it without validation
+	ServeAndRevalidate                // serve it, and validate it in the background
+	Revalidate                        // serve it only if its source confirms that it is still valid
+	Unsatisfied                       // respond 504: only-if-cached, and no stored response can be used
 )
 
-// heuristicStatuses are those that may be kept without an explicit word (RFC 9110, section 15.1).
+// heuristicStatuses are the status codes that are cacheable without explicit freshness
+// information (RFC 9110, section 15.1).
 var heuristicStatuses = []int{200, 203, 204, 300, 301, 308, 404, 405, 410, 414, 501}
 
-// Storable reports whether a shared cache may keep an answer, and else why not (RFC 9111,
-// section 3). Answers in part are not kept here.
+// Storable reports whether a shared cache may store a response, and the reason if it may not
+// (RFC 9111, section 3). Partial responses (206) are not stored.
 func Storable(request Request, response *Response) (reason string, ok bool) {
 	responseDirectives, err := cacheobject.ParseResponseCacheControl(fieldValue(response.Header, "Cache-Control"))
 	if err != nil {
-		return "its Cache-Control is malformed", false
+		return "the response's Cache-Control is malformed", false
 	}
 	requestDirectives, err := cacheobject.ParseRequestCacheControl(fieldValue(request.Header, "Cache-Control"))
 	if err != nil {
@@ -59,7 +61,7 @@
 	explicit := responseDirectives.MaxAge >= 0 || responseDirectives.SMaxAge >= 0 || responseDirectives.Public || response.Header.Get("Expires") != ""
 	switch {
 	case request.Method != "GET":
-		return "the request is no GET", false
+		return "the method is not GET", false
 	case responseDirectives.NoStore || requestDirectives.NoStore:
 		return "no-store", false
 	case responseDirectives.PrivatePresent:
@@ -67,9 +69,9 @@
 	case response.Status < 200 || response.Status == 206 || response.Status == 304:
 		return "status " + strconv.Itoa(response.Status), false
 	case request.Header.Get("Authorization") != "" && !responseDirectives.Public && responseDirectives.SMaxAge < 0 && !responseDirectives.MustRevalidate:
-		return "it was asked for with Authorization", false
+		return "the request has Authorization", false
 	case response.Header.Get("Set-Cookie") != "" && !responseDirectives.Public && responseDirectives.SMaxAge < 0:
-		return "it sets a cookie", false
+		return "the response sets a cookie", false
 	case strings.Contains(fieldValue(response.Header, "Vary"), "*"):
 		return "Vary: *", false
 	case !explicit && !slices.Contains(heuristicStatuses, response.Status):
@@ -78,11 +80,12 @@
 	return "", true
 }
 
-// fieldValue is a field's lines as one.
+// fieldValue joins the lines of a field into one value.
 func fieldValue(h http.Header, name string) string { return strings.Join(h.Values(name), ", ") }
 
-// Lifetime is for how long an answer is fresh, in ms (section 4.2.1); a tenth of the time
-// since it was changed, a day at most, where nothing is said (4.2.2).
+// Lifetime returns the freshness lifetime of a response, in ms (RFC 9111, section 4.2.1).
+// Without explicit freshness information it is a tenth of the time since Last-Modified, at
+// most a day (section 4.2.2).
 func Lifetime(response *Response) float64 {
 	responseDirectives, err := cacheobject.ParseResponseCacheControl(fieldValue(response.Header, "Cache-Control"))
 	switch {
@@ -96,7 +99,7 @@
 	date := responseDate(response)
 	if v := response.Header.Values("Expires"); len(v) > 0 {
 		t, err := http.ParseTime(v[0])
-		if err != nil || len(v) > 1 { // "0" above all: it is past
+		if err != nil || len(v) > 1 { // invalid, such as "0", or repeated: already expired
 			return 0
 		}
 		return max(float64(t.Sub(date).Milliseconds()), 0)
@@ -114,8 +117,9 @@
 	return response.WallTime
 }
 
-// Age is how old an answer is now, in ms (section 4.2.3). A clock that was stepped makes
-// it no younger than what has passed here since it was asked for.
+// Age returns the current age of a response, in ms (RFC 9111, section 4.2.3). Whatever the
+// wall clock and Date say, it is at least the time that has passed on the caller's clock since
+// RequestTime.
 func Age(response *Response, now float64) float64 {
 	apparentAge := max(float64(response.WallTime.Sub(responseDate(response)).Milliseconds()), 0)
 	ageValue := 0.0
@@ -126,8 +130,10 @@
 	return max(apparentAge, correctedAge) + max(now-response.ResponseTime, 0)
 }
 
-// Decide is what a copy may be used for now (section 4); nil: there is none. behind is for
-// how long past its freshness it is served while it is renewed, where it does not say.
+// Decide returns how a stored response may be used for a request now (RFC 9111, section 4).
+// The response is nil if none is stored. staleWhileRevalidate is the time in ms after the end
+// of its freshness during which a response without that directive is served while it is
+// validated (RFC 5861, section 3).
 func Decide(now float64, response *Response, request Request, staleWhileRevalidate float64) Use {
 	requestDirectives, err := cacheobject.ParseRequestCacheControl(fieldValue(request.Header, "Cache-Control"))
 	if err != nil {
@@ -175,8 +181,9 @@
 	return unlessOnlyIfCached(Revalidate)
 }
 
-// ServableOnError reports whether a stale copy will do now that its source fails (RFC 5861,
-// section 4). otherwise is for how long where it does not say.
+// ServableOnError reports whether a stale response may be served because its source fails (RFC
+// 5861, section 4). staleIfError is the time in ms after the end of its freshness during which
+// a response without that directive may be.
 func ServableOnError(now float64, response *Response, staleIfError float64) bool {
 	responseDirectives, err := cacheobject.ParseResponseCacheControl(fieldValue(response.Header, "Cache-Control"))
 	if err != nil || responseDirectives.MustRevalidate || responseDirectives.ProxyRevalidate || responseDirectives.NoCachePresent || responseDirectives.SMaxAge >= 0 {
@@ -188,9 +195,10 @@
 	return Age(response, now)-Lifetime(response) <= staleIfError
 }
 
-// Variant is the part of a copy's name that tells apart what its Vary lists (section 4.1):
-// the request's fields, each with its values as they are, but for white space and case
-// where the field is a list of tokens. names come from the answer's Vary.
+// Variant returns a key for the request header fields that the Vary of a response lists (RFC
+// 9111, section 4.1). Requests with different keys need different stored responses. The values
+// are used as they are, except that spaces and case are ignored in Accept-Encoding and
+// Accept-Language, which are lists of tokens.
 func Variant(vary string, requestHeader http.Header) string {
 	var names []string
 	for name := range strings.SplitSeq(vary, ",") {
@@ -211,8 +219,8 @@
 	return b.String()
 }
 
-// ConditionalFields are the fields that ask a source whether a copy is still good (section 4.3.1);
-// none: it can't be asked.
+// ConditionalFields returns the header fields of a request that validates a stored response
+// (RFC 9111, section 4.3.1). It returns none if the response has no validator.
 func ConditionalFields(response *Response) http.Header {
 	h := http.Header{}
 	if tag := response.Header.Get("Etag"); tag != "" {
@@ -224,8 +232,9 @@
 	return h
 }
 
-// Freshened is a copy whose source has said by a 304 that it is still good (section 4.3.4):
-// the fields of the 304 in the place of its own, but for those of its body.
+// Freshened returns a stored response after its source has answered 304 (RFC 9111, section
+// 4.3.4): the header fields of the 304 replace the stored ones, except for those that describe
+// the body.
 func Freshened(stored, notModified *Response) *Response {
 	out := *stored
 	out.Header = stored.Header.Clone()
@@ -240,8 +249,8 @@
 	return &out
 }
 
-// NotModified reports whether a request's own conditions are met by a copy, so that it is
-// answered 304 (RFC 9110, section 13.2.2).
+// NotModified reports whether the conditions of a client's request make the answer 304 (RFC
+// 9110, section 13.2.2).
 func NotModified(response *Response, requestHeader http.Header) bool {
 	if v := fieldValue(requestHeader, "If-None-Match"); v != "" {
 		tag := strings.TrimPrefix(response.Header.Get("Etag"), "W/")
@@ -258,9 +267,10 @@
 	return err == nil && modifiedErr == nil && !lastModified.After(since)
 }
 
-// SelectRange is what a request's Range selects of a copy of size bytes: status 206 with the
-// first and last byte, 416, or 200 with all (RFC 9110, section 14.2). Several ranges, and
-// those that If-Range says no more hold, are answered with all.
+// SelectRange evaluates the Range of a request for a response of size bytes (RFC 9110, section
+// 14.2). It returns status 206 with the first and the last byte of the range, 416, or 200 with
+// those of the whole body. The whole body is sent for several ranges, an invalid range, and one
+// whose If-Range doesn't match.
 func SelectRange(response *Response, requestHeader http.Header, size int64) (status int, first, last int64) {
 	v, isBytes := strings.CutPrefix(requestHeader.Get("Range"), "bytes=")
 	if !isBytes || strings.Contains(v, ",") || len(requestHeader.Values("Range")) > 1 {
--- a/internal/cachenode/httpcache/rfc9111_test.go
+++ b/internal/cachenode/httpcache/rfc9111_test.go
@@ -11,11 +11,11 @@
 
 var wall = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 
-// head is fields, "Name: value" each.
+// head builds a header from lines of the form "Name: value".
 func head(lines ...string) http.Header {
 	h := http.Header{}
-	for _, l := range lines {
-		name, value, _ := strings.Cut(l, ": ")
+	for _, line := range lines {
+		name, value, _ := strings.Cut(line, ": ")
 		h.Add(name, value)
 	}
 	return h
@@ -52,13 +52,13 @@
 		if c.status != 0 {
 			stored.Status = c.status
 		}
-		why, ok := Storable(Request{"GET", head(c.request...)}, stored)
-		if ok != (c.want == "") || !strings.Contains(why, c.want) {
-			t.Errorf("%v, %d %v: %v %q", c.request, stored.Status, c.response, ok, why)
+		reason, ok := Storable(Request{"GET", head(c.request...)}, stored)
+		if ok != (c.want == "") || !strings.Contains(reason, c.want) {
+			t.Errorf("request %v, response %d %v: storable %v, reason %q", c.request, stored.Status, c.response, ok, reason)
 		}
 	}
 	if _, ok := Storable(Request{"POST", nil}, response("Cache-Control: max-age=5")); ok {
-		t.Error("the answer to a POST is kept")
+		t.Error("the response to a POST is storable")
 	}
 }
 
@@ -67,57 +67,58 @@
 		name     string
 		response []string
 		request  []string
-		at       float64 // s after it came
+		at       float64 // seconds after the response was received
 		want     Use
 	}{
 		{"fresh", []string{"Cache-Control: max-age=10"}, nil, 9, Serve},
-		{"its own time counts", []string{"Cache-Control: max-age=10"}, nil, 9.95, Revalidate},
+		{"response delay counts", []string{"Cache-Control: max-age=10"}, nil, 9.95, Revalidate},
 		{"Age counts", []string{"Cache-Control: max-age=10", "Age: 5"}, nil, 6, Revalidate},
-		{"s-maxage goes before", []string{"Cache-Control: max-age=100, s-maxage=1"}, nil, 2, Revalidate},
-		{"max-age goes before Expires", []string{"Cache-Control: max-age=100", "Expires: 0"}, nil, 50, Serve},
-		{"Expires by Date", []string{"Date: Tue, 01 Dec 2026 12:00:00 GMT", "Expires: Tue, 01 Dec 2026 12:01:00 GMT"}, nil, 59, Serve},
-		{"Expires that is none", []string{"Expires: 0"}, nil, 0, Revalidate},
-		{"a Date that is long past", []string{"Date: Tue, 01 Dec 2026 11:00:00 GMT", "Cache-Control: max-age=600"}, nil, 0, Revalidate},
-		{"a tenth since it was changed", []string{"Last-Modified: Tue, 01 Dec 2026 11:00:00 GMT"}, nil, 300, Serve},
-		{"and no more", []string{"Last-Modified: Tue, 01 Dec 2026 11:00:00 GMT"}, nil, 400, Revalidate},
-		{"nothing is said", nil, nil, 1, Revalidate},
+		{"s-maxage overrides max-age", []string{"Cache-Control: max-age=100, s-maxage=1"}, nil, 2, Revalidate},
+		{"max-age overrides Expires", []string{"Cache-Control: max-age=100", "Expires: 0"}, nil, 50, Serve},
+		{"Expires relative to Date", []string{"Date: Tue, 01 Dec 2026 12:00:00 GMT", "Expires: Tue, 01 Dec 2026 12:01:00 GMT"}, nil, 59, Serve},
+		{"invalid Expires", []string{"Expires: 0"}, nil, 0, Revalidate},
+		{"Date an hour ago", []string{"Date: Tue, 01 Dec 2026 11:00:00 GMT", "Cache-Control: max-age=600"}, nil, 0, Revalidate},
+		{"heuristic lifetime", []string{"Last-Modified: Tue, 01 Dec 2026 11:00:00 GMT"}, nil, 300, Serve},
+		{"past the heuristic lifetime", []string{"Last-Modified: Tue, 01 Dec 2026 11:00:00 GMT"}, nil, 400, Revalidate},
+		{"no freshness information", nil, nil, 1, Revalidate},
 		{"no-cache", []string{"Cache-Control: no-cache, max-age=10"}, nil, 1, Revalidate},
-		{"the asker's no-cache", []string{"Cache-Control: max-age=10"}, []string{"Cache-Control: no-cache"}, 1, Revalidate},
+		{"request no-cache", []string{"Cache-Control: max-age=10"}, []string{"Cache-Control: no-cache"}, 1, Revalidate},
 		{"Pragma", []string{"Cache-Control: max-age=10"}, []string{"Pragma: no-cache"}, 1, Revalidate},
-		{"Pragma beside Cache-Control", []string{"Cache-Control: max-age=10"}, []string{"Pragma: no-cache", "Cache-Control: max-age=5"}, 1, Serve},
-		{"the asker's max-age", []string{"Cache-Control: max-age=10"}, []string{"Cache-Control: max-age=2"}, 3, Revalidate},
+		{"Pragma ignored with Cache-Control", []string{"Cache-Control: max-age=10"}, []string{"Pragma: no-cache", "Cache-Control: max-age=5"}, 1, Serve},
+		{"request max-age", []string{"Cache-Control: max-age=10"}, []string{"Cache-Control: max-age=2"}, 3, Revalidate},
 		{"min-fresh", []string{"Cache-Control: max-age=10"}, []string{"Cache-Control: min-fresh=5"}, 6, Revalidate},
 		{"max-stale", []string{"Cache-Control: max-age=10"}, []string{"Cache-Control: max-stale=5"}, 14, Serve},
 		{"past max-stale", []string{"Cache-Control: max-age=10"}, []string{"Cache-Control: max-stale=5"}, 16, Revalidate},
-		{"any max-stale", []string{"Cache-Control: max-age=10"}, []string{"Cache-Control: max-stale"}, 1e6, Serve},
-		{"must-revalidate goes before it", []string{"Cache-Control: max-age=10, must-revalidate"}, []string{"Cache-Control: max-stale"}, 16, Revalidate},
+		{"max-stale without a value", []string{"Cache-Control: max-age=10"}, []string{"Cache-Control: max-stale"}, 1e6, Serve},
+		{"must-revalidate overrides max-stale", []string{"Cache-Control: max-age=10, must-revalidate"}, []string{"Cache-Control: max-stale"}, 16, Revalidate},
 		{"only-if-cached, fresh", []string{"Cache-Control: max-age=10"}, []string{"Cache-Control: only-if-cached"}, 1, Serve},
 		{"only-if-cached, stale", []string{"Cache-Control: max-age=10"}, []string{"Cache-Control: only-if-cached"}, 11, Unsatisfied},
 		{"stale-while-revalidate", []string{"Cache-Control: max-age=10, stale-while-revalidate=5"}, nil, 14, ServeAndRevalidate},
-		{"past it", []string{"Cache-Control: max-age=10, stale-while-revalidate=5"}, nil, 16, Revalidate},
-		{"not for s-maxage", []string{"Cache-Control: s-maxage=10, stale-while-revalidate=5"}, nil, 14, Revalidate},
+		{"past stale-while-revalidate", []string{"Cache-Control: max-age=10, stale-while-revalidate=5"}, nil, 16, Revalidate},
+		{"s-maxage overrides stale-while-revalidate", []string{"Cache-Control: s-maxage=10, stale-while-revalidate=5"}, nil, 14, Revalidate},
 	} {
 		if u := Decide(1100+c.at*1000, response(c.response...), Request{"GET", head(c.request...)}, 0); u != c.want {
-			t.Errorf("%s: %d, want %d", c.name, u, c.want)
+			t.Errorf("%s: use %d, want %d", c.name, u, c.want)
 		}
 	}
 	if Decide(0, nil, Request{"GET", head()}, 0) != Fetch || Decide(0, nil, Request{"GET", head("Cache-Control: only-if-cached")}, 0) != Unsatisfied {
-		t.Error("nothing is held")
+		t.Error("wrong use without a stored response")
 	}
 	if Decide(1200, response("Cache-Control: max-age=9"), Request{"POST", head()}, 0) != Fetch {
-		t.Error("a POST is answered from a copy")
+		t.Error("a POST is answered from a stored response")
 	}
 	if Decide(16_000, response("Cache-Control: max-age=10"), Request{"GET", head()}, 6000) != ServeAndRevalidate {
-		t.Error("the default for what is served while it is renewed")
+		t.Error("the default of stale-while-revalidate is not applied")
 	}
 	if !ServableOnError(20_000, response("Cache-Control: max-age=10, stale-if-error=60"), 0) || ServableOnError(80_000, response("Cache-Control: max-age=10, stale-if-error=60"), 0) ||
 		ServableOnError(20_000, response("Cache-Control: max-age=10, must-revalidate, stale-if-error=60"), 1e9) {
-		t.Error("stale-if-error")
+		t.Error("stale-if-error is not followed")
 	}
 }
 
-// A copy never gets younger, whatever its head says and however time goes on; and what
-// is served without a question is fresh by its own word, or was allowed to be stale.
+// The age of a stored response never decreases and is at least the time since the request,
+// whatever its Date and Age say. A response that is served without validation is fresh, and
+// one that has become stale does not become fresh again.
 func TestAgeGrows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		stored := response()
@@ -131,13 +132,13 @@
 		at := 1100 + rapid.Float64Range(0, 1e5).Draw(t, "at")
 		later := at + rapid.Float64Range(0, 1e5).Draw(t, "later")
 		if Age(stored, later) < Age(stored, at) || Age(stored, at) < at-stored.RequestTime-1e-6 {
-			t.Fatalf("age %v and then %v, asked for %v ago", Age(stored, at), Age(stored, later), at-stored.RequestTime)
+			t.Fatalf("age %v ms, later %v ms; requested %v ms before the first", Age(stored, at), Age(stored, later), at-stored.RequestTime)
 		}
 		if Decide(at, stored, Request{"GET", head()}, 0) == Serve && Age(stored, at) >= Lifetime(stored) {
-			t.Fatal("served stale")
+			t.Fatal("a stale response is served without validation")
 		}
 		if Decide(at, stored, Request{"GET", head()}, 0) != Serve && Decide(later, stored, Request{"GET", head()}, 0) == Serve {
-			t.Fatal("fresh again by time alone")
+			t.Fatal("a response that needed validation is served without it later")
 		}
 	})
 }
@@ -148,30 +149,30 @@
 		same("Accept-Encoding, X", []string{"Accept-Encoding: gzip", "X: 1"}, []string{"Accept-Encoding: gzip"}) ||
 		!same("x , accept-encoding, X", []string{"X: 1"}, []string{"X: 1"}) || Variant("", head("X: 1")) != "" ||
 		same("X, Y", []string{"X: 1\x00Y=2"}, []string{"X: 1", "Y: 2"}) {
-		t.Error("variants")
+		t.Error("Variant is not equal exactly for requests that may share a stored response")
 	}
 }
 
 func TestFreshened(t *testing.T) {
 	stored := response("Etag: \"1\"", "Content-Length: 10", "Cache-Control: max-age=1", "X-Old: 1", "Last-Modified: Tue, 01 Dec 2026 11:00:00 GMT")
 	if c := ConditionalFields(stored); c.Get("If-None-Match") != `"1"` || c.Get("If-Modified-Since") == "" {
-		t.Error(c)
+		t.Errorf("conditional fields %v", c)
 	}
 	freshened := Freshened(stored, &Response{Status: 304, Header: head("Etag: \"1\"", "Cache-Control: max-age=60", "Content-Length: 0"), RequestTime: 50_000, ResponseTime: 50_010, WallTime: wall})
 	if freshened.Status != 200 || freshened.Header.Get("Content-Length") != "10" || freshened.Header.Get("X-Old") != "1" || Decide(60_000, freshened, Request{"GET", head()}, 0) != Serve || stored.Header.Get("Cache-Control") != "max-age=1" {
-		t.Error(freshened)
+		t.Errorf("after a 304: %+v", freshened)
 	}
 	if !NotModified(stored, head(`If-None-Match: W/"1"`)) || NotModified(stored, head(`If-None-Match: "2"`, "If-Modified-Since: Tue, 01 Dec 2026 11:00:00 GMT")) ||
 		!NotModified(stored, head("If-Modified-Since: Tue, 01 Dec 2026 11:00:00 GMT")) || NotModified(stored, head()) {
-		t.Error("conditions")
+		t.Error("NotModified does not follow RFC 9110, section 13.2.2")
 	}
 }
 
-func TestRanged(t *testing.T) {
+func TestSelectRange(t *testing.T) {
 	stored := response(`Etag: "1"`)
 	for _, c := range []struct {
-		r           string
-		more        string
+		byteRange   string
+		extraField  string
 		status      int
 		first, last int64
 	}{
@@ -180,13 +181,13 @@
 		{"bytes=0-1,4-5", "", 200, 0, 99}, {"items=0-1", "", 200, 0, 99}, {"bytes=a-b", "", 200, 0, 99}, {"bytes=--5", "", 200, 0, 99},
 		{"bytes=0-9", `If-Range: "1"`, 206, 0, 9}, {"bytes=0-9", `If-Range: "2"`, 200, 0, 99}, {"bytes=0-9", `If-Range: W/"1"`, 200, 0, 99},
 	} {
-		h := head("Range: " + c.r)
-		if c.more != "" {
-			name, value, _ := strings.Cut(c.more, ": ")
+		h := head("Range: " + c.byteRange)
+		if c.extraField != "" {
+			name, value, _ := strings.Cut(c.extraField, ": ")
 			h.Set(name, value)
 		}
 		if status, first, last := SelectRange(stored, h, 100); status != c.status || first != c.first || last != c.last {
-			t.Errorf("%s %s: %d %d-%d", c.r, c.more, status, first, last)
+			t.Errorf("Range %s, %s: status %d, bytes %d-%d; want %d, %d-%d", c.byteRange, c.extraField, status, first, last, c.status, c.first, c.last)
 		}
 	}
 }
