--- a/internal/decisionlog/journal/fault_test.go
+++ b/internal/decisionlog/journal/fault_test.go
@@ -15,7 +15,7 @@
 	spool "indigospool"
 )
 
-// faultyFileSystem is a file system of which one operation fails while it has an errno.
+// faultyFileSystem is a file system of which one operation fails while errno is set.
 type faultyFileSystem struct {
 	osFileSystem
 	operation string
@@ -38,12 +38,12 @@
 	return f.errno
 }
 
-func (s *faultyFileSystem) Create(path string) (File, error) {
-	if err := s.errorOf("create"); err != nil {
+func (f *faultyFileSystem) Create(path string) (File, error) {
+	if err := f.errorOf("create"); err != nil {
 		return nil, err
 	}
-	f, err := s.osFileSystem.Create(path)
-	return &faultyFile{f, s}, err
+	file, err := f.osFileSystem.Create(path)
+	return &faultyFile{file, f}, err
 }
 
 func (f *faultyFileSystem) Remove(path string) error {
@@ -58,7 +58,7 @@
 	fileSystem *faultyFileSystem
 }
 
-// Write writes half of what it is given where it fails.
+// Write writes half of its input if it fails, or nothing if only writes of records fail.
 func (f *faultyFile) Write(b []byte) (int, error) {
 	err := errors.Join(f.fileSystem.errorOf("write"), f.fileSystem.errorOf("write and remove"))
 	if failed := f.fileSystem.errorOf("write records"); failed != nil && !bytes.HasPrefix(b, []byte(magic)) {
@@ -78,8 +78,8 @@
 	return f.File.Sync()
 }
 
-// A disk that fails for a while costs the records of that while, which are counted; the
-// writer comes back, and the reader finds all that was written before and after.
+// TestTransientDiskFault checks that a fault of the disk costs only the records of its
+// duration, that these are counted, and that the records before and after it can be read.
 func TestTransientDiskFault(t *testing.T) {
 	for _, operation := range []string{"create", "write", "write records", "write and remove", "sync"} {
 		for _, errno := range []syscall.Errno{syscall.EIO, syscall.ENOSPC} {
@@ -104,7 +104,7 @@
 					handle(20)
 					time.Sleep(flushInterval)
 				}
-				time.Sleep(600 * time.Millisecond) // it tries again meanwhile
+				time.Sleep(600 * time.Millisecond) // the writer retries meanwhile
 				handle(20)
 				time.Sleep(3 * flushInterval)
 				files.setError(nil)
@@ -135,15 +135,15 @@
 					}
 				}
 				if w.Lost() == 0 || gaps != w.Lost() || uint64(len(seen))+w.Lost() < uint64(handled) {
-					t.Errorf("%d records were told, %d are there, %d are counted as lost, gaps tell of %d", handled, len(seen), w.Lost(), gaps)
+					t.Errorf("%d records were handled, %d were read, %d are counted as lost, gaps report %d", handled, len(seen), w.Lost(), gaps)
 				}
 			})
 		}
 	}
 }
 
-// A segment that a killed writer left half written is read as far as it goes, and the
-// next writer goes on behind it.
+// TestTruncatedSegmentHeader checks that a segment which a killed writer left incomplete is
+// read as far as possible, and that the next writer continues after it.
 func TestTruncatedSegmentHeader(t *testing.T) {
 	for _, left := range []int{0, 3, 9, 30} {
 		dir := t.TempDir()
@@ -172,12 +172,13 @@
 			for _, e := range got {
 				kinds = append(kinds, fmt.Sprint(e.Kind, " ", e.Why))
 			}
-			t.Errorf("%d bytes left: %s", left, strings.Join(kinds, "; "))
+			t.Errorf("segment of %d bytes: %s", left, strings.Join(kinds, "; "))
 		}
 	}
 }
 
-// A router whose journal can't be begun for now starts all the same.
+// TestOpenOnFullDisk checks that Open succeeds on a full disk, so that a router starts, and
+// that records are written once there is space.
 func TestOpenOnFullDisk(t *testing.T) {
 	files, dir := &faultyFileSystem{operation: "write", errno: syscall.ENOSPC}, t.TempDir()
 	warnings := make(chan string, 10)
--- a/internal/decisionlog/journal/format.go
+++ b/internal/decisionlog/journal/format.go
@@ -1,9 +1,9 @@
-// Package journal records what a router's decision module is told and what it
-// answers, so that it can be told the same again: every event with its time,
-// every action, the settings and the seed. docs/journal-format.md is the format.
+// Package journal records the input and the output of a router's decision module, so that
+// the decisions can be replayed: every event with its time, every action, the settings and
+// the seed. The format is described in docs/journal-format.md.
 //
-// It decides nothing. The writer never makes a router's loop wait: what it can't
-// take it counts, and marks as a gap.
+// The writer never blocks the router's event loop. It counts the records that it cannot
+// take, and writes a gap record in their place.
 package journal
 
 import (
@@ -17,55 +17,56 @@
 	"indigospool/internal/proxy/learnedstate"
 )
 
-// FormatVersion is the version of the format that is written. Readers read it
-// and all before it.
+// FormatVersion is the version of the format that is written. A Reader also reads all earlier
+// versions.
 const FormatVersion = 1
 
-// Extension is that of a segment's file.
+// Extension is the file name extension of segments.
 const Extension = ".spj"
 
 const (
-	magic             = "SPOOLJ" // then two digits of the version
-	segmentHeaderSize = 8        // of a segment's start
-	recordHeaderSize  = 8        // length and checksum of a record, little-endian
-	maxRecordSize     = 64 << 20 // of a record
-	maxTableStrings   = 1 << 16  // strings of a segment's table; then it begins anew
-	segmentNameFormat = "%012d"  // its number
+	magic             = "SPOOLJ" // followed by two digits of the format's version
+	segmentHeaderSize = 8        // bytes: magic and version
+	recordHeaderSize  = 8        // bytes: length and checksum of the record, little-endian
+	maxRecordSize     = 64 << 20 // bytes, without the header
+	maxTableStrings   = 1 << 16  // a string table with so many strings is cleared before the next record
+	segmentNameFormat = "%012d"  // formats the segment's number
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Kind says what a record is of.
+// Kind is the kind of a record.
 type Kind uint8
 
-// The kinds.
+// The kinds of records.
 const (
-	KindSegment     Kind = iota // the first of each segment
+	KindSegment     Kind = iota // the first record of each segment
 	KindRouterStart             // a router has started
-	KindHandled                 // the module was told an event, and answered
-	KindSettings                // it was told other settings
-	KindGap                     // so many records were lost here
+	KindHandled                 // the module has handled an event
+	KindSettings                // the module's settings have changed
+	KindGap                     // records were lost here
 )
 
-// RouterStart is a router's start.
+// RouterStart records the start of a router. The records up to the next RouterStart are of
+// one run of the router.
 type RouterStart struct {
 	_               struct{} `cbor:",toarray"`
-	Name            string   // the router's
+	Name            string   // of the router
 	Program         string   // version of the program
-	UnixMillis      int64    // Unix time, ms
+	UnixMillis      int64    // time of the start
 	Seed            uint64
-	SettingsVersion int64  // of the version of the settings, 0: a file
-	Settings        string // canonical
+	SettingsVersion int64  // 0: the settings are from a file
+	Settings        string // in canonical form
 }
 
-// segment is what a segment begins with.
+// segment is the content of a segment's first record.
 type segment struct {
 	_     struct{} `cbor:",toarray"`
-	Index int64    // its number in the journal
-	First int64    // number of its first record, from 0 in the journal
+	Index int64    // number of the segment in the journal
+	First int64    // number of the segment's first record among those of its writer, from 0
 }
 
-// settings are other settings while a router runs.
+// settings records a change of the settings of a running router.
 type settings struct {
 	_       struct{} `cbor:",toarray"`
 	T       float64
@@ -74,10 +75,10 @@
 	Actions []action
 }
 
-// stringIndex is a string's number in the segment's table.
+// stringIndex is the index of a string in the segment's string table.
 type stringIndex = uint64
 
-// event is one event: its kind, and the fields of that kind in fixed places.
+// event is an encoded event. Each field has a fixed position for its kind.
 type event struct {
 	_      struct{} `cbor:",toarray"`
 	Kind   uint8
@@ -86,7 +87,7 @@
 
 type action = event
 
-// handled is an event and its answer.
+// handled records an event and the actions that the module returned for it.
 type handled struct {
 	_       struct{} `cbor:",toarray"`
 	T       float64
@@ -94,13 +95,12 @@
 	Actions []action
 }
 
-// record is any record: its kind, the strings that come into the segment's table
-// with it, and its content. The strings stand outside of the content, so that a
-// record of an unknown kind takes nothing from those behind it.
+// record is a record of any kind. The strings that it adds to the segment's string table are
+// outside of its body, so that the records after it can be read if its kind is unknown.
 type record struct {
 	_     struct{} `cbor:",toarray"`
 	Kind  Kind
-	Names []string
+	Names []string // added to the string table
 	Body  cbor.RawMessage
 }
 
@@ -111,7 +111,7 @@
 
 func init() {
 	var err error
-	options := cbor.CoreDetEncOptions() // floats in the shortest form that loses nothing
+	options := cbor.CoreDetEncOptions() // floats are encoded in the shortest form without loss
 	if enc, err = options.UserBufferEncMode(); err != nil {
 		panic(err)
 	}
@@ -120,15 +120,15 @@
 	}
 }
 
-// stringTable is the table of a segment's strings. It begins anew with the record that
-// finds it full.
+// stringTable is the string table of a segment: strings are written once, and then referred
+// to by their index. A full table is cleared before the next record.
 type stringTable struct {
-	indexes map[string]uint64 // of a writer
-	added   []string          // of the record that is being written
-	strings []string          // of a reader
+	indexes map[string]uint64 // used by the writer
+	added   []string          // used by the writer: strings that the current record adds
+	strings []string          // used by the reader
 }
 
-// beginRecord begins a record.
+// beginRecord prepares the table for writing the next record.
 func (t *stringTable) beginRecord() {
 	if t.added = t.added[:0]; t.indexes == nil {
 		t.indexes = map[string]uint64{}
@@ -137,6 +137,7 @@
 	}
 }
 
+// intern returns the index of a string, and adds the string to the table if necessary.
 func (t *stringTable) intern(s string) stringIndex {
 	i, ok := t.indexes[s]
 	if !ok {
@@ -147,7 +148,7 @@
 	return i
 }
 
-// add takes the strings of a record that is read.
+// add adds the strings of a record that has been read.
 func (t *stringTable) add(added []string) {
 	if len(t.strings) >= maxTableStrings {
 		t.strings = t.strings[:0]
@@ -155,15 +156,16 @@
 	t.strings = append(t.strings, added...)
 }
 
+// lookup returns the string with the decoded index v.
 func (t *stringTable) lookup(v any) (string, error) {
 	i, ok := v.(uint64)
 	if !ok || i >= uint64(len(t.strings)) {
-		return "", fmt.Errorf("journal: name %v of %d", v, len(t.strings))
+		return "", fmt.Errorf("journal: string %v is not in the table of %d strings", v, len(t.strings))
 	}
 	return t.strings[i], nil
 }
 
-// Kinds of events and actions. Numbers are never used anew.
+// Kinds of events and actions. Numbers are never reused.
 const (
 	evMembers uint8 = iota + 1
 	evRequest
@@ -190,11 +192,11 @@
 	actFetch
 )
 
-// ErrUnknown is a kind of event or action that this program does not know.
+// ErrUnknown is returned for a kind of record, event or action that this program does not know.
 var ErrUnknown = errors.New("journal: unknown kind")
 
-// What is written: the same arrays as are read, of fields whose types are known,
-// which costs less than fields that are anything.
+// The types for encoding. They have the same array forms as the types for decoding, but typed
+// fields, which are cheaper to encode than fields of type any.
 type (
 	written struct {
 		_      struct{} `cbor:",toarray"`
@@ -320,6 +322,7 @@
 	}
 )
 
+// encodeEvent returns an event in its encoded form.
 func (t *stringTable) encodeEvent(e spool.Event) (written, error) {
 	switch e := e.(type) {
 	case spool.Members:
@@ -350,6 +353,7 @@
 	return t.encodeOtherEvent(e)
 }
 
+// encodeOtherEvent continues encodeEvent for the rarer events.
 func (t *stringTable) encodeOtherEvent(e spool.Event) (written, error) {
 	switch e := e.(type) {
 	case spool.Recalled:
@@ -363,6 +367,7 @@
 	return written{}, fmt.Errorf("%w of event: %T", ErrUnknown, e)
 }
 
+// encodeAction returns an action in its encoded form.
 func (t *stringTable) encodeAction(a spool.Action) (written, error) {
 	switch a := a.(type) {
 	case spool.Send:
@@ -392,12 +397,13 @@
 	return written{}, fmt.Errorf("%w of action: %T", ErrUnknown, a)
 }
 
-// fields takes the fields of an event or action one after the other. Fields that
-// a later version of the format has added at the end are passed over.
+// fields decodes the fields of an event or action in order. Fields that a later version of
+// the format has added at the end are ignored. After the first error, its methods return
+// zero values.
 type fields struct {
 	table    *stringTable
 	values   []any
-	consumed int
+	consumed int // number of values that were returned by next
 	err      error
 }
 
@@ -406,19 +412,21 @@
 		return nil
 	}
 	if f.consumed >= len(f.values) {
-		f.err = fmt.Errorf("journal: a record has %d fields, more are wanted", len(f.values))
+		f.err = fmt.Errorf("journal: an event or action has %d fields, more are expected", len(f.values))
 		return nil
 	}
 	f.consumed++
 	return f.values[f.consumed-1]
 }
 
+// typeError records that the value v, returned last, does not have the expected type.
 func (f *fields) typeError(v any, want string) {
 	if f.err == nil {
-		f.err = fmt.Errorf("journal: field %d is %T, where %s is wanted", f.consumed, v, want)
+		f.err = fmt.Errorf("journal: field %d has type %T, want %s", f.consumed, v, want)
 	}
 }
 
+// name returns the string that the next field refers to.
 func (f *fields) name() string {
 	v := f.next()
 	if f.err != nil {
@@ -450,7 +458,7 @@
 	case int64:
 		return v
 	default:
-		f.typeError(v, "a whole number")
+		f.typeError(v, "an integer")
 	}
 	return 0
 }
@@ -458,7 +466,7 @@
 func (f *fields) bool() bool {
 	v, ok := f.next().(bool)
 	if !ok {
-		f.typeError(v, "true or false")
+		f.typeError(v, "a boolean")
 	}
 	return v
 }
@@ -466,7 +474,7 @@
 func (f *fields) text() string {
 	v, ok := f.next().(string)
 	if !ok {
-		f.typeError(v, "a text")
+		f.typeError(v, "a string")
 	}
 	return v
 }
@@ -492,6 +500,7 @@
 	return out
 }
 
+// decodeEvent is the inverse of encodeEvent.
 func (t *stringTable) decodeEvent(e event) (spool.Event, error) {
 	f := &fields{table: t, values: e.Fields}
 	var out spool.Event
@@ -535,7 +544,7 @@
 	case evRecalled:
 		b, ok := f.next().([]byte)
 		if !ok {
-			return nil, fmt.Errorf("journal: a recalled memory is no bytes")
+			return nil, fmt.Errorf("journal: the learned state of a Recalled event is not a byte string")
 		}
 		m, err := learnedstate.DecodeModule(b)
 		if err != nil {
@@ -552,6 +561,7 @@
 	return out, f.err
 }
 
+// decodeAction is the inverse of encodeAction.
 func (t *stringTable) decodeAction(a action) (spool.Action, error) {
 	f := &fields{table: t, values: a.Fields}
 	var out spool.Action
@@ -560,7 +570,7 @@
 		s := spool.Send{ID: f.name(), Cache: f.name(), Source: f.name(), Keep: int(f.int()), Age: f.float(), Timeout: f.float()}
 		flags := f.int()
 		s.Join, s.Held, s.Renew = flags&1 != 0, flags&2 != 0, flags&4 != 0
-		if f.consumed < len(f.values) { // journals from before it was told end here
+		if f.consumed < len(f.values) { // absent in journals that were written before the field was added
 			s.Within = f.float()
 		}
 		out = s
--- a/internal/decisionlog/journal/journal_test.go
+++ b/internal/decisionlog/journal/journal_test.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// Whatever is told comes back the same, over segments.
+// TestRoundTrip checks that all records are read as they were written, over several segments.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "journal-test-")
@@ -132,12 +132,12 @@
 			}
 		}
 		if _, err := r.Next(); err != io.EOF || r.Truncation() != "" {
-			t.Fatalf("after the last: %v, %s", err, r.Truncation())
+			t.Fatalf("after the last record: %v, %s", err, r.Truncation())
 		}
 	})
 }
 
-// writeSample writes a journal of some records and returns its only segment.
+// writeSample writes a journal of some records and returns its only segment's path and content.
 func writeSample(t testing.TB, records int) (file string, bytes []byte) {
 	dir := t.TempDir()
 	w, err := Open(dir, Options{})
@@ -162,7 +162,7 @@
 	return list[0], b
 }
 
-// Cut at any byte, a journal reads up to the last whole record.
+// TestTruncatedAtAnyByte checks that a truncated journal is read up to the last complete record.
 func TestTruncatedAtAnyByte(t *testing.T) {
 	file, whole := writeSample(t, 12)
 	ends := []int{}
@@ -174,7 +174,7 @@
 		if err := os.WriteFile(file, whole[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		want := -1 // the first is the segment's own
+		want := -1 // the first record is the segment's
 		for _, end := range ends {
 			if end <= cut {
 				want++
@@ -200,7 +200,8 @@
 	}
 }
 
-// A changed byte is found, and told as a gap; records before it are read.
+// TestCorruptBytes checks that a changed byte is detected and reported as a gap, and that the
+// records before it are read.
 func TestCorruptBytes(t *testing.T) {
 	file, whole := writeSample(t, 12)
 	for at := segmentHeaderSize; at < len(whole); at += 3 {
@@ -217,7 +218,7 @@
 			}
 		}
 		if gaps == 0 && r.Truncation() == "" {
-			t.Fatalf("byte %d changed, and nothing is told", at)
+			t.Fatalf("byte %d changed, and neither a gap nor a truncation is reported", at)
 		}
 	}
 }
@@ -231,8 +232,9 @@
 	return append(binary.LittleEndian.AppendUint32(out, crc32.Checksum(b, castagnoli)), b...)
 }
 
-// Kinds that this program does not know are gaps, fields that a later version has
-// added are passed over, a later format is refused with what to do.
+// TestUnknownKindsAndVersions checks that records of unknown kinds are gaps, that fields which
+// a later version has added are ignored, and that a later version of the format is an error
+// that says what to do.
 func TestUnknownKindsAndVersions(t *testing.T) {
 	file, whole := writeSample(t, 2)
 	more := append([]byte(nil), whole...)
@@ -248,7 +250,7 @@
 	}
 	more = append(more, encodeRecord(t, []any{99, []string{"q7"}, "what is this"})...)
 	more = append(more, encodeRecord(t, []any{int(KindHandled), []string{"q8"}, []any{5.0, []any{77, []any{1}}, []any{}}})...)
-	more = append(more, encodeRecord(t, []any{int(KindHandled), []string{}, []any{6.0, []any{int(evGone), []any{known, "a field of later"}}, []any{}}})...)
+	more = append(more, encodeRecord(t, []any{int(KindHandled), []string{}, []any{6.0, []any{int(evGone), []any{known, "a later field"}}, []any{}}})...)
 	more = append(more, encodeRecord(t, []any{int(KindHandled), []string{}, []any{7.0, []any{int(evGone), []any{99999}}, []any{}}})...)
 	more = append(more, encodeRecord(t, []any{int(KindHandled), []string{}, []any{8.0, []any{int(evGone), []any{}}, []any{}}})...)
 	os.WriteFile(file, more, 0o600)
@@ -256,11 +258,11 @@
 	if len(got) != 8 {
 		t.Fatalf("%d records", len(got))
 	}
-	for i, want := range []string{"unknown kind of record: 99", "unknown kind of event: 77", "", "name 99999 of", "has 0 fields"} {
+	for i, want := range []string{"unknown kind of record: 99", "unknown kind of event: 77", "", "string 99999 is not in the table", "has 0 fields"} {
 		e := got[3+i]
 		if want == "" {
 			if g, ok := e.Event.(spool.Gone); !ok || g.ID != "q7" {
-				t.Errorf("with a field of later: %+v", e)
+				t.Errorf("with a later field: %+v", e)
 			}
 		} else if e.Kind != KindGap || e.Lost != 1 || !strings.Contains(e.Why, want) {
 			t.Errorf("%+v, want %q", e, want)
@@ -272,20 +274,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := r.Next(); err == nil || !strings.Contains(err.Error(), "version 2 of the format; this program reads up to 1") {
-		t.Errorf("a later format: %v", err)
+	if _, err := r.Next(); err == nil || !strings.Contains(err.Error(), "has version 2 of the format; this program reads up to 1") {
+		t.Errorf("a later version: %v", err)
 	}
 	os.WriteFile(file, []byte("#!/bin/sh\necho hello\n"), 0o600)
 	if r, err = OpenReader(file); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := r.Next(); err == nil || !strings.Contains(err.Error(), "is no segment of a journal") {
-		t.Errorf("no journal: %v", err)
+	if _, err := r.Next(); err == nil || !strings.Contains(err.Error(), "is not a segment of a journal") {
+		t.Errorf("a file that is not a journal: %v", err)
 	}
 }
 
-// What the writer can't take is counted and marked where it was, and the loop
-// does not wait: the disk's goroutine stands still all the while.
+// TestWriterDoesNotBlock checks that Handled does not wait while the writing goroutine is
+// stopped, and that the lost records are counted and marked by a gap in their place.
 func TestWriterDoesNotBlock(t *testing.T) {
 	dir := t.TempDir()
 	w := &Writer{dir: dir, options: Options{SegmentBytes: 1 << 20, TotalBytes: 1 << 30, Queue: 100, Warn: func(string) {}, Files: osFileSystem{}}, wake: make(chan struct{}, 1),
@@ -298,7 +300,7 @@
 		w.Handled(float64(i), spool.Timer{}, nil)
 	}
 	if took := time.Since(startedAt); took > 5*time.Second {
-		t.Errorf("%v for records that have no place", took)
+		t.Errorf("Handled took %v for records beyond the queue", took)
 	}
 	go w.run()
 	if err := w.Close(); err != nil {
@@ -310,10 +312,11 @@
 	}
 }
 
-// The oldest segments go; that they are missing is not taken for a beginning.
+// TestTotalBytesBounded checks that the oldest segments are removed, that the remaining journal
+// does not seem to begin with a router start, and that a missing segment is reported as a gap.
 func TestTotalBytesBounded(t *testing.T) {
 	dir := t.TempDir()
-	for range 3 { // restarts go on behind what is there
+	for range 3 { // restarts append to the journal
 		w, err := Open(dir, Options{SegmentBytes: 4096, TotalBytes: 20000})
 		if err != nil {
 			t.Fatal(err)
@@ -349,11 +352,11 @@
 	}
 }
 
-// A disk that can't be written is told of, costs records and not the router, and
-// is used again when it can.
+// TestDiskFails checks that a removed directory is reported to the operator and that the lost
+// records are counted, without an error for the router.
 func TestDiskFails(t *testing.T) {
 	if os.Getuid() == 0 {
-		t.Log("runs as root: the folder is removed instead of locked")
+		t.Log("runs as root: the directory is removed instead of made read-only")
 	}
 	dir := filepath.Join(t.TempDir(), "j")
 	warnings := make(chan string, 10)
@@ -371,19 +374,19 @@
 			t.Error(s)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("nothing is told")
+		t.Error("no warning")
 	}
 	if err := w.Close(); err != nil && !errors.Is(err, os.ErrClosed) {
 		t.Error(err)
 	}
 	if w.Lost() == 0 {
-		t.Error("nothing is counted as lost")
+		t.Error("no record is counted as lost")
 	}
 }
 
-// A journal that a program of version 1 of the format has written is read, whatever
-// the present version: testdata holds one. SPOOL_GOLDEN=write makes it anew, which is
-// right only where it never was released.
+// TestVersion1 checks that a journal in version 1 of the format, kept in testdata, can be read
+// whatever the current version is. SPOOL_GOLDEN=write rewrites it, which is correct only while
+// version 1 has not been released.
 func TestVersion1(t *testing.T) {
 	const golden = "testdata/version-1"
 	want := []Entry{
@@ -433,7 +436,8 @@
 	b.ReportMetric(float64(w.Lost()), "lost")
 }
 
-// What the writer's goroutine does with a record: a request's four, in turn.
+// BenchmarkEncode measures the encoding on the writing goroutine, with the four records of a
+// request in turn.
 func BenchmarkEncode(b *testing.B) {
 	w := &Writer{dir: b.TempDir(), options: Options{SegmentBytes: 1 << 40, TotalBytes: 1 << 50, Warn: func(string) {}}}
 	if err := w.beginSegment(); err != nil {
@@ -465,8 +469,8 @@
 	}
 }
 
-// A router that takes over writes behind numbers that it leaves free for the one
-// before, which goes on: their records are read one life after the other, with no gap.
+// TestHotRestart checks that a successor, which skips segment numbers, and its predecessor can
+// both write to a journal, and that the two runs are read one after the other without a gap.
 func TestHotRestart(t *testing.T) {
 	dir := t.TempDir()
 	old, err := Open(dir, Options{SegmentBytes: 4096})
@@ -495,25 +499,25 @@
 	if len(got) != 2+2+1000 {
 		t.Fatalf("%d records", len(got))
 	}
-	lives := 0
+	runs := 0
 	for _, e := range got {
 		switch ev := e.Event.(type) {
 		case spool.Request:
-			if strings.HasPrefix(ev.ID, "old-") != (lives == 1) {
-				t.Fatalf("%s in life %d", ev.ID, lives)
+			if strings.HasPrefix(ev.ID, "old-") != (runs == 1) {
+				t.Fatalf("%s in run %d", ev.ID, runs)
 			}
 		case spool.Recalled:
 			if !reflect.DeepEqual(ev.Memory, memory) {
 				t.Errorf("%+v", ev.Memory)
 			}
 		case spool.Retired:
-			if !ev.On || lives != 1 {
-				t.Error(ev, lives)
+			if !ev.On || runs != 1 {
+				t.Error(ev, runs)
 			}
 		}
 		switch e.Kind {
 		case KindRouterStart:
-			lives++
+			runs++
 		case KindGap:
 			t.Error(e.Why)
 		}
--- a/internal/decisionlog/journal/reader.go
+++ b/internal/decisionlog/journal/reader.go
@@ -14,39 +14,39 @@
 	spool "indigospool"
 )
 
-// Entry is one record as it was read.
+// Entry is a record that has been read.
 type Entry struct {
 	Kind    Kind
-	Segment string // file
-	Offset  int64  // in it
-	Number  int64  // among the records that were read
+	Segment string // path of the segment's file
+	Offset  int64  // of the record in the segment, bytes
+	Number  int64  // of the entry among those of this reader, from 0
 
 	T           float64
-	Event       spool.Event // of handled
+	Event       spool.Event // of KindHandled
 	Actions     []spool.Action
 	RouterStart *RouterStart
-	Settings    string // of settings
+	Settings    string // of KindSettings
 	Version     int64
-	Lost        uint64 // of a gap: 0 where it is not known how many
-	Why         string // of a gap
+	Lost        uint64 // of KindGap: number of records, 0 if unknown
+	Why         string // of KindGap: the cause
 }
 
-// Reader reads a journal, segment by segment, in bounded memory.
+// Reader reads the segments of a journal in their order. Its memory is bounded.
 type Reader struct {
 	files           []string
 	file            *os.File
 	buffered        *bufio.Reader
 	offset          int64
 	table           stringTable
-	lastSegment     int64 // of the segment before; -1: none
+	lastSegment     int64 // number of the previous segment; -1: none
 	entries         int64
-	pendingGap      string // to be told before the next record
-	missingSegments string // the same, unless a life begins with it: numbers were left free there
-	pendingEntry    *Entry // a record behind a jump
+	pendingGap      string // cause of a gap to be returned before the next entry
+	missingSegments string // likewise, but dropped if the next entry is a router start: see Options.SkipNumbers
+	pendingEntry    *Entry // to be returned after the gap for missing segments
 	truncation      string
 }
 
-// OpenReader reads a folder of segments, or one segment.
+// OpenReader returns a Reader for a directory of segments or for a single segment.
 func OpenReader(path string) (*Reader, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -58,13 +58,13 @@
 			return nil, err
 		}
 		if len(files) == 0 {
-			return nil, fmt.Errorf("journal: %s holds no segment *%s", path, Extension)
+			return nil, fmt.Errorf("journal: %s contains no segments (*%s)", path, Extension)
 		}
 	}
 	return &Reader{files: files, lastSegment: -1}, nil
 }
 
-// Close ends reading.
+// Close closes the open segment, if any.
 func (r *Reader) Close() {
 	if r.file != nil {
 		r.file.Close()
@@ -72,15 +72,16 @@
 	}
 }
 
-// Truncation says where the last segment ends in the middle of a record, as after a
-// crash; empty: it ends with a whole one.
+// Truncation returns a message if the last segment ends with an incomplete record, as after a
+// crash, and "" otherwise.
 func (r *Reader) Truncation() string { return r.truncation }
 
-var errCorrupt = errors.New("damaged")
+var errCorrupt = errors.New("corrupt record")
 
-// Next is the next record; io.EOF after the last whole one. What can't be read is
-// told as a gap, and reading goes on with the next segment, or behind a record of
-// an unknown kind. A version of the format that is not known is an error.
+// Next returns the next entry, and io.EOF after the last complete record. A record that cannot
+// be decoded, such as one of an unknown kind, is returned as a gap. So is the rest of a segment
+// after corrupt data; Next then continues with the next segment. An unknown version of the
+// format is an error.
 func (r *Reader) Next() (*Entry, error) {
 	if e := r.pendingEntry; e != nil {
 		r.pendingEntry = nil
@@ -108,11 +109,11 @@
 			r.Close()
 			continue
 		case errors.Is(err, io.ErrUnexpectedEOF) && len(r.files) == 0:
-			r.truncation = fmt.Sprintf("%s ends in the middle of a record at byte %d", r.file.Name(), offset)
+			r.truncation = fmt.Sprintf("%s is truncated: its last record, at byte %d, is incomplete", r.file.Name(), offset)
 			r.Close()
 			return nil, io.EOF
 		case err != nil:
-			r.pendingGap = fmt.Sprintf("%s can't be read from byte %d on: %v", r.file.Name(), offset, err)
+			r.pendingGap = fmt.Sprintf("%s is unreadable from byte %d on: %v", r.file.Name(), offset, err)
 			e := r.newEntry(KindGap)
 			e.Offset, e.Why, r.pendingGap = offset, r.pendingGap, ""
 			r.Close()
@@ -137,6 +138,7 @@
 	}
 }
 
+// newEntry returns an entry at the present offset, and counts it.
 func (r *Reader) newEntry(kind Kind) *Entry {
 	r.entries++
 	return &Entry{Kind: kind, Segment: r.file.Name(), Offset: r.offset, Number: r.entries - 1}
@@ -155,22 +157,22 @@
 	}
 	var head [segmentHeaderSize]byte
 	if _, err := io.ReadFull(r.buffered, head[:]); err != nil {
-		r.pendingGap = fmt.Sprintf("%s is shorter than a segment's start", path)
+		r.pendingGap = fmt.Sprintf("%s is shorter than a segment's header", path)
 		return nil
 	}
 	version, err := strconv.Atoi(string(head[len(magic):]))
 	if string(head[:len(magic)]) != magic || err != nil {
 		r.Close()
-		return fmt.Errorf("journal: %s is no segment of a journal (it begins with %q)", path, head)
+		return fmt.Errorf("journal: %s is not a segment of a journal (its header is %q)", path, head)
 	}
 	if version > FormatVersion || version < 1 {
 		r.Close()
-		return fmt.Errorf("journal: %s is of version %d of the format; this program reads up to %d: use a newer one", path, version, FormatVersion)
+		return fmt.Errorf("journal: %s has version %d of the format; this program reads up to %d: use a newer program", path, version, FormatVersion)
 	}
 	return nil
 }
 
-// readRecord reads one whole record, and checks it.
+// readRecord reads the next record and verifies its checksum.
 func (r *Reader) readRecord() ([]byte, error) {
 	var head [recordHeaderSize]byte
 	n, err := io.ReadFull(r.buffered, head[:])
@@ -182,10 +184,10 @@
 	}
 	size := binary.LittleEndian.Uint32(head[:])
 	if size == 0 || size > maxRecordSize {
-		return nil, fmt.Errorf("%w: a record of %d bytes", errCorrupt, size)
+		return nil, fmt.Errorf("%w: record size %d", errCorrupt, size)
 	}
 	payload := make([]byte, 0, min(size, 1<<16))
-	for uint32(len(payload)) < size { // a length that lies costs no memory
+	for uint32(len(payload)) < size { // allocate in chunks, so that a corrupt length does not cost much memory
 		chunk := min(size-uint32(len(payload)), 1<<16)
 		start := len(payload)
 		payload = append(payload, make([]byte, chunk)...)
@@ -194,13 +196,14 @@
 		}
 	}
 	if crc32.Checksum(payload, castagnoli) != binary.LittleEndian.Uint32(head[4:]) {
-		return nil, fmt.Errorf("%w: its checksum does not fit", errCorrupt)
+		return nil, fmt.Errorf("%w: wrong checksum", errCorrupt)
 	}
 	r.offset += int64(recordHeaderSize) + int64(size)
 	return payload, nil
 }
 
-// decode reads a record; nil of one that is only for the reader.
+// decode decodes the record at an offset. It returns nil without an error for a record that
+// concerns only the reader.
 func (r *Reader) decode(payload []byte, offset int64) (*Entry, error) {
 	var rec record
 	if err := dec.Unmarshal(payload, &rec); err != nil {
@@ -244,7 +247,7 @@
 		e.Actions, err = r.decodeActions(raw.Actions)
 	case KindGap:
 		e = r.newEntry(KindGap)
-		e.Why = "lost by the router that wrote it"
+		e.Why = "the router that wrote the journal lost records"
 		err = dec.Unmarshal(rec.Body, &e.Lost)
 	default:
 		return nil, fmt.Errorf("%w of record: %d", ErrUnknown, rec.Kind)
--- a/internal/decisionlog/journal/writer.go
+++ b/internal/decisionlog/journal/writer.go
@@ -19,24 +19,23 @@
 	spool "indigospool"
 )
 
-// Options bound a journal. Zero fields mean the defaults.
+// Options configure a Writer. Zero fields have the default values.
 type Options struct {
-	SegmentBytes int64             // bytes of a segment; default 64 MB
-	TotalBytes   int64             // bytes of all: the oldest segments go; default 2 GB
-	Queue        int               // records that wait to be written; more are lost, and counted; default 65536
-	Warn         func(text string) // for the operator
-	SkipNumbers  bool              // leave numbers free: another process still writes behind what is there
-	Files        FileSystem        // where segments are made; nil: the operating system's
+	SegmentBytes int64             // size at which a segment ends; default 64 MB
+	TotalBytes   int64             // size of all segments; the oldest are removed; default 2 GB
+	Queue        int               // records waiting to be written; further ones are lost and counted; default 65536
+	Warn         func(text string) // called with messages for the operator
+	SkipNumbers  bool              // skip segment numbers, because another process is still appending segments
+	Files        FileSystem        // nil: the operating system's files
 }
 
-// FileSystem makes the file operations of a writer. Tests put one in its place that
-// fails.
+// FileSystem has the file operations of a Writer. Tests replace it to inject faults.
 type FileSystem interface {
-	Create(path string) (File, error) // fails where there is one
+	Create(path string) (File, error) // fails if the file exists
 	Remove(path string) error
 }
 
-// File is a segment that is written.
+// File is a segment's file, opened for writing.
 type File interface {
 	io.WriteCloser
 	Sync() error
@@ -50,8 +49,9 @@
 
 func (osFileSystem) Remove(path string) error { return os.Remove(path) }
 
-// Writer writes a journal into a folder. Handled and Settings are called from
-// one goroutine, a router's loop, and never wait for the disk.
+// Writer writes a journal into a directory. RouterStarted, Handled and Settings are called
+// from one goroutine, the router's event loop, and never wait for the disk: a second goroutine
+// writes the records.
 type Writer struct {
 	dir     string
 	options Options
@@ -64,34 +64,34 @@
 	closeOnce sync.Once
 	lost      atomic.Uint64
 
-	// of the writing goroutine
+	// used only by the writing goroutine
 	file          File
-	currentPath   string // of f, or of the segment that f was; empty: it is booked
+	currentPath   string // of the segment that was begun last; empty: it is in finished
 	currentSize   int64
-	finished      []segmentFile // ended, the oldest first
-	finishedBytes int64         // bytes of them
-	nextIndex     int64
-	records       int64
+	finished      []segmentFile // oldest first
+	finishedBytes int64         // size of the finished segments
+	nextIndex     int64         // number of the next segment
+	records       int64         // number of records that were appended
 	table         stringTable
 	buf           []byte
-	recordBuf     bytes.Buffer  // a record
-	retryAt       time.Time     // after a fault: not before
-	backoff       time.Duration // the last one's
-	unreported    uint64        // records that are lost since the last gap that was written
-	reporting     uint64        // of these, told by the gap that waits to be written
+	recordBuf     bytes.Buffer  // the record that is being encoded
+	retryAt       time.Time     // after a fault: no new segment before this time
+	backoff       time.Duration // current delay after a fault; 0: none
+	unreported    uint64        // lost records that no written gap record covers
+	reporting     uint64        // number of these that the gap record in buf covers
 }
 
-// segmentFile is a segment that has ended.
+// segmentFile is a finished segment.
 type segmentFile struct {
 	path string
 	size int64
 }
 
-// batch is what waits to be written; actions of all items stand in one slice.
+// batch holds the items waiting to be written. The actions of all items are in one slice.
 type batch struct {
 	items   []item
 	actions []spool.Action
-	lost    uint64 // after the items
+	lost    uint64 // number of records that were lost after the items
 }
 
 type item struct {
@@ -99,13 +99,14 @@
 	event       spool.Event
 	start       *RouterStart
 	settings    *settings
-	text        func() string // of other
-	firstAction int           // its actions
+	text        func() string // returns the text for settings
+	firstAction int           // the item's actions are batch.actions[firstAction:endAction]
 	endAction   int
 }
 
-// Open begins a journal in a folder, behind what is there. A disk that takes no writes
-// for now is no error: records are lost until it does.
+// Open returns a Writer that appends to the journal in a directory, and creates the directory
+// if necessary. A transient fault of the disk is not an error: records are lost until the disk
+// can be written again.
 func Open(dir string, options Options) (*Writer, error) {
 	if options.SegmentBytes <= 0 {
 		options.SegmentBytes = 64 << 20
@@ -153,10 +154,11 @@
 	return w, nil
 }
 
-// reservedNumbers is how many numbers of segments are left free, from one to two times.
+// reservedNumbers is the unit in which Options.SkipNumbers skips segment numbers: one to two
+// units stay free for the process that is still writing.
 const reservedNumbers = 1000
 
-// Segments are the files of a journal in their order.
+// Segments returns the paths of a journal's segments in their order.
 func Segments(dir string) ([]string, error) {
 	all, err := os.ReadDir(dir)
 	if err != nil {
@@ -172,12 +174,12 @@
 	return out, nil
 }
 
-// RouterStarted says that a router starts: what follows is told to a new module.
-func (w *Writer) RouterStarted(l RouterStart) { w.enqueue(item{start: &l}, nil) }
+// RouterStarted records the start of a router: the following records are of a new module.
+func (w *Writer) RouterStarted(s RouterStart) { w.enqueue(item{start: &s}, nil) }
 
-// Handled records an event and its actions. It keeps neither.
+// Handled records an event and its actions. It copies the slices that the caller may reuse.
 func (w *Writer) Handled(now float64, event spool.Event, actions []spool.Action) {
-	switch e := event.(type) { // their loads are used anew
+	switch e := event.(type) { // the caller reuses the Load slices
 	case spool.Outcome:
 		if len(e.Load) > 0 {
 			e.Load = append([]float64(nil), e.Load...)
@@ -192,12 +194,12 @@
 	w.enqueue(item{time: now, event: event}, actions)
 }
 
-// Settings records that the module was told other settings. text is called on the
-// writer's goroutine.
+// Settings records a change of the module's settings. text is called on the writing goroutine.
 func (w *Writer) Settings(now float64, version int64, text func() string, actions []spool.Action) {
 	w.enqueue(item{time: now, settings: &settings{Number: version}, text: text}, actions)
 }
 
+// enqueue adds a record to the pending batch, or counts it as lost if the queue is full.
 func (w *Writer) enqueue(it item, actions []spool.Action) {
 	w.mu.Lock()
 	if len(w.pending.items) >= w.options.Queue {
@@ -220,10 +222,10 @@
 	}
 }
 
-// Lost is how many records were lost.
+// Lost returns the number of records that were lost.
 func (w *Writer) Lost() uint64 { return w.lost.Load() }
 
-// Close writes what waits, and ends.
+// Close writes the waiting records and closes the journal.
 func (w *Writer) Close() error {
 	var err error
 	w.closeOnce.Do(func() {
@@ -238,6 +240,7 @@
 
 const flushInterval = 50 * time.Millisecond
 
+// run writes the pending records at each flush interval, or earlier if the queue fills up.
 func (w *Writer) run() {
 	defer close(w.done)
 	t := time.NewTicker(flushInterval)
@@ -262,12 +265,12 @@
 }
 
 const (
-	minBackoff = 250 * time.Millisecond // of a new segment after a fault
+	minBackoff = 250 * time.Millisecond // before a new segment is tried after a fault
 	maxBackoff = 5 * time.Second
 )
 
-// write writes a batch; on a fault of the disk it is lost, and a new segment is
-// tried after a while.
+// write writes a batch. After a fault of the disk, the records that are not yet written are
+// lost, and a new segment is tried after the backoff.
 func (w *Writer) write(b *batch) {
 	if len(b.items) == 0 && b.lost == 0 {
 		return
@@ -284,12 +287,12 @@
 	w.handleFault(err, len(b.items)-written, b.lost)
 }
 
-// handleFault counts what a fault of the disk costs, and has a new segment tried after a
-// while.
+// handleFault counts the records that a fault of the disk has cost, gives up the segment and
+// sets the backoff.
 func (w *Writer) handleFault(err error, records int, alreadyCounted uint64) {
 	w.reporting = 0
 	if w.unreported == 0 {
-		w.options.Warn(fmt.Sprintf("journal: %v; records are lost until it can be written again", err))
+		w.options.Warn(fmt.Sprintf("journal: %v; records are lost until the journal can be written again", err))
 	}
 	w.countLost(records, alreadyCounted)
 	if w.file != nil {
@@ -300,8 +303,8 @@
 	w.retryAt = time.Now().Add(w.backoff)
 }
 
-// isTransient reports whether an error is one of the disk or the process, that may pass,
-// and not one of the folder's path.
+// isTransient reports whether an error is caused by the state of the disk or the process,
+// which may change, and not by the directory's path.
 func isTransient(err error) bool {
 	for _, one := range []error{syscall.ENOSPC, syscall.EDQUOT, syscall.EIO, syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM} {
 		if errors.Is(err, one) {
@@ -311,13 +314,14 @@
 	return false
 }
 
-// countLost counts records that are lost, and others that had been counted already.
+// countLost adds lost records to the next gap record: some that are new, and some that lost
+// already includes.
 func (w *Writer) countLost(records int, alreadyCounted uint64) {
 	w.unreported += uint64(records) + alreadyCounted
 	w.lost.Add(uint64(records))
 }
 
-// writeBatch says how many of the batch's records are surely written.
+// writeBatch writes a batch and returns how many of its records are known to be written.
 func (w *Writer) writeBatch(b *batch) (written int, err error) {
 	if w.file == nil {
 		if err := w.beginSegment(); err != nil {
@@ -331,9 +335,9 @@
 		w.reporting = w.unreported
 	}
 	for i := range b.items {
-		if err := w.encode(&b.items[i], b.actions); err != nil { // nothing that it is told of is unknown to it
+		if err := w.encode(&b.items[i], b.actions); err != nil { // not expected: all events and actions are known
 			w.options.Warn(err.Error())
-			w.appendRecord(KindGap, uint64(1)) // with the strings that it has made known
+			w.appendRecord(KindGap, uint64(1)) // also adds the strings that the failed record has interned
 		}
 		if len(w.buf) >= 1<<20 || w.currentSize+int64(len(w.buf)) >= w.options.SegmentBytes {
 			if err := w.flush(); err != nil {
@@ -354,6 +358,7 @@
 	return written, w.flush()
 }
 
+// flush writes buf to the current segment.
 func (w *Writer) flush() error {
 	if len(w.buf) == 0 {
 		return nil
@@ -368,6 +373,7 @@
 	return err
 }
 
+// encode appends an item to buf as a record.
 func (w *Writer) encode(it *item, actions []spool.Action) error {
 	w.table.beginRecord()
 	if it.start != nil {
@@ -394,7 +400,7 @@
 	return w.appendRecord(KindHandled, &writtenHandled{T: it.time, Event: ev, Actions: list})
 }
 
-// appendRecord appends a record to the buffer.
+// appendRecord appends an encoded record to buf.
 func (w *Writer) appendRecord(kind Kind, body any) error {
 	w.recordBuf.Reset()
 	if err := enc.MarshalToBuffer(&writtenRecord{Kind: kind, Names: w.table.added, Body: body}, &w.recordBuf); err != nil {
@@ -408,7 +414,7 @@
 	return nil
 }
 
-// rotate ends a segment and begins another.
+// rotate ends the current segment and begins the next.
 func (w *Writer) rotate() error {
 	if err := w.file.Sync(); err != nil {
 		return err
@@ -420,7 +426,7 @@
 	return w.beginSegment()
 }
 
-// beginSegment begins a segment, and removes the oldest past the bound.
+// beginSegment begins a segment, and removes the oldest ones beyond Options.TotalBytes.
 func (w *Writer) beginSegment() error {
 	w.finishSegment()
 	path := filepath.Join(w.dir, fmt.Sprintf(segmentNameFormat, w.nextIndex)+Extension)
@@ -438,14 +444,14 @@
 	if err != nil {
 		f.Close()
 		if w.options.Files.Remove(path) != nil {
-			w.nextIndex++ // it stands in the way, and is shorter than a segment's start
+			w.nextIndex++ // the incomplete file blocks this number; the reader reports it as a gap
 		}
 		return fmt.Errorf("journal: %w", err)
 	}
 	w.file, w.currentSize = f, int64(n)
 	w.nextIndex++
 	for len(w.finished) > 0 && w.finishedBytes > w.options.TotalBytes {
-		w.options.Files.Remove(w.finished[0].path) // one that is gone already is no loss
+		w.options.Files.Remove(w.finished[0].path) // it may already have been removed
 		w.finishedBytes -= w.finished[0].size
 		w.finished = w.finished[1:]
 	}
@@ -453,7 +459,7 @@
 	return nil
 }
 
-// finishSegment books the segment that was written last.
+// finishSegment moves the segment that was begun last to the finished ones.
 func (w *Writer) finishSegment() {
 	if w.currentPath != "" {
 		w.finished = append(w.finished, segmentFile{w.currentPath, max(w.currentSize, 1)})
