--- a/internal/decisionlog/explain/explain.go
+++ b/internal/decisionlog/explain/explain.go
@@ -106,7 +106,7 @@
 	var c *engine.Core
 	last, found := 0.0, false
 	w := &replay.Watcher{
-		Life: func(next *engine.Core, l *journal.RouterStart) { c, explanation.Router = next, l.Name },
+		RouterStarted: func(next *engine.Core, l *journal.RouterStart) { c, explanation.Router = next, l.Name },
 		Before: func(e *journal.Entry, _ *engine.Core) bool {
 			if q, ok := e.Event.(spool.Request); ok && a.InPlaceOf != "" && q.ID == a.InPlaceOf {
 				last, found = e.T, true
@@ -164,7 +164,7 @@
 
 func (t *tracer) watcher() *replay.Watcher {
 	return &replay.Watcher{
-		Life: func(c *engine.Core, l *journal.RouterStart) {
+		RouterStarted: func(c *engine.Core, l *journal.RouterStart) {
 			if !t.arrived {
 				t.explanation.Router = l.Name
 			}
--- a/internal/decisionlog/replay/replay.go
+++ b/internal/decisionlog/replay/replay.go
@@ -1,6 +1,6 @@
-// Package replay tells a decision module again what a journal says that a router
-// told its own, and compares the answers. It makes no decision and no I/O but to
-// read the journal: what it compares is internal/proxy/engine against the record.
+// Package replay passes the events of a journal to a decision module again, and compares its
+// actions with the recorded ones. The module is that of internal/proxy/engine, without any
+// decision or I/O added, except for reading the journal.
 package replay
 
 import (
@@ -15,45 +15,46 @@
 	"indigospool/internal/proxy/engine"
 )
 
-// Difference is where an answer is another than the recorded one.
+// Difference describes an event for which the replayed actions differ from the recorded ones.
 type Difference struct {
 	Segment  string   `json:"segment"`
 	Offset   int64    `json:"offset"`
-	Number   int64    `json:"number"` // of the record
+	Number   int64    `json:"number"` // of the entry in the journal
 	T        float64  `json:"t"`
 	Event    string   `json:"event"`
 	Recorded []string `json:"was"`
 	Replayed []string `json:"is"`
-	Before   []string `json:"before"` // the records before it, of the same request first
+	Before   []string `json:"before"` // the last records before it
 }
 
-// Report is what a replay found.
+// Report is the result of a replay.
 type Report struct {
 	Runs       int         `json:"lives"`
 	Records    int64       `json:"records"`
 	Events     int64       `json:"events"`
 	Actions    int64       `json:"actions"`
-	Compared   int64       `json:"compared"` // events whose answers were
+	Compared   int64       `json:"compared"` // events and changes of settings whose actions were compared
 	Equal      int64       `json:"equal"`
-	Skipped    int64       `json:"skipped"` // events behind a gap, up to the next life: the module's memory is not what it was
+	Skipped    int64       `json:"skipped"` // events between a gap and the next router start, for which the module's state is unknown
 	Gaps       []string    `json:"gaps,omitempty"`
 	Lost       uint64      `json:"lost"`
 	Different  int64       `json:"different"`
 	First      *Difference `json:"first,omitempty"`
 	Truncation string      `json:"cut,omitempty"`
-	Unfinished int         `json:"unfinished"` // requests that had no final answer at the end of their life
+	Unfinished int         `json:"unfinished"` // requests without a final answer when their router's run ended
 }
 
-// OK reports a replay that compared something and found no difference.
+// OK reports whether the replay has compared something and found no difference.
 func (r *Report) OK() bool { return r.Compared > 0 && r.Different == 0 }
 
-const precedingRecords = 12 // records that are shown before a difference
+// precedingRecords is the number of records that Difference.Before has at most.
+const precedingRecords = 12
 
-// Watcher sees a replay as it goes. Its functions may be nil.
+// Watcher observes a replay in progress. Its functions may be nil.
 type Watcher struct {
-	Life   func(c *engine.Core, l *journal.RouterStart)
-	Before func(e *journal.Entry, c *engine.Core) (stop bool) // an event is about to be told
-	After  func(e *journal.Entry, c *engine.Core, acts []spool.Action)
+	RouterStarted func(c *engine.Core, l *journal.RouterStart)
+	Before        func(e *journal.Entry, c *engine.Core) (stop bool) // called before an event is handled
+	After         func(e *journal.Entry, c *engine.Core, acts []spool.Action)
 }
 
 // Run replays a journal to its end, or until the watcher stops it.
@@ -61,27 +62,27 @@
 	if watcher == nil {
 		watcher = &Watcher{}
 	}
-	p := &replayer{report: &Report{}, watcher: watcher}
-	for !p.stopped {
+	r := &replayer{report: &Report{}, watcher: watcher}
+	for !r.stopped {
 		e, err := reader.Next()
 		if err == io.EOF {
-			p.endRun()
-			p.report.Truncation = reader.Truncation()
-			return p.report, nil
+			r.endRun()
+			r.report.Truncation = reader.Truncation()
+			return r.report, nil
 		}
 		if err != nil {
-			return p.report, err
+			return r.report, err
 		}
-		if err := p.process(e); err != nil {
-			return p.report, err
+		if err := r.process(e); err != nil {
+			return r.report, err
 		}
 	}
-	return p.report, nil
+	return r.report, nil
 }
 
 type replayer struct {
 	report      *Report
-	core        *engine.Core // nil: behind a gap, or before the first life
+	core        *engine.Core // nil: after a gap, or before the first router start
 	actions     []spool.Action
 	recent      [precedingRecords]*journal.Entry
 	recentCount int
@@ -91,7 +92,7 @@
 	stopped bool
 }
 
-// process takes one record.
+// process replays one record.
 func (r *replayer) process(e *journal.Entry) error {
 	r.report.Records++
 	switch e.Kind {
@@ -100,15 +101,15 @@
 		r.report.Runs++
 		s := &config.Settings{}
 		if err := config.Read("journal", e.RouterStart.Settings, s); err != nil {
-			return fmt.Errorf("replay: the settings of life %d (%s at byte %d): %w", r.report.Runs, e.Segment, e.Offset, err)
+			return fmt.Errorf("replay: settings of run %d (%s at byte %d): %w", r.report.Runs, e.Segment, e.Offset, err)
 		}
 		c, err := engine.New(s, e.RouterStart.Seed)
 		if err != nil {
-			return fmt.Errorf("replay: life %d: %w", r.report.Runs, err)
+			return fmt.Errorf("replay: run %d: %w", r.report.Runs, err)
 		}
 		r.core, r.unfinished = c, map[string]bool{}
-		if r.watcher.Life != nil {
-			r.watcher.Life(c, e.RouterStart)
+		if r.watcher.RouterStarted != nil {
+			r.watcher.RouterStarted(c, e.RouterStart)
 		}
 	case journal.KindGap:
 		r.report.Gaps = append(r.report.Gaps, e.Why)
@@ -121,11 +122,11 @@
 		}
 		s := &config.Settings{}
 		if err := config.Read("journal", e.Settings, s); err != nil {
-			return fmt.Errorf("replay: version %d (%s at byte %d): %w", e.Version, e.Segment, e.Offset, err)
+			return fmt.Errorf("replay: settings version %d (%s at byte %d): %w", e.Version, e.Segment, e.Offset, err)
 		}
 		var err error
 		if r.actions, err = r.core.ChangeSettings(e.T, s, r.actions[:0]); err != nil {
-			return fmt.Errorf("replay: version %d: %w", e.Version, err)
+			return fmt.Errorf("replay: settings version %d: %w", e.Version, err)
 		}
 		r.compare(e, fmt.Sprintf("settings of version %d", e.Version))
 	case journal.KindHandled:
@@ -166,12 +167,14 @@
 	return nil
 }
 
+// endRun ends a run of a router and counts its unfinished requests.
 func (r *replayer) endRun() {
 	r.report.Unfinished += len(r.unfinished)
 	r.unfinished = nil
 }
 
-// compare compares the present answer with the recorded one.
+// compare compares the replayed actions with the recorded ones, and reports the first
+// difference in detail. The description replaces the event's text unless it is empty.
 func (r *replayer) compare(e *journal.Entry, description string) {
 	r.report.Compared++
 	if len(r.actions) == 0 && len(e.Actions) == 0 || reflect.DeepEqual(r.actions, e.Actions) {
@@ -212,5 +215,5 @@
 	return out
 }
 
-// ErrNothingToCompare says that a journal held nothing to compare.
-var ErrNothingToCompare = errors.New("replay: the journal holds no life of a router from its start: there is nothing to compare")
+// ErrNothingToCompare means that a journal has no events that can be replayed.
+var ErrNothingToCompare = errors.New("replay: the journal contains no run of a router from its start: there is nothing to compare")
--- a/internal/decisionlog/replay/replay_test.go
+++ b/internal/decisionlog/replay/replay_test.go
@@ -37,14 +37,13 @@
 	r.w.Settings(now, 2, func() string { return config.Print(s) }, acts)
 }
 
-// record plays some requests through a core that records them; lives says how
-// often it starts.
-func record(t testing.TB, dir string, lives, requests int, change func([]spool.Action) []spool.Action) {
+// record passes requests to a core that records a journal. The router starts runs times.
+func record(t testing.TB, dir string, runs, requests int, change func([]spool.Action) []spool.Action) {
 	w, err := journal.Open(dir, journal.Options{SegmentBytes: int64(max(1<<14, 64*requests)), TotalBytes: 1 << 40, Queue: 1 << 24})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for life := range lives {
+	for run := range runs {
 		s := &config.Settings{}
 		if err := config.Read("test", sample, s); err != nil {
 			t.Fatal(err)
@@ -55,7 +54,7 @@
 		}
 		w.RouterStarted(journal.RouterStart{Name: "r", Seed: 1, Settings: config.Print(s)})
 		c.Recorder = recorder{w, change}
-		now := float64(1000 * life)
+		now := float64(1000 * run)
 		for _, ev := range c.Apply(now, engine.UpdateFromSettings(s)).Events {
 			c.Handle(now, ev, nil)
 		}
@@ -69,7 +68,7 @@
 					t.Fatal(err)
 				}
 			}
-			id := fmt.Sprintf("q-%d-%d", life, i)
+			id := fmt.Sprintf("q-%d-%d", run, i)
 			acts := c.Handle(now, spool.Request{ID: id, Class: []string{"still", "film"}[i%2], Object: fmt.Sprint("/o", i%17), Part: i % 7, KB: 40, Deadline: now + 900}, nil)
 			for n := 0; len(acts) > 0 && n < 20; n++ {
 				send, ok := acts[0].(spool.Send)
@@ -108,7 +107,8 @@
 	return r
 }
 
-// All answers come out equal, over restarts, segments and other settings.
+// TestReplayIsEqual checks that all replayed actions are equal to the recorded ones, across
+// restarts, segments and a change of the settings.
 func TestReplayIsEqual(t *testing.T) {
 	dir := t.TempDir()
 	record(t, dir, 3, 400, nil)
@@ -118,7 +118,8 @@
 	}
 }
 
-// One answer that is another is found, with its place and what was before it.
+// TestOneDifference checks that a single changed action is found, with its position and the
+// records before it.
 func TestOneDifference(t *testing.T) {
 	dir := t.TempDir()
 	n := 0
@@ -138,7 +139,7 @@
 	}
 }
 
-// Behind a gap nothing is compared until the next life.
+// TestGap checks that nothing is compared between a gap and the next router start.
 func TestGap(t *testing.T) {
 	dir := t.TempDir()
 	record(t, dir, 2, 400, nil)
@@ -146,7 +147,7 @@
 	if err != nil || len(list) < 3 {
 		t.Fatal(list, err)
 	}
-	j, err := journal.OpenReader(list[1]) // the middle of a life
+	j, err := journal.OpenReader(list[1]) // begins in the middle of a run
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -160,8 +161,8 @@
 	}
 }
 
-// A clock that steps back, or far ahead, within a life is no difference: the module
-// goes by the latest time that it was told, in the replay as in the router.
+// TestClockSteps checks that a clock which steps back or far ahead during a run causes no
+// difference: the module uses the latest time that it was given, in the router as in the replay.
 func TestClockSteps(t *testing.T) {
 	dir := t.TempDir()
 	w, err := journal.Open(dir, journal.Options{})
@@ -199,7 +200,7 @@
 	}
 }
 
-// Requests that never ended are counted, by life.
+// TestUnfinished checks that the unfinished requests of all runs are counted.
 func TestUnfinished(t *testing.T) {
 	dir := t.TempDir()
 	w, err := journal.Open(dir, journal.Options{})
@@ -219,8 +220,9 @@
 	}
 }
 
-// A journal is replayed in memory that does not grow with it: JOURNAL_MB makes it
-// larger (2048 is what an operator may have), with names that are all new.
+// TestBigJournal checks that the memory for a replay does not grow with the journal, even if
+// all request ids and object names differ. JOURNAL_MB sets the journal's size; 2048 is the
+// default limit of a journal.
 func TestBigJournal(t *testing.T) {
 	mb := 12
 	if n, err := strconv.Atoi(os.Getenv("JOURNAL_MB")); err == nil {
@@ -262,7 +264,7 @@
 			t.Fatal("the writer lost records")
 		}
 		if i%20000 == 19999 {
-			time.Sleep(100 * time.Millisecond) // the disk is behind
+			time.Sleep(100 * time.Millisecond) // lets the writer catch up
 		}
 	}
 	if err := w.Close(); err != nil {
@@ -300,8 +302,8 @@
 	}
 }
 
-// How fast a journal is replayed, and what is on the heap meanwhile, by its length;
-// REPLAY_REQUESTS adds another.
+// BenchmarkReplay measures the speed of a replay and the size of the heap, for journals of
+// several lengths. REPLAY_REQUESTS adds a length.
 func BenchmarkReplay(b *testing.B) {
 	sizes := []int{2500, 25000, 250000}
 	if n, err := strconv.Atoi(os.Getenv("REPLAY_REQUESTS")); err == nil {
