--- a/internal/decisionlog/explain/explain.go
+++ b/internal/decisionlog/explain/explain.go
@@ -1,6 +1,6 @@
-// Package explain tells why a request went where it did. It replays a router's
-// journal and listens to the decision module while it decides (Core.Explain):
-// what it tells is the decision itself, never another computation of it.
+// Package explain explains why a request was sent where it was. It replays a router's journal
+// and observes the decision module by Core.Explain, so that it reports the decisions themselves
+// and not a second computation of them.
 package explain
 
 import (
@@ -16,36 +16,38 @@
 	"indigospool/internal/proxy/engine"
 )
 
-// Step is one moment at which the module decided something of the request.
+// Step is an event that concerns the request: its own event, or one at which the module made
+// a decision about it.
 type Step struct {
 	T            float64       `json:"t"`  // ms on the router's clock
-	SinceArrival float64       `json:"in"` // ms since the request came
+	SinceArrival float64       `json:"in"` // ms since the request arrived
 	Event        string        `json:"event"`
 	Candidates   []Candidate   `json:"looks,omitempty"`
 	Actions      []string      `json:"actions,omitempty"`
-	Ranges       []spool.Range `json:"ranges,omitempty"` // where they are others than at the step before
-	Waits        bool          `json:"waits,omitempty"`  // nothing was sent, and it is not over
+	Ranges       []spool.Range `json:"ranges,omitempty"` // set if they have changed since the previous step
+	Waits        bool          `json:"waits,omitempty"`  // the request is still queued: nothing was sent
 }
 
-// Candidate is a member that was looked at.
+// Candidate is a member that was considered for an attempt. Member is empty if the reason
+// concerns the request itself.
 type Candidate struct {
 	Member string `json:"member,omitempty"`
-	As     string `json:"as"` // cache or source
+	As     string `json:"as"` // "cache" or "source"
 	Pass   int    `json:"pass"`
 	Why    string `json:"why"`
-	Times  int    `json:"times"` // in a row
+	Times  int    `json:"times"` // how often it was considered in a row, with the same result
 }
 
-// Explanation is all that is known of a request.
+// Explanation describes how a request was handled.
 type Explanation struct {
 	Request      spool.Request  `json:"request"`
-	Hypothetical bool           `json:"hypothetical"` // it never was: it was told to the module at the end
+	Hypothetical bool           `json:"hypothetical"` // the request is not in the journal; see Hypothetical
 	Router       string         `json:"router"`
 	Steps        []Step         `json:"steps"`
-	Ended        bool           `json:"over"` // it had its final answer
+	Ended        bool           `json:"over"` // the request has its final answer, or its client has disconnected
 	Ranges       []spool.Range  `json:"ranges,omitempty"`
-	Members      []spool.Member `json:"members"` // as listed when it came
-	Equal        bool           `json:"equal"`   // the replay answered as the router had, up to its end
+	Members      []spool.Member `json:"members"` // as listed when the request arrived
+	Equal        bool           `json:"equal"`   // the replayed actions are equal to the recorded ones up to the request's end
 }
 
 var reasonTexts = map[spool.Reason]string{
@@ -57,7 +59,7 @@
 	spool.ReasonNoMember: "nobody is there to ask",
 }
 
-// ReasonText is a reason in words.
+// ReasonText returns the text for a reason.
 func ReasonText(r spool.Reason) string {
 	if w, ok := reasonTexts[r]; ok {
 		return w
@@ -65,10 +67,10 @@
 	return fmt.Sprintf("reason %d", r)
 }
 
-// ErrNotFound says that a journal does not have a request.
-var ErrNotFound = errors.New("explain: the journal has no such request, or it stands behind a gap")
+// ErrNotFound means that a request is not in a journal, or cannot be replayed.
+var ErrNotFound = errors.New("explain: the journal has no such request, or the request is after a gap")
 
-// Request tells the story of a recorded request.
+// Request explains a recorded request.
 func Request(j *journal.Reader, id string) (*Explanation, error) {
 	explanation := &Explanation{}
 	t := &tracer{explanation: explanation, id: id}
@@ -84,22 +86,23 @@
 	return explanation, nil
 }
 
-// HypotheticalRequest is a request that never was.
+// HypotheticalRequest is a request that is not in the journal.
 type HypotheticalRequest struct {
 	Class, Object string
 	Part, Group   int
 	KB            float64
 	Write         bool
-	Timeout       float64 // ms that its client waits; 0: as long as its class's do
+	Timeout       float64 // ms until the client's deadline; 0: that of the class
 	At            float64 // ms on the router's clock; 0: at the journal's end
-	InPlaceOf     string  // in place of this recorded request, whose time counts
+	InPlaceOf     string  // id of a recorded request to replace; its time of arrival is used
 }
 
+// hypotheticalID is the id of a hypothetical request.
 const hypotheticalID = "hypothetical"
 
-// Hypothetical tells what would be decided of a request at a time of the journal:
-// the module is told the record up to there, and then the request. What comes of
-// its attempts is not known: the story ends with the first.
+// Hypothetical explains how a request would be handled at a time of the journal. It replays the
+// journal up to that time and then passes the request to the module. The outcome of an attempt
+// is unknown, so that the explanation ends with the first one.
 func Hypothetical(j *journal.Reader, a HypotheticalRequest) (*Explanation, error) {
 	explanation := &Explanation{Hypothetical: true}
 	t := &tracer{explanation: explanation, id: hypotheticalID}
@@ -151,15 +154,15 @@
 	return explanation, nil
 }
 
-// tracer collects a story.
+// tracer builds an Explanation during a replay.
 type tracer struct {
 	explanation *Explanation
-	id          string
+	id          string // of the request
 	arrived     bool
 	arrivedAt   float64
-	candidates  []Candidate
-	ranges      []spool.Range
-	members     map[string]spool.Member
+	candidates  []Candidate             // considered for the request at the current event
+	ranges      []spool.Range           // after the latest step
+	members     map[string]spool.Member // as listed so far
 }
 
 func (t *tracer) watcher() *replay.Watcher {
@@ -176,6 +179,7 @@
 	}
 }
 
+// observe has the module report the candidates for the request.
 func (t *tracer) observe(c *engine.Core) {
 	c.Explain(func(l spool.Candidate) {
 		if l.Request != t.id {
@@ -189,6 +193,7 @@
 	})
 }
 
+// before is called before an event is handled.
 func (t *tracer) before(e *journal.Entry, c *engine.Core) {
 	t.candidates = nil
 	if ev, ok := e.Event.(spool.Members); ok && !t.arrived {
@@ -209,7 +214,7 @@
 	}
 }
 
-// of is the request that an event or action is of, "" of none.
+// requestID returns the id of the request that an event or action belongs to, or "".
 func requestID(x any) string {
 	switch x := x.(type) {
 	case spool.Request:
@@ -232,6 +237,7 @@
 	return ""
 }
 
+// after is called with the actions for an event, and adds a step if they concern the request.
 func (t *tracer) after(e *journal.Entry, c *engine.Core, acts []spool.Action) {
 	if !t.arrived {
 		return
@@ -265,7 +271,7 @@
 			for i := range t.explanation.Steps[n-1].Candidates {
 				t.explanation.Steps[n-1].Candidates[i].Times++
 			}
-			return // it still waits, for the same reasons
+			return // still queued, for the same reasons
 		}
 	}
 	step.Event = eventText(e.Event, own)
@@ -276,6 +282,7 @@
 	t.explanation.Steps = append(t.explanation.Steps, step)
 }
 
+// sameCandidates reports whether two lists of candidates are equal except for Times.
 func sameCandidates(a, b []Candidate) bool {
 	if len(a) != len(b) {
 		return false
@@ -302,15 +309,15 @@
 	return true
 }
 
-var resultTexts = map[spool.Result]string{spool.OK: "ok", spool.Errored: "error", spool.Rejected: "full", spool.TimedOut: "timeout",
-	spool.ConnectFailed: "connect failed", spool.Reset: "reset", spool.Cancelled: "cancelled", spool.NotSent: "never sent", spool.Miss: "miss",
-	spool.LocalFailure: "not begun here"}
+var resultTexts = map[spool.Result]string{spool.OK: "ok", spool.Errored: "error", spool.Rejected: "rejected", spool.TimedOut: "timeout",
+	spool.ConnectFailed: "connect failed", spool.Reset: "reset", spool.Cancelled: "cancelled", spool.NotSent: "not sent", spool.Miss: "miss",
+	spool.LocalFailure: "local failure"}
 
 func eventText(ev spool.Event, own bool) string {
 	switch ev := ev.(type) {
 	case spool.Request:
 		if own {
-			return fmt.Sprintf("comes: class %s, object %s, part %d, %.0f KB", ev.Class, ev.Object, ev.Part, ev.KB)
+			return fmt.Sprintf("arrives: class %s, object %s, part %d, %.0f KB", ev.Class, ev.Object, ev.Part, ev.KB)
 		}
 	case spool.Outcome:
 		if own {
@@ -318,54 +325,54 @@
 		}
 		return fmt.Sprintf("another request's attempt ends at %s", ev.Cache)
 	case spool.Started:
-		return fmt.Sprintf("the answer of attempt %d at %s has begun", ev.Attempt, ev.Cache)
+		return fmt.Sprintf("the response to attempt %d at %s starts", ev.Attempt, ev.Cache)
 	case spool.Gone:
 		if own {
-			return "its client has left"
+			return "its client has disconnected"
 		}
-		return "another client has left"
+		return "the client of another request has disconnected"
 	case spool.Timer:
-		return "time passes"
+		return "timer"
 	case spool.Members:
-		return fmt.Sprintf("news of %d members", len(ev.Rows))
+		return fmt.Sprintf("update of %d members", len(ev.Rows))
 	}
 	return strings.ToLower(strings.TrimPrefix(fmt.Sprintf("%T", ev), "indigospool."))
 }
 
-// ActionText is an action of a request's in words.
+// ActionText returns the text for an action.
 func ActionText(a spool.Action) string {
 	switch a := a.(type) {
 	case spool.Send:
-		s := "asks " + a.Cache + " for what it holds"
+		s := "asks " + a.Cache + " for its cached copy"
 		if a.Source != a.Cache {
 			s = "has " + a.Cache + " fill it from " + a.Source
 			if a.Held {
-				s += ", if that holds it"
+				s += ", only if cached there"
 			}
 		}
 		if a.Keep == 0 {
-			s = "sends it to " + a.Cache + " by " + a.Source + ", to be passed on"
+			s = "sends it to " + a.Cache + " with source " + a.Source + ", without caching"
 		}
 		if a.Age >= 1e8 {
 			return s + " (copies of any age)"
 		}
 		return fmt.Sprintf("%s (copies up to %.1f ms old)", s, a.Age)
 	case spool.Refuse:
-		return fmt.Sprintf("refuses it: come again in %.0f ms", a.After)
+		return fmt.Sprintf("rejects it: retry after %.0f ms", a.After)
 	case spool.Fail:
-		return "gives it up, with no promise"
+		return "fails it; the request may have run"
 	case spool.Cancel:
-		return fmt.Sprintf("calls attempt %d back", a.Attempt)
+		return fmt.Sprintf("cancels attempt %d", a.Attempt)
 	}
 	return fmt.Sprintf("%T%+v", a, a)
 }
 
-// Text writes a story for reading.
+// Text writes the explanation in a readable form.
 func (s *Explanation) Text(w io.Writer) {
 	q := s.Request
 	kind := "request " + q.ID
 	if s.Hypothetical {
-		kind = "a request that never was"
+		kind = "hypothetical request"
 	}
 	fmt.Fprintf(w, "%s at router %s\n", kind, s.Router)
 	if len(s.Ranges) > 0 {
@@ -387,24 +394,24 @@
 			fmt.Fprintf(w, "%12s> %s\n", "", a)
 		}
 		if st.Waits {
-			fmt.Fprintf(w, "%12s> it waits\n", "")
+			fmt.Fprintf(w, "%12s> waits\n", "")
 		}
 		if len(st.Ranges) > 0 {
-			fmt.Fprintf(w, "%12s  the ranges have moved\n", "")
+			fmt.Fprintf(w, "%12s  the ranges have changed\n", "")
 		}
 	}
 	switch {
 	case s.Hypothetical:
 	case !s.Ended:
-		fmt.Fprintln(w, "the journal ends before its final answer")
+		fmt.Fprintln(w, "the journal ends before the request's final answer")
 	}
 	if !s.Equal {
-		fmt.Fprintln(w, "WARNING: this program's module answers otherwise than the router's did: see spool-replay")
+		fmt.Fprintln(w, "WARNING: this program's module decides differently from the router's: see spool-replay")
 	}
 }
 
-// candidateLines has each member once for each reason, with the passes; those that
-// were only looked at again are left out.
+// candidateLines returns one line for each combination of role, member and reason. Candidates
+// that an earlier pass has considered are left out.
 func candidateLines(candidates []Candidate) (out []string) {
 	type key struct{ as, member, why string }
 	at := map[key]int{}
@@ -422,7 +429,7 @@
 			line += fmt.Sprintf(" (pass %d)", l.Pass+1)
 		}
 		if l.Times > 1 {
-			line += fmt.Sprintf(" (looked at %d times)", l.Times)
+			line += fmt.Sprintf(" (considered %d times)", l.Times)
 		}
 		out = append(out, line)
 	}
@@ -439,7 +446,7 @@
 	return fmt.Sprintf("%s %d to %d", r.Cache, r.From, r.To-1)
 }
 
-// SVG draws the ranges, and where the request's part stands in them.
+// SVG draws the ranges of part indices and marks the request's part.
 func (s *Explanation) SVG(w io.Writer) {
 	const width, height, fontSize = 900, 150, 12
 	last := s.Request.Part + 1
--- a/internal/decisionlog/explain/explain_test.go
+++ b/internal/decisionlog/explain/explain_test.go
@@ -27,7 +27,7 @@
 }
 func (r recorder) SettingsChanged(float64, *config.Settings, []spool.Action) {}
 
-// record tells a core some events and keeps the journal.
+// record passes events to a core that records a journal, and returns a reader of it.
 func record(t *testing.T, tell func(h func(now float64, ev spool.Event) []spool.Action, c *engine.Core)) *journal.Reader {
 	t.Helper()
 	dir := t.TempDir()
@@ -71,12 +71,12 @@
 	return spool.Request{ID: id, Class: "film", Object: "/v/a", Part: part, KB: 10, Deadline: 9000}
 }
 
-// A miss, a fill that is reset, and what comes then: each look is the module's own,
-// and what it says was taken is what was sent.
+// TestExplainRequest checks the explanation of a request with a miss, a fill that is reset and a
+// successful attempt. A candidate that is reported as taken is the one in the action.
 func TestExplainRequest(t *testing.T) {
 	first := ""
 	j := record(t, func(h func(float64, spool.Event) []spool.Action, _ *engine.Core) {
-		send := h(10, filmRequest("q1", 0))[1].(spool.Send) // behind the wish for a wake
+		send := h(10, filmRequest("q1", 0))[1].(spool.Send) // after a Wake
 		first = send.Cache
 		fill := h(12, spool.Outcome{ID: "q1", Cache: send.Cache, Result: spool.Miss, Took: 2})[0].(spool.Send)
 		next := h(15, spool.Outcome{ID: "q1", Cache: fill.Cache, Attempt: 1, Result: spool.Reset, Took: 3})[0].(spool.Send)
@@ -88,26 +88,26 @@
 		t.Fatal(err)
 	}
 	text := textOf(s)
-	for _, want := range []string{"request q1 at router r1", "cache " + first + ": taken", "asks " + first + " for what it holds (copies of any age)",
+	for _, want := range []string{"request q1 at router r1", "cache " + first + ": taken", "asks " + first + " for its cached copy (copies of any age)",
 		"ends: miss after 2.0 ms", "source p: taken", "has " + first + " fill it from p", "ends: reset after 3.0 ms",
 		"cache " + first + ": has let the request down before", "ends: ok after 5.0 ms"} {
 		if !strings.Contains(text, want) {
-			t.Errorf("%q is not told in\n%s", want, text)
+			t.Errorf("%q is not in\n%s", want, text)
 		}
 	}
 	if strings.Contains(text, "other") || strings.Contains(text, "WARNING") || !s.Ended || len(s.Steps) != 4 || len(s.Members) != 4 {
-		t.Errorf("over %v, %d steps:\n%s", s.Ended, len(s.Steps), text)
+		t.Errorf("ended %v, %d steps:\n%s", s.Ended, len(s.Steps), text)
 	}
-	for _, st := range s.Steps { // who is called taken is who is in the action
+	for _, st := range s.Steps { // a candidate reported as taken must be in the action
 		for _, l := range st.Candidates {
 			if l.Why == "taken" && !strings.Contains(strings.Join(st.Actions, " "), l.Member) {
-				t.Errorf("%s is called taken, and done is %v", l.Member, st.Actions)
+				t.Errorf("%s is reported as taken, but the actions are %v", l.Member, st.Actions)
 			}
 		}
 	}
 }
 
-// Why a cache is passed over: each of the reasons that a list can bring about.
+// TestReasons checks the reasons for which candidates are not chosen.
 func TestReasons(t *testing.T) {
 	for _, c := range []struct {
 		name, want string
@@ -133,7 +133,7 @@
 		}},
 		{"budget", "no further attempt may be made", func(h func(float64, spool.Event) []spool.Action, _ *engine.Core) {
 			acts, n := h(10, filmRequest("q", 0)), 0
-			for at := 11.0; at < 3000; at += 25 { // what the origin turned away is held for a while
+			for at := 11.0; at < 3000; at += 25 { // a request that the origin rejected is queued for a while
 				i := slices.IndexFunc(acts, func(a spool.Action) bool { _, ok := a.(spool.Send); return ok })
 				if i < 0 {
 					acts = h(at, spool.Timer{})
@@ -150,16 +150,17 @@
 			continue
 		}
 		if text := textOf(s); !strings.Contains(text, c.want) {
-			t.Errorf("%s: %q is not told in\n%s", c.name, c.want, text)
+			t.Errorf("%s: %q is not in\n%s", c.name, c.want, text)
 		}
 	}
 }
 
-// What never was: the module says what it would do, at the end and before.
+// TestHypothetical checks explanations of hypothetical requests, at the journal's end and at an
+// earlier time.
 func TestHypothetical(t *testing.T) {
 	j := func() *journal.Reader {
 		return record(t, func(h func(float64, spool.Event) []spool.Action, c *engine.Core) {
-			for i := range 130 { // ranges begin with 128
+			for i := range 130 { // ranges are computed from 128 requests on
 				id := fmt.Sprint("q", i)
 				for _, a := range h(float64(10+i), filmRequest(id, i%10)) {
 					if s, ok := a.(spool.Send); ok {
@@ -177,7 +178,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if text := textOf(s); len(s.Steps) != 1 || !strings.Contains(text, "a request that never was at router r1") || strings.Contains(text, "b1: taken") ||
+	if text := textOf(s); len(s.Steps) != 1 || !strings.Contains(text, "hypothetical request at router r1") || strings.Contains(text, "b1: taken") ||
 		len(s.Ranges) != 1 || s.Ranges[0].Cache != "b2" {
 		t.Errorf("at the end:\n%s", text)
 	}
@@ -191,7 +192,7 @@
 	var svg strings.Builder
 	s.SVG(&svg)
 	if !strings.Contains(svg.String(), "b1</text>") || !strings.Contains(svg.String(), "part 0 of /v/new") {
-		t.Errorf("the picture: %s", svg.String())
+		t.Errorf("SVG: %s", svg.String())
 	}
 	if _, err := Hypothetical(j(), HypotheticalRequest{Class: "none", Object: "/x"}); err == nil || !strings.Contains(err.Error(), "the router's are still, film") {
 		t.Errorf("an unknown class: %v", err)
