--- a/internal/decisionlog/explain/explain.go
+++ b/internal/decisionlog/explain/explain.go
@@ -51,12 +51,12 @@
 }
 
 var reasonTexts = map[spool.Reason]string{
-	spool.ReasonAccepted: "taken", spool.ReasonOverLoadBound: "holds more than its share", spool.ReasonFailedBefore: "has let the request down before",
-	spool.ReasonAlreadyConsidered: "was looked at before", spool.ReasonOutsideKeyScope: "is outside of the group that drops its repeats",
-	spool.ReasonUnavailable: "drains or is gone", spool.ReasonEjected: "is suspect, and due for no trial by it",
-	spool.ReasonAtConcurrencyLimit: "holds as much as it bears", spool.ReasonSlowStartExhausted: "is cold, and its budget is spent",
-	spool.ReasonLinkAtLimit: "the location's link bears no further fill now", spool.ReasonAttemptsExhausted: "no further attempt may be made",
-	spool.ReasonNoMember: "nobody is there to ask",
+	spool.ReasonAccepted: "taken", spool.ReasonOverLoadBound: "is loaded above the bound", spool.ReasonFailedBefore: "failed an earlier attempt of the request",
+	spool.ReasonAlreadyConsidered: "was considered before", spool.ReasonOutsideKeyScope: "is outside the scope of the request's idempotency key",
+	spool.ReasonUnavailable: "is draining or removed", spool.ReasonEjected: "is ejected, and the request may not be its health check",
+	spool.ReasonAtConcurrencyLimit: "is at its concurrency limit", spool.ReasonSlowStartExhausted: "is warming up, and has no slow-start tokens left",
+	spool.ReasonLinkAtLimit: "the link into the zone is at its concurrency limit", spool.ReasonAttemptsExhausted: "no further attempt is allowed",
+	spool.ReasonNoMember: "no member of the required role is available",
 }
 
 // ReasonText returns the text for a reason.
--- a/internal/decisionlog/explain/explain_test.go
+++ b/internal/decisionlog/explain/explain_test.go
@@ -90,7 +90,7 @@
 	text := textOf(s)
 	for _, want := range []string{"request q1 at router r1", "cache " + first + ": taken", "asks " + first + " for its cached copy (copies of any age)",
 		"ends: miss after 2.0 ms", "source p: taken", "has " + first + " fill it from p", "ends: reset after 3.0 ms",
-		"cache " + first + ": has let the request down before", "ends: ok after 5.0 ms"} {
+		"cache " + first + ": failed an earlier attempt of the request", "ends: ok after 5.0 ms"} {
 		if !strings.Contains(text, want) {
 			t.Errorf("%q is not in\n%s", want, text)
 		}
@@ -113,14 +113,14 @@
 		name, want string
 		tell       func(h func(float64, spool.Event) []spool.Action, c *engine.Core)
 	}{
-		{"cold", "is cold, and its budget is spent", func(h func(float64, spool.Event) []spool.Action, c *engine.Core) {
+		{"slow start", "is warming up, and has no slow-start tokens left", func(h func(float64, spool.Event) []spool.Action, c *engine.Core) {
 			for _, ev := range c.Apply(5, engine.UpdateFromVersion(1, []config.Member{{ID: "b1", Zone: "z", Kind: "box", State: "serving", Start: 2},
 				{ID: "b2", Zone: "z", Kind: "box", State: "serving", Start: 2}}, true)).Events {
 				h(5, ev)
 			}
 			h(10, filmRequest("q", 0))
 		}},
-		{"suspect", "is suspect, and due for no trial by it", func(h func(float64, spool.Event) []spool.Action, _ *engine.Core) {
+		{"ejected", "is ejected, and the request may not be its health check", func(h func(float64, spool.Event) []spool.Action, _ *engine.Core) {
 			for i := range 40 {
 				id := fmt.Sprint("x", i)
 				for _, a := range h(float64(10+i), filmRequest(id, 0)) {
@@ -131,7 +131,7 @@
 			}
 			h(60, filmRequest("q", 0))
 		}},
-		{"budget", "no further attempt may be made", func(h func(float64, spool.Event) []spool.Action, _ *engine.Core) {
+		{"attempts", "no further attempt is allowed", func(h func(float64, spool.Event) []spool.Action, _ *engine.Core) {
 			acts, n := h(10, filmRequest("q", 0)), 0
 			for at := 11.0; at < 3000; at += 25 { // a request that the origin rejected is queued for a while
 				i := slices.IndexFunc(acts, func(a spool.Action) bool { _, ok := a.(spool.Send); return ok })
