--- a/internal/decisionlog/whatif/boxes.go
+++ b/internal/decisionlog/whatif/boxes.go
@@ -80,35 +80,35 @@
 
 // Update starts members, and has them heed purges. All routers tell it: what is
 // known already changes nothing.
-func (w *CacheModels) Update(now float64, ev spool.Event) {
+func (c *CacheModels) Update(now float64, ev spool.Event) {
 	switch ev := ev.(type) {
 	case spool.Members:
 		for _, r := range ev.Rows {
-			m := w.members[r.ID]
+			m := c.members[r.ID]
 			if m != nil && (math.Abs(m.listed.ReadyAt-r.ReadyAt) < 1 || r.ReadyAt <= 0 || r.State != spool.Serving) { // each router works out its own
 				m.listed.State = r.State
 				continue
 			}
-			w.members[r.ID] = w.newMember(now, r)
+			c.members[r.ID] = c.newMember(now, r)
 		}
 	case spool.Purge:
-		for _, m := range w.members {
+		for _, m := range c.members {
 			m.cache.Purge(ev.Object, ev.Group, now-ev.Age)
 		}
 	}
 }
 
-func (w *CacheModels) newMember(now float64, r spool.Member) *memberModel {
-	m := &memberModel{id: r.ID, role: "box", listed: r, capacity: w.options.Capacity, second: int(now / 1000)}
-	if w.options.SizeIsCapacity && r.Size > 0 {
+func (c *CacheModels) newMember(now float64, r spool.Member) *memberModel {
+	m := &memberModel{id: r.ID, role: "box", listed: r, capacity: c.options.Capacity, second: int(now / 1000)}
+	if c.options.SizeIsCapacity && r.Size > 0 {
 		m.capacity = r.Size
 	}
-	s := httpcache.Settings{Name: r.ID, Bytes: w.options.StoreBytes, Capacity: m.capacity, WarmUpInitialShare: w.options.WarmUpInitialShare, WarmUpTime: w.options.WarmUpTime,
-		OverloadFactor: w.options.OverloadFactor, OverloadTime: w.options.OverloadTime}
+	s := httpcache.Settings{Name: r.ID, Bytes: c.options.StoreBytes, Capacity: m.capacity, WarmUpInitialShare: c.options.WarmUpInitialShare, WarmUpTime: c.options.WarmUpTime,
+		OverloadFactor: c.options.OverloadFactor, OverloadTime: c.options.OverloadTime}
 	switch {
-	case r.Kind == w.options.ParentKind && r.Kind != "":
-		m.role, s.WarmUpInitialShare, s.WarmUpTime, s.OverloadFactor = "parent", w.options.ParentWarmUpInitialShare, w.options.ParentWarmUpTime, w.options.ParentOverloadFactor
-	case r.Kind == w.options.OriginKind && r.Kind != "":
+	case r.Kind == c.options.ParentKind && r.Kind != "":
+		m.role, s.WarmUpInitialShare, s.WarmUpTime, s.OverloadFactor = "parent", c.options.ParentWarmUpInitialShare, c.options.ParentWarmUpTime, c.options.ParentOverloadFactor
+	case r.Kind == c.options.OriginKind && r.Kind != "":
 		m.role = "origin"
 	}
 	m.cache = httpcache.New(s, max(r.ReadyAt, 1e-6), r.ReadyAt <= 0)
@@ -116,56 +116,56 @@
 }
 
 // Attempt answers from the copy that is held, fills it, or misses.
-func (w *CacheModels) Attempt(now float64, q *spool.Request, _ int, s *spool.Send) Answer {
-	m := w.members[s.Cache]
+func (c *CacheModels) Attempt(now float64, q *spool.Request, _ int, s *spool.Send) Answer {
+	m := c.members[s.Cache]
 	if m == nil {
-		return Answer{Result: spool.ConnectFailed, Took: w.options.MissLatency}
+		return Answer{Result: spool.ConnectFailed, Took: c.options.MissLatency}
 	}
 	kb := max(q.KB, 0.001)
-	if w.addLoad(now, m, kb/w.options.TransferRate, kb, false) {
-		return Answer{Result: spool.Reset, Took: w.options.MissLatency}
+	if c.addLoad(now, m, kb/c.options.TransferRate, kb, false) {
+		return Answer{Result: spool.Reset, Took: c.options.MissLatency}
 	}
-	took := kb / w.options.TransferRate * m.slowdown(now)
+	took := kb / c.options.TransferRate * m.slowdown(now)
 	if m.role == "origin" || q.Write {
-		return Answer{Result: spool.OK, FirstByte: w.options.SourceLatency, Took: w.options.SourceLatency + took}
+		return Answer{Result: spool.OK, FirstByte: c.options.SourceLatency, Took: c.options.SourceLatency + took}
 	}
 	key := keyOf(q)
 	if m.cache.Lookup(now, key, s.Age, s.Keep) != nil {
 		m.transfers++
-		return Answer{Result: spool.OK, Note: spool.NoteHit, FirstByte: w.options.MissLatency, Took: w.options.MissLatency + took}
+		return Answer{Result: spool.OK, Note: spool.NoteHit, FirstByte: c.options.MissLatency, Took: c.options.MissLatency + took}
 	}
 	if s.Source == s.Cache {
-		return Answer{Result: spool.Miss, Took: w.options.MissLatency}
+		return Answer{Result: spool.Miss, Took: c.options.MissLatency}
 	}
-	src := w.members[s.Source]
+	src := c.members[s.Source]
 	if src == nil || src.failedAt > 0 {
-		return Answer{Result: spool.Rejected, Note: spool.NoteSourceUnreachable, Took: w.options.MissLatency}
+		return Answer{Result: spool.Rejected, Note: spool.NoteSourceUnreachable, Took: c.options.MissLatency}
 	}
-	begins, note := w.options.SourceLatency, spool.NoteFilled
+	begins, note := c.options.SourceLatency, spool.NoteFilled
 	switch {
 	case src.cache.Lookup(now, key, s.Age, 0) != nil:
 	case s.Held:
-		return Answer{Result: spool.Rejected, Note: spool.NoteSourceMiss, Took: 2 * w.options.MissLatency}
+		return Answer{Result: spool.Rejected, Note: spool.NoteSourceMiss, Took: 2 * c.options.MissLatency}
 	case src.role == "parent": // it fetches it from the origin first
-		begins += w.options.SourceLatency
-		w.store(now, src, q, 1)
+		begins += c.options.SourceLatency
+		c.store(now, src, q, 1)
 	case src.role == "origin":
 		note = spool.NoteFilledByOrigin
 	}
-	if w.addLoad(now, src, kb/w.options.TransferRate, kb, true) {
-		return Answer{Result: spool.Rejected, Note: spool.NoteSourceUnreachable, Took: w.options.MissLatency}
+	if c.addLoad(now, src, kb/c.options.TransferRate, kb, true) {
+		return Answer{Result: spool.Rejected, Note: spool.NoteSourceUnreachable, Took: c.options.MissLatency}
 	}
 	m.transfers++
 	src.transfers++
-	return Answer{Result: spool.OK, Note: note, FirstByte: begins, Took: begins + max(took, kb/w.options.FillRate*src.slowdown(now))}
+	return Answer{Result: spool.OK, Note: note, FirstByte: begins, Took: begins + max(took, kb/c.options.FillRate*src.slowdown(now))}
 }
 
 // AttemptEnded frees what an attempt took, and keeps what a fill has brought.
-func (w *CacheModels) AttemptEnded(now float64, q *spool.Request, s *spool.Send, a *Answer, result spool.Result) {
+func (c *CacheModels) AttemptEnded(now float64, q *spool.Request, s *spool.Send, a *Answer, result spool.Result) {
 	if a.Result != spool.OK {
 		return
 	}
-	m, src := w.members[s.Cache], w.members[s.Source]
+	m, src := c.members[s.Cache], c.members[s.Source]
 	if m == nil || m.role == "origin" || q.Write {
 		return
 	}
@@ -175,11 +175,11 @@
 	}
 	src.transfers = max(src.transfers-1, 0)
 	if result == spool.OK && s.Keep > 0 {
-		w.store(now, m, q, s.Keep)
+		c.store(now, m, q, s.Keep)
 	}
 }
 
-func (w *CacheModels) store(now float64, m *memberModel, q *spool.Request, rank int) {
+func (c *CacheModels) store(now float64, m *memberModel, q *spool.Request, rank int) {
 	f := m.cache.BeginFill(now, keyOf(q))
 	if f == nil {
 		return
@@ -201,8 +201,8 @@
 
 // addLoad books sending time; it reports whether the member is down, having been
 // given more than it bears while it is cold.
-func (w *CacheModels) addLoad(now float64, m *memberModel, work, kb float64, source bool) (down bool) {
-	w.reportUsage(now, m)
+func (c *CacheModels) addLoad(now float64, m *memberModel, work, kb float64, source bool) (down bool) {
+	c.reportUsage(now, m)
 	m.usage.SendMillis += work
 	m.usage.KB += kb
 	if m.usage.Attempts++; source {
@@ -219,26 +219,26 @@
 }
 
 // reportUsage tells of the seconds that have passed.
-func (w *CacheModels) reportUsage(now float64, m *memberModel) {
+func (c *CacheModels) reportUsage(now float64, m *memberModel) {
 	if sec := int(now / 1000); sec > m.second {
-		if w.OnUsage != nil {
+		if c.OnUsage != nil {
 			m.usage.CapacityMillis = m.cache.Capacity(float64(m.second+1)*1000) * 1000
-			w.OnUsage(m.id, m.second, &m.usage)
+			c.OnUsage(m.id, m.second, &m.usage)
 		}
 		m.second, m.usage = sec, Usage{}
 	}
 }
 
 // Finish tells of the last seconds.
-func (w *CacheModels) Finish(now float64) {
-	for _, m := range w.members {
-		w.reportUsage(now+1000, m)
+func (c *CacheModels) Finish(now float64) {
+	for _, m := range c.members {
+		c.reportUsage(now+1000, m)
 	}
 }
 
 // FailedAt is when a member fell over; 0: it did not.
-func (w *CacheModels) FailedAt(id string) float64 {
-	if m := w.members[id]; m != nil {
+func (c *CacheModels) FailedAt(id string) float64 {
+	if m := c.members[id]; m != nil {
 		return m.failedAt
 	}
 	return 0
--- a/internal/decisionlog/whatif/compare.go
+++ b/internal/decisionlog/whatif/compare.go
@@ -274,9 +274,9 @@
 		sd := &simulation{sim: &Sim{Explain: true}, risks: c.risks[i]}
 		sd.risks.startRun(s)
 		sd.sim.Watch = Watcher{
-			AttemptSent: func(r *Router, h *RequestState, s *spool.Send, candidates []spool.Candidate) {
-				sd.risks.attemptSent(sd.sim.Now, h, s)
-				if p := c.pairs[h.Request.ID]; p != nil {
+			AttemptSent: func(r *Router, state *RequestState, s *spool.Send, candidates []spool.Candidate) {
+				sd.risks.attemptSent(sd.sim.Now, state, s)
+				if p := c.pairs[state.Request.ID]; p != nil {
 					p.steps[i] = append(p.steps[i], step{s.Cache, s.Source, candidates})
 				}
 				load := c.load(s.Cache, i)
@@ -287,8 +287,8 @@
 					c.load(s.Source, i).Fills++
 				}
 			},
-			RequestWaits: func(_ *Router, h *RequestState, candidates []spool.Candidate) {
-				if p := c.pairs[h.Request.ID]; p != nil {
+			RequestWaits: func(_ *Router, state *RequestState, candidates []spool.Candidate) {
+				if p := c.pairs[state.Request.ID]; p != nil {
 					p.steps[i] = append(p.steps[i], step{candidates: candidates})
 				}
 			},
@@ -297,9 +297,9 @@
 				load.concurrent--
 				load.BusyMs += t.Took
 			},
-			RequestEnded: func(_ *Router, h *RequestState) {
-				sd.risks.requestEnded(sd.sim.Now, h)
-				c.requestEnded(i, h)
+			RequestEnded: func(_ *Router, state *RequestState) {
+				sd.risks.requestEnded(sd.sim.Now, state)
+				c.requestEnded(i, state)
 			},
 		}
 		sd.router = sd.sim.Add(l.Name, co, m.Members(slow))
@@ -417,21 +417,21 @@
 }
 
 // requestEnded takes a request that is over in one run; it is compared once it is in both.
-func (c *comparison) requestEnded(i int, h *RequestState) {
-	p := c.pairs[h.Request.ID]
+func (c *comparison) requestEnded(i int, state *RequestState) {
+	p := c.pairs[state.Request.ID]
 	if p == nil {
 		return
 	}
-	if p.states[i], p.ended[i] = h, true; !p.ended[0] || !p.ended[1] {
+	if p.states[i], p.ended[i] = state, true; !p.ended[0] || !p.ended[1] {
 		return
 	}
-	delete(c.pairs, h.Request.ID)
+	delete(c.pairs, state.Request.ID)
 	if p.states[0].End == Unfinished || p.states[1].End == Unfinished {
 		c.result.Unfinished++
 		return
 	}
-	k := c.class(h.Request.Class)
-	aim := c.objectives[h.Request.Class]
+	k := c.class(state.Request.Class)
+	aim := c.objectives[state.Request.Class]
 	for i, sd := range []*Totals{&k.Baseline, &k.Modified} {
 		sd.count(p.states[i], aim, c.transferRate)
 	}
@@ -453,28 +453,28 @@
 		c.result.Changed++
 		one := c.causes[[2]string{k.Class, why}]
 		if one == nil {
-			one = &Cause{Class: k.Class, Why: why, First: h.Request.ID}
+			one = &Cause{Class: k.Class, Why: why, First: state.Request.ID}
 			c.causes[[2]string{k.Class, why}] = one
 		}
 		one.Count++
 	}
 }
 
-func (s *Totals) count(h *RequestState, k config.Class, flow float64) {
+func (s *Totals) count(state *RequestState, k config.Class, flow float64) {
 	s.Requests++
-	for _, t := range h.Attempts {
+	for _, t := range state.Attempts {
 		s.Attempts++
 		if kindOf(&t.Send) == fill {
 			s.Fills++
 		}
 	}
-	switch h.End {
+	switch state.End {
 	case Served:
-		took := h.EndedAt - h.ArrivedAt
+		took := state.EndedAt - state.ArrivedAt
 		s.hist.RecordValue(max(int64(took*1000), 1))
 		aim := k.LatencyObjective
 		if flow > 0 {
-			aim += k.ObjectivePerSendTime * h.Request.KB / flow
+			aim += k.ObjectivePerSendTime * state.Request.KB / flow
 		}
 		if took <= aim {
 			s.InTime++
--- a/internal/decisionlog/whatif/recorded.go
+++ b/internal/decisionlog/whatif/recorded.go
@@ -117,25 +117,25 @@
 }
 
 // sent hears of a recorded attempt.
-func (m *AttemptHistory) sent(t float64, q *spool.Request, n int, s *spool.Send) {
-	m.openAttempts[attemptKey{s.ID, n}] = &openAttempt{send: *s, class: q.Class, object: q.Object, part: q.Part, sentAt: t}
+func (h *AttemptHistory) sent(t float64, q *spool.Request, n int, s *spool.Send) {
+	h.openAttempts[attemptKey{s.ID, n}] = &openAttempt{send: *s, class: q.Class, object: q.Object, part: q.Part, sentAt: t}
 }
 
-func (m *AttemptHistory) started(t float64, id string, n int) {
-	if r := m.openAttempts[attemptKey{id, n}]; r != nil {
+func (h *AttemptHistory) started(t float64, id string, n int) {
+	if r := h.openAttempts[attemptKey{id, n}]; r != nil {
 		r.firstByte = max(t-r.sentAt, 0.001)
 	}
 }
 
 // ended hears of a recorded outcome.
-func (m *AttemptHistory) ended(ev *spool.Outcome) {
+func (h *AttemptHistory) ended(ev *spool.Outcome) {
 	k := attemptKey{ev.ID, ev.Attempt}
-	r := m.openAttempts[k]
+	r := h.openAttempts[k]
 	if r == nil {
 		return
 	}
-	delete(m.openAttempts, k)
-	m.Attempts++
+	delete(h.openAttempts, k)
+	h.Attempts++
 	one := sample{sentAt: r.sentAt, firstByte: r.firstByte, took: ev.Took, result: ev.Result, note: ev.Note}
 	if len(ev.Load) > 0 {
 		one.load = append([]float64(nil), ev.Load...)
@@ -143,10 +143,10 @@
 	if ev.Result == spool.NotSent || ev.Result == spool.LocalFailure { // it never went anywhere
 		return
 	}
-	addSample(m.byMember, r.send.Cache, one)
+	addSample(h.byMember, r.send.Cache, one)
 	kind := kindOf(&r.send)
 	if kind != fill {
-		m.Lookups++
+		h.Lookups++
 	}
 	hit := ev.Result == spool.OK
 	if !hit && ev.Result != spool.Miss && !(kind == fillIfHeld && ev.Note == spool.NoteSourceMiss) {
@@ -154,8 +154,8 @@
 	}
 	if kind == lookup {
 		c := copyKey{r.send.Cache, r.object, r.part}
-		if _, seen := m.firstLookup[c]; !seen {
-			m.firstLookup[c] = hit
+		if _, seen := h.firstLookup[c]; !seen {
+			h.firstLookup[c] = hit
 		}
 	}
 	for _, k := range []poolKey{
@@ -164,7 +164,7 @@
 		{"", "", r.class, kind, hit},
 		{"", "", "", kind, hit},
 	} {
-		addSample(m.pools, k, one)
+		addSample(h.pools, k, one)
 	}
 }
 
@@ -180,21 +180,21 @@
 }
 
 // finish ends the learning.
-func (m *AttemptHistory) finish() {
-	for _, p := range m.pools {
+func (h *AttemptHistory) finish() {
+	for _, p := range h.pools {
 		p.sort()
 	}
-	for _, p := range m.byMember {
+	for _, p := range h.byMember {
 		p.sort()
 	}
-	m.openAttempts = nil
+	h.openAttempts = nil
 }
 
 // match is the sample most like what is asked for: of the same cache, source and
 // class where there is one, else of the same cache, of the class, or of any.
-func (m *AttemptHistory) match(t float64, s *spool.Send, class string, kind attemptKind, hit bool) *sample {
+func (h *AttemptHistory) match(t float64, s *spool.Send, class string, kind attemptKind, hit bool) *sample {
 	for _, k := range []poolKey{{s.Cache, s.Source, class, kind, hit}, {s.Cache, "", class, kind, hit}, {"", "", class, kind, hit}, {"", "", "", kind, hit}} {
-		if one := m.pools[k].nearest(t); one != nil {
+		if one := h.pools[k].nearest(t); one != nil {
 			return one
 		}
 	}
@@ -218,55 +218,55 @@
 
 // Members begins a run before the model's members; slow has how many times as long
 // members take.
-func (m *AttemptHistory) Members(slowdown map[string]float64) *RecordedMembers {
-	return &RecordedMembers{history: m, slowdown: slowdown, createdAt: map[copyKey]float64{}, objectPurges: map[string]float64{}, groupPurges: map[int]float64{},
+func (h *AttemptHistory) Members(slowdown map[string]float64) *RecordedMembers {
+	return &RecordedMembers{history: h, slowdown: slowdown, createdAt: map[copyKey]float64{}, objectPurges: map[string]float64{}, groupPurges: map[int]float64{},
 		emptiedAt: map[string]float64{}, readyAt: map[string]float64{}}
 }
 
 // Update follows starts and purges.
-func (w *RecordedMembers) Update(now float64, ev spool.Event) {
+func (m *RecordedMembers) Update(now float64, ev spool.Event) {
 	switch ev := ev.(type) {
 	case spool.Members:
 		for _, r := range ev.Rows {
-			if was, known := w.readyAt[r.ID]; known && r.ReadyAt != was && r.State == spool.Serving {
-				w.emptiedAt[r.ID] = now
+			if previous, known := m.readyAt[r.ID]; known && r.ReadyAt != previous && r.State == spool.Serving {
+				m.emptiedAt[r.ID] = now
 			}
-			w.readyAt[r.ID] = r.ReadyAt
+			m.readyAt[r.ID] = r.ReadyAt
 		}
 	case spool.Purge:
 		if ev.Object != "" {
-			w.objectPurges[ev.Object] = max(w.objectPurges[ev.Object], now-ev.Age)
+			m.objectPurges[ev.Object] = max(m.objectPurges[ev.Object], now-ev.Age)
 		} else {
-			w.groupPurges[ev.Group] = max(w.groupPurges[ev.Group], now-ev.Age)
+			m.groupPurges[ev.Group] = max(m.groupPurges[ev.Group], now-ev.Age)
 		}
 	}
 }
 
-const beforeRun = -1e12 // when copies were born that a cache held from the beginning
+const createdBeforeRun = -1e12 // when copies were born that a cache held from the beginning
 
 // holds reports whether a cache has a copy of at most an age.
-func (w *RecordedMembers) holds(now float64, cache string, q *spool.Request, age float64) bool {
+func (m *RecordedMembers) holds(now float64, cache string, q *spool.Request, age float64) bool {
 	k := copyKey{cache, q.Object, q.Part}
-	born, ok := w.createdAt[k]
-	if !ok && w.history.firstLookup[k] {
-		born, ok = beforeRun, true
+	created, ok := m.createdAt[k]
+	if !ok && m.history.firstLookup[k] {
+		created, ok = createdBeforeRun, true
 	}
-	if at, wiped := w.emptiedAt[cache]; !ok || wiped && born < at {
+	if at, emptied := m.emptiedAt[cache]; !ok || emptied && created < at {
 		return false
 	}
-	if born == beforeRun && age >= 1e8 {
+	if created == createdBeforeRun && age >= 1e8 {
 		return true
 	}
-	if born < w.objectPurges[q.Object] || born < w.groupPurges[q.Group] {
+	if created < m.objectPurges[q.Object] || created < m.groupPurges[q.Group] {
 		return false
 	}
-	return now-born <= age
+	return now-created <= age
 }
 
 // Attempt answers as the recorded attempt did that is most like it.
-func (w *RecordedMembers) Attempt(now float64, q *spool.Request, _ int, s *spool.Send) Answer {
-	if one := w.history.byMember[s.Cache].nearest(now); one != nil && one.isTransientFault() {
-		a := w.answer(one, s)
+func (m *RecordedMembers) Attempt(now float64, q *spool.Request, _ int, s *spool.Send) Answer {
+	if one := m.history.byMember[s.Cache].nearest(now); one != nil && one.isTransientFault() {
+		a := m.answer(one, s)
 		if one.result == spool.Cancelled { // it was given up, or its client was: nobody knows what would have come
 			a.Unanswered = true
 		}
@@ -276,12 +276,12 @@
 	hit := true
 	switch kind {
 	case lookup:
-		hit = w.holds(now, s.Cache, q, s.Age)
+		hit = m.holds(now, s.Cache, q, s.Age)
 	case fillIfHeld:
-		hit = w.holds(now, s.Source, q, s.Age)
+		hit = m.holds(now, s.Source, q, s.Age)
 	}
-	if one := w.history.match(now, s, q.Class, kind, hit); one != nil {
-		a := w.answer(one, s)
+	if one := m.history.match(now, s, q.Class, kind, hit); one != nil {
+		a := m.answer(one, s)
 		if hit != (a.Result == spool.OK) {
 			a.Result = spool.OK
 		}
@@ -297,10 +297,10 @@
 	return Answer{Result: spool.OK, FirstByte: took / 2, Took: took}
 }
 
-func (w *RecordedMembers) answer(one *sample, s *spool.Send) Answer {
+func (m *RecordedMembers) answer(one *sample, s *spool.Send) Answer {
 	factor := 1.0
 	for _, id := range []string{s.Cache, s.Source} {
-		if f := w.slowdown[id]; f > 0 {
+		if f := m.slowdown[id]; f > 0 {
 			factor = max(factor, f)
 		}
 	}
@@ -308,8 +308,8 @@
 }
 
 // AttemptEnded keeps what a fill has brought.
-func (w *RecordedMembers) AttemptEnded(now float64, q *spool.Request, s *spool.Send, a *Answer, result spool.Result) {
+func (m *RecordedMembers) AttemptEnded(now float64, q *spool.Request, s *spool.Send, a *Answer, result spool.Result) {
 	if result == spool.OK && s.Source != s.Cache && s.Keep > 0 {
-		w.createdAt[copyKey{s.Cache, q.Object, q.Part}] = now - a.Took
+		m.createdAt[copyKey{s.Cache, q.Object, q.Part}] = now - a.Took
 	}
 }
--- a/internal/decisionlog/whatif/risk.go
+++ b/internal/decisionlog/whatif/risk.go
@@ -91,17 +91,17 @@
 }
 
 // attemptSent judges an attempt: rules 2 to 5.
-func (r *riskChecker) attemptSent(now float64, h *RequestState, s *spool.Send) {
-	k := r.classes[h.Request.Class]
-	if n := len(h.Attempts) - 1; n > 0 {
+func (r *riskChecker) attemptSent(now float64, state *RequestState, s *spool.Send) {
+	k := r.classes[state.Request.Class]
+	if n := len(state.Attempts) - 1; n > 0 {
 		mayHaveRun := -1 // the first attempt that may have run
-		for i, t := range h.Attempts[:n] {
+		for i, t := range state.Attempts[:n] {
 			if mayHaveRun < 0 && (!t.Done || !t.Result.NotExecuted()) {
 				mayHaveRun = i
 			}
 		}
-		if mayHaveRun >= 0 && (k.Idempotency == "single-shot" || k.Idempotency == "guarded" && now-h.Attempts[mayHaveRun].SentAt > k.KeyWindow) {
-			r.record(2, "%s of class %s, attempt %d %.0f ms after one that may have run", h.Request.ID, k.Name, n, now-h.Attempts[mayHaveRun].SentAt)
+		if mayHaveRun >= 0 && (k.Idempotency == "single-shot" || k.Idempotency == "guarded" && now-state.Attempts[mayHaveRun].SentAt > k.KeyWindow) {
+			r.record(2, "%s of class %s, attempt %d %.0f ms after one that may have run", state.Request.ID, k.Name, n, now-state.Attempts[mayHaveRun].SentAt)
 		}
 	}
 	members := []string{s.Cache, s.Source}
@@ -110,22 +110,22 @@
 	}
 	for _, id := range members {
 		if since, ok := r.unavailableSince[id]; ok && now-since > r.settings.Rules.DrainGrace {
-			r.record(3, "%s to %s, %.0f ms after it was told out", h.Request.ID, id, now-since)
+			r.record(3, "%s to %s, %.0f ms after it was told out", state.Request.ID, id, now-since)
 		}
-		r.checkWarmUp(now, id, h, k)
+		r.checkWarmUp(now, id, state, k)
 	}
-	purgedAt, purged := r.objectPurges[h.Request.Object]
-	if g, ok := r.groupPurges[h.Request.Group]; ok && (!purged || g > purgedAt) {
+	purgedAt, purged := r.objectPurges[state.Request.Object]
+	if g, ok := r.groupPurges[state.Request.Group]; ok && (!purged || g > purgedAt) {
 		purgedAt, purged = g, true
 	}
 	if purged && now-purgedAt < r.settings.Rules.PurgeTime && s.Age > now-purgedAt+1 && !k.Write {
-		r.record(5, "%s takes copies up to %.0f ms old, %.0f ms after a purge", h.Request.ID, s.Age, now-purgedAt)
+		r.record(5, "%s takes copies up to %.0f ms old, %.0f ms after a purge", state.Request.ID, s.Age, now-purgedAt)
 	}
 }
 
 // checkWarmUp judges what a member is sent while it is cold, where its capacity is told:
 // this router's share of what it bears, over each span of FallTime.
-func (r *riskChecker) checkWarmUp(now float64, id string, h *RequestState, k config.Class) {
+func (r *riskChecker) checkWarmUp(now float64, id string, state *RequestState, k config.Class) {
 	m, ru := r.listed[id], r.settings.Rules
 	from, span, factor, of := ru.WarmUpInitialShare, ru.WarmUpTime, ru.OverloadFactor, r.zoneRouters()
 	if m.Kind == r.settings.Fill.ParentKind {
@@ -135,7 +135,7 @@
 	if m.ReadyAt <= 0 || age >= span || span <= 0 || !r.settings.Fill.SizeIsCapacity || m.Size <= 0 || m.Kind == r.settings.Fill.OriginKind || r.settings.Fill.FlowKBPerMs <= 0 {
 		return
 	}
-	list := append(r.warmUpWork[id], work{now, h.Request.KB / r.settings.Fill.FlowKBPerMs})
+	list := append(r.warmUpWork[id], work{now, state.Request.KB / r.settings.Fill.FlowKBPerMs})
 	for len(list) > 0 && list[0].t <= now-ru.OverloadTime {
 		list = list[1:]
 	}
@@ -146,7 +146,7 @@
 	}
 	limit := factor * m.Size * (from + (1-from)*max(age, 0)/span) * ru.OverloadTime / float64(of)
 	if len(list) > 1 && sum > limit {
-		r.record(4, "%s to %s, up for %.0f ms: %.0f ms of sending in %.0f ms, its share is %.0f", h.Request.ID, id, age, sum, ru.OverloadTime, limit)
+		r.record(4, "%s to %s, up for %.0f ms: %.0f ms of sending in %.0f ms, its share is %.0f", state.Request.ID, id, age, sum, ru.OverloadTime, limit)
 	}
 }
 
@@ -161,9 +161,9 @@
 }
 
 // requestEnded judges the end of a request: rule 1.
-func (r *riskChecker) requestEnded(now float64, h *RequestState) {
-	if h.End != Unfinished && h.End != ClientLeft && !h.started && now > h.Request.Deadline+r.settings.Limits.AnswerSlack {
-		r.record(1, "%s, %.0f ms past its deadline", h.Request.ID, now-h.Request.Deadline)
+func (r *riskChecker) requestEnded(now float64, state *RequestState) {
+	if state.End != Unfinished && state.End != ClientLeft && !state.started && now > state.Request.Deadline+r.settings.Limits.AnswerSlack {
+		r.record(1, "%s, %.0f ms past its deadline", state.Request.ID, now-state.Request.Deadline)
 	}
 }
 
--- a/internal/decisionlog/whatif/sim.go
+++ b/internal/decisionlog/whatif/sim.go
@@ -43,10 +43,10 @@
 
 // Watcher sees a run as it goes. Its functions may be nil.
 type Watcher struct {
-	AttemptSent  func(r *Router, h *RequestState, s *spool.Send, candidates []spool.Candidate)
-	RequestWaits func(r *Router, h *RequestState, candidates []spool.Candidate) // nothing was sent, and it is not over
-	AttemptEnded func(r *Router, h *RequestState, t *Attempt)                   // an attempt is over
-	RequestEnded func(r *Router, h *RequestState)                               // a request is over
+	AttemptSent  func(r *Router, state *RequestState, s *spool.Send, candidates []spool.Candidate)
+	RequestWaits func(r *Router, state *RequestState, candidates []spool.Candidate) // nothing was sent, and it is not over
+	AttemptEnded func(r *Router, state *RequestState, t *Attempt)                   // an attempt is over
+	RequestEnded func(r *Router, state *RequestState)                               // a request is over
 }
 
 // End says how a request ended.
@@ -112,8 +112,8 @@
 }
 
 // Add puts a router into the run.
-func (s *Sim) Add(name string, c *engine.Core, w MemberModel) *Router {
-	r := &Router{Core: c, Name: name, Members: w, requests: map[string]*RequestState{}}
+func (s *Sim) Add(name string, c *engine.Core, members MemberModel) *Router {
+	r := &Router{Core: c, Name: name, Members: members, requests: map[string]*RequestState{}}
 	s.routers = append(s.routers, r)
 	if s.Explain {
 		c.Explain(func(l spool.Candidate) { r.candidates = append(r.candidates, l) })
@@ -126,18 +126,18 @@
 
 // scheduled is something that comes due. One of tell and f is set.
 type scheduled struct {
-	t   float64
-	seq int64 // those of one time come in the order in which they were set
-	r   *Router
-	ev  spool.Event
-	f   func()
+	time   float64
+	seq    int64 // those of one time come in the order in which they were set
+	router *Router
+	event  spool.Event
+	call   func()
 }
 
 type eventQueue []scheduled
 
 func (d eventQueue) Len() int { return len(d) }
 func (d eventQueue) Less(i, j int) bool {
-	return d[i].t < d[j].t || d[i].t == d[j].t && d[i].seq < d[j].seq
+	return d[i].time < d[j].time || d[i].time == d[j].time && d[i].seq < d[j].seq
 }
 func (d eventQueue) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
 func (d *eventQueue) Push(x any)   { *d = append(*d, x.(scheduled)) }
@@ -150,23 +150,23 @@
 }
 
 // At has f run at a time, not before now.
-func (s *Sim) At(t float64, f func()) { s.push(scheduled{t: t, f: f}) }
+func (s *Sim) At(t float64, f func()) { s.push(scheduled{time: t, call: f}) }
 
 func (s *Sim) push(m scheduled) {
 	s.seq++
-	m.seq, m.t = s.seq, max(m.t, s.Now)
+	m.seq, m.time = s.seq, max(m.time, s.Now)
 	heap.Push(&s.queue, m)
 }
 
 // RunTo lets time pass up to t, and everything happen that is due before or then.
 func (s *Sim) RunTo(t float64) {
-	for len(s.queue) > 0 && s.queue[0].t <= t {
+	for len(s.queue) > 0 && s.queue[0].time <= t {
 		m := heap.Pop(&s.queue).(scheduled)
-		s.Now = max(s.Now, m.t)
-		if m.f != nil {
-			m.f()
+		s.Now = max(s.Now, m.time)
+		if m.call != nil {
+			m.call()
 		} else {
-			s.Handle(m.r, m.ev)
+			s.Handle(m.router, m.event)
 		}
 	}
 	s.Now = max(s.Now, t)
@@ -180,14 +180,14 @@
 		if r.requests[ev.ID] != nil {
 			return
 		}
-		h := &RequestState{Request: ev, ArrivedAt: s.Now}
+		state := &RequestState{Request: ev, ArrivedAt: s.Now}
 		if ev.Deadline <= 0 {
-			h.Request.Deadline = s.Now + r.deadline(ev.Class)
+			state.Request.Deadline = s.Now + r.classDeadline(ev.Class)
 		}
-		r.requests[ev.ID] = h
+		r.requests[ev.ID] = state
 	case spool.Gone:
-		if h := r.requests[ev.ID]; h != nil {
-			s.endRequest(r, h, ClientLeft)
+		if state := r.requests[ev.ID]; state != nil {
+			s.endRequest(r, state, ClientLeft)
 		} else {
 			return
 		}
@@ -200,22 +200,22 @@
 	s.perform(r, acts)
 	r.actions = acts[:0]
 	if q, ok := ev.(spool.Request); ok {
-		if h := r.requests[q.ID]; h != nil && h.End == Open && len(h.Attempts) == 0 && s.Watch.RequestWaits != nil {
-			s.Watch.RequestWaits(r, h, candidatesOf(r.candidates, q.ID))
+		if state := r.requests[q.ID]; state != nil && state.End == Open && len(state.Attempts) == 0 && s.Watch.RequestWaits != nil {
+			s.Watch.RequestWaits(r, state, candidatesOf(r.candidates, q.ID))
 		}
 	}
 }
 
 // ChangeSettings has a router go by other settings.
-func (s *Sim) ChangeSettings(r *Router, set *config.Settings) error {
-	acts, err := r.Core.ChangeSettings(s.Now, set, nil)
+func (s *Sim) ChangeSettings(r *Router, settings *config.Settings) error {
+	acts, err := r.Core.ChangeSettings(s.Now, settings, nil)
 	if err == nil {
 		s.perform(r, acts)
 	}
 	return err
 }
 
-func (r *Router) deadline(class string) float64 {
+func (r *Router) classDeadline(class string) float64 {
 	for i := range r.Core.Settings.Classes {
 		if c := &r.Core.Settings.Classes[i]; c.Name == class {
 			return c.Deadline
@@ -240,19 +240,19 @@
 		case spool.Send:
 			s.send(r, a)
 		case spool.Refuse:
-			s.reject(r, a.ID, Rejected)
+			s.endRequestByID(r, a.ID, Rejected)
 		case spool.Fail:
-			s.reject(r, a.ID, Failed)
+			s.endRequestByID(r, a.ID, Failed)
 		case spool.Cancel:
-			if h := r.requests[a.ID]; h != nil && a.Attempt < len(h.Attempts) {
-				if t := h.Attempts[a.Attempt]; !t.Done && !t.started {
-					s.endAttempt(r, h, a.Attempt, spool.Cancelled, spool.NoteNone)
+			if state := r.requests[a.ID]; state != nil && a.Attempt < len(state.Attempts) {
+				if t := state.Attempts[a.Attempt]; !t.Done && !t.started {
+					s.endAttempt(r, state, a.Attempt, spool.Cancelled, spool.NoteNone)
 				}
 			}
 		case spool.Wake:
-			s.push(scheduled{t: s.Now + a.In, r: r, ev: spool.Timer{Token: a.Token}})
+			s.push(scheduled{time: s.Now + a.In, router: r, event: spool.Timer{Token: a.Token}})
 		case spool.Probe:
-			s.push(scheduled{t: s.Now + 1, r: r, ev: spool.Probed{Cache: a.Cache, OK: true}})
+			s.push(scheduled{time: s.Now + 1, router: r, event: spool.Probed{Cache: a.Cache, OK: true}})
 		}
 	}
 }
@@ -260,49 +260,49 @@
 // send makes an attempt as the edge does: bounded by the request's time and the
 // module's own limit.
 func (s *Sim) send(r *Router, a spool.Send) {
-	h := r.requests[a.ID]
-	if h == nil {
+	state := r.requests[a.ID]
+	if state == nil {
 		return
 	}
 	t := &Attempt{Send: a, SentAt: s.Now}
-	n := len(h.Attempts)
-	h.Attempts = append(h.Attempts, t)
-	h.openAttempts++
+	n := len(state.Attempts)
+	state.Attempts = append(state.Attempts, t)
+	state.openAttempts++
 	if s.Watch.AttemptSent != nil {
-		s.Watch.AttemptSent(r, h, &t.Send, candidatesOf(r.candidates, a.ID))
+		s.Watch.AttemptSent(r, state, &t.Send, candidatesOf(r.candidates, a.ID))
 	}
-	if h.End != Open {
-		s.At(s.Now, func() { s.endAttempt(r, h, n, spool.NotSent, spool.NoteNone) })
+	if state.End != Open {
+		s.At(s.Now, func() { s.endAttempt(r, state, n, spool.NotSent, spool.NoteNone) })
 		return
 	}
-	t.answer = r.Members.Attempt(s.Now, &h.Request, n, &t.Send)
-	timeout := h.Request.Deadline - s.Now
+	t.answer = r.Members.Attempt(s.Now, &state.Request, n, &t.Send)
+	timeout := state.Request.Deadline - s.Now
 	if a.Timeout > 0 {
 		timeout = min(timeout, a.Timeout)
 	}
 	if t.answer.Unanswered || t.answer.Took > timeout && !(t.answer.Result == spool.OK && t.answer.FirstByte <= timeout) {
-		s.At(s.Now+timeout, func() { s.endAttempt(r, h, n, spool.TimedOut, spool.NoteNone) })
+		s.At(s.Now+timeout, func() { s.endAttempt(r, state, n, spool.TimedOut, spool.NoteNone) })
 		return
 	}
 	if t.answer.Result == spool.OK {
-		s.At(s.Now+min(t.answer.FirstByte, t.answer.Took), func() { s.startResponse(r, h, n) })
+		s.At(s.Now+min(t.answer.FirstByte, t.answer.Took), func() { s.startResponse(r, state, n) })
 	}
-	s.At(s.Now+t.answer.Took, func() { s.endAttempt(r, h, n, t.answer.Result, t.answer.Note) })
+	s.At(s.Now+t.answer.Took, func() { s.endAttempt(r, state, n, t.answer.Result, t.answer.Note) })
 }
 
 // startResponse is the first byte of an answer: it is the client's, the first to come wins.
-func (s *Sim) startResponse(r *Router, h *RequestState, n int) {
-	t := h.Attempts[n]
-	if t.Done || h.End != Open || h.started {
+func (s *Sim) startResponse(r *Router, state *RequestState, n int) {
+	t := state.Attempts[n]
+	if t.Done || state.End != Open || state.started {
 		return
 	}
-	t.started, h.started = true, true
-	s.Handle(r, spool.Started{ID: h.Request.ID, Cache: t.Send.Cache, Attempt: n})
+	t.started, state.started = true, true
+	s.Handle(r, spool.Started{ID: state.Request.ID, Cache: t.Send.Cache, Attempt: n})
 }
 
 // endAttempt ends an attempt, and tells the module.
-func (s *Sim) endAttempt(r *Router, h *RequestState, n int, result spool.Result, note spool.Note) {
-	t := h.Attempts[n]
+func (s *Sim) endAttempt(r *Router, state *RequestState, n int, result spool.Result, note spool.Note) {
+	t := state.Attempts[n]
 	if t.Done {
 		return
 	}
@@ -310,54 +310,54 @@
 		result = spool.Cancelled
 	}
 	t.Done, t.Result, t.Took = true, result, s.Now-t.SentAt
-	h.openAttempts--
-	r.Members.AttemptEnded(s.Now, &h.Request, &t.Send, &t.answer, result)
+	state.openAttempts--
+	r.Members.AttemptEnded(s.Now, &state.Request, &t.Send, &t.answer, result)
 	if s.Watch.AttemptEnded != nil {
-		s.Watch.AttemptEnded(r, h, t)
+		s.Watch.AttemptEnded(r, state, t)
 	}
-	last := h.End != Open
-	if h.End == Open && t.started {
+	last := state.End != Open
+	if state.End == Open && t.started {
 		end := Served
 		if result != spool.OK {
 			end = Broken
 		}
 		last = true
-		s.endRequest(r, h, end)
+		s.endRequest(r, state, end)
 	}
-	ev := spool.Outcome{ID: h.Request.ID, Cache: t.Send.Cache, Attempt: n, Result: result, Took: t.Took, Last: last,
+	ev := spool.Outcome{ID: state.Request.ID, Cache: t.Send.Cache, Attempt: n, Result: result, Took: t.Took, Last: last,
 		Note: note, Load: t.answer.Load}
 	s.At(s.Now, func() { s.Handle(r, ev) }) // after what is being carried out
-	s.release(r, h)
+	s.release(r, state)
 }
 
-func (s *Sim) reject(r *Router, id string, e End) {
-	if h := r.requests[id]; h != nil {
-		s.endRequest(r, h, e)
+func (s *Sim) endRequestByID(r *Router, id string, e End) {
+	if state := r.requests[id]; state != nil {
+		s.endRequest(r, state, e)
 	}
 }
 
-func (s *Sim) endRequest(r *Router, h *RequestState, e End) {
-	if h.End != Open {
+func (s *Sim) endRequest(r *Router, state *RequestState, e End) {
+	if state.End != Open {
 		return
 	}
-	h.End, h.EndedAt = e, s.Now
+	state.End, state.EndedAt = e, s.Now
 	if s.Watch.RequestEnded != nil {
-		s.Watch.RequestEnded(r, h)
+		s.Watch.RequestEnded(r, state)
 	}
-	s.release(r, h)
+	s.release(r, state)
 }
 
-func (s *Sim) release(r *Router, h *RequestState) {
-	if h.End != Open && h.openAttempts == 0 {
-		delete(r.requests, h.Request.ID)
+func (s *Sim) release(r *Router, state *RequestState) {
+	if state.End != Open && state.openAttempts == 0 {
+		delete(r.requests, state.Request.ID)
 	}
 }
 
 // Finish ends what routers still hold, as cut.
 func (s *Sim) Finish() {
 	for _, r := range s.routers {
-		for _, h := range r.requests {
-			s.endRequest(r, h, Unfinished)
+		for _, state := range r.requests {
+			s.endRequest(r, state, Unfinished)
 		}
 	}
 }
--- a/internal/decisionlog/whatif/whatif_test.go
+++ b/internal/decisionlog/whatif/whatif_test.go
@@ -293,8 +293,10 @@
 		ends, came := map[string]int{}, 0
 		ri := newRiskChecker()
 		ri.startRun(s)
-		sim.Watch.AttemptSent = func(_ *Router, h *RequestState, a *spool.Send, _ []spool.Candidate) { ri.attemptSent(sim.Now, h, a) }
-		sim.Watch.RequestEnded = func(_ *Router, h *RequestState) { ends[h.Request.ID]++; ri.requestEnded(sim.Now, h) }
+		sim.Watch.AttemptSent = func(_ *Router, state *RequestState, a *spool.Send, _ []spool.Candidate) {
+			ri.attemptSent(sim.Now, state, a)
+		}
+		sim.Watch.RequestEnded = func(_ *Router, state *RequestState) { ends[state.Request.ID]++; ri.requestEnded(sim.Now, state) }
 		r := sim.Add("r", c, randomMembers{t})
 		tell := func(n *engine.Update) {
 			for _, ev := range c.Apply(sim.Now, n).Events {
