--- a/internal/decisionlog/whatif/recorded.go
+++ b/internal/decisionlog/whatif/recorded.go
@@ -8,13 +8,13 @@
 	spool "indigospool"
 )
 
-// attemptKind is what an attempt was for, as far as its outcome depends on it.
+// attemptKind distinguishes attempts whose outcomes depend on different conditions.
 type attemptKind uint8
 
 const (
-	lookup     attemptKind = iota // the cache was asked for what it holds
-	fillIfHeld                    // it was to fill it from another cache, if that holds it
-	fill                          // it was to fill it from a parent or the origin
+	lookup     attemptKind = iota // the cache is asked for its cached copy
+	fillIfHeld                    // the cache fills from another cache if that has a copy
+	fill                          // the cache fills from a parent or the origin
 )
 
 func kindOf(s *spool.Send) attemptKind {
@@ -29,16 +29,16 @@
 
 // sample is one recorded attempt.
 type sample struct {
-	sentAt    float64 // when it was sent
-	firstByte float64 // 0: its answer never began
-	took      float64
+	sentAt    float64 // ms
+	firstByte float64 // time of the first byte since it was sent, ms; 0: none
+	took      float64 // ms
 	result    spool.Result
 	note      spool.Note
 	load      []float64
 }
 
-// isTransientFault reports whether the outcome is a fault that depends on the moment, and
-// not on what the cache held.
+// isTransientFault reports whether the outcome is a fault of that time, independent of what
+// the cache had.
 func (s *sample) isTransientFault() bool {
 	switch s.result {
 	case spool.Errored, spool.TimedOut, spool.ConnectFailed, spool.Reset:
@@ -51,14 +51,14 @@
 	return false
 }
 
-// pool is samples in the order of time.
+// pool is a list of samples, ordered by sentAt once sort was called.
 type pool []sample
 
 func (p pool) sort() {
 	slices.SortStableFunc(p, func(a, b sample) int { return cmp.Compare(a.sentAt, b.sentAt) })
 }
 
-// nearest is the sample that was sent nearest to a time; nil of none.
+// nearest returns the sample that was sent nearest to the time t, or nil if there is none.
 func (p pool) nearest(t float64) *sample {
 	if len(p) == 0 {
 		return nil
@@ -70,26 +70,26 @@
 	return &p[i]
 }
 
-// poolKey names samples that are alike. An empty member, source or class stands for any.
+// poolKey identifies a pool of similar samples. An empty member, source or class means any.
 type poolKey struct {
 	member, source, class string
 	kind                  attemptKind
-	hit                   bool // of a look or a fill from near: it was held
+	hit                   bool // the copy was cached, or the fill succeeded
 }
 
-// copyKey names an object or a part of it at a cache.
+// copyKey identifies the copy of an object or a part at a cache.
 type copyKey struct {
 	cache, object string
 	part          int
 }
 
-// AttemptHistory is what a journal tells of a router's members over one life: how each
-// dealt with each attempt, and what it held. It is complete once its life was read.
+// AttemptHistory has the recorded attempts of one run of a router: how each member answered,
+// and what it had cached. It may be used once finish was called.
 type AttemptHistory struct {
 	pools        map[poolKey]pool
-	byMember     map[string]pool             // of a member, of all kinds
-	firstLookup  map[copyKey]bool            // whether the first look found it
-	openAttempts map[attemptKey]*openAttempt // under way while the journal is read
+	byMember     map[string]pool             // attempts of all kinds, by member
+	firstLookup  map[copyKey]bool            // whether the first lookup found the copy
+	openAttempts map[attemptKey]*openAttempt // used while the journal is read
 	Attempts     int64
 	Lookups      int64
 }
@@ -99,7 +99,7 @@
 	n  int
 }
 
-// openAttempt is an attempt whose outcome is to come.
+// openAttempt is an attempt whose outcome has not been read yet.
 type openAttempt struct {
 	send      spool.Send
 	class     string
@@ -109,25 +109,26 @@
 	firstByte float64
 }
 
-// maxSamples bounds a model's memory: of each pool past it, every other sample goes.
+// maxSamples bounds the memory of a pool. Every other sample of a larger pool is dropped.
 const maxSamples = 1 << 16
 
 func newAttemptHistory() *AttemptHistory {
 	return &AttemptHistory{pools: map[poolKey]pool{}, byMember: map[string]pool{}, firstLookup: map[copyKey]bool{}, openAttempts: map[attemptKey]*openAttempt{}}
 }
 
-// sent hears of a recorded attempt.
+// sent adds a recorded attempt.
 func (h *AttemptHistory) sent(t float64, q *spool.Request, n int, s *spool.Send) {
 	h.openAttempts[attemptKey{s.ID, n}] = &openAttempt{send: *s, class: q.Class, object: q.Object, part: q.Part, sentAt: t}
 }
 
+// started adds the time of an attempt's first byte.
 func (h *AttemptHistory) started(t float64, id string, n int) {
 	if r := h.openAttempts[attemptKey{id, n}]; r != nil {
 		r.firstByte = max(t-r.sentAt, 0.001)
 	}
 }
 
-// ended hears of a recorded outcome.
+// ended adds the recorded outcome of an attempt.
 func (h *AttemptHistory) ended(ev *spool.Outcome) {
 	k := attemptKey{ev.ID, ev.Attempt}
 	r := h.openAttempts[k]
@@ -140,7 +141,7 @@
 	if len(ev.Load) > 0 {
 		one.load = append([]float64(nil), ev.Load...)
 	}
-	if ev.Result == spool.NotSent || ev.Result == spool.LocalFailure { // it never went anywhere
+	if ev.Result == spool.NotSent || ev.Result == spool.LocalFailure { // not an answer of the member
 		return
 	}
 	addSample(h.byMember, r.send.Cache, one)
@@ -150,7 +151,7 @@
 	}
 	hit := ev.Result == spool.OK
 	if !hit && ev.Result != spool.Miss && !(kind == fillIfHeld && ev.Note == spool.NoteSourceMiss) {
-		return // a fault of the moment, or called back: it tells nothing of what was held
+		return // a fault or a cancellation does not show whether the copy was cached
 	}
 	if kind == lookup {
 		c := copyKey{r.send.Cache, r.object, r.part}
@@ -179,7 +180,7 @@
 	pools[k] = p
 }
 
-// finish ends the learning.
+// finish is called after the last attempt was added.
 func (h *AttemptHistory) finish() {
 	for _, p := range h.pools {
 		p.sort()
@@ -190,8 +191,8 @@
 	h.openAttempts = nil
 }
 
-// match is the sample most like what is asked for: of the same cache, source and
-// class where there is one, else of the same cache, of the class, or of any.
+// match returns the most similar sample: of the same cache, source and class if there is one,
+// else of the same cache and class, else of the class, else of any.
 func (h *AttemptHistory) match(t float64, s *spool.Send, class string, kind attemptKind, hit bool) *sample {
 	for _, k := range []poolKey{{s.Cache, s.Source, class, kind, hit}, {s.Cache, "", class, kind, hit}, {"", "", class, kind, hit}, {"", "", "", kind, hit}} {
 		if one := h.pools[k].nearest(t); one != nil {
@@ -201,29 +202,28 @@
 	return nil
 }
 
-// RecordedMembers is a World that answers as a model's members did: what a cache holds
-// follows from what it was first found to hold and from the fills of this run;
-// how long an answer takes, and whether it is a fault, is taken from the recorded
-// attempt nearest in time that is most like it. Members neither tire of more load
-// nor forget copies for want of room.
+// RecordedMembers is a MemberModel that answers like the members of an AttemptHistory. Which
+// copies a cache has follows from the first recorded lookup of each copy and from the fills of
+// the simulation. The duration and the faults are those of the most similar recorded attempt,
+// the nearest in time. The model leaves out slower answers under more load, and evictions.
 type RecordedMembers struct {
 	history      *AttemptHistory
 	slowdown     map[string]float64
-	createdAt    map[copyKey]float64 // of copies that this run has made
-	objectPurges map[string]float64  // when objects were purged
+	createdAt    map[copyKey]float64 // of copies that were filled in the simulation
+	objectPurges map[string]float64  // time of the latest purge
 	groupPurges  map[int]float64
-	emptiedAt    map[string]float64 // when caches came back empty
+	emptiedAt    map[string]float64 // time of the latest restart of a cache
 	readyAt      map[string]float64
 }
 
-// Members begins a run before the model's members; slow has how many times as long
-// members take.
+// Members returns a model of the members for one simulation. slowdown has factors for the
+// durations, by member.
 func (h *AttemptHistory) Members(slowdown map[string]float64) *RecordedMembers {
 	return &RecordedMembers{history: h, slowdown: slowdown, createdAt: map[copyKey]float64{}, objectPurges: map[string]float64{}, groupPurges: map[int]float64{},
 		emptiedAt: map[string]float64{}, readyAt: map[string]float64{}}
 }
 
-// Update follows starts and purges.
+// Update follows restarts of caches and purges.
 func (m *RecordedMembers) Update(now float64, ev spool.Event) {
 	switch ev := ev.(type) {
 	case spool.Members:
@@ -242,9 +242,9 @@
 	}
 }
 
-const createdBeforeRun = -1e12 // when copies were born that a cache held from the beginning
+const createdBeforeRun = -1e12 // creation time of copies that a cache had from the start, ms
 
-// holds reports whether a cache has a copy of at most an age.
+// holds reports whether a cache has a copy that is at most so old, in ms.
 func (m *RecordedMembers) holds(now float64, cache string, q *spool.Request, age float64) bool {
 	k := copyKey{cache, q.Object, q.Part}
 	created, ok := m.createdAt[k]
@@ -263,11 +263,11 @@
 	return now-created <= age
 }
 
-// Attempt answers as the recorded attempt did that is most like it.
+// Attempt answers like the most similar recorded attempt.
 func (m *RecordedMembers) Attempt(now float64, q *spool.Request, _ int, s *spool.Send) Answer {
 	if one := m.history.byMember[s.Cache].nearest(now); one != nil && one.isTransientFault() {
 		a := m.answer(one, s)
-		if one.result == spool.Cancelled { // it was given up, or its client was: nobody knows what would have come
+		if one.result == spool.Cancelled { // the answer that would have come is unknown
 			a.Unanswered = true
 		}
 		return a
@@ -287,7 +287,7 @@
 		}
 		return a
 	}
-	if !hit { // nothing like it was recorded
+	if !hit { // no similar attempt was recorded
 		if kind == fillIfHeld {
 			return Answer{Result: spool.Rejected, Note: spool.NoteSourceMiss, Took: 1}
 		}
@@ -297,6 +297,7 @@
 	return Answer{Result: spool.OK, FirstByte: took / 2, Took: took}
 }
 
+// answer returns the answer of a recorded attempt, slowed down as the members are.
 func (m *RecordedMembers) answer(one *sample, s *spool.Send) Answer {
 	factor := 1.0
 	for _, id := range []string{s.Cache, s.Source} {
@@ -307,7 +308,7 @@
 	return Answer{Result: one.result, Note: one.note, FirstByte: one.firstByte * factor, Took: one.took * factor, Load: one.load}
 }
 
-// AttemptEnded keeps what a fill has brought.
+// AttemptEnded stores the copy of a successful fill.
 func (m *RecordedMembers) AttemptEnded(now float64, q *spool.Request, s *spool.Send, a *Answer, result spool.Result) {
 	if result == spool.OK && s.Source != s.Cache && s.Keep > 0 {
 		m.createdAt[copyKey{s.Cache, q.Object, q.Part}] = now - a.Took
--- a/internal/decisionlog/whatif/sim.go
+++ b/internal/decisionlog/whatif/sim.go
@@ -1,15 +1,15 @@
-// Package whatif runs routers' cores in simulated time, before members that are
-// modelled: arrivals and news come from the caller, a World answers attempts, the
-// module decides all else. It is what a changed list or other settings are tried
-// on (spool-replay's what-if, spool-fleet).
+// Package whatif simulates routers and their members, to show the effect of a changed endpoint
+// list or of other settings (the what-if of spool-replay, and spool-fleet). The caller supplies
+// the requests and the updates, a MemberModel answers the attempts, and everything else is
+// decided by the routers' modules.
 //
-// It makes no decision of a router's and does no I/O but to read a journal that it
-// is given. What it says of outcomes is a model's word, and never proof of a rule:
-// proof is what passed on sockets (internal/testbed/invariants).
+// The package makes no routing decisions, and does no I/O except for reading a journal. Its
+// outcomes are those of a model, and do not prove that the rules are kept: for this, see
+// internal/testbed/invariants, which checks the traffic on sockets.
 //
-// sim.go is the clock and what a router's sockets would do; recorded.go a World
-// learned from a journal; boxes.go a World of cache models; compare.go two runs
-// side by side; risk.go the rules, as far as a run without sockets shows them.
+// sim.go contains the simulated clock and the parts of a router outside its module, recorded.go
+// a MemberModel built from a journal, boxes.go a MemberModel of cache models, compare.go the
+// comparison of two runs, and risk.go the rules that can be checked without sockets.
 package whatif
 
 import (
@@ -20,47 +20,46 @@
 	"indigospool/internal/proxy/engine"
 )
 
-// Answer is how a modelled member deals with an attempt. Spans count from the
-// moment of the attempt, in ms.
+// Answer is a member's answer to an attempt. Times are in ms since the attempt was sent.
 type Answer struct {
 	Result     spool.Result
 	Note       spool.Note
-	FirstByte  float64 // the first byte of a streamed answer; only of OK
-	Took       float64
-	Unanswered bool // nothing is heard of it until it is called back or timed out
+	FirstByte  float64 // time of the first byte, only with the result OK
+	Took       float64 // time of the end
+	Unanswered bool    // there is no answer until the attempt is cancelled or times out
 	Load       []float64
 }
 
-// MemberModel answers attempts. Now only goes forward over the calls of one Sim.
+// MemberModel simulates the members. The time now does not decrease in the calls of one Sim.
 type MemberModel interface {
-	// Attempt begins the n-th attempt of a request.
+	// Attempt returns the answer to attempt n of a request.
 	Attempt(now float64, q *spool.Request, n int, s *spool.Send) Answer
-	// AttemptEnded says that an attempt is over, also one that was called back.
+	// AttemptEnded is called when an attempt has ended or was cancelled.
 	AttemptEnded(now float64, q *spool.Request, s *spool.Send, a *Answer, result spool.Result)
-	// Update tells of members and purges, as the router is told them.
+	// Update is called with each update of the members and each purge that a router receives.
 	Update(now float64, ev spool.Event)
 }
 
-// Watcher sees a run as it goes. Its functions may be nil.
+// Watcher observes a simulation. Its functions may be nil.
 type Watcher struct {
 	AttemptSent  func(r *Router, state *RequestState, s *spool.Send, candidates []spool.Candidate)
-	RequestWaits func(r *Router, state *RequestState, candidates []spool.Candidate) // nothing was sent, and it is not over
-	AttemptEnded func(r *Router, state *RequestState, t *Attempt)                   // an attempt is over
-	RequestEnded func(r *Router, state *RequestState)                               // a request is over
+	RequestWaits func(r *Router, state *RequestState, candidates []spool.Candidate) // nothing was sent on arrival
+	AttemptEnded func(r *Router, state *RequestState, t *Attempt)
+	RequestEnded func(r *Router, state *RequestState)
 }
 
-// End says how a request ended.
+// End is how a request ended.
 type End uint8
 
-// The ends.
+// The values of End.
 const (
-	Open       End = iota
-	Served         // a member's answer, whole
-	Broken         // it broke off after it had begun
-	Rejected       // the module turned it away
-	Failed         // the module gave it up
-	ClientLeft     // its client left
-	Unfinished     // the run ended first
+	Open       End = iota // not ended
+	Served                // a member's answer was complete
+	Broken                // the answer broke off after its first byte
+	Rejected              // by the module
+	Failed                // by the module
+	ClientLeft            // the client has disconnected
+	Unfinished            // the simulation ended first
 )
 
 var endNames = [...]string{"open", "served", "broken", "refused", "failed", "left", "cut"}
@@ -70,48 +69,48 @@
 // Attempt is one attempt of a request.
 type Attempt struct {
 	Send    spool.Send
-	SentAt  float64 // when it was made
+	SentAt  float64 // simulated time, ms
 	Took    float64
 	Result  spool.Result
 	Done    bool
-	started bool
+	started bool // its first byte was sent to the client
 	answer  Answer
 }
 
-// RequestState is a request that a router holds, or held.
+// RequestState is the state of a request in the simulation.
 type RequestState struct {
 	Request      spool.Request
 	ArrivedAt    float64
 	EndedAt      float64
 	End          End
 	Attempts     []*Attempt
-	Tag          any // the watcher's
+	Tag          any // for use by the Watcher
 	openAttempts int
-	started      bool // the client has the first byte
+	started      bool // the first byte was sent to the client
 }
 
-// Router is one router of a Sim.
+// Router is a router in a simulation.
 type Router struct {
 	Core       *engine.Core
 	Name       string
 	Members    MemberModel
 	requests   map[string]*RequestState
-	candidates []spool.Candidate
-	actions    []spool.Action
+	candidates []spool.Candidate // considered while the current event is handled
+	actions    []spool.Action    // reused by Handle
 }
 
-// Sim is a clock with routers.
+// Sim is a simulation of routers with a common clock.
 type Sim struct {
-	Now     float64
-	Events  int64 // that modules were told
+	Now     float64 // ms
+	Events  int64   // number of events that modules have handled
 	Watch   Watcher
-	Explain bool // looks are wanted
+	Explain bool // collect the candidates for Watch; set before Add
 	routers []*Router
 	queue   eventQueue
 	seq     int64
 }
 
-// Add puts a router into the run.
+// Add adds a router to the simulation.
 func (s *Sim) Add(name string, c *engine.Core, members MemberModel) *Router {
 	r := &Router{Core: c, Name: name, Members: members, requests: map[string]*RequestState{}}
 	s.routers = append(s.routers, r)
@@ -121,18 +120,20 @@
 	return r
 }
 
-// Routers are those that were added, in their order.
+// Routers returns the routers in the order in which they were added.
 func (s *Sim) Routers() []*Router { return s.routers }
 
-// scheduled is something that comes due. One of tell and f is set.
+// scheduled is an event for a router or a function call that is due at a time. Either event or
+// call is set.
 type scheduled struct {
 	time   float64
-	seq    int64 // those of one time come in the order in which they were set
+	seq    int64 // orders those with the same time
 	router *Router
 	event  spool.Event
 	call   func()
 }
 
+// eventQueue implements heap.Interface.
 type eventQueue []scheduled
 
 func (d eventQueue) Len() int { return len(d) }
@@ -149,8 +150,8 @@
 	return m
 }
 
-// At has f run at a time, not before now.
-func (s *Sim) At(t float64, f func()) { s.push(scheduled{time: t, call: f}) }
+// At schedules a function call at a time, or now if the time is in the past.
+func (s *Sim) At(time float64, call func()) { s.push(scheduled{time: time, call: call}) }
 
 func (s *Sim) push(m scheduled) {
 	s.seq++
@@ -158,7 +159,7 @@
 	heap.Push(&s.queue, m)
 }
 
-// RunTo lets time pass up to t, and everything happen that is due before or then.
+// RunTo advances the clock to t and runs everything that is due by then.
 func (s *Sim) RunTo(t float64) {
 	for len(s.queue) > 0 && s.queue[0].time <= t {
 		m := heap.Pop(&s.queue).(scheduled)
@@ -172,7 +173,7 @@
 	s.Now = max(s.Now, t)
 }
 
-// Handle tells a router's module an event, now, and does what it wants done.
+// Handle passes an event to a router's module at the present time, and performs its actions.
 func (s *Sim) Handle(r *Router, ev spool.Event) {
 	s.Events++
 	switch ev := ev.(type) {
@@ -196,7 +197,7 @@
 	}
 	r.candidates = r.candidates[:0]
 	acts := r.Core.Handle(s.Now, ev, r.actions[:0])
-	r.actions = nil // an action may lead to another event
+	r.actions = nil // an action may call Handle again
 	s.perform(r, acts)
 	r.actions = acts[:0]
 	if q, ok := ev.(spool.Request); ok {
@@ -206,7 +207,7 @@
 	}
 }
 
-// ChangeSettings has a router go by other settings.
+// ChangeSettings replaces the settings of a router.
 func (s *Sim) ChangeSettings(r *Router, settings *config.Settings) error {
 	acts, err := r.Core.ChangeSettings(s.Now, settings, nil)
 	if err == nil {
@@ -215,6 +216,7 @@
 	return err
 }
 
+// classDeadline returns the default deadline of a class, in ms, or 0 for an unknown class.
 func (r *Router) classDeadline(class string) float64 {
 	for i := range r.Core.Settings.Classes {
 		if c := &r.Core.Settings.Classes[i]; c.Name == class {
@@ -224,7 +226,7 @@
 	return 0
 }
 
-// of are the looks that concern a request, in their own slice.
+// candidatesOf returns a copy of the candidates that were considered for a request.
 func candidatesOf(candidates []spool.Candidate, id string) (out []spool.Candidate) {
 	for _, l := range candidates {
 		if l.Request == id {
@@ -234,31 +236,32 @@
 	return out
 }
 
-func (s *Sim) perform(r *Router, actions []spool.Action) {
+// perform carries out a module's actions.
+func (s *Sim) perform(router *Router, actions []spool.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case spool.Send:
-			s.send(r, a)
+			s.send(router, a)
 		case spool.Refuse:
-			s.endRequestByID(r, a.ID, Rejected)
+			s.endRequestByID(router, a.ID, Rejected)
 		case spool.Fail:
-			s.endRequestByID(r, a.ID, Failed)
+			s.endRequestByID(router, a.ID, Failed)
 		case spool.Cancel:
-			if state := r.requests[a.ID]; state != nil && a.Attempt < len(state.Attempts) {
+			if state := router.requests[a.ID]; state != nil && a.Attempt < len(state.Attempts) {
 				if t := state.Attempts[a.Attempt]; !t.Done && !t.started {
-					s.endAttempt(r, state, a.Attempt, spool.Cancelled, spool.NoteNone)
+					s.endAttempt(router, state, a.Attempt, spool.Cancelled, spool.NoteNone)
 				}
 			}
 		case spool.Wake:
-			s.push(scheduled{time: s.Now + a.In, router: r, event: spool.Timer{Token: a.Token}})
+			s.push(scheduled{time: s.Now + a.In, router: router, event: spool.Timer{Token: a.Token}})
 		case spool.Probe:
-			s.push(scheduled{time: s.Now + 1, router: r, event: spool.Probed{Cache: a.Cache, OK: true}})
+			s.push(scheduled{time: s.Now + 1, router: router, event: spool.Probed{Cache: a.Cache, OK: true}})
 		}
 	}
 }
 
-// send makes an attempt as the edge does: bounded by the request's time and the
-// module's own limit.
+// send sends an attempt. As in the HTTP front, it times out at the request's deadline or after
+// the timeout that the module has set.
 func (s *Sim) send(r *Router, a spool.Send) {
 	state := r.requests[a.ID]
 	if state == nil {
@@ -290,7 +293,8 @@
 	s.At(s.Now+t.answer.Took, func() { s.endAttempt(r, state, n, t.answer.Result, t.answer.Note) })
 }
 
-// startResponse is the first byte of an answer: it is the client's, the first to come wins.
+// startResponse handles the first byte of an answer. The first answer to arrive is sent to the
+// client.
 func (s *Sim) startResponse(r *Router, state *RequestState, n int) {
 	t := state.Attempts[n]
 	if t.Done || state.End != Open || state.started {
@@ -300,13 +304,13 @@
 	s.Handle(r, spool.Started{ID: state.Request.ID, Cache: t.Send.Cache, Attempt: n})
 }
 
-// endAttempt ends an attempt, and tells the module.
+// endAttempt ends an attempt and schedules its Outcome.
 func (s *Sim) endAttempt(r *Router, state *RequestState, n int, result spool.Result, note spool.Note) {
 	t := state.Attempts[n]
 	if t.Done {
 		return
 	}
-	if result == spool.OK && !t.started { // another was faster, or the request is over
+	if result == spool.OK && !t.started { // another attempt was faster, or the request has ended
 		result = spool.Cancelled
 	}
 	t.Done, t.Result, t.Took = true, result, s.Now-t.SentAt
@@ -326,7 +330,7 @@
 	}
 	ev := spool.Outcome{ID: state.Request.ID, Cache: t.Send.Cache, Attempt: n, Result: result, Took: t.Took, Last: last,
 		Note: note, Load: t.answer.Load}
-	s.At(s.Now, func() { s.Handle(r, ev) }) // after what is being carried out
+	s.At(s.Now, func() { s.Handle(r, ev) }) // after the current actions
 	s.release(r, state)
 }
 
@@ -347,13 +351,14 @@
 	s.release(r, state)
 }
 
+// release deletes a request that has ended and has no open attempts.
 func (s *Sim) release(r *Router, state *RequestState) {
 	if state.End != Open && state.openAttempts == 0 {
 		delete(r.requests, state.Request.ID)
 	}
 }
 
-// Finish ends what routers still hold, as cut.
+// Finish ends all open requests as Unfinished.
 func (s *Sim) Finish() {
 	for _, r := range s.routers {
 		for _, state := range r.requests {
