--- a/internal/decisionlog/whatif/boxes.go
+++ b/internal/decisionlog/whatif/boxes.go
@@ -8,20 +8,20 @@
 	"indigospool/internal/cachenode/httpcache"
 )
 
-// CacheModelOptions are what members can do, where the list does not say. Spans are in
-// ms, sizes in KB, rates in KB a ms.
+// CacheModelOptions are the properties of members that the endpoint list does not give. Times
+// are in ms and rates in KB/ms. A default replaces a zero value.
 type CacheModelOptions struct {
 	TransferRate   float64 // of one transfer to a client; default 4
 	FillRate       float64 // of a fill; default three times that
-	Capacity       float64 // transfers at once of a member whose (size) is no capacity; default 50
-	SizeIsCapacity bool    // (size) of members is their capacity
+	Capacity       float64 // concurrent transfers, unless the size is the capacity; default 50
+	SizeIsCapacity bool    // the size of a member, if listed, is its capacity
 	StoreBytes     int64   // of a cache's store; default 64 GB
-	SourceLatency  float64 // of a source before its answer; default 20
-	MissLatency    float64 // of a miss; default 1
+	SourceLatency  float64 // of a source until its first byte; default 20
+	LookupLatency  float64 // of a hit until the first byte, a miss or an error; default 1
 
 	WarmUpInitialShare, WarmUpTime, OverloadFactor                   float64
 	ParentWarmUpInitialShare, ParentWarmUpTime, ParentOverloadFactor float64
-	OverloadTime                                                     float64
+	OverloadTime                                                     float64 // default 3000
 	ParentKind, OriginKind                                           string
 }
 
@@ -29,7 +29,7 @@
 	for _, d := range []struct {
 		v *float64
 		x float64
-	}{{&o.TransferRate, 4}, {&o.Capacity, 50}, {&o.SourceLatency, 20}, {&o.MissLatency, 1}, {&o.OverloadTime, 3000}} {
+	}{{&o.TransferRate, 4}, {&o.Capacity, 50}, {&o.SourceLatency, 20}, {&o.LookupLatency, 1}, {&o.OverloadTime, 3000}} {
 		if *d.v <= 0 {
 			*d.v = d.x
 		}
@@ -42,21 +42,22 @@
 	}
 }
 
-// CacheModels is a World of cache models (internal/cachenode/httpcache) that all routers of a run share.
-// A member's sending time is its load; one that is given more transfers than it has
-// places for sends each the slower. A source that has fallen over answers nothing.
+// CacheModels is a MemberModel with a model of each member (internal/cachenode/httpcache), which
+// all routers of a simulation share. The load of a member is its sending time. Beyond its
+// capacity of concurrent transfers, it sends each of them more slowly. A member that has failed
+// under overload does not recover.
 type CacheModels struct {
 	options CacheModelOptions
 	members map[string]*memberModel
 	OnUsage func(member string, second int, s *Usage)
 }
 
-// Usage is what a member was given in a second.
+// Usage is the load of a member in one second.
 type Usage struct {
 	SendMillis     float64 // sending time, ms
-	CapacityMillis float64 // that it had at the end of it, ms
+	CapacityMillis float64 // sending time per second that it was capable of at the end, ms
 	Attempts       int
-	Fills          int // as a source
+	Fills          int // for which it was the source
 	KB             float64
 }
 
@@ -66,26 +67,26 @@
 	listed    spool.Member
 	cache     *httpcache.Cache
 	capacity  float64
-	transfers int // transfers under way
-	second    int
+	transfers int // in progress
+	second    int // number of the second that usage covers
 	usage     Usage
-	failedAt  float64 // when it fell over; 0: it did not
+	failedAt  float64 // when it failed under overload, ms; 0: it did not
 }
 
-// NewCacheModels makes a World without members: they come with the news.
+// NewCacheModels returns a model without members. Update adds them.
 func NewCacheModels(options CacheModelOptions) *CacheModels {
 	options.setDefaults()
 	return &CacheModels{options: options, members: map[string]*memberModel{}}
 }
 
-// Update starts members, and has them heed purges. All routers tell it: what is
-// known already changes nothing.
+// Update starts members, and purges their copies. Each router of the simulation passes on the
+// updates that it receives; those that are already known have no effect.
 func (c *CacheModels) Update(now float64, ev spool.Event) {
 	switch ev := ev.(type) {
 	case spool.Members:
 		for _, r := range ev.Rows {
 			m := c.members[r.ID]
-			if m != nil && (math.Abs(m.listed.ReadyAt-r.ReadyAt) < 1 || r.ReadyAt <= 0 || r.State != spool.Serving) { // each router works out its own
+			if m != nil && (math.Abs(m.listed.ReadyAt-r.ReadyAt) < 1 || r.ReadyAt <= 0 || r.State != spool.Serving) { // routers compute ReadyAt themselves, so that it differs slightly
 				m.listed.State = r.State
 				continue
 			}
@@ -98,6 +99,7 @@
 	}
 }
 
+// newMember returns the model of a member that has started.
 func (c *CacheModels) newMember(now float64, r spool.Member) *memberModel {
 	m := &memberModel{id: r.ID, role: "box", listed: r, capacity: c.options.Capacity, second: int(now / 1000)}
 	if c.options.SizeIsCapacity && r.Size > 0 {
@@ -115,15 +117,15 @@
 	return m
 }
 
-// Attempt answers from the copy that is held, fills it, or misses.
+// Attempt answers with the cached copy, a fill or a miss.
 func (c *CacheModels) Attempt(now float64, q *spool.Request, _ int, s *spool.Send) Answer {
 	m := c.members[s.Cache]
 	if m == nil {
-		return Answer{Result: spool.ConnectFailed, Took: c.options.MissLatency}
+		return Answer{Result: spool.ConnectFailed, Took: c.options.LookupLatency}
 	}
 	kb := max(q.KB, 0.001)
 	if c.addLoad(now, m, kb/c.options.TransferRate, kb, false) {
-		return Answer{Result: spool.Reset, Took: c.options.MissLatency}
+		return Answer{Result: spool.Reset, Took: c.options.LookupLatency}
 	}
 	took := kb / c.options.TransferRate * m.slowdown(now)
 	if m.role == "origin" || q.Write {
@@ -132,53 +134,54 @@
 	key := keyOf(q)
 	if m.cache.Lookup(now, key, s.Age, s.Keep) != nil {
 		m.transfers++
-		return Answer{Result: spool.OK, Note: spool.NoteHit, FirstByte: c.options.MissLatency, Took: c.options.MissLatency + took}
+		return Answer{Result: spool.OK, Note: spool.NoteHit, FirstByte: c.options.LookupLatency, Took: c.options.LookupLatency + took}
 	}
 	if s.Source == s.Cache {
-		return Answer{Result: spool.Miss, Took: c.options.MissLatency}
+		return Answer{Result: spool.Miss, Took: c.options.LookupLatency}
 	}
-	src := c.members[s.Source]
-	if src == nil || src.failedAt > 0 {
-		return Answer{Result: spool.Rejected, Note: spool.NoteSourceUnreachable, Took: c.options.MissLatency}
+	source := c.members[s.Source]
+	if source == nil || source.failedAt > 0 {
+		return Answer{Result: spool.Rejected, Note: spool.NoteSourceUnreachable, Took: c.options.LookupLatency}
 	}
-	begins, note := c.options.SourceLatency, spool.NoteFilled
+	firstByte, note := c.options.SourceLatency, spool.NoteFilled
 	switch {
-	case src.cache.Lookup(now, key, s.Age, 0) != nil:
+	case source.cache.Lookup(now, key, s.Age, 0) != nil:
 	case s.Held:
-		return Answer{Result: spool.Rejected, Note: spool.NoteSourceMiss, Took: 2 * c.options.MissLatency}
-	case src.role == "parent": // it fetches it from the origin first
-		begins += c.options.SourceLatency
-		c.store(now, src, q, 1)
-	case src.role == "origin":
+		return Answer{Result: spool.Rejected, Note: spool.NoteSourceMiss, Took: 2 * c.options.LookupLatency}
+	case source.role == "parent": // the parent fetches the object from the origin first
+		firstByte += c.options.SourceLatency
+		c.store(now, source, q, 1)
+	case source.role == "origin":
 		note = spool.NoteFilledByOrigin
 	}
-	if c.addLoad(now, src, kb/c.options.TransferRate, kb, true) {
-		return Answer{Result: spool.Rejected, Note: spool.NoteSourceUnreachable, Took: c.options.MissLatency}
+	if c.addLoad(now, source, kb/c.options.TransferRate, kb, true) {
+		return Answer{Result: spool.Rejected, Note: spool.NoteSourceUnreachable, Took: c.options.LookupLatency}
 	}
 	m.transfers++
-	src.transfers++
-	return Answer{Result: spool.OK, Note: note, FirstByte: begins, Took: begins + max(took, kb/c.options.FillRate*src.slowdown(now))}
+	source.transfers++
+	return Answer{Result: spool.OK, Note: note, FirstByte: firstByte, Took: firstByte + max(took, kb/c.options.FillRate*source.slowdown(now))}
 }
 
-// AttemptEnded frees what an attempt took, and keeps what a fill has brought.
+// AttemptEnded ends the transfers of an attempt, and stores the copy of a successful fill.
 func (c *CacheModels) AttemptEnded(now float64, q *spool.Request, s *spool.Send, a *Answer, result spool.Result) {
 	if a.Result != spool.OK {
 		return
 	}
-	m, src := c.members[s.Cache], c.members[s.Source]
+	m, source := c.members[s.Cache], c.members[s.Source]
 	if m == nil || m.role == "origin" || q.Write {
 		return
 	}
 	m.transfers = max(m.transfers-1, 0)
-	if a.Note == spool.NoteHit || src == nil || src == m {
+	if a.Note == spool.NoteHit || source == nil || source == m {
 		return
 	}
-	src.transfers = max(src.transfers-1, 0)
+	source.transfers = max(source.transfers-1, 0)
 	if result == spool.OK && s.Keep > 0 {
 		c.store(now, m, q, s.Keep)
 	}
 }
 
+// store caches a copy at a member.
 func (c *CacheModels) store(now float64, m *memberModel, q *spool.Request, rank int) {
 	f := m.cache.BeginFill(now, keyOf(q))
 	if f == nil {
@@ -194,13 +197,13 @@
 	return q.Object + "/" + strconv.Itoa(q.Part)
 }
 
-// slowdown is how many times as long a transfer takes.
+// slowdown returns the factor by which a further transfer takes longer than it would alone.
 func (m *memberModel) slowdown(now float64) float64 {
 	return max(float64(m.transfers+1)/max(m.cache.Capacity(now), 0.01), 1)
 }
 
-// addLoad books sending time; it reports whether the member is down, having been
-// given more than it bears while it is cold.
+// addLoad adds sending time to the load of a member. It reports whether the member is down,
+// because it was overloaded while it was warming up.
 func (c *CacheModels) addLoad(now float64, m *memberModel, work, kb float64, source bool) (down bool) {
 	c.reportUsage(now, m)
 	m.usage.SendMillis += work
@@ -218,7 +221,7 @@
 	return false
 }
 
-// reportUsage tells of the seconds that have passed.
+// reportUsage calls OnUsage once the second that usage covers is over.
 func (c *CacheModels) reportUsage(now float64, m *memberModel) {
 	if sec := int(now / 1000); sec > m.second {
 		if c.OnUsage != nil {
@@ -229,14 +232,14 @@
 	}
 }
 
-// Finish tells of the last seconds.
+// Finish reports the usage of the last second.
 func (c *CacheModels) Finish(now float64) {
 	for _, m := range c.members {
 		c.reportUsage(now+1000, m)
 	}
 }
 
-// FailedAt is when a member fell over; 0: it did not.
+// FailedAt returns the time at which a member failed under overload, in ms, or 0 if it did not.
 func (c *CacheModels) FailedAt(id string) float64 {
 	if m := c.members[id]; m != nil {
 		return m.failedAt
