--- a/internal/protocol/esi/bench_test.go
+++ b/internal/protocol/esi/bench_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// BenchmarkPage puts a page of so many fragments of 1 KB together, with nothing around.
+// BenchmarkPage assembles pages of n fragments of 1 KB each, without network or router.
 func BenchmarkPage(b *testing.B) {
 	for _, n := range []int{1, 10, 50, 200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -15,10 +15,10 @@
 			for i := range n {
 				fmt.Fprintf(&t, `<p><esi:include src="/s/%d/1"/></p>`, i)
 			}
-			template, piece, out := []byte(t.String()), bytes.Repeat([]byte("x"), 1024), make([]byte, 0, 300<<10)
+			template, fragment, out := []byte(t.String()), bytes.Repeat([]byte("x"), 1024), make([]byte, 0, 300<<10)
 			vars := &Vars{Host: "h"}
 			b.ReportAllocs()
-			b.SetBytes(int64(len(template) + n*len(piece)))
+			b.SetBytes(int64(len(template) + n*len(fragment)))
 			for b.Loop() {
 				p, err := NewPage(Options{}, vars, "/p/0/1", 0, 1000)
 				if err != nil {
@@ -29,11 +29,11 @@
 				p.TemplateEnd(1)
 				out = out[:0]
 				for !p.Done() {
-					acts, _ := p.Actions(2)
-					for _, a := range acts {
+					actions, _ := p.Actions(2)
+					for _, a := range actions {
 						p.CountAttempt()
 						p.FragmentHead(a.ID, Meta{}, 2)
-						p.FragmentBody(a.ID, piece, 2)
+						p.FragmentBody(a.ID, fragment, 2)
 						p.FragmentEnd(a.ID, 2)
 					}
 					out = p.Take(out, 64<<10, 2)
--- a/internal/protocol/esi/conformance_test.go
+++ b/internal/protocol/esi/conformance_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// conformance is what the specification says, one case or more for each statement of
-// docs/esi.md, by its name there.
+// conformance has a case for each statement of the specification that docs/esi.md lists, by its name
+// there.
 var conformance = []struct {
 	name string
 	w    site
@@ -75,8 +75,8 @@
 	return `<esi:choose><esi:when test="` + test + `">y</esi:when><esi:otherwise>n</esi:otherwise></esi:choose>`
 }
 
-// Each statement of the table in docs/esi.md has its case here, each case its statement,
-// and each gives what it must in any pieces and order.
+// TestConformance checks that the table in docs/esi.md and the cases name the same statements, and
+// that each case gives its result with inputs in any order and in chunks of any size.
 func TestConformance(t *testing.T) {
 	doc, err := os.ReadFile("../../../docs/esi.md")
 	if err != nil {
--- a/internal/protocol/esi/esi_test.go
+++ b/internal/protocol/esi/esi_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// show writes nodes in a form that stands for one page, whatever pieces its text came in.
+// show formats nodes. The result does not depend on the chunks in which the text arrived.
 func show(nodes []Node) string {
 	var b strings.Builder
 	last := Kind(0)
@@ -49,8 +49,8 @@
 	return b.String()
 }
 
-// parse reads a page in pieces of so many bytes.
-func parse(page string, piece int, l Limits) (string, error) {
+// parse parses a page in chunks of the given number of bytes.
+func parse(page string, chunk int, l Limits) (string, error) {
 	p := NewParser(l)
 	var all []Node
 	keep := func(list []Node) {
@@ -59,7 +59,7 @@
 			all = append(all, n)
 		}
 	}
-	buf := make([]byte, piece) // used again, as a socket's is
+	buf := make([]byte, chunk) // reused and overwritten, as a socket's buffer is
 	for rest := page; rest != ""; {
 		n := copy(buf, rest)
 		rest = rest[n:]
@@ -77,7 +77,7 @@
 	return show(all), err
 }
 
-func TestPages(t *testing.T) {
+func TestParse(t *testing.T) {
 	for _, c := range []struct{ page, want string }{
 		{"", ""},
 		{"plain <b>text</b> <!-- a note --> a < b", "[plain <b>text</b> <!-- a note --> a < b]"},
@@ -96,15 +96,15 @@
 			<esi:except><esi:choose><esi:when test="1">z</esi:when></esi:choose></esi:except></esi:try>`, `try([x]{/a||false} / ?(test: [z]))`},
 		{`<esi`, `[<esi]`}, {`<es`, `[<es]`}, {`</esi`, `[</esi]`}, {`<!--es`, `[<!--es]`}, {`<esiinclude>`, `[<esiinclude>]`},
 	} {
-		for _, piece := range []int{1, 2, 3, 7, 1000} {
-			if got, err := parse(c.page, piece, Limits{}); err != nil || got != c.want {
-				t.Errorf("%q in pieces of %d: %s, %v; want %s", c.page, piece, got, err, c.want)
+		for _, chunk := range []int{1, 2, 3, 7, 1000} {
+			if got, err := parse(c.page, chunk, Limits{}); err != nil || got != c.want {
+				t.Errorf("%q in chunks of %d: %s, %v; want %s", c.page, chunk, got, err, c.want)
 			}
 		}
 	}
 }
 
-// What is no page is said, with its place, in whatever pieces it comes.
+// TestFaults checks the offset and the text of faults, for chunks of several sizes.
 func TestFaults(t *testing.T) {
 	for _, c := range []struct {
 		page string
@@ -137,11 +137,11 @@
 		{`<!--esi x`, 9, "not closed"},
 		{strings.Repeat("<esi:vars>", 17), 160, "deeper than 16"},
 	} {
-		for _, piece := range []int{1, 3, 1000} {
-			_, err := parse(c.page, piece, Limits{})
+		for _, chunk := range []int{1, 3, 1000} {
+			_, err := parse(c.page, chunk, Limits{})
 			var f *Fault
 			if !errors.As(err, &f) || f.Offset != c.at || !strings.Contains(f.What, c.what) {
-				t.Errorf("%q in pieces of %d: %v; want byte %d, %s", c.page, piece, err, c.at, c.what)
+				t.Errorf("%q in chunks of %d: %v; want byte %d, %s", c.page, chunk, err, c.at, c.what)
 			}
 		}
 	}
@@ -158,7 +158,7 @@
 var testVars = &Vars{Host: "branch-7.example", Cookie: `a=1; name="O'Hara"; evil=x<y&z; long=` + strings.Repeat("x", 5000),
 	AcceptLanguage: "da, en-gb;q=0.8, fr;q=0", UserAgent: "Mozilla/5.0 (X11; Linux x86_64)", Query: "first=Robin&last=Roberts&n=10"}
 
-func TestTests(t *testing.T) {
+func TestExpr(t *testing.T) {
 	for text, want := range map[string]bool{
 		`$(HTTP_COOKIE{a})=='1'`: true, `$(HTTP_COOKIE{a}) == 1.0`: true, `$(HTTP_COOKIE{b})=='1'`: false,
 		`$(HTTP_COOKIE{b}|'1')=='1'`: true, `$(HTTP_COOKIE{b}|x)!='1'`: true, `$(HTTP_COOKIE{b})!='1'`: false,
@@ -185,7 +185,7 @@
 	}
 }
 
-// What a client sent reaches a page and an address only escaped.
+// TestExpand checks that values from the client are escaped in pages and in URLs.
 func TestExpand(t *testing.T) {
 	for _, c := range []struct {
 		text string
@@ -215,32 +215,32 @@
 	})
 }
 
-// Any bytes in any pieces give the same nodes and the same fault, and never hold more
-// than the limits say.
+// FuzzParse checks that nodes and faults do not depend on the size of the chunks, and that the parser
+// buffers no more than its limits allow.
 func FuzzParse(f *testing.F) {
 	for _, s := range []string{"a<esi:include src='/x'/>b", "<!--esi <esi:vars>$(HTTP_HOST)</esi:vars> -->", "<esi:try><esi:attempt>a</esi:attempt><esi:except>b</esi:except></esi:try>",
 		"<esi:choose><esi:when test=\"$(QUERY_STRING{a})=='1'\">x</esi:when></esi:choose>", "<esi:remove>x</esi:remove><esi:inline name='a'>y</esi:inline>", "<esi:", "-->"} {
 		f.Add([]byte(s), uint8(3))
 	}
-	f.Fuzz(func(t *testing.T, page []byte, piece uint8) {
+	f.Fuzz(func(t *testing.T, page []byte, chunk uint8) {
 		l := Limits{Depth: 4, Tag: 200, Held: 300, Nodes: 20}
 		whole, err := parse(string(page), max(len(page), 1), l)
-		cut, err2 := parse(string(page), int(piece)+1, l)
+		cut, err2 := parse(string(page), int(chunk)+1, l)
 		if (err == nil) != (err2 == nil) || err != nil && err.Error() != err2.Error() {
-			t.Fatalf("%v in one, %v in pieces of %d", err, err2, piece+1)
+			t.Fatalf("%v in one, %v in chunks of %d", err, err2, chunk+1)
 		}
 		if err == nil && whole != cut {
-			t.Fatalf("%s in one, %s in pieces of %d", whole, cut, piece+1)
+			t.Fatalf("%s in one, %s in chunks of %d", whole, cut, chunk+1)
 		}
 		p := NewParser(l)
 		for len(page) > 0 {
-			n := min(len(page), int(piece)+1)
+			n := min(len(page), int(chunk)+1)
 			if _, err := p.Feed(nil, page[:n]); err != nil {
 				return
 			}
 			page = page[n:]
-			if len(p.unread) > l.Tag+int(piece)+1 || len(p.inline.Text) > l.Held || len(p.stack) > l.Depth {
-				t.Fatalf("%d bytes are left, %d of an inline, %d open", len(p.unread), len(p.inline.Text), len(p.stack))
+			if len(p.unread) > l.Tag+int(chunk)+1 || len(p.inline.Text) > l.Held || len(p.stack) > l.Depth {
+				t.Fatalf("%d bytes unread, %d of an inline, %d open elements", len(p.unread), len(p.inline.Text), len(p.stack))
 			}
 		}
 	})
@@ -259,7 +259,7 @@
 			nodes, _ = p.Close(nodes)
 		}
 	})
-	b.Run("scan", func(b *testing.B) { // for one byte, and nothing else
+	b.Run("scan", func(b *testing.B) { // only searches for "<", as the lower bound
 		b.SetBytes(int64(len(page)))
 		data := []byte(page)
 		n := 0
--- a/internal/protocol/esi/page_test.go
+++ b/internal/protocol/esi/page_test.go
@@ -10,13 +10,13 @@
 	"pgregory.net/rapid"
 )
 
-// site is an origin for tests: pages by their address; what is missing fails.
+// site is an origin for tests: content by URL. A fetch of a missing URL fails.
 type site map[string]string
 
 func isPage(url string) bool { return strings.HasPrefix(url, "/p") }
 
-// play puts a page together with news in an order of chance, in pieces of any size, and
-// takes what is ready in sips. It says how often each fragment was asked for.
+// play assembles a page from inputs in random order and in chunks of random size, and takes the
+// output in chunks of random size. It returns the output, the page and the fetches per URL.
 func play(t fataler, s Options, w site, rng *rand.Rand) (string, *Page, map[string]int) {
 	return playAs(t, &Vars{Host: "h", Query: "a=1", Cookie: "k=<b>"}, s, w, rng)
 }
@@ -36,18 +36,18 @@
 	}
 	p.TemplateHead(Meta{ESI: true})
 	flows := []*flow{{id: -1, rest: w["/page"]}}
-	asked := map[string]int{}
+	fetched := map[string]int{}
 	var out []byte
 	now := 0.0
 	for step := 0; p.Err() == nil && !p.Done(); step++ {
 		if step > 200_000 {
-			t.Fatalf("it does not end: %d out, blocking %v, held %d", len(flows), p.blockingFragment(), p.waiting)
+			t.Fatalf("the page does not end: %d fetches in flight, blocked by %v, %d bytes waiting", len(flows), p.blockingFragment(), p.waiting)
 		}
-		acts, _ := p.Actions(now)
-		for _, a := range acts {
+		actions, _ := p.Actions(now)
+		for _, a := range actions {
 			switch a.Kind {
 			case Fetch:
-				asked[a.URL]++
+				fetched[a.URL]++
 				flows = append(flows, &flow{id: a.ID, url: a.URL, rest: w[a.URL]})
 			case Cancel:
 				for i, f := range flows {
@@ -67,7 +67,7 @@
 			switch _, there := w[f.url]; {
 			case f.id >= 0 && !there:
 				p.CountAttempt()
-				p.FragmentFailed(f.id, "it is missing", now)
+				p.FragmentFailed(f.id, "not found", now)
 				over = true
 			case f.id >= 0 && !f.begun:
 				p.CountAttempt()
@@ -102,10 +102,10 @@
 			out = p.Take(out, 1+rng.IntN(3000), now)
 		}
 	}
-	return string(out), p, asked
+	return string(out), p, fetched
 }
 
-// model is the language once more, and otherwise: it expands a page whole, by its text.
+// model is a second implementation of the language: it expands a page recursively, as text.
 func (w site) model(url string, chain []string) (string, bool) {
 	text, ok := w[url]
 	if !ok {
@@ -152,7 +152,7 @@
 			out.WriteString(got)
 			continue
 		}
-		// a try: the generator nests none in another
+		// a try; the generator does not nest them
 		body, after, _ := strings.Cut(rest, "</esi:try>")
 		text = after
 		_, body, _ = strings.Cut(body, "<esi:attempt>")
@@ -169,10 +169,10 @@
 	}
 }
 
-// Any pages, in any order of news and any pieces, give what the model gives; a page that
-// the model can't make fails, and what went out until then is its beginning. What is held
-// is bounded.
-func TestPagesAsModel(t *testing.T) {
+// TestPageMatchesModel checks that random pages, with inputs in any order and in chunks of any size,
+// give the output of the model, that a page fails if the model cannot expand it, and that the number
+// of waiting bytes is bounded.
+func TestPageMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		w := site{}
@@ -180,7 +180,7 @@
 		include := func(in string) string {
 			src := names[rng.IntN(len(names))]
 			if in != "/page" && isPage(src) && (src < in || src == in && rng.IntN(8) > 0) {
-				src = "/f1" // of a cycle of two, it depends on who is first which of them goes without
+				src = "/f1" // in a cycle, the order of the inputs decides which include is left out
 			}
 			tag := `<esi:include src="` + src + `"`
 			if rng.IntN(4) == 0 {
@@ -223,10 +223,10 @@
 			t.Fatalf("%d bytes, the model has %d\n%.2000q\n%.2000q\n%s", len(got), len(want), got, want, w["/page"])
 		}
 		if p.Done() && p.waiting != 0 {
-			t.Fatalf("%d bytes are held at the end", p.waiting)
+			t.Fatalf("%d bytes are waiting at the end", p.waiting)
 		}
-		if most := int64(3*s.MaxWaiting + 8*s.MaxBuffered); p.maxWaiting > most {
-			t.Fatalf("%d bytes were held, %d may be", p.maxWaiting, most)
+		if limit := int64(3*s.MaxWaiting + 8*s.MaxBuffered); p.maxWaiting > limit {
+			t.Fatalf("%d bytes were waiting, want at most %d", p.maxWaiting, limit)
 		}
 	})
 }
@@ -234,66 +234,66 @@
 func TestPageCases(t *testing.T) {
 	big := strings.Repeat("0123456789abcdef", 12<<10) // 192 KB
 	for _, k := range []struct {
-		name  string
-		s     Options
-		w     site
-		want  string
-		err   error
-		asked map[string]int
+		name    string
+		s       Options
+		w       site
+		want    string
+		err     error
+		fetched map[string]int
 	}{
-		{name: "the same ten times is fetched once", w: site{"/page": strings.Repeat(`<esi:include src="/f1"/>`, 10), "/f1": "x"}, want: "xxxxxxxxxx", asked: map[string]int{"/f1": 1}},
-		{name: "alt, then left out", w: site{"/page": `a<esi:include src="/n" alt="/m" onerror="continue"/>b`}, want: "ab", asked: map[string]int{"/n": 1, "/m": 1}},
+		{name: "included ten times, fetched once", w: site{"/page": strings.Repeat(`<esi:include src="/f1"/>`, 10), "/f1": "x"}, want: "xxxxxxxxxx", fetched: map[string]int{"/f1": 1}},
+		{name: "alt, then left out", w: site{"/page": `a<esi:include src="/n" alt="/m" onerror="continue"/>b`}, want: "ab", fetched: map[string]int{"/n": 1, "/m": 1}},
 		{name: "missing", w: site{"/page": `<esi:include src="/n"/>`}, err: ErrFragment},
-		{name: "itself", w: site{"/page": `a<esi:include src="/page" onerror="continue"/>`}, want: "a", asked: map[string]int{"/page": 0}},
+		{name: "includes itself", w: site{"/page": `a<esi:include src="/page" onerror="continue"/>`}, want: "a", fetched: map[string]int{"/page": 0}},
 		{name: "a cycle of two", w: site{"/page": `<esi:include src="/p1"/>`, "/p1": `1<esi:include src="/p2"/>`, "/p2": `2<esi:include src="/p1"/>`}, err: ErrFragment},
 		{name: "too deep", s: Options{Depth: 2}, w: site{"/page": `<esi:include src="/p1"/>`, "/p1": `<esi:include src="/p2"/>`, "/p2": `<esi:include src="/f1"/>`, "/f1": "x"}, err: ErrFragment},
 		{name: "billion laughs", s: Options{MaxPage: 1 << 20}, w: site{"/page": strings.Repeat(`<esi:include src="/p1"/>`, 40), "/p1": strings.Repeat(`<esi:include src="/p2"/>`, 40), "/p2": strings.Repeat(`<esi:include src="/f1"/>`, 40), "/f1": strings.Repeat("ha", 500)}, err: ErrLimit},
-		{name: "laughs of nothing", w: site{"/page": strings.Repeat(`<esi:include src="/p1"/>`, 100), "/p1": strings.Repeat(`<esi:include src="/p2"/>`, 100), "/p2": strings.Repeat(`<esi:include src="/p3"/>`, 100), "/p3": ""}, err: ErrLimit},
+		{name: "billion laughs, empty", w: site{"/page": strings.Repeat(`<esi:include src="/p1"/>`, 100), "/p1": strings.Repeat(`<esi:include src="/p2"/>`, 100), "/p2": strings.Repeat(`<esi:include src="/p3"/>`, 100), "/p3": ""}, err: ErrLimit},
 		{name: "too many fragments", s: Options{Fragments: 3}, w: site{"/page": `<esi:include src="/1"/><esi:include src="/2"/><esi:include src="/3"/><esi:include src="/4"/>`, "/1": "", "/2": "", "/3": "", "/4": ""}, err: ErrFragment},
-		{name: "attempts are used up", s: Options{Attempts: 3, Parallel: 1}, w: site{"/page": `<esi:include src="/1" onerror="continue"/><esi:include src="/2" onerror="continue"/><esi:include src="/3" onerror="continue"/><esi:include src="/4" onerror="continue"/>`, "/1": "1", "/2": "2", "/3": "3", "/4": "4"}, want: "123", asked: map[string]int{"/4": 0}},
-		{name: "another host", w: site{"/page": `a<esi:include src="http://evil/f1" onerror="continue"/><esi:include src="//evil/f1" onerror="continue"/><esi:include src="file:///etc/x" onerror="continue"/><esi:include src="http://h/f1"/>`, "/f1": "x"}, want: "ax", asked: map[string]int{"/f1": 1}},
+		{name: "too many attempts", s: Options{Attempts: 3, Parallel: 1}, w: site{"/page": `<esi:include src="/1" onerror="continue"/><esi:include src="/2" onerror="continue"/><esi:include src="/3" onerror="continue"/><esi:include src="/4" onerror="continue"/>`, "/1": "1", "/2": "2", "/3": "3", "/4": "4"}, want: "123", fetched: map[string]int{"/4": 0}},
+		{name: "another host", w: site{"/page": `a<esi:include src="http://evil/f1" onerror="continue"/><esi:include src="//evil/f1" onerror="continue"/><esi:include src="file:///etc/x" onerror="continue"/><esi:include src="http://h/f1"/>`, "/f1": "x"}, want: "ax", fetched: map[string]int{"/f1": 1}},
 		{name: "relative", w: site{"/page": `<esi:include src="f1"/><esi:include src="../../f2"/>`, "/f1": "1", "/f2": "2"}, want: "12"},
-		{name: "a value can't make an address of its own", w: site{"/page": `<esi:include src="/q/$(HTTP_COOKIE{k})"/>`, "/q/%3Cb%3E": "ok"}, want: "ok"},
-		{name: "variables and branches", w: site{"/page": `<esi:vars>$(HTTP_COOKIE{k})</esi:vars><esi:choose><esi:when test="$(QUERY_STRING{a})=='1'">1<esi:include src="/f1"/></esi:when><esi:otherwise><esi:include src="/f2"/></esi:otherwise></esi:choose>`, "/f1": "x"}, want: "&lt;b&gt;1x", asked: map[string]int{"/f2": 0}},
-		{name: "inline", w: site{"/page": `<esi:inline name="/in">i<esi:include src="/f1"/></esi:inline>a<esi:include src="/in"/><esi:include src="/in"/>`, "/f1": "x"}, want: "aixix", asked: map[string]int{"/in": 0, "/f1": 1}},
-		{name: "inlines without end", w: site{"/page": `<esi:inline name="/1">` + big + `</esi:inline>` + `<esi:inline name="/2">` + big + `</esi:inline>`}, s: Options{MaxWaiting: 300 << 10}, err: ErrLimit},
-		{name: "an inline that comes late", w: site{"/page": `<esi:include src="/f1"/><esi:inline name="/f1">i</esi:inline><esi:include src="/f1"/>`, "/f1": "x"}, want: "xi"},
-		{name: "an inline of a fragment's own", w: site{"/page": `<esi:include src="/p1"/><esi:include src="/f1"/>`, "/p1": `<esi:inline name="/f1">i</esi:inline><esi:inline name="/2">2<esi:include src="/f1"/></esi:inline><esi:include src="/2"/>`, "/f1": "x"}, want: "2ix"},
-		{name: "an inline within itself", w: site{"/page": `<esi:inline name="/1">a<esi:include src="/1" onerror="continue"/></esi:inline><esi:include src="/1"/>`}, want: "a"},
+		{name: "a variable's value is escaped in a URL", w: site{"/page": `<esi:include src="/q/$(HTTP_COOKIE{k})"/>`, "/q/%3Cb%3E": "ok"}, want: "ok"},
+		{name: "variables and branches", w: site{"/page": `<esi:vars>$(HTTP_COOKIE{k})</esi:vars><esi:choose><esi:when test="$(QUERY_STRING{a})=='1'">1<esi:include src="/f1"/></esi:when><esi:otherwise><esi:include src="/f2"/></esi:otherwise></esi:choose>`, "/f1": "x"}, want: "&lt;b&gt;1x", fetched: map[string]int{"/f2": 0}},
+		{name: "inline", w: site{"/page": `<esi:inline name="/in">i<esi:include src="/f1"/></esi:inline>a<esi:include src="/in"/><esi:include src="/in"/>`, "/f1": "x"}, want: "aixix", fetched: map[string]int{"/in": 0, "/f1": 1}},
+		{name: "inlines too large", w: site{"/page": `<esi:inline name="/1">` + big + `</esi:inline>` + `<esi:inline name="/2">` + big + `</esi:inline>`}, s: Options{MaxWaiting: 300 << 10}, err: ErrLimit},
+		{name: "an inline after its first include", w: site{"/page": `<esi:include src="/f1"/><esi:inline name="/f1">i</esi:inline><esi:include src="/f1"/>`, "/f1": "x"}, want: "xi"},
+		{name: "an inline in a fragment", w: site{"/page": `<esi:include src="/p1"/><esi:include src="/f1"/>`, "/p1": `<esi:inline name="/f1">i</esi:inline><esi:inline name="/2">2<esi:include src="/f1"/></esi:inline><esi:include src="/2"/>`, "/f1": "x"}, want: "2ix"},
+		{name: "an inline that includes itself", w: site{"/page": `<esi:inline name="/1">a<esi:include src="/1" onerror="continue"/></esi:inline><esi:include src="/1"/>`}, want: "a"},
 		{name: "a try in a try", w: site{"/page": `<esi:try><esi:attempt>1<esi:try><esi:attempt><esi:include src="/n"/></esi:attempt><esi:except>2<esi:include src="/n"/></esi:except></esi:try></esi:attempt><esi:except>3</esi:except></esi:try>`}, want: "3"},
 		{name: "malformed", w: site{"/page": `ab<esi:include/>`}, err: ErrMalformed},
-		{name: "malformed, as it is", s: Options{PassMalformed: true}, w: site{"/page": `<esi:include src="/f1"/><esi:bad>`, "/f1": "x"}, want: `<esi:include src="/f1"/><esi:bad>`, asked: map[string]int{"/f1": 0}},
-		{name: "a malformed fragment, as it is", s: Options{PassMalformed: true}, w: site{"/page": `a<esi:include src="/p1"/>`, "/p1": "<esi:x>"}, want: `a<esi:x>`},
+		{name: "malformed, passed unmodified", s: Options{PassMalformed: true}, w: site{"/page": `<esi:include src="/f1"/><esi:bad>`, "/f1": "x"}, want: `<esi:include src="/f1"/><esi:bad>`, fetched: map[string]int{"/f1": 0}},
+		{name: "a malformed fragment, passed unmodified", s: Options{PassMalformed: true}, w: site{"/page": `a<esi:include src="/p1"/>`, "/p1": "<esi:x>"}, want: `a<esi:x>`},
 		{name: "a malformed fragment", w: site{"/page": `a<esi:include src="/p1" alt="/f1"/>`, "/p1": "<esi:x>", "/f1": "y"}, want: `ay`},
-		{name: "a large one streams", s: Options{MaxWaiting: 16 << 10, StreamThreshold: 4 << 10, MaxBuffered: 32 << 10}, w: site{"/page": `a<esi:include src="/f1"/>b`, "/f1": big}, want: "a" + big + "b"},
-		{name: "a large one that has to be whole", s: Options{MaxWaiting: 16 << 10, StreamThreshold: 4 << 10, MaxBuffered: 32 << 10}, w: site{"/page": `a<esi:try><esi:attempt><esi:include src="/f1"/></esi:attempt><esi:except>no</esi:except></esi:try>`, "/f1": big}, want: "ano"},
+		{name: "a large fragment is streamed", s: Options{MaxWaiting: 16 << 10, StreamThreshold: 4 << 10, MaxBuffered: 32 << 10}, w: site{"/page": `a<esi:include src="/f1"/>b`, "/f1": big}, want: "a" + big + "b"},
+		{name: "a large fragment that must be buffered", s: Options{MaxWaiting: 16 << 10, StreamThreshold: 4 << 10, MaxBuffered: 32 << 10}, w: site{"/page": `a<esi:try><esi:attempt><esi:include src="/f1"/></esi:attempt><esi:except>no</esi:except></esi:try>`, "/f1": big}, want: "ano"},
 	} {
 		for seed := range uint64(20) {
-			got, p, asked := play(t, k.s, k.w, rand.New(rand.NewPCG(seed, 7)))
+			got, p, fetched := play(t, k.s, k.w, rand.New(rand.NewPCG(seed, 7)))
 			if !errors.Is(p.Err(), k.err) || k.err == nil && got != k.want {
 				t.Fatalf("%s: %.200q, %v", k.name, got, p.Err())
 			}
-			for url, n := range k.asked {
-				if asked[url] != n {
-					t.Fatalf("%s: %s was asked for %d times, not %d", k.name, url, asked[url], n)
+			for url, n := range k.fetched {
+				if fetched[url] != n {
+					t.Fatalf("%s: %s was fetched %d times, want %d", k.name, url, fetched[url], n)
 				}
 			}
 		}
 	}
 }
 
-// A purge of a fragment that is held, and has not gone out: the old copy never does. Of
-// one that goes out already: the page ends by then, or breaks off. Of the template, with
-// nothing sent: it begins anew.
-func TestPurgesOfPages(t *testing.T) {
+// TestPagePurge purges fragments and templates. A buffered fragment is fetched again, and its old
+// copy is not sent. If part of a fragment or template has been sent, the page must end by the time
+// of the purge or fails. A template of which nothing has been sent is fetched again.
+func TestPagePurge(t *testing.T) {
 	w := site{"/page": `<esi:include src="/slow"/><esi:include src="/f1"/>`, "/slow": "s", "/f1": "new"}
 	p, _ := NewPage(Options{}, &Vars{}, "/page", 0, 1000)
 	p.TemplateHead(Meta{ESI: true})
 	do := func(want string) {
 		t.Helper()
-		acts, _ := p.Actions(1)
-		if got := fmt.Sprint(acts); got != want {
-			t.Fatalf("acts %s, want %s", got, want)
+		actions, _ := p.Actions(1)
+		if got := fmt.Sprint(actions); got != want {
+			t.Fatalf("actions %s, want %s", got, want)
 		}
 	}
 	p.Template([]byte(w["/page"]), 0)
@@ -308,13 +308,13 @@
 	p.FragmentBody(0, []byte("s"), 3)
 	p.FragmentEnd(0, 3)
 	if got := p.Take(nil, 100, 4); string(got) != "s" {
-		t.Fatalf("%q went out", got)
+		t.Fatalf("%q was sent", got)
 	}
 	p.FragmentHead(1, Meta{}, 5)
 	p.FragmentBody(1, []byte("new"), 5)
 	p.FragmentEnd(1, 5)
 	if got := p.Take(nil, 100, 6); string(got) != "new" || !p.Done() {
-		t.Fatalf("%q went out", got)
+		t.Fatalf("%q was sent", got)
 	}
 
 	for _, late := range []bool{false, true} {
@@ -341,11 +341,11 @@
 		}
 		p.FragmentEnd(0, 200)
 		if p.Take(nil, 100, 200); !p.Done() {
-			t.Error("it is whole in time, and not done")
+			t.Error("the page is complete in time and not done")
 		}
 	}
 
-	// a template that is purged while it goes out ends in time without what it can spare
+	// a template that is purged while it is sent ends in time, without its optional fragments
 	p, _ = NewPage(Options{}, &Vars{}, "/page", 0, 3000)
 	p.TemplateHead(Meta{ESI: true})
 	p.Template([]byte(`a<esi:include src="/f1" onerror="continue"/>b<esi:include src="/f2" alt="/f3" onerror="continue"/>`), 0)
@@ -382,21 +382,21 @@
 	}
 }
 
-// One that never comes is given up in time for the rest: what can be spared early, what
-// has an alternative so that this one has its time too; what can't, at the end.
-func TestPagesInTime(t *testing.T) {
+// TestPageDeadlines checks when fetches time out: an optional fragment in time for the rest of the
+// page, one with an alternative in time for that, a required one at the end.
+func TestPageDeadlines(t *testing.T) {
 	p, _ := NewPage(Options{}, &Vars{}, "/page", 0, 1000)
 	p.TemplateHead(Meta{ESI: true})
 	p.Template([]byte(`a<esi:include src="/1" alt="/2" onerror="continue"/>b<esi:include src="/3" onerror="continue"/>c<esi:include src="/4"/>`), 0)
 	p.TemplateEnd(0)
 	out := p.Take(nil, 100, 0)
-	acts, tick := p.Actions(0)
-	if got := fmt.Sprint(acts); got != "[{1 0 /1 450} {1 1 /3 900} {1 2 /4 900}]" || tick != 450 {
+	actions, tick := p.Actions(0)
+	if got := fmt.Sprint(actions); got != "[{1 0 /1 450} {1 1 /3 900} {1 2 /4 900}]" || tick != 450 {
 		t.Fatal(got, tick)
 	}
 	p.Tick(450)
-	if acts, tick = p.Actions(450); fmt.Sprint(acts) != "[{2 0  0} {1 3 /2 900}]" {
-		t.Fatal(acts, tick)
+	if actions, tick = p.Actions(450); fmt.Sprint(actions) != "[{2 0  0} {1 3 /2 900}]" {
+		t.Fatal(actions, tick)
 	}
 	p.FragmentHead(2, Meta{}, 800)
 	p.FragmentBody(2, []byte("d"), 800)
@@ -409,7 +409,7 @@
 	p.TemplateHead(Meta{ESI: true})
 	p.Template([]byte(`a<esi:include src="/1"/>`), 0)
 	p.Actions(0)
-	if p.Tick(900); p.Err() != nil { // "a" is there, and the client has not taken it
+	if p.Tick(900); p.Err() != nil { // "a" is ready and the client has not taken it
 		t.Error(p.Err())
 	}
 	p, _ = NewPage(Options{}, &Vars{}, "/page", 0, 1000)
@@ -422,7 +422,7 @@
 	}
 }
 
-func TestTogether(t *testing.T) {
+func TestCombine(t *testing.T) {
 	a := Meta{Fresh: 100, ETag: `"a"`, LastModified: 5}
 	b := Meta{Fresh: 50, ETag: `"b"`, LastModified: 7, Private: true}
 	ab, ba := Combine([]Meta{a, b}), Combine([]Meta{b, a})
@@ -434,8 +434,8 @@
 	}
 }
 
-// FuzzPage feeds any page, any fragment and any order of news: it always ends, in bounds,
-// and the same bytes in other pieces give the same page.
+// FuzzPage assembles arbitrary pages and fragments with inputs in random order. A page always ends
+// within its bounds, and its output does not depend on the chunks in which the input arrives.
 func FuzzPage(f *testing.F) {
 	f.Add(`a<esi:include src="/p1"/><esi:try><esi:attempt><esi:include src="/n"/></esi:attempt><esi:except>e</esi:except></esi:try>`, `<esi:include src="/f"/>`, uint64(1))
 	f.Add(`<esi:inline name="/p1">x</esi:inline><esi:include src="/p1"/><esi:include src="/f" alt="/p1"/>`, `y`, uint64(2))
@@ -451,7 +451,7 @@
 			t.Fatalf("%q and %q", one, two)
 		}
 		if p.maxWaiting > 3*s.MaxWaiting+10*s.MaxBuffered {
-			t.Fatalf("%d bytes held", p.maxWaiting)
+			t.Fatalf("%d bytes waiting", p.maxWaiting)
 		}
 	})
 }
