--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -65,7 +65,7 @@
 	var forms []form
 	d := &decoder{}
 	for _, s := range sources {
-		f, faults := read(s.File, s.Text)
+		f, faults := readText(s.File, s.Text)
 		forms = append(forms, f...)
 		d.faults = append(d.faults, faults...)
 	}
@@ -75,10 +75,10 @@
 	if len(sources) > 0 {
 		at.File = sources[0].File
 	}
-	if wrong := otherKind(top.Type(), forms); wrong != nil {
+	if wrong := wrongFileKind(top.Type(), forms); wrong != nil {
 		return Faults{*wrong}
 	}
-	d.fill(top, forms, at, "")
+	d.decodeStruct(top, forms, at, "")
 	if len(d.faults) == 0 {
 		if then != nil {
 			then()
@@ -90,28 +90,28 @@
 	return d.faults.Err()
 }
 
-// kinds are the kinds of files, by the word of their first form, and who reads them.
-var kinds = map[string]string{"router": "settings of a router: spool-router and the tools read them", "load": "a load: spool-load reads it",
+// fileKinds are the kinds of files, by the word of their first form, and who reads them.
+var fileKinds = map[string]string{"router": "settings of a router: spool-router and the tools read them", "load": "a load: spool-load reads it",
 	"day": "a day: spool-scenario run plays it", "stand": "a fleet of stand-ins: spool-testserver reads it", "service": "settings of a control service: spool-control reads them"}
 
-// otherKind tells a file of another kind than the one that is read, in one line
+// wrongFileKind tells a file of another kind than the one that is read, in one line
 // instead of one for each of its keys.
-func otherKind(t reflect.Type, forms []form) *Fault {
+func wrongFileKind(t reflect.Type, forms []form) *Fault {
 	if len(forms) == 0 || len(forms[0].list) == 0 {
 		return nil
 	}
 	word := forms[0].list[0].word()
 	named, _, _ := fieldsOf(t)
-	if _, known := named[word]; known || kinds[word] == "" {
+	if _, known := named[word]; known || fileKinds[word] == "" {
 		return nil
 	}
 	what := "something else"
-	for w, text := range kinds {
+	for w, text := range fileKinds {
 		if info, ok := named[w]; ok && info.required {
 			what = text
 		}
 	}
-	return &Fault{Pos: forms[0].list[0].pos, What: fmt.Sprintf("this file is %s", kinds[word]), Remedy: "wanted here is " + what}
+	return &Fault{Pos: forms[0].list[0].pos, What: fmt.Sprintf("this file is %s", fileKinds[word]), Remedy: "wanted here is " + what}
 }
 
 type decoder struct{ faults Faults }
@@ -127,21 +127,21 @@
 	tag      reflect.StructTag
 }
 
-// schemaOf is what the tags of a struct's fields say.
-type schemaOf struct {
-	named      map[string]fieldInfo
+// schema is what the tags of a struct's fields say.
+type schema struct {
+	byKey      map[string]fieldInfo
 	positional []fieldInfo
-	place      int
+	placeIndex int
 }
 
 var schemas sync.Map // schemaOf by reflect.Type
 
 func fieldsOf(t reflect.Type) (named map[string]fieldInfo, positional []fieldInfo, place int) {
 	if s, ok := schemas.Load(t); ok {
-		s := s.(schemaOf)
-		return s.named, s.positional, s.place
+		s := s.(schema)
+		return s.byKey, s.positional, s.placeIndex
 	}
-	defer func() { schemas.Store(t, schemaOf{named, positional, place}) }()
+	defer func() { schemas.Store(t, schema{named, positional, place}) }()
 	named, place = map[string]fieldInfo{}, -1
 	for i := range t.NumField() {
 		f := t.Field(i)
@@ -172,14 +172,14 @@
 	return path + "/" + key
 }
 
-// fill sets a struct's fields from the forms of a list.
-func (d *decoder) fill(v reflect.Value, forms []form, at Pos, path string) {
+// decodeStruct sets a struct's fields from the forms of a list.
+func (d *decoder) decodeStruct(v reflect.Value, forms []form, at Pos, path string) {
 	named, positional, place := fieldsOf(v.Type())
 	for _, info := range named {
-		d.preset(v.Field(info.index), info, at)
+		d.setDefault(v.Field(info.index), info, at)
 	}
 	for _, info := range positional {
-		d.preset(v.Field(info.index), info, at)
+		d.setDefault(v.Field(info.index), info, at)
 	}
 	keys := map[string]Pos{}
 	pos := 0
@@ -190,9 +190,9 @@
 				info := positional[pos]
 				field := v.Field(info.index)
 				if field.Kind() == reflect.Slice {
-					d.appendTo(field, f, info, join(path, info.key))
+					d.appendElement(field, f, info, join(path, info.key))
 				} else {
-					d.scalar(field, f, info, join(path, info.key))
+					d.decodeScalar(field, f, info, join(path, info.key))
 					pos++
 				}
 				if _, ok := keys[info.key]; !ok {
@@ -200,21 +200,21 @@
 				}
 				continue
 			}
-			d.fault(f.pos, path, fmt.Sprintf("value %s is not expected here", short(f.text)), expect(named))
+			d.fault(f.pos, path, fmt.Sprintf("value %s is not expected here", truncate(f.text)), knownKeys(named))
 			continue
 		}
 		if len(f.list) == 0 || f.list[0].word() == "" {
-			d.fault(f.pos, path, "a list must begin with a word", expect(named))
+			d.fault(f.pos, path, "a list must begin with a word", knownKeys(named))
 			continue
 		}
 		key := f.list[0].word()
 		info, ok := named[key]
 		if !ok {
-			remedy := expect(named)
-			if near := nearest(key, named); near != "" {
+			remedy := knownKeys(named)
+			if near := nearestKey(key, named); near != "" {
 				remedy = fmt.Sprintf("did you mean %s?", near)
 			}
-			d.fault(f.list[0].pos, path, fmt.Sprintf("unknown key %q", short(key)), remedy)
+			d.fault(f.list[0].pos, path, fmt.Sprintf("unknown key %q", truncate(key)), remedy)
 			continue
 		}
 		field := v.Field(info.index)
@@ -230,7 +230,7 @@
 				keys[key] = f.list[1].pos
 			}
 		}
-		d.value(field, f, info, join(path, key))
+		d.decodeValue(field, f, info, join(path, key))
 	}
 	for _, info := range positional {
 		if _, ok := keys[info.key]; info.required && !ok {
@@ -247,11 +247,11 @@
 	}
 }
 
-// preset sets a field's default.
-func (d *decoder) preset(field reflect.Value, info fieldInfo, at Pos) {
+// setDefault sets a field's default.
+func (d *decoder) setDefault(field reflect.Value, info fieldInfo, at Pos) {
 	if field.Kind() == reflect.Struct {
 		d2 := &decoder{}
-		d2.fill(field, nil, at, "") // defaults only; what it lacks is told when it is given
+		d2.decodeStruct(field, nil, at, "") // defaults only; what it lacks is told when it is given
 		return
 	}
 	def, ok := info.tag.Lookup("def")
@@ -272,41 +272,41 @@
 	}
 }
 
-// value sets a field from (key ...).
-func (d *decoder) value(field reflect.Value, f *form, info fieldInfo, path string) {
+// decodeValue sets a field from (key ...).
+func (d *decoder) decodeValue(field reflect.Value, f *form, info fieldInfo, path string) {
 	args := f.list[1:]
 	switch {
 	case field.Kind() == reflect.Struct:
-		d.fill(field, args, f.pos, path)
+		d.decodeStruct(field, args, f.pos, path)
 	case field.Kind() == reflect.Slice && field.Type().Elem().Kind() == reflect.Struct:
 		elem := reflect.New(field.Type().Elem()).Elem()
-		d.fill(elem, args, f.pos, path)
+		d.decodeStruct(elem, args, f.pos, path)
 		field.Set(reflect.Append(field, elem))
 	case field.Kind() == reflect.Slice:
 		if len(args) == 0 {
 			d.fault(f.pos, path, "no value given", fmt.Sprintf("write (%s value ...)", info.key))
 		}
 		for i := range args {
-			d.appendTo(field, &args[i], info, path)
+			d.appendElement(field, &args[i], info, path)
 		}
 	case field.Kind() == reflect.Bool && len(args) == 0:
 		field.SetBool(true)
 	case len(args) != 1:
 		d.fault(f.pos, path, fmt.Sprintf("%d values given", len(args)), fmt.Sprintf("write (%s value)", info.key))
 	default:
-		d.scalar(field, &args[0], info, path)
+		d.decodeScalar(field, &args[0], info, path)
 	}
 }
 
-func (d *decoder) appendTo(field reflect.Value, f *form, info fieldInfo, path string) {
+func (d *decoder) appendElement(field reflect.Value, f *form, info fieldInfo, path string) {
 	elem := reflect.New(field.Type().Elem()).Elem()
 	before := len(d.faults)
-	if d.scalar(elem, f, info, path); len(d.faults) == before {
+	if d.decodeScalar(elem, f, info, path); len(d.faults) == before {
 		field.Set(reflect.Append(field, elem))
 	}
 }
 
-func (d *decoder) scalar(field reflect.Value, f *form, info fieldInfo, path string) {
+func (d *decoder) decodeScalar(field reflect.Value, f *form, info fieldInfo, path string) {
 	if f.isList() {
 		d.fault(f.pos, path, "a list stands where a value is wanted", "write a number, a word or a string")
 		return
@@ -322,10 +322,10 @@
 		case int64:
 			s = f.text
 		default:
-			d.fault(f.pos, path, fmt.Sprintf("%s is no word or string", short(f.text)), "put it in double quotes")
+			d.fault(f.pos, path, fmt.Sprintf("%s is no word or string", truncate(f.text)), "put it in double quotes")
 			return
 		}
-		if list, ok := info.tag.Lookup("oneof"); ok && !has(strings.Fields(list), s) {
+		if list, ok := info.tag.Lookup("oneof"); ok && !contains(strings.Fields(list), s) {
 			d.fault(f.pos, path, fmt.Sprintf("%q is not known here", s), "use one of: "+strings.Join(strings.Fields(list), ", "))
 			return
 		}
@@ -333,17 +333,17 @@
 	case reflect.Bool:
 		v, ok := f.atom.(bool)
 		if !ok {
-			d.fault(f.pos, path, fmt.Sprintf("%s is neither true nor false", short(f.text)), "write true or false")
+			d.fault(f.pos, path, fmt.Sprintf("%s is neither true nor false", truncate(f.text)), "write true or false")
 			return
 		}
 		field.SetBool(v)
 	case reflect.Int, reflect.Int64:
 		v, ok := f.atom.(int64)
 		if !ok {
-			d.fault(f.pos, path, fmt.Sprintf("%s is no whole number", short(f.text)), "write a whole number")
+			d.fault(f.pos, path, fmt.Sprintf("%s is no whole number", truncate(f.text)), "write a whole number")
 			return
 		}
-		if d.bounds(float64(v), f, info, path) {
+		if d.checkBounds(float64(v), f, info, path) {
 			field.SetInt(v)
 		}
 	case reflect.Float64:
@@ -354,14 +354,14 @@
 		case float64:
 			x = v
 		default:
-			d.fault(f.pos, path, fmt.Sprintf("%s is no number", short(f.text)), "write a number; spans are in milliseconds")
+			d.fault(f.pos, path, fmt.Sprintf("%s is no number", truncate(f.text)), "write a number; spans are in milliseconds")
 			return
 		}
 		if math.IsNaN(x) || math.IsInf(x, 0) {
-			d.fault(f.pos, path, fmt.Sprintf("%s is no finite number", short(f.text)), "write a finite number")
+			d.fault(f.pos, path, fmt.Sprintf("%s is no finite number", truncate(f.text)), "write a finite number")
 			return
 		}
-		if d.bounds(x, f, info, path) {
+		if d.checkBounds(x, f, info, path) {
 			field.SetFloat(x)
 		}
 	default:
@@ -369,25 +369,25 @@
 	}
 }
 
-func (d *decoder) bounds(x float64, f *form, info fieldInfo, path string) bool {
+func (d *decoder) checkBounds(x float64, f *form, info fieldInfo, path string) bool {
 	lo, hasLo := info.tag.Lookup("min")
 	hi, hasHi := info.tag.Lookup("max")
 	low, _ := strconv.ParseFloat(lo, 64)
 	high, _ := strconv.ParseFloat(hi, 64)
 	switch {
 	case hasLo && hasHi && (x < low || x > high):
-		d.fault(f.pos, path, short(f.text)+" is out of bounds", fmt.Sprintf("it must be from %s to %s", lo, hi))
+		d.fault(f.pos, path, truncate(f.text)+" is out of bounds", fmt.Sprintf("it must be from %s to %s", lo, hi))
 	case hasLo && x < low:
-		d.fault(f.pos, path, short(f.text)+" is too small", fmt.Sprintf("it must be %s or more", lo))
+		d.fault(f.pos, path, truncate(f.text)+" is too small", fmt.Sprintf("it must be %s or more", lo))
 	case hasHi && x > high:
-		d.fault(f.pos, path, short(f.text)+" is too large", fmt.Sprintf("it must be %s or less", hi))
+		d.fault(f.pos, path, truncate(f.text)+" is too large", fmt.Sprintf("it must be %s or less", hi))
 	default:
 		return true
 	}
 	return false
 }
 
-func has(list []string, s string) bool {
+func contains(list []string, s string) bool {
 	for _, one := range list {
 		if one == s {
 			return true
@@ -396,26 +396,26 @@
 	return false
 }
 
-func expect(named map[string]fieldInfo) string {
+func knownKeys(named map[string]fieldInfo) string {
 	if len(named) == 0 {
 		return "no keys are known here"
 	}
 	return "known keys: " + strings.Join(sortedKeys(named), ", ")
 }
 
-// nearest is the known key within two edits of a word, or "".
-func nearest(word string, named map[string]fieldInfo) (best string) {
+// nearestKey is the known key within two edits of a word, or "".
+func nearestKey(word string, named map[string]fieldInfo) (best string) {
 	least := 3
 	for _, key := range sortedKeys(named) {
-		if n := edits(word, key); n < least {
+		if n := editDistance(word, key); n < least {
 			best, least = key, n
 		}
 	}
 	return best
 }
 
-// edits is the Levenshtein distance of two words.
-func edits(a, b string) int {
+// editDistance is the Levenshtein distance of two words.
+func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
--- a/internal/config/form.go
+++ b/internal/config/form.go
@@ -53,7 +53,7 @@
 // escapes: control characters, and bytes that are no UTF-8. Texts of files and peers
 // go through it before they are shown.
 func Printable(s string) string {
-	if !strings.ContainsFunc(s, hidden) {
+	if !strings.ContainsFunc(s, isHidden) {
 		return s
 	}
 	var b strings.Builder
@@ -61,7 +61,7 @@
 		switch {
 		case r == utf8.RuneError && !strings.HasPrefix(s[i:], string(utf8.RuneError)):
 			fmt.Fprintf(&b, `\x%02x`, s[i])
-		case hidden(r):
+		case isHidden(r):
 			q := strconv.QuoteRune(r)
 			b.WriteString(q[1 : len(q)-1])
 		default:
@@ -71,17 +71,17 @@
 	return b.String()
 }
 
-func hidden(r rune) bool { return r == utf8.RuneError || !unicode.IsPrint(r) }
+func isHidden(r rune) bool { return r == utf8.RuneError || !unicode.IsPrint(r) }
 
-// short is the beginning of a text, as faults name it.
-func short(s string) string {
-	if len(s) > shown {
-		return s[:shown] + "..."
+// truncate is the beginning of a text, as faults name it.
+func truncate(s string) string {
+	if len(s) > shownBytes {
+		return s[:shownBytes] + "..."
 	}
 	return s
 }
 
-const shown = 60 // bytes of a value
+const shownBytes = 60 // bytes of a value
 
 // Faults is an error that tells every fault, in the order of the file.
 type Faults []Fault
@@ -131,57 +131,57 @@
 const maxDepth = 40
 
 type reader struct {
-	file   string
-	src    string
-	at     int
-	line   int
-	start  int // index at which the line begins
-	faults Faults
-	seen   map[string]any // atoms by their text: most of them come again
-	buf    *bufio.Reader
+	file      string
+	src       string
+	offset    int
+	line      int
+	lineStart int // index at which the line begins
+	faults    Faults
+	atoms     map[string]any // atoms by their text: most of them come again
+	buf       *bufio.Reader
 }
 
-// atom is the value of an atom's text. The library makes a buffer of 4 KB for
+// parseAtom is the value of an atom's text. The library makes a buffer of 4 KB for
 // each call, unless it is given one.
-func (r *reader) atom(text string) (v any, err error) {
-	if v, ok := r.seen[text]; ok {
+func (r *reader) parseAtom(text string) (v any, err error) {
+	if v, ok := r.atoms[text]; ok {
 		return v, nil
 	}
 	if r.buf == nil {
-		r.buf, r.seen = bufio.NewReader(nil), map[string]any{}
+		r.buf, r.atoms = bufio.NewReader(nil), map[string]any{}
 	}
 	r.buf.Reset(strings.NewReader(text))
 	if err := edn.NewDecoder(r.buf).Decode(&v); err != nil {
 		return nil, err
 	}
 	if len(text) < 64 {
-		r.seen[text] = v
+		r.atoms[text] = v
 	}
 	return v, nil
 }
 
-func (r *reader) pos() Pos { return Pos{r.file, r.line, r.at - r.start + 1} }
+func (r *reader) pos() Pos { return Pos{r.file, r.line, r.offset - r.lineStart + 1} }
 
 func (r *reader) fault(p Pos, what, remedy string) {
 	r.faults = append(r.faults, Fault{Pos: p, What: what, Remedy: remedy})
 }
 
-func (r *reader) step() {
-	if r.src[r.at] == '\n' {
+func (r *reader) advance() {
+	if r.src[r.offset] == '\n' {
 		r.line++
-		r.start = r.at + 1
+		r.lineStart = r.offset + 1
 	}
-	r.at++
+	r.offset++
 }
 
-func (r *reader) skip() {
-	for r.at < len(r.src) {
-		switch c := r.src[r.at]; {
+func (r *reader) skipSpace() {
+	for r.offset < len(r.src) {
+		switch c := r.src[r.offset]; {
 		case c == ' ' || c == '\t' || c == '\r' || c == '\n' || c == ',':
-			r.step()
+			r.advance()
 		case c == ';':
-			for r.at < len(r.src) && r.src[r.at] != '\n' {
-				r.step()
+			for r.offset < len(r.src) && r.src[r.offset] != '\n' {
+				r.advance()
 			}
 		default:
 			return
@@ -189,32 +189,32 @@
 	}
 }
 
-// forms reads up to the closing bracket, or to the end at depth 0.
-func (r *reader) forms(depth int, closing byte, opened Pos) (list []form) {
+// readForms reads up to the closing bracket, or to the end at depth 0.
+func (r *reader) readForms(depth int, closing byte, opened Pos) (list []form) {
 	for {
-		r.skip()
-		if r.at >= len(r.src) {
+		r.skipSpace()
+		if r.offset >= len(r.src) {
 			if depth > 0 {
 				r.fault(opened, "a list is never closed", fmt.Sprintf("add the missing %q", closing))
 			}
 			return list
 		}
 		p := r.pos()
-		switch c := r.src[r.at]; c {
+		switch c := r.src[r.offset]; c {
 		case '(', '[':
 			if depth >= maxDepth {
 				r.fault(p, "lists are nested too deep", fmt.Sprintf("at most %d levels are read", maxDepth))
-				r.at = len(r.src)
+				r.offset = len(r.src)
 				return list
 			}
-			r.step()
+			r.advance()
 			end := byte(')')
 			if c == '[' {
 				end = ']'
 			}
-			list = append(list, form{pos: p, list: r.forms(depth+1, end, p)})
+			list = append(list, form{pos: p, list: r.readForms(depth+1, end, p)})
 		case ')', ']':
-			r.step()
+			r.advance()
 			if depth == 0 {
 				r.fault(p, fmt.Sprintf("%q closes nothing", c), "remove it")
 				continue
@@ -225,7 +225,7 @@
 			}
 			return list
 		case '{', '}', '#', '\'', '`', '~', '^', '@':
-			r.step()
+			r.advance()
 			r.fault(p, fmt.Sprintf("%q has no place in settings", c), "use lists, words, numbers and strings only")
 		default:
 			if a, ok := r.readAtom(p); ok {
@@ -236,32 +236,32 @@
 }
 
 func (r *reader) readAtom(p Pos) (form, bool) {
-	from := r.at
-	if r.src[r.at] == '"' {
-		r.step()
-		for r.at < len(r.src) && r.src[r.at] != '"' {
-			if r.src[r.at] == '\\' && r.at+1 < len(r.src) {
-				r.step()
+	from := r.offset
+	if r.src[r.offset] == '"' {
+		r.advance()
+		for r.offset < len(r.src) && r.src[r.offset] != '"' {
+			if r.src[r.offset] == '\\' && r.offset+1 < len(r.src) {
+				r.advance()
 			}
-			r.step()
+			r.advance()
 		}
-		if r.at >= len(r.src) {
+		if r.offset >= len(r.src) {
 			r.fault(p, "a string is never closed", `add the missing "`)
 			return form{}, false
 		}
-		r.step()
+		r.advance()
 	} else {
-		for r.at < len(r.src) && !strings.ContainsRune(" \t\r\n,;()[]{}\"", rune(r.src[r.at])) {
-			r.step()
+		for r.offset < len(r.src) && !strings.ContainsRune(" \t\r\n,;()[]{}\"", rune(r.src[r.offset])) {
+			r.advance()
 		}
 	}
-	text := r.src[from:r.at]
+	text := r.src[from:r.offset]
 	if last := text[len(text)-1]; (last == 'M' || last == 'N') && strings.IndexByte("+-0123456789", text[0]) >= 0 {
 		// the library works for minutes on 1e9999999M; numbers of any precision are of no use here
 		r.fault(p, fmt.Sprintf("%.40s is a number of any precision", text), "write it without the last letter")
 		return form{}, false
 	}
-	v, err := r.atom(text)
+	v, err := r.parseAtom(text)
 	if err != nil || v == nil {
 		r.fault(p, fmt.Sprintf("%.40s is neither a number, a word nor a string", text),
 			"put text in double quotes; spans are numbers in milliseconds")
@@ -275,10 +275,10 @@
 	return form{}, false
 }
 
-// read takes a whole file apart.
-func read(file, src string) ([]form, Faults) {
+// readText takes a whole file apart.
+func readText(file, src string) ([]form, Faults) {
 	r := &reader{file: file, src: src, line: 1}
-	return r.forms(0, 0, Pos{}), r.faults
+	return r.readForms(0, 0, Pos{}), r.faults
 }
 
 // ReadFile reads settings from a file into v; see Read.
--- a/internal/config/print.go
+++ b/internal/config/print.go
@@ -70,7 +70,7 @@
 			}
 		default:
 			def, has := t.Field(i).Tag.Lookup("def")
-			same := has && plain(field) == def || !has && field.IsZero()
+			same := has && plainText(field) == def || !has && field.IsZero()
 			if !same || opts == "required" {
 				open()
 				b.WriteString(" " + atomText(field) + ")")
@@ -79,7 +79,7 @@
 	}
 }
 
-func plain(v reflect.Value) string {
+func plainText(v reflect.Value) string {
 	switch v.Kind() {
 	case reflect.Float64:
 		return strconv.FormatFloat(v.Float(), 'f', -1, 64)
@@ -89,7 +89,7 @@
 
 func atomText(v reflect.Value) string {
 	if v.Kind() != reflect.String {
-		return plain(v)
+		return plainText(v)
 	}
 	s := v.String()
 	var back any
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -20,7 +20,7 @@
 	Members []Member `edn:"member"`
 	Control Control  `edn:"control"`
 
-	anywhere bool // no router's in particular: what a router brings is not missed
+	anyRouter bool // no router's in particular: what a router brings is not missed
 }
 
 // Router is what one router is.
@@ -237,9 +237,9 @@
 // UsesControlService reports whether versions come from a service.
 func (s *Settings) UsesControlService() bool { return len(s.Control.Services) > 0 }
 
-// waits reports whether the file alone is not meant to be served by.
-func (s *Settings) waits() bool {
-	return s.anywhere || s.UsesControlService() && s.Control.Start == "wait"
+// awaitsVersion reports whether the file alone is not meant to be served by.
+func (s *Settings) awaitsVersion() bool {
+	return s.anyRouter || s.UsesControlService() && s.Control.Start == "wait"
 }
 
 // ReadVersion reads the settings of a version from one text; see ReadSources.
@@ -253,7 +253,7 @@
 func ReadSources(sources []Source, own, s *Settings) error {
 	return readInto(sources, s, func() {
 		if own == nil {
-			s.anywhere = true
+			s.anyRouter = true
 			return
 		}
 		r, o := &s.Router, own.Router
@@ -286,13 +286,13 @@
 			add(z.Place.Of("hub"), "zone/hub", fmt.Sprintf("hub %q is no zone", z.Hub), fmt.Sprintf("add (zone %s)", z.Hub))
 		}
 	}
-	if s.Router.Zone == "" && !s.anywhere {
+	if s.Router.Zone == "" && !s.anyRouter {
 		add(s.Router.Place.Pos, "router/zone", "the router's zone is not given", "add (zone name) to (router ...)")
-	} else if len(s.Zones) > 0 && !zones[s.Router.Zone] && !s.waits() {
+	} else if len(s.Zones) > 0 && !zones[s.Router.Zone] && !s.awaitsVersion() {
 		add(s.Router.Place.Of("zone"), "router/zone", fmt.Sprintf("%q is no zone", s.Router.Zone),
 			fmt.Sprintf("add (zone %s), or name one of those listed", s.Router.Zone))
 	}
-	if s.Router.Index >= s.Router.Routers && !s.waits() {
+	if s.Router.Index >= s.Router.Routers && !s.awaitsVersion() {
 		add(s.Router.Place.Of("me"), "router/me", fmt.Sprintf("router number %d of %d", s.Router.Index, s.Router.Routers),
 			"numbers run from 0; raise (of n)")
 	}
@@ -317,7 +317,7 @@
 	}
 	s.checkControl(add, address)
 	classes := map[string]*Class{}
-	if len(s.Classes) == 0 && (s.anywhere || !s.waits()) {
+	if len(s.Classes) == 0 && (s.anyRouter || !s.awaitsVersion()) {
 		add(s.Router.Place.Pos, "class", "no class is given", "add (class name ...)")
 	}
 	for i := range s.Classes {
@@ -335,7 +335,7 @@
 				"say who drops repeats and for how long")
 		}
 	}
-	if len(s.Routes) == 0 && (s.anywhere || !s.waits()) {
+	if len(s.Routes) == 0 && (s.anyRouter || !s.awaitsVersion()) {
 		add(s.Router.Place.Pos, "route", "no route is given", `add (route "/path/{object}" (class name))`)
 	}
 	for _, r := range s.Routes {
@@ -363,7 +363,7 @@
 			add(m.Place.Of("zone"), "member/zone", fmt.Sprintf("%q is no zone", m.Zone), fmt.Sprintf("add (zone %s)", m.Zone))
 		}
 	}
-	if len(s.Members) == 0 && s.Router.DiscoveryAddress == "" && !s.waits() {
+	if len(s.Members) == 0 && s.Router.DiscoveryAddress == "" && !s.awaitsVersion() {
 		add(s.Router.Place.Pos, "member", "there is neither a member nor a list service", "add (member ...) or (router (list address))")
 	}
 	if s.Fill.ParentKind != "" && s.Fill.ParentKind == s.Fill.OriginKind {
@@ -382,7 +382,7 @@
 				"give (cert FILE) (key FILE) (authorities FILE) (name SERVICE): versions say where requests go")
 		}
 	}
-	if n := given(c.Cert, c.Key, c.Roots, c.Name); n != 0 && n != 4 {
+	if n := countGiven(c.Cert, c.Key, c.Roots, c.Name); n != 0 && n != 4 {
 		add(c.Place.Pos, "control/cert", fmt.Sprintf("%d of cert, key, authorities and name are given", n), "give all four, or none")
 	}
 	if !s.UsesControlService() && len(c.Place.keys) > 0 {
@@ -390,7 +390,7 @@
 	}
 }
 
-func given(values ...string) (n int) {
+func countGiven(values ...string) (n int) {
 	for _, v := range values {
 		if v != "" {
 			n++
