--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-const good = `; an edge
+const validSettings = `; an edge
 (router (name e1) (zone z1) (listen "127.0.0.1:0"))
 (zone z1 (hub h)) (zone h (hub h))
 (class still (aim 400) (deadline 3000.5))
@@ -23,9 +23,9 @@
 (member box-1 (zone z1) (address "127.0.0.1:1"))
 `
 
-func TestGood(t *testing.T) {
+func TestRead(t *testing.T) {
 	var s Settings
-	if err := Read("a.edn", good, &s); err != nil {
+	if err := Read("a.edn", validSettings, &s); err != nil {
 		t.Fatal(err)
 	}
 	if s.Router.Name != "e1" || s.Classes[0].Deadline != 3000.5 || !s.Classes[1].InParts ||
@@ -33,17 +33,17 @@
 		t.Fatalf("read as %+v", s)
 	}
 	if p := s.Members[0].Place.Pos; p.Line != 8 || p.Col != 1 {
-		t.Fatalf("the member is placed at %v", p)
+		t.Fatalf("the member is at %v", p)
 	}
 }
 
-// Every fault is told at its place, all in one go.
+// TestFaults checks the position and the text of faults, and that all are reported at once.
 func TestFaults(t *testing.T) {
 	for _, c := range []struct{ name, old, new, want string }{
 		{"unknown key", "(aim 400)", "(aym 400)", `a.edn:4:15: class: unknown key "aym"; did you mean aim?`},
 		{"bounds", "(aim 400)", "(aim 0)", "a.edn:4:19: class/aim: 0 is too small; it must be 1 or more"},
-		{"type", "(aim 400)", "(aim soon)", "a.edn:4:19: class/aim: soon is no number"},
-		{"unit", "(aim 400)", "(aim 400ms)", "a.edn:4:19: 400ms is neither a number, a word nor a string"},
+		{"type", "(aim 400)", "(aim soon)", "a.edn:4:19: class/aim: soon is not a number"},
+		{"unit", "(aim 400)", "(aim 400ms)", "a.edn:4:19: 400ms is not a number, a word or a string"},
 		{"twice", "(aim 400)", "(aim 400) (aim 500)", "a.edn:4:25: class/aim: given twice, first at 4:19; keep one"},
 		{"past deadline", "(aim 400)", "(aim 4000)", "a.edn:4:19: class/aim: aim 4000 is past the deadline 3000.5"},
 		{"no such class", "(class film) (methods", "(class fil) (methods", `a.edn:7:44: route/class: class "fil" is not given`},
@@ -52,16 +52,16 @@
 		{"not closed", "(address \"127.0.0.1:1\"))", "(address \"127.0.0.1:1\")", "a.edn:8:1: a list is never closed"},
 		{"closes nothing", "(zone h (hub h))", "(zone h (hub h)))", `a.edn:3:35: ')' closes nothing`},
 		{"string open", `"127.0.0.1:1"`, `"127.0.0.1:1`, "a.edn:8:34: a string is never closed"},
-		{"address", `"127.0.0.1:1"`, `here`, `a.edn:8:34: member/address: "here" is no address`},
+		{"address", `"127.0.0.1:1"`, `here`, `a.edn:8:34: member/address: "here" is not an address`},
 		{"missing", "(zone z1) (listen", "(listen", "a.edn:2:1: router/zone: the router's zone is not given; add (zone name) to (router ...)"},
-		{"big", "(aim 400)", "(aim 1e9999999M)", "a.edn:4:19: 1e9999999M is a number of any precision"},
-		{"map", "(aim 400)", "{aim 400}", "a.edn:4:14: '{' has no place in settings"},
+		{"big", "(aim 400)", "(aim 1e9999999M)", "a.edn:4:19: 1e9999999M is an arbitrary-precision number"},
+		{"map", "(aim 400)", "{aim 400}", "a.edn:4:14: '{' is not allowed in settings"},
 		{"admin", "(listen", "(admin \"0.0.0.0:1\") (listen", "is not a loopback address"},
 		{"pattern", "{group}/{object}/{part}", "x{object}/{part}", `segment "x{object}" is neither text nor one {name}`},
 		{"no name", "(class film ", "(class ", "a.edn:5:1: class: no name given"},
 	} {
 		var s Settings
-		err := Read("a.edn", strings.Replace(good, c.old, c.new, 1), &s)
+		err := Read("a.edn", strings.Replace(validSettings, c.old, c.new, 1), &s)
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: got\n%v\nwant\n%s", c.name, err, c.want)
 		}
@@ -70,18 +70,19 @@
 	err := Read("a.edn", "(router (zone z) (me x) (of 0))\n(clas a)\n(zone)", &s)
 	var faults Faults
 	if !errors.As(err, &faults) || len(faults) != 4 {
-		t.Fatalf("want four faults at once, got:\n%v", err)
+		t.Fatalf("want four faults, got:\n%v", err)
 	}
 }
 
-// What a broken file holds does not reach a terminal as it is, and is cut.
+// TestFaultsArePrintable checks that faults quote invalid input escaped and truncated, so that it
+// cannot control a terminal.
 func TestFaultsArePrintable(t *testing.T) {
 	for _, src := range []string{"(router (zone z)) (cl\x1b[31mass \xff)", "\x00\x01\x02\xfe", "(router (zone \"a\x07\") (me \x1b]0;x))", "(" + strings.Repeat("k", 5000) + " 1)",
 		"(router (zone z) (me " + strings.Repeat("9", 4000) + "x))", "(router " + strings.Repeat("w", 3000) + ")", "(router (zone z)) (class \u202eevil (aim 0))"} {
 		var s Settings
 		err := Read("a.edn", src, &s)
 		if err == nil {
-			t.Errorf("%.40q is taken", src)
+			t.Errorf("%.40q is accepted", src)
 			continue
 		}
 		for _, line := range strings.Split(err.Error(), "\n") {
@@ -95,10 +96,11 @@
 	}
 }
 
-// A file of another kind is told in one line, with who reads it.
-func TestOtherKind(t *testing.T) {
+// TestWrongFileKind checks that a file of another kind is reported in one line that names its
+// readers.
+func TestWrongFileKind(t *testing.T) {
 	var s Settings
-	for src, want := range map[string]string{"(load x (targets a))\n(class a (path b))": "this file is a load: spool-load reads it; wanted here is settings of a router",
+	for src, want := range map[string]string{"(load x (targets a))\n(class a (path b))": "this file is a load: spool-load reads it; expected: settings of a router",
 		"(day x)": "spool-scenario run plays it", "(service (name a))": "spool-control", "(stand (flow 4)) (machine a)": "spool-testserver"} {
 		err := Read("a.edn", src, &s)
 		if err == nil || strings.Count(err.Error(), "\n") > 0 || !strings.Contains(err.Error(), want) {
@@ -113,13 +115,14 @@
 	if err := ReadFile(name, &s); !errors.Is(err, os.ErrNotExist) {
 		t.Fatalf("no file: %v", err)
 	}
-	os.WriteFile(name, []byte(good), 0o600)
+	os.WriteFile(name, []byte(validSettings), 0o600)
 	if err := ReadFile(name, &s); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func strip(s Settings) Settings {
+// withoutPlaces returns settings without the positions of their forms.
+func withoutPlaces(s Settings) Settings {
 	s.Router.Place, s.Limits.Place, s.Rules.Place, s.Fill.Place, s.Control.Place, s.Pages.Place = Place{}, Place{}, Place{}, Place{}, Place{}, Place{}
 	for i := range s.Zones {
 		s.Zones[i].Place = Place{}
@@ -136,11 +139,11 @@
 	return s
 }
 
-// The canonical print reads back as the same settings, and prints the same.
+// TestPrintRoundTrip checks that the canonical form reads back as the same settings and is stable.
 func TestPrintRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Settings
-		if err := Read("a.edn", good, &s); err != nil {
+		if err := Read("a.edn", validSettings, &s); err != nil {
 			t.Fatal(err)
 		}
 		s.Router.Name = rapid.String().Draw(t, "name")
@@ -155,17 +158,17 @@
 		if err := Read("b.edn", text, &back); err != nil {
 			t.Fatalf("%v in:\n%s", err, text)
 		}
-		if a, b := strip(s), strip(back); !reflect.DeepEqual(a, b) {
+		if a, b := withoutPlaces(s), withoutPlaces(back); !reflect.DeepEqual(a, b) {
 			t.Fatalf("printed\n%s\nread back as\n%+v\nwant\n%+v", text, b, a)
 		}
 		if again := Print(&back); again != text {
-			t.Fatalf("printed again:\n%s\nfirst:\n%s", again, text)
+			t.Fatalf("second print:\n%s\nfirst print:\n%s", again, text)
 		}
 	})
 }
 
 func FuzzSettings(f *testing.F) {
-	f.Add(good)
+	f.Add(validSettings)
 	f.Add("(router (zone \"a\\\"b\")) #{1} [ ( ;x\n")
 	f.Fuzz(func(t *testing.T, src string) {
 		var s Settings
@@ -174,15 +177,15 @@
 		if err != nil && !errors.As(err, &faults) {
 			t.Fatalf("%T: %v", err, err)
 		}
-		for _, one := range faults {
-			if one.Pos.Line < 1 || one.Pos.Col < 1 || one.What == "" {
-				t.Fatalf("a fault without place or text: %+v", one)
+		for _, fault := range faults {
+			if fault.Pos.Line < 1 || fault.Pos.Col < 1 || fault.What == "" {
+				t.Fatalf("fault without position or text: %+v", fault)
 			}
 		}
 		if err == nil {
 			var again Settings
 			if err := Read("g.edn", Print(&s), &again); err != nil {
-				t.Fatalf("the canonical print is refused: %v\n%s", err, Print(&s))
+				t.Fatalf("the canonical form is rejected: %v\n%s", err, Print(&s))
 			}
 		}
 	})
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -13,23 +13,23 @@
 
 // The tags of a schema's fields:
 //
-//	edn:"aim"           (aim 400)
-//	edn:"@"             a positional value, in the order of the fields
-//	edn:"class"         of a slice of structs: (class ...), any number of times
-//	edn:"...,required"  it must be given
-//	min:"0" max:"1"     bounds of numbers
-//	oneof:"free guarded"  the words that are known
-//	def:"400"           the value where nothing is given
+//	edn:"aim"             (aim 400)
+//	edn:"@"               a positional value, in the order of the fields
+//	edn:"class"           on a slice of structs: (class ...), any number of times
+//	edn:"...,required"    the value must be given
+//	min:"0" max:"1"       bounds of a number
+//	oneof:"free guarded"  the allowed words
+//	def:"400"             the default
 //
-// A field of type Place is set to where the form stands.
+// A field of type Place is set to the position of the form.
 
-// Place says where a form and the keys in it stand.
+// Place holds the positions of a form and of the keys in it.
 type Place struct {
 	Pos  Pos
 	keys map[string]Pos
 }
 
-// Of is the place of a key's first value, or of the whole form.
+// Of returns the position of the first value of a key, or that of the form if the key is not given.
 func (p Place) Of(key string) Pos {
 	if at, ok := p.keys[key]; ok {
 		return at
@@ -37,7 +37,7 @@
 	return p.Pos
 }
 
-// Given reports whether the key stands in the form.
+// Given reports whether the form has the key.
 func (p Place) Given(key string) bool {
 	_, ok := p.keys[key]
 	return ok
@@ -45,23 +45,23 @@
 
 var placeType = reflect.TypeFor[Place]()
 
-// Checker is implemented by settings that check what the schema can't say.
+// Checker is implemented by settings with conditions that a schema cannot express.
 type Checker interface {
-	// Check appends what is wrong, with places.
+	// Check appends the faults, with their positions.
 	Check(faults *Faults)
 }
 
-// Read reads settings into the struct that v points to: one top-level form for
-// each of its fields. Every fault is reported, also those of Check where the
-// schema found none. What v held before is gone.
+// Read reads settings into the struct that v points to and overwrites it. Each
+// top-level form sets a field. Read reports all faults. It calls Check, if v is
+// a Checker, only if the settings conform to the schema.
 func Read(file, src string, v any) error { return readInto([]Source{{file, src}}, v, nil) }
 
-// Source is a text of settings and the name that faults call it by.
+// Source is a text of settings and its name in faults.
 type Source struct{ File, Text string }
 
-// readInto is Read of several texts that are one, with something done to what
-// the schema found good before it is checked.
-func readInto(sources []Source, v any, then func()) error {
+// readInto is Read for settings that consist of several texts. It calls
+// beforeCheck, if given, before Check.
+func readInto(sources []Source, v any, beforeCheck func()) error {
 	var forms []form
 	d := &decoder{}
 	for _, s := range sources {
@@ -80,8 +80,8 @@
 	}
 	d.decodeStruct(top, forms, at, "")
 	if len(d.faults) == 0 {
-		if then != nil {
-			then()
+		if beforeCheck != nil {
+			beforeCheck()
 		}
 		if c, ok := v.(Checker); ok {
 			c.Check(&d.faults)
@@ -90,12 +90,12 @@
 	return d.faults.Err()
 }
 
-// fileKinds are the kinds of files, by the word of their first form, and who reads them.
+// fileKinds describes each kind of file and names its readers, by the first word of the file.
 var fileKinds = map[string]string{"router": "settings of a router: spool-router and the tools read them", "load": "a load: spool-load reads it",
-	"day": "a day: spool-scenario run plays it", "stand": "a fleet of stand-ins: spool-testserver reads it", "service": "settings of a control service: spool-control reads them"}
+	"day": "a day: spool-scenario run plays it", "stand": "a fleet of test servers: spool-testserver reads it", "service": "settings of a control service: spool-control reads them"}
 
-// wrongFileKind tells a file of another kind than the one that is read, in one line
-// instead of one for each of its keys.
+// wrongFileKind returns a fault if the forms are those of a file of another kind. It replaces the
+// faults that each of their keys would cause.
 func wrongFileKind(t reflect.Type, forms []form) *Fault {
 	if len(forms) == 0 || len(forms[0].list) == 0 {
 		return nil
@@ -105,13 +105,13 @@
 	if _, known := named[word]; known || fileKinds[word] == "" {
 		return nil
 	}
-	what := "something else"
+	what := "a file of another kind"
 	for w, text := range fileKinds {
 		if info, ok := named[w]; ok && info.required {
 			what = text
 		}
 	}
-	return &Fault{Pos: forms[0].list[0].pos, What: fmt.Sprintf("this file is %s", fileKinds[word]), Remedy: "wanted here is " + what}
+	return &Fault{Pos: forms[0].list[0].pos, What: fmt.Sprintf("this file is %s", fileKinds[word]), Remedy: "expected: " + what}
 }
 
 type decoder struct{ faults Faults }
@@ -127,15 +127,17 @@
 	tag      reflect.StructTag
 }
 
-// schema is what the tags of a struct's fields say.
+// schema is the schema of a struct, from the tags of its fields.
 type schema struct {
 	byKey      map[string]fieldInfo
 	positional []fieldInfo
 	placeIndex int
 }
 
-var schemas sync.Map // schemaOf by reflect.Type
+var schemas sync.Map // schema by reflect.Type
 
+// fieldsOf returns the schema of a struct type: the fields by key, the positional fields in their
+// order, and the index of the field of type Place, or -1.
 func fieldsOf(t reflect.Type) (named map[string]fieldInfo, positional []fieldInfo, place int) {
 	if s, ok := schemas.Load(t); ok {
 		s := s.(schema)
@@ -165,6 +167,7 @@
 	return named, positional, place
 }
 
+// join appends a key to the path of its form.
 func join(path, key string) string {
 	if path == "" {
 		return key
@@ -172,7 +175,7 @@
 	return path + "/" + key
 }
 
-// decodeStruct sets a struct's fields from the forms of a list.
+// decodeStruct sets the fields of a struct from the forms of a list.
 func (d *decoder) decodeStruct(v reflect.Value, forms []form, at Pos, path string) {
 	named, positional, place := fieldsOf(v.Type())
 	for _, info := range named {
@@ -182,18 +185,18 @@
 		d.setDefault(v.Field(info.index), info, at)
 	}
 	keys := map[string]Pos{}
-	pos := 0
+	nextPositional := 0
 	for i := range forms {
 		f := &forms[i]
 		if !f.isList() {
-			if pos < len(positional) {
-				info := positional[pos]
+			if nextPositional < len(positional) {
+				info := positional[nextPositional]
 				field := v.Field(info.index)
 				if field.Kind() == reflect.Slice {
 					d.appendElement(field, f, info, join(path, info.key))
 				} else {
 					d.decodeScalar(field, f, info, join(path, info.key))
-					pos++
+					nextPositional++
 				}
 				if _, ok := keys[info.key]; !ok {
 					keys[info.key] = f.pos
@@ -218,8 +221,8 @@
 			continue
 		}
 		field := v.Field(info.index)
-		many := field.Kind() == reflect.Slice && field.Type().Elem().Kind() == reflect.Struct
-		if first, twice := keys[key]; twice && !many {
+		repeatable := field.Kind() == reflect.Slice && field.Type().Elem().Kind() == reflect.Struct
+		if first, twice := keys[key]; twice && !repeatable {
 			d.fault(f.list[0].pos, join(path, key), fmt.Sprintf("given twice, first at %d:%d", first.Line, first.Col),
 				"keep one of them")
 			continue
@@ -234,7 +237,7 @@
 	}
 	for _, info := range positional {
 		if _, ok := keys[info.key]; info.required && !ok {
-			d.fault(at, path, fmt.Sprintf("no %s given", info.key), "write it behind the key")
+			d.fault(at, path, fmt.Sprintf("no %s given", info.key), "write it after the key")
 		}
 	}
 	for key, info := range named {
@@ -247,11 +250,11 @@
 	}
 }
 
-// setDefault sets a field's default.
+// setDefault sets a field to its default.
 func (d *decoder) setDefault(field reflect.Value, info fieldInfo, at Pos) {
 	if field.Kind() == reflect.Struct {
-		d2 := &decoder{}
-		d2.decodeStruct(field, nil, at, "") // defaults only; what it lacks is told when it is given
+		discarded := &decoder{}
+		discarded.decodeStruct(field, nil, at, "") // for the defaults only; a missing form may lack required keys
 		return
 	}
 	def, ok := info.tag.Lookup("def")
@@ -272,7 +275,7 @@
 	}
 }
 
-// decodeValue sets a field from (key ...).
+// decodeValue sets a field from a form (key ...).
 func (d *decoder) decodeValue(field reflect.Value, f *form, info fieldInfo, path string) {
 	args := f.list[1:]
 	switch {
@@ -298,6 +301,7 @@
 	}
 }
 
+// appendElement decodes a form and appends the value to a slice, unless the form has a fault.
 func (d *decoder) appendElement(field reflect.Value, f *form, info fieldInfo, path string) {
 	elem := reflect.New(field.Type().Elem()).Elem()
 	before := len(d.faults)
@@ -306,9 +310,10 @@
 	}
 }
 
+// decodeScalar sets a field of a scalar type from an atom.
 func (d *decoder) decodeScalar(field reflect.Value, f *form, info fieldInfo, path string) {
 	if f.isList() {
-		d.fault(f.pos, path, "a list stands where a value is wanted", "write a number, a word or a string")
+		d.fault(f.pos, path, "list instead of a value", "write a number, a word or a string")
 		return
 	}
 	switch field.Kind() {
@@ -322,7 +327,7 @@
 		case int64:
 			s = f.text
 		default:
-			d.fault(f.pos, path, fmt.Sprintf("%s is no word or string", truncate(f.text)), "put it in double quotes")
+			d.fault(f.pos, path, fmt.Sprintf("%s is not a word or a string", truncate(f.text)), "put it in double quotes")
 			return
 		}
 		if list, ok := info.tag.Lookup("oneof"); ok && !contains(strings.Fields(list), s) {
@@ -340,7 +345,7 @@
 	case reflect.Int, reflect.Int64:
 		v, ok := f.atom.(int64)
 		if !ok {
-			d.fault(f.pos, path, fmt.Sprintf("%s is no whole number", truncate(f.text)), "write a whole number")
+			d.fault(f.pos, path, fmt.Sprintf("%s is not a whole number", truncate(f.text)), "write a whole number")
 			return
 		}
 		if d.checkBounds(float64(v), f, info, path) {
@@ -354,11 +359,11 @@
 		case float64:
 			x = v
 		default:
-			d.fault(f.pos, path, fmt.Sprintf("%s is no number", truncate(f.text)), "write a number; spans are in milliseconds")
+			d.fault(f.pos, path, fmt.Sprintf("%s is not a number", truncate(f.text)), "write a number; spans are in milliseconds")
 			return
 		}
 		if math.IsNaN(x) || math.IsInf(x, 0) {
-			d.fault(f.pos, path, fmt.Sprintf("%s is no finite number", truncate(f.text)), "write a finite number")
+			d.fault(f.pos, path, fmt.Sprintf("%s is not a finite number", truncate(f.text)), "write a finite number")
 			return
 		}
 		if d.checkBounds(x, f, info, path) {
@@ -369,6 +374,7 @@
 	}
 }
 
+// checkBounds reports whether a number is within the bounds of its field, and adds a fault if not.
 func (d *decoder) checkBounds(x float64, f *form, info fieldInfo, path string) bool {
 	lo, hasLo := info.tag.Lookup("min")
 	hi, hasHi := info.tag.Lookup("max")
@@ -388,14 +394,15 @@
 }
 
 func contains(list []string, s string) bool {
-	for _, one := range list {
-		if one == s {
+	for _, element := range list {
+		if element == s {
 			return true
 		}
 	}
 	return false
 }
 
+// knownKeys returns the remedy that lists the keys of a form.
 func knownKeys(named map[string]fieldInfo) string {
 	if len(named) == 0 {
 		return "no keys are known here"
@@ -403,7 +410,8 @@
 	return "known keys: " + strings.Join(sortedKeys(named), ", ")
 }
 
-// nearestKey is the known key within two edits of a word, or "".
+// nearestKey returns the key with the smallest edit distance from a word, or "" if none is within
+// two edits.
 func nearestKey(word string, named map[string]fieldInfo) (best string) {
 	least := 3
 	for _, key := range sortedKeys(named) {
@@ -414,7 +422,7 @@
 	return best
 }
 
-// editDistance is the Levenshtein distance of two words.
+// editDistance returns the Levenshtein distance of two words.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
--- a/internal/config/form.go
+++ b/internal/config/form.go
@@ -1,11 +1,10 @@
-// Package config reads settings given as S-expressions, checks them against a
-// schema, and prints them in one canonical form. The schema is Go structs with
-// tags; the settings of the programs are in schema.go, and other packages bring
-// their own (a day script is one).
+// Package config reads settings that are written as S-expressions, validates
+// them against a schema, and prints them in a canonical form. A schema is a Go
+// struct with tags. The settings of a router are in schema.go; other packages
+// define their own schemas, such as that of a day script.
 //
-// All faults of a file are told in one go, each with file, line, column, key
-// and remedy. The package knows nothing of what the settings are for and does
-// no I/O but to read the named file.
+// All faults of a file are reported at once, each with file, line, column, key
+// and remedy. The package does no I/O except for reading the named file.
 package config
 
 import (
@@ -21,7 +20,7 @@
 	"olympos.io/encoding/edn"
 )
 
-// Pos is a place in a file. Lines and columns count from 1; columns in bytes.
+// Pos is a position in a file. Lines and columns count from 1, columns in bytes.
 type Pos struct {
 	File      string
 	Line, Col int
@@ -29,10 +28,10 @@
 
 func (p Pos) String() string { return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Col) }
 
-// A Fault is one thing wrong with the settings.
+// A Fault is an error in the settings.
 type Fault struct {
 	Pos    Pos
-	Key    string // the path of the key, as class/aim
+	Key    string // path of the key, such as class/aim
 	What   string // what is wrong, with the value
 	Remedy string
 }
@@ -49,9 +48,9 @@
 	return Printable(s)
 }
 
-// Printable is a text with what a terminal would obey or could not show written as
-// escapes: control characters, and bytes that are no UTF-8. Texts of files and peers
-// go through it before they are shown.
+// Printable returns s with control characters, invalid UTF-8 and other characters that cannot be
+// printed replaced by escape sequences. Text from files and peers must pass through it before it is
+// written to a terminal.
 func Printable(s string) string {
 	if !strings.ContainsFunc(s, isHidden) {
 		return s
@@ -73,7 +72,7 @@
 
 func isHidden(r rune) bool { return r == utf8.RuneError || !unicode.IsPrint(r) }
 
-// truncate is the beginning of a text, as faults name it.
+// truncate returns the first bytes of s, for quoting in faults.
 func truncate(s string) string {
 	if len(s) > shownBytes {
 		return s[:shownBytes] + "..."
@@ -81,20 +80,20 @@
 	return s
 }
 
-const shownBytes = 60 // bytes of a value
+const shownBytes = 60 // longest quoted value
 
-// Faults is an error that tells every fault, in the order of the file.
+// Faults is an error that lists all faults.
 type Faults []Fault
 
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
-	for i, one := range f {
-		lines[i] = one.String()
+	for i, fault := range f {
+		lines[i] = fault.String()
 	}
 	return strings.Join(lines, "\n")
 }
 
-// Err returns the faults as an error, nil where there are none.
+// Err returns the faults as an error, sorted by position, or nil if there are none.
 func (f Faults) Err() error {
 	if len(f) == 0 {
 		return nil
@@ -109,18 +108,18 @@
 	return f
 }
 
-// form is a list, or an atom with its value. The values are read by the edn
-// library; the walk is ours, since it keeps no places of what it has read.
+// form is a list, or an atom with its value. The edn library parses the atoms
+// only, because it does not keep the positions of what it parses.
 type form struct {
 	pos  Pos
 	list []form
-	atom any // string, edn.Symbol, edn.Keyword, int64, float64, bool; nil of a list
-	text string
+	atom any    // string, edn.Symbol, edn.Keyword, int64, float64, bool; nil for a list
+	text string // of an atom, as written
 }
 
 func (f *form) isList() bool { return f.atom == nil }
 
-// word is the text of a symbol, or "".
+// word returns the text of a symbol, or "" if the form is not a symbol.
 func (f *form) word() string {
 	if s, ok := f.atom.(edn.Symbol); ok {
 		return string(s)
@@ -135,14 +134,14 @@
 	src       string
 	offset    int
 	line      int
-	lineStart int // index at which the line begins
+	lineStart int // index of the first byte of the line
 	faults    Faults
-	atoms     map[string]any // atoms by their text: most of them come again
+	atoms     map[string]any // parsed atoms by their text, since most are repeated
 	buf       *bufio.Reader
 }
 
-// parseAtom is the value of an atom's text. The library makes a buffer of 4 KB for
-// each call, unless it is given one.
+// parseAtom returns the value of an atom. It reuses one buffer, since the library allocates 4 KB for
+// each call that has none.
 func (r *reader) parseAtom(text string) (v any, err error) {
 	if v, ok := r.atoms[text]; ok {
 		return v, nil
@@ -189,7 +188,8 @@
 	}
 }
 
-// readForms reads up to the closing bracket, or to the end at depth 0.
+// readForms reads up to the closing bracket, or at depth 0 up to the end of the text. The position
+// of the opening bracket is opened.
 func (r *reader) readForms(depth int, closing byte, opened Pos) (list []form) {
 	for {
 		r.skipSpace()
@@ -226,7 +226,7 @@
 			return list
 		case '{', '}', '#', '\'', '`', '~', '^', '@':
 			r.advance()
-			r.fault(p, fmt.Sprintf("%q has no place in settings", c), "use lists, words, numbers and strings only")
+			r.fault(p, fmt.Sprintf("%q is not allowed in settings", c), "use lists, words, numbers and strings only")
 		default:
 			if a, ok := r.readAtom(p); ok {
 				list = append(list, a)
@@ -257,13 +257,13 @@
 	}
 	text := r.src[from:r.offset]
 	if last := text[len(text)-1]; (last == 'M' || last == 'N') && strings.IndexByte("+-0123456789", text[0]) >= 0 {
-		// the library works for minutes on 1e9999999M; numbers of any precision are of no use here
-		r.fault(p, fmt.Sprintf("%.40s is a number of any precision", text), "write it without the last letter")
+		// the library takes minutes to parse 1e9999999M, and no setting needs such numbers
+		r.fault(p, fmt.Sprintf("%.40s is an arbitrary-precision number", text), "write it without the last letter")
 		return form{}, false
 	}
 	v, err := r.parseAtom(text)
 	if err != nil || v == nil {
-		r.fault(p, fmt.Sprintf("%.40s is neither a number, a word nor a string", text),
+		r.fault(p, fmt.Sprintf("%.40s is not a number, a word or a string", text),
 			"put text in double quotes; spans are numbers in milliseconds")
 		return form{}, false
 	}
@@ -271,11 +271,11 @@
 	case string, edn.Symbol, edn.Keyword, int64, float64, bool:
 		return form{pos: p, atom: v, text: text}, true
 	}
-	r.fault(p, fmt.Sprintf("%.40s is of a kind that settings don't use", text), "use numbers, words or strings")
+	r.fault(p, fmt.Sprintf("%.40s has a type that settings do not use", text), "use numbers, words or strings")
 	return form{}, false
 }
 
-// readText takes a whole file apart.
+// readText parses the text of a file into forms.
 func readText(file, src string) ([]form, Faults) {
 	r := &reader{file: file, src: src, line: 1}
 	return r.readForms(0, 0, Pos{}), r.faults
--- a/internal/config/print.go
+++ b/internal/config/print.go
@@ -10,9 +10,9 @@
 	"olympos.io/encoding/edn"
 )
 
-// Print writes settings in their canonical form: fields in the order of the
-// schema, values that equal their default left out, one form a line.
-// Reading it gives the same settings again.
+// Print returns settings in their canonical form: fields in the order of the
+// schema, one form per line, without values that equal their default. Reading
+// the result returns the same settings.
 func Print(v any) string {
 	var b strings.Builder
 	top := reflect.ValueOf(v)
@@ -79,6 +79,7 @@
 	}
 }
 
+// plainText formats a value without quotes, as in a def tag.
 func plainText(v reflect.Value) string {
 	switch v.Kind() {
 	case reflect.Float64:
@@ -87,6 +88,7 @@
 	return fmt.Sprint(v.Interface())
 }
 
+// atomText formats a value as an atom. A string is quoted unless it is a valid symbol.
 func atomText(v reflect.Value) string {
 	if v.Kind() != reflect.String {
 		return plainText(v)
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -6,8 +6,9 @@
 	"strings"
 )
 
-// Settings is the settings file of a router, and of all programs that reach
-// its decisions. Spans are in milliseconds, sizes in KB unless said otherwise.
+// Settings are the settings of a router. Programs that compute a router's
+// decisions read them as well. Durations are in milliseconds, sizes in KB
+// unless stated otherwise.
 type Settings struct {
 	Router  Router   `edn:"router,required"`
 	Limits  Limits   `edn:"limits"`
@@ -20,181 +21,182 @@
 	Members []Member `edn:"member"`
 	Control Control  `edn:"control"`
 
-	anyRouter bool // no router's in particular: what a router brings is not missed
+	anyRouter bool // of no particular router; what each router adds is not required
 }
 
-// Router is what one router is.
+// Router identifies and configures one router.
 type Router struct {
 	Place            Place
 	Name             string `edn:"name" def:"edge"`
-	Index            int    `edn:"me" min:"0"`                  // its number among the routers
-	Routers          int    `edn:"of" def:"1" min:"1"`          // how many routers there are
-	Zone             string `edn:"zone"`                        // its own
-	Listen           string `edn:"listen" def:"127.0.0.1:8080"` // for clients
-	Admin            string `edn:"admin"`                       // for PURGE and state; host:port, or the path of a Unix socket; empty: none
-	DiscoveryAddress string `edn:"list"`                        // address of the list service; empty: the members below only
-	AccessLog        string `edn:"log" def:"stderr"`            // access log: stderr, stdout, none or a file
+	Index            int    `edn:"me" min:"0"`                  // number of this router, from 0
+	Routers          int    `edn:"of" def:"1" min:"1"`          // number of routers
+	Zone             string `edn:"zone"`                        // zone of this router
+	Listen           string `edn:"listen" def:"127.0.0.1:8080"` // address for clients
+	Admin            string `edn:"admin"`                       // address for PURGE and status: host:port, or the path of a Unix socket; empty: none
+	DiscoveryAddress string `edn:"list"`                        // address of the discovery service; empty: only the members of this file
+	AccessLog        string `edn:"log" def:"stderr"`            // stderr, stdout, none or a file
 	LogLevel         string `edn:"level" def:"info" oneof:"debug info warn error"`
 	Seed             int    `edn:"seed" def:"1"`
 
-	HotRestartSocket string `edn:"handover"` // path of a Unix socket, for a restart without a gap: a process that is started takes over from the one there; empty: none
+	HotRestartSocket string `edn:"handover"` // path of the Unix socket for hot restarts, on which a new process takes over from the running one; empty: none
 
-	Journal             string `edn:"journal"`                                    // folder for the journal of decisions; empty: none
-	JournalSegmentBytes int    `edn:"journal-part" def:"67108864" min:"4096"`     // bytes of a segment
-	JournalTotalBytes   int    `edn:"journal-total" def:"2147483648" min:"65536"` // bytes of all; the oldest segments go
-	JournalQueue        int    `edn:"journal-queue" def:"65536" min:"64"`         // records that wait for the disk; more are lost, and counted
+	Journal             string `edn:"journal"`                                    // folder of the decision journal; empty: none
+	JournalSegmentBytes int    `edn:"journal-part" def:"67108864" min:"4096"`     // size of a segment
+	JournalTotalBytes   int    `edn:"journal-total" def:"2147483648" min:"65536"` // total size; the oldest segments are deleted
+	JournalQueue        int    `edn:"journal-queue" def:"65536" min:"64"`         // records waiting to be written; further ones are dropped and counted
 
-	DeadlineHeader string `edn:"deadline-header" def:"Spool-Deadline"` // a client's own time in ms, lowers its class's
-	SizeHeader     string `edn:"size-header" def:"Spool-KB"`           // size of the object's part, where the client knows it
-	RetryHeader    string `edn:"retry-header" def:"Spool-Retry"`       // marks a client's repeat
+	DeadlineHeader string `edn:"deadline-header" def:"Spool-Deadline"` // header with the client's deadline in ms, which can only shorten that of the class
+	SizeHeader     string `edn:"size-header" def:"Spool-KB"`           // header with the size of the object or part in KB, if the client knows it
+	RetryHeader    string `edn:"retry-header" def:"Spool-Retry"`       // header that marks a client's retry
 }
 
-// Limits bound what a router holds and how long it waits.
+// Limits bound the resources and waiting times of a router.
 type Limits struct {
 	Place                  Place
-	Connections            int     `edn:"connections" def:"20000" min:"1"`
-	MaxRequests            int     `edn:"held" def:"20000" min:"1"`          // requests in hand
-	ReadAheadBytes         int     `edn:"pipelined" def:"16384" min:"1024"`  // bytes read ahead of a connection's present request
-	HeadBytes              int     `edn:"head" def:"32768" min:"1024"`       // bytes of a head
-	RequestLineBytes       int     `edn:"line" def:"8192" min:"256"`         // bytes of a request line
-	Fields                 int     `edn:"fields" def:"100" min:"8"`          // field lines
-	BodyBytes              int     `edn:"body" def:"1048576" min:"0"`        // bytes of a request's body
-	BufferBytes            int     `edn:"buffer" def:"262144" min:"4096"`    // bytes that wait for a slow client
-	HeadTimeout            float64 `edn:"head-time" def:"10000" min:"1"`     // for a whole request to come
-	ClientIdle             float64 `edn:"client-idle" def:"60000" min:"1"`   // between requests
-	WriteIdle              float64 `edn:"write-idle" def:"20000" min:"1"`    // a client that takes nothing
-	ConnectTimeout         float64 `edn:"connect" def:"500" min:"1"`         // to a member
-	BodyIdle               float64 `edn:"body-idle" def:"5000" min:"1"`      // a member that has begun to answer and sends nothing
-	MemberConnections      int     `edn:"upstream" def:"512" min:"1"`        // connections a member
-	Pipeline               int     `edn:"pipeline" def:"1" min:"1" max:"64"` // GETs on one connection to a member, once all of its connections are in use
-	MemberIdle             float64 `edn:"upstream-idle" def:"15000" min:"1"` // kept unused for
-	DrainTimeout           float64 `edn:"drain" def:"10000" min:"0"`         // to finish after SIGTERM
-	PerAddress             int     `edn:"connections-per-address" def:"5000" min:"1"`
-	MemoryMB               float64 `edn:"memory-mb" def:"512" min:"0"`     // that the process may use; near it idle connections go, then requests; 0: no limit
-	HeadRate               float64 `edn:"head-rate" def:"0.1" min:"0"`     // KB a second that a request's head comes at, at least; 0: any
-	HeadGrace              float64 `edn:"head-grace" def:"5000" min:"100"` // ms that a client may run up beyond what its bytes pay for
-	ClientRate             float64 `edn:"client-rate" def:"2" min:"0"`     // KB a second that a client sends a body or takes an answer at, at least
-	ClientGrace            float64 `edn:"client-grace" def:"30000" min:"100"`
-	MemberRate             float64 `edn:"member-rate" def:"4" min:"0"` // KB a second that a member sends an answer at, at least
-	MemberGrace            float64 `edn:"member-grace" def:"5000" min:"100"`
-	MassSlownessShare      float64 `edn:"jury" def:"0.5" min:"0" max:"1"`           // where more of the members at work are slow at once, none is cut
-	TickKB                 float64 `edn:"turn-kb" def:"2048" min:"16"`              // that a turn of the loop moves at most
-	QuantumKB              float64 `edn:"quantum-kb" def:"256" min:"4"`             // that a class of weight 1 moves in its turn
-	OverloadTarget         float64 `edn:"overload-target" def:"20" min:"1"`         // ms that ready bytes may wait for the router
-	OverloadQueueingShare  float64 `edn:"overload-part" def:"0.25" min:"0" max:"1"` // of its time until the deadline, that a request may wait for its first attempt; 0: any
-	OverloadMinInFlight    int     `edn:"overload-least" def:"64" min:"1"`          // requests in hand that are always allowed
-	SocketKB               int     `edn:"socket-kb" def:"512" min:"0"`              // that the kernel holds of an answer, for a client and of a member each; 0: as much as it likes
-	SocketsMB              float64 `edn:"sockets-mb" def:"512" min:"0"`             // that the kernel holds of answers for all clients; past it those that take nothing are cut; 0: no limit
-	RetryShare             float64 `edn:"retry-share" def:"0.25" min:"0"`           // repeats for each first try, of all clients, while overloaded
-	SuccessorTimeout       float64 `edn:"successor" def:"30000" min:"100"`          // ms that a process that takes over may take until it serves
-	RetryBurst             int     `edn:"retry-burst" def:"200" min:"1"`            // repeats of one address at once; each first try gives one back
-	PoorReputationRequests int     `edn:"poor-held" def:"16" min:"1"`               // requests in hand of all addresses that have wasted their places
-	LogQueue               int     `edn:"log-queue" def:"8192" min:"16"`            // lines
-	Attempts               int     `edn:"attempts" def:"6" min:"1" max:"100"`       // a request
-	MaxRetryAfter          float64 `edn:"retry-after" def:"2000" min:"0"`           // longest advice to clients; 0: none
-	HedgedRequests         bool    `edn:"second-copies"`
-	DiscoveryBackoff       float64 `edn:"list-backoff" def:"200" min:"1"` // first wait before the list service is called again; doubles to 32 times
-	DiscoveryLineBytes     int     `edn:"list-line" def:"4194304" min:"4096"`
-	HalfClose              bool    `edn:"half-close"`                    // a client that has closed its side still waits for its answer
-	NoCancel               bool    `edn:"no-cancel"`                     // members go on with what was given up
-	TimerResolution        float64 `edn:"tick" def:"5" min:"0.1"`        // how early a deadline is met, half of it
-	AnswerSlack            float64 `edn:"answer-slack" def:"50" min:"0"` // a client's wait past its deadline
-	AcceptPerTick          int     `edn:"accept-per-turn" def:"64" min:"1"`
-	LingerTime             float64 `edn:"linger" def:"500" min:"0"` // reads and drops what a client still sends after a fault's answer
+	Connections            int     `edn:"connections" def:"20000" min:"1"`            // client connections
+	MaxRequests            int     `edn:"held" def:"20000" min:"1"`                   // requests in flight
+	ReadAheadBytes         int     `edn:"pipelined" def:"16384" min:"1024"`           // bytes read ahead of the current request of a connection
+	HeadBytes              int     `edn:"head" def:"32768" min:"1024"`                // size of a request head
+	RequestLineBytes       int     `edn:"line" def:"8192" min:"256"`                  // size of a request line
+	Fields                 int     `edn:"fields" def:"100" min:"8"`                   // field lines of a head
+	BodyBytes              int     `edn:"body" def:"1048576" min:"0"`                 // size of a request body
+	BufferBytes            int     `edn:"buffer" def:"262144" min:"4096"`             // output buffered for a slow client
+	HeadTimeout            float64 `edn:"head-time" def:"10000" min:"1"`              // for receiving a complete request
+	ClientIdle             float64 `edn:"client-idle" def:"60000" min:"1"`            // idle time between requests
+	WriteIdle              float64 `edn:"write-idle" def:"20000" min:"1"`             // for a client that reads nothing
+	ConnectTimeout         float64 `edn:"connect" def:"500" min:"1"`                  // for connecting to a member
+	BodyIdle               float64 `edn:"body-idle" def:"5000" min:"1"`               // for a member that has started its answer and sends nothing
+	MemberConnections      int     `edn:"upstream" def:"512" min:"1"`                 // connections per member
+	Pipeline               int     `edn:"pipeline" def:"1" min:"1" max:"64"`          // GETs in flight per connection to a member, if all connections to it are in use
+	MemberIdle             float64 `edn:"upstream-idle" def:"15000" min:"1"`          // idle time of a connection to a member
+	DrainTimeout           float64 `edn:"drain" def:"10000" min:"0"`                  // for completing requests after SIGTERM
+	PerAddress             int     `edn:"connections-per-address" def:"5000" min:"1"` // connections per client address
+	MemoryMB               float64 `edn:"memory-mb" def:"512" min:"0"`                // memory of the process; near the limit, idle connections are closed first, then requests are shed; 0: no limit
+	HeadRate               float64 `edn:"head-rate" def:"0.1" min:"0"`                // minimum rate of a request head, in KB per second; 0: none
+	HeadGrace              float64 `edn:"head-grace" def:"5000" min:"100"`            // ms by which a client may fall behind the minimum rate
+	ClientRate             float64 `edn:"client-rate" def:"2" min:"0"`                // minimum rate at which a client sends a body or reads an answer, in KB per second
+	ClientGrace            float64 `edn:"client-grace" def:"30000" min:"100"`         // as HeadGrace, for ClientRate
+	MemberRate             float64 `edn:"member-rate" def:"4" min:"0"`                // minimum rate at which a member sends an answer, in KB per second
+	MemberGrace            float64 `edn:"member-grace" def:"5000" min:"100"`          // as HeadGrace, for MemberRate
+	MassSlownessShare      float64 `edn:"jury" def:"0.5" min:"0" max:"1"`             // share of slow members among the active ones above which none is disconnected
+	TickKB                 float64 `edn:"turn-kb" def:"2048" min:"16"`                // transferred per tick of the event loop
+	QuantumKB              float64 `edn:"quantum-kb" def:"256" min:"4"`               // quantum of a class with TransferWeight 1 in deficit round robin
+	OverloadTarget         float64 `edn:"overload-target" def:"20" min:"1"`           // target of the queueing delay in the router
+	OverloadQueueingShare  float64 `edn:"overload-part" def:"0.25" min:"0" max:"1"`   // share of the time until its deadline that a request may wait for its first attempt; 0: any
+	OverloadMinInFlight    int     `edn:"overload-least" def:"64" min:"1"`            // requests in flight that are always admitted
+	SocketKB               int     `edn:"socket-kb" def:"512" min:"0"`                // buffered by the kernel per socket of a client or a member; 0: chosen by the kernel
+	SocketsMB              float64 `edn:"sockets-mb" def:"512" min:"0"`               // buffered by the kernel for all clients; above it, clients that read nothing are disconnected; 0: no limit
+	RetryShare             float64 `edn:"retry-share" def:"0.25" min:"0"`             // retries per first attempt of all clients during overload
+	SuccessorTimeout       float64 `edn:"successor" def:"30000" min:"100"`            // for the successor in a hot restart to be ready
+	RetryBurst             int     `edn:"retry-burst" def:"200" min:"1"`              // retries of a client address in a burst; each first attempt refills one
+	PoorReputationRequests int     `edn:"poor-held" def:"16" min:"1"`                 // requests in flight of all client addresses with a poor reputation
+	LogQueue               int     `edn:"log-queue" def:"8192" min:"16"`              // lines waiting to be written
+	Attempts               int     `edn:"attempts" def:"6" min:"1" max:"100"`         // attempts per request
+	MaxRetryAfter          float64 `edn:"retry-after" def:"2000" min:"0"`             // longest Retry-After; 0: none is sent
+	HedgedRequests         bool    `edn:"second-copies"`                              // a request may have two attempts in flight
+	DiscoveryBackoff       float64 `edn:"list-backoff" def:"200" min:"1"`             // first delay before the discovery service is called again; doubles up to 32 times this
+	DiscoveryLineBytes     int     `edn:"list-line" def:"4194304" min:"4096"`         // size of a line of the discovery stream
+	HalfClose              bool    `edn:"half-close"`                                 // a client that has closed its sending side still gets its answer
+	NoCancel               bool    `edn:"no-cancel"`                                  // attempts cannot be cancelled
+	TimerResolution        float64 `edn:"tick" def:"5" min:"0.1"`                     // timers run up to half of it early
+	AnswerSlack            float64 `edn:"answer-slack" def:"50" min:"0"`              // how long past its deadline a client still waits
+	AcceptPerTick          int     `edn:"accept-per-turn" def:"64" min:"1"`           // connections accepted per tick of the event loop
+	LingerTime             float64 `edn:"linger" def:"500" min:"0"`                   // how long input is read and discarded after an error response
 }
 
-// Rules are the figures of the five rules.
+// Rules are the parameters of the rules that a router's decisions must keep.
 type Rules struct {
 	Place                    Place
-	DrainGrace               float64 `edn:"drain-grace" def:"500" min:"0"`
-	WarmUpInitialShare       float64 `edn:"cold-from" def:"0.2" min:"0" max:"1"`
-	WarmUpTime               float64 `edn:"cold-time" def:"18000" min:"0"`
-	OverloadFactor           float64 `edn:"fall-factor" def:"4" min:"1"`
-	OverloadTime             float64 `edn:"fall-time" def:"3000" min:"1"`
-	ParentWarmUpInitialShare float64 `edn:"parent-cold-from" def:"0.06" min:"0" max:"1"`
-	ParentWarmUpTime         float64 `edn:"parent-cold-time" def:"22000" min:"0"`
-	ParentOverloadFactor     float64 `edn:"parent-fall" def:"2" min:"1"`
-	PurgeTime                float64 `edn:"purge-takes" def:"6000" min:"0"`
-	PurgeSlack               float64 `edn:"purge-slack" def:"300" min:"0"`
-	Loosen                   bool    `edn:"loosen"` // this version may loosen a figure
+	DrainGrace               float64 `edn:"drain-grace" def:"500" min:"0"`               // how long a draining member still takes attempts
+	WarmUpInitialShare       float64 `edn:"cold-from" def:"0.2" min:"0" max:"1"`         // share of its capacity that a cache has at its start
+	WarmUpTime               float64 `edn:"cold-time" def:"18000" min:"0"`               // time after which a cache has its whole capacity
+	OverloadFactor           float64 `edn:"fall-factor" def:"4" min:"1"`                 // a cache fails at this multiple of its present capacity
+	OverloadTime             float64 `edn:"fall-time" def:"3000" min:"1"`                // if the overload lasts this long
+	ParentWarmUpInitialShare float64 `edn:"parent-cold-from" def:"0.06" min:"0" max:"1"` // WarmUpInitialShare of parents
+	ParentWarmUpTime         float64 `edn:"parent-cold-time" def:"22000" min:"0"`        // WarmUpTime of parents
+	ParentOverloadFactor     float64 `edn:"parent-fall" def:"2" min:"1"`                 // OverloadFactor of parents
+	PurgeTime                float64 `edn:"purge-takes" def:"6000" min:"0"`              // time after a purge within which all caches drop older copies
+	PurgeSlack               float64 `edn:"purge-slack" def:"300" min:"0"`               // margin added to PurgeTime
+	Loosen                   bool    `edn:"loosen"`                                      // this version may loosen a rule that requests in flight depend on
 }
 
-// Fill says what caches and parents can do.
+// Fill describes what caches and parents support.
 type Fill struct {
 	Place          Place
-	ParentKind     string   `edn:"parent-kind" def:"parent"`
-	OriginKind     string   `edn:"origin-kind" def:"origin"`
-	DirectAttempts bool     `edn:"direct"` // parents and the origin take attempts too
-	JoinFills      bool     `edn:"joins"`
-	SiblingScope   string   `edn:"siblings" def:"off" oneof:"off location any"`
-	Detail         string   `edn:"detail" def:"all" oneof:"off hit all"`
-	FlowKBPerMs    float64  `edn:"flow" def:"0" min:"0"` // KB a ms of one transfer to a client; 0: not known
-	SizeIsCapacity bool     `edn:"sizes"`                // (size ...) of members is their capacity
-	LoadMetrics    []string `edn:"feedback"`             // names of the load report's values
-	RangeKB        int      `edn:"range-kb" def:"0" min:"0"`
+	ParentKind     string   `edn:"parent-kind" def:"parent"`                    // Member.Kind of parents
+	OriginKind     string   `edn:"origin-kind" def:"origin"`                    // Member.Kind of the origin
+	DirectAttempts bool     `edn:"direct"`                                      // attempts may be sent to parents and the origin directly
+	JoinFills      bool     `edn:"joins"`                                       // a request may join a fill that is in flight
+	SiblingScope   string   `edn:"siblings" def:"off" oneof:"off location any"` // other caches that a cache may fill from
+	Detail         string   `edn:"detail" def:"all" oneof:"off hit all"`        // what members report about hits and fills
+	FlowKBPerMs    float64  `edn:"flow" def:"0" min:"0"`                        // transfer rate to one client, in KB per ms; 0: unknown
+	SizeIsCapacity bool     `edn:"sizes"`                                       // members' size is their capacity
+	LoadMetrics    []string `edn:"feedback"`                                    // names of the values in load reports
+	RangeKB        int      `edn:"range-kb" def:"0" min:"0"`                    // size of the parts of a route with ranges
 	DefaultKB      float64  `edn:"default-kb" def:"0" min:"0"`
 }
 
-// Pages bound how pages are put together from fragments (docs/esi.md).
+// Pages bound the assembly of ESI pages (docs/esi.md).
 type Pages struct {
 	Place             Place
-	Fragments         int     `edn:"fragments" def:"256" min:"1"`               // different ones of a page
-	Includes          int     `edn:"includes" def:"2000" min:"1"`               // met in a page and its fragments
-	Depth             int     `edn:"depth" def:"4" min:"1" max:"16"`            // fragments in fragments
-	Parallel          int     `edn:"parallel" def:"8" min:"1" max:"1024"`       // asked for at once, for one page
-	Attempts          int     `edn:"attempts" def:"400" min:"1"`                // at members, for all fragments of a page
-	StreamThresholdKB int     `edn:"whole-kb" def:"64" min:"1"`                 // of a fragment that waits until it is whole
-	MaxBufferedKB     int     `edn:"piece-kb" def:"1024" min:"1" max:"65536"`   // of a fragment or page that has to be known whole
-	WaitingKB         int     `edn:"held-kb" def:"1024" min:"16" max:"65536"`   // that may wait for its turn, of one page
-	MaxPageMB         int     `edn:"most-mb" def:"64" min:"1"`                  // of a whole page
-	Elements          int     `edn:"elements" def:"10000" min:"1"`              // of one template or fragment
-	Nesting           int     `edn:"nesting" def:"16" min:"1" max:"100"`        // elements in elements
+	Fragments         int     `edn:"fragments" def:"256" min:"1"`               // distinct fragments of a page
+	Includes          int     `edn:"includes" def:"2000" min:"1"`               // include elements processed in a page and its fragments
+	Depth             int     `edn:"depth" def:"4" min:"1" max:"16"`            // nesting depth of fragments
+	Parallel          int     `edn:"parallel" def:"8" min:"1" max:"1024"`       // fragments of a page fetched concurrently
+	Attempts          int     `edn:"attempts" def:"400" min:"1"`                // attempts at members for all fragments of a page
+	StreamThresholdKB int     `edn:"whole-kb" def:"64" min:"1"`                 // KB received of a fragment before it may be sent incomplete
+	MaxBufferedKB     int     `edn:"piece-kb" def:"1024" min:"1" max:"65536"`   // KB of a fragment or page that must be complete before it is sent
+	WaitingKB         int     `edn:"held-kb" def:"1024" min:"16" max:"65536"`   // KB of a page waiting to be sent at which reading ahead pauses
+	MaxPageMB         int     `edn:"most-mb" def:"64" min:"1"`                  // size of an assembled page
+	Elements          int     `edn:"elements" def:"10000" min:"1"`              // elements of a template or fragment
+	Nesting           int     `edn:"nesting" def:"16" min:"1" max:"100"`        // nesting depth of elements
 	Tag               int     `edn:"tag" def:"8192" min:"64"`                   // bytes of a tag
-	Reserve           float64 `edn:"reserve" def:"100" min:"1"`                 // ms before the page's deadline by which its fragments are given up
-	Malformed         string  `edn:"malformed" def:"error" oneof:"error as-is"` // what becomes of a page that is no valid ESI
+	Reserve           float64 `edn:"reserve" def:"100" min:"1"`                 // ms before the page's deadline at which fetches of fragments time out
+	Malformed         string  `edn:"malformed" def:"error" oneof:"error as-is"` // what happens to a page with invalid ESI
 }
 
-// Zone is a location, or a hub.
+// Zone is a location or a hub.
 type Zone struct {
 	Place        Place
 	Name         string  `edn:"@,required"`
-	Hub          string  `edn:"hub"`                  // the hub zone it is tied to; itself of a hub
-	Routers      int     `edn:"routers" min:"0"`      // in this zone
-	LinkCapacity float64 `edn:"link" def:"0" min:"0"` // KB a ms; 0: not told
+	Hub          string  `edn:"hub"`                  // hub of the zone; a hub names itself
+	Routers      int     `edn:"routers" min:"0"`      // number of routers in the zone
+	LinkCapacity float64 `edn:"link" def:"0" min:"0"` // capacity of the link into the zone, in KB per ms; 0: not specified
 }
 
 // Class is a class of requests.
 type Class struct {
 	Place                Place
 	Name                 string  `edn:"@,required"`
-	LatencyObjective     float64 `edn:"aim" def:"400" min:"1"`
-	ObjectivePerSendTime float64 `edn:"aim-stretch" min:"0"`
-	Deadline             float64 `edn:"deadline" def:"3000" min:"1"`
-	PriorityWeight       float64 `edn:"worth" def:"1" min:"0"`
-	LateWeightShare      float64 `edn:"late-worth" min:"0" max:"1"`
-	Idempotency          string  `edn:"effect" def:"free" oneof:"free guarded single-shot"`
-	KeyScope             string  `edn:"group" def:"nowhere" oneof:"nowhere cell zone all"` // of guarded: who drops repeats
-	KeyWindow            float64 `edn:"window" min:"0"`                                    // of guarded: for how long
-	TransferWeight       float64 `edn:"weight" def:"1" min:"0.01" max:"1000"`              // share of the loop's bytes, beside other classes that have any to move
-	InParts              bool    `edn:"parts"`
-	Pages                bool    `edn:"pages"` // its answers may be pages that are put together (ESI), where they say so
-	Write                bool    `edn:"write"`
-	Fresh                float64 `edn:"fresh" min:"0"` // 0: until purged
-	Grace                float64 `edn:"grace" min:"0"`
-	StaleWeightShare     float64 `edn:"stale-worth" min:"0" max:"1"`
+	LatencyObjective     float64 `edn:"aim" def:"400" min:"1"`                              // an answer within it has its full priority weight
+	ObjectivePerSendTime float64 `edn:"aim-stretch" min:"0"`                                // multiple of the send time that is added to the objective
+	Deadline             float64 `edn:"deadline" def:"3000" min:"1"`                        // client's timeout, if the request has no deadline
+	PriorityWeight       float64 `edn:"worth" def:"1" min:"0"`                              // weight of an answer in time
+	LateWeightShare      float64 `edn:"late-worth" min:"0" max:"1"`                         // share of the priority weight that a late answer has
+	Idempotency          string  `edn:"effect" def:"free" oneof:"free guarded single-shot"` // free: idempotent; guarded: has an idempotency key; single-shot: non-idempotent
+	KeyScope             string  `edn:"group" def:"nowhere" oneof:"nowhere cell zone all"`  // of guarded: the caches that remember idempotency keys
+	KeyWindow            float64 `edn:"window" min:"0"`                                     // of guarded: how long they remember them
+	TransferWeight       float64 `edn:"weight" def:"1" min:"0.01" max:"1000"`               // weight of the class when the event loop schedules transfers
+	InParts              bool    `edn:"parts"`                                              // objects are requested in parts
+	Pages                bool    `edn:"pages"`                                              // answers may be ESI pages, if they say so
+	Write                bool    `edn:"write"`                                              // executed by the origin; the answer is not cached
+	Fresh                float64 `edn:"fresh" min:"0"`                                      // how long a copy is fresh; 0: until purged
+	Grace                float64 `edn:"grace" min:"0"`                                      // how long a stale copy may be served
+	StaleWeightShare     float64 `edn:"stale-worth" min:"0" max:"1"`                        // share of the priority weight that a stale answer has
 }
 
-// Route maps requests to classes. The first that fits is taken. A pattern's
-// segments are text, {object}, {group}, {part}, or {name} of anything; * at the
-// end takes the rest. The object's name is the path up to and with {object}.
+// Route maps requests to a class. The first route that matches applies. The
+// segments of a pattern are text, {object}, {group}, {part}, or {name}, which
+// matches any segment; * at the end matches the rest. The name of the object is
+// the path up to and including {object}.
 type Route struct {
 	Place   Place
 	Pattern string   `edn:"@,required"`
 	Class   string   `edn:"class,required"`
-	Methods []string `edn:"methods"`       // default: GET and HEAD; of writes POST, PUT, PATCH and DELETE
-	KB      float64  `edn:"kb" min:"0"`    // size, where it is the same for all
-	Ranges  bool     `edn:"ranges"`        // the part is the Range's first byte over (fill (range-kb n))
-	NoGroup bool     `edn:"without-group"` // {group} is only text
+	Methods []string `edn:"methods"`       // default: GET and HEAD; for a class of writes POST, PUT, PATCH and DELETE
+	KB      float64  `edn:"kb" min:"0"`    // size of the objects, if all have the same
+	Ranges  bool     `edn:"ranges"`        // the part is the first byte of the Range header, divided by (fill (range-kb n))
+	NoGroup bool     `edn:"without-group"` // {group} has no meaning
 }
 
 // Member is a cache, a parent or an origin.
@@ -207,71 +209,74 @@
 	Size    float64 `edn:"size" def:"1" min:"0"`
 	Address string  `edn:"address,required"`
 	State   string  `edn:"state" def:"serving" oneof:"serving draining removed"`
-	Start   int     `edn:"start" min:"0"` // number of its start; another number: it came back empty
+	Start   int     `edn:"start" min:"0"` // counter of its starts; a new number means that its cache is empty
 
-	FillFrom []string `edn:"fill-from"` // where an operator expects it to be filled from; checked, never obeyed
+	FillFrom []string `edn:"fill-from"` // the fill sources that the operator expects; only checked
 }
 
-// Control is whom a router follows for versions of its settings. It then keeps
-// of its file: this section, and of (router ...) all but (of n) and the names of
-// headers. The rest of the file is what it starts with where nothing is stored.
+// Control configures from which control services a router gets versions of its
+// settings. A version replaces all of the file except this section and the
+// (router ...) section; of the latter it replaces (of n) and the names of
+// headers. The rest of the file applies at the start if no version is stored.
 type Control struct {
 	Place            Place
-	Services         []string `edn:"services"`                           // addresses; the first that answers is followed
-	Store            string   `edn:"store"`                              // file of the last good version; empty: none is kept
-	Start            string   `edn:"start" def:"file" oneof:"file wait"` // with nothing stored: by this file, or wait for the first version
-	Protocol         string   `edn:"protocol" def:"delta" oneof:"delta full"`
-	Name             string   `edn:"name"`                       // of the services, as their certificate has it
-	Cert             string   `edn:"cert"`                       // the router's; empty: the channel is in the clear, on loopback only
-	Key              string   `edn:"key"`                        // of it
-	Roots            string   `edn:"authorities"`                // that the service's certificate must come from
-	ReportInterval   float64  `edn:"report" def:"10000" min:"0"` // how often service is reported; 0: never
-	Jitter           float64  `edn:"spread" def:"1000" min:"0"`  // see configversion.MachineSettings
-	Lease            float64  `edn:"lease" def:"30000" min:"100"`
-	UnconfirmedAfter float64  `edn:"old" def:"60000" min:"100"`
-	StaleAfter       float64  `edn:"stale" def:"600000" min:"1000"`
-	Backoff          float64  `edn:"backoff" def:"250" min:"1"`           // first wait before a service is called again; doubles to 64 times
-	MaxBytes         int      `edn:"max-bytes" def:"16777216" min:"1024"` // of a version
+	Services         []string `edn:"services"`                                // addresses; the first one that answers is used
+	Store            string   `edn:"store"`                                   // file of the last valid version; empty: none
+	Start            string   `edn:"start" def:"file" oneof:"file wait"`      // if nothing is stored: use this file, or wait for the first version
+	Protocol         string   `edn:"protocol" def:"delta" oneof:"delta full"` // versions arrive as deltas or as full states
+	Name             string   `edn:"name"`                                    // name in the certificate of the services
+	Cert             string   `edn:"cert"`                                    // certificate of the router; empty: no TLS, for loopback addresses only
+	Key              string   `edn:"key"`                                     // private key of the certificate
+	Roots            string   `edn:"authorities"`                             // CA certificates for the service's certificate
+	ReportInterval   float64  `edn:"report" def:"10000" min:"0"`              // interval of status reports; 0: none
+	Jitter           float64  `edn:"spread" def:"1000" min:"0"`               // see configversion.MachineSettings
+	Lease            float64  `edn:"lease" def:"30000" min:"100"`             // see configversion.MachineSettings
+	UnconfirmedAfter float64  `edn:"old" def:"60000" min:"100"`               // see configversion.MachineSettings
+	StaleAfter       float64  `edn:"stale" def:"600000" min:"1000"`           // see configversion.MachineSettings
+	Backoff          float64  `edn:"backoff" def:"250" min:"1"`               // first delay before a service is called again; doubles up to 64 times this
+	MaxBytes         int      `edn:"max-bytes" def:"16777216" min:"1024"`     // size of a version
 }
 
-// UsesControlService reports whether versions come from a service.
+// UsesControlService reports whether the router gets its settings from a control service.
 func (s *Settings) UsesControlService() bool { return len(s.Control.Services) > 0 }
 
-// awaitsVersion reports whether the file alone is not meant to be served by.
+// awaitsVersion reports whether the router waits for a version, so that the file need not be
+// complete.
 func (s *Settings) awaitsVersion() bool {
 	return s.anyRouter || s.UsesControlService() && s.Control.Start == "wait"
 }
 
 // ReadVersion reads the settings of a version from one text; see ReadSources.
-func ReadVersion(file, src string, own, s *Settings) error {
-	return ReadSources([]Source{{file, src}}, own, s)
+func ReadVersion(file, src string, local, s *Settings) error {
+	return ReadSources([]Source{{file, src}}, local, s)
 }
 
-// ReadSources reads the settings of a version from texts that are one. own, if given, is the file of the
-// router that is to run it: its part of (router ...) and (control ...) go before
-// the version's. Without it, only what holds at every router is checked.
-func ReadSources(sources []Source, own, s *Settings) error {
+// ReadSources reads the settings of a version that consists of several texts.
+// If local is not nil, it is the file of the router that is to run the version,
+// and its sections (router ...) and (control ...) take precedence as Control
+// describes. Otherwise only conditions that hold for every router are checked.
+func ReadSources(sources []Source, local, s *Settings) error {
 	return readInto(sources, s, func() {
-		if own == nil {
+		if local == nil {
 			s.anyRouter = true
 			return
 		}
-		r, o := &s.Router, own.Router
-		o.Routers, o.DeadlineHeader, o.SizeHeader, o.RetryHeader = r.Routers, r.DeadlineHeader, r.SizeHeader, r.RetryHeader
-		o.Place = r.Place
-		s.Router, s.Control = o, own.Control
-		s.Control.Start = "file" // it must be complete now
+		fromVersion, router := &s.Router, local.Router
+		router.Routers, router.DeadlineHeader, router.SizeHeader, router.RetryHeader = fromVersion.Routers, fromVersion.DeadlineHeader, fromVersion.SizeHeader, fromVersion.RetryHeader
+		router.Place = fromVersion.Place
+		s.Router, s.Control = router, local.Control
+		s.Control.Start = "file" // with a version, the settings must be complete
 	})
 }
 
-// Defaults are settings in which nothing is said. They are not good as they are.
+// Defaults returns settings with all defaults. They lack required values.
 func Defaults() *Settings {
 	s := &Settings{}
 	ReadVersion("", "(router)", nil, s)
 	return s
 }
 
-// Check tells what contradicts itself.
+// Check reports contradictions and references to names that are not defined.
 func (s *Settings) Check(f *Faults) {
 	add := func(p Pos, key, what, remedy string) { *f = append(*f, Fault{p, key, what, remedy}) }
 	zones := map[string]bool{}
@@ -298,7 +303,7 @@
 	}
 	address := func(p Pos, key, a string) {
 		if _, _, err := net.SplitHostPort(a); err != nil {
-			add(p, key, fmt.Sprintf("%q is no address", a), "write host:port, as 127.0.0.1:8080")
+			add(p, key, fmt.Sprintf("%q is not an address", a), "write host:port, such as 127.0.0.1:8080")
 		}
 	}
 	address(s.Router.Place.Of("listen"), "router/listen", s.Router.Listen)
@@ -306,11 +311,11 @@
 		address(s.Router.Place.Of("admin"), "router/admin", a)
 		if host, _, err := net.SplitHostPort(a); err == nil && host != "localhost" && !net.ParseIP(host).IsLoopback() {
 			add(s.Router.Place.Of("admin"), "router/admin", fmt.Sprintf("%q is not a loopback address", a),
-				"the admin listener has no password: bind it to 127.0.0.1 or to a Unix socket")
+				"the admin listener has no authentication: bind it to 127.0.0.1 or to a Unix socket")
 		}
 	}
 	if h := s.Router.HotRestartSocket; h != "" && !strings.HasPrefix(h, "/") {
-		add(s.Router.Place.Of("handover"), "router/handover", fmt.Sprintf("%q is no path of a socket", h), "write a whole path, as /run/spool/handover")
+		add(s.Router.Place.Of("handover"), "router/handover", fmt.Sprintf("%q is not an absolute path", h), "write the whole path of a socket, such as /run/spool/handover")
 	}
 	if s.Router.DiscoveryAddress != "" {
 		address(s.Router.Place.Of("list"), "router/list", s.Router.DiscoveryAddress)
@@ -332,7 +337,7 @@
 		}
 		if c.Idempotency == "guarded" && (c.KeyWindow <= 0 || c.KeyScope == "nowhere") {
 			add(c.Place.Of("effect"), "class/effect", "a guarded class needs (window ms) and (group cell|zone|all)",
-				"say who drops repeats and for how long")
+				"set which caches drop repeats and for how long")
 		}
 	}
 	if len(s.Routes) == 0 && (s.anyRouter || !s.awaitsVersion()) {
@@ -364,7 +369,7 @@
 		}
 	}
 	if len(s.Members) == 0 && s.Router.DiscoveryAddress == "" && !s.awaitsVersion() {
-		add(s.Router.Place.Pos, "member", "there is neither a member nor a list service", "add (member ...) or (router (list address))")
+		add(s.Router.Place.Pos, "member", "no member and no discovery service is given", "add (member ...) or (router (list address))")
 	}
 	if s.Fill.ParentKind != "" && s.Fill.ParentKind == s.Fill.OriginKind {
 		add(s.Fill.Place.Of("parent-kind"), "fill/parent-kind",
@@ -372,6 +377,7 @@
 	}
 }
 
+// checkControl checks the section (control ...).
 func (s *Settings) checkControl(add func(p Pos, key, what, remedy string), address func(p Pos, key, a string)) {
 	c := &s.Control
 	for _, a := range c.Services {
@@ -379,17 +385,18 @@
 		host, _, err := net.SplitHostPort(a)
 		if c.Cert == "" && err == nil && host != "localhost" && !net.ParseIP(host).IsLoopback() {
 			add(c.Place.Of("services"), "control/services", fmt.Sprintf("%q is not a loopback address, and there is no certificate", a),
-				"give (cert FILE) (key FILE) (authorities FILE) (name SERVICE): versions say where requests go")
+				"add (cert FILE) (key FILE) (authorities FILE) (name SERVICE): versions decide where requests are sent")
 		}
 	}
 	if n := countGiven(c.Cert, c.Key, c.Roots, c.Name); n != 0 && n != 4 {
-		add(c.Place.Pos, "control/cert", fmt.Sprintf("%d of cert, key, authorities and name are given", n), "give all four, or none")
+		add(c.Place.Pos, "control/cert", fmt.Sprintf("%d of cert, key, authorities and name are given", n), "set all four or none")
 	}
 	if !s.UsesControlService() && len(c.Place.keys) > 0 {
 		add(c.Place.Pos, "control", "no service is named", "add (services host:port ...)")
 	}
 }
 
+// countGiven returns the number of values that are not empty.
 func countGiven(values ...string) (n int) {
 	for _, v := range values {
 		if v != "" {
@@ -399,7 +406,7 @@
 	return n
 }
 
-// CheckPattern says what is wrong with a route's pattern, or "".
+// CheckPattern returns what is wrong with the pattern of a route, or "".
 func CheckPattern(p string) string {
 	seen := map[string]bool{}
 	segs := strings.Split(strings.TrimPrefix(p, "/"), "/")
@@ -407,11 +414,11 @@
 		switch {
 		case seg == "*":
 			if i != len(segs)-1 {
-				return "* stands before the end"
+				return "* is allowed only at the end"
 			}
 		case strings.HasPrefix(seg, "{") && strings.HasSuffix(seg, "}") && len(seg) > 2:
 			if seen[seg] {
-				return seg + " stands twice"
+				return seg + " is used twice"
 			}
 			seen[seg] = true
 		case strings.ContainsAny(seg, "{}*"):
