--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,6 +1,6 @@
-// Package cli is what the command lines of all programs share: exit codes, the
-// version, and how errors are told. Commands themselves are made with cobra, in
-// cmd/*.
+// Package cli has what the command lines of all programs share: exit codes, the
+// version, and the output of results and errors. The commands themselves are
+// defined with cobra in cmd/*.
 package cli
 
 import (
@@ -23,20 +23,21 @@
 // Exit codes of all programs.
 const (
 	ExitOK    = 0
-	ExitFound = 1 // the program did its work, and found something wrong
-	ExitUsage = 2 // it was called wrongly, or could not do its work
+	ExitFound = 1 // the program ran and found something wrong
+	ExitUsage = 2 // wrong usage, or the program could not run
 )
 
-// ErrFound ends a program with Found; what was found has been printed.
+// ErrFound ends a program with ExitFound and without a message, after it has
+// printed its findings.
 var ErrFound = errors.New("found")
 
-// FoundError is an error that ends a program with Found.
+// FoundError prints its error and ends a program with ExitFound.
 type FoundError struct{ Err error }
 
 func (f *FoundError) Error() string { return f.Err.Error() }
 func (f *FoundError) Unwrap() error { return f.Err }
 
-// Version is the module's version as built.
+// Version returns the version of the module and the revision that it was built from.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -51,12 +52,13 @@
 	return v
 }
 
-// codeMB is what of a program's resident memory is no heap: its code and its tables.
+// codeMB is the part of a program's resident memory that is not heap, such as code and tables.
 const codeMB = 16
 
-// TuneGC has the garbage collector run less often than Go's default, for
-// programs whose heap is small and whose loop should not share its time; GOGC
-// in the environment goes before it. Near the memory budget it runs more often.
+// TuneGC makes the garbage collector run less often than by default, for
+// programs with a small heap and a latency-sensitive event loop. Near memoryMB,
+// if above 0, it runs more often. GOGC and GOMEMLIMIT in the environment take
+// precedence.
 func TuneGC(memoryMB float64) {
 	if os.Getenv("GOMEMLIMIT") == "" && memoryMB > 0 {
 		debug.SetMemoryLimit(int64((memoryMB - min(codeMB, memoryMB/4)) * (1 << 20)))
@@ -66,7 +68,7 @@
 	}
 }
 
-// PrintResult prints a result on standard output: as JSON, or by its text.
+// PrintResult prints a result on standard output, as JSON or by calling text.
 func PrintResult(asJSON bool, v any, text func(io.Writer)) error {
 	if !asJSON {
 		text(printable{os.Stdout})
@@ -77,14 +79,14 @@
 	return enc.Encode(v)
 }
 
-// printable has what a terminal would obey written as escapes, but for ends of
-// lines: names in journals, logs and lists are a peer's.
+// printable is a writer that escapes control characters except newlines. Output
+// has names from journals, logs and endpoint lists, which a peer controls.
 type printable struct{ w io.Writer }
 
 func (p printable) Write(b []byte) (int, error) {
 	lines := strings.SplitAfter(string(b), "\n")
-	for i, l := range lines {
-		text, end := strings.CutSuffix(l, "\n")
+	for i, line := range lines {
+		text, end := strings.CutSuffix(line, "\n")
 		lines[i] = config.Printable(text)
 		if end {
 			lines[i] += "\n"
@@ -96,8 +98,8 @@
 	return len(b), nil
 }
 
-// Main runs a program's root command and ends the process. The context ends at
-// SIGINT or SIGTERM.
+// Main runs a program's root command and exits. SIGINT and SIGTERM cancel the
+// command's context.
 func Main(root *cobra.Command) {
 	root.Version = Version()
 	root.SilenceErrors, root.SilenceUsage = true, true
--- a/internal/cli/programs_test.go
+++ b/internal/cli/programs_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// Every program says its version, has help with examples on each command that does
-// something, completes in a shell, and ends with 2 when it is called wrongly.
+// TestPrograms checks that every program prints its version, has help with an example for each
+// command that can be run, generates shell completion, and exits with ExitUsage on wrong usage.
 func TestPrograms(t *testing.T) {
 	dir := t.TempDir()
 	if out, err := exec.Command("go", "build", "-o", dir+"/", "indigospool/cmd/...").CombinedOutput(); err != nil {
