--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -359,7 +359,7 @@
 		case float64:
 			x = v
 		default:
-			d.fault(f.pos, path, fmt.Sprintf("%s is not a number", truncate(f.text)), "write a number; spans are in milliseconds")
+			d.fault(f.pos, path, fmt.Sprintf("%s is not a number", truncate(f.text)), "write a number; durations are in milliseconds")
 			return
 		}
 		if math.IsNaN(x) || math.IsInf(x, 0) {
--- a/internal/config/form.go
+++ b/internal/config/form.go
@@ -264,7 +264,7 @@
 	v, err := r.parseAtom(text)
 	if err != nil || v == nil {
 		r.fault(p, fmt.Sprintf("%.40s is not a number, a word or a string", text),
-			"put text in double quotes; spans are numbers in milliseconds")
+			"put text in double quotes; durations are numbers in milliseconds")
 		return form{}, false
 	}
 	switch v.(type) {
--- a/internal/protocol/esi/page.go
+++ b/internal/protocol/esi/page.go
@@ -66,10 +66,10 @@
 type fragmentState uint8
 
 const (
-	pending fragmentState = iota
+	pending fragmentState = iota // to be fetched
 	fetching
 	complete
-	failed
+	failed // failed or discarded
 )
 
 // fragment is a fragment of the page. Several slots may use it.
@@ -78,11 +78,11 @@
 	key          string
 	url          *url.URL
 	state        fragmentState
-	importance   importance
-	deadline     float64
-	cause        string
-	data         []byte
-	dropped      int64 // bytes removed from data after they were sent
+	importance   importance // the lowest value, and so the strictest, of the slots that use it
+	deadline     float64    // of the fetch in flight
+	cause        string     // of the failure
+	data         []byte     // content, unless it is parsed into sequence
+	dropped      int64      // bytes removed from data after they were sent
 	meta         Meta
 	headAt       float64 // time at which the head of its answer arrived
 	parser       *Parser
@@ -98,8 +98,8 @@
 // slot is the position of an include element.
 type slot struct {
 	fragment        *fragment
-	sequence        *sequence
-	alt             string
+	sequence        *sequence // the sequence that contains it
+	alt             string    // path and query of the alternative; empty: none is left
 	continueOnError bool
 	leftOut         bool // its fragment has failed and is left out
 	done            bool // its fragment has been sent or is no longer needed
@@ -116,7 +116,8 @@
 	isAttempt bool      // an attempt: an except replaces it if it fails
 }
 
-// part is text, a slot or a try. A try has an attempt at first, and an except once that has failed.
+// part is text, a slot or a try. A try has an attempt at first, and an except after the attempt has
+// failed.
 type part struct {
 	text        []byte
 	slot        *slot
@@ -125,6 +126,7 @@
 	exceptNodes []Node // nodes of the except, until the attempt fails
 }
 
+// cursor is a position in a sequence: the index of a part and the offset in the bytes of the part.
 type cursor struct {
 	sequence *sequence
 	index    int
@@ -616,16 +618,16 @@
 	if p.err != nil {
 		return
 	}
-	first, wanted := p.blockingFragment(), 0
+	first, pendingCount := p.blockingFragment(), 0
 	for _, f := range p.fragments {
 		if f.state == pending && f.waitingSlots > 0 {
-			wanted++
+			pendingCount++
 		}
 	}
-	if wanted == 0 {
+	if pendingCount == 0 {
 		return
 	}
-	rounds := p.options.fetchRounds(wanted)
+	rounds := p.options.fetchRounds(pendingCount)
 	fetch := func(f *fragment) {
 		if p.attempts >= p.options.Attempts {
 			p.failFragment(f, fmt.Sprintf("all %d attempts of the page are used", p.options.Attempts))
@@ -1082,7 +1084,7 @@
 	}
 }
 
-// endBy requires that the page is complete by the time until. It aborts a page that is past it.
+// endBy requires the page to be complete by the time until, and aborts it if that has passed.
 func (p *Page) endBy(until float64) {
 	if p.mustEndAt == 0 || until < p.mustEndAt {
 		p.mustEndAt = until
@@ -1091,7 +1093,7 @@
 		p.abort(ErrPurged, "the bytes already sent are stale")
 		return
 	}
-	for _, f := range p.fragments { // required fragments keep their deadlines
+	for _, f := range p.fragments { // only for required fragments may the page wait longer
 		if f.state == fetching && f.importance != required {
 			f.deadline = min(f.deadline, p.latestEnd()-p.options.Reserve)
 		}
