--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -97,7 +97,7 @@
 	DiscoveryBackoff       float64 `edn:"list-backoff" def:"200" min:"1"`             // first delay before the discovery service is called again; doubles up to 32 times this
 	DiscoveryLineBytes     int     `edn:"list-line" def:"4194304" min:"4096"`         // size of a line of the discovery stream
 	HalfClose              bool    `edn:"half-close"`                                 // a client that has closed its sending side still gets its answer
-	NoCancel               bool    `edn:"no-cancel"`                                  // attempts cannot be cancelled
+	NoCancel               bool    `edn:"no-cancel"`                                  // attempts cannot be cancelled; members complete them
 	TimerResolution        float64 `edn:"tick" def:"5" min:"0.1"`                     // timers run up to half of it early
 	AnswerSlack            float64 `edn:"answer-slack" def:"50" min:"0"`              // how long past its deadline a client still waits
 	AcceptPerTick          int     `edn:"accept-per-turn" def:"64" min:"1"`           // connections accepted per tick of the event loop
