--- a/internal/config/print.go
+++ b/internal/config/print.go
@@ -10,9 +10,9 @@
 	"olympos.io/encoding/edn"
 )
 
-// Print writes settings in their canonical form: fields in the order of the
-// schema, values that equal their default left out, one form a line.
-// Reading it gives the same settings again.
+// Print returns settings in their canonical form: fields in the order of the
+// schema, one form per line, without values that equal their default. Reading
+// the result returns the same settings.
 func Print(v any) string {
 	var b strings.Builder
 	top := reflect.ValueOf(v)
@@ -70,7 +70,7 @@
 			}
 		default:
 			def, has := t.Field(i).Tag.Lookup("def")
-			same := has && plain(field) == def || !has && field.IsZero()
+			same := has && plainText(field) == def || !has && field.IsZero()
 			if !same || opts == "required" {
 				open()
 				b.WriteString(" " + atomText(field) + ")")
@@ -79,7 +79,8 @@
 	}
 }
 
-func plain(v reflect.Value) string {
+// plainText formats a value without quotes, as in a def tag.
+func plainText(v reflect.Value) string {
 	switch v.Kind() {
 	case reflect.Float64:
 		return strconv.FormatFloat(v.Float(), 'f', -1, 64)
@@ -87,9 +88,10 @@
 	return fmt.Sprint(v.Interface())
 }
 
+// atomText formats a value as an atom. A string is quoted unless it is a valid symbol.
 func atomText(v reflect.Value) string {
 	if v.Kind() != reflect.String {
-		return plain(v)
+		return plainText(v)
 	}
 	s := v.String()
 	var back any
