--- a/internal/testbed/invariants/clients.go
+++ b/internal/testbed/invariants/clients.go
@@ -8,31 +8,32 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// ClientFault is a repeat of a write that a client of the day had no right to make: none
-// of the router's answers let it, and the key's window did not cover it. It is a fault of
-// the test, not a broken rule of the router's, and fails the day as well.
+// ClientFault is a repeat of a write that a correct client would not have made: no response
+// of the router allowed it, and the window of the key did not cover it. It is a fault of the
+// test and not a violation by the router, but it fails the scenario as well.
 type ClientFault struct {
 	Time        float64             `json:"t"`
 	Key         string              `json:"key"`
-	Repeat      string              `json:"repeat"` // the request that should not have been made
+	Repeat      string              `json:"repeat"` // ID of the request that should not have been made
 	Description string              `json:"what"`
-	Context     []trafficlog.Record `json:"around,omitempty"` // of the first fault of a tap
+	Context     []trafficlog.Record `json:"around,omitempty"` // records of the same key; only of a log's first fault
 }
 
 func (f *ClientFault) Error() string {
 	return fmt.Sprintf("fault of the test's client at %.1f ms: repeat %s of key %q %s", f.Time, f.Repeat, f.Key, f.Description)
 }
 
-// clientTry is one try of a write, as its client saw it.
+// clientTry is one try of a write: a request of a client, the first one of a write or one
+// that repeats it with the same key.
 type clientTry struct {
-	index      int // of its ask in the tap
+	index      int // of its RequestSent record
 	request    *trafficlog.Record
-	rejectedAt float64 // when the client read a 503: the promise that a repeat is harmless; +Inf: never
-	unaccepted bool    // no router took it, says its client
-	executed   bool    // and yet, or as it should be, it had an effect
+	rejectedAt float64 // when the client read a 503, which promises that a repeat is safe; +Inf: never
+	unaccepted bool    // according to the client, no router accepted it
+	executed   bool    // the origin executed it
 }
 
-// collectClientTries are the tries of writes, by the name of the request.
+// collectClientTries returns the tries of all writes, by request ID.
 func (c *checker) collectClientTries() map[string]*clientTry {
 	tries := map[string]*clientTry{}
 	for i := range c.records {
@@ -56,9 +57,9 @@
 	return tries
 }
 
-// unjustified says why a client had no right to repeat a try by another; empty: it had.
-// Its right is a 503, that no router took the first, or that the repeat's time ends
-// inside the window in which all servers drop it.
+// unjustified returns why a client should not have repeated the try first as repeat; empty
+// if the repeat was allowed. It is allowed after a 503, if no router accepted the first try,
+// or if the repeat's deadline lies within the window in which all servers drop repeats.
 func (c *checker) unjustified(first, repeat *clientTry) string {
 	class := c.params.Classes[first.request.Class]
 	until := max(repeat.request.Time, repeat.request.Limit) - first.request.Time
@@ -77,17 +78,18 @@
 	return ""
 }
 
-// routerFault says in what a router is to blame for a second effect of a key, and whether
-// it is: it sent one request again, or had told the client that a repeat is harmless, or
-// the client's repeat stood inside the window. Only where none of that is so, for any of
-// the effects before, it is the client's fault. What is not known is the router's.
-func (c *checker) routerFault(before []*trafficlog.Record, second *trafficlog.Record) (why string, is bool) {
+// routerFault reports whether a router is to blame for the second effect of a key, and why.
+// It is if one request took effect twice, if the router had promised the client that a repeat
+// is safe, or if the client repeated the write within the window. The client is to blame if
+// none of these holds for any earlier effect. If the log does not show the tries, the router
+// is to blame.
+func (c *checker) routerFault(before []*trafficlog.Record, second *trafficlog.Record) (why string, atFault bool) {
 	for _, r := range before {
 		first, repeat := c.clientTries[r.ID], c.clientTries[second.ID]
 		if first == nil || repeat == nil || first.request.Key != repeat.request.Key {
 			return "", true
 		}
-		if first.index > repeat.index { // what was asked first ran last
+		if first.index > repeat.index { // the earlier try was executed last
 			first, repeat = repeat, first
 		}
 		switch {
@@ -102,10 +104,11 @@
 	return "", false
 }
 
-// checkClientRepeats looks at each repeat of a write for its client's right to it.
+// checkClientRepeats checks that clients repeat writes only where that is allowed, see
+// unjustified.
 func (c *checker) checkClientRepeats() {
 	verdict := &c.verdicts[2]
-	asked := map[string][]*clientTry{} // by key
+	asked := map[string][]*clientTry{} // earlier tries, by key
 	for i := range c.records {
 		ask := &c.records[i]
 		if ask.Event != trafficlog.RequestSent || ask.Key == "" {
@@ -138,12 +141,12 @@
 	verdict.ClientFaults = append(verdict.ClientFaults, fault)
 }
 
-// clientDetails tells of clients' faults, at most a few, with the records of the first.
+// clientDetails describes up to five client faults, with the records of the first one.
 func clientDetails(faults []ClientFault) string {
-	const told = 5
+	const maxFaults = 5
 	s := ""
 	for i := range faults {
-		if i == told {
+		if i == maxFaults {
 			return s + fmt.Sprintf("  ... and %d more faults of the test's clients\n", len(faults)-i)
 		}
 		s += faults[i].Error() + "\n" + recordLines(faults[i].Context)
@@ -151,7 +154,7 @@
 	return s
 }
 
-// recordLines are records as lines, set in.
+// recordLines returns records as indented lines of JSON.
 func recordLines(recs []trafficlog.Record) string {
 	s := ""
 	for _, r := range recs {
--- a/internal/testbed/invariants/rules.go
+++ b/internal/testbed/invariants/rules.go
@@ -1,8 +1,8 @@
-// Package invariants checks the five rules from a traffic log alone: from what test servers
-// and clients saw on their sockets. It knows nothing of what a router says of itself, and
-// shares no code with the decision module, so that an error in one cannot hide in the
-// other. For each rule it counts what it looked at: a rule with nothing to look at is not
-// kept but unproven.
+// Package invariants checks the five rules of a router against a traffic log: the record
+// of what test servers and clients observed on their sockets. It uses nothing that a router
+// reports of itself and shares no code with the decision module, so that an error in that
+// module cannot hide itself. Each rule counts its checks; a rule without any check is
+// reported as unproven, not as kept.
 package invariants
 
 import (
@@ -16,14 +16,14 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// Class is what the rules need to know of a class.
+// Class holds the properties of a request class that the rules depend on.
 type Class struct {
-	Idempotency string  `json:"effect"` // free, guarded or single-shot
-	KeyScope    string  `json:"group"`  // of guarded: nowhere, cell, zone or all
-	KeyWindow   float64 `json:"window"` // ms
+	Idempotency string  `json:"effect"` // free (idempotent), guarded (idempotent by key) or single-shot (non-idempotent)
+	KeyScope    string  `json:"group"`  // of guarded: the servers that drop repeats of a key: nowhere, cell, zone or all
+	KeyWindow   float64 `json:"window"` // of guarded: for how long they drop them, ms
 }
 
-// Parameters are the figures of the rules, in ms.
+// Parameters holds the limits that the rules check. Times are in ms.
 type Parameters struct {
 	AnswerSlack              float64          `json:"answer_slack"`
 	DrainGrace               float64          `json:"drain_grace"`
@@ -37,18 +37,19 @@
 	PurgeGrace               float64          `json:"purge_slack"`
 	HedgedRequests           bool             `json:"second_copies"`
 	Classes                  map[string]Class `json:"classes"`
-	// ObservationSkew is how far apart two processes of one machine may see one thing:
-	// what is read later than it was sent counts as sent so much earlier.
+	// ObservationSkew is the largest difference between the times at which two processes
+	// on one machine record the same event. The checks allow for it where they compare
+	// the times of two processes.
 	ObservationSkew float64 `json:"spread"`
-	// NotExercised are the rules that the day does nothing to try: with nothing to look
-	// at they are not unproven.
+	// NotExercised lists the rules that the scenario does nothing to exercise. Such a
+	// rule is not unproven when it has no checks.
 	NotExercised []int `json:"not_tried,omitempty"`
 }
 
-// ParametersEvent is the event of the record that holds a log's parameters, in its note.
+// ParametersEvent is the event of the record whose note holds a log's parameters as JSON.
 const ParametersEvent = "figures"
 
-// Record is the figures as a record, the first of a tap.
+// Record returns the parameters as the first record of a traffic log.
 func (f Parameters) Record() trafficlog.Record {
 	b, err := json.Marshal(f)
 	if err != nil {
@@ -57,58 +58,60 @@
 	return trafficlog.Record{Time: trafficlog.Now(), Event: ParametersEvent, Note: string(b)}
 }
 
-// ParametersFromLog finds the figures in a tap.
+// ParametersFromLog returns the parameters that a traffic log was recorded with.
 func ParametersFromLog(recs []trafficlog.Record) (f Parameters, err error) {
 	for i := range recs {
 		if recs[i].Event == ParametersEvent {
 			if err := json.Unmarshal([]byte(recs[i].Note), &f); err != nil {
-				return f, fmt.Errorf("rules: the tap's figures: %w", err)
+				return f, fmt.Errorf("invariants: parse the parameters in the traffic log: %w", err)
 			}
 			return f, nil
 		}
 	}
-	return f, fmt.Errorf("rules: the tap holds no figures; it was not written by spool-scenario run")
+	return f, fmt.Errorf("invariants: no %q record in the traffic log; it was not written by spool-scenario run", ParametersEvent)
 }
 
-// Violation is one break of a rule.
+// Violation is one violation of a rule.
 type Violation struct {
 	Time        float64             `json:"t"`
 	Description string              `json:"what"`
-	Context     []trafficlog.Record `json:"around,omitempty"` // of the first break of its rule
+	Context     []trafficlog.Record `json:"around,omitempty"` // records of the same request or member; only of a rule's first violation
 }
 
-// Verdict is what was found of one rule.
+// Verdict is the result of checking one rule.
 type Verdict struct {
 	Rule       int         `json:"rule"`
 	Name       string      `json:"name"`
 	Checks     int         `json:"checks"`
-	Exercised  bool        `json:"tried"` // the day does something that tries it
+	Exercised  bool        `json:"tried"` // the scenario does something to exercise the rule
 	Violations []Violation `json:"breaks,omitempty"`
 
-	// Of the rule on effects: the repeats of writes that the day's clients made, and
-	// those that were a fault of their own. They break no rule, and fail the day.
+	// Of rule 2 only: the number of writes that the test's clients repeated, and the
+	// repeats that a correct client would not have made. The latter violate no rule of
+	// the router's, but fail the scenario.
 	Repeats      int           `json:"client_repeats,omitempty"`
 	ClientFaults []ClientFault `json:"client_faults,omitempty"`
 }
 
-// OK reports a rule that was not broken, and was looked at where the day tries it.
+// OK reports whether the rule was not violated and, where the scenario exercises it, was
+// checked at least once.
 func (v Verdict) OK() bool { return (v.Checks > 0 || !v.Exercised) && len(v.Violations) == 0 }
 
 var ruleNames = [...]string{"", "one final answer in time", "no effect twice", "drains kept", "cold members not pushed over",
 	"no copy older than a purge"}
 
-// checker holds the tap in the forms that the checks need.
+// checker holds the traffic log and the indexes over it that the checks use.
 type checker struct {
 	params          Parameters
 	records         []trafficlog.Record
-	byClientRequest map[string][]int // by client's request
+	byClientRequest map[string][]int // indexes into records, by ID of the client's request
 	clientTries     map[string]*clientTry
-	routerKills     map[string][]float64
-	routerStarts    map[string][]float64 // starts, by router
+	routerKills     map[string][]float64 // times, by router
+	routerStarts    map[string][]float64 // times, by router
 	verdicts        [6]Verdict
 }
 
-// Check judges a tap; its records are in the order of time afterwards.
+// Check sorts the records of a traffic log by time and checks the rules against them.
 func Check(recs []trafficlog.Record, f Parameters) []Verdict {
 	trafficlog.Sort(recs)
 	c := &checker{params: f, records: recs, byClientRequest: map[string][]int{}, routerKills: map[string][]float64{}, routerStarts: map[string][]float64{}}
@@ -138,6 +141,7 @@
 	return c.verdicts[1:]
 }
 
+// addViolation records that the record at index i violates a rule.
 func (c *checker) addViolation(rule int, i int, format string, a ...any) {
 	v := &c.verdicts[rule]
 	b := Violation{Time: c.records[i].Time, Description: fmt.Sprintf(format, a...)}
@@ -147,8 +151,9 @@
 	v.Violations = append(v.Violations, b)
 }
 
-// contextOf is what is known of the request that a record is of, and else the
-// records of the same member or router just before and after it.
+// contextOf returns records that help to explain the record at index i: those of the same
+// client request or, where it belongs to none, those of the same member or router shortly
+// before and after it. It returns at most 24.
 func (c *checker) contextOf(i int) (out []trafficlog.Record) {
 	r := &c.records[i]
 	if r.ID != "" {
@@ -165,7 +170,7 @@
 	return out
 }
 
-// recordsOfKey is what is known of all tries of a write, up to a number of records.
+// recordsOfKey returns the first 48 records that carry an idempotency key.
 func (c *checker) recordsOfKey(key string) (out []trafficlog.Record) {
 	const most = 48
 	for i := range c.records {
@@ -176,7 +181,7 @@
 	return out
 }
 
-// killed reports whether a router was killed between two times.
+// killed reports whether a router was killed from one time to another.
 func (c *checker) killed(router string, from, to float64) bool {
 	for _, t := range c.routerKills[router] {
 		if t >= from && t <= to {
@@ -186,7 +191,7 @@
 	return false
 }
 
-// isDown reports whether a router was down at a time: killed, and not started since.
+// isDown reports whether a router was down at time t: killed, and not started since.
 func (c *checker) isDown(router string, t float64) bool {
 	last := math.Inf(-1)
 	for _, k := range c.routerKills[router] {
@@ -202,227 +207,231 @@
 	return !math.IsInf(last, -1)
 }
 
-// checkResponses checks rule 1: for each request that a running router took, one
-// final answer before the client's time ran out, and nothing sent after it. A
-// router that was killed is forgiven what it held, and nothing else.
+// checkResponses checks rule 1: each request that a running router accepted gets one final
+// response before the client's deadline, and the router sends no attempt of it once the
+// response has begun. A router that was killed is excused for the requests that it had in
+// flight, and for no others.
 func (c *checker) checkResponses() {
 	for i := range c.records {
-		ask := &c.records[i]
-		if ask.Event != trafficlog.RequestSent {
+		request := &c.records[i]
+		if request.Event != trafficlog.RequestSent {
 			continue
 		}
-		var heads int
-		var first, ended, late float64 = math.Inf(1), math.Inf(1), 0
-		var lateAt int
-		why, whole := "", false
-		for _, k := range c.byClientRequest[ask.ID] {
+		var responses int
+		var firstHead, endedAt, lastAttempt float64 = math.Inf(1), math.Inf(1), 0
+		var lastIndex int
+		endReason, complete := "", false
+		for _, k := range c.byClientRequest[request.ID] {
 			switch x := &c.records[k]; {
 			case x.Event == trafficlog.ResponseHead:
-				heads++
-				first = min(first, x.Time)
-				if heads == 2 {
-					c.addViolation(1, k, "request %s has a second answer (%d %s)", ask.ID, x.Status, x.Note)
+				responses++
+				firstHead = min(firstHead, x.Time)
+				if responses == 2 {
+					c.addViolation(1, k, "request %s has a second answer (%d %s)", request.ID, x.Status, x.Note)
 				}
 			case x.Event == trafficlog.ResponseEnd:
-				ended, why, whole = x.Time, x.Err, x.Err == ""
+				endedAt, endReason, complete = x.Time, x.Err, x.Err == ""
 			case x.Event == trafficlog.AttemptReceived && x.Via == "":
-				if x.Time > late {
-					late, lateAt = x.Time, k
+				if x.Time > lastAttempt {
+					lastAttempt, lastIndex = x.Time, k
 				}
 			}
 		}
-		if why == "unreached" || c.isDown(ask.Subject, ask.Time) { // no connection: no running router took it
+		if endReason == "unreached" || c.isDown(request.Subject, request.Time) { // no running router accepted the request
 			continue
 		}
-		if c.killed(ask.Subject, ask.Time-c.params.ObservationSkew, max(min(ask.Limit, ended), ask.Time)+c.params.AnswerSlack+c.params.ObservationSkew) {
+		if c.killed(request.Subject, request.Time-c.params.ObservationSkew, max(min(request.Limit, endedAt), request.Time)+c.params.AnswerSlack+c.params.ObservationSkew) {
 			continue
 		}
-		if why == "gone" { // the client left by itself, as its script said
+		if endReason == "gone" { // the client closed the connection early, as the script has a share of them do
 			c.verdicts[1].Checks++
-			if late > ended+c.params.ObservationSkew {
-				c.addViolation(1, lateAt, "request %s is sent %.0f ms after its client has left", ask.ID, late-ended)
+			if lastAttempt > endedAt+c.params.ObservationSkew {
+				c.addViolation(1, lastIndex, "request %s is sent %.0f ms after its client has left", request.ID, lastAttempt-endedAt)
 			}
 			continue
 		}
 		c.verdicts[1].Checks++
-		switch limit := ask.Limit + c.params.AnswerSlack + c.params.ObservationSkew; {
-		case heads == 0:
-			c.addViolation(1, i, "request %s has no final answer (%s)", ask.ID, why)
-		case first > limit:
-			c.addViolation(1, i, "request %s is answered %.0f ms after its client's time ran out", ask.ID, first-ask.Limit)
+		switch limit := request.Limit + c.params.AnswerSlack + c.params.ObservationSkew; {
+		case responses == 0:
+			c.addViolation(1, i, "request %s has no final answer (%s)", request.ID, endReason)
+		case firstHead > limit:
+			c.addViolation(1, i, "request %s is answered %.0f ms after its client's time ran out", request.ID, firstHead-request.Limit)
 		}
-		// once the answer has begun, nothing more is sent for the request
-		if end := min(first, ended) + c.params.ObservationSkew; late > end {
-			c.addViolation(1, lateAt, "request %s is sent %.0f ms after its answer began (whole: %v)", ask.ID, late-first, whole)
+		// Once the response has begun, no further attempt may be sent.
+		if end := min(firstHead, endedAt) + c.params.ObservationSkew; lastAttempt > end {
+			c.addViolation(1, lastIndex, "request %s is sent %.0f ms after its answer began (whole: %v)", request.ID, lastAttempt-firstHead, complete)
 		}
 	}
 }
 
-// checkWrites checks rule 2: no effect twice; a repeat only inside its group and
-// its window, or where the attempt before surely never ran; two attempts at
-// once only where they are allowed. A second effect for which the client alone is to
-// blame is its fault, see repeats.
+// checkWrites checks rule 2. No write takes effect twice. The router repeats a write only
+// within the scope and the window in which servers drop repeats of its key, or after an
+// attempt that was certainly not executed. Two attempts of a request overlap only where
+// hedged requests are allowed. A second effect that only the test's client is to blame for
+// is not a violation; checkClientRepeats reports it.
 func (c *checker) checkWrites() {
-	ran := map[string][]*trafficlog.Record{}
-	twice := map[string]bool{} // keys whose break is told
+	executions := map[string][]*trafficlog.Record{}
+	reported := map[string]bool{} // keys whose second effect has been reported
 	type attempt struct {
-		i        int
+		index    int
 		from, to float64
-		n        int
-		sent     int // status; 0: none yet
+		number   int
+		status   int // status of the response; 0: none yet
 	}
-	byReq := map[string][]attempt{}
-	zone := map[string]string{}
-	atMember := map[string][]string{} // requests with attempts there, in this life of it
+	attempts := map[string][]attempt{}
+	zones := map[string]string{}
+	requestsAt := map[string][]string{} // requests with attempts at a member since its last start
 	for i := range c.records {
 		switch r := &c.records[i]; r.Event {
 		case trafficlog.Started:
 			if r.Role != "router" {
-				zone[r.Subject] = r.Note
+				zones[r.Subject] = r.Note
 			}
-		case trafficlog.Killed: // ends what the member had in hand
-			for _, req := range atMember[r.Subject] {
-				for k := range byReq[req] {
-					if a := &byReq[req][k]; c.records[a.i].Subject == r.Subject {
+		case trafficlog.Killed: // ends the attempts in flight at the member
+			for _, req := range requestsAt[r.Subject] {
+				for k := range attempts[req] {
+					if a := &attempts[req][k]; c.records[a.index].Subject == r.Subject {
 						a.to = min(a.to, r.Time)
 					}
 				}
 			}
-			delete(atMember, r.Subject)
+			delete(requestsAt, r.Subject)
 		case trafficlog.WriteExecuted:
 			c.verdicts[2].Checks++
 			if r.Note != "dropped" && r.Key != "" && c.params.Classes[r.Class].Idempotency != "free" {
-				if why, is := c.routerFault(ran[r.Key], r); is && !twice[r.Key] {
-					twice[r.Key] = true
+				if why, atFault := c.routerFault(executions[r.Key], r); atFault && !reported[r.Key] {
+					reported[r.Key] = true
 					c.addViolation(2, i, "the effect of key %q happened twice%s", r.Key, why)
-					if breaks := c.verdicts[2].Violations; len(breaks) == 1 {
-						breaks[0].Context = c.recordsOfKey(r.Key)
+					if violations := c.verdicts[2].Violations; len(violations) == 1 {
+						violations[0].Context = c.recordsOfKey(r.Key)
 					}
 				}
-				ran[r.Key] = append(ran[r.Key], r)
+				executions[r.Key] = append(executions[r.Key], r)
 			}
 		case trafficlog.AttemptReceived:
 			if r.Via == "" && r.RouterRequest != "" {
-				atMember[r.Subject] = append(atMember[r.Subject], r.RouterRequest)
-				byReq[r.RouterRequest] = append(byReq[r.RouterRequest], attempt{i: i, from: r.Time, to: math.Inf(1), n: r.Attempt})
+				requestsAt[r.Subject] = append(requestsAt[r.Subject], r.RouterRequest)
+				attempts[r.RouterRequest] = append(attempts[r.RouterRequest], attempt{index: i, from: r.Time, to: math.Inf(1), number: r.Attempt})
 			}
 		case trafficlog.AttemptAnswered, trafficlog.AttemptCanceled:
-			list := byReq[r.RouterRequest]
+			list := attempts[r.RouterRequest]
 			for k := range list {
-				if a := &list[k]; r.Via == "" && a.n == r.Attempt && c.records[a.i].Subject == r.Subject {
+				if a := &list[k]; r.Via == "" && a.number == r.Attempt && c.records[a.index].Subject == r.Subject {
 					a.to = min(a.to, r.Time)
 					if r.Event == trafficlog.AttemptAnswered {
-						a.sent = r.Status
+						a.status = r.Status
 					}
 				}
 			}
 		}
 	}
-	reqs := make([]string, 0, len(byReq))
-	for req := range byReq {
-		reqs = append(reqs, req)
+	requests := make([]string, 0, len(attempts))
+	for req := range attempts {
+		requests = append(requests, req)
 	}
-	sort.Strings(reqs)
-	for _, req := range reqs {
-		list := byReq[req]
-		first := &c.records[list[0].i]
+	sort.Strings(requests)
+	for _, req := range requests {
+		list := attempts[req]
+		first := &c.records[list[0].index]
 		class := c.params.Classes[first.Class]
 		c.verdicts[2].Checks++
 		for k := 1; k < len(list); k++ {
 			a, before := &list[k], &list[k-1]
-			r := &c.records[a.i]
-			if !c.params.HedgedRequests && a.from < before.to-c.params.ObservationSkew && a.n != before.n {
-				c.addViolation(2, a.i, "request %s has two attempts out at once, %d and %d", req, before.n, a.n)
+			r := &c.records[a.index]
+			if !c.params.HedgedRequests && a.from < before.to-c.params.ObservationSkew && a.number != before.number {
+				c.addViolation(2, a.index, "request %s has two attempts out at once, %d and %d", req, before.number, a.number)
 			}
-			mayHaveRun := before.sent != 503 && before.sent != 504
+			mayHaveRun := before.status != 503 && before.status != 504
 			switch {
 			case class.Idempotency == "single-shot" && mayHaveRun:
-				c.addViolation(2, a.i, "single-shot request %s is sent again, though attempt %d may have run", req, before.n)
+				c.addViolation(2, a.index, "single-shot request %s is sent again, though attempt %d may have run", req, before.number)
 			case class.Idempotency == "guarded" && mayHaveRun && r.Time-first.Time > class.KeyWindow+c.params.ObservationSkew:
-				c.addViolation(2, a.i, "guarded request %s is repeated %.0f ms after its first attempt; repeats are dropped for %.0f",
+				c.addViolation(2, a.index, "guarded request %s is repeated %.0f ms after its first attempt; repeats are dropped for %.0f",
 					req, r.Time-first.Time, class.KeyWindow)
-			case class.Idempotency == "guarded" && mayHaveRun && class.KeyScope == "zone" && zone[r.Subject] != zone[first.Subject],
+			case class.Idempotency == "guarded" && mayHaveRun && class.KeyScope == "zone" && zones[r.Subject] != zones[first.Subject],
 				class.Idempotency == "guarded" && mayHaveRun && class.KeyScope == "nowhere":
-				c.addViolation(2, a.i, "guarded request %s is repeated outside of its group, at %s after %s", req, r.Subject, first.Subject)
+				c.addViolation(2, a.index, "guarded request %s is repeated outside of its group, at %s after %s", req, r.Subject, first.Subject)
 			}
 		}
 	}
 }
 
-// checkDrains checks rule 3: from a grace after a router was told that a member
-// drains or is gone, it sends it nothing new, and names it as no source.
+// checkDrains checks rule 3: once a grace period has passed since a router was informed
+// that a member is draining or removed, the router sends no new attempt to the member and
+// does not name it as a fill source.
 func (c *checker) checkDrains() {
 	type key struct{ router, member string }
-	out := map[key]float64{} // told not serving, and when
+	notServing := map[key]float64{} // members that a router knows not to be serving, and since when
 	known := map[string]map[string]bool{}
-	fullAt := map[string]float64{}
-	outAt := map[string]float64{} // when a router was first told of one that is out now; 0: nobody is
+	listTime := map[string]float64{}        // time of the latest full list, by router
+	notServingSince := map[string]float64{} // the earliest time in notServing, by router; 0: none
 	recount := func(router string) {
 		first := 0.0
-		for k, t := range out {
+		for k, t := range notServing {
 			if k.router == router && (first == 0 || t < first) {
 				first = t
 			}
 		}
-		outAt[router] = first
+		notServingSince[router] = first
 	}
-	inFull := map[string]map[string]bool{}
-	closeFull := func(router string) {
-		named := inFull[router]
+	listed := map[string]map[string]bool{} // members named so far by a full list that is being read, by router
+	// finishList marks the known members that the full list did not name as not serving.
+	finishList := func(router string) {
+		named := listed[router]
 		if named == nil {
 			return
 		}
 		for m := range known[router] {
-			if _, is := out[key{router, m}]; !named[m] && !is {
-				out[key{router, m}] = fullAt[router]
+			if _, ok := notServing[key{router, m}]; !named[m] && !ok {
+				notServing[key{router, m}] = listTime[router]
 			}
 		}
-		delete(inFull, router)
+		delete(listed, router)
 		recount(router)
 	}
 	for i := range c.records {
 		r := &c.records[i]
 		switch {
-		case r.Event == trafficlog.Started && r.Role == "router": // a new life knows only what it is told
-			for k := range out {
+		case r.Event == trafficlog.Started && r.Role == "router": // a restarted router knows only what it has received since
+			for k := range notServing {
 				if k.router == r.Subject {
-					delete(out, k)
+					delete(notServing, k)
 				}
 			}
 			delete(known, r.Subject)
-			delete(inFull, r.Subject)
-			delete(outAt, r.Subject)
+			delete(listed, r.Subject)
+			delete(notServingSince, r.Subject)
 		case r.Event == trafficlog.UpdateSent && r.Note == "full":
-			closeFull(r.Subject)
-			inFull[r.Subject], fullAt[r.Subject] = map[string]bool{}, r.Time
+			finishList(r.Subject)
+			listed[r.Subject], listTime[r.Subject] = map[string]bool{}, r.Time
 		case r.Event == trafficlog.UpdateSent && r.Source != "":
 			if known[r.Subject] == nil {
 				known[r.Subject] = map[string]bool{}
 			}
-			if r.Time != fullAt[r.Subject] {
-				closeFull(r.Subject)
-			} else if named := inFull[r.Subject]; named != nil {
+			if r.Time != listTime[r.Subject] {
+				finishList(r.Subject)
+			} else if named := listed[r.Subject]; named != nil {
 				named[r.Source] = true
 			}
 			known[r.Subject][r.Source] = true
 			k := key{r.Subject, r.Source}
 			if r.State == "serving" {
-				delete(out, k)
-			} else if _, is := out[k]; !is {
-				out[k] = r.Time
+				delete(notServing, k)
+			} else if _, is := notServing[k]; !is {
+				notServing[k] = r.Time
 			}
 			recount(r.Subject)
 		case r.Event == trafficlog.AttemptReceived && r.Via == "":
-			closeFull(r.From)
-			if due := outAt[r.From]; due > 0 && r.Time > due+c.params.DrainGrace+c.params.ObservationSkew {
-				c.verdicts[3].Checks++ // somebody is out for this router, and it sent elsewhere or did not
+			finishList(r.From)
+			if since := notServingSince[r.From]; since > 0 && r.Time > since+c.params.DrainGrace+c.params.ObservationSkew {
+				c.verdicts[3].Checks++ // an attempt while the router knew a member not to be serving
 			}
 			for _, m := range []string{r.Subject, r.Source} {
 				if m == "" {
 					continue
 				}
-				t, is := out[key{r.From, m}]
-				if !is {
+				t, ok := notServing[key{r.From, m}]
+				if !ok {
 					continue
 				}
 				if r.Time > t+c.params.DrainGrace+c.params.ObservationSkew {
@@ -437,39 +446,40 @@
 	}
 }
 
-// checkWarmUp checks rule 4: what all routers together send a member that has just
-// started, against its present capacity times the multiple, in every window.
-// Two thirds of it must come from routers that were told of its start.
+// checkWarmUp checks rule 4: in each window of OverloadTime, the routers together send a
+// member that has started cold no more work than OverloadFactor times its capacity at that
+// age. A window counts only if at least two thirds of its work come from routers that had
+// been informed of the start: the others cannot know that the member is cold.
 func (c *checker) checkWarmUp() {
-	type life struct {
-		up       *trafficlog.Record
+	type coldStart struct {
+		started  *trafficlog.Record
 		arrivals []int
-		broken   bool
+		violated bool
 	}
 	type key struct {
-		who   string
-		start int64
+		member string
+		start  int64
 	}
-	lives := map[key]*life{}
-	told := map[[2]string]int64{}
+	coldStarts := map[key]*coldStart{}
+	knownStart := map[[2]string]int64{}
 	for i := range c.records {
 		r := &c.records[i]
 		switch {
 		case r.Event == trafficlog.Started && r.Cold && (r.Role == "box" || r.Role == "parent"):
-			lives[key{r.Subject, r.Start}] = &life{up: r}
+			coldStarts[key{r.Subject, r.Start}] = &coldStart{started: r}
 		case r.Event == trafficlog.UpdateSent && r.Source != "":
-			told[[2]string{r.Subject, r.Source}] = max(told[[2]string{r.Subject, r.Source}], r.Start)
+			knownStart[[2]string{r.Subject, r.Source}] = max(knownStart[[2]string{r.Subject, r.Source}], r.Start)
 		case r.Event == trafficlog.AttemptReceived:
-			l := lives[key{r.Subject, r.Start}]
-			if l == nil || l.broken {
+			l := coldStarts[key{r.Subject, r.Start}]
+			if l == nil || l.violated {
 				continue
 			}
-			from, span, factor := c.params.WarmUpInitialShare, c.params.WarmUpTime, c.params.OverloadFactor
-			if l.up.Role == "parent" {
-				from, span, factor = c.params.ParentWarmUpInitialShare, c.params.ParentWarmUpTime, c.params.ParentOverloadFactor
+			initialShare, warmUpTime, factor := c.params.WarmUpInitialShare, c.params.WarmUpTime, c.params.OverloadFactor
+			if l.started.Role == "parent" {
+				initialShare, warmUpTime, factor = c.params.ParentWarmUpInitialShare, c.params.ParentWarmUpTime, c.params.ParentOverloadFactor
 			}
-			age := r.Time - l.up.Time
-			if age >= span || l.up.Work <= 0 {
+			age := r.Time - l.started.Time
+			if age >= warmUpTime || l.started.Work <= 0 {
 				continue
 			}
 			c.verdicts[4].Checks++
@@ -477,30 +487,31 @@
 			for len(l.arrivals) > 0 && c.records[l.arrivals[0]].Time <= r.Time-c.params.OverloadTime {
 				l.arrivals = l.arrivals[1:]
 			}
-			sum, knew := 0.0, 0.0
+			total, fromInformed := 0.0, 0.0
 			for _, k := range l.arrivals {
 				x := &c.records[k]
-				sum += x.Work
-				if told[[2]string{x.From, r.Subject}] >= r.Start {
-					knew += x.Work
+				total += x.Work
+				if knownStart[[2]string{x.From, r.Subject}] >= r.Start {
+					fromInformed += x.Work
 				}
 			}
-			budget := factor * l.up.Work * (from + (1-from)*age/span) * c.params.OverloadTime
-			if len(l.arrivals) > 1 && sum > budget && knew >= sum*2/3 {
-				l.broken = true
+			budget := factor * l.started.Work * (initialShare + (1-initialShare)*age/warmUpTime) * c.params.OverloadTime
+			if len(l.arrivals) > 1 && total > budget && fromInformed >= total*2/3 {
+				l.violated = true
 				c.addViolation(4, i, "%s (start %d, up for %.0f ms) was sent %.0f ms of work in %.0f ms, where %.0f push it over",
-					r.Subject, r.Start, age, sum, c.params.OverloadTime, budget)
+					r.Subject, r.Start, age, total, c.params.OverloadTime, budget)
 			}
 		}
 	}
 }
 
-// purgeHistory is which purges were made, and of which each router was told.
+// purgeHistory holds the purges made at the origin, and those that each router was
+// informed of.
 type purgeHistory struct {
-	f       Parameters
-	objects map[string][]float64 // when they were made
-	groups  map[int][]float64
-	told    map[purgeScope][]purgeNotice
+	params       Parameters
+	objectPurges map[string][]float64 // times of purges, by object
+	groupPurges  map[int][]float64    // times of purges, by group
+	notices      map[purgeScope][]purgeNotice
 }
 
 type purgeScope struct {
@@ -508,54 +519,56 @@
 	group          int
 }
 
-type purgeNotice struct{ made, told float64 }
+type purgeNotice struct{ made, received float64 }
 
-func newPurgeHistory(f Parameters) *purgeHistory {
-	return &purgeHistory{f, map[string][]float64{}, map[int][]float64{}, map[purgeScope][]purgeNotice{}}
+func newPurgeHistory(params Parameters) *purgeHistory {
+	return &purgeHistory{params, map[string][]float64{}, map[int][]float64{}, map[purgeScope][]purgeNotice{}}
 }
 
-// add takes a record, if it is of purges or of a router's new life.
+// add updates the history by a record of a purge or of a router's start. It reports false
+// for other records.
 func (l *purgeHistory) add(r *trafficlog.Record) bool {
 	switch {
 	case r.Event == trafficlog.Started && r.Role == "router":
-		for k := range l.told {
+		for k := range l.notices {
 			if k.router == r.Subject {
-				delete(l.told, k)
+				delete(l.notices, k)
 			}
 		}
 	case r.Event == trafficlog.Purge && r.Object != "":
-		l.objects[r.Object] = append(l.objects[r.Object], r.Time)
+		l.objectPurges[r.Object] = append(l.objectPurges[r.Object], r.Time)
 	case r.Event == trafficlog.Purge:
-		l.groups[r.Group] = append(l.groups[r.Group], r.Time)
+		l.groupPurges[r.Group] = append(l.groupPurges[r.Group], r.Time)
 	case r.Event == trafficlog.UpdateSent && r.Note == "purge":
 		k := purgeScope{r.Subject, r.Object, r.Group}
 		if r.Object != "" {
 			k.group = 0
 		}
-		l.told[k] = append(l.told[k], purgeNotice{r.Created, r.Time})
+		l.notices[k] = append(l.notices[k], purgeNotice{r.Created, r.Time})
 	default:
 		return false
 	}
 	return true
 }
 
-// minVersion is the oldest version of an object that a router may use at a time; 0: any.
+// minVersion returns the oldest version of an object that a router may use at a time;
+// 0 means any.
 func (l *purgeHistory) minVersion(router, object string, group int, at float64) int64 {
-	var bind float64 // the latest purge that binds it
+	var latest float64 // time of the latest purge whose grace period has passed for the router
 	for _, k := range []purgeScope{{router, object, 0}, {router, "", group}} {
-		for _, p := range l.told[k] {
-			if at > p.told+l.f.PurgeGrace+l.f.ObservationSkew {
-				bind = max(bind, p.made)
+		for _, p := range l.notices[k] {
+			if at > p.received+l.params.PurgeGrace+l.params.ObservationSkew {
+				latest = max(latest, p.made)
 			}
 		}
 	}
-	if bind == 0 {
+	if latest == 0 {
 		return 0
 	}
 	n := int64(1)
-	for _, list := range [][]float64{l.objects[object], l.groups[group]} {
+	for _, list := range [][]float64{l.objectPurges[object], l.groupPurges[group]} {
 		for _, t := range list {
-			if t <= bind {
+			if t <= latest {
 				n++
 			}
 		}
@@ -563,17 +576,17 @@
 	return n
 }
 
-// checkPurges checks rule 5: from a grace after a router was told of a purge,
-// nothing that it sends is answered from an older version. What counts is the
-// origin's version, not an age that a cache states.
+// checkPurges checks rule 5: once a grace period has passed since a router was informed of
+// a purge, no attempt that it sends is answered from an older version. The check relies on
+// the origin's version number, not on the age that a cache states.
 func (c *checker) checkPurges() {
 	l := newPurgeHistory(c.params)
-	type at struct {
-		who, req string
-		n        int
-		start    int64
+	type attemptKey struct {
+		member, request string
+		n               int
+		start           int64
 	}
-	recv := map[at]float64{}
+	received := map[attemptKey]float64{}
 	for i := range c.records {
 		r := &c.records[i]
 		switch {
@@ -581,9 +594,9 @@
 		case r.Event == trafficlog.ResponseEnd && strings.HasPrefix(r.Err, "byte "):
 			c.addViolation(5, i, "request %s: %s: copies were spliced", r.ID, r.Err)
 		case r.Event == trafficlog.AttemptReceived && r.Via == "":
-			recv[at{r.Subject, r.RouterRequest, r.Attempt, r.Start}] = r.Time
+			received[attemptKey{r.Subject, r.RouterRequest, r.Attempt, r.Start}] = r.Time
 		case r.Event == trafficlog.AttemptAnswered && r.Via == "" && (r.Status == 200 || r.Status == 206) && !r.Write:
-			t, ok := recv[at{r.Subject, r.RouterRequest, r.Attempt, r.Start}]
+			t, ok := received[attemptKey{r.Subject, r.RouterRequest, r.Attempt, r.Start}]
 			if !ok {
 				continue
 			}
@@ -596,10 +609,10 @@
 	}
 }
 
-// checkPages checks rules 1 and 5 for pages that clients read: each piece is there once, whole
-// and in its place, and none is of a version older than a purge that its router was told
-// of a grace before the client read it; and nothing is sent for a piece once the page has
-// ended for its client.
+// checkPages checks rules 1 and 5 for the pages that clients read. Each fragment of a page
+// appears once, complete and in its position. No fragment is older than a purge that the
+// router was informed of a grace period before the client read the fragment. No attempt is
+// sent for a fragment after the page has ended for its client.
 func (c *checker) checkPages() {
 	l := newPurgeHistory(c.params)
 	ended := map[string]float64{}
@@ -609,8 +622,8 @@
 		case r.Event == trafficlog.ResponseEnd:
 			ended[r.ID] = r.Time
 		case r.Event == trafficlog.AttemptReceived && r.Via == "":
-			page, _, is := strings.Cut(r.ID, ".f")
-			if t, over := ended[page]; is && over && r.Time > t+c.params.ObservationSkew {
+			page, _, isFragment := strings.Cut(r.ID, ".f")
+			if t, ok := ended[page]; isFragment && ok && r.Time > t+c.params.ObservationSkew {
 				c.addViolation(1, i, "piece %s is asked for %.0f ms after its page has ended", r.ID, r.Time-t)
 			}
 		case r.Event == trafficlog.FragmentRead && r.Err == "missing":
@@ -628,7 +641,7 @@
 	}
 }
 
-// Summary is the verdicts in a few lines.
+// Summary returns one line for each verdict, and a second one where clients repeated writes.
 func Summary(vs []Verdict) string {
 	s := ""
 	for _, v := range vs {
@@ -649,7 +662,8 @@
 	return s
 }
 
-// Details tells each rule's breaks, at most a few, and the records around the first.
+// Details describes up to five violations of each rule, with the records that explain the
+// first one.
 func Details(vs []Verdict) string {
 	s := ""
 	for _, v := range vs {
@@ -666,8 +680,7 @@
 	return s
 }
 
-// AllOK reports whether every rule was kept, and looked at where it was tried, with no
-// fault of the test's own clients.
+// AllOK reports whether every verdict is OK and the test's own clients made no fault.
 func AllOK(vs []Verdict) bool {
 	for _, v := range vs {
 		if !v.OK() || len(v.ClientFaults) > 0 {
--- a/internal/testbed/trafficlog/tap.go
+++ b/internal/testbed/trafficlog/tap.go
@@ -1,9 +1,9 @@
-// Package trafficlog is the record of what passed on the sockets, as test servers and
-// clients saw it; the rules are judged from it alone (internal/testbed/invariants). One
-// record is one line of JSON. Times are of the machine's monotonic clock, in ms, so that
-// the records of several processes can be put into one order.
+// Package trafficlog records what test servers and clients observe on their sockets. The
+// rules in internal/testbed/invariants are checked against this log alone. One record is one
+// line of JSON. Times are readings of the machine's monotonic clock in ms, so that the
+// records of several processes can be sorted into one sequence.
 //
-// It never holds the router's own word: no router writes to it.
+// Routers do not write to the log, so it holds nothing that a router reports of itself.
 package trafficlog
 
 import (
@@ -17,69 +17,69 @@
 	"golang.org/x/sys/unix"
 )
 
-// What a record is of.
+// The events that records describe.
 const (
-	Started         = "up"    // a stand-in or a router has started (Who, Start, Addr)
-	Killed          = "kill"  // it was killed, or the day took it away
-	RequestSent     = "ask"   // a client has written its whole request (Who: router)
-	ResponseHead    = "head"  // a client has the answer's head
-	ResponseEnd     = "end"   // a client has the whole answer, or its end: Err says why it is not whole
-	AttemptReceived = "recv"  // a stand-in has the attempt's whole head
-	AttemptAnswered = "sent"  // a stand-in has answered it, before the first byte of the body
-	AttemptDone     = "done"  // and after the last
-	AttemptCanceled = "left"  // the asker has closed the attempt before it was answered
-	WriteExecuted   = "ran"   // the origin ran a write
-	UpdateSent      = "told"  // the list service has written news to a router (Who: router)
-	FragmentRead    = "piece" // a client has read a piece of a page (Object, Ver; N: its place; Err: it is missing, or what is wrong)
+	Started         = "up"    // a test server or a router has started (Subject, Start, Addr)
+	Killed          = "kill"  // a test server or a router was killed
+	RequestSent     = "ask"   // a client sends a request (Subject: the router)
+	ResponseHead    = "head"  // a client has read the head of the response
+	ResponseEnd     = "end"   // the response has ended for the client; Err says why it is incomplete
+	AttemptReceived = "recv"  // a test server has read the head of an attempt
+	AttemptAnswered = "sent"  // a test server answers an attempt; no byte of the body is sent yet
+	AttemptDone     = "done"  // a test server has sent the last byte of the response
+	AttemptCanceled = "left"  // the sender closed an attempt before it was answered
+	WriteExecuted   = "ran"   // the origin executed a write
+	UpdateSent      = "told"  // a router was sent an update of the endpoint list or a purge (Subject: the router)
+	FragmentRead    = "piece" // a client has read a fragment of a page (Object, Version; Attempt: its position; Err: it is missing or wrong)
 	Purge           = "purge" // a purge was made at the origin
-	Fault           = "fault" // a trouble begins or ends (Note)
+	Fault           = "fault" // an injected fault begins or ends (Note)
 )
 
-// Record is one thing seen.
+// Record describes one observed event.
 type Record struct {
-	Time    float64 `json:"t"`
+	Time    float64 `json:"t"` // reading of Now
 	Event   string  `json:"ev"`
-	Subject string  `json:"who,omitempty"` // member or router that it is about
+	Subject string  `json:"who,omitempty"` // the member or router concerned
 	Role    string  `json:"role,omitempty"`
 	Addr    string  `json:"addr,omitempty"`
 
-	Start         int64  `json:"start,omitempty"` // of a member: number of its start
-	Cold          bool   `json:"cold,omitempty"`  // of up: it starts cold
-	ID            string `json:"id,omitempty"`    // of a client's request
-	RouterRequest string `json:"req,omitempty"`   // the router's name of it
-	Attempt       int    `json:"n,omitempty"`     // attempt
-	From          string `json:"from,omitempty"`  // router that sent the attempt
-	Via           string `json:"via,omitempty"`   // cache that sent the fill
-	Source        string `json:"src,omitempty"`   // source named
+	Start         int64  `json:"start,omitempty"` // number of the member's start
+	Cold          bool   `json:"cold,omitempty"`  // of Started: the member starts cold
+	ID            string `json:"id,omitempty"`    // of the client's request
+	RouterRequest string `json:"req,omitempty"`   // the ID that the router gave the request
+	Attempt       int    `json:"n,omitempty"`     // number of the attempt
+	From          string `json:"from,omitempty"`  // the router that sent the attempt
+	Via           string `json:"via,omitempty"`   // the cache that sent the fill; empty: an attempt from a router
+	Source        string `json:"src,omitempty"`   // the fill source named in the attempt; of UpdateSent: the member
 	Class         string `json:"class,omitempty"`
 
 	Object string  `json:"obj,omitempty"`
 	Group  int     `json:"group,omitempty"`
 	Key    string  `json:"key,omitempty"` // Idempotency-Key
 	Write  bool    `json:"write,omitempty"`
-	Work   float64 `json:"work,omitempty"` // sending time, ms
-	Limit  float64 `json:"limit,omitempty"`
-	State  string  `json:"state,omitempty"` // of told: of the member Src
+	Work   float64 `json:"work,omitempty"`  // time to send the object at the rate of one transfer, ms; of Started: the capacity
+	Limit  float64 `json:"limit,omitempty"` // of a client's request: its deadline; of Fault: the duration, ms
+	State  string  `json:"state,omitempty"` // of UpdateSent: state of the member Source
 
 	Status  int     `json:"status,omitempty"`
 	Version int64   `json:"ver,omitempty"`
-	Created float64 `json:"born,omitempty"` // of the copy served, on this clock
+	Created float64 `json:"born,omitempty"` // when the served copy was generated; of a purge: when it was made
 	Bytes   int64   `json:"bytes,omitempty"`
 	Hit     bool    `json:"hit,omitempty"`
 	Err     string  `json:"err,omitempty"`
 	Note    string  `json:"note,omitempty"`
-	Retry   int     `json:"retry,omitempty"` // of ask: which try of the client's this is
+	Retry   int     `json:"retry,omitempty"` // of RequestSent: number of the client's retry; 0: the first try
 }
 
-// Now is the tap's clock.
+// Now returns the reading of the monotonic clock in ms.
 func Now() float64 {
 	var ts unix.Timespec
 	unix.ClockGettime(unix.CLOCK_MONOTONIC, &ts) // cannot fail with this clock
 	return float64(ts.Sec)*1e3 + float64(ts.Nsec)/1e6
 }
 
-// Writer takes records from many goroutines. Each record is one write, so that
-// a process killed at any time leaves whole lines but for the last.
+// Writer writes records. It is safe for concurrent use. Each record is one call of Write, so
+// that a process that is killed leaves at most its last line incomplete.
 type Writer struct {
 	mu   sync.Mutex
 	w    io.Writer
@@ -88,15 +88,15 @@
 	err  error
 }
 
-// NewWriter writes to w; nil keeps the records in memory, as NewKeeper does.
+// NewWriter returns a Writer to w. If w is nil, it keeps the records in memory.
 func NewWriter(w io.Writer) *Writer { return &Writer{w: w, keep: w == nil} }
 
-// NewKeeper keeps the records in memory, see Records, and writes them to w too
-// unless that is nil.
+// NewKeeper returns a Writer that keeps the records in memory, see Records, and also writes
+// them to w unless w is nil.
 func NewKeeper(w io.Writer) *Writer { return &Writer{w: w, keep: true} }
 
-// Add writes a record; its time is now where none is given. A nil Writer takes
-// nothing.
+// Add writes a record. A record without a time gets the present one. A nil Writer discards
+// its records.
 func (w *Writer) Add(r Record) {
 	if w == nil {
 		return
@@ -119,12 +119,12 @@
 		_, err = w.w.Write(line)
 	}
 	if err != nil && w.err == nil {
-		w.err = fmt.Errorf("tap: %w", err)
+		w.err = fmt.Errorf("trafficlog: write a record: %w", err)
 	}
 }
 
-// AddLine adds a record that another process has written as a line. What is no
-// record is what a killed process leaves of its last one: it is passed over.
+// AddLine adds a record that another process has written as a line of JSON. It ignores a
+// line that is not a record, as a killed process may leave its last one.
 func (w *Writer) AddLine(line []byte) {
 	var r Record
 	if json.Unmarshal(line, &r) == nil {
@@ -132,14 +132,14 @@
 	}
 }
 
-// Err is the first error of writing.
+// Err returns the first error in writing a record.
 func (w *Writer) Err() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.err
 }
 
-// Records returns what was kept, in the order of time.
+// Records returns the kept records, sorted by time.
 func (w *Writer) Records() []Record {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -148,13 +148,13 @@
 	return out
 }
 
-// Sort puts records into the order of time; those of one time stay as they are.
+// Sort sorts records by time. Records of equal time keep their order.
 func Sort(recs []Record) {
 	sort.SliceStable(recs, func(i, j int) bool { return recs[i].Time < recs[j].Time })
 }
 
-// Read reads records. A line cut short at the very end is passed over, as a
-// killed process leaves it; any other fault is an error with its line.
+// Read reads records. It ignores an incomplete line at the end, as a killed process leaves
+// it. Any other malformed line is an error that gives its number.
 func Read(r io.Reader) ([]Record, error) {
 	var out []Record
 	br := bufio.NewReaderSize(r, 1<<16)
@@ -166,7 +166,7 @@
 				if err == io.EOF {
 					return out, nil
 				}
-				return out, fmt.Errorf("tap: line %d is no record: %w", n, jerr)
+				return out, fmt.Errorf("trafficlog: parse line %d: %w", n, jerr)
 			}
 			out = append(out, rec)
 		}
@@ -174,7 +174,7 @@
 			return out, nil
 		}
 		if err != nil {
-			return out, fmt.Errorf("tap: line %d: %w", n, err)
+			return out, fmt.Errorf("trafficlog: read line %d: %w", n, err)
 		}
 	}
 }
