--- a/internal/testbed/scenario/clients.go
+++ b/internal/testbed/scenario/clients.go
@@ -60,11 +60,11 @@
 		} else if ctx.Err() != nil {
 			return
 		}
-		u := c.random.Float64() * total
+		pick := c.random.Float64() * total
 		class := &c.day.script.Classes[len(c.day.script.Classes)-1]
 		for i := range c.day.script.Classes {
 			k := &c.day.script.Classes[i]
-			if u -= k.Share / k.meanParts(); u < 0 {
+			if pick -= k.Share / k.meanParts(); pick < 0 {
 				class = k
 				break
 			}
@@ -149,19 +149,19 @@
 	}
 	for try := 0; ; try++ {
 		r := c.day.routerFor(c.zone, rng)
-		asked := trafficlog.Now()
-		ans := c.try(r, k, path, key, try, tries.limit(), rng)
-		if ans.complete && ans.status < 400 {
+		sentAt := trafficlog.Now()
+		result := c.try(r, k, path, key, try, tries.limit(), rng)
+		if result.complete && result.status < 400 {
 			return true
 		}
 		if try >= c.day.script.Day.Retries || ctx.Err() != nil {
 			return false
 		}
 		if k.Write {
-			tries.add(asked, ans)
+			tries.add(sentAt, result)
 		}
 		wait := c.day.script.Day.RetryWait * (0.5 + rng.Float64())
-		wait = max(wait, ans.retryAfter)
+		wait = max(wait, result.retryAfter)
 		if !tries.repeatable(trafficlog.Now() + wait) {
 			return false
 		}
@@ -285,41 +285,41 @@
 
 // try makes one try of a request, which may run until a time, and records what its
 // client sees.
-func (c *clients) try(r *routerEndpoint, k *Class, path, key string, try int, until float64, rng *rand.Rand) (ans response) {
+func (c *clients) try(r *routerEndpoint, k *Class, path, key string, try int, until float64, rng *rand.Rand) (result response) {
 	id := "c" + strconv.FormatInt(c.sequence.Add(1), 10)
 	w := c.day.trafficLog
-	patience := k.Deadline * (c.day.script.Day.MinTimeoutShare + (1-c.day.script.Day.MinTimeoutShare)*rng.Float64())
+	timeout := k.Deadline * (c.day.script.Day.MinTimeoutShare + (1-c.day.script.Day.MinTimeoutShare)*rng.Float64())
 	start := trafficlog.Now()
-	patience = min(patience, until-start)
-	rec := trafficlog.Record{ID: id, Subject: r.name, Class: k.Name, Key: key, Write: k.Write, Retry: try, Limit: start + patience}
+	timeout = min(timeout, until-start)
+	rec := trafficlog.Record{ID: id, Subject: r.name, Class: k.Name, Key: key, Write: k.Write, Retry: try, Limit: start + timeout}
 	end := func(err string, bytes int64) {
 		e := rec
 		e.Event, e.Err, e.Bytes = trafficlog.ResponseEnd, err, bytes
 		w.Add(e)
-		ans.err = err
+		result.err = err
 	}
-	ask := rec
-	ask.Event, ask.Time, ask.Object = trafficlog.RequestSent, start, path
-	cn, err := r.get()
+	sent := rec
+	sent.Event, sent.Time, sent.Object = trafficlog.RequestSent, start, path
+	connection, err := r.get()
 	if err != nil {
-		w.Add(ask)
+		w.Add(sent)
 		end(outcomeUnreached, 0)
-		return ans
+		return result
 	}
-	keep := false
+	reuse := false
 	defer func() {
-		if keep {
-			r.put(cn)
+		if reuse {
+			r.put(connection)
 		} else {
-			cn.Close()
+			connection.Close()
 		}
 	}()
-	leave := rng.Float64() < c.day.script.Day.AbandonShare
-	limit := patience + c.day.script.Limits.AnswerSlack + 4*c.day.script.Day.ObservationSkew
-	if leave {
-		limit = patience * rng.Float64() * 0.5
+	abandon := rng.Float64() < c.day.script.Day.AbandonShare
+	limit := timeout + c.day.script.Limits.AnswerSlack + 4*c.day.script.Day.ObservationSkew
+	if abandon {
+		limit = timeout * rng.Float64() * 0.5
 	}
-	cn.SetDeadline(time.Now().Add(time.Duration(limit * float64(time.Millisecond))))
+	connection.SetDeadline(time.Now().Add(time.Duration(limit * float64(time.Millisecond))))
 	var b strings.Builder
 	method, body := "GET", ""
 	if k.Write {
@@ -340,16 +340,16 @@
 		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(body))
 	}
 	b.WriteString("\r\n" + body)
-	w.Add(ask)
-	if _, err := io.WriteString(cn, b.String()); err != nil {
+	w.Add(sent)
+	if _, err := io.WriteString(connection, b.String()); err != nil {
 		end(outcomeUnreached, 0) // the connection was gone: the router never had it whole
-		return ans
+		return result
 	}
 	fail := func(err error, n int64) {
 		var ne net.Error
 		switch {
-		case leave && errors.As(err, &ne) && ne.Timeout():
-			cn.Close()
+		case abandon && errors.As(err, &ne) && ne.Timeout():
+			connection.Close()
 			end("gone", n)
 		case errors.As(err, &ne) && ne.Timeout():
 			end("late", n)
@@ -357,10 +357,10 @@
 			end("closed", n)
 		}
 	}
-	res, err := http.ReadResponse(cn.br, &http.Request{Method: method})
+	res, err := http.ReadResponse(connection.br, &http.Request{Method: method})
 	if err != nil {
 		fail(err, 0)
-		return ans
+		return result
 	}
 	head := rec
 	head.Event, head.Status, head.Note = trafficlog.ResponseHead, res.StatusCode, res.Header.Get(fetchheader.StatusField)
@@ -369,12 +369,12 @@
 	if verr == nil {
 		head.Version = ver.Number
 	}
-	ans.status = res.StatusCode
+	result.status = res.StatusCode
 	if s, err := strconv.Atoi(res.Header.Get("Retry-After")); err == nil {
-		ans.retryAfter = float64(s) * 1000
+		result.retryAfter = float64(s) * 1000
 	}
 	w.Add(head)
-	if !leave { // the answer has begun: only a stall ends it
+	if !abandon { // the answer has begun: only a stall ends it
 		limit = 30_000
 	}
 	buf := make([]byte, 32<<10)
@@ -382,8 +382,8 @@
 	var page []byte
 	var reads []readMark
 	for {
-		if !leave {
-			cn.SetReadDeadline(time.Now().Add(time.Duration(limit * float64(time.Millisecond))))
+		if !abandon {
+			connection.SetReadDeadline(time.Now().Add(time.Duration(limit * float64(time.Millisecond))))
 		}
 		m, err := res.Body.Read(buf)
 		if m > 0 && head.Status == 200 && !k.Write && (verr == nil || k.PageFragments > 0) {
@@ -392,7 +392,7 @@
 				reads = append(reads, readMark{len(page), trafficlog.Now()})
 			} else if at, ok := testserver.Matches(buf[:m], path, ver.Number, n); !ok {
 				end(fmt.Sprintf("byte %d is not of version %d", at, ver.Number), n)
-				return ans
+				return result
 			}
 		}
 		n += int64(m)
@@ -401,10 +401,10 @@
 		}
 		if err != nil {
 			fail(err, n)
-			return ans
+			return result
 		}
 	}
-	ans.complete = true
+	result.complete = true
 	if k.PageFragments > 0 && head.Status == 200 {
 		pieces, err := testserver.Pieces(path, page)
 		for i, x := range pieces {
@@ -428,14 +428,14 @@
 		}
 	}
 	end("", n)
-	if cn.br.Buffered() > 0 { // nothing was asked: this answers nothing
+	if connection.br.Buffered() > 0 { // nothing was asked: this answers nothing
 		extra := rec
 		extra.Event, extra.Note = trafficlog.ResponseHead, "bytes after the answer"
 		w.Add(extra)
-		return ans
+		return result
 	}
-	keep = !res.Close
-	return ans
+	reuse = !res.Close
+	return result
 }
 
 // readMark is when so many bytes of an answer had been read.
--- a/internal/testbed/scenario/import.go
+++ b/internal/testbed/scenario/import.go
@@ -172,7 +172,7 @@
 		s.Day.Length = scale.Length
 		note("scaled: length %.0f ms for %.0f ms; troubles move with it", scale.Length, ms(d.Length))
 	}
-	stretch := s.Day.Length / ms(d.Length)
+	timeScale := s.Day.Length / ms(d.Length)
 	s.Day.Routers = min(scale.Routers, max(len(d.Balancers), 1))
 	s.Day.Routers = max(s.Day.Routers, len(places))
 	s.Day.Rate, s.Day.Retries = scale.Rate, d.Clients.Retries
@@ -205,30 +205,30 @@
 		shares += c.Share
 		work += c.Share * c.Work / 1000
 	}
-	sendingPerSecond := scale.Rate * work / max(shares, 1e-9) // ms of sending a second
+	sendTimePerSecond := scale.Rate * work / max(shares, 1e-9) // ms of sending a second
 	played := 0
 	for _, z := range places {
 		played += boxes[z]
 	}
 	n := min(scale.Boxes, played)
-	left := n
+	remaining := n
 	for i, z := range places {
 		k := max(int(math.Round(float64(n)*float64(boxes[z])/float64(played))), 1)
-		if i == len(places)-1 || k > left-(len(places)-1-i) {
-			k = max(left-(len(places)-1-i), 1)
+		if i == len(places)-1 || k > remaining-(len(places)-1-i) {
+			k = max(remaining-(len(places)-1-i), 1)
 		}
-		left -= k
+		remaining -= k
 		name := fmt.Sprintf("zone%d", z)
 		if z < len(d.Zones) {
 			name = toName(d.Zones[z])
 		}
 		zone := Zone{Name: name, Hub: "hub", Boxes: k, Share: float64(k), MB: 48, MaxFills: 24}
-		zone.Capacity = math.Ceil(sendingPerSecond/1000/float64(n)*2*10) / 10
+		zone.Capacity = math.Ceil(sendTimePerSecond/1000/float64(n)*2*10) / 10
 		zone.LinkCapacity = math.Ceil(float64(k)*zone.Capacity*scale.Flow*0.6*10) / 10
 		s.Zones = append(s.Zones, zone)
 	}
-	s.Parents = Parents{Count: min(max(parents, 1), 2), Capacity: math.Ceil(sendingPerSecond / 1000 * 1.3), MB: 128, Latency: ms(d.Fam.Near)}
-	s.Origin = Origin{Capacity: math.Ceil(sendingPerSecond / 1000 * 2), Latency: ms(d.Fam.OriginTime)}
+	s.Parents = Parents{Count: min(max(parents, 1), 2), Capacity: math.Ceil(sendTimePerSecond / 1000 * 1.3), MB: 128, Latency: ms(d.Fam.Near)}
+	s.Origin = Origin{Capacity: math.Ceil(sendTimePerSecond / 1000 * 2), Latency: ms(d.Fam.OriginTime)}
 	note("scaled: %d boxes for %d, %d parents for %d, %d routers for %d, %.0f requests a second, %.3g KB a ms a transfer",
 		n, total, s.Parents.Count, parents, s.Day.Routers, len(d.Balancers), scale.Rate, scale.Flow)
 	note("scaled: capacities and links from the load at that rate, a box at half of what it bears; the bench's speeds, cores and queues are not played")
@@ -259,42 +259,42 @@
 	note("guessed: how many objects there are, from the bench's figure a box")
 
 	for _, t := range d.Troubles {
-		x := FaultSpec{At: ms(t.At) * stretch, Duration: ms(t.Len) * stretch, Factor: 4, PauseInterval: 1000, PauseLength: 200, DrainNotice: 1500}
+		x := FaultSpec{At: ms(t.At) * timeScale, Duration: ms(t.Len) * timeScale, Factor: 4, PauseInterval: 1000, PauseLength: 200, DrainNotice: 1500}
 		if x.At >= s.Day.Length-500 {
 			note("left out: %s at %.0f ms, past the day's end", t.Kind, x.At)
 			continue
 		}
 		var on []int
 		json.Unmarshal(t.On, &on) // not a list of numbers: nobody is named
-		nb, np := 0, 0
+		boxTargets, parentTargets := 0, 0
 		for _, m := range on {
 			if m >= 0 && m < len(d.Servers) {
 				if d.Servers[m].Kind == d.Fam.ParentKind {
-					np++
+					parentTargets++
 				} else if d.Servers[m].Kind != d.Fam.OriginKind {
-					nb++
+					boxTargets++
 				}
 			}
 		}
-		some := func(of, all, have int) int {
+		scaleCount := func(of, all, have int) int {
 			if of == 0 || all == 0 {
 				return 0
 			}
 			return min(max(int(math.Round(float64(of)/float64(all)*float64(have))), 1), have)
 		}
-		meet := func() {
-			x.Boxes, x.Parents = some(nb, total, n), some(np, parents, s.Parents.Count)
+		setTargets := func() {
+			x.Boxes, x.Parents = scaleCount(boxTargets, total, n), scaleCount(parentTargets, parents, s.Parents.Count)
 			if x.Boxes+x.Parents == 0 {
 				x.Boxes = 1
 				note("guessed: %s at %.0f ms names nobody that is played; one box has it", t.Kind, x.At)
 			}
 		}
-		share := func(d float64) {
+		setShare := func(d float64) {
 			if x.Share = d; t.Size > 0 && t.Size <= 1 {
 				x.Share = t.Size
 			}
 		}
-		factor := func() {
+		setFactor := func() {
 			for _, f := range []float64{t.Size, t.Extra} {
 				if f > 1 {
 					x.Factor = min(f, 20)
@@ -305,14 +305,14 @@
 		switch t.Kind {
 		case "crash", "vanish", "hang", "preempt":
 			x.Kind = t.Kind
-			meet()
+			setTargets()
 		case "slow", "ageing":
 			x.Kind = t.Kind
-			meet()
-			factor()
+			setTargets()
+			setFactor()
 		case "pauses":
 			x.Kind = testserver.Pauses
-			meet()
+			setTargets()
 			for _, f := range []float64{t.Size, t.Extra} {
 				if f >= 50_000 { // in µs
 					x.PauseLength = min(max(ms(f), 50), 500)
@@ -321,34 +321,34 @@
 			x.PauseInterval = 2500
 		case "fast_errors":
 			x.Kind = testserver.FastErrors
-			meet()
-			share(0.7)
+			setTargets()
+			setShare(0.7)
 		case "answer_lost":
 			x.Kind = testserver.AnswerLost
-			meet()
-			share(0.5)
+			setTargets()
+			setShare(0.5)
 		case "balancer_crash":
 			x.Kind = RouterKill
-			x.Routers = some(max(len(on), 1), max(len(d.Balancers), 1), s.Day.Routers)
+			x.Routers = scaleCount(max(len(on), 1), max(len(d.Balancers), 1), s.Day.Routers)
 			if t.Size > 0 && t.Size <= 1 {
 				x.Routers = max(int(math.Round(t.Size*float64(s.Day.Routers))), 1)
 			}
 			x.Duration = min(x.Duration, 4000)
 		case "flush":
 			x.Kind = Flush
-			share(0.4)
+			setShare(0.4)
 		case "hot_key":
 			x.Kind = HotKey
-			share(0.2)
+			setShare(0.2)
 		case "scan":
 			x.Kind = Scan
-			share(0.1)
+			setShare(0.1)
 		case "origin_slow":
 			x.Kind = OriginSlow
-			factor()
+			setFactor()
 		case "zone_loss":
 			x.Kind = ZoneLoss
-			if np == 0 {
+			if parentTargets == 0 {
 				x.Zone = s.Zones[len(s.Zones)-1].Name
 			}
 		default:
--- a/internal/testbed/scenario/inject.go
+++ b/internal/testbed/scenario/inject.go
@@ -183,7 +183,7 @@
 }
 
 // injectProcessFault has the processes of a trouble suffer it for its time.
-func (d *Day) injectProcessFault(ctx context.Context, t FaultSpec, met []string) error {
+func (d *Day) injectProcessFault(ctx context.Context, t FaultSpec, targets []string) error {
 	fault := processFault{Name: t.name(), Kind: t.Kind, Plan: t.Plan, Peer: t.Peer, Step: t.Step, Errno: t.Errno, Until: trafficlog.Now() + t.Duration}
 	line, err := json.Marshal(fault)
 	if err != nil {
@@ -192,7 +192,7 @@
 	if t.Kind != ClockStep { // whose effect is not counted in calls
 		d.processFaults.addInjected(fault.Name)
 	}
-	for _, machine := range met {
+	for _, machine := range targets {
 		d.processFaults.add(machine, fault)
 		if p := d.processOf(machine); p != nil {
 			p.writeLine(line)
@@ -203,9 +203,9 @@
 }
 
 // chooseProcesses says which processes a trouble inside them meets. The lock is held.
-func (d *Day) chooseProcesses(t FaultSpec, rng *rand.Rand) (met []string) {
+func (d *Day) chooseProcesses(t FaultSpec, rng *rand.Rand) (targets []string) {
 	for _, i := range rng.Perm(len(d.routers))[:t.Routers] {
-		met = append(met, d.routers[i].endpoint.name)
+		targets = append(targets, d.routers[i].endpoint.name)
 	}
 	var boxes []string
 	for _, id := range d.order {
@@ -214,11 +214,11 @@
 		}
 	}
 	rng.Shuffle(len(boxes), func(i, j int) { boxes[i], boxes[j] = boxes[j], boxes[i] })
-	met = append(met, boxes[:min(t.Boxes, len(boxes))]...)
+	targets = append(targets, boxes[:min(t.Boxes, len(boxes))]...)
 	if t.Control {
-		met = append(met, controlMachine)
+		targets = append(targets, controlMachine)
 	}
-	return met
+	return targets
 }
 
 // processOf is the process that a machine has at present; nil: none.
--- a/internal/testbed/scenario/proc.go
+++ b/internal/testbed/scenario/proc.go
@@ -104,14 +104,14 @@
 	defer log.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	gone := make(chan struct{})
-	go func() { faults.readFaults(in); cancel(); close(gone) }()
+	parentExited := make(chan struct{})
+	go func() { faults.readFaults(in); cancel(); close(parentExited) }()
 	e, end, err := httpfront.OpenWithSystem(ctx, &s, log, httpfront.System{Files: faultyFiles{faults: faults}, Syscalls: faults.syscalls()})
 	if err != nil {
 		return err
 	}
 	defer end()
-	go func() { <-gone; e.Stop() }()
+	go func() { <-parentExited; e.Stop() }()
 	go func() {
 		if err := e.Ready(); err == nil {
 			fmt.Printf("%s %s\n", e.Addr(), e.AdminAddr())
@@ -132,7 +132,7 @@
 }
 
 // startProcess runs a machine; each line that it prints after the first goes to each.
-func startProcess(self []string, word string, stdin []byte, stderr io.Writer, each func(line []byte)) (*process, error) {
+func startProcess(self []string, word string, stdin []byte, stderr io.Writer, onLine func(line []byte)) (*process, error) {
 	cmd := exec.Command(self[0], append(append([]string{}, self[1:]...), word)...)
 	cmd.Stderr = stderr
 	in, err := cmd.StdinPipe()
@@ -150,16 +150,16 @@
 	go func() {
 		defer close(p.done)
 		br := bufio.NewReaderSize(out, 1<<16)
-		told := false
+		sentFirst := false
 		for {
 			line, err := br.ReadBytes('\n')
 			if err == nil {
-				if !told {
-					told = true
+				if !sentFirst {
+					sentFirst = true
 					p.firstLine <- strings.TrimSpace(string(line))
 				}
-				if each != nil {
-					each(line)
+				if onLine != nil {
+					onLine(line)
 				}
 				continue
 			}
--- a/internal/testbed/scenario/run.go
+++ b/internal/testbed/scenario/run.go
@@ -356,12 +356,12 @@
 }
 
 // routerSettings are what a router's file says.
-func (d *Day) routerSettings(name, zone string, me int) *config.Settings {
+func (d *Day) routerSettings(name, zone string, index int) *config.Settings {
 	list := d.list.Addr()
 	if d.controlService != nil && !d.controlService.settings.FromList {
 		list = ""
 	}
-	c := d.script.Settings(name, zone, me, list)
+	c := d.script.Settings(name, zone, index, list)
 	if d.script.hasRouterRestart() {
 		c.Router.HotRestartSocket = d.hotRestartSocketPath(name)
 	}
@@ -445,14 +445,14 @@
 	var arrivals sync.WaitGroup
 	var seq atomic.Int64
 	share := 0.0
-	served := s.routersByZone()
+	routersInZone := s.routersByZone()
 	for _, z := range s.Zones {
-		if served[z.Name] > 0 {
+		if routersInZone[z.Name] > 0 {
 			share += z.Share
 		}
 	}
 	for i, z := range s.Zones {
-		if served[z.Name] == 0 || z.Share == 0 {
+		if routersInZone[z.Name] == 0 || z.Share == 0 {
 			continue
 		}
 		c := &clients{day: d, zone: z.Name, rate: s.Day.Rate * z.Share / share, sequence: &seq, sessions: &d.wg,
@@ -475,13 +475,13 @@
 		}
 		name := t.name()
 		rng := rand.New(rand.NewPCG(uint64(s.Day.Seed), uint64(n)+1000))
-		met := d.chooseTargets(t, rng)
-		d.logProgress("%6.1f s  %s for %.1f s: %s", (trafficlog.Now()-begin)/1000, t.Kind, t.Duration/1000, strings.Join(met, " "))
-		d.trafficLog.Add(trafficlog.Record{Event: trafficlog.Fault, Note: "begin " + name, Limit: t.Duration, Source: strings.Join(met, " ")})
+		targets := d.chooseTargets(t, rng)
+		d.logProgress("%6.1f s  %s for %.1f s: %s", (trafficlog.Now()-begin)/1000, t.Kind, t.Duration/1000, strings.Join(targets, " "))
+		d.trafficLog.Add(trafficlog.Record{Event: trafficlog.Fault, Note: "begin " + name, Limit: t.Duration, Source: strings.Join(targets, " ")})
 		troubles.Add(1)
 		go func() {
 			defer troubles.Done()
-			d.addError(d.applyFault(ctx, t, met, rng))
+			d.addError(d.applyFault(ctx, t, targets, rng))
 			d.trafficLog.Add(trafficlog.Record{Event: trafficlog.Fault, Note: "end " + name})
 		}()
 	}
@@ -521,7 +521,7 @@
 
 // chooseTargets says which machines a trouble meets; one that another trouble has is
 // passed over, unless there are no others.
-func (d *Day) chooseTargets(t FaultSpec, rng *rand.Rand) (met []string) {
+func (d *Day) chooseTargets(t FaultSpec, rng *rand.Rand) (targets []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := trafficlog.Now()
@@ -540,8 +540,8 @@
 		}
 		rng.Shuffle(len(free), func(i, j int) { free[i], free[j] = free[j], free[i] })
 		for _, id := range append(free, rest...) {
-			if len(met) < n {
-				met = append(met, id)
+			if len(targets) < n {
+				targets = append(targets, id)
 				d.machines[id].faultUntil = now + t.Duration + t.DrainNotice + 1000
 			}
 		}
@@ -553,41 +553,41 @@
 		choose("box", 1<<20)
 	case contains(controlKinds, t.Kind):
 	case t.Kind == OriginSlow || t.Origin:
-		met = append(met, "origin")
+		targets = append(targets, "origin")
 	case t.Kind == SlowReaders || t.Kind == SlowSenders:
-		met = append(met, fmt.Sprint(t.Clients, " clients"))
+		targets = append(targets, fmt.Sprint(t.Clients, " clients"))
 	case t.Kind == RouterKill || t.Kind == RouterRestart:
 		for _, i := range rng.Perm(len(d.routers))[:t.Routers] {
-			met = append(met, d.routers[i].endpoint.name)
+			targets = append(targets, d.routers[i].endpoint.name)
 		}
 	case contains(processKinds, t.Kind): // kills and drains meet these as others
-		met = d.chooseProcesses(t, rng)
+		targets = d.chooseProcesses(t, rng)
 	default:
 		choose("box", t.Boxes)
-		n := len(met)
+		n := len(targets)
 		choose("parent", n+t.Parents)
 	}
-	return met
+	return targets
 }
 
 // applyFault carries one trouble out, to its end.
-func (d *Day) applyFault(ctx context.Context, t FaultSpec, met []string, rng *rand.Rand) error {
+func (d *Day) applyFault(ctx context.Context, t FaultSpec, targets []string, rng *rand.Rand) error {
 	now := trafficlog.Now()
 	if contains(controlKinds, t.Kind) {
 		return d.controlService.applyFault(ctx, t)
 	}
 	if contains(processKinds, t.Kind) {
-		return d.injectProcessFault(ctx, t, met)
+		return d.injectProcessFault(ctx, t, targets)
 	}
 	switch t.Kind {
 	case Crash, ZoneLoss:
-		return d.forEachMachine(met, func(m *machine) error {
+		return d.forEachMachine(targets, func(m *machine) error {
 			d.killMachine(m, "removed")
 			sleep(ctx, t.Duration)
 			return d.startMachine(ctx, m, true)
 		})
 	case testserver.Vanish: // silent, and then back cold and empty; the list sees a process all the while
-		return d.forEachMachine(met, func(m *machine) error {
+		return d.forEachMachine(targets, func(m *machine) error {
 			if err := d.sendFault(m, testserver.Fault{Kind: t.Kind, For: t.Duration}); err != nil {
 				return err
 			}
@@ -596,14 +596,14 @@
 			return d.startMachine(ctx, m, true)
 		})
 	case Drain:
-		return d.forEachMachine(met, func(m *machine) error {
+		return d.forEachMachine(targets, func(m *machine) error {
 			d.setState(m, "draining")
 			sleep(ctx, t.Duration)
 			d.setState(m, "serving")
 			return nil
 		})
 	case Preempt:
-		return d.forEachMachine(met, func(m *machine) error {
+		return d.forEachMachine(targets, func(m *machine) error {
 			d.setState(m, "draining")
 			sleep(ctx, t.DrainNotice)
 			d.killMachine(m, "removed")
@@ -613,10 +613,10 @@
 	case SlowReaders, SlowSenders:
 		return d.runSlowClients(ctx, t)
 	case RouterRestart:
-		return d.restartAll(ctx, met)
+		return d.restartAll(ctx, targets)
 	case RouterKill:
 		var wg sync.WaitGroup
-		for _, name := range met {
+		for _, name := range targets {
 			for _, r := range d.routers {
 				if r.endpoint.name != name {
 					continue
@@ -663,7 +663,7 @@
 	case OriginSlow:
 		return d.sendFault(d.origin, testserver.Fault{Kind: testserver.Slow, For: t.Duration, Factor: t.Factor})
 	default:
-		return d.forEachMachine(met, func(m *machine) error {
+		return d.forEachMachine(targets, func(m *machine) error {
 			return d.sendFault(m, testserver.Fault{Kind: t.Kind, For: t.Duration, Factor: t.Factor, Share: t.Share, Every: t.PauseInterval, Length: t.PauseLength})
 		})
 	}
--- a/internal/testbed/scenario/script.go
+++ b/internal/testbed/scenario/script.go
@@ -253,36 +253,36 @@
 
 // rulesNotExercised are the rules that nothing in the script tries: drains and removals try
 // rule 3, cold starts rule 4, purges rule 5.
-func (s *Script) rulesNotExercised() (out []int) {
-	tries := [6]bool{5: s.Day.PurgeRate > 0}
+func (s *Script) rulesNotExercised() (rules []int) {
+	exercised := [6]bool{5: s.Day.PurgeRate > 0}
 	for _, t := range s.Faults {
 		switch {
 		case t.Kind == Drain || contains(controlKinds, t.Kind):
-			tries[3] = true
+			exercised[3] = true
 		case contains([]string{Crash, Preempt, ZoneLoss}, t.Kind):
-			tries[3], tries[4] = true, true
+			exercised[3], exercised[4] = true, true
 		case t.Kind == testserver.Vanish:
-			tries[4] = true
+			exercised[4] = true
 		case t.Kind == Flush:
-			tries[5] = true
+			exercised[5] = true
 		}
 	}
-	for rule := 3; rule < len(tries); rule++ {
-		if !tries[rule] {
-			out = append(out, rule)
+	for rule := 3; rule < len(exercised); rule++ {
+		if !exercised[rule] {
+			rules = append(rules, rule)
 		}
 	}
-	return out
+	return rules
 }
 
 // Settings are the settings of one of the day's routers.
-func (s *Script) Settings(name, zone string, me int, list string) *config.Settings {
+func (s *Script) Settings(name, zone string, index int, list string) *config.Settings {
 	c := config.Defaults()
 	c.Limits, c.Rules, c.Fill, c.Pages = s.Limits, s.Rules, s.Fill, s.Pages
 	c.Fill.FlowKBPerMs = s.Stand.Flow
 	r := &c.Router
-	r.Name, r.Index, r.Routers, r.Zone, r.DiscoveryAddress = name, me, s.Day.Routers, zone, list
-	r.Listen, r.Admin, r.Seed = "127.0.0.1:0", "127.0.0.1:0", s.Day.Seed*1000+me
+	r.Name, r.Index, r.Routers, r.Zone, r.DiscoveryAddress = name, index, s.Day.Routers, zone, list
+	r.Listen, r.Admin, r.Seed = "127.0.0.1:0", "127.0.0.1:0", s.Day.Seed*1000+index
 	routers := s.routersByZone()
 	hubs := map[string]bool{}
 	for _, z := range s.Zones {
--- a/internal/testbed/scenario/sluggish.go
+++ b/internal/testbed/scenario/sluggish.go
@@ -117,8 +117,8 @@
 }
 
 // restartAll restarts the routers that a trouble meets.
-func (d *Day) restartAll(ctx context.Context, met []string) error {
-	for _, name := range met {
+func (d *Day) restartAll(ctx context.Context, targets []string) error {
+	for _, name := range targets {
 		for _, r := range d.routers {
 			if r.endpoint.name == name {
 				d.trafficLog.Add(trafficlog.Record{Event: trafficlog.Fault, Note: "restart of " + name})
--- a/internal/testbed/scenario/summary.go
+++ b/internal/testbed/scenario/summary.go
@@ -55,12 +55,12 @@
 func Summarize(s *Script, recs []trafficlog.Record) Summary {
 	var out Summary
 	classes := map[string]*ClassSummary{}
-	hist := map[string]*hdrhistogram.Histogram{}
-	aims := map[string]Class{}
+	histograms := map[string]*hdrhistogram.Histogram{}
+	definitions := map[string]Class{}
 	for _, k := range s.Classes {
 		classes[k.Name] = &ClassSummary{Class: k.Name}
-		hist[k.Name] = hdrhistogram.New(1, 600_000_000, 3)
-		aims[k.Name] = k
+		histograms[k.Name] = hdrhistogram.New(1, 600_000_000, 3)
+		definitions[k.Name] = k
 	}
 	type try struct {
 		ask      *trafficlog.Record
@@ -113,13 +113,13 @@
 				if t.head.Hit {
 					c.Hits++
 				}
-				k := aims[r.Class]
+				k := definitions[r.Class]
 				if t.inTime = took <= k.LatencyObjective+k.ObjectivePerSendTime*float64(r.Bytes)/1024/s.Stand.Flow; t.inTime {
 					c.Served++
 				} else {
 					c.Late++
 				}
-				hist[r.Class].RecordValue(int64(took * 1000))
+				histograms[r.Class].RecordValue(int64(took * 1000))
 			}
 		case trafficlog.AttemptReceived:
 			if r.Via == "" {
@@ -148,25 +148,25 @@
 		}
 	}
 	for _, k := range s.Classes {
-		c, h := classes[k.Name], hist[k.Name]
+		c, h := classes[k.Name], histograms[k.Name]
 		c.P50, c.P99, c.P999 = float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000, float64(h.ValueAtQuantile(99.9))/1000
 		out.Classes = append(out.Classes, *c)
 	}
 	share := func(in func(t float64) bool) (n int, ofAll, ofTaken float64) {
-		good, taken := 0.0, 0
+		inTime, accepted := 0.0, 0
 		for _, t := range tries {
 			if !in(t.ask.Time) {
 				continue
 			}
 			n++
 			if t.accepted {
-				taken++
+				accepted++
 			}
 			if t.inTime {
-				good++
+				inTime++
 			}
 		}
-		return n, good / float64(max(n, 1)), good / float64(max(taken, 1))
+		return n, inTime / float64(max(n, 1)), inTime / float64(max(accepted, 1))
 	}
 	_, outside, _ := share(func(t float64) bool {
 		for _, sp := range spans {
@@ -178,8 +178,8 @@
 	})
 	sort.SliceStable(spans, func(i, j int) bool { return spans[i].from < spans[j].from })
 	for _, sp := range spans {
-		n, in, taken := share(func(t float64) bool { return t >= sp.from && t <= sp.to })
-		out.FaultImpacts = append(out.FaultImpacts, FaultImpact{Fault: sp.name, Requests: n, InTime: in, InTimeOfAccepted: taken, InTimeOutside: outside})
+		n, ofAll, ofAccepted := share(func(t float64) bool { return t >= sp.from && t <= sp.to })
+		out.FaultImpacts = append(out.FaultImpacts, FaultImpact{Fault: sp.name, Requests: n, InTime: ofAll, InTimeOfAccepted: ofAccepted, InTimeOutside: outside})
 	}
 	return out
 }
--- a/internal/testbed/scenario/versions.go
+++ b/internal/testbed/scenario/versions.go
@@ -291,11 +291,11 @@
 
 // awaitConvergence waits until the service holds its last number to be everybody's and
 // every router that lives says that it runs it.
-func (c *controlService) awaitConvergence(ctx context.Context, least int64) (took float64, err error) {
+func (c *controlService) awaitConvergence(ctx context.Context, atLeast int64) (took float64, err error) {
 	began := trafficlog.Now()
 	why := ""
 	for trafficlog.Now()-began < c.settings.ConvergenceTimeout {
-		if why = c.divergence(ctx, least); why == "" {
+		if why = c.divergence(ctx, atLeast); why == "" {
 			return trafficlog.Now() - began, nil
 		}
 		if !sleep(ctx, 20) {
@@ -305,17 +305,17 @@
 	return 0, fmt.Errorf("day: the fleet is not level after %.0f ms: %s", c.settings.ConvergenceTimeout, why)
 }
 
-func (c *controlService) divergence(ctx context.Context, least int64) string {
+func (c *controlService) divergence(ctx context.Context, atLeast int64) string {
 	v, err := c.status(ctx)
 	switch {
 	case err != nil:
 		return err.Error()
-	case v.Next != 0 || v.Base < least:
-		return fmt.Sprintf("version %d is everybody's, %d is on its way, %d or more is waited for", v.Base, v.Next, least)
+	case v.Next != 0 || v.Base < atLeast:
+		return fmt.Sprintf("version %d is everybody's, %d is on its way, %d or more is waited for", v.Base, v.Next, atLeast)
 	}
-	joined := map[string]bool{}
+	connected := map[string]bool{}
 	for _, r := range v.Routers {
-		if joined[r.Router] = r.Connected; r.Connected && r.Running < v.Base {
+		if connected[r.Router] = r.Connected; r.Connected && r.Running < v.Base {
 			return fmt.Sprintf("the service knows %s to have accepted %d, refused %d: %s", r.Router, r.Running, r.Rejected, strings.Join(r.Reasons, "; "))
 		}
 	}
@@ -326,7 +326,7 @@
 			continue // killed meanwhile
 		case s.Version < v.Base:
 			return fmt.Sprintf("%s runs %d, %d is everybody's", r.endpoint.name, s.Version, v.Base)
-		case !joined[r.endpoint.name]:
+		case !connected[r.endpoint.name]:
 			return fmt.Sprintf("%s has no stream", r.endpoint.name)
 		}
 	}
@@ -358,7 +358,7 @@
 	defer c.stepMu.Unlock()
 	name := t.name()
 	began := trafficlog.Now()
-	wrong := func(err error) error {
+	addFailure := func(err error) error {
 		if err != nil && ctx.Err() == nil { // the day goes on, so that the rules can be judged
 			c.mu.Lock()
 			c.steps = append(c.steps, VersionStep{Name: name, DurationMS: trafficlog.Now() - began, Failure: strings.TrimPrefix(err.Error(), "day: ")})
@@ -379,11 +379,11 @@
 			_, err = c.awaitConvergence(ctx, n)
 		}
 		if err != nil {
-			return wrong(err)
+			return addFailure(err)
 		}
 		c.addStep(name, fmt.Sprintf("version %d or later everywhere", n), trafficlog.Now()-began)
 	case VersionBad:
-		return wrong(c.verifyBadVersion(ctx, name))
+		return addFailure(c.verifyBadVersion(ctx, name))
 	case ControlDown, ControlFlap:
 		for end := trafficlog.Now() + t.Duration; ; {
 			c.process.kill()
@@ -392,10 +392,10 @@
 				down = min(t.PauseInterval/2, t.Duration)
 			}
 			if err := c.verifyOutage(ctx, down); err != nil {
-				return wrong(err)
+				return addFailure(err)
 			}
 			if err := c.start(ctx); err != nil {
-				return wrong(err)
+				return addFailure(err)
 			}
 			if t.Kind == ControlDown || trafficlog.Now() >= end {
 				break
@@ -403,20 +403,20 @@
 			sleep(ctx, t.PauseInterval/2)
 		}
 		if err := c.verifyChange(ctx, name, "after the service's start"); err != nil {
-			return wrong(err)
+			return addFailure(err)
 		}
 	case ControlStopped:
 		c.process.cmd.Process.Signal(syscall.SIGSTOP)
 		err := c.verifyOutage(ctx, t.Duration)
 		c.process.cmd.Process.Signal(syscall.SIGCONT)
 		if err != nil {
-			return wrong(err)
+			return addFailure(err)
 		}
 		if err := c.verifyChange(ctx, name, "after the service went on"); err != nil {
-			return wrong(err)
+			return addFailure(err)
 		}
 	case ControlOlder:
-		return wrong(c.verifyOlderStore(ctx, name, t))
+		return addFailure(c.verifyOlderStore(ctx, name, t))
 	}
 	return nil
 }
@@ -447,17 +447,17 @@
 // verifyOutage lets time pass with no service, and sees that every router that lived
 // through it runs what it ran.
 func (c *controlService) verifyOutage(ctx context.Context, span float64) error {
-	was := map[*router]int64{}
-	lives := map[*router]int{}
+	versions := map[*router]int64{}
+	generations := map[*router]int{}
 	for _, r := range c.d.runningRouters() {
 		if s, err := c.d.routerState(ctx, r); err == nil {
-			was[r], lives[r] = s.Version, r.generation()
+			versions[r], generations[r] = s.Version, r.generation()
 		}
 	}
 	sleep(ctx, span)
-	for r, n := range was {
+	for r, n := range versions {
 		s, err := c.d.routerState(ctx, r)
-		if err != nil || r.generation() != lives[r] {
+		if err != nil || r.generation() != generations[r] {
 			continue
 		}
 		if s.Version < n {
@@ -488,11 +488,11 @@
 	if err != nil {
 		return err
 	}
-	refused, want := 0, "is draining"
+	rejections, want := 0, "is draining"
 	if c.settings.FromList {
 		want = "loosened"
 	}
-	for refused == 0 {
+	for rejections == 0 {
 		for _, r := range c.d.runningRouters() {
 			s, err := c.d.routerState(ctx, r)
 			if err != nil {
@@ -505,13 +505,13 @@
 				if one.State != "refused" || !strings.Contains(strings.Join(one.Reasons, " "), want) {
 					return fmt.Errorf("%s takes version %d for %s: %v", r.endpoint.name, n, one.State, one.Reasons)
 				}
-				refused++
+				rejections++
 			}
 			if s.Version == n {
 				return fmt.Errorf("%s runs the bad version %d", r.endpoint.name, n)
 			}
 		}
-		if v, err := c.status(ctx); err == nil && v.Base > n && refused == 0 && v.Halted == "" {
+		if v, err := c.status(ctx); err == nil && v.Base > n && rejections == 0 && v.Halted == "" {
 			c.addStep(name, fmt.Sprintf("version %d was superseded before a router had it", n), trafficlog.Now()-began)
 			return nil
 		}
@@ -522,7 +522,7 @@
 	if _, err := c.awaitConvergence(ctx, n+1); err != nil {
 		return err
 	}
-	c.addStep(name, fmt.Sprintf("version %d refused by %d, halted, old content everywhere", n, refused), trafficlog.Now()-began)
+	c.addStep(name, fmt.Sprintf("version %d refused by %d, halted, old content everywhere", n, rejections), trafficlog.Now()-began)
 	return nil
 }
 
