--- a/internal/testbed/faultinject/faultinject.go
+++ b/internal/testbed/faultinject/faultinject.go
@@ -1,26 +1,27 @@
-// Package faultinject makes chosen system calls on sockets fail, for tests and scenarios: a
-// Syscalls stands between an event loop and the kernel and fails calls by a plan.
+// Package faultinject makes selected system calls on sockets fail, for tests and scenarios.
+// A Syscalls wraps the kernel's system calls for an event loop and fails calls as a plan says.
 //
-// A plan is faults separated by ";", each written
+// A plan is a list of faults separated by ";". Each has the form
 //
 //	call:error[:how often][:from-until]
 //
 // where
 //
-//   - call is accept, socket, connect, read, write (which is WriteTwo too) or wait;
-//   - error is the name of an error number, as ENFILE, or "short" for a read or write that
-//     moves only a part of what it could;
-//   - how often is a share of the calls (0.05), or a number of calls with an x behind it
-//     (3x: the next three); all of them where it is left out;
-//   - from-until are readings of the clock that is passed in, as durations (2s-4s); always
-//     where they are left out, and without end where the second one is ("2s-").
+//   - call is accept, socket, connect, read, write (which includes WriteTwo) or wait;
+//   - error is the name of an error number, such as ENFILE, or "short" for a read or write
+//     that transfers only a part of the bytes;
+//   - how often is a share of the calls (0.05), or a number of calls followed by x (3x: the
+//     next three); the default is all calls;
+//   - from-until is a range of readings of the clock that New is given, as durations (2s-4s);
+//     without it the fault always applies, and without the second duration ("2s-") it does
+//     not end.
 //
 // For example:
 //
 //	accept:ENFILE:1:2000ms-4000ms; read:EINTR:0.01; connect:EADDRNOTAVAIL:3x; write:short:0.05
 //
-// The first fault of a call that applies decides. A wait is interrupted only when no event
-// is ready, as the kernel does it.
+// The first fault that applies to a call is used. A wait is interrupted only when no event is
+// ready, as in the kernel.
 package faultinject
 
 import (
@@ -50,7 +51,7 @@
 	Wait    Call = "wait"
 )
 
-// ErrPlan is wrapped by what Parse returns.
+// ErrPlan is wrapped by the errors of Parse.
 var ErrPlan = errors.New("faultinject: bad plan")
 
 const short = "short"
@@ -58,17 +59,17 @@
 // Fault is one entry of a plan.
 type Fault struct {
 	Call  Call
-	Errno unix.Errno // 0: the call is made short
-	Share float64    // of the calls; 1 where Count is set
-	Count int        // of calls; 0: no limit
+	Errno unix.Errno // 0: a short read or write
+	Share float64    // share of the calls that fail; 1 if Count is set
+	Count int        // number of calls that fail; 0: no limit
 	From  time.Duration
-	Until time.Duration // 0: without end
+	Until time.Duration // 0: no end
 }
 
-// Plan is the faults, the first that applies to a call deciding.
+// Plan is a list of faults. The first one that applies to a call is used.
 type Plan []Fault
 
-// Parse reads a plan; see the package's comment for its form.
+// Parse parses a plan; see the package documentation for its form.
 func Parse(text string) (Plan, error) {
 	var plan Plan
 	for _, part := range strings.Split(text, ";") {
@@ -163,8 +164,8 @@
 	return nil
 }
 
-// Syscalls fails calls by a plan; what does not fail is passed on. It may be used from any
-// goroutine.
+// Syscalls fails calls as a plan says and passes the others on. It is safe for concurrent
+// use.
 type Syscalls struct {
 	next  eventloop.Syscalls
 	clock func() time.Duration
@@ -178,14 +179,14 @@
 
 var _ eventloop.Syscalls = (*Syscalls)(nil)
 
-// New fails calls of the kernel's by a plan, whose spans are readings of clock. The same
-// seed fails the same calls of the same sequence.
+// New returns a Syscalls that wraps the kernel's calls. The plan's time spans are readings of
+// clock. With the same seed and the same sequence of calls, the same calls fail.
 func New(plan Plan, seed uint64, clock func() time.Duration) *Syscalls {
 	return &Syscalls{next: eventloop.Kernel, clock: clock, plan: append(Plan(nil), plan...), random: rand.New(rand.NewPCG(seed, 0)),
 		made: map[Call]int{}, failed: map[Call]int{}}
 }
 
-// StartClock is a clock that begins now.
+// StartClock returns a clock that starts at zero now.
 func StartClock() func() time.Duration {
 	began := time.Now()
 	return func() time.Duration { return time.Since(began) }
@@ -198,14 +199,14 @@
 	s.plan = append(Plan(nil), plan...)
 }
 
-// Counts is how many calls were made, and how many of them were failed or made short.
+// Counts returns how many calls were made, and how many of them failed or were short.
 func (s *Syscalls) Counts(call Call) (made, failed int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.made[call], s.failed[call]
 }
 
-// fault is the fault that the call is to have, if any.
+// fault counts a call and returns the fault to apply to it, if any.
 func (s *Syscalls) fault(call Call) (fault Fault, ok bool) {
 	now := s.clock()
 	s.mu.Lock()
@@ -230,7 +231,7 @@
 	return Fault{}, false
 }
 
-// part is how much of n bytes a short call moves: at least one.
+// part returns the number of bytes that a short call of n bytes transfers: at least one.
 func (s *Syscalls) part(n int) int {
 	if n < 2 {
 		return n
@@ -240,7 +241,7 @@
 	return 1 + s.random.IntN(n-1)
 }
 
-// Accept is loop.Syscalls'.
+// Accept implements eventloop.Syscalls.
 func (s *Syscalls) Accept(listener int) (int, error) {
 	if fault, ok := s.fault(Accept); ok {
 		return -1, fault.Errno
@@ -248,7 +249,7 @@
 	return s.next.Accept(listener)
 }
 
-// Socket is loop.Syscalls'.
+// Socket implements eventloop.Syscalls.
 func (s *Syscalls) Socket(family int) (int, error) {
 	if fault, ok := s.fault(Socket); ok {
 		return -1, fault.Errno
@@ -256,7 +257,7 @@
 	return s.next.Socket(family)
 }
 
-// Connect is loop.Syscalls'.
+// Connect implements eventloop.Syscalls.
 func (s *Syscalls) Connect(fd int, to unix.Sockaddr) error {
 	if fault, ok := s.fault(Connect); ok {
 		return fault.Errno
@@ -264,7 +265,7 @@
 	return s.next.Connect(fd, to)
 }
 
-// Read is loop.Syscalls'.
+// Read implements eventloop.Syscalls.
 func (s *Syscalls) Read(fd int, b []byte) (int, error) {
 	if fault, ok := s.fault(Read); ok {
 		if fault.Errno != 0 {
@@ -275,7 +276,7 @@
 	return s.next.Read(fd, b)
 }
 
-// Write is loop.Syscalls'.
+// Write implements eventloop.Syscalls.
 func (s *Syscalls) Write(fd int, b []byte) (int, error) {
 	if fault, ok := s.fault(Write); ok {
 		if fault.Errno != 0 {
@@ -286,7 +287,7 @@
 	return s.next.Write(fd, b)
 }
 
-// WriteTwo is loop.Syscalls'.
+// WriteTwo implements eventloop.Syscalls.
 func (s *Syscalls) WriteTwo(fd int, first, second []byte) (int, error) {
 	if fault, ok := s.fault(Write); ok {
 		if fault.Errno != 0 {
@@ -298,7 +299,7 @@
 	return s.next.WriteTwo(fd, first, second)
 }
 
-// Wait is loop.Syscalls'.
+// Wait implements eventloop.Syscalls.
 func (s *Syscalls) Wait(epoll int, events []unix.EpollEvent, timeout int) (int, error) {
 	fault, ok := s.fault(Wait)
 	if !ok {
--- a/internal/testbed/scenario/box.go
+++ b/internal/testbed/scenario/box.go
@@ -12,16 +12,16 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// cacheNodeConfig is a box of the day's that is spool-cache: what it would be as a stand-in, and
-// the folder that outlives its processes.
+// cacheNodeConfig configures a box that runs spool-cache: the configuration of the test
+// server that it replaces, and the folder that is kept when its process is restarted.
 type cacheNodeConfig struct {
 	testserver.Config
 	Folder string `json:"folder"`
 }
 
-// runCacheNode is a box with a store on disk. What it sees on its sockets goes to the tap, as a
-// stand-in's does; of a stand-in's limits (capacity, links, the fall of a cold one) it has
-// none.
+// runCacheNode runs a box with a store on disk. It records its traffic as a test server does,
+// but has none of a test server's simulated limits: capacity, links, and the overload of a
+// cold server.
 func runCacheNode() error {
 	in := bufio.NewReader(os.Stdin)
 	line, err := in.ReadBytes('\n')
--- a/internal/testbed/scenario/calls.go
+++ b/internal/testbed/scenario/calls.go
@@ -10,19 +10,19 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// Whose connections a trouble of syscalls meets with its reads and writes.
+// The connections whose reads and writes a syscalls fault affects.
 const (
-	peerAll     = ""        // both
-	peerMembers = "members" // those that the process has made
-	peerClients = "clients" // those that it has accepted
+	peerAll     = ""        // all
+	peerMembers = "members" // those to members, which the process has opened
+	peerClients = "clients" // those of clients, which the process has accepted
 )
 
-// faultyCalls are the system calls of a process's event loop: the kernel's, and while a
-// trouble of syscalls lasts those of its plan. Everything but the trouble's begin belongs
-// to the loop's goroutine.
+// faultyCalls implements the system calls of a process's event loop. It uses the kernel's,
+// and during a syscalls fault those of the fault's plan. Its methods are called by the loop's
+// goroutine only; the injector may start a fault concurrently.
 type faultyCalls struct {
 	faults   *injector
-	accepted map[int]bool // by descriptor: whether the last connection of that number came from a client
+	accepted map[int]bool // whether the latest connection of a descriptor was accepted
 }
 
 var _ eventloop.Syscalls = (*faultyCalls)(nil)
@@ -31,25 +31,25 @@
 	return &faultyCalls{faults: faults, accepted: map[int]bool{}}
 }
 
-// plannedCalls are the calls of a plan, until its end.
+// plannedCalls holds the system calls of a syscalls fault and the fault's end.
 type plannedCalls struct {
 	calls *faultinject.Syscalls
 	plan  faultinject.Plan
 	peer  string
-	until float64 // on the tap's clock
+	until float64 // see trafficlog.Now
 }
 
-// newPlannedCalls reads a plan, whose spans count from now.
+// newPlannedCalls parses the plan of a fault. The plan's time spans count from now.
 func newPlannedCalls(fault processFault) (*plannedCalls, error) {
 	plan, err := faultinject.Parse(fault.Plan)
 	if err != nil {
-		return nil, fmt.Errorf("day: syscalls: %w", err)
+		return nil, fmt.Errorf("scenario: parse the plan of a syscalls fault: %w", err)
 	}
 	seed := uint64(fault.Until)
 	return &plannedCalls{faultinject.New(plan, seed, faultinject.StartClock()), plan, fault.Peer, fault.Until}, nil
 }
 
-// counts are how many calls of the plan's kinds were made, and how many of them failed.
+// counts returns how many calls of the plan's kinds were made, and how many of them failed.
 func (p *plannedCalls) counts() (made, failed int) {
 	counted := map[faultinject.Call]bool{}
 	for _, fault := range p.plan {
@@ -62,7 +62,7 @@
 	return made, failed
 }
 
-// current are the calls that hold at the moment.
+// current returns the system calls to use at present.
 func (c *faultyCalls) current() eventloop.Syscalls {
 	if planned := c.faults.calls.Load(); planned != nil && trafficlog.Now() < planned.until {
 		return planned.calls
@@ -70,7 +70,7 @@
 	return eventloop.Kernel
 }
 
-// on are the calls that hold for a connection at the moment.
+// forConnection returns the system calls to use at present for a connection.
 func (c *faultyCalls) forConnection(fd int) eventloop.Syscalls {
 	planned := c.faults.calls.Load()
 	switch {
@@ -82,7 +82,7 @@
 	return planned.calls
 }
 
-// Accept implements loop.Syscalls.
+// Accept implements eventloop.Syscalls.
 func (c *faultyCalls) Accept(listener int) (int, error) {
 	fd, err := c.current().Accept(listener)
 	if err == nil {
@@ -91,7 +91,7 @@
 	return fd, err
 }
 
-// Socket implements loop.Syscalls.
+// Socket implements eventloop.Syscalls.
 func (c *faultyCalls) Socket(family int) (int, error) {
 	fd, err := c.current().Socket(family)
 	if err == nil {
@@ -100,21 +100,21 @@
 	return fd, err
 }
 
-// Connect implements loop.Syscalls.
+// Connect implements eventloop.Syscalls.
 func (c *faultyCalls) Connect(fd int, to unix.Sockaddr) error { return c.current().Connect(fd, to) }
 
-// Read implements loop.Syscalls.
+// Read implements eventloop.Syscalls.
 func (c *faultyCalls) Read(fd int, b []byte) (int, error) { return c.forConnection(fd).Read(fd, b) }
 
-// Write implements loop.Syscalls.
+// Write implements eventloop.Syscalls.
 func (c *faultyCalls) Write(fd int, b []byte) (int, error) { return c.forConnection(fd).Write(fd, b) }
 
-// WriteTwo implements loop.Syscalls.
+// WriteTwo implements eventloop.Syscalls.
 func (c *faultyCalls) WriteTwo(fd int, first, second []byte) (int, error) {
 	return c.forConnection(fd).WriteTwo(fd, first, second)
 }
 
-// Wait implements loop.Syscalls.
+// Wait implements eventloop.Syscalls.
 func (c *faultyCalls) Wait(epoll int, events []unix.EpollEvent, timeout int) (int, error) {
 	return c.current().Wait(epoll, events, timeout)
 }
--- a/internal/testbed/scenario/clients.go
+++ b/internal/testbed/scenario/clients.go
@@ -23,18 +23,18 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// clients make requests of one zone: arrivals are open-loop, so that a slow
-// router meets as many as a fast one.
+// clients makes the requests of one zone's clients. Arrivals are open-loop: a slow router
+// receives requests at the same rate as a fast one.
 type clients struct {
 	day      *Day
 	zone     string
 	rate     float64
-	random   *rand.Rand // of the arrivals only; each session has its own
+	random   *rand.Rand // of the arrivals; each session has a source of its own
 	sequence *atomic.Int64
 	sessions *sync.WaitGroup
 }
 
-// run makes sessions until the context ends.
+// run starts sessions until the context ends.
 func (c *clients) run(ctx context.Context) {
 	var total float64
 	for i := range c.day.script.Classes {
@@ -43,7 +43,8 @@
 	if total <= 0 {
 		return
 	}
-	// a session makes several requests: sessions come so much more rarely
+	// The rate of sessions is the rate of requests divided by the mean number of requests
+	// in a session.
 	var perSession float64
 	for i := range c.day.script.Classes {
 		perSession += c.day.script.Classes[i].Share / total
@@ -78,7 +79,7 @@
 	}
 }
 
-// meanParts is how many requests a session makes in the mean.
+// meanParts returns the mean number of requests in a session.
 func (k *Class) meanParts() float64 {
 	if k.Parts == 0 {
 		return 1
@@ -89,7 +90,7 @@
 	return max((1-math.Pow(k.ContinueChance, float64(k.Parts)))/(1-k.ContinueChance), 1)
 }
 
-// chooseObject is the number of an object: popular ones are small.
+// chooseObject returns the name of a random object. Lower numbers are more popular.
 func (c *clients) chooseObject(k *Class, rng *rand.Rand) string {
 	now := trafficlog.Now()
 	if hot := c.day.hotKey.Load(); hot != nil && now < hot.until && rng.Float64() < hot.share {
@@ -105,7 +106,7 @@
 	return fmt.Sprintf("o%d", z.Uint64())
 }
 
-// groupOf is the group of an object, fixed by its name.
+// groupOf returns the group of an object, a hash of its name.
 func groupOf(name string, groups int) int {
 	h := uint32(2166136261)
 	for i := 0; i < len(name); i++ {
@@ -114,6 +115,8 @@
 	return int(h % uint32(groups))
 }
 
+// session makes one request or, for an object in parts, requests for its parts in order
+// until the client stops.
 func (c *clients) session(ctx context.Context, k *Class, rng *rand.Rand) {
 	name := c.chooseObject(k, rng)
 	base := fmt.Sprintf("/%s/%d/%s", k.Name, groupOf(k.Name+name, c.day.script.Day.Groups), name)
@@ -139,8 +142,7 @@
 	}
 }
 
-// request makes one request, and repeats it as clients do. It reports whether it
-// was served.
+// request makes one request, with retries. It reports whether the request was served.
 func (c *clients) request(ctx context.Context, k *Class, path string, rng *rand.Rand) bool {
 	key := ""
 	tries := newWriteTries(k, c.day.script.Limits.AnswerSlack+4*c.day.script.Day.ObservationSkew)
@@ -170,13 +172,13 @@
 		case <-ctx.Done():
 			return false
 		}
-		if !tries.repeatable(trafficlog.Now()) { // the wait took longer than it should
+		if !tries.repeatable(trafficlog.Now()) { // the timer was late
 			return false
 		}
 	}
 }
 
-// outcomeUnreached is the outcome of a try that no router took.
+// outcomeUnreached is the outcome of a try that no router accepted.
 const outcomeUnreached = "unreached"
 
 type response struct {
@@ -193,8 +195,8 @@
 	lastUsed float64
 }
 
-// closedByPeer reports whether the router has closed the connection while it was not in use, as it
-// may: what is asked on it then, no router reads.
+// closedByPeer reports whether the router has closed the idle connection. A router may do
+// so at any time, and does not read a request that is sent on it afterwards.
 func (c *conn) closedByPeer() bool {
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -208,35 +210,35 @@
 	return ended || err != nil
 }
 
-// routerEndpoint is a router as clients know it.
+// routerEndpoint holds a router's addresses and the clients' idle connections to it.
 type routerEndpoint struct {
 	name, zone string
 	mu         sync.Mutex
 	addr       string
-	admin      string // its listener for operators
+	admin      string // address of the admin listener
 	generation int
 	idle       []*conn
 }
 
-// up reports whether the router is there.
+// isUp reports whether the router is running.
 func (r *routerEndpoint) isUp() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.addr != ""
 }
 
-// address is its present address, empty while it is down.
+// address returns the present address; it is empty while the router is down.
 func (r *routerEndpoint) address() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.addr
 }
 
-// setAddress tells clients where the router is now; empty: it is down.
+// setAddress sets the router's addresses; empty ones mean that it is down.
 func (r *routerEndpoint) setAddress(addr, admin string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if addr != "" && addr == r.addr { // a successor has its sockets, and the connections
+	if addr != "" && addr == r.addr { // a hot restart: the successor inherits the listener, and the connections stay usable
 		r.admin = admin
 		return
 	}
@@ -252,12 +254,12 @@
 	r.mu.Lock()
 	if r.addr == "" {
 		r.mu.Unlock()
-		return nil, errors.New("day: the router is down")
+		return nil, errors.New("scenario: the router is down")
 	}
 	for len(r.idle) > 0 {
 		c := r.idle[len(r.idle)-1]
 		r.idle = r.idle[:len(r.idle)-1]
-		if trafficlog.Now()-c.lastUsed < 5000 && !c.closedByPeer() { // well before the router's own limit
+		if trafficlog.Now()-c.lastUsed < 5000 && !c.closedByPeer() { // well below the router's idle timeout
 			r.mu.Unlock()
 			return c, nil
 		}
@@ -283,8 +285,8 @@
 	c.Close()
 }
 
-// try makes one try of a request, which may run until a time, and records what its
-// client sees.
+// try makes one try of a request with a deadline of at most until, and records what the
+// client observes.
 func (c *clients) try(r *routerEndpoint, k *Class, path, key string, try int, until float64, rng *rand.Rand) (result response) {
 	id := "c" + strconv.FormatInt(c.sequence.Add(1), 10)
 	w := c.day.trafficLog
@@ -326,7 +328,7 @@
 		method, body = "POST", strings.Repeat("x", 200)
 	}
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: day\r\nX-Request-Id: %s\r\nSpool-Deadline: %.3f\r\n", method, path, id,
-		max(rec.Limit-trafficlog.Now(), 1)) // what is left of it: connecting took its part
+		max(rec.Limit-trafficlog.Now(), 1)) // the time that remains after connecting
 	if !k.Write {
 		fmt.Fprintf(&b, "Spool-KB: %.3f\r\n", float64(testserver.SizeOf(path, k.KB))/1024)
 	}
@@ -342,7 +344,7 @@
 	b.WriteString("\r\n" + body)
 	w.Add(sent)
 	if _, err := io.WriteString(connection, b.String()); err != nil {
-		end(outcomeUnreached, 0) // the connection was gone: the router never had it whole
+		end(outcomeUnreached, 0) // the connection was closed: the router has not received the whole request
 		return result
 	}
 	fail := func(err error, n int64) {
@@ -374,7 +376,7 @@
 		result.retryAfter = float64(s) * 1000
 	}
 	w.Add(head)
-	if !abandon { // the answer has begun: only a stall ends it
+	if !abandon { // the response has begun: from here on only a stall of 30 s ends it
 		limit = 30_000
 	}
 	buf := make([]byte, 32<<10)
@@ -428,7 +430,7 @@
 		}
 	}
 	end("", n)
-	if connection.br.Buffered() > 0 { // nothing was asked: this answers nothing
+	if connection.br.Buffered() > 0 { // bytes after the response belong to no request
 		extra := rec
 		extra.Event, extra.Note = trafficlog.ResponseHead, "bytes after the answer"
 		w.Add(extra)
@@ -438,13 +440,13 @@
 	return result
 }
 
-// readMark is when so many bytes of an answer had been read.
+// readMark is the time at which a number of bytes of a response had been read.
 type readMark struct {
 	bytes int
 	at    float64
 }
 
-// pagePath is the address of a page.
+// pagePath returns the path of a page.
 func (s *Script) pagePath(k *Class, name string) string {
 	objects := 1
 	for i := range s.Classes {
@@ -455,7 +457,7 @@
 	return fmt.Sprintf("/%s/%d/%s", k.Name, groupOf(k.Name+name, s.Day.Groups), testserver.PageName(name, k.PageFragments, objects, k.FragmentClass))
 }
 
-// groupFromPath is the group that an address names.
+// groupFromPath returns the group that a path names.
 func groupFromPath(path string) int {
 	parts := strings.Split(path, "/")
 	if len(parts) < 3 {
@@ -465,7 +467,7 @@
 	return n
 }
 
-// isFragment reports a class whose objects pages include.
+// isFragment reports whether pages include the objects of a class.
 func (s *Script) isFragment(k *Class) bool {
 	for i := range s.Classes {
 		if s.Classes[i].PageFragments > 0 && s.Classes[i].FragmentClass == k.Name {
--- a/internal/testbed/scenario/folder.go
+++ b/internal/testbed/scenario/folder.go
@@ -9,8 +9,8 @@
 	"indigospool/internal/controlplane/configstore"
 )
 
-// faultyFolder is the folder of a box's store; while a folder-fault lasts, nothing can be
-// written there, nor synced.
+// faultyFolder is the folder of a cache node's store. During a folder-fault all writes and
+// syncs in it fail.
 type faultyFolder struct {
 	store.FS
 	faults *injector
@@ -44,7 +44,8 @@
 	return f.FS.SyncDir()
 }
 
-// faultyFile is a file in a faultyFolder. A write that fails has written a half.
+// faultyFile is a file in a faultyFolder. A write that fails has written the first half of
+// its bytes.
 type faultyFile struct {
 	store.File
 	name   string
@@ -77,7 +78,7 @@
 	return f.File.Truncate(size)
 }
 
-// ReadNow reads what the kernel has in memory, as the file of the folder beneath does.
+// ReadNow reads what the page cache holds, if the wrapped file supports it.
 func (f faultyFile) ReadNow(b []byte, offset int64) (int, error) {
 	now, ok := f.File.(interface {
 		ReadNow(b []byte, offset int64) (int, error)
@@ -88,7 +89,8 @@
 	return now.ReadNow(b, offset)
 }
 
-// faultyFiles are the file operations of a store of versions, as faultyFolder's.
+// faultyFiles implements the file operations of a store of settings versions. They fail
+// during a folder-fault as those of faultyFolder do.
 type faultyFiles struct {
 	configstore.Disk
 	faults *injector
--- a/internal/testbed/scenario/inject.go
+++ b/internal/testbed/scenario/inject.go
@@ -16,74 +16,74 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// Troubles inside the processes of routers, of boxes that are spool-cache and of the control
-// service: what the kernel or the disk gives them, and not what their peers do.
+// Process faults: failures of the kernel or of the disk, as seen by the processes of routers,
+// of boxes that run spool-cache, and of the control service.
 const (
-	SyscallFaults = "syscalls"     // system calls on sockets fail by (plan "..."), see faultinject.Parse
+	SyscallFaults = "syscalls"     // system calls on sockets fail as in (plan "..."), see faultinject.Parse
 	ClockStep     = "clock-step"   // the process's wall clock is set by (step ms), and back at the end
-	FolderFault   = "folder-fault" // writes to the process's folder, and syncs of it, fail with (errno ENOSPC)
+	FolderFault   = "folder-fault" // writes and syncs in the process's folder fail with (errno ENOSPC)
 )
 
 var processKinds = []string{SyscallFaults, ClockStep, FolderFault}
 
-// processFault is a trouble inside one process.
+// processFault is the message that has a process apply a fault to itself.
 type processFault struct {
-	Name  string  `json:"name"` // of the trouble
+	Name  string  `json:"name"` // name of the scheduled fault
 	Kind  string  `json:"kind"`
 	Plan  string  `json:"plan,omitempty"`  // of syscalls
-	Peer  string  `json:"peer,omitempty"`  // of syscalls: whose connections it meets
+	Peer  string  `json:"peer,omitempty"`  // of syscalls: whose connections are affected
 	Step  float64 `json:"step,omitempty"`  // of clock-step, ms
 	Errno string  `json:"errno,omitempty"` // of folder-fault
-	Until float64 `json:"until"`           // on the tap's clock
+	Until float64 `json:"until"`           // end of the fault, see trafficlog.Now
 }
 
-// Injected is what a trouble inside processes did to them, those apart that were killed
-// before its end.
+// Injected counts the effects of a process fault. It does not include processes that were
+// killed before the fault's end.
 type Injected struct {
 	Fault  string `json:"trouble"`
-	Calls  int    `json:"calls"`  // of the kinds that it has fail
-	Failed int    `json:"failed"` // none: it has proven nothing
+	Calls  int    `json:"calls"`  // calls of the kinds that the fault affects
+	Failed int    `json:"failed"` // calls that failed; with none the fault had no effect
 }
 
-// injectedLine is how a process tells the day of it.
+// injectedLine is the line by which a process reports the effects of a fault.
 type injectedLine struct {
 	Injected Injected `json:"injected"`
 }
 
 const injectedPrefix = `{"injected"`
 
-// handleOutput takes a line that a process has printed: a record for the tap, or what a trouble
-// did to it.
+// handleOutput handles a line that a process has printed: a record for the traffic log, or
+// the effects of a fault.
 func (d *Day) handleOutput(line []byte) {
 	if !bytes.HasPrefix(line, []byte(injectedPrefix)) {
 		d.trafficLog.AddLine(line)
 		return
 	}
-	var told injectedLine
-	if json.Unmarshal(line, &told) == nil {
-		d.processFaults.addCounts(told.Injected)
+	var message injectedLine
+	if json.Unmarshal(line, &message) == nil {
+		d.processFaults.addCounts(message.Injected)
 	}
 }
 
-// folderErrnos are what a disk that is full or broken gives.
+// folderErrnos are the errors of a full or broken disk.
 var folderErrnos = map[string]unix.Errno{"ENOSPC": unix.ENOSPC, "EIO": unix.EIO, "EDQUOT": unix.EDQUOT, "EROFS": unix.EROFS}
 
-// activeFaults are the process faults of a day, by machine: a process that starts while
-// one lasts begins with it.
+// activeFaults holds the process faults of a day by machine. A process that starts during a
+// fault is given it at its start.
 type activeFaults struct {
 	mu        sync.Mutex
 	byMachine map[string][]processFault
-	injected  []Injected // by trouble
+	injected  []Injected // one for each scheduled fault
 }
 
-// addInjected notes that a trouble begins.
-func (f *activeFaults) addInjected(trouble string) {
+// addInjected begins the counts of a scheduled fault.
+func (f *activeFaults) addInjected(fault string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.injected = append(f.injected, Injected{Fault: trouble})
+	f.injected = append(f.injected, Injected{Fault: fault})
 }
 
-// addCounts adds what a trouble did to one process.
+// addCounts adds the effects of a fault in one process.
 func (f *activeFaults) addCounts(one Injected) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -104,7 +104,7 @@
 	f.byMachine[machine] = append(f.byMachine[machine], fault)
 }
 
-// of are the faults of a machine that have not ended.
+// activeAt returns the faults of a machine that have not ended.
 func (f *activeFaults) activeAt(machine string) []processFault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -118,17 +118,19 @@
 	return lasting
 }
 
-// recoveryTimeMS is how long, in ms, after a folder works again a machine may take to use it:
-// the longest backoff, and a turn more.
+// recoveryTimeMS is the time that a machine may take to use its folder again after a
+// folder-fault: its longest backoff and one more attempt.
 const recoveryTimeMS = 4000
 
-// retryIntervalMS is how long, in ms, who is refused for a folder's fault waits.
+// retryIntervalMS is the interval of retries during a folder-fault.
 const retryIntervalMS = 100
 
-// errNotRecovered says that a machine goes on refusing after its folder works again.
-var errNotRecovered = errors.New("day: refused though the folder works again")
+// errNotRecovered reports that a machine still rejects requests after its folder has worked
+// again for recoveryTimeMS.
+var errNotRecovered = errors.New("scenario: request rejected although the folder-fault has ended")
 
-// folderFaultEnd is when a machine's folder works again, or did; false: it never failed.
+// folderFaultEnd returns the end of the latest folder-fault of a machine. It reports false if
+// there was none.
 func (f *activeFaults) folderFaultEnd(machine string) (at float64, failed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -140,13 +142,13 @@
 	return at, failed
 }
 
-// retryDuringFolderFault does something at a machine, and again as long as that is refused while the
-// machine's folder fails, and until it should have recovered.
+// retryDuringFolderFault calls do, a request to a machine, and retries it while it gets a 5xx
+// response during a folder-fault of the machine and for recoveryTimeMS after it.
 func (d *Day) retryDuringFolderFault(ctx context.Context, machine string, do func() error) error {
 	for {
 		err := do()
-		var refused *statusError
-		if err == nil || !errors.As(err, &refused) || refused.status < http.StatusInternalServerError {
+		var rejected *statusError
+		if err == nil || !errors.As(err, &rejected) || rejected.status < http.StatusInternalServerError {
 			return err
 		}
 		works, failed := d.processFaults.folderFaultEnd(machine)
@@ -154,7 +156,7 @@
 			return err
 		}
 		if trafficlog.Now() > works+recoveryTimeMS {
-			return fmt.Errorf("%w, for %.0f ms: %w", errNotRecovered, trafficlog.Now()-works, err)
+			return fmt.Errorf("%w, %.0f ms ago: %w", errNotRecovered, trafficlog.Now()-works, err)
 		}
 		if !sleep(ctx, retryIntervalMS) {
 			return err
@@ -162,14 +164,14 @@
 	}
 }
 
-// processStart is what a process reads after its settings.
+// processStart is the message that a process reads after its settings.
 type processStart struct {
-	Intercept bool           `json:"intercept"` // its system calls on sockets, since the day has troubles of them
-	Faults    []processFault `json:"faults"`    // that it begins with
+	Intercept bool           `json:"intercept"` // intercept system calls on sockets: the script has syscalls faults
+	Faults    []processFault `json:"faults"`    // faults that are active at the start
 }
 
-// appendStartupFaults is what a process reads first: its settings, and in a second line the faults
-// that it begins with.
+// appendStartupFaults returns the input of a starting process: its settings, and on a second
+// line the faults that are active at its start.
 func (d *Day) appendStartupFaults(machine string, settings []byte) ([]byte, error) {
 	begin := processStart{Faults: d.processFaults.activeAt(machine)}
 	for _, t := range d.script.Faults {
@@ -182,14 +184,15 @@
 	return append(append(settings, '\n'), faults...), nil
 }
 
-// injectProcessFault has the processes of a trouble suffer it for its time.
+// injectProcessFault applies a fault to the processes of the target machines and returns at
+// its end.
 func (d *Day) injectProcessFault(ctx context.Context, t FaultSpec, targets []string) error {
 	fault := processFault{Name: t.name(), Kind: t.Kind, Plan: t.Plan, Peer: t.Peer, Step: t.Step, Errno: t.Errno, Until: trafficlog.Now() + t.Duration}
 	line, err := json.Marshal(fault)
 	if err != nil {
 		return err
 	}
-	if t.Kind != ClockStep { // whose effect is not counted in calls
+	if t.Kind != ClockStep { // a clock step makes no call fail, so it is not counted
 		d.processFaults.addInjected(fault.Name)
 	}
 	for _, machine := range targets {
@@ -202,7 +205,7 @@
 	return nil
 }
 
-// chooseProcesses says which processes a trouble inside them meets. The lock is held.
+// chooseProcesses chooses the machines whose processes a fault affects. d.mu must be held.
 func (d *Day) chooseProcesses(t FaultSpec, rng *rand.Rand) (targets []string) {
 	for _, i := range rng.Perm(len(d.routers))[:t.Routers] {
 		targets = append(targets, d.routers[i].endpoint.name)
@@ -221,7 +224,7 @@
 	return targets
 }
 
-// processOf is the process that a machine has at present; nil: none.
+// processOf returns the present process of a machine, or nil.
 func (d *Day) processOf(machine string) *process {
 	if machine == controlMachine {
 		return d.controlService.process
@@ -239,23 +242,25 @@
 	return nil
 }
 
-// writeLine gives a process a line; one that has ended needs none.
+// writeLine writes a line to the process's standard input. It ignores errors, as the process
+// may have ended.
 func (p *process) writeLine(line []byte) {
 	p.writeMu.Lock()
 	defer p.writeMu.Unlock()
 	p.in.Write(append(line, '\n'))
 }
 
-// controlMachine is the control service among the machines that a trouble meets.
+// controlMachine is the name of the control service among the targets of a fault.
 const controlMachine = "control"
 
-// checkProcessFault tells what is wrong with a trouble inside processes.
+// checkProcessFault returns what is wrong with a process fault and how to fix it; empty if
+// nothing is.
 func (s *Script) checkProcessFault(t *FaultSpec) (what, remedy string) {
-	realBoxes := s.Stand.Boxes != "" && s.Stand.Boxes != "stand-in"
+	cacheNodes := s.Stand.Boxes != "" && s.Stand.Boxes != "stand-in"
 	switch {
 	case t.Routers+t.Boxes == 0 && !t.Control:
 		return t.Kind + " meets nobody", "add (routers n), (boxes n) or (control)"
-	case t.Boxes > 0 && !realBoxes:
+	case t.Boxes > 0 && !cacheNodes:
 		return t.Kind + " at boxes that are stand-ins", "add (boxes warm) to (stand ...)"
 	case t.Control && !s.Control.On:
 		return t.Kind + " at a control service that the day lacks", "add (control (on))"
--- a/internal/testbed/scenario/injector.go
+++ b/internal/testbed/scenario/injector.go
@@ -14,22 +14,22 @@
 	"indigospool/internal/wallclock"
 )
 
-// injector has the process that it is in suffer its faults, each until its end. Its
-// methods are safe for concurrent use.
+// injector applies faults to the process that it runs in, each until its end. Its methods are
+// safe for concurrent use.
 type injector struct {
 	folder    atomic.Pointer[folderFault]
 	calls     atomic.Pointer[plannedCalls]
 	intercept bool
-	report    io.Writer // what it did goes there
+	report    io.Writer // receives the counts of each fault at its end
 }
 
-// folderFault is a folder-fault, and how often it was met.
+// folderFault is a folder-fault and the number of calls that it made fail.
 type folderFault struct {
 	processFault
 	failed atomic.Int64 // writes and syncs
 }
 
-// newInjector reads the line of the faults that a process begins with.
+// newInjector reads the line with the process's startup faults and applies them.
 func newInjector(in *bufio.Reader, tell io.Writer) (*injector, error) {
 	var begin processStart
 	line, err := in.ReadBytes('\n')
@@ -37,7 +37,7 @@
 		err = json.Unmarshal(line, &begin)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("day: read the faults to begin with: %w", err)
+		return nil, fmt.Errorf("scenario: read the startup faults: %w", err)
 	}
 	i := &injector{intercept: begin.Intercept, report: tell}
 	for _, fault := range begin.Faults {
@@ -48,8 +48,8 @@
 	return i, nil
 }
 
-// readFaults returns when the day's end of the pipe is closed: a machine does not
-// outlive its day. Until then it begins each fault that it is told of.
+// readFaults reads faults and starts each of them. It returns when the parent process closes
+// its end of the pipe or has ended: the process must not outlive it.
 func (i *injector) readFaults(in *bufio.Reader) {
 	for {
 		line, err := in.ReadBytes('\n')
@@ -61,12 +61,13 @@
 			err = i.startFault(fault)
 		}
 		if err != nil {
-			fmt.Fprintln(os.Stderr, "day: a fault was not begun:", err)
+			fmt.Fprintln(os.Stderr, "scenario: start a fault:", err)
 		}
 	}
 }
 
-// startFault begins a fault, instead of the last one of its kind; steps of the clock add up.
+// startFault starts a fault. It replaces an earlier one of its kind, except that clock steps
+// add up.
 func (i *injector) startFault(fault processFault) error {
 	left := time.Duration((fault.Until - trafficlog.Now()) * float64(time.Millisecond))
 	switch fault.Kind {
@@ -92,12 +93,12 @@
 		wallclock.Step(step)
 		time.AfterFunc(left, func() { wallclock.Step(-step) })
 	default:
-		return fmt.Errorf("day: %q is no fault of a process", fault.Kind)
+		return fmt.Errorf("scenario: unknown process fault %q", fault.Kind)
 	}
 	return nil
 }
 
-// syscalls are the system calls of the process's event loop; nil: the kernel's.
+// syscalls returns the system calls for the process's event loop; nil means the kernel's.
 func (i *injector) syscalls() eventloop.Syscalls {
 	if !i.intercept {
 		return nil
@@ -105,7 +106,8 @@
 	return newFaultyCalls(i)
 }
 
-// folderErr is what a write to the process's folder, or a sync of it, gives for now.
+// folderErr returns the error of a write or sync in the process's folder during a
+// folder-fault, and otherwise nil.
 func (i *injector) folderErr() error {
 	fault := i.folder.Load()
 	if fault == nil || trafficlog.Now() >= fault.Until {
@@ -115,9 +117,9 @@
 	return folderErrnos[fault.Errno]
 }
 
-// reportInjected tells the day, in one write, what a trouble did to this process.
-func (i *injector) reportInjected(trouble string, calls, failed int) {
-	line, err := json.Marshal(injectedLine{Injected{Fault: trouble, Calls: calls, Failed: failed}})
+// reportInjected reports the effects of a fault in this process, in one write.
+func (i *injector) reportInjected(fault string, calls, failed int) {
+	line, err := json.Marshal(injectedLine{Injected{Fault: fault, Calls: calls, Failed: failed}})
 	if err == nil {
 		i.report.Write(append(line, '\n'))
 	}
--- a/internal/testbed/scenario/proc.go
+++ b/internal/testbed/scenario/proc.go
@@ -19,9 +19,9 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// A day's machines are processes: the program itself, called again with one of
-// these words and what the machine is on standard input. So a killed machine is
-// killed, and routers share nothing.
+// The machines of a day are separate processes, so that they can be killed and routers share
+// no state. Each is the program itself, started with one of these arguments and with its
+// configuration on standard input.
 const (
 	ChildTestServer = "machine-stand"
 	ChildRouter     = "machine-router"
@@ -30,8 +30,8 @@
 	ChildBox     = "machine-box"
 )
 
-// Child runs a machine of a day if the arguments say so. It is called first by
-// each program that plays days, and returns false where it is not meant.
+// Child runs a machine of a day if the program's arguments name one; otherwise it returns
+// false. Each program that runs scenarios calls it first.
 func Child(args []string) (is bool, err error) {
 	if len(args) < 2 {
 		return false, nil
@@ -49,8 +49,8 @@
 	return false, nil
 }
 
-// waitForParentExit returns when the day's end of the pipe is closed: a machine
-// does not outlive its day.
+// waitForParentExit returns when the parent process closes its end of the pipe or has ended:
+// the process must not outlive it.
 func waitForParentExit(r io.Reader) { io.Copy(io.Discard, r) }
 
 func runTestServer() error {
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// readSettings reads the settings on a machine's standard input, and the faults that it
-// begins with; the rest of it tells of more, and ends with the day.
+// readSettings reads a machine's settings and startup faults from standard input. The rest of
+// the input, for injector.readFaults, holds later faults and ends with the parent process.
 func readSettings(into any) (rest *bufio.Reader, faults *injector, err error) {
 	rest = bufio.NewReader(os.Stdin)
 	line, err := rest.ReadBytes('\n')
@@ -120,18 +120,19 @@
 	return e.Run()
 }
 
-// process is one machine.
+// process is the running process of a machine.
 type process struct {
 	cmd       *exec.Cmd
 	in        io.WriteCloser
 	done      chan struct{}
-	firstLine chan string // its first line of output
+	firstLine chan string // receives the first line of output
 	killOnce  sync.Once
 
-	writeMu sync.Mutex // one line at a time
+	writeMu sync.Mutex // serializes writes to in
 }
 
-// startProcess runs a machine; each line that it prints after the first goes to each.
+// startProcess starts a machine's process with its first lines of input. It calls onLine, if
+// not nil, with each line of output.
 func startProcess(self []string, word string, stdin []byte, stderr io.Writer, onLine func(line []byte)) (*process, error) {
 	cmd := exec.Command(self[0], append(append([]string{}, self[1:]...), word)...)
 	cmd.Stderr = stderr
@@ -144,7 +145,7 @@
 		return nil, err
 	}
 	if err := cmd.Start(); err != nil {
-		return nil, fmt.Errorf("day: start %s: %w", word, err)
+		return nil, fmt.Errorf("scenario: start %s: %w", word, err)
 	}
 	p := &process{cmd: cmd, in: in, done: make(chan struct{}), firstLine: make(chan string, 1)}
 	go func() {
@@ -174,7 +175,8 @@
 	return p, nil
 }
 
-// awaitFirstLine is the first line that the machine prints.
+// awaitFirstLine returns the first line of output. It kills a process that prints none within
+// 20 s.
 func (p *process) awaitFirstLine(ctx context.Context) (string, error) {
 	select {
 	case line := <-p.firstLine:
@@ -185,17 +187,17 @@
 			return line, nil
 		default:
 		}
-		return "", errors.New("day: a machine ended before it was up; its errors are above")
+		return "", errors.New("scenario: a process exited before it was ready; see its errors above")
 	case <-time.After(20 * time.Second):
 		p.kill()
-		return "", errors.New("day: a machine was not up after 20 s")
+		return "", errors.New("scenario: a process was not ready after 20 s")
 	case <-ctx.Done():
 		p.kill()
 		return "", ctx.Err()
 	}
 }
 
-// kill ends the machine by SIGKILL and waits for what it had written.
+// kill kills the process by SIGKILL and waits until its output has been read.
 func (p *process) kill() {
 	p.killOnce.Do(func() {
 		p.cmd.Process.Kill()
--- a/internal/testbed/scenario/repeat.go
+++ b/internal/testbed/scenario/repeat.go
@@ -2,20 +2,19 @@
 
 import "math"
 
-// minRepeatTimeMS is the least time, in ms, that a repeated write asks for: with less
-// left of its window it is not worth sending.
+// minRepeatTimeMS is the minimum time that must remain of the window for a client to repeat a
+// write.
 const minRepeatTimeMS = 100
 
-// writeTries is what a client knows of the tries of one write, and whether that lets
-// it try once more without a risk that the effect happens twice.
+// writeTries holds the outcomes of a client's tries of one write. It decides whether the
+// client can repeat the write without a risk that it takes effect twice.
 type writeTries struct {
-	dropWindow     float64 // for how long, ms, a repeat is surely dropped; 0: no promise of that
-	firstUncertain float64 // when the first try that may have run was asked; +Inf: none
+	dropWindow     float64 // time in ms for which all servers certainly drop repeats; 0: none
+	firstUncertain float64 // start of the first try that may have been executed; +Inf: none
 }
 
-// newWriteTries is the state before the first try of a write of a class. The slack, in
-// ms, is kept free at the end of the class's window for what the client does not see:
-// how long its repeat takes from the router to the origin.
+// newWriteTries returns the state before the first try of a write. The window is shortened
+// by slack, in ms, to allow for the time that a repeat takes from the router to the origin.
 func newWriteTries(class *Class, slack float64) *writeTries {
 	tries := &writeTries{firstUncertain: math.Inf(1)}
 	if class.Idempotency == "guarded" && class.KeyScope == "all" {
@@ -24,18 +23,18 @@
 	return tries
 }
 
-// add notes the outcome of a try that was asked at a time. A 503 is the router's
-// promise that a repeat is harmless, but of this try only; a try that nobody took ran
-// nowhere; any other may have run.
+// add records the outcome of a try that was sent at a time. A 503 is the router's promise
+// that repeating this try is safe; it says nothing of earlier ones. A try that no router
+// accepted was not executed. Any other try may have been.
 func (tries *writeTries) add(asked float64, outcome response) {
 	if outcome.status != 503 && outcome.err != outcomeUnreached {
 		tries.firstUncertain = min(tries.firstUncertain, asked)
 	}
 }
 
-// limit is until when the next try may run: for ever where none before it may have
-// run, else until its repeat is no longer surely dropped.
+// limit returns the latest deadline of the next try: none if no earlier try may have been
+// executed, otherwise the time until which servers certainly drop the repeat.
 func (tries *writeTries) limit() float64 { return tries.firstUncertain + tries.dropWindow }
 
-// repeatable reports whether a try that is asked at a time is surely harmless.
+// repeatable reports whether a try that is sent at a time is certainly safe.
 func (tries *writeTries) repeatable(at float64) bool { return at+minRepeatTimeMS <= tries.limit() }
--- a/internal/testbed/scenario/run.go
+++ b/internal/testbed/scenario/run.go
@@ -27,20 +27,20 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// Options are how a day is played.
+// Options are the options of Run.
 type Options struct {
-	Self       []string  // the command that runs this program again, see Child
-	Dir        string    // where the routers' settings and logs go; empty: a temporary folder, removed when all went well
-	TrafficLog io.Writer // also gets each record; nil: nowhere
-	Progress   io.Writer // what happens, as it happens; nil: nowhere
-	Routers    int       // above 0: instead of the day's
-	Seed       int       // above 0: instead of the day's
-	Without    []string  // kinds of troubles that are left out
-	Journal    bool      // routers keep journals, which are replayed after the day
-	Length     float64   // above 0: instead of the day's; troubles move with it
-}
-
-// Result is a played day.
+	Self       []string  // the command that starts this program again, see Child
+	Dir        string    // folder for the routers' settings and logs; empty: a temporary one, removed if the result is OK
+	TrafficLog io.Writer // receives each record of the traffic log; may be nil
+	Progress   io.Writer // receives progress messages; may be nil
+	Routers    int       // number of routers; 0: as in the script
+	Seed       int       // 0: as in the script
+	Without    []string  // kinds of faults to leave out
+	Journal    bool      // routers keep journals, which are replayed after the run
+	Length     float64   // ms; 0: as in the script; the times of faults are scaled with it
+}
+
+// Result is the result of a run.
 type Result struct {
 	Verdicts []invariants.Verdict `json:"rules"`
 	Summary  Summary              `json:"summary"`
@@ -51,8 +51,9 @@
 	Records  []trafficlog.Record  `json:"-"`
 }
 
-// OK reports a day whose rules were all looked at and kept, whose steps with versions
-// all came out as they should, and whose troubles inside processes all had an effect.
+// OK reports whether all rules were checked and kept, all journals were replayed without a
+// difference, all steps with settings versions ended as expected, and each process fault
+// made at least one call fail.
 func (r *Result) OK() bool {
 	for _, p := range r.Replays {
 		if !p.Report.OK() || !p.Differential.OK() {
@@ -67,8 +68,8 @@
 	return invariants.AllOK(r.Verdicts) && !slices.ContainsFunc(r.Steps, func(s VersionStep) bool { return s.Failure != "" })
 }
 
-// ReplayResult is what the replay of a router's journal found, and what comparing it
-// with the sockets and the other programs did.
+// ReplayResult holds the results of replaying a router's journal and of comparing the journal
+// with the traffic log and the other programs.
 type ReplayResult struct {
 	Router       string               `json:"router"`
 	Report       *replay.Report       `json:"report"`
@@ -87,27 +88,27 @@
 		r, err := replay.Run(j, nil)
 		j.Close()
 		if err != nil {
-			return nil, fmt.Errorf("day: journal of %s: %w", name, err)
+			return nil, fmt.Errorf("scenario: journal of %s: %w", name, err)
 		}
 		d, err := differential.Check(func() (*journal.Reader, error) { return journal.OpenReader(journalPath(dir, name)) }, recs, differential.Options{Router: name})
 		if err != nil {
-			return nil, fmt.Errorf("day: journal of %s: %w", name, err)
+			return nil, fmt.Errorf("scenario: journal of %s: %w", name, err)
 		}
 		out = append(out, ReplayResult{name, r, d})
 	}
 	return out, nil
 }
 
-// machine is a stand-in of the day, over its lives.
+// machine is a test server or cache node of the day. Its process may be restarted.
 type machine struct {
 	config     testserver.Config
 	member     engine.Row
 	process    *process
 	address    string
-	faultUntil float64 // until when a trouble has it
+	faultUntil float64 // end of the latest fault that affects it
 }
 
-// Day is a day being played.
+// Day is a run of a day script.
 type Day struct {
 	script     *Script
 	options    Options
@@ -120,7 +121,7 @@
 	order          []string
 	routers        []*router
 	list           *testserver.List
-	controlService *controlService // nil: the day has none
+	controlService *controlService // nil: the script has none
 	processFaults  activeFaults
 	origin         *machine
 	http           *http.Client
@@ -130,7 +131,7 @@
 	errs           []error
 }
 
-// diversion draws a share of the requests for a while.
+// diversion directs a share of the requests to other objects until a time.
 type diversion struct {
 	name  string
 	share float64
@@ -156,11 +157,11 @@
 	return r.endpoint.generation
 }
 
-// Run plays a day to its end and judges it.
+// Run runs a day script to its end and checks the rules.
 func Run(ctx context.Context, s *Script, o Options) (*Result, error) {
 	if o.Routers > 0 {
 		s.Day.Routers = o.Routers
-		for i := range s.Faults { // "all of them" stays so
+		for i := range s.Faults { // no more than there are
 			s.Faults[i].Routers = min(s.Faults[i].Routers, o.Routers)
 		}
 	}
@@ -232,7 +233,8 @@
 	d.mu.Unlock()
 }
 
-// startAll starts list, stand-ins and routers.
+// startAll starts the discovery service, the control service, the test servers and the
+// routers.
 func (d *Day) startAll(ctx context.Context) error {
 	s := d.script
 	var err error
@@ -290,7 +292,7 @@
 	return nil
 }
 
-// addMachine starts a machine and lists it.
+// addMachine starts a new machine and publishes it as a member.
 func (d *Day) addMachine(ctx context.Context, c testserver.Config) (*machine, error) {
 	st := &d.script.Stand
 	c.Flow, c.FillFlow, c.FillWait, c.FallTime, c.Feedback = st.Flow, st.FillFlow, st.FillWait, d.script.Rules.OverloadTime, st.Feedback
@@ -304,7 +306,8 @@
 	return m, d.startMachine(ctx, m, false)
 }
 
-// startMachine starts a machine's next life and tells the list of it.
+// startMachine starts the machine's process, again if it ran before, and publishes the member
+// as serving.
 func (d *Day) startMachine(ctx context.Context, m *machine, cold bool) error {
 	m.member.Start++
 	m.config.Start, m.config.Cold = m.member.Start, cold
@@ -334,7 +337,7 @@
 	}
 	var up trafficlog.Record
 	if err := json.Unmarshal([]byte(line), &up); err != nil || up.Event != trafficlog.Started {
-		return fmt.Errorf("day: %s began with %q", m.config.ID, line)
+		return fmt.Errorf("scenario: %s: unexpected first line %q", m.config.ID, line)
 	}
 	m.address = up.Addr
 	m.member.Address, m.member.State = up.Addr, "serving"
@@ -346,7 +349,8 @@
 	return nil
 }
 
-// publishMember is news of a member, by the list service or by versions.
+// publishMember publishes a member's state through the discovery service or, where
+// settings versions list the members, through the control service.
 func (d *Day) publishMember(row engine.Row, since float64) {
 	if d.controlService != nil && !d.controlService.settings.FromList {
 		d.controlService.setMember(row)
@@ -355,7 +359,7 @@
 	d.list.Set(row, since)
 }
 
-// routerSettings are what a router's file says.
+// routerSettings returns the settings for a router's file.
 func (d *Day) routerSettings(name, zone string, index int) *config.Settings {
 	list := d.list.Addr()
 	if d.controlService != nil && !d.controlService.settings.FromList {
@@ -384,7 +388,7 @@
 	if err != nil {
 		return err
 	}
-	// known before its first attempt can be: a new life begins here
+	// The start is recorded before the router can send its first attempt.
 	d.trafficLog.Add(trafficlog.Record{Event: trafficlog.Started, Subject: r.endpoint.name, Role: "router", Note: r.endpoint.zone})
 	p, err := startProcess(d.options.Self, ChildRouter, in, r.log, d.handleOutput)
 	if err != nil {
@@ -397,7 +401,7 @@
 	}
 	var client, admin string
 	if _, err := fmt.Sscan(addr, &client, &admin); err != nil {
-		return fmt.Errorf("day: %s began with %q", r.endpoint.name, addr)
+		return fmt.Errorf("scenario: %s: unexpected first line %q", r.endpoint.name, addr)
 	}
 	r.endpoint.setAddress(client, admin)
 	if d.controlService != nil && !d.controlService.settings.FromList {
@@ -406,7 +410,7 @@
 	return nil
 }
 
-// killAll kills what still runs.
+// killAll kills the processes that still run.
 func (d *Day) killAll() {
 	d.mu.Lock()
 	machines, routers := d.machines, d.routers
@@ -433,7 +437,7 @@
 	}
 }
 
-// play lets clients come and troubles happen, to the day's end.
+// play generates the clients' requests and injects the faults until the day's end.
 func (d *Day) play(ctx context.Context) error {
 	s := d.script
 	sleep(ctx, s.Day.Settle)
@@ -466,7 +470,7 @@
 		arrivals.Add(1)
 		go func() { defer arrivals.Done(); d.controlService.pushChanges(during) }()
 	}
-	var troubles sync.WaitGroup
+	var faults sync.WaitGroup
 	list := append([]FaultSpec(nil), s.Faults...)
 	sort.SliceStable(list, func(i, j int) bool { return list[i].At < list[j].At })
 	for n, t := range list {
@@ -478,9 +482,9 @@
 		targets := d.chooseTargets(t, rng)
 		d.logProgress("%6.1f s  %s for %.1f s: %s", (trafficlog.Now()-begin)/1000, t.Kind, t.Duration/1000, strings.Join(targets, " "))
 		d.trafficLog.Add(trafficlog.Record{Event: trafficlog.Fault, Note: "begin " + name, Limit: t.Duration, Source: strings.Join(targets, " ")})
-		troubles.Add(1)
+		faults.Add(1)
 		go func() {
-			defer troubles.Done()
+			defer faults.Done()
 			d.addError(d.applyFault(ctx, t, targets, rng))
 			d.trafficLog.Add(trafficlog.Record{Event: trafficlog.Fault, Note: "end " + name})
 		}()
@@ -488,8 +492,8 @@
 	sleep(ctx, begin+s.Day.Length-trafficlog.Now())
 	stop()
 	arrivals.Wait()
-	d.wg.Wait() // each try has its limit, and repeats end with the day
-	troubles.Wait()
+	d.wg.Wait() // each try has a deadline, and no retries begin after the day's end
+	faults.Wait()
 	sleep(ctx, s.Day.Settle/4)
 	return ctx.Err()
 }
@@ -506,7 +510,7 @@
 	}
 }
 
-// routerFor is a router of a zone.
+// routerFor returns a random router of a zone.
 func (d *Day) routerFor(zone string, rng *rand.Rand) *routerEndpoint {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -519,8 +523,8 @@
 	return list[rng.IntN(len(list))]
 }
 
-// chooseTargets says which machines a trouble meets; one that another trouble has is
-// passed over, unless there are no others.
+// chooseTargets chooses the machines that a fault affects. It prefers machines that no other
+// fault affects at present.
 func (d *Day) chooseTargets(t FaultSpec, rng *rand.Rand) (targets []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -560,7 +564,7 @@
 		for _, i := range rng.Perm(len(d.routers))[:t.Routers] {
 			targets = append(targets, d.routers[i].endpoint.name)
 		}
-	case contains(processKinds, t.Kind): // kills and drains meet these as others
+	case contains(processKinds, t.Kind): // other faults may affect the same processes at the same time
 		targets = d.chooseProcesses(t, rng)
 	default:
 		choose("box", t.Boxes)
@@ -570,7 +574,7 @@
 	return targets
 }
 
-// applyFault carries one trouble out, to its end.
+// applyFault carries out a fault and returns at its end.
 func (d *Day) applyFault(ctx context.Context, t FaultSpec, targets []string, rng *rand.Rand) error {
 	now := trafficlog.Now()
 	if contains(controlKinds, t.Kind) {
@@ -586,7 +590,7 @@
 			sleep(ctx, t.Duration)
 			return d.startMachine(ctx, m, true)
 		})
-	case testserver.Vanish: // silent, and then back cold and empty; the list sees a process all the while
+	case testserver.Vanish: // does not answer, then starts again cold and empty; stays listed as serving all the time
 		return d.forEachMachine(targets, func(m *machine) error {
 			if err := d.sendFault(m, testserver.Fault{Kind: t.Kind, For: t.Duration}); err != nil {
 				return err
@@ -670,7 +674,7 @@
 	return nil
 }
 
-// forEachMachine does something to several machines at once.
+// forEachMachine calls f concurrently for each of the machines.
 func (d *Day) forEachMachine(ids []string, f func(*machine) error) error {
 	errs := make([]error, len(ids))
 	var wg sync.WaitGroup
@@ -692,7 +696,8 @@
 	return d.machines[id]
 }
 
-// killMachine kills a machine by SIGKILL; state, if given, is what the list says of it.
+// killMachine kills the machine's process by SIGKILL. If state is not empty, it publishes
+// the member with that state.
 func (d *Day) killMachine(m *machine, state string) {
 	d.trafficLog.Add(trafficlog.Record{Event: trafficlog.Killed, Subject: m.config.ID, Role: m.config.Role, Start: m.config.Start})
 	m.process.kill()
@@ -716,12 +721,12 @@
 		return err
 	}
 	if err := fetchJSON(d.http, req, out); err != nil {
-		return fmt.Errorf("day: %s: %w", m.config.ID, err)
+		return fmt.Errorf("scenario: %s: %w", m.config.ID, err)
 	}
 	return nil
 }
 
-// sendFault tells a machine of its trouble, also while a day is being ended.
+// sendFault has a test server carry out a fault. It is not canceled at the day's end.
 func (d *Day) sendFault(m *machine, f testserver.Fault) error {
 	return d.post(context.Background(), m, "/-/fault", f, nil)
 }
@@ -732,8 +737,8 @@
 	Made   float64 `json:"made"`
 }
 
-// purge makes a purge at the origin, has the list tell of it, and caches drop
-// their copies in their own time.
+// purge makes a purge at the origin and informs the routers. Each cache is sent the purge
+// after a delay of its own, at most 0.9 times PurgeTime.
 func (d *Day) purge(ctx context.Context, object string, group int) error {
 	w := purgeRequest{Object: object, Group: group}
 	if err := d.post(context.Background(), d.origin, "/-/purge", w, &w); err != nil {
@@ -757,7 +762,7 @@
 				return
 			}
 			err := d.retryDuringFolderFault(ctx, id, func() error { return d.post(context.Background(), m, "/-/purge", w, nil) })
-			if errors.Is(err, errNotRecovered) { // one that is down has nothing to drop
+			if errors.Is(err, errNotRecovered) { // a machine that is down has no copies to drop
 				d.addError(fmt.Errorf("%s and a purge: %w", id, err))
 			}
 		}()
@@ -765,7 +770,7 @@
 	return nil
 }
 
-// purgePeriodically purges single objects all day.
+// purgePeriodically purges single objects at random times until the context ends.
 func (d *Day) purgePeriodically(ctx context.Context) {
 	if d.script.Day.PurgeRate <= 0 {
 		return
--- a/internal/testbed/scenario/script.go
+++ b/internal/testbed/scenario/script.go
@@ -1,7 +1,8 @@
-// Package scenario plays scripted days: a fleet of test servers, separate router processes
-// in front of them, clients with open-loop arrivals, and faults at their times. What passed
-// on the sockets goes to a traffic log (internal/testbed/trafficlog); the five rules are
-// judged from it (internal/testbed/invariants). A scenario decides nothing of a router's.
+// Package scenario runs scripted test scenarios, called days: a fleet of test servers,
+// separate router processes in front of them, clients with open-loop arrivals, and faults
+// injected at scheduled times. Test servers and clients record their traffic in a traffic
+// log (internal/testbed/trafficlog), and the five rules are checked against it
+// (internal/testbed/invariants). A scenario does not influence the routers' decisions.
 package scenario
 
 import (
@@ -14,8 +15,8 @@
 	"indigospool/internal/testbed/testserver"
 )
 
-// Script is a day. Spans are in ms, sizes in KB, rates in KB a ms or requests
-// a second.
+// Script is a day script. Times are in ms, sizes in KB, transfer rates in KB per ms and
+// request rates per second.
 type Script struct {
 	Day     DaySettings         `edn:"day,required"`
 	Stand   testserver.Stand    `edn:"stand"`
@@ -32,23 +33,23 @@
 	Control ControlSettings     `edn:"control"`
 }
 
-// DaySettings is the day as a whole.
+// DaySettings holds the settings of the day as a whole.
 type DaySettings struct {
 	Place           config.Place
 	Name            string  `edn:"@,required"`
 	Length          float64 `edn:"length" def:"60000" min:"500"`
-	Settle          float64 `edn:"settle" def:"2000" min:"0"` // before clients begin, and after the last
+	Settle          float64 `edn:"settle" def:"2000" min:"0"` // time before the first clients arrive; a quarter of it passes after the last have ended
 	Seed            int     `edn:"seed" def:"1"`
-	Routers         int     `edn:"routers" def:"2" min:"1"`  // over all zones that have boxes, in turn
-	Rate            float64 `edn:"rate" def:"100" min:"0.1"` // requests a second of all clients, retries apart
+	Routers         int     `edn:"routers" def:"2" min:"1"`  // assigned to the zones in turn
+	Rate            float64 `edn:"rate" def:"100" min:"0.1"` // requests per second of all clients, without retries
 	Retries         int     `edn:"retries" def:"2" min:"0"`
 	RetryWait       float64 `edn:"retry-wait" def:"250" min:"0"`
-	MinTimeoutShare float64 `edn:"patience" def:"0.7" min:"0.05" max:"1"` // least part of a class's deadline that a try waits
-	AbandonShare    float64 `edn:"leave" def:"0.01" min:"0" max:"1"`      // share of clients that leave before their time is out
-	PurgeRate       float64 `edn:"purges" def:"0.5" min:"0"`              // objects a second
+	MinTimeoutShare float64 `edn:"patience" def:"0.7" min:"0.05" max:"1"` // minimum timeout of a try, as a share of the class's deadline
+	AbandonShare    float64 `edn:"leave" def:"0.01" min:"0" max:"1"`      // share of tries whose client closes the connection early
+	PurgeRate       float64 `edn:"purges" def:"0.5" min:"0"`              // objects per second
 	Groups          int     `edn:"groups" def:"32" min:"1"`
-	ObservationSkew float64 `edn:"spread" def:"60" min:"0"`        // see rules.Figures
-	StaleListAge    float64 `edn:"stale-start" def:"3000" min:"0"` // a router that starts anew gets the list of so long ago
+	ObservationSkew float64 `edn:"spread" def:"60" min:"0"`        // see invariants.Parameters
+	StaleListAge    float64 `edn:"stale-start" def:"3000" min:"0"` // a starting router first gets the endpoint list of this many ms ago
 }
 
 // Zone is a location with boxes.
@@ -57,9 +58,9 @@
 	Name         string  `edn:"@,required"`
 	Hub          string  `edn:"hub" def:"hub"`
 	Boxes        int     `edn:"boxes" def:"3" min:"1"`
-	LinkCapacity float64 `edn:"link" min:"0"` // of all fills into the zone; 0: no limit
+	LinkCapacity float64 `edn:"link" min:"0"` // of all fills into the zone, KB per ms; 0: no limit
 	Share        float64 `edn:"share" def:"1" min:"0"`
-	MB           float64 `edn:"mb" def:"48" min:"0.1"` // a box
+	MB           float64 `edn:"mb" def:"48" min:"0.1"` // per box
 	Capacity     float64 `edn:"capacity" def:"10" min:"0.1"`
 	MaxFills     int     `edn:"fills" def:"24" min:"0"`
 }
@@ -72,18 +73,18 @@
 	Latency  float64 `edn:"latency" def:"8" min:"0"`
 }
 
-// Origin is where everything comes from.
+// Origin is the origin server of all objects.
 type Origin struct {
 	Capacity float64 `edn:"capacity" def:"40" min:"0.1"`
 	Latency  float64 `edn:"latency" def:"30" min:"0"`
 	Limit    int     `edn:"limit" min:"0"`
 }
 
-// Class is a class of requests, and how clients make them.
+// Class is a class of requests and describes how clients make them.
 type Class struct {
 	Place                config.Place
 	Name                 string  `edn:"@,required"`
-	Share                float64 `edn:"share" def:"1" min:"0"` // of the requests
+	Share                float64 `edn:"share" def:"1" min:"0"` // of all requests
 	KB                   float64 `edn:"kb" def:"60" min:"0.1"`
 	LatencyObjective     float64 `edn:"aim" def:"400" min:"1"`
 	ObjectivePerSendTime float64 `edn:"aim-stretch" def:"2" min:"0"`
@@ -93,12 +94,12 @@
 	Weight               float64 `edn:"weight" def:"1" min:"0.01"` // see config.Class
 	Objects              int     `edn:"objects" def:"300" min:"1"`
 	Zipf                 float64 `edn:"zipf" def:"1.1" min:"1.001"`
-	Parts                int     `edn:"parts" min:"0"`                  // mean parts of an object; 0: it has none
-	ContinueChance       float64 `edn:"stay" def:"0.9" min:"0" max:"1"` // chance that a client goes on to the next part
-	PartInterval         float64 `edn:"gap" def:"400" min:"0"`          // from part to part
+	Parts                int     `edn:"parts" min:"0"`                  // parts of an object; 0: objects have no parts
+	ContinueChance       float64 `edn:"stay" def:"0.9" min:"0" max:"1"` // probability that a client requests the next part
+	PartInterval         float64 `edn:"gap" def:"400" min:"0"`          // mean time between a client's requests for parts
 	Fresh                float64 `edn:"fresh" min:"0"`
 	Grace                float64 `edn:"grace" min:"0"`
-	PageFragments        int     `edn:"pages" min:"0" max:"1000"` // of a class of pages: fragments of each; 0: it is none
+	PageFragments        int     `edn:"pages" min:"0" max:"1000"` // of a class of pages: fragments per page; 0: not a class of pages
 	FragmentClass        string  `edn:"of"`                       // of a class of pages: the class of its fragments
 	Write                bool    `edn:"write"`
 	Idempotency          string  `edn:"effect" def:"free" oneof:"free guarded single-shot"`
@@ -106,53 +107,54 @@
 	KeyWindow            float64 `edn:"window" def:"2000" min:"0"`
 }
 
-// FaultSpec is something that goes wrong for a while.
+// FaultSpec is a fault that is injected at a time and for a duration.
 type FaultSpec struct {
 	Place         config.Place
 	Kind          string  `edn:"@,required"`
 	At            float64 `edn:"at,required" min:"0"`
 	Duration      float64 `edn:"for" def:"3000" min:"0"`
-	Boxes         int     `edn:"boxes" min:"0"` // how many of each it meets
+	Boxes         int     `edn:"boxes" min:"0"` // numbers of boxes, parents and routers that are affected
 	Parents       int     `edn:"parents" min:"0"`
 	Routers       int     `edn:"routers" min:"0"`
 	Origin        bool    `edn:"origin"`
-	Zone          string  `edn:"zone"`                     // only there; of zone-loss: the zone that is lost
+	Zone          string  `edn:"zone"`                     // only boxes of this zone; of zone-loss: the zone that is lost
 	Share         float64 `edn:"share" min:"0" max:"1"`    // of attempts, of groups (flush) or of requests (hot-key, scan)
 	Factor        float64 `edn:"factor" def:"4" min:"1"`   // of slow and ageing
 	PauseInterval float64 `edn:"every" def:"1000" min:"1"` // of pauses
 	PauseLength   float64 `edn:"length" def:"200" min:"1"`
 	Clients       int     `edn:"clients" min:"0"`           // of slow-readers and slow-askers
-	ReadRate      float64 `edn:"rate" def:"1" min:"0"`      // KB a second that slow-readers take
-	DrainNotice   float64 `edn:"notice" def:"1500" min:"0"` // of preempt: from the drain to the end
-	Control       bool    `edn:"control"`                   // of troubles inside processes: the control service too
-	Plan          string  `edn:"plan"`                      // of syscalls: which calls fail, how and how often
-	Peer          string  `edn:"peer"`                      // of syscalls: whose connections it meets
-	Step          float64 `edn:"step"`                      // of clock-step
-	Errno         string  `edn:"errno"`                     // of folder-fault
+	ReadRate      float64 `edn:"rate" def:"1" min:"0"`      // KB per second that slow-readers read
+	DrainNotice   float64 `edn:"notice" def:"1500" min:"0"` // of preempt: time from the drain to the kill
+	Control       bool    `edn:"control"`                   // of process faults: the control service is affected too
+	Plan          string  `edn:"plan"`                      // of syscalls: see faultinject.Parse
+	Peer          string  `edn:"peer"`                      // of syscalls: members or clients, whose connections are affected; empty: both
+	Step          float64 `edn:"step"`                      // of clock-step: ms by which the clock is set
+	Errno         string  `edn:"errno"`                     // of folder-fault: name of the error
 }
 
-// name is what the trouble is called where it is told of.
+// name returns the name of the fault in output and in the traffic log.
 func (t *FaultSpec) name() string { return fmt.Sprintf("%s@%.1fs", t.Kind, t.At/1000) }
 
-// Troubles that the day itself carries out; the others are faults of stand-ins.
+// The faults that the scenario itself carries out. The test servers carry out those in
+// testserver.Kinds.
 const (
-	Crash          = "crash"       // processes are killed, and come back cold
-	Drain          = "drain"       // boxes drain, and serve again
-	Preempt        = "preempt"     // boxes drain, end, and are replaced by cold ones
-	ZoneLoss       = "zone-loss"   // all boxes of a zone, or the parents, at once
-	RouterKill     = "router-kill" // routers are killed, and start with an old list
+	Crash          = "crash"       // test servers are killed and start again cold
+	Drain          = "drain"       // members are draining for a time, then serving again
+	Preempt        = "preempt"     // members drain, are killed, and are replaced by cold ones
+	ZoneLoss       = "zone-loss"   // all boxes of a zone, or all parents, crash at once
+	RouterKill     = "router-kill" // routers are killed and start with an old endpoint list
 	Flush          = "flush"       // a share of the groups is purged at once
 	HotKey         = "hot-key"     // a share of the requests is for one new object
-	Scan           = "scan"        // a share of the requests is for objects wanted once
+	Scan           = "scan"        // a share of the requests is for objects that are requested only once
 	OriginSlow     = "origin-slow"
-	ListDisconnect = "list-cut"  // the list's streams are cut in a line
-	ListRollback   = "list-back" // and come back with an older version
+	ListDisconnect = "list-cut"  // the streams of the discovery service are cut
+	ListRollback   = "list-back" // the streams are cut, and resume with an older version
 	ListDown       = "list-down"
 )
 
 var dayKinds = []string{SlowReaders, SlowSenders, RouterRestart, Crash, Drain, Preempt, ZoneLoss, RouterKill, Flush, HotKey, Scan, OriginSlow, ListDisconnect, ListRollback, ListDown}
 
-// Check tells what contradicts itself.
+// Check reports settings that contradict each other.
 func (s *Script) Check(f *config.Faults) {
 	add := func(p config.Pos, key, what, remedy string) {
 		*f = append(*f, config.Fault{Pos: p, Key: key, What: what, Remedy: remedy})
@@ -175,7 +177,7 @@
 	names := map[string]bool{}
 	for _, c := range s.Classes {
 		if names[c.Name] || strings.ContainsAny(c.Name, "/ ?#%") {
-			add(c.Place.Pos, "class", fmt.Sprintf("class %q is named twice, or can't stand in a path", c.Name), "give it another name")
+			add(c.Place.Pos, "class", fmt.Sprintf("class %q is named twice, or has a character that is not allowed in a path", c.Name), "give it another name")
 		}
 		names[c.Name] = true
 		if c.LatencyObjective > c.Deadline {
@@ -237,7 +239,7 @@
 	return false
 }
 
-// RuleParameters are what the rules are judged by.
+// RuleParameters returns the limits that the rules are checked with.
 func (s *Script) RuleParameters() invariants.Parameters {
 	f := invariants.Parameters{AnswerSlack: s.Limits.AnswerSlack, DrainGrace: s.Rules.DrainGrace, WarmUpInitialShare: s.Rules.WarmUpInitialShare,
 		WarmUpTime: s.Rules.WarmUpTime, OverloadFactor: s.Rules.OverloadFactor, OverloadTime: s.Rules.OverloadTime,
@@ -251,8 +253,8 @@
 	return f
 }
 
-// rulesNotExercised are the rules that nothing in the script tries: drains and removals try
-// rule 3, cold starts rule 4, purges rule 5.
+// rulesNotExercised returns the rules that nothing in the script exercises. Drains and
+// removals exercise rule 3, cold starts rule 4, and purges rule 5.
 func (s *Script) rulesNotExercised() (rules []int) {
 	exercised := [6]bool{5: s.Day.PurgeRate > 0}
 	for _, t := range s.Faults {
@@ -275,7 +277,7 @@
 	return rules
 }
 
-// Settings are the settings of one of the day's routers.
+// Settings returns the settings of one router of the day.
 func (s *Script) Settings(name, zone string, index int, list string) *config.Settings {
 	c := config.Defaults()
 	c.Limits, c.Rules, c.Fill, c.Pages = s.Limits, s.Rules, s.Fill, s.Pages
--- a/internal/testbed/scenario/sluggish.go
+++ b/internal/testbed/scenario/sluggish.go
@@ -12,17 +12,18 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// Clients that make trouble. They are nobody's users: what becomes of them is not
-// counted, and they stand in no tap; what they have routers do at members does.
+// Faults by slow clients. The requests of these clients are neither counted nor recorded in
+// the traffic log, but the attempts that routers make for them are.
 const (
-	SlowReaders = "slow-readers" // ask for much, and read (rate n) KB a second of it
-	SlowSenders = "slow-askers"  // send their requests a byte a second
+	SlowReaders = "slow-readers" // request large objects and read (rate n) KB per second
+	SlowSenders = "slow-askers"  // send their requests at one byte per second
 )
 
-// RouterRestart has new processes take over from routers, one after the other.
+// RouterRestart hot-restarts routers one after the other.
 const RouterRestart = "router-restart"
 
-// hasRouterRestart reports whether routers are restarted: only then they have sockets for it.
+// hasRouterRestart reports whether the script hot-restarts routers. Only then do routers get
+// a hot-restart socket.
 func (s *Script) hasRouterRestart() bool {
 	for _, t := range s.Faults {
 		if t.Kind == RouterRestart {
@@ -36,8 +37,7 @@
 	return filepath.Join(d.dir, router+".handover")
 }
 
-// restart starts a process that takes over from a router's, and waits until that one
-// has ended by itself.
+// restart starts the successor of a router's process and waits until the predecessor exits.
 func (d *Day) restart(ctx context.Context, r *router) error {
 	old := r.process
 	if err := d.startRouter(ctx, r); err != nil {
@@ -48,14 +48,14 @@
 		return nil
 	case <-time.After(time.Duration(d.script.Limits.DrainTimeout+5000) * time.Millisecond):
 		old.kill()
-		return fmt.Errorf("day: %s did not end after its successor took over", r.endpoint.name)
+		return fmt.Errorf("scenario: %s did not exit within %.0f ms after its successor took over", r.endpoint.name, d.script.Limits.DrainTimeout+5000)
 	case <-ctx.Done():
 		return nil
 	}
 }
 
-// runSlowClients holds a trouble's clients at the routers, until its end. Who is cut off
-// comes again after a second.
+// runSlowClients keeps a fault's slow clients connected to the routers until the fault's end.
+// A client whose connection was closed connects again after a second.
 func (d *Day) runSlowClients(ctx context.Context, t FaultSpec) error {
 	ctx, stop := context.WithTimeout(ctx, time.Duration(t.Duration*float64(time.Millisecond)))
 	defer stop()
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// restartAll restarts the routers that a trouble meets.
+// restartAll hot-restarts the target routers of a fault.
 func (d *Day) restartAll(ctx context.Context, targets []string) error {
 	for _, name := range targets {
 		for _, r := range d.routers {
--- a/internal/testbed/scenario/summary.go
+++ b/internal/testbed/scenario/summary.go
@@ -10,19 +10,19 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// ClassSummary is what became of the requests of a class, as clients saw it.
+// ClassSummary counts the outcomes of a class's requests as clients observed them.
 type ClassSummary struct {
 	Class      string  `json:"class"`
-	Requests   int     `json:"requests"` // tries
-	Served     int     `json:"served"`   // whole, within the aim
-	Late       int     `json:"late"`     // whole, past the aim
-	Rejected   int     `json:"refused"`  // 503
-	Failed     int     `json:"failed"`   // other 4xx and 5xx
-	Incomplete int     `json:"broken"`   // begun, and not whole
-	Abandoned  int     `json:"gone"`     // the client left
-	Unreached  int     `json:"unreached"`
-	Unanswered int     `json:"unanswered"`
-	Hits       int     `json:"hits"` // of the nearest cache
+	Requests   int     `json:"requests"`   // tries, with retries
+	Served     int     `json:"served"`     // complete, within the latency objective
+	Late       int     `json:"late"`       // complete, past the latency objective
+	Rejected   int     `json:"refused"`    // status 503
+	Failed     int     `json:"failed"`     // other 4xx and 5xx
+	Incomplete int     `json:"broken"`     // the response ended early
+	Abandoned  int     `json:"gone"`       // the client closed the connection
+	Unreached  int     `json:"unreached"`  // no router accepted the request
+	Unanswered int     `json:"unanswered"` // no response
+	Hits       int     `json:"hits"`       // served from the nearest cache
 	Retries    int     `json:"retries"`
 	Attempts   int     `json:"attempts"`
 	MB         float64 `json:"mb"`
@@ -31,27 +31,28 @@
 	P999       float64 `json:"p999_ms"`
 }
 
-// FaultImpact is what the requests fared while a trouble lasted, and 2 s after it.
+// FaultImpact compares the requests made during a fault and in the 2 s after it with those
+// made at other times.
 type FaultImpact struct {
 	Fault            string  `json:"trouble"`
 	Requests         int     `json:"requests"`
-	InTime           float64 `json:"in_time"`  // share of all
-	InTimeOfAccepted float64 `json:"of_taken"` // share of those whose connection a router took
-	InTimeOutside    float64 `json:"outside"`  // the same where no trouble was
+	InTime           float64 `json:"in_time"`  // share of all requests served within the latency objective
+	InTimeOfAccepted float64 `json:"of_taken"` // the same, of the requests that a router accepted
+	InTimeOutside    float64 `json:"outside"`  // as InTime, of the requests outside any fault
 }
 
-// Summary is a day in figures.
+// Summary holds the counts of a run.
 type Summary struct {
 	Classes      []ClassSummary `json:"classes"`
 	LinkMB       float64        `json:"link_mb"`   // fills into boxes
-	ParentMB     float64        `json:"parent_mb"` // given by parents
+	ParentMB     float64        `json:"parent_mb"` // sent by parents
 	OriginMB     float64        `json:"origin_mb"`
 	Attempts     int            `json:"attempts"`
-	UpdatesSent  int            `json:"told"` // rows and purges told to routers
+	UpdatesSent  int            `json:"told"` // list updates and purges sent to routers
 	FaultImpacts []FaultImpact  `json:"costs"`
 }
 
-// Summarize counts a tap.
+// Summarize counts the outcomes in a traffic log.
 func Summarize(s *Script, recs []trafficlog.Record) Summary {
 	var out Summary
 	classes := map[string]*ClassSummary{}
@@ -66,7 +67,7 @@
 		ask      *trafficlog.Record
 		head     *trafficlog.Record
 		inTime   bool
-		accepted bool // a router had taken its connection
+		accepted bool // a router had accepted it
 	}
 	tries := map[string]*try{}
 	type span struct {
@@ -184,7 +185,7 @@
 	return out
 }
 
-// String is the summary as text.
+// String returns the summary as text.
 func (s Summary) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-14s %8s %8s %6s %8s %7s %7s %6s %8s %7s %7s %9s %9s %9s\n", "class", "requests", "served", "late", "refused",
--- a/internal/testbed/scenario/versions.go
+++ b/internal/testbed/scenario/versions.go
@@ -27,44 +27,45 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// ControlSettings has the routers of a day follow a control service, a process of
-// its own. Spans are in ms.
+// ControlSettings configures a control service, in a process of its own, that the routers
+// follow. Times are in ms.
 type ControlSettings struct {
 	Place              config.Place
 	On                 bool    `edn:"on"`
-	FromList           bool    `edn:"from-list"`                               // members come from the list service, not from versions
-	Protocol           string  `edn:"protocol" def:"delta" oneof:"delta full"` // of the stream
-	StageTime          float64 `edn:"hold" def:"400" min:"1"`                  // of a stage
-	ApplyJitter        float64 `edn:"spread" def:"200" min:"1"`                // of the uses of a version
-	ConvergenceTimeout float64 `edn:"level" def:"8000" min:"100"`              // within which the fleet must be level again
-	StreamsPerSecond   float64 `edn:"per-second" def:"100" min:"0.1"`          // streams that may begin
-	PurgeFrom          float64 `edn:"purge-from" def:"50" min:"0"`             // of versions: purges reach each router after so long
-	PurgeTo            float64 `edn:"purge-to" def:"300" min:"0"`              //
-}
-
-// Troubles with versions. Each is a step that waits for what the fleet should be
-// like then, and fails the day where it is not.
+	FromList           bool    `edn:"from-list"`                               // members come from the discovery service, not from settings versions
+	Protocol           string  `edn:"protocol" def:"delta" oneof:"delta full"` // of the stream to routers
+	StageTime          float64 `edn:"hold" def:"400" min:"1"`                  // duration of a rollout stage
+	ApplyJitter        float64 `edn:"spread" def:"200" min:"1"`                // range over which routers spread the activation of a version
+	ConvergenceTimeout float64 `edn:"level" def:"8000" min:"100"`              // time within which all routers must run the last version
+	StreamsPerSecond   float64 `edn:"per-second" def:"100" min:"0.1"`          // new streams that the service accepts
+	PurgeFrom          float64 `edn:"purge-from" def:"50" min:"0"`             // if versions list the members: minimum delay of a purge to a router
+	PurgeTo            float64 `edn:"purge-to" def:"300" min:"0"`              // and the maximum
+}
+
+// Faults of the control service and its settings versions. Each is a step that waits for the
+// expected state of the fleet and fails the day if that state is not reached.
 const (
-	VersionGood    = "version-good"    // other limits, by stages
-	VersionBad     = "version-bad"     // names a draining box as a fill source: routers refuse it, and it is halted
-	VersionRepeat  = "version-repeat"  // the same content again, under a new number
-	ControlDown    = "control-down"    // the service is killed, and starts again from its store
-	ControlFlap    = "control-flap"    // the same every so often
-	ControlStopped = "control-stopped" // the process stands still
-	ControlOlder   = "control-older"   // it is killed and comes back with an older store
+	VersionGood    = "version-good"    // a version with other limits is rolled out in stages
+	VersionBad     = "version-bad"     // a version names a draining box as a fill source; routers reject it and the rollout halts
+	VersionRepeat  = "version-repeat"  // the same content is pushed again under a new number
+	ControlDown    = "control-down"    // the service is killed and started again from its store
+	ControlFlap    = "control-flap"    // the service is killed and started again repeatedly
+	ControlStopped = "control-stopped" // the service's process is stopped by SIGSTOP for a time
+	ControlOlder   = "control-older"   // the service is killed and started again from an older store
 )
 
 var controlKinds = []string{VersionGood, VersionBad, VersionRepeat, ControlDown, ControlFlap, ControlStopped, ControlOlder}
 
-// VersionStep is what became of a trouble with versions.
+// VersionStep is the result of a fault of the control service.
 type VersionStep struct {
 	Name       string  `json:"name"`
-	DurationMS float64 `json:"took_ms"` // until the fleet was as it should be
-	Outcome    string  `json:"until"`
-	Failure    string  `json:"wrong,omitempty"` // in what it was not
+	DurationMS float64 `json:"took_ms"`         // until the fleet reached the expected state
+	Outcome    string  `json:"until"`           // the state that was reached
+	Failure    string  `json:"wrong,omitempty"` // why the expected state was not reached
 }
 
-// controlService is the day's control service and what routers are to be told.
+// controlService runs the day's control service and holds the members and purges that are
+// published through it.
 type controlService struct {
 	d            *Day
 	settings     ControlSettings
@@ -76,10 +77,10 @@
 
 	mu           sync.Mutex
 	members      map[string]engine.Row
-	versionCount int // a limit that changes with each good version
+	versionCount int // number of versions with changed content; added to a limit to change it
 	changed      chan struct{}
 	steps        []VersionStep
-	stepMu       sync.Mutex // one step at a time
+	stepMu       sync.Mutex // serializes steps
 	purges       []madePurge
 }
 
@@ -89,9 +90,9 @@
 	made   float64
 }
 
-// runControlService is the service as a machine of a day. It writes to the tap what
-// it sends: a version that does not pass the checks tells of no members, since
-// no router may go by it.
+// runControlService runs the control service as a machine of a day. It records the members
+// that each sent version lists. A version that fails the checks counts as listing none, since
+// no router may apply it.
 func runControlService() error {
 	var set service.Settings
 	in, faults, err := readSettings(&set)
@@ -100,7 +101,7 @@
 	}
 	out := trafficlog.NewWriter(os.Stdout)
 	var mu sync.Mutex
-	parsed := map[string]*config.Settings{} // by sum; nil: tells of nothing
+	parsed := map[string]*config.Settings{} // by the version's sum; nil: invalid
 	svc, err := service.StartWithFiles(faultyFiles{faults: faults}, &set, zap.NewNop(), func(router string, v configversion.Version) {
 		mu.Lock()
 		s, known := parsed[v.Sum]
@@ -130,7 +131,7 @@
 	return nil
 }
 
-// startControl starts the service, on the address that it had before.
+// start starts the service, after a restart on the same addresses.
 func (c *controlService) start(ctx context.Context) error {
 	listen, admin := "127.0.0.1:0", "127.0.0.1:0"
 	if c.address != "" {
@@ -145,14 +146,14 @@
 		return err
 	}
 	var last error
-	for range 20 { // the address may take a moment to be free
+	for range 20 { // after a kill the address may not be free at once
 		if c.process, err = startProcess(c.d.options.Self, ChildControl, text, io.Discard, c.d.handleOutput); err != nil {
 			return err
 		}
 		line, err := c.process.awaitFirstLine(ctx)
 		if err == nil {
 			if _, err := fmt.Sscan(line, &c.address, &c.adminAddress); err != nil {
-				return fmt.Errorf("day: the control service began with %q", line)
+				return fmt.Errorf("scenario: control service: unexpected first line %q", line)
 			}
 			return nil
 		}
@@ -161,10 +162,10 @@
 		}
 		sleep(ctx, 100)
 	}
-	return fmt.Errorf("day: control service: %w", last)
+	return fmt.Errorf("scenario: start the control service: %w", last)
 }
 
-// versionText is the settings of a version, with the rows as they are now.
+// versionText returns the settings of a version with the present members.
 func (c *controlService) versionText(extra func(*config.Settings)) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -184,7 +185,7 @@
 	return service.Canonical(s)
 }
 
-// setMember is news of a member.
+// setMember updates a member and has pushChanges push it.
 func (c *controlService) setMember(row engine.Row) {
 	c.mu.Lock()
 	c.members[row.ID] = row
@@ -195,8 +196,8 @@
 	}
 }
 
-// pushChanges pushes versions as members change, to all at once: a drain does not
-// wait for stages. While the service is down, changes wait for it.
+// pushChanges pushes a version after each change of members, to all routers at once, so that
+// drains do not wait for rollout stages. It retries while the service is down.
 func (c *controlService) pushChanges(ctx context.Context) {
 	for {
 		select {
@@ -224,7 +225,7 @@
 	return fetchJSON(c.http, req, out)
 }
 
-// statusError is an answer that is none of success.
+// statusError is a response with a status other than 2xx.
 type statusError struct {
 	path   string
 	status int
@@ -232,7 +233,9 @@
 	body   string
 }
 
-func (e *statusError) Error() string { return fmt.Sprintf("day: %s: %s: %s", e.path, e.text, e.body) }
+func (e *statusError) Error() string {
+	return fmt.Sprintf("scenario: %s: %s: %s", e.path, e.text, e.body)
+}
 
 func fetchJSON(h *http.Client, req *http.Request, out any) error {
 	res, err := h.Do(req)
@@ -266,7 +269,7 @@
 	return v, err
 }
 
-// routerStatus is what a router's /state says of versions.
+// routerStatus holds the part of a router's /state that describes settings versions.
 type routerStatus struct {
 	Version  int64 `json:"version"`
 	Versions struct {
@@ -289,8 +292,8 @@
 	return s, fetchJSON(d.http, req, &s)
 }
 
-// awaitConvergence waits until the service holds its last number to be everybody's and
-// every router that lives says that it runs it.
+// awaitConvergence waits until the service reports its last version, of number atLeast or
+// higher, as the base of all routers, and each running router reports that it runs it.
 func (c *controlService) awaitConvergence(ctx context.Context, atLeast int64) (took float64, err error) {
 	began := trafficlog.Now()
 	why := ""
@@ -302,38 +305,39 @@
 			return 0, ctx.Err()
 		}
 	}
-	return 0, fmt.Errorf("day: the fleet is not level after %.0f ms: %s", c.settings.ConvergenceTimeout, why)
+	return 0, fmt.Errorf("scenario: the routers do not all run the last version after %.0f ms: %s", c.settings.ConvergenceTimeout, why)
 }
 
+// divergence returns why the fleet has not converged; empty if it has.
 func (c *controlService) divergence(ctx context.Context, atLeast int64) string {
 	v, err := c.status(ctx)
 	switch {
 	case err != nil:
 		return err.Error()
 	case v.Next != 0 || v.Base < atLeast:
-		return fmt.Sprintf("version %d is everybody's, %d is on its way, %d or more is waited for", v.Base, v.Next, atLeast)
+		return fmt.Sprintf("version %d is the base, %d is being rolled out, want %d or higher as the base", v.Base, v.Next, atLeast)
 	}
 	connected := map[string]bool{}
 	for _, r := range v.Routers {
 		if connected[r.Router] = r.Connected; r.Connected && r.Running < v.Base {
-			return fmt.Sprintf("the service knows %s to have accepted %d, refused %d: %s", r.Router, r.Running, r.Rejected, strings.Join(r.Reasons, "; "))
+			return fmt.Sprintf("the service reports that %s runs version %d and rejected %d: %s", r.Router, r.Running, r.Rejected, strings.Join(r.Reasons, "; "))
 		}
 	}
 	for _, r := range c.d.runningRouters() {
 		s, err := c.d.routerState(ctx, r)
 		switch {
 		case err != nil:
-			continue // killed meanwhile
+			continue // the router was killed meanwhile
 		case s.Version < v.Base:
-			return fmt.Sprintf("%s runs %d, %d is everybody's", r.endpoint.name, s.Version, v.Base)
+			return fmt.Sprintf("%s runs version %d, the base is %d", r.endpoint.name, s.Version, v.Base)
 		case !connected[r.endpoint.name]:
-			return fmt.Sprintf("%s has no stream", r.endpoint.name)
+			return fmt.Sprintf("%s has no stream to the service", r.endpoint.name)
 		}
 	}
 	return ""
 }
 
-// runningRouters are the routers that are not killed.
+// runningRouters returns the routers that are running.
 func (d *Day) runningRouters() (out []*router) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -352,16 +356,16 @@
 	c.d.logProgress("          %s: %s after %.0f ms", name, until, took)
 }
 
-// applyFault carries out a trouble with versions, to the state that should follow.
+// applyFault carries out a fault of the control service and waits for the expected state.
 func (c *controlService) applyFault(ctx context.Context, t FaultSpec) error {
 	c.stepMu.Lock()
 	defer c.stepMu.Unlock()
 	name := t.name()
 	began := trafficlog.Now()
 	addFailure := func(err error) error {
-		if err != nil && ctx.Err() == nil { // the day goes on, so that the rules can be judged
+		if err != nil && ctx.Err() == nil { // the run continues, so that the rules are checked
 			c.mu.Lock()
-			c.steps = append(c.steps, VersionStep{Name: name, DurationMS: trafficlog.Now() - began, Failure: strings.TrimPrefix(err.Error(), "day: ")})
+			c.steps = append(c.steps, VersionStep{Name: name, DurationMS: trafficlog.Now() - began, Failure: strings.TrimPrefix(err.Error(), "scenario: ")})
 			c.mu.Unlock()
 			c.d.logProgress("          %s: WRONG: %v", name, err)
 		}
@@ -421,8 +425,8 @@
 	return nil
 }
 
-// pushChange pushes another limit to all at once and waits until all run it: also
-// those whose streams have yet to begin again.
+// pushChange pushes a version with a changed limit to all routers at once and waits until all
+// run it, including those that have yet to reconnect.
 func (c *controlService) pushChange(ctx context.Context) (int64, error) {
 	c.mu.Lock()
 	c.versionCount++
@@ -444,8 +448,8 @@
 	return nil
 }
 
-// verifyOutage lets time pass with no service, and sees that every router that lived
-// through it runs what it ran.
+// verifyOutage waits for a time without the service and checks that no router that was
+// running throughout has gone back to an older version.
 func (c *controlService) verifyOutage(ctx context.Context, span float64) error {
 	versions := map[*router]int64{}
 	generations := map[*router]int{}
@@ -461,14 +465,15 @@
 			continue
 		}
 		if s.Version < n {
-			return fmt.Errorf("%s ran %d, and %d without its service", r.endpoint.name, n, s.Version)
+			return fmt.Errorf("%s ran version %d, but %d after a time without the service", r.endpoint.name, n, s.Version)
 		}
 	}
 	return nil
 }
 
-// verifyBadVersion offers a version that names a draining box as a fill source: those who are
-// offered it refuse it, nobody runs it, and the old content follows.
+// verifyBadVersion pushes a version that names a draining box as a fill source. It checks
+// that the routers that receive it reject it, that none runs it, and that a version with the
+// old content follows.
 func (c *controlService) verifyBadVersion(ctx context.Context, name string) error {
 	began := trafficlog.Now()
 	n, err := c.push(ctx, c.versionText(func(s *config.Settings) {
@@ -483,7 +488,7 @@
 				last = i
 			}
 		}
-		s.Rules.DrainGrace *= 2 // no member is listed
+		s.Rules.DrainGrace *= 2 // versions list no members: loosen a rule instead
 	}), url.Values{"unchecked": {"1"}})
 	if err != nil {
 		return err
@@ -503,7 +508,7 @@
 					continue
 				}
 				if one.State != "refused" || !strings.Contains(strings.Join(one.Reasons, " "), want) {
-					return fmt.Errorf("%s takes version %d for %s: %v", r.endpoint.name, n, one.State, one.Reasons)
+					return fmt.Errorf("%s reports version %d as %s: %v", r.endpoint.name, n, one.State, one.Reasons)
 				}
 				rejections++
 			}
@@ -516,7 +521,7 @@
 			return nil
 		}
 		if trafficlog.Now()-began > c.settings.ConvergenceTimeout || !sleep(ctx, 10) {
-			return fmt.Errorf("no router has refused version %d after %.0f ms", n, c.settings.ConvergenceTimeout)
+			return fmt.Errorf("no router has rejected version %d after %.0f ms", n, c.settings.ConvergenceTimeout)
 		}
 	}
 	if _, err := c.awaitConvergence(ctx, n+1); err != nil {
@@ -526,8 +531,8 @@
 	return nil
 }
 
-// verifyOlderStore kills the service and starts it with the store of some versions ago:
-// routers keep what they have, and its next versions are above that.
+// verifyOlderStore kills the service and starts it from an older copy of its store. It checks
+// that routers keep their version and that the service's next versions have higher numbers.
 func (c *controlService) verifyOlderStore(ctx context.Context, name string, t FaultSpec) error {
 	backup := c.store + ".backup"
 	c.process.kill()
@@ -548,7 +553,7 @@
 	if err := c.start(ctx); err != nil {
 		return err
 	}
-	if err := c.verifyOutage(ctx, t.Duration); err != nil { // in effect: what it offers is older, and refused
+	if err := c.verifyOutage(ctx, t.Duration); err != nil { // the version that the service offers meanwhile is older, so routers reject it
 		return err
 	}
 	began := trafficlog.Now()
@@ -557,7 +562,7 @@
 		return err
 	}
 	if m <= n {
-		return fmt.Errorf("the service that came back with its past gives number %d; routers have accepted %d", m, n)
+		return fmt.Errorf("the service that restarted from an older store issues version %d; routers have accepted %d", m, n)
 	}
 	c.addStep(name, fmt.Sprintf("version %d everywhere from a service that had forgotten %d", m, n), trafficlog.Now()-began)
 	return nil
@@ -571,7 +576,8 @@
 	return os.WriteFile(to, b, 0o600)
 }
 
-// sendPurge tells routers of a purge by their listener for operators, late.
+// sendPurge sends a purge to the admin listener of each router, after a delay between
+// PurgeFrom and PurgeTo.
 func (c *controlService) sendPurge(ctx context.Context, object string, group int, made float64) {
 	p := madePurge{object, group, made}
 	c.mu.Lock()
@@ -589,7 +595,7 @@
 	}
 }
 
-// sendRecentPurges tells a router that has just started of what it may have missed.
+// sendRecentPurges sends a router that has just started the purges that it may have missed.
 func (c *controlService) sendRecentPurges(r *router) {
 	c.mu.Lock()
 	list := append([]madePurge(nil), c.purges...)
@@ -620,7 +626,7 @@
 	c.d.trafficLog.Add(trafficlog.Record{Event: trafficlog.UpdateSent, Subject: r.endpoint.name, Object: p.object, Group: p.group, Created: p.made, Note: "purge"})
 }
 
-// begin readies the service and the first version before the routers start.
+// startControlService starts the control service, if the script has one.
 func (d *Day) startControlService(ctx context.Context) error {
 	if !d.script.Control.On {
 		return nil
@@ -630,7 +636,7 @@
 	return d.controlService.start(ctx)
 }
 
-// firstVersion pushes what the routers wait for.
+// firstVersion pushes the version that the routers wait for at their start.
 func (c *controlService) firstVersion(ctx context.Context) error {
 	select {
 	case <-c.changed:
