--- a/internal/testbed/scenario/summary.go
+++ b/internal/testbed/scenario/summary.go
@@ -10,19 +10,19 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// ClassSummary is what became of the requests of a class, as clients saw it.
+// ClassSummary counts the outcomes of a class's requests as clients observed them.
 type ClassSummary struct {
 	Class      string  `json:"class"`
-	Requests   int     `json:"requests"` // tries
-	Served     int     `json:"served"`   // whole, within the aim
-	Late       int     `json:"late"`     // whole, past the aim
-	Rejected   int     `json:"refused"`  // 503
-	Failed     int     `json:"failed"`   // other 4xx and 5xx
-	Incomplete int     `json:"broken"`   // begun, and not whole
-	Abandoned  int     `json:"gone"`     // the client left
-	Unreached  int     `json:"unreached"`
-	Unanswered int     `json:"unanswered"`
-	Hits       int     `json:"hits"` // of the nearest cache
+	Requests   int     `json:"requests"`   // tries, with retries
+	Served     int     `json:"served"`     // complete, within the latency objective
+	Late       int     `json:"late"`       // complete, past the latency objective
+	Rejected   int     `json:"refused"`    // status 503
+	Failed     int     `json:"failed"`     // other 4xx and 5xx
+	Incomplete int     `json:"broken"`     // the response ended early
+	Abandoned  int     `json:"gone"`       // the client closed the connection
+	Unreached  int     `json:"unreached"`  // no router accepted the request
+	Unanswered int     `json:"unanswered"` // no response
+	Hits       int     `json:"hits"`       // served from the nearest cache
 	Retries    int     `json:"retries"`
 	Attempts   int     `json:"attempts"`
 	MB         float64 `json:"mb"`
@@ -31,42 +31,43 @@
 	P999       float64 `json:"p999_ms"`
 }
 
-// FaultImpact is what the requests fared while a trouble lasted, and 2 s after it.
+// FaultImpact compares the requests made during a fault and in the 2 s after it with those
+// made at other times.
 type FaultImpact struct {
 	Fault            string  `json:"trouble"`
 	Requests         int     `json:"requests"`
-	InTime           float64 `json:"in_time"`  // share of all
-	InTimeOfAccepted float64 `json:"of_taken"` // share of those whose connection a router took
-	InTimeOutside    float64 `json:"outside"`  // the same where no trouble was
+	InTime           float64 `json:"in_time"`  // share of all requests served within the latency objective
+	InTimeOfAccepted float64 `json:"of_taken"` // the same, of the requests that a router accepted
+	InTimeOutside    float64 `json:"outside"`  // as InTime, of the requests outside any fault
 }
 
-// Summary is a day in figures.
+// Summary holds the counts of a run.
 type Summary struct {
 	Classes      []ClassSummary `json:"classes"`
 	LinkMB       float64        `json:"link_mb"`   // fills into boxes
-	ParentMB     float64        `json:"parent_mb"` // given by parents
+	ParentMB     float64        `json:"parent_mb"` // sent by parents
 	OriginMB     float64        `json:"origin_mb"`
 	Attempts     int            `json:"attempts"`
-	UpdatesSent  int            `json:"told"` // rows and purges told to routers
+	UpdatesSent  int            `json:"told"` // list updates and purges sent to routers
 	FaultImpacts []FaultImpact  `json:"costs"`
 }
 
-// Summarize counts a tap.
+// Summarize counts the outcomes in a traffic log.
 func Summarize(s *Script, recs []trafficlog.Record) Summary {
 	var out Summary
 	classes := map[string]*ClassSummary{}
-	hist := map[string]*hdrhistogram.Histogram{}
-	aims := map[string]Class{}
+	histograms := map[string]*hdrhistogram.Histogram{}
+	definitions := map[string]Class{}
 	for _, k := range s.Classes {
 		classes[k.Name] = &ClassSummary{Class: k.Name}
-		hist[k.Name] = hdrhistogram.New(1, 600_000_000, 3)
-		aims[k.Name] = k
+		histograms[k.Name] = hdrhistogram.New(1, 600_000_000, 3)
+		definitions[k.Name] = k
 	}
 	type try struct {
 		ask      *trafficlog.Record
 		head     *trafficlog.Record
 		inTime   bool
-		accepted bool // a router had taken its connection
+		accepted bool // a router had accepted it
 	}
 	tries := map[string]*try{}
 	type span struct {
@@ -113,13 +114,13 @@
 				if t.head.Hit {
 					c.Hits++
 				}
-				k := aims[r.Class]
+				k := definitions[r.Class]
 				if t.inTime = took <= k.LatencyObjective+k.ObjectivePerSendTime*float64(r.Bytes)/1024/s.Stand.Flow; t.inTime {
 					c.Served++
 				} else {
 					c.Late++
 				}
-				hist[r.Class].RecordValue(int64(took * 1000))
+				histograms[r.Class].RecordValue(int64(took * 1000))
 			}
 		case trafficlog.AttemptReceived:
 			if r.Via == "" {
@@ -148,25 +149,25 @@
 		}
 	}
 	for _, k := range s.Classes {
-		c, h := classes[k.Name], hist[k.Name]
+		c, h := classes[k.Name], histograms[k.Name]
 		c.P50, c.P99, c.P999 = float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000, float64(h.ValueAtQuantile(99.9))/1000
 		out.Classes = append(out.Classes, *c)
 	}
 	share := func(in func(t float64) bool) (n int, ofAll, ofTaken float64) {
-		good, taken := 0.0, 0
+		inTime, accepted := 0.0, 0
 		for _, t := range tries {
 			if !in(t.ask.Time) {
 				continue
 			}
 			n++
 			if t.accepted {
-				taken++
+				accepted++
 			}
 			if t.inTime {
-				good++
+				inTime++
 			}
 		}
-		return n, good / float64(max(n, 1)), good / float64(max(taken, 1))
+		return n, inTime / float64(max(n, 1)), inTime / float64(max(accepted, 1))
 	}
 	_, outside, _ := share(func(t float64) bool {
 		for _, sp := range spans {
@@ -178,13 +179,13 @@
 	})
 	sort.SliceStable(spans, func(i, j int) bool { return spans[i].from < spans[j].from })
 	for _, sp := range spans {
-		n, in, taken := share(func(t float64) bool { return t >= sp.from && t <= sp.to })
-		out.FaultImpacts = append(out.FaultImpacts, FaultImpact{Fault: sp.name, Requests: n, InTime: in, InTimeOfAccepted: taken, InTimeOutside: outside})
+		n, ofAll, ofAccepted := share(func(t float64) bool { return t >= sp.from && t <= sp.to })
+		out.FaultImpacts = append(out.FaultImpacts, FaultImpact{Fault: sp.name, Requests: n, InTime: ofAll, InTimeOfAccepted: ofAccepted, InTimeOutside: outside})
 	}
 	return out
 }
 
-// String is the summary as text.
+// String returns the summary as text.
 func (s Summary) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-14s %8s %8s %6s %8s %7s %7s %6s %8s %7s %7s %9s %9s %9s\n", "class", "requests", "served", "late", "refused",
