--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -79,7 +79,7 @@
 	MemberRate             float64 `edn:"member-rate" def:"4" min:"0"`                // minimum rate at which a member sends an answer, in KB per second
 	MemberGrace            float64 `edn:"member-grace" def:"5000" min:"100"`          // as HeadGrace, for MemberRate
 	MassSlownessShare      float64 `edn:"jury" def:"0.5" min:"0" max:"1"`             // share of slow members among the active ones above which none is disconnected
-	TickKB                 float64 `edn:"turn-kb" def:"2048" min:"16"`                // transferred per tick of the event loop
+	TurnKB                 float64 `edn:"turn-kb" def:"2048" min:"16"`                // transferred per tick of the event loop
 	QuantumKB              float64 `edn:"quantum-kb" def:"256" min:"4"`               // quantum of a class with TransferWeight 1 in deficit round robin
 	OverloadTarget         float64 `edn:"overload-target" def:"20" min:"1"`           // target of the queueing delay in the router
 	OverloadQueueingShare  float64 `edn:"overload-part" def:"0.25" min:"0" max:"1"`   // share of the time until its deadline that a request may wait for its first attempt; 0: any
@@ -100,7 +100,7 @@
 	NoCancel               bool    `edn:"no-cancel"`                                  // attempts cannot be cancelled; members complete them
 	TimerResolution        float64 `edn:"tick" def:"5" min:"0.1"`                     // timers run up to half of it early
 	AnswerSlack            float64 `edn:"answer-slack" def:"50" min:"0"`              // how long past its deadline a client still waits
-	AcceptPerTick          int     `edn:"accept-per-turn" def:"64" min:"1"`           // connections accepted per tick of the event loop
+	AcceptPerTurn          int     `edn:"accept-per-turn" def:"64" min:"1"`           // connections accepted per tick of the event loop
 	LingerTime             float64 `edn:"linger" def:"500" min:"0"`                   // how long input is read and discarded after an error response
 }
 
--- a/internal/proxy/httpfront/guard.go
+++ b/internal/proxy/httpfront/guard.go
@@ -81,7 +81,7 @@
 // requests in flight and the reputation of addresses are kept.
 func (g *guard) applySettings(settings *config.Settings) {
 	limit := &settings.Limits
-	g.edge.listener.PerTurn = limit.AcceptPerTick
+	g.edge.listener.PerTurn = limit.AcceptPerTurn
 	minRate := func(kbPerSecond, grace float64) limits.MinRate {
 		return limits.MinRate{Rate: kbPerSecond * 1024 / 1000, Grace: grace, Step: 2 * sweepInterval}
 	}
@@ -150,7 +150,7 @@
 	if g.scheduler.Len() == 0 {
 		g.admission.ObserveWait(edge.loop.Took())
 	} else {
-		bytesLeft := int(edge.settings.Limits.TickKB * 1024)
+		bytesLeft := int(edge.settings.Limits.TurnKB * 1024)
 		for bytesLeft > 0 {
 			conn, class, room, ok := g.scheduler.Next()
 			if !ok {
