--- a/internal/decisionlog/whatif/compare.go
+++ b/internal/decisionlog/whatif/compare.go
@@ -15,84 +15,84 @@
 	"indigospool/internal/proxy/engine"
 )
 
-// Change is what would have been otherwise.
+// Change is a change whose effect is simulated.
 type Change struct {
-	Settings *config.Settings   // in place of those that the router had, also of versions; nil: its own
-	Drop     []string           // members that were never listed
-	Slow     map[string]float64 // how many times as long members take
+	Settings *config.Settings   // replace all recorded settings; nil: no change
+	Drop     []string           // members that are left out of the endpoint list
+	Slow     map[string]float64 // factors for the durations of answers, by member
 }
 
-// Totals is one of the two runs.
+// Totals counts the requests of a class in one of the two simulations.
 type Totals struct {
 	Requests   int64   `json:"requests"`
-	InTime     int64   `json:"in_time"` // served within the aim
+	InTime     int64   `json:"in_time"` // served within the latency objective
 	Late       int64   `json:"late"`
 	Rejected   int64   `json:"refused"`
 	Failed     int64   `json:"failed"`
 	Broken     int64   `json:"broken"`
 	ClientLeft int64   `json:"left"`
 	Attempts   int64   `json:"attempts"`
-	Fills      int64   `json:"fills"` // from parents and the origin
-	P50        float64 `json:"p50_ms"`
-	P99        float64 `json:"p99_ms"` // of what was served
+	Fills      int64   `json:"fills"`  // from parents and the origin
+	P50        float64 `json:"p50_ms"` // of the served requests, as is P99
+	P99        float64 `json:"p99_ms"`
 
 	hist *hdrhistogram.Histogram
 }
 
-// ClassChange is a class in both runs.
+// ClassChange compares a class in the two simulations.
 type ClassChange struct {
 	Class    string `json:"class"`
-	Changed  int64  `json:"changed"` // requests that went another way
+	Changed  int64  `json:"changed"` // requests that were sent elsewhere or ended differently
 	Baseline Totals `json:"was"`
 	Modified Totals `json:"is"`
 }
 
-// Load is what a member was given.
+// Load is the load of a member in one of the two simulations.
 type Load struct {
 	Attempts      int64   `json:"attempts"`
-	Fills         int64   `json:"fills"` // it was the source of
+	Fills         int64   `json:"fills"` // for which it was the source
 	BusyMs        float64 `json:"busy_ms"`
-	MaxConcurrent int     `json:"most"` // attempts at once, from this router
+	MaxConcurrent int     `json:"most"` // maximum of concurrent attempts from this router
 
 	concurrent int
 }
 
-// MemberChange is a member in both runs.
+// MemberChange compares a member in the two simulations.
 type MemberChange struct {
 	Member   string `json:"member"`
 	Baseline Load   `json:"was"`
 	Modified Load   `json:"is"`
 }
 
-// Cause is why requests went another way.
+// Cause is a reason why requests of a class were handled differently.
 type Cause struct {
 	Class string `json:"class"`
 	Why   string `json:"why"`
 	Count int64  `json:"count"`
-	First string `json:"first"` // a request of it
+	First string `json:"first"` // id of the first such request
 }
 
-// Report is what would have happened.
+// Report is the result of a comparison.
 type Report struct {
 	Runs              int            `json:"lives"`
 	Requests          int64          `json:"requests"`
 	Changed           int64          `json:"changed"`
-	FirstAttemptMatch float64        `json:"model"`      // share of requests whose first attempt is the recorded one where nothing is changed: how far the model can be trusted
-	PathMatch         float64        `json:"model_path"` // and share of those that went the whole recorded way
+	FirstAttemptMatch float64        `json:"model"`      // share of requests whose first attempt without the change is the recorded one: the accuracy of the model
+	PathMatch         float64        `json:"model_path"` // share of those for which all attempts are the recorded ones
 	Classes           []ClassChange  `json:"classes"`
 	Members           []MemberChange `json:"members"`
 	Causes            []Cause        `json:"causes,omitempty"`
 	Risks             []Risk         `json:"risks,omitempty"`
-	Gaps              int            `json:"gaps"` // lives that were given up at one
-	Unfinished        int64          `json:"cut"`  // requests that the end of a life cut off in either run; not compared
+	Gaps              int            `json:"gaps"` // runs that were simulated only up to a gap
+	Unfinished        int64          `json:"cut"`  // requests that were open at the end of a run in either simulation, and are not compared
 
 	events int64
 }
 
-// Events is how many events modules were told in both runs.
+// Events returns the number of events that the modules have handled in both simulations.
 func (r *Report) Events() int64 { return r.events }
 
-// readHistories reads a journal's lives into models; a life ends at a gap.
+// readHistories returns the attempts of each run in a journal. A run ends at a gap.
 func readHistories(j *journal.Reader) (histories []*AttemptHistory, gaps int, err error) {
 	var history *AttemptHistory
 	requests := map[string]*spool.Request{}
@@ -152,9 +152,9 @@
 	}
 }
 
-// Compare runs a journal's requests and news twice before the members that it
-// tells of: as it was, and with a change. open opens the journal, for each of two
-// passes. Memory is bounded by the members, classes and objects, not by the length.
+// Compare simulates the requests and updates of a journal twice, with its recorded members:
+// without and with a change. It calls open twice and reads the journal in two passes. Its
+// memory is bounded by the members, classes and objects, not by the journal's length.
 func Compare(open func() (*journal.Reader, error), change Change) (*Report, error) {
 	j, err := open()
 	if err != nil {
@@ -166,7 +166,7 @@
 		return nil, err
 	}
 	if len(histories) == 0 {
-		return nil, fmt.Errorf("whatif: the journal holds no life of a router from its start: there is nothing to try")
+		return nil, fmt.Errorf("whatif: the journal contains no run of a router from its start: there is nothing to simulate")
 	}
 	if j, err = open(); err != nil {
 		return nil, err
@@ -199,23 +199,24 @@
 	}
 }
 
-// simulation is a run under way.
+// simulation is one of the two simulations in progress.
 type simulation struct {
 	sim    *Sim
 	router *Router
 	risks  *riskChecker
 }
 
-// requestPair is a request in both runs, and as it was recorded.
+// requestPair is a request in both simulations and in the journal.
 type requestPair struct {
 	states        [2]*RequestState
 	ended         [2]bool
 	steps         [2][]step
-	recordedFirst string // recorded: cache and source of the first attempt
-	recordedPath  string // and of all
+	recordedFirst string // cache and source of the first recorded attempt
+	recordedPath  string // those of all recorded attempts
 }
 
-// step is what a run did for a request, once: it sent it somewhere, or had it wait.
+// step is an attempt that a simulation sent for a request, or, without a cache, that the request
+// was queued on arrival.
 type step struct {
 	cache, source string
 	candidates    []spool.Candidate
@@ -224,28 +225,29 @@
 type comparison struct {
 	result       *Report
 	change       Change
-	simulations  [2]*simulation // as it was, and changed
+	simulations  [2]*simulation // without and with the change
 	pairs        map[string]*requestPair
 	classes      map[string]*ClassChange
 	members      map[string]*MemberChange
 	causes       map[[2]string]*Cause
 	objectives   map[string]config.Class
-	transferRate float64 // KB a ms, of the settings as they were
+	transferRate float64 // KB/ms, in the recorded settings
 	dropped      map[string]bool
 	risks        [2]*riskChecker
 
 	compared, firstMatches, pathMatches int64
 }
 
-func (c *comparison) startRun(l *journal.RouterStart, m *AttemptHistory) error {
+// startRun begins the simulations of a run.
+func (c *comparison) startRun(start *journal.RouterStart, history *AttemptHistory) error {
 	c.pairs, c.dropped, c.objectives = map[string]*requestPair{}, map[string]bool{}, map[string]config.Class{}
 	for _, id := range c.change.Drop {
 		c.dropped[id] = true
 	}
 	for i := range c.simulations {
 		s := &config.Settings{}
-		if err := config.Read("journal", l.Settings, s); err != nil {
-			return fmt.Errorf("whatif: the settings of life %d: %w", c.result.Runs, err)
+		if err := config.Read("journal", start.Settings, s); err != nil {
+			return fmt.Errorf("whatif: settings of run %d: %w", c.result.Runs, err)
 		}
 		var slow map[string]float64
 		if i == 1 {
@@ -253,7 +255,7 @@
 			if c.change.Settings != nil {
 				own, next := s.Router, *c.change.Settings
 				s = &next
-				s.Router.Zone, s.Router.Index = own.Zone, own.Index // what a router is stays
+				s.Router.Zone, s.Router.Index = own.Zone, own.Index // the router's own identity does not change
 			}
 		}
 		if i == 0 {
@@ -261,21 +263,21 @@
 		}
 		for _, k := range s.Classes {
 			if i == 0 || c.objectives[k.Name].Name == "" {
-				c.objectives[k.Name] = k // both are held to the aims that were
+				c.objectives[k.Name] = k // both simulations are measured by the recorded objectives
 			}
 		}
-		co, err := engine.New(s, l.Seed)
+		core, err := engine.New(s, start.Seed)
 		if err != nil {
-			return fmt.Errorf("whatif: life %d: %w", c.result.Runs, err)
+			return fmt.Errorf("whatif: run %d: %w", c.result.Runs, err)
 		}
 		if c.risks[i] == nil {
 			c.risks[i] = newRiskChecker()
 		}
-		sd := &simulation{sim: &Sim{Explain: true}, risks: c.risks[i]}
-		sd.risks.startRun(s)
-		sd.sim.Watch = Watcher{
+		run := &simulation{sim: &Sim{Explain: true}, risks: c.risks[i]}
+		run.risks.startRun(s)
+		run.sim.Watch = Watcher{
 			AttemptSent: func(r *Router, state *RequestState, s *spool.Send, candidates []spool.Candidate) {
-				sd.risks.attemptSent(sd.sim.Now, state, s)
+				run.risks.attemptSent(run.sim.Now, state, s)
 				if p := c.pairs[state.Request.ID]; p != nil {
 					p.steps[i] = append(p.steps[i], step{s.Cache, s.Source, candidates})
 				}
@@ -298,12 +300,12 @@
 				load.BusyMs += t.Took
 			},
 			RequestEnded: func(_ *Router, state *RequestState) {
-				sd.risks.requestEnded(sd.sim.Now, state)
+				run.risks.requestEnded(run.sim.Now, state)
 				c.requestEnded(i, state)
 			},
 		}
-		sd.router = sd.sim.Add(l.Name, co, m.Members(slow))
-		c.simulations[i] = sd
+		run.router = run.sim.Add(start.Name, core, history.Members(slow))
+		c.simulations[i] = run
 	}
 	return nil
 }
@@ -330,21 +332,21 @@
 	return k
 }
 
-// process has both runs hear of what came from outside, and learns what the record
-// says of the way that requests went.
+// process passes a recorded event to both simulations, unless it is a consequence of the
+// router's own actions, and notes the recorded attempts.
 func (c *comparison) process(e *journal.Entry) error {
 	if e.Kind == journal.KindSettings {
-		for i, sd := range c.simulations {
-			if sd.sim.RunTo(e.T); i == 1 && c.change.Settings != nil {
+		for i, run := range c.simulations {
+			if run.sim.RunTo(e.T); i == 1 && c.change.Settings != nil {
 				continue
 			}
 			s := &config.Settings{}
 			if err := config.Read("journal", e.Settings, s); err != nil {
-				return fmt.Errorf("whatif: version %d: %w", e.Version, err)
+				return fmt.Errorf("whatif: settings version %d: %w", e.Version, err)
 			}
-			sd.risks.changeSettings(s)
-			if err := sd.sim.ChangeSettings(sd.router, s); err != nil {
-				return fmt.Errorf("whatif: version %d: %w", e.Version, err)
+			run.risks.changeSettings(s)
+			if err := run.sim.ChangeSettings(run.router, s); err != nil {
+				return fmt.Errorf("whatif: settings version %d: %w", e.Version, err)
 			}
 		}
 		return nil
@@ -355,7 +357,7 @@
 		c.result.Requests++
 		c.handleInBoth(e.T, ev)
 	case spool.Members:
-		for i, sd := range c.simulations {
+		for i, run := range c.simulations {
 			one := ev
 			if i == 1 && len(c.dropped) > 0 {
 				one.Rows = nil
@@ -365,13 +367,13 @@
 					}
 				}
 			}
-			sd.sim.RunTo(e.T)
-			sd.risks.update(e.T, one)
-			sd.sim.Handle(sd.router, one)
+			run.sim.RunTo(e.T)
+			run.risks.update(e.T, one)
+			run.sim.Handle(run.router, one)
 		}
 	case spool.Purge:
-		for _, sd := range c.simulations {
-			sd.risks.update(e.T, ev)
+		for _, run := range c.simulations {
+			run.risks.update(e.T, ev)
 		}
 		c.handleInBoth(e.T, ev)
 	case spool.Gone, spool.Message:
@@ -380,31 +382,33 @@
 	for _, a := range e.Actions {
 		if s, ok := a.(spool.Send); ok {
 			if p := c.pairs[s.ID]; p != nil {
-				way := s.Cache + "<" + s.Source
+				path := s.Cache + "<" + s.Source
 				if p.recordedFirst == "" {
-					p.recordedFirst = way
+					p.recordedFirst = path
 				}
-				p.recordedPath += way + " "
+				p.recordedPath += path + " "
 			}
 		}
 	}
 	return nil
 }
 
+// handleInBoth passes an event to both simulations.
 func (c *comparison) handleInBoth(t float64, ev spool.Event) {
-	for _, sd := range c.simulations {
-		sd.sim.RunTo(t)
-		sd.sim.Handle(sd.router, ev)
+	for _, run := range c.simulations {
+		run.sim.RunTo(t)
+		run.sim.Handle(run.router, ev)
 	}
 }
 
+// endRun ends the simulations of a run.
 func (c *comparison) endRun() {
 	if c.simulations[0] == nil {
 		return
 	}
-	for _, sd := range c.simulations {
-		sd.sim.Finish()
-		c.result.events += sd.sim.Events
+	for _, run := range c.simulations {
+		run.sim.Finish()
+		c.result.events += run.sim.Events
 	}
 	for id := range c.pairs {
 		c.result.Unfinished++
@@ -416,7 +420,8 @@
 	c.simulations = [2]*simulation{}
 }
 
-// requestEnded takes a request that is over in one run; it is compared once it is in both.
+// requestEnded is called when a request has ended in simulation i. The request is compared once
+// it has ended in both.
 func (c *comparison) requestEnded(i int, state *RequestState) {
 	p := c.pairs[state.Request.ID]
 	if p == nil {
@@ -431,20 +436,20 @@
 		return
 	}
 	k := c.class(state.Request.Class)
-	aim := c.objectives[state.Request.Class]
-	for i, sd := range []*Totals{&k.Baseline, &k.Modified} {
-		sd.count(p.states[i], aim, c.transferRate)
+	objective := c.objectives[state.Request.Class]
+	for i, totals := range []*Totals{&k.Baseline, &k.Modified} {
+		totals.count(p.states[i], objective, c.transferRate)
 	}
 	if p.recordedFirst != "" {
 		c.compared++
-		way := ""
+		path := ""
 		for _, t := range p.states[0].Attempts {
-			way += t.Send.Cache + "<" + t.Send.Source + " "
+			path += t.Send.Cache + "<" + t.Send.Source + " "
 		}
 		if len(p.states[0].Attempts) > 0 && p.states[0].Attempts[0].Send.Cache+"<"+p.states[0].Attempts[0].Send.Source == p.recordedFirst {
 			c.firstMatches++
 		}
-		if way == p.recordedPath {
+		if path == p.recordedPath {
 			c.pathMatches++
 		}
 	}
@@ -460,7 +465,7 @@
 	}
 }
 
-func (s *Totals) count(state *RequestState, k config.Class, flow float64) {
+func (s *Totals) count(state *RequestState, class config.Class, transferRate float64) {
 	s.Requests++
 	for _, t := range state.Attempts {
 		s.Attempts++
@@ -472,11 +477,11 @@
 	case Served:
 		took := state.EndedAt - state.ArrivedAt
 		s.hist.RecordValue(max(int64(took*1000), 1))
-		aim := k.LatencyObjective
-		if flow > 0 {
-			aim += k.ObjectivePerSendTime * state.Request.KB / flow
+		objective := class.LatencyObjective
+		if transferRate > 0 {
+			objective += class.ObjectivePerSendTime * state.Request.KB / transferRate
 		}
-		if took <= aim {
+		if took <= objective {
 			s.InTime++
 		} else {
 			s.Late++
@@ -492,8 +497,9 @@
 	}
 }
 
-// differenceCause says why a request went another way, by what the changed run's module
-// looked at when it decided otherwise; empty: it went the same.
+// differenceCause returns why a request was handled differently, from the candidates at the
+// first different decision in the simulation with the change. It returns "" if there is no
+// difference.
 func differenceCause(pair *requestPair, dropped map[string]bool) string {
 	baseline, modified := pair.steps[0], pair.steps[1]
 	for n := range max(len(baseline), len(modified)) {
@@ -502,19 +508,19 @@
 		}
 		if n >= len(baseline) {
 			if modified[n].cache == "" {
-				return "it had to wait: " + rejectionReason(modified[n].candidates, "")
+				return "it was queued: " + rejectionReason(modified[n].candidates, "")
 			}
-			return "an attempt more was made, at " + modified[n].cache
+			return "a further attempt was sent to " + modified[n].cache
 		}
 		a, b := baseline[n], modified[n]
 		if a.cache == b.cache && a.source == b.source {
 			continue
 		}
 		if b.cache == "" {
-			return "it had to wait: " + rejectionReason(b.candidates, "")
+			return "it was queued: " + rejectionReason(b.candidates, "")
 		}
 		if a.cache == "" {
-			return "it had waited, and did not"
+			return "it was not queued as without the change"
 		}
 		member, as := a.cache, "cache"
 		if a.cache == b.cache {
@@ -524,21 +530,21 @@
 			return as + " " + member + " is dropped"
 		}
 		if a.cache == b.cache && b.source == b.cache {
-			return "cache " + b.cache + " was asked for what it holds first"
+			return "cache " + b.cache + " was asked for its cached copy first"
 		}
 		if why := rejectionReason(b.candidates, member); why != "" {
 			return as + " " + member + " " + why
 		}
-		return fmt.Sprintf("%s %s comes first", as, map[bool]string{true: b.cache, false: b.source}[as == "cache"])
+		return fmt.Sprintf("%s %s is preferred", as, map[bool]string{true: b.cache, false: b.source}[as == "cache"])
 	}
 	if pair.states[0].End != pair.states[1].End {
-		return fmt.Sprintf("it went the same way, and was %s, not %s", pair.states[1].End, pair.states[0].End)
+		return fmt.Sprintf("it had the same attempts, and was %s, not %s", pair.states[1].End, pair.states[0].End)
 	}
 	return ""
 }
 
-// rejectionReason is the last that was said against a member; of no member, why nobody was
-// taken.
+// rejectionReason returns the last reason for which a member was not chosen. For an empty
+// member, it returns why no member was chosen.
 func rejectionReason(candidates []spool.Candidate, member string) string {
 	for i := len(candidates) - 1; i >= 0; i-- {
 		if l := candidates[i]; l.Member == member && l.Reason != spool.ReasonAccepted && l.Reason != spool.ReasonAlreadyConsidered {
@@ -546,11 +552,12 @@
 		}
 	}
 	if member == "" && len(candidates) > 0 {
-		return "every member was passed over, the last " + candidates[len(candidates)-1].Member + ": " + explain.ReasonText(candidates[len(candidates)-1].Reason)
+		return "no member was chosen, the last candidate was " + candidates[len(candidates)-1].Member + ": " + explain.ReasonText(candidates[len(candidates)-1].Reason)
 	}
 	return ""
 }
 
+// finish computes the totals and returns the report.
 func (c *comparison) finish() *Report {
 	r := c.result
 	if c.compared > 0 {
@@ -580,16 +587,17 @@
 	return r
 }
 
-const causesShown = 12
+// maxCausesShown bounds the causes in a report's text form.
+const maxCausesShown = 12
 
-// Text writes a report for reading.
+// Text writes the report in a readable form.
 func (r *Report) Text(w io.Writer) {
-	fmt.Fprintf(w, "%d requests of %d lives; with nothing changed the model sends %.1f %% of them first where they went, %.1f %% the whole way\n",
+	fmt.Fprintf(w, "%d requests of %d runs; without the change, the model reproduces the first attempt of %.1f %% of them, all attempts of %.1f %%\n",
 		r.Requests, r.Runs, 100*r.FirstAttemptMatch, 100*r.PathMatch)
 	if r.Gaps > 0 {
-		fmt.Fprintf(w, "%d lives are given up at a gap\n", r.Gaps)
+		fmt.Fprintf(w, "%d runs are simulated only up to a gap\n", r.Gaps)
 	}
-	fmt.Fprintf(w, "%d go another way\n", r.Changed)
+	fmt.Fprintf(w, "%d are handled differently\n", r.Changed)
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "class\t\trequests\tchanged\tin time\tlate\trefused\tfailed\tbroken\tleft\tattempts\tfills\tp50 ms\tp99 ms\t")
 	for _, k := range r.Classes {
@@ -611,16 +619,16 @@
 	}
 	t.Flush()
 	for i, one := range r.Causes {
-		if i == causesShown {
-			fmt.Fprintf(w, "and %d causes more (--json has all)\n", len(r.Causes)-i)
+		if i == maxCausesShown {
+			fmt.Fprintf(w, "and %d more causes (--json has all)\n", len(r.Causes)-i)
 			break
 		}
 		fmt.Fprintf(w, "%7d of %s: %s (as %s)\n", one.Count, one.Class, one.Why, one.First)
 	}
 	for _, one := range r.Risks {
-		fmt.Fprintf(w, "rule %d at risk, %s: %d times, %d before; first: %s\n", one.Rule, one.Name, one.Modified, one.Baseline, one.First)
+		fmt.Fprintf(w, "rule %d at risk, %s: %d times, %d without the change; first: %s\n", one.Rule, one.Name, one.Modified, one.Baseline, one.First)
 	}
 	if len(r.Risks) == 0 {
-		fmt.Fprintln(w, "no rule is at risk, as far as one router's decisions show it")
+		fmt.Fprintln(w, "no rule is at risk, as far as the decisions of one router show")
 	}
 }
--- a/internal/decisionlog/whatif/risk.go
+++ b/internal/decisionlog/whatif/risk.go
@@ -7,43 +7,45 @@
 	"indigospool/internal/config"
 )
 
-// Risk is a rule that one router's decisions put at risk, as far as they show it.
+// Risk is a rule that the decisions of one router may break, as far as they show it.
 type Risk struct {
 	Rule     int    `json:"rule"`
 	Name     string `json:"name"`
 	Baseline int64  `json:"was"`
 	Modified int64  `json:"is"`
-	First    string `json:"first"` // where it is for the first time
+	First    string `json:"first"` // the first case
 }
 
-var ruleNames = [...]string{"", "no final answer in time", "an effect that may happen twice", "new to a member that drains or is gone",
-	"a cold member given more than it surely bears", "a copy older than a purge will do"}
+var ruleNames = [...]string{"", "no final answer in time", "a non-idempotent request that may run twice", "an attempt at a member that is draining or removed",
+	"a member loaded beyond its capacity while it is warming up", "a copy from before a purge"}
 
-// riskChecker judges what a run decides. It knows the news as the router was told them,
-// and nothing of the module's.
+// riskChecker checks the decisions in a simulation. It uses the updates that the router
+// received, and no state of the module.
 type riskChecker struct {
 	settings         *config.Settings
 	classes          map[string]config.Class
-	unavailableSince map[string]float64 // members that are not serving, and since when
+	unavailableSince map[string]float64 // time, by member that is draining or removed
 	listed           map[string]spool.Member
 	objectPurges     map[string]float64
 	groupPurges      map[int]float64
-	warmUpWork       map[string][]work // what was sent to members since they started, in the last FallTime
+	warmUpWork       map[string][]work // sent to members since their start, within the last OverloadTime
 	counts           [6]int64
 	first            [6]string
 }
 
-type work struct{ t, ms float64 }
+// work is the sending time of an attempt.
+type work struct{ sentAt, sendMillis float64 }
 
 func newRiskChecker() *riskChecker { return &riskChecker{} }
 
-// startRun begins a life.
+// startRun resets the state at the start of a run.
 func (r *riskChecker) startRun(s *config.Settings) {
 	r.unavailableSince, r.listed = map[string]float64{}, map[string]spool.Member{}
 	r.objectPurges, r.groupPurges, r.warmUpWork = map[string]float64{}, map[int]float64{}, map[string][]work{}
 	r.changeSettings(s)
 }
 
+// changeSettings replaces the settings, as a change of the router's settings does.
 func (r *riskChecker) changeSettings(s *config.Settings) {
 	r.settings, r.classes = s, map[string]config.Class{}
 	for _, k := range s.Classes {
@@ -51,19 +53,20 @@
 	}
 }
 
+// record counts a case of a rule, and keeps the message of the first.
 func (r *riskChecker) record(rule int, format string, args ...any) {
 	if r.counts[rule]++; r.counts[rule] == 1 {
 		r.first[rule] = fmt.Sprintf(format, args...)
 	}
 }
 
-// update follows the list and purges.
+// update follows the endpoint list and the purges.
 func (r *riskChecker) update(now float64, ev spool.Event) {
 	switch ev := ev.(type) {
 	case spool.Members:
-		named := map[string]bool{}
+		listed := map[string]bool{}
 		for _, m := range ev.Rows {
-			named[m.ID] = true
+			listed[m.ID] = true
 			if m.State == spool.Serving {
 				delete(r.unavailableSince, m.ID)
 			} else if _, known := r.unavailableSince[m.ID]; !known {
@@ -76,7 +79,7 @@
 		}
 		if ev.Full {
 			for id := range r.listed {
-				if _, known := r.unavailableSince[id]; !named[id] && !known {
+				if _, known := r.unavailableSince[id]; !listed[id] && !known {
 					r.unavailableSince[id] = now
 				}
 			}
@@ -90,7 +93,7 @@
 	}
 }
 
-// attemptSent judges an attempt: rules 2 to 5.
+// attemptSent checks an attempt against rules 2 to 5.
 func (r *riskChecker) attemptSent(now float64, state *RequestState, s *spool.Send) {
 	k := r.classes[state.Request.Class]
 	if n := len(state.Attempts) - 1; n > 0 {
@@ -110,7 +113,7 @@
 	}
 	for _, id := range members {
 		if since, ok := r.unavailableSince[id]; ok && now-since > r.settings.Rules.DrainGrace {
-			r.record(3, "%s to %s, %.0f ms after it was told out", state.Request.ID, id, now-since)
+			r.record(3, "%s to %s, %.0f ms after it was reported as draining or removed", state.Request.ID, id, now-since)
 		}
 		r.checkWarmUp(now, id, state, k)
 	}
@@ -119,38 +122,39 @@
 		purgedAt, purged = g, true
 	}
 	if purged && now-purgedAt < r.settings.Rules.PurgeTime && s.Age > now-purgedAt+1 && !k.Write {
-		r.record(5, "%s takes copies up to %.0f ms old, %.0f ms after a purge", state.Request.ID, s.Age, now-purgedAt)
+		r.record(5, "%s accepts copies up to %.0f ms old, %.0f ms after a purge", state.Request.ID, s.Age, now-purgedAt)
 	}
 }
 
-// checkWarmUp judges what a member is sent while it is cold, where its capacity is told:
-// this router's share of what it bears, over each span of FallTime.
+// checkWarmUp checks an attempt at a member that is warming up, if the member's capacity is
+// listed: within OverloadTime, this router may use its share of the load at which the member
+// fails.
 func (r *riskChecker) checkWarmUp(now float64, id string, state *RequestState, k config.Class) {
-	m, ru := r.listed[id], r.settings.Rules
-	from, span, factor, of := ru.WarmUpInitialShare, ru.WarmUpTime, ru.OverloadFactor, r.zoneRouters()
-	if m.Kind == r.settings.Fill.ParentKind {
-		from, span, factor, of = ru.ParentWarmUpInitialShare, ru.ParentWarmUpTime, ru.ParentOverloadFactor, max(r.settings.Router.Routers, 1)
+	member, rules := r.listed[id], r.settings.Rules
+	initialShare, warmUpTime, overloadFactor, routers := rules.WarmUpInitialShare, rules.WarmUpTime, rules.OverloadFactor, r.zoneRouters()
+	if member.Kind == r.settings.Fill.ParentKind {
+		initialShare, warmUpTime, overloadFactor, routers = rules.ParentWarmUpInitialShare, rules.ParentWarmUpTime, rules.ParentOverloadFactor, max(r.settings.Router.Routers, 1)
 	}
-	age := now - m.ReadyAt
-	if m.ReadyAt <= 0 || age >= span || span <= 0 || !r.settings.Fill.SizeIsCapacity || m.Size <= 0 || m.Kind == r.settings.Fill.OriginKind || r.settings.Fill.FlowKBPerMs <= 0 {
+	age := now - member.ReadyAt
+	if member.ReadyAt <= 0 || age >= warmUpTime || warmUpTime <= 0 || !r.settings.Fill.SizeIsCapacity || member.Size <= 0 || member.Kind == r.settings.Fill.OriginKind || r.settings.Fill.FlowKBPerMs <= 0 {
 		return
 	}
-	list := append(r.warmUpWork[id], work{now, state.Request.KB / r.settings.Fill.FlowKBPerMs})
-	for len(list) > 0 && list[0].t <= now-ru.OverloadTime {
-		list = list[1:]
+	sent := append(r.warmUpWork[id], work{now, state.Request.KB / r.settings.Fill.FlowKBPerMs})
+	for len(sent) > 0 && sent[0].sentAt <= now-rules.OverloadTime {
+		sent = sent[1:]
 	}
-	r.warmUpWork[id] = list
+	r.warmUpWork[id] = sent
 	sum := 0.0
-	for _, w := range list {
-		sum += w.ms
+	for _, w := range sent {
+		sum += w.sendMillis
 	}
-	limit := factor * m.Size * (from + (1-from)*max(age, 0)/span) * ru.OverloadTime / float64(of)
-	if len(list) > 1 && sum > limit {
-		r.record(4, "%s to %s, up for %.0f ms: %.0f ms of sending in %.0f ms, its share is %.0f", state.Request.ID, id, age, sum, ru.OverloadTime, limit)
+	limit := overloadFactor * member.Size * (initialShare + (1-initialShare)*max(age, 0)/warmUpTime) * rules.OverloadTime / float64(routers)
+	if len(sent) > 1 && sum > limit {
+		r.record(4, "%s to %s, up for %.0f ms: %.0f ms of sending time in %.0f ms, the router's share is %.0f ms", state.Request.ID, id, age, sum, rules.OverloadTime, limit)
 	}
 }
 
-// zoneRouters is how many routers this one's caches are shared by.
+// zoneRouters returns the number of routers that share the caches of this router's zone.
 func (r *riskChecker) zoneRouters() int {
 	for _, z := range r.settings.Zones {
 		if z.Name == r.settings.Router.Zone && z.Routers > 0 {
@@ -160,13 +164,14 @@
 	return 1
 }
 
-// requestEnded judges the end of a request: rule 1.
+// requestEnded checks the end of a request against rule 1.
 func (r *riskChecker) requestEnded(now float64, state *RequestState) {
 	if state.End != Unfinished && state.End != ClientLeft && !state.started && now > state.Request.Deadline+r.settings.Limits.AnswerSlack {
 		r.record(1, "%s, %.0f ms past its deadline", state.Request.ID, now-state.Request.Deadline)
 	}
 }
 
+// compareRisks returns the rules that are at risk in either simulation.
 func compareRisks(baseline, modified *riskChecker) (out []Risk) {
 	for rule := 1; rule < len(ruleNames); rule++ {
 		if baseline.counts[rule]+modified.counts[rule] == 0 {
--- a/internal/decisionlog/whatif/whatif_test.go
+++ b/internal/decisionlog/whatif/whatif_test.go
@@ -193,7 +193,7 @@
 	w.Handled(1, spool.Timer{}, nil)
 	w.Close()
 	if _, err := Compare(func() (*journal.Reader, error) { return journal.OpenReader(dir) }, Change{}); err == nil ||
-		!strings.Contains(err.Error(), "no life of a router") {
+		!strings.Contains(err.Error(), "no run of a router") {
 		t.Error(err)
 	}
 }
