--- a/internal/decisionlog/whatif/whatif_test.go
+++ b/internal/decisionlog/whatif/whatif_test.go
@@ -50,8 +50,9 @@
 	r.w.Settings(now, 2, func() string { return config.Print(s) }, acts)
 }
 
-// record plays a router before cache models, and keeps its journal: requests a
-// second apart by the gap, a drain, a purge and a cold start on the way.
+// record simulates a router with cache models and records its journal. The gaps between
+// requests are random with the mean gap, in ms. A member restarts with an empty cache, a parent
+// drains, and copies are purged.
 func record(t testing.TB, requests int, gap float64) func() (*journal.Reader, error) {
 	t.Helper()
 	dir := t.TempDir()
@@ -68,12 +69,12 @@
 	c.Recorder = recorder{w}
 	sim := &Sim{Now: 1000}
 	r := sim.Add("r", c, NewCacheModels(options(s)))
-	news := func(n *engine.Update) {
+	update := func(n *engine.Update) {
 		for _, ev := range c.Apply(sim.Now, n).Events {
 			sim.Handle(r, ev)
 		}
 	}
-	news(engine.UpdateFromSettings(s))
+	update(engine.UpdateFromSettings(s))
 	rng := rand.New(rand.NewPCG(1, 2))
 	for i := range requests {
 		sim.RunTo(sim.Now + gap*rng.ExpFloat64())
@@ -88,9 +89,9 @@
 		sim.Handle(r, q)
 		switch i {
 		case requests / 3:
-			news(engine.UpdateFromVersion(1, s.Members[2:3], true)) // b3 comes back empty
+			update(engine.UpdateFromVersion(1, s.Members[2:3], true)) // b3 restarts with an empty cache
 		case requests / 2:
-			news(&engine.Update{Rev: 1, Kind: "step", Members: []engine.Row{{ID: "p2", Kind: "parent", Zone: "h", State: "draining", Size: 20}}})
+			update(&engine.Update{Rev: 1, Kind: "step", Members: []engine.Row{{ID: "p2", Kind: "parent", Zone: "h", State: "draining", Size: 20}}})
 		case requests * 2 / 3:
 			sim.Handle(r, spool.Purge{Object: "/s/0/o0"})
 			sim.Handle(r, spool.Purge{Group: 1})
@@ -121,7 +122,8 @@
 	return MemberChange{}
 }
 
-// With nothing changed both runs are one, and nearly all requests go where they went.
+// TestNothingChanged checks that without a change both simulations are equal, and that nearly
+// all requests have their recorded attempts.
 func TestNothingChanged(t *testing.T) {
 	r := compare(t, record(t, 3000, 10), Change{})
 	if r.Changed != 0 || r.Requests != 3000 || len(r.Causes) != 0 || r.FirstAttemptMatch < 0.97 || r.PathMatch < 0.95 || r.Unfinished > 5 {
@@ -139,8 +141,9 @@
 	}
 }
 
-// A member that had never been listed is given nothing, and its requests say why
-// they went elsewhere; nobody else's first attempts by the hash move.
+// TestDropMember checks that a dropped member gets no attempts, that this is the most frequent
+// cause of differences, and that not all requests are handled differently. Without any members,
+// all requests are rejected or fail.
 func TestDropMember(t *testing.T) {
 	r := compare(t, record(t, 2000, 10), Change{Drop: []string{"b1"}})
 	b1 := r.member("b1")
@@ -153,12 +156,12 @@
 	r = compare(t, record(t, 2000, 10), Change{Drop: []string{"b1", "b2", "b3", "p1", "p2", "o"}})
 	for _, k := range r.Classes {
 		if k.Modified.Rejected+k.Modified.Failed != k.Modified.Requests || k.Modified.Attempts != 0 {
-			t.Errorf("with nobody there: %+v", k)
+			t.Errorf("without members: %+v", k)
 		}
 	}
 }
 
-// One that takes three times as long is busy for longer, and classes get slower.
+// TestSlow checks that a slower member is busy for longer, and that a class becomes slower.
 func TestSlow(t *testing.T) {
 	r := compare(t, record(t, 2000, 10), Change{Slow: map[string]float64{"b2": 4}})
 	b2 := r.member("b2")
@@ -170,7 +173,8 @@
 	}
 }
 
-// Other settings: with one attempt each there are no looks, so no request makes two.
+// TestOtherSettings checks that with a limit of one attempt no request has two, whereas there
+// are more attempts than requests in the recorded settings.
 func TestOtherSettings(t *testing.T) {
 	s := readSettings(t, strings.Replace(settings, "(router ", "(limits (attempts 1)) (router ", 1))
 	r := compare(t, record(t, 1500, 10), Change{Settings: s})
@@ -198,7 +202,7 @@
 	}
 }
 
-// Each rule's planted break is found, and what is right is not.
+// TestRisks checks that a violation of each rule is found, and that allowed behavior is not.
 func TestRisks(t *testing.T) {
 	s := readSettings(t, settings)
 	still := spool.Request{ID: "q", Class: "still", Object: "/s/1/a", Group: 1, KB: 100, Deadline: 1000}
@@ -206,7 +210,7 @@
 	row := func(id, kind string, st spool.State, ready float64) spool.Members {
 		return spool.Members{Rows: []spool.Member{{ID: id, Zone: "z", Kind: kind, State: st, Size: 10, ReadyAt: ready}}}
 	}
-	look := spool.Send{ID: "q", Cache: "b1", Source: "b1", Keep: 1, Age: 1e9}
+	lookup := spool.Send{ID: "q", Cache: "b1", Source: "b1", Keep: 1, Age: 1e9}
 	for _, k := range []struct {
 		name string
 		rule int
@@ -214,47 +218,47 @@
 	}{
 		{"late", 1, func(r *riskChecker) { r.requestEnded(1100, &RequestState{Request: still, End: Rejected}) }},
 		{"in time", 0, func(r *riskChecker) { r.requestEnded(990, &RequestState{Request: still, End: Rejected}) }},
-		{"a body that runs on", 0, func(r *riskChecker) { r.requestEnded(1100, &RequestState{Request: still, End: Served, started: true}) }},
-		{"a write again", 2, func(r *riskChecker) {
+		{"a body that ends after the deadline", 0, func(r *riskChecker) { r.requestEnded(1100, &RequestState{Request: still, End: Served, started: true}) }},
+		{"a repeated write", 2, func(r *riskChecker) {
 			r.attemptSent(500, &RequestState{Request: order, Attempts: []*Attempt{{SentAt: 1, Done: true, Result: spool.TimedOut}, {SentAt: 500}}}, &spool.Send{ID: "w", Cache: "o", Source: "o"})
 		}},
 		{"a write that never ran", 0, func(r *riskChecker) {
 			r.attemptSent(500, &RequestState{Request: order, Attempts: []*Attempt{{SentAt: 1, Done: true, Result: spool.ConnectFailed}, {SentAt: 500}}}, &spool.Send{ID: "w", Cache: "o", Source: "o"})
 		}},
-		{"to one that drains", 3, func(r *riskChecker) {
+		{"to a draining member", 3, func(r *riskChecker) {
 			r.update(1000, row("b1", "box", spool.Draining, 0))
-			r.attemptSent(1600, &RequestState{Request: still, Attempts: []*Attempt{{}}}, &look)
+			r.attemptSent(1600, &RequestState{Request: still, Attempts: []*Attempt{{}}}, &lookup)
 		}},
-		{"within the grace", 0, func(r *riskChecker) {
+		{"within the grace period", 0, func(r *riskChecker) {
 			r.update(1000, row("b1", "box", spool.Draining, 0))
-			r.attemptSent(1400, &RequestState{Request: still, Attempts: []*Attempt{{}}}, &look)
+			r.attemptSent(1400, &RequestState{Request: still, Attempts: []*Attempt{{}}}, &lookup)
 		}},
-		{"from one that is gone", 3, func(r *riskChecker) {
+		{"from a removed member", 3, func(r *riskChecker) {
 			r.update(900, row("p1", "parent", spool.Serving, 0))
 			r.update(1000, spool.Members{Full: true})
 			r.attemptSent(1600, &RequestState{Request: still, Attempts: []*Attempt{{}}}, &spool.Send{ID: "q", Cache: "b2", Source: "p1", Keep: 1, Age: 1e9})
 		}},
-		{"a cold one", 4, func(r *riskChecker) {
+		{"overload during warm-up", 4, func(r *riskChecker) {
 			r.update(1000, row("b1", "box", spool.Serving, 1000))
 			for i := range 4000 {
-				r.attemptSent(1000+float64(i)/4, &RequestState{Request: still, Attempts: []*Attempt{{}}}, &look)
+				r.attemptSent(1000+float64(i)/4, &RequestState{Request: still, Attempts: []*Attempt{{}}}, &lookup)
 			}
 		}},
-		{"a cold one, a little", 0, func(r *riskChecker) {
+		{"low load during warm-up", 0, func(r *riskChecker) {
 			r.update(1000, row("b1", "box", spool.Serving, 1000))
 			for i := range 10 {
-				r.attemptSent(1000+float64(100*i), &RequestState{Request: still, Attempts: []*Attempt{{}}}, &look)
+				r.attemptSent(1000+float64(100*i), &RequestState{Request: still, Attempts: []*Attempt{{}}}, &lookup)
 			}
 		}},
 		{"any age after a purge", 5, func(r *riskChecker) {
 			r.update(1000, spool.Purge{Group: 1})
-			r.attemptSent(1500, &RequestState{Request: still, Attempts: []*Attempt{{}}}, &look)
+			r.attemptSent(1500, &RequestState{Request: still, Attempts: []*Attempt{{}}}, &lookup)
 		}},
-		{"young enough", 0, func(r *riskChecker) {
+		{"a copy from after the purge", 0, func(r *riskChecker) {
 			r.update(1000, spool.Purge{Object: "/s/1/a"})
-			young := look
-			young.Age = 499
-			r.attemptSent(1500, &RequestState{Request: still, Attempts: []*Attempt{{}}}, &young)
+			recent := lookup
+			recent.Age = 499
+			r.attemptSent(1500, &RequestState{Request: still, Attempts: []*Attempt{{}}}, &recent)
 		}},
 	} {
 		r := newRiskChecker()
@@ -268,20 +272,20 @@
 	}
 }
 
-// randomMembers is a World that answers anything.
+// randomMembers is a MemberModel that answers at random.
 type randomMembers struct{ t *rapid.T }
 
-func (w randomMembers) Update(float64, spool.Event)                                              {}
-func (w randomMembers) AttemptEnded(float64, *spool.Request, *spool.Send, *Answer, spool.Result) {}
-func (w randomMembers) Attempt(float64, *spool.Request, int, *spool.Send) Answer {
-	a := Answer{Result: spool.Result(rapid.IntRange(0, int(spool.Miss)).Draw(w.t, "result")), Note: spool.Note(rapid.IntRange(0, int(spool.NoteOriginFailed)).Draw(w.t, "note")),
-		Took: rapid.Float64Range(0, 4000).Draw(w.t, "took"), Unanswered: rapid.IntRange(0, 9).Draw(w.t, "never") == 0}
-	a.FirstByte = rapid.Float64Range(0, 4000).Draw(w.t, "begins")
+func (m randomMembers) Update(float64, spool.Event)                                              {}
+func (m randomMembers) AttemptEnded(float64, *spool.Request, *spool.Send, *Answer, spool.Result) {}
+func (m randomMembers) Attempt(float64, *spool.Request, int, *spool.Send) Answer {
+	a := Answer{Result: spool.Result(rapid.IntRange(0, int(spool.Miss)).Draw(m.t, "result")), Note: spool.Note(rapid.IntRange(0, int(spool.NoteOriginFailed)).Draw(m.t, "note")),
+		Took: rapid.Float64Range(0, 4000).Draw(m.t, "took"), Unanswered: rapid.IntRange(0, 9).Draw(m.t, "never") == 0}
+	a.FirstByte = rapid.Float64Range(0, 4000).Draw(m.t, "begins")
 	return a
 }
 
-// Whatever members do, each request ends once, by its deadline unless its answer
-// has begun; and what the module decides keeps the rules that a run shows.
+// TestEachEndsOnce checks that each request ends exactly once, whatever the members answer, and
+// that no rule of riskChecker is at risk: a request without a first byte ends by its deadline.
 func TestEachEndsOnce(t *testing.T) {
 	s := readSettings(t, settings)
 	rapid.Check(t, func(t *rapid.T) {
@@ -290,31 +294,31 @@
 			t.Fatal(err)
 		}
 		sim := &Sim{Now: 1000, Explain: true}
-		ends, came := map[string]int{}, 0
-		ri := newRiskChecker()
-		ri.startRun(s)
+		ends, arrived := map[string]int{}, 0
+		risks := newRiskChecker()
+		risks.startRun(s)
 		sim.Watch.AttemptSent = func(_ *Router, state *RequestState, a *spool.Send, _ []spool.Candidate) {
-			ri.attemptSent(sim.Now, state, a)
+			risks.attemptSent(sim.Now, state, a)
 		}
-		sim.Watch.RequestEnded = func(_ *Router, state *RequestState) { ends[state.Request.ID]++; ri.requestEnded(sim.Now, state) }
+		sim.Watch.RequestEnded = func(_ *Router, state *RequestState) { ends[state.Request.ID]++; risks.requestEnded(sim.Now, state) }
 		r := sim.Add("r", c, randomMembers{t})
-		tell := func(n *engine.Update) {
+		update := func(n *engine.Update) {
 			for _, ev := range c.Apply(sim.Now, n).Events {
-				ri.update(sim.Now, ev)
+				risks.update(sim.Now, ev)
 				sim.Handle(r, ev)
 			}
 		}
-		tell(engine.UpdateFromSettings(s))
+		update(engine.UpdateFromSettings(s))
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			sim.RunTo(sim.Now + rapid.Float64Range(0, 400).Draw(t, "pause"))
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
 				m := rapid.SampledFrom(s.Members[:5]).Draw(t, "member")
 				m.State = rapid.SampledFrom([]string{"serving", "draining", "removed"}).Draw(t, "state")
-				tell(engine.UpdateFromVersion(1, []config.Member{m}, rapid.Bool().Draw(t, "fresh")))
+				update(engine.UpdateFromVersion(1, []config.Member{m}, rapid.Bool().Draw(t, "fresh")))
 			case 1:
 				ev := spool.Purge{Group: rapid.IntRange(0, 2).Draw(t, "purged")}
-				ri.update(sim.Now, ev)
+				risks.update(sim.Now, ev)
 				sim.Handle(r, ev)
 			case 2:
 				sim.Handle(r, spool.Gone{ID: fmt.Sprint("q", rapid.IntRange(0, i).Draw(t, "gone"))})
@@ -322,28 +326,28 @@
 				class := rapid.SampledFrom([]string{"still", "film", "order"}).Draw(t, "class")
 				sim.Handle(r, spool.Request{ID: fmt.Sprint("q", i), Class: class, Object: fmt.Sprint("/x/", rapid.IntRange(0, 3).Draw(t, "object")),
 					Group: rapid.IntRange(0, 2).Draw(t, "group"), Part: rapid.IntRange(0, 5).Draw(t, "part"), Write: class == "order", KB: 50})
-				came++
+				arrived++
 			}
 		}
 		sim.RunTo(sim.Now + 20000)
-		if len(ends) != came || len(r.requests) > 0 {
-			t.Fatalf("%d of %d requests ended, %d are held", len(ends), came, len(r.requests))
+		if len(ends) != arrived || len(r.requests) > 0 {
+			t.Fatalf("%d of %d requests ended, %d are open", len(ends), arrived, len(r.requests))
 		}
 		for id, n := range ends {
 			if n != 1 {
 				t.Fatalf("%s ended %d times", id, n)
 			}
 		}
-		for rule, n := range ri.counts {
+		for rule, n := range risks.counts {
 			if n > 0 {
-				t.Fatalf("rule %d: %s", rule, ri.first[rule])
+				t.Fatalf("rule %d: %s", rule, risks.first[rule])
 			}
 		}
 	})
 }
 
-// A cold parent that is given far more than it bears falls over, and answers nothing
-// from then on; a warm one only gets slower.
+// TestBoxesFall checks that a parent which is overloaded while it is warming up fails and does
+// not recover, and that a warm parent only becomes slower.
 func TestBoxesFall(t *testing.T) {
 	s := readSettings(t, settings)
 	w := NewCacheModels(options(s))
@@ -354,7 +358,7 @@
 		}
 	}
 	w.Update(1000, spool.Members{Rows: []spool.Member{{ID: "b1", Zone: "z", Kind: "box", Size: 10}, {ID: "p1", Kind: "parent", Size: 1, ReadyAt: 1000}, {ID: "p2", Kind: "parent", Size: 1}}})
-	take := func(now float64, i int, source string) Answer {
+	attempt := func(now float64, i int, source string) Answer {
 		q := &spool.Request{ID: "q", Object: fmt.Sprint("/s/", i), KB: 1000}
 		a := w.Attempt(now, q, 0, &spool.Send{Cache: "b1", Source: source, Keep: 1, Age: 1e9})
 		if i%2 == 0 {
@@ -362,23 +366,23 @@
 		}
 		return a
 	}
-	fell := 0
+	failed := 0
 	for i := range 40 {
-		if a := take(1000+float64(i)*50, i, "p1"); a.Result != spool.OK {
-			fell++
-		} else if fell > 0 {
-			t.Fatal("it answers again")
+		if a := attempt(1000+float64(i)*50, i, "p1"); a.Result != spool.OK {
+			failed++
+		} else if failed > 0 {
+			t.Fatal("the parent answers after it has failed")
 		}
-		if a := take(1000+float64(i)*50, 100+i, "p2"); a.Result != spool.OK {
-			t.Fatal("a warm one fell")
+		if a := attempt(1000+float64(i)*50, 100+i, "p2"); a.Result != spool.OK {
+			t.Fatal("a warm parent failed")
 		}
 	}
-	if w.Finish(5000); fell == 0 || fell > 38 || w.FailedAt("p1") == 0 || w.FailedAt("p2") > 0 || seconds < 300 {
-		t.Errorf("%d refused, fell at %v and %v, %v ms of sending", fell, w.FailedAt("p1"), w.FailedAt("p2"), seconds)
+	if w.Finish(5000); failed == 0 || failed > 38 || w.FailedAt("p1") == 0 || w.FailedAt("p2") > 0 || seconds < 300 {
+		t.Errorf("%d attempts failed, parents failed at %v and %v, %v ms of sending time", failed, w.FailedAt("p1"), w.FailedAt("p2"), seconds)
 	}
-	if a := take(9000, 100, "p2"); a.Note != spool.NoteHit { // it was filled before
-		if a = take(9000, 102, "p2"); a.Note != spool.NoteHit {
-			t.Errorf("nothing was kept: %+v", a)
+	if a := attempt(9000, 100, "p2"); a.Note != spool.NoteHit { // it was filled before
+		if a = attempt(9000, 102, "p2"); a.Note != spool.NoteHit {
+			t.Errorf("no copy was cached: %+v", a)
 		}
 	}
 }
