--- a/internal/testbed/scenario/clients_test.go
+++ b/internal/testbed/scenario/clients_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// A client asks on an idle connection unless the router has closed it by then.
+// A client reuses an idle connection unless the router has closed it.
 func TestIdleConnections(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,7 +33,7 @@
 	server := <-accepted
 	at.put(first)
 	if again, err := at.get(); err != nil || again != first {
-		t.Fatalf("an idle connection was not used again: %v", err)
+		t.Fatalf("an idle connection was not reused: %v", err)
 	}
 	at.put(first)
 	server.Close()
@@ -43,7 +43,7 @@
 	}
 	second, err := at.get()
 	if err != nil || second == first {
-		t.Fatalf("a connection that the router had closed was used again: %v", err)
+		t.Fatalf("a connection that the router had closed was reused: %v", err)
 	}
 	defer second.Close()
 	server = <-accepted
--- a/internal/testbed/scenario/day_test.go
+++ b/internal/testbed/scenario/day_test.go
@@ -13,7 +13,7 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// The test binary is also the machines of its days.
+// The test binary also runs as the machines of the tests' days, see Child.
 func TestMain(m *testing.M) {
 	if is, err := Child(os.Args); is {
 		if err != nil {
@@ -64,9 +64,9 @@
 	return res
 }
 
-// Crash, drain, purge, and a router's kill on one short day: every rule is
-// looked at and kept, and most requests are served.
-func TestShortBadDay(t *testing.T) {
+// With a crash, a drain, a purge, a killed router and lost responses on one short day, every
+// rule is checked and kept, and most requests are served.
+func TestSeveralFaults(t *testing.T) {
 	res := play(t, `(trouble crash (at 500) (for 1200) (boxes 1)) (trouble drain (at 900) (for 1800) (boxes 1))
 		(trouble flush (at 1200) (share 0.5)) (trouble router-kill (at 1500) (for 300) (routers 1))
 		(trouble answer-lost (at 1800) (for 600) (boxes 1) (share 0.5))`)
@@ -79,8 +79,8 @@
 	}
 }
 
-// All routers are killed at once and start anew before parents that have just
-// come back cold.
+// All routers are killed at once and start again while boxes and parents have just started
+// cold.
 func TestAllRoutersRestartAtOnce(t *testing.T) {
 	res := play(t, `(trouble zone-loss (at 600) (for 500)) (trouble zone-loss (at 600) (for 500) (zone z))
 		(trouble router-kill (at 700) (for 300) (routers 2)) (trouble drain (at 1600) (for 1800) (boxes 1))`)
@@ -95,7 +95,7 @@
 	}
 }
 
-// A day played with fewer routers than it was written for.
+// A day runs with fewer routers than its script says; its faults then affect fewer as well.
 func TestFewerRouters(t *testing.T) {
 	s := read(t, "(trouble router-kill (at 200) (for 100) (routers 2)) (trouble drain (at 100) (for 900) (boxes 1))")
 	ctx, cancel := context.WithTimeout(t.Context(), 60*time.Second)
@@ -162,10 +162,10 @@
 	}
 }
 
-// Good, bad and repeated versions, a killed service and a killed router, with
-// members in the versions: the fleet is as it should be at each step, and no
-// rule breaks.
-func TestVersionDay(t *testing.T) {
+// Versions list the members. With good, bad and repeated versions, a killed control service
+// and a killed router, the fleet reaches the expected state at each step, and no rule is
+// violated.
+func TestVersionFaults(t *testing.T) {
 	res := play(t, `(control (on) (hold 100) (spread 100) (level 10000))
 		(trouble version-good (at 300)) (trouble version-bad (at 1200)) (trouble drain (at 1500) (for 2000) (boxes 1))
 		(trouble control-down (at 2000) (for 500)) (trouble router-kill (at 2100) (for 300) (routers 1))
@@ -185,7 +185,7 @@
 	}
 }
 
-// A day with versions names what its service can't do.
+// Reading a script rejects faults that do not fit its control service.
 func TestVersionScripts(t *testing.T) {
 	for troubles, want := range map[string]string{
 		`(trouble version-good (at 1))`:                      "version-good without a control service",
@@ -200,9 +200,9 @@
 	}
 }
 
-// System calls and folders that fail and a clock that is set, inside the processes of one
-// short day: each trouble has an effect, and no rule breaks.
-func TestFaultsInsideProcesses(t *testing.T) {
+// System calls and folders that fail and a wall clock that is set, inside the processes of
+// one short day: each fault has an effect, and no rule is violated.
+func TestProcessFaultsInDay(t *testing.T) {
 	res := play(t, `(control (on) (from-list) (hold 100) (spread 100) (level 10000))
 		(trouble syscalls (at 300) (for 1200) (routers 2) (plan "accept:ENFILE:0.5; read:EINTR:0.2; write:short:0.3; connect:EADDRNOTAVAIL:0.5"))
 		(trouble clock-step (at 600) (for 1500) (routers 2) (control) (step -3600000))
@@ -210,7 +210,7 @@
 		(trouble router-kill (at 1100) (for 300) (routers 1)) (trouble drain (at 1500) (for 1800) (boxes 1))
 		(trouble crash (at 1000) (for 600) (boxes 1))`)
 	if len(res.Injected) != 2 {
-		t.Fatalf("troubles that were counted: %+v, want two", res.Injected)
+		t.Fatalf("counted faults: %+v, want two", res.Injected)
 	}
 	for _, one := range res.Injected {
 		if one.Failed == 0 {
@@ -218,10 +218,10 @@
 		}
 	}
 	if !res.OK() {
-		t.Errorf("the day is not as it should be: %+v", res.Steps)
+		t.Errorf("the result is not OK: %+v", res.Steps)
 	}
 	res.Injected[0].Failed = 0
 	if res.OK() {
-		t.Error("a day passed in which a trouble had no effect")
+		t.Error("a day passed although a fault had no effect")
 	}
 }
--- a/internal/testbed/scenario/inject_test.go
+++ b/internal/testbed/scenario/inject_test.go
@@ -25,7 +25,7 @@
 	"indigospool/internal/wallclock"
 )
 
-// told is the standard input of a process that begins with faults and is told of more.
+// told returns the standard input of a process with startup faults and later ones.
 func told(t *testing.T, begin []processFault, more ...processFault) *bufio.Reader {
 	t.Helper()
 	line, err := json.Marshal(processStart{Faults: begin})
@@ -42,8 +42,8 @@
 	return bufio.NewReader(strings.NewReader(text))
 }
 
-// A process suffers the faults that it begins with and those that it is told of, each
-// until its end; what it can't suffer is an error.
+// A process applies its startup faults and those that it receives later, each until its end.
+// An unknown fault is an error.
 func TestProcessFaults(t *testing.T) {
 	now := trafficlog.Now()
 	full := processFault{Kind: FolderFault, Errno: "ENOSPC", Until: now + 60_000}
@@ -73,15 +73,15 @@
 		}
 	}
 	if _, err := newInjector(told(t, []processFault{{Kind: "earthquake"}}), io.Discard); err == nil {
-		t.Error("an unknown fault was begun")
+		t.Error("an unknown fault was started")
 	}
 	if _, err := newInjector(bufio.NewReader(strings.NewReader("")), io.Discard); err == nil {
-		t.Error("a process began without being told of its faults")
+		t.Error("a process started without startup faults on its input")
 	}
 }
 
-// While a folder fails nothing is written whole, created, renamed or synced, and what is
-// there can be read; afterwards all of it works.
+// During a folder-fault writing, creating, renaming and syncing fail, and existing files can
+// be read. After it all calls work.
 func TestFolderFault(t *testing.T) {
 	faults := &injector{report: io.Discard}
 	dir := t.TempDir()
@@ -125,7 +125,7 @@
 			t.Errorf("%s in a full folder: %v", name, err)
 		}
 		if _, err := folder.Open("a", false); err != nil {
-			t.Errorf("what is there can't be opened in a full folder: %v", err)
+			t.Errorf("an existing file can't be opened in a full folder: %v", err)
 		}
 		faults.folder.Store(&folderFault{processFault: processFault{Errno: "ENOSPC", Until: trafficlog.Now()}})
 		if err := call(); err != nil {
@@ -150,23 +150,23 @@
 	return file.Close()
 }
 
-// What is refused for a folder's fault is asked again until the folder works and a moment
-// after, and no longer; any other error is the caller's at once.
-func TestUntilKept(t *testing.T) {
-	refused := &statusError{status: 503}
+// A request that is rejected during a folder-fault is retried until recoveryTimeMS after the
+// fault, and no longer. Any other error is returned at once.
+func TestRetryDuringFolderFault(t *testing.T) {
+	rejected := &statusError{status: 503}
 	down := errors.New("connection refused")
 	for _, c := range []struct {
 		name   string
-		until  float64 // the folder's fault, from now; 0: there was none
+		until  float64 // end of the folder-fault, ms from now; 0: no fault
 		err    error
-		calls  int // that fail; -1: all
-		called int // at most
+		calls  int // number of calls that fail; -1: all
+		called int // expected number of calls
 		want   error
 	}{
-		{"kept after three refusals", 60_000, refused, 3, 4, nil},
-		{"refused for another reason", 0, refused, 3, 1, refused},
+		{"succeeds after three rejections", 60_000, rejected, 3, 4, nil},
+		{"rejected without a folder-fault", 0, rejected, 3, 1, rejected},
 		{"a machine that is down", 60_000, down, 3, 1, down},
-		{"refused long after", -recoveryTimeMS - 1, refused, -1, 1, errNotRecovered},
+		{"rejected long after the fault", -recoveryTimeMS - 1, rejected, -1, 1, errNotRecovered},
 	} {
 		day, called := &Day{}, 0
 		if c.until != 0 {
@@ -179,7 +179,7 @@
 			return nil
 		})
 		if called != c.called || !errors.Is(err, c.want) {
-			t.Errorf("%s: asked %d times, %v; want %d, %v", c.name, called, err, c.called, c.want)
+			t.Errorf("%s: called %d times, %v; want %d, %v", c.name, called, err, c.called, c.want)
 		}
 	}
 }
@@ -206,12 +206,12 @@
 	}
 }
 
-// Reads and writes fail by a plan on the connections that a trouble meets, and on no
-// others, while it lasts; a process of a day without such troubles has the kernel's calls.
+// During a syscalls fault reads and writes fail as planned on the connections that the fault
+// affects, and on no others. A process of a day without such faults uses the kernel's calls.
 func TestSyscallFaults(t *testing.T) {
 	faults, err := newInjector(told(t, nil), io.Discard)
 	if err != nil || faults.syscalls() != nil {
-		t.Fatalf("calls are intercepted in a day without troubles of them: %v", err)
+		t.Fatalf("calls are intercepted in a day without syscalls faults: %v", err)
 	}
 	listener, address, err := eventloop.Listen("127.0.0.1:0")
 	if err != nil {
@@ -221,7 +221,7 @@
 	for _, c := range []struct {
 		peer           string
 		span           float64
-		member, client error // what a read gives
+		member, client error // of a read on a connection to a member or from a client
 	}{
 		{peerAll, 60_000, unix.ETIMEDOUT, unix.ETIMEDOUT},
 		{peerMembers, 60_000, unix.ETIMEDOUT, unix.EAGAIN},
@@ -246,12 +246,12 @@
 		unix.Close(client)
 	}
 	if err := faults.startFault(processFault{Kind: SyscallFaults, Plan: "read"}); !errors.Is(err, faultinject.ErrPlan) {
-		t.Errorf("a plan that is none: %v", err)
+		t.Errorf("an invalid plan: %v", err)
 	}
 }
 
-// connected are the two ends of a connection: that which was made, as to a member, and that
-// which was accepted, as from a client.
+// connected returns the two ends of a connection: the one that was opened, as to a member,
+// and the one that was accepted, as from a client.
 func connected(t *testing.T, calls eventloop.Syscalls, listener int, address string) (made, accepted int) {
 	t.Helper()
 	to, err := netip.ParseAddrPort(address)
@@ -276,7 +276,7 @@
 	return made, accepted
 }
 
-// A step of a process's wall clock is there until its end; two add up.
+// A step of a process's wall clock lasts until the fault's end. Two steps add up.
 func TestClockStep(t *testing.T) {
 	faults := &injector{report: io.Discard}
 	off := func() time.Duration { return wallclock.Now().Sub(time.Now().Round(0)).Round(time.Second) }
@@ -296,6 +296,6 @@
 		}
 	}
 	if took := trafficlog.Now() - now; took < 900 {
-		t.Errorf("the last step was taken back after %.0f ms, want 900", took)
+		t.Errorf("the last step was undone after %.0f ms, want 900", took)
 	}
 }
--- a/internal/testbed/scenario/repeat_test.go
+++ b/internal/testbed/scenario/repeat_test.go
@@ -16,41 +16,41 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// reply is how a router answers one try in these tests.
+// reply is a router's response to one try.
 type reply struct {
-	status     int // 0: it closes the connection without an answer
+	status     int // 0: the router closes the connection without a response
 	after      time.Duration
 	retryAfter string
 }
 
-// A client repeats a write only where the repeat is surely harmless, and then asks for no
-// more time than is left of the window since the first try that may have run.
-func TestWritesAreRepeatedOnlyWhereHarmless(t *testing.T) {
+// A client repeats a write only where that is certainly safe. The repeat's deadline lies
+// within the window since the first try that may have been executed.
+func TestWritesRepeatedOnlyIfSafe(t *testing.T) {
 	const window = 600
 	failed, refused := reply{status: 502}, reply{status: 503}
 	refusedFor := reply{status: 503, retryAfter: "1"}
 	for _, c := range []struct {
 		name          string
 		effect, group string
-		replies       []reply // of each try; the last one also of those after it
+		replies       []reply // one for each try; the last one also for later tries
 		tries         int
 	}{
 		{"failed early in the window", "guarded", "all", []reply{failed}, 3},
-		{"closed without an answer", "guarded", "all", []reply{{}}, 3},
+		{"closed without a response", "guarded", "all", []reply{{}}, 3},
 		{"failed past the window", "guarded", "all", []reply{{status: 502, after: 700 * time.Millisecond}}, 1},
 		{"told to wait past the window", "guarded", "all", []reply{{status: 502, retryAfter: "1"}}, 1},
-		{"refused after one that may have run", "guarded", "all", []reply{failed, refusedFor}, 2},
-		{"refused each time", "guarded", "all", []reply{refusedFor}, 3},
-		{"failed, with no promise of all servers", "guarded", "zone", []reply{failed}, 1},
-		{"refused, with no promise of all servers", "guarded", "zone", []reply{refused}, 3},
-		{"failed, of effects that happen at each call", "single-shot", "all", []reply{failed}, 1},
-		{"failed after a refusal", "single-shot", "all", []reply{refused, failed}, 2},
+		{"rejected after a try that may have been executed", "guarded", "all", []reply{failed, refusedFor}, 2},
+		{"rejected each time", "guarded", "all", []reply{refusedFor}, 3},
+		{"failed, repeats dropped in the zone only", "guarded", "zone", []reply{failed}, 1},
+		{"rejected, repeats dropped in the zone only", "guarded", "zone", []reply{refused}, 3},
+		{"failed, non-idempotent", "single-shot", "all", []reply{failed}, 1},
+		{"failed after a rejection", "single-shot", "all", []reply{refused, failed}, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			var asked atomic.Int64
 			var mu sync.Mutex
-			var deadlines []float64 // on the tap's clock
+			var deadlines []float64 // see trafficlog.Now
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				span, _ := strconv.ParseFloat(r.Header.Get("Spool-Deadline"), 64)
 				mu.Lock()
@@ -70,7 +70,7 @@
 			records := askOneWrite(strings.TrimPrefix(server.URL, "http://"),
 				Class{Name: "order", Deadline: 2000, Write: true, Idempotency: c.effect, KeyScope: c.group, KeyWindow: window})
 			if len(records) != c.tries || int(asked.Load()) != c.tries {
-				t.Fatalf("%d tries, %d of them at the router; want %d", len(records), asked.Load(), c.tries)
+				t.Fatalf("%d tries, %d of them received by the router; want %d", len(records), asked.Load(), c.tries)
 			}
 			mayHaveRun := math.Inf(1)
 			for i, ask := range records {
@@ -83,14 +83,14 @@
 			}
 		})
 	}
-	t.Run("nobody took it", func(t *testing.T) {
+	t.Run("no router accepts it", func(t *testing.T) {
 		if n := len(askOneWrite("", Class{Name: "order", Deadline: 2000, Write: true, Idempotency: "single-shot"})); n != 3 {
 			t.Errorf("%d tries, want 3", n)
 		}
 	})
 }
 
-// askOneWrite has a client make one write, at a router at an address, and returns the
+// askOneWrite has a client make one write to the router at an address and returns the
 // records of its tries.
 func askOneWrite(address string, class Class) (asks []trafficlog.Record) {
 	script := &Script{Day: DaySettings{Retries: 2, RetryWait: 20, MinTimeoutShare: 1, Groups: 1}, Classes: []Class{class}}
@@ -107,9 +107,9 @@
 	return asks
 }
 
-// A client states the time that it has left when it writes: what it has waited for its
-// connection is not the router's.
-func TestClientsStateWhatIsLeft(t *testing.T) {
+// A client states the time that remains when it sends the request; the time spent waiting
+// for a connection does not count.
+func TestRemainingTimeStated(t *testing.T) {
 	const delay, patience, slack = 200, 2000, 50
 	left := make(chan float64, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -121,7 +121,7 @@
 	script := &Script{Day: DaySettings{MinTimeoutShare: 1, Groups: 1}, Classes: []Class{class}}
 	at := &routerEndpoint{name: "r1", zone: "z", addr: strings.TrimPrefix(server.URL, "http://")}
 	c := &clients{day: &Day{script: script, trafficLog: trafficlog.NewKeeper(nil)}, zone: "z", sequence: new(atomic.Int64)}
-	at.mu.Lock() // no connection is to be had
+	at.mu.Lock() // no connection is available
 	done := make(chan response)
 	go func() {
 		done <- c.try(at, &class, "/order/0/w1", "k1", 0, math.Inf(1), rand.New(rand.NewPCG(1, 2)))
@@ -132,6 +132,6 @@
 		t.Fatalf("not answered: %+v", ans)
 	}
 	if span := <-left; span > patience-delay+slack {
-		t.Errorf("%.0f ms are stated to the router after %d of %d have passed", span, delay, patience)
+		t.Errorf("%.0f ms are stated to the router after %d of %d ms have passed", span, delay, patience)
 	}
 }
