--- a/internal/testbed/faultinject/faultinject.go
+++ b/internal/testbed/faultinject/faultinject.go
@@ -110,7 +110,7 @@
 		return fault, nil
 	}
 	if len(rest) > 1 {
-		return Fault{}, fmt.Errorf("%q follows the span", rest[1])
+		return Fault{}, fmt.Errorf("%q follows the time span", rest[1])
 	}
 	return fault, fault.parseSpan(rest[0])
 }
@@ -134,12 +134,12 @@
 func (f *Fault) parseOften(text string) (err error) {
 	if number, ok := strings.CutSuffix(text, "x"); ok {
 		if f.Count, err = strconv.Atoi(number); err != nil || f.Count < 1 {
-			return fmt.Errorf("%q is no number of calls", text)
+			return fmt.Errorf("%q is not a number of calls", text)
 		}
 		return nil
 	}
 	if f.Share, err = strconv.ParseFloat(text, 64); err != nil || !(f.Share > 0 && f.Share <= 1) {
-		return fmt.Errorf("%q is no share of calls", text)
+		return fmt.Errorf("%q is not a share of calls", text)
 	}
 	return nil
 }
@@ -147,19 +147,19 @@
 func (f *Fault) parseSpan(text string) (err error) {
 	from, until, ok := strings.Cut(text, "-")
 	if !ok {
-		return fmt.Errorf("%q is no span", text)
+		return fmt.Errorf("%q is not a time span", text)
 	}
 	if f.From, err = time.ParseDuration(from); err != nil {
-		return fmt.Errorf("begin of span %q: %w", text, err)
+		return fmt.Errorf("begin of time span %q: %w", text, err)
 	}
 	if until == "" {
 		return nil
 	}
 	if f.Until, err = time.ParseDuration(until); err != nil {
-		return fmt.Errorf("end of span %q: %w", text, err)
+		return fmt.Errorf("end of time span %q: %w", text, err)
 	}
 	if f.Until <= f.From {
-		return fmt.Errorf("span %q ends before it begins", text)
+		return fmt.Errorf("time span %q ends before it begins", text)
 	}
 	return nil
 }
--- a/internal/testbed/faultinject/faultinject_test.go
+++ b/internal/testbed/faultinject/faultinject_test.go
@@ -27,14 +27,14 @@
 		"read:EINTR;close:EIO":       `unknown call "close"`,
 		"read:EFOO":                  `unknown error "EFOO"`,
 		"accept:short":               "accept cannot be short",
-		"read:EINTR:2":               `"2" is no share`,
-		"read:EINTR:NaN":             `"NaN" is no share`,
-		"read:EINTR:0x":              `"0x" is no number`,
-		"read:EINTR:1:soon-2s":       `begin of span "soon-2s"`,
-		"read:EINTR:1:2s-late":       `end of span "2s-late"`,
+		"read:EINTR:2":               `"2" is not a share`,
+		"read:EINTR:NaN":             `"NaN" is not a share`,
+		"read:EINTR:0x":              `"0x" is not a number`,
+		"read:EINTR:1:soon-2s":       `begin of time span "soon-2s"`,
+		"read:EINTR:1:2s-late":       `end of time span "2s-late"`,
 		"read:EINTR:1:2s-1s":         `"2s-1s" ends before`,
 		"read:EINTR:1s-2s:0.1":       `"0.1" follows`,
-		"read:EINTR:0.1:2s":          `"2s" is no span`,
+		"read:EINTR:0.1:2s":          `"2s" is not a time span`,
 		"read:EINTR:0.1:1s-2s:again": "want call:error",
 	} {
 		if _, err := Parse(text); !errors.Is(err, ErrPlan) || !strings.Contains(err.Error(), part) {
@@ -96,7 +96,7 @@
 	}
 }
 
-// A wait is interrupted only when nothing is ready.
+// A wait is interrupted only when no event is ready.
 func TestWaitInterrupted(t *testing.T) {
 	plan, _ := Parse("wait:EINTR")
 	s := New(plan, 0, StartClock())
@@ -113,10 +113,10 @@
 	unix.EpollCtl(epoll, unix.EPOLL_CTL_ADD, event, &unix.EpollEvent{Events: unix.EPOLLIN})
 	events := make([]unix.EpollEvent, 1)
 	if n, err := s.Wait(epoll, events, -1); n != 0 || err != unix.EINTR {
-		t.Errorf("with nothing ready: %d, %v", n, err)
+		t.Errorf("without a ready event: %d, %v", n, err)
 	}
 	unix.Write(event, []byte{1, 0, 0, 0, 0, 0, 0, 0})
 	if n, err := s.Wait(epoll, events, -1); n != 1 || err != nil {
-		t.Errorf("with an event: %d, %v", n, err)
+		t.Errorf("with a ready event: %d, %v", n, err)
 	}
 }
--- a/internal/testbed/scenario/clients.go
+++ b/internal/testbed/scenario/clients.go
@@ -181,6 +181,7 @@
 // outcomeUnreached is the outcome of a try that no router accepted.
 const outcomeUnreached = "unreached"
 
+// response is the outcome of a try.
 type response struct {
 	status     int
 	complete   bool
@@ -250,6 +251,7 @@
 	r.idle = nil
 }
 
+// get returns an idle connection that is still open, or a new one.
 func (r *routerEndpoint) get() (*conn, error) {
 	r.mu.Lock()
 	if r.addr == "" {
@@ -274,6 +276,7 @@
 	return &conn{Conn: n, br: bufio.NewReaderSize(n, 8<<10)}, nil
 }
 
+// put makes a connection idle, or closes it if the router has another address by now.
 func (r *routerEndpoint) put(c *conn) {
 	c.lastUsed = trafficlog.Now()
 	r.mu.Lock()
--- a/internal/testbed/scenario/day_test.go
+++ b/internal/testbed/scenario/day_test.go
@@ -111,7 +111,7 @@
 func TestScriptFaults(t *testing.T) {
 	for _, c := range []struct{ add, want string }{
 		{"(trouble crsh (at 1) (boxes 1))", `unknown trouble "crsh"`},
-		{"(trouble crash (at 1))", "crash meets nobody"},
+		{"(trouble crash (at 1))", "crash affects no machine"},
 		{"(trouble crash (at 1) (boxes 9))", "more machines than there are"},
 		{"(trouble crash (at 9999) (boxes 1))", "past the day's length"},
 		{"(trouble flush (at 1))", "flush has no share"},
@@ -189,8 +189,8 @@
 func TestVersionScripts(t *testing.T) {
 	for troubles, want := range map[string]string{
 		`(trouble version-good (at 1))`:                      "version-good without a control service",
-		`(control (on)) (trouble list-cut (at 1))`:           "list-cut where versions list the members",
-		`(control (on)) (trouble zone-loss (zone z) (at 1))`: "zone-loss where versions list the members",
+		`(control (on)) (trouble list-cut (at 1))`:           "list-cut where settings versions list the members",
+		`(control (on)) (trouble zone-loss (zone z) (at 1))`: "zone-loss where settings versions list the members",
 		`(control (on) (protocol odd))`:                      `"odd" is not known here`,
 	} {
 		s := &Script{}
--- a/internal/testbed/scenario/import.go
+++ b/internal/testbed/scenario/import.go
@@ -205,7 +205,7 @@
 		shares += c.Share
 		work += c.Share * c.Work / 1000
 	}
-	sendTimePerSecond := scale.Rate * work / max(shares, 1e-9) // ms of sending a second
+	sendTimePerSecond := scale.Rate * work / max(shares, 1e-9) // total send time per second, ms
 	played := 0
 	for _, z := range places {
 		played += boxes[z]
--- a/internal/testbed/scenario/inject.go
+++ b/internal/testbed/scenario/inject.go
@@ -151,12 +151,12 @@
 		if err == nil || !errors.As(err, &rejected) || rejected.status < http.StatusInternalServerError {
 			return err
 		}
-		works, failed := d.processFaults.folderFaultEnd(machine)
+		end, failed := d.processFaults.folderFaultEnd(machine)
 		if !failed {
 			return err
 		}
-		if trafficlog.Now() > works+recoveryTimeMS {
-			return fmt.Errorf("%w, %.0f ms ago: %w", errNotRecovered, trafficlog.Now()-works, err)
+		if trafficlog.Now() > end+recoveryTimeMS {
+			return fmt.Errorf("%w, %.0f ms ago: %w", errNotRecovered, trafficlog.Now()-end, err)
 		}
 		if !sleep(ctx, retryIntervalMS) {
 			return err
@@ -259,11 +259,11 @@
 	cacheNodes := s.Stand.Boxes != "" && s.Stand.Boxes != "stand-in"
 	switch {
 	case t.Routers+t.Boxes == 0 && !t.Control:
-		return t.Kind + " meets nobody", "add (routers n), (boxes n) or (control)"
+		return t.Kind + " affects no machine", "add (routers n), (boxes n) or (control)"
 	case t.Boxes > 0 && !cacheNodes:
-		return t.Kind + " at boxes that are stand-ins", "add (boxes warm) to (stand ...)"
+		return t.Kind + " at boxes that are test servers", "add (boxes warm) to (stand ...)"
 	case t.Control && !s.Control.On:
-		return t.Kind + " at a control service that the day lacks", "add (control (on))"
+		return t.Kind + " without a control service", "add (control (on))"
 	case t.Kind == SyscallFaults && t.Control:
 		return "syscalls at the control service, which has no event loop", "leave out (control)"
 	case !contains([]string{peerAll, peerMembers, peerClients}, t.Peer):
@@ -279,7 +279,7 @@
 	case t.Kind == ClockStep && t.Step == 0:
 		return "clock-step without a step", "add (step 3000), or another number of ms"
 	case t.Kind == FolderFault && t.Routers > 0 && !s.Control.On:
-		return "folder-fault at routers that keep nothing", "add (control (on))"
+		return "folder-fault at routers that store no versions", "add (control (on))"
 	case t.Kind == FolderFault && folderErrnos[t.Errno] == 0:
 		return fmt.Sprintf("unknown errno %q", t.Errno), "known are ENOSPC, EIO, EDQUOT and EROFS"
 	}
--- a/internal/testbed/scenario/run.go
+++ b/internal/testbed/scenario/run.go
@@ -78,6 +78,7 @@
 
 func journalPath(dir, router string) string { return filepath.Join(dir, router+".journal") }
 
+// replayAll replays the routers' journals and compares each with the traffic log.
 func replayAll(dir string, routers int, recs []trafficlog.Record) (out []ReplayResult, err error) {
 	for i := range routers {
 		name := fmt.Sprintf("router-%d", i+1)
@@ -138,6 +139,7 @@
 	until float64
 }
 
+// router is a router of the day. Its process may be restarted.
 type router struct {
 	endpoint *routerEndpoint
 	settings string
@@ -161,7 +163,7 @@
 func Run(ctx context.Context, s *Script, o Options) (*Result, error) {
 	if o.Routers > 0 {
 		s.Day.Routers = o.Routers
-		for i := range s.Faults { // no more than there are
+		for i := range s.Faults { // a fault affects no more routers than there are
 			s.Faults[i].Routers = min(s.Faults[i].Routers, o.Routers)
 		}
 	}
@@ -380,6 +382,7 @@
 	return c
 }
 
+// startRouter starts a router's process and waits until it listens.
 func (d *Day) startRouter(ctx context.Context, r *router) error {
 	in, err := json.Marshal(r.settings)
 	if err == nil {
@@ -498,6 +501,7 @@
 	return ctx.Err()
 }
 
+// sleep waits for a time in ms. It reports false if the context ended first.
 func sleep(ctx context.Context, ms float64) bool {
 	if ms <= 0 {
 		return ctx.Err() == nil
@@ -590,7 +594,7 @@
 			sleep(ctx, t.Duration)
 			return d.startMachine(ctx, m, true)
 		})
-	case testserver.Vanish: // does not answer, then starts again cold and empty; stays listed as serving all the time
+	case testserver.Vanish: // stops answering, then starts again cold and empty; it stays listed as serving
 		return d.forEachMachine(targets, func(m *machine) error {
 			if err := d.sendFault(m, testserver.Fault{Kind: t.Kind, For: t.Duration}); err != nil {
 				return err
--- a/internal/testbed/scenario/script.go
+++ b/internal/testbed/scenario/script.go
@@ -154,7 +154,7 @@
 
 var dayKinds = []string{SlowReaders, SlowSenders, RouterRestart, Crash, Drain, Preempt, ZoneLoss, RouterKill, Flush, HotKey, Scan, OriginSlow, ListDisconnect, ListRollback, ListDown}
 
-// Check reports settings that contradict each other.
+// Check reports settings that contradict each other or name unknown things.
 func (s *Script) Check(f *config.Faults) {
 	add := func(p config.Pos, key, what, remedy string) {
 		*f = append(*f, config.Fault{Pos: p, Key: key, What: what, Remedy: remedy})
@@ -199,7 +199,7 @@
 		case contains(controlKinds, t.Kind) && !s.Control.On:
 			add(t.Place.Pos, "trouble", t.Kind+" without a control service", "add (control (on))")
 		case byVersion && contains([]string{ListDisconnect, ListRollback, ListDown, ZoneLoss, ControlOlder}, t.Kind):
-			add(t.Place.Pos, "trouble", t.Kind+" where versions list the members", "add (from-list) to (control ...)")
+			add(t.Place.Pos, "trouble", t.Kind+" where settings versions list the members", "add (from-list) to (control ...)")
 		}
 		if t.At >= s.Day.Length {
 			add(t.Place.Of("at"), "trouble/at", fmt.Sprintf("%v is past the day's length %v", t.At, s.Day.Length), "lower it")
@@ -208,18 +208,18 @@
 			add(t.Place.Of("zone"), "trouble/zone", fmt.Sprintf("%q is no zone", t.Zone), "name one that is given")
 		}
 		if t.Boxes > boxes || t.Parents > s.Parents.Count || t.Routers > s.Day.Routers {
-			add(t.Place.Pos, "trouble", "it meets more machines than there are", "lower their number")
+			add(t.Place.Pos, "trouble", "affects more machines than there are", "lower their number")
 		}
 		if contains(testserver.Kinds, t.Kind) || contains([]string{Crash, Drain, Preempt}, t.Kind) {
 			if t.Boxes+t.Parents == 0 && !t.Origin {
-				add(t.Place.Pos, "trouble", t.Kind+" meets nobody", "add (boxes n), (parents n) or (origin)")
+				add(t.Place.Pos, "trouble", t.Kind+" affects no machine", "add (boxes n), (parents n) or (origin)")
 			}
 		}
 		if (t.Kind == RouterKill || t.Kind == RouterRestart) && t.Routers == 0 {
-			add(t.Place.Pos, "trouble", t.Kind+" meets nobody", "add (routers n)")
+			add(t.Place.Pos, "trouble", t.Kind+" affects no machine", "add (routers n)")
 		}
 		if t.Kind == RouterRestart && s.Control.On {
-			add(t.Place.Pos, "trouble", "router-restart with a control service: the store of versions is open in one process only", "leave out one of the two")
+			add(t.Place.Pos, "trouble", "router-restart with a control service: only one process can open the store of versions", "leave out one of the two")
 		}
 		if (t.Kind == SlowReaders || t.Kind == SlowSenders) && t.Clients == 0 {
 			add(t.Place.Pos, "trouble", t.Kind+" has no clients", "add (clients n)")
--- a/internal/testbed/scenario/versions.go
+++ b/internal/testbed/scenario/versions.go
@@ -84,6 +84,7 @@
 	purges       []madePurge
 }
 
+// madePurge is a purge that was made at the origin.
 type madePurge struct {
 	object string
 	group  int
@@ -237,6 +238,7 @@
 	return fmt.Sprintf("scenario: %s: %s: %s", e.path, e.text, e.body)
 }
 
+// fetchJSON sends a request and decodes the response into out, unless that is nil.
 func fetchJSON(h *http.Client, req *http.Request, out any) error {
 	res, err := h.Do(req)
 	if err != nil {
@@ -256,6 +258,7 @@
 	return json.Unmarshal(b, out)
 }
 
+// push pushes a version to the service and returns its number.
 func (c *controlService) push(ctx context.Context, text []byte, q url.Values) (int64, error) {
 	var r service.PushResult
 	err := c.d.retryDuringFolderFault(ctx, controlMachine, func() error {
@@ -349,6 +352,7 @@
 	return out
 }
 
+// addStep records a step that reached the expected state.
 func (c *controlService) addStep(name, until string, took float64) {
 	c.mu.Lock()
 	c.steps = append(c.steps, VersionStep{Name: name, DurationMS: took, Outcome: until})
@@ -438,6 +442,7 @@
 	return n, err
 }
 
+// verifyChange checks that a pushed change reaches all routers.
 func (c *controlService) verifyChange(ctx context.Context, name, since string) error {
 	began := trafficlog.Now()
 	n, err := c.pushChange(ctx)
@@ -607,6 +612,7 @@
 	}
 }
 
+// purgeRouter sends a purge to a router. It ignores errors if the router is down.
 func (c *controlService) purgeRouter(r *router, p madePurge) {
 	path := p.object
 	if p.object == "" {
