--- a/internal/testbed/invariants/clients.go
+++ b/internal/testbed/invariants/clients.go
@@ -37,12 +37,12 @@
 func (c *checker) collectClientTries() map[string]*clientTry {
 	tries := map[string]*clientTry{}
 	for i := range c.records {
-		ask := &c.records[i]
-		if ask.Event != trafficlog.RequestSent || ask.Key == "" {
+		request := &c.records[i]
+		if request.Event != trafficlog.RequestSent || request.Key == "" {
 			continue
 		}
-		try := &clientTry{index: i, request: ask, rejectedAt: math.Inf(1)}
-		for _, k := range c.byClientRequest[ask.ID] {
+		try := &clientTry{index: i, request: request, rejectedAt: math.Inf(1)}
+		for _, k := range c.byClientRequest[request.ID] {
 			switch r := &c.records[k]; {
 			case r.Event == trafficlog.ResponseHead && r.Status == 503:
 				try.rejectedAt = min(try.rejectedAt, r.Time)
@@ -52,7 +52,7 @@
 				try.executed = true
 			}
 		}
-		tries[ask.ID] = try
+		tries[request.ID] = try
 	}
 	return tries
 }
@@ -110,12 +110,12 @@
 	verdict := &c.verdicts[2]
 	asked := map[string][]*clientTry{} // earlier tries, by key
 	for i := range c.records {
-		ask := &c.records[i]
-		if ask.Event != trafficlog.RequestSent || ask.Key == "" {
+		request := &c.records[i]
+		if request.Event != trafficlog.RequestSent || request.Key == "" {
 			continue
 		}
-		repeat, before := c.clientTries[ask.ID], asked[ask.Key]
-		asked[ask.Key] = append(before, repeat)
+		repeat, before := c.clientTries[request.ID], asked[request.Key]
+		asked[request.Key] = append(before, repeat)
 		if len(before) == 0 {
 			continue
 		}
--- a/internal/testbed/invariants/rules.go
+++ b/internal/testbed/invariants/rules.go
@@ -112,14 +112,14 @@
 }
 
 // Check sorts the records of a traffic log by time and checks the rules against them.
-func Check(recs []trafficlog.Record, f Parameters) []Verdict {
-	trafficlog.Sort(recs)
-	c := &checker{params: f, records: recs, byClientRequest: map[string][]int{}, routerKills: map[string][]float64{}, routerStarts: map[string][]float64{}}
+func Check(records []trafficlog.Record, params Parameters) []Verdict {
+	trafficlog.Sort(records)
+	c := &checker{params: params, records: records, byClientRequest: map[string][]int{}, routerKills: map[string][]float64{}, routerStarts: map[string][]float64{}}
 	for i := range c.verdicts {
-		c.verdicts[i] = Verdict{Rule: i, Name: ruleNames[i], Exercised: !slices.Contains(f.NotExercised, i)}
+		c.verdicts[i] = Verdict{Rule: i, Name: ruleNames[i], Exercised: !slices.Contains(params.NotExercised, i)}
 	}
-	for i := range recs {
-		r := &recs[i]
+	for i := range records {
+		r := &records[i]
 		if r.ID != "" {
 			c.byClientRequest[r.ID] = append(c.byClientRequest[r.ID], i)
 		}
--- a/internal/testbed/scenario/clients.go
+++ b/internal/testbed/scenario/clients.go
@@ -351,12 +351,12 @@
 		return result
 	}
 	fail := func(err error, n int64) {
-		var ne net.Error
+		var netErr net.Error
 		switch {
-		case abandon && errors.As(err, &ne) && ne.Timeout():
+		case abandon && errors.As(err, &netErr) && netErr.Timeout():
 			connection.Close()
 			end("gone", n)
-		case errors.As(err, &ne) && ne.Timeout():
+		case errors.As(err, &netErr) && netErr.Timeout():
 			end("late", n)
 		default:
 			end("closed", n)
@@ -370,9 +370,9 @@
 	head := rec
 	head.Event, head.Status, head.Note = trafficlog.ResponseHead, res.StatusCode, res.Header.Get(fetchheader.StatusField)
 	head.Hit = strings.HasSuffix(head.Note, ";hit") || strings.Contains(head.Note, ";hit;")
-	ver, verr := fetchheader.ParseCopyVersion(res.Header.Get(fetchheader.CopyField))
-	if verr == nil {
-		head.Version = ver.Number
+	version, versionErr := fetchheader.ParseCopyVersion(res.Header.Get(fetchheader.CopyField))
+	if versionErr == nil {
+		head.Version = version.Number
 	}
 	result.status = res.StatusCode
 	if s, err := strconv.Atoi(res.Header.Get("Retry-After")); err == nil {
@@ -391,12 +391,12 @@
 			connection.SetReadDeadline(time.Now().Add(time.Duration(limit * float64(time.Millisecond))))
 		}
 		m, err := res.Body.Read(buf)
-		if m > 0 && head.Status == 200 && !k.Write && (verr == nil || k.PageFragments > 0) {
+		if m > 0 && head.Status == 200 && !k.Write && (versionErr == nil || k.PageFragments > 0) {
 			if k.PageFragments > 0 {
 				page = append(page, buf[:m]...)
 				reads = append(reads, readMark{len(page), trafficlog.Now()})
-			} else if at, ok := testserver.Matches(buf[:m], path, ver.Number, n); !ok {
-				end(fmt.Sprintf("byte %d is not of version %d", at, ver.Number), n)
+			} else if at, ok := testserver.Matches(buf[:m], path, version.Number, n); !ok {
+				end(fmt.Sprintf("byte %d is not of version %d", at, version.Number), n)
 				return result
 			}
 		}
@@ -411,24 +411,24 @@
 	}
 	result.complete = true
 	if k.PageFragments > 0 && head.Status == 200 {
-		pieces, err := testserver.Pieces(path, page)
-		for i, x := range pieces {
+		fragments, err := testserver.Pieces(path, page)
+		for i, fragment := range fragments {
 			p := rec
-			p.Event, p.Object, p.Group, p.Version, p.Attempt = trafficlog.FragmentRead, x.Key, groupFromPath(x.Key), x.Version, i
+			p.Event, p.Object, p.Group, p.Version, p.Attempt = trafficlog.FragmentRead, fragment.Key, groupFromPath(fragment.Key), fragment.Version, i
 			for _, r := range reads {
-				if r.bytes >= x.End && x.End > 0 {
+				if r.bytes >= fragment.End && fragment.End > 0 {
 					p.Time = r.at
 					break
 				}
 			}
-			if x.Missing {
+			if fragment.Missing {
 				p.Err = "missing"
 			}
 			w.Add(p)
 		}
 		if err != nil {
 			p := rec
-			p.Event, p.Attempt, p.Err = trafficlog.FragmentRead, len(pieces), err.Error()
+			p.Event, p.Attempt, p.Err = trafficlog.FragmentRead, len(fragments), err.Error()
 			w.Add(p)
 		}
 	}
--- a/internal/testbed/scenario/import.go
+++ b/internal/testbed/scenario/import.go
@@ -153,18 +153,18 @@
 		}
 	}
 	total := 0
-	var places []int
+	var zones []int
 	for z, n := range boxes {
 		total += n
-		places = append(places, z)
+		zones = append(zones, z)
 	}
-	sort.Slice(places, func(i, j int) bool {
-		a, b := boxes[places[i]], boxes[places[j]]
-		return a > b || a == b && places[i] < places[j]
+	sort.Slice(zones, func(i, j int) bool {
+		a, b := boxes[zones[i]], boxes[zones[j]]
+		return a > b || a == b && zones[i] < zones[j]
 	})
-	if len(places) > scale.Zones {
-		note("scaled: %d of %d zones with boxes are played, the largest", scale.Zones, len(places))
-		places = places[:scale.Zones]
+	if len(zones) > scale.Zones {
+		note("scaled: %d of %d zones with boxes are played, the largest", scale.Zones, len(zones))
+		zones = zones[:scale.Zones]
 	}
 	s.Day.Name = toName(d.Site) + "-" + toName(d.Kind)
 	s.Day.Length = ms(d.Length)
@@ -174,7 +174,7 @@
 	}
 	timeScale := s.Day.Length / ms(d.Length)
 	s.Day.Routers = min(scale.Routers, max(len(d.Balancers), 1))
-	s.Day.Routers = max(s.Day.Routers, len(places))
+	s.Day.Routers = max(s.Day.Routers, len(zones))
 	s.Day.Rate, s.Day.Retries = scale.Rate, d.Clients.Retries
 	s.Day.RetryWait, s.Day.MinTimeoutShare = ms(d.Clients.BackoffUs), min(max(d.Clients.TryShare, 0.3), 1)
 	s.Day.PurgeRate, s.Day.Groups = d.Fam.Purges, max(d.Fam.Groups, 1)
@@ -207,15 +207,15 @@
 	}
 	sendTimePerSecond := scale.Rate * work / max(shares, 1e-9) // total send time per second, ms
 	played := 0
-	for _, z := range places {
+	for _, z := range zones {
 		played += boxes[z]
 	}
 	n := min(scale.Boxes, played)
 	remaining := n
-	for i, z := range places {
+	for i, z := range zones {
 		k := max(int(math.Round(float64(n)*float64(boxes[z])/float64(played))), 1)
-		if i == len(places)-1 || k > remaining-(len(places)-1-i) {
-			k = max(remaining-(len(places)-1-i), 1)
+		if i == len(zones)-1 || k > remaining-(len(zones)-1-i) {
+			k = max(remaining-(len(zones)-1-i), 1)
 		}
 		remaining -= k
 		name := fmt.Sprintf("zone%d", z)
@@ -234,11 +234,11 @@
 	note("scaled: capacities and links from the load at that rate, a box at half of its capacity; the bench's speeds, cores and queues are not played")
 
 	for i, c := range d.Classes {
-		st := d.Fam.Stock[i]
+		stock := d.Fam.Stock[i]
 		k := Class{Weight: 1, Name: toName(c.Name), Share: c.Share / max(shares, 1e-9), KB: max(c.Work/1000*scale.Flow, 0.1), LatencyObjective: ms(c.Aim),
 			ObjectivePerSendTime: c.AimStretch, Deadline: ms(c.Deadline), PriorityWeight: c.Worth, LateWeightShare: c.LateWorth,
-			Objects: max(int(st.Objects*float64(n)), 10), Zipf: max(st.Zipf, 1.01), ContinueChance: st.Stay, PartInterval: ms(st.Gap),
-			Fresh: ms(st.Fresh), Grace: ms(st.Grace), Write: c.Write, Idempotency: "free", KeyScope: "all", KeyWindow: ms(c.Window)}
+			Objects: max(int(stock.Objects*float64(n)), 10), Zipf: max(stock.Zipf, 1.01), ContinueChance: stock.Stay, PartInterval: ms(stock.Gap),
+			Fresh: ms(stock.Fresh), Grace: ms(stock.Grace), Write: c.Write, Idempotency: "free", KeyScope: "all", KeyWindow: ms(c.Window)}
 		switch c.Effect {
 		case "keyed", "guarded":
 			k.Idempotency = "guarded"
@@ -248,8 +248,8 @@
 		if contains([]string{"cell", "zone", "all"}, c.Group) {
 			k.KeyScope = c.Group
 		}
-		if st.Parts > 1.5 {
-			k.Parts = int(math.Round(st.Parts))
+		if stock.Parts > 1.5 {
+			k.Parts = int(math.Round(stock.Parts))
 		}
 		if k.LatencyObjective > k.Deadline {
 			k.LatencyObjective = k.Deadline
@@ -259,15 +259,15 @@
 	note("guessed: the number of objects, from the bench's number per box")
 
 	for _, t := range d.Troubles {
-		x := FaultSpec{At: ms(t.At) * timeScale, Duration: ms(t.Len) * timeScale, Factor: 4, PauseInterval: 1000, PauseLength: 200, DrainNotice: 1500}
-		if x.At >= s.Day.Length-500 {
-			note("left out: %s at %.0f ms, past the day's end", t.Kind, x.At)
+		fault := FaultSpec{At: ms(t.At) * timeScale, Duration: ms(t.Len) * timeScale, Factor: 4, PauseInterval: 1000, PauseLength: 200, DrainNotice: 1500}
+		if fault.At >= s.Day.Length-500 {
+			note("left out: %s at %.0f ms, past the day's end", t.Kind, fault.At)
 			continue
 		}
-		var on []int
-		json.Unmarshal(t.On, &on) // if it is not a list of numbers, no machine is named
+		var servers []int
+		json.Unmarshal(t.On, &servers) // if it is not a list of numbers, no server is named
 		boxTargets, parentTargets := 0, 0
-		for _, m := range on {
+		for _, m := range servers {
 			if m >= 0 && m < len(d.Servers) {
 				if d.Servers[m].Kind == d.Fam.ParentKind {
 					parentTargets++
@@ -283,79 +283,79 @@
 			return min(max(int(math.Round(float64(of)/float64(all)*float64(have))), 1), have)
 		}
 		setTargets := func() {
-			x.Boxes, x.Parents = scaleCount(boxTargets, total, n), scaleCount(parentTargets, parents, s.Parents.Count)
-			if x.Boxes+x.Parents == 0 {
-				x.Boxes = 1
-				note("guessed: %s at %.0f ms names no machine that is played; it affects one box", t.Kind, x.At)
+			fault.Boxes, fault.Parents = scaleCount(boxTargets, total, n), scaleCount(parentTargets, parents, s.Parents.Count)
+			if fault.Boxes+fault.Parents == 0 {
+				fault.Boxes = 1
+				note("guessed: %s at %.0f ms names no machine that is played; it affects one box", t.Kind, fault.At)
 			}
 		}
 		setShare := func(d float64) {
-			if x.Share = d; t.Size > 0 && t.Size <= 1 {
-				x.Share = t.Size
+			if fault.Share = d; t.Size > 0 && t.Size <= 1 {
+				fault.Share = t.Size
 			}
 		}
 		setFactor := func() {
 			for _, f := range []float64{t.Size, t.Extra} {
 				if f > 1 {
-					x.Factor = min(f, 20)
+					fault.Factor = min(f, 20)
 					return
 				}
 			}
 		}
 		switch t.Kind {
 		case "crash", "vanish", "hang", "preempt":
-			x.Kind = t.Kind
+			fault.Kind = t.Kind
 			setTargets()
 		case "slow", "ageing":
-			x.Kind = t.Kind
+			fault.Kind = t.Kind
 			setTargets()
 			setFactor()
 		case "pauses":
-			x.Kind = testserver.Pauses
+			fault.Kind = testserver.Pauses
 			setTargets()
 			for _, f := range []float64{t.Size, t.Extra} {
 				if f >= 50_000 { // in µs
-					x.PauseLength = min(max(ms(f), 50), 500)
+					fault.PauseLength = min(max(ms(f), 50), 500)
 				}
 			}
-			x.PauseInterval = 2500
+			fault.PauseInterval = 2500
 		case "fast_errors":
-			x.Kind = testserver.FastErrors
+			fault.Kind = testserver.FastErrors
 			setTargets()
 			setShare(0.7)
 		case "answer_lost":
-			x.Kind = testserver.AnswerLost
+			fault.Kind = testserver.AnswerLost
 			setTargets()
 			setShare(0.5)
 		case "balancer_crash":
-			x.Kind = RouterKill
-			x.Routers = scaleCount(max(len(on), 1), max(len(d.Balancers), 1), s.Day.Routers)
+			fault.Kind = RouterKill
+			fault.Routers = scaleCount(max(len(servers), 1), max(len(d.Balancers), 1), s.Day.Routers)
 			if t.Size > 0 && t.Size <= 1 {
-				x.Routers = max(int(math.Round(t.Size*float64(s.Day.Routers))), 1)
+				fault.Routers = max(int(math.Round(t.Size*float64(s.Day.Routers))), 1)
 			}
-			x.Duration = min(x.Duration, 4000)
+			fault.Duration = min(fault.Duration, 4000)
 		case "flush":
-			x.Kind = Flush
+			fault.Kind = Flush
 			setShare(0.4)
 		case "hot_key":
-			x.Kind = HotKey
+			fault.Kind = HotKey
 			setShare(0.2)
 		case "scan":
-			x.Kind = Scan
+			fault.Kind = Scan
 			setShare(0.1)
 		case "origin_slow":
-			x.Kind = OriginSlow
+			fault.Kind = OriginSlow
 			setFactor()
 		case "zone_loss":
-			x.Kind = ZoneLoss
+			fault.Kind = ZoneLoss
 			if parentTargets == 0 {
-				x.Zone = s.Zones[len(s.Zones)-1].Name
+				fault.Zone = s.Zones[len(s.Zones)-1].Name
 			}
 		default:
-			note("can't be played: %s at %.0f ms", t.Kind, x.At)
+			note("can't be played: %s at %.0f ms", t.Kind, fault.At)
 			continue
 		}
-		s.Faults = append(s.Faults, x)
+		s.Faults = append(s.Faults, fault)
 	}
 	text := config.Print(s)
 	if err := config.Read("imported", text, &Script{}); err != nil {
--- a/internal/testbed/scenario/injector.go
+++ b/internal/testbed/scenario/injector.go
@@ -30,7 +30,7 @@
 }
 
 // newInjector reads the line with the process's startup faults and applies them.
-func newInjector(in *bufio.Reader, tell io.Writer) (*injector, error) {
+func newInjector(in *bufio.Reader, report io.Writer) (*injector, error) {
 	var begin processStart
 	line, err := in.ReadBytes('\n')
 	if err == nil {
@@ -39,7 +39,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("scenario: read the startup faults: %w", err)
 	}
-	i := &injector{intercept: begin.Intercept, report: tell}
+	i := &injector{intercept: begin.Intercept, report: report}
 	for _, fault := range begin.Faults {
 		if err := i.startFault(fault); err != nil {
 			return nil, err
--- a/internal/testbed/scenario/repeat.go
+++ b/internal/testbed/scenario/repeat.go
@@ -26,9 +26,9 @@
 // add records the outcome of a try that was sent at a time. A 503 is the router's promise
 // that repeating this try is safe; it says nothing of earlier ones. A try that no router
 // accepted was not executed. Any other try may have been.
-func (tries *writeTries) add(asked float64, outcome response) {
+func (tries *writeTries) add(sentAt float64, outcome response) {
 	if outcome.status != 503 && outcome.err != outcomeUnreached {
-		tries.firstUncertain = min(tries.firstUncertain, asked)
+		tries.firstUncertain = min(tries.firstUncertain, sentAt)
 	}
 }
 
--- a/internal/testbed/scenario/repeat_test.go
+++ b/internal/testbed/scenario/repeat_test.go
@@ -96,8 +96,8 @@
 	script := &Script{Day: DaySettings{Retries: 2, RetryWait: 20, MinTimeoutShare: 1, Groups: 1}, Classes: []Class{class}}
 	script.Limits.AnswerSlack = 50
 	day := &Day{script: script, trafficLog: trafficlog.NewKeeper(nil), routers: []*router{{endpoint: &routerEndpoint{name: "r1", zone: "z", addr: address}}}}
-	var seq atomic.Int64
-	c := &clients{day: day, zone: "z", sequence: &seq}
+	var sequence atomic.Int64
+	c := &clients{day: day, zone: "z", sequence: &sequence}
 	c.request(context.Background(), &class, "/order/0/w1", rand.New(rand.NewPCG(1, 2)))
 	for _, r := range day.trafficLog.Records() {
 		if r.Event == trafficlog.RequestSent {
--- a/internal/testbed/scenario/run.go
+++ b/internal/testbed/scenario/run.go
@@ -353,12 +353,12 @@
 
 // publishMember publishes a member's state through the discovery service or, where
 // settings versions list the members, through the control service.
-func (d *Day) publishMember(row engine.Row, since float64) {
+func (d *Day) publishMember(member engine.Row, since float64) {
 	if d.controlService != nil && !d.controlService.settings.FromList {
-		d.controlService.setMember(row)
+		d.controlService.setMember(member)
 		return
 	}
-	d.list.Set(row, since)
+	d.list.Set(member, since)
 }
 
 // routerSettings returns the settings for a router's file.
@@ -450,7 +450,7 @@
 	during, stop := context.WithCancel(ctx)
 	defer stop()
 	var arrivals sync.WaitGroup
-	var seq atomic.Int64
+	var sequence atomic.Int64
 	share := 0.0
 	routersInZone := s.routersByZone()
 	for _, z := range s.Zones {
@@ -462,7 +462,7 @@
 		if routersInZone[z.Name] == 0 || z.Share == 0 {
 			continue
 		}
-		c := &clients{day: d, zone: z.Name, rate: s.Day.Rate * z.Share / share, sequence: &seq, sessions: &d.wg,
+		c := &clients{day: d, zone: z.Name, rate: s.Day.Rate * z.Share / share, sequence: &sequence, sessions: &d.wg,
 			random: rand.New(rand.NewPCG(uint64(s.Day.Seed), uint64(i)+100))}
 		arrivals.Add(1)
 		go func() { defer arrivals.Done(); c.run(during) }()
--- a/internal/testbed/scenario/sluggish.go
+++ b/internal/testbed/scenario/sluggish.go
@@ -59,10 +59,10 @@
 func (d *Day) runSlowClients(ctx context.Context, t FaultSpec) error {
 	ctx, stop := context.WithTimeout(ctx, time.Duration(t.Duration*float64(time.Millisecond)))
 	defer stop()
-	big := d.script.Classes[0]
+	largest := d.script.Classes[0]
 	for _, k := range d.script.Classes {
-		if !k.Write && k.KB > big.KB {
-			big = k
+		if !k.Write && k.KB > largest.KB {
+			largest = k
 		}
 	}
 	var routers []*routerEndpoint
@@ -82,8 +82,8 @@
 					continue
 				}
 				c.(*net.TCPConn).SetReadBuffer(8 << 10)
-				path := fmt.Sprintf("/%s/%d/slow%d", big.Name, i%d.script.Day.Groups, i%8)
-				if big.Parts > 0 {
+				path := fmt.Sprintf("/%s/%d/slow%d", largest.Name, i%d.script.Day.Groups, i%8)
+				if largest.Parts > 0 {
 					path += "/0"
 				}
 				if t.Kind == SlowReaders {
--- a/internal/testbed/scenario/summary.go
+++ b/internal/testbed/scenario/summary.go
@@ -64,23 +64,23 @@
 		definitions[k.Name] = k
 	}
 	type try struct {
-		ask      *trafficlog.Record
+		request  *trafficlog.Record
 		head     *trafficlog.Record
 		inTime   bool
 		accepted bool // a router had accepted it
 	}
 	tries := map[string]*try{}
-	type span struct {
+	type faultSpan struct {
 		name     string
 		from, to float64
 	}
-	var spans []span
+	var spans []faultSpan
 	for i := range recs {
 		r := &recs[i]
 		c := classes[r.Class]
 		switch r.Event {
 		case trafficlog.RequestSent:
-			tries[r.ID] = &try{ask: r}
+			tries[r.ID] = &try{request: r}
 			if c != nil {
 				if c.Requests++; r.Retry > 0 {
 					c.Retries++
@@ -97,7 +97,7 @@
 			}
 			c.MB += float64(r.Bytes) / (1 << 20)
 			t.accepted = r.Err != "unreached"
-			switch took := r.Time - t.ask.Time; {
+			switch took := r.Time - t.request.Time; {
 			case r.Err == "gone":
 				c.Abandoned++
 			case r.Err == "unreached":
@@ -144,7 +144,7 @@
 			out.UpdatesSent++
 		case trafficlog.Fault:
 			if name, ok := strings.CutPrefix(r.Note, "begin "); ok {
-				spans = append(spans, span{name, r.Time, r.Time + r.Limit + 2000})
+				spans = append(spans, faultSpan{name, r.Time, r.Time + r.Limit + 2000})
 			}
 		}
 	}
@@ -153,10 +153,10 @@
 		c.P50, c.P99, c.P999 = float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000, float64(h.ValueAtQuantile(99.9))/1000
 		out.Classes = append(out.Classes, *c)
 	}
-	share := func(in func(t float64) bool) (n int, ofAll, ofTaken float64) {
+	share := func(in func(t float64) bool) (n int, ofAll, ofAccepted float64) {
 		inTime, accepted := 0.0, 0
 		for _, t := range tries {
-			if !in(t.ask.Time) {
+			if !in(t.request.Time) {
 				continue
 			}
 			n++
--- a/internal/testbed/scenario/versions.go
+++ b/internal/testbed/scenario/versions.go
@@ -95,15 +95,15 @@
 // that each sent version lists. A version that fails the checks counts as listing none, since
 // no router may apply it.
 func runControlService() error {
-	var set service.Settings
-	in, faults, err := readSettings(&set)
+	var settings service.Settings
+	in, faults, err := readSettings(&settings)
 	if err != nil {
 		return err
 	}
 	out := trafficlog.NewWriter(os.Stdout)
 	var mu sync.Mutex
 	parsed := map[string]*config.Settings{} // by the version's sum; nil: invalid
-	svc, err := service.StartWithFiles(faultyFiles{faults: faults}, &set, zap.NewNop(), func(router string, v configversion.Version) {
+	svc, err := service.StartWithFiles(faultyFiles{faults: faults}, &settings, zap.NewNop(), func(router string, v configversion.Version) {
 		mu.Lock()
 		s, known := parsed[v.Sum]
 		if !known {
@@ -187,9 +187,9 @@
 }
 
 // setMember updates a member and has pushChanges push it.
-func (c *controlService) setMember(row engine.Row) {
+func (c *controlService) setMember(member engine.Row) {
 	c.mu.Lock()
-	c.members[row.ID] = row
+	c.members[member.ID] = member
 	c.mu.Unlock()
 	select {
 	case c.changed <- struct{}{}:
@@ -353,11 +353,11 @@
 }
 
 // addStep records a step that reached the expected state.
-func (c *controlService) addStep(name, until string, took float64) {
+func (c *controlService) addStep(name, outcome string, duration float64) {
 	c.mu.Lock()
-	c.steps = append(c.steps, VersionStep{Name: name, DurationMS: took, Outcome: until})
+	c.steps = append(c.steps, VersionStep{Name: name, DurationMS: duration, Outcome: outcome})
 	c.mu.Unlock()
-	c.d.logProgress("          %s: %s after %.0f ms", name, until, took)
+	c.d.logProgress("          %s: %s after %.0f ms", name, outcome, duration)
 }
 
 // applyFault carries out a fault of the control service and waits for the expected state.
