--- a/cmd/spool-scenario/main.go
+++ b/cmd/spool-scenario/main.go
@@ -55,7 +55,7 @@
 			if err != nil {
 				return err
 			}
-			return tell(os.Stdout, asJSON, res)
+			return printResult(os.Stdout, asJSON, res)
 		}}
 	run.Flags().IntVar(&o.Routers, "routers", 0, "number of routers, instead of the day's")
 	run.Flags().IntVar(&o.Seed, "seed", 0, "seed, instead of the day's")
@@ -83,7 +83,7 @@
 			if err != nil {
 				return &cli.FoundError{Err: err}
 			}
-			return tell(os.Stdout, asJSON, &scenario.Result{Verdicts: invariants.Check(recs, fig)})
+			return printResult(os.Stdout, asJSON, &scenario.Result{Verdicts: invariants.Check(recs, fig)})
 		}}
 	check.Flags().BoolVar(&asJSON, "json", false, "print the result as JSON")
 
@@ -114,7 +114,8 @@
 	cli.Main(root)
 }
 
-func tell(w io.Writer, asJSON bool, res *scenario.Result) error {
+// printResult prints a result as text or as JSON. It returns cli.ErrFound if the result is not OK.
+func printResult(w io.Writer, asJSON bool, res *scenario.Result) error {
 	if asJSON {
 		enc := json.NewEncoder(w)
 		enc.SetIndent("", " ")
@@ -140,10 +141,10 @@
 			fmt.Fprintf(w, "%-24s %6d of %d calls failed%s\n", one.Fault, one.Failed, one.Calls, word)
 		}
 		for _, p := range res.Replays {
-			fmt.Fprintf(w, "%-10s journal replayed: %d lives, %d events, %d actions; %d compared, %d equal, %d behind %d gaps\n", p.Router,
+			fmt.Fprintf(w, "%-10s journal replayed: %d runs, %d events, %d actions; %d compared, %d equal, %d behind %d gaps\n", p.Router,
 				p.Report.Runs, p.Report.Events, p.Report.Actions, p.Report.Compared, p.Report.Equal, p.Report.Skipped, len(p.Report.Gaps))
 			if d := p.Differential; d != nil {
-				fmt.Fprintf(w, "%-10s %d of %d attempts and %d fills seen on sockets, %d answers of the adapter, %d stories: %d differ\n", "",
+				fmt.Fprintf(w, "%-10s %d of %d attempts and %d fills seen on sockets, %d responses of the adapter, %d explanations: %d differ\n", "",
 					d.Seen, d.Decided, d.Fills, d.Adapter, d.Explained+d.Asked, d.Different)
 				for _, one := range d.Differences {
 					fmt.Fprintf(w, "%-10s   %s\n", "", one)
--- a/internal/testbed/invariants/clients.go
+++ b/internal/testbed/invariants/clients.go
@@ -58,7 +58,8 @@
 }
 
 // unjustified returns why a client should not have repeated the try first as repeat; empty
-// if the repeat was allowed. It is allowed after a 503, if no router accepted the first try,
+// if the repeat was allowed. A repeat is allowed if the class is idempotent, if the client had
+// read a 503 for the first try, if no router accepted the first try and it was not executed,
 // or if the repeat's deadline lies within the window in which all servers drop repeats.
 func (c *checker) unjustified(first, repeat *clientTry) string {
 	class := c.params.Classes[first.request.Class]
--- a/internal/testbed/scenario/summary.go
+++ b/internal/testbed/scenario/summary.go
@@ -52,6 +52,9 @@
 	FaultImpacts []FaultImpact  `json:"costs"`
 }
 
+// faultTailMS is the time after a fault that its impact includes.
+const faultTailMS = 2000
+
 // Summarize counts the outcomes in a traffic log.
 func Summarize(s *Script, recs []trafficlog.Record) Summary {
 	var out Summary
@@ -144,7 +147,7 @@
 			out.UpdatesSent++
 		case trafficlog.Fault:
 			if name, ok := strings.CutPrefix(r.Note, "begin "); ok {
-				spans = append(spans, faultSpan{name, r.Time, r.Time + r.Limit + 2000})
+				spans = append(spans, faultSpan{name, r.Time, r.Time + r.Limit + faultTailMS})
 			}
 		}
 	}
