--- a/internal/testbed/invariants/clients.go
+++ b/internal/testbed/invariants/clients.go
@@ -37,12 +37,12 @@
 func (c *checker) collectClientTries() map[string]*clientTry {
 	tries := map[string]*clientTry{}
 	for i := range c.records {
-		ask := &c.records[i]
-		if ask.Event != trafficlog.RequestSent || ask.Key == "" {
+		request := &c.records[i]
+		if request.Event != trafficlog.RequestSent || request.Key == "" {
 			continue
 		}
-		try := &clientTry{index: i, request: ask, rejectedAt: math.Inf(1)}
-		for _, k := range c.byClientRequest[ask.ID] {
+		try := &clientTry{index: i, request: request, rejectedAt: math.Inf(1)}
+		for _, k := range c.byClientRequest[request.ID] {
 			switch r := &c.records[k]; {
 			case r.Event == trafficlog.ResponseHead && r.Status == 503:
 				try.rejectedAt = min(try.rejectedAt, r.Time)
@@ -52,13 +52,14 @@
 				try.executed = true
 			}
 		}
-		tries[ask.ID] = try
+		tries[request.ID] = try
 	}
 	return tries
 }
 
 // unjustified returns why a client should not have repeated the try first as repeat; empty
-// if the repeat was allowed. It is allowed after a 503, if no router accepted the first try,
+// if the repeat was allowed. A repeat is allowed if the class is idempotent, if the client had
+// read a 503 for the first try, if no router accepted the first try and it was not executed,
 // or if the repeat's deadline lies within the window in which all servers drop repeats.
 func (c *checker) unjustified(first, repeat *clientTry) string {
 	class := c.params.Classes[first.request.Class]
@@ -110,12 +111,12 @@
 	verdict := &c.verdicts[2]
 	asked := map[string][]*clientTry{} // earlier tries, by key
 	for i := range c.records {
-		ask := &c.records[i]
-		if ask.Event != trafficlog.RequestSent || ask.Key == "" {
+		request := &c.records[i]
+		if request.Event != trafficlog.RequestSent || request.Key == "" {
 			continue
 		}
-		repeat, before := c.clientTries[ask.ID], asked[ask.Key]
-		asked[ask.Key] = append(before, repeat)
+		repeat, before := c.clientTries[request.ID], asked[request.Key]
+		asked[request.Key] = append(before, repeat)
 		if len(before) == 0 {
 			continue
 		}
--- a/internal/testbed/scenario/run.go
+++ b/internal/testbed/scenario/run.go
@@ -78,6 +78,7 @@
 
 func journalPath(dir, router string) string { return filepath.Join(dir, router+".journal") }
 
+// replayAll replays the routers' journals and compares each with the traffic log.
 func replayAll(dir string, routers int, recs []trafficlog.Record) (out []ReplayResult, err error) {
 	for i := range routers {
 		name := fmt.Sprintf("router-%d", i+1)
@@ -88,11 +89,11 @@
 		r, err := replay.Run(j, nil)
 		j.Close()
 		if err != nil {
-			return nil, fmt.Errorf("scenario: journal of %s: %w", name, err)
+			return nil, fmt.Errorf("day: journal of %s: %w", name, err)
 		}
 		d, err := differential.Check(func() (*journal.Reader, error) { return journal.OpenReader(journalPath(dir, name)) }, recs, differential.Options{Router: name})
 		if err != nil {
-			return nil, fmt.Errorf("scenario: journal of %s: %w", name, err)
+			return nil, fmt.Errorf("day: journal of %s: %w", name, err)
 		}
 		out = append(out, ReplayResult{name, r, d})
 	}
@@ -138,6 +139,7 @@
 	until float64
 }
 
+// router is a router of the day. Its process may be restarted.
 type router struct {
 	endpoint *routerEndpoint
 	settings string
@@ -161,7 +163,7 @@
 func Run(ctx context.Context, s *Script, o Options) (*Result, error) {
 	if o.Routers > 0 {
 		s.Day.Routers = o.Routers
-		for i := range s.Faults { // no more than there are
+		for i := range s.Faults { // a fault affects no more routers than there are
 			s.Faults[i].Routers = min(s.Faults[i].Routers, o.Routers)
 		}
 	}
@@ -337,7 +339,7 @@
 	}
 	var up trafficlog.Record
 	if err := json.Unmarshal([]byte(line), &up); err != nil || up.Event != trafficlog.Started {
-		return fmt.Errorf("scenario: %s: unexpected first line %q", m.config.ID, line)
+		return fmt.Errorf("day: %s: unexpected first line %q", m.config.ID, line)
 	}
 	m.address = up.Addr
 	m.member.Address, m.member.State = up.Addr, "serving"
@@ -351,12 +353,12 @@
 
 // publishMember publishes a member's state through the discovery service or, where
 // settings versions list the members, through the control service.
-func (d *Day) publishMember(row engine.Row, since float64) {
+func (d *Day) publishMember(member engine.Row, since float64) {
 	if d.controlService != nil && !d.controlService.settings.FromList {
-		d.controlService.setMember(row)
+		d.controlService.setMember(member)
 		return
 	}
-	d.list.Set(row, since)
+	d.list.Set(member, since)
 }
 
 // routerSettings returns the settings for a router's file.
@@ -380,6 +382,7 @@
 	return c
 }
 
+// startRouter starts a router's process and waits until it listens.
 func (d *Day) startRouter(ctx context.Context, r *router) error {
 	in, err := json.Marshal(r.settings)
 	if err == nil {
@@ -401,7 +404,7 @@
 	}
 	var client, admin string
 	if _, err := fmt.Sscan(addr, &client, &admin); err != nil {
-		return fmt.Errorf("scenario: %s: unexpected first line %q", r.endpoint.name, addr)
+		return fmt.Errorf("day: %s: unexpected first line %q", r.endpoint.name, addr)
 	}
 	r.endpoint.setAddress(client, admin)
 	if d.controlService != nil && !d.controlService.settings.FromList {
@@ -447,7 +450,7 @@
 	during, stop := context.WithCancel(ctx)
 	defer stop()
 	var arrivals sync.WaitGroup
-	var seq atomic.Int64
+	var sequence atomic.Int64
 	share := 0.0
 	routersInZone := s.routersByZone()
 	for _, z := range s.Zones {
@@ -459,7 +462,7 @@
 		if routersInZone[z.Name] == 0 || z.Share == 0 {
 			continue
 		}
-		c := &clients{day: d, zone: z.Name, rate: s.Day.Rate * z.Share / share, sequence: &seq, sessions: &d.wg,
+		c := &clients{day: d, zone: z.Name, rate: s.Day.Rate * z.Share / share, sequence: &sequence, sessions: &d.wg,
 			random: rand.New(rand.NewPCG(uint64(s.Day.Seed), uint64(i)+100))}
 		arrivals.Add(1)
 		go func() { defer arrivals.Done(); c.run(during) }()
@@ -498,6 +501,7 @@
 	return ctx.Err()
 }
 
+// sleep waits for a time in ms. It reports false if the context ended first.
 func sleep(ctx context.Context, ms float64) bool {
 	if ms <= 0 {
 		return ctx.Err() == nil
@@ -590,7 +594,7 @@
 			sleep(ctx, t.Duration)
 			return d.startMachine(ctx, m, true)
 		})
-	case testserver.Vanish: // does not answer, then starts again cold and empty; stays listed as serving all the time
+	case testserver.Vanish: // stops answering, then starts again cold and empty; it stays listed as serving
 		return d.forEachMachine(targets, func(m *machine) error {
 			if err := d.sendFault(m, testserver.Fault{Kind: t.Kind, For: t.Duration}); err != nil {
 				return err
@@ -721,7 +725,7 @@
 		return err
 	}
 	if err := fetchJSON(d.http, req, out); err != nil {
-		return fmt.Errorf("scenario: %s: %w", m.config.ID, err)
+		return fmt.Errorf("day: %s: %w", m.config.ID, err)
 	}
 	return nil
 }
--- a/internal/testbed/scenario/versions.go
+++ b/internal/testbed/scenario/versions.go
@@ -84,6 +84,7 @@
 	purges       []madePurge
 }
 
+// madePurge is a purge that was made at the origin.
 type madePurge struct {
 	object string
 	group  int
@@ -94,15 +95,15 @@
 // that each sent version lists. A version that fails the checks counts as listing none, since
 // no router may apply it.
 func runControlService() error {
-	var set service.Settings
-	in, faults, err := readSettings(&set)
+	var settings service.Settings
+	in, faults, err := readSettings(&settings)
 	if err != nil {
 		return err
 	}
 	out := trafficlog.NewWriter(os.Stdout)
 	var mu sync.Mutex
 	parsed := map[string]*config.Settings{} // by the version's sum; nil: invalid
-	svc, err := service.StartWithFiles(faultyFiles{faults: faults}, &set, zap.NewNop(), func(router string, v configversion.Version) {
+	svc, err := service.StartWithFiles(faultyFiles{faults: faults}, &settings, zap.NewNop(), func(router string, v configversion.Version) {
 		mu.Lock()
 		s, known := parsed[v.Sum]
 		if !known {
@@ -153,7 +154,7 @@
 		line, err := c.process.awaitFirstLine(ctx)
 		if err == nil {
 			if _, err := fmt.Sscan(line, &c.address, &c.adminAddress); err != nil {
-				return fmt.Errorf("scenario: control service: unexpected first line %q", line)
+				return fmt.Errorf("day: control service: unexpected first line %q", line)
 			}
 			return nil
 		}
@@ -162,7 +163,7 @@
 		}
 		sleep(ctx, 100)
 	}
-	return fmt.Errorf("scenario: start the control service: %w", last)
+	return fmt.Errorf("day: start the control service: %w", last)
 }
 
 // versionText returns the settings of a version with the present members.
@@ -186,9 +187,9 @@
 }
 
 // setMember updates a member and has pushChanges push it.
-func (c *controlService) setMember(row engine.Row) {
+func (c *controlService) setMember(member engine.Row) {
 	c.mu.Lock()
-	c.members[row.ID] = row
+	c.members[member.ID] = member
 	c.mu.Unlock()
 	select {
 	case c.changed <- struct{}{}:
@@ -234,9 +235,10 @@
 }
 
 func (e *statusError) Error() string {
-	return fmt.Sprintf("scenario: %s: %s: %s", e.path, e.text, e.body)
+	return fmt.Sprintf("day: %s: %s: %s", e.path, e.text, e.body)
 }
 
+// fetchJSON sends a request and decodes the response into out, unless that is nil.
 func fetchJSON(h *http.Client, req *http.Request, out any) error {
 	res, err := h.Do(req)
 	if err != nil {
@@ -256,6 +258,7 @@
 	return json.Unmarshal(b, out)
 }
 
+// push pushes a version to the service and returns its number.
 func (c *controlService) push(ctx context.Context, text []byte, q url.Values) (int64, error) {
 	var r service.PushResult
 	err := c.d.retryDuringFolderFault(ctx, controlMachine, func() error {
@@ -305,7 +308,7 @@
 			return 0, ctx.Err()
 		}
 	}
-	return 0, fmt.Errorf("scenario: the routers do not all run the last version after %.0f ms: %s", c.settings.ConvergenceTimeout, why)
+	return 0, fmt.Errorf("day: the routers do not all run the last version after %.0f ms: %s", c.settings.ConvergenceTimeout, why)
 }
 
 // divergence returns why the fleet has not converged; empty if it has.
@@ -349,11 +352,12 @@
 	return out
 }
 
-func (c *controlService) addStep(name, until string, took float64) {
+// addStep records a step that reached the expected state.
+func (c *controlService) addStep(name, outcome string, duration float64) {
 	c.mu.Lock()
-	c.steps = append(c.steps, VersionStep{Name: name, DurationMS: took, Outcome: until})
+	c.steps = append(c.steps, VersionStep{Name: name, DurationMS: duration, Outcome: outcome})
 	c.mu.Unlock()
-	c.d.logProgress("          %s: %s after %.0f ms", name, until, took)
+	c.d.logProgress("          %s: %s after %.0f ms", name, outcome, duration)
 }
 
 // applyFault carries out a fault of the control service and waits for the expected state.
@@ -365,7 +369,7 @@
 	addFailure := func(err error) error {
 		if err != nil && ctx.Err() == nil { // the run continues, so that the rules are checked
 			c.mu.Lock()
-			c.steps = append(c.steps, VersionStep{Name: name, DurationMS: trafficlog.Now() - began, Failure: strings.TrimPrefix(err.Error(), "scenario: ")})
+			c.steps = append(c.steps, VersionStep{Name: name, DurationMS: trafficlog.Now() - began, Failure: strings.TrimPrefix(err.Error(), "day: ")})
 			c.mu.Unlock()
 			c.d.logProgress("          %s: WRONG: %v", name, err)
 		}
@@ -438,6 +442,7 @@
 	return n, err
 }
 
+// verifyChange checks that a pushed change reaches all routers.
 func (c *controlService) verifyChange(ctx context.Context, name, since string) error {
 	began := trafficlog.Now()
 	n, err := c.pushChange(ctx)
@@ -607,6 +612,7 @@
 	}
 }
 
+// purgeRouter sends a purge to a router. It ignores errors if the router is down.
 func (c *controlService) purgeRouter(r *router, p madePurge) {
 	path := p.object
 	if p.object == "" {
