--- a/cmd/spool-replay/main.go
+++ b/cmd/spool-replay/main.go
@@ -24,17 +24,17 @@
 
 // flags are the command line.
 type flags struct {
-	asJSON   bool
-	settings string
-	drop     []string
-	slow     []string
-	live     []string
-	speed    string
-	route    string
-	writes   bool
-	most     int
-	conns    int
-	plot     string
+	asJSON      bool
+	settings    string
+	drop        []string
+	slow        []string
+	live        []string
+	speed       string
+	routes      string
+	writes      bool
+	maxRequests int
+	connections int
+	plot        string
 }
 
 func main() {
@@ -70,10 +70,10 @@
 	fl.StringArrayVar(&f.slow, "slow", nil, "what if a member had taken so many times as long, as north-3=3 (may be given again)")
 	fl.StringSliceVar(&f.live, "live", nil, "make the requests again against these routers, host:port of this machine, in turn")
 	fl.StringVar(&f.speed, "speed", "1", "of --live: how many times as fast as they came, or max")
-	fl.StringVar(&f.route, "routes", "", "of --live: the settings whose routes say how requests stand in paths (default: the journal's own)")
+	fl.StringVar(&f.routes, "routes", "", "of --live: the settings whose routes say how requests stand in paths (default: the journal's own)")
 	fl.BoolVar(&f.writes, "writes", false, "of --live: make writes too, each with a new key and a body of zeros")
-	fl.IntVar(&f.most, "most", 1000000, "of --live: requests at most")
-	fl.IntVar(&f.conns, "conns", 512, "of --live: connections a router")
+	fl.IntVar(&f.maxRequests, "most", 1000000, "of --live: requests at most")
+	fl.IntVar(&f.connections, "conns", 512, "of --live: connections a router")
 	fl.StringVar(&f.plot, "plot", "", "of --live: write pictures PLOT-latency.svg and PLOT-seconds.svg")
 	cli.Main(root)
 }
@@ -84,12 +84,12 @@
 		return err
 	}
 	defer j.Close()
-	began := time.Now()
+	startedAt := time.Now()
 	r, err := replay.Run(j, nil)
 	if err != nil {
 		return &cli.FoundError{Err: err}
 	}
-	if err := cli.PrintResult(f.asJSON, r, func(w io.Writer) { tell(w, r, time.Since(began)) }); err != nil {
+	if err := cli.PrintResult(f.asJSON, r, func(w io.Writer) { printReport(w, r, time.Since(startedAt)) }); err != nil {
 		return err
 	}
 	if r.Compared == 0 {
@@ -102,29 +102,29 @@
 }
 
 func whatIf(f *flags, path string) error {
-	ch := whatif.Change{Drop: f.drop, Slow: map[string]float64{}}
+	change := whatif.Change{Drop: f.drop, Slow: map[string]float64{}}
 	for _, one := range f.slow {
-		id, times, ok := strings.Cut(one, "=")
-		x, err := strconv.ParseFloat(times, 64)
-		if !ok || err != nil || !(x > 0) || id == "" {
+		id, text, ok := strings.Cut(one, "=")
+		factor, err := strconv.ParseFloat(text, 64)
+		if !ok || err != nil || !(factor > 0) || id == "" {
 			return fmt.Errorf("--slow %q: write MEMBER=TIMES, as north-3=3", one)
 		}
-		ch.Slow[id] = x
+		change.Slow[id] = factor
 	}
 	if f.settings != "" {
-		ch.Settings = &config.Settings{}
-		if err := config.ReadFile(f.settings, ch.Settings); err != nil {
+		change.Settings = &config.Settings{}
+		if err := config.ReadFile(f.settings, change.Settings); err != nil {
 			return &cli.FoundError{Err: err}
 		}
 	}
-	began := time.Now()
-	r, err := whatif.Compare(func() (*journal.Reader, error) { return journal.OpenReader(path) }, ch)
+	startedAt := time.Now()
+	r, err := whatif.Compare(func() (*journal.Reader, error) { return journal.OpenReader(path) }, change)
 	if err != nil {
 		return err
 	}
 	if err := cli.PrintResult(f.asJSON, r, func(w io.Writer) {
 		r.Text(w)
-		fmt.Fprintf(w, "%d events decided in %.1f s\n", r.Events(), time.Since(began).Seconds())
+		fmt.Fprintf(w, "%d events decided in %.1f s\n", r.Events(), time.Since(startedAt).Seconds())
 	}); err != nil {
 		return err
 	}
@@ -144,9 +144,9 @@
 		return fmt.Errorf("--speed %q: write how many times as fast, as 1 or 2.5, or max", f.speed)
 	}
 	var routes *config.Settings
-	if f.route != "" {
+	if f.routes != "" {
 		routes = &config.Settings{}
-		if err := config.ReadFile(f.route, routes); err != nil {
+		if err := config.ReadFile(f.routes, routes); err != nil {
 			return &cli.FoundError{Err: err}
 		}
 	}
@@ -155,7 +155,7 @@
 		return err
 	}
 	defer src.Close()
-	r, err := loadgen.RunRecord(c.Context(), src, loadgen.Form{Name: path, Targets: f.live, Conns: f.conns, Most: f.most})
+	r, err := loadgen.RunRecord(c.Context(), src, loadgen.Form{Name: path, Targets: f.live, Conns: f.connections, Most: f.maxRequests})
 	if err != nil {
 		return err
 	}
@@ -175,9 +175,9 @@
 	return nil
 }
 
-func tell(w io.Writer, r *replay.Report, took time.Duration) {
+func printReport(w io.Writer, r *replay.Report, duration time.Duration) {
 	fmt.Fprintf(w, "%d lives, %d events, %d actions; %d answers compared, %d equal, %d different; %.0f events a second\n",
-		r.Runs, r.Events, r.Actions, r.Compared, r.Equal, r.Different, float64(r.Events)/max(took.Seconds(), 1e-6))
+		r.Runs, r.Events, r.Actions, r.Compared, r.Equal, r.Different, float64(r.Events)/max(duration.Seconds(), 1e-6))
 	if len(r.Gaps) > 0 {
 		fmt.Fprintf(w, "%d gaps, %d records known to be lost, %d events behind them not compared; the first: %s\n", len(r.Gaps), r.Lost, r.Skipped, r.Gaps[0])
 	}
