--- a/cmd/spool-explain/main.go
+++ b/cmd/spool-explain/main.go
@@ -1,4 +1,4 @@
-// Spool-explain tells why a request went where it did, from a router's journal.
+// Spool-explain explains from a router's journal why a request was sent where it was.
 package main
 
 import (
@@ -17,10 +17,10 @@
 	var id, svg string
 	var asJSON bool
 	var request explain.HypotheticalRequest
-	root := &cobra.Command{Use: "spool-explain JOURNAL", Short: "Tells why a request went where it did", Args: cobra.ExactArgs(1),
-		Long: "Tells why a request went where it did: replays the journal, and listens to the module while\n" +
-			"it decides. --id names a recorded request (the access log has ids); --class and --object ask\n" +
-			"what would be decided of one that never was, at the journal's end or --at a time of it.",
+	root := &cobra.Command{Use: "spool-explain JOURNAL", Short: "Explains why a request was sent where it was", Args: cobra.ExactArgs(1),
+		Long: "Explains why a request was sent where it was: replays the journal and observes the module's\n" +
+			"decisions. --id is the id of a recorded request, as in the access log. --class and --object\n" +
+			"describe a hypothetical request, at the journal's end or, with --at, at a time before it.",
 		Example: "  spool-explain journal --id north-1-dt55-7\n  spool-explain journal --class film --object /v/7/film --part 3 --svg ranges.svg",
 		RunE: func(_ *cobra.Command, args []string) error {
 			if (id == "") == (request.Object == "") {
@@ -57,15 +57,15 @@
 		}}
 	f := root.Flags()
 	f.StringVar(&id, "id", "", "id of a recorded request")
-	f.StringVar(&request.Class, "class", "", "class of a request that never was")
+	f.StringVar(&request.Class, "class", "", "class of a hypothetical request")
 	f.StringVar(&request.Object, "object", "", "its object")
 	f.IntVar(&request.Part, "part", 0, "its part")
 	f.IntVar(&request.Group, "group", 0, "its object's group")
-	f.Float64Var(&request.KB, "kb", 0, "its size")
+	f.Float64Var(&request.KB, "kb", 0, "its size, KB")
 	f.BoolVar(&request.Write, "write", false, "it is a write")
-	f.Float64Var(&request.At, "at", 0, "when, in ms on the router's clock (default: at the journal's end)")
-	f.StringVar(&request.InPlaceOf, "instead", "", "or in place of this recorded request, when that came")
-	f.StringVar(&svg, "svg", "", "file for a picture of the ranges")
-	f.BoolVar(&asJSON, "json", false, "print it as JSON")
+	f.Float64Var(&request.At, "at", 0, "its time of arrival, ms on the router's clock (default: the journal's end)")
+	f.StringVar(&request.InPlaceOf, "instead", "", "id of a recorded request to replace, with that request's time of arrival")
+	f.StringVar(&svg, "svg", "", "file for a drawing of the ranges of parts")
+	f.BoolVar(&asJSON, "json", false, "print the result as JSON")
 	cli.Main(root)
 }
--- a/cmd/spool-replay/main.go
+++ b/cmd/spool-replay/main.go
@@ -1,7 +1,6 @@
-// Spool-replay tells a decision module again what a router's journal holds, and
-// compares its answers with those that were recorded; or tells what would have
-// happened with other settings or members; or makes the recorded requests again
-// against a running router.
+// Spool-replay passes the events of a router's journal to a decision module again, and compares
+// its actions with the recorded ones. It can also simulate the effect of other settings or
+// members, or send the recorded requests to running routers.
 package main
 
 import (
@@ -22,7 +21,7 @@
 	"indigospool/internal/testbed/loadgen"
 )
 
-// flags are the command line.
+// flags are the command-line flags.
 type flags struct {
 	asJSON      bool
 	settings    string
@@ -39,15 +38,15 @@
 
 func main() {
 	var f flags
-	root := &cobra.Command{Use: "spool-replay JOURNAL", Short: "Replays a router's journal of decisions; exit 1 at a difference", Args: cobra.ExactArgs(1),
-		Long: "Replays a router's journal of decisions: a folder of segments, or one segment. Each event is\n" +
-			"told to the module of this program, and its answer compared with the recorded one. The first\n" +
-			"difference is shown with the records before it.\n\n" +
-			"With --settings, --drop-member or --slow it tells what would have happened: the recorded\n" +
-			"requests and news run twice in simulated time before members that answer as the recorded ones\n" +
-			"did, as it was and changed. Exit 1 where that puts a rule at risk that was not.\n\n" +
-			"With --live the requests, of a journal or of an access log, are made again against running\n" +
-			"routers of this machine, when they were due; latencies count from then.",
+	root := &cobra.Command{Use: "spool-replay JOURNAL", Short: "Replays a router's decision journal; exits with 1 if there is a difference", Args: cobra.ExactArgs(1),
+		Long: "Replays a router's decision journal, a directory of segments or a single segment. Each event is\n" +
+			"passed to the module of this program, and its actions are compared with the recorded ones. The\n" +
+			"first difference is shown with the records before it.\n\n" +
+			"With --settings, --drop-member or --slow it shows the effect of a change: the recorded requests\n" +
+			"and updates are simulated twice, without and with the change, with members that answer like the\n" +
+			"recorded ones. Exits with 1 if a rule is at risk more often with the change.\n\n" +
+			"With --live it sends the requests of a journal or an access log to running routers on this\n" +
+			"machine, at the recorded intervals. Latencies are measured from the time a request is due.",
 		Example: "  spool-replay /var/lib/spool/journal\n  spool-replay journal --json\n" +
 			"  spool-replay journal --drop-member north-3\n  spool-replay journal --slow parent-1=3 --settings new.edn\n" +
 			"  spool-replay journal --live 127.0.0.1:8080 --speed 2\n" +
@@ -55,7 +54,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			switch {
 			case len(f.live) > 0 && (f.settings != "" || len(f.drop)+len(f.slow) > 0):
-				return errors.New("--live makes requests; --settings, --drop-member and --slow tell what would have been: give one or the other")
+				return errors.New("--live sends requests, but --settings, --drop-member and --slow simulate a change: give one or the other")
 			case len(f.live) > 0:
 				return live(c, &f, args[0])
 			case f.settings != "" || len(f.drop)+len(f.slow) > 0:
@@ -65,16 +64,16 @@
 		}}
 	fl := root.Flags()
 	fl.BoolVar(&f.asJSON, "json", false, "print the result as JSON")
-	fl.StringVar(&f.settings, "settings", "", "what if the router had these settings (a file)")
-	fl.StringArrayVar(&f.drop, "drop-member", nil, "what if this member had never been listed (may be given again)")
-	fl.StringArrayVar(&f.slow, "slow", nil, "what if a member had taken so many times as long, as north-3=3 (may be given again)")
-	fl.StringSliceVar(&f.live, "live", nil, "make the requests again against these routers, host:port of this machine, in turn")
-	fl.StringVar(&f.speed, "speed", "1", "of --live: how many times as fast as they came, or max")
-	fl.StringVar(&f.routes, "routes", "", "of --live: the settings whose routes say how requests stand in paths (default: the journal's own)")
-	fl.BoolVar(&f.writes, "writes", false, "of --live: make writes too, each with a new key and a body of zeros")
-	fl.IntVar(&f.maxRequests, "most", 1000000, "of --live: requests at most")
-	fl.IntVar(&f.connections, "conns", 512, "of --live: connections a router")
-	fl.StringVar(&f.plot, "plot", "", "of --live: write pictures PLOT-latency.svg and PLOT-seconds.svg")
+	fl.StringVar(&f.settings, "settings", "", "simulate the router with the settings in this file")
+	fl.StringArrayVar(&f.drop, "drop-member", nil, "simulate the list without this member (may be repeated)")
+	fl.StringArrayVar(&f.slow, "slow", nil, "simulate a member whose answers take longer by a factor, such as north-3=3 (may be repeated)")
+	fl.StringSliceVar(&f.live, "live", nil, "send the requests to these routers, host:port on this machine, in turn")
+	fl.StringVar(&f.speed, "speed", "1", "with --live: factor for the recorded request rate, or max")
+	fl.StringVar(&f.routes, "routes", "", "with --live: settings file with the routes that give the requests' paths (default: the journal's settings)")
+	fl.BoolVar(&f.writes, "writes", false, "with --live: send writes too, each with a new idempotency key and a body of zeros")
+	fl.IntVar(&f.maxRequests, "most", 1000000, "with --live: maximum number of requests")
+	fl.IntVar(&f.connections, "conns", 512, "with --live: connections per router")
+	fl.StringVar(&f.plot, "plot", "", "with --live: write the plots PLOT-latency.svg and PLOT-seconds.svg")
 	cli.Main(root)
 }
 
@@ -107,7 +106,7 @@
 		id, text, ok := strings.Cut(one, "=")
 		factor, err := strconv.ParseFloat(text, 64)
 		if !ok || err != nil || !(factor > 0) || id == "" {
-			return fmt.Errorf("--slow %q: write MEMBER=TIMES, as north-3=3", one)
+			return fmt.Errorf("--slow %q: want MEMBER=FACTOR, such as north-3=3", one)
 		}
 		change.Slow[id] = factor
 	}
@@ -124,7 +123,7 @@
 	}
 	if err := cli.PrintResult(f.asJSON, r, func(w io.Writer) {
 		r.Text(w)
-		fmt.Fprintf(w, "%d events decided in %.1f s\n", r.Events(), time.Since(startedAt).Seconds())
+		fmt.Fprintf(w, "%d events handled in %.1f s\n", r.Events(), time.Since(startedAt).Seconds())
 	}); err != nil {
 		return err
 	}
@@ -141,7 +140,7 @@
 	if f.speed == "max" {
 		speed, err = 0, nil
 	} else if err != nil || !(speed > 0) {
-		return fmt.Errorf("--speed %q: write how many times as fast, as 1 or 2.5, or max", f.speed)
+		return fmt.Errorf("--speed %q: want a positive factor, such as 1 or 2.5, or max", f.speed)
 	}
 	var routes *config.Settings
 	if f.routes != "" {
@@ -176,16 +175,16 @@
 }
 
 func printReport(w io.Writer, r *replay.Report, duration time.Duration) {
-	fmt.Fprintf(w, "%d lives, %d events, %d actions; %d answers compared, %d equal, %d different; %.0f events a second\n",
+	fmt.Fprintf(w, "%d runs, %d events, %d actions; %d events compared, %d equal, %d different; %.0f events/s\n",
 		r.Runs, r.Events, r.Actions, r.Compared, r.Equal, r.Different, float64(r.Events)/max(duration.Seconds(), 1e-6))
 	if len(r.Gaps) > 0 {
-		fmt.Fprintf(w, "%d gaps, %d records known to be lost, %d events behind them not compared; the first: %s\n", len(r.Gaps), r.Lost, r.Skipped, r.Gaps[0])
+		fmt.Fprintf(w, "%d gaps, %d records known to be lost, %d events after them not compared; the first gap: %s\n", len(r.Gaps), r.Lost, r.Skipped, r.Gaps[0])
 	}
 	if r.Truncation != "" {
 		fmt.Fprintln(w, r.Truncation)
 	}
 	if r.Unfinished > 0 {
-		fmt.Fprintf(w, "%d requests had no final answer when their router ended\n", r.Unfinished)
+		fmt.Fprintf(w, "%d requests had no final answer when their router's run ended\n", r.Unfinished)
 	}
 	if d := r.First; d != nil {
 		fmt.Fprintf(w, "first difference: record %d, %s at byte %d, t %.3f\n  event  %s\n", d.Number, d.Segment, d.Offset, d.T, d.Event)
