--- a/internal/decisionlog/explain/explain.go
+++ b/internal/decisionlog/explain/explain.go
@@ -75,14 +75,14 @@
 	explanation := &Explanation{}
 	t := &tracer{explanation: explanation, id: id}
 	w := t.watcher()
-	rep, err := replay.Run(j, w)
+	report, err := replay.Run(j, w)
 	if err != nil {
 		return nil, err
 	}
 	if !t.arrived {
 		return nil, fmt.Errorf("%w: %s", ErrNotFound, id)
 	}
-	explanation.Equal = rep.Different == 0
+	explanation.Equal = report.Different == 0
 	return explanation, nil
 }
 
@@ -103,7 +103,7 @@
 // Hypothetical explains how a request would be handled at a time of the journal. It replays the
 // journal up to that time and then passes the request to the module. The outcome of an attempt
 // is unknown, so that the explanation ends with the first one.
-func Hypothetical(j *journal.Reader, a HypotheticalRequest) (*Explanation, error) {
+func Hypothetical(j *journal.Reader, request HypotheticalRequest) (*Explanation, error) {
 	explanation := &Explanation{Hypothetical: true}
 	t := &tracer{explanation: explanation, id: hypotheticalID}
 	var c *engine.Core
@@ -111,41 +111,41 @@
 	w := &replay.Watcher{
 		RouterStarted: func(next *engine.Core, l *journal.RouterStart) { c, explanation.Router = next, l.Name },
 		Before: func(e *journal.Entry, _ *engine.Core) bool {
-			if q, ok := e.Event.(spool.Request); ok && a.InPlaceOf != "" && q.ID == a.InPlaceOf {
+			if q, ok := e.Event.(spool.Request); ok && request.InPlaceOf != "" && q.ID == request.InPlaceOf {
 				last, found = e.T, true
 				return true
 			}
-			if a.At > 0 && e.T > a.At {
+			if request.At > 0 && e.T > request.At {
 				return true
 			}
 			last = e.T
 			t.before(e, c)
 			return false
 		}}
-	rep, err := replay.Run(j, w)
+	report, err := replay.Run(j, w)
 	if err != nil {
 		return nil, err
 	}
 	if c == nil {
 		return nil, replay.ErrNothingToCompare
 	}
-	if a.InPlaceOf != "" && !found {
-		return nil, fmt.Errorf("%w: %s", ErrNotFound, a.InPlaceOf)
+	if request.InPlaceOf != "" && !found {
+		return nil, fmt.Errorf("%w: %s", ErrNotFound, request.InPlaceOf)
 	}
-	explanation.Equal = rep.Different == 0
+	explanation.Equal = report.Different == 0
 	known := false
 	var names []string
 	for i := range c.Settings.Classes {
 		names = append(names, c.Settings.Classes[i].Name)
-		known = known || c.Settings.Classes[i].Name == a.Class
+		known = known || c.Settings.Classes[i].Name == request.Class
 	}
 	if !known {
-		return nil, fmt.Errorf("explain: no class %q; the router's are %s", a.Class, strings.Join(names, ", "))
+		return nil, fmt.Errorf("explain: no class %q; the router's are %s", request.Class, strings.Join(names, ", "))
 	}
-	q := spool.Request{ID: hypotheticalID, Class: a.Class, Object: a.Object, Part: a.Part, Group: a.Group, KB: a.KB, Write: a.Write}
-	e := &journal.Entry{T: max(last, a.At)}
-	if a.Timeout > 0 {
-		q.Deadline = e.T + a.Timeout
+	q := spool.Request{ID: hypotheticalID, Class: request.Class, Object: request.Object, Part: request.Part, Group: request.Group, KB: request.KB, Write: request.Write}
+	e := &journal.Entry{T: max(last, request.At)}
+	if request.Timeout > 0 {
+		q.Deadline = e.T + request.Timeout
 	}
 	e.Event = q
 	t.observe(c)
@@ -181,12 +181,12 @@
 
 // observe has the module report the candidates for the request.
 func (t *tracer) observe(c *engine.Core) {
-	c.Explain(func(l spool.Candidate) {
-		if l.Request != t.id {
+	c.Explain(func(considered spool.Candidate) {
+		if considered.Request != t.id {
 			return
 		}
-		one := Candidate{Member: l.Member, As: "cache", Pass: l.Pass, Why: ReasonText(l.Reason), Times: 1}
-		if l.AsSource {
+		one := Candidate{Member: considered.Member, As: "cache", Pass: considered.Pass, Why: ReasonText(considered.Reason), Times: 1}
+		if considered.AsSource {
 			one.As = "source"
 		}
 		t.candidates = append(t.candidates, one)
@@ -368,16 +368,16 @@
 }
 
 // Text writes the explanation in a readable form.
-func (s *Explanation) Text(w io.Writer) {
-	q := s.Request
+func (e *Explanation) Text(w io.Writer) {
+	q := e.Request
 	kind := "request " + q.ID
-	if s.Hypothetical {
+	if e.Hypothetical {
 		kind = "hypothetical request"
 	}
-	fmt.Fprintf(w, "%s at router %s\n", kind, s.Router)
-	if len(s.Ranges) > 0 {
+	fmt.Fprintf(w, "%s at router %s\n", kind, e.Router)
+	if len(e.Ranges) > 0 {
 		fmt.Fprint(w, "ranges of parts: ")
-		for i, r := range s.Ranges {
+		for i, r := range e.Ranges {
 			if i > 0 {
 				fmt.Fprint(w, ", ")
 			}
@@ -385,27 +385,27 @@
 		}
 		fmt.Fprintln(w)
 	}
-	for _, st := range s.Steps {
-		fmt.Fprintf(w, "%9.1f ms  %s\n", st.SinceArrival, st.Event)
-		for _, line := range candidateLines(st.Candidates) {
+	for _, step := range e.Steps {
+		fmt.Fprintf(w, "%9.1f ms  %s\n", step.SinceArrival, step.Event)
+		for _, line := range candidateLines(step.Candidates) {
 			fmt.Fprintf(w, "%14s%s\n", "", line)
 		}
-		for _, a := range st.Actions {
+		for _, a := range step.Actions {
 			fmt.Fprintf(w, "%12s> %s\n", "", a)
 		}
-		if st.Waits {
+		if step.Waits {
 			fmt.Fprintf(w, "%12s> waits\n", "")
 		}
-		if len(st.Ranges) > 0 {
+		if len(step.Ranges) > 0 {
 			fmt.Fprintf(w, "%12s  the ranges have changed\n", "")
 		}
 	}
 	switch {
-	case s.Hypothetical:
-	case !s.Ended:
+	case e.Hypothetical:
+	case !e.Ended:
 		fmt.Fprintln(w, "the journal ends before the request's final answer")
 	}
-	if !s.Equal {
+	if !e.Equal {
 		fmt.Fprintln(w, "WARNING: this program's module decides differently from the router's: see spool-replay")
 	}
 }
@@ -414,22 +414,22 @@
 // that an earlier pass has considered are left out.
 func candidateLines(candidates []Candidate) (out []string) {
 	type key struct{ as, member, why string }
-	at := map[key]int{}
-	for _, l := range candidates {
-		k := key{l.As, l.Member, l.Why}
-		if _, told := at[k]; told || l.Why == ReasonText(spool.ReasonAlreadyConsidered) {
+	seen := map[key]int{}
+	for _, candidate := range candidates {
+		k := key{candidate.As, candidate.Member, candidate.Why}
+		if _, shown := seen[k]; shown || candidate.Why == ReasonText(spool.ReasonAlreadyConsidered) {
 			continue
 		}
-		at[k] = len(out)
-		line := l.Why
-		if l.Member != "" {
-			line = fmt.Sprintf("%s %s: %s", l.As, l.Member, l.Why)
+		seen[k] = len(out)
+		line := candidate.Why
+		if candidate.Member != "" {
+			line = fmt.Sprintf("%s %s: %s", candidate.As, candidate.Member, candidate.Why)
 		}
-		if l.Pass > 0 {
-			line += fmt.Sprintf(" (pass %d)", l.Pass+1)
+		if candidate.Pass > 0 {
+			line += fmt.Sprintf(" (pass %d)", candidate.Pass+1)
 		}
-		if l.Times > 1 {
-			line += fmt.Sprintf(" (considered %d times)", l.Times)
+		if candidate.Times > 1 {
+			line += fmt.Sprintf(" (considered %d times)", candidate.Times)
 		}
 		out = append(out, line)
 	}
@@ -447,17 +447,17 @@
 }
 
 // SVG draws the ranges of part indices and marks the request's part.
-func (s *Explanation) SVG(w io.Writer) {
+func (e *Explanation) SVG(w io.Writer) {
 	const width, height, fontSize = 900, 150, 12
-	last := s.Request.Part + 1
-	for _, r := range s.Ranges {
+	last := e.Request.Part + 1
+	for _, r := range e.Ranges {
 		last = max(last, r.From+1, r.To)
 	}
 	last += max(last/8, 1)
 	x := func(part int) float64 { return 10 + float64(width-20)*float64(min(part, last))/float64(last) }
 	fmt.Fprintf(w, `<svg xmlns="http://www.w3.org/2000/svg" width="%d" height="%d" font-family="sans-serif" font-size="%d">`+"\n", width, height, fontSize)
 	colours := []string{"#c6dbef", "#fdd0a2", "#c7e9c0", "#dadaeb", "#fcbba1", "#d9d9d9"}
-	for i, r := range s.Ranges {
+	for i, r := range e.Ranges {
 		to := r.To
 		if to < 0 {
 			to = last
@@ -469,9 +469,9 @@
 		fmt.Fprintf(w, `<text x="%.1f" y="%d">%s</text>`+"\n", x(r.From)+3, 60+i%2*18, escape(r.Cache))
 		fmt.Fprintf(w, `<text x="%.1f" y="106">%d</text>`+"\n", x(r.From), r.From)
 	}
-	at := (x(s.Request.Part) + x(s.Request.Part+1)) / 2
-	fmt.Fprintf(w, `<path d="M%.1f 38 l-6 -12 h12 z" fill="#b00"/><text x="%.1f" y="20">part %d of %s</text>`+"\n", at, min(at, width-260), s.Request.Part, escape(s.Request.Object))
-	fmt.Fprintf(w, `<text x="10" y="135">ranges of part indices at router %s</text>`+"\n</svg>\n", escape(s.Router))
+	at := (x(e.Request.Part) + x(e.Request.Part+1)) / 2
+	fmt.Fprintf(w, `<path d="M%.1f 38 l-6 -12 h12 z" fill="#b00"/><text x="%.1f" y="20">part %d of %s</text>`+"\n", at, min(at, width-260), e.Request.Part, escape(e.Request.Object))
+	fmt.Fprintf(w, `<text x="10" y="135">ranges of part indices at router %s</text>`+"\n</svg>\n", escape(e.Router))
 }
 
 func escape(s string) string {
--- a/internal/decisionlog/explain/explain_test.go
+++ b/internal/decisionlog/explain/explain_test.go
@@ -28,7 +28,7 @@
 func (r recorder) SettingsChanged(float64, *config.Settings, []spool.Action) {}
 
 // record passes events to a core that records a journal, and returns a reader of it.
-func record(t *testing.T, tell func(h func(now float64, ev spool.Event) []spool.Action, c *engine.Core)) *journal.Reader {
+func record(t *testing.T, feed func(h func(now float64, ev spool.Event) []spool.Action, c *engine.Core)) *journal.Reader {
 	t.Helper()
 	dir := t.TempDir()
 	w, err := journal.Open(dir, journal.Options{})
@@ -45,11 +45,11 @@
 	}
 	w.RouterStarted(journal.RouterStart{Name: "r1", Seed: 1, Settings: config.Print(s)})
 	c.Recorder = recorder{w}
-	h := func(now float64, ev spool.Event) []spool.Action { return c.Handle(now, ev, nil) }
+	handle := func(now float64, ev spool.Event) []spool.Action { return c.Handle(now, ev, nil) }
 	for _, ev := range c.Apply(1, engine.UpdateFromSettings(s)).Events {
-		h(1, ev)
+		handle(1, ev)
 	}
-	tell(h, c)
+	feed(handle, c)
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -75,13 +75,13 @@
 // successful attempt. A candidate that is reported as taken is the one in the action.
 func TestExplainRequest(t *testing.T) {
 	first := ""
-	j := record(t, func(h func(float64, spool.Event) []spool.Action, _ *engine.Core) {
-		send := h(10, filmRequest("q1", 0))[1].(spool.Send) // after a Wake
+	j := record(t, func(handle func(float64, spool.Event) []spool.Action, _ *engine.Core) {
+		send := handle(10, filmRequest("q1", 0))[1].(spool.Send) // after a Wake
 		first = send.Cache
-		fill := h(12, spool.Outcome{ID: "q1", Cache: send.Cache, Result: spool.Miss, Took: 2})[0].(spool.Send)
-		next := h(15, spool.Outcome{ID: "q1", Cache: fill.Cache, Attempt: 1, Result: spool.Reset, Took: 3})[0].(spool.Send)
-		h(16, filmRequest("other", 1))
-		h(20, spool.Outcome{ID: "q1", Cache: next.Cache, Attempt: 2, Result: spool.OK, Last: true, Took: 5})
+		fill := handle(12, spool.Outcome{ID: "q1", Cache: send.Cache, Result: spool.Miss, Took: 2})[0].(spool.Send)
+		next := handle(15, spool.Outcome{ID: "q1", Cache: fill.Cache, Attempt: 1, Result: spool.Reset, Took: 3})[0].(spool.Send)
+		handle(16, filmRequest("other", 1))
+		handle(20, spool.Outcome{ID: "q1", Cache: next.Cache, Attempt: 2, Result: spool.OK, Last: true, Took: 5})
 	})
 	s, err := Request(j, "q1")
 	if err != nil {
@@ -111,40 +111,40 @@
 func TestReasons(t *testing.T) {
 	for _, c := range []struct {
 		name, want string
-		tell       func(h func(float64, spool.Event) []spool.Action, c *engine.Core)
+		feed       func(h func(float64, spool.Event) []spool.Action, c *engine.Core)
 	}{
-		{"slow start", "is warming up, and has no slow-start tokens left", func(h func(float64, spool.Event) []spool.Action, c *engine.Core) {
+		{"slow start", "is warming up, and has no slow-start tokens left", func(handle func(float64, spool.Event) []spool.Action, c *engine.Core) {
 			for _, ev := range c.Apply(5, engine.UpdateFromVersion(1, []config.Member{{ID: "b1", Zone: "z", Kind: "box", State: "serving", Start: 2},
 				{ID: "b2", Zone: "z", Kind: "box", State: "serving", Start: 2}}, true)).Events {
-				h(5, ev)
+				handle(5, ev)
 			}
-			h(10, filmRequest("q", 0))
+			handle(10, filmRequest("q", 0))
 		}},
-		{"ejected", "is ejected, and the request may not be its health check", func(h func(float64, spool.Event) []spool.Action, _ *engine.Core) {
+		{"ejected", "is ejected, and the request may not be its health check", func(handle func(float64, spool.Event) []spool.Action, _ *engine.Core) {
 			for i := range 40 {
 				id := fmt.Sprint("x", i)
-				for _, a := range h(float64(10+i), filmRequest(id, 0)) {
+				for _, a := range handle(float64(10+i), filmRequest(id, 0)) {
 					if s, ok := a.(spool.Send); ok && s.Cache == "b1" {
-						h(float64(10+i), spool.Outcome{ID: id, Cache: "b1", Result: spool.ConnectFailed})
+						handle(float64(10+i), spool.Outcome{ID: id, Cache: "b1", Result: spool.ConnectFailed})
 					}
 				}
 			}
-			h(60, filmRequest("q", 0))
+			handle(60, filmRequest("q", 0))
 		}},
-		{"attempts", "no further attempt is allowed", func(h func(float64, spool.Event) []spool.Action, _ *engine.Core) {
-			acts, n := h(10, filmRequest("q", 0)), 0
+		{"attempts", "no further attempt is allowed", func(handle func(float64, spool.Event) []spool.Action, _ *engine.Core) {
+			acts, n := handle(10, filmRequest("q", 0)), 0
 			for at := 11.0; at < 3000; at += 25 { // a request that the origin rejected is queued for a while
 				i := slices.IndexFunc(acts, func(a spool.Action) bool { _, ok := a.(spool.Send); return ok })
 				if i < 0 {
-					acts = h(at, spool.Timer{})
+					acts = handle(at, spool.Timer{})
 					continue
 				}
-				acts = h(at, spool.Outcome{ID: "q", Cache: acts[i].(spool.Send).Cache, Attempt: n, Result: spool.Rejected, Note: spool.NoteNoCapacity})
+				acts = handle(at, spool.Outcome{ID: "q", Cache: acts[i].(spool.Send).Cache, Attempt: n, Result: spool.Rejected, Note: spool.NoteNoCapacity})
 				n++
 			}
 		}},
 	} {
-		s, err := Request(record(t, c.tell), "q")
+		s, err := Request(record(t, c.feed), "q")
 		if err != nil {
 			t.Errorf("%s: %v", c.name, err)
 			continue
@@ -159,17 +159,17 @@
 // earlier time.
 func TestHypothetical(t *testing.T) {
 	j := func() *journal.Reader {
-		return record(t, func(h func(float64, spool.Event) []spool.Action, c *engine.Core) {
+		return record(t, func(handle func(float64, spool.Event) []spool.Action, c *engine.Core) {
 			for i := range 130 { // ranges are computed from 128 requests on
 				id := fmt.Sprint("q", i)
-				for _, a := range h(float64(10+i), filmRequest(id, i%10)) {
+				for _, a := range handle(float64(10+i), filmRequest(id, i%10)) {
 					if s, ok := a.(spool.Send); ok {
-						h(float64(10+i), spool.Outcome{ID: id, Cache: s.Cache, Result: spool.OK, Took: 1, Last: true})
+						handle(float64(10+i), spool.Outcome{ID: id, Cache: s.Cache, Result: spool.OK, Took: 1, Last: true})
 					}
 				}
 			}
 			for _, ev := range c.Apply(200, engine.UpdateFromVersion(2, []config.Member{{ID: "b1", Zone: "z", Kind: "box", State: "draining"}}, false)).Events {
-				h(200, ev)
+				handle(200, ev)
 			}
 		})
 	}
--- a/internal/decisionlog/replay/replay.go
+++ b/internal/decisionlog/replay/replay.go
@@ -208,8 +208,8 @@
 	return fmt.Sprintf("%T%+v", ev, ev)
 }
 
-func actionTexts(acts []spool.Action) (out []string) {
-	for _, a := range acts {
+func actionTexts(actions []spool.Action) (out []string) {
+	for _, a := range actions {
 		out = append(out, fmt.Sprintf("%T%+v", a, a))
 	}
 	return out
