--- a/internal/decisionlog/journal/fault_test.go
+++ b/internal/decisionlog/journal/fault_test.go
@@ -142,9 +142,9 @@
 	}
 }
 
-// TestTruncatedSegmentHeader checks that a segment which a killed writer left incomplete is
+// TestTruncatedSegment checks that a segment which a killed writer left incomplete is
 // read as far as possible, and that the next writer continues after it.
-func TestTruncatedSegmentHeader(t *testing.T) {
+func TestTruncatedSegment(t *testing.T) {
 	for _, left := range []int{0, 3, 9, 30} {
 		dir := t.TempDir()
 		w, err := Open(dir, Options{})
