--- a/internal/decisionlog/journal/reader.go
+++ b/internal/decisionlog/journal/reader.go
@@ -24,11 +24,11 @@
 	T           float64
 	Event       spool.Event // of KindHandled
 	Actions     []spool.Action
-	RouterStart *RouterStart
-	Settings    string // of KindSettings
-	Version     int64
-	Lost        uint64 // of KindGap: number of records, 0 if unknown
-	Why         string // of KindGap: the cause
+	RouterStart *RouterStart // of KindRouterStart
+	Settings    string       // of KindSettings
+	Version     int64        // of KindSettings
+	Lost        uint64       // of KindGap: number of records, 0 if unknown
+	Why         string       // of KindGap: the cause
 }
 
 // Reader reads the segments of a journal in their order. Its memory is bounded.
--- a/internal/decisionlog/replay/replay.go
+++ b/internal/decisionlog/replay/replay.go
@@ -80,13 +80,14 @@
 	return r.report, nil
 }
 
+// replayer is the state of a replay.
 type replayer struct {
 	report      *Report
 	core        *engine.Core // nil: after a gap, or before the first router start
 	actions     []spool.Action
 	recent      [precedingRecords]*journal.Entry
-	recentCount int
-	unfinished  map[string]bool
+	recentCount int             // number of entries that were stored in recent
+	unfinished  map[string]bool // ids of the run's requests without a final answer
 
 	watcher *Watcher
 	stopped bool
--- a/internal/decisionlog/whatif/compare.go
+++ b/internal/decisionlog/whatif/compare.go
@@ -78,7 +78,7 @@
 	Requests          int64          `json:"requests"`
 	Changed           int64          `json:"changed"`
 	FirstAttemptMatch float64        `json:"model"`      // share of requests whose first attempt without the change is the recorded one: the accuracy of the model
-	PathMatch         float64        `json:"model_path"` // share of those for which all attempts are the recorded ones
+	PathMatch         float64        `json:"model_path"` // share of requests whose attempts without the change are all the recorded ones
 	Classes           []ClassChange  `json:"classes"`
 	Members           []MemberChange `json:"members"`
 	Causes            []Cause        `json:"causes,omitempty"`
@@ -222,6 +222,7 @@
 	candidates    []spool.Candidate
 }
 
+// comparison is the state of Compare.
 type comparison struct {
 	result       *Report
 	change       Change
@@ -230,12 +231,12 @@
 	classes      map[string]*ClassChange
 	members      map[string]*MemberChange
 	causes       map[[2]string]*Cause
-	objectives   map[string]config.Class
-	transferRate float64 // KB/ms, in the recorded settings
+	objectives   map[string]config.Class // by name, with the latency objectives for both simulations
+	transferRate float64                 // KB/ms, in the recorded settings
 	dropped      map[string]bool
 	risks        [2]*riskChecker
 
-	compared, firstMatches, pathMatches int64
+	compared, firstMatches, pathMatches int64 // numbers of requests, for FirstAttemptMatch and PathMatch
 }
 
 // startRun begins the simulations of a run.
