--- a/internal/cachenode/server/bench_test.go
+++ b/internal/cachenode/server/bench_test.go
@@ -15,8 +15,8 @@
 	"indigospool/internal/protocol/fetchheader"
 )
 
-// BenchmarkHits fetches held objects over 16 kept connections: from a cache, and from Go's
-// file server on files of the same sizes, in one process with their clients.
+// BenchmarkHits fetches stored objects over persistent connections, 4 per processor: from a cache,
+// and from Go's file server with files of the same sizes. Servers and clients share the process.
 func BenchmarkHits(b *testing.B) {
 	const n = 64
 	for _, kb := range []int{4, 64, 1024} {
--- a/internal/cachenode/server/cache.go
+++ b/internal/cachenode/server/cache.go
@@ -1,12 +1,13 @@
-// Package server is a cache, or a parent, as a program: it answers what Spool-Fill asks
-// for (docs/protocol.md) from a store on disk (internal/cachenode/store), or fills it from
-// the source that is named, on the router's event loop and parser.
+// Package server implements a cache or a parent as an HTTP server. It answers requests with
+// Spool-Fill (docs/protocol.md) from a store on disk (internal/cachenode/store), or fetches the
+// object from the source that the request names. It shares the event loop and the HTTP parser
+// with the router.
 //
-// It owns client and source connections and the fills in flight, and decides nothing of a
-// router's: where an object is looked up, where it is filled from and how long it may be
-// used comes with each attempt. What may be stored at all, internal/cachenode/httpcache
-// says. All of it runs on one loop but for the disk's work, which store.Threads does;
-// nothing here waits for either.
+// The server owns the connections to its clients and to sources, and the fills in flight. Routers
+// decide where an object is looked up, from where it is filled and how old it may be, and send
+// these decisions with each attempt. internal/cachenode/httpcache decides which responses may be
+// stored. Everything runs on one event loop, except for disk operations, which run on the
+// goroutines of store.Threads. The loop waits neither for them nor for the network.
 package server
 
 import (
@@ -29,32 +30,32 @@
 	"indigospool/internal/wallclock"
 )
 
-// Settings is what a cache is: one settings file. Spans in ms.
+// Settings is the content of a settings file. Durations are in ms.
 type Settings struct {
 	Cache Config `edn:"cache,required"`
 }
 
-// Config is the (cache ...) of a settings file.
+// Config is the form (cache ...) of a settings file.
 type Config struct {
 	Place                  config.Place
 	Name                   string  `edn:"@,required"`
 	Listen                 string  `edn:"listen" def:"127.0.0.1:0"`
-	Upstream               string  `edn:"upstream"` // where a fill goes that names no source; of a parent: the origin
+	Upstream               string  `edn:"upstream"` // address of the source for fills that name none; for a parent: the origin
 	Folder                 string  `edn:"folder,required"`
 	CapacityMB             float64 `edn:"mb" def:"1024" min:"0.1"`
 	SegmentMB              float64 `edn:"segment-mb" def:"64" min:"0.01"`
 	Sync                   string  `edn:"sync" def:"purges" oneof:"purges segments copies"`
-	DiskThreads            int     `edn:"threads" def:"4" min:"1"`       // for the disk
-	DiskQueue              int     `edn:"queue" def:"512" min:"1"`       // jobs that wait for them
-	DiskTimeout            float64 `edn:"patience" def:"2000" min:"10"`  // of a job, until the disk counts as one that hangs
-	MaxFills               int     `edn:"fills" def:"256" min:"1"`       // at once
-	FillTimeout            float64 `edn:"fill-wait" def:"2000" min:"10"` // a source that sends nothing
-	ConnectTimeout         float64 `edn:"connect" def:"500" min:"10"`    // to a source
-	IdleTimeout            float64 `edn:"idle" def:"60000" min:"10"`     // a connection without a request
+	DiskThreads            int     `edn:"threads" def:"4" min:"1"`       // number of threads for disk operations
+	DiskQueue              int     `edn:"queue" def:"512" min:"1"`       // limit of disk operations that wait for a thread
+	DiskTimeout            float64 `edn:"patience" def:"2000" min:"10"`  // duration of an operation after which the disk is considered hung
+	MaxFills               int     `edn:"fills" def:"256" min:"1"`       // limit of fills in flight
+	FillTimeout            float64 `edn:"fill-wait" def:"2000" min:"10"` // time without data from a source after which a fill fails
+	ConnectTimeout         float64 `edn:"connect" def:"500" min:"10"`    // for connections to sources
+	IdleTimeout            float64 `edn:"idle" def:"60000" min:"10"`     // time without a request after which a client connection is closed
 	MaxConns               int     `edn:"connections" def:"20000" min:"1"`
-	MaxBufferedBytes       int     `edn:"held" def:"1048576" min:"65536"` // bytes of a fill that wait for the disk or a reader
-	MaxBodyBytes           int     `edn:"body" def:"1048576" min:"0"`     // bytes of a write
-	CompleteAbandonedFills bool    `edn:"run-on"`                         // a fill whose askers have left runs on
+	MaxBufferedBytes       int     `edn:"held" def:"1048576" min:"65536"` // limit per fill of the bytes in memory that wait for the disk or a client
+	MaxBodyBytes           int     `edn:"body" def:"1048576" min:"0"`     // limit of a request body
+	CompleteAbandonedFills bool    `edn:"run-on"`                         // continue a fill after all its clients have left
 }
 
 // Server is a running cache.
@@ -63,33 +64,34 @@
 	loop          *eventloop.Loop
 	listener      eventloop.Listener
 	listenFD      int
-	addr          string
+	addr          string // of the listening socket
 	store         *store.Store
 	disk          *store.Threads
 	Recovered     store.Recovered
 	warn          func(string)
-	startWall     time.Time // at the start
-	retrying      bool      // a thread tries again what failed on the disk
-	startedAt     time.Time
+	startWall     time.Time // wall-clock time at the start
+	retrying      bool      // a thread is retrying what failed on the disk
+	startedAt     time.Time // the same moment as startWall, on the monotonic clock
 	conns         map[*conn]struct{}
-	fills         map[string]*fill
+	fills         map[string]*fill // by key: the fill that requests may join
 	fillsInFlight int
-	idleSources   map[string][]*sourceConn
-	scratch       []byte
-	hitRatio      float64
+	idleSources   map[string][]*sourceConn // by address
+	scratch       []byte                   // for reads on the loop
+	hitRatio      float64                  // moving average
 	stats         Stats
-	stopped       chan struct{}
+	stopped       chan struct{} // closed when the loop has stopped
 
-	OnEvent func(Event) // called on the loop; set before Run
+	// OnEvent, if set, is called on the loop for each Event. It must be set before Run.
+	OnEvent func(Event)
 }
 
-// Event is what passed on the cache's sockets, for who watches (Server.Watch).
+// Event is an event of an attempt on the sockets of the server, for Server.OnEvent.
 type Event struct {
-	What    string // recv: an attempt's whole head; sent: it is answered; done: all of the answer is out; left: its asker has closed
+	What    string // recv: a request was received; sent: its response was begun; done: all of the response was sent; left: the client closed the connection before that
 	Attempt *fetchheader.Attempt
 	Method  string
 	Target  string
-	Key     string // key of a copy: target and range
+	Key     string // key of the cached object: target and range
 	Header  http.Header
 	Status  int
 	Version int64
@@ -97,24 +99,35 @@
 	Hit     bool
 }
 
-// Stats counts what a cache has done.
+// Stats has counters since the start. GET /-/state returns them under their field names.
 type Stats struct {
-	Requests, Hits, Looked, Fills, Joined, Refused, Kept, WithoutDisk uint64
-	Behind, Renewed, Stale                                            uint64 // copies that a source found good; given out since it failed
-	In, Out                                                           int64
+	Requests    uint64
+	Hits        uint64
+	Looked      uint64 // misses of requests that allow no fill
+	Fills       uint64 // fills started
+	Joined      uint64 // requests that joined a fill in flight
+	Refused     uint64 // responses without an object
+	Kept        uint64 // objects stored by fills
+	WithoutDisk uint64 // operations that went on without the disk, because it hung, was overloaded or failed
+
+	Behind  uint64 // validations in the background
+	Renewed uint64 // stored objects that their source has confirmed
+	Stale   uint64 // stale objects served because their source failed
+
+	In, Out int64 // bytes received from sources, and sent to clients
 }
 
-// Start opens the store and begins to listen; Run serves.
+// Start opens the store and begins to listen. Run serves requests.
 func Start(cfg Config, warn func(string)) (*Server, error) {
 	return StartWithFS(store.Dir(cfg.Folder), cfg, warn)
 }
 
-// StartWithFS is Start with the store in a folder that fault injection gives.
+// StartWithFS is like Start, with the store in fs instead of cfg.Folder. Fault injection uses it.
 func StartWithFS(fs store.FS, cfg Config, warn func(string)) (*Server, error) {
 	return start(cfg, warn, fs, wallclock.Now)
 }
 
-// start is StartOn by a wall clock that tests replace. The clock is read once.
+// start is like StartWithFS, with a wall clock that tests can replace. It reads the clock once.
 func start(cfg Config, warn func(string), fs store.FS, wallClock func() time.Time) (*Server, error) {
 	if warn == nil {
 		warn = func(string) {}
@@ -138,17 +151,18 @@
 	return s, nil
 }
 
-// Intercept has the system calls on its sockets made by calls, for fault injection; nil has
-// them made by the kernel. It is called before Run.
+// Intercept replaces the system calls on the server's sockets, for fault injection; nil restores
+// those of the kernel. It must be called before Run.
 func (s *Server) Intercept(calls eventloop.Syscalls) { s.loop.Intercept(calls) }
 
-// Addr is where it listens.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.addr }
 
-// Stop ends it, from any goroutine.
+// Stop makes Run return. It may be called from any goroutine.
 func (s *Server) Stop() { s.loop.Stop() }
 
-// Run serves until Stop, and then makes what is kept last.
+// Run serves requests until Stop is called. It then closes all connections and the store, which
+// syncs the stored objects.
 func (s *Server) Run() error {
 	s.listener = eventloop.Listener{PerTurn: 64, Take: s.accept}
 	if err := s.listener.Start(s.loop, s.listenFD); err != nil {
@@ -165,10 +179,11 @@
 	return errors.Join(err, s.store.Close())
 }
 
-// diskRetryMillis is how often, in ms, the store is given the occasion to try again what failed;
-// whether it is time to is its own to say.
+// diskRetryMillis is the interval of the calls of Store.Retry, in ms. The store itself decides,
+// by its backoff, whether to retry.
 const diskRetryMillis = 100
 
+// retryDisk lets the store retry what failed on the disk, on a thread, and schedules its next call.
 func (s *Server) retryDisk() {
 	if s.store.Faulty() && !s.retrying {
 		s.retrying = s.disk.Submit(func() {
@@ -179,11 +194,12 @@
 	s.loop.AfterFunc(diskRetryMillis, s.retryDisk)
 }
 
-// now is the time by which copies' ages are told, Unix ms: as the clock was at the start,
-// and from there on only forward.
+// now returns the time from which the ages of objects are computed, in Unix ms: the wall clock
+// at the start plus the monotonic time since then. It never goes back.
 func (s *Server) now() int64 { return s.startWall.UnixMilli() + time.Since(s.startedAt).Milliseconds() }
 
-// post has f run on the loop, from a thread.
+// post runs f on the loop. It is called on other goroutines, and waits while the queue of the
+// loop is full.
 func (s *Server) post(f func()) {
 	for s.loop.Post(f) == eventloop.ErrFull {
 		select {
@@ -194,13 +210,13 @@
 	}
 }
 
-// State is the counters, from any goroutine.
+// State returns the counters. It may be called from any goroutine.
 func (s *Server) State() (out Stats, err error) {
 	err = s.loop.Call(5*time.Second, func() { out = s.stats })
 	return out, err
 }
 
-// accept takes a connection, unless as many are there as may be.
+// accept takes a new connection, or closes it if there are MaxConns already.
 func (s *Server) accept(fd int) {
 	if len(s.conns) >= s.cfg.MaxConns {
 		unix.Close(fd)
@@ -217,7 +233,10 @@
 	s.loop.Arm(&c.idleTimer, s.cfg.IdleTimeout)
 }
 
-// conn is a connection of a router's or another cache's.
+// maxPipelinedBytes is the input of a connection that is buffered while a request is handled.
+const maxPipelinedBytes = 64 << 10
+
+// conn is a connection from a client: a router, another cache, or a user.
 type conn struct {
 	server             *Server
 	fd                 int
@@ -225,13 +244,14 @@
 	writeBuffer        []byte
 	head               http1.Head
 	body               http1.Body
-	request            *request // in hand; nil between requests
+	request            *request // the current request; nil between requests
 	closeAfterResponse bool
 	closed             bool
-	headParsed         bool // the head of the request in hand is parsed, its body comes
+	headParsed         bool // the head of the current request is parsed, its body is still being received
 	idleTimer          eventloop.Timer
 }
 
+// OnReady implements eventloop.Handler.
 func (c *conn) OnReady(r eventloop.Ready) {
 	if r.Writable() && len(c.writeBuffer) > 0 {
 		c.flush()
@@ -254,11 +274,11 @@
 	c.processInput()
 }
 
-// processInput takes what has come.
+// processInput parses the received bytes and handles the requests in them, one at a time.
 func (c *conn) processInput() {
 	for !c.closed && len(c.readBuffer) > 0 {
 		if c.request != nil && !c.headParsed {
-			if len(c.readBuffer) > 64<<10 { // requests that wait behind the present one
+			if len(c.readBuffer) > maxPipelinedBytes { // pipelined requests: read no more until the current one is answered
 				c.server.loop.Want(c.fd, 0)
 			}
 			return
@@ -311,7 +331,7 @@
 	}
 }
 
-// respond is a short answer of the cache's own.
+// respond answers the current request with a short text.
 func (c *conn) respond(status int, body string) {
 	head := http1.AppendStatus(nil, status)
 	head = http1.AppendFieldInt(head, "Content-Length", int64(len(body)))
@@ -322,7 +342,8 @@
 	c.finishRequest()
 }
 
-// finishRequest ends the request in hand.
+// finishRequest ends the current request, sends what is left of its response, and goes on with
+// the next one.
 func (c *conn) finishRequest() {
 	if req := c.request; req != nil {
 		c.request = nil
@@ -350,7 +371,7 @@
 	return eventloop.Read
 }
 
-// write writes what can be at once, and keeps the rest.
+// write sends data. What the socket does not take now is copied to writeBuffer.
 func (c *conn) write(data []byte) {
 	if len(c.writeBuffer) == 0 {
 		n, err := c.server.loop.Write(c.fd, data)
@@ -366,6 +387,8 @@
 	c.flush()
 }
 
+// flush sends the contents of writeBuffer. When all of it is sent, it continues the response, or
+// closes the connection after the last one.
 func (c *conn) flush() {
 	for len(c.writeBuffer) > 0 && !c.closed {
 		n, err := c.server.loop.Write(c.fd, c.writeBuffer)
@@ -408,34 +431,35 @@
 	}
 }
 
-// request is a request in hand.
+// request is a request that is being handled.
 type request struct {
 	server        *Server
 	conn          *conn
 	attempt       fetchheader.Attempt
-	fromClient    bool // no Spool-Fill: a user's own request
-	method        string
+	fromClient    bool   // it has no Spool-Fill: no router has sent it
+	method        string // empty: the request is invalid, and target is the error
 	target        string
-	key           string
-	header        http.Header // of the request, that matter
-	body          []byte
-	object        *store.CachedObject
-	stale         *store.CachedObject // too old for it, unless its source says otherwise
-	unconditional bool                // no conditions: it was asked with some already
-	fill          *fill
-	offset        int64
-	size          int64
+	key           string              // of the cached object: target and range, then the variant, if any
+	header        http.Header         // only fields that the server uses
+	body          []byte              // received so far
+	object        *store.CachedObject // that is being sent; nil during a fill
+	stale         *store.CachedObject // must be validated before it is served
+	unconditional bool                // stale objects were validated once: the next fill fetches the whole object
+	fill          *fill               // that the request waits for
+	offset        int64               // number of body bytes sent or in writeBuffer
+	size          int64               // of the response body
 	headSent      bool
-	pending       bool // a thread reads for it
+	pending       bool // a disk read or a later turn of the loop will continue the response
 	ended         bool
-	joined        bool
-	burstTurn     uint64 // of the loop, in which it wrote last
-	burstBytes    int64  // bytes in it
-	answered      bool   // it is answered
-	background    bool   // nobody waits: a copy is renewed behind its answers
+	joined        bool   // it has joined a fill of another request
+	burstTurn     uint64 // last turn of the loop in which the request sent data
+	burstBytes    int64  // bytes sent in that turn
+	answered      bool   // the event "sent" was emitted
+	background    bool   // it validates an object in the background, and has no client
 }
 
-// newRequest takes a request's head, which is the connection's buffer's.
+// newRequest returns a request for the parsed head of c. It copies the fields that it keeps,
+// since the head refers to the read buffer.
 func (s *Server) newRequest(c *conn) *request {
 	head := &c.head
 	req := &request{server: s, conn: c, method: string(head.Method), target: string(head.Path()), header: http.Header{}}
@@ -461,7 +485,7 @@
 	}
 	var err error
 	if req.attempt, err = fetchheader.ParseAttempt(attempts); err != nil {
-		req.method = "" // answered 400 once its body is here
+		req.method = "" // answered with 400 after its body is received
 		req.target = err.Error()
 	}
 	return req
@@ -485,7 +509,7 @@
 	}
 }
 
-// lookup looks for a copy.
+// lookup looks up the object of the request in the store, on a thread if that may wait.
 func (r *request) lookup() {
 	s := r.server
 	if object, known := s.store.TryLookup(r.key); known {
@@ -496,13 +520,13 @@
 		object := s.store.Lookup(r.key)
 		s.post(func() { r.lookupDone(object) })
 	})
-	if !ok { // the disk hangs, or is overloaded: as if nothing were held
+	if !ok { // the disk hangs or is overloaded: continue as on a miss
 		s.stats.WithoutDisk++
 		r.lookupDone(nil)
 	}
 }
 
-// storedResponse is a copy as RFC 9111 looks at it.
+// storedResponse returns a stored object as a response in the terms of RFC 9111.
 func (s *Server) storedResponse(object *store.CachedObject) *httpcache.Response {
 	response := &httpcache.Response{Status: 200, Header: http.Header{}, ResponseTime: float64(object.GeneratedAt), RequestTime: float64(object.GeneratedAt), WallTime: time.UnixMilli(object.GeneratedAt)}
 	for name, value := range object.Fields {
@@ -511,7 +535,8 @@
 	return response
 }
 
-// explicitLifetime is for how long an answer's own head says that it is fresh, ms; 0: it does not.
+// explicitLifetime returns the freshness lifetime that the header of a response states, in ms,
+// and 0 if it states none.
 func explicitLifetime(response *httpcache.Response) int64 {
 	if response.Header.Get("Expires") == "" && !strings.Contains(strings.ToLower(strings.Join(response.Header.Values("Cache-Control"), ",")), "max") {
 		return 0
@@ -519,17 +544,21 @@
 	return max(int64(httpcache.Lifetime(response)), 1)
 }
 
-// ageUnknown reports whether the age of a copy can't be told. Within this process ages are
-// spans of monotonic time. The stored time of a copy of before is only a hint: where it, or
-// that of another, lies behind the start by the present clock, the clock was stepped back,
-// by nobody knows how much.
+// ageUnknown reports whether the age of an object can't be determined. Ages of objects that were
+// stored since the start are differences of monotonic time. That of an object stored before the
+// start depends on the wall clock: if the object, or any other, seems to be generated after the
+// start, the clock was set back by an unknown amount.
 func (s *Server) ageUnknown(object *store.CachedObject) bool {
 	start := s.startWall.UnixMilli()
 	return object.BeforeStart && (object.GeneratedAt > start || s.store.NewestAtStart() > start)
 }
 
-// permittedUse is what a copy may be used for: by the age that a router states, or else by what
-// its head and the request say.
+// renewAfter is the share of its lifetime after which an object is validated in the background,
+// if the router allows it.
+const renewAfter = 0.8
+
+// permittedUse returns how an object may be used for the request: by the maximum age that the
+// router states, or else by the headers of the object and of the request.
 func (r *request) permittedUse(object *store.CachedObject) httpcache.Use {
 	age := float64(r.server.now() - object.GeneratedAt)
 	switch {
@@ -537,18 +566,19 @@
 		return httpcache.Revalidate
 	case r.fromClient:
 		if object.Lifetime <= 0 && r.header.Get("Cache-Control") == "" && r.header.Get("Pragma") == "" {
-			return httpcache.Serve // nothing is said: until it is purged
+			return httpcache.Serve // no freshness information: fresh until it is purged
 		}
 		return httpcache.Decide(float64(r.server.now()), r.server.storedResponse(object), httpcache.Request{Method: r.method, Header: r.header}, 0)
 	case r.attempt.Age > 0 && age > r.attempt.Age, r.attempt.Age <= 0 && object.Lifetime > 0 && age > float64(object.Lifetime):
 		return httpcache.Revalidate
-	case r.attempt.Renew && r.attempt.Source != "" && object.Lifetime > 0 && age > 0.8*float64(object.Lifetime):
+	case r.attempt.Renew && r.attempt.Source != "" && object.Lifetime > 0 && age > renewAfter*float64(object.Lifetime):
 		return httpcache.ServeAndRevalidate
 	}
 	return httpcache.Serve
 }
 
-// revalidateInBackground asks a source about a copy that is served meanwhile, once for all who do.
+// revalidateInBackground validates the object of a request with its source while the object is
+// served, unless a fill of it is in flight already.
 func (s *Server) revalidateInBackground(req *request) {
 	if s.fills[req.key] != nil || s.fillsInFlight >= s.cfg.MaxFills {
 		return
@@ -570,7 +600,7 @@
 	})
 }
 
-// serveObject answers with a copy.
+// serveObject sends a stored object.
 func (r *request) serveObject(object *store.CachedObject, cacheStatus fetchheader.CacheStatus) {
 	s := r.server
 	r.object, r.size = object, object.Size
@@ -581,11 +611,13 @@
 	r.sendHead(&object.Meta, object.Size, cacheStatus.String())
 }
 
-// variantsField marks, in the place of a copy, that there are several by what askers accept:
-// each under the key with its variant behind it. Sources see of an asker's fields only
-// Accept-Encoding, so that nothing else can make a difference.
+// variantsField is a field of the marker that is stored under the key of an object with several
+// variants. Each variant is stored under that key followed by its result of variant. Variants
+// differ by Accept-Encoding only, since sources receive no other field that may select one.
 const variantsField = "Spool-Variants"
 
+// variant returns the suffix of the key under which the variant for the request is stored, and ""
+// if the key has a suffix already.
 func (r *request) variant() string {
 	if strings.Contains(r.key, "\x00") {
 		return ""
@@ -597,7 +629,11 @@
 	return strings.Contains(strings.ToLower(vary), "accept-encoding")
 }
 
-// lookupDone goes on with what the store has.
+// hitRatioWeight is the weight of one lookup in the moving average Server.hitRatio.
+const hitRatioWeight = 0.02
+
+// lookupDone continues a request with the result of its lookup; nil is a miss. It serves the
+// object, or joins or starts a fill.
 func (r *request) lookupDone(object *store.CachedObject) {
 	s := r.server
 	if r.ended {
@@ -606,7 +642,7 @@
 		}
 		return
 	}
-	if object != nil && object.Fields[variantsField] != "" { // what is held differs by what is accepted
+	if object != nil && object.Fields[variantsField] != "" { // a marker: look up the variant
 		go object.Close()
 		r.key += r.variant()
 		r.lookup()
@@ -626,14 +662,14 @@
 			if r.stale != nil {
 				go r.stale.Close()
 			}
-			r.stale, object = object, nil // it may be good still, or do where its source fails
+			r.stale, object = object, nil // it may still be valid, or be served if its source fails
 		}
 	}
 	hit := 0.0
 	if object != nil {
 		hit = 1
 	}
-	s.hitRatio += (hit - s.hitRatio) * 0.02
+	s.hitRatio += (hit - s.hitRatio) * hitRatioWeight
 	if object != nil {
 		s.stats.Hits++
 		r.serveObject(object, fetchheader.CacheStatus{Hit: true})
@@ -654,7 +690,7 @@
 	s.startFill(r)
 }
 
-// emit tells who watches.
+// emit calls OnEvent for a request of a router or a cache.
 func (r *request) emit(what string, status int, version, bytes int64, hit bool) {
 	r.answered = r.answered || what == "sent"
 	if r.server.OnEvent != nil && !r.fromClient && r.method != "" {
@@ -662,7 +698,7 @@
 	}
 }
 
-// respondEmpty is an answer without a copy.
+// respondEmpty sends a response without an object.
 func (r *request) respondEmpty(status int, cacheStatus fetchheader.CacheStatus) {
 	if r.ended {
 		return
@@ -678,12 +714,13 @@
 	r.conn.finishRequest()
 }
 
-// loadMetrics is what routers hear with each answer: requests in hand, and the share of hits.
+// loadMetrics returns the load report that each response has for routers: the number of client
+// connections and the hit ratio.
 func (s *Server) loadMetrics() string {
 	return fetchheader.FormatLoad([]float64{float64(len(s.conns)), s.hitRatio})
 }
 
-// sendHead writes an answer's head.
+// sendHead sends the head of a response with an object, and begins to send the body.
 func (r *request) sendHead(meta *store.Meta, size int64, cacheStatus string) {
 	r.headSent = true
 	statusCode := 200
@@ -713,11 +750,11 @@
 }
 
 const (
-	chunkBytes   = 128 << 10 // read from disk at a time
-	maxTurnBytes = 1 << 20   // written for one answer in a turn of the loop
+	chunkBytes   = 128 << 10 // limit of a read from the disk
+	maxTurnBytes = 1 << 20   // limit of the bytes that one response sends in a turn of the loop
 )
 
-// sendMore sends the next bytes, once those before are out.
+// sendMore sends the next bytes of the body, if those before have left writeBuffer.
 func (r *request) sendMore() {
 	if r.ended || !r.headSent || r.pending || len(r.conn.writeBuffer) > 0 {
 		return
@@ -730,7 +767,7 @@
 	if turn := r.server.loop.Turns(); turn != r.burstTurn {
 		r.burstTurn, r.burstBytes = turn, 0
 	}
-	if r.burstBytes >= maxTurnBytes { // others have their turn first
+	if r.burstBytes >= maxTurnBytes { // continue in the next turn
 		r.pending = true
 		r.server.loop.AfterFunc(0, func() {
 			r.pending, r.burstBytes = false, 0
@@ -745,7 +782,8 @@
 	r.readObject(r.object, min(r.size-r.offset, chunkBytes))
 }
 
-// readObject has a thread read the next bytes of a copy.
+// readObject reads the next n bytes of an object and sends them. It reads them on a thread unless
+// the kernel has them in memory.
 func (r *request) readObject(object *store.CachedObject, n int64) {
 	if cached := object.TryReadAt(r.server.scratch[:n], r.offset); cached > 0 {
 		r.offset += int64(cached)
@@ -763,20 +801,21 @@
 		}
 		r.server.post(func() { r.readDone(data[:got], err) })
 	})
-	if !ok { // the disk hangs in the middle of an answer: that is seen by its length
+	if !ok { // the disk hangs in the middle of a response: the client sees that it is shorter than Content-Length
 		r.pending = false
 		r.server.stats.WithoutDisk++
 		r.conn.close()
 	}
 }
 
+// readDone sends the bytes that a thread has read.
 func (r *request) readDone(data []byte, err error) {
 	r.pending = false
 	if r.ended {
 		return
 	}
 	if err != nil {
-		r.server.warn("cache: a copy can't be read: " + err.Error())
+		r.server.warn("cache: reading a stored object failed: " + err.Error())
 		r.conn.close()
 		return
 	}
@@ -785,7 +824,8 @@
 	r.conn.flush()
 }
 
-// end lets go of what the visit holds.
+// end releases the objects of the request and removes it from its fill. It has no effect if the
+// request has ended already.
 func (r *request) end() {
 	if r.ended {
 		return
@@ -799,7 +839,7 @@
 		r.stale = nil
 	}
 	if r.object != nil {
-		go r.object.Close() // the store may wait for a disk that hangs, and the loop must not
+		go r.object.Close() // on another goroutine: Close waits for the store's lock, which may be held while the disk hangs
 		r.object = nil
 	}
 	if r.fill != nil {
@@ -807,7 +847,7 @@
 	}
 }
 
-// handleControl is what an operator or the list's purges say.
+// handleControl handles requests to /-/: purges, and the state for operators.
 func (r *request) handleControl() {
 	s := r.server
 	switch r.target {
@@ -821,7 +861,7 @@
 			Made    float64 `json:"made"`
 		}
 		if err := json.Unmarshal(r.body, &params); err != nil {
-			r.conn.respond(400, "a purge is {\"object\": PATH}, group, tag or prefix: "+err.Error())
+			r.conn.respond(400, "malformed purge, want {\"object\": PATH}, or group, tag or prefix: "+err.Error())
 			return
 		}
 		purge := store.Purge{Scope: store.ByGroup, Group: params.Group, Version: params.Version}
@@ -847,7 +887,7 @@
 			number, err := s.store.Purge(purge)
 			s.post(func() { done(number, err) })
 		}) {
-			r.conn.respond(503, "the disk does not answer: the purge is not acknowledged; send it again")
+			r.conn.respond(503, "the disk hangs or is overloaded: the purge is not acknowledged; send it again")
 		}
 	case "/-/caught-up":
 		if !s.disk.Submit(func() {
@@ -858,7 +898,7 @@
 				}
 			})
 		}) {
-			r.conn.respond(503, "the disk does not answer: send it again")
+			r.conn.respond(503, "the disk hangs or is overloaded: send the request again")
 		}
 	case "/-/state":
 		state := map[string]any{"name": s.cfg.Name, "fills": s.fillsInFlight, "stats": s.stats, "found": s.Recovered, "hung": s.disk.Hung(),
@@ -878,20 +918,20 @@
 			respond()
 		}
 	default:
-		r.conn.respond(404, "known are /-/purge and /-/state\n")
+		r.conn.respond(404, "not found; the control paths are /-/purge, /-/caught-up and /-/state\n")
 	}
 }
 
-// diskState is how the disk is doing, as GET /-/state tells it.
+// diskState is the state of the disk in the answer to GET /-/state.
 type diskState struct {
-	Fault              string `json:"fault,omitempty"` // the call that failed
+	Fault              string `json:"fault,omitempty"` // operation that failed
 	File               string `json:"file,omitempty"`
 	Cause              string `json:"cause,omitempty"`
 	Since              string `json:"since,omitempty"` // RFC 3339
 	FaultMillis        int64  `json:"for_ms,omitempty"`
-	LogsUnread         bool   `json:"unread"`     // nothing of before is given out: the logs could not be read yet
-	PurgesDurable      bool   `json:"purges"`     // they can be acknowledged
-	UnreadableSegments int    `json:"unreadable"` // segments whose copies are not given out for now
+	LogsUnread         bool   `json:"unread"`     // objects stored before the start are not served: the logs could not be read yet
+	PurgesDurable      bool   `json:"purges"`     // purges can be acknowledged
+	UnreadableSegments int    `json:"unreadable"` // number of segments whose objects are not served for now
 }
 
 func describeDisk(status store.Status) diskState {
@@ -903,14 +943,15 @@
 	return out
 }
 
-// storable reports whether an answer may be kept, by RFC 9111 and the attempt.
+// storable reports whether a response may be stored, by RFC 9111 and the rank that the attempt
+// asks for.
 func (r *request) storable(head *http1.Head) bool {
 	if r.attempt.Keep < 1 {
 		return false
 	}
 	response := &httpcache.Response{Status: head.Status, Header: http.Header{}}
 	if response.Status == 206 {
-		response.Status = 200 // a part that is an object of its own, by its range
+		response.Status = 200 // a range is stored as an object of its own
 	}
 	for i := range head.Fields {
 		response.Header.Add(string(head.Fields[i].Name), string(head.Fields[i].Value))
--- a/internal/cachenode/server/cache_test.go
+++ b/internal/cachenode/server/cache_test.go
@@ -20,7 +20,7 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// bench is a cache before a stand-in origin.
+// rig runs a cache and a test origin.
 type rig struct {
 	t          testing.TB
 	server     *Server
@@ -29,7 +29,7 @@
 	cfg        Config
 	done       chan error
 	client     *http.Client
-	fs         store.FS         // nil: the form's
+	fs         store.FS         // nil: the folder of cfg
 	wallClock  func() time.Time // nil: time.Now
 }
 
@@ -85,7 +85,7 @@
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}, Timeout: 8 * time.Second}
 }
 
-// at makes an attempt with a fill at a cache elsewhere.
+// fetchFrom sends an attempt that allows a fill to the cache at addr, which may run in another process.
 func (r *rig) fetchFrom(addr, path string) (*http.Response, []byte, error) {
 	a := fetchheader.Attempt{ID: "q" + path, From: "r1", Class: "still", Object: path, Group: 7, Keep: 2, Join: true, Source: "o", SourceAddress: r.origin.Addr()}
 	req, _ := http.NewRequest("GET", "http://"+addr+path, nil)
@@ -99,7 +99,8 @@
 	return res, b, err
 }
 
-// fetch makes an attempt at the cache; src says whether it may fill from the origin.
+// fetch sends an attempt to the cache. mayFill allows a fill from the origin. change, if not nil,
+// modifies the attempt and the request before.
 func (r *rig) fetch(path string, mayFill bool, change func(*fetchheader.Attempt, *http.Request)) (*http.Response, []byte, error) {
 	class := strings.Split(path, "/")[1]
 	a := fetchheader.Attempt{ID: "q" + path, From: "r1", Class: class, Object: path, Group: 7, Keep: 2, Join: true}
@@ -120,23 +121,25 @@
 	return res, b, err
 }
 
-// fetchVerified checks an answer against the origin's content, and returns its Cache-Status and version.
+// fetchVerified fetches a path and compares the body with the origin's content. It returns
+// Cache-Status and version.
 func (r *rig) fetchVerified(path string, mayFill bool) (status string, version int64) {
 	r.t.Helper()
 	res, b, err := r.fetch(path, mayFill, nil)
 	if err != nil || res.StatusCode != 200 {
-		r.t.Fatalf("%s: %v %v", path, res, err)
+		r.t.Fatalf("%s: response %v, error %v", path, res, err)
 	}
 	v, err := fetchheader.ParseCopyVersion(res.Header.Get(fetchheader.CopyField))
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	if at, ok := testserver.Matches(b, path, v.Number, 0); !ok || int64(len(b)) != res.ContentLength {
-		r.t.Fatalf("%s: byte %d is not of version %d; %d bytes of %d", path, at, v.Number, len(b), res.ContentLength)
+		r.t.Fatalf("%s: first wrong byte of version %d at %d; got %d bytes of %d", path, v.Number, at, len(b), res.ContentLength)
 	}
 	return res.Header.Get(fetchheader.StatusField), v.Number
 }
 
+// waitStored waits until the cache has stored n objects since its start.
 func (r *rig) waitStored(n uint64) {
 	r.t.Helper()
 	for range 400 {
@@ -145,7 +148,7 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	r.t.Fatalf("%d copies are not kept", n)
+	r.t.Fatalf("fewer than %d objects are stored after 2 s", n)
 }
 
 func (r *rig) purge(text string) int {
@@ -158,9 +161,9 @@
 	return res.StatusCode
 }
 
-// A look, a fill, a hit; after a stop a copy is in doubt until its source has said, without
-// sending it again, that no purge was missed, or until the cache has heard of all of them.
-// After a purge there is none, before and after a stop.
+// After a restart the cache may have missed purges. It serves a stored object only after the
+// source has confirmed it with a 304, or after the cache was told that it has all purges. A
+// purged object is not served, neither before nor after a restart.
 func TestWarmAfterRestart(t *testing.T) {
 	r := newRig(t, "")
 	if res, _, err := r.fetch("/still/1/a", false, nil); err != nil || res.StatusCode != 504 || !strings.Contains(res.Header.Get(fetchheader.StatusField), "fwd=miss") {
@@ -187,21 +190,21 @@
 	made := r.origin.Purge(name(7), 0, 0) // while it is down
 	r.start()
 	if r.server.Recovered.Objects != 21 {
-		t.Errorf("found %+v", r.server.Recovered)
+		t.Errorf("recovered %+v, want 21 objects", r.server.Recovered)
 	}
 	if res, _, _ := r.fetch(name(1), false, nil); res.StatusCode != 504 {
-		t.Error("a copy that is in doubt is a hit", res.Status)
+		t.Error("an object is served although a purge may have been missed:", res.Status)
 	}
 	for i := range 20 {
 		if _, v := r.fetchVerified(name(i), true); i == 7 && v != 2 {
-			t.Errorf("version %d after a purge that the cache missed", v)
+			t.Errorf("got version %d after a purge that the cache missed, want 2", v)
 		}
 		if i != 7 {
 			hit(name(i))
 		}
 	}
 	if st, _ := r.server.State(); st.Renewed != 19 || st.In > 30<<10+int64(testserver.SizeOf(name(7), 40)) {
-		t.Errorf("%d renewed, %d bytes from the source", st.Renewed, st.In)
+		t.Errorf("%d objects confirmed by the source, want 19; %d bytes received from it", st.Renewed, st.In)
 	}
 	r.stop()
 	r.start()
@@ -225,7 +228,7 @@
 	}
 	for range 2 {
 		if res, _, _ := r.fetch("/still/1/o3", false, nil); res.StatusCode != 504 {
-			t.Error("it is back after its purge", res.Status)
+			t.Error("a purged object is served:", res.Status)
 		}
 		r.stop()
 		r.start()
@@ -236,11 +239,11 @@
 		t.Fatal(code)
 	}
 	if res, _, _ := r.fetch("/still/1/o4", false, nil); res.StatusCode != 504 {
-		t.Error("it is back after the purge of its group", res.Status)
+		t.Error("an object is served after the purge of its group:", res.Status)
 	}
 }
 
-// Many who ask for the same at once are one fill; each has all of it.
+// Concurrent requests for an object share one fill, and each receives the whole body.
 func TestConcurrentRequestsShareFill(t *testing.T) {
 	r := newRig(t, "")
 	var wg sync.WaitGroup
@@ -251,35 +254,35 @@
 			defer wg.Done()
 			res, b, err := r.fetch("/film/1/same", true, nil)
 			if err != nil || res.StatusCode != 200 {
-				t.Errorf("%v %v", res, err)
+				t.Errorf("response %v, error %v", res, err)
 				return
 			}
 			if _, ok := testserver.Matches(b, "/film/1/same", 1, 0); !ok || int64(len(b)) != res.ContentLength {
-				t.Error("other bytes")
+				t.Error("the body is wrong or incomplete")
 			}
 			joined <- strings.Contains(res.Header.Get(fetchheader.StatusField), "collapsed")
 		}()
 	}
 	wg.Wait()
-	n := 0
-	for _, x := range r.trafficLog.Records() {
-		if x.Event == trafficlog.AttemptReceived && x.Subject == "o" {
-			n++
+	fills := 0
+	for _, record := range r.trafficLog.Records() {
+		if record.Event == trafficlog.AttemptReceived && record.Subject == "o" {
+			fills++
 		}
 	}
 	close(joined)
-	j := 0
-	for is := range joined {
-		if is {
-			j++
+	collapsed := 0
+	for wasJoined := range joined {
+		if wasJoined {
+			collapsed++
 		}
 	}
-	if n != 1 || j < 20 {
-		t.Errorf("%d fills, %d joined", n, j)
+	if fills != 1 || collapsed < 20 {
+		t.Errorf("%d fills, want 1; %d requests joined, want 20 or more", fills, collapsed)
 	}
 }
 
-// A purge while a fill is under way: what it brings of before is not kept.
+// A purge during a fill: the object, which may be older than the purge, is not stored.
 func TestPurgeDuringFill(t *testing.T) {
 	r := newRig(t, "")
 	if err := r.origin.Fault(testserver.Fault{Kind: testserver.Slow, For: 5000, Factor: 2000}); err != nil {
@@ -305,12 +308,12 @@
 	}
 	time.Sleep(100 * time.Millisecond)
 	if res, _, _ := r.fetch("/film/1/slow", false, nil); res.StatusCode != 504 {
-		t.Error("a fill from before the purge was kept")
+		t.Error("the object of a fill that began before the purge is served")
 	}
 }
 
-// What may not be kept is not: rank 0, and what its head forbids; an age that is too old
-// is no hit; a write passes; a range is an object of its own; HEAD has no body.
+// Objects of rank 0 are not stored, an object above the maximum age of the attempt is a miss,
+// writes are forwarded, a range is stored as an object of its own, and HEAD gets no body.
 func TestAttempts(t *testing.T) {
 	r := newRig(t, "")
 	for range 2 {
@@ -320,20 +323,20 @@
 		}
 	}
 	if res, _, _ := r.fetch("/still/1/pass", false, nil); res.StatusCode != 504 {
-		t.Error("rank 0 was kept")
+		t.Error("an object of rank 0 was stored")
 	}
 	r.fetchVerified("/still/1/age", true)
 	r.waitStored(1)
 	time.Sleep(30 * time.Millisecond)
 	if res, _, _ := r.fetch("/still/1/age", false, func(a *fetchheader.Attempt, _ *http.Request) { a.Age = 10 }); res.StatusCode != 504 {
-		t.Error("a copy that is too old is a hit")
+		t.Error("an object above the maximum age is a hit")
 	}
 	res, b, err := r.fetch("/order/1", true, func(a *fetchheader.Attempt, q *http.Request) {
 		q.Method, q.Body, q.ContentLength = "POST", io.NopCloser(strings.NewReader("hello")), 5
 		q.Header.Set(fetchheader.IdempotencyKeyField, "k1")
 	})
 	if err != nil || res.StatusCode != 200 || !bytes.Contains(b, []byte("5 bytes")) {
-		t.Errorf("%v %q %v", res, b, err)
+		t.Errorf("write: response %v, body %q, error %v", res, b, err)
 	}
 	part := func(src bool) (int, string) {
 		res, b, err := r.fetch("/film/1/r", src, func(_ *fetchheader.Attempt, q *http.Request) { q.Header.Set("Range", "bytes=100-299") })
@@ -367,7 +370,8 @@
 	}
 }
 
-// Sources that fail are said as docs/protocol.md has it, and nothing is left of them.
+// When a source fails, the response has the status and the detail of docs/protocol.md, and no
+// fill is left in flight.
 func TestSourceFails(t *testing.T) {
 	r := newRig(t, "(fill-wait 200)")
 	for what, want := range map[string]string{"gone": fetchheader.SourceUnreached, "hangs": fetchheader.SourceUnreached, "lacks": fetchheader.SourceLacks} {
@@ -381,11 +385,11 @@
 				}
 			case "lacks":
 				a.Held = true
-				a.SourceAddress = r.server.Addr() // itself: it holds nothing of it
+				a.SourceAddress = r.server.Addr() // the cache itself, which has not stored the object
 			}
 		})
 		if err != nil || res.StatusCode != 503 || !strings.Contains(res.Header.Get(fetchheader.StatusField), want) {
-			t.Errorf("%s: %v %v", what, res, err)
+			t.Errorf("source %s: response %v, error %v", what, res, err)
 		}
 		time.Sleep(450 * time.Millisecond)
 	}
@@ -395,13 +399,13 @@
 	r.fetchVerified("/still/1/after", true)
 	r.server.loop.Call(time.Second, func() {
 		if r.server.fillsInFlight > 1 || len(r.server.fills) > 1 {
-			t.Errorf("%d fills are left", r.server.fillsInFlight)
+			t.Errorf("%d fills are still in flight", r.server.fillsInFlight)
 		}
 	})
 }
 
-// A disk that hangs: requests are answered without it, from the source, in time; the loop
-// is not held up.
+// While the disk hangs, requests are answered from the source without delay: the event loop does
+// not wait for the disk.
 func TestDiskHangs(t *testing.T) {
 	r := newRig(t, "(threads 2) (queue 4) (patience 50)")
 	r.fetchVerified("/still/1/a", true)
@@ -416,29 +420,29 @@
 	at := time.Now()
 	for i := range 5 {
 		if s, _ := r.fetchVerified(fmt.Sprintf("/still/1/h%d", i), true); strings.Contains(s, "stored") {
-			t.Error("it says that it keeps what it can't", s)
+			t.Error("an object is reported as stored while the disk hangs:", s)
 		}
 	}
 	if took := time.Since(at); took > 2*time.Second {
-		t.Errorf("five requests took %v", took)
+		t.Errorf("five requests took %v, want at most 2 s", took)
 	}
 	close(release)
-	for range 400 { // the queue has to run dry, too
+	for range 400 { // the queued jobs have to run first
 		if res, _, err := r.fetch("/still/1/a", false, nil); err == nil && res.StatusCode == 200 {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Error("nothing is found after the disk answers again")
+	t.Error("no object is found after the disk works again")
 }
 
 func storeMeta(path string) store.Meta {
 	return store.Meta{Key: path, Object: path, Rank: 2, GeneratedAt: time.Now().UnixMilli(), Fields: map[string]string{"Content-Type": "image/jpeg"}}
 }
 
-// A copy that is too old is asked about, and not fetched again where its source says that
-// it is good; one that has changed is fetched; where the source fails, an old one does as
-// far as its head allows, and never past an age that was asked for.
+// An object that is too old is validated, and fetched again only if it has changed. When the
+// source fails, an object above the maximum age of the attempt is not served, although its
+// stale-if-error allows it.
 func TestRevalidation(t *testing.T) {
 	r := newRig(t, "(fill-wait 300)")
 	var mu sync.Mutex
@@ -489,34 +493,34 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if code != 200 || got != body || fullResponses != wantFull || requests != wantRequests {
-			t.Errorf("%s: %d %q, %d whole of %d asked", what, code, got, fullResponses, requests)
+			t.Errorf("%s: status %d, body %q, %d full responses to %d requests; want body %q, %d to %d", what, code, got, fullResponses, requests, body, wantFull, wantRequests)
 		}
 	}
-	want("nothing is held", 1e6, `body of "1"`, 1, 1)
+	want("no stored object", 1e6, `body of "1"`, 1, 1)
 	r.waitStored(1)
 	want("a hit", 1e6, `body of "1"`, 1, 1)
 	time.Sleep(120 * time.Millisecond)
-	want("too old, and still good", 100, `body of "1"`, 1, 2)
-	want("it is young again", 100, `body of "1"`, 1, 2)
+	want("too old, unchanged", 100, `body of "1"`, 1, 2)
+	want("after the validation", 100, `body of "1"`, 1, 2)
 	r.stop()
 	r.start()
-	want("in doubt after a start", 1e6, `body of "1"`, 1, 3)
-	want("and known again", 1e6, `body of "1"`, 1, 3)
+	want("after a restart", 1e6, `body of "1"`, 1, 3)
+	want("validated after the restart", 1e6, `body of "1"`, 1, 3)
 	time.Sleep(120 * time.Millisecond)
 	set(`"2"`, false)
-	want("it has changed", 100, `body of "2"`, 2, 4)
+	want("too old, changed", 100, `body of "2"`, 2, 4)
 	r.waitStored(1)
 	time.Sleep(120 * time.Millisecond)
 	set(`"2"`, true)
 	if code, _ := ask(100, false); code < 500 {
-		t.Errorf("a copy that is too old for the asker is given out as its source fails: %d", code)
+		t.Errorf("status %d for an object above the maximum age whose source fails, want 5xx", code)
 	}
-	if st, _ := r.server.State(); st.Renewed != 0 && st.Stale != 0 { // of this life
-		t.Error(st)
+	if st, _ := r.server.State(); st.Renewed != 0 && st.Stale != 0 { // since the restart
+		t.Errorf("unexpected counters %+v", st)
 	}
 }
 
-// A user's own request, without a router: by what the answer's head says.
+// For a request without Spool-Fill the freshness of an object follows from its header alone.
 func TestRequestWithoutRouter(t *testing.T) {
 	var mu sync.Mutex
 	fails, n := false, 0
@@ -550,29 +554,29 @@
 	}
 	r.waitStored(1)
 	if s := get("/a"); s != "200 answer 1" {
-		t.Error("a fresh copy is no hit:", s)
+		t.Error("a fresh object is not served from the store:", s)
 	}
 	get("/private")
 	if s := get("/private"); s != "200 answer 3" {
-		t.Error("a private answer is kept:", s)
+		t.Error("a private response was stored:", s)
 	}
 	time.Sleep(1100 * time.Millisecond)
 	mu.Lock()
 	fails = true
 	mu.Unlock()
 	if s := get("/a"); s != "200 answer 1" {
-		t.Error("a stale copy does not do although its source fails:", s)
+		t.Error("a stale object is not served although its source fails:", s)
 	}
 	mu.Lock()
 	fails = false
 	mu.Unlock()
 	if s := get("/a"); s != "200 answer 4" {
-		t.Error("a stale copy is given out although its source works:", s)
+		t.Error("a stale object is served although its source works:", s)
 	}
 }
 
-// Answers that differ by what is accepted are kept apart, also when they are asked for at
-// once, and after a start; a purge of the object takes all of them.
+// Variants of an object by Accept-Encoding are stored separately, also when they are requested
+// concurrently, and are found after a restart. A purge of the object drops all of them.
 func TestVary(t *testing.T) {
 	src := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		time.Sleep(20 * time.Millisecond)
@@ -603,7 +607,7 @@
 			defer wg.Done()
 			accept := []string{"gzip", "br", "identity"}[i%3]
 			if got := get(accept, false); got != "for "+accept {
-				t.Errorf("%s gets %q", accept, got)
+				t.Errorf("Accept-Encoding %s: got %q", accept, got)
 			}
 		}()
 	}
@@ -612,11 +616,11 @@
 	for range 2 {
 		for _, accept := range []string{"gzip", "br", "identity"} {
 			if got := get(accept, true); got != "for "+accept {
-				t.Errorf("%s has %q held", accept, got)
+				t.Errorf("Accept-Encoding %s: got %q from the store", accept, got)
 			}
 		}
 		if got := get("zstd", true); got != "" {
-			t.Errorf("what nobody has asked for is held: %q", got)
+			t.Errorf("a variant that was never requested is in the store: %q", got)
 		}
 		r.stop()
 		r.start()
@@ -625,13 +629,13 @@
 	r.purge(`{"object":"/v"}`)
 	for _, accept := range []string{"gzip", "br", "identity"} {
 		if got := get(accept, true); got != "" {
-			t.Errorf("%s is held after the purge: %q", accept, got)
+			t.Errorf("Accept-Encoding %s: got %q from the store after the purge", accept, got)
 		}
 	}
 }
 
-// A copy that may be served stale while it is renewed is, to all who ask, and its source
-// is asked once; then it is young again.
+// During stale-while-revalidate all requests are served the stale object without delay, and the
+// source is asked to validate it once. Afterwards the object is fresh.
 func TestStaleWhileRevalidate(t *testing.T) {
 	var mu sync.Mutex
 	requests, fullResponses := 0, 0
@@ -670,7 +674,7 @@
 	time.Sleep(1200 * time.Millisecond)
 	for range 5 {
 		if took := get(); took > 120*time.Millisecond {
-			t.Errorf("it waits for its source: %v", took)
+			t.Errorf("a request took %v: it has waited for the source", took)
 		}
 	}
 	for range 200 {
@@ -683,6 +687,6 @@
 	mu.Lock()
 	defer mu.Unlock()
 	if st, _ := r.server.State(); requests != 2 || fullResponses != 1 || st.Renewed != 1 || st.Behind != 1 {
-		t.Errorf("asked %d times, %d whole; %+v", requests, fullResponses, st)
+		t.Errorf("%d requests to the source, want 2; %d full responses, want 1; counters %+v", requests, fullResponses, st)
 	}
 }
--- a/internal/cachenode/server/clock_test.go
+++ b/internal/cachenode/server/clock_test.go
@@ -13,11 +13,11 @@
 	"indigospool/internal/protocol/fetchheader"
 )
 
-// The wall clock is stepped, while the cache is down or up: no copy is given out for
-// longer than it is fresh without its source being asked, nor one that was purged.
+// The wall clock is stepped while the cache is down, and once more while it runs. An object whose
+// freshness lifetime may be over is validated before it is served, and a purged one is not served.
 func TestWallClockSteps(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, -3 * time.Second, 0, 3 * time.Second, time.Hour} {
-		for _, down := range []time.Duration{0, 20 * time.Minute} { // how long it was down, in truth
+		for _, down := range []time.Duration{0, 20 * time.Minute} { // real time that the cache was down
 			t.Run(fmt.Sprint(step, " ", down), func(t *testing.T) { wallClockSteps(t, step, down) })
 		}
 	}
@@ -66,27 +66,27 @@
 	r.wallClock = func() time.Time {
 		readings++
 		at := time.Now().Add(down + step)
-		step = -step // the next reading has it the other way
+		step = -step // a second reading would see the opposite step
 		return at
 	}
 	stepAtStart := step
 	r.start()
-	r.server.store.PurgesCaughtUp()               // every purge was told: only the age is left to say what is stale
-	mayServe := down == 0                         // in truth it is some ms old
-	mustRevalidate := down > 0 || stepAtStart < 0 // too old, or its stored time lies in the future
+	r.server.store.PurgesCaughtUp()               // no purge was missed: only the age decides
+	mayServe := down == 0                         // the objects are some ms old
+	mustRevalidate := down > 0 || stepAtStart < 0 // too old, or generated in the future by the clock
 	for path, age := range map[string]float64{"/a": -1, "/b": 600_000} {
 		n := get(path, age)
 		if n == 0 && (!mayServe || mustRevalidate) {
-			t.Errorf("%s is given out after %v without its source being asked", path, down)
+			t.Errorf("%s is served after %v without validation", path, down)
 		}
 		if again := get(path, age); again != 0 {
-			t.Errorf("%s: its source has just said that it is good, and is asked again", path)
+			t.Errorf("%s was validated, and is validated again for the next request", path)
 		}
 	}
 	if n := get("/purged", -1); n == 0 {
-		t.Error("a copy is back after its purge")
+		t.Error("a purged object is served after the restart")
 	}
 	if readings != 1 {
-		t.Errorf("the wall clock is read %d times", readings)
+		t.Errorf("the wall clock was read %d times, want once", readings)
 	}
 }
--- a/internal/cachenode/server/fault_test.go
+++ b/internal/cachenode/server/fault_test.go
@@ -12,7 +12,7 @@
 	"indigospool/internal/testbed/testserver"
 )
 
-// faultyDir is a folder whose calls fail while errno is not 0.
+// faultyDir is a folder whose operations fail with errno while it is not 0.
 type faultyDir struct {
 	store.Dir
 	errno atomic.Int32
@@ -48,7 +48,7 @@
 	dir *faultyDir
 }
 
-// WriteAt writes half while the folder fails.
+// WriteAt writes half of b if the folder fails.
 func (f *faultyFile) WriteAt(b []byte, off int64) (int, error) {
 	if err := f.dir.fault(); err != nil {
 		n, _ := f.File.WriteAt(b[:len(b)/2], off)
@@ -71,7 +71,7 @@
 	return f.File.Sync()
 }
 
-// state is what GET /-/state tells of the disk.
+// state returns what GET /-/state reports about the store and the disk.
 func (r *rig) state() (out struct {
 	Copies int `json:"copies"`
 	Disk   struct {
@@ -92,10 +92,10 @@
 	return out
 }
 
-// A folder that fails for a while, with a restart in the middle or without: requests are
-// answered from the source meanwhile, purges hold and are not acknowledged, the state says
-// since when and why; afterwards it keeps copies and acknowledges purges by itself, and
-// the purges of meanwhile have come to last without being sent again.
+// The folder of the store fails for a while, with or without a restart during the fault. Meanwhile
+// requests are answered from the source, purges are applied but not acknowledged, and the state
+// page has the cause and the start of the fault. Afterwards the cache stores objects and
+// acknowledges purges again, and the earlier purges are durable without being sent again.
 func TestFolderFailsForAWhile(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EIO} {
 		for _, restart := range []bool{false, true} {
@@ -117,27 +117,27 @@
 	dir.errno.Store(int32(errno))
 	if restart {
 		r.server.Stop()
-		<-r.done // it says that what was kept may not last
+		<-r.done // an error: stored objects may not be synced
 		r.start()
 	}
 	r.fetchVerified("/still/1/x", true)
 	if code := r.purge(`{"object":"/still/1/b"}`); code != 500 {
-		t.Errorf("a purge that does not last is answered %d", code)
+		t.Errorf("a purge that is not durable got status %d, want 500", code)
 	}
 	if res, _, _ := r.fetch("/still/1/b", false, nil); res.StatusCode != 504 {
-		t.Errorf("a purge that was not acknowledged does not hold: %d", res.StatusCode)
+		t.Errorf("an object is served after a purge that was not acknowledged: status %d", res.StatusCode)
 	}
 	if st := r.state().Disk; st.Cause != errno.Error() || st.Since == "" || st.File == "" || st.Purges || st.Unread != (restart && errno == syscall.EIO) {
-		t.Errorf("the state says %+v", st)
+		t.Errorf("state of the disk during the fault: %+v", st)
 	}
 	dir.errno.Store(0)
-	for i := 0; !r.state().Disk.Purges; i++ { // nothing but time passes
+	for i := 0; !r.state().Disk.Purges; i++ { // the store has to retry without being used
 		if time.Sleep(20 * time.Millisecond); i > 300 {
-			t.Fatalf("it does not come back: %+v", r.state().Disk)
+			t.Fatalf("the store does not work again after 6 s: %+v", r.state().Disk)
 		}
 	}
 	if code := r.purge(`{"object":"/still/1/c"}`); code != 200 {
-		t.Errorf("a purge afterwards is answered %d", code)
+		t.Errorf("a purge after the fault got status %d, want 200", code)
 	}
 	r.fetchVerified("/still/1/d", true)
 	for i := 0; ; i++ {
@@ -145,7 +145,7 @@
 			break
 		}
 		if time.Sleep(20 * time.Millisecond); i > 300 {
-			t.Fatal("nothing is kept afterwards")
+			t.Fatal("no object is stored after the fault")
 		}
 		r.fetchVerified("/still/1/d", true)
 	}
@@ -155,13 +155,13 @@
 	r.server.store.PurgesCaughtUp()
 	for name, want := range map[string]int{"a": 200, "b": 504, "c": 504, "d": 200} {
 		if res, _, _ := r.fetch("/still/1/"+name, false, nil); res.StatusCode != want {
-			t.Errorf("after a start %s is answered %d, want %d", name, res.StatusCode, want)
+			t.Errorf("after a restart %s got status %d, want %d", name, res.StatusCode, want)
 		}
 	}
 }
 
-// Who asks after a purge was answered does not join a fill that began before it, also
-// where the purge is not acknowledged since the logs can't be read or written.
+// A request that arrives after the answer to a purge does not join a fill that began before the
+// purge, also if the purge was not acknowledged because the logs can't be read or written.
 func TestPurgeThenJoin(t *testing.T) {
 	for _, what := range []string{"healthy", "write fault", "unread"} {
 		t.Run(what, func(t *testing.T) {
@@ -183,7 +183,7 @@
 			for st, _ := r.server.State(); st.Fills == 0; st, _ = r.server.State() {
 				time.Sleep(time.Millisecond)
 			}
-			time.Sleep(20 * time.Millisecond) // the origin has begun to answer
+			time.Sleep(20 * time.Millisecond) // so that the origin begins to answer
 			if what == "write fault" {
 				dir.errno.Store(int32(syscall.ENOSPC))
 			}
@@ -192,7 +192,7 @@
 				t.Fatal(code)
 			}
 			if _, version := r.fetchVerified("/film/1/slow", true); version < 2 {
-				t.Errorf("version %d is given out after the purge", version)
+				t.Errorf("got version %d after the purge, want 2 or later", version)
 			}
 			if err := <-first; err != nil {
 				t.Error(err)
--- a/internal/cachenode/server/fill.go
+++ b/internal/cachenode/server/fill.go
@@ -13,38 +13,40 @@
 	"indigospool/internal/protocol/http1"
 )
 
-// fill is a fill under way: its bytes go to the disk, and from there to all who wait.
-// Without a disk they stay in memory until those who wait have them.
+// fill is a fill in flight. Its body is written to the store, and the requests that wait for it
+// read it from there. If it is not stored, or the disk fails, the body stays in memory until all
+// waiters have it.
 type fill struct {
 	server          *Server
-	initiator       *request // who asked first
+	initiator       *request // the request that started the fill
 	key             string
-	source          *sourceConn
+	source          *sourceConn // nil when the response is complete or the fill has failed
 	waiters         map[*request]bool
 	meta            store.Meta
-	size            int64
-	sourceStatus    string // Cache-Status of what is behind
+	size            int64  // of the body
+	sourceStatus    string // Cache-Status of the source's response
 	headReceived    bool
-	isVariant       bool // it is one of several variants
-	storing         bool
+	isVariant       bool // the object is stored as a variant, and needs a marker under key
+	storing         bool // the object is to be stored
 	writer          *store.Writer
-	sincePurge      uint64        // the last purge when it began
-	startedAt       int64         // when that was, as Server.now
-	reserving       bool          // a thread makes room for it
-	abortAfterWrite *store.Writer // to be given up once the thread is done with it
-	object          *store.CachedObject
-	written         int64  // that can be read from the file
-	writeQueue      []byte // that waits for the disk
-	writing         bool
-	memory          []byte // without a disk: from memoryOffset on
-	memoryOffset    int64
-	memoryTrimmed   bool // of mem, its beginning
+	sincePurge      uint64              // number of the last purge when the fill began
+	startedAt       int64               // time when it began, by Server.now
+	reserving       bool                // a thread is creating the writer
+	abortAfterWrite *store.Writer       // must be aborted after the write that a thread is doing
+	object          *store.CachedObject // reads what the writer has written
+	written         int64               // number of bytes that can be read from object
+	writeQueue      []byte              // received bytes that wait for the disk
+	writing         bool                // a thread is writing
+	memory          []byte              // received bytes that are not written to the store
+	memoryOffset    int64               // of memory in the body
+	memoryTrimmed   bool                // the beginning of memory was discarded
 	received        int64
-	complete        bool
-	ended           bool
+	complete        bool // the whole body was received
+	ended           bool // requests can't join it, and it doesn't count as in flight
 }
 
-// startFill begins a fill for a visit.
+// startFill starts a fill for a request. If there is no source, or MaxFills are in flight, the
+// request is answered with 503.
 func (s *Server) startFill(req *request) {
 	address := req.attempt.SourceAddress
 	if address == "" {
@@ -98,13 +100,15 @@
 	f.source = s.sendToSource(address, message, f)
 }
 
-// joinable reports whether one more can have all of it, and no purge stands between.
+// joinable reports whether another request may join the fill: the whole body is still available,
+// and no purge since the start may cover the object.
 func (f *fill) joinable() bool {
 	return !f.ended && !f.memoryTrimmed && (!f.headReceived || f.storing) && !f.overtaken()
 }
 
-// overtaken reports whether a purge may void what the fill brings: one was made since it
-// began. Before the answer's head its version and tags are not known, nor whether it does.
+// overtaken reports whether a purge that was made since the fill began may cover its object.
+// Before the head of the response is received, any purge may: the version and the tags of the
+// object are not known.
 func (f *fill) overtaken() bool {
 	switch {
 	case f.sincePurge == f.server.store.LastPurge():
@@ -116,6 +120,7 @@
 	return purged || !known
 }
 
+// addWaiter adds a request that waits for the fill, and begins its response if possible.
 func (f *fill) addWaiter(req *request) {
 	f.waiters[req] = true
 	req.fill = f
@@ -124,10 +129,11 @@
 	}
 }
 
-// sendResponse begins the answer of one who waits.
+// sendResponse sends the head of the response to a waiter. A request that has joined the fill, and
+// accepts no object of this age, starts a fill of its own.
 func (f *fill) sendResponse(req *request) {
 	if req.joined && req.attempt.Age > 0 && float64(f.server.now()-f.meta.GeneratedAt) > req.attempt.Age {
-		f.removeWaiter(req) // what the fill brings is too old for this one
+		f.removeWaiter(req)
 		req.joined = false
 		f.server.startFill(req)
 		return
@@ -140,7 +146,8 @@
 	req.sendHead(&f.meta, f.size, status)
 }
 
-// removeWaiter is that one does not wait any more.
+// removeWaiter removes a request. Without waiters the fill is aborted, unless
+// CompleteAbandonedFills is set and the object is to be stored.
 func (f *fill) removeWaiter(req *request) {
 	delete(f.waiters, req)
 	req.fill = nil
@@ -150,7 +157,7 @@
 	f.finalize()
 }
 
-// receiveHead has the head of the source's answer; false: it ends the fill.
+// receiveHead implements responseHandler.
 func (f *fill) receiveHead(head *http1.Head) bool {
 	s := f.server
 	f.sourceStatus = joinFields(head, fetchheader.StatusField)
@@ -193,7 +200,7 @@
 		ownVariant := f.initiator.variant()
 		f.meta.Key += ownVariant
 		f.isVariant = f.storing
-		for req := range f.waiters { // who accepts something else asks for it
+		for req := range f.waiters { // requests for other variants look these up
 			if variant := req.variant(); variant != ownVariant {
 				f.removeWaiter(req)
 				req.key, req.joined = req.key+variant, false
@@ -222,9 +229,11 @@
 	return !f.ended
 }
 
+// storedFields are the header fields that are stored with an object, by their names in lower case.
 var storedFields = map[string]string{"content-type": "Content-Type", "etag": "ETag", "last-modified": "Last-Modified", "cache-control": "Cache-Control",
 	"surrogate-control": "Surrogate-Control", "vary": "Vary", "content-encoding": "Content-Encoding", "content-range": "Content-Range", "cache-tag": "Cache-Tag"}
 
+// joinFields joins the values of all fields of a name into one list.
 func joinFields(head *http1.Head, name string) string {
 	joined := ""
 	for i := range head.Fields {
@@ -238,7 +247,8 @@
 	return joined
 }
 
-// revalidated is that the source has found the old copy still good: all who wait look again.
+// revalidated handles a 304: the stale object of the initiator is still valid. It ends the fill,
+// updates the generation time of the object, and lets all waiters look it up again.
 func (f *fill) revalidated(head *http1.Head) {
 	s, stale := f.server, f.initiator.stale
 	f.initiator.stale = nil
@@ -249,7 +259,7 @@
 			version.Age = float64(n) * 1000
 		}
 	}
-	generatedAt := f.startedAt - int64(version.Age) // what it took is part of its age
+	generatedAt := f.startedAt - int64(version.Age) // the time that the response took counts as age
 	waiters := make([]*request, 0, len(f.waiters))
 	for req := range f.waiters {
 		waiters = append(waiters, req)
@@ -263,7 +273,7 @@
 			s.stats.Renewed++
 		}
 		for _, req := range waiters {
-			if req.unconditional = true; !req.ended { // once: what it says may be too old for this one all the same
+			if req.unconditional = true; !req.ended { // validated only once: the object may still be too old for this request
 				req.lookup()
 			}
 		}
@@ -278,7 +288,8 @@
 	}
 }
 
-// writerReady has room on disk for the fill, or none.
+// writerReady continues a fill after the thread has created its writer. The writer is nil if the
+// store has rejected the object: the fill goes on in memory.
 func (f *fill) writerReady(writer *store.Writer, object *store.CachedObject) {
 	f.reserving = false
 	switch {
@@ -296,7 +307,7 @@
 	f.finalize()
 }
 
-// receiveBody takes the next bytes.
+// receiveBody implements responseHandler.
 func (f *fill) receiveBody(data []byte) {
 	f.received += int64(len(data))
 	if f.writer != nil || f.reserving {
@@ -308,7 +319,7 @@
 	f.sendToWaiters()
 }
 
-// writeQueued has a thread write what waits.
+// writeQueued writes the queued bytes on a thread, unless it is writing already.
 func (f *fill) writeQueued() {
 	if f.writing || f.writer == nil || len(f.writeQueue) == 0 {
 		return
@@ -324,6 +335,7 @@
 	}
 }
 
+// writeDone continues a fill after a thread has written data.
 func (f *fill) writeDone(data []byte, err error) {
 	f.writing = false
 	if writer := f.abortAfterWrite; writer != nil {
@@ -332,7 +344,7 @@
 		f.finalize()
 		return
 	}
-	if err != nil { // on without the disk: what it has not taken stays in memory
+	if err != nil { // go on without the disk: the bytes that are not written stay in memory
 		f.server.stats.WithoutDisk++
 		if f.writer != nil {
 			go f.writer.Abort()
@@ -349,7 +361,8 @@
 	f.finalize()
 }
 
-// sendToWaiters has all who wait look for more.
+// sendToWaiters continues the responses of all waiters. It pauses the source while more than
+// MaxBufferedBytes are in memory.
 func (f *fill) sendToWaiters() {
 	for req := range f.waiters {
 		req.sendMore()
@@ -359,7 +372,7 @@
 	}
 }
 
-// sendTo gives one who waits the next bytes.
+// sendTo sends the next bytes of the body to a waiter, from the store or from memory.
 func (f *fill) sendTo(req *request) {
 	switch {
 	case req.offset < f.written:
@@ -374,7 +387,7 @@
 	}
 }
 
-// trimMemory drops of memory what all who wait have.
+// trimMemory discards the bytes of memory that all waiters have.
 func (f *fill) trimMemory() {
 	lowest := f.memoryOffset + int64(len(f.memory))
 	for req := range f.waiters {
@@ -388,13 +401,14 @@
 	}
 }
 
-// finish is that the source's answer is whole.
+// finish implements responseHandler.
 func (f *fill) finish() {
 	f.complete, f.source = true, nil
 	f.finalize()
 }
 
-// finalize keeps a copy that is whole, and forgets the flight once nobody needs it.
+// finalize commits the object when all of its body is written, and then ends the fill. It closes
+// the object when the fill has ended and has no waiters. It has no effect before that.
 func (f *fill) finalize() {
 	if f.complete && f.writer != nil && !f.writing && len(f.writeQueue) == 0 {
 		writer := f.writer
@@ -406,7 +420,7 @@
 				s.storeVariantsMarker(f.key, f.meta, f.sincePurge)
 			}
 			if err == nil {
-				s.store.Compact(256 << 10)
+				s.store.Compact(compactBytes)
 			}
 			s.post(func() {
 				if ok {
@@ -430,7 +444,8 @@
 	}
 }
 
-// storeVariantsMarker keeps the word, on a thread, that a key has variants.
+// storeVariantsMarker stores the marker of a key with variants, see variantsField. It runs on a
+// thread.
 func (s *Server) storeVariantsMarker(key string, meta store.Meta, sincePurge uint64) {
 	meta.Key, meta.Fields, meta.Lifetime = key, map[string]string{variantsField: meta.Fields["Vary"]}, 0
 	if writer, err := s.store.BeginSince(sincePurge, meta, 0); err == nil {
@@ -438,7 +453,7 @@
 	}
 }
 
-// unregister ends the flight for those who come; those who wait still read from it.
+// unregister ends the fill: requests can't join it any more. Its waiters still read from it.
 func (f *fill) unregister() {
 	if f.ended {
 		return
@@ -455,7 +470,8 @@
 	f.finalize()
 }
 
-// fail ends the flight without a whole answer.
+// fail ends the fill before its body is complete. Waiters whose response has begun lose their
+// connection. The others get their stale object, if it may be served on errors, or the status.
 func (f *fill) fail(status int, detail string) {
 	if f.ended {
 		return
@@ -479,7 +495,7 @@
 		req.fill = nil
 		switch stale := req.stale; {
 		case req.headSent:
-			req.conn.close() // it is seen by the length
+			req.conn.close() // the client sees that the body is shorter than Content-Length
 		case stale != nil && !stale.PurgesUnknown && !f.server.ageUnknown(stale) && req.attempt.Age <= 0 && httpcache.ServableOnError(float64(f.server.now()), f.server.storedResponse(stale), 0):
 			req.stale = nil
 			f.server.stats.Stale++
@@ -491,11 +507,17 @@
 	f.finalize()
 }
 
-// responseHandler is what a source's answer goes to.
+// responseHandler handles the response of a source.
 type responseHandler interface {
+	// receiveHead handles the head. If it returns false, the connection is closed, and no other
+	// method is called.
 	receiveHead(head *http1.Head) bool
+	// receiveBody handles the next bytes of the body. It must not retain data.
 	receiveBody(data []byte)
+	// finish is called after the whole response.
 	finish()
+	// fail is called instead of finish if there is no complete response. status and detail are
+	// for the response to the client.
 	fail(status int, detail string)
 }
 
@@ -504,22 +526,23 @@
 	server          *Server
 	address         string
 	fd              int
-	handler         responseHandler
-	writeBuffer     []byte
-	unparsed        []byte
+	handler         responseHandler // nil: the connection is idle
+	writeBuffer     []byte          // rest of the request
+	unparsed        []byte          // received bytes of an incomplete head or chunk
 	headParsed      bool
-	used            bool // an answer came on it before
+	used            bool // a response was received on it, and it may be reused
 	connecting      bool
-	requestStarted  bool             // some of the request has left
-	localShortage   bool             // something lacks here for what is to be done
-	connectDeadline eventloop.Millis // time to connect
-	paused          bool
+	requestStarted  bool // part of the request was sent
+	localShortage   bool // connecting or sending failed for lack of a local resource, and is retried
+	connectDeadline eventloop.Millis
+	paused          bool // reading is paused
 	head            http1.Head
 	body            http1.Body
 	timer           eventloop.Timer
 }
 
-// sendToSource sends a request on a kept connection, or a new one.
+// sendToSource sends a request on an idle connection to the address, or on a new one. The
+// response goes to the handler.
 func (s *Server) sendToSource(address string, message []byte, handler responseHandler) *sourceConn {
 	for idle := s.idleSources[address]; len(idle) > 0; idle = s.idleSources[address] {
 		sc := idle[len(idle)-1]
@@ -540,12 +563,24 @@
 	return sc
 }
 
-// dialRetryMillis is how long, in ms, a connection waits that cannot be begun for want of something
-// on this machine.
-const dialRetryMillis = 20
+const (
+	// dialRetryMillis is the delay of the next attempt to connect, in ms, after one that failed for
+	// lack of a local resource.
+	dialRetryMillis = 20
 
-// dial begins to connect. That it cannot be done is told later, as for any connection; what
-// lacks here is no word about the source, and it is tried again.
+	// sourceIdleMillis is how long an idle connection to a source is kept, in ms.
+	sourceIdleMillis = 5000
+
+	// maxForwardedBytes limits the body of the response to a forwarded write. Bytes that exceed it
+	// are dropped.
+	maxForwardedBytes = 1 << 20
+
+	// compactBytes limits what the store rewrites by compaction after each stored object.
+	compactBytes = 256 << 10
+)
+
+// dial begins to connect. It retries after a lack of a local resource, which says nothing about
+// the source. Any other failure is reported in the next turn, as for a connection that is refused.
 func (sc *sourceConn) dial() {
 	loop := sc.server.loop
 	fd, _, err := loop.Dial(sc.address)
@@ -567,6 +602,7 @@
 	}
 }
 
+// onTimer handles a timeout: of an idle connection, a retry of dial, or of the source.
 func (sc *sourceConn) onTimer() {
 	switch {
 	case sc.handler == nil:
@@ -578,10 +614,10 @@
 	}
 }
 
-// fail ends the connection, and what waits for its answer.
+// fail closes the connection and reports the failure to its handler.
 func (sc *sourceConn) fail() {
 	detail := fetchheader.SourceUnreached
-	if sc.localShortage && !sc.requestStarted { // nothing was asked of the source
+	if sc.localShortage && !sc.requestStarted { // the source is not at fault: no request has reached it
 		detail = fetchheader.NoPlace
 	}
 	handler := sc.handler
@@ -613,7 +649,7 @@
 	}
 }
 
-// pause stops reading while too much waits here.
+// pause stops or resumes reading. The timeout does not run while reading is paused.
 func (sc *sourceConn) pause(paused bool) {
 	if paused == sc.paused || sc.fd < 0 {
 		return
@@ -628,6 +664,7 @@
 	sc.server.loop.Want(sc.fd, eventloop.Read)
 }
 
+// flush sends the rest of the request.
 func (sc *sourceConn) flush() {
 	for len(sc.writeBuffer) > 0 {
 		n, err := sc.server.loop.Write(sc.fd, sc.writeBuffer)
@@ -641,11 +678,12 @@
 			return
 		}
 		sc.writeBuffer, sc.requestStarted = sc.writeBuffer[n:], true
-		sc.server.loop.Arm(&sc.timer, sc.server.cfg.FillTimeout) // the source has had nothing to answer before
+		sc.server.loop.Arm(&sc.timer, sc.server.cfg.FillTimeout) // the source could not respond before
 	}
 	sc.server.loop.Want(sc.fd, eventloop.Read)
 }
 
+// OnReady implements eventloop.Handler.
 func (sc *sourceConn) OnReady(r eventloop.Ready) {
 	if sc.connecting {
 		if !r.Writable() {
@@ -676,7 +714,7 @@
 		}
 		return
 	}
-	if err != nil || n == 0 || sc.handler == nil { // unasked bytes on a kept one, too
+	if err != nil || n == 0 || sc.handler == nil { // an idle connection must not receive anything
 		sc.fail()
 		return
 	}
@@ -685,6 +723,8 @@
 	sc.parse(sc.server.scratch[:buffered+n])
 }
 
+// parse passes the received bytes to the handler. It keeps those of an incomplete head or chunk in
+// unparsed. After a complete response the connection becomes idle, or is closed.
 func (sc *sourceConn) parse(data []byte) {
 	for !sc.headParsed {
 		n, err := http1.ParseResponse(data, &sc.head, http1.Limits{}, false)
@@ -735,20 +775,21 @@
 	if len(data) > 0 || sc.head.Close || sc.body.Kind() == http1.UntilClose {
 		sc.close()
 	} else {
-		sc.server.loop.Arm(&sc.timer, 5000)
+		sc.server.loop.Arm(&sc.timer, sourceIdleMillis)
 		sc.server.idleSources[sc.address] = append(sc.server.idleSources[sc.address], sc)
 	}
 	handler.finish()
 }
 
-// writeForwarder is a write on its way to the origin: nothing of it is kept.
+// writeForwarder handles the response to a write that was forwarded to a source. The response is
+// not stored.
 type writeForwarder struct {
 	request *request
 	status  int
 	body    []byte
 }
 
-// forwardWrite takes a write to the source that the attempt names.
+// forwardWrite sends a write to the source that the attempt names.
 func (s *Server) forwardWrite(req *request) {
 	address := req.attempt.SourceAddress
 	if address == "" {
@@ -779,7 +820,7 @@
 }
 
 func (w *writeForwarder) receiveBody(data []byte) {
-	if len(w.body)+len(data) <= 1<<20 {
+	if len(w.body)+len(data) <= maxForwardedBytes {
 		w.body = append(w.body, data...)
 	}
 }
@@ -799,7 +840,7 @@
 
 func (w *writeForwarder) fail(_ int, detail string) {
 	status := 502
-	if detail == fetchheader.NoPlace { // nothing was run
+	if detail == fetchheader.NoPlace { // the request was not sent, so the origin has not executed it
 		status = 503
 	}
 	if !w.request.ended {
--- a/internal/cachenode/server/kill_test.go
+++ b/internal/cachenode/server/kill_test.go
@@ -21,15 +21,15 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// The whole program, killed again and again under load, with purges while it is up and
-// while it is down: every answer is whole, of one version, and of none that a purge before
-// the question has voided; most of what it had is not fetched again.
+// The cache process is killed repeatedly under load, with purges while it runs and while it is
+// down. Every response is complete and of a single version that no purge before the request
+// covers, and the store recovers most objects.
 func TestProgramKilled(t *testing.T) { checkProgramKilled(t, false) }
 
-// The same with a folder that fails, again and again, for some 50 ms (ENOSPC, EIO).
+// The same as TestProgramKilled, with a folder that fails every 10 to 60 ms (ENOSPC, EIO).
 func TestProgramKilledWithFaults(t *testing.T) { checkProgramKilled(t, true) }
 
-// failIntermittently has a folder fail half of the time.
+// failIntermittently makes a folder fail half of the time.
 func failIntermittently(dir *faultyDir) {
 	for {
 		for _, errno := range []syscall.Errno{0, syscall.ENOSPC, 0, syscall.EIO} {
@@ -52,7 +52,7 @@
 			os.Exit(1)
 		}
 		fmt.Println(s.Addr(), s.Recovered.Objects)
-		go func() { // it ends with its test
+		go func() { // the process ends with the test
 			io.Copy(io.Discard, os.Stdin)
 			os.Exit(0)
 		}()
@@ -104,9 +104,9 @@
 			t.Fatalf("round %d: %q %v", round, line, err)
 		}
 		maxRecovered = max(maxRecovered, copies)
-		var dead atomic.Bool
+		var killed atomic.Bool
 		timer := time.AfterFunc(time.Duration(60+rng.IntN(200))*time.Millisecond, func() {
-			dead.Store(true)
+			killed.Store(true)
 			cmd.Process.Kill()
 		})
 		var wg sync.WaitGroup
@@ -122,28 +122,28 @@
 						origin.Purge(p, 0, 0)
 						res, err := r.client.Post("http://"+addr+"/-/purge", "application/json", strings.NewReader(fmt.Sprintf(`{"object":%q}`, p)))
 						mu.Lock()
-						version[p]++ // answered or not, the origin has it; the box answers for it from here on only if it was
+						version[p]++ // the origin has it, whether the cache has acknowledged it or not
 						mu.Unlock()
 						if err == nil {
 							if res.StatusCode != 200 && res.StatusCode != 500 {
-								t.Logf("a purge is answered %s", res.Status)
+								t.Logf("a purge got status %s", res.Status)
 							}
 							res.Body.Close()
-						} else if !dead.Load() {
-							t.Logf("a purge got no answer: %v", err)
+						} else if !killed.Load() {
+							t.Logf("a purge got no response: %v", err)
 						}
-						if err != nil && (dead.Load() || !faults) {
+						if err != nil && (killed.Load() || !faults) {
 							return
 						}
 						continue
 					}
 					want := minVersion(p)
 					res, b, err := r.fetchFrom(addr, p)
-					if err != nil && faults && !dead.Load() {
-						continue // a copy could not be read to its end
+					if err != nil && faults && !killed.Load() {
+						continue // the object could not be read to its end
 					}
 					if err != nil {
-						return // it was killed
+						return // the process was killed
 					}
 					if res.StatusCode == 503 {
 						continue
@@ -154,7 +154,7 @@
 						return
 					}
 					if at, ok := testserver.Matches(b, p, v.Number, 0); !ok || v.Number < want {
-						t.Errorf("round %d: %s in version %d, %d is the least; byte %d", round, p, v.Number, want, at)
+						t.Errorf("round %d: %s has version %d, want %d or later; first wrong byte at %d", round, p, v.Number, want, at)
 						return
 					}
 					mu.Lock()
@@ -171,7 +171,7 @@
 		r.client.CloseIdleConnections()
 	}
 	if maxRecovered < 30 || responses < 20*rounds {
-		t.Errorf("%d copies were found at the most, %d answers", maxRecovered, responses)
+		t.Errorf("at most %d objects recovered in a round, want 30 or more; %d responses, want %d or more", maxRecovered, responses, 20*rounds)
 	}
-	t.Logf("%d kills, %d answers, up to %d copies found", rounds, responses, maxRecovered)
+	t.Logf("%d kills, %d responses, at most %d objects recovered in a round", rounds, responses, maxRecovered)
 }
--- a/internal/cachenode/server/router_test.go
+++ b/internal/cachenode/server/router_test.go
@@ -15,8 +15,8 @@
 	"indigospool/internal/testbed/testserver"
 )
 
-// A router before two caches with stores and an origin: what was a hit is one again after
-// both were stopped and started, and bytes are the origin's all the way.
+// A router with two caches and an origin: hits are hits again after both caches were restarted,
+// and the bodies are those of the origin.
 func TestBehindRouter(t *testing.T) {
 	first, second := newRig(t, ""), newRig(t, "")
 	text := fmt.Sprintf(`(router (name e) (zone z) (listen "127.0.0.1:0") (log none))
@@ -61,7 +61,7 @@
 				t.Fatal(path, res.Status, err, verr)
 			}
 			if at, ok := testserver.Matches(body, path, v.Number, 0); !ok {
-				t.Fatalf("%s: byte %d", path, at)
+				t.Fatalf("%s: first wrong byte at %d", path, at)
 			}
 			if strings.Contains(res.Header.Get(fetchheader.StatusField), "hit") {
 				hits++
@@ -70,23 +70,23 @@
 		return hits
 	}
 	if n := fetchAll(); n > 0 {
-		t.Errorf("%d hits at the start", n)
+		t.Errorf("%d hits with empty caches", n)
 	}
 	for _, r := range []*rig{first, second} {
-		r.cfg.Listen = r.server.Addr() // where the router knows it
+		r.cfg.Listen = r.server.Addr() // the router's member list has this address
 	}
 	time.Sleep(50 * time.Millisecond)
 	if n := fetchAll(); n < 58 {
-		t.Errorf("%d hits of 60", n)
+		t.Errorf("%d hits of 60, want 58 or more", n)
 	}
 	for _, r := range []*rig{first, second} {
 		r.stop()
 		r.start()
 		if r.server.Recovered.Objects < 10 {
-			t.Errorf("found %+v in %s", r.server.Recovered, filepath.Base(r.cfg.Folder))
+			t.Errorf("recovered %+v in %s, want 10 objects or more", r.server.Recovered, filepath.Base(r.cfg.Folder))
 		}
 	}
-	fetchAll() // in doubt: the origin is asked about each
+	fetchAll() // each object is validated with the origin, since a purge may have been missed
 	var in int64
 	for _, r := range []*rig{first, second} {
 		st, err := r.server.State()
@@ -96,6 +96,6 @@
 		in += st.In
 	}
 	if n := fetchAll(); n < 55 || in > 60<<10 {
-		t.Errorf("%d hits of 60 after both were started anew, %d bytes from the origin", n, in)
+		t.Errorf("%d hits of 60 after both caches were restarted, %d bytes from the origin", n, in)
 	}
 }
--- a/internal/cachenode/server/syscalls_test.go
+++ b/internal/cachenode/server/syscalls_test.go
@@ -11,8 +11,9 @@
 	"indigospool/internal/testbed/faultinject"
 )
 
-// Whatever a system call fails with, and for however long: each request is answered, on its
-// connection, no source is blamed, and the loop does not spin.
+// System calls on sockets fail with each error that a shortage or an interruption gives, once or
+// for a while. Each request is answered on its connection, the source is not reported as failed,
+// and the loop does not spin.
 func TestSystemCallsFail(t *testing.T) {
 	const requests, perSecond = 100, 1500
 	errors := map[faultinject.Call]string{
@@ -36,7 +37,7 @@
 							res, _, err := r.fetch(fmt.Sprintf("/still/%d", i), true, nil)
 							switch {
 							case err != nil:
-								t.Errorf("request %d is lost: %v", i, err)
+								t.Errorf("request %d got no response: %v", i, err)
 							case res.StatusCode == 200:
 							case span != "1:0s-2s" || !strings.Contains(res.Header.Get(fetchheader.StatusField), fetchheader.NoPlace):
 								t.Errorf("request %d: status %d, %s", i, res.StatusCode, res.Header.Get(fetchheader.StatusField))
@@ -60,8 +61,8 @@
 	}
 }
 
-// injectFault has the cache's calls of a kind fail: what is a reading of time counts from the first
-// such call.
+// injectFault makes the cache's system calls of a kind fail as behavior says. Times in behavior
+// count from the first such call.
 func (r *rig) injectFault(call faultinject.Call, behavior string) (calls *faultinject.Syscalls) {
 	faults, err := faultinject.Parse(fmt.Sprintf("%s:%s", call, behavior))
 	if err != nil {
