--- a/cmd/spool-cache/main.go
+++ b/cmd/spool-cache/main.go
@@ -1,5 +1,5 @@
-// Spool-cache is a cache, or a parent, as a program: it keeps its copies on disk, and finds
-// them again when it is started anew (docs/store.md).
+// Spool-cache runs a cache or a parent that keeps objects on disk and serves them again after a
+// restart (docs/store.md).
 package main
 
 import (
@@ -15,8 +15,8 @@
 )
 
 func main() {
-	root := &cobra.Command{Use: "spool-cache", Short: "A cache with a store on disk, as a box or a parent",
-		Long: "A cache with a store on disk, as a box or a parent.\n\nRouters ask it by Spool-Fill (docs/protocol.md). POST /-/purge {\"object\": PATH}, or group, tag or\nprefix, voids copies: it lasts once it is answered. GET /-/state tells counters."}
+	root := &cobra.Command{Use: "spool-cache", Short: "A cache or a parent with a store on disk",
+		Long: "A cache or a parent with a store on disk.\n\nRouters send it requests with Spool-Fill (docs/protocol.md). POST /-/purge {\"object\": PATH}, or group,\ntag or prefix, purges objects; a purge is durable once it is acknowledged. GET /-/state returns the\nstate and the counters."}
 	var file string
 	readConfig := func() (*server.Config, error) {
 		var s server.Settings
@@ -40,7 +40,7 @@
 			if err != nil {
 				return err
 			}
-			log.Info("serves", zap.String("address", s.Addr()), zap.Int("copies", s.Recovered.Objects), zap.Int64("bytes", s.Recovered.Bytes),
+			log.Info("serving", zap.String("address", s.Addr()), zap.Int("copies", s.Recovered.Objects), zap.Int64("bytes", s.Recovered.Bytes),
 				zap.Int("purges", s.Recovered.Purges), zap.String("cold", s.Recovered.DiscardReason))
 			context.AfterFunc(c.Context(), s.Stop)
 			return s.Run()
@@ -49,7 +49,7 @@
 		RunE: func(*cobra.Command, []string) error {
 			cfg, err := readConfig()
 			if err == nil {
-				fmt.Printf("%s: box %s, %.0f MB in %s\n", file, cfg.Name, cfg.CapacityMB, cfg.Folder)
+				fmt.Printf("%s: cache %s, %.0f MB in %s\n", file, cfg.Name, cfg.CapacityMB, cfg.Folder)
 			}
 			return err
 		}}
--- a/internal/cachenode/store/compact.go
+++ b/internal/cachenode/store/compact.go
@@ -8,11 +8,11 @@
 	"slices"
 )
 
-// Compact makes room ahead of need: of the oldest segment, objects that were found since they
-// were written, and those of rank 3, are written anew, and then it is evicted. At most about
-// maxBytes are written anew in a call; more says that there is more to do. Whoever owns the
-// store calls it between its writes; without, Begin evicts whole segments. The error is a
-// FaultError.
+// Compact makes room before it is needed. It rewrites those objects of the oldest segment that
+// were looked up since they were written, or have rank 3, to the active segment, and evicts the
+// oldest segment. A call rewrites about maxBytes at most; more reports whether there is more to
+// do. The owner of the store should call Compact between writes; otherwise Begin evicts segments
+// with all their objects. The error is a FaultError.
 func (s *Store) Compact(maxBytes int64) (rewritten int64, more bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -21,7 +21,7 @@
 	}
 	for len(s.segmentOrder) > 1 && s.usedBytes > s.options.MaxBytes-2*s.options.SegmentBytes {
 		seg := s.segments[s.segmentOrder[0]]
-		if !s.segmentReadable(seg) { // its objects may be read later; without room, Begin evicts it
+		if !s.segmentReadable(seg) { // its objects may be readable later; if room is needed before, Begin evicts it
 			return rewritten, false, nil
 		}
 		slot, ok := s.objectToKeep(seg)
@@ -42,7 +42,7 @@
 	return rewritten, false, nil
 }
 
-// objectToKeep is an object of a segment that is to outlast it.
+// objectToKeep returns the slot of an object that must be rewritten before its segment is evicted.
 func (s *Store) objectToKeep(seg *segment) (slot uint32, ok bool) {
 	for _, slot := range seg.slots {
 		loc := &s.slots[slot]
@@ -53,8 +53,9 @@
 	return 0, false
 }
 
-// rewriteObject writes an object anew, at the end of the active segment, and returns what it
-// takes there. One that is corrupt or purged is dropped, and one that can't be read now stays.
+// rewriteObject copies an object to the end of the active segment, and returns the number of bytes
+// that it occupies there. A corrupt or purged object is dropped. If the object can't be read now,
+// it stays in its segment.
 func (s *Store) rewriteObject(seg *segment, loc location) (int64, error) {
 	data, meta, err := readObject(seg, &loc)
 	if err != nil && !errors.Is(err, ErrCorrupt) {
@@ -63,7 +64,7 @@
 	}
 	if err != nil {
 		s.Stats.Corrupt++
-		s.options.Warn(fmt.Sprintf("store: an object in %s at byte %d is dropped: %v", segmentName(loc.segment), loc.offset(), err))
+		s.options.Warn(fmt.Sprintf("store: dropping the object at offset %d of %s: %v", loc.offset(), segmentName(loc.segment), err))
 	}
 	if err != nil || s.purged(loc.sincePurge, meta) {
 		s.removeLocation(loc.keyHash)
@@ -79,7 +80,7 @@
 	}
 	s.Stats.WrittenBytes += int64(len(data))
 	if s.segments[writer.segment.number] != writer.segment || s.segments[seg.number] != seg {
-		return 0, nil // evicted for the room that was reserved
+		return 0, nil // reserve has evicted one of the segments
 	}
 	writer.location.bodyCRC = loc.bodyCRC
 	if err := s.logAdd(&writer.location); err != nil {
@@ -92,7 +93,7 @@
 	return loc.size(), nil
 }
 
-// readObject reads an object's head and body as they are on disk, and verifies both.
+// readObject reads the head and the body of an object and verifies both.
 func readObject(seg *segment, loc *location) (data []byte, meta *Meta, err error) {
 	data = make([]byte, int64(loc.metaLen())+loc.bodyLen())
 	if _, err := seg.file.ReadAt(data, loc.offset()); err != nil {
@@ -111,8 +112,8 @@
 	return data, meta, nil
 }
 
-// rewriteSyncLost writes the objects anew that stand in segments whose sync failed, as far as
-// their checksums say that the kernel has them still, and evicts these segments.
+// rewriteSyncLost rewrites the objects of segments whose sync has failed, if their checksums show
+// that the kernel still has the data, and evicts these segments.
 func (s *Store) rewriteSyncLost() error {
 	for _, number := range slices.Clone(s.segmentOrder) {
 		seg := s.segments[number]
@@ -127,7 +128,7 @@
 			if _, err := s.rewriteObject(seg, s.slots[seg.slots[0]]); err != nil {
 				return err
 			}
-			if s.segments[number] != seg || seg.fault != nil { // evicted for room, or it can't be read now
+			if s.segments[number] != seg || seg.fault != nil { // the segment was evicted for room, or can't be read now
 				break
 			}
 		}
--- a/internal/cachenode/store/doc.go
+++ b/internal/cachenode/store/doc.go
@@ -1,20 +1,20 @@
-// Package store keeps cached objects on disk, so that a cache that was killed serves them
-// again after its start. Bodies go one behind the other into segment files; a log of
-// checksummed entries, the index log, says where each is, and is replayed at the start. In
-// memory an object takes some 80 bytes: its key and head stay on disk.
+// Package store keeps cached objects on disk, so that a cache serves them again after it was
+// killed and restarted. Objects are appended to segment files. The index log, which has
+// checksummed entries, records the location of each object and is replayed at the start. In
+// memory an object takes about 80 bytes; its key and the rest of its head stay on disk.
 //
-// Nothing is served before it and its log entry were written completely, nor before its
-// checksum was verified since the start. A purge is on disk, in two logs, before it is
-// acknowledged. Purges and fills in flight are ordered by purge numbers and by the origin's
-// version, never by a clock.
+// An object is served only after the object and its log entry were written completely, and its
+// checksum was verified since the start. A purge is synced to two logs before it is
+// acknowledged. Purges and fills are ordered by purge numbers and by the version that the origin
+// states, never by a clock.
 //
-// The package owns the folder: segments, index log and purge log. It decides nothing of what
-// is fetched or from where, knows no HTTP, and reaches the disk through FS only. A Store is
-// safe for concurrent use.
+// The package owns the folder with the segments, the index log and the purge log. It does not
+// decide what is fetched and from where, knows nothing about HTTP, and accesses the disk only
+// through FS. A Store is safe for concurrent use.
 //
-// Where to go next: Open and recovery.go for the start; writer.go for a fill, object.go for a
-// lookup; purge.go for what a purge covers and purgelog.go for how it lasts; index.go for the
-// index log and its checkpoints; segment.go and compact.go for room on disk; fault.go for
-// what happens when the disk fails, and when it is tried again. docs/store.md has the
-// promises and the options weighed. Package server is the cache that uses it.
+// For the start see Open and recovery.go; for fills writer.go; for lookups object.go; for the
+// objects that a purge covers purge.go, and for its durability purgelog.go; for the index log
+// and its checkpoints index.go; for disk space segment.go and compact.go; for faults of the disk
+// and retries fault.go. docs/store.md has the guarantees and the alternatives that were
+// considered. Package server is the cache that uses the store.
 package store
--- a/internal/cachenode/store/fault.go
+++ b/internal/cachenode/store/fault.go
@@ -9,44 +9,43 @@
 	"golang.org/x/sys/unix"
 )
 
-// The first retry of what failed comes after minBackoff, each later one after twice as long,
-// up to maxBackoff: a fault of a moment is over soon, and a disk that stays full is not asked
-// all the time.
+// The first retry after a failure follows after minBackoff, and the delay doubles with each retry up
+// to maxBackoff. So the store recovers quickly from a short fault, and does not keep trying a disk
+// that stays full.
 const (
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 2 * time.Second
 )
 
-// Bounds of what is kept in memory while the disk fails.
 const (
-	maxPendingPurges = 4096 // purges that came before the logs could be read
-	maxStaleFiles    = 64   // files to remove; more are found again by the next Open
-	probeLen         = 4096 // bytes that are written and synced to see whether a new segment works
+	maxPendingPurges = 4096 // limit of Store.pendingPurges
+	maxStaleFiles    = 64   // limit of Store.staleFiles; the next Open finds the others again
+	probeLen         = 4096 // bytes that are written and synced to check that a new segment works
 )
 
-// FaultError says that a call to the disk failed. Nothing is corrupt by it: the store refuses
-// what needs the disk, leaves the files in their place, and retries by itself.
+// FaultError means that an operation on the disk failed. The store then rejects calls that need the
+// disk, keeps the files, and retries by itself.
 type FaultError struct {
-	Op    string    // the operation, such as "write" or "sync"
-	File  string    // its name in the store's folder; empty: the folder itself
-	Since time.Time // of the first failure since the store last worked
-	Err   error     // the cause
+	Op    string    // operation, such as "write" or "sync"
+	File  string    // name in the store's folder; empty: the folder itself
+	Since time.Time // time of the first failure since the store last worked
+	Err   error     // cause
 }
 
-// Error names operation, file, cause, and since when.
+// Error returns the operation, the file, the cause and the time of the first failure.
 func (e *FaultError) Error() string {
 	file := e.File
 	if file == "" {
 		file = "the folder"
 	}
-	return fmt.Sprintf("store: %s %s: %v (failing since %s, tried again)", e.Op, file, e.Err, e.Since.UTC().Format(time.RFC3339))
+	return fmt.Sprintf("store: %s %s: %v (failing since %s, will be retried)", e.Op, file, e.Err, e.Since.UTC().Format(time.RFC3339))
 }
 
 // Unwrap returns the cause.
 func (e *FaultError) Unwrap() error { return e.Err }
 
-// transient reports whether a lock failed for a reason that may pass by itself, and is not
-// held by another process or forbidden.
+// transient reports whether the cause of a failed lock may go away by itself. That is not so if
+// another process has the lock, or permissions are missing.
 func transient(err error) bool {
 	for _, errno := range []syscall.Errno{unix.EIO, unix.ENOSPC, unix.EDQUOT, unix.EMFILE, unix.ENFILE, unix.ENOMEM, unix.EINTR} {
 		if errors.Is(err, errno) {
@@ -56,14 +55,14 @@
 	return false
 }
 
-// backoff is when something that failed is tried again.
+// backoff determines when a failed operation is retried.
 type backoff struct {
 	wait time.Duration
-	next time.Time
+	next time.Time // time of the next retry
 }
 
-// failed notes a failure. Several before the next retry count as one; one long after the
-// last retry begins anew at minBackoff.
+// failed records a failure. All failures before the next retry count as one. If the last retry was
+// long ago, the delay begins at minBackoff again.
 func (b *backoff) failed(now time.Time) {
 	switch {
 	case now.Before(b.next):
@@ -80,11 +79,11 @@
 // Status is the state of the disk, for operators.
 type Status struct {
 	Fault              *FaultError   // nil: the disk works
-	FaultDuration      time.Duration // since Fault.Since
-	LogsUnread         bool          // the logs could not be read yet: no object of before the start is served
-	PurgesDurable      bool          // purges can be acknowledged
-	UnreadableSegments int           // segments whose objects are not served for now
-	Found              Recovered     // at the start, once the logs could be read
+	FaultDuration      time.Duration // time since Fault.Since
+	LogsUnread         bool          // the logs could not be read yet: no object stored before the start is served
+	PurgesDurable      bool          // purges can be made durable and acknowledged
+	UnreadableSegments int           // number of segments whose objects are not served for now
+	Found              Recovered     // what was found at the start; zero until the logs could be read
 }
 
 // Status returns the state of the disk.
@@ -103,11 +102,11 @@
 	return status
 }
 
-// Faulty reports whether there is something for Retry to try again. It never waits.
+// Faulty reports whether Retry has something to retry. It never waits.
 func (s *Store) Faulty() bool { return s.faulty.Load() }
 
-// Retry tries again what failed, where its backoff is over. Begin and Purge do as well;
-// whoever owns the store calls it periodically, so that it needs neither.
+// Retry retries failed operations whose backoff is over. Begin and Purge do so as well, but the
+// owner of the store should call Retry periodically so that recovery does not depend on them.
 func (s *Store) Retry() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,14 +126,14 @@
 	s.faulty.Store(faulty)
 }
 
-// fail notes that the disk failed, and returns the FaultError for the caller.
+// fail records a failure of the disk and returns it as a FaultError.
 func (s *Store) fail(op, file string, err error) error {
 	now := s.options.Now()
 	fault := &FaultError{Op: op, File: file, Since: now, Err: err}
 	if s.failure != nil {
 		fault.Since = s.failure.Since
 	} else {
-		s.options.Warn(fault.Error() + "; nothing more is stored until it succeeds")
+		s.options.Warn(fault.Error() + "; no objects are stored until a retry succeeds")
 	}
 	s.failure = fault
 	s.backoff.failed(now)
@@ -142,14 +141,14 @@
 	return fault
 }
 
-// failLog is fail for the logs: their content is not trusted any more, and a checkpoint
-// writes them anew before anything else is acknowledged.
+// failLog is like fail, for the logs. Their content is no longer trusted: a checkpoint must rewrite
+// them before a purge is acknowledged or an object is stored.
 func (s *Store) failLog(op, file string, err error) error {
 	s.logsBroken = true
 	return s.fail(op, file, err)
 }
 
-// failSegment is fail for a segment: the next object goes into a new one.
+// failSegment is like fail, for a segment. The next object is written to a new segment.
 func (s *Store) failSegment(op string, seg *segment, err error) error {
 	s.segmentBroken = true
 	if s.active == seg {
@@ -158,7 +157,8 @@
 	return s.fail(op, segmentName(seg.number), err)
 }
 
-// retryIfDue tries again where the backoff is over. nil: the disk works.
+// retryIfDue retries if the backoff is over. It returns nil if the disk works, and the failure
+// otherwise.
 func (s *Store) retryIfDue() error {
 	if s.failure == nil {
 		return nil
@@ -169,13 +169,13 @@
 	if err := s.retryNow(); err != nil {
 		return err
 	}
-	s.options.Warn(fmt.Sprintf("store: the disk works again after %v; it had failed: %v", s.options.Now().Sub(s.failure.Since).Round(time.Millisecond), s.failure.Err))
+	s.options.Warn(fmt.Sprintf("store: the disk works again, %v after the first failure; last error: %v", s.options.Now().Sub(s.failure.Since).Round(time.Millisecond), s.failure.Err))
 	s.failure = nil
 	return s.rewriteSyncLost()
 }
 
-// retryNow does once what has to succeed before the store works. Nothing of what failed is
-// trusted: the logs and the segment are new files, written from memory.
+// retryNow tries once to make the store work again. The content of files that have failed is not
+// trusted: the logs are rewritten from memory, and a new segment is begun.
 func (s *Store) retryNow() error {
 	if s.lock == nil {
 		lock, err := s.fs.Lock()
@@ -200,7 +200,7 @@
 	return nil
 }
 
-// probeSegment begins a segment, and sees that it can be written and synced.
+// probeSegment begins a new segment and checks that it can be written and synced.
 func (s *Store) probeSegment() error {
 	s.active = nil
 	if err := s.rotate(); err != nil {
--- a/internal/cachenode/store/folder.go
+++ b/internal/cachenode/store/folder.go
@@ -14,7 +14,7 @@
 type File interface {
 	io.ReaderAt
 	io.WriterAt
-	// Sync returns once what was written is on disk.
+	// Sync returns when all written data is on disk.
 	Sync() error
 	Truncate(size int64) error
 	// Size returns the length in bytes.
@@ -22,25 +22,25 @@
 	Close() error
 }
 
-// FS is the folder that a store is in. Tests have one that loses what was not synced, and
-// whose calls fail (crashfs_test.go).
+// FS is the folder of a store. crashfs_test.go has an implementation for tests that loses
+// unsynced data and whose calls fail.
 type FS interface {
-	// Open opens a file to read and write; create: makes it where there is none.
+	// Open opens a file for reading and writing. With create it creates a missing file.
 	Open(name string, create bool) (File, error)
-	// Rename puts a file in another's place.
+	// Rename renames a file, and replaces an existing file of the new name.
 	Rename(from, to string) error
 	Remove(name string) error
 	// List returns the names of the files.
 	List() ([]string, error)
-	// SyncDir returns once what was created, renamed and removed is on disk.
+	// SyncDir returns when all creations, renames and removals of files are on disk.
 	SyncDir() error
-	// Lock locks the folder for this process, until the lock is closed.
+	// Lock locks the folder for this process until the lock is closed.
 	Lock() (io.Closer, error)
 }
 
 const lockName = "lock"
 
-// Dir is a folder of the operating system, by its path.
+// Dir is an FS for a folder of the operating system. Its value is the path.
 type Dir string
 
 type osFile struct{ *os.File }
@@ -54,8 +54,8 @@
 	return info.Size(), nil
 }
 
-// ReadNow reads what the kernel has in memory, and never waits for the disk (preadv2 with
-// RWF_NOWAIT): less than was asked for, or an error, says that it would have to.
+// ReadNow reads from the kernel's page cache and never waits for the disk (preadv2 with
+// RWF_NOWAIT). It returns fewer bytes than requested, or an error, if it would have to wait.
 func (f osFile) ReadNow(data []byte, off int64) (int, error) {
 	raw, err := f.SyscallConn()
 	if err != nil {
@@ -71,7 +71,7 @@
 	ReadNow(data []byte, off int64) (int, error)
 }
 
-// Open opens a file to read and write.
+// Open implements FS.
 func (d Dir) Open(name string, create bool) (File, error) {
 	flags := os.O_RDWR
 	if create {
@@ -84,15 +84,15 @@
 	return osFile{f}, nil
 }
 
-// Rename puts a file in another's place.
+// Rename implements FS.
 func (d Dir) Rename(from, to string) error {
 	return os.Rename(filepath.Join(string(d), from), filepath.Join(string(d), to))
 }
 
-// Remove removes a file.
+// Remove implements FS.
 func (d Dir) Remove(name string) error { return os.Remove(filepath.Join(string(d), name)) }
 
-// List returns the names of the files.
+// List implements FS.
 func (d Dir) List() (names []string, err error) {
 	entries, err := os.ReadDir(string(d))
 	for _, entry := range entries {
@@ -103,7 +103,7 @@
 	return names, err
 }
 
-// SyncDir syncs the folder itself.
+// SyncDir implements FS.
 func (d Dir) SyncDir() error {
 	f, err := os.Open(string(d))
 	if err != nil {
@@ -113,7 +113,7 @@
 	return f.Sync()
 }
 
-// Lock makes the folder where there is none, and locks it.
+// Lock implements FS. It creates a missing folder.
 func (d Dir) Lock() (io.Closer, error) {
 	if err := os.MkdirAll(string(d), 0o700); err != nil {
 		return nil, err
@@ -124,14 +124,14 @@
 	}
 	if err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		f.Close()
-		return nil, fmt.Errorf("store: %s is in use by another process (%w); give each its own folder", string(d), err)
+		return nil, fmt.Errorf("store: %s is in use by another process (%w); each process needs a folder of its own", string(d), err)
 	}
 	return f, nil
 }
 
-// readFile reads a whole file. One that is not there is empty.
-func (s *Store) readFile(name string, there bool) ([]byte, error) {
-	if !there {
+// readFile reads a whole file. It returns no data for one that does not exist.
+func (s *Store) readFile(name string, exists bool) ([]byte, error) {
+	if !exists {
 		return nil, nil
 	}
 	file, err := s.fs.Open(name, false)
@@ -155,8 +155,8 @@
 	return data[:n], err
 }
 
-// replaceFile writes a file under a temporary name, and puts it in the place of another once
-// it is on disk.
+// replaceFile writes and syncs a file under a temporary name, and then renames it to name, which
+// replaces an existing file.
 func (s *Store) replaceFile(temporary, name string, write func(File) error) (File, error) {
 	file, err := s.fs.Open(temporary, true)
 	if err != nil {
@@ -185,7 +185,7 @@
 	return s.fs.SyncDir()
 }
 
-// remove removes a file; one that can't be removed is tried again by removeStale.
+// remove removes a file. If that fails, removeStale tries it again.
 func (s *Store) remove(name string) {
 	err := s.fs.Remove(name)
 	if err == nil || errors.Is(err, os.ErrNotExist) {
@@ -196,7 +196,7 @@
 	}
 }
 
-// removeStale removes what could not be removed before.
+// removeStale tries to remove the stale files.
 func (s *Store) removeStale() {
 	names := s.staleFiles
 	s.staleFiles = nil
--- a/internal/cachenode/store/folder_test.go
+++ b/internal/cachenode/store/folder_test.go
@@ -66,7 +66,7 @@
 	if ok, err := writer.Commit(); ok || err == nil {
 		t.Fatal(ok, err)
 	}
-	if _, err := store.Begin(Meta{Key: "/d"}, 10); !errors.Is(err, errNoSpace) || !strings.Contains(warnings, "nothing more is stored") {
+	if _, err := store.Begin(Meta{Key: "/d"}, 10); !errors.Is(err, errNoSpace) || !strings.Contains(warnings, "no objects are stored") {
 		t.Error(err, warnings)
 	}
 	if _, err := store.Purge(Purge{Scope: ByObject, Text: "/b"}); err == nil {
--- a/internal/cachenode/store/index.go
+++ b/internal/cachenode/store/index.go
@@ -6,16 +6,15 @@
 	"slices"
 )
 
-// checkpointBytes is how much of a new index log is written at a time.
+// checkpointBytes is the size of the writes by which a checkpoint writes an index log.
 const checkpointBytes = 1 << 20
 
 func indexName(number int) string { return fmt.Sprintf("index-%06d.log", number) }
 
-// addLocation takes an object into the index in memory, unless its segment does not hold
-// it.
+// addLocation adds an object to the index in memory, unless its segment is missing or too short.
 func (s *Store) addLocation(loc location) {
 	seg := s.segments[loc.segment]
-	if seg == nil || seg.file != nil && !seg.contains(&loc) { // of one that is not open yet, openSegment sees
+	if seg == nil || seg.file != nil && !seg.contains(&loc) { // openSegment checks the objects of a segment that is not open yet
 		return
 	}
 	s.removeLocation(loc.keyHash)
@@ -33,7 +32,7 @@
 	seg.slots = append(seg.slots, slot)
 }
 
-// removeLocation drops an object, by the hash of its key, from the index in memory.
+// removeLocation removes an object from the index in memory, by the hash of its key.
 func (s *Store) removeLocation(keyHash uint64) {
 	slot, ok := s.byHash[keyHash]
 	if !ok {
@@ -52,17 +51,17 @@
 	s.freeSlots = append(s.freeSlots, slot)
 }
 
-// logAdd writes an object's location into the index log.
+// logAdd appends the location of an object to the index log.
 func (s *Store) logAdd(loc *location) error {
 	return s.appendIndexLog(entryAdd, loc.appendTo(nil))
 }
 
-// logDrop writes into the index log that an object is gone.
+// logDrop appends to the index log that an object was dropped.
 func (s *Store) logDrop(keyHash uint64) {
-	if s.closed || s.logsBroken { // a log that is written anew does not have it
+	if s.closed || s.logsBroken { // the rewritten log will not contain the object
 		return
 	}
-	s.appendIndexLog(entryDrop, binary.LittleEndian.AppendUint64(nil, keyHash)) // an error is in s.failure
+	s.appendIndexLog(entryDrop, binary.LittleEndian.AppendUint64(nil, keyHash)) // an error is recorded in s.failure
 }
 
 func (s *Store) appendIndexLog(kind entryKind, payload []byte) error {
@@ -72,7 +71,7 @@
 	return nil
 }
 
-// appendLog writes entries at the end of a log, and moves the end.
+// appendLog writes entries at the end of a log and advances end.
 func (s *Store) appendLog(file File, end *int64, entries []byte) error {
 	err := writeAt(file, entries, *end)
 	*end += int64(len(entries))
@@ -80,15 +79,15 @@
 	return err
 }
 
-// checkpoint writes both logs anew from memory, as new files in the place of the present
-// ones. Until it has succeeded nothing is added to either.
+// checkpoint replaces both logs by new files, written from memory. Until it has succeeded, no
+// entry is added to either log.
 //
-// The purge log is not replaced before the index log that has the same purges lasts: one of
-// the two is complete at any time.
+// The purge log is replaced only after the new index log, which contains the same purges, is
+// synced. So at any time one of the two logs is complete.
 func (s *Store) checkpoint() error {
 	s.logsBroken = true
 	previous := s.indexNumber
-	s.indexNumber++ // each attempt has a name of its own
+	s.indexNumber++ // each attempt uses another name
 	name := indexName(s.indexNumber)
 	purges := s.encodeActivePurges()
 	index, length, err := s.writeIndexLog(name, purges)
@@ -118,7 +117,8 @@
 	return nil
 }
 
-// writeIndexLog writes a new index log of the purges and all objects.
+// writeIndexLog writes a new index log with the given purge entries and the locations of all
+// objects.
 func (s *Store) writeIndexLog(name string, purges []byte) (file File, length int64, err error) {
 	file, err = s.replaceFile(name+".new", name, func(file File) error {
 		entries := slices.Clone(purges)
--- a/internal/cachenode/store/location.go
+++ b/internal/cachenode/store/location.go
@@ -4,14 +4,14 @@
 	"encoding/binary"
 )
 
-// location is where an object is on disk, and what of it is kept in memory: 48 bytes each,
-// so lengths, rank and flags share a word.
+// location is the part of an object that is kept in memory: where it is on disk, and what purges
+// and eviction need. Lengths, rank and flags share a word, so that it takes 48 bytes.
 type location struct {
 	keyHash    uint64
 	objectHash uint64 // of Meta.Object
 	sincePurge uint64 // number of the last purge when its fill began
-	segment    uint32 // its number
-	offset8    uint32 // in the segment, in units of 8 bytes
+	segment    uint32 // number of the segment
+	offset8    uint32 // offset in the segment, in units of 8 bytes
 	packed     uint64 // body length (40 bits), head length (16), rank (2), flags
 	bodyCRC    uint32 // CRC-32C of the body
 	group      int32
@@ -25,12 +25,12 @@
 	rankShift    = 56
 	maxRank      = 3
 
-	// Flags of packed are of this process alone, and not on disk.
-	flagVerified  = 1 << 58 // its checksum was right since the start
-	flagUsed      = 1 << 59 // it was found since it was written
+	// Flags of packed. They are kept in memory only.
+	flagVerified  = 1 << 58 // the checksum was verified since the start
+	flagUsed      = 1 << 59 // the object was looked up since it was written
 	flagLive      = 1 << 60 // the slot is in use
-	flagRewritten = 1 << 61 // it was written anew once, and not found since
-	flagConfirmed = 1 << 62 // it was stored, or confirmed by its source, since the start: no purge was missed
+	flagRewritten = 1 << 61 // the object was rewritten by compaction
+	flagConfirmed = 1 << 62 // the object was stored or confirmed by its source since the start, so no purge of it was missed
 	storedBits    = 1<<58 - 1
 
 	locationLen = 48 // on disk
@@ -46,10 +46,10 @@
 
 func (l *location) rank() int { return int(l.packed >> rankShift & maxRank) }
 
-// size is what it takes of its segment.
+// size returns the number of bytes that the object occupies in its segment.
 func (l *location) size() int64 { return align(int64(l.metaLen()) + l.bodyLen()) }
 
-// offset is where its head begins in the segment; the body is behind it.
+// offset returns the offset of the head in the segment. The body follows the head.
 func (l *location) offset() int64 { return int64(l.offset8) * 8 }
 
 func (l *location) bodyOffset() int64 { return l.offset() + int64(l.metaLen()) }
@@ -58,10 +58,10 @@
 
 func (l *location) has(flag uint64) bool { return l.packed&flag != 0 }
 
-// align rounds up to the units of offset8.
+// align rounds n up to a multiple of 8, the unit of offset8.
 func align(n int64) int64 { return (n + 7) &^ 7 }
 
-// appendTo appends it as it is on disk.
+// appendTo appends the encoding of the location on disk.
 func (l *location) appendTo(data []byte) []byte {
 	data = binary.LittleEndian.AppendUint64(data, l.keyHash)
 	data = binary.LittleEndian.AppendUint64(data, l.objectHash)
--- a/internal/cachenode/store/logentry.go
+++ b/internal/cachenode/store/logentry.go
@@ -6,16 +6,16 @@
 	"hash/crc32"
 )
 
-// entryKind is what an entry of the logs says.
+// entryKind is the kind of an entry in a log.
 type entryKind byte
 
 const (
-	entryAdd   entryKind = 1 // an object is at a location (index log)
-	entryDrop  entryKind = 2 // the object of a key's hash is gone (index log)
+	entryAdd   entryKind = 1 // an object was stored: its location (index log)
+	entryDrop  entryKind = 2 // an object was dropped: the hash of its key (index log)
 	entryPurge entryKind = 3 // a purge (both logs)
 )
 
-// String names the kind.
+// String returns the name of the kind.
 func (k entryKind) String() string {
 	switch k {
 	case entryAdd:
@@ -28,13 +28,13 @@
 	return fmt.Sprintf("entryKind(%d)", byte(k))
 }
 
-// An entry takes whole blocks, and begins with a mark and a checksum, so that behind a
-// corrupt one the next is found again:
+// An entry occupies whole blocks and begins with a mark and a checksum, so that the reader finds
+// the next entry after a corrupt one:
 //
 //	0  mark "SPL1"
-//	4  CRC-32C of all behind it
-//	8  number of blocks (2 bytes), kind (1), 5 unused
-//	16 payload, and zeros up to the end of the block
+//	4  CRC-32C of everything that follows
+//	8  number of blocks (2 bytes), kind (1 byte), 5 unused bytes
+//	16 payload, padded with zeros to the end of the last block
 const (
 	blockLen        = 64
 	entryMark       = 0x314c5053
@@ -46,7 +46,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// appendEntry appends an entry to a log's bytes.
+// appendEntry appends an encoded entry to log.
 func appendEntry(log []byte, kind entryKind, payload []byte) []byte {
 	blocks := (entryHeaderLen + len(payload) + blockLen - 1) / blockLen
 	start := len(log)
@@ -60,10 +60,11 @@
 	return log
 }
 
-// readEntries calls visit for each entry of a log, and returns how many places are corrupt,
-// and whether an entry follows one of them: of a log that is synced with each entry a crash
-// leaves the end torn, and nothing before it.
-func readEntries(log []byte, visit func(kind entryKind, payload []byte)) (corrupt int, before bool) {
+// readEntries calls visit for each valid entry of a log. It returns the number of corrupt places,
+// and whether a valid entry follows one of them. A crash leaves at most the end of a log torn, if
+// the log is synced after each entry, so a corrupt place before the end means that an entry was
+// lost.
+func readEntries(log []byte, visit func(kind entryKind, payload []byte)) (corrupt int, beforeEnd bool) {
 	inCorrupt := false
 	for at := 0; at < len(log); {
 		n := entryLen(log[at:])
@@ -75,16 +76,16 @@
 			at += blockLen
 			continue
 		}
-		before = before || corrupt > 0
+		beforeEnd = beforeEnd || corrupt > 0
 		inCorrupt = false
 		visit(entryKind(log[at+entryKindAt]), log[at+entryHeaderLen:at+n])
 		at += n
 	}
-	return corrupt, before
+	return corrupt, beforeEnd
 }
 
-// entryLen is the length of the entry that a log's bytes begin with; 0: there is none, or it
-// is corrupt.
+// entryLen returns the length of the entry at the beginning of log, or 0 if there is no valid
+// one.
 func entryLen(log []byte) int {
 	if len(log) < blockLen || binary.LittleEndian.Uint32(log) != entryMark {
 		return 0
--- a/internal/cachenode/store/meta.go
+++ b/internal/cachenode/store/meta.go
@@ -8,23 +8,23 @@
 	"io"
 )
 
-// Meta is what is stored of an object beside its body.
+// Meta is the metadata that is stored with an object.
 type Meta struct {
-	Key         string            `json:"k"`           // of the lookup
-	Object      string            `json:"o"`           // that a purge names
-	Group       int32             `json:"g,omitempty"` // that a purge names
-	Tags        []string          `json:"t,omitempty"` // that a purge names
-	Version     int64             `json:"v,omitempty"` // the origin's; 0: not known
-	GeneratedAt int64             `json:"b,omitempty"` // when the origin generated it, Unix ms: only for its age
-	Lifetime    int64             `json:"f,omitempty"` // for how long from Born, ms; 0: until it is purged
-	Rank        int               `json:"r,omitempty"` // 1 to 3: those of 3 are evicted last
-	Fields      map[string]string `json:"h,omitempty"` // of the response's head
+	Key         string            `json:"k"`           // for lookups, and for purges by prefix
+	Object      string            `json:"o"`           // for purges by object
+	Group       int32             `json:"g,omitempty"` // for purges by group
+	Tags        []string          `json:"t,omitempty"` // for purges by tag
+	Version     int64             `json:"v,omitempty"` // stated by the origin; 0: unknown
+	GeneratedAt int64             `json:"b,omitempty"` // time at which the origin generated the object, Unix ms; used only for its age
+	Lifetime    int64             `json:"f,omitempty"` // time from GeneratedAt during which the object is fresh, ms; 0: until it is purged
+	Rank        int               `json:"r,omitempty"` // 1 to 3; objects of rank 3 are evicted last
+	Fields      map[string]string `json:"h,omitempty"` // header fields of the response
 }
 
 // checksumLen is the length of the CRC-32C before the JSON of a head on disk.
 const checksumLen = 4
 
-// encodeMeta encodes a head as it is on disk: a checksum, and the JSON behind it.
+// encodeMeta returns the head of an object on disk: a checksum, followed by JSON.
 func encodeMeta(meta *Meta) ([]byte, error) {
 	text, err := json.Marshal(meta)
 	if err != nil {
@@ -35,7 +35,7 @@
 	return append(head, text...), nil
 }
 
-// parseMeta decodes a head; ErrCorrupt where its checksum is wrong.
+// parseMeta decodes a head. It returns ErrCorrupt if the checksum does not match.
 func parseMeta(head []byte) (*Meta, error) {
 	if len(head) < checksumLen || crc32.Checksum(head[checksumLen:], castagnoli) != binary.LittleEndian.Uint32(head) {
 		return nil, ErrCorrupt
@@ -47,7 +47,7 @@
 	return meta, nil
 }
 
-// readMeta reads a head from its segment; mu need not be held.
+// readMeta reads the head of an object from its segment. The caller need not hold mu.
 func (s *Store) readMeta(seg *segment, loc *location) (*Meta, error) {
 	if seg.file == nil {
 		return nil, seg.fault
--- a/internal/cachenode/store/names_test.go
+++ b/internal/cachenode/store/names_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The values of enumerations have names of their own: policies those of the settings.
+// Each value of an enumeration has a name of its own. Policies have those of the settings.
 func TestEnumerationNames(t *testing.T) {
 	for _, c := range []struct {
 		value fmt.Stringer
@@ -17,13 +17,13 @@
 	} {
 		t.Run(c.want, func(t *testing.T) {
 			if got := c.value.String(); got != c.want {
-				t.Errorf("%T is called %q, not %q", c.value, got, c.want)
+				t.Errorf("%T has the name %q, want %q", c.value, got, c.want)
 			}
 		})
 	}
 }
 
-// A purge that names nothing, or too much, is refused in words, and takes no number.
+// An invalid purge is rejected with an error that says why, and gets no number.
 func TestInvalidPurgeRefused(t *testing.T) {
 	s, _, err := Open(newCrashFS(), Options{})
 	if err != nil {
@@ -34,17 +34,17 @@
 		purge Purge
 		want  string
 	}{
-		{Purge{Scope: ByTag}, `store: a purge by tag of "" names nothing`},
-		{Purge{Scope: byNumber, Text: "x"}, `store: a purge by number of "x" names nothing`},
-		{Purge{Scope: ByObject, Text: string(make([]byte, maxPurgeText+1))}, "store: a purge by object of 4097 bytes; 4096 are the most"},
+		{Purge{Scope: ByTag}, `store: purge by tag: scope or text "" is invalid`},
+		{Purge{Scope: byNumber, Text: "x"}, `store: purge by number: scope or text "x" is invalid`},
+		{Purge{Scope: ByObject, Text: string(make([]byte, maxPurgeText+1))}, "store: purge by object: text of 4097 bytes, the limit is 4096"},
 	} {
 		t.Run(c.purge.Scope.String(), func(t *testing.T) {
 			if _, err := s.Purge(c.purge); err == nil || err.Error() != c.want {
-				t.Errorf("%v, not %s", err, c.want)
+				t.Errorf("error %v, want %s", err, c.want)
 			}
 		})
 	}
 	if n := s.LastPurge(); n != 0 {
-		t.Errorf("the last purge has number %d", n)
+		t.Errorf("the last purge has number %d, want 0", n)
 	}
 }
--- a/internal/cachenode/store/object.go
+++ b/internal/cachenode/store/object.go
@@ -10,29 +10,28 @@
 )
 
 const (
-	verifyBytes   = 1 << 20 // of a body that are read at a time
-	minHeadBuffer = 4096
+	verifyBytes   = 1 << 20 // size of the reads by which a body is verified
+	minHeadBuffer = 4096    // initial length of Store.headBuffer in bytes
 )
 
-// CachedObject is an object that a lookup found, or that a Writer's Reader reads. Its body
-// stays readable until Close, also when it is purged or evicted meanwhile: whoever reads on
-// has to ask Purged.
+// CachedObject is an object that Lookup has found, or that Writer.Reader returns. Its body stays
+// readable until Close, even if it is purged or evicted meanwhile. Use Purged to detect a purge.
 type CachedObject struct {
 	Meta
-	Size          int64 // of the body, in bytes
-	BeforeStart   bool  // it was stored before the start, and its source has not confirmed it since
-	PurgesUnknown bool  // besides, a purge may have been missed meanwhile: only its source knows
+	Size          int64 // length of the body in bytes
+	BeforeStart   bool  // the object was stored before the start, and its source has not confirmed it since
+	PurgesUnknown bool  // in addition, the store may have missed a purge of it, so it must be validated
 
 	store      *Store
 	segment    *segment
 	bodyOffset int64
 	sincePurge uint64
 	closed     bool
-	filling    bool // it is being written, or was when its reader began
+	filling    bool // returned by Writer.Reader: its body was still being written
 }
 
-// Lookup finds an object, and verifies its checksum: the first time since the start all of
-// its body is read. nil: there is none that can be served.
+// Lookup returns the object of a key, or nil if there is none that can be served. The first
+// lookup of an object since the start reads its whole body to verify the checksum.
 func (s *Store) Lookup(key string) *CachedObject {
 	keyHash := xxhash.Sum64String(key)
 	seg, loc := s.locate(keyHash)
@@ -45,20 +44,20 @@
 	slot, ok := s.byHash[keyHash]
 	unchanged := ok && s.slots[slot].segment == loc.segment && s.slots[slot].offset8 == loc.offset8
 	switch {
-	case err == nil && meta.Key != key: // another of the same hash
+	case err == nil && meta.Key != key: // another key with the same hash
 		s.Stats.Misses++
 	case err == nil && s.purged(loc.sincePurge, meta):
 		s.Stats.Purged++
 		if unchanged {
 			s.removeLocation(keyHash)
 		}
-	case err != nil && !errors.Is(err, ErrCorrupt): // it may be right, and is read again later
+	case err != nil && !errors.Is(err, ErrCorrupt): // the object may be valid; reading it is tried again later
 		s.Stats.Misses++
 		s.suspendSegment(seg, err)
 	case err != nil:
 		s.Stats.Corrupt++
 		if unchanged {
-			s.options.Warn(fmt.Sprintf("store: an object in %s at byte %d is dropped: %v", segmentName(loc.segment), loc.offset(), err))
+			s.options.Warn(fmt.Sprintf("store: dropping the object at offset %d of %s: %v", loc.offset(), segmentName(loc.segment), err))
 			s.removeLocation(keyHash)
 			s.logDrop(keyHash)
 		}
@@ -73,8 +72,8 @@
 	return nil
 }
 
-// locate finds where an object is, and takes a reference to its segment; nil: nowhere that
-// can be read. It takes mu itself.
+// locate returns the location of an object and its segment, to which it adds a reference. The
+// segment is nil if there is no object or it can't be read. The caller must not hold mu.
 func (s *Store) locate(keyHash uint64) (*segment, location) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +84,7 @@
 	}
 	loc := s.slots[slot]
 	seg := s.segments[loc.segment]
-	// segmentReadable may open the segment, and drop the object that lies behind its end
+	// segmentReadable may open the segment and drop the object because it lies beyond the end.
 	if !s.segmentReadable(seg) || !s.slots[slot].live() {
 		s.Stats.Misses++
 		return nil, location{}
@@ -95,11 +94,11 @@
 	return seg, loc
 }
 
-// readVerified reads an object's head, and its body unless it was verified since the start;
-// without mu, since the disk takes its time.
+// readVerified reads the head of an object, and verifies its body unless that was done since the
+// start. The caller must not hold mu, since reading may take long.
 func (s *Store) readVerified(seg *segment, loc *location) (*Meta, error) {
 	meta, err := s.readMeta(seg, loc)
-	if err != nil { // Renew may be writing it
+	if err != nil { // Revalidated may be writing the head
 		s.mu.Lock()
 		meta, err = s.readMeta(seg, loc)
 		s.mu.Unlock()
@@ -110,7 +109,7 @@
 	return meta, err
 }
 
-// verifyBody reads a body, and compares its checksum.
+// verifyBody reads a body and verifies its checksum.
 func verifyBody(file File, loc *location) error {
 	buf := make([]byte, min(loc.bodyLen(), verifyBytes))
 	sum := uint32(0)
@@ -133,7 +132,8 @@
 	return nil
 }
 
-// newCachedObject is an object that was found. Its segment has one more reference.
+// newCachedObject returns a CachedObject for an object that was found. It takes over the
+// caller's reference to the segment.
 func (s *Store) newCachedObject(loc *location, seg *segment, meta *Meta) *CachedObject {
 	beforeStart := !loc.has(flagConfirmed)
 	return &CachedObject{
@@ -148,8 +148,8 @@
 	}
 }
 
-// TryLookup is Lookup where the answer is known without waiting, for the disk or for another
-// thread; known is false where it is not: then Lookup has it.
+// TryLookup is like Lookup but never waits, neither for the disk nor for another goroutine. If
+// the result can't be determined without waiting, known is false, and Lookup must be used.
 func (s *Store) TryLookup(key string) (object *CachedObject, known bool) {
 	if !s.mu.TryLock() {
 		return nil, false
@@ -175,7 +175,7 @@
 	}
 	meta, err := parseMeta(head)
 	if err != nil || meta.Key != key || s.purged(loc.sincePurge, meta) {
-		return nil, false // Lookup counts and drops it
+		return nil, false // Lookup counts the miss and drops the object
 	}
 	loc.packed |= flagUsed
 	seg.refs++
@@ -183,7 +183,7 @@
 	return s.newCachedObject(loc, seg, meta), true
 }
 
-// ReadAt reads of the body, as io.ReaderAt.
+// ReadAt implements io.ReaderAt for the body.
 func (c *CachedObject) ReadAt(data []byte, off int64) (int, error) {
 	if off >= c.Size {
 		return 0, io.EOF
@@ -202,8 +202,8 @@
 	return n, err
 }
 
-// TryReadAt reads of the body what is there without waiting for the disk, and returns its
-// length; less than was asked for, down to none: ReadAt has the rest.
+// TryReadAt reads from the body what it can without waiting for the disk, and returns the number
+// of bytes. If there are fewer than requested, ReadAt must be used for the rest.
 func (c *CachedObject) TryReadAt(data []byte, off int64) int {
 	file, ok := c.segment.file.(nonblockingReader)
 	if !ok || off >= c.Size {
@@ -216,21 +216,22 @@
 	return n
 }
 
-// syncLost reports whether a sync has lost what may be bytes of the body.
+// syncLost reports whether a failed sync may have lost bytes of the body.
 func (c *CachedObject) syncLost() bool {
 	return c.segment.syncFailed.Load() && (c.filling || c.store.syncLost(c.segment))
 }
 
-// Purged reports whether a purge covers the object by now.
+// Purged reports whether a purge covers the object, also one made after the lookup.
 func (c *CachedObject) Purged() bool {
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
 	return c.store.purged(c.sincePurge, &c.Meta)
 }
 
-// Revalidated says that the object's source has confirmed it: it is as if generated at born (Unix
-// ms). The head is written over in place; one that a crash tears is dropped by its checksum.
-// false: it is not the object of its key any more, or its head would not fit.
+// Revalidated records that the source has confirmed the object. generatedAt is its new generation
+// time in Unix ms. The head is overwritten in place; if a crash tears it, its checksum does not
+// match and the object is dropped. Revalidated returns false if the object was replaced or dropped
+// meanwhile, the new head has another length, or the disk has failed.
 func (c *CachedObject) Revalidated(generatedAt int64) (bool, error) {
 	store := c.store
 	meta := c.Meta
@@ -261,7 +262,7 @@
 	return true, nil
 }
 
-// Close ends reading.
+// Close releases the object. It may be called more than once.
 func (c *CachedObject) Close() {
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
--- a/internal/cachenode/store/options.go
+++ b/internal/cachenode/store/options.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Sync is a policy: when an object that was committed is synced to disk.
+// Sync is a policy that says when a committed object is synced to disk.
 type Sync uint8
 
-// The policies. Under each of them purges are synced before they are acknowledged, and
-// nothing is ever served that did not last completely: a policy says only how many of the
-// newest objects a crash of the machine may take. A kill of the process takes none.
+// The policies. With each of them purges are synced before they are acknowledged, and an
+// incomplete object is never served. A policy only determines how many of the newest objects
+// are lost if the machine crashes. None are lost if the process is killed.
 const (
-	SyncPurges   Sync = iota // objects when the kernel gets to it
-	SyncSegments             // objects when their segment is full, and at Close
-	SyncObjects              // each object before it is committed
+	SyncPurges   Sync = iota // objects are not synced: the kernel writes them at some time
+	SyncSegments             // objects are synced when their segment is full, and by Close
+	SyncObjects              // each object is synced before it is committed
 )
 
-// String is the policy's name in the settings.
+// String returns the name of the policy in the settings.
 func (p Sync) String() string {
 	switch p {
 	case SyncPurges:
@@ -30,14 +30,14 @@
 	return fmt.Sprintf("Sync(%d)", uint8(p))
 }
 
-// Options are a store's. Fields that are zero have the defaults.
+// Options configures a Store. Zero fields stand for the defaults.
 type Options struct {
-	MaxBytes      int64            // of segments on disk; default 1 GB
-	SegmentBytes  int64            // of a segment; default 64 MB, at least 4 KB, at most a quarter of MaxBytes
+	MaxBytes      int64            // limit of all segments on disk; default 1 GB
+	SegmentBytes  int64            // size of a segment; default 64 MB, at least 4 KB, at most a quarter of MaxBytes
 	Sync          Sync             // default SyncPurges
-	MaxPurgeRules int              // purges by tag and prefix that each lookup goes through; default 256
-	Warn          func(string)     // takes messages for the operator; nil: they are dropped
-	Now           func() time.Time // the clock of retries; nil: time.Now
+	MaxPurgeRules int              // limit of purges by tag and prefix without a version, which every lookup checks; default 256
+	Warn          func(string)     // receives messages for the operator; nil: they are dropped
+	Now           func() time.Time // clock for retries; nil: time.Now
 }
 
 func (o Options) withDefaults() Options {
--- a/internal/cachenode/store/purge.go
+++ b/internal/cachenode/store/purge.go
@@ -10,20 +10,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Scope is what a purge names.
+// Scope says how a purge selects objects.
 type Scope uint8
 
 // The scopes.
 const (
-	ByObject Scope = iota + 1 // all variants of an object: Text
-	ByGroup                   // the objects of a group: Group
-	ByTag                     // objects that carry a tag: Text
-	ByPrefix                  // objects whose key begins with Text
-	byHash                    // an object, by its hash: Text, 8 bytes; of checkpoints only
-	byNumber                  // nothing: says only that purge numbers went so far; of checkpoints only
+	ByObject Scope = iota + 1 // all variants of the object named by Text
+	ByGroup                   // the objects of Group
+	ByTag                     // the objects with the tag Text
+	ByPrefix                  // the objects whose key begins with Text
+	byHash                    // the object with a hash of its name, 8 bytes in Text; only in checkpoints
+	byNumber                  // no object: records the last purge number; only in checkpoints
 )
 
-// String names the scope in errors.
+// String returns the name of the scope for errors.
 func (s Scope) String() string {
 	switch s {
 	case ByObject:
@@ -45,20 +45,21 @@
 // maxPurgeText is the longest Purge.Text, in bytes.
 const maxPurgeText = 4096
 
-// Purge is an invalidation. With a Version, objects of that version of the origin's and of
-// later ones stay, whenever they were fetched, and all of earlier ones are purged; without
-// one, all whose fill began before it.
+// Purge is an invalidation of objects. A purge without a Version covers the selected objects whose
+// fill began before it. A purge with a Version covers the selected objects of earlier versions,
+// whenever they were fetched; objects without a version it covers if their fill began before it.
 type Purge struct {
-	Number  uint64 // the store's own, in the order in which it took them
+	Number  uint64 // assigned by the store, in the order of the purges
 	Scope   Scope
 	Text    string
 	Group   int32
-	Version int64 // the origin's; 0: none
+	Version int64 // stated by the origin; 0: none
 }
 
-const purgeHeaderLen = 23 // of a purge on disk; Text is behind it
+// purgeHeaderLen is the length of an encoded purge without Text, which follows.
+const purgeHeaderLen = 23
 
-// appendTo appends the purge as it is on disk.
+// appendTo appends the encoding of the purge on disk.
 func (p *Purge) appendTo(data []byte) []byte {
 	data = binary.LittleEndian.AppendUint64(data, p.Number)
 	data = binary.LittleEndian.AppendUint64(data, uint64(p.Version))
@@ -85,13 +86,14 @@
 	}, true
 }
 
-// watermark is all purges of an object, group or rule in one: what began before is purged.
+// watermark combines all purges of an object, a group or a rule.
 type watermark struct {
-	unversioned uint64 // number of the last purge without a version: all whose fill began before it
-	versioned   uint64 // number of the last purge with one: objects without a version whose fill began before it
-	version     int64  // objects of an older version, whenever their fill began
+	unversioned uint64 // number of the last purge without a version: covers objects whose fill began before it
+	versioned   uint64 // number of the last purge with a version: covers objects without one whose fill began before it
+	version     int64  // latest version of a purge: covers objects of earlier versions
 }
 
+// with returns the watermark that includes another purge.
 func (m watermark) with(purge *Purge) watermark {
 	if purge.Version <= 0 {
 		m.unversioned = max(m.unversioned, purge.Number)
@@ -102,8 +104,8 @@
 	return m
 }
 
-// covers reports whether an object is purged whose fill began after the purge since, and
-// that has a version of the origin's.
+// covers reports whether the purges cover an object of a version, 0 for none, whose fill began
+// after the purge number since.
 func (m watermark) covers(since uint64, version int64) bool {
 	if since < m.unversioned {
 		return true
@@ -114,7 +116,7 @@
 	return since < m.versioned
 }
 
-// applyPurge has a purge hold from now on.
+// applyPurge adds a purge to those that lookups check.
 func (s *Store) applyPurge(purge Purge) {
 	switch purge.Scope {
 	case ByObject:
@@ -132,7 +134,8 @@
 	}
 }
 
-// applyRule takes a purge by tag or prefix into the rules, or into the one of the same text.
+// applyRule adds a purge by tag or prefix to the rules, or merges it into the rule for the same
+// text.
 func (s *Store) applyRule(purge Purge) {
 	for i := range s.purgeRules {
 		rule := &s.purgeRules[i]
@@ -148,7 +151,7 @@
 	}
 }
 
-// matches reports whether a purge by tag or prefix names an object.
+// matches reports whether a purge by tag or prefix selects an object.
 func (p *Purge) matches(meta *Meta) bool {
 	switch p.Scope {
 	case ByPrefix:
@@ -159,7 +162,7 @@
 	return false
 }
 
-// purged reports whether a purge covers an object whose fill began after the purge since.
+// purged reports whether a purge covers an object whose fill began after the purge number since.
 func (s *Store) purged(since uint64, meta *Meta) bool {
 	if mark, ok := s.objectPurges[xxhash.Sum64String(meta.Object)]; ok && mark.covers(since, meta.Version) {
 		return true
@@ -176,8 +179,8 @@
 	return false
 }
 
-// activePurges are those that a checkpoint has to have: that may cover what is stored, or
-// what is being fetched.
+// activePurges returns the purges that a checkpoint must contain, since they may cover a stored
+// object or one that is being fetched.
 func (s *Store) activePurges() []Purge {
 	list := []Purge{{Number: s.lastPurge, Scope: byNumber}}
 	add := func(mark watermark, purge Purge) {
@@ -199,13 +202,14 @@
 	return append(list, s.purgeRules...)
 }
 
-// retireThreshold is how many rules without a version there may be before they are settled.
+// retireThreshold returns the number of rules without a version above which they are retired.
 func (s *Store) retireThreshold() int { return max(s.options.MaxPurgeRules, s.retirePostponed) }
 
-// retireUnversionedRules drops all objects that a purge covers, and forgets the purges without a
-// version: no lookup has to go through them any more. Those with a version stay, since
-// objects of older versions may still come. false: some heads can't be read for now, and the
-// rules are kept for them; at four times MaxPurgeRules these objects are dropped.
+// retireUnversionedRules drops all objects that a purge covers and discards the purges without a
+// version, so that lookups need not check them. Purges with a version are kept, since objects of
+// earlier versions may still be fetched. If the heads of some objects can't be read now, it
+// returns false and keeps the rules for them, unless there are four times MaxPurgeRules: then it
+// drops these objects.
 func (s *Store) retireUnversionedRules() bool {
 	covered, unreadable := s.coveredObjects()
 	if unreadable > 0 && s.unversionedRules < 4*s.options.MaxPurgeRules {
@@ -217,7 +221,8 @@
 		s.removeLocation(keyHash)
 		s.Stats.Purged++
 	}
-	// what is left was looked at; a fill in flight was not, and is not committed
+	// No purge so far covers the remaining objects. Fills in flight were not checked, so they must
+	// not be committed.
 	for i := range s.slots {
 		if s.slots[i].live() {
 			s.slots[i].sincePurge = s.lastPurge
@@ -231,8 +236,8 @@
 	return true
 }
 
-// coveredObjects returns the hashes of the keys of objects that a purge covers or whose head
-// can't be read, and how many heads can't be read for now (corrupt ones are not counted).
+// coveredObjects returns the key hashes of all objects that a purge covers or whose head can't be
+// read, and the number of heads that can't be read now but are not corrupt.
 func (s *Store) coveredObjects() (covered []uint64, unreadable int) {
 	for i := range s.slots {
 		loc := &s.slots[i]
@@ -250,7 +255,7 @@
 	return covered, unreadable
 }
 
-// forgetUnversioned forgets the purges without a version.
+// forgetUnversioned discards the purges without a version.
 func forgetUnversioned[K comparable](marks map[K]watermark) {
 	for key, mark := range marks {
 		if mark.version == 0 {
--- a/internal/cachenode/store/purgelog.go
+++ b/internal/cachenode/store/purgelog.go
@@ -6,19 +6,19 @@
 
 const purgeLogName = "purges.log"
 
-// LastPurge returns the number of the last purge, for BeginSince. It never waits.
+// LastPurge returns the number of the last purge, for BeginSince and TryPurged. It never waits.
 func (s *Store) LastPurge() uint64 { return s.announcedPurge.Load() }
 
-// PurgesCaughtUp says that the store was given all purges that were made while it was
-// closed: no object of before the start has PurgesUnknown any more.
+// PurgesCaughtUp tells the store that it has received all purges made while it was closed. From
+// then on no object has PurgesUnknown set.
 func (s *Store) PurgesCaughtUp() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.purgesCaughtUp = true
 }
 
-// TryPurged reports whether a purge covers by now what a fill brings that began after the
-// purge since. known is false where that can't be seen without waiting.
+// TryPurged reports whether a purge covers the object of a fill that began when LastPurge returned
+// since. known is false if that can't be determined without waiting.
 func (s *Store) TryPurged(since uint64, meta *Meta) (purged, known bool) {
 	if !s.mu.TryLock() {
 		return false, false
@@ -27,16 +27,16 @@
 	return s.logsUnread || s.purged(since, meta), true
 }
 
-// Purge invalidates objects. When it returns without an error the purge lasts, and its
-// number orders it. With a FaultError it may or may not last, and holds here all the same:
-// once the disk works again it is made to last without being asked for again, as long as
-// this process lives. Asking again does no harm, and is how a caller learns that it lasts.
+// Purge invalidates objects and returns the number of the purge. When it returns without an error,
+// the purge is durable. If it returns a FaultError, the purge applies in this process, but may be
+// lost if the process ends before the disk works again; the store writes it as soon as the disk
+// does. The caller may repeat the purge to learn that it is durable.
 func (s *Store) Purge(purge Purge) (uint64, error) {
 	if len(purge.Text) > maxPurgeText {
-		return 0, fmt.Errorf("store: a purge by %v of %d bytes; %d are the most", purge.Scope, len(purge.Text), maxPurgeText)
+		return 0, fmt.Errorf("store: purge by %v: text of %d bytes, the limit is %d", purge.Scope, len(purge.Text), maxPurgeText)
 	}
 	if purge.Scope < ByObject || purge.Scope > ByPrefix || purge.Scope != ByGroup && purge.Text == "" {
-		return 0, fmt.Errorf("store: a purge by %v of %.40q names nothing", purge.Scope, purge.Text)
+		return 0, fmt.Errorf("store: purge by %v: scope or text %.40q is invalid", purge.Scope, purge.Text)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,7 +60,7 @@
 		}
 		s.logsBroken = true
 	}
-	if s.logsBroken { // it is among what a checkpoint writes
+	if s.logsBroken { // the next checkpoint contains the purge
 		err := s.retryIfDue()
 		if s.logsBroken {
 			return purge.Number, err
@@ -70,8 +70,8 @@
 	return purge.Number, s.logPurge(purge)
 }
 
-// deferPurge remembers a purge until the logs are read. Fills see by LastPurge that there
-// was one; it has a higher number in the end.
+// deferPurge keeps a purge until the logs are read. It increments what LastPurge returns, so that
+// fills notice the purge; its final number is higher.
 func (s *Store) deferPurge(purge Purge) {
 	s.announcedPurge.Add(1)
 	if len(s.pendingPurges) >= maxPendingPurges {
@@ -81,8 +81,8 @@
 	s.pendingPurges = append(s.pendingPurges, purge)
 }
 
-// logPurge writes a purge into both logs, and syncs them. Both are written before the first
-// sync: it takes the file system's records of both along.
+// logPurge appends a purge to both logs and syncs them. It writes both before the first sync, so
+// that this sync also covers the file system's metadata of the other log.
 func (s *Store) logPurge(purge Purge) error {
 	entry := appendEntry(nil, entryPurge, purge.appendTo(nil))
 	index := indexName(s.indexNumber)
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// encodeActivePurges encodes a checkpoint's purges as entries.
+// encodeActivePurges returns the entries for the purges of a checkpoint.
 func (s *Store) encodeActivePurges() []byte {
 	var entries, payload []byte
 	for _, purge := range s.activePurges() {
--- a/internal/cachenode/store/recovery.go
+++ b/internal/cachenode/store/recovery.go
@@ -13,15 +13,15 @@
 	formatName = "format"
 	formatText = "indigospool store 1\n"
 
-	// newestSample is how many of the last objects are read for Newest.
+	// newestSample is the number of objects whose heads are read for NewestAtStart.
 	newestSample = 64
 )
 
-// folderListing is the files of the folder by what they are.
+// folderListing has the files of the folder by kind.
 type folderListing struct {
 	names    map[string]bool
 	segments []uint32
-	indexes  []int // ascending
+	indexes  []int // numbers of the index logs, ascending
 }
 
 func (s *Store) listFolder() (folderListing, error) {
@@ -42,7 +42,7 @@
 	return listing, err
 }
 
-// reset forgets what an attempt to read the folder has found.
+// reset discards what an earlier attempt to read the folder has found.
 func (s *Store) reset() {
 	for _, seg := range s.segments {
 		if seg.file != nil {
@@ -69,10 +69,10 @@
 	s.byHash = map[uint64]uint32{}
 }
 
-// recover reads the folder. Purges stand in two logs: where one is corrupt the other has
-// them; where both are, a purge may be lost, and no object of before is served. A file that
-// can't be read is not corrupt: then nothing is changed, and all is tried again later, but
-// for segments, which may be missing meanwhile and are opened when they can be.
+// recover reads the folder. Each purge is in two logs, so that one log may be corrupt. If both
+// are, a purge may be lost, and all objects stored before the start are dropped. A file that
+// can't be read is not considered corrupt: recover then changes nothing and is retried later. If
+// only a segment can't be read, recover goes on without it, and opens it later.
 func (s *Store) recover() error {
 	s.reset()
 	listing, err := s.listFolder()
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// checkFormat sees that the folder is of this format, and makes it one where it is new.
+// checkFormat verifies the format of the folder, and writes it to a new folder.
 func (s *Store) checkFormat(listing folderListing) error {
 	data, err := s.readFile(formatName, listing.names[formatName])
 	if err != nil {
@@ -116,10 +116,10 @@
 	if text == formatText {
 		return nil
 	}
-	// a truncated one in a folder without data is of a start that was killed in the middle
+	// In a folder without data a truncated text is left by a start that was killed.
 	inUse := len(listing.indexes)+len(listing.segments) > 0
 	if text != "" && (inUse || !strings.HasPrefix(formatText, text)) {
-		return s.fail("read", formatName, fmt.Errorf("%w: %.40q, this program reads %q; empty the folder, or run the program that wrote it", ErrFormat, data, formatText))
+		return s.fail("read", formatName, fmt.Errorf("%w: %.40q, this program requires %q; empty the folder, or run the program that wrote it", ErrFormat, data, formatText))
 	}
 	file, err := s.fs.Open(formatName, true)
 	if err != nil {
@@ -133,7 +133,8 @@
 	return nil
 }
 
-// openSegments opens the segments of before. One that can't be opened is suspended.
+// openSegments opens the segments written before the start. Those that can't be opened are
+// suspended.
 func (s *Store) openSegments(numbers []uint32) {
 	for _, number := range numbers {
 		s.nextSegment = max(s.nextSegment, number+1)
@@ -144,11 +145,11 @@
 		}
 		s.segments[number] = seg
 	}
-	s.usedBytes = 0 // dropEmptySegments adds up those that stay
+	s.usedBytes = 0 // dropEmptySegments adds the sizes of the segments that remain
 }
 
-// replayLogs takes the objects of the index log into the index, and returns the purges of
-// both logs.
+// replayLogs adds the objects of the index log to the index and returns the purges of both logs.
+// It sets DiscardReason if a purge may be lost.
 func (s *Store) replayLogs(purgeLog, indexLog []byte, indexed bool) (purges []Purge) {
 	addPurge := func(payload []byte) {
 		if purge, ok := readPurge(payload); ok {
@@ -181,17 +182,17 @@
 	s.recovered.CorruptEntries += corrupt
 	switch {
 	case corrupt > 0 && purgeMayBeLost:
-		s.recovered.DiscardReason = "both logs are damaged: a purge may be lost"
+		s.recovered.DiscardReason = "both logs are corrupt: a purge may be lost"
 	case !indexed && len(s.segments) > 0:
-		s.recovered.DiscardReason = "there is no index"
+		s.recovered.DiscardReason = "the index log is missing"
 	case s.pendingOverflowed:
-		s.recovered.DiscardReason = "more purges came than are remembered while the logs could not be read"
+		s.recovered.DiscardReason = fmt.Sprintf("more than %d purges were made while the logs could not be read", maxPendingPurges)
 	}
 	return purges
 }
 
-// discardIfOutdated drops all objects where a purge may be lost: by what replayLogs found,
-// or because an object knows of a later purge than the logs.
+// discardIfOutdated drops all objects if a purge may be lost: replayLogs has set DiscardReason, or
+// the fill of an object began after a purge that neither log has.
 func (s *Store) discardIfOutdated(purges []Purge) {
 	newestKnown := uint64(0)
 	for i := range s.slots {
@@ -203,17 +204,17 @@
 		s.lastPurge = max(s.lastPurge, purges[i].Number)
 	}
 	if newestKnown > s.lastPurge {
-		s.recovered.DiscardReason = fmt.Sprintf("copies know of purge %d, the logs of %d", newestKnown, s.lastPurge)
+		s.recovered.DiscardReason = fmt.Sprintf("the last purge in the logs is number %d, but an object was stored after purge %d", s.lastPurge, newestKnown)
 		s.lastPurge = newestKnown
 	}
 	if s.recovered.DiscardReason != "" {
-		s.options.Warn("store: no object of before the start is served: " + s.recovered.DiscardReason)
+		s.options.Warn("store: dropping all objects stored before the start: " + s.recovered.DiscardReason)
 		s.forgetObjects()
 	}
 }
 
-// applyRecovered applies the purges of both logs, each once, and then those that came while
-// the logs could not be read: after all fills that began meanwhile.
+// applyRecovered applies the purges of both logs, each once. Then it applies those made while the
+// logs could not be read, with numbers after those that fills have seen meanwhile.
 func (s *Store) applyRecovered(purges []Purge) {
 	sort.SliceStable(purges, func(i, k int) bool { return purges[i].Number < purges[k].Number })
 	for i := range purges {
@@ -233,7 +234,7 @@
 	s.announcedPurge.Store(s.lastPurge)
 }
 
-// dropEmptySegments removes the segments of before that hold no object, and orders the others.
+// dropEmptySegments removes the segments without objects, and orders the others by number.
 func (s *Store) dropEmptySegments() {
 	for number, seg := range s.segments {
 		if len(seg.slots) == 0 || s.recovered.DiscardReason != "" {
@@ -260,7 +261,7 @@
 	s.newestAtStart.Store(s.newestGeneratedAt())
 }
 
-// newestGeneratedAt looks for the newest object among the last of the last segment.
+// newestGeneratedAt returns the latest generation time among the last objects of the last segment.
 func (s *Store) newestGeneratedAt() (newest int64) {
 	if len(s.segmentOrder) == 0 {
 		return 0
@@ -274,8 +275,8 @@
 	return newest
 }
 
-// markStale has temporary files and the index logs of before removed, once there is an index
-// log of this process.
+// markStale marks temporary files and the index logs of earlier processes for removal, which
+// follows once this process has written an index log.
 func (s *Store) markStale(listing folderListing) {
 	mark := func(name string) {
 		if len(s.staleFiles) < maxStaleFiles {
--- a/internal/cachenode/store/segment.go
+++ b/internal/cachenode/store/segment.go
@@ -8,28 +8,29 @@
 	"sync/atomic"
 )
 
-// indexLogSlack is up to what length an index log is not made anew, whatever it has.
+// indexLogSlack is the length in bytes up to which an index log is not rewritten, however few of
+// its entries are still needed.
 const indexLogSlack = 1 << 20
 
-// segment is a file of heads and bodies.
+// segment is a file with the heads and bodies of objects.
 type segment struct {
 	number  uint32
 	file    File     // nil: it could not be opened yet
-	size    int64    // reserved; of one that is not open, the most that it may be
-	refs    int      // readers and writers
-	evicted bool     // removed; the file is closed with its last reference
-	slots   []uint32 // of the objects in it
-	synced  bool     // nothing was committed since its last sync
+	size    int64    // bytes in use or reserved; before the segment is opened, the largest possible size
+	refs    int      // number of readers and writers
+	evicted bool     // the file was removed, and is closed with the last reference
+	slots   []uint32 // slots of its objects
+	synced  bool     // no object was committed since the last sync
 
 	syncMu     sync.Mutex  // held during a sync, without the store's mu
-	syncFailed atomic.Bool // what was written and not synced before may be lost
-	fault      error       // it could not be read or opened; segmentReadable tries again
+	syncFailed atomic.Bool // a sync has failed: data written before it may be lost
+	fault      error       // why it could not be opened or read; segmentReadable tries again
 	backoff    backoff
 }
 
-// errSyncFailed is that a segment is not synced again, since the kernel has dropped what it
-// could not write.
-var errSyncFailed = errors.New("an earlier sync of it failed")
+// errSyncFailed means that an earlier sync of a segment failed. The segment is not synced again,
+// because the kernel has dropped the pages that it could not write.
+var errSyncFailed = errors.New("an earlier sync of the segment failed")
 
 func segmentName(number uint32) string { return fmt.Sprintf("seg-%08d.dat", number) }
 
@@ -38,8 +39,9 @@
 	return loc.bodyOffset()+loc.bodyLen() <= g.size
 }
 
-// sync syncs the segment; the store's mu need not be held. After a failure the kernel takes
-// the pages for clean, and a later sync that succeeds says nothing: it fails for good.
+// sync syncs the segment. The caller need not hold the store's mu. After a failure all later
+// calls fail: the kernel marks pages that it could not write as clean, so that another sync would
+// succeed without writing them.
 func (g *segment) sync() error {
 	g.syncMu.Lock()
 	defer g.syncMu.Unlock()
@@ -51,7 +53,8 @@
 	return err
 }
 
-// openSegment opens a segment of before. Objects that lie behind its end are dropped.
+// openSegment opens a segment written before the start. It drops objects that lie beyond the end
+// of the file.
 func (s *Store) openSegment(seg *segment) error {
 	file, err := s.fs.Open(segmentName(seg.number), false)
 	if err != nil {
@@ -73,7 +76,7 @@
 	return nil
 }
 
-// rotate begins a segment, for which the oldest ones are evicted as far as it needs room.
+// rotate begins a new segment. It evicts the oldest segments if there is not enough room for it.
 func (s *Store) rotate() error {
 	if err := s.syncSegments(); err != nil {
 		return err
@@ -93,12 +96,12 @@
 	s.segments[seg.number] = seg
 	s.segmentOrder = append(s.segmentOrder, seg.number)
 	if s.indexLogLen > indexLogSlack && s.indexLogLen > 3*blockLen*int64(len(s.byHash)+1) {
-		return s.checkpoint() // two thirds of the log are of objects that are gone
+		return s.checkpoint() // two thirds of the log or more are entries of dropped objects
 	}
 	return nil
 }
 
-// createSegment makes a segment's file, and syncs the folder.
+// createSegment creates the file of a segment and syncs the folder.
 func (s *Store) createSegment(seg *segment) error {
 	file, err := s.fs.Open(segmentName(seg.number), true)
 	if err != nil {
@@ -113,8 +116,8 @@
 	return nil
 }
 
-// syncSegments syncs what was committed, where the policy says so. A segment whose sync has
-// failed is not tried again: its objects are written anew (rewriteSyncLost).
+// syncSegments syncs all segments with unsynced objects, if the policy requires it. Segments whose
+// sync has failed are skipped: rewriteSyncLost copies their objects to another segment.
 func (s *Store) syncSegments() error {
 	if s.options.Sync < SyncSegments {
 		return nil
@@ -132,8 +135,8 @@
 	return nil
 }
 
-// evictEmpty removes segments that nothing stands in and nobody writes to: failed writes
-// leave them behind.
+// evictEmpty removes segments without objects, readers and writers. Failed writes leave such
+// segments behind.
 func (s *Store) evictEmpty() {
 	for _, number := range slices.Clone(s.segmentOrder) {
 		if seg := s.segments[number]; len(seg.slots) == 0 && seg.refs == 0 {
@@ -142,7 +145,7 @@
 	}
 }
 
-// evict removes a segment, and drops its objects.
+// evict removes a segment and drops its objects.
 func (s *Store) evict(number uint32) {
 	seg := s.segments[number]
 	for _, slot := range slices.Clone(seg.slots) {
@@ -159,13 +162,13 @@
 	s.closeUnreferenced(seg)
 }
 
-// release gives a reference back.
+// release releases a reference to a segment.
 func (s *Store) release(seg *segment) {
 	seg.refs--
 	s.closeUnreferenced(seg)
 }
 
-// closeUnreferenced closes the file of an evicted segment that nobody reads or writes.
+// closeUnreferenced closes the file of an evicted segment that has no readers and writers.
 func (s *Store) closeUnreferenced(seg *segment) {
 	if seg.refs > 0 || !seg.evicted {
 		return
@@ -176,26 +179,26 @@
 	seg.evicted = false
 }
 
-// syncLost reports whether what was committed to a segment may not be on disk although the
-// policy promised it: its sync failed. With SyncObjects each object had a sync of its own,
-// and with SyncPurges none was promised. mu need not be held.
+// syncLost reports whether objects that were committed to a segment may be missing on disk
+// although the policy requires that they are synced. That is so only with SyncSegments, after a
+// sync has failed: SyncObjects syncs each object before it is committed, and SyncPurges does not
+// sync objects. The caller need not hold mu.
 func (s *Store) syncLost(seg *segment) bool {
 	return s.options.Sync == SyncSegments && seg.syncFailed.Load()
 }
 
-// suspendSegment notes that a segment can't be read: its objects are not served until it
-// can.
+// suspendSegment records that a segment can't be read. Its objects are not served until it can.
 func (s *Store) suspendSegment(seg *segment, err error) {
 	if seg.fault == nil {
-		s.options.Warn(fmt.Sprintf("store: %s can't be read, and is tried again: %v", segmentName(seg.number), err))
+		s.options.Warn(fmt.Sprintf("store: reading %s failed; its objects are not served until a retry succeeds: %v", segmentName(seg.number), err))
 	}
 	seg.fault = err
 	seg.backoff.failed(s.options.Now())
 	s.faulty.Store(true)
 }
 
-// segmentReadable reports whether objects of a segment can be read. One that is suspended is
-// tried again where its backoff is over.
+// segmentReadable reports whether the objects of a segment can be read. It retries a suspended
+// segment whose backoff is over.
 func (s *Store) segmentReadable(seg *segment) bool {
 	if s.syncLost(seg) {
 		return false
@@ -212,6 +215,6 @@
 			return false
 		}
 	}
-	seg.fault = nil // a read that fails again suspends it again
+	seg.fault = nil // if a read fails again, the segment is suspended again
 	return true
 }
--- a/internal/cachenode/store/threads.go
+++ b/internal/cachenode/store/threads.go
@@ -5,9 +5,8 @@
 	"time"
 )
 
-// Threads runs jobs that wait for the disk, for callers that must not wait. Its queue is
-// bounded, and a disk that hangs is noticed: then jobs are rejected, and callers go on without
-// the disk until it answers again.
+// Threads runs jobs that wait for the disk, for callers that must not wait. It has a bounded queue,
+// and rejects jobs while the disk hangs, so that callers go on without it.
 type Threads struct {
 	count   int
 	timeout time.Duration
@@ -15,15 +14,15 @@
 	running sync.WaitGroup
 
 	mu      sync.Mutex
-	started map[int]time.Time // of the job that each thread is at
+	started map[int]time.Time // start of the current job, by thread
 	closed  bool
 
-	// Rejected counts the jobs that were not taken.
+	// Rejected is the number of rejected jobs.
 	Rejected uint64
 }
 
-// NewThreads starts count threads with a queue of so many jobs. The disk hangs when each
-// thread has been at one job for longer than the timeout.
+// NewThreads starts count threads with a queue for the given number of jobs. The disk is considered
+// hung while every thread has been running its job for longer than the timeout.
 func NewThreads(count, queue int, timeout time.Duration) *Threads {
 	count = max(count, 1)
 	t := &Threads{count: count, timeout: timeout, jobs: make(chan func(), max(queue, 1)), started: map[int]time.Time{}}
@@ -34,7 +33,7 @@
 	return t
 }
 
-// run runs jobs on thread i until the queue is closed.
+// run runs the jobs of thread i until the queue is closed.
 func (t *Threads) run(i int) {
 	defer t.running.Done()
 	for job := range t.jobs {
@@ -48,8 +47,8 @@
 	}
 }
 
-// Submit has a thread run a job. false: it is rejected, since the queue is full, the disk
-// hangs, or the threads are closed. It never waits.
+// Submit queues a job. It returns false if the job is rejected because the queue is full, the disk
+// hangs, or the threads are closed. It never waits for the disk.
 func (t *Threads) Submit(job func()) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -83,8 +82,8 @@
 	return true
 }
 
-// Close runs the jobs that are queued, and ends the threads. Those that hang are left behind
-// after the timeout.
+// Close rejects new jobs and waits until the queued jobs have run and the threads have ended, but
+// not longer than the timeout.
 func (t *Threads) Close() {
 	t.mu.Lock()
 	if !t.closed {
--- a/internal/cachenode/store/writer.go
+++ b/internal/cachenode/store/writer.go
@@ -8,28 +8,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Writer writes an object. It is for one goroutine, and ends with Commit or Abort.
+// Writer writes one object. It must be used by one goroutine at a time, and ended by Commit or
+// Abort.
 type Writer struct {
 	store    *Store
 	segment  *segment
 	meta     Meta
 	location location
-	size     int64 // of the body, as it was announced
+	size     int64 // announced length of the body
 	written  int64
-	crc      uint32 // of what was written
+	crc      uint32 // checksum of the bytes written so far
 	done     bool
-	err      error // a write failed, or was too long
+	err      error // why the object can't be committed
 }
 
-// Begin begins an object with a body of size bytes, whose fill begins now: what is purged
-// from here on covers it, unless its version says otherwise. Where room is needed, the oldest
-// segments are evicted; Compact makes room ahead of that, and keeps what is used. The error
-// is ErrTooLarge, ErrClosed or a FaultError.
+// Begin begins to write an object with a body of size bytes, whose fill begins now. A purge made
+// from now on covers the object, unless the purge has a version that the object has or exceeds.
+// If there is not enough room, Begin evicts the oldest segments; regular calls of Compact make
+// room before that, and keep used objects. The error is ErrTooLarge, ErrClosed or a FaultError.
 func (s *Store) Begin(meta Meta, size int64) (*Writer, error) {
 	return s.BeginSince(s.LastPurge(), meta, size)
 }
 
-// BeginSince is Begin for a fill that began when the last purge was since (LastPurge).
+// BeginSince is like Begin, for a fill that began earlier, when LastPurge returned since.
 func (s *Store) BeginSince(since uint64, meta Meta, size int64) (*Writer, error) {
 	head, err := encodeMeta(&meta)
 	if err != nil {
@@ -51,14 +52,15 @@
 	return writer, nil
 }
 
-// reserve reserves room at the end of the active segment.
+// reserve reserves room for an object at the end of the active segment. It begins a new segment
+// if there is not enough.
 func (s *Store) reserve(meta Meta, headLen int, size int64, since uint64) (*Writer, error) {
 	if s.closed {
 		return nil, ErrClosed
 	}
 	need := align(int64(headLen) + size)
 	if size < 0 || size > maxBodyLen || headLen > maxMetaLen || need > s.options.SegmentBytes {
-		return nil, fmt.Errorf("%w: %.80q has %d bytes and a head of %d, a segment %d", ErrTooLarge, meta.Key, size, headLen, s.options.SegmentBytes)
+		return nil, fmt.Errorf("%w: %.80q has a body of %d bytes and a head of %d, the limit is %d", ErrTooLarge, meta.Key, size, headLen, s.options.SegmentBytes)
 	}
 	if err := s.retryIfDue(); err != nil {
 		return nil, err
@@ -84,14 +86,14 @@
 	return &Writer{store: s, segment: seg, meta: meta, location: loc, size: size}, nil
 }
 
-// Write writes the next bytes of the body. More than the announced size is an error, and a
-// disk that fails a FaultError.
+// Write writes the next bytes of the body. It returns an error if the body exceeds its announced
+// size, and a FaultError if the disk fails.
 func (w *Writer) Write(data []byte) (int, error) {
 	if w.done {
 		return 0, ErrClosed
 	}
 	if w.written+int64(len(data)) > w.size {
-		w.err = fmt.Errorf("store: %.80q is longer than the announced %d bytes", w.meta.Key, w.size)
+		w.err = fmt.Errorf("store: write %.80q: body exceeds its announced size of %d bytes", w.meta.Key, w.size)
 		return 0, w.err
 	}
 	n, err := w.segment.file.WriteAt(data, w.location.bodyOffset()+w.written)
@@ -109,9 +111,9 @@
 	return n, w.err
 }
 
-// Commit stores the object. stored is false where a purge has overtaken it, a newer version
-// is there, or its segment was evicted meanwhile; an error says that the body is incomplete,
-// or the disk failed (FaultError).
+// Commit stores the object. stored is false if a purge covers it, a newer version is stored, or
+// its segment was evicted meanwhile. An error means that the body is incomplete, the store is
+// closed, or the disk has failed (FaultError).
 func (w *Writer) Commit() (stored bool, err error) {
 	if w.done {
 		return false, ErrClosed
@@ -150,11 +152,11 @@
 	return true, nil
 }
 
-// finishBody sees that the body is complete, and syncs it where the policy says so; without
-// mu, since a sync takes its time.
+// finishBody checks that the body is complete and syncs it, if the policy requires that. The
+// caller must not hold mu, since a sync may take long.
 func (w *Writer) finishBody() {
 	if w.err == nil && w.written != w.size {
-		w.err = fmt.Errorf("store: %.80q has %d bytes of %d", w.meta.Key, w.written, w.size)
+		w.err = fmt.Errorf("store: commit %.80q: body is incomplete, %d of %d bytes", w.meta.Key, w.written, w.size)
 	}
 	if w.err != nil || w.store.options.Sync < SyncObjects {
 		return
@@ -166,14 +168,14 @@
 	}
 }
 
-// segmentLost reports whether what was written is gone: with an evicted segment, or one
-// whose sync failed.
+// segmentLost reports whether the object can't be committed because its segment was evicted or a
+// sync of it failed.
 func (w *Writer) segmentLost() bool {
 	return w.segment.evicted || w.segment.syncFailed.Load() || w.store.segments[w.segment.number] != w.segment
 }
 
-// superseded reports whether a purge covers the object, or a newer version of it was stored
-// by a faster fill.
+// superseded reports whether a purge covers the object, or a faster fill has stored a newer
+// version.
 func (w *Writer) superseded() bool {
 	store := w.store
 	if w.location.sincePurge < store.fillBarrier || store.purged(w.location.sincePurge, &w.meta) {
@@ -188,7 +190,7 @@
 	return err == nil && present.Key == w.meta.Key && present.Version > w.meta.Version
 }
 
-// Abort gives the object up.
+// Abort discards the object.
 func (w *Writer) Abort() {
 	w.store.mu.Lock()
 	defer w.store.mu.Unlock()
@@ -202,9 +204,8 @@
 	}
 }
 
-// Reader returns an object that reads what was written so far, also while more is: up to the
-// announced size, but no further than Write has returned for. It stays readable until its
-// Close.
+// Reader returns an object that reads the body while it is written. Only bytes for which Write
+// has returned may be read. The object stays readable until its Close.
 func (w *Writer) Reader() *CachedObject {
 	w.store.mu.Lock()
 	defer w.store.mu.Unlock()
