--- a/internal/cachenode/store/bench_test.go
+++ b/internal/cachenode/store/bench_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// BenchmarkRecover opens a store of so many objects again, after it was left without Close,
-// and reports what an object takes in memory.
+// BenchmarkRecover opens a store with n objects that was not closed, and reports the memory per
+// object.
 func BenchmarkRecover(b *testing.B) {
 	for _, n := range []int{10_000, 100_000, 1_000_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -25,7 +25,7 @@
 			for i := range n {
 				storeObject(b, store, fmt.Sprintf("/object/%d", i), 1, 64)
 			}
-			store.lock.Close() // as if it had been killed
+			store.lock.Close() // as a kill of the process does
 			var before, after runtime.MemStats
 			for b.Loop() {
 				b.StopTimer()
@@ -54,8 +54,9 @@
 	}
 }
 
-// BenchmarkLookup finds and reads objects of a size; beside it Go's file server on files of
-// that size, without a socket, and plain reads of open files, the machine's limit.
+// BenchmarkLookup looks up and reads objects of one size. For comparison, Go's file server serves
+// files of that size without sockets, and open files are read directly, which is the limit of the
+// machine.
 func BenchmarkLookup(b *testing.B) {
 	for _, kb := range []int{4, 64, 1024} {
 		const n = 200
@@ -118,8 +119,8 @@
 func (d *discard) Write(data []byte) (int, error) { return len(data), nil }
 func (d *discard) WriteHeader(int)                {}
 
-// BenchmarkWrite stores objects of 64 KB, ten times what the store holds, under each policy;
-// a tenth of them is found again and again. written/kept is the write amplification.
+// BenchmarkWrite stores objects of 64 KB in a store of 64 MB with each policy. A tenth of the objects
+// is looked up repeatedly. written/kept is the write amplification.
 func BenchmarkWrite(b *testing.B) {
 	for name, sync := range map[string]Sync{"purges": SyncPurges, "segments": SyncSegments, "copies": SyncObjects} {
 		b.Run(name, func(b *testing.B) {
@@ -153,7 +154,7 @@
 	}
 }
 
-// BenchmarkPurge is a purge until it lasts.
+// BenchmarkPurge makes purges by object, which are synced.
 func BenchmarkPurge(b *testing.B) {
 	store, _, err := Open(Dir(b.TempDir()), Options{})
 	if err != nil {
--- a/internal/cachenode/store/corruption_test.go
+++ b/internal/cachenode/store/corruption_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// Every single byte of every file flipped, and every file truncated at every length: what is
-// served is right, nothing that was purged comes back, and what is not touched is there
-// still.
+// Two bits of every byte of every file are flipped, one at a time, and every file is truncated at
+// every length. Each time the objects that are served have the right bodies, no purged object is
+// served, and most others are.
 func TestEveryByteCorrupted(t *testing.T) {
 	fs := newCrashFS()
 	options := Options{MaxBytes: 1 << 20, SegmentBytes: 8 << 10}
@@ -25,7 +25,7 @@
 		}
 	}
 	storeObject(t, store, "/k/20", 1, 100)
-	if _, err := store.Purge(Purge{Scope: ByObject, Text: "/k/4"}); err != nil { // the last thing before the end
+	if _, err := store.Purge(Purge{Scope: ByObject, Text: "/k/4"}); err != nil { // the last entry of both logs
 		t.Fatal(err)
 	}
 	names, _ := fs.List()
@@ -36,7 +36,7 @@
 		killed.files[name].data = data
 		store, _, err := Open(killed, options)
 		if errors.Is(err, ErrFormat) {
-			return // reported, and nothing is served
+			return // the corruption is reported, and nothing is served
 		}
 		if err != nil {
 			t.Fatalf("%s: %v", damage, err)
@@ -44,7 +44,7 @@
 		for i := range 21 {
 			if _, is := lookupChecked(t, store, fmt.Sprint("/k/", i)); is {
 				if i < 5 {
-					t.Fatalf("%s: /k/%d is back after its purge", damage, i)
+					t.Fatalf("%s: /k/%d is served after its purge", damage, i)
 				}
 				found++
 			}
@@ -62,8 +62,8 @@
 		}
 	}
 	if share := float64(found) / float64(8*tries); share < 0.6 {
-		t.Errorf("of what was not purged %.2f is found, over %d damages", share, tries)
+		t.Errorf("a share of %.2f of the objects that were not purged is found in %d cases, want 0.6 or more", share, tries)
 	} else {
-		t.Logf("of what was not purged %.2f is found, over %d damages", share, tries)
+		t.Logf("a share of %.2f of the objects that were not purged is found in %d cases", share, tries)
 	}
 }
--- a/internal/cachenode/store/crashfs_test.go
+++ b/internal/cachenode/store/crashfs_test.go
@@ -8,21 +8,21 @@
 	"sort"
 )
 
-// crashFS is a folder in memory that behaves as a disk does in a crash: of what was not
-// synced any part may be there afterwards, in any order, torn within a write. It can also
-// fail: after a number of calls all of it stops, or there is no space.
+// crashFS is an FS in memory that simulates crashes: afterwards any part of the unsynced changes may
+// be on disk, in any order, with torn writes. It can also stop or run out of space after a number of
+// writes.
 type crashFS struct {
-	files           map[string]*crashFile // as the process sees it
-	durable         map[string]*crashFile // names that last
-	pending         []func(map[string]*crashFile)
-	writesLeft      int // writes until it stops; -1: never
-	writesUntilFull int // writes until there is no space; -1: never
+	files           map[string]*crashFile         // as the process sees them
+	durable         map[string]*crashFile         // the files whose names are synced
+	pending         []func(map[string]*crashFile) // unsynced changes of names
+	writesLeft      int                           // changes until every call fails; -1: never
+	writesUntilFull int                           // writes until there is no space; -1: never
 	stopped         bool
 	locked          bool
-	// fault, if set, is asked before each call; its error is what the call gives.
-	// A write that fails has written half, a sync that fails has lost pages (lose).
+	// fault, if set, is called before each operation, which fails with the error that it returns.
+	// A failed write has written half of its data, a failed sync has lost some of the pages.
 	fault      func(op, name string) error
-	lostBySync bool // a sync failed, and dropped what it should have written
+	lostBySync bool // a failed sync has lost data
 	rng        *rand.Rand
 }
 
@@ -35,7 +35,7 @@
 type write struct {
 	offset     int64
 	data       []byte
-	truncateTo int64 // >= 0: a truncation
+	truncateTo int64 // >= 0: it is a truncation to this size; -1: it is a write
 }
 
 var (
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// beforeCall is countCall for a call that may fail by fault.
+// beforeCall is like countCall, for an operation that may also fail because of fault.
 func (c *crashFS) beforeCall(op, name string) error {
 	if err := c.countCall(); err != nil {
 		return err
@@ -78,17 +78,17 @@
 	return nil
 }
 
-func (c *crashFS) random() *rand.Rand { c.coin(); return c.rng }
+func (c *crashFS) random() *rand.Rand { c.randomBool(); return c.rng }
 
-// coin decides what a failing sync leaves behind.
-func (c *crashFS) coin() bool {
+// randomBool decides which changes a failed sync has written.
+func (c *crashFS) randomBool() bool {
 	if c.rng == nil {
 		c.rng = rand.New(rand.NewPCG(1, 2))
 	}
 	return c.rng.IntN(2) == 0
 }
 
-type handle struct {
+type crashHandle struct {
 	fs   *crashFS
 	file *crashFile
 	name string
@@ -107,7 +107,7 @@
 		c.files[name] = file
 		c.pending = append(c.pending, func(m map[string]*crashFile) { m[name] = file })
 	}
-	return &handle{c, file, name}, nil
+	return &crashHandle{c, file, name}, nil
 }
 
 func (c *crashFS) Rename(from, to string) error {
@@ -156,7 +156,7 @@
 	}
 	err := c.faultOf("syncdir", "")
 	for _, do := range c.pending {
-		if err == nil || c.coin() { // of one that fails, part is never tried again
+		if err == nil || c.randomBool() { // a failed sync loses some of the changes
 			do(c.durable)
 		}
 	}
@@ -179,7 +179,7 @@
 
 func (u crashLock) Close() error { u.fs.locked = false; return nil }
 
-func (h *handle) ReadAt(data []byte, off int64) (int, error) {
+func (h *crashHandle) ReadAt(data []byte, off int64) (int, error) {
 	if h.fs.stopped {
 		return 0, errStopped
 	}
@@ -210,7 +210,7 @@
 	return data
 }
 
-func (h *handle) WriteAt(data []byte, off int64) (int, error) {
+func (h *crashHandle) WriteAt(data []byte, off int64) (int, error) {
 	if err := h.fs.countCall(); err != nil {
 		return 0, err
 	}
@@ -218,7 +218,7 @@
 	if h.fs.writesUntilFull == 0 {
 		err = errNoSpace
 	}
-	if err != nil { // half of it still fits
+	if err != nil { // half of the data is written
 		change := write{off, append([]byte(nil), data[:len(data)/2]...), -1}
 		h.file.data, h.file.pending = applyWrite(h.file.data, change), append(h.file.pending, change)
 		return len(data) / 2, err
@@ -231,7 +231,7 @@
 	return len(data), nil
 }
 
-func (h *handle) Truncate(size int64) error {
+func (h *crashHandle) Truncate(size int64) error {
 	if err := h.fs.beforeCall("truncate", h.name); err != nil {
 		return err
 	}
@@ -240,35 +240,35 @@
 	return nil
 }
 
-func (h *handle) Sync() error {
+func (h *crashHandle) Sync() error {
 	if err := h.fs.countCall(); err != nil {
 		return err
 	}
 	err := h.fs.faultOf("sync", h.name)
 	for _, change := range h.file.pending {
-		if err == nil || h.fs.coin() {
+		if err == nil || h.fs.randomBool() {
 			h.file.synced = applyWrite(h.file.synced, change)
 		}
 	}
 	h.file.pending = nil
-	if err != nil { // the pages count as clean: a later sync succeeds, and does not write them
+	if err != nil { // the pages are marked as clean: a later sync succeeds without writing them
 		h.fs.lostBySync = true
-		if h.fs.coin() {
+		if h.fs.randomBool() {
 			h.file.data = append([]byte(nil), h.file.synced...)
 		}
 	}
 	return err
 }
 
-func (h *handle) Size() (int64, error) {
+func (h *crashHandle) Size() (int64, error) {
 	if err := h.fs.faultOf("size", h.name); err != nil {
 		return 0, err
 	}
 	return int64(len(h.file.data)), nil
 }
-func (h *handle) Close() error { return nil }
+func (h *crashHandle) Close() error { return nil }
 
-// afterKill is the folder after the process was killed: all that it wrote is there.
+// afterKill returns the folder after the process was killed: all its changes are present.
 func (c *crashFS) afterKill() *crashFS {
 	after := newCrashFS()
 	for name, file := range c.files {
@@ -278,7 +278,7 @@
 	return after
 }
 
-// afterCrash is the folder after the machine stopped.
+// afterCrash returns the folder after a crash of the machine.
 func (c *crashFS) afterCrash(rng *rand.Rand) *crashFS {
 	names := map[string]*crashFile{}
 	for n, file := range c.durable {
@@ -299,7 +299,7 @@
 		for _, change := range file.pending {
 			switch {
 			case rng.IntN(3) == 0:
-				continue // it never reached the disk
+				continue // the change has not reached the disk
 			case change.truncateTo < 0 && rng.IntN(4) == 0:
 				change.data = change.data[:rng.IntN(len(change.data)+1)] // torn
 			}
--- a/internal/cachenode/store/eviction_test.go
+++ b/internal/cachenode/store/eviction_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// An object that is being read stays readable when its segment is evicted, and says that it
-// is purged once it is.
+// An object that is being read stays readable after its segment was evicted, and reports a later
+// purge.
 func TestReadWhileEvicted(t *testing.T) {
 	store, _, err := Open(Dir(t.TempDir()), Options{MaxBytes: 64 << 10, SegmentBytes: 16 << 10})
 	if err != nil {
@@ -22,26 +22,27 @@
 		storeObject(t, store, fmt.Sprint("/x", i), 1, 10_000)
 	}
 	if _, ok := lookupChecked(t, store, "/a"); ok {
-		t.Error("it was not evicted")
+		t.Error("the object was not evicted")
 	}
 	data := make([]byte, 10_000)
 	if _, err := object.ReadAt(data, 0); err != nil && err != io.EOF || !bytes.Equal(data, bodyOf("/a", 1, 10_000)) {
-		t.Error("its bytes are gone for its reader")
+		t.Error("the body can't be read after the eviction")
 	}
 	if object.Purged() {
-		t.Error("it is purged, and there was no purge")
+		t.Error("the object is reported as purged without a purge")
 	}
 	store.Purge(Purge{Scope: ByPrefix, Text: "/"})
 	if !object.Purged() {
-		t.Error("a purge does not cover it")
+		t.Error("the object is not reported as purged")
 	}
 	object.Close()
 	if _, err := store.Begin(Meta{Key: "/big"}, 20_000); !errors.Is(err, ErrTooLarge) {
-		t.Error(err)
+		t.Errorf("error %v, want ErrTooLarge", err)
 	}
 }
 
-// Compaction keeps what is found again and again, over many times the room.
+// Compaction keeps an object that is looked up regularly, while many times the size of the store is
+// written.
 func TestCompactKeepsUsedObjects(t *testing.T) {
 	store, _, err := Open(Dir(t.TempDir()), Options{MaxBytes: 256 << 10, SegmentBytes: 16 << 10})
 	if err != nil {
@@ -52,7 +53,7 @@
 	for i := range 400 {
 		storeObject(t, store, fmt.Sprint("/x", i), 1, 3000)
 		if _, ok := lookupChecked(t, store, "/hot"); !ok {
-			t.Fatalf("it is gone after %d others", i)
+			t.Fatalf("the used object was evicted after %d others were stored", i)
 		}
 		for more := true; more; {
 			if _, more, err = store.Compact(8 << 10); err != nil {
@@ -61,6 +62,6 @@
 		}
 	}
 	if n, used := store.Usage(); n < 50 || used > 256<<10 {
-		t.Errorf("%d copies, %d bytes", n, used)
+		t.Errorf("%d objects, %d bytes; want 50 or more objects, %d bytes or less", n, used, 256<<10)
 	}
 }
--- a/internal/cachenode/store/fault_test.go
+++ b/internal/cachenode/store/fault_test.go
@@ -10,19 +10,18 @@
 	"time"
 )
 
-// testClock is a clock that a test moves.
+// testClock is a clock that tests set.
 type testClock struct{ now time.Time }
 
 func (c *testClock) Now() time.Time { return c.now }
 
-// wait lets more than the longest backoff pass, and the store try again.
+// retryAfterBackoff advances the clock by more than the longest backoff, and lets the store retry.
 func (c *testClock) retryAfterBackoff(store *Store) {
 	c.now = c.now.Add(2 * maxBackoff)
 	store.Retry()
 }
 
-// faulty is a store on a crashFS whose calls fail where op and the beginning of the name
-// match, while errno is not 0.
+// faultyStore is a store on a crashFS with injected faults.
 type faultyStore struct {
 	*Store
 	t         *testing.T
@@ -45,12 +44,13 @@
 	f.t.Helper()
 	var err error
 	if f.Store, f.recovered, err = Open(f.fs, f.options); err != nil {
-		f.t.Fatalf("it does not open: %v", err)
+		f.t.Fatalf("opening the store failed: %v", err)
 	}
 }
 
-// fail has calls fail from now on; op may name several, separated by spaces.
-func (f *faultyStore) fail(ops, prefix string, errno syscall.Errno) {
+// injectFault makes operations on files whose name begins with prefix fail from now on. ops may list
+// several operations, separated by spaces.
+func (f *faultyStore) injectFault(ops, prefix string, errno syscall.Errno) {
 	f.fs.fault = func(op, name string) error {
 		if strings.HasPrefix(name, prefix) && strings.Contains(" "+ops+" ", " "+op+" ") {
 			return errno
@@ -61,7 +61,7 @@
 
 func (f *faultyStore) endFault() { f.fs.fault = nil }
 
-// killed starts the store anew on what is there; faults stay.
+// restartAfterKill simulates a kill of the process and opens the store again, with the same faults.
 func (f *faultyStore) restartAfterKill() {
 	fault := f.fs.fault
 	f.fs = f.fs.afterKill()
@@ -83,9 +83,9 @@
 	return err
 }
 
-// A segment that can't be opened or read for a moment is not corrupt: its objects are
-// missed meanwhile and there again afterwards, but for those that were purged; the file
-// is not touched, also over a start meanwhile.
+// A segment that temporarily can't be opened or read is not treated as corrupt. During the fault its
+// objects are misses and the file is not changed, also across a restart. After the fault they are
+// found, except for those that were purged.
 func TestSegmentTemporarilyUnreadable(t *testing.T) {
 	for _, ops := range []string{"open", "size", "read"} {
 		t.Run(ops, func(t *testing.T) {
@@ -93,7 +93,7 @@
 			for _, key := range []string{"/a", "/b", "/c"} {
 				storeObject(t, faulty.Store, key, 1, 500)
 			}
-			faulty.fail(ops, "seg-", syscall.EIO)
+			faulty.injectFault(ops, "seg-", syscall.EIO)
 			faulty.restartAfterKill()
 			before := string(faulty.fs.files["seg-00000001.dat"].data)
 			faulty.expect("during the fault", map[string]bool{"/a": false, "/b": false})
@@ -101,9 +101,9 @@
 				t.Errorf("a purge while a segment can't be read: %v", err)
 			}
 			faulty.restartAfterKill()
-			faulty.expect("during the fault, after a start", map[string]bool{"/a": false})
+			faulty.expect("during the fault, after a restart", map[string]bool{"/a": false})
 			if file := faulty.fs.files["seg-00000001.dat"]; file == nil || string(file.data) != before {
-				t.Fatal("the segment was touched")
+				t.Fatal("the segment was changed")
 			}
 			faulty.endFault()
 			faulty.clock.retryAfterBackoff(faulty.Store)
@@ -114,8 +114,8 @@
 	}
 }
 
-// A log that can't be read for a moment: no object of before is served until it was, and
-// then all that was not purged, before or meanwhile.
+// While a log can't be read, no object stored before the start is served. Afterwards all are, except
+// for those that were purged before or during the fault.
 func TestLogTemporarilyUnreadable(t *testing.T) {
 	for _, name := range []string{purgeLogName, "index-", formatName, ""} {
 		for _, ops := range []string{"read", "open", "size", "list", "lock", "open read write sync syncdir rename"} {
@@ -127,7 +127,7 @@
 				if err := faulty.purge("/b"); err != nil {
 					t.Fatal(err)
 				}
-				faulty.fail(ops, name, syscall.EIO)
+				faulty.injectFault(ops, name, syscall.EIO)
 				faulty.restartAfterKill()
 				faulty.expect("during the fault", map[string]bool{"/b": false})
 				acknowledged := faulty.purge("/c") == nil
@@ -144,9 +144,8 @@
 	}
 }
 
-// A folder that fails for a while: writes and purges are refused with an error that
-// says what failed and since when; afterwards the store works again by itself, and purges
-// that were not acknowledged last.
+// While the folder fails, writes and purges are rejected. After the fault the store works again by
+// itself, and the purges that were not acknowledged are durable.
 func TestRecoversFromFault(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EIO} {
 		for _, ops := range []string{"write", "sync", "open", "syncdir", "rename", "write sync open rename syncdir remove"} {
@@ -162,7 +161,7 @@
 	for _, key := range []string{"/a", "/b", "/c"} {
 		storeObject(t, faulty.Store, key, 1, 2000)
 	}
-	faulty.fail(ops, "", errno)
+	faulty.injectFault(ops, "", errno)
 	for range 3 {
 		if writer, err := faulty.Begin(Meta{Key: "/x", Object: "/x"}, 3000); err == nil {
 			writer.Write(bodyOf("/x", 0, 3000))
@@ -174,7 +173,7 @@
 	faulty.endFault()
 	faulty.clock.retryAfterBackoff(faulty.Store)
 	if writer, err := faulty.Begin(Meta{Key: "/d"}, 0); err != nil {
-		t.Fatalf("nothing is stored after the fault: %v", err)
+		t.Fatalf("Begin after the fault: %v", err)
 	} else {
 		writer.Abort()
 	}
@@ -190,20 +189,20 @@
 	faulty.fs = faulty.fs.afterCrash(faulty.fs.random())
 	faulty.open()
 	if policy < SyncObjects {
-		delete(want, "/d") // a crash may take it
+		delete(want, "/d") // a crash may lose it
 	} else if !lost {
 		want["/a"] = true
 	}
 	faulty.expect("after a crash", want)
 }
 
-// A refusal says what failed and since when, Status as well; retries back off up to a
-// bound, and after a success begin anew.
+// Errors and Status report what has failed, and since when. The delay between retries grows up to a
+// limit.
 func TestFaultReported(t *testing.T) {
 	faulty := newFaultyStore(t, Options{})
 	storeObject(t, faulty.Store, "/a", 1, 100)
 	since := faulty.clock.now
-	faulty.fail("write sync", "", syscall.ENOSPC)
+	faulty.injectFault("write sync", "", syscall.ENOSPC)
 	for range 3 {
 		err := faulty.purge("/a")
 		var fault *FaultError
@@ -227,7 +226,7 @@
 		faulty.Retry()
 	}
 	if retries < 10 || retries > 12 {
-		t.Errorf("%d retries in 20 s", retries)
+		t.Errorf("%d retries in 20 s, want 10 to 12", retries)
 	}
 	faulty.endFault()
 	faulty.clock.retryAfterBackoff(faulty.Store)
@@ -235,11 +234,11 @@
 		t.Errorf("%+v", status)
 	}
 	faulty.restartAfterKill()
-	faulty.expect("a purge that was refused, made to last without being asked again", map[string]bool{"/a": false})
+	faulty.expect("after a retry has made the rejected purge durable", map[string]bool{"/a": false})
 }
 
-// A segment whose sync failed is written anew from what the kernel has, and not from
-// what it lost; also where it can't be read at first.
+// The objects of a segment whose sync has failed are rewritten if the kernel still has their data,
+// and dropped otherwise, also if the segment can't be read at first.
 func TestSyncOfSegmentFails(t *testing.T) {
 	for seed := range uint64(20) {
 		faulty := newFaultyStore(t, Options{Sync: SyncSegments, SegmentBytes: 4096, MaxBytes: 1 << 20})
@@ -247,16 +246,16 @@
 		storeObject(t, faulty.Store, "/a", 1, 1500)
 		storeObject(t, faulty.Store, "/b", 1, 1500)
 		reader, buf := faulty.Lookup("/a"), make([]byte, 1500)
-		faulty.fail("sync read", "seg-", syscall.EIO)
+		faulty.injectFault("sync read", "seg-", syscall.EIO)
 		if _, err := faulty.Begin(Meta{Key: "/c"}, 3000); !errors.Is(err, syscall.EIO) {
 			t.Fatal(err)
 		}
 		faulty.expect("during the fault", map[string]bool{"/a": false, "/b": false})
 		faulty.endFault()
 		if n, err := reader.ReadAt(buf, 0); err == nil || n > 0 {
-			t.Errorf("seed %d: a reader goes on, from what a sync may have lost", seed)
+			t.Errorf("seed %d: a reader got data that a failed sync may have lost", seed)
 		}
-		faulty.fail("read", "seg-", syscall.EIO)
+		faulty.injectFault("read", "seg-", syscall.EIO)
 		faulty.clock.retryAfterBackoff(faulty.Store)
 		faulty.endFault()
 		faulty.clock.retryAfterBackoff(faulty.Store)
@@ -264,15 +263,15 @@
 		if status.Fault != nil || status.UnreadableSegments > 0 || lost+faulty.Stats.Rewritten != 2 {
 			t.Errorf("seed %d: %+v, %d lost, %d rewritten", seed, status, lost, faulty.Stats.Rewritten)
 		}
-		faulty.expect("afterwards", map[string]bool{"/a": faulty.Lookup("/a") != nil, "/b": faulty.Lookup("/b") != nil}) // with the bytes they had
+		faulty.expect("afterwards", map[string]bool{"/a": faulty.Lookup("/a") != nil, "/b": faulty.Lookup("/b") != nil}) // checks the bodies
 		if n, _ := faulty.Usage(); n != 2-int(lost) {
 			t.Errorf("seed %d: %d objects", seed, n)
 		}
 	}
 }
 
-// A start that was killed while it wrote the format is taken up again; in a folder that has
-// objects, a truncated format is an unknown one.
+// A start that was killed while it wrote the format file can be repeated. In a folder with objects a
+// truncated format file means another format.
 func TestFormatTruncatedByKill(t *testing.T) {
 	faulty := newFaultyStore(t, Options{})
 	storeObject(t, faulty.Store, "/a", 1, 100)
@@ -285,23 +284,24 @@
 		faulty.open()
 		storeObject(t, faulty.Store, "/a", 1, 100)
 		faulty.restartAfterKill()
-		faulty.expect(fmt.Sprintf("the format truncated at %d", n), map[string]bool{"/a": true})
+		faulty.expect(fmt.Sprintf("format file truncated to %d bytes", n), map[string]bool{"/a": true})
 		full.files[formatName].data = text
 		if _, _, err := Open(full.afterKill(), faulty.options); n > 0 && !errors.Is(err, ErrFormat) {
-			t.Errorf("the format of a folder in use, truncated at %d: %v", n, err)
+			t.Errorf("folder with objects, format file truncated to %d bytes: error %v, want ErrFormat", n, err)
 		}
 	}
 }
 
-// Purges that wait while the disk fails are bounded.
+// The number of purges that are kept while the logs can't be read is limited. If it is exceeded, all
+// objects stored before the start are dropped.
 func TestPendingPurgesBounded(t *testing.T) {
 	faulty := newFaultyStore(t, Options{})
 	storeObject(t, faulty.Store, "/a", 1, 100)
-	faulty.fail("read", "", syscall.EIO)
+	faulty.injectFault("read", "", syscall.EIO)
 	faulty.restartAfterKill()
 	for i := range maxPendingPurges + 1 {
 		if faulty.purge(fmt.Sprint("/x", i)) == nil {
-			t.Fatal("acknowledged")
+			t.Fatal("a purge was acknowledged although the logs can't be read")
 		}
 	}
 	faulty.endFault()
@@ -309,5 +309,5 @@
 	if status := faulty.Status(); status.Found.DiscardReason == "" || len(faulty.pendingPurges) > 0 {
 		t.Errorf("%+v", status)
 	}
-	faulty.expect("more purges came than are remembered", map[string]bool{"/a": false})
+	faulty.expect("after more purges than are kept", map[string]bool{"/a": false})
 }
--- a/internal/cachenode/store/folder_test.go
+++ b/internal/cachenode/store/folder_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// A folder serves one process; one of another format is refused, and left as it is.
+// A folder can be used by one process only. Open rejects a folder of another format and doesn't
+// change it.
 func TestFolderLockAndFormat(t *testing.T) {
 	dir := t.TempDir()
 	store, _, err := Open(Dir(dir), Options{})
@@ -16,7 +17,7 @@
 		t.Fatal(err)
 	}
 	if _, _, err := Open(Dir(dir), Options{}); err == nil || !strings.Contains(err.Error(), dir) {
-		t.Errorf("a second process: %v", err)
+		t.Errorf("second Open of the folder: error %v, want one that names %s", err, dir)
 	}
 	storeObject(t, store, "/a", 1, 5000)
 	if err := store.Close(); err != nil {
@@ -30,7 +31,7 @@
 		t.Fatal(recovered, err)
 	}
 	if _, ok := lookupChecked(t, store, "/a"); !ok {
-		t.Error("it is gone")
+		t.Error("/a is missing after the folder was opened again")
 	}
 	store.Close()
 	if err := os.WriteFile(filepath.Join(dir, formatName), []byte("indigospool store 0\n"), 0o600); err != nil {
@@ -43,8 +44,8 @@
 	}
 }
 
-// The disk is full in the middle of a fill: nothing incomplete is stored, what was there is
-// found, more is refused and warned of, and purges still hold.
+// The disk becomes full during a fill. The incomplete object is not stored, earlier ones are found,
+// new ones are rejected with a warning, and purges apply.
 func TestDiskFull(t *testing.T) {
 	fs := newCrashFS()
 	warnings := ""
@@ -70,11 +71,11 @@
 		t.Error(err, warnings)
 	}
 	if _, err := store.Purge(Purge{Scope: ByObject, Text: "/b"}); err == nil {
-		t.Error("a purge that does not last is acknowledged")
+		t.Error("a purge is acknowledged although it could not be written")
 	}
 	for key, want := range map[string]bool{"/a": true, "/b": false, "/c": false} {
 		if _, ok := lookupChecked(t, store, key); ok != want {
-			t.Errorf("%s: %v", key, ok)
+			t.Errorf("%s is found: %v, want %v", key, ok, want)
 		}
 	}
 	killed := fs.afterKill()
@@ -82,7 +83,7 @@
 		t.Fatal(err)
 	}
 	if _, ok := lookupChecked(t, store, "/a"); !ok {
-		t.Error("/a is gone after the start")
+		t.Error("/a is missing after the restart")
 	}
 	if _, ok := lookupChecked(t, store, "/c"); ok {
 		t.Error("an incomplete object is served")
--- a/internal/cachenode/store/index_bench_test.go
+++ b/internal/cachenode/store/index_bench_test.go
@@ -10,8 +10,8 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// BenchmarkIndex writes and finds locations in an index of 100,000: in bbolt, with a commit
-// for each as the store would need it (not synced), and in the store's own.
+// BenchmarkIndex writes and finds locations in an index of 100,000 entries: in bbolt, with one
+// unsynced commit for each write as the store would need it, and in the store's own index.
 func BenchmarkIndex(b *testing.B) {
 	const n = 100_000
 	locationOf := func(i int) location {
@@ -64,7 +64,7 @@
 			}
 		})
 		if st, err := os.Stat(file); err == nil {
-			b.Logf("%d bytes of disk a location", st.Size()/n)
+			b.Logf("%d bytes on disk per location", st.Size()/n)
 		}
 	})
 	b.Run("own", func(b *testing.B) {
--- a/internal/cachenode/store/kill_test.go
+++ b/internal/cachenode/store/kill_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// writeUntilKilled is what the killed process does: it stores objects and purges some, and
-// prints what was acknowledged.
+// writeUntilKilled runs in the process that is killed. It stores objects, purges some, and prints
+// what the store has acknowledged.
 func writeUntilKilled(dir string, seed uint64) {
 	store, recovered, err := Open(Dir(dir), Options{MaxBytes: 8 << 20, SegmentBytes: 256 << 10})
 	if err != nil {
@@ -48,9 +48,9 @@
 	}
 }
 
-// A process that is killed at any time, again and again on one folder: each object that it
-// acknowledged is found with its bytes, unless it was purged or evicted, and what it
-// acknowledged as purged never comes back.
+// A process is killed at random times, repeatedly on one folder. The objects that it has
+// acknowledged as stored are found with their bodies, unless they were purged or evicted, and those
+// that it has acknowledged as purged are never found again.
 func TestKilled(t *testing.T) {
 	if dir := os.Getenv("STORE_WRITE_ON"); dir != "" {
 		var seed uint64
@@ -98,9 +98,9 @@
 			got, ok := lookupChecked(t, store, key)
 			switch {
 			case ok && got < purged[key]:
-				t.Fatalf("round %d: %s is back in version %d, purged up to %d", round, key, got, purged[key])
+				t.Fatalf("round %d: %s is found in version %d, purged before version %d", round, key, got, purged[key])
 			case ok && got < stored:
-				t.Fatalf("round %d: %s is found in version %d, %d was stored", round, key, got, stored)
+				t.Fatalf("round %d: %s is found in version %d, but version %d was stored", round, key, got, stored)
 			case stored >= purged[key]:
 				expect++
 				if ok {
@@ -113,7 +113,7 @@
 		}
 	}
 	if expect == 0 || float64(found) < 0.95*float64(expect) {
-		t.Errorf("%d of %d are found", found, expect)
+		t.Errorf("%d of %d stored objects are found, want 95 %% or more", found, expect)
 	}
-	t.Logf("%d kills: %d of %d that were stored and not purged are found", rounds, found, expect)
+	t.Logf("%d kills: %d of %d objects that were stored and not purged are found", rounds, found, expect)
 }
--- a/internal/cachenode/store/model_test.go
+++ b/internal/cachenode/store/model_test.go
@@ -14,15 +14,15 @@
 	"pgregory.net/rapid"
 )
 
-// storedObject is what the model knows of an object that was stored.
+// storedObject is the model's record of an object that was written.
 type storedObject struct {
 	meta  Meta
 	body  []byte
-	since int // purges that were made before its fill began
+	since int // number of purges made before its fill began
 }
 
-// model is a store as a map: every object that was ever stored under each key, and all
-// purges.
+// model describes a store: all objects that were ever written under each key, the latest ones that
+// must be found, and all purges.
 type model struct {
 	stored       map[string][]storedObject
 	latest       map[string]*storedObject
@@ -30,10 +30,10 @@
 	acknowledged []bool
 }
 
-// purged reports whether a purge covers an object; maybe: also one that was not acknowledged.
-func (m *model) purged(object *storedObject, maybe bool) bool {
+// purged reports whether an acknowledged purge covers an object or, with unacknowledged, any purge.
+func (m *model) purged(object *storedObject, unacknowledged bool) bool {
 	for i, purge := range m.purges {
-		if !m.acknowledged[i] && !maybe {
+		if !m.acknowledged[i] && !unacknowledged {
 			continue
 		}
 		hit := purge.Scope == ByObject && purge.Text == object.meta.Object || purge.Scope == ByGroup && purge.Group == object.meta.Group ||
@@ -54,16 +54,15 @@
 	return false
 }
 
-// Any sequence of writes, purges, lookups and compactions, with the process killed or the
-// machine stopped at any write, and anything that was not synced lost, in part or in any
-// order: what is found is an object that was stored, complete, and no acknowledged purge
-// covers it; after a kill, and after a crash where objects are synced, all that was stored is
-// found but for what was evicted.
+// Random sequences of writes, purges, lookups and compactions run with kills of the process and
+// crashes of the machine at any write. A crash loses any part of the unsynced data. Each object that
+// is found was written, is complete, and is not covered by an acknowledged purge. After a kill, and
+// after a crash if objects are synced, all stored objects are found, except for evicted ones.
 func TestModel(t *testing.T) { checkModel(t, false) }
 
-// The same with a disk that fails for a while, again and again (ENOSPC, EIO, short writes,
-// syncs that fail and lose their pages), and with kills and crashes meanwhile: besides, the
-// store works again by itself afterwards, and has lost nothing but what a sync lost.
+// The same as TestModel, with a disk that fails temporarily (ENOSPC, EIO, short writes, syncs that
+// fail and lose pages), also during kills and crashes. After each fault the store works again by
+// itself, and has lost only what a failed sync has lost.
 func TestModelWithFaults(t *testing.T) { checkModel(t, true) }
 
 func checkModel(t *testing.T, faults bool) {
@@ -81,33 +80,33 @@
 	object storedObject
 }
 
-// modelRun is a store, and the model that it is held against.
+// modelRun has a store and the model that it is compared with.
 type modelRun struct {
-	t        *rapid.T
-	rng      *rand.Rand
-	options  Options
-	roomy    bool // nothing is evicted
-	faults   bool
-	clock    testClock
-	fs       *crashFS
-	store    *Store
-	expected *model
-	version  int64
-	born     int64
-	writers  []openWriter
-	renewed  map[string]bool // since the last start: a crash may tear their heads
-	lossy    bool            // objects may be lost that are not synced
-	gaveUp   bool            // any object may be lost
+	t               *rapid.T
+	rng             *rand.Rand
+	options         Options
+	noEviction      bool // the store is so large that no object is evicted
+	faults          bool
+	clock           testClock
+	fs              *crashFS
+	store           *Store
+	expected        *model
+	version         int64
+	lastGeneratedAt int64
+	writers         []openWriter
+	revalidated     map[string]bool // keys revalidated since the last start: a crash may tear the heads
+	mayLoseUnsynced bool            // unsynced objects may be lost
+	mayLoseAny      bool            // any object may be lost
 }
 
 func newModelRun(t *rapid.T, faults bool) *modelRun {
 	rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 5))
-	r := &modelRun{t: t, rng: rng, faults: faults, born: 1000, renewed: map[string]bool{},
+	r := &modelRun{t: t, rng: rng, faults: faults, lastGeneratedAt: 1000, revalidated: map[string]bool{},
 		clock:    testClock{time.Unix(1_700_000_000, 0)},
 		expected: &model{stored: map[string][]storedObject{}, latest: map[string]*storedObject{}}}
 	r.options = Options{MaxBytes: 64 << 10, SegmentBytes: 8 << 10, Sync: Sync(rng.IntN(3)), MaxPurgeRules: 4}
-	r.roomy = rng.IntN(2) == 0
-	if r.roomy {
+	r.noEviction = rng.IntN(2) == 0
+	if r.noEviction {
 		r.options.MaxBytes = 64 << 20
 		r.options.SegmentBytes = 32 << 10
 	}
@@ -121,14 +120,15 @@
 	return r
 }
 
-// verify looks up all keys; mustAll: what was stored last and not purged has to be there.
-func (r *modelRun) verify(mustAll bool) {
+// verify looks up all keys. With allStored, the latest object of each key must be found unless it
+// was purged.
+func (r *modelRun) verify(allStored bool) {
 	for i := range 40 {
 		key := fmt.Sprintf("/k/%d", i)
 		found := r.store.Lookup(key)
 		if found == nil {
-			if latest := r.expected.latest[key]; mustAll && latest != nil && !r.expected.purged(latest, true) {
-				r.t.Fatalf("%s is gone", key)
+			if latest := r.expected.latest[key]; allStored && latest != nil && !r.expected.purged(latest, true) {
+				r.t.Fatalf("%s is not found", key)
 			}
 			continue
 		}
@@ -144,7 +144,7 @@
 		return
 	}
 	if int64(n) != found.Size {
-		r.t.Fatalf("%s: %d bytes of %d, %v", key, n, found.Size, err)
+		r.t.Fatalf("%s: read %d of %d bytes, error %v", key, n, found.Size, err)
 	}
 	ok := false
 	for i := range r.expected.stored[key] {
@@ -152,26 +152,26 @@
 		if bytes.Equal(object.body, body) && object.meta.Version == found.Version && object.meta.GeneratedAt == found.GeneratedAt {
 			ok = true
 			if r.expected.purged(object, false) {
-				r.t.Fatalf("%s is served in version %d after a purge that was acknowledged", key, found.Version)
+				r.t.Fatalf("%s is served in version %d after an acknowledged purge of it", key, found.Version)
 			}
 		}
 	}
 	if !ok {
-		r.t.Fatalf("%s is served as it never was: %d bytes, version %d", key, found.Size, found.Version)
+		r.t.Fatalf("%s is served with %d bytes in version %d, which were never written", key, found.Size, found.Version)
 	}
 }
 
-// settled verifies what is there once the disk works; what was lost is not missed from here
-// on.
-func (r *modelRun) settled() {
-	r.verify(r.roomy && !r.gaveUp && (!r.lossy || r.options.Sync == SyncObjects))
+// verifyRecovered verifies the store when the disk works. From then on the objects that were lost
+// until now are not expected.
+func (r *modelRun) verifyRecovered() {
+	r.verify(r.noEviction && !r.mayLoseAny && (!r.mayLoseUnsynced || r.options.Sync == SyncObjects))
 	for key, latest := range r.expected.latest {
 		found := r.store.Lookup(key)
 		if found == nil {
 			r.expected.latest[key] = nil
 			continue
 		}
-		if !r.renewed[key] && (latest == nil || found.GeneratedAt != latest.meta.GeneratedAt) {
+		if !r.revalidated[key] && (latest == nil || found.GeneratedAt != latest.meta.GeneratedAt) {
 			for i := range r.expected.stored[key] {
 				if r.expected.stored[key][i].meta.GeneratedAt == found.GeneratedAt {
 					r.expected.latest[key] = &r.expected.stored[key][i]
@@ -180,14 +180,14 @@
 		}
 		found.Close()
 	}
-	r.lossy, r.gaveUp, r.fs.lostBySync = false, false, false
+	r.mayLoseUnsynced, r.mayLoseAny, r.fs.lostBySync = false, false, false
 }
 
-// step is one of everything that may happen.
+// step performs a random operation.
 func (r *modelRun) step() {
 	r.clock.now = r.clock.now.Add(time.Duration(r.rng.IntN(100)) * time.Millisecond)
-	r.lossy = r.lossy || r.fs.lostBySync
-	r.gaveUp = r.gaveUp || r.store.unversionedRules >= 4*r.options.MaxPurgeRules && r.fs.fault != nil
+	r.mayLoseUnsynced = r.mayLoseUnsynced || r.fs.lostBySync
+	r.mayLoseAny = r.mayLoseAny || r.store.unversionedRules >= 4*r.options.MaxPurgeRules && r.fs.fault != nil
 	switch {
 	case !r.faults || r.fs.stopped:
 	case r.fs.fault == nil && r.rng.IntN(12) == 0:
@@ -196,9 +196,9 @@
 		r.fs.fault = nil
 		r.clock.retryAfterBackoff(r.store)
 		if status := r.store.Status(); status.Fault != nil || status.LogsUnread || !status.PurgesDurable {
-			r.t.Fatalf("it does not work again: %+v", status)
+			r.t.Fatalf("the store does not work after the fault: %+v", status)
 		}
-		r.settled()
+		r.verifyRecovered()
 	}
 	if r.rng.IntN(30) == 0 {
 		r.store.Retry()
@@ -218,7 +218,7 @@
 	case n == 8:
 		r.purge()
 	case r.rng.IntN(3) == 0:
-		r.renew()
+		r.revalidate()
 	case r.rng.IntN(2) == 0:
 		r.store.Compact(int64(r.rng.IntN(8 << 10)))
 	default:
@@ -228,17 +228,17 @@
 	}
 }
 
-// restart kills the process, or stops the machine, also while it recovers.
+// restart kills the process or crashes the machine, possibly once more during the recovery.
 func (r *modelRun) restart() {
 	how := r.rng.IntN(3)
 	fault := r.fs.fault
-	r.lossy = r.lossy || r.fs.lostBySync
+	r.mayLoseUnsynced = r.mayLoseUnsynced || r.fs.lostBySync
 	switch how {
 	case 0:
 		r.fs = r.fs.afterKill()
 	case 1:
 		r.fs = r.fs.afterCrash(r.rng)
-	default: // the recovery is stopped too
+	default: // a crash during the recovery
 		r.fs = r.fs.afterKill()
 		r.fs.writesLeft = r.rng.IntN(30)
 		if store, _, err := Open(r.fs, r.options); err == nil {
@@ -247,30 +247,30 @@
 		}
 		r.fs = r.fs.afterCrash(r.rng)
 	}
-	r.writers, r.renewed = nil, map[string]bool{}
-	r.lossy = r.lossy || how > 0
+	r.writers, r.revalidated = nil, map[string]bool{}
+	r.mayLoseUnsynced = r.mayLoseUnsynced || how > 0
 	r.fs.rng = r.rng
 	if r.rng.IntN(2) == 0 {
 		r.fs.fault = fault
 	}
 	var err error
 	if r.store, _, err = Open(r.fs, r.options); err != nil {
-		r.t.Fatalf("it does not open again: %v", err)
+		r.t.Fatalf("opening the store again failed: %v", err)
 	}
 	if r.fs.fault != nil {
 		r.verify(false)
 		return
 	}
-	r.settled()
+	r.verifyRecovered()
 }
 
 func (r *modelRun) begin() {
 	if r.rng.IntN(3) == 0 {
 		r.version++
 	}
-	r.born++
+	r.lastGeneratedAt++
 	key := fmt.Sprintf("/k/%d", r.rng.IntN(40))
-	object := storedObject{meta: Meta{Key: key, Object: "/o/" + key[3:], Group: int32(r.rng.IntN(4)), Tags: []string{fmt.Sprint("t", r.rng.IntN(4))}, GeneratedAt: r.born,
+	object := storedObject{meta: Meta{Key: key, Object: "/o/" + key[3:], Group: int32(r.rng.IntN(4)), Tags: []string{fmt.Sprint("t", r.rng.IntN(4))}, GeneratedAt: r.lastGeneratedAt,
 		Rank: 1 + r.rng.IntN(3)}, body: make([]byte, r.rng.IntN(3000)), since: len(r.expected.purges)}
 	if r.rng.IntN(2) == 0 {
 		object.meta.Version = max(r.version-int64(r.rng.IntN(3)), 1)
@@ -300,7 +300,7 @@
 	}
 	open.writer.Write(object.body[:cut/2])
 	open.writer.Write(object.body[cut/2 : cut])
-	// it may last although it was not said to
+	// The object may be stored even if Commit does not report it.
 	r.expected.stored[key] = append(r.expected.stored[key], object)
 	stored, err := open.writer.Commit()
 	if stored {
@@ -308,8 +308,8 @@
 			r.t.Fatal("an incomplete object was stored")
 		}
 		r.expected.latest[key] = &object
-	} else if err == nil && !r.expected.purged(&object, true) && r.roomy && object.meta.Version == 0 && len(r.expected.purges) < 3 && !r.faults {
-		r.t.Fatal("an object was not stored, and no purge covers it")
+	} else if err == nil && !r.expected.purged(&object, true) && r.noEviction && object.meta.Version == 0 && len(r.expected.purges) < 3 && !r.faults {
+		r.t.Fatal("an object was not stored although no purge covers it")
 	}
 }
 
@@ -333,27 +333,27 @@
 	r.expected.acknowledged = append(r.expected.acknowledged, err == nil)
 }
 
-// renew has an object's source confirm it.
-func (r *modelRun) renew() {
+// revalidate records for a random object that its source has confirmed it.
+func (r *modelRun) revalidate() {
 	key := fmt.Sprintf("/k/%d", r.rng.IntN(40))
 	found := r.store.Lookup(key)
 	if found == nil {
 		return
 	}
 	defer found.Close()
-	r.born++
+	r.lastGeneratedAt++
 	for _, object := range r.expected.stored[key] {
-		if object.meta.GeneratedAt == found.GeneratedAt { // the new head may last or not, or be torn by a kill
-			object.meta.GeneratedAt = r.born
+		if object.meta.GeneratedAt == found.GeneratedAt { // after a kill or a crash the head may be the old one, the new one or torn
+			object.meta.GeneratedAt = r.lastGeneratedAt
 			r.expected.stored[key] = append(r.expected.stored[key], object)
-			r.expected.latest[key], r.renewed[key] = nil, true
+			r.expected.latest[key], r.revalidated[key] = nil, true
 			break
 		}
 	}
-	found.Revalidated(r.born)
+	found.Revalidated(r.lastGeneratedAt)
 }
 
-// randomFault has some of the calls fail, some of the time.
+// randomFault returns a fault that makes some kinds of operations fail, some of the time.
 func randomFault(rng *rand.Rand) func(op, name string) error {
 	ops := map[string]bool{}
 	for _, op := range []string{"open", "read", "write", "sync", "syncdir", "rename", "remove", "list", "size", "truncate"} {
@@ -361,9 +361,9 @@
 	}
 	errno := []syscall.Errno{syscall.ENOSPC, syscall.EIO}[rng.IntN(2)]
 	prefix := []string{"", "", "seg-", "index-", purgeLogName}[rng.IntN(5)]
-	often := 1 + rng.IntN(4) // in four
+	quarters := 1 + rng.IntN(4) // probability of a failure, in quarters
 	return func(op, name string) error {
-		if ops[op] && strings.HasPrefix(name, prefix) && rng.IntN(4) < often {
+		if ops[op] && strings.HasPrefix(name, prefix) && rng.IntN(4) < quarters {
 			return errno
 		}
 		return nil
--- a/internal/cachenode/store/purge_test.go
+++ b/internal/cachenode/store/purge_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A fill that was in flight when the rules were settled is not committed: its purge is
-// forgotten by then.
+// A fill that was in flight when the purge rules were retired is not committed, since a purge that
+// covers it may have been discarded.
 func TestFillAcrossRetiredRulesNotCommitted(t *testing.T) {
 	s, _, err := Open(newCrashFS(), Options{MaxPurgeRules: 4})
 	if err != nil {
@@ -23,21 +23,21 @@
 		}
 	}
 	if len(s.purgeRules) != 0 {
-		t.Fatalf("%d rules are left", len(s.purgeRules))
+		t.Fatalf("%d rules remain, want 0", len(s.purgeRules))
 	}
 	if _, err := writer.Write(bodyOf("/a", 1, 100)); err != nil {
 		t.Fatal(err)
 	}
 	if stored, err := writer.Commit(); stored || err != nil {
-		t.Errorf("stored %v, %v", stored, err)
+		t.Errorf("stored %v, error %v; want false, nil", stored, err)
 	}
 	if s.Lookup("/a") != nil {
-		t.Error("an object that was purged is served")
+		t.Error("a purged object is served")
 	}
 }
 
-// After a checkpoint either log has the purges: with the other corrupt as a whole, none
-// comes back.
+// After a checkpoint each log has all purges: if the other one is completely corrupt, no purged
+// object is served.
 func TestPurgesInBothLogsAfterCheckpoint(t *testing.T) {
 	for _, corrupt := range []string{purgeLogName, "index-000002.log"} {
 		t.Run(corrupt, func(t *testing.T) {
@@ -50,7 +50,7 @@
 			faulty.restartAfterKill()
 			file := faulty.fs.files[corrupt]
 			if file == nil {
-				t.Fatalf("no such file among %d", len(faulty.fs.files))
+				t.Fatalf("the file is missing, there are %d others", len(faulty.fs.files))
 			}
 			for i := range file.data {
 				file.data[i] ^= 0x55
--- a/internal/cachenode/store/statepage_test.go
+++ b/internal/cachenode/store/statepage_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The state page of a cache has these keys whatever the fields are called.
+// The keys on the state page of a cache don't depend on the names of the fields.
 func TestStatePageKeys(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -20,7 +20,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			got, err := json.Marshal(c.value)
 			if err != nil || string(got) != c.want {
-				t.Errorf("%s, %v; want %s", got, err, c.want)
+				t.Errorf("got %s, error %v; want %s", got, err, c.want)
 			}
 		})
 	}
--- a/internal/cachenode/store/testobject_test.go
+++ b/internal/cachenode/store/testobject_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// bodyOf is the body of a key's version.
+// bodyOf returns the body of a version of a key.
 func bodyOf(key string, version int64, size int) []byte {
 	rng := rand.New(rand.NewPCG(uint64(version), uint64(len(key))*31+uint64(key[len(key)-1])))
 	data := make([]byte, size)
@@ -17,7 +17,8 @@
 	return data
 }
 
-// storeObject stores an object; false: it was overtaken.
+// storeObject writes an object and reports whether it was stored. It is not if a purge covers it or
+// a newer version is stored.
 func storeObject(t testing.TB, store *Store, key string, version int64, size int) bool {
 	t.Helper()
 	writer, err := store.Begin(Meta{Key: key, Object: key, Group: int32(size % 3), Version: version, GeneratedAt: version, Rank: 2}, int64(size))
@@ -34,7 +35,8 @@
 	return ok
 }
 
-// lookupChecked reports whether a key is found, and sees that the body is that of its version.
+// lookupChecked looks up a key, reports whether it is found, and checks that the body is that of
+// the version.
 func lookupChecked(t testing.TB, store *Store, key string) (version int64, found bool) {
 	t.Helper()
 	object := store.Lookup(key)
@@ -47,7 +49,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(data, bodyOf(key, object.Version, len(data))) || object.Key != key {
-		t.Fatalf("%s is served with bytes that it never had", key)
+		t.Fatalf("%s is served with a body that was never stored", key)
 	}
 	return object.Version, true
 }
