--- a/internal/cachenode/server/cache.go
+++ b/internal/cachenode/server/cache.go
@@ -67,11 +67,11 @@
 	addr          string // of the listening socket
 	store         *store.Store
 	disk          *store.Threads
-	Recovered     store.Recovered
-	warn          func(string)
-	startWall     time.Time // wall-clock time at the start
-	retrying      bool      // a thread is retrying what failed on the disk
-	startedAt     time.Time // the same moment as startWall, on the monotonic clock
+	Recovered     store.Recovered // what the store has found on disk at the start
+	warn          func(string)    // receives messages for the operator
+	startWall     time.Time       // wall-clock time at the start
+	retrying      bool            // a thread is retrying what failed on the disk
+	startedAt     time.Time       // the same moment as startWall, on the monotonic clock
 	conns         map[*conn]struct{}
 	fills         map[string]*fill // by key: the fill that requests may join
 	fillsInFlight int
@@ -85,7 +85,7 @@
 	OnEvent func(Event)
 }
 
-// Event is an event of an attempt on the sockets of the server, for Server.OnEvent.
+// Event is a step in the handling of an attempt, for Server.OnEvent.
 type Event struct {
 	What    string // recv: a request was received; sent: its response was begun; done: all of the response was sent; left: the client closed the connection before that
 	Attempt *fetchheader.Attempt
@@ -117,7 +117,8 @@
 	In, Out int64 // bytes received from sources, and sent to clients
 }
 
-// Start opens the store and begins to listen. Run serves requests.
+// Start opens the store and begins to listen. Requests are served by Run. warn, if not nil,
+// receives messages for the operator.
 func Start(cfg Config, warn func(string)) (*Server, error) {
 	return StartWithFS(store.Dir(cfg.Folder), cfg, warn)
 }
@@ -233,7 +234,8 @@
 	s.loop.Arm(&c.idleTimer, s.cfg.IdleTimeout)
 }
 
-// maxPipelinedBytes is the input of a connection that is buffered while a request is handled.
+// maxPipelinedBytes limits the pipelined input that a connection buffers while it handles a
+// request. Above the limit it does not read until the request is answered.
 const maxPipelinedBytes = 64 << 10
 
 // conn is a connection from a client: a router, another cache, or a user.
@@ -278,7 +280,7 @@
 func (c *conn) processInput() {
 	for !c.closed && len(c.readBuffer) > 0 {
 		if c.request != nil && !c.headParsed {
-			if len(c.readBuffer) > maxPipelinedBytes { // pipelined requests: read no more until the current one is answered
+			if len(c.readBuffer) > maxPipelinedBytes {
 				c.server.loop.Want(c.fd, 0)
 			}
 			return
@@ -454,7 +456,7 @@
 	joined        bool   // it has joined a fill of another request
 	burstTurn     uint64 // last turn of the loop in which the request sent data
 	burstBytes    int64  // bytes sent in that turn
-	answered      bool   // the event "sent" was emitted
+	answered      bool   // the response has begun
 	background    bool   // it validates an object in the background, and has no client
 }
 
--- a/internal/cachenode/store/compact.go
+++ b/internal/cachenode/store/compact.go
@@ -64,7 +64,7 @@
 	}
 	if err != nil {
 		s.Stats.Corrupt++
-		s.options.Warn(fmt.Sprintf("store: dropping the object at offset %d of %s: %v", loc.offset(), segmentName(loc.segment), err))
+		s.options.Warn(fmt.Sprintf("store: dropping the object in %s at offset %d: %v", segmentName(loc.segment), loc.offset(), err))
 	}
 	if err != nil || s.purged(loc.sincePurge, meta) {
 		s.removeLocation(loc.keyHash)
--- a/internal/cachenode/store/object.go
+++ b/internal/cachenode/store/object.go
@@ -57,7 +57,7 @@
 	case err != nil:
 		s.Stats.Corrupt++
 		if unchanged {
-			s.options.Warn(fmt.Sprintf("store: dropping the object at offset %d of %s: %v", loc.offset(), segmentName(loc.segment), err))
+			s.options.Warn(fmt.Sprintf("store: dropping the object in %s at offset %d: %v", segmentName(loc.segment), loc.offset(), err))
 			s.removeLocation(keyHash)
 			s.logDrop(keyHash)
 		}
--- a/internal/cachenode/store/recovery.go
+++ b/internal/cachenode/store/recovery.go
@@ -186,7 +186,7 @@
 	case !indexed && len(s.segments) > 0:
 		s.recovered.DiscardReason = "the index log is missing"
 	case s.pendingOverflowed:
-		s.recovered.DiscardReason = fmt.Sprintf("more than %d purges were made while the logs could not be read", maxPendingPurges)
+		s.recovered.DiscardReason = "too many purges were made while the logs could not be read"
 	}
 	return purges
 }
@@ -204,7 +204,7 @@
 		s.lastPurge = max(s.lastPurge, purges[i].Number)
 	}
 	if newestKnown > s.lastPurge {
-		s.recovered.DiscardReason = fmt.Sprintf("the last purge in the logs is number %d, but an object was stored after purge %d", s.lastPurge, newestKnown)
+		s.recovered.DiscardReason = fmt.Sprintf("an object was stored after purge %d, but the last purge in the logs is number %d", newestKnown, s.lastPurge)
 		s.lastPurge = newestKnown
 	}
 	if s.recovered.DiscardReason != "" {
