--- a/internal/cachenode/server/cache.go
+++ b/internal/cachenode/server/cache.go
@@ -614,8 +614,9 @@
 }
 
 // variantsField is a field of the marker that is stored under the key of an object with several
-// variants. Each variant is stored under that key followed by its result of variant. Variants
-// differ by Accept-Encoding only, since sources receive no other field that may select one.
+// variants. Each variant is stored under that key followed by the suffix that request.variant
+// returns. Variants differ by Accept-Encoding only, since the server sends no other field to sources
+// that may select one.
 const variantsField = "Spool-Variants"
 
 // variant returns the suffix of the key under which the variant for the request is stored, and ""
@@ -627,6 +628,7 @@
 	return httpcache.Variant("Accept-Encoding", r.header)
 }
 
+// variesByEncoding reports whether a Vary field lists Accept-Encoding.
 func variesByEncoding(vary string) bool {
 	return strings.Contains(strings.ToLower(vary), "accept-encoding")
 }
@@ -692,7 +694,7 @@
 	s.startFill(r)
 }
 
-// emit calls OnEvent for a request of a router or a cache.
+// emit calls OnEvent, unless the request is invalid or was not sent by a router or a cache.
 func (r *request) emit(what string, status int, version, bytes int64, hit bool) {
 	r.answered = r.answered || what == "sent"
 	if r.server.OnEvent != nil && !r.fromClient && r.method != "" {
@@ -716,7 +718,7 @@
 	r.conn.finishRequest()
 }
 
-// loadMetrics returns the load report that each response has for routers: the number of client
+// loadMetrics returns the load report for routers that each response contains: the number of client
 // connections and the hit ratio.
 func (s *Server) loadMetrics() string {
 	return fetchheader.FormatLoad([]float64{float64(len(s.conns)), s.hitRatio})
--- a/internal/cachenode/store/fault.go
+++ b/internal/cachenode/store/fault.go
@@ -23,8 +23,8 @@
 	probeLen         = 4096 // bytes that are written and synced to check that a new segment works
 )
 
-// FaultError means that an operation on the disk failed. The store then rejects calls that need the
-// disk, keeps the files, and retries by itself.
+// FaultError means that an operation on the disk failed. It does not mean that data is corrupt: the
+// store rejects calls that need the disk, keeps the files, and retries by itself.
 type FaultError struct {
 	Op    string    // operation, such as "write" or "sync"
 	File  string    // name in the store's folder; empty: the folder itself
