--- a/internal/testbed/loadgen/arrivals.go
+++ b/internal/testbed/loadgen/arrivals.go
@@ -22,9 +22,9 @@
 
 // Script is a load. Spans are in ms.
 type Script struct {
-	Load     Form    `edn:"load,required"`
-	Arrivals Shape   `edn:"arrivals"`
-	Classes  []Class `edn:"class"`
+	Load     Form            `edn:"load,required"`
+	Arrivals ArrivalSettings `edn:"arrivals"`
+	Classes  []Class         `edn:"class"`
 }
 
 // Form is the load as a whole.
@@ -33,14 +33,14 @@
 	Name    string   `edn:"@"`
 	Targets []string `edn:"targets"` // routers, host:port, in turn
 	Length  float64  `edn:"length" def:"10000" min:"1"`
-	Warm    float64  `edn:"warm" def:"1000" min:"0"` // at the beginning, not counted
+	WarmUp  float64  `edn:"warm" def:"1000" min:"0"` // at the beginning, not counted
 	Seed    int      `edn:"seed" def:"1"`
 	Conns   int      `edn:"conns" def:"512" min:"1"`    // a target; who finds none free waits, and the wait counts
 	Most    int      `edn:"most" def:"1000000" min:"1"` // requests; a load is bounded
 }
 
-// Shape is how sessions arrive.
-type Shape struct {
+// ArrivalSettings is how sessions arrive.
+type ArrivalSettings struct {
 	Place  config.Place
 	Kind   string  `edn:"@" def:"poisson" oneof:"steady poisson bursts waves"`
 	Rate   float64 `edn:"rate" def:"100" min:"0.01"`       // requests a second, on average
@@ -51,18 +51,18 @@
 
 // Class is a class of requests.
 type Class struct {
-	Place    config.Place
-	Name     string  `edn:"@,required"`
-	Path     string  `edn:"path,required"`         // with {group}, {object}, {part}
-	Share    float64 `edn:"share" def:"1" min:"0"` // of the requests
-	Objects  int     `edn:"objects" def:"1000" min:"1"`
-	Zipf     float64 `edn:"zipf" def:"1.1" min:"1.001"`
-	Groups   int     `edn:"groups" def:"32" min:"1"`
-	Parts    int     `edn:"parts" min:"0"`                  // the most parts of a session; 0: one request
-	Stay     float64 `edn:"stay" def:"0.9" min:"0" max:"1"` // chance to go on to the next part
-	Gap      float64 `edn:"gap" def:"400" min:"0"`          // from part to part
-	Aim      float64 `edn:"aim" def:"400" min:"1"`
-	Deadline float64 `edn:"deadline" def:"5000" min:"1"`
+	Place               config.Place
+	Name                string  `edn:"@,required"`
+	Path                string  `edn:"path,required"`         // with {group}, {object}, {part}
+	Share               float64 `edn:"share" def:"1" min:"0"` // of the requests
+	Objects             int     `edn:"objects" def:"1000" min:"1"`
+	Zipf                float64 `edn:"zipf" def:"1.1" min:"1.001"`
+	Groups              int     `edn:"groups" def:"32" min:"1"`
+	Parts               int     `edn:"parts" min:"0"`                  // the most parts of a session; 0: one request
+	ContinueProbability float64 `edn:"stay" def:"0.9" min:"0" max:"1"` // chance to go on to the next part
+	Gap                 float64 `edn:"gap" def:"400" min:"0"`          // from part to part
+	LatencyObjective    float64 `edn:"aim" def:"400" min:"1"`
+	Deadline            float64 `edn:"deadline" def:"5000" min:"1"`
 }
 
 // Check tells what contradicts itself.
@@ -71,8 +71,8 @@
 		*f = append(*f, config.Fault{Pos: p, Key: key, What: what, Remedy: remedy})
 	}
 	checkTargets(&s.Load, f)
-	if s.Load.Warm >= s.Load.Length {
-		add(s.Load.Place.Of("warm"), "load/warm", fmt.Sprintf("%v leaves nothing of %v", s.Load.Warm, s.Load.Length), "lower it")
+	if s.Load.WarmUp >= s.Load.Length {
+		add(s.Load.Place.Of("warm"), "load/warm", fmt.Sprintf("%v leaves nothing of %v", s.Load.WarmUp, s.Load.Length), "lower it")
 	}
 	total := 0.0
 	for _, c := range s.Classes {
@@ -115,10 +115,10 @@
 	Path  string
 
 	// of a record
-	Method string      // empty: GET
-	Fields [][2]string // of its head
-	Body   int64       // bytes of zeros
-	Aim    float64     // 0: the class's
+	Method           string      // empty: GET
+	Fields           [][2]string // of its head
+	Body             int64       // bytes of zeros
+	LatencyObjective float64     // 0: the class's
 }
 
 // Session is one client's requests, in the order of time.
@@ -126,57 +126,57 @@
 
 // Sessions draws sessions in the order of their beginnings.
 type Sessions struct {
-	s     *Script
-	rng   *rand.Rand
-	now   float64
-	left  int // of a burst
-	zipf  []*rand.Zipf
-	pick  []float64 // rising sums of the classes' shares of sessions
-	rate  float64   // sessions a ms, on average
-	gap   distuv.Exponential
-	burst distuv.Poisson
+	script           *Script
+	rng              *rand.Rand
+	now              float64
+	burstLeft        int // of a burst
+	zipf             []*rand.Zipf
+	cumulativeShares []float64 // rising sums of the classes' shares of sessions
+	rate             float64   // sessions a ms, on average
+	gap              distuv.Exponential
+	burst            distuv.Poisson
 }
 
 // NewSessions draws for a script, the same for the same seed.
 func NewSessions(s *Script) *Sessions {
-	d := &Sessions{s: s, rng: rand.New(rand.NewPCG(uint64(s.Load.Seed), 0x10ad))}
-	sum, each := 0.0, 0.0
+	d := &Sessions{script: s, rng: rand.New(rand.NewPCG(uint64(s.Load.Seed), 0x10ad))}
+	sessionShare, requestShare := 0.0, 0.0
 	for i := range s.Classes {
 		c := &s.Classes[i]
 		d.zipf = append(d.zipf, rand.NewZipf(d.rng, c.Zipf, 1, uint64(c.Objects-1)))
-		sum += c.Share / c.mean() // sessions of many requests come so much more rarely
-		each += c.Share
-		d.pick = append(d.pick, sum)
+		sessionShare += c.Share / c.meanRequests() // sessions of many requests come so much more rarely
+		requestShare += c.Share
+		d.cumulativeShares = append(d.cumulativeShares, sessionShare)
 	}
-	d.rate = s.Arrivals.Rate / 1000 * sum / each
+	d.rate = s.Arrivals.Rate / 1000 * sessionShare / requestShare
 	d.gap = distuv.Exponential{Rate: d.rate, Src: d.rng}
 	d.burst = distuv.Poisson{Lambda: max(s.Arrivals.Burst-1, 1e-9), Src: d.rng}
 	return d
 }
 
-// mean is how many requests a session of the class makes on average.
-func (c *Class) mean() float64 {
+// meanRequests is how many requests a session of the class makes on average.
+func (c *Class) meanRequests() float64 {
 	if c.Parts == 0 {
 		return 1
 	}
-	if c.Stay >= 1 {
+	if c.ContinueProbability >= 1 {
 		return float64(c.Parts)
 	}
-	return (1 - math.Pow(c.Stay, float64(c.Parts))) / (1 - c.Stay)
+	return (1 - math.Pow(c.ContinueProbability, float64(c.Parts))) / (1 - c.ContinueProbability)
 }
 
 // Next is the next session; ok is false past the load's length.
 func (d *Sessions) Next() (out Session, ok bool) {
-	a := &d.s.Arrivals
+	a := &d.script.Arrivals
 	switch a.Kind {
 	case "steady":
 		d.now += 1 / d.rate
 	case "bursts":
-		if d.left == 0 {
-			d.left = 1 + int(d.burst.Rand())
+		if d.burstLeft == 0 {
+			d.burstLeft = 1 + int(d.burst.Rand())
 			d.now += d.gap.Rand() * a.Burst
 		}
-		d.left--
+		d.burstLeft--
 	case "waves": // thinned: the rate at its highest, of which a part is kept
 		for {
 			d.now += d.gap.Rand() / (1 + a.Depth)
@@ -187,22 +187,22 @@
 	default:
 		d.now += d.gap.Rand()
 	}
-	if d.now >= d.s.Load.Length {
+	if d.now >= d.script.Load.Length {
 		return nil, false
 	}
-	x := d.rng.Float64() * d.pick[len(d.pick)-1]
+	position := d.rng.Float64() * d.cumulativeShares[len(d.cumulativeShares)-1]
 	k := 0
-	for k < len(d.pick)-1 && x > d.pick[k] {
+	for k < len(d.cumulativeShares)-1 && position > d.cumulativeShares[k] {
 		k++
 	}
-	c := &d.s.Classes[k]
+	c := &d.script.Classes[k]
 	object := d.zipf[k].Uint64()
 	group := (object*2654435761 + uint64(k)) % uint64(c.Groups)
-	base := strings.NewReplacer("{group}", strconv.FormatUint(group, 10), "{object}", "o"+strconv.FormatUint(object, 10)).Replace(c.Path)
+	path := strings.NewReplacer("{group}", strconv.FormatUint(group, 10), "{object}", "o"+strconv.FormatUint(object, 10)).Replace(c.Path)
 	due := d.now
 	for part := 0; ; part++ {
-		out = append(out, Request{Due: due, Class: k, Path: strings.Replace(base, "{part}", strconv.Itoa(part), 1)})
-		if part+1 >= c.Parts || d.rng.Float64() >= c.Stay {
+		out = append(out, Request{Due: due, Class: k, Path: strings.Replace(path, "{part}", strconv.Itoa(part), 1)})
+		if part+1 >= c.Parts || d.rng.Float64() >= c.ContinueProbability {
 			return out, true
 		}
 		due += c.Gap
--- a/internal/testbed/loadgen/load_test.go
+++ b/internal/testbed/loadgen/load_test.go
@@ -29,7 +29,7 @@
 const classes = `(class still (path "/s/{group}/{object}") (share 0.6) (objects 500))
 (class film (path "/v/{group}/{object}/{part}") (share 0.4) (objects 40) (parts 12) (stay 0.9) (gap 350))`
 
-func drawn(s *Script) (out []Session) {
+func drawSessions(s *Script) (out []Session) {
 	for d := NewSessions(s); ; {
 		one, ok := d.Next()
 		if !ok {
@@ -44,8 +44,8 @@
 func TestSessions(t *testing.T) {
 	for _, kind := range []string{"steady", "poisson", "bursts", "waves"} {
 		s := script(t, fmt.Sprintf(`(load x (targets "127.0.0.1:1") (length 400000) (seed 3)) (arrivals %s (rate 100) (burst 5) (period 10000)) %s`, kind, classes))
-		list := drawn(s)
-		if !reflect.DeepEqual(list, drawn(s)) {
+		list := drawSessions(s)
+		if !reflect.DeepEqual(list, drawSessions(s)) {
 			t.Errorf("%s: another drawing of the same seed differs", kind)
 		}
 		count, last, parts := [2]float64{}, 0.0, 0
--- a/internal/testbed/loadgen/plot.go
+++ b/internal/testbed/loadgen/plot.go
@@ -53,9 +53,9 @@
 
 // exceedance are a class's latencies by the share of answers that took longer.
 func exceedance(c *ClassResult) (out plotter.XYs) {
-	total := c.hist.TotalCount()
+	total := c.histogram.TotalCount()
 	var sum int64
-	for _, b := range c.hist.Distribution() {
+	for _, b := range c.histogram.Distribution() {
 		if b.Count == 0 {
 			continue
 		}
--- a/internal/testbed/loadgen/record.go
+++ b/internal/testbed/loadgen/record.go
@@ -26,38 +26,38 @@
 	Writes bool             // make writes too
 }
 
-// LeftOut is why requests of a record are not made again.
-type LeftOut struct {
+// Skipped is why requests of a record are not made again.
+type Skipped struct {
 	Why   string `json:"why"`
 	Count int64  `json:"count"`
 }
 
-// Record is the requests of a router's journal, or of its access log, to be made
+// Replay is the requests of a router's journal, or of its access log, to be made
 // again. It is read as it goes, in bounded memory.
-type Record struct {
-	o       RecordOptions
-	next    func() (float64, *spool.Request, error) // when it came, on any clock that goes forward
-	close   func()
-	core    *engine.Core
-	classes []Class
-	place   map[string]int
-	base    float64 // the first one's time
-	any     bool
-	last    float64 // due
-	n       int
-	out     map[string]int64
-	err     error
+type Replay struct {
+	options    RecordOptions
+	next       func() (float64, *spool.Request, error) // when it came, on any clock that goes forward
+	close      func()
+	core       *engine.Core
+	classes    []Class
+	classIndex map[string]int
+	start      float64 // the first one's time
+	started    bool
+	lastDue    float64 // due
+	writes     int
+	skipped    map[string]int64
+	err        error
 }
 
 // OpenRecord opens a journal (a folder, or a segment) or an access log.
-func OpenRecord(path string, o RecordOptions) (*Record, error) {
+func OpenRecord(path string, o RecordOptions) (*Replay, error) {
 	st, err := os.Stat(path)
 	if err != nil {
 		return nil, fmt.Errorf("load: %w", err)
 	}
-	r := &Record{o: o, place: map[string]int{}, out: map[string]int64{}}
+	r := &Replay{options: o, classIndex: map[string]int{}, skipped: map[string]int64{}}
 	if o.Routes != nil {
-		if err := r.routes(o.Routes); err != nil {
+		if err := r.useSettings(o.Routes); err != nil {
 			return nil, err
 		}
 	}
@@ -67,7 +67,7 @@
 			return nil, err
 		}
 		r.close = j.Close
-		r.next = func() (float64, *spool.Request, error) { return r.journal(j) }
+		r.next = func() (float64, *spool.Request, error) { return r.nextFromJournal(j) }
 		return r, nil
 	}
 	if o.Routes == nil {
@@ -78,31 +78,31 @@
 		return nil, fmt.Errorf("load: %w", err)
 	}
 	r.close = func() { f.Close() }
-	l := &accessLog{br: bufio.NewReaderSize(f, 1<<16), file: path}
-	r.next = l.next
+	log := &accessLog{br: bufio.NewReaderSize(f, 1<<16), file: path}
+	r.next = log.next
 	return r, nil
 }
 
 // Close ends reading.
-func (r *Record) Close() { r.close() }
+func (r *Replay) Close() { r.close() }
 
-func (r *Record) routes(s *config.Settings) error {
+func (r *Replay) useSettings(s *config.Settings) error {
 	c, err := engine.New(s, 1)
 	if err != nil {
 		return err
 	}
 	r.core = c
 	for _, k := range s.Classes {
-		if _, known := r.place[k.Name]; !known {
-			r.place[k.Name] = len(r.classes)
-			r.classes = append(r.classes, Class{Name: k.Name, Aim: k.LatencyObjective, Deadline: k.Deadline})
+		if _, known := r.classIndex[k.Name]; !known {
+			r.classIndex[k.Name] = len(r.classes)
+			r.classes = append(r.classes, Class{Name: k.Name, LatencyObjective: k.LatencyObjective, Deadline: k.Deadline})
 		}
 	}
 	return nil
 }
 
-// journal is the next request of a journal.
-func (r *Record) journal(j *journal.Reader) (float64, *spool.Request, error) {
+// nextFromJournal is the next request of a journal.
+func (r *Replay) nextFromJournal(j *journal.Reader) (float64, *spool.Request, error) {
 	for {
 		e, err := j.Next()
 		if err != nil {
@@ -115,20 +115,20 @@
 		case journal.KindSettings:
 			text = e.Settings
 		case journal.KindGap:
-			r.out["they stand in a gap of the journal"] += int64(e.Lost)
+			r.skipped["they stand in a gap of the journal"] += int64(e.Lost)
 		case journal.KindHandled:
 			if q, ok := e.Event.(spool.Request); ok && r.core != nil {
 				return e.T, &q, nil
 			} else if ok {
-				r.out["they stand before the settings of their router (start at an earlier segment, or give --routes)"]++
+				r.skipped["they stand before the settings of their router (start at an earlier segment, or give --routes)"]++
 			}
 		}
-		if text != "" && r.o.Routes == nil {
+		if text != "" && r.options.Routes == nil {
 			s := &config.Settings{}
 			if err := config.Read("journal", text, s); err != nil {
 				return 0, nil, fmt.Errorf("load: the settings at byte %d of %s: %w", e.Offset, e.Segment, err)
 			}
-			if err := r.routes(s); err != nil {
+			if err := r.useSettings(s); err != nil {
 				return 0, nil, err
 			}
 		}
@@ -136,7 +136,7 @@
 }
 
 // Next is the next request, as a session of its own.
-func (r *Record) Next() (Session, bool) {
+func (r *Replay) Next() (Session, bool) {
 	for {
 		t, q, err := r.next()
 		if err != nil {
@@ -145,50 +145,50 @@
 			}
 			return nil, false
 		}
-		if q.Write && !r.o.Writes {
-			r.out["they write (--writes makes them)"]++
+		if q.Write && !r.options.Writes {
+			r.skipped["they write (--writes makes them)"]++
 			continue
 		}
 		target, err := r.core.HTTPRequest(t, q)
 		if err != nil {
-			r.out[shorten(err.Error())]++
+			r.skipped[truncate(err.Error())]++
 			continue
 		}
-		if !r.any {
-			r.any, r.base = true, t
+		if !r.started {
+			r.started, r.start = true, t
 		}
-		one := Request{Class: r.place[q.Class], Path: target.Path, Method: target.Method, Fields: target.Fields}
-		if k := r.class(q.Class); k != nil && q.KB > 0 && r.core.Settings.Fill.FlowKBPerMs > 0 {
-			one.Aim = k.LatencyObjective + k.ObjectivePerSendTime*q.KB/r.core.Settings.Fill.FlowKBPerMs
+		request := Request{Class: r.classIndex[q.Class], Path: target.Path, Method: target.Method, Fields: target.Fields}
+		if k := r.classSettings(q.Class); k != nil && q.KB > 0 && r.core.Settings.Fill.FlowKBPerMs > 0 {
+			request.LatencyObjective = k.LatencyObjective + k.ObjectivePerSendTime*q.KB/r.core.Settings.Fill.FlowKBPerMs
 		}
 		if q.Write {
-			r.n++
-			one.Fields = append(one.Fields, [2]string{"Idempotency-Key", fmt.Sprintf("replayed-%d-%d", time.Now().UnixNano(), r.n)})
-			one.Body = int64(q.KB * 1024)
+			r.writes++
+			request.Fields = append(request.Fields, [2]string{"Idempotency-Key", fmt.Sprintf("replayed-%d-%d", time.Now().UnixNano(), r.writes)})
+			request.Body = int64(q.KB * 1024)
 		}
-		if at := t - r.base; r.o.Speed > 0 {
+		if at := t - r.start; r.options.Speed > 0 {
 			// a clock that was set back, or a machine that started anew: go on from where it was
-			if at/r.o.Speed < r.last-mostBack {
-				r.base = t - r.last*r.o.Speed
-				at = t - r.base
+			if at/r.options.Speed < r.lastDue-maxReorderMillis {
+				r.start = t - r.lastDue*r.options.Speed
+				at = t - r.start
 			}
-			r.last = max(at/r.o.Speed, r.last)
-			one.Due = r.last
+			r.lastDue = max(at/r.options.Speed, r.lastDue)
+			request.Due = r.lastDue
 		}
-		return Session{one}, true
+		return Session{request}, true
 	}
 }
 
-const mostBack = 5000 // ms by which requests may stand out of order
+const maxReorderMillis = 5000 // ms by which requests may stand out of order
 
-func shorten(s string) string {
+func truncate(s string) string {
 	if len(s) > 160 {
 		s = s[:160] + "..."
 	}
 	return s
 }
 
-func (r *Record) class(name string) *config.Class {
+func (r *Replay) classSettings(name string) *config.Class {
 	for i := range r.core.Settings.Classes {
 		if k := &r.core.Settings.Classes[i]; k.Name == name {
 			return k
@@ -199,46 +199,46 @@
 
 // RunRecord makes a record's requests again, and returns when its last answer is
 // there. Of the form, targets, connections and the most requests count.
-func RunRecord(ctx context.Context, r *Record, f Form) (*Result, error) {
+func RunRecord(ctx context.Context, r *Replay, f Form) (*Result, error) {
 	var faults config.Faults
 	if checkTargets(&f, &faults); len(faults) > 0 {
 		return nil, faults
 	}
-	f.Length, f.Warm, f.Conns, f.Most = 0, 0, max(f.Conns, 1), max(f.Most, 1)
+	f.Length, f.WarmUp, f.Conns, f.Most = 0, 0, max(f.Conns, 1), max(f.Most, 1)
 	// the first request is read ahead: classes are known with it
 	first, ok := r.Next()
 	if !ok && r.err == nil {
-		return nil, errors.Join(fmt.Errorf("load: %s has no request that can be made again", f.Name), r.leftOut())
+		return nil, errors.Join(fmt.Errorf("load: %s has no request that can be made again", f.Name), r.skippedError())
 	}
 	if r.err != nil {
 		return nil, r.err
 	}
-	res, err := run(ctx, &f, r.classes, &ahead{first, r, len(r.classes)}, r.o.Speed == 0)
+	res, err := run(ctx, &f, r.classes, &readAhead{first, r, len(r.classes)}, r.options.Speed == 0)
 	if err == nil {
 		err = r.err
 	}
-	for why, n := range r.out {
-		res.LeftOut = append(res.LeftOut, LeftOut{why, n})
+	for why, n := range r.skipped {
+		res.Skipped = append(res.Skipped, Skipped{why, n})
 	}
-	sort.Slice(res.LeftOut, func(i, j int) bool { return res.LeftOut[i].Why < res.LeftOut[j].Why })
+	sort.Slice(res.Skipped, func(i, j int) bool { return res.Skipped[i].Why < res.Skipped[j].Why })
 	return res, err
 }
 
-func (r *Record) leftOut() (err error) {
-	for why, n := range r.out {
+func (r *Replay) skippedError() (err error) {
+	for why, n := range r.skipped {
 		err = errors.Join(err, fmt.Errorf("%d were left out: %s", n, why))
 	}
 	return err
 }
 
-// ahead gives back what was read ahead, and leaves out classes that came later.
-type ahead struct {
+// readAhead gives back what was read ahead, and leaves out classes that came later.
+type readAhead struct {
 	first   Session
-	r       *Record
+	r       *Replay
 	classes int
 }
 
-func (a *ahead) Next() (Session, bool) {
+func (a *readAhead) Next() (Session, bool) {
 	if s := a.first; s != nil {
 		a.first = nil
 		return s, true
@@ -248,22 +248,22 @@
 		if !ok || s[0].Class < a.classes {
 			return s, ok
 		}
-		a.r.out["their class came with a later version of the settings"]++
+		a.r.skipped["their class came with a later version of the settings"]++
 	}
 }
 
 // accessLog reads a router's access log. Lines stand in the order of ends; they
 // are put into that of beginnings, as far as ends are mostBehind apart.
 type accessLog struct {
-	br    *bufio.Reader
-	file  string
-	line  int
-	wait  logged
-	ended bool
-	last  float64 // end of the last line
+	br      *bufio.Reader
+	file    string
+	line    int
+	pending lineHeap
+	ended   bool
+	last    float64 // end of the last line
 }
 
-const mostBehind = 60000 // ms: longer than clients wait
+const maxRequestMillis = 60000 // ms: longer than clients wait
 
 type logLine struct {
 	Msg    string  `json:"msg"`
@@ -276,13 +276,13 @@
 	end    float64
 }
 
-type logged []*logLine
+type lineHeap []*logLine
 
-func (l logged) Len() int           { return len(l) }
-func (l logged) Less(i, j int) bool { return l[i].end-l[i].MS < l[j].end-l[j].MS }
-func (l logged) Swap(i, j int)      { l[i], l[j] = l[j], l[i] }
-func (l *logged) Push(x any)        { *l = append(*l, x.(*logLine)) }
-func (l *logged) Pop() any {
+func (l lineHeap) Len() int           { return len(l) }
+func (l lineHeap) Less(i, j int) bool { return l[i].end-l[i].MS < l[j].end-l[j].MS }
+func (l lineHeap) Swap(i, j int)      { l[i], l[j] = l[j], l[i] }
+func (l *lineHeap) Push(x any)        { *l = append(*l, x.(*logLine)) }
+func (l *lineHeap) Pop() any {
 	old := *l
 	x := old[len(old)-1]
 	*l = old[:len(old)-1]
@@ -292,31 +292,31 @@
 const logTime = "2006-01-02T15:04:05.000Z0700"
 
 func (l *accessLog) next() (float64, *spool.Request, error) {
-	for !l.ended && (len(l.wait) == 0 || l.last-mostBehind < l.wait[0].end-l.wait[0].MS) {
+	for !l.ended && (len(l.pending) == 0 || l.last-maxRequestMillis < l.pending[0].end-l.pending[0].MS) {
 		text, err := l.br.ReadBytes('\n')
 		if err != nil {
 			l.ended = true // a last line that is cut is no line
 			break
 		}
 		l.line++
-		one := &logLine{}
-		if err := json.Unmarshal(text, one); err != nil {
+		line := &logLine{}
+		if err := json.Unmarshal(text, line); err != nil {
 			return 0, nil, fmt.Errorf("load: %s:%d is no line of an access log: %q: %w", l.file, l.line, text[:min(60, len(text))], err)
 		}
-		if one.Msg != "request" || one.Class == "" {
+		if line.Msg != "request" || line.Class == "" {
 			continue // a router's own message, or a request that no route took
 		}
-		at, err := time.Parse(logTime, one.TS)
+		at, err := time.Parse(logTime, line.TS)
 		if err != nil {
-			return 0, nil, fmt.Errorf("load: %s:%d: the time %.60q: %w", l.file, l.line, one.TS, err)
+			return 0, nil, fmt.Errorf("load: %s:%d: the time %.60q: %w", l.file, l.line, line.TS, err)
 		}
-		one.end = float64(at.UnixMicro()) / 1000
-		l.last = max(l.last, one.end)
-		heap.Push(&l.wait, one)
+		line.end = float64(at.UnixMicro()) / 1000
+		l.last = max(l.last, line.end)
+		heap.Push(&l.pending, line)
 	}
-	if len(l.wait) == 0 {
+	if len(l.pending) == 0 {
 		return 0, nil, io.EOF
 	}
-	one := heap.Pop(&l.wait).(*logLine)
-	return one.end - one.MS, &spool.Request{ID: one.ID, Class: one.Class, Object: one.Object, Part: one.Part, Group: engine.AnyGroup}, nil
+	line := heap.Pop(&l.pending).(*logLine)
+	return line.end - line.MS, &spool.Request{ID: line.ID, Class: line.Class, Object: line.Object, Part: line.Part, Group: engine.AnyGroup}, nil
 }
--- a/internal/testbed/loadgen/record_test.go
+++ b/internal/testbed/loadgen/record_test.go
@@ -25,22 +25,22 @@
 (member b1 (zone z) (address "127.0.0.1:1"))
 `
 
-// hearer is a server that keeps what it is asked for.
-type hearer struct {
+// recordingServer is a server that keeps what it is asked for.
+type recordingServer struct {
 	mu   sync.Mutex
 	seen []string
 	at   []time.Time
 }
 
-func (h *hearer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *recordingServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.at = append(h.at, time.Now())
 	h.seen = append(h.seen, strings.TrimSpace(r.Method+" "+r.URL.Path+" "+r.Header.Get("Range")+r.Header.Get("Spool-Deadline")+r.Header.Get("Spool-KB")))
 }
 
-// made keeps a journal of requests at their times.
-func made(t *testing.T, at []float64, q []spool.Request) string {
+// writeJournal keeps a journal of requests at their times.
+func writeJournal(t *testing.T, at []float64, q []spool.Request) string {
 	t.Helper()
 	dir := t.TempDir()
 	w, err := journal.Open(dir, journal.Options{})
@@ -63,9 +63,9 @@
 	return dir
 }
 
-func again(t *testing.T, path string, o RecordOptions) (*Result, *hearer, error) {
+func replay(t *testing.T, path string, o RecordOptions) (*Result, *recordingServer, error) {
 	t.Helper()
-	h := &hearer{}
+	h := &recordingServer{}
 	srv := httptest.NewServer(h)
 	defer srv.Close()
 	r, err := OpenRecord(path, o)
@@ -77,7 +77,7 @@
 	return res, h, err
 }
 
-var recorded = []spool.Request{
+var recordedRequests = []spool.Request{
 	{Class: "still", Object: "/s/3/a", Group: 3, Deadline: 99000},
 	{Class: "film", Object: "/v/3/b", Group: 3, Part: 7, KB: 12.5, Deadline: 99000},
 	{Class: "film", Object: "/r/b", Group: -1, Part: 2, Deadline: 99000},
@@ -85,21 +85,21 @@
 	{Class: "still", Object: "/s/4/late", Group: 4, Deadline: 1700},
 }
 
-var clocks = []float64{1000, 1200, 1400, 1500, 1600}
+var recordedAt = []float64{1000, 1200, 1400, 1500, 1600}
 
 // A journal's requests are made again as they stood, when they were due; writes
 // only where that is asked for.
-func TestRecordOfJournal(t *testing.T) {
-	dir := made(t, clocks, recorded)
-	res, h, err := again(t, dir, RecordOptions{Speed: 2})
+func TestReplayOfJournal(t *testing.T) {
+	dir := writeJournal(t, recordedAt, recordedRequests)
+	res, h, err := replay(t, dir, RecordOptions{Speed: 2})
 	want := []string{"GET /s/3/a", "GET /v/3/b/7 12.5", "GET /r/b bytes=131072-196607", "GET /s/4/late 100"}
-	if err != nil || fmt.Sprint(h.seen) != fmt.Sprint(want) || len(res.LeftOut) != 1 || res.LeftOut[0].Count != 1 {
-		t.Fatalf("%v: %q, want %q; left out %+v", err, h.seen, want, res.LeftOut)
+	if err != nil || fmt.Sprint(h.seen) != fmt.Sprint(want) || len(res.Skipped) != 1 || res.Skipped[0].Count != 1 {
+		t.Fatalf("%v: %q, want %q; left out %+v", err, h.seen, want, res.Skipped)
 	}
 	if span := h.at[3].Sub(h.at[0]); span < 250*time.Millisecond {
 		t.Errorf("600 ms came again in %v, not 300 ms", span)
 	}
-	if res, h, err = again(t, dir, RecordOptions{Speed: 0, Writes: true}); err != nil || len(h.seen) != 5 || len(res.LeftOut) != 0 {
+	if res, h, err = replay(t, dir, RecordOptions{Speed: 0, Writes: true}); err != nil || len(h.seen) != 5 || len(res.Skipped) != 0 {
 		t.Errorf("%v: %q; %+v", err, h.seen, res)
 	}
 	n := int64(0)
@@ -112,16 +112,16 @@
 }
 
 // A clock that was set back by an hour does not hold the replay up.
-func TestRecordClockSetBack(t *testing.T) {
+func TestReplayAfterClockStep(t *testing.T) {
 	began := time.Now()
-	_, h, err := again(t, made(t, []float64{4e6, 4e6 + 100, 50, 150, 250}, recorded), RecordOptions{Speed: 1, Writes: true})
+	_, h, err := replay(t, writeJournal(t, []float64{4e6, 4e6 + 100, 50, 150, 250}, recordedRequests), RecordOptions{Speed: 1, Writes: true})
 	if took := time.Since(began); err != nil || len(h.seen) != 5 || took > 20*time.Second || took < 250*time.Millisecond {
 		t.Errorf("%v: %q in %v", err, h.seen, took)
 	}
 }
 
 // An access log's lines stand in the order of ends, and are made in that of beginnings.
-func TestRecordOfAccessLog(t *testing.T) {
+func TestReplayOfAccessLog(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "access.log")
 	line := func(ts, class, object string, part int, ms float64) string {
 		return fmt.Sprintf(`{"level":"info","ts":"2026-12-01T10:00:%sZ","msg":"request","id":"x","class":%q,"object":%q,"part":%d,"status":200,"ms":%v}`+"\n", ts, class, object, part, ms)
@@ -136,22 +136,22 @@
 	if err := config.Read("t", routes, s); err != nil {
 		t.Fatal(err)
 	}
-	res, h, err := again(t, file, RecordOptions{Routes: s, Speed: 1})
+	res, h, err := replay(t, file, RecordOptions{Routes: s, Speed: 1})
 	want := []string{"GET /v/1/first/3", "GET /s/1/second", "GET /s/1/third"}
-	if err != nil || fmt.Sprint(h.seen) != fmt.Sprint(want) || len(res.LeftOut) != 1 || !strings.Contains(res.LeftOut[0].Why, "/elsewhere") {
+	if err != nil || fmt.Sprint(h.seen) != fmt.Sprint(want) || len(res.Skipped) != 1 || !strings.Contains(res.Skipped[0].Why, "/elsewhere") {
 		t.Errorf("%v: %q, want %q; %+v", err, h.seen, want, res)
 	}
-	if _, _, err := again(t, file, RecordOptions{Speed: 1}); err == nil || !strings.Contains(err.Error(), "--routes") {
+	if _, _, err := replay(t, file, RecordOptions{Speed: 1}); err == nil || !strings.Contains(err.Error(), "--routes") {
 		t.Errorf("without routes: %v", err)
 	}
 	os.WriteFile(file, []byte("\x1b[31mno log\n"), 0o600)
-	if _, _, err := again(t, file, RecordOptions{Routes: s, Speed: 1}); err == nil || !strings.Contains(err.Error(), `:1 is no line`) || strings.Contains(err.Error(), "\x1b") {
+	if _, _, err := replay(t, file, RecordOptions{Routes: s, Speed: 1}); err == nil || !strings.Contains(err.Error(), `:1 is no line`) || strings.Contains(err.Error(), "\x1b") {
 		t.Errorf("no log: %v", err)
 	}
 }
 
-func TestRecordTargets(t *testing.T) {
-	r, err := OpenRecord(made(t, clocks, recorded), RecordOptions{Speed: 1})
+func TestReplayRejectsRemoteTarget(t *testing.T) {
+	r, err := OpenRecord(writeJournal(t, recordedAt, recordedRequests), RecordOptions{Speed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/loadgen/run.go
+++ b/internal/testbed/loadgen/run.go
@@ -31,8 +31,8 @@
 	P999     float64 `json:"p999_ms"`
 	Max      float64 `json:"max_ms"`
 
-	hist *hdrhistogram.Histogram // of whole answers, in us, from when they were due
-	mu   sync.Mutex
+	histogram *hdrhistogram.Histogram // of whole answers, in us, from when they were due
+	mu        sync.Mutex
 }
 
 // Second is what was served in one second of the load.
@@ -45,15 +45,15 @@
 
 // Result is a load that was made.
 type Result struct {
-	Name    string         `json:"name,omitempty"`
-	Classes []*ClassResult `json:"classes"`
-	Seconds []Second       `json:"seconds"`
-	Dropped int64          `json:"dropped"` // past (most n)
-	Took    float64        `json:"took_s"`
-	LeftOut []LeftOut      `json:"left_out,omitempty"` // of a record: requests that were not made again
-	Behind  float64        `json:"behind_ms"`          // most by which this program was late in asking: above some ms its machine is short
+	Name         string         `json:"name,omitempty"`
+	Classes      []*ClassResult `json:"classes"`
+	Seconds      []Second       `json:"seconds"`
+	Dropped      int64          `json:"dropped"` // past (most n)
+	Took         float64        `json:"took_s"`
+	Skipped      []Skipped      `json:"left_out,omitempty"` // of a record: requests that were not made again
+	MaxSendDelay float64        `json:"behind_ms"`          // most by which this program was late in asking: above some ms its machine is short
 
-	hists []*hdrhistogram.Histogram // by second
+	histograms []*hdrhistogram.Histogram // by second
 }
 
 // source is where requests come from, in the order of the beginnings of sessions.
@@ -68,10 +68,10 @@
 
 // run makes the requests of a source. Without a length the source ends by itself.
 // At full speed each is due when a connection is free for it, and no sooner.
-func run(ctx context.Context, f *Form, classes []Class, src source, full bool) (*Result, error) {
+func run(ctx context.Context, f *Form, classes []Class, src source, fullSpeed bool) (*Result, error) {
 	res := &Result{Name: f.Name}
 	for i := range classes {
-		res.Classes = append(res.Classes, &ClassResult{Class: classes[i].Name, hist: newHist()})
+		res.Classes = append(res.Classes, &ClassResult{Class: classes[i].Name, histogram: newHistogram()})
 	}
 	var clients []*http.Client
 	for range f.Targets {
@@ -82,60 +82,60 @@
 	}
 	var mu sync.Mutex // of seconds and Behind
 	var wg sync.WaitGroup
-	var asked atomic.Int64
-	places := make(chan struct{}, f.Conns*len(f.Targets))
+	var sent atomic.Int64
+	slots := make(chan struct{}, f.Conns*len(f.Targets))
 	begin := time.Now()
 	due := func(r *Request) time.Time { return begin.Add(time.Duration(r.Due * float64(time.Millisecond))) }
-	one := func(r Request, target int) {
-		c, k := &classes[r.Class], res.Classes[r.Class]
-		at := due(&r)
-		late := time.Since(at)
-		rctx, cancel := context.WithDeadline(ctx, at.Add(time.Duration(c.Deadline*float64(time.Millisecond))))
+	send := func(r Request, target int) {
+		class, result := &classes[r.Class], res.Classes[r.Class]
+		dueAt := due(&r)
+		sendDelay := time.Since(dueAt)
+		requestCtx, cancel := context.WithDeadline(ctx, dueAt.Add(time.Duration(class.Deadline*float64(time.Millisecond))))
 		defer cancel()
-		status, hit, n, err := fetch(rctx, clients[target], f.Targets[target], &r)
-		took := time.Since(at)
-		if r.Due < f.Warm {
+		status, hit, n, err := fetch(requestCtx, clients[target], f.Targets[target], &r)
+		took := time.Since(dueAt)
+		if r.Due < f.WarmUp {
 			return
 		}
-		aim := c.Aim
-		if r.Aim > 0 {
-			aim = r.Aim
+		objective := class.LatencyObjective
+		if r.LatencyObjective > 0 {
+			objective = r.LatencyObjective
 		}
-		inTime := err == nil && status < 400 && float64(took.Microseconds())/1000 <= aim
-		k.mu.Lock()
-		k.Requests++
-		k.MB += float64(n) / (1 << 20)
+		inTime := err == nil && status < 400 && float64(took.Microseconds())/1000 <= objective
+		result.mu.Lock()
+		result.Requests++
+		result.MB += float64(n) / (1 << 20)
 		switch {
 		case err != nil:
-			k.Broken++
+			result.Broken++
 		case status == http.StatusServiceUnavailable:
-			k.Refused++
+			result.Refused++
 		case status >= 400:
-			k.Failed++
+			result.Failed++
 		default:
 			if inTime {
-				k.InTime++
+				result.InTime++
 			} else {
-				k.Late++
+				result.Late++
 			}
 			if hit {
-				k.Hits++
+				result.Hits++
 			}
-			k.hist.RecordValue(max(took.Microseconds(), 1))
+			result.histogram.RecordValue(max(took.Microseconds(), 1))
 		}
-		k.mu.Unlock()
+		result.mu.Unlock()
 		mu.Lock()
-		res.Behind = max(res.Behind, float64(late.Microseconds())/1000)
+		res.MaxSendDelay = max(res.MaxSendDelay, float64(sendDelay.Microseconds())/1000)
 		i := int(r.Due / 1000)
 		for len(res.Seconds) <= i {
 			res.Seconds = append(res.Seconds, Second{Second: len(res.Seconds)})
-			res.hists = append(res.hists, newSecond())
+			res.histograms = append(res.histograms, newSecondHistogram())
 		}
 		if res.Seconds[i].Due++; inTime {
 			res.Seconds[i].InTime++
 		}
 		if err == nil && status < 400 {
-			res.hists[i].RecordValue(max(took.Microseconds(), 1))
+			res.histograms[i].RecordValue(max(took.Microseconds(), 1))
 		}
 		mu.Unlock()
 	}
@@ -144,58 +144,58 @@
 		if !ok {
 			break
 		}
-		if full {
+		if fullSpeed {
 			select {
-			case places <- struct{}{}:
+			case slots <- struct{}{}:
 			case <-ctx.Done():
 			}
 			session[0].Due = float64(time.Since(begin).Microseconds()) / 1000
 		}
-		if !until(ctx, due(&session[0])) {
+		if !waitUntil(ctx, due(&session[0])) {
 			break
 		}
 		target := n % len(clients)
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			if full {
-				defer func() { <-places }()
+			if fullSpeed {
+				defer func() { <-slots }()
 			}
 			var parts sync.WaitGroup
 			for _, r := range session { // open-loop: a part is asked for when it is due, whatever became of the last
-				if f.Length > 0 && r.Due >= f.Length || !until(ctx, due(&r)) {
+				if f.Length > 0 && r.Due >= f.Length || !waitUntil(ctx, due(&r)) {
 					break
 				}
-				if asked.Add(1) > int64(f.Most) {
+				if sent.Add(1) > int64(f.Most) {
 					mu.Lock()
 					res.Dropped++
 					mu.Unlock()
 					continue
 				}
 				parts.Add(1)
-				go func() { defer parts.Done(); one(r, target) }()
+				go func() { defer parts.Done(); send(r, target) }()
 			}
 			parts.Wait()
 		}()
 	}
 	wg.Wait()
 	res.Took = time.Since(begin).Seconds()
-	for _, k := range res.Classes {
-		q := func(p float64) float64 { return float64(k.hist.ValueAtQuantile(p)) / 1000 }
-		k.P50, k.P90, k.P99, k.P999, k.Max = q(50), q(90), q(99), q(99.9), float64(k.hist.Max())/1000
+	for _, result := range res.Classes {
+		quantile := func(p float64) float64 { return float64(result.histogram.ValueAtQuantile(p)) / 1000 }
+		result.P50, result.P90, result.P99, result.P999, result.Max = quantile(50), quantile(90), quantile(99), quantile(99.9), float64(result.histogram.Max())/1000
 	}
-	for i, h := range res.hists {
+	for i, h := range res.histograms {
 		res.Seconds[i].P50, res.Seconds[i].P99 = float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000
 	}
 	return res, ctx.Err()
 }
 
-// newSecond is for one second's answers: coarser, since there may be many.
-func newSecond() *hdrhistogram.Histogram { return hdrhistogram.New(1, 600_000_000, 2) }
+// newSecondHistogram is for one second's answers: coarser, since there may be many.
+func newSecondHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 600_000_000, 2) }
 
-func newHist() *hdrhistogram.Histogram { return hdrhistogram.New(1, 600_000_000, 3) }
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 600_000_000, 3) }
 
-func until(ctx context.Context, at time.Time) bool {
+func waitUntil(ctx context.Context, at time.Time) bool {
 	d := time.Until(at)
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -258,23 +258,23 @@
 		}
 	}
 	for rest := field[last:]; rest != ""; {
-		var p string
-		if i := indexOutside(rest, ';'); i >= 0 {
-			p, rest = rest[:i], rest[i+1:]
+		var parameter string
+		if i := indexUnquoted(rest, ';'); i >= 0 {
+			parameter, rest = rest[:i], rest[i+1:]
 		} else {
-			p, rest = rest, ""
+			parameter, rest = rest, ""
 		}
-		for len(p) > 0 && p[0] == ' ' {
-			p = p[1:]
+		for len(parameter) > 0 && parameter[0] == ' ' {
+			parameter = parameter[1:]
 		}
-		if p == "hit" || p == "hit=?1" {
+		if parameter == "hit" || parameter == "hit=?1" {
 			return true
 		}
 	}
 	return false
 }
 
-func indexOutside(s string, c byte) int {
+func indexUnquoted(s string, c byte) int {
 	quoted := false
 	for i := range len(s) {
 		switch {
@@ -299,10 +299,10 @@
 	if r.Dropped > 0 {
 		fmt.Fprintf(w, "%d requests past (most n) were not made\n", r.Dropped)
 	}
-	for _, l := range r.LeftOut {
+	for _, l := range r.Skipped {
 		fmt.Fprintf(w, "%d requests were left out: %s\n", l.Count, l.Why)
 	}
-	if r.Behind > 20 {
-		fmt.Fprintf(w, "this program was up to %.0f ms late in asking: its machine is short\n", r.Behind)
+	if r.MaxSendDelay > 20 {
+		fmt.Fprintf(w, "this program was up to %.0f ms late in asking: its machine is short\n", r.MaxSendDelay)
 	}
 }
--- a/internal/testbed/testserver/content.go
+++ b/internal/testbed/testserver/content.go
@@ -74,6 +74,6 @@
 		return int64(len(text(key, 1)))
 	}
 	u := float64(seedOf(key, 0)>>11) / (1 << 53)
-	f := 0.25 + 1.5*u*u*1.5 // mean of u*u is a third: 0.25 + 0.75
-	return max(int64(meanKB*1024*f), 1)
+	factor := 0.25 + 1.5*u*u*1.5 // mean of u*u is a third: 0.25 + 0.75
+	return max(int64(meanKB*1024*factor), 1)
 }
--- a/internal/testbed/testserver/fault.go
+++ b/internal/testbed/testserver/fault.go
@@ -51,17 +51,17 @@
 
 // faults is what a stand-in suffers from now.
 type faults struct {
-	mu     sync.Mutex
-	until  map[string]float64
-	given  map[string]Fault
-	since  map[string]float64
-	rng    *rand.Rand
-	change chan struct{} // closed and renewed at each change
+	mu       sync.Mutex
+	until    map[string]float64
+	settings map[string]Fault
+	began    map[string]float64
+	rng      *rand.Rand
+	changed  chan struct{} // closed and renewed at each change
 }
 
 func newFaults(seed uint64) *faults {
-	return &faults{until: map[string]float64{}, given: map[string]Fault{}, since: map[string]float64{},
-		rng: rand.New(rand.NewPCG(seed, 0x5eed)), change: make(chan struct{})}
+	return &faults{until: map[string]float64{}, settings: map[string]Fault{}, began: map[string]float64{},
+		rng: rand.New(rand.NewPCG(seed, 0x5eed)), changed: make(chan struct{})}
 }
 
 func (f *faults) set(now float64, x Fault) error {
@@ -77,42 +77,42 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.given[x.Kind], f.since[x.Kind], f.until[x.Kind] = x, now, now+x.For
-	close(f.change)
-	f.change = make(chan struct{})
+	f.settings[x.Kind], f.began[x.Kind], f.until[x.Kind] = x, now, now+x.For
+	close(f.changed)
+	f.changed = make(chan struct{})
 	return nil
 }
 
 // on reports whether a fault acts now on this attempt.
-func (f *faults) on(kind string) bool {
+func (f *faults) active(kind string) bool {
 	now := trafficlog.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if now >= f.until[kind] {
 		return false
 	}
-	s := f.given[kind].Share
-	return s == 0 || f.rng.Float64() < s
+	share := f.settings[kind].Share
+	return share == 0 || f.rng.Float64() < share
 }
 
-// slowness is how many times slower the stand-in is now.
-func (f *faults) slowness() float64 {
+// slowdown is how many times slower the stand-in is now.
+func (f *faults) slowdown() float64 {
 	now := trafficlog.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	by := 1.0
+	factor := 1.0
 	if now < f.until[Slow] {
-		by = max(by, f.given[Slow].Factor)
+		factor = max(factor, f.settings[Slow].Factor)
 	}
 	if now < f.until[Ageing] {
-		x := f.given[Ageing]
-		by = max(by, 1+(x.Factor-1)*(now-f.since[Ageing])/max(x.For, 1))
+		x := f.settings[Ageing]
+		factor = max(factor, 1+(x.Factor-1)*(now-f.began[Ageing])/max(x.For, 1))
 	}
-	return by
+	return factor
 }
 
-// gate waits while the stand-in is silent or pauses.
-func (f *faults) gate(ctx context.Context) error {
+// waitWhileStopped waits while the stand-in is silent or pauses.
+func (f *faults) waitWhileStopped(ctx context.Context) error {
 	for {
 		now := trafficlog.Now()
 		f.mu.Lock()
@@ -122,9 +122,9 @@
 				until = max(until, f.until[k])
 			}
 		}
-		if x := f.given[Pauses]; now < f.until[Pauses] && x.Every > 0 {
-			cycles := int((now - f.since[Pauses]) / x.Every)
-			if begin := f.since[Pauses] + float64(cycles)*x.Every; now < begin+x.Length {
+		if x := f.settings[Pauses]; now < f.until[Pauses] && x.Every > 0 {
+			cycles := int((now - f.began[Pauses]) / x.Every)
+			if begin := f.began[Pauses] + float64(cycles)*x.Every; now < begin+x.Length {
 				until = max(until, begin+x.Length)
 			}
 		}
@@ -138,8 +138,8 @@
 	}
 }
 
-// refusing reports until when no connection is taken; 0: they are.
-func (f *faults) refusing(now float64) (until float64) {
+// acceptsAgainAt reports until when no connection is taken; 0: they are.
+func (f *faults) acceptsAgainAt(now float64) (until float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, k := range []string{Vanish, HalfOpen} {
@@ -150,24 +150,24 @@
 	return until
 }
 
-// reset closes a connection as a machine does that knows nothing of it.
-func reset(c net.Conn) {
+// resetConn closes a connection as a machine does that knows nothing of it.
+func resetConn(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		t.SetLinger(0)
 	}
 	c.Close()
 }
 
-// gatedListener stops taking connections while its stand-in is silent: the
+// faultListener stops taking connections while its stand-in is silent: the
 // kernel's queue is made as short as it can be, so that further connects hang.
-type gatedListener struct {
+type faultListener struct {
 	net.Listener
-	f    *faults
-	done chan struct{}
+	faults *faults
+	done   chan struct{}
 }
 
-func (g *gatedListener) backlog(n int) {
-	t, ok := g.Listener.(*net.TCPListener)
+func (l *faultListener) setBacklog(n int) {
+	t, ok := l.Listener.(*net.TCPListener)
 	if !ok {
 		return
 	}
@@ -176,20 +176,20 @@
 	}
 }
 
-func (g *gatedListener) Accept() (net.Conn, error) {
+func (l *faultListener) Accept() (net.Conn, error) {
 	for {
-		c, err := g.Listener.Accept()
+		c, err := l.Listener.Accept()
 		if err != nil {
 			return c, err
 		}
 		now := trafficlog.Now()
-		if until := g.f.refusing(now); until > now {
-			g.backlog(0)
+		if until := l.faults.acceptsAgainAt(now); until > now {
+			l.setBacklog(0)
 			for until > now {
 				ctx, cancel := context.WithCancel(context.Background())
 				go func() {
 					select {
-					case <-g.done:
+					case <-l.done:
 						cancel()
 					case <-ctx.Done():
 					}
@@ -201,25 +201,25 @@
 					return nil, net.ErrClosed
 				}
 				now = trafficlog.Now()
-				until = g.f.refusing(now)
+				until = l.faults.acceptsAgainAt(now)
 			}
 			// what came meanwhile never reached a machine that was silent
-			reset(c)
-			if t, ok := g.Listener.(*net.TCPListener); ok {
+			resetConn(c)
+			if t, ok := l.Listener.(*net.TCPListener); ok {
 				t.SetDeadline(time.Now().Add(2 * time.Millisecond))
 				for {
-					late, err := t.Accept()
+					queued, err := t.Accept()
 					if err != nil {
 						break
 					}
-					reset(late)
+					resetConn(queued)
 				}
 				t.SetDeadline(time.Time{})
 			}
-			g.backlog(1024)
+			l.setBacklog(1024)
 			continue
 		}
-		if g.f.on(AcceptShut) {
+		if l.faults.active(AcceptShut) {
 			c.Close()
 			continue
 		}
--- a/internal/testbed/testserver/fill.go
+++ b/internal/testbed/testserver/fill.go
@@ -15,99 +15,99 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// flight is a fill under way: what has come of it so far, for all who wait.
-type flight struct {
-	mu      sync.Mutex
-	cond    chan struct{} // closed and renewed at each step
-	ready   bool          // the source's head has come, or the fill has failed
-	status  int           // 200, or how it failed
-	detail  string
-	behind  string // the source's Cache-Status
-	version int64
-	born    float64
-	size    int64
-	got     int64
-	err     error
+// fill is a fill under way: what has come of it so far, for all who wait.
+type fill struct {
+	mu           sync.Mutex
+	changed      chan struct{} // closed and renewed at each step
+	ready        bool          // the source's head has come, or the fill has failed
+	status       int           // 200, or how it failed
+	detail       string
+	sourceStatus string // the source's Cache-Status
+	version      int64
+	generatedAt  float64
+	size         int64
+	received     int64
+	err          error
 }
 
-func (f *flight) step(do func()) {
+func (f *fill) update(do func()) {
 	f.mu.Lock()
 	do()
-	close(f.cond)
-	f.cond = make(chan struct{})
+	close(f.changed)
+	f.changed = make(chan struct{})
 	f.mu.Unlock()
 }
 
-func (f *flight) until(ctx context.Context, ok func() bool) error {
+func (f *fill) waitUntil(ctx context.Context, condition func() bool) error {
 	for {
 		f.mu.Lock()
-		if ok() {
+		if condition() {
 			f.mu.Unlock()
 			return nil
 		}
-		c := f.cond
+		changed := f.changed
 		f.mu.Unlock()
 		select {
-		case <-c:
+		case <-changed:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// wait returns once so many bytes have come, or the fill broke off.
-func (f *flight) wait(ctx context.Context, n int64) (got int64, err error) {
-	err = f.until(ctx, func() bool { return f.got >= n || f.got >= f.size || f.err != nil })
+// waitForBytes returns once so many bytes have come, or the fill broke off.
+func (f *fill) waitForBytes(ctx context.Context, n int64) (received int64, err error) {
+	err = f.waitUntil(ctx, func() bool { return f.received >= n || f.received >= f.size || f.err != nil })
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err == nil && f.got < n && f.got < f.size {
+	if err == nil && f.received < n && f.received < f.size {
 		err = f.err
 	}
-	return f.got, err
+	return f.received, err
 }
 
 // detached is the visit for work that goes on without its client.
-func (v *visit) detached() *visit {
-	return &visit{s: v.s, r: v.r.WithContext(context.Background()), a: v.a, key: v.key, class: v.class, rec: v.rec}
+func (e *exchange) detached() *exchange {
+	return &exchange{s: e.s, r: e.r.WithContext(context.Background()), attempt: e.attempt, key: e.key, class: e.class, record: e.record}
 }
 
-// fetch begins a fill of the visit's key. It returns nil, having answered, when
+// startFill begins a fill of the visit's key. It returns nil, having answered, when
 // there is no place for one. A nil ctx is a fill that nobody waits for.
-func (v *visit) fetch(a fetchheader.Attempt, ctx context.Context) *flight {
-	s := v.s
+func (e *exchange) startFill(attempt fetchheader.Attempt, ctx context.Context) *fill {
+	s := e.s
 	s.mu.Lock()
-	place := s.box.BeginFill(trafficlog.Now(), v.key)
-	if place == nil {
+	slot := s.cache.BeginFill(trafficlog.Now(), e.key)
+	if slot == nil {
 		s.mu.Unlock()
 		if ctx != nil {
-			v.refuse(http.StatusServiceUnavailable, fetchheader.CacheStatus{Fwd: "miss", Detail: fetchheader.NoPlace})
+			e.reject(http.StatusServiceUnavailable, fetchheader.CacheStatus{Fwd: "miss", Detail: fetchheader.NoPlace})
 		}
 		return nil
 	}
-	fl := &flight{cond: make(chan struct{})}
-	if s.flights[v.key] == nil {
-		s.flights[v.key] = fl
+	f := &fill{changed: make(chan struct{})}
+	if s.fills[e.key] == nil {
+		s.fills[e.key] = f
 	}
 	s.mu.Unlock()
-	run := context.Background()
+	fillCtx := context.Background()
 	if ctx != nil && !s.cfg.RunOn {
-		run = ctx
+		fillCtx = ctx
 	}
 	go func() {
-		c := v.fill(run, a, fl)
+		received := e.runFill(fillCtx, attempt, f)
 		s.mu.Lock()
-		if s.flights[v.key] == fl {
-			delete(s.flights, v.key)
+		if s.fills[e.key] == f {
+			delete(s.fills, e.key)
 		}
-		s.box.EndFill(trafficlog.Now(), place, c)
+		s.cache.EndFill(trafficlog.Now(), slot, received)
 		s.mu.Unlock()
 	}()
-	return fl
+	return f
 }
 
-// fill gets the object from its source. It returns the copy when it came whole.
-func (v *visit) fill(ctx context.Context, a fetchheader.Attempt, fl *flight) *httpcache.Copy {
-	s := v.s
+// runFill gets the object from its source. It returns the copy when it came whole.
+func (e *exchange) runFill(ctx context.Context, attempt fetchheader.Attempt, f *fill) *httpcache.Copy {
+	s := e.s
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() {})
@@ -120,143 +120,143 @@
 		}
 	}()
 	fail := func(status int, detail string, err error) *httpcache.Copy {
-		fl.step(func() { fl.ready, fl.status, fl.detail, fl.err = true, status, detail, err })
+		f.update(func() { f.ready, f.status, f.detail, f.err = true, status, detail, err })
 		return nil
 	}
-	address := a.SourceAddress
-	sub := a
-	sub.Via, sub.Source, sub.SourceAddress, sub.Held = s.cfg.ID, "", "", false
-	sub.MayFetch = !a.Held
+	address := attempt.SourceAddress
+	next := attempt
+	next.Via, next.Source, next.SourceAddress, next.Held = s.cfg.ID, "", "", false
+	next.MayFetch = !attempt.Held
 	if address == "" {
 		address = s.cfg.Upstream
 	}
 	if address == "" {
 		return fail(http.StatusServiceUnavailable, fetchheader.SourceUnreached, errors.New("no source"))
 	}
-	req, err := http.NewRequestWithContext(ctx, "GET", "http://"+address+v.r.URL.RequestURI(), nil)
+	req, err := http.NewRequestWithContext(ctx, "GET", "http://"+address+e.r.URL.RequestURI(), nil)
 	if err != nil {
 		return fail(http.StatusServiceUnavailable, fetchheader.SourceUnreached, err)
 	}
-	req.Header.Set(fetchheader.FillField, string(sub.Append(nil)))
+	req.Header.Set(fetchheader.FillField, string(next.Append(nil)))
 	for _, name := range []string{"X-Request-Id", "Range"} {
-		if val := v.r.Header.Get(name); val != "" {
-			req.Header.Set(name, val)
+		if value := e.r.Header.Get(name); value != "" {
+			req.Header.Set(name, value)
 		}
 	}
-	if a.Held {
+	if attempt.Held {
 		req.Header.Set("Cache-Control", "only-if-cached")
 	}
-	asked := trafficlog.Now()
-	idle := time.AfterFunc(time.Duration(s.cfg.FillWait)*time.Millisecond, cancel)
-	defer idle.Stop()
+	sentAt := trafficlog.Now()
+	idleTimer := time.AfterFunc(time.Duration(s.cfg.FillWait)*time.Millisecond, cancel)
+	defer idleTimer.Stop()
 	res, err := s.client.Do(req)
 	if err != nil {
 		return fail(http.StatusServiceUnavailable, fetchheader.SourceUnreached, err)
 	}
 	defer res.Body.Close()
-	behind := strings.Join(res.Header.Values(fetchheader.StatusField), ", ")
+	sourceStatus := strings.Join(res.Header.Values(fetchheader.StatusField), ", ")
 	switch {
-	case res.StatusCode == http.StatusGatewayTimeout && a.Held:
+	case res.StatusCode == http.StatusGatewayTimeout && attempt.Held:
 		return fail(http.StatusServiceUnavailable, fetchheader.SourceLacks, errors.New("the source lacks it"))
-	case res.StatusCode == http.StatusServiceUnavailable && strings.Contains(behind, fetchheader.SourceUnreached),
-		res.StatusCode == http.StatusServiceUnavailable && strings.Contains(behind, fetchheader.OriginFailed):
+	case res.StatusCode == http.StatusServiceUnavailable && strings.Contains(sourceStatus, fetchheader.SourceUnreached),
+		res.StatusCode == http.StatusServiceUnavailable && strings.Contains(sourceStatus, fetchheader.OriginFailed):
 		return fail(http.StatusServiceUnavailable, fetchheader.OriginFailed, errors.New("the origin failed behind the source"))
 	case res.StatusCode == http.StatusServiceUnavailable:
 		return fail(http.StatusServiceUnavailable, fetchheader.SourceRefused, errors.New("the source refused"))
 	case res.StatusCode != http.StatusOK && res.StatusCode != http.StatusPartialContent:
 		return fail(http.StatusBadGateway, fetchheader.SourceRefused, errors.New(res.Status))
 	}
-	ver, err := fetchheader.ParseCopyVersion(res.Header.Get(fetchheader.CopyField))
-	size, serr := strconv.ParseInt(res.Header.Get("Content-Length"), 10, 64)
-	if err != nil || serr != nil {
-		return fail(http.StatusBadGateway, fetchheader.SourceUnreached, errors.Join(err, serr))
+	version, err := fetchheader.ParseCopyVersion(res.Header.Get(fetchheader.CopyField))
+	size, sizeErr := strconv.ParseInt(res.Header.Get("Content-Length"), 10, 64)
+	if err != nil || sizeErr != nil {
+		return fail(http.StatusBadGateway, fetchheader.SourceUnreached, errors.Join(err, sizeErr))
 	}
 	// RFC 9111, section 4.2.3: what the answer took is part of the age
-	born := asked - ver.Age
-	fl.step(func() {
-		fl.ready, fl.status, fl.behind = true, http.StatusOK, behind
-		fl.version, fl.born, fl.size = ver.Number, born, size
+	generatedAt := sentAt - version.Age
+	f.update(func() {
+		f.ready, f.status, f.sourceStatus = true, http.StatusOK, sourceStatus
+		f.version, f.generatedAt, f.size = version.Number, generatedAt, size
 	})
-	buf := make([]byte, chunk)
-	for got := int64(0); got < size; {
-		n, err := res.Body.Read(buf[:min(chunk, size-got)])
+	buf := make([]byte, chunkSize)
+	for received := int64(0); received < size; {
+		n, err := res.Body.Read(buf[:min(chunkSize, size-received)])
 		if n > 0 {
-			idle.Reset(time.Duration(s.cfg.FillWait) * time.Millisecond)
-			if at, ok := Matches(buf[:n], v.key, ver.Number, got); !ok {
+			idleTimer.Reset(time.Duration(s.cfg.FillWait) * time.Millisecond)
+			if at, ok := Matches(buf[:n], e.key, version.Number, received); !ok {
 				err = errors.New("byte " + strconv.FormatInt(at, 10) + " is of another version")
-			} else if perr := s.in.Pass(ctx, n); perr != nil {
-				err = perr
+			} else if linkErr := s.fillLink.Pass(ctx, n); linkErr != nil {
+				err = linkErr
 			} else {
-				got += int64(n)
-				fl.step(func() { fl.got = got })
+				received += int64(n)
+				f.update(func() { f.received = received })
 			}
 		}
-		if err != nil && got < size {
+		if err != nil && received < size {
 			if err == io.EOF {
 				err = io.ErrUnexpectedEOF
 			}
-			fl.step(func() { fl.err = err })
+			f.update(func() { f.err = err })
 			return nil
 		}
 	}
-	return &httpcache.Copy{Key: v.key, Object: a.Object, Group: a.Group, Bytes: size, Rank: a.Keep, Version: ver.Number,
-		GeneratedAt: born, Lifetime: v.class.Fresh}
+	return &httpcache.Copy{Key: e.key, Object: attempt.Object, Group: attempt.Group, Bytes: size, Rank: attempt.Keep, Version: version.Number,
+		GeneratedAt: generatedAt, Lifetime: e.class.Fresh}
 }
 
-// follow answers from a fill under way.
-func (v *visit) follow(fl *flight, joined bool) {
-	if fl.until(v.r.Context(), func() bool { return fl.ready }) != nil {
+// serveFill answers from a fill under way.
+func (e *exchange) serveFill(f *fill, joined bool) {
+	if f.waitUntil(e.r.Context(), func() bool { return f.ready }) != nil {
 		return
 	}
-	fl.mu.Lock()
-	status, detail, version, born, size := fl.status, fl.detail, fl.version, fl.born, fl.size
-	fl.mu.Unlock()
-	h := fetchheader.CacheStatus{Cache: v.s.cfg.ID, Fwd: "miss", Stored: v.a.Keep > 0, Collapsed: joined}
+	f.mu.Lock()
+	status, detail, version, generatedAt, size := f.status, f.detail, f.version, f.generatedAt, f.size
+	f.mu.Unlock()
+	h := fetchheader.CacheStatus{Cache: e.s.cfg.ID, Fwd: "miss", Stored: e.attempt.Keep > 0, Collapsed: joined}
 	if status != http.StatusOK {
 		h.Detail, h.Stored = detail, false
-		v.refuse(status, h)
+		e.reject(status, h)
 		return
 	}
-	if joined && v.a.Age > 0 && trafficlog.Now()-born > v.a.Age {
+	if joined && e.attempt.Age > 0 && trafficlog.Now()-generatedAt > e.attempt.Age {
 		// the fill that was joined brings a copy too old for this asker
-		if own := v.fetch(v.a, v.r.Context()); own != nil {
-			v.follow(own, false)
+		if own := e.startFill(e.attempt, e.r.Context()); own != nil {
+			e.serveFill(own, false)
 		}
 		return
 	}
-	v.send(version, born, size, h, fl)
+	e.respond(version, generatedAt, size, h, f)
 }
 
-// passWrite takes a write to the origin by way of a cache, which keeps nothing.
-func (v *visit) passWrite() {
-	address := v.a.SourceAddress
+// forwardWrite takes a write to the origin by way of a cache, which keeps nothing.
+func (e *exchange) forwardWrite() {
+	address := e.attempt.SourceAddress
 	if address == "" {
-		address = v.s.cfg.Upstream
+		address = e.s.cfg.Upstream
 	}
 	if address == "" {
-		v.refuse(http.StatusGatewayTimeout, fetchheader.CacheStatus{Fwd: "bypass"})
+		e.reject(http.StatusGatewayTimeout, fetchheader.CacheStatus{Fwd: "bypass"})
 		return
 	}
-	req, err := http.NewRequestWithContext(v.r.Context(), v.r.Method, "http://"+address+v.r.URL.RequestURI(), v.r.Body)
+	req, err := http.NewRequestWithContext(e.r.Context(), e.r.Method, "http://"+address+e.r.URL.RequestURI(), e.r.Body)
 	if err != nil {
-		v.refuse(http.StatusBadGateway, fetchheader.CacheStatus{Fwd: "bypass"})
+		e.reject(http.StatusBadGateway, fetchheader.CacheStatus{Fwd: "bypass"})
 		return
 	}
-	req.ContentLength = v.r.ContentLength
-	req.Header = v.r.Header.Clone()
-	sub := v.a
-	sub.Via, sub.Source, sub.SourceAddress = v.s.cfg.ID, "", ""
-	req.Header.Set(fetchheader.FillField, string(sub.Append(nil)))
-	res, err := v.s.client.Do(req)
+	req.ContentLength = e.r.ContentLength
+	req.Header = e.r.Header.Clone()
+	next := e.attempt
+	next.Via, next.Source, next.SourceAddress = e.s.cfg.ID, "", ""
+	req.Header.Set(fetchheader.FillField, string(next.Append(nil)))
+	res, err := e.s.client.Do(req)
 	if err != nil {
-		v.refuse(http.StatusBadGateway, fetchheader.CacheStatus{Fwd: "bypass", Detail: fetchheader.SourceUnreached})
+		e.reject(http.StatusBadGateway, fetchheader.CacheStatus{Fwd: "bypass", Detail: fetchheader.SourceUnreached})
 		return
 	}
 	defer res.Body.Close()
-	rec := v.rec
-	rec.Status = res.StatusCode
-	v.sent(rec)
-	v.w.Header().Set(fetchheader.StatusField, fetchheader.CacheStatus{Cache: v.s.cfg.ID, Fwd: "bypass"}.String())
-	v.w.WriteHeader(res.StatusCode)
-	io.Copy(v.w, res.Body)
+	record := e.record
+	record.Status = res.StatusCode
+	e.logAnswer(record)
+	e.w.Header().Set(fetchheader.StatusField, fetchheader.CacheStatus{Cache: e.s.cfg.ID, Fwd: "bypass"}.String())
+	e.w.WriteHeader(res.StatusCode)
+	io.Copy(e.w, res.Body)
 }
--- a/internal/testbed/testserver/fleet.go
+++ b/internal/testbed/testserver/fleet.go
@@ -12,10 +12,10 @@
 
 // Fleet is a file of stand-ins. Spans are in ms, sizes in KB, rates in KB a ms.
 type Fleet struct {
-	Stand   Stand       `edn:"stand"`
-	List    ListForm    `edn:"list"`
-	Classes []ClassForm `edn:"class"`
-	Members []Machine   `edn:"machine"`
+	Stand   Stand           `edn:"stand"`
+	List    ListForm        `edn:"list"`
+	Classes []ClassSettings `edn:"class"`
+	Members []Machine       `edn:"machine"`
 }
 
 // Stand is what all of them share.
@@ -41,8 +41,8 @@
 	PurgeTo   float64 `edn:"purge-to" min:"0"`
 }
 
-// ClassForm is a class as stand-ins know it.
-type ClassForm struct {
+// ClassSettings is a class as stand-ins know it.
+type ClassSettings struct {
 	Name   string  `edn:"@,required"`
 	KB     float64 `edn:"kb" def:"60" min:"0.001"`
 	Fresh  float64 `edn:"fresh" min:"0"`
@@ -114,7 +114,7 @@
 }
 
 // Run is one machine, or the list service, until the context ends.
-func (f *Fleet) Run(ctx context.Context, role, id string, w *trafficlog.Writer, say io.Writer) error {
+func (f *Fleet) Run(ctx context.Context, role, id string, w *trafficlog.Writer, out io.Writer) error {
 	if role == "list" {
 		l, err := StartList(ListConfig{ID: "list", Listen: f.List.Listen, LagFrom: f.List.LagFrom, LagTo: f.List.LagTo,
 			PurgeFrom: f.List.PurgeFrom, PurgeTo: f.List.PurgeTo, Seed: uint64(f.Stand.Seed)}, w)
@@ -124,7 +124,7 @@
 		for _, m := range f.Members {
 			l.Set(engine.Row{ID: m.ID, Kind: m.Role, Zone: m.Zone, Address: m.Listen, Start: 1}, 0)
 		}
-		fmt.Fprintf(say, "list service at %s\n", l.Addr())
+		fmt.Fprintf(out, "list service at %s\n", l.Addr())
 		<-ctx.Done()
 		l.Close()
 		return w.Err()
@@ -140,7 +140,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(say, "%s %s at %s\n", role, id, s.Addr())
+	fmt.Fprintf(out, "%s %s at %s\n", role, id, s.Addr())
 	<-ctx.Done()
 	s.Kill()
 	return w.Err()
--- a/internal/testbed/testserver/mangle.go
+++ b/internal/testbed/testserver/mangle.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// mangled answers with one of the faults of the wire, where one acts, on the
+// respondMalformed answers with one of the faults of the wire, where one acts, on the
 // bare connection.
-func (v *visit) mangled(version, size int64) bool {
+func (e *exchange) respondMalformed(version, size int64) bool {
 	kind := ""
 	for _, k := range []string{ResetBody, Truncated, Overlong, Garbage, TwoLengths, BothFrames, BareLF, BigHead, Trickle} {
-		if v.s.f.on(k) {
+		if e.s.faults.active(k) {
 			kind = k
 			break
 		}
@@ -22,7 +22,7 @@
 	if kind == "" {
 		return false
 	}
-	h, ok := v.w.(interface {
+	h, ok := e.w.(interface {
 		Hijack() (net.Conn, *bufio.ReadWriter, error)
 	})
 	if !ok {
@@ -34,57 +34,57 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(30 * time.Second))
-	var head strings.Builder
-	for name, vals := range v.w.Header() {
-		for _, val := range vals {
+	var lines strings.Builder
+	for name, values := range e.w.Header() {
+		for _, value := range values {
 			if name != "Content-Length" {
-				fmt.Fprintf(&head, "%s: %s\r\n", name, val)
+				fmt.Fprintf(&lines, "%s: %s\r\n", name, value)
 			}
 		}
 	}
-	fields := head.String()
+	fields := lines.String()
 	body := make([]byte, size)
-	Content(body, v.key, version, 0)
-	say := func(format string, a ...any) { fmt.Fprintf(c, format, a...) }
-	whole := func() { say("HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n", fields, size) }
+	Content(body, e.key, version, 0)
+	write := func(format string, a ...any) { fmt.Fprintf(c, format, a...) }
+	writeHeader := func() { write("HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n", fields, size) }
 	switch kind {
 	case ResetBody:
-		whole()
+		writeHeader()
 		c.Write(body[:size/2])
 		time.Sleep(5 * time.Millisecond)
 		if t, ok := c.(*net.TCPConn); ok {
 			t.SetLinger(0)
 		}
 	case Truncated:
-		whole()
+		writeHeader()
 		c.Write(body[:size/2])
 	case Overlong:
-		whole()
+		writeHeader()
 		// In one write: what came later than the next request could not be told from its answer.
 		c.Write(append(slices.Clip(body), "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nxxx"...))
 	case Garbage:
-		say("\x16\x03\x01 what is this\x00\r\n\r\n")
+		write("\x16\x03\x01 what is this\x00\r\n\r\n")
 	case TwoLengths:
-		say("HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\nContent-Length: %d\r\n\r\n", fields, size, size+1)
+		write("HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\nContent-Length: %d\r\n\r\n", fields, size, size+1)
 		c.Write(body)
 	case BothFrames:
-		say("HTTP/1.1 200 OK\r\n%sContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", fields, size)
+		write("HTTP/1.1 200 OK\r\n%sContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", fields, size)
 		c.Write(body)
-		say("\r\n0\r\n\r\n")
+		write("\r\n0\r\n\r\n")
 	case BareLF:
-		say("HTTP/1.1 200 OK\n%sContent-Length: %d\n\n", strings.ReplaceAll(fields, "\r", ""), size)
+		write("HTTP/1.1 200 OK\n%sContent-Length: %d\n\n", strings.ReplaceAll(fields, "\r", ""), size)
 		c.Write(body)
 	case BigHead:
-		say("HTTP/1.1 200 OK\r\n%sX-Fill: %s\r\nContent-Length: %d\r\n\r\n", fields, strings.Repeat("x", 64<<10), size)
+		write("HTTP/1.1 200 OK\r\n%sX-Fill: %s\r\nContent-Length: %d\r\n\r\n", fields, strings.Repeat("x", 64<<10), size)
 		c.Write(body)
 	case Trickle:
-		whole()
+		writeHeader()
 		for i := range body {
 			if _, err := c.Write(body[i : i+1]); err != nil {
 				return true
 			}
 			select {
-			case <-v.s.done:
+			case <-e.s.done:
 				return true
 			case <-time.After(time.Second):
 			}
--- a/internal/testbed/testserver/origin.go
+++ b/internal/testbed/testserver/origin.go
@@ -13,76 +13,76 @@
 // origin is what the origin knows: the version of each object, and which
 // guarded writes it ran of late.
 type origin struct {
-	objects map[string]int64 // purges of each
-	groups  map[int]int64
-	seen    map[string]float64 // by key: when it first ran
+	objectPurges map[string]int64 // purges of each
+	groupPurges  map[int]int64
+	executed     map[string]float64 // by key: when it first ran
 }
 
 func newOrigin() *origin {
-	return &origin{objects: map[string]int64{}, groups: map[int]int64{}, seen: map[string]float64{}}
+	return &origin{objectPurges: map[string]int64{}, groupPurges: map[int]int64{}, executed: map[string]float64{}}
 }
 
 func (o *origin) purge(object string, group int) {
 	if object != "" {
-		o.objects[object]++
+		o.objectPurges[object]++
 	} else {
-		o.groups[group]++
+		o.groupPurges[group]++
 	}
 }
 
 func (o *origin) version(object string, group int) int64 {
-	return 1 + o.objects[object] + o.groups[group]
+	return 1 + o.objectPurges[object] + o.groupPurges[group]
 }
 
-// atOrigin answers from the source of all: it never lacks anything.
-func (v *visit) atOrigin() {
-	s := v.s
+// serveOrigin answers from the source of all: it never lacks anything.
+func (e *exchange) serveOrigin() {
+	s := e.s
 	s.mu.Lock()
-	full := s.cfg.Limit > 0 && s.inflight > s.cfg.Limit
+	overLimit := s.cfg.Limit > 0 && s.inflight > s.cfg.Limit
 	s.mu.Unlock()
-	if full {
-		v.refuse(http.StatusServiceUnavailable, fetchheader.CacheStatus{})
+	if overLimit {
+		e.reject(http.StatusServiceUnavailable, fetchheader.CacheStatus{})
 		return
 	}
-	if v.rec.Write {
-		v.run()
+	if e.record.Write {
+		e.executeWrite()
 		return
 	}
 	s.mu.Lock()
-	born := trafficlog.Now()
-	version := s.origin.version(v.a.Object, v.a.Group)
+	generatedAt := trafficlog.Now()
+	version := s.origin.version(e.attempt.Object, e.attempt.Group)
 	s.mu.Unlock()
-	size := SizeOf(v.key, v.class.KB)
-	if first, last, ok := byteRange(v.r); ok { // each range is an object of its own here
+	size := SizeOf(e.key, e.class.KB)
+	if first, last, ok := byteRange(e.r); ok { // each range is an object of its own here
 		size = last - first + 1
 	}
-	v.send(version, born, size, fetchheader.CacheStatus{Cache: s.cfg.ID}, nil)
+	e.respond(version, generatedAt, size, fetchheader.CacheStatus{Cache: s.cfg.ID}, nil)
 }
 
-// run runs a write, or drops the repeat of one that was run within the window.
-func (v *visit) run() {
-	s := v.s
-	n, err := io.Copy(io.Discard, http.MaxBytesReader(v.w, v.r.Body, 64<<20))
+// executeWrite runs a write, or drops the repeat of one that was run within the window.
+func (e *exchange) executeWrite() {
+	s := e.s
+	n, err := io.Copy(io.Discard, http.MaxBytesReader(e.w, e.r.Body, 64<<20))
 	if err != nil { // a request that did not come whole is not run
 		return
 	}
 	now := trafficlog.Now()
 	s.mu.Lock()
-	first, again := s.origin.seen[v.rec.Key]
-	drop := v.rec.Key != "" && again && now-first < v.class.Window
-	if !drop && v.rec.Key != "" {
-		s.origin.seen[v.rec.Key] = now
+	first, repeated := s.origin.executed[e.record.Key]
+	dropped := e.record.Key != "" && repeated && now-first < e.class.Window
+	if !dropped && e.record.Key != "" {
+		s.origin.executed[e.record.Key] = now
 	}
 	s.mu.Unlock()
-	rec := v.rec
-	rec.Event, rec.Bytes = trafficlog.WriteExecuted, n
-	if drop {
-		rec.Note = "dropped"
+	record := e.record
+	record.Event, record.Bytes = trafficlog.WriteExecuted, n
+	if dropped {
+		record.Note = "dropped"
 	}
-	s.tap.Add(rec)
-	rec.Status, rec.Note = http.StatusOK, ""
-	v.sent(rec)
-	body := fmt.Sprintf("ran %s %s: %d bytes\n", v.r.Method, v.key, n)
-	v.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	io.WriteString(v.w, body)
+	s.trafficLog.Add(record)
+	record.Status, record.Note = http.StatusOK, ""
+	e.logAnswer(record)
+	body := fmt.Sprintf("ran %s %s: %d bytes\n", e.r.Method, e.key, n)
+	e.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
+	io.WriteString(e.w, body)
 }
--- a/internal/testbed/testserver/pace.go
+++ b/internal/testbed/testserver/pace.go
@@ -11,10 +11,10 @@
 // Link is a line of a set bandwidth that transfers share in the order in which
 // they ask, a chunk at a time. The zero bandwidth is no limit.
 type Link struct {
-	mu    sync.Mutex
-	rate  func() float64 // KB a ms, now
-	next  float64
-	bytes int64
+	mu     sync.Mutex
+	rate   func() float64 // KB a ms, now
+	freeAt float64
+	bytes  int64
 }
 
 // NewLink makes a link of a rate in KB a ms, which may change over time.
@@ -37,8 +37,8 @@
 	if r <= 0 {
 		return now
 	}
-	l.next = max(l.next, now) + float64(n)/1024/r
-	return l.next
+	l.freeAt = max(l.freeAt, now) + float64(n)/1024/r
+	return l.freeAt
 }
 
 // Pass waits until n bytes have passed over the link.
--- a/internal/testbed/testserver/platform.go
+++ b/internal/testbed/testserver/platform.go
@@ -37,7 +37,7 @@
 }
 
 // Done says that an attempt is over here: its answer was written.
-func (c *PlatformConn) Done(id string) { c.p.count(id, -1) }
+func (c *PlatformConn) Done(id string) { c.p.addOutstanding(id, -1) }
 
 // Answer writes an answer.
 func (c *PlatformConn) Answer(id, word, fields string, body []byte) {
@@ -61,11 +61,11 @@
 	Addr string
 	On   func(c *PlatformConn, q PlatformRequest)
 
-	mu    sync.Mutex
-	ln    net.Listener
-	open  map[string]int // attempts by id that have come and neither ended nor been given up
-	conns int
-	seen  []PlatformRequest
+	mu          sync.Mutex
+	ln          net.Listener
+	outstanding map[string]int // attempts by id that have come and neither ended nor been given up
+	conns       int
+	received    []PlatformRequest
 }
 
 // NewPlatformCache listens at an address; port 0 is the kernel's choice.
@@ -74,7 +74,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &PlatformCache{Addr: ln.Addr().String(), On: on, ln: ln, open: map[string]int{}}
+	p := &PlatformCache{Addr: ln.Addr().String(), On: on, ln: ln, outstanding: map[string]int{}}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -98,7 +98,7 @@
 func (p *PlatformCache) Seen() []PlatformRequest {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]PlatformRequest(nil), p.seen...)
+	return append([]PlatformRequest(nil), p.received...)
 }
 
 // Conns counts the connections so far.
@@ -113,36 +113,36 @@
 func (p *PlatformCache) Open() (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, k := range p.open {
+	for _, k := range p.outstanding {
 		n += k
 	}
 	return n
 }
 
-func (p *PlatformCache) count(id string, d int) {
+func (p *PlatformCache) addOutstanding(id string, delta int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.open[id] += d; p.open[id] <= 0 {
-		delete(p.open, id)
+	if p.outstanding[id] += delta; p.outstanding[id] <= 0 {
+		delete(p.outstanding, id)
 	}
 }
 
 func (p *PlatformCache) serve(c *PlatformConn) {
-	mine := map[string]bool{}
+	ids := map[string]bool{}
 	defer func() {
-		for id := range mine {
-			p.count(id, -1)
+		for id := range ids {
+			p.addOutstanding(id, -1)
 		}
 		c.Close()
 	}()
 	var buf []byte
-	room := make([]byte, 64<<10)
+	chunk := make([]byte, 64<<10)
 	for {
-		k, err := c.Read(room)
+		k, err := c.Read(chunk)
 		if err != nil {
 			return
 		}
-		buf = append(buf, room[:k]...)
+		buf = append(buf, chunk[:k]...)
 		for {
 			a, size, _, err := resp.ReadAnswer(buf) // a request has the form of an answer
 			if err != nil {
@@ -155,13 +155,13 @@
 			resp.EachField(a.Fields, func(name, value []byte) bool { q.Fields[string(name)] = string(value); return true })
 			buf = buf[size:]
 			p.mu.Lock()
-			p.seen = append(p.seen, q)
+			p.received = append(p.received, q)
 			if q.Stop {
-				delete(p.open, q.ID)
-				delete(mine, q.ID)
+				delete(p.outstanding, q.ID)
+				delete(ids, q.ID)
 			} else {
-				p.open[q.ID]++
-				mine[q.ID] = true
+				p.outstanding[q.ID]++
+				ids[q.ID] = true
 			}
 			p.mu.Unlock()
 			p.On(c, q)
--- a/internal/testbed/testserver/server.go
+++ b/internal/testbed/testserver/server.go
@@ -62,7 +62,7 @@
 	Feedback []string `json:"feedback"` // inflight, util, x0, x1
 }
 
-func (c *Config) fill() {
+func (c *Config) setDefaults() {
 	if c.Listen == "" {
 		c.Listen = "127.0.0.1:0"
 	}
@@ -88,31 +88,31 @@
 
 // Server is a running stand-in.
 type Server struct {
-	cfg    Config
-	tap    *trafficlog.Writer
-	f      *faults
-	ln     net.Listener
-	http   *http.Server
-	client *http.Client
-	out    *Link // to clients
-	in     *Link // fills from outside
-	done   chan struct{}
-	once   sync.Once
+	cfg        Config
+	trafficLog *trafficlog.Writer
+	faults     *faults
+	listener   net.Listener
+	http       *http.Server
+	client     *http.Client
+	clientLink *Link // to clients
+	fillLink   *Link // fills from outside
+	done       chan struct{}
+	once       sync.Once
 
 	mu       sync.Mutex
-	box      *httpcache.Cache
-	flights  map[string]*flight
+	cache    *httpcache.Cache
+	fills    map[string]*fill
 	classes  map[string]Class
 	inflight int
-	hits     float64 // recent share
+	hitRatio float64 // recent share
 	origin   *origin
 }
 
 // Start begins to serve.
 func Start(cfg Config, w *trafficlog.Writer) (*Server, error) {
-	cfg.fill()
-	s := &Server{cfg: cfg, tap: w, f: newFaults(cfg.Seed), done: make(chan struct{}),
-		flights: map[string]*flight{}, classes: map[string]Class{}}
+	cfg.setDefaults()
+	s := &Server{cfg: cfg, trafficLog: w, faults: newFaults(cfg.Seed), done: make(chan struct{}),
+		fills: map[string]*fill{}, classes: map[string]Class{}}
 	for _, c := range cfg.Classes {
 		s.classes[c.Name] = c
 	}
@@ -120,17 +120,17 @@
 	if err != nil {
 		return nil, fmt.Errorf("standin %s: %w", cfg.ID, err)
 	}
-	s.ln = ln
-	s.box = httpcache.New(httpcache.Settings{Name: cfg.ID, Bytes: cfg.Bytes, Capacity: cfg.Capacity, WarmUpInitialShare: cfg.ColdFrom,
+	s.listener = ln
+	s.cache = httpcache.New(httpcache.Settings{Name: cfg.ID, Bytes: cfg.Bytes, Capacity: cfg.Capacity, WarmUpInitialShare: cfg.ColdFrom,
 		WarmUpTime: cfg.ColdTime, OverloadFactor: cfg.Fall, OverloadTime: cfg.FallTime, MaxFills: cfg.MaxFills},
 		trafficlog.Now(), !cfg.Cold)
-	s.out = NewLink(func() float64 {
+	s.clientLink = NewLink(func() float64 {
 		if cfg.Capacity <= 0 {
 			return 0
 		}
-		return s.box.Capacity(trafficlog.Now()) * cfg.Flow / s.f.slowness()
+		return s.cache.Capacity(trafficlog.Now()) * cfg.Flow / s.faults.slowdown()
 	})
-	s.in = NewLink(func() float64 { return cfg.LinkIn })
+	s.fillLink = NewLink(func() float64 { return cfg.LinkIn })
 	if cfg.Role == "origin" {
 		s.origin = newOrigin()
 	}
@@ -138,20 +138,20 @@
 		IdleConnTimeout: 5 * time.Second, ResponseHeaderTimeout: time.Duration(cfg.FillWait) * time.Millisecond,
 		DialContext: (&net.Dialer{Timeout: 500 * time.Millisecond}).DialContext}}
 	s.http = &http.Server{Handler: s, IdleTimeout: 5 * time.Minute}
-	s.tap.Add(trafficlog.Record{Event: trafficlog.Started, Subject: cfg.ID, Role: cfg.Role, Addr: ln.Addr().String(), Start: cfg.Start,
+	s.trafficLog.Add(trafficlog.Record{Event: trafficlog.Started, Subject: cfg.ID, Role: cfg.Role, Addr: ln.Addr().String(), Start: cfg.Start,
 		Cold: cfg.Cold, Work: cfg.Capacity, Note: cfg.Zone})
-	go s.http.Serve(&gatedListener{Listener: ln, f: s.f, done: s.done})
+	go s.http.Serve(&faultListener{Listener: ln, faults: s.faults, done: s.done})
 	return s, nil
 }
 
 // Addr is where it serves.
-func (s *Server) Addr() string { return s.ln.Addr().String() }
+func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 // ID is its name.
 func (s *Server) ID() string { return s.cfg.ID }
 
 // Fault makes the stand-in suffer.
-func (s *Server) Fault(x Fault) error { return s.f.set(trafficlog.Now(), x) }
+func (s *Server) Fault(x Fault) error { return s.faults.set(trafficlog.Now(), x) }
 
 // Purge drops the copies that are older than made, a time on the tap's clock.
 // The origin makes a new version instead, and says itself when: the time is
@@ -160,20 +160,20 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.origin == nil {
-		s.box.Purge(object, group, made)
+		s.cache.Purge(object, group, made)
 		return made
 	}
 	s.origin.purge(object, group)
-	rec := trafficlog.Record{Time: trafficlog.Now(), Event: trafficlog.Purge, Subject: s.cfg.ID, Object: object, Group: group}
-	s.tap.Add(rec)
-	return rec.Time
+	record := trafficlog.Record{Time: trafficlog.Now(), Event: trafficlog.Purge, Subject: s.cfg.ID, Object: object, Group: group}
+	s.trafficLog.Add(record)
+	return record.Time
 }
 
-// Held is what a cache holds.
-func (s *Server) Held() (bytes int64, copies int) {
+// Usage is what a cache holds.
+func (s *Server) Usage() (bytes int64, copies int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.box.Usage()
+	return s.cache.Usage()
 }
 
 // Kill ends it as SIGKILL would: connections are reset, nothing is finished.
@@ -191,7 +191,7 @@
 		s.control(w, r)
 		return
 	}
-	a, err := fetchheader.ParseAttempt(r.Header.Values(fetchheader.FillField))
+	attempt, err := fetchheader.ParseAttempt(r.Header.Values(fetchheader.FillField))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -200,43 +200,43 @@
 	if rg := r.Header.Get("Range"); rg != "" {
 		key += " " + rg
 	}
-	class := s.classes[a.Class]
-	v := &visit{s: s, w: w, r: r, a: a, key: key, class: class}
-	v.rec = trafficlog.Record{Subject: s.cfg.ID, Role: s.cfg.Role, Start: s.cfg.Start, RouterRequest: a.ID, Attempt: a.Number, From: a.From,
-		Via: a.Via, Source: a.Source, Class: a.Class, Object: a.Object, Group: a.Group,
+	class := s.classes[attempt.Class]
+	e := &exchange{s: s, w: w, r: r, attempt: attempt, key: key, class: class}
+	e.record = trafficlog.Record{Subject: s.cfg.ID, Role: s.cfg.Role, Start: s.cfg.Start, RouterRequest: attempt.ID, Attempt: attempt.Number, From: attempt.From,
+		Via: attempt.Via, Source: attempt.Source, Class: attempt.Class, Object: attempt.Object, Group: attempt.Group,
 		Key: r.Header.Get(fetchheader.IdempotencyKeyField), Write: r.Method != "GET" && r.Method != "HEAD",
 		ID: r.Header.Get("X-Request-Id")}
-	v.rec.Work = class.KB / s.cfg.Flow
+	e.record.Work = class.KB / s.cfg.Flow
 	if s.cfg.Role == "parent" {
-		v.rec.Work = float64(SizeOf(key, class.KB)) / 1024 / s.cfg.Flow
+		e.record.Work = float64(SizeOf(key, class.KB)) / 1024 / s.cfg.Flow
 	}
-	recv := v.rec
-	recv.Event, recv.Note = trafficlog.AttemptReceived, "look"
-	if a.Source != "" || a.MayFetch {
-		recv.Note = "fill"
+	received := e.record
+	received.Event, received.Note = trafficlog.AttemptReceived, "look"
+	if attempt.Source != "" || attempt.MayFetch {
+		received.Note = "fill"
 	}
-	s.tap.Add(recv)
+	s.trafficLog.Add(received)
 	s.mu.Lock()
 	s.inflight++
-	fallen := s.box.RecordAttempt(trafficlog.Now(), v.rec.Work)
+	overloaded := s.cache.RecordAttempt(trafficlog.Now(), e.record.Work)
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
 		s.inflight--
 		s.mu.Unlock()
 	}()
-	if fallen {
-		v.reset()
+	if overloaded {
+		e.reset()
 		return
 	}
 	stop := context.AfterFunc(r.Context(), func() {
-		if !v.answered.Load() {
-			left := v.rec
-			left.Event = trafficlog.AttemptCanceled
-			s.tap.Add(left)
+		if !e.answered.Load() {
+			canceled := e.record
+			canceled.Event = trafficlog.AttemptCanceled
+			s.trafficLog.Add(canceled)
 		}
 	})
-	v.serve()
+	e.serve()
 	if r.Context().Err() == nil { // else it is left to the record that it was left
 		stop()
 	}
@@ -262,11 +262,11 @@
 			return
 		}
 	case "/-/state":
-		bytes, copies := s.Held()
+		bytes, copies := s.Usage()
 		s.mu.Lock()
 		state := map[string]any{"id": s.cfg.ID, "role": s.cfg.Role, "bytes": bytes, "copies": copies,
-			"fallen": s.box.Failed(), "warmth": s.box.CapacityShare(trafficlog.Now()), "hits": s.box.Hits, "misses": s.box.Misses,
-			"fills": s.box.FillsInFlight(), "inflight": s.inflight, "in_bytes": s.in.Bytes(), "out_bytes": s.out.Bytes()}
+			"fallen": s.cache.Failed(), "warmth": s.cache.CapacityShare(trafficlog.Now()), "hits": s.cache.Hits, "misses": s.cache.Misses,
+			"fills": s.cache.FillsInFlight(), "inflight": s.inflight, "in_bytes": s.fillLink.Bytes(), "out_bytes": s.clientLink.Bytes()}
 		s.mu.Unlock()
 		json.NewEncoder(w).Encode(state)
 		return
@@ -281,220 +281,220 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// load is the report in the order of the settings' feedback.
-func (s *Server) load() string {
+// loadField is the report in the order of the settings' feedback.
+func (s *Server) loadField() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var v []float64
+	var values []float64
 	for _, name := range s.cfg.Feedback {
 		switch name {
 		case "inflight":
-			v = append(v, float64(s.inflight))
+			values = append(values, float64(s.inflight))
 		case "x0":
-			v = append(v, s.hits)
+			values = append(values, s.hitRatio)
 		case "x1":
-			v = append(v, float64(s.box.FillsInFlight()))
+			values = append(values, float64(s.cache.FillsInFlight()))
 		default:
-			v = append(v, min(float64(s.inflight)/max(s.cfg.Capacity, 1), 1))
+			values = append(values, min(float64(s.inflight)/max(s.cfg.Capacity, 1), 1))
 		}
 	}
-	return fetchheader.FormatLoad(v)
+	return fetchheader.FormatLoad(values)
 }
 
-// visit is one attempt at a stand-in.
-type visit struct {
-	s     *Server
-	w     http.ResponseWriter
-	r     *http.Request
-	a     fetchheader.Attempt
-	key   string
-	class Class
-	rec   trafficlog.Record
+// exchange is one attempt at a stand-in.
+type exchange struct {
+	s       *Server
+	w       http.ResponseWriter
+	r       *http.Request
+	attempt fetchheader.Attempt
+	key     string
+	class   Class
+	record  trafficlog.Record
 
 	answered atomic.Bool
 }
 
-// sent records that the attempt is answered.
-func (v *visit) sent(rec trafficlog.Record) {
-	v.answered.Store(true)
-	rec.Event = trafficlog.AttemptAnswered
-	v.s.tap.Add(rec)
+// logAnswer records that the attempt is answered.
+func (e *exchange) logAnswer(record trafficlog.Record) {
+	e.answered.Store(true)
+	record.Event = trafficlog.AttemptAnswered
+	e.s.trafficLog.Add(record)
 }
 
 // reset ends the attempt's connection; the attempt ends with it.
-func (v *visit) reset() {
-	if !v.answered.Swap(true) {
-		rec := v.rec
-		rec.Event, rec.Note = trafficlog.AttemptCanceled, "reset"
-		v.s.tap.Add(rec)
+func (e *exchange) reset() {
+	if !e.answered.Swap(true) {
+		record := e.record
+		record.Event, record.Note = trafficlog.AttemptCanceled, "reset"
+		e.s.trafficLog.Add(record)
 	}
-	if c, _, err := v.w.(http.Hijacker).Hijack(); err == nil {
-		reset(c)
+	if c, _, err := e.w.(http.Hijacker).Hijack(); err == nil {
+		resetConn(c)
 	}
 }
 
 // serve does what the attempt asks, under the faults of the moment.
-func (v *visit) serve() {
-	s, ctx := v.s, v.r.Context()
-	if s.f.gate(ctx) != nil {
+func (e *exchange) serve() {
+	s, ctx := e.s, e.r.Context()
+	if s.faults.waitWhileStopped(ctx) != nil {
 		return
 	}
-	if s.f.on(FastErrors) {
-		v.refuse(http.StatusInternalServerError, fetchheader.CacheStatus{Fwd: "miss"})
+	if s.faults.active(FastErrors) {
+		e.reject(http.StatusInternalServerError, fetchheader.CacheStatus{Fwd: "miss"})
 		return
 	}
-	lost := s.f.on(AnswerLost)
-	if lost {
-		v.w = &lostWriter{header: http.Header{}, ctx: ctx}
+	discard := s.faults.active(AnswerLost)
+	if discard {
+		e.w = &discardWriter{header: http.Header{}, ctx: ctx}
 	}
-	if lat := s.cfg.Latency * s.f.slowness(); lat > 0 {
-		if sleepUntil(ctx, trafficlog.Now()+lat) != nil {
+	if latency := s.cfg.Latency * s.faults.slowdown(); latency > 0 {
+		if sleepUntil(ctx, trafficlog.Now()+latency) != nil {
 			return
 		}
 	}
 	switch {
 	case s.origin != nil:
-		v.atOrigin()
-	case v.rec.Write:
-		v.passWrite()
+		e.serveOrigin()
+	case e.record.Write:
+		e.forwardWrite()
 	default:
-		v.atCache()
+		e.serveCache()
 	}
-	if lost { // the work is done, and nobody hears of it
+	if discard { // the work is done, and nobody hears of it
 		select {
 		case <-ctx.Done():
 		case <-s.done:
 		case <-time.After(time.Minute):
 		}
-		v.reset()
+		e.reset()
 	}
 }
 
-// lostWriter takes an answer that never reaches anyone.
-type lostWriter struct {
+// discardWriter takes an answer that never reaches anyone.
+type discardWriter struct {
 	header http.Header
 	ctx    context.Context
 }
 
-func (l *lostWriter) Header() http.Header         { return l.header }
-func (l *lostWriter) Write(b []byte) (int, error) { return len(b), l.ctx.Err() }
-func (l *lostWriter) WriteHeader(int)             {}
-func (l *lostWriter) Flush()                      {}
-func (l *lostWriter) Hijack() (net.Conn, *bufio.ReadWriter, error) {
+func (w *discardWriter) Header() http.Header         { return w.header }
+func (w *discardWriter) Write(b []byte) (int, error) { return len(b), w.ctx.Err() }
+func (l *discardWriter) WriteHeader(int)             {}
+func (l *discardWriter) Flush()                      {}
+func (l *discardWriter) Hijack() (net.Conn, *bufio.ReadWriter, error) {
 	return nil, nil, http.ErrNotSupported
 }
 
-func (v *visit) refuse(status int, h fetchheader.CacheStatus) {
-	h.Cache = v.s.cfg.ID
-	v.w.Header().Set(fetchheader.StatusField, h.String())
-	v.w.Header().Set(fetchheader.LoadField, v.s.load())
-	rec := v.rec
-	rec.Status, rec.Note = status, h.Detail
-	v.sent(rec)
-	v.w.Header().Set("Content-Length", "0")
-	v.w.WriteHeader(status)
+func (e *exchange) reject(status int, h fetchheader.CacheStatus) {
+	h.Cache = e.s.cfg.ID
+	e.w.Header().Set(fetchheader.StatusField, h.String())
+	e.w.Header().Set(fetchheader.LoadField, e.s.loadField())
+	record := e.record
+	record.Status, record.Note = status, h.Detail
+	e.logAnswer(record)
+	e.w.Header().Set("Content-Length", "0")
+	e.w.WriteHeader(status)
 }
 
-func (v *visit) atCache() {
-	s := v.s
+func (e *exchange) serveCache() {
+	s := e.s
 	now := trafficlog.Now()
-	age := v.a.Age
-	if age <= 0 {
-		age = 1e15
+	maxAge := e.attempt.Age
+	if maxAge <= 0 {
+		maxAge = 1e15
 	}
-	if v.class.Fresh > 0 && v.a.Age <= 0 {
-		age = v.class.Fresh
+	if e.class.Fresh > 0 && e.attempt.Age <= 0 {
+		maxAge = e.class.Fresh
 	}
-	if v.r.Method == "HEAD" { // answered as GET is, without the body
-		v.rec.Note = "head"
+	if e.r.Method == "HEAD" { // answered as GET is, without the body
+		e.record.Note = "head"
 	}
 	s.mu.Lock()
-	c := s.box.Lookup(now, v.key, age, v.a.Keep)
+	found := s.cache.Lookup(now, e.key, maxAge, e.attempt.Keep)
 	hit := 0.0
-	if c != nil {
+	if found != nil {
 		hit = 1
 	}
-	s.hits += (hit - s.hits) * 0.02
-	if c != nil {
-		held := *c
-		ageing := v.a.Renew && held.Lifetime > 0 && now-held.GeneratedAt > 0.8*held.Lifetime
+	s.hitRatio += (hit - s.hitRatio) * 0.02
+	if found != nil {
+		cached := *found
+		renew := e.attempt.Renew && cached.Lifetime > 0 && now-cached.GeneratedAt > 0.8*cached.Lifetime
 		s.mu.Unlock()
 		h := fetchheader.CacheStatus{Cache: s.cfg.ID, Hit: true}
-		if held.Lifetime > 0 {
-			h.HasTTL, h.TTL = true, (held.Lifetime-(now-held.GeneratedAt))/1000
+		if cached.Lifetime > 0 {
+			h.HasTTL, h.TTL = true, (cached.Lifetime-(now-cached.GeneratedAt))/1000
 			if h.TTL < 0 {
 				h.TTL = min(h.TTL, -1)
 			}
 		}
-		if ageing && v.a.Source != "" {
-			go v.detached().fetch(v.a, nil)
+		if renew && e.attempt.Source != "" {
+			go e.detached().startFill(e.attempt, nil)
 		}
-		v.send(held.Version, held.GeneratedAt, held.Bytes, h, nil)
+		e.respond(cached.Version, cached.GeneratedAt, cached.Bytes, h, nil)
 		return
 	}
-	fl := s.flights[v.key]
+	current := s.fills[e.key]
 	s.mu.Unlock()
-	if v.a.Source == "" && !v.a.MayFetch { // a look
-		v.refuse(http.StatusGatewayTimeout, fetchheader.CacheStatus{Fwd: "miss", Collapsed: fl != nil})
+	if e.attempt.Source == "" && !e.attempt.MayFetch { // a look
+		e.reject(http.StatusGatewayTimeout, fetchheader.CacheStatus{Fwd: "miss", Collapsed: current != nil})
 		return
 	}
-	if fl != nil && v.a.Join {
-		v.follow(fl, true)
+	if current != nil && e.attempt.Join {
+		e.serveFill(current, true)
 		return
 	}
-	if fl = v.fetch(v.a, v.r.Context()); fl != nil {
-		v.follow(fl, false)
+	if current = e.startFill(e.attempt, e.r.Context()); current != nil {
+		e.serveFill(current, false)
 	}
 }
 
-// send answers with a copy; fl is the fill that it comes from, or nil.
-func (v *visit) send(version int64, born float64, size int64, h fetchheader.CacheStatus, fl *flight) {
-	s := v.s
-	head := v.w.Header()
+// respond answers with a copy; fl is the fill that it comes from, or nil.
+func (e *exchange) respond(version int64, generatedAt float64, size int64, h fetchheader.CacheStatus, source *fill) {
+	s := e.s
+	header := e.w.Header()
 	status := h.String()
-	if fl != nil && fl.behind != "" {
-		status = fl.behind + ", " + status
+	if source != nil && source.sourceStatus != "" {
+		status = source.sourceStatus + ", " + status
 	}
 	now := trafficlog.Now()
-	head.Set(fetchheader.StatusField, status)
-	head.Set(fetchheader.LoadField, s.load())
-	head.Set(fetchheader.CopyField, fetchheader.CopyVersion{Number: version, Age: max(now-born, 0)}.String())
-	head.Set("Age", strconv.Itoa(int(max(now-born, 0)/1000)))
-	head.Set("Content-Type", "application/octet-stream")
-	if isText(v.key) {
-		head.Set("Content-Type", "text/html")
-		if isPage(v.key) {
-			head.Set("Surrogate-Control", `content="ESI/1.0"`)
+	header.Set(fetchheader.StatusField, status)
+	header.Set(fetchheader.LoadField, s.loadField())
+	header.Set(fetchheader.CopyField, fetchheader.CopyVersion{Number: version, Age: max(now-generatedAt, 0)}.String())
+	header.Set("Age", strconv.Itoa(int(max(now-generatedAt, 0)/1000)))
+	header.Set("Content-Type", "application/octet-stream")
+	if isText(e.key) {
+		header.Set("Content-Type", "text/html")
+		if isPage(e.key) {
+			header.Set("Surrogate-Control", `content="ESI/1.0"`)
 		}
 	}
-	head.Set("Content-Length", strconv.FormatInt(size, 10))
+	header.Set("Content-Length", strconv.FormatInt(size, 10))
 	code := http.StatusOK
-	tag := fmt.Sprintf("\"v%d\"", version)
-	head.Set("ETag", tag)
-	if v.r.Header.Get("If-None-Match") == tag { // its asker has it
-		head.Del("Content-Length")
-		rec := v.rec
-		rec.Status, rec.Version, rec.Created, rec.Hit = http.StatusNotModified, version, born, h.Hit
-		v.sent(rec)
-		v.w.WriteHeader(http.StatusNotModified)
+	etag := fmt.Sprintf("\"v%d\"", version)
+	header.Set("ETag", etag)
+	if e.r.Header.Get("If-None-Match") == etag { // its asker has it
+		header.Del("Content-Length")
+		record := e.record
+		record.Status, record.Version, record.Created, record.Hit = http.StatusNotModified, version, generatedAt, h.Hit
+		e.logAnswer(record)
+		e.w.WriteHeader(http.StatusNotModified)
 		return
 	}
-	if first, last, ok := byteRange(v.r); ok {
+	if first, last, ok := byteRange(e.r); ok {
 		code = http.StatusPartialContent
-		head.Set("Content-Range", fmt.Sprintf("bytes %d-%d/*", first, last))
+		header.Set("Content-Range", fmt.Sprintf("bytes %d-%d/*", first, last))
 	}
-	rec := v.rec
-	rec.Status, rec.Version, rec.Created, rec.Bytes, rec.Hit = code, version, born, size, h.Hit
-	v.sent(rec)
-	if v.r.Method == "HEAD" {
-		v.w.WriteHeader(code)
+	record := e.record
+	record.Status, record.Version, record.Created, record.Bytes, record.Hit = code, version, generatedAt, size, h.Hit
+	e.logAnswer(record)
+	if e.r.Method == "HEAD" {
+		e.w.WriteHeader(code)
 		return
 	}
-	if code == http.StatusOK && v.mangled(version, size) {
+	if code == http.StatusOK && e.respondMalformed(version, size) {
 		return
 	}
-	v.w.WriteHeader(code)
-	v.body(version, size, fl)
+	e.w.WriteHeader(code)
+	e.writeBody(version, size, source)
 }
 
 // byteRange is the one range that a request asks for, first and last byte.
@@ -505,45 +505,45 @@
 	return first, last, true
 }
 
-const chunk = 16 << 10
+const chunkSize = 16 << 10
 
-// body sends the bytes at the pace of the transfer, the cache's link and the
+// writeBody sends the bytes at the pace of the transfer, the cache's link and the
 // fill behind it.
-func (v *visit) body(version, size int64, fl *flight) {
-	s, ctx := v.s, v.r.Context()
-	buf := make([]byte, chunk)
-	flush, _ := v.w.(http.Flusher)
+func (e *exchange) writeBody(version, size int64, source *fill) {
+	s, ctx := e.s, e.r.Context()
+	buf := make([]byte, chunkSize)
+	flush, _ := e.w.(http.Flusher)
 	flow := s.cfg.Flow
-	if v.a.Via != "" {
+	if e.attempt.Via != "" {
 		flow = s.cfg.FillFlow
 	}
 	pace := trafficlog.Now()
 	for off := int64(0); off < size; {
-		n := int(min(chunk, size-off))
-		if fl != nil {
-			got, err := fl.wait(ctx, off+int64(n))
+		n := int(min(chunkSize, size-off))
+		if source != nil {
+			received, err := source.waitForBytes(ctx, off+int64(n))
 			if err != nil {
-				v.reset()
+				e.reset()
 				return
 			}
-			n = int(min(int64(n), got-off))
+			n = int(min(int64(n), received-off))
 		}
-		if s.f.gate(ctx) != nil {
+		if s.faults.waitWhileStopped(ctx) != nil {
 			return
 		}
-		pace = max(pace, trafficlog.Now()-20) + float64(n)/1024/flow*s.f.slowness()
-		if s.out.Pass(ctx, n) != nil || sleepUntil(ctx, pace) != nil {
+		pace = max(pace, trafficlog.Now()-20) + float64(n)/1024/flow*s.faults.slowdown()
+		if s.clientLink.Pass(ctx, n) != nil || sleepUntil(ctx, pace) != nil {
 			return
 		}
-		Content(buf[:n], v.key, version, off)
-		if _, err := v.w.Write(buf[:n]); err != nil {
+		Content(buf[:n], e.key, version, off)
+		if _, err := e.w.Write(buf[:n]); err != nil {
 			return
 		}
 		if off += int64(n); flush != nil && off < size {
 			flush.Flush()
 		}
 	}
-	rec := v.rec
-	rec.Event, rec.Bytes = trafficlog.AttemptDone, size
-	s.tap.Add(rec)
+	record := e.record
+	record.Event, record.Bytes = trafficlog.AttemptDone, size
+	s.trafficLog.Add(record)
 }
--- a/internal/testbed/testserver/standin_test.go
+++ b/internal/testbed/testserver/standin_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-func ask(t *testing.T, addr, path string, a fetchheader.Attempt) (int, http.Header, string) {
+func get(t *testing.T, addr, path string, a fetchheader.Attempt) (int, http.Header, string) {
 	req, _ := http.NewRequest("GET", "http://"+addr+path, nil)
 	req.Header.Set(fetchheader.FillField, string(a.Append(nil)))
 	res, err := http.DefaultClient.Do(req)
@@ -67,7 +67,7 @@
 }
 
 // A cache does what docs/protocol.md says of looks, fills, ages and purges.
-func TestCacheByTheProtocol(t *testing.T) {
+func TestCacheFollowsProtocol(t *testing.T) {
 	classes := []Class{{Name: "c", KB: 10}}
 	o, err := Start(Config{ID: "o", Role: "origin", Flow: 100, Classes: classes}, nil)
 	if err != nil {
@@ -82,41 +82,41 @@
 	look := fetchheader.Attempt{ID: "r", From: "t", Class: "c", Object: "/x", Group: 1, Keep: 1, Age: 1e9}
 	fill := look
 	fill.Source, fill.SourceAddress = "o", o.Addr()
-	if code, h, _ := ask(t, b.Addr(), "/x", look); code != 504 || !strings.Contains(h.Get("Cache-Status"), "fwd=miss") {
+	if code, h, _ := get(t, b.Addr(), "/x", look); code != 504 || !strings.Contains(h.Get("Cache-Status"), "fwd=miss") {
 		t.Errorf("a look at what it lacks: %d %v", code, h)
 	}
-	if code, h, _ := ask(t, b.Addr(), "/x", fill); code != 200 || h.Get("Cache-Status") != `"o", "b";fwd=miss;stored` {
+	if code, h, _ := get(t, b.Addr(), "/x", fill); code != 200 || h.Get("Cache-Status") != `"o", "b";fwd=miss;stored` {
 		t.Errorf("a fill: %d %v", code, h)
 	}
 	time.Sleep(20 * time.Millisecond)
-	if code, h, _ := ask(t, b.Addr(), "/x", look); code != 200 || !strings.Contains(h.Get("Cache-Status"), "hit") {
+	if code, h, _ := get(t, b.Addr(), "/x", look); code != 200 || !strings.Contains(h.Get("Cache-Status"), "hit") {
 		t.Errorf("a look at what it holds: %d %v", code, h)
 	}
 	young := look
 	young.Age = 1
-	if code, _, _ := ask(t, b.Addr(), "/x", young); code != 504 {
+	if code, _, _ := get(t, b.Addr(), "/x", young); code != 504 {
 		t.Errorf("a look at what is too old: %d", code)
 	}
 	o.Purge("/x", 1, 0)
 	young = fill
 	young.Age = 10
-	if _, h, body := ask(t, b.Addr(), "/x", young); !strings.HasPrefix(h.Get("Spool-Copy"), "v=2,") {
+	if _, h, body := get(t, b.Addr(), "/x", young); !strings.HasPrefix(h.Get("Spool-Copy"), "v=2,") {
 		t.Errorf("a fill after the purge: %v", h)
 	} else if _, ok := Matches([]byte(body), "/x", 2, 0); !ok {
 		t.Error("its bytes are not the new version's")
 	}
 	gone := fill
 	gone.SourceAddress = "127.0.0.1:1"
-	if code, h, _ := ask(t, b.Addr(), "/y", gone); code != 503 || !strings.Contains(h.Get("Cache-Status"), "detail=source-unreached") {
+	if code, h, _ := get(t, b.Addr(), "/y", gone); code != 503 || !strings.Contains(h.Get("Cache-Status"), "detail=source-unreached") {
 		t.Errorf("a fill from nowhere: %d %v", code, h)
 	}
-	if code, _, body := ask(t, b.Addr(), "/y", fetchheader.Attempt{ID: "r", Keep: 9}); code != 400 {
+	if code, _, body := get(t, b.Addr(), "/y", fetchheader.Attempt{ID: "r", Keep: 9}); code != 400 {
 		t.Errorf("a malformed attempt: %d %s", code, body)
 	}
 }
 
 // A cold cache that is sent too much falls over, and answers nothing any more.
-func TestFallsOverOnTheSocket(t *testing.T) {
+func TestOverloadedCacheStopsAnswering(t *testing.T) {
 	w := trafficlog.NewWriter(nil)
 	b, err := Start(Config{ID: "b", Role: "box", Cold: true, Capacity: 1, ColdFrom: 0.2, ColdTime: 60000, Fall: 2, FallTime: 1000,
 		Flow: 1, Classes: []Class{{Name: "c", KB: 100}}}, w)
@@ -126,14 +126,14 @@
 	defer b.Kill()
 	look := fetchheader.Attempt{ID: "r", Class: "c", Object: "/x", Age: 1e9}
 	for i := range 8 { // 100 ms of work each, where 400 are borne
-		code, _, what := ask(t, b.Addr(), "/x", look)
+		code, _, what := get(t, b.Addr(), "/x", look)
 		if want := i < 4; (code == 504) != want {
 			t.Fatalf("attempt %d: %d %s", i, code, what)
 		}
 	}
 }
 
-func TestFaultsAreChecked(t *testing.T) {
+func TestFaultValidation(t *testing.T) {
 	f := newFaults(1)
 	for _, x := range []Fault{{Kind: "sulk"}, {Kind: Hang, For: -1}, {Kind: Slow, Share: 2}} {
 		if f.set(0, x) == nil {
--- a/internal/testbed/testserver/text.go
+++ b/internal/testbed/testserver/text.go
@@ -24,7 +24,7 @@
 // isText reports a key whose content is text.
 func isText(key string) bool {
 	name := key[strings.LastIndexByte(key, '/')+1:]
-	if n, is := strings.CutPrefix(name, "~"); is {
+	if n, ok := strings.CutPrefix(name, "~"); ok {
 		_, err := strconv.ParseUint(n, 10, 64)
 		return err == nil
 	}
@@ -37,9 +37,9 @@
 	if len(parts) != 4 || parts[0] == "" || parts[3] == "" {
 		return false
 	}
-	_, err := strconv.Atoi(parts[1])
-	_, err2 := strconv.Atoi(parts[2])
-	return err == nil && err2 == nil
+	_, countErr := strconv.Atoi(parts[1])
+	_, objectsErr := strconv.Atoi(parts[2])
+	return countErr == nil && objectsErr == nil
 }
 
 // text is the content of a key; its length does not depend on the version.
@@ -123,16 +123,16 @@
 			out = append(out, Piece{Key: f, Missing: true})
 			continue
 		}
-		fv, err := strconv.ParseInt(string(rest[len(head):len(head)+10]), 10, 64)
+		version, err := strconv.ParseInt(string(rest[len(head):len(head)+10]), 10, 64)
 		if err != nil {
 			return out, fmt.Errorf("fragment %d: its version: %w", i, err)
 		}
-		want := text(f, fv)
+		want := text(f, version)
 		if !bytes.HasPrefix(rest, want) {
 			return out, fmt.Errorf("fragment %d, %s, is not whole or not of one version", i, f)
 		}
 		rest = rest[len(want):]
-		out = append(out, Piece{Key: f, Version: fv, End: len(body) - len(rest)})
+		out = append(out, Piece{Key: f, Version: version, End: len(body) - len(rest)})
 	}
 	if string(rest) != "]" {
 		return out, fmt.Errorf("behind the last fragment stands %.60q", rest)
