--- a/internal/testbed/testserver/content.go
+++ b/internal/testbed/testserver/content.go
@@ -2,10 +2,10 @@
 
 import "encoding/binary"
 
-// An object's bytes follow from its key and the origin's version of it, so that
-// a client can tell from any byte which version it belongs to, and a copy needs
-// no memory for its bytes.
+// The content of an object is a function of its key and version. A client can therefore check
+// which version the bytes at any offset belong to, and a cache need not store them.
 
+// seedOf returns the seed of the content of a key's version: an FNV-1a hash, mixed.
 func seedOf(key string, version int64) uint64 {
 	h := uint64(14695981039346656037)
 	for i := 0; i < len(key); i++ {
@@ -14,6 +14,7 @@
 	return mix(h ^ uint64(version)*0x9e3779b97f4a7c15)
 }
 
+// mix is the finalizer of SplitMix64.
 func mix(h uint64) uint64 {
 	h ^= h >> 30
 	h *= 0xbf58476d1ce4e5b9
@@ -22,7 +23,7 @@
 	return h ^ h>>31
 }
 
-// Content writes the bytes of a key's version that begin at an offset into dst.
+// Content fills dst with the content of a key's version from an offset on.
 func Content(dst []byte, key string, version, off int64) {
 	if isText(key) {
 		copy(dst, text(key, version)[off:])
@@ -37,8 +38,8 @@
 	}
 }
 
-// Matches reports whether bytes at an offset are those of a key's version, and
-// else the first that is not.
+// Matches reports whether b is the content of a key's version at an offset. If it is not, wrong
+// is the offset of the first byte that differs.
 func Matches(b []byte, key string, version, off int64) (wrong int64, ok bool) {
 	if isText(key) {
 		want := text(key, version)
@@ -67,13 +68,13 @@
 	return 0, true
 }
 
-// SizeOf is the size in bytes of a key: from a quarter to about three times the
-// mean, by the key alone.
+// SizeOf returns the size of a key's content in bytes, which is the same for all versions. It is
+// between 0.25 and 2.5 times the mean, except for text, whose size does not depend on the mean.
 func SizeOf(key string, meanKB float64) int64 {
 	if isText(key) {
 		return int64(len(text(key, 1)))
 	}
 	u := float64(seedOf(key, 0)>>11) / (1 << 53)
-	factor := 0.25 + 1.5*u*u*1.5 // mean of u*u is a third: 0.25 + 0.75
+	factor := 0.25 + 1.5*u*u*1.5 // the mean of u*u is 1/3, which makes the mean of factor 0.25 + 0.75 = 1
 	return max(int64(meanKB*1024*factor), 1)
 }
--- a/internal/testbed/testserver/fault.go
+++ b/internal/testbed/testserver/fault.go
@@ -12,51 +12,51 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// Fault is a trouble that a stand-in is told to have, for a while.
+// Fault is a fault to inject into a server for some time.
 type Fault struct {
 	Kind   string  `json:"kind"`
-	For    float64 `json:"for"`    // ms
-	Factor float64 `json:"factor"` // of slow: how many times slower; of ageing: at its end
-	Share  float64 `json:"share"`  // of attempts that it meets; 0: all
-	Every  float64 `json:"every"`  // of pauses: from one to the next, ms
-	Length float64 `json:"length"` // of pauses: each, ms
+	For    float64 `json:"for"`    // duration, ms
+	Factor float64 `json:"factor"` // of slow: how many times slower; of ageing: how many times slower at the end
+	Share  float64 `json:"share"`  // share of attempts affected; 0: all
+	Every  float64 `json:"every"`  // of pauses: from the start of one to the start of the next, ms
+	Length float64 `json:"length"` // of pauses: duration of each, ms
 }
 
-// The kinds of faults. Those that end a process (crash, preempt, a killed
-// router) are the day's to carry out.
+// The kinds of faults. Those that end a process (crash, preempt, a killed router) are carried
+// out by package scenario.
 const (
-	Vanish     = "vanish"      // silent: takes no connection, answers nothing, resets nothing
-	Hang       = "hang"        // takes requests and answers none
-	Slow       = "slow"        // Factor times slower
-	Ageing     = "ageing"      // slower and slower, up to Factor
-	FastErrors = "fast-errors" // 500 at once, to a Share
-	Pauses     = "pauses"      // stands still for Length, Every so often
-	AnswerLost = "answer-lost" // does the work; a Share of the answers never comes
-	ResetBody  = "reset-body"  // resets in the middle of the body
-	Truncated  = "truncated"   // closes in the middle of the body
-	Overlong   = "overlong"    // sends more than the length that it stated
-	Garbage    = "garbage"     // sends what is no HTTP
-	TwoLengths = "two-lengths" // states two lengths
-	BothFrames = "both-frames" // states a length, and sends chunks
-	BareLF     = "bare-lf"     // ends lines by LF alone
-	BigHead    = "big-head"    // a head of 64 KB
-	Trickle    = "trickle"     // a byte a second
-	HalfOpen   = "half-open"   // connections are never accepted
-	AcceptShut = "accept-shut" // connections are accepted and closed
+	Vanish     = "vanish"      // accepts no connection, sends no response and no reset
+	Hang       = "hang"        // accepts requests and answers none
+	Slow       = "slow"        // slower by Factor
+	Ageing     = "ageing"      // increasingly slow, up to Factor
+	FastErrors = "fast-errors" // immediate status 500 for Share of the attempts
+	Pauses     = "pauses"      // stops for Length once in each period of Every
+	AnswerLost = "answer-lost" // does the work, but does not send Share of the responses
+	ResetBody  = "reset-body"  // resets the connection in the middle of the body
+	Truncated  = "truncated"   // closes the connection in the middle of the body
+	Overlong   = "overlong"    // sends more than Content-Length bytes
+	Garbage    = "garbage"     // sends bytes that are not HTTP
+	TwoLengths = "two-lengths" // sends two different Content-Length fields
+	BothFrames = "both-frames" // sends both Content-Length and chunked Transfer-Encoding
+	BareLF     = "bare-lf"     // ends header lines with LF instead of CRLF
+	BigHead    = "big-head"    // sends a header of more than 64 KB
+	Trickle    = "trickle"     // sends one byte of the body per second
+	HalfOpen   = "half-open"   // does not accept connections
+	AcceptShut = "accept-shut" // accepts connections and closes them
 )
 
-// Kinds are all faults that a stand-in can have.
+// Kinds lists all kinds of faults that a server can have.
 var Kinds = []string{Vanish, Hang, Slow, Ageing, FastErrors, Pauses, AnswerLost, ResetBody, Truncated, Overlong,
 	Garbage, TwoLengths, BothFrames, BareLF, BigHead, Trickle, HalfOpen, AcceptShut}
 
-// faults is what a stand-in suffers from now.
+// faults holds the injected faults of a server, by kind.
 type faults struct {
 	mu       sync.Mutex
-	until    map[string]float64
+	until    map[string]float64 // when the fault ends, on the traffic log's clock
 	settings map[string]Fault
-	began    map[string]float64
+	began    map[string]float64 // when the fault began
 	rng      *rand.Rand
-	changed  chan struct{} // closed and renewed at each change
+	changed  chan struct{} // closed and replaced at each change
 }
 
 func newFaults(seed uint64) *faults {
@@ -70,10 +70,10 @@
 		known = known || k == x.Kind
 	}
 	if !known {
-		return fmt.Errorf("standin: unknown fault %q; known are %v", x.Kind, Kinds)
+		return fmt.Errorf("testserver: unknown fault %q, want one of %v", x.Kind, Kinds)
 	}
 	if x.For < 0 || x.Share < 0 || x.Share > 1 || x.Factor < 0 {
-		return fmt.Errorf("standin: fault %s with a negative span or factor, or a share not within 0 and 1", x.Kind)
+		return fmt.Errorf("testserver: fault %s: duration or factor is negative, or share is not between 0 and 1", x.Kind)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -83,7 +83,8 @@
 	return nil
 }
 
-// on reports whether a fault acts now on this attempt.
+// active reports whether a fault is active now and affects this attempt. It draws a random
+// number for a fault that affects a share of the attempts.
 func (f *faults) active(kind string) bool {
 	now := trafficlog.Now()
 	f.mu.Lock()
@@ -95,7 +96,7 @@
 	return share == 0 || f.rng.Float64() < share
 }
 
-// slowdown is how many times slower the stand-in is now.
+// slowdown returns by which factor the server is slower now.
 func (f *faults) slowdown() float64 {
 	now := trafficlog.Now()
 	f.mu.Lock()
@@ -111,7 +112,7 @@
 	return factor
 }
 
-// waitWhileStopped waits while the stand-in is silent or pauses.
+// waitWhileStopped waits until no fault stops the server (vanish, hang, pauses).
 func (f *faults) waitWhileStopped(ctx context.Context) error {
 	for {
 		now := trafficlog.Now()
@@ -138,7 +139,7 @@
 	}
 }
 
-// acceptsAgainAt reports until when no connection is taken; 0: they are.
+// acceptsAgainAt returns when the server accepts connections again, or 0 if it accepts them now.
 func (f *faults) acceptsAgainAt(now float64) (until float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -150,7 +151,7 @@
 	return until
 }
 
-// resetConn closes a connection as a machine does that knows nothing of it.
+// resetConn closes a connection with a TCP reset.
 func resetConn(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		t.SetLinger(0)
@@ -158,8 +159,8 @@
 	c.Close()
 }
 
-// faultListener stops taking connections while its stand-in is silent: the
-// kernel's queue is made as short as it can be, so that further connects hang.
+// faultListener stops accepting connections while the fault vanish or half-open is active. It
+// sets the kernel's accept queue to the shortest length, so that further connects hang.
 type faultListener struct {
 	net.Listener
 	faults *faults
@@ -203,7 +204,8 @@
 				now = trafficlog.Now()
 				until = l.faults.acceptsAgainAt(now)
 			}
-			// what came meanwhile never reached a machine that was silent
+			// Connections that were queued in the meantime are reset, as if they had never
+			// reached the machine.
 			resetConn(c)
 			if t, ok := l.Listener.(*net.TCPListener); ok {
 				t.SetDeadline(time.Now().Add(2 * time.Millisecond))
--- a/internal/testbed/testserver/fill.go
+++ b/internal/testbed/testserver/fill.go
@@ -15,21 +15,22 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// fill is a fill under way: what has come of it so far, for all who wait.
+// fill is the state of a fill in progress. Several exchanges may wait for it.
 type fill struct {
 	mu           sync.Mutex
-	changed      chan struct{} // closed and renewed at each step
-	ready        bool          // the source's head has come, or the fill has failed
-	status       int           // 200, or how it failed
-	detail       string
-	sourceStatus string // the source's Cache-Status
+	changed      chan struct{} // closed and replaced at each update
+	ready        bool          // the source's header has arrived, or the fill has failed before
+	status       int           // 200, or the status of the failure
+	detail       string        // Cache-Status detail of the failure
+	sourceStatus string        // Cache-Status field of the source's response
 	version      int64
 	generatedAt  float64
-	size         int64
-	received     int64
+	size         int64 // bytes
+	received     int64 // bytes received so far
 	err          error
 }
 
+// update runs do under the lock and wakes the waiting exchanges.
 func (f *fill) update(do func()) {
 	f.mu.Lock()
 	do()
@@ -38,6 +39,7 @@
 	f.mu.Unlock()
 }
 
+// waitUntil waits until the condition, which is evaluated under the lock, holds.
 func (f *fill) waitUntil(ctx context.Context, condition func() bool) error {
 	for {
 		f.mu.Lock()
@@ -55,7 +57,8 @@
 	}
 }
 
-// waitForBytes returns once so many bytes have come, or the fill broke off.
+// waitForBytes waits until n bytes or the whole object have been received, or the fill has
+// failed. It returns the number of bytes received.
 func (f *fill) waitForBytes(ctx context.Context, n int64) (received int64, err error) {
 	err = f.waitUntil(ctx, func() bool { return f.received >= n || f.received >= f.size || f.err != nil })
 	f.mu.Lock()
@@ -66,13 +69,15 @@
 	return f.received, err
 }
 
-// detached is the visit for work that goes on without its client.
+// detached returns a copy of the exchange without the client's response and context, for a fill
+// in the background.
 func (e *exchange) detached() *exchange {
 	return &exchange{s: e.s, r: e.r.WithContext(context.Background()), attempt: e.attempt, key: e.key, class: e.class, record: e.record}
 }
 
-// startFill begins a fill of the visit's key. It returns nil, having answered, when
-// there is no place for one. A nil ctx is a fill that nobody waits for.
+// startFill starts a fill of the exchange's key. If the limit of concurrent fills is reached, it
+// rejects the attempt and returns nil. A nil ctx starts a fill in the background, for which no
+// client waits and which is not rejected with a response.
 func (e *exchange) startFill(attempt fetchheader.Attempt, ctx context.Context) *fill {
 	s := e.s
 	s.mu.Lock()
@@ -105,14 +110,14 @@
 	return f
 }
 
-// runFill gets the object from its source. It returns the copy when it came whole.
+// runFill fetches the object from its source. It returns the copy, or nil if the fill failed.
 func (e *exchange) runFill(ctx context.Context, attempt fetchheader.Attempt, f *fill) *httpcache.Copy {
 	s := e.s
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() {})
 	defer stop()
-	go func() { // the stand-in's own end ends its fills
+	go func() { // Kill cancels the fill
 		select {
 		case <-s.done:
 			cancel()
@@ -131,7 +136,7 @@
 		address = s.cfg.Upstream
 	}
 	if address == "" {
-		return fail(http.StatusServiceUnavailable, fetchheader.SourceUnreached, errors.New("no source"))
+		return fail(http.StatusServiceUnavailable, fetchheader.SourceUnreached, errors.New("no source address is given"))
 	}
 	req, err := http.NewRequestWithContext(ctx, "GET", "http://"+address+e.r.URL.RequestURI(), nil)
 	if err != nil {
@@ -157,12 +162,12 @@
 	sourceStatus := strings.Join(res.Header.Values(fetchheader.StatusField), ", ")
 	switch {
 	case res.StatusCode == http.StatusGatewayTimeout && attempt.Held:
-		return fail(http.StatusServiceUnavailable, fetchheader.SourceLacks, errors.New("the source lacks it"))
+		return fail(http.StatusServiceUnavailable, fetchheader.SourceLacks, errors.New("the source does not have the object"))
 	case res.StatusCode == http.StatusServiceUnavailable && strings.Contains(sourceStatus, fetchheader.SourceUnreached),
 		res.StatusCode == http.StatusServiceUnavailable && strings.Contains(sourceStatus, fetchheader.OriginFailed):
 		return fail(http.StatusServiceUnavailable, fetchheader.OriginFailed, errors.New("the origin failed behind the source"))
 	case res.StatusCode == http.StatusServiceUnavailable:
-		return fail(http.StatusServiceUnavailable, fetchheader.SourceRefused, errors.New("the source refused"))
+		return fail(http.StatusServiceUnavailable, fetchheader.SourceRefused, errors.New("the source rejected the request"))
 	case res.StatusCode != http.StatusOK && res.StatusCode != http.StatusPartialContent:
 		return fail(http.StatusBadGateway, fetchheader.SourceRefused, errors.New(res.Status))
 	}
@@ -171,7 +176,7 @@
 	if err != nil || sizeErr != nil {
 		return fail(http.StatusBadGateway, fetchheader.SourceUnreached, errors.Join(err, sizeErr))
 	}
-	// RFC 9111, section 4.2.3: what the answer took is part of the age
+	// RFC 9111, section 4.2.3: the response delay is part of the age.
 	generatedAt := sentAt - version.Age
 	f.update(func() {
 		f.ready, f.status, f.sourceStatus = true, http.StatusOK, sourceStatus
@@ -183,7 +188,7 @@
 		if n > 0 {
 			idleTimer.Reset(time.Duration(s.cfg.FillWait) * time.Millisecond)
 			if at, ok := Matches(buf[:n], e.key, version.Number, received); !ok {
-				err = errors.New("byte " + strconv.FormatInt(at, 10) + " is of another version")
+				err = errors.New("byte " + strconv.FormatInt(at, 10) + " differs from the content of the version")
 			} else if linkErr := s.fillLink.Pass(ctx, n); linkErr != nil {
 				err = linkErr
 			} else {
@@ -203,7 +208,7 @@
 		GeneratedAt: generatedAt, Lifetime: e.class.Fresh}
 }
 
-// serveFill answers from a fill under way.
+// serveFill answers from a fill in progress. joined tells that another attempt started the fill.
 func (e *exchange) serveFill(f *fill, joined bool) {
 	if f.waitUntil(e.r.Context(), func() bool { return f.ready }) != nil {
 		return
@@ -218,7 +223,7 @@
 		return
 	}
 	if joined && e.attempt.Age > 0 && trafficlog.Now()-generatedAt > e.attempt.Age {
-		// the fill that was joined brings a copy too old for this asker
+		// The copy of the joined fill is too old for this attempt.
 		if own := e.startFill(e.attempt, e.r.Context()); own != nil {
 			e.serveFill(own, false)
 		}
@@ -227,7 +232,7 @@
 	e.respond(version, generatedAt, size, h, f)
 }
 
-// forwardWrite takes a write to the origin by way of a cache, which keeps nothing.
+// forwardWrite forwards a write towards the origin and stores nothing.
 func (e *exchange) forwardWrite() {
 	address := e.attempt.SourceAddress
 	if address == "" {
--- a/internal/testbed/testserver/fleet.go
+++ b/internal/testbed/testserver/fleet.go
@@ -10,7 +10,7 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// Fleet is a file of stand-ins. Spans are in ms, sizes in KB, rates in KB a ms.
+// Fleet is a settings file of test servers. Durations are in ms, sizes in KB, rates in KB per ms.
 type Fleet struct {
 	Stand   Stand           `edn:"stand"`
 	List    ListForm        `edn:"list"`
@@ -18,10 +18,10 @@
 	Members []Machine       `edn:"machine"`
 }
 
-// Stand is what all of them share.
+// Stand holds the settings that all servers of a fleet share.
 type Stand struct {
-	Flow     float64  `edn:"flow" def:"4" min:"0.01"` // of one transfer to a client
-	FillFlow float64  `edn:"fill-flow" min:"0"`       // of a fill; 0: three times that
+	Flow     float64  `edn:"flow" def:"4" min:"0.01"` // rate of one transfer to a client
+	FillFlow float64  `edn:"fill-flow" min:"0"`       // rate of one transfer to a cache; 0: three times Flow
 	FillWait float64  `edn:"fill-wait" def:"2000" min:"1"`
 	ColdFrom float64  `edn:"cold-from" def:"0.2" min:"0" max:"1"`
 	ColdTime float64  `edn:"cold-time" def:"18000" min:"0"`
@@ -29,10 +29,11 @@
 	FallTime float64  `edn:"fall-time" def:"3000" min:"1"`
 	Feedback []string `edn:"feedback"`
 	Seed     int      `edn:"seed" def:"1"`
-	Boxes    string   `edn:"boxes" def:"stand-in" oneof:"stand-in warm cold"` // of a day: spool-cache in their place, which finds its copies again after a crash, or has none
+	Boxes    string   `edn:"boxes" def:"stand-in" oneof:"stand-in warm cold"` // of a scenario: warm and cold run spool-cache instead of test servers; after a crash it keeps its copies (warm) or has none (cold)
 }
 
-// ListForm is how late the list service is.
+// ListForm configures the delays of the list service. For each stream, the delay of updates of
+// members is drawn between LagFrom and LagTo, and that of purges between PurgeFrom and PurgeTo.
 type ListForm struct {
 	Listen    string  `edn:"listen" def:"127.0.0.1:0"`
 	LagFrom   float64 `edn:"lag-from" min:"0"`
@@ -41,7 +42,7 @@
 	PurgeTo   float64 `edn:"purge-to" min:"0"`
 }
 
-// ClassSettings is a class as stand-ins know it.
+// ClassSettings describes a class of requests. Its fields are those of Class.
 type ClassSettings struct {
 	Name   string  `edn:"@,required"`
 	KB     float64 `edn:"kb" def:"60" min:"0.001"`
@@ -50,14 +51,14 @@
 	Window float64 `edn:"window" min:"0"`
 }
 
-// Machine is one stand-in.
+// Machine configures one test server.
 type Machine struct {
 	Place    config.Place
 	ID       string  `edn:"@,required"`
 	Role     string  `edn:"role" def:"box" oneof:"box parent origin"`
 	Zone     string  `edn:"zone"`
 	Listen   string  `edn:"listen" def:"127.0.0.1:0"`
-	Upstream string  `edn:"upstream"` // of a parent: the origin's address
+	Upstream string  `edn:"upstream"` // of a parent: address of the origin
 	Capacity float64 `edn:"capacity" def:"20" min:"0"`
 	MB       float64 `edn:"mb" def:"64" min:"0.001"`
 	LinkIn   float64 `edn:"link" min:"0"`
@@ -68,13 +69,13 @@
 	Limit    int     `edn:"limit" min:"0"`
 }
 
-// Check tells what contradicts itself.
+// Check reports settings that contradict each other.
 func (f *Fleet) Check(faults *config.Faults) {
 	seen := map[string]bool{}
 	for _, m := range f.Members {
 		if seen[m.ID] {
 			*faults = append(*faults, config.Fault{Pos: m.Place.Pos, Key: "machine",
-				What: fmt.Sprintf("machine %q is named twice", m.ID), Remedy: "keep one of them"})
+				What: fmt.Sprintf("machine %q is defined twice", m.ID), Remedy: "keep one of them"})
 		}
 		seen[m.ID] = true
 		if m.Role == "parent" && m.Upstream == "" {
@@ -84,7 +85,7 @@
 	}
 	if f.List.LagTo < f.List.LagFrom || f.List.PurgeTo < f.List.PurgeFrom {
 		*faults = append(*faults, config.Fault{Pos: config.Pos{File: "list", Line: 1, Col: 1}, Key: "list",
-			What: "a lag ends before it begins", Remedy: "raise lag-to or purge-to"})
+			What: "the upper bound of a lag is below the lower bound", Remedy: "raise lag-to or purge-to"})
 	}
 }
 
@@ -94,7 +95,7 @@
 	return f, config.ReadFile(file, f)
 }
 
-// Config is what a machine of the fleet is started with.
+// Config returns the configuration of the machine with an ID.
 func (f *Fleet) Config(id string) (Config, error) {
 	for _, m := range f.Members {
 		if m.ID != id {
@@ -110,10 +111,10 @@
 		}
 		return c, nil
 	}
-	return Config{}, fmt.Errorf("standin: the fleet has no machine %q", id)
+	return Config{}, fmt.Errorf("testserver: the fleet has no machine %q", id)
 }
 
-// Run is one machine, or the list service, until the context ends.
+// Run runs one machine, or the list service, until the context is done.
 func (f *Fleet) Run(ctx context.Context, role, id string, w *trafficlog.Writer, out io.Writer) error {
 	if role == "list" {
 		l, err := StartList(ListConfig{ID: "list", Listen: f.List.Listen, LagFrom: f.List.LagFrom, LagTo: f.List.LagTo,
@@ -134,7 +135,7 @@
 		return err
 	}
 	if c.Role != role {
-		return fmt.Errorf("standin: %s is a %s in the fleet, not a %s", id, c.Role, role)
+		return fmt.Errorf("testserver: machine %s has the role %s in the fleet, not %s", id, c.Role, role)
 	}
 	s, err := Start(c, w)
 	if err != nil {
--- a/internal/testbed/testserver/list.go
+++ b/internal/testbed/testserver/list.go
@@ -16,21 +16,22 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// ListConfig is how late the list service is. Spans are in ms.
+// ListConfig configures a list service. Durations are in ms. The delays are drawn once for each
+// stream.
 type ListConfig struct {
 	ID           string  `json:"id"`
 	Listen       string  `json:"listen"`
-	LagFrom      float64 `json:"lag_from"` // news of members reaches each router after so long
-	LagTo        float64 `json:"lag_to"`
-	PurgeFrom    float64 `json:"purge_from"` // news of purges
-	PurgeTo      float64 `json:"purge_to"`
-	PurgeTakes   float64 `json:"purge_takes"` // purges so recent are told to a router that connects
-	StaleOnStart float64 `json:"stale"`       // a router that connects gets the list of so long ago
+	LagFrom      float64 `json:"lag_from"`    // minimum delay of updates of members
+	LagTo        float64 `json:"lag_to"`      // maximum delay
+	PurgeFrom    float64 `json:"purge_from"`  // minimum delay of purges
+	PurgeTo      float64 `json:"purge_to"`    // maximum delay
+	PurgeTakes   float64 `json:"purge_takes"` // a router that connects is sent the purges of this last period
+	StaleOnStart float64 `json:"stale"`       // age of the full list that a router gets when it connects
 	Seed         uint64  `json:"seed"`
 }
 
-// List is a list service: it streams versioned news of members and purges to
-// each router, late by design.
+// List is a list service. It streams updates of members, which carry a revision, and purges to
+// each router, with configured delays.
 type List struct {
 	cfg        ListConfig
 	trafficLog *trafficlog.Writer
@@ -44,22 +45,23 @@
 	rev              int64
 	log              []entry
 	changed          chan struct{}
-	cutAt            map[string]float64 // when streams of a router (empty: of all) were to be cut in a line
-	rollback         int64              // the next full lists bear this much older a version
-	unavailableUntil float64            // until when it takes no stream
+	cutAt            map[string]float64 // by router (empty: all routers): streams that began before this time are cut within a line
+	rollback         int64              // subtracted from the revision of full lists
+	unavailableUntil float64            // new streams are rejected until this time
 }
 
-// entry is one thing that has happened; rows are whole.
+// entry is one update of a member or one purge. Times are on the traffic log's clock, in ms.
 type entry struct {
 	time      float64
 	rev       int64
-	row       *engine.Row
-	startedAt float64 // when the row's start began, on the tap's clock; 0: long ago
+	row       *engine.Row // the complete row; nil for a purge
+	startedAt float64     // when the member's process started; 0: unknown
 	purge     *engine.Purge
 	madeAt    float64
 }
 
-// StartList begins to serve. Later calls of Set and Purge are its news.
+// StartList starts a list service that writes to the traffic log w. Set and Purge add its
+// updates.
 func StartList(cfg ListConfig, w *trafficlog.Writer) (*List, error) {
 	if cfg.Listen == "" {
 		cfg.Listen = "127.0.0.1:0"
@@ -69,7 +71,7 @@
 	}
 	ln, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
-		return nil, fmt.Errorf("standin %s: %w", cfg.ID, err)
+		return nil, fmt.Errorf("testserver: %s: %w", cfg.ID, err)
 	}
 	l := &List{cfg: cfg, trafficLog: w, listener: ln, done: make(chan struct{}), changed: make(chan struct{}),
 		cutAt: map[string]float64{}, rng: rand.New(rand.NewPCG(cfg.Seed, 0x1157))}
@@ -81,10 +83,10 @@
 	return l, nil
 }
 
-// Addr is where it serves.
+// Addr returns the address that the service listens on.
 func (l *List) Addr() string { return l.listener.Addr().String() }
 
-// Close ends it and all its streams.
+// Close stops the service and closes all streams.
 func (l *List) Close() {
 	l.once.Do(func() { close(l.done); l.http.Close() })
 }
@@ -94,7 +96,7 @@
 	defer l.mu.Unlock()
 	e.time = trafficlog.Now()
 	if e.row != nil {
-		l.rev++ // a purge has no version: it can only be heeded too often
+		l.rev++ // a purge has no revision of its own, since applying it twice is harmless
 	}
 	e.rev = l.rev
 	l.log = append(l.log, e)
@@ -102,16 +104,17 @@
 	l.changed = make(chan struct{})
 }
 
-// Set is news of one member. since is when its present start began, on the
-// tap's clock; 0: long ago.
+// Set adds or updates a member. since is when its process started, on the traffic log's clock;
+// 0: the row is sent with the uptime that it has.
 func (l *List) Set(row engine.Row, since float64) { l.addEntry(entry{row: &row, startedAt: since}) }
 
-// Purge is news of a purge made at a time on the tap's clock.
+// Purge adds a purge that was made at a time on the traffic log's clock.
 func (l *List) Purge(object string, group int, made float64) {
 	l.addEntry(entry{purge: &engine.Purge{Object: object, Group: group}, madeAt: made})
 }
 
-// Cut ends a router's stream in the middle of its next line; empty: all routers'.
+// Cut ends the current streams of a router in the middle of a line. An empty name cuts the
+// streams of all routers.
 func (l *List) Cut(router string) {
 	l.mu.Lock()
 	l.cutAt[router] = trafficlog.Now()
@@ -120,18 +123,18 @@
 	l.mu.Unlock()
 }
 
-// SetBack has full lists bear a version that is older by n, as a service does
-// that has come back from an old backup; 0 ends that.
+// SetBack subtracts n from the revision of full lists, as a service does that was restored from
+// an old backup; 0 ends this.
 func (l *List) SetBack(n int64) { l.mu.Lock(); l.rollback = n; l.mu.Unlock() }
 
-// Down takes no streams for so long.
+// Down rejects new streams with status 503 for a time in ms.
 func (l *List) Down(span float64) {
 	l.mu.Lock()
 	l.unavailableUntil = trafficlog.Now() + span
 	l.mu.Unlock()
 }
 
-// rows is the list as it was at a time, with its version.
+// rows returns the list as it was at a time, sorted by ID, and its revision.
 func (l *List) rows(at float64) (rows []entry, rev int64) {
 	last := map[string]entry{}
 	for _, e := range l.log {
@@ -151,6 +154,7 @@
 	return rows, rev
 }
 
+// rowAt returns the row with the member's uptime at a time.
 func (e entry) rowAt(now float64) engine.Row {
 	row := *e.row
 	if e.startedAt > 0 {
@@ -159,13 +163,13 @@
 	return row
 }
 
-// watch streams news to one router: first a full list, as old as its lag, then
-// each change when it is due.
+// watch streams updates to one router: first a full list, which is StaleOnStart old, then each
+// later update and purge after the stream's delay.
 func (l *List) watch(w http.ResponseWriter, r *http.Request) {
 	router := r.URL.Query().Get("router")
 	flusher, ok := w.(http.Flusher)
 	if !ok || router == "" {
-		http.Error(w, "standin: watch wants ?router=NAME", http.StatusBadRequest)
+		http.Error(w, "testserver: /watch needs the query ?router=NAME", http.StatusBadRequest)
 		return
 	}
 	l.mu.Lock()
@@ -175,7 +179,7 @@
 	purgeLag := l.cfg.PurgeFrom + l.rng.Float64()*(l.cfg.PurgeTo-l.cfg.PurgeFrom)
 	listTime := now - l.cfg.StaleOnStart
 	rows, rev := l.rows(listTime)
-	if len(rows) == 0 { // nothing was known so long ago
+	if len(rows) == 0 { // there was no list yet
 		listTime = now
 		rows, rev = l.rows(listTime)
 	}
@@ -219,7 +223,7 @@
 		records = append(records, trafficlog.Record{Source: e.row.ID, State: stateName(e.row.State), Start: e.row.Start})
 	}
 	if rollback > 0 {
-		records = []trafficlog.Record{{Note: "set back"}} // passed over by a router that knows more
+		records = []trafficlog.Record{{Note: "set back"}} // a router ignores a list older than its own
 	}
 	if !send(full, records) {
 		return
@@ -246,7 +250,7 @@
 		case <-ctx.Done():
 		}
 	}()
-	var pending []entry // in the order in which they are due
+	var pending []entry // entries not yet sent, in the order in which they are due
 	for {
 		l.mu.Lock()
 		for ; next < len(l.log); next++ {
@@ -292,6 +296,7 @@
 	}
 }
 
+// due returns when an entry is to be sent.
 func due(e entry, lag, purgeLag float64) float64 {
 	if e.purge != nil {
 		return e.time + purgeLag
@@ -312,8 +317,8 @@
 	return send(engine.Update{Rev: e.rev, Purge: &purge}, []trafficlog.Record{{Object: purge.Object, Group: purge.Group, Created: e.madeAt, Note: "purge"}})
 }
 
-// handleUpdate takes news from outside: a row, or a purge; ?ago=MS says how long ago
-// the member started, or the purge was made.
+// handleUpdate adds the members and the purge of an update that is posted to the service. The
+// start time of a member follows from its uptime; ?ago=MS tells how long ago the purge was made.
 func (l *List) handleUpdate(w http.ResponseWriter, r *http.Request) {
 	var update engine.Update
 	if err := json.NewDecoder(r.Body).Decode(&update); err != nil {
--- a/internal/testbed/testserver/mangle.go
+++ b/internal/testbed/testserver/mangle.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// respondMalformed answers with one of the faults of the wire, where one acts, on the
-// bare connection.
+// respondMalformed writes a malformed response to the raw connection if a fault that asks for one
+// is active. It reports whether it has done so.
 func (e *exchange) respondMalformed(version, size int64) bool {
 	kind := ""
 	for _, k := range []string{ResetBody, Truncated, Overlong, Garbage, TwoLengths, BothFrames, BareLF, BigHead, Trickle} {
@@ -60,7 +60,8 @@
 		c.Write(body[:size/2])
 	case Overlong:
 		writeHeader()
-		// In one write: what came later than the next request could not be told from its answer.
+		// The surplus is sent in the same write: if it arrived after the next request had been
+		// sent, it could not be told from the response to that request.
 		c.Write(append(slices.Clip(body), "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nxxx"...))
 	case Garbage:
 		write("\x16\x03\x01 what is this\x00\r\n\r\n")
--- a/internal/testbed/testserver/origin.go
+++ b/internal/testbed/testserver/origin.go
@@ -10,12 +10,12 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// origin is what the origin knows: the version of each object, and which
-// guarded writes it ran of late.
+// origin is the state of an origin: the purges, which determine the version of each object, and
+// the writes with an idempotency key that it has executed.
 type origin struct {
-	objectPurges map[string]int64 // purges of each
-	groupPurges  map[int]int64
-	executed     map[string]float64 // by key: when it first ran
+	objectPurges map[string]int64   // number of purges by object
+	groupPurges  map[int]int64      // number of purges by group
+	executed     map[string]float64 // by idempotency key: when the write was executed
 }
 
 func newOrigin() *origin {
@@ -34,7 +34,7 @@
 	return 1 + o.objectPurges[object] + o.groupPurges[group]
 }
 
-// serveOrigin answers from the source of all: it never lacks anything.
+// serveOrigin answers as the origin, which has every object.
 func (e *exchange) serveOrigin() {
 	s := e.s
 	s.mu.Lock()
@@ -53,17 +53,18 @@
 	version := s.origin.version(e.attempt.Object, e.attempt.Group)
 	s.mu.Unlock()
 	size := SizeOf(e.key, e.class.KB)
-	if first, last, ok := byteRange(e.r); ok { // each range is an object of its own here
+	if first, last, ok := byteRange(e.r); ok { // the content of a range is generated separately
 		size = last - first + 1
 	}
 	e.respond(version, generatedAt, size, fetchheader.CacheStatus{Cache: s.cfg.ID}, nil)
 }
 
-// executeWrite runs a write, or drops the repeat of one that was run within the window.
+// executeWrite executes a write, or drops it if one with the same idempotency key was executed
+// within the class's window.
 func (e *exchange) executeWrite() {
 	s := e.s
 	n, err := io.Copy(io.Discard, http.MaxBytesReader(e.w, e.r.Body, 64<<20))
-	if err != nil { // a request that did not come whole is not run
+	if err != nil { // an incomplete request is not executed
 		return
 	}
 	now := trafficlog.Now()
--- a/internal/testbed/testserver/pace.go
+++ b/internal/testbed/testserver/pace.go
@@ -8,26 +8,26 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// Link is a line of a set bandwidth that transfers share in the order in which
-// they ask, a chunk at a time. The zero bandwidth is no limit.
+// Link is a network link with a limited bandwidth. Transfers share it in the order in which they
+// call Pass, one chunk at a time. A bandwidth of 0 means no limit.
 type Link struct {
 	mu     sync.Mutex
-	rate   func() float64 // KB a ms, now
-	freeAt float64
-	bytes  int64
+	rate   func() float64 // present bandwidth, KB per ms
+	freeAt float64        // when all reserved bytes have passed, on the traffic log's clock
+	bytes  int64          // reserved so far
 }
 
-// NewLink makes a link of a rate in KB a ms, which may change over time.
+// NewLink returns a link with a bandwidth in KB per ms, which may change over time.
 func NewLink(rate func() float64) *Link { return &Link{rate: rate} }
 
-// Bytes is how much has passed.
+// Bytes returns how many bytes have been sent over the link.
 func (l *Link) Bytes() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.bytes
 }
 
-// reserve takes the line for n bytes and says when they have passed.
+// reserve reserves the link for n bytes and returns when they have passed.
 func (l *Link) reserve(n int) (until float64) {
 	now := trafficlog.Now()
 	l.mu.Lock()
@@ -49,6 +49,8 @@
 	return sleepUntil(ctx, l.reserve(n))
 }
 
+// sleepUntil sleeps until a time on the traffic log's clock. It returns at once if less than
+// 0.2 ms is left.
 func sleepUntil(ctx context.Context, t float64) error {
 	d := t - trafficlog.Now()
 	if d < 0.2 {
--- a/internal/testbed/testserver/platform.go
+++ b/internal/testbed/testserver/platform.go
@@ -17,11 +17,11 @@
 	"indigospool/internal/protocol/resp"
 )
 
-// The platform's outside, for tests of internal/proxy/platform: caches, parents and origins that
-// speak RESP, the control feed, and clients that speak Thrift. Each is a few goroutines
-// on loopback; what passed on its sockets is what tests go by.
+// The peers of a router on the platform, for tests of internal/proxy/platform: caches, parents
+// and origins that speak RESP, the control feed, and clients that speak Thrift. They run on
+// loopback sockets, and tests check what these sockets receive.
 
-// PlatformRequest is what a cache was asked: an attempt or, with Stop, the end of one.
+// PlatformRequest is a request to a cache: an attempt or, with Stop, the cancellation of one.
 type PlatformRequest struct {
 	ID     string
 	Fields map[string]string
@@ -29,46 +29,46 @@
 	Stop   bool
 }
 
-// PlatformConn is one connection of a router to a cache.
+// PlatformConn is a connection of a router to a cache.
 type PlatformConn struct {
 	net.Conn
-	N int // connections are numbered from 0
+	N int // number of the connection, from 0
 	p *PlatformCache
 }
 
-// Done says that an attempt is over here: its answer was written.
+// Done tells the cache that an attempt has been answered.
 func (c *PlatformConn) Done(id string) { c.p.addOutstanding(id, -1) }
 
-// Answer writes an answer.
+// Answer writes an answer to an attempt.
 func (c *PlatformConn) Answer(id, word, fields string, body []byte) {
 	c.Write(resp.AppendArray(nil, []byte(id), []byte(word), []byte(fields), body))
 }
 
-// Hit answers with bytes that were given out now.
+// Hit answers an attempt with a cached object that was issued now.
 func (c *PlatformConn) Hit(id string, body []byte) {
 	c.Answer(id, "HIT", fmt.Sprintf("how=cached,entity=t1,issued=%d", time.Now().UnixMilli()), body)
 }
 
-// Reset ends the connection as a dying process does.
+// Reset closes the connection with a TCP reset, as the death of a process does.
 func (c *PlatformConn) Reset() {
 	c.Conn.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
 
-// PlatformCache is a cache, a parent or an origin. On is called for each request, one at
-// a time; it may keep the connection to answer later.
+// PlatformCache is a cache, a parent or an origin. On is called for each request, one at a time
+// per connection. It may keep the connection to answer later.
 type PlatformCache struct {
 	Addr string
 	On   func(c *PlatformConn, q PlatformRequest)
 
 	mu          sync.Mutex
 	ln          net.Listener
-	outstanding map[string]int // attempts by id that have come and neither ended nor been given up
+	outstanding map[string]int // number of attempts by ID that have been received and neither answered nor canceled
 	conns       int
 	received    []PlatformRequest
 }
 
-// NewPlatformCache listens at an address; port 0 is the kernel's choice.
+// NewPlatformCache starts a cache that listens on an address; port 0 selects a free port.
 func NewPlatformCache(address string, on func(*PlatformConn, PlatformRequest)) (*PlatformCache, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -91,25 +91,25 @@
 	return p, nil
 }
 
-// Close ends listening; connections stay.
+// Close stops listening. It leaves connections open.
 func (p *PlatformCache) Close() { p.ln.Close() }
 
-// Seen is all that was asked so far.
+// Seen returns all requests received so far.
 func (p *PlatformCache) Seen() []PlatformRequest {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]PlatformRequest(nil), p.received...)
 }
 
-// Conns counts the connections so far.
+// Conns returns the number of connections accepted so far.
 func (p *PlatformCache) Conns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.conns
 }
 
-// Open counts the attempts that are out here: come whole, and neither answered, given
-// up, nor ended with their connection.
+// Open returns the number of outstanding attempts: those that have been received whole and
+// neither answered nor canceled, and whose connection is open.
 func (p *PlatformCache) Open() (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -144,7 +144,7 @@
 		}
 		buf = append(buf, chunk[:k]...)
 		for {
-			a, size, _, err := resp.ReadAnswer(buf) // a request has the form of an answer
+			a, size, _, err := resp.ReadAnswer(buf) // requests have the format of answers
 			if err != nil {
 				return
 			}
@@ -169,19 +169,20 @@
 	}
 }
 
-// PlatformFeed is the control feed. Each connection says what it has, and On writes
-// what it will.
+// PlatformFeed is the control feed. On each connection, the router sends the number of the last
+// frame that it has, and a callback writes frames.
 type PlatformFeed struct {
 	Addr string
 	ln   net.Listener
 }
 
-// NewPlatformFeed listens; on gets each connection, with the number that it began with.
+// NewPlatformFeed starts a feed on a free port. It calls on for each connection, with the number
+// that the router sent.
 func NewPlatformFeed(on func(c net.Conn, last uint64)) (*PlatformFeed, error) {
 	return NewPlatformFeedAt("127.0.0.1:0", on)
 }
 
-// NewPlatformFeedAt listens at an address, such as that of one that was closed.
+// NewPlatformFeedAt starts a feed on an address, such as that of a feed that was closed.
 func NewPlatformFeedAt(address string, on func(c net.Conn, last uint64)) (*PlatformFeed, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -205,22 +206,22 @@
 	return &PlatformFeed{Addr: ln.Addr().String(), ln: ln}, nil
 }
 
-// Close ends listening.
+// Close stops listening.
 func (f *PlatformFeed) Close() { f.ln.Close() }
 
-// PlatformFrame is one frame of the feed.
+// PlatformFrame returns a frame of the feed.
 func PlatformFrame(n uint64, kind byte, payload []byte) []byte {
 	b := binary.BigEndian.AppendUint32(nil, uint32(9+len(payload)))
 	return append(append(binary.BigEndian.AppendUint64(b, n), kind), payload...)
 }
 
-// PlatformClient is one connection of a client.
+// PlatformClient is a connection of a client to a router.
 type PlatformClient struct {
 	net.Conn
 	seq int32
 }
 
-// DialPlatform connects as a client.
+// DialPlatform connects to a router as a client.
 func DialPlatform(address string) (*PlatformClient, error) {
 	c, err := net.DialTimeout("tcp", address, 5*time.Second)
 	if err != nil {
@@ -229,7 +230,7 @@
 	return &PlatformClient{Conn: c}, nil
 }
 
-// message is the frame of a message whose arguments write adds.
+// message returns the frame of a message. write appends the arguments.
 func message(name string, kind thrift.TMessageType, seq int32, write func(w *thrift.TBinaryProtocol)) []byte {
 	m := thrift.NewTMemoryBuffer()
 	w := thrift.NewTBinaryProtocolConf(m, &thrift.TConfiguration{})
@@ -242,9 +243,10 @@
 	return b
 }
 
-var inMemory = context.Background() // nothing here waits
+var inMemory = context.Background() // operations on a memory buffer do not block
 
-// PlatformCall is the frame of a call of serve, or of another name without arguments.
+// PlatformCall returns the frame of a call of the method serve, or of another method without
+// arguments.
 func PlatformCall(name string, seq int32, fields map[string]string, body []byte) []byte {
 	return message(name, thrift.CALL, seq, func(w *thrift.TBinaryProtocol) {
 		if name != "serve" {
@@ -261,7 +263,7 @@
 	})
 }
 
-// PlatformForget is the frame that gives a call up.
+// PlatformForget returns the frame that cancels the call with the sequence number of.
 func PlatformForget(seq, of int32) []byte {
 	return message("forget", thrift.ONEWAY, seq, func(w *thrift.TBinaryProtocol) {
 		w.WriteFieldBegin(inMemory, "", thrift.I32, 1)
@@ -269,7 +271,7 @@
 	})
 }
 
-// PlatformResult is a router's answer: served, refused, failed or exception.
+// PlatformResult is a router's answer. Word is served, refused, failed or exception.
 type PlatformResult struct {
 	Seq    int32
 	Word   string
@@ -278,14 +280,14 @@
 	Good   bool
 }
 
-// Ask writes a call of serve under the next number.
+// Ask writes a call of serve and returns its sequence number.
 func (c *PlatformClient) Ask(fields map[string]string, body []byte) (int32, error) {
 	c.seq++
 	_, err := c.Write(PlatformCall("serve", c.seq, fields, body))
 	return c.seq, err
 }
 
-// Well asks isWell.
+// Well calls isWell and returns its result.
 func (c *PlatformClient) Well() (bool, error) {
 	c.seq++
 	if _, err := c.Write(PlatformCall("isWell", c.seq, nil, nil)); err != nil {
@@ -295,7 +297,7 @@
 	return r.Good, err
 }
 
-// Result reads the next answer, within so long.
+// Result reads the next answer. It fails if the answer does not arrive within the given time.
 func (c *PlatformClient) Result(within time.Duration) (r PlatformResult, err error) {
 	c.SetReadDeadline(time.Now().Add(within))
 	var head [4]byte
@@ -304,7 +306,7 @@
 	}
 	n := binary.BigEndian.Uint32(head[:])
 	if n > 1<<20 {
-		return r, fmt.Errorf("standin: an answer of %d bytes", n)
+		return r, fmt.Errorf("testserver: answer of %d bytes is too long", n)
 	}
 	b := make([]byte, n)
 	if _, err := io.ReadFull(c, b); err != nil {
@@ -324,7 +326,7 @@
 	}
 	_, t, id, err := p.ReadFieldBegin(ctx)
 	if err != nil || t != thrift.STRUCT || id < 0 || id > 2 {
-		return r, errors.Join(err, fmt.Errorf("standin: a result of field %d, type %d", id, t))
+		return r, errors.Join(err, fmt.Errorf("testserver: invalid result: field %d of type %d", id, t))
 	}
 	r.Word = [...]string{"served", "refused", "failed"}[id]
 	r.Fields = map[string]string{}
@@ -355,7 +357,7 @@
 		}
 	}
 	if _, _, _, err = p.ReadFieldBegin(ctx); err != nil || m.Len() > 0 {
-		return r, fmt.Errorf("standin: a result that does not end (%d bytes left): %v", m.Len(), err)
+		return r, fmt.Errorf("testserver: result is not terminated or has %d surplus bytes: %v", m.Len(), err)
 	}
 	return r, nil
 }
--- a/internal/testbed/testserver/server.go
+++ b/internal/testbed/testserver/server.go
@@ -1,10 +1,10 @@
-// Package testserver is what the router is tested against: caches, parents, the origin, the
-// list service and clients, with the faults that a scenario injects into them. All of them
-// write what they see to a traffic log.
+// Package testserver provides the servers and clients that routers are tested against: caches,
+// parents, the origin and the list service, with the faults that a scenario injects into them.
+// The servers write what they receive and send to a traffic log.
 //
 // They read and write HTTP with Go's net/http and not with internal/protocol/http1, so that
-// the router's parser is judged by another one. They decide nothing of a router's: a cache
-// does what Spool-Fill says, as docs/protocol.md defines it.
+// the router's parser is tested against another implementation. They make none of a router's
+// decisions: a cache does what the Spool-Fill field says, as docs/protocol.md defines it.
 package testserver
 
 import (
@@ -25,41 +25,41 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// Class is what a stand-in knows of a class of requests.
+// Class describes a class of requests to a test server.
 type Class struct {
 	Name   string  `json:"name"`
-	KB     float64 `json:"kb"`    // mean size
-	Fresh  float64 `json:"fresh"` // ms; 0: until purged
+	KB     float64 `json:"kb"`    // mean object size
+	Fresh  float64 `json:"fresh"` // lifetime of a copy, ms; 0: until purged
 	Write  bool    `json:"write"`
-	Window float64 `json:"window"` // of guarded writes: repeats are dropped for so long, ms
+	Window float64 `json:"window"` // of writes with an idempotency key: how long repeats are dropped, ms
 }
 
-// Config is what a cache, parent or origin is.
+// Config configures a cache, parent or origin.
 type Config struct {
 	ID       string   `json:"id"`
 	Role     string   `json:"role"` // box, parent or origin
 	Zone     string   `json:"zone"`
-	Listen   string   `json:"listen"`   // 127.0.0.1:0 where empty
+	Listen   string   `json:"listen"`   // default 127.0.0.1:0
 	Upstream string   `json:"upstream"` // of a parent: the origin's address
-	Start    int64    `json:"start"`    // number of this start
+	Start    int64    `json:"start"`    // counts the starts of the process, from 1
 	Cold     bool     `json:"cold"`
 	Bytes    int64    `json:"bytes"`
-	Capacity float64  `json:"capacity"` // sending time, ms a ms
-	Flow     float64  `json:"flow"`     // KB a ms of one transfer to a client
-	FillFlow float64  `json:"fill_flow"`
-	LinkIn   float64  `json:"link_in"` // KB a ms; 0: no limit
-	Latency  float64  `json:"latency"` // ms before each answer, of a source
+	Capacity float64  `json:"capacity"`  // sending time that it can serve, ms per ms; 0: no limit
+	Flow     float64  `json:"flow"`      // rate of one transfer to a client, KB per ms
+	FillFlow float64  `json:"fill_flow"` // rate of one transfer to a cache, KB per ms
+	LinkIn   float64  `json:"link_in"`   // rate of all incoming fills, KB per ms; 0: no limit
+	Latency  float64  `json:"latency"`   // delay before each response, ms
 	MaxFills int      `json:"max_fills"`
-	FillWait float64  `json:"fill_wait"` // a fill is given up when nothing has come for so long
-	RunOn    bool     `json:"run_on"`    // a fill whose client has left runs on
-	ColdFrom float64  `json:"cold_from"`
-	ColdTime float64  `json:"cold_time"`
-	Fall     float64  `json:"fall"`
-	FallTime float64  `json:"fall_time"`
-	Limit    int      `json:"limit"` // of an origin: requests at once, more are refused; 0: none
+	FillWait float64  `json:"fill_wait"` // a fill fails after this time without data, ms
+	RunOn    bool     `json:"run_on"`    // completes a fill whose client has disconnected
+	ColdFrom float64  `json:"cold_from"` // share of the capacity at the start of the warm-up
+	ColdTime float64  `json:"cold_time"` // duration of the warm-up, ms
+	Fall     float64  `json:"fall"`      // a cold cache stops serving at this multiple of its capacity; 0: never
+	FallTime float64  `json:"fall_time"` // how long that load has to last, ms
+	Limit    int      `json:"limit"`     // of an origin: concurrent requests; more are rejected; 0: no limit
 	Classes  []Class  `json:"classes"`
 	Seed     uint64   `json:"seed"`
-	Feedback []string `json:"feedback"` // inflight, util, x0, x1
+	Feedback []string `json:"feedback"` // load metrics in the order of the load field: inflight, util, x0, x1
 }
 
 func (c *Config) setDefaults() {
@@ -86,7 +86,7 @@
 	}
 }
 
-// Server is a running stand-in.
+// Server is a running cache, parent or origin.
 type Server struct {
 	cfg        Config
 	trafficLog *trafficlog.Writer
@@ -94,8 +94,8 @@
 	listener   net.Listener
 	http       *http.Server
 	client     *http.Client
-	clientLink *Link // to clients
-	fillLink   *Link // fills from outside
+	clientLink *Link // transfers to clients
+	fillLink   *Link // transfers of fills from sources
 	done       chan struct{}
 	once       sync.Once
 
@@ -104,11 +104,11 @@
 	fills    map[string]*fill
 	classes  map[string]Class
 	inflight int
-	hitRatio float64 // recent share
+	hitRatio float64 // moving average
 	origin   *origin
 }
 
-// Start begins to serve.
+// Start starts a server that writes to the traffic log w.
 func Start(cfg Config, w *trafficlog.Writer) (*Server, error) {
 	cfg.setDefaults()
 	s := &Server{cfg: cfg, trafficLog: w, faults: newFaults(cfg.Seed), done: make(chan struct{}),
@@ -118,7 +118,7 @@
 	}
 	ln, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
-		return nil, fmt.Errorf("standin %s: %w", cfg.ID, err)
+		return nil, fmt.Errorf("testserver: %s: %w", cfg.ID, err)
 	}
 	s.listener = ln
 	s.cache = httpcache.New(httpcache.Settings{Name: cfg.ID, Bytes: cfg.Bytes, Capacity: cfg.Capacity, WarmUpInitialShare: cfg.ColdFrom,
@@ -144,18 +144,18 @@
 	return s, nil
 }
 
-// Addr is where it serves.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// ID is its name.
+// ID returns the ID that the server was configured with.
 func (s *Server) ID() string { return s.cfg.ID }
 
-// Fault makes the stand-in suffer.
+// Fault injects a fault for its duration from now.
 func (s *Server) Fault(x Fault) error { return s.faults.set(trafficlog.Now(), x) }
 
-// Purge drops the copies that are older than made, a time on the tap's clock.
-// The origin makes a new version instead, and says itself when: the time is
-// returned, and is what caches and routers are told.
+// Purge drops the copies that were generated before made, a time on the traffic log's clock.
+// An origin creates a new version instead, at a time of its own. Purge returns the time that
+// applies, which caches and routers are to be told.
 func (s *Server) Purge(object string, group int, made float64) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,14 +169,14 @@
 	return record.Time
 }
 
-// Usage is what a cache holds.
+// Usage returns the size and the number of the copies that a cache holds.
 func (s *Server) Usage() (bytes int64, copies int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.cache.Usage()
 }
 
-// Kill ends it as SIGKILL would: connections are reset, nothing is finished.
+// Kill stops the server as SIGKILL would: it closes all connections and completes no request.
 func (s *Server) Kill() {
 	s.once.Do(func() {
 		close(s.done)
@@ -185,7 +185,7 @@
 	})
 }
 
-// ServeHTTP takes an attempt, or a word of control from the day.
+// ServeHTTP handles an attempt, or a control request of a scenario (/-/fault, /-/purge, /-/state).
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if strings.HasPrefix(r.URL.Path, "/-/") && r.Header.Get(fetchheader.FillField) == "" {
 		s.control(w, r)
@@ -237,7 +237,7 @@
 		}
 	})
 	e.serve()
-	if r.Context().Err() == nil { // else it is left to the record that it was left
+	if r.Context().Err() == nil { // otherwise the callback logs the cancellation
 		stop()
 	}
 }
@@ -281,7 +281,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// loadField is the report in the order of the settings' feedback.
+// loadField returns the value of the load field, with the metrics in the order of
+// Config.Feedback.
 func (s *Server) loadField() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -301,7 +302,7 @@
 	return fetchheader.FormatLoad(values)
 }
 
-// exchange is one attempt at a stand-in.
+// exchange is one attempt and its response.
 type exchange struct {
 	s       *Server
 	w       http.ResponseWriter
@@ -314,14 +315,15 @@
 	answered atomic.Bool
 }
 
-// logAnswer records that the attempt is answered.
+// logAnswer marks the attempt as answered and logs the response.
 func (e *exchange) logAnswer(record trafficlog.Record) {
 	e.answered.Store(true)
 	record.Event = trafficlog.AttemptAnswered
 	e.s.trafficLog.Add(record)
 }
 
-// reset ends the attempt's connection; the attempt ends with it.
+// reset resets the attempt's connection. It logs the attempt as canceled unless the attempt has
+// been answered.
 func (e *exchange) reset() {
 	if !e.answered.Swap(true) {
 		record := e.record
@@ -333,7 +335,7 @@
 	}
 }
 
-// serve does what the attempt asks, under the faults of the moment.
+// serve handles the attempt, subject to the active faults.
 func (e *exchange) serve() {
 	s, ctx := e.s, e.r.Context()
 	if s.faults.waitWhileStopped(ctx) != nil {
@@ -360,7 +362,7 @@
 	default:
 		e.serveCache()
 	}
-	if discard { // the work is done, and nobody hears of it
+	if discard { // the work is done, but the client gets no response
 		select {
 		case <-ctx.Done():
 		case <-s.done:
@@ -370,7 +372,7 @@
 	}
 }
 
-// discardWriter takes an answer that never reaches anyone.
+// discardWriter is a ResponseWriter that discards the response.
 type discardWriter struct {
 	header http.Header
 	ctx    context.Context
@@ -405,7 +407,7 @@
 	if e.class.Fresh > 0 && e.attempt.Age <= 0 {
 		maxAge = e.class.Fresh
 	}
-	if e.r.Method == "HEAD" { // answered as GET is, without the body
+	if e.r.Method == "HEAD" { // answered like GET, without the body
 		e.record.Note = "head"
 	}
 	s.mu.Lock()
@@ -434,7 +436,7 @@
 	}
 	current := s.fills[e.key]
 	s.mu.Unlock()
-	if e.attempt.Source == "" && !e.attempt.MayFetch { // a look
+	if e.attempt.Source == "" && !e.attempt.MayFetch { // a lookup without a fill
 		e.reject(http.StatusGatewayTimeout, fetchheader.CacheStatus{Fwd: "miss", Collapsed: current != nil})
 		return
 	}
@@ -447,7 +449,8 @@
 	}
 }
 
-// respond answers with a copy; fl is the fill that it comes from, or nil.
+// respond answers with a copy. source is the fill that the copy comes from, or nil if the copy
+// is complete.
 func (e *exchange) respond(version int64, generatedAt float64, size int64, h fetchheader.CacheStatus, source *fill) {
 	s := e.s
 	header := e.w.Header()
@@ -471,7 +474,7 @@
 	code := http.StatusOK
 	etag := fmt.Sprintf("\"v%d\"", version)
 	header.Set("ETag", etag)
-	if e.r.Header.Get("If-None-Match") == etag { // its asker has it
+	if e.r.Header.Get("If-None-Match") == etag { // the client has this version
 		header.Del("Content-Length")
 		record := e.record
 		record.Status, record.Version, record.Created, record.Hit = http.StatusNotModified, version, generatedAt, h.Hit
@@ -497,7 +500,8 @@
 	e.writeBody(version, size, source)
 }
 
-// byteRange is the one range that a request asks for, first and last byte.
+// byteRange returns the first and last byte of a request's range. It accepts a single range
+// with both ends.
 func byteRange(r *http.Request) (first, last int64, ok bool) {
 	if n, err := fmt.Sscanf(r.Header.Get("Range"), "bytes=%d-%d", &first, &last); err != nil || n != 2 || first < 0 || last < first {
 		return 0, 0, false
@@ -505,10 +509,10 @@
 	return first, last, true
 }
 
-const chunkSize = 16 << 10
+const chunkSize = 16 << 10 // bytes
 
-// writeBody sends the bytes at the pace of the transfer, the cache's link and the
-// fill behind it.
+// writeBody sends the body no faster than the rate of the transfer, the server's link and the
+// fill that it comes from allow.
 func (e *exchange) writeBody(version, size int64, source *fill) {
 	s, ctx := e.s, e.r.Context()
 	buf := make([]byte, chunkSize)
@@ -531,6 +535,7 @@
 		if s.faults.waitWhileStopped(ctx) != nil {
 			return
 		}
+		// A transfer that was held up makes up for at most 20 ms.
 		pace = max(pace, trafficlog.Now()-20) + float64(n)/1024/flow*s.faults.slowdown()
 		if s.clientLink.Pass(ctx, n) != nil || sleepUntil(ctx, pace) != nil {
 			return
--- a/internal/testbed/testserver/standin_test.go
+++ b/internal/testbed/testserver/standin_test.go
@@ -16,7 +16,8 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// Content is the same however it is cut, and told apart from other versions'.
+// Any part of a key's content equals the same part of the whole, and Matches tells it from the
+// content of another version.
 func TestContent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		key, v := rapid.String().Draw(t, "key"), rapid.Int64Range(1, 9).Draw(t, "version")
@@ -29,14 +30,14 @@
 			t.Fatal("a part differs from the whole")
 		}
 		if _, ok := Matches(part, key, v, int64(off)); !ok {
-			t.Fatal("a part is not recognized")
+			t.Fatal("a part does not match its own version")
 		}
 		if _, ok := Matches(part, key, v+1, int64(off)); ok {
-			t.Fatal("a part passes for another version's")
+			t.Fatal("a part matches another version")
 		}
 		part[3] ^= 1
 		if at, ok := Matches(part, key, v, int64(off)); ok || at != int64(off)+3 {
-			t.Fatalf("a wrong byte at %d is told at %d", off+3, at)
+			t.Fatalf("a wrong byte at %d is reported at %d", off+3, at)
 		}
 	})
 }
@@ -66,7 +67,7 @@
 	return res.StatusCode, res.Header, string(b)
 }
 
-// A cache does what docs/protocol.md says of looks, fills, ages and purges.
+// A cache follows docs/protocol.md for lookups, fills, maximum ages and purges.
 func TestCacheFollowsProtocol(t *testing.T) {
 	classes := []Class{{Name: "c", KB: 10}}
 	o, err := Start(Config{ID: "o", Role: "origin", Flow: 100, Classes: classes}, nil)
@@ -83,39 +84,39 @@
 	fill := look
 	fill.Source, fill.SourceAddress = "o", o.Addr()
 	if code, h, _ := get(t, b.Addr(), "/x", look); code != 504 || !strings.Contains(h.Get("Cache-Status"), "fwd=miss") {
-		t.Errorf("a look at what it lacks: %d %v", code, h)
+		t.Errorf("lookup of a missing object: %d %v", code, h)
 	}
 	if code, h, _ := get(t, b.Addr(), "/x", fill); code != 200 || h.Get("Cache-Status") != `"o", "b";fwd=miss;stored` {
-		t.Errorf("a fill: %d %v", code, h)
+		t.Errorf("fill: %d %v", code, h)
 	}
 	time.Sleep(20 * time.Millisecond)
 	if code, h, _ := get(t, b.Addr(), "/x", look); code != 200 || !strings.Contains(h.Get("Cache-Status"), "hit") {
-		t.Errorf("a look at what it holds: %d %v", code, h)
+		t.Errorf("lookup of a cached object: %d %v", code, h)
 	}
 	young := look
 	young.Age = 1
 	if code, _, _ := get(t, b.Addr(), "/x", young); code != 504 {
-		t.Errorf("a look at what is too old: %d", code)
+		t.Errorf("lookup of a copy that is too old: %d", code)
 	}
 	o.Purge("/x", 1, 0)
 	young = fill
 	young.Age = 10
 	if _, h, body := get(t, b.Addr(), "/x", young); !strings.HasPrefix(h.Get("Spool-Copy"), "v=2,") {
-		t.Errorf("a fill after the purge: %v", h)
+		t.Errorf("fill after the purge: %v", h)
 	} else if _, ok := Matches([]byte(body), "/x", 2, 0); !ok {
-		t.Error("its bytes are not the new version's")
+		t.Error("fill after the purge: the body is not that of the new version")
 	}
 	gone := fill
 	gone.SourceAddress = "127.0.0.1:1"
 	if code, h, _ := get(t, b.Addr(), "/y", gone); code != 503 || !strings.Contains(h.Get("Cache-Status"), "detail=source-unreached") {
-		t.Errorf("a fill from nowhere: %d %v", code, h)
+		t.Errorf("fill from an unreachable source: %d %v", code, h)
 	}
 	if code, _, body := get(t, b.Addr(), "/y", fetchheader.Attempt{ID: "r", Keep: 9}); code != 400 {
-		t.Errorf("a malformed attempt: %d %s", code, body)
+		t.Errorf("malformed attempt: %d %s", code, body)
 	}
 }
 
-// A cold cache that is sent too much falls over, and answers nothing any more.
+// A cold cache that is overloaded for too long fails and stops answering.
 func TestOverloadedCacheStopsAnswering(t *testing.T) {
 	w := trafficlog.NewWriter(nil)
 	b, err := Start(Config{ID: "b", Role: "box", Cold: true, Capacity: 1, ColdFrom: 0.2, ColdTime: 60000, Fall: 2, FallTime: 1000,
@@ -125,7 +126,7 @@
 	}
 	defer b.Kill()
 	look := fetchheader.Attempt{ID: "r", Class: "c", Object: "/x", Age: 1e9}
-	for i := range 8 { // 100 ms of work each, where 400 are borne
+	for i := range 8 { // 100 ms of work each; more than 400 ms is too much
 		code, _, what := get(t, b.Addr(), "/x", look)
 		if want := i < 4; (code == 504) != want {
 			t.Fatalf("attempt %d: %d %s", i, code, what)
@@ -137,7 +138,7 @@
 	f := newFaults(1)
 	for _, x := range []Fault{{Kind: "sulk"}, {Kind: Hang, For: -1}, {Kind: Slow, Share: 2}} {
 		if f.set(0, x) == nil {
-			t.Errorf("%+v was taken", x)
+			t.Errorf("%+v was accepted", x)
 		}
 	}
 }
@@ -146,7 +147,7 @@
 	var f Fleet
 	err := config.Read("f.edn", `(machine a (role parent)) (machine a) (list (lag-from 9))`, &f)
 	if err == nil || strings.Count(err.Error(), "\n") != 2 {
-		t.Errorf("want three faults, got:\n%v", err)
+		t.Errorf("want three errors, got:\n%v", err)
 	}
 	if err := config.Read("f.edn", `(machine a (capacity 3)) (class c (kb 5))`, &f); err != nil {
 		t.Fatal(err)
@@ -155,11 +156,12 @@
 		t.Errorf("%+v, %v", c, err)
 	}
 	if _, err := f.Config("b"); err == nil {
-		t.Error("a machine that is not there")
+		t.Error("an unknown machine was accepted")
 	}
 }
 
-// A page put together is read back piece by piece; what is wrong with one is said.
+// Pieces parses an assembled page, with or without its optional fragments, and rejects pages with
+// damaged, repeated, reordered or missing pieces.
 func TestPieces(t *testing.T) {
 	key := "/page/1/" + PageName("o3", 3, 1000000, "thumb")
 	list := Includes(key)
@@ -180,7 +182,7 @@
 	for what, body := range map[string][]byte{"twice": page(a, a, b, c), "out of order": page(b, a, c), "the first is missing": page(b, c), "not whole": page(a, b[:40], c),
 		"spliced": page(a, string(text(list[1], 31)[:60])+string(text(list[1], 32)[60:]), c), "cut": page(a, b, c)[:80], "empty": nil, "behind it": append(page(a, b, c), 'x')} {
 		if _, err := Pieces(key, body); err == nil {
-			t.Errorf("%s: nothing is said", what)
+			t.Errorf("%s: no error", what)
 		}
 	}
 }
--- a/internal/testbed/testserver/text.go
+++ b/internal/testbed/testserver/text.go
@@ -7,21 +7,21 @@
 	"strings"
 )
 
-// Pages and their fragments are text, so that a client can tell from a page that was put
-// together which version each piece is of, and whether it is whole. They are known by
-// their names: a fragment's is ~NUMBER, a page's NAME~COUNT~OBJECTS~CLASS, which says how
-// many fragments of which class it includes, out of how many. The includes of a page are
-// the same in all its versions; each but the first may be left out.
+// Pages and their fragments are text, so that a client can tell from an assembled page which
+// version each piece has and whether it is complete. Their names identify them: a fragment's is
+// ~NUMBER, a page's NAME~COUNT~OBJECTS~CLASS. COUNT is the number of fragments that the page
+// includes, CLASS their class, and OBJECTS the number of fragments in the class. All versions of
+// a page include the same fragments. The first one is mandatory, the others are optional.
 
-// PageName is the name of an object that is a page.
+// PageName returns the name of a page.
 func PageName(name string, fragments, objects int, class string) string {
 	return fmt.Sprintf("%s~%d~%d~%s", name, fragments, objects, class)
 }
 
-// FragmentName is the name of a fragment.
+// FragmentName returns the name of a fragment.
 func FragmentName(n uint64) string { return "~" + strconv.FormatUint(n, 10) }
 
-// isText reports a key whose content is text.
+// isText reports whether the content of a key is text, which is so for pages and fragments.
 func isText(key string) bool {
 	name := key[strings.LastIndexByte(key, '/')+1:]
 	if n, ok := strings.CutPrefix(name, "~"); ok {
@@ -31,7 +31,7 @@
 	return isPage(key)
 }
 
-// isPage reports the key of a page.
+// isPage reports whether a key is that of a page.
 func isPage(key string) bool {
 	parts := strings.Split(key[strings.LastIndexByte(key, '/')+1:], "~")
 	if len(parts) != 4 || parts[0] == "" || parts[3] == "" {
@@ -42,7 +42,7 @@
 	return countErr == nil && objectsErr == nil
 }
 
-// text is the content of a key; its length does not depend on the version.
+// text returns the content of a page or fragment. Its length does not depend on the version.
 func text(key string, version int64) []byte {
 	if !isPage(key) {
 		n := 200 + int(mix(seedOf(key, 0))%3000)
@@ -64,7 +64,7 @@
 	return append(b, ']')
 }
 
-// Includes is the addresses of a page's fragments, in their order.
+// Includes returns the keys of a page's fragments, in the order of the page.
 func Includes(key string) (out []string) {
 	parts := strings.Split(key[strings.LastIndexByte(key, '/')+1:], "~")
 	if len(parts) != 4 {
@@ -75,13 +75,13 @@
 	for i := range min(count, 1000) {
 		h := mix(seedOf(key, int64(i)+1000))
 		n := h % uint64(max(objects, 1))
-		n = n * (h >> 32 & 0xff) >> 8 // small numbers are in many pages
+		n = n * (h >> 32 & 0xff) >> 8 // favors small numbers, so that some fragments are in many pages
 		out = append(out, fmt.Sprintf("/%s/%d/%s", parts[3], GroupOf(parts[3]+FragmentName(n)), FragmentName(n)))
 	}
 	return out
 }
 
-// GroupOf is the group of an object, fixed by its name.
+// GroupOf returns the group of an object, which its name determines.
 func GroupOf(name string) int {
 	h := uint32(2166136261)
 	for i := 0; i < len(name); i++ {
@@ -92,25 +92,24 @@
 
 const textGroups = 32
 
-// Piece is a part of a page as a client has it.
+// Piece is a part of an assembled page: the page itself or a fragment.
 type Piece struct {
 	Key     string
 	Version int64
-	Missing bool // it was left out
-	End     int  // where it ends in the body; of the page itself that is the body's end
+	Missing bool // the fragment was omitted
+	End     int  // offset of its end in the body; for the page itself, the length of the body
 }
 
-// Pieces reads a page that was put together: first the page itself, then its fragments.
-// An error says what is not as it must be: a piece that is not whole, is there twice, out
-// of its order, or missing without leave.
+// Pieces parses an assembled page. It returns the page itself and then its fragments. It fails if
+// a piece is incomplete, repeated or out of order, or if the mandatory fragment is missing.
 func Pieces(key string, body []byte) ([]Piece, error) {
 	head := []byte("[" + key + " v")
 	if !bytes.HasPrefix(body, head) || len(body) < len(head)+12 {
-		return nil, fmt.Errorf("it begins with %.60q", body)
+		return nil, fmt.Errorf("page does not start with its key and version: %.60q", body)
 	}
 	v, err := strconv.ParseInt(string(body[len(head):len(head)+10]), 10, 64)
 	if err != nil {
-		return nil, fmt.Errorf("its version: %w", err)
+		return nil, fmt.Errorf("version of the page: %w", err)
 	}
 	out := []Piece{{Key: key, Version: v, End: len(body)}}
 	rest := body[len(head)+11:]
@@ -118,24 +117,24 @@
 		head := []byte("{" + f + " v")
 		if !bytes.HasPrefix(rest, head) || len(rest) < len(head)+10 {
 			if i == 0 {
-				return out, fmt.Errorf("its first fragment is missing: %.60q", rest)
+				return out, fmt.Errorf("mandatory first fragment is missing: %.60q", rest)
 			}
 			out = append(out, Piece{Key: f, Missing: true})
 			continue
 		}
 		version, err := strconv.ParseInt(string(rest[len(head):len(head)+10]), 10, 64)
 		if err != nil {
-			return out, fmt.Errorf("fragment %d: its version: %w", i, err)
+			return out, fmt.Errorf("version of fragment %d: %w", i, err)
 		}
 		want := text(f, version)
 		if !bytes.HasPrefix(rest, want) {
-			return out, fmt.Errorf("fragment %d, %s, is not whole or not of one version", i, f)
+			return out, fmt.Errorf("fragment %d, %s, is incomplete or mixes versions", i, f)
 		}
 		rest = rest[len(want):]
 		out = append(out, Piece{Key: f, Version: version, End: len(body) - len(rest)})
 	}
 	if string(rest) != "]" {
-		return out, fmt.Errorf("behind the last fragment stands %.60q", rest)
+		return out, fmt.Errorf("surplus data after the last fragment: %.60q", rest)
 	}
 	return out, nil
 }
