--- a/cmd/spool-load/main.go
+++ b/cmd/spool-load/main.go
@@ -14,7 +14,7 @@
 
 func main() {
 	var asJSON bool
-	var plot, ending string
+	var plotPrefix, plotFormat string
 	var targets []string
 	var rate float64
 	root := &cobra.Command{Use: "spool-load FILE", Short: "Makes requests as users do, open-loop, against running routers", Args: cobra.ExactArgs(1),
@@ -36,9 +36,9 @@
 			}
 			if len(targets) > 0 {
 				s.Load.Targets = targets
-				var f config.Faults
-				if s.Check(&f); len(f) > 0 {
-					return &cli.FoundError{Err: f}
+				var targetFaults config.Faults
+				if s.Check(&targetFaults); len(targetFaults) > 0 {
+					return &cli.FoundError{Err: targetFaults}
 				}
 			}
 			if rate > 0 {
@@ -48,8 +48,8 @@
 			if err != nil {
 				return err
 			}
-			if plot != "" {
-				if err := r.Plot(plot, ending); err != nil {
+			if plotPrefix != "" {
+				if err := r.Plot(plotPrefix, plotFormat); err != nil {
 					return err
 				}
 			}
@@ -58,8 +58,8 @@
 	f := root.Flags()
 	f.StringSliceVar(&targets, "targets", nil, "routers, instead of the file's")
 	f.Float64Var(&rate, "rate", 0, "requests a second, instead of the file's")
-	f.StringVar(&plot, "plot", "", "write pictures PLOT-latency and PLOT-seconds")
-	f.StringVar(&ending, "format", "svg", "of the pictures: svg, png or pdf")
+	f.StringVar(&plotPrefix, "plot", "", "write pictures PLOT-latency and PLOT-seconds")
+	f.StringVar(&plotFormat, "format", "svg", "of the pictures: svg, png or pdf")
 	f.BoolVar(&asJSON, "json", false, "print the result as JSON")
 	cli.Main(root)
 }
--- a/internal/testbed/loadgen/plot.go
+++ b/internal/testbed/loadgen/plot.go
@@ -13,7 +13,7 @@
 // the ending names: svg, png or pdf. The first has each class's latencies by the
 // share of answers that took longer, on two logarithmic axes; the second what was
 // served by the second.
-func (r *Result) Plot(prefix, ending string) error {
+func (r *Result) Plot(prefix, format string) error {
 	p := plot.New()
 	p.Title.Text = "Latency from when a request was due"
 	p.X.Label.Text, p.Y.Label.Text = "ms", "share of answers that took longer"
@@ -30,7 +30,7 @@
 		if err := plotutil.AddLines(p, lines...); err != nil {
 			return fmt.Errorf("load: %w", err)
 		}
-		if err := p.Save(18*vg.Centimeter, 12*vg.Centimeter, prefix+"-latency."+ending); err != nil {
+		if err := p.Save(18*vg.Centimeter, 12*vg.Centimeter, prefix+"-latency."+format); err != nil {
 			return fmt.Errorf("load: %w", err)
 		}
 	}
@@ -45,7 +45,7 @@
 	if err := plotutil.AddLines(q, "due", due, "in time", inTime); err != nil {
 		return fmt.Errorf("load: %w", err)
 	}
-	if err := q.Save(18*vg.Centimeter, 12*vg.Centimeter, prefix+"-seconds."+ending); err != nil {
+	if err := q.Save(18*vg.Centimeter, 12*vg.Centimeter, prefix+"-seconds."+format); err != nil {
 		return fmt.Errorf("load: %w", err)
 	}
 	return nil
--- a/internal/testbed/loadgen/record.go
+++ b/internal/testbed/loadgen/record.go
@@ -217,16 +217,16 @@
 	if err == nil {
 		err = r.err
 	}
-	for why, n := range r.skipped {
-		res.Skipped = append(res.Skipped, Skipped{why, n})
+	for reason, n := range r.skipped {
+		res.Skipped = append(res.Skipped, Skipped{reason, n})
 	}
 	sort.Slice(res.Skipped, func(i, j int) bool { return res.Skipped[i].Why < res.Skipped[j].Why })
 	return res, err
 }
 
 func (r *Replay) skippedError() (err error) {
-	for why, n := range r.skipped {
-		err = errors.Join(err, fmt.Errorf("%d were left out: %s", n, why))
+	for reason, n := range r.skipped {
+		err = errors.Join(err, fmt.Errorf("%d were left out: %s", n, reason))
 	}
 	return err
 }
@@ -259,8 +259,8 @@
 	file    string
 	line    int
 	pending lineHeap
-	ended   bool
-	last    float64 // end of the last line
+	eof     bool
+	lastEnd float64 // end of the last line
 }
 
 const maxRequestMillis = 60000 // ms: longer than clients wait
@@ -292,10 +292,10 @@
 const logTime = "2006-01-02T15:04:05.000Z0700"
 
 func (l *accessLog) next() (float64, *spool.Request, error) {
-	for !l.ended && (len(l.pending) == 0 || l.last-maxRequestMillis < l.pending[0].end-l.pending[0].MS) {
+	for !l.eof && (len(l.pending) == 0 || l.lastEnd-maxRequestMillis < l.pending[0].end-l.pending[0].MS) {
 		text, err := l.br.ReadBytes('\n')
 		if err != nil {
-			l.ended = true // a last line that is cut is no line
+			l.eof = true // a last line that is cut is no line
 			break
 		}
 		l.line++
@@ -311,7 +311,7 @@
 			return 0, nil, fmt.Errorf("load: %s:%d: the time %.60q: %w", l.file, l.line, line.TS, err)
 		}
 		line.end = float64(at.UnixMicro()) / 1000
-		l.last = max(l.last, line.end)
+		l.lastEnd = max(l.lastEnd, line.end)
 		heap.Push(&l.pending, line)
 	}
 	if len(l.pending) == 0 {
--- a/internal/testbed/loadgen/record_test.go
+++ b/internal/testbed/loadgen/record_test.go
@@ -27,20 +27,20 @@
 
 // recordingServer is a server that keeps what it is asked for.
 type recordingServer struct {
-	mu   sync.Mutex
-	seen []string
-	at   []time.Time
+	mu       sync.Mutex
+	requests []string
+	times    []time.Time
 }
 
-func (h *recordingServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.at = append(h.at, time.Now())
-	h.seen = append(h.seen, strings.TrimSpace(r.Method+" "+r.URL.Path+" "+r.Header.Get("Range")+r.Header.Get("Spool-Deadline")+r.Header.Get("Spool-KB")))
+func (s *recordingServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.times = append(s.times, time.Now())
+	s.requests = append(s.requests, strings.TrimSpace(r.Method+" "+r.URL.Path+" "+r.Header.Get("Range")+r.Header.Get("Spool-Deadline")+r.Header.Get("Spool-KB")))
 }
 
 // writeJournal keeps a journal of requests at their times.
-func writeJournal(t *testing.T, at []float64, q []spool.Request) string {
+func writeJournal(t *testing.T, times []float64, requests []spool.Request) string {
 	t.Helper()
 	dir := t.TempDir()
 	w, err := journal.Open(dir, journal.Options{})
@@ -52,10 +52,10 @@
 		t.Fatal(err)
 	}
 	w.RouterStarted(journal.RouterStart{Name: "r", Seed: 1, Settings: config.Print(s)})
-	for i := range q {
-		q[i].ID = fmt.Sprint(i)
-		w.Handled(at[i], q[i], nil)
-		w.Handled(at[i], spool.Gone{ID: q[i].ID}, nil)
+	for i := range requests {
+		requests[i].ID = fmt.Sprint(i)
+		w.Handled(times[i], requests[i], nil)
+		w.Handled(times[i], spool.Gone{ID: requests[i].ID}, nil)
 	}
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
@@ -93,14 +93,14 @@
 	dir := writeJournal(t, recordedAt, recordedRequests)
 	res, h, err := replay(t, dir, RecordOptions{Speed: 2})
 	want := []string{"GET /s/3/a", "GET /v/3/b/7 12.5", "GET /r/b bytes=131072-196607", "GET /s/4/late 100"}
-	if err != nil || fmt.Sprint(h.seen) != fmt.Sprint(want) || len(res.Skipped) != 1 || res.Skipped[0].Count != 1 {
-		t.Fatalf("%v: %q, want %q; left out %+v", err, h.seen, want, res.Skipped)
+	if err != nil || fmt.Sprint(h.requests) != fmt.Sprint(want) || len(res.Skipped) != 1 || res.Skipped[0].Count != 1 {
+		t.Fatalf("%v: %q, want %q; left out %+v", err, h.requests, want, res.Skipped)
 	}
-	if span := h.at[3].Sub(h.at[0]); span < 250*time.Millisecond {
+	if span := h.times[3].Sub(h.times[0]); span < 250*time.Millisecond {
 		t.Errorf("600 ms came again in %v, not 300 ms", span)
 	}
-	if res, h, err = replay(t, dir, RecordOptions{Speed: 0, Writes: true}); err != nil || len(h.seen) != 5 || len(res.Skipped) != 0 {
-		t.Errorf("%v: %q; %+v", err, h.seen, res)
+	if res, h, err = replay(t, dir, RecordOptions{Speed: 0, Writes: true}); err != nil || len(h.requests) != 5 || len(res.Skipped) != 0 {
+		t.Errorf("%v: %q; %+v", err, h.requests, res)
 	}
 	n := int64(0)
 	for _, k := range res.Classes {
@@ -115,8 +115,8 @@
 func TestReplayAfterClockStep(t *testing.T) {
 	began := time.Now()
 	_, h, err := replay(t, writeJournal(t, []float64{4e6, 4e6 + 100, 50, 150, 250}, recordedRequests), RecordOptions{Speed: 1, Writes: true})
-	if took := time.Since(began); err != nil || len(h.seen) != 5 || took > 20*time.Second || took < 250*time.Millisecond {
-		t.Errorf("%v: %q in %v", err, h.seen, took)
+	if took := time.Since(began); err != nil || len(h.requests) != 5 || took > 20*time.Second || took < 250*time.Millisecond {
+		t.Errorf("%v: %q in %v", err, h.requests, took)
 	}
 }
 
@@ -138,8 +138,8 @@
 	}
 	res, h, err := replay(t, file, RecordOptions{Routes: s, Speed: 1})
 	want := []string{"GET /v/1/first/3", "GET /s/1/second", "GET /s/1/third"}
-	if err != nil || fmt.Sprint(h.seen) != fmt.Sprint(want) || len(res.Skipped) != 1 || !strings.Contains(res.Skipped[0].Why, "/elsewhere") {
-		t.Errorf("%v: %q, want %q; %+v", err, h.seen, want, res)
+	if err != nil || fmt.Sprint(h.requests) != fmt.Sprint(want) || len(res.Skipped) != 1 || !strings.Contains(res.Skipped[0].Why, "/elsewhere") {
+		t.Errorf("%v: %q, want %q; %+v", err, h.requests, want, res)
 	}
 	if _, _, err := replay(t, file, RecordOptions{Speed: 1}); err == nil || !strings.Contains(err.Error(), "--routes") {
 		t.Errorf("without routes: %v", err)
