--- a/cmd/spool-load/main.go
+++ b/cmd/spool-load/main.go
@@ -1,4 +1,4 @@
-// Spool-load makes requests as users do, open-loop, against running routers.
+// Spool-load sends requests to running routers as users do, in an open loop.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	var plotPrefix, plotFormat string
 	var targets []string
 	var rate float64
-	root := &cobra.Command{Use: "spool-load FILE", Short: "Makes requests as users do, open-loop, against running routers", Args: cobra.ExactArgs(1),
+	root := &cobra.Command{Use: "spool-load FILE", Short: "Sends requests to running routers as users do, in an open loop", Args: cobra.ExactArgs(1),
 		Example: "  spool-load examples/load.edn\n  spool-load examples/load.edn --targets 127.0.0.1:8080 --rate 500 --plot out",
 		RunE: func(c *cobra.Command, args []string) error {
 			b, err := os.ReadFile(args[0])
@@ -57,9 +57,9 @@
 		}}
 	f := root.Flags()
 	f.StringSliceVar(&targets, "targets", nil, "routers, instead of the file's")
-	f.Float64Var(&rate, "rate", 0, "requests a second, instead of the file's")
-	f.StringVar(&plotPrefix, "plot", "", "write pictures PLOT-latency and PLOT-seconds")
-	f.StringVar(&plotFormat, "format", "svg", "of the pictures: svg, png or pdf")
+	f.Float64Var(&rate, "rate", 0, "requests per second, instead of the file's")
+	f.StringVar(&plotPrefix, "plot", "", "write the plots PLOT-latency and PLOT-seconds")
+	f.StringVar(&plotFormat, "format", "svg", "format of the plots: svg, png or pdf")
 	f.BoolVar(&asJSON, "json", false, "print the result as JSON")
 	cli.Main(root)
 }
--- a/cmd/spool-testserver/main.go
+++ b/cmd/spool-testserver/main.go
@@ -14,13 +14,13 @@
 )
 
 func main() {
-	root := &cobra.Command{Use: "spool-testserver", Short: "Stand-ins for caches, parents, origins and list services",
-		Long: "Stand-ins for caches, parents, origins and list services.\n\n" +
-			"What each sees on its sockets is written as a tap, a line of JSON a record (--tap).\n" +
-			"Faults: POST {\"kind\": \"hang\", \"for\": 5000} to /-/fault of a box, parent or origin."}
+	root := &cobra.Command{Use: "spool-testserver", Short: "Test servers: caches, parents, origins and list services",
+		Long: "Test servers: caches (box), parents, origins and list services.\n\n" +
+			"Each writes what it receives and sends to a traffic log, one JSON record per line (--tap).\n" +
+			"To inject a fault, POST {\"kind\": \"hang\", \"for\": 5000} to /-/fault of a box, parent or origin."}
 	var fleetFile, id, trafficLogFile string
 	for _, role := range []string{"box", "parent", "origin", "list"} {
-		c := &cobra.Command{Use: role + " -c FILE --id ID", Short: "Run a stand-in " + role, Args: cobra.NoArgs,
+		c := &cobra.Command{Use: role + " -c FILE --id ID", Short: "Run a test server: " + role, Args: cobra.NoArgs,
 			Example: "  spool-testserver " + role + " -c fleet.edn --id " + role + "-1",
 			RunE: func(c *cobra.Command, _ []string) error {
 				f, err := testserver.ReadFleet(fleetFile)
@@ -31,7 +31,7 @@
 				if trafficLogFile != "-" {
 					out, err := os.OpenFile(trafficLogFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 					if err != nil {
-						return fmt.Errorf("tap: %w", err)
+						return fmt.Errorf("traffic log: %w", err)
 					}
 					defer out.Close()
 					w = trafficlog.NewWriter(out)
@@ -39,8 +39,8 @@
 				return f.Run(c.Context(), role, id, w, os.Stderr)
 			}}
 		c.Flags().StringVarP(&fleetFile, "config", "c", "", "fleet file")
-		c.Flags().StringVar(&id, "id", "", "which of its members to be")
-		c.Flags().StringVar(&trafficLogFile, "tap", os.DevNull, "where records go; -: standard output")
+		c.Flags().StringVar(&id, "id", "", "ID of the machine in the fleet file")
+		c.Flags().StringVar(&trafficLogFile, "tap", os.DevNull, "file for the traffic log; -: standard output")
 		c.MarkFlagRequired("config")
 		if role != "list" {
 			c.MarkFlagRequired("id")
--- a/internal/testbed/loadgen/arrivals.go
+++ b/internal/testbed/loadgen/arrivals.go
@@ -1,10 +1,11 @@
-// Package loadgen makes requests as users do, against a running router: open-loop arrivals
-// from distributions, objects by their popularity, sessions that go from part to part and
-// stop early. Latencies count from when a request was due, so that a slow server cannot
-// hide by being asked less.
+// Package loadgen sends requests to running routers as users do: open-loop arrivals with a given
+// distribution, objects by popularity, sessions that go from part to part and may stop early.
+// Latencies count from when a request was due, so that a slow server does not get fewer requests
+// and thereby better figures (coordinated omission).
 //
-// It measures, and decides nothing of a router's. arrivals.go draws what comes when,
-// without I/O and from a seed; run.go makes the requests; plot.go draws the results.
+// It measures and makes none of a router's decisions. arrivals.go draws the requests and their
+// times from a seed, without I/O; record.go reads them from a journal or an access log; run.go
+// sends them; plot.go plots the results.
 package loadgen
 
 import (
@@ -20,59 +21,59 @@
 	"indigospool/internal/config"
 )
 
-// Script is a load. Spans are in ms.
+// Script describes a load. Durations are in ms.
 type Script struct {
 	Load     Form            `edn:"load,required"`
 	Arrivals ArrivalSettings `edn:"arrivals"`
 	Classes  []Class         `edn:"class"`
 }
 
-// Form is the load as a whole.
+// Form holds the settings of the load as a whole.
 type Form struct {
 	Place   config.Place
 	Name    string   `edn:"@"`
-	Targets []string `edn:"targets"` // routers, host:port, in turn
+	Targets []string `edn:"targets"` // routers, host:port; sessions go to them in turn
 	Length  float64  `edn:"length" def:"10000" min:"1"`
-	WarmUp  float64  `edn:"warm" def:"1000" min:"0"` // at the beginning, not counted
+	WarmUp  float64  `edn:"warm" def:"1000" min:"0"` // requests due in this time at the beginning are not counted
 	Seed    int      `edn:"seed" def:"1"`
-	Conns   int      `edn:"conns" def:"512" min:"1"`    // a target; who finds none free waits, and the wait counts
-	Most    int      `edn:"most" def:"1000000" min:"1"` // requests; a load is bounded
+	Conns   int      `edn:"conns" def:"512" min:"1"`    // per target; a request waits if none is free, and the wait counts in its latency
+	Most    int      `edn:"most" def:"1000000" min:"1"` // limit of the number of requests
 }
 
-// ArrivalSettings is how sessions arrive.
+// ArrivalSettings describes how sessions arrive.
 type ArrivalSettings struct {
 	Place  config.Place
 	Kind   string  `edn:"@" def:"poisson" oneof:"steady poisson bursts waves"`
-	Rate   float64 `edn:"rate" def:"100" min:"0.01"`       // requests a second, on average
-	Burst  float64 `edn:"burst" def:"20" min:"1"`          // of bursts: mean sessions in one
-	Period float64 `edn:"period" def:"10000" min:"10"`     // of waves
-	Depth  float64 `edn:"depth" def:"0.8" min:"0" max:"1"` // of waves: from (1-depth) to (1+depth) times the rate
+	Rate   float64 `edn:"rate" def:"100" min:"0.01"`       // mean requests per second
+	Burst  float64 `edn:"burst" def:"20" min:"1"`          // of bursts: mean number of sessions in a burst
+	Period float64 `edn:"period" def:"10000" min:"10"`     // of waves: period
+	Depth  float64 `edn:"depth" def:"0.8" min:"0" max:"1"` // of waves: the rate varies between (1-depth) and (1+depth) times the mean
 }
 
-// Class is a class of requests.
+// Class describes a class of requests.
 type Class struct {
 	Place               config.Place
 	Name                string  `edn:"@,required"`
 	Path                string  `edn:"path,required"`         // with {group}, {object}, {part}
-	Share               float64 `edn:"share" def:"1" min:"0"` // of the requests
+	Share               float64 `edn:"share" def:"1" min:"0"` // share of the requests, relative to the other classes
 	Objects             int     `edn:"objects" def:"1000" min:"1"`
 	Zipf                float64 `edn:"zipf" def:"1.1" min:"1.001"`
 	Groups              int     `edn:"groups" def:"32" min:"1"`
-	Parts               int     `edn:"parts" min:"0"`                  // the most parts of a session; 0: one request
-	ContinueProbability float64 `edn:"stay" def:"0.9" min:"0" max:"1"` // chance to go on to the next part
-	Gap                 float64 `edn:"gap" def:"400" min:"0"`          // from part to part
+	Parts               int     `edn:"parts" min:"0"`                  // maximum number of parts in a session; 0: the session is one request
+	ContinueProbability float64 `edn:"stay" def:"0.9" min:"0" max:"1"` // probability that a session requests the next part
+	Gap                 float64 `edn:"gap" def:"400" min:"0"`          // time from part to part
 	LatencyObjective    float64 `edn:"aim" def:"400" min:"1"`
 	Deadline            float64 `edn:"deadline" def:"5000" min:"1"`
 }
 
-// Check tells what contradicts itself.
+// Check reports settings that are invalid or contradict each other.
 func (s *Script) Check(f *config.Faults) {
 	add := func(p config.Pos, key, what, remedy string) {
 		*f = append(*f, config.Fault{Pos: p, Key: key, What: what, Remedy: remedy})
 	}
 	checkTargets(&s.Load, f)
 	if s.Load.WarmUp >= s.Load.Length {
-		add(s.Load.Place.Of("warm"), "load/warm", fmt.Sprintf("%v leaves nothing of %v", s.Load.WarmUp, s.Load.Length), "lower it")
+		add(s.Load.Place.Of("warm"), "load/warm", fmt.Sprintf("a warm-up of %v ms leaves nothing of a length of %v ms", s.Load.WarmUp, s.Load.Length), "lower it")
 	}
 	total := 0.0
 	for _, c := range s.Classes {
@@ -81,7 +82,7 @@
 			add(c.Place.Of("path"), "class/path", fmt.Sprintf("%q does not begin with / or has no {object}", c.Path), `write "/s/{group}/{object}"`)
 		}
 		if (c.Parts > 0) != strings.Contains(c.Path, "{part}") {
-			add(c.Place.Of("path"), "class/path", fmt.Sprintf("%q and (parts %d) don't go together", c.Path, c.Parts), "give both {part} and (parts n), or neither")
+			add(c.Place.Of("path"), "class/path", fmt.Sprintf("path %q and (parts %d) don't go together", c.Path, c.Parts), "give both {part} and (parts n), or neither")
 		}
 	}
 	if total <= 0 {
@@ -89,7 +90,7 @@
 	}
 }
 
-// checkTargets tells what is wrong with the targets.
+// checkTargets reports targets that are missing, malformed or not on this machine.
 func checkTargets(l *Form, f *config.Faults) {
 	add := func(p config.Pos, key, what, remedy string) {
 		*f = append(*f, config.Fault{Pos: p, Key: key, What: what, Remedy: remedy})
@@ -101,50 +102,50 @@
 		host, _, err := net.SplitHostPort(t)
 		switch {
 		case err != nil:
-			add(l.Place.Of("targets"), "load/targets", fmt.Sprintf("%q is no address", t), "write host:port, as 127.0.0.1:8080")
+			add(l.Place.Of("targets"), "load/targets", fmt.Sprintf("%q is not an address", t), "write host:port, as 127.0.0.1:8080")
 		case host != "localhost" && !net.ParseIP(host).IsLoopback():
 			add(l.Place.Of("targets"), "load/targets", fmt.Sprintf("%q is not a loopback address", t), "load goes to this machine only")
 		}
 	}
 }
 
-// Request is one request that is due.
+// Request is a request to send.
 type Request struct {
-	Due   float64 // ms from the beginning
-	Class int
+	Due   float64 // ms from the beginning of the load
+	Class int     // index of its class
 	Path  string
 
-	// of a record
+	// Set for replayed requests only.
 	Method           string      // empty: GET
-	Fields           [][2]string // of its head
-	Body             int64       // bytes of zeros
-	LatencyObjective float64     // 0: the class's
+	Fields           [][2]string // header fields
+	Body             int64       // size in bytes; the content is zeros
+	LatencyObjective float64     // ms; 0: that of the class
 }
 
-// Session is one client's requests, in the order of time.
+// Session is the requests of one client, in the order in which they are due.
 type Session []Request
 
-// Sessions draws sessions in the order of their beginnings.
+// Sessions draws sessions in the order in which they begin.
 type Sessions struct {
 	script           *Script
 	rng              *rand.Rand
 	now              float64
-	burstLeft        int // of a burst
+	burstLeft        int // sessions left in the present burst
 	zipf             []*rand.Zipf
-	cumulativeShares []float64 // rising sums of the classes' shares of sessions
-	rate             float64   // sessions a ms, on average
+	cumulativeShares []float64 // of the sessions, by class
+	rate             float64   // mean sessions per ms
 	gap              distuv.Exponential
 	burst            distuv.Poisson
 }
 
-// NewSessions draws for a script, the same for the same seed.
+// NewSessions returns the sessions of a script. The same seed gives the same sessions.
 func NewSessions(s *Script) *Sessions {
 	d := &Sessions{script: s, rng: rand.New(rand.NewPCG(uint64(s.Load.Seed), 0x10ad))}
 	sessionShare, requestShare := 0.0, 0.0
 	for i := range s.Classes {
 		c := &s.Classes[i]
 		d.zipf = append(d.zipf, rand.NewZipf(d.rng, c.Zipf, 1, uint64(c.Objects-1)))
-		sessionShare += c.Share / c.meanRequests() // sessions of many requests come so much more rarely
+		sessionShare += c.Share / c.meanRequests() // the share in sessions: requests divided by requests per session
 		requestShare += c.Share
 		d.cumulativeShares = append(d.cumulativeShares, sessionShare)
 	}
@@ -154,7 +155,7 @@
 	return d
 }
 
-// meanRequests is how many requests a session of the class makes on average.
+// meanRequests returns the mean number of requests in a session of the class.
 func (c *Class) meanRequests() float64 {
 	if c.Parts == 0 {
 		return 1
@@ -165,7 +166,8 @@
 	return (1 - math.Pow(c.ContinueProbability, float64(c.Parts))) / (1 - c.ContinueProbability)
 }
 
-// Next is the next session; ok is false past the load's length.
+// Next returns the next session. ok is false when the session would begin after the end of the
+// load.
 func (d *Sessions) Next() (out Session, ok bool) {
 	a := &d.script.Arrivals
 	switch a.Kind {
@@ -177,7 +179,7 @@
 			d.now += d.gap.Rand() * a.Burst
 		}
 		d.burstLeft--
-	case "waves": // thinned: the rate at its highest, of which a part is kept
+	case "waves": // thinning: draws arrivals at the peak rate and keeps a share of them
 		for {
 			d.now += d.gap.Rand() / (1 + a.Depth)
 			if d.rng.Float64()*(1+a.Depth) <= 1+a.Depth*math.Sin(2*math.Pi*d.now/a.Period) {
--- a/internal/testbed/loadgen/load_test.go
+++ b/internal/testbed/loadgen/load_test.go
@@ -39,14 +39,14 @@
 	}
 }
 
-// Whatever the kind of arrivals, as many requests come as were asked for, of the
-// classes' shares, in the order of sessions' beginnings; the same for the same seed.
+// Each kind of arrivals gives the configured rate and shares of classes, in the order in which
+// sessions begin, and the same sessions for the same seed.
 func TestSessions(t *testing.T) {
 	for _, kind := range []string{"steady", "poisson", "bursts", "waves"} {
 		s := script(t, fmt.Sprintf(`(load x (targets "127.0.0.1:1") (length 400000) (seed 3)) (arrivals %s (rate 100) (burst 5) (period 10000)) %s`, kind, classes))
 		list := drawSessions(s)
 		if !reflect.DeepEqual(list, drawSessions(s)) {
-			t.Errorf("%s: another drawing of the same seed differs", kind)
+			t.Errorf("%s: a second run with the same seed differs", kind)
 		}
 		count, last, parts := [2]float64{}, 0.0, 0
 		var perSecond [400]float64
@@ -74,7 +74,7 @@
 		for _, n := range perSecond {
 			vary += (n - mean) * (n - mean) / 400
 		}
-		switch dispersion := vary / mean; { // 0 of a steady flow, 1 of Poisson's
+		switch dispersion := vary / mean; { // index of dispersion: 0 for a steady flow, 1 for a Poisson process
 		case kind == "steady" && dispersion > 0.1, kind == "poisson" && (dispersion < 0.7 || dispersion > 1.4),
 			kind == "bursts" && dispersion < 2, kind == "waves" && dispersion < 2:
 			t.Errorf("%s: arrivals by the second have a dispersion of %.2f", kind, dispersion)
@@ -82,15 +82,16 @@
 	}
 }
 
-// A server that stands still for a while is waited for from when each request was
-// due: had the load stopped asking, one request would have shown it.
+// When a server stalls, each request due in the meantime counts the wait in its latency. A load
+// that sent no further requests until the server answered would show the stall in one latency
+// only (coordinated omission).
 func TestNoCoordinatedOmission(t *testing.T) {
 	var mu sync.Mutex
 	begin := time.Now()
 	h := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		if d := time.Since(begin); d > 500*time.Millisecond && d < 1000*time.Millisecond {
-			time.Sleep(1100*time.Millisecond - d) // with the lock: all wait
+			time.Sleep(1100*time.Millisecond - d) // holds the lock: all requests wait
 		}
 		mu.Unlock()
 		w.Header().Set("Cache-Status", `"far"; fwd=miss, "near"; hit; ttl=5`)
@@ -108,8 +109,8 @@
 	if c.Requests != 199 || c.InTime+c.Late != 199 || c.Hits != 199 || c.Broken > 0 {
 		t.Fatalf("%+v", c)
 	}
-	if c.Late < 35 || c.P90 < 200 { // some 60 of 199 were due while it stood still, and waited up to 600 ms
-		t.Errorf("%d late, p90 %.0f ms: requests that were due are not counted as waiting", c.Late, c.P90)
+	if c.Late < 35 || c.P90 < 200 { // about 60 of 199 were due during the stall and waited up to 600 ms
+		t.Errorf("%d late, p90 %.0f ms: the latencies do not include the wait from when requests were due", c.Late, c.P90)
 	}
 	dir := t.TempDir()
 	for _, ending := range []string{"svg", "png"} {
@@ -123,11 +124,12 @@
 		}
 	}
 	if err := r.Plot(filepath.Join(dir, "x"), "odd"); err == nil {
-		t.Error("an unknown format is taken")
+		t.Error("an unknown format was accepted")
 	}
 }
 
-// What a router does to requests is told apart; a load is bounded.
+// Rejected, failed and broken responses are counted separately, and the number of requests is
+// limited.
 func TestOutcomes(t *testing.T) {
 	n := 0
 	var mu sync.Mutex
--- a/internal/testbed/loadgen/plot.go
+++ b/internal/testbed/loadgen/plot.go
@@ -9,10 +9,9 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Plot writes two pictures, PREFIX-latency and PREFIX-seconds, of a format that
-// the ending names: svg, png or pdf. The first has each class's latencies by the
-// share of answers that took longer, on two logarithmic axes; the second what was
-// served by the second.
+// Plot writes two plots, PREFIX-latency and PREFIX-seconds, in the format svg, png or pdf. The
+// first shows for each class which share of the responses took longer than a latency, on two
+// logarithmic axes; the second the requests due and those served in time in each second.
 func (r *Result) Plot(prefix, format string) error {
 	p := plot.New()
 	p.Title.Text = "Latency from when a request was due"
@@ -28,10 +27,10 @@
 	}
 	if len(lines) > 0 {
 		if err := plotutil.AddLines(p, lines...); err != nil {
-			return fmt.Errorf("load: %w", err)
+			return fmt.Errorf("loadgen: %w", err)
 		}
 		if err := p.Save(18*vg.Centimeter, 12*vg.Centimeter, prefix+"-latency."+format); err != nil {
-			return fmt.Errorf("load: %w", err)
+			return fmt.Errorf("loadgen: %w", err)
 		}
 	}
 	q := plot.New()
@@ -43,15 +42,15 @@
 		inTime = append(inTime, plotter.XY{X: float64(s.Second), Y: float64(s.InTime)})
 	}
 	if err := plotutil.AddLines(q, "due", due, "in time", inTime); err != nil {
-		return fmt.Errorf("load: %w", err)
+		return fmt.Errorf("loadgen: %w", err)
 	}
 	if err := q.Save(18*vg.Centimeter, 12*vg.Centimeter, prefix+"-seconds."+format); err != nil {
-		return fmt.Errorf("load: %w", err)
+		return fmt.Errorf("loadgen: %w", err)
 	}
 	return nil
 }
 
-// exceedance are a class's latencies by the share of answers that took longer.
+// exceedance returns a class's latencies in ms and the shares of responses that took longer.
 func exceedance(c *ClassResult) (out plotter.XYs) {
 	total := c.histogram.TotalCount()
 	var sum int64
@@ -60,7 +59,7 @@
 			continue
 		}
 		if sum += b.Count; sum >= total {
-			break // of the longest none took longer: it has no place on a logarithmic axis
+			break // none took longer than the longest, and a logarithmic axis has no 0
 		}
 		out = append(out, plotter.XY{X: float64(b.To) / 1000, Y: float64(total-sum) / float64(total)})
 	}
--- a/internal/testbed/loadgen/record.go
+++ b/internal/testbed/loadgen/record.go
@@ -19,41 +19,41 @@
 	"indigospool/internal/proxy/engine"
 )
 
-// RecordOptions say how a record is made again.
+// RecordOptions configures a replay.
 type RecordOptions struct {
-	Routes *config.Settings // whose routes say how requests stand in paths; a journal brings its own
-	Speed  float64          // times as fast; 0: as fast as it goes
-	Writes bool             // make writes too
+	Routes *config.Settings // settings whose routes map requests to paths; nil: those in the journal
+	Speed  float64          // multiple of the recorded speed; 0: as fast as possible
+	Writes bool             // send writes too
 }
 
-// Skipped is why requests of a record are not made again.
+// Skipped counts the requests of a replay that are not sent for one reason.
 type Skipped struct {
 	Why   string `json:"why"`
 	Count int64  `json:"count"`
 }
 
-// Replay is the requests of a router's journal, or of its access log, to be made
-// again. It is read as it goes, in bounded memory.
+// Replay reads the requests of a router's journal or access log, to send them again. It reads
+// the file while requests are sent, in bounded memory.
 type Replay struct {
 	options    RecordOptions
-	next       func() (float64, *spool.Request, error) // when it came, on any clock that goes forward
+	next       func() (float64, *spool.Request, error) // the next request and when it arrived, ms on the clock of the recording
 	close      func()
 	core       *engine.Core
 	classes    []Class
-	classIndex map[string]int
-	start      float64 // the first one's time
-	started    bool
-	lastDue    float64 // due
-	writes     int
-	skipped    map[string]int64
-	err        error
+	classIndex map[string]int   // index in classes by name
+	start      float64          // recorded time that corresponds to the beginning of the replay
+	started    bool             // start is set
+	lastDue    float64          // when the previous request was due, ms from the beginning
+	writes     int              // writes so far
+	skipped    map[string]int64 // number of requests by the reason for which they were skipped
+	err        error            // the error that ended the replay
 }
 
-// OpenRecord opens a journal (a folder, or a segment) or an access log.
+// OpenRecord opens a journal (a folder or a segment) or an access log for replay.
 func OpenRecord(path string, o RecordOptions) (*Replay, error) {
 	st, err := os.Stat(path)
 	if err != nil {
-		return nil, fmt.Errorf("load: %w", err)
+		return nil, fmt.Errorf("loadgen: %w", err)
 	}
 	r := &Replay{options: o, classIndex: map[string]int{}, skipped: map[string]int64{}}
 	if o.Routes != nil {
@@ -71,11 +71,11 @@
 		return r, nil
 	}
 	if o.Routes == nil {
-		return nil, fmt.Errorf("load: %s is taken for an access log, which does not say how requests stand in paths: give the router's settings (--routes FILE)", path)
+		return nil, fmt.Errorf("loadgen: %s is read as an access log, which does not contain the routes of the requests: give the router's settings (--routes FILE)", path)
 	}
 	f, err := os.Open(path)
 	if err != nil {
-		return nil, fmt.Errorf("load: %w", err)
+		return nil, fmt.Errorf("loadgen: %w", err)
 	}
 	r.close = func() { f.Close() }
 	log := &accessLog{br: bufio.NewReaderSize(f, 1<<16), file: path}
@@ -83,9 +83,10 @@
 	return r, nil
 }
 
-// Close ends reading.
+// Close closes the file or journal.
 func (r *Replay) Close() { r.close() }
 
+// useSettings maps requests to paths by the routes of the settings, and adds their classes.
 func (r *Replay) useSettings(s *config.Settings) error {
 	c, err := engine.New(s, 1)
 	if err != nil {
@@ -101,7 +102,7 @@
 	return nil
 }
 
-// nextFromJournal is the next request of a journal.
+// nextFromJournal returns the next request of a journal and its time.
 func (r *Replay) nextFromJournal(j *journal.Reader) (float64, *spool.Request, error) {
 	for {
 		e, err := j.Next()
@@ -115,18 +116,18 @@
 		case journal.KindSettings:
 			text = e.Settings
 		case journal.KindGap:
-			r.skipped["they stand in a gap of the journal"] += int64(e.Lost)
+			r.skipped["lost in a gap of the journal"] += int64(e.Lost)
 		case journal.KindHandled:
 			if q, ok := e.Event.(spool.Request); ok && r.core != nil {
 				return e.T, &q, nil
 			} else if ok {
-				r.skipped["they stand before the settings of their router (start at an earlier segment, or give --routes)"]++
+				r.skipped["recorded before the settings of their router (start at an earlier segment, or give --routes)"]++
 			}
 		}
 		if text != "" && r.options.Routes == nil {
 			s := &config.Settings{}
 			if err := config.Read("journal", text, s); err != nil {
-				return 0, nil, fmt.Errorf("load: the settings at byte %d of %s: %w", e.Offset, e.Segment, err)
+				return 0, nil, fmt.Errorf("loadgen: settings at byte %d of %s: %w", e.Offset, e.Segment, err)
 			}
 			if err := r.useSettings(s); err != nil {
 				return 0, nil, err
@@ -135,7 +136,7 @@
 	}
 }
 
-// Next is the next request, as a session of its own.
+// Next returns the next request, as a session of its own.
 func (r *Replay) Next() (Session, bool) {
 	for {
 		t, q, err := r.next()
@@ -146,7 +147,7 @@
 			return nil, false
 		}
 		if q.Write && !r.options.Writes {
-			r.skipped["they write (--writes makes them)"]++
+			r.skipped["writes are sent with --writes only"]++
 			continue
 		}
 		target, err := r.core.HTTPRequest(t, q)
@@ -167,7 +168,8 @@
 			request.Body = int64(q.KB * 1024)
 		}
 		if at := t - r.start; r.options.Speed > 0 {
-			// a clock that was set back, or a machine that started anew: go on from where it was
+			// The clock was set back or the machine restarted: continue at the time of the
+			// previous request.
 			if at/r.options.Speed < r.lastDue-maxReorderMillis {
 				r.start = t - r.lastDue*r.options.Speed
 				at = t - r.start
@@ -179,7 +181,7 @@
 	}
 }
 
-const maxReorderMillis = 5000 // ms by which requests may stand out of order
+const maxReorderMillis = 5000 // requests may be recorded out of order by this much
 
 func truncate(s string) string {
 	if len(s) > 160 {
@@ -197,18 +199,18 @@
 	return nil
 }
 
-// RunRecord makes a record's requests again, and returns when its last answer is
-// there. Of the form, targets, connections and the most requests count.
+// RunRecord sends the requests of a replay and returns when all of them have ended. Of the form, it
+// uses the name, the targets, the connections and the limit of the number of requests.
 func RunRecord(ctx context.Context, r *Replay, f Form) (*Result, error) {
 	var faults config.Faults
 	if checkTargets(&f, &faults); len(faults) > 0 {
 		return nil, faults
 	}
 	f.Length, f.WarmUp, f.Conns, f.Most = 0, 0, max(f.Conns, 1), max(f.Most, 1)
-	// the first request is read ahead: classes are known with it
+	// The classes are known only after the first request has been read.
 	first, ok := r.Next()
 	if !ok && r.err == nil {
-		return nil, errors.Join(fmt.Errorf("load: %s has no request that can be made again", f.Name), r.skippedError())
+		return nil, errors.Join(fmt.Errorf("loadgen: %s has no request that can be replayed", f.Name), r.skippedError())
 	}
 	if r.err != nil {
 		return nil, r.err
@@ -224,14 +226,16 @@
 	return res, err
 }
 
+// skippedError returns an error that lists the skipped requests.
 func (r *Replay) skippedError() (err error) {
 	for reason, n := range r.skipped {
-		err = errors.Join(err, fmt.Errorf("%d were left out: %s", n, reason))
+		err = errors.Join(err, fmt.Errorf("%d requests were skipped: %s", n, reason))
 	}
 	return err
 }
 
-// readAhead gives back what was read ahead, and leaves out classes that came later.
+// readAhead is a source that returns the session that was read first and then those of a replay.
+// It skips sessions of classes that later settings added, for which the result has no entry.
 type readAhead struct {
 	first   Session
 	r       *Replay
@@ -248,23 +252,24 @@
 		if !ok || s[0].Class < a.classes {
 			return s, ok
 		}
-		a.r.skipped["their class came with a later version of the settings"]++
+		a.r.skipped["class was added by a later version of the settings"]++
 	}
 }
 
-// accessLog reads a router's access log. Lines stand in the order of ends; they
-// are put into that of beginnings, as far as ends are mostBehind apart.
+// accessLog reads a router's access log. Its lines are in the order in which requests ended. It
+// sorts them in the order in which they began, for requests that took up to maxRequestMillis.
 type accessLog struct {
 	br      *bufio.Reader
 	file    string
-	line    int
-	pending lineHeap
+	line    int      // number of the last line read, from 1
+	pending lineHeap // lines read and not yet returned
 	eof     bool
-	lastEnd float64 // end of the last line
+	lastEnd float64 // latest end of the requests read, ms since the epoch
 }
 
-const maxRequestMillis = 60000 // ms: longer than clients wait
+const maxRequestMillis = 60000 // longer than clients wait
 
+// logLine is the fields of a line that a replay needs.
 type logLine struct {
 	Msg    string  `json:"msg"`
 	TS     string  `json:"ts"`
@@ -273,9 +278,10 @@
 	Object string  `json:"object"`
 	Part   int     `json:"part"`
 	MS     float64 `json:"ms"`
-	end    float64
+	end    float64 // ms since the epoch
 }
 
+// lineHeap is a heap of lines by the time at which their requests began.
 type lineHeap []*logLine
 
 func (l lineHeap) Len() int           { return len(l) }
@@ -295,20 +301,20 @@
 	for !l.eof && (len(l.pending) == 0 || l.lastEnd-maxRequestMillis < l.pending[0].end-l.pending[0].MS) {
 		text, err := l.br.ReadBytes('\n')
 		if err != nil {
-			l.eof = true // a last line that is cut is no line
+			l.eof = true // an incomplete last line is ignored
 			break
 		}
 		l.line++
 		line := &logLine{}
 		if err := json.Unmarshal(text, line); err != nil {
-			return 0, nil, fmt.Errorf("load: %s:%d is no line of an access log: %q: %w", l.file, l.line, text[:min(60, len(text))], err)
+			return 0, nil, fmt.Errorf("loadgen: %s:%d is not a line of an access log: %q: %w", l.file, l.line, text[:min(60, len(text))], err)
 		}
 		if line.Msg != "request" || line.Class == "" {
-			continue // a router's own message, or a request that no route took
+			continue // another message, or a request that matched no route
 		}
 		at, err := time.Parse(logTime, line.TS)
 		if err != nil {
-			return 0, nil, fmt.Errorf("load: %s:%d: the time %.60q: %w", l.file, l.line, line.TS, err)
+			return 0, nil, fmt.Errorf("loadgen: %s:%d: invalid time %.60q: %w", l.file, l.line, line.TS, err)
 		}
 		line.end = float64(at.UnixMicro()) / 1000
 		l.lastEnd = max(l.lastEnd, line.end)
--- a/internal/testbed/loadgen/record_test.go
+++ b/internal/testbed/loadgen/record_test.go
@@ -25,7 +25,7 @@
 (member b1 (zone z) (address "127.0.0.1:1"))
 `
 
-// recordingServer is a server that keeps what it is asked for.
+// recordingServer is a server that records the requests it receives.
 type recordingServer struct {
 	mu       sync.Mutex
 	requests []string
@@ -39,7 +39,7 @@
 	s.requests = append(s.requests, strings.TrimSpace(r.Method+" "+r.URL.Path+" "+r.Header.Get("Range")+r.Header.Get("Spool-Deadline")+r.Header.Get("Spool-KB")))
 }
 
-// writeJournal keeps a journal of requests at their times.
+// writeJournal writes a journal with requests at the given times and returns its folder.
 func writeJournal(t *testing.T, times []float64, requests []spool.Request) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -87,17 +87,16 @@
 
 var recordedAt = []float64{1000, 1200, 1400, 1500, 1600}
 
-// A journal's requests are made again as they stood, when they were due; writes
-// only where that is asked for.
+// The requests of a journal are replayed unchanged and when they are due, writes only on request.
 func TestReplayOfJournal(t *testing.T) {
 	dir := writeJournal(t, recordedAt, recordedRequests)
 	res, h, err := replay(t, dir, RecordOptions{Speed: 2})
 	want := []string{"GET /s/3/a", "GET /v/3/b/7 12.5", "GET /r/b bytes=131072-196607", "GET /s/4/late 100"}
 	if err != nil || fmt.Sprint(h.requests) != fmt.Sprint(want) || len(res.Skipped) != 1 || res.Skipped[0].Count != 1 {
-		t.Fatalf("%v: %q, want %q; left out %+v", err, h.requests, want, res.Skipped)
+		t.Fatalf("%v: %q, want %q; skipped %+v", err, h.requests, want, res.Skipped)
 	}
 	if span := h.times[3].Sub(h.times[0]); span < 250*time.Millisecond {
-		t.Errorf("600 ms came again in %v, not 300 ms", span)
+		t.Errorf("600 ms were replayed in %v, want 300 ms", span)
 	}
 	if res, h, err = replay(t, dir, RecordOptions{Speed: 0, Writes: true}); err != nil || len(h.requests) != 5 || len(res.Skipped) != 0 {
 		t.Errorf("%v: %q; %+v", err, h.requests, res)
@@ -111,7 +110,7 @@
 	}
 }
 
-// A clock that was set back by an hour does not hold the replay up.
+// A clock that was set back by more than an hour during the recording does not delay the replay.
 func TestReplayAfterClockStep(t *testing.T) {
 	began := time.Now()
 	_, h, err := replay(t, writeJournal(t, []float64{4e6, 4e6 + 100, 50, 150, 250}, recordedRequests), RecordOptions{Speed: 1, Writes: true})
@@ -120,7 +119,8 @@
 	}
 }
 
-// An access log's lines stand in the order of ends, and are made in that of beginnings.
+// The lines of an access log are in the order in which requests ended. They are replayed in the
+// order in which they began.
 func TestReplayOfAccessLog(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "access.log")
 	line := func(ts, class, object string, part int, ms float64) string {
@@ -145,8 +145,8 @@
 		t.Errorf("without routes: %v", err)
 	}
 	os.WriteFile(file, []byte("\x1b[31mno log\n"), 0o600)
-	if _, _, err := replay(t, file, RecordOptions{Routes: s, Speed: 1}); err == nil || !strings.Contains(err.Error(), `:1 is no line`) || strings.Contains(err.Error(), "\x1b") {
-		t.Errorf("no log: %v", err)
+	if _, _, err := replay(t, file, RecordOptions{Routes: s, Speed: 1}); err == nil || !strings.Contains(err.Error(), `:1 is not a line`) || strings.Contains(err.Error(), "\x1b") {
+		t.Errorf("not an access log: %v", err)
 	}
 }
 
@@ -157,6 +157,6 @@
 	}
 	defer r.Close()
 	if _, err := RunRecord(context.Background(), r, Form{Targets: []string{"192.0.2.1:80"}}); err == nil || !strings.Contains(err.Error(), "loopback") {
-		t.Errorf("a target elsewhere: %v", err)
+		t.Errorf("target on another machine: %v", err)
 	}
 }
--- a/internal/testbed/loadgen/run.go
+++ b/internal/testbed/loadgen/run.go
@@ -14,16 +14,16 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// ClassResult is what became of a class's requests.
+// ClassResult counts the outcomes of a class's requests.
 type ClassResult struct {
 	Class    string  `json:"class"`
 	Requests int64   `json:"requests"`
-	InTime   int64   `json:"in_time"` // whole, within the aim
-	Late     int64   `json:"late"`    // whole, past it
-	Refused  int64   `json:"refused"` // 503
-	Failed   int64   `json:"failed"`  // other statuses from 400
-	Broken   int64   `json:"broken"`  // no whole answer
-	Hits     int64   `json:"hits"`    // of the nearest cache, by Cache-Status
+	InTime   int64   `json:"in_time"` // complete responses within the latency objective
+	Late     int64   `json:"late"`    // complete responses after it
+	Refused  int64   `json:"refused"` // status 503
+	Failed   int64   `json:"failed"`  // other statuses of at least 400
+	Broken   int64   `json:"broken"`  // no complete response
+	Hits     int64   `json:"hits"`    // hits in the cache nearest to the client, by Cache-Status
 	MB       float64 `json:"mb"`
 	P50      float64 `json:"p50_ms"`
 	P90      float64 `json:"p90_ms"`
@@ -31,11 +31,12 @@
 	P999     float64 `json:"p999_ms"`
 	Max      float64 `json:"max_ms"`
 
-	histogram *hdrhistogram.Histogram // of whole answers, in us, from when they were due
+	histogram *hdrhistogram.Histogram // latency of complete responses, us from when the request was due
 	mu        sync.Mutex
 }
 
-// Second is what was served in one second of the load.
+// Second counts the requests that were due in one second of the load. Its percentiles are
+// latencies in ms.
 type Second struct {
 	Second   int     `json:"second"`
 	Due      int64   `json:"due"`
@@ -43,31 +44,31 @@
 	P50, P99 float64 `json:"-"`
 }
 
-// Result is a load that was made.
+// Result is the result of a load.
 type Result struct {
 	Name         string         `json:"name,omitempty"`
 	Classes      []*ClassResult `json:"classes"`
 	Seconds      []Second       `json:"seconds"`
-	Dropped      int64          `json:"dropped"` // past (most n)
+	Dropped      int64          `json:"dropped"` // requests not sent because of the limit (most n)
 	Took         float64        `json:"took_s"`
-	Skipped      []Skipped      `json:"left_out,omitempty"` // of a record: requests that were not made again
-	MaxSendDelay float64        `json:"behind_ms"`          // most by which this program was late in asking: above some ms its machine is short
+	Skipped      []Skipped      `json:"left_out,omitempty"` // of a replay: requests that were not sent
+	MaxSendDelay float64        `json:"behind_ms"`          // longest delay between when a request was due and when it was started; more than some ms means that the machine of the load generator is overloaded
 
-	histograms []*hdrhistogram.Histogram // by second
+	histograms []*hdrhistogram.Histogram // latencies by second
 }
 
-// source is where requests come from, in the order of the beginnings of sessions.
+// source provides sessions in the order in which they begin.
 type source interface {
 	Next() (Session, bool)
 }
 
-// Run makes the load, and returns when its last answer is there.
+// Run sends the requests of a load and returns when all of them have ended.
 func Run(ctx context.Context, s *Script) (*Result, error) {
 	return run(ctx, &s.Load, s.Classes, NewSessions(s), false)
 }
 
-// run makes the requests of a source. Without a length the source ends by itself.
-// At full speed each is due when a connection is free for it, and no sooner.
+// run sends the requests of a source until the source or the load ends. A length of 0 is no
+// limit. At full speed, each session begins as soon as a connection is free.
 func run(ctx context.Context, f *Form, classes []Class, src source, fullSpeed bool) (*Result, error) {
 	res := &Result{Name: f.Name}
 	for i := range classes {
@@ -80,7 +81,7 @@
 		clients = append(clients, &http.Client{Transport: t})
 		defer t.CloseIdleConnections()
 	}
-	var mu sync.Mutex // of seconds and Behind
+	var mu sync.Mutex // guards the fields of res except Classes
 	var wg sync.WaitGroup
 	var sent atomic.Int64
 	slots := make(chan struct{}, f.Conns*len(f.Targets))
@@ -162,7 +163,7 @@
 				defer func() { <-slots }()
 			}
 			var parts sync.WaitGroup
-			for _, r := range session { // open-loop: a part is asked for when it is due, whatever became of the last
+			for _, r := range session { // open loop: a part is requested when it is due, whether or not the previous one has ended
 				if f.Length > 0 && r.Due >= f.Length || !waitUntil(ctx, due(&r)) {
 					break
 				}
@@ -190,11 +191,13 @@
 	return res, ctx.Err()
 }
 
-// newSecondHistogram is for one second's answers: coarser, since there may be many.
+// newSecondHistogram returns a histogram for the responses of one second. It is coarser than
+// those of classes, since there may be many.
 func newSecondHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 600_000_000, 2) }
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 600_000_000, 3) }
 
+// waitUntil waits until a time. It reports false if the context is done before.
 func waitUntil(ctx context.Context, at time.Time) bool {
 	d := time.Until(at)
 	if d <= 0 {
@@ -210,6 +213,7 @@
 	}
 }
 
+// fetch sends a request and reads the response. n is the size of the body read, in bytes.
 func fetch(ctx context.Context, c *http.Client, target string, r *Request) (status int, hit bool, n int64, err error) {
 	method, body := r.Method, io.Reader(nil)
 	if method == "" {
@@ -235,7 +239,7 @@
 	return res.StatusCode, isHit(res.Header.Get("Cache-Status")), n, err
 }
 
-// zeros reads as zeros without end.
+// zeros is an infinite reader of zero bytes.
 type zeros struct{}
 
 func (zeros) Read(b []byte) (int, error) {
@@ -243,8 +247,8 @@
 	return len(b), nil
 }
 
-// isHit reports whether the last member of a Cache-Status (RFC 9211), the cache
-// nearest to the client, says hit.
+// isHit reports whether the last member of a Cache-Status field (RFC 9211), which is that of the
+// cache nearest to the client, is a hit.
 func isHit(field string) bool {
 	last, quoted := 0, false
 	for i := range len(field) {
@@ -274,6 +278,7 @@
 	return false
 }
 
+// indexUnquoted returns the index of the first c in s outside of quotes, or -1.
 func indexUnquoted(s string, c byte) int {
 	quoted := false
 	for i := range len(s) {
@@ -287,7 +292,7 @@
 	return -1
 }
 
-// Text writes a result for reading.
+// Text writes the result as a table, with notes.
 func (r *Result) Text(w io.Writer) {
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "class\trequests\tin time\tlate\trefused\tfailed\tbroken\thits\tMB\tp50 ms\tp90 ms\tp99 ms\tp99.9 ms\tmax ms\t")
@@ -297,12 +302,12 @@
 	}
 	t.Flush()
 	if r.Dropped > 0 {
-		fmt.Fprintf(w, "%d requests past (most n) were not made\n", r.Dropped)
+		fmt.Fprintf(w, "%d requests beyond the limit (most n) were not sent\n", r.Dropped)
 	}
 	for _, l := range r.Skipped {
-		fmt.Fprintf(w, "%d requests were left out: %s\n", l.Count, l.Why)
+		fmt.Fprintf(w, "%d requests were skipped: %s\n", l.Count, l.Why)
 	}
 	if r.MaxSendDelay > 20 {
-		fmt.Fprintf(w, "this program was up to %.0f ms late in asking: its machine is short\n", r.MaxSendDelay)
+		fmt.Fprintf(w, "requests were sent up to %.0f ms late: the machine of the load generator is overloaded\n", r.MaxSendDelay)
 	}
 }
--- a/internal/testbed/testserver/fleet.go
+++ b/internal/testbed/testserver/fleet.go
@@ -75,7 +75,7 @@
 	for _, m := range f.Members {
 		if seen[m.ID] {
 			*faults = append(*faults, config.Fault{Pos: m.Place.Pos, Key: "machine",
-				What: fmt.Sprintf("machine %q is defined twice", m.ID), Remedy: "keep one of them"})
+				What: fmt.Sprintf("machine %q is named twice", m.ID), Remedy: "keep one of them"})
 		}
 		seen[m.ID] = true
 		if m.Role == "parent" && m.Upstream == "" {
