--- a/internal/testbed/loadgen/arrivals.go
+++ b/internal/testbed/loadgen/arrivals.go
@@ -139,19 +139,19 @@
 }
 
 // NewSessions returns the sessions of a script. The same seed gives the same sessions.
-func NewSessions(s *Script) *Sessions {
-	d := &Sessions{script: s, rng: rand.New(rand.NewPCG(uint64(s.Load.Seed), 0x10ad))}
+func NewSessions(script *Script) *Sessions {
+	d := &Sessions{script: script, rng: rand.New(rand.NewPCG(uint64(script.Load.Seed), 0x10ad))}
 	sessionShare, requestShare := 0.0, 0.0
-	for i := range s.Classes {
-		c := &s.Classes[i]
+	for i := range script.Classes {
+		c := &script.Classes[i]
 		d.zipf = append(d.zipf, rand.NewZipf(d.rng, c.Zipf, 1, uint64(c.Objects-1)))
 		sessionShare += c.Share / c.meanRequests() // the share in sessions: requests divided by requests per session
 		requestShare += c.Share
 		d.cumulativeShares = append(d.cumulativeShares, sessionShare)
 	}
-	d.rate = s.Arrivals.Rate / 1000 * sessionShare / requestShare
+	d.rate = script.Arrivals.Rate / 1000 * sessionShare / requestShare
 	d.gap = distuv.Exponential{Rate: d.rate, Src: d.rng}
-	d.burst = distuv.Poisson{Lambda: max(s.Arrivals.Burst-1, 1e-9), Src: d.rng}
+	d.burst = distuv.Poisson{Lambda: max(script.Arrivals.Burst-1, 1e-9), Src: d.rng}
 	return d
 }
 
--- a/internal/testbed/loadgen/record.go
+++ b/internal/testbed/loadgen/record.go
@@ -50,14 +50,14 @@
 }
 
 // OpenRecord opens a journal (a folder or a segment) or an access log for replay.
-func OpenRecord(path string, o RecordOptions) (*Replay, error) {
+func OpenRecord(path string, options RecordOptions) (*Replay, error) {
 	st, err := os.Stat(path)
 	if err != nil {
 		return nil, fmt.Errorf("loadgen: %w", err)
 	}
-	r := &Replay{options: o, classIndex: map[string]int{}, skipped: map[string]int64{}}
-	if o.Routes != nil {
-		if err := r.useSettings(o.Routes); err != nil {
+	r := &Replay{options: options, classIndex: map[string]int{}, skipped: map[string]int64{}}
+	if options.Routes != nil {
+		if err := r.useSettings(options.Routes); err != nil {
 			return nil, err
 		}
 	}
@@ -70,7 +70,7 @@
 		r.next = func() (float64, *spool.Request, error) { return r.nextFromJournal(j) }
 		return r, nil
 	}
-	if o.Routes == nil {
+	if options.Routes == nil {
 		return nil, fmt.Errorf("loadgen: %s is read as an access log, which does not contain the routes of the requests: give the router's settings (--routes FILE)", path)
 	}
 	f, err := os.Open(path)
--- a/internal/testbed/testserver/list.go
+++ b/internal/testbed/testserver/list.go
@@ -69,17 +69,17 @@
 	if cfg.PurgeTakes <= 0 {
 		cfg.PurgeTakes = 6000
 	}
-	ln, err := net.Listen("tcp", cfg.Listen)
+	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("testserver: %s: %w", cfg.ID, err)
 	}
-	l := &List{cfg: cfg, trafficLog: w, listener: ln, done: make(chan struct{}), changed: make(chan struct{}),
+	l := &List{cfg: cfg, trafficLog: w, listener: listener, done: make(chan struct{}), changed: make(chan struct{}),
 		cutAt: map[string]float64{}, rng: rand.New(rand.NewPCG(cfg.Seed, 0x1157))}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /watch", l.watch)
 	mux.HandleFunc("POST /-/news", l.handleUpdate)
 	l.http = &http.Server{Handler: mux}
-	go l.http.Serve(ln)
+	go l.http.Serve(listener)
 	return l, nil
 }
 
@@ -104,13 +104,15 @@
 	l.changed = make(chan struct{})
 }
 
-// Set adds or updates a member. since is when its process started, on the traffic log's clock;
-// 0: the row is sent with the uptime that it has.
-func (l *List) Set(row engine.Row, since float64) { l.addEntry(entry{row: &row, startedAt: since}) }
+// Set adds or updates a member. startedAt is when its process started, on the traffic log's
+// clock; if it is 0, the row is sent with the uptime that it has.
+func (l *List) Set(row engine.Row, startedAt float64) {
+	l.addEntry(entry{row: &row, startedAt: startedAt})
+}
 
-// Purge adds a purge that was made at a time on the traffic log's clock.
-func (l *List) Purge(object string, group int, made float64) {
-	l.addEntry(entry{purge: &engine.Purge{Object: object, Group: group}, madeAt: made})
+// Purge adds a purge that was made at madeAt, a time on the traffic log's clock.
+func (l *List) Purge(object string, group int, madeAt float64) {
+	l.addEntry(entry{purge: &engine.Purge{Object: object, Group: group}, madeAt: madeAt})
 }
 
 // Cut ends the current streams of a router in the middle of a line. An empty name cuts the
--- a/internal/testbed/testserver/server.go
+++ b/internal/testbed/testserver/server.go
@@ -116,11 +116,11 @@
 	for _, c := range cfg.Classes {
 		s.classes[c.Name] = c
 	}
-	ln, err := net.Listen("tcp", cfg.Listen)
+	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("testserver: %s: %w", cfg.ID, err)
 	}
-	s.listener = ln
+	s.listener = listener
 	s.cache = httpcache.New(httpcache.Settings{Name: cfg.ID, Bytes: cfg.Bytes, Capacity: cfg.Capacity, WarmUpInitialShare: cfg.ColdFrom,
 		WarmUpTime: cfg.ColdTime, OverloadFactor: cfg.Fall, OverloadTime: cfg.FallTime, MaxFills: cfg.MaxFills},
 		trafficlog.Now(), !cfg.Cold)
@@ -138,9 +138,9 @@
 		IdleConnTimeout: 5 * time.Second, ResponseHeaderTimeout: time.Duration(cfg.FillWait) * time.Millisecond,
 		DialContext: (&net.Dialer{Timeout: 500 * time.Millisecond}).DialContext}}
 	s.http = &http.Server{Handler: s, IdleTimeout: 5 * time.Minute}
-	s.trafficLog.Add(trafficlog.Record{Event: trafficlog.Started, Subject: cfg.ID, Role: cfg.Role, Addr: ln.Addr().String(), Start: cfg.Start,
+	s.trafficLog.Add(trafficlog.Record{Event: trafficlog.Started, Subject: cfg.ID, Role: cfg.Role, Addr: listener.Addr().String(), Start: cfg.Start,
 		Cold: cfg.Cold, Work: cfg.Capacity, Note: cfg.Zone})
-	go s.http.Serve(&faultListener{Listener: ln, faults: s.faults, done: s.done})
+	go s.http.Serve(&faultListener{Listener: listener, faults: s.faults, done: s.done})
 	return s, nil
 }
 
