--- a/internal/testbed/testserver/fault.go
+++ b/internal/testbed/testserver/fault.go
@@ -12,56 +12,56 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// Fault is a trouble that a stand-in is told to have, for a while.
+// Fault is a fault to inject into a server for some time.
 type Fault struct {
 	Kind   string  `json:"kind"`
-	For    float64 `json:"for"`    // ms
-	Factor float64 `json:"factor"` // of slow: how many times slower; of ageing: at its end
-	Share  float64 `json:"share"`  // of attempts that it meets; 0: all
-	Every  float64 `json:"every"`  // of pauses: from one to the next, ms
-	Length float64 `json:"length"` // of pauses: each, ms
+	For    float64 `json:"for"`    // duration, ms
+	Factor float64 `json:"factor"` // of slow: how many times slower; of ageing: how many times slower at the end
+	Share  float64 `json:"share"`  // share of attempts affected; 0: all
+	Every  float64 `json:"every"`  // of pauses: from the start of one to the start of the next, ms
+	Length float64 `json:"length"` // of pauses: duration of each, ms
 }
 
-// The kinds of faults. Those that end a process (crash, preempt, a killed
-// router) are the day's to carry out.
+// The kinds of faults. Those that end a process (crash, preempt, a killed router) are carried
+// out by package scenario.
 const (
-	Vanish     = "vanish"      // silent: takes no connection, answers nothing, resets nothing
-	Hang       = "hang"        // takes requests and answers none
-	Slow       = "slow"        // Factor times slower
-	Ageing     = "ageing"      // slower and slower, up to Factor
-	FastErrors = "fast-errors" // 500 at once, to a Share
-	Pauses     = "pauses"      // stands still for Length, Every so often
-	AnswerLost = "answer-lost" // does the work; a Share of the answers never comes
-	ResetBody  = "reset-body"  // resets in the middle of the body
-	Truncated  = "truncated"   // closes in the middle of the body
-	Overlong   = "overlong"    // sends more than the length that it stated
-	Garbage    = "garbage"     // sends what is no HTTP
-	TwoLengths = "two-lengths" // states two lengths
-	BothFrames = "both-frames" // states a length, and sends chunks
-	BareLF     = "bare-lf"     // ends lines by LF alone
-	BigHead    = "big-head"    // a head of 64 KB
-	Trickle    = "trickle"     // a byte a second
-	HalfOpen   = "half-open"   // connections are never accepted
-	AcceptShut = "accept-shut" // connections are accepted and closed
+	Vanish     = "vanish"      // accepts no connection, sends no response and no reset
+	Hang       = "hang"        // accepts requests and answers none
+	Slow       = "slow"        // slower by Factor
+	Ageing     = "ageing"      // increasingly slow, up to Factor
+	FastErrors = "fast-errors" // immediate status 500 for Share of the attempts
+	Pauses     = "pauses"      // stops for Length once in each period of Every
+	AnswerLost = "answer-lost" // does the work, but does not send Share of the responses
+	ResetBody  = "reset-body"  // resets the connection in the middle of the body
+	Truncated  = "truncated"   // closes the connection in the middle of the body
+	Overlong   = "overlong"    // sends more than Content-Length bytes
+	Garbage    = "garbage"     // sends bytes that are not HTTP
+	TwoLengths = "two-lengths" // sends two different Content-Length fields
+	BothFrames = "both-frames" // sends both Content-Length and chunked Transfer-Encoding
+	BareLF     = "bare-lf"     // ends header lines with LF instead of CRLF
+	BigHead    = "big-head"    // sends a header of more than 64 KB
+	Trickle    = "trickle"     // sends one byte of the body per second
+	HalfOpen   = "half-open"   // does not accept connections
+	AcceptShut = "accept-shut" // accepts connections and closes them
 )
 
-// Kinds are all faults that a stand-in can have.
+// Kinds lists all kinds of faults that a server can have.
 var Kinds = []string{Vanish, Hang, Slow, Ageing, FastErrors, Pauses, AnswerLost, ResetBody, Truncated, Overlong,
 	Garbage, TwoLengths, BothFrames, BareLF, BigHead, Trickle, HalfOpen, AcceptShut}
 
-// faults is what a stand-in suffers from now.
+// faults holds the injected faults of a server, by kind.
 type faults struct {
-	mu     sync.Mutex
-	until  map[string]float64
-	given  map[string]Fault
-	since  map[string]float64
-	rng    *rand.Rand
-	change chan struct{} // closed and renewed at each change
+	mu       sync.Mutex
+	until    map[string]float64 // when the fault ends, on the traffic log's clock
+	settings map[string]Fault
+	began    map[string]float64 // when the fault began
+	rng      *rand.Rand
+	changed  chan struct{} // closed and replaced at each change
 }
 
 func newFaults(seed uint64) *faults {
-	return &faults{until: map[string]float64{}, given: map[string]Fault{}, since: map[string]float64{},
-		rng: rand.New(rand.NewPCG(seed, 0x5eed)), change: make(chan struct{})}
+	return &faults{until: map[string]float64{}, settings: map[string]Fault{}, began: map[string]float64{},
+		rng: rand.New(rand.NewPCG(seed, 0x5eed)), changed: make(chan struct{})}
 }
 
 func (f *faults) set(now float64, x Fault) error {
@@ -70,49 +70,50 @@
 		known = known || k == x.Kind
 	}
 	if !known {
-		return fmt.Errorf("standin: unknown fault %q; known are %v", x.Kind, Kinds)
+		return fmt.Errorf("testserver: unknown fault %q, want one of %v", x.Kind, Kinds)
 	}
 	if x.For < 0 || x.Share < 0 || x.Share > 1 || x.Factor < 0 {
-		return fmt.Errorf("standin: fault %s with a negative span or factor, or a share not within 0 and 1", x.Kind)
+		return fmt.Errorf("testserver: fault %s: duration or factor is negative, or share is not between 0 and 1", x.Kind)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.given[x.Kind], f.since[x.Kind], f.until[x.Kind] = x, now, now+x.For
-	close(f.change)
-	f.change = make(chan struct{})
+	f.settings[x.Kind], f.began[x.Kind], f.until[x.Kind] = x, now, now+x.For
+	close(f.changed)
+	f.changed = make(chan struct{})
 	return nil
 }
 
-// on reports whether a fault acts now on this attempt.
-func (f *faults) on(kind string) bool {
+// active reports whether a fault is active now and affects this attempt. It draws a random
+// number for a fault that affects a share of the attempts.
+func (f *faults) active(kind string) bool {
 	now := trafficlog.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if now >= f.until[kind] {
 		return false
 	}
-	s := f.given[kind].Share
-	return s == 0 || f.rng.Float64() < s
+	share := f.settings[kind].Share
+	return share == 0 || f.rng.Float64() < share
 }
 
-// slowness is how many times slower the stand-in is now.
-func (f *faults) slowness() float64 {
+// slowdown returns by which factor the server is slower now.
+func (f *faults) slowdown() float64 {
 	now := trafficlog.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	by := 1.0
+	factor := 1.0
 	if now < f.until[Slow] {
-		by = max(by, f.given[Slow].Factor)
+		factor = max(factor, f.settings[Slow].Factor)
 	}
 	if now < f.until[Ageing] {
-		x := f.given[Ageing]
-		by = max(by, 1+(x.Factor-1)*(now-f.since[Ageing])/max(x.For, 1))
+		x := f.settings[Ageing]
+		factor = max(factor, 1+(x.Factor-1)*(now-f.began[Ageing])/max(x.For, 1))
 	}
-	return by
+	return factor
 }
 
-// gate waits while the stand-in is silent or pauses.
-func (f *faults) gate(ctx context.Context) error {
+// waitWhileStopped waits until no fault stops the server (vanish, hang, pauses).
+func (f *faults) waitWhileStopped(ctx context.Context) error {
 	for {
 		now := trafficlog.Now()
 		f.mu.Lock()
@@ -122,9 +123,9 @@
 				until = max(until, f.until[k])
 			}
 		}
-		if x := f.given[Pauses]; now < f.until[Pauses] && x.Every > 0 {
-			cycles := int((now - f.since[Pauses]) / x.Every)
-			if begin := f.since[Pauses] + float64(cycles)*x.Every; now < begin+x.Length {
+		if x := f.settings[Pauses]; now < f.until[Pauses] && x.Every > 0 {
+			cycles := int((now - f.began[Pauses]) / x.Every)
+			if begin := f.began[Pauses] + float64(cycles)*x.Every; now < begin+x.Length {
 				until = max(until, begin+x.Length)
 			}
 		}
@@ -138,8 +139,8 @@
 	}
 }
 
-// refusing reports until when no connection is taken; 0: they are.
-func (f *faults) refusing(now float64) (until float64) {
+// acceptsAgainAt returns when the server accepts connections again, or 0 if it accepts them now.
+func (f *faults) acceptsAgainAt(now float64) (until float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, k := range []string{Vanish, HalfOpen} {
@@ -150,24 +151,24 @@
 	return until
 }
 
-// reset closes a connection as a machine does that knows nothing of it.
-func reset(c net.Conn) {
+// resetConn closes a connection with a TCP reset.
+func resetConn(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		t.SetLinger(0)
 	}
 	c.Close()
 }
 
-// gatedListener stops taking connections while its stand-in is silent: the
-// kernel's queue is made as short as it can be, so that further connects hang.
-type gatedListener struct {
+// faultListener stops accepting connections while the fault vanish or half-open is active. It
+// sets the kernel's accept queue to the shortest length, so that further connects hang.
+type faultListener struct {
 	net.Listener
-	f    *faults
-	done chan struct{}
+	faults *faults
+	done   chan struct{}
 }
 
-func (g *gatedListener) backlog(n int) {
-	t, ok := g.Listener.(*net.TCPListener)
+func (l *faultListener) setBacklog(n int) {
+	t, ok := l.Listener.(*net.TCPListener)
 	if !ok {
 		return
 	}
@@ -176,20 +177,20 @@
 	}
 }
 
-func (g *gatedListener) Accept() (net.Conn, error) {
+func (l *faultListener) Accept() (net.Conn, error) {
 	for {
-		c, err := g.Listener.Accept()
+		c, err := l.Listener.Accept()
 		if err != nil {
 			return c, err
 		}
 		now := trafficlog.Now()
-		if until := g.f.refusing(now); until > now {
-			g.backlog(0)
+		if until := l.faults.acceptsAgainAt(now); until > now {
+			l.setBacklog(0)
 			for until > now {
 				ctx, cancel := context.WithCancel(context.Background())
 				go func() {
 					select {
-					case <-g.done:
+					case <-l.done:
 						cancel()
 					case <-ctx.Done():
 					}
@@ -201,25 +202,26 @@
 					return nil, net.ErrClosed
 				}
 				now = trafficlog.Now()
-				until = g.f.refusing(now)
+				until = l.faults.acceptsAgainAt(now)
 			}
-			// what came meanwhile never reached a machine that was silent
-			reset(c)
-			if t, ok := g.Listener.(*net.TCPListener); ok {
+			// Connections that were queued in the meantime are reset, as if they had never
+			// reached the machine.
+			resetConn(c)
+			if t, ok := l.Listener.(*net.TCPListener); ok {
 				t.SetDeadline(time.Now().Add(2 * time.Millisecond))
 				for {
-					late, err := t.Accept()
+					queued, err := t.Accept()
 					if err != nil {
 						break
 					}
-					reset(late)
+					resetConn(queued)
 				}
 				t.SetDeadline(time.Time{})
 			}
-			g.backlog(1024)
+			l.setBacklog(1024)
 			continue
 		}
-		if g.f.on(AcceptShut) {
+		if l.faults.active(AcceptShut) {
 			c.Close()
 			continue
 		}
--- a/internal/testbed/testserver/list.go
+++ b/internal/testbed/testserver/list.go
@@ -16,50 +16,52 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// ListConfig is how late the list service is. Spans are in ms.
+// ListConfig configures a list service. Durations are in ms. The delays are drawn once for each
+// stream.
 type ListConfig struct {
 	ID           string  `json:"id"`
 	Listen       string  `json:"listen"`
-	LagFrom      float64 `json:"lag_from"` // news of members reaches each router after so long
-	LagTo        float64 `json:"lag_to"`
-	PurgeFrom    float64 `json:"purge_from"` // news of purges
-	PurgeTo      float64 `json:"purge_to"`
-	PurgeTakes   float64 `json:"purge_takes"` // purges so recent are told to a router that connects
-	StaleOnStart float64 `json:"stale"`       // a router that connects gets the list of so long ago
+	LagFrom      float64 `json:"lag_from"`    // minimum delay of updates of members
+	LagTo        float64 `json:"lag_to"`      // maximum delay
+	PurgeFrom    float64 `json:"purge_from"`  // minimum delay of purges
+	PurgeTo      float64 `json:"purge_to"`    // maximum delay
+	PurgeTakes   float64 `json:"purge_takes"` // a router that connects is sent the purges of this last period
+	StaleOnStart float64 `json:"stale"`       // age of the full list that a router gets when it connects
 	Seed         uint64  `json:"seed"`
 }
 
-// List is a list service: it streams versioned news of members and purges to
-// each router, late by design.
+// List is a list service. It streams updates of members, which carry a revision, and purges to
+// each router, with configured delays.
 type List struct {
-	cfg  ListConfig
-	tap  *trafficlog.Writer
-	ln   net.Listener
-	http *http.Server
-	done chan struct{}
-	once sync.Once
+	cfg        ListConfig
+	trafficLog *trafficlog.Writer
+	listener   net.Listener
+	http       *http.Server
+	done       chan struct{}
+	once       sync.Once
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	rev     int64
-	log     []entry
-	changed chan struct{}
-	cut     map[string]float64 // when streams of a router (empty: of all) were to be cut in a line
-	setBack int64              // the next full lists bear this much older a version
-	down    float64            // until when it takes no stream
+	mu               sync.Mutex
+	rng              *rand.Rand
+	rev              int64
+	log              []entry
+	changed          chan struct{}
+	cutAt            map[string]float64 // by router (empty: all routers): streams that began before this time are cut within a line
+	rollback         int64              // subtracted from the revision of full lists
+	unavailableUntil float64            // new streams are rejected until this time
 }
 
-// entry is one thing that has happened; rows are whole.
+// entry is one update of a member or one purge. Times are on the traffic log's clock, in ms.
 type entry struct {
-	t     float64
-	rev   int64
-	row   *engine.Row
-	since float64 // when the row's start began, on the tap's clock; 0: long ago
-	purge *engine.Purge
-	made  float64
+	time      float64
+	rev       int64
+	row       *engine.Row // the complete row; nil for a purge
+	startedAt float64     // when the member's process started; 0: unknown
+	purge     *engine.Purge
+	madeAt    float64
 }
 
-// StartList begins to serve. Later calls of Set and Purge are its news.
+// StartList starts a list service that writes to the traffic log w. Set and Purge add its
+// updates.
 func StartList(cfg ListConfig, w *trafficlog.Writer) (*List, error) {
 	if cfg.Listen == "" {
 		cfg.Listen = "127.0.0.1:0"
@@ -67,34 +69,34 @@
 	if cfg.PurgeTakes <= 0 {
 		cfg.PurgeTakes = 6000
 	}
-	ln, err := net.Listen("tcp", cfg.Listen)
+	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
-		return nil, fmt.Errorf("standin %s: %w", cfg.ID, err)
+		return nil, fmt.Errorf("testserver: %s: %w", cfg.ID, err)
 	}
-	l := &List{cfg: cfg, tap: w, ln: ln, done: make(chan struct{}), changed: make(chan struct{}),
-		cut: map[string]float64{}, rng: rand.New(rand.NewPCG(cfg.Seed, 0x1157))}
+	l := &List{cfg: cfg, trafficLog: w, listener: listener, done: make(chan struct{}), changed: make(chan struct{}),
+		cutAt: map[string]float64{}, rng: rand.New(rand.NewPCG(cfg.Seed, 0x1157))}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /watch", l.watch)
-	mux.HandleFunc("POST /-/news", l.post)
+	mux.HandleFunc("POST /-/news", l.handleUpdate)
 	l.http = &http.Server{Handler: mux}
-	go l.http.Serve(ln)
+	go l.http.Serve(listener)
 	return l, nil
 }
 
-// Addr is where it serves.
-func (l *List) Addr() string { return l.ln.Addr().String() }
+// Addr returns the address that the service listens on.
+func (l *List) Addr() string { return l.listener.Addr().String() }
 
-// Close ends it and all its streams.
+// Close stops the service and closes all streams.
 func (l *List) Close() {
 	l.once.Do(func() { close(l.done); l.http.Close() })
 }
 
-func (l *List) add(e entry) {
+func (l *List) addEntry(e entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e.t = trafficlog.Now()
+	e.time = trafficlog.Now()
 	if e.row != nil {
-		l.rev++ // a purge has no version: it can only be heeded too often
+		l.rev++ // a purge has no revision of its own, since applying it twice is harmless
 	}
 	e.rev = l.rev
 	l.log = append(l.log, e)
@@ -102,36 +104,43 @@
 	l.changed = make(chan struct{})
 }
 
-// Set is news of one member. since is when its present start began, on the
-// tap's clock; 0: long ago.
-func (l *List) Set(row engine.Row, since float64) { l.add(entry{row: &row, since: since}) }
+// Set adds or updates a member. startedAt is when its process started, on the traffic log's
+// clock; if it is 0, the row is sent with the uptime that it has.
+func (l *List) Set(row engine.Row, startedAt float64) {
+	l.addEntry(entry{row: &row, startedAt: startedAt})
+}
 
-// Purge is news of a purge made at a time on the tap's clock.
-func (l *List) Purge(object string, group int, made float64) {
-	l.add(entry{purge: &engine.Purge{Object: object, Group: group}, made: made})
+// Purge adds a purge that was made at madeAt, a time on the traffic log's clock.
+func (l *List) Purge(object string, group int, madeAt float64) {
+	l.addEntry(entry{purge: &engine.Purge{Object: object, Group: group}, madeAt: madeAt})
 }
 
-// Cut ends a router's stream in the middle of its next line; empty: all routers'.
+// Cut ends the current streams of a router in the middle of a line. An empty name cuts the
+// streams of all routers.
 func (l *List) Cut(router string) {
 	l.mu.Lock()
-	l.cut[router] = trafficlog.Now()
+	l.cutAt[router] = trafficlog.Now()
 	close(l.changed)
 	l.changed = make(chan struct{})
 	l.mu.Unlock()
 }
 
-// SetBack has full lists bear a version that is older by n, as a service does
-// that has come back from an old backup; 0 ends that.
-func (l *List) SetBack(n int64) { l.mu.Lock(); l.setBack = n; l.mu.Unlock() }
+// SetBack subtracts n from the revision of full lists, as a service does that was restored from
+// an old backup; 0 ends this.
+func (l *List) SetBack(n int64) { l.mu.Lock(); l.rollback = n; l.mu.Unlock() }
 
-// Down takes no streams for so long.
-func (l *List) Down(span float64) { l.mu.Lock(); l.down = trafficlog.Now() + span; l.mu.Unlock() }
+// Down rejects new streams with status 503 for a time in ms.
+func (l *List) Down(span float64) {
+	l.mu.Lock()
+	l.unavailableUntil = trafficlog.Now() + span
+	l.mu.Unlock()
+}
 
-// rows is the list as it was at a time, with its version.
+// rows returns the list as it was at a time, sorted by ID, and its revision.
 func (l *List) rows(at float64) (rows []entry, rev int64) {
 	last := map[string]entry{}
 	for _, e := range l.log {
-		if e.t > at {
+		if e.time > at {
 			break
 		}
 		if rev = e.rev; e.row != nil {
@@ -147,83 +156,84 @@
 	return rows, rev
 }
 
-func (e entry) told(now float64) engine.Row {
-	r := *e.row
-	if e.since > 0 {
-		r.UptimeMillis = max(now-e.since, 0.001)
+// rowAt returns the row with the member's uptime at a time.
+func (e entry) rowAt(now float64) engine.Row {
+	row := *e.row
+	if e.startedAt > 0 {
+		row.UptimeMillis = max(now-e.startedAt, 0.001)
 	}
-	return r
+	return row
 }
 
-// watch streams news to one router: first a full list, as old as its lag, then
-// each change when it is due.
+// watch streams updates to one router: first a full list, which is StaleOnStart old, then each
+// later update and purge after the stream's delay.
 func (l *List) watch(w http.ResponseWriter, r *http.Request) {
-	name := r.URL.Query().Get("router")
-	flush, ok := w.(http.Flusher)
-	if !ok || name == "" {
-		http.Error(w, "standin: watch wants ?router=NAME", http.StatusBadRequest)
+	router := r.URL.Query().Get("router")
+	flusher, ok := w.(http.Flusher)
+	if !ok || router == "" {
+		http.Error(w, "testserver: /watch needs the query ?router=NAME", http.StatusBadRequest)
 		return
 	}
 	l.mu.Lock()
 	now := trafficlog.Now()
-	down := now < l.down
+	down := now < l.unavailableUntil
 	lag := l.cfg.LagFrom + l.rng.Float64()*(l.cfg.LagTo-l.cfg.LagFrom)
 	purgeLag := l.cfg.PurgeFrom + l.rng.Float64()*(l.cfg.PurgeTo-l.cfg.PurgeFrom)
-	seen := now - l.cfg.StaleOnStart
-	rows, rev := l.rows(seen)
-	if len(rows) == 0 { // nothing was known so long ago
-		seen = now
-		rows, rev = l.rows(seen)
+	listTime := now - l.cfg.StaleOnStart
+	rows, rev := l.rows(listTime)
+	if len(rows) == 0 { // there was no list yet
+		listTime = now
+		rows, rev = l.rows(listTime)
 	}
-	at := 0
-	for at < len(l.log) && l.log[at].t <= seen {
-		at++
+	next := 0
+	for next < len(l.log) && l.log[next].time <= listTime {
+		next++
 	}
-	back := l.setBack
+	rollback := l.rollback
 	l.mu.Unlock()
 	if down {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	w.Header().Set("Content-Type", "application/x-ndjson")
-	send := func(n engine.Update, recs []trafficlog.Record) bool {
-		line, err := json.Marshal(n)
+	send := func(update engine.Update, records []trafficlog.Record) bool {
+		line, err := json.Marshal(update)
 		if err != nil {
 			return false
 		}
 		l.mu.Lock()
-		cut := max(l.cut[name], l.cut[""]) > now
+		cut := max(l.cutAt[router], l.cutAt[""]) > now
 		l.mu.Unlock()
 		if cut {
 			w.Write(line[:len(line)/2])
-			flush.Flush()
+			flusher.Flush()
 			return false
 		}
 		t := trafficlog.Now()
-		for _, rec := range recs {
-			rec.Time, rec.Event, rec.Subject = t, trafficlog.UpdateSent, name
-			l.tap.Add(rec)
+		for _, rec := range records {
+			rec.Time, rec.Event, rec.Subject = t, trafficlog.UpdateSent, router
+			l.trafficLog.Add(rec)
 		}
 		_, err = w.Write(append(line, '\n'))
-		flush.Flush()
+		flusher.Flush()
 		return err == nil
 	}
-	full := engine.Update{Rev: max(rev-back, 0), Kind: "full"}
-	recs := []trafficlog.Record{{Note: "full"}}
+	full := engine.Update{Rev: max(rev-rollback, 0), Kind: "full"}
+	records := []trafficlog.Record{{Note: "full"}}
 	for _, e := range rows {
-		full.Members = append(full.Members, e.told(now))
-		recs = append(recs, trafficlog.Record{Source: e.row.ID, State: state(e.row.State), Start: e.row.Start})
+		full.Members = append(full.Members, e.rowAt(now))
+		records = append(records, trafficlog.Record{Source: e.row.ID, State: stateName(e.row.State), Start: e.row.Start})
 	}
-	if back > 0 {
-		recs = []trafficlog.Record{{Note: "set back"}} // passed over by a router that knows more
+	if rollback > 0 {
+		records = []trafficlog.Record{{Note: "set back"}} // a router ignores a list older than its own
 	}
-	if !send(full, recs) {
+	if !send(full, records) {
 		return
 	}
 	l.mu.Lock()
 	var recent []entry
-	for _, e := range l.log[:at] {
-		if e.purge != nil && now-e.made < l.cfg.PurgeTakes+1000 {
+	for _, e := range l.log[:next] {
+		if e.purge != nil && now-e.madeAt < l.cfg.PurgeTakes+1000 {
 			recent = append(recent, e)
 		}
 	}
@@ -242,39 +252,39 @@
 		case <-ctx.Done():
 		}
 	}()
-	var waiting []entry // in the order in which they are due
+	var pending []entry // entries not yet sent, in the order in which they are due
 	for {
 		l.mu.Lock()
-		for ; at < len(l.log); at++ {
-			waiting = append(waiting, l.log[at])
+		for ; next < len(l.log); next++ {
+			pending = append(pending, l.log[next])
 		}
 		changed := l.changed
-		cut := max(l.cut[name], l.cut[""]) > now
+		cut := max(l.cutAt[router], l.cutAt[""]) > now
 		l.mu.Unlock()
 		if cut {
 			w.Write([]byte(`{"rev":`))
-			flush.Flush()
+			flusher.Flush()
 			return
 		}
-		sort.SliceStable(waiting, func(i, j int) bool { return due(waiting[i], lag, purgeLag) < due(waiting[j], lag, purgeLag) })
+		sort.SliceStable(pending, func(i, j int) bool { return due(pending[i], lag, purgeLag) < due(pending[j], lag, purgeLag) })
 		now := trafficlog.Now()
-		for len(waiting) > 0 && due(waiting[0], lag, purgeLag) <= now {
-			e := waiting[0]
-			waiting = waiting[1:]
+		for len(pending) > 0 && due(pending[0], lag, purgeLag) <= now {
+			e := pending[0]
+			pending = pending[1:]
 			ok := true
 			if e.purge != nil {
 				ok = l.sendPurge(send, e)
 			} else {
-				ok = send(engine.Update{Rev: e.rev, Kind: "delta", Members: []engine.Row{e.told(now)}},
-					[]trafficlog.Record{{Source: e.row.ID, State: state(e.row.State), Start: e.row.Start}})
+				ok = send(engine.Update{Rev: e.rev, Kind: "delta", Members: []engine.Row{e.rowAt(now)}},
+					[]trafficlog.Record{{Source: e.row.ID, State: stateName(e.row.State), Start: e.row.Start}})
 			}
 			if !ok {
 				return
 			}
 		}
 		wait := time.Hour
-		if len(waiting) > 0 {
-			wait = time.Duration(max(due(waiting[0], lag, purgeLag)-trafficlog.Now(), 0.2) * float64(time.Millisecond))
+		if len(pending) > 0 {
+			wait = time.Duration(max(due(pending[0], lag, purgeLag)-trafficlog.Now(), 0.2) * float64(time.Millisecond))
 		}
 		timer := time.NewTimer(wait)
 		select {
@@ -288,14 +298,15 @@
 	}
 }
 
+// due returns when an entry is to be sent.
 func due(e entry, lag, purgeLag float64) float64 {
 	if e.purge != nil {
-		return e.t + purgeLag
+		return e.time + purgeLag
 	}
-	return e.t + lag
+	return e.time + lag
 }
 
-func state(s string) string {
+func stateName(s string) string {
 	if s == "" {
 		return "serving"
 	}
@@ -303,30 +314,30 @@
 }
 
 func (l *List) sendPurge(send func(engine.Update, []trafficlog.Record) bool, e entry) bool {
-	p := *e.purge
-	p.AgeMs = max(trafficlog.Now()-e.made, 0)
-	return send(engine.Update{Rev: e.rev, Purge: &p}, []trafficlog.Record{{Object: p.Object, Group: p.Group, Created: e.made, Note: "purge"}})
+	purge := *e.purge
+	purge.AgeMs = max(trafficlog.Now()-e.madeAt, 0)
+	return send(engine.Update{Rev: e.rev, Purge: &purge}, []trafficlog.Record{{Object: purge.Object, Group: purge.Group, Created: e.madeAt, Note: "purge"}})
 }
 
-// post takes news from outside: a row, or a purge; ?ago=MS says how long ago
-// the member started, or the purge was made.
-func (l *List) post(w http.ResponseWriter, r *http.Request) {
-	var n engine.Update
-	if err := json.NewDecoder(r.Body).Decode(&n); err != nil {
+// handleUpdate adds the members and the purge of an update that is posted to the service. The
+// start time of a member follows from its uptime; ?ago=MS tells how long ago the purge was made.
+func (l *List) handleUpdate(w http.ResponseWriter, r *http.Request) {
+	var update engine.Update
+	if err := json.NewDecoder(r.Body).Decode(&update); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	ago, _ := strconv.ParseFloat(r.URL.Query().Get("ago"), 64)
 	now := trafficlog.Now()
-	for _, row := range n.Members {
-		since := 0.0
+	for _, row := range update.Members {
+		startedAt := 0.0
 		if row.UptimeMillis > 0 {
-			since = now - row.UptimeMillis
+			startedAt = now - row.UptimeMillis
 		}
-		l.Set(row, since)
+		l.Set(row, startedAt)
 	}
-	if n.Purge != nil {
-		l.Purge(n.Purge.Object, n.Purge.Group, now-ago)
+	if update.Purge != nil {
+		l.Purge(update.Purge.Object, update.Purge.Group, now-ago)
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
