--- a/.ci/known/main.go
+++ b/.ci/known/main.go
@@ -5,6 +5,13 @@
 //	go run ./.ci/known KNOWN-RED.txt go test -count=1 ./...
 //
 // A line of the list is: test, cause, issue. The file may be missing.
+//
+// A failure that is not of a Go test has a line with the command, its seed, what was seen and
+// an open issue, separated by "; ":
+//
+//	command: bin/spool-scenario run examples/bad-day.edn; seed 7; rule 2 broken at 67 ms; issue 31
+//
+// Known prints such lines and does not run the commands.
 package main
 
 import (
@@ -20,7 +27,13 @@
 	"strings"
 )
 
-const most = 3 // known reds
+const most = 3 // lines of the list, of tests and commands together
+
+// knownFailures is what the list has.
+type knownFailures struct {
+	tests    map[string]string // test to cause and issue
+	commands []string          // command, seed, what was seen and issue, as in the list
+}
 
 func main() {
 	if len(os.Args) < 5 || os.Args[2] != "go" || os.Args[3] != "test" {
@@ -53,36 +66,76 @@
 	}
 	err = judge(out, red, os.Stdout)
 	io.Copy(io.Discard, out)
-	if end := c.Wait(); err == nil && end != nil && len(red) == 0 {
+	if end := c.Wait(); err == nil && end != nil && len(red.tests) == 0 {
 		return end
 	}
 	return err
 }
 
-// list reads the known reds: test to the rest of its line.
-func list(text string) (map[string]string, error) {
-	red := map[string]string{}
+// list reads the known failures.
+func list(text string) (knownFailures, error) {
+	red := knownFailures{tests: map[string]string{}}
+	lines := 0
 	for _, l := range strings.Split(text, "\n") {
 		if l = strings.TrimSpace(l); l == "" {
 			continue
 		}
+		if lines++; lines > most {
+			return red, fmt.Errorf("more than %d tests and commands are known to be red", most)
+		}
+		if command, ok := strings.CutPrefix(l, "command:"); ok {
+			if err := checkCommand(command); err != nil {
+				return red, fmt.Errorf("%q %w", l, err)
+			}
+			red.commands = append(red.commands, strings.TrimSpace(command))
+			continue
+		}
 		test, why, ok := strings.Cut(l, ", ")
 		if !ok || !strings.Contains(why, ", ") {
-			return nil, fmt.Errorf("%q is not: test, cause, issue", l)
-		}
-		red[test] = why
-		if len(red) > most {
-			return nil, fmt.Errorf("more than %d tests are known to be red", most)
+			return red, fmt.Errorf("%q is not: test, cause, issue", l)
 		}
+		red.tests[test] = why
 	}
 	return red, nil
 }
 
+// checkCommand returns an error that names the missing fields of a command's line, which is
+// given without its prefix. Of fewer than four fields, seed and issue are recognized by their
+// first word.
+func checkCommand(line string) error {
+	fields := strings.Split(line, "; ")
+	if len(fields) > 4 {
+		return fmt.Errorf("has %d fields, want 4; a field cannot contain %q", len(fields), "; ")
+	}
+	var missing []string
+	next := 0
+	for _, want := range []struct{ name, word string }{{"command", ""}, {"seed", "seed "}, {"what was seen", ""}, {"issue", "issue "}} {
+		field := ""
+		if next < len(fields) {
+			field = strings.TrimSpace(fields[next])
+		}
+		marked := strings.HasPrefix(field, "seed ") || strings.HasPrefix(field, "issue ")
+		switch {
+		case want.word != "" && strings.HasPrefix(field, want.word), want.word == "" && field != "" && !marked:
+			next++
+		default:
+			missing = append(missing, want.name)
+			if field == "" || len(fields) == 4 {
+				next++ // the field is there, and is not what it should be
+			}
+		}
+	}
+	if len(missing) > 0 {
+		return fmt.Errorf("has no %s; want: command: COMMAND; seed SEED; WHAT WAS SEEN; issue ISSUE", strings.Join(missing, ", no "))
+	}
+	return nil
+}
+
 type event struct{ Action, Package, Test, Output string }
 
 // judge reads the events of a test run and writes what a run prints: of each package its
 // line, of failing tests their output.
-func judge(in io.Reader, red map[string]string, w io.Writer) error {
+func judge(in io.Reader, red knownFailures, w io.Writer) error {
 	said := map[string]string{}
 	seen := map[string]string{}            // known red: its verdict
 	alone := map[string]bool{}             // packages with known reds among their failures
@@ -96,7 +149,7 @@
 			continue
 		}
 		top, _, _ := strings.Cut(e.Test, "/")
-		_, known := red[top]
+		_, known := red.tests[top]
 		switch id := e.Package + " " + e.Test; e.Action {
 		case "output":
 			if e.Test == "" {
@@ -125,13 +178,16 @@
 		}
 	}
 	var faults []error
-	for _, test := range slices.Sorted(maps.Keys(red)) {
+	for _, test := range slices.Sorted(maps.Keys(red.tests)) {
 		verdict := seen[test]
 		if verdict == "" {
 			verdict = "not run"
 			faults = append(faults, fmt.Errorf("%s is listed as red, and there is no such test", test))
 		}
-		fmt.Fprintf(w, "known red: %s: %s (%s)\n", test, verdict, red[test])
+		fmt.Fprintf(w, "known red: %s: %s (%s)\n", test, verdict, red.tests[test])
+	}
+	for _, command := range red.commands {
+		fmt.Fprintf(w, "known red command: %s\n", command)
 	}
 	for _, pkg := range slices.Sorted(maps.Keys(failed)) {
 		faults = append(faults, fmt.Errorf("%s failed: %s", pkg, strings.Join(slices.Sorted(maps.Keys(failed[pkg])), " ")))
--- a/.ci/known/main_test.go
+++ b/.ci/known/main_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"io"
+	"reflect"
+	"strconv"
 	"strings"
 	"testing"
 )
@@ -38,3 +40,72 @@
 		t.Error("a line without cause and issue is taken")
 	}
 }
+
+const knownCommand = "command: bin/spool-scenario run examples/bad-day.edn; seed 7; rule 2 broken at 67 ms; issue 31"
+
+// TestCommand checks that a command's line is read beside a test's, printed, and not taken
+// for a test that has to be run or that may fail.
+func TestCommand(t *testing.T) {
+	red, err := list("TestA, slow, 28\n" + knownCommand + "\n")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := (knownFailures{map[string]string{"TestA": "slow, 28"}, []string{strings.TrimPrefix(knownCommand, "command: ")}}); !reflect.DeepEqual(red, want) {
+		t.Errorf("got %+v, want %+v", red, want)
+	}
+	const failed = `{"Action":"fail","Package":"p","Test":"TestA"}` + "\n" + `{"Action":"fail","Package":"p"}` + "\n"
+	var out strings.Builder
+	if err := judge(strings.NewReader(failed), red, &out); err != nil {
+		t.Error(err)
+	}
+	want := "known red: TestA: fail (slow, 28)\n" +
+		"known red command: bin/spool-scenario run examples/bad-day.edn; seed 7; rule 2 broken at 67 ms; issue 31\n"
+	if out.String() != want {
+		t.Errorf("printed %q, want %q", out.String(), want)
+	}
+	if red, err = list(knownCommand); err != nil {
+		t.Fatal(err)
+	}
+	if err := judge(strings.NewReader(failed), red, io.Discard); err == nil {
+		t.Error("a failing test passes, with only a command on the list")
+	}
+}
+
+func TestCommandFields(t *testing.T) {
+	for _, c := range []struct{ line, want string }{
+		{"command:", "has no command, no seed, no what was seen, no issue;"},
+		{"command: seed 7; rule 2 broken; issue 31", "has no command;"},
+		{"command: ; seed 7; rule 2 broken; issue 31", "has no command;"},
+		{"command: c; rule 2 broken; issue 31", "has no seed;"},
+		{"command: c; seed ; rule 2 broken; issue 31", "has no seed;"},
+		{"command: c; 7; rule 2 broken; issue 31", "has no seed;"},
+		{"command: c; seed 7; issue 31", "has no what was seen;"},
+		{"command: c; seed 7; ; issue 31", "has no what was seen;"},
+		{"command: c; seed 7; rule 2 broken", "has no issue;"},
+		{"command: c; seed 7; rule 2 broken; issue", "has no issue;"},
+		{"command: c; seed 7; rule 2 broken; 31", "has no issue;"},
+		{"command: c; issue 31; rule 2 broken; seed 7", "has no seed, no issue;"},
+		{"command: c; seed 7; rule 2 broken; rule 3 too; issue 31", "has 5 fields, want 4;"},
+		{"command: c; seed 7; rule 2 broken; issue 31; and more", "has 5 fields, want 4;"},
+	} {
+		_, err := list("TestA, slow, 28\n" + c.line)
+		if err == nil {
+			t.Errorf("%q is taken", c.line)
+		} else if !strings.Contains(err.Error(), strconv.Quote(c.line)) || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%q: error %q, want the line and %q", c.line, err, c.want)
+		}
+	}
+}
+
+// TestBound checks that tests and commands count together.
+func TestBound(t *testing.T) {
+	const three = "TestA, a, 1\n" + knownCommand + "\n\nTestB, b, 2\n"
+	if _, err := list(three); err != nil {
+		t.Error(err)
+	}
+	for _, fourth := range []string{"TestC, c, 3", knownCommand} {
+		if _, err := list(three + fourth); err == nil || !strings.Contains(err.Error(), "more than 3") {
+			t.Errorf("a fourth line %q: %v", fourth, err)
+		}
+	}
+}
