--- a/.ci/known/main.go
+++ b/.ci/known/main.go
@@ -27,7 +27,7 @@
 	"strings"
 )
 
-const most = 3 // lines of the list, of tests and commands together
+const maxEntries = 3 // lines of the list, of tests and commands together
 
 // knownFailures is what the list has.
 type knownFailures struct {
@@ -51,52 +51,52 @@
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
-	red, err := list(string(text))
+	known, err := parseList(string(text))
 	if err != nil {
 		return fmt.Errorf("%s: %w", file, err)
 	}
-	c := exec.Command("go", append([]string{"test", "-json"}, args...)...)
-	c.Stderr = os.Stderr
-	out, err := c.StdoutPipe()
+	cmd := exec.Command("go", append([]string{"test", "-json"}, args...)...)
+	cmd.Stderr = os.Stderr
+	out, err := cmd.StdoutPipe()
 	if err != nil {
 		return err
 	}
-	if err := c.Start(); err != nil {
+	if err := cmd.Start(); err != nil {
 		return err
 	}
-	err = judge(out, red, os.Stdout)
+	err = evaluate(out, known, os.Stdout)
 	io.Copy(io.Discard, out)
-	if end := c.Wait(); err == nil && end != nil && len(red.tests) == 0 {
-		return end
+	if waitErr := cmd.Wait(); err == nil && waitErr != nil && len(known.tests) == 0 {
+		return waitErr
 	}
 	return err
 }
 
-// list reads the known failures.
-func list(text string) (knownFailures, error) {
-	red := knownFailures{tests: map[string]string{}}
-	lines := 0
-	for _, l := range strings.Split(text, "\n") {
-		if l = strings.TrimSpace(l); l == "" {
+// parseList reads the known failures.
+func parseList(text string) (knownFailures, error) {
+	known := knownFailures{tests: map[string]string{}}
+	entries := 0
+	for _, line := range strings.Split(text, "\n") {
+		if line = strings.TrimSpace(line); line == "" {
 			continue
 		}
-		if lines++; lines > most {
-			return red, fmt.Errorf("more than %d tests and commands are known to be red", most)
+		if entries++; entries > maxEntries {
+			return known, fmt.Errorf("more than %d tests and commands are known to be red", maxEntries)
 		}
-		if command, ok := strings.CutPrefix(l, "command:"); ok {
+		if command, ok := strings.CutPrefix(line, "command:"); ok {
 			if err := checkCommand(command); err != nil {
-				return red, fmt.Errorf("%q %w", l, err)
+				return known, fmt.Errorf("%q %w", line, err)
 			}
-			red.commands = append(red.commands, strings.TrimSpace(command))
+			known.commands = append(known.commands, strings.TrimSpace(command))
 			continue
 		}
-		test, why, ok := strings.Cut(l, ", ")
-		if !ok || !strings.Contains(why, ", ") {
-			return red, fmt.Errorf("%q is not: test, cause, issue", l)
+		test, reason, ok := strings.Cut(line, ", ")
+		if !ok || !strings.Contains(reason, ", ") {
+			return known, fmt.Errorf("%q is not: test, cause, issue", line)
 		}
-		red.tests[test] = why
+		known.tests[test] = reason
 	}
-	return red, nil
+	return known, nil
 }
 
 // checkCommand returns an error that names the missing fields of a command's line, which is
@@ -133,64 +133,64 @@
 
 type event struct{ Action, Package, Test, Output string }
 
-// judge reads the events of a test run and writes what a run prints: of each package its
+// evaluate reads the events of a test run and writes what a run prints: of each package its
 // line, of failing tests their output.
-func judge(in io.Reader, red knownFailures, w io.Writer) error {
-	said := map[string]string{}
-	seen := map[string]string{}            // known red: its verdict
-	alone := map[string]bool{}             // packages with known reds among their failures
+func evaluate(in io.Reader, known knownFailures, w io.Writer) error {
+	output := map[string]string{}
+	results := map[string]string{}         // known red: its result
+	knownFailed := map[string]bool{}       // packages with known reds among their failures
 	failed := map[string]map[string]bool{} // by package; "" of what belongs to no test
-	s := bufio.NewScanner(in)
-	s.Buffer(nil, 1<<24)
-	for s.Scan() {
+	scanner := bufio.NewScanner(in)
+	scanner.Buffer(nil, 1<<24)
+	for scanner.Scan() {
 		var e event
-		if json.Unmarshal(s.Bytes(), &e) != nil {
-			fmt.Fprintln(w, s.Text())
+		if json.Unmarshal(scanner.Bytes(), &e) != nil {
+			fmt.Fprintln(w, scanner.Text())
 			continue
 		}
 		top, _, _ := strings.Cut(e.Test, "/")
-		_, known := red.tests[top]
+		_, isKnown := known.tests[top]
 		switch id := e.Package + " " + e.Test; e.Action {
 		case "output":
 			if e.Test == "" {
 				fmt.Fprint(w, e.Output)
 			} else {
-				said[id] += e.Output
+				output[id] += e.Output
 			}
 		case "build-output":
 			fmt.Fprint(w, e.Output)
 		case "pass", "skip", "fail":
-			if known && e.Test == top {
-				seen[top] = e.Action
+			if isKnown && e.Test == top {
+				results[top] = e.Action
 			}
 			if e.Action == "fail" {
-				fmt.Fprint(w, said[id])
-				if known {
-					alone[e.Package] = true
-				} else if e.Test != "" || !alone[e.Package] {
+				fmt.Fprint(w, output[id])
+				if isKnown {
+					knownFailed[e.Package] = true
+				} else if e.Test != "" || !knownFailed[e.Package] {
 					if failed[e.Package] == nil {
 						failed[e.Package] = map[string]bool{}
 					}
 					failed[e.Package][e.Test] = true
 				}
 			}
-			delete(said, id)
+			delete(output, id)
 		}
 	}
-	var faults []error
-	for _, test := range slices.Sorted(maps.Keys(red.tests)) {
-		verdict := seen[test]
-		if verdict == "" {
-			verdict = "not run"
-			faults = append(faults, fmt.Errorf("%s is listed as red, and there is no such test", test))
+	var errs []error
+	for _, test := range slices.Sorted(maps.Keys(known.tests)) {
+		result := results[test]
+		if result == "" {
+			result = "not run"
+			errs = append(errs, fmt.Errorf("%s is listed as red, and there is no such test", test))
 		}
-		fmt.Fprintf(w, "known red: %s: %s (%s)\n", test, verdict, red.tests[test])
+		fmt.Fprintf(w, "known red: %s: %s (%s)\n", test, result, known.tests[test])
 	}
-	for _, command := range red.commands {
+	for _, command := range known.commands {
 		fmt.Fprintf(w, "known red command: %s\n", command)
 	}
 	for _, pkg := range slices.Sorted(maps.Keys(failed)) {
-		faults = append(faults, fmt.Errorf("%s failed: %s", pkg, strings.Join(slices.Sorted(maps.Keys(failed[pkg])), " ")))
+		errs = append(errs, fmt.Errorf("%s failed: %s", pkg, strings.Join(slices.Sorted(maps.Keys(failed[pkg])), " ")))
 	}
-	return errors.Join(append(faults, s.Err())...)
+	return errors.Join(append(errs, scanner.Err())...)
 }
--- a/.ci/known/main_test.go
+++ b/.ci/known/main_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestJudge(t *testing.T) {
+func TestEvaluate(t *testing.T) {
 	ev := func(action, test string) string {
 		return `{"Action":"` + action + `","Package":"p","Test":"` + test + `"}` + "\n"
 	}
@@ -25,18 +25,18 @@
 		{"a package does not build", ev("fail", ""), "", false},
 		{"a package ends by itself", ev("pass", "TestB") + ev("fail", ""), "TestA, slow, 28", false},
 	} {
-		red, err := list(c.red)
+		known, err := parseList(c.red)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := judge(strings.NewReader(c.events), red, io.Discard); (err == nil) != c.good {
+		if err := evaluate(strings.NewReader(c.events), known, io.Discard); (err == nil) != c.good {
 			t.Errorf("%s: %v", c.name, err)
 		}
 	}
-	if _, err := list("TestA, a, 1\nTestB, b, 2\n\nTestC, c, 3\nTestD, d, 4\n"); err == nil {
+	if _, err := parseList("TestA, a, 1\nTestB, b, 2\n\nTestC, c, 3\nTestD, d, 4\n"); err == nil {
 		t.Error("four are taken")
 	}
-	if _, err := list("TestA"); err == nil {
+	if _, err := parseList("TestA"); err == nil {
 		t.Error("a line without cause and issue is taken")
 	}
 }
@@ -46,16 +46,16 @@
 // TestCommand checks that a command's line is read beside a test's, printed, and not taken
 // for a test that has to be run or that may fail.
 func TestCommand(t *testing.T) {
-	red, err := list("TestA, slow, 28\n" + knownCommand + "\n")
+	known, err := parseList("TestA, slow, 28\n" + knownCommand + "\n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := (knownFailures{map[string]string{"TestA": "slow, 28"}, []string{strings.TrimPrefix(knownCommand, "command: ")}}); !reflect.DeepEqual(red, want) {
-		t.Errorf("got %+v, want %+v", red, want)
+	if want := (knownFailures{map[string]string{"TestA": "slow, 28"}, []string{strings.TrimPrefix(knownCommand, "command: ")}}); !reflect.DeepEqual(known, want) {
+		t.Errorf("got %+v, want %+v", known, want)
 	}
 	const failed = `{"Action":"fail","Package":"p","Test":"TestA"}` + "\n" + `{"Action":"fail","Package":"p"}` + "\n"
 	var out strings.Builder
-	if err := judge(strings.NewReader(failed), red, &out); err != nil {
+	if err := evaluate(strings.NewReader(failed), known, &out); err != nil {
 		t.Error(err)
 	}
 	want := "known red: TestA: fail (slow, 28)\n" +
@@ -63,10 +63,10 @@
 	if out.String() != want {
 		t.Errorf("printed %q, want %q", out.String(), want)
 	}
-	if red, err = list(knownCommand); err != nil {
+	if known, err = parseList(knownCommand); err != nil {
 		t.Fatal(err)
 	}
-	if err := judge(strings.NewReader(failed), red, io.Discard); err == nil {
+	if err := evaluate(strings.NewReader(failed), known, io.Discard); err == nil {
 		t.Error("a failing test passes, with only a command on the list")
 	}
 }
@@ -88,7 +88,7 @@
 		{"command: c; seed 7; rule 2 broken; rule 3 too; issue 31", "has 5 fields, want 4;"},
 		{"command: c; seed 7; rule 2 broken; issue 31; and more", "has 5 fields, want 4;"},
 	} {
-		_, err := list("TestA, slow, 28\n" + c.line)
+		_, err := parseList("TestA, slow, 28\n" + c.line)
 		if err == nil {
 			t.Errorf("%q is taken", c.line)
 		} else if !strings.Contains(err.Error(), strconv.Quote(c.line)) || !strings.Contains(err.Error(), c.want) {
@@ -100,11 +100,11 @@
 // TestBound checks that tests and commands count together.
 func TestBound(t *testing.T) {
 	const three = "TestA, a, 1\n" + knownCommand + "\n\nTestB, b, 2\n"
-	if _, err := list(three); err != nil {
+	if _, err := parseList(three); err != nil {
 		t.Error(err)
 	}
 	for _, fourth := range []string{"TestC, c, 3", knownCommand} {
-		if _, err := list(three + fourth); err == nil || !strings.Contains(err.Error(), "more than 3") {
+		if _, err := parseList(three + fourth); err == nil || !strings.Contains(err.Error(), "more than 3") {
 			t.Errorf("a fourth line %q: %v", fourth, err)
 		}
 	}
--- a/.ci/linked/main.go
+++ b/.ci/linked/main.go
@@ -14,11 +14,11 @@
 )
 
 func main() {
-	var faults []error
+	var errs []error
 	for _, file := range os.Args[1:] {
-		faults = append(faults, check(file))
+		errs = append(errs, check(file))
 	}
-	if err := errors.Join(faults...); err != nil || len(os.Args) < 2 {
+	if err := errors.Join(errs...); err != nil || len(os.Args) < 2 {
 		fmt.Fprintln(os.Stderr, "linked:", err)
 		os.Exit(1)
 	}
