--- a/.ci/known/main.go
+++ b/.ci/known/main.go
@@ -1,13 +1,13 @@
-// Known runs a test command of Go and passes over the tests that KNOWN-RED.txt names: they
-// are run and told too. Any other failure fails, and so does a list that is too long or
-// that names a test which was not run.
+// Known runs go test and tolerates failures of the tests that KNOWN-RED.txt lists; it runs
+// these tests and reports their results, too. It exits with an error if any other test fails,
+// if the list is too long, or if a listed test was not run.
 //
 //	go run ./.ci/known KNOWN-RED.txt go test -count=1 ./...
 //
-// A line of the list is: test, cause, issue. The file may be missing.
+// A line of the list has the form "test, cause, issue". The file may be missing.
 //
-// A failure that is not of a Go test has a line with the command, its seed, what was seen and
-// an open issue, separated by "; ":
+// The known failure of a command that is not a Go test has a line with the command, its seed,
+// what was seen and an open issue, separated by "; ":
 //
 //	command: bin/spool-scenario run examples/bad-day.edn; seed 7; rule 2 broken at 67 ms; issue 31
 //
@@ -27,12 +27,12 @@
 	"strings"
 )
 
-const maxEntries = 3 // lines of the list, of tests and commands together
+const maxEntries = 3 // limit on the lines of the list, tests and commands together
 
-// knownFailures is what the list has.
+// knownFailures holds the entries of the list.
 type knownFailures struct {
-	tests    map[string]string // test to cause and issue
-	commands []string          // command, seed, what was seen and issue, as in the list
+	tests    map[string]string // cause and issue by name of the test
+	commands []string          // the lines as written, without "command:"
 }
 
 func main() {
@@ -72,7 +72,7 @@
 	return err
 }
 
-// parseList reads the known failures.
+// parseList returns the entries of the list, or an error that names the first invalid line.
 func parseList(text string) (knownFailures, error) {
 	known := knownFailures{tests: map[string]string{}}
 	entries := 0
@@ -81,7 +81,7 @@
 			continue
 		}
 		if entries++; entries > maxEntries {
-			return known, fmt.Errorf("more than %d tests and commands are known to be red", maxEntries)
+			return known, fmt.Errorf("more than %d tests and commands are listed", maxEntries)
 		}
 		if command, ok := strings.CutPrefix(line, "command:"); ok {
 			if err := checkCommand(command); err != nil {
@@ -92,7 +92,7 @@
 		}
 		test, reason, ok := strings.Cut(line, ", ")
 		if !ok || !strings.Contains(reason, ", ") {
-			return known, fmt.Errorf("%q is not: test, cause, issue", line)
+			return known, fmt.Errorf("%q does not have the form: test, cause, issue", line)
 		}
 		known.tests[test] = reason
 	}
@@ -100,8 +100,8 @@
 }
 
 // checkCommand returns an error that names the missing fields of a command's line, which is
-// given without its prefix. Of fewer than four fields, seed and issue are recognized by their
-// first word.
+// passed without its prefix. If there are fewer than four fields, it finds seed and issue by
+// their first word.
 func checkCommand(line string) error {
 	fields := strings.Split(line, "; ")
 	if len(fields) > 4 {
@@ -121,7 +121,7 @@
 		default:
 			missing = append(missing, want.name)
 			if field == "" || len(fields) == 4 {
-				next++ // the field is there, and is not what it should be
+				next++ // the field is present but empty or of another kind
 			}
 		}
 	}
@@ -131,15 +131,17 @@
 	return nil
 }
 
+// event is a line of the output of go test -json.
 type event struct{ Action, Package, Test, Output string }
 
-// evaluate reads the events of a test run and writes what a run prints: of each package its
-// line, of failing tests their output.
+// evaluate reads the output of go test -json from in and writes to w what go test prints
+// without -json: a line for each package and the output of failing tests. Then it writes the
+// known failures. Its error names the other failures and the listed tests that were not run.
 func evaluate(in io.Reader, known knownFailures, w io.Writer) error {
 	output := map[string]string{}
-	results := map[string]string{}         // known red: its result
-	knownFailed := map[string]bool{}       // packages with known reds among their failures
-	failed := map[string]map[string]bool{} // by package; "" of what belongs to no test
+	results := map[string]string{}         // by listed test
+	knownFailed := map[string]bool{}       // packages in which a listed test failed
+	failed := map[string]map[string]bool{} // tests by package; "" is the package itself
 	scanner := bufio.NewScanner(in)
 	scanner.Buffer(nil, 1<<24)
 	for scanner.Scan() {
@@ -182,7 +184,7 @@
 		result := results[test]
 		if result == "" {
 			result = "not run"
-			errs = append(errs, fmt.Errorf("%s is listed as red, and there is no such test", test))
+			errs = append(errs, fmt.Errorf("%s is listed as red, but no test of this name was run", test))
 		}
 		fmt.Fprintf(w, "known red: %s: %s (%s)\n", test, result, known.tests[test])
 	}
--- a/.ci/known/main_test.go
+++ b/.ci/known/main_test.go
@@ -18,12 +18,12 @@
 	}{
 		{"all pass", ev("pass", "TestA") + ev("pass", ""), "", true},
 		{"one fails", ev("fail", "TestA") + ev("fail", ""), "", false},
-		{"a known red fails", ev("fail", "TestA/x") + ev("fail", "TestA") + ev("fail", ""), "TestA, slow, 28", true},
-		{"a known red passes", ev("pass", "TestA") + ev("pass", ""), "TestA, slow, 28", true},
+		{"a listed test fails", ev("fail", "TestA/x") + ev("fail", "TestA") + ev("fail", ""), "TestA, slow, 28", true},
+		{"a listed test passes", ev("pass", "TestA") + ev("pass", ""), "TestA, slow, 28", true},
 		{"another fails too", ev("fail", "TestA") + ev("fail", "TestB") + ev("fail", ""), "TestA, slow, 28", false},
-		{"a known red is not there", ev("pass", "TestB") + ev("pass", ""), "TestA, slow, 28", false},
+		{"a listed test is not run", ev("pass", "TestB") + ev("pass", ""), "TestA, slow, 28", false},
 		{"a package does not build", ev("fail", ""), "", false},
-		{"a package ends by itself", ev("pass", "TestB") + ev("fail", ""), "TestA, slow, 28", false},
+		{"a package fails although its tests pass", ev("pass", "TestB") + ev("fail", ""), "TestA, slow, 28", false},
 	} {
 		known, err := parseList(c.red)
 		if err != nil {
@@ -34,17 +34,17 @@
 		}
 	}
 	if _, err := parseList("TestA, a, 1\nTestB, b, 2\n\nTestC, c, 3\nTestD, d, 4\n"); err == nil {
-		t.Error("four are taken")
+		t.Error("a list of four tests was accepted")
 	}
 	if _, err := parseList("TestA"); err == nil {
-		t.Error("a line without cause and issue is taken")
+		t.Error("a line without cause and issue was accepted")
 	}
 }
 
 const knownCommand = "command: bin/spool-scenario run examples/bad-day.edn; seed 7; rule 2 broken at 67 ms; issue 31"
 
-// TestCommand checks that a command's line is read beside a test's, printed, and not taken
-// for a test that has to be run or that may fail.
+// TestCommand checks that a command's line is read and printed together with a test's, that
+// evaluate does not expect a test for it, and that it excuses no failing test.
 func TestCommand(t *testing.T) {
 	known, err := parseList("TestA, slow, 28\n" + knownCommand + "\n")
 	if err != nil {
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	if err := evaluate(strings.NewReader(failed), known, io.Discard); err == nil {
-		t.Error("a failing test passes, with only a command on the list")
+		t.Error("a failing test was tolerated although only a command is listed")
 	}
 }
 
@@ -90,14 +90,14 @@
 	} {
 		_, err := parseList("TestA, slow, 28\n" + c.line)
 		if err == nil {
-			t.Errorf("%q is taken", c.line)
+			t.Errorf("%q was accepted", c.line)
 		} else if !strings.Contains(err.Error(), strconv.Quote(c.line)) || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q: error %q, want the line and %q", c.line, err, c.want)
 		}
 	}
 }
 
-// TestBound checks that tests and commands count together.
+// TestBound checks that the limit applies to tests and commands together.
 func TestBound(t *testing.T) {
 	const three = "TestA, a, 1\n" + knownCommand + "\n\nTestB, b, 2\n"
 	if _, err := parseList(three); err != nil {
--- a/.ci/linked/main.go
+++ b/.ci/linked/main.go
@@ -1,5 +1,5 @@
-// Linked checks that a program is linked dynamically against the C library, as the
-// platform's bench needs: it has an interpreter and needs libc.
+// Linked checks that programs are linked dynamically against the C library, which the
+// platform's bench requires: each has a program interpreter and depends on libc.so.
 //
 //	go run ./.ci/linked PROGRAM...
 package main
@@ -31,14 +31,14 @@
 	}
 	defer f.Close()
 	if !slices.ContainsFunc(f.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }) {
-		return fmt.Errorf("%s has no interpreter: it is linked statically", file)
+		return fmt.Errorf("%s has no program interpreter: it is linked statically", file)
 	}
 	libs, err := f.ImportedLibraries()
 	if err != nil {
 		return fmt.Errorf("%s: %w", file, err)
 	}
 	if !slices.ContainsFunc(libs, func(l string) bool { return strings.HasPrefix(l, "libc.so") }) {
-		return fmt.Errorf("%s needs %v, and not the C library", file, libs)
+		return fmt.Errorf("%s is linked against %v, without the C library", file, libs)
 	}
 	return nil
 }
