--- a/internal/testbed/differential/bench.go
+++ b/internal/testbed/differential/bench.go
@@ -10,38 +10,38 @@
 	"indigospool/internal/protocol/simwire"
 )
 
-// bench is the simulator's side of the adapter's wire: what a router was told
+// adapterClient is the simulator's side of the adapter's wire: what a router was told
 // becomes the simulator's messages, and the adapter's replies become actions. It
 // shares no table with package wire, so that an error there is not made twice.
-type bench struct {
-	in bytes.Buffer
+type adapterClient struct {
+	input bytes.Buffer
 }
 
-type obj = map[string]any
+type object = map[string]any
 
-// line writes a batch of one event for an instance.
-func (b *bench) line(clock float64, inst int, word string, fields obj) error {
-	text, err := json.Marshal(obj{"clock": clock, "groups": []any{obj{"i": inst, "inbox": []any{obj{word: fields}}}}})
-	b.in.Write(append(text, '\n'))
+// writeLine writes a batch of one event for an instance.
+func (b *adapterClient) writeLine(clock float64, inst int, word string, fields object) error {
+	text, err := json.Marshal(object{"clock": clock, "groups": []any{object{"i": inst, "inbox": []any{object{word: fields}}}}})
+	b.input.Write(append(text, '\n'))
 	return err
 }
 
-// thousandth is a number that a thousandth part of is x, to the last bit where
+// perSecond is a number that a thousandth part of is x, to the last bit where
 // there is one: the wire states rates by the second.
-func thousandth(x float64) float64 {
-	y := x * 1000
-	for _, try := range []float64{y, math.Nextafter(y, 0), math.Nextafter(y, math.Inf(1))} {
-		if try/1000 == x {
-			return try
+func perSecond(perMs float64) float64 {
+	scaled := perMs * 1000
+	for _, candidate := range []float64{scaled, math.Nextafter(scaled, 0), math.Nextafter(scaled, math.Inf(1))} {
+		if candidate/1000 == perMs {
+			return candidate
 		}
 	}
-	return y
+	return scaled
 }
 
 var scopeWords = []string{"off", "cell", "location", "any"} // by spool.Scope
 
-// born starts an instance.
-func (b *bench) born(clock float64, inst int, s *spool.Settings, seed uint64) error {
+// writeStart starts an instance.
+func (b *adapterClient) writeStart(clock float64, inst int, s *spool.Settings, seed uint64) error {
 	var classes []any
 	var fresh, grace, stale []float64
 	var parts, writes []bool
@@ -50,13 +50,13 @@
 		if group == "any" {
 			group = "all"
 		}
-		classes = append(classes, obj{"name": c.Name, "aim": c.LatencyObjective, "aim_stretch": c.ObjectivePerSendTime, "gain": c.PriorityWeight, "give_up": c.Deadline,
+		classes = append(classes, object{"name": c.Name, "aim": c.LatencyObjective, "aim_stretch": c.ObjectivePerSendTime, "gain": c.PriorityWeight, "give_up": c.Deadline,
 			"group": group, "idempotency": []string{"free", "guarded", "single_shot"}[c.Idempotency], "late_worth": c.LateWeightShare, "stream": c.Streamed, "window": c.KeyWindow})
 		fresh, grace, stale = append(fresh, c.Fresh), append(grace, c.Grace), append(stale, c.StaleWeightShare)
 		parts, writes = append(parts, c.InParts), append(writes, c.Write)
 	}
-	family := obj{"lifetime_by_class": fresh, "older_by": grace, "in_parts": parts, "stale_earns": stale, "class_write": writes,
-		"pass_through_ok": s.DirectAttempts, "stream_kb_per_s": thousandth(s.FlowKBPerMs), "joins": s.JoinFills, "origin_limit_factor": s.OriginOverloadFactor,
+	family := object{"lifetime_by_class": fresh, "older_by": grace, "in_parts": parts, "stale_earns": stale, "class_write": writes,
+		"pass_through_ok": s.DirectAttempts, "stream_kb_per_s": perSecond(s.FlowKBPerMs), "joins": s.JoinFills, "origin_limit_factor": s.OriginOverloadFactor,
 		"parent_starts_at": s.ParentWarmUpInitialShare, "parent_cold": s.ParentWarmUpTime, "upper_fall_multiple": s.ParentOverloadFactor,
 		"purge_takes": s.PurgeTime, "purge_slack": s.PurgeSlack, "neighbours": scopeWords[s.SiblingScope],
 		"detail": []string{"off", "hit", "all"}[s.Detail], "seats_by_zone": s.RoutersByZone, "home_hub": s.HubOfZone}
@@ -69,7 +69,7 @@
 	}
 	var links []float64
 	for _, z := range s.Zones {
-		links = append(links, thousandth(s.LinkCapacity[z]))
+		links = append(links, perSecond(s.LinkCapacity[z]))
 	}
 	family["link_in_kb_per_s"] = links
 	discovery := "pushed"
@@ -80,11 +80,11 @@
 	if s.SizeIsCapacity {
 		weights = "nominal"
 	}
-	return b.line(clock, inst, "BORN", obj{"init_seed": seed, "boot_info": obj{"classes": classes, "discovery": discovery,
-		"family_info": family, "feedback": obj{"names": s.LoadMetrics}, "kinds": kinds, "limits": obj{"cancel": s.CanCancel,
+	return b.writeLine(clock, inst, "BORN", object{"init_seed": seed, "boot_info": object{"classes": classes, "discovery": discovery,
+		"family_info": family, "feedback": object{"names": s.LoadMetrics}, "kinds": kinds, "limits": object{"cancel": s.CanCancel,
 			"max_attempts": s.MaxAttempts, "max_retry_after": s.MaxRetryAfter, "most_held": s.MaxRequests, "probing": s.CanProbe,
 			"retry_after": s.MaxRetryAfter > 0, "second_copies": s.HedgedRequests}, "localities": s.Zones, "me": s.RouterIndex, "n_instances": s.Routers,
-		"rules": obj{"answer_slack": s.AnswerSlack, "cold": s.WarmUpTime, "cold_from": s.WarmUpInitialShare, "drain_grace": s.DrainGrace,
+		"rules": object{"answer_slack": s.AnswerSlack, "cold": s.WarmUpTime, "cold_from": s.WarmUpInitialShare, "drain_grace": s.DrainGrace,
 			"must_ask_in": s.PollInterval, "overload_factor": s.OverloadFactor, "overload_for": s.OverloadTime},
 		"tick": s.TimerResolution, "weight_kind": weights, "zone": s.Zone}})
 }
@@ -92,9 +92,9 @@
 var resultWords = map[spool.Result]string{spool.OK: "ok", spool.Errored: "error", spool.Rejected: "full", spool.TimedOut: "timeout",
 	spool.ConnectFailed: "connect_failed", spool.Reset: "reset", spool.Cancelled: "cancelled", spool.NotSent: "moot", spool.Miss: "miss"}
 
-// tell writes an event.
-func (b *bench) tell(clock float64, inst int, ev spool.Event) error {
-	named := func(s string) any {
+// writeEvent writes an event.
+func (b *adapterClient) writeEvent(clock float64, inst int, ev spool.Event) error {
+	orZero := func(s string) any {
 		if s == "" {
 			return 0
 		}
@@ -108,40 +108,40 @@
 		}
 		rows := []any{}
 		for _, r := range ev.Rows {
-			rows = append(rows, obj{"cache": r.ID, "area": r.Zone, "shape": r.Kind, "cell": r.Cell, "size": r.Size, "ready_at": r.ReadyAt,
+			rows = append(rows, object{"cache": r.ID, "area": r.Zone, "shape": r.Kind, "cell": r.Cell, "size": r.Size, "ready_at": r.ReadyAt,
 				"phase": []string{"SERVING", "DRAINING", "DELETED"}[r.State]})
 		}
-		return b.line(clock, inst, "ROSTER_CHANGE", obj{"how": how, "rows_in": rows})
+		return b.writeLine(clock, inst, "ROSTER_CHANGE", object{"how": how, "rows_in": rows})
 	case spool.Request:
-		return b.line(clock, inst, "KNOCK", obj{"msg_id": ev.ID, "tier_class": ev.Class, "user_group": named(ev.Tenant), "item": named(ev.Object),
+		return b.writeLine(clock, inst, "KNOCK", object{"msg_id": ev.ID, "tier_class": ev.Class, "user_group": orZero(ev.Tenant), "item": orZero(ev.Object),
 			"give_up_at": ev.Deadline, "kb": ev.KB, "purge_group": ev.Group, "piece": ev.Part, "retry": ev.Retry, "mutates": ev.Write})
 	case spool.Outcome:
-		return b.line(clock, inst, "SETTLED", obj{"msg_id": ev.ID, "cache": ev.Cache, "attempt": ev.Attempt, "reason": resultWords[ev.Result],
+		return b.writeLine(clock, inst, "SETTLED", object{"msg_id": ev.ID, "cache": ev.Cache, "attempt": ev.Attempt, "reason": resultWords[ev.Result],
 			"spent": ev.Took, "last": ev.Last, "note": int(ev.Note), "waited": ev.Waited, "metrics": ev.Load})
 	case spool.Started:
-		return b.line(clock, inst, "STREAMING", obj{"msg_id": ev.ID, "cache": ev.Cache, "attempt": ev.Attempt})
+		return b.writeLine(clock, inst, "STREAMING", object{"msg_id": ev.ID, "cache": ev.Cache, "attempt": ev.Attempt})
 	case spool.Gone:
-		return b.line(clock, inst, "TIMED_OUT_CLIENT", obj{"msg_id": ev.ID})
+		return b.writeLine(clock, inst, "TIMED_OUT_CLIENT", object{"msg_id": ev.ID})
 	case spool.Purge:
-		return b.line(clock, inst, "PURGED", obj{"item": named(ev.Object), "family_id": ev.Group, "age_span": ev.Age})
+		return b.writeLine(clock, inst, "PURGED", object{"item": orZero(ev.Object), "family_id": ev.Group, "age_span": ev.Age})
 	case spool.Timer:
-		return b.line(clock, inst, "REMINDER", obj{"ref": ev.Token})
+		return b.writeLine(clock, inst, "REMINDER", object{"ref": ev.Token})
 	case spool.Probed:
-		return b.line(clock, inst, "CHECKED", obj{"cache": ev.Cache, "reason": map[bool]string{true: "ok", false: "reset"}[ev.OK], "metrics": ev.Load})
+		return b.writeLine(clock, inst, "CHECKED", object{"cache": ev.Cache, "reason": map[bool]string{true: "ok", false: "reset"}[ev.OK], "metrics": ev.Load})
 	case spool.Message:
-		return b.line(clock, inst, "MESSAGE", obj{"src": ev.From, "contents": ev.Text})
+		return b.writeLine(clock, inst, "MESSAGE", object{"src": ev.From, "contents": ev.Text})
 	}
 	return fmt.Errorf("drift: the wire has no word for %T", ev)
 }
 
-// play has the adapter answer all that was written; the answers stand in the order
+// replies has the adapter answer all that was written; the answers stand in the order
 // of the lines.
-func (b *bench) play() ([][]spool.Action, error) {
+func (b *adapterClient) replies() ([][]spool.Action, error) {
 	var out bytes.Buffer
-	if err := simwire.Serve(&b.in, &out); err != nil {
+	if err := simwire.Serve(&b.input, &out); err != nil {
 		return nil, fmt.Errorf("drift: the adapter: %w", err)
 	}
-	var all [][]spool.Action
+	var replies [][]spool.Action
 	for _, line := range bytes.Split(bytes.TrimRight(out.Bytes(), "\n"), []byte("\n")) {
 		if len(line) == 0 {
 			continue
@@ -166,9 +166,9 @@
 				}
 			}
 		}
-		all = append(all, acts)
+		replies = append(replies, acts)
 	}
-	return all, nil
+	return replies, nil
 }
 
 // message holds every field that a reply's message can have.
--- a/internal/testbed/differential/drift.go
+++ b/internal/testbed/differential/drift.go
@@ -40,11 +40,11 @@
 	Differences []string `json:"differences,omitempty"` // the first of them
 }
 
-const differencesKept = 20
+const maxDifferences = 20
 
-// onWire is what the simulator's wire can say of actions: there a send is at its cache in
+// asOnWire is what the simulator's wire can say of actions: there a send is at its cache in
 // no time, and its form has no word for when it must have left. The replay compares that.
-func onWire(acts []spool.Action) []spool.Action {
+func asOnWire(acts []spool.Action) []spool.Action {
 	out := slices.Clone(acts)
 	for i, a := range out {
 		if s, ok := a.(spool.Send); ok {
@@ -55,8 +55,8 @@
 	return out
 }
 
-func (r *Report) differ(format string, args ...any) {
-	if r.Different++; len(r.Differences) < differencesKept {
+func (r *Report) addDifference(format string, args ...any) {
+	if r.Different++; len(r.Differences) < maxDifferences {
 		r.Differences = append(r.Differences, fmt.Sprintf(format, args...))
 	}
 }
@@ -66,19 +66,19 @@
 
 // Options bound a comparison.
 type Options struct {
-	Stories int // requests that are explained, evenly over the journal; each costs a replay. Default 20
-	Router  string
+	Explanations int // requests that are explained, evenly over the journal; each costs a replay. Default 20
+	Router       string
 }
 
-// unwritten is for how long before its end a killed router's records may not have
+// unwrittenMs is for how long before its end a killed router's records may not have
 // been written yet (a journal hands over every 50 ms), and for how long what it had
 // sent may still arrive, in ms.
-const unwritten = 400
+const unwrittenMs = 400
 
 // attempt names an attempt of a request.
 type attempt struct {
-	id string
-	n  int
+	id     string
+	number int
 }
 
 // decision is what the journal has of an attempt.
@@ -91,47 +91,47 @@
 // Check compares a router's journal with what stand-ins saw of it, and with the
 // other programs. open opens the journal anew for each of them.
 func Check(open func() (*journal.Reader, error), recs []trafficlog.Record, o Options) (*Report, error) {
-	if o.Stories <= 0 {
-		o.Stories = 20
+	if o.Explanations <= 0 {
+		o.Explanations = 20
 	}
 	r := &Report{}
-	told, err := r.read(open)
+	journaled, err := r.readJournal(open)
 	if err != nil {
 		return nil, err
 	}
-	r.sockets(told, recs, o.Router)
-	for _, f := range []func(func() (*journal.Reader, error)) error{r.replayed, r.adapted} {
+	r.compareTraffic(journaled, recs, o.Router)
+	for _, f := range []func(func() (*journal.Reader, error)) error{r.compareReplay, r.compareAdapter} {
 		if err := f(open); err != nil {
 			return nil, err
 		}
 	}
-	return r, r.stories(open, told, o.Stories)
+	return r, r.compareExplanations(open, journaled, o.Explanations)
 }
 
-// record is the journal as far as requests go.
-type record struct {
-	decided map[attempt]*decision
-	tries   map[string][]*decision
-	came    []arrival
+// journalRecord is the journal as far as requests go.
+type journalRecord struct {
+	decided  map[attempt]*decision
+	attempts map[string][]*decision
+	arrivals []arrival
 }
 
 type arrival struct {
-	t     float64
-	q     spool.Request
-	first spool.Action // of this request, at once; nil: it waited
+	time    float64
+	request spool.Request
+	first   spool.Action // of this request, at once; nil: it waited
 }
 
-func (r *Report) read(open func() (*journal.Reader, error)) (*record, error) {
+func (r *Report) readJournal(open func() (*journal.Reader, error)) (*journalRecord, error) {
 	j, err := open()
 	if err != nil {
 		return nil, err
 	}
 	defer j.Close()
-	told := &record{decided: map[attempt]*decision{}, tries: map[string][]*decision{}}
+	journaled := &journalRecord{decided: map[attempt]*decision{}, attempts: map[string][]*decision{}}
 	for {
 		e, err := j.Next()
 		if err == io.EOF {
-			return told, nil
+			return journaled, nil
 		}
 		if err != nil {
 			return nil, err
@@ -143,32 +143,32 @@
 		for _, a := range e.Actions {
 			if s, ok := a.(spool.Send); ok {
 				d := &decision{send: s}
-				told.decided[attempt{s.ID, len(told.tries[s.ID])}] = d
-				told.tries[s.ID] = append(told.tries[s.ID], d)
+				journaled.decided[attempt{s.ID, len(journaled.attempts[s.ID])}] = d
+				journaled.attempts[s.ID] = append(journaled.attempts[s.ID], d)
 				r.Decided++
 			}
 		}
 		switch ev := e.Event.(type) {
 		case spool.Request:
-			one := arrival{t: e.T, q: ev}
+			one := arrival{time: e.T, request: ev}
 			for _, a := range e.Actions {
-				if id := idOf(a); id == ev.ID && one.first == nil {
+				if id := requestID(a); id == ev.ID && one.first == nil {
 					one.first = a
 				}
 			}
-			told.came = append(told.came, one)
+			journaled.arrivals = append(journaled.arrivals, one)
 		case spool.Outcome:
-			if d := told.decided[attempt{ev.ID, ev.Attempt}]; d != nil {
+			if d := journaled.decided[attempt{ev.ID, ev.Attempt}]; d != nil {
 				d.done, d.result = true, ev.Result
 				if d.send.Cache != ev.Cache {
-					r.differ("router: attempt %d of %s was sent to %s, and its outcome is of %s", ev.Attempt, ev.ID, d.send.Cache, ev.Cache)
+					r.addDifference("router: attempt %d of %s was sent to %s, and its outcome is of %s", ev.Attempt, ev.ID, d.send.Cache, ev.Cache)
 				}
 			}
 		}
 	}
 }
 
-func idOf(a spool.Action) string {
+func requestID(a spool.Action) string {
 	switch a := a.(type) {
 	case spool.Send:
 		return a.ID
@@ -180,9 +180,9 @@
 	return ""
 }
 
-// sockets compares the decided attempts with those that stand-ins saw.
-func (r *Report) sockets(told *record, recs []trafficlog.Record, router string) {
-	seen := map[attempt]bool{}
+// compareTraffic compares the decided attempts with those that stand-ins saw.
+func (r *Report) compareTraffic(journaled *journalRecord, recs []trafficlog.Record, router string) {
+	received := map[attempt]bool{}
 	var kills []float64
 	for i := range recs {
 		if recs[i].Event == trafficlog.Killed && recs[i].Subject == router {
@@ -194,73 +194,73 @@
 		if rec.Event != trafficlog.AttemptReceived || rec.RouterRequest == "" || router != "" && rec.From != router {
 			continue
 		}
-		d := told.decided[attempt{rec.RouterRequest, rec.Attempt}]
+		d := journaled.decided[attempt{rec.RouterRequest, rec.Attempt}]
 		if d == nil {
-			if slices.ContainsFunc(kills, func(t float64) bool { return rec.Time > t-unwritten && rec.Time < t+unwritten }) {
+			if slices.ContainsFunc(kills, func(t float64) bool { return rec.Time > t-unwrittenMs && rec.Time < t+unwrittenMs }) {
 				r.Lost++
 			} else {
-				r.differ("sockets: %s saw attempt %d of %s, which no record decides", rec.Subject, rec.Attempt, rec.RouterRequest)
+				r.addDifference("sockets: %s saw attempt %d of %s, which no record decides", rec.Subject, rec.Attempt, rec.RouterRequest)
 			}
 			continue
 		}
 		if rec.Via != "" { // a fill: asked by the cache, of its source; or by that, of the origin behind it
 			r.Fills++
-			of := rec.Via == d.send.Cache && rec.Subject == d.send.Source
-			behind := rec.Via == d.send.Source && rec.Role == "origin"
-			if !of && !behind {
-				r.differ("sockets: attempt %d of %s was filled by %s from %s; decided was %s from %s", rec.Attempt, rec.RouterRequest, rec.Via, rec.Subject, d.send.Cache, d.send.Source)
+			fromSource := rec.Via == d.send.Cache && rec.Subject == d.send.Source
+			fromOrigin := rec.Via == d.send.Source && rec.Role == "origin"
+			if !fromSource && !fromOrigin {
+				r.addDifference("sockets: attempt %d of %s was filled by %s from %s; decided was %s from %s", rec.Attempt, rec.RouterRequest, rec.Via, rec.Subject, d.send.Cache, d.send.Source)
 			}
 			continue
 		}
-		if seen[attempt{rec.RouterRequest, rec.Attempt}] {
-			r.differ("sockets: attempt %d of %s was made twice, the second at %s", rec.Attempt, rec.RouterRequest, rec.Subject)
+		if received[attempt{rec.RouterRequest, rec.Attempt}] {
+			r.addDifference("sockets: attempt %d of %s was made twice, the second at %s", rec.Attempt, rec.RouterRequest, rec.Subject)
 		}
-		seen[attempt{rec.RouterRequest, rec.Attempt}] = true
+		received[attempt{rec.RouterRequest, rec.Attempt}] = true
 		r.Seen++
 		source := ""
 		if d.send.Source != d.send.Cache {
 			source = d.send.Source
 		}
 		if rec.Subject != d.send.Cache || rec.Source != source {
-			r.differ("sockets: attempt %d of %s came to %s with source %q; decided was %s with %q", rec.Attempt, rec.RouterRequest, rec.Subject, rec.Source, d.send.Cache, source)
+			r.addDifference("sockets: attempt %d of %s came to %s with source %q; decided was %s with %q", rec.Attempt, rec.RouterRequest, rec.Subject, rec.Source, d.send.Cache, source)
 		}
 	}
-	for k, d := range told.decided { // what was answered has been at a stand-in
+	for k, d := range journaled.decided { // what was answered has been at a stand-in
 		answered := d.done && (d.result == spool.OK || d.result == spool.Miss)
-		if answered && !seen[k] {
-			r.differ("sockets: attempt %d of %s at %s was answered (result %d), and nobody saw it", k.n, k.id, d.send.Cache, d.result)
+		if answered && !received[k] {
+			r.addDifference("sockets: attempt %d of %s at %s was answered (result %d), and nobody saw it", k.number, k.id, d.send.Cache, d.result)
 		}
 	}
 }
 
-// replayed has spool-replay tell a module what the router was told.
-func (r *Report) replayed(open func() (*journal.Reader, error)) error {
+// compareReplay has spool-replay tell a module what the router was told.
+func (r *Report) compareReplay(open func() (*journal.Reader, error)) error {
 	j, err := open()
 	if err != nil {
 		return err
 	}
 	defer j.Close()
 	rep, err := replay.Run(j, &replay.Watcher{After: func(e *journal.Entry, _ *engine.Core, acts []spool.Action) {
-		if r.Replay++; !same(acts, e.Actions) {
-			r.differ("replay: record %d at %.3f: %T%+v gives %+v, recorded is %+v", e.Number, e.T, e.Event, e.Event, acts, e.Actions)
+		if r.Replay++; !equalActions(acts, e.Actions) {
+			r.addDifference("replay: record %d at %.3f: %T%+v gives %+v, recorded is %+v", e.Number, e.T, e.Event, e.Event, acts, e.Actions)
 		}
 	}})
 	if err == nil && rep.Different > 0 {
-		r.differ("replay: %d of %d answers differ, by its own word", rep.Different, rep.Compared)
+		r.addDifference("replay: %d of %d answers differ, by its own word", rep.Different, rep.Compared)
 	}
 	return err
 }
 
-// adapted tells the adapter what the router was told.
-func (r *Report) adapted(open func() (*journal.Reader, error)) error {
+// compareAdapter tells the adapter what the router was told.
+func (r *Report) compareAdapter(open func() (*journal.Reader, error)) error {
 	j, err := open()
 	if err != nil {
 		return err
 	}
 	defer j.Close()
-	var b bench
+	var b adapterClient
 	var want []*journal.Entry // of the adapter's lines; nil: a start
-	inst, wired, clock := -1, false, 0.0
+	instance, expressible, clock := -1, false, 0.0
 	for {
 		e, err := j.Next()
 		if err == io.EOF {
@@ -271,7 +271,7 @@
 		}
 		switch e.Kind {
 		case journal.KindGap, journal.KindSettings: // the wire can't say that settings change
-			wired = false
+			expressible = false
 		case journal.KindRouterStart:
 			s := &config.Settings{}
 			if err := config.Read("journal", e.RouterStart.Settings, s); err != nil {
@@ -281,24 +281,24 @@
 			if err != nil {
 				return fmt.Errorf("drift: %w", err)
 			}
-			inst++
-			wired = true
+			instance++
+			expressible = true
 			want = append(want, nil)
-			if err := b.born(clock, inst, &m, e.RouterStart.Seed); err != nil {
+			if err := b.writeStart(clock, instance, &m, e.RouterStart.Seed); err != nil {
 				return err
 			}
 		case journal.KindHandled:
 			switch e.Event.(type) {
 			case spool.Recalled, spool.Retired, spool.Stalled: // nor that one router goes on from another, or that a client is slow
-				wired = false
+				expressible = false
 			}
-			if !wired {
+			if !expressible {
 				r.Unwired++
 				continue
 			}
 			clock = max(clock, e.T)
 			want = append(want, e)
-			if err := b.tell(clock, inst, e.Event); err != nil {
+			if err := b.writeEvent(clock, instance, e.Event); err != nil {
 				return err
 			}
 		}
@@ -306,73 +306,73 @@
 	if len(want) == 0 {
 		return nil
 	}
-	got, err := b.play()
+	got, err := b.replies()
 	if err != nil {
 		return err
 	}
 	if len(got) != len(want) {
-		r.differ("adapter: %d answers to %d lines", len(got), len(want))
+		r.addDifference("adapter: %d answers to %d lines", len(got), len(want))
 		return nil
 	}
 	for i, e := range want {
 		if e == nil {
 			continue
 		}
-		if r.Adapter++; !same(got[i], onWire(e.Actions)) {
-			r.differ("adapter: record %d at %.3f: %T%+v gives %+v, recorded is %+v", e.Number, e.T, e.Event, e.Event, got[i], e.Actions)
+		if r.Adapter++; !equalActions(got[i], asOnWire(e.Actions)) {
+			r.addDifference("adapter: record %d at %.3f: %T%+v gives %+v, recorded is %+v", e.Number, e.T, e.Event, e.Event, got[i], e.Actions)
 		}
 	}
 	return nil
 }
 
-func same(a, b []spool.Action) bool {
+func equalActions(a, b []spool.Action) bool {
 	return len(a) == 0 && len(b) == 0 || reflect.DeepEqual(a, b)
 }
 
-// stories has some requests explained: the story's actions are those recorded, in
+// compareExplanations has some requests explained: the story's actions are those recorded, in
 // their order, and what it says was taken is what was sent. And each is told to
 // explain as a request that never was, at the moment before it came.
-func (r *Report) stories(open func() (*journal.Reader, error), told *record, most int) error {
-	step := max(len(told.came)/most, 1)
-	for i := 0; i < len(told.came); i += step {
-		one := told.came[i]
+func (r *Report) compareExplanations(open func() (*journal.Reader, error), journaled *journalRecord, count int) error {
+	step := max(len(journaled.arrivals)/count, 1)
+	for i := 0; i < len(journaled.arrivals); i += step {
+		one := journaled.arrivals[i]
 		j, err := open()
 		if err != nil {
 			return err
 		}
-		s, err := explain.Request(j, one.q.ID)
+		s, err := explain.Request(j, one.request.ID)
 		j.Close()
 		if err != nil {
-			r.differ("explain: %s: %v", one.q.ID, err)
+			r.addDifference("explain: %s: %v", one.request.ID, err)
 			continue
 		}
 		r.Explained++
 		if !s.Equal {
-			r.differ("explain: %s: its replay answers otherwise than the router did", one.q.ID)
+			r.addDifference("explain: %s: its replay answers otherwise than the router did", one.request.ID)
 		}
 		n := 0
 		for _, st := range s.Steps {
 			for _, text := range st.Actions {
-				if n < len(told.tries[one.q.ID]) && text == explain.ActionText(told.tries[one.q.ID][n].send) {
-					r.taken(one.q.ID, n, &told.tries[one.q.ID][n].send, st.Candidates)
+				if n < len(journaled.attempts[one.request.ID]) && text == explain.ActionText(journaled.attempts[one.request.ID][n].send) {
+					r.compareChosen(one.request.ID, n, &journaled.attempts[one.request.ID][n].send, st.Candidates)
 					n++
 				}
 			}
 		}
-		if n != len(told.tries[one.q.ID]) {
-			r.differ("explain: %s: %d attempts stand in its story, in the journal %d", one.q.ID, n, len(told.tries[one.q.ID]))
+		if n != len(journaled.attempts[one.request.ID]) {
+			r.addDifference("explain: %s: %d attempts stand in its story, in the journal %d", one.request.ID, n, len(journaled.attempts[one.request.ID]))
 		}
-		if err := r.ask(open, &one); err != nil {
+		if err := r.compareHypothetical(open, &one); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// taken compares what a story says was taken with what was sent.
-func (r *Report) taken(id string, n int, s *spool.Send, looks []explain.Candidate) {
+// compareChosen compares what a story says was taken with what was sent.
+func (r *Report) compareChosen(id string, n int, s *spool.Send, candidates []explain.Candidate) {
 	cache, source := "", ""
-	for _, l := range looks {
+	for _, l := range candidates {
 		if l.Why == explain.ReasonText(spool.ReasonAccepted) {
 			if l.As == "source" {
 				source = l.Member
@@ -382,24 +382,24 @@
 		}
 	}
 	if cache != "" && cache != s.Cache {
-		r.differ("explain: attempt %d of %s: %s was taken as the cache, and %s was sent to", n, id, cache, s.Cache)
+		r.addDifference("explain: attempt %d of %s: %s was taken as the cache, and %s was sent to", n, id, cache, s.Cache)
 	}
 	if source != "" && source != s.Source && source != s.Cache {
-		r.differ("explain: attempt %d of %s: %s was taken as the source, and %s was named", n, id, source, s.Source)
+		r.addDifference("explain: attempt %d of %s: %s was taken as the source, and %s was named", n, id, source, s.Source)
 	}
 }
 
-// ask tells explain a request as one that never was.
-func (r *Report) ask(open func() (*journal.Reader, error), one *arrival) error {
+// compareHypothetical tells explain a request as one that never was.
+func (r *Report) compareHypothetical(open func() (*journal.Reader, error), one *arrival) error {
 	j, err := open()
 	if err != nil {
 		return err
 	}
 	defer j.Close()
-	s, err := explain.Hypothetical(j, explain.HypotheticalRequest{Class: one.q.Class, Object: one.q.Object, Part: one.q.Part, Group: one.q.Group,
-		KB: one.q.KB, Write: one.q.Write, InPlaceOf: one.q.ID, Timeout: one.q.Deadline - one.t})
+	s, err := explain.Hypothetical(j, explain.HypotheticalRequest{Class: one.request.Class, Object: one.request.Object, Part: one.request.Part, Group: one.request.Group,
+		KB: one.request.KB, Write: one.request.Write, InPlaceOf: one.request.ID, Timeout: one.request.Deadline - one.time})
 	if err != nil {
-		r.differ("explain: as if %s had never been: %v", one.q.ID, err)
+		r.addDifference("explain: as if %s had never been: %v", one.request.ID, err)
 		return nil
 	}
 	r.Asked++
@@ -416,7 +416,7 @@
 		want = explain.ActionText(one.first)
 	}
 	if got != want {
-		r.differ("explain: as if %s had never been: %q; it was %q", one.q.ID, got, want)
+		r.addDifference("explain: as if %s had never been: %q; it was %q", one.request.ID, got, want)
 	}
 	return nil
 }
--- a/internal/testbed/differential/drift_test.go
+++ b/internal/testbed/differential/drift_test.go
@@ -23,7 +23,7 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-const text = `
+const settingsText = `
 (router (name e1) (zone z) (listen "127.0.0.1:0") (list %q) (log none) (journal %q))
 (zone z (routers 1) (link 400)) (zone y)
 (limits (connect 100) (body-idle 400))
@@ -34,50 +34,50 @@
 (route "/r/{object}" (class film) (ranges)) (route "/o/{object}" (class order))
 `
 
-// ask is a request of a client.
-type ask struct {
-	Path   string
-	Range  int // part by a Range; -1: none
-	KB     int
-	Within int // its client's own deadline, ms; 0: none
-	Leave  int // its client leaves after so many ms; 0: it stays
-	Gap    int // ms before it
+// clientRequest is a request of a client.
+type clientRequest struct {
+	Path       string
+	Range      int // part by a Range; -1: none
+	KB         int
+	Timeout    int // its client's own deadline, ms; 0: none
+	LeaveAfter int // its client leaves after so many ms; 0: it stays
+	Gap        int // ms before it
 }
 
-// trouble is something that happens before an ask of the load.
-type trouble struct {
-	At   int
-	What string // of a fault: its kind; or drain, return, restart, purge, purge-group
-	Who  int    // of boxes and parents
+// disruption is something that happens before an ask of the load.
+type disruption struct {
+	Before int
+	Kind   string // of a fault: its kind; or drain, return, restart, purge, purge-group
+	Target int    // of boxes and parents
 }
 
 // fleetCase is a fleet, what is asked of it one after another before and after a
 // change of its list, and a load with troubles.
 type fleetCase struct {
-	Boxes, Parents int
-	Siblings       string
-	Fill           string
-	First, Second  []ask
-	Change         trouble
-	Load           []ask
-	Troubles       []trouble
+	Boxes, Parents            int
+	Siblings                  string
+	Fill                      string
+	BeforeChange, AfterChange []clientRequest
+	MemberChange              disruption
+	Load                      []clientRequest
+	Disruptions               []disruption
 }
 
-func asks(n int, object string) *rapid.Generator[[]ask] {
-	return rapid.Custom(func(t *rapid.T) (out []ask) {
+func requests(n int, objectPrefix string) *rapid.Generator[[]clientRequest] {
+	return rapid.Custom(func(t *rapid.T) (out []clientRequest) {
 		for range n {
-			a := ask{Range: -1}
+			request := clientRequest{Range: -1}
 			o, g := rapid.IntRange(0, 60).Draw(t, "object"), rapid.IntRange(0, 9).Draw(t, "group")
 			switch rapid.IntRange(0, 5).Draw(t, "kind") {
 			case 0, 1:
-				a.Path = fmt.Sprintf("/s/%d/%s%d", g, object, o)
-				a.KB = rapid.SampledFrom([]int{0, 0, 4, 40}).Draw(t, "kb")
+				request.Path = fmt.Sprintf("/s/%d/%s%d", g, objectPrefix, o)
+				request.KB = rapid.SampledFrom([]int{0, 0, 4, 40}).Draw(t, "kb")
 			case 2, 3, 4:
-				a.Path = fmt.Sprintf("/v/%d/%s%d/%d", g, object, o, rapid.IntRange(0, 9).Draw(t, "part"))
+				request.Path = fmt.Sprintf("/v/%d/%s%d/%d", g, objectPrefix, o, rapid.IntRange(0, 9).Draw(t, "part"))
 			default:
-				a.Path, a.Range = fmt.Sprintf("/r/%s%d", object, o), rapid.IntRange(0, 6).Draw(t, "range")
+				request.Path, request.Range = fmt.Sprintf("/r/%s%d", objectPrefix, o), rapid.IntRange(0, 6).Draw(t, "range")
 			}
-			out = append(out, a)
+			out = append(out, request)
 		}
 		return out
 	})
@@ -89,9 +89,9 @@
 	c := &fleetCase{Boxes: rapid.IntRange(2, 5).Draw(t, "boxes"), Parents: rapid.IntRange(1, 3).Draw(t, "parents")}
 	c.Siblings = rapid.SampledFrom([]string{"off", "location"}).Draw(t, "siblings")
 	c.Fill = rapid.SampledFrom([]string{"(direct)", "(direct) (joins)", "(joins)", "(direct) (sizes)"}).Draw(t, "fill")
-	c.First, c.Second = asks(50, "a").Draw(t, "first"), asks(30, "b").Draw(t, "second")
-	c.Change = trouble{What: rapid.SampledFrom([]string{"drain", "remove", "add"}).Draw(t, "change"), Who: rapid.IntRange(0, c.Boxes+c.Parents-1).Draw(t, "whom")}
-	c.Load = asks(60, "c").Draw(t, "load")
+	c.BeforeChange, c.AfterChange = requests(50, "a").Draw(t, "first"), requests(30, "b").Draw(t, "second")
+	c.MemberChange = disruption{Kind: rapid.SampledFrom([]string{"drain", "remove", "add"}).Draw(t, "change"), Target: rapid.IntRange(0, c.Boxes+c.Parents-1).Draw(t, "whom")}
+	c.Load = requests(60, "c").Draw(t, "load")
 	for i := range c.Load {
 		a := &c.Load[i]
 		if rapid.IntRange(0, 11).Draw(t, "write") == 0 {
@@ -99,24 +99,24 @@
 		}
 		a.Gap = rapid.IntRange(0, 8).Draw(t, "gap")
 		if rapid.IntRange(0, 9).Draw(t, "leaves") == 0 {
-			a.Leave = rapid.IntRange(1, 30).Draw(t, "after")
+			a.LeaveAfter = rapid.IntRange(1, 30).Draw(t, "after")
 		}
 		if rapid.IntRange(0, 9).Draw(t, "hurries") == 0 {
-			a.Within = rapid.IntRange(5, 400).Draw(t, "within")
+			a.Timeout = rapid.IntRange(5, 400).Draw(t, "within")
 		}
 	}
 	for range rapid.IntRange(2, 7).Draw(t, "troubles") {
-		c.Troubles = append(c.Troubles, trouble{At: rapid.IntRange(0, len(c.Load)-1).Draw(t, "at"), Who: rapid.IntRange(0, c.Boxes+c.Parents-1).Draw(t, "who"),
-			What: rapid.SampledFrom(append([]string{"drain", "return", "restart", "purge", "purge-group"}, faults...)).Draw(t, "what")})
+		c.Disruptions = append(c.Disruptions, disruption{Before: rapid.IntRange(0, len(c.Load)-1).Draw(t, "at"), Target: rapid.IntRange(0, c.Boxes+c.Parents-1).Draw(t, "who"),
+			Kind: rapid.SampledFrom(append([]string{"drain", "return", "restart", "purge", "purge-group"}, faults...)).Draw(t, "what")})
 	}
 	return c
 })
 
-// rig is a case's fleet on sockets, in this process.
-type rig struct {
+// testFleet is a case's fleet on sockets, in this process.
+type testFleet struct {
 	t        testing.TB
 	c        *fleetCase
-	tap      *trafficlog.Writer
+	traffic  *trafficlog.Writer
 	list     *testserver.List
 	origin   *testserver.Server
 	servers  []*testserver.Server // boxes, then parents
@@ -129,26 +129,26 @@
 	client   *http.Client
 }
 
-func start(t testing.TB, c *fleetCase) *rig {
-	r := &rig{t: t, c: c, tap: trafficlog.NewWriter(nil), done: make(chan error, 1), dir: t.TempDir(), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
+func start(t testing.TB, c *fleetCase) *testFleet {
+	r := &testFleet{t: t, c: c, traffic: trafficlog.NewWriter(nil), done: make(chan error, 1), dir: t.TempDir(), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 	var err error
-	if r.list, err = testserver.StartList(testserver.ListConfig{ID: "list"}, r.tap); err != nil {
+	if r.list, err = testserver.StartList(testserver.ListConfig{ID: "list"}, r.traffic); err != nil {
 		t.Fatal(err)
 	}
-	r.origin = r.machine("o", "origin", 1, false)
+	r.origin = r.startServer("o", "origin", 1, false)
 	r.set(engine.Row{ID: "o", Kind: "origin", Zone: "y", Address: r.origin.Addr()}, 0)
 	for i := range c.Boxes + c.Parents {
 		id, role, zone := fmt.Sprint("b", i), "box", "z"
 		if i >= c.Boxes {
 			id, role, zone = fmt.Sprint("p", i), "parent", "y"
 		}
-		s := r.machine(id, role, 1, false)
+		s := r.startServer(id, role, 1, false)
 		r.servers = append(r.servers, s)
 		r.rows = append(r.rows, engine.Row{ID: id, Kind: role, Zone: zone, Address: s.Addr(), Size: 30, Start: 1})
 		r.set(r.rows[i], 0)
 	}
 	r.settings = &config.Settings{}
-	if err := config.Read("test", fmt.Sprintf(text, r.list.Addr(), r.dir, c.Siblings, c.Fill), r.settings); err != nil {
+	if err := config.Read("test", fmt.Sprintf(settingsText, r.list.Addr(), r.dir, c.Siblings, c.Fill), r.settings); err != nil {
 		t.Fatal(err)
 	}
 	log, err := httpfront.NewAccessLog(r.settings)
@@ -159,18 +159,18 @@
 		t.Fatal(err)
 	}
 	go func() { r.done <- r.edge.Run() }()
-	r.until(func(co *engine.Core) bool { _, ok := co.Member("p" + fmt.Sprint(c.Boxes+c.Parents-1)); return ok })
+	r.waitUntil(func(co *engine.Core) bool { _, ok := co.Member("p" + fmt.Sprint(c.Boxes+c.Parents-1)); return ok })
 	return r
 }
 
-func (r *rig) machine(id, role string, start int64, cold bool) *testserver.Server {
+func (r *testFleet) startServer(id, role string, start int64, cold bool) *testserver.Server {
 	up := ""
 	if role == "parent" {
 		up = r.origin.Addr()
 	}
 	s, err := testserver.Start(testserver.Config{ID: id, Role: role, Zone: "z", Upstream: up, Start: start, Cold: cold, Flow: 100, FillWait: 500, Capacity: 30,
 		ColdFrom: 0.2, ColdTime: 18000, Feedback: []string{"inflight"},
-		Classes: []testserver.Class{{Name: "still", KB: 4}, {Name: "film", KB: 20}, {Name: "order", Write: true, Window: 600}}}, r.tap)
+		Classes: []testserver.Class{{Name: "still", KB: 4}, {Name: "film", KB: 20}, {Name: "order", Write: true, Window: 600}}}, r.traffic)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -178,16 +178,16 @@
 	return s
 }
 
-func (r *rig) set(row engine.Row, since float64) { r.list.Set(row, since) }
+func (r *testFleet) set(row engine.Row, since float64) { r.list.Set(row, since) }
 
-func (r *rig) until(ok func(*engine.Core) bool) {
+func (r *testFleet) waitUntil(condition func(*engine.Core) bool) {
 	r.t.Helper()
 	for range 1000 {
-		good := false
-		if err := r.edge.Query(func(_ *httpfront.Stats, c *engine.Core) { good = ok(c) }); err != nil {
+		met := false
+		if err := r.edge.Query(func(_ *httpfront.Stats, c *engine.Core) { met = condition(c) }); err != nil {
 			r.t.Fatal(err)
 		}
-		if good {
+		if met {
 			return
 		}
 		time.Sleep(2 * time.Millisecond)
@@ -195,7 +195,7 @@
 	r.t.Fatal("the router has not heard of the list")
 }
 
-func (r *rig) stop() {
+func (r *testFleet) stop() {
 	r.edge.Stop()
 	if err := <-r.done; err != nil {
 		r.t.Error(err)
@@ -207,32 +207,32 @@
 	r.client.CloseIdleConnections()
 }
 
-func (a *ask) fields() (out [][2]string) {
+func (a *clientRequest) headerFields() (out [][2]string) {
 	if a.Range >= 0 {
 		out = append(out, [2]string{"Range", fmt.Sprintf("bytes=%d-%d", a.Range*16384, a.Range*16384+16383)})
 	}
 	if a.KB > 0 {
 		out = append(out, [2]string{"Spool-KB", fmt.Sprint(a.KB)})
 	}
-	if a.Within > 0 {
-		out = append(out, [2]string{"Spool-Deadline", fmt.Sprint(a.Within)})
+	if a.Timeout > 0 {
+		out = append(out, [2]string{"Spool-Deadline", fmt.Sprint(a.Timeout)})
 	}
 	return out
 }
 
-func (a *ask) method() string {
+func (a *clientRequest) method() string {
 	if strings.HasPrefix(a.Path, "/o/") {
 		return "POST"
 	}
 	return "GET"
 }
 
-// make asks the router, and reads the whole answer.
-func (r *rig) make(a *ask, id string) {
+// send asks the router, and reads the whole answer.
+func (r *testFleet) send(a *clientRequest, id string) {
 	ctx := context.Background()
-	if a.Leave > 0 {
+	if a.LeaveAfter > 0 {
 		var cancel func()
-		ctx, cancel = context.WithTimeout(ctx, time.Duration(a.Leave)*time.Millisecond)
+		ctx, cancel = context.WithTimeout(ctx, time.Duration(a.LeaveAfter)*time.Millisecond)
 		defer cancel()
 	}
 	req, err := http.NewRequestWithContext(ctx, a.method(), "http://"+r.edge.Addr()+a.Path, nil)
@@ -242,7 +242,7 @@
 	}
 	req.Header.Set("X-Request-Id", id)
 	req.Header.Set("Idempotency-Key", id)
-	for _, f := range a.fields() {
+	for _, f := range a.headerFields() {
 		req.Header.Set(f[0], f[1])
 	}
 	if res, err := r.client.Do(req); err == nil {
@@ -251,10 +251,10 @@
 	}
 }
 
-// places are where the sockets saw requests go, by the clients' names of them.
-func (r *rig) places() map[string]endpointcheck.Placement {
+// placements are where the sockets saw requests go, by the clients' names of them.
+func (r *testFleet) placements() map[string]endpointcheck.Placement {
 	out := map[string]endpointcheck.Placement{}
-	for _, rec := range r.tap.Records() {
+	for _, rec := range r.traffic.Records() {
 		if rec.Event != trafficlog.AttemptReceived || rec.ID == "" || rec.Via != "" {
 			continue
 		}
@@ -272,8 +272,8 @@
 	return out
 }
 
-// asker is spool-fleet's router of the same settings and list.
-func (r *rig) asker() *endpointcheck.SimulatedRouter {
+// simulatedRouter is spool-fleet's router of the same settings and list.
+func (r *testFleet) simulatedRouter() *endpointcheck.SimulatedRouter {
 	a, err := endpointcheck.NewSimulatedRouter(r.settings, 1)
 	if err != nil {
 		r.t.Fatal(err)
@@ -283,10 +283,10 @@
 	return a
 }
 
-// classified is the module's request of an ask, by the core.
-func (r *rig) classified(c *engine.Core, a *ask) spool.Request {
+// classify is the module's request of an ask, by the core.
+func (r *testFleet) classify(c *engine.Core, a *clientRequest) spool.Request {
 	msg := a.method() + " " + a.Path + " HTTP/1.1\r\nHost: h\r\n"
-	for _, f := range a.fields() {
+	for _, f := range a.headerFields() {
 		msg += f[0] + ": " + f[1] + "\r\n"
 	}
 	var h http1.Head
@@ -300,46 +300,46 @@
 	return q
 }
 
-// oneByOne asks router and spool-fleet's asker for the same, before and after the
+// compareSequential asks router and spool-fleet's asker for the same, before and after the
 // same change of the list, and has them compared.
-func (r *rig) oneByOne() (compared int) {
-	began := time.Now()
-	a := r.asker()
+func (r *testFleet) compareSequential() (compared int) {
+	start := time.Now()
+	simulated := r.simulatedRouter()
 	want := map[string]endpointcheck.Placement{}
-	held := map[ask]bool{}
-	round := func(name string, list []ask) {
+	requested := map[clientRequest]bool{}
+	sendAll := func(name string, list []clientRequest) {
 		for i := range list {
-			thing := ask{Path: list[i].Path, Range: list[i].Range}
-			if held[thing] { // a hit needs no source
+			key := clientRequest{Path: list[i].Path, Range: list[i].Range}
+			if requested[key] { // a hit needs no source
 				continue
 			}
-			held[thing] = true
+			requested[key] = true
 			id := fmt.Sprint(name, i)
-			r.make(&list[i], id)
-			want[id] = a.Route(r.classified(a.Core(), &list[i]))
+			r.send(&list[i], id)
+			want[id] = simulated.Route(r.classify(simulated.Core(), &list[i]))
 		}
 	}
-	round("first-", r.c.First)
+	sendAll("first-", r.c.BeforeChange)
 	row := engine.Row{}
-	switch ch := r.c.Change; ch.What {
+	switch ch := r.c.MemberChange; ch.Kind {
 	case "add":
-		s := r.machine("b9", "box", 1, false)
+		s := r.startServer("b9", "box", 1, false)
 		row = engine.Row{ID: "b9", Kind: "box", Zone: "z", Address: s.Addr(), Size: 30, Start: 1}
 	default:
-		row = r.rows[ch.Who]
-		row.State = map[string]string{"drain": "draining", "remove": "removed"}[ch.What]
+		row = r.rows[ch.Target]
+		row.State = map[string]string{"drain": "draining", "remove": "removed"}[ch.Kind]
 	}
 	r.set(row, 0)
-	r.until(func(c *engine.Core) bool {
+	r.waitUntil(func(c *engine.Core) bool {
 		m, ok := c.Member(row.ID)
 		return ok && (m.State != spool.Serving) == (row.State != "")
 	})
-	a.Apply(&engine.Update{Rev: 2, Kind: "delta", Members: []engine.Row{row}})
-	round("second-", r.c.Second)
-	if time.Since(began) > 4*time.Second { // a window of the histogram may have closed by its time: no comparison
+	simulated.Apply(&engine.Update{Rev: 2, Kind: "delta", Members: []engine.Row{row}})
+	sendAll("second-", r.c.AfterChange)
+	if time.Since(start) > 4*time.Second { // a window of the histogram may have closed by its time: no comparison
 		return 0
 	}
-	got := r.places()
+	got := r.placements()
 	for id, p := range want {
 		if got[id] != p {
 			r.t.Errorf("spool-fleet: %s goes to %+v; the sockets saw %+v", id, p, got[id])
@@ -349,13 +349,13 @@
 	return compared
 }
 
-// underLoad makes the load, with its troubles.
-func (r *rig) underLoad() {
+// runLoad makes the load, with its troubles.
+func (r *testFleet) runLoad() {
 	var wg sync.WaitGroup
 	for i := range r.c.Load {
-		for _, x := range r.c.Troubles {
-			if x.At == i {
-				r.happen(x)
+		for _, x := range r.c.Disruptions {
+			if x.Before == i {
+				r.disrupt(x)
 			}
 		}
 		a := &r.c.Load[i]
@@ -363,15 +363,15 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			r.make(a, fmt.Sprint("load-", i))
+			r.send(a, fmt.Sprint("load-", i))
 		}()
 	}
 	wg.Wait()
 }
 
-func (r *rig) happen(x trouble) {
-	row := &r.rows[x.Who]
-	switch x.What {
+func (r *testFleet) disrupt(x disruption) {
+	row := &r.rows[x.Target]
+	switch x.Kind {
 	case "drain":
 		row.State = "draining"
 		r.set(*row, 0)
@@ -379,10 +379,10 @@
 		row.State = ""
 		r.set(*row, 0)
 	case "restart": // killed, and back empty on another port
-		r.servers[x.Who].Kill()
+		r.servers[x.Target].Kill()
 		row.Start++
-		r.servers[x.Who] = r.machine(row.ID, row.Kind, row.Start, true)
-		row.Address, row.State = r.servers[x.Who].Addr(), ""
+		r.servers[x.Target] = r.startServer(row.ID, row.Kind, row.Start, true)
+		row.Address, row.State = r.servers[x.Target].Addr(), ""
 		r.set(*row, trafficlog.Now())
 	case "purge":
 		at := r.origin.Purge("/s/1/c1", 0, trafficlog.Now())
@@ -391,21 +391,21 @@
 		at := r.origin.Purge("", 2, trafficlog.Now())
 		r.list.Purge("", 2, at)
 	default:
-		if err := r.servers[x.Who].Fault(testserver.Fault{Kind: x.What, For: 120, Factor: 6, Share: 0.7}); err != nil {
+		if err := r.servers[x.Target].Fault(testserver.Fault{Kind: x.Kind, For: 120, Factor: 6, Share: 0.7}); err != nil {
 			r.t.Error(err)
 		}
 	}
 }
 
-// TestDrift: thousands of requests to generated fleets, one by one and under load
+// TestProgramsAgree: thousands of requests to generated fleets, one by one and under load
 // with troubles, and no program decides otherwise than what the sockets saw.
-func TestDrift(t *testing.T) {
+func TestProgramsAgree(t *testing.T) {
 	n := 30
 	if testing.Short() {
 		n = 4
 	}
 	var mu sync.Mutex
-	total, fleet := Report{}, 0
+	total, placements := Report{}, 0
 	t.Run("cases", func(t *testing.T) {
 		for i := range n {
 			t.Run(fmt.Sprint(i), func(t *testing.T) {
@@ -414,11 +414,11 @@
 				r := start(t, c)
 				compared := 0
 				if c.Siblings == "off" { // else places depend on what caches before still hold
-					compared = r.oneByOne()
+					compared = r.compareSequential()
 				}
-				r.underLoad()
+				r.runLoad()
 				r.stop()
-				rep, err := Check(func() (*journal.Reader, error) { return journal.OpenReader(r.dir) }, r.tap.Records(), Options{Stories: 8, Router: "e1"})
+				rep, err := Check(func() (*journal.Reader, error) { return journal.OpenReader(r.dir) }, r.traffic.Records(), Options{Explanations: 8, Router: "e1"})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -427,14 +427,14 @@
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				fleet += compared
+				placements += compared
 				total.Events, total.Decided, total.Seen, total.Fills = total.Events+rep.Events, total.Decided+rep.Decided, total.Seen+rep.Seen, total.Fills+rep.Fills
 				total.Adapter, total.Replay, total.Explained, total.Asked = total.Adapter+rep.Adapter, total.Replay+rep.Replay, total.Explained+rep.Explained, total.Asked+rep.Asked
 			})
 		}
 	})
-	t.Logf("%d fleets: %d places by spool-fleet, %+v", n, fleet, total)
-	if !t.Failed() && (fleet < 20*n || total.Seen < 50*n || total.Fills < 20*n || total.Explained < 4*n || total.Asked < 4*n) {
-		t.Errorf("too little was compared: %d places, %+v", fleet, total)
+	t.Logf("%d fleets: %d places by spool-fleet, %+v", n, placements, total)
+	if !t.Failed() && (placements < 20*n || total.Seen < 50*n || total.Fills < 20*n || total.Explained < 4*n || total.Asked < 4*n) {
+		t.Errorf("too little was compared: %d places, %+v", placements, total)
 	}
 }
