--- a/internal/testbed/differential/bench.go
+++ b/internal/testbed/differential/bench.go
@@ -10,24 +10,25 @@
 	"indigospool/internal/protocol/simwire"
 )
 
-// adapterClient is the simulator's side of the adapter's wire: what a router was told
-// becomes the simulator's messages, and the adapter's replies become actions. It
-// shares no table with package wire, so that an error there is not made twice.
+// adapterClient implements the simulator's side of the adapter's protocol: it encodes a
+// router's events as messages of the simulator and decodes the adapter's replies into actions.
+// It shares no table with package simwire, so that an error in a table of simwire shows up as a
+// difference.
 type adapterClient struct {
 	input bytes.Buffer
 }
 
 type object = map[string]any
 
-// writeLine writes a batch of one event for an instance.
+// writeLine writes a batch with one message for one instance.
 func (b *adapterClient) writeLine(clock float64, inst int, word string, fields object) error {
 	text, err := json.Marshal(object{"clock": clock, "groups": []any{object{"i": inst, "inbox": []any{object{word: fields}}}}})
 	b.input.Write(append(text, '\n'))
 	return err
 }
 
-// perSecond is a number that a thousandth part of is x, to the last bit where
-// there is one: the wire states rates by the second.
+// perSecond converts a rate per ms to the rate per second that the protocol uses. It returns a
+// number that yields exactly perMs when it is divided by 1000, if there is one.
 func perSecond(perMs float64) float64 {
 	scaled := perMs * 1000
 	for _, candidate := range []float64{scaled, math.Nextafter(scaled, 0), math.Nextafter(scaled, math.Inf(1))} {
@@ -40,7 +41,7 @@
 
 var scopeWords = []string{"off", "cell", "location", "any"} // by spool.Scope
 
-// writeStart starts an instance.
+// writeStart writes the message that starts an instance.
 func (b *adapterClient) writeStart(clock float64, inst int, s *spool.Settings, seed uint64) error {
 	var classes []any
 	var fresh, grace, stale []float64
@@ -92,7 +93,7 @@
 var resultWords = map[spool.Result]string{spool.OK: "ok", spool.Errored: "error", spool.Rejected: "full", spool.TimedOut: "timeout",
 	spool.ConnectFailed: "connect_failed", spool.Reset: "reset", spool.Cancelled: "cancelled", spool.NotSent: "moot", spool.Miss: "miss"}
 
-// writeEvent writes an event.
+// writeEvent writes the message for an event.
 func (b *adapterClient) writeEvent(clock float64, inst int, ev spool.Event) error {
 	orZero := func(s string) any {
 		if s == "" {
@@ -131,15 +132,15 @@
 	case spool.Message:
 		return b.writeLine(clock, inst, "MESSAGE", object{"src": ev.From, "contents": ev.Text})
 	}
-	return fmt.Errorf("drift: the wire has no word for %T", ev)
+	return fmt.Errorf("differential: the adapter's protocol has no message for %T", ev)
 }
 
-// replies has the adapter answer all that was written; the answers stand in the order
-// of the lines.
+// replies runs the adapter on everything that was written and returns the actions of its
+// replies, one entry for each line, in the order of the lines.
 func (b *adapterClient) replies() ([][]spool.Action, error) {
 	var out bytes.Buffer
 	if err := simwire.Serve(&b.input, &out); err != nil {
-		return nil, fmt.Errorf("drift: the adapter: %w", err)
+		return nil, fmt.Errorf("differential: the adapter failed: %w", err)
 	}
 	var replies [][]spool.Action
 	for _, line := range bytes.Split(bytes.TrimRight(out.Bytes(), "\n"), []byte("\n")) {
@@ -152,7 +153,7 @@
 			} `json:"groups"`
 		}
 		if err := json.Unmarshal(line, &reply); err != nil {
-			return nil, fmt.Errorf("drift: the adapter's reply %.80q: %w", line, err)
+			return nil, fmt.Errorf("differential: decoding the adapter's reply %.80q: %w", line, err)
 		}
 		var acts []spool.Action
 		for _, g := range reply.Groups {
@@ -171,7 +172,7 @@
 	return replies, nil
 }
 
-// message holds every field that a reply's message can have.
+// message has the fields of all kinds of messages that a reply can hold.
 type message struct {
 	ID       string  `json:"msg_id"`
 	Rank     int     `json:"rank"`
@@ -207,5 +208,5 @@
 	case "QUERY_ALL":
 		return spool.Fetch{}, nil
 	}
-	return nil, fmt.Errorf("drift: the adapter says %s: %s", word, m.Text)
+	return nil, fmt.Errorf("differential: the adapter replied with an unexpected %s message: %s", word, m.Text)
 }
--- a/internal/testbed/differential/drift.go
+++ b/internal/testbed/differential/drift.go
@@ -1,11 +1,13 @@
-// Package differential compares the programs that share the one engine, with each other
-// and with the sockets: what a router decided, by its journal, must be what passed on the
-// sockets, and what adapter, replay and explain decide when they are given the same
-// events. A program that is wired otherwise is found, whichever it is.
+// Package differential compares the programs that embed the routing engine with each other and
+// with the traffic on the sockets. The decisions that a router recorded in its journal must
+// match the attempts that the test servers received, and the decisions that the adapter, replay
+// and explain make when they are given the same events. A program that passes events to the
+// engine incorrectly shows up as a difference.
 //
-// It decides nothing, and takes no program's word for another's. Scenarios run it on their
-// routers' journals (spool-scenario run --journal); drift_test.go runs it, and
-// spool-fleet's asker, on generated fleets with faults.
+// The package makes no routing decisions of its own and treats no program as the reference for
+// another. Scenarios run it on their routers' journals (spool-scenario run --journal).
+// drift_test.go runs it on generated fleets with faults, and compares spool-fleet's simulated
+// router, too.
 package differential
 
 import (
@@ -23,27 +25,28 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// Report is what was compared, and what differed.
+// Report counts what was compared and lists the differences.
 type Report struct {
-	Events    int `json:"events"`    // of the journal
-	Decided   int `json:"decided"`   // attempts that the journal has
-	Seen      int `json:"seen"`      // of them on sockets, by caches, parents or the origin
-	Fills     int `json:"fills"`     // and fills that those asked a source for
-	Adapter   int `json:"adapter"`   // events whose answers by the adapter were compared
-	Replay    int `json:"replay"`    // and by replay
-	Explained int `json:"explained"` // requests whose stories were
-	Asked     int `json:"asked"`     // and of them, told to explain as requests that never were
-	Lost      int `json:"lost"`      // attempts seen that a killed router's journal had not written yet
-	Unwired   int `json:"unwired"`   // events that the adapter's wire has no word for, and those behind them
+	Events    int `json:"events"`    // events in the journal
+	Decided   int `json:"decided"`   // attempts that the journal has a decision for
+	Seen      int `json:"seen"`      // of these, attempts received by caches, parents or the origin
+	Fills     int `json:"fills"`     // fill requests that they sent to a source
+	Adapter   int `json:"adapter"`   // events for which the adapter's actions were compared
+	Replay    int `json:"replay"`    // events for which replay's actions were compared
+	Explained int `json:"explained"` // requests whose explanations were compared
+	Asked     int `json:"asked"`     // of these, requests that were also explained as hypothetical
+	Lost      int `json:"lost"`      // received attempts that a killed router had not yet written to its journal
+	Unwired   int `json:"unwired"`   // events that the adapter's protocol cannot express, and the events after them
 
 	Different   int      `json:"different"`
-	Differences []string `json:"differences,omitempty"` // the first of them
+	Differences []string `json:"differences,omitempty"` // the first differences, at most maxDifferences
 }
 
 const maxDifferences = 20
 
-// asOnWire is what the simulator's wire can say of actions: there a send is at its cache in
-// no time, and its form has no word for when it must have left. The replay compares that.
+// asOnWire returns the actions without what the simulator's protocol cannot express: in the
+// simulator a send reaches its cache at once, so the message has no field for Within. The
+// comparison with replay covers Within.
 func asOnWire(acts []spool.Action) []spool.Action {
 	out := slices.Clone(acts)
 	for i, a := range out {
@@ -61,35 +64,35 @@
 	}
 }
 
-// OK reports that something was compared and nothing differed.
+// OK reports whether attempts and adapter events were compared and nothing differed.
 func (r *Report) OK() bool { return r.Different == 0 && r.Decided > 0 && r.Seen > 0 && r.Adapter > 0 }
 
-// Options bound a comparison.
+// Options limits a comparison.
 type Options struct {
-	Explanations int // requests that are explained, evenly over the journal; each costs a replay. Default 20
-	Router       string
+	Explanations int    // requests to explain, spread evenly over the journal; each needs a replay; 0 means 20
+	Router       string // the router whose journal it is, by its name in the traffic log; "" matches all
 }
 
-// unwrittenMs is for how long before its end a killed router's records may not have
-// been written yet (a journal hands over every 50 ms), and for how long what it had
-// sent may still arrive, in ms.
+// unwrittenMs is the time around the kill of a router in which attempts may be received that
+// its journal lacks: before the kill, because the journal writes its records every 50 ms only,
+// and after it, because attempts that were already sent may still arrive.
 const unwrittenMs = 400
 
-// attempt names an attempt of a request.
+// attempt identifies an attempt by its request and its number, from 0.
 type attempt struct {
 	id     string
 	number int
 }
 
-// decision is what the journal has of an attempt.
+// decision holds the journal's records of an attempt.
 type decision struct {
 	send   spool.Send
 	done   bool
 	result spool.Result
 }
 
-// Check compares a router's journal with what stand-ins saw of it, and with the
-// other programs. open opens the journal anew for each of them.
+// Check compares a router's journal with the attempts that the test servers received from it,
+// and with the other programs. It calls open for each pass over the journal.
 func Check(open func() (*journal.Reader, error), recs []trafficlog.Record, o Options) (*Report, error) {
 	if o.Explanations <= 0 {
 		o.Explanations = 20
@@ -108,7 +111,7 @@
 	return r, r.compareExplanations(open, journaled, o.Explanations)
 }
 
-// journalRecord is the journal as far as requests go.
+// journalRecord holds the requests and attempts of a journal.
 type journalRecord struct {
 	decided  map[attempt]*decision
 	attempts map[string][]*decision
@@ -118,7 +121,7 @@
 type arrival struct {
 	time    float64
 	request spool.Request
-	first   spool.Action // of this request, at once; nil: it waited
+	first   spool.Action // the first action for the request in its own event; nil if it was queued
 }
 
 func (r *Report) readJournal(open func() (*journal.Reader, error)) (*journalRecord, error) {
@@ -161,7 +164,7 @@
 			if d := journaled.decided[attempt{ev.ID, ev.Attempt}]; d != nil {
 				d.done, d.result = true, ev.Result
 				if d.send.Cache != ev.Cache {
-					r.addDifference("router: attempt %d of %s was sent to %s, and its outcome is of %s", ev.Attempt, ev.ID, d.send.Cache, ev.Cache)
+					r.addDifference("router: attempt %d of %s was sent to %s, but its outcome names %s", ev.Attempt, ev.ID, d.send.Cache, ev.Cache)
 				}
 			}
 		}
@@ -180,7 +183,7 @@
 	return ""
 }
 
-// compareTraffic compares the decided attempts with those that stand-ins saw.
+// compareTraffic compares the decided attempts with those that the test servers received.
 func (r *Report) compareTraffic(journaled *journalRecord, recs []trafficlog.Record, router string) {
 	received := map[attempt]bool{}
 	var kills []float64
@@ -199,21 +202,21 @@
 			if slices.ContainsFunc(kills, func(t float64) bool { return rec.Time > t-unwrittenMs && rec.Time < t+unwrittenMs }) {
 				r.Lost++
 			} else {
-				r.addDifference("sockets: %s saw attempt %d of %s, which no record decides", rec.Subject, rec.Attempt, rec.RouterRequest)
+				r.addDifference("sockets: %s received attempt %d of %s, which the journal does not have", rec.Subject, rec.Attempt, rec.RouterRequest)
 			}
 			continue
 		}
-		if rec.Via != "" { // a fill: asked by the cache, of its source; or by that, of the origin behind it
+		if rec.Via != "" { // a fill, requested by the cache from its source, or by the source from the origin
 			r.Fills++
 			fromSource := rec.Via == d.send.Cache && rec.Subject == d.send.Source
 			fromOrigin := rec.Via == d.send.Source && rec.Role == "origin"
 			if !fromSource && !fromOrigin {
-				r.addDifference("sockets: attempt %d of %s was filled by %s from %s; decided was %s from %s", rec.Attempt, rec.RouterRequest, rec.Via, rec.Subject, d.send.Cache, d.send.Source)
+				r.addDifference("sockets: attempt %d of %s: %s filled from %s; decided was that %s fills from %s", rec.Attempt, rec.RouterRequest, rec.Via, rec.Subject, d.send.Cache, d.send.Source)
 			}
 			continue
 		}
 		if received[attempt{rec.RouterRequest, rec.Attempt}] {
-			r.addDifference("sockets: attempt %d of %s was made twice, the second at %s", rec.Attempt, rec.RouterRequest, rec.Subject)
+			r.addDifference("sockets: attempt %d of %s was received twice, the second time by %s", rec.Attempt, rec.RouterRequest, rec.Subject)
 		}
 		received[attempt{rec.RouterRequest, rec.Attempt}] = true
 		r.Seen++
@@ -222,18 +225,18 @@
 			source = d.send.Source
 		}
 		if rec.Subject != d.send.Cache || rec.Source != source {
-			r.addDifference("sockets: attempt %d of %s came to %s with source %q; decided was %s with %q", rec.Attempt, rec.RouterRequest, rec.Subject, rec.Source, d.send.Cache, source)
+			r.addDifference("sockets: attempt %d of %s was received by %s with source %q; decided was %s with source %q", rec.Attempt, rec.RouterRequest, rec.Subject, rec.Source, d.send.Cache, source)
 		}
 	}
-	for k, d := range journaled.decided { // what was answered has been at a stand-in
+	for k, d := range journaled.decided { // an attempt with an answer must have reached a test server
 		answered := d.done && (d.result == spool.OK || d.result == spool.Miss)
 		if answered && !received[k] {
-			r.addDifference("sockets: attempt %d of %s at %s was answered (result %d), and nobody saw it", k.number, k.id, d.send.Cache, d.result)
+			r.addDifference("sockets: attempt %d of %s at %s was answered (result %d), but no server received it", k.number, k.id, d.send.Cache, d.result)
 		}
 	}
 }
 
-// compareReplay has spool-replay tell a module what the router was told.
+// compareReplay compares the journal's actions with those of replay for the same events.
 func (r *Report) compareReplay(open func() (*journal.Reader, error)) error {
 	j, err := open()
 	if err != nil {
@@ -242,16 +245,16 @@
 	defer j.Close()
 	rep, err := replay.Run(j, &replay.Watcher{After: func(e *journal.Entry, _ *engine.Core, acts []spool.Action) {
 		if r.Replay++; !equalActions(acts, e.Actions) {
-			r.addDifference("replay: record %d at %.3f: %T%+v gives %+v, recorded is %+v", e.Number, e.T, e.Event, e.Event, acts, e.Actions)
+			r.addDifference("replay: record %d at %.3f ms: %T%+v gives %+v, want %+v as recorded", e.Number, e.T, e.Event, e.Event, acts, e.Actions)
 		}
 	}})
 	if err == nil && rep.Different > 0 {
-		r.addDifference("replay: %d of %d answers differ, by its own word", rep.Different, rep.Compared)
+		r.addDifference("replay: its own report has %d differences in %d comparisons", rep.Different, rep.Compared)
 	}
 	return err
 }
 
-// compareAdapter tells the adapter what the router was told.
+// compareAdapter compares the journal's actions with those of the adapter for the same events.
 func (r *Report) compareAdapter(open func() (*journal.Reader, error)) error {
 	j, err := open()
 	if err != nil {
@@ -259,7 +262,7 @@
 	}
 	defer j.Close()
 	var b adapterClient
-	var want []*journal.Entry // of the adapter's lines; nil: a start
+	var want []*journal.Entry // by line of the adapter's input; nil for the start of an instance
 	instance, expressible, clock := -1, false, 0.0
 	for {
 		e, err := j.Next()
@@ -270,16 +273,16 @@
 			return err
 		}
 		switch e.Kind {
-		case journal.KindGap, journal.KindSettings: // the wire can't say that settings change
+		case journal.KindGap, journal.KindSettings: // events are missing, or the protocol cannot express the change of settings
 			expressible = false
 		case journal.KindRouterStart:
 			s := &config.Settings{}
 			if err := config.Read("journal", e.RouterStart.Settings, s); err != nil {
-				return fmt.Errorf("drift: %w", err)
+				return fmt.Errorf("differential: %w", err)
 			}
 			m, err := engine.ModuleSettings(s)
 			if err != nil {
-				return fmt.Errorf("drift: %w", err)
+				return fmt.Errorf("differential: %w", err)
 			}
 			instance++
 			expressible = true
@@ -289,7 +292,7 @@
 			}
 		case journal.KindHandled:
 			switch e.Event.(type) {
-			case spool.Recalled, spool.Retired, spool.Stalled: // nor that one router goes on from another, or that a client is slow
+			case spool.Recalled, spool.Retired, spool.Stalled: // nor a predecessor's state, a handover to a successor or a stalled answer
 				expressible = false
 			}
 			if !expressible {
@@ -311,7 +314,7 @@
 		return err
 	}
 	if len(got) != len(want) {
-		r.addDifference("adapter: %d answers to %d lines", len(got), len(want))
+		r.addDifference("adapter: %d replies to %d lines", len(got), len(want))
 		return nil
 	}
 	for i, e := range want {
@@ -319,7 +322,7 @@
 			continue
 		}
 		if r.Adapter++; !equalActions(got[i], asOnWire(e.Actions)) {
-			r.addDifference("adapter: record %d at %.3f: %T%+v gives %+v, recorded is %+v", e.Number, e.T, e.Event, e.Event, got[i], e.Actions)
+			r.addDifference("adapter: record %d at %.3f ms: %T%+v gives %+v, want %+v as recorded", e.Number, e.T, e.Event, e.Event, got[i], e.Actions)
 		}
 	}
 	return nil
@@ -329,9 +332,10 @@
 	return len(a) == 0 && len(b) == 0 || reflect.DeepEqual(a, b)
 }
 
-// compareExplanations has some requests explained: the story's actions are those recorded, in
-// their order, and what it says was taken is what was sent. And each is told to
-// explain as a request that never was, at the moment before it came.
+// compareExplanations explains count requests, spread over the journal. An explanation must
+// list the recorded sends in their order, and the candidates that it reports as accepted must
+// be the members of these sends. Each request is also explained as a hypothetical request in
+// its own place.
 func (r *Report) compareExplanations(open func() (*journal.Reader, error), journaled *journalRecord, count int) error {
 	step := max(len(journaled.arrivals)/count, 1)
 	for i := 0; i < len(journaled.arrivals); i += step {
@@ -348,7 +352,7 @@
 		}
 		r.Explained++
 		if !s.Equal {
-			r.addDifference("explain: %s: its replay answers otherwise than the router did", one.request.ID)
+			r.addDifference("explain: %s: its replay gives other actions than the router's", one.request.ID)
 		}
 		n := 0
 		for _, st := range s.Steps {
@@ -360,7 +364,7 @@
 			}
 		}
 		if n != len(journaled.attempts[one.request.ID]) {
-			r.addDifference("explain: %s: %d attempts stand in its story, in the journal %d", one.request.ID, n, len(journaled.attempts[one.request.ID]))
+			r.addDifference("explain: %s: the explanation has %d of the attempts, the journal has %d", one.request.ID, n, len(journaled.attempts[one.request.ID]))
 		}
 		if err := r.compareHypothetical(open, &one); err != nil {
 			return err
@@ -369,7 +373,7 @@
 	return nil
 }
 
-// compareChosen compares what a story says was taken with what was sent.
+// compareChosen compares the candidates that an explanation reports as accepted with a send.
 func (r *Report) compareChosen(id string, n int, s *spool.Send, candidates []explain.Candidate) {
 	cache, source := "", ""
 	for _, l := range candidates {
@@ -382,14 +386,15 @@
 		}
 	}
 	if cache != "" && cache != s.Cache {
-		r.addDifference("explain: attempt %d of %s: %s was taken as the cache, and %s was sent to", n, id, cache, s.Cache)
+		r.addDifference("explain: attempt %d of %s: accepted cache is %s, but it was sent to %s", n, id, cache, s.Cache)
 	}
 	if source != "" && source != s.Source && source != s.Cache {
-		r.addDifference("explain: attempt %d of %s: %s was taken as the source, and %s was named", n, id, source, s.Source)
+		r.addDifference("explain: attempt %d of %s: accepted source is %s, but it was sent with source %s", n, id, source, s.Source)
 	}
 }
 
-// compareHypothetical tells explain a request as one that never was.
+// compareHypothetical explains a request as a hypothetical one in place of itself. Its first
+// action must be the recorded one.
 func (r *Report) compareHypothetical(open func() (*journal.Reader, error), one *arrival) error {
 	j, err := open()
 	if err != nil {
@@ -399,7 +404,7 @@
 	s, err := explain.Hypothetical(j, explain.HypotheticalRequest{Class: one.request.Class, Object: one.request.Object, Part: one.request.Part, Group: one.request.Group,
 		KB: one.request.KB, Write: one.request.Write, InPlaceOf: one.request.ID, Timeout: one.request.Deadline - one.time})
 	if err != nil {
-		r.addDifference("explain: as if %s had never been: %v", one.request.ID, err)
+		r.addDifference("explain: %s as a hypothetical request: %v", one.request.ID, err)
 		return nil
 	}
 	r.Asked++
@@ -416,7 +421,7 @@
 		want = explain.ActionText(one.first)
 	}
 	if got != want {
-		r.addDifference("explain: as if %s had never been: %q; it was %q", one.request.ID, got, want)
+		r.addDifference("explain: %s as a hypothetical request gives %q, want %q as recorded", one.request.ID, got, want)
 	}
 	return nil
 }
--- a/internal/testbed/differential/drift_test.go
+++ b/internal/testbed/differential/drift_test.go
@@ -34,25 +34,25 @@
 (route "/r/{object}" (class film) (ranges)) (route "/o/{object}" (class order))
 `
 
-// clientRequest is a request of a client.
+// clientRequest is a request that a client sends to the router.
 type clientRequest struct {
 	Path       string
-	Range      int // part by a Range; -1: none
+	Range      int // which 16 KB of the object to request by a Range header; -1: no header
 	KB         int
-	Timeout    int // its client's own deadline, ms; 0: none
-	LeaveAfter int // its client leaves after so many ms; 0: it stays
-	Gap        int // ms before it
+	Timeout    int // the Spool-Deadline header, ms; 0: no header
+	LeaveAfter int // the client cancels the request after this time, ms; 0: it does not
+	Gap        int // pause before the request, ms
 }
 
-// disruption is something that happens before an ask of the load.
+// disruption is a fault, a change of a member or a purge during the load.
 type disruption struct {
-	Before int
-	Kind   string // of a fault: its kind; or drain, return, restart, purge, purge-group
-	Target int    // of boxes and parents
+	Before int    // index of the request of the load that it precedes
+	Kind   string // the kind of a fault, or drain, return, restart, purge, purge-group
+	Target int    // index of a cache or parent; the caches come first
 }
 
-// fleetCase is a fleet, what is asked of it one after another before and after a
-// change of its list, and a load with troubles.
+// fleetCase is a generated test case: a fleet, the requests to send one after another before
+// and after a change of its endpoint list, and a concurrent load with disruptions.
 type fleetCase struct {
 	Boxes, Parents            int
 	Siblings                  string
@@ -112,7 +112,7 @@
 	return c
 })
 
-// testFleet is a case's fleet on sockets, in this process.
+// testFleet is the fleet of a case: a router and test servers on loopback, in this process.
 type testFleet struct {
 	t        testing.TB
 	c        *fleetCase
@@ -192,7 +192,7 @@
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
-	r.t.Fatal("the router has not heard of the list")
+	r.t.Fatal("the router did not apply the endpoint list within 2 s")
 }
 
 func (r *testFleet) stop() {
@@ -227,7 +227,7 @@
 	return "GET"
 }
 
-// send asks the router, and reads the whole answer.
+// send sends a request to the router and reads the whole response.
 func (r *testFleet) send(a *clientRequest, id string) {
 	ctx := context.Background()
 	if a.LeaveAfter > 0 {
@@ -251,7 +251,7 @@
 	}
 }
 
-// placements are where the sockets saw requests go, by the clients' names of them.
+// placements returns the caches and sources that received the requests, by the clients' request ids.
 func (r *testFleet) placements() map[string]endpointcheck.Placement {
 	out := map[string]endpointcheck.Placement{}
 	for _, rec := range r.traffic.Records() {
@@ -272,7 +272,7 @@
 	return out
 }
 
-// simulatedRouter is spool-fleet's router of the same settings and list.
+// simulatedRouter returns spool-fleet's router with the same settings and endpoint list.
 func (r *testFleet) simulatedRouter() *endpointcheck.SimulatedRouter {
 	a, err := endpointcheck.NewSimulatedRouter(r.settings, 1)
 	if err != nil {
@@ -283,7 +283,7 @@
 	return a
 }
 
-// classify is the module's request of an ask, by the core.
+// classify returns the engine's form of a client's request.
 func (r *testFleet) classify(c *engine.Core, a *clientRequest) spool.Request {
 	msg := a.method() + " " + a.Path + " HTTP/1.1\r\nHost: h\r\n"
 	for _, f := range a.headerFields() {
@@ -300,8 +300,8 @@
 	return q
 }
 
-// compareSequential asks router and spool-fleet's asker for the same, before and after the
-// same change of the list, and has them compared.
+// compareSequential sends the same requests to the router and to spool-fleet's simulated
+// router, before and after the same change of the endpoint list, and compares where they go.
 func (r *testFleet) compareSequential() (compared int) {
 	start := time.Now()
 	simulated := r.simulatedRouter()
@@ -310,7 +310,7 @@
 	sendAll := func(name string, list []clientRequest) {
 		for i := range list {
 			key := clientRequest{Path: list[i].Path, Range: list[i].Range}
-			if requested[key] { // a hit needs no source
+			if requested[key] { // a second request would be a hit, which has no source
 				continue
 			}
 			requested[key] = true
@@ -336,20 +336,20 @@
 	})
 	simulated.Apply(&engine.Update{Rev: 2, Kind: "delta", Members: []engine.Row{row}})
 	sendAll("second-", r.c.AfterChange)
-	if time.Since(start) > 4*time.Second { // a window of the histogram may have closed by its time: no comparison
+	if time.Since(start) > 4*time.Second { // the router's histogram may have closed a window by time, which changes placements
 		return 0
 	}
 	got := r.placements()
 	for id, p := range want {
 		if got[id] != p {
-			r.t.Errorf("spool-fleet: %s goes to %+v; the sockets saw %+v", id, p, got[id])
+			r.t.Errorf("request %s was received at %+v; spool-fleet predicts %+v", id, got[id], p)
 		}
 		compared++
 	}
 	return compared
 }
 
-// runLoad makes the load, with its troubles.
+// runLoad sends the load with its disruptions and waits for all responses.
 func (r *testFleet) runLoad() {
 	var wg sync.WaitGroup
 	for i := range r.c.Load {
@@ -378,7 +378,7 @@
 	case "return":
 		row.State = ""
 		r.set(*row, 0)
-	case "restart": // killed, and back empty on another port
+	case "restart": // killed and started again empty on another port
 		r.servers[x.Target].Kill()
 		row.Start++
 		r.servers[x.Target] = r.startServer(row.ID, row.Kind, row.Start, true)
@@ -397,8 +397,9 @@
 	}
 }
 
-// TestProgramsAgree: thousands of requests to generated fleets, one by one and under load
-// with troubles, and no program decides otherwise than what the sockets saw.
+// TestProgramsAgree sends thousands of requests to generated fleets, first one by one and then
+// as a load with disruptions, and checks that the decisions of every program match the traffic
+// on the sockets.
 func TestProgramsAgree(t *testing.T) {
 	n := 30
 	if testing.Short() {
@@ -413,7 +414,7 @@
 				c := cases.Example(i)
 				r := start(t, c)
 				compared := 0
-				if c.Siblings == "off" { // else places depend on what caches before still hold
+				if c.Siblings == "off" { // otherwise placements depend on which objects the caches still hold
 					compared = r.compareSequential()
 				}
 				r.runLoad()
@@ -433,8 +434,8 @@
 			})
 		}
 	})
-	t.Logf("%d fleets: %d places by spool-fleet, %+v", n, placements, total)
+	t.Logf("%d fleets: %d placements by spool-fleet, %+v", n, placements, total)
 	if !t.Failed() && (placements < 20*n || total.Seen < 50*n || total.Fills < 20*n || total.Explained < 4*n || total.Asked < 4*n) {
-		t.Errorf("too little was compared: %d places, %+v", placements, total)
+		t.Errorf("too few comparisons: %d placements, %+v", placements, total)
 	}
 }
