--- a/cmd/spool-bench/main.go
+++ b/cmd/spool-bench/main.go
@@ -21,13 +21,13 @@
 	root := &cobra.Command{Use: "spool-bench", Short: "Measures the router against other proxies and the machine's limit"}
 	var sizes, conns []int
 	var span time.Duration
-	var proxies, idlers []string
+	var proxies, idleProxies []string
 	var asJSON bool
-	var idle int
-	run := &cobra.Command{Use: "run", Short: "Hits of several sizes over several numbers of connections", Args: cobra.NoArgs,
+	var idleConns int
+	runCmd := &cobra.Command{Use: "run", Short: "Hits of several sizes over several numbers of connections", Args: cobra.NoArgs,
 		Example: "  spool-bench run\n  spool-bench run --kb 1 --conns 64 --proxies spool,fasthttp --span 3s",
 		RunE: func(c *cobra.Command, _ []string) error {
-			child, server, err := begin(c.Context())
+			child, server, err := startServer(c.Context())
 			if err != nil {
 				return err
 			}
@@ -60,50 +60,50 @@
 			}
 			return nil
 		}}
-	run.Flags().IntSliceVar(&sizes, "kb", []int{1, 64, 1024}, "sizes of the objects")
-	run.Flags().IntSliceVar(&conns, "conns", []int{64, 1000}, "numbers of connections")
-	run.Flags().StringSliceVar(&proxies, "proxies", bench.Proxies, "what to measure")
-	run.Flags().DurationVar(&span, "span", 3*time.Second, "for how long, each")
-	run.Flags().BoolVar(&asJSON, "json", false, "print JSON")
-	mem := &cobra.Command{Use: "idle", Short: "Memory of connections that ask once and then nothing", Args: cobra.NoArgs, Example: "  spool-bench idle",
+	runCmd.Flags().IntSliceVar(&sizes, "kb", []int{1, 64, 1024}, "sizes of the objects")
+	runCmd.Flags().IntSliceVar(&conns, "conns", []int{64, 1000}, "numbers of connections")
+	runCmd.Flags().StringSliceVar(&proxies, "proxies", bench.Proxies, "what to measure")
+	runCmd.Flags().DurationVar(&span, "span", 3*time.Second, "for how long, each")
+	runCmd.Flags().BoolVar(&asJSON, "json", false, "print JSON")
+	idleCmd := &cobra.Command{Use: "idle", Short: "Memory of connections that ask once and then nothing", Args: cobra.NoArgs, Example: "  spool-bench idle",
 		RunE: func(c *cobra.Command, _ []string) error {
-			child, server, err := begin(c.Context())
+			child, server, err := startServer(c.Context())
 			if err != nil {
 				return err
 			}
 			defer server.Stop()
-			for _, p := range idlers {
+			for _, p := range idleProxies {
 				m, err := bench.StartChild(c.Context(), child, p, server.Addr)
 				if err != nil {
 					return err
 				}
-				before, after, err := bench.Idle(m, idle)
+				before, after, err := bench.Idle(m, idleConns)
 				m.Stop()
 				if err != nil {
 					return err
 				}
-				fmt.Printf("%-13s %d idle connections: %d KB resident before, %d after: %.2f KB each\n", p, idle, before, after,
-					float64(after-before)/float64(idle))
+				fmt.Printf("%-13s %d idle connections: %d KB resident before, %d after: %.2f KB each\n", p, idleConns, before, after,
+					float64(after-before)/float64(idleConns))
 			}
 			return nil
 		}}
-	mem.Flags().IntVar(&idle, "conns", 10000, "how many")
-	mem.Flags().StringSliceVar(&idlers, "proxies", []string{"spool", "reverseproxy", "fasthttp"}, "what to measure")
+	idleCmd.Flags().IntVar(&idleConns, "conns", 10000, "how many")
+	idleCmd.Flags().StringSliceVar(&idleProxies, "proxies", []string{"spool", "reverseproxy", "fasthttp"}, "what to measure")
 	var overload bench.OverloadOptions
-	var against []string
-	var picture string
+	var overloadProxies []string
+	var plotFile string
 	var cpus int
-	over := &cobra.Command{Use: "overload", Short: "Answers in time from half to four times what a proxy can do, open-loop", Args: cobra.NoArgs,
+	overloadCmd := &cobra.Command{Use: "overload", Short: "Answers in time from half to four times what a proxy can do, open-loop", Args: cobra.NoArgs,
 		Example: "  spool-bench overload --plot overload.svg\n  spool-bench overload --kb 64 --factors 1,4 --span 3s",
 		RunE: func(c *cobra.Command, _ []string) error {
-			var cores *bench.Cores
+			var cores *bench.CPUSplit
 			if cpus > 0 {
 				var err error
-				if cores, err = bench.Divide(cpus); err != nil {
+				if cores, err = bench.SplitCPUs(cpus); err != nil {
 					return err
 				}
 			}
-			child, server, err := begin(c.Context())
+			child, server, err := startServer(c.Context())
 			if err != nil {
 				return err
 			}
@@ -112,14 +112,14 @@
 				fmt.Printf("%-15s %7s %9s %9s %9s %9s %9s %9s %9s %9s %9s %9s\n", "proxy", "factor", "offered", "in time", "least", "most", "late", "refused", "broken", "p50 ms", "p99 ms", "behind ms")
 			}
 			var all []bench.Point
-			for _, p := range against {
+			for _, p := range overloadProxies {
 				m, err := cores.StartChild(c.Context(), child, p, server.Addr)
 				if err != nil {
 					return err
 				}
 				list, err := bench.Overload(c.Context(), m, p, overload, func(q bench.Point) {
 					if !asJSON {
-						fmt.Printf("%-15s %7.2f %9.0f %9.0f %9.0f %9.0f %9.0f %9.0f %9.0f %9.1f %9.1f %9.1f\n", q.Proxy, q.Factor, q.Offered, q.Goodput, q.Least, q.Most, q.Late, q.Refused, q.Broken, q.P50, q.P99, q.Behind)
+						fmt.Printf("%-15s %7.2f %9.0f %9.0f %9.0f %9.0f %9.0f %9.0f %9.0f %9.1f %9.1f %9.1f\n", q.Proxy, q.Factor, q.Offered, q.Goodput, q.Least, q.Most, q.Late, q.Rejected, q.Failed, q.P50, q.P99, q.LoadLag)
 					}
 				})
 				m.Stop()
@@ -128,8 +128,8 @@
 				}
 				all = append(all, list...)
 			}
-			if picture != "" {
-				if err := bench.PlotOverload(all, picture); err != nil {
+			if plotFile != "" {
+				if err := bench.PlotOverload(all, plotFile); err != nil {
 					return err
 				}
 			}
@@ -138,34 +138,34 @@
 			}
 			return nil
 		}}
-	over.Flags().IntVar(&overload.KB, "kb", 256, "size of the object")
-	over.Flags().Float64SliceVar(&overload.Factors, "factors", []float64{0.5, 0.8, 1, 1.5, 2, 3, 4}, "multiples of the capacity")
-	over.Flags().IntVar(&overload.Conns, "conns", 1500, "connections of the load")
-	over.Flags().DurationVar(&overload.Span, "span", 4*time.Second, "for how long, each, after a quarter of it to settle")
-	over.Flags().DurationVar(&overload.Patience, "patience", 500*time.Millisecond, "within which an answer is in time")
-	over.Flags().StringSliceVar(&against, "proxies", []string{"spool-overload", "reverseproxy"}, "what to measure")
-	over.Flags().IntVar(&overload.Rounds, "rounds", 3, "over all factors, one after another; the mean of each counts")
-	over.Flags().IntVar(&cpus, "cpus", 1, "CPUs that are the measured proxy's alone; all else has the others; 0: nothing is divided")
-	over.Flags().StringVar(&picture, "plot", "", "file for the curve: svg, png or pdf")
-	over.Flags().BoolVar(&asJSON, "json", false, "print JSON")
-	var floodConns, budget int
+	overloadCmd.Flags().IntVar(&overload.KB, "kb", 256, "size of the object")
+	overloadCmd.Flags().Float64SliceVar(&overload.Factors, "factors", []float64{0.5, 0.8, 1, 1.5, 2, 3, 4}, "multiples of the capacity")
+	overloadCmd.Flags().IntVar(&overload.Conns, "conns", 1500, "connections of the load")
+	overloadCmd.Flags().DurationVar(&overload.Span, "span", 4*time.Second, "for how long, each, after a quarter of it to settle")
+	overloadCmd.Flags().DurationVar(&overload.Deadline, "patience", 500*time.Millisecond, "within which an answer is in time")
+	overloadCmd.Flags().StringSliceVar(&overloadProxies, "proxies", []string{"spool-overload", "reverseproxy"}, "what to measure")
+	overloadCmd.Flags().IntVar(&overload.Rounds, "rounds", 3, "over all factors, one after another; the mean of each counts")
+	overloadCmd.Flags().IntVar(&cpus, "cpus", 1, "CPUs that are the measured proxy's alone; all else has the others; 0: nothing is divided")
+	overloadCmd.Flags().StringVar(&plotFile, "plot", "", "file for the curve: svg, png or pdf")
+	overloadCmd.Flags().BoolVar(&asJSON, "json", false, "print JSON")
+	var floodConns, budgetMB int
 	var floodSpan time.Duration
-	flood := &cobra.Command{Use: "flood", Short: "Resident memory against the budget while slow clients hold connections", Args: cobra.NoArgs,
+	floodCmd := &cobra.Command{Use: "flood", Short: "Resident memory against the budget while slow clients hold connections", Args: cobra.NoArgs,
 		Example: "  spool-bench flood --conns 10000 --memory-mb 64 --span 5m",
 		RunE: func(c *cobra.Command, _ []string) error {
-			child, server, err := begin(c.Context())
+			child, server, err := startServer(c.Context())
 			if err != nil {
 				return err
 			}
 			defer server.Stop()
-			m, err := bench.StartChild(c.Context(), child, fmt.Sprintf("spool-flood-%d", budget), server.Addr)
+			m, err := bench.StartChild(c.Context(), child, fmt.Sprintf("spool-flood-%d", budgetMB), server.Addr)
 			if err != nil {
 				return err
 			}
 			defer m.Stop()
-			most := int64(0)
+			peakKB := int64(0)
 			before, list, err := bench.Flood(c.Context(), m, floodConns, floodSpan, func(s bench.FloodSample) {
-				if most = max(most, s.RSSKB); s.Second%10 == 0 && !asJSON {
+				if peakKB = max(peakKB, s.RSSKB); s.Second%10 == 0 && !asJSON {
 					fmt.Printf("%4d s  %7d KB resident  %5d users served, %d not\n", s.Second, s.RSSKB, s.Good, s.Bad)
 				}
 			})
@@ -176,31 +176,31 @@
 			for _, s := range list {
 				good, bad = good+s.Good, bad+s.Bad
 			}
-			served, not := int64(0), int64(0) // once those who waste their places are known
+			served, failed := int64(0), int64(0) // once those who waste their places are known
 			for _, s := range list[len(list)*2/3:] {
-				served, not = served+s.Good, not+s.Bad
+				served, failed = served+s.Good, failed+s.Bad
 			}
 			if asJSON {
 				return json.NewEncoder(os.Stdout).Encode(list)
 			}
-			fmt.Printf("budget %d MB: %.1f MB resident before, %.1f at most; %d users served, %d not; in the last third %d and %d\n", budget,
-				float64(before)/1024, float64(most)/1024, good, bad, served, not)
-			if most > int64(budget)<<10 {
-				return fmt.Errorf("the budget of %d MB was passed: %d KB were resident", budget, most)
+			fmt.Printf("budget %d MB: %.1f MB resident before, %.1f at most; %d users served, %d not; in the last third %d and %d\n", budgetMB,
+				float64(before)/1024, float64(peakKB)/1024, good, bad, served, failed)
+			if peakKB > int64(budgetMB)<<10 {
+				return fmt.Errorf("the budget of %d MB was passed: %d KB were resident", budgetMB, peakKB)
 			}
-			if served < 9*not || served == 0 {
-				return fmt.Errorf("in the last third %d users were served, %d were not", served, not)
+			if served < 9*failed || served == 0 {
+				return fmt.Errorf("in the last third %d users were served, %d were not", served, failed)
 			}
 			return nil
 		}}
-	flood.Flags().IntVar(&floodConns, "conns", 10000, "connections: a third reads slowly, a third asks slowly, a third idles")
-	flood.Flags().IntVar(&budget, "memory-mb", 64, "the budget")
-	flood.Flags().DurationVar(&floodSpan, "span", time.Minute, "for how long")
-	flood.Flags().BoolVar(&asJSON, "json", false, "print JSON")
-	var fleets []int
+	floodCmd.Flags().IntVar(&floodConns, "conns", 10000, "connections: a third reads slowly, a third asks slowly, a third idles")
+	floodCmd.Flags().IntVar(&budgetMB, "memory-mb", 64, "the budget")
+	floodCmd.Flags().DurationVar(&floodSpan, "span", time.Minute, "for how long")
+	floodCmd.Flags().BoolVar(&asJSON, "json", false, "print JSON")
+	var fleetSizes []int
 	var versions, rate, windows int
-	var perSecond float64
-	fleet := &cobra.Command{Use: "fleet", Short: "Versions from one control service to many routers' machines, over real streams", Args: cobra.NoArgs,
+	var streamsPerSecond float64
+	fleetCmd := &cobra.Command{Use: "fleet", Short: "Versions from one control service to many routers' machines, over real streams", Args: cobra.NoArgs,
 		Example: "  spool-bench fleet --routers 30,300,1000",
 		RunE: func(c *cobra.Command, _ []string) error {
 			self, err := os.Executable()
@@ -213,28 +213,28 @@
 					"CPU ms/v", "bytes/v/r", "RSS KB", "before KB", "reconnect ms")
 			}
 			for _, full := range []bool{true, false} {
-				for _, n := range fleets {
-					r, err := bench.Fleet(c.Context(), []string{self, "child"}, n, versions, perSecond, full)
+				for _, n := range fleetSizes {
+					r, err := bench.Fleet(c.Context(), []string{self, "child"}, n, versions, streamsPerSecond, full)
 					if err != nil {
 						return err
 					}
 					all = append(all, r)
 					if !asJSON {
-						fmt.Printf("%-6s %7d %9.0f %10.1f %10.1f %10.0f %9.1f %11.0f %9d %9d %12.0f\n", r.Protocol, r.Routers, r.Joined, r.Mean, r.Worst, r.Used,
-							r.CPU, r.Bytes, r.RSS, r.RSSFirst, r.Settled)
+						fmt.Printf("%-6s %7d %9.0f %10.1f %10.1f %10.0f %9.1f %11.0f %9d %9d %12.0f\n", r.Protocol, r.Routers, r.JoinTime, r.ConvergeMean, r.ConvergeWorst, r.ActivateMean,
+							r.CPU, r.Bytes, r.RSS, r.RSSBefore, r.ReconnectTime)
 					}
 				}
 			}
 			if asJSON {
 				return json.NewEncoder(os.Stdout).Encode(all)
 			}
-			fmt.Printf("a version is %d bytes as pushed, and differs from the one before in one member of 129\n", all[0].Body)
+			fmt.Printf("a version is %d bytes as pushed, and differs from the one before in one member of 129\n", all[0].BodyBytes)
 			return nil
 		}}
-	fleet.Flags().IntSliceVar(&fleets, "routers", []int{30, 300, 1000}, "sizes of the fleet")
-	fleet.Flags().Float64Var(&perSecond, "per-second", 500, "streams that may begin in a second")
-	fleet.Flags().IntVar(&versions, "versions", 10, "how many, each after the one before is in use")
-	path := &cobra.Command{Use: "versions", Short: "What requests wait with a version a second and without, in turn", Args: cobra.NoArgs, Example: "  spool-bench versions",
+	fleetCmd.Flags().IntSliceVar(&fleetSizes, "routers", []int{30, 300, 1000}, "sizes of the fleet")
+	fleetCmd.Flags().Float64Var(&streamsPerSecond, "per-second", 500, "streams that may begin in a second")
+	fleetCmd.Flags().IntVar(&versions, "versions", 10, "how many, each after the one before is in use")
+	versionsCmd := &cobra.Command{Use: "versions", Short: "What requests wait with a version a second and without, in turn", Args: cobra.NoArgs, Example: "  spool-bench versions",
 		RunE: func(c *cobra.Command, _ []string) error {
 			self, err := os.Executable()
 			if err != nil {
@@ -250,19 +250,19 @@
 			for i, word := range []string{"without", "with"} {
 				fmt.Printf("%-8s %8d requests, p50 %d us, p99 %d us, p99.9 %d us\n", word, r.Requests[i], r.P50[i], r.P99[i], r.P999[i])
 			}
-			fmt.Printf("%d versions, the last in use %d; %d failed; p99 with to without %.2f; of pairs of windows %.2f\n", r.Versions, r.Run, r.Failed, r.Ratio, r.Ratios)
+			fmt.Printf("%d versions, the last in use %d; %d failed; p99 with to without %.2f; of pairs of windows %.2f\n", r.Versions, r.LastActive, r.Failed, r.Ratio, r.Ratios)
 			return nil
 		}}
-	path.Flags().IntVar(&rate, "rate", 2000, "requests a second")
-	path.Flags().IntVar(&windows, "windows", 6, "windows of each kind")
-	path.Flags().DurationVar(&span, "span", 5*time.Second, "a window")
-	for _, c := range []*cobra.Command{fleet, path} {
+	versionsCmd.Flags().IntVar(&rate, "rate", 2000, "requests a second")
+	versionsCmd.Flags().IntVar(&windows, "windows", 6, "windows of each kind")
+	versionsCmd.Flags().DurationVar(&span, "span", 5*time.Second, "a window")
+	for _, c := range []*cobra.Command{fleetCmd, versionsCmd} {
 		c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	}
 	var fragments, delays, pageConns []int
 	var pageSpan time.Duration
 	var assemblers []string
-	pages := &cobra.Command{Use: "pages", Short: "Pages from fragments: a second, and until the first byte, beside fetching by Go's client", Args: cobra.NoArgs,
+	pagesCmd := &cobra.Command{Use: "pages", Short: "Pages from fragments: a second, and until the first byte, beside fetching by Go's client", Args: cobra.NoArgs,
 		Example: "  spool-bench pages\n  spool-bench pages --fragments 10 --delay 20 --conns 1",
 		RunE: func(c *cobra.Command, _ []string) error {
 			self, err := os.Executable()
@@ -290,7 +290,7 @@
 								server.Stop()
 								return err
 							}
-							fmt.Printf("%-12s %9d %8d %6d %9.0f %12.0f %12d %9d %9d %7d\n", r.By, n, delay, conns, r.PerSecond, r.PerCPU, r.FirstP50, r.P50, r.P99, r.Failed)
+							fmt.Printf("%-12s %9d %8d %6d %9.0f %12.0f %12d %9d %9d %7d\n", r.Assembler, n, delay, conns, r.PerSecond, r.PerCPU, r.FirstP50, r.P50, r.P99, r.Failed)
 						}
 					}
 				}
@@ -298,12 +298,12 @@
 			}
 			return nil
 		}}
-	pages.Flags().IntSliceVar(&fragments, "fragments", []int{1, 10, 50}, "of a page, 1 KB each")
-	pages.Flags().IntSliceVar(&delays, "delay", []int{0, 20}, "ms that the server takes for a fragment")
-	pages.Flags().IntSliceVar(&pageConns, "conns", []int{16}, "numbers of connections")
-	pages.Flags().StringSliceVar(&assemblers, "by", bench.Assemblers, "what to measure")
-	pages.Flags().DurationVar(&pageSpan, "span", 3*time.Second, "for how long, each")
-	child := &cobra.Command{Use: "child NAME BACKEND", Hidden: true, Args: cobra.ExactArgs(2),
+	pagesCmd.Flags().IntSliceVar(&fragments, "fragments", []int{1, 10, 50}, "of a page, 1 KB each")
+	pagesCmd.Flags().IntSliceVar(&delays, "delay", []int{0, 20}, "ms that the server takes for a fragment")
+	pagesCmd.Flags().IntSliceVar(&pageConns, "conns", []int{16}, "numbers of connections")
+	pagesCmd.Flags().StringSliceVar(&assemblers, "by", bench.Assemblers, "what to measure")
+	pagesCmd.Flags().DurationVar(&pageSpan, "span", 3*time.Second, "for how long, each")
+	childCmd := &cobra.Command{Use: "child NAME BACKEND", Hidden: true, Args: cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
 			if file := os.Getenv("SPOOL_BENCH_CPUPROFILE"); file != "" && strings.HasPrefix(args[0], "spool") {
 				f, err := os.Create(file)
@@ -316,14 +316,14 @@
 				}
 				defer pprof.StopCPUProfile()
 			}
-			return bench.Child(args[0], args[1])
+			return bench.RunChild(args[0], args[1])
 		}}
-	root.AddCommand(over, flood, run, mem, fleet, path, pages, child)
+	root.AddCommand(overloadCmd, floodCmd, runCmd, idleCmd, fleetCmd, versionsCmd, pagesCmd, childCmd)
 	cli.Main(root)
 }
 
-// begin starts the server behind the proxies, and says how to start those.
-func begin(ctx context.Context) (child []string, server *bench.Machine, err error) {
+// startServer starts the server behind the proxies, and says how to start those.
+func startServer(ctx context.Context) (child []string, server *bench.Process, err error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, nil, err
--- a/internal/testbed/bench/bench.go
+++ b/internal/testbed/bench/bench.go
@@ -43,13 +43,13 @@
 // Proxies are what can be measured.
 var Proxies = []string{"spool", "reverseproxy", "fasthttp", "relay"}
 
-// Child runs one proxy, or the server behind them, until standard input ends.
+// RunChild runs one proxy, or the server behind them, until standard input ends.
 // Its address is the first line that it prints.
-func Child(name, backend string) error {
+func RunChild(name, backend string) error {
 	// the proxy under test is bounded to the CPUs that the caller set
 	switch name {
 	case "server":
-		return serveHeld()
+		return serveObjects()
 	case "spool":
 		return serveSpool(backend, "", `(class c (deadline 6000))`, "")
 	case "spool-journal": // with a journal of its decisions
@@ -72,9 +72,9 @@
 	case "follower":
 		return serveFollower(backend)
 	case "reverseproxy":
-		return serveReverse(backend)
+		return serveReverseProxy(backend)
 	case "fasthttp":
-		return serveFast(backend)
+		return serveFasthttp(backend)
 	case "relay":
 		return serveRelay(backend)
 	}
@@ -93,10 +93,10 @@
 
 func newReader(c net.Conn) *bufio.Reader { return bufio.NewReaderSize(c, 16<<10) }
 
-func untilOrphaned() { io.Copy(io.Discard, os.Stdin) }
+func waitUntilOrphaned() { io.Copy(io.Discard, os.Stdin) }
 
-// serveHeld answers /s/0/KB with so many KB, as a cache that holds them, by fasthttp.
-func serveHeld() error {
+// serveObjects answers /s/0/KB with so many KB, as a cache that holds them, by fasthttp.
+func serveObjects() error {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -112,22 +112,22 @@
 		}
 		b, ok := bodies.Load(kb)
 		if !ok {
-			made := make([]byte, kb<<10)
-			testserver.Content(made, path, 1, 0)
-			b, _ = bodies.LoadOrStore(kb, made)
+			body := make([]byte, kb<<10)
+			testserver.Content(body, path, 1, 0)
+			b, _ = bodies.LoadOrStore(kb, body)
 		}
 		ctx.Response.Header.Set("Cache-Status", `"b"; hit`)
 		ctx.SetContentType("application/octet-stream")
 		ctx.Response.SetBodyRaw(b.([]byte))
 	})
-	untilOrphaned()
+	waitUntilOrphaned()
 	return nil
 }
 
-func serveSpool(backend, more, class, limits string) error {
+func serveSpool(backend, routerSettings, class, limits string) error {
 	text := fmt.Sprintf(`(router (zone z) (listen "127.0.0.1:0") (log none) %s)
 		(limits (upstream 4096) (connections-per-address 20000) %s) (fill (flow 1000)) %s (route "/s/{group}/{object}" (class c))
-		(member b (zone z) (address %q))`, more, limits, class, backend)
+		(member b (zone z) (address %q))`, routerSettings, limits, class, backend)
 	var s config.Settings
 	if err := config.Read("bench", text, &s); err != nil {
 		return err
@@ -141,12 +141,12 @@
 	if err != nil {
 		return err
 	}
-	go func() { untilOrphaned(); e.Stop() }()
+	go func() { waitUntilOrphaned(); e.Stop() }()
 	fmt.Println(e.Addr())
 	return e.Run()
 }
 
-func serveReverse(backend string) error {
+func serveReverseProxy(backend string) error {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -156,11 +156,11 @@
 	p.Transport = &http.Transport{MaxIdleConnsPerHost: 4096, MaxIdleConns: 4096, DisableCompression: true}
 	fmt.Println(ln.Addr())
 	go http.Serve(ln, p)
-	untilOrphaned()
+	waitUntilOrphaned()
 	return nil
 }
 
-func serveFast(backend string) error {
+func serveFasthttp(backend string) error {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -175,7 +175,7 @@
 		}
 		ctx.Response.Header.Del("Connection")
 	})
-	untilOrphaned()
+	waitUntilOrphaned()
 	return nil
 }
 
@@ -207,7 +207,7 @@
 	if err := listener.Start(l, fd); err != nil {
 		return err
 	}
-	go func() { untilOrphaned(); l.Stop() }()
+	go func() { waitUntilOrphaned(); l.Stop() }()
 	fmt.Println(ln.Addr())
 	return l.Run()
 }
@@ -218,12 +218,12 @@
 	buf []byte
 }
 
-// side is one end of a pair: what is read here goes out at the other.
-type side struct {
-	r     *relay
-	fd    int
-	other *side
-	wait  []byte // read from the other, not yet written here
+// relayEnd is one end of a pair: what is read here goes out at the other.
+type relayEnd struct {
+	r       *relay
+	fd      int
+	peer    *relayEnd
+	pending []byte // read from the other, not yet written here
 }
 
 func (r *relay) pair(c int) {
@@ -238,16 +238,16 @@
 		return
 	}
 	unix.SetNonblock(u, true)
-	a, b := &side{r: r, fd: c}, &side{r: r, fd: u}
-	a.other, b.other = b, a
-	for _, s := range []*side{a, b} {
+	a, b := &relayEnd{r: r, fd: c}, &relayEnd{r: r, fd: u}
+	a.peer, b.peer = b, a
+	for _, s := range []*relayEnd{a, b} {
 		unix.SetsockoptInt(s.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 		r.l.Add(s.fd, eventloop.Read, s)
 	}
 }
 
-func (s *side) close() {
-	for _, x := range []*side{s, s.other} {
+func (s *relayEnd) close() {
+	for _, x := range []*relayEnd{s, s.peer} {
 		if x.fd >= 0 {
 			s.r.l.Remove(x.fd)
 			unix.Close(x.fd)
@@ -256,19 +256,19 @@
 	}
 }
 
-func (s *side) OnReady(r eventloop.Ready) {
-	if r.Writable() && len(s.wait) > 0 {
-		n, err := s.r.l.Write(s.fd, s.wait)
+func (s *relayEnd) OnReady(r eventloop.Ready) {
+	if r.Writable() && len(s.pending) > 0 {
+		n, err := s.r.l.Write(s.fd, s.pending)
 		if err != nil && !eventloop.Retryable(err) {
 			s.close()
 			return
 		}
-		if s.wait = s.wait[n:]; len(s.wait) == 0 {
+		if s.pending = s.pending[n:]; len(s.pending) == 0 {
 			s.r.l.Want(s.fd, eventloop.Read)
-			s.r.l.Want(s.other.fd, eventloop.Read)
+			s.r.l.Want(s.peer.fd, eventloop.Read)
 		}
 	}
-	if !r.Readable() || len(s.other.wait) > 0 {
+	if !r.Readable() || len(s.peer.pending) > 0 {
 		return
 	}
 	n, err := s.r.l.Read(s.fd, s.r.buf)
@@ -279,14 +279,14 @@
 		s.close()
 		return
 	}
-	m, err := s.r.l.Write(s.other.fd, s.r.buf[:n])
+	m, err := s.r.l.Write(s.peer.fd, s.r.buf[:n])
 	if err != nil && !eventloop.Retryable(err) {
 		s.close()
 		return
 	}
 	if m < n {
-		s.other.wait = append([]byte(nil), s.r.buf[m:n]...)
-		s.r.l.Want(s.other.fd, eventloop.Read|eventloop.Write)
+		s.peer.pending = append([]byte(nil), s.r.buf[m:n]...)
+		s.r.l.Want(s.peer.fd, eventloop.Read|eventloop.Write)
 		s.r.l.Want(s.fd, 0)
 	}
 }
@@ -305,20 +305,20 @@
 	Failed    int64   `json:"failed"`
 }
 
-// Machine is a running child.
-type Machine struct {
+// Process is a running child.
+type Process struct {
 	Addr string
 	cmd  *exec.Cmd
 	in   io.Closer
 }
 
 // StartChild runs a proxy or the server as a process.
-func StartChild(ctx context.Context, self []string, name, backend string) (*Machine, error) {
-	return (*Cores)(nil).StartChild(ctx, self, name, backend)
+func StartChild(ctx context.Context, self []string, name, backend string) (*Process, error) {
+	return (*CPUSplit)(nil).StartChild(ctx, self, name, backend)
 }
 
 // StartChild runs a proxy as a process on its CPUs.
-func (cores *Cores) StartChild(ctx context.Context, self []string, name, backend string) (*Machine, error) {
+func (cores *CPUSplit) StartChild(ctx context.Context, self []string, name, backend string) (*Process, error) {
 	cmd := exec.CommandContext(ctx, self[0], append(append([]string{}, self[1:]...), name, backend)...)
 	cmd.Stderr = os.Stderr
 	in, err := cmd.StdinPipe()
@@ -338,11 +338,11 @@
 		cmd.Wait()
 		return nil, fmt.Errorf("bench: %s did not start: %w", name, err)
 	}
-	return &Machine{Addr: strings.TrimSpace(line), cmd: cmd, in: in}, nil
+	return &Process{Addr: strings.TrimSpace(line), cmd: cmd, in: in}, nil
 }
 
 // Stop ends it.
-func (m *Machine) Stop() {
+func (m *Process) Stop() {
 	m.in.Close()
 	done := make(chan struct{})
 	go func() { m.cmd.Wait(); close(done) }()
@@ -354,8 +354,8 @@
 	}
 }
 
-// cpu is the CPU time, and the resident memory in KB, of the child.
-func (m *Machine) cpu() (time.Duration, int64, error) {
+// usage is the CPU time, and the resident memory in KB, of the child.
+func (m *Process) usage() (time.Duration, int64, error) {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", m.cmd.Process.Pid))
 	if err != nil {
 		return 0, 0, err
@@ -373,7 +373,7 @@
 
 // Load makes requests for an object of so many KB over so many connections,
 // each of which asks again as soon as it has its answer.
-func Load(ctx context.Context, m *Machine, proxy string, kb, conns int, span time.Duration) (Result, error) {
+func Load(ctx context.Context, m *Process, proxy string, kb, conns int, span time.Duration) (Result, error) {
 	r := Result{Proxy: proxy, KB: kb, Conns: conns}
 	req := []byte(fmt.Sprintf("GET /s/0/%d HTTP/1.1\r\nHost: bench\r\nUser-Agent: spool-bench\r\nAccept: */*\r\n\r\n", kb))
 	var stop atomic.Bool
@@ -394,24 +394,24 @@
 			}
 			defer c.Close()
 			<-begin
-			own := hdrhistogram.New(1, 60_000_000, 3)
+			local := hdrhistogram.New(1, 60_000_000, 3)
 			br := newReader(c)
 			for !stop.Load() {
-				at := time.Now()
-				c.SetDeadline(at.Add(30 * time.Second))
+				start := time.Now()
+				c.SetDeadline(start.Add(30 * time.Second))
 				if _, err := c.Write(req); err != nil {
 					failed.Add(1)
 					break
 				}
-				if err := readAnswer(br, int64(kb)<<10); err != nil {
+				if err := readOKResponse(br, int64(kb)<<10); err != nil {
 					failed.Add(1)
 					break
 				}
-				own.RecordValue(time.Since(at).Microseconds())
+				local.RecordValue(time.Since(start).Microseconds())
 				count.Add(1)
 			}
 			mu.Lock()
-			hist.Merge(own)
+			hist.Merge(local)
 			mu.Unlock()
 		}()
 	}
@@ -430,7 +430,7 @@
 	time.Sleep(span / 5) // to warm up
 	hist.Reset()
 	n0 := count.Load()
-	cpu0, _, err := m.cpu()
+	cpu0, _, err := m.usage()
 	if err != nil {
 		return r, err
 	}
@@ -440,23 +440,23 @@
 	case <-ctx.Done():
 	}
 	r.Requests = count.Load() - n0
-	cpu1, rss, err := m.cpu()
-	took := time.Since(at).Seconds()
+	cpu1, rss, err := m.usage()
+	elapsed := time.Since(at).Seconds()
 	stop.Store(true)
 	wg.Wait()
 	if err != nil {
 		return r, err
 	}
-	r.PerSecond = float64(r.Requests) / took
+	r.PerSecond = float64(r.Requests) / elapsed
 	r.PerCPU = float64(r.Requests) / max((cpu1-cpu0).Seconds(), 0.01)
 	r.RSSKB, r.Failed = rss, failed.Load()
 	r.P50us, r.P99us = hist.ValueAtQuantile(50), hist.ValueAtQuantile(99)
 	return r, nil
 }
 
-// readAnswer reads one 200 of a known size; it does as little as it can, since
+// readOKResponse reads one 200 of a known size; it does as little as it can, since
 // the load must not be what limits.
-func readAnswer(br *bufio.Reader, size int64) error {
+func readOKResponse(br *bufio.Reader, size int64) error {
 	first := true
 	for {
 		line, err := br.ReadSlice('\n')
@@ -477,36 +477,36 @@
 
 // Idle opens so many connections that ask once and then nothing, and returns
 // the resident KB before and after.
-func Idle(m *Machine, conns int) (before, after int64, err error) {
+func Idle(m *Process, conns int) (before, after int64, err error) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil && limit.Cur < uint64(conns)+100 {
 		limit.Cur = min(limit.Max, uint64(conns)+1000)
 		syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit)
 	}
-	if _, before, err = m.cpu(); err != nil {
+	if _, before, err = m.usage(); err != nil {
 		return 0, 0, err
 	}
-	list := make([]net.Conn, 0, conns)
+	open := make([]net.Conn, 0, conns)
 	defer func() {
-		for _, c := range list {
+		for _, c := range open {
 			c.Close()
 		}
 	}()
 	for range conns {
 		c, err := net.Dial("tcp4", m.Addr)
 		if err != nil {
-			return before, 0, fmt.Errorf("bench: connection %d: %w", len(list), err)
+			return before, 0, fmt.Errorf("bench: connection %d: %w", len(open), err)
 		}
-		list = append(list, c)
+		open = append(open, c)
 		c.SetDeadline(time.Now().Add(10 * time.Second))
 		if _, err := c.Write([]byte("GET /s/0/1 HTTP/1.1\r\nHost: bench\r\n\r\n")); err != nil {
 			return before, 0, err
 		}
-		if err := readAnswer(bufio.NewReader(c), 1024); err != nil {
+		if err := readOKResponse(bufio.NewReader(c), 1024); err != nil {
 			return before, 0, err
 		}
 	}
 	time.Sleep(time.Second)
-	_, after, err = m.cpu()
+	_, after, err = m.usage()
 	return before, after, err
 }
--- a/internal/testbed/bench/cores.go
+++ b/internal/testbed/bench/cores.go
@@ -10,13 +10,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// Cores divides the machine between the proxy that is measured and all else, so that
+// CPUSplit divides the machine between the proxy that is measured and all else, so that
 // it is the proxy that reaches its limit first, and the load keeps its rate.
-type Cores struct{ proxy, rest unix.CPUSet }
+type CPUSplit struct{ proxy, rest unix.CPUSet }
 
-// Divide keeps n CPUs for proxies and moves this process to the others, and with it
+// SplitCPUs keeps n CPUs for proxies and moves this process to the others, and with it
 // what it starts but for proxies.
-func Divide(n int) (*Cores, error) {
+func SplitCPUs(n int) (*CPUSplit, error) {
 	var all unix.CPUSet
 	if err := unix.SchedGetaffinity(0, &all); err != nil {
 		return nil, fmt.Errorf("bench: sched_getaffinity: %w", err)
@@ -24,7 +24,7 @@
 	if all.Count() <= n {
 		return nil, fmt.Errorf("bench: %d CPUs for the proxy leave none of %d for the load; ask for fewer, or for 0 to divide nothing", n, all.Count())
 	}
-	c := &Cores{}
+	c := &CPUSplit{}
 	for cpu := 0; c.proxy.Count()+c.rest.Count() < all.Count(); cpu++ {
 		switch {
 		case !all.IsSet(cpu):
@@ -49,7 +49,7 @@
 }
 
 // start starts a proxy on its CPUs; a child has those of the thread that makes it.
-func (c *Cores) start(cmd *exec.Cmd) error {
+func (c *CPUSplit) start(cmd *exec.Cmd) error {
 	if c == nil {
 		return cmd.Start()
 	}
--- a/internal/testbed/bench/fleet.go
+++ b/internal/testbed/bench/fleet.go
@@ -28,19 +28,19 @@
 
 // FleetResult is what one size of a fleet was measured to do.
 type FleetResult struct {
-	Routers  int     `json:"routers"`
-	Protocol string  `json:"protocol"`
-	Versions int     `json:"versions"`
-	Body     int     `json:"body_bytes"`
-	Joined   float64 `json:"join_ms"`            // until all have the first version, at the service's pace of streams
-	Mean     float64 `json:"converge_mean_ms"`   // from a push to all at once until the last machine has accepted it
-	Worst    float64 `json:"converge_worst_ms"`  //
-	Used     float64 `json:"used_mean_ms"`       // until the last machine runs it, with its spread of 1 s
-	CPU      float64 `json:"cpu_ms_per_version"` // of the service's process
-	RSS      int64   `json:"rss_kb"`             // of it, at the end
-	RSSFirst int64   `json:"rss_before_kb"`      // and before the first stream
-	Bytes    float64 `json:"bytes_per_router"`   // a version, as sent, without HTTP/2's own
-	Settled  float64 `json:"reconnect_ms"`       // until all are level again after the service was killed and started
+	Routers       int     `json:"routers"`
+	Protocol      string  `json:"protocol"`
+	Versions      int     `json:"versions"`
+	BodyBytes     int     `json:"body_bytes"`
+	JoinTime      float64 `json:"join_ms"`            // until all have the first version, at the service's pace of streams
+	ConvergeMean  float64 `json:"converge_mean_ms"`   // from a push to all at once until the last machine has accepted it
+	ConvergeWorst float64 `json:"converge_worst_ms"`  //
+	ActivateMean  float64 `json:"used_mean_ms"`       // until the last machine runs it, with its spread of 1 s
+	CPU           float64 `json:"cpu_ms_per_version"` // of the service's process
+	RSS           int64   `json:"rss_kb"`             // of it, at the end
+	RSSBefore     int64   `json:"rss_before_kb"`      // and before the first stream
+	Bytes         float64 `json:"bytes_per_router"`   // a version, as sent, without HTTP/2's own
+	ReconnectTime float64 `json:"reconnect_ms"`       // until all are level again after the service was killed and started
 }
 
 // serveControl is the service as a child: its listener for operators is told
@@ -48,7 +48,7 @@
 func serveControl(store string) error {
 	var s service.Settings
 	if err := config.Read("bench", fmt.Sprintf(`(service (name bench) (listen "127.0.0.1:0") (admin "127.0.0.1:0") (store %q)
-		(streams 10000) (per-second %s)) (checks (box-churn 1) (parent-churn 1))`, store, cmp.Or(os.Getenv(paceEnv), "500")), &s); err != nil {
+		(streams 10000) (per-second %s)) (checks (box-churn 1) (parent-churn 1))`, store, cmp.Or(os.Getenv(streamRateEnv), "500")), &s); err != nil {
 		return err
 	}
 	if old := os.Getenv(addressEnv); old != "" {
@@ -61,17 +61,17 @@
 		return err
 	}
 	fmt.Printf("%s %s\n", svc.Addr(), svc.AdminAddr())
-	untilOrphaned()
+	waitUntilOrphaned()
 	svc.Close()
 	return nil
 }
 
-const paceEnv = "SPOOL_BENCH_STREAMS"      // that may begin in a second
-const addressEnv = "SPOOL_BENCH_ADDRESSES" // where a service that starts again is to listen
+const streamRateEnv = "SPOOL_BENCH_STREAMS" // that may begin in a second
+const addressEnv = "SPOOL_BENCH_ADDRESSES"  // where a service that starts again is to listen
 
-// fleetText is settings of a size that users have: 120 caches in 24 zones, 8
+// fleetSettings is settings of a size that users have: 120 caches in 24 zones, 8
 // parents at 4 hubs.
-func fleetText(size float64) []byte {
+func fleetSettings(size float64) []byte {
 	var b strings.Builder
 	b.WriteString("(router (of 100000))(fill (sizes) (siblings location))")
 	for _, k := range []string{"still", "film", "thumb", "order"} {
@@ -98,12 +98,14 @@
 	return []byte(b.String())
 }
 
-type received struct{ n atomic.Int64 }
+type receivedBytes struct{ n atomic.Int64 }
 
-func (c *received) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context   { return ctx }
-func (c *received) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
-func (c *received) HandleConn(context.Context, stats.ConnStats)                       {}
-func (c *received) HandleRPC(_ context.Context, s stats.RPCStats) {
+func (c *receivedBytes) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
+func (c *receivedBytes) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context {
+	return ctx
+}
+func (c *receivedBytes) HandleConn(context.Context, stats.ConnStats) {}
+func (c *receivedBytes) HandleRPC(_ context.Context, s stats.RPCStats) {
 	if p, ok := s.(*stats.InPayload); ok {
 		c.n.Add(int64(p.WireLength))
 	}
@@ -123,8 +125,8 @@
 	}
 	defer os.RemoveAll(dir)
 	store := filepath.Join(dir, "c.db")
-	os.Setenv(paceEnv, fmt.Sprint(perSecond))
-	defer os.Unsetenv(paceEnv)
+	os.Setenv(streamRateEnv, fmt.Sprint(perSecond))
+	defer os.Unsetenv(streamRateEnv)
 	m, err := StartChild(ctx, self, "control", store)
 	if err != nil {
 		return r, err
@@ -134,17 +136,17 @@
 	if _, err := fmt.Sscan(m.Addr, &addr, &admin); err != nil {
 		return r, err
 	}
-	if _, r.RSSFirst, err = m.cpu(); err != nil {
+	if _, r.RSSBefore, err = m.usage(); err != nil {
 		return r, err
 	}
 	push := func(size float64) (n int64, err error) {
-		n, err = service.AdminPush(ctx, admin, fleetText(size), true)
+		n, err = service.AdminPush(ctx, admin, fleetSettings(size), true)
 		return n, err
 	}
 	if _, err := push(10); err != nil {
 		return r, err
 	}
-	var got received
+	var got receivedBytes
 	agents := make([]*service.Agent, routers)
 	began := time.Now()
 	for i := range agents {
@@ -160,7 +162,7 @@
 		}
 		wg.Wait()
 	}()
-	wait := func(what string, n func(service.AgentStatus) int64, number int64) (time.Duration, error) {
+	waitAll := func(what string, n func(service.AgentStatus) int64, number int64) (time.Duration, error) {
 		from := time.Now()
 		for i := 0; i < len(agents); {
 			if n(agents[i].Status()) >= number {
@@ -176,11 +178,11 @@
 	}
 	accepted := func(s service.AgentStatus) int64 { return s.Accepted }
 	running := func(s service.AgentStatus) int64 { return s.Running }
-	if _, err := wait("use", running, 1); err != nil {
+	if _, err := waitAll("use", running, 1); err != nil {
 		return r, err
 	}
-	r.Joined = ms(time.Since(began))
-	cpu0, _, err := m.cpu()
+	r.JoinTime = ms(time.Since(began))
+	cpu0, _, err := m.usage()
 	if err != nil {
 		return r, err
 	}
@@ -191,30 +193,30 @@
 		if err != nil {
 			return r, err
 		}
-		if _, err := wait("acceptance", accepted, n); err != nil {
+		if _, err := waitAll("acceptance", accepted, n); err != nil {
 			return r, err
 		}
 		took := ms(time.Since(at))
-		r.Mean += took / float64(versions)
-		r.Worst = max(r.Worst, took)
-		if _, err := wait("use", running, n); err != nil {
+		r.ConvergeMean += took / float64(versions)
+		r.ConvergeWorst = max(r.ConvergeWorst, took)
+		if _, err := waitAll("use", running, n); err != nil {
 			return r, err
 		}
-		r.Used += ms(time.Since(at)) / float64(versions)
+		r.ActivateMean += ms(time.Since(at)) / float64(versions)
 	}
-	cpu1, rss, err := m.cpu()
+	cpu1, rss, err := m.usage()
 	if err != nil {
 		return r, err
 	}
 	r.RSS, r.CPU = rss, ms(cpu1-cpu0)/float64(versions)
 	r.Bytes = float64(got.n.Load()) / float64(versions) / float64(routers)
-	r.Body = len(fleetText(11))
+	r.BodyBytes = len(fleetSettings(11))
 	m.cmd.Process.Kill()
 	m.cmd.Wait()
 	os.Setenv(addressEnv, m.Addr)
 	defer os.Unsetenv(addressEnv)
 	for range 50 {
-		var next *Machine
+		var next *Process
 		if next, err = StartChild(ctx, self, "control", store); err == nil {
 			m = next
 			break
@@ -229,8 +231,8 @@
 	if err != nil {
 		return r, err
 	}
-	_, err = wait("acceptance after the restart", accepted, n)
-	r.Settled = ms(time.Since(at))
+	_, err = waitAll("acceptance after the restart", accepted, n)
+	r.ReconnectTime = ms(time.Since(at))
 	return r, err
 }
 
@@ -261,7 +263,7 @@
 		return err
 	}
 	defer end()
-	go func() { untilOrphaned(); e.Stop() }()
+	go func() { waitUntilOrphaned(); e.Stop() }()
 	go func() {
 		if e.Ready() == nil {
 			fmt.Println(e.Addr())
@@ -270,9 +272,9 @@
 	return e.Run()
 }
 
-// followerText is settings for the router before the bench's server, with as many
+// followerSettings is settings for the router before the bench's server, with as many
 // other members as users have.
-func followerText(backend string, n int) []byte {
+func followerSettings(backend string, n int) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, `(router (of 2)) (zone z (routers 2)) (zone far) (limits (upstream 4096) (connections-per-address 20000) (held %d)) (fill (flow 1000))
 		(class c (deadline 6000)) (route "/s/{group}/{object}" (class c)) (member b (zone z) (address %q))`, 20000+n, backend)
@@ -285,16 +287,16 @@
 // VersionsResult is what requests waited in windows with a version a second and
 // in those without, in turn.
 type VersionsResult struct {
-	Windows  int       `json:"windows"` // of each
-	Versions int       `json:"versions"`
-	Requests [2]int    `json:"requests"` // without, with
-	P50      [2]int64  `json:"p50_us"`
-	P99      [2]int64  `json:"p99_us"`
-	P999     [2]int64  `json:"p999_us"`
-	Ratio    float64   `json:"p99_ratio"`
-	Ratios   []float64 `json:"p99_ratios"` // window by window
-	Failed   int64     `json:"failed"`
-	Run      int64     `json:"last_version_run"`
+	Windows    int       `json:"windows"` // of each
+	Versions   int       `json:"versions"`
+	Requests   [2]int    `json:"requests"` // without, with
+	P50        [2]int64  `json:"p50_us"`
+	P99        [2]int64  `json:"p99_us"`
+	P999       [2]int64  `json:"p999_us"`
+	Ratio      float64   `json:"p99_ratio"`
+	Ratios     []float64 `json:"p99_ratios"` // window by window
+	Failed     int64     `json:"failed"`
+	LastActive int64     `json:"last_version_run"`
 }
 
 // Versions has clients ask a router at a fixed rate, open-loop, in windows with a
@@ -323,7 +325,7 @@
 	number := 0
 	push := func() (int64, error) {
 		number++
-		return service.AdminPush(ctx, admin, followerText(server.Addr, number), true)
+		return service.AdminPush(ctx, admin, followerSettings(server.Addr, number), true)
 	}
 	if _, err := push(); err != nil {
 		return r, err
@@ -339,19 +341,19 @@
 		hists[i] = hdrhistogram.New(1, 60_000_000, 3)
 	}
 	var p99 [2][]int64
-	if _, failed, err := paced(ctx, router.Addr, perSecond, window/4); err != nil { // to warm up
+	if _, failed, err := loadAtRate(ctx, router.Addr, perSecond, window/4); err != nil { // to warm up
 		return r, errors.Join(err, fmt.Errorf("bench: %d failed", failed))
 	}
 	for w := range 2 * windows {
-		with := w % 2
+		updating := w % 2
 		if w/2%2 == 1 {
-			with = 1 - with // now one first, now the other
+			updating = 1 - updating // now one first, now the other
 		}
 		stop := make(chan struct{})
 		pushed := make(chan error, 1)
 		go func() {
 			var err error
-			for t := time.NewTicker(time.Second); with == 1 && err == nil; {
+			for t := time.NewTicker(time.Second); updating == 1 && err == nil; {
 				select {
 				case <-t.C:
 					_, err = push()
@@ -364,14 +366,14 @@
 			}
 			pushed <- err
 		}()
-		h, failed, err := paced(ctx, router.Addr, perSecond, window)
+		h, failed, err := loadAtRate(ctx, router.Addr, perSecond, window)
 		close(stop)
 		if err := errors.Join(err, <-pushed); err != nil {
 			return r, err
 		}
 		r.Failed += failed
-		hists[with].Merge(h)
-		p99[with] = append(p99[with], h.ValueAtQuantile(99))
+		hists[updating].Merge(h)
+		p99[updating] = append(p99[updating], h.ValueAtQuantile(99))
 	}
 	for i, h := range hists {
 		r.Requests[i], r.P50[i], r.P99[i], r.P999[i] = int(h.TotalCount()), h.ValueAtQuantile(50), h.ValueAtQuantile(99), h.ValueAtQuantile(99.9)
@@ -383,14 +385,14 @@
 	sort.Float64s(r.Ratios)
 	v, err := service.AdminStatus(ctx, admin)
 	if err == nil && len(v.Routers) == 1 {
-		r.Run = v.Routers[0].Running
+		r.LastActive = v.Routers[0].Running
 	}
 	return r, err
 }
 
-// paced makes requests at a fixed rate for a while: each is due at its time,
+// loadAtRate makes requests at a fixed rate for a while: each is due at its time,
 // whether or not those before are answered, and waits from when it was due.
-func paced(ctx context.Context, addr string, perSecond int, span time.Duration) (*hdrhistogram.Histogram, int64, error) {
+func loadAtRate(ctx context.Context, addr string, perSecond int, span time.Duration) (*hdrhistogram.Histogram, int64, error) {
 	const conns = 64
 	req := []byte("GET /s/0/16 HTTP/1.1\r\nHost: bench\r\n\r\n")
 	due := make(chan time.Time, 1<<16)
@@ -415,7 +417,7 @@
 				c.SetDeadline(time.Now().Add(10 * time.Second))
 				_, err := c.Write(req)
 				if err == nil {
-					err = readAnswer(br, 16<<10)
+					err = readOKResponse(br, 16<<10)
 				}
 				if err != nil {
 					failed.Add(1)
@@ -428,8 +430,8 @@
 			mu.Unlock()
 		}()
 	}
-	gap := time.Second / time.Duration(perSecond)
-	for next, end := time.Now(), time.Now().Add(span); next.Before(end) && ctx.Err() == nil; next = next.Add(gap) {
+	interval := time.Second / time.Duration(perSecond)
+	for next, end := time.Now(), time.Now().Add(span); next.Before(end) && ctx.Err() == nil; next = next.Add(interval) {
 		if d := time.Until(next); d > 0 {
 			time.Sleep(d)
 		}
--- a/internal/testbed/bench/fleet_test.go
+++ b/internal/testbed/bench/fleet_test.go
@@ -8,7 +8,7 @@
 
 // What a router does with a version of users' size before it accepts it.
 func BenchmarkReadVersion(b *testing.B) {
-	text := string(fleetText(11))
+	text := string(fleetSettings(11))
 	b.SetBytes(int64(len(text)))
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/testbed/bench/overload.go
+++ b/internal/testbed/bench/overload.go
@@ -30,11 +30,11 @@
 	Least    float64 `json:"least"`     // goodput of the worst round
 	Most     float64 `json:"most"`      // and of the best
 	Late     float64 `json:"late"`      // whole answers after it
-	Refused  float64 `json:"refused"`   // 503
-	Broken   float64 `json:"broken"`    // none, or not whole, within twice the patience
+	Rejected float64 `json:"refused"`   // 503
+	Failed   float64 `json:"broken"`    // none, or not whole, within twice the patience
 	P50      float64 `json:"p50_ms"`    // of good answers, from when they were due
 	P99      float64 `json:"p99_ms"`    // of them
-	Behind   float64 `json:"behind_ms"` // most by which the load itself was late to ask
+	LoadLag  float64 `json:"behind_ms"` // most by which the load itself was late to ask
 	Capacity float64 `json:"capacity"`  // requests a second of a closed loop: factor 1
 }
 
@@ -45,24 +45,24 @@
 	Conns    int // of the load; a request that finds none free within a tenth of the patience is not asked, and broken
 	Rounds   int // over all factors; the mean of each counts, and the quantiles of the median round
 	Span     time.Duration
-	Patience time.Duration
+	Deadline time.Duration
 }
 
 // Overload measures a proxy's capacity by a closed loop, and then what it does under
 // multiples of it, open-loop.
-func Overload(ctx context.Context, m *Machine, proxy string, o OverloadOptions, say func(Point)) ([]Point, error) {
-	calm, err := Load(ctx, m, proxy, o.KB, 64, o.Span)
+func Overload(ctx context.Context, m *Process, proxy string, o OverloadOptions, report func(Point)) ([]Point, error) {
+	baseline, err := Load(ctx, m, proxy, o.KB, 64, o.Span)
 	if err != nil {
 		return nil, err
 	}
 	all := make([][]Point, len(o.Factors))
 	for range max(o.Rounds, 1) {
 		for i, f := range o.Factors {
-			p, err := openLoop(ctx, m.Addr, o, f*calm.PerSecond)
+			p, err := openLoop(ctx, m.Addr, o, f*baseline.PerSecond)
 			if err != nil {
 				return nil, err
 			}
-			p.Proxy, p.Factor, p.Capacity = proxy, f, calm.PerSecond
+			p.Proxy, p.Factor, p.Capacity = proxy, f, baseline.PerSecond
 			all[i] = append(all[i], p)
 			time.Sleep(500 * time.Millisecond)
 		}
@@ -72,19 +72,19 @@
 		sort.Slice(points, func(i, j int) bool { return points[i].Goodput < points[j].Goodput })
 		p := points[len(points)/2] // with its quantiles
 		p.Least, p.Most = points[0].Goodput, points[len(points)-1].Goodput
-		mean := func(of func(*Point) *float64) {
+		mean := func(field func(*Point) *float64) {
 			sum := 0.0
 			for i := range points {
-				sum += *of(&points[i])
+				sum += *field(&points[i])
 			}
-			*of(&p) = sum / float64(len(points))
+			*field(&p) = sum / float64(len(points))
 		}
 		mean(func(p *Point) *float64 { return &p.Late })
-		mean(func(p *Point) *float64 { return &p.Refused })
-		mean(func(p *Point) *float64 { return &p.Broken })
+		mean(func(p *Point) *float64 { return &p.Rejected })
+		mean(func(p *Point) *float64 { return &p.Failed })
 		mean(func(p *Point) *float64 { return &p.Goodput })
 		out = append(out, p)
-		say(p)
+		report(p)
 	}
 	return out, nil
 }
@@ -94,12 +94,12 @@
 	req := []byte(fmt.Sprintf("GET /s/0/%d HTTP/1.1\r\nHost: bench\r\n\r\n", o.KB))
 	warm := o.Span / 4
 	total := int64(rate * (o.Span + warm).Seconds())
-	var next, good, late, refused, broken atomic.Int64
-	var behind atomic.Int64
+	var next, inTime, late, rejected, failed atomic.Int64
+	var maxLag atomic.Int64
 	var mu sync.Mutex
 	var times []float64
 	var wg sync.WaitGroup
-	begin := time.Now().Add(100 * time.Millisecond)
+	start := time.Now().Add(100 * time.Millisecond)
 	var dialErr atomic.Value
 	for range o.Conns {
 		wg.Add(1)
@@ -112,23 +112,23 @@
 					c.Close()
 				}
 			}()
-			var own []float64
+			var local []float64
 			for ctx.Err() == nil {
 				n := next.Add(1) - 1
 				if n >= total {
 					break
 				}
-				due := begin.Add(time.Duration(float64(n) / rate * float64(time.Second)))
+				due := start.Add(time.Duration(float64(n) / rate * float64(time.Second)))
 				if d := time.Until(due); d > 0 {
 					time.Sleep(d)
 				}
-				counts := due.Sub(begin) >= warm
-				if late := time.Since(due).Microseconds(); counts && late > behind.Load() {
-					behind.Store(late)
+				measured := due.Sub(start) >= warm
+				if late := time.Since(due).Microseconds(); measured && late > maxLag.Load() {
+					maxLag.Store(late)
 				}
-				if time.Since(due) > o.Patience/10 { // all connections are taken: users don't queue for one another's
-					if counts {
-						broken.Add(1)
+				if time.Since(due) > o.Deadline/10 { // all connections are taken: users don't queue for one another's
+					if measured {
+						failed.Add(1)
 					}
 					continue
 				}
@@ -136,64 +136,64 @@
 					var err error
 					if c, err = net.Dial("tcp4", addr); err != nil {
 						dialErr.CompareAndSwap(nil, err)
-						if c = nil; counts {
-							broken.Add(1)
+						if c = nil; measured {
+							failed.Add(1)
 						}
 						continue
 					}
 					br = newReader(c)
 				}
-				c.SetDeadline(due.Add(2 * o.Patience))
+				c.SetDeadline(due.Add(2 * o.Deadline))
 				status := 0
 				_, err := c.Write(req)
 				if err == nil {
-					status, err = anyAnswer(c, br)
+					status, err = readResponse(c, br)
 				}
 				took := time.Since(due)
 				if err != nil {
 					c.Close()
 					c = nil
 				}
-				if !counts {
+				if !measured {
 					continue
 				}
 				switch {
 				case err != nil:
-					broken.Add(1)
+					failed.Add(1)
 				case status == 503:
-					refused.Add(1)
+					rejected.Add(1)
 				case status != 200:
-					broken.Add(1)
-				case took > o.Patience:
+					failed.Add(1)
+				case took > o.Deadline:
 					late.Add(1)
 				default:
-					good.Add(1)
-					own = append(own, float64(took.Microseconds())/1000)
+					inTime.Add(1)
+					local = append(local, float64(took.Microseconds())/1000)
 				}
 			}
 			mu.Lock()
-			times = append(times, own...)
+			times = append(times, local...)
 			mu.Unlock()
 		}()
 	}
 	wg.Wait()
 	s := o.Span.Seconds()
-	p.Goodput, p.Late, p.Refused, p.Broken = float64(good.Load())/s, float64(late.Load())/s, float64(refused.Load())/s, float64(broken.Load())/s
-	p.Behind = float64(behind.Load()) / 1000
+	p.Goodput, p.Late, p.Rejected, p.Failed = float64(inTime.Load())/s, float64(late.Load())/s, float64(rejected.Load())/s, float64(failed.Load())/s
+	p.LoadLag = float64(maxLag.Load()) / 1000
 	if sort.Float64s(times); len(times) > 0 {
 		p.P50, p.P99 = times[len(times)/2], times[len(times)*99/100]
 	}
-	if err, _ := dialErr.Load().(error); err != nil && good.Load() == 0 {
+	if err, _ := dialErr.Load().(error); err != nil && inTime.Load() == 0 {
 		return p, err
 	}
 	return p, ctx.Err()
 }
 
-// bodies are read in large pieces, past the buffer of heads.
-var bodies = sync.Pool{New: func() any { b := make([]byte, 256<<10); return &b }}
+// bodyBuffers are read in large pieces, past the buffer of heads.
+var bodyBuffers = sync.Pool{New: func() any { b := make([]byte, 256<<10); return &b }}
 
-// anyAnswer reads an answer with a stated length, whatever its status.
-func anyAnswer(c net.Conn, br *bufio.Reader) (status int, err error) {
+// readResponse reads an answer with a stated length, whatever its status.
+func readResponse(c net.Conn, br *bufio.Reader) (status int, err error) {
 	length := int64(-1)
 	for first := true; ; first = false {
 		line, err := br.ReadSlice('\n')
@@ -214,8 +214,8 @@
 				return status, errors.New("bench: an answer without a length")
 			}
 			n, _ := br.Discard(int(min(length, int64(br.Buffered()))))
-			b := bodies.Get().(*[]byte)
-			defer bodies.Put(b)
+			b := bodyBuffers.Get().(*[]byte)
+			defer bodyBuffers.Put(b)
 			for length -= int64(n); length > 0 && err == nil; length -= int64(n) {
 				n, err = c.Read((*b)[:min(length, int64(len(*b)))])
 			}
@@ -267,13 +267,13 @@
 // Flood holds connections that read large answers slowly, send requests a byte at a
 // time, or do nothing, and has a few ordinary users beside them. Each second it looks
 // at the resident memory of the machine.
-func Flood(ctx context.Context, m *Machine, conns int, span time.Duration, say func(FloodSample)) (before int64, list []FloodSample, err error) {
+func Flood(ctx context.Context, m *Process, conns int, span time.Duration, report func(FloodSample)) (before int64, list []FloodSample, err error) {
 	var limit syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) == nil && limit.Cur < uint64(conns)+500 {
 		limit.Cur = min(limit.Max, uint64(conns)+1000)
 		syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit)
 	}
-	if _, before, err = m.cpu(); err != nil {
+	if _, before, err = m.usage(); err != nil {
 		return 0, nil, err
 	}
 	ctx, stop := context.WithTimeout(ctx, span)
@@ -329,7 +329,7 @@
 					c.SetDeadline(time.Now().Add(2 * time.Second))
 					status := 0
 					if _, err = c.Write([]byte("GET /s/0/4 HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")); err == nil {
-						status, err = anyAnswer(c, newReader(c))
+						status, err = readResponse(c, newReader(c))
 					}
 					if err == nil && status != 200 {
 						err = errors.New("refused")
@@ -350,13 +350,13 @@
 		case <-time.After(time.Second):
 		case <-ctx.Done():
 		}
-		_, rss, err := m.cpu()
+		_, rss, err := m.usage()
 		if err != nil {
 			return before, list, err
 		}
-		one := FloodSample{s, rss, good.Swap(0), bad.Swap(0)}
-		list = append(list, one)
-		say(one)
+		sample := FloodSample{s, rss, good.Swap(0), bad.Swap(0)}
+		list = append(list, sample)
+		report(sample)
 	}
 	wg.Wait()
 	return before, list, nil
--- a/internal/testbed/bench/pages.go
+++ b/internal/testbed/bench/pages.go
@@ -45,7 +45,7 @@
 		if parts[1] == "p" {
 			ctx.Response.Header.Set("Surrogate-Control", `content="ESI/1.0"`)
 			ctx.SetContentType("text/html")
-			ctx.WriteString(pageBegin)
+			ctx.WriteString(pageHead)
 			for i := range n {
 				fmt.Fprintf(ctx, `<p><esi:include src="/s/%d/1"/></p>`, i)
 			}
@@ -57,15 +57,15 @@
 		ctx.SetContentType("application/octet-stream")
 		ctx.Response.SetBodyRaw(b)
 	})
-	untilOrphaned()
+	waitUntilOrphaned()
 	return nil
 }
 
-const pageBegin = "<!doctype html><title>captions</title>\n"
+const pageHead = "<!doctype html><title>captions</title>\n"
 
 // serveAssembler is what a user would write in an hour: it fetches a page and its pieces
 // by Go's client, and sends them in their order.
-func serveAssembler(backend string, atOnce int) error {
+func serveAssembler(backend string, parallelism int) error {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -86,12 +86,12 @@
 			http.Error(w, err.Error(), http.StatusBadGateway)
 			return
 		}
-		type piece struct {
+		type fragment struct {
 			before string
 			b      chan []byte
 		}
-		var list []piece
-		turns := make(chan struct{}, atOnce)
+		var fragments []fragment
+		slots := make(chan struct{}, parallelism)
 		rest := string(page)
 		for {
 			before, after, more := strings.Cut(rest, `<esi:include src="`)
@@ -99,16 +99,16 @@
 				break
 			}
 			src, after, _ := strings.Cut(after, `"/>`)
-			p := piece{before, make(chan []byte, 1)}
-			if atOnce > 1 {
+			p := fragment{before, make(chan []byte, 1)}
+			if parallelism > 1 {
 				go func() {
-					turns <- struct{}{}
+					slots <- struct{}{}
 					b, _ := get(src)
-					<-turns
+					<-slots
 					p.b <- b
 				}()
 			} else {
-				list = append(list, p)
+				fragments = append(fragments, p)
 				rest = after
 				io.WriteString(w, before)
 				w.(http.Flusher).Flush()
@@ -119,23 +119,23 @@
 				w.Write(b)
 				continue
 			}
-			list, rest = append(list, p), after
+			fragments, rest = append(fragments, p), after
 		}
-		if atOnce > 1 {
-			for _, p := range list {
+		if parallelism > 1 {
+			for _, p := range fragments {
 				io.WriteString(w, p.before)
 				w.Write(<-p.b)
 			}
 		}
 		io.WriteString(w, rest)
 	}))
-	untilOrphaned()
+	waitUntilOrphaned()
 	return nil
 }
 
 // PageResult is one measurement of pages.
 type PageResult struct {
-	By        string  `json:"by"`
+	Assembler string  `json:"by"`
 	Fragments int     `json:"fragments"`
 	DelayMs   int     `json:"delay_ms"` // of each fragment at the server
 	Conns     int     `json:"conns"`
@@ -150,9 +150,9 @@
 
 // LoadPages asks for pages of so many fragments over so many connections, each of which
 // asks again as soon as it has its page.
-func LoadPages(ctx context.Context, m *Machine, by string, fragments, delay, conns int, span time.Duration) (PageResult, error) {
-	r := PageResult{By: by, Fragments: fragments, DelayMs: delay, Conns: conns}
-	want := int64(len(pageBegin) + fragments*(len("<p></p>")+1024))
+func LoadPages(ctx context.Context, m *Process, assembler string, fragments, delay, conns int, span time.Duration) (PageResult, error) {
+	r := PageResult{Assembler: assembler, Fragments: fragments, DelayMs: delay, Conns: conns}
+	want := int64(len(pageHead) + fragments*(len("<p></p>")+1024))
 	var stop atomic.Bool
 	var count, failed atomic.Int64
 	var mu sync.Mutex
@@ -173,14 +173,14 @@
 				at := time.Now()
 				c.SetDeadline(at.Add(20 * time.Second))
 				fmt.Fprintf(c, "GET /p/0/%d HTTP/1.1\r\nHost: bench\r\n\r\n", fragments)
-				one, err := onePage(br, want)
+				firstByte, err := readPage(br, want)
 				if err != nil {
 					failed.Add(1)
 					return
 				}
 				count.Add(1)
 				mu.Lock()
-				first.RecordValue(one.Sub(at).Microseconds())
+				first.RecordValue(firstByte.Sub(at).Microseconds())
 				last.RecordValue(time.Since(at).Microseconds())
 				mu.Unlock()
 			}
@@ -192,14 +192,14 @@
 	last.Reset()
 	mu.Unlock()
 	n0 := count.Load()
-	cpu0, _, err := m.cpu()
+	cpu0, _, err := m.usage()
 	at := time.Now()
 	select {
 	case <-time.After(span):
 	case <-ctx.Done():
 	}
 	r.Pages = count.Load() - n0
-	cpu1, _, err2 := m.cpu()
+	cpu1, _, err2 := m.usage()
 	took := time.Since(at).Seconds()
 	stop.Store(true)
 	wg.Wait()
@@ -213,8 +213,8 @@
 	return r, nil
 }
 
-// onePage reads a page, and says when its first byte had come.
-func onePage(br interface {
+// readPage reads a page, and says when its first byte had come.
+func readPage(br interface {
 	io.Reader
 	io.ByteReader
 	io.ByteScanner
