--- a/internal/cachenode/server/fill.go
+++ b/internal/cachenode/server/fill.go
@@ -101,7 +101,7 @@
 }
 
 // joinable reports whether another request may join the fill: the whole body is still available,
-// and no purge since the start may cover the object.
+// the object is not known to be unstorable, and no purge since the start may cover it.
 func (f *fill) joinable() bool {
 	return !f.ended && !f.memoryTrimmed && (!f.headReceived || f.storing) && !f.overtaken()
 }
@@ -157,7 +157,8 @@
 	f.finalize()
 }
 
-// receiveHead implements responseHandler.
+// receiveHead implements responseHandler. If the response has an object, it begins to store it and
+// to answer the waiters. Otherwise it ends the fill and returns false.
 func (f *fill) receiveHead(head *http1.Head) bool {
 	s := f.server
 	f.sourceStatus = joinFields(head, fetchheader.StatusField)
@@ -307,7 +308,7 @@
 	f.finalize()
 }
 
-// receiveBody implements responseHandler.
+// receiveBody implements responseHandler. It queues data for the store, or keeps it in memory.
 func (f *fill) receiveBody(data []byte) {
 	f.received += int64(len(data))
 	if f.writer != nil || f.reserving {
@@ -401,7 +402,7 @@
 	}
 }
 
-// finish implements responseHandler.
+// finish implements responseHandler. The body is complete.
 func (f *fill) finish() {
 	f.complete, f.source = true, nil
 	f.finalize()
