--- a/internal/testbed/loadgen/record.go
+++ b/internal/testbed/loadgen/record.go
@@ -219,8 +219,8 @@
 	if err == nil {
 		err = r.err
 	}
-	for reason, n := range r.skipped {
-		res.Skipped = append(res.Skipped, Skipped{reason, n})
+	for reason, count := range r.skipped {
+		res.Skipped = append(res.Skipped, Skipped{reason, count})
 	}
 	sort.Slice(res.Skipped, func(i, j int) bool { return res.Skipped[i].Why < res.Skipped[j].Why })
 	return res, err
@@ -228,8 +228,8 @@
 
 // skippedError returns an error that lists the skipped requests.
 func (r *Replay) skippedError() (err error) {
-	for reason, n := range r.skipped {
-		err = errors.Join(err, fmt.Errorf("%d requests were skipped: %s", n, reason))
+	for reason, count := range r.skipped {
+		err = errors.Join(err, fmt.Errorf("%d requests were skipped: %s", count, reason))
 	}
 	return err
 }
--- a/internal/testbed/testserver/fleet.go
+++ b/internal/testbed/testserver/fleet.go
@@ -20,16 +20,16 @@
 
 // Stand holds the settings that all servers of a fleet share.
 type Stand struct {
-	Flow     float64  `edn:"flow" def:"4" min:"0.01"` // rate of one transfer to a client
-	FillFlow float64  `edn:"fill-flow" min:"0"`       // rate of one transfer to a cache; 0: three times Flow
-	FillWait float64  `edn:"fill-wait" def:"2000" min:"1"`
-	ColdFrom float64  `edn:"cold-from" def:"0.2" min:"0" max:"1"`
-	ColdTime float64  `edn:"cold-time" def:"18000" min:"0"`
-	Fall     float64  `edn:"fall" def:"4" min:"0"`
-	FallTime float64  `edn:"fall-time" def:"3000" min:"1"`
-	Feedback []string `edn:"feedback"`
-	Seed     int      `edn:"seed" def:"1"`
-	Boxes    string   `edn:"boxes" def:"stand-in" oneof:"stand-in warm cold"` // of a scenario: warm and cold run spool-cache instead of test servers; after a crash it keeps its copies (warm) or has none (cold)
+	Flow               float64  `edn:"flow" def:"4" min:"0.01"`      // rate of one transfer to a client
+	FillFlow           float64  `edn:"fill-flow" min:"0"`            // rate of one transfer to a cache; 0: three times Flow
+	FillWait           float64  `edn:"fill-wait" def:"2000" min:"1"` // time without data after which a fill fails
+	WarmUpInitialShare float64  `edn:"cold-from" def:"0.2" min:"0" max:"1"`
+	WarmUpTime         float64  `edn:"cold-time" def:"18000" min:"0"`
+	OverloadFactor     float64  `edn:"fall" def:"4" min:"0"`
+	OverloadTime       float64  `edn:"fall-time" def:"3000" min:"1"`
+	Feedback           []string `edn:"feedback"`
+	Seed               int      `edn:"seed" def:"1"`
+	Boxes              string   `edn:"boxes" def:"stand-in" oneof:"stand-in warm cold"` // of a scenario: warm and cold run spool-cache instead of test servers; after a crash it keeps its copies (warm) or has none (cold)
 }
 
 // ListForm configures the delays of the list service. For each stream, the delay of updates of
@@ -53,20 +53,20 @@
 
 // Machine configures one test server.
 type Machine struct {
-	Place    config.Place
-	ID       string  `edn:"@,required"`
-	Role     string  `edn:"role" def:"box" oneof:"box parent origin"`
-	Zone     string  `edn:"zone"`
-	Listen   string  `edn:"listen" def:"127.0.0.1:0"`
-	Upstream string  `edn:"upstream"` // of a parent: address of the origin
-	Capacity float64 `edn:"capacity" def:"20" min:"0"`
-	MB       float64 `edn:"mb" def:"64" min:"0.001"`
-	LinkIn   float64 `edn:"link" min:"0"`
-	Latency  float64 `edn:"latency" min:"0"`
-	Fills    int     `edn:"fills" min:"0"`
-	Cold     bool    `edn:"cold"`
-	RunOn    bool    `edn:"run-on"`
-	Limit    int     `edn:"limit" min:"0"`
+	Place                  config.Place
+	ID                     string  `edn:"@,required"`
+	Role                   string  `edn:"role" def:"box" oneof:"box parent origin"`
+	Zone                   string  `edn:"zone"`
+	Listen                 string  `edn:"listen" def:"127.0.0.1:0"`
+	Upstream               string  `edn:"upstream"` // of a parent: address of the origin
+	Capacity               float64 `edn:"capacity" def:"20" min:"0"`
+	MB                     float64 `edn:"mb" def:"64" min:"0.001"`
+	LinkIn                 float64 `edn:"link" min:"0"`
+	Latency                float64 `edn:"latency" min:"0"`
+	MaxFills               int     `edn:"fills" min:"0"`
+	Cold                   bool    `edn:"cold"`
+	CompleteAbandonedFills bool    `edn:"run-on"`
+	Limit                  int     `edn:"limit" min:"0"`
 }
 
 // Check reports settings that contradict each other.
@@ -103,8 +103,8 @@
 		}
 		c := Config{ID: m.ID, Role: m.Role, Zone: m.Zone, Listen: m.Listen, Upstream: m.Upstream, Cold: m.Cold,
 			Bytes: int64(m.MB * (1 << 20)), Capacity: m.Capacity, Flow: f.Stand.Flow, FillFlow: f.Stand.FillFlow,
-			LinkIn: m.LinkIn, Latency: m.Latency, MaxFills: m.Fills, FillWait: f.Stand.FillWait, RunOn: m.RunOn,
-			ColdFrom: f.Stand.ColdFrom, ColdTime: f.Stand.ColdTime, Fall: f.Stand.Fall, FallTime: f.Stand.FallTime,
+			LinkIn: m.LinkIn, Latency: m.Latency, MaxFills: m.MaxFills, FillWait: f.Stand.FillWait, RunOn: m.CompleteAbandonedFills,
+			ColdFrom: f.Stand.WarmUpInitialShare, ColdTime: f.Stand.WarmUpTime, Fall: f.Stand.OverloadFactor, FallTime: f.Stand.OverloadTime,
 			Limit: m.Limit, Seed: uint64(f.Stand.Seed), Feedback: f.Stand.Feedback}
 		for _, k := range f.Classes {
 			c.Classes = append(c.Classes, Class(k))
--- a/internal/testbed/testserver/standin_test.go
+++ b/internal/testbed/testserver/standin_test.go
@@ -80,35 +80,35 @@
 		t.Fatal(err)
 	}
 	defer b.Kill()
-	look := fetchheader.Attempt{ID: "r", From: "t", Class: "c", Object: "/x", Group: 1, Keep: 1, Age: 1e9}
-	fill := look
+	lookup := fetchheader.Attempt{ID: "r", From: "t", Class: "c", Object: "/x", Group: 1, Keep: 1, Age: 1e9}
+	fill := lookup
 	fill.Source, fill.SourceAddress = "o", o.Addr()
-	if code, h, _ := get(t, b.Addr(), "/x", look); code != 504 || !strings.Contains(h.Get("Cache-Status"), "fwd=miss") {
+	if code, h, _ := get(t, b.Addr(), "/x", lookup); code != 504 || !strings.Contains(h.Get("Cache-Status"), "fwd=miss") {
 		t.Errorf("lookup of a missing object: %d %v", code, h)
 	}
 	if code, h, _ := get(t, b.Addr(), "/x", fill); code != 200 || h.Get("Cache-Status") != `"o", "b";fwd=miss;stored` {
 		t.Errorf("fill: %d %v", code, h)
 	}
 	time.Sleep(20 * time.Millisecond)
-	if code, h, _ := get(t, b.Addr(), "/x", look); code != 200 || !strings.Contains(h.Get("Cache-Status"), "hit") {
+	if code, h, _ := get(t, b.Addr(), "/x", lookup); code != 200 || !strings.Contains(h.Get("Cache-Status"), "hit") {
 		t.Errorf("lookup of a cached object: %d %v", code, h)
 	}
-	young := look
-	young.Age = 1
-	if code, _, _ := get(t, b.Addr(), "/x", young); code != 504 {
+	recent := lookup
+	recent.Age = 1
+	if code, _, _ := get(t, b.Addr(), "/x", recent); code != 504 {
 		t.Errorf("lookup of a copy that is too old: %d", code)
 	}
 	o.Purge("/x", 1, 0)
-	young = fill
-	young.Age = 10
-	if _, h, body := get(t, b.Addr(), "/x", young); !strings.HasPrefix(h.Get("Spool-Copy"), "v=2,") {
+	recent = fill
+	recent.Age = 10
+	if _, h, body := get(t, b.Addr(), "/x", recent); !strings.HasPrefix(h.Get("Spool-Copy"), "v=2,") {
 		t.Errorf("fill after the purge: %v", h)
 	} else if _, ok := Matches([]byte(body), "/x", 2, 0); !ok {
 		t.Error("fill after the purge: the body is not that of the new version")
 	}
-	gone := fill
-	gone.SourceAddress = "127.0.0.1:1"
-	if code, h, _ := get(t, b.Addr(), "/y", gone); code != 503 || !strings.Contains(h.Get("Cache-Status"), "detail=source-unreached") {
+	unreachable := fill
+	unreachable.SourceAddress = "127.0.0.1:1"
+	if code, h, _ := get(t, b.Addr(), "/y", unreachable); code != 503 || !strings.Contains(h.Get("Cache-Status"), "detail=source-unreached") {
 		t.Errorf("fill from an unreachable source: %d %v", code, h)
 	}
 	if code, _, body := get(t, b.Addr(), "/y", fetchheader.Attempt{ID: "r", Keep: 9}); code != 400 {
@@ -125,11 +125,11 @@
 		t.Fatal(err)
 	}
 	defer b.Kill()
-	look := fetchheader.Attempt{ID: "r", Class: "c", Object: "/x", Age: 1e9}
+	lookup := fetchheader.Attempt{ID: "r", Class: "c", Object: "/x", Age: 1e9}
 	for i := range 8 { // 100 ms of work each; more than 400 ms is too much
-		code, _, what := get(t, b.Addr(), "/x", look)
+		code, _, body := get(t, b.Addr(), "/x", lookup)
 		if want := i < 4; (code == 504) != want {
-			t.Fatalf("attempt %d: %d %s", i, code, what)
+			t.Fatalf("attempt %d: %d %s", i, code, body)
 		}
 	}
 }
