--- a/internal/testbed/loadgen/record.go
+++ b/internal/testbed/loadgen/record.go
@@ -207,7 +207,7 @@
 		return nil, faults
 	}
 	f.Length, f.WarmUp, f.Conns, f.Most = 0, 0, max(f.Conns, 1), max(f.Most, 1)
-	// The classes are known only after the first request has been read.
+	// The classes of a journal are known only after its first request has been read.
 	first, ok := r.Next()
 	if !ok && r.err == nil {
 		return nil, errors.Join(fmt.Errorf("loadgen: %s has no request that can be replayed", f.Name), r.skippedError())
--- a/internal/testbed/testserver/platform.go
+++ b/internal/testbed/testserver/platform.go
@@ -263,7 +263,7 @@
 	})
 }
 
-// PlatformForget returns the frame that cancels the call with the sequence number of.
+// PlatformForget returns the frame that cancels the call whose sequence number is of.
 func PlatformForget(seq, of int32) []byte {
 	return message("forget", thrift.ONEWAY, seq, func(w *thrift.TBinaryProtocol) {
 		w.WriteFieldBegin(inMemory, "", thrift.I32, 1)
