--- a/cmd/spool-bench/main.go
+++ b/cmd/spool-bench/main.go
@@ -1,5 +1,5 @@
-// Spool-bench measures the router as a proxy, side by side with others in one
-// run on loopback.
+// Spool-bench measures the router as a proxy on loopback and compares it with other proxies in the
+// same run.
 package main
 
 import (
@@ -24,7 +24,7 @@
 	var proxies, idleProxies []string
 	var asJSON bool
 	var idleConns int
-	runCmd := &cobra.Command{Use: "run", Short: "Hits of several sizes over several numbers of connections", Args: cobra.NoArgs,
+	runCmd := &cobra.Command{Use: "run", Short: "Throughput and latency of cache hits, by object size and number of connections", Args: cobra.NoArgs,
 		Example: "  spool-bench run\n  spool-bench run --kb 1 --conns 64 --proxies spool,fasthttp --span 3s",
 		RunE: func(c *cobra.Command, _ []string) error {
 			child, server, err := startServer(c.Context())
@@ -60,12 +60,12 @@
 			}
 			return nil
 		}}
-	runCmd.Flags().IntSliceVar(&sizes, "kb", []int{1, 64, 1024}, "sizes of the objects")
+	runCmd.Flags().IntSliceVar(&sizes, "kb", []int{1, 64, 1024}, "object sizes, KB")
 	runCmd.Flags().IntSliceVar(&conns, "conns", []int{64, 1000}, "numbers of connections")
-	runCmd.Flags().StringSliceVar(&proxies, "proxies", bench.Proxies, "what to measure")
-	runCmd.Flags().DurationVar(&span, "span", 3*time.Second, "for how long, each")
+	runCmd.Flags().StringSliceVar(&proxies, "proxies", bench.Proxies, "proxies to measure")
+	runCmd.Flags().DurationVar(&span, "span", 3*time.Second, "measured time of each combination")
 	runCmd.Flags().BoolVar(&asJSON, "json", false, "print JSON")
-	idleCmd := &cobra.Command{Use: "idle", Short: "Memory of connections that ask once and then nothing", Args: cobra.NoArgs, Example: "  spool-bench idle",
+	idleCmd := &cobra.Command{Use: "idle", Short: "Memory of connections that stay idle after one request", Args: cobra.NoArgs, Example: "  spool-bench idle",
 		RunE: func(c *cobra.Command, _ []string) error {
 			child, server, err := startServer(c.Context())
 			if err != nil {
@@ -87,13 +87,13 @@
 			}
 			return nil
 		}}
-	idleCmd.Flags().IntVar(&idleConns, "conns", 10000, "how many")
-	idleCmd.Flags().StringSliceVar(&idleProxies, "proxies", []string{"spool", "reverseproxy", "fasthttp"}, "what to measure")
+	idleCmd.Flags().IntVar(&idleConns, "conns", 10000, "number of connections")
+	idleCmd.Flags().StringSliceVar(&idleProxies, "proxies", []string{"spool", "reverseproxy", "fasthttp"}, "proxies to measure")
 	var overload bench.OverloadOptions
 	var overloadProxies []string
 	var plotFile string
 	var cpus int
-	overloadCmd := &cobra.Command{Use: "overload", Short: "Answers in time from half to four times what a proxy can do, open-loop", Args: cobra.NoArgs,
+	overloadCmd := &cobra.Command{Use: "overload", Short: "Responses in time under open-loop loads from 0.5 to 4 times the capacity", Args: cobra.NoArgs,
 		Example: "  spool-bench overload --plot overload.svg\n  spool-bench overload --kb 64 --factors 1,4 --span 3s",
 		RunE: func(c *cobra.Command, _ []string) error {
 			var cores *bench.CPUSplit
@@ -138,19 +138,19 @@
 			}
 			return nil
 		}}
-	overloadCmd.Flags().IntVar(&overload.KB, "kb", 256, "size of the object")
-	overloadCmd.Flags().Float64SliceVar(&overload.Factors, "factors", []float64{0.5, 0.8, 1, 1.5, 2, 3, 4}, "multiples of the capacity")
-	overloadCmd.Flags().IntVar(&overload.Conns, "conns", 1500, "connections of the load")
-	overloadCmd.Flags().DurationVar(&overload.Span, "span", 4*time.Second, "for how long, each, after a quarter of it to settle")
-	overloadCmd.Flags().DurationVar(&overload.Deadline, "patience", 500*time.Millisecond, "within which an answer is in time")
-	overloadCmd.Flags().StringSliceVar(&overloadProxies, "proxies", []string{"spool-overload", "reverseproxy"}, "what to measure")
-	overloadCmd.Flags().IntVar(&overload.Rounds, "rounds", 3, "over all factors, one after another; the mean of each counts")
-	overloadCmd.Flags().IntVar(&cpus, "cpus", 1, "CPUs that are the measured proxy's alone; all else has the others; 0: nothing is divided")
-	overloadCmd.Flags().StringVar(&plotFile, "plot", "", "file for the curve: svg, png or pdf")
+	overloadCmd.Flags().IntVar(&overload.KB, "kb", 256, "object size, KB")
+	overloadCmd.Flags().Float64SliceVar(&overload.Factors, "factors", []float64{0.5, 0.8, 1, 1.5, 2, 3, 4}, "offered loads, as multiples of the capacity")
+	overloadCmd.Flags().IntVar(&overload.Conns, "conns", 1500, "connections of the load generator")
+	overloadCmd.Flags().DurationVar(&overload.Span, "span", 4*time.Second, "measured time of each load, after a warm-up of a quarter of it")
+	overloadCmd.Flags().DurationVar(&overload.Deadline, "patience", 500*time.Millisecond, "time from when a request is due within which its response is in time")
+	overloadCmd.Flags().StringSliceVar(&overloadProxies, "proxies", []string{"spool-overload", "reverseproxy"}, "proxies to measure")
+	overloadCmd.Flags().IntVar(&overload.Rounds, "rounds", 3, "rounds over all loads; the results are the means over the rounds")
+	overloadCmd.Flags().IntVar(&cpus, "cpus", 1, "CPUs reserved for the measured proxy; 0: all processes share all CPUs")
+	overloadCmd.Flags().StringVar(&plotFile, "plot", "", "file to plot the curve to (.svg, .png or .pdf)")
 	overloadCmd.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	var floodConns, budgetMB int
 	var floodSpan time.Duration
-	floodCmd := &cobra.Command{Use: "flood", Short: "Resident memory against the budget while slow clients hold connections", Args: cobra.NoArgs,
+	floodCmd := &cobra.Command{Use: "flood", Short: "Resident memory, compared with the budget, while slow clients hold connections", Args: cobra.NoArgs,
 		Example: "  spool-bench flood --conns 10000 --memory-mb 64 --span 5m",
 		RunE: func(c *cobra.Command, _ []string) error {
 			child, server, err := startServer(c.Context())
@@ -176,31 +176,31 @@
 			for _, s := range list {
 				good, bad = good+s.Good, bad+s.Bad
 			}
-			served, failed := int64(0), int64(0) // once those who waste their places are known
+			served, failed := int64(0), int64(0) // the last third, after the router has identified the slow clients
 			for _, s := range list[len(list)*2/3:] {
 				served, failed = served+s.Good, failed+s.Bad
 			}
 			if asJSON {
 				return json.NewEncoder(os.Stdout).Encode(list)
 			}
-			fmt.Printf("budget %d MB: %.1f MB resident before, %.1f at most; %d users served, %d not; in the last third %d and %d\n", budgetMB,
+			fmt.Printf("budget %d MB: %.1f MB resident before, %.1f MB at most; %d users served, %d not; in the last third %d served, %d not\n", budgetMB,
 				float64(before)/1024, float64(peakKB)/1024, good, bad, served, failed)
 			if peakKB > int64(budgetMB)<<10 {
-				return fmt.Errorf("the budget of %d MB was passed: %d KB were resident", budgetMB, peakKB)
+				return fmt.Errorf("resident memory of %d KB exceeds the budget of %d MB", peakKB, budgetMB)
 			}
 			if served < 9*failed || served == 0 {
-				return fmt.Errorf("in the last third %d users were served, %d were not", served, failed)
+				return fmt.Errorf("%d users were served and %d were not in the last third, want at least 9 served for each that was not", served, failed)
 			}
 			return nil
 		}}
-	floodCmd.Flags().IntVar(&floodConns, "conns", 10000, "connections: a third reads slowly, a third asks slowly, a third idles")
-	floodCmd.Flags().IntVar(&budgetMB, "memory-mb", 64, "the budget")
-	floodCmd.Flags().DurationVar(&floodSpan, "span", time.Minute, "for how long")
+	floodCmd.Flags().IntVar(&floodConns, "conns", 10000, "connections; a third read slowly, a third send slowly, a third are idle")
+	floodCmd.Flags().IntVar(&budgetMB, "memory-mb", 64, "memory budget of the router, MB")
+	floodCmd.Flags().DurationVar(&floodSpan, "span", time.Minute, "length of the flood")
 	floodCmd.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	var fleetSizes []int
 	var versions, rate, windows int
 	var streamsPerSecond float64
-	fleetCmd := &cobra.Command{Use: "fleet", Short: "Versions from one control service to many routers' machines, over real streams", Args: cobra.NoArgs,
+	fleetCmd := &cobra.Command{Use: "fleet", Short: "Time for versions from one control service to reach many routers, over gRPC streams", Args: cobra.NoArgs,
 		Example: "  spool-bench fleet --routers 30,300,1000",
 		RunE: func(c *cobra.Command, _ []string) error {
 			self, err := os.Executable()
@@ -228,13 +228,13 @@
 			if asJSON {
 				return json.NewEncoder(os.Stdout).Encode(all)
 			}
-			fmt.Printf("a version is %d bytes as pushed, and differs from the one before in one member of 129\n", all[0].BodyBytes)
+			fmt.Printf("a version has %d bytes as pushed and differs from the previous one in 1 of 129 members\n", all[0].BodyBytes)
 			return nil
 		}}
-	fleetCmd.Flags().IntSliceVar(&fleetSizes, "routers", []int{30, 300, 1000}, "sizes of the fleet")
-	fleetCmd.Flags().Float64Var(&streamsPerSecond, "per-second", 500, "streams that may begin in a second")
-	fleetCmd.Flags().IntVar(&versions, "versions", 10, "how many, each after the one before is in use")
-	versionsCmd := &cobra.Command{Use: "versions", Short: "What requests wait with a version a second and without, in turn", Args: cobra.NoArgs, Example: "  spool-bench versions",
+	fleetCmd.Flags().IntSliceVar(&fleetSizes, "routers", []int{30, 300, 1000}, "numbers of routers")
+	fleetCmd.Flags().Float64Var(&streamsPerSecond, "per-second", 500, "new streams that the service accepts per second")
+	fleetCmd.Flags().IntVar(&versions, "versions", 10, "number of versions; each is pushed when all routers run the previous one")
+	versionsCmd := &cobra.Command{Use: "versions", Short: "Latency of requests with a new version every second, and without versions", Args: cobra.NoArgs, Example: "  spool-bench versions",
 		RunE: func(c *cobra.Command, _ []string) error {
 			self, err := os.Executable()
 			if err != nil {
@@ -250,19 +250,19 @@
 			for i, word := range []string{"without", "with"} {
 				fmt.Printf("%-8s %8d requests, p50 %d us, p99 %d us, p99.9 %d us\n", word, r.Requests[i], r.P50[i], r.P99[i], r.P999[i])
 			}
-			fmt.Printf("%d versions, the last in use %d; %d failed; p99 with to without %.2f; of pairs of windows %.2f\n", r.Versions, r.LastActive, r.Failed, r.Ratio, r.Ratios)
+			fmt.Printf("%d versions pushed, version %d in use at the end; %d requests failed; ratio of p99 with to without versions %.2f; by pair of windows %.2f\n", r.Versions, r.LastActive, r.Failed, r.Ratio, r.Ratios)
 			return nil
 		}}
-	versionsCmd.Flags().IntVar(&rate, "rate", 2000, "requests a second")
-	versionsCmd.Flags().IntVar(&windows, "windows", 6, "windows of each kind")
-	versionsCmd.Flags().DurationVar(&span, "span", 5*time.Second, "a window")
+	versionsCmd.Flags().IntVar(&rate, "rate", 2000, "requests per second")
+	versionsCmd.Flags().IntVar(&windows, "windows", 6, "number of windows of each kind")
+	versionsCmd.Flags().DurationVar(&span, "span", 5*time.Second, "length of a window")
 	for _, c := range []*cobra.Command{fleetCmd, versionsCmd} {
 		c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	}
 	var fragments, delays, pageConns []int
 	var pageSpan time.Duration
 	var assemblers []string
-	pagesCmd := &cobra.Command{Use: "pages", Short: "Pages from fragments: a second, and until the first byte, beside fetching by Go's client", Args: cobra.NoArgs,
+	pagesCmd := &cobra.Command{Use: "pages", Short: "Throughput and latency of pages with fragments, compared with fetching them with Go's HTTP client", Args: cobra.NoArgs,
 		Example: "  spool-bench pages\n  spool-bench pages --fragments 10 --delay 20 --conns 1",
 		RunE: func(c *cobra.Command, _ []string) error {
 			self, err := os.Executable()
@@ -298,11 +298,11 @@
 			}
 			return nil
 		}}
-	pagesCmd.Flags().IntSliceVar(&fragments, "fragments", []int{1, 10, 50}, "of a page, 1 KB each")
-	pagesCmd.Flags().IntSliceVar(&delays, "delay", []int{0, 20}, "ms that the server takes for a fragment")
+	pagesCmd.Flags().IntSliceVar(&fragments, "fragments", []int{1, 10, 50}, "numbers of fragments of a page, 1 KB each")
+	pagesCmd.Flags().IntSliceVar(&delays, "delay", []int{0, 20}, "delays of the server for each fragment, ms")
 	pagesCmd.Flags().IntSliceVar(&pageConns, "conns", []int{16}, "numbers of connections")
-	pagesCmd.Flags().StringSliceVar(&assemblers, "by", bench.Assemblers, "what to measure")
-	pagesCmd.Flags().DurationVar(&pageSpan, "span", 3*time.Second, "for how long, each")
+	pagesCmd.Flags().StringSliceVar(&assemblers, "by", bench.Assemblers, "programs to measure")
+	pagesCmd.Flags().DurationVar(&pageSpan, "span", 3*time.Second, "measured time of each combination")
 	childCmd := &cobra.Command{Use: "child NAME BACKEND", Hidden: true, Args: cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
 			if file := os.Getenv("SPOOL_BENCH_CPUPROFILE"); file != "" && strings.HasPrefix(args[0], "spool") {
@@ -322,7 +322,8 @@
 	cli.Main(root)
 }
 
-// startServer starts the server behind the proxies, and says how to start those.
+// startServer starts the server behind the proxies. It returns the command line, without a name
+// and a backend, that starts a child.
 func startServer(ctx context.Context) (child []string, server *bench.Process, err error) {
 	self, err := os.Executable()
 	if err != nil {
--- a/internal/testbed/bench/bench.go
+++ b/internal/testbed/bench/bench.go
@@ -1,12 +1,11 @@
-// Package bench measures the router as a proxy against what a user would pick,
-// and against the machine's limit, side by side in one run: Go's
-// httputil.ReverseProxy, a proxy on fasthttp, and a bare relay on epoll that
-// reads no HTTP at all. Each proxy is a process of its own, before one and the
-// same server of held objects; the figure is requests per CPU second of the
-// proxy's process, and what its clients waited.
+// Package bench measures the router as a proxy and compares it, in the same run, with the
+// alternatives that a user has and with the machine's limit: Go's httputil.ReverseProxy, a proxy
+// built on fasthttp, and a relay on epoll that copies bytes without parsing HTTP. Each proxy is a
+// process of its own in front of the same server, which has all objects in memory. The results
+// are the requests per CPU second of the proxy's process and the latency that clients see.
 //
-// It measures on loopback only and is no part of CI: what the kernel does for
-// loopback counts in the proxy's time, as it does for all of them alike.
+// Package bench measures on loopback only. The kernel's work for loopback traffic counts as CPU
+// time of the proxy, for all proxies alike. CI does not compare proxies.
 package bench
 
 import (
@@ -40,26 +39,26 @@
 	"indigospool/internal/testbed/testserver"
 )
 
-// Proxies are what can be measured.
+// Proxies lists the proxies that spool-bench run can measure.
 var Proxies = []string{"spool", "reverseproxy", "fasthttp", "relay"}
 
-// RunChild runs one proxy, or the server behind them, until standard input ends.
-// Its address is the first line that it prints.
+// RunChild runs the proxy or server with the given name until standard input is closed. It
+// prints its address as its first line.
 func RunChild(name, backend string) error {
-	// the proxy under test is bounded to the CPUs that the caller set
+	// The process that started this one has set its CPU affinity, if any.
 	switch name {
 	case "server":
 		return serveObjects()
 	case "spool":
 		return serveSpool(backend, "", `(class c (deadline 6000))`, "")
-	case "spool-journal": // with a journal of its decisions
+	case "spool-journal": // with a decision journal
 		dir, err := os.MkdirTemp("", "spool-bench-")
 		if err != nil {
 			return err
 		}
 		defer os.RemoveAll(dir)
 		return serveSpool(backend, fmt.Sprintf("(journal %q)", dir), `(class c (deadline 6000))`, "")
-	case "spool-overload": // clients here wait for half a second
+	case "spool-overload": // with deadlines of 500 ms, the default of spool-bench overload --patience
 		return serveSpool(backend, "", `(class c (aim 250) (deadline 500))`, "(socket-kb 1024)")
 	case "spool-pages":
 		return serveSpool(backend, "", `(class c (deadline 6000)) (class page (pages) (deadline 10000)) (route "/p/{group}/{object}" (class page))`, "")
@@ -81,21 +80,22 @@
 	if ms, ok := strings.CutPrefix(name, "pages-"); ok {
 		n, err := strconv.Atoi(ms)
 		if err != nil {
-			return fmt.Errorf("bench: %q is no delay in ms", ms)
+			return fmt.Errorf("bench: invalid delay %q, want a number of ms", ms)
 		}
 		return servePages(time.Duration(n) * time.Millisecond)
 	}
 	if mb, ok := strings.CutPrefix(name, "spool-flood-"); ok {
 		return serveSpool(backend, "", `(class c (deadline 6000))`, fmt.Sprintf("(memory-mb %s) (sockets-mb %s) (head-grace 5000) (client-grace 10000)", mb, mb))
 	}
-	return fmt.Errorf("bench: unknown proxy %q; known are %v", name, Proxies)
+	return fmt.Errorf("bench: unknown proxy %q, want one of %v", name, Proxies)
 }
 
 func newReader(c net.Conn) *bufio.Reader { return bufio.NewReaderSize(c, 16<<10) }
 
+// waitUntilOrphaned returns when the parent process closes standard input or exits.
 func waitUntilOrphaned() { io.Copy(io.Discard, os.Stdin) }
 
-// serveObjects answers /s/0/KB with so many KB, as a cache that holds them, by fasthttp.
+// serveObjects answers /s/0/N with an object of N KB, as a cache does for a hit.
 func serveObjects() error {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -132,7 +132,7 @@
 	if err := config.Read("bench", text, &s); err != nil {
 		return err
 	}
-	cli.TuneGC(s.Limits.MemoryMB) // as spool-router serve does
+	cli.TuneGC(s.Limits.MemoryMB) // the same garbage collector settings as spool-router serve
 	log, err := httpfront.NewAccessLog(&s)
 	if err != nil {
 		return err
@@ -179,8 +179,8 @@
 	return nil
 }
 
-// serveRelay copies bytes between a client and a connection of its own to the
-// server, on the same loop as the router: no parsing, no pools, no decisions.
+// serveRelay runs a relay that copies bytes between each client and a server connection of its
+// own. It uses the router's event loop, without parsing, connection pools or routing.
 func serveRelay(backend string) error {
 	l, err := eventloop.New(0)
 	if err != nil {
@@ -218,12 +218,12 @@
 	buf []byte
 }
 
-// relayEnd is one end of a pair: what is read here goes out at the other.
+// relayEnd is one of the two connections of a pair; data read from it is written to its peer.
 type relayEnd struct {
 	r       *relay
 	fd      int
 	peer    *relayEnd
-	pending []byte // read from the other, not yet written here
+	pending []byte // read from the peer, not yet written to this connection
 }
 
 func (r *relay) pair(c int) {
@@ -232,7 +232,7 @@
 		unix.Close(c)
 		return
 	}
-	if err := unix.Connect(u, &r.to); err != nil { // on loopback at once
+	if err := unix.Connect(u, &r.to); err != nil { // on loopback a blocking connect returns at once
 		unix.Close(c)
 		unix.Close(u)
 		return
@@ -291,33 +291,33 @@
 	}
 }
 
-// Result is one measurement.
+// Result is the measurement of one proxy with one object size and number of connections.
 type Result struct {
 	Proxy     string  `json:"proxy"`
 	KB        int     `json:"kb"`
 	Conns     int     `json:"conns"`
 	Requests  int64   `json:"requests"`
 	PerSecond float64 `json:"per_second"`
-	PerCPU    float64 `json:"per_cpu_second"` // of the proxy's process
+	PerCPU    float64 `json:"per_cpu_second"` // requests per CPU second of the proxy's process
 	P50us     int64   `json:"p50_us"`
 	P99us     int64   `json:"p99_us"`
 	RSSKB     int64   `json:"rss_kb"`
 	Failed    int64   `json:"failed"`
 }
 
-// Process is a running child.
+// Process is a running child process, a proxy or a server.
 type Process struct {
 	Addr string
 	cmd  *exec.Cmd
 	in   io.Closer
 }
 
-// StartChild runs a proxy or the server as a process.
+// StartChild starts a child process by the name that RunChild takes, without setting its CPUs.
 func StartChild(ctx context.Context, self []string, name, backend string) (*Process, error) {
 	return (*CPUSplit)(nil).StartChild(ctx, self, name, backend)
 }
 
-// StartChild runs a proxy as a process on its CPUs.
+// StartChild starts a child process on the CPUs reserved for the proxy. A nil CPUSplit sets none.
 func (cores *CPUSplit) StartChild(ctx context.Context, self []string, name, backend string) (*Process, error) {
 	cmd := exec.CommandContext(ctx, self[0], append(append([]string{}, self[1:]...), name, backend)...)
 	cmd.Stderr = os.Stderr
@@ -341,7 +341,7 @@
 	return &Process{Addr: strings.TrimSpace(line), cmd: cmd, in: in}, nil
 }
 
-// Stop ends it.
+// Stop closes the child's standard input, and kills the child if it is still running after 3 s.
 func (m *Process) Stop() {
 	m.in.Close()
 	done := make(chan struct{})
@@ -354,7 +354,7 @@
 	}
 }
 
-// usage is the CPU time, and the resident memory in KB, of the child.
+// usage returns the CPU time and the resident memory, in KB, of the child.
 func (m *Process) usage() (time.Duration, int64, error) {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", m.cmd.Process.Pid))
 	if err != nil {
@@ -362,7 +362,7 @@
 	}
 	f := strings.Fields(string(b[strings.LastIndexByte(string(b), ')')+2:]))
 	if len(f) < 22 {
-		return 0, 0, errors.New("bench: /proc/pid/stat is too short")
+		return 0, 0, fmt.Errorf("bench: /proc/%d/stat has %d fields after the name, want 22", m.cmd.Process.Pid, len(f))
 	}
 	user, _ := strconv.ParseInt(f[11], 10, 64)
 	system, _ := strconv.ParseInt(f[12], 10, 64)
@@ -371,8 +371,8 @@
 	return time.Duration(user+system) * tick, pages * int64(os.Getpagesize()) / 1024, nil
 }
 
-// Load makes requests for an object of so many KB over so many connections,
-// each of which asks again as soon as it has its answer.
+// Load sends requests for an object of kb KB in a closed loop: each of conns connections sends
+// its next request as soon as it has the response. It measures for span, after span/5 of warm-up.
 func Load(ctx context.Context, m *Process, proxy string, kb, conns int, span time.Duration) (Result, error) {
 	r := Result{Proxy: proxy, KB: kb, Conns: conns}
 	req := []byte(fmt.Sprintf("GET /s/0/%d HTTP/1.1\r\nHost: bench\r\nUser-Agent: spool-bench\r\nAccept: */*\r\n\r\n", kb))
@@ -425,7 +425,7 @@
 	if len(errs) > 0 {
 		stop.Store(true)
 		wg.Wait()
-		return r, errors.Join(errs[0], fmt.Errorf("bench: %d of %d connections failed", len(errs), conns))
+		return r, errors.Join(errs[0], fmt.Errorf("bench: %d of %d connections could not be opened", len(errs), conns))
 	}
 	time.Sleep(span / 5) // to warm up
 	hist.Reset()
@@ -454,8 +454,8 @@
 	return r, nil
 }
 
-// readOKResponse reads one 200 of a known size; it does as little as it can, since
-// the load must not be what limits.
+// readOKResponse reads a response with status 200 and a body of a known size. It does as little
+// work as possible, so that the load generator does not become the bottleneck.
 func readOKResponse(br *bufio.Reader, size int64) error {
 	first := true
 	for {
@@ -464,7 +464,7 @@
 			return err
 		}
 		if first && !strings.HasPrefix(string(line[:min(len(line), 12)]), "HTTP/1.1 200") {
-			return fmt.Errorf("bench: answered %q", line)
+			return fmt.Errorf("bench: response begins with %q, want status 200", line)
 		}
 		first = false
 		if len(line) <= 2 {
@@ -475,8 +475,8 @@
 	return err
 }
 
-// Idle opens so many connections that ask once and then nothing, and returns
-// the resident KB before and after.
+// Idle opens conns connections that send one request each and then stay idle. It returns the
+// proxy's resident memory, in KB, before and after.
 func Idle(m *Process, conns int) (before, after int64, err error) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil && limit.Cur < uint64(conns)+100 {
--- a/internal/testbed/bench/cores.go
+++ b/internal/testbed/bench/cores.go
@@ -10,19 +10,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// CPUSplit divides the machine between the proxy that is measured and all else, so that
-// it is the proxy that reaches its limit first, and the load keeps its rate.
+// CPUSplit divides the CPUs between the measured proxy and all other processes, so that the
+// proxy reaches its limit first and the load generator keeps its rate.
 type CPUSplit struct{ proxy, rest unix.CPUSet }
 
-// SplitCPUs keeps n CPUs for proxies and moves this process to the others, and with it
-// what it starts but for proxies.
+// SplitCPUs reserves n CPUs for proxies. It moves this process, and so the processes that it
+// starts without the CPUSplit, to the other CPUs.
 func SplitCPUs(n int) (*CPUSplit, error) {
 	var all unix.CPUSet
 	if err := unix.SchedGetaffinity(0, &all); err != nil {
 		return nil, fmt.Errorf("bench: sched_getaffinity: %w", err)
 	}
 	if all.Count() <= n {
-		return nil, fmt.Errorf("bench: %d CPUs for the proxy leave none of %d for the load; ask for fewer, or for 0 to divide nothing", n, all.Count())
+		return nil, fmt.Errorf("bench: %d CPUs for the proxy leave none of the %d CPUs for the load; use fewer, or 0 to share all CPUs", n, all.Count())
 	}
 	c := &CPUSplit{}
 	for cpu := 0; c.proxy.Count()+c.rest.Count() < all.Count(); cpu++ {
@@ -48,7 +48,8 @@
 	return c, nil
 }
 
-// start starts a proxy on its CPUs; a child has those of the thread that makes it.
+// start starts a command on the proxy's CPUs. A child inherits the affinity of the thread that
+// starts it.
 func (c *CPUSplit) start(cmd *exec.Cmd) error {
 	if c == nil {
 		return cmd.Start()
--- a/internal/testbed/bench/fleet.go
+++ b/internal/testbed/bench/fleet.go
@@ -26,25 +26,25 @@
 	"indigospool/internal/proxy/httpfront"
 )
 
-// FleetResult is what one size of a fleet was measured to do.
+// FleetResult is the measurement of a fleet of one size.
 type FleetResult struct {
 	Routers       int     `json:"routers"`
 	Protocol      string  `json:"protocol"`
 	Versions      int     `json:"versions"`
 	BodyBytes     int     `json:"body_bytes"`
-	JoinTime      float64 `json:"join_ms"`            // until all have the first version, at the service's pace of streams
-	ConvergeMean  float64 `json:"converge_mean_ms"`   // from a push to all at once until the last machine has accepted it
-	ConvergeWorst float64 `json:"converge_worst_ms"`  //
-	ActivateMean  float64 `json:"used_mean_ms"`       // until the last machine runs it, with its spread of 1 s
-	CPU           float64 `json:"cpu_ms_per_version"` // of the service's process
-	RSS           int64   `json:"rss_kb"`             // of it, at the end
-	RSSBefore     int64   `json:"rss_before_kb"`      // and before the first stream
-	Bytes         float64 `json:"bytes_per_router"`   // a version, as sent, without HTTP/2's own
-	ReconnectTime float64 `json:"reconnect_ms"`       // until all are level again after the service was killed and started
+	JoinTime      float64 `json:"join_ms"`          // until all routers run the first version, with the service's limit on new streams per second
+	ConvergeMean  float64 `json:"converge_mean_ms"` // from a push to all routers at once until the last has accepted the version
+	ConvergeWorst float64 `json:"converge_worst_ms"`
+	ActivateMean  float64 `json:"used_mean_ms"`       // from the push until the last router runs the version; activations are spread over 1 s
+	CPU           float64 `json:"cpu_ms_per_version"` // CPU time of the service's process
+	RSS           int64   `json:"rss_kb"`             // resident memory of the service's process, at the end
+	RSSBefore     int64   `json:"rss_before_kb"`      // the same, before the first stream
+	Bytes         float64 `json:"bytes_per_router"`   // gRPC bytes received for a version, without HTTP/2 framing
+	ReconnectTime float64 `json:"reconnect_ms"`       // from a push after the service was killed and restarted until all routers have accepted it
 }
 
-// serveControl is the service as a child: its listener for operators is told
-// behind the routers'.
+// serveControl runs the control service. It prints the address for routers and then that for
+// operators.
 func serveControl(store string) error {
 	var s service.Settings
 	if err := config.Read("bench", fmt.Sprintf(`(service (name bench) (listen "127.0.0.1:0") (admin "127.0.0.1:0") (store %q)
@@ -66,11 +66,11 @@
 	return nil
 }
 
-const streamRateEnv = "SPOOL_BENCH_STREAMS" // that may begin in a second
-const addressEnv = "SPOOL_BENCH_ADDRESSES"  // where a service that starts again is to listen
+const streamRateEnv = "SPOOL_BENCH_STREAMS" // limit on new streams per second
+const addressEnv = "SPOOL_BENCH_ADDRESSES"  // the two addresses on which a restarted service listens
 
-// fleetSettings is settings of a size that users have: 120 caches in 24 zones, 8
-// parents at 4 hubs.
+// fleetSettings returns settings of a realistic size: 120 caches in 24 zones, 8 parents at 4
+// hubs and an origin. size is the size of the first cache.
 func fleetSettings(size float64) []byte {
 	var b strings.Builder
 	b.WriteString("(router (of 100000))(fill (sizes) (siblings location))")
@@ -98,6 +98,7 @@
 	return []byte(b.String())
 }
 
+// receivedBytes counts the bytes of received gRPC messages.
 type receivedBytes struct{ n atomic.Int64 }
 
 func (c *receivedBytes) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
@@ -111,9 +112,9 @@
 	}
 }
 
-// Fleet has so many routers' machines, in this process, follow one service, a
-// process of its own, over real streams, and brings them versions that differ
-// in one member.
+// Fleet runs a control service as a child process and the agents of many routers in this
+// process, connected by gRPC streams. It pushes versions that differ in one member, one after
+// another, and then kills and restarts the service.
 func Fleet(ctx context.Context, self []string, routers, versions int, perSecond float64, full bool) (r FleetResult, err error) {
 	r = FleetResult{Routers: routers, Protocol: "delta", Versions: versions}
 	if full {
@@ -170,7 +171,7 @@
 				continue
 			}
 			if time.Since(from) > 120*time.Second || ctx.Err() != nil {
-				return 0, errors.Join(fmt.Errorf("bench: %s of version %d at router %d took too long", what, number, i), ctx.Err())
+				return 0, errors.Join(fmt.Errorf("bench: %s of version %d at router %d did not complete within 120 s", what, number, i), ctx.Err())
 			}
 			time.Sleep(200 * time.Microsecond)
 		}
@@ -238,7 +239,8 @@
 
 func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// serveFollower is the router as a child that follows a service.
+// serveFollower runs a router that takes its settings from a control service. Its argument is
+// the address of the backend and that of the service, separated by a space.
 func serveFollower(backendAndService string) error {
 	var backend, service string
 	if _, err := fmt.Sscan(backendAndService, &backend, &service); err != nil {
@@ -272,8 +274,8 @@
 	return e.Run()
 }
 
-// followerSettings is settings for the router before the bench's server, with as many
-// other members as users have.
+// followerSettings returns the settings of version n for a router in front of the bench's server,
+// with 120 other members, a realistic number.
 func followerSettings(backend string, n int) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, `(router (of 2)) (zone z (routers 2)) (zone far) (limits (upstream 4096) (connections-per-address 20000) (held %d)) (fill (flow 1000))
@@ -284,24 +286,24 @@
 	return []byte(b.String())
 }
 
-// VersionsResult is what requests waited in windows with a version a second and
-// in those without, in turn.
+// VersionsResult compares the latency of requests in windows with a new version every second and
+// in windows without. Arrays have the windows without versions at index 0, those with at 1.
 type VersionsResult struct {
-	Windows    int       `json:"windows"` // of each
+	Windows    int       `json:"windows"` // of each kind
 	Versions   int       `json:"versions"`
-	Requests   [2]int    `json:"requests"` // without, with
+	Requests   [2]int    `json:"requests"`
 	P50        [2]int64  `json:"p50_us"`
 	P99        [2]int64  `json:"p99_us"`
 	P999       [2]int64  `json:"p999_us"`
 	Ratio      float64   `json:"p99_ratio"`
-	Ratios     []float64 `json:"p99_ratios"` // window by window
+	Ratios     []float64 `json:"p99_ratios"` // for each pair of windows, sorted
 	Failed     int64     `json:"failed"`
 	LastActive int64     `json:"last_version_run"`
 }
 
-// Versions has clients ask a router at a fixed rate, open-loop, in windows with a
-// version a second and without, in turn. Every version changes a limit and the
-// size of each of 120 members.
+// Versions sends requests to a router at a fixed rate (open loop), in alternating windows with
+// and without a new version every second. Every version changes a limit and the size of each of
+// 120 members.
 func Versions(ctx context.Context, self []string, perSecond, windows int, window time.Duration) (r VersionsResult, err error) {
 	server, err := StartChild(ctx, self, "server", "-")
 	if err != nil {
@@ -341,13 +343,13 @@
 		hists[i] = hdrhistogram.New(1, 60_000_000, 3)
 	}
 	var p99 [2][]int64
-	if _, failed, err := loadAtRate(ctx, router.Addr, perSecond, window/4); err != nil { // to warm up
+	if _, failed, err := loadAtRate(ctx, router.Addr, perSecond, window/4); err != nil { // warm-up
 		return r, errors.Join(err, fmt.Errorf("bench: %d failed", failed))
 	}
 	for w := range 2 * windows {
 		updating := w % 2
 		if w/2%2 == 1 {
-			updating = 1 - updating // now one first, now the other
+			updating = 1 - updating // the kind that comes first alternates, against drift
 		}
 		stop := make(chan struct{})
 		pushed := make(chan error, 1)
@@ -390,8 +392,8 @@
 	return r, err
 }
 
-// loadAtRate makes requests at a fixed rate for a while: each is due at its time,
-// whether or not those before are answered, and waits from when it was due.
+// loadAtRate sends requests at a fixed rate for span, whether or not earlier ones are answered.
+// The latency of a request counts from the time at which it was due.
 func loadAtRate(ctx context.Context, addr string, perSecond int, span time.Duration) (*hdrhistogram.Histogram, int64, error) {
 	const conns = 64
 	req := []byte("GET /s/0/16 HTTP/1.1\r\nHost: bench\r\n\r\n")
--- a/internal/testbed/bench/fleet_test.go
+++ b/internal/testbed/bench/fleet_test.go
@@ -6,7 +6,8 @@
 	"indigospool/internal/config"
 )
 
-// What a router does with a version of users' size before it accepts it.
+// BenchmarkReadVersion measures how long a router takes to check a version of realistic size
+// before it accepts it.
 func BenchmarkReadVersion(b *testing.B) {
 	text := string(fleetSettings(11))
 	b.SetBytes(int64(len(text)))
--- a/internal/testbed/bench/overload.go
+++ b/internal/testbed/bench/overload.go
@@ -21,35 +21,35 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Point is a proxy under an open-loop load of a multiple of what it can do.
+// Point is the measurement of a proxy under an open-loop load of a multiple of its capacity.
 type Point struct {
 	Proxy    string  `json:"proxy"`
 	Factor   float64 `json:"factor"`
-	Offered  float64 `json:"offered"`   // requests a second
-	Goodput  float64 `json:"goodput"`   // whole answers within the patience, a second
-	Least    float64 `json:"least"`     // goodput of the worst round
-	Most     float64 `json:"most"`      // and of the best
-	Late     float64 `json:"late"`      // whole answers after it
-	Rejected float64 `json:"refused"`   // 503
-	Failed   float64 `json:"broken"`    // none, or not whole, within twice the patience
-	P50      float64 `json:"p50_ms"`    // of good answers, from when they were due
-	P99      float64 `json:"p99_ms"`    // of them
-	LoadLag  float64 `json:"behind_ms"` // most by which the load itself was late to ask
-	Capacity float64 `json:"capacity"`  // requests a second of a closed loop: factor 1
+	Offered  float64 `json:"offered"`   // requests per second
+	Goodput  float64 `json:"goodput"`   // complete responses with status 200 within the deadline, per second
+	Least    float64 `json:"least"`     // lowest goodput of a round
+	Most     float64 `json:"most"`      // highest goodput of a round
+	Late     float64 `json:"late"`      // complete responses with status 200 after the deadline, per second
+	Rejected float64 `json:"refused"`   // responses with status 503, per second
+	Failed   float64 `json:"broken"`    // no complete response within twice the deadline, or another status, per second
+	P50      float64 `json:"p50_ms"`    // latency of responses in time, from when the request was due
+	P99      float64 `json:"p99_ms"`    // the same
+	LoadLag  float64 `json:"behind_ms"` // longest delay of the load generator in sending a request
+	Capacity float64 `json:"capacity"`  // requests per second in a closed loop, the load at factor 1
 }
 
-// OverloadOptions are how a curve is measured.
+// OverloadOptions sets how a curve is measured.
 type OverloadOptions struct {
 	KB       int
 	Factors  []float64
-	Conns    int // of the load; a request that finds none free within a tenth of the patience is not asked, and broken
-	Rounds   int // over all factors; the mean of each counts, and the quantiles of the median round
-	Span     time.Duration
-	Deadline time.Duration
+	Conns    int           // connections of the load; a request counts as failed if none is free within a tenth of the deadline
+	Rounds   int           // rounds over all factors; a Point has their means and the quantiles of the median round
+	Span     time.Duration // measured time of each factor and round, after a quarter of it for warm-up
+	Deadline time.Duration // from when a request is due
 }
 
-// Overload measures a proxy's capacity by a closed loop, and then what it does under
-// multiples of it, open-loop.
+// Overload measures a proxy's capacity with a closed loop, and then its responses under open-loop
+// loads of multiples of the capacity. It calls report with each Point.
 func Overload(ctx context.Context, m *Process, proxy string, o OverloadOptions, report func(Point)) ([]Point, error) {
 	baseline, err := Load(ctx, m, proxy, o.KB, 64, o.Span)
 	if err != nil {
@@ -70,7 +70,7 @@
 	var out []Point
 	for _, points := range all {
 		sort.Slice(points, func(i, j int) bool { return points[i].Goodput < points[j].Goodput })
-		p := points[len(points)/2] // with its quantiles
+		p := points[len(points)/2] // the median round, for its quantiles
 		p.Least, p.Most = points[0].Goodput, points[len(points)-1].Goodput
 		mean := func(field func(*Point) *float64) {
 			sum := 0.0
@@ -89,6 +89,8 @@
 	return out, nil
 }
 
+// openLoop sends requests at the given rate, each at its due time and on a connection that is free,
+// and measures the responses.
 func openLoop(ctx context.Context, addr string, o OverloadOptions, rate float64) (Point, error) {
 	p := Point{Offered: rate}
 	req := []byte(fmt.Sprintf("GET /s/0/%d HTTP/1.1\r\nHost: bench\r\n\r\n", o.KB))
@@ -126,7 +128,7 @@
 				if late := time.Since(due).Microseconds(); measured && late > maxLag.Load() {
 					maxLag.Store(late)
 				}
-				if time.Since(due) > o.Deadline/10 { // all connections are taken: users don't queue for one another's
+				if time.Since(due) > o.Deadline/10 { // all connections were in use; independent users would not wait for each other's
 					if measured {
 						failed.Add(1)
 					}
@@ -189,10 +191,10 @@
 	return p, ctx.Err()
 }
 
-// bodyBuffers are read in large pieces, past the buffer of heads.
+// bodyBuffers holds buffers for reading bodies in large pieces, without the reader's own buffer.
 var bodyBuffers = sync.Pool{New: func() any { b := make([]byte, 256<<10); return &b }}
 
-// readResponse reads an answer with a stated length, whatever its status.
+// readResponse reads a response with a Content-Length, whatever its status.
 func readResponse(c net.Conn, br *bufio.Reader) (status int, err error) {
 	length := int64(-1)
 	for first := true; ; first = false {
@@ -204,14 +206,14 @@
 		switch {
 		case first:
 			if !strings.HasPrefix(text, "HTTP/1.1 ") || len(text) < 12 {
-				return 0, fmt.Errorf("bench: %q is no status line", text)
+				return 0, fmt.Errorf("bench: invalid status line %q", text)
 			}
 			if status, err = strconv.Atoi(text[9:12]); err != nil {
-				return 0, fmt.Errorf("bench: %q is no status line", text)
+				return 0, fmt.Errorf("bench: invalid status line %q", text)
 			}
 		case text == "":
 			if length < 0 {
-				return status, errors.New("bench: an answer without a length")
+				return status, errors.New("bench: response without Content-Length")
 			}
 			n, _ := br.Discard(int(min(length, int64(br.Buffered()))))
 			b := bodyBuffers.Get().(*[]byte)
@@ -222,17 +224,17 @@
 			return status, err
 		case len(text) > 15 && strings.EqualFold(text[:15], "content-length:"):
 			if length, err = strconv.ParseInt(strings.TrimSpace(text[15:]), 10, 64); err != nil {
-				return status, fmt.Errorf("bench: %q is no length", text)
+				return status, fmt.Errorf("bench: invalid Content-Length in %q", text)
 			}
 		}
 	}
 }
 
-// PlotOverload draws goodput over offered load, both in multiples of the capacity.
+// PlotOverload writes a plot of goodput over offered load, both as multiples of the capacity.
 func PlotOverload(points []Point, file string) error {
 	p := plot.New()
-	p.Title.Text = "Answers in time under overload"
-	p.X.Label.Text, p.Y.Label.Text = "offered load / capacity", "answers in time / capacity"
+	p.Title.Text = "Responses in time under overload"
+	p.X.Label.Text, p.Y.Label.Text = "offered load / capacity", "responses in time / capacity"
 	p.Y.Min = 0
 	p.Legend.Top = false
 	lines := map[string]plotter.XYs{}
@@ -256,17 +258,18 @@
 	return nil
 }
 
-// FloodSample is a second of a flood.
+// FloodSample is the measurement of one second of a flood.
 type FloodSample struct {
 	Second int   `json:"second"`
 	RSSKB  int64 `json:"rss_kb"`
-	Good   int64 `json:"good"` // of the users beside it
-	Bad    int64 `json:"bad"`
+	Good   int64 `json:"good"` // requests of ordinary users with status 200
+	Bad    int64 `json:"bad"`  // other requests of ordinary users
 }
 
-// Flood holds connections that read large answers slowly, send requests a byte at a
-// time, or do nothing, and has a few ordinary users beside them. Each second it looks
-// at the resident memory of the machine.
+// Flood opens conns connections that misuse the proxy. A third request many large responses and
+// read them at a byte per second, a third send a request at a byte per second, and a third stay
+// idle. A few ordinary users send requests at the same time. Flood calls report every second. It
+// returns the proxy's resident memory before the flood, in KB, and the samples.
 func Flood(ctx context.Context, m *Process, conns int, span time.Duration, report func(FloodSample)) (before int64, list []FloodSample, err error) {
 	var limit syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) == nil && limit.Cur < uint64(conns)+500 {
@@ -281,7 +284,7 @@
 	var wg sync.WaitGroup
 	attack := func(i, kind int) {
 		defer wg.Done()
-		// from many addresses: the ports of one are soon used up by those that were cut
+		// Many local addresses, since closed connections soon use up the ports of one.
 		from := net.Dialer{Timeout: 2 * time.Second, LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, byte(1+i%200), 1)}}
 		for ctx.Err() == nil {
 			c, err := from.Dial("tcp4", m.Addr)
@@ -291,11 +294,11 @@
 			}
 			c.(*net.TCPConn).SetReadBuffer(4096)
 			switch kind {
-			case 0: // reads nothing of much that it asks for
+			case 0: // requests many large responses and reads one byte per second
 				for range 20 {
 					c.Write([]byte("GET /s/0/1024 HTTP/1.1\r\nHost: x\r\n\r\n"))
 				}
-			case 1:
+			case 1: // sends a request byte by byte
 				c.Write([]byte("GET /s/0/1 HT"))
 			}
 			one := make([]byte, 1)
@@ -308,7 +311,7 @@
 				}
 				c.SetReadDeadline(time.Now().Add(time.Millisecond))
 				if _, err := c.Read(one); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-					break // it was cut: come again
+					break // closed by the proxy; connect again
 				}
 			}
 			c.Close()
@@ -332,7 +335,7 @@
 						status, err = readResponse(c, newReader(c))
 					}
 					if err == nil && status != 200 {
-						err = errors.New("refused")
+						err = errors.New("bench: status is not 200")
 					}
 					c.Close()
 				}
--- a/internal/testbed/bench/pages.go
+++ b/internal/testbed/bench/pages.go
@@ -19,11 +19,12 @@
 	"indigospool/internal/testbed/testserver"
 )
 
-// Assemblers are what puts pages together in Pages: the router, and a small program that
-// fetches the pieces by Go's client, one after another or eight at a time.
+// Assemblers lists the children that can assemble ESI pages: the router, and a small program that
+// fetches the fragments with Go's HTTP client, one after another or eight at a time.
 var Assemblers = []string{"spool-pages", "sequential", "parallel"}
 
-// servePages answers /p/0/N with a page of N fragments, /s/I/KB, each after the delay.
+// servePages answers /p/0/N with a page of N fragments, and /s/I/KB, the path of a fragment, with
+// an object of that size after the delay.
 func servePages(delay time.Duration) error {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -63,8 +64,8 @@
 
 const pageHead = "<!doctype html><title>captions</title>\n"
 
-// serveAssembler is what a user would write in an hour: it fetches a page and its pieces
-// by Go's client, and sends them in their order.
+// serveAssembler runs a minimal ESI processor: it fetches a page and its fragments with Go's HTTP
+// client, at most parallelism at a time, and sends them in order.
 func serveAssembler(backend string, parallelism int) error {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -133,23 +134,23 @@
 	return nil
 }
 
-// PageResult is one measurement of pages.
+// PageResult is the measurement of one assembler with pages of one size.
 type PageResult struct {
 	Assembler string  `json:"by"`
 	Fragments int     `json:"fragments"`
-	DelayMs   int     `json:"delay_ms"` // of each fragment at the server
+	DelayMs   int     `json:"delay_ms"` // delay of the server for each fragment
 	Conns     int     `json:"conns"`
 	Pages     int64   `json:"pages"`
 	PerSecond float64 `json:"per_second"`
 	PerCPU    float64 `json:"per_cpu_second"`
-	FirstP50  int64   `json:"first_p50_us"` // until the first byte of the body
-	P50       int64   `json:"p50_us"`       // until the last
+	FirstP50  int64   `json:"first_p50_us"` // time to the first byte of the body
+	P50       int64   `json:"p50_us"`       // time to the last byte
 	P99       int64   `json:"p99_us"`
 	Failed    int64   `json:"failed"`
 }
 
-// LoadPages asks for pages of so many fragments over so many connections, each of which
-// asks again as soon as it has its page.
+// LoadPages requests pages with the given number of fragments in a closed loop: each connection
+// sends its next request as soon as it has the page.
 func LoadPages(ctx context.Context, m *Process, assembler string, fragments, delay, conns int, span time.Duration) (PageResult, error) {
 	r := PageResult{Assembler: assembler, Fragments: fragments, DelayMs: delay, Conns: conns}
 	want := int64(len(pageHead) + fragments*(len("<p></p>")+1024))
@@ -213,7 +214,7 @@
 	return r, nil
 }
 
-// readPage reads a page, and says when its first byte had come.
+// readPage reads a page of want bytes and returns the time at which its first byte arrived.
 func readPage(br interface {
 	io.Reader
 	io.ByteReader
@@ -229,7 +230,7 @@
 		}
 		s := strings.ToLower(strings.TrimRight(string(b), "\r\n"))
 		if line == 0 && !strings.HasPrefix(s, "http/1.1 200") {
-			return first, fmt.Errorf("bench: answered %q", s)
+			return first, fmt.Errorf("bench: response begins with %q, want status 200", s)
 		}
 		if v, is := strings.CutPrefix(s, "content-length: "); is {
 			length, _ = strconv.ParseInt(v, 10, 64)
@@ -270,7 +271,7 @@
 			return first, err
 		}
 		if got != want {
-			return first, fmt.Errorf("bench: a page of %d bytes, not %d", got, want)
+			return first, fmt.Errorf("bench: page has %d bytes, want %d", got, want)
 		}
 		return first, nil
 	}
