--- a/internal/testbed/demo/demo.go
+++ b/internal/testbed/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo is a router with stand-ins around it in one process, on ports
-// that the kernel chooses: two zones' boxes, two parents and an origin. It is
-// for a first look by hand, and never for measuring.
+// Package demo runs a router and test servers in one process, on ports that the kernel chooses:
+// caches in two zones, two parents and an origin. It is for trying out the router by hand, not for
+// measurements.
 package demo
 
 import (
@@ -35,7 +35,8 @@
 	log   *httpfront.AccessLog
 }
 
-// Start starts it all. log is where the access log goes, as in the settings.
+// Start starts the test servers and creates the router, which the caller starts with Edge.Run. log
+// is the target of the access log, in the form that the settings have.
 func Start(log string) (*Demo, error) {
 	d := &Demo{}
 	ok := false
@@ -87,7 +88,7 @@
 	return d, nil
 }
 
-// Close ends what Start started but for the router, which ends with its Run.
+// Close stops the test servers and closes the access log. It does not stop the router.
 func (d *Demo) Close() {
 	for _, f := range d.stops {
 		f()
@@ -97,19 +98,19 @@
 	}
 }
 
-// Tell prints what can be fetched.
+// Tell prints example commands for the running router.
 func (d *Demo) Tell(w io.Writer) {
 	a := d.Edge.Addr()
-	fmt.Fprintf(w, `indigospool demo: a router of zone north at %[1]s, before 3 boxes, 2 parents and an origin.
-All are stand-ins in this process; zone south's boxes are listed and never asked from here.
+	fmt.Fprintf(w, `indigospool demo: a router in zone north at %[1]s, with 3 caches, 2 parents and an origin.
+All of them are test servers in this process. Zone south's caches are listed, but this router does not use them.
 
-  curl -sD- -o/dev/null http://%[1]s/s/7/harbour.jpg    # a still: first a miss, then a hit
+  curl -sD- -o/dev/null http://%[1]s/s/7/harbour.jpg    # a photo: first a miss, then a hit
   curl -sD- -o/dev/null http://%[1]s/v/7/harbour.mp4/0  # a part of a video
-  curl -s http://%[1]s/p/7/captions~5~20~s              # a page put together from 5 fragments (ESI)
-  curl -sD- -XPOST -H'Idempotency-Key: 1' -d hello http://%[1]s/n/1  # a write, to the origin
-  curl -sX PURGE http://%[2]s/s/7/harbour.jpg           # void copies of the still (admin)
+  curl -s http://%[1]s/p/7/captions~5~20~s              # a page assembled from 5 fragments (ESI)
+  curl -sD- -XPOST -H'Idempotency-Key: 1' -d hello http://%[1]s/n/1  # a write, sent to the origin
+  curl -sX PURGE http://%[2]s/s/7/harbour.jpg           # purge the photo (admin address)
   curl -s http://%[2]s/state                            # counters
 
-Cache-Status in the answers says which cache answered, and how. Interrupt to end.
+The Cache-Status header of a response names the cache and says whether it was a hit. Interrupt to stop.
 `, a, d.Edge.AdminAddr())
 }
