--- a/cmd/spool-replay/main.go
+++ b/cmd/spool-replay/main.go
@@ -149,12 +149,12 @@
 			return &cli.FoundError{Err: err}
 		}
 	}
-	src, err := loadgen.OpenRecord(path, loadgen.RecordOptions{Routes: routes, Speed: speed, Writes: f.writes})
+	src, err := loadgen.OpenReplay(path, loadgen.ReplayOptions{Routes: routes, Speed: speed, Writes: f.writes})
 	if err != nil {
 		return err
 	}
 	defer src.Close()
-	r, err := loadgen.RunRecord(c.Context(), src, loadgen.Form{Name: path, Targets: f.live, Conns: f.connections, Most: f.maxRequests})
+	r, err := loadgen.RunReplay(c.Context(), src, loadgen.LoadSettings{Name: path, Targets: f.live, Conns: f.connections, MaxRequests: f.maxRequests})
 	if err != nil {
 		return err
 	}
--- a/internal/proxy/httpfront/edge_test.go
+++ b/internal/proxy/httpfront/edge_test.go
@@ -27,7 +27,7 @@
 	t           testing.TB
 	edge        *Edge
 	records     *trafficlog.Writer // what the test servers have received and sent
-	listService *testserver.List
+	listService *testserver.ListService
 	caches      map[string]*testserver.Server
 	origin      *testserver.Server
 	log         *bytes.Buffer // the router's log, guarded by logMu
@@ -71,7 +71,7 @@
 func newRig(t testing.TB, cacheCount int, limits string) *testRig {
 	rig := &testRig{t: t, records: trafficlog.NewWriter(nil), caches: map[string]*testserver.Server{}, log: &bytes.Buffer{}, done: make(chan error, 1)}
 	var err error
-	if rig.listService, err = testserver.StartList(testserver.ListConfig{ID: "list"}, rig.records); err != nil {
+	if rig.listService, err = testserver.StartListService(testserver.ListServiceConfig{ID: "list"}, rig.records); err != nil {
 		t.Fatal(err)
 	}
 	rig.origin = rig.start(testserver.Config{ID: "o", Role: "origin"})
@@ -113,7 +113,7 @@
 
 // start starts a test server.
 func (r *testRig) start(c testserver.Config) *testserver.Server {
-	c.Flow, c.Classes, c.FillWait = 100, testClasses, 1000
+	c.Flow, c.Classes, c.FillTimeout = 100, testClasses, 1000
 	s, err := testserver.Start(c, r.records)
 	if err != nil {
 		r.t.Fatal(err)
@@ -335,7 +335,7 @@
 // that its response is incomplete, but never gets other bytes than the object's.
 func TestInvalidResponses(t *testing.T) {
 	for _, kind := range []string{testserver.ResetBody, testserver.Truncated, testserver.Overlong, testserver.Garbage, testserver.TwoLengths,
-		testserver.BothFrames, testserver.BareLF, testserver.BigHead, testserver.FastErrors, testserver.AcceptShut} {
+		testserver.LengthAndChunked, testserver.BareLF, testserver.LargeHeader, testserver.FastErrors, testserver.AcceptClose} {
 		t.Run(kind, func(t *testing.T) {
 			rig := newRig(t, 2, "")
 			if _, _, err := rig.get("/s/1/a"); err != nil { // so that a cache holds it
@@ -461,15 +461,15 @@
 	rig.setMember("b0", "box", "z", "draining", rig.caches["b0"].Addr())
 	drained := func(_ *Stats, c *engine.Core) bool { m, _ := c.Member("b0"); return m.State != 0 }
 	rig.waitFor("the drain", drained)
-	rig.listService.SetBack(2)
-	rig.listService.Cut("")
+	rig.listService.RollBackRevision(2)
+	rig.listService.CutStreams("")
 	rig.waitFor("the cut", func(*Stats, *engine.Core) bool { return rig.edge.listState.Load() != "following" })
 	time.Sleep(100 * time.Millisecond)
-	rig.listService.SetBack(0)
+	rig.listService.RollBackRevision(0)
 	rig.waitFor("the stream", func(*Stats, *engine.Core) bool { return rig.edge.listState.Load() == "following" })
 	rig.waitFor("the drain to be still in force", drained)
 	rig.setMember("b0", "box", "z", "serving", rig.caches["b0"].Addr())
-	rig.listService.Cut("") // a router that ignored outdated updates gets a full snapshot again
+	rig.listService.CutStreams("") // a router that ignored outdated updates gets a full snapshot again
 	rig.waitFor("the cache to serve again", func(_ *Stats, c *engine.Core) bool { m, _ := c.Member("b0"); return m.State == 0 })
 }
 
--- a/internal/proxy/platform/client_test.go
+++ b/internal/proxy/platform/client_test.go
@@ -17,7 +17,7 @@
 // for a cached copy before it requests a fill, and that bodies arrive complete.
 func TestReadAndWriteAreServed(t *testing.T) {
 	harness := newHarness(t, map[string]handler{"s-000000c1": answerMiss, "s-000000c2": answerMiss})
-	if good, err := harness.dial().Well(); !good || err != nil {
+	if good, err := harness.dial().IsWell(); !good || err != nil {
 		t.Fatalf("isWell: %v %v", good, err)
 	}
 	f := readFields(key)
@@ -26,7 +26,7 @@
 	}
 	lookups, fills := 0, 0
 	for _, p := range harness.members {
-		for _, request := range p.Seen() {
+		for _, request := range p.Received() {
 			if request.ID != f["id"] || request.Fields["class"] != "clip" || request.Fields["key"] != key || request.Fields["part"] != "3" || request.Fields["wait"] == "0" {
 				t.Errorf("a member received %+v", request)
 			}
@@ -45,7 +45,7 @@
 	if result := harness.roundTrip(readFields(key, "class", "note", "once", once), body); result.Word != "served" {
 		t.Fatalf("a write: %+v", result)
 	}
-	if s := harness.members["s-000000a1"].Seen(); len(s) != 1 || s[0].Fields["once"] != once || !bytes.Equal(s[0].Body, body) {
+	if s := harness.members["s-000000a1"].Received(); len(s) != 1 || s[0].Fields["once"] != once || !bytes.Equal(s[0].Body, body) {
 		t.Errorf("the origin received %d requests, or one that differs from the write", len(s))
 	}
 }
@@ -69,7 +69,7 @@
 // their connections closed, within 3 s, and that valid requests are served meanwhile.
 func TestMalformedClients(t *testing.T) {
 	slow := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
-		if !request.Stop {
+		if !request.Cancel {
 			time.AfterFunc(100*time.Millisecond, func() { conn.Hit(request.ID, []byte("late")) })
 		}
 	}
@@ -141,7 +141,7 @@
 func TestForgottenCallsAreNotStarted(t *testing.T) {
 	harness := newHarness(t, nil)
 	attempts := func() int {
-		return len(harness.members["s-000000c1"].Seen()) + len(harness.members["s-000000c2"].Seen())
+		return len(harness.members["s-000000c1"].Received()) + len(harness.members["s-000000c2"].Received())
 	}
 	for range 4 { // open connections on which an attempt would be written at once
 		harness.roundTrip(readFields(key), nil)
@@ -325,7 +325,7 @@
 func TestPartialCallAfterCompleteCall(t *testing.T) {
 	t.Parallel()
 	slow := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
-		if !request.Stop && request.Fields["key"] == key {
+		if !request.Cancel && request.Fields["key"] == key {
 			time.AfterFunc(2700*time.Millisecond, func() { answerHit(conn, request) })
 		}
 	}
--- a/internal/proxy/platform/deadline_test.go
+++ b/internal/proxy/platform/deadline_test.go
@@ -147,7 +147,7 @@
 		},
 		"cancels and calls isWell": func(client *testserver.PlatformClient, seq int32) {
 			client.Write(testserver.PlatformForget(100, seq))
-			client.Well()
+			client.IsWell()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -188,7 +188,7 @@
 			t.Parallel()
 			answers := make(chan func(), 400)
 			wait := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
-				if !request.Stop {
+				if !request.Cancel {
 					answers <- func() { answerHit(conn, request) }
 				}
 			}
--- a/internal/proxy/platform/drain_test.go
+++ b/internal/proxy/platform/drain_test.go
@@ -16,7 +16,7 @@
 func TestDrain(t *testing.T) {
 	hold := make(chan func(), 4)
 	wait := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
-		if request.Stop {
+		if request.Cancel {
 			return
 		}
 		hold <- func() { answerHit(conn, request) }
@@ -26,7 +26,7 @@
 	client.Ask(readFields(key), nil)
 	answer := <-hold
 	harness.server.Drain()
-	harness.waitUntil("isWell is not good", func() bool { good, err := harness.dial().Well(); return !good && err == nil })
+	harness.waitUntil("isWell is not good", func() bool { good, err := harness.dial().IsWell(); return !good && err == nil })
 	later := harness.dial()
 	later.Ask(readFields(key), nil)
 	(<-hold)()
--- a/internal/proxy/platform/harness_test.go
+++ b/internal/proxy/platform/harness_test.go
@@ -259,8 +259,8 @@
 // requestsSent returns the number of attempts that reached members.
 func (h *testHarness) requestsSent() (n int) {
 	for _, p := range h.members {
-		for _, request := range p.Seen() {
-			if !request.Stop {
+		for _, request := range p.Received() {
+			if !request.Cancel {
 				n++
 			}
 		}
@@ -272,7 +272,7 @@
 
 // answerHit answers every request with HIT and a body that contains the object's key.
 func answerHit(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
-	if !request.Stop {
+	if !request.Cancel {
 		conn.Hit(request.ID, []byte("bytes of "+request.Fields["key"]))
 	}
 }
@@ -280,7 +280,7 @@
 func answerMiss(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
 	if request.Fields["miss"] != "" {
 		answerHit(conn, request)
-	} else if !request.Stop {
+	} else if !request.Cancel {
 		conn.Answer(request.ID, "NONE", "-", nil)
 	}
 }
@@ -288,7 +288,7 @@
 // answerLarge returns a handler that answers with a body of n bytes.
 func answerLarge(n int) handler {
 	return func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
-		if !request.Stop {
+		if !request.Cancel {
 			conn.Hit(request.ID, make([]byte, n))
 		}
 	}
@@ -341,7 +341,7 @@
 }
 
 func (rec *recorder) handle(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
-	if request.Stop {
+	if request.Cancel {
 		return
 	}
 	rec.mutex.Lock()
--- a/internal/proxy/platform/member_test.go
+++ b/internal/proxy/platform/member_test.go
@@ -25,7 +25,7 @@
 		before, known := lastRequest[conn]
 		lastRequest[conn] = time.Now()
 		switch {
-		case request.Stop:
+		case request.Cancel:
 		case known && time.Since(before) > memberIdleTimeout:
 			conn.Reset()
 		case delayed: // so that each request gets its own connection
@@ -88,7 +88,7 @@
 			t.Parallel()
 			var requests atomic.Int64
 			bad := func(pc *testserver.PlatformConn, request testserver.PlatformRequest) {
-				if request.Stop {
+				if request.Cancel {
 					return
 				}
 				if requests.Add(1) > 1 { // only the first answer is malformed
@@ -115,7 +115,7 @@
 // dropped, and that the connection is kept.
 func TestUnmatchedAnswersAreDropped(t *testing.T) {
 	answerTwice := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
-		if !request.Stop {
+		if !request.Cancel {
 			conn.Hit("ffffffffffffffff", []byte("nobody's"))
 			conn.Hit(request.ID, []byte("good"))
 			conn.Hit(request.ID, []byte("once more"))
@@ -194,7 +194,7 @@
 	harness.sendDiscovery(testserver.PlatformFrame(2, 2, endpointRecord(0xc1, other.Addr, 0, 0, 0)))
 	harness.waitUntil("the new address gets a request", func() bool {
 		harness.roundTrip(readFields(fmt.Sprintf("%016x", lastID.Load())), nil)
-		return len(other.Seen()) > 0
+		return len(other.Received()) > 0
 	})
 }
 
@@ -204,7 +204,7 @@
 func TestInFlightCountsMatchRouter(t *testing.T) {
 	var n atomic.Int64
 	unreliable := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
-		if request.Stop {
+		if request.Cancel {
 			return
 		}
 		switch n.Add(1) % 6 {
@@ -282,7 +282,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		once := request.Fields["once"]
-		if request.Stop || once == "" {
+		if request.Cancel || once == "" {
 			return
 		}
 		times[once]++
@@ -311,8 +311,8 @@
 		t.Errorf("%d keys for 20 writes", len(times))
 	}
 	attempts := 0
-	for _, request := range harness.members["s-000000a1"].Seen() {
-		if !request.Stop && request.Fields["once"] != "" {
+	for _, request := range harness.members["s-000000a1"].Received() {
+		if !request.Cancel && request.Fields["once"] != "" {
 			attempts++
 		}
 	}
--- a/internal/proxy/platform/reload_test.go
+++ b/internal/proxy/platform/reload_test.go
@@ -39,7 +39,7 @@
 func TestReloadTwice(t *testing.T) {
 	t.Parallel()
 	slow := func(conn *testserver.PlatformConn, request testserver.PlatformRequest) {
-		if !request.Stop {
+		if !request.Cancel {
 			time.AfterFunc(150*time.Millisecond, func() { answerHit(conn, request) })
 		}
 	}
--- a/internal/proxy/platform/run_test.go
+++ b/internal/proxy/platform/run_test.go
@@ -49,7 +49,7 @@
 	var client *testserver.PlatformClient
 	harness.waitUntil("the program listens", func() bool { client, err = testserver.DialPlatform(harness.address); return err == nil })
 	defer client.Close()
-	if good, err := client.Well(); !good || err != nil {
+	if good, err := client.IsWell(); !good || err != nil {
 		t.Fatalf("isWell: %v %v", good, err)
 	}
 	if result := harness.roundTrip(readFields(key), nil); result.Word != "served" || string(result.Body) != "bytes of "+key {
--- a/internal/testbed/demo/demo.go
+++ b/internal/testbed/demo/demo.go
@@ -30,7 +30,7 @@
 // Demo is a running demonstration.
 type Demo struct {
 	Edge  *httpfront.Edge
-	List  *testserver.List
+	List  *testserver.ListService
 	stops []func()
 	log   *httpfront.AccessLog
 }
@@ -46,7 +46,7 @@
 		}
 	}()
 	var err error
-	if d.List, err = testserver.StartList(testserver.ListConfig{ID: "list"}, nil); err != nil {
+	if d.List, err = testserver.StartListService(testserver.ListServiceConfig{ID: "list"}, nil); err != nil {
 		return nil, err
 	}
 	d.stops = append(d.stops, d.List.Close)
--- a/internal/testbed/differential/drift_test.go
+++ b/internal/testbed/differential/drift_test.go
@@ -117,7 +117,7 @@
 	t        testing.TB
 	c        *fleetCase
 	traffic  *trafficlog.Writer
-	list     *testserver.List
+	list     *testserver.ListService
 	origin   *testserver.Server
 	servers  []*testserver.Server // boxes, then parents
 	rows     []engine.Row
@@ -132,7 +132,7 @@
 func start(t testing.TB, c *fleetCase) *testFleet {
 	r := &testFleet{t: t, c: c, traffic: trafficlog.NewWriter(nil), done: make(chan error, 1), dir: t.TempDir(), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 	var err error
-	if r.list, err = testserver.StartList(testserver.ListConfig{ID: "list"}, r.traffic); err != nil {
+	if r.list, err = testserver.StartListService(testserver.ListServiceConfig{ID: "list"}, r.traffic); err != nil {
 		t.Fatal(err)
 	}
 	r.origin = r.startServer("o", "origin", 1, false)
@@ -168,8 +168,8 @@
 	if role == "parent" {
 		up = r.origin.Addr()
 	}
-	s, err := testserver.Start(testserver.Config{ID: id, Role: role, Zone: "z", Upstream: up, Start: start, Cold: cold, Flow: 100, FillWait: 500, Capacity: 30,
-		ColdFrom: 0.2, ColdTime: 18000, Feedback: []string{"inflight"},
+	s, err := testserver.Start(testserver.Config{ID: id, Role: role, Zone: "z", Upstream: up, Start: start, Cold: cold, Flow: 100, FillTimeout: 500, Capacity: 30,
+		WarmUpInitialShare: 0.2, WarmUpTime: 18000, Feedback: []string{"inflight"},
 		Classes: []testserver.Class{{Name: "still", KB: 4}, {Name: "film", KB: 20}, {Name: "order", Write: true, Window: 600}}}, r.traffic)
 	if err != nil {
 		r.t.Fatal(err)
--- a/internal/testbed/loadgen/arrivals.go
+++ b/internal/testbed/loadgen/arrivals.go
@@ -23,21 +23,21 @@
 
 // Script describes a load. Durations are in ms.
 type Script struct {
-	Load     Form            `edn:"load,required"`
+	Load     LoadSettings    `edn:"load,required"`
 	Arrivals ArrivalSettings `edn:"arrivals"`
 	Classes  []Class         `edn:"class"`
 }
 
-// Form holds the settings of the load as a whole.
-type Form struct {
-	Place   config.Place
-	Name    string   `edn:"@"`
-	Targets []string `edn:"targets"` // routers, host:port; sessions go to them in turn
-	Length  float64  `edn:"length" def:"10000" min:"1"`
-	WarmUp  float64  `edn:"warm" def:"1000" min:"0"` // requests due in this time at the beginning are not counted
-	Seed    int      `edn:"seed" def:"1"`
-	Conns   int      `edn:"conns" def:"512" min:"1"`    // per target; a request waits if none is free, and the wait counts in its latency
-	Most    int      `edn:"most" def:"1000000" min:"1"` // limit of the number of requests
+// LoadSettings holds the settings of the load as a whole.
+type LoadSettings struct {
+	Place       config.Place
+	Name        string   `edn:"@"`
+	Targets     []string `edn:"targets"` // routers, host:port; sessions go to them in turn
+	Length      float64  `edn:"length" def:"10000" min:"1"`
+	WarmUp      float64  `edn:"warm" def:"1000" min:"0"` // requests due in this time at the beginning are not counted
+	Seed        int      `edn:"seed" def:"1"`
+	Conns       int      `edn:"conns" def:"512" min:"1"`    // per target; a request waits if none is free, and the wait counts in its latency
+	MaxRequests int      `edn:"most" def:"1000000" min:"1"` // limit of the number of requests
 }
 
 // ArrivalSettings describes how sessions arrive.
@@ -91,7 +91,7 @@
 }
 
 // checkTargets reports targets that are missing, malformed or not on this machine.
-func checkTargets(l *Form, f *config.Faults) {
+func checkTargets(l *LoadSettings, f *config.Faults) {
 	add := func(p config.Pos, key, what, remedy string) {
 		*f = append(*f, config.Fault{Pos: p, Key: key, What: what, Remedy: remedy})
 	}
--- a/internal/testbed/loadgen/record.go
+++ b/internal/testbed/loadgen/record.go
@@ -19,8 +19,8 @@
 	"indigospool/internal/proxy/engine"
 )
 
-// RecordOptions configures a replay.
-type RecordOptions struct {
+// ReplayOptions configures a replay.
+type ReplayOptions struct {
 	Routes *config.Settings // settings whose routes map requests to paths; nil: those in the journal
 	Speed  float64          // multiple of the recorded speed; 0: as fast as possible
 	Writes bool             // send writes too
@@ -35,7 +35,7 @@
 // Replay reads the requests of a router's journal or access log, to send them again. It reads
 // the file while requests are sent, in bounded memory.
 type Replay struct {
-	options    RecordOptions
+	options    ReplayOptions
 	next       func() (float64, *spool.Request, error) // the next request and when it arrived, ms on the clock of the recording
 	close      func()
 	core       *engine.Core
@@ -49,8 +49,8 @@
 	err        error            // the error that ended the replay
 }
 
-// OpenRecord opens a journal (a folder or a segment) or an access log for replay.
-func OpenRecord(path string, options RecordOptions) (*Replay, error) {
+// OpenReplay opens a journal (a folder or a segment) or an access log for replay.
+func OpenReplay(path string, options ReplayOptions) (*Replay, error) {
 	st, err := os.Stat(path)
 	if err != nil {
 		return nil, fmt.Errorf("loadgen: %w", err)
@@ -199,14 +199,14 @@
 	return nil
 }
 
-// RunRecord sends the requests of a replay and returns when all of them have ended. Of the form, it
+// RunReplay sends the requests of a replay and returns when all of them have ended. Of the form, it
 // uses the name, the targets, the connections and the limit of the number of requests.
-func RunRecord(ctx context.Context, r *Replay, f Form) (*Result, error) {
+func RunReplay(ctx context.Context, r *Replay, f LoadSettings) (*Result, error) {
 	var faults config.Faults
 	if checkTargets(&f, &faults); len(faults) > 0 {
 		return nil, faults
 	}
-	f.Length, f.WarmUp, f.Conns, f.Most = 0, 0, max(f.Conns, 1), max(f.Most, 1)
+	f.Length, f.WarmUp, f.Conns, f.MaxRequests = 0, 0, max(f.Conns, 1), max(f.MaxRequests, 1)
 	// The classes of a journal are known only after its first request has been read.
 	first, ok := r.Next()
 	if !ok && r.err == nil {
--- a/internal/testbed/loadgen/record_test.go
+++ b/internal/testbed/loadgen/record_test.go
@@ -63,17 +63,17 @@
 	return dir
 }
 
-func replay(t *testing.T, path string, o RecordOptions) (*Result, *recordingServer, error) {
+func replay(t *testing.T, path string, o ReplayOptions) (*Result, *recordingServer, error) {
 	t.Helper()
 	h := &recordingServer{}
 	srv := httptest.NewServer(h)
 	defer srv.Close()
-	r, err := OpenRecord(path, o)
+	r, err := OpenReplay(path, o)
 	if err != nil {
 		return nil, h, err
 	}
 	defer r.Close()
-	res, err := RunRecord(context.Background(), r, Form{Name: path, Targets: []string{strings.TrimPrefix(srv.URL, "http://")}, Conns: 4, Most: 1000})
+	res, err := RunReplay(context.Background(), r, LoadSettings{Name: path, Targets: []string{strings.TrimPrefix(srv.URL, "http://")}, Conns: 4, MaxRequests: 1000})
 	return res, h, err
 }
 
@@ -90,7 +90,7 @@
 // The requests of a journal are replayed unchanged and when they are due, writes only on request.
 func TestReplayOfJournal(t *testing.T) {
 	dir := writeJournal(t, recordedAt, recordedRequests)
-	res, h, err := replay(t, dir, RecordOptions{Speed: 2})
+	res, h, err := replay(t, dir, ReplayOptions{Speed: 2})
 	want := []string{"GET /s/3/a", "GET /v/3/b/7 12.5", "GET /r/b bytes=131072-196607", "GET /s/4/late 100"}
 	if err != nil || fmt.Sprint(h.requests) != fmt.Sprint(want) || len(res.Skipped) != 1 || res.Skipped[0].Count != 1 {
 		t.Fatalf("%v: %q, want %q; skipped %+v", err, h.requests, want, res.Skipped)
@@ -98,7 +98,7 @@
 	if span := h.times[3].Sub(h.times[0]); span < 250*time.Millisecond {
 		t.Errorf("600 ms were replayed in %v, want 300 ms", span)
 	}
-	if res, h, err = replay(t, dir, RecordOptions{Speed: 0, Writes: true}); err != nil || len(h.requests) != 5 || len(res.Skipped) != 0 {
+	if res, h, err = replay(t, dir, ReplayOptions{Speed: 0, Writes: true}); err != nil || len(h.requests) != 5 || len(res.Skipped) != 0 {
 		t.Errorf("%v: %q; %+v", err, h.requests, res)
 	}
 	n := int64(0)
@@ -113,7 +113,7 @@
 // A clock that was set back by more than an hour during the recording does not delay the replay.
 func TestReplayAfterClockStep(t *testing.T) {
 	began := time.Now()
-	_, h, err := replay(t, writeJournal(t, []float64{4e6, 4e6 + 100, 50, 150, 250}, recordedRequests), RecordOptions{Speed: 1, Writes: true})
+	_, h, err := replay(t, writeJournal(t, []float64{4e6, 4e6 + 100, 50, 150, 250}, recordedRequests), ReplayOptions{Speed: 1, Writes: true})
 	if took := time.Since(began); err != nil || len(h.requests) != 5 || took > 20*time.Second || took < 250*time.Millisecond {
 		t.Errorf("%v: %q in %v", err, h.requests, took)
 	}
@@ -136,27 +136,27 @@
 	if err := config.Read("t", routes, s); err != nil {
 		t.Fatal(err)
 	}
-	res, h, err := replay(t, file, RecordOptions{Routes: s, Speed: 1})
+	res, h, err := replay(t, file, ReplayOptions{Routes: s, Speed: 1})
 	want := []string{"GET /v/1/first/3", "GET /s/1/second", "GET /s/1/third"}
 	if err != nil || fmt.Sprint(h.requests) != fmt.Sprint(want) || len(res.Skipped) != 1 || !strings.Contains(res.Skipped[0].Why, "/elsewhere") {
 		t.Errorf("%v: %q, want %q; %+v", err, h.requests, want, res)
 	}
-	if _, _, err := replay(t, file, RecordOptions{Speed: 1}); err == nil || !strings.Contains(err.Error(), "--routes") {
+	if _, _, err := replay(t, file, ReplayOptions{Speed: 1}); err == nil || !strings.Contains(err.Error(), "--routes") {
 		t.Errorf("without routes: %v", err)
 	}
 	os.WriteFile(file, []byte("\x1b[31mno log\n"), 0o600)
-	if _, _, err := replay(t, file, RecordOptions{Routes: s, Speed: 1}); err == nil || !strings.Contains(err.Error(), `:1 is not a line`) || strings.Contains(err.Error(), "\x1b") {
+	if _, _, err := replay(t, file, ReplayOptions{Routes: s, Speed: 1}); err == nil || !strings.Contains(err.Error(), `:1 is not a line`) || strings.Contains(err.Error(), "\x1b") {
 		t.Errorf("not an access log: %v", err)
 	}
 }
 
 func TestReplayRejectsRemoteTarget(t *testing.T) {
-	r, err := OpenRecord(writeJournal(t, recordedAt, recordedRequests), RecordOptions{Speed: 1})
+	r, err := OpenReplay(writeJournal(t, recordedAt, recordedRequests), ReplayOptions{Speed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer r.Close()
-	if _, err := RunRecord(context.Background(), r, Form{Targets: []string{"192.0.2.1:80"}}); err == nil || !strings.Contains(err.Error(), "loopback") {
+	if _, err := RunReplay(context.Background(), r, LoadSettings{Targets: []string{"192.0.2.1:80"}}); err == nil || !strings.Contains(err.Error(), "loopback") {
 		t.Errorf("target on another machine: %v", err)
 	}
 }
--- a/internal/testbed/loadgen/run.go
+++ b/internal/testbed/loadgen/run.go
@@ -69,7 +69,7 @@
 
 // run sends the requests of a source until the source or the load ends. A length of 0 is no
 // limit. At full speed, each session begins as soon as a connection is free.
-func run(ctx context.Context, f *Form, classes []Class, src source, fullSpeed bool) (*Result, error) {
+func run(ctx context.Context, f *LoadSettings, classes []Class, src source, fullSpeed bool) (*Result, error) {
 	res := &Result{Name: f.Name}
 	for i := range classes {
 		res.Classes = append(res.Classes, &ClassResult{Class: classes[i].Name, histogram: newHistogram()})
@@ -167,7 +167,7 @@
 				if f.Length > 0 && r.Due >= f.Length || !waitUntil(ctx, due(&r)) {
 					break
 				}
-				if sent.Add(1) > int64(f.Most) {
+				if sent.Add(1) > int64(f.MaxRequests) {
 					mu.Lock()
 					res.Dropped++
 					mu.Unlock()
--- a/internal/testbed/scenario/box.go
+++ b/internal/testbed/scenario/box.go
@@ -41,7 +41,7 @@
 		fills = 1024
 	}
 	s, err := server.StartWithFS(faultyFolder{store.Dir(c.Folder), faults}, server.Config{Name: c.ID, Listen: "127.0.0.1:0", Folder: c.Folder, CapacityMB: float64(c.Bytes) / (1 << 20), SegmentMB: max(float64(c.Bytes)/(16<<20), 0.5), Sync: "purges",
-		DiskThreads: 2, DiskQueue: 512, DiskTimeout: 2000, MaxFills: fills, FillTimeout: c.FillWait, ConnectTimeout: 500, IdleTimeout: 300_000, MaxConns: 20000, MaxBufferedBytes: 1 << 20, MaxBodyBytes: 1 << 20, CompleteAbandonedFills: c.RunOn},
+		DiskThreads: 2, DiskQueue: 512, DiskTimeout: 2000, MaxFills: fills, FillTimeout: c.FillTimeout, ConnectTimeout: 500, IdleTimeout: 300_000, MaxConns: 20000, MaxBufferedBytes: 1 << 20, MaxBodyBytes: 1 << 20, CompleteAbandonedFills: c.CompleteAbandonedFills},
 		func(w string) { fmt.Fprintln(os.Stderr, c.ID, w) })
 	if err != nil {
 		return err
--- a/internal/testbed/scenario/run.go
+++ b/internal/testbed/scenario/run.go
@@ -121,7 +121,7 @@
 	machines       map[string]*machine
 	order          []string
 	routers        []*router
-	list           *testserver.List
+	list           *testserver.ListService
 	controlService *controlService // nil: the script has none
 	processFaults  activeFaults
 	origin         *machine
@@ -240,8 +240,8 @@
 func (d *Day) startAll(ctx context.Context) error {
 	s := d.script
 	var err error
-	if d.list, err = testserver.StartList(testserver.ListConfig{ID: "list", LagFrom: s.List.LagFrom, LagTo: s.List.LagTo,
-		PurgeFrom: s.List.PurgeFrom, PurgeTo: s.List.PurgeTo, PurgeTakes: s.Rules.PurgeTime, StaleOnStart: s.Day.StaleListAge,
+	if d.list, err = testserver.StartListService(testserver.ListServiceConfig{ID: "list", LagFrom: s.List.LagFrom, LagTo: s.List.LagTo,
+		PurgeFrom: s.List.PurgeFrom, PurgeTo: s.List.PurgeTo, PurgeWindow: s.Rules.PurgeTime, InitialListAge: s.Day.StaleListAge,
 		Seed: uint64(s.Day.Seed)}, d.trafficLog); err != nil {
 		return err
 	}
@@ -256,8 +256,8 @@
 		hub := s.Zones[i%len(s.Zones)].Hub
 		if _, err := d.addMachine(ctx, testserver.Config{ID: fmt.Sprintf("parent-%d", i+1), Role: "parent", Zone: hub,
 			Upstream: d.origin.address, Capacity: s.Parents.Capacity, Bytes: int64(s.Parents.MB * (1 << 20)),
-			Latency: s.Parents.Latency, ColdFrom: s.Rules.ParentWarmUpInitialShare, ColdTime: s.Rules.ParentWarmUpTime,
-			Fall: s.Rules.ParentOverloadFactor, RunOn: true}); err != nil {
+			Latency: s.Parents.Latency, WarmUpInitialShare: s.Rules.ParentWarmUpInitialShare, WarmUpTime: s.Rules.ParentWarmUpTime,
+			OverloadFactor: s.Rules.ParentOverloadFactor, CompleteAbandonedFills: true}); err != nil {
 			return err
 		}
 	}
@@ -265,7 +265,7 @@
 		for i := range z.Boxes {
 			if _, err := d.addMachine(ctx, testserver.Config{ID: fmt.Sprintf("%s-%d", z.Name, i+1), Role: "box", Zone: z.Name,
 				Capacity: z.Capacity, Bytes: int64(z.MB * (1 << 20)), LinkIn: z.LinkCapacity / float64(z.Boxes), MaxFills: z.MaxFills,
-				ColdFrom: s.Rules.WarmUpInitialShare, ColdTime: s.Rules.WarmUpTime, Fall: s.Rules.OverloadFactor, RunOn: true}); err != nil {
+				WarmUpInitialShare: s.Rules.WarmUpInitialShare, WarmUpTime: s.Rules.WarmUpTime, OverloadFactor: s.Rules.OverloadFactor, CompleteAbandonedFills: true}); err != nil {
 				return err
 			}
 		}
@@ -297,7 +297,7 @@
 // addMachine starts a new machine and publishes it as a member.
 func (d *Day) addMachine(ctx context.Context, c testserver.Config) (*machine, error) {
 	st := &d.script.Stand
-	c.Flow, c.FillFlow, c.FillWait, c.FallTime, c.Feedback = st.Flow, st.FillFlow, st.FillWait, d.script.Rules.OverloadTime, st.Feedback
+	c.Flow, c.FillFlow, c.FillTimeout, c.OverloadTime, c.Feedback = st.Flow, st.FillFlow, st.FillTimeout, d.script.Rules.OverloadTime, st.Feedback
 	c.Seed = uint64(d.script.Day.Seed)<<16 + uint64(len(d.order))
 	for _, k := range d.script.Classes {
 		c.Classes = append(c.Classes, testserver.Class{Name: k.Name, KB: k.KB, Fresh: k.Fresh, Write: k.Write, Window: k.KeyWindow})
@@ -655,18 +655,18 @@
 	case Scan:
 		d.scan.Store(&diversion{share: t.Share, until: now + t.Duration})
 	case ListDisconnect:
-		d.list.Cut("")
+		d.list.CutStreams("")
 		return nil
 	case ListRollback:
-		d.list.SetBack(5)
-		d.list.Cut("")
+		d.list.RollBackRevision(5)
+		d.list.CutStreams("")
 		sleep(ctx, t.Duration)
-		d.list.SetBack(0)
-		d.list.Cut("")
+		d.list.RollBackRevision(0)
+		d.list.CutStreams("")
 		return nil
 	case ListDown:
-		d.list.Down(t.Duration)
-		d.list.Cut("")
+		d.list.RejectStreams(t.Duration)
+		d.list.CutStreams("")
 		return nil
 	case OriginSlow:
 		return d.sendFault(d.origin, testserver.Fault{Kind: testserver.Slow, For: t.Duration, Factor: t.Factor})
--- a/internal/testbed/scenario/script.go
+++ b/internal/testbed/scenario/script.go
@@ -18,19 +18,19 @@
 // Script is a day script. Times are in ms, sizes in KB, transfer rates in KB per ms and
 // request rates per second.
 type Script struct {
-	Day     DaySettings         `edn:"day,required"`
-	Stand   testserver.Stand    `edn:"stand"`
-	List    testserver.ListForm `edn:"list"`
-	Rules   config.Rules        `edn:"rules"`
-	Limits  config.Limits       `edn:"limits"`
-	Fill    config.Fill         `edn:"fill"`
-	Pages   config.Pages        `edn:"pages"`
-	Zones   []Zone              `edn:"zone"`
-	Parents Parents             `edn:"parents"`
-	Origin  Origin              `edn:"origin"`
-	Classes []Class             `edn:"class"`
-	Faults  []FaultSpec         `edn:"trouble"`
-	Control ControlSettings     `edn:"control"`
+	Day     DaySettings                    `edn:"day,required"`
+	Stand   testserver.SharedSettings      `edn:"stand"`
+	List    testserver.ListServiceSettings `edn:"list"`
+	Rules   config.Rules                   `edn:"rules"`
+	Limits  config.Limits                  `edn:"limits"`
+	Fill    config.Fill                    `edn:"fill"`
+	Pages   config.Pages                   `edn:"pages"`
+	Zones   []Zone                         `edn:"zone"`
+	Parents Parents                        `edn:"parents"`
+	Origin  Origin                         `edn:"origin"`
+	Classes []Class                        `edn:"class"`
+	Faults  []FaultSpec                    `edn:"trouble"`
+	Control ControlSettings                `edn:"control"`
 }
 
 // DaySettings holds the settings of the day as a whole.
--- a/internal/testbed/testserver/fault.go
+++ b/internal/testbed/testserver/fault.go
@@ -25,29 +25,29 @@
 // The kinds of faults. Those that end a process (crash, preempt, a killed router) are carried
 // out by package scenario.
 const (
-	Vanish     = "vanish"      // accepts no connection, sends no response and no reset
-	Hang       = "hang"        // accepts requests and answers none
-	Slow       = "slow"        // slower by Factor
-	Ageing     = "ageing"      // increasingly slow, up to Factor
-	FastErrors = "fast-errors" // immediate status 500 for Share of the attempts
-	Pauses     = "pauses"      // stops for Length once in each period of Every
-	AnswerLost = "answer-lost" // does the work, but does not send Share of the responses
-	ResetBody  = "reset-body"  // resets the connection in the middle of the body
-	Truncated  = "truncated"   // closes the connection in the middle of the body
-	Overlong   = "overlong"    // sends more than Content-Length bytes
-	Garbage    = "garbage"     // sends bytes that are not HTTP
-	TwoLengths = "two-lengths" // sends two different Content-Length fields
-	BothFrames = "both-frames" // sends both Content-Length and chunked Transfer-Encoding
-	BareLF     = "bare-lf"     // ends header lines with LF instead of CRLF
-	BigHead    = "big-head"    // sends a header of more than 64 KB
-	Trickle    = "trickle"     // sends one byte of the body per second
-	HalfOpen   = "half-open"   // does not accept connections
-	AcceptShut = "accept-shut" // accepts connections and closes them
+	Vanish           = "vanish"      // accepts no connection, sends no response and no reset
+	Hang             = "hang"        // accepts requests and answers none
+	Slow             = "slow"        // slower by Factor
+	Ageing           = "ageing"      // increasingly slow, up to Factor
+	FastErrors       = "fast-errors" // immediate status 500 for Share of the attempts
+	Pauses           = "pauses"      // stops for Length once in each period of Every
+	AnswerLost       = "answer-lost" // does the work, but does not send Share of the responses
+	ResetBody        = "reset-body"  // resets the connection in the middle of the body
+	Truncated        = "truncated"   // closes the connection in the middle of the body
+	Overlong         = "overlong"    // sends more than Content-Length bytes
+	Garbage          = "garbage"     // sends bytes that are not HTTP
+	TwoLengths       = "two-lengths" // sends two different Content-Length fields
+	LengthAndChunked = "both-frames" // sends both Content-Length and chunked Transfer-Encoding
+	BareLF           = "bare-lf"     // ends header lines with LF instead of CRLF
+	LargeHeader      = "big-head"    // sends a header of more than 64 KB
+	Trickle          = "trickle"     // sends one byte of the body per second
+	HalfOpen         = "half-open"   // does not accept connections
+	AcceptClose      = "accept-shut" // accepts connections and closes them
 )
 
 // Kinds lists all kinds of faults that a server can have.
 var Kinds = []string{Vanish, Hang, Slow, Ageing, FastErrors, Pauses, AnswerLost, ResetBody, Truncated, Overlong,
-	Garbage, TwoLengths, BothFrames, BareLF, BigHead, Trickle, HalfOpen, AcceptShut}
+	Garbage, TwoLengths, LengthAndChunked, BareLF, LargeHeader, Trickle, HalfOpen, AcceptClose}
 
 // faults holds the injected faults of a server, by kind.
 type faults struct {
@@ -221,7 +221,7 @@
 			l.setBacklog(1024)
 			continue
 		}
-		if l.faults.active(AcceptShut) {
+		if l.faults.active(AcceptClose) {
 			c.Close()
 			continue
 		}
--- a/internal/testbed/testserver/fill.go
+++ b/internal/testbed/testserver/fill.go
@@ -95,7 +95,7 @@
 	}
 	s.mu.Unlock()
 	fillCtx := context.Background()
-	if ctx != nil && !s.cfg.RunOn {
+	if ctx != nil && !s.cfg.CompleteAbandonedFills {
 		fillCtx = ctx
 	}
 	go func() {
@@ -152,7 +152,7 @@
 		req.Header.Set("Cache-Control", "only-if-cached")
 	}
 	sentAt := trafficlog.Now()
-	idleTimer := time.AfterFunc(time.Duration(s.cfg.FillWait)*time.Millisecond, cancel)
+	idleTimer := time.AfterFunc(time.Duration(s.cfg.FillTimeout)*time.Millisecond, cancel)
 	defer idleTimer.Stop()
 	res, err := s.client.Do(req)
 	if err != nil {
@@ -186,7 +186,7 @@
 	for received := int64(0); received < size; {
 		n, err := res.Body.Read(buf[:min(chunkSize, size-received)])
 		if n > 0 {
-			idleTimer.Reset(time.Duration(s.cfg.FillWait) * time.Millisecond)
+			idleTimer.Reset(time.Duration(s.cfg.FillTimeout) * time.Millisecond)
 			if at, ok := Matches(buf[:n], e.key, version.Number, received); !ok {
 				err = errors.New("byte " + strconv.FormatInt(at, 10) + " differs from the content of the version")
 			} else if linkErr := s.fillLink.Pass(ctx, n); linkErr != nil {
--- a/internal/testbed/testserver/fleet.go
+++ b/internal/testbed/testserver/fleet.go
@@ -12,17 +12,17 @@
 
 // Fleet is a settings file of test servers. Durations are in ms, sizes in KB, rates in KB per ms.
 type Fleet struct {
-	Stand   Stand           `edn:"stand"`
-	List    ListForm        `edn:"list"`
-	Classes []ClassSettings `edn:"class"`
-	Members []Machine       `edn:"machine"`
+	Stand   SharedSettings      `edn:"stand"`
+	List    ListServiceSettings `edn:"list"`
+	Classes []ClassSettings     `edn:"class"`
+	Members []Machine           `edn:"machine"`
 }
 
-// Stand holds the settings that all servers of a fleet share.
-type Stand struct {
+// SharedSettings holds the settings that all servers of a fleet share.
+type SharedSettings struct {
 	Flow               float64  `edn:"flow" def:"4" min:"0.01"`      // rate of one transfer to a client
 	FillFlow           float64  `edn:"fill-flow" min:"0"`            // rate of one transfer to a cache; 0: three times Flow
-	FillWait           float64  `edn:"fill-wait" def:"2000" min:"1"` // time without data after which a fill fails
+	FillTimeout        float64  `edn:"fill-wait" def:"2000" min:"1"` // time without data after which a fill fails
 	WarmUpInitialShare float64  `edn:"cold-from" def:"0.2" min:"0" max:"1"`
 	WarmUpTime         float64  `edn:"cold-time" def:"18000" min:"0"`
 	OverloadFactor     float64  `edn:"fall" def:"4" min:"0"`
@@ -32,9 +32,9 @@
 	Boxes              string   `edn:"boxes" def:"stand-in" oneof:"stand-in warm cold"` // of a scenario: warm and cold run spool-cache instead of test servers; after a crash it keeps its copies (warm) or has none (cold)
 }
 
-// ListForm configures the delays of the list service. For each stream, the delay of updates of
+// ListServiceSettings configures the delays of the list service. For each stream, the delay of updates of
 // members is drawn between LagFrom and LagTo, and that of purges between PurgeFrom and PurgeTo.
-type ListForm struct {
+type ListServiceSettings struct {
 	Listen    string  `edn:"listen" def:"127.0.0.1:0"`
 	LagFrom   float64 `edn:"lag-from" min:"0"`
 	LagTo     float64 `edn:"lag-to" min:"0"`
@@ -103,8 +103,8 @@
 		}
 		c := Config{ID: m.ID, Role: m.Role, Zone: m.Zone, Listen: m.Listen, Upstream: m.Upstream, Cold: m.Cold,
 			Bytes: int64(m.MB * (1 << 20)), Capacity: m.Capacity, Flow: f.Stand.Flow, FillFlow: f.Stand.FillFlow,
-			LinkIn: m.LinkIn, Latency: m.Latency, MaxFills: m.MaxFills, FillWait: f.Stand.FillWait, RunOn: m.CompleteAbandonedFills,
-			ColdFrom: f.Stand.WarmUpInitialShare, ColdTime: f.Stand.WarmUpTime, Fall: f.Stand.OverloadFactor, FallTime: f.Stand.OverloadTime,
+			LinkIn: m.LinkIn, Latency: m.Latency, MaxFills: m.MaxFills, FillTimeout: f.Stand.FillTimeout, CompleteAbandonedFills: m.CompleteAbandonedFills,
+			WarmUpInitialShare: f.Stand.WarmUpInitialShare, WarmUpTime: f.Stand.WarmUpTime, OverloadFactor: f.Stand.OverloadFactor, OverloadTime: f.Stand.OverloadTime,
 			Limit: m.Limit, Seed: uint64(f.Stand.Seed), Feedback: f.Stand.Feedback}
 		for _, k := range f.Classes {
 			c.Classes = append(c.Classes, Class(k))
@@ -117,7 +117,7 @@
 // Run runs one machine, or the list service, until the context is done.
 func (f *Fleet) Run(ctx context.Context, role, id string, w *trafficlog.Writer, out io.Writer) error {
 	if role == "list" {
-		l, err := StartList(ListConfig{ID: "list", Listen: f.List.Listen, LagFrom: f.List.LagFrom, LagTo: f.List.LagTo,
+		l, err := StartListService(ListServiceConfig{ID: "list", Listen: f.List.Listen, LagFrom: f.List.LagFrom, LagTo: f.List.LagTo,
 			PurgeFrom: f.List.PurgeFrom, PurgeTo: f.List.PurgeTo, Seed: uint64(f.Stand.Seed)}, w)
 		if err != nil {
 			return err
--- a/internal/testbed/testserver/list.go
+++ b/internal/testbed/testserver/list.go
@@ -16,24 +16,24 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// ListConfig configures a list service. Durations are in ms. The delays are drawn once for each
+// ListServiceConfig configures a list service. Durations are in ms. The delays are drawn once for each
 // stream.
-type ListConfig struct {
-	ID           string  `json:"id"`
-	Listen       string  `json:"listen"`
-	LagFrom      float64 `json:"lag_from"`    // minimum delay of updates of members
-	LagTo        float64 `json:"lag_to"`      // maximum delay
-	PurgeFrom    float64 `json:"purge_from"`  // minimum delay of purges
-	PurgeTo      float64 `json:"purge_to"`    // maximum delay
-	PurgeTakes   float64 `json:"purge_takes"` // a router that connects is sent the purges of this last period
-	StaleOnStart float64 `json:"stale"`       // age of the full list that a router gets when it connects
-	Seed         uint64  `json:"seed"`
+type ListServiceConfig struct {
+	ID             string  `json:"id"`
+	Listen         string  `json:"listen"`
+	LagFrom        float64 `json:"lag_from"`    // minimum delay of updates of members
+	LagTo          float64 `json:"lag_to"`      // maximum delay
+	PurgeFrom      float64 `json:"purge_from"`  // minimum delay of purges
+	PurgeTo        float64 `json:"purge_to"`    // maximum delay
+	PurgeWindow    float64 `json:"purge_takes"` // a router that connects is sent the purges of this last period
+	InitialListAge float64 `json:"stale"`       // age of the full list that a router gets when it connects
+	Seed           uint64  `json:"seed"`
 }
 
-// List is a list service. It streams updates of members, which carry a revision, and purges to
+// ListService is a list service. It streams updates of members, which carry a revision, and purges to
 // each router, with configured delays.
-type List struct {
-	cfg        ListConfig
+type ListService struct {
+	cfg        ListServiceConfig
 	trafficLog *trafficlog.Writer
 	listener   net.Listener
 	http       *http.Server
@@ -60,20 +60,20 @@
 	madeAt    float64
 }
 
-// StartList starts a list service that writes to the traffic log w. Set and Purge add its
+// StartListService starts a list service that writes to the traffic log w. Set and Purge add its
 // updates.
-func StartList(cfg ListConfig, w *trafficlog.Writer) (*List, error) {
+func StartListService(cfg ListServiceConfig, w *trafficlog.Writer) (*ListService, error) {
 	if cfg.Listen == "" {
 		cfg.Listen = "127.0.0.1:0"
 	}
-	if cfg.PurgeTakes <= 0 {
-		cfg.PurgeTakes = 6000
+	if cfg.PurgeWindow <= 0 {
+		cfg.PurgeWindow = 6000
 	}
 	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("testserver: %s: %w", cfg.ID, err)
 	}
-	l := &List{cfg: cfg, trafficLog: w, listener: listener, done: make(chan struct{}), changed: make(chan struct{}),
+	l := &ListService{cfg: cfg, trafficLog: w, listener: listener, done: make(chan struct{}), changed: make(chan struct{}),
 		cutAt: map[string]float64{}, rng: rand.New(rand.NewPCG(cfg.Seed, 0x1157))}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /watch", l.watch)
@@ -84,14 +84,14 @@
 }
 
 // Addr returns the address that the service listens on.
-func (l *List) Addr() string { return l.listener.Addr().String() }
+func (l *ListService) Addr() string { return l.listener.Addr().String() }
 
 // Close stops the service and closes all streams.
-func (l *List) Close() {
+func (l *ListService) Close() {
 	l.once.Do(func() { close(l.done); l.http.Close() })
 }
 
-func (l *List) addEntry(e entry) {
+func (l *ListService) addEntry(e entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e.time = trafficlog.Now()
@@ -106,18 +106,18 @@
 
 // Set adds or updates a member. startedAt is when its process started, on the traffic log's
 // clock; if it is 0, the row is sent with the uptime that it has.
-func (l *List) Set(row engine.Row, startedAt float64) {
+func (l *ListService) Set(row engine.Row, startedAt float64) {
 	l.addEntry(entry{row: &row, startedAt: startedAt})
 }
 
 // Purge adds a purge that was made at madeAt, a time on the traffic log's clock.
-func (l *List) Purge(object string, group int, madeAt float64) {
+func (l *ListService) Purge(object string, group int, madeAt float64) {
 	l.addEntry(entry{purge: &engine.Purge{Object: object, Group: group}, madeAt: madeAt})
 }
 
-// Cut ends the current streams of a router in the middle of a line. An empty name cuts the
+// CutStreams ends the current streams of a router in the middle of a line. An empty name cuts the
 // streams of all routers.
-func (l *List) Cut(router string) {
+func (l *ListService) CutStreams(router string) {
 	l.mu.Lock()
 	l.cutAt[router] = trafficlog.Now()
 	close(l.changed)
@@ -125,19 +125,19 @@
 	l.mu.Unlock()
 }
 
-// SetBack subtracts n from the revision of full lists, as a service does that was restored from
+// RollBackRevision subtracts n from the revision of full lists, as a service does that was restored from
 // an old backup; 0 ends this.
-func (l *List) SetBack(n int64) { l.mu.Lock(); l.rollback = n; l.mu.Unlock() }
+func (l *ListService) RollBackRevision(n int64) { l.mu.Lock(); l.rollback = n; l.mu.Unlock() }
 
-// Down rejects new streams with status 503 for a time in ms.
-func (l *List) Down(span float64) {
+// RejectStreams rejects new streams with status 503 for a time in ms.
+func (l *ListService) RejectStreams(span float64) {
 	l.mu.Lock()
 	l.unavailableUntil = trafficlog.Now() + span
 	l.mu.Unlock()
 }
 
 // rows returns the list as it was at a time, sorted by ID, and its revision.
-func (l *List) rows(at float64) (rows []entry, rev int64) {
+func (l *ListService) rows(at float64) (rows []entry, rev int64) {
 	last := map[string]entry{}
 	for _, e := range l.log {
 		if e.time > at {
@@ -167,7 +167,7 @@
 
 // watch streams updates to one router: first a full list, which is StaleOnStart old, then each
 // later update and purge after the stream's delay.
-func (l *List) watch(w http.ResponseWriter, r *http.Request) {
+func (l *ListService) watch(w http.ResponseWriter, r *http.Request) {
 	router := r.URL.Query().Get("router")
 	flusher, ok := w.(http.Flusher)
 	if !ok || router == "" {
@@ -179,7 +179,7 @@
 	down := now < l.unavailableUntil
 	lag := l.cfg.LagFrom + l.rng.Float64()*(l.cfg.LagTo-l.cfg.LagFrom)
 	purgeLag := l.cfg.PurgeFrom + l.rng.Float64()*(l.cfg.PurgeTo-l.cfg.PurgeFrom)
-	listTime := now - l.cfg.StaleOnStart
+	listTime := now - l.cfg.InitialListAge
 	rows, rev := l.rows(listTime)
 	if len(rows) == 0 { // there was no list yet
 		listTime = now
@@ -233,7 +233,7 @@
 	l.mu.Lock()
 	var recent []entry
 	for _, e := range l.log[:next] {
-		if e.purge != nil && now-e.madeAt < l.cfg.PurgeTakes+1000 {
+		if e.purge != nil && now-e.madeAt < l.cfg.PurgeWindow+1000 {
 			recent = append(recent, e)
 		}
 	}
@@ -313,7 +313,7 @@
 	return s
 }
 
-func (l *List) sendPurge(send func(engine.Update, []trafficlog.Record) bool, e entry) bool {
+func (l *ListService) sendPurge(send func(engine.Update, []trafficlog.Record) bool, e entry) bool {
 	purge := *e.purge
 	purge.AgeMs = max(trafficlog.Now()-e.madeAt, 0)
 	return send(engine.Update{Rev: e.rev, Purge: &purge}, []trafficlog.Record{{Object: purge.Object, Group: purge.Group, Created: e.madeAt, Note: "purge"}})
@@ -321,7 +321,7 @@
 
 // handleUpdate adds the members and the purge of an update that is posted to the service. The
 // start time of a member follows from its uptime; ?ago=MS tells how long ago the purge was made.
-func (l *List) handleUpdate(w http.ResponseWriter, r *http.Request) {
+func (l *ListService) handleUpdate(w http.ResponseWriter, r *http.Request) {
 	var update engine.Update
 	if err := json.NewDecoder(r.Body).Decode(&update); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
--- a/internal/testbed/testserver/mangle.go
+++ b/internal/testbed/testserver/mangle.go
@@ -13,7 +13,7 @@
 // is active. It reports whether it has done so.
 func (e *exchange) respondMalformed(version, size int64) bool {
 	kind := ""
-	for _, k := range []string{ResetBody, Truncated, Overlong, Garbage, TwoLengths, BothFrames, BareLF, BigHead, Trickle} {
+	for _, k := range []string{ResetBody, Truncated, Overlong, Garbage, TwoLengths, LengthAndChunked, BareLF, LargeHeader, Trickle} {
 		if e.s.faults.active(k) {
 			kind = k
 			break
@@ -68,14 +68,14 @@
 	case TwoLengths:
 		write("HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\nContent-Length: %d\r\n\r\n", fields, size, size+1)
 		c.Write(body)
-	case BothFrames:
+	case LengthAndChunked:
 		write("HTTP/1.1 200 OK\r\n%sContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", fields, size)
 		c.Write(body)
 		write("\r\n0\r\n\r\n")
 	case BareLF:
 		write("HTTP/1.1 200 OK\n%sContent-Length: %d\n\n", strings.ReplaceAll(fields, "\r", ""), size)
 		c.Write(body)
-	case BigHead:
+	case LargeHeader:
 		write("HTTP/1.1 200 OK\r\n%sX-Fill: %s\r\nContent-Length: %d\r\n\r\n", fields, strings.Repeat("x", 64<<10), size)
 		c.Write(body)
 	case Trickle:
--- a/internal/testbed/testserver/platform.go
+++ b/internal/testbed/testserver/platform.go
@@ -26,14 +26,14 @@
 	ID     string
 	Fields map[string]string
 	Body   []byte
-	Stop   bool
+	Cancel bool
 }
 
 // PlatformConn is a connection of a router to a cache.
 type PlatformConn struct {
 	net.Conn
-	N int // number of the connection, from 0
-	p *PlatformCache
+	Number int // number of the connection, from 0
+	p      *PlatformCache
 }
 
 // Done tells the cache that an attempt has been answered.
@@ -82,7 +82,7 @@
 				return
 			}
 			p.mu.Lock()
-			pc := &PlatformConn{Conn: c, N: p.conns, p: p}
+			pc := &PlatformConn{Conn: c, Number: p.conns, p: p}
 			p.conns++
 			p.mu.Unlock()
 			go p.serve(pc)
@@ -94,8 +94,8 @@
 // Close stops listening. It leaves connections open.
 func (p *PlatformCache) Close() { p.ln.Close() }
 
-// Seen returns all requests received so far.
-func (p *PlatformCache) Seen() []PlatformRequest {
+// Received returns all requests received so far.
+func (p *PlatformCache) Received() []PlatformRequest {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]PlatformRequest(nil), p.received...)
@@ -151,12 +151,12 @@
 			if size == 0 {
 				break
 			}
-			q := PlatformRequest{ID: string(a.Word), Body: bytes.Clone(a.Body), Stop: string(a.ID) == "STOP", Fields: map[string]string{}}
+			q := PlatformRequest{ID: string(a.Word), Body: bytes.Clone(a.Body), Cancel: string(a.ID) == "STOP", Fields: map[string]string{}}
 			resp.EachField(a.Fields, func(name, value []byte) bool { q.Fields[string(name)] = string(value); return true })
 			buf = buf[size:]
 			p.mu.Lock()
 			p.received = append(p.received, q)
-			if q.Stop {
+			if q.Cancel {
 				delete(p.outstanding, q.ID)
 				delete(ids, q.ID)
 			} else {
@@ -287,8 +287,8 @@
 	return c.seq, err
 }
 
-// Well calls isWell and returns its result.
-func (c *PlatformClient) Well() (bool, error) {
+// IsWell calls isWell and returns its result.
+func (c *PlatformClient) IsWell() (bool, error) {
 	c.seq++
 	if _, err := c.Write(PlatformCall("isWell", c.seq, nil, nil)); err != nil {
 		return false, err
--- a/internal/testbed/testserver/server.go
+++ b/internal/testbed/testserver/server.go
@@ -36,30 +36,30 @@
 
 // Config configures a cache, parent or origin.
 type Config struct {
-	ID       string   `json:"id"`
-	Role     string   `json:"role"` // box, parent or origin
-	Zone     string   `json:"zone"`
-	Listen   string   `json:"listen"`   // default 127.0.0.1:0
-	Upstream string   `json:"upstream"` // of a parent: the origin's address
-	Start    int64    `json:"start"`    // counts the starts of the process, from 1
-	Cold     bool     `json:"cold"`
-	Bytes    int64    `json:"bytes"`
-	Capacity float64  `json:"capacity"`  // sending time that it can serve, ms per ms; 0: no limit
-	Flow     float64  `json:"flow"`      // rate of one transfer to a client, KB per ms
-	FillFlow float64  `json:"fill_flow"` // rate of one transfer to a cache, KB per ms
-	LinkIn   float64  `json:"link_in"`   // rate of all incoming fills, KB per ms; 0: no limit
-	Latency  float64  `json:"latency"`   // delay before each response, ms
-	MaxFills int      `json:"max_fills"`
-	FillWait float64  `json:"fill_wait"` // a fill fails after this time without data, ms
-	RunOn    bool     `json:"run_on"`    // completes a fill whose client has disconnected
-	ColdFrom float64  `json:"cold_from"` // share of the capacity at the start of the warm-up
-	ColdTime float64  `json:"cold_time"` // duration of the warm-up, ms
-	Fall     float64  `json:"fall"`      // a cold cache stops serving at this multiple of its capacity; 0: never
-	FallTime float64  `json:"fall_time"` // how long that load has to last, ms
-	Limit    int      `json:"limit"`     // of an origin: concurrent requests; more are rejected; 0: no limit
-	Classes  []Class  `json:"classes"`
-	Seed     uint64   `json:"seed"`
-	Feedback []string `json:"feedback"` // load metrics in the order of the load field: inflight, util, x0, x1
+	ID                     string   `json:"id"`
+	Role                   string   `json:"role"` // box, parent or origin
+	Zone                   string   `json:"zone"`
+	Listen                 string   `json:"listen"`   // default 127.0.0.1:0
+	Upstream               string   `json:"upstream"` // of a parent: the origin's address
+	Start                  int64    `json:"start"`    // counts the starts of the process, from 1
+	Cold                   bool     `json:"cold"`
+	Bytes                  int64    `json:"bytes"`
+	Capacity               float64  `json:"capacity"`  // sending time that it can serve, ms per ms; 0: no limit
+	Flow                   float64  `json:"flow"`      // rate of one transfer to a client, KB per ms
+	FillFlow               float64  `json:"fill_flow"` // rate of one transfer to a cache, KB per ms
+	LinkIn                 float64  `json:"link_in"`   // rate of all incoming fills, KB per ms; 0: no limit
+	Latency                float64  `json:"latency"`   // delay before each response, ms
+	MaxFills               int      `json:"max_fills"`
+	FillTimeout            float64  `json:"fill_wait"` // a fill fails after this time without data, ms
+	CompleteAbandonedFills bool     `json:"run_on"`    // completes a fill whose client has disconnected
+	WarmUpInitialShare     float64  `json:"cold_from"` // share of the capacity at the start of the warm-up
+	WarmUpTime             float64  `json:"cold_time"` // duration of the warm-up, ms
+	OverloadFactor         float64  `json:"fall"`      // a cold cache stops serving at this multiple of its capacity; 0: never
+	OverloadTime           float64  `json:"fall_time"` // how long that load has to last, ms
+	Limit                  int      `json:"limit"`     // of an origin: concurrent requests; more are rejected; 0: no limit
+	Classes                []Class  `json:"classes"`
+	Seed                   uint64   `json:"seed"`
+	Feedback               []string `json:"feedback"` // load metrics in the order of the load field: inflight, util, x0, x1
 }
 
 func (c *Config) setDefaults() {
@@ -72,8 +72,8 @@
 	if c.FillFlow <= 0 {
 		c.FillFlow = 3 * c.Flow
 	}
-	if c.FillWait <= 0 {
-		c.FillWait = 2000
+	if c.FillTimeout <= 0 {
+		c.FillTimeout = 2000
 	}
 	if c.Bytes <= 0 {
 		c.Bytes = 64 << 20
@@ -81,8 +81,8 @@
 	if c.Start == 0 {
 		c.Start = 1
 	}
-	if c.FallTime <= 0 {
-		c.FallTime = 3000
+	if c.OverloadTime <= 0 {
+		c.OverloadTime = 3000
 	}
 }
 
@@ -121,8 +121,8 @@
 		return nil, fmt.Errorf("testserver: %s: %w", cfg.ID, err)
 	}
 	s.listener = listener
-	s.cache = httpcache.New(httpcache.Settings{Name: cfg.ID, Bytes: cfg.Bytes, Capacity: cfg.Capacity, WarmUpInitialShare: cfg.ColdFrom,
-		WarmUpTime: cfg.ColdTime, OverloadFactor: cfg.Fall, OverloadTime: cfg.FallTime, MaxFills: cfg.MaxFills},
+	s.cache = httpcache.New(httpcache.Settings{Name: cfg.ID, Bytes: cfg.Bytes, Capacity: cfg.Capacity, WarmUpInitialShare: cfg.WarmUpInitialShare,
+		WarmUpTime: cfg.WarmUpTime, OverloadFactor: cfg.OverloadFactor, OverloadTime: cfg.OverloadTime, MaxFills: cfg.MaxFills},
 		trafficlog.Now(), !cfg.Cold)
 	s.clientLink = NewLink(func() float64 {
 		if cfg.Capacity <= 0 {
@@ -135,7 +135,7 @@
 		s.origin = newOrigin()
 	}
 	s.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true,
-		IdleConnTimeout: 5 * time.Second, ResponseHeaderTimeout: time.Duration(cfg.FillWait) * time.Millisecond,
+		IdleConnTimeout: 5 * time.Second, ResponseHeaderTimeout: time.Duration(cfg.FillTimeout) * time.Millisecond,
 		DialContext: (&net.Dialer{Timeout: 500 * time.Millisecond}).DialContext}}
 	s.http = &http.Server{Handler: s, IdleTimeout: 5 * time.Minute}
 	s.trafficLog.Add(trafficlog.Record{Event: trafficlog.Started, Subject: cfg.ID, Role: cfg.Role, Addr: listener.Addr().String(), Start: cfg.Start,
--- a/internal/testbed/testserver/standin_test.go
+++ b/internal/testbed/testserver/standin_test.go
@@ -119,7 +119,7 @@
 // A cold cache that is overloaded for too long fails and stops answering.
 func TestOverloadedCacheStopsAnswering(t *testing.T) {
 	w := trafficlog.NewWriter(nil)
-	b, err := Start(Config{ID: "b", Role: "box", Cold: true, Capacity: 1, ColdFrom: 0.2, ColdTime: 60000, Fall: 2, FallTime: 1000,
+	b, err := Start(Config{ID: "b", Role: "box", Cold: true, Capacity: 1, WarmUpInitialShare: 0.2, WarmUpTime: 60000, OverloadFactor: 2, OverloadTime: 1000,
 		Flow: 1, Classes: []Class{{Name: "c", KB: 100}}}, w)
 	if err != nil {
 		t.Fatal(err)
