--- a/internal/controlplane/endpointcheck/rehearse_test.go
+++ b/internal/controlplane/endpointcheck/rehearse_test.go
@@ -63,7 +63,7 @@
 }
 
 // A new parent is cold: all routers together keep its load within its capacity, and it
-// does not fail (TestBoxesFall of package whatif has a member that does).
+// does not fail (TestParentFailsUnderOverload of package whatif has a member that does).
 func TestRehearseNewParent(t *testing.T) {
 	r := rehearse(t, validList+`(member p4 (kind parent) (zone h) (size 40) (address "127.0.0.1:9"))`, validList, RehearseOptions{Rate: 120})
 	p4 := r.of("p4")
--- a/internal/decisionlog/whatif/whatif_test.go
+++ b/internal/decisionlog/whatif/whatif_test.go
@@ -346,9 +346,9 @@
 	})
 }
 
-// TestBoxesFall checks that a parent which is overloaded while it is warming up fails and does
+// TestParentFailsUnderOverload checks that a parent which is overloaded while it is warming up fails and does
 // not recover, and that a warm parent only becomes slower.
-func TestBoxesFall(t *testing.T) {
+func TestParentFailsUnderOverload(t *testing.T) {
 	s := readSettings(t, settings)
 	w := NewCacheModels(options(s))
 	var seconds float64
--- a/internal/proxy/httpfront/page.go
+++ b/internal/proxy/httpfront/page.go
@@ -31,7 +31,7 @@
 	edge            *Edge
 	request         *clientRequest // the client's request, which fetches the template
 	assembly        *esi.Page
-	esiSetup        esi.Options
+	esiOptions      esi.Options
 	fragments       map[int]*clientRequest    // open requests for fragments
 	fragmentObjects map[string]fragmentObject // the fragments' objects by URL, to match purges
 	timer           eventloop.Timer
@@ -98,7 +98,7 @@
 	page := &esiPage{edge: r.edge, request: r, fragments: map[int]*clientRequest{}, fragmentObjects: map[string]fragmentObject{}}
 	page.timer.F = page.onTimer
 	page.conditions = parseConditions(head)
-	page.esiSetup = esiSetupOf(r.edge.settings)
+	page.esiOptions = esiOptionsOf(r.edge.settings)
 	r.esiVars = &esi.Vars{Host: string(head.Host), Cookie: string(head.Get("cookie")), AcceptLanguage: string(head.Get("accept-language")),
 		UserAgent: string(head.Get("user-agent")), Referer: string(head.Get("referer"))}
 	if i := bytes.IndexByte(head.Path(), '?'); i >= 0 {
@@ -110,8 +110,8 @@
 	r.forwardHead = appendPageRequest(r.forwardHead[:0], r.edge.name, r.target, r.esiVars.Host, page.requestID, -1)
 }
 
-// esiSetupOf converts the settings for pages.
-func esiSetupOf(settings *config.Settings) esi.Options {
+// esiOptionsOf converts the settings for pages.
+func esiOptionsOf(settings *config.Settings) esi.Options {
 	pages := &settings.Pages
 	return esi.Options{Parser: esi.Limits{Depth: pages.Nesting, Tag: pages.Tag, Held: pages.WaitingKB << 10, Nodes: pages.Elements},
 		Fragments: pages.Fragments, Includes: pages.Includes, Depth: pages.Depth, Parallel: pages.Parallel, Attempts: pages.Attempts,
@@ -311,8 +311,8 @@
 	pg.headFields = append(appendEndToEnd(pg.headFields[:0], head, excluded), "Via: 1.1 "+edge.name+"\r\n"...)
 	if pg.assembly == nil {
 		var err error
-		if pg.assembly, err = esi.NewPage(pg.esiSetup, request.esiVars, request.target, edge.loop.Now(), request.spec.Deadline); err != nil {
-			pg.assembly, _ = esi.NewPage(pg.esiSetup, request.esiVars, "/", edge.loop.Now(), request.spec.Deadline)
+		if pg.assembly, err = esi.NewPage(pg.esiOptions, request.esiVars, request.target, edge.loop.Now(), request.spec.Deadline); err != nil {
+			pg.assembly, _ = esi.NewPage(pg.esiOptions, request.esiVars, "/", edge.loop.Now(), request.spec.Deadline)
 		}
 		edge.pages[pg] = struct{}{}
 	}
