--- a/internal/testbed/compat/compat.go
+++ b/internal/testbed/compat/compat.go
@@ -1,11 +1,10 @@
-// Package compat holds what earlier versions of the programs have stored, as files under
-// testdata, and tests that read them with the code as it is: a cache's store, a router's
-// store of configurations, a control service's store, a journal of decisions and a
-// snapshot of learned state. It has no code of its own.
+// Package compat tests that the current code reads the files that earlier versions of the programs
+// wrote: a cache's store, a router's configuration store, a control service's store, a decision
+// journal and a snapshot of learned state. The files are under testdata. The package has no code
+// but tests.
 //
-// A folder of testdata is named for the commit whose code wrote it; want.json in it says
-// what was written. The folders stay as they are: where a form on disk changes, a new one
-// is added beside them. Where to go next: internal/cachenode/store,
-// internal/controlplane/configstore, internal/decisionlog/journal and
-// internal/proxy/learnedstate, which own the forms.
+// A folder of testdata is named after the commit whose code wrote it, and its want.json describes
+// the contents. The folders must not change: when a format on disk changes, a new folder is added.
+// The formats are defined by internal/cachenode/store, internal/controlplane/configstore,
+// internal/decisionlog/journal and internal/proxy/learnedstate.
 package compat
--- a/internal/testbed/compat/compat_test.go
+++ b/internal/testbed/compat/compat_test.go
@@ -29,7 +29,7 @@
 	"indigospool/internal/proxy/learnedstate"
 )
 
-// written is want.json: what the earlier version stored.
+// written is the content of want.json, which describes what the earlier version stored.
 type written struct {
 	Store   storeContents
 	Configs struct{ Versions []storedVersion }
@@ -40,10 +40,10 @@
 
 type storeContents struct {
 	Copies []storedCopy
-	Purged []string // keys of copies that a purge voided
+	Purged []string // keys of purged copies
 	Purges uint64
-	Held   int   // copies, as counted when fccb504 opened the folder again
-	Bytes  int64 // of them
+	Held   int   // number of copies that fccb504 reported when it opened the folder again
+	Bytes  int64 // size of these copies
 }
 
 type storedCopy struct {
@@ -87,8 +87,8 @@
 	SHA256           string
 }
 
-// fixture copies what fccb504 stored into a folder of the test's own, since stores are
-// written when they are opened.
+// fixture copies the files that fccb504 wrote into a temporary folder, since opening a store
+// writes to it.
 func fixture(t *testing.T) (folder string, want written) {
 	t.Helper()
 	folder = t.TempDir()
@@ -110,8 +110,9 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// A cache's folder: each copy has its body and its head, and what was purged, by object,
-// group, tag, prefix or version, stays void. It holds over a second start too.
+// TestCacheStore checks that each copy in a cache's folder is found with its body and its header
+// fields, and that copies purged by object, group, tag, prefix or version are not, after a first
+// and a second start.
 func TestCacheStore(t *testing.T) {
 	folder, want := fixture(t)
 	for _, start := range []string{"first start", "second start"} {
@@ -126,18 +127,18 @@
 				}
 			}()
 			if found.CorruptEntries != 0 || len(found.Quarantined) != 0 || found.DiscardReason != "" {
-				t.Errorf("recovered %+v", found)
+				t.Errorf("opening the store reported corruption: %+v", found)
 			}
 			if copies, size := cache.Usage(); copies != want.Store.Held || size != want.Store.Bytes {
 				t.Errorf("%d copies of %d bytes, want %d of %d", copies, size, want.Store.Held, want.Store.Bytes)
 			}
 			if number := cache.LastPurge(); number != want.Store.Purges {
-				t.Errorf("the last purge is %d, want %d", number, want.Store.Purges)
+				t.Errorf("last purge number is %d, want %d", number, want.Store.Purges)
 			}
 			for _, key := range want.Store.Purged {
 				if found := cache.Lookup(key); found != nil {
 					found.Close()
-					t.Errorf("%s was purged, and is given out", key)
+					t.Errorf("%s was purged but is found", key)
 				}
 			}
 			for _, copied := range want.Store.Copies {
@@ -151,7 +152,7 @@
 	t.Helper()
 	found := cache.Lookup(want.Key)
 	if found == nil {
-		t.Errorf("%s is not found", want.Key)
+		t.Errorf("%s was not found", want.Key)
 		return
 	}
 	defer found.Close()
@@ -165,7 +166,7 @@
 	}
 }
 
-// checkVersions compares the versions of a store, with their bodies by checksum.
+// checkVersions compares the versions in a configuration store with want, their bodies by checksum.
 func checkVersions(t *testing.T, path string, want []storedVersion) {
 	t.Helper()
 	versions, err := configstore.Open(path)
@@ -193,18 +194,19 @@
 	}
 	last, _, err := versions.Last()
 	if newest := want[len(want)-1]; err != nil || last.Number != newest.Number {
-		t.Errorf("the last is %d (%v), want %d", last.Number, err, newest.Number)
+		t.Errorf("last version is %d (error %v), want %d", last.Number, err, newest.Number)
 	}
 }
 
-// A router's store of configurations: every version with its sum, body and time.
+// TestConfigStore checks that a router's configuration store has every version with its checksum,
+// body and time.
 func TestConfigStore(t *testing.T) {
 	folder, want := fixture(t)
 	checkVersions(t, filepath.Join(folder, "lastgood.db"), want.Configs.Versions)
 }
 
-// A control service's store: it comes back as the same service, with the same versions
-// and the same state of its rollout, and gives the next number.
+// TestControlService checks that a control service starts from its store with the same identity,
+// versions and rollout state, and assigns the next version number.
 func TestControlService(t *testing.T) {
 	folder, want := fixture(t)
 	path := filepath.Join(folder, "control.db")
@@ -225,12 +227,12 @@
 		t.Errorf("got %+v, want %+v", got, want.Service)
 	}
 	if number, err := control.PushUnchecked([]byte(want.Journal.Settings), true); err != nil || number != want.Service.Last+1 {
-		t.Errorf("the next version is %d (%v), want %d", number, err, want.Service.Last+1)
+		t.Errorf("next version is %d (error %v), want %d", number, err, want.Service.Last+1)
 	}
 }
 
-// A journal of decisions: all events and actions are read, the first and the last are
-// those that were written, and the settings of its life are settings still.
+// TestJournal checks that all events and actions of a decision journal are read, that the first and
+// the last are those that were written, and that its settings are still valid.
 func TestJournal(t *testing.T) {
 	folder, want := fixture(t)
 	reader, err := journal.OpenReader(filepath.Join(folder, "journal"))
@@ -254,11 +256,11 @@
 		case journal.KindHandled:
 			got.add(entry)
 		default:
-			t.Errorf("a record of kind %v: %s", entry.Kind, entry.Why)
+			t.Errorf("unexpected entry of kind %v: %s", entry.Kind, entry.Why)
 		}
 	}
 	if reader.Truncation() != "" {
-		t.Errorf("it is cut: %s", reader.Truncation())
+		t.Errorf("journal is truncated: %s", reader.Truncation())
 	}
 	if got != want.Journal {
 		t.Errorf("got  %+v\nwant %+v", got, want.Journal)
@@ -268,7 +270,7 @@
 	}
 }
 
-// add counts an event and its actions.
+// add counts the event and the actions of an entry.
 func (j *journalContents) add(entry *journal.Entry) {
 	if j.Events++; j.Events == 1 {
 		j.First = entry.T
@@ -297,8 +299,8 @@
 	}
 }
 
-// A snapshot of learned state: nothing of it is lost by reading it and writing it again,
-// and an engine that goes on from it knows the endpoints and their addresses.
+// TestLearnedState checks that decoding and encoding a snapshot of learned state loses nothing, and
+// that an engine restored from it knows the members and their addresses.
 func TestLearnedState(t *testing.T) {
 	folder, want := fixture(t)
 	snapshot, err := os.ReadFile(filepath.Join(folder, "learned-state.bin"))
@@ -306,14 +308,14 @@
 		t.Fatal(err)
 	}
 	if sha256Of(snapshot) != want.Learned.SHA256 {
-		t.Fatal("the fixture is not what was written")
+		t.Fatal("checksum of the fixture differs from want.json")
 	}
 	learned, err := learnedstate.Decode(snapshot)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if learned.Module.At != want.Learned.At {
-		t.Errorf("of %v, want %v", learned.Module.At, want.Learned.At)
+		t.Errorf("snapshot was taken at %v ms, want %v ms", learned.Module.At, want.Learned.At)
 	}
 	var classes []string
 	for _, class := range learned.Module.Classes {
@@ -322,12 +324,12 @@
 	if !slices.Equal(classes, want.Learned.Classes) {
 		t.Errorf("classes %q, want %q", classes, want.Learned.Classes)
 	}
-	again, err := learnedstate.Encode(learned)
+	encoded, err := learnedstate.Encode(learned)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if before, after := fieldsOf(t, snapshot), fieldsOf(t, again); !reflect.DeepEqual(before, after) {
-		t.Errorf("written again it is\n%v\nand was\n%v", after, before)
+	if before, after := fieldsOf(t, snapshot), fieldsOf(t, encoded); !reflect.DeepEqual(before, after) {
+		t.Errorf("encoded again, the snapshot is\n%v\nwant\n%v", after, before)
 	}
 	settings := &config.Settings{}
 	if err := config.Read("journal", want.Journal.Settings, settings); err != nil {
@@ -340,27 +342,27 @@
 	core.Restore(want.Learned.At+1, learned, nil)
 	for id, address := range want.Learned.Addresses {
 		if got := core.Address(id); got != address {
-			t.Errorf("%s is at %q, want %q", id, got, address)
+			t.Errorf("address of %s is %q, want %q", id, got, address)
 		}
 	}
-	believed, _ := core.Statuses()
-	if members := slices.Sorted(maps.Keys(believed)); !slices.Equal(members, want.Learned.Members) {
-		t.Errorf("believes something of %q, want %q", members, want.Learned.Members)
+	statuses, _ := core.Statuses()
+	if members := slices.Sorted(maps.Keys(statuses)); !slices.Equal(members, want.Learned.Members) {
+		t.Errorf("members with restored state are %q, want %q", members, want.Learned.Members)
 	}
 }
 
-// fieldsOf is a snapshot's content by the names of its fields, as they stand in it.
+// fieldsOf decodes a snapshot into a map by the names of its stored fields.
 func fieldsOf(t *testing.T, snapshot []byte) (fields map[string]any) {
 	t.Helper()
-	const headLength = len("SPOOLM") + 2 + 4 + 4 // version, length and checksum
-	if !bytes.HasPrefix(snapshot, []byte("SPOOLM")) || len(snapshot) < headLength {
-		t.Fatalf("no head of a snapshot: %.20q", snapshot)
+	const headerLength = len("SPOOLM") + 2 + 4 + 4 // version, length and checksum
+	if !bytes.HasPrefix(snapshot, []byte("SPOOLM")) || len(snapshot) < headerLength {
+		t.Fatalf("invalid snapshot header: %.20q", snapshot)
 	}
-	if err := cbor.Unmarshal(snapshot[headLength:], &fields); err != nil {
+	if err := cbor.Unmarshal(snapshot[headerLength:], &fields); err != nil {
 		t.Fatal(err)
 	}
 	if len(fields) == 0 {
-		t.Fatal("a snapshot without fields")
+		t.Fatal("snapshot has no fields")
 	}
 	return fields
 }
