--- a/deploy/sites/lay.go
+++ b/deploy/sites/lay.go
@@ -1,13 +1,14 @@
 //go:build ignore
 
-// Lay writes a variant of a bench's site: the site's file with the changes of a file
-// beside this one, and the files that stand next to the site.
+// Lay writes a variant of a site of the platform's bench into a folder: the site's TOML file with
+// changes applied, and copies of the other files of the site.
 //
 //	go run deploy/sites/lay.go CHANGES SITE.toml FOLDER
 //
-// A line of changes is PLACE: KEY = VALUE. The place is a table (net), the table of an
-// array that has this name (class/markup-save), or - for what stands before all tables.
-// A change that finds no place is an error that names it, and nothing is written.
+// A line of CHANGES has the form "PLACE: KEY = VALUE". PLACE is the name of a table (net), the name
+// of an array of tables with the value of name in one of them (class/markup-save), or - for the
+// keys before all tables. Lines that begin with # are comments. If a changed key is not in the
+// site's file, lay reports an error that names it and writes nothing.
 package main
 
 import (
@@ -47,24 +48,24 @@
 		return err
 	}
 	places := places(lines)
-	var faults []error
+	var errs []error
 	for i, l := range strings.Split(string(list), "\n") {
 		if l = strings.TrimSpace(l); l == "" || strings.HasPrefix(l, "#") {
 			continue
 		}
 		m := change.FindStringSubmatch(l)
 		if m == nil {
-			faults = append(faults, fmt.Errorf("%s:%d: %q is no change: PLACE: KEY = VALUE", changes, i+1, l))
+			errs = append(errs, fmt.Errorf("%s:%d: %q does not have the form PLACE: KEY = VALUE", changes, i+1, l))
 			continue
 		}
 		at, found := places[m[1]+" "+m[2]]
 		if !found {
-			faults = append(faults, fmt.Errorf("%s:%d: %s has no %s at %q", changes, i+1, site, m[2], m[1]))
+			errs = append(errs, fmt.Errorf("%s:%d: %s has no key %s in %q", changes, i+1, site, m[2], m[1]))
 			continue
 		}
 		lines[at] = m[2] + " = " + m[3]
 	}
-	if err := errors.Join(faults...); err != nil {
+	if err := errors.Join(errs...); err != nil {
 		return err
 	}
 	if err := os.MkdirAll(folder, 0o755); err != nil {
@@ -87,7 +88,8 @@
 	return os.WriteFile(filepath.Join(folder, name), []byte(strings.Join(lines, "\n")), 0o644)
 }
 
-// places finds the line of each key: "net zones", "class/markup-save effect", "- name".
+// places returns the index of each key's line by place and key, such as "net zones",
+// "class/markup-save effect" or "- name".
 func places(lines []string) map[string]int {
 	out := map[string]int{}
 	place, from := "-", 0
