--- a/internal/testbed/bench/bench.go
+++ b/internal/testbed/bench/bench.go
@@ -427,7 +427,7 @@
 		wg.Wait()
 		return r, errors.Join(errs[0], fmt.Errorf("bench: %d of %d connections could not be opened", len(errs), conns))
 	}
-	time.Sleep(span / 5) // to warm up
+	time.Sleep(span / 5) // warm-up
 	hist.Reset()
 	n0 := count.Load()
 	cpu0, _, err := m.usage()
--- a/internal/testbed/bench/fleet.go
+++ b/internal/testbed/bench/fleet.go
@@ -39,7 +39,7 @@
 	CPU           float64 `json:"cpu_ms_per_version"` // CPU time of the service's process
 	RSS           int64   `json:"rss_kb"`             // resident memory of the service's process, at the end
 	RSSBefore     int64   `json:"rss_before_kb"`      // the same, before the first stream
-	Bytes         float64 `json:"bytes_per_router"`   // gRPC bytes received for a version, without HTTP/2 framing
+	Bytes         float64 `json:"bytes_per_router"`   // gRPC bytes received per router and version, without HTTP/2 framing
 	ReconnectTime float64 `json:"reconnect_ms"`       // from a push after the service was killed and restarted until all routers have accepted it
 }
 
@@ -344,7 +344,7 @@
 	}
 	var p99 [2][]int64
 	if _, failed, err := loadAtRate(ctx, router.Addr, perSecond, window/4); err != nil { // warm-up
-		return r, errors.Join(err, fmt.Errorf("bench: %d failed", failed))
+		return r, errors.Join(err, fmt.Errorf("bench: %d requests failed in the warm-up", failed))
 	}
 	for w := range 2 * windows {
 		updating := w % 2
--- a/internal/testbed/differential/drift.go
+++ b/internal/testbed/differential/drift.go
@@ -114,12 +114,13 @@
 // journalRecord holds the requests and attempts of a journal.
 type journalRecord struct {
 	decided  map[attempt]*decision
-	attempts map[string][]*decision
+	attempts map[string][]*decision // by request id, in order
 	arrivals []arrival
 }
 
+// arrival is a request event.
 type arrival struct {
-	time    float64
+	time    float64 // ms on the router's clock
 	request spool.Request
 	first   spool.Action // the first action for the request in its own event; nil if it was queued
 }
@@ -171,6 +172,7 @@
 	}
 }
 
+// requestID returns the id of the request that an action sends, refuses or fails, or "".
 func requestID(a spool.Action) string {
 	switch a := a.(type) {
 	case spool.Send:
@@ -228,7 +230,7 @@
 			r.addDifference("sockets: attempt %d of %s was received by %s with source %q; decided was %s with source %q", rec.Attempt, rec.RouterRequest, rec.Subject, rec.Source, d.send.Cache, source)
 		}
 	}
-	for k, d := range journaled.decided { // an attempt with an answer must have reached a test server
+	for k, d := range journaled.decided { // an answered attempt must have reached a test server
 		answered := d.done && (d.result == spool.OK || d.result == spool.Miss)
 		if answered && !received[k] {
 			r.addDifference("sockets: attempt %d of %s at %s was answered (result %d), but no server received it", k.number, k.id, d.send.Cache, d.result)
--- a/internal/testbed/differential/drift_test.go
+++ b/internal/testbed/differential/drift_test.go
@@ -119,7 +119,7 @@
 	traffic  *trafficlog.Writer
 	list     *testserver.List
 	origin   *testserver.Server
-	servers  []*testserver.Server // boxes, then parents
+	servers  []*testserver.Server // caches, then parents
 	rows     []engine.Row
 	all      []*testserver.Server
 	settings *config.Settings
@@ -291,7 +291,7 @@
 	}
 	var h http1.Head
 	if n, err := c.Parse([]byte(msg+"\r\n"), &h); n == 0 || err != nil {
-		r.t.Fatal(n, err)
+		r.t.Fatalf("parsing the request head: %d bytes, error %v", n, err)
 	}
 	q, err := c.Classify("q", 0, &h)
 	if err != nil {
