--- a/cmd/spool-router/main.go
+++ b/cmd/spool-router/main.go
@@ -107,6 +107,6 @@
 	if err := d.Edge.Ready(); err != nil {
 		return errors.Join(err, <-done)
 	}
-	d.Tell(os.Stdout)
+	d.PrintUsage(os.Stdout)
 	return <-done
 }
--- a/internal/testbed/demo/demo.go
+++ b/internal/testbed/demo/demo.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// Tell prints example commands for the running router.
-func (d *Demo) Tell(w io.Writer) {
+// PrintUsage prints example commands for the running router.
+func (d *Demo) PrintUsage(w io.Writer) {
 	a := d.Edge.Addr()
 	fmt.Fprintf(w, `indigospool demo: a router in zone north at %[1]s, with 3 caches, 2 parents and an origin.
 All of them are test servers in this process. Zone south's caches are listed, but this router does not use them.
