--- a/fillsource_test.go
+++ b/fillsource_test.go
@@ -29,12 +29,12 @@
 // the fault is attributed to the first source, not to the cache.
 func TestFailedFillTriesAnotherSource(t *testing.T) {
 	rig := newRig(t, testSettings())
-	id, a, n := rig.requestFill("page", "x", 0)
-	actions := rig.handle(Outcome{ID: id, Attempt: n, Cache: a.Cache, Result: Rejected, Took: 900, Note: NoteSourceUnreachable})
-	if b := rig.onlySend(actions); b.Source == a.Source || b.Cache != a.Cache {
-		t.Errorf("filled from %s again", b.Source)
+	id, first, attempt := rig.requestFill("page", "x", 0)
+	actions := rig.handle(Outcome{ID: id, Attempt: attempt, Cache: first.Cache, Result: Rejected, Took: 900, Note: NoteSourceUnreachable})
+	if second := rig.onlySend(actions); second.Source == first.Source || second.Cache != first.Cache {
+		t.Errorf("filled from %s again", second.Source)
 	}
-	if rig.router.members[a.Cache].faultShare > 0 || rig.router.members[a.Source].faultShare == 0 {
+	if rig.router.members[first.Cache].faultShare > 0 || rig.router.members[first.Source].faultShare == 0 {
 		t.Error("the fault was not attributed to the source alone")
 	}
 }
--- a/internal/proxy/limits/clientactivity.go
+++ b/internal/proxy/limits/clientactivity.go
@@ -2,12 +2,12 @@
 
 // Timeouts after which a client's connection is closed, in ms.
 const (
-	silentTimeout  = 2200 // from accept until the first message begins
-	partialTimeout = 2200 // without further bytes of an incomplete message
-	messageTimeout = 8000 // from the beginning of a message to its end
-	idleTimeout    = 6000 // without an open request; clients close idle connections earlier
-	unreadTimeout  = 2500 // during which the client reads nothing of an answer
-	lingerTimeout  = 1000 // from shutdown until the client closes its side
+	firstMessageTimeout = 2200 // from accept until the first message begins
+	partialTimeout      = 2200 // without further bytes of an incomplete message
+	messageTimeout      = 8000 // from the beginning of a message to its end
+	idleTimeout         = 6000 // without an open request; clients close idle connections earlier
+	unreadTimeout       = 2500 // during which the client reads nothing of an answer
+	lingerTimeout       = 1000 // from shutdown until the client closes its side
 )
 
 // ClientActivity describes the state of a client's connection. Times are on the caller's clock,
@@ -33,7 +33,7 @@
 	case c.OpenRequests > 0:
 		return false
 	case c.Messages == 0 && c.LastPartial == 0:
-		return now-c.AcceptedAt > silentTimeout
+		return now-c.AcceptedAt > firstMessageTimeout
 	}
 	return c.LastPartial == 0 && now-c.LastUsed > idleTimeout
 }
--- a/internal/proxy/limits/clientactivity_test.go
+++ b/internal/proxy/limits/clientactivity_test.go
@@ -8,10 +8,10 @@
 // that was shut down, which is also the first to be closed for another.
 func TestClientActivityLingering(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		v    ClientActivity
-		now  float64
-		over bool
+		name     string
+		activity ClientActivity
+		now      float64
+		expired  bool
 	}{
 		{"bytes came recently", ClientActivity{PartialBegan: 1, LastPartial: 3000}, 5000, false},
 		{"no bytes for too long", ClientActivity{PartialBegan: 1, LastPartial: 3000}, 5300, true},
@@ -19,7 +19,7 @@
 		{"shut", ClientActivity{Messages: 1, ShutdownAt: 100}, 1000, false},
 		{"shut, and the client does not close", ClientActivity{Messages: 1, ShutdownAt: 100}, 1101, true},
 	} {
-		if got := c.v.Expired(c.now); got != c.over {
+		if got := c.activity.Expired(c.now); got != c.expired {
 			t.Errorf("%s: expired is %v", c.name, got)
 		}
 	}
--- a/internal/proxy/limits/flow_test.go
+++ b/internal/proxy/limits/flow_test.go
@@ -14,7 +14,7 @@
 func TestFlowAtMinRateNeverSlow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var flow Flow
-		now, debt := 0.0, 0.0 // debt: ms for which the peer has not yet moved bytes
+		now, uncovered := 0.0, 0.0 // debt: ms for which the peer has not yet moved bytes
 		flow.StartWaiting(now)
 		waited := true
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
@@ -25,7 +25,7 @@
 				waited = false
 			case 1: // the router does not check for a while: it charges at most Step
 				if waited {
-					debt += testRate.Step
+					uncovered += testRate.Step
 				}
 				now += rapid.Float64Range(testRate.Step, 20000).Draw(t, "stall")
 			default:
@@ -33,17 +33,17 @@
 					flow.StartWaiting(now)
 					waited = true
 				}
-				d := rapid.Float64Range(0, testRate.Step).Draw(t, "peer")
-				now += d
-				debt += d
+				wait := rapid.Float64Range(0, testRate.Step).Draw(t, "peer")
+				now += wait
+				uncovered += wait
 			}
-			if debt > testRate.Grace-testRate.Step-1 { // the peer moves the bytes for all of its debt
-				n := int(math.Ceil(debt * testRate.Rate))
+			if uncovered > testRate.Grace-testRate.Step-1 { // the peer moves the bytes for all of its debt
+				n := int(math.Ceil(uncovered * testRate.Rate))
 				flow.Moved(now, n, &testRate)
-				debt = 0
+				uncovered = 0
 			}
 			if flow.Slow(now, &testRate) {
-				t.Fatalf("slow at %v with a debt of %v ms", now, debt)
+				t.Fatalf("slow at %v with a debt of %v ms", now, uncovered)
 			}
 		}
 	})
@@ -57,13 +57,13 @@
 		gap := rapid.Float64Range(1, 1500).Draw(t, "gap")
 		var flow Flow
 		flow.StartWaiting(0)
-		next, part := gap, 0.0
+		nextMove, bytesDue := gap, 0.0
 		for now := 0.0; now < 60000; now += 250 {
-			for next <= now {
-				part += rate * gap
-				flow.Moved(next, int(part), &testRate)
-				part -= math.Floor(part)
-				next += gap
+			for nextMove <= now {
+				bytesDue += rate * gap
+				flow.Moved(nextMove, int(bytesDue), &testRate)
+				bytesDue -= math.Floor(bytesDue)
+				nextMove += gap
 			}
 			if flow.Slow(now, &testRate) {
 				if now < testRate.Grace {
--- a/internal/proxy/limits/quota_test.go
+++ b/internal/proxy/limits/quota_test.go
@@ -18,9 +18,9 @@
 	}
 	now := 100000.0
 	for _, c := range []struct {
-		name    string
-		v       ClientActivity
-		expired bool
+		name     string
+		activity ClientActivity
+		expired  bool
 	}{
 		{"just accepted", ClientActivity{AcceptedAt: now - 1000}, false},
 		{"sends nothing", ClientActivity{AcceptedAt: now - 2500}, true},
@@ -30,7 +30,7 @@
 		{"between two requests", ClientActivity{AcceptedAt: now - 9000, LastUsed: now - 3900, Messages: 3}, false},
 		{"idle after one request", ClientActivity{AcceptedAt: now - 9000, LastUsed: now - 8000, Messages: 1}, true},
 	} {
-		if c.v.Expired(now) != c.expired {
+		if c.activity.Expired(now) != c.expired {
 			t.Errorf("%s: expired is %v", c.name, !c.expired)
 		}
 	}
--- a/outlier_test.go
+++ b/outlier_test.go
@@ -18,12 +18,12 @@
 	} {
 		rig := newRig(t, testSettings())
 		var unanswered []string
-		run := func(n int, broken bool) (hits int) {
-			for i := range n {
+		run := func(requests int, broken bool) (hits int) {
+			for i := range requests {
 				id, actions := rig.request("page", fmt.Sprint("o", i%30), 0)
-				for k := 0; len(sends(actions)) > 0; k++ {
+				for attempt := 0; len(sends(actions)) > 0; attempt++ {
 					send := sends(actions)[0]
-					outcome := Outcome{ID: id, Attempt: k, Cache: send.Cache, Result: OK, Took: 100, Last: true, Note: NoteHit}
+					outcome := Outcome{ID: id, Attempt: attempt, Cache: send.Cache, Result: OK, Took: 100, Last: true, Note: NoteHit}
 					if send.Cache == "e2" {
 						hits++
 						if broken && test.reply == nil {
@@ -32,7 +32,7 @@
 						}
 						if broken {
 							outcome = *test.reply
-							outcome.ID, outcome.Attempt, outcome.Cache = id, k, send.Cache
+							outcome.ID, outcome.Attempt, outcome.Cache = id, attempt, send.Cache
 						}
 					}
 					actions = rig.handle(outcome)
@@ -68,13 +68,13 @@
 	for i := range 400 {
 		id, actions := rig.request("page", fmt.Sprint("x", i), 0)
 		rig.now += 10
-		for n := 0; len(sends(actions)) > 0; n++ {
+		for attempt := 0; len(sends(actions)) > 0; attempt++ {
 			send := sends(actions)[0]
 			result, note := OK, NoteFilled
 			if send.Source == send.Cache {
 				result, note = Miss, NoteNone
 			}
-			actions = rig.handle(Outcome{ID: id, Attempt: n, Cache: send.Cache, Result: result, Note: note, Last: result == OK})
+			actions = rig.handle(Outcome{ID: id, Attempt: attempt, Cache: send.Cache, Result: result, Note: note, Last: result == OK})
 		}
 		if !member.ejected {
 			return
@@ -89,14 +89,14 @@
 	rig := newRig(t, testSettings())
 	for i := range 300 {
 		rig.wait(25)
-		broken, actions := rig.request("page", fmt.Sprint("b", i), 0)
+		resetID, actions := rig.request("page", fmt.Sprint("b", i), 0)
 		send := sends(actions)[0]
-		other, more := rig.request("page", fmt.Sprint("b", i), 0) // the same object, and so the same cache
+		servedID, servedActions := rig.request("page", fmt.Sprint("b", i), 0) // the same object, and so the same cache
 		rig.now += 5
-		rig.handle(Outcome{ID: other, Cache: sends(more)[0].Cache, Result: OK, Last: true})
-		actions = rig.handle(Outcome{ID: broken, Cache: send.Cache, Result: Reset})
+		rig.handle(Outcome{ID: servedID, Cache: sends(servedActions)[0].Cache, Result: OK, Last: true})
+		actions = rig.handle(Outcome{ID: resetID, Cache: send.Cache, Result: Reset})
 		if len(sends(actions)) == 1 {
-			rig.handle(Outcome{ID: broken, Attempt: 1, Cache: sends(actions)[0].Cache, Result: OK, Last: true})
+			rig.handle(Outcome{ID: resetID, Attempt: 1, Cache: sends(actions)[0].Cache, Result: OK, Last: true})
 		}
 	}
 	for _, member := range rig.router.members {
@@ -110,14 +110,14 @@
 		outstanding = append(outstanding, sends(actions)...)
 	}
 	rig.now += 5
-	dead := outstanding[0].Cache
+	failed := outstanding[0].Cache
 	for _, send := range outstanding {
-		if send.Cache == dead {
-			rig.handle(Outcome{ID: send.ID, Cache: dead, Result: Reset})
+		if send.Cache == failed {
+			rig.handle(Outcome{ID: send.ID, Cache: failed, Result: Reset})
 		}
 	}
-	if !rig.router.members[dead].ejected {
-		t.Errorf("%s reset all its connections and is not ejected", dead)
+	if !rig.router.members[failed].ejected {
+		t.Errorf("%s reset all its connections and is not ejected", failed)
 	}
 }
 
@@ -126,9 +126,9 @@
 // without a fault.
 func TestLightTrafficEjectsNoMember(t *testing.T) {
 	rig := newRig(t, testSettings(), baseRows()...)
-	q, actions := rig.request("video", "o1", 0)
+	id, actions := rig.request("video", "o1", 0)
 	send := rig.onlySend(actions)
-	rig.handle(Outcome{ID: q, Cache: send.Cache, Result: OK, Took: 100, Last: true})
+	rig.handle(Outcome{ID: id, Cache: send.Cache, Result: OK, Took: 100, Last: true})
 	rig.wait(20000)
 	_, actions = rig.request("video", "o1", 0)
 	send = rig.onlySend(actions)
@@ -148,14 +148,14 @@
 	settings := testSettings()
 	settings.CanCancel = false
 	rig := newRig(t, settings, baseRows()...)
-	q, actions := rig.request("video", "o1", 0)
+	id, actions := rig.request("video", "o1", 0)
 	first := rig.onlySend(actions)
 	rig.wait(8000)
 	member := rig.router.members[first.Cache]
 	if !member.ejected {
 		t.Fatal("not ejected")
 	}
-	rig.handle(Outcome{ID: q, Cache: first.Cache, Result: OK, Took: 8000, Last: true})
+	rig.handle(Outcome{ID: id, Cache: first.Cache, Result: OK, Took: 8000, Last: true})
 	if member.ejected {
 		t.Error("the cache has answered and is still ejected")
 	}
@@ -185,38 +185,38 @@
 		}
 	}
 	_, actions := rig.request("page", "x", 0)
-	bad := sends(actions)[0].Cache
+	failing := sends(actions)[0].Cache
 	for i := range 30 {
 		id, actions := rig.request("page", fmt.Sprint("y", i), 0)
-		for n := 0; len(sends(actions)) > 0; n++ {
+		for attempt := 0; len(sends(actions)) > 0; attempt++ {
 			send := sends(actions)[0]
 			result := OK
-			if send.Cache == bad {
+			if send.Cache == failing {
 				result = Errored
 			}
-			actions = rig.handle(Outcome{ID: id, Attempt: n, Cache: send.Cache, Result: result, Last: result == OK})
+			actions = rig.handle(Outcome{ID: id, Attempt: attempt, Cache: send.Cache, Result: result, Last: result == OK})
 		}
 	}
-	if !rig.router.members[bad].ejected {
-		t.Errorf("%s fails all requests that others serve and is not ejected", bad)
+	if !rig.router.members[failing].ejected {
+		t.Errorf("%s fails all requests that others serve and is not ejected", failing)
 	}
 }
 
 // TestFillTimeoutBlamesSource checks that a fill that times out while its target makes progress is
 // attributed to the source, and to no member if both have made progress.
 func TestFillTimeoutBlamesSource(t *testing.T) {
-	for _, progress := range []bool{false, true} {
+	for _, sourceProgress := range []bool{false, true} {
 		rig := newRig(t, testSettings())
 		id, send, attempt := rig.requestFill("page", "x", 0)
 		target, source := rig.router.members[send.Cache], rig.router.members[send.Source]
 		rig.now += 500
 		target.lastProgress = rig.now
-		if progress {
+		if sourceProgress {
 			source.lastProgress = rig.now
 		}
 		rig.handle(Outcome{ID: id, Cache: send.Cache, Attempt: attempt, Result: TimedOut})
-		if target.faultShare != 0 || (source.faultShare == 0) != progress {
-			t.Errorf("progress %v: faults %v at the target, %v at the source", progress, target.faultShare, source.faultShare)
+		if target.faultShare != 0 || (source.faultShare == 0) != sourceProgress {
+			t.Errorf("progress %v: faults %v at the target, %v at the source", sourceProgress, target.faultShare, source.faultShare)
 		}
 	}
 }
--- a/rangesplit.go
+++ b/rangesplit.go
@@ -93,7 +93,7 @@
 		r.windowCost[part] += tailPartCost
 	}
 	r.windowRequests++
-	if r.windowRequests >= windowPartRequests || r.totalCost == nil && r.firstWindowDone() {
+	if r.windowRequests >= windowPartRequests || r.costHistogram == nil && r.firstWindowDone() {
 		r.closeWindow()
 	}
 }
@@ -120,16 +120,16 @@
 // window that is empty, or the first one while it has too few requests, stays open.
 func (r *Router) closeWindow() {
 	r.windowOpenedAt = r.now
-	if r.windowRequests == 0 || r.totalCost == nil && !r.firstWindowDone() {
+	if r.windowRequests == 0 || r.costHistogram == nil && !r.firstWindowDone() {
 		return
 	}
-	for len(r.totalCost) < len(r.windowCost) {
-		r.totalCost = append(r.totalCost, 0)
+	for len(r.costHistogram) < len(r.windowCost) {
+		r.costHistogram = append(r.costHistogram, 0)
 	}
-	for part := range r.totalCost {
-		r.totalCost[part] *= windowDiscount
+	for part := range r.costHistogram {
+		r.costHistogram[part] *= windowDiscount
 		if part < len(r.windowCost) {
-			r.totalCost[part] += r.windowCost[part]
+			r.costHistogram[part] += r.windowCost[part]
 		}
 	}
 	clear(r.windowCost)
@@ -141,11 +141,11 @@
 // one part index.
 func (r *Router) updateLayout() {
 	next := layout{caches: r.byRole[edge]}
-	if len(next.caches) > 0 && total(r.totalCost) > 0 {
-		next.splits, next.ranged = splitPoints(r.totalCost, len(next.caches)), true
+	if len(next.caches) > 0 && total(r.costHistogram) > 0 {
+		next.splits, next.ranged = splitPoints(r.costHistogram, len(next.caches)), true
 	}
 	if next.ranged && r.layout.ranged && len(r.layout.caches) == len(next.caches) {
-		keepSplits(next.splits, r.layout.splits, r.totalCost)
+		keepSplits(next.splits, r.layout.splits, r.costHistogram)
 	}
 	if !next.equal(r.layout) {
 		r.priorLayout, r.layoutChangedAt = r.layout, r.now
--- a/rangesplit_test.go
+++ b/rangesplit_test.go
@@ -61,8 +61,8 @@
 		return send.Cache
 	}
 	first := map[string]bool{}
-	for x := range 12 {
-		first[serve("a", x)] = true
+	for part := range 12 {
+		first[serve("a", part)] = true
 	}
 	if len(first) < 2 {
 		t.Error("before the first window closes, all parts go to the same cache")
@@ -79,20 +79,20 @@
 	if !slices.Equal(before, rig.router.layout.splits) {
 		t.Errorf("an unchanged load moved %v to %v", before, rig.router.layout.splits)
 	}
-	at := 0
-	for x := range 40 {
-		c := serve("b", x)
-		i := slices.IndexFunc(rig.router.byRole[edge], func(member *member) bool { return member.ID == c })
-		if i < at {
-			t.Fatalf("part %d goes to %s, which precedes the cache of the part before", x, c)
+	previous := 0
+	for part := range 40 {
+		cache := serve("b", part)
+		index := slices.IndexFunc(rig.router.byRole[edge], func(member *member) bool { return member.ID == cache })
+		if index < previous {
+			t.Fatalf("part %d goes to %s, which precedes the cache of the part before", part, cache)
 		}
-		at = i
-		if other := serve("c", x); other != c {
-			t.Fatalf("part %d of two objects goes to %s and %s", x, c, other)
+		previous = index
+		if other := serve("c", part); other != cache {
+			t.Fatalf("part %d of two objects goes to %s and %s", part, cache, other)
 		}
 	}
-	if at != 2 {
-		t.Errorf("the last range belongs to cache %d, want 2", at)
+	if previous != 2 {
+		t.Errorf("the last range belongs to cache %d, want 2", previous)
 	}
 	rig.handle(Members{Rows: []Member{{ID: "e2", Zone: "z1", Kind: "box", State: Removed}}})
 	if len(rig.router.layout.splits) != 1 {
--- a/retry_test.go
+++ b/retry_test.go
@@ -57,43 +57,43 @@
 	settings := testSettings()
 	settings.DirectAttempts = false
 	rig := newRig(t, settings, row("e1", "z1", "box"), row("e2", "z1", "box"), row("p1", "hub", "parent"), row("o1", "hub", "origin"))
-	id, a, n := rig.requestFill("page", "x", 0)
+	id, send, attempt := rig.requestFill("page", "x", 0)
 	lastAttempt := map[string]Millis{}
 	times := map[string][]Millis{}
 	ended := false
 	actions := []Action(nil)
 	for began := rig.now; rig.now < began+1500 && !ended; {
-		times[a.Cache] = append(times[a.Cache], rig.now-lastAttempt[a.Cache])
-		lastAttempt[a.Cache] = rig.now
-		for actions = rig.handle(Outcome{ID: id, Attempt: n, Cache: a.Cache, Result: Rejected, Took: 0.1, Note: NoteNoCapacity}); len(sends(actions)) == 0; actions = rig.wait(5) {
+		times[send.Cache] = append(times[send.Cache], rig.now-lastAttempt[send.Cache])
+		lastAttempt[send.Cache] = rig.now
+		for actions = rig.handle(Outcome{ID: id, Attempt: attempt, Cache: send.Cache, Result: Rejected, Took: 0.1, Note: NoteNoCapacity}); len(sends(actions)) == 0; actions = rig.wait(5) {
 			if k, _ := finalAnswers(actions); k > 0 || rig.now >= began+1500 {
 				ended = true
 				break
 			}
 		}
-		for n++; !ended; n++ {
-			a = rig.onlySend(actions)
-			if a.Source != a.Cache {
+		for attempt++; !ended; attempt++ {
+			send = rig.onlySend(actions)
+			if send.Source != send.Cache {
 				break
 			}
-			actions = rig.handle(Outcome{ID: id, Attempt: n, Cache: a.Cache, Result: Miss, Took: 0.1})
+			actions = rig.handle(Outcome{ID: id, Attempt: attempt, Cache: send.Cache, Result: Miss, Took: 0.1})
 		}
 	}
 	if len(times) != 2 {
 		t.Fatalf("attempts %v, want some at both caches", times)
 	}
-	again := 0
+	repeats := 0
 	for id, list := range times {
 		for i, since := range list {
 			if i == 0 {
 				continue
 			}
-			if again++; since < 20 {
+			if repeats++; since < 20 {
 				t.Errorf("%s is asked again after %v ms", id, since)
 			}
 		}
 	}
-	if again == 0 {
+	if repeats == 0 {
 		t.Error("no cache is asked again")
 	}
 }
@@ -105,20 +105,20 @@
 	rig := newRig(t, testSettings())
 	var first []Millis
 	for range 2 {
-		q, actions := rig.request("save", "o"+strconv.Itoa(rig.requests), 0)
-		begin, n, last := rig.now, 0, rig.now
+		id, actions := rig.request("save", "o"+strconv.Itoa(rig.requests), 0)
+		begin, attempts, last := rig.now, 0, rig.now
 		for rig.now < begin+3000 {
 			for list := sends(actions); len(list) > 0; list = sends(actions) {
-				if n == 1 {
+				if attempts == 1 {
 					first = append(first, rig.now-begin)
 				}
-				n, last = n+1, rig.now
-				actions = rig.handle(Outcome{ID: q, Cache: list[0].Cache, Attempt: n - 1, Result: Rejected, Note: NoteSourceRejected})
+				attempts, last = attempts+1, rig.now
+				actions = rig.handle(Outcome{ID: id, Cache: list[0].Cache, Attempt: attempts - 1, Result: Rejected, Note: NoteSourceRejected})
 			}
 			actions = rig.wait(tickInterval)
 		}
-		if n < 3 || n > 6 || last-begin < 1000 {
-			t.Errorf("%d attempts, the last after %v ms; want 3 to 6, the last after at least 1000 ms", n, last-begin)
+		if attempts < 3 || attempts > 6 || last-begin < 1000 {
+			t.Errorf("%d attempts, the last after %v ms; want 3 to 6, the last after at least 1000 ms", attempts, last-begin)
 		}
 	}
 	if len(first) != 2 || first[0] == first[1] || min(first[0], first[1]) < 50 {
@@ -126,8 +126,8 @@
 	}
 	before := rig.router.link.limit
 	for i := range 40 {
-		q, send, n := rig.requestFill("page", fmt.Sprint("s", i), 0)
-		rig.handle(Outcome{ID: q, Cache: send.Cache, Attempt: n, Result: Rejected, Note: NoteOriginFailed, Took: 5})
+		id, send, attempt := rig.requestFill("page", fmt.Sprint("s", i), 0)
+		rig.handle(Outcome{ID: id, Cache: send.Cache, Attempt: attempt, Result: Rejected, Note: NoteOriginFailed, Took: 5})
 		rig.wait(200)
 		if rig.router.link.limit < before/2 {
 			return
--- a/router.go
+++ b/router.go
@@ -73,13 +73,13 @@
 	groupPurges  map[int]Millis    // time of the last purge, by group
 
 	// Range split.
-	objectDepths          [2]map[string]*objectDepth // the current and the previous generation
-	objectDepthsRotatedAt Millis                     // start of the current generation
-	windowCost, totalCost []float64                  // cost by part index: in the open window; discounted sum of closed windows
-	windowRequests        int                        // part requests in the open window
-	windowOpenedAt        Millis
-	layout, priorLayout   layout // the current layout, and the one before the last change
-	layoutChangedAt       Millis
+	objectDepths              [2]map[string]*objectDepth // the current and the previous generation
+	objectDepthsRotatedAt     Millis                     // start of the current generation
+	windowCost, costHistogram []float64                  // cost by part index: in the open window; discounted sum of closed windows
+	windowRequests            int                        // part requests in the open window
+	windowOpenedAt            Millis
+	layout, priorLayout       layout // the current layout, and the one before the last change
+	layoutChangedAt           Millis
 }
 
 // New returns a Router without endpoints. Routers with different seeds spread their retries and
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -10,13 +10,13 @@
 func TestSlowStartBudget(t *testing.T) {
 	for _, id := range []string{"e2", "p2"} {
 		rig := newRig(t, testSettings())
-		sendTimeAt := func(n int) (work float64) {
-			for i := range n {
-				q, send, n := rig.requestFill("page", fmt.Sprint("o", rig.requests, i), 0)
+		sendTimeAt := func(requests int) (work float64) {
+			for i := range requests {
+				requestID, send, attempt := rig.requestFill("page", fmt.Sprint("o", rig.requests, i), 0)
 				if send.Cache == id || send.Source == id {
 					work += 100
 				}
-				rig.handle(Outcome{ID: q, Attempt: n, Cache: send.Cache, Result: OK, Took: 100, Last: true, Note: NoteFilled})
+				rig.handle(Outcome{ID: requestID, Attempt: attempt, Cache: send.Cache, Result: OK, Took: 100, Last: true, Note: NoteFilled})
 				rig.wait(20)
 			}
 			return work
--- a/snapshot.go
+++ b/snapshot.go
@@ -106,7 +106,7 @@
 		FillTimeRatio:         r.fillTimeRatio,
 		LastCleanup:           r.lastCleanup,
 		WindowCost:            slices.Clone(r.windowCost),
-		TotalCost:             slices.Clone(r.totalCost),
+		TotalCost:             slices.Clone(r.costHistogram),
 		WindowRequests:        r.windowRequests,
 		WindowOpenedAt:        r.windowOpenedAt,
 		Layout:                r.layout.snapshot(),
@@ -164,7 +164,7 @@
 	r.fillTimeRatio = memory.FillTimeRatio
 	r.lastCleanup = memory.LastCleanup
 	r.windowCost = slices.Clone(memory.WindowCost)
-	r.totalCost = slices.Clone(memory.TotalCost)
+	r.costHistogram = slices.Clone(memory.TotalCost)
 	r.windowRequests = memory.WindowRequests
 	r.windowOpenedAt = memory.WindowOpenedAt
 	r.layout = r.restoreLayout(memory.Layout)
