--- a/freshness.go
+++ b/freshness.go
@@ -3,15 +3,16 @@
 import "maps"
 
 const (
-	// anyCopyAge is the maximum age that accepts all copies. An age of 0 would select the cache's
-	// default.
+	// anyCopyAge, 11.6 days, is the maximum age that accepts all copies. An age of 0 would mean the
+	// cache's own default.
 	anyCopyAge = Millis(1e9)
-	// minCopyAge is the lowest maximum age. It is above 0 for the same reason.
+	// minCopyAge is the lowest maximum age. It is above 0 because 0 would mean the cache's default.
 	minCopyAge = Millis(0.05)
 )
 
 // maxCopyAge returns the maximum age of a copy for a request: the class's Fresh, plus its Grace if a
-// stale copy is acceptable. Until a purge is complete, copies from before the purge are excluded.
+// stale copy is acceptable, or no limit if Fresh is 0. For PurgeTime plus PurgeSlack after a purge, until
+// all caches must have applied it, a copy must also be at least 1 ms younger than the purge.
 func (r *Router) maxCopyAge(request *request) Millis {
 	maxAge := anyCopyAge
 	if request.class.Fresh > 0 {
@@ -27,7 +28,8 @@
 	return max(maxAge, minCopyAge)
 }
 
-// lastPurge returns the time of the last purge of the request's object or of its group.
+// lastPurge returns the time of the last purge of the request's object or of its group. purged is false
+// if there is none.
 func (r *Router) lastPurge(request *request) (at Millis, purged bool) {
 	at, purged = r.objectPurges[request.Object]
 	groupAt, groupPurged := r.groupPurges[request.Group]
@@ -47,7 +49,8 @@
 	r.groupPurges[purge.Group] = max(r.groupPurges[purge.Group], at)
 }
 
-// dropOldPurges removes the purges that all caches have completed.
+// dropOldPurges removes the purges that are older than PurgeTime plus PurgeSlack, which all caches must
+// have applied.
 func (r *Router) dropOldPurges() {
 	cutoff := r.now - r.settings.PurgeTime - r.settings.PurgeSlack
 	maps.DeleteFunc(r.objectPurges, func(_ string, at Millis) bool { return at < cutoff })
--- a/outlier_test.go
+++ b/outlier_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestEjection checks for several kinds of faults that a member that does not serve is ejected,
-// receives single health checks, and returns after its repair.
+// TestEjection checks for each kind of fault that the broken member is ejected, then gets only
+// occasional requests as health checks, and returns to service after its repair.
 func TestEjection(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -43,22 +43,24 @@
 		}
 		run(100, false)
 		if early, later := run(60, true), run(120, true); early == 0 || later > 10 {
-			t.Errorf("%s: %d then %d attempts at the broken cache", test.name, early, later)
+			t.Errorf("%s: %d attempts at the broken cache in the first 60 requests, %d in the next 120; want more than 0, then at most 10",
+				test.name, early, later)
 		}
 		for _, id := range unanswered {
 			rig.handle(Outcome{ID: id, Cache: "e2", Result: TimedOut, Last: true})
 		}
-		run(200, false)
+		run(200, false) // 15 s without a fault in these two runs: health checks succeed, and the cache returns
 		run(400, false)
 		if back := run(100, false); back < 20 {
-			t.Errorf("%s: only %d attempts after the repair", test.name, back)
+			t.Errorf("%s: %d attempts at the cache in 100 requests after its repair, want at least 20", test.name, back)
 		}
 	}
 }
 
 // TestHealthChecksThatMiss checks that an ejected cache that answers its health checks with misses
-// returns within 4 s. Otherwise a cache would stay ejected for long after a short fault, because it has
-// few copies. A cache that answers lookups but fails fills may return too early.
+// returns within 4 s. A miss counts as a successful health check. If only hits counted, a cache that has
+// few copies after a fault would stay ejected for a long time. Known limitation: a cache that answers
+// lookups but cannot fill may return too early.
 func TestHealthChecksThatMiss(t *testing.T) {
 	rig := newRig(t, testSettings())
 	member := rig.router.members["e1"]
@@ -71,7 +73,7 @@
 		for attempt := 0; len(sends(actions)) > 0; attempt++ {
 			send := sends(actions)[0]
 			result, note := OK, NoteFilled
-			if send.Source == send.Cache {
+			if send.Source == send.Cache { // a lookup without a fill; the caches have no copies, so it misses
 				result, note = Miss, NoteNone
 			}
 			actions = rig.handle(Outcome{ID: id, Attempt: attempt, Cache: send.Cache, Result: result, Note: note, Last: result == OK})
@@ -80,11 +82,11 @@
 			return
 		}
 	}
-	t.Errorf("still ejected after 4 s of good answers: %+v", member)
+	t.Errorf("still ejected after 4 s in which all health checks were answered: %+v", member)
 }
 
-// TestOccasionalResetsEjectNoMember checks that single broken connections do not eject a cache that
-// answers on others, and that a cache that resets all its connections is ejected.
+// TestOccasionalResetsEjectNoMember checks that a cache that answers on other connections is not ejected
+// when single connections break, and that a cache that resets all its connections is ejected.
 func TestOccasionalResetsEjectNoMember(t *testing.T) {
 	rig := newRig(t, testSettings())
 	for i := range 300 {
@@ -101,7 +103,7 @@
 	}
 	for _, member := range rig.router.members {
 		if member.ejected {
-			t.Errorf("%s is ejected", member.ID)
+			t.Errorf("%s is ejected although it answers on other connections", member.ID)
 		}
 	}
 	var outstanding []Send
@@ -121,9 +123,9 @@
 	}
 }
 
-// TestLightTrafficEjectsNoMember checks that a long answer after a period without requests does not
-// count as silence. When the idle period counted, each router ejected 14 of 18 members on a day
-// without a fault.
+// TestLightTrafficEjectsNoMember checks that the time without progress after which a member is ejected
+// starts when an attempt is sent and does not include the idle time before it. When the idle time
+// counted, each router ejected 14 of 18 members on a simulated day without a fault.
 func TestLightTrafficEjectsNoMember(t *testing.T) {
 	rig := newRig(t, testSettings(), baseRows()...)
 	id, actions := rig.request("video", "o1", 0)
@@ -134,40 +136,41 @@
 	send = rig.onlySend(actions)
 	rig.wait(1200)
 	if member := rig.router.members[send.Cache]; member.ejected {
-		t.Errorf("%s is ejected after %v ms", member.ID, 1200)
+		t.Errorf("%s is ejected %v ms after an attempt was sent, want it in service", member.ID, 1200)
 	}
 	rig.wait(6000)
 	if member := rig.router.members[send.Cache]; !member.ejected {
-		t.Error("a cache that never answers is not ejected")
+		t.Errorf("%s has not answered for 7200 ms and is not ejected", member.ID)
 	}
 }
 
-// TestSilenceEndsWithProgress checks that a cache that was ejected only for its silence returns with
-// its first answer.
+// TestSilenceEndsWithProgress checks that the first answer of a cache that was ejected only because it
+// made no progress ends the ejection.
 func TestSilenceEndsWithProgress(t *testing.T) {
 	settings := testSettings()
-	settings.CanCancel = false
+	settings.CanCancel = false // so that the first attempt stays open and can still be answered
 	rig := newRig(t, settings, baseRows()...)
 	id, actions := rig.request("video", "o1", 0)
 	first := rig.onlySend(actions)
 	rig.wait(8000)
 	member := rig.router.members[first.Cache]
 	if !member.ejected {
-		t.Fatal("not ejected")
+		t.Fatalf("%s has not answered for 8000 ms and is not ejected", first.Cache)
 	}
 	rig.handle(Outcome{ID: id, Cache: first.Cache, Result: OK, Took: 8000, Last: true})
 	if member.ejected {
-		t.Error("the cache has answered and is still ejected")
+		t.Errorf("%s has answered and is still ejected", first.Cache)
 	}
 }
 
-// TestInvalidRequestsEjectNoMember checks that a request that two caches answer with an error, without
-// a source involved, ends and ejects neither, even if there are many such requests. A single cache that
-// fails requests that others serve is still ejected.
+// TestInvalidRequestsEjectNoMember checks that if two caches answer the same request with an error and
+// neither was filling it from a source, the request ends and the errors count against neither cache,
+// even if there are many such requests. A single cache that fails requests that others serve is still
+// ejected.
 func TestInvalidRequestsEjectNoMember(t *testing.T) {
 	rig := newRig(t, testSettings())
 	for range 30 {
-		id, actions := rig.request("page", "nothing fits it", 0)
+		id, actions := rig.request("page", "invalid", 0)
 		first := sends(actions)[0]
 		actions = rig.handle(Outcome{ID: id, Cache: first.Cache, Result: Errored})
 		second := sends(actions)
@@ -181,7 +184,7 @@
 	}
 	for _, member := range rig.router.members {
 		if member.ejected {
-			t.Errorf("%s is ejected", member.ID)
+			t.Errorf("%s is ejected for invalid requests", member.ID)
 		}
 	}
 	_, actions := rig.request("page", "x", 0)
@@ -202,8 +205,8 @@
 	}
 }
 
-// TestFillTimeoutBlamesSource checks that a fill that times out while its target makes progress is
-// attributed to the source, and to no member if both have made progress.
+// TestFillTimeoutBlamesSource checks that the timeout of a fill whose target has made progress since the
+// attempt was sent is attributed to the source, or to no member if the source has made progress too.
 func TestFillTimeoutBlamesSource(t *testing.T) {
 	for _, sourceProgress := range []bool{false, true} {
 		rig := newRig(t, testSettings())
@@ -216,7 +219,8 @@
 		}
 		rig.handle(Outcome{ID: id, Cache: send.Cache, Attempt: attempt, Result: TimedOut})
 		if target.faultShare != 0 || (source.faultShare == 0) != sourceProgress {
-			t.Errorf("progress %v: faults %v at the target, %v at the source", sourceProgress, target.faultShare, source.faultShare)
+			t.Errorf("source made progress: %v: fault share of the target %v, want 0; of the source %v, want 0: %v",
+				sourceProgress, target.faultShare, source.faultShare, sourceProgress)
 		}
 	}
 }
--- a/rangesplit.go
+++ b/rangesplit.go
@@ -7,23 +7,25 @@
 )
 
 // FlexSplit assigns contiguous ranges of part indices, the same for all objects, to the caches of the
-// zone. A histogram holds the cost of each part index; older windows are discounted. The split points
-// divide the histogram so that each cache has an equal share of the cost.
+// zone. A histogram holds the cost of each part index, with the costs of older windows discounted. The
+// split points divide the histogram so that each cache of the zone has an equal share of the cost. A
+// split point is the exclusive upper end of one range and the start of the next.
 
 const (
 	// A histogram window closes after windowPartRequests part requests or after windowSpan.
 	windowPartRequests = 500
 	windowSpan         = Millis(5000)
-	// firstWindowPartRequests is the least number of part requests in the first window. It is low
-	// because copies that were placed by the hash are no longer used once there are ranges.
+	// firstWindowPartRequests is the least number of part requests in the first window. Until this
+	// window closes, parts are placed by the hash. After the switch to ranges, most of these parts are
+	// requested from other caches; a small first window limits how many copies are wasted.
 	firstWindowPartRequests = 128
-	// windowDiscount is the factor of the sum of closed windows when another window is added.
+	// windowDiscount multiplies the cost histogram each time a closed window is added to it.
 	windowDiscount = 0.95
-	// splitMoveThreshold is the imbalance above which a split point moves, as a multiple of the higher
-	// cost of the two adjacent part indices.
+	// A split point stays while the cost below it differs from its ideal share of the total by less
+	// than splitMoveThreshold times the higher cost of the two parts beside it.
 	splitMoveThreshold = 1.0
 	// tailPartCost is the cost of a request for a part beyond the object's mean depth. Requests for
-	// other parts cost 1.
+	// other parts cost 1, so at 1.0 all part requests cost the same.
 	tailPartCost = 1.0
 	// maxPartIndices is the length of the histogram. Higher part indices are counted as the last one.
 	maxPartIndices = 2048
@@ -50,7 +52,7 @@
 // layout assigns requests to the available caches of the zone.
 type layout struct {
 	caches []*member
-	splits []int // upper ends of the ranges of all caches but the last
+	splits []int // exclusive upper ends of the ranges of all caches but the last
 	ranged bool  // whether parts are placed by ranges; otherwise by rendezvous hashing
 }
 
@@ -109,15 +111,16 @@
 	return depth
 }
 
-// firstWindowDone reports whether the first window has enough part requests. The number grows with
-// the number of routers in the zone: each sees only some of the requests, and with few samples the
-// routers would compute different ranges, so that a part would be filled into several caches.
+// firstWindowDone reports whether the first window has enough part requests. The required number grows
+// with the number of routers in the zone: each router sees only some of the requests, and with few
+// samples the routers would compute different ranges, so that a part would be filled into several caches.
 func (r *Router) firstWindowDone() bool {
 	return float64(r.windowRequests) >= firstWindowPartRequests*max(r.settings.sharingRouters(edge)/2, 1)
 }
 
-// closeWindow adds the open window to the discounted sum, updates the layout and opens a new window. A
-// window that is empty, or the first one while it has too few requests, stays open.
+// closeWindow adds the open window to the cost histogram, updates the layout and opens a new window. A
+// window that is empty, or the first one while it has too few requests, keeps its counts and stays open
+// for another windowSpan.
 func (r *Router) closeWindow() {
 	r.windowOpenedAt = r.now
 	if r.windowRequests == 0 || r.costHistogram == nil && !r.firstWindowDone() {
@@ -137,8 +140,8 @@
 	r.updateLayout()
 }
 
-// updateLayout computes the split points so that the costs of the ranges are equal, up to the cost of
-// one part index.
+// updateLayout computes the split points so that the costs of the ranges are about equal: the cost below
+// each split point is within the cost of one part index of its ideal share.
 func (r *Router) updateLayout() {
 	next := layout{caches: r.byRole[edge]}
 	if len(next.caches) > 0 && total(r.costHistogram) > 0 {
@@ -153,8 +156,8 @@
 	r.layout = next
 }
 
-// keepSplits keeps the previous split points whose imbalance is below splitMoveThreshold, so that
-// random variation of the counts moves no ranges.
+// keepSplits replaces split points by the previous ones if these are close enough to the ideal place (see
+// splitMoveThreshold), so that random variation of the counts moves no ranges.
 func keepSplits(splits, previous []int, cost []float64) {
 	sum := total(cost)
 	cumulative := make([]float64, len(cost)+1) // total cost of the parts before each index
@@ -200,7 +203,7 @@
 }
 
 // Ranges returns the ranges of part indices of the caches in ascending order, or nil if parts are not
-// placed by ranges yet.
+// placed by ranges yet. The last range has no upper end: its To is -1.
 func (r *Router) Ranges() []Range {
 	if !r.layout.ranged {
 		return nil
--- a/router.go
+++ b/router.go
@@ -75,7 +75,7 @@
 	// Range split.
 	objectDepths              [2]map[string]*objectDepth // the current and the previous generation
 	objectDepthsRotatedAt     Millis                     // start of the current generation
-	windowCost, costHistogram []float64                  // cost by part index: in the open window; discounted sum of closed windows
+	windowCost, costHistogram []float64                  // cost by part index: in the open window; in the closed windows, with older ones discounted
 	windowRequests            int                        // part requests in the open window
 	windowOpenedAt            Millis
 	layout, priorLayout       layout // the current layout, and the one before the last change
