--- a/internal/proxy/limits/budget_test.go
+++ b/internal/proxy/limits/budget_test.go
@@ -24,21 +24,23 @@
 			}
 		}
 		if answers <= roomDivisor && budget.Full() || float64(budget.Used()) > shedAbove*float64(total)+float64(answers*minRoom) {
-			t.Fatalf("%d answers fill %d of %d", answers, budget.Used(), total)
+			t.Fatalf("%d answers use %d of %d bytes; want no more than %v of the total plus the minimum of each, and not full with up to %d answers",
+				answers, budget.Used(), total, shedAbove, roomDivisor)
 		}
 	})
 	one := Budget{Total: 64 << 20}
 	if got := one.Room(200 << 10); got != 200<<10 {
-		t.Error(got)
+		t.Errorf("room of a single answer is %d bytes, want its limit of %d", got, 200<<10)
 	}
 	if got := (&Budget{}).Room(1 << 20); got != 1<<20 {
-		t.Error(got)
+		t.Errorf("room in a budget without a limit is %d bytes, want %d", got, 1<<20)
 	}
 	one.Add(Bodies, 1<<30)
 	if got := one.Room(1 << 20); got != minRoom {
-		t.Error(got)
+		t.Errorf("room in an exceeded budget is %d bytes, want %d", got, minRoom)
 	}
 	if UnaccountedMemory(64<<20) != 24<<20 || UnaccountedMemory(4<<20) != 3<<20 || !MayCloseIdle(200) || MayCloseIdle(199) || !IsStalled(2000) || IsStalled(1999) {
-		t.Error(UnaccountedMemory(64<<20), UnaccountedMemory(4<<20))
+		t.Errorf("unaccounted memory of 64 and 4 MiB: %d and %d bytes, want %d and %d; MayCloseIdle(200, 199): %v, %v, IsStalled(2000, 1999): %v, %v, want true, false of each",
+			UnaccountedMemory(64<<20), UnaccountedMemory(4<<20), 24<<20, 3<<20, MayCloseIdle(200), MayCloseIdle(199), IsStalled(2000), IsStalled(1999))
 	}
 }
--- a/internal/proxy/limits/flow.go
+++ b/internal/proxy/limits/flow.go
@@ -6,7 +6,7 @@
 type MinRate struct {
 	Rate  float64 // bytes per ms; 0: no minimum
 	Grace float64 // ms by which a peer may fall behind the minimum rate
-	Step  float64 // ms charged at most between two checks, as the router itself causes longer gaps; 0: no limit
+	Step  float64 // most ms charged between two checks, since the router itself causes longer gaps; 0: no limit
 }
 
 // Flow measures one direction of a connection by a token bucket of time. Each ms in which the
@@ -31,8 +31,8 @@
 	}
 }
 
-// StopWaiting records that the router does not wait for the peer from now on, but for the other
-// side or for its own work.
+// StopWaiting records that from now on the router does not wait for the peer, but waits for
+// something else or does its own work.
 func (f *Flow) StopWaiting(now float64, limit *MinRate) {
 	f.charge(now, limit)
 	f.waiting = false
@@ -56,8 +56,8 @@
 	return limit.Rate > 0 && f.owed > limit.Grace
 }
 
-// Due returns in how many ms the peer will be slow if it moves nothing, or +Inf if the router
-// does not wait for it.
+// Due returns the time in ms until the peer is slow if it moves nothing, or +Inf if the router
+// does not wait for it or sets no minimum rate.
 func (f *Flow) Due(limit *MinRate) float64 {
 	if !f.waiting || limit.Rate <= 0 {
 		return math.Inf(1)
--- a/internal/proxy/limits/reputation_test.go
+++ b/internal/proxy/limits/reputation_test.go
@@ -32,7 +32,8 @@
 			}
 			reputation.AddBad(fmt.Sprint("passing ", i), now)
 			if reputation.Poor("good", now) || reputation.Poor("unknown", now) || i > 20 && reputation.Poor("mostly good", now) {
-				t.Fatalf("a good address is poor at %v", now)
+				t.Fatalf("at %v ms poor is: good address %v, unknown %v, mostly good %v; want false of each, of the last after 20 steps", now,
+					reputation.Poor("good", now), reputation.Poor("unknown", now), reputation.Poor("mostly good", now))
 			}
 			if n := len(reputation.recent) + len(reputation.older); n > 2*64 {
 				t.Fatalf("%d addresses are kept, want at most 128", n)
@@ -64,7 +65,7 @@
 	next.Restore(append(reputation.Records(200), AddressRecord{"nan", math.NaN(), 1}, AddressRecord{"inf", 0, math.Inf(1)}, AddressRecord{"below", -1, 1}), 7000)
 	for i := range 30 {
 		if address := fmt.Sprint(i); reputation.Poor(address, 200) != next.Poor(address, 7000) || reputation.Poor(address, 200) != (i%5 >= 2) {
-			t.Errorf("address %s: poor is %v before, %v after", address, reputation.Poor(address, 200), next.Poor(address, 7000))
+			t.Errorf("address %s: poor is %v before the restore, %v after; want %v", address, reputation.Poor(address, 200), next.Poor(address, 7000), i%5 >= 2)
 		}
 	}
 	if len(next.Records(7000)) != len(reputation.Records(200)) {
@@ -78,13 +79,13 @@
 	reputation := NewReputation(settings)
 	for range 4 {
 		if reputation.Reserve(); reputation.HasCapacity() != (reputation.Excess() < 0) {
-			t.Error(reputation.HasCapacity(), reputation.Excess())
+			t.Errorf("at most four requests: capacity left %v, excess %d; want capacity if the excess is negative", reputation.HasCapacity(), reputation.Excess())
 		}
 	}
 	if reputation.Reserve(); reputation.HasCapacity() || reputation.Excess() != 1 {
-		t.Error(reputation.Excess())
+		t.Errorf("five requests: capacity left %v, excess %d; want false, 1", reputation.HasCapacity(), reputation.Excess())
 	}
 	if reputation.Release(); reputation.Excess() != 0 || reputation.Any() {
-		t.Error(reputation.Excess())
+		t.Errorf("four requests: excess %d, Any is %v; want 0, false", reputation.Excess(), reputation.Any())
 	}
 }
--- a/internal/proxy/limits/retrybudget_test.go
+++ b/internal/proxy/limits/retrybudget_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// TestRetryBudget checks that retries are bounded to a share of first attempts in an overload,
-// that those of one address are bounded even without one, and that the number of addresses is
-// bounded.
+// TestRetryBudget checks that, during an overload, the total number of retries is limited to a
+// share of the first attempts; that retries from a single client address are limited whether or
+// not there is an overload; and that the number of addresses kept is limited.
 func TestRetryBudget(t *testing.T) {
 	budget := NewRetryBudget(RetryBudgetSettings{Share: 0.25, Burst: 20, AddressShare: 0.5, AddressBurst: 10, Addresses: 100})
 	admitted := 0
-	for i := range 1000 {
+	for i := range 1000 { // one first attempt and three retries each; the arguments are address, retry, overloaded
 		budget.Admit(fmt.Sprint(i%50), false, true)
 		for range 3 {
 			if budget.Admit(fmt.Sprint(i%50), true, true) {
@@ -24,17 +24,17 @@
 	}
 	admitted = 0
 	for range 1000 {
-		if budget.Admit("greedy", true, false) {
+		if budget.Admit("greedy", true, false) { // retries without a first attempt, and no overload
 			admitted++
 		}
 	}
 	if admitted != 10 {
-		t.Errorf("%d retries of one address admitted at once, want 10", admitted)
+		t.Errorf("%d retries admitted from an address without first attempts, want 10, its burst", admitted)
 	}
-	for i := range 100000 { // addresses with one request each are forgotten
+	for i := range 100000 { // one first attempt from each of many addresses
 		budget.Admit(fmt.Sprint("a", i), false, false)
 	}
 	if len(budget.recent)+len(budget.older) > 200 {
-		t.Errorf("%d addresses are kept, want at most 200", len(budget.recent)+len(budget.older))
+		t.Errorf("%d addresses are kept, want at most 200: two generations of 100", len(budget.recent)+len(budget.older))
 	}
 }
--- a/internal/proxy/limits/unread_test.go
+++ b/internal/proxy/limits/unread_test.go
@@ -41,19 +41,19 @@
 			}
 		}
 		if left > max(moving, 922<<10) {
-			t.Fatalf("%d bytes are left, %d of them for clients that are not stalled", left, moving)
+			t.Fatalf("%d bytes are left, %d of them for clients that are not stalled; want at most these or %d", left, moving, 922<<10)
 		}
 	})
 	free := UnreadAccount{}
 	if cut := free.Update([]Unread{{Bytes: 1 << 40, StalledFor: -1}}); len(cut) > 0 || free.Room(0) != 0 || free.Room(512<<10) != 512<<10 {
-		t.Error("an account without a limit enforces one")
+		t.Errorf("an account without a limit disconnects %v, and has room for %d and %d bytes of 0 and %d", cut, free.Room(0), free.Room(512<<10), 512<<10)
 	}
 	big := UnreadAccount{Total: 160 << 20, Held: 48 << 20}
 	if n := big.Room(512 << 10); n != 384<<10 {
-		t.Errorf("room of %d", n)
+		t.Errorf("48 of 160 MiB held: room of %d bytes, want %d", n, 384<<10)
 	}
 	half := UnreadAccount{Total: 64 << 20, Held: 32 << 20}
 	if n := half.Room(512 << 10); n != 128<<10 {
-		t.Errorf("room of %d", n)
+		t.Errorf("32 of 64 MiB held: room of %d bytes, want %d", n, 128<<10)
 	}
 }
