--- a/fillsource_test.go
+++ b/fillsource_test.go
@@ -6,15 +6,15 @@
 )
 
 func TestSourceDependsOnObject(t *testing.T) {
-	a, b := newRig(t, testSettings()), newRig(t, testSettings())
+	first, second := newRig(t, testSettings()), newRig(t, testSettings())
 	used := map[string]bool{}
 	for i := range 20 {
-		_, x, _ := a.requestFill("page", fmt.Sprint("o", i), 0)
-		_, y, _ := b.requestFill("page", fmt.Sprint("o", i), 0)
-		if x.Source != y.Source || x.Cache != y.Cache {
+		_, firstSend, _ := first.requestFill("page", fmt.Sprint("o", i), 0)
+		_, secondSend, _ := second.requestFill("page", fmt.Sprint("o", i), 0)
+		if firstSend.Source != secondSend.Source || firstSend.Cache != secondSend.Cache {
 			t.Fatal("two routers chose different targets or sources")
 		}
-		used[x.Source] = true
+		used[firstSend.Source] = true
 	}
 	if !used["p1"] || !used["p2"] || used["o1"] {
 		t.Errorf("sources used: %v, want both parents and not the origin", used)
--- a/internal/proxy/limits/massslowness.go
+++ b/internal/proxy/limits/massslowness.go
@@ -36,8 +36,8 @@
 // MayCut records that a member is slow and reports whether it may be disconnected.
 func (s *MassSlowness) MayCut(member string, now float64) bool {
 	s.ObserveSlow(member, now)
-	slow, working := s.count(now)
-	if working >= s.MinWorking && float64(slow) > s.Share*float64(working) {
+	slow, active := s.count(now)
+	if active >= s.MinWorking && float64(slow) > s.Share*float64(active) {
 		s.Spared++
 		return false
 	}
@@ -45,17 +45,17 @@
 }
 
 // count deletes observations older than Window and counts the slow and the active members.
-func (s *MassSlowness) count(now float64) (slow, working int) {
+func (s *MassSlowness) count(now float64) (slow, active int) {
 	forgetOlder(s.lastSlow, now, s.Window)
 	forgetOlder(s.lastGood, now, s.Window)
 	slow = len(s.lastSlow)
-	working = slow
+	active = slow
 	for member := range s.lastGood {
 		if _, both := s.lastSlow[member]; !both {
-			working++
+			active++
 		}
 	}
-	return slow, working
+	return slow, active
 }
 
 // forgetOlder deletes the observations that are older than window.
--- a/snapshot.go
+++ b/snapshot.go
@@ -222,8 +222,8 @@
 }
 
 // concurrencyLimit returns the concurrency limit of a stored form.
-func (g LimitSnapshot) concurrencyLimit() concurrencyLimit {
-	return concurrencyLimit{limit: g.Limit, slowShare: g.SlowShare, loweredAt: g.LoweredAt, nextStart: g.NextStart}
+func (l LimitSnapshot) concurrencyLimit() concurrencyLimit {
+	return concurrencyLimit{limit: l.Limit, slowShare: l.SlowShare, loweredAt: l.LoweredAt, nextStart: l.NextStart}
 }
 
 // snapshot returns the stored form of a layout.
