--- a/admission_test.go
+++ b/admission_test.go
@@ -44,7 +44,8 @@
 			t.Errorf("%d routers: limit of %v fills per router, want %v", test.routers, limit, test.limit)
 		}
 		if test.limit < 1 && (rig.router.link.available(rig.now) || !rig.router.link.available(rig.now+20000)) {
-			t.Error("a limit below 1 does not allow a fill part of the time")
+			t.Errorf("limit of %v: a fill is allowed now: %v, 20 s later: %v; want false, true",
+				test.limit, rig.router.link.available(rig.now), rig.router.link.available(rig.now+20000))
 		}
 	}
 }
@@ -61,7 +62,7 @@
 		lowest = min(lowest, rig.router.link.limit)
 	}
 	if lowest < initialLimit*0.9 {
-		t.Errorf("limit fell to %v without a shortage", lowest)
+		t.Errorf("limit fell to %v with a fifth of slow transfers, want at least %v", lowest, initialLimit*0.9)
 	}
 	for range 400 {
 		rig.now += 25
@@ -137,7 +138,8 @@
 			router.Handle(now, Timer{}, nil)
 		}
 		if got := request("still"); got != stalled || router.members["b"].ejected == stalled {
-			t.Errorf("stalled %v: sent %v, ejected %v", stalled, got, router.members["b"].ejected)
+			t.Errorf("transfers stalled: %v; another request sent: %v, want %v; cache ejected: %v, want %v",
+				stalled, got, stalled, router.members["b"].ejected, !stalled)
 		}
 		for i := range int(initialLimit) {
 			id := fmt.Sprint("slow", i)
@@ -146,7 +148,7 @@
 		}
 		router.Handle(now, Outcome{ID: "still", Cache: "b", Result: OK, Last: true}, nil)
 		if b := router.members["b"]; b.inFlight != 0 || b.pendingTime < 0 || b.pendingTime > 1e-6 {
-			t.Errorf("stalled %v: %v in flight, %v ms pending", stalled, b.inFlight, b.pendingTime)
+			t.Errorf("transfers stalled: %v; at their end %v in flight, %v ms pending, want 0 of each", stalled, b.inFlight, b.pendingTime)
 		}
 	}
 }
--- a/endpoints.go
+++ b/endpoints.go
@@ -26,7 +26,7 @@
 	pendingTime      Millis // sum of the expected durations of the attempts in flight
 
 	// Outlier detection.
-	lastProgress Millis  // time of the last sign of progress
+	lastProgress Millis  // time of the last sign of progress: a success, or a miss when it was the target
 	progressGap  Millis  // moving average of the time between two signs of progress
 	faultShare   float64 // moving share of faults, 0 to 1
 	outcomes     int     // number of outcomes recorded since its start or last return
--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -5,6 +5,8 @@
 	"testing"
 )
 
+// TestDraining checks that a draining, a removed and a no longer listed member get no attempts, neither as
+// target nor as source.
 func TestDraining(t *testing.T) {
 	for _, state := range []State{Draining, Removed} {
 		rig := newRig(t, testSettings())
@@ -15,7 +17,7 @@
 		for i := range 40 {
 			id, send, n := rig.requestFill("page", fmt.Sprint("o", i), 0)
 			if send.Cache == "e2" || send.Source == "p1" {
-				t.Fatalf("sent to %s from %s", send.Cache, send.Source)
+				t.Fatalf("fill of %s from %s, want neither e2 nor p1, in state %d", send.Cache, send.Source, state)
 			}
 			rig.handle(Outcome{ID: id, Attempt: n, Cache: send.Cache, Result: OK, Last: true, Note: NoteFilled})
 		}
@@ -23,10 +25,12 @@
 	rig := newRig(t, testSettings())
 	rig.handle(Members{Full: true, Rows: []Member{row("e1", "z1", "box"), row("o1", "hub", "origin")}})
 	if _, send, _ := rig.requestFill("page", "x", 0); send.Cache != "e1" || send.Source != "o1" {
-		t.Error("a member that is missing from a snapshot is still used")
+		t.Errorf("fill of %s from %s, want e1 from o1, the only members of the last snapshot", send.Cache, send.Source)
 	}
 }
 
+// TestSubscription checks that the router subscribes once, and renews the subscription once after a failed
+// call to discovery, but not immediately.
 func TestSubscription(t *testing.T) {
 	settings := testSettings()
 	settings.WatchRequired, settings.PollInterval = true, 10000
--- a/fillsource.go
+++ b/fillsource.go
@@ -1,7 +1,7 @@
 package indigospool
 
 // siblingFillSpan is the time after a change of the layout in which the previous cache of a part is
-// tried as a source. Popular copies stay in a cache for about that long.
+// tried as a source. Caches keep popular copies for about that long.
 const siblingFillSpan = Millis(20000)
 
 // siblingSource returns the cache that was the first choice for the request before the layout changed,
--- a/fillsource_test.go
+++ b/fillsource_test.go
@@ -5,6 +5,8 @@
 	"testing"
 )
 
+// TestSourceDependsOnObject checks that routers choose the same target and source for an object, that
+// objects are distributed over the parents, and that the origin is the source if there are no parents.
 func TestSourceDependsOnObject(t *testing.T) {
 	first, second := newRig(t, testSettings()), newRig(t, testSettings())
 	used := map[string]bool{}
@@ -12,7 +14,7 @@
 		_, firstSend, _ := first.requestFill("page", fmt.Sprint("o", i), 0)
 		_, secondSend, _ := second.requestFill("page", fmt.Sprint("o", i), 0)
 		if firstSend.Source != secondSend.Source || firstSend.Cache != secondSend.Cache {
-			t.Fatal("two routers chose different targets or sources")
+			t.Fatalf("two routers chose different targets or sources: %+v and %+v", firstSend, secondSend)
 		}
 		used[firstSend.Source] = true
 	}
@@ -21,7 +23,7 @@
 	}
 	rig := newRig(t, testSettings(), row("e1", "z1", "box"), row("o1", "hub", "origin"))
 	if _, send, _ := rig.requestFill("page", "x", 0); send.Source != "o1" {
-		t.Error("with no parents, fills should come from the origin")
+		t.Errorf("without parents the source is %s, want o1, the origin", send.Source)
 	}
 }
 
@@ -32,10 +34,11 @@
 	id, first, attempt := rig.requestFill("page", "x", 0)
 	actions := rig.handle(Outcome{ID: id, Attempt: attempt, Cache: first.Cache, Result: Rejected, Took: 900, Note: NoteSourceUnreachable})
 	if second := rig.onlySend(actions); second.Source == first.Source || second.Cache != first.Cache {
-		t.Errorf("filled from %s again", second.Source)
+		t.Errorf("the retry fills %s from %s, want %s from a source other than %s", second.Cache, second.Source, first.Cache, first.Source)
 	}
 	if rig.router.members[first.Cache].faultShare > 0 || rig.router.members[first.Source].faultShare == 0 {
-		t.Error("the fault was not attributed to the source alone")
+		t.Errorf("fault share of the cache %v, want 0; of the source %v, want above 0",
+			rig.router.members[first.Cache].faultShare, rig.router.members[first.Source].faultShare)
 	}
 }
 
@@ -65,19 +68,19 @@
 			id, actions := rig.request("video", "x", 1)
 			send := rig.onlySend(actions)
 			if send.Cache != caches[1].ID {
-				t.Fatalf("%+v", send)
+				t.Fatalf("lookup %+v, want one at %s", send, caches[1].ID)
 			}
 			send = rig.onlySend(rig.handle(Outcome{ID: id, Cache: send.Cache, Result: Miss}))
 			sibling := send.Source == caches[0].ID && send.Held
 			if send.Cache != caches[1].ID || sibling != test.sibling {
-				t.Fatalf("%+v, want a sibling as the source: %v", send, test.sibling)
+				t.Fatalf("fill %+v, want the target %s; from the sibling %s: %v, want %v", send, caches[1].ID, caches[0].ID, sibling, test.sibling)
 			}
 			if !sibling {
 				return
 			}
 			send = rig.onlySend(rig.handle(Outcome{ID: id, Cache: send.Cache, Attempt: 1, Result: Miss}))
 			if send.Cache != caches[1].ID || send.Held || rig.router.members[send.Source].role != parent {
-				t.Errorf("after the sibling: %+v", send)
+				t.Errorf("after a miss at the sibling: %+v, want a fill of %s from a parent", send, caches[1].ID)
 			}
 		})
 	}
--- a/freshness_test.go
+++ b/freshness_test.go
@@ -2,6 +2,8 @@
 
 import "testing"
 
+// TestPurges checks that attempts after a purge of an object or a group accept only copies younger than
+// the purge, and that the class's maximum age applies again when the purge is complete.
 func TestPurges(t *testing.T) {
 	rig := newRig(t, testSettings())
 	rig.handle(Purge{Object: "x", Group: 3, Age: 100})
--- a/inspect_test.go
+++ b/inspect_test.go
@@ -20,7 +20,7 @@
 		send := rig.onlySend(actions)
 		for _, candidate := range candidates {
 			if candidate.Request != id || candidate.AsSource || candidate.Pass != 0 {
-				t.Fatalf("%+v", candidate)
+				t.Fatalf("candidate %+v, want a target of request %s in pass 0", candidate, id)
 			}
 			reasons[candidate.Member] = candidate.Reason
 		}
@@ -30,7 +30,7 @@
 		rig.handle(Outcome{ID: id, Cache: send.Cache, Result: OK, Took: 1, Last: true, Note: NoteHit})
 	}
 	if reasons["e1"] != ReasonEjected || reasons["e2"] != ReasonEjected || reasons["e3"] != ReasonAccepted {
-		t.Errorf("reasons %v", reasons)
+		t.Errorf("reasons %v, want %d of e1 and e2, %d of e3", reasons, ReasonEjected, ReasonAccepted)
 	}
 	candidates = nil
 	rig.router.Explain(nil)
@@ -51,7 +51,7 @@
 	rig.router.Explain(func(candidate Candidate) { candidates = append(candidates, candidate) })
 	rig.handle(Outcome{ID: id, Cache: send.Cache, Result: Miss})
 	if !slices.Contains(candidates, Candidate{Request: id, AsSource: true, Reason: ReasonLinkAtLimit}) {
-		t.Errorf("candidates %+v", candidates)
+		t.Errorf("candidates %+v, want one without a member and with the reason %d", candidates, ReasonLinkAtLimit)
 	}
 }
 
@@ -64,7 +64,7 @@
 	source.faultShare, source.slowShare = 0.5, 0.25
 	members, link := rig.router.Statuses()
 	if len(members) != len(baseRows()) {
-		t.Errorf("%d members", len(members))
+		t.Errorf("%d members, want %d", len(members), len(baseRows()))
 	}
 	if got, want := members[send.Cache], (Status{InFlight: 1, Limit: initialLimit}); got != want {
 		t.Errorf("target: %+v, want %+v", got, want)
--- a/outlier.go
+++ b/outlier.go
@@ -62,7 +62,7 @@
 		r.attributeError(request, attempt)
 	case ConnectFailed:
 		r.blameMember(attempt, attempt.target, certainFault)
-	case TimedOut, Reset: // a connection may break by itself; a cache that fails resets all, and then refuses new ones
+	case TimedOut, Reset: // one connection may break without a fault; a failed cache resets all, and then refuses new ones
 		r.attributeTimeoutOrReset(attempt)
 	}
 }
@@ -84,7 +84,7 @@
 // attributeMiss records that the target answered and has to be filled.
 func (r *Router) attributeMiss(request *request, attempt *attempt) {
 	attempt.target.lastProgress = r.now
-	if attempt.healthCheck { // a miss is a success: a member that was ejected for long has few copies
+	if attempt.healthCheck { // a miss counts as a successful check: a cache that was ejected for long has few copies
 		r.recordSuccess(attempt.target, attempt)
 	}
 	attempt.cacheMissed = attempt.source.role == edge
@@ -97,7 +97,7 @@
 func (r *Router) attributeRejection(attempt *attempt, note Note) {
 	switch {
 	case note == NoteSourceRejected && attempt.source.role == origin, note == NoteSourceMiss:
-		attempt.blamed = attempt.source // a source that protects itself is not faulty
+		attempt.blamed = attempt.source // an origin that rejects fills, or a source without a copy, is not faulty
 	case note == NoteOriginFailed:
 		attempt.blamed = attempt.source
 		for _, member := range r.byRole[origin] {
--- a/parent_check_test.go
+++ b/parent_check_test.go
@@ -6,8 +6,8 @@
 )
 
 // TestFillsCheckEjectedParents checks that a request whose lookup has missed may be the health check
-// of an ejected parent, while the link is not short or an origin is ejected. Most fills follow such a
-// lookup. When they were not used as health checks, parents that had been ejected for a few late
+// of an ejected parent if the link's limit is at least its initial value or an origin is ejected. Most
+// fills follow such a lookup. When they were not used as health checks, parents that had been ejected for a few late
 // answers stayed ejected for the rest of the day at two of three routers, and the origin failed under
 // the fills that the parents no longer served.
 func TestFillsCheckEjectedParents(t *testing.T) {
@@ -17,9 +17,9 @@
 		originEjected bool
 		back          bool
 	}{
-		{"the link shows no shortage", initialLimit, false, true},
-		{"the link is short", initialLimit / 2, false, false},
-		{"the link is short and the origin is ejected", initialLimit / 2, true, true},
+		{"initial limit of the link", initialLimit, false, true},
+		{"lower limit of the link", initialLimit / 2, false, false},
+		{"lower limit of the link, origin ejected", initialLimit / 2, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			rig := newRig(t, testSettings())
--- a/rangesplit_test.go
+++ b/rangesplit_test.go
@@ -8,6 +8,8 @@
 	"testing"
 )
 
+// TestSplitPoints checks the split points of some histograms and, for random ones, that the share of each
+// range differs from the ideal one by at most the cost of one part index.
 func TestSplitPoints(t *testing.T) {
 	for _, c := range []struct {
 		cost []float64
@@ -65,7 +67,7 @@
 		first[serve("a", part)] = true
 	}
 	if len(first) < 2 {
-		t.Error("before the first window closes, all parts go to the same cache")
+		t.Errorf("before the first window closes, all parts go to the same cache: %v", first)
 	}
 	for i := range 400 {
 		serve(fmt.Sprint("o", i/12), i%12)
--- a/request.go
+++ b/request.go
@@ -133,7 +133,7 @@
 	if r.now >= request.notBefore {
 		target, source = r.chooseTarget(request)
 	}
-	if target == nil { // the next ticks retry it: tokens, health checks and capacity become available again
+	if target == nil { // the next ticks advance the request again: tokens, health checks and capacity become available with time
 		request.queued, request.wasQueued = true, true
 		return
 	}
@@ -233,7 +233,7 @@
 		return
 	}
 	attempt.outstanding = false
-	if attempt.stalled { // handleStall has subtracted it, and it is released below
+	if attempt.stalled { // handleStall has subtracted the attempt from the counts in flight, and releaseAttempt subtracts it again
 		r.countInFlight(attempt, 1)
 	}
 	attempt.target.pendingTime = max(attempt.target.pendingTime-attempt.expected, 0)
@@ -303,7 +303,7 @@
 	}
 }
 
-// continueRequest continues a request after the end of an attempt. If last, the request has ended.
+// continueRequest continues a request after the end of an attempt. If last is true, the request has ended.
 func (r *Router) continueRequest(request *request, last bool) {
 	request.ended = request.ended || last
 	if request.ended {
--- a/retry_test.go
+++ b/retry_test.go
@@ -6,6 +6,8 @@
 	"testing"
 )
 
+// TestIdempotency checks, by class and result, whether a request is retried or fails after an attempt that
+// may have run, and that its retry stays in the cell that remembers its idempotency key.
 func TestIdempotency(t *testing.T) {
 	cells := baseRows()
 	cells[0].Cell, cells[1].Cell, cells[2].Cell = 1, 2, 2
@@ -31,10 +33,10 @@
 		rig.now += test.after
 		actions = rig.handle(Outcome{ID: id, Cache: first.Cache, Result: test.result, Took: test.after})
 		if got := len(sends(actions)); got != test.sends {
-			t.Errorf("%s after %v: %d sends, want %d", test.class, test.result, got, test.sends)
+			t.Errorf("class %s, result %d after %v ms: %d attempts follow, want %d", test.class, test.result, test.after, got, test.sends)
 		}
 		if n, fail := finalAnswers(actions); test.sends == 0 && (n != 1 || fail != test.fail) {
-			t.Errorf("%s after %v: %d final answers, failure %v", test.class, test.result, n, fail)
+			t.Errorf("class %s, result %d after %v ms: %d final answers, want 1; failed: %v, want %v", test.class, test.result, test.after, n, fail, test.fail)
 		}
 	}
 	cell := map[string]int{"e1": 1, "e2": 2, "e3": 2}
@@ -89,7 +91,7 @@
 				continue
 			}
 			if repeats++; since < 20 {
-				t.Errorf("%s is asked again after %v ms", id, since)
+				t.Errorf("%s is asked again after %v ms, want at least 20 ms", id, since)
 			}
 		}
 	}
@@ -122,7 +124,7 @@
 		}
 	}
 	if len(first) != 2 || first[0] == first[1] || min(first[0], first[1]) < 50 {
-		t.Errorf("the second attempts follow after %v ms", first)
+		t.Errorf("the second attempts follow after %v ms, want two different times of at least 50 ms", first)
 	}
 	before := rig.router.link.limit
 	for i := range 40 {
@@ -161,7 +163,7 @@
 			rig.router.retryTokens = test.budget
 			actions = rig.handle(Outcome{ID: id, Cache: first.Cache, Result: ConnectFailed, Took: 1})
 			if again := len(sends(actions)) == 1; again != test.retries {
-				t.Errorf("retried %v, want %v: %v", again, test.retries, actions)
+				t.Errorf("retried: %v, want %v: %v", again, test.retries, actions)
 			}
 		})
 	}
@@ -197,15 +199,15 @@
 					attempt++
 					if result == OK {
 						if late := rig.now - shortageEnd; late > 2*maxLocalBackoff {
-							t.Errorf("served %.0f ms after the shortage", late)
+							t.Errorf("served %.0f ms after the shortage, want at most %.0f ms", late, 2*maxLocalBackoff)
 						}
 						if attempt > 60 {
-							t.Errorf("%d attempts", attempt)
+							t.Errorf("%d attempts, want at most 60", attempt)
 						}
 						return
 					}
 				}
-				t.Error("the request is not served")
+				t.Error("the request is not served within 2900 ms")
 			})
 		}
 	}
@@ -222,7 +224,8 @@
 	rig.handle(Outcome{ID: id, Cache: send.Cache, Attempt: attempt, Result: LocalFailure})
 	after := [...]float64{at.inFlight + 1, rig.router.link.inFlight + 1, at.faultShare, source.faultShare}
 	if before != after || rig.router.retryTokens != retries || at.ejected || source.ejected {
-		t.Errorf("before %v, after %v; retries %v, %v", before, after, retries, rig.router.retryTokens)
+		t.Errorf("in flight at the cache and on the link, fault shares of the cache and the source: %v before, %v after; retry tokens %v before, %v after; ejected: cache %v, source %v",
+			before, after, retries, rig.router.retryTokens, at.ejected, source.ejected)
 	}
 }
 
@@ -241,7 +244,7 @@
 		}
 		actions = rig.handle(Outcome{ID: id, Cache: first, Attempt: attempt, Result: LocalFailure})
 	}
-	t.Errorf("eight attempts, all of them at %s", first)
+	t.Errorf("eight attempts, all of them at %s, want one at another cache", first)
 }
 
 // TestKeyScope checks for each scope that a request with an idempotency key that may have run is only
@@ -266,7 +269,7 @@
 			got[i] = request.mayRunAt(member)
 		}
 		if got != test.want {
-			t.Errorf("scope %d: %v, want %v", test.group, got, test.want)
+			t.Errorf("scope %d: may run at the same cache, in its cell, in its zone, elsewhere: %v, want %v", test.group, got, test.want)
 		}
 	}
 }
--- a/settings_test.go
+++ b/settings_test.go
@@ -28,7 +28,7 @@
 	rig.handle(Purge{Object: "a"})
 	_, actions := rig.request("once", "w", 0)
 	if len(sends(actions)) != 1 {
-		t.Fatalf("%+v", actions)
+		t.Fatalf("actions %+v, want one attempt", actions)
 	}
 	pending := sends(actions)[0]
 	rig.now += 100
@@ -43,24 +43,24 @@
 	next.WarmUpTime, next.MaxAttempts = 2*settings.WarmUpTime, 0
 	rig.handle(SettingsChanged{next})
 	if rig.router.settings.Zone != "z1" || rig.router.settings.RouterIndex != 0 || rig.router.settings.MaxAttempts != 4 {
-		t.Errorf("zone %q, router index %d, maximum of %d attempts", rig.router.settings.Zone, rig.router.settings.RouterIndex, rig.router.settings.MaxAttempts)
+		t.Errorf("zone %q, router index %d, maximum of %d attempts; want \"z1\", 0, 4", rig.router.settings.Zone, rig.router.settings.RouterIndex, rig.router.settings.MaxAttempts)
 	}
 	if _, actions := rig.request("new", "x", 0); len(sends(actions)) != 1 {
 		t.Errorf("no attempt for a request of the new class: %+v", actions)
 	}
 	_, actions = rig.request("page", "a", 0)
 	if got := sends(actions); len(got) != 1 || got[0].Age >= 101 {
-		t.Errorf("the purge is no longer considered: %+v", got)
+		t.Errorf("attempts %+v, want one with a maximum age below 101 ms, since the object was purged", got)
 	}
 	if w := rig.router.warmUpShare(rig.router.members["e2"]); w > 0.21 {
-		t.Errorf("warm-up share of the cold member is %v", w)
+		t.Errorf("warm-up share of the cold member is %v, want at most 0.21", w)
 	}
 	actions = rig.handle(Outcome{ID: pending.ID, Cache: pending.Cache, Result: Reset})
 	if len(sends(actions)) != 0 || len(actions) != 1 {
 		t.Errorf("a request that is not idempotent was retried after its class had changed: %+v", actions)
 	}
 	if _, ok := actions[0].(Fail); !ok {
-		t.Errorf("%+v", actions)
+		t.Errorf("action %+v, want a Fail", actions[0])
 	}
 	before := len(rig.router.classes)
 	rig.handle(SettingsChanged{Settings{}})
@@ -70,6 +70,6 @@
 	settings.ParentKind, settings.OriginKind = "box", "origin"
 	rig.handle(SettingsChanged{settings})
 	if len(rig.router.byRole[parent]) != 2 || len(rig.router.byRole[edge]) != 0 {
-		t.Errorf("roles of the previous kinds: %d parents, %d caches", len(rig.router.byRole[parent]), len(rig.router.byRole[edge]))
+		t.Errorf("roles after the kinds changed: %d parents, %d caches, want 2 and 0", len(rig.router.byRole[parent]), len(rig.router.byRole[edge]))
 	}
 }
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -26,7 +26,7 @@
 		m.ReadyAt = rig.now
 		rig.handle(Members{Rows: []Member{m}})
 		if cold := sendTimeAt(100) / 2000; cold > warm*0.5 || cold == 0 {
-			t.Errorf("%s: load %v while cold, %v while warm", id, cold, warm)
+			t.Errorf("%s: load %v while cold, %v while warm; want above 0 and at most half of the warm load", id, cold, warm)
 		}
 	}
 }
@@ -59,7 +59,7 @@
 		}
 	}
 	if cold > 2 {
-		t.Errorf("%d attempts at a cold cache at the same time", cold)
+		t.Errorf("%d attempts at a cold cache within 100 ms, want at most 2", cold)
 	}
 }
 
@@ -75,7 +75,7 @@
 		rig.wait(20)
 	}
 	if rig.router.typicalRate[edge] > 0 {
-		t.Errorf("typical rate is %v, but the caches have served nothing", rig.router.typicalRate[edge])
+		t.Errorf("typical rate is %v, want 0: the caches have served nothing", rig.router.typicalRate[edge])
 	}
 }
 
--- a/snapshot.go
+++ b/snapshot.go
@@ -25,7 +25,7 @@
 	FillTimeRatio         float64             `cbor:"Pace"`    // duration of fills as a multiple of their send time
 	LastCleanup           Millis              `cbor:"LastSec"` // time of the last periodic cleanup
 	WindowCost            []float64           `cbor:"Window"`  // cost by part index in the open window
-	TotalCost             []float64           `cbor:"Total"`   // discounted sum of the closed windows
+	TotalCost             []float64           `cbor:"Total"`   // cost by part index in the closed windows, with older ones discounted
 	WindowRequests        int                 `cbor:"Seen"`    // part requests in the open window
 	WindowOpenedAt        Millis              `cbor:"Opened"`  // start of the open window
 	Layout                LayoutSnapshot      `cbor:"Layout"`  // the current layout
@@ -77,7 +77,7 @@
 // LayoutSnapshot is a layout of part ranges.
 type LayoutSnapshot struct {
 	Caches []string `cbor:"Edges"`  // ids of the caches
-	Splits []int    `cbor:"Splits"` // upper ends of the ranges of all caches but the last
+	Splits []int    `cbor:"Splits"` // exclusive upper ends of the ranges of all caches but the last
 	Ranged bool     `cbor:"Ranged"` // whether parts are placed by ranges
 }
 
