--- a/internal/proxy/limits/admission.go
+++ b/internal/proxy/limits/admission.go
@@ -29,7 +29,7 @@
 // for the router's event loop, and that of requests for their first attempt, while the decision
 // module has no capacity for them.
 //
-// Of the first wait the minimum in an interval counts, as in CoDel (RFC 8289): a burst is not an
+// Of the first wait, the minimum over an interval counts, as in CoDel (RFC 8289): a burst is not an
 // overload, but a queue that never empties is. The second wait has no single queue in order, so
 // it counts only if more than half of the requests wait for too long: one overloaded cache among
 // idle ones causes no rejections. A request that has waited for that long is answered just
@@ -139,7 +139,7 @@
 
 // Admit reports whether one more request is admitted when inFlight requests are in flight. rank
 // is the priority of its class among all classes, from 0 to 1; once the limit is below
-// MaxInFlight, that of rank 0 is lower by the headroom.
+// MaxInFlight, the limit for requests of rank 0 is lower by Headroom.
 func (a *Admission) Admit(inFlight int, rank float64) bool {
 	limit := a.limit
 	if limit < float64(a.settings.MaxInFlight) {
--- a/internal/proxy/limits/admission_test.go
+++ b/internal/proxy/limits/admission_test.go
@@ -42,7 +42,7 @@
 		}
 		share := float64(served) * work / 40000
 		if load > 1 && (share < 0.85 || sum/float64(len(waits)) > 60) || load < 1 && rejected > 0 {
-			t.Errorf("load %v: busy for %.2f of the time, mean wait %.1f ms, %d rejected, limit %d", load, share, sum/float64(len(waits)), rejected, admission.Limit())
+			t.Errorf("load %v: busy for %.2f of the time, mean wait %.1f ms, %d rejected, limit %d; want at least 0.85 and at most 60 ms above load 1, and none rejected below", load, share, sum/float64(len(waits)), rejected, admission.Limit())
 		}
 		for range 200 { // no load
 			now += 100
@@ -50,7 +50,7 @@
 			admission.Tick(now, admission.Limit())
 		}
 		if admission.Limit() < 20000 || admission.Overloaded() {
-			t.Errorf("load %v: the limit stays at %d after the load", load, admission.Limit())
+			t.Errorf("load %v: limit %d 20 s after the load, overloaded: %v; want at least 20000, false", load, admission.Limit(), admission.Overloaded())
 		}
 	}
 }
@@ -109,13 +109,13 @@
 	}
 	good, late, rejected := run(0.25, false)
 	if full := int(25000 * 64 / 25.0); good < full*9/10 || rejected == 0 {
-		t.Errorf("%d of %d in time, %d late, %d rejected", good, full, late, rejected)
+		t.Errorf("%d of %d in time, %d late, %d rejected; want at least 90 %% in time and some rejected", good, full, late, rejected)
 	}
 	if g, l, r := run(0, false); g > good/2 {
 		t.Errorf("without a limit on the wait %d are in time, %d late, %d rejected: the test shows no difference", g, l, r)
 	}
 	if _, _, r := run(0.25, true); r > 0 {
-		t.Errorf("%d were rejected although one of the two caches is idle", r)
+		t.Errorf("%d were rejected although one of the two caches is idle, want 0", r)
 	}
 }
 
@@ -132,7 +132,8 @@
 	}
 	limit := admission.Limit()
 	if limit > 200 || limit < 10 || !admission.Admit(limit*8/10, 1) || limit > 20 && admission.Admit(limit*8/10, 0) {
-		t.Errorf("limit %d", limit)
+		t.Errorf("limit %d after an overload with 200 in flight, want 10 to 200; at 0.8 of it rank 1 is admitted: %v, want true; rank 0: %v, want false above a limit of 20",
+			limit, admission.Admit(limit*8/10, 1), admission.Admit(limit*8/10, 0))
 	}
 	if !admission.Admit(9, 0) {
 		t.Error("a request below MinInFlight was rejected")
--- a/internal/proxy/limits/drr_test.go
+++ b/internal/proxy/limits/drr_test.go
@@ -20,7 +20,7 @@
 	for total < 1_000_000 {
 		connection, of, room, ok := drr.Next()
 		if !ok || room < 1 || room > quantum || of != class(connection) {
-			t.Fatal(connection, of, room, ok)
+			t.Fatalf("Next returns connection %d of class %d, room %d, %v; want a connection of its own class, room of 1 to %d, true", connection, of, room, ok, quantum)
 		}
 		got[connection] += room
 		total += room
@@ -28,7 +28,7 @@
 	}
 	near := func(a, b int) bool { return math.Abs(float64(a-b)) <= 0.02*float64(b)+2*quantum }
 	if !near(got[0]+got[1], 800_000) || !near(got[0], got[1]) || !near(got[100], got[101]) || !near(got[101], got[102]) {
-		t.Errorf("%v", got)
+		t.Errorf("bytes by connection %v, want 800000 for 0 and 1 together, and equal shares within each class", got)
 	}
 }
 
@@ -52,7 +52,7 @@
 			}
 			connection, c, room, ok := drr.Next()
 			if ok != (len(ready) > 0) || ok && (!ready[connection] || c != class[connection] || room < 1) {
-				t.Fatal(connection, c, room, ok, ready)
+				t.Fatalf("Next returns connection %d of class %d, room %d, %v; want one of those ready, %v, its class and room of at least 1", connection, c, room, ok, ready)
 			}
 			if !ok {
 				continue
@@ -66,7 +66,7 @@
 			for other := range ready {
 				waits[other]++
 				if float64(waits[other]) > 20*sum*float64(len(class)+1) {
-					t.Fatalf("connection %d was not served in its turn", other)
+					t.Fatalf("connection %d is not served after %d turns of others", other, waits[other])
 				}
 			}
 		}
@@ -103,7 +103,7 @@
 		drr.Used(class, connection, room, true)
 	}
 	if moved-before > 2*64<<10 {
-		t.Errorf("the small answer waited for %d bytes", moved-before)
+		t.Errorf("the small answer waited for %d bytes of others, want at most %d", moved-before, 2*64<<10)
 	}
 }
 
--- a/internal/proxy/limits/massslowness.go
+++ b/internal/proxy/limits/massslowness.go
@@ -12,8 +12,8 @@
 	MinWorking int     // active members below which a slow one is always disconnected
 	Spared     uint64  // slow members that were not disconnected
 
-	lastGood map[string]float64 // time of the last observation, by member
-	lastSlow map[string]float64
+	lastGood map[string]float64 // time of the last call of ObserveGood, by member
+	lastSlow map[string]float64 // time of the last call of ObserveSlow, by member
 }
 
 // ObserveGood records that a member moved bytes at least at the minimum rate.
--- a/internal/proxy/limits/massslowness_test.go
+++ b/internal/proxy/limits/massslowness_test.go
@@ -15,7 +15,7 @@
 		t.Error("two slow members of four were not disconnected")
 	}
 	if slowness.MayCut("c", 1400) || slowness.MayCut("d", 1500) || slowness.Spared != 2 {
-		t.Errorf("a third slow member of four was disconnected (%d spared)", slowness.Spared)
+		t.Errorf("a third or fourth slow member of four was disconnected, or %d were spared, want 2", slowness.Spared)
 	}
 	all := MassSlowness{Window: 5000, Share: 0.5, MinWorking: 2}
 	for _, member := range []string{"a", "b", "c"} { // all are recorded before MayCut is called
--- a/internal/proxy/limits/readpause.go
+++ b/internal/proxy/limits/readpause.go
@@ -40,7 +40,7 @@
 	if elapsed < p.settings.Interval {
 		return
 	}
-	shortest := p.settings.Interval / 10 // a shorter pause is none
+	shortest := p.settings.Interval / 10 // a pause that gets shorter than this is set to 0
 	share := p.cost / elapsed
 	switch {
 	case share > p.settings.Share:
--- a/internal/proxy/limits/readpause_test.go
+++ b/internal/proxy/limits/readpause_test.go
@@ -32,7 +32,8 @@
 		}
 		share := spent / 15000
 		if share > 0.12 || rate < 1 && pause.Duration() > 0 || rate > 50 && (pause.Duration() == 0 || share < 0.02) {
-			t.Errorf("%v requests per ms: rejections take %.3f of the time, pause of %v ms", rate, share, pause.Duration())
+			t.Errorf("%v requests per ms: rejections take %.3f of the time, pause of %v ms; want at most 0.12, no pause below 1 per ms, and above 50 per ms a pause and at least 0.02",
+				rate, share, pause.Duration())
 		}
 		for range 12 {
 			now += 100
--- a/internal/proxy/limits/retrybudget.go
+++ b/internal/proxy/limits/retrybudget.go
@@ -1,13 +1,13 @@
 package limits
 
-// RetryBudgetSettings bound the retries of clients. Each first attempt adds the share to a
-// budget, up to the burst, and each retry takes 1 from it.
+// RetryBudgetSettings bound the retries of clients. Each first attempt adds a share to the budget
+// of all clients and to that of its client address, and each retry takes 1 from both.
 type RetryBudgetSettings struct {
-	Share        float64 // of the budget of all clients
-	Burst        float64
-	AddressShare float64 // of the budget of one client address
-	AddressBurst float64
-	Addresses    int // kept in each of two generations
+	Share        float64 // retries that a first attempt adds to the budget of all clients
+	Burst        float64 // most retries that this budget holds
+	AddressShare float64 // retries that a first attempt adds to the budget of its address
+	AddressBurst float64 // most retries that this budget holds
+	Addresses    int     // addresses kept in each of two generations
 }
 
 // RetryBudget keeps the retries of clients from amplifying an overload. The budget of one address
--- a/internal/proxy/limits/unread.go
+++ b/internal/proxy/limits/unread.go
@@ -14,7 +14,7 @@
 type Unread struct {
 	Index      int // set by the caller to identify the client
 	Bytes      int64
-	StalledFor float64 // ms since the client last read any
+	StalledFor float64 // ms since the client last read any of them
 }
 
 // UnreadAccount accounts for the bytes that the kernel holds for clients. They are not part of
