--- a/internal/eventloop/buffer_test.go
+++ b/internal/eventloop/buffer_test.go
@@ -35,13 +35,13 @@
 					buffers = append(buffers, b)
 				}
 				if pool.Used != c.used || allocated != c.again {
-					t.Errorf("%d bytes in use, %d allocated; want %d, %d", pool.Used, allocated, c.used, c.again)
+					t.Errorf("after Get: %d bytes in use, %d allocated; want %d, %d", pool.Used, allocated, c.used, c.again)
 				}
 				for _, b := range buffers {
 					pool.Put(b)
 				}
 				if pool.Used != 0 || allocated != c.kept {
-					t.Errorf("%d bytes in use, %d kept; want 0, %d", pool.Used, allocated, c.kept)
+					t.Errorf("after Put: %d bytes in use, %d kept; want 0, %d", pool.Used, allocated, c.kept)
 				}
 			}
 		})
--- a/internal/eventloop/dial_test.go
+++ b/internal/eventloop/dial_test.go
@@ -30,7 +30,7 @@
 		l := newLoop(t, &failingCalls{socket: c.socket, connect: c.connect})
 		fd, _, err := l.Dial(address)
 		if !errors.Is(err, c.want) || (err == nil) != (fd >= 0) {
-			t.Errorf("%s: descriptor %d, %v, want %v", c.name, fd, err, c.want)
+			t.Errorf("%s: descriptor %d, error %v; want error %v, and a descriptor only without one", c.name, fd, err, c.want)
 		}
 		if fd >= 0 {
 			unix.Close(fd)
--- a/internal/eventloop/errors_test.go
+++ b/internal/eventloop/errors_test.go
@@ -26,7 +26,7 @@
 				}
 			}
 			if got != want {
-				t.Errorf("%v: conditions %03b, want %03b", err, got, want)
+				t.Errorf("%v: IsLocalShortage, Broken, Retryable as bits: %03b, want %03b", err, got, want)
 			}
 		}
 	}
--- a/internal/eventloop/io_test.go
+++ b/internal/eventloop/io_test.go
@@ -41,13 +41,13 @@
 					calls.read, calls.write = failAlways(errno), failAlways(errno)
 				}
 				if turns := turnFor(t, l, 50); turns > 30 && errno != unix.EAGAIN {
-					t.Errorf("%d turns in 50 ms, want at most 30; %d calls", turns, calls.calls)
+					t.Errorf("%d turns in 50 ms, want at most 30; %d system calls", turns, calls.calls)
 				}
 				calls.read, calls.write = nil, nil
 				turnFor(t, l, 2*maxSuspension)
 				n, _ := unix.Read(theirs, buf[:])
 				if got != "pong" || n != 4 {
-					t.Errorf("read %q, and the peer %d bytes; want \"pong\" and 4", got, n)
+					t.Errorf("read %q, and the peer read %d bytes; want \"pong\" and 4", got, n)
 				}
 			})
 		}
@@ -72,12 +72,12 @@
 	}
 	turnFor(t, l, 10)
 	if events != 0 {
-		t.Errorf("the new handler got %d events that it did not want", events)
+		t.Errorf("the new handler got %d events while it wanted none", events)
 	}
 	l.Want(ours, Read)
 	turnFor(t, l, 1)
 	if events == 0 {
-		t.Error("the new handler got no events")
+		t.Error("the new handler got no event after Want(Read)")
 	}
 }
 
@@ -86,7 +86,7 @@
 func TestWaitInterrupted(t *testing.T) {
 	l := newLoop(t, &failingCalls{wait: failAlways(unix.EINTR)})
 	if turns := turnFor(t, l, 50); turns > 100 {
-		t.Errorf("%d turns in 50 ms", turns)
+		t.Errorf("%d turns in 50 ms, want at most 100", turns)
 	}
 	l.Intercept(nil)
 	ours, theirs := socketPair(t)
@@ -121,10 +121,10 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if n, err := c.write(ours, message); n != len(message) || err != nil {
-					b.Fatal(n, err)
+					b.Fatalf("wrote %d bytes of %d: %v", n, len(message), err)
 				}
 				if n, err := c.read(theirs, buf); n != len(message) || err != nil {
-					b.Fatal(n, err)
+					b.Fatalf("read %d bytes of %d: %v", n, len(message), err)
 				}
 			}
 		})
--- a/internal/eventloop/listener_test.go
+++ b/internal/eventloop/listener_test.go
@@ -43,12 +43,12 @@
 					t.Errorf("%d turns and %d calls in 100 ms, want at most 50 and 200", turns, calls.calls)
 				}
 				if room > 1 || room == 1 && errno != unix.EMFILE && errno != unix.ENFILE {
-					t.Errorf("MakeRoom was called %d times", room)
+					t.Errorf("MakeRoom was called %d times, want at most once, and only if descriptors run out", room)
 				}
 				calls.accept = nil
 				turnFor(t, l, 30)
 				if taken != 10 {
-					t.Errorf("%d connections of 10 were accepted", taken)
+					t.Errorf("%d connections were accepted, want 10", taken)
 				}
 			})
 		}
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -19,7 +19,7 @@
 // slot is the state of a descriptor that is or was watched.
 type slot struct {
 	handler     Handler // nil: the descriptor is not watched
-	generation  uint32  // of the watch; events of an earlier watch of the same descriptor are dropped
+	generation  uint32  // number of the watch; events of an earlier watch of the same descriptor are dropped
 	interest    Interest
 	prioritized bool
 	suspended   bool // temporarily removed from epoll, see suspend
@@ -171,7 +171,7 @@
 	}
 	l.slots[fd].handler = nil
 	l.slots[fd].generation++
-	unix.EpollCtl(l.epfd, unix.EPOLL_CTL_DEL, fd, nil) // fails harmlessly if fd is closed
+	unix.EpollCtl(l.epfd, unix.EPOLL_CTL_DEL, fd, nil) // an error, as for a closed fd, has no consequence
 }
 
 // Stop ends Run after the current turn. It may be called from any goroutine.
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -53,7 +53,7 @@
 	})
 	unix.Write(fds[1], []byte("hi"))
 	if s := <-got; s != "hi" {
-		t.Fatalf("read %q", s)
+		t.Fatalf("read %q, want \"hi\"", s)
 	}
 	unix.Shutdown(fds[1], unix.SHUT_WR)
 	if s := <-got; s != "eof" {
@@ -89,7 +89,7 @@
 		t.Fatal(err)
 	}
 	if calls != 1 {
-		t.Fatalf("%d handlers were called, want 1", calls)
+		t.Fatalf("%d handlers were called, want 1, since it removes the other descriptor", calls)
 	}
 }
 
--- a/internal/eventloop/since_test.go
+++ b/internal/eventloop/since_test.go
@@ -59,7 +59,7 @@
 			}
 		}
 		if early := <-sent - since; early > slowTurn {
-			t.Errorf("in a wait: EarliestArrival is %v ms before the bytes arrived", early)
+			t.Errorf("in a wait of %v: EarliestArrival is %v ms before the bytes arrived, want at most %v ms", wait, early, slowTurn)
 		}
 	}
 	waits(span)
--- a/internal/eventloop/timer_test.go
+++ b/internal/eventloop/timer_test.go
@@ -18,7 +18,7 @@
 		for i := range timers {
 			timers[i].F = func() {
 				if due, ok := want[i]; !ok || due > l.now {
-					t.Fatalf("timer %d fired at %v, due %v (armed: %v)", i, l.now, due, ok)
+					t.Fatalf("timer %d ran at %v ms, want not before %v ms, and only if armed: %v", i, l.now, due, ok)
 				}
 				delete(want, i)
 				fired = append(fired, i)
@@ -43,7 +43,7 @@
 				l.runTimers()
 				for k, due := range want {
 					if due <= l.now {
-						t.Fatalf("timer %d, due %v, did not fire by %v", k, due, l.now)
+						t.Fatalf("timer %d, due at %v ms, did not run until %v ms", k, due, l.now)
 					}
 				}
 			}
