--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -10,16 +10,16 @@
 func TestDraining(t *testing.T) {
 	for _, state := range []State{Draining, Removed} {
 		rig := newRig(t, testSettings())
-		for _, r := range []Member{{ID: "e2", Zone: "z1", Kind: "box"}, {ID: "p1", Zone: "hub", Kind: "parent"}} {
-			r.State = state
-			rig.handle(Members{Rows: []Member{r}})
+		for _, leaving := range []Member{{ID: "e2", Zone: "z1", Kind: "box"}, {ID: "p1", Zone: "hub", Kind: "parent"}} {
+			leaving.State = state
+			rig.handle(Members{Rows: []Member{leaving}})
 		}
 		for i := range 40 {
-			id, send, n := rig.requestFill("page", fmt.Sprint("o", i), 0)
+			id, send, attempt := rig.requestFill("page", fmt.Sprint("o", i), 0)
 			if send.Cache == "e2" || send.Source == "p1" {
 				t.Fatalf("fill of %s from %s, want neither e2 nor p1, in state %d", send.Cache, send.Source, state)
 			}
-			rig.handle(Outcome{ID: id, Attempt: n, Cache: send.Cache, Result: OK, Last: true, Note: NoteFilled})
+			rig.handle(Outcome{ID: id, Attempt: attempt, Cache: send.Cache, Result: OK, Last: true, Note: NoteFilled})
 		}
 	}
 	rig := newRig(t, testSettings())
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -16,18 +16,18 @@
 
 type callQueue []scheduledCall
 
-func (d callQueue) Len() int { return len(d) }
+func (q callQueue) Len() int { return len(q) }
 
-func (d callQueue) Less(i, j int) bool { return d[i].at < d[j].at }
+func (q callQueue) Less(i, j int) bool { return q[i].at < q[j].at }
 
-func (d callQueue) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
+func (q callQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-func (d *callQueue) Push(x any) { *d = append(*d, x.(scheduledCall)) }
+func (q *callQueue) Push(x any) { *q = append(*q, x.(scheduledCall)) }
 
-func (d *callQueue) Pop() any {
-	last := len(*d) - 1
-	call := (*d)[last]
-	*d = (*d)[:last]
+func (q *callQueue) Pop() any {
+	last := len(*q) - 1
+	call := (*q)[last]
+	*q = (*q)[:last]
 	return call
 }
 
@@ -81,7 +81,9 @@
 	f.handle(router, Members{Full: true, Rows: f.rows})
 }
 
-func (f *fleet) schedule(d Millis, g func()) { heap.Push(&f.queue, scheduledCall{f.now + d, g}) }
+func (f *fleet) schedule(delay Millis, call func()) {
+	heap.Push(&f.queue, scheduledCall{f.now + delay, call})
+}
 
 // handle passes an event to a router and simulates its actions. Three in ten lookups miss; other
 // attempts take 0.5 to 1.5 times the send time.
@@ -92,11 +94,11 @@
 			f.schedule(a.In, func() { f.handle(router, Timer{Token: a.Token}) })
 		case Send:
 			f.arrivals[a.Cache] = append(f.arrivals[a.Cache], f.now)
-			try := -1
+			attempt := -1
 			if request := router.requests[a.ID]; request != nil {
-				try = len(request.attempts) - 1
+				attempt = len(request.attempts) - 1
 			}
-			outcome := Outcome{ID: a.ID, Cache: a.Cache, Attempt: try, Result: OK, Note: NoteHit, Last: true}
+			outcome := Outcome{ID: a.ID, Cache: a.Cache, Attempt: attempt, Result: OK, Note: NoteHit, Last: true}
 			took := f.sendTime * (0.5 + f.rng.Float64())
 			if a.Source != a.Cache {
 				f.arrivals[a.Source] = append(f.arrivals[a.Source], f.now)
@@ -118,9 +120,9 @@
 	rate := load * 10 * memberCapacity / f.sendTime // requests per millisecond
 	var next func()
 	next = func() {
-		x, i := f.rng.Float64()*sum, 0
-		for ; i < len(f.weight)-1 && x > f.weight[i]; i++ {
-			x -= f.weight[i]
+		point, i := f.rng.Float64()*sum, 0
+		for ; i < len(f.weight)-1 && point > f.weight[i]; i++ {
+			point -= f.weight[i]
 		}
 		f.requests++
 		f.handle(f.routers[i], Request{ID: fmt.Sprint("q", f.requests), Class: "page", Object: fmt.Sprint("o", f.rng.Intn(3000)),
@@ -130,9 +132,9 @@
 	end := f.now + span
 	next()
 	for len(f.queue) > 0 && f.queue[0].at <= end {
-		d := heap.Pop(&f.queue).(scheduledCall)
-		f.now = d.at
-		d.call()
+		due := heap.Pop(&f.queue).(scheduledCall)
+		f.now = due.at
+		due.call()
 	}
 	f.now = end
 	f.queue = nil
--- a/fuzz_test.go
+++ b/fuzz_test.go
@@ -216,20 +216,20 @@
 }
 
 // finishAttempt ends the first outstanding attempt of a request that arg selects.
-func (w *invariantChecker) finishAttempt(arg int, res Result) {
+func (w *invariantChecker) finishAttempt(arg int, result Result) {
 	for offset := range w.ids {
 		request := w.requests[w.ids[(arg+offset)%len(w.ids)]]
-		for n := range request.attempts {
-			send, ok := request.sends[n]
+		for number := range request.attempts {
+			send, ok := request.sends[number]
 			if !ok {
 				continue
 			}
-			delete(request.sends, n)
+			delete(request.sends, number)
 			request.outstanding--
-			request.mayHaveRun = !res.NotExecuted()
-			last := request.ended || res == OK
+			request.mayHaveRun = !result.NotExecuted()
+			last := request.ended || result == OK
 			request.ended = last
-			w.handle(Outcome{ID: request.ID, Attempt: n, Cache: send.Cache, Result: res, Took: 5, Last: last, Note: Note(arg % 11)})
+			w.handle(Outcome{ID: request.ID, Attempt: number, Cache: send.Cache, Result: result, Took: 5, Last: last, Note: Note(arg % 11)})
 			return
 		}
 	}
--- a/internal/eventloop/listener_test.go
+++ b/internal/eventloop/listener_test.go
@@ -25,9 +25,9 @@
 					t.Fatal(err)
 				}
 				defer unix.Close(fd)
-				taken, room := 0, 0
-				ln := &Listener{PerTurn: 64, Take: func(fd int) { taken++; unix.Close(fd) },
-					MakeRoom: func() bool { room++; return true }}
+				accepted, makeRoomCalls := 0, 0
+				ln := &Listener{PerTurn: 64, Take: func(fd int) { accepted++; unix.Close(fd) },
+					MakeRoom: func() bool { makeRoomCalls++; return true }}
 				if err := ln.Start(l, fd); err != nil {
 					t.Fatal(err)
 				}
@@ -42,13 +42,13 @@
 				if turns := turnFor(t, l, 100); turns > 50 || calls.calls > 200 {
 					t.Errorf("%d turns and %d calls in 100 ms, want at most 50 and 200", turns, calls.calls)
 				}
-				if room > 1 || room == 1 && errno != unix.EMFILE && errno != unix.ENFILE {
-					t.Errorf("MakeRoom was called %d times, want at most once, and only if descriptors run out", room)
+				if makeRoomCalls > 1 || makeRoomCalls == 1 && errno != unix.EMFILE && errno != unix.ENFILE {
+					t.Errorf("MakeRoom was called %d times, want at most once, and only if descriptors run out", makeRoomCalls)
 				}
 				calls.accept = nil
 				turnFor(t, l, 30)
-				if taken != 10 {
-					t.Errorf("%d connections were accepted, want 10", taken)
+				if accepted != 10 {
+					t.Errorf("%d connections were accepted, want 10", accepted)
 				}
 			})
 		}
--- a/internal/proxy/limits/drr_test.go
+++ b/internal/proxy/limits/drr_test.go
@@ -113,7 +113,7 @@
 		d.Push(i%3, i)
 	}
 	for b.Loop() {
-		it, c, room, _ := d.Next()
-		d.Used(c, it, room, true)
+		connection, class, room, _ := d.Next()
+		d.Used(class, connection, room, true)
 	}
 }
--- a/internal/proxy/limits/reputation_test.go
+++ b/internal/proxy/limits/reputation_test.go
@@ -15,9 +15,9 @@
 	settings := ReputationSettings{HalfLife: 60000, MinBad: 1.5, BadWeight: 10, MaxInFlight: 4, Addresses: 64}
 	rapid.Check(t, func(t *rapid.T) {
 		reputation := NewReputation(settings)
-		now, ends := 0.0, rapid.IntRange(30, 300).Draw(t, "ends")
+		now, steps := 0.0, rapid.IntRange(30, 300).Draw(t, "ends")
 		wasted := rapid.IntRange(2, 9).Draw(t, "one in")
-		for i := range ends {
+		for i := range steps {
 			now += rapid.Float64Range(0, 3000).Draw(t, "gap")
 			reputation.AddGood("good", now)
 			if i%wasted == 0 {
--- a/internal/proxy/limits/unread.go
+++ b/internal/proxy/limits/unread.go
@@ -31,7 +31,7 @@
 // (see IsStalled) until 0.80 is left, those with the largest product of bytes and time first.
 // Clients that read anything are subject only to the minimum rate. Update reuses the memory of
 // list.
-func (a *UnreadAccount) Update(list []Unread) (cut []Unread) {
+func (a *UnreadAccount) Update(list []Unread) (disconnect []Unread) {
 	a.Held = 0
 	for _, client := range list {
 		a.Held += client.Bytes
@@ -43,22 +43,22 @@
 			return false
 		}
 		if client.Bytes > 0 {
-			cut = append(cut, client)
+			disconnect = append(disconnect, client)
 			left -= client.Bytes
 		}
 		return true
 	})
 	if a.Total <= 0 || float64(left) < shedAbove*float64(a.Total) {
-		return cut
+		return disconnect
 	}
 	for _, client := range stalled(list) {
 		if float64(left) <= shedDownTo*float64(a.Total) {
 			break
 		}
-		cut = append(cut, client)
+		disconnect = append(disconnect, client)
 		left -= client.Bytes
 	}
-	return cut
+	return disconnect
 }
 
 // stalled returns the stalled clients, those with the largest product of bytes and time first.
--- a/internal/proxy/limits/unread_test.go
+++ b/internal/proxy/limits/unread_test.go
@@ -17,31 +17,31 @@
 			list = append(list, Unread{Index: i, Bytes: rapid.Int64Range(0, 200<<10).Draw(t, "bytes"), StalledFor: rapid.Float64Range(0, 25_000).Draw(t, "still")})
 		}
 		all := append([]Unread(nil), list...)
-		cut := account.Update(list)
-		gone, left, moving := map[int]bool{}, account.Held, int64(0)
-		for _, client := range cut {
-			if gone[client.Index] {
+		disconnect := account.Update(list)
+		disconnected, left, notStalled := map[int]bool{}, account.Held, int64(0)
+		for _, client := range disconnect {
+			if disconnected[client.Index] {
 				t.Fatalf("client %d is returned twice", client.Index)
 			}
-			gone[client.Index] = true
+			disconnected[client.Index] = true
 			left -= client.Bytes
 		}
 		for _, client := range all {
 			switch {
-			case client.Bytes == 0 && gone[client.Index]:
+			case client.Bytes == 0 && disconnected[client.Index]:
 				t.Fatalf("%+v is disconnected although the kernel holds nothing for it", client)
-			case client.Bytes > 0 && client.StalledFor >= account.Idle && !gone[client.Index]:
+			case client.Bytes > 0 && client.StalledFor >= account.Idle && !disconnected[client.Index]:
 				t.Fatalf("%+v is idle and not disconnected", client)
-			case !IsStalled(client.StalledFor) && gone[client.Index]:
+			case !IsStalled(client.StalledFor) && disconnected[client.Index]:
 				t.Fatalf("%+v is disconnected although it is not stalled", client)
 			case !IsStalled(client.StalledFor):
-				moving += client.Bytes
-			case account.Held < 900<<10 && client.StalledFor < account.Idle && gone[client.Index]:
+				notStalled += client.Bytes
+			case account.Held < 900<<10 && client.StalledFor < account.Idle && disconnected[client.Index]:
 				t.Fatalf("%+v is disconnected although the limit is not reached", client)
 			}
 		}
-		if left > max(moving, 922<<10) {
-			t.Fatalf("%d bytes are left, %d of them for clients that are not stalled; want at most these or %d", left, moving, 922<<10)
+		if left > max(notStalled, 922<<10) {
+			t.Fatalf("%d bytes are left, %d of them for clients that are not stalled; want at most these or %d", left, notStalled, 922<<10)
 		}
 	})
 	free := UnreadAccount{}
--- a/rig_test.go
+++ b/rig_test.go
@@ -56,8 +56,8 @@
 func (g *testRig) handle(ev Event) []Action { return g.router.Handle(g.now, ev, nil) }
 
 // wait advances the time and delivers the ticks that are due.
-func (g *testRig) wait(d Millis) (actions []Action) {
-	for end := g.now + d; g.now < end; {
+func (g *testRig) wait(span Millis) (actions []Action) {
+	for end := g.now + span; g.now < end; {
 		g.now = min(g.now+tickInterval, end)
 		actions = append(actions, g.handle(Timer{})...)
 	}
@@ -110,12 +110,12 @@
 func (g *testRig) requestFill(class, object string, part int) (string, Send, int) {
 	g.t.Helper()
 	id, actions := g.request(class, object, part)
-	for n := range 6 {
+	for attempt := range 6 {
 		send := g.onlySend(actions)
 		if send.Source != send.Cache && g.router.members[send.Source].role != edge {
-			return id, send, n
+			return id, send, attempt
 		}
-		actions = g.handle(Outcome{ID: id, Attempt: n, Cache: send.Cache, Result: Miss, Took: 1})
+		actions = g.handle(Outcome{ID: id, Attempt: attempt, Cache: send.Cache, Result: Miss, Took: 1})
 	}
 	g.t.Fatal("no fill after six lookups")
 	return "", Send{}, 0
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -22,9 +22,9 @@
 			return work
 		}
 		warm := sendTimeAt(500) / 10000
-		m := rig.router.members[id].Member
-		m.ReadyAt = rig.now
-		rig.handle(Members{Rows: []Member{m}})
+		restarted := rig.router.members[id].Member
+		restarted.ReadyAt = rig.now
+		rig.handle(Members{Rows: []Member{restarted}})
 		if cold := sendTimeAt(100) / 2000; cold > warm*0.5 || cold == 0 {
 			t.Errorf("%s: load %v while cold, %v while warm; want above 0 and at most half of the warm load", id, cold, warm)
 		}
@@ -36,13 +36,13 @@
 func TestQueuedRequestsDoNotFloodColdCache(t *testing.T) {
 	rig := newRig(t, testSettings())
 	for i := range 300 {
-		id, send, n := rig.requestFill("page", fmt.Sprint("w", i), 0)
-		rig.handle(Outcome{ID: id, Attempt: n, Cache: send.Cache, Result: OK, Took: 100, Last: true, Note: NoteFilled})
+		id, send, attempt := rig.requestFill("page", fmt.Sprint("w", i), 0)
+		rig.handle(Outcome{ID: id, Attempt: attempt, Cache: send.Cache, Result: OK, Took: 100, Last: true, Note: NoteFilled})
 		rig.wait(20)
 	}
-	m := rig.router.members["e2"].Member
-	m.ReadyAt = rig.now
-	rig.handle(Members{Rows: []Member{m}})
+	restarted := rig.router.members["e2"].Member
+	restarted.ReadyAt = rig.now
+	rig.handle(Members{Rows: []Member{restarted}})
 	rig.wait(500)
 	rig.router.link.limit = 0
 	for i := range 60 {
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -44,7 +44,7 @@
 		id := fmt.Sprint("q", i)
 		class := settings.Classes[rng.IntN(len(settings.Classes))].Name
 		actions := router.Handle(now, Request{ID: id, Class: class, Object: fmt.Sprint("o", rng.IntN(9)), Part: rng.IntN(12), Group: rng.IntN(3), KB: 30, Deadline: now + 900}, nil)
-		for n := 0; n < 9; n++ {
+		for attempt := 0; attempt < 9; attempt++ {
 			var send *Send
 			for _, a := range actions {
 				if found, ok := a.(Send); ok && found.ID == id {
@@ -57,7 +57,7 @@
 			now += Millis(rng.IntN(30))
 			results := []Result{OK, OK, Miss, Rejected, Errored, Reset, TimedOut}
 			result := results[rng.IntN(len(results))]
-			actions = router.Handle(now, Outcome{ID: id, Cache: send.Cache, Attempt: n, Result: result, Took: 12, Last: result == OK}, nil)
+			actions = router.Handle(now, Outcome{ID: id, Cache: send.Cache, Attempt: attempt, Result: result, Took: 12, Last: result == OK}, nil)
 		}
 		router.Handle(now, Gone{ID: id}, nil)
 	}
@@ -94,10 +94,10 @@
 			if rng.IntN(6) == 0 {
 				ev = Timer{}
 			}
-			for n := range 8 {
+			for attempt := range 8 {
 				want, got := predecessor.Handle(now, ev, nil), successor.Handle(now, ev, nil)
 				if !reflect.DeepEqual(want, got) {
-					t.Fatalf("seed %d, step %d.%d: %+v gives %+v at the successor, %+v at the predecessor", seed, i, n, ev, got, want)
+					t.Fatalf("seed %d, step %d.%d: %+v gives %+v at the successor, %+v at the predecessor", seed, i, attempt, ev, got, want)
 				}
 				var send *Send
 				for _, act := range want {
@@ -113,7 +113,7 @@
 				}
 				now += 3
 				result := []Result{OK, Miss, Rejected, Reset}[rng.IntN(4)]
-				ev = Outcome{ID: id, Cache: send.Cache, Attempt: n, Result: result, Took: 3, Last: result == OK}
+				ev = Outcome{ID: id, Cache: send.Cache, Attempt: attempt, Result: result, Took: 3, Last: result == OK}
 			}
 		}
 	}
