--- a/fuzz_test.go
+++ b/fuzz_test.go
@@ -69,7 +69,7 @@
 	sends                 map[int]Send
 	ended                 bool
 	mayHaveRun            bool // whether an attempt may have run
-	effect                Idempotency
+	idempotency           Idempotency
 }
 
 func newInvariantChecker(t *testing.T, settings Settings) *invariantChecker {
@@ -105,12 +105,12 @@
 	}
 }
 
-func (w *invariantChecker) checkFinalAnswer(id string, refused bool) {
+func (w *invariantChecker) checkFinalAnswer(id string, rejected bool) {
 	request := w.requests[id]
 	if request == nil || request.ended {
 		w.t.Fatalf("final answer for %s, which is unknown or has one already", id)
 	}
-	if refused && request.mayHaveRun && request.effect == NonIdempotent {
+	if rejected && request.mayHaveRun && request.idempotency == NonIdempotent {
 		w.t.Fatalf("%s is rejected although it may have run", id)
 	}
 	request.ended = true
@@ -127,7 +127,7 @@
 		w.t.Fatalf("more than %d attempts: %+v", w.settings.MaxAttempts, send)
 	case send.Age <= 0 || send.Source == "" || send.Timeout < 0:
 		w.t.Fatalf("malformed Send: %+v", send)
-	case request.effect == NonIdempotent && request.mayHaveRun:
+	case request.idempotency == NonIdempotent && request.mayHaveRun:
 		w.t.Fatalf("%s is retried although it may have run", send.ID)
 	}
 	for _, id := range []string{send.Cache, send.Source} {
@@ -156,7 +156,7 @@
 			class := w.router.classes[classes[arg%5]]
 			request := &checkedRequest{Request: Request{ID: fmt.Sprint("q", i), Class: class.Name, Object: fmt.Sprint("o", arg%4),
 				Part: arg - 2, KB: float64(arg * 50), Group: arg % 2, Deadline: w.now + class.Deadline/2},
-				sends: map[int]Send{}, effect: class.Idempotency}
+				sends: map[int]Send{}, idempotency: class.Idempotency}
 			w.requests[request.ID] = request
 			w.ids = append(w.ids, request.ID)
 			w.handle(request.Request)
--- a/retry_test.go
+++ b/retry_test.go
@@ -61,14 +61,14 @@
 	rig := newRig(t, settings, row("e1", "z1", "box"), row("e2", "z1", "box"), row("p1", "hub", "parent"), row("o1", "hub", "origin"))
 	id, send, attempt := rig.requestFill("page", "x", 0)
 	lastAttempt := map[string]Millis{}
-	times := map[string][]Millis{}
+	intervals := map[string][]Millis{}
 	ended := false
 	actions := []Action(nil)
 	for began := rig.now; rig.now < began+1500 && !ended; {
-		times[send.Cache] = append(times[send.Cache], rig.now-lastAttempt[send.Cache])
+		intervals[send.Cache] = append(intervals[send.Cache], rig.now-lastAttempt[send.Cache])
 		lastAttempt[send.Cache] = rig.now
 		for actions = rig.handle(Outcome{ID: id, Attempt: attempt, Cache: send.Cache, Result: Rejected, Took: 0.1, Note: NoteNoCapacity}); len(sends(actions)) == 0; actions = rig.wait(5) {
-			if k, _ := finalAnswers(actions); k > 0 || rig.now >= began+1500 {
+			if answers, _ := finalAnswers(actions); answers > 0 || rig.now >= began+1500 {
 				ended = true
 				break
 			}
@@ -81,11 +81,11 @@
 			actions = rig.handle(Outcome{ID: id, Attempt: attempt, Cache: send.Cache, Result: Miss, Took: 0.1})
 		}
 	}
-	if len(times) != 2 {
-		t.Fatalf("attempts %v, want some at both caches", times)
+	if len(intervals) != 2 {
+		t.Fatalf("attempts %v, want some at both caches", intervals)
 	}
 	repeats := 0
-	for id, list := range times {
+	for id, list := range intervals {
 		for i, since := range list {
 			if i == 0 {
 				continue
--- a/snapshot.go
+++ b/snapshot.go
@@ -94,7 +94,7 @@
 
 // Snapshot returns a snapshot of the learned state.
 func (r *Router) Snapshot() *Snapshot {
-	memory := &Snapshot{
+	snapshot := &Snapshot{
 		At:                    r.now,
 		ObjectDepthsRotatedAt: r.objectDepthsRotatedAt,
 		ObjectPurges:          maps.Clone(r.objectPurges),
@@ -114,62 +114,62 @@
 		LayoutChangedAt:       r.layoutChangedAt,
 	}
 	for _, id := range slices.Sorted(maps.Keys(r.members)) {
-		memory.Members = append(memory.Members, r.members[id].snapshot())
+		snapshot.Members = append(snapshot.Members, r.members[id].snapshot())
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.classes)) {
 		class := r.classes[name]
-		memory.Classes = append(memory.Classes, ClassSnapshot{Name: name, MeanSendTime: class.meanSendTime, HitTime: class.hitTime})
+		snapshot.Classes = append(snapshot.Classes, ClassSnapshot{Name: name, MeanSendTime: class.meanSendTime, HitTime: class.hitTime})
 	}
 	for generation, depths := range r.objectDepths {
 		for _, name := range slices.Sorted(maps.Keys(depths)) {
 			depth := depths[name]
 			object := ObjectSnapshot{Name: name, FirstParts: depth.firstParts, Parts: depth.parts}
-			memory.ObjectDepths[generation] = append(memory.ObjectDepths[generation], object)
+			snapshot.ObjectDepths[generation] = append(snapshot.ObjectDepths[generation], object)
 		}
 	}
-	return memory
+	return snapshot
 }
 
 // restore restores the learned state of a predecessor. Members that are no longer listed are removed
 // with the first endpoint list. Classes that are not in the settings are ignored.
-func (r *Router) restore(memory *Snapshot) {
-	if memory == nil || len(r.members) > 0 || len(r.arrivals) > 0 {
+func (r *Router) restore(snapshot *Snapshot) {
+	if snapshot == nil || len(r.members) > 0 || len(r.arrivals) > 0 {
 		return
 	}
-	for _, stored := range memory.Members {
+	for _, stored := range snapshot.Members {
 		r.addMember(stored.ID, r.restoreMember(stored))
 	}
-	for _, stored := range memory.Classes {
+	for _, stored := range snapshot.Classes {
 		if class := r.classes[stored.Name]; class != nil {
 			class.meanSendTime, class.hitTime = stored.MeanSendTime, stored.HitTime
 		}
 	}
-	for generation, objects := range memory.ObjectDepths {
+	for generation, objects := range snapshot.ObjectDepths {
 		for _, stored := range objects {
 			r.objectDepths[generation][stored.Name] = &objectDepth{firstParts: stored.FirstParts, parts: stored.Parts}
 		}
 	}
 	r.groupByRole()
-	if len(memory.ObjectPurges) > 0 {
-		r.objectPurges = maps.Clone(memory.ObjectPurges)
+	if len(snapshot.ObjectPurges) > 0 {
+		r.objectPurges = maps.Clone(snapshot.ObjectPurges)
 	}
-	if len(memory.GroupPurges) > 0 {
-		r.groupPurges = maps.Clone(memory.GroupPurges)
+	if len(snapshot.GroupPurges) > 0 {
+		r.groupPurges = maps.Clone(snapshot.GroupPurges)
 	}
-	copy(r.typicalRate[:], memory.TypicalRate)
-	r.objectDepthsRotatedAt = memory.ObjectDepthsRotatedAt
-	r.link = memory.Link.concurrencyLimit()
-	r.retryTokens = memory.RetryTokens
-	r.meanSendTime = memory.MeanSendTime
-	r.fillTimeRatio = memory.FillTimeRatio
-	r.lastCleanup = memory.LastCleanup
-	r.windowCost = slices.Clone(memory.WindowCost)
-	r.costHistogram = slices.Clone(memory.TotalCost)
-	r.windowRequests = memory.WindowRequests
-	r.windowOpenedAt = memory.WindowOpenedAt
-	r.layout = r.restoreLayout(memory.Layout)
-	r.priorLayout = r.restoreLayout(memory.PriorLayout)
-	r.layoutChangedAt = memory.LayoutChangedAt
+	copy(r.typicalRate[:], snapshot.TypicalRate)
+	r.objectDepthsRotatedAt = snapshot.ObjectDepthsRotatedAt
+	r.link = snapshot.Link.concurrencyLimit()
+	r.retryTokens = snapshot.RetryTokens
+	r.meanSendTime = snapshot.MeanSendTime
+	r.fillTimeRatio = snapshot.FillTimeRatio
+	r.lastCleanup = snapshot.LastCleanup
+	r.windowCost = slices.Clone(snapshot.WindowCost)
+	r.costHistogram = slices.Clone(snapshot.TotalCost)
+	r.windowRequests = snapshot.WindowRequests
+	r.windowOpenedAt = snapshot.WindowOpenedAt
+	r.layout = r.restoreLayout(snapshot.Layout)
+	r.priorLayout = r.restoreLayout(snapshot.PriorLayout)
+	r.layoutChangedAt = snapshot.LayoutChangedAt
 }
 
 // snapshot returns the stored form of a member.
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -69,15 +69,15 @@
 func TestSnapshotRoundTrip(t *testing.T) {
 	for seed := range uint64(60) {
 		predecessor, now := trainedRouter(t, seed, 300)
-		memory := predecessor.Snapshot()
+		snapshot := predecessor.Snapshot()
 		successor, err := New(predecessor.settings, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		successor.Handle(now, Recalled{memory}, nil)
+		successor.Handle(now, Recalled{snapshot}, nil)
 		got := successor.Snapshot()
-		if got.At = memory.At; !reflect.DeepEqual(got, memory) {
-			t.Fatalf("seed %d: learned state\n%+v, want\n%+v", seed, got, memory)
+		if got.At = snapshot.At; !reflect.DeepEqual(got, snapshot) {
+			t.Fatalf("seed %d: learned state\n%+v, want\n%+v", seed, got, snapshot)
 		}
 		if !reflect.DeepEqual(predecessor.Ranges(), successor.Ranges()) {
 			t.Fatalf("seed %d: ranges %v, want %v", seed, successor.Ranges(), predecessor.Ranges())
@@ -157,7 +157,7 @@
 	for router.members["b"].tokens > 0 && requestIsSentToCold(1000+int(router.members["b"].tokens*1e6)) {
 	}
 	router.Handle(now, Retired{On: true}, nil)
-	memory := router.Snapshot()
+	snapshot := router.Snapshot()
 	if n := sentToCold(100); n > 0 {
 		t.Errorf("a router with a successor sent %d requests to a cold cache", n)
 	}
@@ -166,10 +166,10 @@
 		t.Error("a router whose successor did not start sends nothing to a cold cache")
 	}
 	successor, _ := New(settings, 1)
-	successor.Handle(now, Recalled{memory}, nil)
-	successor.Handle(now, Members{Full: true, Rows: []Member{memory.Members[0].Member, memory.Members[1].Member}}, nil)
-	if tokens := successor.members["b"].tokens; tokens != memory.Members[0].Tokens || successor.members["b"].ReadyAt != 1000 {
-		t.Errorf("the successor has %v tokens, the snapshot %v", tokens, memory.Members[0].Tokens)
+	successor.Handle(now, Recalled{snapshot}, nil)
+	successor.Handle(now, Members{Full: true, Rows: []Member{snapshot.Members[0].Member, snapshot.Members[1].Member}}, nil)
+	if tokens := successor.members["b"].tokens; tokens != snapshot.Members[0].Tokens || successor.members["b"].ReadyAt != 1000 {
+		t.Errorf("the successor has %v tokens, the snapshot %v", tokens, snapshot.Members[0].Tokens)
 	}
 	successor.Handle(now, Recalled{&Snapshot{Members: []MemberSnapshot{{Member: Member{ID: "x"}}}}}, nil)
 	if successor.members["x"] != nil {
