--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -44,13 +44,13 @@
 	}
 	router, _ := New(settings, 1)
 	if watches(router.Handle(0, Members{Full: true, Rows: baseRows()}, nil)) != 1 {
-		t.Error("no subscription after the first list")
+		t.Error("after the first list: want exactly one Watch")
 	}
 	if watches(router.Handle(1, Members{Lost: true}, nil)) != 0 || len(router.byRole[edge]) != 3 {
-		t.Error("a failed call to discovery is repeated immediately, or has changed the list")
+		t.Errorf("after a failed call to discovery: %d caches, want 3; or there was a Watch immediately", len(router.byRole[edge]))
 	}
 	if watches(router.Handle(1500, Timer{}, nil)) != 1 || watches(router.Handle(3000, Timer{}, nil)) != 0 {
-		t.Error("a lost subscription is not renewed exactly once")
+		t.Error("after a lost subscription: want exactly one Watch with the next cleanup, and none with the one after it")
 	}
 }
 
--- a/internal/proxy/limits/admission_test.go
+++ b/internal/proxy/limits/admission_test.go
@@ -124,7 +124,7 @@
 func TestAdmissionRank(t *testing.T) {
 	admission := NewAdmission(AdmissionSettings{Target: 5, Interval: 100, MinInFlight: 10, MaxInFlight: 1000, Headroom: 0.3})
 	if !admission.Admit(999, 0) || admission.Admit(1000, 1) {
-		t.Error("without overload the limit is not MaxInFlight")
+		t.Error("without an overload: want a request admitted with 999 in flight and rejected with 1000, MaxInFlight")
 	}
 	for now := 0.0; now < 3000; now += 100 {
 		admission.ObserveWait(50)
@@ -136,6 +136,6 @@
 			limit, admission.Admit(limit*8/10, 1), admission.Admit(limit*8/10, 0))
 	}
 	if !admission.Admit(9, 0) {
-		t.Error("a request below MinInFlight was rejected")
+		t.Error("a request with 9 in flight was rejected, want it admitted below MinInFlight, 10")
 	}
 }
--- a/internal/proxy/limits/massslowness_test.go
+++ b/internal/proxy/limits/massslowness_test.go
@@ -12,7 +12,7 @@
 		slowness.ObserveGood(member, 1000)
 	}
 	if !slowness.MayCut("a", 1200) || !slowness.MayCut("b", 1300) {
-		t.Error("two slow members of four were not disconnected")
+		t.Error("the first or the second slow member of four was not disconnected")
 	}
 	if slowness.MayCut("c", 1400) || slowness.MayCut("d", 1500) || slowness.Spared != 2 {
 		t.Errorf("a third or fourth slow member of four was disconnected, or %d were spared, want 2", slowness.Spared)
@@ -22,7 +22,7 @@
 		all.ObserveSlow(member, 1000)
 	}
 	if all.MayCut("a", 1000) || all.MayCut("b", 1000) {
-		t.Error("all three members are slow, and one was disconnected")
+		t.Error("all three members are slow, and the first or the second was disconnected")
 	}
 	slowness.ObserveGood("a", 9000)
 	slowness.ObserveGood("b", 9000)
--- a/request_test.go
+++ b/request_test.go
@@ -13,7 +13,7 @@
 		{"no members", []Member{}, func(rig *testRig, _ string, actions []Action) []Action {
 			return append(append(actions, rig.wait(2996)...), rig.handle(Timer{Token: 1})...)
 		}, 1},
-		{"silence", nil, func(rig *testRig, id string, actions []Action) []Action {
+		{"no answer", nil, func(rig *testRig, id string, actions []Action) []Action {
 			actions = append(actions, rig.wait(2996)...)
 			actions = append(actions, rig.handle(Timer{Token: 1})...)
 			actions = append(actions, rig.handle(Outcome{ID: id, Result: TimedOut, Took: 3000})...)
@@ -55,12 +55,12 @@
 			}
 		}
 		if len(rig.router.requests) != 0 && test.want == 0 {
-			t.Errorf("%s: the router still holds the request", test.name)
+			t.Errorf("%s: the router holds %d requests, want 0", test.name, len(rig.router.requests))
 		}
 	}
 	rig := newRig(t, testSettings())
 	if n, _ := finalAnswers(rig.handle(Request{ID: "u", Class: "unheard", Deadline: 9000})); n != 1 {
-		t.Error("a request of an unknown class gets no final answer")
+		t.Errorf("request of an unknown class: %d final answers, want 1", n)
 	}
 }
 
@@ -106,7 +106,7 @@
 			all = append(all, rig.handle(Timer{Token: 1})...)
 			count, fail := finalAnswers(all)
 			if count != 1 || fail == test.refuse {
-				t.Errorf("%d final answers, failed %v; want one, failed %v: %v", count, fail, !test.refuse, all)
+				t.Errorf("%d final answers, failed: %v; want one, failed: %v; actions %v", count, fail, !test.refuse, all)
 			}
 		})
 	}
--- a/retry_test.go
+++ b/retry_test.go
@@ -82,7 +82,7 @@
 		}
 	}
 	if len(intervals) != 2 {
-		t.Fatalf("attempts %v, want some at both caches", intervals)
+		t.Fatalf("intervals between the attempts at each cache: %v, want attempts at both", intervals)
 	}
 	repeats := 0
 	for id, list := range intervals {
@@ -96,7 +96,7 @@
 		}
 	}
 	if repeats == 0 {
-		t.Error("no cache is asked again")
+		t.Errorf("intervals between the attempts at each cache: %v, want a second attempt at one of them", intervals)
 	}
 }
 
--- a/rig_test.go
+++ b/rig_test.go
@@ -13,6 +13,7 @@
 	requests int
 }
 
+// testSettings returns settings of a zone of two routers, with classes of all kinds of idempotency.
 func testSettings() Settings {
 	return Settings{
 		RouterIndex: 0, Routers: 2, Zone: "z1", Zones: []string{"hub", "z1"}, RoutersByZone: []int{0, 2},
@@ -34,11 +35,14 @@
 
 func row(id, zone, kind string) Member { return Member{ID: id, Zone: zone, Kind: kind} }
 
+// baseRows returns the default endpoint list: three caches in the router's zone and one in another, two
+// parents and the origin.
 func baseRows() []Member {
 	return []Member{row("e1", "z1", "box"), row("e2", "z1", "box"), row("e3", "z1", "box"), row("f1", "z2", "box"),
 		row("p1", "hub", "parent"), row("p2", "hub", "parent"), row("o1", "hub", "origin")}
 }
 
+// newRig returns a rig whose router has the endpoint list rows, by default baseRows.
 func newRig(t *testing.T, settings Settings, rows ...Member) *testRig {
 	t.Helper()
 	router, err := New(settings, 7)
@@ -75,6 +79,7 @@
 	return id, g.handle(Request{ID: id, Class: class, Object: object, Part: part, KB: 500, Deadline: g.now + timeout})
 }
 
+// sends returns the Send actions.
 func sends(actions []Action) (out []Send) {
 	for _, a := range actions {
 		if send, ok := a.(Send); ok {
@@ -84,6 +89,7 @@
 	return out
 }
 
+// finalAnswers returns the number of final answers, and whether any of them is a failure.
 func finalAnswers(actions []Action) (n int, fail bool) {
 	for _, a := range actions {
 		switch a.(type) {
@@ -96,6 +102,7 @@
 	return n, fail
 }
 
+// onlySend returns the only Send action, and ends the test if there is not exactly one.
 func (g *testRig) onlySend(actions []Action) Send {
 	g.t.Helper()
 	s := sends(actions)
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -159,7 +159,7 @@
 	router.Handle(now, Retired{On: true}, nil)
 	snapshot := router.Snapshot()
 	if n := sentToCold(100); n > 0 {
-		t.Errorf("a router with a successor sent %d requests to a cold cache", n)
+		t.Errorf("a router with a successor sent %d requests to a cold cache, want 0", n)
 	}
 	router.Handle(now, Retired{}, nil)
 	if n := sentToCold(200); n == 0 {
@@ -169,7 +169,7 @@
 	successor.Handle(now, Recalled{snapshot}, nil)
 	successor.Handle(now, Members{Full: true, Rows: []Member{snapshot.Members[0].Member, snapshot.Members[1].Member}}, nil)
 	if tokens := successor.members["b"].tokens; tokens != snapshot.Members[0].Tokens || successor.members["b"].ReadyAt != 1000 {
-		t.Errorf("the successor has %v tokens, the snapshot %v", tokens, snapshot.Members[0].Tokens)
+		t.Errorf("the successor has %v tokens, the snapshot %v; ReadyAt is %v, want 1000", tokens, snapshot.Members[0].Tokens, successor.members["b"].ReadyAt)
 	}
 	successor.Handle(now, Recalled{&Snapshot{Members: []MemberSnapshot{{Member: Member{ID: "x"}}}}}, nil)
 	if successor.members["x"] != nil {
