--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -5,28 +5,32 @@
 	"testing"
 )
 
+// TestDraining checks that a draining, a removed and a no longer listed member get no attempts, neither as
+// target nor as source.
 func TestDraining(t *testing.T) {
 	for _, state := range []State{Draining, Removed} {
 		rig := newRig(t, testSettings())
-		for _, r := range []Member{{ID: "e2", Zone: "z1", Kind: "box"}, {ID: "p1", Zone: "hub", Kind: "parent"}} {
-			r.State = state
-			rig.handle(Members{Rows: []Member{r}})
+		for _, leaving := range []Member{{ID: "e2", Zone: "z1", Kind: "box"}, {ID: "p1", Zone: "hub", Kind: "parent"}} {
+			leaving.State = state
+			rig.handle(Members{Rows: []Member{leaving}})
 		}
 		for i := range 40 {
-			id, send, n := rig.requestFill("page", fmt.Sprint("o", i), 0)
+			id, send, attempt := rig.requestFill("page", fmt.Sprint("o", i), 0)
 			if send.Cache == "e2" || send.Source == "p1" {
-				t.Fatalf("sent to %s from %s", send.Cache, send.Source)
+				t.Fatalf("fill of %s from %s, want neither e2 nor p1, in state %d", send.Cache, send.Source, state)
 			}
-			rig.handle(Outcome{ID: id, Attempt: n, Cache: send.Cache, Result: OK, Last: true, Note: NoteFilled})
+			rig.handle(Outcome{ID: id, Attempt: attempt, Cache: send.Cache, Result: OK, Last: true, Note: NoteFilled})
 		}
 	}
 	rig := newRig(t, testSettings())
 	rig.handle(Members{Full: true, Rows: []Member{row("e1", "z1", "box"), row("o1", "hub", "origin")}})
 	if _, send, _ := rig.requestFill("page", "x", 0); send.Cache != "e1" || send.Source != "o1" {
-		t.Error("a member that is missing from a snapshot is still used")
+		t.Errorf("fill of %s from %s, want e1 from o1, the only members of the last snapshot", send.Cache, send.Source)
 	}
 }
 
+// TestSubscription checks that the router subscribes once, and renews the subscription once after a failed
+// call to discovery, but not immediately.
 func TestSubscription(t *testing.T) {
 	settings := testSettings()
 	settings.WatchRequired, settings.PollInterval = true, 10000
@@ -40,13 +44,13 @@
 	}
 	router, _ := New(settings, 1)
 	if watches(router.Handle(0, Members{Full: true, Rows: baseRows()}, nil)) != 1 {
-		t.Error("no subscription after the first list")
+		t.Error("after the first list: want exactly one Watch")
 	}
 	if watches(router.Handle(1, Members{Lost: true}, nil)) != 0 || len(router.byRole[edge]) != 3 {
-		t.Error("a failed call to discovery is repeated immediately, or has changed the list")
+		t.Errorf("after a failed call to discovery: %d caches, want 3; or there was a Watch immediately", len(router.byRole[edge]))
 	}
 	if watches(router.Handle(1500, Timer{}, nil)) != 1 || watches(router.Handle(3000, Timer{}, nil)) != 0 {
-		t.Error("a lost subscription is not renewed exactly once")
+		t.Error("after a lost subscription: want exactly one Watch with the next cleanup, and none with the one after it")
 	}
 }
 
--- a/rangesplit_test.go
+++ b/rangesplit_test.go
@@ -8,6 +8,8 @@
 	"testing"
 )
 
+// TestSplitPoints checks the split points of some histograms and, for random ones, that the share of each
+// range differs from the ideal one by at most the cost of one part index.
 func TestSplitPoints(t *testing.T) {
 	for _, c := range []struct {
 		cost []float64
@@ -61,11 +63,11 @@
 		return send.Cache
 	}
 	first := map[string]bool{}
-	for x := range 12 {
-		first[serve("a", x)] = true
+	for part := range 12 {
+		first[serve("a", part)] = true
 	}
 	if len(first) < 2 {
-		t.Error("before the first window closes, all parts go to the same cache")
+		t.Errorf("before the first window closes, all parts go to the same cache: %v", first)
 	}
 	for i := range 400 {
 		serve(fmt.Sprint("o", i/12), i%12)
@@ -79,20 +81,20 @@
 	if !slices.Equal(before, rig.router.layout.splits) {
 		t.Errorf("an unchanged load moved %v to %v", before, rig.router.layout.splits)
 	}
-	at := 0
-	for x := range 40 {
-		c := serve("b", x)
-		i := slices.IndexFunc(rig.router.byRole[edge], func(member *member) bool { return member.ID == c })
-		if i < at {
-			t.Fatalf("part %d goes to %s, which precedes the cache of the part before", x, c)
+	previous := 0
+	for part := range 40 {
+		cache := serve("b", part)
+		index := slices.IndexFunc(rig.router.byRole[edge], func(member *member) bool { return member.ID == cache })
+		if index < previous {
+			t.Fatalf("part %d goes to %s, which precedes the cache of the part before", part, cache)
 		}
-		at = i
-		if other := serve("c", x); other != c {
-			t.Fatalf("part %d of two objects goes to %s and %s", x, c, other)
+		previous = index
+		if other := serve("c", part); other != cache {
+			t.Fatalf("part %d of two objects goes to %s and %s", part, cache, other)
 		}
 	}
-	if at != 2 {
-		t.Errorf("the last range belongs to cache %d, want 2", at)
+	if previous != 2 {
+		t.Errorf("the last range belongs to cache %d, want 2", previous)
 	}
 	rig.handle(Members{Rows: []Member{{ID: "e2", Zone: "z1", Kind: "box", State: Removed}}})
 	if len(rig.router.layout.splits) != 1 {
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -10,23 +10,23 @@
 func TestSlowStartBudget(t *testing.T) {
 	for _, id := range []string{"e2", "p2"} {
 		rig := newRig(t, testSettings())
-		sendTimeAt := func(n int) (work float64) {
-			for i := range n {
-				q, send, n := rig.requestFill("page", fmt.Sprint("o", rig.requests, i), 0)
+		sendTimeAt := func(requests int) (work float64) {
+			for i := range requests {
+				requestID, send, attempt := rig.requestFill("page", fmt.Sprint("o", rig.requests, i), 0)
 				if send.Cache == id || send.Source == id {
 					work += 100
 				}
-				rig.handle(Outcome{ID: q, Attempt: n, Cache: send.Cache, Result: OK, Took: 100, Last: true, Note: NoteFilled})
+				rig.handle(Outcome{ID: requestID, Attempt: attempt, Cache: send.Cache, Result: OK, Took: 100, Last: true, Note: NoteFilled})
 				rig.wait(20)
 			}
 			return work
 		}
 		warm := sendTimeAt(500) / 10000
-		m := rig.router.members[id].Member
-		m.ReadyAt = rig.now
-		rig.handle(Members{Rows: []Member{m}})
+		restarted := rig.router.members[id].Member
+		restarted.ReadyAt = rig.now
+		rig.handle(Members{Rows: []Member{restarted}})
 		if cold := sendTimeAt(100) / 2000; cold > warm*0.5 || cold == 0 {
-			t.Errorf("%s: load %v while cold, %v while warm", id, cold, warm)
+			t.Errorf("%s: load %v while cold, %v while warm; want above 0 and at most half of the warm load", id, cold, warm)
 		}
 	}
 }
@@ -36,13 +36,13 @@
 func TestQueuedRequestsDoNotFloodColdCache(t *testing.T) {
 	rig := newRig(t, testSettings())
 	for i := range 300 {
-		id, send, n := rig.requestFill("page", fmt.Sprint("w", i), 0)
-		rig.handle(Outcome{ID: id, Attempt: n, Cache: send.Cache, Result: OK, Took: 100, Last: true, Note: NoteFilled})
+		id, send, attempt := rig.requestFill("page", fmt.Sprint("w", i), 0)
+		rig.handle(Outcome{ID: id, Attempt: attempt, Cache: send.Cache, Result: OK, Took: 100, Last: true, Note: NoteFilled})
 		rig.wait(20)
 	}
-	m := rig.router.members["e2"].Member
-	m.ReadyAt = rig.now
-	rig.handle(Members{Rows: []Member{m}})
+	restarted := rig.router.members["e2"].Member
+	restarted.ReadyAt = rig.now
+	rig.handle(Members{Rows: []Member{restarted}})
 	rig.wait(500)
 	rig.router.link.limit = 0
 	for i := range 60 {
@@ -59,7 +59,7 @@
 		}
 	}
 	if cold > 2 {
-		t.Errorf("%d attempts at a cold cache at the same time", cold)
+		t.Errorf("%d attempts at a cold cache within 100 ms, want at most 2", cold)
 	}
 }
 
@@ -75,7 +75,7 @@
 		rig.wait(20)
 	}
 	if rig.router.typicalRate[edge] > 0 {
-		t.Errorf("typical rate is %v, but the caches have served nothing", rig.router.typicalRate[edge])
+		t.Errorf("typical rate is %v, want 0: the caches have served nothing", rig.router.typicalRate[edge])
 	}
 }
 
--- a/snapshot.go
+++ b/snapshot.go
@@ -25,7 +25,7 @@
 	FillTimeRatio         float64             `cbor:"Pace"`    // duration of fills as a multiple of their send time
 	LastCleanup           Millis              `cbor:"LastSec"` // time of the last periodic cleanup
 	WindowCost            []float64           `cbor:"Window"`  // cost by part index in the open window
-	TotalCost             []float64           `cbor:"Total"`   // discounted sum of the closed windows
+	TotalCost             []float64           `cbor:"Total"`   // cost by part index in the closed windows, with older ones discounted
 	WindowRequests        int                 `cbor:"Seen"`    // part requests in the open window
 	WindowOpenedAt        Millis              `cbor:"Opened"`  // start of the open window
 	Layout                LayoutSnapshot      `cbor:"Layout"`  // the current layout
@@ -77,7 +77,7 @@
 // LayoutSnapshot is a layout of part ranges.
 type LayoutSnapshot struct {
 	Caches []string `cbor:"Edges"`  // ids of the caches
-	Splits []int    `cbor:"Splits"` // upper ends of the ranges of all caches but the last
+	Splits []int    `cbor:"Splits"` // exclusive upper ends of the ranges of all caches but the last
 	Ranged bool     `cbor:"Ranged"` // whether parts are placed by ranges
 }
 
@@ -94,7 +94,7 @@
 
 // Snapshot returns a snapshot of the learned state.
 func (r *Router) Snapshot() *Snapshot {
-	memory := &Snapshot{
+	snapshot := &Snapshot{
 		At:                    r.now,
 		ObjectDepthsRotatedAt: r.objectDepthsRotatedAt,
 		ObjectPurges:          maps.Clone(r.objectPurges),
@@ -106,7 +106,7 @@
 		FillTimeRatio:         r.fillTimeRatio,
 		LastCleanup:           r.lastCleanup,
 		WindowCost:            slices.Clone(r.windowCost),
-		TotalCost:             slices.Clone(r.totalCost),
+		TotalCost:             slices.Clone(r.costHistogram),
 		WindowRequests:        r.windowRequests,
 		WindowOpenedAt:        r.windowOpenedAt,
 		Layout:                r.layout.snapshot(),
@@ -114,62 +114,62 @@
 		LayoutChangedAt:       r.layoutChangedAt,
 	}
 	for _, id := range slices.Sorted(maps.Keys(r.members)) {
-		memory.Members = append(memory.Members, r.members[id].snapshot())
+		snapshot.Members = append(snapshot.Members, r.members[id].snapshot())
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.classes)) {
 		class := r.classes[name]
-		memory.Classes = append(memory.Classes, ClassSnapshot{Name: name, MeanSendTime: class.meanSendTime, HitTime: class.hitTime})
+		snapshot.Classes = append(snapshot.Classes, ClassSnapshot{Name: name, MeanSendTime: class.meanSendTime, HitTime: class.hitTime})
 	}
 	for generation, depths := range r.objectDepths {
 		for _, name := range slices.Sorted(maps.Keys(depths)) {
 			depth := depths[name]
 			object := ObjectSnapshot{Name: name, FirstParts: depth.firstParts, Parts: depth.parts}
-			memory.ObjectDepths[generation] = append(memory.ObjectDepths[generation], object)
+			snapshot.ObjectDepths[generation] = append(snapshot.ObjectDepths[generation], object)
 		}
 	}
-	return memory
+	return snapshot
 }
 
 // restore restores the learned state of a predecessor. Members that are no longer listed are removed
 // with the first endpoint list. Classes that are not in the settings are ignored.
-func (r *Router) restore(memory *Snapshot) {
-	if memory == nil || len(r.members) > 0 || len(r.arrivals) > 0 {
+func (r *Router) restore(snapshot *Snapshot) {
+	if snapshot == nil || len(r.members) > 0 || len(r.arrivals) > 0 {
 		return
 	}
-	for _, stored := range memory.Members {
+	for _, stored := range snapshot.Members {
 		r.addMember(stored.ID, r.restoreMember(stored))
 	}
-	for _, stored := range memory.Classes {
+	for _, stored := range snapshot.Classes {
 		if class := r.classes[stored.Name]; class != nil {
 			class.meanSendTime, class.hitTime = stored.MeanSendTime, stored.HitTime
 		}
 	}
-	for generation, objects := range memory.ObjectDepths {
+	for generation, objects := range snapshot.ObjectDepths {
 		for _, stored := range objects {
 			r.objectDepths[generation][stored.Name] = &objectDepth{firstParts: stored.FirstParts, parts: stored.Parts}
 		}
 	}
 	r.groupByRole()
-	if len(memory.ObjectPurges) > 0 {
-		r.objectPurges = maps.Clone(memory.ObjectPurges)
+	if len(snapshot.ObjectPurges) > 0 {
+		r.objectPurges = maps.Clone(snapshot.ObjectPurges)
 	}
-	if len(memory.GroupPurges) > 0 {
-		r.groupPurges = maps.Clone(memory.GroupPurges)
+	if len(snapshot.GroupPurges) > 0 {
+		r.groupPurges = maps.Clone(snapshot.GroupPurges)
 	}
-	copy(r.typicalRate[:], memory.TypicalRate)
-	r.objectDepthsRotatedAt = memory.ObjectDepthsRotatedAt
-	r.link = memory.Link.concurrencyLimit()
-	r.retryTokens = memory.RetryTokens
-	r.meanSendTime = memory.MeanSendTime
-	r.fillTimeRatio = memory.FillTimeRatio
-	r.lastCleanup = memory.LastCleanup
-	r.windowCost = slices.Clone(memory.WindowCost)
-	r.totalCost = slices.Clone(memory.TotalCost)
-	r.windowRequests = memory.WindowRequests
-	r.windowOpenedAt = memory.WindowOpenedAt
-	r.layout = r.restoreLayout(memory.Layout)
-	r.priorLayout = r.restoreLayout(memory.PriorLayout)
-	r.layoutChangedAt = memory.LayoutChangedAt
+	copy(r.typicalRate[:], snapshot.TypicalRate)
+	r.objectDepthsRotatedAt = snapshot.ObjectDepthsRotatedAt
+	r.link = snapshot.Link.concurrencyLimit()
+	r.retryTokens = snapshot.RetryTokens
+	r.meanSendTime = snapshot.MeanSendTime
+	r.fillTimeRatio = snapshot.FillTimeRatio
+	r.lastCleanup = snapshot.LastCleanup
+	r.windowCost = slices.Clone(snapshot.WindowCost)
+	r.costHistogram = slices.Clone(snapshot.TotalCost)
+	r.windowRequests = snapshot.WindowRequests
+	r.windowOpenedAt = snapshot.WindowOpenedAt
+	r.layout = r.restoreLayout(snapshot.Layout)
+	r.priorLayout = r.restoreLayout(snapshot.PriorLayout)
+	r.layoutChangedAt = snapshot.LayoutChangedAt
 }
 
 // snapshot returns the stored form of a member.
@@ -222,8 +222,8 @@
 }
 
 // concurrencyLimit returns the concurrency limit of a stored form.
-func (g LimitSnapshot) concurrencyLimit() concurrencyLimit {
-	return concurrencyLimit{limit: g.Limit, slowShare: g.SlowShare, loweredAt: g.LoweredAt, nextStart: g.NextStart}
+func (l LimitSnapshot) concurrencyLimit() concurrencyLimit {
+	return concurrencyLimit{limit: l.Limit, slowShare: l.SlowShare, loweredAt: l.LoweredAt, nextStart: l.NextStart}
 }
 
 // snapshot returns the stored form of a layout.
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -44,7 +44,7 @@
 		id := fmt.Sprint("q", i)
 		class := settings.Classes[rng.IntN(len(settings.Classes))].Name
 		actions := router.Handle(now, Request{ID: id, Class: class, Object: fmt.Sprint("o", rng.IntN(9)), Part: rng.IntN(12), Group: rng.IntN(3), KB: 30, Deadline: now + 900}, nil)
-		for n := 0; n < 9; n++ {
+		for attempt := 0; attempt < 9; attempt++ {
 			var send *Send
 			for _, a := range actions {
 				if found, ok := a.(Send); ok && found.ID == id {
@@ -57,7 +57,7 @@
 			now += Millis(rng.IntN(30))
 			results := []Result{OK, OK, Miss, Rejected, Errored, Reset, TimedOut}
 			result := results[rng.IntN(len(results))]
-			actions = router.Handle(now, Outcome{ID: id, Cache: send.Cache, Attempt: n, Result: result, Took: 12, Last: result == OK}, nil)
+			actions = router.Handle(now, Outcome{ID: id, Cache: send.Cache, Attempt: attempt, Result: result, Took: 12, Last: result == OK}, nil)
 		}
 		router.Handle(now, Gone{ID: id}, nil)
 	}
@@ -69,15 +69,15 @@
 func TestSnapshotRoundTrip(t *testing.T) {
 	for seed := range uint64(60) {
 		predecessor, now := trainedRouter(t, seed, 300)
-		memory := predecessor.Snapshot()
+		snapshot := predecessor.Snapshot()
 		successor, err := New(predecessor.settings, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		successor.Handle(now, Recalled{memory}, nil)
+		successor.Handle(now, Recalled{snapshot}, nil)
 		got := successor.Snapshot()
-		if got.At = memory.At; !reflect.DeepEqual(got, memory) {
-			t.Fatalf("seed %d: learned state\n%+v, want\n%+v", seed, got, memory)
+		if got.At = snapshot.At; !reflect.DeepEqual(got, snapshot) {
+			t.Fatalf("seed %d: learned state\n%+v, want\n%+v", seed, got, snapshot)
 		}
 		if !reflect.DeepEqual(predecessor.Ranges(), successor.Ranges()) {
 			t.Fatalf("seed %d: ranges %v, want %v", seed, successor.Ranges(), predecessor.Ranges())
@@ -94,10 +94,10 @@
 			if rng.IntN(6) == 0 {
 				ev = Timer{}
 			}
-			for n := range 8 {
+			for attempt := range 8 {
 				want, got := predecessor.Handle(now, ev, nil), successor.Handle(now, ev, nil)
 				if !reflect.DeepEqual(want, got) {
-					t.Fatalf("seed %d, step %d.%d: %+v gives %+v at the successor, %+v at the predecessor", seed, i, n, ev, got, want)
+					t.Fatalf("seed %d, step %d.%d: %+v gives %+v at the successor, %+v at the predecessor", seed, i, attempt, ev, got, want)
 				}
 				var send *Send
 				for _, act := range want {
@@ -113,7 +113,7 @@
 				}
 				now += 3
 				result := []Result{OK, Miss, Rejected, Reset}[rng.IntN(4)]
-				ev = Outcome{ID: id, Cache: send.Cache, Attempt: n, Result: result, Took: 3, Last: result == OK}
+				ev = Outcome{ID: id, Cache: send.Cache, Attempt: attempt, Result: result, Took: 3, Last: result == OK}
 			}
 		}
 	}
@@ -157,19 +157,19 @@
 	for router.members["b"].tokens > 0 && requestIsSentToCold(1000+int(router.members["b"].tokens*1e6)) {
 	}
 	router.Handle(now, Retired{On: true}, nil)
-	memory := router.Snapshot()
+	snapshot := router.Snapshot()
 	if n := sentToCold(100); n > 0 {
-		t.Errorf("a router with a successor sent %d requests to a cold cache", n)
+		t.Errorf("a router with a successor sent %d requests to a cold cache, want 0", n)
 	}
 	router.Handle(now, Retired{}, nil)
 	if n := sentToCold(200); n == 0 {
 		t.Error("a router whose successor did not start sends nothing to a cold cache")
 	}
 	successor, _ := New(settings, 1)
-	successor.Handle(now, Recalled{memory}, nil)
-	successor.Handle(now, Members{Full: true, Rows: []Member{memory.Members[0].Member, memory.Members[1].Member}}, nil)
-	if tokens := successor.members["b"].tokens; tokens != memory.Members[0].Tokens || successor.members["b"].ReadyAt != 1000 {
-		t.Errorf("the successor has %v tokens, the snapshot %v", tokens, memory.Members[0].Tokens)
+	successor.Handle(now, Recalled{snapshot}, nil)
+	successor.Handle(now, Members{Full: true, Rows: []Member{snapshot.Members[0].Member, snapshot.Members[1].Member}}, nil)
+	if tokens := successor.members["b"].tokens; tokens != snapshot.Members[0].Tokens || successor.members["b"].ReadyAt != 1000 {
+		t.Errorf("the successor has %v tokens, the snapshot %v; ReadyAt is %v, want 1000", tokens, snapshot.Members[0].Tokens, successor.members["b"].ReadyAt)
 	}
 	successor.Handle(now, Recalled{&Snapshot{Members: []MemberSnapshot{{Member: Member{ID: "x"}}}}}, nil)
 	if successor.members["x"] != nil {
