--- a/internal/proxy/engine/core.go
+++ b/internal/proxy/engine/core.go
@@ -230,10 +230,10 @@
 var (
 	ErrNoRoute        = &Rejection{404, "no-route", "no route fits the path"}
 	ErrMethod         = &Rejection{405, "bad-method", "the route does not take the method"}
-	ErrIdempotencyKey = &Rejection{400, "no-idempotency-key", "a write to this route needs an Idempotency-Key: add the field, with a different value for each write and the same value for its retries"}
-	ErrPart           = &Rejection{400, "bad-part", "the part in the path is not a whole number: write one, from 0"}
-	ErrRange          = &Rejection{416, "bad-range", "the range does not begin at a part: begin it at a multiple of the part size"}
-	ErrDeadline       = &Rejection{400, "bad-deadline", "the deadline is not a positive number of milliseconds: send one, or omit the field"}
+	ErrIdempotencyKey = &Rejection{400, "no-idempotency-key", "a write to this route needs an Idempotency-Key: add the field, with a value of its own for each write and the same one for its repeats"}
+	ErrPart           = &Rejection{400, "bad-part", "the part in the path is no whole number: write one, from 0"}
+	ErrRange          = &Rejection{416, "bad-range", "the range does not begin at a part: begin it at a multiple of the part's size"}
+	ErrDeadline       = &Rejection{400, "bad-deadline", "the deadline is no positive number of milliseconds: write one, or leave the field out"}
 )
 
 // Classify converts a request head into a request of the module, with the caller's id and
--- a/internal/proxy/httpfront/client.go
+++ b/internal/proxy/httpfront/client.go
@@ -636,7 +636,7 @@
 	c.close()
 }
 
-var errTooSlow = &http1.ProtocolError{Status: 408, Message: "request incomplete at the time limit"}
+var errTooSlow = &http1.ProtocolError{Status: 408, Message: "the request did not come whole within the limit"}
 
 // reset closes a connection with a TCP reset. For a client that does not read, this frees the
 // kernel's send buffer, up to megabytes, which would otherwise be kept until TCP gives up.
