--- a/internal/controlplane/service/agentstream.go
+++ b/internal/controlplane/service/agentstream.go
@@ -14,11 +14,16 @@
 	"google.golang.org/grpc/keepalive"
 )
 
-// clientStream is a service's stream at the agent, in either protocol. One goroutine
-// receives, another sends replies.
+// clientStream is the router's end of a stream to a service, in either protocol. One
+// goroutine receives, another sends replies.
 type clientStream interface {
+	// hello sends the stream's first request. accepted is the number of the version that
+	// the router has accepted; 0: none.
 	hello(router string, accepted int64) error
+	// recv receives the next version. A response that can't be decoded is no error: the
+	// result's fault says why, and the router rejects it.
 	recv() (offeredVersion, error)
+	// reply sends an ACK or a NACK.
 	reply(r reply) error
 }
 
--- a/internal/controlplane/service/delta.go
+++ b/internal/controlplane/service/delta.go
@@ -11,27 +11,30 @@
 	"google.golang.org/grpc"
 )
 
-// The incremental protocol sends only the differences from the pieces that a router has
-// accepted. Both sides know these from the protocol: initially the pieces named in the
-// stream's first request, then those of the last version acknowledged on the stream. The
-// next version is sent only after the response to the previous one, so that both sides
-// agree. If they disagree nevertheless, the checksum of the assembled settings does not
-// match, and the router opens a new stream that requests the complete settings.
-
-// deltaServerStream is a router's stream in the incremental protocol.
+// The incremental protocol transfers the settings in pieces. Each piece is one xDS resource,
+// whose version is a checksum of the piece's text; see splitPieces. The service sends only
+// the differences from the pieces that the router has accepted. Both sides know the accepted
+// pieces: initially they are those named in the stream's first request, then those of the
+// last version acknowledged on the stream. The service sends the next version only after the
+// router's reply (ACK or NACK) to the previous one, so that both sides agree. If they disagree
+// nevertheless, the checksum of the assembled settings does not match, and the router opens a
+// new stream that requests the complete settings.
+
+// deltaServerStream is the service's end of an incremental stream to one router.
 type deltaServerStream struct {
 	stream    grpc.BidiStreamingServer[discovery.DeltaDiscoveryRequest, discovery.DeltaDiscoveryResponse]
 	snapshots *snapshotCache
 	nonces    sentNonces
-	idle      chan struct{} // capacity 1; has a value while no version awaits its response
+	idle      chan struct{} // semaphore of capacity 1: has a value while no version awaits its reply
 
 	mu               sync.Mutex
-	accepted         *versionSnapshot  // what the router has accepted, if that is a cached snapshot
-	acceptedVersions map[string]string // otherwise the versions of the pieces it has
-	pending          *versionSnapshot  // sent, without a response yet
-	pendingNonce     string            // empty: none is pending
+	accepted         *versionSnapshot  // version that the router has accepted, if it is a cached snapshot; otherwise nil
+	acceptedVersions map[string]string // if accepted is nil: the checksums of the router's pieces, by name
+	pending          *versionSnapshot  // sent, without a reply yet; nil: none
+	pendingNonce     string            // nonce of pending; empty: none is pending
 }
 
+// hello implements serverStream.
 func (d *deltaServerStream) hello() (helloRequest, error) {
 	request, err := d.stream.Recv()
 	if err != nil {
@@ -48,6 +51,7 @@
 	return hello, checkFirstRequest(hello.router, request.GetTypeUrl())
 }
 
+// send implements serverStream. It waits for the reply to the previous version.
 func (d *deltaServerStream) send(v configversion.Version, service string) error {
 	select {
 	case <-d.idle:
@@ -79,6 +83,7 @@
 	}
 }
 
+// recv implements serverStream. Only the nonce of the pending version is known.
 func (d *deltaServerStream) recv() (versionResponse, bool, error) {
 	request, err := d.stream.Recv()
 	if err != nil {
@@ -99,18 +104,20 @@
 	return versionResponse{number: number, reasons: reasons}, true, nil
 }
 
-// errStateMismatch closes a stream whose two sides disagree about the router's pieces.
+// errStateMismatch closes a stream whose two sides disagree about which pieces the router has
+// accepted.
 var errStateMismatch = errors.New("control: the delta does not match the accepted settings; reconnecting for the complete settings")
 
-// deltaClientStream is a service's stream in the incremental protocol.
+// deltaClientStream is the router's end of an incremental stream to a service.
 type deltaClientStream struct {
 	stream grpc.BidiStreamingClient[discovery.DeltaDiscoveryRequest, discovery.DeltaDiscoveryResponse]
 
 	mu       sync.Mutex
-	accepted map[string]string            // pieces of the last acknowledged version
-	pending  map[string]map[string]string // pieces of offered versions, by nonce
+	accepted map[string]string            // pieces of the last acknowledged version, text by name
+	pending  map[string]map[string]string // pieces of offered versions, by nonce and name
 }
 
+// hello implements clientStream.
 func (d *deltaClientStream) hello(router string, accepted int64) error {
 	d.pending = map[string]map[string]string{}
 	return d.stream.Send(&discovery.DeltaDiscoveryRequest{
@@ -121,6 +128,8 @@
 	})
 }
 
+// recv implements clientStream. If the settings that result from a delta do not have the
+// version's checksum, the error is errStateMismatch.
 func (d *deltaClientStream) recv() (offeredVersion, error) {
 	response, err := d.stream.Recv()
 	if err != nil {
@@ -132,7 +141,7 @@
 		return offered, nil
 	}
 	if offered.version.Number == 0 || response.GetTypeUrl() != SettingsType {
-		offered.fault = fmt.Errorf("control: response has type %.80q and version %d", response.GetTypeUrl(), offered.version.Number)
+		offered.fault = fmt.Errorf("control: response has type %.80q and version %d, want type %s and a version above 0", response.GetTypeUrl(), offered.version.Number, SettingsType)
 		return offered, nil
 	}
 	d.mu.Lock()
@@ -143,15 +152,18 @@
 		return offered, nil
 	}
 	offered.version.Body = joinPieces(pieces)
+	// After a delta, a wrong checksum means that the two sides disagree about the accepted
+	// pieces, so the router reconnects for the complete settings. If no pieces were accepted
+	// yet, the response already has the complete settings; configversion.Machine rejects them.
 	if configversion.Checksum(offered.version.Body) != offered.version.Sum && len(d.accepted) > 0 {
-		return offered, errStateMismatch // wrong complete settings are rejected by the machine instead
+		return offered, errStateMismatch
 	}
 	d.pending[offered.nonce] = pieces
 	return offered, nil
 }
 
 // applyDelta returns the pieces that result from applying a response to the accepted
-// ones.
+// pieces.
 func applyDelta(accepted map[string]string, response *discovery.DeltaDiscoveryResponse) (map[string]string, error) {
 	pieces := map[string]string{}
 	maps.Copy(pieces, accepted)
@@ -165,13 +177,14 @@
 		}
 		name := resource.GetName()
 		if name == "" || pieceVersion(string(text)) != resource.GetVersion() {
-			return nil, fmt.Errorf("control: piece %.80q does not match its version %.40q", name, resource.GetVersion())
+			return nil, fmt.Errorf("control: piece %.80q has version %.40q, want a name and version %s", name, resource.GetVersion(), pieceVersion(string(text)))
 		}
 		pieces[name] = string(text)
 	}
 	return pieces, nil
 }
 
+// reply implements clientStream.
 func (d *deltaClientStream) reply(r reply) error {
 	d.acceptPending(r)
 	return d.stream.Send(&discovery.DeltaDiscoveryRequest{
@@ -182,7 +195,7 @@
 }
 
 // acceptPending makes the pieces of an offered version the accepted ones if the reply
-// is an ACK.
+// is an ACK. In any case it forgets the pieces of all pending versions.
 func (d *deltaClientStream) acceptPending(r reply) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/controlplane/service/pieces.go
+++ b/internal/controlplane/service/pieces.go
@@ -76,7 +76,7 @@
 	return slices.Index(pieceOrder[:], name)
 }
 
-// pieceVersion returns the version of a piece, a hash of its content.
+// pieceVersion returns the version of a piece: a checksum of its text.
 func pieceVersion(text string) string {
 	sum := sha256.Sum256([]byte(text))
 	return hex.EncodeToString(sum[:8])
--- a/internal/controlplane/service/resource.go
+++ b/internal/controlplane/service/resource.go
@@ -121,8 +121,8 @@
 // maxNonces is how many nonces of a stream are remembered.
 const maxNonces = 8
 
-// sentNonces maps the last nonces of a stream to versions. Responses to older nonces
-// must be ignored.
+// sentNonces maps the last nonces of a stream to versions. Replies with older nonces must
+// be ignored.
 type sentNonces struct {
 	mu      sync.Mutex
 	last    int
--- a/internal/controlplane/service/sotw.go
+++ b/internal/controlplane/service/sotw.go
@@ -13,7 +13,7 @@
 	"google.golang.org/protobuf/types/known/anypb"
 )
 
-// sotwServerStream is a router's stream in the state-of-the-world protocol.
+// sotwServerStream is the service's end of a state-of-the-world stream to one router.
 type sotwServerStream struct {
 	stream    grpc.BidiStreamingServer[discovery.DiscoveryRequest, discovery.DiscoveryResponse]
 	snapshots *snapshotCache
@@ -62,7 +62,7 @@
 	return versionResponse{number: number, reasons: reasonLines(request.GetErrorDetail())}, true, nil
 }
 
-// sotwClientStream is a service's stream in the state-of-the-world protocol.
+// sotwClientStream is the router's end of a state-of-the-world stream to a service.
 type sotwClientStream struct {
 	stream grpc.BidiStreamingClient[discovery.DiscoveryRequest, discovery.DiscoveryResponse]
 }
@@ -90,7 +90,7 @@
 	case response.GetTypeUrl() != SettingsType || len(resources) != 1:
 		offered.fault = fmt.Errorf("control: response has %d resources of type %.80q, want one of type %s", len(resources), response.GetTypeUrl(), SettingsType)
 	case offered.version.Number == 0:
-		offered.fault = errors.New("control: response has no version")
+		offered.fault = errors.New("control: response has version 0, want a version above 0")
 	default:
 		offered.version.Body, offered.fault = unmarshalResource(resources[0])
 	}
--- a/internal/controlplane/service/stream.go
+++ b/internal/controlplane/service/stream.go
@@ -16,15 +16,15 @@
 	"indigospool/internal/controlplane/rollout"
 )
 
-// serverStream is a router's stream at the server, in either protocol. One goroutine
-// sends, another receives.
+// serverStream is the service's end of a stream to one router, in either protocol. One
+// goroutine sends, another receives.
 type serverStream interface {
 	// hello receives the stream's first request.
 	hello() (helloRequest, error)
-	// send sends a version.
+	// send sends a version in the name of a service.
 	send(v configversion.Version, service string) error
-	// recv receives the next response. known is false if it has a stale or unknown nonce.
-	recv() (response versionResponse, known bool, err error)
+	// recv receives the next reply. known is false if it has a stale or unknown nonce.
+	recv() (reply versionResponse, known bool, err error)
 }
 
 // helloRequest is the content of a stream's first request.
@@ -180,18 +180,18 @@
 	}
 }
 
-// receiveResponses passes a router's responses to the rollout, until the stream ends.
+// receiveResponses passes a router's replies to the rollout, until the stream ends.
 func (s *Server) receiveResponses(router string, peer serverStream) error {
 	for {
-		response, known, err := peer.recv()
+		reply, known, err := peer.recv()
 		switch {
 		case err != nil:
 			return err
 		case !known: // stale or unknown nonce: ignored, as xDS requires
-		case response.reasons != nil:
-			s.handle(rollout.Nacked{Router: router, Number: response.number, Reasons: response.reasons})
+		case reply.reasons != nil:
+			s.handle(rollout.Nacked{Router: router, Number: reply.number, Reasons: reply.reasons})
 		default:
-			s.handle(rollout.Acked{Router: router, Number: response.number})
+			s.handle(rollout.Acked{Router: router, Number: reply.number})
 		}
 	}
 }
