--- a/internal/controlplane/service/delta.go
+++ b/internal/controlplane/service/delta.go
@@ -84,16 +84,16 @@
 }
 
 // recv implements serverStream. Only the nonce of the pending version is known.
-func (d *deltaServerStream) recv() (versionResponse, bool, error) {
+func (d *deltaServerStream) recv() (routerReply, bool, error) {
 	request, err := d.stream.Recv()
 	if err != nil {
-		return versionResponse{}, false, err
+		return routerReply{}, false, err
 	}
 	number, known := d.nonces.number(request.GetResponseNonce())
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !known || request.GetResponseNonce() != d.pendingNonce {
-		return versionResponse{}, false, nil
+		return routerReply{}, false, nil
 	}
 	reasons := reasonLines(request.GetErrorDetail())
 	if reasons == nil {
@@ -101,7 +101,7 @@
 	}
 	d.pending, d.pendingNonce = nil, ""
 	d.idle <- struct{}{}
-	return versionResponse{number: number, reasons: reasons}, true, nil
+	return routerReply{number: number, reasons: reasons}, true, nil
 }
 
 // errStateMismatch closes a stream whose two sides disagree about which pieces the router has
--- a/internal/controlplane/service/service_test.go
+++ b/internal/controlplane/service/service_test.go
@@ -185,11 +185,11 @@
 	if _, _, err := service.PushSources([]config.Source{{File: "x", Text: string(settingsText(3, ""))}}, true); err != nil {
 		t.Fatal(err)
 	}
-	plain := startRouter(t, false, "plain", 1, nil, service.Addr())
+	withoutCertificate := startRouter(t, false, "plain", 1, nil, service.Addr())
 	router := startRouterWith(t, AgentConfig{Router: "r", Services: []string{service.Addr()},
 		DialOptions: []grpc.DialOption{grpc.WithTransportCredentials(authority.certificateFiles(dir, "r", "r", time.Hour).ClientCredentials("control"))}})
 	waitFor(t, "the version over TLS", allRunning([]*testRouter{router}, 1))
-	if n, _ := plain.Running(); n != 0 {
+	if n, _ := withoutCertificate.Running(); n != 0 {
 		t.Error("a router without a certificate got a version")
 	}
 	if _, err := startService(t.TempDir(), `(cert "none.pem") (key "none.key") (authorities "none.ca")`, zap.NewNop()); err == nil ||
--- a/internal/controlplane/service/sotw.go
+++ b/internal/controlplane/service/sotw.go
@@ -50,16 +50,16 @@
 	})
 }
 
-func (s *sotwServerStream) recv() (versionResponse, bool, error) {
+func (s *sotwServerStream) recv() (routerReply, bool, error) {
 	request, err := s.stream.Recv()
 	if err != nil {
-		return versionResponse{}, false, err
+		return routerReply{}, false, err
 	}
 	number, known := s.nonces.number(request.GetResponseNonce())
 	if !known {
-		return versionResponse{}, false, nil
+		return routerReply{}, false, nil
 	}
-	return versionResponse{number: number, reasons: reasonLines(request.GetErrorDetail())}, true, nil
+	return routerReply{number: number, reasons: reasonLines(request.GetErrorDetail())}, true, nil
 }
 
 // sotwClientStream is the router's end of a state-of-the-world stream to a service.
--- a/internal/controlplane/service/stream.go
+++ b/internal/controlplane/service/stream.go
@@ -24,7 +24,7 @@
 	// send sends a version in the name of a service.
 	send(v configversion.Version, service string) error
 	// recv receives the next reply. known is false if it has a stale or unknown nonce.
-	recv() (reply versionResponse, known bool, err error)
+	recv() (reply routerReply, known bool, err error)
 }
 
 // helloRequest is the content of a stream's first request.
@@ -33,8 +33,8 @@
 	accepted int64 // number of the version that the router has accepted; 0: none
 }
 
-// versionResponse is a router's ACK or NACK of a version.
-type versionResponse struct {
+// routerReply is a router's ACK or NACK of a version.
+type routerReply struct {
 	number  int64
 	reasons []string // of a NACK; nil: an ACK
 }
@@ -128,7 +128,7 @@
 	// gRPC unblocks its calls to send and recv only when this function returns.
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return s.sendVersions(ctx, stream, peer) })
-	group.Go(func() error { return s.receiveResponses(stream.router, peer) })
+	group.Go(func() error { return s.receiveReplies(stream.router, peer) })
 	<-ctx.Done()
 	if err := context.Cause(ctx); err != io.EOF {
 		return err
@@ -180,8 +180,8 @@
 	}
 }
 
-// receiveResponses passes a router's replies to the rollout, until the stream ends.
-func (s *Server) receiveResponses(router string, peer serverStream) error {
+// receiveReplies passes a router's replies to the rollout, until the stream ends.
+func (s *Server) receiveReplies(router string, peer serverStream) error {
 	for {
 		reply, known, err := peer.recv()
 		switch {
