--- a/internal/controlplane/service/agent.go
+++ b/internal/controlplane/service/agent.go
@@ -161,9 +161,9 @@
 // AgentStatus is the status of an agent, for operators.
 type AgentStatus struct {
 	Running, Accepted int64  // numbers of versions; 0: none
-	Service           string // that is followed
+	Service           string // the service that is followed; empty: none
 	StreamState       string
-	Age               configversion.Millis // since the running version was last known to be the newest
+	Age               configversion.Millis // time since the running version was last known to be the newest
 	Versions          []configversion.Record
 	NotStored         int64     // number of a version that could not be stored yet; 0: none
 	StoreFault        error     // why the store can't be read or written; nil: it can
--- a/internal/controlplane/service/certificates_test.go
+++ b/internal/controlplane/service/certificates_test.go
@@ -129,19 +129,19 @@
 		bad := connect(c.files, c.service)
 		waitFor(t, c.name, warned(bad, c.want))
 		if n := bad.activations.Load(); n > 0 {
-			t.Errorf("%s: a version was received", c.name)
+			t.Errorf("%s: %d versions were activated, want none", c.name, n)
 		}
 		bad.Close()
 	}
 	// a valid certificate is accepted for its own router only
 	impostor := startRouterWith(t, AgentConfig{Router: "r9", Services: []string{listener.Addr().String()},
 		DialOptions: []grpc.DialOption{grpc.WithTransportCredentials(good.certificateFiles(dir, "r1", "r1", time.Hour).ClientCredentials("control.example.org"))}})
-	waitFor(t, "another router's name", warned(impostor, `is not valid for router "r9"`))
+	waitFor(t, "the rejection of another router's name", warned(impostor, `is not valid for router "r9"`))
 	impostor.Close()
 	// a router whose expired certificate is renewed connects without a restart
 	renewed := good.certificateFiles(dir, "r5", "r5", -time.Hour)
 	renewedRouter := connect(renewed, "control.example.org")
-	waitFor(t, "its rejection", warned(renewedRouter, `certificate of "r5"`))
+	waitFor(t, "the rejection of the expired certificate", warned(renewedRouter, `certificate of "r5"`))
 	time.Sleep(20 * time.Millisecond) // gives the renewed files another modification time
 	good.issue(renewed, "r5", time.Hour)
 	waitFor(t, "the renewed router", allRunning([]*testRouter{renewedRouter}, 1))
@@ -160,9 +160,9 @@
 	os.Chtimes(certificates.Cert, time.Now(), time.Now().Add(time.Minute))
 	certificates.checkedAt = time.Time{}
 	if loaded, err := certificates.current(false); err != nil || loaded == nil || !strings.Contains(warning, "stay in force") {
-		t.Errorf("a damaged file: %v, %v, %q", loaded, err, warning)
+		t.Errorf("damaged file: certificates %v, error %v, warning %q; want the earlier certificates and \"stay in force\"", loaded, err, warning)
 	}
 	if err := (&CertificateFiles{Cert: "nowhere", Key: "x", Authorities: "x"}).Load(); err == nil || !strings.Contains(err.Error(), "nowhere") {
-		t.Errorf("no file: %v", err)
+		t.Errorf("missing file: %v, want an error that names it", err)
 	}
 }
--- a/internal/controlplane/service/delta_test.go
+++ b/internal/controlplane/service/delta_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// In the incremental protocol, changing one member sends about the size of that member,
-// also after a reconnect, and the received version is identical to the byte.
+// In the incremental protocol, a change of one member sends about the size of that member,
+// also after a reconnect, and the received version is identical to the pushed one.
 func TestDeltaSendsOnlyChanges(t *testing.T) {
 	stateStore, sent := &memoryStateStore{}, &byteCounter{}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -50,34 +50,34 @@
 	waitFor(t, "version 1", allRunning([]*testRouter{router}, 1))
 	complete := sent.sent.Swap(0)
 	if complete < int64(len(first)) {
-		t.Fatalf("only %d bytes were sent for a version of %d bytes", complete, len(first))
+		t.Fatalf("only %d bytes were sent for the first version of %d bytes, want at least as many", complete, len(first))
 	}
 	server.PushUnchecked(second, true)
 	waitFor(t, "version 2", allRunning([]*testRouter{router}, 2))
 	if n := sent.sent.Swap(0); n > 400 {
-		t.Errorf("an added member took %d bytes; the complete settings have %d", n, len(second))
+		t.Errorf("adding a member sent %d bytes, want at most 400; the complete settings have %d", n, len(second))
 	}
 	if v := router.acceptedVersion(); string(v.Body) != string(second) {
-		t.Errorf("received %d bytes, want %d", len(v.Body), len(second))
+		t.Errorf("received settings of %d bytes, want the pushed settings of %d bytes", len(v.Body), len(second))
 	}
 	server.mu.Lock()
 	for _, status := range server.streams {
-		status.cancel(errors.New("cut by the test"))
+		status.cancel(errors.New("stream closed by the test"))
 	}
 	server.mu.Unlock()
-	waitFor(t, "the stream again", func() bool {
+	waitFor(t, "the new stream", func() bool {
 		status := server.Status().Routers
 		return len(status) == 1 && status[0].Connected && router.streaming()
 	})
 	server.PushUnchecked(canonical(t, 300, ""), true)
 	waitFor(t, "version 3", allRunning([]*testRouter{router}, 3))
 	if n := sent.sent.Swap(0); n > 800 {
-		t.Errorf("after a reconnect, a removed member took %d bytes", n)
+		t.Errorf("after a reconnect, removing a member sent %d bytes, want at most 800", n)
 	}
 }
 
-// If the two sides disagree about the router's pieces, the checksum does not match, and
-// the complete settings are sent on a second stream.
+// If the two sides disagree about which pieces the router has accepted, the checksum does not
+// match, and the complete settings are sent on a second stream.
 func TestDeltaStateMismatch(t *testing.T) {
 	stateStore := &memoryStateStore{}
 	server, addr := startServer(t, "127.0.0.1:0", stateStore, 50)
@@ -96,9 +96,9 @@
 	go grpcServer.Serve(listener)
 	defer grpcServer.Stop()
 	router = startRouter(t, false, "r", 1, nil, listener.Addr().String())
-	waitFor(t, "the complete settings, in the second stream", allRunning([]*testRouter{router}, 3))
+	waitFor(t, "the complete settings on the second stream", allRunning([]*testRouter{router}, 3))
 	if n := mismatched.streams.Load(); n != 2 {
-		t.Errorf("%d streams, want 2", n)
+		t.Errorf("the router opened %d streams, want 2", n)
 	}
 }
 
--- a/internal/controlplane/service/folder_test.go
+++ b/internal/controlplane/service/folder_test.go
@@ -30,13 +30,13 @@
 		t.Fatal("a push was acknowledged that was not persisted")
 	}
 	if delay := service.offerFolder(); delay >= folderPollInterval {
-		t.Errorf("the folder is read again only after %v", delay)
+		t.Errorf("the folder is read again only after %v, want less than %v", delay, folderPollInterval)
 	}
 	files.setFault(nil)
 	waitFor(t, "the service's recovery", func() bool { return service.View().StateFault == "" })
 	service.offerFolder()
 	if v := service.View(); v.Last != 2 {
-		t.Errorf("the folder's content was not offered: %+v", v)
+		t.Errorf("status after the fault: %+v, want Last 2: the folder's content", v)
 	}
 }
 
@@ -70,9 +70,9 @@
 		}).All()) == 1
 	})
 	write("20-members.edn", text[firstMember:]+"(member more (zone z) (address \"127.0.0.1:1\"))")
-	waitFor(t, "the second", func() bool { return service.View().Last == 2 })
+	waitFor(t, "the folder's second version", func() bool { return service.View().Last == 2 })
 	service.Halt("by the test") // without routers, the rollout stays in its first stage
-	waitFor(t, "the old content as a third", func() bool { v := service.View(); return v.Base == 3 && v.Next == 0 })
+	waitFor(t, "the content of version 1 as version 3", func() bool { v := service.View(); return v.Base == 3 && v.Next == 0 })
 	service.Close()
 	if service, err = startService(dir, fmt.Sprintf("(folder %q)", folder), zap.NewNop()); err != nil {
 		t.Fatal(err)
@@ -80,8 +80,8 @@
 	defer service.Close()
 	time.Sleep(2 * folderSettleTime)
 	if v := service.View(); v.Last != 3 {
-		t.Errorf("halted content was offered again: %+v", v)
+		t.Errorf("status after the restart: %+v, want Last 3: the halted content is not offered again", v)
 	}
 	write("30-more.edn", "(limits (held 777))")
-	waitFor(t, "the next change", func() bool { return service.View().Last == 4 })
+	waitFor(t, "the next change of the folder", func() bool { return service.View().Last == 4 })
 }
--- a/internal/controlplane/service/harness_test.go
+++ b/internal/controlplane/service/harness_test.go
@@ -137,7 +137,8 @@
 	m.err = err
 }
 
-// startServer starts a server at an address, with a minimum stage time in ms.
+// startServer starts a server at an address, with a minimum stage time in ms, and returns it
+// and its address.
 func startServer(t testing.TB, addr string, store *memoryStateStore, minStageTime float64) (*Server, string) {
 	var listener net.Listener
 	var err error
@@ -158,7 +159,7 @@
 	return server, listener.Addr().String()
 }
 
-// bothProtocols runs a test with each protocol.
+// bothProtocols runs a test with each protocol; full is true for the state-of-the-world one.
 func bothProtocols(t *testing.T, f func(t *testing.T, full bool)) {
 	t.Run("full", func(t *testing.T) { f(t, true) })
 	t.Run("delta", func(t *testing.T) { f(t, false) })
@@ -172,7 +173,8 @@
 	warnings    []string
 }
 
-// startRouter starts an agent; full selects the state-of-the-world protocol.
+// startRouter starts an agent with a name, a seed, a store (nil: none) and the addresses of
+// its services. full selects the state-of-the-world protocol.
 func startRouter(t testing.TB, full bool, name string, seed uint64, store *configstore.Store, services ...string) *testRouter {
 	return startRouterWith(t, AgentConfig{Router: name, Services: services, Seed: seed, Store: store, StateOfTheWorld: full, Machine: configversion.MachineSettings{Jitter: 50}})
 }
--- a/internal/controlplane/service/pieces_test.go
+++ b/internal/controlplane/service/pieces_test.go
@@ -10,8 +10,8 @@
 	"indigospool/internal/config"
 )
 
-// For any settings, joining the pieces gives the text to the byte, and the pieces that
-// differ transform one text into the other.
+// For any text, joining its pieces gives the same text. Replacing, adding and removing the
+// pieces that differ between two texts transforms the first text into the second.
 func TestSplitAndJoinPieces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		drawText := func(name string) []byte {
@@ -36,7 +36,7 @@
 		from, to := drawText("a"), drawText("b")
 		fromPieces, toPieces := splitPieces(from), splitPieces(to)
 		if string(joinPieces(fromPieces)) != string(from) || string(joinPieces(toPieces)) != string(to) {
-			t.Fatalf("%q came back as %q", from, joinPieces(fromPieces))
+			t.Fatalf("pieces of %q joined: %q; pieces of %q joined: %q; want the same texts", from, joinPieces(fromPieces), to, joinPieces(toPieces))
 		}
 		pieces := maps.Clone(fromPieces)
 		for name, text := range toPieces {
@@ -50,7 +50,7 @@
 			}
 		}
 		if string(joinPieces(pieces)) != string(to) {
-			t.Fatalf("from\n%q to\n%q came\n%q", from, to, joinPieces(pieces))
+			t.Fatalf("first text\n%q updated to\n%q, want the second text\n%q", from, joinPieces(pieces), to)
 		}
 	})
 }
@@ -59,11 +59,11 @@
 func TestOneMemberIsOnePiece(t *testing.T) {
 	before, after := splitPieces(canonical(t, 12, "")), splitPieces(canonical(t, 13, ""))
 	if len(before) < 12 || len(after) != len(before)+1 {
-		t.Fatalf("%d and %d pieces", len(before), len(after))
+		t.Fatalf("%d pieces with 12 members, %d with 13; want at least 12 and one more", len(before), len(after))
 	}
 	for name := range before {
 		if before[name] != after[name] {
-			t.Errorf("piece %s differs", name)
+			t.Errorf("piece %s was changed by adding a member: %q, want %q", name, after[name], before[name])
 		}
 	}
 }
--- a/internal/controlplane/service/service_test.go
+++ b/internal/controlplane/service/service_test.go
@@ -20,7 +20,9 @@
 	"indigospool/internal/controlplane/configstore"
 )
 
-const childEnv = "CONTROL_TEST_CHILD" // folder of the service in the child process, which is killed
+// childEnv is the environment variable that makes the test program run childService. It holds
+// the folder of the service.
+const childEnv = "CONTROL_TEST_CHILD"
 
 func TestMain(m *testing.M) {
 	if dir := os.Getenv(childEnv); dir != "" {
@@ -66,9 +68,9 @@
 	return cmd, bufio.NewScanner(stdout)
 }
 
-// A service killed at any moment continues from its persisted state: no number is
-// assigned to two contents, numbers do not decrease, and the service keeps its
-// identity.
+// A service killed at any moment continues from its persisted state: each new version gets
+// a number above all earlier ones, no number is assigned to two contents, and the service
+// keeps its name.
 func TestServiceKilled(t *testing.T) {
 	dir := t.TempDir()
 	random := rand.New(rand.NewPCG(1, 2))
@@ -93,7 +95,7 @@
 				t.Fatalf("number %d was assigned to two contents", number)
 			}
 			if number <= last {
-				t.Fatalf("number %d was assigned after %d", number, last)
+				t.Fatalf("number %d was assigned after %d, want a higher one", number, last)
 			}
 			sums[number], last = sum, number
 			return true
@@ -118,7 +120,7 @@
 		last, name = view.Last, view.Service
 	}
 	if len(sums) < 30 {
-		t.Errorf("only %d versions were pushed", len(sums))
+		t.Errorf("only %d versions were pushed, want at least 30", len(sums))
 	}
 }
 
@@ -160,13 +162,13 @@
 	}
 	defer service.Close()
 	if logs.FilterMessageSnippet("was damaged").Len() != 1 {
-		t.Errorf("logged: %+v", logs.All())
+		t.Errorf("logged: %+v, want one message with \"was damaged\"", logs.All())
 	}
 	router = startRouter(t, false, "r", 2, store, service.Addr())
-	waitFor(t, "the number of the router", func() bool { return service.View().Last == last })
+	waitFor(t, "the number that the router has accepted", func() bool { return service.View().Last == last })
 	n, err := service.PushUnchecked(settingsText(4, ""), true)
 	if err != nil || n != last+1 {
-		t.Fatal(n, err)
+		t.Fatalf("pushed version %d, %v, want %d", n, err, last+1)
 	}
 	waitFor(t, "the next number", allRunning([]*testRouter{router}, last+1))
 }
@@ -190,10 +192,10 @@
 		DialOptions: []grpc.DialOption{grpc.WithTransportCredentials(authority.certificateFiles(dir, "r", "r", time.Hour).ClientCredentials("control"))}})
 	waitFor(t, "the version over TLS", allRunning([]*testRouter{router}, 1))
 	if n, _ := withoutCertificate.Running(); n != 0 {
-		t.Error("a router without a certificate got a version")
+		t.Errorf("a router without a certificate runs version %d, want none", n)
 	}
 	if _, err := startService(t.TempDir(), `(cert "none.pem") (key "none.key") (authorities "none.ca")`, zap.NewNop()); err == nil ||
 		!strings.Contains(err.Error(), "none.pem") {
-		t.Errorf("missing files: %v", err)
+		t.Errorf("started without certificate files: %v, want an error that names none.pem", err)
 	}
 }
--- a/internal/controlplane/service/settings_test.go
+++ b/internal/controlplane/service/settings_test.go
@@ -27,13 +27,13 @@
 		}
 	}
 	if _, err := ReadFolder(t.TempDir()); err == nil || !strings.Contains(err.Error(), "holds no file *.edn") {
-		t.Errorf("an empty folder: %v", err)
+		t.Errorf("empty folder: %v, want an error that it holds no file", err)
 	}
 	var rejected *RejectedError
 	server := NewServer(ServerConfig{Name: "x"})
 	defer server.Stop()
 	_, _, err := server.PushSources([]config.Source{{File: "f", Text: "(router)"}}, false)
 	if !errors.As(err, &rejected) || server.Status().State.LastNumber != 0 {
-		t.Errorf("%v, %+v", err, server.Status().State)
+		t.Errorf("push of invalid settings: %v, state %+v; want a RejectedError and no number assigned", err, server.Status().State)
 	}
 }
--- a/internal/controlplane/service/storefault.go
+++ b/internal/controlplane/service/storefault.go
@@ -47,7 +47,7 @@
 )
 
 // persistFault is what a server defers while its state can't be persisted. Meanwhile
-// the rollout's clock is paused, because routers can't answer versions that are not
+// the rollout's clock is paused, because routers can't reply to versions that are not
 // sent.
 type persistFault struct {
 	since           time.Time
@@ -78,8 +78,8 @@
 	s.recordEvent("persisting the state failed; nothing is offered until it succeeds: %v", err)
 }
 
-// persistError returns why nothing is accepted, or nil if the state can be persisted.
-// queued reports that the request was deferred.
+// persistError returns a *PersistError while the state can't be persisted, and otherwise
+// nil. queued is PersistError.Queued.
 func (s *Server) persistError(queued bool) error {
 	if s.persistFault == nil {
 		return nil
@@ -96,7 +96,7 @@
 	case rollout.Disconnected:
 		*events = append(*events, event)
 	case rollout.Acked, rollout.Nacked:
-		if len(*events) < 4*s.cfg.MaxStreams { // bounds memory: routers may send any number of answers
+		if len(*events) < 4*s.cfg.MaxStreams { // bounds memory: routers may send any number of replies
 			*events = append(*events, event)
 		}
 	}
--- a/internal/controlplane/service/storefault_test.go
+++ b/internal/controlplane/service/storefault_test.go
@@ -30,7 +30,7 @@
 	for name, path := range steps {
 		for _, errno := range []syscall.Errno{syscall.EIO, syscall.ENOSPC} {
 			for _, onlySync := range []bool{false, true} {
-				t.Run(fmt.Sprintf("%s/%v/synced %v", name, errno, !onlySync), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s/%v/only syncs fail %v", name, errno, onlySync), func(t *testing.T) {
 					t.Parallel()
 					testServiceStoreFault(t, path, &faultyFiles{onlySync: onlySync}, errno)
 				})
@@ -79,23 +79,23 @@
 	code, answer := adminRequest(t, service, "POST", step, text(4))
 	var result PushResult
 	if err := json.Unmarshal(answer, &result); err != nil || code != http.StatusServiceUnavailable || result.Error == "" {
-		t.Fatalf("%s: %d %s", step, code, answer)
+		t.Fatalf("%s while nothing can be persisted: %d %s, want %d and an error", step, code, answer, http.StatusServiceUnavailable)
 	}
 	if code, answer := adminRequest(t, service, "POST", "/push?now", text(4)); code != http.StatusServiceUnavailable {
-		t.Errorf("pushed while nothing can be persisted: %d %s", code, answer)
+		t.Errorf("push while nothing can be persisted: %d %s, want %d", code, answer, http.StatusServiceUnavailable)
 	}
 	var notPersisted *PersistError
 	if err := service.Halt("x"); !errors.As(err, &notPersisted) || notPersisted.Queued || status.Code(err) != codes.Unavailable || !errors.Is(err, errno) {
-		t.Errorf("halted while nothing can be persisted: %v", err)
+		t.Errorf("halt while nothing can be persisted: %v, want a PersistError that is not queued, with code Unavailable and cause %v", err, errno)
 	}
 	other := startRouter(t, false, "other", 2, nil, service.Addr())
 	time.Sleep(700 * time.Millisecond)
 	if n, _ := other.Running(); n != 0 || highest() != lastOffered {
-		t.Errorf("offered while nothing can be persisted: %d, then %d; the new router runs %d", lastOffered, highest(), n)
+		t.Errorf("highest version offered before the fault: %d, during it: %d, want no other; the new router runs version %d, want none", lastOffered, highest(), n)
 	}
 	view := service.View()
 	if view.StateFault == "" || view.StateFaultSince == "" || view.StateFaultMs < 600 || view.Base != before.Base || view.Next != before.Next || view.Last != before.Last {
-		t.Errorf("status is %+v, was %+v", view, before)
+		t.Errorf("status during the fault: %+v, want a state fault of at least 600 ms and the numbers of %+v", view, before)
 	}
 	copied, err := os.ReadFile(path) // the state after a kill
 	if err != nil {
@@ -132,11 +132,11 @@
 	}
 	restarted := startServiceOn(t, configstore.Disk{}, killed, 20, nil)
 	if v := restarted.View(); v.Last < before.Last || v.Base < before.Base || v.Service != before.Service {
-		t.Errorf("after a kill: %+v, but %+v was acknowledged", v, before)
+		t.Errorf("after a kill: status %+v, want no lower numbers and no other name than in %+v", v, before)
 	}
 	for number := int64(1); number <= before.Last; number++ {
 		if v, _, err := restarted.store.Version(number); err != nil || v.Number != number {
-			t.Errorf("after a kill: version %d: %v", number, err)
+			t.Errorf("after a kill: version %d is read as version %d: %v", number, v.Number, err)
 		}
 	}
 }
@@ -163,10 +163,10 @@
 	began := rolloutTime()
 	time.Sleep(500 * time.Millisecond)
 	stateStore.setFault(nil)
-	waitFor(t, "the state", func() bool { return server.Status().PersistError == nil })
+	waitFor(t, "the state to be persisted", func() bool { return server.Status().PersistError == nil })
 	if passed := rolloutTime() - began; passed >= 500 {
-		t.Errorf("the rollout's clock advanced by %v ms while nothing could be offered", passed)
+		t.Errorf("the rollout's clock advanced by %v ms while nothing could be offered, want less than 500", passed)
 	}
-	waitFor(t, "a push", func() bool { _, err := server.PushUnchecked(settingsText(5, ""), true); return err == nil })
-	waitFor(t, "the newest", func() bool { n, _ := router.Running(); return n == stateStore.get().Base.Number })
+	waitFor(t, "a push that is persisted", func() bool { _, err := server.PushUnchecked(settingsText(5, ""), true); return err == nil })
+	waitFor(t, "the newest version on the router", func() bool { n, _ := router.Running(); return n == stateStore.get().Base.Number })
 }
--- a/internal/controlplane/service/stream_test.go
+++ b/internal/controlplane/service/stream_test.go
@@ -21,7 +21,7 @@
 		}
 		waitFor(t, "the streams", func() bool { return len(server.Status().Routers) == 8 })
 		if n, err := server.PushUnchecked(settingsText(3, ""), false); n != 1 || err != nil {
-			t.Fatal(n, err)
+			t.Fatalf("pushed version %d, %v, want 1", n, err)
 		}
 		waitFor(t, "version 1 on all routers", allRunning(routers, 1))
 		server.PushUnchecked(settingsText(4, ""), false)
@@ -29,7 +29,7 @@
 		server.PushUnchecked(settingsText(3, "(zone y (routers 1))"), false) // a zone with routers but without caches
 		waitFor(t, "the halt", func() bool { return stateStore.get().HaltReason != "" })
 		if !strings.Contains(stateStore.get().HaltReason, "1 of 1 routers rejected it") || !strings.Contains(stateStore.get().HaltReason, "zone/y: no cache is listed there") {
-			t.Errorf("halted: %q", stateStore.get().HaltReason)
+			t.Errorf("reason of the halt: %q, want one rejection because of zone/y in it", stateStore.get().HaltReason)
 		}
 		waitFor(t, "the old content under a new number", allRunning(routers, 4))
 		rejecting := 0
@@ -39,7 +39,7 @@
 			}
 		}
 		if rejecting != 1 {
-			t.Errorf("%d routers were offered the bad version", rejecting)
+			t.Errorf("%d routers have rejected version 3, want 1: the only router of the first stage", rejecting)
 		}
 		server.Stop()
 		time.Sleep(100 * time.Millisecond)
@@ -58,8 +58,8 @@
 	})
 }
 
-// A service offers nothing while its state can't be persisted, since it could forget
-// that.
+// A service offers nothing while its state can't be persisted, since after a restart it could
+// assign the number of an offered version again.
 func TestNothingIsOfferedWhenStateIsNotPersisted(t *testing.T) {
 	bothProtocols(t, func(t *testing.T, full bool) {
 		stateStore := &memoryStateStore{err: errors.New("no space left")}
@@ -67,17 +67,16 @@
 		router := startRouter(t, full, "r", 1, nil, addr)
 		waitFor(t, "the stream", func() bool { return len(server.Status().Routers) == 1 })
 		if _, err := server.PushUnchecked(settingsText(3, ""), true); err == nil || !strings.Contains(err.Error(), "no space left") {
-			t.Errorf("push: %v", err)
+			t.Errorf("push: %v, want an error with \"no space left\"", err)
 		}
 		time.Sleep(50 * time.Millisecond)
 		if n, _ := router.Running(); n != 0 {
-			t.Errorf("version %d was offered", n)
+			t.Errorf("router runs version %d, want none to be offered", n)
 		}
 	})
 }
 
-// A version of 5 MB is received, from the second service, since the first does not
-// answer.
+// A version of 5 MB is received from the second service if the first one does not answer.
 func TestLargeVersionAndSecondService(t *testing.T) {
 	bothProtocols(t, func(t *testing.T, full bool) {
 		stateStore := &memoryStateStore{}
@@ -114,7 +113,7 @@
 }
 
 // A version above the message size limit is not received, and the router keeps its
-// version. A slow connection is followed nevertheless.
+// version. A router also receives versions over a slow connection.
 func TestOversizedVersionAndSlowService(t *testing.T) {
 	bothProtocols(t, func(t *testing.T, full bool) {
 		stateStore := &memoryStateStore{}
@@ -125,10 +124,10 @@
 		server.PushUnchecked(settingsText(3, "; "+strings.Repeat("x", 33<<20)), true)
 		waitFor(t, "the rejection", func() bool { return router.warned("larger than max") })
 		if n, _ := router.Running(); n != 1 {
-			t.Fatalf("runs %d", n)
+			t.Fatalf("router runs version %d, want 1", n)
 		}
 		server.PushUnchecked(settingsText(4, ""), true)
-		waitFor(t, "the next", allRunning([]*testRouter{router}, 3))
+		waitFor(t, "version 3", allRunning([]*testRouter{router}, 3))
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -187,14 +186,14 @@
 			server.Stop()
 			time.Sleep(20 * time.Millisecond)
 			if !allRunning(routers, 1)() {
-				t.Fatalf("flap %d: not all run version 1", i)
+				t.Fatalf("after stop %d of the service: not all routers run version 1", i+1)
 			}
 			server, _ = startServer(t, addr, stateStore, 50)
 			time.Sleep(30 * time.Millisecond)
 		}
 		for _, router := range routers {
 			if n := router.activations.Load(); n != 1 {
-				t.Errorf("version 1 was activated %d times", n)
+				t.Errorf("versions were activated %d times, want once: version 1", n)
 			}
 		}
 		server.PushUnchecked(settingsText(4, ""), true)
