--- a/internal/testbed/scenario/calls.go
+++ b/internal/testbed/scenario/calls.go
@@ -10,19 +10,19 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// The connections whose reads and writes a syscalls fault affects.
+// Values of processFault.Peer: the connections whose reads and writes a syscalls fault affects.
 const (
-	peerAll     = ""        // all
-	peerMembers = "members" // those to members, which the process has opened
-	peerClients = "clients" // those of clients, which the process has accepted
+	peerAll     = ""        // all connections
+	peerMembers = "members" // connections that the process has opened, such as a router's to a cache
+	peerClients = "clients" // connections that the process has accepted from clients
 )
 
-// faultyCalls implements the system calls of a process's event loop. It uses the kernel's,
-// and during a syscalls fault those of the fault's plan. Its methods are called by the loop's
-// goroutine only; the injector may start a fault concurrently.
+// faultyCalls implements the system calls of a process's event loop. It makes the kernel's
+// system calls, and during a syscalls fault lets calls fail as the fault's plan says. Its
+// methods are called by the loop's goroutine only; the injector may start a fault concurrently.
 type faultyCalls struct {
 	faults   *injector
-	accepted map[int]bool // whether the latest connection of a descriptor was accepted
+	accepted map[int]bool // by descriptor: whether its latest connection was accepted from a client, rather than opened
 }
 
 var _ eventloop.Syscalls = (*faultyCalls)(nil)
@@ -36,16 +36,17 @@
 	calls *faultinject.Syscalls
 	plan  faultinject.Plan
 	peer  string
-	until float64 // see trafficlog.Now
+	until float64 // end of the fault, see trafficlog.Now
 }
 
-// newPlannedCalls parses the plan of a fault. The plan's time spans count from now.
+// newPlannedCalls parses the plan of a fault. The plan's time spans count from the call of
+// newPlannedCalls.
 func newPlannedCalls(fault processFault) (*plannedCalls, error) {
 	plan, err := faultinject.Parse(fault.Plan)
 	if err != nil {
 		return nil, fmt.Errorf("day: parse the plan of a syscalls fault: %w", err)
 	}
-	seed := uint64(fault.Until)
+	seed := uint64(fault.Until) // the same in all processes that the fault affects
 	return &plannedCalls{faultinject.New(plan, seed, faultinject.StartClock()), plan, fault.Peer, fault.Until}, nil
 }
 
@@ -62,7 +63,8 @@
 	return made, failed
 }
 
-// current returns the system calls to use at present.
+// current returns the system calls to use now for all calls but reads and writes. A syscalls
+// fault affects these calls whatever its peer is.
 func (c *faultyCalls) current() eventloop.Syscalls {
 	if planned := c.faults.calls.Load(); planned != nil && trafficlog.Now() < planned.until {
 		return planned.calls
@@ -70,7 +72,8 @@
 	return eventloop.Kernel
 }
 
-// forConnection returns the system calls to use at present for a connection.
+// forConnection returns the system calls to use now for reads and writes on a connection. A
+// syscalls fault affects them only on connections of its peer.
 func (c *faultyCalls) forConnection(fd int) eventloop.Syscalls {
 	planned := c.faults.calls.Load()
 	switch {
--- a/internal/testbed/scenario/inject_test.go
+++ b/internal/testbed/scenario/inject_test.go
@@ -25,7 +25,8 @@
 	"indigospool/internal/wallclock"
 )
 
-// told returns the standard input of a process with startup faults and later ones.
+// told returns the standard input of a process that gets the faults begin at its start
+// and the faults more later.
 func told(t *testing.T, begin []processFault, more ...processFault) *bufio.Reader {
 	t.Helper()
 	line, err := json.Marshal(processStart{Faults: begin})
@@ -42,8 +43,8 @@
 	return bufio.NewReader(strings.NewReader(text))
 }
 
-// A process applies its startup faults and those that it receives later, each until its end.
-// An unknown fault is an error.
+// A process applies its startup faults and those that it receives later, each until its Until
+// time or until a later fault of its kind replaces it. An unknown fault is an error.
 func TestProcessFaults(t *testing.T) {
 	now := trafficlog.Now()
 	full := processFault{Kind: FolderFault, Errno: "ENOSPC", Until: now + 60_000}
@@ -58,9 +59,9 @@
 		{"none", nil, nil, nil},
 		{"from the start", []processFault{full}, nil, unix.ENOSPC},
 		{"later", nil, []processFault{broken}, unix.EIO},
-		{"one after the other", []processFault{full}, []processFault{broken}, unix.EIO},
-		{"ended", []processFault{over}, nil, nil},
-		{"ended before the last", []processFault{full}, []processFault{over}, nil},
+		{"replaced by a later fault", []processFault{full}, []processFault{broken}, unix.EIO},
+		{"already ended", []processFault{over}, nil, nil},
+		{"replaced by a fault that has already ended", []processFault{full}, []processFault{over}, nil},
 	} {
 		in := told(t, c.begin, c.more...)
 		faults, err := newInjector(in, io.Discard)
@@ -69,19 +70,19 @@
 		}
 		faults.readFaults(in)
 		if err := faults.folderErr(); !errors.Is(err, c.want) {
-			t.Errorf("%s: the folder gives %v, want %v", c.name, err, c.want)
+			t.Errorf("%s: error of a write in the folder is %v, want %v", c.name, err, c.want)
 		}
 	}
 	if _, err := newInjector(told(t, []processFault{{Kind: "earthquake"}}), io.Discard); err == nil {
-		t.Error("an unknown fault was started")
+		t.Error("a fault of the unknown kind \"earthquake\" was started, want an error")
 	}
 	if _, err := newInjector(bufio.NewReader(strings.NewReader("")), io.Discard); err == nil {
-		t.Error("a process started without startup faults on its input")
+		t.Error("the injector started without the line of startup faults, want an error")
 	}
 }
 
-// During a folder-fault writing, creating, renaming and syncing fail, and existing files can
-// be read. After it all calls work.
+// During a folder-fault, writing, creating, renaming and syncing fail, but existing files can
+// be opened. After the fault, all calls succeed.
 func TestFolderFault(t *testing.T) {
 	faults := &injector{report: io.Discard}
 	dir := t.TempDir()
@@ -122,14 +123,14 @@
 	for name, call := range calls {
 		faults.folder.Store(&folderFault{processFault: processFault{Errno: "ENOSPC", Until: trafficlog.Now() + 60_000}})
 		if err := call(); !errors.Is(err, unix.ENOSPC) {
-			t.Errorf("%s in a full folder: %v", name, err)
+			t.Errorf("%s in a full folder: %v, want ENOSPC", name, err)
 		}
 		if _, err := folder.Open("a", false); err != nil {
 			t.Errorf("an existing file can't be opened in a full folder: %v", err)
 		}
 		faults.folder.Store(&folderFault{processFault: processFault{Errno: "ENOSPC", Until: trafficlog.Now()}})
 		if err := call(); err != nil {
-			t.Errorf("%s after the fault: %v", name, err)
+			t.Errorf("%s after the fault: %v, want no error", name, err)
 		}
 	}
 }
@@ -159,7 +160,7 @@
 		name   string
 		until  float64 // end of the folder-fault, ms from now; 0: no fault
 		err    error
-		calls  int // number of calls that fail; -1: all
+		calls  int // number of the first calls that fail; -1: all
 		called int // expected number of calls
 		want   error
 	}{
@@ -184,7 +185,9 @@
 	}
 }
 
+// Scripts with an invalid process fault are rejected with the reason.
 func TestProcessFaultScripts(t *testing.T) {
+	// by lines that are added to the script short: a part of the error
 	for add, want := range map[string]string{
 		"(trouble syscalls (at 1) (routers 1))":                                  "syscalls without a plan",
 		`(trouble syscalls (at 1) (routers 1) (plan "read:EFOO"))`:               `unknown error "EFOO"`,
@@ -206,12 +209,12 @@
 	}
 }
 
-// During a syscalls fault reads and writes fail as planned on the connections that the fault
-// affects, and on no others. A process of a day without such faults uses the kernel's calls.
+// During a syscalls fault, reads fail as planned on the connections of the fault's peer and on
+// no others. A process of a day without such faults makes the kernel's system calls.
 func TestSyscallFaults(t *testing.T) {
 	faults, err := newInjector(told(t, nil), io.Discard)
 	if err != nil || faults.syscalls() != nil {
-		t.Fatalf("calls are intercepted in a day without syscalls faults: %v", err)
+		t.Fatalf("newInjector in a day without syscalls faults: error %v, or system calls are intercepted; want neither", err)
 	}
 	listener, address, err := eventloop.Listen("127.0.0.1:0")
 	if err != nil {
@@ -220,8 +223,8 @@
 	defer unix.Close(listener)
 	for _, c := range []struct {
 		peer           string
-		span           float64
-		member, client error // of a read on a connection to a member or from a client
+		span           float64 // ms from the start to the end of the fault; 0: it has ended already
+		member, client error   // of a read on a connection to a member or from a client; EAGAIN, since no data has arrived, if the fault does not affect it
 	}{
 		{peerAll, 60_000, unix.ETIMEDOUT, unix.ETIMEDOUT},
 		{peerMembers, 60_000, unix.ETIMEDOUT, unix.EAGAIN},
@@ -239,19 +242,19 @@
 			want error
 		}{"member": {member, c.member}, "client": {client, c.client}} {
 			if _, err := calls.Read(one.fd, make([]byte, 1)); err != one.want {
-				t.Errorf("%s for %.0f ms: a read from a %s gives %v, want %v", c.peer, c.span, who, err, one.want)
+				t.Errorf("fault with peer %q for %.0f ms: error of a read from a %s is %v, want %v", c.peer, c.span, who, err, one.want)
 			}
 		}
 		unix.Close(member)
 		unix.Close(client)
 	}
 	if err := faults.startFault(processFault{Kind: SyscallFaults, Plan: "read"}); !errors.Is(err, faultinject.ErrPlan) {
-		t.Errorf("an invalid plan: %v", err)
+		t.Errorf("start of a fault with an invalid plan: %v, want ErrPlan", err)
 	}
 }
 
-// connected returns the two ends of a connection: the one that was opened, as to a member,
-// and the one that was accepted, as from a client.
+// connected returns the two ends of a connection: the end that was opened, like a router's
+// connection to a member, and the end that was accepted, like a connection from a client.
 func connected(t *testing.T, calls eventloop.Syscalls, listener int, address string) (made, accepted int) {
 	t.Helper()
 	to, err := netip.ParseAddrPort(address)
@@ -276,7 +279,7 @@
 	return made, accepted
 }
 
-// A step of a process's wall clock lasts until the fault's end. Two steps add up.
+// A step of a process's wall clock lasts until the fault's end. Simultaneous steps add up.
 func TestClockStep(t *testing.T) {
 	faults := &injector{report: io.Discard}
 	off := func() time.Duration { return wallclock.Now().Sub(time.Now().Round(0)).Round(time.Second) }
@@ -292,10 +295,10 @@
 			time.Sleep(time.Millisecond)
 		}
 		if off() != want {
-			t.Fatalf("the clock is off by %v, want %v", off(), want)
+			t.Fatalf("the wall clock is ahead by %v, want %v", off(), want)
 		}
 	}
 	if took := trafficlog.Now() - now; took < 900 {
-		t.Errorf("the last step was undone after %.0f ms, want 900", took)
+		t.Errorf("the last step was undone after %.0f ms, want at least 900", took)
 	}
 }
--- a/internal/testbed/scenario/repeat.go
+++ b/internal/testbed/scenario/repeat.go
@@ -2,19 +2,23 @@
 
 import "math"
 
-// minRepeatTimeMS is the minimum time that must remain of the window for a client to repeat a
+// minRepeatTimeMS is the time that must remain until writeTries.limit for a client to repeat a
 // write.
 const minRepeatTimeMS = 100
 
-// writeTries holds the outcomes of a client's tries of one write. It decides whether the
-// client can repeat the write without a risk that it takes effect twice.
+// writeTries summarizes the outcomes of a client's tries of one write. It decides whether the
+// client can repeat the write without a risk that it takes effect twice. Servers that
+// deduplicate writes recognize a repeat by its idempotency key and discard it, but only for
+// the class's KeyWindow after a try was sent.
 type writeTries struct {
-	dropWindow     float64 // time in ms for which all servers certainly drop repeats; 0: none
-	firstUncertain float64 // start of the first try that may have been executed; +Inf: none
+	dropWindow     float64 // time in ms after a try was sent for which every server certainly discards repeats; 0: none
+	firstUncertain float64 // time at which the first try that may have been executed was sent; +Inf: none
 }
 
-// newWriteTries returns the state before the first try of a write. The window is shortened
-// by slack, in ms, to allow for the time that a repeat takes from the router to the origin.
+// newWriteTries returns the state before the first try of a write. Every server discards
+// repeats only if the class has idempotency keys (guarded) and all servers share them (scope
+// all). The window is shortened by slack, in ms, to allow for the time that a repeat takes
+// from the router to the origin.
 func newWriteTries(class *Class, slack float64) *writeTries {
 	tries := &writeTries{firstUncertain: math.Inf(1)}
 	if class.Idempotency == "guarded" && class.KeyScope == "all" {
@@ -23,18 +27,20 @@
 	return tries
 }
 
-// add records the outcome of a try that was sent at a time. A 503 is the router's promise
-// that repeating this try is safe; it says nothing of earlier ones. A try that no router
-// accepted was not executed. Any other try may have been.
+// add records the outcome of a try that was sent at time sentAt. A router answers 503 only if
+// this try was not executed, which does not tell whether an earlier one was. A try that no
+// router accepted was not executed either. Any other try may have been executed.
 func (tries *writeTries) add(sentAt float64, outcome response) {
 	if outcome.status != 503 && outcome.err != outcomeUnreached {
 		tries.firstUncertain = min(tries.firstUncertain, sentAt)
 	}
 }
 
-// limit returns the latest deadline of the next try: none if no earlier try may have been
-// executed, otherwise the time until which servers certainly drop the repeat.
+// limit returns the latest deadline that the next try may have, in ms of trafficlog.Now. It is
+// +Inf if no recorded try may have been executed, and otherwise the end of the period in which
+// every server discards a repeat.
 func (tries *writeTries) limit() float64 { return tries.firstUncertain + tries.dropWindow }
 
-// repeatable reports whether a try that is sent at a time is certainly safe.
+// repeatable reports whether the write certainly does not take effect twice if the next try is
+// sent at time at.
 func (tries *writeTries) repeatable(at float64) bool { return at+minRepeatTimeMS <= tries.limit() }
