--- a/internal/testbed/scenario/inject_test.go
+++ b/internal/testbed/scenario/inject_test.go
@@ -25,9 +25,9 @@
 	"indigospool/internal/wallclock"
 )
 
-// told returns the standard input of a process that gets the faults begin at its start
+// faultInput returns the standard input of a process that gets the faults begin at its start
 // and the faults more later.
-func told(t *testing.T, begin []processFault, more ...processFault) *bufio.Reader {
+func faultInput(t *testing.T, begin []processFault, more ...processFault) *bufio.Reader {
 	t.Helper()
 	line, err := json.Marshal(processStart{Faults: begin})
 	if err != nil {
@@ -63,7 +63,7 @@
 		{"already ended", []processFault{over}, nil, nil},
 		{"replaced by a fault that has already ended", []processFault{full}, []processFault{over}, nil},
 	} {
-		in := told(t, c.begin, c.more...)
+		in := faultInput(t, c.begin, c.more...)
 		faults, err := newInjector(in, io.Discard)
 		if err != nil {
 			t.Fatal(c.name, err)
@@ -73,7 +73,7 @@
 			t.Errorf("%s: error of a write in the folder is %v, want %v", c.name, err, c.want)
 		}
 	}
-	if _, err := newInjector(told(t, []processFault{{Kind: "earthquake"}}), io.Discard); err == nil {
+	if _, err := newInjector(faultInput(t, []processFault{{Kind: "earthquake"}}), io.Discard); err == nil {
 		t.Error("a fault of the unknown kind \"earthquake\" was started, want an error")
 	}
 	if _, err := newInjector(bufio.NewReader(strings.NewReader("")), io.Discard); err == nil {
@@ -92,18 +92,18 @@
 		t.Fatal(err)
 	}
 	defer file.Close()
-	versions := faultyFiles{faults: faults}
-	plain, err := versions.OpenFile(filepath.Join(dir, "b"), os.O_RDWR|os.O_CREATE, 0o600)
+	configFiles := faultyFiles{faults: faults}
+	configFile, err := configFiles.OpenFile(filepath.Join(dir, "b"), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer plain.Close()
+	defer configFile.Close()
 	db, err := bbolt.Open(filepath.Join(dir, "db"), 0o600, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer db.Close()
-	var _ configstore.FileSystem = versions
+	var _ configstore.FileSystem = configFiles
 	calls := map[string]func() error{
 		"write":       func() error { _, err := file.WriteAt([]byte("0123456789"), 0); return err },
 		"sync":        file.Sync,
@@ -112,13 +112,13 @@
 		"rename":      func() error { return errors.Join(folder.Rename("a", "d"), folder.Rename("d", "a")) },
 		"sync folder": folder.SyncDir,
 		"write a version": func() error {
-			return versions.Write(plain, []byte("0123456789"))
+			return configFiles.Write(configFile, []byte("0123456789"))
 		},
-		"sync a version":        func() error { return versions.Sync(plain) },
-		"rename versions":       func() error { return versions.Rename(plain.Name(), plain.Name()) },
-		"sync versions' folder": func() error { return versions.SyncFolder(dir) },
-		"commit a version":      func() error { tx, err := db.Begin(true); return errors.Join(err, versions.Commit(tx)) },
-		"create a store's file": func() error { return createPlain(versions, filepath.Join(dir, "e")) },
+		"sync a version":        func() error { return configFiles.Sync(configFile) },
+		"rename versions":       func() error { return configFiles.Rename(configFile.Name(), configFile.Name()) },
+		"sync versions' folder": func() error { return configFiles.SyncFolder(dir) },
+		"commit a version":      func() error { tx, err := db.Begin(true); return errors.Join(err, configFiles.Commit(tx)) },
+		"create a store's file": func() error { return createConfigFile(configFiles, filepath.Join(dir, "e")) },
 	}
 	for name, call := range calls {
 		faults.folder.Store(&folderFault{processFault: processFault{Errno: "ENOSPC", Until: trafficlog.Now() + 60_000}})
@@ -143,7 +143,7 @@
 	return file.Close()
 }
 
-func createPlain(files configstore.FileSystem, path string) error {
+func createConfigFile(files configstore.FileSystem, path string) error {
 	file, err := files.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return err
@@ -157,12 +157,12 @@
 	rejected := &statusError{status: 503}
 	down := errors.New("connection refused")
 	for _, c := range []struct {
-		name   string
-		until  float64 // end of the folder-fault, ms from now; 0: no fault
-		err    error
-		calls  int // number of the first calls that fail; -1: all
-		called int // expected number of calls
-		want   error
+		name      string
+		until     float64 // end of the folder-fault, ms from now; 0: no fault
+		err       error
+		failing   int // number of the first calls that fail; -1: all
+		wantCalls int // expected number of calls
+		want      error
 	}{
 		{"succeeds after three rejections", 60_000, rejected, 3, 4, nil},
 		{"rejected without a folder-fault", 0, rejected, 3, 1, rejected},
@@ -174,13 +174,13 @@
 			day.processFaults.add("m", processFault{Kind: FolderFault, Until: trafficlog.Now() + c.until})
 		}
 		err := day.retryDuringFolderFault(context.Background(), "m", func() error {
-			if called++; c.calls < 0 || called <= c.calls {
+			if called++; c.failing < 0 || called <= c.failing {
 				return c.err
 			}
 			return nil
 		})
-		if called != c.called || !errors.Is(err, c.want) {
-			t.Errorf("%s: called %d times, %v; want %d, %v", c.name, called, err, c.called, c.want)
+		if called != c.wantCalls || !errors.Is(err, c.want) {
+			t.Errorf("%s: called %d times, %v; want %d, %v", c.name, called, err, c.wantCalls, c.want)
 		}
 	}
 }
@@ -188,7 +188,7 @@
 // Scripts with an invalid process fault are rejected with the reason.
 func TestProcessFaultScripts(t *testing.T) {
 	// by lines that are added to the script short: a part of the error
-	for add, want := range map[string]string{
+	for line, want := range map[string]string{
 		"(trouble syscalls (at 1) (routers 1))":                                  "syscalls without a plan",
 		`(trouble syscalls (at 1) (routers 1) (plan "read:EFOO"))`:               `unknown error "EFOO"`,
 		`(trouble syscalls (at 1) (routers 1) (peer moon) (plan "read:EINTR"))`:  `unknown peer "moon"`,
@@ -202,9 +202,9 @@
 		"(control (on)) (trouble folder-fault (at 1) (routers 1) (errno EPERM))": `unknown errno "EPERM"`,
 		"(control (on)) (trouble folder-fault (at 1) (routers 3))":               "more machines than there are",
 	} {
-		err := config.Read("short.edn", strings.ReplaceAll(short, "%s", add), &Script{})
+		err := config.Read("short.edn", strings.ReplaceAll(short, "%s", line), &Script{})
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v, want %q in it", add, err, want)
+			t.Errorf("%s: %v, want %q in it", line, err, want)
 		}
 	}
 }
@@ -212,7 +212,7 @@
 // During a syscalls fault, reads fail as planned on the connections of the fault's peer and on
 // no others. A process of a day without such faults makes the kernel's system calls.
 func TestSyscallFaults(t *testing.T) {
-	faults, err := newInjector(told(t, nil), io.Discard)
+	faults, err := newInjector(faultInput(t, nil), io.Discard)
 	if err != nil || faults.syscalls() != nil {
 		t.Fatalf("newInjector in a day without syscalls faults: error %v, or system calls are intercepted; want neither", err)
 	}
