--- a/internal/cachenode/server/cache.go
+++ b/internal/cachenode/server/cache.go
@@ -552,7 +552,7 @@
 // start, the clock was set back by an unknown amount.
 func (s *Server) ageUnknown(object *store.CachedObject) bool {
 	start := s.startWall.UnixMilli()
-	return object.BeforeStart && (object.GeneratedAt > start || s.store.NewestAtStart() > start)
+	return object.Unconfirmed && (object.GeneratedAt > start || s.store.NewestAtStart() > start)
 }
 
 // renewAfter is the share of its lifetime after which an object is validated in the background,
@@ -895,7 +895,7 @@
 		}
 	case "/-/caught-up":
 		if !s.disk.Submit(func() {
-			s.store.PurgesCaughtUp()
+			s.store.MarkPurgesCaughtUp()
 			s.post(func() {
 				if !r.ended {
 					r.conn.respond(200, "")
--- a/internal/cachenode/server/cache_test.go
+++ b/internal/cachenode/server/cache_test.go
@@ -232,7 +232,7 @@
 		}
 		r.stop()
 		r.start()
-		r.server.store.PurgesCaughtUp()
+		r.server.store.MarkPurgesCaughtUp()
 	}
 	hit(name(4))
 	if code := r.purge(`{"group":7}`); code != 200 {
@@ -624,7 +624,7 @@
 		}
 		r.stop()
 		r.start()
-		r.server.store.PurgesCaughtUp()
+		r.server.store.MarkPurgesCaughtUp()
 	}
 	r.purge(`{"object":"/v"}`)
 	for _, accept := range []string{"gzip", "br", "identity"} {
--- a/internal/cachenode/server/clock_test.go
+++ b/internal/cachenode/server/clock_test.go
@@ -71,7 +71,7 @@
 	}
 	stepAtStart := step
 	r.start()
-	r.server.store.PurgesCaughtUp()               // no purge was missed: only the age decides
+	r.server.store.MarkPurgesCaughtUp()           // no purge was missed: only the age decides
 	mayServe := down == 0                         // the objects are some ms old
 	mustRevalidate := down > 0 || stepAtStart < 0 // too old, or generated in the future by the clock
 	for path, age := range map[string]float64{"/a": -1, "/b": 600_000} {
--- a/internal/cachenode/server/fault_test.go
+++ b/internal/cachenode/server/fault_test.go
@@ -152,7 +152,7 @@
 	r.server.Stop()
 	<-r.done
 	r.start()
-	r.server.store.PurgesCaughtUp()
+	r.server.store.MarkPurgesCaughtUp()
 	for name, want := range map[string]int{"a": 200, "b": 504, "c": 504, "d": 200} {
 		if res, _, _ := r.fetch("/still/1/"+name, false, nil); res.StatusCode != want {
 			t.Errorf("after a restart %s got status %d, want %d", name, res.StatusCode, want)
@@ -162,7 +162,7 @@
 
 // A request that arrives after the answer to a purge does not join a fill that began before the
 // purge, also if the purge was not acknowledged because the logs can't be read or written.
-func TestPurgeThenJoin(t *testing.T) {
+func TestNoJoinOfFillFromBeforePurge(t *testing.T) {
 	for _, what := range []string{"healthy", "write fault", "unread"} {
 		t.Run(what, func(t *testing.T) {
 			r := newRig(t, "")
--- a/internal/cachenode/store/compact.go
+++ b/internal/cachenode/store/compact.go
@@ -70,7 +70,7 @@
 		s.removeLocation(loc.keyHash)
 		return 0, nil
 	}
-	writer, err := s.reserve(*meta, loc.metaLen(), loc.bodyLen(), loc.sincePurge)
+	writer, err := s.reserve(*meta, loc.headLen(), loc.bodyLen(), loc.sincePurge)
 	if err != nil {
 		return 0, err
 	}
@@ -83,7 +83,7 @@
 		return 0, nil // reserve has evicted one of the segments
 	}
 	writer.location.bodyCRC = loc.bodyCRC
-	if err := s.logAdd(&writer.location); err != nil {
+	if err := s.appendAddEntry(&writer.location); err != nil {
 		return 0, err
 	}
 	s.addLocation(writer.location)
@@ -95,29 +95,29 @@
 
 // readObject reads the head and the body of an object and verifies both.
 func readObject(seg *segment, loc *location) (data []byte, meta *Meta, err error) {
-	data = make([]byte, int64(loc.metaLen())+loc.bodyLen())
+	data = make([]byte, int64(loc.headLen())+loc.bodyLen())
 	if _, err := seg.file.ReadAt(data, loc.offset()); err != nil {
 		if errors.Is(err, io.EOF) {
 			return nil, nil, ErrCorrupt
 		}
 		return nil, nil, err
 	}
-	meta, err = parseMeta(data[:loc.metaLen()])
+	meta, err = parseHead(data[:loc.headLen()])
 	if err != nil {
 		return nil, nil, err
 	}
-	if crc32.Checksum(data[loc.metaLen():], castagnoli) != loc.bodyCRC {
+	if crc32.Checksum(data[loc.headLen():], castagnoli) != loc.bodyCRC {
 		return nil, nil, ErrCorrupt
 	}
 	return data, meta, nil
 }
 
-// rewriteSyncLost rewrites the objects of segments whose sync has failed, if their checksums show
+// rewriteUnsynced rewrites the objects of segments whose sync has failed, if their checksums show
 // that the kernel still has the data, and evicts these segments.
-func (s *Store) rewriteSyncLost() error {
+func (s *Store) rewriteUnsynced() error {
 	for _, number := range slices.Clone(s.segmentOrder) {
 		seg := s.segments[number]
-		if seg == nil || !s.syncLost(seg) {
+		if seg == nil || !s.objectsMayBeLost(seg) {
 			continue
 		}
 		if seg.fault != nil && !seg.backoff.due(s.options.Now()) {
--- a/internal/cachenode/store/fault.go
+++ b/internal/cachenode/store/fault.go
@@ -95,7 +95,7 @@
 		status.FaultDuration = s.options.Now().Sub(s.failure.Since)
 	}
 	for _, seg := range s.segments {
-		if seg.fault != nil || s.syncLost(seg) {
+		if seg.fault != nil || s.objectsMayBeLost(seg) {
 			status.UnreadableSegments++
 		}
 	}
@@ -115,7 +115,7 @@
 	}
 	err := s.retryIfDue()
 	if err == nil {
-		err = s.rewriteSyncLost()
+		err = s.rewriteUnsynced()
 	}
 	faulty := err != nil || s.failure != nil
 	for _, seg := range s.segments {
@@ -171,7 +171,7 @@
 	}
 	s.options.Warn(fmt.Sprintf("store: the disk works again, %v after the first failure; last error: %v", s.options.Now().Sub(s.failure.Since).Round(time.Millisecond), s.failure.Err))
 	s.failure = nil
-	return s.rewriteSyncLost()
+	return s.rewriteUnsynced()
 }
 
 // retryNow tries once to make the store work again. The content of files that have failed is not
--- a/internal/cachenode/store/index.go
+++ b/internal/cachenode/store/index.go
@@ -51,13 +51,13 @@
 	s.freeSlots = append(s.freeSlots, slot)
 }
 
-// logAdd appends the location of an object to the index log.
-func (s *Store) logAdd(loc *location) error {
+// appendAddEntry appends the location of an object to the index log.
+func (s *Store) appendAddEntry(loc *location) error {
 	return s.appendIndexLog(entryAdd, loc.appendTo(nil))
 }
 
-// logDrop appends to the index log that an object was dropped.
-func (s *Store) logDrop(keyHash uint64) {
+// appendDropEntry appends to the index log that an object was dropped.
+func (s *Store) appendDropEntry(keyHash uint64) {
 	if s.closed || s.logsBroken { // the rewritten log will not contain the object
 		return
 	}
--- a/internal/cachenode/store/location.go
+++ b/internal/cachenode/store/location.go
@@ -19,9 +19,9 @@
 
 const (
 	maxBodyLen = 1<<40 - 1
-	maxMetaLen = 1<<16 - 1
+	maxHeadLen = 1<<16 - 1
 
-	metaLenShift = 40
+	headLenShift = 40
 	rankShift    = 56
 	maxRank      = 3
 
@@ -36,23 +36,23 @@
 	locationLen = 48 // on disk
 )
 
-func packLengths(bodyLen int64, metaLen, rank int) uint64 {
-	return uint64(bodyLen) | uint64(metaLen)<<metaLenShift | uint64(rank&maxRank)<<rankShift
+func packLengths(bodyLen int64, headLen, rank int) uint64 {
+	return uint64(bodyLen) | uint64(headLen)<<headLenShift | uint64(rank&maxRank)<<rankShift
 }
 
 func (l *location) bodyLen() int64 { return int64(l.packed & maxBodyLen) }
 
-func (l *location) metaLen() int { return int(l.packed >> metaLenShift & maxMetaLen) }
+func (l *location) headLen() int { return int(l.packed >> headLenShift & maxHeadLen) }
 
 func (l *location) rank() int { return int(l.packed >> rankShift & maxRank) }
 
 // size returns the number of bytes that the object occupies in its segment.
-func (l *location) size() int64 { return align(int64(l.metaLen()) + l.bodyLen()) }
+func (l *location) size() int64 { return align(int64(l.headLen()) + l.bodyLen()) }
 
 // offset returns the offset of the head in the segment. The body follows the head.
 func (l *location) offset() int64 { return int64(l.offset8) * 8 }
 
-func (l *location) bodyOffset() int64 { return l.offset() + int64(l.metaLen()) }
+func (l *location) bodyOffset() int64 { return l.offset() + int64(l.headLen()) }
 
 func (l *location) live() bool { return l.packed&flagLive != 0 }
 
--- a/internal/cachenode/store/meta.go
+++ b/internal/cachenode/store/meta.go
@@ -24,8 +24,8 @@
 // checksumLen is the length of the CRC-32C before the JSON of a head on disk.
 const checksumLen = 4
 
-// encodeMeta returns the head of an object on disk: a checksum, followed by JSON.
-func encodeMeta(meta *Meta) ([]byte, error) {
+// encodeHead returns the head of an object on disk: a checksum, followed by JSON.
+func encodeHead(meta *Meta) ([]byte, error) {
 	text, err := json.Marshal(meta)
 	if err != nil {
 		return nil, fmt.Errorf("store: encode the head of %.80q: %w", meta.Key, err)
@@ -35,8 +35,8 @@
 	return append(head, text...), nil
 }
 
-// parseMeta decodes a head. It returns ErrCorrupt if the checksum does not match.
-func parseMeta(head []byte) (*Meta, error) {
+// parseHead decodes a head. It returns ErrCorrupt if the checksum does not match.
+func parseHead(head []byte) (*Meta, error) {
 	if len(head) < checksumLen || crc32.Checksum(head[checksumLen:], castagnoli) != binary.LittleEndian.Uint32(head) {
 		return nil, ErrCorrupt
 	}
@@ -47,14 +47,14 @@
 	return meta, nil
 }
 
-// readMeta reads the head of an object from its segment. The caller need not hold mu.
-func (s *Store) readMeta(seg *segment, loc *location) (*Meta, error) {
+// readHead reads the head of an object from its segment. The caller need not hold mu.
+func (s *Store) readHead(seg *segment, loc *location) (*Meta, error) {
 	if seg.file == nil {
 		return nil, seg.fault
 	}
-	head := make([]byte, loc.metaLen())
+	head := make([]byte, loc.headLen())
 	if _, err := seg.file.ReadAt(head, loc.offset()); err != nil && err != io.EOF {
 		return nil, err
 	}
-	return parseMeta(head)
+	return parseHead(head)
 }
--- a/internal/cachenode/store/object.go
+++ b/internal/cachenode/store/object.go
@@ -19,7 +19,7 @@
 type CachedObject struct {
 	Meta
 	Size          int64 // length of the body in bytes
-	BeforeStart   bool  // the object was stored before the start, and its source has not confirmed it since
+	Unconfirmed   bool  // the object was stored before the start, and its source has not confirmed it since
 	PurgesUnknown bool  // in addition, the store may have missed a purge of it, so it must be validated
 
 	store      *Store
@@ -59,7 +59,7 @@
 		if unchanged {
 			s.options.Warn(fmt.Sprintf("store: dropping the object in %s at offset %d: %v", segmentName(loc.segment), loc.offset(), err))
 			s.removeLocation(keyHash)
-			s.logDrop(keyHash)
+			s.appendDropEntry(keyHash)
 		}
 	default:
 		if unchanged {
@@ -97,10 +97,10 @@
 // readVerified reads the head of an object, and verifies its body unless that was done since the
 // start. The caller must not hold mu, since reading may take long.
 func (s *Store) readVerified(seg *segment, loc *location) (*Meta, error) {
-	meta, err := s.readMeta(seg, loc)
+	meta, err := s.readHead(seg, loc)
 	if err != nil { // Revalidated may be writing the head
 		s.mu.Lock()
-		meta, err = s.readMeta(seg, loc)
+		meta, err = s.readHead(seg, loc)
 		s.mu.Unlock()
 	}
 	if err == nil && !loc.has(flagVerified) {
@@ -135,12 +135,12 @@
 // newCachedObject returns a CachedObject for an object that was found. It takes over the
 // caller's reference to the segment.
 func (s *Store) newCachedObject(loc *location, seg *segment, meta *Meta) *CachedObject {
-	beforeStart := !loc.has(flagConfirmed)
+	unconfirmed := !loc.has(flagConfirmed)
 	return &CachedObject{
 		Meta:          *meta,
 		Size:          loc.bodyLen(),
-		BeforeStart:   beforeStart,
-		PurgesUnknown: beforeStart && !s.purgesCaughtUp,
+		Unconfirmed:   unconfirmed,
+		PurgesUnknown: unconfirmed && !s.purgesCaughtUp,
 		store:         s,
 		segment:       seg,
 		bodyOffset:    loc.bodyOffset(),
@@ -163,17 +163,17 @@
 	loc := &s.slots[slot]
 	seg := s.segments[loc.segment]
 	file, ok := seg.file.(nonblockingReader)
-	if !ok || !loc.has(flagVerified) || seg.fault != nil || s.syncLost(seg) {
+	if !ok || !loc.has(flagVerified) || seg.fault != nil || s.objectsMayBeLost(seg) {
 		return nil, false
 	}
-	if cap(s.headBuffer) < loc.metaLen() {
-		s.headBuffer = make([]byte, max(loc.metaLen(), minHeadBuffer))
+	if cap(s.headBuffer) < loc.headLen() {
+		s.headBuffer = make([]byte, max(loc.headLen(), minHeadBuffer))
 	}
-	head := s.headBuffer[:loc.metaLen()]
+	head := s.headBuffer[:loc.headLen()]
 	if n, err := file.ReadNow(head, loc.offset()); err != nil || n < len(head) {
 		return nil, false
 	}
-	meta, err := parseMeta(head)
+	meta, err := parseHead(head)
 	if err != nil || meta.Key != key || s.purged(loc.sincePurge, meta) {
 		return nil, false // Lookup counts the miss and drops the object
 	}
@@ -193,7 +193,7 @@
 		data = data[:c.Size-off]
 	}
 	n, err := c.segment.file.ReadAt(data, c.bodyOffset+off)
-	if c.syncLost() {
+	if c.bytesMayBeLost() {
 		return 0, errSyncFailed
 	}
 	if err == nil && short {
@@ -210,15 +210,15 @@
 		return 0
 	}
 	n, _ := file.ReadNow(data[:min(int64(len(data)), c.Size-off)], c.bodyOffset+off)
-	if c.syncLost() {
+	if c.bytesMayBeLost() {
 		return 0
 	}
 	return n
 }
 
-// syncLost reports whether a failed sync may have lost bytes of the body.
-func (c *CachedObject) syncLost() bool {
-	return c.segment.syncFailed.Load() && (c.filling || c.store.syncLost(c.segment))
+// bytesMayBeLost reports whether a failed sync may have lost bytes of the body.
+func (c *CachedObject) bytesMayBeLost() bool {
+	return c.segment.syncFailed.Load() && (c.filling || c.store.objectsMayBeLost(c.segment))
 }
 
 // Purged reports whether a purge covers the object, also one made after the lookup.
@@ -236,7 +236,7 @@
 	store := c.store
 	meta := c.Meta
 	meta.GeneratedAt = generatedAt
-	head, err := encodeMeta(&meta)
+	head, err := encodeHead(&meta)
 	if err != nil {
 		return false, err
 	}
@@ -248,7 +248,7 @@
 	}
 	loc := &store.slots[slot]
 	current := loc.segment == c.segment.number && loc.bodyOffset() == c.bodyOffset
-	if !current || len(head) != loc.metaLen() || store.purged(loc.sincePurge, &meta) {
+	if !current || len(head) != loc.headLen() || store.purged(loc.sincePurge, &meta) {
 		return false, nil
 	}
 	if err := writeAt(c.segment.file, head, loc.offset()); err != nil {
@@ -257,7 +257,7 @@
 	store.Stats.WrittenBytes += int64(len(head))
 	loc.packed |= flagConfirmed
 	c.GeneratedAt = generatedAt
-	c.BeforeStart = false
+	c.Unconfirmed = false
 	c.PurgesUnknown = false
 	return true, nil
 }
--- a/internal/cachenode/store/purge.go
+++ b/internal/cachenode/store/purge.go
@@ -244,7 +244,7 @@
 		if !loc.live() {
 			continue
 		}
-		meta, err := s.readMeta(s.segments[loc.segment], loc)
+		meta, err := s.readHead(s.segments[loc.segment], loc)
 		if err != nil && !errors.Is(err, ErrCorrupt) {
 			unreadable++
 		}
--- a/internal/cachenode/store/purgelog.go
+++ b/internal/cachenode/store/purgelog.go
@@ -9,9 +9,9 @@
 // LastPurge returns the number of the last purge, for BeginSince and TryPurged. It never waits.
 func (s *Store) LastPurge() uint64 { return s.announcedPurge.Load() }
 
-// PurgesCaughtUp tells the store that it has received all purges made while it was closed. From
-// then on no object has PurgesUnknown set.
-func (s *Store) PurgesCaughtUp() {
+// MarkPurgesCaughtUp tells the store that it has received all purges made while it was closed.
+// From then on no object has PurgesUnknown set.
+func (s *Store) MarkPurgesCaughtUp() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.purgesCaughtUp = true
@@ -67,7 +67,7 @@
 		}
 		return purge.Number, nil
 	}
-	return purge.Number, s.logPurge(purge)
+	return purge.Number, s.appendPurgeEntry(purge)
 }
 
 // deferPurge keeps a purge until the logs are read. It increments what LastPurge returns, so that
@@ -81,9 +81,9 @@
 	s.pendingPurges = append(s.pendingPurges, purge)
 }
 
-// logPurge appends a purge to both logs and syncs them. It writes both before the first sync, so
-// that this sync also covers the file system's metadata of the other log.
-func (s *Store) logPurge(purge Purge) error {
+// appendPurgeEntry appends a purge to both logs and syncs them. It writes both before the first
+// sync, so that this sync also covers the file system's metadata of the other log.
+func (s *Store) appendPurgeEntry(purge Purge) error {
 	entry := appendEntry(nil, entryPurge, purge.appendTo(nil))
 	index := indexName(s.indexNumber)
 	if err := s.appendLog(s.purgeLog, &s.purgeLogLen, entry); err != nil {
--- a/internal/cachenode/store/recovery.go
+++ b/internal/cachenode/store/recovery.go
@@ -268,7 +268,7 @@
 	}
 	seg := s.segments[s.segmentOrder[len(s.segmentOrder)-1]]
 	for _, slot := range seg.slots[max(len(seg.slots)-newestSample, 0):] {
-		if meta, err := s.readMeta(seg, &s.slots[slot]); err == nil {
+		if meta, err := s.readHead(seg, &s.slots[slot]); err == nil {
 			newest = max(newest, meta.GeneratedAt)
 		}
 	}
--- a/internal/cachenode/store/segment.go
+++ b/internal/cachenode/store/segment.go
@@ -117,7 +117,7 @@
 }
 
 // syncSegments syncs all segments with unsynced objects, if the policy requires it. Segments whose
-// sync has failed are skipped: rewriteSyncLost copies their objects to another segment.
+// sync has failed are skipped: rewriteUnsynced copies their objects to another segment.
 func (s *Store) syncSegments() error {
 	if s.options.Sync < SyncSegments {
 		return nil
@@ -179,11 +179,11 @@
 	seg.evicted = false
 }
 
-// syncLost reports whether objects that were committed to a segment may be missing on disk
+// objectsMayBeLost reports whether objects that were committed to a segment may be missing on disk
 // although the policy requires that they are synced. That is so only with SyncSegments, after a
 // sync has failed: SyncObjects syncs each object before it is committed, and SyncPurges does not
 // sync objects. The caller need not hold mu.
-func (s *Store) syncLost(seg *segment) bool {
+func (s *Store) objectsMayBeLost(seg *segment) bool {
 	return s.options.Sync == SyncSegments && seg.syncFailed.Load()
 }
 
@@ -200,7 +200,7 @@
 // segmentReadable reports whether the objects of a segment can be read. It retries a suspended
 // segment whose backoff is over.
 func (s *Store) segmentReadable(seg *segment) bool {
-	if s.syncLost(seg) {
+	if s.objectsMayBeLost(seg) {
 		return false
 	}
 	if seg.fault == nil {
--- a/internal/cachenode/store/writer.go
+++ b/internal/cachenode/store/writer.go
@@ -32,7 +32,7 @@
 
 // BeginSince is like Begin, for a fill that began earlier, when LastPurge returned since.
 func (s *Store) BeginSince(since uint64, meta Meta, size int64) (*Writer, error) {
-	head, err := encodeMeta(&meta)
+	head, err := encodeHead(&meta)
 	if err != nil {
 		return nil, err
 	}
@@ -59,7 +59,7 @@
 		return nil, ErrClosed
 	}
 	need := align(int64(headLen) + size)
-	if size < 0 || size > maxBodyLen || headLen > maxMetaLen || need > s.options.SegmentBytes {
+	if size < 0 || size > maxBodyLen || headLen > maxHeadLen || need > s.options.SegmentBytes {
 		return nil, fmt.Errorf("%w: %.80q has a body of %d bytes and a head of %d, the limit is %d", ErrTooLarge, meta.Key, size, headLen, s.options.SegmentBytes)
 	}
 	if err := s.retryIfDue(); err != nil {
@@ -136,7 +136,7 @@
 		return false, nil
 	}
 	w.location.bodyCRC = w.crc
-	if err := store.logAdd(&w.location); err != nil {
+	if err := store.appendAddEntry(&w.location); err != nil {
 		return false, err
 	}
 	if store.options.Sync >= SyncObjects {
@@ -186,7 +186,7 @@
 		return false
 	}
 	loc := &store.slots[slot]
-	present, err := store.readMeta(store.segments[loc.segment], loc)
+	present, err := store.readHead(store.segments[loc.segment], loc)
 	return err == nil && present.Key == w.meta.Key && present.Version > w.meta.Version
 }
 
