--- a/internal/cachenode/store/compact.go
+++ b/internal/cachenode/store/compact.go
@@ -64,7 +64,7 @@
 	}
 	if err != nil {
 		s.Stats.Corrupt++
-		s.options.Warn(fmt.Sprintf("store: dropping the object in %s at offset %d: %v", segmentName(loc.segment), loc.offset(), err))
+		s.options.Warn(fmt.Sprintf("store: dropped the object in %s at offset %d: %v; it is fetched again when requested; if this repeats, check the disk", segmentName(loc.segment), loc.offset(), err))
 	}
 	if err != nil || s.purged(loc.sincePurge, meta) {
 		s.removeLocation(loc.keyHash)
--- a/internal/cachenode/store/doc.go
+++ b/internal/cachenode/store/doc.go
@@ -1,12 +1,14 @@
 // Package store keeps cached objects on disk, so that a cache serves them again after it was
 // killed and restarted. Objects are appended to segment files. The index log, which has
 // checksummed entries, records the location of each object and is replayed at the start. In
-// memory an object takes about 80 bytes; its key and the rest of its head stay on disk.
+// memory an object takes about 80 bytes. The rest is on disk: the head, which is the encoded Meta
+// with a checksum, followed by the body.
 //
 // An object is served only after the object and its log entry were written completely, and its
 // checksum was verified since the start. A purge is synced to two logs before it is
 // acknowledged. Purges and fills are ordered by purge numbers and by the version that the origin
-// states, never by a clock.
+// states, never by a clock. The source of an object is the server from which it is fetched: the
+// origin, a parent or another cache.
 //
 // The package owns the folder with the segments, the index log and the purge log. It does not
 // decide what is fetched and from where, knows nothing about HTTP, and accesses the disk only
--- a/internal/cachenode/store/meta.go
+++ b/internal/cachenode/store/meta.go
@@ -8,7 +8,7 @@
 	"io"
 )
 
-// Meta is the metadata that is stored with an object.
+// Meta is the metadata that is stored with an object, in the head before its body.
 type Meta struct {
 	Key         string            `json:"k"`           // for lookups, and for purges by prefix
 	Object      string            `json:"o"`           // for purges by object
--- a/internal/cachenode/store/object.go
+++ b/internal/cachenode/store/object.go
@@ -11,7 +11,7 @@
 
 const (
 	verifyBytes   = 1 << 20 // size of the reads by which a body is verified
-	minHeadBuffer = 4096    // initial length of Store.headBuffer in bytes
+	minHeadBuffer = 4096    // smallest length of Store.headBuffer in bytes
 )
 
 // CachedObject is an object that Lookup has found, or that Writer.Reader returns. Its body stays
@@ -19,13 +19,13 @@
 type CachedObject struct {
 	Meta
 	Size          int64 // length of the body in bytes
-	Unconfirmed   bool  // the object was stored before the start, and its source has not confirmed it since
-	PurgesUnknown bool  // in addition, the store may have missed a purge of it, so it must be validated
+	Unconfirmed   bool  // stored by an earlier run of the process, and not confirmed by its source in this run
+	PurgesUnknown bool  // Unconfirmed, and purges made while the store was closed may not have arrived yet: must be validated before it is served
 
 	store      *Store
 	segment    *segment
 	bodyOffset int64
-	sincePurge uint64
+	sincePurge uint64 // number of the last purge when the fill of the object began; see Store.purged
 	closed     bool
 	filling    bool // returned by Writer.Reader: its body was still being written
 }
@@ -42,7 +42,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	slot, ok := s.byHash[keyHash]
-	unchanged := ok && s.slots[slot].segment == loc.segment && s.slots[slot].offset8 == loc.offset8
+	unchanged := ok && s.slots[slot].segment == loc.segment && s.slots[slot].offset8 == loc.offset8 // not replaced during the read
 	switch {
 	case err == nil && meta.Key != key: // another key with the same hash
 		s.Stats.Misses++
@@ -57,7 +57,7 @@
 	case err != nil:
 		s.Stats.Corrupt++
 		if unchanged {
-			s.options.Warn(fmt.Sprintf("store: dropping the object in %s at offset %d: %v", segmentName(loc.segment), loc.offset(), err))
+			s.options.Warn(fmt.Sprintf("store: dropped object %.80q (%s, offset %d): %v; it is fetched again when requested; if this repeats, check the disk", key, segmentName(loc.segment), loc.offset(), err))
 			s.removeLocation(keyHash)
 			s.appendDropEntry(keyHash)
 		}
@@ -84,7 +84,8 @@
 	}
 	loc := s.slots[slot]
 	seg := s.segments[loc.segment]
-	// segmentReadable may open the segment and drop the object because it lies beyond the end.
+	// segmentReadable opens the segment if necessary, and then removes objects that lie beyond the
+	// end of its file, so check that the object still exists.
 	if !s.segmentReadable(seg) || !s.slots[slot].live() {
 		s.Stats.Misses++
 		return nil, location{}
@@ -94,11 +95,11 @@
 	return seg, loc
 }
 
-// readVerified reads the head of an object, and verifies its body unless that was done since the
-// start. The caller must not hold mu, since reading may take long.
+// readVerified reads the head of an object, and verifies its body unless the body was verified
+// since the start. The caller must not hold mu, since reading may take long.
 func (s *Store) readVerified(seg *segment, loc *location) (*Meta, error) {
 	meta, err := s.readHead(seg, loc)
-	if err != nil { // Revalidated may be writing the head
+	if err != nil { // the head may be half written by Revalidated, which holds mu: read it again with mu held
 		s.mu.Lock()
 		meta, err = s.readHead(seg, loc)
 		s.mu.Unlock()
@@ -175,7 +176,7 @@
 	}
 	meta, err := parseHead(head)
 	if err != nil || meta.Key != key || s.purged(loc.sincePurge, meta) {
-		return nil, false // Lookup counts the miss and drops the object
+		return nil, false // Lookup distinguishes these cases, counts them, and removes the object if necessary
 	}
 	loc.packed |= flagUsed
 	seg.refs++
@@ -193,7 +194,7 @@
 		data = data[:c.Size-off]
 	}
 	n, err := c.segment.file.ReadAt(data, c.bodyOffset+off)
-	if c.bytesMayBeLost() {
+	if c.bytesMayBeLost() { // checked after the read, since the sync may fail during the read
 		return 0, errSyncFailed
 	}
 	if err == nil && short {
@@ -210,13 +211,14 @@
 		return 0
 	}
 	n, _ := file.ReadNow(data[:min(int64(len(data)), c.Size-off)], c.bodyOffset+off)
-	if c.bytesMayBeLost() {
+	if c.bytesMayBeLost() { // as in ReadAt
 		return 0
 	}
 	return n
 }
 
-// bytesMayBeLost reports whether a failed sync may have lost bytes of the body.
+// bytesMayBeLost reports whether a failed sync may have lost bytes of the body. The body of a fill
+// may be unsynced under any policy, so there any failed sync of the segment may have lost bytes.
 func (c *CachedObject) bytesMayBeLost() bool {
 	return c.segment.syncFailed.Load() && (c.filling || c.store.objectsMayBeLost(c.segment))
 }
@@ -230,8 +232,9 @@
 
 // Revalidated records that the source has confirmed the object. generatedAt is its new generation
 // time in Unix ms. The head is overwritten in place; if a crash tears it, its checksum does not
-// match and the object is dropped. Revalidated returns false if the object was replaced or dropped
-// meanwhile, the new head has another length, or the disk has failed.
+// match and the object is dropped. Revalidated returns false without an error if the object was
+// replaced, dropped or purged meanwhile, the new head has another length, or the store is closed or
+// has failed before. It returns an error if the head can't be encoded or written.
 func (c *CachedObject) Revalidated(generatedAt int64) (bool, error) {
 	store := c.store
 	meta := c.Meta
--- a/internal/cachenode/store/store.go
+++ b/internal/cachenode/store/store.go
@@ -51,7 +51,7 @@
 	unversionedRules int     // number of purgeRules without a version
 	retirePostponed  int     // number of unversioned rules at which retireUnversionedRules is tried again; 0: it is not postponed
 	fillBarrier      uint64  // objects of fills that began before this purge are not committed
-	purgesCaughtUp   bool    // see MarkPurgesCaughtUp
+	purgesCaughtUp   bool    // MarkPurgesCaughtUp was called
 
 	// Faults of the disk (fault.go).
 	failure           *FaultError // no object is stored until a retry succeeds; nil: the disk works
