--- a/internal/cachenode/server/cache_test.go
+++ b/internal/cachenode/server/cache_test.go
@@ -99,6 +99,12 @@
 	return res, b, err
 }
 
+// Values of the parameter mayFill of fetch and fetchVerified.
+const (
+	allowFill  = true
+	storedOnly = false // an object that is not stored, or must be validated, gets 504
+)
+
 // fetch sends an attempt to the cache. mayFill allows a fill from the origin. change, if not nil,
 // modifies the attempt and the request before.
 func (r *rig) fetch(path string, mayFill bool, change func(*fetchheader.Attempt, *http.Request)) (*http.Response, []byte, error) {
@@ -166,20 +172,20 @@
 // purged object is not served, neither before nor after a restart.
 func TestWarmAfterRestart(t *testing.T) {
 	r := newRig(t, "")
-	if res, _, err := r.fetch("/still/1/a", false, nil); err != nil || res.StatusCode != 504 || !strings.Contains(res.Header.Get(fetchheader.StatusField), "fwd=miss") {
+	if res, _, err := r.fetch("/still/1/a", storedOnly, nil); err != nil || res.StatusCode != 504 || !strings.Contains(res.Header.Get(fetchheader.StatusField), "fwd=miss") {
 		t.Fatal(res, err)
 	}
 	name := func(i int) string { return fmt.Sprintf("/still/1/o%d", i) }
 	for i := range 20 {
-		if s, _ := r.fetchVerified(name(i), true); !strings.Contains(s, "fwd=miss") || !strings.Contains(s, "stored") {
+		if s, _ := r.fetchVerified(name(i), allowFill); !strings.Contains(s, "fwd=miss") || !strings.Contains(s, "stored") {
 			t.Fatal(s)
 		}
 	}
-	r.fetchVerified("/film/1/big", true)
+	r.fetchVerified("/film/1/big", allowFill)
 	r.waitStored(21)
 	hit := func(path string) {
 		t.Helper()
-		if s, _ := r.fetchVerified(path, false); !strings.Contains(s, "hit") {
+		if s, _ := r.fetchVerified(path, storedOnly); !strings.Contains(s, "hit") {
 			t.Fatal(s)
 		}
 	}
@@ -187,16 +193,16 @@
 		hit(name(i))
 	}
 	r.stop()
-	made := r.origin.Purge(name(7), 0, 0) // while it is down
+	madeAt := r.origin.Purge(name(7), 0, 0) // while it is down
 	r.start()
 	if r.server.Recovered.Objects != 21 {
 		t.Errorf("recovered %+v, want 21 objects", r.server.Recovered)
 	}
-	if res, _, _ := r.fetch(name(1), false, nil); res.StatusCode != 504 {
+	if res, _, _ := r.fetch(name(1), storedOnly, nil); res.StatusCode != 504 {
 		t.Error("an object is served although a purge may have been missed:", res.Status)
 	}
 	for i := range 20 {
-		if _, v := r.fetchVerified(name(i), true); i == 7 && v != 2 {
+		if _, v := r.fetchVerified(name(i), allowFill); i == 7 && v != 2 {
 			t.Errorf("got version %d after a purge that the cache missed, want 2", v)
 		}
 		if i != 7 {
@@ -208,7 +214,7 @@
 	}
 	r.stop()
 	r.start()
-	r.purge(fmt.Sprintf(`{"object":%q,"made":%f}`, name(7), made))
+	r.purge(fmt.Sprintf(`{"object":%q,"made":%f}`, name(7), madeAt))
 	res, err := r.client.Post("http://"+r.server.Addr()+"/-/caught-up", "", nil)
 	if err != nil || res.StatusCode != 200 {
 		t.Fatal(res, err)
@@ -227,7 +233,7 @@
 		t.Error(code)
 	}
 	for range 2 {
-		if res, _, _ := r.fetch("/still/1/o3", false, nil); res.StatusCode != 504 {
+		if res, _, _ := r.fetch("/still/1/o3", storedOnly, nil); res.StatusCode != 504 {
 			t.Error("a purged object is served:", res.Status)
 		}
 		r.stop()
@@ -238,7 +244,7 @@
 	if code := r.purge(`{"group":7}`); code != 200 {
 		t.Fatal(code)
 	}
-	if res, _, _ := r.fetch("/still/1/o4", false, nil); res.StatusCode != 504 {
+	if res, _, _ := r.fetch("/still/1/o4", storedOnly, nil); res.StatusCode != 504 {
 		t.Error("an object is served after the purge of its group:", res.Status)
 	}
 }
@@ -252,7 +258,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			res, b, err := r.fetch("/film/1/same", true, nil)
+			res, b, err := r.fetch("/film/1/same", allowFill, nil)
 			if err != nil || res.StatusCode != 200 {
 				t.Errorf("response %v, error %v", res, err)
 				return
@@ -290,7 +296,7 @@
 	}
 	got := make(chan error, 1)
 	go func() {
-		_, _, err := r.fetch("/film/1/slow", true, nil)
+		_, _, err := r.fetch("/film/1/slow", allowFill, nil)
 		got <- err
 	}()
 	for range 400 {
@@ -299,15 +305,15 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	made := r.origin.Purge("/film/1/slow", 0, 0)
-	if code := r.purge(fmt.Sprintf(`{"object":"/film/1/slow","made":%f}`, made)); code != 200 {
+	madeAt := r.origin.Purge("/film/1/slow", 0, 0)
+	if code := r.purge(fmt.Sprintf(`{"object":"/film/1/slow","made":%f}`, madeAt)); code != 200 {
 		t.Fatal(code)
 	}
 	if err := <-got; err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(100 * time.Millisecond)
-	if res, _, _ := r.fetch("/film/1/slow", false, nil); res.StatusCode != 504 {
+	if res, _, _ := r.fetch("/film/1/slow", storedOnly, nil); res.StatusCode != 504 {
 		t.Error("the object of a fill that began before the purge is served")
 	}
 }
@@ -317,40 +323,40 @@
 func TestAttempts(t *testing.T) {
 	r := newRig(t, "")
 	for range 2 {
-		res, _, err := r.fetch("/still/1/pass", true, func(a *fetchheader.Attempt, _ *http.Request) { a.Keep = 0 })
+		res, _, err := r.fetch("/still/1/pass", allowFill, func(a *fetchheader.Attempt, _ *http.Request) { a.Keep = 0 })
 		if err != nil || strings.Contains(res.Header.Get(fetchheader.StatusField), "stored") {
 			t.Fatal(res, err)
 		}
 	}
-	if res, _, _ := r.fetch("/still/1/pass", false, nil); res.StatusCode != 504 {
+	if res, _, _ := r.fetch("/still/1/pass", storedOnly, nil); res.StatusCode != 504 {
 		t.Error("an object of rank 0 was stored")
 	}
-	r.fetchVerified("/still/1/age", true)
+	r.fetchVerified("/still/1/age", allowFill)
 	r.waitStored(1)
 	time.Sleep(30 * time.Millisecond)
-	if res, _, _ := r.fetch("/still/1/age", false, func(a *fetchheader.Attempt, _ *http.Request) { a.Age = 10 }); res.StatusCode != 504 {
+	if res, _, _ := r.fetch("/still/1/age", storedOnly, func(a *fetchheader.Attempt, _ *http.Request) { a.Age = 10 }); res.StatusCode != 504 {
 		t.Error("an object above the maximum age is a hit")
 	}
-	res, b, err := r.fetch("/order/1", true, func(a *fetchheader.Attempt, q *http.Request) {
+	res, b, err := r.fetch("/order/1", allowFill, func(a *fetchheader.Attempt, q *http.Request) {
 		q.Method, q.Body, q.ContentLength = "POST", io.NopCloser(strings.NewReader("hello")), 5
 		q.Header.Set(fetchheader.IdempotencyKeyField, "k1")
 	})
 	if err != nil || res.StatusCode != 200 || !bytes.Contains(b, []byte("5 bytes")) {
 		t.Errorf("write: response %v, body %q, error %v", res, b, err)
 	}
-	part := func(src bool) (int, string) {
-		res, b, err := r.fetch("/film/1/r", src, func(_ *fetchheader.Attempt, q *http.Request) { q.Header.Set("Range", "bytes=100-299") })
+	part := func(mayFill bool) (int, string) {
+		res, b, err := r.fetch("/film/1/r", mayFill, func(_ *fetchheader.Attempt, q *http.Request) { q.Header.Set("Range", "bytes=100-299") })
 		if err != nil {
 			t.Fatal(err)
 		}
 		return res.StatusCode, fmt.Sprint(len(b), res.Header.Get("Content-Range"))
 	}
-	code, text := part(true)
+	code, text := part(allowFill)
 	r.waitStored(2)
-	if again, same := part(false); code != 206 || again != 206 || text != same || !strings.HasPrefix(text, "200bytes 100-299/") {
+	if again, same := part(storedOnly); code != 206 || again != 206 || text != same || !strings.HasPrefix(text, "200bytes 100-299/") {
 		t.Error(code, text, again, same)
 	}
-	res, b, err = r.fetch("/still/1/age", false, func(_ *fetchheader.Attempt, q *http.Request) { q.Method = "HEAD" })
+	res, b, err = r.fetch("/still/1/age", storedOnly, func(_ *fetchheader.Attempt, q *http.Request) { q.Method = "HEAD" })
 	if err != nil || res.StatusCode != 200 || len(b) > 0 || res.ContentLength < 100 {
 		t.Error(res, err)
 	}
@@ -375,7 +381,7 @@
 func TestSourceFails(t *testing.T) {
 	r := newRig(t, "(fill-wait 200)")
 	for what, want := range map[string]string{"gone": fetchheader.SourceUnreached, "hangs": fetchheader.SourceUnreached, "lacks": fetchheader.SourceLacks} {
-		res, _, err := r.fetch("/still/1/"+what, true, func(a *fetchheader.Attempt, _ *http.Request) {
+		res, _, err := r.fetch("/still/1/"+what, allowFill, func(a *fetchheader.Attempt, _ *http.Request) {
 			switch what {
 			case "gone":
 				a.SourceAddress = "127.0.0.1:1"
@@ -396,7 +402,7 @@
 	if st, _ := r.server.State(); r.server.loop == nil || st.Kept != 0 {
 		t.Error(st)
 	}
-	r.fetchVerified("/still/1/after", true)
+	r.fetchVerified("/still/1/after", allowFill)
 	r.server.loop.Call(time.Second, func() {
 		if r.server.fillsInFlight > 1 || len(r.server.fills) > 1 {
 			t.Errorf("%d fills are still in flight", r.server.fillsInFlight)
@@ -408,7 +414,7 @@
 // not wait for the disk.
 func TestDiskHangs(t *testing.T) {
 	r := newRig(t, "(threads 2) (queue 4) (patience 50)")
-	r.fetchVerified("/still/1/a", true)
+	r.fetchVerified("/still/1/a", allowFill)
 	r.waitStored(1)
 	release := make(chan bool)
 	for range 2 {
@@ -419,7 +425,7 @@
 	}
 	at := time.Now()
 	for i := range 5 {
-		if s, _ := r.fetchVerified(fmt.Sprintf("/still/1/h%d", i), true); strings.Contains(s, "stored") {
+		if s, _ := r.fetchVerified(fmt.Sprintf("/still/1/h%d", i), allowFill); strings.Contains(s, "stored") {
 			t.Error("an object is reported as stored while the disk hangs:", s)
 		}
 	}
@@ -428,7 +434,7 @@
 	}
 	close(release)
 	for range 400 { // the queued jobs have to run first
-		if res, _, err := r.fetch("/still/1/a", false, nil); err == nil && res.StatusCode == 200 {
+		if res, _, err := r.fetch("/still/1/a", storedOnly, nil); err == nil && res.StatusCode == 200 {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
--- a/internal/cachenode/server/fault_test.go
+++ b/internal/cachenode/server/fault_test.go
@@ -76,8 +76,9 @@
 	Copies int `json:"copies"`
 	Disk   struct {
 		Fault, File, Cause, Since string
-		ForMS                     int64 `json:"for_ms"`
-		Unread, Purges            bool
+		FaultMillis               int64 `json:"for_ms"`
+		LogsUnread                bool  `json:"unread"` // the logs could not be read since the start
+		PurgesDurable             bool  `json:"purges"` // purges can be acknowledged
 	} `json:"disk"`
 }) {
 	r.t.Helper()
@@ -111,7 +112,7 @@
 	r.fs = dir
 	r.start()
 	for _, name := range []string{"a", "b", "c"} {
-		r.fetchVerified("/still/1/"+name, true)
+		r.fetchVerified("/still/1/"+name, allowFill)
 	}
 	r.waitStored(3)
 	dir.errno.Store(int32(errno))
@@ -120,18 +121,18 @@
 		<-r.done // an error: stored objects may not be synced
 		r.start()
 	}
-	r.fetchVerified("/still/1/x", true)
+	r.fetchVerified("/still/1/x", allowFill)
 	if code := r.purge(`{"object":"/still/1/b"}`); code != 500 {
 		t.Errorf("a purge that is not durable got status %d, want 500", code)
 	}
-	if res, _, _ := r.fetch("/still/1/b", false, nil); res.StatusCode != 504 {
+	if res, _, _ := r.fetch("/still/1/b", storedOnly, nil); res.StatusCode != 504 {
 		t.Errorf("an object is served after a purge that was not acknowledged: status %d", res.StatusCode)
 	}
-	if st := r.state().Disk; st.Cause != errno.Error() || st.Since == "" || st.File == "" || st.Purges || st.Unread != (restart && errno == syscall.EIO) {
+	if st := r.state().Disk; st.Cause != errno.Error() || st.Since == "" || st.File == "" || st.PurgesDurable || st.LogsUnread != (restart && errno == syscall.EIO) {
 		t.Errorf("state of the disk during the fault: %+v", st)
 	}
 	dir.errno.Store(0)
-	for i := 0; !r.state().Disk.Purges; i++ { // the store has to retry without being used
+	for i := 0; !r.state().Disk.PurgesDurable; i++ { // the store has to retry without being used
 		if time.Sleep(20 * time.Millisecond); i > 300 {
 			t.Fatalf("the store does not work again after 6 s: %+v", r.state().Disk)
 		}
@@ -139,22 +140,22 @@
 	if code := r.purge(`{"object":"/still/1/c"}`); code != 200 {
 		t.Errorf("a purge after the fault got status %d, want 200", code)
 	}
-	r.fetchVerified("/still/1/d", true)
+	r.fetchVerified("/still/1/d", allowFill)
 	for i := 0; ; i++ {
-		if res, _, _ := r.fetch("/still/1/d", false, nil); res.StatusCode == 200 {
+		if res, _, _ := r.fetch("/still/1/d", storedOnly, nil); res.StatusCode == 200 {
 			break
 		}
 		if time.Sleep(20 * time.Millisecond); i > 300 {
 			t.Fatal("no object is stored after the fault")
 		}
-		r.fetchVerified("/still/1/d", true)
+		r.fetchVerified("/still/1/d", allowFill)
 	}
 	r.server.Stop()
 	<-r.done
 	r.start()
 	r.server.store.MarkPurgesCaughtUp()
 	for name, want := range map[string]int{"a": 200, "b": 504, "c": 504, "d": 200} {
-		if res, _, _ := r.fetch("/still/1/"+name, false, nil); res.StatusCode != want {
+		if res, _, _ := r.fetch("/still/1/"+name, storedOnly, nil); res.StatusCode != want {
 			t.Errorf("after a restart %s got status %d, want %d", name, res.StatusCode, want)
 		}
 	}
@@ -163,12 +164,12 @@
 // A request that arrives after the answer to a purge does not join a fill that began before the
 // purge, also if the purge was not acknowledged because the logs can't be read or written.
 func TestNoJoinOfFillFromBeforePurge(t *testing.T) {
-	for _, what := range []string{"healthy", "write fault", "unread"} {
-		t.Run(what, func(t *testing.T) {
+	for _, fault := range []string{"healthy", "write fault", "unread"} {
+		t.Run(fault, func(t *testing.T) {
 			r := newRig(t, "")
 			r.stop()
 			dir := &faultyDir{Dir: store.Dir(r.cfg.Folder)}
-			if r.fs = dir; what == "unread" {
+			if r.fs = dir; fault == "unread" {
 				dir.errno.Store(int32(syscall.EIO))
 			}
 			r.start()
@@ -177,21 +178,21 @@
 			}
 			first := make(chan error, 1)
 			go func() {
-				_, _, err := r.fetch("/film/1/slow", true, nil)
+				_, _, err := r.fetch("/film/1/slow", allowFill, nil)
 				first <- err
 			}()
 			for st, _ := r.server.State(); st.Fills == 0; st, _ = r.server.State() {
 				time.Sleep(time.Millisecond)
 			}
 			time.Sleep(20 * time.Millisecond) // so that the origin begins to answer
-			if what == "write fault" {
+			if fault == "write fault" {
 				dir.errno.Store(int32(syscall.ENOSPC))
 			}
-			made := r.origin.Purge("/film/1/slow", 0, 0)
-			if code := r.purge(fmt.Sprintf(`{"object":"/film/1/slow","made":%f}`, made)); code != 200 && what == "healthy" {
+			madeAt := r.origin.Purge("/film/1/slow", 0, 0)
+			if code := r.purge(fmt.Sprintf(`{"object":"/film/1/slow","made":%f}`, madeAt)); code != 200 && fault == "healthy" {
 				t.Fatal(code)
 			}
-			if _, version := r.fetchVerified("/film/1/slow", true); version < 2 {
+			if _, version := r.fetchVerified("/film/1/slow", allowFill); version < 2 {
 				t.Errorf("got version %d after the purge, want 2 or later", version)
 			}
 			if err := <-first; err != nil {
--- a/internal/cachenode/server/syscalls_test.go
+++ b/internal/cachenode/server/syscalls_test.go
@@ -34,7 +34,7 @@
 					var wg sync.WaitGroup
 					for i := range requests {
 						wg.Go(func() {
-							res, _, err := r.fetch(fmt.Sprintf("/still/%d", i), true, nil)
+							res, _, err := r.fetch(fmt.Sprintf("/still/%d", i), allowFill, nil)
 							switch {
 							case err != nil:
 								t.Errorf("request %d got no response: %v", i, err)
