--- a/internal/cachenode/server/cache_test.go
+++ b/internal/cachenode/server/cache_test.go
@@ -106,7 +106,7 @@
 )
 
 // fetch sends an attempt to the cache. mayFill allows a fill from the origin. change, if not nil,
-// modifies the attempt and the request before.
+// modifies the attempt and the request before they are sent.
 func (r *rig) fetch(path string, mayFill bool, change func(*fetchheader.Attempt, *http.Request)) (*http.Response, []byte, error) {
 	class := strings.Split(path, "/")[1]
 	a := fetchheader.Attempt{ID: "q" + path, From: "r1", Class: class, Object: path, Group: 7, Keep: 2, Join: true}
@@ -127,8 +127,8 @@
 	return res, b, err
 }
 
-// fetchVerified fetches a path and compares the body with the origin's content. It returns
-// Cache-Status and version.
+// fetchVerified fetches a path and compares the body with the origin's content. It returns the
+// Cache-Status field and the version.
 func (r *rig) fetchVerified(path string, mayFill bool) (status string, version int64) {
 	r.t.Helper()
 	res, b, err := r.fetch(path, mayFill, nil)
@@ -193,7 +193,7 @@
 		hit(name(i))
 	}
 	r.stop()
-	madeAt := r.origin.Purge(name(7), 0, 0) // while it is down
+	madeAt := r.origin.Purge(name(7), 0, 0) // while the cache is down; an origin ignores the group of a purge by object, and the time
 	r.start()
 	if r.server.Recovered.Objects != 21 {
 		t.Errorf("recovered %+v, want 21 objects", r.server.Recovered)
@@ -291,7 +291,7 @@
 // A purge during a fill: the object, which may be older than the purge, is not stored.
 func TestPurgeDuringFill(t *testing.T) {
 	r := newRig(t, "")
-	if err := r.origin.Fault(testserver.Fault{Kind: testserver.Slow, For: 5000, Factor: 2000}); err != nil {
+	if err := r.origin.Fault(testserver.Fault{Kind: testserver.Slow, For: 5000, Factor: 2000}); err != nil { // 2000 times slower for 5 s: slow enough that the fill is in flight at the purge
 		t.Skip(err)
 	}
 	got := make(chan error, 1)
@@ -305,7 +305,7 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	madeAt := r.origin.Purge("/film/1/slow", 0, 0)
+	madeAt := r.origin.Purge("/film/1/slow", 0, 0) // an origin ignores the group of a purge by object, and the time
 	if code := r.purge(fmt.Sprintf(`{"object":"/film/1/slow","made":%f}`, madeAt)); code != 200 {
 		t.Fatal(code)
 	}
--- a/internal/cachenode/server/fault_test.go
+++ b/internal/cachenode/server/fault_test.go
@@ -12,7 +12,8 @@
 	"indigospool/internal/testbed/testserver"
 )
 
-// faultyDir is a folder whose operations fail with errno while it is not 0.
+// faultyDir is a folder whose operations fail with errno while errno is not 0. ENOSPC affects only
+// the creation, writing and syncing of files.
 type faultyDir struct {
 	store.Dir
 	errno atomic.Int32
@@ -48,7 +49,7 @@
 	dir *faultyDir
 }
 
-// WriteAt writes half of b if the folder fails.
+// WriteAt writes only the first half of b if the folder fails.
 func (f *faultyFile) WriteAt(b []byte, off int64) (int, error) {
 	if err := f.dir.fault(); err != nil {
 		n, _ := f.File.WriteAt(b[:len(b)/2], off)
@@ -94,13 +95,13 @@
 }
 
 // The folder of the store fails for a while, with or without a restart during the fault. Meanwhile
-// requests are answered from the source, purges are applied but not acknowledged, and the state
+// requests are answered from the origin, purges are applied but not acknowledged, and the state
 // page has the cause and the start of the fault. Afterwards the cache stores objects and
 // acknowledges purges again, and the earlier purges are durable without being sent again.
 func TestFolderFailsForAWhile(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EIO} {
 		for _, restart := range []bool{false, true} {
-			t.Run(fmt.Sprint(errno, " ", restart), func(t *testing.T) { checkFolderFails(t, errno, restart) })
+			t.Run(fmt.Sprintf("%v, restart %v", errno, restart), func(t *testing.T) { checkFolderFails(t, errno, restart) })
 		}
 	}
 }
@@ -118,7 +119,7 @@
 	dir.errno.Store(int32(errno))
 	if restart {
 		r.server.Stop()
-		<-r.done // an error: stored objects may not be synced
+		<-r.done // the error is expected: during the fault the store can't be closed cleanly
 		r.start()
 	}
 	r.fetchVerified("/still/1/x", allowFill)
@@ -126,13 +127,13 @@
 		t.Errorf("a purge that is not durable got status %d, want 500", code)
 	}
 	if res, _, _ := r.fetch("/still/1/b", storedOnly, nil); res.StatusCode != 504 {
-		t.Errorf("an object is served after a purge that was not acknowledged: status %d", res.StatusCode)
+		t.Errorf("a purged object got status %d, want 504 (not stored), although the purge was not acknowledged", res.StatusCode)
 	}
 	if st := r.state().Disk; st.Cause != errno.Error() || st.Since == "" || st.File == "" || st.PurgesDurable || st.LogsUnread != (restart && errno == syscall.EIO) {
 		t.Errorf("state of the disk during the fault: %+v", st)
 	}
 	dir.errno.Store(0)
-	for i := 0; !r.state().Disk.PurgesDurable; i++ { // the store has to retry without being used
+	for i := 0; !r.state().Disk.PurgesDurable; i++ { // the store must recover by itself: no object and no purge is sent meanwhile
 		if time.Sleep(20 * time.Millisecond); i > 300 {
 			t.Fatalf("the store does not work again after 6 s: %+v", r.state().Disk)
 		}
@@ -153,27 +154,27 @@
 	r.server.Stop()
 	<-r.done
 	r.start()
-	r.server.store.MarkPurgesCaughtUp()
+	r.server.store.MarkPurgesCaughtUp() // otherwise objects from before the restart must be validated, and get 504
 	for name, want := range map[string]int{"a": 200, "b": 504, "c": 504, "d": 200} {
 		if res, _, _ := r.fetch("/still/1/"+name, storedOnly, nil); res.StatusCode != want {
-			t.Errorf("after a restart %s got status %d, want %d", name, res.StatusCode, want)
+			t.Errorf("after the fault and a restart /still/1/%s got status %d, want %d", name, res.StatusCode, want)
 		}
 	}
 }
 
 // A request that arrives after the answer to a purge does not join a fill that began before the
-// purge, also if the purge was not acknowledged because the logs can't be read or written.
+// purge, even if the purge was not acknowledged because the logs can't be read or written.
 func TestNoJoinOfFillFromBeforePurge(t *testing.T) {
-	for _, fault := range []string{"healthy", "write fault", "unread"} {
+	for _, fault := range []string{"none", "writes fail", "logs unreadable at start"} {
 		t.Run(fault, func(t *testing.T) {
 			r := newRig(t, "")
 			r.stop()
 			dir := &faultyDir{Dir: store.Dir(r.cfg.Folder)}
-			if r.fs = dir; fault == "unread" {
+			if r.fs = dir; fault == "logs unreadable at start" {
 				dir.errno.Store(int32(syscall.EIO))
 			}
 			r.start()
-			if err := r.origin.Fault(testserver.Fault{Kind: testserver.Slow, For: 5000, Factor: 2000}); err != nil {
+			if err := r.origin.Fault(testserver.Fault{Kind: testserver.Slow, For: 5000, Factor: 2000}); err != nil { // 2000 times slower for 5 s: slow enough that the first fill is in flight at the purge
 				t.Fatal(err)
 			}
 			first := make(chan error, 1)
@@ -185,18 +186,18 @@
 				time.Sleep(time.Millisecond)
 			}
 			time.Sleep(20 * time.Millisecond) // so that the origin begins to answer
-			if fault == "write fault" {
+			if fault == "writes fail" {
 				dir.errno.Store(int32(syscall.ENOSPC))
 			}
-			madeAt := r.origin.Purge("/film/1/slow", 0, 0)
-			if code := r.purge(fmt.Sprintf(`{"object":"/film/1/slow","made":%f}`, madeAt)); code != 200 && fault == "healthy" {
-				t.Fatal(code)
+			madeAt := r.origin.Purge("/film/1/slow", 0, 0) // an origin ignores the group of a purge by object, and the time
+			if code := r.purge(fmt.Sprintf(`{"object":"/film/1/slow","made":%f}`, madeAt)); code != 200 && fault == "none" {
+				t.Fatalf("the purge got status %d, want 200", code)
 			}
 			if _, version := r.fetchVerified("/film/1/slow", allowFill); version < 2 {
 				t.Errorf("got version %d after the purge, want 2 or later", version)
 			}
 			if err := <-first; err != nil {
-				t.Error(err)
+				t.Errorf("the request before the purge: %v", err)
 			}
 			dir.errno.Store(0)
 		})
