--- a/cmd/spool-router/main.go
+++ b/cmd/spool-router/main.go
@@ -74,23 +74,23 @@
 		return err
 	}
 	cli.TuneGC(s.Limits.MemoryMB)
-	log, err := httpfront.NewAccessLog(s)
+	accessLog, err := httpfront.NewAccessLog(s)
 	if err != nil {
 		return err
 	}
-	defer log.Close()
-	edge, closeEdge, err := httpfront.Open(ctx, s, log)
+	defer accessLog.Close()
+	edge, closeEdge, err := httpfront.Open(ctx, s, accessLog)
 	if err != nil {
 		return err
 	}
 	defer closeEdge()
-	log.Log.Info("serving", zap.String("name", s.Router.Name), zap.String("address", edge.Addr()), zap.String("zone", s.Router.Zone))
+	accessLog.Log.Info("serving", zap.String("name", s.Router.Name), zap.String("address", edge.Addr()), zap.String("zone", s.Router.Zone))
 	context.AfterFunc(ctx, func() {
-		log.Log.Info("draining")
+		accessLog.Log.Info("draining")
 		edge.Drain()
 	})
 	err = edge.Run()
-	log.Log.Info("stopped")
+	accessLog.Log.Info("stopped")
 	return err
 }
 
--- a/internal/decisionlog/journal/format.go
+++ b/internal/decisionlog/journal/format.go
@@ -70,7 +70,7 @@
 type settings struct {
 	_       struct{} `cbor:",toarray"`
 	T       float64
-	Number  int64
+	Version int64
 	Text    string
 	Actions []action
 }
@@ -198,25 +198,25 @@
 // The types for encoding. They have the same array forms as the types for decoding, but typed
 // fields, which are cheaper to encode than fields of type any.
 type (
-	written struct {
+	encoded struct {
 		_      struct{} `cbor:",toarray"`
 		Kind   uint8
 		Fields any
 	}
-	writtenHandled struct {
+	encodedHandled struct {
 		_       struct{} `cbor:",toarray"`
 		T       float64
-		Event   written
-		Actions []written
+		Event   encoded
+		Actions []encoded
 	}
-	writtenSettings struct {
+	encodedSettings struct {
 		_       struct{} `cbor:",toarray"`
 		T       float64
-		Number  int64
+		Version int64
 		Text    string
-		Actions []written
+		Actions []encoded
 	}
-	writtenRecord struct {
+	encodedRecord struct {
 		_     struct{} `cbor:",toarray"`
 		Kind  Kind
 		Names []string
@@ -256,8 +256,8 @@
 		Attempt   int
 	}
 	fName struct {
-		_  struct{} `cbor:",toarray"`
-		ID stringIndex
+		_    struct{} `cbor:",toarray"`
+		Name stringIndex
 	}
 	fPurge struct {
 		_      struct{} `cbor:",toarray"`
@@ -323,52 +323,52 @@
 )
 
 // encodeEvent returns an event in its encoded form.
-func (t *stringTable) encodeEvent(e spool.Event) (written, error) {
+func (t *stringTable) encodeEvent(e spool.Event) (encoded, error) {
 	switch e := e.(type) {
 	case spool.Members:
 		rows := make([]fRow, len(e.Rows))
 		for i, r := range e.Rows {
 			rows[i] = fRow{ID: t.intern(r.ID), Zone: t.intern(r.Zone), Kind: t.intern(r.Kind), Cell: r.Cell, State: int(r.State), Size: r.Size, ReadyAt: r.ReadyAt}
 		}
-		return written{Kind: evMembers, Fields: &fMembers{Full: e.Full, Lost: e.Lost, Rows: rows}}, nil
+		return encoded{Kind: evMembers, Fields: &fMembers{Full: e.Full, Lost: e.Lost, Rows: rows}}, nil
 	case spool.Request:
-		return written{Kind: evRequest, Fields: &fRequest{ID: t.intern(e.ID), Class: t.intern(e.Class), Tenant: t.intern(e.Tenant), Object: t.intern(e.Object),
+		return encoded{Kind: evRequest, Fields: &fRequest{ID: t.intern(e.ID), Class: t.intern(e.Class), Tenant: t.intern(e.Tenant), Object: t.intern(e.Object),
 			Deadline: e.Deadline, KB: e.KB, Group: e.Group, Part: e.Part, Retry: e.Retry, Write: e.Write}}, nil
 	case spool.Outcome:
-		return written{Kind: evOutcome, Fields: &fOutcome{ID: t.intern(e.ID), Cache: t.intern(e.Cache), Attempt: e.Attempt, Result: int(e.Result),
+		return encoded{Kind: evOutcome, Fields: &fOutcome{ID: t.intern(e.ID), Cache: t.intern(e.Cache), Attempt: e.Attempt, Result: int(e.Result),
 			Took: e.Took, Last: e.Last, Note: int(e.Note), Waited: e.Waited, Load: e.Load}}, nil
 	case spool.Started:
-		return written{Kind: evStarted, Fields: &fStarted{ID: t.intern(e.ID), Cache: t.intern(e.Cache), Attempt: e.Attempt}}, nil
+		return encoded{Kind: evStarted, Fields: &fStarted{ID: t.intern(e.ID), Cache: t.intern(e.Cache), Attempt: e.Attempt}}, nil
 	case spool.Gone:
-		return written{Kind: evGone, Fields: &fName{ID: t.intern(e.ID)}}, nil
+		return encoded{Kind: evGone, Fields: &fName{Name: t.intern(e.ID)}}, nil
 	case spool.Purge:
-		return written{Kind: evPurge, Fields: &fPurge{Object: t.intern(e.Object), Group: e.Group, Age: e.Age}}, nil
+		return encoded{Kind: evPurge, Fields: &fPurge{Object: t.intern(e.Object), Group: e.Group, Age: e.Age}}, nil
 	case spool.Timer:
-		return written{Kind: evTimer, Fields: &fToken{Token: e.Token}}, nil
+		return encoded{Kind: evTimer, Fields: &fToken{Token: e.Token}}, nil
 	case spool.Probed:
-		return written{Kind: evProbed, Fields: &fProbed{Cache: t.intern(e.Cache), OK: e.OK, Load: e.Load}}, nil
+		return encoded{Kind: evProbed, Fields: &fProbed{Cache: t.intern(e.Cache), OK: e.OK, Load: e.Load}}, nil
 	case spool.Message:
-		return written{Kind: evMessage, Fields: &fMessage{From: e.From, Text: e.Text}}, nil
+		return encoded{Kind: evMessage, Fields: &fMessage{From: e.From, Text: e.Text}}, nil
 	}
 	return t.encodeOtherEvent(e)
 }
 
 // encodeOtherEvent continues encodeEvent for the rarer events.
-func (t *stringTable) encodeOtherEvent(e spool.Event) (written, error) {
+func (t *stringTable) encodeOtherEvent(e spool.Event) (encoded, error) {
 	switch e := e.(type) {
 	case spool.Recalled:
 		b, err := learnedstate.EncodeModule(e.Memory)
-		return written{Kind: evRecalled, Fields: &fBytes{Bytes: b}}, err
+		return encoded{Kind: evRecalled, Fields: &fBytes{Bytes: b}}, err
 	case spool.Stalled:
-		return written{Kind: evStalled, Fields: &fStalled{ID: t.intern(e.ID), Attempt: e.Attempt, On: e.On}}, nil
+		return encoded{Kind: evStalled, Fields: &fStalled{ID: t.intern(e.ID), Attempt: e.Attempt, On: e.On}}, nil
 	case spool.Retired:
-		return written{Kind: evRetired, Fields: &fBool{On: e.On}}, nil
+		return encoded{Kind: evRetired, Fields: &fBool{On: e.On}}, nil
 	}
-	return written{}, fmt.Errorf("%w of event: %T", ErrUnknown, e)
+	return encoded{}, fmt.Errorf("%w of event: %T", ErrUnknown, e)
 }
 
 // encodeAction returns an action in its encoded form.
-func (t *stringTable) encodeAction(a spool.Action) (written, error) {
+func (t *stringTable) encodeAction(a spool.Action) (encoded, error) {
 	switch a := a.(type) {
 	case spool.Send:
 		flags := 0
@@ -377,24 +377,24 @@
 				flags |= 1 << i
 			}
 		}
-		return written{Kind: actSend, Fields: &fSend{ID: t.intern(a.ID), Cache: t.intern(a.Cache), Source: t.intern(a.Source), Keep: a.Keep,
+		return encoded{Kind: actSend, Fields: &fSend{ID: t.intern(a.ID), Cache: t.intern(a.Cache), Source: t.intern(a.Source), Keep: a.Keep,
 			Age: a.Age, Timeout: a.Timeout, Flags: flags, Within: a.Within}}, nil
 	case spool.Refuse:
-		return written{Kind: actRefuse, Fields: &fRefuse{ID: t.intern(a.ID), After: a.After}}, nil
+		return encoded{Kind: actRefuse, Fields: &fRefuse{ID: t.intern(a.ID), After: a.After}}, nil
 	case spool.Fail:
-		return written{Kind: actFail, Fields: &fName{ID: t.intern(a.ID)}}, nil
+		return encoded{Kind: actFail, Fields: &fName{Name: t.intern(a.ID)}}, nil
 	case spool.Cancel:
-		return written{Kind: actCancel, Fields: &fCancel{ID: t.intern(a.ID), Attempt: a.Attempt}}, nil
+		return encoded{Kind: actCancel, Fields: &fCancel{ID: t.intern(a.ID), Attempt: a.Attempt}}, nil
 	case spool.Wake:
-		return written{Kind: actWake, Fields: &fWake{In: a.In, Token: a.Token}}, nil
+		return encoded{Kind: actWake, Fields: &fWake{In: a.In, Token: a.Token}}, nil
 	case spool.Probe:
-		return written{Kind: actProbe, Fields: &fName{ID: t.intern(a.Cache)}}, nil
+		return encoded{Kind: actProbe, Fields: &fName{Name: t.intern(a.Cache)}}, nil
 	case spool.Watch:
-		return written{Kind: actWatch, Fields: &fNone{}}, nil
+		return encoded{Kind: actWatch, Fields: &fNone{}}, nil
 	case spool.Fetch:
-		return written{Kind: actFetch, Fields: &fNone{}}, nil
+		return encoded{Kind: actFetch, Fields: &fNone{}}, nil
 	}
-	return written{}, fmt.Errorf("%w of action: %T", ErrUnknown, a)
+	return encoded{}, fmt.Errorf("%w of action: %T", ErrUnknown, a)
 }
 
 // fields decodes the fields of an event or action in order. Fields that a later version of
--- a/internal/decisionlog/journal/reader.go
+++ b/internal/decisionlog/journal/reader.go
@@ -243,7 +243,7 @@
 			return nil, err
 		}
 		e = r.newEntry(KindSettings)
-		e.T, e.Version, e.Settings = raw.T, raw.Number, raw.Text
+		e.T, e.Version, e.Settings = raw.T, raw.Version, raw.Text
 		e.Actions, err = r.decodeActions(raw.Actions)
 	case KindGap:
 		e = r.newEntry(KindGap)
--- a/internal/decisionlog/journal/writer.go
+++ b/internal/decisionlog/journal/writer.go
@@ -196,7 +196,7 @@
 
 // Settings records a change of the module's settings. text is called on the writing goroutine.
 func (w *Writer) Settings(now float64, version int64, text func() string, actions []spool.Action) {
-	w.enqueue(item{time: now, settings: &settings{Number: version}, text: text}, actions)
+	w.enqueue(item{time: now, settings: &settings{Version: version}, text: text}, actions)
 }
 
 // enqueue adds a record to the pending batch, or counts it as lost if the queue is full.
@@ -379,8 +379,8 @@
 	if it.start != nil {
 		return w.appendRecord(KindRouterStart, it.start)
 	}
-	list := make([]written, 0, it.endAction-it.firstAction)
-	var ev written
+	list := make([]encoded, 0, it.endAction-it.firstAction)
+	var ev encoded
 	if it.settings == nil {
 		var err error
 		if ev, err = w.table.encodeEvent(it.event); err != nil {
@@ -395,15 +395,15 @@
 		list = append(list, one)
 	}
 	if it.settings != nil {
-		return w.appendRecord(KindSettings, &writtenSettings{T: it.time, Number: it.settings.Number, Text: it.text(), Actions: list})
+		return w.appendRecord(KindSettings, &encodedSettings{T: it.time, Version: it.settings.Version, Text: it.text(), Actions: list})
 	}
-	return w.appendRecord(KindHandled, &writtenHandled{T: it.time, Event: ev, Actions: list})
+	return w.appendRecord(KindHandled, &encodedHandled{T: it.time, Event: ev, Actions: list})
 }
 
 // appendRecord appends an encoded record to buf.
 func (w *Writer) appendRecord(kind Kind, body any) error {
 	w.recordBuf.Reset()
-	if err := enc.MarshalToBuffer(&writtenRecord{Kind: kind, Names: w.table.added, Body: body}, &w.recordBuf); err != nil {
+	if err := enc.MarshalToBuffer(&encodedRecord{Kind: kind, Names: w.table.added, Body: body}, &w.recordBuf); err != nil {
 		return fmt.Errorf("journal: %w", err)
 	}
 	out := w.recordBuf.Bytes()
--- a/internal/decisionlog/whatif/sim.go
+++ b/internal/decisionlog/whatif/sim.go
@@ -33,18 +33,18 @@
 // MemberModel simulates the members. The time now does not decrease in the calls of one Sim.
 type MemberModel interface {
 	// Attempt returns the answer to attempt n of a request.
-	Attempt(now float64, q *spool.Request, n int, s *spool.Send) Answer
+	Attempt(now float64, request *spool.Request, attempt int, send *spool.Send) Answer
 	// AttemptEnded is called when an attempt has ended or was cancelled.
-	AttemptEnded(now float64, q *spool.Request, s *spool.Send, a *Answer, result spool.Result)
+	AttemptEnded(now float64, request *spool.Request, send *spool.Send, answer *Answer, result spool.Result)
 	// Update is called with each update of the members and each purge that a router receives.
 	Update(now float64, ev spool.Event)
 }
 
 // Watcher observes a simulation. Its functions may be nil.
 type Watcher struct {
-	AttemptSent  func(r *Router, state *RequestState, s *spool.Send, candidates []spool.Candidate)
+	AttemptSent  func(r *Router, state *RequestState, send *spool.Send, candidates []spool.Candidate)
 	RequestWaits func(r *Router, state *RequestState, candidates []spool.Candidate) // nothing was sent on arrival
-	AttemptEnded func(r *Router, state *RequestState, t *Attempt)
+	AttemptEnded func(r *Router, state *RequestState, attempt *Attempt)
 	RequestEnded func(r *Router, state *RequestState)
 }
 
@@ -262,65 +262,65 @@
 
 // send sends an attempt. As in the HTTP front, it times out at the request's deadline or after
 // the timeout that the module has set.
-func (s *Sim) send(r *Router, a spool.Send) {
-	state := r.requests[a.ID]
+func (s *Sim) send(r *Router, send spool.Send) {
+	state := r.requests[send.ID]
 	if state == nil {
 		return
 	}
-	t := &Attempt{Send: a, SentAt: s.Now}
-	n := len(state.Attempts)
-	state.Attempts = append(state.Attempts, t)
+	attempt := &Attempt{Send: send, SentAt: s.Now}
+	number := len(state.Attempts)
+	state.Attempts = append(state.Attempts, attempt)
 	state.openAttempts++
 	if s.Watch.AttemptSent != nil {
-		s.Watch.AttemptSent(r, state, &t.Send, candidatesOf(r.candidates, a.ID))
+		s.Watch.AttemptSent(r, state, &attempt.Send, candidatesOf(r.candidates, send.ID))
 	}
 	if state.End != Open {
-		s.At(s.Now, func() { s.endAttempt(r, state, n, spool.NotSent, spool.NoteNone) })
+		s.At(s.Now, func() { s.endAttempt(r, state, number, spool.NotSent, spool.NoteNone) })
 		return
 	}
-	t.answer = r.Members.Attempt(s.Now, &state.Request, n, &t.Send)
+	attempt.answer = r.Members.Attempt(s.Now, &state.Request, number, &attempt.Send)
 	timeout := state.Request.Deadline - s.Now
-	if a.Timeout > 0 {
-		timeout = min(timeout, a.Timeout)
+	if send.Timeout > 0 {
+		timeout = min(timeout, send.Timeout)
 	}
-	if t.answer.Unanswered || t.answer.Took > timeout && !(t.answer.Result == spool.OK && t.answer.FirstByte <= timeout) {
-		s.At(s.Now+timeout, func() { s.endAttempt(r, state, n, spool.TimedOut, spool.NoteNone) })
+	if attempt.answer.Unanswered || attempt.answer.Took > timeout && !(attempt.answer.Result == spool.OK && attempt.answer.FirstByte <= timeout) {
+		s.At(s.Now+timeout, func() { s.endAttempt(r, state, number, spool.TimedOut, spool.NoteNone) })
 		return
 	}
-	if t.answer.Result == spool.OK {
-		s.At(s.Now+min(t.answer.FirstByte, t.answer.Took), func() { s.startResponse(r, state, n) })
+	if attempt.answer.Result == spool.OK {
+		s.At(s.Now+min(attempt.answer.FirstByte, attempt.answer.Took), func() { s.startResponse(r, state, number) })
 	}
-	s.At(s.Now+t.answer.Took, func() { s.endAttempt(r, state, n, t.answer.Result, t.answer.Note) })
+	s.At(s.Now+attempt.answer.Took, func() { s.endAttempt(r, state, number, attempt.answer.Result, attempt.answer.Note) })
 }
 
 // startResponse handles the first byte of an answer. The first answer to arrive is sent to the
 // client.
-func (s *Sim) startResponse(r *Router, state *RequestState, n int) {
-	t := state.Attempts[n]
-	if t.Done || state.End != Open || state.started {
+func (s *Sim) startResponse(r *Router, state *RequestState, number int) {
+	attempt := state.Attempts[number]
+	if attempt.Done || state.End != Open || state.started {
 		return
 	}
-	t.started, state.started = true, true
-	s.Handle(r, spool.Started{ID: state.Request.ID, Cache: t.Send.Cache, Attempt: n})
+	attempt.started, state.started = true, true
+	s.Handle(r, spool.Started{ID: state.Request.ID, Cache: attempt.Send.Cache, Attempt: number})
 }
 
 // endAttempt ends an attempt and schedules its Outcome.
-func (s *Sim) endAttempt(r *Router, state *RequestState, n int, result spool.Result, note spool.Note) {
-	t := state.Attempts[n]
-	if t.Done {
+func (s *Sim) endAttempt(r *Router, state *RequestState, number int, result spool.Result, note spool.Note) {
+	attempt := state.Attempts[number]
+	if attempt.Done {
 		return
 	}
-	if result == spool.OK && !t.started { // another attempt was faster, or the request has ended
+	if result == spool.OK && !attempt.started { // another attempt was faster, or the request has ended
 		result = spool.Cancelled
 	}
-	t.Done, t.Result, t.Took = true, result, s.Now-t.SentAt
+	attempt.Done, attempt.Result, attempt.Took = true, result, s.Now-attempt.SentAt
 	state.openAttempts--
-	r.Members.AttemptEnded(s.Now, &state.Request, &t.Send, &t.answer, result)
+	r.Members.AttemptEnded(s.Now, &state.Request, &attempt.Send, &attempt.answer, result)
 	if s.Watch.AttemptEnded != nil {
-		s.Watch.AttemptEnded(r, state, t)
+		s.Watch.AttemptEnded(r, state, attempt)
 	}
 	last := state.End != Open
-	if state.End == Open && t.started {
+	if state.End == Open && attempt.started {
 		end := Served
 		if result != spool.OK {
 			end = Broken
@@ -328,8 +328,8 @@
 		last = true
 		s.endRequest(r, state, end)
 	}
-	ev := spool.Outcome{ID: state.Request.ID, Cache: t.Send.Cache, Attempt: n, Result: result, Took: t.Took, Last: last,
-		Note: note, Load: t.answer.Load}
+	ev := spool.Outcome{ID: state.Request.ID, Cache: attempt.Send.Cache, Attempt: number, Result: result, Took: attempt.Took, Last: last,
+		Note: note, Load: attempt.answer.Load}
 	s.At(s.Now, func() { s.Handle(r, ev) }) // after the current actions
 	s.release(r, state)
 }
--- a/internal/protocol/http1/body.go
+++ b/internal/protocol/http1/body.go
@@ -153,7 +153,7 @@
 		return b.skipExtension(c)
 	case chunkSizeLF:
 		if c != '\n' {
-			return ErrBareLF
+			return ErrBareCROrLF
 		}
 		b.lineLen, b.hasDigit = 0, false
 		if b.state = chunkData; b.remaining == 0 {
@@ -188,7 +188,7 @@
 		}
 	case trailerLF:
 		if c != '\n' {
-			return ErrBareLF
+			return ErrBareCROrLF
 		}
 		if b.state = trailer; b.lineEmpty {
 			b.state = bodyDone
--- a/internal/protocol/http1/head.go
+++ b/internal/protocol/http1/head.go
@@ -49,35 +49,35 @@
 
 // The errors of the parser. They are variables, so that returning one does not allocate.
 var (
-	ErrRequestLine      = &ProtocolError{400, "malformed request line"}
-	ErrMethod           = &ProtocolError{400, "method is not a token"}
-	ErrMethodTooLong    = &ProtocolError{501, "method longer than any known"}
-	ErrTarget           = &ProtocolError{400, "malformed request target"}
-	ErrTargetTooLong    = &ProtocolError{414, "request line longer than the limit"}
-	ErrVersion          = &ProtocolError{505, "version is not HTTP/1.0 or HTTP/1.1"}
-	ErrVersionForm      = &ProtocolError{400, "malformed version"}
-	ErrStatusLine       = &ProtocolError{502, "malformed status line"}
-	ErrFieldName        = &ProtocolError{400, "field name is not a token, or white space stands before its colon"}
-	ErrFieldValue       = &ProtocolError{400, "control character in a field value"}
-	ErrObsFold          = &ProtocolError{400, "folded field line"}
-	ErrBareLF           = &ProtocolError{400, "line ended by a bare LF or broken by a bare CR"}
-	ErrHeadTooLong      = &ProtocolError{431, "head longer than the limit"}
-	ErrTooManyFields    = &ProtocolError{431, "more field lines than the limit"}
-	ErrNoHost           = &ProtocolError{400, "no Host, or more than one"}
-	ErrHost             = &ProtocolError{400, "malformed Host"}
-	ErrLength           = &ProtocolError{400, "malformed Content-Length"}
-	ErrLengthMismatch   = &ProtocolError{400, "Content-Lengths that differ"}
-	ErrLengthAndCoding  = &ProtocolError{400, "both Content-Length and Transfer-Encoding"}
-	ErrCoding           = &ProtocolError{501, "transfer coding other than chunked"}
-	ErrCodingOrder      = &ProtocolError{400, "chunked is not the single, final transfer coding"}
-	ErrCodingInHTTP10   = &ProtocolError{400, "Transfer-Encoding in an HTTP/1.0 message"}
-	ErrExpect           = &ProtocolError{417, "expectation other than 100-continue"}
-	ErrUpgradeStatus    = &ProtocolError{502, "status 101 (Switching Protocols) without an Upgrade request"}
-	ErrChunkSize        = &ProtocolError{400, "malformed chunk size"}
-	ErrChunkLineTooLong = &ProtocolError{400, "chunk line longer than the limit"}
-	ErrChunkEnd         = &ProtocolError{400, "chunk data not followed by CRLF"}
-	ErrTrailer          = &ProtocolError{400, "malformed trailer"}
-	ErrBodyTooLong      = &ProtocolError{413, "body longer than the limit"}
+	ErrRequestLine        = &ProtocolError{400, "malformed request line"}
+	ErrMethod             = &ProtocolError{400, "method is not a token"}
+	ErrMethodTooLong      = &ProtocolError{501, "method longer than any known"}
+	ErrTarget             = &ProtocolError{400, "malformed request target"}
+	ErrRequestLineTooLong = &ProtocolError{414, "request line longer than the limit"}
+	ErrVersion            = &ProtocolError{505, "version is not HTTP/1.0 or HTTP/1.1"}
+	ErrVersionForm        = &ProtocolError{400, "malformed version"}
+	ErrStatusLine         = &ProtocolError{502, "malformed status line"}
+	ErrFieldName          = &ProtocolError{400, "field name is not a token, or white space stands before its colon"}
+	ErrFieldValue         = &ProtocolError{400, "control character in a field value"}
+	ErrObsFold            = &ProtocolError{400, "folded field line"}
+	ErrBareCROrLF         = &ProtocolError{400, "line ended by a bare LF or broken by a bare CR"}
+	ErrHeadTooLong        = &ProtocolError{431, "head longer than the limit"}
+	ErrTooManyFields      = &ProtocolError{431, "more field lines than the limit"}
+	ErrHostCount          = &ProtocolError{400, "no Host, or more than one"}
+	ErrHost               = &ProtocolError{400, "malformed Host"}
+	ErrLength             = &ProtocolError{400, "malformed Content-Length"}
+	ErrLengthMismatch     = &ProtocolError{400, "Content-Lengths that differ"}
+	ErrLengthAndCoding    = &ProtocolError{400, "both Content-Length and Transfer-Encoding"}
+	ErrCoding             = &ProtocolError{501, "transfer coding other than chunked"}
+	ErrCodingForm         = &ProtocolError{400, "chunked is not the single, final transfer coding"}
+	ErrCodingInHTTP10     = &ProtocolError{400, "Transfer-Encoding in an HTTP/1.0 message"}
+	ErrExpect             = &ProtocolError{417, "expectation other than 100-continue"}
+	ErrUpgradeStatus      = &ProtocolError{502, "status 101 (Switching Protocols) without an Upgrade request"}
+	ErrChunkSize          = &ProtocolError{400, "malformed chunk size"}
+	ErrChunkLineTooLong   = &ProtocolError{400, "chunk line longer than the limit"}
+	ErrChunkEnd           = &ProtocolError{400, "chunk data not followed by CRLF"}
+	ErrTrailer            = &ProtocolError{400, "malformed trailer"}
+	ErrBodyTooLong        = &ProtocolError{413, "body longer than the limit"}
 )
 
 // Field is a field line. Name and Value are slices of the parsed buffer.
@@ -207,16 +207,16 @@
 	if i < 0 {
 		// a CR followed by anything but LF is rejected at once, not when an LF arrives
 		if k := bytes.IndexByte(b[from:], '\r'); k >= 0 && from+k+1 < len(b) {
-			return nil, 0, ErrBareLF
+			return nil, 0, ErrBareCROrLF
 		}
 		return nil, 0, nil
 	}
 	if i == 0 || b[from+i-1] != '\r' {
-		return nil, 0, ErrBareLF
+		return nil, 0, ErrBareCROrLF
 	}
 	line := b[from : from+i-1]
 	if bytes.IndexByte(line, '\r') >= 0 {
-		return nil, 0, ErrBareLF
+		return nil, 0, ErrBareCROrLF
 	}
 	return line, from + i + 1, nil
 }
@@ -238,7 +238,7 @@
 	case err != nil:
 		return 0, err
 	case pos == 0 && len(buf)-start > lim.Line, pos-start > lim.Line+2:
-		return 0, ErrTargetTooLong
+		return 0, ErrRequestLineTooLong
 	case pos == 0:
 		return 0, nil
 	}
@@ -254,15 +254,15 @@
 
 // parseRequestLine sets the method, target and version.
 func (h *Head) parseRequestLine(line []byte) error {
-	i := bytes.IndexByte(line, ' ')
-	if i <= 0 {
+	firstSpace := bytes.IndexByte(line, ' ')
+	if firstSpace <= 0 {
 		return ErrRequestLine
 	}
-	j := bytes.LastIndexByte(line, ' ')
-	if j <= i+1 && j != i || j == i {
+	lastSpace := bytes.LastIndexByte(line, ' ')
+	if lastSpace <= firstSpace+1 && lastSpace != firstSpace || lastSpace == firstSpace {
 		return ErrRequestLine
 	}
-	h.Method, h.Target = line[:i], line[i+1:j]
+	h.Method, h.Target = line[:firstSpace], line[firstSpace+1:lastSpace]
 	if !IsToken(h.Method) {
 		return ErrMethod
 	}
@@ -273,7 +273,7 @@
 		return ErrTarget
 	}
 	var err error
-	h.Minor, err = parseVersion(line[j+1:])
+	h.Minor, err = parseVersion(line[lastSpace+1:])
 	return err
 }
 
@@ -433,7 +433,7 @@
 		case 17:
 			if EqualFold(f.Name, "transfer-encoding") {
 				if codings++; codings > 1 {
-					return false, ErrCodingOrder
+					return false, ErrCodingForm
 				}
 				if err := checkCoding(f.Value); err != nil {
 					return false, err
@@ -451,7 +451,7 @@
 	if hosts != 1 {
 		h.Host = nil
 		if hosts > 1 {
-			return false, ErrNoHost
+			return false, ErrHostCount
 		}
 	}
 	return codings > 0, nil
@@ -475,29 +475,29 @@
 
 // parseContentLength parses a length, or a list that repeats one length (RFC 9110,
 // section 8.6). A length has at most 18 digits, which always fit in an int64.
-func parseContentLength(v []byte) (int64, error) {
-	n, seen := int64(-1), false
+func parseContentLength(rest []byte) (int64, error) {
+	previous, seen := int64(-1), false
 	for {
-		m, more := v, false
-		if i := bytes.IndexByte(v, ','); i >= 0 {
-			m, v, more = v[:i], v[i+1:], true
+		member, more := rest, false
+		if i := bytes.IndexByte(rest, ','); i >= 0 {
+			member, rest, more = rest[:i], rest[i+1:], true
 		}
-		m = trimOWS(m)
-		if len(m) == 0 || len(m) > 18 {
+		member = trimOWS(member)
+		if len(member) == 0 || len(member) > 18 {
 			return 0, ErrLength
 		}
-		var k int64
-		for _, c := range m {
+		var length int64
+		for _, c := range member {
 			if !isDigit(c) {
 				return 0, ErrLength
 			}
-			k = k*10 + int64(c-'0')
+			length = length*10 + int64(c-'0')
 		}
-		if seen && k != n {
+		if seen && length != previous {
 			return 0, ErrLengthMismatch
 		}
-		if n, seen = k, true; !more {
-			return n, nil
+		if previous, seen = length, true; !more {
+			return previous, nil
 		}
 	}
 }
@@ -508,7 +508,7 @@
 		return nil
 	}
 	if bytes.IndexByte(v, ',') >= 0 || !IsToken(v) {
-		return ErrCodingOrder
+		return ErrCodingForm
 	}
 	return ErrCoding
 }
@@ -521,7 +521,7 @@
 		return err
 	}
 	if h.Minor > 0 && !h.Has("host") {
-		return ErrNoHost
+		return ErrHostCount
 	}
 	if !containsOnly(h.Host, hostChar) {
 		return ErrHost
@@ -553,7 +553,7 @@
 func (h *Head) frameResponse(requestIsHead bool) error {
 	chunked, err := h.parseFraming()
 	if invalid, ok := err.(*ProtocolError); ok {
-		if invalid == ErrNoHost { // Host has no meaning in a response
+		if invalid == ErrHostCount { // Host has no meaning in a response
 			chunked, err = h.Has("transfer-encoding"), nil
 		} else {
 			return err
