--- a/cmd/spool-router/main.go
+++ b/cmd/spool-router/main.go
@@ -1,5 +1,5 @@
 // Spool-router accepts HTTP requests of clients and forwards them to the caches that the
-// decision module selects.
+// decision module, indigospool.Router, selects.
 package main
 
 import (
@@ -40,8 +40,8 @@
 	cli.Main(root)
 }
 
-// load reads a settings file. Errors in the settings are returned as a cli.FoundError, which
-// makes the program exit with status 1.
+// load reads a settings file. If the file's settings are invalid, the error is a cli.FoundError,
+// which makes the program exit with status 1.
 func load(file string) (*config.Settings, error) {
 	s := &config.Settings{}
 	err := config.ReadFile(file, s)
--- a/internal/decisionlog/journal/format.go
+++ b/internal/decisionlog/journal/format.go
@@ -17,8 +17,8 @@
 	"indigospool/internal/proxy/learnedstate"
 )
 
-// FormatVersion is the version of the format that is written. A Reader also reads all earlier
-// versions.
+// FormatVersion is the version of the format that is written. A Reader reads this version and
+// all earlier ones.
 const FormatVersion = 1
 
 // Extension is the file name extension of segments.
@@ -29,7 +29,7 @@
 	segmentHeaderSize = 8        // bytes: magic and version
 	recordHeaderSize  = 8        // bytes: length and checksum of the record, little-endian
 	maxRecordSize     = 64 << 20 // bytes, without the header
-	maxTableStrings   = 1 << 16  // a string table with so many strings is cleared before the next record
+	maxTableStrings   = 1 << 16  // a string table with at least this many strings is cleared before the next record
 	segmentNameFormat = "%012d"  // formats the segment's number
 )
 
@@ -63,13 +63,13 @@
 type segment struct {
 	_     struct{} `cbor:",toarray"`
 	Index int64    // number of the segment in the journal
-	First int64    // number of the segment's first record among those of its writer, from 0
+	First int64    // number of records that the same writer wrote before this segment
 }
 
 // settings records a change of the settings of a running router.
 type settings struct {
 	_       struct{} `cbor:",toarray"`
-	T       float64
+	T       float64  // ms on the router's clock
 	Version int64
 	Text    string
 	Actions []action
@@ -78,7 +78,8 @@
 // stringIndex is the index of a string in the segment's string table.
 type stringIndex = uint64
 
-// event is an encoded event. Each field has a fixed position for its kind.
+// event is an encoded event. The event's kind determines the order of its fields; new fields are
+// added at the end without a new version of the format.
 type event struct {
 	_      struct{} `cbor:",toarray"`
 	Kind   uint8
@@ -90,7 +91,7 @@
 // handled records an event and the actions that the module returned for it.
 type handled struct {
 	_       struct{} `cbor:",toarray"`
-	T       float64
+	T       float64  // ms on the router's clock
 	Event   event
 	Actions []action
 }
@@ -192,11 +193,13 @@
 	actFetch
 )
 
-// ErrUnknown is returned for a kind of record, event or action that this program does not know.
+// ErrUnknown is returned for a kind of record, event or action that this program does not know,
+// and for a Recalled event whose learned state cannot be decoded.
 var ErrUnknown = errors.New("journal: unknown kind")
 
 // The types for encoding. They have the same array forms as the types for decoding, but typed
-// fields, which are cheaper to encode than fields of type any.
+// fields, which are cheaper to encode than fields of type any. A type whose name begins with f
+// holds the fields of one kind of event or action, or of several kinds with the same fields.
 type (
 	encoded struct {
 		_      struct{} `cbor:",toarray"`
@@ -397,7 +400,7 @@
 	return encoded{}, fmt.Errorf("%w of action: %T", ErrUnknown, a)
 }
 
-// fields decodes the fields of an event or action in order. Fields that a later version of
+// fields decodes the fields of an event, an action or a row of members in order. Fields that a later version of
 // the format has added at the end are ignored. After the first error, its methods return
 // zero values.
 type fields struct {
@@ -412,14 +415,15 @@
 		return nil
 	}
 	if f.consumed >= len(f.values) {
-		f.err = fmt.Errorf("journal: an event or action has %d fields, more are expected", len(f.values))
+		f.err = fmt.Errorf("journal: an event, an action or a row of members has %d fields, want at least %d", len(f.values), f.consumed+1)
 		return nil
 	}
 	f.consumed++
 	return f.values[f.consumed-1]
 }
 
-// typeError records that the value v, returned last, does not have the expected type.
+// typeError records that the value v, returned last, does not have the expected type. Fields are
+// counted from 1, separately in each row of members.
 func (f *fields) typeError(v any, want string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("journal: field %d has type %T, want %s", f.consumed, v, want)
--- a/internal/decisionlog/journal/reader.go
+++ b/internal/decisionlog/journal/reader.go
@@ -21,7 +21,7 @@
 	Offset  int64  // of the record in the segment, bytes
 	Number  int64  // of the entry among those of this reader, from 0
 
-	T           float64
+	T           float64     // ms on the router's clock
 	Event       spool.Event // of KindHandled
 	Actions     []spool.Action
 	RouterStart *RouterStart // of KindRouterStart
--- a/internal/decisionlog/replay/replay.go
+++ b/internal/decisionlog/replay/replay.go
@@ -1,6 +1,6 @@
 // Package replay passes the events of a journal to a decision module again, and compares its
-// actions with the recorded ones. The module is that of internal/proxy/engine, without any
-// decision or I/O added, except for reading the journal.
+// actions with the recorded ones. It uses the router's own module, engine.Core, and makes no
+// decisions itself. Its only I/O is reading the journal.
 package replay
 
 import (
@@ -15,16 +15,17 @@
 	"indigospool/internal/proxy/engine"
 )
 
-// Difference describes an event for which the replayed actions differ from the recorded ones.
+// Difference describes an event for which the replayed actions differ from the recorded ones. The
+// JSON names of Difference and Report are part of the output format.
 type Difference struct {
 	Segment  string   `json:"segment"`
 	Offset   int64    `json:"offset"`
-	Number   int64    `json:"number"` // of the entry in the journal
-	T        float64  `json:"t"`
+	Number   int64    `json:"number"` // of the record in the journal, from 0
+	T        float64  `json:"t"`      // ms on the router's clock
 	Event    string   `json:"event"`
 	Recorded []string `json:"was"`
 	Replayed []string `json:"is"`
-	Before   []string `json:"before"` // the last records before it
+	Before   []string `json:"before"` // the last records before it whose actions were compared, at most precedingRecords
 }
 
 // Report is the result of a replay.
@@ -35,13 +36,13 @@
 	Actions    int64       `json:"actions"`
 	Compared   int64       `json:"compared"` // events and changes of settings whose actions were compared
 	Equal      int64       `json:"equal"`
-	Skipped    int64       `json:"skipped"` // events between a gap and the next router start, for which the module's state is unknown
-	Gaps       []string    `json:"gaps,omitempty"`
-	Lost       uint64      `json:"lost"`
+	Skipped    int64       `json:"skipped"`        // events and changes of settings that were not replayed, since the module's state is unknown: before the first router start, or between a gap and the next start
+	Gaps       []string    `json:"gaps,omitempty"` // the causes of the gaps, in order
+	Lost       uint64      `json:"lost"`           // number of records known to be lost in gaps
 	Different  int64       `json:"different"`
 	First      *Difference `json:"first,omitempty"`
-	Truncation string      `json:"cut,omitempty"`
-	Unfinished int         `json:"unfinished"` // requests without a final answer when their router's run ended
+	Truncation string      `json:"cut,omitempty"` // where the journal ends with an incomplete record; empty: it is complete
+	Unfinished int         `json:"unfinished"`    // requests without a final answer when their router's run ended, or at a gap in it
 }
 
 // OK reports whether the replay has compared something and found no difference.
@@ -106,7 +107,7 @@
 		}
 		c, err := engine.New(s, e.RouterStart.Seed)
 		if err != nil {
-			return fmt.Errorf("replay: run %d: %w", r.report.Runs, err)
+			return fmt.Errorf("replay: create the module of run %d (%s at byte %d): %w", r.report.Runs, e.Segment, e.Offset, err)
 		}
 		r.core, r.unfinished = c, map[string]bool{}
 		if r.watcher.RouterStarted != nil {
@@ -127,7 +128,7 @@
 		}
 		var err error
 		if r.actions, err = r.core.ChangeSettings(e.T, s, r.actions[:0]); err != nil {
-			return fmt.Errorf("replay: settings version %d: %w", e.Version, err)
+			return fmt.Errorf("replay: apply settings version %d (%s at byte %d): %w", e.Version, e.Segment, e.Offset, err)
 		}
 		r.compare(e, fmt.Sprintf("settings of version %d", e.Version))
 	case journal.KindHandled:
@@ -216,5 +217,6 @@
 	return out
 }
 
-// ErrNothingToCompare means that a journal has no events that can be replayed.
-var ErrNothingToCompare = errors.New("replay: the journal contains no run of a router from its start: there is nothing to compare")
+// ErrNothingToCompare means that a journal has no events that can be replayed. Callers return it;
+// Run does not.
+var ErrNothingToCompare = errors.New("replay: no event or change of settings follows a router start without a gap, so nothing can be compared; the journal must include the start of the router")
--- a/internal/decisionlog/whatif/sim.go
+++ b/internal/decisionlog/whatif/sim.go
@@ -1,15 +1,17 @@
 // Package whatif simulates routers and their members, to show the effect of a changed endpoint
-// list or of other settings (the what-if of spool-replay, and spool-fleet). The caller supplies
-// the requests and the updates, a MemberModel answers the attempts, and everything else is
-// decided by the routers' modules.
+// list or of other settings. It is used by spool-replay and by internal/controlplane/endpointcheck.
+// Members are the caches, parents and origins of the endpoint list. The caller supplies the
+// requests and the updates, a MemberModel answers the attempts, and the routers' modules make
+// the decisions.
 //
 // The package makes no routing decisions, and does no I/O except for reading a journal. Its
-// outcomes are those of a model, and do not prove that the rules are kept: for this, see
-// internal/testbed/invariants, which checks the traffic on sockets.
+// outcomes are those of a model. They do not show that a router keeps the rules that
+// internal/testbed/invariants defines; that package checks them against a log of real traffic.
 //
 // sim.go contains the simulated clock and the parts of a router outside its module, recorded.go
-// a MemberModel built from a journal, boxes.go a MemberModel of cache models, compare.go the
-// comparison of two runs, and risk.go the rules that can be checked without sockets.
+// a MemberModel built from a journal, boxes.go a MemberModel that simulates each cache,
+// compare.go the comparison of two runs, and risk.go the rules that can be checked in a
+// simulation.
 package whatif
 
 import (
@@ -30,11 +32,13 @@
 	Load       []float64
 }
 
-// MemberModel simulates the members. The time now does not decrease in the calls of one Sim.
+// MemberModel simulates the members. Within one Sim, now never
+// decreases from one call to the next.
 type MemberModel interface {
 	// Attempt returns the answer to attempt n of a request.
 	Attempt(now float64, request *spool.Request, attempt int, send *spool.Send) Answer
-	// AttemptEnded is called when an attempt has ended or was cancelled.
+	// AttemptEnded is called when an attempt has ended or was cancelled. For an attempt with the
+	// result NotSent, Attempt was not called, and the answer is the zero value.
 	AttemptEnded(now float64, request *spool.Request, send *spool.Send, answer *Answer, result spool.Result)
 	// Update is called with each update of the members and each purge that a router receives.
 	Update(now float64, ev spool.Event)
@@ -55,9 +59,9 @@
 const (
 	Open       End = iota // not ended
 	Served                // a member's answer was complete
-	Broken                // the answer broke off after its first byte
-	Rejected              // by the module
-	Failed                // by the module
+	Broken                // the answer broke off after its first byte; not produced at present
+	Rejected              // by the module, with the action Refuse
+	Failed                // by the module, with the action Fail
 	ClientLeft            // the client has disconnected
 	Unfinished            // the simulation ended first
 )
@@ -102,7 +106,7 @@
 // Sim is a simulation of routers with a common clock.
 type Sim struct {
 	Now     float64 // ms
-	Events  int64   // number of events that modules have handled
+	Events  int64   // number of events passed to Handle
 	Watch   Watcher
 	Explain bool // collect the candidates for Watch; set before Add
 	routers []*Router
@@ -216,7 +220,8 @@
 	return err
 }
 
-// classDeadline returns the default deadline of a class, in ms, or 0 for an unknown class.
+// classDeadline returns the default deadline of a class, in ms after the arrival of a request, or
+// 0 for an unknown class. The Deadline of a Request is a point in time instead.
 func (r *Router) classDeadline(class string) float64 {
 	for i := range r.Core.Settings.Classes {
 		if c := &r.Core.Settings.Classes[i]; c.Name == class {
@@ -236,7 +241,8 @@
 	return out
 }
 
-// perform carries out a module's actions.
+// perform carries out a module's actions. Watch and Fetch are ignored, since the caller supplies
+// the endpoint list.
 func (s *Sim) perform(router *Router, actions []spool.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -247,6 +253,7 @@
 		case spool.Fail:
 			s.endRequestByID(router, a.ID, Failed)
 		case spool.Cancel:
+			// an attempt whose answer is being sent to the client is not cancelled
 			if state := router.requests[a.ID]; state != nil && a.Attempt < len(state.Attempts) {
 				if t := state.Attempts[a.Attempt]; !t.Done && !t.started {
 					s.endAttempt(router, state, a.Attempt, spool.Cancelled, spool.NoteNone)
@@ -255,13 +262,14 @@
 		case spool.Wake:
 			s.push(scheduled{time: s.Now + a.In, router: router, event: spool.Timer{Token: a.Token}})
 		case spool.Probe:
+			// a probe always succeeds after 1 ms
 			s.push(scheduled{time: s.Now + 1, router: router, event: spool.Probed{Cache: a.Cache, OK: true}})
 		}
 	}
 }
 
-// send sends an attempt. As in the HTTP front, it times out at the request's deadline or after
-// the timeout that the module has set.
+// send sends an attempt. It times out at the request's deadline or after Send.Timeout, whichever
+// is earlier, unless the first byte of an OK answer or the end of another answer has arrived by then.
 func (s *Sim) send(r *Router, send spool.Send) {
 	state := r.requests[send.ID]
 	if state == nil {
@@ -274,7 +282,7 @@
 	if s.Watch.AttemptSent != nil {
 		s.Watch.AttemptSent(r, state, &attempt.Send, candidatesOf(r.candidates, send.ID))
 	}
-	if state.End != Open {
+	if state.End != Open { // the request has ended, but has open attempts
 		s.At(s.Now, func() { s.endAttempt(r, state, number, spool.NotSent, spool.NoteNone) })
 		return
 	}
--- a/internal/protocol/http1/head.go
+++ b/internal/protocol/http1/head.go
@@ -8,8 +8,9 @@
 // smuggling (sections 6.3 and 11.2). It accepts no bare LF or CR, no white space
 // before a colon, no folded lines, no differing lengths, no length together with
 // a transfer coding, and no transfer coding other than a single chunked. Every
-// error carries the status that a server answers with. Connections are handled
-// in internal/proxy/httpfront.
+// error carries a status. A server sends the status of an invalid request to the
+// client; that of an invalid response is not used, and the attempt fails.
+// Connections are handled in internal/proxy/httpfront.
 package http1
 
 import (
@@ -39,7 +40,7 @@
 
 // A ProtocolError reports a message that is invalid or not supported.
 type ProtocolError struct {
-	Status  int    // the status that a server answers with (RFC 9110, section 15)
+	Status  int    // status of the response to an invalid request (RFC 9110, section 15)
 	Message string // what is wrong with the message
 }
 
@@ -51,8 +52,8 @@
 var (
 	ErrRequestLine        = &ProtocolError{400, "malformed request line"}
 	ErrMethod             = &ProtocolError{400, "method is not a token"}
-	ErrMethodTooLong      = &ProtocolError{501, "method longer than any known"}
-	ErrTarget             = &ProtocolError{400, "malformed request target"}
+	ErrMethodTooLong      = &ProtocolError{501, "method longer than 20 bytes"}
+	ErrTarget             = &ProtocolError{400, "request target is malformed, or is not a path, an http or https URI, or * with OPTIONS"}
 	ErrRequestLineTooLong = &ProtocolError{414, "request line longer than the limit"}
 	ErrVersion            = &ProtocolError{505, "version is not HTTP/1.0 or HTTP/1.1"}
 	ErrVersionForm        = &ProtocolError{400, "malformed version"}
@@ -60,19 +61,19 @@
 	ErrFieldName          = &ProtocolError{400, "field name is not a token, or white space stands before its colon"}
 	ErrFieldValue         = &ProtocolError{400, "control character in a field value"}
 	ErrObsFold            = &ProtocolError{400, "folded field line"}
-	ErrBareCROrLF         = &ProtocolError{400, "line ended by a bare LF or broken by a bare CR"}
-	ErrHeadTooLong        = &ProtocolError{431, "head longer than the limit"}
+	ErrBareCROrLF         = &ProtocolError{400, "CR or LF outside of a CRLF pair"}
+	ErrHeadTooLong        = &ProtocolError{431, "head, status line or trailer section longer than its limit"}
 	ErrTooManyFields      = &ProtocolError{431, "more field lines than the limit"}
-	ErrHostCount          = &ProtocolError{400, "no Host, or more than one"}
+	ErrHostCount          = &ProtocolError{400, "no Host field, or more than one"}
 	ErrHost               = &ProtocolError{400, "malformed Host"}
 	ErrLength             = &ProtocolError{400, "malformed Content-Length"}
-	ErrLengthMismatch     = &ProtocolError{400, "Content-Lengths that differ"}
+	ErrLengthMismatch     = &ProtocolError{400, "Content-Length values that differ"}
 	ErrLengthAndCoding    = &ProtocolError{400, "both Content-Length and Transfer-Encoding"}
 	ErrCoding             = &ProtocolError{501, "transfer coding other than chunked"}
-	ErrCodingForm         = &ProtocolError{400, "chunked is not the single, final transfer coding"}
+	ErrCodingForm         = &ProtocolError{400, "Transfer-Encoding is malformed, is repeated or lists more than one transfer coding"}
 	ErrCodingInHTTP10     = &ProtocolError{400, "Transfer-Encoding in an HTTP/1.0 message"}
 	ErrExpect             = &ProtocolError{417, "expectation other than 100-continue"}
-	ErrUpgradeStatus      = &ProtocolError{502, "status 101 (Switching Protocols) without an Upgrade request"}
+	ErrUpgradeStatus      = &ProtocolError{502, "status 101 (Switching Protocols), which is not supported"}
 	ErrChunkSize          = &ProtocolError{400, "malformed chunk size"}
 	ErrChunkLineTooLong   = &ProtocolError{400, "chunk line longer than the limit"}
 	ErrChunkEnd           = &ProtocolError{400, "chunk data not followed by CRLF"}
@@ -259,6 +260,7 @@
 		return ErrRequestLine
 	}
 	lastSpace := bytes.LastIndexByte(line, ' ')
+	// only one space, or an empty target
 	if lastSpace <= firstSpace+1 && lastSpace != firstSpace || lastSpace == firstSpace {
 		return ErrRequestLine
 	}
@@ -391,15 +393,15 @@
 	return b
 }
 
-// parseFraming evaluates the fields that frame a message or concern its
-// connection, alike in requests and responses. It reports whether the body is
-// chunked.
+// parseFraming evaluates Host, Expect, Connection, Content-Length and
+// Transfer-Encoding, in the same way for requests and responses. It reports
+// whether the body is chunked.
 func (h *Head) parseFraming() (chunked bool, err error) {
 	lengths, codings, hosts := 0, 0, 0
 	keepAlive, closed := false, false
 	for i := range h.Fields {
 		f := &h.Fields[i]
-		switch len(f.Name) {
+		switch len(f.Name) { // compared first, since most fields are none of these
 		case 4:
 			if EqualFold(f.Name, "host") {
 				hosts++
@@ -448,7 +450,7 @@
 	if codings > 0 && lengths > 0 {
 		return false, ErrLengthAndCoding
 	}
-	if hosts != 1 {
+	if hosts != 1 { // checked last: frameResponse ignores this error
 		h.Host = nil
 		if hosts > 1 {
 			return false, ErrHostCount
@@ -536,31 +538,33 @@
 		h.Expect100 = false
 	}
 	switch c := h.Target[0]; {
-	case c == '/', c == '*' && len(h.Target) == 1 && string(h.Method) == "OPTIONS":
+	case c == '/', c == '*' && len(h.Target) == 1 && string(h.Method) == "OPTIONS": // origin form or asterisk form
 	case string(h.Method) == "CONNECT":
 		return ErrConnectMethod
-	case bytes.HasPrefix(h.Target, []byte("http://")), bytes.HasPrefix(h.Target, []byte("https://")):
+	case bytes.HasPrefix(h.Target, []byte("http://")), bytes.HasPrefix(h.Target, []byte("https://")): // absolute form
 	default:
 		return ErrTarget
 	}
 	return nil
 }
 
-// ErrConnectMethod reports a CONNECT request. The method is recognized but not supported.
-var ErrConnectMethod = &ProtocolError{501, "CONNECT is not served"}
+// ErrConnectMethod reports a CONNECT request whose target is not a path.
+var ErrConnectMethod = &ProtocolError{501, "CONNECT is not supported"}
 
 // frameResponse sets how the body of a response is framed.
 func (h *Head) frameResponse(requestIsHead bool) error {
 	chunked, err := h.parseFraming()
 	if invalid, ok := err.(*ProtocolError); ok {
-		if invalid == ErrHostCount { // Host has no meaning in a response
+		// More than one Host field is ignored, since Host has no meaning in a response.
+		// parseFraming checks it last, so the other fields are valid.
+		if invalid == ErrHostCount {
 			chunked, err = h.Has("transfer-encoding"), nil
 		} else {
 			return err
 		}
 	}
 	switch {
-	case h.Status == 101:
+	case h.Status == 101: // Upgrade is a hop-by-hop field and is never forwarded
 		return ErrUpgradeStatus
 	case h.Status < 200, h.Status == 204, h.Status == 304, requestIsHead:
 		h.Body = NoBody
@@ -576,8 +580,9 @@
 	return nil
 }
 
-// Path returns the path and query of the target. Of a target in absolute form,
-// this is the part after the authority.
+// Path returns the path and query of the target. For a target in absolute form,
+// this is the part from the first slash after the scheme's "://", or "/" if there
+// is none. The target * is returned unchanged.
 func (h *Head) Path() []byte {
 	t := h.Target
 	if len(t) > 0 && t[0] == '/' {
