--- a/cmd/spool-replay/main.go
+++ b/cmd/spool-replay/main.go
@@ -65,7 +65,7 @@
 	fl := root.Flags()
 	fl.BoolVar(&f.asJSON, "json", false, "print the result as JSON")
 	fl.StringVar(&f.settings, "settings", "", "simulate the router with the settings in this file")
-	fl.StringArrayVar(&f.drop, "drop-member", nil, "simulate the list without this member (may be repeated)")
+	fl.StringArrayVar(&f.drop, "drop-member", nil, "simulate the endpoint list without this member (may be repeated)")
 	fl.StringArrayVar(&f.slow, "slow", nil, "simulate a member whose answers take longer by a factor, such as north-3=3 (may be repeated)")
 	fl.StringSliceVar(&f.live, "live", nil, "send the requests to these routers, host:port on this machine, in turn")
 	fl.StringVar(&f.speed, "speed", "1", "with --live: factor for the recorded request rate, or max")
@@ -178,7 +178,7 @@
 	fmt.Fprintf(w, "%d runs, %d events, %d actions; %d events compared, %d equal, %d different; %.0f events/s\n",
 		r.Runs, r.Events, r.Actions, r.Compared, r.Equal, r.Different, float64(r.Events)/max(duration.Seconds(), 1e-6))
 	if len(r.Gaps) > 0 {
-		fmt.Fprintf(w, "%d gaps, %d records known to be lost, %d events after them not compared; the first gap: %s\n", len(r.Gaps), r.Lost, r.Skipped, r.Gaps[0])
+		fmt.Fprintf(w, "%d gaps, %d records known to be lost, %d events and changes of settings not replayed; the first gap: %s\n", len(r.Gaps), r.Lost, r.Skipped, r.Gaps[0])
 	}
 	if r.Truncation != "" {
 		fmt.Fprintln(w, r.Truncation)
--- a/internal/decisionlog/explain/explain.go
+++ b/internal/decisionlog/explain/explain.go
@@ -1,6 +1,6 @@
 // Package explain explains why a request was sent where it was. It replays a router's journal
 // and observes the decision module by Core.Explain, so that it reports the decisions themselves
-// and not a second computation of them.
+// instead of computing them a second time.
 package explain
 
 import (
@@ -328,7 +328,7 @@
 		return fmt.Sprintf("the response to attempt %d at %s starts", ev.Attempt, ev.Cache)
 	case spool.Gone:
 		if own {
-			return "its client has disconnected"
+			return "the request's client has disconnected"
 		}
 		return "the client of another request has disconnected"
 	case spool.Timer:
@@ -351,16 +351,16 @@
 			}
 		}
 		if a.Keep == 0 {
-			s = "sends it to " + a.Cache + " with source " + a.Source + ", without caching"
+			s = "sends the request to " + a.Cache + " with source " + a.Source + ", without caching"
 		}
 		if a.Age >= 1e8 {
 			return s + " (copies of any age)"
 		}
 		return fmt.Sprintf("%s (copies up to %.1f ms old)", s, a.Age)
 	case spool.Refuse:
-		return fmt.Sprintf("rejects it: retry after %.0f ms", a.After)
+		return fmt.Sprintf("rejects the request: retry after %.0f ms", a.After)
 	case spool.Fail:
-		return "fails it; the request may have run"
+		return "fails the request, which may have run"
 	case spool.Cancel:
 		return fmt.Sprintf("cancels attempt %d", a.Attempt)
 	}
--- a/internal/decisionlog/journal/reader.go
+++ b/internal/decisionlog/journal/reader.go
@@ -184,7 +184,7 @@
 	}
 	size := binary.LittleEndian.Uint32(head[:])
 	if size == 0 || size > maxRecordSize {
-		return nil, fmt.Errorf("%w: record size %d", errCorrupt, size)
+		return nil, fmt.Errorf("%w: record size is %d bytes, want 1 to %d", errCorrupt, size, maxRecordSize)
 	}
 	payload := make([]byte, 0, min(size, 1<<16))
 	for uint32(len(payload)) < size { // allocate in chunks, so that a corrupt length does not cost much memory
--- a/internal/decisionlog/whatif/boxes.go
+++ b/internal/decisionlog/whatif/boxes.go
@@ -12,7 +12,7 @@
 // are in ms and rates in KB/ms. A default replaces a zero value.
 type CacheModelOptions struct {
 	TransferRate   float64 // of one transfer to a client; default 4
-	FillRate       float64 // of a fill; default three times that
+	FillRate       float64 // of a fill; default 3 * TransferRate
 	Capacity       float64 // concurrent transfers, unless the size is the capacity; default 50
 	SizeIsCapacity bool    // the size of a member, if listed, is its capacity
 	StoreBytes     int64   // of a cache's store; default 64 GB
@@ -55,22 +55,22 @@
 // Usage is the load of a member in one second.
 type Usage struct {
 	SendMillis     float64 // sending time, ms
-	CapacityMillis float64 // sending time per second that it was capable of at the end, ms
+	CapacityMillis float64 // capacity at the end of the second, as sending time per second, ms
 	Attempts       int
-	Fills          int // for which it was the source
+	Fills          int // for which the member was the source
 	KB             float64
 }
 
 type memberModel struct {
 	id        string
-	role      string // box, parent or origin
+	role      string // "box" (a cache), "parent" or "origin"
 	listed    spool.Member
 	cache     *httpcache.Cache
 	capacity  float64
 	transfers int // in progress
 	second    int // number of the second that usage covers
 	usage     Usage
-	failedAt  float64 // when it failed under overload, ms; 0: it did not
+	failedAt  float64 // time at which the member failed under overload, ms; 0: it has not failed
 }
 
 // NewCacheModels returns a model without members. Update adds them.
--- a/internal/decisionlog/whatif/compare.go
+++ b/internal/decisionlog/whatif/compare.go
@@ -26,7 +26,7 @@
 type Totals struct {
 	Requests   int64   `json:"requests"`
 	InTime     int64   `json:"in_time"` // served within the latency objective
-	Late       int64   `json:"late"`
+	Late       int64   `json:"late"`    // served later than that
 	Rejected   int64   `json:"refused"`
 	Failed     int64   `json:"failed"`
 	Broken     int64   `json:"broken"`
@@ -50,7 +50,7 @@
 // Load is the load of a member in one of the two simulations.
 type Load struct {
 	Attempts      int64   `json:"attempts"`
-	Fills         int64   `json:"fills"` // for which it was the source
+	Fills         int64   `json:"fills"` // for which the member was the source
 	BusyMs        float64 `json:"busy_ms"`
 	MaxConcurrent int     `json:"most"` // maximum of concurrent attempts from this router
 
@@ -89,7 +89,7 @@
 	events int64
 }
 
-// Events returns the number of events that the modules have handled in both simulations.
+// Events returns the number of events passed to the modules in both simulations.
 func (r *Report) Events() int64 { return r.events }
 
 // readHistories returns the attempts of each run in a journal. A run ends at a gap.
@@ -166,7 +166,7 @@
 		return nil, err
 	}
 	if len(histories) == 0 {
-		return nil, fmt.Errorf("whatif: the journal contains no run of a router from its start: there is nothing to simulate")
+		return nil, fmt.Errorf("whatif: the journal contains no run of a router from its start, so nothing can be simulated")
 	}
 	if j, err = open(); err != nil {
 		return nil, err
@@ -212,7 +212,7 @@
 	ended         [2]bool
 	steps         [2][]step
 	recordedFirst string // cache and source of the first recorded attempt
-	recordedPath  string // those of all recorded attempts
+	recordedPath  string // caches and sources of all recorded attempts
 }
 
 // step is an attempt that a simulation sent for a request, or, without a cache, that the request
@@ -248,7 +248,7 @@
 	for i := range c.simulations {
 		s := &config.Settings{}
 		if err := config.Read("journal", start.Settings, s); err != nil {
-			return fmt.Errorf("whatif: settings of run %d: %w", c.result.Runs, err)
+			return fmt.Errorf("whatif: read the recorded settings of run %d: %w", c.result.Runs, err)
 		}
 		var slow map[string]float64
 		if i == 1 {
@@ -269,7 +269,7 @@
 		}
 		core, err := engine.New(s, start.Seed)
 		if err != nil {
-			return fmt.Errorf("whatif: run %d: %w", c.result.Runs, err)
+			return fmt.Errorf("whatif: create the module of run %d: %w", c.result.Runs, err)
 		}
 		if c.risks[i] == nil {
 			c.risks[i] = newRiskChecker()
@@ -343,11 +343,11 @@
 			}
 			s := &config.Settings{}
 			if err := config.Read("journal", e.Settings, s); err != nil {
-				return fmt.Errorf("whatif: settings version %d: %w", e.Version, err)
+				return fmt.Errorf("whatif: read settings version %d (%s at byte %d): %w", e.Version, e.Segment, e.Offset, err)
 			}
 			run.risks.changeSettings(s)
 			if err := run.sim.ChangeSettings(run.router, s); err != nil {
-				return fmt.Errorf("whatif: settings version %d: %w", e.Version, err)
+				return fmt.Errorf("whatif: apply settings version %d (%s at byte %d): %w", e.Version, e.Segment, e.Offset, err)
 			}
 		}
 		return nil
@@ -505,11 +505,11 @@
 	baseline, modified := pair.steps[0], pair.steps[1]
 	for n := range max(len(baseline), len(modified)) {
 		if n >= len(modified) {
-			return "no further attempt was needed: it ended earlier, " + pair.states[1].End.String()
+			return "no further attempt was needed: the request ended earlier, " + pair.states[1].End.String()
 		}
 		if n >= len(baseline) {
 			if modified[n].cache == "" {
-				return "it was queued: " + rejectionReason(modified[n].candidates, "")
+				return "the request was queued: " + rejectionReason(modified[n].candidates, "")
 			}
 			return "a further attempt was sent to " + modified[n].cache
 		}
@@ -518,10 +518,10 @@
 			continue
 		}
 		if b.cache == "" {
-			return "it was queued: " + rejectionReason(b.candidates, "")
+			return "the request was queued: " + rejectionReason(b.candidates, "")
 		}
 		if a.cache == "" {
-			return "it was not queued as without the change"
+			return "the request was queued without the change, and is not queued with it"
 		}
 		member, as := a.cache, "cache"
 		if a.cache == b.cache {
@@ -539,7 +539,7 @@
 		return fmt.Sprintf("%s %s is preferred", as, map[bool]string{true: b.cache, false: b.source}[as == "cache"])
 	}
 	if pair.states[0].End != pair.states[1].End {
-		return fmt.Sprintf("it had the same attempts, and was %s, not %s", pair.states[1].End, pair.states[0].End)
+		return fmt.Sprintf("the request had the same attempts, and was %s, not %s", pair.states[1].End, pair.states[0].End)
 	}
 	return ""
 }
@@ -598,7 +598,7 @@
 	if r.Gaps > 0 {
 		fmt.Fprintf(w, "%d runs are simulated only up to a gap\n", r.Gaps)
 	}
-	fmt.Fprintf(w, "%d are handled differently\n", r.Changed)
+	fmt.Fprintf(w, "%d requests are handled differently\n", r.Changed)
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "class\t\trequests\tchanged\tin time\tlate\trefused\tfailed\tbroken\tleft\tattempts\tfills\tp50 ms\tp99 ms\t")
 	for _, k := range r.Classes {
--- a/internal/decisionlog/whatif/recorded.go
+++ b/internal/decisionlog/whatif/recorded.go
@@ -37,8 +37,8 @@
 	load      []float64
 }
 
-// isTransientFault reports whether the outcome is a fault of that time, independent of what
-// the cache had.
+// isTransientFault reports whether the outcome is a fault that does not depend on what the cache
+// had, such as a timeout or a reset connection.
 func (s *sample) isTransientFault() bool {
 	switch s.result {
 	case spool.Errored, spool.TimedOut, spool.ConnectFailed, spool.Reset:
@@ -244,7 +244,7 @@
 
 const createdBeforeRun = -1e12 // creation time of copies that a cache had from the start, ms
 
-// holds reports whether a cache has a copy that is at most so old, in ms.
+// holds reports whether a cache has a copy whose age is at most age, in ms.
 func (m *RecordedMembers) holds(now float64, cache string, q *spool.Request, age float64) bool {
 	k := copyKey{cache, q.Object, q.Part}
 	created, ok := m.createdAt[k]
--- a/internal/decisionlog/whatif/risk.go
+++ b/internal/decisionlog/whatif/risk.go
@@ -7,7 +7,8 @@
 	"indigospool/internal/config"
 )
 
-// Risk is a rule that the decisions of one router may break, as far as they show it.
+// Risk counts the cases in which the decisions of one router may break a rule of
+// internal/testbed/invariants. The decisions of other routers are not known.
 type Risk struct {
 	Rule     int    `json:"rule"`
 	Name     string `json:"name"`
--- a/internal/protocol/fetchheader/fillwire.go
+++ b/internal/protocol/fetchheader/fillwire.go
@@ -203,7 +203,7 @@
 func setValue[T any](dst *T, item httpsfv.Item) error {
 	v, ok := item.Value.(T)
 	if !ok {
-		return fmt.Errorf("value %v has the wrong type", item.Value)
+		return fmt.Errorf("value %v has type %T, want %T", item.Value, item.Value, v)
 	}
 	*dst = v
 	return nil
@@ -292,8 +292,8 @@
 }
 
 // parseLastStatus returns the last member of Cache-Status, which the nearest cache added,
-// and whether a member before it has the parameter fwd. It is lenient: anything that it
-// does not understand counts as absent.
+// and whether a member before it has the parameter fwd. Members and parameters that are
+// malformed or unknown count as absent.
 func parseLastStatus(v []byte) (last memberStatus, forwardedBefore bool) {
 	for len(v) > 0 {
 		var m []byte
