--- a/cmd/spool-router/main.go
+++ b/cmd/spool-router/main.go
@@ -1,5 +1,5 @@
 // Spool-router accepts HTTP requests of clients and forwards them to the caches that the
-// decision module selects.
+// decision module, indigospool.Router, selects.
 package main
 
 import (
@@ -40,8 +40,8 @@
 	cli.Main(root)
 }
 
-// load reads a settings file. Errors in the settings are returned as a cli.FoundError, which
-// makes the program exit with status 1.
+// load reads a settings file. If the file's settings are invalid, the error is a cli.FoundError,
+// which makes the program exit with status 1.
 func load(file string) (*config.Settings, error) {
 	s := &config.Settings{}
 	err := config.ReadFile(file, s)
@@ -74,23 +74,23 @@
 		return err
 	}
 	cli.TuneGC(s.Limits.MemoryMB)
-	log, err := httpfront.NewAccessLog(s)
+	accessLog, err := httpfront.NewAccessLog(s)
 	if err != nil {
 		return err
 	}
-	defer log.Close()
-	edge, closeEdge, err := httpfront.Open(ctx, s, log)
+	defer accessLog.Close()
+	edge, closeEdge, err := httpfront.Open(ctx, s, accessLog)
 	if err != nil {
 		return err
 	}
 	defer closeEdge()
-	log.Log.Info("serving", zap.String("name", s.Router.Name), zap.String("address", edge.Addr()), zap.String("zone", s.Router.Zone))
+	accessLog.Log.Info("serving", zap.String("name", s.Router.Name), zap.String("address", edge.Addr()), zap.String("zone", s.Router.Zone))
 	context.AfterFunc(ctx, func() {
-		log.Log.Info("draining")
+		accessLog.Log.Info("draining")
 		edge.Drain()
 	})
 	err = edge.Run()
-	log.Log.Info("stopped")
+	accessLog.Log.Info("stopped")
 	return err
 }
 
--- a/internal/decisionlog/journal/format.go
+++ b/internal/decisionlog/journal/format.go
@@ -17,8 +17,8 @@
 	"indigospool/internal/proxy/learnedstate"
 )
 
-// FormatVersion is the version of the format that is written. A Reader also reads all earlier
-// versions.
+// FormatVersion is the version of the format that is written. A Reader reads this version and
+// all earlier ones.
 const FormatVersion = 1
 
 // Extension is the file name extension of segments.
@@ -29,7 +29,7 @@
 	segmentHeaderSize = 8        // bytes: magic and version
 	recordHeaderSize  = 8        // bytes: length and checksum of the record, little-endian
 	maxRecordSize     = 64 << 20 // bytes, without the header
-	maxTableStrings   = 1 << 16  // a string table with so many strings is cleared before the next record
+	maxTableStrings   = 1 << 16  // a string table with at least this many strings is cleared before the next record
 	segmentNameFormat = "%012d"  // formats the segment's number
 )
 
@@ -63,14 +63,14 @@
 type segment struct {
 	_     struct{} `cbor:",toarray"`
 	Index int64    // number of the segment in the journal
-	First int64    // number of the segment's first record among those of its writer, from 0
+	First int64    // number of records that the same writer wrote before this segment
 }
 
 // settings records a change of the settings of a running router.
 type settings struct {
 	_       struct{} `cbor:",toarray"`
-	T       float64
-	Number  int64
+	T       float64  // ms on the router's clock
+	Version int64
 	Text    string
 	Actions []action
 }
@@ -78,7 +78,8 @@
 // stringIndex is the index of a string in the segment's string table.
 type stringIndex = uint64
 
-// event is an encoded event. Each field has a fixed position for its kind.
+// event is an encoded event. The event's kind determines the order of its fields; new fields are
+// added at the end without a new version of the format.
 type event struct {
 	_      struct{} `cbor:",toarray"`
 	Kind   uint8
@@ -90,7 +91,7 @@
 // handled records an event and the actions that the module returned for it.
 type handled struct {
 	_       struct{} `cbor:",toarray"`
-	T       float64
+	T       float64  // ms on the router's clock
 	Event   event
 	Actions []action
 }
@@ -192,31 +193,33 @@
 	actFetch
 )
 
-// ErrUnknown is returned for a kind of record, event or action that this program does not know.
+// ErrUnknown is returned for a kind of record, event or action that this program does not know,
+// and for a Recalled event whose learned state cannot be decoded.
 var ErrUnknown = errors.New("journal: unknown kind")
 
 // The types for encoding. They have the same array forms as the types for decoding, but typed
-// fields, which are cheaper to encode than fields of type any.
+// fields, which are cheaper to encode than fields of type any. A type whose name begins with f
+// holds the fields of one kind of event or action, or of several kinds with the same fields.
 type (
-	written struct {
+	encoded struct {
 		_      struct{} `cbor:",toarray"`
 		Kind   uint8
 		Fields any
 	}
-	writtenHandled struct {
+	encodedHandled struct {
 		_       struct{} `cbor:",toarray"`
 		T       float64
-		Event   written
-		Actions []written
+		Event   encoded
+		Actions []encoded
 	}
-	writtenSettings struct {
+	encodedSettings struct {
 		_       struct{} `cbor:",toarray"`
 		T       float64
-		Number  int64
+		Version int64
 		Text    string
-		Actions []written
+		Actions []encoded
 	}
-	writtenRecord struct {
+	encodedRecord struct {
 		_     struct{} `cbor:",toarray"`
 		Kind  Kind
 		Names []string
@@ -256,8 +259,8 @@
 		Attempt   int
 	}
 	fName struct {
-		_  struct{} `cbor:",toarray"`
-		ID stringIndex
+		_    struct{} `cbor:",toarray"`
+		Name stringIndex
 	}
 	fPurge struct {
 		_      struct{} `cbor:",toarray"`
@@ -323,52 +326,52 @@
 )
 
 // encodeEvent returns an event in its encoded form.
-func (t *stringTable) encodeEvent(e spool.Event) (written, error) {
+func (t *stringTable) encodeEvent(e spool.Event) (encoded, error) {
 	switch e := e.(type) {
 	case spool.Members:
 		rows := make([]fRow, len(e.Rows))
 		for i, r := range e.Rows {
 			rows[i] = fRow{ID: t.intern(r.ID), Zone: t.intern(r.Zone), Kind: t.intern(r.Kind), Cell: r.Cell, State: int(r.State), Size: r.Size, ReadyAt: r.ReadyAt}
 		}
-		return written{Kind: evMembers, Fields: &fMembers{Full: e.Full, Lost: e.Lost, Rows: rows}}, nil
+		return encoded{Kind: evMembers, Fields: &fMembers{Full: e.Full, Lost: e.Lost, Rows: rows}}, nil
 	case spool.Request:
-		return written{Kind: evRequest, Fields: &fRequest{ID: t.intern(e.ID), Class: t.intern(e.Class), Tenant: t.intern(e.Tenant), Object: t.intern(e.Object),
+		return encoded{Kind: evRequest, Fields: &fRequest{ID: t.intern(e.ID), Class: t.intern(e.Class), Tenant: t.intern(e.Tenant), Object: t.intern(e.Object),
 			Deadline: e.Deadline, KB: e.KB, Group: e.Group, Part: e.Part, Retry: e.Retry, Write: e.Write}}, nil
 	case spool.Outcome:
-		return written{Kind: evOutcome, Fields: &fOutcome{ID: t.intern(e.ID), Cache: t.intern(e.Cache), Attempt: e.Attempt, Result: int(e.Result),
+		return encoded{Kind: evOutcome, Fields: &fOutcome{ID: t.intern(e.ID), Cache: t.intern(e.Cache), Attempt: e.Attempt, Result: int(e.Result),
 			Took: e.Took, Last: e.Last, Note: int(e.Note), Waited: e.Waited, Load: e.Load}}, nil
 	case spool.Started:
-		return written{Kind: evStarted, Fields: &fStarted{ID: t.intern(e.ID), Cache: t.intern(e.Cache), Attempt: e.Attempt}}, nil
+		return encoded{Kind: evStarted, Fields: &fStarted{ID: t.intern(e.ID), Cache: t.intern(e.Cache), Attempt: e.Attempt}}, nil
 	case spool.Gone:
-		return written{Kind: evGone, Fields: &fName{ID: t.intern(e.ID)}}, nil
+		return encoded{Kind: evGone, Fields: &fName{Name: t.intern(e.ID)}}, nil
 	case spool.Purge:
-		return written{Kind: evPurge, Fields: &fPurge{Object: t.intern(e.Object), Group: e.Group, Age: e.Age}}, nil
+		return encoded{Kind: evPurge, Fields: &fPurge{Object: t.intern(e.Object), Group: e.Group, Age: e.Age}}, nil
 	case spool.Timer:
-		return written{Kind: evTimer, Fields: &fToken{Token: e.Token}}, nil
+		return encoded{Kind: evTimer, Fields: &fToken{Token: e.Token}}, nil
 	case spool.Probed:
-		return written{Kind: evProbed, Fields: &fProbed{Cache: t.intern(e.Cache), OK: e.OK, Load: e.Load}}, nil
+		return encoded{Kind: evProbed, Fields: &fProbed{Cache: t.intern(e.Cache), OK: e.OK, Load: e.Load}}, nil
 	case spool.Message:
-		return written{Kind: evMessage, Fields: &fMessage{From: e.From, Text: e.Text}}, nil
+		return encoded{Kind: evMessage, Fields: &fMessage{From: e.From, Text: e.Text}}, nil
 	}
 	return t.encodeOtherEvent(e)
 }
 
 // encodeOtherEvent continues encodeEvent for the rarer events.
-func (t *stringTable) encodeOtherEvent(e spool.Event) (written, error) {
+func (t *stringTable) encodeOtherEvent(e spool.Event) (encoded, error) {
 	switch e := e.(type) {
 	case spool.Recalled:
 		b, err := learnedstate.EncodeModule(e.Memory)
-		return written{Kind: evRecalled, Fields: &fBytes{Bytes: b}}, err
+		return encoded{Kind: evRecalled, Fields: &fBytes{Bytes: b}}, err
 	case spool.Stalled:
-		return written{Kind: evStalled, Fields: &fStalled{ID: t.intern(e.ID), Attempt: e.Attempt, On: e.On}}, nil
+		return encoded{Kind: evStalled, Fields: &fStalled{ID: t.intern(e.ID), Attempt: e.Attempt, On: e.On}}, nil
 	case spool.Retired:
-		return written{Kind: evRetired, Fields: &fBool{On: e.On}}, nil
+		return encoded{Kind: evRetired, Fields: &fBool{On: e.On}}, nil
 	}
-	return written{}, fmt.Errorf("%w of event: %T", ErrUnknown, e)
+	return encoded{}, fmt.Errorf("%w of event: %T", ErrUnknown, e)
 }
 
 // encodeAction returns an action in its encoded form.
-func (t *stringTable) encodeAction(a spool.Action) (written, error) {
+func (t *stringTable) encodeAction(a spool.Action) (encoded, error) {
 	switch a := a.(type) {
 	case spool.Send:
 		flags := 0
@@ -377,27 +380,27 @@
 				flags |= 1 << i
 			}
 		}
-		return written{Kind: actSend, Fields: &fSend{ID: t.intern(a.ID), Cache: t.intern(a.Cache), Source: t.intern(a.Source), Keep: a.Keep,
+		return encoded{Kind: actSend, Fields: &fSend{ID: t.intern(a.ID), Cache: t.intern(a.Cache), Source: t.intern(a.Source), Keep: a.Keep,
 			Age: a.Age, Timeout: a.Timeout, Flags: flags, Within: a.Within}}, nil
 	case spool.Refuse:
-		return written{Kind: actRefuse, Fields: &fRefuse{ID: t.intern(a.ID), After: a.After}}, nil
+		return encoded{Kind: actRefuse, Fields: &fRefuse{ID: t.intern(a.ID), After: a.After}}, nil
 	case spool.Fail:
-		return written{Kind: actFail, Fields: &fName{ID: t.intern(a.ID)}}, nil
+		return encoded{Kind: actFail, Fields: &fName{Name: t.intern(a.ID)}}, nil
 	case spool.Cancel:
-		return written{Kind: actCancel, Fields: &fCancel{ID: t.intern(a.ID), Attempt: a.Attempt}}, nil
+		return encoded{Kind: actCancel, Fields: &fCancel{ID: t.intern(a.ID), Attempt: a.Attempt}}, nil
 	case spool.Wake:
-		return written{Kind: actWake, Fields: &fWake{In: a.In, Token: a.Token}}, nil
+		return encoded{Kind: actWake, Fields: &fWake{In: a.In, Token: a.Token}}, nil
 	case spool.Probe:
-		return written{Kind: actProbe, Fields: &fName{ID: t.intern(a.Cache)}}, nil
+		return encoded{Kind: actProbe, Fields: &fName{Name: t.intern(a.Cache)}}, nil
 	case spool.Watch:
-		return written{Kind: actWatch, Fields: &fNone{}}, nil
+		return encoded{Kind: actWatch, Fields: &fNone{}}, nil
 	case spool.Fetch:
-		return written{Kind: actFetch, Fields: &fNone{}}, nil
+		return encoded{Kind: actFetch, Fields: &fNone{}}, nil
 	}
-	return written{}, fmt.Errorf("%w of action: %T", ErrUnknown, a)
+	return encoded{}, fmt.Errorf("%w of action: %T", ErrUnknown, a)
 }
 
-// fields decodes the fields of an event or action in order. Fields that a later version of
+// fields decodes the fields of an event, an action or a row of members in order. Fields that a later version of
 // the format has added at the end are ignored. After the first error, its methods return
 // zero values.
 type fields struct {
@@ -412,14 +415,15 @@
 		return nil
 	}
 	if f.consumed >= len(f.values) {
-		f.err = fmt.Errorf("journal: an event or action has %d fields, more are expected", len(f.values))
+		f.err = fmt.Errorf("journal: an event, an action or a row of members has %d fields, want at least %d", len(f.values), f.consumed+1)
 		return nil
 	}
 	f.consumed++
 	return f.values[f.consumed-1]
 }
 
-// typeError records that the value v, returned last, does not have the expected type.
+// typeError records that the value v, returned last, does not have the expected type. Fields are
+// counted from 1, separately in each row of members.
 func (f *fields) typeError(v any, want string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("journal: field %d has type %T, want %s", f.consumed, v, want)
--- a/internal/decisionlog/journal/reader.go
+++ b/internal/decisionlog/journal/reader.go
@@ -21,7 +21,7 @@
 	Offset  int64  // of the record in the segment, bytes
 	Number  int64  // of the entry among those of this reader, from 0
 
-	T           float64
+	T           float64     // ms on the router's clock
 	Event       spool.Event // of KindHandled
 	Actions     []spool.Action
 	RouterStart *RouterStart // of KindRouterStart
@@ -184,7 +184,7 @@
 	}
 	size := binary.LittleEndian.Uint32(head[:])
 	if size == 0 || size > maxRecordSize {
-		return nil, fmt.Errorf("%w: record size %d", errCorrupt, size)
+		return nil, fmt.Errorf("%w: record size is %d bytes, want 1 to %d", errCorrupt, size, maxRecordSize)
 	}
 	payload := make([]byte, 0, min(size, 1<<16))
 	for uint32(len(payload)) < size { // allocate in chunks, so that a corrupt length does not cost much memory
@@ -243,7 +243,7 @@
 			return nil, err
 		}
 		e = r.newEntry(KindSettings)
-		e.T, e.Version, e.Settings = raw.T, raw.Number, raw.Text
+		e.T, e.Version, e.Settings = raw.T, raw.Version, raw.Text
 		e.Actions, err = r.decodeActions(raw.Actions)
 	case KindGap:
 		e = r.newEntry(KindGap)
