--- a/internal/decisionlog/journal/journal_test.go
+++ b/internal/decisionlog/journal/journal_test.go
@@ -483,7 +483,7 @@
 		t.Fatal(err)
 	}
 	next.RouterStarted(RouterStart{Name: "r"})
-	memory := &spool.Snapshot{At: 3, TotalCost: []float64{1, 2.5}, ObjectPurges: map[string]float64{"o": 2}}
+	memory := &spool.Snapshot{At: 3, CostHistogram: []float64{1, 2.5}, ObjectPurges: map[string]float64{"o": 2}}
 	next.Handled(3, spool.Recalled{Memory: memory}, nil)
 	for i := range 500 {
 		old.Handled(float64(i), spool.Request{ID: fmt.Sprint("old-", i)}, nil)
--- a/internal/proxy/httpfront/guard.go
+++ b/internal/proxy/httpfront/guard.go
@@ -87,7 +87,7 @@
 	}
 	g.headRate, g.bodyRate = minRate(limit.HeadRate, limit.HeadGrace), minRate(limit.ClientRate, limit.ClientGrace)
 	g.readRate, g.memberRate = g.bodyRate, minRate(limit.MemberRate, limit.MemberGrace)
-	g.massSlowness.Window, g.massSlowness.Share, g.massSlowness.MinWorking = 2*limit.MemberGrace+1000, limit.MassSlownessShare, 2
+	g.massSlowness.Window, g.massSlowness.Share, g.massSlowness.MinActive = 2*limit.MemberGrace+1000, limit.MassSlownessShare, 2
 	memoryBytes := int64(limit.MemoryMB * (1 << 20))
 	g.memory.Total = memoryBytes - limits.UnaccountedMemory(memoryBytes)
 	g.unread.Total, g.unread.Idle = int64(limit.SocketsMB*(1<<20)), limit.WriteIdle
@@ -304,7 +304,7 @@
 		g.shedPoorReputation()
 	}
 	for i, upstream := range g.slowUpstreams {
-		if g.slowUpstreams[i] = nil; upstream.fd >= 0 && upstream.state == upRelayingBody && g.massSlowness.MayCut(upstream.pool.member, now) {
+		if g.slowUpstreams[i] = nil; upstream.fd >= 0 && upstream.state == upRelayingBody && g.massSlowness.MayDisconnect(upstream.pool.member, now) {
 			g.counts[limits.SlowMember]++
 			upstream.fail(spool.TimedOut)
 		}
--- a/internal/proxy/limits/massslowness.go
+++ b/internal/proxy/limits/massslowness.go
@@ -7,10 +7,10 @@
 //
 // Times are in milliseconds on the caller's clock.
 type MassSlowness struct {
-	Window     float64 // ms for which an observation counts
-	Share      float64 // share of slow members among the active above which none is disconnected
-	MinWorking int     // active members below which a slow one is always disconnected
-	Spared     uint64  // slow members that were not disconnected
+	Window    float64 // ms for which an observation counts
+	Share     float64 // share of slow members among the active above which none is disconnected
+	MinActive int     // active members below which a slow one is always disconnected
+	Spared    uint64  // slow members that were not disconnected
 
 	lastGood map[string]float64 // time of the last call of ObserveGood, by member
 	lastSlow map[string]float64 // time of the last call of ObserveSlow, by member
@@ -25,7 +25,7 @@
 }
 
 // ObserveSlow records that a member is slow. All members that are slow at the same time must be
-// recorded before MayCut is called for the first of them.
+// recorded before MayDisconnect is called for the first of them.
 func (s *MassSlowness) ObserveSlow(member string, now float64) {
 	if s.lastSlow == nil {
 		s.lastSlow = map[string]float64{}
@@ -33,11 +33,11 @@
 	s.lastSlow[member] = now
 }
 
-// MayCut records that a member is slow and reports whether it may be disconnected.
-func (s *MassSlowness) MayCut(member string, now float64) bool {
+// MayDisconnect records that a member is slow and reports whether it may be disconnected.
+func (s *MassSlowness) MayDisconnect(member string, now float64) bool {
 	s.ObserveSlow(member, now)
 	slow, active := s.count(now)
-	if active >= s.MinWorking && float64(slow) > s.Share*float64(active) {
+	if active >= s.MinActive && float64(slow) > s.Share*float64(active) {
 		s.Spared++
 		return false
 	}
--- a/snapshot.go
+++ b/snapshot.go
@@ -25,7 +25,7 @@
 	FillTimeRatio         float64             `cbor:"Pace"`    // duration of fills as a multiple of their send time
 	LastCleanup           Millis              `cbor:"LastSec"` // time of the last periodic cleanup
 	WindowCost            []float64           `cbor:"Window"`  // cost by part index in the open window
-	TotalCost             []float64           `cbor:"Total"`   // cost by part index in the closed windows, with older ones discounted
+	CostHistogram         []float64           `cbor:"Total"`   // cost by part index in the closed windows, with older ones discounted
 	WindowRequests        int                 `cbor:"Seen"`    // part requests in the open window
 	WindowOpenedAt        Millis              `cbor:"Opened"`  // start of the open window
 	Layout                LayoutSnapshot      `cbor:"Layout"`  // the current layout
@@ -106,7 +106,7 @@
 		FillTimeRatio:         r.fillTimeRatio,
 		LastCleanup:           r.lastCleanup,
 		WindowCost:            slices.Clone(r.windowCost),
-		TotalCost:             slices.Clone(r.costHistogram),
+		CostHistogram:         slices.Clone(r.costHistogram),
 		WindowRequests:        r.windowRequests,
 		WindowOpenedAt:        r.windowOpenedAt,
 		Layout:                r.layout.snapshot(),
@@ -164,7 +164,7 @@
 	r.fillTimeRatio = snapshot.FillTimeRatio
 	r.lastCleanup = snapshot.LastCleanup
 	r.windowCost = slices.Clone(snapshot.WindowCost)
-	r.costHistogram = slices.Clone(snapshot.TotalCost)
+	r.costHistogram = slices.Clone(snapshot.CostHistogram)
 	r.windowRequests = snapshot.WindowRequests
 	r.windowOpenedAt = snapshot.WindowOpenedAt
 	r.layout = r.restoreLayout(snapshot.Layout)
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -203,7 +203,7 @@
 	wantLayout := LayoutSnapshot{Caches: []string{"b"}, Splits: []int{7}, Ranged: true}
 	want := Snapshot{
 		At: 1.25, ObjectDepthsRotatedAt: 2.25, TypicalRate: []Millis{3.25}, RetryTokens: 4.25, MeanSendTime: 5.25, FillTimeRatio: 6.25, LastCleanup: 7.25,
-		WindowCost: []float64{8.25}, TotalCost: []float64{9.25}, WindowRequests: 10, WindowOpenedAt: 11.25, LayoutChangedAt: 12.25,
+		WindowCost: []float64{8.25}, CostHistogram: []float64{9.25}, WindowRequests: 10, WindowOpenedAt: 11.25, LayoutChangedAt: 12.25,
 		ObjectPurges: map[string]Millis{"o": 13.25}, GroupPurges: map[int]Millis{3: 14.25},
 		Link: wantLimit, Layout: wantLayout, PriorLayout: wantLayout,
 		Members: []MemberSnapshot{{
