--- a/internal/decisionlog/explain/explain.go
+++ b/internal/decisionlog/explain/explain.go
@@ -167,9 +167,9 @@
 
 func (t *tracer) watcher() *replay.Watcher {
 	return &replay.Watcher{
-		RouterStarted: func(c *engine.Core, l *journal.RouterStart) {
+		RouterStarted: func(c *engine.Core, start *journal.RouterStart) {
 			if !t.arrived {
-				t.explanation.Router = l.Name
+				t.explanation.Router = start.Name
 			}
 			t.observe(c)
 			t.members = nil
--- a/internal/decisionlog/replay/replay.go
+++ b/internal/decisionlog/replay/replay.go
@@ -53,7 +53,7 @@
 
 // Watcher observes a replay in progress. Its functions may be nil.
 type Watcher struct {
-	RouterStarted func(c *engine.Core, l *journal.RouterStart)
+	RouterStarted func(c *engine.Core, start *journal.RouterStart)
 	Before        func(e *journal.Entry, c *engine.Core) (stop bool) // called before an event is handled
 	After         func(e *journal.Entry, c *engine.Core, acts []spool.Action)
 }
--- a/internal/decisionlog/whatif/boxes.go
+++ b/internal/decisionlog/whatif/boxes.go
@@ -118,83 +118,83 @@
 }
 
 // Attempt answers with the cached copy, a fill or a miss.
-func (c *CacheModels) Attempt(now float64, q *spool.Request, _ int, s *spool.Send) Answer {
-	m := c.members[s.Cache]
-	if m == nil {
+func (c *CacheModels) Attempt(now float64, request *spool.Request, _ int, send *spool.Send) Answer {
+	member := c.members[send.Cache]
+	if member == nil {
 		return Answer{Result: spool.ConnectFailed, Took: c.options.LookupLatency}
 	}
-	kb := max(q.KB, 0.001)
-	if c.addLoad(now, m, kb/c.options.TransferRate, kb, false) {
+	kb := max(request.KB, 0.001)
+	if c.addLoad(now, member, kb/c.options.TransferRate, kb, false) {
 		return Answer{Result: spool.Reset, Took: c.options.LookupLatency}
 	}
-	took := kb / c.options.TransferRate * m.slowdown(now)
-	if m.role == "origin" || q.Write {
+	took := kb / c.options.TransferRate * member.slowdown(now)
+	if member.role == "origin" || request.Write {
 		return Answer{Result: spool.OK, FirstByte: c.options.SourceLatency, Took: c.options.SourceLatency + took}
 	}
-	key := keyOf(q)
-	if m.cache.Lookup(now, key, s.Age, s.Keep) != nil {
-		m.transfers++
+	key := keyOf(request)
+	if member.cache.Lookup(now, key, send.Age, send.Keep) != nil {
+		member.transfers++
 		return Answer{Result: spool.OK, Note: spool.NoteHit, FirstByte: c.options.LookupLatency, Took: c.options.LookupLatency + took}
 	}
-	if s.Source == s.Cache {
+	if send.Source == send.Cache {
 		return Answer{Result: spool.Miss, Took: c.options.LookupLatency}
 	}
-	source := c.members[s.Source]
+	source := c.members[send.Source]
 	if source == nil || source.failedAt > 0 {
 		return Answer{Result: spool.Rejected, Note: spool.NoteSourceUnreachable, Took: c.options.LookupLatency}
 	}
 	firstByte, note := c.options.SourceLatency, spool.NoteFilled
 	switch {
-	case source.cache.Lookup(now, key, s.Age, 0) != nil:
-	case s.Held:
+	case source.cache.Lookup(now, key, send.Age, 0) != nil:
+	case send.Held:
 		return Answer{Result: spool.Rejected, Note: spool.NoteSourceMiss, Took: 2 * c.options.LookupLatency}
 	case source.role == "parent": // the parent fetches the object from the origin first
 		firstByte += c.options.SourceLatency
-		c.store(now, source, q, 1)
+		c.store(now, source, request, 1)
 	case source.role == "origin":
 		note = spool.NoteFilledByOrigin
 	}
 	if c.addLoad(now, source, kb/c.options.TransferRate, kb, true) {
 		return Answer{Result: spool.Rejected, Note: spool.NoteSourceUnreachable, Took: c.options.LookupLatency}
 	}
-	m.transfers++
+	member.transfers++
 	source.transfers++
 	return Answer{Result: spool.OK, Note: note, FirstByte: firstByte, Took: firstByte + max(took, kb/c.options.FillRate*source.slowdown(now))}
 }
 
 // AttemptEnded ends the transfers of an attempt, and stores the copy of a successful fill.
-func (c *CacheModels) AttemptEnded(now float64, q *spool.Request, s *spool.Send, a *Answer, result spool.Result) {
-	if a.Result != spool.OK {
+func (c *CacheModels) AttemptEnded(now float64, request *spool.Request, send *spool.Send, answer *Answer, result spool.Result) {
+	if answer.Result != spool.OK {
 		return
 	}
-	m, source := c.members[s.Cache], c.members[s.Source]
-	if m == nil || m.role == "origin" || q.Write {
+	member, source := c.members[send.Cache], c.members[send.Source]
+	if member == nil || member.role == "origin" || request.Write {
 		return
 	}
-	m.transfers = max(m.transfers-1, 0)
-	if a.Note == spool.NoteHit || source == nil || source == m {
+	member.transfers = max(member.transfers-1, 0)
+	if answer.Note == spool.NoteHit || source == nil || source == member {
 		return
 	}
 	source.transfers = max(source.transfers-1, 0)
-	if result == spool.OK && s.Keep > 0 {
-		c.store(now, m, q, s.Keep)
+	if result == spool.OK && send.Keep > 0 {
+		c.store(now, member, request, send.Keep)
 	}
 }
 
 // store caches a copy at a member.
-func (c *CacheModels) store(now float64, m *memberModel, q *spool.Request, rank int) {
-	f := m.cache.BeginFill(now, keyOf(q))
+func (c *CacheModels) store(now float64, member *memberModel, request *spool.Request, rank int) {
+	f := member.cache.BeginFill(now, keyOf(request))
 	if f == nil {
 		return
 	}
-	m.cache.EndFill(now, f, &httpcache.Copy{Key: f.Key, Object: q.Object, Group: q.Group, Bytes: int64(q.KB*1024) + 1, Rank: rank, Version: 1, GeneratedAt: now})
+	member.cache.EndFill(now, f, &httpcache.Copy{Key: f.Key, Object: request.Object, Group: request.Group, Bytes: int64(request.KB*1024) + 1, Rank: rank, Version: 1, GeneratedAt: now})
 }
 
-func keyOf(q *spool.Request) string {
-	if q.Part == 0 {
-		return q.Object
+func keyOf(request *spool.Request) string {
+	if request.Part == 0 {
+		return request.Object
 	}
-	return q.Object + "/" + strconv.Itoa(q.Part)
+	return request.Object + "/" + strconv.Itoa(request.Part)
 }
 
 // slowdown returns the factor by which a further transfer takes longer than it would alone.
@@ -204,18 +204,18 @@
 
 // addLoad adds sending time to the load of a member. It reports whether the member is down,
 // because it was overloaded while it was warming up.
-func (c *CacheModels) addLoad(now float64, m *memberModel, work, kb float64, source bool) (down bool) {
-	c.reportUsage(now, m)
-	m.usage.SendMillis += work
-	m.usage.KB += kb
-	if m.usage.Attempts++; source {
-		m.usage.Fills++
-	}
-	if m.failedAt > 0 {
+func (c *CacheModels) addLoad(now float64, member *memberModel, work, kb float64, asSource bool) (down bool) {
+	c.reportUsage(now, member)
+	member.usage.SendMillis += work
+	member.usage.KB += kb
+	if member.usage.Attempts++; asSource {
+		member.usage.Fills++
+	}
+	if member.failedAt > 0 {
 		return true
 	}
-	if m.cache.RecordAttempt(now, work) {
-		m.failedAt = now
+	if member.cache.RecordAttempt(now, work) {
+		member.failedAt = now
 		return true
 	}
 	return false
--- a/internal/decisionlog/whatif/compare.go
+++ b/internal/decisionlog/whatif/compare.go
@@ -246,28 +246,28 @@
 		c.dropped[id] = true
 	}
 	for i := range c.simulations {
-		s := &config.Settings{}
-		if err := config.Read("journal", start.Settings, s); err != nil {
+		settings := &config.Settings{}
+		if err := config.Read("journal", start.Settings, settings); err != nil {
 			return fmt.Errorf("whatif: read the recorded settings of run %d: %w", c.result.Runs, err)
 		}
 		var slow map[string]float64
 		if i == 1 {
 			slow = c.change.Slow
 			if c.change.Settings != nil {
-				own, next := s.Router, *c.change.Settings
-				s = &next
-				s.Router.Zone, s.Router.Index = own.Zone, own.Index // the router's own identity does not change
+				own, next := settings.Router, *c.change.Settings
+				settings = &next
+				settings.Router.Zone, settings.Router.Index = own.Zone, own.Index // the router's own identity does not change
 			}
 		}
 		if i == 0 {
-			c.transferRate = s.Fill.FlowKBPerMs
+			c.transferRate = settings.Fill.FlowKBPerMs
 		}
-		for _, k := range s.Classes {
+		for _, k := range settings.Classes {
 			if i == 0 || c.objectives[k.Name].Name == "" {
 				c.objectives[k.Name] = k // both simulations are measured by the recorded objectives
 			}
 		}
-		core, err := engine.New(s, start.Seed)
+		core, err := engine.New(settings, start.Seed)
 		if err != nil {
 			return fmt.Errorf("whatif: create the module of run %d: %w", c.result.Runs, err)
 		}
@@ -275,19 +275,19 @@
 			c.risks[i] = newRiskChecker()
 		}
 		run := &simulation{sim: &Sim{Explain: true}, risks: c.risks[i]}
-		run.risks.startRun(s)
+		run.risks.startRun(settings)
 		run.sim.Watch = Watcher{
-			AttemptSent: func(r *Router, state *RequestState, s *spool.Send, candidates []spool.Candidate) {
-				run.risks.attemptSent(run.sim.Now, state, s)
+			AttemptSent: func(r *Router, state *RequestState, send *spool.Send, candidates []spool.Candidate) {
+				run.risks.attemptSent(run.sim.Now, state, send)
 				if p := c.pairs[state.Request.ID]; p != nil {
-					p.steps[i] = append(p.steps[i], step{s.Cache, s.Source, candidates})
+					p.steps[i] = append(p.steps[i], step{send.Cache, send.Source, candidates})
 				}
-				load := c.load(s.Cache, i)
+				load := c.load(send.Cache, i)
 				load.Attempts++
 				load.concurrent++
 				load.MaxConcurrent = max(load.MaxConcurrent, load.concurrent)
-				if s.Source != s.Cache {
-					c.load(s.Source, i).Fills++
+				if send.Source != send.Cache {
+					c.load(send.Source, i).Fills++
 				}
 			},
 			RequestWaits: func(_ *Router, state *RequestState, candidates []spool.Candidate) {
@@ -424,43 +424,43 @@
 // requestEnded is called when a request has ended in simulation i. The request is compared once
 // it has ended in both.
 func (c *comparison) requestEnded(i int, state *RequestState) {
-	p := c.pairs[state.Request.ID]
-	if p == nil {
+	pair := c.pairs[state.Request.ID]
+	if pair == nil {
 		return
 	}
-	if p.states[i], p.ended[i] = state, true; !p.ended[0] || !p.ended[1] {
+	if pair.states[i], pair.ended[i] = state, true; !pair.ended[0] || !pair.ended[1] {
 		return
 	}
 	delete(c.pairs, state.Request.ID)
-	if p.states[0].End == Unfinished || p.states[1].End == Unfinished {
+	if pair.states[0].End == Unfinished || pair.states[1].End == Unfinished {
 		c.result.Unfinished++
 		return
 	}
-	k := c.class(state.Request.Class)
+	class := c.class(state.Request.Class)
 	objective := c.objectives[state.Request.Class]
-	for i, totals := range []*Totals{&k.Baseline, &k.Modified} {
-		totals.count(p.states[i], objective, c.transferRate)
+	for i, totals := range []*Totals{&class.Baseline, &class.Modified} {
+		totals.count(pair.states[i], objective, c.transferRate)
 	}
-	if p.recordedFirst != "" {
+	if pair.recordedFirst != "" {
 		c.compared++
 		path := ""
-		for _, t := range p.states[0].Attempts {
+		for _, t := range pair.states[0].Attempts {
 			path += t.Send.Cache + "<" + t.Send.Source + " "
 		}
-		if len(p.states[0].Attempts) > 0 && p.states[0].Attempts[0].Send.Cache+"<"+p.states[0].Attempts[0].Send.Source == p.recordedFirst {
+		if len(pair.states[0].Attempts) > 0 && pair.states[0].Attempts[0].Send.Cache+"<"+pair.states[0].Attempts[0].Send.Source == pair.recordedFirst {
 			c.firstMatches++
 		}
-		if path == p.recordedPath {
+		if path == pair.recordedPath {
 			c.pathMatches++
 		}
 	}
-	if why := differenceCause(p, c.dropped); why != "" {
-		k.Changed++
+	if why := differenceCause(pair, c.dropped); why != "" {
+		class.Changed++
 		c.result.Changed++
-		one := c.causes[[2]string{k.Class, why}]
+		one := c.causes[[2]string{class.Class, why}]
 		if one == nil {
-			one = &Cause{Class: k.Class, Why: why, First: state.Request.ID}
-			c.causes[[2]string{k.Class, why}] = one
+			one = &Cause{Class: class.Class, Why: why, First: state.Request.ID}
+			c.causes[[2]string{class.Class, why}] = one
 		}
 		one.Count++
 	}
@@ -513,30 +513,30 @@
 			}
 			return "a further attempt was sent to " + modified[n].cache
 		}
-		a, b := baseline[n], modified[n]
-		if a.cache == b.cache && a.source == b.source {
+		before, after := baseline[n], modified[n]
+		if before.cache == after.cache && before.source == after.source {
 			continue
 		}
-		if b.cache == "" {
-			return "the request was queued: " + rejectionReason(b.candidates, "")
+		if after.cache == "" {
+			return "the request was queued: " + rejectionReason(after.candidates, "")
 		}
-		if a.cache == "" {
+		if before.cache == "" {
 			return "the request was queued without the change, and is not queued with it"
 		}
-		member, as := a.cache, "cache"
-		if a.cache == b.cache {
-			member, as = a.source, "source"
+		member, as := before.cache, "cache"
+		if before.cache == after.cache {
+			member, as = before.source, "source"
 		}
 		if dropped[member] {
 			return as + " " + member + " is dropped"
 		}
-		if a.cache == b.cache && b.source == b.cache {
-			return "cache " + b.cache + " was asked for its cached copy first"
+		if before.cache == after.cache && after.source == after.cache {
+			return "cache " + after.cache + " was asked for its cached copy first"
 		}
-		if why := rejectionReason(b.candidates, member); why != "" {
+		if why := rejectionReason(after.candidates, member); why != "" {
 			return as + " " + member + " " + why
 		}
-		return fmt.Sprintf("%s %s is preferred", as, map[bool]string{true: b.cache, false: b.source}[as == "cache"])
+		return fmt.Sprintf("%s %s is preferred", as, map[bool]string{true: after.cache, false: after.source}[as == "cache"])
 	}
 	if pair.states[0].End != pair.states[1].End {
 		return fmt.Sprintf("the request had the same attempts, and was %s, not %s", pair.states[1].End, pair.states[0].End)
--- a/internal/decisionlog/whatif/recorded.go
+++ b/internal/decisionlog/whatif/recorded.go
@@ -17,11 +17,11 @@
 	fill                          // the cache fills from a parent or the origin
 )
 
-func kindOf(s *spool.Send) attemptKind {
+func kindOf(send *spool.Send) attemptKind {
 	switch {
-	case s.Source == s.Cache:
+	case send.Source == send.Cache:
 		return lookup
-	case s.Held:
+	case send.Held:
 		return fillIfHeld
 	}
 	return fill
@@ -95,8 +95,8 @@
 }
 
 type attemptKey struct {
-	id string
-	n  int
+	id      string
+	attempt int
 }
 
 // openAttempt is an attempt whose outcome has not been read yet.
@@ -117,35 +117,35 @@
 }
 
 // sent adds a recorded attempt.
-func (h *AttemptHistory) sent(t float64, q *spool.Request, n int, s *spool.Send) {
-	h.openAttempts[attemptKey{s.ID, n}] = &openAttempt{send: *s, class: q.Class, object: q.Object, part: q.Part, sentAt: t}
+func (h *AttemptHistory) sent(t float64, request *spool.Request, attempt int, send *spool.Send) {
+	h.openAttempts[attemptKey{send.ID, attempt}] = &openAttempt{send: *send, class: request.Class, object: request.Object, part: request.Part, sentAt: t}
 }
 
 // started adds the time of an attempt's first byte.
-func (h *AttemptHistory) started(t float64, id string, n int) {
-	if r := h.openAttempts[attemptKey{id, n}]; r != nil {
-		r.firstByte = max(t-r.sentAt, 0.001)
+func (h *AttemptHistory) started(t float64, id string, attempt int) {
+	if open := h.openAttempts[attemptKey{id, attempt}]; open != nil {
+		open.firstByte = max(t-open.sentAt, 0.001)
 	}
 }
 
 // ended adds the recorded outcome of an attempt.
 func (h *AttemptHistory) ended(ev *spool.Outcome) {
-	k := attemptKey{ev.ID, ev.Attempt}
-	r := h.openAttempts[k]
-	if r == nil {
+	key := attemptKey{ev.ID, ev.Attempt}
+	open := h.openAttempts[key]
+	if open == nil {
 		return
 	}
-	delete(h.openAttempts, k)
+	delete(h.openAttempts, key)
 	h.Attempts++
-	one := sample{sentAt: r.sentAt, firstByte: r.firstByte, took: ev.Took, result: ev.Result, note: ev.Note}
+	one := sample{sentAt: open.sentAt, firstByte: open.firstByte, took: ev.Took, result: ev.Result, note: ev.Note}
 	if len(ev.Load) > 0 {
 		one.load = append([]float64(nil), ev.Load...)
 	}
 	if ev.Result == spool.NotSent || ev.Result == spool.LocalFailure { // not an answer of the member
 		return
 	}
-	addSample(h.byMember, r.send.Cache, one)
-	kind := kindOf(&r.send)
+	addSample(h.byMember, open.send.Cache, one)
+	kind := kindOf(&open.send)
 	if kind != fill {
 		h.Lookups++
 	}
@@ -154,15 +154,15 @@
 		return // a fault or a cancellation does not show whether the copy was cached
 	}
 	if kind == lookup {
-		c := copyKey{r.send.Cache, r.object, r.part}
+		c := copyKey{open.send.Cache, open.object, open.part}
 		if _, seen := h.firstLookup[c]; !seen {
 			h.firstLookup[c] = hit
 		}
 	}
 	for _, k := range []poolKey{
-		{r.send.Cache, r.send.Source, r.class, kind, hit},
-		{r.send.Cache, "", r.class, kind, hit},
-		{"", "", r.class, kind, hit},
+		{open.send.Cache, open.send.Source, open.class, kind, hit},
+		{open.send.Cache, "", open.class, kind, hit},
+		{"", "", open.class, kind, hit},
 		{"", "", "", kind, hit},
 	} {
 		addSample(h.pools, k, one)
@@ -193,8 +193,8 @@
 
 // match returns the most similar sample: of the same cache, source and class if there is one,
 // else of the same cache and class, else of the class, else of any.
-func (h *AttemptHistory) match(t float64, s *spool.Send, class string, kind attemptKind, hit bool) *sample {
-	for _, k := range []poolKey{{s.Cache, s.Source, class, kind, hit}, {s.Cache, "", class, kind, hit}, {"", "", class, kind, hit}, {"", "", "", kind, hit}} {
+func (h *AttemptHistory) match(t float64, send *spool.Send, class string, kind attemptKind, hit bool) *sample {
+	for _, k := range []poolKey{{send.Cache, send.Source, class, kind, hit}, {send.Cache, "", class, kind, hit}, {"", "", class, kind, hit}, {"", "", "", kind, hit}} {
 		if one := h.pools[k].nearest(t); one != nil {
 			return one
 		}
@@ -245,10 +245,10 @@
 const createdBeforeRun = -1e12 // creation time of copies that a cache had from the start, ms
 
 // holds reports whether a cache has a copy whose age is at most age, in ms.
-func (m *RecordedMembers) holds(now float64, cache string, q *spool.Request, age float64) bool {
-	k := copyKey{cache, q.Object, q.Part}
-	created, ok := m.createdAt[k]
-	if !ok && m.history.firstLookup[k] {
+func (m *RecordedMembers) holds(now float64, cache string, request *spool.Request, age float64) bool {
+	key := copyKey{cache, request.Object, request.Part}
+	created, ok := m.createdAt[key]
+	if !ok && m.history.firstLookup[key] {
 		created, ok = createdBeforeRun, true
 	}
 	if at, emptied := m.emptiedAt[cache]; !ok || emptied && created < at {
@@ -257,31 +257,31 @@
 	if created == createdBeforeRun && age >= 1e8 {
 		return true
 	}
-	if created < m.objectPurges[q.Object] || created < m.groupPurges[q.Group] {
+	if created < m.objectPurges[request.Object] || created < m.groupPurges[request.Group] {
 		return false
 	}
 	return now-created <= age
 }
 
 // Attempt answers like the most similar recorded attempt.
-func (m *RecordedMembers) Attempt(now float64, q *spool.Request, _ int, s *spool.Send) Answer {
-	if one := m.history.byMember[s.Cache].nearest(now); one != nil && one.isTransientFault() {
-		a := m.answer(one, s)
+func (m *RecordedMembers) Attempt(now float64, request *spool.Request, _ int, send *spool.Send) Answer {
+	if one := m.history.byMember[send.Cache].nearest(now); one != nil && one.isTransientFault() {
+		a := m.answer(one, send)
 		if one.result == spool.Cancelled { // the answer that would have come is unknown
 			a.Unanswered = true
 		}
 		return a
 	}
-	kind := kindOf(s)
+	kind := kindOf(send)
 	hit := true
 	switch kind {
 	case lookup:
-		hit = m.holds(now, s.Cache, q, s.Age)
+		hit = m.holds(now, send.Cache, request, send.Age)
 	case fillIfHeld:
-		hit = m.holds(now, s.Source, q, s.Age)
+		hit = m.holds(now, send.Source, request, send.Age)
 	}
-	if one := m.history.match(now, s, q.Class, kind, hit); one != nil {
-		a := m.answer(one, s)
+	if one := m.history.match(now, send, request.Class, kind, hit); one != nil {
+		a := m.answer(one, send)
 		if hit != (a.Result == spool.OK) {
 			a.Result = spool.OK
 		}
@@ -293,14 +293,14 @@
 		}
 		return Answer{Result: spool.Miss, Took: 1}
 	}
-	took := max(q.Deadline-now, 0) / 10
+	took := max(request.Deadline-now, 0) / 10
 	return Answer{Result: spool.OK, FirstByte: took / 2, Took: took}
 }
 
 // answer returns the answer of a recorded attempt, slowed down as the members are.
-func (m *RecordedMembers) answer(one *sample, s *spool.Send) Answer {
+func (m *RecordedMembers) answer(one *sample, send *spool.Send) Answer {
 	factor := 1.0
-	for _, id := range []string{s.Cache, s.Source} {
+	for _, id := range []string{send.Cache, send.Source} {
 		if f := m.slowdown[id]; f > 0 {
 			factor = max(factor, f)
 		}
@@ -309,8 +309,8 @@
 }
 
 // AttemptEnded stores the copy of a successful fill.
-func (m *RecordedMembers) AttemptEnded(now float64, q *spool.Request, s *spool.Send, a *Answer, result spool.Result) {
-	if result == spool.OK && s.Source != s.Cache && s.Keep > 0 {
-		m.createdAt[copyKey{s.Cache, q.Object, q.Part}] = now - a.Took
+func (m *RecordedMembers) AttemptEnded(now float64, request *spool.Request, send *spool.Send, answer *Answer, result spool.Result) {
+	if result == spool.OK && send.Source != send.Cache && send.Keep > 0 {
+		m.createdAt[copyKey{send.Cache, request.Object, request.Part}] = now - answer.Took
 	}
 }
--- a/internal/decisionlog/whatif/risk.go
+++ b/internal/decisionlog/whatif/risk.go
@@ -95,8 +95,8 @@
 }
 
 // attemptSent checks an attempt against rules 2 to 5.
-func (r *riskChecker) attemptSent(now float64, state *RequestState, s *spool.Send) {
-	k := r.classes[state.Request.Class]
+func (r *riskChecker) attemptSent(now float64, state *RequestState, send *spool.Send) {
+	class := r.classes[state.Request.Class]
 	if n := len(state.Attempts) - 1; n > 0 {
 		mayHaveRun := -1 // the first attempt that may have run
 		for i, t := range state.Attempts[:n] {
@@ -104,33 +104,33 @@
 				mayHaveRun = i
 			}
 		}
-		if mayHaveRun >= 0 && (k.Idempotency == "single-shot" || k.Idempotency == "guarded" && now-state.Attempts[mayHaveRun].SentAt > k.KeyWindow) {
-			r.record(2, "%s of class %s, attempt %d %.0f ms after one that may have run", state.Request.ID, k.Name, n, now-state.Attempts[mayHaveRun].SentAt)
+		if mayHaveRun >= 0 && (class.Idempotency == "single-shot" || class.Idempotency == "guarded" && now-state.Attempts[mayHaveRun].SentAt > class.KeyWindow) {
+			r.record(2, "%s of class %s, attempt %d %.0f ms after one that may have run", state.Request.ID, class.Name, n, now-state.Attempts[mayHaveRun].SentAt)
 		}
 	}
-	members := []string{s.Cache, s.Source}
-	if s.Source == s.Cache {
+	members := []string{send.Cache, send.Source}
+	if send.Source == send.Cache {
 		members = members[:1]
 	}
 	for _, id := range members {
 		if since, ok := r.unavailableSince[id]; ok && now-since > r.settings.Rules.DrainGrace {
 			r.record(3, "%s to %s, %.0f ms after it was reported as draining or removed", state.Request.ID, id, now-since)
 		}
-		r.checkWarmUp(now, id, state, k)
+		r.checkWarmUp(now, id, state, class)
 	}
 	purgedAt, purged := r.objectPurges[state.Request.Object]
 	if g, ok := r.groupPurges[state.Request.Group]; ok && (!purged || g > purgedAt) {
 		purgedAt, purged = g, true
 	}
-	if purged && now-purgedAt < r.settings.Rules.PurgeTime && s.Age > now-purgedAt+1 && !k.Write {
-		r.record(5, "%s accepts copies up to %.0f ms old, %.0f ms after a purge", state.Request.ID, s.Age, now-purgedAt)
+	if purged && now-purgedAt < r.settings.Rules.PurgeTime && send.Age > now-purgedAt+1 && !class.Write {
+		r.record(5, "%s accepts copies up to %.0f ms old, %.0f ms after a purge", state.Request.ID, send.Age, now-purgedAt)
 	}
 }
 
 // checkWarmUp checks an attempt at a member that is warming up, if the member's capacity is
 // listed: within OverloadTime, this router may use its share of the load at which the member
 // fails.
-func (r *riskChecker) checkWarmUp(now float64, id string, state *RequestState, k config.Class) {
+func (r *riskChecker) checkWarmUp(now float64, id string, state *RequestState, class config.Class) {
 	member, rules := r.listed[id], r.settings.Rules
 	initialShare, warmUpTime, overloadFactor, routers := rules.WarmUpInitialShare, rules.WarmUpTime, rules.OverloadFactor, r.zoneRouters()
 	if member.Kind == r.settings.Fill.ParentKind {
