--- a/internal/decisionlog/journal/format.go
+++ b/internal/decisionlog/journal/format.go
@@ -177,7 +177,7 @@
 	evTimer
 	evProbed
 	evMessage
-	evRecalled
+	evRecalled // contains learned state, encoded by package learnedstate
 	evRetired
 	evStalled
 )
--- a/internal/decisionlog/whatif/boxes.go
+++ b/internal/decisionlog/whatif/boxes.go
@@ -203,7 +203,8 @@
 }
 
 // addLoad adds sending time to the load of a member. It reports whether the member is down,
-// because it was overloaded while it was warming up.
+// because it was overloaded while it was warming up. asSource says that the member is the source
+// of a fill.
 func (c *CacheModels) addLoad(now float64, member *memberModel, work, kb float64, asSource bool) (down bool) {
 	c.reportUsage(now, member)
 	member.usage.SendMillis += work
