--- a/internal/cachenode/httpcache/box_test.go
+++ b/internal/cachenode/httpcache/box_test.go
@@ -7,13 +7,20 @@
 	"pgregory.net/rapid"
 )
 
+// Values of the parameter warm of New.
+const (
+	warm = true
+	cold = false
+)
+
+// put begins and ends a fill of a copy at the time now, and reports whether the copy was kept.
 func put(cache *Cache, now float64, key string, rank int, bytes int64, generatedAt float64) bool {
 	f := cache.BeginFill(now, key)
 	return cache.EndFill(now, f, &Copy{Key: key, Object: key, Group: 1, Bytes: bytes, Rank: rank, Version: 1, GeneratedAt: generatedAt})
 }
 
 func TestRanksAndUse(t *testing.T) {
-	cache := New(Settings{Bytes: 100}, 0, true)
+	cache := New(Settings{Bytes: 100}, 0, warm)
 	put(cache, 1, "low", 1, 40, 1)
 	put(cache, 2, "high", 3, 40, 2)
 	if put(cache, 3, "mid", 2, 80, 3) {
@@ -28,7 +35,7 @@
 }
 
 func TestAgeAndPurge(t *testing.T) {
-	cache := New(Settings{Bytes: 100}, 0, true)
+	cache := New(Settings{Bytes: 100}, 0, warm)
 	put(cache, 10, "a", 1, 1, 10)
 	if cache.Lookup(30, "a", 19, 0) != nil || cache.Lookup(30, "a", 20, 0) == nil {
 		t.Fatal("a copy was found above its maximum age, or not found at it")
@@ -52,14 +59,14 @@
 
 func TestOverload(t *testing.T) {
 	settings := Settings{Capacity: 2, WarmUpInitialShare: 0.2, WarmUpTime: 10000, OverloadFactor: 4, OverloadTime: 1000}
-	cache := New(settings, 1, false)
+	cache := New(settings, 1, cold)
 	now := 1.0
 	for range 1000 { // just below OverloadFactor times the initial capacity
 		if now++; cache.RecordAttempt(now, 4*0.2*2*0.99) {
 			t.Fatalf("failed at %v ms although the load is below the limit", now)
 		}
 	}
-	cache = New(settings, 1, false)
+	cache = New(settings, 1, cold)
 	failedAt := 0.0
 	for now = 1; failedAt == 0 && now < 2000; now++ {
 		if cache.RecordAttempt(now, 4*0.2*2*1.6) {
@@ -69,13 +76,13 @@
 	if failedAt < 800 || failedAt > 1010 || !cache.RecordAttempt(1e6, 0) {
 		t.Fatalf("failed at %v ms, want 800 to 1010; still failed: %v", failedAt, cache.Failed())
 	}
-	if New(settings, 0, true).RecordAttempt(1, 1e9) {
+	if New(settings, 0, warm).RecordAttempt(1, 1e9) {
 		t.Fatal("a warm cache failed because of overload")
 	}
 }
 
 func TestFillsAndJoins(t *testing.T) {
-	cache := New(Settings{Bytes: 10, MaxFills: 2}, 0, true)
+	cache := New(Settings{Bytes: 10, MaxFills: 2}, 0, warm)
 	first := cache.BeginFill(1, "a")
 	second := cache.BeginFill(2, "a")
 	if cache.PendingFill("a") != first || cache.BeginFill(3, "b") != nil {
@@ -95,7 +102,7 @@
 // limit is kept, and no copy older than a purge of its object is found.
 func TestRandomOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cache := New(Settings{Bytes: 200}, 0, true)
+		cache := New(Settings{Bytes: 200}, 0, warm)
 		now := 100.0
 		purgedAt := map[string]float64{}
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
--- a/internal/cachenode/server/cache_test.go
+++ b/internal/cachenode/server/cache_test.go
@@ -363,9 +363,9 @@
 	if res, err := http.Get("http://" + r.server.Addr() + "/-/state"); err != nil {
 		t.Error(err)
 	} else {
-		var x map[string]any
-		if json.NewDecoder(res.Body).Decode(&x); x["name"] != "b1" || x["copies"].(float64) < 2 {
-			t.Error(x)
+		var state map[string]any
+		if json.NewDecoder(res.Body).Decode(&state); state["name"] != "b1" || state["copies"].(float64) < 2 {
+			t.Error(state)
 		}
 		res.Body.Close()
 	}
@@ -471,9 +471,9 @@
 	}))
 	defer src.Close()
 	at := src.Listener.Addr().String()
-	ask := func(age float64, plain bool) (int, string) {
+	ask := func(age float64, withoutAttempt bool) (int, string) {
 		req, _ := http.NewRequest("GET", "http://"+r.server.Addr()+"/still/1/x", nil)
-		if !plain {
+		if !withoutAttempt {
 			a := fetchheader.Attempt{ID: "q", From: "r", Class: "still", Object: "/still/1/x", Group: -1, Keep: 2, Age: age, Source: "o", SourceAddress: at}
 			req.Header.Set(fetchheader.FillField, string(a.Append(nil)))
 		}
@@ -591,10 +591,10 @@
 	}))
 	defer src.Close()
 	r := newRig(t, fmt.Sprintf("(upstream %q)", src.Listener.Addr()))
-	get := func(accept string, only bool) string {
+	get := func(accept string, onlyIfStored bool) string {
 		req, _ := http.NewRequest("GET", "http://"+r.server.Addr()+"/v", nil)
 		req.Header.Set("Accept-Encoding", accept)
-		if only {
+		if onlyIfStored {
 			a := fetchheader.Attempt{ID: "q", From: "r", Class: "still", Object: "/v", Group: -1}
 			req.Header.Set(fetchheader.FillField, string(a.Append(nil)))
 		}
--- a/internal/cachenode/server/kill_test.go
+++ b/internal/cachenode/server/kill_test.go
@@ -69,20 +69,20 @@
 	r := &rig{t: t, origin: origin, client: newClient()}
 	dir := filepath.Join(t.TempDir(), "store")
 	rng := rand.New(rand.NewPCG(uint64(rounds), 3))
-	path := func(i int) string { return fmt.Sprintf("/still/1/o%d", i) }
+	objectPath := func(i int) string { return fmt.Sprintf("/still/1/o%d", i) }
 	version := map[string]int64{}
 	var mu sync.Mutex
-	minVersion := func(p string) int64 {
+	minVersion := func(path string) int64 {
 		mu.Lock()
 		defer mu.Unlock()
-		return 1 + version[p]
+		return 1 + version[path]
 	}
 	maxRecovered, responses := 0, 0
 	for round := range rounds {
 		if round > 0 { // while it is down
-			p := path(rng.IntN(60))
-			origin.Purge(p, 0, 0)
-			version[p]++
+			path := objectPath(rng.IntN(60))
+			origin.Purge(path, 0, 0)
+			version[path]++
 		}
 		cmd := exec.Command(os.Args[0], "-test.run", "^"+t.Name()+"$")
 		cmd.Env = append(os.Environ(), "CACHE_SERVE="+dir)
@@ -110,19 +110,19 @@
 			cmd.Process.Kill()
 		})
 		var wg sync.WaitGroup
-		for w := range 6 {
+		for worker := range 6 {
 			seed := rng.Uint64()
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				rng := rand.New(rand.NewPCG(seed, uint64(w)))
+				rng := rand.New(rand.NewPCG(seed, uint64(worker)))
 				for {
-					p := path(rng.IntN(60))
-					if w == 0 && rng.IntN(6) == 0 {
-						origin.Purge(p, 0, 0)
-						res, err := r.client.Post("http://"+addr+"/-/purge", "application/json", strings.NewReader(fmt.Sprintf(`{"object":%q}`, p)))
+					path := objectPath(rng.IntN(60))
+					if worker == 0 && rng.IntN(6) == 0 {
+						origin.Purge(path, 0, 0)
+						res, err := r.client.Post("http://"+addr+"/-/purge", "application/json", strings.NewReader(fmt.Sprintf(`{"object":%q}`, path)))
 						mu.Lock()
-						version[p]++ // the origin has it, whether the cache has acknowledged it or not
+						version[path]++ // the origin has it, whether the cache has acknowledged it or not
 						mu.Unlock()
 						if err == nil {
 							if res.StatusCode != 200 && res.StatusCode != 500 {
@@ -137,8 +137,8 @@
 						}
 						continue
 					}
-					want := minVersion(p)
-					res, b, err := r.fetchFrom(addr, p)
+					want := minVersion(path)
+					res, body, err := r.fetchFrom(addr, path)
 					if err != nil && faults && !killed.Load() {
 						continue // the object could not be read to its end
 					}
@@ -148,13 +148,13 @@
 					if res.StatusCode == 503 {
 						continue
 					}
-					v, verr := fetchheader.ParseCopyVersion(res.Header.Get(fetchheader.CopyField))
+					copyVersion, verr := fetchheader.ParseCopyVersion(res.Header.Get(fetchheader.CopyField))
 					if res.StatusCode != 200 || verr != nil {
-						t.Errorf("%s: %s %v", p, res.Status, verr)
+						t.Errorf("%s: %s %v", path, res.Status, verr)
 						return
 					}
-					if at, ok := testserver.Matches(b, p, v.Number, 0); !ok || v.Number < want {
-						t.Errorf("round %d: %s has version %d, want %d or later; first wrong byte at %d", round, p, v.Number, want, at)
+					if at, ok := testserver.Matches(body, path, copyVersion.Number, 0); !ok || copyVersion.Number < want {
+						t.Errorf("round %d: %s has version %d, want %d or later; first wrong byte at %d", round, path, copyVersion.Number, want, at)
 						return
 					}
 					mu.Lock()
