--- a/internal/cachenode/httpcache/rfc9111_test.go
+++ b/internal/cachenode/httpcache/rfc9111_test.go
@@ -54,7 +54,7 @@
 		}
 		reason, ok := Storable(Request{"GET", head(c.request...)}, stored)
 		if ok != (c.want == "") || !strings.Contains(reason, c.want) {
-			t.Errorf("request %v, response %d %v: storable %v, reason %q", c.request, stored.Status, c.response, ok, reason)
+			t.Errorf("request %v, response %d %v: storable %v, reason %q; want the reason %q (empty: storable)", c.request, stored.Status, c.response, ok, reason, c.want)
 		}
 	}
 	if _, ok := Storable(Request{"POST", nil}, response("Cache-Control: max-age=5")); ok {
--- a/internal/cachenode/server/cache.go
+++ b/internal/cachenode/server/cache.go
@@ -1,7 +1,7 @@
 // Package server implements a cache or a parent as an HTTP server. It answers requests with
 // Spool-Fill (docs/protocol.md) from a store on disk (internal/cachenode/store), or fetches the
-// object from the source that the request names. It shares the event loop and the HTTP parser
-// with the router.
+// object from the source that the request names: the origin, a parent or another cache. It shares
+// the event loop and the HTTP parser with the router.
 //
 // The server owns the connections to its clients and to sources, and the fills in flight. Routers
 // decide where an object is looked up, from where it is filled and how old it may be, and send
@@ -438,26 +438,26 @@
 	server        *Server
 	conn          *conn
 	attempt       fetchheader.Attempt
-	fromClient    bool   // it has no Spool-Fill: no router has sent it
+	fromClient    bool   // the request has no Spool-Fill: neither a router nor a cache has sent it
 	method        string // empty: the request is invalid, and target is the error
 	target        string
 	key           string              // of the cached object: target and range, then the variant, if any
 	header        http.Header         // only fields that the server uses
 	body          []byte              // received so far
-	object        *store.CachedObject // that is being sent; nil during a fill
-	stale         *store.CachedObject // must be validated before it is served
+	object        *store.CachedObject // stored object that is being sent; nil during a fill
+	stale         *store.CachedObject // stored object that must be validated before it is served
 	unconditional bool                // stale objects were validated once: the next fill fetches the whole object
-	fill          *fill               // that the request waits for
+	fill          *fill               // fill that the request waits for
 	offset        int64               // number of body bytes sent or in writeBuffer
 	size          int64               // of the response body
 	headSent      bool
 	pending       bool // a disk read or a later turn of the loop will continue the response
 	ended         bool
-	joined        bool   // it has joined a fill of another request
+	joined        bool   // the request has joined a fill of another request
 	burstTurn     uint64 // last turn of the loop in which the request sent data
 	burstBytes    int64  // bytes sent in that turn
 	answered      bool   // the response has begun
-	background    bool   // it validates an object in the background, and has no client
+	background    bool   // the request validates an object in the background, and has no client
 }
 
 // newRequest returns a request for the parsed head of c. It copies the fields that it keeps,
@@ -694,7 +694,8 @@
 	s.startFill(r)
 }
 
-// emit calls OnEvent, unless the request is invalid or was not sent by a router or a cache.
+// emit calls OnEvent, unless the request is invalid or was not sent by a router or a cache. The
+// arguments are the fields of Event; those that a step does not have are 0 or false.
 func (r *request) emit(what string, status int, version, bytes int64, hit bool) {
 	r.answered = r.answered || what == "sent"
 	if r.server.OnEvent != nil && !r.fromClient && r.method != "" {
@@ -819,7 +820,7 @@
 		return
 	}
 	if err != nil {
-		r.server.warn("cache: reading a stored object failed: " + err.Error())
+		r.server.warn(fmt.Sprintf("cache: reading stored object %.80q at offset %d failed: %v; the connection is closed", r.key, r.offset, err))
 		r.conn.close()
 		return
 	}
--- a/internal/cachenode/server/cache_test.go
+++ b/internal/cachenode/server/cache_test.go
@@ -199,7 +199,7 @@
 		t.Errorf("recovered %+v, want 21 objects", r.server.Recovered)
 	}
 	if res, _, _ := r.fetch(name(1), storedOnly, nil); res.StatusCode != 504 {
-		t.Error("an object is served although a purge may have been missed:", res.Status)
+		t.Errorf("an object of which a purge may have been missed got status %d, want 504", res.StatusCode)
 	}
 	for i := range 20 {
 		if _, v := r.fetchVerified(name(i), allowFill); i == 7 && v != 2 {
@@ -227,14 +227,14 @@
 	}
 	hit("/film/1/big")
 	if code := r.purge(`{"object":"/still/1/o3"}`); code != 200 {
-		t.Fatal(code)
+		t.Fatalf("the purge of an object got status %d, want 200", code)
 	}
 	if code := r.purge(`{"object":`); code != 400 {
-		t.Error(code)
+		t.Errorf("a malformed purge got status %d, want 400", code)
 	}
 	for range 2 {
 		if res, _, _ := r.fetch("/still/1/o3", storedOnly, nil); res.StatusCode != 504 {
-			t.Error("a purged object is served:", res.Status)
+			t.Errorf("a purged object got status %d, want 504", res.StatusCode)
 		}
 		r.stop()
 		r.start()
@@ -242,10 +242,10 @@
 	}
 	hit(name(4))
 	if code := r.purge(`{"group":7}`); code != 200 {
-		t.Fatal(code)
+		t.Fatalf("the purge of a group got status %d, want 200", code)
 	}
 	if res, _, _ := r.fetch("/still/1/o4", storedOnly, nil); res.StatusCode != 504 {
-		t.Error("an object is served after the purge of its group:", res.Status)
+		t.Errorf("an object whose group was purged got status %d, want 504", res.StatusCode)
 	}
 }
 
@@ -307,14 +307,14 @@
 	}
 	madeAt := r.origin.Purge("/film/1/slow", 0, 0) // an origin ignores the group of a purge by object, and the time
 	if code := r.purge(fmt.Sprintf(`{"object":"/film/1/slow","made":%f}`, madeAt)); code != 200 {
-		t.Fatal(code)
+		t.Fatalf("the purge got status %d, want 200", code)
 	}
 	if err := <-got; err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(100 * time.Millisecond)
 	if res, _, _ := r.fetch("/film/1/slow", storedOnly, nil); res.StatusCode != 504 {
-		t.Error("the object of a fill that began before the purge is served")
+		t.Errorf("the object of a fill that began before the purge got status %d, want 504 (not stored)", res.StatusCode)
 	}
 }
 
@@ -329,13 +329,13 @@
 		}
 	}
 	if res, _, _ := r.fetch("/still/1/pass", storedOnly, nil); res.StatusCode != 504 {
-		t.Error("an object of rank 0 was stored")
+		t.Errorf("an object of rank 0 got status %d, want 504 (not stored)", res.StatusCode)
 	}
 	r.fetchVerified("/still/1/age", allowFill)
 	r.waitStored(1)
 	time.Sleep(30 * time.Millisecond)
 	if res, _, _ := r.fetch("/still/1/age", storedOnly, func(a *fetchheader.Attempt, _ *http.Request) { a.Age = 10 }); res.StatusCode != 504 {
-		t.Error("an object above the maximum age is a hit")
+		t.Errorf("an object above the maximum age got status %d, want 504", res.StatusCode)
 	}
 	res, b, err := r.fetch("/order/1", allowFill, func(a *fetchheader.Attempt, q *http.Request) {
 		q.Method, q.Body, q.ContentLength = "POST", io.NopCloser(strings.NewReader("hello")), 5
@@ -354,25 +354,25 @@
 	code, text := part(allowFill)
 	r.waitStored(2)
 	if again, same := part(storedOnly); code != 206 || again != 206 || text != same || !strings.HasPrefix(text, "200bytes 100-299/") {
-		t.Error(code, text, again, same)
+		t.Errorf("range: status %d, length and Content-Range %q; then from the store %d, %q; want 206 and 200bytes 100-299/ both times", code, text, again, same)
 	}
 	res, b, err = r.fetch("/still/1/age", storedOnly, func(_ *fetchheader.Attempt, q *http.Request) { q.Method = "HEAD" })
 	if err != nil || res.StatusCode != 200 || len(b) > 0 || res.ContentLength < 100 {
-		t.Error(res, err)
+		t.Errorf("HEAD: response %v with %d bytes, error %v; want status 200, a Content-Length and no body", res, len(b), err)
 	}
 	if res, err := http.Get("http://" + r.server.Addr() + "/-/state"); err != nil {
 		t.Error(err)
 	} else {
 		var state map[string]any
 		if json.NewDecoder(res.Body).Decode(&state); state["name"] != "b1" || state["copies"].(float64) < 2 {
-			t.Error(state)
+			t.Errorf("state %v, want name b1 and 2 copies or more", state)
 		}
 		res.Body.Close()
 	}
 	req, _ := http.NewRequest("GET", "http://"+r.server.Addr()+"/still/1/a", nil)
 	req.Header.Set(fetchheader.FillField, "nonsense(")
 	if res, err := r.client.Do(req); err != nil || res.StatusCode != 400 {
-		t.Error(res, err)
+		t.Errorf("invalid Spool-Fill: response %v, error %v; want status 400", res, err)
 	}
 }
 
@@ -395,12 +395,12 @@
 			}
 		})
 		if err != nil || res.StatusCode != 503 || !strings.Contains(res.Header.Get(fetchheader.StatusField), want) {
-			t.Errorf("source %s: response %v, error %v", what, res, err)
+			t.Errorf("source %s: response %v, error %v; want status 503 and %s", what, res, err, want)
 		}
 		time.Sleep(450 * time.Millisecond)
 	}
 	if st, _ := r.server.State(); r.server.loop == nil || st.Kept != 0 {
-		t.Error(st)
+		t.Errorf("counters %+v, want no object stored", st)
 	}
 	r.fetchVerified("/still/1/after", allowFill)
 	r.server.loop.Call(time.Second, func() {
@@ -471,6 +471,7 @@
 	}))
 	defer src.Close()
 	at := src.Listener.Addr().String()
+	// ask requests the object with age as the maximum age of the attempt, in ms.
 	ask := func(age float64, withoutAttempt bool) (int, string) {
 		req, _ := http.NewRequest("GET", "http://"+r.server.Addr()+"/still/1/x", nil)
 		if !withoutAttempt {
@@ -493,6 +494,7 @@
 		defer mu.Unlock()
 		tag, fails = to, fail
 	}
+	// want asks for the object and checks its body, and how many full responses and requests the source has had so far.
 	want := func(what string, age float64, body string, wantFull, wantRequests int) {
 		t.Helper()
 		code, got := ask(age, false)
@@ -591,6 +593,7 @@
 	}))
 	defer src.Close()
 	r := newRig(t, fmt.Sprintf("(upstream %q)", src.Listener.Addr()))
+	// get requests a variant. With onlyIfStored it sends an attempt that allows no fill.
 	get := func(accept string, onlyIfStored bool) string {
 		req, _ := http.NewRequest("GET", "http://"+r.server.Addr()+"/v", nil)
 		req.Header.Set("Accept-Encoding", accept)
--- a/internal/cachenode/server/clock_test.go
+++ b/internal/cachenode/server/clock_test.go
@@ -37,6 +37,8 @@
 	}))
 	defer src.Close()
 	r := newRig(t, fmt.Sprintf("(upstream %q)", src.Listener.Addr()))
+	// get requests an object and returns the number of requests to the source. age is the maximum age of
+	// the attempt in ms; with -1 the request has no attempt.
 	get := func(path string, age float64) int {
 		req, _ := http.NewRequest("GET", "http://"+r.server.Addr()+path, nil)
 		if age >= 0 {
@@ -59,7 +61,7 @@
 	}
 	r.waitStored(3)
 	if code := r.purge(`{"object":"/purged"}`); code != 200 {
-		t.Fatal(code)
+		t.Fatalf("the purge got status %d, want 200", code)
 	}
 	r.stop()
 	readings := 0
--- a/internal/cachenode/server/fill.go
+++ b/internal/cachenode/server/fill.go
@@ -30,19 +30,19 @@
 	storing         bool // the object is to be stored
 	writer          *store.Writer
 	sincePurge      uint64              // number of the last purge when the fill began
-	startedAt       int64               // time when it began, by Server.now
+	startedAt       int64               // time at which the fill began, by Server.now
 	reserving       bool                // a thread is creating the writer
-	abortAfterWrite *store.Writer       // must be aborted after the write that a thread is doing
+	abortAfterWrite *store.Writer       // writer to abort when the write in progress on a thread has ended
 	object          *store.CachedObject // reads what the writer has written
 	written         int64               // number of bytes that can be read from object
 	writeQueue      []byte              // received bytes that wait for the disk
 	writing         bool                // a thread is writing
 	memory          []byte              // received bytes that are not written to the store
-	memoryOffset    int64               // of memory in the body
+	memoryOffset    int64               // offset in the body at which memory begins
 	memoryTrimmed   bool                // the beginning of memory was discarded
 	received        int64
 	complete        bool // the whole body was received
-	ended           bool // requests can't join it, and it doesn't count as in flight
+	ended           bool // requests can't join the fill, and it doesn't count as in flight
 }
 
 // startFill starts a fill for a request. If there is no source, or MaxFills are in flight, the
@@ -728,7 +728,7 @@
 // unparsed. After a complete response the connection becomes idle, or is closed.
 func (sc *sourceConn) parse(data []byte) {
 	for !sc.headParsed {
-		n, err := http1.ParseResponse(data, &sc.head, http1.Limits{}, false)
+		n, err := http1.ParseResponse(data, &sc.head, http1.Limits{}, false) // false: no request to a source is a HEAD
 		if err != nil {
 			sc.fail()
 			return
--- a/internal/cachenode/server/kill_test.go
+++ b/internal/cachenode/server/kill_test.go
@@ -101,7 +101,7 @@
 		var addr string
 		var copies int
 		if n, _ := fmt.Sscan(line, &addr, &copies); err != nil || n != 2 {
-			t.Fatalf("round %d: %q %v", round, line, err)
+			t.Fatalf("round %d: the cache printed %q, want its address and the number of recovered objects; error %v", round, line, err)
 		}
 		maxRecovered = max(maxRecovered, copies)
 		var killed atomic.Bool
@@ -150,7 +150,7 @@
 					}
 					copyVersion, verr := fetchheader.ParseCopyVersion(res.Header.Get(fetchheader.CopyField))
 					if res.StatusCode != 200 || verr != nil {
-						t.Errorf("%s: %s %v", path, res.Status, verr)
+						t.Errorf("%s: status %s, error of Spool-Copy %v; want 200 and a version", path, res.Status, verr)
 						return
 					}
 					if at, ok := testserver.Matches(body, path, copyVersion.Number, 0); !ok || copyVersion.Number < want {
--- a/internal/cachenode/server/router_test.go
+++ b/internal/cachenode/server/router_test.go
@@ -70,7 +70,7 @@
 		return hits
 	}
 	if n := fetchAll(); n > 0 {
-		t.Errorf("%d hits with empty caches", n)
+		t.Errorf("%d hits with empty caches, want 0", n)
 	}
 	for _, r := range []*rig{first, second} {
 		r.cfg.Listen = r.server.Addr() // the router's member list has this address
@@ -96,6 +96,6 @@
 		in += st.In
 	}
 	if n := fetchAll(); n < 55 || in > 60<<10 {
-		t.Errorf("%d hits of 60 after both caches were restarted, %d bytes from the origin", n, in)
+		t.Errorf("%d hits of 60 after both caches were restarted, want 55 or more; %d bytes from the origin, want %d or fewer", n, in, 60<<10)
 	}
 }
--- a/internal/cachenode/server/syscalls_test.go
+++ b/internal/cachenode/server/syscalls_test.go
@@ -40,7 +40,7 @@
 								t.Errorf("request %d got no response: %v", i, err)
 							case res.StatusCode == 200:
 							case span != "1:0s-2s" || !strings.Contains(res.Header.Get(fetchheader.StatusField), fetchheader.NoPlace):
-								t.Errorf("request %d: status %d, %s", i, res.StatusCode, res.Header.Get(fetchheader.StatusField))
+								t.Errorf("request %d: status %d, Cache-Status %s; want 200", i, res.StatusCode, res.Header.Get(fetchheader.StatusField))
 							}
 						})
 					}
@@ -50,10 +50,10 @@
 					seconds := time.Since(began).Seconds()
 					made, failed := calls.Counts(call)
 					if failed == 0 || turns > uint64(perSecond*seconds)+40*requests {
-						t.Errorf("%d turns in %.1f s, %d calls of which %d failed", turns, seconds, made, failed)
+						t.Errorf("%d turns in %.1f s, want %d or fewer; %d of %d calls failed, want 1 or more", turns, seconds, uint64(perSecond*seconds)+40*requests, failed, made)
 					}
 					if call == faultinject.Accept && made > int(perSecond*seconds)+4*requests {
-						t.Errorf("%d calls of accept in %.1f s", made, seconds)
+						t.Errorf("%d calls of accept in %.1f s, want %d or fewer", made, seconds, int(perSecond*seconds)+4*requests)
 					}
 				})
 			}
--- a/internal/cachenode/store/fault_test.go
+++ b/internal/cachenode/store/fault_test.go
@@ -207,12 +207,12 @@
 		err := faulty.purge("/a")
 		var fault *FaultError
 		if !errors.As(err, &fault) || !errors.Is(err, syscall.ENOSPC) || fault.Since != since || fault.File == "" || fault.Op != "write" {
-			t.Errorf("%v", err)
+			t.Errorf("error %v, want a FaultError of a write with ENOSPC, a file and the time %v", err, since)
 		}
 		faulty.clock.now = faulty.clock.now.Add(time.Second)
 	}
 	if status := faulty.Status(); status.Fault == nil || status.PurgesDurable || status.FaultDuration != 3*time.Second || !faulty.Faulty() {
-		t.Errorf("%+v", status)
+		t.Errorf("status %+v, want a fault since 3 s and purges that are not durable", status)
 	}
 	retries, fault := 0, faulty.fs.fault
 	faulty.fs.fault = func(op, name string) error {
@@ -231,7 +231,7 @@
 	faulty.endFault()
 	faulty.clock.retryAfterBackoff(faulty.Store)
 	if status := faulty.Status(); status.Fault != nil || !status.PurgesDurable || faulty.Faulty() {
-		t.Errorf("%+v", status)
+		t.Errorf("status %+v after the fault, want none, and durable purges", status)
 	}
 	faulty.restartAfterKill()
 	faulty.expect("after a retry has made the rejected purge durable", map[string]bool{"/a": false})
@@ -261,11 +261,11 @@
 		faulty.clock.retryAfterBackoff(faulty.Store)
 		status, lost := faulty.Status(), faulty.Stats.Corrupt
 		if status.Fault != nil || status.UnreadableSegments > 0 || lost+faulty.Stats.Rewritten != 2 {
-			t.Errorf("seed %d: %+v, %d lost, %d rewritten", seed, status, lost, faulty.Stats.Rewritten)
+			t.Errorf("seed %d: status %+v, %d objects lost, %d rewritten; want no fault, and 2 together", seed, status, lost, faulty.Stats.Rewritten)
 		}
 		faulty.expect("afterwards", map[string]bool{"/a": faulty.Lookup("/a") != nil, "/b": faulty.Lookup("/b") != nil}) // checks the bodies
 		if n, _ := faulty.Usage(); n != 2-int(lost) {
-			t.Errorf("seed %d: %d objects", seed, n)
+			t.Errorf("seed %d: %d objects, want %d", seed, n, 2-int(lost))
 		}
 	}
 }
@@ -307,7 +307,7 @@
 	faulty.endFault()
 	faulty.clock.retryAfterBackoff(faulty.Store)
 	if status := faulty.Status(); status.Found.DiscardReason == "" || len(faulty.pendingPurges) > 0 {
-		t.Errorf("%+v", status)
+		t.Errorf("status %+v, %d pending purges; want a DiscardReason and none", status, len(faulty.pendingPurges))
 	}
 	faulty.expect("after more purges than are kept", map[string]bool{"/a": false})
 }
--- a/internal/cachenode/store/folder_test.go
+++ b/internal/cachenode/store/folder_test.go
@@ -24,11 +24,11 @@
 		t.Fatal(err)
 	}
 	if _, err := store.Begin(Meta{Key: "/b"}, 1); !errors.Is(err, ErrClosed) {
-		t.Error(err)
+		t.Errorf("Begin after Close: error %v, want ErrClosed", err)
 	}
 	store, recovered, err := Open(Dir(dir), Options{})
 	if err != nil || recovered.Objects != 1 || recovered.Bytes != 5000 {
-		t.Fatal(recovered, err)
+		t.Fatalf("recovered %+v, error %v; want 1 object of 5000 bytes", recovered, err)
 	}
 	if _, ok := lookupChecked(t, store, "/a"); !ok {
 		t.Error("/a is missing after the folder was opened again")
@@ -40,7 +40,7 @@
 	before, _ := os.ReadDir(dir)
 	_, _, err = Open(Dir(dir), Options{})
 	if after, _ := os.ReadDir(dir); !errors.Is(err, ErrFormat) || !strings.Contains(err.Error(), "empty the folder") || len(after) != len(before) {
-		t.Error(err)
+		t.Errorf("folder of another format: error %v, %d files, before %d; want ErrFormat and no change", err, len(after), len(before))
 	}
 }
 
@@ -62,13 +62,13 @@
 	writer.Write(bodyOf("/c", 0, 2000)[:1000])
 	fs.writesUntilFull = 0
 	if _, err := writer.Write(bodyOf("/c", 0, 2000)[1000:]); !errors.Is(err, errNoSpace) {
-		t.Fatal(err)
+		t.Fatalf("a write to the full disk: error %v, want %v", err, errNoSpace)
 	}
 	if ok, err := writer.Commit(); ok || err == nil {
-		t.Fatal(ok, err)
+		t.Fatalf("commit of an incomplete object: stored %v, error %v; want false and an error", ok, err)
 	}
 	if _, err := store.Begin(Meta{Key: "/d"}, 10); !errors.Is(err, errNoSpace) || !strings.Contains(warnings, "no objects are stored") {
-		t.Error(err, warnings)
+		t.Errorf("Begin on the full disk: error %v, want %v; warnings %q, want \"no objects are stored\"", err, errNoSpace, warnings)
 	}
 	if _, err := store.Purge(Purge{Scope: ByObject, Text: "/b"}); err == nil {
 		t.Error("a purge is acknowledged although it could not be written")
--- a/internal/cachenode/store/index_bench_test.go
+++ b/internal/cachenode/store/index_bench_test.go
@@ -57,7 +57,7 @@
 				loc := locationOf(rand.IntN(n))
 				database.View(func(tx *bolt.Tx) error {
 					if _, ok := readLocation(tx.Bucket(bucket).Get(binary.BigEndian.AppendUint64(nil, loc.keyHash))); !ok {
-						b.Fatal("it is gone")
+						b.Fatalf("the location of key hash %#x is missing", loc.keyHash)
 					}
 					return nil
 				})
@@ -96,7 +96,7 @@
 			for b.Loop() {
 				loc := locationOf(rand.IntN(n))
 				if _, ok := store.byHash[loc.keyHash]; !ok {
-					b.Fatal("it is gone")
+					b.Fatalf("the location of key hash %#x is missing", loc.keyHash)
 				}
 			}
 		})
--- a/internal/cachenode/store/kill_test.go
+++ b/internal/cachenode/store/kill_test.go
@@ -92,7 +92,7 @@
 		cmd.Wait()
 		store, recovered, err := Open(Dir(dir), Options{MaxBytes: 8 << 20, SegmentBytes: 256 << 10})
 		if err != nil || recovered.DiscardReason != "" {
-			t.Fatalf("round %d: %+v %v", round, recovered, err)
+			t.Fatalf("round %d: recovered %+v, error %v; want no DiscardReason", round, recovered, err)
 		}
 		for key, stored := range last {
 			got, ok := lookupChecked(t, store, key)
--- a/internal/cachenode/store/model_test.go
+++ b/internal/cachenode/store/model_test.go
@@ -120,7 +120,7 @@
 	return r
 }
 
-// verify looks up all keys. With allStored, the latest object of each key must be found unless it
+// verify looks up all keys and checks the objects that are found. With allStored, the latest object of each key must be found unless it
 // was purged.
 func (r *modelRun) verify(allStored bool) {
 	for i := range 40 {
@@ -223,7 +223,7 @@
 		r.store.Compact(int64(r.rng.IntN(8 << 10)))
 	default:
 		if !r.fs.stopped {
-			r.verify(false)
+			r.verify(false) // objects may be evicted, lost or unreadable
 		}
 	}
 }
@@ -258,7 +258,7 @@
 		r.t.Fatalf("opening the store again failed: %v", err)
 	}
 	if r.fs.fault != nil {
-		r.verify(false)
+		r.verify(false) // objects may be unreadable during the fault
 		return
 	}
 	r.verifyRecovered()
