--- a/internal/cachenode/server/cache_test.go
+++ b/internal/cachenode/server/cache_test.go
@@ -133,7 +133,7 @@
 	r.t.Helper()
 	res, b, err := r.fetch(path, mayFill, nil)
 	if err != nil || res.StatusCode != 200 {
-		r.t.Fatalf("%s: response %v, error %v", path, res, err)
+		r.t.Fatalf("%s: response %v, error %v; want status 200", path, res, err)
 	}
 	v, err := fetchheader.ParseCopyVersion(res.Header.Get(fetchheader.CopyField))
 	if err != nil {
@@ -173,12 +173,12 @@
 func TestWarmAfterRestart(t *testing.T) {
 	r := newRig(t, "")
 	if res, _, err := r.fetch("/still/1/a", storedOnly, nil); err != nil || res.StatusCode != 504 || !strings.Contains(res.Header.Get(fetchheader.StatusField), "fwd=miss") {
-		t.Fatal(res, err)
+		t.Fatalf("an object that is not stored: response %v, error %v; want status 504 and fwd=miss", res, err)
 	}
 	name := func(i int) string { return fmt.Sprintf("/still/1/o%d", i) }
 	for i := range 20 {
 		if s, _ := r.fetchVerified(name(i), allowFill); !strings.Contains(s, "fwd=miss") || !strings.Contains(s, "stored") {
-			t.Fatal(s)
+			t.Fatalf("%s: Cache-Status %s, want fwd=miss and stored", name(i), s)
 		}
 	}
 	r.fetchVerified("/film/1/big", allowFill)
@@ -186,7 +186,7 @@
 	hit := func(path string) {
 		t.Helper()
 		if s, _ := r.fetchVerified(path, storedOnly); !strings.Contains(s, "hit") {
-			t.Fatal(s)
+			t.Fatalf("%s: Cache-Status %s, want hit", path, s)
 		}
 	}
 	for i := range 20 {
@@ -210,14 +210,14 @@
 		}
 	}
 	if st, _ := r.server.State(); st.Renewed != 19 || st.In > 30<<10+int64(testserver.SizeOf(name(7), 40)) {
-		t.Errorf("%d objects confirmed by the source, want 19; %d bytes received from it", st.Renewed, st.In)
+		t.Errorf("%d objects confirmed by the source, want 19; %d bytes received from the source, want %d or fewer", st.Renewed, st.In, 30<<10+int64(testserver.SizeOf(name(7), 40)))
 	}
 	r.stop()
 	r.start()
 	r.purge(fmt.Sprintf(`{"object":%q,"made":%f}`, name(7), madeAt))
 	res, err := r.client.Post("http://"+r.server.Addr()+"/-/caught-up", "", nil)
 	if err != nil || res.StatusCode != 200 {
-		t.Fatal(res, err)
+		t.Fatalf("POST /-/caught-up: response %v, error %v; want status 200", res, err)
 	}
 	res.Body.Close()
 	for i := range 20 {
@@ -260,7 +260,7 @@
 			defer wg.Done()
 			res, b, err := r.fetch("/film/1/same", allowFill, nil)
 			if err != nil || res.StatusCode != 200 {
-				t.Errorf("response %v, error %v", res, err)
+				t.Errorf("response %v, error %v; want status 200", res, err)
 				return
 			}
 			if _, ok := testserver.Matches(b, "/film/1/same", 1, 0); !ok || int64(len(b)) != res.ContentLength {
@@ -325,7 +325,7 @@
 	for range 2 {
 		res, _, err := r.fetch("/still/1/pass", allowFill, func(a *fetchheader.Attempt, _ *http.Request) { a.Keep = 0 })
 		if err != nil || strings.Contains(res.Header.Get(fetchheader.StatusField), "stored") {
-			t.Fatal(res, err)
+			t.Fatalf("an object of rank 0: response %v, error %v; want one that is not stored", res, err)
 		}
 	}
 	if res, _, _ := r.fetch("/still/1/pass", storedOnly, nil); res.StatusCode != 504 {
@@ -405,7 +405,7 @@
 	r.fetchVerified("/still/1/after", allowFill)
 	r.server.loop.Call(time.Second, func() {
 		if r.server.fillsInFlight > 1 || len(r.server.fills) > 1 {
-			t.Errorf("%d fills are still in flight", r.server.fillsInFlight)
+			t.Errorf("%d fills are still in flight, %d of them can be joined; want 1 or fewer", r.server.fillsInFlight, len(r.server.fills))
 		}
 	})
 }
@@ -524,7 +524,7 @@
 		t.Errorf("status %d for an object above the maximum age whose source fails, want 5xx", code)
 	}
 	if st, _ := r.server.State(); st.Renewed != 0 && st.Stale != 0 { // since the restart
-		t.Errorf("unexpected counters %+v", st)
+		t.Errorf("counters %+v, want no confirmed or no stale objects", st)
 	}
 }
 
@@ -558,28 +558,28 @@
 		return fmt.Sprint(res.StatusCode, " ", string(b))
 	}
 	if s := get("/a"); s != "200 answer 1" {
-		t.Fatal(s)
+		t.Fatalf("the first response is %q, want \"200 answer 1\"", s)
 	}
 	r.waitStored(1)
 	if s := get("/a"); s != "200 answer 1" {
-		t.Error("a fresh object is not served from the store:", s)
+		t.Errorf("got %q for a fresh object, want \"200 answer 1\" from the store", s)
 	}
 	get("/private")
 	if s := get("/private"); s != "200 answer 3" {
-		t.Error("a private response was stored:", s)
+		t.Errorf("got %q for a private response, want \"200 answer 3\", not stored", s)
 	}
 	time.Sleep(1100 * time.Millisecond)
 	mu.Lock()
 	fails = true
 	mu.Unlock()
 	if s := get("/a"); s != "200 answer 1" {
-		t.Error("a stale object is not served although its source fails:", s)
+		t.Errorf("got %q for a stale object whose source fails, want \"200 answer 1\"", s)
 	}
 	mu.Lock()
 	fails = false
 	mu.Unlock()
 	if s := get("/a"); s != "200 answer 4" {
-		t.Error("a stale object is served although its source works:", s)
+		t.Errorf("got %q for a stale object whose source works, want \"200 answer 4\"", s)
 	}
 }
 
@@ -674,7 +674,7 @@
 		}
 		defer res.Body.Close()
 		if b, _ := io.ReadAll(res.Body); string(b) != "text" {
-			t.Fatalf("%q", b)
+			t.Fatalf("body %q, want \"text\"", b)
 		}
 		return time.Since(at)
 	}
@@ -683,7 +683,7 @@
 	time.Sleep(1200 * time.Millisecond)
 	for range 5 {
 		if took := get(); took > 120*time.Millisecond {
-			t.Errorf("a request took %v: it has waited for the source", took)
+			t.Errorf("a request took %v, want 120 ms or less, without waiting for the source", took)
 		}
 	}
 	for range 200 {
--- a/internal/cachenode/server/clock_test.go
+++ b/internal/cachenode/server/clock_test.go
@@ -52,7 +52,7 @@
 		}
 		defer res.Body.Close()
 		if b, _ := io.ReadAll(res.Body); res.StatusCode != 200 || !strings.HasPrefix(string(b), "text") {
-			t.Fatalf("%s: %s %q", path, res.Status, b)
+			t.Fatalf("%s: status %s, body %q; want 200 and \"text\"", path, res.Status, b)
 		}
 		return int(requests.Load() - before)
 	}
@@ -82,7 +82,7 @@
 			t.Errorf("%s is served after %v without validation", path, down)
 		}
 		if again := get(path, age); again != 0 {
-			t.Errorf("%s was validated, and is validated again for the next request", path)
+			t.Errorf("%s is requested %d times from the source again, want 0: it was validated just before", path, again)
 		}
 	}
 	if n := get("/purged", -1); n == 0 {
--- a/internal/cachenode/server/fill.go
+++ b/internal/cachenode/server/fill.go
@@ -101,7 +101,7 @@
 }
 
 // joinable reports whether another request may join the fill: the whole body is still available,
-// the object is not known to be unstorable, and no purge since the start may cover it.
+// the object is not known to be unstorable, and no purge since the fill began may cover the object.
 func (f *fill) joinable() bool {
 	return !f.ended && !f.memoryTrimmed && (!f.headReceived || f.storing) && !f.overtaken()
 }
@@ -408,8 +408,8 @@
 	f.finalize()
 }
 
-// finalize commits the object when all of its body is written, and then ends the fill. It closes
-// the object when the fill has ended and has no waiters. It has no effect before that.
+// finalize commits the object when all of its body is written, and then ends the fill. When the fill
+// has ended and has no waiters, finalize closes the object. Called earlier, it has no effect.
 func (f *fill) finalize() {
 	if f.complete && f.writer != nil && !f.writing && len(f.writeQueue) == 0 {
 		writer := f.writer
@@ -454,7 +454,7 @@
 	}
 }
 
-// unregister ends the fill: requests can't join it any more. Its waiters still read from it.
+// unregister ends the fill: no request can join it any more. Its waiters go on reading the body.
 func (f *fill) unregister() {
 	if f.ended {
 		return
@@ -531,7 +531,7 @@
 	writeBuffer     []byte          // rest of the request
 	unparsed        []byte          // received bytes of an incomplete head or chunk
 	headParsed      bool
-	used            bool // a response was received on it, and it may be reused
+	used            bool // a response was received on the connection, which may be reused
 	connecting      bool
 	requestStarted  bool // part of the request was sent
 	localShortage   bool // connecting or sending failed for lack of a local resource, and is retried
@@ -679,7 +679,7 @@
 			return
 		}
 		sc.writeBuffer, sc.requestStarted = sc.writeBuffer[n:], true
-		sc.server.loop.Arm(&sc.timer, sc.server.cfg.FillTimeout) // the source could not respond before
+		sc.server.loop.Arm(&sc.timer, sc.server.cfg.FillTimeout) // the timeout begins with the last bytes sent
 	}
 	sc.server.loop.Want(sc.fd, eventloop.Read)
 }
--- a/internal/cachenode/server/router_test.go
+++ b/internal/cachenode/server/router_test.go
@@ -58,7 +58,7 @@
 			res.Body.Close()
 			v, verr := fetchheader.ParseCopyVersion(res.Header.Get(fetchheader.CopyField))
 			if err != nil || verr != nil || res.StatusCode != 200 {
-				t.Fatal(path, res.Status, err, verr)
+				t.Fatalf("%s: status %s, error of the body %v, of Spool-Copy %v; want 200 and no errors", path, res.Status, err, verr)
 			}
 			if at, ok := testserver.Matches(body, path, v.Number, 0); !ok {
 				t.Fatalf("%s: first wrong byte at %d", path, at)
--- a/internal/cachenode/store/corruption_test.go
+++ b/internal/cachenode/store/corruption_test.go
@@ -39,7 +39,7 @@
 			return // the corruption is reported, and nothing is served
 		}
 		if err != nil {
-			t.Fatalf("%s: %v", damage, err)
+			t.Fatalf("%s: opening the store failed: %v", damage, err)
 		}
 		for i := range 21 {
 			if _, is := lookupChecked(t, store, fmt.Sprint("/k/", i)); is {
--- a/internal/cachenode/store/object.go
+++ b/internal/cachenode/store/object.go
@@ -20,7 +20,7 @@
 	Meta
 	Size          int64 // length of the body in bytes
 	Unconfirmed   bool  // stored by an earlier run of the process, and not confirmed by its source in this run
-	PurgesUnknown bool  // Unconfirmed, and purges made while the store was closed may not have arrived yet: must be validated before it is served
+	PurgesUnknown bool  // Unconfirmed, and a purge made while the store was closed may not have arrived: to be validated first
 
 	store      *Store
 	segment    *segment
--- a/internal/cachenode/store/recovery.go
+++ b/internal/cachenode/store/recovery.go
@@ -116,7 +116,7 @@
 	if text == formatText {
 		return nil
 	}
-	// In a folder without data a truncated text is left by a start that was killed.
+	// In a folder without data, a truncated text means that a start was killed while it wrote the file.
 	inUse := len(listing.indexes)+len(listing.segments) > 0
 	if text != "" && (inUse || !strings.HasPrefix(formatText, text)) {
 		return s.fail("read", formatName, fmt.Errorf("%w: %.40q, this program requires %q; empty the folder, or run the program that wrote it", ErrFormat, data, formatText))
@@ -214,7 +214,7 @@
 }
 
 // applyRecovered applies the purges of both logs, each once. Then it applies those made while the
-// logs could not be read, with numbers after those that fills have seen meanwhile.
+// logs could not be read, with numbers after those that LastPurge has returned meanwhile.
 func (s *Store) applyRecovered(purges []Purge) {
 	sort.SliceStable(purges, func(i, k int) bool { return purges[i].Number < purges[k].Number })
 	for i := range purges {
--- a/internal/cachenode/store/segment.go
+++ b/internal/cachenode/store/segment.go
@@ -15,7 +15,7 @@
 // segment is a file with the heads and bodies of objects.
 type segment struct {
 	number  uint32
-	file    File     // nil: it could not be opened yet
+	file    File     // nil: the file could not be opened yet
 	size    int64    // bytes in use or reserved; before the segment is opened, the largest possible size
 	refs    int      // number of readers and writers
 	evicted bool     // the file was removed, and is closed with the last reference
@@ -24,7 +24,7 @@
 
 	syncMu     sync.Mutex  // held during a sync, without the store's mu
 	syncFailed atomic.Bool // a sync has failed: data written before it may be lost
-	fault      error       // why it could not be opened or read; segmentReadable tries again
+	fault      error       // why the segment could not be opened or read; segmentReadable tries again
 	backoff    backoff
 }
 
@@ -187,7 +187,8 @@
 	return s.options.Sync == SyncSegments && seg.syncFailed.Load()
 }
 
-// suspendSegment records that a segment can't be read. Its objects are not served until it can.
+// suspendSegment records that a segment can't be read. Its objects are not served until the segment
+// can be read again.
 func (s *Store) suspendSegment(seg *segment, err error) {
 	if seg.fault == nil {
 		s.options.Warn(fmt.Sprintf("store: reading %s failed; its objects are not served until a retry succeeds: %v", segmentName(seg.number), err))
--- a/internal/cachenode/store/store.go
+++ b/internal/cachenode/store/store.go
@@ -20,7 +20,7 @@
 type Store struct {
 	fs      FS
 	options Options
-	lock    io.Closer // lock of the folder; nil: it could not be locked yet
+	lock    io.Closer // lock of the folder; nil: the folder could not be locked yet
 
 	mu     sync.Mutex
 	closed bool
@@ -49,7 +49,7 @@
 	groupPurges      map[int32]watermark
 	purgeRules       []Purge // purges by tag and prefix
 	unversionedRules int     // number of purgeRules without a version
-	retirePostponed  int     // number of unversioned rules at which retireUnversionedRules is tried again; 0: it is not postponed
+	retirePostponed  int     // number of unversioned rules above which retireUnversionedRules is tried again; 0: not postponed
 	fillBarrier      uint64  // objects of fills that began before this purge are not committed
 	purgesCaughtUp   bool    // MarkPurgesCaughtUp was called
 
@@ -61,7 +61,7 @@
 	segmentBroken     bool        // a new segment must be begun; failure is set
 	pendingPurges     []Purge     // purges made while logsUnread
 	pendingOverflowed bool        // more purges were made meanwhile than pendingPurges can have
-	staleFiles        []string    // files to remove
+	staleFiles        []string    // files to remove, see removeStale
 	faulty            atomic.Bool // see Faulty
 
 	recovered     Recovered
@@ -78,7 +78,7 @@
 	Stored       uint64 `json:"Kept"`    // objects committed
 	Refused      uint64 `json:"Refused"` // writes rejected at their begin or commit
 	Hits         uint64 `json:"Found"`   // lookups that found an object
-	Misses       uint64 `json:"Missed"`  // lookups that found none, or one that could not be read
+	Misses       uint64 `json:"Missed"`  // lookups that found no object, or one that could not be read
 	Purged       uint64 `json:"Void"`    // objects dropped because a purge covers them
 	Corrupt      uint64 `json:"Damaged"` // objects dropped because a checksum did not match
 	Evicted      uint64 `json:"Evicted"` // objects dropped with their segment
