--- a/internal/cachenode/server/bench_test.go
+++ b/internal/cachenode/server/bench_test.go
@@ -57,11 +57,11 @@
 						fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: x\r\n%s: %s\r\n\r\n", path, fetchheader.FillField, a.Append(nil))
 						res, err := http.ReadResponse(br, nil)
 						if err != nil || res.StatusCode != 200 {
-							b.Error(res, err)
+							b.Errorf("%s: response %v, error %v; want status 200", path, res, err)
 							return
 						}
 						if m, err := io.Copy(io.Discard, res.Body); err != nil || m != int64(kb)<<10 {
-							b.Error(m, err)
+							b.Errorf("%s: body of %d bytes, error %v; want %d bytes", path, m, err, int64(kb)<<10)
 							return
 						}
 					}
--- a/internal/cachenode/store/model_test.go
+++ b/internal/cachenode/store/model_test.go
@@ -86,14 +86,14 @@
 	rng             *rand.Rand
 	options         Options
 	noEviction      bool // the store is so large that no object is evicted
-	faults          bool
+	faults          bool // the disk fails temporarily
 	clock           testClock
 	fs              *crashFS
 	store           *Store
 	expected        *model
-	version         int64
+	version         int64 // latest version of the origin
 	lastGeneratedAt int64
-	writers         []openWriter
+	writers         []openWriter    // fills in flight
 	revalidated     map[string]bool // keys revalidated since the last start: a crash may tear the heads
 	mayLoseUnsynced bool            // unsynced objects may be lost
 	mayLoseAny      bool            // any object may be lost
@@ -120,15 +120,15 @@
 	return r
 }
 
-// verify looks up all keys and checks the objects that are found. With allStored, the latest object of each key must be found unless it
-// was purged.
+// verify looks up all keys and checks the objects that are found. With allStored, the latest object
+// of each key must be found unless it was purged.
 func (r *modelRun) verify(allStored bool) {
 	for i := range 40 {
 		key := fmt.Sprintf("/k/%d", i)
 		found := r.store.Lookup(key)
 		if found == nil {
 			if latest := r.expected.latest[key]; allStored && latest != nil && !r.expected.purged(latest, true) {
-				r.t.Fatalf("%s is not found", key)
+				r.t.Fatalf("%s is not found, although it is stored and not purged", key)
 			}
 			continue
 		}
