--- a/internal/cachenode/server/cache_test.go
+++ b/internal/cachenode/server/cache_test.go
@@ -133,7 +133,7 @@
 	r.t.Helper()
 	res, b, err := r.fetch(path, mayFill, nil)
 	if err != nil || res.StatusCode != 200 {
-		r.t.Fatalf("%s: response %v, error %v", path, res, err)
+		r.t.Fatalf("%s: response %v, error %v; want status 200", path, res, err)
 	}
 	v, err := fetchheader.ParseCopyVersion(res.Header.Get(fetchheader.CopyField))
 	if err != nil {
@@ -173,12 +173,12 @@
 func TestWarmAfterRestart(t *testing.T) {
 	r := newRig(t, "")
 	if res, _, err := r.fetch("/still/1/a", storedOnly, nil); err != nil || res.StatusCode != 504 || !strings.Contains(res.Header.Get(fetchheader.StatusField), "fwd=miss") {
-		t.Fatal(res, err)
+		t.Fatalf("an object that is not stored: response %v, error %v; want status 504 and fwd=miss", res, err)
 	}
 	name := func(i int) string { return fmt.Sprintf("/still/1/o%d", i) }
 	for i := range 20 {
 		if s, _ := r.fetchVerified(name(i), allowFill); !strings.Contains(s, "fwd=miss") || !strings.Contains(s, "stored") {
-			t.Fatal(s)
+			t.Fatalf("%s: Cache-Status %s, want fwd=miss and stored", name(i), s)
 		}
 	}
 	r.fetchVerified("/film/1/big", allowFill)
@@ -186,7 +186,7 @@
 	hit := func(path string) {
 		t.Helper()
 		if s, _ := r.fetchVerified(path, storedOnly); !strings.Contains(s, "hit") {
-			t.Fatal(s)
+			t.Fatalf("%s: Cache-Status %s, want hit", path, s)
 		}
 	}
 	for i := range 20 {
@@ -199,7 +199,7 @@
 		t.Errorf("recovered %+v, want 21 objects", r.server.Recovered)
 	}
 	if res, _, _ := r.fetch(name(1), storedOnly, nil); res.StatusCode != 504 {
-		t.Error("an object is served although a purge may have been missed:", res.Status)
+		t.Errorf("an object of which a purge may have been missed got status %d, want 504", res.StatusCode)
 	}
 	for i := range 20 {
 		if _, v := r.fetchVerified(name(i), allowFill); i == 7 && v != 2 {
@@ -210,14 +210,14 @@
 		}
 	}
 	if st, _ := r.server.State(); st.Renewed != 19 || st.In > 30<<10+int64(testserver.SizeOf(name(7), 40)) {
-		t.Errorf("%d objects confirmed by the source, want 19; %d bytes received from it", st.Renewed, st.In)
+		t.Errorf("%d objects confirmed by the source, want 19; %d bytes received from the source, want %d or fewer", st.Renewed, st.In, 30<<10+int64(testserver.SizeOf(name(7), 40)))
 	}
 	r.stop()
 	r.start()
 	r.purge(fmt.Sprintf(`{"object":%q,"made":%f}`, name(7), madeAt))
 	res, err := r.client.Post("http://"+r.server.Addr()+"/-/caught-up", "", nil)
 	if err != nil || res.StatusCode != 200 {
-		t.Fatal(res, err)
+		t.Fatalf("POST /-/caught-up: response %v, error %v; want status 200", res, err)
 	}
 	res.Body.Close()
 	for i := range 20 {
@@ -227,14 +227,14 @@
 	}
 	hit("/film/1/big")
 	if code := r.purge(`{"object":"/still/1/o3"}`); code != 200 {
-		t.Fatal(code)
+		t.Fatalf("the purge of an object got status %d, want 200", code)
 	}
 	if code := r.purge(`{"object":`); code != 400 {
-		t.Error(code)
+		t.Errorf("a malformed purge got status %d, want 400", code)
 	}
 	for range 2 {
 		if res, _, _ := r.fetch("/still/1/o3", storedOnly, nil); res.StatusCode != 504 {
-			t.Error("a purged object is served:", res.Status)
+			t.Errorf("a purged object got status %d, want 504", res.StatusCode)
 		}
 		r.stop()
 		r.start()
@@ -242,10 +242,10 @@
 	}
 	hit(name(4))
 	if code := r.purge(`{"group":7}`); code != 200 {
-		t.Fatal(code)
+		t.Fatalf("the purge of a group got status %d, want 200", code)
 	}
 	if res, _, _ := r.fetch("/still/1/o4", storedOnly, nil); res.StatusCode != 504 {
-		t.Error("an object is served after the purge of its group:", res.Status)
+		t.Errorf("an object whose group was purged got status %d, want 504", res.StatusCode)
 	}
 }
 
@@ -260,7 +260,7 @@
 			defer wg.Done()
 			res, b, err := r.fetch("/film/1/same", allowFill, nil)
 			if err != nil || res.StatusCode != 200 {
-				t.Errorf("response %v, error %v", res, err)
+				t.Errorf("response %v, error %v; want status 200", res, err)
 				return
 			}
 			if _, ok := testserver.Matches(b, "/film/1/same", 1, 0); !ok || int64(len(b)) != res.ContentLength {
@@ -307,14 +307,14 @@
 	}
 	madeAt := r.origin.Purge("/film/1/slow", 0, 0) // an origin ignores the group of a purge by object, and the time
 	if code := r.purge(fmt.Sprintf(`{"object":"/film/1/slow","made":%f}`, madeAt)); code != 200 {
-		t.Fatal(code)
+		t.Fatalf("the purge got status %d, want 200", code)
 	}
 	if err := <-got; err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(100 * time.Millisecond)
 	if res, _, _ := r.fetch("/film/1/slow", storedOnly, nil); res.StatusCode != 504 {
-		t.Error("the object of a fill that began before the purge is served")
+		t.Errorf("the object of a fill that began before the purge got status %d, want 504 (not stored)", res.StatusCode)
 	}
 }
 
@@ -325,17 +325,17 @@
 	for range 2 {
 		res, _, err := r.fetch("/still/1/pass", allowFill, func(a *fetchheader.Attempt, _ *http.Request) { a.Keep = 0 })
 		if err != nil || strings.Contains(res.Header.Get(fetchheader.StatusField), "stored") {
-			t.Fatal(res, err)
+			t.Fatalf("an object of rank 0: response %v, error %v; want one that is not stored", res, err)
 		}
 	}
 	if res, _, _ := r.fetch("/still/1/pass", storedOnly, nil); res.StatusCode != 504 {
-		t.Error("an object of rank 0 was stored")
+		t.Errorf("an object of rank 0 got status %d, want 504 (not stored)", res.StatusCode)
 	}
 	r.fetchVerified("/still/1/age", allowFill)
 	r.waitStored(1)
 	time.Sleep(30 * time.Millisecond)
 	if res, _, _ := r.fetch("/still/1/age", storedOnly, func(a *fetchheader.Attempt, _ *http.Request) { a.Age = 10 }); res.StatusCode != 504 {
-		t.Error("an object above the maximum age is a hit")
+		t.Errorf("an object above the maximum age got status %d, want 504", res.StatusCode)
 	}
 	res, b, err := r.fetch("/order/1", allowFill, func(a *fetchheader.Attempt, q *http.Request) {
 		q.Method, q.Body, q.ContentLength = "POST", io.NopCloser(strings.NewReader("hello")), 5
@@ -354,25 +354,25 @@
 	code, text := part(allowFill)
 	r.waitStored(2)
 	if again, same := part(storedOnly); code != 206 || again != 206 || text != same || !strings.HasPrefix(text, "200bytes 100-299/") {
-		t.Error(code, text, again, same)
+		t.Errorf("range: status %d, length and Content-Range %q; then from the store %d, %q; want 206 and 200bytes 100-299/ both times", code, text, again, same)
 	}
 	res, b, err = r.fetch("/still/1/age", storedOnly, func(_ *fetchheader.Attempt, q *http.Request) { q.Method = "HEAD" })
 	if err != nil || res.StatusCode != 200 || len(b) > 0 || res.ContentLength < 100 {
-		t.Error(res, err)
+		t.Errorf("HEAD: response %v with %d bytes, error %v; want status 200, a Content-Length and no body", res, len(b), err)
 	}
 	if res, err := http.Get("http://" + r.server.Addr() + "/-/state"); err != nil {
 		t.Error(err)
 	} else {
-		var x map[string]any
-		if json.NewDecoder(res.Body).Decode(&x); x["name"] != "b1" || x["copies"].(float64) < 2 {
-			t.Error(x)
+		var state map[string]any
+		if json.NewDecoder(res.Body).Decode(&state); state["name"] != "b1" || state["copies"].(float64) < 2 {
+			t.Errorf("state %v, want name b1 and 2 copies or more", state)
 		}
 		res.Body.Close()
 	}
 	req, _ := http.NewRequest("GET", "http://"+r.server.Addr()+"/still/1/a", nil)
 	req.Header.Set(fetchheader.FillField, "nonsense(")
 	if res, err := r.client.Do(req); err != nil || res.StatusCode != 400 {
-		t.Error(res, err)
+		t.Errorf("invalid Spool-Fill: response %v, error %v; want status 400", res, err)
 	}
 }
 
@@ -395,17 +395,17 @@
 			}
 		})
 		if err != nil || res.StatusCode != 503 || !strings.Contains(res.Header.Get(fetchheader.StatusField), want) {
-			t.Errorf("source %s: response %v, error %v", what, res, err)
+			t.Errorf("source %s: response %v, error %v; want status 503 and %s", what, res, err, want)
 		}
 		time.Sleep(450 * time.Millisecond)
 	}
 	if st, _ := r.server.State(); r.server.loop == nil || st.Kept != 0 {
-		t.Error(st)
+		t.Errorf("counters %+v, want no object stored", st)
 	}
 	r.fetchVerified("/still/1/after", allowFill)
 	r.server.loop.Call(time.Second, func() {
 		if r.server.fillsInFlight > 1 || len(r.server.fills) > 1 {
-			t.Errorf("%d fills are still in flight", r.server.fillsInFlight)
+			t.Errorf("%d fills are still in flight, %d of them can be joined; want 1 or fewer", r.server.fillsInFlight, len(r.server.fills))
 		}
 	})
 }
@@ -471,9 +471,10 @@
 	}))
 	defer src.Close()
 	at := src.Listener.Addr().String()
-	ask := func(age float64, plain bool) (int, string) {
+	// ask requests the object with age as the maximum age of the attempt, in ms.
+	ask := func(age float64, withoutAttempt bool) (int, string) {
 		req, _ := http.NewRequest("GET", "http://"+r.server.Addr()+"/still/1/x", nil)
-		if !plain {
+		if !withoutAttempt {
 			a := fetchheader.Attempt{ID: "q", From: "r", Class: "still", Object: "/still/1/x", Group: -1, Keep: 2, Age: age, Source: "o", SourceAddress: at}
 			req.Header.Set(fetchheader.FillField, string(a.Append(nil)))
 		}
@@ -493,6 +494,7 @@
 		defer mu.Unlock()
 		tag, fails = to, fail
 	}
+	// want asks for the object and checks its body, and how many full responses and requests the source has had so far.
 	want := func(what string, age float64, body string, wantFull, wantRequests int) {
 		t.Helper()
 		code, got := ask(age, false)
@@ -522,7 +524,7 @@
 		t.Errorf("status %d for an object above the maximum age whose source fails, want 5xx", code)
 	}
 	if st, _ := r.server.State(); st.Renewed != 0 && st.Stale != 0 { // since the restart
-		t.Errorf("unexpected counters %+v", st)
+		t.Errorf("counters %+v, want no confirmed or no stale objects", st)
 	}
 }
 
@@ -556,28 +558,28 @@
 		return fmt.Sprint(res.StatusCode, " ", string(b))
 	}
 	if s := get("/a"); s != "200 answer 1" {
-		t.Fatal(s)
+		t.Fatalf("the first response is %q, want \"200 answer 1\"", s)
 	}
 	r.waitStored(1)
 	if s := get("/a"); s != "200 answer 1" {
-		t.Error("a fresh object is not served from the store:", s)
+		t.Errorf("got %q for a fresh object, want \"200 answer 1\" from the store", s)
 	}
 	get("/private")
 	if s := get("/private"); s != "200 answer 3" {
-		t.Error("a private response was stored:", s)
+		t.Errorf("got %q for a private response, want \"200 answer 3\", not stored", s)
 	}
 	time.Sleep(1100 * time.Millisecond)
 	mu.Lock()
 	fails = true
 	mu.Unlock()
 	if s := get("/a"); s != "200 answer 1" {
-		t.Error("a stale object is not served although its source fails:", s)
+		t.Errorf("got %q for a stale object whose source fails, want \"200 answer 1\"", s)
 	}
 	mu.Lock()
 	fails = false
 	mu.Unlock()
 	if s := get("/a"); s != "200 answer 4" {
-		t.Error("a stale object is served although its source works:", s)
+		t.Errorf("got %q for a stale object whose source works, want \"200 answer 4\"", s)
 	}
 }
 
@@ -591,10 +593,11 @@
 	}))
 	defer src.Close()
 	r := newRig(t, fmt.Sprintf("(upstream %q)", src.Listener.Addr()))
-	get := func(accept string, only bool) string {
+	// get requests a variant. With onlyIfStored it sends an attempt that allows no fill.
+	get := func(accept string, onlyIfStored bool) string {
 		req, _ := http.NewRequest("GET", "http://"+r.server.Addr()+"/v", nil)
 		req.Header.Set("Accept-Encoding", accept)
-		if only {
+		if onlyIfStored {
 			a := fetchheader.Attempt{ID: "q", From: "r", Class: "still", Object: "/v", Group: -1}
 			req.Header.Set(fetchheader.FillField, string(a.Append(nil)))
 		}
@@ -671,7 +674,7 @@
 		}
 		defer res.Body.Close()
 		if b, _ := io.ReadAll(res.Body); string(b) != "text" {
-			t.Fatalf("%q", b)
+			t.Fatalf("body %q, want \"text\"", b)
 		}
 		return time.Since(at)
 	}
@@ -680,7 +683,7 @@
 	time.Sleep(1200 * time.Millisecond)
 	for range 5 {
 		if took := get(); took > 120*time.Millisecond {
-			t.Errorf("a request took %v: it has waited for the source", took)
+			t.Errorf("a request took %v, want 120 ms or less, without waiting for the source", took)
 		}
 	}
 	for range 200 {
--- a/internal/cachenode/server/clock_test.go
+++ b/internal/cachenode/server/clock_test.go
@@ -37,6 +37,8 @@
 	}))
 	defer src.Close()
 	r := newRig(t, fmt.Sprintf("(upstream %q)", src.Listener.Addr()))
+	// get requests an object and returns the number of requests to the source. age is the maximum age of
+	// the attempt in ms; with -1 the request has no attempt.
 	get := func(path string, age float64) int {
 		req, _ := http.NewRequest("GET", "http://"+r.server.Addr()+path, nil)
 		if age >= 0 {
@@ -50,7 +52,7 @@
 		}
 		defer res.Body.Close()
 		if b, _ := io.ReadAll(res.Body); res.StatusCode != 200 || !strings.HasPrefix(string(b), "text") {
-			t.Fatalf("%s: %s %q", path, res.Status, b)
+			t.Fatalf("%s: status %s, body %q; want 200 and \"text\"", path, res.Status, b)
 		}
 		return int(requests.Load() - before)
 	}
@@ -59,7 +61,7 @@
 	}
 	r.waitStored(3)
 	if code := r.purge(`{"object":"/purged"}`); code != 200 {
-		t.Fatal(code)
+		t.Fatalf("the purge got status %d, want 200", code)
 	}
 	r.stop()
 	readings := 0
@@ -80,7 +82,7 @@
 			t.Errorf("%s is served after %v without validation", path, down)
 		}
 		if again := get(path, age); again != 0 {
-			t.Errorf("%s was validated, and is validated again for the next request", path)
+			t.Errorf("%s is requested %d times from the source again, want 0: it was validated just before", path, again)
 		}
 	}
 	if n := get("/purged", -1); n == 0 {
--- a/internal/cachenode/server/fill.go
+++ b/internal/cachenode/server/fill.go
@@ -30,19 +30,19 @@
 	storing         bool // the object is to be stored
 	writer          *store.Writer
 	sincePurge      uint64              // number of the last purge when the fill began
-	startedAt       int64               // time when it began, by Server.now
+	startedAt       int64               // time at which the fill began, by Server.now
 	reserving       bool                // a thread is creating the writer
-	abortAfterWrite *store.Writer       // must be aborted after the write that a thread is doing
+	abortAfterWrite *store.Writer       // writer to abort when the write in progress on a thread has ended
 	object          *store.CachedObject // reads what the writer has written
 	written         int64               // number of bytes that can be read from object
 	writeQueue      []byte              // received bytes that wait for the disk
 	writing         bool                // a thread is writing
 	memory          []byte              // received bytes that are not written to the store
-	memoryOffset    int64               // of memory in the body
+	memoryOffset    int64               // offset in the body at which memory begins
 	memoryTrimmed   bool                // the beginning of memory was discarded
 	received        int64
 	complete        bool // the whole body was received
-	ended           bool // requests can't join it, and it doesn't count as in flight
+	ended           bool // requests can't join the fill, and it doesn't count as in flight
 }
 
 // startFill starts a fill for a request. If there is no source, or MaxFills are in flight, the
@@ -101,7 +101,7 @@
 }
 
 // joinable reports whether another request may join the fill: the whole body is still available,
-// the object is not known to be unstorable, and no purge since the start may cover it.
+// the object is not known to be unstorable, and no purge since the fill began may cover the object.
 func (f *fill) joinable() bool {
 	return !f.ended && !f.memoryTrimmed && (!f.headReceived || f.storing) && !f.overtaken()
 }
@@ -408,8 +408,8 @@
 	f.finalize()
 }
 
-// finalize commits the object when all of its body is written, and then ends the fill. It closes
-// the object when the fill has ended and has no waiters. It has no effect before that.
+// finalize commits the object when all of its body is written, and then ends the fill. When the fill
+// has ended and has no waiters, finalize closes the object. Called earlier, it has no effect.
 func (f *fill) finalize() {
 	if f.complete && f.writer != nil && !f.writing && len(f.writeQueue) == 0 {
 		writer := f.writer
@@ -454,7 +454,7 @@
 	}
 }
 
-// unregister ends the fill: requests can't join it any more. Its waiters still read from it.
+// unregister ends the fill: no request can join it any more. Its waiters go on reading the body.
 func (f *fill) unregister() {
 	if f.ended {
 		return
@@ -531,7 +531,7 @@
 	writeBuffer     []byte          // rest of the request
 	unparsed        []byte          // received bytes of an incomplete head or chunk
 	headParsed      bool
-	used            bool // a response was received on it, and it may be reused
+	used            bool // a response was received on the connection, which may be reused
 	connecting      bool
 	requestStarted  bool // part of the request was sent
 	localShortage   bool // connecting or sending failed for lack of a local resource, and is retried
@@ -679,7 +679,7 @@
 			return
 		}
 		sc.writeBuffer, sc.requestStarted = sc.writeBuffer[n:], true
-		sc.server.loop.Arm(&sc.timer, sc.server.cfg.FillTimeout) // the source could not respond before
+		sc.server.loop.Arm(&sc.timer, sc.server.cfg.FillTimeout) // the timeout begins with the last bytes sent
 	}
 	sc.server.loop.Want(sc.fd, eventloop.Read)
 }
@@ -728,7 +728,7 @@
 // unparsed. After a complete response the connection becomes idle, or is closed.
 func (sc *sourceConn) parse(data []byte) {
 	for !sc.headParsed {
-		n, err := http1.ParseResponse(data, &sc.head, http1.Limits{}, false)
+		n, err := http1.ParseResponse(data, &sc.head, http1.Limits{}, false) // false: no request to a source is a HEAD
 		if err != nil {
 			sc.fail()
 			return
--- a/internal/cachenode/server/router_test.go
+++ b/internal/cachenode/server/router_test.go
@@ -58,7 +58,7 @@
 			res.Body.Close()
 			v, verr := fetchheader.ParseCopyVersion(res.Header.Get(fetchheader.CopyField))
 			if err != nil || verr != nil || res.StatusCode != 200 {
-				t.Fatal(path, res.Status, err, verr)
+				t.Fatalf("%s: status %s, error of the body %v, of Spool-Copy %v; want 200 and no errors", path, res.Status, err, verr)
 			}
 			if at, ok := testserver.Matches(body, path, v.Number, 0); !ok {
 				t.Fatalf("%s: first wrong byte at %d", path, at)
@@ -70,7 +70,7 @@
 		return hits
 	}
 	if n := fetchAll(); n > 0 {
-		t.Errorf("%d hits with empty caches", n)
+		t.Errorf("%d hits with empty caches, want 0", n)
 	}
 	for _, r := range []*rig{first, second} {
 		r.cfg.Listen = r.server.Addr() // the router's member list has this address
@@ -96,6 +96,6 @@
 		in += st.In
 	}
 	if n := fetchAll(); n < 55 || in > 60<<10 {
-		t.Errorf("%d hits of 60 after both caches were restarted, %d bytes from the origin", n, in)
+		t.Errorf("%d hits of 60 after both caches were restarted, want 55 or more; %d bytes from the origin, want %d or fewer", n, in, 60<<10)
 	}
 }
