--- a/internal/proxy/httpfront/upstream.go
+++ b/internal/proxy/httpfront/upstream.go
@@ -38,8 +38,8 @@
 	attempt := request.newAttempt()
 	attempt.cache, attempt.source, attempt.send, attempt.sentAt = send.Cache, send.Source, *send, e.loop.Now()
 	e.stats.Attempts++
-	if v := request.client.fragment; v != nil {
-		v.countAttempt()
+	if fragment := request.client.fragment; fragment != nil {
+		fragment.countAttempt()
 	}
 	if attempt.number == 0 && request.spec.Deadline > request.submittedAt {
 		e.guard.admission.ObserveQueueing((e.loop.Now() - request.submittedAt) / (request.spec.Deadline - request.submittedAt))
@@ -57,79 +57,81 @@
 	attempt.pool = e.poolFor(address, send.Cache)
 	attempt.pool.assign(attempt)
 	if send.Within > 0 && !attempt.written && !attempt.done { // give up if no connection is free within that time
-		id, n := send.ID, attempt.number
-		e.loop.AfterFunc(send.Within, func() { e.abandonUnwritten(func(t *upstreamAttempt) bool { return t.send.ID == id && t.number == n }) })
+		id, number := send.ID, attempt.number
+		e.loop.AfterFunc(send.Within, func() {
+			e.abandonUnwritten(func(other *upstreamAttempt) bool { return other.send.ID == id && other.number == number })
+		})
 	}
 }
 
-func (t *upstreamAttempt) timedOut() {
-	if t.done {
+func (a *upstreamAttempt) timedOut() {
+	if a.done {
 		return
 	}
 	result := spool.TimedOut
 	switch {
-	case t.upstream == nil: // it still waits for a connection, so nothing was run
-		t.detach()
-		t.finish(spool.Rejected, spool.NoteNoCapacity, false)
+	case a.upstream == nil: // it still waits for a connection, so nothing was run
+		a.detach()
+		a.finish(spool.Rejected, spool.NoteNoCapacity, false)
 		return
-	case !t.written && t.upstream.state == upConnecting:
+	case !a.written && a.upstream.state == upConnecting:
 		result = spool.ConnectFailed
-	case !t.written: // connected, but not a byte could be written
+	case !a.written: // connected, but not a byte could be written
 		result = spool.LocalFailure
 	}
-	t.abort(result)
+	a.abort(result)
 }
 
 // cancel cancels the attempt, unless its response is being relayed to the client.
-func (t *upstreamAttempt) cancel() {
-	if t.done || t.request.winner == t && t.request.phase == relaying {
+func (a *upstreamAttempt) cancel() {
+	if a.done || a.request.winner == a && a.request.phase == relaying {
 		return
 	}
-	t.abort(spool.Cancelled)
+	a.abort(spool.Cancelled)
 }
 
 // abort ends the attempt with the result, and closes its connection.
-func (t *upstreamAttempt) abort(result spool.Result) {
-	if t.done {
+func (a *upstreamAttempt) abort(result spool.Result) {
+	if a.done {
 		return
 	}
-	t.detach()
-	t.finish(result, spool.NoteNone, t.request.phase == finished || t.request.winner == t)
+	a.detach()
+	a.finish(result, spool.NoteNone, a.request.phase == finished || a.request.winner == a)
 }
 
 // detach takes the attempt off its connection, and closes that, or out of the queue for one.
 // The connection of a pipelined attempt that waits behind others stays open.
-func (t *upstreamAttempt) detach() {
-	if upstream := t.upstream; upstream != nil && upstream.attempt != t { // pipelined: its response will be discarded
-		t.upstream = nil
+func (a *upstreamAttempt) detach() {
+	if upstream := a.upstream; upstream != nil && upstream.attempt != a { // pipelined: its response will be discarded
+		a.upstream = nil
 		for i := range upstream.pipelined {
-			if upstream.pipelined[i] == t {
+			if upstream.pipelined[i] == a {
 				upstream.pipelined[i] = nil
 			}
 		}
 	} else if upstream != nil {
-		t.upstream, upstream.attempt = nil, nil
-		if t.written { // a reset stops the member at once, and leaves no port in TIME_WAIT
+		a.upstream, upstream.attempt = nil, nil
+		if a.written { // a reset stops the member at once, and leaves no port in TIME_WAIT
 			unix.SetsockoptLinger(upstream.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 		}
 		upstream.close()
-	} else if t.pool != nil {
-		t.pool.removeWaiting(t)
+	} else if a.pool != nil {
+		a.pool.removeWaiting(a)
 	}
 }
 
 // finish reports the outcome of the attempt to the module.
-func (t *upstreamAttempt) finish(result spool.Result, note spool.Note, last bool) {
-	if t.done {
+func (a *upstreamAttempt) finish(result spool.Result, note spool.Note, last bool) {
+	if a.done {
 		return
 	}
-	edge, request := t.request.edge, t.request
-	t.done, t.result = true, result
-	edge.loop.Disarm(&t.timer)
-	t.took = edge.loop.Now() - t.sentAt
+	edge, request := a.request.edge, a.request
+	a.done, a.result = true, result
+	edge.loop.Disarm(&a.timer)
+	a.took = edge.loop.Now() - a.sentAt
 	request.openAttempts--
-	edge.dispatch(spool.Outcome{ID: t.send.ID, Cache: t.cache, Attempt: t.number, Result: result, Took: t.took,
-		Last: last || request.phase == finished, Note: note, Load: t.load})
+	edge.dispatch(spool.Outcome{ID: a.send.ID, Cache: a.cache, Attempt: a.number, Result: result, Took: a.took,
+		Last: last || request.phase == finished, Note: note, Load: a.load})
 	request.releaseIfDone()
 }
 
@@ -340,10 +342,10 @@
 }
 
 // pipeline writes an attempt behind others whose responses are outstanding.
-func (u *upstreamConn) pipeline(t *upstreamAttempt) {
-	t.upstream = u
-	u.pipelined = append(u.pipelined, t)
-	u.writeRequest(t)
+func (u *upstreamConn) pipeline(attempt *upstreamAttempt) {
+	attempt.upstream = u
+	u.pipelined = append(u.pipelined, attempt)
+	u.writeRequest(attempt)
 }
 
 // writeRequest writes the request of an attempt.
@@ -767,29 +769,29 @@
 		u.relayPageHead()
 		return
 	}
-	b := http1.AppendStatus(edge.headBuffer[:0], u.head.Status)
-	b = appendEndToEnd(b, &u.head, isRouterResponseField)
-	b = append(b, "Via: 1.1 "...)
-	b = append(b, edge.name...)
-	b = append(b, "\r\n"...)
+	head := http1.AppendStatus(edge.headBuffer[:0], u.head.Status)
+	head = appendEndToEnd(head, &u.head, isRouterResponseField)
+	head = append(head, "Via: 1.1 "...)
+	head = append(head, edge.name...)
+	head = append(head, "\r\n"...)
 	u.chunked = false
 	switch {
 	case u.body.Kind() == http1.Length || u.head.ContentLength >= 0 && u.body.Kind() == http1.NoBody:
 		if u.head.Status != 204 {
-			b = http1.AppendFieldInt(b, "Content-Length", u.head.ContentLength)
+			head = http1.AppendFieldInt(head, "Content-Length", u.head.ContentLength)
 		}
 	case u.body.Kind() == http1.NoBody:
 		if !request.isHead && u.head.Status != 204 && u.head.Status != 304 {
-			b = http1.AppendFieldInt(b, "Content-Length", 0)
+			head = http1.AppendFieldInt(head, "Content-Length", 0)
 		}
 	case request.httpMinor == 0:
 		client.closeAfterResponse = true
 	default:
 		u.chunked = true
-		b = append(b, "Transfer-Encoding: chunked\r\n"...)
+		head = append(head, "Transfer-Encoding: chunked\r\n"...)
 	}
-	b = client.appendConnection(b, request)
-	edge.headBuffer = append(b, "\r\n"...)
+	head = client.appendConnection(head, request)
+	edge.headBuffer = append(head, "\r\n"...)
 	client.buffer(edge.headBuffer)
 	u.state = upRelayingBody
 	if u.cancelOthers(); u.attempt != nil {
@@ -889,9 +891,9 @@
 
 // reportStalled tells the module whether the response is stalled by its client.
 func (u *upstreamConn) reportStalled(on bool) {
-	if t := u.attempt; t != nil && u.stallReported != on {
+	if attempt := u.attempt; attempt != nil && u.stallReported != on {
 		u.stallReported = on
-		u.edge.dispatch(spool.Stalled{ID: t.send.ID, Attempt: t.number, On: on})
+		u.edge.dispatch(spool.Stalled{ID: attempt.send.ID, Attempt: attempt.number, On: on})
 	}
 }
 
--- a/internal/proxy/platform/faults_test.go
+++ b/internal/proxy/platform/faults_test.go
@@ -100,14 +100,14 @@
 				if call == "write" {
 					client.Result(waitTimeout)
 				}
-				s := harness.planFaults(call + ":" + errno + ":1x")
+				calls := harness.planFaults(call + ":" + errno + ":1x")
 				if call == "write" {
 					client.Ask(readFields(key), nil)
 				}
 				if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" {
 					t.Errorf("%s: %+v %v", call, result, err)
 				}
-				if _, failed := s.Counts(faultinject.Call(call)); call == "write" && failed != 1 {
+				if _, failed := calls.Counts(faultinject.Call(call)); call == "write" && failed != 1 {
 					t.Errorf("%d calls of %s failed", failed, call)
 				}
 			}
@@ -123,17 +123,17 @@
 			t.Parallel()
 			harness := newHarness(t, nil)
 			idle := harness.dial()
-			s := harness.planFaults("accept:" + errno + ":1:0ms-400ms; connect:" + errno + ":0.0001")
+			calls := harness.planFaults("accept:" + errno + ":1:0ms-400ms; connect:" + errno + ":0.0001")
 			began := time.Now()
 			client := harness.dial()
 			client.Ask(readFields(key), nil)
 			if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" {
 				t.Fatalf("%+v %v", result, err)
 			}
-			if d := time.Since(began); d > time.Second {
-				t.Errorf("served after %v", d)
+			if elapsed := time.Since(began); elapsed > time.Second {
+				t.Errorf("served after %v", elapsed)
 			}
-			if _, failed := s.Counts(faultinject.Accept); failed == 0 || failed > 500 {
+			if _, failed := calls.Counts(faultinject.Accept); failed == 0 || failed > 500 {
 				t.Errorf("accept failed %d times in 0.4 s", failed)
 			}
 			idle.Close()
@@ -157,15 +157,15 @@
 					harness := newHarness(t, nil)
 					var calls *faultinject.Syscalls
 					release := harness.blockLoopThen(func() { calls = harness.injectFaults(plan) }) // all requests arrive in the turn after the injection
-					const clients, each = 4, 25
+					const clients, requestsEach = 4, 25
 					var busy sync.WaitGroup
 					for range clients {
 						client := harness.dial()
-						for i := range each {
+						for i := range requestsEach {
 							client.Ask(readFields(fmt.Sprintf("%016x", i), "wait", "3000"), nil)
 						}
 						busy.Go(func() {
-							for range each {
+							for range requestsEach {
 								if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" {
 									t.Errorf("%+v %v", result, err)
 									return
@@ -197,15 +197,15 @@
 	span  time.Duration
 }
 
-func (h *stallingSyscalls) Write(fd int, b []byte) (int, error) {
+func (s *stallingSyscalls) Write(fd int, b []byte) (int, error) {
 	switch {
-	case h.fd == 0 && bytes.Contains(b, []byte("REQ")):
-		h.fd, h.until = fd, time.Now().Add(h.span)
-		return h.KernelCalls.Write(fd, b[:20])
-	case h.fd == fd && time.Now().Before(h.until):
+	case s.fd == 0 && bytes.Contains(b, []byte("REQ")):
+		s.fd, s.until = fd, time.Now().Add(s.span)
+		return s.KernelCalls.Write(fd, b[:20])
+	case s.fd == fd && time.Now().Before(s.until):
 		return 0, unix.EAGAIN
 	}
-	return h.KernelCalls.Write(fd, b)
+	return s.KernelCalls.Write(fd, b)
 }
 
 // TestPartiallyWrittenFrame checks that the rest of a partially written attempt is written only
@@ -231,11 +231,11 @@
 				}
 			}
 			time.Sleep(time.Until(sent.Add(span + 100*time.Millisecond)))
-			for _, a := range rec.requests()[before:] {
-				wait, _ := strconv.Atoi(a.Fields["wait"])
-				passed, left := time.Duration(wait)*time.Millisecond, 2*time.Second-a.arrivedAt.Sub(sent)
-				if passed > left+deadlineSlack {
-					t.Errorf("the attempt has %v, longer than the %v that the client had left", passed, left)
+			for _, attempt := range rec.requests()[before:] {
+				wait, _ := strconv.Atoi(attempt.Fields["wait"])
+				forwarded, remaining := time.Duration(wait)*time.Millisecond, 2*time.Second-attempt.arrivedAt.Sub(sent)
+				if forwarded > remaining+deadlineSlack {
+					t.Errorf("the attempt has %v, longer than the %v that the client had left", forwarded, remaining)
 				}
 			}
 		})
--- a/internal/proxy/platform/server.go
+++ b/internal/proxy/platform/server.go
@@ -88,11 +88,11 @@
 	}
 	server.tickTimer.F = func() { server.dispatch(spool.Timer{}) }
 	server.stream.init(server)
-	known, err := decodeKnown(&server.stream.decoder, config)
+	initial, err := decodeKnown(&server.stream.decoder, config)
 	if err != nil {
 		return nil, err
 	}
-	server.applyEvents(known)
+	server.applyEvents(initial)
 	if server.listener, err = listen(server, address); err != nil {
 		return nil, fmt.Errorf("platform: listen at %s: %w", address, err)
 	}
