--- a/internal/protocol/resp/resp.go
+++ b/internal/protocol/resp/resp.go
@@ -34,7 +34,8 @@
 	minLineEnd       = 3 // offset of \n in the shortest line: prefix, digit, \r, \n
 )
 
-// Answer is one answer. Its fields are slices of the data that was parsed.
+// Answer is one answer. Its fields are slices of the data that was parsed. Fields and Body are
+// nil if the answer has no string for them.
 type Answer struct {
 	ID     []byte // id of the request
 	Word   []byte // result, such as HIT
@@ -67,13 +68,13 @@
 			return Answer{}, 0, len(data) + 1, err
 		}
 		if length > part.max {
-			return Answer{}, 0, 0, fmt.Errorf("%w: string %d has %d bytes, want at most %d", ErrMalformed, i, length, part.max)
+			return Answer{}, 0, 0, fmt.Errorf("%w: string %d of %d has %d bytes, want at most %d", ErrMalformed, i+1, count, length, part.max)
 		}
 		end := from + length
 		offset = end + lineEndBytes
 		present := data[min(end, len(data)):min(offset, len(data))]
 		if string(present) != lineEnd[:len(present)] {
-			return Answer{}, 0, 0, fmt.Errorf("%w: string %d does not end after %d bytes", ErrMalformed, i, length)
+			return Answer{}, 0, 0, fmt.Errorf("%w: string %d of %d: no \\r\\n after its %d bytes", ErrMalformed, i+1, count, length)
 		}
 		if len(data) < offset {
 			return Answer{}, 0, offset, nil
@@ -88,7 +89,7 @@
 func readLine(data []byte, from int, prefix byte) (number, next int, err error) {
 	line := data[min(from, len(data)):]
 	if len(line) > 0 && line[0] != prefix {
-		return 0, 0, fmt.Errorf("%w: %q, want %q", ErrMalformed, line[0], prefix)
+		return 0, 0, fmt.Errorf("%w: line starts with %q, want %q", ErrMalformed, line[0], prefix)
 	}
 	end := bytes.IndexByte(line[:min(len(line), maxLineBytes)], '\n')
 	if end < 0 {
--- a/internal/proxy/httpfront/client.go
+++ b/internal/proxy/httpfront/client.go
@@ -20,32 +20,32 @@
 	unparsed  []byte          // input that was read, and not parsed yet
 	output    eventloop.Queue // output that was not written yet
 	idleTimer eventloop.Timer
-	current   *clientRequest // in flight; nil between requests
-	fragment  *pageFragment  // set if this stands for the requester of a page's fragment, and has no socket
+	current   *clientRequest // the request that is arriving or in flight; nil between requests
+	fragment  *pageFragment  // the fragment whose request this clientConn, without a socket, stands for; nil for a real connection
 
 	addr           netip.Addr
 	addrText       string      // addr as text
-	flow           limits.Flow // of the bytes that the router waits for it to send or read
+	flow           limits.Flow // rate at which the client sends or reads while the router waits for it
 	writtenBytes   int64       // bytes written to the socket
 	ackedAtTimeout int64       // bytes acknowledged by the client at the last write timeout
 	ackedBytes     int64       // bytes acknowledged by the client at the last sweep
-	unreadTracked  bool        // it is in the guard's unreadClients
-	schedulerClass int         // class of its last request in the scheduler
-	prev, next     *clientConn // in the guard's idleClients
+	unreadTracked  bool        // the client is in the guard's unreadClients
+	schedulerClass int         // the scheduler's index for the class of the last request
+	prev, next     *clientConn // neighbours in the guard's idleClients
 	accounted      int64       // bytes charged to the memory budget for unparsed
-	queued         bool        // writable, and in the scheduler's queue
-	queuedSince    float64     // time at which it was queued
-	idleSince      float64     // time at which it became idle
-	lastProgress   float64     // time at which it last read pending output
+	queued         bool        // the connection is writable, and in the scheduler's queue
+	queuedSince    float64     // time at which queued was last set
+	idleSince      float64     // time at which the connection became idle
+	lastProgress   float64     // time at which the client last read pending output
 	badOutcome     bool        // a bad outcome was recorded for the present request
 
 	closed             bool
-	eof                bool // the client has shut down its side
-	noProgress         bool // it has read nothing since the idle timer was armed
+	eof                bool // the client has shut down its write side
+	noProgress         bool // the client has read nothing since the idle timer was armed
 	closeAfterResponse bool // the connection is closed after the present response
 	discardInput       bool // further input is dropped, and the connection is about to close
 	receiving          bool // a request has begun to arrive; cleared after its response
-	readPaused         bool // reading stops: too much pipelined input, or a pause after a rejection
+	readPaused         bool // reading is stopped: too much pipelined input, or a pause after a rejection
 }
 
 // readBytes is the most that is read from a client at once. The settings bound what is kept.
@@ -600,13 +600,15 @@
 	}
 }
 
+// onIdleTimer closes a connection that has been idle or without progress for too long, and rejects
+// a request that has not been received in time.
 func (c *clientConn) onIdleTimer() {
 	switch {
 	case c.closed:
 	case c.discardInput:
 		c.close()
 	case c.output.Len() > 0:
-		if acknowledged := c.acknowledged(); acknowledged > c.ackedAtTimeout { // the client reads, though the socket takes no more yet
+		if acknowledged := c.acknowledged(); acknowledged > c.ackedAtTimeout { // the client reads, though the socket accepts no more output yet
 			c.ackedAtTimeout = acknowledged
 			c.edge.loop.Arm(&c.idleTimer, c.edge.settings.Limits.WriteIdle)
 			return
@@ -636,6 +638,7 @@
 	c.close()
 }
 
+// errTooSlow ends a request that was not received in time. The message goes into the access log.
 var errTooSlow = &http1.ProtocolError{Status: 408, Message: "the request did not come whole within the limit"}
 
 // reset closes a connection with a TCP reset. For a client that does not read, this frees the
@@ -709,44 +712,44 @@
 	receivingBody    phase = iota + 1
 	awaitingResponse       // submitted to the module
 	relaying               // the response of an attempt is being relayed to the client
-	finished               // for the client; attempts may still be open
+	finished               // ended for the client; attempts may still be open
 )
 
 // clientRequest is a request in flight.
 type clientRequest struct {
 	edge   *Edge
 	client *clientConn
-	body   http1.Body    // parser of its body
-	spec   spool.Request // the request as the module gets it
+	body   http1.Body    // parser of the request's body
+	spec   spool.Request // the request as passed to the module
 
 	id           string
 	receivedAt   float64
 	submittedAt  float64 // time at which it was submitted to the module
 	phase        phase
-	isHead       bool   // its method is HEAD
+	isHead       bool   // the method is HEAD
 	httpMinor    int    // minor version of the client's HTTP/1
 	forwardHead  []byte // request line and fields as forwarded to members
-	requestBody  []byte // of a write
+	requestBody  []byte // body of a write
 	attempts     []*upstreamAttempt
 	openAttempts int              // attempts without an outcome
-	winner       *upstreamAttempt // whose response is relayed
-	inModule     bool             // the module knows it
+	winner       *upstreamAttempt // the attempt whose response is relayed; nil before
+	inModule     bool             // the request was submitted to the module, and is in the edge's requests
 
-	page    *esiPage // the page that it requests; nil if its class is not one of pages
+	page    *esiPage // the page that the client requests; nil for a fragment and for a class without pages (see ownerPage)
 	esiVars *esi.Vars
 	target  string
 
 	status         int
-	limitCause     limits.Cause // the limit that ended it
+	limitCause     limits.Cause // the limit that ended the request
 	accounted      int64        // bytes charged to the memory budget
 	sentBytes      int64
-	poorReputation bool              // it uses capacity reserved for clients of poor reputation
-	routeError     *engine.Rejection // why no class fits; nil if one does
+	poorReputation bool              // the request uses capacity reserved for clients of poor reputation
+	routeError     *engine.Rejection // why no class fits the request; nil if one does
 	end            endReason
-	logObject      string // for the access log, if no class fits
+	logObject      string // object in the access log if no class fits
 
 	firstAttempts [3]upstreamAttempt // saves allocations for the first attempts
-	released      bool               // nothing refers to it any more, and it may be reused
+	released      bool               // nothing refers to the request any more, and it may be reused
 }
 
 // newRequest returns an empty request. It reuses a released one if it can.
--- a/internal/proxy/httpfront/edge.go
+++ b/internal/proxy/httpfront/edge.go
@@ -85,8 +85,8 @@
 	adminFile     *os.File // the admin listener, for a successor
 
 	inherited            *hotrestart.Inherited // from a predecessor; nil without one
-	predecessorReachable atomic.Bool           // the predecessor knows that this router serves, and still runs
-	predecessorRuns      bool                  // the same as seen on the loop: the predecessor may still pass connections
+	predecessorReachable atomic.Bool           // config versions and purges can be sent to the predecessor: it was told that this router serves, and still runs
+	predecessorRuns      bool                  // the predecessor may still pass connections; used only on the loop
 	handoverServer       *hotrestart.Server
 	handingOver          bool               // a successor has the learned state, but does not serve yet
 	purgesDuringHandover []engine.Purge     // received since the successor got the learned state
@@ -97,7 +97,7 @@
 	version              int64              // config version in use; 0 is the settings file
 	nextVersion          int64              // config version that is being activated
 	listedFor            map[string]float64 // ms for which recently added members had been listed when the router started
-	listState            atomic.Value       // string: state of the list service's stream
+	listState            atomic.Value       // string: state of the discovery stream
 	adminAddr            atomic.Value       // string
 }
 
--- a/internal/proxy/httpfront/edge_test.go
+++ b/internal/proxy/httpfront/edge_test.go
@@ -206,7 +206,7 @@
 				t.Errorf("round %d, %s: Cache-Status %q, want %q in it", i, path, cacheStatus, want)
 			}
 			if at, ok := testserver.Matches(body, path, 1, 0); !ok {
-				t.Errorf("%s: byte %d is not the origin's", path, at)
+				t.Errorf("%s: byte %d of the body is not that of the origin's object", path, at)
 			}
 		}
 	}
@@ -229,7 +229,7 @@
 		}
 		b, err := io.ReadAll(res.Body)
 		if err != nil || res.StatusCode != 200 || res.ContentLength <= 0 || method == "HEAD" && len(b) > 0 || method == "GET" && len(b) == 0 {
-			t.Fatalf("response %d: %d, length %d, %d bytes, %v", i, res.StatusCode, res.ContentLength, len(b), err)
+			t.Fatalf("response %d: status %d, Content-Length %d, %d bytes of body, error %v; want 200, a length above 0 and a body only for GET", i, res.StatusCode, res.ContentLength, len(b), err)
 		}
 	}
 }
@@ -252,12 +252,12 @@
 		}
 		if want == 200 {
 			if _, ok := testserver.Matches(b, "/s/1/"+string(rune('a'+i)), 1, 0); !ok {
-				t.Errorf("response %d is that of another object", i)
+				t.Errorf("response %d: body is that of another object", i)
 			}
 		}
 	}
 	if rest, _ := io.ReadAll(reader); len(rest) > 0 {
-		t.Errorf("%q followed the response to the malformed request", rest)
+		t.Errorf("%q followed the response to the malformed request, want nothing", rest)
 	}
 }
 
@@ -284,7 +284,7 @@
 			t.Errorf("%s: response %.80q, want %s and the connection closed", test.name, got, test.want)
 		}
 		if strings.Count(got, "HTTP/1.1 ") != 1 {
-			t.Errorf("%s: more than one response: %q", test.name, got)
+			t.Errorf("%s: response %q, want exactly one", test.name, got)
 		}
 	}
 	for _, test := range []struct{ in, detail, body string }{ // the body of a 4xx says what to change
@@ -294,11 +294,11 @@
 		{"PUT /s/1/a", "bad-method", "does not take the method"},
 	} {
 		if got := rig.exchange(test.in + " HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"); !strings.Contains(got, "detail="+test.detail+"\r\n") || !strings.Contains(got, test.body) {
-			t.Errorf("%s: %q lacks %s or %q", test.in, got, test.detail, test.body)
+			t.Errorf("%s: response %q, want detail %s and %q in it", test.in, got, test.detail, test.body)
 		}
 	}
 	if n := rig.countRecords(func(x trafficlog.Record) bool { return x.Event == trafficlog.WriteExecuted }); n > 0 {
-		t.Errorf("%d invalid requests ran at the origin", n)
+		t.Errorf("%d invalid requests were executed at the origin, want 0", n)
 	}
 }
 
@@ -322,12 +322,12 @@
 		if record.Event == trafficlog.WriteExecuted {
 			ran++
 			if record.Key != "k1" || record.Bytes != 5 {
-				t.Errorf("ran as %+v", record)
+				t.Errorf("the write was executed as %+v, want key k1 and 5 bytes", record)
 			}
 		}
 	}
 	if ran != 1 {
-		t.Errorf("ran %d times", ran)
+		t.Errorf("the write was executed %d times, want 1", ran)
 	}
 }
 
@@ -354,9 +354,9 @@
 				}
 			}
 			if inBody := kind == testserver.ResetBody || kind == testserver.Truncated; inBody && failed == 0 {
-				t.Error("incomplete responses were relayed as complete")
+				t.Error("no request failed, though the responses of the member were incomplete")
 			} else if !inBody && failed > 0 {
-				t.Errorf("%d of 5 clients were cut off, though no response had begun", failed)
+				t.Errorf("%d of 5 requests failed, want 0, since no response had begun", failed)
 			}
 		})
 	}
@@ -392,7 +392,7 @@
 	rig.edge.Query(func(*Stats, *engine.Core) {
 		for client := range rig.edge.clients {
 			if waiting := client.output.Len(); waiting > 65536+len(rig.edge.scratch) {
-				t.Errorf("%d bytes are buffered for a slow client", waiting)
+				t.Errorf("%d bytes are buffered for a slow client, want at most 64 KB and one read", waiting)
 			}
 		}
 	})
@@ -405,7 +405,7 @@
 		t.Fatal(err)
 	}
 	if at, ok := testserver.Matches(body, path, 1, 0); !ok || int64(len(body)) != res.ContentLength {
-		t.Errorf("%d bytes of %d, byte %d wrong", len(body), res.ContentLength, at)
+		t.Errorf("%d bytes of %d, first wrong byte at %d", len(body), res.ContentLength, at)
 	}
 }
 
@@ -423,7 +423,7 @@
 	drainedAt := trafficlog.Now()
 	rig.edge.Query(func(*Stats, *engine.Core) {
 		if p := rig.edge.pools[rig.caches["b0"].Addr()]; p != nil && len(p.idle) > 0 {
-			t.Errorf("%d idle connections to a draining cache are kept", len(p.idle))
+			t.Errorf("%d idle connections to a draining cache are kept, want 0", len(p.idle))
 		}
 	})
 	for i := range 20 {
@@ -434,7 +434,7 @@
 	if n := rig.countRecords(func(x trafficlog.Record) bool {
 		return x.Event == trafficlog.AttemptReceived && (x.Subject == "b0" || x.Source == "b0") && x.Time > drainedAt
 	}); n > 0 {
-		t.Errorf("%d attempts to a draining cache", n)
+		t.Errorf("%d attempts at a draining cache, want 0", n)
 	}
 }
 
@@ -450,7 +450,7 @@
 		t.Fatal(err)
 	}
 	if _, ok := testserver.Matches(body, "/s/5/a", 2, 0); !ok {
-		t.Errorf("answered from %s after the purge", res.Header.Get("Spool-Copy"))
+		t.Errorf("answered from copy %s after the purge, want version 2", res.Header.Get("Spool-Copy"))
 	}
 }
 
@@ -490,7 +490,7 @@
 	}
 	res, err := http.ReadResponse(bufio.NewReader(busy), nil)
 	if err != nil || res.StatusCode != 200 || !res.Close {
-		t.Errorf("request in flight: %v, %v", res, err)
+		t.Errorf("request in flight: response %v, error %v; want 200 and the connection closed", res, err)
 	}
 	io.Copy(io.Discard, res.Body)
 	rig.stopped = true
@@ -516,17 +516,17 @@
 		return res.StatusCode, string(b)
 	}
 	if code, _ := do("PURGE", "/s/1/a"); code != 204 {
-		t.Errorf("PURGE: %d", code)
+		t.Errorf("PURGE: status %d, want 204", code)
 	}
 	res, _, _ := rig.get("/s/1/a")
 	if cacheStatus := res.Header.Get("Cache-Status"); strings.Contains(cacheStatus, "b0; hit") || !strings.Contains(cacheStatus, "fwd=miss") {
-		t.Errorf("after PURGE: %s", cacheStatus)
+		t.Errorf("Cache-Status after PURGE %s, want fwd=miss and no hit at b0", cacheStatus)
 	}
 	if code, text := do("GET", "/state"); code != 200 || !strings.Contains(text, `"Served":2`) {
-		t.Errorf("state: %d %s", code, text)
+		t.Errorf("/state: status %d, body %s; want 200 and 2 requests served", code, text)
 	}
 	if code, text := do("GET", "/members"); code != 200 || !strings.Contains(text, `"ID":"b0"`) {
-		t.Errorf("members: %d %s", code, text)
+		t.Errorf("/members: status %d, body %s; want 200 and member b0", code, text)
 	}
 }
 
@@ -552,7 +552,7 @@
 		b.Purge(path, 5, made)
 	}
 	if v := <-first; !strings.HasPrefix(v, "v=") {
-		t.Errorf("the request in flight got %q", v)
+		t.Errorf("the request in flight was answered from copy %q, want any version", v)
 	}
 	time.Sleep(300 * time.Millisecond)
 	for range 3 {
@@ -561,7 +561,7 @@
 			t.Fatal(err)
 		}
 		if _, ok := testserver.Matches(body, path, 2, 0); !ok {
-			t.Errorf("after the purge: %s", res.Header.Get("Spool-Copy"))
+			t.Errorf("answered from copy %s after the purge, want version 2", res.Header.Get("Spool-Copy"))
 		}
 	}
 }
@@ -603,7 +603,7 @@
 		}
 	})
 	if bufferBytes > 64<<10 {
-		t.Errorf("idle connections hold %d bytes of buffers", bufferBytes)
+		t.Errorf("idle connections hold %d bytes of buffers, want at most 64 KB", bufferBytes)
 	}
 	for range 40 { // client-idle is 6 s
 		time.Sleep(500 * time.Millisecond)
@@ -613,7 +613,7 @@
 			return
 		}
 	}
-	t.Error("idle connections were never closed")
+	t.Error("idle connections are still open")
 }
 
 // Attempts that wait for a connection to a member when it begins to drain do not reach it later.
@@ -636,14 +636,14 @@
 	drainedAt := trafficlog.Now()
 	rig.edge.Query(func(*Stats, *engine.Core) {
 		if pool := rig.edge.pools[rig.caches["b0"].Addr()]; pool != nil && len(pool.waiting) > 0 {
-			t.Errorf("%d attempts still wait for a draining cache", len(pool.waiting))
+			t.Errorf("%d attempts still wait for a draining cache, want 0", len(pool.waiting))
 		}
 	})
 	wg.Wait()
 	if n := rig.countRecords(func(x trafficlog.Record) bool {
 		return x.Event == trafficlog.AttemptReceived && x.Subject == "b0" && x.Time > drainedAt+50
 	}); n > 0 {
-		t.Errorf("%d attempts reached the cache after it began to drain", n)
+		t.Errorf("%d attempts reached the cache later than 50 ms after it began to drain, want 0", n)
 	}
 }
 
@@ -670,7 +670,7 @@
 	time.Sleep(200 * time.Millisecond)
 	rig.edge.Query(func(*Stats, *engine.Core) {
 		if !attempt.done || attempt.written {
-			t.Errorf("after its window: done %v, written %v", attempt.done, attempt.written)
+			t.Errorf("attempt after the time within which it had to be written: done %v, written %v; want done and not written", attempt.done, attempt.written)
 		}
 	})
 	wg.Wait()
@@ -690,7 +690,7 @@
 			path := fmt.Sprintf("/s/1/p%d", i)
 			res, body, err := rig.get(path)
 			if err != nil || res.StatusCode != 200 {
-				t.Errorf("%s: %v, %v", path, res, err)
+				t.Errorf("%s: response %v, error %v; want 200", path, res, err)
 			} else if _, ok := testserver.Matches(body, path, 1, 0); !ok {
 				t.Errorf("%s: response for another object", path)
 			}
@@ -710,7 +710,7 @@
 	leaving.Close()
 	wg.Wait()
 	if res, _, err := rig.get("/s/1/p1"); err != nil || !strings.Contains(res.Header.Get("Cache-Status"), "hit") {
-		t.Errorf("afterwards: %v, %v", res, err)
+		t.Errorf("request afterwards: response %v, error %v; want a hit", res, err)
 	}
 	rig.waitFor("the end of all requests", func(s *Stats, _ *engine.Core) bool { return s.Held == 0 })
 }
@@ -728,7 +728,7 @@
 	for i := range 2 {
 		res, err := http.ReadResponse(reader, nil)
 		if err != nil || res.StatusCode != 200 {
-			t.Fatalf("response %d: %v, %v", i, res, err)
+			t.Fatalf("response %d: %v, error %v; want 200", i, res, err)
 		}
 		io.Copy(io.Discard, res.Body)
 		if i == 0 {
@@ -752,7 +752,7 @@
 			res.Body.Close()
 			if err != nil || res.StatusCode != 206 || len(body) != 16384 || !strings.Contains(res.Header.Get("Cache-Status"), want) ||
 				!strings.HasPrefix(res.Header.Get("Content-Range"), fmt.Sprintf("bytes %d-", part*16384)) {
-				t.Fatalf("round %d, part %d: %d, %d bytes, %v, %v", round, part, res.StatusCode, len(body), res.Header, err)
+				t.Fatalf("round %d, part %d: status %d, %d bytes, header %v, error %v; want 206 with the part", round, part, res.StatusCode, len(body), res.Header, err)
 			}
 		}
 	}
@@ -784,7 +784,7 @@
 	pipeWriter.Close()
 	<-read
 	if !strings.Contains(written.String(), `"msg":"log lines dropped"`) || strings.Count(written.String(), `"a line"`) < 16 {
-		t.Errorf("written: %s", written.String())
+		t.Errorf("log %s, want the warning about dropped lines and at least 16 lines", written.String())
 	}
 }
 
@@ -880,7 +880,7 @@
 	rig.setMember("b0", "box", "z", "draining", rig.caches["b0"].Addr())
 	rig.waitFor("the drain", func(_ *Stats, c *engine.Core) bool { m, _ := c.Member("b0"); return m.State != 0 })
 	if cs := <-got; cs != `"b0";hit` {
-		t.Errorf("the request in flight got %q", cs)
+		t.Errorf("the request in flight got Cache-Status %q, want a hit at b0", cs)
 	}
 	rig.waitFor("the end of its connection", func(s *Stats, _ *engine.Core) bool {
 		p := rig.edge.pools[rig.caches["b0"].Addr()]
@@ -900,7 +900,7 @@
 			rig.edge.probe(id)
 		})
 		if ok := <-got; ok != want {
-			t.Errorf("%s: probed %v", id, ok)
+			t.Errorf("%s: result of the probe is %v, want %v", id, ok, want)
 		}
 	}
 }
@@ -938,11 +938,11 @@
 		})
 		res, body, err := rig.get("/s/1/a")
 		if err != nil || res.StatusCode != 200 || string(body) == "xxx" {
-			t.Errorf("%q: %v %v %.20q", unsolicited, res, err, body)
+			t.Errorf("unsolicited %q: response %v, error %v, body %.20q; want 200 and the body of the object", unsolicited, res, err, body)
 		}
 		rig.edge.Query(func(s *Stats, _ *engine.Core) {
 			if s.Attempts != before.Attempts+1 || s.Reused != before.Reused {
-				t.Errorf("%q: %d attempts, %d on idle connections", unsolicited, s.Attempts-before.Attempts, s.Reused-before.Reused)
+				t.Errorf("unsolicited %q: %d attempts, %d on idle connections; want 1 on a new connection", unsolicited, s.Attempts-before.Attempts, s.Reused-before.Reused)
 			}
 		})
 	}
--- a/internal/proxy/httpfront/guard.go
+++ b/internal/proxy/httpfront/guard.go
@@ -30,13 +30,13 @@
 	readPause                                *limits.ReadPause
 	pausedClients                            []pausedClient // sorted by the time at which reading resumes
 	unread                                   limits.UnreadAccount
-	unreadClients                            []*clientConn // that may have part of a finished response in the kernel's send buffer
+	unreadClients                            []*clientConn // clients for which the kernel's send buffer may hold part of a finished response
 	memory                                   limits.Budget
 	counts                                   limits.Counts
 
 	classIndex       map[string]int           // index of a class by its name, in ranks and in the scheduler
-	ranks            []float64                // of the classes, from 0 to 1, by their priority weights
-	priorityWeights  []float64                // of the classes
+	ranks            []float64                // ranks of the classes, from 0 to 1, by priority weight
+	priorityWeights  []float64                // priority weights of the classes
 	awaited          map[*clientConn]struct{} // clients that the router waits for, to send or to read
 	connectionsOf    map[netip.Addr]int       // number of connections by client address
 	idleClients      idleList
@@ -44,14 +44,14 @@
 	slowUpstreams    []*upstreamConn // reused by each sweep: members that send too slowly
 	stalledUpstreams []*upstreamConn // reused by each sweep: paused because their clients do not read
 	sweepTimer       eventloop.Timer
-	resumeTimer      eventloop.Timer // of the first paused client
+	resumeTimer      eventloop.Timer // expires at the end of the first pause in pausedClients
 	maxClients       int             // client connections that the descriptor limit allows
 }
 
 // readyConn is a connection that is ready to read or write.
 type readyConn interface {
-	// transfer moves about room bytes at most. It reports how many it moved, and whether the
-	// connection is ready for more.
+	// transfer moves about room bytes at most. It returns the number of bytes moved, and whether
+	// the connection is ready for more.
 	transfer(room int) (moved int, more bool)
 	// queuedAt returns the time at which the connection was given to the scheduler.
 	queuedAt() float64
@@ -331,7 +331,7 @@
 	add := func(c *clientConn, bytes int64) {
 		unread, clients = append(unread, limits.Unread{Index: len(clients), Bytes: bytes, StalledFor: now - c.lastProgress}), append(clients, c)
 	}
-	for c := range g.awaited { // sweep has updated these
+	for c := range g.awaited { // sweep has updated ackedBytes of these
 		if c.output.Len() > 0 {
 			add(c, c.writtenBytes-c.ackedBytes)
 		}
--- a/internal/proxy/httpfront/guard_test.go
+++ b/internal/proxy/httpfront/guard_test.go
@@ -77,7 +77,7 @@
 	}
 	during, failedDuring := rig.getSmallObjects(300)
 	if failedBefore+failedDuring > 0 || during[len(during)*99/100] > 3*before[len(before)*99/100]+50 {
-		t.Errorf("%d and %d requests failed; p99 %.1f ms, %.1f ms before", failedBefore, failedDuring, during[len(during)*99/100], before[len(before)*99/100])
+		t.Errorf("%d requests failed before and %d during the slow reads, want 0; p99 %.1f ms, %.1f ms before, want at most 3 times that and 50 ms", failedBefore, failedDuring, during[len(during)*99/100], before[len(before)*99/100])
 	}
 	for range 60 {
 		if rig.limitCounts()[limits.SlowReader] == 40 {
@@ -85,7 +85,7 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	t.Errorf("40 slow readers, closed: %v", rig.limitCounts())
+	t.Errorf("closed by cause: %v, want all 40 slow readers", rig.limitCounts())
 }
 
 // A client that reads steadily at twice the least rate is not closed, although its socket
@@ -104,7 +104,7 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	if closed := rig.limitCounts()[limits.SlowReader]; closed > 0 {
-		t.Errorf("%d closed as slow", closed)
+		t.Errorf("%d connections were closed as slow, want 0", closed)
 	}
 }
 
@@ -130,7 +130,7 @@
 	served := uint64(0)
 	rig.edge.Query(func(s *Stats, _ *engine.Core) { served = s.Served })
 	if served != asked || got < 5<<20 || rig.limitCounts()[limits.SlowReader] > 0 {
-		t.Errorf("%d of %d responses, %d KB, closed: %v", served, asked, got>>10, rig.limitCounts())
+		t.Errorf("%d of %d responses were served, %d KB read, closed by cause: %v; want all responses, at least 5 MB and no slow reader", served, asked, got>>10, rig.limitCounts())
 	}
 }
 
@@ -176,10 +176,10 @@
 	close(stop)
 	wg.Wait()
 	if got := rig.limitCounts()[limits.SlowHead]; got < uint64(clients) {
-		t.Errorf("%d of %d slow clients were closed", got, clients)
+		t.Errorf("%d of %d slow clients were closed, want all", got, clients)
 	}
 	if failed > 0 || during[len(during)/2] > 5*before[len(before)/2]+20 {
-		t.Errorf("%d other requests failed; p50 %.1f ms, %.1f ms before", failed, during[len(during)/2], before[len(before)/2])
+		t.Errorf("%d other requests failed, want 0; p50 %.1f ms, %.1f ms before, want at most 5 times that and 20 ms", failed, during[len(during)/2], before[len(before)/2])
 	}
 }
 
@@ -225,7 +225,7 @@
 	trickle("b0")
 	failed, succeeded := round()
 	if closed := rig.limitCounts()[limits.SlowMember]; closed == 0 || succeeded < 40 {
-		t.Errorf("one slow member: %d closed, %d requests failed, %d succeeded", closed, failed, succeeded)
+		t.Errorf("one slow member: %d connections closed, %d requests failed, %d succeeded; want at least 1 closed and 40 succeeded", closed, failed, succeeded)
 	}
 	time.Sleep(2 * time.Second)
 	before := rig.limitCounts()[limits.SlowMember]
@@ -234,10 +234,10 @@
 	var spared uint64
 	rig.edge.Query(func(*Stats, *engine.Core) { spared = rig.edge.guard.massSlowness.Spared })
 	if closed := rig.limitCounts()[limits.SlowMember] - before; closed > 40 || spared == 0 {
-		t.Errorf("all members slow: %d closed, %d spared", closed, spared)
+		t.Errorf("all members slow: %d connections closed, %d spared; want at most 40 closed and at least 1 spared", closed, spared)
 	}
 	if res, _, err := rig.get("/s/1/after"); err != nil || res.StatusCode != 200 {
-		t.Errorf("request afterwards: %v %v", res, err)
+		t.Errorf("request afterwards: response %v, error %v; want 200", res, err)
 	}
 }
 
@@ -254,7 +254,7 @@
 	}
 	time.Sleep(250 * time.Millisecond) // until they count as idle
 	if _, failed := rig.getSmallObjects(50); failed > 0 {
-		t.Errorf("%d requests failed", failed)
+		t.Errorf("%d requests failed, want 0", failed)
 	}
 	rig.waitFor("idle connections to be closed", func(s *Stats, _ *engine.Core) bool {
 		return s.Connections <= 64 && rig.edge.guard.counts[limits.Descriptors] >= 200
@@ -277,7 +277,7 @@
 	rig.waitFor("idle connections to be closed", func(*Stats, *engine.Core) bool { return rig.edge.guard.counts[limits.Memory] > 100 })
 	time.Sleep(250 * time.Millisecond) // until all of them count as idle
 	if _, failed := rig.getSmallObjects(50); failed > 0 {
-		t.Errorf("%d requests failed", failed)
+		t.Errorf("%d requests failed, want 0", failed)
 	}
 	for _, conn := range conns {
 		conn.Close()
@@ -306,7 +306,7 @@
 		return rig.edge.guard.memory.Used() < 600<<10 && len(rig.edge.requests) == 0
 	})
 	if _, failed := rig.getSmallObjects(20); failed > 0 {
-		t.Errorf("%d requests failed afterwards", failed)
+		t.Errorf("%d requests failed afterwards, want 0", failed)
 	}
 }
 
@@ -333,12 +333,12 @@
 		if strings.Contains(got, "detail=overload") {
 			rejected++
 			if !strings.HasPrefix(got, "HTTP/1.1 503") || !strings.Contains(got, "Retry-After: ") {
-				t.Errorf("%q", got)
+				t.Errorf("response %q, want status 503 with Retry-After", got)
 			}
 		}
 	}
 	if rejected == 0 {
-		t.Error("no request was rejected")
+		t.Error("no request was rejected as overload, want at least 1")
 	}
 	retries := 0
 	for range 12 {
@@ -347,7 +347,7 @@
 		}
 	}
 	if retries < 5 {
-		t.Errorf("%d of 12 retries were rejected", retries)
+		t.Errorf("%d of 12 retries were rejected, want at least 5", retries)
 	}
 }
 
@@ -378,7 +378,7 @@
 	})
 	during, failed := rig.getSmallObjects(100)
 	if failed > 0 || during[len(during)/2] > 5*before[len(before)/2]+20 {
-		t.Errorf("%d requests failed; p50 %.1f ms, %.1f ms before", failed, during[len(during)/2], before[len(before)/2])
+		t.Errorf("%d requests failed, want 0; p50 %.1f ms, %.1f ms before, want at most 5 times that and 20 ms", failed, during[len(during)/2], before[len(before)/2])
 	}
 }
 
@@ -420,12 +420,12 @@
 	})
 	wave(300)
 	if _, failed := rig.getSmallObjects(50); failed > 0 {
-		t.Errorf("%d requests of other clients failed", failed)
+		t.Errorf("%d requests of other clients failed, want 0", failed)
 	}
 	rig.waitFor("rejections of the others", func(*Stats, *engine.Core) bool { return rig.edge.guard.counts[limits.PoorReputation] >= 292 })
 	rig.edge.Query(func(*Stats, *engine.Core) {
 		if count := len(rig.edge.requests); count > 8 {
-			t.Errorf("%d requests in flight; the limit is 8", count)
+			t.Errorf("%d requests in flight, want at most 8", count)
 		}
 	})
 }
@@ -481,7 +481,7 @@
 			return rig.edge.guard.unread.Held < 4<<20 && rig.edge.guard.counts[limits.SlowReader] > 10
 		})
 		if _, failed := rig.getSmallObjects(50); failed > 0 {
-			t.Errorf("%s: %d requests of other clients failed", test.name, failed)
+			t.Errorf("%s: %d requests of other clients failed, want 0", test.name, failed)
 		}
 		if err := <-steady; err != nil {
 			t.Errorf("%s: client that reads 20 KB/s: %v", test.name, err)
@@ -541,14 +541,14 @@
 				go func() {
 					defer wg.Done()
 					if got := rig.exchange(fmt.Sprintf("GET /s/1/%d HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n", i)); !strings.HasPrefix(got, "HTTP/1.1 200") {
-						t.Errorf("%.200q", got)
+						t.Errorf("response %.200q, want status 200", got)
 					}
 				}()
 			}
 			wg.Wait()
 			rig.edge.Query(func(s *Stats, _ *engine.Core) {
 				if s.AcceptPauses == 0 || s.ConnectWaits == 0 || s.AcceptPauses > 100 {
-					t.Errorf("%d accept pauses and %d connect waits after %d and %d calls", s.AcceptPauses, s.ConnectWaits, failing.accepts, failing.sockets)
+					t.Errorf("%d accept pauses and %d connect waits after %d and %d calls, want 1 to 100 pauses and at least 1 wait", s.AcceptPauses, s.ConnectWaits, failing.accepts, failing.sockets)
 				}
 			})
 			rig.logMu.Lock()
@@ -649,7 +649,7 @@
 	t.Logf("%d served, %d rejected, %d failed; %.2f s of CPU time in an idle second", served.Load(), rejected.Load(), failed.Load(), spent)
 	// A client that is rejected before its request was read may see a reset instead of the response.
 	if served.Load() < 50 || failed.Load() > 100 || spent > 0.5 || strings.Contains(log.String(), "connect-failed") {
-		t.Errorf("%d served, %d rejected, %d failed; %.2f s of CPU time in an idle second\n%.3000s", served.Load(), rejected.Load(), failed.Load(), spent, log.String())
+		t.Errorf("%d served (want at least 50), %d rejected, %d failed (want at most 100); %.2f s of CPU time in an idle second (want at most 0.5); log (want no connect-failed):\n%.3000s", served.Load(), rejected.Load(), failed.Load(), spent, log.String())
 	}
 }
 
@@ -687,21 +687,21 @@
 	}
 	for _, conn := range conns {
 		if got := response(conn); !strings.Contains(got, "503") || !strings.Contains(got, "overload") {
-			t.Fatalf("%q", got)
+			t.Fatalf("response %q, want 503 with detail overload", got)
 		}
 	}
 	paused := 0
 	rig.edge.Query(func(*Stats, *engine.Core) { paused = len(rig.edge.guard.pausedClients) })
 	if paused != 20 {
-		t.Errorf("reading is paused for %d of 20 clients", paused)
+		t.Errorf("reading is paused for %d of 20 clients, want all", paused)
 	}
 	if got := response(admitted); !strings.HasPrefix(got, "200") {
-		t.Errorf("the admitted request: %q", got)
+		t.Errorf("response to the admitted request %q, want status 200", got)
 	}
 	for _, conn := range conns { // one after another, because of the limit
 		fmt.Fprintf(conn, "GET /s/1/again HTTP/1.1\r\nHost: h\r\n\r\n")
 		if got := response(conn); !strings.HasPrefix(got, "200") {
-			t.Fatalf("%q", got)
+			t.Fatalf("response %q, want status 200", got)
 		}
 	}
 }
--- a/internal/proxy/httpfront/handover.go
+++ b/internal/proxy/httpfront/handover.go
@@ -104,19 +104,26 @@
 	e.log.Log.Info("restored the predecessor's learned state", zap.Int("members", len(state.Members)), zap.Int("bytes", len(e.inherited.LearnedState)))
 }
 
+// ackedUnknown is lower than any count of acknowledged bytes that clientConn.acknowledged returns
+// for a connection that a predecessor has passed. The send buffer may still hold responses of the
+// predecessor, which writtenBytes does not count, so the count of acknowledged bytes may be negative.
+const ackedUnknown = -1 << 40
+
 // announceServing tells the predecessor that this router serves, and from then on takes over the
 // connections and the purges that the predecessor passes.
 func (e *Edge) announceServing() error {
 	if e.inherited == nil {
 		return nil
 	}
+	// Set before the predecessor may pass connections, so that this router does not end before its
+	// predecessor if it is told to drain.
 	if err := e.loop.Post(func() { e.predecessorRuns = true }); err != nil {
 		return err
 	}
-	err := e.inherited.Ready(func(fd int) {
+	err := e.inherited.Ready(func(fd int) { // a connection that the predecessor passes
 		for {
 			err := e.loop.Post(func() {
-				if e.draining { // pass it on to this router's own successor, if there is one
+				if e.draining { // pass the connection on to this router's own successor, if there is one
 					if e.successor == nil || !e.successor.SendConn(fd) {
 						unix.Close(fd)
 					}
@@ -130,7 +137,7 @@
 				unix.SetNonblock(fd, true)
 				e.stats.HandedIn++
 				if c := e.addClient(fd, addressOf(sockaddr), true); c != nil {
-					c.ackedBytes, c.ackedAtTimeout = -1<<40, -1<<40 // the send buffer may still hold responses of the predecessor
+					c.ackedBytes, c.ackedAtTimeout = ackedUnknown, ackedUnknown
 					e.guard.trackUnread(c)
 				}
 			})
@@ -144,17 +151,17 @@
 				return
 			}
 		}
-	}, func(note []byte) {
+	}, func(note []byte) { // a note: a purge that the predecessor received
 		var purge engine.Purge
 		if json.Unmarshal(note, &purge) == nil {
-			e.Query(func(*Stats, *engine.Core) {
+			e.Query(func(*Stats, *engine.Core) { // runs on the loop, and waits for it
 				e.applyUpdate(&engine.Update{Purge: &purge})
 				if e.successor != nil {
 					e.successor.SendNote(&purge)
 				}
 			})
 		}
-	}, func() {
+	}, func() { // the predecessor has closed the connection
 		e.predecessorReachable.Store(false)
 		e.log.Log.Info("the predecessor has ended")
 		e.loop.Post(func() {
@@ -163,7 +170,7 @@
 		})
 	})
 	if err == nil {
-		e.predecessorReachable.Store(true)
+		e.predecessorReachable.Store(true) // from now on config versions and purges are forwarded to it
 		if e.configClient != nil {
 			e.configClient.agent.Connect()
 		}
@@ -174,7 +181,7 @@
 // forwardVersion sends a config version to a predecessor that still drains, which has no other
 // way to learn that members leave.
 func (e *Edge) forwardVersion(version configversion.Version) {
-	if !e.predecessorReachable.Load() { // before this router serves, the predecessor follows the service itself
+	if !e.predecessorReachable.Load() { // before this router serves, the predecessor follows the config service itself
 		return
 	}
 	encoded, err := json.Marshal(version)
@@ -203,7 +210,7 @@
 	if json.Unmarshal(encoded, &purge) != nil {
 		return
 	}
-	e.Query(func(*Stats, *engine.Core) { e.applyUpdate(&engine.Update{Purge: &purge}) })
+	e.Query(func(*Stats, *engine.Core) { e.applyUpdate(&engine.Update{Purge: &purge}) }) // Query runs it on the loop and waits
 	e.forwardPurge(&purge)
 }
 
@@ -236,7 +243,7 @@
 				if version := e.configClient.agent.Accepted(); version.Number > 0 {
 					handover.ConfigVersion, err = json.Marshal(version)
 				}
-				e.configClient.releaseStore()
+				e.configClient.releaseStore() // the config store, which the successor opens
 			}
 			return handover, err
 		},
@@ -251,9 +258,9 @@
 		OnFailure: func(error) {
 			e.loop.Call(5*time.Second, func() {
 				e.handingOver, e.purgesDuringHandover = false, nil
-				e.dispatch(spool.Retired{})
+				e.dispatch(spool.Retired{}) // the module uses slow-start tokens again
 			})
-			go e.configClient.reacquireStore()
+			go e.configClient.reacquireStore() // the config store; on a goroutine, since it may have to try again
 		},
 		OnConfigVersion: func(encoded []byte) {
 			if e.configClient != nil {
@@ -269,8 +276,8 @@
 	return nil
 }
 
-// prepareHandover returns the sockets and the state for a successor. From now on the successor,
-// and not this router, spends the slow-start budgets of members.
+// prepareHandover returns the sockets and the state for a successor. From then on, until OnFailure,
+// only the successor uses the slow-start tokens of members.
 func (e *Edge) prepareHandover() (*hotrestart.Handover, error) {
 	if e.draining {
 		return nil, errors.New("this router is already draining")
@@ -284,11 +291,11 @@
 		return nil, err
 	}
 	e.handingOver, e.purgesDuringHandover = true, nil
-	e.dispatch(spool.Retired{On: true})
+	e.dispatch(spool.Retired{On: true}) // the module uses no slow-start tokens while a successor does
 	handover := &hotrestart.Handover{Listener: e.listenFD, LearnedState: state, Clients: records}
 	if e.adminFile != nil {
 		handover.Admin = int(e.adminFile.Fd())
-		unix.SetNonblock(handover.Admin, true) // Fd made it blocking, for the listener as well
+		unix.SetNonblock(handover.Admin, true) // File.Fd makes the open socket blocking, which the admin listener shares
 	}
 	e.log.Log.Info("a successor is taking over", zap.Int("bytes", len(state)))
 	return handover, nil
--- a/internal/proxy/httpfront/handover_test.go
+++ b/internal/proxy/httpfront/handover_test.go
@@ -158,7 +158,7 @@
 		}()
 		rig.startNext()
 		if !rig.waitEnded() {
-			t.Fatal("the predecessor does not end")
+			t.Fatal("the predecessor has not ended in time")
 		}
 		handedOver += old.stats.HandedOut // no data race, since its loop has ended
 		<-purged
@@ -175,7 +175,7 @@
 	for _, record := range rig.records.Records() {
 		if record.Event == trafficlog.WriteExecuted {
 			if ran[record.Key]++; ran[record.Key] > 1 {
-				t.Errorf("%s ran %d times", record.Key, ran[record.Key])
+				t.Errorf("write %s was executed %d times, want 1", record.Key, ran[record.Key])
 			}
 		}
 	}
@@ -188,7 +188,7 @@
 	defer reader.Close()
 	report, err := replay.Run(reader, nil)
 	if err != nil || !report.OK() || report.Runs != 11 || len(report.Gaps) > 0 {
-		t.Errorf("journal of all routers: %v %+v %+v", err, report, report.First)
+		t.Errorf("replay of the journal of all routers: error %v, report %+v, first difference %+v; want 11 runs without gaps or differences", err, report, report.First)
 	}
 }
 
@@ -251,10 +251,10 @@
 		time.Sleep(200 * time.Millisecond)
 		rig.startNext()
 		if known := poor(); known < 10 {
-			t.Errorf("the successor knows %d of 12 addresses of poor reputation", known)
+			t.Errorf("the successor knows %d of 12 addresses of poor reputation, want at least 10", known)
 		}
 		if !rig.waitEnded() {
-			t.Fatal("the predecessor does not end")
+			t.Fatal("the predecessor has not ended in time")
 		}
 	}
 	stop.Store(true)
@@ -266,7 +266,7 @@
 	for _, record := range rig.records.Records() {
 		if record.Event == trafficlog.WriteExecuted {
 			if ran[record.Key]++; ran[record.Key] > 1 {
-				t.Errorf("%s ran %d times", record.Key, ran[record.Key])
+				t.Errorf("write %s was executed %d times, want 1", record.Key, ran[record.Key])
 			}
 		}
 	}
@@ -327,7 +327,7 @@
 	}
 	for range 2 {
 		if !rig.waitEnded() {
-			t.Fatal("a predecessor does not end")
+			t.Fatal("a predecessor has not ended in time")
 		}
 	}
 }
@@ -359,10 +359,10 @@
 	}
 	old := rig.current
 	if rig.startNext(); !rig.waitEnded() {
-		t.Fatal("the predecessor does not end")
+		t.Fatal("the predecessor has not ended in time")
 	}
 	if old.Addr() != rig.current.Addr() {
-		t.Errorf("the address %s has changed to %s", old.Addr(), rig.current.Addr())
+		t.Errorf("the listen address %s has changed to %s, want the same", old.Addr(), rig.current.Addr())
 	}
 	if res, _, err := rig.get("/s/1/after"); err != nil || res.StatusCode != 200 {
 		t.Fatal(res, err)
@@ -399,7 +399,7 @@
 	sender := <-served
 	file.Close()
 	if rig.current.Addr() != listener.Addr().String() {
-		t.Errorf("router listens at %s, inherited %s", rig.current.Addr(), listener.Addr())
+		t.Errorf("the router listens at %s, want the inherited address %s", rig.current.Addr(), listener.Addr())
 	}
 	for i := range 5 {
 		if res, _, err := rig.get(fmt.Sprintf("/s/1/%d", i)); err != nil || res.StatusCode != 200 {
@@ -417,18 +417,18 @@
 		t.Fatal(err)
 	}
 	if !sender.SendNote(&engine.Purge{Object: "/s/1/0"}) || !sender.SendConn(pair[0]) {
-		t.Error("cannot pass on a purge or a connection")
+		t.Error("the sender did not accept the purge or the connection")
 	}
 	unix.Write(pair[1], []byte("GET /s/1/0 HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"))
 	answer, _ := io.ReadAll(os.NewFile(uintptr(pair[1]), "pair"))
 	if !strings.HasPrefix(string(answer), "HTTP/1.1 200") {
-		t.Errorf("response on a passed connection: %.60q", answer)
+		t.Errorf("response on a passed connection %.60q, want status 200", answer)
 	}
 	sender.Close()
 	rig.logMu.Lock()
 	defer rig.logMu.Unlock()
 	if !strings.Contains(rig.log.String(), "cannot decode the predecessor's learned state; starting without it") {
-		t.Error("no warning about the learned state")
+		t.Error("no warning that the learned state cannot be decoded")
 	}
 }
 
--- a/internal/proxy/httpfront/page.go
+++ b/internal/proxy/httpfront/page.go
@@ -45,7 +45,7 @@
 	headSent        bool
 	chunked         bool
 	templateDone    bool // the template was received in full
-	changed         bool // it is in the edge's changedPages
+	changed         bool // the page is in the edge's changedPages
 	stopped         bool
 	accounted       int64 // bytes charged to the memory budget
 	contentLength   int64 // of an unprocessed body; -1 if unknown
@@ -849,7 +849,8 @@
 
 var errTemplateBroken = fmt.Errorf("%w: response for the template incomplete", esi.ErrFragment)
 
-// ownerPage returns the page whose template or fragment the request fetches, or nil.
+// ownerPage returns the page whose template or fragment the request fetches, or nil. In contrast,
+// the field page is set only in the client's own request, which fetches the template.
 func (r *clientRequest) ownerPage() *esiPage {
 	if r.client.fragment != nil {
 		return r.client.fragment.page
--- a/internal/proxy/httpfront/upstream.go
+++ b/internal/proxy/httpfront/upstream.go
@@ -12,18 +12,19 @@
 	"indigospool/internal/proxy/limits"
 )
 
-// upstreamAttempt is one attempt of a request.
+// upstreamAttempt is one attempt of a request at a member. The routing module (package spool, run
+// by engine.Core; "the module" in this package) decides on attempts and learns their outcomes.
 type upstreamAttempt struct {
 	request       *clientRequest
-	number        int // from 0
-	cache, source string
+	number        int        // from 0
+	cache, source string     // ids of the member that is sent the attempt, and of the one from which it fills; the same for no fill
 	send          spool.Send // the module's action
 	sentAt        float64
 	timer         eventloop.Timer // timeout until the response begins
-	upstream      *upstreamConn   // nil while it waits for a connection, and once it is done
+	upstream      *upstreamConn   // nil while the attempt waits for a connection, and once it is done
 	pool          *connPool
-	written       bool      // part of it may have reached the member
-	done          bool      // its outcome was reported
+	written       bool      // at least a part of the request was written, and may have reached the member
+	done          bool      // the outcome was reported to the module
 	load          []float64 // load report of the response
 	result        spool.Result
 	took          float64 // ms
@@ -56,7 +57,7 @@
 	e.loop.Arm(&attempt.timer, timeout)
 	attempt.pool = e.poolFor(address, send.Cache)
 	attempt.pool.assign(attempt)
-	if send.Within > 0 && !attempt.written && !attempt.done { // give up if no connection is free within that time
+	if send.Within > 0 && !attempt.written && !attempt.done { // give up if nothing of the request has been written within that time
 		id, number := send.ID, attempt.number
 		e.loop.AfterFunc(send.Within, func() {
 			e.abandonUnwritten(func(other *upstreamAttempt) bool { return other.send.ID == id && other.number == number })
@@ -64,19 +65,20 @@
 	}
 }
 
+// timedOut ends the attempt when its response has not begun by the timeout.
 func (a *upstreamAttempt) timedOut() {
 	if a.done {
 		return
 	}
 	result := spool.TimedOut
 	switch {
-	case a.upstream == nil: // it still waits for a connection, so nothing was run
+	case a.upstream == nil: // no connection was free in time, so nothing was executed
 		a.detach()
 		a.finish(spool.Rejected, spool.NoteNoCapacity, false)
 		return
 	case !a.written && a.upstream.state == upConnecting:
 		result = spool.ConnectFailed
-	case !a.written: // connected, but not a byte could be written
+	case !a.written: // connected, but nothing could be written
 		result = spool.LocalFailure
 	}
 	a.abort(result)
@@ -99,8 +101,9 @@
 	a.finish(result, spool.NoteNone, a.request.phase == finished || a.request.winner == a)
 }
 
-// detach takes the attempt off its connection, and closes that, or out of the queue for one.
-// The connection of a pipelined attempt that waits behind others stays open.
+// detach removes the attempt from its connection, which it closes, or from the queue of attempts
+// that wait for a connection. The connection stays open if the attempt is pipelined behind
+// others there.
 func (a *upstreamAttempt) detach() {
 	if upstream := a.upstream; upstream != nil && upstream.attempt != a { // pipelined: its response will be discarded
 		a.upstream = nil
@@ -120,7 +123,8 @@
 	}
 }
 
-// finish reports the outcome of the attempt to the module.
+// finish reports the outcome of the attempt to the module. last reports that the request
+// has ended.
 func (a *upstreamAttempt) finish(result spool.Result, note spool.Note, last bool) {
 	if a.done {
 		return
@@ -139,10 +143,10 @@
 type connPool struct {
 	edge        *Edge
 	address     string
-	member      string // that the address was last used for
+	member      string // the id of the member that the address was last used for
 	connections map[*upstreamConn]struct{}
-	idle        []*upstreamConn    // the most recently used last, which is reused first
-	waiting     []*upstreamAttempt // for a connection, in order
+	idle        []*upstreamConn    // idle connections, the most recently used last; that one is reused first
+	waiting     []*upstreamAttempt // attempts that wait for a connection, in order of arrival
 }
 
 // poolFor returns the pool for an address, which it creates if needed.
@@ -189,7 +193,7 @@
 	switch {
 	case err == nil:
 		upstream.start(attempt)
-	case eventloop.IsLocalShortage(err): // says nothing about the member
+	case eventloop.IsLocalShortage(err): // a shortage on this machine must not count against the member
 		p.edge.stats.ConnectWaits++
 		attempt.finish(spool.LocalFailure, spool.NoteNone, false)
 	default:
@@ -230,8 +234,8 @@
 }
 
 // assignWaiting assigns a connection that has become free to the first waiting attempt. If the
-// pool has no connection left, no later one would become free either, so assignWaiting tries
-// all waiting attempts, which fail if none can be opened.
+// pool has no connection afterwards, none can become free later either, so assignWaiting goes on
+// with the next waiting attempt. An attempt fails if no connection can be opened for it.
 func (p *connPool) assignWaiting() {
 	for len(p.waiting) > 0 {
 		attempt := p.waiting[0]
@@ -272,20 +276,20 @@
 	pipelined     []*upstreamAttempt // GETs that follow attempt; nil entries are abandoned, and their responses discarded
 	unparsed      []byte             // input that was read, and not parsed yet
 	output        eventloop.Queue    // output that was not written yet
-	writing       *upstreamAttempt   // whose request is in output
+	writing       *upstreamAttempt   // the attempt whose request is in output
 	head          http1.Head
 	body          http1.Body
 	chunked       bool // the body is sent to the client in chunks
-	extraBytes    bool // bytes followed the head in the same read, and no further response is due
+	extraBytes    bool // bytes followed the head in the same read, and no pipelined response is due; excess if the response has no body
 	paused        bool // not read, since the client is slow
 	timer         eventloop.Timer
 	discardBudget int // bytes of the unwanted response that may still be read
 	note          spool.Note
-	flow          limits.Flow // of the body that the member sends
-	pausedAt      float64     // time at which paused was set
-	stallReported bool        // the module knows that the response is stalled
-	queued        bool        // readable, and in the scheduler's queue
-	queuedSince   float64     // time at which it was queued
+	flow          limits.Flow // rate at which the member sends the body
+	pausedAt      float64     // time at which paused was last set
+	stallReported bool        // the module was told that the response is stalled
+	queued        bool        // the connection is readable, and in the scheduler's queue
+	queuedSince   float64     // time at which queued was last set
 }
 
 // connect opens a connection to the pool's address.
@@ -389,8 +393,8 @@
 	u.flush()
 }
 
-// withdraw ends an attempt, the last on its connection, of which nothing could be written for
-// want of local resources. The connection can be used again.
+// withdraw ends the last attempt on the connection with LocalFailure, because nothing of it could
+// be written for lack of local resources. The connection can be used again.
 func (u *upstreamConn) withdraw(attempt *upstreamAttempt) {
 	u.edge.stats.ConnectWaits++
 	attempt.upstream = nil
@@ -471,7 +475,7 @@
 	}
 	if !u.queued {
 		u.queued, u.queuedSince = true, u.edge.loop.Now()
-		u.flow.StopWaiting(u.edge.guard.peerTime(), &u.edge.guard.memberRate) // from here on the member waits for the router
+		u.flow.StopWaiting(u.edge.guard.peerTime(), &u.edge.guard.memberRate) // until transfer reads, the router does not wait for the member
 		u.edge.guard.enqueue(u.attempt.request.client.schedulerClass, u)
 	}
 }
@@ -566,7 +570,10 @@
 	pipelined := u.pipelined
 	u.pipelined = nil
 	for _, t := range pipelined {
-		if t != nil { // only GETs are pipelined, so a repetition is harmless
+		// A request that was written may have reached the member. It is reported as NotSent all
+		// the same, so that the module retries it: only GETs are pipelined, and repeating a GET
+		// is safe.
+		if t != nil {
 			t.upstream = nil
 			t.finish(spool.NotSent, spool.NoteNone, false)
 		}
@@ -638,8 +645,8 @@
 	return n
 }
 
-// parse parses bytes of responses. Only an incomplete head or chunk framing is kept for later,
-// so the amount is bounded.
+// parse parses bytes of responses. It keeps only the bytes of an incomplete head for later, so the
+// amount is bounded; http1.Body keeps the state within the framing of a body.
 func (u *upstreamConn) parse(buf []byte) {
 	for u.fd >= 0 {
 		switch u.state {
@@ -732,7 +739,7 @@
 		return
 	}
 	if result == spool.OK { // another attempt won, or the client was answered already
-		result = spool.NotSent
+		result = spool.NotSent // the member responded before the request was written
 		if attempt.written {
 			result = spool.Cancelled
 		}
@@ -755,8 +762,8 @@
 	}
 }
 
-// relayHead begins the client's response with the head of this attempt's, which thereby becomes
-// the winner.
+// relayHead makes the connection's attempt the winner of its request, and begins the response to
+// the client with the head of the attempt's response.
 func (u *upstreamConn) relayHead(note spool.Note) {
 	attempt, edge := u.attempt, u.edge
 	request := attempt.request
@@ -823,8 +830,8 @@
 }
 
 // relayBody relays content to the client. When the client's buffer is full, it pauses reading
-// from the member until the client has read. It returns the bytes behind the body, and whether
-// the body is complete.
+// from the member until the client has read. It returns the bytes that follow the body, and
+// whether the body is complete.
 func (u *upstreamConn) relayBody(buf []byte) (rest []byte, complete bool) {
 	client := u.attempt.request.client
 	request := u.attempt.request
@@ -849,7 +856,7 @@
 			u.edge.headBuffer = http1.AppendChunk(u.edge.headBuffer[:0], content)
 			client.buffer(u.edge.headBuffer)
 		} else if len(content) > 2048 && client.output.Len() <= 4096 {
-			client.write(content) // saves a copy into the buffer
+			client.write(content) // avoids copying the content into the buffer
 		} else {
 			client.buffer(content)
 		}
@@ -904,8 +911,12 @@
 
 var lastChunk = []byte(http1.LastChunk)
 
-// finishBody handles the end of a response. The connection is closed if excess is set, since
-// bytes behind the response belong to no request.
+// finishBody handles the end of a response. excess reports that bytes follow the response that
+// belong to no request; the connection is then closed.
+//
+// ownerPage returns the page also for the request of a fragment. request.page is nil for that
+// request, which ends here like one without a page; the page itself ends the request for its
+// template.
 func (u *upstreamConn) finishBody(excess bool) {
 	attempt := u.attempt
 	request := attempt.request
--- a/internal/proxy/httpfront/watch.go
+++ b/internal/proxy/httpfront/watch.go
@@ -18,8 +18,8 @@
 	"indigospool/internal/proxy/engine"
 )
 
-// watchList follows the list service's discovery stream on a goroutine of its own, and posts
-// each update to the loop. It reconnects if the stream ends, breaks off within a line or
+// watchList follows the discovery stream, in which the list service sends updates of the endpoint
+// list, on a goroutine of its own, and posts each update to the loop. It reconnects if the stream ends, breaks off within a line or
 // contains an invalid update, after an exponential backoff with jitter from the seed, so that
 // routers do not reconnect all at once. The endpoint list stays in force meanwhile.
 func (e *Edge) watchList() (stop func()) {
@@ -39,7 +39,7 @@
 				wait = settings.Limits.DiscoveryBackoff
 			}
 			e.listState.Store("lost: " + err.Error())
-			e.log.Log.Warn("discovery stream ended", zap.Error(err), zap.Int("lines", lines))
+			e.log.Log.Warn("discovery stream ended; reconnecting after a backoff", zap.Error(err), zap.Int("lines", lines))
 			select {
 			case <-time.After(time.Duration(wait * (0.5 + random.Float64()) * float64(time.Millisecond))):
 			case <-ctx.Done():
@@ -74,7 +74,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return 0, fmt.Errorf("list service responded %s", response.Status)
+		return 0, fmt.Errorf("list service at %s responded %s, want 200 OK", settings.Router.DiscoveryAddress, response.Status)
 	}
 	e.listState.Store("following")
 	reader := bufio.NewReaderSize(response.Body, 64<<10)
--- a/internal/proxy/platform/client.go
+++ b/internal/proxy/platform/client.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// openCalls returns the number of calls without a final answer.
+// openCalls returns the number of calls, and so of requests, without a final answer.
 func (c *client) openCalls() int { return len(c.open) + len(c.pending) }
 
 // answerPending reports whether an answer to the client, or a part of one, is still to be written.
--- a/internal/proxy/platform/client_test.go
+++ b/internal/proxy/platform/client_test.go
@@ -18,17 +18,17 @@
 func TestReadAndWriteAreServed(t *testing.T) {
 	harness := newHarness(t, map[string]handler{"s-000000c1": answerMiss, "s-000000c2": answerMiss})
 	if good, err := harness.dial().IsWell(); !good || err != nil {
-		t.Fatalf("isWell: %v %v", good, err)
+		t.Fatalf("isWell: result %v, error %v, want true", good, err)
 	}
 	f := readFields(key)
 	if result := harness.roundTrip(f, nil); result.Word != "served" || string(result.Body) != "bytes of "+key || !result.Good || len(result.Fields) > 0 {
-		t.Fatalf("answered %+v", result)
+		t.Fatalf("the read was answered %+v, want served with the object and no fields", result)
 	}
 	lookups, fills := 0, 0
 	for _, p := range harness.members {
 		for _, request := range p.Received() {
 			if request.ID != f["id"] || request.Fields["class"] != "clip" || request.Fields["key"] != key || request.Fields["part"] != "3" || request.Fields["wait"] == "0" {
-				t.Errorf("a member received %+v", request)
+				t.Errorf("a member received %+v, want the client's id, class clip, key %s, part 3 and a wait above 0", request, key)
 			}
 			if request.Fields["miss"] == "s-000000a1" {
 				fills++
@@ -43,10 +43,10 @@
 	once := "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 	body := bytes.Repeat([]byte{0, 0xff}, 24000)
 	if result := harness.roundTrip(readFields(key, "class", "note", "once", once), body); result.Word != "served" {
-		t.Fatalf("a write: %+v", result)
+		t.Fatalf("the write was answered %+v, want served", result)
 	}
 	if s := harness.members["s-000000a1"].Received(); len(s) != 1 || s[0].Fields["once"] != once || !bytes.Equal(s[0].Body, body) {
-		t.Errorf("the origin received %d requests, or one that differs from the write", len(s))
+		t.Errorf("the origin received %d requests, want 1 with the idempotency key and the body of the write", len(s))
 	}
 }
 
@@ -58,10 +58,10 @@
 	}
 	harness := newHarness(t, map[string]handler{"s-000000c1": valid, "s-000000c2": valid})
 	if result := harness.roundTrip(readFields(key, "seen", "4be0c1927d55a6f3"), nil); result.Word != "served" || result.Fields["current"] != "1" || len(result.Body) > 0 {
-		t.Errorf("%+v", result)
+		t.Errorf("a client with a current copy was answered %+v, want served with current=1 and no body", result)
 	}
 	if result := harness.roundTrip(readFields(key), nil); result.Word == "served" {
-		t.Errorf("a client without a copy was answered: %+v", result)
+		t.Errorf("a client without a copy was answered %+v, want any other result than served", result)
 	}
 }
 
@@ -119,10 +119,10 @@
 			go client.Write(test.bytes)
 			result, err := client.Result(3 * time.Second)
 			if err == nil && result.Word == "served" {
-				t.Errorf("answered %+v", result)
+				t.Errorf("answered %+v, want any other result than served, or a closed connection", result)
 			}
 			if netErr, ok := err.(net.Error); ok && netErr.Timeout() && !test.mayTimeOut {
-				t.Error("neither answered nor closed")
+				t.Error("neither answered nor closed within 3 s")
 			}
 		})
 	}
@@ -130,7 +130,7 @@
 		t.Parallel()
 		for range 10 {
 			if result := harness.roundTrip(readFields(key), nil); result.Word != "served" {
-				t.Errorf("%+v", result)
+				t.Errorf("a valid request was answered %+v, want served", result)
 			}
 		}
 	})
@@ -157,11 +157,11 @@
 		t.Fatal(err)
 	}
 	if result, err := client.Result(waitTimeout); err != nil || result.Seq != 100 {
-		t.Fatalf("%+v %v", result, err)
+		t.Fatalf("answer %+v, error %v; want the answer to isWell, number 100", result, err)
 	}
-	harness.roundTrip(readFields(key), nil) // follows any attempts for them on the same connection
+	harness.roundTrip(readFields(key), nil) // follows any attempts for the cancelled calls on the same connection
 	if n := attempts() - before - 1; n != 0 {
-		t.Errorf("caches received %d requests for cancelled calls", n)
+		t.Errorf("caches received %d requests for cancelled calls, want 0", n)
 	}
 }
 
@@ -178,11 +178,11 @@
 	client.Ask(f, nil)
 	answer := <-hold
 	if result := harness.roundTrip(readFields("0000000000000001", "id", f["id"]), nil); result.Word != "failed" {
-		t.Errorf("the second request: %+v", result)
+		t.Errorf("the second request was answered %+v, want failed", result)
 	}
 	answer()
 	if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" || string(result.Body) != "first" {
-		t.Errorf("the first request: %+v %v", result, err)
+		t.Errorf("the first request: answer %+v, error %v; want served with the body first", result, err)
 	}
 }
 
@@ -197,12 +197,12 @@
 	half.Write(call[:len(call)/2])
 	for i := range call {
 		if _, err := client.Write(call[i : i+1]); err != nil {
-			t.Fatalf("after %d bytes: %v", i, err)
+			t.Fatalf("write after %d bytes: %v", i, err)
 		}
 		time.Sleep(3 * time.Second / time.Duration(len(call)))
 	}
 	if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" {
-		t.Errorf("%+v %v", result, err)
+		t.Errorf("the slow call: answer %+v, error %v; want served", result, err)
 	}
 	if _, err := half.Result(time.Second); err != io.EOF {
 		t.Errorf("after half a call: error %v, want EOF", err)
@@ -244,10 +244,10 @@
 		time.Sleep(20 * time.Millisecond) // for loopback
 		release()
 		harness.waitTurn()
-		harness.roundTrip(writeWithKey(), nil) // follows any attempts for them on the same connections
+		harness.roundTrip(writeWithKey(), nil) // follows any attempts for the calls on the same connections
 		harness.roundTrip(readFields(key), nil)
 		if n := harness.requestsSent() - before - 2; n != 0 {
-			t.Errorf("%s: %d attempts", name, n)
+			t.Errorf("%s: %d attempts, want 0", name, n)
 		}
 	}
 }
@@ -273,7 +273,7 @@
 			harness.waitTurn()
 			release := harness.blockLoop()
 			finished := make(chan struct{})
-			go func() { // the kernel buffers it, most of it on the client's side
+			go func() { // the kernel buffers the calls, most of them on the client's side
 				for i := range int32(32) {
 					client.Write(testserver.PlatformCall("serve", i+1, writeFields(), make([]byte, 40000)))
 				}
@@ -283,13 +283,13 @@
 			select {
 			case <-finished:
 			case <-time.After(waitTimeout):
-				t.Error("the kernel does not buffer the calls")
+				t.Errorf("the calls were not written to the kernel's buffers within %v", waitTimeout)
 			}
 			release()
 			time.Sleep(200 * time.Millisecond)
 			harness.waitTurn()
 			if n := harness.requestsSent() - before; n != 0 {
-				t.Errorf("%d attempts for calls that had ended before the first was read", n)
+				t.Errorf("%d attempts for calls that had ended before the first was read, want 0", n)
 			}
 		})
 	}
@@ -315,7 +315,7 @@
 	})
 	harness.server.loop.Call(waitTimeout, func() {
 		if s := harness.server.counts; s.Attempts-s.Outcomes[spool.NotSent] > 32+s.Outcomes[spool.Miss] {
-			t.Errorf("%d attempts, %d of them not sent, for 32 requests", s.Attempts, s.Outcomes[spool.NotSent])
+			t.Errorf("%d attempts, %d of them not sent, for 32 requests with %d misses; want at most one sent for each request and miss", s.Attempts, s.Outcomes[spool.NotSent], s.Outcomes[spool.Miss])
 		}
 	})
 }
@@ -335,7 +335,7 @@
 	half := testserver.PlatformCall("serve", 2, readFields(key), nil)
 	client.Write(half[:len(half)/2])
 	if result, err := client.Result(waitTimeout); err != nil || result.Seq != 1 {
-		t.Errorf("the complete call: %+v %v", result, err)
+		t.Errorf("the complete call: answer %+v, error %v; want an answer to call 1", result, err)
 	}
 	if _, err := client.Result(waitTimeout); err != io.EOF {
 		t.Errorf("after the answer: error %v, want EOF", err)
@@ -371,7 +371,7 @@
 		})
 	}
 	if left := room(); left > 300000 {
-		t.Fatalf("%d bytes are left below the limit", left)
+		t.Fatalf("%d bytes are left below the limit, want at most 300000", left)
 	}
 	const requests = 24
 	for range requests {
@@ -380,7 +380,7 @@
 	time.Sleep(200 * time.Millisecond)
 	for i := range requests {
 		if result, err := other.Result(waitTimeout); err != nil || result.Word != "served" {
-			t.Fatalf("answer %d: %s %v", i, result.Word, err)
+			t.Fatalf("answer %d: result %q, error %v; want served", i, result.Word, err)
 		}
 	}
 	if left := room(); left < 0 {
@@ -403,7 +403,7 @@
 		t.Helper()
 		worker.Ask(readFields(key), nil)
 		if result, err := worker.Result(waitTimeout); err != nil || result.Word != "served" {
-			t.Fatalf("%+v %v", result, err)
+			t.Fatalf("answer %+v, error %v; want served", result, err)
 		}
 	}
 	ask()
@@ -417,7 +417,7 @@
 	harness.waitTurn()
 	ask()
 	if result := harness.roundTrip(readFields(key), nil); result.Word != "served" {
-		t.Errorf("a new client: %+v", result)
+		t.Errorf("a new client was answered %+v, want served", result)
 	}
 	before := harness.discoveryConnections.Load()
 	again, err := testserver.NewPlatformFeedAt(address, func(net.Conn, uint64) { harness.discoveryConnections.Add(1); <-t.Context().Done() })
@@ -428,11 +428,11 @@
 	begin := time.Now()
 	harness.waitUntil("the router has connected to the discovery server again", func() bool { return harness.discoveryConnections.Load() > before })
 	if d := time.Since(begin); d > 900*time.Millisecond {
-		t.Errorf("connected after %v", d)
+		t.Errorf("connected to the discovery server after %v, want at most 900 ms", d)
 	}
 	harness.server.loop.Call(waitTimeout, func() {
 		if n := len(harness.server.clients); n > harness.server.connectionLimits.Clients {
-			t.Errorf("%d clients, limit %d", n, harness.server.connectionLimits.Clients)
+			t.Errorf("%d clients, want at most %d", n, harness.server.connectionLimits.Clients)
 		}
 	})
 }
--- a/internal/proxy/platform/deadline_test.go
+++ b/internal/proxy/platform/deadline_test.go
@@ -62,10 +62,10 @@
 			left := 2*time.Second - first.arrivedAt.Sub(sent)
 			passed := time.Duration(wait) * time.Millisecond
 			if passed > left+deadlineSlack {
-				t.Errorf("the attempt has %v, longer than the %v that the client had left", passed, left)
+				t.Errorf("the attempt carries a time limit of %v, but the client had only %v left", passed, left)
 			}
 			if passed < left-deadlineSlack {
-				t.Errorf("the attempt has %v, shorter than the %v that the client had left", passed, left)
+				t.Errorf("the attempt carries a time limit of %v, but the client had %v left", passed, left)
 			}
 		})
 	}
@@ -95,12 +95,12 @@
 		for range requests {
 			result, err := short.Result(waitTimeout)
 			if err != nil {
-				t.Errorf("a request with little time: %v", err)
+				t.Errorf("no answer to a request with little time: %v", err)
 				return
 			}
 			mu.Lock()
 			if d := time.Since(sent[result.Seq]); d > 30*time.Millisecond+deadlineSlack {
-				t.Errorf("answered after %v", d)
+				t.Errorf("answered after %v, want at most %v", d, 30*time.Millisecond+deadlineSlack)
 			}
 			mu.Unlock()
 		}
@@ -118,7 +118,7 @@
 		normal.Ask(writeFields(), nil)
 		for range 2 {
 			if result, err := normal.Result(waitTimeout); err != nil || result.Word != "served" {
-				t.Errorf("a request with enough time: %+v %v", result, err)
+				t.Errorf("a request with enough time: answer %+v, error %v; want served", result, err)
 			}
 		}
 		time.Sleep(2 * time.Millisecond) // at most 32 calls may be open at once
@@ -233,7 +233,7 @@
 					seen[result.Seq] = true
 				}
 				if timeOut && len(seen) != 25 {
-					t.Errorf("%d of 25 calls were answered", len(seen))
+					t.Errorf("%d of 25 calls were answered, want all", len(seen))
 				}
 			}
 			harness.checkNothingInFlight()
@@ -246,11 +246,11 @@
 	h.t.Helper()
 	h.server.loop.Call(waitTimeout, func() {
 		if len(h.server.requests) > 0 || h.server.unsentBytes > 0 {
-			h.t.Errorf("%d requests and %d unsent bytes are left", len(h.server.requests), h.server.unsentBytes)
+			h.t.Errorf("%d requests and %d unsent bytes are left, want none", len(h.server.requests), h.server.unsentBytes)
 		}
 		for id, inFlight := range inFlightByMember(h.server) {
 			if inFlight != 0 {
-				h.t.Errorf("%v attempts are recorded as in flight at %s", inFlight, id)
+				h.t.Errorf("%v attempts are recorded as in flight at %s, want 0", inFlight, id)
 			}
 		}
 	})
--- a/internal/proxy/platform/drain_test.go
+++ b/internal/proxy/platform/drain_test.go
@@ -31,11 +31,11 @@
 	later.Ask(readFields(key), nil)
 	(<-hold)()
 	if result, err := later.Result(waitTimeout); err != nil || result.Word != "served" {
-		t.Errorf("a request after the signal: %+v %v", result, err)
+		t.Errorf("a request after the signal: answer %+v, error %v; want served", result, err)
 	}
 	answer()
 	if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" {
-		t.Errorf("a request before the signal: %+v %v", result, err)
+		t.Errorf("a request before the signal: answer %+v, error %v; want served", result, err)
 	}
 	select {
 	case err := <-harness.serveErr:
@@ -106,7 +106,7 @@
 			client := harness.dial()
 			test.run(harness, client)
 			if result, err := client.Result(waitTimeout); err != nil || result.Word != test.word {
-				t.Errorf("%+v %v", result, err)
+				t.Errorf("answer %+v, error %v; want %s", result, err, test.word)
 			}
 			if _, err := client.Result(waitTimeout); err != io.EOF {
 				t.Errorf("after the answer: error %v, want EOF", err)
@@ -305,7 +305,7 @@
 			t.Fatalf("request %d of %d, %v after the signal: %v", i+1, requests, time.Since(signalled), err)
 		}
 		if result.Word != "refused" && result.Word != "failed" {
-			t.Errorf("request %d: %+v", i+1, result)
+			t.Errorf("request %d: answer %+v, want refused or failed", i+1, result)
 		}
 	}
 	if d := time.Since(signalled); d > (maxDrainDeadline+killGracePeriod)*time.Millisecond {
--- a/internal/proxy/platform/during_dial_test.go
+++ b/internal/proxy/platform/during_dial_test.go
@@ -145,7 +145,7 @@
 		t.Errorf("%d attempts arrived after the window", n)
 	}
 	if result, err := client.Result(waitTimeout); err != nil || result.Word != "failed" {
-		t.Errorf("%+v %v", result, err)
+		t.Errorf("answer %+v, error %v; want failed", result, err)
 	}
 }
 
@@ -170,7 +170,7 @@
 				t.Errorf("%d attempts arrived, want 0", n)
 			}
 			if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" {
-				t.Errorf("%+v %v", result, err)
+				t.Errorf("answer %+v, error %v; want served", result, err)
 			}
 		})
 	}
--- a/internal/proxy/platform/faults_test.go
+++ b/internal/proxy/platform/faults_test.go
@@ -15,7 +15,10 @@
 	"indigospool/internal/testbed/testserver"
 )
 
-// planFaults makes the router's system calls fail according to a plan.
+// planFaults makes the router's system calls fail according to a plan: faults of the form
+// call:error[:rate][:from-until], separated by semicolons. The error "short" transfers only a
+// part of the bytes. The rate is the share of the calls that fail, or their number, such as 6x.
+// The time span counts from planFaults. Package faultinject has the details.
 func (h *testHarness) planFaults(plan string) (calls *faultinject.Syscalls) {
 	h.t.Helper()
 	h.server.loop.Call(waitTimeout, func() { calls = h.injectFaults(plan) })
@@ -58,12 +61,12 @@
 				}
 				for i := range requests {
 					if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" {
-						t.Fatalf("answer %d: %s %v", i, result.Word, err)
+						t.Fatalf("answer %d: result %q, error %v; want served", i, result.Word, err)
 					}
 				}
 			}
 			if n := harness.requestsSent() - before; n != 4*requests {
-				t.Errorf("%d attempts for %d requests", n, 4*requests)
+				t.Errorf("%d attempts for %d requests, want one for each", n, 4*requests)
 			}
 			for _, call := range []faultinject.Call{faultinject.Read, faultinject.Write} {
 				if _, failed := calls.Counts(call); failed == 0 {
@@ -82,7 +85,7 @@
 			t.Parallel()
 			harness := newHarness(t, nil)
 			harness.openConnections()
-			release := harness.blockLoop()
+			release := harness.blockLoop() // so that the first request has arrived when its connection is accepted
 			done := make(chan testserver.PlatformResult, 1)
 			client := harness.dial()
 			client.Ask(readFields(key), nil)
@@ -92,12 +95,12 @@
 			}()
 			release()
 			if result := <-done; result.Word != "served" {
-				t.Fatalf("%+v", result)
+				t.Fatalf("the first request was answered %+v, want served", result)
 			}
 			for _, call := range []string{"write", "connect"} { // on the router's connection to a cache
 				client := harness.dial()
 				client.Ask(readFields(key), nil)
-				if call == "write" {
+				if call == "write" { // the write that fails must be that of the next request
 					client.Result(waitTimeout)
 				}
 				calls := harness.planFaults(call + ":" + errno + ":1x")
@@ -105,10 +108,11 @@
 					client.Ask(readFields(key), nil)
 				}
 				if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" {
-					t.Errorf("%s: %+v %v", call, result, err)
+					t.Errorf("%s: answer %+v, error %v; want served", call, result, err)
 				}
+				// The request may be sent over an open connection, so that connect is not called.
 				if _, failed := calls.Counts(faultinject.Call(call)); call == "write" && failed != 1 {
-					t.Errorf("%d calls of %s failed", failed, call)
+					t.Errorf("%d calls of %s failed, want 1", failed, call)
 				}
 			}
 		})
@@ -128,21 +132,22 @@
 			client := harness.dial()
 			client.Ask(readFields(key), nil)
 			if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" {
-				t.Fatalf("%+v %v", result, err)
+				t.Fatalf("answer %+v, error %v; want served", result, err)
 			}
 			if elapsed := time.Since(began); elapsed > time.Second {
-				t.Errorf("served after %v", elapsed)
+				t.Errorf("served after %v, want at most %v", elapsed, time.Second)
 			}
 			if _, failed := calls.Counts(faultinject.Accept); failed == 0 || failed > 500 {
-				t.Errorf("accept failed %d times in 0.4 s", failed)
+				t.Errorf("accept failed %d times in 0.4 s, want 1 to 500", failed)
 			}
 			idle.Close()
 		})
 	}
 }
 
-// TestLocalFailures checks that no request with time left fails because this machine lacks the
-// resources for new connections for a moment.
+// TestLocalFailures checks that requests are served if the router's machine lacks the resources
+// for new connections for a time that is shorter than the requests' deadlines, and that the router
+// backs off meanwhile.
 func TestLocalFailures(t *testing.T) {
 	calls := map[string][]string{
 		"socket":  {"ENFILE", "EMFILE", "ENOBUFS", "ENOMEM"},
@@ -156,7 +161,7 @@
 					t.Parallel()
 					harness := newHarness(t, nil)
 					var calls *faultinject.Syscalls
-					release := harness.blockLoopThen(func() { calls = harness.injectFaults(plan) }) // all requests arrive in the turn after the injection
+					release := harness.blockLoopThen(func() { calls = harness.injectFaults(plan) }) // so that all requests have arrived when the faults begin
 					const clients, requestsEach = 4, 25
 					var busy sync.WaitGroup
 					for range clients {
@@ -167,7 +172,7 @@
 						busy.Go(func() {
 							for range requestsEach {
 								if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" {
-									t.Errorf("%+v %v", result, err)
+									t.Errorf("answer %+v, error %v; want served", result, err)
 									return
 								}
 							}
@@ -179,8 +184,8 @@
 					if failed == 0 {
 						t.Errorf("no %s failed", call)
 					}
-					if limit := 100 * 40; failed > limit {
-						t.Errorf("%d of %d calls of %s failed, so the router does not back off", failed, made, call)
+					if limit := 100 * 40; failed > limit { // 40 for each request
+						t.Errorf("%d of %d calls of %s failed, want at most %d: the router does not back off", failed, made, call, limit)
 					}
 				})
 			}
@@ -188,11 +193,11 @@
 	}
 }
 
-// stallingSyscalls writes only the first bytes of the first attempt, and then nothing more on its
-// connection for the time span.
+// stallingSyscalls writes only the first 20 bytes of the first attempt. For the time span from
+// then on, writes to the connection of that attempt fail with EAGAIN.
 type stallingSyscalls struct {
 	eventloop.KernelCalls
-	fd    int
+	fd    int // the connection of the first attempt; 0 before that attempt
 	until time.Time
 	span  time.Duration
 }
@@ -208,9 +213,9 @@
 	return s.KernelCalls.Write(fd, b)
 }
 
-// TestPartiallyWrittenFrame checks that the rest of a partially written attempt is written only
-// while the time left in its frame is still correct, and that another request on the same
-// connection is served as well.
+// TestPartiallyWrittenFrame checks that the router does not finish writing the frame of a stalled
+// attempt once the time limit encoded in it exceeds the client's remaining time by more than
+// deadlineSlack, and that both requests are served nevertheless.
 func TestPartiallyWrittenFrame(t *testing.T) {
 	for _, span := range []time.Duration{40 * time.Millisecond, 600 * time.Millisecond} {
 		t.Run(span.String(), func(t *testing.T) {
@@ -227,7 +232,7 @@
 			}
 			for range 2 {
 				if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" {
-					t.Fatalf("%+v %v", result, err)
+					t.Fatalf("answer %+v, error %v; want served", result, err)
 				}
 			}
 			time.Sleep(time.Until(sent.Add(span + 100*time.Millisecond)))
@@ -235,7 +240,7 @@
 				wait, _ := strconv.Atoi(attempt.Fields["wait"])
 				forwarded, remaining := time.Duration(wait)*time.Millisecond, 2*time.Second-attempt.arrivedAt.Sub(sent)
 				if forwarded > remaining+deadlineSlack {
-					t.Errorf("the attempt has %v, longer than the %v that the client had left", forwarded, remaining)
+					t.Errorf("the attempt carries a time limit of %v, but the client had only %v left", forwarded, remaining)
 				}
 			}
 		})
--- a/internal/proxy/platform/member_test.go
+++ b/internal/proxy/platform/member_test.go
@@ -42,7 +42,7 @@
 		}
 		for range count {
 			if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" {
-				t.Errorf("%+v %v", result, err)
+				t.Errorf("answer %+v, error %v; want served", result, err)
 			}
 		}
 	}
@@ -102,7 +102,7 @@
 			}
 			harness := newHarness(t, map[string]handler{"s-000000c1": bad, "s-000000c2": bad})
 			if result := harness.roundTrip(readFields(key), nil); result.Word != "served" || string(result.Body) != "bytes of "+key {
-				t.Errorf("answered %+v", result)
+				t.Errorf("answer %+v, want served with the object", result)
 			}
 			if n := requests.Load(); n != 2 {
 				t.Errorf("%d attempts, want 2", n)
@@ -124,7 +124,7 @@
 	harness := newHarness(t, map[string]handler{"s-000000c1": answerTwice, "s-000000c2": answerTwice})
 	for range 20 {
 		if result := harness.roundTrip(readFields(key), nil); result.Word != "served" || string(result.Body) != "good" {
-			t.Fatalf("%+v", result)
+			t.Fatalf("answer %+v, want served with the body good", result)
 		}
 	}
 	if n := harness.members["s-000000c1"].Conns() + harness.members["s-000000c2"].Conns(); n > 2 {
@@ -145,10 +145,10 @@
 	harness := newHarness(t, map[string]handler{"s-000000c1": fault, "s-000000c2": fault})
 	for i := range 20 {
 		if result := harness.roundTrip(readFields("0000000000000bad"), nil); result.Word == "served" {
-			t.Fatalf("%+v", result)
+			t.Fatalf("answer %+v, want any other result than served", result)
 		}
 		if result := harness.roundTrip(readFields(key), nil); result.Word != "served" {
-			t.Fatalf("round %d: %+v", i, result)
+			t.Fatalf("round %d: answer %+v, want served", i, result)
 		}
 	}
 }
@@ -260,7 +260,7 @@
 	harness.members["s-000000c1"].Close()
 	for i := range 30 {
 		if result := harness.roundTrip(readFields(fmt.Sprintf("%016x", i), "slice", fmt.Sprint(i%20)), nil); result.Word != "served" {
-			t.Errorf("%d: %+v", i, result)
+			t.Errorf("request %d: answer %+v, want served", i, result)
 		}
 	}
 	harness.server.loop.Call(waitTimeout, func() {
@@ -302,7 +302,7 @@
 		once := fmt.Sprintf("%032x", i+1)
 		result := harness.roundTrip(readFields(key, "class", "note", "once", once), []byte("written"))
 		if result.Word != "served" {
-			t.Errorf("%d: %+v", i, result)
+			t.Errorf("request %d: answer %+v, want served", i, result)
 		}
 	}
 	mu.Lock()
--- a/internal/proxy/platform/reload_test.go
+++ b/internal/proxy/platform/reload_test.go
@@ -20,7 +20,7 @@
 	os.WriteFile(harness.configFile, []byte(`{"name":`), 0o600)
 	harness.server.Reload()
 	if result := harness.roundTrip(readFields(key), nil); result.Word != "served" {
-		t.Fatalf("after an invalid file: %+v", result)
+		t.Fatalf("after an invalid file: answer %+v, want served", result)
 	}
 	harness.writeConfig(harness.newDiscovery().Addr)
 	harness.server.Reload()
@@ -29,7 +29,7 @@
 		t.Errorf("resumed from event %d, want 1", n)
 	}
 	if result := harness.roundTrip(readFields(key), nil); result.Word != "served" {
-		t.Errorf("after a new file: %+v", result)
+		t.Errorf("after a new file: answer %+v, want served", result)
 	}
 }
 
@@ -66,11 +66,11 @@
 		harness.waitTurn()
 		for range 20 {
 			if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" {
-				t.Errorf("round %d: %+v %v", round, result, err)
+				t.Errorf("round %d: answer %+v, error %v; want served", round, result, err)
 			}
 		}
 		if result := harness.roundTrip(readFields(key), nil); result.Word != "served" {
-			t.Errorf("round %d, afterwards: %+v", round, result)
+			t.Errorf("round %d, afterwards: answer %+v, want served", round, result)
 		}
 		feed := ""
 		harness.server.loop.Call(waitTimeout, func() { feed = harness.server.config.DiscoveryAddress })
@@ -124,10 +124,10 @@
 	harness.waitTurn()
 	answer()
 	if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" {
-		t.Errorf("%+v %v", result, err)
+		t.Errorf("answer %+v, error %v; want served", result, err)
 	}
 	if result := harness.roundTrip(readFields(key), nil); result.Word != "failed" {
-		t.Errorf("a request of a removed class: %+v", result)
+		t.Errorf("a request of a removed class: answer %+v, want failed", result)
 	}
 }
 
@@ -156,7 +156,7 @@
 		harness.server.Reload()
 		harness.waitTurn()
 		if result := harness.roundTrip(readFields(key), nil); result.Word != "served" {
-			t.Errorf("after a reload with %s: %+v", test.new, result)
+			t.Errorf("after a reload with %s: answer %+v, want served", test.new, result)
 		}
 	}
 }
--- a/internal/proxy/platform/run_test.go
+++ b/internal/proxy/platform/run_test.go
@@ -53,15 +53,15 @@
 		t.Fatalf("isWell: %v %v", good, err)
 	}
 	if result := harness.roundTrip(readFields(key), nil); result.Word != "served" || string(result.Body) != "bytes of "+key {
-		t.Fatalf("answered %+v", result)
+		t.Fatalf("answer %+v, want served with the object", result)
 	}
 	run.Process.Signal(syscall.SIGHUP)
 	if result := harness.roundTrip(readFields(key), nil); result.Word != "served" {
-		t.Fatalf("after SIGHUP: %+v", result)
+		t.Fatalf("after SIGHUP: answer %+v, want served", result)
 	}
 	run.Process.Signal(syscall.SIGTERM)
 	if result := harness.roundTrip(readFields(key), nil); result.Word != "served" {
-		t.Fatalf("after SIGTERM: %+v", result)
+		t.Fatalf("after SIGTERM: answer %+v, want served", result)
 	}
 	select {
 	case err := <-ended:
--- a/internal/proxy/platform/server.go
+++ b/internal/proxy/platform/server.go
@@ -13,8 +13,9 @@
 	"indigospool/internal/proxy/unixclock"
 )
 
-// Server is a router on the platform. It may be used only on the event loop's goroutine,
-// except for methods whose comment says otherwise. Times are on the loop's clock, in ms.
+// Server is a router on the platform: its clients call over Thrift, and its members (caches,
+// parents and the origin) speak RESP. It may be used only on the event loop's goroutine, except
+// for methods whose comment says otherwise. Times are on the loop's clock, in ms.
 type Server struct {
 	loop       *eventloop.Loop
 	config     *Config
@@ -24,18 +25,18 @@
 	counts     Counts
 
 	engine        *engine.Core
-	classes       map[string]*spool.Class // the classes in the settings, by name
-	pendingEvents []spool.Event           // events that the router has not handled yet
-	actions       []spool.Action          // the router's actions for the event being handled
-	dispatching   bool
-	arriving      *request // the request that the event being handled starts, if any; it gets the next timer
+	classes       map[string]*spool.Class // the request classes in the settings, by name
+	pendingEvents []spool.Event           // events not yet passed to the engine, and the one being handled
+	actions       []spool.Action          // actions that the engine returned for the event being handled
+	dispatching   bool                    // dispatch is running; events raised meanwhile are queued
+	arriving      *request                // the request whose arrival is being dispatched, or nil; it gets the first timer that the engine requests
 	tickTimer     eventloop.Timer
 
 	listener          *listener
 	codec             *thriftrpc.Codec
 	clients           map[*client]struct{}
 	requests          map[string]*request // requests in flight, by id
-	pools             map[string]*pool    // by member id
+	pools             map[string]*pool    // by id of the member: a cache, a parent or the origin
 	connectionLimits  limits.ConnectionQuota
 	memberConnections int // member connections that are open or being dialled
 	buffers           eventloop.Buffers
@@ -78,7 +79,7 @@
 		connectionLimits: limits.NewConnectionQuota(config.Limits.Sockets),
 		readBuffer:       make([]byte, readBufferBytes),
 	}
-	server.buffers.Keep = server.maxBufferedBytes() / 2
+	server.buffers.Keep = server.maxBufferedBytes() / 2 // the pool keeps unused buffers up to half of the limit
 	if server.engine, err = engine.NewFromModule(config.settings.Module, config.seed); err != nil {
 		return nil, err
 	}
@@ -88,7 +89,7 @@
 	}
 	server.tickTimer.F = func() { server.dispatch(spool.Timer{}) }
 	server.stream.init(server)
-	initial, err := decodeKnown(&server.stream.decoder, config)
+	initial, err := decodeKnown(&server.stream.decoder, config) // the endpoint list in the configuration
 	if err != nil {
 		return nil, err
 	}
@@ -101,7 +102,7 @@
 	return server, nil
 }
 
-// indexClasses rebuilds the index of classes by name from the current settings.
+// indexClasses rebuilds the index of request classes by name from the current settings.
 func (s *Server) indexClasses() {
 	s.classes = map[string]*spool.Class{}
 	for i := range s.config.settings.Module.Classes {
@@ -110,7 +111,7 @@
 	}
 }
 
-// class returns the settings of the named class, or nil if there is none.
+// class returns the settings of the named request class, or nil if there is none.
 func (s *Server) class(name string) *spool.Class { return s.classes[name] }
 
 // Addr returns the address and port at which the server listens.
@@ -119,8 +120,10 @@
 // Serve runs the server until it has drained. It returns the error of the event loop, if any.
 func (s *Server) Serve() error { return s.loop.Run() }
 
-// cleanUp closes expired connections. A client connection with a pending answer is kept until
-// the answer is written, unless the client has stopped reading.
+// cleanUp closes expired connections. An expired client connection is first shut down for
+// writing, and closed by a later call when the client has not closed it in time. One with a
+// pending answer is kept until the answer is written. A client that has stopped reading is
+// closed at once.
 func (s *Server) cleanUp() {
 	now := s.loop.Now()
 	for c := range s.clients {
