--- a/internal/testbed/faultinject/faultinject.go
+++ b/internal/testbed/faultinject/faultinject.go
@@ -13,8 +13,8 @@
 //   - how often is a share of the calls (0.05), or a number of calls followed by x (3x: the
 //     next three); the default is all calls;
 //   - from-until is a range of readings of the clock that New is given, as durations (2s-4s);
-//     without it the fault always applies, and without the second duration ("2s-") it does
-//     not end.
+//     without a range the fault always applies, and without the second duration ("2s-") it
+//     does not end.
 //
 // For example:
 //
@@ -59,10 +59,10 @@
 // Fault is one entry of a plan.
 type Fault struct {
 	Call  Call
-	Errno unix.Errno // 0: a short read or write
-	Share float64    // share of the calls that fail; 1 if Count is set
-	Count int        // number of calls that fail; 0: no limit
-	From  time.Duration
+	Errno unix.Errno    // 0: a short read or write
+	Share float64       // share of the calls that fail; 1 if Count is set
+	Count int           // number of calls that fail; 0: no limit
+	From  time.Duration // readings of the clock at which the fault begins and ends
 	Until time.Duration // 0: no end
 }
 
@@ -110,7 +110,7 @@
 		return fault, nil
 	}
 	if len(rest) > 1 {
-		return Fault{}, fmt.Errorf("%q follows the time span", rest[1])
+		return Fault{}, fmt.Errorf("%q follows the time span, want nothing after it", rest[1])
 	}
 	return fault, fault.parseSpan(rest[0])
 }
@@ -118,7 +118,7 @@
 func (f *Fault) parseError(name string) error {
 	if name == short {
 		if f.Call != Read && f.Call != Write {
-			return fmt.Errorf("%s cannot be short", f.Call)
+			return fmt.Errorf("%s cannot be short, only read and write can", f.Call)
 		}
 		return nil
 	}
@@ -134,12 +134,12 @@
 func (f *Fault) parseOften(text string) (err error) {
 	if number, ok := strings.CutSuffix(text, "x"); ok {
 		if f.Count, err = strconv.Atoi(number); err != nil || f.Count < 1 {
-			return fmt.Errorf("%q is not a number of calls", text)
+			return fmt.Errorf("%q is not a number of calls, want an integer above 0 followed by x", text)
 		}
 		return nil
 	}
 	if f.Share, err = strconv.ParseFloat(text, 64); err != nil || !(f.Share > 0 && f.Share <= 1) {
-		return fmt.Errorf("%q is not a share of calls", text)
+		return fmt.Errorf("%q is not a share of calls, want a number above 0 and at most 1", text)
 	}
 	return nil
 }
@@ -147,7 +147,7 @@
 func (f *Fault) parseSpan(text string) (err error) {
 	from, until, ok := strings.Cut(text, "-")
 	if !ok {
-		return fmt.Errorf("%q is not a time span", text)
+		return fmt.Errorf("%q is not a time span, want from-until or from-", text)
 	}
 	if f.From, err = time.ParseDuration(from); err != nil {
 		return fmt.Errorf("begin of time span %q: %w", text, err)
@@ -199,7 +199,7 @@
 	s.plan = append(Plan(nil), plan...)
 }
 
-// Counts returns how many calls were made, and how many of them failed or were short.
+// Counts returns how many calls of a kind were made, and how many of them failed or were short.
 func (s *Syscalls) Counts(call Call) (made, failed int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -222,7 +222,7 @@
 		}
 		if f.Count > 0 {
 			if f.Count--; f.Count == 0 {
-				f.Count = -1 // used up
+				f.Count = -1 // no calls left to fail
 			}
 		}
 		s.failed[call]++
@@ -299,7 +299,8 @@
 	return s.next.WriteTwo(fd, first, second)
 }
 
-// Wait implements eventloop.Syscalls.
+// Wait implements eventloop.Syscalls. A fault applies only if no event is ready; it does not wait
+// for the timeout.
 func (s *Syscalls) Wait(epoll int, events []unix.EpollEvent, timeout int) (int, error) {
 	fault, ok := s.fault(Wait)
 	if !ok {
--- a/internal/testbed/faultinject/faultinject_test.go
+++ b/internal/testbed/faultinject/faultinject_test.go
@@ -20,7 +20,7 @@
 		{Call: Wait, Errno: unix.EINTR, Share: 1, From: time.Second, Until: 2 * time.Second},
 	}
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, %v, want %+v", got, err, want)
+		t.Errorf("Parse returned %+v, %v, want %+v", got, err, want)
 	}
 	for text, part := range map[string]string{
 		"read":                       `"read"`,
@@ -38,11 +38,12 @@
 		"read:EINTR:0.1:1s-2s:again": "want call:error",
 	} {
 		if _, err := Parse(text); !errors.Is(err, ErrPlan) || !strings.Contains(err.Error(), part) {
-			t.Errorf("%s: %v, want an error that names %s", text, err, part)
+			t.Errorf("Parse(%q): %v, want ErrPlan with %s", text, err, part)
 		}
 	}
 }
 
+// Calls fail as often, as long and with the error that the plan says, and are counted.
 func TestFails(t *testing.T) {
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
 	if err != nil {
@@ -71,7 +72,7 @@
 		want string
 	}{{0, "whole"}, {time.Second, "EPIPE"}, {time.Second, "EPIPE"}, {time.Second, "whole"}, {2 * time.Second, "whole"}} {
 		if now = at.now; write() != at.want {
-			t.Errorf("at %v: not %s", now, at.want)
+			t.Errorf("at %v: result of a write is not %s", now, at.want)
 		}
 	}
 	now = 3 * time.Second
@@ -84,15 +85,15 @@
 		}
 	}
 	if got["short"] < 150 || got["short"] > 250 || got["EINTR"] < 70 || got["EINTR"] > 130 || got["whole"]+got["short"] != 400 {
-		t.Errorf("of 400 writes and reads: %v", got)
+		t.Errorf("results of 400 writes and 400 reads: %v, want about 200 short writes, no failed ones and about 100 reads with EINTR", got)
 	}
 	if made, failed := s.Counts(Write); made != 405 || failed != got["short"]+2 {
-		t.Errorf("%d writes counted, %d failed: %v", made, failed, got)
+		t.Errorf("%d writes counted, %d of them failed or short, want 405 and %d", made, failed, got["short"]+2)
 	}
 	_, socketErr := s.Socket(unix.AF_INET)
 	_, acceptErr := s.Accept(-1)
 	if err := s.Connect(-1, nil); socketErr != unix.ENFILE || acceptErr != unix.EMFILE || err != unix.EPERM {
-		t.Errorf("socket %v, accept %v, connect %v", socketErr, acceptErr, err)
+		t.Errorf("socket %v, accept %v, connect %v; want ENFILE, EMFILE and EPERM", socketErr, acceptErr, err)
 	}
 }
 
@@ -113,10 +114,10 @@
 	unix.EpollCtl(epoll, unix.EPOLL_CTL_ADD, event, &unix.EpollEvent{Events: unix.EPOLLIN})
 	events := make([]unix.EpollEvent, 1)
 	if n, err := s.Wait(epoll, events, -1); n != 0 || err != unix.EINTR {
-		t.Errorf("without a ready event: %d, %v", n, err)
+		t.Errorf("wait without a ready event: %d, %v, want 0, EINTR", n, err)
 	}
 	unix.Write(event, []byte{1, 0, 0, 0, 0, 0, 0, 0})
 	if n, err := s.Wait(epoll, events, -1); n != 1 || err != nil {
-		t.Errorf("with a ready event: %d, %v", n, err)
+		t.Errorf("wait with a ready event: %d, %v, want 1, nil", n, err)
 	}
 }
