--- a/internal/testbed/scenario/clients.go
+++ b/internal/testbed/scenario/clients.go
@@ -29,7 +29,7 @@
 	day      *Day
 	zone     string
 	rate     float64
-	random   *rand.Rand // of the arrivals; each session has a source of its own
+	random   *rand.Rand // for the arrivals; each session has a source of its own
 	sequence *atomic.Int64
 	sessions *sync.WaitGroup
 }
@@ -178,22 +178,23 @@
 	}
 }
 
-// outcomeUnreached is the outcome of a try that no router accepted.
+// outcomeUnreached is the outcome of a try that no router accepted, in response.err and in the
+// traffic log.
 const outcomeUnreached = "unreached"
 
 // response is the outcome of a try.
 type response struct {
-	status     int
-	complete   bool
-	err        string
-	retryAfter float64
+	status     int     // HTTP status; 0: no response
+	complete   bool    // the whole response was read
+	err        string  // why the response is not complete, as in the traffic log; empty: it is
+	retryAfter float64 // ms, from the header Retry-After; 0: none
 }
 
 // conn is a connection to a router.
 type conn struct {
 	net.Conn
 	br       *bufio.Reader
-	lastUsed float64
+	lastUsed float64 // see trafficlog.Now
 }
 
 // closedByPeer reports whether the router has closed the idle connection. A router may do
@@ -217,7 +218,7 @@
 	mu         sync.Mutex
 	addr       string
 	admin      string // address of the admin listener
-	generation int
+	generation int    // incremented when the address changes
 	idle       []*conn
 }
 
--- a/internal/testbed/scenario/clients_test.go
+++ b/internal/testbed/scenario/clients_test.go
@@ -33,7 +33,7 @@
 	server := <-accepted
 	at.put(first)
 	if again, err := at.get(); err != nil || again != first {
-		t.Fatalf("an idle connection was not reused: %v", err)
+		t.Fatalf("got another connection or error %v, want the idle connection", err)
 	}
 	at.put(first)
 	server.Close()
@@ -43,7 +43,7 @@
 	}
 	second, err := at.get()
 	if err != nil || second == first {
-		t.Fatalf("a connection that the router had closed was reused: %v", err)
+		t.Fatalf("got the connection that the router has closed or error %v, want a new connection", err)
 	}
 	defer second.Close()
 	server = <-accepted
--- a/internal/testbed/scenario/inject.go
+++ b/internal/testbed/scenario/inject.go
@@ -69,7 +69,7 @@
 var folderErrnos = map[string]unix.Errno{"ENOSPC": unix.ENOSPC, "EIO": unix.EIO, "EDQUOT": unix.EDQUOT, "EROFS": unix.EROFS}
 
 // activeFaults holds the process faults of a day by machine. A process that starts during a
-// fault is given it at its start.
+// fault gets the fault with its settings.
 type activeFaults struct {
 	mu        sync.Mutex
 	byMachine map[string][]processFault
@@ -125,8 +125,8 @@
 // retryIntervalMS is the interval of retries during a folder-fault.
 const retryIntervalMS = 100
 
-// errNotRecovered reports that a machine still rejects requests after its folder has worked
-// again for recoveryTimeMS.
+// errNotRecovered reports that a machine still rejects requests although its folder-fault
+// ended more than recoveryTimeMS ago.
 var errNotRecovered = errors.New("day: request rejected although the folder-fault has ended")
 
 // folderFaultEnd returns the end of the latest folder-fault of a machine. It reports false if
--- a/internal/testbed/scenario/injector.go
+++ b/internal/testbed/scenario/injector.go
@@ -14,19 +14,19 @@
 	"indigospool/internal/wallclock"
 )
 
-// injector applies faults to the process that it runs in, each until its end. Its methods are
-// safe for concurrent use.
+// injector applies faults to the process that it runs in, each until its Until time. Its
+// methods are safe for concurrent use.
 type injector struct {
 	folder    atomic.Pointer[folderFault]
 	calls     atomic.Pointer[plannedCalls]
-	intercept bool
+	intercept bool      // the event loop's system calls go through faultyCalls
 	report    io.Writer // receives the counts of each fault at its end
 }
 
 // folderFault is a folder-fault and the number of calls that it made fail.
 type folderFault struct {
 	processFault
-	failed atomic.Int64 // writes and syncs
+	failed atomic.Int64 // failed calls that write, create, rename or sync
 }
 
 // newInjector reads the line with the process's startup faults and applies them.
@@ -93,7 +93,7 @@
 		wallclock.Step(step)
 		time.AfterFunc(left, func() { wallclock.Step(-step) })
 	default:
-		return fmt.Errorf("day: unknown process fault %q", fault.Kind)
+		return fmt.Errorf("day: unknown process fault %q, want one of %q", fault.Kind, processKinds)
 	}
 	return nil
 }
@@ -107,7 +107,7 @@
 }
 
 // folderErr returns the error of a write or sync in the process's folder during a
-// folder-fault, and otherwise nil.
+// folder-fault, which it counts as a failed call, and otherwise nil.
 func (i *injector) folderErr() error {
 	fault := i.folder.Load()
 	if fault == nil || trafficlog.Now() >= fault.Until {
--- a/internal/testbed/scenario/proc.go
+++ b/internal/testbed/scenario/proc.go
@@ -26,8 +26,8 @@
 	ChildTestServer = "machine-stand"
 	ChildRouter     = "machine-router"
 
-	ChildControl = "machine-control"
-	ChildBox     = "machine-box"
+	ChildControl = "machine-control" // the control service
+	ChildBox     = "machine-box"     // a box that runs spool-cache
 )
 
 // Child runs a machine of a day if the program's arguments name one; otherwise it returns
@@ -50,7 +50,7 @@
 }
 
 // waitForParentExit returns when the parent process closes its end of the pipe or has ended:
-// the process must not outlive it.
+// a machine must not outlive the scenario that started it.
 func waitForParentExit(r io.Reader) { io.Copy(io.Discard, r) }
 
 func runTestServer() error {
@@ -131,8 +131,9 @@
 	writeMu sync.Mutex // serializes writes to in
 }
 
-// startProcess starts a machine's process with its first lines of input. It calls onLine, if
-// not nil, with each line of output.
+// startProcess starts this program, by the command self, as the machine that the argument word
+// names, and writes its first lines of input. It calls onLine, if not nil, with each line of
+// output.
 func startProcess(self []string, word string, stdin []byte, stderr io.Writer, onLine func(line []byte)) (*process, error) {
 	cmd := exec.Command(self[0], append(append([]string{}, self[1:]...), word)...)
 	cmd.Stderr = stderr
--- a/internal/testbed/scenario/repeat_test.go
+++ b/internal/testbed/scenario/repeat_test.go
@@ -23,10 +23,10 @@
 	retryAfter string
 }
 
-// A client repeats a write only where that is certainly safe. The repeat's deadline lies
-// within the window since the first try that may have been executed.
+// A client repeats a write only if the write certainly does not take effect twice. The deadline
+// of a repeat lies within the window after the first try that may have been executed.
 func TestWritesRepeatedOnlyIfSafe(t *testing.T) {
-	const window = 600
+	const window = 600 // ms for which servers discard repeats
 	failed, refused := reply{status: 502}, reply{status: 503}
 	refusedFor := reply{status: 503, retryAfter: "1"}
 	for _, c := range []struct {
@@ -75,7 +75,7 @@
 			mayHaveRun := math.Inf(1)
 			for i, ask := range records {
 				if latest := mayHaveRun + window; ask.Limit > latest || deadlines[i] > latest {
-					t.Errorf("try %d may run until %.0f ms after the first that may have run; repeats are dropped for %d", i, ask.Limit-mayHaveRun, window)
+					t.Errorf("try %d has its deadline %.0f ms after the first try that may have been executed, and at the router %.0f ms after it; want at most %d", i, ask.Limit-mayHaveRun, deadlines[i]-mayHaveRun, window)
 				}
 				if c.replies[min(i, len(c.replies)-1)].status != 503 {
 					mayHaveRun = min(mayHaveRun, ask.Time)
@@ -85,13 +85,13 @@
 	}
 	t.Run("no router accepts it", func(t *testing.T) {
 		if n := len(askOneWrite("", Class{Name: "order", Deadline: 2000, Write: true, Idempotency: "single-shot"})); n != 3 {
-			t.Errorf("%d tries, want 3", n)
+			t.Errorf("%d tries of a write that no router accepts, want 3", n)
 		}
 	})
 }
 
-// askOneWrite has a client make one write to the router at an address and returns the
-// records of its tries.
+// askOneWrite has a client make one write to the router at an address (empty: the router is
+// down) and returns the records of the client's tries.
 func askOneWrite(address string, class Class) (asks []trafficlog.Record) {
 	script := &Script{Day: DaySettings{Retries: 2, RetryWait: 20, MinTimeoutShare: 1, Groups: 1}, Classes: []Class{class}}
 	script.Limits.AnswerSlack = 50
@@ -129,9 +129,9 @@
 	time.Sleep(delay * time.Millisecond)
 	at.mu.Unlock()
 	if ans := <-done; !ans.complete {
-		t.Fatalf("not answered: %+v", ans)
+		t.Fatalf("response %+v, want a complete one", ans)
 	}
 	if span := <-left; span > patience-delay+slack {
-		t.Errorf("%.0f ms are stated to the router after %d of %d ms have passed", span, delay, patience)
+		t.Errorf("the router was told that %.0f ms remain after %d of %d ms have passed, want at most %d", span, delay, patience, patience-delay+slack)
 	}
 }
--- a/internal/testbed/scenario/run.go
+++ b/internal/testbed/scenario/run.go
@@ -34,7 +34,7 @@
 	TrafficLog io.Writer // receives each record of the traffic log; may be nil
 	Progress   io.Writer // receives progress messages; may be nil
 	Routers    int       // number of routers; 0: as in the script
-	Seed       int       // 0: as in the script
+	Seed       int       // seed of the day; 0: as in the script
 	Without    []string  // kinds of faults to leave out
 	Journal    bool      // routers keep journals, which are replayed after the run
 	Length     float64   // ms; 0: as in the script; the times of faults are scaled with it
@@ -106,7 +106,7 @@
 	member     engine.Row
 	process    *process
 	address    string
-	faultUntil float64 // end of the latest fault that affects it
+	faultUntil float64 // time until which chooseTargets prefers other machines, since a fault affects this one
 }
 
 // Day is a run of a day script.
@@ -118,8 +118,8 @@
 	random     *rand.Rand
 
 	mu             sync.Mutex
-	machines       map[string]*machine
-	order          []string
+	machines       map[string]*machine // by id
+	order          []string            // the ids of machines, in the order in which they were added
 	routers        []*router
 	list           *testserver.ListService
 	controlService *controlService // nil: the script has none
@@ -134,9 +134,9 @@
 
 // diversion directs a share of the requests to other objects until a time.
 type diversion struct {
-	name  string
-	share float64
-	until float64
+	name  string  // of hotKey: the object; empty for scan, whose objects are requested once each
+	share float64 // of the requests
+	until float64 // see trafficlog.Now
 }
 
 // router is a router of the day. Its process may be restarted.
--- a/internal/testbed/scenario/sluggish.go
+++ b/internal/testbed/scenario/sluggish.go
@@ -15,8 +15,8 @@
 // Faults by slow clients. The requests of these clients are neither counted nor recorded in
 // the traffic log, but the attempts that routers make for them are.
 const (
-	SlowReaders = "slow-readers" // request large objects and read (rate n) KB per second
-	SlowSenders = "slow-askers"  // send their requests at one byte per second
+	SlowReaders = "slow-readers" // clients request large objects and read (rate n) KB per second
+	SlowSenders = "slow-askers"  // clients send their requests at one byte per second
 )
 
 // RouterRestart hot-restarts routers one after the other.
--- a/internal/testbed/scenario/summary.go
+++ b/internal/testbed/scenario/summary.go
@@ -52,7 +52,7 @@
 	FaultImpacts []FaultImpact  `json:"costs"`
 }
 
-// faultTailMS is the time after a fault that its impact includes.
+// faultTailMS is the time after a fault whose requests count for its impact.
 const faultTailMS = 2000
 
 // Summarize counts the outcomes in a traffic log.
@@ -70,7 +70,7 @@
 		request  *trafficlog.Record
 		head     *trafficlog.Record
 		inTime   bool
-		accepted bool // a router had accepted it
+		accepted bool // a router accepted the request
 	}
 	tries := map[string]*try{}
 	type faultSpan struct {
--- a/internal/testbed/scenario/versions.go
+++ b/internal/testbed/scenario/versions.go
@@ -50,7 +50,7 @@
 	VersionRepeat  = "version-repeat"  // the same content is pushed again under a new number
 	ControlDown    = "control-down"    // the service is killed and started again from its store
 	ControlFlap    = "control-flap"    // the service is killed and started again repeatedly
-	ControlStopped = "control-stopped" // the service's process is stopped by SIGSTOP for a time
+	ControlStopped = "control-stopped" // the service's process is suspended by SIGSTOP for a time
 	ControlOlder   = "control-older"   // the service is killed and started again from an older store
 )
 
@@ -470,7 +470,7 @@
 			continue
 		}
 		if s.Version < n {
-			return fmt.Errorf("%s ran version %d, but %d after a time without the service", r.endpoint.name, n, s.Version)
+			return fmt.Errorf("%s ran version %d, but runs version %d after %.0f ms without the service, want no lower version", r.endpoint.name, n, s.Version, span)
 		}
 	}
 	return nil
@@ -513,7 +513,7 @@
 					continue
 				}
 				if one.State != "refused" || !strings.Contains(strings.Join(one.Reasons, " "), want) {
-					return fmt.Errorf("%s reports version %d as %s: %v", r.endpoint.name, number, one.State, one.Reasons)
+					return fmt.Errorf("%s reports version %d as %s: %v, want refused with %q", r.endpoint.name, number, one.State, one.Reasons, want)
 				}
 				rejections++
 			}
@@ -567,7 +567,7 @@
 		return err
 	}
 	if next <= newest {
-		return fmt.Errorf("the service that restarted from an older store issues version %d; routers have accepted %d", next, newest)
+		return fmt.Errorf("the service that restarted from an older store issues version %d, want a number above %d, which routers have accepted", next, newest)
 	}
 	c.addStep(name, fmt.Sprintf("version %d everywhere from a service that had forgotten %d", next, newest), trafficlog.Now()-began)
 	return nil
