--- a/internal/testbed/scenario/box.go
+++ b/internal/testbed/scenario/box.go
@@ -28,35 +28,35 @@
 	if err != nil {
 		return err
 	}
-	var c cacheNodeConfig
-	if err := json.Unmarshal(line, &c); err != nil {
+	var config cacheNodeConfig
+	if err := json.Unmarshal(line, &config); err != nil {
 		return err
 	}
 	faults, err := newInjector(in, os.Stdout)
 	if err != nil {
 		return err
 	}
-	fills := c.MaxFills
+	fills := config.MaxFills
 	if fills <= 0 {
 		fills = 1024
 	}
-	s, err := server.StartWithFS(faultyFolder{store.Dir(c.Folder), faults}, server.Config{Name: c.ID, Listen: "127.0.0.1:0", Folder: c.Folder, CapacityMB: float64(c.Bytes) / (1 << 20), SegmentMB: max(float64(c.Bytes)/(16<<20), 0.5), Sync: "purges",
-		DiskThreads: 2, DiskQueue: 512, DiskTimeout: 2000, MaxFills: fills, FillTimeout: c.FillTimeout, ConnectTimeout: 500, IdleTimeout: 300_000, MaxConns: 20000, MaxBufferedBytes: 1 << 20, MaxBodyBytes: 1 << 20, CompleteAbandonedFills: c.CompleteAbandonedFills},
-		func(w string) { fmt.Fprintln(os.Stderr, c.ID, w) })
+	cache, err := server.StartWithFS(faultyFolder{store.Dir(config.Folder), faults}, server.Config{Name: config.ID, Listen: "127.0.0.1:0", Folder: config.Folder, CapacityMB: float64(config.Bytes) / (1 << 20), SegmentMB: max(float64(config.Bytes)/(16<<20), 0.5), Sync: "purges",
+		DiskThreads: 2, DiskQueue: 512, DiskTimeout: 2000, MaxFills: fills, FillTimeout: config.FillTimeout, ConnectTimeout: 500, IdleTimeout: 300_000, MaxConns: 20000, MaxBufferedBytes: 1 << 20, MaxBodyBytes: 1 << 20, CompleteAbandonedFills: config.CompleteAbandonedFills},
+		func(w string) { fmt.Fprintln(os.Stderr, config.ID, w) })
 	if err != nil {
 		return err
 	}
-	s.Intercept(faults.syscalls())
-	w := trafficlog.NewWriter(os.Stdout)
+	cache.Intercept(faults.syscalls())
+	writer := trafficlog.NewWriter(os.Stdout)
 	kb := map[string]float64{}
-	for _, k := range c.Classes {
+	for _, k := range config.Classes {
 		kb[k.Name] = k.KB
 	}
-	s.OnEvent = func(e server.Event) {
+	cache.OnEvent = func(e server.Event) {
 		a := e.Attempt
-		r := trafficlog.Record{Event: trafficlog.AttemptReceived, Subject: c.ID, Role: c.Role, Start: c.Start, RouterRequest: a.ID, Attempt: a.Number, From: a.From, Via: a.Via, Source: a.Source, Class: a.Class,
+		r := trafficlog.Record{Event: trafficlog.AttemptReceived, Subject: config.ID, Role: config.Role, Start: config.Start, RouterRequest: a.ID, Attempt: a.Number, From: a.From, Via: a.Via, Source: a.Source, Class: a.Class,
 			Object: a.Object, Group: a.Group, Key: e.Header.Get("Idempotency-Key"), Write: e.Method != "GET" && e.Method != "HEAD", ID: e.Header.Get("X-Request-Id"),
-			Work: kb[a.Class] / max(c.Flow, 0.01)}
+			Work: kb[a.Class] / max(config.Flow, 0.01)}
 		switch e.What {
 		case "recv":
 			if r.Note = "look"; a.Source != "" || a.MayFetch {
@@ -69,13 +69,13 @@
 		case "left":
 			r.Event = trafficlog.AttemptCanceled
 		}
-		w.Add(r)
+		writer.Add(r)
 	}
-	w.Add(trafficlog.Record{Event: trafficlog.Started, Subject: c.ID, Role: c.Role, Addr: s.Addr(), Start: c.Start, Cold: c.Cold, Work: c.Capacity, Note: c.Zone,
-		Bytes: s.Recovered.Bytes})
+	writer.Add(trafficlog.Record{Event: trafficlog.Started, Subject: config.ID, Role: config.Role, Addr: cache.Addr(), Start: config.Start, Cold: config.Cold, Work: config.Capacity, Note: config.Zone,
+		Bytes: cache.Recovered.Bytes})
 	go func() {
 		faults.readFaults(in)
-		s.Stop()
+		cache.Stop()
 	}()
-	return s.Run()
+	return cache.Run()
 }
--- a/internal/testbed/scenario/inject.go
+++ b/internal/testbed/scenario/inject.go
@@ -186,13 +186,13 @@
 
 // injectProcessFault applies a fault to the processes of the target machines and returns at
 // its end.
-func (d *Day) injectProcessFault(ctx context.Context, t FaultSpec, targets []string) error {
-	fault := processFault{Name: t.name(), Kind: t.Kind, Plan: t.Plan, Peer: t.Peer, Step: t.Step, Errno: t.Errno, Until: trafficlog.Now() + t.Duration}
+func (d *Day) injectProcessFault(ctx context.Context, spec FaultSpec, targets []string) error {
+	fault := processFault{Name: spec.name(), Kind: spec.Kind, Plan: spec.Plan, Peer: spec.Peer, Step: spec.Step, Errno: spec.Errno, Until: trafficlog.Now() + spec.Duration}
 	line, err := json.Marshal(fault)
 	if err != nil {
 		return err
 	}
-	if t.Kind != ClockStep { // a clock step makes no call fail, so it is not counted
+	if spec.Kind != ClockStep { // a clock step makes no call fail, so it is not counted
 		d.processFaults.addInjected(fault.Name)
 	}
 	for _, machine := range targets {
@@ -201,24 +201,24 @@
 			p.writeLine(line)
 		}
 	}
-	sleep(ctx, t.Duration)
+	sleep(ctx, spec.Duration)
 	return nil
 }
 
 // chooseProcesses chooses the machines whose processes a fault affects. d.mu must be held.
-func (d *Day) chooseProcesses(t FaultSpec, rng *rand.Rand) (targets []string) {
-	for _, i := range rng.Perm(len(d.routers))[:t.Routers] {
+func (d *Day) chooseProcesses(spec FaultSpec, rng *rand.Rand) (targets []string) {
+	for _, i := range rng.Perm(len(d.routers))[:spec.Routers] {
 		targets = append(targets, d.routers[i].endpoint.name)
 	}
 	var boxes []string
 	for _, id := range d.order {
-		if m := d.machines[id]; m.config.Role == "box" && (t.Zone == "" || m.config.Zone == t.Zone) {
+		if m := d.machines[id]; m.config.Role == "box" && (spec.Zone == "" || m.config.Zone == spec.Zone) {
 			boxes = append(boxes, id)
 		}
 	}
 	rng.Shuffle(len(boxes), func(i, j int) { boxes[i], boxes[j] = boxes[j], boxes[i] })
-	targets = append(targets, boxes[:min(t.Boxes, len(boxes))]...)
-	if t.Control {
+	targets = append(targets, boxes[:min(spec.Boxes, len(boxes))]...)
+	if spec.Control {
 		targets = append(targets, controlMachine)
 	}
 	return targets
@@ -255,33 +255,33 @@
 
 // checkProcessFault returns what is wrong with a process fault and how to fix it; empty if
 // nothing is.
-func (s *Script) checkProcessFault(t *FaultSpec) (what, remedy string) {
+func (s *Script) checkProcessFault(spec *FaultSpec) (what, remedy string) {
 	cacheNodes := s.Stand.Boxes != "" && s.Stand.Boxes != "stand-in"
 	switch {
-	case t.Routers+t.Boxes == 0 && !t.Control:
-		return t.Kind + " affects no machine", "add (routers n), (boxes n) or (control)"
-	case t.Boxes > 0 && !cacheNodes:
-		return t.Kind + " at boxes that are test servers", "add (boxes warm) to (stand ...)"
-	case t.Control && !s.Control.On:
-		return t.Kind + " without a control service", "add (control (on))"
-	case t.Kind == SyscallFaults && t.Control:
+	case spec.Routers+spec.Boxes == 0 && !spec.Control:
+		return spec.Kind + " affects no machine", "add (routers n), (boxes n) or (control)"
+	case spec.Boxes > 0 && !cacheNodes:
+		return spec.Kind + " at boxes that are test servers", "add (boxes warm) to (stand ...)"
+	case spec.Control && !s.Control.On:
+		return spec.Kind + " without a control service", "add (control (on))"
+	case spec.Kind == SyscallFaults && spec.Control:
 		return "syscalls at the control service, which has no event loop", "leave out (control)"
-	case !contains([]string{peerAll, peerMembers, peerClients}, t.Peer):
-		return fmt.Sprintf("unknown peer %q", t.Peer), "write members or clients, or leave it out for both"
-	case t.Kind == SyscallFaults:
-		plan, err := faultinject.Parse(t.Plan)
+	case !contains([]string{peerAll, peerMembers, peerClients}, spec.Peer):
+		return fmt.Sprintf("unknown peer %q", spec.Peer), "write members or clients, or leave it out for both"
+	case spec.Kind == SyscallFaults:
+		plan, err := faultinject.Parse(spec.Plan)
 		if err != nil {
 			return err.Error(), "write call:error[:how often][:from-until], as read:EINTR:0.02"
 		}
 		if len(plan) == 0 {
 			return "syscalls without a plan", `add (plan "accept:ENFILE:0.5")`
 		}
-	case t.Kind == ClockStep && t.Step == 0:
+	case spec.Kind == ClockStep && spec.Step == 0:
 		return "clock-step without a step", "add (step 3000), or another number of ms"
-	case t.Kind == FolderFault && t.Routers > 0 && !s.Control.On:
+	case spec.Kind == FolderFault && spec.Routers > 0 && !s.Control.On:
 		return "folder-fault at routers that store no versions", "add (control (on))"
-	case t.Kind == FolderFault && folderErrnos[t.Errno] == 0:
-		return fmt.Sprintf("unknown errno %q", t.Errno), "known are ENOSPC, EIO, EDQUOT and EROFS"
+	case spec.Kind == FolderFault && folderErrnos[spec.Errno] == 0:
+		return fmt.Sprintf("unknown errno %q", spec.Errno), "known are ENOSPC, EIO, EDQUOT and EROFS"
 	}
 	return "", ""
 }
--- a/internal/testbed/scenario/run.go
+++ b/internal/testbed/scenario/run.go
@@ -160,29 +160,29 @@
 }
 
 // Run runs a day script to its end and checks the rules.
-func Run(ctx context.Context, s *Script, o Options) (*Result, error) {
-	if o.Routers > 0 {
-		s.Day.Routers = o.Routers
-		for i := range s.Faults { // a fault affects no more routers than there are
-			s.Faults[i].Routers = min(s.Faults[i].Routers, o.Routers)
+func Run(ctx context.Context, script *Script, options Options) (*Result, error) {
+	if options.Routers > 0 {
+		script.Day.Routers = options.Routers
+		for i := range script.Faults { // a fault affects no more routers than there are
+			script.Faults[i].Routers = min(script.Faults[i].Routers, options.Routers)
 		}
 	}
-	if o.Seed > 0 {
-		s.Day.Seed = o.Seed
+	if options.Seed > 0 {
+		script.Day.Seed = options.Seed
 	}
-	s.Faults = slices.DeleteFunc(s.Faults, func(t FaultSpec) bool { return contains(o.Without, t.Kind) })
-	if o.Length > 0 && o.Length != s.Day.Length {
-		f := o.Length / s.Day.Length
-		for i := range s.Faults {
-			s.Faults[i].At *= f
-			s.Faults[i].Duration *= f
+	script.Faults = slices.DeleteFunc(script.Faults, func(t FaultSpec) bool { return contains(options.Without, t.Kind) })
+	if options.Length > 0 && options.Length != script.Day.Length {
+		f := options.Length / script.Day.Length
+		for i := range script.Faults {
+			script.Faults[i].At *= f
+			script.Faults[i].Duration *= f
 		}
-		s.Day.Length = o.Length
+		script.Day.Length = options.Length
 	}
-	d := &Day{script: s, options: o, trafficLog: trafficlog.NewKeeper(o.TrafficLog), random: rand.New(rand.NewPCG(uint64(s.Day.Seed), 0xda7)),
+	d := &Day{script: script, options: options, trafficLog: trafficlog.NewKeeper(options.TrafficLog), random: rand.New(rand.NewPCG(uint64(script.Day.Seed), 0xda7)),
 		machines: map[string]*machine{}, http: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{}}}
 	var err error
-	if d.dir = o.Dir; d.dir == "" {
+	if d.dir = options.Dir; d.dir == "" {
 		if d.dir, err = os.MkdirTemp("", "spool-scenario-"); err != nil {
 			return nil, err
 		}
@@ -190,7 +190,7 @@
 		return nil, err
 	}
 	defer d.killAll()
-	d.trafficLog.Add(s.RuleParameters().Record())
+	d.trafficLog.Add(script.RuleParameters().Record())
 	if err := d.startAll(ctx); err != nil {
 		return nil, err
 	}
@@ -202,18 +202,18 @@
 		return nil, err
 	}
 	recs := d.trafficLog.Records()
-	res := &Result{Verdicts: invariants.Check(recs, s.RuleParameters()), Dir: d.dir, Records: recs}
-	res.Summary = Summarize(s, recs)
+	res := &Result{Verdicts: invariants.Check(recs, script.RuleParameters()), Dir: d.dir, Records: recs}
+	res.Summary = Summarize(script, recs)
 	if d.controlService != nil {
 		res.Steps = d.controlService.steps
 	}
 	res.Injected = d.processFaults.injected
-	if o.Journal {
-		if res.Replays, err = replayAll(d.dir, s.Day.Routers, recs); err != nil {
+	if options.Journal {
+		if res.Replays, err = replayAll(d.dir, script.Day.Routers, recs); err != nil {
 			return nil, err
 		}
 	}
-	if o.Dir == "" && res.OK() {
+	if options.Dir == "" && res.OK() {
 		os.RemoveAll(d.dir)
 		res.Dir = ""
 	}
@@ -238,34 +238,34 @@
 // startAll starts the discovery service, the control service, the test servers and the
 // routers.
 func (d *Day) startAll(ctx context.Context) error {
-	s := d.script
+	script := d.script
 	var err error
-	if d.list, err = testserver.StartListService(testserver.ListServiceConfig{ID: "list", LagFrom: s.List.LagFrom, LagTo: s.List.LagTo,
-		PurgeFrom: s.List.PurgeFrom, PurgeTo: s.List.PurgeTo, PurgeWindow: s.Rules.PurgeTime, InitialListAge: s.Day.StaleListAge,
-		Seed: uint64(s.Day.Seed)}, d.trafficLog); err != nil {
+	if d.list, err = testserver.StartListService(testserver.ListServiceConfig{ID: "list", LagFrom: script.List.LagFrom, LagTo: script.List.LagTo,
+		PurgeFrom: script.List.PurgeFrom, PurgeTo: script.List.PurgeTo, PurgeWindow: script.Rules.PurgeTime, InitialListAge: script.Day.StaleListAge,
+		Seed: uint64(script.Day.Seed)}, d.trafficLog); err != nil {
 		return err
 	}
 	if err := d.startControlService(ctx); err != nil {
 		return err
 	}
-	if d.origin, err = d.addMachine(ctx, testserver.Config{ID: "origin", Role: "origin", Zone: s.Zones[0].Hub,
-		Capacity: s.Origin.Capacity, Latency: s.Origin.Latency, Limit: s.Origin.Limit}); err != nil {
+	if d.origin, err = d.addMachine(ctx, testserver.Config{ID: "origin", Role: "origin", Zone: script.Zones[0].Hub,
+		Capacity: script.Origin.Capacity, Latency: script.Origin.Latency, Limit: script.Origin.Limit}); err != nil {
 		return err
 	}
-	for i := range s.Parents.Count {
-		hub := s.Zones[i%len(s.Zones)].Hub
+	for i := range script.Parents.Count {
+		hub := script.Zones[i%len(script.Zones)].Hub
 		if _, err := d.addMachine(ctx, testserver.Config{ID: fmt.Sprintf("parent-%d", i+1), Role: "parent", Zone: hub,
-			Upstream: d.origin.address, Capacity: s.Parents.Capacity, Bytes: int64(s.Parents.MB * (1 << 20)),
-			Latency: s.Parents.Latency, WarmUpInitialShare: s.Rules.ParentWarmUpInitialShare, WarmUpTime: s.Rules.ParentWarmUpTime,
-			OverloadFactor: s.Rules.ParentOverloadFactor, CompleteAbandonedFills: true}); err != nil {
+			Upstream: d.origin.address, Capacity: script.Parents.Capacity, Bytes: int64(script.Parents.MB * (1 << 20)),
+			Latency: script.Parents.Latency, WarmUpInitialShare: script.Rules.ParentWarmUpInitialShare, WarmUpTime: script.Rules.ParentWarmUpTime,
+			OverloadFactor: script.Rules.ParentOverloadFactor, CompleteAbandonedFills: true}); err != nil {
 			return err
 		}
 	}
-	for _, z := range s.Zones {
+	for _, z := range script.Zones {
 		for i := range z.Boxes {
 			if _, err := d.addMachine(ctx, testserver.Config{ID: fmt.Sprintf("%s-%d", z.Name, i+1), Role: "box", Zone: z.Name,
 				Capacity: z.Capacity, Bytes: int64(z.MB * (1 << 20)), LinkIn: z.LinkCapacity / float64(z.Boxes), MaxFills: z.MaxFills,
-				WarmUpInitialShare: s.Rules.WarmUpInitialShare, WarmUpTime: s.Rules.WarmUpTime, OverloadFactor: s.Rules.OverloadFactor, CompleteAbandonedFills: true}); err != nil {
+				WarmUpInitialShare: script.Rules.WarmUpInitialShare, WarmUpTime: script.Rules.WarmUpTime, OverloadFactor: script.Rules.OverloadFactor, CompleteAbandonedFills: true}); err != nil {
 				return err
 			}
 		}
@@ -275,8 +275,8 @@
 			return err
 		}
 	}
-	for i := range s.Day.Routers {
-		zone := s.Zones[i%len(s.Zones)].Name
+	for i := range script.Day.Routers {
+		zone := script.Zones[i%len(script.Zones)].Name
 		name := fmt.Sprintf("router-%d", i+1)
 		r := &router{endpoint: &routerEndpoint{name: name, zone: zone}}
 		r.settings = config.Print(d.routerSettings(name, zone, i))
@@ -442,28 +442,28 @@
 
 // play generates the clients' requests and injects the faults until the day's end.
 func (d *Day) play(ctx context.Context) error {
-	s := d.script
-	sleep(ctx, s.Day.Settle)
+	script := d.script
+	sleep(ctx, script.Day.Settle)
 	begin := trafficlog.Now()
-	d.logProgress("%s: %d routers, %d machines, %.0f requests a second for %.0f s", s.Day.Name, len(d.routers), len(d.order),
-		s.Day.Rate, s.Day.Length/1000)
+	d.logProgress("%s: %d routers, %d machines, %.0f requests a second for %.0f s", script.Day.Name, len(d.routers), len(d.order),
+		script.Day.Rate, script.Day.Length/1000)
 	during, stop := context.WithCancel(ctx)
 	defer stop()
 	var arrivals sync.WaitGroup
 	var sequence atomic.Int64
 	share := 0.0
-	routersInZone := s.routersByZone()
-	for _, z := range s.Zones {
+	routersInZone := script.routersByZone()
+	for _, z := range script.Zones {
 		if routersInZone[z.Name] > 0 {
 			share += z.Share
 		}
 	}
-	for i, z := range s.Zones {
+	for i, z := range script.Zones {
 		if routersInZone[z.Name] == 0 || z.Share == 0 {
 			continue
 		}
-		c := &clients{day: d, zone: z.Name, rate: s.Day.Rate * z.Share / share, sequence: &sequence, sessions: &d.wg,
-			random: rand.New(rand.NewPCG(uint64(s.Day.Seed), uint64(i)+100))}
+		c := &clients{day: d, zone: z.Name, rate: script.Day.Rate * z.Share / share, sequence: &sequence, sessions: &d.wg,
+			random: rand.New(rand.NewPCG(uint64(script.Day.Seed), uint64(i)+100))}
 		arrivals.Add(1)
 		go func() { defer arrivals.Done(); c.run(during) }()
 	}
@@ -474,14 +474,14 @@
 		go func() { defer arrivals.Done(); d.controlService.pushChanges(during) }()
 	}
 	var faults sync.WaitGroup
-	list := append([]FaultSpec(nil), s.Faults...)
+	list := append([]FaultSpec(nil), script.Faults...)
 	sort.SliceStable(list, func(i, j int) bool { return list[i].At < list[j].At })
 	for n, fault := range list {
 		if !sleep(ctx, begin+fault.At-trafficlog.Now()) {
 			break
 		}
 		name := fault.name()
-		rng := rand.New(rand.NewPCG(uint64(s.Day.Seed), uint64(n)+1000))
+		rng := rand.New(rand.NewPCG(uint64(script.Day.Seed), uint64(n)+1000))
 		targets := d.chooseTargets(fault, rng)
 		d.logProgress("%6.1f s  %s for %.1f s: %s", (trafficlog.Now()-begin)/1000, fault.Kind, fault.Duration/1000, strings.Join(targets, " "))
 		d.trafficLog.Add(trafficlog.Record{Event: trafficlog.Fault, Note: "begin " + name, Limit: fault.Duration, Source: strings.Join(targets, " ")})
@@ -492,12 +492,12 @@
 			d.trafficLog.Add(trafficlog.Record{Event: trafficlog.Fault, Note: "end " + name})
 		}()
 	}
-	sleep(ctx, begin+s.Day.Length-trafficlog.Now())
+	sleep(ctx, begin+script.Day.Length-trafficlog.Now())
 	stop()
 	arrivals.Wait()
 	d.wg.Wait() // each try has a deadline, and no retries begin after the day's end
 	faults.Wait()
-	sleep(ctx, s.Day.Settle/4)
+	sleep(ctx, script.Day.Settle/4)
 	return ctx.Err()
 }
 
--- a/internal/testbed/scenario/script.go
+++ b/internal/testbed/scenario/script.go
@@ -241,16 +241,16 @@
 
 // RuleParameters returns the limits that the rules are checked with.
 func (s *Script) RuleParameters() invariants.Parameters {
-	f := invariants.Parameters{AnswerSlack: s.Limits.AnswerSlack, DrainGrace: s.Rules.DrainGrace, WarmUpInitialShare: s.Rules.WarmUpInitialShare,
+	parameters := invariants.Parameters{AnswerSlack: s.Limits.AnswerSlack, DrainGrace: s.Rules.DrainGrace, WarmUpInitialShare: s.Rules.WarmUpInitialShare,
 		WarmUpTime: s.Rules.WarmUpTime, OverloadFactor: s.Rules.OverloadFactor, OverloadTime: s.Rules.OverloadTime,
 		ParentWarmUpInitialShare: s.Rules.ParentWarmUpInitialShare, ParentWarmUpTime: s.Rules.ParentWarmUpTime, ParentOverloadFactor: s.Rules.ParentOverloadFactor,
 		PurgeGrace: s.Rules.PurgeSlack, HedgedRequests: s.Limits.HedgedRequests, ObservationSkew: s.Day.ObservationSkew,
 		Classes: map[string]invariants.Class{}}
 	for _, c := range s.Classes {
-		f.Classes[c.Name] = invariants.Class{Idempotency: c.Idempotency, KeyScope: c.KeyScope, KeyWindow: c.KeyWindow}
+		parameters.Classes[c.Name] = invariants.Class{Idempotency: c.Idempotency, KeyScope: c.KeyScope, KeyWindow: c.KeyWindow}
 	}
-	f.NotExercised = s.rulesNotExercised()
-	return f
+	parameters.NotExercised = s.rulesNotExercised()
+	return parameters
 }
 
 // rulesNotExercised returns the rules that nothing in the script exercises. Drains and
@@ -279,19 +279,19 @@
 
 // Settings returns the settings of one router of the day.
 func (s *Script) Settings(name, zone string, index int, list string) *config.Settings {
-	c := config.Defaults()
-	c.Limits, c.Rules, c.Fill, c.Pages = s.Limits, s.Rules, s.Fill, s.Pages
-	c.Fill.FlowKBPerMs = s.Stand.Flow
-	r := &c.Router
+	settings := config.Defaults()
+	settings.Limits, settings.Rules, settings.Fill, settings.Pages = s.Limits, s.Rules, s.Fill, s.Pages
+	settings.Fill.FlowKBPerMs = s.Stand.Flow
+	r := &settings.Router
 	r.Name, r.Index, r.Routers, r.Zone, r.DiscoveryAddress = name, index, s.Day.Routers, zone, list
 	r.Listen, r.Admin, r.Seed = "127.0.0.1:0", "127.0.0.1:0", s.Day.Seed*1000+index
 	routers := s.routersByZone()
 	hubs := map[string]bool{}
 	for _, z := range s.Zones {
-		c.Zones = append(c.Zones, config.Zone{Name: z.Name, Hub: z.Hub, Routers: routers[z.Name], LinkCapacity: z.LinkCapacity})
+		settings.Zones = append(settings.Zones, config.Zone{Name: z.Name, Hub: z.Hub, Routers: routers[z.Name], LinkCapacity: z.LinkCapacity})
 		if !hubs[z.Hub] {
 			hubs[z.Hub] = true
-			c.Zones = append(c.Zones, config.Zone{Name: z.Hub, Hub: z.Hub})
+			settings.Zones = append(settings.Zones, config.Zone{Name: z.Hub, Hub: z.Hub})
 		}
 	}
 	for _, k := range s.Classes {
@@ -300,10 +300,10 @@
 		if k.Idempotency == "guarded" {
 			cl.KeyWindow = k.KeyWindow
 		}
-		c.Classes = append(c.Classes, cl)
-		c.Routes = append(c.Routes, config.Route{Pattern: pattern(&k), Class: k.Name})
+		settings.Classes = append(settings.Classes, cl)
+		settings.Routes = append(settings.Routes, config.Route{Pattern: pattern(&k), Class: k.Name})
 	}
-	return c
+	return settings
 }
 
 func pattern(k *Class) string {
--- a/internal/testbed/scenario/versions.go
+++ b/internal/testbed/scenario/versions.go
@@ -170,20 +170,20 @@
 func (c *controlService) versionText(extra func(*config.Settings)) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.d.script.Settings("any", "", 0, "")
-	s.Limits.MaxRequests += c.versionCount
+	settings := c.d.script.Settings("any", "", 0, "")
+	settings.Limits.MaxRequests += c.versionCount
 	for _, id := range c.d.order {
 		r, known := c.members[id]
 		if !known || r.State == "removed" {
 			continue
 		}
-		s.Members = append(s.Members, config.Member{ID: r.ID, Zone: r.Zone, Kind: r.Kind, Cell: r.Cell, Size: r.Size,
+		settings.Members = append(settings.Members, config.Member{ID: r.ID, Zone: r.Zone, Kind: r.Kind, Cell: r.Cell, Size: r.Size,
 			Address: r.Address, State: r.State, Start: int(r.Start)})
 	}
 	if extra != nil {
-		extra(s)
+		extra(settings)
 	}
-	return service.Canonical(s)
+	return service.Canonical(settings)
 }
 
 // setMember updates a member and has pushChanges push it.
