--- a/internal/controlplane/service/adminclient.go
+++ b/internal/controlplane/service/adminclient.go
@@ -65,7 +65,7 @@
 	if json.Unmarshal(answer, &result) == nil && result.Error != "" {
 		return nil, fmt.Errorf("control: %s", result.Error)
 	}
-	return nil, fmt.Errorf("control: unexpected response %s: %s", response.Status, bytes.TrimSpace(answer))
+	return nil, fmt.Errorf("control: %s %s: response %s of %s, want 200: %s", method, path, response.Status, admin, bytes.TrimSpace(answer))
 }
 
 // AdminPush pushes settings to a service and returns their number. With immediate they
--- a/internal/controlplane/service/folder.go
+++ b/internal/controlplane/service/folder.go
@@ -48,8 +48,8 @@
 }
 
 const (
-	folderSettleTime   = 300 * time.Millisecond // file changes come in bursts
-	folderPollInterval = 30 * time.Second       // some file systems deliver no events
+	folderSettleTime   = 300 * time.Millisecond // delay after a change, since file changes come in bursts
+	folderPollInterval = 30 * time.Second       // for file systems that deliver no events
 )
 
 // folderWatcher watches a folder through file system events and by polling.
@@ -58,11 +58,11 @@
 func newFolderWatcher(dir string) (*folderWatcher, error) {
 	watcher, err := fsnotify.NewWatcher()
 	if err != nil {
-		return nil, fmt.Errorf("control: %w", err)
+		return nil, fmt.Errorf("control: create a file watcher for folder %s: %w", dir, err)
 	}
 	if err := watcher.Add(dir); err != nil {
 		watcher.Close()
-		return nil, fmt.Errorf("control: %s: %w", dir, err)
+		return nil, fmt.Errorf("control: watch folder %s: %w", dir, err)
 	}
 	return &folderWatcher{watcher}, nil
 }
--- a/internal/controlplane/service/loadreport.go
+++ b/internal/controlplane/service/loadreport.go
@@ -25,8 +25,8 @@
 
 // LoadCounts has the counts of a router's requests since it started.
 type LoadCounts struct {
-	Issued    uint64 // by clients
-	Succeeded uint64 // served in time
+	Issued    uint64 // requests that clients made
+	Succeeded uint64 // requests that were served in time
 }
 
 // StreamLoadStats receives a router's load reports.
--- a/internal/controlplane/service/server.go
+++ b/internal/controlplane/service/server.go
@@ -141,8 +141,8 @@
 	}
 }
 
-// tick advances the rollout's time or, while the state can't be persisted, retries
-// that.
+// tick advances the rollout's time or, while the state can't be persisted, retries to persist
+// it.
 func (s *Server) tick() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -247,7 +247,7 @@
 // rollout; with immediate they go to all routers at once, without stages. If the checks
 // fail, the error is a *RejectedError with all reasons; if the state can't be
 // persisted, it is a *PersistError. Settings with the same content as the newest
-// version are not pushed again: its number is returned, and created is false.
+// version are not pushed again: that version's number is returned, and created is false.
 func (s *Server) PushSources(sources []config.Source, immediate bool) (number int64, created bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -264,7 +264,7 @@
 		return 0, false, &RejectedError{reasons}
 	}
 	sameContent := newest.Number > 0 && newest.Sum == configversion.Checksum(body)
-	skipsStages := immediate && state.Next.Number > 0 // of the newest version, which is still being rolled out
+	skipsStages := immediate && state.Next.Number > 0 // the newest version is still in its stages, and should skip the rest
 	if sameContent && !skipsStages {
 		return newest.Number, false, nil
 	}
--- a/internal/controlplane/service/settings.go
+++ b/internal/controlplane/service/settings.go
@@ -26,12 +26,12 @@
 	Listen           string  `edn:"listen" def:"127.0.0.1:9900"`         // for routers, host:port
 	Admin            string  `edn:"admin" def:"127.0.0.1:9901"`          // for operators: a loopback address, or the path of a Unix socket
 	Store            string  `edn:"store,required"`                      // file with the service's state
-	Folder           string  `edn:"folder"`                              // with settings, *.edn; changes are pushed; empty: none is watched
-	MaxVersions      int     `edn:"keep" def:"64" min:"2" max:"900"`     // stored versions
-	MaxStreams       int     `edn:"streams" def:"4000" min:"1"`          // open streams
+	Folder           string  `edn:"folder"`                              // folder with settings files *.edn, whose changes are pushed; empty: none is watched
+	MaxVersions      int     `edn:"keep" def:"64" min:"2" max:"900"`     // maximum number of stored versions
+	MaxStreams       int     `edn:"streams" def:"4000" min:"1"`          // maximum number of open streams
 	StreamsPerSecond float64 `edn:"per-second" def:"200" min:"0.1"`      // rate at which streams are admitted; others wait or are rejected
 	ReportInterval   float64 `edn:"reports" def:"10000" min:"100"`       // interval of the routers' load reports
-	MaxBytes         int     `edn:"max-bytes" def:"16777216" min:"1024"` // of pushed settings
+	MaxBytes         int     `edn:"max-bytes" def:"16777216" min:"1024"` // size limit of pushed settings
 	Cert             string  `edn:"cert"`                                // PEM files; all three or none
 	Key              string  `edn:"key"`
 	Authorities      string  `edn:"authorities"`
--- a/internal/controlplane/service/storefault.go
+++ b/internal/controlplane/service/storefault.go
@@ -135,8 +135,8 @@
 	return float64(time.Since(t).Microseconds()) / 1000
 }
 
-// recoverStore retries to read and rewrite a store's file after a fault, until the
-// context ends.
+// recoverStore retries to read and rewrite a store's file after each fault, until the context
+// ends.
 func recoverStore(ctx context.Context, store *configstore.Store) {
 	for delay := firstRetryDelay; ; {
 		select {
