--- a/internal/testbed/scenario/run.go
+++ b/internal/testbed/scenario/run.go
@@ -34,7 +34,7 @@
 	TrafficLog io.Writer // receives each record of the traffic log; may be nil
 	Progress   io.Writer // receives progress messages; may be nil
 	Routers    int       // number of routers; 0: as in the script
-	Seed       int       // 0: as in the script
+	Seed       int       // seed of the day; 0: as in the script
 	Without    []string  // kinds of faults to leave out
 	Journal    bool      // routers keep journals, which are replayed after the run
 	Length     float64   // ms; 0: as in the script; the times of faults are scaled with it
@@ -106,7 +106,7 @@
 	member     engine.Row
 	process    *process
 	address    string
-	faultUntil float64 // end of the latest fault that affects it
+	faultUntil float64 // time until which chooseTargets prefers other machines, since a fault affects this one
 }
 
 // Day is a run of a day script.
@@ -118,8 +118,8 @@
 	random     *rand.Rand
 
 	mu             sync.Mutex
-	machines       map[string]*machine
-	order          []string
+	machines       map[string]*machine // by id
+	order          []string            // the ids of machines, in the order in which they were added
 	routers        []*router
 	list           *testserver.ListService
 	controlService *controlService // nil: the script has none
@@ -134,9 +134,9 @@
 
 // diversion directs a share of the requests to other objects until a time.
 type diversion struct {
-	name  string
-	share float64
-	until float64
+	name  string  // of hotKey: the object; empty for scan, whose objects are requested once each
+	share float64 // of the requests
+	until float64 // see trafficlog.Now
 }
 
 // router is a router of the day. Its process may be restarted.
@@ -160,29 +160,29 @@
 }
 
 // Run runs a day script to its end and checks the rules.
-func Run(ctx context.Context, s *Script, o Options) (*Result, error) {
-	if o.Routers > 0 {
-		s.Day.Routers = o.Routers
-		for i := range s.Faults { // a fault affects no more routers than there are
-			s.Faults[i].Routers = min(s.Faults[i].Routers, o.Routers)
+func Run(ctx context.Context, script *Script, options Options) (*Result, error) {
+	if options.Routers > 0 {
+		script.Day.Routers = options.Routers
+		for i := range script.Faults { // a fault affects no more routers than there are
+			script.Faults[i].Routers = min(script.Faults[i].Routers, options.Routers)
 		}
 	}
-	if o.Seed > 0 {
-		s.Day.Seed = o.Seed
+	if options.Seed > 0 {
+		script.Day.Seed = options.Seed
 	}
-	s.Faults = slices.DeleteFunc(s.Faults, func(t FaultSpec) bool { return contains(o.Without, t.Kind) })
-	if o.Length > 0 && o.Length != s.Day.Length {
-		f := o.Length / s.Day.Length
-		for i := range s.Faults {
-			s.Faults[i].At *= f
-			s.Faults[i].Duration *= f
+	script.Faults = slices.DeleteFunc(script.Faults, func(t FaultSpec) bool { return contains(options.Without, t.Kind) })
+	if options.Length > 0 && options.Length != script.Day.Length {
+		f := options.Length / script.Day.Length
+		for i := range script.Faults {
+			script.Faults[i].At *= f
+			script.Faults[i].Duration *= f
 		}
-		s.Day.Length = o.Length
+		script.Day.Length = options.Length
 	}
-	d := &Day{script: s, options: o, trafficLog: trafficlog.NewKeeper(o.TrafficLog), random: rand.New(rand.NewPCG(uint64(s.Day.Seed), 0xda7)),
+	d := &Day{script: script, options: options, trafficLog: trafficlog.NewKeeper(options.TrafficLog), random: rand.New(rand.NewPCG(uint64(script.Day.Seed), 0xda7)),
 		machines: map[string]*machine{}, http: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{}}}
 	var err error
-	if d.dir = o.Dir; d.dir == "" {
+	if d.dir = options.Dir; d.dir == "" {
 		if d.dir, err = os.MkdirTemp("", "spool-scenario-"); err != nil {
 			return nil, err
 		}
@@ -190,7 +190,7 @@
 		return nil, err
 	}
 	defer d.killAll()
-	d.trafficLog.Add(s.RuleParameters().Record())
+	d.trafficLog.Add(script.RuleParameters().Record())
 	if err := d.startAll(ctx); err != nil {
 		return nil, err
 	}
@@ -202,18 +202,18 @@
 		return nil, err
 	}
 	recs := d.trafficLog.Records()
-	res := &Result{Verdicts: invariants.Check(recs, s.RuleParameters()), Dir: d.dir, Records: recs}
-	res.Summary = Summarize(s, recs)
+	res := &Result{Verdicts: invariants.Check(recs, script.RuleParameters()), Dir: d.dir, Records: recs}
+	res.Summary = Summarize(script, recs)
 	if d.controlService != nil {
 		res.Steps = d.controlService.steps
 	}
 	res.Injected = d.processFaults.injected
-	if o.Journal {
-		if res.Replays, err = replayAll(d.dir, s.Day.Routers, recs); err != nil {
+	if options.Journal {
+		if res.Replays, err = replayAll(d.dir, script.Day.Routers, recs); err != nil {
 			return nil, err
 		}
 	}
-	if o.Dir == "" && res.OK() {
+	if options.Dir == "" && res.OK() {
 		os.RemoveAll(d.dir)
 		res.Dir = ""
 	}
@@ -238,34 +238,34 @@
 // startAll starts the discovery service, the control service, the test servers and the
 // routers.
 func (d *Day) startAll(ctx context.Context) error {
-	s := d.script
+	script := d.script
 	var err error
-	if d.list, err = testserver.StartListService(testserver.ListServiceConfig{ID: "list", LagFrom: s.List.LagFrom, LagTo: s.List.LagTo,
-		PurgeFrom: s.List.PurgeFrom, PurgeTo: s.List.PurgeTo, PurgeWindow: s.Rules.PurgeTime, InitialListAge: s.Day.StaleListAge,
-		Seed: uint64(s.Day.Seed)}, d.trafficLog); err != nil {
+	if d.list, err = testserver.StartListService(testserver.ListServiceConfig{ID: "list", LagFrom: script.List.LagFrom, LagTo: script.List.LagTo,
+		PurgeFrom: script.List.PurgeFrom, PurgeTo: script.List.PurgeTo, PurgeWindow: script.Rules.PurgeTime, InitialListAge: script.Day.StaleListAge,
+		Seed: uint64(script.Day.Seed)}, d.trafficLog); err != nil {
 		return err
 	}
 	if err := d.startControlService(ctx); err != nil {
 		return err
 	}
-	if d.origin, err = d.addMachine(ctx, testserver.Config{ID: "origin", Role: "origin", Zone: s.Zones[0].Hub,
-		Capacity: s.Origin.Capacity, Latency: s.Origin.Latency, Limit: s.Origin.Limit}); err != nil {
+	if d.origin, err = d.addMachine(ctx, testserver.Config{ID: "origin", Role: "origin", Zone: script.Zones[0].Hub,
+		Capacity: script.Origin.Capacity, Latency: script.Origin.Latency, Limit: script.Origin.Limit}); err != nil {
 		return err
 	}
-	for i := range s.Parents.Count {
-		hub := s.Zones[i%len(s.Zones)].Hub
+	for i := range script.Parents.Count {
+		hub := script.Zones[i%len(script.Zones)].Hub
 		if _, err := d.addMachine(ctx, testserver.Config{ID: fmt.Sprintf("parent-%d", i+1), Role: "parent", Zone: hub,
-			Upstream: d.origin.address, Capacity: s.Parents.Capacity, Bytes: int64(s.Parents.MB * (1 << 20)),
-			Latency: s.Parents.Latency, WarmUpInitialShare: s.Rules.ParentWarmUpInitialShare, WarmUpTime: s.Rules.ParentWarmUpTime,
-			OverloadFactor: s.Rules.ParentOverloadFactor, CompleteAbandonedFills: true}); err != nil {
+			Upstream: d.origin.address, Capacity: script.Parents.Capacity, Bytes: int64(script.Parents.MB * (1 << 20)),
+			Latency: script.Parents.Latency, WarmUpInitialShare: script.Rules.ParentWarmUpInitialShare, WarmUpTime: script.Rules.ParentWarmUpTime,
+			OverloadFactor: script.Rules.ParentOverloadFactor, CompleteAbandonedFills: true}); err != nil {
 			return err
 		}
 	}
-	for _, z := range s.Zones {
+	for _, z := range script.Zones {
 		for i := range z.Boxes {
 			if _, err := d.addMachine(ctx, testserver.Config{ID: fmt.Sprintf("%s-%d", z.Name, i+1), Role: "box", Zone: z.Name,
 				Capacity: z.Capacity, Bytes: int64(z.MB * (1 << 20)), LinkIn: z.LinkCapacity / float64(z.Boxes), MaxFills: z.MaxFills,
-				WarmUpInitialShare: s.Rules.WarmUpInitialShare, WarmUpTime: s.Rules.WarmUpTime, OverloadFactor: s.Rules.OverloadFactor, CompleteAbandonedFills: true}); err != nil {
+				WarmUpInitialShare: script.Rules.WarmUpInitialShare, WarmUpTime: script.Rules.WarmUpTime, OverloadFactor: script.Rules.OverloadFactor, CompleteAbandonedFills: true}); err != nil {
 				return err
 			}
 		}
@@ -275,8 +275,8 @@
 			return err
 		}
 	}
-	for i := range s.Day.Routers {
-		zone := s.Zones[i%len(s.Zones)].Name
+	for i := range script.Day.Routers {
+		zone := script.Zones[i%len(script.Zones)].Name
 		name := fmt.Sprintf("router-%d", i+1)
 		r := &router{endpoint: &routerEndpoint{name: name, zone: zone}}
 		r.settings = config.Print(d.routerSettings(name, zone, i))
@@ -442,28 +442,28 @@
 
 // play generates the clients' requests and injects the faults until the day's end.
 func (d *Day) play(ctx context.Context) error {
-	s := d.script
-	sleep(ctx, s.Day.Settle)
+	script := d.script
+	sleep(ctx, script.Day.Settle)
 	begin := trafficlog.Now()
-	d.logProgress("%s: %d routers, %d machines, %.0f requests a second for %.0f s", s.Day.Name, len(d.routers), len(d.order),
-		s.Day.Rate, s.Day.Length/1000)
+	d.logProgress("%s: %d routers, %d machines, %.0f requests a second for %.0f s", script.Day.Name, len(d.routers), len(d.order),
+		script.Day.Rate, script.Day.Length/1000)
 	during, stop := context.WithCancel(ctx)
 	defer stop()
 	var arrivals sync.WaitGroup
 	var sequence atomic.Int64
 	share := 0.0
-	routersInZone := s.routersByZone()
-	for _, z := range s.Zones {
+	routersInZone := script.routersByZone()
+	for _, z := range script.Zones {
 		if routersInZone[z.Name] > 0 {
 			share += z.Share
 		}
 	}
-	for i, z := range s.Zones {
+	for i, z := range script.Zones {
 		if routersInZone[z.Name] == 0 || z.Share == 0 {
 			continue
 		}
-		c := &clients{day: d, zone: z.Name, rate: s.Day.Rate * z.Share / share, sequence: &sequence, sessions: &d.wg,
-			random: rand.New(rand.NewPCG(uint64(s.Day.Seed), uint64(i)+100))}
+		c := &clients{day: d, zone: z.Name, rate: script.Day.Rate * z.Share / share, sequence: &sequence, sessions: &d.wg,
+			random: rand.New(rand.NewPCG(uint64(script.Day.Seed), uint64(i)+100))}
 		arrivals.Add(1)
 		go func() { defer arrivals.Done(); c.run(during) }()
 	}
@@ -474,30 +474,30 @@
 		go func() { defer arrivals.Done(); d.controlService.pushChanges(during) }()
 	}
 	var faults sync.WaitGroup
-	list := append([]FaultSpec(nil), s.Faults...)
+	list := append([]FaultSpec(nil), script.Faults...)
 	sort.SliceStable(list, func(i, j int) bool { return list[i].At < list[j].At })
-	for n, t := range list {
-		if !sleep(ctx, begin+t.At-trafficlog.Now()) {
+	for n, fault := range list {
+		if !sleep(ctx, begin+fault.At-trafficlog.Now()) {
 			break
 		}
-		name := t.name()
-		rng := rand.New(rand.NewPCG(uint64(s.Day.Seed), uint64(n)+1000))
-		targets := d.chooseTargets(t, rng)
-		d.logProgress("%6.1f s  %s for %.1f s: %s", (trafficlog.Now()-begin)/1000, t.Kind, t.Duration/1000, strings.Join(targets, " "))
-		d.trafficLog.Add(trafficlog.Record{Event: trafficlog.Fault, Note: "begin " + name, Limit: t.Duration, Source: strings.Join(targets, " ")})
+		name := fault.name()
+		rng := rand.New(rand.NewPCG(uint64(script.Day.Seed), uint64(n)+1000))
+		targets := d.chooseTargets(fault, rng)
+		d.logProgress("%6.1f s  %s for %.1f s: %s", (trafficlog.Now()-begin)/1000, fault.Kind, fault.Duration/1000, strings.Join(targets, " "))
+		d.trafficLog.Add(trafficlog.Record{Event: trafficlog.Fault, Note: "begin " + name, Limit: fault.Duration, Source: strings.Join(targets, " ")})
 		faults.Add(1)
 		go func() {
 			defer faults.Done()
-			d.addError(d.applyFault(ctx, t, targets, rng))
+			d.addError(d.applyFault(ctx, fault, targets, rng))
 			d.trafficLog.Add(trafficlog.Record{Event: trafficlog.Fault, Note: "end " + name})
 		}()
 	}
-	sleep(ctx, begin+s.Day.Length-trafficlog.Now())
+	sleep(ctx, begin+script.Day.Length-trafficlog.Now())
 	stop()
 	arrivals.Wait()
 	d.wg.Wait() // each try has a deadline, and no retries begin after the day's end
 	faults.Wait()
-	sleep(ctx, s.Day.Settle/4)
+	sleep(ctx, script.Day.Settle/4)
 	return ctx.Err()
 }
 
@@ -529,7 +529,7 @@
 
 // chooseTargets chooses the machines that a fault affects. It prefers machines that no other
 // fault affects at present.
-func (d *Day) chooseTargets(t FaultSpec, rng *rand.Rand) (targets []string) {
+func (d *Day) chooseTargets(fault FaultSpec, rng *rand.Rand) (targets []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := trafficlog.Now()
@@ -537,7 +537,7 @@
 		var free, rest []string
 		for _, id := range d.order {
 			m := d.machines[id]
-			if m.config.Role != role || t.Zone != "" && role == "box" && m.config.Zone != t.Zone {
+			if m.config.Role != role || fault.Zone != "" && role == "box" && m.config.Zone != fault.Zone {
 				continue
 			}
 			if m.faultUntil > now {
@@ -550,76 +550,76 @@
 		for _, id := range append(free, rest...) {
 			if len(targets) < n {
 				targets = append(targets, id)
-				d.machines[id].faultUntil = now + t.Duration + t.DrainNotice + 1000
+				d.machines[id].faultUntil = now + fault.Duration + fault.DrainNotice + 1000
 			}
 		}
 	}
 	switch {
-	case t.Kind == ZoneLoss && t.Zone == "":
+	case fault.Kind == ZoneLoss && fault.Zone == "":
 		choose("parent", d.script.Parents.Count)
-	case t.Kind == ZoneLoss:
+	case fault.Kind == ZoneLoss:
 		choose("box", 1<<20)
-	case contains(controlKinds, t.Kind):
-	case t.Kind == OriginSlow || t.Origin:
+	case contains(controlKinds, fault.Kind):
+	case fault.Kind == OriginSlow || fault.Origin:
 		targets = append(targets, "origin")
-	case t.Kind == SlowReaders || t.Kind == SlowSenders:
-		targets = append(targets, fmt.Sprint(t.Clients, " clients"))
-	case t.Kind == RouterKill || t.Kind == RouterRestart:
-		for _, i := range rng.Perm(len(d.routers))[:t.Routers] {
+	case fault.Kind == SlowReaders || fault.Kind == SlowSenders:
+		targets = append(targets, fmt.Sprint(fault.Clients, " clients"))
+	case fault.Kind == RouterKill || fault.Kind == RouterRestart:
+		for _, i := range rng.Perm(len(d.routers))[:fault.Routers] {
 			targets = append(targets, d.routers[i].endpoint.name)
 		}
-	case contains(processKinds, t.Kind): // other faults may affect the same processes at the same time
-		targets = d.chooseProcesses(t, rng)
+	case contains(processKinds, fault.Kind): // other faults may affect the same processes at the same time
+		targets = d.chooseProcesses(fault, rng)
 	default:
-		choose("box", t.Boxes)
+		choose("box", fault.Boxes)
 		n := len(targets)
-		choose("parent", n+t.Parents)
+		choose("parent", n+fault.Parents)
 	}
 	return targets
 }
 
 // applyFault carries out a fault and returns at its end.
-func (d *Day) applyFault(ctx context.Context, t FaultSpec, targets []string, rng *rand.Rand) error {
+func (d *Day) applyFault(ctx context.Context, fault FaultSpec, targets []string, rng *rand.Rand) error {
 	now := trafficlog.Now()
-	if contains(controlKinds, t.Kind) {
-		return d.controlService.applyFault(ctx, t)
+	if contains(controlKinds, fault.Kind) {
+		return d.controlService.applyFault(ctx, fault)
 	}
-	if contains(processKinds, t.Kind) {
-		return d.injectProcessFault(ctx, t, targets)
+	if contains(processKinds, fault.Kind) {
+		return d.injectProcessFault(ctx, fault, targets)
 	}
-	switch t.Kind {
+	switch fault.Kind {
 	case Crash, ZoneLoss:
 		return d.forEachMachine(targets, func(m *machine) error {
 			d.killMachine(m, "removed")
-			sleep(ctx, t.Duration)
+			sleep(ctx, fault.Duration)
 			return d.startMachine(ctx, m, true)
 		})
 	case testserver.Vanish: // stops answering, then starts again cold and empty; it stays listed as serving
 		return d.forEachMachine(targets, func(m *machine) error {
-			if err := d.sendFault(m, testserver.Fault{Kind: t.Kind, For: t.Duration}); err != nil {
+			if err := d.sendFault(m, testserver.Fault{Kind: fault.Kind, For: fault.Duration}); err != nil {
 				return err
 			}
-			sleep(ctx, t.Duration)
+			sleep(ctx, fault.Duration)
 			d.killMachine(m, "")
 			return d.startMachine(ctx, m, true)
 		})
 	case Drain:
 		return d.forEachMachine(targets, func(m *machine) error {
 			d.setState(m, "draining")
-			sleep(ctx, t.Duration)
+			sleep(ctx, fault.Duration)
 			d.setState(m, "serving")
 			return nil
 		})
 	case Preempt:
 		return d.forEachMachine(targets, func(m *machine) error {
 			d.setState(m, "draining")
-			sleep(ctx, t.DrainNotice)
+			sleep(ctx, fault.DrainNotice)
 			d.killMachine(m, "removed")
-			sleep(ctx, t.Duration)
+			sleep(ctx, fault.Duration)
 			return d.startMachine(ctx, m, true)
 		})
 	case SlowReaders, SlowSenders:
-		return d.runSlowClients(ctx, t)
+		return d.runSlowClients(ctx, fault)
 	case RouterRestart:
 		return d.restartAll(ctx, targets)
 	case RouterKill:
@@ -635,7 +635,7 @@
 					d.trafficLog.Add(trafficlog.Record{Event: trafficlog.Killed, Subject: name, Role: "router"})
 					r.endpoint.setAddress("", "")
 					r.process.kill()
-					sleep(ctx, t.Duration)
+					sleep(ctx, fault.Duration)
 					d.addError(d.startRouter(ctx, r))
 				}()
 			}
@@ -643,7 +643,7 @@
 		wg.Wait()
 		return nil
 	case Flush:
-		n := max(int(t.Share*float64(d.script.Day.Groups)), 1)
+		n := max(int(fault.Share*float64(d.script.Day.Groups)), 1)
 		for _, g := range rng.Perm(d.script.Day.Groups)[:min(n, d.script.Day.Groups)] {
 			if err := d.purge(ctx, "", g); err != nil {
 				return err
@@ -651,28 +651,28 @@
 		}
 		return nil
 	case HotKey:
-		d.hotKey.Store(&diversion{name: fmt.Sprintf("hot%d", int(t.At)), share: t.Share, until: now + t.Duration})
+		d.hotKey.Store(&diversion{name: fmt.Sprintf("hot%d", int(fault.At)), share: fault.Share, until: now + fault.Duration})
 	case Scan:
-		d.scan.Store(&diversion{share: t.Share, until: now + t.Duration})
+		d.scan.Store(&diversion{share: fault.Share, until: now + fault.Duration})
 	case ListDisconnect:
 		d.list.CutStreams("")
 		return nil
 	case ListRollback:
 		d.list.RollBackRevision(5)
 		d.list.CutStreams("")
-		sleep(ctx, t.Duration)
+		sleep(ctx, fault.Duration)
 		d.list.RollBackRevision(0)
 		d.list.CutStreams("")
 		return nil
 	case ListDown:
-		d.list.RejectStreams(t.Duration)
+		d.list.RejectStreams(fault.Duration)
 		d.list.CutStreams("")
 		return nil
 	case OriginSlow:
-		return d.sendFault(d.origin, testserver.Fault{Kind: testserver.Slow, For: t.Duration, Factor: t.Factor})
+		return d.sendFault(d.origin, testserver.Fault{Kind: testserver.Slow, For: fault.Duration, Factor: fault.Factor})
 	default:
 		return d.forEachMachine(targets, func(m *machine) error {
-			return d.sendFault(m, testserver.Fault{Kind: t.Kind, For: t.Duration, Factor: t.Factor, Share: t.Share, Every: t.PauseInterval, Length: t.PauseLength})
+			return d.sendFault(m, testserver.Fault{Kind: fault.Kind, For: fault.Duration, Factor: fault.Factor, Share: fault.Share, Every: fault.PauseInterval, Length: fault.PauseLength})
 		})
 	}
 	return nil
