--- a/internal/config/form.go
+++ b/internal/config/form.go
@@ -74,13 +74,13 @@
 
 // truncate returns the first bytes of s, for quoting in faults.
 func truncate(s string) string {
-	if len(s) > shownBytes {
-		return s[:shownBytes] + "..."
+	if len(s) > maxQuotedBytes {
+		return s[:maxQuotedBytes] + "..."
 	}
 	return s
 }
 
-const shownBytes = 60 // longest quoted value
+const maxQuotedBytes = 60 // longest quoted value
 
 // Faults is an error that lists all faults.
 type Faults []Fault
--- a/internal/protocol/esi/conformance_test.go
+++ b/internal/protocol/esi/conformance_test.go
@@ -11,10 +11,10 @@
 // conformance has a case for each statement of the specification that docs/esi.md lists, by its name
 // there.
 var conformance = []struct {
-	name string
-	w    site
-	want string
-	err  error
+	name  string
+	pages site
+	want  string
+	err   error
 }{
 	{"include-replaces", site{"/page": `a<esi:include src="/f1"/>b`, "/f1": "x"}, "axb", nil},
 	{"include-relative", site{"/page": `<esi:include src="f1"/><esi:include src="./d/../f1"/>`, "/f1": "x"}, "xx", nil},
@@ -87,15 +87,15 @@
 		rows[string(m[1])] = true
 	}
 	vars := &Vars{Host: "h", Query: "a=1", Cookie: "k=<b>; k2=v", AcceptLanguage: "en, de;q=0.5, fr;q=0", UserAgent: "Mozilla/5.0 (X11; Linux)"}
-	for _, k := range conformance {
-		if !rows[k.name] {
-			t.Errorf("%s is not in docs/esi.md", k.name)
+	for _, testCase := range conformance {
+		if !rows[testCase.name] {
+			t.Errorf("%s is not in docs/esi.md", testCase.name)
 		}
-		delete(rows, k.name)
+		delete(rows, testCase.name)
 		for seed := range uint64(8) {
-			got, p, _ := playAs(t, vars, Options{}, k.w, rand.New(rand.NewPCG(seed, 3)))
-			if !errors.Is(p.Err(), k.err) || k.err == nil && got != k.want {
-				t.Errorf("%s: %q, %v; want %q, %v", k.name, got, p.Err(), k.want, k.err)
+			got, page, _ := assemblePageWithVars(t, vars, Options{}, testCase.pages, rand.New(rand.NewPCG(seed, 3)))
+			if !errors.Is(page.Err(), testCase.err) || testCase.err == nil && got != testCase.want {
+				t.Errorf("%s: %q, %v; want %q, %v", testCase.name, got, page.Err(), testCase.want, testCase.err)
 				break
 			}
 		}
--- a/internal/protocol/esi/page_test.go
+++ b/internal/protocol/esi/page_test.go
@@ -15,16 +15,17 @@
 
 func isPage(url string) bool { return strings.HasPrefix(url, "/p") }
 
-// play assembles a page from inputs in random order and in chunks of random size, and takes the
-// output in chunks of random size. It returns the output, the page and the fetches per URL.
-func play(t fataler, s Options, w site, rng *rand.Rand) (string, *Page, map[string]int) {
-	return playAs(t, &Vars{Host: "h", Query: "a=1", Cookie: "k=<b>"}, s, w, rng)
+// assemblePage assembles /page: the template and its fragments arrive in random order and in chunks of
+// random size, and the output is taken in chunks of random size. It returns the output, the page and
+// the number of fetches per URL.
+func assemblePage(t fataler, options Options, pages site, rng *rand.Rand) (string, *Page, map[string]int) {
+	return assemblePageWithVars(t, &Vars{Host: "h", Query: "a=1", Cookie: "k=<b>"}, options, pages, rng)
 }
 
 type fataler interface{ Fatalf(string, ...any) }
 
-func playAs(t fataler, vars *Vars, s Options, w site, rng *rand.Rand) (string, *Page, map[string]int) {
-	p, err := NewPage(s, vars, "/page", 0, 1000)
+func assemblePageWithVars(t fataler, vars *Vars, options Options, pages site, rng *rand.Rand) (string, *Page, map[string]int) {
+	page, err := NewPage(options, vars, "/page", 0, 1000)
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
@@ -34,21 +35,21 @@
 		rest  string
 		begun bool
 	}
-	p.TemplateHead(Meta{ESI: true})
-	flows := []*flow{{id: -1, rest: w["/page"]}}
+	page.TemplateHead(Meta{ESI: true})
+	flows := []*flow{{id: -1, rest: pages["/page"]}}
 	fetched := map[string]int{}
 	var out []byte
 	now := 0.0
-	for step := 0; p.Err() == nil && !p.Done(); step++ {
+	for step := 0; page.Err() == nil && !page.Done(); step++ {
 		if step > 200_000 {
-			t.Fatalf("the page does not end: %d fetches in flight, blocked by %v, %d bytes waiting", len(flows), p.blockingFragment(), p.waiting)
+			t.Fatalf("the page does not end: %d fetches in flight, blocked by %v, %d bytes waiting", len(flows), page.blockingFragment(), page.waiting)
 		}
-		actions, _ := p.Actions(now)
+		actions, _ := page.Actions(now)
 		for _, a := range actions {
 			switch a.Kind {
 			case Fetch:
 				fetched[a.URL]++
-				flows = append(flows, &flow{id: a.ID, url: a.URL, rest: w[a.URL]})
+				flows = append(flows, &flow{id: a.ID, url: a.URL, rest: pages[a.URL]})
 			case Cancel:
 				for i, f := range flows {
 					if f.id == a.ID {
@@ -57,35 +58,35 @@
 					}
 				}
 			case Restart:
-				flows = append(flows, &flow{id: -1, rest: w["/page"]})
+				flows = append(flows, &flow{id: -1, rest: pages["/page"]})
 			}
 		}
 		if n := len(flows); n > 0 && rng.IntN(3) > 0 {
 			i := rng.IntN(n)
 			f := flows[i]
 			over := false
-			switch _, there := w[f.url]; {
+			switch _, there := pages[f.url]; {
 			case f.id >= 0 && !there:
-				p.CountAttempt()
-				p.FragmentFailed(f.id, "not found", now)
+				page.CountAttempt()
+				page.FragmentFailed(f.id, "not found", now)
 				over = true
 			case f.id >= 0 && !f.begun:
-				p.CountAttempt()
+				page.CountAttempt()
 				f.begun = true
-				p.FragmentHead(f.id, Meta{ESI: isPage(f.url), ETag: f.url, Fresh: 100}, now)
-			case !p.CanRead(f.id):
+				page.FragmentHead(f.id, Meta{ESI: isPage(f.url), ETag: f.url, Fresh: 100}, now)
+			case !page.CanRead(f.id):
 			case f.rest == "" && f.id < 0:
-				p.TemplateEnd(now)
+				page.TemplateEnd(now)
 				over = true
 			case f.rest == "":
-				p.FragmentEnd(f.id, now)
+				page.FragmentEnd(f.id, now)
 				over = true
 			default:
 				k := 1 + rng.IntN(min(len(f.rest), 1+rng.IntN(4000)))
 				if f.id < 0 {
-					p.Template([]byte(f.rest[:k]), now)
+					page.Template([]byte(f.rest[:k]), now)
 				} else {
-					p.FragmentBody(f.id, []byte(f.rest[:k]), now)
+					page.FragmentBody(f.id, []byte(f.rest[:k]), now)
 				}
 				f.rest = f.rest[k:]
 			}
@@ -99,10 +100,10 @@
 			}
 		}
 		if rng.IntN(2) == 0 {
-			out = p.Take(out, 1+rng.IntN(3000), now)
+			out = page.Take(out, 1+rng.IntN(3000), now)
 		}
 	}
-	return string(out), p, fetched
+	return string(out), page, fetched
 }
 
 // model is a second implementation of the language: it expands a page recursively, as text.
@@ -175,7 +176,7 @@
 func TestPageMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		w := site{}
+		pages := site{}
 		names := []string{"/p1", "/p2", "/p3", "/f1", "/f2", "/f3", "/f4", "/none"}
 		include := func(in string) string {
 			src := names[rng.IntN(len(names))]
@@ -205,22 +206,22 @@
 			}
 			return b.String()
 		}
-		w["/page"] = body("/page", 1+rng.IntN(30))
+		pages["/page"] = body("/page", 1+rng.IntN(30))
 		for _, n := range names[:7] {
 			if isPage(n) {
-				w[n] = body(n, rng.IntN(4))
+				pages[n] = body(n, rng.IntN(4))
 			} else {
-				w[n] = strings.Repeat(n+" ", rng.IntN(3000))
+				pages[n] = strings.Repeat(n+" ", rng.IntN(3000))
 			}
 		}
 		s := Options{Parallel: 1 + rng.IntN(4), MaxWaiting: 8 << 10, StreamThreshold: 2 << 10, MaxBuffered: 64 << 10}
-		got, p, _ := play(t, s, w, rng)
-		want, ok := w.model("/page", nil)
+		got, p, _ := assemblePage(t, s, pages, rng)
+		want, ok := pages.model("/page", nil)
 		if ok != p.Done() {
-			t.Fatalf("model %v, page done %v: %v\n%s", ok, p.Done(), p.Err(), w["/page"])
+			t.Fatalf("model %v, page done %v: %v\n%s", ok, p.Done(), p.Err(), pages["/page"])
 		}
 		if ok && got != want {
-			t.Fatalf("%d bytes, the model has %d\n%.2000q\n%.2000q\n%s", len(got), len(want), got, want, w["/page"])
+			t.Fatalf("%d bytes, the model has %d\n%.2000q\n%.2000q\n%s", len(got), len(want), got, want, pages["/page"])
 		}
 		if p.Done() && p.waiting != 0 {
 			t.Fatalf("%d bytes are waiting at the end", p.waiting)
@@ -233,49 +234,49 @@
 
 func TestPageCases(t *testing.T) {
 	big := strings.Repeat("0123456789abcdef", 12<<10) // 192 KB
-	for _, k := range []struct {
+	for _, testCase := range []struct {
 		name    string
-		s       Options
-		w       site
+		options Options
+		pages   site
 		want    string
 		err     error
 		fetched map[string]int
 	}{
-		{name: "included ten times, fetched once", w: site{"/page": strings.Repeat(`<esi:include src="/f1"/>`, 10), "/f1": "x"}, want: "xxxxxxxxxx", fetched: map[string]int{"/f1": 1}},
-		{name: "alt, then left out", w: site{"/page": `a<esi:include src="/n" alt="/m" onerror="continue"/>b`}, want: "ab", fetched: map[string]int{"/n": 1, "/m": 1}},
-		{name: "missing", w: site{"/page": `<esi:include src="/n"/>`}, err: ErrFragment},
-		{name: "includes itself", w: site{"/page": `a<esi:include src="/page" onerror="continue"/>`}, want: "a", fetched: map[string]int{"/page": 0}},
-		{name: "a cycle of two", w: site{"/page": `<esi:include src="/p1"/>`, "/p1": `1<esi:include src="/p2"/>`, "/p2": `2<esi:include src="/p1"/>`}, err: ErrFragment},
-		{name: "too deep", s: Options{Depth: 2}, w: site{"/page": `<esi:include src="/p1"/>`, "/p1": `<esi:include src="/p2"/>`, "/p2": `<esi:include src="/f1"/>`, "/f1": "x"}, err: ErrFragment},
-		{name: "billion laughs", s: Options{MaxPage: 1 << 20}, w: site{"/page": strings.Repeat(`<esi:include src="/p1"/>`, 40), "/p1": strings.Repeat(`<esi:include src="/p2"/>`, 40), "/p2": strings.Repeat(`<esi:include src="/f1"/>`, 40), "/f1": strings.Repeat("ha", 500)}, err: ErrLimit},
-		{name: "billion laughs, empty", w: site{"/page": strings.Repeat(`<esi:include src="/p1"/>`, 100), "/p1": strings.Repeat(`<esi:include src="/p2"/>`, 100), "/p2": strings.Repeat(`<esi:include src="/p3"/>`, 100), "/p3": ""}, err: ErrLimit},
-		{name: "too many fragments", s: Options{Fragments: 3}, w: site{"/page": `<esi:include src="/1"/><esi:include src="/2"/><esi:include src="/3"/><esi:include src="/4"/>`, "/1": "", "/2": "", "/3": "", "/4": ""}, err: ErrFragment},
-		{name: "too many attempts", s: Options{Attempts: 3, Parallel: 1}, w: site{"/page": `<esi:include src="/1" onerror="continue"/><esi:include src="/2" onerror="continue"/><esi:include src="/3" onerror="continue"/><esi:include src="/4" onerror="continue"/>`, "/1": "1", "/2": "2", "/3": "3", "/4": "4"}, want: "123", fetched: map[string]int{"/4": 0}},
-		{name: "another host", w: site{"/page": `a<esi:include src="http://evil/f1" onerror="continue"/><esi:include src="//evil/f1" onerror="continue"/><esi:include src="file:///etc/x" onerror="continue"/><esi:include src="http://h/f1"/>`, "/f1": "x"}, want: "ax", fetched: map[string]int{"/f1": 1}},
-		{name: "relative", w: site{"/page": `<esi:include src="f1"/><esi:include src="../../f2"/>`, "/f1": "1", "/f2": "2"}, want: "12"},
-		{name: "a variable's value is escaped in a URL", w: site{"/page": `<esi:include src="/q/$(HTTP_COOKIE{k})"/>`, "/q/%3Cb%3E": "ok"}, want: "ok"},
-		{name: "variables and branches", w: site{"/page": `<esi:vars>$(HTTP_COOKIE{k})</esi:vars><esi:choose><esi:when test="$(QUERY_STRING{a})=='1'">1<esi:include src="/f1"/></esi:when><esi:otherwise><esi:include src="/f2"/></esi:otherwise></esi:choose>`, "/f1": "x"}, want: "&lt;b&gt;1x", fetched: map[string]int{"/f2": 0}},
-		{name: "inline", w: site{"/page": `<esi:inline name="/in">i<esi:include src="/f1"/></esi:inline>a<esi:include src="/in"/><esi:include src="/in"/>`, "/f1": "x"}, want: "aixix", fetched: map[string]int{"/in": 0, "/f1": 1}},
-		{name: "inlines too large", w: site{"/page": `<esi:inline name="/1">` + big + `</esi:inline>` + `<esi:inline name="/2">` + big + `</esi:inline>`}, s: Options{MaxWaiting: 300 << 10}, err: ErrLimit},
-		{name: "an inline after its first include", w: site{"/page": `<esi:include src="/f1"/><esi:inline name="/f1">i</esi:inline><esi:include src="/f1"/>`, "/f1": "x"}, want: "xi"},
-		{name: "an inline in a fragment", w: site{"/page": `<esi:include src="/p1"/><esi:include src="/f1"/>`, "/p1": `<esi:inline name="/f1">i</esi:inline><esi:inline name="/2">2<esi:include src="/f1"/></esi:inline><esi:include src="/2"/>`, "/f1": "x"}, want: "2ix"},
-		{name: "an inline that includes itself", w: site{"/page": `<esi:inline name="/1">a<esi:include src="/1" onerror="continue"/></esi:inline><esi:include src="/1"/>`}, want: "a"},
-		{name: "a try in a try", w: site{"/page": `<esi:try><esi:attempt>1<esi:try><esi:attempt><esi:include src="/n"/></esi:attempt><esi:except>2<esi:include src="/n"/></esi:except></esi:try></esi:attempt><esi:except>3</esi:except></esi:try>`}, want: "3"},
-		{name: "malformed", w: site{"/page": `ab<esi:include/>`}, err: ErrMalformed},
-		{name: "malformed, passed unmodified", s: Options{PassMalformed: true}, w: site{"/page": `<esi:include src="/f1"/><esi:bad>`, "/f1": "x"}, want: `<esi:include src="/f1"/><esi:bad>`, fetched: map[string]int{"/f1": 0}},
-		{name: "a malformed fragment, passed unmodified", s: Options{PassMalformed: true}, w: site{"/page": `a<esi:include src="/p1"/>`, "/p1": "<esi:x>"}, want: `a<esi:x>`},
-		{name: "a malformed fragment", w: site{"/page": `a<esi:include src="/p1" alt="/f1"/>`, "/p1": "<esi:x>", "/f1": "y"}, want: `ay`},
-		{name: "a large fragment is streamed", s: Options{MaxWaiting: 16 << 10, StreamThreshold: 4 << 10, MaxBuffered: 32 << 10}, w: site{"/page": `a<esi:include src="/f1"/>b`, "/f1": big}, want: "a" + big + "b"},
-		{name: "a large fragment that must be buffered", s: Options{MaxWaiting: 16 << 10, StreamThreshold: 4 << 10, MaxBuffered: 32 << 10}, w: site{"/page": `a<esi:try><esi:attempt><esi:include src="/f1"/></esi:attempt><esi:except>no</esi:except></esi:try>`, "/f1": big}, want: "ano"},
+		{name: "included ten times, fetched once", pages: site{"/page": strings.Repeat(`<esi:include src="/f1"/>`, 10), "/f1": "x"}, want: "xxxxxxxxxx", fetched: map[string]int{"/f1": 1}},
+		{name: "alt, then left out", pages: site{"/page": `a<esi:include src="/n" alt="/m" onerror="continue"/>b`}, want: "ab", fetched: map[string]int{"/n": 1, "/m": 1}},
+		{name: "missing", pages: site{"/page": `<esi:include src="/n"/>`}, err: ErrFragment},
+		{name: "includes itself", pages: site{"/page": `a<esi:include src="/page" onerror="continue"/>`}, want: "a", fetched: map[string]int{"/page": 0}},
+		{name: "a cycle of two", pages: site{"/page": `<esi:include src="/p1"/>`, "/p1": `1<esi:include src="/p2"/>`, "/p2": `2<esi:include src="/p1"/>`}, err: ErrFragment},
+		{name: "too deep", options: Options{Depth: 2}, pages: site{"/page": `<esi:include src="/p1"/>`, "/p1": `<esi:include src="/p2"/>`, "/p2": `<esi:include src="/f1"/>`, "/f1": "x"}, err: ErrFragment},
+		{name: "billion laughs", options: Options{MaxPage: 1 << 20}, pages: site{"/page": strings.Repeat(`<esi:include src="/p1"/>`, 40), "/p1": strings.Repeat(`<esi:include src="/p2"/>`, 40), "/p2": strings.Repeat(`<esi:include src="/f1"/>`, 40), "/f1": strings.Repeat("ha", 500)}, err: ErrLimit},
+		{name: "billion laughs, empty", pages: site{"/page": strings.Repeat(`<esi:include src="/p1"/>`, 100), "/p1": strings.Repeat(`<esi:include src="/p2"/>`, 100), "/p2": strings.Repeat(`<esi:include src="/p3"/>`, 100), "/p3": ""}, err: ErrLimit},
+		{name: "too many fragments", options: Options{Fragments: 3}, pages: site{"/page": `<esi:include src="/1"/><esi:include src="/2"/><esi:include src="/3"/><esi:include src="/4"/>`, "/1": "", "/2": "", "/3": "", "/4": ""}, err: ErrFragment},
+		{name: "too many attempts", options: Options{Attempts: 3, Parallel: 1}, pages: site{"/page": `<esi:include src="/1" onerror="continue"/><esi:include src="/2" onerror="continue"/><esi:include src="/3" onerror="continue"/><esi:include src="/4" onerror="continue"/>`, "/1": "1", "/2": "2", "/3": "3", "/4": "4"}, want: "123", fetched: map[string]int{"/4": 0}},
+		{name: "another host", pages: site{"/page": `a<esi:include src="http://evil/f1" onerror="continue"/><esi:include src="//evil/f1" onerror="continue"/><esi:include src="file:///etc/x" onerror="continue"/><esi:include src="http://h/f1"/>`, "/f1": "x"}, want: "ax", fetched: map[string]int{"/f1": 1}},
+		{name: "relative", pages: site{"/page": `<esi:include src="f1"/><esi:include src="../../f2"/>`, "/f1": "1", "/f2": "2"}, want: "12"},
+		{name: "a variable's value is escaped in a URL", pages: site{"/page": `<esi:include src="/q/$(HTTP_COOKIE{k})"/>`, "/q/%3Cb%3E": "ok"}, want: "ok"},
+		{name: "variables and branches", pages: site{"/page": `<esi:vars>$(HTTP_COOKIE{k})</esi:vars><esi:choose><esi:when test="$(QUERY_STRING{a})=='1'">1<esi:include src="/f1"/></esi:when><esi:otherwise><esi:include src="/f2"/></esi:otherwise></esi:choose>`, "/f1": "x"}, want: "&lt;b&gt;1x", fetched: map[string]int{"/f2": 0}},
+		{name: "inline", pages: site{"/page": `<esi:inline name="/in">i<esi:include src="/f1"/></esi:inline>a<esi:include src="/in"/><esi:include src="/in"/>`, "/f1": "x"}, want: "aixix", fetched: map[string]int{"/in": 0, "/f1": 1}},
+		{name: "inlines too large", pages: site{"/page": `<esi:inline name="/1">` + big + `</esi:inline>` + `<esi:inline name="/2">` + big + `</esi:inline>`}, options: Options{MaxWaiting: 300 << 10}, err: ErrLimit},
+		{name: "an inline after its first include", pages: site{"/page": `<esi:include src="/f1"/><esi:inline name="/f1">i</esi:inline><esi:include src="/f1"/>`, "/f1": "x"}, want: "xi"},
+		{name: "an inline in a fragment", pages: site{"/page": `<esi:include src="/p1"/><esi:include src="/f1"/>`, "/p1": `<esi:inline name="/f1">i</esi:inline><esi:inline name="/2">2<esi:include src="/f1"/></esi:inline><esi:include src="/2"/>`, "/f1": "x"}, want: "2ix"},
+		{name: "an inline that includes itself", pages: site{"/page": `<esi:inline name="/1">a<esi:include src="/1" onerror="continue"/></esi:inline><esi:include src="/1"/>`}, want: "a"},
+		{name: "a try in a try", pages: site{"/page": `<esi:try><esi:attempt>1<esi:try><esi:attempt><esi:include src="/n"/></esi:attempt><esi:except>2<esi:include src="/n"/></esi:except></esi:try></esi:attempt><esi:except>3</esi:except></esi:try>`}, want: "3"},
+		{name: "malformed", pages: site{"/page": `ab<esi:include/>`}, err: ErrMalformed},
+		{name: "malformed, passed unmodified", options: Options{PassMalformed: true}, pages: site{"/page": `<esi:include src="/f1"/><esi:bad>`, "/f1": "x"}, want: `<esi:include src="/f1"/><esi:bad>`, fetched: map[string]int{"/f1": 0}},
+		{name: "a malformed fragment, passed unmodified", options: Options{PassMalformed: true}, pages: site{"/page": `a<esi:include src="/p1"/>`, "/p1": "<esi:x>"}, want: `a<esi:x>`},
+		{name: "a malformed fragment", pages: site{"/page": `a<esi:include src="/p1" alt="/f1"/>`, "/p1": "<esi:x>", "/f1": "y"}, want: `ay`},
+		{name: "a large fragment is streamed", options: Options{MaxWaiting: 16 << 10, StreamThreshold: 4 << 10, MaxBuffered: 32 << 10}, pages: site{"/page": `a<esi:include src="/f1"/>b`, "/f1": big}, want: "a" + big + "b"},
+		{name: "a large fragment that must be buffered", options: Options{MaxWaiting: 16 << 10, StreamThreshold: 4 << 10, MaxBuffered: 32 << 10}, pages: site{"/page": `a<esi:try><esi:attempt><esi:include src="/f1"/></esi:attempt><esi:except>no</esi:except></esi:try>`, "/f1": big}, want: "ano"},
 	} {
 		for seed := range uint64(20) {
-			got, p, fetched := play(t, k.s, k.w, rand.New(rand.NewPCG(seed, 7)))
-			if !errors.Is(p.Err(), k.err) || k.err == nil && got != k.want {
-				t.Fatalf("%s: %.200q, %v", k.name, got, p.Err())
+			got, p, fetched := assemblePage(t, testCase.options, testCase.pages, rand.New(rand.NewPCG(seed, 7)))
+			if !errors.Is(p.Err(), testCase.err) || testCase.err == nil && got != testCase.want {
+				t.Fatalf("%s: %.200q, %v", testCase.name, got, p.Err())
 			}
-			for url, n := range k.fetched {
+			for url, n := range testCase.fetched {
 				if fetched[url] != n {
-					t.Fatalf("%s: %s was fetched %d times, want %d", k.name, url, fetched[url], n)
+					t.Fatalf("%s: %s was fetched %d times, want %d", testCase.name, url, fetched[url], n)
 				}
 			}
 		}
@@ -445,8 +446,8 @@
 		}
 		w := site{"/page": page, "/p1": fragment, "/p2": fragment, "/f": "text", "/": fragment}
 		s := Options{MaxWaiting: 4 << 10, StreamThreshold: 1 << 10, MaxBuffered: 16 << 10, MaxPage: 1 << 20, Parallel: 3, Parser: Limits{Held: 16 << 10}}
-		one, p, _ := play(t, s, w, rand.New(rand.NewPCG(seed, 1)))
-		two, q, _ := play(t, s, w, rand.New(rand.NewPCG(seed, 2)))
+		one, p, _ := assemblePage(t, s, w, rand.New(rand.NewPCG(seed, 1)))
+		two, q, _ := assemblePage(t, s, w, rand.New(rand.NewPCG(seed, 2)))
 		if p.Done() && q.Done() && one != two {
 			t.Fatalf("%q and %q", one, two)
 		}
--- a/internal/protocol/esi/parse.go
+++ b/internal/protocol/esi/parse.go
@@ -371,8 +371,8 @@
 		p.fail(p.offset, fmt.Sprintf("more than %d elements on a page", p.limits.Nodes), "split the page, or raise the limit")
 		return dst
 	}
-	if in := requiredParent[name]; in != "" && (len(p.stack) == 0 || p.stack[len(p.stack)-1].name != in) {
-		p.fail(p.offset, "esi:"+name+" stands outside of esi:"+in, "move it into an esi:"+in)
+	if parentName := requiredParent[name]; parentName != "" && (len(p.stack) == 0 || p.stack[len(p.stack)-1].name != parentName) {
+		p.fail(p.offset, "esi:"+name+" stands outside of esi:"+parentName, "move it into an esi:"+parentName)
 		return dst
 	}
 	mustBeEmpty := name == "include" || name == "comment"
@@ -413,18 +413,18 @@
 		return dst
 	}
 	f := frame{name: name, node: node}
-	if in := requiredParent[name]; in != "" {
-		out := &p.stack[len(p.stack)-1]
+	if parentName := requiredParent[name]; parentName != "" {
+		parent := &p.stack[len(p.stack)-1]
 		switch {
-		case name == "when" && out.seenParts != "":
+		case name == "when" && parent.seenParts != "":
 			p.fail(p.offset, "esi:when after esi:otherwise", "move it before")
-		case name == "otherwise" && out.seenParts != "", name != "when" && name != "otherwise" && strings.Contains(out.seenParts, name):
+		case name == "otherwise" && parent.seenParts != "", name != "when" && name != "otherwise" && strings.Contains(parent.seenParts, name):
 			p.fail(p.offset, "a second esi:"+name, "only one is allowed")
-		case name == "except" && out.seenParts == "":
+		case name == "except" && parent.seenParts == "":
 			p.fail(p.offset, "esi:except before esi:attempt", "move it after")
 		}
 		if name != "when" {
-			out.seenParts += name
+			parent.seenParts += name
 		}
 	}
 	if name == "when" {
@@ -471,15 +471,15 @@
 		}
 		return p.addNode(dst, f.node)
 	}
-	out := &p.stack[n-2]
-	out.node.Branches = append(out.node.Branches, Branch{f.test, f.body})
+	parent := &p.stack[n-2]
+	parent.node.Branches = append(parent.node.Branches, Branch{f.test, f.body})
 	return dst
 }
 
 // parseAttributes parses name="value" pairs of an element that may have the given attributes, in
 // the form of elementAttributes. It returns a description of what is wrong, or "".
 func parseAttributes(s, allowed string) (map[string]string, string) {
-	out := map[string]string{}
+	attributes := map[string]string{}
 	for s = strings.TrimSpace(s); s != ""; s = strings.TrimSpace(s) {
 		name, rest, ok := strings.Cut(s, "=")
 		name, rest = strings.TrimSpace(name), strings.TrimSpace(rest)
@@ -493,22 +493,22 @@
 		if !strings.Contains(" "+allowed+" ", " "+name+" ") && !strings.Contains(" "+allowed+" ", " "+name+"! ") {
 			return nil, fmt.Sprintf("unknown attribute %.20q", name)
 		}
-		if _, twice := out[name]; twice {
+		if _, twice := attributes[name]; twice {
 			return nil, fmt.Sprintf("%q is given twice", name)
 		}
 		value := rest[1 : 1+end]
 		if strings.IndexFunc(value, func(r rune) bool { return r < 0x20 && r != '\t' && r != '\n' && r != '\r' }) >= 0 {
 			return nil, fmt.Sprintf("the value of %q has a control character", name)
 		}
-		out[name] = characterReferences.Replace(value)
+		attributes[name] = characterReferences.Replace(value)
 		s = rest[end+2:]
 	}
 	for want := range strings.FieldsSeq(allowed) {
-		if name, must := strings.CutSuffix(want, "!"); must && out[name] == "" {
+		if name, must := strings.CutSuffix(want, "!"); must && attributes[name] == "" {
 			return nil, fmt.Sprintf("%s is missing", name)
 		}
 	}
-	return out, ""
+	return attributes, ""
 }
 
 // characterReferences decodes the references that XML defines, in the values of attributes.
