--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -54,7 +54,7 @@
 		{"string open", `"127.0.0.1:1"`, `"127.0.0.1:1`, "a.edn:8:34: a string is never closed"},
 		{"address", `"127.0.0.1:1"`, `here`, `a.edn:8:34: member/address: "here" is not an address`},
 		{"missing", "(zone z1) (listen", "(listen", "a.edn:2:1: router/zone: the router's zone is not given; add (zone name) to (router ...)"},
-		{"big", "(aim 400)", "(aim 1e9999999M)", "a.edn:4:19: 1e9999999M is an arbitrary-precision number"},
+		{"big", "(aim 400)", "(aim 1e9999999M)", "a.edn:4:19: 1e9999999M: numbers with the suffix M or N are not supported"},
 		{"map", "(aim 400)", "{aim 400}", "a.edn:4:14: '{' is not allowed in settings"},
 		{"admin", "(listen", "(admin \"0.0.0.0:1\") (listen", "is not a loopback address"},
 		{"pattern", "{group}/{object}/{part}", "x{object}/{part}", `segment "x{object}" is neither text nor one {name}`},
--- a/internal/config/form.go
+++ b/internal/config/form.go
@@ -1,7 +1,8 @@
 // Package config reads settings that are written as S-expressions, validates
 // them against a schema, and prints them in a canonical form. A schema is a Go
 // struct with tags. The settings of a router are in schema.go; other packages
-// define their own schemas, such as that of a day script.
+// define their own schemas, such as that of the scripts that simulate a day of
+// traffic.
 //
 // All faults of a file are reported at once, each with file, line, column, key
 // and remedy. The package does no I/O except for reading the named file.
@@ -31,7 +32,7 @@
 // A Fault is an error in the settings.
 type Fault struct {
 	Pos    Pos
-	Key    string // path of the key, such as class/aim
+	Key    string // path of the key, such as class/aim for the key aim in (class ...)
 	What   string // what is wrong, with the value
 	Remedy string
 }
@@ -72,7 +73,8 @@
 
 func isHidden(r rune) bool { return r == utf8.RuneError || !unicode.IsPrint(r) }
 
-// truncate returns the first bytes of s, for quoting in faults.
+// truncate returns at most maxQuotedBytes bytes of s, followed by "..." if s is longer, for quoting in
+// faults.
 func truncate(s string) string {
 	if len(s) > maxQuotedBytes {
 		return s[:maxQuotedBytes] + "..."
@@ -80,7 +82,7 @@
 	return s
 }
 
-const maxQuotedBytes = 60 // longest quoted value
+const maxQuotedBytes = 60 // of a value that truncate cuts; the reader cuts atoms that it rejects at 40 characters (%.40s)
 
 // Faults is an error that lists all faults.
 type Faults []Fault
@@ -127,7 +129,7 @@
 	return ""
 }
 
-const maxDepth = 40
+const maxDepth = 40 // nesting depth of lists
 
 type reader struct {
 	file      string
@@ -188,8 +190,9 @@
 	}
 }
 
-// readForms reads up to the closing bracket, or at depth 0 up to the end of the text. The position
-// of the opening bracket is opened.
+// readForms reads forms up to the closing bracket, which is the parameter closing, or at depth 0 up to
+// the end of the text, and returns them. The parameter opened is the position of the opening bracket,
+// for faults.
 func (r *reader) readForms(depth int, closing byte, opened Pos) (list []form) {
 	for {
 		r.skipSpace()
@@ -203,7 +206,7 @@
 		switch c := r.src[r.offset]; c {
 		case '(', '[':
 			if depth >= maxDepth {
-				r.fault(p, "lists are nested too deep", fmt.Sprintf("at most %d levels are read", maxDepth))
+				r.fault(p, fmt.Sprintf("lists are nested more than %d levels deep", maxDepth), "nest fewer lists; the rest of the file was not read")
 				r.offset = len(r.src)
 				return list
 			}
@@ -258,13 +261,13 @@
 	text := r.src[from:r.offset]
 	if last := text[len(text)-1]; (last == 'M' || last == 'N') && strings.IndexByte("+-0123456789", text[0]) >= 0 {
 		// the library takes minutes to parse 1e9999999M, and no setting needs such numbers
-		r.fault(p, fmt.Sprintf("%.40s is an arbitrary-precision number", text), "write it without the last letter")
+		r.fault(p, fmt.Sprintf("%.40s: numbers with the suffix M or N are not supported", text), "write the number in full, without a suffix")
 		return form{}, false
 	}
 	v, err := r.parseAtom(text)
 	if err != nil || v == nil {
 		r.fault(p, fmt.Sprintf("%.40s is not a number, a word or a string", text),
-			"put text in double quotes; durations are numbers in milliseconds")
+			"put text in double quotes, and write a duration as a number of milliseconds without a unit")
 		return form{}, false
 	}
 	switch v.(type) {
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -146,7 +146,7 @@
 	Attempts          int     `edn:"attempts" def:"400" min:"1"`                // attempts at members for all fragments of a page
 	StreamThresholdKB int     `edn:"whole-kb" def:"64" min:"1"`                 // KB received of a fragment before it may be sent incomplete
 	MaxBufferedKB     int     `edn:"piece-kb" def:"1024" min:"1" max:"65536"`   // KB of a fragment or page that must be complete before it is sent
-	WaitingKB         int     `edn:"held-kb" def:"1024" min:"16" max:"65536"`   // KB of a page waiting to be sent at which reading ahead pauses
+	WaitingKB         int     `edn:"held-kb" def:"1024" min:"16" max:"65536"`   // KB of a page waiting to be sent at which reading ahead pauses, and limit on the KB buffered for one element
 	MaxPageMB         int     `edn:"most-mb" def:"64" min:"1"`                  // size of an assembled page
 	Elements          int     `edn:"elements" def:"10000" min:"1"`              // elements of a template or fragment
 	Nesting           int     `edn:"nesting" def:"16" min:"1" max:"100"`        // nesting depth of elements
--- a/internal/protocol/esi/conformance_test.go
+++ b/internal/protocol/esi/conformance_test.go
@@ -8,11 +8,12 @@
 	"testing"
 )
 
-// conformance has a case for each statement of the specification that docs/esi.md lists, by its name
-// there.
+// conformance has one case for each statement of the ESI specification in the table of docs/esi.md.
+// The name of a case is the name of the statement in that table. A fetch of a path that is not in
+// pages, such as /missing, fails.
 var conformance = []struct {
 	name  string
-	pages site
+	pages site // body by path
 	want  string
 	err   error
 }{
@@ -20,10 +21,10 @@
 	{"include-relative", site{"/page": `<esi:include src="f1"/><esi:include src="./d/../f1"/>`, "/f1": "x"}, "xx", nil},
 	{"include-absolute", site{"/page": `<esi:include src="http://h/f1"/>`, "/f1": "x"}, "x", nil},
 	{"include-variables", site{"/page": `<esi:include src="/f$(QUERY_STRING{a})"/>`, "/f1": "x"}, "x", nil},
-	{"include-alt", site{"/page": `<esi:include src="/n" alt="/f1"/>`, "/f1": "x"}, "x", nil},
+	{"include-alt", site{"/page": `<esi:include src="/missing" alt="/f1"/>`, "/f1": "x"}, "x", nil},
 	{"include-alt-unused", site{"/page": `<esi:include src="/f1" alt="/f2"/>`, "/f1": "x", "/f2": "y"}, "x", nil},
-	{"include-onerror", site{"/page": `a<esi:include src="/n" alt="/m" onerror="continue"/>b`}, "ab", nil},
-	{"include-error", site{"/page": `<esi:include src="/n" alt="/m"/>`}, "", ErrFragment},
+	{"include-onerror", site{"/page": `a<esi:include src="/missing" alt="/missing2" onerror="continue"/>b`}, "ab", nil},
+	{"include-error", site{"/page": `<esi:include src="/missing" alt="/missing2"/>`}, "", ErrFragment},
 	{"include-nested", site{"/page": `<esi:include src="/p1"/>`, "/p1": `1<esi:include src="/f1"/>`, "/f1": "x"}, "1x", nil},
 	{"include-needs-src", site{"/page": `<esi:include alt="/f1"/>`, "/f1": "x"}, "", ErrMalformed},
 	{"include-references", site{"/page": `<esi:include src="/f1?a=1&amp;b=2"/>`, "/f1?a=1&b=2": "x"}, "x", nil},
@@ -37,17 +38,17 @@
 	{"choose-one-otherwise", site{"/page": `<esi:choose><esi:when test="1==2">a</esi:when><esi:otherwise>d</esi:otherwise><esi:otherwise>e</esi:otherwise></esi:choose>`}, "", ErrMalformed},
 	{"choose-children", site{"/page": `<esi:choose><esi:when test="1==1">a</esi:when><p></esi:choose>`}, "", ErrMalformed},
 	{"choose-content", site{"/page": `<esi:choose><esi:when test="1==1"><b><esi:include src="/f1"/></b></esi:when></esi:choose>`, "/f1": "x"}, "<b>x</b>", nil},
-	{"choose-not-taken", site{"/page": `<esi:choose><esi:when test="1==2"><esi:include src="/n"/></esi:when><esi:otherwise>ok</esi:otherwise></esi:choose>`}, "ok", nil},
+	{"choose-not-taken", site{"/page": `<esi:choose><esi:when test="1==2"><esi:include src="/missing"/></esi:when><esi:otherwise>ok</esi:otherwise></esi:choose>`}, "ok", nil},
 	{"when-outside", site{"/page": `<esi:when test="1==1">a</esi:when>`}, "", ErrMalformed},
 	{"try-attempt", site{"/page": `<esi:try><esi:attempt>a<esi:include src="/f1"/></esi:attempt><esi:except>e</esi:except></esi:try>`, "/f1": "x"}, "ax", nil},
-	{"try-except", site{"/page": `<esi:try><esi:attempt>a<esi:include src="/n"/></esi:attempt><esi:except>e<esi:include src="/f1"/></esi:except></esi:try>`, "/f1": "x"}, "ex", nil},
+	{"try-except", site{"/page": `<esi:try><esi:attempt>a<esi:include src="/missing"/></esi:attempt><esi:except>e<esi:include src="/f1"/></esi:except></esi:try>`, "/f1": "x"}, "ex", nil},
 	{"try-only-includes-fail", site{"/page": `<esi:try><esi:attempt><esi:vars>$(HTTP_REFERER)</esi:vars>a</esi:attempt><esi:except>e</esi:except></esi:try>`}, "a", nil},
 	{"try-both", site{"/page": `<esi:try><esi:attempt>a</esi:attempt></esi:try>`}, "", ErrMalformed},
 	{"try-one-each", site{"/page": `<esi:try><esi:attempt>a</esi:attempt><esi:attempt>a</esi:attempt><esi:except>e</esi:except></esi:try>`}, "", ErrMalformed},
-	{"try-handled", site{"/page": `<esi:try><esi:attempt>a<esi:include src="/n" onerror="continue"/></esi:attempt><esi:except>e</esi:except></esi:try>`}, "a", nil},
+	{"try-handled", site{"/page": `<esi:try><esi:attempt>a<esi:include src="/missing" onerror="continue"/></esi:attempt><esi:except>e</esi:except></esi:try>`}, "a", nil},
 	{"comment", site{"/page": `a<esi:comment text="say <b> > nothing"/>b`}, "ab", nil},
 	{"remove", site{"/page": `a<esi:remove><a href="x">no ESI</a></esi:remove>b`}, "ab", nil},
-	{"remove-not-read", site{"/page": `a<esi:remove><esi:include src="/n"/></esi:remove>b`}, "ab", nil},
+	{"remove-not-read", site{"/page": `a<esi:remove><esi:include src="/missing"/></esi:remove>b`}, "ab", nil},
 	{"vars", site{"/page": `<esi:vars>h=$(HTTP_HOST)</esi:vars>`}, "h=h", nil},
 	{"vars-only-there", site{"/page": `$(HTTP_HOST)`}, "$(HTTP_HOST)", nil},
 	{"html-comment", site{"/page": `a<!--esi <p><esi:vars>$(HTTP_HOST)</esi:vars><esi:include src="/f1"/></p>-->b`, "/f1": "x"}, "a <p>hx</p>b", nil},
@@ -76,7 +77,8 @@
 }
 
 // TestConformance checks that the table in docs/esi.md and the cases name the same statements, and
-// that each case gives its result with inputs in any order and in chunks of any size.
+// that each case gives the expected result for eight random orders in which the template and the
+// fragments arrive, in chunks of random size.
 func TestConformance(t *testing.T) {
 	doc, err := os.ReadFile("../../../docs/esi.md")
 	if err != nil {
@@ -93,15 +95,16 @@
 		}
 		delete(rows, testCase.name)
 		for seed := range uint64(8) {
+			// the third result, the number of fetches per URL, is not checked here
 			got, page, _ := assemblePageWithVars(t, vars, Options{}, testCase.pages, rand.New(rand.NewPCG(seed, 3)))
 			if !errors.Is(page.Err(), testCase.err) || testCase.err == nil && got != testCase.want {
-				t.Errorf("%s: %q, %v; want %q, %v", testCase.name, got, page.Err(), testCase.want, testCase.err)
+				t.Errorf("%s, seed %d: got %q, error %v; want %q, error %v", testCase.name, seed, got, page.Err(), testCase.want, testCase.err)
 				break
 			}
 		}
 	}
 	for name := range rows {
-		if name != "edge" {
+		if name != "edge" { // a statement marked edge has no case in this package
 			t.Errorf("docs/esi.md names %s, which has no case", name)
 		}
 	}
--- a/internal/protocol/esi/parse.go
+++ b/internal/protocol/esi/parse.go
@@ -19,9 +19,9 @@
 	Inline                  // a fragment whose text is in the page
 )
 
-// Node is an element of a page, or a run of text. The Text of a top-level node of kind Text or
-// Expand refers to the parser's input and is valid until the next call. All else in a node is
-// copied.
+// Node is an element of a page, or a run of text. The Text of a top-level node of kind Text
+// refers to the chunk passed to Feed or to the parser's buffer, and is valid only until the next
+// call of Feed or Close. All other nodes own their bytes.
 type Node struct {
 	Kind            Kind
 	Text            []byte
@@ -42,8 +42,8 @@
 type Limits struct {
 	Depth int // nesting depth of elements; default 16
 	Tag   int // bytes of one tag; default 8 KB
-	Held  int // bytes buffered until their element ends; default 1 MB
-	Nodes int // elements of a page; default 10,000
+	Held  int // bytes buffered for one outermost element, with all that is in it; default 1 MB
+	Nodes int // elements of a page, not counting runs of text; default 10,000
 }
 
 func (l Limits) withDefaults() Limits {
@@ -84,8 +84,8 @@
 	inComment  bool   // within <!--esi ... -->
 	rawElement string // name of the open element whose content is not parsed; empty: none
 	inline     Node   // the open inline, if rawElement is one
-	held       int
-	elements   int
+	held       int    // bytes buffered for the outermost open element
+	elements   int    // elements opened so far
 	err        error
 }
 
@@ -95,7 +95,7 @@
 	node      Node
 	test      *Expr
 	body      []Node
-	seenParts string // child elements so far: of a choose only otherwise, of a try all
+	seenParts string // names of the child elements opened so far, concatenated: attempt and except of a try, otherwise of a choose
 	textBytes int    // bytes of text buffered in it
 }
 
@@ -145,14 +145,14 @@
 		return dst, p.err
 	}
 	if p.rawElement != "" {
-		p.fail(p.offset, "esi:"+p.rawElement+" is not closed", "write </esi:"+p.rawElement+">")
+		p.fail(p.offset, "the page ends, but esi:"+p.rawElement+" is not closed", "write </esi:"+p.rawElement+">")
 	} else if n := len(p.stack); n > 0 {
 		name := p.stack[n-1].name
-		p.fail(p.stack[n-1].node.Offset, "esi:"+name+" is not closed", "write </esi:"+name+">")
+		p.fail(p.stack[n-1].node.Offset, "the page ends, but esi:"+name+" is not closed", "write </esi:"+name+">")
 	} else if bytes.HasPrefix(p.unread, openTag) || bytes.HasPrefix(p.unread, closeTag) {
 		p.fail(p.offset, "page ends within a tag", "close it with >")
 	} else if p.inComment {
-		p.fail(p.offset, "<!--esi is not closed", "write -->")
+		p.fail(p.offset, "the page ends, but <!--esi is not closed", "write -->")
 	}
 	if p.err != nil {
 		return dst, p.err
@@ -211,7 +211,7 @@
 	case bytes.HasPrefix(data, openTag), bytes.HasPrefix(data, closeTag):
 		n := tagEnd(data)
 		if n == 0 && len(data) >= p.limits.Tag || n > p.limits.Tag {
-			p.fail(p.offset, fmt.Sprintf("a tag is longer than %d bytes", p.limits.Tag), "shorten it, or raise the limit")
+			p.fail(p.offset, fmt.Sprintf("a tag is longer than %d bytes", p.limits.Tag), "check that its quotes are closed, shorten it, or raise the limit, (tag n) in (pages ...)")
 			return dst, 0
 		}
 		if n == 0 {
@@ -251,7 +251,8 @@
 	return 0
 }
 
-// skipRaw consumes the unparsed content of a remove or an inline. That of an inline is kept.
+// skipRaw consumes the unparsed content of a remove or an inline. The content of an
+// inline becomes the text of its node.
 func (p *Parser) skipRaw(dst []Node, data []byte) ([]Node, int) {
 	end := []byte("</esi:" + p.rawElement + ">")
 	i := bytes.Index(data, end)
@@ -278,7 +279,7 @@
 }
 
 func (p *Parser) failHeld() {
-	p.fail(p.offset, fmt.Sprintf("more than %d bytes buffered until their elements end", p.limits.Held), "use smaller choose, try and vars elements, or raise the limit")
+	p.fail(p.offset, fmt.Sprintf("the outermost open element holds more than %d bytes", p.limits.Held), "make the choose, try, vars or inline element smaller, or raise the limit, (held-kb n) in (pages ...)")
 }
 
 // addText adds literal bytes of the page.
@@ -343,11 +344,12 @@
 	"choose": "", "when": "test!", "otherwise": "", "try": "", "attempt": "", "except": "",
 }
 
-// requiredParent names the parent of each element that may stand in one other element only.
+// requiredParent gives the parent of each element that is allowed only as a direct child of one
+// particular element.
 var requiredParent = map[string]string{"when": "choose", "otherwise": "choose", "attempt": "try", "except": "try"}
 
-// openElement processes a start tag or an empty-element tag. The text is what stands between
-// <esi: and >.
+// openElement processes a start tag or an empty-element tag. The text is the part of the
+// tag between <esi: and >.
 func (p *Parser) openElement(dst []Node, text string) []Node {
 	empty := strings.HasSuffix(text, "/")
 	name, rest := text, ""
@@ -368,7 +370,7 @@
 		return dst
 	}
 	if p.elements++; p.elements > p.limits.Nodes {
-		p.fail(p.offset, fmt.Sprintf("more than %d elements on a page", p.limits.Nodes), "split the page, or raise the limit")
+		p.fail(p.offset, fmt.Sprintf("more than %d elements on a page", p.limits.Nodes), "split the page, or raise the limit, (elements n) in (pages ...)")
 		return dst
 	}
 	if parentName := requiredParent[name]; parentName != "" && (len(p.stack) == 0 || p.stack[len(p.stack)-1].name != parentName) {
@@ -391,7 +393,7 @@
 	case "include":
 		node.Kind, node.Src, node.Alt, node.ContinueOnError = Include, attr["src"], attr["alt"], attr["onerror"] == "continue"
 		if e, has := attr["onerror"]; has && !node.ContinueOnError {
-			p.fail(p.offset, fmt.Sprintf("onerror is %.20q", e), `the only value is "continue"`)
+			p.fail(p.offset, fmt.Sprintf("onerror is %.20q", e), `the only allowed value is "continue"`)
 		}
 		if p.held += len(node.Src) + len(node.Alt); len(p.stack) > 0 && p.held > p.limits.Held {
 			p.failHeld()
@@ -404,12 +406,12 @@
 		p.rawElement = name
 		p.inline = Node{Kind: Inline, Offset: p.offset, Src: attr["name"], Fetchable: attr["fetchable"] == "yes"}
 		if f, has := attr["fetchable"]; has && f != "yes" && f != "no" {
-			p.fail(p.offset, fmt.Sprintf("fetchable is %.20q", f), "use yes or no")
+			p.fail(p.offset, fmt.Sprintf("fetchable is %.20q", f), `use "yes" or "no"`)
 		}
 		return dst
 	}
 	if len(p.stack) >= p.limits.Depth {
-		p.fail(p.offset, fmt.Sprintf("elements are nested deeper than %d", p.limits.Depth), "flatten the page, or raise the limit")
+		p.fail(p.offset, fmt.Sprintf("elements are nested deeper than %d", p.limits.Depth), "flatten the page, or raise the limit, (nesting n) in (pages ...)")
 		return dst
 	}
 	f := frame{name: name, node: node}
@@ -417,11 +419,11 @@
 		parent := &p.stack[len(p.stack)-1]
 		switch {
 		case name == "when" && parent.seenParts != "":
-			p.fail(p.offset, "esi:when after esi:otherwise", "move it before")
+			p.fail(p.offset, "esi:when after esi:otherwise", "move it before the esi:otherwise")
 		case name == "otherwise" && parent.seenParts != "", name != "when" && name != "otherwise" && strings.Contains(parent.seenParts, name):
 			p.fail(p.offset, "a second esi:"+name, "only one is allowed")
 		case name == "except" && parent.seenParts == "":
-			p.fail(p.offset, "esi:except before esi:attempt", "move it after")
+			p.fail(p.offset, "esi:except before esi:attempt", "move it after the esi:attempt")
 		}
 		if name != "when" {
 			parent.seenParts += name
@@ -441,11 +443,11 @@
 func (p *Parser) closeElement(dst []Node, name string) []Node {
 	n := len(p.stack)
 	if n == 0 || p.stack[n-1].name != name {
-		what := "no element is open"
+		what, remedy := "no element is open", "remove it"
 		if n > 0 {
-			what = "esi:" + p.stack[n-1].name + " is open"
+			what, remedy = "esi:"+p.stack[n-1].name+" is the innermost open element", "write </esi:"+p.stack[n-1].name+"> first"
 		}
-		p.fail(p.offset, fmt.Sprintf("</esi:%.40s>, but %s", name, what), "close the innermost element first")
+		p.fail(p.offset, fmt.Sprintf("</esi:%.40s>, but %s", name, what), remedy)
 		return dst
 	}
 	f := p.stack[n-1]
@@ -466,7 +468,7 @@
 	case "try":
 		f.node.Kind = Try
 		if f.seenParts != "attemptexcept" {
-			p.fail(f.node.Offset, "esi:try without both an esi:attempt and an esi:except", "add what is missing")
+			p.fail(f.node.Offset, "esi:try must have an esi:attempt and an esi:except, and at least one is missing", "add the missing element")
 			return dst
 		}
 		return p.addNode(dst, f.node)
@@ -476,8 +478,9 @@
 	return dst
 }
 
-// parseAttributes parses name="value" pairs of an element that may have the given attributes, in
-// the form of elementAttributes. It returns a description of what is wrong, or "".
+// parseAttributes parses the name="value" pairs in s and returns the values by name. The attributes
+// that s may have are listed in allowed, in the format of the values of elementAttributes. The
+// second result says what is wrong with s, and is empty if nothing is.
 func parseAttributes(s, allowed string) (map[string]string, string) {
 	attributes := map[string]string{}
 	for s = strings.TrimSpace(s); s != ""; s = strings.TrimSpace(s) {
@@ -494,7 +497,7 @@
 			return nil, fmt.Sprintf("unknown attribute %.20q", name)
 		}
 		if _, twice := attributes[name]; twice {
-			return nil, fmt.Sprintf("%q is given twice", name)
+			return nil, fmt.Sprintf("attribute %q is given twice", name)
 		}
 		value := rest[1 : 1+end]
 		if strings.IndexFunc(value, func(r rune) bool { return r < 0x20 && r != '\t' && r != '\n' && r != '\r' }) >= 0 {
@@ -505,7 +508,7 @@
 	}
 	for want := range strings.FieldsSeq(allowed) {
 		if name, must := strings.CutSuffix(want, "!"); must && attributes[name] == "" {
-			return nil, fmt.Sprintf("%s is missing", name)
+			return nil, fmt.Sprintf("attribute %s is missing or empty", name)
 		}
 	}
 	return attributes, ""
