--- a/internal/cli/programs_test.go
+++ b/internal/cli/programs_test.go
@@ -18,7 +18,7 @@
 	}
 	list, err := filepath.Glob("../../cmd/spool-*")
 	if err != nil || len(list) < 9 {
-		t.Fatal(list, err)
+		t.Fatalf("found the programs %v, error %v; want at least 9", list, err)
 	}
 	run := func(name string, args ...string) (string, int) {
 		c := exec.Command(filepath.Join(dir, name), args...)
@@ -36,7 +36,7 @@
 	help = func(name string, args ...string) {
 		out, code := run(name, append(args, "--help")...)
 		if code != 0 {
-			t.Errorf("%s %v --help ends with %d", name, args, code)
+			t.Errorf("%s %v --help: exit code %d, want 0", name, args, code)
 		}
 		_, commands, has := strings.Cut(out, "Available Commands:\n")
 		if !has {
@@ -58,13 +58,13 @@
 	for _, path := range list {
 		name := filepath.Base(path)
 		if out, code := run(name, "--version"); code != 0 || !strings.HasPrefix(out, name+" version ") {
-			t.Errorf("%s --version: %d, %q", name, code, out)
+			t.Errorf("%s --version: exit code %d, output %q; want 0 and the name and version", name, code, out)
 		}
 		if out, code := run(name, "completion", "bash"); code != 0 || !strings.Contains(out, "__start_"+name) {
-			t.Errorf("%s completion bash: %d, %.60q", name, code, out)
+			t.Errorf("%s completion bash: exit code %d, output %.60q; want 0 and a script", name, code, out)
 		}
 		if out, code := run(name, "--no-such-flag"); code != ExitUsage || !strings.Contains(out, "no-such-flag") {
-			t.Errorf("%s --no-such-flag: %d, %q", name, code, out)
+			t.Errorf("%s --no-such-flag: exit code %d, output %q; want %d and the name of the flag", name, code, out, ExitUsage)
 		}
 		help(name)
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -30,10 +30,10 @@
 	}
 	if s.Router.Name != "e1" || s.Classes[0].Deadline != 3000.5 || !s.Classes[1].InParts ||
 		s.Limits.ConnectTimeout != 500 || s.Rules.DrainGrace != 500 || len(s.Routes[1].Methods) != 2 || s.Members[0].Kind != "box" {
-		t.Fatalf("read as %+v", s)
+		t.Fatalf("the settings were not read as written: %+v", s)
 	}
 	if p := s.Members[0].Place.Pos; p.Line != 8 || p.Col != 1 {
-		t.Fatalf("the member is at %v", p)
+		t.Fatalf("the member is at %v, want line 8, column 1", p)
 	}
 }
 
@@ -87,12 +87,12 @@
 		}
 		for _, line := range strings.Split(err.Error(), "\n") {
 			if len(line) > 900 || strings.ContainsFunc(line, func(r rune) bool { return r == utf8.RuneError || !unicode.IsPrint(r) }) {
-				t.Errorf("%.40q: %.200q", src, line)
+				t.Errorf("%.40q: the fault has %d bytes or characters that cannot be printed: %.200q", src, len(line), line)
 			}
 		}
 	}
 	if got := Printable("a\n\x1b\xffé\u202e"); got != `a\n\x1b\xffé\u202e` {
-		t.Errorf("%s", got)
+		t.Errorf("Printable: got %s, want control characters escaped", got)
 	}
 }
 
@@ -104,7 +104,7 @@
 		"(day x)": "spool-scenario run plays it", "(service (name a))": "spool-control", "(stand (flow 4)) (machine a)": "spool-testserver"} {
 		err := Read("a.edn", src, &s)
 		if err == nil || strings.Count(err.Error(), "\n") > 0 || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v, want %s", src, err, want)
+			t.Errorf("%s: got %v, want one line with %q", src, err, want)
 		}
 	}
 }
@@ -113,7 +113,7 @@
 	name := filepath.Join(t.TempDir(), "x.edn")
 	var s Settings
 	if err := ReadFile(name, &s); !errors.Is(err, os.ErrNotExist) {
-		t.Fatalf("no file: %v", err)
+		t.Fatalf("a file that does not exist: error %v, want ErrNotExist", err)
 	}
 	os.WriteFile(name, []byte(validSettings), 0o600)
 	if err := ReadFile(name, &s); err != nil {
@@ -175,7 +175,7 @@
 		err := Read("f.edn", src, &s)
 		var faults Faults
 		if err != nil && !errors.As(err, &faults) {
-			t.Fatalf("%T: %v", err, err)
+			t.Fatalf("error of type %T, want Faults: %v", err, err)
 		}
 		for _, fault := range faults {
 			if fault.Pos.Line < 1 || fault.Pos.Col < 1 || fault.What == "" {
--- a/internal/protocol/esi/esi_test.go
+++ b/internal/protocol/esi/esi_test.go
@@ -150,7 +150,7 @@
 		strings.Repeat(`<esi:comment text="x"/>`, 10001), `<esi:inline name="/a">` + strings.Repeat("x", 2<<20),
 	} {
 		if _, err := parse(page, 4096, Limits{}); err == nil || !strings.Contains(err.Error(), "raise the limit") {
-			t.Errorf("%.40q: %v", page, err)
+			t.Errorf("%.40q: %v; want a fault with \"raise the limit\"", page, err)
 		}
 	}
 }
@@ -174,13 +174,13 @@
 		if err != nil {
 			t.Errorf("%s: %v", text, err)
 		} else if got := e.Holds(testVars); got != want {
-			t.Errorf("%s is %v", text, got)
+			t.Errorf("%s holds: %v, want %v", text, got, want)
 		}
 	}
 	for _, text := range []string{``, `(`, `(1`, `1 ==`, `== 1`, `1 == 2 == 3`, `a`, `'a`, `$(HOME)`, `$(HTTP_HOST{x})`, `1 &`, `(1==1)==1`, `1.2.3`,
 		strings.Repeat("(", 100) + "1" + strings.Repeat(")", 100), strings.Repeat("!", 100) + "1"} {
 		if _, err := ParseExpr(text); err == nil || !strings.Contains(err.Error(), "byte ") {
-			t.Errorf("%.40q: %v", text, err)
+			t.Errorf("%.40q: error %v, want one that states the byte", text, err)
 		}
 	}
 }
@@ -207,10 +207,10 @@
 		v := &Vars{Cookie: "a=" + rapid.String().Draw(t, "cookie"), Query: rapid.String().Draw(t, "query")}
 		text := "/$(HTTP_COOKIE{a})/$(QUERY_STRING)"
 		if got := string(v.Expand(nil, text, URL)); strings.ContainsAny(got, "\r\n\x00 <>\"'&?#;") || strings.Count(got, "/") != 2 {
-			t.Fatalf("%q", got)
+			t.Fatalf("in a URL: %q has an unescaped character or not two slashes", got)
 		}
 		if got := string(v.Expand(nil, text, HTML)); strings.ContainsAny(got, "\r\n\x00<>\"'") {
-			t.Fatalf("%q", got)
+			t.Fatalf("in a page: %q has an unescaped character", got)
 		}
 	})
 }
@@ -240,7 +240,7 @@
 			}
 			page = page[n:]
 			if len(p.unread) > l.Tag+int(chunk)+1 || len(p.inline.Text) > l.Held || len(p.stack) > l.Depth {
-				t.Fatalf("%d bytes unread, %d of an inline, %d open elements", len(p.unread), len(p.inline.Text), len(p.stack))
+				t.Fatalf("%d bytes unread, %d of an inline, %d open elements; want at most %d, %d, %d", len(p.unread), len(p.inline.Text), len(p.stack), l.Tag+int(chunk)+1, l.Held, l.Depth)
 			}
 		}
 	})
--- a/internal/protocol/esi/page.go
+++ b/internal/protocol/esi/page.go
@@ -465,7 +465,7 @@
 // addInclude adds a slot for an include element to a sequence.
 func (p *Page) addInclude(to *sequence, n *Node, base *url.URL) {
 	if p.includes++; p.includes > p.options.Includes {
-		p.abort(ErrLimit, "more than %d includes", p.options.Includes)
+		p.abort(ErrLimit, "more than %d include elements in the page and its fragments", p.options.Includes)
 		return
 	}
 	sl := &slot{sequence: to, continueOnError: n.ContinueOnError}
@@ -1025,7 +1025,7 @@
 		if p.err == nil && f.state == fetching && now >= f.deadline {
 			p.cancelFetch(f)
 			if f.partlySent {
-				p.abort(ErrDeadline, "%.80q", f.key)
+				p.abort(ErrDeadline, "fetch of %.80q timed out after part of it was sent", f.key)
 				return
 			}
 			p.failedLate = true
@@ -1150,7 +1150,7 @@
 	had := len(dst)
 	for p.err == nil && len(p.cursors) > 0 && len(dst)-had < maxBytes {
 		if p.steps++; p.steps > maxSteps {
-			p.abort(ErrLimit, "more than %d parts processed", maxSteps)
+			p.abort(ErrLimit, "more than %d parts of the page were processed for output", maxSteps)
 			break
 		}
 		c := &p.cursors[len(p.cursors)-1]
--- a/internal/protocol/esi/page_test.go
+++ b/internal/protocol/esi/page_test.go
@@ -218,13 +218,13 @@
 		got, p, _ := assemblePage(t, s, pages, rng)
 		want, ok := pages.model("/page", nil)
 		if ok != p.Done() {
-			t.Fatalf("model %v, page done %v: %v\n%s", ok, p.Done(), p.Err(), pages["/page"])
+			t.Fatalf("the model can expand the page: %v, the page is done: %v, its error: %v\n%s", ok, p.Done(), p.Err(), pages["/page"])
 		}
 		if ok && got != want {
-			t.Fatalf("%d bytes, the model has %d\n%.2000q\n%.2000q\n%s", len(got), len(want), got, want, pages["/page"])
+			t.Fatalf("the page has %d bytes, want %d as in the model\ngot  %.2000q\nwant %.2000q\n%s", len(got), len(want), got, want, pages["/page"])
 		}
 		if p.Done() && p.waiting != 0 {
-			t.Fatalf("%d bytes are waiting at the end", p.waiting)
+			t.Fatalf("%d bytes are waiting at the end, want 0", p.waiting)
 		}
 		if limit := int64(3*s.MaxWaiting + 8*s.MaxBuffered); p.maxWaiting > limit {
 			t.Fatalf("%d bytes were waiting, want at most %d", p.maxWaiting, limit)
@@ -243,8 +243,8 @@
 		fetched map[string]int
 	}{
 		{name: "included ten times, fetched once", pages: site{"/page": strings.Repeat(`<esi:include src="/f1"/>`, 10), "/f1": "x"}, want: "xxxxxxxxxx", fetched: map[string]int{"/f1": 1}},
-		{name: "alt, then left out", pages: site{"/page": `a<esi:include src="/n" alt="/m" onerror="continue"/>b`}, want: "ab", fetched: map[string]int{"/n": 1, "/m": 1}},
-		{name: "missing", pages: site{"/page": `<esi:include src="/n"/>`}, err: ErrFragment},
+		{name: "alt, then left out", pages: site{"/page": `a<esi:include src="/missing" alt="/missing2" onerror="continue"/>b`}, want: "ab", fetched: map[string]int{"/missing": 1, "/missing2": 1}},
+		{name: "missing", pages: site{"/page": `<esi:include src="/missing"/>`}, err: ErrFragment},
 		{name: "includes itself", pages: site{"/page": `a<esi:include src="/page" onerror="continue"/>`}, want: "a", fetched: map[string]int{"/page": 0}},
 		{name: "a cycle of two", pages: site{"/page": `<esi:include src="/p1"/>`, "/p1": `1<esi:include src="/p2"/>`, "/p2": `2<esi:include src="/p1"/>`}, err: ErrFragment},
 		{name: "too deep", options: Options{Depth: 2}, pages: site{"/page": `<esi:include src="/p1"/>`, "/p1": `<esi:include src="/p2"/>`, "/p2": `<esi:include src="/f1"/>`, "/f1": "x"}, err: ErrFragment},
@@ -261,7 +261,7 @@
 		{name: "an inline after its first include", pages: site{"/page": `<esi:include src="/f1"/><esi:inline name="/f1">i</esi:inline><esi:include src="/f1"/>`, "/f1": "x"}, want: "xi"},
 		{name: "an inline in a fragment", pages: site{"/page": `<esi:include src="/p1"/><esi:include src="/f1"/>`, "/p1": `<esi:inline name="/f1">i</esi:inline><esi:inline name="/2">2<esi:include src="/f1"/></esi:inline><esi:include src="/2"/>`, "/f1": "x"}, want: "2ix"},
 		{name: "an inline that includes itself", pages: site{"/page": `<esi:inline name="/1">a<esi:include src="/1" onerror="continue"/></esi:inline><esi:include src="/1"/>`}, want: "a"},
-		{name: "a try in a try", pages: site{"/page": `<esi:try><esi:attempt>1<esi:try><esi:attempt><esi:include src="/n"/></esi:attempt><esi:except>2<esi:include src="/n"/></esi:except></esi:try></esi:attempt><esi:except>3</esi:except></esi:try>`}, want: "3"},
+		{name: "a try in a try", pages: site{"/page": `<esi:try><esi:attempt>1<esi:try><esi:attempt><esi:include src="/missing"/></esi:attempt><esi:except>2<esi:include src="/missing"/></esi:except></esi:try></esi:attempt><esi:except>3</esi:except></esi:try>`}, want: "3"},
 		{name: "malformed", pages: site{"/page": `ab<esi:include/>`}, err: ErrMalformed},
 		{name: "malformed, passed unmodified", options: Options{PassMalformed: true}, pages: site{"/page": `<esi:include src="/f1"/><esi:bad>`, "/f1": "x"}, want: `<esi:include src="/f1"/><esi:bad>`, fetched: map[string]int{"/f1": 0}},
 		{name: "a malformed fragment, passed unmodified", options: Options{PassMalformed: true}, pages: site{"/page": `a<esi:include src="/p1"/>`, "/p1": "<esi:x>"}, want: `a<esi:x>`},
@@ -272,11 +272,11 @@
 		for seed := range uint64(20) {
 			got, p, fetched := assemblePage(t, testCase.options, testCase.pages, rand.New(rand.NewPCG(seed, 7)))
 			if !errors.Is(p.Err(), testCase.err) || testCase.err == nil && got != testCase.want {
-				t.Fatalf("%s: %.200q, %v", testCase.name, got, p.Err())
+				t.Fatalf("%s, seed %d: got %.200q, error %v; want %.200q, error %v", testCase.name, seed, got, p.Err(), testCase.want, testCase.err)
 			}
 			for url, n := range testCase.fetched {
 				if fetched[url] != n {
-					t.Fatalf("%s: %s was fetched %d times, want %d", testCase.name, url, fetched[url], n)
+					t.Fatalf("%s, seed %d: %s was fetched %d times, want %d", testCase.name, seed, url, fetched[url], n)
 				}
 			}
 		}
@@ -309,13 +309,13 @@
 	p.FragmentBody(0, []byte("s"), 3)
 	p.FragmentEnd(0, 3)
 	if got := p.Take(nil, 100, 4); string(got) != "s" {
-		t.Fatalf("%q was sent", got)
+		t.Fatalf("%q was sent, want \"s\"", got)
 	}
 	p.FragmentHead(1, Meta{}, 5)
 	p.FragmentBody(1, []byte("new"), 5)
 	p.FragmentEnd(1, 5)
 	if got := p.Take(nil, 100, 6); string(got) != "new" || !p.Done() {
-		t.Fatalf("%q was sent", got)
+		t.Fatalf("%q was sent, done %v; want \"new\", done", got, p.Done())
 	}
 
 	for _, late := range []bool{false, true} {
@@ -327,22 +327,22 @@
 		p.FragmentHead(0, Meta{}, 1)
 		p.FragmentBody(0, []byte("abcdef"), 1)
 		if got := p.Take(nil, 100, 1); string(got) != "abcdef" {
-			t.Fatalf("%q", got)
+			t.Fatalf("got %q, want abcdef", got)
 		}
 		p.Purged(false, func(string) bool { return true }, 300, 2)
 		if _, tick := p.Actions(2); tick != 300 {
-			t.Fatalf("tick at %v", tick)
+			t.Fatalf("Actions: next tick at %v, want 300", tick)
 		}
 		if late {
 			p.Tick(300)
 			if !errors.Is(p.Err(), ErrPurged) {
-				t.Error(p.Err())
+				t.Errorf("error %v, want ErrPurged", p.Err())
 			}
 			continue
 		}
 		p.FragmentEnd(0, 200)
 		if p.Take(nil, 100, 200); !p.Done() {
-			t.Error("the page is complete in time and not done")
+			t.Error("the page is complete in time, but Done is false")
 		}
 	}
 
@@ -355,19 +355,19 @@
 	p.Actions(0)
 	p.Purged(true, func(string) bool { return false }, 300, 5)
 	if _, tick := p.Actions(5); tick != 270 {
-		t.Errorf("tick at %v", tick)
+		t.Errorf("Actions: next tick at %v, want 270", tick)
 	}
 	p.Tick(270)
 	p.Actions(270)
 	if out = p.Take(out, 100, 271); string(out) != "ab" || p.Done() {
-		t.Errorf("%q", out)
+		t.Errorf("got %q, done %v; want \"ab\", not done", out, p.Done())
 	}
 	if _, tick := p.Actions(271); tick > 300 {
-		t.Errorf("tick at %v", tick)
+		t.Errorf("Actions: next tick at %v, want at most 300", tick)
 	}
 	p.Tick(300)
 	if p.Take(nil, 100, 300); !errors.Is(p.Err(), ErrPurged) && !p.Done() {
-		t.Error(p.Err())
+		t.Errorf("error %v and not done; want ErrPurged, or done", p.Err())
 	}
 
 	p, _ = NewPage(Options{}, &Vars{}, "/page", 0, 1000)
@@ -379,7 +379,7 @@
 	p.Template([]byte(`new`), 6)
 	p.TemplateEnd(6)
 	if got := p.Take(nil, 100, 7); string(got) != "new" || !p.Done() {
-		t.Errorf("%q", got)
+		t.Errorf("got %q, done %v; want \"new\", done", got, p.Done())
 	}
 }
 
@@ -393,25 +393,25 @@
 	out := p.Take(nil, 100, 0)
 	actions, tick := p.Actions(0)
 	if got := fmt.Sprint(actions); got != "[{1 0 /1 450} {1 1 /3 900} {1 2 /4 900}]" || tick != 450 {
-		t.Fatal(got, tick)
+		t.Fatalf("actions %s, next tick at %v; want fetches that time out at 450, 900 and 900, tick at 450", got, tick)
 	}
 	p.Tick(450)
 	if actions, tick = p.Actions(450); fmt.Sprint(actions) != "[{2 0  0} {1 3 /2 900}]" {
-		t.Fatal(actions, tick)
+		t.Fatalf("actions %v, next tick at %v; want a cancel of fragment 0 and a fetch of /2", actions, tick)
 	}
 	p.FragmentHead(2, Meta{}, 800)
 	p.FragmentBody(2, []byte("d"), 800)
 	p.FragmentEnd(2, 800)
 	p.Tick(900)
 	if got := p.Take(out, 100, 901); string(got) != "abcd" || !p.Done() {
-		t.Errorf("%q %v", got, p.Err())
+		t.Errorf("got %q, done %v, error %v; want \"abcd\", done", got, p.Done(), p.Err())
 	}
 	p, _ = NewPage(Options{}, &Vars{}, "/page", 0, 1000)
 	p.TemplateHead(Meta{ESI: true})
 	p.Template([]byte(`a<esi:include src="/1"/>`), 0)
 	p.Actions(0)
 	if p.Tick(900); p.Err() != nil { // "a" is ready and the client has not taken it
-		t.Error(p.Err())
+		t.Errorf("error %v while bytes are ready, want none", p.Err())
 	}
 	p, _ = NewPage(Options{}, &Vars{}, "/page", 0, 1000)
 	p.TemplateHead(Meta{ESI: true})
@@ -419,7 +419,7 @@
 	p.Take(nil, 100, 0)
 	p.Actions(0)
 	if p.Tick(900); !errors.Is(p.Err(), ErrDeadline) {
-		t.Error(p.Err())
+		t.Errorf("error %v, want ErrDeadline", p.Err())
 	}
 }
 
@@ -428,17 +428,17 @@
 	b := Meta{Fresh: 50, ETag: `"b"`, LastModified: 7, Private: true}
 	ab, ba := Combine([]Meta{a, b}), Combine([]Meta{b, a})
 	if ab.Fresh != 50 || !ab.Private || ab.LastModified != 7 || ab.ETag == "" || ab.ETag == ba.ETag {
-		t.Error(ab, ba)
+		t.Errorf("a and b combine to %+v, b and a to %+v; want fresh 50, private, modified at 7, and two different ETags", ab, ba)
 	}
 	if m := Combine([]Meta{a, {Fresh: -1}}); m.Fresh != 0 || m.ETag != "" || m.LastModified != 0 {
-		t.Error(m)
+		t.Errorf("with an item of unknown freshness: %+v; want fresh 0, no ETag, no modification time", m)
 	}
 }
 
 // FuzzPage assembles arbitrary pages and fragments with inputs in random order. A page always ends
 // within its bounds, and its output does not depend on the chunks in which the input arrives.
 func FuzzPage(f *testing.F) {
-	f.Add(`a<esi:include src="/p1"/><esi:try><esi:attempt><esi:include src="/n"/></esi:attempt><esi:except>e</esi:except></esi:try>`, `<esi:include src="/f"/>`, uint64(1))
+	f.Add(`a<esi:include src="/p1"/><esi:try><esi:attempt><esi:include src="/missing"/></esi:attempt><esi:except>e</esi:except></esi:try>`, `<esi:include src="/f"/>`, uint64(1))
 	f.Add(`<esi:inline name="/p1">x</esi:inline><esi:include src="/p1"/><esi:include src="/f" alt="/p1"/>`, `y`, uint64(2))
 	f.Fuzz(func(t *testing.T, page, fragment string, seed uint64) {
 		if len(page) > 20<<10 || len(fragment) > 20<<10 {
@@ -449,10 +449,10 @@
 		one, p, _ := assemblePage(t, s, w, rand.New(rand.NewPCG(seed, 1)))
 		two, q, _ := assemblePage(t, s, w, rand.New(rand.NewPCG(seed, 2)))
 		if p.Done() && q.Done() && one != two {
-			t.Fatalf("%q and %q", one, two)
+			t.Fatalf("the output depends on the chunks: %q and %q", one, two)
 		}
 		if p.maxWaiting > 3*s.MaxWaiting+10*s.MaxBuffered {
-			t.Fatalf("%d bytes waiting", p.maxWaiting)
+			t.Fatalf("%d bytes were waiting, want at most %d", p.maxWaiting, 3*s.MaxWaiting+10*s.MaxBuffered)
 		}
 	})
 }
