--- a/internal/protocol/esi/page.go
+++ b/internal/protocol/esi/page.go
@@ -484,7 +484,8 @@
 	p.fillSlot(sl, u)
 }
 
-// fillSlot assigns a slot the fragment with a URL, or its fallback if the page may not use that.
+// fillSlot assigns to a slot the fragment with the given URL, or the slot's fallback if the page may
+// not use that fragment.
 func (p *Page) fillSlot(sl *slot, u *url.URL) {
 	key := u.RequestURI()
 	owner := sl.sequence.owner
@@ -1044,7 +1045,7 @@
 
 // Purged reports a purge of the template or of the fragments whose URLs match. Content that has not
 // been sent at all is fetched again. If some of the purged content has been sent, the page must be
-// complete by the time until, at which purged copies become stale.
+// complete by until, the time at which purged copies become stale.
 func (p *Page) Purged(template bool, match func(url string) bool, until, now float64) {
 	p.advanceClock(now)
 	if p.err != nil || p.Done() {
@@ -1084,7 +1085,7 @@
 	}
 }
 
-// endBy requires the page to be complete by the time until, and aborts it if that has passed.
+// endBy requires the page to be complete by until, and aborts the page if until has passed.
 func (p *Page) endBy(until float64) {
 	if p.mustEndAt == 0 || until < p.mustEndAt {
 		p.mustEndAt = until
--- a/internal/protocol/esi/page_test.go
+++ b/internal/protocol/esi/page_test.go
@@ -284,8 +284,8 @@
 }
 
 // TestPagePurge purges fragments and templates. A buffered fragment is fetched again, and its old
-// copy is not sent. If part of a fragment or template has been sent, the page must end by the time
-// of the purge or fails. A template of which nothing has been sent is fetched again.
+// copy is not sent. If part of a fragment or template has been sent, the page fails unless it is
+// complete by the time at which the purged copies become stale. A template of which nothing has been sent is fetched again.
 func TestPagePurge(t *testing.T) {
 	w := site{"/page": `<esi:include src="/slow"/><esi:include src="/f1"/>`, "/slow": "s", "/f1": "new"}
 	p, _ := NewPage(Options{}, &Vars{}, "/page", 0, 1000)
@@ -383,8 +383,9 @@
 	}
 }
 
-// TestPageDeadlines checks when fetches time out: an optional fragment in time for the rest of the
-// page, one with an alternative in time for that, a required one at the end.
+// TestPageDeadlines checks when fetches time out: that of an optional fragment leaves time for
+// the rest of the page, that of a fragment with an alternative leaves time for the alternative, and
+// that of a required fragment times out Reserve before the page's deadline.
 func TestPageDeadlines(t *testing.T) {
 	p, _ := NewPage(Options{}, &Vars{}, "/page", 0, 1000)
 	p.TemplateHead(Meta{ESI: true})
@@ -449,7 +450,7 @@
 		one, p, _ := assemblePage(t, s, w, rand.New(rand.NewPCG(seed, 1)))
 		two, q, _ := assemblePage(t, s, w, rand.New(rand.NewPCG(seed, 2)))
 		if p.Done() && q.Done() && one != two {
-			t.Fatalf("the output depends on the chunks: %q and %q", one, two)
+			t.Fatalf("the output depends on the order or the chunks of the input: %q and %q", one, two)
 		}
 		if p.maxWaiting > 3*s.MaxWaiting+10*s.MaxBuffered {
 			t.Fatalf("%d bytes were waiting, want at most %d", p.maxWaiting, 3*s.MaxWaiting+10*s.MaxBuffered)
--- a/internal/protocol/esi/plan.go
+++ b/internal/protocol/esi/plan.go
@@ -70,7 +70,8 @@
 	return end
 }
 
-// fetchRounds returns the number of rounds that the fetches of so many fragments take.
+// fetchRounds returns the number of rounds that it takes to fetch the given number of fragments, with
+// Parallel fetches in each round.
 func (o *Options) fetchRounds(fragments int) int {
 	return int(math.Ceil(float64(fragments) / float64(o.Parallel)))
 }
--- a/internal/protocol/esi/vars.go
+++ b/internal/protocol/esi/vars.go
@@ -22,7 +22,8 @@
 	HasKey, HasDefault bool
 }
 
-// takesKey tells of each known variable whether it takes a key.
+// takesKey has the known variables. The value is true if the variable may have a key, as in
+// HTTP_COOKIE{name}.
 var takesKey = map[string]bool{
 	"HTTP_HOST": false, "HTTP_REFERER": false, "HTTP_COOKIE": true, "HTTP_ACCEPT_LANGUAGE": true,
 	"HTTP_USER_AGENT": true, "QUERY_STRING": true,
