--- a/internal/protocol/esi/page_test.go
+++ b/internal/protocol/esi/page_test.go
@@ -285,7 +285,8 @@
 
 // TestPagePurge purges fragments and templates. A buffered fragment is fetched again, and its old
 // copy is not sent. If part of a fragment or template has been sent, the page fails unless it is
-// complete by the time at which the purged copies become stale. A template of which nothing has been sent is fetched again.
+// complete by the time at which the purged copies become stale. A template of which nothing has been
+// sent is fetched again.
 func TestPagePurge(t *testing.T) {
 	w := site{"/page": `<esi:include src="/slow"/><esi:include src="/f1"/>`, "/slow": "s", "/f1": "new"}
 	p, _ := NewPage(Options{}, &Vars{}, "/page", 0, 1000)
@@ -383,9 +384,9 @@
 	}
 }
 
-// TestPageDeadlines checks when fetches time out: that of an optional fragment leaves time for
-// the rest of the page, that of a fragment with an alternative leaves time for the alternative, and
-// that of a required fragment times out Reserve before the page's deadline.
+// TestPageDeadlines checks when fetches time out: the fetch of an optional fragment leaves time for
+// the rest of the page, the fetch of a fragment with an alternative leaves time for the alternative,
+// and the fetch of a required fragment times out Reserve before the page's deadline.
 func TestPageDeadlines(t *testing.T) {
 	p, _ := NewPage(Options{}, &Vars{}, "/page", 0, 1000)
 	p.TemplateHead(Meta{ESI: true})
