--- a/internal/protocol/esi/esi_test.go
+++ b/internal/protocol/esi/esi_test.go
@@ -113,13 +113,13 @@
 	}{
 		{`ab<esi:includes src="/x"/>`, 2, "is not an element"},
 		{`<esi:include src="/x">`, 0, "not closed"},
-		{`<esi:include/>`, 0, "src is missing"},
+		{`<esi:include/>`, 0, "attribute src is missing or empty"},
 		{`<esi:include src="/x" max="1"/>`, 0, "unknown attribute"},
 		{`<esi:include src="/x" src="/y"/>`, 0, "given twice"},
 		{`<esi:include src=/x/>`, 0, "is not an attribute"},
 		{`<esi:include src="/x" onerror="stop"/>`, 0, "onerror"},
 		{"<esi:include src=\"/x\x00\"/>", 0, "control character"},
-		{`ab<esi:remove>`, 14, "esi:remove is not closed"},
+		{`ab<esi:remove>`, 14, "the page ends, but esi:remove is not closed"},
 		{`ab<esi:vars>cd`, 2, "esi:vars is not closed"},
 		{`ab<esi:include src="/x"`, 2, "within a tag"},
 		{`ab</esi:vars>`, 2, "no element is open"},
@@ -129,10 +129,10 @@
 		{`<esi:when test="1">x</esi:when>`, 0, "outside of esi:choose"},
 		{`<esi:choose><esi:when test="1 = 2">x</esi:when></esi:choose>`, 12, "after the end of the expression"},
 		{`<esi:choose><esi:otherwise>x</esi:otherwise><esi:when test="1">x</esi:when></esi:choose>`, 44, "after esi:otherwise"},
-		{`<esi:try><esi:attempt>x</esi:attempt></esi:try>`, 0, "without both"},
+		{`<esi:try><esi:attempt>x</esi:attempt></esi:try>`, 0, "must have an esi:attempt and an esi:except, and at least one is missing"},
 		{`<esi:try><esi:except>x</esi:except></esi:try>`, 9, "before esi:attempt"},
 		{`<esi:try><esi:attempt>x</esi:attempt><esi:attempt>x</esi:attempt></esi:try>`, 37, "a second"},
-		{`<esi:vars><esi:try><esi:attempt>x</esi:vars>`, 33, "esi:attempt is open"},
+		{`<esi:vars><esi:try><esi:attempt>x</esi:vars>`, 33, "esi:attempt is the innermost open element"},
 		{`<!--esi <!--esi -->`, 8, "within <!--esi"},
 		{`<!--esi x`, 9, "not closed"},
 		{strings.Repeat("<esi:vars>", 17), 160, "deeper than 16"},
@@ -150,7 +150,7 @@
 		strings.Repeat(`<esi:comment text="x"/>`, 10001), `<esi:inline name="/a">` + strings.Repeat("x", 2<<20),
 	} {
 		if _, err := parse(page, 4096, Limits{}); err == nil || !strings.Contains(err.Error(), "raise the limit") {
-			t.Errorf("%.40q: %v", page, err)
+			t.Errorf("%.40q: %v; want a fault with \"raise the limit\"", page, err)
 		}
 	}
 }
@@ -174,13 +174,13 @@
 		if err != nil {
 			t.Errorf("%s: %v", text, err)
 		} else if got := e.Holds(testVars); got != want {
-			t.Errorf("%s is %v", text, got)
+			t.Errorf("%s holds: %v, want %v", text, got, want)
 		}
 	}
 	for _, text := range []string{``, `(`, `(1`, `1 ==`, `== 1`, `1 == 2 == 3`, `a`, `'a`, `$(HOME)`, `$(HTTP_HOST{x})`, `1 &`, `(1==1)==1`, `1.2.3`,
 		strings.Repeat("(", 100) + "1" + strings.Repeat(")", 100), strings.Repeat("!", 100) + "1"} {
 		if _, err := ParseExpr(text); err == nil || !strings.Contains(err.Error(), "byte ") {
-			t.Errorf("%.40q: %v", text, err)
+			t.Errorf("%.40q: error %v, want one that states the byte", text, err)
 		}
 	}
 }
@@ -207,10 +207,10 @@
 		v := &Vars{Cookie: "a=" + rapid.String().Draw(t, "cookie"), Query: rapid.String().Draw(t, "query")}
 		text := "/$(HTTP_COOKIE{a})/$(QUERY_STRING)"
 		if got := string(v.Expand(nil, text, URL)); strings.ContainsAny(got, "\r\n\x00 <>\"'&?#;") || strings.Count(got, "/") != 2 {
-			t.Fatalf("%q", got)
+			t.Fatalf("in a URL: %q has an unescaped character or not two slashes", got)
 		}
 		if got := string(v.Expand(nil, text, HTML)); strings.ContainsAny(got, "\r\n\x00<>\"'") {
-			t.Fatalf("%q", got)
+			t.Fatalf("in a page: %q has an unescaped character", got)
 		}
 	})
 }
@@ -240,7 +240,7 @@
 			}
 			page = page[n:]
 			if len(p.unread) > l.Tag+int(chunk)+1 || len(p.inline.Text) > l.Held || len(p.stack) > l.Depth {
-				t.Fatalf("%d bytes unread, %d of an inline, %d open elements", len(p.unread), len(p.inline.Text), len(p.stack))
+				t.Fatalf("%d bytes unread, %d of an inline, %d open elements; want at most %d, %d, %d", len(p.unread), len(p.inline.Text), len(p.stack), l.Tag+int(chunk)+1, l.Held, l.Depth)
 			}
 		}
 	})
--- a/internal/protocol/esi/page.go
+++ b/internal/protocol/esi/page.go
@@ -465,7 +465,7 @@
 // addInclude adds a slot for an include element to a sequence.
 func (p *Page) addInclude(to *sequence, n *Node, base *url.URL) {
 	if p.includes++; p.includes > p.options.Includes {
-		p.abort(ErrLimit, "more than %d includes", p.options.Includes)
+		p.abort(ErrLimit, "more than %d include elements in the page and its fragments", p.options.Includes)
 		return
 	}
 	sl := &slot{sequence: to, continueOnError: n.ContinueOnError}
@@ -484,7 +484,8 @@
 	p.fillSlot(sl, u)
 }
 
-// fillSlot assigns a slot the fragment with a URL, or its fallback if the page may not use that.
+// fillSlot assigns to a slot the fragment with the given URL, or the slot's fallback if the page may
+// not use that fragment.
 func (p *Page) fillSlot(sl *slot, u *url.URL) {
 	key := u.RequestURI()
 	owner := sl.sequence.owner
@@ -1025,7 +1026,7 @@
 		if p.err == nil && f.state == fetching && now >= f.deadline {
 			p.cancelFetch(f)
 			if f.partlySent {
-				p.abort(ErrDeadline, "%.80q", f.key)
+				p.abort(ErrDeadline, "fetch of %.80q timed out after part of it was sent", f.key)
 				return
 			}
 			p.failedLate = true
@@ -1044,7 +1045,7 @@
 
 // Purged reports a purge of the template or of the fragments whose URLs match. Content that has not
 // been sent at all is fetched again. If some of the purged content has been sent, the page must be
-// complete by the time until, at which purged copies become stale.
+// complete by until, the time at which purged copies become stale.
 func (p *Page) Purged(template bool, match func(url string) bool, until, now float64) {
 	p.advanceClock(now)
 	if p.err != nil || p.Done() {
@@ -1084,7 +1085,7 @@
 	}
 }
 
-// endBy requires the page to be complete by the time until, and aborts it if that has passed.
+// endBy requires the page to be complete by until, and aborts the page if until has passed.
 func (p *Page) endBy(until float64) {
 	if p.mustEndAt == 0 || until < p.mustEndAt {
 		p.mustEndAt = until
@@ -1150,7 +1151,7 @@
 	had := len(dst)
 	for p.err == nil && len(p.cursors) > 0 && len(dst)-had < maxBytes {
 		if p.steps++; p.steps > maxSteps {
-			p.abort(ErrLimit, "more than %d parts processed", maxSteps)
+			p.abort(ErrLimit, "more than %d parts of the page were processed for output", maxSteps)
 			break
 		}
 		c := &p.cursors[len(p.cursors)-1]
