--- a/internal/protocol/esi/esi_test.go
+++ b/internal/protocol/esi/esi_test.go
@@ -223,7 +223,7 @@
 		f.Add([]byte(s), uint8(3))
 	}
 	f.Fuzz(func(t *testing.T, page []byte, chunk uint8) {
-		l := Limits{Depth: 4, Tag: 200, Held: 300, Nodes: 20}
+		l := Limits{Depth: 4, Tag: 200, BufferedBytes: 300, Elements: 20}
 		whole, err := parse(string(page), max(len(page), 1), l)
 		cut, err2 := parse(string(page), int(chunk)+1, l)
 		if (err == nil) != (err2 == nil) || err != nil && err.Error() != err2.Error() {
@@ -239,8 +239,8 @@
 				return
 			}
 			page = page[n:]
-			if len(p.unread) > l.Tag+int(chunk)+1 || len(p.inline.Text) > l.Held || len(p.stack) > l.Depth {
-				t.Fatalf("%d bytes unread, %d of an inline, %d open elements; want at most %d, %d, %d", len(p.unread), len(p.inline.Text), len(p.stack), l.Tag+int(chunk)+1, l.Held, l.Depth)
+			if len(p.unread) > l.Tag+int(chunk)+1 || len(p.inline.Text) > l.BufferedBytes || len(p.stack) > l.Depth {
+				t.Fatalf("%d bytes unread, %d of an inline, %d open elements; want at most %d, %d, %d", len(p.unread), len(p.inline.Text), len(p.stack), l.Tag+int(chunk)+1, l.BufferedBytes, l.Depth)
 			}
 		}
 	})
--- a/internal/protocol/esi/page_test.go
+++ b/internal/protocol/esi/page_test.go
@@ -447,7 +447,7 @@
 			return
 		}
 		w := site{"/page": page, "/p1": fragment, "/p2": fragment, "/f": "text", "/": fragment}
-		s := Options{MaxWaiting: 4 << 10, StreamThreshold: 1 << 10, MaxBuffered: 16 << 10, MaxPage: 1 << 20, Parallel: 3, Parser: Limits{Held: 16 << 10}}
+		s := Options{MaxWaiting: 4 << 10, StreamThreshold: 1 << 10, MaxBuffered: 16 << 10, MaxPage: 1 << 20, Parallel: 3, Parser: Limits{BufferedBytes: 16 << 10}}
 		one, p, _ := assemblePage(t, s, w, rand.New(rand.NewPCG(seed, 1)))
 		two, q, _ := assemblePage(t, s, w, rand.New(rand.NewPCG(seed, 2)))
 		if p.Done() && q.Done() && one != two {
--- a/internal/protocol/esi/parse.go
+++ b/internal/protocol/esi/parse.go
@@ -40,10 +40,10 @@
 
 // Limits bound the resources that parsing a page takes. A field that is zero has its default.
 type Limits struct {
-	Depth int // nesting depth of elements; default 16
-	Tag   int // bytes of one tag; default 8 KB
-	Held  int // bytes buffered for one outermost element, with all that is in it; default 1 MB
-	Nodes int // elements of a page, not counting runs of text; default 10,000
+	Depth         int // nesting depth of elements; default 16
+	Tag           int // bytes of one tag; default 8 KB
+	BufferedBytes int // bytes buffered for one outermost element, with all that is in it; default 1 MB
+	Elements      int // elements of a page, not counting runs of text; default 10,000
 }
 
 func (l Limits) withDefaults() Limits {
@@ -54,8 +54,8 @@
 	}
 	set(&l.Depth, 16)
 	set(&l.Tag, 8<<10)
-	set(&l.Held, 1<<20)
-	set(&l.Nodes, 10000)
+	set(&l.BufferedBytes, 1<<20)
+	set(&l.Elements, 10000)
 	return l
 }
 
@@ -262,7 +262,7 @@
 		n = i
 	}
 	if p.inline.Kind == Inline {
-		if p.held += i; p.held > p.limits.Held {
+		if p.held += i; p.held > p.limits.BufferedBytes {
 			p.failHeld()
 			return dst, 0
 		}
@@ -279,7 +279,7 @@
 }
 
 func (p *Parser) failHeld() {
-	p.fail(p.offset, fmt.Sprintf("the outermost open element holds more than %d bytes", p.limits.Held), "make the choose, try, vars or inline element smaller, or raise the limit, (held-kb n) in (pages ...)")
+	p.fail(p.offset, fmt.Sprintf("the outermost open element holds more than %d bytes", p.limits.BufferedBytes), "make the choose, try, vars or inline element smaller, or raise the limit, (held-kb n) in (pages ...)")
 }
 
 // addText adds literal bytes of the page.
@@ -297,7 +297,7 @@
 		}
 		return dst
 	}
-	if p.held += len(b); p.held > p.limits.Held {
+	if p.held += len(b); p.held > p.limits.BufferedBytes {
 		p.failHeld()
 		return dst
 	}
@@ -369,8 +369,8 @@
 		p.fail(p.offset, "esi:"+name+": "+what, "see docs/esi.md for its attributes")
 		return dst
 	}
-	if p.elements++; p.elements > p.limits.Nodes {
-		p.fail(p.offset, fmt.Sprintf("more than %d elements on a page", p.limits.Nodes), "split the page, or raise the limit, (elements n) in (pages ...)")
+	if p.elements++; p.elements > p.limits.Elements {
+		p.fail(p.offset, fmt.Sprintf("more than %d elements on a page", p.limits.Elements), "split the page, or raise the limit, (elements n) in (pages ...)")
 		return dst
 	}
 	if parentName := requiredParent[name]; parentName != "" && (len(p.stack) == 0 || p.stack[len(p.stack)-1].name != parentName) {
@@ -395,7 +395,7 @@
 		if e, has := attr["onerror"]; has && !node.ContinueOnError {
 			p.fail(p.offset, fmt.Sprintf("onerror is %.20q", e), `the only allowed value is "continue"`)
 		}
-		if p.held += len(node.Src) + len(node.Alt); len(p.stack) > 0 && p.held > p.limits.Held {
+		if p.held += len(node.Src) + len(node.Alt); len(p.stack) > 0 && p.held > p.limits.BufferedBytes {
 			p.failHeld()
 		}
 		return p.addNode(dst, node)
--- a/internal/proxy/httpfront/page.go
+++ b/internal/proxy/httpfront/page.go
@@ -113,7 +113,7 @@
 // esiOptionsOf converts the settings for pages.
 func esiOptionsOf(settings *config.Settings) esi.Options {
 	pages := &settings.Pages
-	return esi.Options{Parser: esi.Limits{Depth: pages.Nesting, Tag: pages.Tag, Held: pages.WaitingKB << 10, Nodes: pages.Elements},
+	return esi.Options{Parser: esi.Limits{Depth: pages.Nesting, Tag: pages.Tag, BufferedBytes: pages.WaitingKB << 10, Elements: pages.Elements},
 		Fragments: pages.Fragments, Includes: pages.Includes, Depth: pages.Depth, Parallel: pages.Parallel, Attempts: pages.Attempts,
 		StreamThreshold: int64(pages.StreamThresholdKB) << 10, MaxBuffered: int64(pages.MaxBufferedKB) << 10, MaxWaiting: int64(pages.WaitingKB) << 10, MaxPage: int64(pages.MaxPageMB) << 20,
 		Reserve: pages.Reserve, PassMalformed: pages.Malformed == "as-is"}
