--- a/internal/testbed/testserver/fault.go
+++ b/internal/testbed/testserver/fault.go
@@ -12,22 +12,25 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// Fault is a fault to inject into a server for some time.
+// Fault is a fault to inject into a server for some time. An attempt is one request that a router
+// sends to the server; a retry is another attempt.
 type Fault struct {
 	Kind   string  `json:"kind"`
-	For    float64 `json:"for"`    // duration, ms
-	Factor float64 `json:"factor"` // of slow: how many times slower; of ageing: how many times slower at the end
-	Share  float64 `json:"share"`  // share of attempts affected; 0: all
-	Every  float64 `json:"every"`  // of pauses: from the start of one to the start of the next, ms
-	Length float64 `json:"length"` // of pauses: duration of each, ms
+	For    float64 `json:"for"`    // duration, ms; 0 ends an active fault of the kind
+	Factor float64 `json:"factor"` // used by slow: how many times slower (below 1: no effect); used by ageing: the same at the end, rising linearly from 1
+	Share  float64 `json:"share"`  // share of the attempts affected, 0 to 1; 0: all; accept-shut: share of the connections; ignored by vanish, hang, half-open, slow, ageing and pauses
+	Every  float64 `json:"every"`  // used by pauses: time from the start of one to the start of the next, ms; 0: no pauses
+	Length float64 `json:"length"` // used by pauses: duration of each, ms
 }
 
-// The kinds of faults. Those that end a process (crash, preempt, a killed router) are carried
-// out by package scenario.
+// The kinds of faults that a server injects into itself. Faults that end a process, such as a
+// crash, are not among them; package scenario carries them out. While vanish, hang or a pause is
+// active, responses in progress pause too, but control requests (/-/) on open connections are
+// answered.
 const (
-	Vanish           = "vanish"      // accepts no connection, sends no response and no reset
-	Hang             = "hang"        // accepts requests and answers none
-	Slow             = "slow"        // slower by Factor
+	Vanish           = "vanish"      // accepts no new connection and answers no attempt until the fault ends; resets no open connection
+	Hang             = "hang"        // accepts connections and attempts, but answers none until the fault ends
+	Slow             = "slow"        // latency and transfers are slower by Factor
 	Ageing           = "ageing"      // increasingly slow, up to Factor
 	FastErrors       = "fast-errors" // immediate status 500 for Share of the attempts
 	Pauses           = "pauses"      // stops for Length once in each period of Every
@@ -37,12 +40,12 @@
 	Overlong         = "overlong"    // sends more than Content-Length bytes
 	Garbage          = "garbage"     // sends bytes that are not HTTP
 	TwoLengths       = "two-lengths" // sends two different Content-Length fields
-	LengthAndChunked = "both-frames" // sends both Content-Length and chunked Transfer-Encoding
+	LengthAndChunked = "both-frames" // frames the body twice: by Content-Length and by chunked Transfer-Encoding
 	BareLF           = "bare-lf"     // ends header lines with LF instead of CRLF
 	LargeHeader      = "big-head"    // sends a header of more than 64 KB
 	Trickle          = "trickle"     // sends one byte of the body per second
-	HalfOpen         = "half-open"   // does not accept connections
-	AcceptClose      = "accept-shut" // accepts connections and closes them
+	HalfOpen         = "half-open"   // accepts no new connection, so that connects hang; open connections work as usual
+	AcceptClose      = "accept-shut" // accepts connections and closes them at once
 )
 
 // Kinds lists all kinds of faults that a server can have.
@@ -52,11 +55,11 @@
 // faults holds the injected faults of a server, by kind.
 type faults struct {
 	mu       sync.Mutex
-	until    map[string]float64 // when the fault ends, on the traffic log's clock
+	until    map[string]float64 // when the fault ends, ms on the clock of trafficlog.Now
 	settings map[string]Fault
-	began    map[string]float64 // when the fault began
+	began    map[string]float64 // when the fault began, on the same clock
 	rng      *rand.Rand
-	changed  chan struct{} // closed and replaced at each change
+	changed  chan struct{} // closed and replaced by set; nothing waits for it
 }
 
 func newFaults(seed uint64) *faults {
@@ -64,6 +67,9 @@
 		rng: rand.New(rand.NewPCG(seed, 0x5eed)), changed: make(chan struct{})}
 }
 
+// set starts a fault at the time now. It replaces an active fault of the same kind; a duration of
+// 0 ends that one. waitWhileStopped and Accept, if they are asleep, still sleep until the end that
+// they read before.
 func (f *faults) set(now float64, x Fault) error {
 	known := false
 	for _, k := range Kinds {
@@ -73,7 +79,7 @@
 		return fmt.Errorf("testserver: unknown fault %q, want one of %v", x.Kind, Kinds)
 	}
 	if x.For < 0 || x.Share < 0 || x.Share > 1 || x.Factor < 0 {
-		return fmt.Errorf("testserver: fault %s: duration or factor is negative, or share is not between 0 and 1", x.Kind)
+		return fmt.Errorf("testserver: fault %s: for is %g ms, factor is %g and share is %g; want for and factor of at least 0 and a share from 0 to 1", x.Kind, x.For, x.Factor, x.Share)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -83,8 +89,9 @@
 	return nil
 }
 
-// active reports whether a fault is active now and affects this attempt. It draws a random
-// number for a fault that affects a share of the attempts.
+// active reports whether a fault of the kind is active now and affects the present attempt, or for
+// accept-shut the present connection. If Share is above 0, each call decides at random, so that it
+// is called once for each attempt or connection.
 func (f *faults) active(kind string) bool {
 	now := trafficlog.Now()
 	f.mu.Lock()
@@ -96,7 +103,7 @@
 	return share == 0 || f.rng.Float64() < share
 }
 
-// slowdown returns by which factor the server is slower now.
+// slowdown returns the factor by which the server is slower now, at least 1.
 func (f *faults) slowdown() float64 {
 	now := trafficlog.Now()
 	f.mu.Lock()
@@ -112,7 +119,7 @@
 	return factor
 }
 
-// waitWhileStopped waits until no fault stops the server (vanish, hang, pauses).
+// waitWhileStopped waits until no fault stops the server (vanish, hang, pauses) or ctx is done.
 func (f *faults) waitWhileStopped(ctx context.Context) error {
 	for {
 		now := trafficlog.Now()
@@ -139,7 +146,8 @@
 	}
 }
 
-// acceptsAgainAt returns when the server accepts connections again, or 0 if it accepts them now.
+// acceptsAgainAt returns the time at which the server will accept connections again, or 0 if it
+// accepts them now. It does not wait.
 func (f *faults) acceptsAgainAt(now float64) (until float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -160,7 +168,9 @@
 }
 
 // faultListener stops accepting connections while the fault vanish or half-open is active. It
-// sets the kernel's accept queue to the shortest length, so that further connects hang.
+// notices the fault at the next connection that it accepts. It holds this connection without
+// serving it and sets the kernel's accept queue to the shortest length, so that further connects
+// hang. At the end of the fault it resets the connection and those left in the queue.
 type faultListener struct {
 	net.Listener
 	faults *faults
@@ -204,8 +214,9 @@
 				now = trafficlog.Now()
 				until = l.faults.acceptsAgainAt(now)
 			}
-			// Connections that were queued in the meantime are reset, as if they had never
-			// reached the machine.
+			// The fault is over. c and the connections that the kernel queued during the fault
+			// are reset, so that none of their requests is served. Their clients get the reset
+			// only now, not during the fault.
 			resetConn(c)
 			if t, ok := l.Listener.(*net.TCPListener); ok {
 				t.SetDeadline(time.Now().Add(2 * time.Millisecond))
--- a/internal/testbed/testserver/list.go
+++ b/internal/testbed/testserver/list.go
@@ -22,9 +22,9 @@
 	ID             string  `json:"id"`
 	Listen         string  `json:"listen"`
 	LagFrom        float64 `json:"lag_from"`    // minimum delay of updates of members
-	LagTo          float64 `json:"lag_to"`      // maximum delay
+	LagTo          float64 `json:"lag_to"`      // maximum delay of updates of members
 	PurgeFrom      float64 `json:"purge_from"`  // minimum delay of purges
-	PurgeTo        float64 `json:"purge_to"`    // maximum delay
+	PurgeTo        float64 `json:"purge_to"`    // maximum delay of purges
 	PurgeWindow    float64 `json:"purge_takes"` // a router that connects is sent the purges of this last period
 	InitialListAge float64 `json:"stale"`       // age of the full list that a router gets when it connects
 	Seed           uint64  `json:"seed"`
@@ -165,7 +165,7 @@
 	return row
 }
 
-// watch streams updates to one router: first a full list, which is StaleOnStart old, then each
+// watch streams updates to one router: first a full list, which is InitialListAge old, then each
 // later update and purge after the stream's delay.
 func (l *ListService) watch(w http.ResponseWriter, r *http.Request) {
 	router := r.URL.Query().Get("router")
@@ -298,7 +298,7 @@
 	}
 }
 
-// due returns when an entry is to be sent.
+// due returns the time at which an entry is to be sent.
 func due(e entry, lag, purgeLag float64) float64 {
 	if e.purge != nil {
 		return e.time + purgeLag
--- a/internal/testbed/testserver/pace.go
+++ b/internal/testbed/testserver/pace.go
@@ -8,26 +8,29 @@
 	"indigospool/internal/testbed/trafficlog"
 )
 
-// Link is a network link with a limited bandwidth. Transfers share it in the order in which they
-// call Pass, one chunk at a time. A bandwidth of 0 means no limit.
+// Link is a network link with a limited bandwidth. Each call of Pass sends one chunk; chunks pass
+// in the order of the calls. A bandwidth of 0 or less means no limit, and so does a nil Link in
+// Pass.
 type Link struct {
 	mu     sync.Mutex
 	rate   func() float64 // present bandwidth, KB per ms
-	freeAt float64        // when all reserved bytes have passed, on the traffic log's clock
-	bytes  int64          // reserved so far
+	freeAt float64        // when all reserved bytes have passed, ms on the clock of trafficlog.Now
+	bytes  int64          // bytes reserved so far
 }
 
 // NewLink returns a link with a bandwidth in KB per ms, which may change over time.
 func NewLink(rate func() float64) *Link { return &Link{rate: rate} }
 
-// Bytes returns how many bytes have been sent over the link.
+// Bytes returns the number of bytes given to Pass so far, including those of calls that still wait
+// or were canceled.
 func (l *Link) Bytes() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.bytes
 }
 
-// reserve reserves the link for n bytes and returns when they have passed.
+// reserve reserves the link for n bytes. It does not wait; it returns the time at which the last
+// of them will have passed.
 func (l *Link) reserve(n int) (until float64) {
 	now := trafficlog.Now()
 	l.mu.Lock()
@@ -41,7 +44,7 @@
 	return l.freeAt
 }
 
-// Pass waits until n bytes have passed over the link.
+// Pass waits until n bytes have passed over the link or ctx is done.
 func (l *Link) Pass(ctx context.Context, n int) error {
 	if l == nil {
 		return ctx.Err()
@@ -49,8 +52,8 @@
 	return sleepUntil(ctx, l.reserve(n))
 }
 
-// sleepUntil sleeps until a time on the traffic log's clock. It returns at once if less than
-// 0.2 ms is left.
+// sleepUntil sleeps until the time t, in ms on the clock of trafficlog.Now, or until ctx is done.
+// It returns at once if less than 0.2 ms is left.
 func sleepUntil(ctx context.Context, t float64) error {
 	d := t - trafficlog.Now()
 	if d < 0.2 {
--- a/internal/testbed/testserver/platform.go
+++ b/internal/testbed/testserver/platform.go
@@ -21,7 +21,7 @@
 // and origins that speak RESP, the control feed, and clients that speak Thrift. They run on
 // loopback sockets, and tests check what these sockets receive.
 
-// PlatformRequest is a request to a cache: an attempt or, with Stop, the cancellation of one.
+// PlatformRequest is a request to a cache: an attempt or, with Cancel, the cancellation of one.
 type PlatformRequest struct {
 	ID     string
 	Fields map[string]string
@@ -263,7 +263,7 @@
 	})
 }
 
-// PlatformForget returns the frame that cancels the call whose sequence number is of.
+// PlatformForget returns the frame that cancels the call with the sequence number of.
 func PlatformForget(seq, of int32) []byte {
 	return message("forget", thrift.ONEWAY, seq, func(w *thrift.TBinaryProtocol) {
 		w.WriteFieldBegin(inMemory, "", thrift.I32, 1)
@@ -306,7 +306,7 @@
 	}
 	n := binary.BigEndian.Uint32(head[:])
 	if n > 1<<20 {
-		return r, fmt.Errorf("testserver: answer of %d bytes is too long", n)
+		return r, fmt.Errorf("testserver: answer of %d bytes is too long, want at most %d", n, 1<<20)
 	}
 	b := make([]byte, n)
 	if _, err := io.ReadFull(c, b); err != nil {
@@ -326,7 +326,7 @@
 	}
 	_, t, id, err := p.ReadFieldBegin(ctx)
 	if err != nil || t != thrift.STRUCT || id < 0 || id > 2 {
-		return r, errors.Join(err, fmt.Errorf("testserver: invalid result: field %d of type %d", id, t))
+		return r, errors.Join(err, fmt.Errorf("testserver: invalid result: field %d of type %d, want field 0, 1 or 2 of type %d", id, t, thrift.STRUCT))
 	}
 	r.Word = [...]string{"served", "refused", "failed"}[id]
 	r.Fields = map[string]string{}
