--- a/internal/testbed/loadgen/arrivals.go
+++ b/internal/testbed/loadgen/arrivals.go
@@ -140,19 +140,19 @@
 
 // NewSessions returns the sessions of a script. The same seed gives the same sessions.
 func NewSessions(script *Script) *Sessions {
-	d := &Sessions{script: script, rng: rand.New(rand.NewPCG(uint64(script.Load.Seed), 0x10ad))}
+	sessions := &Sessions{script: script, rng: rand.New(rand.NewPCG(uint64(script.Load.Seed), 0x10ad))}
 	sessionShare, requestShare := 0.0, 0.0
 	for i := range script.Classes {
 		c := &script.Classes[i]
-		d.zipf = append(d.zipf, rand.NewZipf(d.rng, c.Zipf, 1, uint64(c.Objects-1)))
+		sessions.zipf = append(sessions.zipf, rand.NewZipf(sessions.rng, c.Zipf, 1, uint64(c.Objects-1)))
 		sessionShare += c.Share / c.meanRequests() // the share in sessions: requests divided by requests per session
 		requestShare += c.Share
-		d.cumulativeShares = append(d.cumulativeShares, sessionShare)
+		sessions.cumulativeShares = append(sessions.cumulativeShares, sessionShare)
 	}
-	d.rate = script.Arrivals.Rate / 1000 * sessionShare / requestShare
-	d.gap = distuv.Exponential{Rate: d.rate, Src: d.rng}
-	d.burst = distuv.Poisson{Lambda: max(script.Arrivals.Burst-1, 1e-9), Src: d.rng}
-	return d
+	sessions.rate = script.Arrivals.Rate / 1000 * sessionShare / requestShare
+	sessions.gap = distuv.Exponential{Rate: sessions.rate, Src: sessions.rng}
+	sessions.burst = distuv.Poisson{Lambda: max(script.Arrivals.Burst-1, 1e-9), Src: sessions.rng}
+	return sessions
 }
 
 // meanRequests returns the mean number of requests in a session of the class.
--- a/internal/testbed/loadgen/plot.go
+++ b/internal/testbed/loadgen/plot.go
@@ -13,12 +13,12 @@
 // first shows for each class which share of the responses took longer than a latency, on two
 // logarithmic axes; the second the requests due and those served in time in each second.
 func (r *Result) Plot(prefix, format string) error {
-	p := plot.New()
-	p.Title.Text = "Latency from when a request was due"
-	p.X.Label.Text, p.Y.Label.Text = "ms", "share of answers that took longer"
-	p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
-	p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{Prec: -1}, plot.LogTicks{Prec: -1}
-	p.Legend.Top = true
+	latencies := plot.New()
+	latencies.Title.Text = "Latency from when a request was due"
+	latencies.X.Label.Text, latencies.Y.Label.Text = "ms", "share of answers that took longer"
+	latencies.X.Scale, latencies.Y.Scale = plot.LogScale{}, plot.LogScale{}
+	latencies.X.Tick.Marker, latencies.Y.Tick.Marker = plot.LogTicks{Prec: -1}, plot.LogTicks{Prec: -1}
+	latencies.Legend.Top = true
 	var lines []any
 	for _, c := range r.Classes {
 		if xy := exceedance(c); len(xy) > 1 {
@@ -26,25 +26,25 @@
 		}
 	}
 	if len(lines) > 0 {
-		if err := plotutil.AddLines(p, lines...); err != nil {
+		if err := plotutil.AddLines(latencies, lines...); err != nil {
 			return fmt.Errorf("loadgen: %w", err)
 		}
-		if err := p.Save(18*vg.Centimeter, 12*vg.Centimeter, prefix+"-latency."+format); err != nil {
+		if err := latencies.Save(18*vg.Centimeter, 12*vg.Centimeter, prefix+"-latency."+format); err != nil {
 			return fmt.Errorf("loadgen: %w", err)
 		}
 	}
-	q := plot.New()
-	q.Title.Text = "Requests by the second"
-	q.X.Label.Text, q.Y.Label.Text = "s", "requests"
+	seconds := plot.New()
+	seconds.Title.Text = "Requests by the second"
+	seconds.X.Label.Text, seconds.Y.Label.Text = "s", "requests"
 	var due, inTime plotter.XYs
 	for _, s := range r.Seconds {
 		due = append(due, plotter.XY{X: float64(s.Second), Y: float64(s.Due)})
 		inTime = append(inTime, plotter.XY{X: float64(s.Second), Y: float64(s.InTime)})
 	}
-	if err := plotutil.AddLines(q, "due", due, "in time", inTime); err != nil {
+	if err := plotutil.AddLines(seconds, "due", due, "in time", inTime); err != nil {
 		return fmt.Errorf("loadgen: %w", err)
 	}
-	if err := q.Save(18*vg.Centimeter, 12*vg.Centimeter, prefix+"-seconds."+format); err != nil {
+	if err := seconds.Save(18*vg.Centimeter, 12*vg.Centimeter, prefix+"-seconds."+format); err != nil {
 		return fmt.Errorf("loadgen: %w", err)
 	}
 	return nil
--- a/internal/testbed/loadgen/record.go
+++ b/internal/testbed/loadgen/record.go
@@ -139,40 +139,40 @@
 // Next returns the next request, as a session of its own.
 func (r *Replay) Next() (Session, bool) {
 	for {
-		t, q, err := r.next()
+		arrivedAt, recorded, err := r.next()
 		if err != nil {
 			if err != io.EOF {
 				r.err = err
 			}
 			return nil, false
 		}
-		if q.Write && !r.options.Writes {
+		if recorded.Write && !r.options.Writes {
 			r.skipped["writes are sent with --writes only"]++
 			continue
 		}
-		target, err := r.core.HTTPRequest(t, q)
+		target, err := r.core.HTTPRequest(arrivedAt, recorded)
 		if err != nil {
 			r.skipped[truncate(err.Error())]++
 			continue
 		}
 		if !r.started {
-			r.started, r.start = true, t
+			r.started, r.start = true, arrivedAt
 		}
-		request := Request{Class: r.classIndex[q.Class], Path: target.Path, Method: target.Method, Fields: target.Fields}
-		if k := r.classSettings(q.Class); k != nil && q.KB > 0 && r.core.Settings.Fill.FlowKBPerMs > 0 {
-			request.LatencyObjective = k.LatencyObjective + k.ObjectivePerSendTime*q.KB/r.core.Settings.Fill.FlowKBPerMs
+		request := Request{Class: r.classIndex[recorded.Class], Path: target.Path, Method: target.Method, Fields: target.Fields}
+		if k := r.classSettings(recorded.Class); k != nil && recorded.KB > 0 && r.core.Settings.Fill.FlowKBPerMs > 0 {
+			request.LatencyObjective = k.LatencyObjective + k.ObjectivePerSendTime*recorded.KB/r.core.Settings.Fill.FlowKBPerMs
 		}
-		if q.Write {
+		if recorded.Write {
 			r.writes++
 			request.Fields = append(request.Fields, [2]string{"Idempotency-Key", fmt.Sprintf("replayed-%d-%d", time.Now().UnixNano(), r.writes)})
-			request.Body = int64(q.KB * 1024)
+			request.Body = int64(recorded.KB * 1024)
 		}
-		if at := t - r.start; r.options.Speed > 0 {
+		if at := arrivedAt - r.start; r.options.Speed > 0 {
 			// The clock was set back or the machine restarted: continue at the time of the
 			// previous request.
 			if at/r.options.Speed < r.lastDue-maxReorderMillis {
-				r.start = t - r.lastDue*r.options.Speed
-				at = t - r.start
+				r.start = arrivedAt - r.lastDue*r.options.Speed
+				at = arrivedAt - r.start
 			}
 			r.lastDue = max(at/r.options.Speed, r.lastDue)
 			request.Due = r.lastDue
@@ -201,21 +201,21 @@
 
 // RunReplay sends the requests of a replay and returns when all of them have ended. Of the form, it
 // uses the name, the targets, the connections and the limit of the number of requests.
-func RunReplay(ctx context.Context, r *Replay, f LoadSettings) (*Result, error) {
+func RunReplay(ctx context.Context, r *Replay, settings LoadSettings) (*Result, error) {
 	var faults config.Faults
-	if checkTargets(&f, &faults); len(faults) > 0 {
+	if checkTargets(&settings, &faults); len(faults) > 0 {
 		return nil, faults
 	}
-	f.Length, f.WarmUp, f.Conns, f.MaxRequests = 0, 0, max(f.Conns, 1), max(f.MaxRequests, 1)
+	settings.Length, settings.WarmUp, settings.Conns, settings.MaxRequests = 0, 0, max(settings.Conns, 1), max(settings.MaxRequests, 1)
 	// The classes of a journal are known only after its first request has been read.
 	first, ok := r.Next()
 	if !ok && r.err == nil {
-		return nil, errors.Join(fmt.Errorf("loadgen: %s has no request that can be replayed", f.Name), r.skippedError())
+		return nil, errors.Join(fmt.Errorf("loadgen: %s has no request that can be replayed", settings.Name), r.skippedError())
 	}
 	if r.err != nil {
 		return nil, r.err
 	}
-	res, err := run(ctx, &f, r.classes, &readAhead{first, r, len(r.classes)}, r.options.Speed == 0)
+	res, err := run(ctx, &settings, r.classes, &readAhead{first, r, len(r.classes)}, r.options.Speed == 0)
 	if err == nil {
 		err = r.err
 	}
--- a/internal/testbed/loadgen/run.go
+++ b/internal/testbed/loadgen/run.go
@@ -69,22 +69,22 @@
 
 // run sends the requests of a source until the source or the load ends. A length of 0 is no
 // limit. At full speed, each session begins as soon as a connection is free.
-func run(ctx context.Context, f *LoadSettings, classes []Class, src source, fullSpeed bool) (*Result, error) {
-	res := &Result{Name: f.Name}
+func run(ctx context.Context, settings *LoadSettings, classes []Class, src source, fullSpeed bool) (*Result, error) {
+	res := &Result{Name: settings.Name}
 	for i := range classes {
 		res.Classes = append(res.Classes, &ClassResult{Class: classes[i].Name, histogram: newHistogram()})
 	}
 	var clients []*http.Client
-	for range f.Targets {
-		t := &http.Transport{MaxConnsPerHost: f.Conns, MaxIdleConnsPerHost: f.Conns, DisableCompression: true,
+	for range settings.Targets {
+		transport := &http.Transport{MaxConnsPerHost: settings.Conns, MaxIdleConnsPerHost: settings.Conns, DisableCompression: true,
 			DialContext: (&net.Dialer{Timeout: 5 * time.Second}).DialContext}
-		clients = append(clients, &http.Client{Transport: t})
-		defer t.CloseIdleConnections()
+		clients = append(clients, &http.Client{Transport: transport})
+		defer transport.CloseIdleConnections()
 	}
 	var mu sync.Mutex // guards the fields of res except Classes
 	var wg sync.WaitGroup
 	var sent atomic.Int64
-	slots := make(chan struct{}, f.Conns*len(f.Targets))
+	slots := make(chan struct{}, settings.Conns*len(settings.Targets))
 	begin := time.Now()
 	due := func(r *Request) time.Time { return begin.Add(time.Duration(r.Due * float64(time.Millisecond))) }
 	send := func(r Request, target int) {
@@ -93,9 +93,9 @@
 		sendDelay := time.Since(dueAt)
 		requestCtx, cancel := context.WithDeadline(ctx, dueAt.Add(time.Duration(class.Deadline*float64(time.Millisecond))))
 		defer cancel()
-		status, hit, n, err := fetch(requestCtx, clients[target], f.Targets[target], &r)
+		status, hit, n, err := fetch(requestCtx, clients[target], settings.Targets[target], &r)
 		took := time.Since(dueAt)
-		if r.Due < f.WarmUp {
+		if r.Due < settings.WarmUp {
 			return
 		}
 		objective := class.LatencyObjective
@@ -164,10 +164,10 @@
 			}
 			var parts sync.WaitGroup
 			for _, r := range session { // open loop: a part is requested when it is due, whether or not the previous one has ended
-				if f.Length > 0 && r.Due >= f.Length || !waitUntil(ctx, due(&r)) {
+				if settings.Length > 0 && r.Due >= settings.Length || !waitUntil(ctx, due(&r)) {
 					break
 				}
-				if sent.Add(1) > int64(f.MaxRequests) {
+				if sent.Add(1) > int64(settings.MaxRequests) {
 					mu.Lock()
 					res.Dropped++
 					mu.Unlock()
--- a/internal/testbed/testserver/fault.go
+++ b/internal/testbed/testserver/fault.go
@@ -70,20 +70,20 @@
 // set starts a fault at the time now. It replaces an active fault of the same kind; a duration of
 // 0 ends that one. waitWhileStopped and Accept, if they are asleep, still sleep until the end that
 // they read before.
-func (f *faults) set(now float64, x Fault) error {
+func (f *faults) set(now float64, fault Fault) error {
 	known := false
 	for _, k := range Kinds {
-		known = known || k == x.Kind
+		known = known || k == fault.Kind
 	}
 	if !known {
-		return fmt.Errorf("testserver: unknown fault %q, want one of %v", x.Kind, Kinds)
+		return fmt.Errorf("testserver: unknown fault %q, want one of %v", fault.Kind, Kinds)
 	}
-	if x.For < 0 || x.Share < 0 || x.Share > 1 || x.Factor < 0 {
-		return fmt.Errorf("testserver: fault %s: for is %g ms, factor is %g and share is %g; want for and factor of at least 0 and a share from 0 to 1", x.Kind, x.For, x.Factor, x.Share)
+	if fault.For < 0 || fault.Share < 0 || fault.Share > 1 || fault.Factor < 0 {
+		return fmt.Errorf("testserver: fault %s: for is %g ms, factor is %g and share is %g; want for and factor of at least 0 and a share from 0 to 1", fault.Kind, fault.For, fault.Factor, fault.Share)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.settings[x.Kind], f.began[x.Kind], f.until[x.Kind] = x, now, now+x.For
+	f.settings[fault.Kind], f.began[fault.Kind], f.until[fault.Kind] = fault, now, now+fault.For
 	close(f.changed)
 	f.changed = make(chan struct{})
 	return nil
@@ -113,8 +113,8 @@
 		factor = max(factor, f.settings[Slow].Factor)
 	}
 	if now < f.until[Ageing] {
-		x := f.settings[Ageing]
-		factor = max(factor, 1+(x.Factor-1)*(now-f.began[Ageing])/max(x.For, 1))
+		ageing := f.settings[Ageing]
+		factor = max(factor, 1+(ageing.Factor-1)*(now-f.began[Ageing])/max(ageing.For, 1))
 	}
 	return factor
 }
@@ -130,10 +130,10 @@
 				until = max(until, f.until[k])
 			}
 		}
-		if x := f.settings[Pauses]; now < f.until[Pauses] && x.Every > 0 {
-			cycles := int((now - f.began[Pauses]) / x.Every)
-			if begin := f.began[Pauses] + float64(cycles)*x.Every; now < begin+x.Length {
-				until = max(until, begin+x.Length)
+		if pauses := f.settings[Pauses]; now < f.until[Pauses] && pauses.Every > 0 {
+			cycles := int((now - f.began[Pauses]) / pauses.Every)
+			if begin := f.began[Pauses] + float64(cycles)*pauses.Every; now < begin+pauses.Length {
+				until = max(until, begin+pauses.Length)
 			}
 		}
 		f.mu.Unlock()
--- a/internal/testbed/testserver/platform.go
+++ b/internal/testbed/testserver/platform.go
@@ -144,27 +144,27 @@
 		}
 		buf = append(buf, chunk[:k]...)
 		for {
-			a, size, _, err := resp.ReadAnswer(buf) // requests have the format of answers
+			answer, size, _, err := resp.ReadAnswer(buf) // requests have the format of answers
 			if err != nil {
 				return
 			}
 			if size == 0 {
 				break
 			}
-			q := PlatformRequest{ID: string(a.Word), Body: bytes.Clone(a.Body), Cancel: string(a.ID) == "STOP", Fields: map[string]string{}}
-			resp.EachField(a.Fields, func(name, value []byte) bool { q.Fields[string(name)] = string(value); return true })
+			request := PlatformRequest{ID: string(answer.Word), Body: bytes.Clone(answer.Body), Cancel: string(answer.ID) == "STOP", Fields: map[string]string{}}
+			resp.EachField(answer.Fields, func(name, value []byte) bool { request.Fields[string(name)] = string(value); return true })
 			buf = buf[size:]
 			p.mu.Lock()
-			p.received = append(p.received, q)
-			if q.Cancel {
-				delete(p.outstanding, q.ID)
-				delete(ids, q.ID)
+			p.received = append(p.received, request)
+			if request.Cancel {
+				delete(p.outstanding, request.ID)
+				delete(ids, request.ID)
 			} else {
-				p.outstanding[q.ID]++
-				ids[q.ID] = true
+				p.outstanding[request.ID]++
+				ids[request.ID] = true
 			}
 			p.mu.Unlock()
-			p.On(c, q)
+			p.On(c, request)
 		}
 	}
 }
--- a/internal/testbed/testserver/server.go
+++ b/internal/testbed/testserver/server.go
@@ -151,7 +151,7 @@
 func (s *Server) ID() string { return s.cfg.ID }
 
 // Fault injects a fault for its duration from now.
-func (s *Server) Fault(x Fault) error { return s.faults.set(trafficlog.Now(), x) }
+func (s *Server) Fault(fault Fault) error { return s.faults.set(trafficlog.Now(), fault) }
 
 // Purge drops the copies that were generated before made, a time on the traffic log's clock.
 // An origin creates a new version instead, at a time of its own. Purge returns the time that
@@ -246,19 +246,19 @@
 	var err error
 	switch r.URL.Path {
 	case "/-/fault":
-		var x Fault
-		if err = json.NewDecoder(r.Body).Decode(&x); err == nil {
-			err = s.Fault(x)
+		var fault Fault
+		if err = json.NewDecoder(r.Body).Decode(&fault); err == nil {
+			err = s.Fault(fault)
 		}
 	case "/-/purge":
-		var x struct {
+		var purge struct {
 			Object string  `json:"object"`
 			Group  int     `json:"group"`
 			Made   float64 `json:"made"`
 		}
-		if err = json.NewDecoder(r.Body).Decode(&x); err == nil {
-			x.Made = s.Purge(x.Object, x.Group, x.Made)
-			json.NewEncoder(w).Encode(x)
+		if err = json.NewDecoder(r.Body).Decode(&purge); err == nil {
+			purge.Made = s.Purge(purge.Object, purge.Group, purge.Made)
+			json.NewEncoder(w).Encode(purge)
 			return
 		}
 	case "/-/state":
