--- a/internal/testbed/loadgen/arrivals.go
+++ b/internal/testbed/loadgen/arrivals.go
@@ -45,16 +45,16 @@
 	Place  config.Place
 	Kind   string  `edn:"@" def:"poisson" oneof:"steady poisson bursts waves"`
 	Rate   float64 `edn:"rate" def:"100" min:"0.01"`       // mean requests per second
-	Burst  float64 `edn:"burst" def:"20" min:"1"`          // of bursts: mean number of sessions in a burst
-	Period float64 `edn:"period" def:"10000" min:"10"`     // of waves: period
-	Depth  float64 `edn:"depth" def:"0.8" min:"0" max:"1"` // of waves: the rate varies between (1-depth) and (1+depth) times the mean
+	Burst  float64 `edn:"burst" def:"20" min:"1"`          // used by bursts: mean number of sessions in a burst
+	Period float64 `edn:"period" def:"10000" min:"10"`     // used by waves: period
+	Depth  float64 `edn:"depth" def:"0.8" min:"0" max:"1"` // used by waves: the rate varies between (1-depth) and (1+depth) times the mean
 }
 
 // Class describes a class of requests.
 type Class struct {
 	Place               config.Place
 	Name                string  `edn:"@,required"`
-	Path                string  `edn:"path,required"`         // with {group}, {object}, {part}
+	Path                string  `edn:"path,required"`         // template with {object}; {group} is optional; {part} is required if and only if Parts is above 0
 	Share               float64 `edn:"share" def:"1" min:"0"` // share of the requests, relative to the other classes
 	Objects             int     `edn:"objects" def:"1000" min:"1"`
 	Zipf                float64 `edn:"zipf" def:"1.1" min:"1.001"`
--- a/internal/testbed/loadgen/record.go
+++ b/internal/testbed/loadgen/record.go
@@ -199,8 +199,8 @@
 	return nil
 }
 
-// RunReplay sends the requests of a replay and returns when all of them have ended. Of the form, it
-// uses the name, the targets, the connections and the limit of the number of requests.
+// RunReplay sends the requests of a replay and returns when all of them have ended. Of the
+// settings, it uses the name, the targets, the connections and the limit of the number of requests.
 func RunReplay(ctx context.Context, r *Replay, settings LoadSettings) (*Result, error) {
 	var faults config.Faults
 	if checkTargets(&settings, &faults); len(faults) > 0 {
@@ -234,12 +234,13 @@
 	return err
 }
 
-// readAhead is a source that returns the session that was read first and then those of a replay.
-// It skips sessions of classes that later settings added, for which the result has no entry.
+// readAhead is a source that returns first, which has already been read from the replay, and then
+// the other sessions of the replay. It skips sessions of classes that later settings added, because
+// the result has entries for the first classes only.
 type readAhead struct {
 	first   Session
 	r       *Replay
-	classes int
+	classes int // number of classes that the result has entries for
 }
 
 func (a *readAhead) Next() (Session, bool) {
@@ -256,8 +257,9 @@
 	}
 }
 
-// accessLog reads a router's access log. Its lines are in the order in which requests ended. It
-// sorts them in the order in which they began, for requests that took up to maxRequestMillis.
+// accessLog reads a router's access log, whose lines are in the order in which requests ended. It
+// returns the requests in the order in which they began, provided that none took longer than
+// maxRequestMillis.
 type accessLog struct {
 	br      *bufio.Reader
 	file    string
@@ -267,9 +269,10 @@
 	lastEnd float64 // latest end of the requests read, ms since the epoch
 }
 
-const maxRequestMillis = 60000 // longer than clients wait
+// maxRequestMillis is the longest request for which the order is right. Clients wait less.
+const maxRequestMillis = 60000
 
-// logLine is the fields of a line that a replay needs.
+// logLine holds the fields of a line of the access log that a replay needs.
 type logLine struct {
 	Msg    string  `json:"msg"`
 	TS     string  `json:"ts"`
--- a/internal/testbed/loadgen/run.go
+++ b/internal/testbed/loadgen/run.go
@@ -19,7 +19,7 @@
 	Class    string  `json:"class"`
 	Requests int64   `json:"requests"`
 	InTime   int64   `json:"in_time"` // complete responses within the latency objective
-	Late     int64   `json:"late"`    // complete responses after it
+	Late     int64   `json:"late"`    // complete responses later than the latency objective
 	Refused  int64   `json:"refused"` // status 503
 	Failed   int64   `json:"failed"`  // other statuses of at least 400
 	Broken   int64   `json:"broken"`  // no complete response
@@ -68,7 +68,7 @@
 }
 
 // run sends the requests of a source until the source or the load ends. A length of 0 is no
-// limit. At full speed, each session begins as soon as a connection is free.
+// limit. With fullSpeed, each session begins as soon as a connection is free.
 func run(ctx context.Context, settings *LoadSettings, classes []Class, src source, fullSpeed bool) (*Result, error) {
 	res := &Result{Name: settings.Name}
 	for i := range classes {
@@ -197,7 +197,7 @@
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 600_000_000, 3) }
 
-// waitUntil waits until a time. It reports false if the context is done before.
+// waitUntil waits until the time at. It returns false if the context is done before.
 func waitUntil(ctx context.Context, at time.Time) bool {
 	d := time.Until(at)
 	if d <= 0 {
--- a/internal/testbed/testserver/fill.go
+++ b/internal/testbed/testserver/fill.go
@@ -208,7 +208,7 @@
 		GeneratedAt: generatedAt, Lifetime: e.class.Fresh}
 }
 
-// serveFill answers from a fill in progress. joined tells that another attempt started the fill.
+// serveFill answers from a fill in progress. joined says whether another attempt started the fill.
 func (e *exchange) serveFill(f *fill, joined bool) {
 	if f.waitUntil(e.r.Context(), func() bool { return f.ready }) != nil {
 		return
--- a/internal/testbed/testserver/fleet.go
+++ b/internal/testbed/testserver/fleet.go
@@ -29,7 +29,7 @@
 	OverloadTime       float64  `edn:"fall-time" def:"3000" min:"1"`
 	Feedback           []string `edn:"feedback"`
 	Seed               int      `edn:"seed" def:"1"`
-	Boxes              string   `edn:"boxes" def:"stand-in" oneof:"stand-in warm cold"` // of a scenario: warm and cold run spool-cache instead of test servers; after a crash it keeps its copies (warm) or has none (cold)
+	Boxes              string   `edn:"boxes" def:"stand-in" oneof:"stand-in warm cold"` // used by scenarios: warm and cold run spool-cache instead of test servers; after a crash it keeps its copies (warm) or has none (cold)
 }
 
 // ListServiceSettings configures the delays of the list service. For each stream, the delay of updates of
@@ -58,7 +58,7 @@
 	Role                   string  `edn:"role" def:"box" oneof:"box parent origin"`
 	Zone                   string  `edn:"zone"`
 	Listen                 string  `edn:"listen" def:"127.0.0.1:0"`
-	Upstream               string  `edn:"upstream"` // of a parent: address of the origin
+	Upstream               string  `edn:"upstream"` // used by parents: address of the origin
 	Capacity               float64 `edn:"capacity" def:"20" min:"0"`
 	MB                     float64 `edn:"mb" def:"64" min:"0.001"`
 	LinkIn                 float64 `edn:"link" min:"0"`
--- a/internal/testbed/testserver/list.go
+++ b/internal/testbed/testserver/list.go
@@ -44,13 +44,13 @@
 	rng              *rand.Rand
 	rev              int64
 	log              []entry
-	changed          chan struct{}
+	changed          chan struct{}      // closed and replaced to wake up the streams
 	cutAt            map[string]float64 // by router (empty: all routers): streams that began before this time are cut within a line
 	rollback         int64              // subtracted from the revision of full lists
 	unavailableUntil float64            // new streams are rejected until this time
 }
 
-// entry is one update of a member or one purge. Times are on the traffic log's clock, in ms.
+// entry is one update of a member or one purge. Times are in ms on the clock of trafficlog.Now.
 type entry struct {
 	time      float64
 	rev       int64
@@ -104,13 +104,13 @@
 	l.changed = make(chan struct{})
 }
 
-// Set adds or updates a member. startedAt is when its process started, on the traffic log's
-// clock; if it is 0, the row is sent with the uptime that it has.
+// Set adds or updates a member. startedAt is when its process started, in ms on the clock of
+// trafficlog.Now; if startedAt is 0, the row is sent with the uptime that it has.
 func (l *ListService) Set(row engine.Row, startedAt float64) {
 	l.addEntry(entry{row: &row, startedAt: startedAt})
 }
 
-// Purge adds a purge that was made at madeAt, a time on the traffic log's clock.
+// Purge adds a purge that was made at madeAt, in ms on the clock of trafficlog.Now.
 func (l *ListService) Purge(object string, group int, madeAt float64) {
 	l.addEntry(entry{purge: &engine.Purge{Object: object, Group: group}, madeAt: madeAt})
 }
@@ -136,7 +136,7 @@
 	l.mu.Unlock()
 }
 
-// rows returns the list as it was at a time, sorted by ID, and its revision.
+// rows returns the members as they were at a time, sorted by ID, and the revision of the list.
 func (l *ListService) rows(at float64) (rows []entry, rev int64) {
 	last := map[string]entry{}
 	for _, e := range l.log {
--- a/internal/testbed/testserver/mangle.go
+++ b/internal/testbed/testserver/mangle.go
@@ -61,7 +61,7 @@
 	case Overlong:
 		writeHeader()
 		// The surplus is sent in the same write: if it arrived after the next request had been
-		// sent, it could not be told from the response to that request.
+		// sent, the client could not tell it from the response to that request.
 		c.Write(append(slices.Clip(body), "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nxxx"...))
 	case Garbage:
 		write("\x16\x03\x01 what is this\x00\r\n\r\n")
--- a/internal/testbed/testserver/server.go
+++ b/internal/testbed/testserver/server.go
@@ -31,7 +31,7 @@
 	KB     float64 `json:"kb"`    // mean object size
 	Fresh  float64 `json:"fresh"` // lifetime of a copy, ms; 0: until purged
 	Write  bool    `json:"write"`
-	Window float64 `json:"window"` // of writes with an idempotency key: how long repeats are dropped, ms
+	Window float64 `json:"window"` // used for writes with an idempotency key: how long repeats are dropped, ms
 }
 
 // Config configures a cache, parent or origin.
@@ -40,7 +40,7 @@
 	Role                   string   `json:"role"` // box, parent or origin
 	Zone                   string   `json:"zone"`
 	Listen                 string   `json:"listen"`   // default 127.0.0.1:0
-	Upstream               string   `json:"upstream"` // of a parent: the origin's address
+	Upstream               string   `json:"upstream"` // used by parents: the origin's address
 	Start                  int64    `json:"start"`    // counts the starts of the process, from 1
 	Cold                   bool     `json:"cold"`
 	Bytes                  int64    `json:"bytes"`
@@ -56,7 +56,7 @@
 	WarmUpTime             float64  `json:"cold_time"` // duration of the warm-up, ms
 	OverloadFactor         float64  `json:"fall"`      // a cold cache stops serving at this multiple of its capacity; 0: never
 	OverloadTime           float64  `json:"fall_time"` // how long that load has to last, ms
-	Limit                  int      `json:"limit"`     // of an origin: concurrent requests; more are rejected; 0: no limit
+	Limit                  int      `json:"limit"`     // used by origins: concurrent requests; more are rejected; 0: no limit
 	Classes                []Class  `json:"classes"`
 	Seed                   uint64   `json:"seed"`
 	Feedback               []string `json:"feedback"` // load metrics in the order of the load field: inflight, util, x0, x1
@@ -150,12 +150,12 @@
 // ID returns the ID that the server was configured with.
 func (s *Server) ID() string { return s.cfg.ID }
 
-// Fault injects a fault for its duration from now.
+// Fault injects a fault, which begins now and ends after its duration.
 func (s *Server) Fault(fault Fault) error { return s.faults.set(trafficlog.Now(), fault) }
 
-// Purge drops the copies that were generated before made, a time on the traffic log's clock.
-// An origin creates a new version instead, at a time of its own. Purge returns the time that
-// applies, which caches and routers are to be told.
+// Purge drops the copies that were generated before made, in ms on the clock of trafficlog.Now.
+// An origin creates a new version instead and ignores made. Purge returns the time of the purge,
+// which caches and routers are to be told: made, or for an origin the present time.
 func (s *Server) Purge(object string, group int, made float64) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
