--- a/internal/testbed/loadgen/load_test.go
+++ b/internal/testbed/loadgen/load_test.go
@@ -52,23 +52,23 @@
 		var perSecond [400]float64
 		for _, one := range list {
 			if one[0].Due < last {
-				t.Fatalf("%s: a session at %v after one at %v", kind, one[0].Due, last)
+				t.Fatalf("%s: a session due at %v ms follows one due at %v ms, want them in order", kind, one[0].Due, last)
 			}
 			last = one[0].Due
 			for i, r := range one {
 				count[r.Class]++
 				if r.Class == 1 && (!strings.HasSuffix(r.Path, fmt.Sprint("/", i)) || i > 0 && math.Abs(r.Due-one[i-1].Due-350) > 1e-6) {
-					t.Fatalf("%s: part %d is %+v", kind, i, r)
+					t.Fatalf("%s: request of part %d is %+v, want a path that ends in the part and 350 ms between parts", kind, i, r)
 				}
 				if strings.ContainsAny(r.Path, "{}") {
-					t.Fatalf("%s: path %s", kind, r.Path)
+					t.Fatalf("%s: path is %s, want no placeholder in it", kind, r.Path)
 				}
 			}
 			parts = max(parts, len(one))
 			perSecond[min(int(one[0].Due/1000), 399)]++
 		}
 		if n := count[0] + count[1]; n < 36000 || n > 44000 || math.Abs(count[0]/n-0.6) > 0.04 || parts != 12 {
-			t.Errorf("%s: %v requests, want 40000, 0.6 of them stills; %d parts at most", kind, count, parts)
+			t.Errorf("%s: %v requests, want 40000 within 10%%, 0.6 of them stills; longest session has %d parts, want 12", kind, count, parts)
 		}
 		mean, vary := float64(len(list))/400, 0.0
 		for _, n := range perSecond {
@@ -77,7 +77,7 @@
 		switch dispersion := vary / mean; { // index of dispersion: 0 for a steady flow, 1 for a Poisson process
 		case kind == "steady" && dispersion > 0.1, kind == "poisson" && (dispersion < 0.7 || dispersion > 1.4),
 			kind == "bursts" && dispersion < 2, kind == "waves" && dispersion < 2:
-			t.Errorf("%s: arrivals by the second have a dispersion of %.2f", kind, dispersion)
+			t.Errorf("%s: index of dispersion of arrivals by the second is %.2f, want at most 0.1 (steady), 0.7 to 1.4 (poisson), at least 2 (bursts, waves)", kind, dispersion)
 		}
 	}
 }
@@ -107,10 +107,10 @@
 	}
 	c := r.Classes[0]
 	if c.Requests != 199 || c.InTime+c.Late != 199 || c.Hits != 199 || c.Broken > 0 {
-		t.Fatalf("%+v", c)
+		t.Fatalf("result %+v, want 199 requests, all complete and hits", c)
 	}
 	if c.Late < 35 || c.P90 < 200 { // about 60 of 199 were due during the stall and waited up to 600 ms
-		t.Errorf("%d late, p90 %.0f ms: the latencies do not include the wait from when requests were due", c.Late, c.P90)
+		t.Errorf("%d late, p90 %.0f ms, want at least 35 and 200 ms: the latencies do not include the wait from when requests were due", c.Late, c.P90)
 	}
 	dir := t.TempDir()
 	for _, ending := range []string{"svg", "png"} {
@@ -119,12 +119,12 @@
 		}
 		for _, name := range []string{"x-latency.", "x-seconds."} {
 			if st, err := os.Stat(filepath.Join(dir, name+ending)); err != nil || st.Size() < 500 {
-				t.Errorf("%s%s: %v", name, ending, err)
+				t.Errorf("plot %s%s: error %v, or smaller than 500 bytes", name, ending, err)
 			}
 		}
 	}
 	if err := r.Plot(filepath.Join(dir, "x"), "odd"); err == nil {
-		t.Error("an unknown format was accepted")
+		t.Error("the unknown format \"odd\" was accepted, want an error")
 	}
 }
 
@@ -157,7 +157,7 @@
 	}
 	c := r.Classes[0]
 	if c.Requests != 60 || c.Refused != 15 || c.Failed != 15 || c.Broken != 15 || c.InTime+c.Late != 15 || r.Dropped != 39 {
-		t.Errorf("%+v, dropped %d", c, r.Dropped)
+		t.Errorf("result %+v, dropped %d; want 60 requests, 15 of each outcome, and 39 dropped", c, r.Dropped)
 	}
 }
 
@@ -165,7 +165,7 @@
 	for field, want := range map[string]bool{"": false, `"a"; hit`: true, `"a"; fwd=miss`: false, `"a"; hit, "b"; fwd=miss`: false,
 		`"a"; fwd=miss, "b;x, y"; hit`: true, `"a"; hit=?0`: false, `"hit"; fwd=miss`: false, `"a";hit=?1;ttl=3`: true} {
 		if isHit(field) != want {
-			t.Errorf("%s: %v", field, !want)
+			t.Errorf("isHit(%q) = %v, want %v", field, !want, want)
 		}
 	}
 }
@@ -182,7 +182,7 @@
 	} {
 		s := &Script{}
 		if err := config.Read("load.edn", text, s); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("%s: error %v, want one that contains %q", text, err, want)
 		}
 	}
 }
--- a/internal/testbed/loadgen/record_test.go
+++ b/internal/testbed/loadgen/record_test.go
@@ -93,20 +93,20 @@
 	res, h, err := replay(t, dir, ReplayOptions{Speed: 2})
 	want := []string{"GET /s/3/a", "GET /v/3/b/7 12.5", "GET /r/b bytes=131072-196607", "GET /s/4/late 100"}
 	if err != nil || fmt.Sprint(h.requests) != fmt.Sprint(want) || len(res.Skipped) != 1 || res.Skipped[0].Count != 1 {
-		t.Fatalf("%v: %q, want %q; skipped %+v", err, h.requests, want, res.Skipped)
+		t.Fatalf("error %v; requests %q, want %q; skipped %+v, want one request", err, h.requests, want, res.Skipped)
 	}
 	if span := h.times[3].Sub(h.times[0]); span < 250*time.Millisecond {
-		t.Errorf("600 ms were replayed in %v, want 300 ms", span)
+		t.Errorf("600 ms were replayed at double speed in %v, want 300 ms", span)
 	}
 	if res, h, err = replay(t, dir, ReplayOptions{Speed: 0, Writes: true}); err != nil || len(h.requests) != 5 || len(res.Skipped) != 0 {
-		t.Errorf("%v: %q; %+v", err, h.requests, res)
+		t.Errorf("error %v; requests %q, want 5; result %+v, want none skipped", err, h.requests, res)
 	}
 	n := int64(0)
 	for _, k := range res.Classes {
 		n += k.InTime
 	}
 	if n != 5 {
-		t.Errorf("%d in time", n)
+		t.Errorf("%d requests in time, want 5", n)
 	}
 }
 
@@ -115,7 +115,7 @@
 	began := time.Now()
 	_, h, err := replay(t, writeJournal(t, []float64{4e6, 4e6 + 100, 50, 150, 250}, recordedRequests), ReplayOptions{Speed: 1, Writes: true})
 	if took := time.Since(began); err != nil || len(h.requests) != 5 || took > 20*time.Second || took < 250*time.Millisecond {
-		t.Errorf("%v: %q in %v", err, h.requests, took)
+		t.Errorf("error %v; requests %q in %v, want 5 in 250 ms to 20 s", err, h.requests, took)
 	}
 }
 
@@ -139,14 +139,14 @@
 	res, h, err := replay(t, file, ReplayOptions{Routes: s, Speed: 1})
 	want := []string{"GET /v/1/first/3", "GET /s/1/second", "GET /s/1/third"}
 	if err != nil || fmt.Sprint(h.requests) != fmt.Sprint(want) || len(res.Skipped) != 1 || !strings.Contains(res.Skipped[0].Why, "/elsewhere") {
-		t.Errorf("%v: %q, want %q; %+v", err, h.requests, want, res)
+		t.Errorf("error %v; requests %q, want %q; result %+v, want /elsewhere skipped", err, h.requests, want, res)
 	}
 	if _, _, err := replay(t, file, ReplayOptions{Speed: 1}); err == nil || !strings.Contains(err.Error(), "--routes") {
-		t.Errorf("without routes: %v", err)
+		t.Errorf("without routes: error %v, want one that names --routes", err)
 	}
 	os.WriteFile(file, []byte("\x1b[31mno log\n"), 0o600)
 	if _, _, err := replay(t, file, ReplayOptions{Routes: s, Speed: 1}); err == nil || !strings.Contains(err.Error(), `:1 is not a line`) || strings.Contains(err.Error(), "\x1b") {
-		t.Errorf("not an access log: %v", err)
+		t.Errorf("not an access log: error %q, want one that names line 1 and quotes it without control characters", err)
 	}
 }
 
@@ -157,6 +157,6 @@
 	}
 	defer r.Close()
 	if _, err := RunReplay(context.Background(), r, LoadSettings{Targets: []string{"192.0.2.1:80"}}); err == nil || !strings.Contains(err.Error(), "loopback") {
-		t.Errorf("target on another machine: %v", err)
+		t.Errorf("target on another machine: error %v, want one that says loopback", err)
 	}
 }
--- a/internal/testbed/testserver/standin_test.go
+++ b/internal/testbed/testserver/standin_test.go
@@ -84,35 +84,35 @@
 	fill := lookup
 	fill.Source, fill.SourceAddress = "o", o.Addr()
 	if code, h, _ := get(t, b.Addr(), "/x", lookup); code != 504 || !strings.Contains(h.Get("Cache-Status"), "fwd=miss") {
-		t.Errorf("lookup of a missing object: %d %v", code, h)
+		t.Errorf("lookup of a missing object: status %d, header %v; want 504 and fwd=miss", code, h)
 	}
 	if code, h, _ := get(t, b.Addr(), "/x", fill); code != 200 || h.Get("Cache-Status") != `"o", "b";fwd=miss;stored` {
-		t.Errorf("fill: %d %v", code, h)
+		t.Errorf("fill: status %d, header %v; want 200 and a miss that is stored, from o by b", code, h)
 	}
 	time.Sleep(20 * time.Millisecond)
 	if code, h, _ := get(t, b.Addr(), "/x", lookup); code != 200 || !strings.Contains(h.Get("Cache-Status"), "hit") {
-		t.Errorf("lookup of a cached object: %d %v", code, h)
+		t.Errorf("lookup of a cached object: status %d, header %v; want 200 and a hit", code, h)
 	}
 	recent := lookup
 	recent.Age = 1
 	if code, _, _ := get(t, b.Addr(), "/x", recent); code != 504 {
-		t.Errorf("lookup of a copy that is too old: %d", code)
+		t.Errorf("lookup of a copy that is too old: status %d, want 504", code)
 	}
 	o.Purge("/x", 1, 0)
 	recent = fill
 	recent.Age = 10
 	if _, h, body := get(t, b.Addr(), "/x", recent); !strings.HasPrefix(h.Get("Spool-Copy"), "v=2,") {
-		t.Errorf("fill after the purge: %v", h)
+		t.Errorf("fill after the purge: header %v, want a copy of version 2", h)
 	} else if _, ok := Matches([]byte(body), "/x", 2, 0); !ok {
 		t.Error("fill after the purge: the body is not that of the new version")
 	}
 	unreachable := fill
 	unreachable.SourceAddress = "127.0.0.1:1"
 	if code, h, _ := get(t, b.Addr(), "/y", unreachable); code != 503 || !strings.Contains(h.Get("Cache-Status"), "detail=source-unreached") {
-		t.Errorf("fill from an unreachable source: %d %v", code, h)
+		t.Errorf("fill from an unreachable source: status %d, header %v; want 503 and detail=source-unreached", code, h)
 	}
 	if code, _, body := get(t, b.Addr(), "/y", fetchheader.Attempt{ID: "r", Keep: 9}); code != 400 {
-		t.Errorf("malformed attempt: %d %s", code, body)
+		t.Errorf("malformed attempt: status %d, body %q; want 400", code, body)
 	}
 }
 
@@ -129,7 +129,7 @@
 	for i := range 8 { // 100 ms of work each; more than 400 ms is too much
 		code, _, body := get(t, b.Addr(), "/x", lookup)
 		if want := i < 4; (code == 504) != want {
-			t.Fatalf("attempt %d: %d %s", i, code, body)
+			t.Fatalf("attempt %d: status %d, body %q; want status 504: %v", i, code, body, want)
 		}
 	}
 }
@@ -138,7 +138,7 @@
 	f := newFaults(1)
 	for _, x := range []Fault{{Kind: "sulk"}, {Kind: Hang, For: -1}, {Kind: Slow, Share: 2}} {
 		if f.set(0, x) == nil {
-			t.Errorf("%+v was accepted", x)
+			t.Errorf("fault %+v was accepted, want an error", x)
 		}
 	}
 }
@@ -153,7 +153,7 @@
 		t.Fatal(err)
 	}
 	if c, err := f.Config("a"); err != nil || c.Capacity != 3 || c.Classes[0].KB != 5 {
-		t.Errorf("%+v, %v", c, err)
+		t.Errorf("configuration of machine a is %+v, error %v; want capacity 3 and a class of 5 KB", c, err)
 	}
 	if _, err := f.Config("b"); err == nil {
 		t.Error("an unknown machine was accepted")
@@ -166,7 +166,7 @@
 	key := "/page/1/" + PageName("o3", 3, 1000000, "thumb")
 	list := Includes(key)
 	if len(list) != 3 || !isPage(key) || !isText(list[0]) || isPage(list[0]) || isText("/a/1/o~b") || SizeOf(key, 9) != int64(len(text(key, 7))) {
-		t.Fatal(list)
+		t.Fatalf("fragments %v: want 3, none of them a page, and a size that depends only on the key", list)
 	}
 	page := func(fragments ...string) []byte {
 		return []byte("[" + key + " v0000000004 " + strings.Join(fragments, "") + "]")
@@ -174,15 +174,15 @@
 	a, b, c := string(text(list[0], 2)), string(text(list[1], 31)), string(text(list[2], 1))
 	got, err := Pieces(key, page(a, b, c))
 	if err != nil || len(got) != 4 || got[0].Version != 4 || got[2].Version != 31 || got[3].End != len(page(a, b, c))-1 {
-		t.Fatal(got, err)
+		t.Fatalf("all fragments: pieces %+v, error %v; want versions 4 of the page and 31 of the second fragment", got, err)
 	}
 	if got, err = Pieces(key, page(a, c)); err != nil || !got[2].Missing || got[3].Version != 1 {
-		t.Error(got, err)
+		t.Errorf("without the second fragment: pieces %+v, error %v; want it missing and version 1 of the third", got, err)
 	}
-	for what, body := range map[string][]byte{"twice": page(a, a, b, c), "out of order": page(b, a, c), "the first is missing": page(b, c), "not whole": page(a, b[:40], c),
-		"spliced": page(a, string(text(list[1], 31)[:60])+string(text(list[1], 32)[60:]), c), "cut": page(a, b, c)[:80], "empty": nil, "behind it": append(page(a, b, c), 'x')} {
+	for what, body := range map[string][]byte{"repeated fragment": page(a, a, b, c), "out of order": page(b, a, c), "the first is missing": page(b, c), "incomplete fragment": page(a, b[:40], c),
+		"two versions in a fragment": page(a, string(text(list[1], 31)[:60])+string(text(list[1], 32)[60:]), c), "truncated page": page(a, b, c)[:80], "empty": nil, "data after the page": append(page(a, b, c), 'x')} {
 		if _, err := Pieces(key, body); err == nil {
-			t.Errorf("%s: no error", what)
+			t.Errorf("%s: page was accepted, want an error", what)
 		}
 	}
 }
