--- a/internal/testbed/loadgen/arrivals.go
+++ b/internal/testbed/loadgen/arrivals.go
@@ -45,16 +45,16 @@
 	Place  config.Place
 	Kind   string  `edn:"@" def:"poisson" oneof:"steady poisson bursts waves"`
 	Rate   float64 `edn:"rate" def:"100" min:"0.01"`       // mean requests per second
-	Burst  float64 `edn:"burst" def:"20" min:"1"`          // of bursts: mean number of sessions in a burst
-	Period float64 `edn:"period" def:"10000" min:"10"`     // of waves: period
-	Depth  float64 `edn:"depth" def:"0.8" min:"0" max:"1"` // of waves: the rate varies between (1-depth) and (1+depth) times the mean
+	Burst  float64 `edn:"burst" def:"20" min:"1"`          // used by bursts: mean number of sessions in a burst
+	Period float64 `edn:"period" def:"10000" min:"10"`     // used by waves: period
+	Depth  float64 `edn:"depth" def:"0.8" min:"0" max:"1"` // used by waves: the rate varies between (1-depth) and (1+depth) times the mean
 }
 
 // Class describes a class of requests.
 type Class struct {
 	Place               config.Place
 	Name                string  `edn:"@,required"`
-	Path                string  `edn:"path,required"`         // with {group}, {object}, {part}
+	Path                string  `edn:"path,required"`         // template with {object}; {group} is optional; {part} is required if and only if Parts is above 0
 	Share               float64 `edn:"share" def:"1" min:"0"` // share of the requests, relative to the other classes
 	Objects             int     `edn:"objects" def:"1000" min:"1"`
 	Zipf                float64 `edn:"zipf" def:"1.1" min:"1.001"`
@@ -140,19 +140,19 @@
 
 // NewSessions returns the sessions of a script. The same seed gives the same sessions.
 func NewSessions(script *Script) *Sessions {
-	d := &Sessions{script: script, rng: rand.New(rand.NewPCG(uint64(script.Load.Seed), 0x10ad))}
+	sessions := &Sessions{script: script, rng: rand.New(rand.NewPCG(uint64(script.Load.Seed), 0x10ad))}
 	sessionShare, requestShare := 0.0, 0.0
 	for i := range script.Classes {
 		c := &script.Classes[i]
-		d.zipf = append(d.zipf, rand.NewZipf(d.rng, c.Zipf, 1, uint64(c.Objects-1)))
+		sessions.zipf = append(sessions.zipf, rand.NewZipf(sessions.rng, c.Zipf, 1, uint64(c.Objects-1)))
 		sessionShare += c.Share / c.meanRequests() // the share in sessions: requests divided by requests per session
 		requestShare += c.Share
-		d.cumulativeShares = append(d.cumulativeShares, sessionShare)
+		sessions.cumulativeShares = append(sessions.cumulativeShares, sessionShare)
 	}
-	d.rate = script.Arrivals.Rate / 1000 * sessionShare / requestShare
-	d.gap = distuv.Exponential{Rate: d.rate, Src: d.rng}
-	d.burst = distuv.Poisson{Lambda: max(script.Arrivals.Burst-1, 1e-9), Src: d.rng}
-	return d
+	sessions.rate = script.Arrivals.Rate / 1000 * sessionShare / requestShare
+	sessions.gap = distuv.Exponential{Rate: sessions.rate, Src: sessions.rng}
+	sessions.burst = distuv.Poisson{Lambda: max(script.Arrivals.Burst-1, 1e-9), Src: sessions.rng}
+	return sessions
 }
 
 // meanRequests returns the mean number of requests in a session of the class.
--- a/internal/testbed/testserver/platform.go
+++ b/internal/testbed/testserver/platform.go
@@ -21,7 +21,7 @@
 // and origins that speak RESP, the control feed, and clients that speak Thrift. They run on
 // loopback sockets, and tests check what these sockets receive.
 
-// PlatformRequest is a request to a cache: an attempt or, with Stop, the cancellation of one.
+// PlatformRequest is a request to a cache: an attempt or, with Cancel, the cancellation of one.
 type PlatformRequest struct {
 	ID     string
 	Fields map[string]string
@@ -144,27 +144,27 @@
 		}
 		buf = append(buf, chunk[:k]...)
 		for {
-			a, size, _, err := resp.ReadAnswer(buf) // requests have the format of answers
+			answer, size, _, err := resp.ReadAnswer(buf) // requests have the format of answers
 			if err != nil {
 				return
 			}
 			if size == 0 {
 				break
 			}
-			q := PlatformRequest{ID: string(a.Word), Body: bytes.Clone(a.Body), Cancel: string(a.ID) == "STOP", Fields: map[string]string{}}
-			resp.EachField(a.Fields, func(name, value []byte) bool { q.Fields[string(name)] = string(value); return true })
+			request := PlatformRequest{ID: string(answer.Word), Body: bytes.Clone(answer.Body), Cancel: string(answer.ID) == "STOP", Fields: map[string]string{}}
+			resp.EachField(answer.Fields, func(name, value []byte) bool { request.Fields[string(name)] = string(value); return true })
 			buf = buf[size:]
 			p.mu.Lock()
-			p.received = append(p.received, q)
-			if q.Cancel {
-				delete(p.outstanding, q.ID)
-				delete(ids, q.ID)
+			p.received = append(p.received, request)
+			if request.Cancel {
+				delete(p.outstanding, request.ID)
+				delete(ids, request.ID)
 			} else {
-				p.outstanding[q.ID]++
-				ids[q.ID] = true
+				p.outstanding[request.ID]++
+				ids[request.ID] = true
 			}
 			p.mu.Unlock()
-			p.On(c, q)
+			p.On(c, request)
 		}
 	}
 }
@@ -263,7 +263,7 @@
 	})
 }
 
-// PlatformForget returns the frame that cancels the call whose sequence number is of.
+// PlatformForget returns the frame that cancels the call with the sequence number of.
 func PlatformForget(seq, of int32) []byte {
 	return message("forget", thrift.ONEWAY, seq, func(w *thrift.TBinaryProtocol) {
 		w.WriteFieldBegin(inMemory, "", thrift.I32, 1)
@@ -306,7 +306,7 @@
 	}
 	n := binary.BigEndian.Uint32(head[:])
 	if n > 1<<20 {
-		return r, fmt.Errorf("testserver: answer of %d bytes is too long", n)
+		return r, fmt.Errorf("testserver: answer of %d bytes is too long, want at most %d", n, 1<<20)
 	}
 	b := make([]byte, n)
 	if _, err := io.ReadFull(c, b); err != nil {
@@ -326,7 +326,7 @@
 	}
 	_, t, id, err := p.ReadFieldBegin(ctx)
 	if err != nil || t != thrift.STRUCT || id < 0 || id > 2 {
-		return r, errors.Join(err, fmt.Errorf("testserver: invalid result: field %d of type %d", id, t))
+		return r, errors.Join(err, fmt.Errorf("testserver: invalid result: field %d of type %d, want field 0, 1 or 2 of type %d", id, t, thrift.STRUCT))
 	}
 	r.Word = [...]string{"served", "refused", "failed"}[id]
 	r.Fields = map[string]string{}
