--- a/internal/testbed/faultinject/faultinject.go
+++ b/internal/testbed/faultinject/faultinject.go
@@ -54,6 +54,7 @@
 // ErrPlan is wrapped by the errors of Parse.
 var ErrPlan = errors.New("faultinject: bad plan")
 
+// short is the error name of a read or write that transfers only a part of the bytes.
 const short = "short"
 
 // Fault is one entry of a plan.
--- a/internal/testbed/scenario/proc.go
+++ b/internal/testbed/scenario/proc.go
@@ -30,8 +30,9 @@
 	ChildBox     = "machine-box"     // a box that runs spool-cache
 )
 
-// Child runs a machine of a day if the program's arguments name one; otherwise it returns
-// false. Each program that runs scenarios calls it first.
+// Child runs a machine of a day if the program's arguments name one, and returns true and the
+// machine's error; otherwise it returns false. Each program that runs scenarios calls Child
+// first.
 func Child(args []string) (is bool, err error) {
 	if len(args) < 2 {
 		return false, nil
