--- a/internal/proxy/httpfront/client.go
+++ b/internal/proxy/httpfront/client.go
@@ -307,28 +307,28 @@
 		request.finish()
 		return
 	}
-	b := http1.AppendStatus(c.edge.headBuffer[:0], status)
-	b = http1.AppendFieldString(b, "Via", "1.1 "+c.edge.name)
+	response := http1.AppendStatus(c.edge.headBuffer[:0], status)
+	response = http1.AppendFieldString(response, "Via", "1.1 "+c.edge.name)
 	if status == 405 {
-		b = http1.AppendFieldString(b, "Allow", "GET, HEAD")
+		response = http1.AppendFieldString(response, "Allow", "GET, HEAD")
 	}
 	if after > 0 {
-		b = http1.AppendFieldInt(b, "Retry-After", c.edge.guard.jitter.After(after))
+		response = http1.AppendFieldInt(response, "Retry-After", c.edge.guard.jitter.After(after))
 	}
-	b = http1.AppendFieldString(b, "Cache-Status", c.edge.name+"; fwd=miss; detail="+request.word())
+	response = http1.AppendFieldString(response, "Cache-Status", c.edge.name+"; fwd=miss; detail="+request.word())
 	text := http1.StatusText(status) + "\n"
 	if request.routeError != nil {
 		text = http1.StatusText(status) + ": " + request.routeError.Message + "\n"
 	}
-	b = http1.AppendFieldString(b, "Content-Type", "text/plain")
-	b = http1.AppendFieldInt(b, "Content-Length", int64(len(text)))
-	b = c.appendConnection(b, request)
-	b = append(b, "\r\n"...)
+	response = http1.AppendFieldString(response, "Content-Type", "text/plain")
+	response = http1.AppendFieldInt(response, "Content-Length", int64(len(text)))
+	response = c.appendConnection(response, request)
+	response = append(response, "\r\n"...)
 	if !request.isHead && (request.page == nil || !request.page.conditions.head) {
-		b = append(b, text...)
+		response = append(response, text...)
 	}
-	c.edge.headBuffer = b
-	c.buffer(b)
+	c.edge.headBuffer = response
+	c.buffer(response)
 	request.sentBytes += int64(len(text))
 	request.finish()
 }
@@ -426,8 +426,8 @@
 func (c *clientConn) transfer(room int) (moved int, more bool) {
 	c.queued = false
 	for c.output.Len() > 0 && !c.closed && moved < room {
-		b := c.output.Bytes()
-		n, err := c.edge.loop.Write(c.fd, b[:min(len(b), room-moved)])
+		pending := c.output.Bytes()
+		n, err := c.edge.loop.Write(c.fd, pending[:min(len(pending), room-moved)])
 		if eventloop.Retryable(err) {
 			c.updateInterest()
 			return moved, false
@@ -658,10 +658,10 @@
 	if c.closed {
 		return
 	}
-	r := c.current
+	request := c.current
 	c.close()
-	if r != nil {
-		r.clientGone()
+	if request != nil {
+		request.clientGone()
 	}
 }
 
@@ -760,8 +760,8 @@
 		request.attempts = make([]*upstreamAttempt, 0, len(request.firstAttempts))
 		request.forwardHead = make([]byte, 0, 512)
 		for i := range request.firstAttempts {
-			t := &request.firstAttempts[i]
-			t.timer.F = t.timedOut
+			attempt := &request.firstAttempts[i]
+			attempt.timer.F = attempt.timedOut
 		}
 		return request
 	}
@@ -770,8 +770,8 @@
 	e.freeRequests = e.freeRequests[:n-1]
 	clear(request.attempts)
 	for i := range request.firstAttempts {
-		t := &request.firstAttempts[i]
-		*t = upstreamAttempt{timer: t.timer} // keeps the timer's function
+		attempt := &request.firstAttempts[i]
+		*attempt = upstreamAttempt{timer: attempt.timer} // keeps the timer's function
 	}
 	*request = clientRequest{edge: e, client: client, firstAttempts: request.firstAttempts, forwardHead: request.forwardHead[:0], requestBody: request.requestBody[:0], attempts: request.attempts[:0]}
 	return request
@@ -831,20 +831,20 @@
 	r.forwardHead = append(b, "\r\n"...)
 }
 
-// appendEndToEnd appends the end-to-end fields of a head, except those that excluded reports.
-func appendEndToEnd(b []byte, head *http1.Head, excluded func(name []byte) bool) []byte {
+// appendEndToEnd appends to dst the end-to-end fields of a head, except those that excluded reports.
+func appendEndToEnd(dst []byte, head *http1.Head, excluded func(name []byte) bool) []byte {
 	hasConnection := head.Has("connection")
 	for i := range head.Fields {
 		field := &head.Fields[i]
 		if http1.HopByHop(field.Name) || excluded(field.Name) || hasConnection && head.ListedInConnection(field.Name) {
 			continue
 		}
-		b = append(b, field.Name...)
-		b = append(b, ": "...)
-		b = append(b, field.Value...)
-		b = append(b, "\r\n"...)
+		dst = append(dst, field.Name...)
+		dst = append(dst, ": "...)
+		dst = append(dst, field.Value...)
+		dst = append(dst, "\r\n"...)
 	}
-	return b
+	return dst
 }
 
 // isRouterRequestField reports whether a request field is set by the router, or is one that
@@ -938,8 +938,8 @@
 
 // anyWritten reports whether part of the request may have reached a member.
 func (r *clientRequest) anyWritten() bool {
-	for _, t := range r.attempts {
-		if t.written {
+	for _, attempt := range r.attempts {
+		if attempt.written {
 			return true
 		}
 	}
--- a/internal/proxy/httpfront/handover.go
+++ b/internal/proxy/httpfront/handover.go
@@ -151,9 +151,9 @@
 				return
 			}
 		}
-	}, func(note []byte) { // a note: a purge that the predecessor received
+	}, func(encodedPurge []byte) { // a note: a purge that the predecessor received
 		var purge engine.Purge
-		if json.Unmarshal(note, &purge) == nil {
+		if json.Unmarshal(encodedPurge, &purge) == nil {
 			e.Query(func(*Stats, *engine.Core) { // runs on the loop, and waits for it
 				e.applyUpdate(&engine.Update{Purge: &purge})
 				if e.successor != nil {
--- a/internal/proxy/httpfront/page.go
+++ b/internal/proxy/httpfront/page.go
@@ -372,8 +372,8 @@
 }
 
 // decompress returns a decompressed body, which is limited to the size of a piece.
-func (pg *esiPage) decompress(b []byte) ([]byte, error) {
-	reader, err := gzip.NewReader(bytes.NewReader(b))
+func (pg *esiPage) decompress(compressed []byte) ([]byte, error) {
+	reader, err := gzip.NewReader(bytes.NewReader(compressed))
 	if err != nil {
 		return nil, err
 	}
@@ -391,12 +391,12 @@
 	if request == pg.request {
 		pg.templateDone = true
 		if pg.coding == gzipped {
-			b, err := pg.decompress(pg.compressed)
+			body, err := pg.decompress(pg.compressed)
 			if pg.compressed = nil; err != nil {
 				pg.fail(fmt.Errorf("%w: %w", esi.ErrMalformed, err))
 				return
 			}
-			pg.assembly.Template(b, now)
+			pg.assembly.Template(body, now)
 		}
 		pg.assembly.TemplateEnd(now)
 		pg.markChanged()
@@ -404,14 +404,14 @@
 	}
 	fragment := request.client.fragment
 	if fragment.coding == gzipped {
-		b, err := pg.decompress(fragment.compressed)
+		body, err := pg.decompress(fragment.compressed)
 		if fragment.compressed = nil; err != nil {
 			pg.assembly.FragmentFailed(fragment.id, err.Error(), now)
 			delete(pg.fragments, fragment.id)
 			pg.markChanged()
 			return
 		}
-		pg.assembly.FragmentBody(fragment.id, b, now)
+		pg.assembly.FragmentBody(fragment.id, body, now)
 	}
 	pg.assembly.FragmentEnd(fragment.id, now)
 	delete(pg.fragments, fragment.id)
@@ -598,29 +598,29 @@
 		if !pg.headSent && ready && !pg.unprocessed { // the whole page, so that the head can state its length
 			room = pg.edge.settings.Pages.WaitingKB << 10
 		}
-		b := pg.assembly.Take(nil, room, pg.edge.loop.Now())
+		body := pg.assembly.Take(nil, room, pg.edge.loop.Now())
 		if err := pg.assembly.Err(); err != nil {
 			pg.fail(err)
 			return
 		}
 		done := pg.assembly.Done()
-		if len(b) == 0 && !done && !(pg.unprocessed && !pg.headSent) {
+		if len(body) == 0 && !done && !(pg.unprocessed && !pg.headSent) {
 			return
 		}
 		if !pg.headSent {
-			if b = pg.writeHead(b, done, ready, meta); pg.stopped || client.closed {
+			if body = pg.writeHead(body, done, ready, meta); pg.stopped || client.closed {
 				return
 			}
 		}
 		if pg.conditions.head {
-			b = nil
+			body = nil
 		}
-		pg.write(b)
+		pg.write(body)
 		if done {
 			pg.finish()
 			return
 		}
-		if len(b) == 0 && !pg.conditions.head {
+		if len(body) == 0 && !pg.conditions.head {
 			return
 		}
 	}
@@ -725,15 +725,15 @@
 }
 
 // write gives bytes of the body to the client's connection.
-func (pg *esiPage) write(b []byte) {
+func (pg *esiPage) write(content []byte) {
 	client := pg.request.client
-	if len(b) > 0 {
-		pg.request.sentBytes += int64(len(b))
+	if len(content) > 0 {
+		pg.request.sentBytes += int64(len(content))
 		if pg.chunked {
-			pg.edge.headBuffer = http1.AppendChunk(pg.edge.headBuffer[:0], b)
+			pg.edge.headBuffer = http1.AppendChunk(pg.edge.headBuffer[:0], content)
 			client.buffer(pg.edge.headBuffer)
 		} else {
-			client.buffer(b)
+			client.buffer(content)
 		}
 	}
 	if client.output.Len() > 0 {
--- a/internal/proxy/httpfront/upstream.go
+++ b/internal/proxy/httpfront/upstream.go
@@ -559,8 +559,8 @@
 	pool := u.pool
 	delete(pool.connections, u)
 	u.edge.guard.memory.Add(limits.Connections, -upstreamBytes)
-	for i, x := range pool.idle {
-		if x == u {
+	for i, idle := range pool.idle {
+		if idle == u {
 			pool.idle = append(pool.idle[:i], pool.idle[i+1:]...)
 			break
 		}
@@ -569,13 +569,13 @@
 	u.output.Drop(&u.edge.buffers)
 	pipelined := u.pipelined
 	u.pipelined = nil
-	for _, t := range pipelined {
+	for _, attempt := range pipelined {
 		// A request that was written may have reached the member. It is reported as NotSent all
 		// the same, so that the module retries it: only GETs are pipelined, and repeating a GET
 		// is safe.
-		if t != nil {
-			t.upstream = nil
-			t.finish(spool.NotSent, spool.NoteNone, false)
+		if attempt != nil {
+			attempt.upstream = nil
+			attempt.finish(spool.NotSent, spool.NoteNone, false)
 		}
 	}
 	pool.assignWaiting()
--- a/internal/proxy/httpfront/watch.go
+++ b/internal/proxy/httpfront/watch.go
@@ -31,15 +31,15 @@
 		defer close(done)
 		wait := settings.Limits.DiscoveryBackoff
 		for ctx.Err() == nil {
-			lines, err := e.followStream(ctx, settings)
+			updates, err := e.followStream(ctx, settings)
 			if ctx.Err() != nil {
 				return
 			}
-			if lines > 0 {
+			if updates > 0 {
 				wait = settings.Limits.DiscoveryBackoff
 			}
 			e.listState.Store("lost: " + err.Error())
-			e.log.Log.Warn("discovery stream ended; reconnecting after a backoff", zap.Error(err), zap.Int("lines", lines))
+			e.log.Log.Warn("discovery stream ended; reconnecting after a backoff", zap.Error(err), zap.Int("lines", updates))
 			select {
 			case <-time.After(time.Duration(wait * (0.5 + random.Float64()) * float64(time.Millisecond))):
 			case <-ctx.Done():
@@ -58,7 +58,7 @@
 
 // followStream opens a discovery stream and posts its updates to the loop until it ends. It
 // returns the number of updates and why the stream ended.
-func (e *Edge) followStream(ctx context.Context, settings *config.Settings) (lines int, err error) {
+func (e *Edge) followStream(ctx context.Context, settings *config.Settings) (updates int, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	watchURL := url.URL{Scheme: "http", Host: settings.Router.DiscoveryAddress, Path: "/watch", RawQuery: "router=" + url.QueryEscape(e.name)}
@@ -81,18 +81,18 @@
 	for {
 		line, err := readLine(reader, settings.Limits.DiscoveryLineBytes)
 		if err != nil {
-			return lines, err
+			return updates, err
 		}
 		if len(line) == 0 {
 			continue // a keep-alive
 		}
 		update, err := engine.ParseUpdate(line)
 		if err != nil {
-			return lines, err
+			return updates, err
 		}
-		lines++
+		updates++
 		if err := e.postUpdate(ctx, update); err != nil {
-			return lines, err
+			return updates, err
 		}
 	}
 }
