--- a/internal/protocol/resp/resp_test.go
+++ b/internal/protocol/resp/resp_test.go
@@ -35,7 +35,7 @@
 				}
 				if size == 0 {
 					if more <= len(buf) {
-						t.Fatalf("an incomplete answer of %d bytes, but only %d are wanted", len(buf), more)
+						t.Fatalf("an incomplete answer of %d bytes: want is %d, must be more", len(buf), more)
 					}
 					break
 				}
@@ -68,7 +68,7 @@
 		case err != nil && !errors.Is(err, ErrMalformed):
 			t.Fatal(err)
 		case err == nil && size == 0 && (want <= len(b) || want > len(b)+MaxBodyBytes+4096+200):
-			t.Fatalf("an incomplete answer of %d bytes, and %d are wanted", len(b), want)
+			t.Fatalf("an incomplete answer of %d bytes: want is %d, must be more, but within the limits", len(b), want)
 		case size > len(b) || len(a.Body) > MaxBodyBytes:
 			t.Fatalf("an answer of %d bytes was parsed from %d bytes", size, len(b))
 		}
@@ -85,7 +85,7 @@
 	for _, b := range []string{"x", "*9\r\n", "*1\r\n", "*4\n", "*4\r\n:1\r\n", "*4\r\n$65\r\n", "*4\r\n$1\r\nxyz", "*1234567890123456",
 		"*4\r\n$1\r\nx\r\n$3\r\nHIT\r\n$1\r\n-\r\n$240001\r\n"} {
 		if _, _, _, err := ReadAnswer([]byte(b)); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%q: %v", b, err)
+			t.Errorf("%q: error %v, want ErrMalformed", b, err)
 		}
 	}
 }
--- a/internal/proxy/httpfront/clock_test.go
+++ b/internal/proxy/httpfront/clock_test.go
@@ -46,7 +46,7 @@
 	for _, step := range []time.Duration{time.Hour, -2 * time.Hour} {
 		wallclock.Step(step)
 		if late := edge.date().Sub(before).Seconds(); late < 4.9 || late > 6 {
-			t.Errorf("stepped by %v: date is %v s after a start 5 s ago", step, late)
+			t.Errorf("wall clock stepped by %v: date is %v s after a start 5 s ago, want 4.9 to 6", step, late)
 		}
 	}
 	wallclock.Step(time.Hour)
@@ -80,7 +80,7 @@
 	took := time.Since(began)
 	close(stop)
 	if n := <-stepped; n < 10 || took > 3*time.Second {
-		t.Errorf("%d steps of the clock; all requests took %v", n, took)
+		t.Errorf("%d steps of the clock, want at least 10; all requests took %v, want at most 3 s", n, took)
 	}
 }
 
--- a/internal/proxy/httpfront/page.go
+++ b/internal/proxy/httpfront/page.go
@@ -362,7 +362,7 @@
 }
 
 // appendCompressed appends content to a compressed body, or calls onTooLarge if the body would
-// exceed the limit of a piece.
+// exceed Pages.MaxBufferedKB.
 func (pg *esiPage) appendCompressed(to *[]byte, content []byte, onTooLarge func()) {
 	if len(*to)+len(content) > pg.edge.settings.Pages.MaxBufferedKB<<10 {
 		onTooLarge()
@@ -371,7 +371,7 @@
 	*to = append(*to, content...)
 }
 
-// decompress returns a decompressed body, which is limited to the size of a piece.
+// decompress returns a decompressed body, or an error if it exceeds Pages.MaxBufferedKB.
 func (pg *esiPage) decompress(compressed []byte) ([]byte, error) {
 	reader, err := gzip.NewReader(bytes.NewReader(compressed))
 	if err != nil {
@@ -425,7 +425,7 @@
 	id         int
 	coding     coding
 	compressed []byte // body of a compressed fragment
-	done       bool   // it was received, has failed or is no longer needed
+	done       bool   // the fragment was received, has failed or is no longer needed
 }
 
 // fetchFragment submits a request for a fragment to the module.
--- a/internal/proxy/httpfront/page_test.go
+++ b/internal/proxy/httpfront/page_test.go
@@ -115,7 +115,7 @@
 	s.t.Helper()
 	res, got, err := s.request("GET", path, fields...)
 	if err != nil || res.StatusCode != 200 || got != text {
-		s.t.Fatalf("%s: %.300q %v %v, want %.300q", path, got, res, err, text)
+		s.t.Fatalf("%s: body %.300q, response %v, error %v; want 200 and body %.300q", path, got, res, err, text)
 	}
 	return res
 }
@@ -135,10 +135,10 @@
 	rig.serve("/s/1/y", "y")
 	res := rig.mustGetText("/p/1/a", "<h>xxxxxxxxxxyE</h>", "Cookie", "secret=1", "Accept-Encoding", "br")
 	if n := rig.count("/s/1/x"); n != 1 {
-		t.Errorf("a fragment that is included ten times was fetched %d times", n)
+		t.Errorf("a fragment that is included ten times was fetched %d times, want 1", n)
 	}
 	if c := res.Header["Set-Cookie"]; len(c) != 1 || c[0] != "t=1" || res.Header.Get("Surrogate-Control") != "" {
-		t.Errorf("head %v", res.Header)
+		t.Errorf("page with header %v, want only the template's cookie t=1 and no Surrogate-Control", res.Header)
 	}
 	rig.mu.Lock()
 	for path, h := range rig.requestHeaders {
@@ -183,7 +183,7 @@
 	}
 	rig.serve("/p/1/m2", "begun"+include("/s/1/none"))
 	if _, output, err := rig.request("GET", "/p/1/m2"); err == nil {
-		t.Errorf("incomplete page seems complete: %q", output)
+		t.Errorf("incomplete page ended without an error: %q", output)
 	}
 	rig.serve("/p/1/mal", "a<esi:what/>")
 	if res, _, err := rig.request("GET", "/p/1/mal"); err == nil && res.StatusCode != 502 {
@@ -195,16 +195,16 @@
 	for i, method := range []string{"HEAD", "HEAD", "GET"} {
 		res, err := http.ReadResponse(reader, &http.Request{Method: method})
 		if err != nil {
-			t.Fatalf("response %d: %v in %.600q", i, err, output)
+			t.Fatalf("response %d: error %v in %.600q", i, err, output)
 		}
 		body, err := io.ReadAll(res.Body)
 		if i < 2 && res.StatusCode < 400 || i == 2 && string(body) != "<h>xxxxxxxxxxyE</h>" {
-			t.Errorf("response %d: %v %q %v", i, res.Status, body, err)
+			t.Errorf("response %d: status %v, body %q, error %v; want an error status for the HEADs and the page for the GET", i, res.Status, body, err)
 		}
 	}
 	rig.edge.Query(func(st *Stats, c *engine.Core) {
 		if len(rig.edge.requests) > 0 || len(rig.edge.pages) > 0 {
-			t.Errorf("%d requests and %d pages remain", len(rig.edge.requests), len(rig.edge.pages))
+			t.Errorf("%d requests and %d pages remain, want none", len(rig.edge.requests), len(rig.edge.pages))
 		}
 	})
 }
@@ -241,7 +241,7 @@
 	} {
 		res, got, err := rig.request("GET", "/p/1/a", test.fields...)
 		if err != nil || res.StatusCode != test.status || got != test.text {
-			t.Errorf("%v: %v %q %v", test.fields, res.Status, got, err)
+			t.Errorf("%v: status %v, body %q, error %v", test.fields, res.Status, got, err)
 		}
 		if test.status == 206 && !strings.HasSuffix(res.Header.Get("Content-Range"), "/10") {
 			t.Error(res.Header)
@@ -280,7 +280,7 @@
 	began := time.Now()
 	rig.mustGetText("/p/1/a", "ayb", "Spool-Deadline", "1500")
 	if took := time.Since(began); took > 1500*time.Millisecond {
-		t.Errorf("it took %v", took)
+		t.Errorf("the page took %v, want at most 1.5 s", took)
 	}
 	rig.serve("/p/1/b", include("/s/1/hang"))
 	if res, _, err := rig.request("GET", "/p/1/b", "Spool-Deadline", "600"); err != nil || res.StatusCode != 504 {
@@ -334,14 +334,14 @@
 	rig.waitFor("the fragment to be fetched again", func(*Stats, *engine.Core) bool { return rig.count("/s/2/thumb") == 2 })
 	proceed <- true
 	if b := <-got; b != "Snew<nil>" {
-		t.Errorf("the client got %q", b)
+		t.Errorf("the client got %q, want the new copies and no error", b)
 	}
 	go func() { _, b, err := rig.request("GET", "/p/3/a"); got <- fmt.Sprint(b, err) }()
 	rig.waitFor("the fragment", func(*Stats, *engine.Core) bool { return rig.count("/s/1/slow") == 2 })
 	rig.serve("/p/3/a", "anew"+include("/s/2/thumb"))
 	rig.listService.Purge("/p/3/a", 0, 0)
 	if b := <-got; b != "anewnew<nil>" {
-		t.Errorf("the client got %q", b)
+		t.Errorf("the client got %q, want the new copies and no error", b)
 	}
 	close(proceed)
 }
@@ -364,7 +364,7 @@
 		return len(rig.edge.requests) == 0 && len(rig.edge.pages) == 0 && rig.cancelled["/s/1/h0"]+rig.cancelled["/s/1/h1"] == 2
 	})
 	if n := rig.count("/s/1/h2") + rig.count("/s/1/h3"); n > 0 {
-		t.Errorf("%d fragments were fetched after the client had left", n)
+		t.Errorf("%d fragments were fetched after the client had left, want 0", n)
 	}
 }
 
@@ -396,7 +396,7 @@
 		}
 	})
 	if buffered == 0 || buffered > 64<<10+8*128<<10+128<<10 {
-		t.Errorf("%d bytes are buffered", buffered)
+		t.Errorf("%d bytes are buffered, want above 0 and at most 1216 KB", buffered)
 	}
 	res, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
@@ -405,6 +405,6 @@
 	time.Sleep(time.Second) // past the page's deadline
 	b, err := io.ReadAll(res.Body)
 	if err != nil || string(b) != strings.Repeat(part, 24) {
-		t.Errorf("%d bytes, %v", len(b), err)
+		t.Errorf("%d bytes of body, error %v; want 24 whole parts", len(b), err)
 	}
 }
--- a/internal/proxy/httpfront/syscalls_test.go
+++ b/internal/proxy/httpfront/syscalls_test.go
@@ -37,7 +37,7 @@
 					return
 				}
 				if _, err := io.Copy(io.Discard, answer.Body); err != nil || answer.StatusCode != 200 {
-					r.t.Errorf("request %d of connection %d: status %d, %v", n, i, answer.StatusCode, err)
+					r.t.Errorf("request %d of connection %d: status %d, error %v; want 200", n, i, answer.StatusCode, err)
 				}
 			}
 		})
@@ -115,7 +115,7 @@
 		wg.Go(func() {
 			got := rig.exchange(fmt.Sprintf("POST /o/%d HTTP/1.1\r\nHost: h\r\nIdempotency-Key: k%d\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello", i, i))
 			if !strings.HasPrefix(got, "HTTP/1.1 200") {
-				t.Errorf("write %d: %.200q", i, got)
+				t.Errorf("write %d: response %.200q, want status 200", i, got)
 			}
 		})
 	}
@@ -188,7 +188,7 @@
 				rig.edge.Query(func(*Stats, *engine.Core) { rig.edge.loop.Intercept(calls) })
 				rig.twoRequestsEach()
 				if failed := calls.failed.Load(); failed < 5 {
-					t.Errorf("%d calls failed", failed)
+					t.Errorf("%d calls failed, want at least 5", failed)
 				}
 			})
 		}
--- a/internal/proxy/httpfront/versions_test.go
+++ b/internal/proxy/httpfront/versions_test.go
@@ -153,7 +153,7 @@
 func (r *versionRig) mustGet(path string) {
 	r.t.Helper()
 	if res, _, err := r.get(path); err != nil || res.StatusCode != 200 {
-		r.t.Fatalf("%s: %v %v", path, res, err)
+		r.t.Fatalf("%s: response %v, error %v; want 200", path, res, err)
 	}
 }
 
@@ -211,7 +211,7 @@
 			if n := rig.countRecords(func(x trafficlog.Record) bool {
 				return x.Event == trafficlog.AttemptReceived && (x.Subject == "b0" || x.Source == "b0") && x.Time > drainedAt
 			}); n > 0 {
-				t.Errorf("%d attempts to a draining cache", n)
+				t.Errorf("%d attempts at a draining cache, want 0", n)
 			}
 
 			// An invalid version is rejected with the reason, and changes nothing.
@@ -231,10 +231,10 @@
 			status := rig.adminState()
 			last := status.Versions.List[len(status.Versions.List)-1]
 			if status.Version != 3 || last.Number != 4 || last.State != "refused" || !strings.Contains(strings.Join(last.Reasons, " "), "zone/empty") {
-				t.Errorf("after an invalid version: %+v", status)
+				t.Errorf("state after an invalid version %+v, want version 3 running and 4 refused because of the zone", status)
 			}
 			if r := rig.service.View().Routers; len(r) != 1 || r[0].Rejected != 4 || !strings.Contains(strings.Join(r[0].Reasons, " "), "zone/empty") {
-				t.Errorf("the service lists the routers %+v", r)
+				t.Errorf("the service lists the routers %+v, want one that has rejected version 4 because of the zone", r)
 			}
 			rig.mustGet("/s/1/e")
 
@@ -259,7 +259,7 @@
 				time.Sleep(10 * time.Millisecond)
 			}
 			if r := rig.service.View().Routers; r[0].InTimeShare < 0.9 || r[0].InTimeShare > 1 {
-				t.Errorf("reported by the router: %+v", r)
+				t.Errorf("reported by the router: %+v, want a share in time of 0.9 to 1", r)
 			}
 
 			// The router restarts while the service is down.
@@ -279,7 +279,7 @@
 				}
 			})
 			if status := rig.adminState(); status.Version != 5 || !strings.HasPrefix(status.Versions.Stream, "lost") && status.Versions.Stream != "not connected" {
-				t.Errorf("without a service: %+v", status)
+				t.Errorf("state without a service %+v, want version 5 running and the stream lost or not connected", status)
 			}
 			rig.startService(addr)
 			if n := rig.push(more+"\n(class last)", false); n != 6 {
@@ -317,7 +317,7 @@
 	if n := rig.countRecords(func(x trafficlog.Record) bool {
 		return x.Event == trafficlog.AttemptReceived && x.Subject == "b2" && x.Time > activatedAt
 	}); n > 0 {
-		t.Errorf("%d attempts to a cache that the version does not list", n)
+		t.Errorf("%d attempts at a cache that the version does not list, want 0", n)
 	}
 }
 
@@ -406,7 +406,7 @@
 				t.Errorf("%d of %d requests failed; the first: %s", failed, sent, first)
 			}
 			if r := rig.service.View().Routers; len(r) != 1 || r[0].Running != number {
-				t.Errorf("the service lists the routers %+v", r)
+				t.Errorf("the service lists the routers %+v, want one that runs the last version", r)
 			}
 
 			// A successor that fails: the router serves on, and stores config versions again.
--- a/internal/proxy/httpfront/watch.go
+++ b/internal/proxy/httpfront/watch.go
@@ -19,9 +19,10 @@
 )
 
 // watchList follows the discovery stream, in which the list service sends updates of the endpoint
-// list, on a goroutine of its own, and posts each update to the loop. It reconnects if the stream ends, breaks off within a line or
-// contains an invalid update, after an exponential backoff with jitter from the seed, so that
-// routers do not reconnect all at once. The endpoint list stays in force meanwhile.
+// list, on a goroutine of its own, and posts each update to the loop. It reconnects if the stream
+// ends, breaks off within a line or contains an invalid update, after an exponential backoff with
+// jitter from the seed, so that routers do not reconnect all at once. The endpoint list stays in
+// force meanwhile.
 func (e *Edge) watchList() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/internal/proxy/platform/answer_test.go
+++ b/internal/proxy/platform/answer_test.go
@@ -18,7 +18,7 @@
 	}
 	for _, word := range []string{"", "HOT", "hit"} {
 		if _, known := resultOf([]byte(word)); known {
-			t.Errorf("the word %q is accepted", word)
+			t.Errorf("the word %q is accepted, want it to be unknown", word)
 		}
 	}
 	for how, want := range map[string]spool.Note{"cached": spool.NoteHit, "fetched": spool.NoteFilled,
--- a/internal/proxy/platform/clock_test.go
+++ b/internal/proxy/platform/clock_test.go
@@ -145,7 +145,7 @@
 	harness.sendDiscovery(groupPurge(3, 22, platform.ago(0)))
 	harness.waitUntil("the purge is delivered", func() bool { age, _ := harness.routerAges(22, ""); return age >= 0 })
 	if age, _ := harness.routerAges(22, ""); age > 700 {
-		t.Errorf("a purge made now is taken as %.0f ms old", age)
+		t.Errorf("a purge made now is taken as %.0f ms old, want at most 700", age)
 	}
 }
 
@@ -167,7 +167,7 @@
 		age = harness.server.loop.Now() - harness.server.engine.LearnedState().Module.GroupPurges[22]
 	})
 	if maxAge := float64(platform.ago(0)-made) + 1; age > maxAge || age < float64(turn.Milliseconds())-1 {
-		t.Errorf("a purge made %.0f ms ago is taken as %.0f ms old", maxAge, age)
+		t.Errorf("a purge made at most %.0f ms ago is taken as %.0f ms old, want no more, and no less than the turn took", maxAge, age)
 	}
 }
 
@@ -178,7 +178,7 @@
 		"../../protocol/resp", "../../protocol/simwire", "../engine", "../limits", "../../.."} {
 		files, err := filepath.Glob(filepath.Join(directory, "*.go"))
 		if err != nil || len(files) == 0 {
-			t.Fatalf("%s: %d files, %v", directory, len(files), err)
+			t.Fatalf("%s: %d Go files, error %v; want at least 1 file", directory, len(files), err)
 		}
 		for _, file := range files {
 			text, err := os.ReadFile(file)
@@ -186,7 +186,7 @@
 				t.Fatal(err)
 			}
 			if !strings.HasSuffix(file, "_test.go") && bytes.Contains(text, []byte("time.Now(")) {
-				t.Errorf("%s reads the wall clock", file)
+				t.Errorf("%s calls time.Now, want no reading of the wall clock", file)
 			}
 		}
 	}
--- a/internal/proxy/platform/discovery_stream.go
+++ b/internal/proxy/platform/discovery_stream.go
@@ -15,7 +15,7 @@
 	server   *Server
 	decoder  discovery.Decoder
 	current  *discoveryConn // the connection in use, or the one dialled last; nil during a backoff
-	previous *discoveryConn // an earlier connection that has not sent anything yet; nil if there is none
+	previous *discoveryConn // an earlier connection on which nothing was received yet; nil if there is none
 	timer    eventloop.Timer
 	backoff  *limits.Backoff
 	dial     func(address string) (fd int, inProgress bool, err error)
@@ -27,7 +27,7 @@
 	fd        int
 	request   []byte // the unwritten part of the first message
 	startedAt eventloop.Millis
-	alive     bool // it has sent data
+	alive     bool // data was received on the connection
 }
 
 // The timing of reconnects, in ms. The discovery server sends at least one frame per second.
@@ -40,7 +40,7 @@
 	maxFirstDelay    = 250   // before the first attempt after a connection is closed; a random part of it
 	baseDelay        = 150   // before the second attempt, on average; doubled for each later one
 	maxDelay         = 500   // between two attempts
-	stableAfter      = 1000  // the age at which a connection that sends data resets the backoff
+	stableAfter      = 1000  // the age of a connection at which received data resets the backoff
 	firstByteTimeout = 10000 // for the first byte, while other connections are dialled
 )
 
@@ -117,7 +117,7 @@
 	d.server.loop.Arm(&d.timer, d.backoff.Next())
 }
 
-// connAlive makes a connection that has sent data the current one and closes any other.
+// connAlive makes a connection on which data was received the current one and closes any other.
 func (d *discoveryStream) connAlive(c *discoveryConn) {
 	loop := d.server.loop
 	if c == d.previous {
--- a/internal/proxy/platform/discovery_test.go
+++ b/internal/proxy/platform/discovery_test.go
@@ -97,7 +97,7 @@
 			}
 			client.Ask(readFields(fmt.Sprintf("%016x", i)), nil)
 			if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" {
-				bad = append(bad, fmt.Sprintf("request %d: %+v %v", i, result, err))
+				bad = append(bad, fmt.Sprintf("request %d: answer %+v, error %v", i, result, err))
 			}
 			client.Close()
 		}
@@ -106,7 +106,7 @@
 		h.t.Helper()
 		close(stop)
 		if bad := <-done; len(bad) > 0 {
-			h.t.Errorf("%d requests were not served, the first: %s", len(bad), bad[0])
+			h.t.Errorf("%d requests were not served, want 0; the first: %s", len(bad), bad[0])
 		}
 	}
 }
@@ -203,7 +203,7 @@
 			at := time.Now()
 			harness.waitUntil("the router has applied the list", func() bool { return harness.hasMember("s-000000c9") })
 			if took := time.Since(at); took > 700*time.Millisecond {
-				t.Errorf("the list was applied %v after the server had recovered", took)
+				t.Errorf("the list was applied %v after the server had recovered, want at most 700 ms", took)
 			}
 			end()
 		})
@@ -274,7 +274,7 @@
 				failed += int(n)
 			}
 			if failed == 0 {
-				t.Error("no system call failed")
+				t.Error("no system call failed, want at least 1")
 			}
 			if n := fake.connections.Load(); n > 15 {
 				t.Errorf("the router connected %d times, want at most 15", n)
@@ -382,10 +382,10 @@
 	large, largeMB := cost(3200)
 	t.Logf("200 caches: %.3f s, %.2f MB; 3,200 caches: %.3f s, %.2f MB", small, smallMB, large, largeMB)
 	if limit := 1.4*small + 0.02 + 0.03*3.2; large > limit {
-		t.Errorf("%.3f s, at most %.3f s", large, limit)
+		t.Errorf("3,200 caches took %.3f s, want at most %.3f s", large, limit)
 	}
 	if limit := 1.5*smallMB + 8 + 4*3.2; largeMB > limit {
-		t.Errorf("%.2f MB, at most %.2f MB", largeMB, limit)
+		t.Errorf("3,200 caches took %.2f MB, want at most %.2f MB", largeMB, limit)
 	}
 }
 
--- a/internal/proxy/platform/drain_test.go
+++ b/internal/proxy/platform/drain_test.go
@@ -43,7 +43,7 @@
 			t.Error(err)
 		}
 	case <-time.After(waitTimeout):
-		t.Error("the router did not stop")
+		t.Error("the router did not stop in time")
 	}
 }
 
@@ -56,7 +56,7 @@
 			h.t.Error(err)
 		}
 	case <-time.After(waitTimeout):
-		h.t.Error("the router did not stop")
+		h.t.Error("the router did not stop in time")
 	}
 }
 
@@ -135,7 +135,7 @@
 	time.Sleep(1500 * time.Millisecond)
 	for i := range 30 {
 		if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" || len(result.Body) != 240000 {
-			t.Fatalf("answer %d: %s of %d bytes, %v", i, result.Word, len(result.Body), err)
+			t.Fatalf("answer %d: result %q of %d bytes, error %v; want served with 240000", i, result.Word, len(result.Body), err)
 		}
 	}
 	client.Close()
@@ -171,7 +171,7 @@
 	}
 	time.Sleep(50 * time.Millisecond)
 	if result, err := client.Result(waitTimeout); err != nil || result.Word != "served" || len(result.Body) != 200000 {
-		t.Errorf("%s of %d bytes, %v", result.Word, len(result.Body), err)
+		t.Errorf("result %q of %d bytes, error %v; want served with 200000", result.Word, len(result.Body), err)
 	}
 	if _, err := client.Result(waitTimeout); err != io.EOF {
 		t.Errorf("after the answer: error %v, want EOF", err)
@@ -179,7 +179,7 @@
 	client.Close()
 	harness.waitStopped()
 	if n := harness.requestsSent(); n != before {
-		t.Errorf("%d attempts after the shutdown", n-before)
+		t.Errorf("%d attempts after the shutdown, want 0", n-before)
 	}
 }
 
@@ -271,11 +271,11 @@
 	stopped := time.Now()
 	clients.Wait()
 	if took := stopped.Sub(signalled); took > deadline+700*time.Millisecond {
-		t.Errorf("the router stopped %v after the signal, with deadlines of %v", took, deadline)
+		t.Errorf("the router stopped %v after the signal, want at most 700 ms more than the deadline of %v", took, deadline)
 	}
 	for name, sent := range pending.sentAt {
 		if before := stopped.Sub(sent); before > 50*time.Millisecond {
-			t.Errorf("request %s, sent %v before the router stopped, has no answer", name, before)
+			t.Errorf("request %s, sent %v before the router stopped, has no answer, want one if sent more than 50 ms before", name, before)
 		}
 	}
 }
--- a/internal/proxy/platform/during_dial_test.go
+++ b/internal/proxy/platform/during_dial_test.go
@@ -142,7 +142,7 @@
 	slow.fillBacklog(t)
 	time.Sleep(time.Until(start.Add(2500 * time.Millisecond)))
 	if n := slow.countRequests(t, time.Second); n != 0 {
-		t.Errorf("%d attempts arrived after the window", n)
+		t.Errorf("%d attempts arrived after the window, want 0", n)
 	}
 	if result, err := client.Result(waitTimeout); err != nil || result.Word != "failed" {
 		t.Errorf("answer %+v, error %v; want failed", result, err)
@@ -235,7 +235,7 @@
 	harness.waitUntil("the connection has been established and closed", func() bool { return conns() <= 1 }) // 1: to the origin
 	time.Sleep(1200 * time.Millisecond)
 	if n := conns(); n > 1 {
-		t.Errorf("%d connections are left", n)
+		t.Errorf("%d connections are left, want only the one to the origin", n)
 	}
 }
 
--- a/internal/proxy/platform/member_test.go
+++ b/internal/proxy/platform/member_test.go
@@ -63,7 +63,7 @@
 	requestAll(1, func(int) map[string]string { return writeFields("wait", "2500") })
 	requestAll(1, func(int) map[string]string { return readFields(key, "wait", "2500") })
 	if n := harness.requestsSent() - before; n > 4 {
-		t.Errorf("%d attempts for two requests, with %d stale connections", n, conns)
+		t.Errorf("%d attempts for two requests, want at most 4, with %d stale connections", n, conns)
 	}
 	requestAll(16, mixed)
 }
@@ -237,7 +237,7 @@
 			for id, b := range members {
 				routerInFlight += b.InFlight
 				if p := harness.server.pools[id]; p != nil && float64(p.inFlight) != b.InFlight || p == nil && b.InFlight != 0 {
-					t.Errorf("%s: the router counts %v in flight", id, b.InFlight)
+					t.Errorf("%s: the router counts %v attempts in flight, want as many as its pool", id, b.InFlight)
 				}
 			}
 			routerInFlight += link.InFlight
@@ -289,7 +289,7 @@
 		if first[once].IsZero() {
 			first[once] = time.Now()
 		} else if d := time.Since(first[once]); d > 2050*time.Millisecond {
-			t.Errorf("%s: retried after %v, when the key has expired", once, d)
+			t.Errorf("%s: retried after %v, want at most 2050 ms, since the key expires then", once, d)
 		}
 		if len(first)%2 == 0 && times[once] == 1 { // executed, but the answer is lost
 			conn.Reset()
@@ -308,7 +308,7 @@
 	mu.Lock()
 	defer mu.Unlock()
 	if len(times) != 20 {
-		t.Errorf("%d keys for 20 writes", len(times))
+		t.Errorf("%d keys for 20 writes, want 20", len(times))
 	}
 	attempts := 0
 	for _, request := range harness.members["s-000000a1"].Received() {
--- a/internal/proxy/platform/run_test.go
+++ b/internal/proxy/platform/run_test.go
@@ -26,7 +26,7 @@
 	}
 	root := t.TempDir()
 	if out, err := exec.Command("go", "build", "-o", filepath.Join(root, "bin")+"/", "../../../cmd/spool-router").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("go build: %v: %s", err, out)
 	}
 	harness := prepareHarness(t, nil)
 	// The platform passes the address in the environment; use one that was free a moment ago.
@@ -50,7 +50,7 @@
 	harness.waitUntil("the program listens", func() bool { client, err = testserver.DialPlatform(harness.address); return err == nil })
 	defer client.Close()
 	if good, err := client.IsWell(); !good || err != nil {
-		t.Fatalf("isWell: %v %v", good, err)
+		t.Fatalf("isWell: result %v, error %v; want true", good, err)
 	}
 	if result := harness.roundTrip(readFields(key), nil); result.Word != "served" || string(result.Body) != "bytes of "+key {
 		t.Fatalf("answer %+v, want served with the object", result)
@@ -66,9 +66,9 @@
 	select {
 	case err := <-ended:
 		if err != nil {
-			t.Errorf("the program ended with %v: %s", err, log.Bytes())
+			t.Errorf("the program ended with error %v, want none; its log: %s", err, log.Bytes())
 		}
 	case <-time.After(waitTimeout):
-		t.Errorf("the program did not end: %s", log.Bytes())
+		t.Errorf("the program did not end in time; its log: %s", log.Bytes())
 	}
 }
--- a/internal/proxy/platform/server.go
+++ b/internal/proxy/platform/server.go
@@ -89,7 +89,7 @@
 	}
 	server.tickTimer.F = func() { server.dispatch(spool.Timer{}) }
 	server.stream.init(server)
-	initial, err := decodeKnown(&server.stream.decoder, config) // the endpoint list in the configuration
+	initial, err := decodeKnown(&server.stream.decoder, config) // the discovery events in the configuration
 	if err != nil {
 		return nil, err
 	}
