--- a/internal/testbed/bench/bench.go
+++ b/internal/testbed/bench/bench.go
@@ -182,7 +182,7 @@
 // serveRelay runs a relay that copies bytes between each client and a server connection of its
 // own. It uses the router's event loop, without parsing, connection pools or routing.
 func serveRelay(backend string) error {
-	l, err := eventloop.New(0)
+	loop, err := eventloop.New(0)
 	if err != nil {
 		return err
 	}
@@ -200,27 +200,27 @@
 	}
 	fd := int(f.Fd())
 	unix.SetNonblock(fd, true)
-	r := &relay{l: l, buf: make([]byte, 256<<10)}
+	r := &relay{loop: loop, buf: make([]byte, 256<<10)}
 	copy(r.to.Addr[:], to.IP.To4())
 	r.to.Port = to.Port
 	listener := eventloop.Listener{PerTurn: 64, Take: r.pair}
-	if err := listener.Start(l, fd); err != nil {
+	if err := listener.Start(loop, fd); err != nil {
 		return err
 	}
-	go func() { waitUntilOrphaned(); l.Stop() }()
+	go func() { waitUntilOrphaned(); loop.Stop() }()
 	fmt.Println(ln.Addr())
-	return l.Run()
+	return loop.Run()
 }
 
 type relay struct {
-	l   *eventloop.Loop
-	to  unix.SockaddrInet4
-	buf []byte
+	loop *eventloop.Loop
+	to   unix.SockaddrInet4
+	buf  []byte
 }
 
 // relayEnd is one of the two connections of a pair; data read from it is written to its peer.
 type relayEnd struct {
-	r       *relay
+	relay   *relay
 	fd      int
 	peer    *relayEnd
 	pending []byte // read from the peer, not yet written to this connection
@@ -238,40 +238,40 @@
 		return
 	}
 	unix.SetNonblock(u, true)
-	a, b := &relayEnd{r: r, fd: c}, &relayEnd{r: r, fd: u}
+	a, b := &relayEnd{relay: r, fd: c}, &relayEnd{relay: r, fd: u}
 	a.peer, b.peer = b, a
 	for _, s := range []*relayEnd{a, b} {
 		unix.SetsockoptInt(s.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-		r.l.Add(s.fd, eventloop.Read, s)
+		r.loop.Add(s.fd, eventloop.Read, s)
 	}
 }
 
 func (s *relayEnd) close() {
 	for _, x := range []*relayEnd{s, s.peer} {
 		if x.fd >= 0 {
-			s.r.l.Remove(x.fd)
+			s.relay.loop.Remove(x.fd)
 			unix.Close(x.fd)
 			x.fd = -1
 		}
 	}
 }
 
-func (s *relayEnd) OnReady(r eventloop.Ready) {
-	if r.Writable() && len(s.pending) > 0 {
-		n, err := s.r.l.Write(s.fd, s.pending)
+func (s *relayEnd) OnReady(ready eventloop.Ready) {
+	if ready.Writable() && len(s.pending) > 0 {
+		n, err := s.relay.loop.Write(s.fd, s.pending)
 		if err != nil && !eventloop.Retryable(err) {
 			s.close()
 			return
 		}
 		if s.pending = s.pending[n:]; len(s.pending) == 0 {
-			s.r.l.Want(s.fd, eventloop.Read)
-			s.r.l.Want(s.peer.fd, eventloop.Read)
+			s.relay.loop.Want(s.fd, eventloop.Read)
+			s.relay.loop.Want(s.peer.fd, eventloop.Read)
 		}
 	}
-	if !r.Readable() || len(s.peer.pending) > 0 {
+	if !ready.Readable() || len(s.peer.pending) > 0 {
 		return
 	}
-	n, err := s.r.l.Read(s.fd, s.r.buf)
+	n, err := s.relay.loop.Read(s.fd, s.relay.buf)
 	if eventloop.Retryable(err) {
 		return
 	}
@@ -279,15 +279,15 @@
 		s.close()
 		return
 	}
-	m, err := s.r.l.Write(s.peer.fd, s.r.buf[:n])
+	m, err := s.relay.loop.Write(s.peer.fd, s.relay.buf[:n])
 	if err != nil && !eventloop.Retryable(err) {
 		s.close()
 		return
 	}
 	if m < n {
-		s.peer.pending = append([]byte(nil), s.r.buf[m:n]...)
-		s.r.l.Want(s.peer.fd, eventloop.Read|eventloop.Write)
-		s.r.l.Want(s.fd, 0)
+		s.peer.pending = append([]byte(nil), s.relay.buf[m:n]...)
+		s.relay.loop.Want(s.peer.fd, eventloop.Read|eventloop.Write)
+		s.relay.loop.Want(s.fd, 0)
 	}
 }
 
@@ -342,27 +342,27 @@
 }
 
 // Stop closes the child's standard input, and kills the child if it is still running after 3 s.
-func (m *Process) Stop() {
-	m.in.Close()
+func (child *Process) Stop() {
+	child.in.Close()
 	done := make(chan struct{})
-	go func() { m.cmd.Wait(); close(done) }()
+	go func() { child.cmd.Wait(); close(done) }()
 	select {
 	case <-done:
 	case <-time.After(3 * time.Second):
-		m.cmd.Process.Kill()
+		child.cmd.Process.Kill()
 		<-done
 	}
 }
 
 // usage returns the CPU time and the resident memory, in KB, of the child.
-func (m *Process) usage() (time.Duration, int64, error) {
-	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", m.cmd.Process.Pid))
+func (child *Process) usage() (time.Duration, int64, error) {
+	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", child.cmd.Process.Pid))
 	if err != nil {
 		return 0, 0, err
 	}
 	f := strings.Fields(string(b[strings.LastIndexByte(string(b), ')')+2:]))
 	if len(f) < 22 {
-		return 0, 0, fmt.Errorf("bench: /proc/%d/stat has %d fields after the name, want 22", m.cmd.Process.Pid, len(f))
+		return 0, 0, fmt.Errorf("bench: /proc/%d/stat has %d fields after the name, want 22", child.cmd.Process.Pid, len(f))
 	}
 	user, _ := strconv.ParseInt(f[11], 10, 64)
 	system, _ := strconv.ParseInt(f[12], 10, 64)
@@ -373,7 +373,7 @@
 
 // Load sends requests for an object of kb KB in a closed loop: each of conns connections sends
 // its next request as soon as it has the response. It measures for span, after span/5 of warm-up.
-func Load(ctx context.Context, m *Process, proxy string, kb, conns int, span time.Duration) (Result, error) {
+func Load(ctx context.Context, child *Process, proxy string, kb, conns int, span time.Duration) (Result, error) {
 	r := Result{Proxy: proxy, KB: kb, Conns: conns}
 	req := []byte(fmt.Sprintf("GET /s/0/%d HTTP/1.1\r\nHost: bench\r\nUser-Agent: spool-bench\r\nAccept: */*\r\n\r\n", kb))
 	var stop atomic.Bool
@@ -387,7 +387,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			c, err := net.Dial("tcp4", m.Addr)
+			c, err := net.Dial("tcp4", child.Addr)
 			ready <- err
 			if err != nil {
 				return
@@ -430,7 +430,7 @@
 	time.Sleep(span / 5) // warm-up
 	hist.Reset()
 	n0 := count.Load()
-	cpu0, _, err := m.usage()
+	cpu0, _, err := child.usage()
 	if err != nil {
 		return r, err
 	}
@@ -440,7 +440,7 @@
 	case <-ctx.Done():
 	}
 	r.Requests = count.Load() - n0
-	cpu1, rss, err := m.usage()
+	cpu1, rss, err := child.usage()
 	elapsed := time.Since(at).Seconds()
 	stop.Store(true)
 	wg.Wait()
@@ -477,13 +477,13 @@
 
 // Idle opens conns connections that send one request each and then stay idle. It returns the
 // proxy's resident memory, in KB, before and after.
-func Idle(m *Process, conns int) (before, after int64, err error) {
+func Idle(child *Process, conns int) (before, after int64, err error) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil && limit.Cur < uint64(conns)+100 {
 		limit.Cur = min(limit.Max, uint64(conns)+1000)
 		syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit)
 	}
-	if _, before, err = m.usage(); err != nil {
+	if _, before, err = child.usage(); err != nil {
 		return 0, 0, err
 	}
 	open := make([]net.Conn, 0, conns)
@@ -493,7 +493,7 @@
 		}
 	}()
 	for range conns {
-		c, err := net.Dial("tcp4", m.Addr)
+		c, err := net.Dial("tcp4", child.Addr)
 		if err != nil {
 			return before, 0, fmt.Errorf("bench: connection %d: %w", len(open), err)
 		}
@@ -507,6 +507,6 @@
 		}
 	}
 	time.Sleep(time.Second)
-	_, after, err = m.usage()
+	_, after, err = child.usage()
 	return before, after, err
 }
--- a/internal/testbed/bench/overload.go
+++ b/internal/testbed/bench/overload.go
@@ -50,15 +50,15 @@
 
 // Overload measures a proxy's capacity with a closed loop, and then its responses under open-loop
 // loads of multiples of the capacity. It calls report with each Point.
-func Overload(ctx context.Context, m *Process, proxy string, o OverloadOptions, report func(Point)) ([]Point, error) {
-	baseline, err := Load(ctx, m, proxy, o.KB, 64, o.Span)
+func Overload(ctx context.Context, child *Process, proxy string, o OverloadOptions, report func(Point)) ([]Point, error) {
+	baseline, err := Load(ctx, child, proxy, o.KB, 64, o.Span)
 	if err != nil {
 		return nil, err
 	}
 	all := make([][]Point, len(o.Factors))
 	for range max(o.Rounds, 1) {
 		for i, f := range o.Factors {
-			p, err := openLoop(ctx, m.Addr, o, f*baseline.PerSecond)
+			p, err := openLoop(ctx, child.Addr, o, f*baseline.PerSecond)
 			if err != nil {
 				return nil, err
 			}
@@ -270,13 +270,13 @@
 // read them at a byte per second, a third send a request at a byte per second, and a third stay
 // idle. A few ordinary users send requests at the same time. Flood calls report every second. It
 // returns the proxy's resident memory before the flood, in KB, and the samples.
-func Flood(ctx context.Context, m *Process, conns int, span time.Duration, report func(FloodSample)) (before int64, list []FloodSample, err error) {
+func Flood(ctx context.Context, child *Process, conns int, span time.Duration, report func(FloodSample)) (before int64, list []FloodSample, err error) {
 	var limit syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) == nil && limit.Cur < uint64(conns)+500 {
 		limit.Cur = min(limit.Max, uint64(conns)+1000)
 		syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit)
 	}
-	if _, before, err = m.usage(); err != nil {
+	if _, before, err = child.usage(); err != nil {
 		return 0, nil, err
 	}
 	ctx, stop := context.WithTimeout(ctx, span)
@@ -287,7 +287,7 @@
 		// Many local addresses, since closed connections soon use up the ports of one.
 		from := net.Dialer{Timeout: 2 * time.Second, LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, byte(1+i%200), 1)}}
 		for ctx.Err() == nil {
-			c, err := from.Dial("tcp4", m.Addr)
+			c, err := from.Dial("tcp4", child.Addr)
 			if err != nil {
 				time.Sleep(200 * time.Millisecond)
 				continue
@@ -327,7 +327,7 @@
 		go func() {
 			defer wg.Done()
 			for ctx.Err() == nil {
-				c, err := net.DialTimeout("tcp4", m.Addr, time.Second)
+				c, err := net.DialTimeout("tcp4", child.Addr, time.Second)
 				if err == nil {
 					c.SetDeadline(time.Now().Add(2 * time.Second))
 					status := 0
@@ -353,7 +353,7 @@
 		case <-time.After(time.Second):
 		case <-ctx.Done():
 		}
-		_, rss, err := m.usage()
+		_, rss, err := child.usage()
 		if err != nil {
 			return before, list, err
 		}
--- a/internal/testbed/differential/bench.go
+++ b/internal/testbed/differential/bench.go
@@ -21,9 +21,9 @@
 type object = map[string]any
 
 // writeLine writes a batch with one message for one instance.
-func (b *adapterClient) writeLine(clock float64, inst int, word string, fields object) error {
+func (client *adapterClient) writeLine(clock float64, inst int, word string, fields object) error {
 	text, err := json.Marshal(object{"clock": clock, "groups": []any{object{"i": inst, "inbox": []any{object{word: fields}}}}})
-	b.input.Write(append(text, '\n'))
+	client.input.Write(append(text, '\n'))
 	return err
 }
 
@@ -42,7 +42,7 @@
 var scopeWords = []string{"off", "cell", "location", "any"} // by spool.Scope
 
 // writeStart writes the message that starts an instance.
-func (b *adapterClient) writeStart(clock float64, inst int, s *spool.Settings, seed uint64) error {
+func (client *adapterClient) writeStart(clock float64, inst int, s *spool.Settings, seed uint64) error {
 	var classes []any
 	var fresh, grace, stale []float64
 	var parts, writes []bool
@@ -81,7 +81,7 @@
 	if s.SizeIsCapacity {
 		weights = "nominal"
 	}
-	return b.writeLine(clock, inst, "BORN", object{"init_seed": seed, "boot_info": object{"classes": classes, "discovery": discovery,
+	return client.writeLine(clock, inst, "BORN", object{"init_seed": seed, "boot_info": object{"classes": classes, "discovery": discovery,
 		"family_info": family, "feedback": object{"names": s.LoadMetrics}, "kinds": kinds, "limits": object{"cancel": s.CanCancel,
 			"max_attempts": s.MaxAttempts, "max_retry_after": s.MaxRetryAfter, "most_held": s.MaxRequests, "probing": s.CanProbe,
 			"retry_after": s.MaxRetryAfter > 0, "second_copies": s.HedgedRequests}, "localities": s.Zones, "me": s.RouterIndex, "n_instances": s.Routers,
@@ -94,7 +94,7 @@
 	spool.ConnectFailed: "connect_failed", spool.Reset: "reset", spool.Cancelled: "cancelled", spool.NotSent: "moot", spool.Miss: "miss"}
 
 // writeEvent writes the message for an event.
-func (b *adapterClient) writeEvent(clock float64, inst int, ev spool.Event) error {
+func (client *adapterClient) writeEvent(clock float64, inst int, ev spool.Event) error {
 	orZero := func(s string) any {
 		if s == "" {
 			return 0
@@ -112,34 +112,34 @@
 			rows = append(rows, object{"cache": r.ID, "area": r.Zone, "shape": r.Kind, "cell": r.Cell, "size": r.Size, "ready_at": r.ReadyAt,
 				"phase": []string{"SERVING", "DRAINING", "DELETED"}[r.State]})
 		}
-		return b.writeLine(clock, inst, "ROSTER_CHANGE", object{"how": how, "rows_in": rows})
+		return client.writeLine(clock, inst, "ROSTER_CHANGE", object{"how": how, "rows_in": rows})
 	case spool.Request:
-		return b.writeLine(clock, inst, "KNOCK", object{"msg_id": ev.ID, "tier_class": ev.Class, "user_group": orZero(ev.Tenant), "item": orZero(ev.Object),
+		return client.writeLine(clock, inst, "KNOCK", object{"msg_id": ev.ID, "tier_class": ev.Class, "user_group": orZero(ev.Tenant), "item": orZero(ev.Object),
 			"give_up_at": ev.Deadline, "kb": ev.KB, "purge_group": ev.Group, "piece": ev.Part, "retry": ev.Retry, "mutates": ev.Write})
 	case spool.Outcome:
-		return b.writeLine(clock, inst, "SETTLED", object{"msg_id": ev.ID, "cache": ev.Cache, "attempt": ev.Attempt, "reason": resultWords[ev.Result],
+		return client.writeLine(clock, inst, "SETTLED", object{"msg_id": ev.ID, "cache": ev.Cache, "attempt": ev.Attempt, "reason": resultWords[ev.Result],
 			"spent": ev.Took, "last": ev.Last, "note": int(ev.Note), "waited": ev.Waited, "metrics": ev.Load})
 	case spool.Started:
-		return b.writeLine(clock, inst, "STREAMING", object{"msg_id": ev.ID, "cache": ev.Cache, "attempt": ev.Attempt})
+		return client.writeLine(clock, inst, "STREAMING", object{"msg_id": ev.ID, "cache": ev.Cache, "attempt": ev.Attempt})
 	case spool.Gone:
-		return b.writeLine(clock, inst, "TIMED_OUT_CLIENT", object{"msg_id": ev.ID})
+		return client.writeLine(clock, inst, "TIMED_OUT_CLIENT", object{"msg_id": ev.ID})
 	case spool.Purge:
-		return b.writeLine(clock, inst, "PURGED", object{"item": orZero(ev.Object), "family_id": ev.Group, "age_span": ev.Age})
+		return client.writeLine(clock, inst, "PURGED", object{"item": orZero(ev.Object), "family_id": ev.Group, "age_span": ev.Age})
 	case spool.Timer:
-		return b.writeLine(clock, inst, "REMINDER", object{"ref": ev.Token})
+		return client.writeLine(clock, inst, "REMINDER", object{"ref": ev.Token})
 	case spool.Probed:
-		return b.writeLine(clock, inst, "CHECKED", object{"cache": ev.Cache, "reason": map[bool]string{true: "ok", false: "reset"}[ev.OK], "metrics": ev.Load})
+		return client.writeLine(clock, inst, "CHECKED", object{"cache": ev.Cache, "reason": map[bool]string{true: "ok", false: "reset"}[ev.OK], "metrics": ev.Load})
 	case spool.Message:
-		return b.writeLine(clock, inst, "MESSAGE", object{"src": ev.From, "contents": ev.Text})
+		return client.writeLine(clock, inst, "MESSAGE", object{"src": ev.From, "contents": ev.Text})
 	}
 	return fmt.Errorf("differential: the adapter's protocol has no message for %T", ev)
 }
 
 // replies runs the adapter on everything that was written and returns the actions of its
 // replies, one entry for each line, in the order of the lines.
-func (b *adapterClient) replies() ([][]spool.Action, error) {
+func (client *adapterClient) replies() ([][]spool.Action, error) {
 	var out bytes.Buffer
-	if err := simwire.Serve(&b.input, &out); err != nil {
+	if err := simwire.Serve(&client.input, &out); err != nil {
 		return nil, fmt.Errorf("differential: the adapter failed: %w", err)
 	}
 	var replies [][]spool.Action
--- a/internal/testbed/differential/drift.go
+++ b/internal/testbed/differential/drift.go
@@ -27,16 +27,16 @@
 
 // Report counts what was compared and lists the differences.
 type Report struct {
-	Events    int `json:"events"`    // events in the journal
-	Decided   int `json:"decided"`   // attempts that the journal has a decision for
-	Seen      int `json:"seen"`      // of these, attempts received by caches, parents or the origin
-	Fills     int `json:"fills"`     // fill requests that they sent to a source
-	Adapter   int `json:"adapter"`   // events for which the adapter's actions were compared
-	Replay    int `json:"replay"`    // events for which replay's actions were compared
-	Explained int `json:"explained"` // requests whose explanations were compared
-	Asked     int `json:"asked"`     // of these, requests that were also explained as hypothetical
-	Lost      int `json:"lost"`      // received attempts that a killed router had not yet written to its journal
-	Unwired   int `json:"unwired"`   // events that the adapter's protocol cannot express, and the events after them
+	Events         int `json:"events"`    // events in the journal
+	Decided        int `json:"decided"`   // attempts that the journal has a decision for
+	Seen           int `json:"seen"`      // of these, attempts received by caches, parents or the origin
+	Fills          int `json:"fills"`     // fill requests that they sent to a source
+	Adapter        int `json:"adapter"`   // events for which the adapter's actions were compared
+	Replay         int `json:"replay"`    // events for which replay's actions were compared
+	Explained      int `json:"explained"` // requests whose explanations were compared
+	Asked          int `json:"asked"`     // of these, requests that were also explained as hypothetical
+	Unjournaled    int `json:"lost"`      // received attempts that a killed router had not yet written to its journal
+	AdapterSkipped int `json:"unwired"`   // events that the adapter's protocol cannot express, and the events after them
 
 	Different   int      `json:"different"`
 	Differences []string `json:"differences,omitempty"` // the first differences, at most maxDifferences
@@ -98,21 +98,21 @@
 		o.Explanations = 20
 	}
 	r := &Report{}
-	journaled, err := r.readJournal(open)
+	index, err := r.readJournal(open)
 	if err != nil {
 		return nil, err
 	}
-	r.compareTraffic(journaled, recs, o.Router)
+	r.compareTraffic(index, recs, o.Router)
 	for _, f := range []func(func() (*journal.Reader, error)) error{r.compareReplay, r.compareAdapter} {
 		if err := f(open); err != nil {
 			return nil, err
 		}
 	}
-	return r, r.compareExplanations(open, journaled, o.Explanations)
+	return r, r.compareExplanations(open, index, o.Explanations)
 }
 
-// journalRecord holds the requests and attempts of a journal.
-type journalRecord struct {
+// journalIndex holds the requests and attempts of a journal.
+type journalIndex struct {
 	decided  map[attempt]*decision
 	attempts map[string][]*decision // by request id, in order
 	arrivals []arrival
@@ -125,17 +125,17 @@
 	first   spool.Action // the first action for the request in its own event; nil if it was queued
 }
 
-func (r *Report) readJournal(open func() (*journal.Reader, error)) (*journalRecord, error) {
+func (r *Report) readJournal(open func() (*journal.Reader, error)) (*journalIndex, error) {
 	j, err := open()
 	if err != nil {
 		return nil, err
 	}
 	defer j.Close()
-	journaled := &journalRecord{decided: map[attempt]*decision{}, attempts: map[string][]*decision{}}
+	index := &journalIndex{decided: map[attempt]*decision{}, attempts: map[string][]*decision{}}
 	for {
 		e, err := j.Next()
 		if err == io.EOF {
-			return journaled, nil
+			return index, nil
 		}
 		if err != nil {
 			return nil, err
@@ -147,8 +147,8 @@
 		for _, a := range e.Actions {
 			if s, ok := a.(spool.Send); ok {
 				d := &decision{send: s}
-				journaled.decided[attempt{s.ID, len(journaled.attempts[s.ID])}] = d
-				journaled.attempts[s.ID] = append(journaled.attempts[s.ID], d)
+				index.decided[attempt{s.ID, len(index.attempts[s.ID])}] = d
+				index.attempts[s.ID] = append(index.attempts[s.ID], d)
 				r.Decided++
 			}
 		}
@@ -160,9 +160,9 @@
 					one.first = a
 				}
 			}
-			journaled.arrivals = append(journaled.arrivals, one)
+			index.arrivals = append(index.arrivals, one)
 		case spool.Outcome:
-			if d := journaled.decided[attempt{ev.ID, ev.Attempt}]; d != nil {
+			if d := index.decided[attempt{ev.ID, ev.Attempt}]; d != nil {
 				d.done, d.result = true, ev.Result
 				if d.send.Cache != ev.Cache {
 					r.addDifference("router: attempt %d of %s was sent to %s, but its outcome names %s", ev.Attempt, ev.ID, d.send.Cache, ev.Cache)
@@ -186,7 +186,7 @@
 }
 
 // compareTraffic compares the decided attempts with those that the test servers received.
-func (r *Report) compareTraffic(journaled *journalRecord, recs []trafficlog.Record, router string) {
+func (r *Report) compareTraffic(index *journalIndex, recs []trafficlog.Record, router string) {
 	received := map[attempt]bool{}
 	var kills []float64
 	for i := range recs {
@@ -199,10 +199,10 @@
 		if rec.Event != trafficlog.AttemptReceived || rec.RouterRequest == "" || router != "" && rec.From != router {
 			continue
 		}
-		d := journaled.decided[attempt{rec.RouterRequest, rec.Attempt}]
+		d := index.decided[attempt{rec.RouterRequest, rec.Attempt}]
 		if d == nil {
 			if slices.ContainsFunc(kills, func(t float64) bool { return rec.Time > t-unwrittenMs && rec.Time < t+unwrittenMs }) {
-				r.Lost++
+				r.Unjournaled++
 			} else {
 				r.addDifference("sockets: %s received attempt %d of %s, which the journal does not have", rec.Subject, rec.Attempt, rec.RouterRequest)
 			}
@@ -230,7 +230,7 @@
 			r.addDifference("sockets: attempt %d of %s was received by %s with source %q; decided was %s with source %q", rec.Attempt, rec.RouterRequest, rec.Subject, rec.Source, d.send.Cache, source)
 		}
 	}
-	for k, d := range journaled.decided { // an answered attempt must have reached a test server
+	for k, d := range index.decided { // an answered attempt must have reached a test server
 		answered := d.done && (d.result == spool.OK || d.result == spool.Miss)
 		if answered && !received[k] {
 			r.addDifference("sockets: attempt %d of %s at %s was answered (result %d), but no server received it", k.number, k.id, d.send.Cache, d.result)
@@ -263,7 +263,7 @@
 		return err
 	}
 	defer j.Close()
-	var b adapterClient
+	var client adapterClient
 	var want []*journal.Entry // by line of the adapter's input; nil for the start of an instance
 	instance, expressible, clock := -1, false, 0.0
 	for {
@@ -282,14 +282,14 @@
 			if err := config.Read("journal", e.RouterStart.Settings, s); err != nil {
 				return fmt.Errorf("differential: %w", err)
 			}
-			m, err := engine.ModuleSettings(s)
+			settings, err := engine.ModuleSettings(s)
 			if err != nil {
 				return fmt.Errorf("differential: %w", err)
 			}
 			instance++
 			expressible = true
 			want = append(want, nil)
-			if err := b.writeStart(clock, instance, &m, e.RouterStart.Seed); err != nil {
+			if err := client.writeStart(clock, instance, &settings, e.RouterStart.Seed); err != nil {
 				return err
 			}
 		case journal.KindHandled:
@@ -298,12 +298,12 @@
 				expressible = false
 			}
 			if !expressible {
-				r.Unwired++
+				r.AdapterSkipped++
 				continue
 			}
 			clock = max(clock, e.T)
 			want = append(want, e)
-			if err := b.writeEvent(clock, instance, e.Event); err != nil {
+			if err := client.writeEvent(clock, instance, e.Event); err != nil {
 				return err
 			}
 		}
@@ -311,7 +311,7 @@
 	if len(want) == 0 {
 		return nil
 	}
-	got, err := b.replies()
+	got, err := client.replies()
 	if err != nil {
 		return err
 	}
@@ -338,10 +338,10 @@
 // list the recorded sends in their order, and the candidates that it reports as accepted must
 // be the members of these sends. Each request is also explained as a hypothetical request in
 // its own place.
-func (r *Report) compareExplanations(open func() (*journal.Reader, error), journaled *journalRecord, count int) error {
-	step := max(len(journaled.arrivals)/count, 1)
-	for i := 0; i < len(journaled.arrivals); i += step {
-		one := journaled.arrivals[i]
+func (r *Report) compareExplanations(open func() (*journal.Reader, error), index *journalIndex, count int) error {
+	step := max(len(index.arrivals)/count, 1)
+	for i := 0; i < len(index.arrivals); i += step {
+		one := index.arrivals[i]
 		j, err := open()
 		if err != nil {
 			return err
@@ -359,14 +359,14 @@
 		n := 0
 		for _, st := range s.Steps {
 			for _, text := range st.Actions {
-				if n < len(journaled.attempts[one.request.ID]) && text == explain.ActionText(journaled.attempts[one.request.ID][n].send) {
-					r.compareChosen(one.request.ID, n, &journaled.attempts[one.request.ID][n].send, st.Candidates)
+				if n < len(index.attempts[one.request.ID]) && text == explain.ActionText(index.attempts[one.request.ID][n].send) {
+					r.compareChosen(one.request.ID, n, &index.attempts[one.request.ID][n].send, st.Candidates)
 					n++
 				}
 			}
 		}
-		if n != len(journaled.attempts[one.request.ID]) {
-			r.addDifference("explain: %s: the explanation has %d of the attempts, the journal has %d", one.request.ID, n, len(journaled.attempts[one.request.ID]))
+		if n != len(index.attempts[one.request.ID]) {
+			r.addDifference("explain: %s: the explanation has %d of the attempts, the journal has %d", one.request.ID, n, len(index.attempts[one.request.ID]))
 		}
 		if err := r.compareHypothetical(open, &one); err != nil {
 			return err
--- a/internal/testbed/differential/drift_test.go
+++ b/internal/testbed/differential/drift_test.go
@@ -423,7 +423,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if !rep.OK() || rep.Unwired > 0 {
+				if !rep.OK() || rep.AdapterSkipped > 0 {
 					t.Errorf("%+v\n%s", rep, strings.Join(rep.Differences, "\n"))
 				}
 				mu.Lock()
