--- a/internal/testbed/bench/bench.go
+++ b/internal/testbed/bench/bench.go
@@ -58,17 +58,17 @@
 		}
 		defer os.RemoveAll(dir)
 		return serveSpool(backend, fmt.Sprintf("(journal %q)", dir), `(class c (deadline 6000))`, "")
-	case "spool-overload": // with deadlines of 500 ms, the default of spool-bench overload --patience
+	case "spool-overload": // with a deadline of 500 ms, the default of the flag --patience of spool-bench overload
 		return serveSpool(backend, "", `(class c (aim 250) (deadline 500))`, "(socket-kb 1024)")
-	case "spool-pages":
+	case "spool-pages": // the router, assembling pages of ESI fragments
 		return serveSpool(backend, "", `(class c (deadline 6000)) (class page (pages) (deadline 10000)) (route "/p/{group}/{object}" (class page))`, "")
-	case "sequential":
+	case "sequential": // a page assembler that fetches one fragment at a time
 		return serveAssembler(backend, 1)
-	case "parallel":
+	case "parallel": // a page assembler with up to 8 fetches at a time
 		return serveAssembler(backend, 8)
-	case "control":
+	case "control": // the control service; backend is its store
 		return serveControl(backend)
-	case "follower":
+	case "follower": // a router that takes its settings from a control service
 		return serveFollower(backend)
 	case "reverseproxy":
 		return serveReverseProxy(backend)
@@ -77,17 +77,17 @@
 	case "relay":
 		return serveRelay(backend)
 	}
-	if ms, ok := strings.CutPrefix(name, "pages-"); ok {
+	if ms, ok := strings.CutPrefix(name, "pages-"); ok { // a server of pages and fragments, with a delay in ms for each fragment
 		n, err := strconv.Atoi(ms)
 		if err != nil {
 			return fmt.Errorf("bench: invalid delay %q, want a number of ms", ms)
 		}
 		return servePages(time.Duration(n) * time.Millisecond)
 	}
-	if mb, ok := strings.CutPrefix(name, "spool-flood-"); ok {
+	if mb, ok := strings.CutPrefix(name, "spool-flood-"); ok { // the router with limits in MB for its memory and for its sockets' buffers
 		return serveSpool(backend, "", `(class c (deadline 6000))`, fmt.Sprintf("(memory-mb %s) (sockets-mb %s) (head-grace 5000) (client-grace 10000)", mb, mb))
 	}
-	return fmt.Errorf("bench: unknown proxy %q, want one of %v", name, Proxies)
+	return fmt.Errorf("bench: unknown child process %q; the proxies of spool-bench run are %v", name, Proxies)
 }
 
 func newReader(c net.Conn) *bufio.Reader { return bufio.NewReaderSize(c, 16<<10) }
@@ -124,6 +124,9 @@
 	return nil
 }
 
+// serveSpool runs the router with the given settings added to its own. Times in them are in ms:
+// aim is the latency objective of a class, and head-grace and client-grace are how far a client
+// may fall behind its minimum rate. flow is the transfer rate to one client, in KB per ms.
 func serveSpool(backend, routerSettings, class, limits string) error {
 	text := fmt.Sprintf(`(router (zone z) (listen "127.0.0.1:0") (log none) %s)
 		(limits (upstream 4096) (connections-per-address 20000) %s) (fill (flow 1000)) %s (route "/s/{group}/{object}" (class c))
@@ -265,7 +268,7 @@
 		}
 		if s.pending = s.pending[n:]; len(s.pending) == 0 {
 			s.relay.loop.Want(s.fd, eventloop.Read)
-			s.relay.loop.Want(s.peer.fd, eventloop.Read)
+			s.relay.loop.Want(s.peer.fd, eventloop.Read) // resume reading, which a short write stopped
 		}
 	}
 	if !ready.Readable() || len(s.peer.pending) > 0 {
@@ -287,7 +290,7 @@
 	if m < n {
 		s.peer.pending = append([]byte(nil), s.relay.buf[m:n]...)
 		s.relay.loop.Want(s.peer.fd, eventloop.Read|eventloop.Write)
-		s.relay.loop.Want(s.fd, 0)
+		s.relay.loop.Want(s.fd, 0) // stop reading here until the peer has written its pending bytes
 	}
 }
 
@@ -302,7 +305,7 @@
 	P50us     int64   `json:"p50_us"`
 	P99us     int64   `json:"p99_us"`
 	RSSKB     int64   `json:"rss_kb"`
-	Failed    int64   `json:"failed"`
+	Failed    int64   `json:"failed"` // connections that ended early because of an error
 }
 
 // Process is a running child process, a proxy or a server.
@@ -372,7 +375,8 @@
 }
 
 // Load sends requests for an object of kb KB in a closed loop: each of conns connections sends
-// its next request as soon as it has the response. It measures for span, after span/5 of warm-up.
+// its next request as soon as it has the response, and ends at its first error. Load measures for
+// span, after span/5 of warm-up; the latencies and Failed include the warm-up.
 func Load(ctx context.Context, child *Process, proxy string, kb, conns int, span time.Duration) (Result, error) {
 	r := Result{Proxy: proxy, KB: kb, Conns: conns}
 	req := []byte(fmt.Sprintf("GET /s/0/%d HTTP/1.1\r\nHost: bench\r\nUser-Agent: spool-bench\r\nAccept: */*\r\n\r\n", kb))
--- a/internal/testbed/bench/overload.go
+++ b/internal/testbed/bench/overload.go
@@ -32,8 +32,8 @@
 	Late     float64 `json:"late"`      // complete responses with status 200 after the deadline, per second
 	Rejected float64 `json:"refused"`   // responses with status 503, per second
 	Failed   float64 `json:"broken"`    // no complete response within twice the deadline, or another status, per second
-	P50      float64 `json:"p50_ms"`    // latency of responses in time, from when the request was due
-	P99      float64 `json:"p99_ms"`    // the same
+	P50      float64 `json:"p50_ms"`    // latency of the responses that Goodput counts, from when the request was due
+	P99      float64 `json:"p99_ms"`    // as P50, for the 99th percentile
 	LoadLag  float64 `json:"behind_ms"` // longest delay of the load generator in sending a request
 	Capacity float64 `json:"capacity"`  // requests per second in a closed loop, the load at factor 1
 }
@@ -43,7 +43,7 @@
 	KB       int
 	Factors  []float64
 	Conns    int           // connections of the load; a request counts as failed if none is free within a tenth of the deadline
-	Rounds   int           // rounds over all factors; a Point has their means and the quantiles of the median round
+	Rounds   int           // rounds, each over all factors; a Point has the mean rates, and P50, P99 and LoadLag of the round with the median goodput
 	Span     time.Duration // measured time of each factor and round, after a quarter of it for warm-up
 	Deadline time.Duration // from when a request is due
 }
@@ -70,7 +70,7 @@
 	var out []Point
 	for _, points := range all {
 		sort.Slice(points, func(i, j int) bool { return points[i].Goodput < points[j].Goodput })
-		p := points[len(points)/2] // the median round, for its quantiles
+		p := points[len(points)/2] // the round with the median goodput, for P50, P99 and LoadLag
 		p.Least, p.Most = points[0].Goodput, points[len(points)-1].Goodput
 		mean := func(field func(*Point) *float64) {
 			sum := 0.0
@@ -125,10 +125,12 @@
 					time.Sleep(d)
 				}
 				measured := due.Sub(start) >= warm
-				if late := time.Since(due).Microseconds(); measured && late > maxLag.Load() {
-					maxLag.Store(late)
+				if lag := time.Since(due).Microseconds(); measured && lag > maxLag.Load() {
+					maxLag.Store(lag)
 				}
-				if time.Since(due) > o.Deadline/10 { // all connections were in use; independent users would not wait for each other's
+				// If no connection was free soon enough, the request counts as failed and is not sent:
+				// independent users would not queue for a shared set of connections.
+				if time.Since(due) > o.Deadline/10 {
 					if measured {
 						failed.Add(1)
 					}
@@ -191,7 +193,8 @@
 	return p, ctx.Err()
 }
 
-// bodyBuffers holds buffers for reading bodies in large pieces, without the reader's own buffer.
+// bodyBuffers holds buffers for reading bodies directly from a connection, in larger pieces than
+// the buffer of its bufio.Reader.
 var bodyBuffers = sync.Pool{New: func() any { b := make([]byte, 256<<10); return &b }}
 
 // readResponse reads a response with a Content-Length, whatever its status.
@@ -215,6 +218,8 @@
 			if length < 0 {
 				return status, errors.New("bench: response without Content-Length")
 			}
+			// Discard what br has buffered, then read the rest directly from the
+			// connection; length is what is left to read.
 			n, _ := br.Discard(int(min(length, int64(br.Buffered()))))
 			b := bodyBuffers.Get().(*[]byte)
 			defer bodyBuffers.Put(b)
@@ -263,13 +268,14 @@
 	Second int   `json:"second"`
 	RSSKB  int64 `json:"rss_kb"`
 	Good   int64 `json:"good"` // requests of ordinary users with status 200
-	Bad    int64 `json:"bad"`  // other requests of ordinary users
+	Bad    int64 `json:"bad"`  // requests of ordinary users that failed: no connection within 1 s, no response within 2 s, or another status
 }
 
 // Flood opens conns connections that misuse the proxy. A third request many large responses and
-// read them at a byte per second, a third send a request at a byte per second, and a third stay
-// idle. A few ordinary users send requests at the same time. Flood calls report every second. It
-// returns the proxy's resident memory before the flood, in KB, and the samples.
+// read them at a byte per second, a third send the start of a request line and then a byte per
+// second, so that the request is never complete, and a third stay idle. A few ordinary users send
+// requests at the same time. Flood calls report every second. It returns the proxy's resident
+// memory before the flood, in KB, and the samples.
 func Flood(ctx context.Context, child *Process, conns int, span time.Duration, report func(FloodSample)) (before int64, list []FloodSample, err error) {
 	var limit syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) == nil && limit.Cur < uint64(conns)+500 {
@@ -284,7 +290,8 @@
 	var wg sync.WaitGroup
 	attack := func(i, kind int) {
 		defer wg.Done()
-		// Many local addresses, since closed connections soon use up the ports of one.
+		// Spread over 200 loopback source addresses: with one, closed connections in TIME_WAIT would
+		// use up the ephemeral ports.
 		from := net.Dialer{Timeout: 2 * time.Second, LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, byte(1+i%200), 1)}}
 		for ctx.Err() == nil {
 			c, err := from.Dial("tcp4", child.Addr)
@@ -298,7 +305,7 @@
 				for range 20 {
 					c.Write([]byte("GET /s/0/1024 HTTP/1.1\r\nHost: x\r\n\r\n"))
 				}
-			case 1: // sends a request byte by byte
+			case 1: // sends the start of a request line; the loop below sends a byte per second
 				c.Write([]byte("GET /s/0/1 HT"))
 			}
 			one := make([]byte, 1)
--- a/internal/testbed/differential/drift.go
+++ b/internal/testbed/differential/drift.go
@@ -1,8 +1,9 @@
 // Package differential compares the programs that embed the routing engine with each other and
 // with the traffic on the sockets. The decisions that a router recorded in its journal must
 // match the attempts that the test servers received, and the decisions that the adapter, replay
-// and explain make when they are given the same events. A program that passes events to the
-// engine incorrectly shows up as a difference.
+// and explain make when they are given the same events. The adapter is the program through which
+// the simulator uses the engine, over a protocol of JSON lines (package simwire). A program that
+// passes events to the engine incorrectly shows up as a difference.
 //
 // The package makes no routing decisions of its own and treats no program as the reference for
 // another. Scenarios run it on their routers' journals (spool-scenario run --journal).
@@ -30,13 +31,13 @@
 	Events         int `json:"events"`    // events in the journal
 	Decided        int `json:"decided"`   // attempts that the journal has a decision for
 	Seen           int `json:"seen"`      // of these, attempts received by caches, parents or the origin
-	Fills          int `json:"fills"`     // fill requests that they sent to a source
+	Fills          int `json:"fills"`     // fill requests received by a source or the origin
 	Adapter        int `json:"adapter"`   // events for which the adapter's actions were compared
 	Replay         int `json:"replay"`    // events for which replay's actions were compared
 	Explained      int `json:"explained"` // requests whose explanations were compared
 	Asked          int `json:"asked"`     // of these, requests that were also explained as hypothetical
-	Unjournaled    int `json:"lost"`      // received attempts that a killed router had not yet written to its journal
-	AdapterSkipped int `json:"unwired"`   // events that the adapter's protocol cannot express, and the events after them
+	Unjournaled    int `json:"lost"`      // attempts received around a kill of their router that its journal does not have
+	AdapterSkipped int `json:"unwired"`   // events not compared with the adapter: those after a gap, a change of settings or an event that its protocol cannot express, up to the next start of the router
 
 	Different   int      `json:"different"`
 	Differences []string `json:"differences,omitempty"` // the first differences, at most maxDifferences
@@ -44,7 +45,7 @@
 
 const maxDifferences = 20
 
-// asOnWire returns the actions without what the simulator's protocol cannot express: in the
+// asOnWire returns the actions without what the adapter's protocol cannot express: in the
 // simulator a send reaches its cache at once, so the message has no field for Within. The
 // comparison with replay covers Within.
 func asOnWire(acts []spool.Action) []spool.Action {
@@ -70,12 +71,12 @@
 // Options limits a comparison.
 type Options struct {
 	Explanations int    // requests to explain, spread evenly over the journal; each needs a replay; 0 means 20
-	Router       string // the router whose journal it is, by its name in the traffic log; "" matches all
+	Router       string // name of the journal's router in the traffic log; "" takes the attempts of all routers and then ignores their kills
 }
 
-// unwrittenMs is the time around the kill of a router in which attempts may be received that
-// its journal lacks: before the kill, because the journal writes its records every 50 ms only,
-// and after it, because attempts that were already sent may still arrive.
+// unwrittenMs is a time in ms. An attempt received less than unwrittenMs before or after a kill
+// of its router may be missing from the journal: before the kill, because the journal writes its
+// records only every 50 ms, and after it, because attempts already sent may still arrive.
 const unwrittenMs = 400
 
 // attempt identifies an attempt by its request and its number, from 0.
@@ -111,7 +112,7 @@
 	return r, r.compareExplanations(open, index, o.Explanations)
 }
 
-// journalIndex holds the requests and attempts of a journal.
+// journalIndex is an index of the requests and attempts of a whole journal.
 type journalIndex struct {
 	decided  map[attempt]*decision
 	attempts map[string][]*decision // by request id, in order
@@ -213,7 +214,7 @@
 			fromSource := rec.Via == d.send.Cache && rec.Subject == d.send.Source
 			fromOrigin := rec.Via == d.send.Source && rec.Role == "origin"
 			if !fromSource && !fromOrigin {
-				r.addDifference("sockets: attempt %d of %s: %s filled from %s; decided was that %s fills from %s", rec.Attempt, rec.RouterRequest, rec.Via, rec.Subject, d.send.Cache, d.send.Source)
+				r.addDifference("sockets: attempt %d of %s: %s requested a fill from %s, but the journal has cache %s with source %s", rec.Attempt, rec.RouterRequest, rec.Via, rec.Subject, d.send.Cache, d.send.Source)
 			}
 			continue
 		}
@@ -227,13 +228,13 @@
 			source = d.send.Source
 		}
 		if rec.Subject != d.send.Cache || rec.Source != source {
-			r.addDifference("sockets: attempt %d of %s was received by %s with source %q; decided was %s with source %q", rec.Attempt, rec.RouterRequest, rec.Subject, rec.Source, d.send.Cache, source)
+			r.addDifference("sockets: attempt %d of %s was received by %s with source %q, but the journal has %s with source %q (empty: no source)", rec.Attempt, rec.RouterRequest, rec.Subject, rec.Source, d.send.Cache, source)
 		}
 	}
 	for k, d := range index.decided { // an answered attempt must have reached a test server
 		answered := d.done && (d.result == spool.OK || d.result == spool.Miss)
 		if answered && !received[k] {
-			r.addDifference("sockets: attempt %d of %s at %s was answered (result %d), but no server received it", k.number, k.id, d.send.Cache, d.result)
+			r.addDifference("sockets: attempt %d of %s at %s was answered with result %q according to the journal, but no test server received it", k.number, k.id, d.send.Cache, resultWords[d.result])
 		}
 	}
 }
@@ -264,7 +265,7 @@
 	}
 	defer j.Close()
 	var client adapterClient
-	var want []*journal.Entry // by line of the adapter's input; nil for the start of an instance
+	var want []*journal.Entry // by line of the adapter's input; nil for a line that starts an instance
 	instance, expressible, clock := -1, false, 0.0
 	for {
 		e, err := j.Next()
@@ -275,7 +276,7 @@
 			return err
 		}
 		switch e.Kind {
-		case journal.KindGap, journal.KindSettings: // events are missing, or the protocol cannot express the change of settings
+		case journal.KindGap, journal.KindSettings: // events are missing, or the adapter's protocol has no message for the change of settings
 			expressible = false
 		case journal.KindRouterStart:
 			s := &config.Settings{}
@@ -294,7 +295,7 @@
 			}
 		case journal.KindHandled:
 			switch e.Event.(type) {
-			case spool.Recalled, spool.Retired, spool.Stalled: // nor a predecessor's state, a handover to a successor or a stalled answer
+			case spool.Recalled, spool.Retired, spool.Stalled: // the adapter's protocol has no message for these
 				expressible = false
 			}
 			if !expressible {
@@ -316,7 +317,7 @@
 		return err
 	}
 	if len(got) != len(want) {
-		r.addDifference("adapter: %d replies to %d lines", len(got), len(want))
+		r.addDifference("adapter: got %d replies, want %d, one for each line of input", len(got), len(want))
 		return nil
 	}
 	for i, e := range want {
@@ -336,8 +337,7 @@
 
 // compareExplanations explains count requests, spread over the journal. An explanation must
 // list the recorded sends in their order, and the candidates that it reports as accepted must
-// be the members of these sends. Each request is also explained as a hypothetical request in
-// its own place.
+// be the members of these sends. compareHypothetical then compares each request once more.
 func (r *Report) compareExplanations(open func() (*journal.Reader, error), index *journalIndex, count int) error {
 	step := max(len(index.arrivals)/count, 1)
 	for i := 0; i < len(index.arrivals); i += step {
@@ -354,7 +354,7 @@
 		}
 		r.Explained++
 		if !s.Equal {
-			r.addDifference("explain: %s: its replay gives other actions than the router's", one.request.ID)
+			r.addDifference("explain: %s: the actions of its replay differ from those in the journal", one.request.ID)
 		}
 		n := 0
 		for _, st := range s.Steps {
@@ -366,7 +366,7 @@
 			}
 		}
 		if n != len(index.attempts[one.request.ID]) {
-			r.addDifference("explain: %s: the explanation has %d of the attempts, the journal has %d", one.request.ID, n, len(index.attempts[one.request.ID]))
+			r.addDifference("explain: %s: the explanation lists %d attempts in the order of the journal, want %d", one.request.ID, n, len(index.attempts[one.request.ID]))
 		}
 		if err := r.compareHypothetical(open, &one); err != nil {
 			return err
@@ -395,8 +395,8 @@
 	}
 }
 
-// compareHypothetical explains a request as a hypothetical one in place of itself. Its first
-// action must be the recorded one.
+// compareHypothetical replays the journal with a recorded request replaced by a hypothetical
+// request with the same fields. The first action must equal the recorded first action.
 func (r *Report) compareHypothetical(open func() (*journal.Reader, error), one *arrival) error {
 	j, err := open()
 	if err != nil {
