--- a/cmd/spool-bench/main.go
+++ b/cmd/spool-bench/main.go
@@ -39,12 +39,12 @@
 			for _, kb := range sizes {
 				for _, n := range conns {
 					for _, p := range proxies {
-						m, err := bench.StartChild(c.Context(), child, p, server.Addr)
+						process, err := bench.StartChild(c.Context(), child, p, server.Addr)
 						if err != nil {
 							return err
 						}
-						r, err := bench.Load(c.Context(), m, p, kb, n, span)
-						m.Stop()
+						r, err := bench.Load(c.Context(), process, p, kb, n, span)
+						process.Stop()
 						if err != nil {
 							return err
 						}
@@ -73,12 +73,12 @@
 			}
 			defer server.Stop()
 			for _, p := range idleProxies {
-				m, err := bench.StartChild(c.Context(), child, p, server.Addr)
+				process, err := bench.StartChild(c.Context(), child, p, server.Addr)
 				if err != nil {
 					return err
 				}
-				before, after, err := bench.Idle(m, idleConns)
-				m.Stop()
+				before, after, err := bench.Idle(process, idleConns)
+				process.Stop()
 				if err != nil {
 					return err
 				}
@@ -113,16 +113,16 @@
 			}
 			var all []bench.Point
 			for _, p := range overloadProxies {
-				m, err := cores.StartChild(c.Context(), child, p, server.Addr)
+				process, err := cores.StartChild(c.Context(), child, p, server.Addr)
 				if err != nil {
 					return err
 				}
-				list, err := bench.Overload(c.Context(), m, p, overload, func(q bench.Point) {
+				list, err := bench.Overload(c.Context(), process, p, overload, func(q bench.Point) {
 					if !asJSON {
 						fmt.Printf("%-15s %7.2f %9.0f %9.0f %9.0f %9.0f %9.0f %9.0f %9.0f %9.1f %9.1f %9.1f\n", q.Proxy, q.Factor, q.Offered, q.Goodput, q.Least, q.Most, q.Late, q.Rejected, q.Failed, q.P50, q.P99, q.LoadLag)
 					}
 				})
-				m.Stop()
+				process.Stop()
 				if err != nil {
 					return err
 				}
@@ -158,13 +158,13 @@
 				return err
 			}
 			defer server.Stop()
-			m, err := bench.StartChild(c.Context(), child, fmt.Sprintf("spool-flood-%d", budgetMB), server.Addr)
+			process, err := bench.StartChild(c.Context(), child, fmt.Sprintf("spool-flood-%d", budgetMB), server.Addr)
 			if err != nil {
 				return err
 			}
-			defer m.Stop()
+			defer process.Stop()
 			peakKB := int64(0)
-			before, list, err := bench.Flood(c.Context(), m, floodConns, floodSpan, func(s bench.FloodSample) {
+			before, list, err := bench.Flood(c.Context(), process, floodConns, floodSpan, func(s bench.FloodSample) {
 				if peakKB = max(peakKB, s.RSSKB); s.Second%10 == 0 && !asJSON {
 					fmt.Printf("%4d s  %7d KB resident  %5d users served, %d not\n", s.Second, s.RSSKB, s.Good, s.Bad)
 				}
@@ -279,13 +279,13 @@
 				for _, n := range fragments {
 					for _, conns := range pageConns {
 						for _, by := range assemblers {
-							m, err := bench.StartChild(c.Context(), child, by, server.Addr)
+							process, err := bench.StartChild(c.Context(), child, by, server.Addr)
 							if err != nil {
 								server.Stop()
 								return err
 							}
-							r, err := bench.LoadPages(c.Context(), m, by, n, delay, conns, pageSpan)
-							m.Stop()
+							r, err := bench.LoadPages(c.Context(), process, by, n, delay, conns, pageSpan)
+							process.Stop()
 							if err != nil {
 								server.Stop()
 								return err
--- a/internal/testbed/bench/bench.go
+++ b/internal/testbed/bench/bench.go
@@ -274,21 +274,21 @@
 	if !ready.Readable() || len(s.peer.pending) > 0 {
 		return
 	}
-	n, err := s.relay.loop.Read(s.fd, s.relay.buf)
+	read, err := s.relay.loop.Read(s.fd, s.relay.buf)
 	if eventloop.Retryable(err) {
 		return
 	}
-	if err != nil || n == 0 {
+	if err != nil || read == 0 {
 		s.close()
 		return
 	}
-	m, err := s.relay.loop.Write(s.peer.fd, s.relay.buf[:n])
+	written, err := s.relay.loop.Write(s.peer.fd, s.relay.buf[:read])
 	if err != nil && !eventloop.Retryable(err) {
 		s.close()
 		return
 	}
-	if m < n {
-		s.peer.pending = append([]byte(nil), s.relay.buf[m:n]...)
+	if written < read {
+		s.peer.pending = append([]byte(nil), s.relay.buf[written:read]...)
 		s.relay.loop.Want(s.peer.fd, eventloop.Read|eventloop.Write)
 		s.relay.loop.Want(s.fd, 0) // stop reading here until the peer has written its pending bytes
 	}
--- a/internal/testbed/bench/fleet.go
+++ b/internal/testbed/bench/fleet.go
@@ -29,16 +29,16 @@
 // FleetResult is the measurement of a fleet of one size.
 type FleetResult struct {
 	Routers       int     `json:"routers"`
-	Protocol      string  `json:"protocol"`
+	Protocol      string  `json:"protocol"` // full: state of the world; delta: incremental
 	Versions      int     `json:"versions"`
 	BodyBytes     int     `json:"body_bytes"`
-	JoinTime      float64 `json:"join_ms"`          // until all routers run the first version, with the service's limit on new streams per second
+	JoinTime      float64 `json:"join_ms"`          // from the start of the agents until all routers run the first version, with the service's limit on new streams per second
 	ConvergeMean  float64 `json:"converge_mean_ms"` // from a push to all routers at once until the last has accepted the version
 	ConvergeWorst float64 `json:"converge_worst_ms"`
 	ActivateMean  float64 `json:"used_mean_ms"`       // from the push until the last router runs the version; activations are spread over 1 s
 	CPU           float64 `json:"cpu_ms_per_version"` // CPU time of the service's process
 	RSS           int64   `json:"rss_kb"`             // resident memory of the service's process, at the end
-	RSSBefore     int64   `json:"rss_before_kb"`      // the same, before the first stream
+	RSSBefore     int64   `json:"rss_before_kb"`      // as RSS, before the first stream
 	Bytes         float64 `json:"bytes_per_router"`   // gRPC bytes received per router and version, without HTTP/2 framing
 	ReconnectTime float64 `json:"reconnect_ms"`       // from a push after the service was killed and restarted until all routers have accepted it
 }
@@ -113,8 +113,9 @@
 }
 
 // Fleet runs a control service as a child process and the agents of many routers in this
-// process, connected by gRPC streams. It pushes versions that differ in one member, one after
-// another, and then kills and restarts the service.
+// process, connected by gRPC streams. full selects the state-of-the-world protocol instead of the
+// incremental one; perSecond limits the new streams. Fleet pushes versions that differ in one
+// member, one after another, and then kills and restarts the service.
 func Fleet(ctx context.Context, self []string, routers, versions int, perSecond float64, full bool) (r FleetResult, err error) {
 	r = FleetResult{Routers: routers, Protocol: "delta", Versions: versions}
 	if full {
@@ -128,16 +129,16 @@
 	store := filepath.Join(dir, "c.db")
 	os.Setenv(streamRateEnv, fmt.Sprint(perSecond))
 	defer os.Unsetenv(streamRateEnv)
-	m, err := StartChild(ctx, self, "control", store)
+	child, err := StartChild(ctx, self, "control", store)
 	if err != nil {
 		return r, err
 	}
-	defer func() { m.Stop() }()
+	defer func() { child.Stop() }()
 	var addr, admin string
-	if _, err := fmt.Sscan(m.Addr, &addr, &admin); err != nil {
+	if _, err := fmt.Sscan(child.Addr, &addr, &admin); err != nil {
 		return r, err
 	}
-	if _, r.RSSBefore, err = m.usage(); err != nil {
+	if _, r.RSSBefore, err = child.usage(); err != nil {
 		return r, err
 	}
 	push := func(size float64) (n int64, err error) {
@@ -183,7 +184,7 @@
 		return r, err
 	}
 	r.JoinTime = ms(time.Since(began))
-	cpu0, _, err := m.usage()
+	cpu0, _, err := child.usage()
 	if err != nil {
 		return r, err
 	}
@@ -205,21 +206,21 @@
 		}
 		r.ActivateMean += ms(time.Since(at)) / float64(versions)
 	}
-	cpu1, rss, err := m.usage()
+	cpu1, rss, err := child.usage()
 	if err != nil {
 		return r, err
 	}
 	r.RSS, r.CPU = rss, ms(cpu1-cpu0)/float64(versions)
 	r.Bytes = float64(got.n.Load()) / float64(versions) / float64(routers)
 	r.BodyBytes = len(fleetSettings(11))
-	m.cmd.Process.Kill()
-	m.cmd.Wait()
-	os.Setenv(addressEnv, m.Addr)
+	child.cmd.Process.Kill()
+	child.cmd.Wait()
+	os.Setenv(addressEnv, child.Addr)
 	defer os.Unsetenv(addressEnv)
 	for range 50 {
 		var next *Process
 		if next, err = StartChild(ctx, self, "control", store); err == nil {
-			m = next
+			child = next
 			break
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -295,8 +296,8 @@
 	P50        [2]int64  `json:"p50_us"`
 	P99        [2]int64  `json:"p99_us"`
 	P999       [2]int64  `json:"p999_us"`
-	Ratio      float64   `json:"p99_ratio"`
-	Ratios     []float64 `json:"p99_ratios"` // for each pair of windows, sorted
+	Ratio      float64   `json:"p99_ratio"`  // P99 with versions divided by P99 without
+	Ratios     []float64 `json:"p99_ratios"` // as Ratio, for each pair of windows, sorted
 	Failed     int64     `json:"failed"`
 	LastActive int64     `json:"last_version_run"`
 }
--- a/internal/testbed/bench/pages.go
+++ b/internal/testbed/bench/pages.go
@@ -142,16 +142,17 @@
 	Conns     int     `json:"conns"`
 	Pages     int64   `json:"pages"`
 	PerSecond float64 `json:"per_second"`
-	PerCPU    float64 `json:"per_cpu_second"`
-	FirstP50  int64   `json:"first_p50_us"` // time to the first byte of the body
-	P50       int64   `json:"p50_us"`       // time to the last byte
+	PerCPU    float64 `json:"per_cpu_second"` // pages per CPU second of the assembler's process
+	FirstP50  int64   `json:"first_p50_us"`   // time to the first byte of the body
+	P50       int64   `json:"p50_us"`         // time to the last byte
 	P99       int64   `json:"p99_us"`
-	Failed    int64   `json:"failed"`
+	Failed    int64   `json:"failed"` // connections that could not be opened or ended early because of an error
 }
 
 // LoadPages requests pages with the given number of fragments in a closed loop: each connection
-// sends its next request as soon as it has the page.
-func LoadPages(ctx context.Context, m *Process, assembler string, fragments, delay, conns int, span time.Duration) (PageResult, error) {
+// sends its next request as soon as it has the page, and ends at its first error. LoadPages
+// measures for span, after span/5 of warm-up; Failed includes the warm-up.
+func LoadPages(ctx context.Context, child *Process, assembler string, fragments, delay, conns int, span time.Duration) (PageResult, error) {
 	r := PageResult{Assembler: assembler, Fragments: fragments, DelayMs: delay, Conns: conns}
 	want := int64(len(pageHead) + fragments*(len("<p></p>")+1024))
 	var stop atomic.Bool
@@ -163,7 +164,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			c, err := net.Dial("tcp4", m.Addr)
+			c, err := net.Dial("tcp4", child.Addr)
 			if err != nil {
 				failed.Add(1)
 				return
@@ -187,20 +188,20 @@
 			}
 		}()
 	}
-	time.Sleep(span / 5)
+	time.Sleep(span / 5) // warm-up
 	mu.Lock()
 	first.Reset()
 	last.Reset()
 	mu.Unlock()
 	n0 := count.Load()
-	cpu0, _, err := m.usage()
+	cpu0, _, err := child.usage()
 	at := time.Now()
 	select {
 	case <-time.After(span):
 	case <-ctx.Done():
 	}
 	r.Pages = count.Load() - n0
-	cpu1, _, err2 := m.usage()
+	cpu1, _, err2 := child.usage()
 	took := time.Since(at).Seconds()
 	stop.Store(true)
 	wg.Wait()
--- a/internal/testbed/differential/drift_test.go
+++ b/internal/testbed/differential/drift_test.go
@@ -424,7 +424,7 @@
 					t.Fatal(err)
 				}
 				if !rep.OK() || rep.AdapterSkipped > 0 {
-					t.Errorf("%+v\n%s", rep, strings.Join(rep.Differences, "\n"))
+					t.Errorf("report %+v, want no differences, some attempts decided and seen, some events compared with the adapter and none skipped\n%s", rep, strings.Join(rep.Differences, "\n"))
 				}
 				mu.Lock()
 				defer mu.Unlock()
@@ -436,6 +436,6 @@
 	})
 	t.Logf("%d fleets: %d placements by spool-fleet, %+v", n, placements, total)
 	if !t.Failed() && (placements < 20*n || total.Seen < 50*n || total.Fills < 20*n || total.Explained < 4*n || total.Asked < 4*n) {
-		t.Errorf("too few comparisons: %d placements, %+v", placements, total)
+		t.Errorf("too few comparisons: %d placements, %+v; want at least %d placements, %d Seen, %d Fills, %d Explained, %d Asked", placements, total, 20*n, 50*n, 20*n, 4*n, 4*n)
 	}
 }
