--- a/internal/testbed/differential/drift.go
+++ b/internal/testbed/differential/drift.go
@@ -248,7 +248,7 @@
 	defer j.Close()
 	rep, err := replay.Run(j, &replay.Watcher{After: func(e *journal.Entry, _ *engine.Core, acts []spool.Action) {
 		if r.Replay++; !equalActions(acts, e.Actions) {
-			r.addDifference("replay: record %d at %.3f ms: %T%+v gives %+v, want %+v as recorded", e.Number, e.T, e.Event, e.Event, acts, e.Actions)
+			r.addDifference("replay: journal record %d at %.3f ms, event %T%+v: replay returned %+v, want %+v as recorded", e.Number, e.T, e.Event, e.Event, acts, e.Actions)
 		}
 	}})
 	if err == nil && rep.Different > 0 {
@@ -325,7 +325,7 @@
 			continue
 		}
 		if r.Adapter++; !equalActions(got[i], asOnWire(e.Actions)) {
-			r.addDifference("adapter: record %d at %.3f ms: %T%+v gives %+v, want %+v as recorded", e.Number, e.T, e.Event, e.Event, got[i], e.Actions)
+			r.addDifference("adapter: journal record %d at %.3f ms, event %T%+v: adapter returned %+v, want %+v as recorded", e.Number, e.T, e.Event, e.Event, got[i], e.Actions)
 		}
 	}
 	return nil
@@ -378,12 +378,12 @@
 // compareChosen compares the candidates that an explanation reports as accepted with a send.
 func (r *Report) compareChosen(id string, n int, s *spool.Send, candidates []explain.Candidate) {
 	cache, source := "", ""
-	for _, l := range candidates {
-		if l.Why == explain.ReasonText(spool.ReasonAccepted) {
-			if l.As == "source" {
-				source = l.Member
+	for _, candidate := range candidates {
+		if candidate.Why == explain.ReasonText(spool.ReasonAccepted) {
+			if candidate.As == "source" {
+				source = candidate.Member
 			} else {
-				cache = l.Member
+				cache = candidate.Member
 			}
 		}
 	}
