--- a/internal/testbed/bench/bench.go
+++ b/internal/testbed/bench/bench.go
@@ -58,17 +58,17 @@
 		}
 		defer os.RemoveAll(dir)
 		return serveSpool(backend, fmt.Sprintf("(journal %q)", dir), `(class c (deadline 6000))`, "")
-	case "spool-overload": // with deadlines of 500 ms, the default of spool-bench overload --patience
+	case "spool-overload": // with a deadline of 500 ms, the default of the flag --patience of spool-bench overload
 		return serveSpool(backend, "", `(class c (aim 250) (deadline 500))`, "(socket-kb 1024)")
-	case "spool-pages":
+	case "spool-pages": // the router, assembling pages of ESI fragments
 		return serveSpool(backend, "", `(class c (deadline 6000)) (class page (pages) (deadline 10000)) (route "/p/{group}/{object}" (class page))`, "")
-	case "sequential":
+	case "sequential": // a page assembler that fetches one fragment at a time
 		return serveAssembler(backend, 1)
-	case "parallel":
+	case "parallel": // a page assembler with up to 8 fetches at a time
 		return serveAssembler(backend, 8)
-	case "control":
+	case "control": // the control service; backend is its store
 		return serveControl(backend)
-	case "follower":
+	case "follower": // a router that takes its settings from a control service
 		return serveFollower(backend)
 	case "reverseproxy":
 		return serveReverseProxy(backend)
@@ -77,17 +77,17 @@
 	case "relay":
 		return serveRelay(backend)
 	}
-	if ms, ok := strings.CutPrefix(name, "pages-"); ok {
+	if ms, ok := strings.CutPrefix(name, "pages-"); ok { // a server of pages and fragments, with a delay in ms for each fragment
 		n, err := strconv.Atoi(ms)
 		if err != nil {
 			return fmt.Errorf("bench: invalid delay %q, want a number of ms", ms)
 		}
 		return servePages(time.Duration(n) * time.Millisecond)
 	}
-	if mb, ok := strings.CutPrefix(name, "spool-flood-"); ok {
+	if mb, ok := strings.CutPrefix(name, "spool-flood-"); ok { // the router with limits in MB for its memory and for its sockets' buffers
 		return serveSpool(backend, "", `(class c (deadline 6000))`, fmt.Sprintf("(memory-mb %s) (sockets-mb %s) (head-grace 5000) (client-grace 10000)", mb, mb))
 	}
-	return fmt.Errorf("bench: unknown proxy %q, want one of %v", name, Proxies)
+	return fmt.Errorf("bench: unknown child process %q; the proxies of spool-bench run are %v", name, Proxies)
 }
 
 func newReader(c net.Conn) *bufio.Reader { return bufio.NewReaderSize(c, 16<<10) }
@@ -124,6 +124,9 @@
 	return nil
 }
 
+// serveSpool runs the router with the given settings added to its own. Times in them are in ms:
+// aim is the latency objective of a class, and head-grace and client-grace are how far a client
+// may fall behind its minimum rate. flow is the transfer rate to one client, in KB per ms.
 func serveSpool(backend, routerSettings, class, limits string) error {
 	text := fmt.Sprintf(`(router (zone z) (listen "127.0.0.1:0") (log none) %s)
 		(limits (upstream 4096) (connections-per-address 20000) %s) (fill (flow 1000)) %s (route "/s/{group}/{object}" (class c))
@@ -182,7 +185,7 @@
 // serveRelay runs a relay that copies bytes between each client and a server connection of its
 // own. It uses the router's event loop, without parsing, connection pools or routing.
 func serveRelay(backend string) error {
-	l, err := eventloop.New(0)
+	loop, err := eventloop.New(0)
 	if err != nil {
 		return err
 	}
@@ -200,27 +203,27 @@
 	}
 	fd := int(f.Fd())
 	unix.SetNonblock(fd, true)
-	r := &relay{l: l, buf: make([]byte, 256<<10)}
+	r := &relay{loop: loop, buf: make([]byte, 256<<10)}
 	copy(r.to.Addr[:], to.IP.To4())
 	r.to.Port = to.Port
 	listener := eventloop.Listener{PerTurn: 64, Take: r.pair}
-	if err := listener.Start(l, fd); err != nil {
+	if err := listener.Start(loop, fd); err != nil {
 		return err
 	}
-	go func() { waitUntilOrphaned(); l.Stop() }()
+	go func() { waitUntilOrphaned(); loop.Stop() }()
 	fmt.Println(ln.Addr())
-	return l.Run()
+	return loop.Run()
 }
 
 type relay struct {
-	l   *eventloop.Loop
-	to  unix.SockaddrInet4
-	buf []byte
+	loop *eventloop.Loop
+	to   unix.SockaddrInet4
+	buf  []byte
 }
 
 // relayEnd is one of the two connections of a pair; data read from it is written to its peer.
 type relayEnd struct {
-	r       *relay
+	relay   *relay
 	fd      int
 	peer    *relayEnd
 	pending []byte // read from the peer, not yet written to this connection
@@ -238,56 +241,56 @@
 		return
 	}
 	unix.SetNonblock(u, true)
-	a, b := &relayEnd{r: r, fd: c}, &relayEnd{r: r, fd: u}
+	a, b := &relayEnd{relay: r, fd: c}, &relayEnd{relay: r, fd: u}
 	a.peer, b.peer = b, a
 	for _, s := range []*relayEnd{a, b} {
 		unix.SetsockoptInt(s.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-		r.l.Add(s.fd, eventloop.Read, s)
+		r.loop.Add(s.fd, eventloop.Read, s)
 	}
 }
 
 func (s *relayEnd) close() {
 	for _, x := range []*relayEnd{s, s.peer} {
 		if x.fd >= 0 {
-			s.r.l.Remove(x.fd)
+			s.relay.loop.Remove(x.fd)
 			unix.Close(x.fd)
 			x.fd = -1
 		}
 	}
 }
 
-func (s *relayEnd) OnReady(r eventloop.Ready) {
-	if r.Writable() && len(s.pending) > 0 {
-		n, err := s.r.l.Write(s.fd, s.pending)
+func (s *relayEnd) OnReady(ready eventloop.Ready) {
+	if ready.Writable() && len(s.pending) > 0 {
+		n, err := s.relay.loop.Write(s.fd, s.pending)
 		if err != nil && !eventloop.Retryable(err) {
 			s.close()
 			return
 		}
 		if s.pending = s.pending[n:]; len(s.pending) == 0 {
-			s.r.l.Want(s.fd, eventloop.Read)
-			s.r.l.Want(s.peer.fd, eventloop.Read)
+			s.relay.loop.Want(s.fd, eventloop.Read)
+			s.relay.loop.Want(s.peer.fd, eventloop.Read) // resume reading, which a short write stopped
 		}
 	}
-	if !r.Readable() || len(s.peer.pending) > 0 {
+	if !ready.Readable() || len(s.peer.pending) > 0 {
 		return
 	}
-	n, err := s.r.l.Read(s.fd, s.r.buf)
+	read, err := s.relay.loop.Read(s.fd, s.relay.buf)
 	if eventloop.Retryable(err) {
 		return
 	}
-	if err != nil || n == 0 {
+	if err != nil || read == 0 {
 		s.close()
 		return
 	}
-	m, err := s.r.l.Write(s.peer.fd, s.r.buf[:n])
+	written, err := s.relay.loop.Write(s.peer.fd, s.relay.buf[:read])
 	if err != nil && !eventloop.Retryable(err) {
 		s.close()
 		return
 	}
-	if m < n {
-		s.peer.pending = append([]byte(nil), s.r.buf[m:n]...)
-		s.r.l.Want(s.peer.fd, eventloop.Read|eventloop.Write)
-		s.r.l.Want(s.fd, 0)
+	if written < read {
+		s.peer.pending = append([]byte(nil), s.relay.buf[written:read]...)
+		s.relay.loop.Want(s.peer.fd, eventloop.Read|eventloop.Write)
+		s.relay.loop.Want(s.fd, 0) // stop reading here until the peer has written its pending bytes
 	}
 }
 
@@ -302,7 +305,7 @@
 	P50us     int64   `json:"p50_us"`
 	P99us     int64   `json:"p99_us"`
 	RSSKB     int64   `json:"rss_kb"`
-	Failed    int64   `json:"failed"`
+	Failed    int64   `json:"failed"` // connections that ended early because of an error
 }
 
 // Process is a running child process, a proxy or a server.
@@ -342,27 +345,27 @@
 }
 
 // Stop closes the child's standard input, and kills the child if it is still running after 3 s.
-func (m *Process) Stop() {
-	m.in.Close()
+func (child *Process) Stop() {
+	child.in.Close()
 	done := make(chan struct{})
-	go func() { m.cmd.Wait(); close(done) }()
+	go func() { child.cmd.Wait(); close(done) }()
 	select {
 	case <-done:
 	case <-time.After(3 * time.Second):
-		m.cmd.Process.Kill()
+		child.cmd.Process.Kill()
 		<-done
 	}
 }
 
 // usage returns the CPU time and the resident memory, in KB, of the child.
-func (m *Process) usage() (time.Duration, int64, error) {
-	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", m.cmd.Process.Pid))
+func (child *Process) usage() (time.Duration, int64, error) {
+	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", child.cmd.Process.Pid))
 	if err != nil {
 		return 0, 0, err
 	}
 	f := strings.Fields(string(b[strings.LastIndexByte(string(b), ')')+2:]))
 	if len(f) < 22 {
-		return 0, 0, fmt.Errorf("bench: /proc/%d/stat has %d fields after the name, want 22", m.cmd.Process.Pid, len(f))
+		return 0, 0, fmt.Errorf("bench: /proc/%d/stat has %d fields after the name, want 22", child.cmd.Process.Pid, len(f))
 	}
 	user, _ := strconv.ParseInt(f[11], 10, 64)
 	system, _ := strconv.ParseInt(f[12], 10, 64)
@@ -372,8 +375,9 @@
 }
 
 // Load sends requests for an object of kb KB in a closed loop: each of conns connections sends
-// its next request as soon as it has the response. It measures for span, after span/5 of warm-up.
-func Load(ctx context.Context, m *Process, proxy string, kb, conns int, span time.Duration) (Result, error) {
+// its next request as soon as it has the response, and ends at its first error. Load measures for
+// span, after span/5 of warm-up; the latencies and Failed include the warm-up.
+func Load(ctx context.Context, child *Process, proxy string, kb, conns int, span time.Duration) (Result, error) {
 	r := Result{Proxy: proxy, KB: kb, Conns: conns}
 	req := []byte(fmt.Sprintf("GET /s/0/%d HTTP/1.1\r\nHost: bench\r\nUser-Agent: spool-bench\r\nAccept: */*\r\n\r\n", kb))
 	var stop atomic.Bool
@@ -387,7 +391,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			c, err := net.Dial("tcp4", m.Addr)
+			c, err := net.Dial("tcp4", child.Addr)
 			ready <- err
 			if err != nil {
 				return
@@ -430,7 +434,7 @@
 	time.Sleep(span / 5) // warm-up
 	hist.Reset()
 	n0 := count.Load()
-	cpu0, _, err := m.usage()
+	cpu0, _, err := child.usage()
 	if err != nil {
 		return r, err
 	}
@@ -440,7 +444,7 @@
 	case <-ctx.Done():
 	}
 	r.Requests = count.Load() - n0
-	cpu1, rss, err := m.usage()
+	cpu1, rss, err := child.usage()
 	elapsed := time.Since(at).Seconds()
 	stop.Store(true)
 	wg.Wait()
@@ -477,13 +481,13 @@
 
 // Idle opens conns connections that send one request each and then stay idle. It returns the
 // proxy's resident memory, in KB, before and after.
-func Idle(m *Process, conns int) (before, after int64, err error) {
+func Idle(child *Process, conns int) (before, after int64, err error) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil && limit.Cur < uint64(conns)+100 {
 		limit.Cur = min(limit.Max, uint64(conns)+1000)
 		syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit)
 	}
-	if _, before, err = m.usage(); err != nil {
+	if _, before, err = child.usage(); err != nil {
 		return 0, 0, err
 	}
 	open := make([]net.Conn, 0, conns)
@@ -493,7 +497,7 @@
 		}
 	}()
 	for range conns {
-		c, err := net.Dial("tcp4", m.Addr)
+		c, err := net.Dial("tcp4", child.Addr)
 		if err != nil {
 			return before, 0, fmt.Errorf("bench: connection %d: %w", len(open), err)
 		}
@@ -507,6 +511,6 @@
 		}
 	}
 	time.Sleep(time.Second)
-	_, after, err = m.usage()
+	_, after, err = child.usage()
 	return before, after, err
 }
--- a/internal/testbed/differential/drift.go
+++ b/internal/testbed/differential/drift.go
@@ -1,8 +1,9 @@
 // Package differential compares the programs that embed the routing engine with each other and
 // with the traffic on the sockets. The decisions that a router recorded in its journal must
 // match the attempts that the test servers received, and the decisions that the adapter, replay
-// and explain make when they are given the same events. A program that passes events to the
-// engine incorrectly shows up as a difference.
+// and explain make when they are given the same events. The adapter is the program through which
+// the simulator uses the engine, over a protocol of JSON lines (package simwire). A program that
+// passes events to the engine incorrectly shows up as a difference.
 //
 // The package makes no routing decisions of its own and treats no program as the reference for
 // another. Scenarios run it on their routers' journals (spool-scenario run --journal).
@@ -27,16 +28,16 @@
 
 // Report counts what was compared and lists the differences.
 type Report struct {
-	Events    int `json:"events"`    // events in the journal
-	Decided   int `json:"decided"`   // attempts that the journal has a decision for
-	Seen      int `json:"seen"`      // of these, attempts received by caches, parents or the origin
-	Fills     int `json:"fills"`     // fill requests that they sent to a source
-	Adapter   int `json:"adapter"`   // events for which the adapter's actions were compared
-	Replay    int `json:"replay"`    // events for which replay's actions were compared
-	Explained int `json:"explained"` // requests whose explanations were compared
-	Asked     int `json:"asked"`     // of these, requests that were also explained as hypothetical
-	Lost      int `json:"lost"`      // received attempts that a killed router had not yet written to its journal
-	Unwired   int `json:"unwired"`   // events that the adapter's protocol cannot express, and the events after them
+	Events         int `json:"events"`    // events in the journal
+	Decided        int `json:"decided"`   // attempts that the journal has a decision for
+	Seen           int `json:"seen"`      // of these, attempts received by caches, parents or the origin
+	Fills          int `json:"fills"`     // fill requests received by a source or the origin
+	Adapter        int `json:"adapter"`   // events for which the adapter's actions were compared
+	Replay         int `json:"replay"`    // events for which replay's actions were compared
+	Explained      int `json:"explained"` // requests whose explanations were compared
+	Asked          int `json:"asked"`     // of these, requests that were also explained as hypothetical
+	Unjournaled    int `json:"lost"`      // attempts received around a kill of their router that its journal does not have
+	AdapterSkipped int `json:"unwired"`   // events not compared with the adapter: those after a gap, a change of settings or an event that its protocol cannot express, up to the next start of the router
 
 	Different   int      `json:"different"`
 	Differences []string `json:"differences,omitempty"` // the first differences, at most maxDifferences
@@ -44,7 +45,7 @@
 
 const maxDifferences = 20
 
-// asOnWire returns the actions without what the simulator's protocol cannot express: in the
+// asOnWire returns the actions without what the adapter's protocol cannot express: in the
 // simulator a send reaches its cache at once, so the message has no field for Within. The
 // comparison with replay covers Within.
 func asOnWire(acts []spool.Action) []spool.Action {
@@ -70,12 +71,12 @@
 // Options limits a comparison.
 type Options struct {
 	Explanations int    // requests to explain, spread evenly over the journal; each needs a replay; 0 means 20
-	Router       string // the router whose journal it is, by its name in the traffic log; "" matches all
+	Router       string // name of the journal's router in the traffic log; "" takes the attempts of all routers and then ignores their kills
 }
 
-// unwrittenMs is the time around the kill of a router in which attempts may be received that
-// its journal lacks: before the kill, because the journal writes its records every 50 ms only,
-// and after it, because attempts that were already sent may still arrive.
+// unwrittenMs is a time in ms. An attempt received less than unwrittenMs before or after a kill
+// of its router may be missing from the journal: before the kill, because the journal writes its
+// records only every 50 ms, and after it, because attempts already sent may still arrive.
 const unwrittenMs = 400
 
 // attempt identifies an attempt by its request and its number, from 0.
@@ -98,21 +99,21 @@
 		o.Explanations = 20
 	}
 	r := &Report{}
-	journaled, err := r.readJournal(open)
+	index, err := r.readJournal(open)
 	if err != nil {
 		return nil, err
 	}
-	r.compareTraffic(journaled, recs, o.Router)
+	r.compareTraffic(index, recs, o.Router)
 	for _, f := range []func(func() (*journal.Reader, error)) error{r.compareReplay, r.compareAdapter} {
 		if err := f(open); err != nil {
 			return nil, err
 		}
 	}
-	return r, r.compareExplanations(open, journaled, o.Explanations)
+	return r, r.compareExplanations(open, index, o.Explanations)
 }
 
-// journalRecord holds the requests and attempts of a journal.
-type journalRecord struct {
+// journalIndex is an index of the requests and attempts of a whole journal.
+type journalIndex struct {
 	decided  map[attempt]*decision
 	attempts map[string][]*decision // by request id, in order
 	arrivals []arrival
@@ -125,17 +126,17 @@
 	first   spool.Action // the first action for the request in its own event; nil if it was queued
 }
 
-func (r *Report) readJournal(open func() (*journal.Reader, error)) (*journalRecord, error) {
+func (r *Report) readJournal(open func() (*journal.Reader, error)) (*journalIndex, error) {
 	j, err := open()
 	if err != nil {
 		return nil, err
 	}
 	defer j.Close()
-	journaled := &journalRecord{decided: map[attempt]*decision{}, attempts: map[string][]*decision{}}
+	index := &journalIndex{decided: map[attempt]*decision{}, attempts: map[string][]*decision{}}
 	for {
 		e, err := j.Next()
 		if err == io.EOF {
-			return journaled, nil
+			return index, nil
 		}
 		if err != nil {
 			return nil, err
@@ -147,8 +148,8 @@
 		for _, a := range e.Actions {
 			if s, ok := a.(spool.Send); ok {
 				d := &decision{send: s}
-				journaled.decided[attempt{s.ID, len(journaled.attempts[s.ID])}] = d
-				journaled.attempts[s.ID] = append(journaled.attempts[s.ID], d)
+				index.decided[attempt{s.ID, len(index.attempts[s.ID])}] = d
+				index.attempts[s.ID] = append(index.attempts[s.ID], d)
 				r.Decided++
 			}
 		}
@@ -160,9 +161,9 @@
 					one.first = a
 				}
 			}
-			journaled.arrivals = append(journaled.arrivals, one)
+			index.arrivals = append(index.arrivals, one)
 		case spool.Outcome:
-			if d := journaled.decided[attempt{ev.ID, ev.Attempt}]; d != nil {
+			if d := index.decided[attempt{ev.ID, ev.Attempt}]; d != nil {
 				d.done, d.result = true, ev.Result
 				if d.send.Cache != ev.Cache {
 					r.addDifference("router: attempt %d of %s was sent to %s, but its outcome names %s", ev.Attempt, ev.ID, d.send.Cache, ev.Cache)
@@ -186,7 +187,7 @@
 }
 
 // compareTraffic compares the decided attempts with those that the test servers received.
-func (r *Report) compareTraffic(journaled *journalRecord, recs []trafficlog.Record, router string) {
+func (r *Report) compareTraffic(index *journalIndex, recs []trafficlog.Record, router string) {
 	received := map[attempt]bool{}
 	var kills []float64
 	for i := range recs {
@@ -199,10 +200,10 @@
 		if rec.Event != trafficlog.AttemptReceived || rec.RouterRequest == "" || router != "" && rec.From != router {
 			continue
 		}
-		d := journaled.decided[attempt{rec.RouterRequest, rec.Attempt}]
+		d := index.decided[attempt{rec.RouterRequest, rec.Attempt}]
 		if d == nil {
 			if slices.ContainsFunc(kills, func(t float64) bool { return rec.Time > t-unwrittenMs && rec.Time < t+unwrittenMs }) {
-				r.Lost++
+				r.Unjournaled++
 			} else {
 				r.addDifference("sockets: %s received attempt %d of %s, which the journal does not have", rec.Subject, rec.Attempt, rec.RouterRequest)
 			}
@@ -213,7 +214,7 @@
 			fromSource := rec.Via == d.send.Cache && rec.Subject == d.send.Source
 			fromOrigin := rec.Via == d.send.Source && rec.Role == "origin"
 			if !fromSource && !fromOrigin {
-				r.addDifference("sockets: attempt %d of %s: %s filled from %s; decided was that %s fills from %s", rec.Attempt, rec.RouterRequest, rec.Via, rec.Subject, d.send.Cache, d.send.Source)
+				r.addDifference("sockets: attempt %d of %s: %s requested a fill from %s, but the journal has cache %s with source %s", rec.Attempt, rec.RouterRequest, rec.Via, rec.Subject, d.send.Cache, d.send.Source)
 			}
 			continue
 		}
@@ -227,13 +228,13 @@
 			source = d.send.Source
 		}
 		if rec.Subject != d.send.Cache || rec.Source != source {
-			r.addDifference("sockets: attempt %d of %s was received by %s with source %q; decided was %s with source %q", rec.Attempt, rec.RouterRequest, rec.Subject, rec.Source, d.send.Cache, source)
+			r.addDifference("sockets: attempt %d of %s was received by %s with source %q, but the journal has %s with source %q (empty: no source)", rec.Attempt, rec.RouterRequest, rec.Subject, rec.Source, d.send.Cache, source)
 		}
 	}
-	for k, d := range journaled.decided { // an answered attempt must have reached a test server
+	for k, d := range index.decided { // an answered attempt must have reached a test server
 		answered := d.done && (d.result == spool.OK || d.result == spool.Miss)
 		if answered && !received[k] {
-			r.addDifference("sockets: attempt %d of %s at %s was answered (result %d), but no server received it", k.number, k.id, d.send.Cache, d.result)
+			r.addDifference("sockets: attempt %d of %s at %s was answered with result %q according to the journal, but no test server received it", k.number, k.id, d.send.Cache, resultWords[d.result])
 		}
 	}
 }
@@ -247,7 +248,7 @@
 	defer j.Close()
 	rep, err := replay.Run(j, &replay.Watcher{After: func(e *journal.Entry, _ *engine.Core, acts []spool.Action) {
 		if r.Replay++; !equalActions(acts, e.Actions) {
-			r.addDifference("replay: record %d at %.3f ms: %T%+v gives %+v, want %+v as recorded", e.Number, e.T, e.Event, e.Event, acts, e.Actions)
+			r.addDifference("replay: journal record %d at %.3f ms, event %T%+v: replay returned %+v, want %+v as recorded", e.Number, e.T, e.Event, e.Event, acts, e.Actions)
 		}
 	}})
 	if err == nil && rep.Different > 0 {
@@ -263,8 +264,8 @@
 		return err
 	}
 	defer j.Close()
-	var b adapterClient
-	var want []*journal.Entry // by line of the adapter's input; nil for the start of an instance
+	var client adapterClient
+	var want []*journal.Entry // by line of the adapter's input; nil for a line that starts an instance
 	instance, expressible, clock := -1, false, 0.0
 	for {
 		e, err := j.Next()
@@ -275,35 +276,35 @@
 			return err
 		}
 		switch e.Kind {
-		case journal.KindGap, journal.KindSettings: // events are missing, or the protocol cannot express the change of settings
+		case journal.KindGap, journal.KindSettings: // events are missing, or the adapter's protocol has no message for the change of settings
 			expressible = false
 		case journal.KindRouterStart:
 			s := &config.Settings{}
 			if err := config.Read("journal", e.RouterStart.Settings, s); err != nil {
 				return fmt.Errorf("differential: %w", err)
 			}
-			m, err := engine.ModuleSettings(s)
+			settings, err := engine.ModuleSettings(s)
 			if err != nil {
 				return fmt.Errorf("differential: %w", err)
 			}
 			instance++
 			expressible = true
 			want = append(want, nil)
-			if err := b.writeStart(clock, instance, &m, e.RouterStart.Seed); err != nil {
+			if err := client.writeStart(clock, instance, &settings, e.RouterStart.Seed); err != nil {
 				return err
 			}
 		case journal.KindHandled:
 			switch e.Event.(type) {
-			case spool.Recalled, spool.Retired, spool.Stalled: // nor a predecessor's state, a handover to a successor or a stalled answer
+			case spool.Recalled, spool.Retired, spool.Stalled: // the adapter's protocol has no message for these
 				expressible = false
 			}
 			if !expressible {
-				r.Unwired++
+				r.AdapterSkipped++
 				continue
 			}
 			clock = max(clock, e.T)
 			want = append(want, e)
-			if err := b.writeEvent(clock, instance, e.Event); err != nil {
+			if err := client.writeEvent(clock, instance, e.Event); err != nil {
 				return err
 			}
 		}
@@ -311,12 +312,12 @@
 	if len(want) == 0 {
 		return nil
 	}
-	got, err := b.replies()
+	got, err := client.replies()
 	if err != nil {
 		return err
 	}
 	if len(got) != len(want) {
-		r.addDifference("adapter: %d replies to %d lines", len(got), len(want))
+		r.addDifference("adapter: got %d replies, want %d, one for each line of input", len(got), len(want))
 		return nil
 	}
 	for i, e := range want {
@@ -324,7 +325,7 @@
 			continue
 		}
 		if r.Adapter++; !equalActions(got[i], asOnWire(e.Actions)) {
-			r.addDifference("adapter: record %d at %.3f ms: %T%+v gives %+v, want %+v as recorded", e.Number, e.T, e.Event, e.Event, got[i], e.Actions)
+			r.addDifference("adapter: journal record %d at %.3f ms, event %T%+v: adapter returned %+v, want %+v as recorded", e.Number, e.T, e.Event, e.Event, got[i], e.Actions)
 		}
 	}
 	return nil
@@ -336,12 +337,11 @@
 
 // compareExplanations explains count requests, spread over the journal. An explanation must
 // list the recorded sends in their order, and the candidates that it reports as accepted must
-// be the members of these sends. Each request is also explained as a hypothetical request in
-// its own place.
-func (r *Report) compareExplanations(open func() (*journal.Reader, error), journaled *journalRecord, count int) error {
-	step := max(len(journaled.arrivals)/count, 1)
-	for i := 0; i < len(journaled.arrivals); i += step {
-		one := journaled.arrivals[i]
+// be the members of these sends. compareHypothetical then compares each request once more.
+func (r *Report) compareExplanations(open func() (*journal.Reader, error), index *journalIndex, count int) error {
+	step := max(len(index.arrivals)/count, 1)
+	for i := 0; i < len(index.arrivals); i += step {
+		one := index.arrivals[i]
 		j, err := open()
 		if err != nil {
 			return err
@@ -354,19 +354,19 @@
 		}
 		r.Explained++
 		if !s.Equal {
-			r.addDifference("explain: %s: its replay gives other actions than the router's", one.request.ID)
+			r.addDifference("explain: %s: the actions of its replay differ from those in the journal", one.request.ID)
 		}
 		n := 0
 		for _, st := range s.Steps {
 			for _, text := range st.Actions {
-				if n < len(journaled.attempts[one.request.ID]) && text == explain.ActionText(journaled.attempts[one.request.ID][n].send) {
-					r.compareChosen(one.request.ID, n, &journaled.attempts[one.request.ID][n].send, st.Candidates)
+				if n < len(index.attempts[one.request.ID]) && text == explain.ActionText(index.attempts[one.request.ID][n].send) {
+					r.compareChosen(one.request.ID, n, &index.attempts[one.request.ID][n].send, st.Candidates)
 					n++
 				}
 			}
 		}
-		if n != len(journaled.attempts[one.request.ID]) {
-			r.addDifference("explain: %s: the explanation has %d of the attempts, the journal has %d", one.request.ID, n, len(journaled.attempts[one.request.ID]))
+		if n != len(index.attempts[one.request.ID]) {
+			r.addDifference("explain: %s: the explanation lists %d attempts in the order of the journal, want %d", one.request.ID, n, len(index.attempts[one.request.ID]))
 		}
 		if err := r.compareHypothetical(open, &one); err != nil {
 			return err
@@ -378,12 +378,12 @@
 // compareChosen compares the candidates that an explanation reports as accepted with a send.
 func (r *Report) compareChosen(id string, n int, s *spool.Send, candidates []explain.Candidate) {
 	cache, source := "", ""
-	for _, l := range candidates {
-		if l.Why == explain.ReasonText(spool.ReasonAccepted) {
-			if l.As == "source" {
-				source = l.Member
+	for _, candidate := range candidates {
+		if candidate.Why == explain.ReasonText(spool.ReasonAccepted) {
+			if candidate.As == "source" {
+				source = candidate.Member
 			} else {
-				cache = l.Member
+				cache = candidate.Member
 			}
 		}
 	}
@@ -395,8 +395,8 @@
 	}
 }
 
-// compareHypothetical explains a request as a hypothetical one in place of itself. Its first
-// action must be the recorded one.
+// compareHypothetical replays the journal with a recorded request replaced by a hypothetical
+// request with the same fields. The first action must equal the recorded first action.
 func (r *Report) compareHypothetical(open func() (*journal.Reader, error), one *arrival) error {
 	j, err := open()
 	if err != nil {
