--- a/internal/proxy/httpfront/guard_test.go
+++ b/internal/proxy/httpfront/guard_test.go
@@ -664,9 +664,9 @@
 	rig.edge.Query(func(*Stats, *engine.Core) {
 		rig.edge.guard.admission.Adopt(limits.AdmissionSettings{Target: 20, Interval: 100, MinInFlight: 1, MaxInFlight: 1})
 		rig.edge.settings.Limits.MaxRequests = 100 // so that the adaptive limit rejects
-		for range 4 {                              // as if rejections had taken all of the time
+		for interval := range 4 {                  // as if rejections had taken all of the time: the pause becomes 80 ms
 			rig.edge.guard.readPause.AddCost(1e6)
-			rig.edge.guard.readPause.Tick(rig.edge.loop.Now() + 1e5)
+			rig.edge.guard.readPause.Tick(rig.edge.loop.Now() + 1e5*float64(interval+1))
 		}
 	})
 	var conns []net.Conn
