--- a/internal/testbed/scenario/clients.go
+++ b/internal/testbed/scenario/clients.go
@@ -256,7 +256,7 @@
 	r.mu.Lock()
 	if r.addr == "" {
 		r.mu.Unlock()
-		return nil, errors.New("scenario: the router is down")
+		return nil, errors.New("day: the router is down")
 	}
 	for len(r.idle) > 0 {
 		c := r.idle[len(r.idle)-1]
--- a/internal/testbed/scenario/inject.go
+++ b/internal/testbed/scenario/inject.go
@@ -127,7 +127,7 @@
 
 // errNotRecovered reports that a machine still rejects requests after its folder has worked
 // again for recoveryTimeMS.
-var errNotRecovered = errors.New("scenario: request rejected although the folder-fault has ended")
+var errNotRecovered = errors.New("day: request rejected although the folder-fault has ended")
 
 // folderFaultEnd returns the end of the latest folder-fault of a machine. It reports false if
 // there was none.
